--- /dev/null
+++ b/internal/command/recorded_test.go
@@ -0,0 +1,71 @@
+package command
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+
+	"croftlock/internal/testbed/golden"
+)
+
+// printed is what a command prints, with its exit status, and without what depends on where the test runs.
+func printed(t *testing.T, args ...string) string {
+	t.Helper()
+	out, status := command(t, args...)
+	here, err := os.Getwd()
+	if err != nil {
+		t.Fatal(err)
+	}
+	root := filepath.Dir(filepath.Dir(here))
+	out = strings.ReplaceAll(out, root, "ROOT")
+	return fmt.Sprintf("$ croftlock %s\n%s\nexit status %d\n\n", strings.Join(args, " "), strings.TrimRight(out, "\n"), status)
+}
+
+// TestRecordedHelp: each command has the name, the flags and the text that it had.
+func TestRecordedHelp(t *testing.T) {
+	var all strings.Builder
+	var visit func(c *cobra.Command, path []string)
+	visit = func(c *cobra.Command, path []string) {
+		all.WriteString(printed(t, append(path[:len(path):len(path)], "--help")...))
+		for _, sub := range c.Commands() {
+			visit(sub, append(path[:len(path):len(path)], sub.Name()))
+		}
+	}
+	visit(New(func(string) string { return "" }), nil)
+	golden.Check(t, "help.txt", []byte(all.String()))
+}
+
+// TestRecordedSettings: each setting of the examples is checked, shown and formatted as it was.
+func TestRecordedSettings(t *testing.T) {
+	files, err := filepath.Glob("../../deploy/examples/*.sexp")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%d examples, %v", len(files), err)
+	}
+	var all strings.Builder
+	all.WriteString(printed(t, "settings", "show"))
+	for _, file := range append(files, "../../deploy/croftlock.sexp") {
+		all.WriteString(printed(t, "check", "--settings", file))
+		all.WriteString(printed(t, "settings", "show", "--settings", file))
+		all.WriteString(printed(t, "settings", "fmt", file))
+	}
+	golden.Check(t, "settings.txt", []byte(all.String()))
+}
+
+// TestRecordedFaults: what is wrong with a settings file is told as it was.
+func TestRecordedFaults(t *testing.T) {
+	var all strings.Builder
+	for _, text := range []string{"(log", "(log (level loud))", "(nothing)", `(tls (min-version "1.1") (servers perhaps))`, "(membership (on on) (period -1))", "(owners (on on))", "(floors (on on))",
+		"(log (level info) (level warn))", "(membership (on on) (socket 5))", "(owners (voters a b) (jobs 3))"} {
+		file := filepath.Join(t.TempDir(), "settings.sexp")
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		out := printed(t, "check", "--settings", file)
+		all.WriteString(text + "\n" + strings.ReplaceAll(out, filepath.Dir(file)+"/", ""))
+	}
+	golden.Check(t, "faults.txt", []byte(all.String()))
+}
--- /dev/null
+++ b/internal/hotrestart/recorded_test.go
@@ -0,0 +1,72 @@
+package hotrestart
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"croftlock/brain"
+	"croftlock/internal/maintenance"
+	"croftlock/internal/netio"
+	"croftlock/internal/proxy"
+	"croftlock/internal/testbed/golden"
+)
+
+// fullState has a value of its own in every field of what one process leaves to the next.
+func fullState() *proxy.Kept {
+	return &proxy.Kept{At: 900, Discovery: "127.0.0.1:1", Rev: 7, Out: []maintenance.Ban{{ID: "b", Since: 5}}, Known: []string{"a", "b"},
+		Hosts: []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: brain.Entry{ID: "a", State: brain.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Since: 4}}},
+		Memory: brain.Memory{Started: 1, RateAt: 2, Rate: 3.5, Fresh: 4.5, MeanCost: 5.5, ClassCost: []float64{6.5, 7.5},
+			Servers: []brain.ServerMemory{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
+}
+
+// fullStanding has a value of its own in every field of a connection that is handed over.
+func fullStanding() *proxy.Standing {
+	return &proxy.Standing{Request: brain.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", Hint: 3.5, Repeat: true, MidFlow: true, Returned: true, Left: 4},
+		Class: "c", Tenant: "t", Host: "h", Load: 5.5, Waiting: []int64{6, 7}, Last: proxy.LoadTold,
+		Down: netio.Parts{FD: 8, In: []byte("in"), Rest: []byte("rest")}, Up: netio.Parts{FD: 9, In: []byte("up"), Rest: []byte("more")}}
+}
+
+// TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
+func TestRecordedStateFile(t *testing.T) {
+	data, err := encode(fullState())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "croftlock.state", data)
+	got, err := decode(golden.Read(t, "croftlock.state"), 1000)
+	if err != nil || !reflect.DeepEqual(got, fullState()) {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
+
+// TestRecordedMessages: what two processes of a proxy tell one another has the bytes that it had, and messages of then are read.
+func TestRecordedMessages(t *testing.T) {
+	messages := []message{
+		{Kind: kindAsk, Listen: "127.0.0.1:3"},
+		{Kind: kindWelcome, Kept: fullState(), Datagram: true},
+		{Kind: kindNo, Reason: "why"},
+		{Kind: kindTake},
+		{Kind: kindTaken, Kept: fullState()},
+		{Kind: kindByHand, ID: "b", Out: true},
+		{Kind: kindListed, Kept: fullState()},
+		{Kind: kindSessions, Sessions: 12},
+		{Kind: kindStanding, Standing: fullStanding()},
+	}
+	var lines []byte
+	for _, m := range messages {
+		body, err := json.Marshal(&m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(append(lines, body...), '\n')
+	}
+	golden.Check(t, "messages.golden", lines)
+	for i, line := range bytes.Split(bytes.TrimSpace(golden.Read(t, "messages.golden")), []byte("\n")) {
+		var got message
+		if err := json.Unmarshal(line, &got); err != nil || !reflect.DeepEqual(got, messages[i]) {
+			t.Errorf("%s is read as %+v, %v", line, got, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/ledger/recorded_test.go
@@ -0,0 +1,100 @@
+package ledger
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand"
+	"strings"
+	"testing"
+
+	"croftlock/internal/testbed/golden"
+)
+
+// TestRecordedDecisions: the same events give the same counts and the same choice of whom to ask as when they were recorded.
+func TestRecordedDecisions(t *testing.T) {
+	const sequences, eventsPerSequence = 200, 1000
+	var lines strings.Builder
+	for seed := range int64(sequences) {
+		rng, digest := rand.New(rand.NewSource(seed)), golden.NewDigest()
+		peers := []int{1, 3, 20, 300}[seed%4]
+		desk, book := NewDesk(peers), NewBook()
+		now := Time(1e9)
+		var asked []uint16
+		for range eventsPerSequence {
+			now += Time(rng.Intn(4e8))
+			peer, server, group := rng.Intn(peers), uint32(rng.Intn(12)), uint32(rng.Intn(6))
+			switch rng.Intn(10) {
+			case 0, 1, 2:
+				book.Count(peer, server, group, rng.Intn(255)-127)
+			case 3:
+				if rng.Intn(10) == 0 {
+					book.Forget(peer)
+				}
+			case 4:
+				book.Grant(server, now)
+			case 5:
+				asked = append(asked, desk.Ask(Out{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, At: now}))
+			case 6:
+				desk.Missed(now, fmt.Sprint("r", rng.Intn(40)))
+			case 7:
+				if len(asked) > 0 {
+					if out := desk.Answered(asked[rng.Intn(len(asked))]); out != nil {
+						digest.Add("answered %s %d %d %d %t", out.Request, out.Group, out.Units, out.At, out.Late)
+					}
+				}
+			case 8:
+				digest.Add("heard %t", desk.Heard(peer, byte(rng.Intn(3))))
+			default:
+				digest.Add("look %d", desk.Look(now))
+			}
+			load, groups, holds := book.Load(server, group)
+			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, book.Granted(server, now-2e9), desk.Keeper(now), desk.Told(now), desk.Keeps(peer))
+		}
+		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, peers, digest)
+	}
+	golden.Check(t, "decisions.golden", []byte(lines.String()))
+}
+
+// TestRecordedMessages: each message has the bytes that it had, and is written again as it was read.
+func TestRecordedMessages(t *testing.T) {
+	samples := golden.NewSamples(4)
+	for _, m := range []struct {
+		kind string
+		data []byte
+	}{
+		{"ask", Ask{Seq: 513, Zone: 3, Again: true, Units: 8, Group: Group(0x123456789abcdef0)}.Append(nil)},
+		{"ask", Ask{Seq: 1, Zone: 127, Units: 127, Group: 0xffffff}.Append(nil)},
+		{"answer", Answer(7, 9, 0xdeadbeef)},
+		{"entries", Entry{Server: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(Entry{Server: 1, Group: 2, Units: 127}.Append(nil))},
+		{"all", Entry{Server: 4, Group: 5, Units: 6}.Append(All())},
+		{"here", Here(3)},
+		{"look", Look()},
+	} {
+		samples.Add(m.kind, m.data)
+		read, ok := Read(m.data)
+		if again := rewrite(read); !ok || !bytes.Equal(again, m.data) {
+			t.Errorf("%s: %x is read, %t, and written as %x", m.kind, m.data, ok, again)
+		}
+	}
+	golden.Check(t, "messages.golden", samples.Bytes())
+}
+
+// rewrite writes a message that was read.
+func rewrite(m Message) (data []byte) {
+	switch {
+	case m.Ask != nil:
+		return m.Ask.Append(nil)
+	case m.Answer:
+		return Answer(m.Seq, m.Epoch, m.Server)
+	case m.Here:
+		return Here(m.Epoch)
+	case m.Look:
+		return Look()
+	case m.All:
+		data = All()
+	}
+	for _, e := range m.Entries {
+		data = e.Append(data)
+	}
+	return data
+}
--- a/internal/membership/virtual/node.go
+++ b/internal/membership/virtual/node.go
@@ -55,6 +55,9 @@
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
 	n.Sends++
+	if f.Sent != nil {
+		f.Sent(n.i, slot, data)
+	}
 	if f.Seeds > 0 {
 		slot = int(n.Core.Where(slot).Port()) - 1000
 	}
--- /dev/null
+++ b/internal/membership/virtual/recorded_test.go
@@ -0,0 +1,56 @@
+package virtual
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"croftlock/internal/membership"
+	"croftlock/internal/testbed/golden"
+)
+
+// TestRecordedDecisions: the same plans of faults give the same datagrams and the same changes of the view as when they were recorded.
+func TestRecordedDecisions(t *testing.T) {
+	const plans = 200
+	lines := make([]string, plans)
+	samples := golden.NewSamples(4)
+	play := func(seed uint64, samples *golden.Samples) {
+		processes := 3 + int(seed%6)
+		f, digest := New(processes, seed, membership.Config{}), golden.NewDigest()
+		f.Unchecked = true
+		if seed%4 == 3 {
+			f.Seeds = 2
+		}
+		f.Sent = func(from, slot int, datagram []byte) {
+			digest.Add("%d %d to %d: %x", f.Now(), from, slot, datagram)
+			if samples != nil {
+				samples.Add(fmt.Sprintf("first-part-%d", firstPart(datagram)), datagram)
+			}
+		}
+		f.Changes = func(at int, c membership.Change) {
+			digest.Add("%d at %d: %d from %s to %s, incarnation %d, version %d", f.Now(), at, c.ID, c.From, c.To, c.Life, c.Version)
+		}
+		calm := f.Apply(Draw(processes, seed))
+		f.Run(calm*Ms + Settle)
+		for _, n := range f.Nodes {
+			digest.Add("%08x %d", n.Core.Digest(), n.Core.Version())
+		}
+		lines[seed] = fmt.Sprintf("seed=%d processes=%d %s", seed, processes, digest)
+	}
+	const sampled = 8
+	for seed := range uint64(sampled) {
+		play(seed, samples)
+	}
+	golden.InParallel(sampled, plans, func(seed int) { play(uint64(seed), nil) })
+	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
+	golden.Check(t, "datagrams.golden", samples.Bytes())
+}
+
+// firstPart is the kind of the first part behind a datagram's head of 21 bytes; 0: there is none.
+func firstPart(datagram []byte) byte {
+	const head = 21
+	if len(datagram) <= head {
+		return 0
+	}
+	return datagram[head]
+}
--- a/internal/membership/virtual/virtual.go
+++ b/internal/membership/virtual/virtual.go
@@ -33,9 +33,10 @@
 	Jitter    Time    // up to so much more: what is sent later may come sooner
 	Cut       map[[2]int]bool
 	Changes   func(at int, c membership.Change)
-	Unchecked bool   // nothing is looked at: for large fleets, where that is most of the work
-	Seeds     int    // over 0: processes know the addresses of so many, and learn the others'
-	Broken    string // the first thing that may never happen and did
+	Sent      func(from, slot int, datagram []byte) // is told of each datagram before the network has it; nil: nobody is
+	Unchecked bool                                  // nothing is looked at: for large fleets, where that is most of the work
+	Seeds     int                                   // over 0: processes know the addresses of so many, and learn the others'
+	Broken    string                                // the first thing that may never happen and did
 	now       Time
 	seq       int
 	rng       *rand.Rand
--- /dev/null
+++ b/internal/metrics/recorded_test.go
@@ -0,0 +1,19 @@
+package metrics
+
+import (
+	"testing"
+
+	"croftlock/internal/testbed/golden"
+)
+
+// TestRecordedText: the figures have the names and the order that they had.
+func TestRecordedText(t *testing.T) {
+	table := New([]string{"session", "batch"})
+	for e := range ends {
+		for range int(e) + 1 {
+			table.Ended(int(e)%2, e)
+		}
+	}
+	table.Dispatched()
+	golden.Check(t, "metrics.txt", table.Text(Now{Concurrent: 4, Hosts: 5, Avoided: 2}))
+}
--- a/internal/node/layers_test.go
+++ b/internal/node/layers_test.go
@@ -17,7 +17,7 @@
 	name     string
 	packages []string
 }{
-	{"primitives", []string{"certs", "encoding", "fleetlog", "logging", "settings"}},
+	{"primitives", []string{"certs", "encoding", "fleetlog", "logging", "settings", "testbed/golden"}},
 	{"sockets", []string{"netio"}},
 	{"decisions", []string{"brain", "consensus", "estimate", "expiry", "fragment", "group", "handshake", "invariant", "jobs", "ledger", "maintenance", "membership", "metrics",
 		"namespace", "ownership", "quota", "rules", "watermark"}},
--- /dev/null
+++ b/internal/ownership/virtual/recorded_test.go
@@ -0,0 +1,51 @@
+package virtual
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"croftlock/internal/testbed/golden"
+)
+
+// recordedPlans are half with voters that have disks (consensus on raft) and half with voters that have none (the quorum in memory).
+const recordedPlans = 200
+
+// record plays one plan and gives a line for it.
+func record(seed uint64, samples *golden.Samples) string {
+	c := config(seed)
+	c.Lasts = 5 * Sec
+	r, digest := New(c), golden.NewDigest()
+	kept := "memory"
+	if c.Disks {
+		kept = "disk"
+	}
+	r.sent = func(from int, peer uint32, group bool, message []byte) {
+		digest.Add("%d %d to %08x, group %t: %x", r.now, from, peer, group, message)
+		if samples != nil && len(message) > 0 {
+			kind := fmt.Sprintf("owners-%d", message[0])
+			if group {
+				kind = fmt.Sprintf("group-%s-%d", kept, message[0])
+			}
+			samples.Add(kind, message)
+		}
+	}
+	err := r.Play()
+	for _, p := range r.ps {
+		digest.Add("%x", p.table.Snapshot())
+	}
+	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, c.Voters, kept, r.Effects, r.Refused, r.Starts, r.Notes, err == nil, digest)
+}
+
+// TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
+func TestRecordedDecisions(t *testing.T) {
+	lines := make([]string, recordedPlans)
+	samples := golden.NewSamples(3)
+	const sampled = 4
+	for seed := range uint64(sampled) {
+		lines[seed] = record(seed, samples)
+	}
+	golden.InParallel(sampled, recordedPlans, func(seed int) { lines[seed] = record(uint64(seed), nil) })
+	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
+	golden.Check(t, "messages.golden", samples.Bytes())
+}
--- a/internal/ownership/virtual/virtual.go
+++ b/internal/ownership/virtual/virtual.go
@@ -93,6 +93,8 @@
 	Gaps        []Time
 	ownedAt     map[string]Time
 	Sent, Bytes int
+	// sent is told of each message before the network has it; nil: nobody is.
+	sent func(from int, peer uint32, group bool, message []byte)
 }
 
 // New makes a fleet.
@@ -182,6 +184,9 @@
 	to, ok := r.peers[peer]
 	r.Sent++
 	r.Bytes += len(msg)
+	if r.sent != nil {
+		r.sent(from, peer, group, msg)
+	}
 	if !ok || r.cut[from][to] > 0 {
 		return
 	}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"croftlock/internal/jobs"
+	"croftlock/internal/testbed/golden"
 )
 
 const (
@@ -30,6 +31,9 @@
 	asked   int // that wait for their answer
 	waited  Time
 	gone    bool // no owner
+
+	recorded *golden.Digest // nil: nothing is recorded
+	samples  *golden.Samples
 }
 
 type side struct {
@@ -48,6 +52,7 @@
 
 func (s side) Answer(to uint32, tag uint64, body []byte) {
 	f := s.f
+	f.record("answer", body)
 	if f.cut[int(to)] || f.rng.Float64() < f.loss {
 		return
 	}
@@ -59,6 +64,7 @@
 	of := func(a string) Limit { return f.limits[a] }
 	for i := range n {
 		f.p = append(f.p, &Share{Now: func() Time { return f.now }, Lapse: lapse, Base: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, Ask: func(shard int, tag uint64, body []byte) {
+			f.record("ask", body)
 			if f.cut[i] || f.gone || f.rng.Float64() < f.loss {
 				return
 			}
@@ -73,6 +79,17 @@
 	return f
 }
 
+// record notes a message between a proxy and the owner.
+func (f *fleet) record(kind string, body []byte) {
+	if f.recorded == nil {
+		return
+	}
+	f.recorded.Add("%s %x", kind, body)
+	if f.samples != nil {
+		f.samples.Add(kind, body)
+	}
+}
+
 // owner begins another one, who knows nothing.
 func (f *fleet) owner() {
 	for s := range f.bank {
--- /dev/null
+++ b/internal/quota/recorded_test.go
@@ -0,0 +1,46 @@
+package quota
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"croftlock/internal/testbed/golden"
+)
+
+// TestRecordedDecisions: the same demand and the same faults give the same questions, answers and permits as when they were recorded.
+func TestRecordedDecisions(t *testing.T) {
+	const sequences = 200
+	var lines strings.Builder
+	samples := golden.NewSamples(8)
+	for seed := range uint64(sequences) {
+		f := newFleet(3+int(seed%3), seed, map[string]Limit{"p": {Rate: 40, Standing: 60}, "p/x": {Rate: 25}, "p/y": {Standing: 20 + int(seed%20)}, "q": {Rate: 9, Standing: 5}})
+		f.loss = float64(seed%5) / 20
+		f.recorded = golden.NewDigest()
+		if seed < 4 {
+			f.samples = samples
+		}
+		for events := 0; events < 1000; {
+			account := []string{"p", "p/x", "p/y", "q", "p/z"}[f.rng.IntN(5)]
+			demand := f.rng.Float64()
+			switch f.rng.IntN(12) {
+			case 0:
+				f.gone = !f.gone
+			case 1:
+				f.owner()
+			case 2:
+				proxy := f.rng.IntN(len(f.p))
+				f.cut[proxy] = !f.cut[proxy]
+			case 3:
+				f.p[f.rng.IntN(len(f.p))].Hold(account)
+			}
+			steps := 1 + f.rng.IntN(20)
+			f.run(Time(steps)*10*ms, account, func(int) float64 { return demand }, Time(f.rng.IntN(2000))*ms)
+			f.recorded.Add("%d %v asked %d refused %d waited %d", f.now, f.open, f.asked, f.refused, f.waited)
+			events += steps * len(f.p)
+		}
+		fmt.Fprintf(&lines, "seed=%d proxies=%d %s\n", seed, len(f.p), f.recorded)
+	}
+	golden.Check(t, "decisions.golden", []byte(lines.String()))
+	golden.Check(t, "messages.golden", samples.Bytes())
+}
--- a/internal/rules/group_test.go
+++ b/internal/rules/group_test.go
@@ -30,6 +30,7 @@
 	acts    []act
 	held    []func()
 	hold    bool // answers are held up until release
+	record  *recorder
 }
 
 type act struct {
@@ -39,7 +40,8 @@
 	lapsed bool
 }
 
-func (g *group) Do(to uint32, _ uint64, _ []byte) {
+func (g *group) Do(to uint32, _ uint64, body []byte) {
+	g.record.add("do", body)
 	if !g.cut[to] {
 		g.m[to].Told(g.clock(to))
 	}
@@ -49,11 +51,13 @@
 	if g.noNotes {
 		return errors.New("no lead")
 	}
+	g.record.add("note", left)
 	g.notes = append(g.notes, func() { g.left = left; g.k.Noted(g.now, number, true) })
 	return nil
 }
 
 func (g *group) Answer(to uint32, tag uint64, body []byte) {
+	g.record.add("answer", body)
 	if to == 0 {
 		g.answers = append(g.answers, string(body))
 		return
@@ -85,6 +89,7 @@
 		g.rate[i] = 1
 		gate := &Enforcer{Now: func() Time { return g.clock(i) }, Wait: time.Second}
 		g.m[i] = &Member{Within: within, Gate: gate, Ask: func(tag uint64, body []byte) {
+			g.record.add("ask", body)
 			if !g.cut[i] {
 				g.k.Asked(g.now, i, tag, body)
 			}
--- /dev/null
+++ b/internal/rules/recorded_test.go
@@ -0,0 +1,116 @@
+package rules
+
+import (
+	"fmt"
+	"math/rand"
+	"strings"
+	"testing"
+
+	"croftlock/internal/namespace"
+	"croftlock/internal/testbed/golden"
+)
+
+// recorder notes all that passes between a coordinator, its members and the group that keeps its state.
+type recorder struct {
+	digest  *golden.Digest
+	samples *golden.Samples
+}
+
+func (r *recorder) add(kind string, data []byte) {
+	if r == nil {
+		return
+	}
+	r.digest.Add("%s %x", kind, data)
+	if r.samples != nil {
+		r.samples.Add(kind, data)
+	}
+}
+
+// randomChange is a change as some administrator may ask for it; many are refused.
+func randomChange(rng *rand.Rand, against uint64) *Change {
+	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
+	pools := []string{"a", "b", namespace.Main}
+	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
+	switch rng.Intn(8) {
+	case 0:
+		return Put(&Version{Out: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Book: frame().Book}, against, id)
+	case 1:
+		return Put(&Version{Refuse: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Book: frame().Book}, against, id)
+	case 2, 3:
+		return PutSpace(to(account, 0, pools[rng.Intn(3)]), against, id)
+	case 4:
+		return PutAccount(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
+	case 5:
+		return Drop(account, against, id)
+	case 6:
+		return Back(uint64(rng.Intn(int(against)+2)), against, id)
+	}
+	moved := frame()
+	moved.Book.Pools[0].Kinds, moved.Book.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
+	return Put(moved, against, id)
+}
+
+// randomStep does one thing to the group: a change, a question, a fault or its end.
+func randomStep(g *group, rng *rand.Rand) {
+	member := 1 + uint32(rng.Intn(len(g.m)))
+	switch rng.Intn(12) {
+	case 0, 1, 2:
+		against := g.k.active.Number
+		if rng.Intn(6) == 0 {
+			against = uint64(rng.Intn(int(against) + 2))
+		}
+		c := randomChange(rng, against)
+		if rng.Intn(3) > 0 {
+			c.Sign(key(byte(1 + rng.Intn(3))))
+		}
+		g.change(c)
+	case 3:
+		questions := [][]byte{Show(), Status(), History(""), History("acme"), Read(0), Read(uint64(rng.Intn(9)))}
+		g.k.Asked(g.now, 0, 2, questions[rng.Intn(len(questions))])
+	case 4:
+		g.cut[member] = !g.cut[member]
+	case 5:
+		g.deaf[member] = !g.deaf[member]
+	case 6:
+		g.noNotes = rng.Intn(3) == 0
+	case 7:
+		if rng.Intn(3) == 0 {
+			g.keeper()
+		}
+	default:
+		g.cut[member], g.deaf[member] = false, false
+	}
+}
+
+// TestRecordedDecisions: the same changes, questions and faults give the same messages, answers and kept states as when they were recorded.
+func TestRecordedDecisions(t *testing.T) {
+	const sequences, eventsPerSequence = 200, 1000
+	lines := make([]string, sequences)
+	samples := golden.NewSamples(3)
+	play := func(seed int64, samples *golden.Samples) {
+		rng := rand.New(rand.NewSource(seed))
+		g := newGroup(t, 2+uint32(seed%4))
+		g.record = &recorder{digest: golden.NewDigest(), samples: samples}
+		if seed%2 == 0 {
+			g.put(frame(), 0)
+		}
+		for events := 0; events < eventsPerSequence; {
+			randomStep(g, rng)
+			steps := 1 + rng.Intn(3)
+			g.run(20 * ms * Time(steps))
+			events += 1 + steps*len(g.m)
+			for i := uint32(1); i <= uint32(len(g.m)); i++ {
+				v := g.m[i].Gate.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
+				g.record.digest.Add("%d %d %+v", g.now, i, v)
+			}
+		}
+		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.m), g.k.active.Number, g.record.digest)
+	}
+	const sampled = 4
+	for seed := range int64(sampled) {
+		play(seed, samples)
+	}
+	golden.InParallel(sampled, sequences, func(seed int) { play(int64(seed), nil) })
+	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
+	golden.Check(t, "messages.golden", samples.Bytes())
+}
--- /dev/null
+++ b/internal/testbed/golden/golden.go
@@ -0,0 +1,147 @@
+// Package golden compares what a test produced with a file under testdata. Run a test with -update to write its files anew, for a
+// change that means to alter them.
+package golden
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"hash"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files from what the code gives now")
+
+// Check fails the test where got differs from testdata/name, and names the first line that does.
+func Check(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want := Read(t, name)
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if g, w := lineAt(gotLines, i), lineAt(wantLines, i); g != w {
+			t.Fatalf("%s:%d differs\n got %q\nwant %q", path, i+1, g, w)
+		}
+	}
+}
+
+// Read gives a golden file's bytes.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// Updating tells whether the test run writes its golden files.
+func Updating() bool { return *update }
+
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return "end of file"
+}
+
+// Digest is a hash over a sequence of records, for sequences that are too long to be kept whole.
+type Digest struct {
+	hash    hash.Hash
+	records int
+}
+
+// NewDigest begins a sequence.
+func NewDigest() *Digest { return &Digest{hash: sha256.New()} }
+
+// Add appends one record.
+func (d *Digest) Add(format string, args ...any) {
+	fmt.Fprintf(d.hash, format, args...)
+	d.hash.Write([]byte{'\n'})
+	d.records++
+}
+
+// String is the number of records and the hash over all of them.
+func (d *Digest) String() string {
+	return fmt.Sprintf("records=%d sha256=%s", d.records, hex.EncodeToString(d.hash.Sum(nil)))
+}
+
+// Samples collects the first few messages of each kind, to be kept byte for byte.
+type Samples struct {
+	perKind int
+	kinds   map[string][]string
+	order   []string
+}
+
+// NewSamples keeps up to perKind messages of each kind.
+func NewSamples(perKind int) *Samples {
+	return &Samples{perKind: perKind, kinds: map[string][]string{}}
+}
+
+// Add takes one message. A message that was taken before is not kept again.
+func (s *Samples) Add(kind string, message []byte) {
+	seen, known := s.kinds[kind]
+	if !known {
+		s.order = append(s.order, kind)
+	}
+	text := hex.EncodeToString(message)
+	if len(seen) >= s.perKind {
+		return
+	}
+	for _, other := range seen {
+		if other == text {
+			return
+		}
+	}
+	s.kinds[kind] = append(seen, text)
+}
+
+// Bytes is a line a message: its kind and its bytes in hexadecimal.
+func (s *Samples) Bytes() []byte {
+	var out bytes.Buffer
+	for _, kind := range s.order {
+		for _, text := range s.kinds[kind] {
+			fmt.Fprintf(&out, "%s %s\n", kind, text)
+		}
+	}
+	return out.Bytes()
+}
+
+// InParallel calls play for each number from first to one below end, on all processors, and returns once all calls have.
+func InParallel(first, end int, play func(i int)) {
+	var workers sync.WaitGroup
+	next := make(chan int)
+	for range runtime.GOMAXPROCS(0) {
+		workers.Add(1)
+		go func() {
+			defer workers.Done()
+			for i := range next {
+				play(i)
+			}
+		}()
+	}
+	for i := first; i < end; i++ {
+		next <- i
+	}
+	close(next)
+	workers.Wait()
+}
