--- a/cmd/benchlink/main.go
+++ b/cmd/croftlock-simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts balancers on the simulator's wire: batches of events on standard input, one reply a
+// Command croftlock-simulator-adapter hosts decision modules on the simulator's wire: batches of events on standard input, one reply a
 // line on standard output.
 package main
 
@@ -9,19 +9,19 @@
 	"io"
 	"os"
 
-	"croftlock/brain"
-	"croftlock/internal/wire"
+	"croftlock/internal/balancer"
+	"croftlock/internal/testbed/simulator"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "croftlock-simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	host := wire.NewHost(brain.New)
+	host := simulator.NewHost(balancer.New)
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
 	for {
--- a/cmd/croftlock-voter/main.go
+++ b/cmd/croftlock-voter/main.go
@@ -5,12 +5,12 @@
 import (
 	"os"
 
-	"croftlock/internal/command"
-	"croftlock/internal/owners"
-	"croftlock/internal/voter"
+	"croftlock/internal/app/command"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/replica"
 )
 
 func main() {
-	owners.OpenVoter = voter.Open
+	owneragent.OpenVoter = replica.Open
 	os.Exit(command.Run(os.Args[1:], os.Getenv))
 }
--- a/cmd/croftlock/main.go
+++ b/cmd/croftlock/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"croftlock/internal/command"
+	"croftlock/internal/app/command"
 )
 
 func main() { os.Exit(command.Run(os.Args[1:], os.Getenv)) }
--- a/internal/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // keyFile writes an Ed25519 key and gives its path, and the public half as a grant names it.
@@ -42,7 +42,7 @@
 var logWord = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
 // attempts reads who was sent where: the last decision before an attempt is the second look, right before its connection is opened.
-func attempts(t *testing.T, p *lab.Process) (all []made) {
+func attempts(t *testing.T, p *experiment.Process) (all []made) {
 	t.Helper()
 	account, version := map[string]string{}, map[string]string{}
 	for _, l := range p.Log("event=") {
--- a/internal/command/badlinks_test.go
+++ b/internal/app/command/badlinks_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // TestRulesThroughBadLinks: a fifth of all datagrams lost, as many doubled, all late and out of order. Changes of the operators and of a customer arrive, in
@@ -28,7 +28,7 @@
 	change := func(i int, text string, more ...string) {
 		t.Helper()
 		got := ""
-		if _, ok := lab.Until(2*ownersPatience, func() bool {
+		if _, ok := experiment.Until(2*ownersPatience, func() bool {
 			got = propose(t, r, i, version, text, more...)
 			return strings.Contains(got, "active: version")
 		}); !ok {
--- a/internal/command/book_test.go
+++ b/internal/app/command/book_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // bookTier is four proxies that may speak, before six hosts.
 type bookTier struct {
 	t     *testing.T
 	mesh  *fake.Mesh
-	procs []*lab.Process
-	setup []lab.Setup
-	env   *lab.Env
+	procs []*experiment.Process
+	setup []experiment.Setup
+	env   *experiment.Env
 	hosts []*fake.Server
 }
 
@@ -24,7 +24,7 @@
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	b := &bookTier{t: t, env: &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}}
+	b := &bookTier{t: t, env: &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}}
 	var entries []fake.Entry
 	for i := range 6 {
 		s, err := fake.NewServer(fmt.Sprint("s", i), "z", nil)
@@ -44,11 +44,11 @@
 	}
 	t.Cleanup(b.mesh.Close)
 	for i := range 4 {
-		listen, err := lab.FreeAddr()
+		listen, err := experiment.FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.setup = append(b.setup, lab.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: d.Addr(), Known: d.List(), Cores: 0.5, Sockets: 1024, MemoryMB: 64,
+		b.setup = append(b.setup, experiment.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: d.Addr(), Known: d.List(), Cores: 0.5, Sockets: 1024, MemoryMB: 64,
 			Peers: b.mesh.Peers(i), PeerListen: b.mesh.Own(i), Me: i, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 		b.procs = append(b.procs, nil)
 		b.start(i)
@@ -114,7 +114,7 @@
 		for _, c := range all {
 			c.Close()
 		}
-		if _, ok := lab.Until(10*time.Second, func() bool { return b.fullest() == 0 }); !ok {
+		if _, ok := experiment.Until(10*time.Second, func() bool { return b.fullest() == 0 }); !ok {
 			t.Fatal("connections stand though their clients have left")
 		}
 	}
--- a/internal/command/certs.go
+++ b/internal/app/command/certs.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/settings"
-	"croftlock/internal/tlslink"
+	"croftlock/internal/dataplane/upstreamtls"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/operations/settings"
 )
 
 // certCommands make and look into certificates, for installations without a certificate service of their own.
@@ -163,14 +163,14 @@
 			if err != nil {
 				return err
 			}
-			m, err := tlslink.Load(tlslink.Options{Trust: []string{trust}, CRLs: lists}, 1)
+			m, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}, CRLs: lists}, 1)
 			if err != nil {
 				return err
 			}
 			if fault := m.OwnFault(time.Now()); fault != nil {
 				return fault
 			}
-			if _, err := m.Verify(chain, tlslink.Name{Text: name, URI: strings.Contains(name, "://")}, time.Now()); err != nil {
+			if _, err := m.Verify(chain, upstreamtls.Name{Text: name, URI: strings.Contains(name, "://")}, time.Now()); err != nil {
 				return fmt.Errorf("%s: %v", args[0], err)
 			}
 			if key != "" {
--- a/internal/command/command.go
+++ b/internal/app/command/command.go
@@ -11,11 +11,11 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/logging"
-	"croftlock/internal/node"
-	"croftlock/internal/platform"
-	"croftlock/internal/settings"
+	"croftlock/internal/app/node"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/operations/logging"
+	"croftlock/internal/operations/platform"
+	"croftlock/internal/operations/settings"
 )
 
 // New makes the whole command line. Without a sub-command it serves.
--- a/internal/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/members"
-	"croftlock/internal/node"
-	"croftlock/internal/owners"
+	"croftlock/internal/app/node"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/owneragent"
 )
 
 // fleet are the commands that ask a running proxy about the fleet, over the Unix sockets that the operators' file names.
@@ -28,21 +28,21 @@
 		if err != nil {
 			return "", err
 		}
-		p := file.Value("owners").(owners.Options).Socket
+		p := file.Value("owners").(owneragent.Options).Socket
 		if section == "membership" {
-			p = file.Value("membership").(members.Options).Socket
+			p = file.Value("membership").(memberagent.Options).Socket
 		}
 		if p == "" {
 			return "", fmt.Errorf("no socket: name it by --socket, or the operators' file with (%s (socket ...)) by --settings", section)
 		}
 		return p, nil
 	}
-	ask := func(cmd *cobra.Command, q owners.Request, show func(w io.Writer, r owners.Reply) error) error {
+	ask := func(cmd *cobra.Command, q owneragent.Request, show func(w io.Writer, r owneragent.Reply) error) error {
 		p, err := path("owners")
 		if err != nil {
 			return err
 		}
-		r, err := owners.Ask(p, q)
+		r, err := owneragent.Ask(p, q)
 		if err != nil {
 			return fmt.Errorf("%s: %w", p, err)
 		}
@@ -63,7 +63,7 @@
 	}
 	said := func(do string) func(cmd *cobra.Command, args []string) error {
 		return func(cmd *cobra.Command, args []string) error {
-			q := owners.Request{Do: do}
+			q := owneragent.Request{Do: do}
 			if q.A = args[0]; len(args) > 1 {
 				q.B = args[1]
 			}
@@ -73,14 +73,14 @@
 	own := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs",
 		Example: "  croftlock owners --socket /run/croftlock/owners.sock\n  croftlock owners move hosts proxy-2",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, owners.Request{Do: "owners"}, showOwners)
+			return ask(cmd, owneragent.Request{Do: "owners"}, showOwners)
 		}}
 	own.AddCommand(&cobra.Command{Use: "move JOB MEMBER", Args: cobra.ExactArgs(2), Short: "Have a job handed over", RunE: said("move"),
 		Example: "  croftlock owners move hosts proxy-2"})
 	group := &cobra.Command{Use: "group", Short: "The voters that the owners rest on"}
 	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, owners.Request{Do: "status"}, showGroup)
+			return ask(cmd, owneragent.Request{Do: "status"}, showGroup)
 		}})
 	for _, x := range []struct{ use, do, short string }{{"add NAME", "add", "Take a process in that asks for it, as one that listens"},
 		{"promote NAME", "promote", "Let a member that listens vote, in the place of its earlier self"}, {"remove NAME", "remove", "Take a member out"}} {
@@ -93,14 +93,14 @@
 			Example: "  croftlock fleet " + do + " catalogue-07"})
 	}
 	fleet.AddCommand(&cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Tell which hosts are out for the whole fleet",
-		RunE: func(cmd *cobra.Command, _ []string) error { return ask(cmd, owners.Request{Do: "list"}, nil) }})
+		RunE: func(cmd *cobra.Command, _ []string) error { return ask(cmd, owneragent.Request{Do: "list"}, nil) }})
 	who := &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p, err := path("membership")
 			if err != nil {
 				return err
 			}
-			r, err := members.Ask(p)
+			r, err := memberagent.Ask(p)
 			if err != nil {
 				return fmt.Errorf("%s: %w", p, err)
 			}
@@ -117,7 +117,7 @@
 	return all
 }
 
-func showOwners(w io.Writer, r owners.Reply) error {
+func showOwners(w io.Writer, r owneragent.Reply) error {
 	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, dash(r.Leader), r.Lease)
 	if r.Store != "" {
 		fmt.Fprintf(w, "its store can't be used: %s\n", r.Store)
@@ -143,7 +143,7 @@
 	return t.Flush()
 }
 
-func showGroup(w io.Writer, r owners.Reply) error {
+func showGroup(w io.Writer, r owneragent.Reply) error {
 	if r.Store != "" {
 		fmt.Fprintf(w, "%s: the store can't be used: %s\n", r.Name, r.Store)
 	}
--- a/internal/command/floors_test.go
+++ b/internal/app/command/floors_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // sentTo gives the times at which a process sent something new to a host, by its log alone.
-func sentTo(t *testing.T, p *lab.Process, host string) (all []time.Time) {
+func sentTo(t *testing.T, p *experiment.Process, host string) (all []time.Time) {
 	t.Helper()
 	for _, l := range p.Log("event=attempt ") {
 		if strings.Contains(l+" ", " host="+host+" ") {
@@ -58,14 +58,14 @@
 	}
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := lab.NewRigWith(&lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, lab.RigOptions{N: n, Seed: 4, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: n, Seed: 4, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
 		Discoveries: lists, Sections: `(floors (on on) (source lab) (within 500ms))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
 	for i := range r.Procs {
-		if _, ok := lab.Until(ownersPatience, func() bool {
+		if _, ok := experiment.Until(ownersPatience, func() bool {
 			rep, err := r.Ask(i)
 			alive := 0
 			for _, m := range rep.Members {
@@ -107,7 +107,7 @@
 	all := func(what string, holds func(i int) bool, which ...int) {
 		t.Helper()
 		for _, i := range which {
-			if _, ok := lab.Until(ownersPatience, func() bool { return holds(i) }); !ok {
+			if _, ok := experiment.Until(ownersPatience, func() bool { return holds(i) }); !ok {
 				t.Fatalf("n%d: %s", i, what)
 			}
 		}
--- a/internal/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // burst is a connection at a moment.
@@ -31,7 +31,7 @@
 	wg      sync.WaitGroup
 }
 
-func (c *crowd) begin(r *lab.Rig, tenant string, stay time.Duration, every func(i int) time.Duration) {
+func (c *crowd) begin(r *experiment.Rig, tenant string, stay time.Duration, every func(i int) time.Duration) {
 	c.stopped = make([]atomic.Bool, len(r.Procs))
 	for i := range r.Procs {
 		c.wg.Add(1)
@@ -94,7 +94,7 @@
 		t.Helper()
 		got := ""
 		text := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, standing)
-		if _, ok := lab.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text); return strings.Contains(got, want) }); !ok {
+		if _, ok := experiment.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text); return strings.Contains(got, want) }); !ok {
 			t.Fatalf("%q, expected %q", got, want)
 		}
 	}
--- a/internal/command/main_test.go
+++ b/internal/app/command/main_test.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
-	"croftlock/internal/owners"
-	"croftlock/internal/voter"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/replica"
 )
 
 const usable = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
@@ -21,7 +21,7 @@
 
 // TestMain lets the test's own binary run as the program, so that signals meet a whole process.
 func TestMain(m *testing.M) {
-	owners.OpenVoter = voter.Open
+	owneragent.OpenVoter = replica.Open
 	if os.Getenv("CROFTLOCK_TEST_RUN") != "" {
 		os.Exit(Run(os.Args[1:], os.Getenv))
 	}
--- a/internal/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
-	"croftlock/internal/members"
-	"croftlock/internal/membership"
-	"croftlock/internal/membership/virtual"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/membership"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // Five processes of the program with faults between them: what may never happen does not, and what has happened is known to all in
 // the end. Plans are printed with a failure, in the form in which they can be played again.
 func TestMembersAmongProcesses(t *testing.T) {
-	env := &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	r, err := lab.NewRig(env, 5, 1, "0123456789abcdef0123456789abcdef", "CROFTLOCK_TEST_RUN=1")
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
+	r, err := experiment.NewRig(env, 5, 1, "0123456789abcdef0123456789abcdef", "CROFTLOCK_TEST_RUN=1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,9 +34,9 @@
 	whole("the start")
 
 	// Lost, doubled, late and spoilt datagrams, and a process that sleeps for a second: nobody is given up.
-	plan := []virtual.Fault{{Kind: "loss", At: 0, For: 3000, Part: 0.2}, {Kind: "twice", At: 500, For: 3000, Part: 0.3}, {Kind: "garbage", At: 0, For: 3000, Part: 0.1},
+	plan := []simulation.Fault{{Kind: "loss", At: 0, For: 3000, Part: 0.2}, {Kind: "twice", At: 500, For: 3000, Part: 0.3}, {Kind: "garbage", At: 0, For: 3000, Part: 0.1},
 		{Kind: "pause", At: 800, For: 1000, A: 1}, {Kind: "slow", At: 1000, For: 2000}}
-	again, err := lab.ReadPlan("plan", []byte(lab.PlanText(plan)), 5)
+	again, err := experiment.ReadPlan("plan", []byte(experiment.PlanText(plan)), 5)
 	if err != nil || !slices.Equal(again, plan) {
 		t.Fatalf("a plan is not read as it is printed: %v, %v", again, err)
 	}
@@ -45,13 +45,13 @@
 	}
 	for i, p := range r.Procs {
 		if lines := slices.Concat(p.Log("to=unreachable"), p.Log("to=gone")); len(lines) > 0 {
-			t.Errorf("n%d gives somebody up: %s\n%s", i, lines, lab.PlanText(plan))
+			t.Errorf("n%d gives somebody up: %s\n%s", i, lines, experiment.PlanText(plan))
 		}
 	}
 	whole("the faults that nobody dies of")
 
 	// A one-sided cut is a fact about a link.
-	r.Play([]virtual.Fault{{Kind: "one-way", A: 1, B: 2}})
+	r.Play([]simulation.Fault{{Kind: "one-way", A: 1, B: 2}})
 	named := func() bool {
 		rep, err := r.Ask(0)
 		for _, m := range rep.Members {
@@ -61,11 +61,11 @@
 		}
 		return false
 	}
-	plan = []virtual.Fault{{Kind: "one-way", At: 0, For: 4000, A: 1, B: 2}}
+	plan = []simulation.Fault{{Kind: "one-way", At: 0, For: 4000, A: 1, B: 2}}
 	done := make(chan error, 1)
 	go func() { done <- r.Play(plan) }()
-	if _, ok := lab.Until(patience, func() bool { return named() || len(done) > 0 }); !ok || !named() && len(done) > 0 {
-		t.Errorf("n2 does not hear n1, and does not say so\n%s", lab.PlanText(plan))
+	if _, ok := experiment.Until(patience, func() bool { return named() || len(done) > 0 }); !ok || !named() && len(done) > 0 {
+		t.Errorf("n2 does not hear n1, and does not say so\n%s", experiment.PlanText(plan))
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		d[0] = byte(i % 3)
 		r.Mesh.Inject(1+i%4, 0, d)
 	}
-	if _, ok := lab.Until(patience, func() bool { rep, err := r.Ask(0); return err == nil && rep.Counts["unsealed"] >= 50 }); !ok {
+	if _, ok := experiment.Until(patience, func() bool { rep, err := r.Ask(0); return err == nil && rep.Counts["unsealed"] >= 50 }); !ok {
 		t.Error("forged datagrams are not refused")
 	}
 	if after, err := r.Ask(0); err != nil || after.Digest != before.Digest {
@@ -90,9 +90,9 @@
 	}
 
 	// A disk that is full is said in the log, and ends nothing.
-	full := []virtual.Fault{{Kind: "full", For: 3000, A: 1}}
+	full := []simulation.Fault{{Kind: "full", For: 3000, A: 1}}
 	go func() { done <- r.Play(full) }()
-	lab.Until(patience, func() bool {
+	experiment.Until(patience, func() bool {
 		r.Suspend(1, true)
 		r.Suspend(1, false)
 		return len(r.Procs[1].Log("event=state_not_kept")) > 0
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if len(r.Procs[1].Log("event=state_not_kept")) == 0 {
-		t.Errorf("a full disk is not told\n%s", lab.PlanText(full))
+		t.Errorf("a full disk is not told\n%s", experiment.PlanText(full))
 	}
 	whole("a full disk")
 
@@ -139,7 +139,7 @@
 // Where members come and go, two addresses are enough to begin with: the third process and the fourth find one another by what the
 // seeds tell.
 func TestMembersFindOneAnotherBySeeds(t *testing.T) {
-	env, dir := &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, t.TempDir()
+	env, dir := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, t.TempDir()
 	mesh, err := fake.NewMesh(4, 1) // for addresses that are free
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p, err := env.Proxy(lab.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+		p, err := env.Proxy(experiment.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
 			Settings: path, Sockets: 256, MemoryMB: 64, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 		if err != nil {
 			t.Fatal(err)
@@ -161,8 +161,8 @@
 		t.Cleanup(p.Kill)
 	}
 	for i := range 4 {
-		if _, ok := lab.Until(40*time.Second, func() bool {
-			rep, err := members.Ask(socket(i))
+		if _, ok := experiment.Until(40*time.Second, func() bool {
+			rep, err := memberagent.Ask(socket(i))
 			alive := 0
 			for _, m := range rep.Members {
 				if m.State == membership.Alive.String() && m.HeardMS >= 0 {
@@ -171,7 +171,7 @@
 			}
 			return err == nil && alive == 3 && rep.Quorum
 		}); !ok {
-			rep, err := members.Ask(socket(i))
+			rep, err := memberagent.Ask(socket(i))
 			t.Errorf("n%d has not found all others: %+v, %v", i, rep, err)
 		}
 	}
--- a/internal/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // customers are five processes before four hosts of two kinds.
-func customers(t *testing.T) (*lab.Rig, map[string]*fake.Server) {
+func customers(t *testing.T) (*experiment.Rig, map[string]*fake.Server) {
 	t.Helper()
 	hosts := map[string]*fake.Server{}
 	var entries []fake.Entry
@@ -38,7 +38,7 @@
 	t.Cleanup(d.Close)
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := lab.NewRigWith(&lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, lab.RigOptions{N: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock"))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	change := func(i, against int, text, want string, more ...string) {
 		t.Helper()
 		got := ""
-		if _, ok := lab.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text, more...); return strings.Contains(got, want) }); !ok {
+		if _, ok := experiment.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text, more...); return strings.Contains(got, want) }); !ok {
 			t.Fatalf("against version %d: %q, expected %q", against, got, want)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	// A connection of acme's at a2 stands through all that follows.
 	var standing *fake.Client
-	if _, ok := lab.Until(ownersPatience, func() bool {
+	if _, ok := experiment.Until(ownersPatience, func() bool {
 		before := hosts["a2"].Standing()
 		c, _, _ := fake.Open(r.Procs[0].Addr, "lab", "t=t1", time.Second)
 		if c == nil {
@@ -186,7 +186,7 @@
 }
 
 func TestTheExampleOfThreeCustomers(t *testing.T) {
-	if out, code := command(t, "rules", "check", "../../deploy/examples/three-customers.sexp"); code != 0 {
+	if out, code := command(t, "rules", "check", "../../../deploy/examples/three-customers.sexp"); code != 0 {
 		t.Fatalf("%d %s", code, out)
 	}
 	p := filepath.Join(t.TempDir(), "bad.sexp")
--- a/internal/command/ops_test.go
+++ b/internal/app/command/ops_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // One process after the other at one address: clients that stand stay, bans hold, a death before the end changes nothing, a
@@ -28,35 +28,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	listen, err := lab.FreeAddr()
+	listen, err := experiment.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	setup := lab.Setup{Name: "n0", Listen: listen, Discovery: d.Addr(), Known: d.List(), Tmp: t.TempDir(), Deadline: 4800 * time.Millisecond,
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
+	setup := experiment.Setup{Name: "n0", Listen: listen, Discovery: d.Addr(), Known: d.List(), Tmp: t.TempDir(), Deadline: 4800 * time.Millisecond,
 		Env: []string{"CROFTLOCK_TEST_RUN=1"}}
-	start := func() (p *lab.Process, admin string, err error) {
+	start := func() (p *experiment.Process, admin string, err error) {
 		with := setup
-		if with.Admin, err = lab.FreeAddr(); err == nil {
+		if with.Admin, err = experiment.FreeAddr(); err == nil {
 			p, err = env.Proxy(with)
 		}
 		return p, with.Admin, err
 	}
-	begin := func() (*lab.Process, string) {
+	begin := func() (*experiment.Process, string) {
 		t.Helper()
 		p, admin, err := start()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Kill)
-		if err := lab.Ready(admin, 20*time.Second); err != nil {
+		if err := experiment.Ready(admin, 20*time.Second); err != nil {
 			t.Fatal(err)
 		}
 		return p, admin
 	}
 	call := func(admin, method, path string, want int) string {
 		t.Helper()
-		status, body, _, err := lab.Call(admin, method, path)
+		status, body, _, err := experiment.Call(admin, method, path)
 		if status != want {
 			t.Fatalf("%s %s: %d %s, %v; want %d", method, path, status, body, err, want)
 		}
--- a/internal/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/lab"
-	"croftlock/internal/membership/virtual"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/testbed/experiment"
 )
 
 // rigs bounds how many there are at a time: on two slow cores more of them starve one another.
 var rigs = make(chan struct{}, 2)
 
 // fleetOf starts five processes of which three vote.
-func fleetOf(t *testing.T, disks bool) *lab.Rig {
+func fleetOf(t *testing.T, disks bool) *experiment.Rig {
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
@@ -26,7 +26,7 @@
 	if disks {
 		section += ` (dir "DIR")`
 	}
-	r, err := lab.NewOwners(&lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, 5, 1, "0123456789abcdef0123456789abcdef", section+")", "CROFTLOCK_TEST_RUN=1")
+	r, err := experiment.NewOwners(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, 5, 1, "0123456789abcdef0123456789abcdef", section+")", "CROFTLOCK_TEST_RUN=1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,11 +37,11 @@
 const ownersPatience = 40 * time.Second
 
 // owned waits until every job has one owner, which says so itself, and gives it.
-func owned(t *testing.T, r *lab.Rig, after string, but ...int) map[string]int {
+func owned(t *testing.T, r *experiment.Rig, after string, but ...int) map[string]int {
 	t.Helper()
 	var out map[string]int
 	var last string
-	if _, ok := lab.Until(ownersPatience, func() bool {
+	if _, ok := experiment.Until(ownersPatience, func() bool {
 		out, last = r.Holders(but...)
 		return len(out) == 4
 	}); !ok {
@@ -75,7 +75,7 @@
 			// The owner in the smaller part of a cut.
 			who = owned(t, r, "the wake-up")
 			a := who["drill001"]
-			if err := r.Play([]virtual.Fault{{Kind: "cut", For: 5000, A: a}}); err != nil {
+			if err := r.Play([]simulation.Fault{{Kind: "cut", For: 5000, A: a}}); err != nil {
 				t.Fatal(err)
 			}
 			owned(t, r, "a cut healed")
@@ -110,7 +110,7 @@
 	owned(t, r, "the start")
 	say := func(i int, do, id string) string {
 		t.Helper()
-		rep, err := r.Owners(i, owners.Request{Do: do, A: id})
+		rep, err := r.Owners(i, owneragent.Request{Do: do, A: id})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +118,7 @@
 	}
 	until := func(what string, holds func() bool) {
 		t.Helper()
-		if _, ok := lab.Until(ownersPatience, holds); !ok {
+		if _, ok := experiment.Until(ownersPatience, holds); !ok {
 			t.Fatal(what)
 		}
 	}
@@ -162,21 +162,21 @@
 		t.Fatal(err)
 	}
 	broken := func() bool {
-		rep, err := r.Owners(0, owners.Request{Do: "status"})
+		rep, err := r.Owners(0, owneragent.Request{Do: "status"})
 		return err == nil && rep.Store != ""
 	}
-	if _, ok := lab.Until(ownersPatience, broken); !ok {
+	if _, ok := experiment.Until(ownersPatience, broken); !ok {
 		t.Fatal("a voter without room does not say so")
 	}
 	owned(t, r, "a voter has no room", 0)
-	if status, _, _, err := lab.Call(r.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
+	if status, _, _, err := experiment.Call(r.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
 		t.Errorf("it does not answer: %d %v", status, err)
 	}
 	if err := back(); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := lab.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(0, owners.Request{Do: "status"})
+	if _, ok := experiment.Until(ownersPatience, func() bool {
+		rep, err := r.Owners(0, owneragent.Request{Do: "status"})
 		return err == nil && rep.Store == "" && rep.Group != nil && rep.Group.Phase == "member"
 	}); !ok {
 		t.Fatal("it does not return by itself")
@@ -198,7 +198,7 @@
 	anywhere := func(do string) func() bool {
 		return func() bool {
 			for _, i := range []int{0, 2} {
-				if rep, err := r.Owners(i, owners.Request{Do: do, A: "n1"}); err == nil && rep.Error == "" {
+				if rep, err := r.Owners(i, owneragent.Request{Do: do, A: "n1"}); err == nil && rep.Error == "" {
 					return true
 				}
 			}
@@ -207,7 +207,7 @@
 	}
 	phase := func(want string, votes int) func() bool {
 		return func() bool {
-			rep, err := r.Owners(1, owners.Request{Do: "status"})
+			rep, err := r.Owners(1, owneragent.Request{Do: "status"})
 			if err != nil || rep.Group == nil || rep.Group.Phase != want {
 				return false
 			}
@@ -225,11 +225,11 @@
 		done func() bool
 	}{{"it waits to be added", phase("outside", 0)}, {"add", anywhere("add")}, {"it listens", phase("member", 3)}, {"promote", anywhere("promote")},
 		{"it votes", func() bool {
-			rep, err := r.Owners(1, owners.Request{Do: "status"})
+			rep, err := r.Owners(1, owneragent.Request{Do: "status"})
 			return err == nil && rep.Group != nil && len(rep.Group.Members) == 3 && phase("member", 3)()
 		}}} {
-		if _, ok := lab.Until(ownersPatience, s.done); !ok {
-			rep, _ := r.Owners(0, owners.Request{Do: "status"})
+		if _, ok := experiment.Until(ownersPatience, s.done); !ok {
+			rep, _ := r.Owners(0, owneragent.Request{Do: "status"})
 			t.Fatalf("%s: not reached; n0 says %+v", s.what, rep.Group)
 		}
 	}
--- a/internal/command/pushed_test.go
+++ b/internal/app/command/pushed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // A proxy whose lists are pushed hears of a drain from the agent on its machine, though nothing in it asks: before, it
@@ -28,18 +28,18 @@
 		servers[fmt.Sprint("s", i)] = s
 		d.Set(s.Entry())
 	}
-	admin, err := lab.FreeAddr()
+	admin, err := experiment.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	p, err := env.Proxy(lab.Setup{Name: "n0", Discovery: d.Addr(), Pushed: true, Known: d.List(), Admin: admin, Tmp: t.TempDir(),
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
+	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Pushed: true, Known: d.List(), Admin: admin, Tmp: t.TempDir(),
 		Deadline: 4800 * time.Millisecond, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Kill)
-	if err := lab.Ready(admin, 20*time.Second); err != nil {
+	if err := experiment.Ready(admin, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	open := func() {
--- a/internal/command/recorded_test.go
+++ b/internal/app/command/recorded_test.go
@@ -20,9 +20,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	root := filepath.Dir(filepath.Dir(here))
+	root := filepath.Dir(filepath.Dir(filepath.Dir(here)))
 	out = strings.ReplaceAll(out, root, "ROOT")
-	return fmt.Sprintf("$ croftlock %s\n%s\nexit status %d\n\n", strings.Join(args, " "), strings.TrimRight(out, "\n"), status)
+	text := fmt.Sprintf("$ croftlock %s\n%s\nexit status %d\n\n", strings.Join(args, " "), strings.TrimRight(out, "\n"), status)
+	return strings.ReplaceAll(text, "../../../deploy", "../../deploy") // as seen from where it was recorded
 }
 
 // TestRecordedHelp: each command has the name, the flags and the text that it had.
@@ -41,13 +42,13 @@
 
 // TestRecordedSettings: each setting of the examples is checked, shown and formatted as it was.
 func TestRecordedSettings(t *testing.T) {
-	files, err := filepath.Glob("../../deploy/examples/*.sexp")
+	files, err := filepath.Glob("../../../deploy/examples/*.sexp")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d examples, %v", len(files), err)
 	}
 	var all strings.Builder
 	all.WriteString(printed(t, "settings", "show"))
-	for _, file := range append(files, "../../deploy/croftlock.sexp") {
+	for _, file := range append(files, "../../../deploy/croftlock.sexp") {
 		all.WriteString(printed(t, "check", "--settings", file))
 		all.WriteString(printed(t, "settings", "show", "--settings", file))
 		all.WriteString(printed(t, "settings", "fmt", file))
--- a/internal/command/rules.go
+++ b/internal/app/command/rules.go
@@ -10,15 +10,15 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/lineproto"
-	"croftlock/internal/namespace"
-	"croftlock/internal/owners"
-	"croftlock/internal/rules"
-	"croftlock/internal/settings"
+	"croftlock/internal/dataplane/lineproto"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/operations/settings"
 )
 
-type asking = func(cmd *cobra.Command, q owners.Request, show func(w io.Writer, r owners.Reply) error) error
+type asking = func(cmd *cobra.Command, q owneragent.Request, show func(w io.Writer, r owneragent.Reply) error) error
 
 // ruling are the commands about the rules that all proxies agree on.
 func ruling(ask asking) *cobra.Command {
@@ -29,13 +29,13 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, owners.Request{Do: "rules", Rules: body}, nil)
+			return ask(cmd, owneragent.Request{Do: "rules", Rules: body}, nil)
 		}}
 	}
 	history := question("history", "Tell which changes were made, by whom and by which grant, and which were refused since this keeper began", "history --account acme", cobra.NoArgs, nil)
 	about := history.Flags().String("account", "", "only what is about this account and those below it")
 	history.RunE = func(cmd *cobra.Command, _ []string) error {
-		return ask(cmd, owners.Request{Do: "rules", Rules: rules.History(*about)}, nil)
+		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.History(*about)}, nil)
 	}
 	all.AddCommand(putting(ask), dropping(ask), rolling(ask), diffing(ask), explaining(ask), checking(), keying(), history,
 		question("status", "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for", "status", cobra.NoArgs,
@@ -63,7 +63,7 @@
 		if err := sign(ch, key); err != nil {
 			return err
 		}
-		return ask(cmd, owners.Request{Do: "rules", Rules: rules.Propose(ch)}, nil)
+		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.Propose(ch)}, nil)
 	}}
 	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
 	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
@@ -143,7 +143,7 @@
 				if err != nil {
 					return err
 				}
-				if err := ask(cmd, owners.Request{Do: "rules", Rules: rules.Read(n)}, func(_ io.Writer, r owners.Reply) error {
+				if err := ask(cmd, owneragent.Request{Do: "rules", Rules: rules.Read(n)}, func(_ io.Writer, r owneragent.Reply) error {
 					text[i] = r.Answer
 					return nil
 				}); err != nil {
@@ -188,7 +188,7 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, owners.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
--- a/internal/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/lab"
-	"croftlock/internal/owners"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/testbed/experiment"
 )
 
 // TestTheCheckerFindsAnOverlap: in a log with one it is found, and what was decided without a right does not count.
@@ -56,7 +56,7 @@
 	change := func(i, against int, text, want string) {
 		t.Helper()
 		got := ""
-		if _, ok := lab.Until(ownersPatience, func() bool { got = put(i, against, text); return strings.Contains(got, want) }); !ok {
+		if _, ok := experiment.Until(ownersPatience, func() bool { got = put(i, against, text); return strings.Contains(got, want) }); !ok {
 			t.Fatalf("version %d: %q, expected %q", against+1, got, want)
 		}
 	}
@@ -134,7 +134,7 @@
 	r := ruled(t, ` (dir "DIR")`)
 	stands(t, r, 0, 0, 5)
 	got := ""
-	if _, ok := lab.Until(ownersPatience, func() bool {
+	if _, ok := experiment.Until(ownersPatience, func() bool {
 		got = propose(t, r, 1, 0, `(rules (refuse all (advice 300ms)))`)
 		return strings.Contains(got, "active: version 1 at")
 	}); !ok {
@@ -156,8 +156,8 @@
 		}
 	}
 	version := 0
-	if _, ok := lab.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(3, owners.Request{Do: "rules", Rules: rules.Show()})
+	if _, ok := experiment.Until(ownersPatience, func() bool {
+		rep, err := r.Owners(3, owneragent.Request{Do: "rules", Rules: rules.Show()})
 		got = fmt.Sprint(rep.Answer, rep.Error, err)
 		n, _ := fmt.Sscanf(got, "active: version %d at 5 of 5", &version)
 		return n == 1 && !strings.Contains(got, "on its way")
--- a/internal/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -12,17 +12,17 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/lab"
-	"croftlock/internal/owners"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/testbed/experiment"
 )
 
 // ruled are five processes that agree on rules within a second; three vote. more goes into the section.
-func ruled(t *testing.T, more string) *lab.Rig {
+func ruled(t *testing.T, more string) *experiment.Rig {
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := lab.NewRigWith(&lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, lab.RigOptions{N: 5, Seed: 3, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 3, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + more + `)`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	return at
 }
 
-func decisions(t *testing.T, p *lab.Process) (all []decision) {
+func decisions(t *testing.T, p *experiment.Process) (all []decision) {
 	t.Helper()
 	for _, l := range p.Log("event=ruled") {
 		what := ruledWhat.FindStringSubmatch(l)
@@ -89,12 +89,12 @@
 }
 
 // stands waits until a process says that a version is active at so many.
-func stands(t *testing.T, r *lab.Rig, i, version, at int) {
+func stands(t *testing.T, r *experiment.Rig, i, version, at int) {
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
 	got := ""
-	if _, ok := lab.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(i, owners.Request{Do: "rules", Rules: rules.Show()})
+	if _, ok := experiment.Until(ownersPatience, func() bool {
+		rep, err := r.Owners(i, owneragent.Request{Do: "rules", Rules: rules.Show()})
 		got = fmt.Sprint(rep.Answer, rep.Error, err)
 		return strings.HasPrefix(got, want)
 	}); !ok {
@@ -103,7 +103,7 @@
 }
 
 // propose puts a change by way of a process, as an administrator does, and gives exit status and answer.
-func propose(t *testing.T, r *lab.Rig, i, against int, text string, more ...string) string {
+func propose(t *testing.T, r *experiment.Rig, i, against int, text string, more ...string) string {
 	p := filepath.Join(r.Dir(i), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		t.Error(err)
@@ -126,9 +126,9 @@
 }
 
 // answered is propose until somebody knows: an answer may be lost, or its keeper has just changed. The same once more is as once.
-func answered(t *testing.T, r *lab.Rig, i, against int, text string, more ...string) (got string) {
+func answered(t *testing.T, r *experiment.Rig, i, against int, text string, more ...string) (got string) {
 	t.Helper()
-	if _, ok := lab.Until(2*ownersPatience, func() bool {
+	if _, ok := experiment.Until(2*ownersPatience, func() bool {
 		got = propose(t, r, i, against, text, more...)
 		return !strings.Contains(got, "unknown") && !strings.Contains(got, "ask again")
 	}); !ok {
--- a/internal/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // The whole program with TLS to its servers: a sound server serves, beside it one with a wrong name that is never sent
@@ -52,8 +52,8 @@
 	file := filepath.Join(dir, "croftlock.sexp")
 	text := `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.test")))`
 	os.WriteFile(file, []byte(text), 0o644)
-	env := &lab.Env{Croftlock: os.Args[0], Dir: dir}
-	p, err := env.Proxy(lab.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Settings: file,
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
+	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Settings: file,
 		Connect: 2 * time.Second, Deadline: 10 * time.Second, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -109,8 +109,8 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.sexp")
 	os.WriteFile(file, []byte(`(tls (servers on) (trust "none.pem") (name (pattern "{uid}.x")))`), 0o644)
-	env := &lab.Env{Croftlock: os.Args[0], Dir: dir}
-	_, err := env.Proxy(lab.Setup{Name: "n0", Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
+	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
 		Settings: file, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err == nil || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("got %v", err)
--- a/internal/node/floors.go
+++ b/internal/app/node/floors.go
@@ -4,12 +4,12 @@
 	"math/rand/v2"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/members"
-	"croftlock/internal/membership"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
-	"croftlock/internal/watermark"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/membership"
+	"croftlock/internal/fleet/watermark"
 )
 
 // lay begins to tell the other members of hosts that drain or are gone, and to go by what they tell, where the operators want it.
@@ -40,7 +40,7 @@
 func (c loopClock) After(d time.Duration, f func()) { c.Loop.After(d, f) }
 
 // memberWay is the way between members.
-type memberWay struct{ *members.Agent }
+type memberWay struct{ *memberagent.Agent }
 
 // Others are the members that may be there: one that does not answer may hear all the same.
 func (w memberWay) Others() (out []uint32) {
@@ -57,13 +57,13 @@
 
 // Listed is proxy.Floors'.
 func (s floorSide) Listed(ch proxy.Change) []string {
-	states := map[brain.State]watermark.State{brain.Ready: watermark.Up, brain.Draining: watermark.Draining, brain.Departed: watermark.Gone}
+	states := map[balancer.State]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Departed: watermark.Gone}
 	all := make([]watermark.Listed, 0, len(ch.Hosts))
 	for _, e := range ch.Hosts {
 		all = append(all, watermark.Listed{Host: e.ID, Boot: e.Since / 1e6, State: states[e.State]})
 	}
-	return s.List(ch.Version, ch.Kind == brain.ListFull || ch.Kind == brain.ListCached, all)
+	return s.List(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
 
 // Out is proxy.Floors'.
-func (s floorSide) Out(id string, since brain.Time) bool { return s.Link.Out(id, since/1e6) }
+func (s floorSide) Out(id string, since balancer.Time) bool { return s.Link.Out(id, since/1e6) }
--- a/internal/node/joined.go
+++ b/internal/app/node/joined.go
@@ -4,16 +4,16 @@
 	"log/slog"
 	"time"
 
-	"croftlock/internal/members"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/owneragent"
 )
 
 // join begins to take part in the membership of the fleet, where the operators want it; a process that replaces another does so
 // once it has taken over, in the same place: to the others it is one member with a new life.
-func (r *replacement) join(o members.Options, now bool) (err error) {
+func (r *replacement) join(o memberagent.Options, now bool) (err error) {
 	r.joining, r.began = o, time.Now()
 	if o.On && now {
-		r.members, err = members.Start(r.loop, o, r.cfg.Name, r.began, r.platform())
+		r.members, err = memberagent.Start(r.loop, o, r.cfg.Name, r.began, r.platform())
 	}
 	if err == nil && now {
 		r.lay()
@@ -27,7 +27,7 @@
 	if !r.owning.On {
 		return nil
 	}
-	if r.owners, err = owners.Start(r.loop, r.owning, r.cfg.Name, r.members, r.core.SuspendForFleet); err == nil && r.owners.Paced() {
+	if r.owners, err = owneragent.Start(r.loop, r.owning, r.cfg.Name, r.members, r.core.SuspendForFleet); err == nil && r.owners.Paced() {
 		r.core.SetPacer(r.owners)
 	}
 	if g := r.owners.Gate(); err == nil && g != nil {
@@ -43,8 +43,8 @@
 	r.owners.Leave(func() { r.members.Leave() })
 }
 
-func (r *replacement) platform() members.Platform {
-	return members.Platform{Link: r.peers, Peers: len(r.cfg.Peers.Peers), Me: r.cfg.Settings.Me}
+func (r *replacement) platform() memberagent.Platform {
+	return memberagent.Platform{Link: r.peers, Peers: len(r.cfg.Peers.Peers), Me: r.cfg.Settings.Me}
 }
 
 // rejoin is join for a process that has come to be the one that serves; the other one may hold the address a moment longer.
@@ -54,7 +54,7 @@
 	}
 	r.owners.Yield()
 	r.members.Yield()
-	s, err := members.Start(r.loop, r.joining, r.cfg.Name, time.Now(), r.platform())
+	s, err := memberagent.Start(r.loop, r.joining, r.cfg.Name, time.Now(), r.platform())
 	if err != nil {
 		slog.Warn("membership_waits", "reason", err)
 		r.loop.After(tellEvery, r.rejoin)
--- a/internal/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -17,14 +17,16 @@
 	name     string
 	packages []string
 }{
-	{"primitives", []string{"certs", "encoding", "fleetlog", "logging", "settings", "testbed/golden"}},
-	{"sockets", []string{"netio"}},
-	{"decisions", []string{"brain", "consensus", "estimate", "expiry", "fragment", "group", "handshake", "invariant", "jobs", "ledger", "maintenance", "membership", "metrics",
-		"namespace", "ownership", "quota", "rules", "watermark"}},
-	{"core", []string{"proxy"}},
-	{"fronts and clients", []string{"admin", "cluster", "consensus/disk", "hotrestart", "lineproto", "members", "owners", "peers", "platform", "tlslink", "voter", "wire"}},
-	{"wiring", []string{"command", "fake", "lab", "lab/soak", "membership/virtual", "node", "ownership/virtual"}},
-	{"programs", []string{"cmd/benchlink", "cmd/croftlab", "cmd/croftlock", "cmd/croftlock-voter"}},
+	{"primitives", []string{"fleet/encoding", "operations/certs", "operations/logging", "operations/settings", "testbed/fleetlog", "testbed/golden"}},
+	{"sockets", []string{"dataplane/netio"}},
+	{"decisions", []string{"balancer", "balancer/ledger", "balancer/loadestimate", "dataplane/certexpiry", "dataplane/handshake", "dataplane/invariant", "fleet/consensus", "fleet/fragment",
+		"fleet/group", "fleet/jobs", "fleet/membership", "fleet/namespace", "fleet/ownership", "fleet/quota", "fleet/rules", "fleet/watermark", "operations/balancerconfig",
+		"operations/maintenance", "operations/metrics"}},
+	{"core", []string{"dataplane/proxy"}},
+	{"fronts and clients", []string{"dataplane/cluster", "dataplane/hotrestart", "dataplane/lineproto", "dataplane/upstreamtls", "fleet/consensus/disk", "fleet/memberagent", "fleet/owneragent",
+		"fleet/peers", "fleet/replica", "operations/admin", "operations/platform", "testbed/simulator"}},
+	{"wiring", []string{"app/command", "app/node", "fleet/membership/simulation", "fleet/ownership/simulation", "testbed/experiment", "testbed/experiment/soak", "testbed/fake"}},
+	{"programs", []string{"cmd/croftlock", "cmd/croftlock-experiment", "cmd/croftlock-simulator-adapter", "cmd/croftlock-voter"}},
 }
 
 // decides is the layer whose packages do no I/O.
@@ -83,7 +85,7 @@
 
 // TestLayers: arrows point downward only, every package stands in a layer, and what decides does no I/O.
 func TestLayers(t *testing.T) {
-	root := filepath.Join("..", "..")
+	root := filepath.Join("..", "..", "..")
 	level := map[string]int{}
 	for i, l := range layers {
 		for _, p := range l.packages {
@@ -103,7 +105,7 @@
 			continue
 		}
 		dir := filepath.Join(root, "internal", p)
-		if p == "brain" || strings.HasPrefix(p, "cmd/") {
+		if strings.HasPrefix(p, "cmd/") {
 			dir = filepath.Join(root, p)
 		}
 		for _, path := range importsOf(t, dir) {
@@ -121,14 +123,13 @@
 
 // TestGlossary: a newcomer finds each package's concept in the glossary.
 func TestGlossary(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "glossary.md"))
+	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "glossary.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range layers {
 		for _, p := range l.packages {
-			name, _, _ := strings.Cut(p, "/")
-			if name != "cmd" && !strings.Contains(string(page), "`internal/"+name+"`") && !strings.Contains(string(page), "`"+name) {
+			if !strings.HasPrefix(p, "cmd/") && !strings.Contains(string(page), "`internal/"+p+"`") {
 				t.Errorf("docs/glossary.md does not name %s", p)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/app/node/node.go
@@ -14,33 +14,33 @@
 	"syscall"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/admin"
-	"croftlock/internal/cluster"
-	"croftlock/internal/hotrestart"
-	"croftlock/internal/lineproto"
-	"croftlock/internal/logging"
-	"croftlock/internal/members"
-	"croftlock/internal/netio"
-	"croftlock/internal/owners"
-	"croftlock/internal/peers"
-	"croftlock/internal/platform"
-	"croftlock/internal/proxy"
-	"croftlock/internal/settings"
-	"croftlock/internal/tlslink"
-	"croftlock/internal/watermark"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/cluster"
+	"croftlock/internal/dataplane/hotrestart"
+	"croftlock/internal/dataplane/lineproto"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/dataplane/upstreamtls"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/peers"
+	"croftlock/internal/fleet/watermark"
+	"croftlock/internal/operations/admin"
+	"croftlock/internal/operations/logging"
+	"croftlock/internal/operations/platform"
+	"croftlock/internal/operations/settings"
 )
 
 // Schema is every section that the operators' file may have.
 func Schema() settings.Schema {
-	return settings.Schema{logging.Section(), tlslink.Section(), members.Section(), owners.Section(), watermark.Section()}
+	return settings.Schema{logging.Section(), upstreamtls.Section(), memberagent.Section(), owneragent.Section(), watermark.Section()}
 }
 
 // Check reads what the operators' file refers to and tells what of it can't be used.
 func Check(file *settings.File) []error {
 	var faults []error
-	if o := file.Value("tls").(tlslink.Options); o.On {
-		m, err := tlslink.Load(o, 1)
+	if o := file.Value("tls").(upstreamtls.Options); o.On {
+		m, err := upstreamtls.Load(o, 1)
 		if err == nil {
 			if f := m.OwnFault(time.Now()); f != nil {
 				err = f
@@ -50,11 +50,11 @@
 			faults = append(faults, fmt.Errorf("%s: tls: %w", file.Path, err))
 		}
 	}
-	member := file.Value("membership").(members.Options)
+	member := file.Value("membership").(memberagent.Options)
 	if err := member.Check(); err != nil {
 		faults = append(faults, fmt.Errorf("%s: membership: %w", file.Path, err))
 	}
-	if err := file.Value("owners").(owners.Options).Check(member); err != nil {
+	if err := file.Value("owners").(owneragent.Options).Check(member); err != nil {
 		faults = append(faults, fmt.Errorf("%s: owners: %w", file.Path, err))
 	}
 	if file.Value("floors").(watermark.Options).On && !member.On {
@@ -132,7 +132,7 @@
 	}
 	list := known(cfg, handed)
 	r.watch = cluster.NewClient(loop, dialer, cfg.Discovery, cfg.Settings.Peers, list.Version, r.news)
-	err = core.Run(func(fx brain.Effects) (proxy.Decider, error) { return brain.New(cfg.Settings, cfg.Seed, fx) },
+	err = core.Run(func(fx balancer.Effects) (proxy.Decider, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) },
 		r.watch, list)
 	if err != nil {
 		return err
@@ -157,8 +157,8 @@
 			r.peers = told
 		}
 	}
-	r.owning, r.flooring = file.Value("owners").(owners.Options), file.Value("floors").(watermark.Options)
-	if err := r.join(file.Value("membership").(members.Options), old == nil); err != nil {
+	r.owning, r.flooring = file.Value("owners").(owneragent.Options), file.Value("floors").(watermark.Options)
+	if err := r.join(file.Value("membership").(memberagent.Options), old == nil); err != nil {
 		return err
 	}
 	if r.on, err = listen(cfg.Listen, handed.Listener, r.dir != ""); err != nil {
@@ -201,19 +201,19 @@
 
 // secure makes TLS to upstream hosts, where the operators want it; else nil. Files that can't be used end the start: a
 // proxy that can reach nobody must not take clients in.
-func secure(loop *netio.Loop, file *settings.File, opt *proxy.Options) (*tlslink.Link, error) {
-	o := file.Value("tls").(tlslink.Options)
+func secure(loop *netio.Loop, file *settings.File, opt *proxy.Options) (*upstreamtls.Link, error) {
+	o := file.Value("tls").(upstreamtls.Options)
 	if !o.On {
 		return nil, nil
 	}
-	m, err := tlslink.Load(o, 1)
+	m, err := upstreamtls.Load(o, 1)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
 	opt.Expiry = o.Expiry
 	// Each handshake that is out holds a descriptor, and one more while its socket changes hands.
 	opt.Sessions = max(1, opt.Sessions-o.Handshakes.AtOnce)
-	link := tlslink.New(loop, m, opt.Wall)
+	link := upstreamtls.New(loop, m, opt.Wall)
 	link.Run()
 	slog.Info("tls_on", "epoch", m.Epoch, "min_version", o.MinVersion, "key_exchange", strings.Join(o.KeyExchange, ","),
 		"reuse", o.Reuse, "on_expiry", o.OnExpiry)
@@ -221,9 +221,9 @@
 }
 
 // through opens connections by TLS.
-func through(k *tlslink.Link) lineproto.Opener {
+func through(k *upstreamtls.Link) lineproto.Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
-		return k.Dial(tlslink.Host(to), within, limit, h, done)
+		return k.Dial(upstreamtls.Host(to), within, limit, h, done)
 	}
 }
--- a/internal/node/obey.go
+++ b/internal/app/node/obey.go
@@ -6,16 +6,16 @@
 	"strings"
 	"syscall"
 
-	"croftlock/internal/platform"
-	"croftlock/internal/settings"
-	"croftlock/internal/tlslink"
+	"croftlock/internal/dataplane/upstreamtls"
+	"croftlock/internal/operations/platform"
+	"croftlock/internal/operations/settings"
 )
 
 type node struct {
 	cfg      *platform.Config
 	file     *settings.File
-	format   string        // of the log, from the command line
-	link     *tlslink.Link // nil: upstream hosts speak plain TCP
+	format   string            // of the log, from the command line
+	link     *upstreamtls.Link // nil: upstream hosts speak plain TCP
 	redirect func(discovery string)
 	leave    func()
 }
@@ -57,7 +57,7 @@
 		slog.Info("settings_reloaded", "file", file.Path)
 	}
 	if n.link != nil {
-		o := n.file.Value("tls").(tlslink.Options)
+		o := n.file.Value("tls").(upstreamtls.Options)
 		n.link.Reload(&o)
 	}
 	next, later, err := platform.Reload(os.Getenv, n.cfg)
--- a/internal/node/partner.go
+++ b/internal/app/node/partner.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"runtime/debug"
 
-	"croftlock/brain"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // Take stops accepting, and says what this process knows.
@@ -65,7 +65,7 @@
 		return
 	}
 	if from, rev := r.watch.Source(); k.Discovery == from && k.Rev > rev {
-		r.core.Listed(proxy.Change{Kind: brain.ListCached, Version: k.Rev, Hosts: k.Hosts})
+		r.core.Listed(proxy.Change{Kind: balancer.ListCached, Version: k.Rev, Hosts: k.Hosts})
 	}
 }
 
--- a/internal/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/internal/hotrestart"
-	"croftlock/internal/platform"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/hotrestart"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/platform"
 )
 
 // predecessor asks the process that serves, if there is one, and else reads what one before has kept.
--- a/internal/node/replace.go
+++ b/internal/app/node/replace.go
@@ -8,17 +8,17 @@
 	"runtime/debug"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/cluster"
-	"croftlock/internal/hotrestart"
-	"croftlock/internal/lineproto"
-	"croftlock/internal/members"
-	"croftlock/internal/netio"
-	"croftlock/internal/owners"
-	"croftlock/internal/peers"
-	"croftlock/internal/platform"
-	"croftlock/internal/proxy"
-	"croftlock/internal/watermark"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/cluster"
+	"croftlock/internal/dataplane/hotrestart"
+	"croftlock/internal/dataplane/lineproto"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/peers"
+	"croftlock/internal/fleet/watermark"
+	"croftlock/internal/operations/platform"
 )
 
 const (
@@ -64,16 +64,16 @@
 	older   bool                // and it is the one to stay no longer
 	handed  bool                // the other one accepts
 	waits   bool                // this one does not accept yet
-	gave    brain.Memory        // what the other one was told as it took over
+	gave    balancer.Memory     // what the other one was told as it took over
 
-	members *members.Agent // nil: off, or another process's still
-	owners  *owners.Agent  // the same
-	owning  owners.Options
+	members *memberagent.Agent // nil: off, or another process's still
+	owners  *owneragent.Agent  // the same
+	owning  owneragent.Options
 
 	floors   *watermark.Link // the same
 	flooring watermark.Options
 	began    time.Time
-	joining  members.Options
+	joining  memberagent.Options
 }
 
 // keep is what the next process is to know.
@@ -120,7 +120,7 @@
 // news takes a list, and takes it for the sign that discovery speaks to this process.
 func (r *replacement) news(ch proxy.Change) {
 	r.core.Listed(ch)
-	if ch.Kind == brain.ListFailed {
+	if ch.Kind == balancer.ListFailed {
 		return
 	}
 	r.take()
--- a/brain/api.go
+++ b/internal/balancer/api.go
@@ -2,7 +2,7 @@
 //
 // This file is the whole interface: settings, events and actions. It decides nothing; the files that do are named under
 // policy in deploy/balancer.toml.
-package brain
+package balancer
 
 // Time is a moment or a span in nanoseconds, on the clock that the host passes in with every event.
 type Time = int64
--- a/brain/brain.go
+++ b/internal/balancer/brain.go
@@ -8,7 +8,7 @@
 // One Brain is one balancer. It is single-threaded: the host calls one method an event and carries out the
 // actions in order. Time comes with each event, randomness from the seed; nothing here reads a clock,
 // starts a goroutine or follows the order of a map.
-package brain
+package balancer
 
 // What is left of free settings: all dimensionless.
 const (
--- a/brain/brain_test.go
+++ b/internal/balancer/brain_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"fmt"
@@ -96,7 +96,7 @@
 }
 
 func TestModuleSize(t *testing.T) {
-	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	list, _, _ = strings.Cut(list, "]")
 	const most = 250 // as for every file of the project; the limit on all of them together has been lifted by the operators
 	for _, name := range strings.Split(list, ",") {
-		data, err := os.ReadFile("../" + strings.Trim(name, "\" "))
+		data, err := os.ReadFile("../../" + strings.Trim(name, "\" "))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/brain/keepers.go
+++ b/internal/balancer/keepers.go
@@ -1,9 +1,9 @@
-package brain
+package balancer
 
 import (
 	"fmt"
 
-	"croftlock/internal/ledger"
+	"croftlock/internal/balancer/ledger"
 )
 
 // What is told between a balancer and the one that keeps the book, and what comes of it. Nothing is decided here.
--- a/brain/ledger.go
+++ b/internal/balancer/ledger.go
@@ -1,9 +1,9 @@
-package brain
+package balancer
 
 import (
 	"math"
 
-	"croftlock/internal/ledger"
+	"croftlock/internal/balancer/ledger"
 )
 
 // No balancer sees alone how full servers are, nor how large a group is. Where they may speak, one that keeps
--- a/brain/ledgercold_test.go
+++ b/internal/balancer/ledgercold_test.go
@@ -1,11 +1,11 @@
-package brain
+package balancer
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"croftlock/internal/ledger"
+	"croftlock/internal/balancer/ledger"
 )
 
 // TestTheColdBudgetInSum: with the book, the cold servers' budget is given out exactly: close to what is allowed, never over it, also with a wave that
--- a/brain/ledgerfault_test.go
+++ b/internal/balancer/ledgerfault_test.go
@@ -1,10 +1,10 @@
-package brain
+package balancer
 
 import (
 	"math"
 	"testing"
 
-	"croftlock/internal/ledger"
+	"croftlock/internal/balancer/ledger"
 )
 
 // known is how many connections the first keeper's book has.
--- a/internal/estimate/estimate.go
+++ b/internal/balancer/loadestimate/estimate.go
@@ -1,9 +1,9 @@
-// Package estimate says how loaded an upstream host is now, from what was told of it a while ago: load reports that come late,
+// Package loadestimate says how loaded an upstream host is now, from what was told of it a while ago: load reports that come late,
 // are refreshed now and then and may freeze, and the balancer's own connections that no report can hold yet. It owns what is
 // remembered of each host for that. It decides nothing, does no I/O and reads no clock: time comes with each call.
 //
 // Loads are shares of what a host can do: 1 is full. Times are nanoseconds on the caller's clock.
-package estimate
+package loadestimate
 
 import "math"
 
--- a/internal/estimate/estimate_test.go
+++ b/internal/balancer/loadestimate/estimate_test.go
@@ -1,4 +1,4 @@
-package estimate
+package loadestimate
 
 import (
 	"math"
--- a/brain/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // What became of attempts and connections.
 
--- a/brain/requests.go
+++ b/internal/balancer/requests.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // The life of a request: what it costs, whether it is sent, held or given its final answer.
 
--- a/brain/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 import (
 	"math"
--- a/brain/stalls.go
+++ b/internal/balancer/stalls.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // Servers that make messages wait: how that is learned, told, and answered.
 
--- a/brain/state.go
+++ b/internal/balancer/state.go
@@ -1,12 +1,12 @@
-package brain
+package balancer
 
 import (
 	"errors"
 	"fmt"
 	"math/rand"
 
-	"croftlock/internal/estimate"
-	"croftlock/internal/ledger"
+	"croftlock/internal/balancer/ledger"
+	"croftlock/internal/balancer/loadestimate"
 )
 
 // What a balancer remembers, and how it begins. Nothing is decided here.
@@ -33,12 +33,12 @@
 	telling    bool    // to be told unless another does before
 	tokens     float64 // cold budget left, in mean connections
 	tokensAt   Time
-	conns      []*request    // open connections placed by this balancer
-	load       float64       // their load
-	x          float64       // scratch: its load in the pick under way, where it is told
-	before     float64       // scratch: 1 if another is to hold the group in the pick under way
-	told       estimate.Host // its load, where it is told
-	probing    bool          // a probe is out
+	conns      []*request        // open connections placed by this balancer
+	load       float64           // their load
+	x          float64           // scratch: its load in the pick under way, where it is told
+	before     float64           // scratch: 1 if another is to hold the group in the pick under way
+	told       loadestimate.Host // its load, where it is told
+	probing    bool              // a probe is out
 	probedAt   Time
 	eff        float64 // scratch: weight in the pick under way
 	lucky      bool    // scratch: cold, and drawn by lot in the pick under way
--- a/brain/told.go
+++ b/internal/balancer/told.go
@@ -1,4 +1,4 @@
-package brain
+package balancer
 
 // The form of messages between balancers: records of six bytes, a kind, a server by 32 bits of its id's hash, and how long
 // messages take there in quarters of the shortest aim. Peers pay by the byte; forty records fit in a datagram.
--- a/internal/expiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -1,11 +1,11 @@
-// Package expiry decides which standing connections are moved because a certificate they rest on ends. It does no I/O
+// Package certexpiry decides which standing connections are moved because a certificate they rest on ends. It does no I/O
 // and reads no clock: the pace follows the time that is passed in, the certificates the wall clock that is passed in, and
 // the same calls give the same answers.
 //
 // A certificate is shared by all connections to a host, or by all connections there are, so all of them come due
 // together. They are spread over the time before the end, and never more than a stated share is moved in a minute, even
 // where that means that some are moved late, or that the clock has stepped past every end at once.
-package expiry
+package certexpiry
 
 import (
 	"math"
--- a/internal/expiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -1,4 +1,4 @@
-package expiry
+package certexpiry
 
 import (
 	"fmt"
--- a/internal/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/fake"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/testbed/fake"
 )
 
 // TestFollowsAnAgent: an agent to which lists are pushed is asked though the module asks for nothing, its silence is no
@@ -27,12 +27,12 @@
 	told := make(chan proxy.Change, 64)
 	c := NewClient(l, netio.NewDialer(l, 4), d.Addr(), 3, 0, func(ch proxy.Change) { told <- ch })
 	l.Post(c.Follow)
-	hears := func(what, uid string, state brain.State) {
+	hears := func(what, uid string, state balancer.State) {
 		t.Helper()
 		for limit := time.After(5 * time.Second); ; {
 			select {
 			case ch := <-told:
-				if ch.Kind == brain.ListFailed {
+				if ch.Kind == balancer.ListFailed {
 					t.Fatalf("%s: a failure is told", what)
 				}
 				for _, h := range ch.Hosts {
@@ -45,9 +45,9 @@
 			}
 		}
 	}
-	hears("at the start", "s2", brain.Ready)
+	hears("at the start", "s2", balancer.Ready)
 	d.State("s1", "draining")
-	hears("while it speaks", "s1", brain.Draining)
+	hears("while it speaks", "s1", balancer.Draining)
 	d.Silent(true)
 	d.State("s2", "draining")
 	before := d.Calls()
@@ -57,5 +57,5 @@
 		}
 	}
 	d.Silent(false)
-	hears("after a silence", "s2", brain.Draining)
+	hears("after a silence", "s2", balancer.Draining)
 }
--- a/internal/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/logging"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/logging"
 )
 
 // errSilent is the end of a call that has not been answered in time.
@@ -133,8 +133,8 @@
 	c.moved = 0
 	switch {
 	case ch.Version < c.rev && q.from != c.rev:
-		return proxy.Change{Kind: brain.ListDelta, Version: c.rev}
-	case ch.Version < c.rev && ch.Kind == brain.ListDelta:
+		return proxy.Change{Kind: balancer.ListDelta, Version: c.rev}
+	case ch.Version < c.rev && ch.Kind == balancer.ListDelta:
 		c.rev = noVersion // a difference from a version of another numbering: the whole list is asked for next
 	default:
 		c.rev = ch.Version
--- a/internal/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 const (
@@ -162,7 +162,7 @@
 			return
 		}
 		c.next()
-		if c.first || len(ch.Hosts) > 0 || ch.Kind == brain.ListFull {
+		if c.first || len(ch.Hosts) > 0 || ch.Kind == balancer.ListFull {
 			c.first = false
 			c.tell(ch)
 		}
@@ -220,5 +220,5 @@
 
 func (c *Client) failed(err error) {
 	c.note(err)
-	c.tell(proxy.Change{Kind: brain.ListFailed})
+	c.tell(proxy.Change{Kind: balancer.ListFailed})
 }
--- a/internal/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 var seeds = []string{
@@ -74,10 +74,10 @@
 	ch, err := Parse([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"1.2.3.4:5","az":"a","model":"m",
 		"pod_group":3,"state":"draining","capacity_hint":1.5,"boot_ms":1700000000123,"new":1},
 		{"uid":"t","state":"removed"}]}`))
-	if err != nil || ch.Kind != brain.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
+	if err != nil || ch.Kind != balancer.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
 		t.Fatal(ch, err)
 	}
-	if h := ch.Hosts[0]; h.Since != 1700000000123000000 || h.State != brain.Draining || h.Endpoint != "1.2.3.4:5" ||
+	if h := ch.Hosts[0]; h.Since != 1700000000123000000 || h.State != balancer.Draining || h.Endpoint != "1.2.3.4:5" ||
 		h.Weight != 1.5 || h.Cell != 3 || h.Zone != "a" || h.Kind != "m" {
 		t.Fatal(h)
 	}
@@ -140,7 +140,7 @@
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts?from=3&hold_ms=4000")
-	if ch := <-told; ch.Kind != brain.ListFull || ch.Version != 3 || len(told) > 0 {
+	if ch := <-told; ch.Kind != balancer.ListFull || ch.Version != 3 || len(told) > 0 {
 		t.Errorf("told %+v and %d more", ch, len(told))
 	}
 }
--- a/internal/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -6,8 +6,8 @@
 	"errors"
 	"fmt"
 
-	"croftlock/brain"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/proxy"
 )
 
 type list struct {
@@ -27,7 +27,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-var states = map[string]brain.State{"up": brain.Ready, "draining": brain.Draining, "removed": brain.Departed}
+var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Departed}
 
 // Parse reads a list or a change of it, as discovery and the configuration's known give it.
 func Parse(data []byte) (proxy.Change, error) {
@@ -38,19 +38,19 @@
 	if l.Rev == nil {
 		return proxy.Change{}, errors.New("list without rev")
 	}
-	ch := proxy.Change{Kind: brain.ListDelta, Version: *l.Rev}
+	ch := proxy.Change{Kind: balancer.ListDelta, Version: *l.Rev}
 	if l.All {
-		ch.Kind = brain.ListFull
+		ch.Kind = balancer.ListFull
 	}
 	for i, e := range l.Targets {
 		state, ok := states[e.State]
 		if !ok {
 			return proxy.Change{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
 		}
-		if e.UID == "" || e.Endpoint == "" && state != brain.Departed {
+		if e.UID == "" || e.Endpoint == "" && state != balancer.Departed {
 			return proxy.Change{}, fmt.Errorf("list entry %d: no uid or endpoint", i)
 		}
-		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Endpoint: e.Endpoint, Entry: brain.Entry{ID: e.UID, State: state,
+		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Endpoint: e.Endpoint, Entry: balancer.Entry{ID: e.UID, State: state,
 			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, Since: e.BootMS * 1e6}})
 	}
 	return ch, nil
--- a/internal/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // asked is a call that a scripted discovery has read. It stays without an answer until the test gives one.
@@ -89,7 +89,7 @@
 		t.Errorf("called %s, then %s (same connection: %t)", silent.target, again.target, silent.conn == again.conn)
 	}
 	again.answer(`{"rev":41,"all":false,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
-	if ch := <-s.told; ch.Kind != brain.ListDelta || ch.Version != 41 {
+	if ch := <-s.told; ch.Kind != balancer.ListDelta || ch.Version != 41 {
 		t.Fatalf("told %+v", ch)
 	}
 	// Silence twice in a row is a failure; the module decides when to ask again.
@@ -97,7 +97,7 @@
 		<-s.calls
 		s.pass(shortHold + answerWithin)
 	}
-	if ch := <-s.told; ch.Kind != brain.ListFailed || len(s.calls) > 0 {
+	if ch := <-s.told; ch.Kind != balancer.ListFailed || len(s.calls) > 0 {
 		t.Errorf("told %+v, %d calls more", ch, len(s.calls))
 	}
 }
@@ -115,7 +115,7 @@
 		t.Fatalf("told %+v", ch)
 	}
 	fetch.answer(`{"rev":41,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
-	if ch := <-s.told; ch.Kind != brain.ListDelta || len(ch.Hosts) != 0 {
+	if ch := <-s.told; ch.Kind != balancer.ListDelta || len(ch.Hosts) != 0 {
 		t.Errorf("told %+v", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=43") {
@@ -134,7 +134,7 @@
 	}
 	whole.answer(`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
 	<-s.told // the first answer of a watch is told even if it is empty
-	if ch := <-s.told; ch.Kind != brain.ListFull || ch.Version != 3 {
+	if ch := <-s.told; ch.Kind != balancer.ListFull || ch.Version != 3 {
 		t.Errorf("told %+v", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=3") {
@@ -151,7 +151,7 @@
 	whole := <-s.calls
 	s.pass(1900 * time.Millisecond)
 	whole.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
-	if ch := <-s.told; ch.Kind != brain.ListFull || ch.Version != 5 {
+	if ch := <-s.told; ch.Kind != balancer.ListFull || ch.Version != 5 {
 		t.Fatalf("told %+v", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=5") {
--- a/internal/hotrestart/disk_test.go
+++ b/internal/dataplane/hotrestart/disk_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // A state that could not be written was forgotten: the operator had his yes, and a process killed later came back without the ban. A folder that
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -10,16 +10,16 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/maintenance"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/maintenance"
 )
 
 func sample() *proxy.Kept {
 	return &proxy.Kept{Discovery: "127.0.0.1:1", Rev: 7, Out: []maintenance.Ban{{ID: "b", Since: 5}}, Known: []string{"a", "b"},
-		Hosts:  []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: brain.Entry{ID: "a", Zone: "z", Weight: 1.5, Since: 3}}},
-		Memory: brain.Memory{Started: 1, MeanCost: 2, Servers: []brain.ServerMemory{{ID: "a", Fails: 1, Until: 9}}}}
+		Hosts:  []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: balancer.Entry{ID: "a", Zone: "z", Weight: 1.5, Since: 3}}},
+		Memory: balancer.Memory{Started: 1, MeanCost: 2, Servers: []balancer.ServerMemory{{ID: "a", Fails: 1, Until: 9}}}}
 }
 
 // What is written comes back; whatever is torn, foreign, of another version or beyond bounds is told and never taken.
--- a/internal/hotrestart/offer.go
+++ b/internal/dataplane/hotrestart/offer.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 // Ask asks the process that serves at listen, and keeps its things in dir, to hand over. It gives nil without an error where
--- a/internal/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -6,24 +6,24 @@
 	"reflect"
 	"testing"
 
-	"croftlock/brain"
-	"croftlock/internal/maintenance"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/maintenance"
 	"croftlock/internal/testbed/golden"
 )
 
 // fullState has a value of its own in every field of what one process leaves to the next.
 func fullState() *proxy.Kept {
 	return &proxy.Kept{At: 900, Discovery: "127.0.0.1:1", Rev: 7, Out: []maintenance.Ban{{ID: "b", Since: 5}}, Known: []string{"a", "b"},
-		Hosts: []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: brain.Entry{ID: "a", State: brain.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Since: 4}}},
-		Memory: brain.Memory{Started: 1, RateAt: 2, Rate: 3.5, Fresh: 4.5, MeanCost: 5.5, ClassCost: []float64{6.5, 7.5},
-			Servers: []brain.ServerMemory{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
+		Hosts: []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: balancer.Entry{ID: "a", State: balancer.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, Since: 4}}},
+		Memory: balancer.Memory{Started: 1, RateAt: 2, Rate: 3.5, Fresh: 4.5, MeanCost: 5.5, ClassCost: []float64{6.5, 7.5},
+			Servers: []balancer.ServerMemory{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
 }
 
 // fullStanding has a value of its own in every field of a connection that is handed over.
 func fullStanding() *proxy.Standing {
-	return &proxy.Standing{Request: brain.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", Hint: 3.5, Repeat: true, MidFlow: true, Returned: true, Left: 4},
+	return &proxy.Standing{Request: balancer.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", Hint: 3.5, Repeat: true, MidFlow: true, Returned: true, Left: 4},
 		Class: "c", Tenant: "t", Host: "h", Load: 5.5, Waiting: []int64{6, 7}, Last: proxy.LoadTold,
 		Down: netio.Parts{FD: 8, In: []byte("in"), Rest: []byte("rest")}, Up: netio.Parts{FD: 9, In: []byte("up"), Rest: []byte("more")}}
 }
--- a/internal/hotrestart/spare.go
+++ b/internal/dataplane/hotrestart/spare.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // spareFile takes the state where the disk gives no room for another file: it is as large as it will have to be from the start, and is written over in
--- a/internal/hotrestart/state.go
+++ b/internal/dataplane/hotrestart/state.go
@@ -13,7 +13,7 @@
 	"os"
 	"path/filepath"
 
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // The file begins with a line that names its form, then how long the rest is and its checksum.
--- a/internal/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // Store writes what is kept, beside the loop; of what waits only the latest is written.
--- a/internal/hotrestart/wire.go
+++ b/internal/dataplane/hotrestart/wire.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // A message is a length of four bytes and that many bytes of JSON.
--- a/internal/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 const second = int64(1e9)
 
 // given is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
-func given(effect brain.Effect, scope brain.Scope) (*Request, *Monitor) {
+func given(effect balancer.Effect, scope balancer.Scope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, ID: "q", Class: &brain.Class{Effect: effect, Scope: scope, Window: 2 * second}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Effect: effect, Scope: scope, Window: 2 * second}, Deadline: 10 * second, Attempts: 3}
 	h := Host{Zone: "a", Cell: 1}
 	r.Began(1*second, h)
 	r.Wrote(1*second+1, 1*second, h)
@@ -23,21 +23,21 @@
 func TestRepeats(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
-		effect brain.Effect
-		scope  brain.Scope
+		effect balancer.Effect
+		scope  balancer.Scope
 		at     int64
 		to     Host
 		want   Rule
 	}{
-		{brain.Safe, brain.ScopeAll, 9 * second, far, None},
-		{brain.Safe, brain.ScopeAll, 10 * second, far, InTime},
-		{brain.Safe, brain.ScopeAll, 2 * second, Host{State: brain.Draining}, HostTakesNone},
-		{brain.Unsafe, brain.ScopeAll, 2 * second, near, NoRepeat},
-		{brain.Keyed, brain.ScopeAll, 2 * second, far, None},
-		{brain.Keyed, brain.ScopeAll, 3 * second, near, RepeatWindow},
-		{brain.Keyed, brain.ScopeZone, 2 * second, near, None},
-		{brain.Keyed, brain.ScopeZone, 2 * second, far, RepeatScope},
-		{brain.Keyed, brain.ScopeCell, 2 * second, far, RepeatScope},
+		{balancer.Safe, balancer.ScopeAll, 9 * second, far, None},
+		{balancer.Safe, balancer.ScopeAll, 10 * second, far, InTime},
+		{balancer.Safe, balancer.ScopeAll, 2 * second, Host{State: balancer.Draining}, HostTakesNone},
+		{balancer.Unsafe, balancer.ScopeAll, 2 * second, near, NoRepeat},
+		{balancer.Keyed, balancer.ScopeAll, 2 * second, far, None},
+		{balancer.Keyed, balancer.ScopeAll, 3 * second, near, RepeatWindow},
+		{balancer.Keyed, balancer.ScopeZone, 2 * second, near, None},
+		{balancer.Keyed, balancer.ScopeZone, 2 * second, far, RepeatScope},
+		{balancer.Keyed, balancer.ScopeCell, 2 * second, far, RepeatScope},
 	} {
 		r, m := given(c.effect, c.scope)
 		if got := r.Begin(c.at, c.to); got != c.want {
@@ -60,20 +60,20 @@
 		Over:            func(r *Request) { r.Left(); r.Began(2*second, h) },
 		OneAttempt:      func(r *Request) { r.Began(2*second, h); r.Began(2*second, h) },
 		AttemptLimit:    func(r *Request) { r.Attempts = 1; r.Began(2*second, h) },
-		RefusalHarmless: func(r *Request) { r.Class.Effect = brain.Unsafe; r.Refused(2 * second) },
+		RefusalHarmless: func(r *Request) { r.Class.Effect = balancer.Unsafe; r.Refused(2 * second) },
 		OneAnswer:       func(r *Request) { r.Served(2 * second); r.Failed(2 * second) },
 		AnswerInTime:    func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
 		NoSilentEnd:     func(r *Request) { r.Served(2 * second); r.Dropped() },
 		TakenInService:  func(r *Request) { r.Monitor.Close(); r.Began(2*second, h) },
-		HostTakesNone:   func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: brain.Draining}) },
+		HostTakesNone:   func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: balancer.Draining}) },
 	} {
-		r, m := given(brain.Safe, brain.ScopeAll)
+		r, m := given(balancer.Safe, balancer.ScopeAll)
 		f(r)
 		if broken, _ := m.Counts.Sum(); broken != 1 || m.Counts.Broken[rule] != 1 {
 			t.Errorf("%v: %v", rule, m.Counts.Broken)
 		}
 	}
-	r, m := given(brain.Unsafe, brain.ScopeAll)
+	r, m := given(balancer.Unsafe, balancer.ScopeAll)
 	r.Failed(2 * second)
 	r.Dropped()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
@@ -84,7 +84,7 @@
 // An attempt that surely has not run leaves a request as it was, and one that is written may run while it is out.
 func TestWhatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, Class: &brain.Class{Effect: brain.Unsafe}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, Class: &balancer.Class{Effect: balancer.Unsafe}, Deadline: 10 * second, Attempts: 3}
 	r.Began(1, Host{})
 	if r.MayHaveRun() {
 		t.Error("it runs before it is written")
--- a/internal/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // answerSlack is how late an answer may be: later than this a request counts as lost, and not just as late.
@@ -16,7 +16,7 @@
 
 // Host is what the rules have to know of an upstream host.
 type Host struct {
-	State brain.State
+	State balancer.State
 	Zone  string
 	Cell  int
 }
@@ -25,7 +25,7 @@
 type Request struct {
 	Monitor  *Monitor
 	ID       string
-	Class    *brain.Class
+	Class    *balancer.Class
 	Deadline int64 // in the time that is passed in
 	Attempts int   // how many it may have
 	Resumed  bool  // its connection was open at its host before: it goes nowhere else, and draining hosts take it
@@ -64,7 +64,7 @@
 		return TakenInService
 	case now >= r.Deadline:
 		return InTime
-	case h.State != brain.Ready && !r.Resumed:
+	case h.State != balancer.Ready && !r.Resumed:
 		return HostTakesNone
 	}
 	return r.repeat(now, h)
@@ -73,13 +73,13 @@
 // repeat says which rule stands against sending it where an earlier attempt may have run.
 func (r *Request) repeat(now int64, h Host) Rule {
 	switch {
-	case !r.mayRun || r.Class.Effect == brain.Safe:
+	case !r.mayRun || r.Class.Effect == balancer.Safe:
 		return None
-	case r.Class.Effect == brain.Unsafe:
+	case r.Class.Effect == balancer.Unsafe:
 		return NoRepeat
 	case now >= r.RepeatUntil():
 		return RepeatWindow
-	case r.Class.Scope == brain.ScopeZone && h.Zone != r.ranIn.Zone, r.Class.Scope == brain.ScopeCell && h.Cell != r.ranIn.Cell:
+	case r.Class.Scope == balancer.ScopeZone && h.Zone != r.ranIn.Zone, r.Class.Scope == balancer.ScopeCell && h.Cell != r.ranIn.Cell:
 		return RepeatScope
 	}
 	return None
@@ -88,7 +88,7 @@
 // RepeatUntil is the time from which on no further attempt may be written: hosts discard repeats of a keyed request for a limited time after
 // the first attempt that may have run, and a repeat that arrives later runs twice.
 func (r *Request) RepeatUntil() int64 {
-	if !r.mayRun || r.Class.Effect != brain.Keyed {
+	if !r.mayRun || r.Class.Effect != balancer.Keyed {
 		return math.MaxInt64
 	}
 	return r.ranAt + r.Class.Window
@@ -100,8 +100,8 @@
 // Refusable tells whether a refusal would be true: it promises that trying again is harmless, which holds for a request that may have run
 // only where hosts discard its repeats or where these have no effect.
 func (r *Request) Refusable() bool {
-	return !r.MayHaveRun() || r.Class.Effect == brain.Safe || r.Class.Effect == brain.Keyed && r.Class.Scope == brain.ScopeAll
+	return !r.MayHaveRun() || r.Class.Effect == balancer.Safe || r.Class.Effect == balancer.Keyed && r.Class.Scope == balancer.ScopeAll
 }
 
 // Movable tells whether it may be placed anew by somebody who knows nothing of its earlier attempts.
-func (r *Request) Movable() bool { return !r.mayRun || r.Class.Effect == brain.Safe }
+func (r *Request) Movable() bool { return !r.mayRun || r.Class.Effect == balancer.Safe }
--- a/internal/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/internal/logging"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/logging"
 )
 
 // downstream is a client's connection.
--- a/internal/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 const (
--- a/internal/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -8,34 +8,34 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // refuser is a module that refuses what it is asked.
-type refuser struct{ fx brain.Effects }
+type refuser struct{ fx balancer.Effects }
 
-func (m refuser) Request(_ brain.Time, q brain.Request)                        { m.fx.Refuse(q.ID, 7e6) }
-func (refuser) Open(brain.Time, brain.Request, string)                         {}
-func (refuser) First(brain.Time, string, int, brain.Time)                      {}
-func (refuser) Gone(brain.Time, string)                                        {}
-func (refuser) Note(brain.Time, string, int, brain.NoteKind, float64)          {}
-func (refuser) Members(brain.Time, brain.ListKind, int64, []brain.Entry)       {}
-func (refuser) Timer(brain.Time, string)                                       {}
-func (refuser) Probed(brain.Time, string, brain.Status, brain.Time, []float64) {}
-func (refuser) Peer(brain.Time, int, []byte)                                   {}
-func (refuser) Remember(bool) brain.Memory                                     { return brain.Memory{} }
-func (refuser) Recall(brain.Time, brain.Memory)                                {}
-func (refuser) Avoids(brain.Time, string) bool                                 { return false }
-func (refuser) Outcome(brain.Time, string, int, brain.Status, brain.Time, bool, []float64) {
+func (m refuser) Request(_ balancer.Time, q balancer.Request)                           { m.fx.Refuse(q.ID, 7e6) }
+func (refuser) Open(balancer.Time, balancer.Request, string)                            {}
+func (refuser) First(balancer.Time, string, int, balancer.Time)                         {}
+func (refuser) Gone(balancer.Time, string)                                              {}
+func (refuser) Note(balancer.Time, string, int, balancer.NoteKind, float64)             {}
+func (refuser) Members(balancer.Time, balancer.ListKind, int64, []balancer.Entry)       {}
+func (refuser) Timer(balancer.Time, string)                                             {}
+func (refuser) Probed(balancer.Time, string, balancer.Status, balancer.Time, []float64) {}
+func (refuser) Peer(balancer.Time, int, []byte)                                         {}
+func (refuser) Remember(bool) balancer.Memory                                           { return balancer.Memory{} }
+func (refuser) Recall(balancer.Time, balancer.Memory)                                   {}
+func (refuser) Avoids(balancer.Time, string) bool                                       { return false }
+func (refuser) Outcome(balancer.Time, string, int, balancer.Status, balancer.Time, bool, []float64) {
 }
 
 // front serves clients with room for two that have no request and none for requests beyond the given number. pass
 // moves its clock.
 func front(t *testing.T, sessions int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
-	r := newFrontRig(t, sessions, func(fx brain.Effects) proxy.Decider { return refuser{fx} })
+	r := newFrontRig(t, sessions, func(fx balancer.Effects) proxy.Decider { return refuser{fx} })
 	return r.dial, r.pass
 }
 
@@ -55,7 +55,7 @@
 	<-done
 }
 
-func newFrontRig(t *testing.T, sessions int, module func(brain.Effects) proxy.Decider) *frontRig {
+func newFrontRig(t *testing.T, sessions int, module func(balancer.Effects) proxy.Decider) *frontRig {
 	t.Helper()
 	var now atomic.Int64
 	now.Store(1e18)
@@ -63,9 +63,9 @@
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	core := proxy.New(l, nil, proxy.Options{Sessions: sessions, Settings: brain.Config{RetryAfter: true,
-		MaxRetryAfter: 2e9, Classes: []brain.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []brain.Tenant{{Name: "t"}}}})
-	core.Run(func(fx brain.Effects) (proxy.Decider, error) { return module(fx), nil }, nil, proxy.Change{})
+	core := proxy.New(l, nil, proxy.Options{Sessions: sessions, Settings: balancer.Config{RetryAfter: true,
+		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
+	core.Run(func(fx balancer.Effects) (proxy.Decider, error) { return module(fx), nil }, nil, proxy.Change{})
 	on, err := netio.Bind("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lineproto/hosts.go
+++ b/internal/dataplane/lineproto/hosts.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // Opener opens a connection to an upstream host within the time given, and calls done on the loop, once, unless what it
--- a/internal/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // Max is the longest line there is, its CRLF included.
--- a/internal/lineproto/probes.go
+++ b/internal/dataplane/lineproto/probes.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 const (
@@ -43,7 +43,7 @@
 	host   proxy.Target
 	drop   func() // gives the connection up while it opens
 	conn   *netio.Conn
-	done   func(status brain.Status, load []float64) // nil: no probe is out
+	done   func(status balancer.Status, load []float64) // nil: no probe is out
 	timer  *netio.Timer
 	usedAt int64
 }
@@ -51,14 +51,14 @@
 var _ proxy.Prober = (*Probes)(nil)
 
 // Probe asks a host, and calls done on the loop, once, whatever becomes of it.
-func (p *Probes) Probe(host proxy.Target, done func(status brain.Status, load []float64)) {
+func (p *Probes) Probe(host proxy.Target, done func(status balancer.Status, load []float64)) {
 	q := p.to[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
-		q.end(brain.Cancelled) // its address has changed, or it is asked twice
+		q.end(balancer.Cancelled) // its address has changed, or it is asked twice
 		q = nil
 	}
 	if p.denied || q == nil && !p.makeRoom() {
-		p.loop.Post(func() { done(brain.Moot, nil) })
+		p.loop.Post(func() { done(balancer.Moot, nil) })
 		return
 	}
 	if q == nil {
@@ -67,7 +67,7 @@
 	}
 	q.done, q.usedAt = done, p.loop.Now()
 	q.timer.Stop()
-	q.timer = p.loop.After(probeWithin, func() { q.end(brain.Timeout) })
+	q.timer = p.loop.After(probeWithin, func() { q.end(balancer.Timeout) })
 	if q.conn != nil {
 		q.conn.Write(stats)
 		return
@@ -75,7 +75,7 @@
 	q.drop = p.open(host, probeWithin, inputLimit, q, func(c *netio.Conn, err *netio.Error) {
 		q.drop = nil
 		if err != nil {
-			q.end(brain.ConnectFailed)
+			q.end(balancer.ConnectFailed)
 			return
 		}
 		q.conn = c
@@ -86,7 +86,7 @@
 // Forget ends what goes on with a host that is to be left alone.
 func (p *Probes) Forget(host string) {
 	if q := p.to[host]; q != nil {
-		q.end(brain.Cancelled)
+		q.end(balancer.Cancelled)
 	}
 }
 
@@ -104,7 +104,7 @@
 	if least == nil {
 		return false
 	}
-	least.end(brain.Cancelled)
+	least.end(balancer.Cancelled)
 	return true
 }
 
@@ -112,7 +112,7 @@
 func (q *probing) Data(c *netio.Conn) {
 	line, err := Cut(c.Input())
 	if err != nil || line != nil && q.done == nil {
-		q.end(brain.Error) // it says what nobody asked
+		q.end(balancer.Error) // it says what nobody asked
 		return
 	}
 	if line == nil {
@@ -122,31 +122,31 @@
 	c.Consume(len(line))
 	switch first {
 	case "PONG":
-		q.answer(brain.OK, ParseReport(strings.TrimSpace(rest), q.of.fields))
+		q.answer(balancer.OK, ParseReport(strings.TrimSpace(rest), q.of.fields))
 	case "ERR":
-		q.answer(brain.Error, ParseReport(strings.TrimSpace(rest), q.of.fields))
+		q.answer(balancer.Error, ParseReport(strings.TrimSpace(rest), q.of.fields))
 	case "NO":
 		if !q.of.denied {
 			q.of.denied = true
 			slog.Warn("probes_denied", "host", q.host.ID)
 		}
-		q.end(brain.Error)
+		q.end(balancer.Error)
 	default:
-		q.end(brain.Error)
+		q.end(balancer.Error)
 	}
 }
 
 // answer ends a probe; its connection waits for the next.
-func (q *probing) answer(s brain.Status, load []float64) {
+func (q *probing) answer(s balancer.Status, load []float64) {
 	done := q.done
 	q.done = nil
 	q.timer.Stop()
-	q.timer = q.of.loop.After(probeIdle, func() { q.end(brain.Cancelled) })
+	q.timer = q.of.loop.After(probeIdle, func() { q.end(balancer.Cancelled) })
 	done(s, load)
 }
 
 // end closes the connection, and ends the probe that is out on it.
-func (q *probing) end(s brain.Status) {
+func (q *probing) end(s balancer.Status) {
 	if q.of.to[q.host.ID] == q {
 		delete(q.of.to, q.host.ID)
 	}
@@ -168,4 +168,4 @@
 func (q *probing) Writable(*netio.Conn) {}
 
 // Closed comes when the host ends the connection.
-func (q *probing) Closed(*netio.Conn, *netio.Error) { q.end(brain.Reset) }
+func (q *probing) Closed(*netio.Conn, *netio.Error) { q.end(balancer.Reset) }
--- a/internal/lineproto/probes_test.go
+++ b/internal/dataplane/lineproto/probes_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 var reports = []string{"x0=0.5,queue=2", "queue=2,x0=0.5", "x0=0.5,new=1,queue=2", "x0=0.5", "x0", "x0=", "x0=soon", "x0=NaN", "=1", ",", "", "x0=0x1p4",
@@ -76,7 +76,7 @@
 	results := make(chan string, 8)
 	probe := func(host string) {
 		l.Post(func() {
-			p.Probe(proxy.Target{ID: host, Endpoint: ln.Addr().String()}, func(s brain.Status, load []float64) { results <- fmt.Sprint(s, load) })
+			p.Probe(proxy.Target{ID: host, Endpoint: ln.Addr().String()}, func(s balancer.Status, load []float64) { results <- fmt.Sprint(s, load) })
 		})
 	}
 	expect := func(want string) {
--- a/internal/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // upstream is the connection of one upstream request.
--- a/internal/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/netio"
-	"croftlock/internal/proxy"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
 )
 
 // unheard takes what an attempt tells.
--- a/internal/proxy/allowed_test.go
+++ b/internal/dataplane/proxy/allowed_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/namespace"
-	"croftlock/internal/netio"
-	"croftlock/internal/rules"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
 )
 
 // counter is an allowance whose word the test gives.
--- a/internal/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/metrics"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/metrics"
 )
 
 // refuse is the final answer that says trying again is harmless.
@@ -44,7 +44,7 @@
 	r.overdue.Stop()
 	say()
 	if r.out != nil {
-		r.out.finish(brain.Cancelled, netio.Ended)
+		r.out.finish(balancer.Cancelled, netio.Ended)
 		return
 	}
 	r.forget()
@@ -66,18 +66,18 @@
 		return
 	}
 	c := r.core
-	c.tell(nil, r.pool, func(now brain.Time, m Decider) { m.Gone(now, r.ask.ID) })
+	c.tell(nil, r.pool, func(now balancer.Time, m Decider) { m.Gone(now, r.ask.ID) })
 }
 
 // cancel ends an attempt at the module's wish.
 func (r *Request) cancel(attempt int) {
 	if a := r.out; a != nil && a.number == attempt && !a.up {
-		a.finish(brain.Cancelled, netio.Ended)
+		a.finish(balancer.Cancelled, netio.Ended)
 	}
 }
 
 // move sends the client of an open connection away politely. status is what the module learns of its end.
-func (r *Request) move(status brain.Status) {
+func (r *Request) move(status balancer.Status) {
 	a := r.out
 	if a == nil || !a.up || !a.detach() {
 		return
@@ -139,7 +139,7 @@
 	if a != nil && a.up {
 		if a.detach() {
 			a.conn.End(err.Cause)
-			a.outcome(brain.Cancelled)
+			a.outcome(balancer.Cancelled)
 		}
 		return
 	}
@@ -152,7 +152,7 @@
 	r.overdue.Stop()
 	r.gone()
 	if a := r.out; a != nil {
-		a.finish(brain.Cancelled, netio.Ended)
+		a.finish(balancer.Cancelled, netio.Ended)
 		return
 	}
 	r.forget()
--- a/internal/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -4,31 +4,31 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/expiry"
-	"croftlock/internal/invariant"
-	"croftlock/internal/maintenance"
-	"croftlock/internal/metrics"
-	"croftlock/internal/namespace"
-	"croftlock/internal/netio"
-	"croftlock/internal/rules"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/certexpiry"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/operations/maintenance"
+	"croftlock/internal/operations/metrics"
 )
 
 // Decider is the part of the decision module that the core calls.
 type Decider interface {
-	Request(now brain.Time, q brain.Request)
-	Open(now brain.Time, q brain.Request, server string)
-	First(now brain.Time, id string, attempt int, elapsed brain.Time)
-	Outcome(now brain.Time, id string, attempt int, status brain.Status, elapsed brain.Time, closed bool, load []float64)
-	Gone(now brain.Time, id string)
-	Probed(now brain.Time, id string, status brain.Status, elapsed brain.Time, load []float64)
-	Note(now brain.Time, id string, attempt int, kind brain.NoteKind, value float64)
-	Members(now brain.Time, kind brain.ListKind, version int64, entries []brain.Entry)
-	Peer(now brain.Time, from int, data []byte)
-	Timer(now brain.Time, token string)
-	Avoids(now brain.Time, id string) bool
-	Remember(yield bool) brain.Memory
-	Recall(now brain.Time, m brain.Memory)
+	Request(now balancer.Time, q balancer.Request)
+	Open(now balancer.Time, q balancer.Request, server string)
+	First(now balancer.Time, id string, attempt int, elapsed balancer.Time)
+	Outcome(now balancer.Time, id string, attempt int, status balancer.Status, elapsed balancer.Time, closed bool, load []float64)
+	Gone(now balancer.Time, id string)
+	Probed(now balancer.Time, id string, status balancer.Status, elapsed balancer.Time, load []float64)
+	Note(now balancer.Time, id string, attempt int, kind balancer.NoteKind, value float64)
+	Members(now balancer.Time, kind balancer.ListKind, version int64, entries []balancer.Entry)
+	Peer(now balancer.Time, from int, data []byte)
+	Timer(now balancer.Time, token string)
+	Avoids(now balancer.Time, id string) bool
+	Remember(yield bool) balancer.Memory
+	Recall(now balancer.Time, m balancer.Memory)
 }
 
 // Peers carries the module's messages to the other proxies.
@@ -44,13 +44,13 @@
 
 // Options are what the core is told at its start.
 type Options struct {
-	Settings brain.Config
+	Settings balancer.Config
 	Sessions int // how many downstreams it takes at most
 	// DelayInLoad: hosts tell both a connection's load and how long messages take, in the same form.
 	DelayInLoad bool
 	// Expiry says what becomes of connections that rest on a certificate when it ends; Wall is the clock that
 	// certificates are read by.
-	Expiry expiry.Policy
+	Expiry certexpiry.Policy
 	Wall   func() time.Time
 }
 
@@ -64,7 +64,7 @@
 	prober    Prober          // nil: the settings do not permit probes
 	enforcer  *rules.Enforcer // nil: no rules that the fleet agrees on
 	allowance Allowance       // nil: no limits that hold over the fleet
-	make      func(fx brain.Effects) (Decider, error)
+	make      func(fx balancer.Effects) (Decider, error)
 	main      *pool // the only one where no rules split the hosts
 	pools     map[string]*pool
 	classes   map[string]int
@@ -86,7 +86,7 @@
 	calls    []call
 	effects  []func()
 
-	planner   *expiry.Planner // nil: connections are kept whatever ends
+	planner   *certexpiry.Planner // nil: connections are kept whatever ends
 	sessions  int
 	leaving   bool
 	newcomers Newcomers // nil: there are none
@@ -111,7 +111,7 @@
 
 type call struct {
 	about *Request
-	f     func(now brain.Time)
+	f     func(now balancer.Time)
 }
 
 // host is an upstream host as this proxy knows it.
@@ -119,16 +119,16 @@
 	id       string
 	zone     string
 	endpoint string
-	state    brain.State           // as it counts: an operator's word goes before discovery's
-	listed   brain.Entry           // as discovery last said
-	since    brain.Time            // its latest start, as discovery says
+	state    balancer.State        // as it counts: an operator's word goes before discovery's
+	listed   balancer.Entry        // as discovery last said
+	since    balancer.Time         // its latest start, as discovery says
 	up       map[*Request]struct{} // its open connections
 	trying   map[*upstreamRequest]struct{}
 	delay    messageDelay
-	loaded   float64             // as it last told when probed: load over what it can do
-	loadedAt int64               // when that was; 0: never
-	pool     *pool               // nil: it changes hands just now
-	known    *brain.ServerMemory // what its last pool's instance knew of it, until another takes it
+	loaded   float64                // as it last told when probed: load over what it can do
+	loadedAt int64                  // when that was; 0: never
+	pool     *pool                  // nil: it changes hands just now
+	known    *balancer.ServerMemory // what its last pool's instance knew of it, until another takes it
 }
 
 // New makes a core. Module and Discovery are set by Run.
@@ -148,7 +148,7 @@
 }
 
 // Run gives the core its decision module, made for it by make with the core's effects, and the list it starts from.
-func (c *Core) Run(make func(fx brain.Effects) (Decider, error), d Discovery, known Change) error {
+func (c *Core) Run(make func(fx balancer.Effects) (Decider, error), d Discovery, known Change) error {
 	c.make, c.discovery = make, d
 	var err error
 	if c.main, err = c.newPool(namespace.Main); err != nil {
@@ -157,8 +157,8 @@
 	c.Listed(known)
 	c.loop.After(watchEvery, c.watchSessions)
 	if c.opt.Expiry.Move {
-		c.planner = expiry.New(c.opt.Expiry)
-		c.loop.After(expiry.Every, c.moveExpiring)
+		c.planner = certexpiry.New(c.opt.Expiry)
+		c.loop.After(certexpiry.Every, c.moveExpiring)
 	}
 	return nil
 }
--- a/internal/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
 )
 
 // A client gets one answer: by its deadline though the module stays silent, and none after that.
@@ -68,11 +68,11 @@
 		}
 	}
 	w.open("q")
-	a := HostEntry{Endpoint: "new", Entry: brain.Entry{ID: "A"}}
-	w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{a}})
+	a := HostEntry{Endpoint: "new", Entry: balancer.Entry{ID: "A"}}
+	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("request q", "start at-A 1000", "end up dropped", "start new 1000", "members 0 1")
-	a.State = brain.Draining
-	w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{a}})
+	a.State = balancer.Draining
+	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("members 0 1", "end up dropped", "outcome q 0 2 false")
 	w.fx.Send("q", "A", 0) // the rule holds should the module err
 	w.core.decide(nil, func(int64) {})
@@ -84,7 +84,7 @@
 func TestListActsOnLinesThatWait(t *testing.T) {
 	w := sending(t)
 	w.ups[0].stage = netio.Sending
-	w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{{Endpoint: "at-A", Entry: brain.Entry{ID: "A", State: brain.Draining}}}})
+	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{Endpoint: "at-A", Entry: balancer.Entry{ID: "A", State: balancer.Draining}}}})
 	w.expect("members 0 1", "end up dropped", "outcome q 0 2 false")
 
 	w = keyed(t)
@@ -157,9 +157,9 @@
 	w.expect("members 4 1", "end up dropped", "outcome r1 0 2 false", "outcome r1 1 2 false", "refuse r1 0")
 	standing.ev.FromUpstream(Message{Kind: Plain, Text: []byte("x\r\n")})
 	w.expect()
-	e := HostEntry{Endpoint: "elsewhere", Entry: brain.Entry{ID: "A"}}
-	w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{e}})
-	if h := w.core.hosts["A"]; h.state != brain.Suspended {
+	e := HostEntry{Endpoint: "elsewhere", Entry: balancer.Entry{ID: "A"}}
+	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
+	if h := w.core.hosts["A"]; h.state != balancer.Suspended {
 		t.Errorf("listed anew it has state %d", h.state)
 	}
 	if got := string(w.core.Figures()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
@@ -168,7 +168,7 @@
 	w.pass(time.Second)
 	w.expect("members 0 1", "move r0", "end up ended", "outcome r0 0 6 true")
 	w.core.Suspend("A", false, func(bool) {})
-	if h := w.core.hosts["A"]; h.state != brain.Ready {
+	if h := w.core.hosts["A"]; h.state != balancer.Ready {
 		t.Errorf("called back it has state %d", h.state)
 	}
 }
--- a/internal/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -4,12 +4,12 @@
 	"log/slog"
 	"runtime/debug"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // decide has the module take one event, then carries out what it did, in order, and then whatever that caused. about
 // is the request that is answered for should the module panic; it may be nil.
-func (c *Core) decide(about *Request, f func(now brain.Time)) {
+func (c *Core) decide(about *Request, f func(now balancer.Time)) {
 	c.calls = append(c.calls, call{about, f})
 	if c.deciding {
 		return
--- a/internal/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/metrics"
-	"croftlock/internal/namespace"
+	"croftlock/internal/balancer"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/operations/metrics"
 )
 
 // effects is the core as a pool's instance of the module sees it. Each effect is only noted here, to be carried out once the module has
@@ -18,11 +18,11 @@
 
 func (e *effects) later(f func()) { e.effects = append(e.effects, f) }
 
-func (e *effects) Send(id, server string, timeout brain.Time) {
+func (e *effects) Send(id, server string, timeout balancer.Time) {
 	e.later(func() { e.send(e.pool, id, server, timeout) })
 }
 
-func (e *effects) Refuse(id string, after brain.Time) {
+func (e *effects) Refuse(id string, after balancer.Time) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
 			r.decline(time.Duration(after))
@@ -49,16 +49,16 @@
 func (e *effects) Move(id string) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
-			r.move(brain.Cancelled)
+			r.move(balancer.Cancelled)
 		}
 	})
 }
 
-func (e *effects) After(delay brain.Time, token string) {
+func (e *effects) After(delay balancer.Time, token string) {
 	c := e.Core
 	e.later(func() {
 		c.loop.After(time.Duration(delay), func() {
-			c.tell(nil, e.pool, func(now brain.Time, m Decider) { m.Timer(now, token) })
+			c.tell(nil, e.pool, func(now balancer.Time, m Decider) { m.Timer(now, token) })
 		})
 	})
 }
@@ -83,18 +83,18 @@
 	e.later(func() {
 		c := e.Core
 		began := c.loop.Now()
-		done := func(status brain.Status, load []float64) {
+		done := func(status balancer.Status, load []float64) {
 			if h, i := c.hosts[server], c.opt.Settings.ReportLoad; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
 				h.loaded, h.loadedAt = load[i], c.loop.Now()
 			}
 			if tracing() {
 				slog.Debug("probed", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
 			}
-			c.tell(nil, e.pool, func(now brain.Time, m Decider) { m.Probed(now, server, status, now-began, load) })
+			c.tell(nil, e.pool, func(now balancer.Time, m Decider) { m.Probed(now, server, status, now-began, load) })
 		}
 		h := c.hosts[server]
-		if c.prober == nil || h == nil || h.state != brain.Ready {
-			done(brain.Moot, nil)
+		if c.prober == nil || h == nil || h.state != balancer.Ready {
+			done(balancer.Moot, nil)
 			return
 		}
 		c.counts.Probed++
@@ -122,6 +122,6 @@
 func (c *Core) PeerTold(from int, data []byte) {
 	c.counts.Heard++
 	for _, p := range c.pools {
-		c.tell(nil, p, func(now brain.Time, m Decider) { m.Peer(now, from, data) })
+		c.tell(nil, p, func(now balancer.Time, m Decider) { m.Peer(now, from, data) })
 	}
 }
--- a/internal/proxy/expiring.go
+++ b/internal/dataplane/proxy/expiring.go
@@ -4,22 +4,22 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/expiry"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/certexpiry"
 )
 
 // moveExpiring moves the connections whose certificate is about to end, at the planner's pace. Their clients come again
 // by themselves and are placed anew.
 func (c *Core) moveExpiring() {
-	c.loop.After(expiry.Every, c.moveExpiring)
+	c.loop.After(certexpiry.Every, c.moveExpiring)
 	if c.leaving {
 		return // all are being moved
 	}
-	standing := make([]expiry.Conn, 0, len(c.requests))
+	standing := make([]certexpiry.Conn, 0, len(c.requests))
 	first := time.Time{}
 	for id, r := range c.requests {
 		if a := r.out; a != nil && a.up {
-			x := expiry.Conn{ID: id}
+			x := certexpiry.Conn{ID: id}
 			if e, ok := a.conn.(Expiring); ok {
 				x.Ends = e.Expires()
 			}
@@ -36,7 +36,7 @@
 		c.paced(func() bool {
 			there := c.requests[id] == r
 			if there {
-				r.move(brain.Cancelled)
+				r.move(balancer.Cancelled)
 			}
 			return there
 		})
--- a/internal/proxy/expiring_test.go
+++ b/internal/dataplane/proxy/expiring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/expiry"
+	"croftlock/internal/dataplane/certexpiry"
 )
 
 // resting is an upstream connection that rests on a certificate.
@@ -24,9 +24,9 @@
 		w := newWorld(t)
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
 		if move {
-			w.core.opt.Expiry = expiry.Policy{Move: true, Before: 30 * time.Second, Share: 1}
-			w.core.planner = expiry.New(w.core.opt.Expiry)
-			w.loop.After(expiry.Every, w.core.moveExpiring)
+			w.core.opt.Expiry = certexpiry.Policy{Move: true, Before: 30 * time.Second, Share: 1}
+			w.core.planner = certexpiry.New(w.core.opt.Expiry)
+			w.loop.After(certexpiry.Every, w.core.moveExpiring)
 		}
 		r1, u1 := w.serve("r1")
 		r1.out.conn = &resting{u1, time.Unix(0, w.now).Add(40 * time.Second)}
--- a/internal/proxy/floors.go
+++ b/internal/dataplane/proxy/floors.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // Watermarks is what other proxies' newer lists say of hosts that drain or are gone.
@@ -11,7 +11,7 @@
 	// Listed takes the own list's news, before they take effect, and names hosts of which that ends or begins what others' say.
 	Listed(ch Change) []string
 	// Out tells whether a host that the own list calls usable gets nothing new; since is when it started, as the list has it.
-	Out(id string, since brain.Time) bool
+	Out(id string, since balancer.Time) bool
 }
 
 // SetFloors has hosts get nothing new of which another proxy's newer list says that they drain or are gone. rev is that of the own list; under 0:
@@ -20,7 +20,7 @@
 	if c.floors = f; f == nil || rev < 0 {
 		return
 	}
-	now := Change{Kind: brain.ListCached, Version: rev}
+	now := Change{Kind: balancer.ListCached, Version: rev}
 	for _, h := range c.hosts {
 		now.Hosts = append(now.Hosts, HostEntry{Entry: h.listed, Endpoint: h.endpoint})
 	}
@@ -28,19 +28,21 @@
 }
 
 // belowFloor tells whether a listed host is out by another proxy's newer list.
-func (c *Core) belowFloor(e brain.Entry) bool { return c.floors != nil && c.floors.Out(e.ID, e.Since) }
+func (c *Core) belowFloor(e balancer.Entry) bool {
+	return c.floors != nil && c.floors.Out(e.ID, e.Since)
+}
 
 // Refloor has it take effect that floors have changed for some hosts.
 func (c *Core) Refloor(ids []string) {
 	for _, id := range ids {
 		h := c.hosts[id]
-		if h == nil || h.listed.State != brain.Ready || h.state == c.counting(h.listed) {
+		if h == nil || h.listed.State != balancer.Ready || h.state == c.counting(h.listed) {
 			continue
 		}
 		h.state = c.counting(h.listed)
-		slog.Info("floor", "host", id, "out", h.state != brain.Ready)
+		slog.Info("floor", "host", id, "out", h.state != balancer.Ready)
 		e := h.entry()
-		c.tell(nil, h.pool, func(now brain.Time, m Decider) { m.Members(now, brain.ListByHand, 0, []brain.Entry{e}) })
+		c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{e}) })
 	}
 	c.takeBack()
 }
--- a/internal/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -6,10 +6,10 @@
 package proxy
 
 import (
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 // Opening is what a client asks for when it connects.
@@ -93,7 +93,7 @@
 // Prober asks upstream hosts how loaded they are.
 type Prober interface {
 	// Probe asks a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
-	Probe(to Target, done func(status brain.Status, load []float64))
+	Probe(to Target, done func(status balancer.Status, load []float64))
 	Forget(host string) // ends what goes on with a host that takes nothing new
 }
 
--- a/internal/proxy/gone_test.go
+++ b/internal/dataplane/proxy/gone_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/namespace"
-	"croftlock/internal/netio"
-	"croftlock/internal/rules"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
 )
 
 // leaving is a core with the real module among hosts that answer late, badly or not at all, and clients that leave at drawn moments.
@@ -93,16 +93,16 @@
 func newLeaving(t *testing.T) *leaving {
 	w := &leaving{world: &world{t: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), left: map[string]int64{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	cfg := brain.Config{Peers: 3, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, MayTell: true, MayCancel: true, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9,
+	cfg := balancer.Config{Peers: 3, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, MayTell: true, MayCancel: true, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9,
 		FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-		Classes: []brain.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []brain.Tenant{{Name: "t1"}, {Name: "t2"}}}
+		Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 	w.core = New(w.loop, w, Options{Sessions: 5000, Settings: cfg})
-	ch := Change{Kind: brain.ListFull}
+	ch := Change{Kind: balancer.ListFull}
 	for i := range 6 {
 		id := fmt.Sprintf("h%d", i)
-		ch.Hosts = append(ch.Hosts, HostEntry{Endpoint: "at-" + id, Entry: brain.Entry{ID: id, Weight: 1}})
+		ch.Hosts = append(ch.Hosts, HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1}})
 	}
-	if err := w.core.Run(func(fx brain.Effects) (Decider, error) { return brain.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		t.Fatal(err)
 	}
 	w.core.SetPeers(deaf{})
--- a/internal/proxy/kept.go
+++ b/internal/dataplane/proxy/kept.go
@@ -6,8 +6,8 @@
 	"math"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/maintenance"
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/maintenance"
 )
 
 // Kept is what one process of a proxy leaves to the next: what operators have said, the list, and what the module knows.
@@ -18,7 +18,7 @@
 	Hosts     []HostEntry
 	Out       []maintenance.Ban // the hosts out by hand
 	Known     []string          // every host that a call may name
-	Memory    brain.Memory
+	Memory    balancer.Memory
 }
 
 // What a Kept may hold at most; a file with more is no file of ours.
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, e := range k.Hosts {
-		if e.ID == "" || len(e.ID) > longestID || len(e.Endpoint) > longestID || e.State < brain.Ready || e.State > brain.Departed ||
+		if e.ID == "" || len(e.ID) > longestID || len(e.Endpoint) > longestID || e.State < balancer.Ready || e.State > balancer.Departed ||
 			math.IsNaN(e.Weight) || e.Weight < 0 || e.Since < 0 {
 			return fmt.Errorf("host %.40q: not as a list has it", e.ID)
 		}
@@ -99,8 +99,8 @@
 }
 
 // Recall has the module take over what the other process's knew. It comes after Run.
-func (c *Core) Recall(m brain.Memory) {
-	c.tell(nil, c.main, func(now brain.Time, d Decider) { d.Recall(now, m) })
+func (c *Core) Recall(m balancer.Memory) {
+	c.tell(nil, c.main, func(now balancer.Time, d Decider) { d.Recall(now, m) })
 }
 
 // Keep is what the next process is to know. With yield, this one gives up its cold budgets.
@@ -112,7 +112,7 @@
 		}
 	}
 	for id, h := range c.hosts {
-		if h.listed.State != brain.Departed {
+		if h.listed.State != balancer.Departed {
 			k.Hosts = append(k.Hosts, HostEntry{Entry: h.listed, Endpoint: h.endpoint})
 			k.Hosts[len(k.Hosts)-1].ID = id
 		}
--- a/internal/proxy/leave.go
+++ b/internal/dataplane/proxy/leave.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 const (
@@ -91,7 +91,7 @@
 	if passed >= s.plan.moveBy {
 		n = open
 	}
-	s.core.someOpen(n, func(r *Request) { r.move(brain.Cancelled) })
+	s.core.someOpen(n, func(r *Request) { r.move(balancer.Cancelled) })
 	s.moved += max(0, n)
 }
 
--- a/internal/proxy/leave_test.go
+++ b/internal/dataplane/proxy/leave_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
 )
 
 // sending opens a request whose module sends it to A, and then to B should that attempt prove not to have run.
 func sending(t *testing.T) *world {
 	w := newWorld(t)
-	w.core.opt.Settings.Classes[0].Effect = brain.Unsafe
+	w.core.opt.Settings.Classes[0].Effect = balancer.Unsafe
 	w.on = func(e string) {
 		switch e {
 		case "request q":
@@ -49,7 +49,7 @@
 	w.serve("q")
 	left := false
 	w.core.Leave(func() { left = true })
-	w.core.Listed(Change{Kind: brain.ListFull, Version: 1, Hosts: []HostEntry{{Endpoint: "at-C", Entry: brain.Entry{ID: "C"}}}})
+	w.core.Listed(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Endpoint: "at-C", Entry: balancer.Entry{ID: "C"}}}})
 	w.expect("members 1 1")
 	w.pass(2100 * time.Millisecond)
 	w.expect("move q", "end up ended", "outcome q 0 6 true")
@@ -122,7 +122,7 @@
 // run. What is held by the module gets one too, a client that comes up in the last moment is moved, and the process ends.
 func TestWhatIsLeftIsAnsweredBeforeTheKill(t *testing.T) {
 	w := newWorld(t)
-	w.core.opt.Settings.Classes[0].Effect = brain.Unsafe
+	w.core.opt.Settings.Classes[0].Effect = balancer.Unsafe
 	w.on = func(e string) {
 		if e == "request q" {
 			w.fx.Send("q", "A", 0)
--- a/internal/proxy/list.go
+++ b/internal/dataplane/proxy/list.go
@@ -3,20 +3,20 @@
 import (
 	"log/slog"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
 )
 
 // Change is news of the cluster: a list of upstream hosts, a change of it, or the failure to get one.
 type Change struct {
-	Kind    brain.ListKind
+	Kind    balancer.ListKind
 	Version int64
 	Hosts   []HostEntry
 }
 
 // HostEntry is one upstream host with the address at which this proxy reaches it.
 type HostEntry struct {
-	brain.Entry
+	balancer.Entry
 	Endpoint string
 }
 
@@ -24,10 +24,10 @@
 // of dials too: nothing new may go there.
 func (c *Core) Listed(ch Change) {
 	var floors []string
-	if c.floors != nil && ch.Kind != brain.ListFailed {
+	if c.floors != nil && ch.Kind != balancer.ListFailed {
 		floors = c.floors.Listed(ch)
 	}
-	entries := map[*pool][]brain.Entry{}
+	entries := map[*pool][]balancer.Entry{}
 	named := map[string]bool{}
 	for _, e := range ch.Hosts {
 		isNew := c.hosts[e.ID] == nil
@@ -40,22 +40,22 @@
 		}
 		entries[h.pool], named[e.ID] = append(entries[h.pool], h.entry()), true
 	}
-	if ch.Kind == brain.ListFull || ch.Kind == brain.ListCached {
+	if ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached {
 		for id, h := range c.hosts {
 			if !named[id] {
-				h.state, h.listed.State = brain.Departed, brain.Departed
+				h.state, h.listed.State = balancer.Departed, balancer.Departed
 			}
 		}
 	}
-	whole := ch.Kind == brain.ListFull || ch.Kind == brain.ListCached
+	whole := ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached
 	for _, p := range c.pools {
 		if p == c.main || whole || len(entries[p]) > 0 {
-			c.tell(nil, p, func(now brain.Time, m Decider) { m.Members(now, ch.Kind, ch.Version, entries[p]) })
+			c.tell(nil, p, func(now balancer.Time, m Decider) { m.Members(now, ch.Kind, ch.Version, entries[p]) })
 		}
 	}
 	c.takeBack()
 	c.Refloor(floors)
-	if c.keeper != nil && ch.Kind != brain.ListFailed {
+	if c.keeper != nil && ch.Kind != balancer.ListFailed {
 		c.keeper.Listed()
 	}
 }
@@ -64,7 +64,7 @@
 // outcomes goes elsewhere.
 func (c *Core) takeBack() {
 	for id, h := range c.hosts {
-		if h.state == brain.Ready {
+		if h.state == balancer.Ready {
 			continue
 		}
 		if c.prober != nil {
@@ -72,10 +72,10 @@
 		}
 		for a := range h.trying {
 			if a.unsent() && !a.req.adopted {
-				a.finish(brain.Full, netio.Dropped)
+				a.finish(balancer.Full, netio.Dropped)
 			}
 		}
-		if h.state == brain.Departed && len(h.up) == 0 && len(h.trying) == 0 {
+		if h.state == balancer.Departed && len(h.up) == 0 && len(h.trying) == 0 {
 			delete(c.hosts, id)
 		}
 	}
--- a/internal/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -5,15 +5,15 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
-	"croftlock/internal/metrics"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/operations/metrics"
 )
 
 // Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
 func (c *Core) Open(d Downstream, o *Opening, first First) *Request {
 	c.counts.Opened++
-	q := brain.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, Hint: o.Hint, Repeat: o.Repeat,
+	q := balancer.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, Hint: o.Hint, Repeat: o.Repeat,
 		Returned: o.Returned}
 	class, known := c.classes[o.Class]
 	tenant, shares := c.tenants[o.Tenant]
@@ -67,7 +67,7 @@
 	// The module answers by the deadline. Should it not, the client gets its answer all the same.
 	r.overdue = c.loop.After(wait+overdueAfter, r.abandon)
 	c.allowed(r, verdict.Account, func() {
-		c.tell(r, in, func(now brain.Time, m Decider) {
+		c.tell(r, in, func(now balancer.Time, m Decider) {
 			if r.answered {
 				return
 			}
--- a/internal/proxy/paced_test.go
+++ b/internal/dataplane/proxy/paced_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/maintenance"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/maintenance"
 )
 
 // permits is a pacer that a test gives permits through.
--- a/internal/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -3,10 +3,10 @@
 import (
 	"log/slog"
 
-	"croftlock/brain"
-	"croftlock/internal/metrics"
-	"croftlock/internal/namespace"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/operations/metrics"
 )
 
 // pool is a part of the hosts with an instance of the decision module of its own, which knows of these hosts alone. Without rules that split
@@ -46,11 +46,11 @@
 }
 
 // tell has a pool's instance of the module take an event; what belongs to no pool is nobody's.
-func (c *Core) tell(about *Request, p *pool, f func(now brain.Time, m Decider)) {
+func (c *Core) tell(about *Request, p *pool, f func(now balancer.Time, m Decider)) {
 	if p == nil || p.over {
 		return
 	}
-	c.decide(about, func(now brain.Time) { f(now, p.module) })
+	c.decide(about, func(now balancer.Time) { f(now, p.module) })
 }
 
 // poolOf is the pool that a host is in by the rules that hold here now.
@@ -68,7 +68,7 @@
 	}
 	for _, n := range names {
 		for _, h := range c.hosts {
-			if h.state == brain.Ready && h.pool != nil && h.pool.name == n && c.enforcer.Usable(h.id) {
+			if h.state == balancer.Ready && h.pool != nil && h.pool.name == n && c.enforcer.Usable(h.id) {
 				return h.pool
 			}
 		}
@@ -114,7 +114,7 @@
 	from := h.pool
 	h.pool = to
 	away := h.entry()
-	away.State = brain.Departed
+	away.State = balancer.Departed
 	if from != nil {
 		m := from.module.Remember(false)
 		h.known = nil
@@ -123,21 +123,21 @@
 				h.known = &s
 			}
 		}
-		c.tell(nil, from, func(now brain.Time, m Decider) { m.Members(now, brain.ListByHand, 0, []brain.Entry{away}) })
+		c.tell(nil, from, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{away}) })
 	}
 	if to != nil {
 		here := h.entry()
 		known := h.known
-		c.tell(nil, to, func(now brain.Time, m Decider) {
-			m.Members(now, brain.ListByHand, 0, []brain.Entry{here})
+		c.tell(nil, to, func(now balancer.Time, m Decider) {
+			m.Members(now, balancer.ListByHand, 0, []balancer.Entry{here})
 			if known != nil {
-				m.Recall(now, brain.Memory{Servers: []brain.ServerMemory{*known}})
+				m.Recall(now, balancer.Memory{Servers: []balancer.ServerMemory{*known}})
 			}
 		})
 	}
 	for a := range h.trying {
 		if a.unsent() && !a.req.adopted && a.req.pool == from {
-			a.finish(brain.Full, netio.Dropped)
+			a.finish(balancer.Full, netio.Dropped)
 		}
 	}
 	for r := range h.up {
@@ -154,11 +154,13 @@
 	to := a.host.pool
 	number, elapsed := a.number, c.loop.Now()-a.sentAt
 	r.pool, r.base, a.number = to, r.attempts-1, 0
-	c.tell(nil, from, func(now brain.Time, m Decider) { m.Outcome(now, r.ask.ID, number, brain.Cancelled, elapsed, true, nil) })
-	c.tell(nil, to, func(now brain.Time, m Decider) {
+	c.tell(nil, from, func(now balancer.Time, m Decider) {
+		m.Outcome(now, r.ask.ID, number, balancer.Cancelled, elapsed, true, nil)
+	})
+	c.tell(nil, to, func(now balancer.Time, m Decider) {
 		m.Open(now, r.ask, a.host.id)
 		if a.load > 0 {
-			m.Note(now, r.ask.ID, 0, brain.NoteLoad, a.load)
+			m.Note(now, r.ask.ID, 0, balancer.NoteLoad, a.load)
 		}
 	})
 }
@@ -167,7 +169,7 @@
 // fails, since the other instance of the module knows nothing of that.
 func (c *Core) replace(r *Request, number int, to *pool) {
 	from := r.pool
-	c.tell(r, from, func(now brain.Time, m Decider) { m.Outcome(now, r.ask.ID, number, brain.Moot, 0, true, nil) })
+	c.tell(r, from, func(now balancer.Time, m Decider) { m.Outcome(now, r.ask.ID, number, balancer.Moot, 0, true, nil) })
 	if to == nil {
 		r.decline(c.ComeBack())
 		return
@@ -177,7 +179,7 @@
 		return
 	}
 	r.pool, r.base = to, r.attempts
-	c.tell(r, to, func(now brain.Time, m Decider) {
+	c.tell(r, to, func(now balancer.Time, m Decider) {
 		if !r.answered {
 			q := r.ask
 			q.Left = r.deadline - now
--- a/internal/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"croftlock/brain"
-	"croftlock/internal/namespace"
-	"croftlock/internal/netio"
-	"croftlock/internal/rules"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
 )
 
 // poolWorld is a core with the real module, hosts of two kinds, and rules that a test changes.
@@ -64,16 +64,16 @@
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		w.gate = &rules.Enforcer{Now: func() int64 { return w.now }, Keep: true}
 		for i, id := range []string{"A", "B", "C", "D"} {
-			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: brain.Entry{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
+			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
 		}
-		cfg := brain.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9,
-			QuarantineInit: -1, QuarantineMax: -1, Classes: []brain.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6, Effect: brain.Unsafe}}, Tenants: []brain.Tenant{{Name: "t1"}, {Name: "t2"}}}
+		cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9,
+			QuarantineInit: -1, QuarantineMax: -1, Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6, Effect: balancer.Unsafe}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 		w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
-		ch := Change{Kind: brain.ListFull}
+		ch := Change{Kind: balancer.ListFull}
 		for _, id := range []string{"A", "B", "C", "D"} {
 			ch.Hosts = append(ch.Hosts, w.hosts[id])
 		}
-		if err := w.core.Run(func(fx brain.Effects) (Decider, error) { return brain.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+		if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 			t.Fatal(err)
 		}
 		w.rule(1, "m1", nil)
@@ -158,17 +158,17 @@
 
 // A request that may have run, and must not run twice, is not placed anew in another pool, whose instance of the module knows nothing of that.
 func TestWhatMayHaveRunIsNotPlacedAnew(t *testing.T) {
-	for effect, want := range map[brain.Effect]string{brain.Keyed: "fail r", brain.Safe: "start at-B"} {
+	for effect, want := range map[balancer.Effect]string{balancer.Keyed: "fail r", balancer.Safe: "start at-B"} {
 		w := &world{t: t, now: 1e18}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-		cfg := brain.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-			Classes: []brain.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, Effect: effect, Window: 9e9}}, Tenants: []brain.Tenant{{Name: "t"}}}
+		cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
+			Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, Effect: effect, Window: 9e9}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 		w.core = New(w.loop, w, Options{Sessions: 10, Settings: cfg})
 		host := func(id, kind string) HostEntry {
-			return HostEntry{Endpoint: "at-" + id, Entry: brain.Entry{ID: id, Weight: 1, Kind: kind}}
+			return HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1, Kind: kind}}
 		}
-		if err := w.core.Run(func(fx brain.Effects) (Decider, error) { return brain.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: brain.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
+		if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
 			t.Fatal(err)
 		}
 		rules.ActBy(gate, &rules.Version{Number: 1}, w.now+1e12)
@@ -177,7 +177,7 @@
 		w.ups[0].sent()
 		rules.ActBy(gate, &rules.Version{Number: 2, Book: &namespace.Book{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
 		w.core.Repool()
-		w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
+		w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.seen = nil
 		w.ups[0].ev.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 		if got := strings.Join(w.seen, "; "); !strings.Contains(got, want) {
@@ -188,21 +188,21 @@
 
 // A connection that comes up at a host that has changed pools meanwhile is known to the instance of its new pool, and to no other.
 func TestAConnectionFollowsItsHost(t *testing.T) {
-	w := &poolWorld{world: &world{t: t, now: 1e18}, hosts: map[string]HostEntry{"A": {Entry: brain.Entry{ID: "A", Kind: "m1", Weight: 1}, Endpoint: "at-A"}}, owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
+	w := &poolWorld{world: &world{t: t, now: 1e18}, hosts: map[string]HostEntry{"A": {Entry: balancer.Entry{ID: "A", Kind: "m1", Weight: 1}, Endpoint: "at-A"}}, owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	w.gate = &rules.Enforcer{Now: func() int64 { return w.now }}
 	modules := 0
-	w.core = New(w.loop, w, Options{Sessions: 10, Settings: brain.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []brain.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []brain.Tenant{{Name: "t1"}}}})
+	w.core = New(w.loop, w, Options{Sessions: 10, Settings: balancer.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t1"}}}})
 	w.on = func(e string) {
 		if e == "request r" {
 			w.fx.Send("r", "A", 0)
 		}
 	}
-	err := w.core.Run(func(fx brain.Effects) (Decider, error) {
+	err := w.core.Run(func(fx balancer.Effects) (Decider, error) {
 		modules++
 		w.fx = fx
 		return &namedModule{(*fakeModule)(w.world), fmt.Sprint("module ", modules)}, nil
-	}, noDiscovery{}, Change{Kind: brain.ListFull, Hosts: []HostEntry{w.hosts["A"]}})
+	}, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"]}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -226,6 +226,6 @@
 	name string
 }
 
-func (m *namedModule) Open(_ brain.Time, q brain.Request, _ string) {
+func (m *namedModule) Open(_ balancer.Time, q balancer.Request, _ string) {
 	m.event("%s opens %s", m.name, q.ID)
 }
--- a/internal/proxy/repeat.go
+++ b/internal/dataplane/proxy/repeat.go
@@ -5,14 +5,14 @@
 	"math"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
-	"croftlock/internal/metrics"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/metrics"
 )
 
 // class is the settings' entry for the request's class.
-func (r *Request) class() *brain.Class { return &r.core.opt.Settings.Classes[r.ask.Class] }
+func (r *Request) class() *balancer.Class { return &r.core.opt.Settings.Classes[r.ask.Class] }
 
 // endNow gives a request its answer at once, whatever is under way for it, and has the module forget it.
 func (r *Request) endNow(after time.Duration) {
@@ -43,15 +43,15 @@
 }
 
 // heldBack logs that a rule stood against an attempt, and tells as what the attempt ends.
-func (r *Request) heldBack(rule invariant.Rule, h *host) brain.Status {
+func (r *Request) heldBack(rule invariant.Rule, h *host) balancer.Status {
 	slog.Warn("held_back", "rule", rule, "request", r.ask.ID, "host", h.id)
 	switch rule {
 	case invariant.HostTakesNone:
-		return brain.Full
+		return balancer.Full
 	case invariant.InTime:
-		return brain.Timeout
+		return balancer.Timeout
 	}
-	return brain.Moot
+	return balancer.Moot
 }
 
 // MaySend says whether the first line may be written now that the connection stands: while it was being opened its host may have ceased to take
@@ -76,7 +76,7 @@
 	c := a.req.core
 	a.repeatTimer = c.loop.After(time.Duration(deadline-c.loop.Now()), func() {
 		if a.unsent() {
-			a.finish(brain.Moot, netio.Ended) // no fault of the host's
+			a.finish(balancer.Moot, netio.Ended) // no fault of the host's
 		}
 	})
 }
--- a/internal/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -4,16 +4,16 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
 )
 
 // keyed opens a request whose repeats hosts discard for 500 ms. Its first attempt is reset after 300 ms, and the second one begins at once.
 func keyed(t *testing.T) *world {
 	w := newWorld(t)
 	c := &w.core.opt.Settings.Classes[0]
-	c.Effect, c.Window = brain.Keyed, int64(500*time.Millisecond)
+	c.Effect, c.Window = balancer.Keyed, int64(500*time.Millisecond)
 	w.on = func(e string) {
 		switch e {
 		case "request q":
@@ -68,16 +68,16 @@
 // A refusal says that trying again is harmless. One that may have run must not hear so where it must not run twice.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	for _, c := range []struct {
-		effect brain.Effect
-		scope  brain.Scope
+		effect balancer.Effect
+		scope  balancer.Scope
 		ran    bool
 		want   string
 	}{
-		{brain.Safe, brain.ScopeAll, true, "refuse q 0"},
-		{brain.Keyed, brain.ScopeAll, true, "refuse q 0"},
-		{brain.Keyed, brain.ScopeZone, true, "fail q"},
-		{brain.Unsafe, brain.ScopeAll, true, "fail q"},
-		{brain.Unsafe, brain.ScopeAll, false, "refuse q 0"},
+		{balancer.Safe, balancer.ScopeAll, true, "refuse q 0"},
+		{balancer.Keyed, balancer.ScopeAll, true, "refuse q 0"},
+		{balancer.Keyed, balancer.ScopeZone, true, "fail q"},
+		{balancer.Unsafe, balancer.ScopeAll, true, "fail q"},
+		{balancer.Unsafe, balancer.ScopeAll, false, "refuse q 0"},
 	} {
 		w := newWorld(t)
 		k := &w.core.opt.Settings.Classes[0]
--- a/internal/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -5,11 +5,11 @@
 	"math"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
-	"croftlock/internal/logging"
-	"croftlock/internal/metrics"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/logging"
+	"croftlock/internal/operations/metrics"
 )
 
 const (
@@ -27,7 +27,7 @@
 	core     *Core
 	down     Downstream
 	first    First
-	ask      brain.Request
+	ask      balancer.Request
 	tenant   string // as its client named it
 	pool     *pool  // whose instance of the module places it, and after UP the one of its host; nil: its host changes hands
 	base     int    // attempts that were made before that instance was asked
@@ -65,7 +65,7 @@
 func tracing() bool { return logging.Tracing() }
 
 // send begins an attempt.
-func (c *Core) send(p *pool, id, server string, timeout brain.Time) {
+func (c *Core) send(p *pool, id, server string, timeout balancer.Time) {
 	r := c.requests[id]
 	if r == nil || r.pool != p {
 		return
@@ -79,25 +79,25 @@
 	}
 	h := c.hosts[server]
 	if h == nil || r.attempts > c.opt.Settings.MaxAttempts {
-		c.tell(r, p, func(now brain.Time, m Decider) { m.Outcome(now, id, number, brain.Moot, 0, r.answered, nil) })
+		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Moot, 0, r.answered, nil) })
 		return
 	}
 	// The module knows the rules as well; this holds should it ever not.
 	if rule := r.rec.Begin(now, h.place()); rule != invariant.None {
 		status := r.heldBack(rule, h)
-		c.tell(r, p, func(now brain.Time, m Decider) { m.Outcome(now, id, number, status, 0, r.answered, nil) })
+		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, status, 0, r.answered, nil) })
 		return
 	}
 	switch v, how := c.again(r, h); how {
 	case refusedNow:
 		r.decline(v.Advice)
-		c.tell(r, p, func(now brain.Time, m Decider) { m.Outcome(now, id, number, brain.Moot, 0, true, nil) })
+		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Moot, 0, true, nil) })
 		return
 	case elsewhere:
 		c.replace(r, number, c.choose(v.Pools))
 		return
 	case passed:
-		c.tell(r, p, func(now brain.Time, m Decider) { m.Outcome(now, id, number, brain.Full, 0, false, nil) })
+		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Full, 0, false, nil) })
 		return
 	}
 	r.start(h, number, until)
@@ -113,7 +113,7 @@
 	if tracing() {
 		slog.Debug("attempt", "request", r.ask.ID, "number", number, "host", h.id, "left_ms", (r.deadline-now)/1e6)
 	}
-	a.timer = c.loop.After(time.Duration(until-now), func() { a.finish(brain.Timeout, netio.Ended) })
+	a.timer = c.loop.After(time.Duration(until-now), func() { a.finish(balancer.Timeout, netio.Ended) })
 	a.limitRepeat()
 	a.dial()
 }
@@ -160,7 +160,7 @@
 }
 
 // finish ends an attempt that has not come up, closing its connection before the module can begin another.
-func (a *upstreamRequest) finish(status brain.Status, cause netio.Cause) {
+func (a *upstreamRequest) finish(status balancer.Status, cause netio.Cause) {
 	if !a.detach() {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // outcome tells the module how the attempt ended.
-func (a *upstreamRequest) outcome(status brain.Status) {
+func (a *upstreamRequest) outcome(status balancer.Status) {
 	r, c := a.req, a.req.core
 	elapsed := c.loop.Now() - a.sentAt
 	r.rec.Ended(status.ProvesNotRun())
@@ -195,7 +195,9 @@
 		return
 	}
 	closed := r.answered || a.up
-	c.tell(r, r.pool, func(now brain.Time, m Decider) { m.Outcome(now, r.ask.ID, a.number, status, elapsed, closed, a.report) })
+	c.tell(r, r.pool, func(now balancer.Time, m Decider) {
+		m.Outcome(now, r.ask.ID, a.number, status, elapsed, closed, a.report)
+	})
 	if closed {
 		r.forget()
 	}
--- a/internal/proxy/rules.go
+++ b/internal/dataplane/proxy/rules.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"slices"
 
-	"croftlock/brain"
-	"croftlock/internal/namespace"
-	"croftlock/internal/rules"
+	"croftlock/internal/balancer"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
 )
 
 // SetRules gives the core the rules on which the fleet agrees. It is called before clients come.
@@ -16,7 +16,7 @@
 }
 
 // ruled says what the fleet's rules make of a request, and logs by which version it was decided.
-func (c *Core) ruled(tenant, class string, q *brain.Request) (v rules.Verdict) {
+func (c *Core) ruled(tenant, class string, q *balancer.Request) (v rules.Verdict) {
 	if c.enforcer == nil {
 		return v
 	}
--- a/internal/proxy/schedule.go
+++ b/internal/dataplane/proxy/schedule.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
 )
 
 // What the platform grants a process between SIGTERM and SIGKILL: the longest deadline of any class, counted as countedDeadline at most,
@@ -42,7 +42,7 @@
 }
 
 // longestDeadline is that of all classes, in nanoseconds.
-func longestDeadline(classes []brain.Class) (longest int64) {
+func longestDeadline(classes []balancer.Class) (longest int64) {
 	for _, k := range classes {
 		longest = max(longest, k.Deadline)
 	}
--- a/internal/proxy/sessions.go
+++ b/internal/dataplane/proxy/sessions.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 const (
@@ -116,17 +116,17 @@
 			delay = d.isDelay(now, x, a.load)
 		}
 	}
-	kind, wrong := brain.NoteLoad, delay && tells && d.smallOn == a && a.load == d.small
+	kind, wrong := balancer.NoteLoad, delay && tells && d.smallOn == a && a.load == d.small
 	if x < mostDelay {
 		d.smallAt, d.smallOn, d.small = now, a, x
 	}
 	switch {
 	case delay:
-		kind, d.told, d.toldAt = brain.NoteDelay, x, now
+		kind, d.told, d.toldAt = balancer.NoteDelay, x, now
 		if wrong && a.before > 0 {
 			// What was taken for this connection's load was the first delay.
 			a.load = a.before
-			c.tell(nil, a.req.pool, func(now brain.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, brain.NoteLoad, a.before) })
+			c.tell(nil, a.req.pool, func(now balancer.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, balancer.NoteLoad, a.before) })
 		} else if a.load < mostDelay {
 			a.load = 0 // it may have been a delay itself
 		}
@@ -134,9 +134,9 @@
 		a.before, a.load = a.load, max(x, math.SmallestNonzeroFloat64)
 	}
 	if tracing() {
-		slog.Debug("told", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == brain.NoteDelay, "value", x)
+		slog.Debug("told", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == balancer.NoteDelay, "value", x)
 	}
-	c.tell(nil, a.req.pool, func(now brain.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, kind, x) })
+	c.tell(nil, a.req.pool, func(now balancer.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, kind, x) })
 }
 
 // watchSessions looks for hosts that have fallen silent and tells the module of slow ones.
@@ -158,7 +158,7 @@
 				// The machine has vanished or hangs, and TCP does not tell. The client must not wait for it.
 				slog.Warn("host_silent", "host", h.id, "request", r.ask.ID, "ms", (now-sent)/1e6)
 				c.counts.Lost++
-				r.move(brain.Reset)
+				r.move(balancer.Reset)
 				continue
 			}
 			if h.delay.oldest == 0 || sent < h.delay.oldest {
@@ -217,8 +217,8 @@
 	d.slow, d.noted = slow, now
 	for r := range h.up {
 		a := r.out
-		c.tell(nil, r.pool, func(now brain.Time, m Decider) {
-			m.Note(now, r.ask.ID, a.number, brain.NoteDelay, float64(took)/1e6)
+		c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
+			m.Note(now, r.ask.ID, a.number, balancer.NoteDelay, float64(took)/1e6)
 		})
 		return
 	}
--- a/internal/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -4,14 +4,14 @@
 	"log/slog"
 	"math"
 
-	"croftlock/brain"
-	"croftlock/internal/invariant"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
 )
 
 // Standing is an open connection as one process of a proxy hands it to the next.
 type Standing struct {
-	Request  brain.Request
+	Request  balancer.Request
 	Class    string // names, since numbers are of one process's settings
 	Tenant   string
 	Host     string
@@ -32,7 +32,7 @@
 	down, ok := r.down.(Releaser)
 	up, ok2 := a.conn.(Releaser)
 	if !ok || !ok2 {
-		r.move(brain.Cancelled)
+		r.move(balancer.Cancelled)
 		return
 	}
 	s := &Standing{Request: r.ask, Class: c.opt.Settings.Classes[r.ask.Class].Name, Host: a.host.id, Load: a.load, Waiting: a.waiting,
@@ -62,7 +62,7 @@
 				c.counts.Handed++
 				c.keeper.Standing(s, r.down.Goodbye(), gone)
 			}
-			a.outcome(brain.Cancelled)
+			a.outcome(balancer.Cancelled)
 		})
 	})
 }
@@ -83,7 +83,7 @@
 	if h == nil {
 		// The list has dropped it since, and its connections live on.
 		h = c.newHost(s.Host)
-		h.state, h.listed.State = brain.Departed, brain.Departed
+		h.state, h.listed.State = balancer.Departed, balancer.Departed
 	}
 	q := s.Request
 	q.Tenant = -1
@@ -110,10 +110,10 @@
 	c.requests[q.ID] = r
 	c.sessions++
 	c.counts.Resumed++
-	c.tell(nil, r.pool, func(now brain.Time, m Decider) {
+	c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
 		m.Open(now, q, s.Host)
 		if a.load > 0 {
-			m.Note(now, q.ID, 0, brain.NoteLoad, a.load)
+			m.Note(now, q.ID, 0, balancer.NoteLoad, a.load)
 		}
 	})
 	if c.suspended.Out(h.id) {
--- a/internal/proxy/started.go
+++ b/internal/dataplane/proxy/started.go
@@ -3,7 +3,7 @@
 import (
 	"log/slog"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // clockIsOff is how far the system's clock must be from this process's own for it to have been set.
@@ -13,7 +13,7 @@
 // where the system's stood as it began; one that has been set since tells starts that lie before or after what they mean by as much, and a
 // cold host that is taken for a warm one falls. Where the clock was set here, it may have been set at the host too or not: of the two moments
 // that a start can mean the later one counts that is not still to come. What lies in the future by either has started just now.
-func (c *Core) started(listed brain.Time) brain.Time {
+func (c *Core) started(listed balancer.Time) balancer.Time {
 	now := c.loop.Now()
 	if listed == 0 {
 		return 0
@@ -32,7 +32,7 @@
 }
 
 // clockOff is by how much the system's clock has been set since the start of this process; 0: not at all.
-func (c *Core) clockOff(now brain.Time) brain.Time {
+func (c *Core) clockOff(now balancer.Time) balancer.Time {
 	if c.opt.Wall == nil {
 		return 0
 	}
@@ -44,7 +44,7 @@
 }
 
 // entry is the host as the module is to see it.
-func (h *host) entry() brain.Entry {
+func (h *host) entry() balancer.Entry {
 	e := h.listed
 	e.State, e.Since = h.state, h.since
 	return e
--- a/internal/proxy/suspend.go
+++ b/internal/dataplane/proxy/suspend.go
@@ -4,21 +4,21 @@
 	"log/slog"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/maintenance"
-	"croftlock/internal/metrics"
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/maintenance"
+	"croftlock/internal/operations/metrics"
 )
 
 // counting is the state that counts for a listed host: one that operators have taken out takes nothing, whatever
 // discovery says, and one that drains or is gone by another proxy's newer list takes nothing new.
-func (c *Core) counting(e brain.Entry) brain.State {
+func (c *Core) counting(e balancer.Entry) balancer.State {
 	switch {
-	case e.State != brain.Ready:
+	case e.State != balancer.Ready:
 		return e.State
 	case c.suspended.Out(e.ID):
-		return brain.Suspended
+		return balancer.Suspended
 	case c.belowFloor(e):
-		return brain.Draining
+		return balancer.Draining
 	}
 	return e.State
 }
@@ -69,7 +69,7 @@
 func (c *Core) treat(id string, out bool, ban maintenance.Ban) {
 	now := c.loop.Now()
 	h := c.hosts[id]
-	if h == nil || h.listed.State == brain.Departed {
+	if h == nil || h.listed.State == balancer.Departed {
 		return // it holds from the next list on that names the host
 	}
 	h.state = c.counting(h.listed)
@@ -80,7 +80,7 @@
 			c.loop.After(time.Duration(maintenance.Doubt), func() { c.certain(h, e.Since) })
 		}
 	}
-	c.tell(nil, h.pool, func(now brain.Time, m Decider) { m.Members(now, brain.ListByHand, 0, []brain.Entry{e}) })
+	c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{e}) })
 	c.takeBack()
 	if out {
 		for r := range h.up {
@@ -95,7 +95,7 @@
 		c.paced(func() bool {
 			_, there := h.up[r]
 			if there = there && c.suspended.Out(h.id); there {
-				r.move(brain.Cancelled)
+				r.move(balancer.Cancelled)
 			}
 			return there
 		})
@@ -105,13 +105,13 @@
 // certain ends the doubt about a host that came back: its start is as discovery says, which has had its time. guess is the
 // start that the module was told.
 func (c *Core) certain(h *host, guess int64) {
-	if c.hosts[h.id] != h || h.state != brain.Ready || h.since >= guess {
+	if c.hosts[h.id] != h || h.state != balancer.Ready || h.since >= guess {
 		return // it is out again, or gone; or its start has been told since, and the module knows
 	}
 	away := h.entry()
-	away.State = brain.Suspended
-	back := []brain.Entry{away, h.entry()}
-	c.tell(nil, h.pool, func(now brain.Time, m Decider) { m.Members(now, brain.ListByHand, 0, back) })
+	away.State = balancer.Suspended
+	back := []balancer.Entry{away, h.entry()}
+	c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, back) })
 }
 
 // Figures is the text of all figures.
@@ -120,7 +120,7 @@
 	n := metrics.Now{Concurrent: open + pending}
 	now := c.loop.Now()
 	for id, h := range c.hosts {
-		if h.state == brain.Departed {
+		if h.state == balancer.Departed {
 			continue
 		}
 		n.Hosts++
--- a/internal/proxy/suspend_test.go
+++ b/internal/dataplane/proxy/suspend_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
 )
 
 // noDiscovery is one that the test speaks for.
@@ -35,7 +35,7 @@
 }
 
 func (w *handWorld) list() (ch Change) {
-	ch.Kind = brain.ListFull
+	ch.Kind = balancer.ListFull
 	for _, id := range []string{"A", "B", "C"} {
 		if h, ok := w.hosts[id]; ok {
 			ch.Hosts = append(ch.Hosts, h)
@@ -46,16 +46,16 @@
 
 // begin makes a process of the proxy that knows what the last one kept.
 func (w *handWorld) begin(k *Kept) {
-	cfg := brain.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2,
+	cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2,
 		WarmUp: 10e9, FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-		Classes: []brain.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []brain.Tenant{{Name: "t"}}}
+		Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 	w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
 	if k != nil {
 		w.core.Inherit(k)
 	}
 	ch := w.list()
-	ch.Kind = brain.ListCached
-	if err := w.core.Run(func(fx brain.Effects) (Decider, error) { return brain.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	ch.Kind = balancer.ListCached
+	if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		w.t.Fatal(err)
 	}
 	if k != nil {
@@ -69,7 +69,7 @@
 		w := &handWorld{world: &world{now: 1e18}, t: t, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		for _, id := range []string{"A", "B", "C"} {
-			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: brain.Entry{ID: id, Weight: 1}}
+			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1}}
 		}
 		w.begin(nil)
 		n := 0
@@ -88,18 +88,18 @@
 				}
 			case 2:
 				h := w.hosts[id]
-				h.State = rapid.SampledFrom([]brain.State{brain.Ready, brain.Draining, brain.Departed}).Draw(t, "state")
+				h.State = rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Draining, balancer.Departed}).Draw(t, "state")
 				h.Endpoint = rapid.SampledFrom([]string{"here", "there"}).Draw(t, "endpoint")
 				h.Entry.ID, h.Weight = id, 1
 				if rapid.Bool().Draw(t, "restarted") {
 					h.Since = w.now
 				}
-				if h.State == brain.Departed {
+				if h.State == balancer.Departed {
 					delete(w.hosts, id)
 				} else {
 					w.hosts[id] = h
 				}
-				w.core.Listed(Change{Kind: brain.ListDelta, Hosts: []HostEntry{h}})
+				w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
 			case 3:
 				w.core.Listed(w.list())
 			case 4, 5:
@@ -133,7 +133,7 @@
 func TestAllHostsOut(t *testing.T) {
 	w := &handWorld{world: &world{t: t, now: 1e18}, t: nil, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.hosts["A"] = HostEntry{Endpoint: "at-A", Entry: brain.Entry{ID: "A", Weight: 1}}
+	w.hosts["A"] = HostEntry{Endpoint: "at-A", Entry: balancer.Entry{ID: "A", Weight: 1}}
 	w.begin(nil)
 	w.core.Suspend("A", true, func(bool) {})
 	w.open("r1")
--- a/internal/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -3,9 +3,9 @@
 import (
 	"log/slog"
 
-	"croftlock/brain"
-	"croftlock/internal/metrics"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/metrics"
 )
 
 // UpstreamSent says that the last byte of the first line is written.
@@ -28,12 +28,12 @@
 	case Receipt:
 		a.stand(m)
 	case Busy:
-		a.finish(brain.Full, netio.Ended)
+		a.finish(balancer.Full, netio.Ended)
 	case Fault:
-		a.finish(brain.Error, netio.Ended)
+		a.finish(balancer.Error, netio.Ended)
 	default:
 		slog.Warn("odd_answer", "host", a.host.id, "request", r.ask.ID, "text", string(m.Text))
-		a.finish(brain.Error, netio.Ended)
+		a.finish(balancer.Error, netio.Ended)
 	}
 	return true
 }
@@ -63,7 +63,7 @@
 		slog.Debug("stands", "request", r.ask.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
 			"ms", elapsed/1e6)
 	}
-	c.tell(nil, r.pool, func(now brain.Time, m Decider) {
+	c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
 		if r.adopted {
 			m.Open(now, r.ask, a.host.id)
 			return
@@ -104,9 +104,9 @@
 func (a *upstreamRequest) UpstreamEnded(err *netio.Error) {
 	if !a.up {
 		// Up to the last byte of the first line the host cannot have acted on it.
-		status := brain.Reset
+		status := balancer.Reset
 		if err.Stage < netio.Sent {
-			status = brain.ConnectFailed
+			status = balancer.ConnectFailed
 		}
 		a.finish(status, netio.Ended)
 		return
@@ -114,12 +114,12 @@
 	if !a.detach() {
 		return
 	}
-	status := brain.Reset
+	status := balancer.Reset
 	switch a.last {
 	case Farewell:
-		status = brain.OK
+		status = balancer.OK
 	case MoveAway:
-		status = brain.Cancelled
+		status = balancer.Cancelled
 	default:
 		a.req.core.counts.Lost++
 	}
--- a/internal/proxy/world_test.go
+++ b/internal/dataplane/proxy/world_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"croftlock/brain"
-	"croftlock/internal/netio"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
 )
 
 // world is a core between fakes, on a clock that the test moves. Everything that the core does is noted in seen.
@@ -16,7 +16,7 @@
 	now     int64
 	loop    *netio.Loop
 	core    *Core
-	fx      brain.Effects
+	fx      balancer.Effects
 	seen    []string
 	ups     []*fakeUp
 	on      func(event string) // what the module does about an event
@@ -26,12 +26,12 @@
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: brain.Config{MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9,
-		ConnectTimeout: 250e6, Classes: []brain.Class{{Name: "c", Deadline: 4800e6, MessageAim: 150e6}},
-		Tenants: []brain.Tenant{{Name: "t"}}}})
-	up := func(id string) HostEntry { return HostEntry{Endpoint: "at-" + id, Entry: brain.Entry{ID: id}} }
-	err := w.core.Run(func(fx brain.Effects) (Decider, error) { w.fx = fx; return (*fakeModule)(w), nil }, nil,
-		Change{Kind: brain.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
+	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9,
+		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageAim: 150e6}},
+		Tenants: []balancer.Tenant{{Name: "t"}}}})
+	up := func(id string) HostEntry { return HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id}} }
+	err := w.core.Run(func(fx balancer.Effects) (Decider, error) { w.fx = fx; return (*fakeModule)(w), nil }, nil,
+		Change{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,38 +142,40 @@
 	}
 }
 
-func (m *fakeModule) Request(_ brain.Time, q brain.Request) { m.event("request %s", q.ID) }
+func (m *fakeModule) Request(_ balancer.Time, q balancer.Request) { m.event("request %s", q.ID) }
 
-func (m *fakeModule) Open(_ brain.Time, q brain.Request, s string) { m.event("open %s %s", q.ID, s) }
+func (m *fakeModule) Open(_ balancer.Time, q balancer.Request, s string) {
+	m.event("open %s %s", q.ID, s)
+}
 
-func (m *fakeModule) First(_ brain.Time, id string, n int, _ brain.Time) {
+func (m *fakeModule) First(_ balancer.Time, id string, n int, _ balancer.Time) {
 	m.event("first %s %d", id, n)
 }
 
-func (m *fakeModule) Outcome(_ brain.Time, id string, n int, s brain.Status, _ brain.Time, closed bool, _ []float64) {
+func (m *fakeModule) Outcome(_ balancer.Time, id string, n int, s balancer.Status, _ balancer.Time, closed bool, _ []float64) {
 	m.event("outcome %s %d %d %t", id, n, s, closed)
 }
 
-func (m *fakeModule) Gone(_ brain.Time, id string) { m.event("gone %s", id) }
+func (m *fakeModule) Gone(_ balancer.Time, id string) { m.event("gone %s", id) }
 
-func (m *fakeModule) Note(_ brain.Time, id string, n int, k brain.NoteKind, v float64) {
+func (m *fakeModule) Note(_ balancer.Time, id string, n int, k balancer.NoteKind, v float64) {
 	m.event("note %s %d %g", id, k, v)
 }
 
-func (m *fakeModule) Members(_ brain.Time, k brain.ListKind, _ int64, e []brain.Entry) {
+func (m *fakeModule) Members(_ balancer.Time, k balancer.ListKind, _ int64, e []balancer.Entry) {
 	m.event("members %d %d", k, len(e))
 }
 
-func (m *fakeModule) Probed(_ brain.Time, id string, s brain.Status, _ brain.Time, load []float64) {
+func (m *fakeModule) Probed(_ balancer.Time, id string, s balancer.Status, _ balancer.Time, load []float64) {
 	m.event("probed %s %s %v", id, s, load)
 }
 
-func (m *fakeModule) Peer(_ brain.Time, from int, data []byte) { m.event("peer %d %s", from, data) }
+func (m *fakeModule) Peer(_ balancer.Time, from int, data []byte) { m.event("peer %d %s", from, data) }
 
-func (m *fakeModule) Remember(bool) brain.Memory { return brain.Memory{} }
+func (m *fakeModule) Remember(bool) balancer.Memory { return balancer.Memory{} }
 
-func (m *fakeModule) Recall(brain.Time, brain.Memory) {}
+func (m *fakeModule) Recall(balancer.Time, balancer.Memory) {}
 
-func (m *fakeModule) Avoids(_ brain.Time, id string) bool { return id == m.avoided }
+func (m *fakeModule) Avoids(_ balancer.Time, id string) bool { return id == m.avoided }
 
-func (m *fakeModule) Timer(_ brain.Time, token string) { m.event("timer %s", token) }
+func (m *fakeModule) Timer(_ balancer.Time, token string) { m.event("timer %s", token) }
--- a/internal/tlslink/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 const name = "s1.test"
--- a/internal/tlslink/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -1,11 +1,11 @@
-package tlslink
+package upstreamtls
 
 import (
 	"errors"
 	"time"
 
-	"croftlock/internal/handshake"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/handshake"
+	"croftlock/internal/dataplane/netio"
 )
 
 // dial is one connection being opened.
--- a/internal/tlslink/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"crypto/tls"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // Every fault ends as a connection that never stood, with its reason, and no byte of a request reaches the server; where
--- a/internal/tlslink/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/handshake"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/handshake"
+	"croftlock/internal/dataplane/netio"
 )
 
 // Host is an upstream host to connect to.
--- a/internal/tlslink/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/handshake"
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/handshake"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/testbed/fake"
 )
 
 const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,d=2000\r\n"
--- a/internal/tlslink/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/certs"
+	"croftlock/internal/operations/certs"
 )
 
 // Material is what was read from the files, whole and consistent. It never changes; a replacement is another one, of a
--- a/internal/tlslink/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -1,20 +1,20 @@
-// Package tlslink is TLS from the proxy to its upstream hosts. It owns the files (trust, revocation, the client's pair)
+// Package upstreamtls is TLS from the proxy to its upstream hosts. It owns the files (trust, revocation, the client's pair)
 // and their replacement, what a host's certificate must be, the sessions kept for reuse, the handshakes, and the record
 // layer that netio drives on the loop. When a handshake may begin is decided by the package handshake.
 //
 // Handshakes run on a fixed set of workers beside the loop, on blocking sockets; what stands afterwards is driven on the
 // loop and has no goroutine. There is no way from here to a connection in plain text: whatever goes wrong ends as a
 // connection that never stood, before a byte of any request was written.
-package tlslink
+package upstreamtls
 
 import (
 	"crypto/tls"
 	"strings"
 	"time"
 
-	"croftlock/internal/expiry"
-	"croftlock/internal/handshake"
-	"croftlock/internal/settings"
+	"croftlock/internal/dataplane/certexpiry"
+	"croftlock/internal/dataplane/handshake"
+	"croftlock/internal/operations/settings"
 )
 
 // Options are what the operators' file says.
@@ -28,7 +28,7 @@
 	KeyExchange                []string
 	Reuse                      bool
 	Sessions                   int
-	Expiry                     expiry.Policy
+	Expiry                     certexpiry.Policy
 	OnExpiry                   string
 	Handshakes                 handshake.Limits
 }
@@ -36,7 +36,7 @@
 // Defaults are the options without a file: off, and the safer choice wherever there is one.
 func Defaults() Options {
 	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, Reuse: true, Sessions: 256,
-		OnExpiry: "keep", Expiry: expiry.Policy{Before: 10 * time.Minute, Share: 0.1}, Handshakes: handshake.Defaults()}
+		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, Share: 0.1}, Handshakes: handshake.Defaults()}
 	o.Handshakes.AtOnce = 8
 	return o
 }
--- a/internal/tlslink/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"crypto/tls"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // Replacements as they happen: whole, in place and half written, in the wrong order. What can't be used changes nothing
--- a/internal/tlslink/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"crypto/tls"
@@ -8,7 +8,7 @@
 	"runtime"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 // mostHeld bounds the sealed bytes of a connection that nobody has opened: what netpoll reads at once, while its input is
--- a/internal/tlslink/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"croftlock/internal/certs"
+	"croftlock/internal/operations/certs"
 )
 
 // OwnFault tells what of the proxy's own is wrong now, before any host is asked.
--- a/internal/tlslink/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"fmt"
--- a/internal/tlslink/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -1,4 +1,4 @@
-package tlslink
+package upstreamtls
 
 import (
 	"crypto/tls"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 // job is one handshake on a worker.
--- a/internal/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 func cmpErr(err error, why string) any {
--- a/internal/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/group"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/consensus/disk/disk.go
+++ b/internal/fleet/consensus/disk/disk.go
@@ -14,8 +14,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/encoding"
 )
 
 var (
--- a/internal/consensus/disk/disk_test.go
+++ b/internal/fleet/consensus/disk/disk_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/consensus"
+	"croftlock/internal/fleet/consensus"
 )
 
 func entries(from, n int, term uint64) (out []raftpb.Entry) {
--- a/internal/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Load reads all that is kept.
--- a/internal/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // register is a machine that keeps all it is told.
--- a/internal/consensus/lead.go
+++ b/internal/fleet/consensus/lead.go
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/raft/v3"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Phase is how far a process takes part.
--- a/internal/consensus/members.go
+++ b/internal/fleet/consensus/members.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Add takes a process that has asked for it into the group, as one that listens and does not vote.
--- a/internal/consensus/receive.go
+++ b/internal/fleet/consensus/receive.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Receive takes a message of another process's Core.
--- a/internal/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -3,7 +3,7 @@
 import (
 	"go.etcd.io/raft/v3/raftpb"
 
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/group"
 )
 
 // Peer names a process in messages.
--- a/internal/consensus/welcome.go
+++ b/internal/fleet/consensus/welcome.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 func (c *Core) hello() {
--- a/internal/group/group.go
+++ b/internal/fleet/group/group.go
@@ -6,7 +6,7 @@
 import (
 	"errors"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -1,8 +1,8 @@
 package jobs
 
 import (
-	"croftlock/internal/encoding"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Drill is a job that only tells every proxy a number: with it operators try the fleet's owners before anything rests on them.
--- a/internal/jobs/hosts.go
+++ b/internal/fleet/jobs/hosts.go
@@ -6,8 +6,8 @@
 	"sort"
 	"strings"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/ownership"
 )
 
 // MostHosts bounds how many hosts may be out for the whole fleet.
--- a/internal/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -3,7 +3,7 @@
 package jobs
 
 import (
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/jobs/jobs_test.go
+++ b/internal/fleet/jobs/jobs_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/ownership"
 )
 
 // table is what a Hosts job meets: receivers with fences, and a group that keeps what it is told.
--- a/internal/jobs/moves.go
+++ b/internal/fleet/jobs/moves.go
@@ -1,8 +1,8 @@
 package jobs
 
 import (
-	"croftlock/internal/encoding"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/ownership"
 )
 
 // permitFor is how long a permit may be used.
--- a/internal/jobs/pace.go
+++ b/internal/fleet/jobs/pace.go
@@ -1,7 +1,7 @@
 package jobs
 
 import (
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Pace is a proxy's own part: when it may send a client away.
--- a/internal/members/members.go
+++ b/internal/fleet/memberagent/members.go
@@ -1,6 +1,6 @@
-// Package members is the shell round membership: it owns the socket, the turns on the loop, the seal over datagrams, what the log and
+// Package memberagent is the shell round membership: it owns the socket, the turns on the loop, the seal over datagrams, what the log and
 // operators are told, and the section of the operators' file. What it knows of the others is membership's.
-package members
+package memberagent
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"croftlock/internal/membership"
-	"croftlock/internal/netio"
-	"croftlock/internal/peers"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/membership"
+	"croftlock/internal/fleet/peers"
 )
 
 // turn is how often membership is given the chance to act.
--- a/internal/members/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -1,4 +1,4 @@
-package members
+package memberagent
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/membership"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/membership"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/operations/settings"
 )
 
 // Options are the section (membership …).
--- a/internal/members/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -1,4 +1,4 @@
-package members
+package memberagent
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Report is what operators see.
--- a/internal/membership/virtual/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"math"
 	"math/rand/v2"
 	"sort"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Cost is what a way to detect failures costs, and what it gives.
--- a/internal/membership/virtual/events.go
+++ b/internal/fleet/membership/simulation/events.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 type event struct {
 	at  Time
--- a/internal/membership/virtual/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"slices"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Node is one process.
--- a/internal/membership/virtual/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"slices"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Fault is one line of a plan. Times are milliseconds.
--- a/internal/membership/virtual/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 	"croftlock/internal/testbed/golden"
 )
 
--- a/internal/membership/virtual/virtual.go
+++ b/internal/fleet/membership/simulation/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual plays a fleet of membership's processes in virtual time, with faults between them: it owns the clock, the network and
+// Package simulation plays a fleet of membership's processes in virtual time, with faults between them: it owns the clock, the network and
 // the plan, and looks at every step whether what may never happen has happened. Each run follows from its seed and its plan.
-package virtual
+package simulation
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // Time is nanoseconds since the run began.
--- a/internal/membership/virtual/virtual_test.go
+++ b/internal/fleet/membership/simulation/virtual_test.go
@@ -1,11 +1,11 @@
-package virtual
+package simulation
 
 import (
 	"os"
 	"strconv"
 	"testing"
 
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
 )
 
 // TestRandomPlans plays random plans; MEMBERSHIP_SEEDS sets how many, MEMBERSHIP_FIRST from which seed on.
--- a/internal/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/settings"
+	"croftlock/internal/operations/settings"
 )
 
 func compiled(t testing.TB, b *Book) *Compiled {
--- a/internal/namespace/section.go
+++ b/internal/fleet/namespace/section.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/settings"
+	"croftlock/internal/operations/settings"
 )
 
 // Section is a namespace as its administrators write it: (account NAME), and (guard LABEL …), (route LABEL …), (default LABEL …) as often as wanted.
--- a/internal/owners/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 import (
 	"time"
--- a/internal/owners/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"croftlock/internal/jobs"
-	"croftlock/internal/members"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/operations/settings"
 )
 
 // Options are the section (owners …).
@@ -56,7 +56,7 @@
 }
 
 // Check looks at what the section refers to. member is the section (membership …).
-func (o Options) Check(member members.Options) error {
+func (o Options) Check(member memberagent.Options) error {
 	if !o.On {
 		return nil
 	}
--- a/internal/owners/owners.go
+++ b/internal/fleet/owneragent/owners.go
@@ -1,7 +1,7 @@
-// Package owners is the shell round ownership: it owns the section of the operators' file, the goroutine on which the group, its store and the
+// Package owneragent is the shell round ownership: it owns the section of the operators' file, the goroutine on which the group, its store and the
 // jobs run beside the loop, their datagrams, and the socket at which operators ask. What it decides nothing of is ownership's, consensus's
 // and jobs'.
-package owners
+package owneragent
 
 import (
 	"errors"
@@ -11,14 +11,14 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/fragment"
-	"croftlock/internal/group"
-	"croftlock/internal/jobs"
-	"croftlock/internal/members"
-	"croftlock/internal/netio"
-	"croftlock/internal/ownership"
-	"croftlock/internal/quota"
-	"croftlock/internal/rules"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/fragment"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/ownership"
+	"croftlock/internal/fleet/quota"
+	"croftlock/internal/fleet/rules"
 )
 
 const (
@@ -38,7 +38,7 @@
 	name    string
 	life    uint64
 	loop    *netio.Loop
-	members *members.Agent
+	members *memberagent.Agent
 	in      chan func()
 	quit    chan struct{}
 	over    chan struct{}
@@ -83,7 +83,7 @@
 }
 
 // Start begins. apply carries out, on the loop, which hosts are out for the whole fleet.
-func Start(l *netio.Loop, o Options, name string, m *members.Agent, apply func(out []string)) (*Agent, error) {
+func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, apply func(out []string)) (*Agent, error) {
 	if m == nil {
 		return nil, errors.New("owners: membership is off")
 	}
--- a/internal/owners/owners_test.go
+++ b/internal/fleet/owneragent/owners_test.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 import (
 	"encoding/json"
@@ -11,17 +11,17 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/consensus/disk"
-	"croftlock/internal/group"
-	"croftlock/internal/jobs"
-	"croftlock/internal/members"
-	"croftlock/internal/netio"
-	"croftlock/internal/settings"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/consensus/disk"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/operations/settings"
 )
 
 func TestSection(t *testing.T) {
-	schema := settings.Schema{members.Section(), Section()}
+	schema := settings.Schema{memberagent.Section(), Section()}
 	path := filepath.Join(t.TempDir(), "f.sexp")
 	for text, want := range map[string]string{
 		`(owners (on on))`:                                       "no voters",
@@ -38,13 +38,13 @@
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
-	on := members.Options{On: true}
+	on := memberagent.Options{On: true}
 	for _, c := range []struct {
 		o    Options
-		m    members.Options
+		m    memberagent.Options
 		want string
-	}{{Options{On: true}, members.Options{}, "need membership"}, {Options{On: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{On: true, Dir: path}, on, "no folder"},
-		{Options{On: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, members.Options{}, ""}} {
+	}{{Options{On: true}, memberagent.Options{}, "need membership"}, {Options{On: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{On: true, Dir: path}, on, "no folder"},
+		{Options{On: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, memberagent.Options{}, ""}} {
 		if err := c.o.Check(c.m); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v, want %q", c.o, err, c.want)
 		}
@@ -82,7 +82,7 @@
 func TestProgramWithoutVoters(t *testing.T) {
 	OpenVoter = nil
 	defer func() { OpenVoter = openVoter }()
-	if err := (Options{On: true, Dir: t.TempDir()}).Check(members.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
+	if err := (Options{On: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
 		t.Error(err)
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	got := make(chan made, 1)
 	l.Post(func() {
-		m, err := members.Start(l, members.Options{On: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), members.Platform{})
+		m, err := memberagent.Start(l, memberagent.Options{On: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), memberagent.Platform{})
 		if err != nil {
 			got <- made{nil, err}
 			return
--- a/internal/owners/pace.go
+++ b/internal/fleet/owneragent/pace.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 // May tells how many of so many clients may be sent away now; then hears.
 func (s *Agent) May(want int, then func(n int)) {
--- a/internal/owners/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -1,10 +1,10 @@
-package owners
+package owneragent
 
 import (
 	"time"
 
-	"croftlock/internal/group"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Reply is the answer.
--- a/internal/owners/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 import (
 	"encoding/hex"
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
-	"croftlock/internal/quota"
-	"croftlock/internal/rules"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/quota"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/operations/settings"
 )
 
 // Rules is what the section (owners …) says of rules on which the fleet agrees.
--- a/internal/owners/sides.go
+++ b/internal/fleet/owneragent/sides.go
@@ -1,12 +1,12 @@
-package owners
+package owneragent
 
 import (
 	"errors"
 	"fmt"
 	"log/slog"
 
-	"croftlock/internal/jobs"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/ownership"
 )
 
 type boxSide struct{ s *Agent }
--- a/internal/owners/socket.go
+++ b/internal/fleet/owneragent/socket.go
@@ -1,4 +1,4 @@
-package owners
+package owneragent
 
 import (
 	"encoding/json"
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/group"
-	"croftlock/internal/jobs"
-	"croftlock/internal/members"
-	"croftlock/internal/namespace"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
 )
 
 // Request is what operators ask at the socket, one a connection.
@@ -39,7 +39,7 @@
 
 // serve answers at a Unix socket that only its owner may use.
 func serve(path string, s *Agent) (*door, error) {
-	l, err := members.Door(path)
+	l, err := memberagent.Door(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/owners/voter.go
+++ b/internal/fleet/owneragent/voter.go
@@ -1,12 +1,12 @@
-package owners
+package owneragent
 
 import (
 	"errors"
 	"log/slog"
 	"time"
 
-	"croftlock/internal/group"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Voter is a voter with a disk.
--- a/internal/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -1,7 +1,7 @@
 package ownership
 
 import (
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 func grantCmd(job, owner string, life, token uint64, wall int64, why string) []byte {
--- a/internal/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/group"
 )
 
 // Machine is the table's number among the group's machines.
--- a/internal/ownership/explore_test.go
+++ b/internal/fleet/ownership/explore_test.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"testing"
 
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/group"
 )
 
 // The exploration plays every order in which a bounded number of messages, losses, starts and steps of clocks can fall, of three voters of
--- a/internal/ownership/jobs.go
+++ b/internal/fleet/ownership/jobs.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sort"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // takeJobs takes the list of what this process is to own.
--- a/internal/ownership/keep.go
+++ b/internal/fleet/ownership/keep.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // keep asks the coordinator for another lease.
--- a/internal/ownership/lapse.go
+++ b/internal/fleet/ownership/lapse.go
@@ -1,7 +1,7 @@
 package ownership
 
 import (
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // lapse stops everything once the lease has ended.
--- a/internal/ownership/lead.go
+++ b/internal/fleet/ownership/lead.go
@@ -3,8 +3,8 @@
 import (
 	"sort"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // lead is the coordinator's turn.
--- a/internal/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -14,7 +14,7 @@
 	"fmt"
 	"sort"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/ownership/ownership_test.go
+++ b/internal/fleet/ownership/ownership_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/group"
 )
 
 // TestTable: whatever commands come, a job's token never falls, an old token changes nothing, and a snapshot is the table.
--- a/internal/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"sort"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // Quorum is a Group of voters without disks, after PaxosLease: a fixed set of them grants the lead for a time, from memory. A voter that has
--- a/internal/ownership/quorumlog.go
+++ b/internal/fleet/ownership/quorumlog.go
@@ -1,8 +1,8 @@
 package ownership
 
 import (
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // push sends a voter the whole state.
--- a/internal/ownership/quorumreceive.go
+++ b/internal/fleet/ownership/quorumreceive.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 // Receive takes another voter's message.
--- a/internal/ownership/receive.go
+++ b/internal/fleet/ownership/receive.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 var errTorn = errors.New("ownership: a message is torn, or of no known kind")
--- a/internal/ownership/virtual/check.go
+++ b/internal/fleet/ownership/simulation/check.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"sort"
 	"strings"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
 )
 
 // ErrBroken is what a check found.
--- a/internal/ownership/virtual/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"slices"
 	"sort"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
 )
 
 // act is a process's turn: its jobs, too.
--- a/internal/ownership/virtual/side.go
+++ b/internal/fleet/ownership/simulation/side.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/ownership"
 )
 
 type groupSide struct {
--- a/internal/ownership/virtual/virtual.go
+++ b/internal/fleet/ownership/simulation/virtual.go
@@ -1,15 +1,15 @@
-// Package virtual plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that sleep and
+// Package simulation plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that sleep and
 // die, links that lose, double, delay and cut, disks that fail and clocks that run apart. It owns the plans of faults and the checks of
 // what must hold at every step. The same seed plays the same run.
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"slices"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Time is virtual nanoseconds.
--- a/internal/ownership/virtual/virtual_test.go
+++ b/internal/fleet/ownership/simulation/virtual_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"os"
--- a/internal/ownership/world_test.go
+++ b/internal/fleet/ownership/world_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"croftlock/internal/encoding"
-	"croftlock/internal/group"
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
 )
 
 type envelope struct {
--- a/internal/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 const (
--- a/internal/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 type heard struct {
--- a/internal/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"croftlock/internal/jobs"
+	"croftlock/internal/fleet/jobs"
 	"croftlock/internal/testbed/golden"
 )
 
--- a/internal/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -1,8 +1,8 @@
 package quota
 
 import (
-	"croftlock/internal/jobs"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Issuer is the owner's part of one shard. What it has handed out is forgotten with it: its successor waits until all of that has lapsed.
