--- a/internal/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/voter/voter.go
+++ b/internal/fleet/replica/voter.go
@@ -1,15 +1,15 @@
-// Package voter opens a voter with a disk for the shell of owners: consensus on a bbolt file. It owns nothing; it is apart so that programs
+// Package replica opens a replica with a disk for the owner agent: consensus on a bbolt file. It owns nothing; it is apart so that programs
 // without voters do not carry it.
-package voter
+package replica
 
 import (
 	"errors"
 	"path/filepath"
 
-	"croftlock/internal/consensus"
-	"croftlock/internal/consensus/disk"
-	"croftlock/internal/group"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/consensus/disk"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/owneragent"
 )
 
 type voter struct{ *consensus.Core }
@@ -27,7 +27,7 @@
 }
 
 // Open opens the voter whose store is in a folder.
-func Open(o owners.VoterOptions) (owners.Voter, *group.StoreError) {
+func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
 	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.Most)
 	if err != nil {
 		return nil, wrap(err)
--- a/internal/rules/ask.go
+++ b/internal/fleet/rules/ask.go
@@ -6,7 +6,7 @@
 	"sort"
 	"strings"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // Kinds of questions to the coordinator.
--- a/internal/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // What a change is about.
--- a/internal/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 func key(n byte) ed25519.PrivateKey { return ed25519.NewKeyFromSeed(bytes.Repeat([]byte{n}, 32)) }
--- a/internal/rules/coordinator.go
+++ b/internal/fleet/rules/coordinator.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"croftlock/internal/jobs"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/ownership"
 )
 
 // lease is what a member was given last.
--- a/internal/rules/grant.go
+++ b/internal/fleet/rules/grant.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // signed is what a signature is over: the whole change but for the signature itself.
--- a/internal/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/jobs"
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/namespace"
 )
 
 const (
--- a/internal/rules/hands.go
+++ b/internal/fleet/rules/hands.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // moves tells whether a host or a tenant changes hands between two versions.
--- a/internal/rules/hands_test.go
+++ b/internal/fleet/rules/hands_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // While a host and a tenant change hands, and one is cut off: from the moment that anyone may use them as the new owner nobody uses them as the old.
--- a/internal/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 
 	"pgregory.net/rapid"
 )
--- a/internal/rules/lease.go
+++ b/internal/fleet/rules/lease.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/namespace"
-	"croftlock/internal/quota"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/quota"
 )
 
 // A lease is counted from before it was asked for, on the asker's monotonic clock, less a part for clocks that run apart: one in a hundred
--- a/internal/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 
-	"croftlock/internal/jobs"
-	"croftlock/internal/ownership"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/ownership"
 )
 
 // keep is what a member says of itself with each question for a lease, and what it gets.
--- a/internal/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/namespace"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/operations/settings"
 )
 
 // String writes a version as a file has it, a line each thing, so that two of them can be compared line by line. What is below accounts at the top
--- a/internal/rules/queue.go
+++ b/internal/fleet/rules/queue.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // pending is a change and who waits for its answer.
--- a/internal/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 	"croftlock/internal/testbed/golden"
 )
 
--- a/internal/rules/rollback.go
+++ b/internal/fleet/rules/rollback.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 func (n *Version) dropAccount(was *Version, c *Change) error {
--- a/internal/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/settings"
+	"croftlock/internal/operations/settings"
 )
 
 func TestAVersionBecomesActiveEverywhere(t *testing.T) {
--- a/internal/rules/section.go
+++ b/internal/fleet/rules/section.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"croftlock/internal/namespace"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/operations/settings"
 )
 
 // Section is what operators write: (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST), each as often as wanted; pools and accounts; and the
--- a/internal/rules/tokens.go
+++ b/internal/fleet/rules/tokens.go
@@ -1,6 +1,6 @@
 package rules
 
-import "croftlock/internal/namespace"
+import "croftlock/internal/fleet/namespace"
 
 // usualChanges is how many changes a minute an account may ask for where nothing else is said. Those that are refused count: whoever
 // sends bad ones without end must not take the coordinator's time from others.
--- a/internal/rules/travel.go
+++ b/internal/fleet/rules/travel.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // A version travels and is kept in one of three forms: as it is written, which also processes of an earlier build read; squeezed; or as what is
--- a/internal/rules/travel_test.go
+++ b/internal/fleet/rules/travel_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // large is a version of so many customers with ten routes each.
--- a/internal/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"croftlock/internal/namespace"
+	"croftlock/internal/fleet/namespace"
 )
 
 // Time is nanoseconds on the caller's monotonic clock.
--- a/internal/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -4,7 +4,7 @@
 	"errors"
 	"math"
 
-	"croftlock/internal/encoding"
+	"croftlock/internal/fleet/encoding"
 )
 
 // Kinds of datagrams.
--- a/internal/watermark/section.go
+++ b/internal/fleet/watermark/section.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"croftlock/internal/settings"
+	"croftlock/internal/operations/settings"
 )
 
 // Options are the section (floors …).
--- a/internal/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 var seeds = []string{
--- a/internal/admin/front.go
+++ b/internal/operations/admin/front.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 const (
--- a/internal/wire/config.go
+++ b/internal/operations/balancerconfig/config.go
@@ -1,4 +1,6 @@
-package wire
+// Package balancerconfig reads the platform's settings object as the decision module's configuration. The names that the protocol gives
+// to settings are known here alone; the real proxy and the simulator's adapter both read them by Decode.
+package balancerconfig
 
 import (
 	"encoding/json"
@@ -6,7 +8,7 @@
 	"math"
 	"slices"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 type settings struct {
@@ -76,21 +78,21 @@
 	} `json:"tariffs"`
 }
 
-var semantics = map[string]brain.Effect{
-	"read_like": brain.Safe, "idempotency_key": brain.Keyed, "non_idempotent": brain.Unsafe,
+var semantics = map[string]balancer.Effect{
+	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
 }
 
-var scopes = map[string]brain.Scope{
-	"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone, "cell": brain.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// Config reads the settings of Init. Keys it does not know are skipped.
-func Config(raw []byte) (brain.Config, error) {
+// Decode reads the settings object. Keys that it does not know are skipped; a value that can't be used is an error that names it.
+func Decode(raw []byte) (balancer.Config, error) {
 	var s settings
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return brain.Config{}, fmt.Errorf("message Init with malformed config: %v", err)
+		return balancer.Config{}, fmt.Errorf("message Init with malformed config: %v", err)
 	}
-	c := brain.Config{
+	c := balancer.Config{
 		Me: s.Me, Peers: s.Peers, Zone: s.Zone, Zones: s.Zones, Tick: s.Step, OverShare: s.OverShare,
 		WorthByWork: s.WorthBy == "work",
 		MaxAttempts: s.Bounds.TryLimit, ConnectTimeout: s.Bounds.ConnectTimeout,
@@ -109,7 +111,7 @@
 	if s.Report.How == "none" {
 		c.ReportLoad, c.ReportQueue = -1, -1
 	}
-	c.Prices = brain.Prices(s.Tariffs)
+	c.Prices = balancer.Prices(s.Tariffs)
 	switch s.Discovery {
 	case "automatic", "":
 	case "subscribe":
@@ -126,7 +128,7 @@
 		if !ok {
 			return c, fmt.Errorf("config: class %q with dedup_scope %q, which is unknown", l.Name, l.Scope)
 		}
-		class := brain.Class{Name: l.Name, Aim: l.OnTime, Deadline: l.Deadline, Effect: effect, Scope: scope,
+		class := balancer.Class{Name: l.Name, Aim: l.OnTime, Deadline: l.Deadline, Effect: effect, Scope: scope,
 			Window: l.KeyTTL, Worth: l.Gain, LateWorth: l.Late}
 		if i < len(s.Extra.MessageAim) {
 			class.MessageAim = s.Extra.MessageAim[i]
@@ -134,7 +136,7 @@
 		c.Classes = append(c.Classes, class)
 	}
 	for i, o := range s.Orgs {
-		t := brain.Tenant{Name: o.Name, QuotaPerS: o.Quota, Share: o.Fraction}
+		t := balancer.Tenant{Name: o.Name, QuotaPerS: o.Quota, Share: o.Fraction}
 		if i < len(s.Extra.Quota) {
 			t.QuotaConnections = s.Extra.Quota[i]
 		}
@@ -147,7 +149,7 @@
 // unround makes the tenants' quotas in requests a second exact again. The settings give them as whole numbers, and a
 // small tenant's as 0, which in sum may be off by half; their quotas in connections are larger, and the same life of a
 // connection lies between all of them. Quotas that no one life explains stay as they are told.
-func unround(tenants []brain.Tenant) {
+func unround(tenants []balancer.Tenant) {
 	least, most := 0.0, math.Inf(1)
 	for _, t := range tenants {
 		n := t.QuotaPerS
--- a/internal/wire/config_test.go
+++ b/internal/operations/balancerconfig/config_test.go
@@ -1,10 +1,10 @@
-package wire
+package balancerconfig
 
 import (
 	"math"
 	"testing"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // TestQuotasAreMadeExactAgain: quotas a second are told as whole numbers, so that a fleet that bears 3 a second may read 2,
@@ -13,11 +13,11 @@
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
 	for _, fleet := range []float64{60, 137, 239, 1200} {
 		for _, life := range []float64{24, 37, 51} {
-			var ts []brain.Tenant
+			var ts []balancer.Tenant
 			told := 0.0
 			for _, s := range shares {
 				n := math.Round(fleet * s)
-				ts = append(ts, brain.Tenant{QuotaConnections: n, QuotaPerS: math.Round(fleet * s / life)})
+				ts = append(ts, balancer.Tenant{QuotaConnections: n, QuotaPerS: math.Round(fleet * s / life)})
 				told += ts[len(ts)-1].QuotaPerS
 			}
 			if told == 0 {
@@ -33,9 +33,9 @@
 			}
 		}
 	}
-	for _, odd := range [][]brain.Tenant{nil, {{QuotaPerS: 2}}, {{QuotaPerS: 0, QuotaConnections: 5}},
+	for _, odd := range [][]balancer.Tenant{nil, {{QuotaPerS: 2}}, {{QuotaPerS: 0, QuotaConnections: 5}},
 		{{QuotaPerS: 2.5, QuotaConnections: 90}}, {{QuotaPerS: 1, QuotaConnections: 1000}, {QuotaPerS: 9, QuotaConnections: 10}}} {
-		before := append([]brain.Tenant(nil), odd...)
+		before := append([]balancer.Tenant(nil), odd...)
 		unround(odd)
 		for i := range odd {
 			if odd[i] != before[i] {
@@ -48,13 +48,13 @@
 // Settings of a later day hold fields that are not known here, and reports of more than is read: they are passed over, and what is
 // known is found wherever it stands.
 func TestUnknownSettingsArePassedOver(t *testing.T) {
-	c, err := Config([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
+	c, err := Decode([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
 		"goal":{"worst_class":0.3,"other":1},"report":{"how":"probe","fields":["x1","x0","odd","pending"],"since":2},
 		"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like","colour":"red"}]}`))
 	if err != nil || c.Ask || !c.MayProbe || c.ReportLoad != 1 || c.ReportQueue != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	c, err = Config([]byte(`{"report":{"how":"none","fields":["x0"]},"lanes":[]}`))
+	c, err = Decode([]byte(`{"report":{"how":"none","fields":["x0"]},"lanes":[]}`))
 	if err != nil || c.ReportLoad != -1 {
 		t.Errorf("reports that nobody gives are expected: %d, %v", c.ReportLoad, err)
 	}
--- a/internal/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -13,7 +13,7 @@
 	"time"
 	"unicode"
 
-	"croftlock/internal/settings"
+	"croftlock/internal/operations/settings"
 )
 
 // Options say how to log.
--- a/internal/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -11,11 +11,11 @@
 	"reflect"
 	"strconv"
 
-	"croftlock/brain"
-	"croftlock/internal/cluster"
-	"croftlock/internal/peers"
-	"croftlock/internal/proxy"
-	"croftlock/internal/wire"
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/cluster"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/fleet/peers"
+	"croftlock/internal/operations/balancerconfig"
 )
 
 // Config is what a proxy is told at its start.
@@ -25,7 +25,7 @@
 	Seed                    int64
 	Limits                  Limits
 	Known                   proxy.Change
-	Settings                brain.Config
+	Settings                balancer.Config
 	DelayInLoad             bool // hosts tell of loads and of delays
 	Peers                   peers.Addresses
 	Reports                 []string // the fields of load reports; none: there are none
@@ -107,7 +107,7 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("no settings")
 	}
-	if c.Settings, err = wire.Config(f.Settings); err != nil {
+	if c.Settings, err = balancerconfig.Decode(f.Settings); err != nil {
 		return nil, err
 	}
 	var notes struct {
@@ -132,7 +132,7 @@
 			return nil, fmt.Errorf("known: %v", err)
 		}
 	}
-	c.Known.Kind = brain.ListCached
+	c.Known.Kind = balancer.ListCached
 	return c, nil
 }
 
--- a/internal/lab/agreeing.go
+++ b/internal/testbed/experiment/agreeing.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/owners"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/testbed/fake"
 )
 
 // agreeingRig is five processes that agree on rules, under placements, and what came of it.
@@ -68,7 +68,7 @@
 
 // ask asks the keeper by way of a process.
 func (g *agreeingRig) ask(i int, body []byte) string {
-	rep, err := g.Owners(i, owners.Request{Do: "rules", Rules: body})
+	rep, err := g.Owners(i, owneragent.Request{Do: "rules", Rules: body})
 	if err != nil {
 		return "unknown: " + err.Error()
 	}
--- a/internal/lab/command.go
+++ b/internal/testbed/experiment/command.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -39,10 +39,10 @@
 	{"tls-bad", "every bad server, its outcome and reason; 20 s", tlsBad},
 }
 
-// Main is croftlab's command line, with more commands than those of this package; it gives the exit status.
+// Main is croftlock-experiment's command line, with more commands than those of this package; it gives the exit status.
 func Main(args []string, more ...*cobra.Command) int {
 	var program, out string
-	root := &cobra.Command{Use: "croftlab", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{Use: "croftlock-experiment", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
 	self, _ := os.Executable()
 	root.PersistentFlags().StringVar(&program, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	root.PersistentFlags().StringVar(&out, "out", "", "folder to keep the report in, as JSON")
@@ -68,12 +68,12 @@
 		return nil
 	}
 	root.AddCommand(&cobra.Command{Use: "run NAME...", Short: "Run experiments; exit 1 where a bound is missed",
-		Example: "  croftlab run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
+		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, name := range args {
 				x := find(name)
 				if x == nil {
-					return fmt.Errorf("no experiment %q; croftlab list names them", name)
+					return fmt.Errorf("no experiment %q; croftlock-experiment list names them", name)
 				}
 				if err := do(x.name, x.run); err != nil {
 					return fmt.Errorf("%s: %w", name, err)
@@ -82,7 +82,7 @@
 			return nil
 		}})
 	root.AddCommand(&cobra.Command{Use: "demo", Short: "A discovery, three servers, one proxy and some clients, on loopback",
-		Example: "  croftlab demo", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return do("demo", demo) }})
+		Example: "  croftlock-experiment demo", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return do("demo", demo) }})
 	relay := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs}
 	var r relayOptions
 	relay.Flags().StringVar(&r.to, "to", "", "")
@@ -93,7 +93,7 @@
 	root.AddCommand(more...)
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "croftlab:", err)
+		fmt.Fprintln(os.Stderr, "croftlock-experiment:", err)
 		return 1
 	}
 	if missed {
@@ -115,7 +115,7 @@
 	if _, err := os.Stat(program); err != nil {
 		return nil, fmt.Errorf("the program to run: %v; --croftlock names it", err)
 	}
-	dir, err := os.MkdirTemp("", "croftlab")
+	dir, err := os.MkdirTemp("", "croftlock-experiment")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/config.go
+++ b/internal/testbed/experiment/config.go
@@ -1,9 +1,9 @@
-package lab
+package experiment
 
 import (
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // processConfig is the configuration file of one proxy, in the platform's names.
--- a/internal/lab/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"croftlock/internal/fleetlog"
+	"croftlock/internal/testbed/fleetlog"
 
 	"github.com/spf13/cobra"
 )
@@ -19,7 +19,7 @@
 	c := &cobra.Command{Use: "fleet LOGDIR", Short: "Count over the logs of many proxies, on one time axis",
 		Long: "Reads each *.log in a folder as the log of one proxy, written with (log (level debug) (repeat 0)), and counts\n" +
 			"what all of them did together: by stretches of time, and by server.",
-		Example: "  croftlab fleet logs --window 2s", Args: cobra.ExactArgs(1),
+		Example: "  croftlock-experiment fleet logs --window 2s", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if window <= 0 || fall <= 0 {
 				return fmt.Errorf("--window and --fall have to be above zero")
--- a/internal/lab/load.go
+++ b/internal/testbed/experiment/load.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // tally counts what clients got.
--- a/internal/lab/member.go
+++ b/internal/testbed/experiment/member.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -7,12 +7,12 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/membership/virtual"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/testbed/fake"
 )
 
 const (
-	costLasts = 60 * virtual.Sec
+	costLasts = 60 * simulation.Sec
 	costTurns = 5
 )
 
--- a/internal/lab/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -9,22 +9,22 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/membership/virtual"
+	"croftlock/internal/fleet/membership/simulation"
 )
 
 // memberCost plays each way to detect failures that was weighed, in virtual time.
 func memberCost(e *Env, r *Report) error {
 	ways := []struct {
 		name string
-		f    func(n int, loss float64, lasts virtual.Time, seed uint64) virtual.Cost
-	}{{"suspicion, heard by anybody", virtual.Measure}, {"heartbeats to all, phi 8", virtual.Heartbeats}, {"ten observers that agree", virtual.Observers}}
+		f    func(n int, loss float64, lasts simulation.Time, seed uint64) simulation.Cost
+	}{{"suspicion, heard by anybody", simulation.Measure}, {"heartbeats to all, phi 8", simulation.Heartbeats}, {"ten observers that agree", simulation.Observers}}
 	const table = "a second an instance; time until 99 in 100 know of a death; false alarms an hour in the whole fleet"
 	r.Head(table, "way", "members", "loss", "messages", "bytes", "known ms (median, worst of 5)", "false alarms")
 	type job struct {
 		way, n, turns int
 		loss          float64
-		lasts         virtual.Time
-		got           []virtual.Cost
+		lasts         simulation.Time
+		got           []simulation.Cost
 	}
 	var jobs []*job
 	for _, n := range []int{1000, 300, 100, 10, 3} { // the longest first
@@ -32,7 +32,7 @@
 			for _, loss := range []float64{0, 0.05, 0.2} {
 				x := &job{way: way, n: n, turns: costTurns, loss: loss, lasts: costLasts}
 				if n >= 300 {
-					x.turns, x.lasts = 1, 20*virtual.Sec
+					x.turns, x.lasts = 1, 20*simulation.Sec
 				}
 				jobs = append(jobs, x)
 			}
@@ -60,7 +60,7 @@
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Or(a.way-b.way, a.n-b.n) })
 	var at3, at1000 float64
 	for _, x := range jobs {
-		var known []virtual.Time
+		var known []simulation.Time
 		alarms := 0.0
 		for _, c := range x.got {
 			if c.Known < 0 {
@@ -70,11 +70,11 @@
 			alarms += c.FalseAlarms / float64(x.turns)
 		}
 		slices.Sort(known)
-		took := func(t virtual.Time) string {
+		took := func(t simulation.Time) string {
 			if t == 1<<62 {
 				return "over 15000"
 			}
-			return fmt.Sprint(t / virtual.Ms)
+			return fmt.Sprint(t / simulation.Ms)
 		}
 		r.Row(table, ways[x.way].name, x.n, x.loss, fmt.Sprintf("%.1f", x.got[0].Messages), fmt.Sprintf("%.0f", x.got[0].Bytes),
 			took(known[len(known)/2])+", "+took(known[len(known)-1]), fmt.Sprintf("%.1f", alarms))
--- a/internal/lab/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/members"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/testbed/fake"
 )
 
 // memberCut cuts links in one direction, makes one deaf and one mute, and cuts two off from three.
@@ -81,9 +81,9 @@
 	var asJSON bool
 	c := &cobra.Command{Use: "members SOCKET", Short: "Ask a running proxy which others are there", Args: cobra.ExactArgs(1),
 		Long:    "Asks over the Unix socket that the operators' file names: (membership (socket \"/run/croftlock/members.sock\")).",
-		Example: "  croftlab members /run/croftlock/members.sock --json",
+		Example: "  croftlock-experiment members /run/croftlock/members.sock --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := members.Ask(args[0])
+			rep, err := memberagent.Ask(args[0])
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/internal/lab/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 const (
--- a/internal/lab/opsfigures.go
+++ b/internal/testbed/experiment/opsfigures.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // opsFigures compares the figures with what clients and servers counted, times operators' calls under load with half
--- a/internal/lab/opssite.go
+++ b/internal/testbed/experiment/opssite.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // site is one proxy with its stand-ins, which processes may replace one another at.
--- a/internal/lab/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // ownerChaos has a fault every 2 s for two minutes, with clients placed throughout.
--- a/internal/lab/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/owneragent"
 )
 
 // ownerCost measures what owners cost: grants and changes, an idle voter's and a follower's CPU, bytes.
@@ -59,7 +59,7 @@
 		job := fmt.Sprintf("drill%03d", turn%6)
 		to := (who[job] + 1) % 6
 		began := time.Now()
-		rep, err := rig.Owners(0, owners.Request{Do: "move", A: job, B: fmt.Sprintf("n%d", to)})
+		rep, err := rig.Owners(0, owneragent.Request{Do: "move", A: job, B: fmt.Sprintf("n%d", to)})
 		if err != nil || rep.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
@@ -110,7 +110,7 @@
 		}
 		return b
 	}
-	rep, err := rig.Owners(0, owners.Request{Do: "owners"})
+	rep, err := rig.Owners(0, owneragent.Request{Do: "owners"})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/owneragent"
 )
 
 // ownerDisk has each fault of a disk happen to each voter during a stream of commands.
@@ -105,7 +105,7 @@
 			default:
 			}
 			id := fmt.Sprintf("host%03d", i%200)
-			if rep, err := rig.Owners(3+i%2, owners.Request{Do: "suspend", A: id}); err == nil && strings.HasPrefix(rep.Answer, "done") {
+			if rep, err := rig.Owners(3+i%2, owneragent.Request{Do: "suspend", A: id}); err == nil && strings.HasPrefix(rep.Answer, "done") {
 				done = append(done, id)
 				told.Add(1)
 			}
@@ -146,9 +146,9 @@
 	if _, err := rig.AllOwned(1); err != nil {
 		return 0, 0, "", err
 	}
-	var list owners.Reply
+	var list owneragent.Reply
 	if _, ok := Until(ownersWait, func() bool {
-		list, err = rig.Owners(4, owners.Request{Do: "list"})
+		list, err = rig.Owners(4, owneragent.Request{Do: "list"})
 		return err == nil && strings.HasPrefix(list.Answer, "out for the fleet")
 	}); !ok {
 		return 0, 0, "", fmt.Errorf("no list: %v %v", list, err)
@@ -159,7 +159,7 @@
 			lost++
 		}
 	}
-	rep, err := rig.Owners(victim, owners.Request{Do: "status"})
+	rep, err := rig.Owners(victim, owneragent.Request{Do: "status"})
 	if err != nil {
 		return 0, 0, "", err
 	}
--- a/internal/lab/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/owneragent"
 )
 
 // ownerHandover ends processes in order, and replaces them, and looks how long their jobs were without an owner.
@@ -45,7 +45,7 @@
 		// One voter at a time, as the operators' page says: the last one has to be back first.
 		if _, ok := Until(ownersWait, func() bool {
 			for v := range 3 {
-				rep, err := r.Owners(v, owners.Request{Do: "status"})
+				rep, err := r.Owners(v, owneragent.Request{Do: "status"})
 				if err != nil || disks && (rep.Group == nil || rep.Group.Phase != "member" || rep.Group.Leader == "") {
 					return false
 				}
--- a/internal/lab/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/testbed/fake"
 )
 
 // call is one operator's word, for the check of the history.
@@ -63,14 +63,14 @@
 				// A host that is no upstream host of anybody's: placement is not to follow from it.
 				c := call{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: []string{"suspend", "resume", "list"}[rng.IntN(3)]}
 				at := time.Now()
-				rep, err := h.rig.Owners(3+rng.IntN(2), owners.Request{Do: c.kind, A: map[bool]string{true: "", false: c.host}[c.kind == "list"]})
+				rep, err := h.rig.Owners(3+rng.IntN(2), owneragent.Request{Do: c.kind, A: map[bool]string{true: "", false: c.host}[c.kind == "list"]})
 				h.note(k, c, at, rep, err)
 			}
 		}()
 	}
 }
 
-func (h *history) note(client int, c call, at time.Time, rep owners.Reply, err error) {
+func (h *history) note(client int, c call, at time.Time, rep owneragent.Reply, err error) {
 	op := porcupine.Operation{ClientId: client, Input: c, Call: at.UnixNano(), Output: "unknown", Return: time.Now().UnixNano()}
 	done := err == nil && rep.Error == "" && !strings.HasPrefix(rep.Answer, "unknown") && !strings.HasPrefix(rep.Answer, "refused")
 	if done && c.kind == "list" {
--- a/internal/lab/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/testbed/fake"
 )
 
-// PlantedEnv has croftlab run as the program, with a fault that an experiment has to find.
+// PlantedEnv has croftlock-experiment run as the program, with a fault that an experiment has to find.
 const PlantedEnv = "CROFTLAB_PLANTED"
 
 // lateTaken counts, in all lives' logs, effects of an older token that were taken after a newer one's, and refusals.
@@ -126,7 +126,7 @@
 	switch how {
 	case "stopped for 30 s after its look":
 		// One job stops the process between its look and its sending; the others sleep wherever they are.
-		if _, err := r.Owners(victim, owners.Request{Do: "late", A: mine[0]}); err != nil {
+		if _, err := r.Owners(victim, owneragent.Request{Do: "late", A: mine[0]}); err != nil {
 			return 0, 0, 0, nil, err
 		}
 		time.Sleep(lasts)
--- a/internal/lab/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -13,13 +13,13 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // Env is what an experiment runs with.
 type Env struct {
 	Croftlock string // path of the program
-	Self      string // path of croftlab, for the comparisons that it runs as a process of its own
+	Self      string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
 	Dir       string // of its own, for files; removed afterwards
 	Say       func(format string, args ...any)
 }
--- a/internal/lab/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"os"
 	"runtime"
 
-	"croftlock/internal/lineproto"
+	"croftlock/internal/dataplane/lineproto"
 )
 
 // relayOptions are those of the program that croftlock's TLS is compared with: a plain relay with two goroutines a
--- a/internal/lab/report.go
+++ b/internal/testbed/experiment/report.go
@@ -1,7 +1,7 @@
-// Package lab holds experiments: each starts real croftlock processes against stand-ins on loopback, measures, and holds
+// Package experiment holds experiments: each starts real croftlock processes against stand-ins on loopback, measures, and holds
 // the result against stated bounds. They take from seconds to a few minutes, bounded in count and time, and stay out of
 // the tests.
-package lab
+package experiment
 
 import (
 	"encoding/json"
--- a/internal/lab/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/members"
-	"croftlock/internal/membership/virtual"
-	"croftlock/internal/owners"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/fleet/owneragent"
+	"croftlock/internal/testbed/fake"
 )
 
 // Rig is several processes of the program with faults between them.
@@ -97,7 +97,7 @@
 		if strings.Contains(sections, "(dir ") && filepath.Base(e.Croftlock) == "croftlock" {
 			program = e.Croftlock + "-voter" // the program that keeps votes on a disk
 		}
-		r.setup = append(r.setup, Setup{Program: program, Listen: listen, Tmp: tmp, Name: virtual.Name(i), Discovery: setup.Discovery, Known: setup.Known,
+		r.setup = append(r.setup, Setup{Program: program, Listen: listen, Tmp: tmp, Name: simulation.Name(i), Discovery: setup.Discovery, Known: setup.Known,
 			Settings: path, Cores: 0.5, Sockets: 1024, MemoryMB: 64, Env: run})
 	}
 	for i := range n {
@@ -113,8 +113,8 @@
 func (r *Rig) Dir(i int) string { return filepath.Join(r.dir, fmt.Sprintf("own%d", i)) }
 
 // Owners asks a process about the fleet's owners.
-func (r *Rig) Owners(i int, q owners.Request) (owners.Reply, error) {
-	return owners.Ask(filepath.Join(r.Dir(i), "owners.sock"), q)
+func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
+	return owneragent.Ask(filepath.Join(r.Dir(i), "owners.sock"), q)
 }
 
 func (r *Rig) socket(i int) string { return filepath.Join(r.dir, fmt.Sprintf("n%d.sock", i)) }
@@ -160,7 +160,7 @@
 }
 
 // Ask asks a process who is there.
-func (r *Rig) Ask(i int) (members.Report, error) { return members.Ask(r.socket(i)) }
+func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.Ask(r.socket(i)) }
 
 // Close ends all of it.
 func (r *Rig) Close() {
@@ -180,7 +180,7 @@
 		if slices.Contains(but, i) {
 			continue
 		}
-		rep, err := r.Owners(i, owners.Request{Do: "owners"})
+		rep, err := r.Owners(i, owneragent.Request{Do: "owners"})
 		if err != nil {
 			return nil, err.Error()
 		}
@@ -236,6 +236,6 @@
 
 // Full has a process's disk without room, and with it again.
 func (r *Rig) Full(i int) (begin, end func() error) {
-	begin, end, _ = r.effect(virtual.Fault{Kind: "full", A: i})
+	begin, end, _ = r.effect(simulation.Fault{Kind: "full", A: i})
 	return begin, end
 }
--- a/internal/lab/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -9,26 +9,26 @@
 
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/membership/virtual"
-	"croftlock/internal/settings"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/operations/settings"
+	"croftlock/internal/testbed/fake"
 )
 
 // ReadPlan reads a plan: S-expressions as virtual.Fault prints them, times in milliseconds.
-func ReadPlan(name string, data []byte, processes int) ([]virtual.Fault, error) {
+func ReadPlan(name string, data []byte, processes int) ([]simulation.Fault, error) {
 	root, faults := settings.Parse(name, data)
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
-	var plan []virtual.Fault
+	var plan []simulation.Fault
 	for _, line := range root.Values() {
 		bad := func(what string) error { return fmt.Errorf("%s:%v: %s", name, line.Pos, what) }
 		v := line.Values()
 		if len(v) == 0 || len(v[0].Values()) > 0 {
 			return nil, bad("expected (KIND (at MS) (for MS) (a N) ...)")
 		}
-		p := virtual.Fault{Kind: v[0].Text}
-		if !virtual.Known(p.Kind) {
+		p := simulation.Fault{Kind: v[0].Text}
+		if !simulation.Known(p.Kind) {
 			return nil, bad(fmt.Sprintf("no fault %q", p.Kind))
 		}
 		for _, field := range v[1:] {
@@ -64,7 +64,7 @@
 }
 
 // Play has a plan's faults happen to real processes, and returns once the last one has ended.
-func (r *Rig) Play(plan []virtual.Fault) error {
+func (r *Rig) Play(plan []simulation.Fault) error {
 	type step struct {
 		at time.Duration
 		do func() error
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (r *Rig) effect(p virtual.Fault) (begin, end func() error, err error) {
+func (r *Rig) effect(p simulation.Fault) (begin, end func() error, err error) {
 	n := len(r.Procs)
 	nothing := func() error { return nil }
 	links := func(which func(i, j int) bool, change func(l *fake.Link, on bool)) (func() error, func() error) {
@@ -164,7 +164,7 @@
 }
 
 // PlanText is a plan as ReadPlan reads it.
-func PlanText(plan []virtual.Fault) string {
+func PlanText(plan []simulation.Fault) string {
 	var b bytes.Buffer
 	for _, p := range plan {
 		fmt.Fprintln(&b, p)
--- a/internal/lab/rigsee.go
+++ b/internal/testbed/experiment/rigsee.go
@@ -1,10 +1,10 @@
-package lab
+package experiment
 
 import (
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/membership"
+	"croftlock/internal/fleet/membership"
+	"croftlock/internal/testbed/fake"
 )
 
 // Sees is how one process holds another; "" where it does not answer.
--- a/internal/lab/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/rules"
+	"croftlock/internal/testbed/fake"
 )
 
 const agreeWithin = time.Second
--- a/internal/lab/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/membership/virtual"
-	"croftlock/internal/rules"
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/fleet/rules"
 )
 
 // turns are what came of one fault, played again and again with a change under way each time.
@@ -150,7 +150,7 @@
 	}
 	var ends []func() error
 	for _, a := range at {
-		begin, end, err := g.effect(virtual.Fault{Kind: f.kind, A: a})
+		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, A: a})
 		if err == nil {
 			err = begin()
 		}
--- a/internal/lab/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/ownership/virtual"
+	"croftlock/internal/fleet/ownership/simulation"
 )
 
 // simCommand plays the program's own decisions in virtual time.
@@ -18,7 +18,7 @@
 	var first, seeds, show int
 	var fault string
 	owner := &cobra.Command{Use: "owner", Args: cobra.NoArgs, Short: "Owners, with 3 and 5 voters, with disks and without",
-		Example: "  croftlab sim owner --seeds 2000\n  croftlab sim owner --seeds 1000 --plant skip-sync",
+		Example: "  croftlock-experiment sim owner --seeds 2000\n  croftlock-experiment sim owner --seeds 1000 --plant skip-sync",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			plant, known := plants[fault]
 			if !known {
@@ -26,7 +26,7 @@
 			}
 			began := time.Now()
 			var mu sync.Mutex
-			var sum virtual.Run
+			var sum simulation.Run
 			var first1 error
 			bad, at := 0, 0
 			next := make(chan uint64)
@@ -36,9 +36,9 @@
 				go func() {
 					defer busy.Done()
 					for s := range next {
-						c := virtual.Config{Processes: 5, Voters: 3 + 2*int(s/2%2), Jobs: 3, Disks: s%2 == 0, Seed: s}
+						c := simulation.Config{Processes: 5, Voters: 3 + 2*int(s/2%2), Jobs: 3, Disks: s%2 == 0, Seed: s}
 						plant(&c)
-						r := virtual.New(c)
+						r := simulation.New(c)
 						plan := r.Faults()
 						err := r.Play()
 						mu.Lock()
@@ -68,7 +68,7 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%d plans from %d on in %v: %d failed; %d effects taken, %d old ones refused, %d beginnings, %d notes kept, %d leads, %d of them unsure\n",
 				seeds, first, time.Since(began).Round(time.Second), bad, sum.Effects, sum.Refused, sum.Starts, sum.Notes, sum.Leads, sum.Unsure)
 			if n := len(sum.Gaps); n > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, sum.Gaps[n/2]/virtual.Ms, sum.Gaps[n*99/100]/virtual.Ms)
+				fmt.Fprintf(cmd.OutOrStdout(), "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, sum.Gaps[n/2]/simulation.Ms, sum.Gaps[n*99/100]/simulation.Ms)
 			}
 			if bad > 0 {
 				return fmt.Errorf("first found at seed %d", at)
@@ -83,10 +83,10 @@
 	return root
 }
 
-var plants = map[string]func(c *virtual.Config){
-	"":            func(*virtual.Config) {},
-	"skip-sync":   func(c *virtual.Config) { c.Disks, c.SkipSync = true, true },
-	"eager":       func(c *virtual.Config) { c.Disks, c.Eager = false, true },
-	"from-answer": func(c *virtual.Config) { c.FromAnswer = true },
-	"forget":      func(c *virtual.Config) { c.Forget = true },
+var plants = map[string]func(c *simulation.Config){
+	"":            func(*simulation.Config) {},
+	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
+	"eager":       func(c *simulation.Config) { c.Disks, c.Eager = false, true },
+	"from-answer": func(c *simulation.Config) { c.FromAnswer = true },
+	"forget":      func(c *simulation.Config) { c.Forget = true },
 }
--- a/internal/lab/soak/bans.go
+++ b/internal/testbed/experiment/soak/bans.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // ban is an operator's word that a proxy sends nothing more to a host, from the proxy's yes to the call that takes it back.
@@ -65,7 +65,7 @@
 	if l == nil || l.stopping() {
 		return false
 	}
-	status, _, _, err := lab.Call(l.admin, "POST", "/v1/catalogue-servers/"+host+"/"+word)
+	status, _, _, err := experiment.Call(l.admin, "POST", "/v1/catalogue-servers/"+host+"/"+word)
 	return err == nil && status == 200
 }
 
--- a/internal/lab/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/netio"
+	"croftlock/internal/dataplane/netio"
 )
 
 // clockEnv tells a process how its clock is off: at its start, when it is set, and by how much it is off from then on, as durations.
--- a/internal/lab/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -9,17 +9,17 @@
 
 	"github.com/spf13/cobra"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
-// Command is croftlab's soak: plays of many seeds, one after the other; its status is 1 where a rule was broken.
+// Command is croftlock-experiment's soak: plays of many seeds, one after the other; its status is 1 where a rule was broken.
 func Command() *cobra.Command {
 	var opt Options
 	var seeds uint64
 	var program string
 	self, _ := os.Executable()
 	c := &cobra.Command{Use: "soak", Short: "Many processes under faults that overlap, seed after seed; exit 1 where a rule was broken",
-		Example: "  croftlab soak --seed 1 --seeds 20 --proxies 20 --length 30s", Args: cobra.NoArgs}
+		Example: "  croftlock-experiment soak --seed 1 --seeds 20 --proxies 20 --length 30s", Args: cobra.NoArgs}
 	c.Flags().Uint64Var(&opt.Seed, "seed", 1, "the first seed")
 	c.Flags().Uint64Var(&seeds, "seeds", 1, "how many")
 	c.Flags().IntVar(&opt.Proxies, "proxies", 20, "proxies, 10 to 40")
@@ -54,7 +54,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	r, err := Play(&lab.Env{Croftlock: program, Dir: dir}, opt)
+	r, err := Play(&experiment.Env{Croftlock: program, Dir: dir}, opt)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/lab/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // CountedDeadline is the most that a class's deadline counts for in the time between SIGTERM and SIGKILL.
@@ -36,11 +36,11 @@
 // Fleet is the proxies of one play with all that is around them.
 type Fleet struct {
 	opt     Options
-	env     *lab.Env
+	env     *experiment.Env
 	rng     *rand.Rand
 	clocks  *rand.Rand
 	record  *Record
-	classes []lab.Class
+	classes []experiment.Class
 	shims   []*Shim // by proxy; nil: its system calls are left alone
 	nodes   []*Node
 	slack   *stallMeter
@@ -55,12 +55,12 @@
 var fleets int
 
 // NewFleet starts hosts, discoveries and proxies. All of them have addresses of this process's own, so that no port can be taken by another.
-func NewFleet(env *lab.Env, opt Options) (*Fleet, error) {
+func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleets++
 	f := &Fleet{opt: opt, env: env, rng: rand.New(rand.NewPCG(opt.Seed, 38)), clocks: rand.New(rand.NewPCG(opt.Seed, 39)), record: NewRecord(), slack: newStallMeter()}
 	longest := []time.Duration{400, 1000, 2000, 3000, 4800, 9000}[f.rng.IntN(6)] * time.Millisecond
-	f.classes = []lab.Class{{Name: "safe", Deadline: longest, Effect: lab.Safe}, {Name: "keyed", Deadline: max(longest/2, 300*time.Millisecond), Effect: lab.Keyed,
-		Window: time.Duration(200+f.rng.IntN(3000)) * time.Millisecond}, {Name: "unsafe", Deadline: max(longest*3/4, 300*time.Millisecond), Effect: lab.Unsafe}}
+	f.classes = []experiment.Class{{Name: "safe", Deadline: longest, Effect: experiment.Safe}, {Name: "keyed", Deadline: max(longest/2, 300*time.Millisecond), Effect: experiment.Keyed,
+		Window: time.Duration(200+f.rng.IntN(3000)) * time.Millisecond}, {Name: "unsafe", Deadline: max(longest*3/4, 300*time.Millisecond), Effect: experiment.Unsafe}}
 	for i := range opt.Hosts {
 		h, err := NewHost(fmt.Sprintf("s-%d", i), zone(i), f.address(2, i), f.record)
 		if err != nil {
@@ -81,7 +81,7 @@
 
 // address is one of this play's own: loopback addresses that this process alone uses.
 func (f *Fleet) address(kind, i int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", lab.OwnNetwork(), fleets%100, kind*80+i%80, lab.OwnPort()+i/80)
+	return fmt.Sprintf("127.%d.%d.%d:%d", experiment.OwnNetwork(), fleets%100, kind*80+i%80, experiment.OwnPort()+i/80)
 }
 
 func (f *Fleet) longest() time.Duration { return f.classes[0].Deadline }
@@ -109,7 +109,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	n.setup = lab.Setup{Name: fmt.Sprint("n", i), Listen: f.address(1, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, Sockets: 1024,
+	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(1, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, Sockets: 1024,
 		Connect: 250 * time.Millisecond, Tmp: dir}
 	if f.opt.Logs != "" {
 		n.setup.Settings = filepath.Join(f.env.Dir, "debug.sexp")
@@ -129,7 +129,7 @@
 }
 
 // launch starts a proxy's process, behind its shim where it has one.
-func (f *Fleet) launch(s lab.Setup, number int) (*lab.Process, error) {
+func (f *Fleet) launch(s experiment.Setup, number int) (*experiment.Process, error) {
 	if f.opt.Clocks {
 		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.drawClock())
 	}
--- a/internal/lab/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // Host is a catalogue server that can be broken in the ways that the platform breaks them. It notes in the record what it received of each
--- a/internal/lab/soak/life.go
+++ b/internal/testbed/experiment/soak/life.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // life is one process of a proxy, from its start to its end.
@@ -16,7 +16,7 @@
 	name  string
 	node  *Node
 	admin string // where operators call
-	proc  *lab.Process
+	proc  *experiment.Process
 	began time.Time
 
 	mu      sync.Mutex
--- a/internal/lab/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -5,15 +5,15 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // Node is one proxy: its processes, one after the other, at one address.
 type Node struct {
 	number    int
 	fleet     *Fleet
-	setup     lab.Setup
+	setup     experiment.Setup
 	discovery [2]*fake.Discovery // the one that is asked, and the one that a new configuration names
 	asks      int                // which of them
 
@@ -55,7 +55,7 @@
 	setup := n.setup
 	setup.Discovery, setup.Known = n.discovery[n.asks].Addr(), n.lastHeld()
 	if setup.Tmp != "" {
-		admin, err := lab.FreeAddr()
+		admin, err := experiment.FreeAddr()
 		if err != nil {
 			return err
 		}
--- a/internal/lab/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // Violation is one action against a rule, with what is known of it.
@@ -19,7 +19,7 @@
 type asked struct {
 	*Session
 	life  *life
-	class lab.Class
+	class experiment.Class
 }
 
 // What the rules grant, and what a proxy that is held up may add.
@@ -62,7 +62,7 @@
 			o.broke("drain", "%s: at %s %v after its proxy was told that it is %s by %s; %s", who, x.host, x.at.Sub(since.at), since.state, since.by, a.life)
 		}
 	}
-	if out.Answer == Refused && a.class.Effect == lab.Unsafe {
+	if out.Answer == Refused && a.class.Effect == experiment.Unsafe {
 		for _, x := range arrivals {
 			if said, _, _ := x.seen(); said != "BUSY" {
 				o.broke("refusal_harmful", "%s: refused, and %s has it whole and said %q", who, x.host, said)
@@ -119,7 +119,7 @@
 		}
 		if ran != nil {
 			apart := x.at.Sub(ran.at)
-			if a.class.Effect == lab.Unsafe || a.class.Effect == lab.Keyed && apart > a.class.Window+orderSlack+heldUp+o.slack {
+			if a.class.Effect == experiment.Unsafe || a.class.Effect == experiment.Keyed && apart > a.class.Window+orderSlack+heldUp+o.slack {
 				o.broke("duplicate", "%s: at %s %v after %s", who, x.host, apart, ran.host)
 			}
 		}
--- a/internal/lab/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // Result is what one play showed.
@@ -36,7 +36,7 @@
 }
 
 // Play runs a fleet under faults that overlap, and judges what was seen.
-func Play(env *lab.Env, opt Options) (*Result, error) {
+func Play(env *experiment.Env, opt Options) (*Result, error) {
 	f, err := NewFleet(env, opt)
 	if f != nil {
 		defer f.Close()
--- a/internal/lab/soak/session.go
+++ b/internal/testbed/experiment/soak/session.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // Answer is what a client got for its first line.
--- a/internal/lab/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // shimEnv names the program that a process is to become once its system calls are looked at.
@@ -106,7 +106,7 @@
 const shimFD = 3
 
 // Launch starts a process behind the shim. Its calls are left alone until it is ready: Go's own runtime ends a process whose first epoll_ctl fails.
-func (s *Shim) Launch(e *lab.Env, p lab.Setup) (*lab.Process, error) {
+func (s *Shim) Launch(e *experiment.Env, p experiment.Setup) (*experiment.Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
--- a/internal/lab/soak/soak_test.go
+++ b/internal/testbed/experiment/soak/soak_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/lab"
+	"croftlock/internal/testbed/experiment"
 )
 
 // environment is what every process of a play is started with.
-func environment(t *testing.T) *lab.Env {
+func environment(t *testing.T) *experiment.Env {
 	t.Helper()
 	t.Setenv(asProgram, "1")
 	t.Setenv("GORACE", "atexit_sleep_ms=0") // a program with the race detector else takes a second more to end, by that alone
-	return &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
+	return &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
 }
 
 // Ten processes under faults that overlap, for a short time: no rule is broken, by what clients and hosts saw and by the processes' own count.
--- a/internal/lab/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/command"
-	"croftlock/internal/fake"
-	"croftlock/internal/lab"
+	"croftlock/internal/app/command"
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
 )
 
 // asProgram has the test's own binary run as the program.
@@ -27,7 +27,7 @@
 
 // stopping is one proxy with hosts that can hang.
 type stopping struct {
-	proxy    *lab.Process
+	proxy    *experiment.Process
 	hosts    []*fake.Server
 	deadline time.Duration
 }
@@ -49,8 +49,8 @@
 		s.hosts = append(s.hosts, h)
 		d.Set(h.Entry())
 	}
-	env := &lab.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	s.proxy, err = env.Proxy(lab.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Deadline: deadline, Env: []string{asProgram + "=1"}})
+	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
+	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Deadline: deadline, Env: []string{asProgram + "=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +75,9 @@
 // stand begins sessions until so many have been served; some may be refused on the way.
 func (s *stopping) stand(t *testing.T, n int) (all []*Session) {
 	t.Helper()
-	_, ok := lab.Until(20*time.Second, func() bool {
+	_, ok := experiment.Until(20*time.Second, func() bool {
 		c := s.start(t, 1)[0]
-		lab.Until(s.deadline+time.Second, func() bool { return c.Outcome().Answer != Unanswered })
+		experiment.Until(s.deadline+time.Second, func() bool { return c.Outcome().Answer != Unanswered })
 		if c.Outcome().Answer == Served {
 			all = append(all, c)
 		}
--- a/internal/lab/tls.go
+++ b/internal/testbed/experiment/tls.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/tls"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // fleet are stand-in servers behind TLS with the files that a proxy needs for them.
--- a/internal/lab/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/tls"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // tlsBad has a proxy meet every bad server, each in a process of its own, and then faults of its own.
--- a/internal/lab/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/tls"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"croftlock/internal/fake"
+	"croftlock/internal/testbed/fake"
 )
 
 // tlsCost measures what TLS to servers costs the proxy: to open a connection, to carry a line, to hold it.
--- a/internal/lab/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/tls"
@@ -9,9 +9,9 @@
 	"os"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
-	"croftlock/internal/tlslink"
+	"croftlock/internal/dataplane/upstreamtls"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // handshakeParts measures each side of a handshake apart, without a network: what a side computes between two waits.
@@ -80,13 +80,13 @@
 	r.Head(title, "how", "time")
 	var first, again series
 	for range 300 {
-		m, err := tlslink.Load(tlslink.Options{Trust: []string{trust}}, 1)
+		m, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}}, 1)
 		if err != nil {
 			return err
 		}
 		for _, s := range []*series{&first, &again} {
 			began := time.Now()
-			if _, err := m.Verify([]*x509.Certificate{leaf.Cert}, tlslink.Name{Text: "s1.lab"}, began); err != nil {
+			if _, err := m.Verify([]*x509.Certificate{leaf.Cert}, upstreamtls.Name{Text: "s1.lab"}, began); err != nil {
 				return err
 			}
 			*s = append(*s, float64(time.Since(began))/1e3)
--- a/internal/lab/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 // tlsRotation replaces everything that can be replaced, while 200 connections a second are opened and 400 stand.
--- a/internal/lab/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"croftlock/internal/certs"
-	"croftlock/internal/fake"
+	"croftlock/internal/operations/certs"
+	"croftlock/internal/testbed/fake"
 )
 
 const (
--- a/internal/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"croftlock/internal/certs"
+	"croftlock/internal/operations/certs"
 )
 
 // Authority signs what tests need.
--- a/internal/fake/bad.go
+++ b/internal/testbed/fake/bad.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"croftlock/internal/certs"
+	"croftlock/internal/operations/certs"
 )
 
 // Pki is what faults are made from: an authority that is trusted and one that is not.
--- a/internal/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -1,4 +1,4 @@
-// Package fake holds what a proxy meets outside, for tests and for croftlab: discovery, catalogue servers, clients, and
+// Package fake holds what a proxy meets outside, for tests and for croftlock-experiment: discovery, catalogue servers, clients, and
 // servers with faults in their TLS. All is scriptable, made from the platform's protocol and the public specifications,
 // and on loopback only. Nothing of it runs in a proxy.
 package fake
--- a/internal/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"croftlock/internal/certs"
+	"croftlock/internal/operations/certs"
 )
 
 // Fault is a server with something wrong in its TLS, and what a proxy should make of it.
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/logging"
+	"croftlock/internal/operations/logging"
 )
 
 // write makes a log with the program's own handler, as it would be on disk.
--- a/internal/wire/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"encoding/base64"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 	"croftlock/internal/testbed/golden"
 )
 
@@ -64,7 +64,7 @@
 }
 
 func newSequence(seed int64) *sequence {
-	s := &sequence{seed: seed, rng: rand.New(rand.NewSource(seed)), host: NewHost(brain.New), now: 100 * second,
+	s := &sequence{seed: seed, rng: rand.New(rand.NewSource(seed)), host: NewHost(balancer.New), now: 100 * second,
 		config: map[string]json.RawMessage{}, byID: map[string]*liveRequest{}, digest: golden.NewDigest()}
 	instances := []int{1, 3, 2}[seed%3]
 	for i := range instances {
@@ -139,10 +139,10 @@
 }
 
 // begin starts a balancer with the list that it last had.
-func (s *sequence) begin(balancer string) {
+func (s *sequence) begin(name string) {
 	sheet := s.sheet(s.servers)
-	s.deliver(map[string]any{"event_type": "Init", "balancer": balancer, "salt": s.seed*100 + int64(s.gen), "config": s.config[balancer]}, sheet,
-		map[string]any{"event_type": "Membership", "balancer": balancer, "form": "restored", "gen": s.gen, "sheet": s.sheets})
+	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.gen), "config": s.config[name]}, sheet,
+		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.gen, "sheet": s.sheets})
 }
 
 // sheet names a list of servers for the events that follow.
@@ -308,13 +308,13 @@
 func (s *sequence) balancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
 
 // newRequest makes the fields that an arriving request and an adopted connection share.
-func (s *sequence) newRequest(kind, balancer string, bits int) (*liveRequest, map[string]any) {
+func (s *sequence) newRequest(kind, name string, bits int) (*liveRequest, map[string]any) {
 	s.nextID++
-	r := &liveRequest{balancer: balancer, id: fmt.Sprintf("r%d", s.nextID), attempt: -1}
+	r := &liveRequest{balancer: name, id: fmt.Sprintf("r%d", s.nextID), attempt: -1}
 	s.requests = append(s.requests, r)
-	s.byID[balancer+"/"+r.id] = r
+	s.byID[name+"/"+r.id] = r
 	classes := 1 + int(s.seed%3)
-	e := map[string]any{"event_type": kind, "balancer": balancer, "request_id": r.id, "cls": fmt.Sprintf("c%d", s.rng.Intn(classes)),
+	e := map[string]any{"event_type": kind, "balancer": name, "request_id": r.id, "cls": fmt.Sprintf("c%d", s.rng.Intn(classes)),
 		"remaining": (200 + s.rng.Int63n(1800)) * millisecond, "item": fmt.Sprintf("key%d", s.rng.Intn(50)), "party": fmt.Sprintf("t%d", s.rng.Intn(3))}
 	if s.grouped && s.rng.Intn(4) > 0 {
 		e["channel"] = fmt.Sprintf("g%d", s.rng.Intn(8))
@@ -330,8 +330,8 @@
 	return r, e
 }
 
-func (s *sequence) inbound(balancer string, bits int) {
-	_, e := s.newRequest("Inbound", balancer, bits)
+func (s *sequence) inbound(name string, bits int) {
+	_, e := s.newRequest("Inbound", name, bits)
 	s.deliver(e)
 }
 
@@ -431,9 +431,9 @@
 }
 
 // direct calls a balancer's decision module with what the wire has no event for.
-func (s *sequence) direct(balancer string, call func(b *brain.Brain)) {
+func (s *sequence) direct(name string, call func(b *balancer.Brain)) {
 	s.host.out.start()
-	s.host.guard(s.host.instances[balancer], call)
+	s.host.guard(s.host.instances[name], call)
 	reply := s.host.out.finish()
 	s.events++
 	s.digest.Add("%d %s", s.now, reply)
@@ -441,43 +441,43 @@
 }
 
 // suspend has an operator take a server out, or call it back.
-func (s *sequence) suspend(balancer string) {
+func (s *sequence) suspend(name string) {
 	e := s.servers[s.rng.Intn(len(s.servers))]
-	entry := brain.Entry{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, Since: e.Since}
+	entry := balancer.Entry{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, Since: e.Since}
 	if s.rng.Intn(2) == 0 {
-		entry.State = brain.Suspended
+		entry.State = balancer.Suspended
 	}
-	s.direct(balancer, func(b *brain.Brain) { b.Members(s.now, brain.ListByHand, 0, []brain.Entry{entry}) })
+	s.direct(name, func(b *balancer.Brain) { b.Members(s.now, balancer.ListByHand, 0, []balancer.Entry{entry}) })
 }
 
-// restart ends a balancer with its connections, and begins it anew.
-func (s *sequence) restart(balancer string) {
-	s.forget(balancer)
-	s.deliver(map[string]any{"event_type": "Exit", "balancer": balancer})
-	s.begin(balancer)
+// restart ends a name with its connections, and begins it anew.
+func (s *sequence) restart(name string) {
+	s.forget(name)
+	s.deliver(map[string]any{"event_type": "Exit", "balancer": name})
+	s.begin(name)
 }
 
-// forget drops what was under way at a balancer that has ended.
-func (s *sequence) forget(balancer string) {
+// forget drops what was under way at a name that has ended.
+func (s *sequence) forget(name string) {
 	var due []dueEvent
 	for _, d := range s.due {
-		if r, ok := d.event["request"].(*liveRequest); d.event["balancer"] != balancer && (!ok || r.balancer != balancer) {
+		if r, ok := d.event["request"].(*liveRequest); d.event["balancer"] != name && (!ok || r.balancer != name) {
 			due = append(due, d)
 		}
 	}
 	s.due = due
 	var requests []*liveRequest
 	for _, r := range s.requests {
-		if r.balancer != balancer {
+		if r.balancer != name {
 			requests = append(requests, r)
 		}
 	}
 	s.requests = requests
 }
 
-// hotStart has another process of the balancer take over, with what the one before knew and its open connections.
-func (s *sequence) hotStart(balancer string) {
-	memory := s.host.instances[balancer].brain.Remember(true)
+// hotStart has another process of the name take over, with what the one before knew and its open connections.
+func (s *sequence) hotStart(name string) {
+	memory := s.host.instances[name].brain.Remember(true)
 	kept, err := json.Marshal(memory)
 	if err != nil {
 		s.fail("%v", err)
@@ -485,14 +485,14 @@
 	s.digest.Add("%s", kept)
 	var standing []*liveRequest
 	for _, r := range s.requests {
-		if r.balancer == balancer && r.up {
+		if r.balancer == name && r.up {
 			standing = append(standing, r)
 		}
 	}
-	s.restart(balancer)
-	s.direct(balancer, func(b *brain.Brain) { b.Recall(s.now, memory) })
+	s.restart(name)
+	s.direct(name, func(b *balancer.Brain) { b.Recall(s.now, memory) })
 	for _, r := range standing {
-		again, e := s.newRequest("Adopted", balancer, 0)
+		again, e := s.newRequest("Adopted", name, 0)
 		again.attempt, again.out, again.up, again.server, again.sentAt = 0, true, true, r.server, r.sentAt
 		e["server"] = r.server
 		s.deliver(e)
--- a/internal/wire/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -1,11 +1,11 @@
-package wire
+package simulator
 
 import (
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 type event struct {
@@ -53,24 +53,24 @@
 	Msgs []event `json:"msgs"`
 }
 
-var statuses = map[string]brain.Status{
-	"OK": brain.OK, "INTERNAL": brain.Error, "RESOURCE_EXHAUSTED": brain.Full, "DEADLINE_EXCEEDED": brain.Timeout,
-	"UNAVAILABLE": brain.ConnectFailed, "ABORTED": brain.Reset, "CANCELLED": brain.Cancelled, "TOO_LATE": brain.Moot,
+var statuses = map[string]balancer.Status{
+	"OK": balancer.OK, "INTERNAL": balancer.Error, "RESOURCE_EXHAUSTED": balancer.Full, "DEADLINE_EXCEEDED": balancer.Timeout,
+	"UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset, "CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.Moot,
 }
 
-var states = map[string]brain.State{
-	"healthy": brain.Ready, "cordoned": brain.Draining, "deregistered": brain.Departed,
+var states = map[string]balancer.State{
+	"healthy": balancer.Ready, "cordoned": balancer.Draining, "deregistered": balancer.Departed,
 }
 
-var forms = map[string]brain.ListKind{
-	"update": brain.ListDelta, "replace": brain.ListFull, "restored": brain.ListCached,
-	"unavailable": brain.ListFailed,
+var forms = map[string]balancer.ListKind{
+	"update": balancer.ListDelta, "replace": balancer.ListFull, "restored": balancer.ListCached,
+	"unavailable": balancer.ListFailed,
 }
 
 func missing(e *event, field string) error { return fmt.Errorf("%s without %s", e.Type, field) }
 
 // decode checks an event and gives the call that delivers it; nil where there is nothing to deliver.
-func (h *Host) decode(now int64, in *instance, e *event) (func(*brain.Brain), error) {
+func (h *Host) decode(now int64, in *instance, e *event) (func(*balancer.Brain), error) {
 	switch e.Type {
 	case "Inbound", "ClientLeft", "Adopted", "Notice", "Response", "Streaming":
 		if e.RequestID == "" {
@@ -83,7 +83,7 @@
 			return nil, missing(e, "server")
 		}
 	}
-	var status brain.Status
+	var status balancer.Status
 	if e.Type == "Response" || e.Type == "HealthResult" {
 		s, ok := statuses[e.Ending]
 		if !ok {
@@ -97,8 +97,8 @@
 		if !ok {
 			return nil, fmt.Errorf("message Membership with form %q, which is unknown", e.Form)
 		}
-		var entries []brain.Entry
-		if form != brain.ListFailed {
+		var entries []balancer.Entry
+		if form != balancer.ListFailed {
 			if e.Sheet == nil {
 				return nil, missing(e, "sheet")
 			}
@@ -106,45 +106,45 @@
 				return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *e.Sheet)
 			}
 		}
-		return func(b *brain.Brain) { b.Members(now, form, e.Gen, entries) }, nil
+		return func(b *balancer.Brain) { b.Members(now, form, e.Gen, entries) }, nil
 	case "Inbound", "Adopted":
 		q, err := in.request(e)
 		if err != nil {
 			return nil, err
 		}
 		if e.Type == "Adopted" {
-			return func(b *brain.Brain) { b.Open(now, q, e.Server) }, nil
+			return func(b *balancer.Brain) { b.Open(now, q, e.Server) }, nil
 		}
-		return func(b *brain.Brain) { b.Request(now, q) }, nil
+		return func(b *balancer.Brain) { b.Request(now, q) }, nil
 	case "ClientLeft":
-		return func(b *brain.Brain) { b.Gone(now, e.RequestID) }, nil
+		return func(b *balancer.Brain) { b.Gone(now, e.RequestID) }, nil
 	case "HealthResult":
-		return func(b *brain.Brain) { b.Probed(now, e.Server, status, e.Elapsed, e.Gauge) }, nil
+		return func(b *balancer.Brain) { b.Probed(now, e.Server, status, e.Elapsed, e.Gauge) }, nil
 	case "Fired":
 		if e.Ref == nil {
 			return nil, missing(e, "ref")
 		}
-		return func(b *brain.Brain) { b.Timer(now, *e.Ref) }, nil
+		return func(b *balancer.Brain) { b.Timer(now, *e.Ref) }, nil
 	case "Notice":
-		return func(b *brain.Brain) { b.Note(now, e.RequestID, e.Seq, brain.NoteKind(e.Sort), e.Level) }, nil
+		return func(b *balancer.Brain) { b.Note(now, e.RequestID, e.Seq, balancer.NoteKind(e.Sort), e.Level) }, nil
 	case "Response":
-		return func(b *brain.Brain) {
+		return func(b *balancer.Brain) {
 			b.Outcome(now, e.RequestID, e.Seq, status, e.Elapsed, e.NoMore, e.Gauge)
 		}, nil
 	case "Streaming":
-		return func(b *brain.Brain) { b.First(now, e.RequestID, e.Seq, e.Elapsed) }, nil
+		return func(b *balancer.Brain) { b.First(now, e.RequestID, e.Seq, e.Elapsed) }, nil
 	case "Memo":
 		data, err := base64.StdEncoding.DecodeString(e.Contents)
 		if err != nil {
 			return nil, fmt.Errorf("message Memo with contents that are not base64: %v", err)
 		}
-		return func(b *brain.Brain) { b.Peer(now, e.Origin, data) }, nil
+		return func(b *balancer.Brain) { b.Peer(now, e.Origin, data) }, nil
 	}
 	return nil, fmt.Errorf("unknown event %q", e.Type)
 }
 
-func (in *instance) request(e *event) (brain.Request, error) {
-	q := brain.Request{ID: e.RequestID, Key: e.Item, Group: e.Channel, Tenant: -1,
+func (in *instance) request(e *event) (balancer.Request, error) {
+	q := balancer.Request{ID: e.RequestID, Key: e.Item, Group: e.Channel, Tenant: -1,
 		Repeat: e.Bits&flagRepeat != 0, MidFlow: e.Bits&flagMidFlow != 0, Returned: e.Bits&flagReturned != 0}
 	if e.Class == nil {
 		return q, missing(e, "cls")
--- a/internal/wire/directory.go
+++ b/internal/testbed/simulator/directory.go
@@ -1,17 +1,18 @@
-package wire
+package simulator
 
 import (
 	"fmt"
 	"strconv"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/balancerconfig"
 )
 
 func (h *Host) directory(e *event) error {
 	if e.Sheet == nil {
 		return missing(e, "sheet")
 	}
-	entries := make([]brain.Entry, len(e.Elements))
+	entries := make([]balancer.Entry, len(e.Elements))
 	for i, m := range e.Elements {
 		state, ok := states[m.State]
 		if !ok {
@@ -20,7 +21,7 @@
 		if m.Server == "" {
 			return fmt.Errorf("message Directory entry %d without server", i)
 		}
-		entries[i] = brain.Entry{ID: m.Server, State: state, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+		entries[i] = balancer.Entry{ID: m.Server, State: state, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
 			Weight: m.Weight, Since: m.Since}
 	}
 	h.sheets[*e.Sheet] = entries
@@ -31,7 +32,7 @@
 	if len(e.Config) == 0 {
 		return missing(e, "config")
 	}
-	cfg, err := Config(e.Config)
+	cfg, err := balancerconfig.Decode(e.Config)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/wire.go
+++ b/internal/testbed/simulator/wire.go
@@ -1,27 +1,27 @@
-// Package wire reads and writes the simulator's line protocol. It holds no policy: events go to the brain of the
-// instance they name, and what a brain does comes back as the actions of the reply.
-package wire
+// Package simulator is the adapter to the simulator: it reads and writes the simulator's line protocol. It holds no policy: events go to the decision module of the
+// instance they name, and what that does comes back as the actions of the reply.
+package simulator
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // Factory makes the decision code of one instance.
-type Factory func(cfg brain.Config, seed int64, fx brain.Effects) (*brain.Brain, error)
+type Factory func(cfg balancer.Config, seed int64, fx balancer.Effects) (*balancer.Brain, error)
 
 // Host keeps the instances of one process and turns batches into replies. The instances share nothing.
 type Host struct {
 	make      Factory
 	instances map[string]*instance
-	sheets    map[int][]brain.Entry
+	sheets    map[int][]balancer.Entry
 	out       writer
 }
 
 type instance struct {
-	brain   *brain.Brain
+	brain   *balancer.Brain
 	classes map[string]int
 	tenants map[string]int
 	failed  bool
@@ -29,7 +29,7 @@
 
 // NewHost makes a host that builds its instances with the given factory.
 func NewHost(f Factory) *Host {
-	return &Host{make: f, instances: map[string]*instance{}, sheets: map[int][]brain.Entry{}}
+	return &Host{make: f, instances: map[string]*instance{}, sheets: map[int][]balancer.Entry{}}
 }
 
 // Flags of a request.
@@ -101,7 +101,7 @@
 }
 
 // guard reports an inner failure as the wire asks, in place of a crash of the whole process.
-func (h *Host) guard(in *instance, call func(*brain.Brain)) {
+func (h *Host) guard(in *instance, call func(*balancer.Brain)) {
 	defer func() {
 		if p := recover(); p != nil {
 			in.failed = true
--- a/internal/wire/wire_test.go
+++ b/internal/testbed/simulator/wire_test.go
@@ -1,11 +1,11 @@
-package wire
+package simulator
 
 import (
 	"encoding/json"
 	"strings"
 	"testing"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 const initMsg = `{"event_type":"Init","balancer":"B","salt":18446744073709551615,"config":{"new_key":[1],"me":0,` +
@@ -49,7 +49,7 @@
 }
 
 func TestRequestGoesOut(t *testing.T) {
-	h := NewHost(brain.New)
+	h := NewHost(balancer.New)
 	out, err := h.Batch(line(initMsg, sheet, members, inbound("q")))
 	if err != nil {
 		t.Fatal(err)
@@ -61,14 +61,14 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	out, err := NewHost(brain.New).Batch([]byte(`{"time":5,"msgs":[]}`))
+	out, err := NewHost(balancer.New).Batch([]byte(`{"time":5,"msgs":[]}`))
 	if err != nil || string(out) != "{\"outbox\":[]}\n" {
 		t.Fatalf("%s %v", out, err)
 	}
 }
 
 func TestSheetRecycledWithinABatch(t *testing.T) {
-	h := NewHost(brain.New)
+	h := NewHost(balancer.New)
 	again := strings.Replace(sheet, `"server":"S"`, `"server":"T"`, 1)
 	out, err := h.Batch(line(initMsg, sheet, members, again,
 		strings.Replace(members, "restored", "replace", 1), inbound("q")))
@@ -81,7 +81,7 @@
 }
 
 func TestExitAndRestartWithinABatch(t *testing.T) {
-	h := NewHost(brain.New)
+	h := NewHost(balancer.New)
 	exit := `{"event_type":"Exit","balancer":"B"}`
 	out, err := h.Batch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
 		`{"event_type":"Response","balancer":"B","request_id":"q","seq_no":0,"server":"S","ending":"INTERNAL"}`))
@@ -94,7 +94,7 @@
 }
 
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	h := NewHost(brain.New)
+	h := NewHost(balancer.New)
 	if _, err := h.Batch(line(initMsg, sheet, members)); err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 		"ending":              line(initMsg, `{"event_type":"Response","balancer":"B","request_id":"q","server":"S","ending":"HM"}`),
 		"no class of request": line(`{"event_type":"Init","balancer":"B","config":{"peers_total":1}}`),
 	} {
-		out, err := NewHost(brain.New).Batch(msgs)
+		out, err := NewHost(balancer.New).Batch(msgs)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || out != nil {
 			t.Errorf("want an error with %q and no reply, got %v, %s", want, err, out)
 		}
@@ -135,7 +135,7 @@
 }
 
 func TestInnerFailureIsReported(t *testing.T) {
-	h := NewHost(func(brain.Config, int64, brain.Effects) (*brain.Brain, error) { return nil, nil })
+	h := NewHost(func(balancer.Config, int64, balancer.Effects) (*balancer.Brain, error) { return nil, nil })
 	out, err := h.Batch(line(initMsg, sheet, members))
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 
 func TestInstancesDoNotMix(t *testing.T) {
 	run := func(others bool) string {
-		h := NewHost(brain.New)
+		h := NewHost(balancer.New)
 		got := ""
 		for i := 0; i < 30; i++ {
 			msgs := []string{}
--- a/internal/wire/write.go
+++ b/internal/testbed/simulator/write.go
@@ -1,11 +1,11 @@
-package wire
+package simulator
 
 import (
 	"encoding/base64"
 	"encoding/json"
 	"strconv"
 
-	"croftlock/brain"
+	"croftlock/internal/balancer"
 )
 
 // writer builds a reply; it is written only once it is whole.
@@ -68,11 +68,11 @@
 	return f.host.out.action(name)
 }
 
-func (f *effects) Send(request, server string, timeout brain.Time) {
+func (f *effects) Send(request, server string, timeout balancer.Time) {
 	f.action("Dispatch").text("request_id", request).text("server", server).number("allow_for", timeout).end()
 }
 
-func (f *effects) Refuse(request string, retryAfter brain.Time) {
+func (f *effects) Refuse(request string, retryAfter balancer.Time) {
 	w := f.action("Deny").text("request_id", request)
 	if retryAfter > 0 {
 		w.number("hold_off", retryAfter)
@@ -107,7 +107,7 @@
 
 func (f *effects) Fetch() { f.action("ReadList").end() }
 
-func (f *effects) After(delay brain.Time, token string) {
+func (f *effects) After(delay balancer.Time, token string) {
 	f.action("Defer").number("after", delay).text("ref", token).end()
 }
 
--- a/test.sh
+++ b/test.sh
@@ -4,7 +4,7 @@
 cd "$(dirname "$0")"
 mkdir -p bin
 go build -o bin/ ./cmd/...
-unformatted=$(gofmt -l brain cmd internal)
+unformatted=$(gofmt -l cmd internal)
 if [ -n "$unformatted" ]; then
     echo "gofmt wants changes in: $unformatted"
     exit 1
@@ -23,7 +23,7 @@
     skip="^($(cut -d, -f1 KNOWN-RED.txt | paste -sd'|'))\$"
 fi
 # Tests that draw what they try draw the same each time here, so that one commit has one verdict; by hand they draw anew.
-drawn=$(go list $(grep -rl pgregory.net/rapid --include='*_test.go' brain cmd internal | xargs -n1 dirname | sort -u | sed 's,^,./,'))
+drawn=$(go list $(grep -rl pgregory.net/rapid --include='*_test.go' cmd internal | xargs -n1 dirname | sort -u | sed 's,^,./,'))
 others=$(go list ./... | grep -vxF "$drawn")
 CGO_ENABLED=1 go test -race -count=1 -timeout 300s -skip "$skip" $others
 CGO_ENABLED=1 go test -race -count=1 -timeout 300s -skip "$skip" $drawn -rapid.seed=1
