--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -51,7 +51,15 @@
 
 // Prices are what the operators deduct, each for one unit as the wire's tariffs define it.
 type Prices struct {
-	CrossZone, Waste, Probe, Peer, LateFail, Handshake, Moves, Connection, Discovery float64
+	CrossZone  float64
+	Waste      float64
+	Probe      float64
+	Peer       float64
+	LateFail   float64
+	Handshake  float64
+	Moves      float64
+	Connection float64
+	Discovery  float64
 }
 
 // Config is what an instance is told once, at its start.
@@ -107,13 +115,13 @@
 
 // Entry is one server in a list.
 type Entry struct {
-	ID     string
-	State  State
-	Zone   string
-	Kind   string
-	Cell   int
-	Weight float64
-	Since  Time // its latest start; 0: long past
+	ID     string  `json:"ID"`
+	State  State   `json:"State"`
+	Zone   string  `json:"Zone"`
+	Kind   string  `json:"Kind"`
+	Cell   int     `json:"Cell"`
+	Weight float64 `json:"Weight"`
+	Since  Time    `json:"Since"` // its latest start; 0: long past
 }
 
 // ListKind says how a list is to be read.
@@ -130,16 +138,16 @@
 
 // Request is a client's try, or (with Open) a connection that is already up.
 type Request struct {
-	ID       string
-	Class    int
-	Tenant   int     // -1: none
-	Key      string  // "": none
-	Group    string  // "": none
-	Hint     float64 // work a second on a standard core, in nanoseconds; 0: none
-	Repeat   bool    // marked by its client as another try
-	MidFlow  bool    // packets of a connection that some server already holds
-	Returned bool    // the client came back after a break or a move
-	Left     Time    // how long this try's client still waits
+	ID       string  `json:"ID"`
+	Class    int     `json:"Class"`
+	Tenant   int     `json:"Tenant"`   // -1: none
+	Key      string  `json:"Key"`      // "": none
+	Group    string  `json:"Group"`    // "": none
+	Hint     float64 `json:"Hint"`     // work a second on a standard core, in nanoseconds; 0: none
+	Repeat   bool    `json:"Repeat"`   // marked by its client as another try
+	MidFlow  bool    `json:"MidFlow"`  // packets of a connection that some server already holds
+	Returned bool    `json:"Returned"` // the client came back after a break or a move
+	Left     Time    `json:"Left"`     // how long this try's client still waits
 }
 
 // Status is how an attempt ended.
--- a/internal/balancer/keep.go
+++ b/internal/balancer/keep.go
@@ -7,22 +7,29 @@
 
 // Memory is what a process knows beyond the list.
 type Memory struct {
-	Started, RateAt       Time
-	Rate, Fresh, MeanCost float64
-	ClassCost             []float64
-	Servers               []ServerMemory
+	Started   Time           `json:"Started"`
+	RateAt    Time           `json:"RateAt"`
+	Rate      float64        `json:"Rate"`
+	Fresh     float64        `json:"Fresh"`
+	MeanCost  float64        `json:"MeanCost"`
+	ClassCost []float64      `json:"ClassCost"`
+	Servers   []ServerMemory `json:"Servers"`
 }
 
 // ServerMemory is what it knows of one server.
 type ServerMemory struct {
-	ID               string
-	Since            Time
-	Fails            int
-	Until, FailedAt  Time
-	Ill, Delay       float64
-	IllAt, DelayAt   Time
-	Tokens           float64 // of its cold budget
-	TokensAt, Passed Time
+	ID       string  `json:"ID"`
+	Since    Time    `json:"Since"`
+	Fails    int     `json:"Fails"`
+	Until    Time    `json:"Until"`
+	FailedAt Time    `json:"FailedAt"`
+	Ill      float64 `json:"Ill"`
+	Delay    float64 `json:"Delay"`
+	IllAt    Time    `json:"IllAt"`
+	DelayAt  Time    `json:"DelayAt"`
+	Tokens   float64 `json:"Tokens"` // of its cold budget
+	TokensAt Time    `json:"TokensAt"`
+	Passed   Time    `json:"Passed"`
 }
 
 // Remember gives what is known. With yield, what is left of the cold budgets is given away with it: the two processes
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -10,9 +10,9 @@
 
 // Parts are what is left of a connection that is let go of without being ended, for another process to go on with.
 type Parts struct {
-	FD   int    // the receiver's to close; under 0: the connection could not be let go of
-	In   []byte // came in and was not consumed
-	Rest []byte // of the line that is partly written
+	FD   int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be let go of
+	In   []byte `json:"In"`   // came in and was not consumed
+	Rest []byte `json:"Rest"` // of the line that is partly written
 }
 
 // Release lets go of a connection that stands, without ending it, and gives its parts to done, on the loop, later. From here
--- a/internal/dataplane/proxy/kept.go
+++ b/internal/dataplane/proxy/kept.go
@@ -12,13 +12,13 @@
 
 // Kept is what one process of a proxy leaves to the next: what operators have said, the list, and what the module knows.
 type Kept struct {
-	At        int64  // the writer's time as it was written; 0: an earlier version did not say
-	Discovery string // who gave the list; revisions of another service mean nothing
-	Rev       int64
-	Hosts     []HostEntry
-	Out       []maintenance.Ban // the hosts out by hand
-	Known     []string          // every host that a call may name
-	Memory    balancer.Memory
+	At        int64             `json:"At"`        // the writer's time as it was written; 0: an earlier version did not say
+	Discovery string            `json:"Discovery"` // who gave the list; revisions of another service mean nothing
+	Rev       int64             `json:"Rev"`
+	Hosts     []HostEntry       `json:"Hosts"`
+	Out       []maintenance.Ban `json:"Out"`   // the hosts out by hand
+	Known     []string          `json:"Known"` // every host that a call may name
+	Memory    balancer.Memory   `json:"Memory"`
 }
 
 // What a Kept may hold at most; a file with more is no file of ours.
--- a/internal/dataplane/proxy/list.go
+++ b/internal/dataplane/proxy/list.go
@@ -17,7 +17,7 @@
 // HostEntry is one upstream host with the address at which this proxy reaches it.
 type HostEntry struct {
 	balancer.Entry
-	Endpoint string
+	Endpoint string `json:"Endpoint"`
 }
 
 // Listed takes news of the cluster. What is on its way to a host that drains or is gone stops at once, in the queue
--- a/internal/dataplane/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -11,14 +11,15 @@
 
 // Standing is an open connection as one process of a proxy hands it to the next.
 type Standing struct {
-	Request  balancer.Request
-	Class    string // names, since numbers are of one process's settings
-	Tenant   string
-	Host     string
-	Load     float64
-	Waiting  []int64 // when the client's lines went up that no line has come back for
-	Last     Kind
-	Down, Up netio.Parts
+	Request balancer.Request `json:"Request"`
+	Class   string           `json:"Class"` // names, since numbers are of one process's settings
+	Tenant  string           `json:"Tenant"`
+	Host    string           `json:"Host"`
+	Load    float64          `json:"Load"`
+	Waiting []int64          `json:"Waiting"` // when the client's lines went up that no line has come back for
+	Last    Kind             `json:"Last"`
+	Down    netio.Parts      `json:"Down"`
+	Up      netio.Parts      `json:"Up"`
 }
 
 // Releaser is an end of a connection that can be handed over.
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -8,9 +8,12 @@
 
 // Ask is a request as the rules see it.
 type Ask struct {
-	Tenant, Class, Key, Group string
-	Zone                      string // of the proxy
-	Minute                    int    // of the day, UTC
+	Tenant string `json:"Tenant"`
+	Class  string `json:"Class"`
+	Key    string `json:"Key"`
+	Group  string `json:"Group"`
+	Zone   string `json:"Zone"`   // of the proxy
+	Minute int    `json:"Minute"` // of the day, UTC
 }
 
 // Verdict is what becomes of a request. It shares memory with the compiled book and is not to be changed.
--- a/internal/fleet/owneragent/owners.go
+++ b/internal/fleet/owneragent/owners.go
@@ -79,7 +79,12 @@
 
 // Counts are what a process has done and met.
 type Counts struct {
-	Taken, Again, Refused, Sent, Panics, Malformed int
+	Taken     int `json:"Taken"`
+	Again     int `json:"Again"`
+	Refused   int `json:"Refused"`
+	Sent      int `json:"Sent"`
+	Panics    int `json:"Panics"`
+	Malformed int `json:"Malformed"`
 }
 
 // Start begins. apply carries out, on the loop, which hosts are out for the whole fleet.
--- /dev/null
+++ b/internal/fleet/owneragent/recorded_test.go
@@ -0,0 +1,29 @@
+package owneragent
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/testbed/golden"
+)
+
+// TestRecordedReplies: what operators' commands ask and are answered at the socket has the bytes that it had.
+func TestRecordedReplies(t *testing.T) {
+	var lines bytes.Buffer
+	for _, v := range []any{
+		Request{Do: "move", A: "job", B: "member"},
+		Request{Do: "rules", Rules: []byte("s")},
+		Request{Do: "explain", Explain: &namespace.Ask{Tenant: "t", Class: "c", Key: "k", Group: "g", Zone: "z", Minute: 7}},
+		Reply{Error: "e", Answer: "a", Name: "n", Leader: "l", Kind: "disk", Store: "s", Jobs: []JobRow{{"job", "owner", 1, 2, 3, "since", "why"}},
+			Group:  &group.Status{Phase: "member", Reason: "r", ID: "1", Boots: 2, Term: 3, Leader: "l", Commit: 4, Applied: 5, Waits: []string{"w"}, Members: []group.StatusMember{{"m", "1", true, 2, true}}},
+			Counts: &Counts{1, 2, 3, 4, 5, 6}, Mine: map[string]uint64{"a": 1}, Seen: map[string]uint64{"b": 2}, Lease: 7},
+	} {
+		if err := json.NewEncoder(&lines).Encode(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Check(t, "replies.golden", lines.Bytes())
+}
--- a/internal/operations/balancerconfig/config.go
+++ b/internal/operations/balancerconfig/config.go
@@ -111,7 +111,8 @@
 	if s.Report.How == "none" {
 		c.ReportLoad, c.ReportQueue = -1, -1
 	}
-	c.Prices = balancer.Prices(s.Tariffs)
+	c.Prices = balancer.Prices{CrossZone: s.Tariffs.CrossZone, Waste: s.Tariffs.Waste, Probe: s.Tariffs.Probe, Peer: s.Tariffs.Peer, LateFail: s.Tariffs.LateFail,
+		Handshake: s.Tariffs.Handshake, Moves: s.Tariffs.Moves, Connection: s.Tariffs.Connection, Discovery: s.Tariffs.Discovery}
 	switch s.Discovery {
 	case "automatic", "":
 	case "subscribe":
--- a/internal/operations/maintenance/book.go
+++ b/internal/operations/maintenance/book.go
@@ -19,8 +19,8 @@
 
 // Ban is a host that is out.
 type Ban struct {
-	ID    string
-	Since int64 // when the first call came, in nanoseconds since 1970
+	ID    string `json:"ID"`
+	Since int64  `json:"Since"` // when the first call came, in nanoseconds since 1970
 }
 
 // Start is when a host that comes back now is to be held to have started, and whether that is a guess which ends after
