--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -35,18 +35,18 @@
 	history := question("history", "Tell which changes were made, by whom and by which grant, and which were refused since this keeper began", "history --account acme", cobra.NoArgs, nil)
 	about := history.Flags().String("account", "", "only what is about this account and those below it")
 	history.RunE = func(cmd *cobra.Command, _ []string) error {
-		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.History(*about)}, nil)
+		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryHistory(*about)}, nil)
 	}
 	all.AddCommand(putting(ask), dropping(ask), rolling(ask), diffing(ask), explaining(ask), checking(), keying(), history,
 		question("status", "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for", "status", cobra.NoArgs,
-			func([]string) ([]byte, error) { return rules.Status(), nil }),
+			func([]string) ([]byte, error) { return rules.QueryStatus(), nil }),
 		question("show [VERSION]", "Tell which version is active, at how many, and who has no right; with a number, what that version says (0: the active one)", "show 0",
 			cobra.MaximumNArgs(1), func(args []string) ([]byte, error) {
 				if len(args) == 0 {
-					return rules.Show(), nil
+					return rules.QueryActive(), nil
 				}
 				n, err := strconv.ParseUint(args[0], 10, 64)
-				return rules.Read(n), err
+				return rules.QueryVersion(n), err
 			}))
 	return all
 }
@@ -63,7 +63,7 @@
 		if err := sign(ch, key); err != nil {
 			return err
 		}
-		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.Propose(ch)}, nil)
+		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.EncodeProposal(ch)}, nil)
 	}}
 	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
 	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
@@ -82,11 +82,11 @@
 			}
 			switch v := what.(type) {
 			case *namespace.Space:
-				return rules.PutSpace(v, against, nil), nil
+				return rules.ChangeNamespace(v, against, nil), nil
 			case *namespace.Account:
-				return rules.PutAccount(v, against, nil), nil
+				return rules.ChangeAccountTo(v, against, nil), nil
 			default:
-				return rules.Put(v.(*rules.Version), against, nil), nil
+				return rules.ChangeOperators(v.(*rules.Version), against, nil), nil
 			}
 		})
 }
@@ -121,7 +121,7 @@
 func dropping(ask asking) *cobra.Command {
 	return changing(ask, "drop ACCOUNT", "Propose the end of an account below another, with all below it and their namespaces", "", "  croftlock rules drop acme/web --against 9",
 		func(args []string, against uint64) (*rules.Change, error) {
-			return rules.Drop(args[0], against, nil), nil
+			return rules.RemoveAccount(args[0], against, nil), nil
 		})
 }
 
@@ -129,7 +129,7 @@
 	return changing(ask, "rollback VERSION", "Propose everything as an earlier version had it, as a new version", "", "  croftlock rules rollback 6 --against 9",
 		func(args []string, against uint64) (*rules.Change, error) {
 			to, err := strconv.ParseUint(args[0], 10, 64)
-			return rules.Back(to, against, nil), err
+			return rules.RollBackTo(to, against, nil), err
 		})
 }
 
@@ -143,7 +143,7 @@
 				if err != nil {
 					return err
 				}
-				if err := ask(cmd, owneragent.Request{Do: "rules", Rules: rules.Read(n)}, func(_ io.Writer, r owneragent.Reply) error {
+				if err := ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
 					text[i] = r.Answer
 					return nil
 				}); err != nil {
--- a/internal/app/node/floors.go
+++ b/internal/app/node/floors.go
@@ -21,7 +21,7 @@
 		r.floors.Close()
 	}
 	m := r.members
-	r.floors = &watermark.Link{Way: memberWay{m}, Clock: loopClock{r.loop}, Rand: rand.New(rand.NewPCG(rand.Uint64(), 1)), Within: r.flooring.Within, Anew: r.watch.Fetch, Changed: r.core.Refloor,
+	r.floors = &watermark.Link{Transport: memberWay{m}, Clock: loopClock{r.loop}, Rand: rand.New(rand.NewPCG(rand.Uint64(), 1)), RefetchAfter: r.flooring.Within, RefetchList: r.watch.FetchList, Changed: r.core.WatermarksChanged,
 		Source: func() uint32 {
 			name := r.flooring.Source
 			if addr, _ := r.watch.Source(); name == "" {
@@ -30,9 +30,9 @@
 			return membership.ID(name)
 		}}
 	r.floors.Run()
-	m.Attach(watermark.Whose, r.floors.Take)
+	m.Attach(watermark.CarrierID, r.floors.Receive)
 	_, rev := r.watch.Source()
-	r.core.SetFloors(floorSide{r.floors}, rev)
+	r.core.SetWatermarks(floorSide{r.floors}, rev)
 }
 
 type loopClock struct{ *netio.Loop }
@@ -57,10 +57,10 @@
 
 // Listed is proxy.Floors'.
 func (s floorSide) Listed(ch proxy.Change) []string {
-	states := map[balancer.State]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Departed: watermark.Gone}
-	all := make([]watermark.Listed, 0, len(ch.Hosts))
+	states := map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
+	all := make([]watermark.ListedHost, 0, len(ch.Hosts))
 	for _, e := range ch.Hosts {
-		all = append(all, watermark.Listed{Host: e.ID, Boot: e.Since / 1e6, State: states[e.State]})
+		all = append(all, watermark.ListedHost{Host: e.ID, StartedAt: e.StartedAt / 1e6, State: states[e.State]})
 	}
 	return s.List(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
--- a/internal/app/node/joined.go
+++ b/internal/app/node/joined.go
@@ -30,10 +30,10 @@
 	if r.owners, err = owneragent.Start(r.loop, r.owning, r.cfg.Name, r.members, r.core.SuspendForFleet); err == nil && r.owners.Paced() {
 		r.core.SetPacer(r.owners)
 	}
-	if g := r.owners.Gate(); err == nil && g != nil {
-		r.core.SetAllowance(r.owners)
+	if g := r.owners.Enforcer(); err == nil && g != nil {
+		r.core.SetQuota(r.owners)
 		r.core.SetRules(g)
-		r.owners.OnRules(r.core.Repool)
+		r.owners.OnRulesChanged(r.core.ReassignPools)
 	}
 	return err
 }
@@ -44,7 +44,7 @@
 }
 
 func (r *replacement) platform() memberagent.Platform {
-	return memberagent.Platform{Link: r.peers, Peers: len(r.cfg.Peers.Peers), Me: r.cfg.Settings.Me}
+	return memberagent.Platform{Link: r.peers, Peers: len(r.cfg.Peers.Peers), Me: r.cfg.Settings.Instance}
 }
 
 // rejoin is join for a process that has come to be the one that serves; the other one may hold the address a moment longer.
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -96,7 +96,7 @@
 	}
 	dialer := netio.NewDialer(loop, cfg.Dialers())
 	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.Sessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
-	open := lineproto.Plain(dialer)
+	open := lineproto.PlainTCP(dialer)
 	link, err := secure(loop, file, &opt)
 	if err != nil {
 		return err
@@ -108,9 +108,9 @@
 	if cfg.InAnswers {
 		behind = cfg.Reports
 	}
-	core := proxy.New(loop, lineproto.NewHosts(loop, open, behind), opt)
+	core := proxy.New(loop, lineproto.NewConnector(loop, open, behind), opt)
 	if n := cfg.Probers(); n > 0 {
-		core.SetProber(lineproto.NewProbes(loop, open, cfg.Reports, n))
+		core.SetHealthChecker(lineproto.NewHealthChecks(loop, open, cfg.Reports, n))
 	}
 	r := &replacement{cfg: cfg, loop: loop, core: core}
 	var old *hotrestart.Partner
@@ -123,31 +123,31 @@
 			return err
 		}
 		r.store = hotrestart.NewStore(loop, r.dir)
-		core.SetKeeper(r)
+		core.SetSuccessor(r)
 	}
 	if handed != nil {
-		core.Inherit(handed.Kept)
+		core.Inherit(handed.Snapshot)
 	} else {
-		handed = &hotrestart.Handoff{Kept: &proxy.Kept{}, Listener: -1, Datagram: -1}
+		handed = &hotrestart.Handoff{Snapshot: &proxy.Snapshot{}, Listener: -1, Datagram: -1}
 	}
 	list := known(cfg, handed)
-	r.watch = cluster.NewClient(loop, dialer, cfg.Discovery, cfg.Settings.Peers, list.Version, r.news)
-	err = core.Run(func(fx balancer.Effects) (proxy.Decider, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) },
+	r.watch = cluster.NewClient(loop, dialer, cfg.Discovery, cfg.Settings.Instances, list.Version, r.news)
+	err = core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) },
 		r.watch, list)
 	if err != nil {
 		return err
 	}
-	if !cfg.Settings.Ask {
+	if !cfg.Settings.PollsDiscovery {
 		// Lists are pushed, to an agent that the platform runs beside the proxy; the module, which hears of them unasked in
 		// the simulator, asks for none.
 		r.watch.Follow()
 	}
-	core.Recall(handed.Kept.Memory)
-	if s := cfg.Settings; s.MayTell && cfg.Peers.Listen != "" && s.Peers > 1 {
+	core.RestoreBalancer(handed.Snapshot.Balancer)
+	if s := cfg.Settings; s.MayGossip && cfg.Peers.Listen != "" && s.Instances > 1 {
 		// Messages help, and a proxy without them serves all the same.
-		told, err := peers.Open(loop, cfg.Peers, s.Me, handed.Datagram, func(from int, data []byte) {
+		told, err := peers.Open(loop, cfg.Peers, s.Instance, handed.Datagram, func(from int, data []byte) {
 			if !r.members.Take(from, data) {
-				core.PeerTold(from, data)
+				core.PeerMessageReceived(from, data)
 			}
 		})
 		if err != nil {
@@ -181,7 +181,7 @@
 	slog.Info("ready", "name", cfg.Name, "listen", r.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version,
 		"sessions", opt.Sessions)
 	n := &node{cfg: cfg, file: file, format: format, link: link, redirect: func(discovery string) { loop.Post(func() { r.watch.Redirect(discovery) }) },
-		leave: func() { loop.Post(func() { r.leave(); core.Leave(loop.Stop) }) }}
+		leave: func() { loop.Post(func() { r.leave(); core.Shutdown(loop.Stop) }) }}
 	go n.obey(signals)
 	loop.Run()
 	slog.Info("stopped")
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// Take stops accepting, and says what this process knows.
-func (p partner) Take() *proxy.Kept {
+// TakeOver stops accepting, and says what this process knows.
+func (p partner) TakeOver() *proxy.Snapshot {
 	r := p.replacement
 	if r.partner == p.of && r.older {
 		r.handed = true
@@ -18,72 +18,72 @@
 		if r.peers != nil {
 			r.peers.Deafen()
 		}
-		r.core.HandOver(true)
+		r.core.SetHandedOver(true)
 		slog.Info("handed_over", "sessions", r.core.Sessions())
 		r.tell()
 	}
 	k := r.keep(true)
-	r.gave = k.Memory
+	r.gave = k.Balancer
 	return k
 }
 
-// Taken takes what the old process knew last, and begins.
-func (p partner) Taken(k *proxy.Kept) {
+// TakenOver takes what the old process knew last, and begins.
+func (p partner) TakenOver(k *proxy.Snapshot) {
 	r := p.replacement
 	if r.partner != p.of || !r.waits {
 		return
 	}
 	if k != nil {
 		k.Rebase(r.loop.Now(), true)
-		if err := k.Valid(r.loop.Now()); err != nil {
+		if err := k.Check(r.loop.Now()); err != nil {
 			slog.Warn("handover_odd", "reason", err)
 		} else {
 			p.takeList(k)
 			r.core.Inherit(k)
-			r.core.Recall(k.Memory)
+			r.core.RestoreBalancer(k.Balancer)
 		}
 	}
 	r.accept()
 }
 
-// Listed takes the list of the other process, where it is newer than this one's: the two are one proxy, and this one may not be watching yet.
-func (p partner) Listed(k *proxy.Kept) {
+// ListChanged takes the list of the other process, where it is newer than this one's: the two are one proxy, and this one may not be watching yet.
+func (p partner) ListChanged(k *proxy.Snapshot) {
 	r := p.replacement
 	if r.partner != p.of || r.older {
 		return
 	}
-	if err := k.Valid(r.loop.Now()); err != nil {
+	if err := k.Check(r.loop.Now()); err != nil {
 		slog.Warn("handover_odd", "reason", err)
 		return
 	}
 	p.takeList(k)
 }
 
-func (p partner) takeList(k *proxy.Kept) {
+func (p partner) takeList(k *proxy.Snapshot) {
 	r := p.replacement
 	if len(k.Hosts) == 0 {
 		return
 	}
-	if from, rev := r.watch.Source(); k.Discovery == from && k.Rev > rev {
-		r.core.Listed(proxy.Change{Kind: balancer.ListCached, Version: k.Rev, Hosts: k.Hosts})
+	if from, rev := r.watch.Source(); k.Discovery == from && k.Revision > rev {
+		r.core.ListReceived(proxy.Change{Kind: balancer.ListCached, Version: k.Revision, Hosts: k.Hosts})
 	}
 }
 
-func (p partner) ByHand(id string, out bool) {
+func (p partner) HostSuspended(id string, out bool) {
 	r := p.replacement
-	r.core.ToldByHand(id, out)
+	r.core.HostSuspendedElsewhere(id, out)
 	if !r.handed && !r.waits {
-		r.store.Keep(r.keep(false), nil)
+		r.store.Save(r.keep(false), nil)
 	}
 }
 
-// Standing goes on with an open connection of the old process's.
-func (p partner) Standing(s *proxy.Standing) { p.front.Resume(s) }
+// ConnectionReceived goes on with an open connection of the old process's.
+func (p partner) ConnectionReceived(s *proxy.HandedOverConnection) { p.front.Resume(s) }
 
 // Sessions counts the other process's downstreams with this one's, and its descriptors that are nobody's in particular.
 func (p partner) Sessions(n int) {
 	if r := p.replacement; r.partner == p.of && !r.older {
-		r.core.Elsewhere(n + r.cfg.Spare()/2)
+		r.core.SetSessionsElsewhere(n + r.cfg.Spare()/2)
 	}
 }
 
@@ -97,7 +97,7 @@
 	debug.SetMemoryLimit(r.cfg.MemoryLimit())
 	slog.Info("partner_gone", "older", r.older)
 	if !r.older {
-		r.core.Elsewhere(0)
+		r.core.SetSessionsElsewhere(0)
 		r.accept()
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 	// The new process has died after it took over: whoever waits in the queue is this one's again.
 	r.handed = false
-	r.core.Recall(r.gave) // the cold budgets that were given up, among others
+	r.core.RestoreBalancer(r.gave) // the cold budgets that were given up, among others
 	r.mustServe()
 	r.rejoin()
 	slog.Warn("taken_back", "sessions", r.core.Sessions())
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -19,7 +19,7 @@
 	}
 	began := time.Now()
 	a, err := patiently(func() (answer, error) {
-		p, h, err := hotrestart.Ask(dir, cfg.Listen, now)
+		p, h, err := hotrestart.RequestHandover(dir, cfg.Listen, now)
 		return answer{p, h}, err
 	}, func(err error) bool {
 		// A process that could not answer in this moment is worth asking again: beside it, with a queue of its own, this one would serve, and what
@@ -43,7 +43,7 @@
 	if k == nil {
 		return nil, nil, nil
 	}
-	return nil, &hotrestart.Handoff{Kept: k, Listener: -1, Datagram: -1}, nil
+	return nil, &hotrestart.Handoff{Snapshot: k, Listener: -1, Datagram: -1}, nil
 }
 
 // askFor is for how long a process is asked that does not answer as it should: this one has 6 s to be ready.
@@ -56,7 +56,7 @@
 )
 
 // readState gives what a process before this one has kept. A disk that fails for a moment is asked again: what operators have said stands there.
-func readState(dir string, now int64) (k *proxy.Kept, err error) {
+func readState(dir string, now int64) (k *proxy.Snapshot, err error) {
 	for range mostReads {
 		k, err = hotrestart.Read(dir, now)
 		if system := new(fs.PathError); !errors.As(err, &system) {
@@ -69,8 +69,8 @@
 
 // known is the list to start from: what another process held, where it is the same service's and newer.
 func known(cfg *platform.Config, h *hotrestart.Handoff) proxy.Change {
-	if h == nil || h.Kept.Discovery != cfg.Discovery || h.Kept.Rev <= cfg.Known.Version {
+	if h == nil || h.Snapshot.Discovery != cfg.Discovery || h.Snapshot.Revision <= cfg.Known.Version {
 		return cfg.Known
 	}
-	return proxy.Change{Kind: cfg.Known.Kind, Version: h.Kept.Rev, Hosts: h.Kept.Hosts}
+	return proxy.Change{Kind: cfg.Known.Kind, Version: h.Snapshot.Revision, Hosts: h.Snapshot.Hosts}
 }
--- a/internal/app/node/replace.go
+++ b/internal/app/node/replace.go
@@ -64,7 +64,7 @@
 	older   bool                // and it is the one to stay no longer
 	handed  bool                // the other one accepts
 	waits   bool                // this one does not accept yet
-	gave    balancer.Memory     // what the other one was told as it took over
+	gave    balancer.Snapshot   // what the other one was told as it took over
 
 	members *memberagent.Agent // nil: off, or another process's still
 	owners  *owneragent.Agent  // the same
@@ -77,16 +77,16 @@
 }
 
 // keep is what the next process is to know.
-func (r *replacement) keep(yield bool) *proxy.Kept {
-	k := r.core.Keep(yield)
-	k.Discovery, k.Rev = r.watch.Source()
+func (r *replacement) keep(yield bool) *proxy.Snapshot {
+	k := r.core.Snapshot(yield)
+	k.Discovery, k.Revision = r.watch.Source()
 	return k
 }
 
-// ByHand keeps an operator's word, and passes it on. done is called once, also where the disk hangs.
-func (r *replacement) ByHand(id string, out bool, done func()) {
+// HostSuspended keeps an operator's word, and passes it on. done is called once, also where the disk hangs.
+func (r *replacement) HostSuspended(id string, out bool, done func()) {
 	if r.partner != nil {
-		r.partner.ByHand(id, out)
+		r.partner.HostSuspended(id, out)
 	}
 	if r.handed || r.waits {
 		done() // the file is the other process's, and it has been told
@@ -100,11 +100,11 @@
 		}
 	}
 	limit := r.loop.After(keepWithin, yes)
-	r.store.Keep(r.keep(false), func() { limit.Stop(); yes() })
+	r.store.Save(r.keep(false), func() { limit.Stop(); yes() })
 }
 
-// Listed has a changed list kept, soon.
-func (r *replacement) Listed() {
+// ListChanged has a changed list kept, soon.
+func (r *replacement) ListChanged() {
 	if r.dirty || r.handed || r.waits {
 		return
 	}
@@ -112,37 +112,37 @@
 	r.loop.After(keepEvery, func() {
 		r.dirty = false
 		if !r.handed {
-			r.store.Keep(r.keep(false), nil)
+			r.store.Save(r.keep(false), nil)
 		}
 	})
 }
 
 // news takes a list, and takes it for the sign that discovery speaks to this process.
 func (r *replacement) news(ch proxy.Change) {
-	r.core.Listed(ch)
+	r.core.ListReceived(ch)
 	if ch.Kind == balancer.ListFailed {
 		return
 	}
 	r.take()
 	if r.partner != nil && r.older && len(ch.Hosts) > 0 { // also before it has taken over: this one may be gone by then
 		list := r.keep(false)
-		r.partner.Listed(&proxy.Kept{At: list.At, Discovery: list.Discovery, Rev: list.Rev, Hosts: list.Hosts})
+		r.partner.ListChanged(&proxy.Snapshot{At: list.At, Discovery: list.Discovery, Revision: list.Revision, Hosts: list.Hosts})
 	}
 }
 
-// Standing hands an open connection to the process that takes over.
-func (r *replacement) Standing(s *proxy.Standing, goodbye []byte, done func()) {
-	if !r.CanHand() {
+// HandOver hands an open connection to the process that takes over.
+func (r *replacement) HandOver(s *proxy.HandedOverConnection, goodbye []byte, done func()) {
+	if !r.Accepts() {
 		s.Down.Discard(goodbye)
 		s.Up.Discard(nil)
 		done()
 		return
 	}
-	r.partner.Standing(s, goodbye, func() { r.loop.Post(done) })
+	r.partner.HandOver(s, goodbye, func() { r.loop.Post(done) })
 }
 
-// CanHand tells whether there is a process that takes over.
-func (r *replacement) CanHand() bool { return r.partner != nil && r.older && r.handed }
+// Accepts tells whether there is a process that takes over.
+func (r *replacement) Accepts() bool { return r.partner != nil && r.older && r.handed }
 
 // offer lets the next process ask.
 func (r *replacement) offer() {
@@ -169,7 +169,7 @@
 	case !r.core.Ready():
 		return nil, errors.New("this one is leaving")
 	}
-	h := &hotrestart.Handoff{Kept: r.keep(false), Listener: r.on.Fd(), Datagram: -1}
+	h := &hotrestart.Handoff{Snapshot: r.keep(false), Listener: r.on.Fd(), Datagram: -1}
 	if r.peers != nil {
 		h.Datagram = r.peers.Fd()
 	}
@@ -185,7 +185,7 @@
 	if r.peers != nil {
 		r.peers.Hear()
 	}
-	r.core.HandOver(false)
+	r.core.SetHandedOver(false)
 	if r.dir != "" {
 		r.offer()
 	}
@@ -203,11 +203,11 @@
 // begin has a new process take over, once it has heard from discovery itself or has waited long enough.
 func (r *replacement) begin(p *hotrestart.Partner) {
 	r.partner, r.waits = p, true
-	r.core.HandOver(true)
+	r.core.SetHandedOver(true)
 	debug.SetMemoryLimit(r.cfg.MemoryLimit() / 2)
 	p.Run(r.loop, partner{r, p})
-	r.watch.Fetch()
-	r.watch.Watch(true) // the module would wait for its turn, in which a drain goes unheard that the other process is told of
+	r.watch.FetchList()
+	r.watch.WatchList(true) // the module would wait for its turn, in which a drain goes unheard that the other process is told of
 	r.loop.After(newsWithin, r.take)
 }
 
@@ -215,7 +215,7 @@
 func (r *replacement) take() {
 	if r.waits && !r.handed {
 		r.handed = true // asked for; until it is answered the other one accepts
-		r.partner.Take()
+		r.partner.TakeOver()
 		r.loop.After(takenWithin, r.accept)
 	}
 }
@@ -229,7 +229,7 @@
 	r.mustServe()
 	r.rejoin()
 	slog.Info("taken_over", "partner", r.partner != nil)
-	r.store.Keep(r.keep(false), nil)
+	r.store.Save(r.keep(false), nil)
 }
 
 // tell tells the new process how many descriptors are still held here.
--- a/internal/balancer/asking_test.go
+++ b/internal/balancer/asking_test.go
@@ -8,12 +8,12 @@
 	for _, within := range []Time{10 * sec, 20 * sec, 60 * sec} {
 		for _, peers := range []int{1, 30, 300} {
 			cfg := settings()
-			cfg.Ask, cfg.AskWithin, cfg.Peers = true, within, peers
+			cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, within, peers
 			f := start(t, cfg, fleet(3)...)
 			f.run(within)
 			for range 20 {
 				asked, failed := len(f.watches), f.now
-				f.b.Members(f.now, ListFailed, 0, nil)
+				f.b.ListReceived(f.now, ListFailed, 0, nil)
 				f.run(6 * sec)
 				if len(f.watches) == asked || f.watches[asked]-failed > 5*sec {
 					t.Fatalf("asked within %d s, %d proxies: not asked again in 5 s", within/sec, peers)
@@ -27,12 +27,12 @@
 // there was no time left for another before the news counted as told.
 func TestASmallFleetHasTimeForASecondCall(t *testing.T) {
 	cfg := settings()
-	cfg.Ask, cfg.AskWithin, cfg.Peers = true, 10*sec, 6
+	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
 	f := start(t, cfg, fleet(3)...)
-	f.run(cfg.AskWithin)
+	f.run(cfg.PollInterval)
 	for range 12 {
 		asked, failed := len(f.watches), f.now
-		f.b.Members(f.now, ListFailed, 0, nil)
+		f.b.ListReceived(f.now, ListFailed, 0, nil)
 		f.run(2 * sec)
 		if len(f.watches) == asked || f.watches[asked]-failed > 3*sec/2 {
 			t.Fatalf("not asked again within 1.5 s of a failure")
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -9,12 +9,12 @@
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			cfg := settings()
-			cfg.Peers = 80
+			cfg.Instances = 80
 			f := start(b, cfg, fleet(n)...)
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				id := fmt.Sprint(i)
-				f.b.Request(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint("g", i%8), Left: 2 * sec})
+				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint("g", i%8), Remaining: 2 * sec})
 				f.stands(id)
 				f.ends(id, OK)
 				f.now += 50 * ms
@@ -31,7 +31,7 @@
 			es := fleet(n)
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				f.b.Members(f.now, ListFull, int64(i), es)
+				f.b.ListReceived(f.now, ListFull, int64(i), es)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 			for i := range b.N {
 				f.now += ms
 				f.trace = f.trace[:0]
-				f.b.Probed(f.now, f.b.servers[i%n].id, OK, ms, []float64{0.5 + float64(i%100)/1e4, 0})
+				f.b.HealthCheckEnded(f.now, f.b.servers[i%n].id, OK, ms, []float64{0.5 + float64(i%100)/1e4, 0})
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 				f.now += ms
 				f.trace, f.sends = f.trace[:0], f.sends[:0]
 				id := fmt.Sprint("r", i)
-				f.b.Request(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint(i % 8), Left: 2 * sec})
+				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint(i % 8), Remaining: 2 * sec})
 				f.stands(id)
 				f.ends(id, OK)
 			}
--- a/internal/balancer/brain.go
+++ b/internal/balancer/brain.go
@@ -65,27 +65,27 @@
 	movePart      = 0.15  // chance that a mean connection is moved off a stalled server, each note
 )
 
-func (b *Brain) tick(now Time) {
+func (b *Balancer) tick(now Time) {
 	b.now = now
 	if b.started >= 0 {
 		return
 	}
 	b.started, b.rateAt, b.fadeAt = now, now, now
-	b.fx.After(b.sweepEvery(), "sweep")
+	b.fx.Schedule(b.sweepEvery(), "sweep")
 	if b.reports() {
-		b.fx.After(b.cfg.Tick, "probe")
+		b.fx.Schedule(b.cfg.Tick, "probe")
 	}
-	if b.cfg.Ask {
+	if b.cfg.PollsDiscovery {
 		// Spread over the time allowed: discovery has the same capacity however many balancers start
 		// together.
-		b.fx.After(max(b.cfg.Tick, Time(float64(b.cfg.AskWithin)/4*b.rng.Float64())), "ask")
+		b.fx.Schedule(max(b.cfg.Tick, Time(float64(b.cfg.PollInterval)/4*b.rng.Float64())), "ask")
 	}
 }
 
-func (b *Brain) sweepEvery() Time { return max(b.cfg.Tick, b.qInit/8, 100e6) }
+func (b *Balancer) sweepEvery() Time { return max(b.cfg.Tick, b.qInit/8, 100e6) }
 
-// Timer brings back a token given to After.
-func (b *Brain) Timer(now Time, token string) {
+// TimerFired brings back a token given to After.
+func (b *Balancer) TimerFired(now Time, token string) {
 	b.tick(now)
 	switch token {
 	case "pump":
--- a/internal/balancer/brain_test.go
+++ b/internal/balancer/brain_test.go
@@ -15,13 +15,13 @@
 
 func TestDrainStopsAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(2)...)
-	f.b.Members(f.now, ListDelta, 2, []Entry{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
+	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
 	for i := 0; i < 6; i++ {
 		if f.serve(fmt.Sprint(i)) == "s00" {
 			t.Fatal("sent to a draining server")
 		}
 	}
-	f.b.Members(f.now, ListFull, 3, []Entry{{ID: "s00", Zone: "a", Weight: 1}})
+	f.b.ListReceived(f.now, ListFull, 3, []ListedHost{{ID: "s00", Zone: "a", Weight: 1}})
 	if got := f.serve("z"); got != "s00" {
 		t.Fatalf("a server missing from a full list was used: %s", got)
 	}
@@ -41,7 +41,7 @@
 
 func TestUnsafeIsNotSentAgainOnceItMayHaveRun(t *testing.T) {
 	cfg := settings()
-	cfg.Classes[0].Effect = Unsafe
+	cfg.Classes[0].Idempotency = NotIdempotent
 	f := start(t, cfg, fleet(4)...)
 	f.request("a")
 	f.ends("a", ConnectFailed) // proves that it never ran
@@ -56,7 +56,7 @@
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	cfg := settings()
-	cfg.Classes[0].Effect, cfg.Classes[0].Scope, cfg.Classes[0].Window = Keyed, ScopeZone, sec
+	cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = IdempotentWithKey, ScopeZone, sec
 	es := fleet(6)
 	for i := range es {
 		es[i].Zone = []string{"a", "b"}[i%2]
@@ -80,7 +80,7 @@
 
 func TestAskBacksOffButNotTooLong(t *testing.T) {
 	cfg := settings()
-	cfg.Ask = true
+	cfg.PollsDiscovery = true
 	f := start(t, cfg, fleet(3)...)
 	for i := 0; i < 12; i++ {
 		n := len(f.watches)
@@ -88,10 +88,10 @@
 		for len(f.watches) == n && f.now < before+20*sec {
 			f.run(50 * ms)
 		}
-		if f.now-before > cfg.AskWithin*3/4 {
+		if f.now-before > cfg.PollInterval*3/4 {
 			t.Fatalf("did not ask for %d ms", (f.now-before)/ms)
 		}
-		f.b.Members(f.now, ListFailed, 0, nil)
+		f.b.ListReceived(f.now, ListFailed, 0, nil)
 	}
 }
 
@@ -126,10 +126,10 @@
 func TestSettingsThatCannotBeUsed(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"no class":    func(c *Config) { c.Classes = nil },
-		"no peers":    func(c *Config) { c.Peers = 0 },
+		"no peers":    func(c *Config) { c.Instances = 0 },
 		"no attempts": func(c *Config) { c.MaxAttempts = 0 },
 		"no deadline": func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cap < init":  func(c *Config) { c.QuarantineInit, c.QuarantineMax = 10, 5 },
+		"cap < init":  func(c *Config) { c.EjectionInitial, c.EjectionMax = 10, 5 },
 	} {
 		cfg := settings()
 		spoil(&cfg)
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -7,17 +7,17 @@
 
 func TestColdServerGetsItsBudgetOnly(t *testing.T) {
 	cfg := settings()
-	cfg.Peers = 4
+	cfg.Instances = 4
 	es := fleet(10)
 	f := start(t, cfg, es...)
 	for i := 0; i < 400; i++ { // 20 a second, 2 a server and second
 		f.serve(fmt.Sprint("w", i))
 		f.now += 50 * ms
 	}
-	f.b.Members(f.now, ListDelta, 2, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: f.now}})
+	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
 	from := len(f.sends)
 	for i := 0; i < 400; i++ { // a wave of returning clients, all in one second
-		f.b.Request(f.now, Request{ID: fmt.Sprint("v", i), Returned: true, Left: 2 * sec})
+		f.b.RequestArrived(f.now, Request{ID: fmt.Sprint("v", i), Returned: true, Remaining: 2 * sec})
 		f.stands(fmt.Sprint("v", i))
 		f.now += sec / 400
 	}
@@ -35,7 +35,7 @@
 func TestWholeFleetColdHoldsAndRefuses(t *testing.T) {
 	es := fleet(4)
 	for i := range es {
-		es[i].Since = 100 * sec
+		es[i].StartedAt = 100 * sec
 	}
 	f := start(t, settings(), es...)
 	for i := 0; i < 100; i++ {
@@ -63,13 +63,13 @@
 	var all []*fake
 	for me := 0; me < peers; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers = me, peers
+		cfg.Instance, cfg.Instances = me, peers
 		f := start(t, cfg, fleet(10)...)
 		for i := 0; i < 60; i++ { // one connection each 0.5 s and balancer: 12 a second and server in all
 			f.serve(fmt.Sprint("w", i))
 			f.now += sec / 2
 		}
-		f.b.Members(f.now, ListDelta, 2, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: f.now}})
+		f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
 		f.now += 4 * sec // nobody comes, then all at once
 		all = append(all, f)
 	}
@@ -77,7 +77,7 @@
 	for _, f := range all {
 		from := len(f.sends)
 		for i := 0; i < 10; i++ {
-			f.b.Request(f.now, Request{ID: fmt.Sprint("v", i), Tenant: -1, Returned: true, Left: 2 * sec})
+			f.b.RequestArrived(f.now, Request{ID: fmt.Sprint("v", i), Tenant: -1, Returned: true, Remaining: 2 * sec})
 			f.stands(fmt.Sprint("v", i))
 		}
 		for _, x := range f.sends[from:] {
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -9,40 +9,40 @@
 // host carries out what the brain decides; a real one would open connections here.
 type host struct{ sent string }
 
-func (h *host) Send(request, server string, timeout balancer.Time) {
+func (h *host) StartAttempt(request, server string, timeout balancer.Time) {
 	h.sent = server
 	fmt.Println(request, "goes to", server)
 }
-func (h *host) Refuse(request string, retryAfter balancer.Time) { fmt.Println(request, "is refused") }
+func (h *host) Reject(request string, retryAfter balancer.Time) { fmt.Println(request, "is refused") }
 func (h *host) Fail(request string)                             { fmt.Println(request, "fails") }
-func (h *host) Cancel(request string, attempt int)              {}
-func (h *host) Move(request string)                             {}
-func (h *host) Probe(server string)                             {}
-func (h *host) Tell(peer int, data []byte)                      {}
-func (h *host) Watch(on bool)                                   {}
-func (h *host) Fetch()                                          {}
-func (h *host) After(delay balancer.Time, token string)         {} // call Timer with the token after the delay
+func (h *host) CancelAttempt(request string, attempt int)       {}
+func (h *host) Migrate(request string)                          {}
+func (h *host) HealthCheck(server string)                       {}
+func (h *host) SendToPeer(peer int, data []byte)                {}
+func (h *host) WatchList(on bool)                               {}
+func (h *host) FetchList()                                      {}
+func (h *host) Schedule(delay balancer.Time, token string)      {} // call Timer with the token after the delay
 func (h *host) Log(text string)                                 {}
 
 func Example() {
 	const ms = balancer.Time(1e6)
 	h := &host{}
 	b, err := balancer.New(balancer.Config{
-		Peers: 1, Zone: "east", Zones: []string{"east"}, Tick: 5 * ms, MaxAttempts: 3,
-		Classes:        []balancer.Class{{Name: "feed", Aim: 300 * ms, Deadline: 2000 * ms}},
-		QuarantineInit: -1, QuarantineMax: -1, // derived from the deadlines
+		Instances: 1, Zone: "east", Zones: []string{"east"}, Tick: 5 * ms, MaxAttempts: 3,
+		Classes:         []balancer.Class{{Name: "feed", LatencyObjective: 300 * ms, Deadline: 2000 * ms}},
+		EjectionInitial: -1, EjectionMax: -1, // derived from the deadlines
 	}, 1, h)
 	if err != nil {
 		panic(err)
 	}
-	b.Members(0, balancer.ListFull, 1, []balancer.Entry{
+	b.ListReceived(0, balancer.ListFull, 1, []balancer.ListedHost{
 		{ID: "10.0.0.1:9000", Zone: "east", Weight: 1},
 		{ID: "10.0.0.2:9000", Zone: "east", Weight: 1},
 	})
-	b.Request(5*ms, balancer.Request{ID: "a", Tenant: -1, Left: 2000 * ms})
-	b.Outcome(10*ms, "a", 0, balancer.ConnectFailed, 5*ms, false, nil) // quarantined, and tried elsewhere
-	b.First(20*ms, "a", 1, 10*ms)                                      // it stands
-	b.Request(30*ms, balancer.Request{ID: "b", Tenant: -1, Left: 2000 * ms})
+	b.RequestArrived(5*ms, balancer.Request{ID: "a", Tenant: -1, Remaining: 2000 * ms})
+	b.AttemptEnded(10*ms, "a", 0, balancer.ConnectFailed, 5*ms, false, nil) // quarantined, and tried elsewhere
+	b.AttemptEstablished(20*ms, "a", 1, 10*ms)                              // it stands
+	b.RequestArrived(30*ms, balancer.Request{ID: "b", Tenant: -1, Remaining: 2000 * ms})
 	// Output:
 	// a goes to 10.0.0.1:9000
 	// a goes to 10.0.0.2:9000
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -14,7 +14,7 @@
 // fake records the actions of one brain and lets a test answer them.
 type fake struct {
 	t        testing.TB
-	b        *Brain
+	b        *Balancer
 	now      Time
 	sends    []sent
 	attempts map[string]int
@@ -37,7 +37,7 @@
 
 func (f *fake) say(format string, a ...any) { f.trace = append(f.trace, fmt.Sprintf(format, a...)) }
 
-func (f *fake) Send(r, s string, t Time) {
+func (f *fake) StartAttempt(r, s string, t Time) {
 	if f.out[r] {
 		f.t.Errorf("two attempts of %s out at once", r)
 	}
@@ -50,7 +50,7 @@
 	f.say("%d send %s %s %d", f.now, r, s, t)
 }
 
-func (f *fake) Refuse(r string, after Time) {
+func (f *fake) Reject(r string, after Time) {
 	f.refused[r] = after
 	f.answers[r]++
 	f.say("%d refuse %s %d", f.now, r, after)
@@ -58,19 +58,22 @@
 
 func (f *fake) Fail(r string) { f.failed[r] = true; f.answers[r]++; f.say("%d fail %s", f.now, r) }
 
-func (f *fake) Cancel(r string, n int) { f.cancels = append(f.cancels, r); f.say("cancel %s %d", r, n) }
+func (f *fake) CancelAttempt(r string, n int) {
+	f.cancels = append(f.cancels, r)
+	f.say("cancel %s %d", r, n)
+}
 
-func (f *fake) Move(r string) { f.moves = append(f.moves, r); f.say("%d move %s", f.now, r) }
+func (f *fake) Migrate(r string) { f.moves = append(f.moves, r); f.say("%d move %s", f.now, r) }
 
-func (f *fake) Probe(s string) { f.say("probe %s", s) }
+func (f *fake) HealthCheck(s string) { f.say("probe %s", s) }
 
-func (f *fake) Tell(p int, d []byte) { f.told = append(f.told, d); f.say("tell %d %x", p, d) }
+func (f *fake) SendToPeer(p int, d []byte) { f.told = append(f.told, d); f.say("tell %d %x", p, d) }
 
-func (f *fake) Watch(on bool) { f.watches = append(f.watches, f.now); f.say("watch %v", on) }
+func (f *fake) WatchList(on bool) { f.watches = append(f.watches, f.now); f.say("watch %v", on) }
 
-func (f *fake) Fetch() { f.say("fetch") }
+func (f *fake) FetchList() { f.say("fetch") }
 
-func (f *fake) After(d Time, token string) {
+func (f *fake) Schedule(d Time, token string) {
 	f.timers = append(f.timers, timer{f.now + d, token})
 	f.say("after %d %s", d, token)
 }
@@ -78,14 +81,14 @@
 func (f *fake) Log(text string) { f.say("log %s", text) }
 
 func settings() Config {
-	return Config{Me: 0, Peers: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
-		Classes:     []Class{{Name: "x", Aim: 300 * ms, Deadline: 2 * sec, MessageAim: 100 * ms}},
-		MaxAttempts: 4, ConnectTimeout: 200 * ms, MaxRetryAfter: sec, RetryAfter: true, MayCancel: true,
-		ColdFrom: 0.2, WarmUp: 10 * sec, FallMultiple: 3, Fall: sec, AskWithin: 10 * sec, Pass: true,
-		QuarantineInit: -1, QuarantineMax: -1}
+	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
+		Classes:     []Class{{Name: "x", LatencyObjective: 300 * ms, Deadline: 2 * sec, MessageLatencyObjective: 100 * ms}},
+		MaxAttempts: 4, ConnectTimeout: 200 * ms, MaxRetryAfter: sec, SendsRetryAfter: true, MayCancel: true,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * sec, SlowStartOverloadFactor: 3, SlowStartOverloadWindow: sec, PollInterval: 10 * sec, PassThrough: true,
+		EjectionInitial: -1, EjectionMax: -1}
 }
 
-func start(t testing.TB, cfg Config, servers ...Entry) *fake {
+func start(t testing.TB, cfg Config, servers ...ListedHost) *fake {
 	t.Helper()
 	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, out: map[string]bool{},
 		answers: map[string]int{}, refused: map[string]Time{}, failed: map[string]bool{}}
@@ -94,14 +97,14 @@
 		t.Fatal(err)
 	}
 	f.b = b
-	b.Members(f.now, ListCached, 1, servers)
+	b.ListReceived(f.now, ListCached, 1, servers)
 	return f
 }
 
-func fleet(n int) []Entry {
-	var es []Entry
+func fleet(n int) []ListedHost {
+	var es []ListedHost
 	for i := 0; i < n; i++ {
-		es = append(es, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1})
+		es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1})
 	}
 	return es
 }
@@ -122,12 +125,14 @@
 		t := f.timers[first]
 		f.timers = append(f.timers[:first], f.timers[first+1:]...)
 		f.now = max(f.now, t.at)
-		f.b.Timer(f.now, t.token)
+		f.b.TimerFired(f.now, t.token)
 	}
 	f.now = end
 }
 
-func (f *fake) request(id string) { f.b.Request(f.now, Request{ID: id, Tenant: -1, Left: 2 * sec}) }
+func (f *fake) request(id string) {
+	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
+}
 
 // breaks is one failed connect to a server.
 func (f *fake) breaks(s *server) {
@@ -138,15 +143,15 @@
 func (f *fake) last() sent { return f.sends[len(f.sends)-1] }
 
 func (f *fake) stands(id string) {
-	f.b.First(f.now, id, f.attempts[id]-1, 10*ms)
+	f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 }
 
-func (f *fake) ends(id string, s Status) {
+func (f *fake) ends(id string, s AttemptStatus) {
 	f.out[id] = false
 	if s == OK {
 		f.answers[id]++
 	}
-	f.b.Outcome(f.now, id, f.attempts[id]-1, s, 10*ms, s == OK, nil)
+	f.b.AttemptEnded(f.now, id, f.attempts[id]-1, s, 10*ms, s == OK, nil)
 }
 
 // serve sends one request, lets it stand and end, and returns its server.
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -13,10 +13,10 @@
 	var all []*fake
 	for me := 0; me < n; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers, cfg.Zones = me, n, []string{"a"}
-		cfg.ColdFrom, cfg.WarmUp, cfg.FallMultiple, cfg.Fall = 0.14, 23*sec, 4, 2*sec
-		cfg.Classes = []Class{{Name: "x", Aim: 800 * ms, Deadline: 4800 * ms, MessageAim: 150 * ms}}
-		cfg.Tenants = []Tenant{{Name: "t", QuotaPerS: 5, Share: 1, QuotaConnections: 240}}
+		cfg.Instance, cfg.Instances, cfg.Zones = me, n, []string{"a"}
+		cfg.SlowStartFloor, cfg.SlowStartDuration, cfg.SlowStartOverloadFactor, cfg.SlowStartOverloadWindow = 0.14, 23*sec, 4, 2*sec
+		cfg.Classes = []Class{{Name: "x", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 150 * ms}}
+		cfg.Tenants = []Tenant{{Name: "t", RateQuota: 5, ServiceQuota: 1, ConnectionQuota: 240}}
 		f := start(t, cfg, fleet(11)...)
 		f.b.rng = rand.New(rand.NewSource(seed*1000 + int64(me)))
 		all = append(all, f)
@@ -32,7 +32,7 @@
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
 		from, id := len(f.sends), fmt.Sprintf("%x-%d", rng.Int63(), i)
-		f.b.Request(f.now, Request{ID: id, Tenant: 0, Returned: returned, Left: 4800 * ms})
+		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: returned, Remaining: 4800 * ms})
 		for _, s := range f.sends[from:] {
 			f.stands(s.req)
 			if s.server == server {
@@ -78,7 +78,7 @@
 			if i%2 == 0 { // half of them have just been restarted
 				all[i] = restarted[i]
 			}
-			all[i].b.Members(up, ListDelta, 2, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: up}})
+			all[i].b.ListReceived(up, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 			all[i].now = up
 		}
 		sent := replay(all, rng, later, false, "s03")
@@ -108,7 +108,7 @@
 		all := manyBalancers(t, 80, seed)
 		up := 110 * sec
 		for _, f := range all {
-			f.b.Members(up, ListDelta, 2, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: up},
+			f.b.ListReceived(up, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up},
 				{ID: "s04", Zone: "a", Weight: 1, State: Draining}, {ID: "s05", Zone: "a", Weight: 1, State: Draining}})
 			f.now = up
 		}
@@ -136,13 +136,13 @@
 		quota     float64
 	}{{1, 0, 0}, {1, 0, 5}, {80, 99, 5}, {3, 1, 0}} {
 		cfg := settings()
-		cfg.Me, cfg.Peers = c.me, c.peers
-		cfg.Tenants = []Tenant{{Name: "t", QuotaPerS: c.quota}}
+		cfg.Instance, cfg.Instances = c.me, c.peers
+		cfg.Tenants = []Tenant{{Name: "t", RateQuota: c.quota}}
 		es := fleet(3)
-		es[0].Since = 99 * sec
+		es[0].StartedAt = 99 * sec
 		f := start(t, cfg, es...)
 		for i := 0; i < 50; i++ {
-			f.b.Request(f.now, Request{ID: fmt.Sprint(i), Tenant: 0, Returned: i%2 == 0, Left: 2 * sec})
+			f.b.RequestArrived(f.now, Request{ID: fmt.Sprint(i), Tenant: 0, Returned: i%2 == 0, Remaining: 2 * sec})
 			f.stands(fmt.Sprint(i))
 			f.now += 50 * ms
 		}
@@ -156,21 +156,21 @@
 // ten of all that came, with ten servers idle; and news of any stalled server kept it from ending that.
 func TestOneStalledConnectionIsNoOverload(t *testing.T) {
 	cfg := settings()
-	cfg.Peers, cfg.Zones = 80, []string{"a"}
+	cfg.Instances, cfg.Zones = 80, []string{"a"}
 	f := start(t, cfg, fleet(11)...)
-	f.b.Open(f.now, Request{ID: "o", Tenant: -1}, "s01")
-	f.b.Note(f.now, "o", 0, NoteLoad, 40000)
+	f.b.ConnectionAdopted(f.now, Request{ID: "o", Tenant: -1}, "s01")
+	f.b.Observe(f.now, "o", 0, ObservedLoad, 40000)
 	for i := 0; i < 3; i++ {
-		f.b.Note(f.now, "o", 0, NoteDelay, 1000)
+		f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 		f.run(sec)
 	}
 	if f.b.restraint > 0.6 {
 		t.Errorf("refuses %.2f of what comes for one connection of its own, with ten of eleven servers idle", f.b.restraint)
 	}
-	f.b.Note(f.now, "o", 0, NoteDelay, 1)
+	f.b.Observe(f.now, "o", 0, ObservedLatency, 1)
 	f.b.restraint = 0.9
 	for i := 0; i < 10; i++ {
-		f.b.Peer(f.now, 1, appendTold(nil, uint32(hash("s05")), 3)) // another server stalls, far from here
+		f.b.PeerMessageReceived(f.now, 1, appendTold(nil, uint32(hash("s05")), 3)) // another server stalls, far from here
 		f.run(sec)
 	}
 	if f.b.restraint > 0.2 {
@@ -183,13 +183,13 @@
 func TestRefusedMayGoToAColdServer(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	up := f.now - 8*sec
-	f.b.Members(f.now, ListDelta, 2, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: up}})
+	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 	cold, warm := 0, 0
 	for i := 0; i < 3000; i++ {
 		f.b.restraint = 1 // what rank draws is below
 		from, id := len(f.sends), fmt.Sprintf("q%d", i)
 		f.b.again.n = 0
-		f.b.Request(f.now, Request{ID: id, Tenant: 0, Returned: true, Left: 4800 * ms})
+		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: true, Remaining: 4800 * ms})
 		if len(f.sends) == from {
 			if f.answers[id] != 1 {
 				t.Fatalf("%s has neither an attempt nor its answer at once", id)
--- a/internal/balancer/groups.go
+++ b/internal/balancer/groups.go
@@ -11,7 +11,7 @@
 // connections is not known here, but all can keep to one order of its servers, drawn from their names, so
 // that few servers pay for it and not each of them. Where traffic is thin that order is all there is to go
 // by: it is one for a set of zones, goes further, and a slow server stands later in it.
-func (b *Brain) strange(s *server, r *request, thin bool) float64 {
+func (b *Balancer) strange(s *server, r *request, thin bool) float64 {
 	if r.Group == "" {
 		return 0
 	}
@@ -42,15 +42,15 @@
 
 // thin tells whether a balancer holds less than one connection a server, by the quotas if there are any: its
 // own turns and loads then say little of the fleet's.
-func (b *Brain) thin() bool {
+func (b *Balancer) thin() bool {
 	if b.standing > 0 {
-		return b.standing < float64(b.cfg.Peers*len(b.servers))
+		return b.standing < float64(b.cfg.Instances*len(b.servers))
 	}
 	return b.ups < len(b.servers)
 }
 
 // order is the order of servers that a group's connections keep to, the same at every balancer.
-func (b *Brain) order(group string) []int32 {
+func (b *Balancer) order(group string) []int32 {
 	if o := b.orders[group]; o != nil {
 		return o
 	}
@@ -74,7 +74,7 @@
 // homes marks each server that tells its load but for the first one with room in a group's order, which is to
 // hold the group. Loads told keep the balance, so that the order may weigh more than where they are not: what
 // all groups cost everywhere is a third of what the fleet can do.
-func (b *Brain) homes(group string) {
+func (b *Balancer) homes(group string) {
 	n := 0.0
 	for _, i := range b.order(group) {
 		s := b.servers[i]
--- a/internal/balancer/groups_test.go
+++ b/internal/balancer/groups_test.go
@@ -11,18 +11,18 @@
 func TestGroupsKeepToFewServers(t *testing.T) {
 	pairs, most := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
-	var es []Entry
+	var es []ListedHost
 	for i := 0; i < 12; i++ {
-		es = append(es, Entry{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%3)), Weight: 1})
+		es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: string(rune('a' + i%3)), Weight: 1})
 	}
 	for me := 0; me < 80; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers, cfg.Zones, cfg.Zone = me, 80, []string{"a", "b", "c"}, string(rune('a'+me%3))
+		cfg.Instance, cfg.Instances, cfg.Zones, cfg.Zone = me, 80, []string{"a", "b", "c"}, string(rune('a'+me%3))
 		cfg.Prices.CrossZone = 0.1
 		f := start(t, cfg, es...)
 		for i := 0; i < 2; i++ {
 			id, group := fmt.Sprint(i), fmt.Sprintf("group%d", rng.Intn(4))
-			f.b.Request(f.now, Request{ID: id, Tenant: -1, Group: group, Left: 2 * sec})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec})
 			f.stands(id)
 			pairs[f.last().server+group] = true
 			most[f.last().server]++
@@ -52,15 +52,15 @@
 		got := map[string]int{}
 		for me := range 60 {
 			cfg := settings()
-			cfg.Me, cfg.Peers, cfg.Zones, cfg.Zone = me, 60, []string{"z0", "z1", "z2", "z3"}, []string{"z0", "z2"}[me%2]
+			cfg.Instance, cfg.Instances, cfg.Zones, cfg.Zone = me, 60, []string{"z0", "z1", "z2", "z3"}, []string{"z0", "z2"}[me%2]
 			cfg.Prices.CrossZone = 0.1
-			cfg.Classes = []Class{{Name: "x", Aim: 800 * ms, Deadline: 4800 * ms, MessageAim: 150 * ms}}
-			cfg.Tenants = []Tenant{{Name: "t", QuotaPerS: 5, Share: 1, QuotaConnections: 240}}
+			cfg.Classes = []Class{{Name: "x", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 150 * ms}}
+			cfg.Tenants = []Tenant{{Name: "t", RateQuota: 5, ServiceQuota: 1, ConnectionQuota: 240}}
 			f := start(t, cfg, servers...)
 			if s := f.b.byID[slow]; s != nil {
 				s.delay, s.delayAt = 1, f.now
 			}
-			f.b.Request(f.now, Request{ID: "q", Group: "g", Left: 4800 * ms})
+			f.b.RequestArrived(f.now, Request{ID: "q", Group: "g", Remaining: 4800 * ms})
 			got[f.last().server]++
 		}
 		return got
@@ -91,7 +91,7 @@
 	took := map[string]map[string]int{}
 	f := manyBalancers(t, 80, 1)[0]
 	for _, id := range []string{"s01", "s02", "s03", "s04"} {
-		f.b.Members(f.now, ListDelta, 2, []Entry{{ID: id, Zone: "a", Weight: 1, Since: f.now}})
+		f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: id, Zone: "a", Weight: 1, StartedAt: f.now}})
 		took[id] = map[string]int{}
 	}
 	total := 0
--- a/internal/balancer/helpers.go
+++ b/internal/balancer/helpers.go
@@ -24,7 +24,7 @@
 	t.at = now
 }
 
-func (b *Brain) zoneOf(name string) int {
+func (b *Balancer) zoneOf(name string) int {
 	z, ok := b.zones[name]
 	if !ok {
 		z = len(b.zones)
--- a/internal/balancer/homes_test.go
+++ b/internal/balancer/homes_test.go
@@ -11,12 +11,12 @@
 	var f *fake
 	for me := range 3 {
 		cfg := settings()
-		cfg.Me, cfg.Peers = me, 3
+		cfg.Instance, cfg.Instances = me, 3
 		f = told(t, cfg, fleet(8)...)
 		f.report(func(int) float64 { return 0.5 })
 		for i := range 8 {
 			id := fmt.Sprint("r", i)
-			f.b.Request(f.now, Request{ID: id, Tenant: 0, Group: "g", Left: 2 * sec})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: "g", Remaining: 2 * sec})
 			f.stands(id)
 			homes[f.last().server] = true
 		}
@@ -31,7 +31,7 @@
 		}
 		return 0.5
 	})
-	f.b.Request(f.now, Request{ID: "more", Tenant: 0, Group: "g", Left: 2 * sec})
+	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
 	if homes[f.last().server] {
 		t.Error("a group's home that is full gets more of it")
 	}
@@ -42,7 +42,7 @@
 func TestClassOfUnknownLoad(t *testing.T) {
 	cfg := settings()
 	heavy := cfg.Classes[0]
-	heavy.Name, heavy.Worth = "heavy", 3
+	heavy.Name, heavy.PriorityWeight = "heavy", 3
 	cfg.Classes = append(cfg.Classes, heavy)
 	f := told(t, cfg, fleet(4)...)
 	turns := func(class int) float64 { return f.b.turns(&request{cost: f.b.price(&Request{Class: class})}) }
@@ -51,9 +51,9 @@
 	}
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
-		f.b.Request(f.now, Request{ID: id, Class: i % 2, Tenant: -1, Left: 2 * sec})
+		f.b.RequestArrived(f.now, Request{ID: id, Class: i % 2, Tenant: -1, Remaining: 2 * sec})
 		f.stands(id)
-		f.b.Note(f.now, id, 0, NoteLoad, 1000+float64(i%2)*5000)
+		f.b.Observe(f.now, id, 0, ObservedLoad, 1000+float64(i%2)*5000)
 	}
 	if x := turns(1) / turns(0); x < 4 || x > 8 {
 		t.Errorf("a connection six times as heavy counts for %.2f", x)
--- a/internal/balancer/keep.go
+++ b/internal/balancer/keep.go
@@ -5,19 +5,19 @@
 // What one process of a balancer leaves to the next. It holds facts with their times, so that what the next one makes of
 // them ages by the usual rules; nothing is decided here.
 
-// Memory is what a process knows beyond the list.
-type Memory struct {
+// Snapshot is what a process knows beyond the list.
+type Snapshot struct {
 	Started   Time           `json:"Started"`
 	RateAt    Time           `json:"RateAt"`
 	Rate      float64        `json:"Rate"`
 	Fresh     float64        `json:"Fresh"`
 	MeanCost  float64        `json:"MeanCost"`
 	ClassCost []float64      `json:"ClassCost"`
-	Servers   []ServerMemory `json:"Servers"`
+	Servers   []HostSnapshot `json:"Servers"`
 }
 
-// ServerMemory is what it knows of one server.
-type ServerMemory struct {
+// HostSnapshot is what it knows of one server.
+type HostSnapshot struct {
 	ID       string  `json:"ID"`
 	Since    Time    `json:"Since"`
 	Fails    int     `json:"Fails"`
@@ -32,13 +32,13 @@
 	Passed   Time    `json:"Passed"`
 }
 
-// Remember gives what is known. With yield, what is left of the cold budgets is given away with it: the two processes
+// Snapshot gives what is known. With yield, what is left of the cold budgets is given away with it: the two processes
 // of an upgrade are one balancer and have one budget.
-func (b *Brain) Remember(yield bool) Memory {
-	m := Memory{Started: b.started, RateAt: b.rateAt, Rate: b.rate, Fresh: b.fresh, MeanCost: b.meanCost,
+func (b *Balancer) Snapshot(yield bool) Snapshot {
+	m := Snapshot{Started: b.started, RateAt: b.rateAt, Rate: b.rate, Fresh: b.fresh, MeanCost: b.meanCost,
 		ClassCost: append([]float64(nil), b.classCost...)}
 	for _, s := range b.servers {
-		m.Servers = append(m.Servers, ServerMemory{ID: s.id, Since: s.since, Fails: s.fails, Until: s.until, FailedAt: s.failedAt,
+		m.Servers = append(m.Servers, HostSnapshot{ID: s.id, Since: s.since, Fails: s.fails, Until: s.until, FailedAt: s.failedAt,
 			Ill: s.ill, IllAt: s.illAt, Delay: s.delay, DelayAt: s.delayAt, Tokens: max(0, s.tokens), TokensAt: s.tokensAt, Passed: s.passed})
 		if yield {
 			s.tokens = math.Inf(-1)
@@ -47,9 +47,9 @@
 	return m
 }
 
-// Recall takes what another process of this balancer knew, as far as it is about servers as they are now. What lies in the
+// Restore takes what another process of this balancer knew, as far as it is about servers as they are now. What lies in the
 // future or is no number is passed over: it can come from a broken file.
-func (b *Brain) Recall(now Time, m Memory) {
+func (b *Balancer) Restore(now Time, m Snapshot) {
 	b.tick(now)
 	past := func(ts ...Time) bool {
 		for _, t := range ts {
--- a/internal/balancer/keep_test.go
+++ b/internal/balancer/keep_test.go
@@ -19,8 +19,8 @@
 		var at, later []Time
 		for _, f := range all {
 			f.b.byID["s03"].fails, f.b.byID["s03"].until = 3, up+100*sec
-			f.b.Members(up-5*sec, ListByHand, 0, []Entry{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
-			f.b.Members(up, ListByHand, 0, []Entry{{ID: "s03", Zone: "a", Weight: 1, Since: up}})
+			f.b.ListReceived(up-5*sec, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
+			f.b.ListReceived(up, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 			f.now = up
 		}
 		for i := 0; i < 30; i++ {
@@ -46,43 +46,43 @@
 
 // What a balancer knows passes from process to process, its cold budgets once; what a broken file could hold is passed over.
 func TestMemory(t *testing.T) {
-	cold := []Entry{{ID: "s00", Zone: "a", Weight: 1}, {ID: "s01", Zone: "a", Weight: 1, Since: 99 * sec}}
+	cold := []ListedHost{{ID: "s00", Zone: "a", Weight: 1}, {ID: "s01", Zone: "a", Weight: 1, StartedAt: 99 * sec}}
 	old := start(t, settings(), cold...)
 	old.b.byID["s00"].fails, old.b.byID["s00"].until, old.b.byID["s00"].failedAt = 2, old.now+sec, old.now
 	old.b.byID["s01"].tokens = 3
 	old.b.meanCost = 7
-	m := old.b.Remember(true)
+	m := old.b.Snapshot(true)
 	if old.b.byID["s01"].tokens >= 0 {
 		t.Error("a budget that was given away is still there")
 	}
-	if again := old.b.Remember(false); again.Servers[1].Tokens != 0 {
+	if again := old.b.Snapshot(false); again.Servers[1].Tokens != 0 {
 		t.Error("what is left of it is no number that a file can hold")
 	}
 	young := start(t, settings(), cold...)
-	young.b.Recall(young.now, m)
-	if s := young.b.byID["s00"]; !young.b.Avoids(young.now, "s00") || s.fails != 2 || young.b.byID["s01"].tokens != 3 || young.b.meanCost != 7 {
+	young.b.Restore(young.now, m)
+	if s := young.b.byID["s00"]; !young.b.Ejected(young.now, "s00") || s.fails != 2 || young.b.byID["s01"].tokens != 3 || young.b.meanCost != 7 {
 		t.Errorf("it recalls %+v", s)
 	}
-	if young.b.Avoids(young.now+2*sec, "s00") {
+	if young.b.Ejected(young.now+2*sec, "s00") {
 		t.Error("a quarantine does not end")
 	}
 	// One that gave its budgets away and goes on takes them back.
-	old.b.Recall(old.now, m)
+	old.b.Restore(old.now, m)
 	if old.b.byID["s01"].tokens != 3 {
 		t.Error("the budget is lost")
 	}
-	for name, spoil := range map[string]func(s *ServerMemory){
-		"restarted since": func(s *ServerMemory) { s.Since = 50 * sec }, "for ever": func(s *ServerMemory) { s.Until = math.MaxInt64 },
-		"from the future": func(s *ServerMemory) { s.FailedAt = math.MaxInt64 }, "no number": func(s *ServerMemory) { s.Ill = math.NaN() },
-		"no count": func(s *ServerMemory) { s.Fails = -1 }, "unknown": func(s *ServerMemory) { s.ID = "x" },
-		"endless": func(s *ServerMemory) { s.Tokens = math.Inf(1) },
+	for name, spoil := range map[string]func(s *HostSnapshot){
+		"restarted since": func(s *HostSnapshot) { s.Since = 50 * sec }, "for ever": func(s *HostSnapshot) { s.Until = math.MaxInt64 },
+		"from the future": func(s *HostSnapshot) { s.FailedAt = math.MaxInt64 }, "no number": func(s *HostSnapshot) { s.Ill = math.NaN() },
+		"no count": func(s *HostSnapshot) { s.Fails = -1 }, "unknown": func(s *HostSnapshot) { s.ID = "x" },
+		"endless": func(s *HostSnapshot) { s.Tokens = math.Inf(1) },
 	} {
 		f := start(t, settings(), cold...)
 		want := *f.b.byID["s00"]
 		bad := m
-		bad.Servers = append([]ServerMemory(nil), m.Servers[:1]...)
+		bad.Servers = append([]HostSnapshot(nil), m.Servers[:1]...)
 		spoil(&bad.Servers[0])
-		f.b.Recall(f.now, bad)
+		f.b.Restore(f.now, bad)
 		if got := *f.b.byID["s00"]; !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: taken", name)
 		}
--- a/internal/balancer/keepers.go
+++ b/internal/balancer/keepers.go
@@ -9,86 +9,86 @@
 // What is told between a balancer and the one that keeps the book, and what comes of it. Nothing is decided here.
 
 // keepsBook tells whether there is a book to go by: the others can be reached.
-func (b *Brain) keepsBook() bool { return b.cfg.MayTell && b.cfg.Peers > 1 }
+func (b *Balancer) keepsBook() bool { return b.cfg.MayGossip && b.cfg.Instances > 1 }
 
 // units is a connection's load as messages carry it: the same when it is told and when it is taken back.
-func (b *Brain) units(r *request) int {
+func (b *Balancer) units(r *request) int {
 	if r.units == 0 {
-		r.units = max(1, min(127, int(b.turns(r)*ledger.Units+0.5)))
+		r.units = max(1, min(127, int(b.turns(r)*ledger.UnitsPerConnection+0.5)))
 	}
 	return r.units
 }
 
 // lookForBook says once that a book is kept here, where it is; asks a keeper that may be back whether it is; and tells the one that is asked all that is held
 // here when that is due: what was lost on the way is put right so. Where there is no book to go by nothing is said and nothing drawn.
-func (b *Brain) lookForBook() {
+func (b *Balancer) lookForBook() {
 	if !b.keepsBook() {
 		return
 	}
 	if !b.bookOpen {
 		b.bookOpen, b.epoch = true, byte(b.now/1e8)
-		if b.desk.Keeps(b.cfg.Me) {
-			b.fx.Tell(-1, ledger.Here(b.epoch))
+		if b.desk.IsCoordinator(b.cfg.Instance) {
+			b.fx.SendToPeer(-1, ledger.Announcement(b.epoch))
 		}
 	}
-	if b.now >= b.bookDue && b.desk.Told(b.now) {
+	if b.now >= b.bookDue && b.desk.Synced(b.now) {
 		b.tellBook()
 	}
-	if k := b.desk.Look(b.now); k == b.cfg.Me {
+	if k := b.desk.NextPoll(b.now); k == b.cfg.Instance {
 		b.heardBook(k, b.epoch)
 	} else if k >= 0 {
-		b.fx.Tell(k, ledger.Look())
+		b.fx.SendToPeer(k, ledger.Poll())
 	}
 }
 
 // bookTold takes a message about the book; false: it is none.
-func (b *Brain) bookTold(from int, data []byte) bool {
-	m, ok := ledger.Read(data)
+func (b *Balancer) bookTold(from int, data []byte) bool {
+	m, ok := ledger.Decode(data)
 	switch {
 	case !ok:
 		return false
-	case m.Ask != nil:
+	case m.Query != nil:
 		id := uint32(0)
-		if s := b.grant(from, *m.Ask); s != nil {
+		if s := b.grant(from, *m.Query); s != nil {
 			id = uint32(s.hash)
 		}
-		b.fx.Tell(from, ledger.Answer(m.Ask.Seq, b.epoch, id))
-	case m.Answer:
+		b.fx.SendToPeer(from, ledger.AppendReply(m.Query.Seq, b.epoch, id))
+	case m.Reply:
 		b.heardBook(from, m.Epoch)
 		b.answered(from, m)
-	case m.Here:
+	case m.Announcement:
 		b.heardBook(from, m.Epoch)
-	case m.Look:
-		b.fx.Tell(from, ledger.Here(b.epoch))
+	case m.Poll:
+		b.fx.SendToPeer(from, ledger.Announcement(b.epoch))
 	default:
-		if m.All {
+		if m.Sync {
 			b.book.Forget(from)
 		}
 		for _, e := range m.Entries {
-			b.book.Count(from, e.Server, e.Group, e.Units)
+			b.book.Add(from, e.Host, e.Group, e.Units)
 		}
 	}
 	return true
 }
 
 // heardBook has all that is held here told to a keeper that does not know it, in a while: all balancers hear of it together.
-func (b *Brain) heardBook(from int, epoch byte) {
-	if b.keepsBook() && b.desk.Heard(from, epoch) {
+func (b *Balancer) heardBook(from int, epoch byte) {
+	if b.keepsBook() && b.desk.CoordinatorHeard(from, epoch) {
 		b.bookDue = b.now + Time(bookSpread*b.rng.Float64())
 		b.fx.Log(fmt.Sprintf("the book of balancer %d is asked", from))
 	}
 }
 
 // answered goes on with the request that the keeper's word is for; what it has granted and is not used is given back.
-func (b *Brain) answered(from int, m ledger.Message) {
-	o := b.desk.Answered(m.Seq)
+func (b *Balancer) answered(from int, m ledger.Message) {
+	o := b.desk.Take(m.Seq)
 	if o == nil {
 		return
 	}
-	r, s := b.requests[o.Request], b.byHash(m.Server)
-	if r == nil || r.closed || !r.waits || o.Late {
-		if m.Server != 0 {
-			b.fx.Tell(from, ledger.Entry{Server: m.Server, Group: o.Group, Units: -o.Units}.Append(nil))
+	r, s := b.requests[o.Request], b.byHash(m.Host)
+	if r == nil || r.closed || !r.waits || o.Abandoned {
+		if m.Host != 0 {
+			b.fx.SendToPeer(from, ledger.Entry{Host: m.Host, Group: o.Group, Units: -o.Units}.Append(nil))
 		}
 		return
 	}
@@ -97,14 +97,14 @@
 }
 
 // unanswered notes that a request has waited long enough.
-func (b *Brain) unanswered(r *request) {
+func (b *Balancer) unanswered(r *request) {
 	r.waits, r.waitTo = false, 0
-	if b.desk.Missed(b.now, r.ID); b.desk.Keeper(b.now) < 0 {
+	if b.desk.TimedOut(b.now, r.ID); b.desk.Coordinator(b.now) < 0 {
 		b.fx.Log("no book answers, on its own")
 	}
 }
 
-func (b *Brain) byHash(id uint32) *server {
+func (b *Balancer) byHash(id uint32) *server {
 	for _, s := range b.servers {
 		if uint32(s.hash) == id && id != 0 {
 			return s
@@ -114,13 +114,13 @@
 }
 
 // tellBook tells the keeper all that is held here.
-func (b *Brain) tellBook() {
-	k := b.desk.Keeper(b.now)
+func (b *Balancer) tellBook() {
+	k := b.desk.Coordinator(b.now)
 	b.bookDue = b.now + Time(bookAgain*(0.5+b.rng.Float64()))
 	if k < 0 {
 		return
 	}
-	data, n := ledger.All(), 0
+	data, n := ledger.StartSync(), 0
 	say := func() {
 		b.tellKeeper(k, data)
 		data, n = nil, 0
@@ -132,7 +132,7 @@
 			if r.Group == "" {
 				continue
 			}
-			g := ledger.Group(hash(r.Group))
+			g := ledger.GroupID(hash(r.Group))
 			if units[g] == 0 {
 				groups = append(groups, g)
 			}
@@ -140,8 +140,8 @@
 		}
 		for _, g := range groups {
 			for left := units[g]; left > 0; left -= 127 {
-				data = ledger.Entry{Server: uint32(s.hash), Group: g, Units: min(left, 127)}.Append(data)
-				if n++; n == ledger.MostEntries {
+				data = ledger.Entry{Host: uint32(s.hash), Group: g, Units: min(left, 127)}.Append(data)
+				if n++; n == ledger.MaxEntries {
 					say()
 				}
 			}
@@ -153,26 +153,26 @@
 }
 
 // holds tells the keeper that a server holds a connection more (1), or less (-1).
-func (b *Brain) holds(s *server, r *request, sign int) {
-	k := b.desk.Keeper(b.now)
+func (b *Balancer) holds(s *server, r *request, sign int) {
+	k := b.desk.Coordinator(b.now)
 	if r.Group == "" || k < 0 || !b.keepsBook() {
 		return
 	}
-	e := ledger.Entry{Server: uint32(s.hash), Group: ledger.Group(hash(r.Group)), Units: sign * b.units(r)}
+	e := ledger.Entry{Host: uint32(s.hash), Group: ledger.GroupID(hash(r.Group)), Units: sign * b.units(r)}
 	b.tellKeeper(k, e.Append(nil))
 }
 
 // tellKeeper brings a message to who keeps the book, which may be this balancer.
-func (b *Brain) tellKeeper(k int, data []byte) {
-	if k == b.cfg.Me {
+func (b *Balancer) tellKeeper(k int, data []byte) {
+	if k == b.cfg.Instance {
 		b.bookTold(k, data)
 		return
 	}
-	b.fx.Tell(k, data)
+	b.fx.SendToPeer(k, data)
 }
 
 // settle puts right what was granted and is not where the connection stands; s is nil where it stands nowhere.
-func (b *Brain) settle(r *request, s *server) {
+func (b *Balancer) settle(r *request, s *server) {
 	if r.granted == s {
 		r.granted = nil
 		return
--- a/internal/balancer/ledger/book.go
+++ b/internal/balancer/ledger/book.go
@@ -8,8 +8,8 @@
 // Time is nanoseconds on the caller's clock.
 type Time = int64
 
-// Units are loads in eighths of a mean connection, as messages carry them.
-const Units = 8
+// UnitsPerConnection are loads in eighths of a mean connection, as messages carry them.
+const UnitsPerConnection = 8
 
 // Bounds of a book: what others tell must not fill the memory.
 const (
@@ -27,16 +27,18 @@
 	grants []Time
 }
 
-// Book is what the fleet holds, as told to one balancer.
-type Book struct {
+// Placements is what the fleet holds, as told to one balancer.
+type Placements struct {
 	servers map[uint32]*held
 	peers   map[int]map[place]int
 }
 
-// NewBook begins with nothing known.
-func NewBook() *Book { return &Book{servers: map[uint32]*held{}, peers: map[int]map[place]int{}} }
+// NewPlacements begins with nothing known.
+func NewPlacements() *Placements {
+	return &Placements{servers: map[uint32]*held{}, peers: map[int]map[place]int{}}
+}
 
-func (b *Book) held(server uint32) *held {
+func (b *Placements) held(server uint32) *held {
 	h := b.servers[server]
 	if h == nil {
 		if len(b.servers) >= mostServers {
@@ -49,8 +51,8 @@
 	return h
 }
 
-// Count adds to what a balancer holds of a group at a server, or takes from it; nothing goes under 0, whatever was lost on the way.
-func (b *Book) Count(peer int, server, group uint32, units int) {
+// Add adds to what a balancer holds of a group at a server, or takes from it; nothing goes under 0, whatever was lost on the way.
+func (b *Placements) Add(peer int, server, group uint32, units int) {
 	p := b.peers[peer]
 	if p == nil {
 		p = map[place]int{}
@@ -76,7 +78,7 @@
 }
 
 // Forget drops what a balancer holds: its process has begun anew, or it tells all again.
-func (b *Book) Forget(peer int) {
+func (b *Placements) Forget(peer int) {
 	for k, n := range b.peers[peer] {
 		h := b.held(k.server)
 		h.units -= n
@@ -88,24 +90,24 @@
 }
 
 // Load is how many mean connections a server holds, of how many groups, and whether of this one.
-func (b *Book) Load(server, group uint32) (connections float64, groups int, holds bool) {
+func (b *Placements) Load(server, group uint32) (connections float64, groups int, holds bool) {
 	h := b.servers[server]
 	if h == nil {
 		return 0, 0, false
 	}
-	return float64(h.units) / Units, len(h.groups), h.groups[group] > 0
+	return float64(h.units) / UnitsPerConnection, len(h.groups), h.groups[group] > 0
 }
 
-// Grant notes that a request was sent to a server, and Granted says how many were since a time.
-func (b *Book) Grant(server uint32, now Time) {
+// RecordGrant notes that a request was sent to a server, and Granted says how many were since a time.
+func (b *Placements) RecordGrant(server uint32, now Time) {
 	h := b.held(server)
 	if h.grants = append(h.grants, now); len(h.grants) > mostGrants {
 		h.grants = slices.Delete(h.grants, 0, mostGrants/2)
 	}
 }
 
-// Granted is how many requests were sent to a server since a time.
-func (b *Book) Granted(server uint32, since Time) int {
+// GrantsSince is how many requests were sent to a server since a time.
+func (b *Placements) GrantsSince(server uint32, since Time) int {
 	h := b.servers[server]
 	if h == nil {
 		return 0
--- a/internal/balancer/ledger/desk.go
+++ b/internal/balancer/ledger/desk.go
@@ -10,18 +10,18 @@
 	forgetAfter = 10e9 // when an ask's answer counts for nothing any more
 )
 
-// Out is an ask on its way.
-type Out struct {
-	Request string
-	Group   uint32
-	Units   int
-	At      Time
-	Late    bool // its request waits no longer
+// PendingQuery is an ask on its way.
+type PendingQuery struct {
+	Request   string
+	Group     uint32
+	Units     int
+	SentAt    Time
+	Abandoned bool // its request waits no longer
 }
 
-// Desk is the asker's side: which balancer keeps the book that is asked, and what was asked. The keepers stand in one order for all; the first of them that
+// Client is the asker's side: which balancer keeps the book that is asked, and what was asked. The keepers stand in one order for all; the first of them that
 // answers is asked.
-type Desk struct {
+type Client struct {
 	keepers []int
 	at      int // the one asked now
 	misses  int
@@ -31,22 +31,22 @@
 	known   bool // it has answered, and was told all
 	epoch   byte
 	seq     uint16
-	out     map[uint16]*Out
+	out     map[uint16]*PendingQuery
 }
 
-// NewDesk makes the desk of one of so many balancers. The keepers are spread over their numbers, which may follow zones.
-func NewDesk(peers int) *Desk {
-	d := &Desk{out: map[uint16]*Out{}}
+// NewClient makes the desk of one of so many balancers. The keepers are spread over their numbers, which may follow zones.
+func NewClient(peers int) *Client {
+	d := &Client{out: map[uint16]*PendingQuery{}}
 	for i := range min(peers, mostKeepers) {
 		d.keepers = append(d.keepers, i*peers/min(peers, mostKeepers))
 	}
 	return d
 }
 
-// Keeps tells whether a balancer is one of those that keep a book.
-func (d *Desk) Keeps(peer int) bool { return d.place(peer) >= 0 }
+// IsCoordinator tells whether a balancer is one of those that keep a book.
+func (d *Client) IsCoordinator(peer int) bool { return d.place(peer) >= 0 }
 
-func (d *Desk) place(peer int) int {
+func (d *Client) place(peer int) int {
 	for i, k := range d.keepers {
 		if k == peer {
 			return i
@@ -55,22 +55,22 @@
 	return -1
 }
 
-// Keeper is who is asked now; -1: nobody.
-func (d *Desk) Keeper(now Time) int {
+// Coordinator is who is asked now; -1: nobody.
+func (d *Client) Coordinator(now Time) int {
 	if now < d.off {
 		return -1
 	}
 	return d.keepers[d.at]
 }
 
-// Told tells whether the keeper has been told all that is held here, so that changes are worth telling.
-func (d *Desk) Told(now Time) bool { return d.known && now >= d.off }
+// Synced tells whether the keeper has been told all that is held here, so that changes are worth telling.
+func (d *Client) Synced(now Time) bool { return d.known && now >= d.off }
 
-// Ask notes an ask on its way, and gives its number.
-func (d *Desk) Ask(o Out) uint16 {
+// Register notes an ask on its way, and gives its number.
+func (d *Client) Register(o PendingQuery) uint16 {
 	if len(d.out) >= mostOut {
 		for s, x := range d.out {
-			if o.At-x.At > forgetAfter {
+			if o.SentAt-x.SentAt > forgetAfter {
 				delete(d.out, s)
 			}
 		}
@@ -83,11 +83,11 @@
 	return d.seq
 }
 
-// Missed notes that a request waits no longer for its answer.
-func (d *Desk) Missed(now Time, request string) {
+// TimedOut notes that a request waits no longer for its answer.
+func (d *Client) TimedOut(now Time, request string) {
 	for _, o := range d.out {
 		if o.Request == request {
-			o.Late = true
+			o.Abandoned = true
 		}
 	}
 	if d.misses++; d.misses < mostMisses {
@@ -100,15 +100,15 @@
 	}
 }
 
-// Answered takes an answer's number; nil: nothing was asked so.
-func (d *Desk) Answered(seq uint16) *Out {
+// Take takes an answer's number; nil: nothing was asked so.
+func (d *Client) Take(seq uint16) *PendingQuery {
 	o := d.out[seq]
 	delete(d.out, seq)
 	return o
 }
 
-// Heard notes a sign of a keeper. tell: it has to be told all that is held here.
-func (d *Desk) Heard(from int, epoch byte) (tell bool) {
+// CoordinatorHeard notes a sign of a keeper. tell: it has to be told all that is held here.
+func (d *Client) CoordinatorHeard(from int, epoch byte) (tell bool) {
 	i := d.place(from)
 	if i < 0 || i > d.at {
 		return false
@@ -118,8 +118,8 @@
 	return tell
 }
 
-// Look gives the keeper to look for now: one before the one that is asked, which may be back; -1: none.
-func (d *Desk) Look(now Time) int {
+// NextPoll gives the keeper to look for now: one before the one that is asked, which may be back; -1: none.
+func (d *Client) NextPoll(now Time) int {
 	if d.at == 0 && now >= d.off && d.known || now-d.looked < lookEvery {
 		return -1
 	}
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 // However balancers tell, are lost and begin anew: a server holds the sum of what each was last known to hold, and nothing is under 0.
 func TestTheBookIsTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := NewBook()
+		b := NewPlacements()
 		type key struct {
 			peer          int
 			server, group uint32
@@ -28,7 +28,7 @@
 				continue
 			}
 			n := rapid.IntRange(-127, 127).Draw(rt, "units")
-			b.Count(k.peer, k.server, k.group, n)
+			b.Add(k.peer, k.server, k.group, n)
 			model[k] = max(0, model[k]+n)
 		}
 		for s := uint32(1); s <= 3; s++ {
@@ -41,8 +41,8 @@
 			}
 			for g := uint32(1); g <= 3; g++ {
 				load, n, holds := b.Load(s, g)
-				if load != float64(units)/Units || n != len(groups) || holds != (groups[g] > 0) {
-					rt.Fatalf("server %d: %g of %d groups, group %d %t; expected %g of %d, %t", s, load, n, g, holds, float64(units)/Units, len(groups), groups[g] > 0)
+				if load != float64(units)/UnitsPerConnection || n != len(groups) || holds != (groups[g] > 0) {
+					rt.Fatalf("server %d: %g of %d groups, group %d %t; expected %g of %d, %t", s, load, n, g, holds, float64(units)/UnitsPerConnection, len(groups), groups[g] > 0)
 				}
 			}
 		}
@@ -51,10 +51,10 @@
 
 // What one balancer tells without end fills no memory, and leaves the others' counts as they are.
 func TestTheBookIsBounded(t *testing.T) {
-	b := NewBook()
-	b.Count(1, 1, 1, 8)
+	b := NewPlacements()
+	b.Add(1, 1, 1, 8)
 	for i := range uint32(3 * mostOfPeer) {
-		b.Count(2, 1, i, 8)
+		b.Add(2, 1, i, 8)
 	}
 	if n := len(b.peers[2]); n > mostOfPeer {
 		t.Errorf("%d entries of one balancer", n)
@@ -64,8 +64,8 @@
 		t.Errorf("%g of %d groups", load, groups)
 	}
 	for i := range uint32(3 * mostServers) {
-		b.Count(3, i, 1, 8)
-		b.Grant(5, Time(i))
+		b.Add(3, i, 1, 8)
+		b.RecordGrant(5, Time(i))
 	}
 	if len(b.servers) > mostServers+1 || len(b.held(5).grants) > mostGrants {
 		t.Errorf("%d servers, %d grants", len(b.servers), len(b.held(5).grants))
@@ -73,12 +73,12 @@
 }
 
 func TestGrantsInAWindow(t *testing.T) {
-	b := NewBook()
+	b := NewPlacements()
 	for _, at := range []Time{10, 20, 30, 40} {
-		b.Grant(7, at)
+		b.RecordGrant(7, at)
 	}
 	for since, want := range map[Time]int{0: 4, 20: 3, 25: 2, 41: 0} {
-		if n := b.Granted(7, since); n != want {
+		if n := b.GrantsSince(7, since); n != want {
 			t.Errorf("since %d: %d, expected %d", since, n, want)
 		}
 	}
@@ -86,103 +86,103 @@
 
 // The first keeper that answers is asked: past the misses the next one, after all nobody for a while, and an earlier one as soon as it is back.
 func TestWhomToAsk(t *testing.T) {
-	d := NewDesk(300)
+	d := NewClient(300)
 	if got := d.keepers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("keepers %v", got)
 	}
-	if !d.Heard(0, 5) || d.Heard(0, 5) || !d.Heard(0, 6) || !d.Told(1) {
+	if !d.CoordinatorHeard(0, 5) || d.CoordinatorHeard(0, 5) || !d.CoordinatorHeard(0, 6) || !d.Synced(1) {
 		t.Error("a keeper has to be told once, and again when it has begun anew")
 	}
 	now := Time(1e9)
-	miss := func() { d.Missed(now, "r") }
+	miss := func() { d.TimedOut(now, "r") }
 	miss()
-	d.Heard(0, 6)
+	d.CoordinatorHeard(0, 6)
 	miss()
-	if d.Keeper(now) != 0 {
+	if d.Coordinator(now) != 0 {
 		t.Error("one miss between answers moves on")
 	}
 	miss()
-	if d.Keeper(now) != 37 || d.Told(now) {
-		t.Errorf("after two misses %d is asked", d.Keeper(now))
+	if d.Coordinator(now) != 37 || d.Synced(now) {
+		t.Errorf("after two misses %d is asked", d.Coordinator(now))
 	}
-	if d.Heard(150, 1) {
+	if d.CoordinatorHeard(150, 1) {
 		t.Error("a later keeper than the one that is asked has to be told")
 	}
-	if k := d.Look(now + lookEvery); k != 0 {
+	if k := d.NextPoll(now + lookEvery); k != 0 {
 		t.Errorf("looked for %d", k)
 	}
-	if d.Look(now+lookEvery+1) >= 0 {
+	if d.NextPoll(now+lookEvery+1) >= 0 {
 		t.Error("looked again at once")
 	}
-	if !d.Heard(0, 6) || d.Keeper(now) != 0 {
+	if !d.CoordinatorHeard(0, 6) || d.Coordinator(now) != 0 {
 		t.Error("the first one is back and not asked")
 	}
 	for range 2 * mostKeepers {
 		miss()
 	}
-	if d.Keeper(now) >= 0 || d.Keeper(now+rest) != 0 {
-		t.Errorf("after all have missed %d is asked, later %d", d.Keeper(now), d.Keeper(now+rest))
+	if d.Coordinator(now) >= 0 || d.Coordinator(now+rest) != 0 {
+		t.Errorf("after all have missed %d is asked, later %d", d.Coordinator(now), d.Coordinator(now+rest))
 	}
 	off := now + rest
 	for i := range 6 {
 		for range 2 * mostKeepers {
-			d.Missed(off, "r")
+			d.TimedOut(off, "r")
 		}
 		next := off + 2*rest<<min(i, mostRests-1)
-		if d.Keeper(next-1) >= 0 || d.Keeper(next) != 0 {
+		if d.Coordinator(next-1) >= 0 || d.Coordinator(next) != 0 {
 			t.Errorf("rest %d does not end after %g s", i+2, float64(next-off)/1e9)
 		}
 		off = next
 	}
-	if d.Heard(0, 6); d.Keeper(off-1) != 0 {
+	if d.CoordinatorHeard(0, 6); d.Coordinator(off-1) != 0 {
 		t.Error("not asked though it is heard")
 	}
-	if n := len(NewDesk(2).keepers); n != 2 {
+	if n := len(NewClient(2).keepers); n != 2 {
 		t.Errorf("%d keepers of two balancers", n)
 	}
 }
 
 func TestAsksAreBounded(t *testing.T) {
-	d := NewDesk(9)
-	first := d.Ask(Out{Request: "a", At: 0})
+	d := NewClient(9)
+	first := d.Register(PendingQuery{Request: "a", SentAt: 0})
 	for i := range 10 * mostOut {
-		d.Ask(Out{Request: "b", At: Time(i) * 1e8})
+		d.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
 	}
-	if len(d.out) > mostOut || d.Answered(first) != nil {
+	if len(d.out) > mostOut || d.Take(first) != nil {
 		t.Errorf("%d asks kept", len(d.out))
 	}
-	s := d.Ask(Out{Request: "c", At: 1})
-	d.Missed(1, "c")
-	if o := d.Answered(s); o == nil || !o.Late || d.Answered(s) != nil {
+	s := d.Register(PendingQuery{Request: "c", SentAt: 1})
+	d.TimedOut(1, "c")
+	if o := d.Take(s); o == nil || !o.Abandoned || d.Take(s) != nil {
 		t.Errorf("%+v", o)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(Ask{Seq: 513, Zone: 3, Again: true, Units: 8, Group: Group(0x123456789abcdef0)}.Append(nil))
-	f.Add(Answer(7, 9, 0xdeadbeef))
-	f.Add(Entry{1, 2, -3}.Append(Entry{4, 5, 127}.Append(All())))
+	f.Add(Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil))
+	f.Add(AppendReply(7, 9, 0xdeadbeef))
+	f.Add(Entry{1, 2, -3}.Append(Entry{4, 5, 127}.Append(StartSync())))
 	f.Add(Entry{1, 2, 3}.Append(nil))
-	f.Add(Here(3))
-	f.Add(Look())
+	f.Add(Announcement(3))
+	f.Add(Poll())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := Read(data)
+		m, ok := Decode(data)
 		if !ok {
 			return
 		}
 		var back []byte
 		switch {
-		case m.Ask != nil:
-			back = m.Ask.Append(nil)
-		case m.Answer:
-			back = Answer(m.Seq, m.Epoch, m.Server)
-		case m.Here:
-			back = Here(m.Epoch)
-		case m.Look:
-			back = Look()
+		case m.Query != nil:
+			back = m.Query.Append(nil)
+		case m.Reply:
+			back = AppendReply(m.Seq, m.Epoch, m.Host)
+		case m.Announcement:
+			back = Announcement(m.Epoch)
+		case m.Poll:
+			back = Poll()
 		default:
-			if m.All {
-				back = All()
+			if m.Sync {
+				back = StartSync()
 			}
 			for _, e := range m.Entries {
 				back = e.Append(back)
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -17,7 +17,7 @@
 	for seed := range int64(sequences) {
 		rng, digest := rand.New(rand.NewSource(seed)), golden.NewDigest()
 		peers := []int{1, 3, 20, 300}[seed%4]
-		desk, book := NewDesk(peers), NewBook()
+		desk, book := NewClient(peers), NewPlacements()
 		now := Time(1e9)
 		var asked []uint16
 		for range eventsPerSequence {
@@ -25,30 +25,30 @@
 			peer, server, group := rng.Intn(peers), uint32(rng.Intn(12)), uint32(rng.Intn(6))
 			switch rng.Intn(10) {
 			case 0, 1, 2:
-				book.Count(peer, server, group, rng.Intn(255)-127)
+				book.Add(peer, server, group, rng.Intn(255)-127)
 			case 3:
 				if rng.Intn(10) == 0 {
 					book.Forget(peer)
 				}
 			case 4:
-				book.Grant(server, now)
+				book.RecordGrant(server, now)
 			case 5:
-				asked = append(asked, desk.Ask(Out{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, At: now}))
+				asked = append(asked, desk.Register(PendingQuery{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, SentAt: now}))
 			case 6:
-				desk.Missed(now, fmt.Sprint("r", rng.Intn(40)))
+				desk.TimedOut(now, fmt.Sprint("r", rng.Intn(40)))
 			case 7:
 				if len(asked) > 0 {
-					if out := desk.Answered(asked[rng.Intn(len(asked))]); out != nil {
-						digest.Add("answered %s %d %d %d %t", out.Request, out.Group, out.Units, out.At, out.Late)
+					if out := desk.Take(asked[rng.Intn(len(asked))]); out != nil {
+						digest.Add("answered %s %d %d %d %t", out.Request, out.Group, out.Units, out.SentAt, out.Abandoned)
 					}
 				}
 			case 8:
-				digest.Add("heard %t", desk.Heard(peer, byte(rng.Intn(3))))
+				digest.Add("heard %t", desk.CoordinatorHeard(peer, byte(rng.Intn(3))))
 			default:
-				digest.Add("look %d", desk.Look(now))
+				digest.Add("look %d", desk.NextPoll(now))
 			}
 			load, groups, holds := book.Load(server, group)
-			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, book.Granted(server, now-2e9), desk.Keeper(now), desk.Told(now), desk.Keeps(peer))
+			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, book.GrantsSince(server, now-2e9), desk.Coordinator(now), desk.Synced(now), desk.IsCoordinator(peer))
 		}
 		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, peers, digest)
 	}
@@ -62,16 +62,16 @@
 		kind string
 		data []byte
 	}{
-		{"ask", Ask{Seq: 513, Zone: 3, Again: true, Units: 8, Group: Group(0x123456789abcdef0)}.Append(nil)},
-		{"ask", Ask{Seq: 1, Zone: 127, Units: 127, Group: 0xffffff}.Append(nil)},
-		{"answer", Answer(7, 9, 0xdeadbeef)},
-		{"entries", Entry{Server: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(Entry{Server: 1, Group: 2, Units: 127}.Append(nil))},
-		{"all", Entry{Server: 4, Group: 5, Units: 6}.Append(All())},
-		{"here", Here(3)},
-		{"look", Look()},
+		{"ask", Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil)},
+		{"ask", Query{Seq: 1, Zone: 127, Units: 127, Group: 0xffffff}.Append(nil)},
+		{"answer", AppendReply(7, 9, 0xdeadbeef)},
+		{"entries", Entry{Host: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(Entry{Host: 1, Group: 2, Units: 127}.Append(nil))},
+		{"all", Entry{Host: 4, Group: 5, Units: 6}.Append(StartSync())},
+		{"here", Announcement(3)},
+		{"look", Poll()},
 	} {
 		samples.Add(m.kind, m.data)
-		read, ok := Read(m.data)
+		read, ok := Decode(m.data)
 		if again := rewrite(read); !ok || !bytes.Equal(again, m.data) {
 			t.Errorf("%s: %x is read, %t, and written as %x", m.kind, m.data, ok, again)
 		}
@@ -82,16 +82,16 @@
 // rewrite writes a message that was read.
 func rewrite(m Message) (data []byte) {
 	switch {
-	case m.Ask != nil:
-		return m.Ask.Append(nil)
-	case m.Answer:
-		return Answer(m.Seq, m.Epoch, m.Server)
-	case m.Here:
-		return Here(m.Epoch)
-	case m.Look:
-		return Look()
-	case m.All:
-		data = All()
+	case m.Query != nil:
+		return m.Query.Append(nil)
+	case m.Reply:
+		return AppendReply(m.Seq, m.Epoch, m.Host)
+	case m.Announcement:
+		return Announcement(m.Epoch)
+	case m.Poll:
+		return Poll()
+	case m.Sync:
+		data = StartSync()
 	}
 	for _, e := range m.Entries {
 		data = e.Append(data)
--- a/internal/balancer/ledger_test.go
+++ b/internal/balancer/ledger_test.go
@@ -38,7 +38,7 @@
 	me int
 }
 
-func (k *talker) Tell(peer int, data []byte) {
+func (k *talker) SendToPeer(peer int, data []byte) {
 	for to := range k.t.all {
 		if to == k.me || peer >= 0 && to != peer || k.t.dead[k.me] || k.t.dead[to] || data[0] == k.t.lost || k.t.rng.Float64() < k.t.loss {
 			continue
@@ -58,10 +58,10 @@
 
 func (x *tier) begin(t *testing.T, me, n, servers int, tells bool) *fake {
 	cfg := settings()
-	cfg.Me, cfg.Peers, cfg.Zones, cfg.MayTell = me, n, []string{"a"}, tells
-	cfg.ColdFrom, cfg.WarmUp, cfg.FallMultiple, cfg.Fall = 0.2, 20*sec, 3, 2*sec
-	cfg.Classes = []Class{{Name: "x", Aim: 800 * ms, Deadline: 4800 * ms, MessageAim: 150 * ms}}
-	cfg.Tenants = []Tenant{{Name: "t", QuotaPerS: 20, Share: 1, QuotaConnections: float64(n)}}
+	cfg.Instance, cfg.Instances, cfg.Zones, cfg.MayGossip = me, n, []string{"a"}, tells
+	cfg.SlowStartFloor, cfg.SlowStartDuration, cfg.SlowStartOverloadFactor, cfg.SlowStartOverloadWindow = 0.2, 20*sec, 3, 2*sec
+	cfg.Classes = []Class{{Name: "x", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 150 * ms}}
+	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 20, ServiceQuota: 1, ConnectionQuota: float64(n)}}
 	f := start(t, cfg, fleet(servers)...)
 	f.b.fx, f.now = &talker{f, x, me}, x.now
 	f.b.rng.Seed(int64(me) + 77)
@@ -77,7 +77,7 @@
 			if l.at > x.now {
 				x.mail = append(x.mail, l)
 			} else if f := x.all[l.to]; !x.dead[l.to] {
-				f.b.Peer(f.now, l.from, l.data)
+				f.b.PeerMessageReceived(f.now, l.from, l.data)
 			}
 		}
 		for me, f := range x.all {
@@ -112,7 +112,7 @@
 				if f := x.all[me]; !x.dead[me] {
 					id := fmt.Sprintf("%x", x.rng.Int63())
 					x.asked[id], x.by[id] = x.now, me
-					f.b.Request(f.now, Request{ID: id, Tenant: 0, Group: x.group(), Returned: returned, Left: 4800 * ms})
+					f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: x.group(), Returned: returned, Remaining: 4800 * ms})
 				}
 			}
 		}
@@ -170,7 +170,7 @@
 	x.flow(8*sec, 8, 15, false)
 	moved := 0
 	for me, f := range x.all {
-		if !x.dead[me] && f.b.desk.Keeper(x.now) != 0 {
+		if !x.dead[me] && f.b.desk.Coordinator(x.now) != 0 {
 			moved++
 		}
 	}
@@ -185,14 +185,14 @@
 	x.dead[0] = false
 	x.all[0] = x.begin(t, 0, 40, 20, true)
 	for id, f := range x.open {
-		if f.b.cfg.Me == 0 {
+		if f.b.cfg.Instance == 0 {
 			delete(x.open, id) // its connections died with it
 		}
 	}
 	x.flow(12*sec, 8, 15, false)
 	back := 0
 	for _, f := range x.all {
-		if f.b.desk.Keeper(x.now) == 0 {
+		if f.b.desk.Coordinator(x.now) == 0 {
 			back++
 		}
 	}
--- a/internal/balancer/ledgercold_test.go
+++ b/internal/balancer/ledgercold_test.go
@@ -18,13 +18,13 @@
 	}{{1, true, 8}, {3, true, 8}, {20, true, 8}, {30, true, 8}, {40, false, 8}, {40, true, 8}, {150, true, 8}, {150, true, 17}, {300, true, 17}, {300, false, 17}, {150, true, 20}} {
 		x := newTier(t, c.n, 20, true)
 		x.flow(5*sec, 10, 30, false)
-		var es []Entry
+		var es []ListedHost
 		up := x.now
 		for i := range c.cold {
-			es = append(es, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, Since: up})
+			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: up})
 		}
 		for _, f := range x.all {
-			f.b.Members(f.now, ListDelta, 2, es)
+			f.b.ListReceived(f.now, ListDelta, 2, es)
 		}
 		x.grants = map[string][]Time{}
 		rate := 10.0
@@ -54,14 +54,14 @@
 
 // Whatever peers send, nothing breaks.
 func FuzzPeer(f *testing.F) {
-	f.Add(ledger.Ask{Seq: 1, Units: 8, Group: 5}.Append(nil), ledger.Answer(1, 2, 3))
-	f.Add(ledger.Here(4), ledger.Entry{Server: 1, Group: 2, Units: -9}.Append(ledger.All()))
+	f.Add(ledger.Query{Seq: 1, Units: 8, Group: 5}.Append(nil), ledger.AppendReply(1, 2, 3))
+	f.Add(ledger.Announcement(4), ledger.Entry{Host: 1, Group: 2, Units: -9}.Append(ledger.StartSync()))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		x := newTier(t, 4, 3, true)
-		x.all[1].b.Request(x.now, Request{ID: "r", Tenant: 0, Group: "g", Left: 4800 * ms})
+		x.all[1].b.RequestArrived(x.now, Request{ID: "r", Tenant: 0, Group: "g", Remaining: 4800 * ms})
 		for _, data := range [][]byte{a, b, a} {
-			x.all[0].b.Peer(x.now, 1, data)
-			x.all[1].b.Peer(x.now, 0, data)
+			x.all[0].b.PeerMessageReceived(x.now, 1, data)
+			x.all[1].b.PeerMessageReceived(x.now, 0, data)
 		}
 		x.run(500 * ms)
 		if len(x.asked) > 0 {
--- a/internal/balancer/ledgerfault_test.go
+++ b/internal/balancer/ledgerfault_test.go
@@ -23,7 +23,7 @@
 		x.all[me] = x.begin(t, me, len(x.all), len(x.all[0].b.servers), true)
 	}
 	for id, f := range x.open {
-		if f != x.all[f.b.cfg.Me] {
+		if f != x.all[f.b.cfg.Instance] {
 			delete(x.open, id)
 		}
 	}
@@ -51,7 +51,7 @@
 		}, true},
 		{"all keepers are killed, one after the other", func(x *tier) {
 			for me := range x.all {
-				if x.all[0].b.desk.Keeps(me) {
+				if x.all[0].b.desk.IsCoordinator(me) {
 					x.dead[me] = true
 					x.flow(sec/2, 8, 60, false)
 					x.restart(t, me, me+1)
@@ -71,7 +71,7 @@
 			x.loss = 0
 		}, false},
 		{"what is told is lost, and all else is heard", func(x *tier) {
-			x.lost = ledger.Entry{Server: 1}.Append(nil)[0]
+			x.lost = ledger.Entry{Host: 1}.Append(nil)[0]
 			x.flow(8*sec, 8, 8, false)
 			x.lost = 0
 		}, false},
@@ -104,7 +104,7 @@
 		waited()
 		back := 0
 		for _, f := range x.all {
-			if f.b.desk.Keeper(x.now) == 0 {
+			if f.b.desk.Coordinator(x.now) == 0 {
 				back++
 			}
 		}
--- a/internal/balancer/loadestimate/estimate.go
+++ b/internal/balancer/loadestimate/estimate.go
@@ -8,10 +8,10 @@
 import "math"
 
 const (
-	// Lag is how old a report is taken to be as it comes: half of a slow refresh and the way. What this balancer placed within
+	// ReportDelay is how old a report is taken to be as it comes: half of a slow refresh and the way. What this balancer placed within
 	// it before the report is counted on top: counted twice now and then, which spreads placements, rather than not at all,
 	// which sends everyone to the host that looks empty.
-	Lag = int64(900e6)
+	ReportDelay = int64(900e6)
 	// fresh is how old a report may grow before it begins to count for less, and fades how fast it does from then on.
 	fresh = float64(3e9)
 	fades = float64(6e9)
@@ -49,14 +49,14 @@
 	h.prune()
 }
 
-// Forget drops what is known, as at a fresh start of the host's.
-func (h *Host) Forget() { *h = Host{} }
+// Reset drops what is known, as at a fresh start of the host's.
+func (h *Host) Reset() { *h = Host{} }
 
-// Heard is when a report last came; 0: never.
-func (h *Host) Heard() int64 { return h.last }
+// LastReport is when a report last came; 0: never.
+func (h *Host) LastReport() int64 { return h.last }
 
-// Changed notes that this balancer's own load there has grown by so much, or shrunk, in the caller's unit of load.
-func (h *Host) Changed(now int64, load float64) {
+// AddLoad notes that this balancer's own load there has grown by so much, or shrunk, in the caller's unit of load.
+func (h *Host) AddLoad(now int64, load float64) {
 	h.prune()
 	if n := len(h.changes); n >= kept {
 		h.changes[1].load += h.changes[0].load
@@ -68,7 +68,7 @@
 // prune drops changes that the last report holds.
 func (h *Host) prune() {
 	i := 0
-	for i < len(h.changes) && h.changes[i].at < h.at-Lag {
+	for i < len(h.changes) && h.changes[i].at < h.at-ReportDelay {
 		i++
 	}
 	if i > 0 {
@@ -76,9 +76,9 @@
 	}
 }
 
-// Now is the load now. full is how much load, in the caller's unit, fills a host; usual is the load that a host of which
+// Load is the load now. full is how much load, in the caller's unit, fills a host; usual is the load that a host of which
 // nothing is known has. A report fades into usual as it ages, without a cliff.
-func (h *Host) Now(now int64, full, usual float64) float64 {
+func (h *Host) Load(now int64, full, usual float64) float64 {
 	x, sure := usual, 0.0
 	if h.at > 0 {
 		sure = math.Exp(-max(0, float64(now-h.at)-fresh) / fades)
--- a/internal/balancer/loads.go
+++ b/internal/balancer/loads.go
@@ -6,32 +6,32 @@
 // loaded a server is now, and what follows for its turns.
 
 // reports tells whether servers can be asked how loaded they are.
-func (b *Brain) reports() bool { return b.cfg.MayProbe && b.cfg.ReportLoad >= 0 }
+func (b *Balancer) reports() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
 // probe asks each server again once its last word is older than another is worth at its price: the more
 // requests there are to be placed by it, the sooner.
-func (b *Brain) probe() {
-	b.fx.After(max(b.cfg.Tick, probeStep), "probe")
+func (b *Balancer) probe() {
+	b.fx.Schedule(max(b.cfg.Tick, probeStep), "probe")
 	b.survey()
 	b.fadeRate()
 	rate := max(leastRate, b.rate, b.fresh/b.rateTau())
-	all := float64(len(b.servers)) * b.cfg.Prices.Probe
+	all := float64(len(b.servers)) * b.cfg.Prices.HealthCheck
 	every := max(probeLeast, Time(1e9*all/(probeSpend*rate)))
 	for _, s := range b.servers {
 		due := every
-		if s.told.Heard() == 0 {
+		if s.told.LastReport() == 0 {
 			due = probeLeast // it may begin to tell only once it is asked
 		}
 		if s.state == Ready && !s.probing && b.now-s.probedAt >= due && b.now >= s.until {
 			// Spread, else all balancers' probes reach a server together.
 			s.probing, s.probedAt = true, b.now-Time(float64(every)*0.2*b.rng.Float64())
-			b.fx.Probe(s.id)
+			b.fx.HealthCheck(s.id)
 		}
 	}
 }
 
-// Probed takes a probe's result. One that fails tells nothing of the server's load, and what was known fades.
-func (b *Brain) Probed(now Time, id string, status Status, elapsed Time, load []float64) {
+// HealthCheckEnded takes a probe's result. One that fails tells nothing of the server's load, and what was known fades.
+func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
 	b.tick(now)
 	if s := b.byID[id]; s != nil {
 		s.probing = false
@@ -42,8 +42,8 @@
 }
 
 // reported takes a load report.
-func (b *Brain) reported(s *server, load []float64) {
-	i, j := b.cfg.ReportLoad, b.cfg.ReportQueue
+func (b *Balancer) reported(s *server, load []float64) {
+	i, j := b.cfg.LoadField, b.cfg.QueueField
 	if i < 0 || i >= len(load) {
 		return
 	}
@@ -57,13 +57,13 @@
 
 // placed notes load that no report holds yet, in mean connections. The other balancers have the same reports
 // and place by them too: somewhere between nothing and as much each.
-func (b *Brain) placed(s *server, turns float64) {
-	s.told.Changed(b.now, turns*math.Sqrt(float64(b.cfg.Peers)))
+func (b *Balancer) placed(s *server, turns float64) {
+	s.told.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
 
 // relieve moves some connections off a server that has more than it can do, where others have room. Each
 // balancer moves by chance a part of its own, since all are told the same.
-func (b *Brain) relieve(s *server) {
+func (b *Balancer) relieve(s *server) {
 	x := b.loaded(s)
 	if x < movesAt || b.usualLoad > movesUnder || b.usualLoad == 0 {
 		return
@@ -72,7 +72,7 @@
 	for _, r := range s.conns {
 		if !r.moved && b.rng.Float64() < over {
 			r.moved = true
-			b.fx.Move(r.ID)
+			b.fx.Migrate(r.ID)
 		}
 	}
 }
--- a/internal/balancer/loads_test.go
+++ b/internal/balancer/loads_test.go
@@ -7,17 +7,17 @@
 )
 
 // told starts a balancer whose servers tell their load when probed.
-func told(t *testing.T, cfg Config, servers ...Entry) *fake {
-	cfg.MayProbe, cfg.ReportLoad, cfg.ReportQueue = true, 0, 1
-	cfg.Prices.Probe = 0.0016
-	cfg.Tenants = []Tenant{{Name: "t", QuotaPerS: 10, QuotaConnections: 80 * float64(len(servers))}}
+func told(t *testing.T, cfg Config, servers ...ListedHost) *fake {
+	cfg.MayHealthCheck, cfg.LoadField, cfg.QueueField = true, 0, 1
+	cfg.Prices.HealthCheck = 0.0016
+	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 10, ConnectionQuota: 80 * float64(len(servers))}}
 	return start(t, cfg, servers...)
 }
 
 // report has every server tell a load.
 func (f *fake) report(x func(i int) float64) {
 	for i, s := range f.b.servers {
-		f.b.Probed(f.now, s.id, OK, ms, []float64{x(i), 0})
+		f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{x(i), 0})
 	}
 	f.b.survey()
 }
@@ -42,14 +42,14 @@
 	if f.probes("s00") != 1 || f.probes("s01")+f.probes("s02") != 0 {
 		t.Errorf("%d to a ready one that never answers, %d and %d to ones that take nothing", f.probes("s00"), f.probes("s01"), f.probes("s02"))
 	}
-	f.b.Probed(f.now, "s00", Timeout, ms, nil)
+	f.b.HealthCheckEnded(f.now, "s00", Timeout, ms, nil)
 	f.run(5 * sec)
 	if f.probes("s00") != 2 {
 		t.Error("a probe that failed ends probing")
 	}
 	for what, spoil := range map[string]func(*Config){
-		"forbidden":  func(c *Config) { c.MayProbe = false },
-		"no reports": func(c *Config) { c.MayProbe, c.ReportLoad = true, -1 },
+		"forbidden":  func(c *Config) { c.MayHealthCheck = false },
+		"no reports": func(c *Config) { c.MayHealthCheck, c.LoadField = true, -1 },
 	} {
 		cfg := settings()
 		spoil(&cfg)
@@ -66,14 +66,14 @@
 func TestProbesArePacedByPrice(t *testing.T) {
 	count := func(rate int, price float64) int {
 		f := told(t, settings(), fleet(10)...)
-		f.b.cfg.Prices.Probe = price
+		f.b.cfg.Prices.HealthCheck = price
 		for i := range 30 * rate {
 			id := fmt.Sprint("r", i)
 			f.request(id)
 			f.stands(id)
 			f.run(sec / Time(rate))
 			for _, s := range f.b.servers {
-				f.b.Probed(f.now, s.id, OK, ms, []float64{0.5, 0})
+				f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{0.5, 0})
 			}
 		}
 		return f.probes("s")
@@ -139,7 +139,7 @@
 // look like a load that fills one.
 func TestRestartedBalancerKnowsWhatFillsAServer(t *testing.T) {
 	cfg := settings()
-	cfg.Peers = 3
+	cfg.Instances = 3
 	f := told(t, cfg, fleet(5)...)
 	f.report(func(int) float64 { return 0.6 })
 	f.b.learn(0, 1000)
@@ -163,7 +163,7 @@
 	to := map[string]int{}
 	for me := range 3 {
 		cfg := settings()
-		cfg.Me, cfg.Peers = me, 3
+		cfg.Instance, cfg.Instances = me, 3
 		es := fleet(6)
 		es[0].Weight = 5
 		f := told(t, cfg, es...)
@@ -184,9 +184,9 @@
 func TestWhateverTheSettingsAllow(t *testing.T) {
 	for bits := range 16 {
 		cfg := settings()
-		cfg.Peers, cfg.MayProbe, cfg.MayTell, cfg.ReportLoad = 1+2*(bits&1), bits&2 > 0, bits&4 > 0, 0
+		cfg.Instances, cfg.MayHealthCheck, cfg.MayGossip, cfg.LoadField = 1+2*(bits&1), bits&2 > 0, bits&4 > 0, 0
 		if bits&8 > 0 {
-			cfg.ReportLoad = -1
+			cfg.LoadField = -1
 		}
 		f := start(t, cfg, fleet(3)...)
 		for i := range 60 {
@@ -194,7 +194,7 @@
 			f.request(id)
 			if f.out[id] {
 				f.stands(id)
-				f.b.Note(f.now, id, 0, NoteDelay, 500) // all stalled: something to tell
+				f.b.Observe(f.now, id, 0, ObservedLatency, 500) // all stalled: something to tell
 			}
 			f.run(200 * ms)
 		}
@@ -205,10 +205,10 @@
 				t.Errorf("settings %04b: %s has %d answers and no attempt", bits, id, f.answers[id])
 			}
 		}
-		if f.probes("s") > 0 != (cfg.MayProbe && cfg.ReportLoad >= 0) {
+		if f.probes("s") > 0 != (cfg.MayHealthCheck && cfg.LoadField >= 0) {
 			t.Errorf("settings %04b: %d probes", bits, f.probes("s"))
 		}
-		if len(f.told) > 0 != (cfg.MayTell && cfg.Peers > 1) {
+		if len(f.told) > 0 != (cfg.MayGossip && cfg.Instances > 1) {
 			t.Errorf("settings %04b: %d messages", bits, len(f.told))
 		}
 	}
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -2,8 +2,8 @@
 
 // What became of attempts and connections.
 
-// First tells that an attempt's connection stands.
-func (b *Brain) First(now Time, id string, attempt int, elapsed Time) {
+// AttemptEstablished tells that an attempt's connection stands.
+func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.tick(now)
 	r := b.requests[id]
 	if r == nil || !r.out || r.up || attempt != r.attempts-1 {
@@ -21,9 +21,9 @@
 	b.stand(r)
 }
 
-// Outcome tells how an attempt ended. Closed: the request has had its final answer.
-func (b *Brain) Outcome(now Time, id string, attempt int, status Status, elapsed Time, closed bool,
-	load []float64) {
+// AttemptEnded tells how an attempt ended. Closed: the request has had its final answer.
+func (b *Balancer) AttemptEnded(now Time, id string, attempt int, status AttemptStatus, elapsed Time,
+	closed bool, load []float64) {
 	b.tick(now)
 	r := b.requests[id]
 	if r == nil || !r.out || attempt != r.attempts-1 {
@@ -84,15 +84,15 @@
 		}
 		return
 	}
-	if status == Moot {
+	if status == TooLate {
 		b.giveUp(r)
 		return
 	}
 	b.place(r)
 }
 
-// Gone tells that a client has left: nothing more is owed.
-func (b *Brain) Gone(now Time, id string) {
+// ClientLeft tells that a client has left: nothing more is owed.
+func (b *Balancer) ClientLeft(now Time, id string) {
 	b.tick(now)
 	r := b.requests[id]
 	if r == nil || r.closed {
@@ -103,6 +103,6 @@
 	if !r.out {
 		delete(b.requests, id)
 	} else if !r.up && b.cfg.MayCancel {
-		b.fx.Cancel(id, r.attempts-1)
+		b.fx.CancelAttempt(id, r.attempts-1)
 	}
 }
--- a/internal/balancer/pool.go
+++ b/internal/balancer/pool.go
@@ -7,15 +7,15 @@
 
 // The pool and the quarantine: PIP-425's own mechanism.
 
-// Avoids tells whether a server is kept out by choice: quarantined, and not yet due for its trial.
-func (b *Brain) Avoids(now Time, id string) bool {
+// Ejected tells whether a server is kept out by choice: quarantined, and not yet due for its trial.
+func (b *Balancer) Ejected(now Time, id string) bool {
 	s := b.byID[id]
 	return s != nil && s.fails > 0 && b.qInit > 0 && now < s.until
 }
 
 // available is the pool: not in quarantine, its trial not taken, not full of late, not tried for this
 // request.
-func (b *Brain) available(s *server, r *request) bool {
+func (b *Balancer) available(s *server, r *request) bool {
 	if s.fails > 0 && b.qInit > 0 && (b.now < s.until || s.trials > 0) || b.now < s.passed {
 		return false
 	}
@@ -28,7 +28,7 @@
 }
 
 // success restores a server to the pool at once.
-func (b *Brain) success(s *server) {
+func (b *Balancer) success(s *server) {
 	if s.fails > 0 {
 		b.fx.Log("server " + s.id + " accepts again, back in the pool")
 	}
@@ -38,7 +38,7 @@
 
 // failure quarantines: the first time for the initial period, doubled for each consecutive failure, up to
 // the cap.
-func (b *Brain) failure(s *server, sent Time, proven bool) {
+func (b *Balancer) failure(s *server, sent Time, proven bool) {
 	if b.qInit == 0 || b.qMax == 0 {
 		return
 	}
@@ -64,13 +64,13 @@
 	}
 }
 
-func (b *Brain) period(fails int) Time {
+func (b *Balancer) period(fails int) Time {
 	return min(b.qMax, Time(float64(b.qInit)*math.Pow(2, float64(min(fails, 30)-1))))
 }
 
 // shared tells whether most of a zone fails: then the fault is the zone's, and doubling would shun it long
 // after.
-func (b *Brain) shared(zone int) bool {
+func (b *Balancer) shared(zone int) bool {
 	n, failing := 0, 0
 	for _, s := range b.servers {
 		if s.zone == zone && s.state == Ready {
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -9,11 +9,11 @@
 
 // play feeds a random but legal sequence of events and checks the rules on the actions: one final answer for each
 // request before its deadline, never two attempts out, nothing to a draining server, no repeat of an unsafe effect.
-func play(t *testing.T, seed int64, effect Effect) []string {
+func play(t *testing.T, seed int64, effect Idempotency) []string {
 	rng := rand.New(rand.NewSource(seed))
 	cfg := settings()
-	cfg.Me, cfg.Peers, cfg.Ask = int(seed)%5, 5, seed%2 == 0
-	cfg.Classes[0].Effect, cfg.Classes[0].Scope, cfg.Classes[0].Window = effect, Scope(seed%3), 3*sec
+	cfg.Instance, cfg.Instances, cfg.PollsDiscovery = int(seed)%5, 5, seed%2 == 0
+	cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = effect, DedupScope(seed%3), 3*sec
 	f := start(t, cfg, fleet(5+rng.Intn(10))...)
 	drained := map[string]bool{}
 	deadline := map[string]Time{}
@@ -30,12 +30,12 @@
 			if x.timeout <= 0 || x.at+x.timeout > deadline[x.req] {
 				t.Fatalf("seed %d: %s has a time-out past its deadline", seed, x.req)
 			}
-			if effect == Unsafe && ran[x.req] {
+			if effect == NotIdempotent && ran[x.req] {
 				t.Fatalf("seed %d: unsafe %s sent again after it may have run", seed, x.req)
 			}
 		}
 	}
-	finish := func(id string, s Status) {
+	finish := func(id string, s AttemptStatus) {
 		f.out[id] = false
 		wasUp := up[id]
 		delete(up, id)
@@ -46,7 +46,7 @@
 		if closed && !answered(id) {
 			f.answers[id]++
 		}
-		f.b.Outcome(f.now, id, f.attempts[id]-1, s, 10*ms, closed, nil)
+		f.b.AttemptEnded(f.now, id, f.attempts[id]-1, s, 10*ms, closed, nil)
 	}
 	n := 0
 	ids := []string{}
@@ -67,34 +67,34 @@
 			ids = append(ids, id)
 			left := Time(100+rng.Intn(1900)) * ms
 			deadline[id] = f.now + left
-			f.b.Request(f.now, Request{ID: id, Tenant: -1, Left: left, Repeat: rng.Intn(5) == 0,
-				MidFlow: rng.Intn(5) == 0, Hint: float64(rng.Intn(3)) * 1e6, Key: fmt.Sprint("k", rng.Intn(50))})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: left, Retry: rng.Intn(5) == 0,
+				MidFlow: rng.Intn(5) == 0, ExpectedLoad: float64(rng.Intn(3)) * 1e6, Key: fmt.Sprint("k", rng.Intn(50))})
 		case k < 8 && len(ids) > 0:
 			id := ids[rng.Intn(len(ids))]
 			switch {
 			case !f.out[id]:
 			case up[id]:
-				finish(id, []Status{OK, Reset, Cancelled}[rng.Intn(3)])
+				finish(id, []AttemptStatus{OK, Reset, Cancelled}[rng.Intn(3)])
 			case rng.Intn(2) == 0 && !answered(id):
 				up[id] = true
-				f.b.First(f.now, id, f.attempts[id]-1, 10*ms)
+				f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 				if rng.Intn(2) == 0 {
-					f.b.Note(f.now, id, f.attempts[id]-1, NoteKind(1+rng.Intn(2)), rng.Float64()*1000)
+					f.b.Observe(f.now, id, f.attempts[id]-1, Observation(1+rng.Intn(2)), rng.Float64()*1000)
 				}
 			default:
-				finish(id, []Status{Error, Full, Timeout, ConnectFailed, Reset}[rng.Intn(5)])
+				finish(id, []AttemptStatus{Error, Full, Timeout, ConnectFailed, Reset}[rng.Intn(5)])
 			}
 		case k == 8 && len(ids) > 0:
 			id := ids[rng.Intn(len(ids))]
 			if !answered(id) && !up[id] {
 				f.answers[id]++ // the client has gone: nothing more is owed or allowed
-				f.b.Gone(f.now, id)
+				f.b.ClientLeft(f.now, id)
 			}
 		default:
 			s := f.b.servers[rng.Intn(len(f.b.servers))]
-			e := Entry{ID: s.id, Zone: "a", Weight: 1, State: State(rng.Intn(2)), Since: f.now * Time(rng.Intn(2))}
+			e := ListedHost{ID: s.id, Zone: "a", Weight: 1, State: HostState(rng.Intn(2)), StartedAt: f.now * Time(rng.Intn(2))}
 			drained[s.id] = e.State == Draining
-			f.b.Members(f.now, ListDelta, int64(step), []Entry{e})
+			f.b.ListReceived(f.now, ListDelta, int64(step), []ListedHost{e})
 		}
 		check()
 	}
@@ -111,7 +111,7 @@
 		if f.answers[id] != 1 && !up[id] {
 			t.Fatalf("seed %d: %s has %d final answers", seed, id, f.answers[id])
 		}
-		if effect == Unsafe && ran[id] && f.answers[id] == 1 {
+		if effect == NotIdempotent && ran[id] && f.answers[id] == 1 {
 			if _, refused := f.refused[id]; refused {
 				t.Fatalf("seed %d: unsafe %s refused though it may have run", seed, id)
 			}
@@ -132,7 +132,7 @@
 
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := int64(0); seed < 12; seed++ {
-		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+		for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
 			play(t, seed, effect)
 		}
 	}
@@ -140,7 +140,7 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := int64(0); seed < 3; seed++ {
-		a, b := play(t, seed, Safe), play(t, seed, Safe)
+		a, b := play(t, seed, Idempotent), play(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
 			t.Fatalf("seed %d: the same events brought other actions", seed)
 		}
--- a/internal/balancer/quarantine_test.go
+++ b/internal/balancer/quarantine_test.go
@@ -7,7 +7,7 @@
 
 func TestQuarantineLife(t *testing.T) {
 	cfg := settings()
-	cfg.QuarantineInit, cfg.QuarantineMax = 10*sec, 40*sec
+	cfg.EjectionInitial, cfg.EjectionMax = 10*sec, 40*sec
 	f := start(t, cfg, fleet(4)...)
 	s := f.b.byID["s00"]
 	longest := Time(0)
@@ -33,7 +33,7 @@
 	for _, x := range f.sends[len(f.sends)-12:] {
 		if x.server == "s00" {
 			trials++
-			f.b.First(f.now, x.req, 0, ms)
+			f.b.AttemptEstablished(f.now, x.req, 0, ms)
 		}
 	}
 	if trials != 1 {
@@ -73,7 +73,7 @@
 
 func TestZeroDisablesQuarantine(t *testing.T) {
 	cfg := settings()
-	cfg.QuarantineInit, cfg.QuarantineMax = 0, 0
+	cfg.EjectionInitial, cfg.EjectionMax = 0, 0
 	f := start(t, cfg, fleet(3)...)
 	f.request("r")
 	first := f.last().server
@@ -84,7 +84,7 @@
 }
 
 func TestEmptyPoolFallsBackToAll(t *testing.T) {
-	f := start(t, settings(), append(fleet(3), Entry{ID: "drain", Zone: "a", Weight: 1, State: Draining})...)
+	f := start(t, settings(), append(fleet(3), ListedHost{ID: "drain", Zone: "a", Weight: 1, State: Draining})...)
 	for _, s := range f.b.servers {
 		f.breaks(s)
 	}
@@ -104,7 +104,7 @@
 	f := start(t, settings(), fleet(3)...)
 	s := f.b.byID["s01"]
 	f.breaks(s)
-	f.b.Members(f.now, ListDelta, 2, []Entry{{ID: "s01", Zone: "a", Weight: 1, Since: f.now}})
+	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s01", Zone: "a", Weight: 1, StartedAt: f.now}})
 	if s.fails != 0 || s.until != 0 {
 		t.Fatal("a restarted server stays shunned for its predecessor's failures")
 	}
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -38,7 +38,7 @@
 	for _, id := range []string{"a", "b"} {
 		f.request(id)
 	}
-	slow := func(id string) { f.b.First(f.now, id, f.attempts[id]-1, 1500*ms) }
+	slow := func(id string) { f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 1500*ms) }
 	f.now += 900 * ms
 	slow("a")
 	f.request("one") // one slow set-up may be its host's alone
--- a/internal/balancer/requests.go
+++ b/internal/balancer/requests.go
@@ -2,22 +2,22 @@
 
 // The life of a request: what it costs, whether it is sent, held or given its final answer.
 
-// Request takes a client's try: from here on it is owed one final answer.
-func (b *Brain) Request(now Time, q Request) {
+// RequestArrived takes a client's try: from here on it is owed one final answer.
+func (b *Balancer) RequestArrived(now Time, q Request) {
 	b.tick(now)
 	r := b.take(q)
 	if r == nil {
 		return
 	}
-	r.deadline = now + q.Left
+	r.deadline = now + q.Remaining
 	b.arrives(r)
 	b.asked[r.Class] += r.cost
 	r.spare = b.restraint > 0 && b.rank(r) < b.restraint
 	b.place(r)
 }
 
-// Open takes a connection that is already up at this balancer's start.
-func (b *Brain) Open(now Time, q Request, id string) {
+// ConnectionAdopted takes a connection that is already up at this balancer's start.
+func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
 	b.tick(now)
 	s := b.byID[id]
 	if s == nil {
@@ -30,21 +30,22 @@
 }
 
 // place sends a request to the server whose turn it is, or holds it, or gives its final answer.
-func (b *Brain) place(r *request) {
+func (b *Balancer) place(r *request) {
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.queued() {
 		b.giveUp(r)
 		return
 	}
 	c := &b.cfg.Classes[r.Class]
-	if r.ranOn != nil && (c.Effect == Unsafe || c.Effect == Keyed && b.now >= r.ranAt+c.Window) {
+	if r.ranOn != nil && (c.Idempotency == NotIdempotent ||
+		c.Idempotency == IdempotentWithKey && b.now >= r.ranAt+c.DedupWindow) {
 		b.giveUp(r) // it may have run: another attempt could bring the effect twice
 		return
 	}
 	if (b.crowded() || b.turnedAway() && r.waitTo == 0) && !r.spare && !b.allOut() {
 		// Most attempts fail alike, so another server would not help, and each try adds to what jams them:
 		// the wait is spread out and grows with the attempts made.
-		r.waitTo = b.now + Time(float64(c.Aim)*float64(1+r.attempts)*(0.5+b.rng.Float64()))
+		r.waitTo = b.now + Time(float64(c.LatencyObjective)*float64(1+r.attempts)*(0.5+b.rng.Float64()))
 		b.hold(r)
 		return
 	}
@@ -73,11 +74,11 @@
 		s.trials++
 	}
 	b.placed(s, b.turns(r))
-	b.fx.Send(r.ID, s.id, t)
+	b.fx.StartAttempt(r.ID, s.id, t)
 }
 
 // allOut tells whether operators have taken out every server that could serve: waiting helps nobody then.
-func (b *Brain) allOut() bool {
+func (b *Balancer) allOut() bool {
 	out := false
 	for _, s := range b.servers {
 		if s.state == Ready {
@@ -91,8 +92,8 @@
 // patience is an attempt's time-out: what set-ups took, longer by the time since one was seen, and the aim at
 // least; half of what is left where that is less or nothing was seen. All of it where another attempt has no
 // room: what is given up has still taken the store's time.
-func (b *Brain) patience(r *request, left Time) Time {
-	t := max(float64(b.cfg.Classes[r.Class].Aim), b.setup+4*b.setupDev)
+func (b *Balancer) patience(r *request, left Time) Time {
+	t := max(float64(b.cfg.Classes[r.Class].LatencyObjective), b.setup+4*b.setupDev)
 	if r.attempts+1 >= b.cfg.MaxAttempts || t*2 > float64(left) || b.failing(2) {
 		return left
 	}
@@ -104,11 +105,11 @@
 
 // queued is how long a set-up takes now at least: a queue that all share falls by a second in a second at
 // most. Two set-ups say it, since one may be its host's alone.
-func (b *Brain) queued() Time { return max(0, min(b.doneBy[0], b.doneBy[1])-b.now) }
+func (b *Balancer) queued() Time { return max(0, min(b.doneBy[0], b.doneBy[1])-b.now) }
 
 // hold keeps a request for a moment: a cold fleet, or none known, may serve it soon. It is refused in time
 // for its client to come back while that still helps.
-func (b *Brain) hold(r *request) {
+func (b *Balancer) hold(r *request) {
 	if !r.held {
 		r.held = true
 		if r.holdTo == 0 {
@@ -118,11 +119,11 @@
 	}
 	if !b.pumping {
 		b.pumping = true
-		b.fx.After(max(b.cfg.Tick, 20e6), "pump")
+		b.fx.Schedule(max(b.cfg.Tick, 20e6), "pump")
 	}
 }
 
-func (b *Brain) pump() {
+func (b *Balancer) pump() {
 	if len(b.held) == 0 {
 		return
 	}
@@ -148,18 +149,19 @@
 }
 
 // giveUp is the final answer of a request that is not served.
-func (b *Brain) giveUp(r *request) {
+func (b *Balancer) giveUp(r *request) {
 	c := &b.cfg.Classes[r.Class]
 	r.closed = true
 	b.settle(r, nil)
-	if r.ranOn != nil && (c.Effect == Unsafe || c.Effect == Keyed && c.Scope != ScopeAll) {
+	if r.ranOn != nil && (c.Idempotency == NotIdempotent ||
+		c.Idempotency == IdempotentWithKey && c.DedupScope != ScopeAll) {
 		b.fx.Fail(r.ID)
 	} else {
 		wait := Time(0)
-		if b.cfg.RetryAfter && (r.attempts == 0 || b.queued() > 0 || b.turnedAway() || b.failing(2)) {
+		if b.cfg.SendsRetryAfter && (r.attempts == 0 || b.queued() > 0 || b.turnedAway() || b.failing(2)) {
 			wait = Time(float64(b.cfg.MaxRetryAfter) * (0.25 + 0.75*b.rng.Float64()))
 		}
-		b.fx.Refuse(r.ID, wait)
+		b.fx.Reject(r.ID, wait)
 	}
 	if !r.out {
 		delete(b.requests, r.ID)
--- a/internal/balancer/restraint.go
+++ b/internal/balancer/restraint.go
@@ -7,8 +7,8 @@
 // sweep watches how much of the open load stands on stalled servers. Above the target this balancer refuses
 // a growing part of what is asked, and less again below it: servers with more work than they can do answer
 // nobody.
-func (b *Brain) sweep() {
-	b.fx.After(b.sweepEvery(), "sweep")
+func (b *Balancer) sweep() {
+	b.fx.Schedule(b.sweepEvery(), "sweep")
 	b.lookForBook()
 	ready := b.measure()
 	dt := float64(b.sweepEvery()) / 1e9
@@ -51,12 +51,12 @@
 }
 
 // rank is a request's place, 0 to 1, among the load asked for, ordered by worth for its work.
-func (b *Brain) rank(r *request) float64 {
+func (b *Balancer) rank(r *request) float64 {
 	d := b.density(r.Class)
 	if r.Tenant >= 0 {
 		t := &b.cfg.Tenants[r.Tenant]
-		if t.QuotaConnections > 0 && float64(b.tenants[r.Tenant]*b.cfg.Peers) > t.QuotaConnections {
-			d *= b.cfg.OverShare
+		if t.ConnectionQuota > 0 && float64(b.tenants[r.Tenant]*b.cfg.Instances) > t.ConnectionQuota {
+			d *= b.cfg.OverQuotaWeight
 		}
 	}
 	all, under, same := 0.0, 0.0, 0.0
@@ -71,10 +71,10 @@
 	return (under + b.rng.Float64()*same) / all
 }
 
-func (b *Brain) density(class int) float64 {
+func (b *Balancer) density(class int) float64 {
 	c := b.classCost[class]
-	if b.cfg.WorthByWork || c <= 0 {
-		return b.cfg.Classes[class].Worth
+	if b.cfg.PriorityByWork || c <= 0 {
+		return b.cfg.Classes[class].PriorityWeight
 	}
-	return b.cfg.Classes[class].Worth / c
+	return b.cfg.Classes[class].PriorityWeight / c
 }
--- a/internal/balancer/restraint_test.go
+++ b/internal/balancer/restraint_test.go
@@ -7,11 +7,11 @@
 
 func TestRestraintRefusesTheLeastWorthFirst(t *testing.T) {
 	cfg := settings()
-	cfg.Classes = append(cfg.Classes, Class{Name: "dear", Aim: 300 * ms, Deadline: 2 * sec, MessageAim: 100 * ms})
-	cfg.Classes[0].Worth, cfg.Classes[1].Worth, cfg.WorthByWork = 1, 5, true
+	cfg.Classes = append(cfg.Classes, Class{Name: "dear", LatencyObjective: 300 * ms, Deadline: 2 * sec, MessageLatencyObjective: 100 * ms})
+	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight, cfg.PriorityByWork = 1, 5, true
 	f := start(t, cfg, fleet(4)...)
 	ask := func(id string, class int) {
-		f.b.Request(f.now, Request{ID: id, Class: class, Tenant: -1, Left: 2 * sec})
+		f.b.RequestArrived(f.now, Request{ID: id, Class: class, Tenant: -1, Remaining: 2 * sec})
 	}
 	for i := 0; i < 40; i++ {
 		ask(fmt.Sprint("o", i), i%2)
@@ -19,7 +19,7 @@
 	}
 	for i := 0; i < 20; i++ { // every server stalls and stays so
 		for k := 0; k < 40; k++ {
-			f.b.Note(f.now, fmt.Sprint("o", k), 0, NoteDelay, 500)
+			f.b.Observe(f.now, fmt.Sprint("o", k), 0, ObservedLatency, 500)
 		}
 		f.run(sec / 2)
 	}
@@ -53,7 +53,7 @@
 		}
 	}
 	for i := 0; i < 3; i++ {
-		f.b.Note(f.now, on[0], 0, NoteDelay, 2000)
+		f.b.Observe(f.now, on[0], 0, ObservedLatency, 2000)
 		f.run(sec)
 	}
 	if len(f.moves) == 0 {
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -6,7 +6,7 @@
 
 // pick is the smooth weighted rotation over the available pool; if that is empty, over all that may be sent
 // to.
-func (b *Brain) pick(r *request) *server {
+func (b *Balancer) pick(r *request) *server {
 	cost := b.turns(r)
 	if b.among = b.ages(r); b.among != anyAge {
 		s := b.rotate(r, cost, false)
@@ -23,7 +23,7 @@
 // ages tells among which servers a request is placed first: those that have started lately, if they hold less
 // than their part of what is held from here, else those before them. Where traffic is thin that tells nothing
 // of one server, but something of all of an age: each balancer keeps to the part by chance, and so all do.
-func (b *Brain) ages(r *request) int {
+func (b *Balancer) ages(r *request) int {
 	if b.reports() || !b.thin() {
 		return anyAge
 	}
@@ -46,11 +46,11 @@
 }
 
 // passes tells whether a server is not of the age that is looked among. A cold one has its own budget.
-func (b *Brain) passes(s *server) bool {
+func (b *Balancer) passes(s *server) bool {
 	return b.among != anyAge && b.age(s) != b.among && (b.among == newer || b.warmth(s) >= 1)
 }
 
-func (b *Brain) rotate(r *request, cost float64, all bool) *server {
+func (b *Balancer) rotate(r *request, cost float64, all bool) *server {
 	total, widest, top := 0.0, 0.0, math.Inf(-1)
 	pool := b.scratch[:0]
 	if b.reports() {
@@ -114,14 +114,15 @@
 }
 
 // mayTake holds what no fallback sets aside: drains, groups that discard repeats, the cold budget.
-func (b *Brain) mayTake(s *server, r *request, cost float64) bool {
+func (b *Balancer) mayTake(s *server, r *request, cost float64) bool {
 	if s.state != Ready || b.passes(s) {
 		return false // nothing new to a draining or gone server: at once, well within the grace
 	}
 	if r.ranOn != nil {
 		switch c := &b.cfg.Classes[r.Class]; {
-		case c.Effect != Keyed || c.Scope == ScopeAll:
-		case c.Scope == ScopeZone && s.zone != r.ranOn.zone, c.Scope == ScopeCell && s.cell != r.ranOn.cell:
+		case c.Idempotency != IdempotentWithKey || c.DedupScope == ScopeAll:
+		case c.DedupScope == ScopeZone && s.zone != r.ranOn.zone,
+			c.DedupScope == ScopeCell && s.cell != r.ranOn.cell:
 			return false
 		}
 	}
@@ -130,14 +131,14 @@
 
 // turnWeight is a server's share of turns: the list's weight, less for a crossing that costs, for a cold
 // server, and for one seen slow or failing.
-func (b *Brain) turnWeight(s *server) float64 {
+func (b *Balancer) turnWeight(s *server) float64 {
 	w := s.weight
 	if s.zone != b.zone {
 		far := 1 / (1 + zoneBias*b.cfg.Prices.CrossZone)
 		w *= far + (1-far)*b.spill
 	}
 	if f := b.warmth(s); f < 1 {
-		w *= min(1, coldSafety*b.cfg.FallMultiple*f)
+		w *= min(1, coldSafety*b.cfg.SlowStartOverloadFactor*f)
 	}
 	if b.reports() {
 		w *= max(minHealth, roomTop-s.x) // the share of its turns that its load leaves it
@@ -149,7 +150,7 @@
 	return w * max(minHealth, health)
 }
 
-func (b *Brain) illness(s *server) float64 {
+func (b *Balancer) illness(s *server) float64 {
 	if s.ill == 0 {
 		return 0
 	}
@@ -157,7 +158,7 @@
 }
 
 // slowness is the last message delay told, over the shortest aim; it fades once no news comes.
-func (b *Brain) slowness(s *server) float64 {
+func (b *Balancer) slowness(s *server) float64 {
 	if s.delay < slowAt {
 		return 0
 	}
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -35,7 +35,7 @@
 	seen := map[string]bool{}
 	for me := 0; me < 8; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers = me, 8
+		cfg.Instance, cfg.Instances = me, 8
 		f := start(t, cfg, fleet(8)...)
 		seen[f.serve("r")] = true
 	}
@@ -52,7 +52,7 @@
 	n := map[string]int{}
 	for me := 0; me < 10; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers = me, 10
+		cfg.Instance, cfg.Instances = me, 10
 		f := start(t, cfg, es...)
 		for k := 0; k < 4; k++ {
 			f.request(fmt.Sprint(k))
@@ -90,7 +90,7 @@
 	for i := 0; i < 10; i++ {
 		for k := 0; k < 40; k++ {
 			if id := fmt.Sprint("a", k); f.b.requests[id].server.zone == f.b.zone {
-				f.b.Note(f.now, id, 0, NoteDelay, 150)
+				f.b.Observe(f.now, id, 0, ObservedLatency, 150)
 			}
 		}
 		f.run(sec)
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/rules_test.go
@@ -21,7 +21,7 @@
 	told := map[*fake]Time{}
 	for me := 0; me < peers; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers, cfg.Ask, cfg.Zones = me, peers, true, []string{"a"}
+		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = me, peers, true, []string{"a"}
 		f := start(t, cfg, fleet(3)...)
 		f.b.rng = rand.New(rand.NewSource(int64(me) + 7))
 		all = append(all, f)
@@ -30,7 +30,7 @@
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
 		if now == downFrom { // all watches end
 			for _, f := range all {
-				f.b.Members(now, ListFailed, 0, nil)
+				f.b.ListReceived(now, ListFailed, 0, nil)
 			}
 		}
 		for _, f := range all {
@@ -41,7 +41,7 @@
 					calls = append(calls, now)
 				}
 				if down(now) {
-					f.b.Members(now, ListFailed, 0, nil)
+					f.b.ListReceived(now, ListFailed, 0, nil)
 				} else {
 					queue = append(queue, call{f, now})
 				}
@@ -50,10 +50,10 @@
 		for len(queue) > 0 && !down(now) {
 			c := queue[0]
 			if now-c.at >= patience {
-				c.f.b.Members(now, ListFailed, 0, nil)
+				c.f.b.ListReceived(now, ListFailed, 0, nil)
 			} else if free <= now {
 				free = now + each
-				c.f.b.Members(now, ListDelta, 1, nil)
+				c.f.b.ListReceived(now, ListDelta, 1, nil)
 				if now >= upAt {
 					told[c.f] = now
 				}
@@ -85,14 +85,14 @@
 		all := manyBalancers(t, 80, seed)
 		type news struct {
 			at Time
-			e  Entry
+			e  ListedHost
 		}
 		told := map[*fake]map[string]Time{}
 		var due []news
 		for i := 0; i < 7; i++ {
 			at := 101*sec + Time(i)*sec
-			due = append(due, news{at, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining}},
-				news{at + sec/2, Entry{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, Since: at}})
+			due = append(due, news{at, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining}},
+				news{at + sec/2, ListedHost{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, StartedAt: at}})
 		}
 		heard := map[*fake]int{}
 		late := map[*fake]Time{}
@@ -106,7 +106,7 @@
 				f.run(now - f.now)
 				for ; heard[f] < len(due) && due[heard[f]].at+late[f] <= now; heard[f]++ {
 					e := due[heard[f]].e
-					f.b.Members(now, ListDelta, int64(heard[f]+2), []Entry{e})
+					f.b.ListReceived(now, ListDelta, int64(heard[f]+2), []ListedHost{e})
 					if e.State == Draining {
 						told[f][e.ID] = now
 					}
@@ -114,7 +114,7 @@
 			}
 			f, id := all[rng.Intn(len(all))], fmt.Sprintf("%d-%d", seed, n)
 			n++
-			f.b.Request(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4), Returned: n%2 == 0, Left: 4800 * ms})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4), Returned: n%2 == 0, Remaining: 4800 * ms})
 			if f.out[id] {
 				f.stands(id)
 			}
@@ -148,11 +148,11 @@
 				}
 			}
 			f.now = 106 * sec
-			var back []Entry
+			var back []ListedHost
 			for _, id := range gone {
-				back = append(back, Entry{ID: id, Zone: "a", Weight: 1, Since: f.now - sec})
+				back = append(back, ListedHost{ID: id, Zone: "a", Weight: 1, StartedAt: f.now - sec})
 			}
-			f.b.Members(f.now, ListDelta, 2, back)
+			f.b.ListReceived(f.now, ListDelta, 2, back)
 		}
 		var at []Time
 		for now := 106 * sec; now < 108*sec; now += 50 * ms {
--- a/internal/balancer/seen.go
+++ b/internal/balancer/seen.go
@@ -8,7 +8,7 @@
 const anyAge, newer, older = 0, 1, 2
 
 // take begins to keep a request; nil where its id is known already or its class is not.
-func (b *Brain) take(q Request) *request {
+func (b *Balancer) take(q Request) *request {
 	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.cfg.Classes) {
 		return nil
 	}
@@ -21,8 +21,8 @@
 }
 
 // price is a connection's expected load, raw; the mean over all makes it turns.
-func (b *Brain) price(q *Request) float64 {
-	c := q.Hint
+func (b *Balancer) price(q *Request) float64 {
+	c := q.ExpectedLoad
 	if c <= 0 {
 		c = b.classCost[q.Class]
 	}
@@ -32,13 +32,13 @@
 	if c <= 0 {
 		return 1
 	}
-	if q.Hint > 0 {
+	if q.ExpectedLoad > 0 {
 		b.learn(q.Class, c)
 	}
 	return c
 }
 
-func (b *Brain) learn(class int, c float64) {
+func (b *Balancer) learn(class int, c float64) {
 	if b.classCost[class] == 0 {
 		b.classCost[class] = c
 	}
@@ -49,14 +49,14 @@
 	b.meanCost += (c - b.meanCost) / 64
 }
 
-func (b *Brain) turns(r *request) float64 {
+func (b *Balancer) turns(r *request) float64 {
 	if b.meanCost <= 0 {
 		return 1
 	}
 	return min(8, max(0.125, r.cost/b.meanCost))
 }
 
-func (b *Brain) sample(t float64) {
+func (b *Balancer) sample(t float64) {
 	if b.setups == 0 {
 		b.setup, b.setupDev = t, t/2
 	}
@@ -68,7 +68,7 @@
 }
 
 // fade halves recent evidence about every longest aim.
-func (b *Brain) fade() {
+func (b *Balancer) fade() {
 	f := math.Exp(-float64(b.now-b.fadeAt) / float64(2*b.aimLong))
 	b.good, b.bad, b.fadeAt = b.good*f, b.bad*f, b.now
 }
@@ -76,17 +76,17 @@
 // count keeps the rate at which connections end by themselves: in the long run that at which fresh ones
 // come, but free of every repeat. Clients that come again unmarked would raise the cold budget just when it
 // matters.
-func (b *Brain) count(r *request) {
+func (b *Balancer) count(r *request) {
 	b.fadeRate()
 	b.rate += b.turns(r) / b.rateTau()
 }
 
-func (b *Brain) rateTau() float64 {
-	tau := float64(max(b.cfg.WarmUp, b.qInit)) / 1e9
+func (b *Balancer) rateTau() float64 {
+	tau := float64(max(b.cfg.SlowStartDuration, b.qInit)) / 1e9
 	return min(tau, max(2, float64(b.now-b.started)/1e9))
 }
 
-func (b *Brain) fadeRate() {
+func (b *Balancer) fadeRate() {
 	if b.now == b.rateAt {
 		return
 	}
@@ -95,9 +95,9 @@
 }
 
 // arrives counts a try as a fresh one or one of a wave.
-func (b *Brain) arrives(r *request) {
+func (b *Balancer) arrives(r *request) {
 	b.fadeRate()
-	b.again.add(b.now, b.cfg.Fall, 0)
+	b.again.add(b.now, b.cfg.SlowStartOverloadWindow, 0)
 	r.flow = b.flow(r)
 	if r.comesAgain() {
 		b.again.n++
@@ -109,21 +109,21 @@
 // flow is how many connections like this one come a second, all balancers together: what was seen here, and
 // where that is little, what the settings let expect. One balancer of many sees a request in half a minute,
 // and of a wave one or none: what it has counted alone would be nothing or far too much.
-func (b *Brain) flow(r *request) float64 {
-	peers := float64(b.cfg.Peers)
+func (b *Balancer) flow(r *request) float64 {
+	peers := float64(b.cfg.Instances)
 	if !r.comesAgain() {
 		return peers * b.believe(b.fresh, b.rateTau(), b.usual)
 	}
 	// A wave: what one server holds comes back together, or all that drain.
-	b.left.add(b.now, 2*b.cfg.Fall, 0)
+	b.left.add(b.now, 2*b.cfg.SlowStartOverloadWindow, 0)
 	part := max(1/float64(max(1, len(b.servers))), b.left.n/max(b.fleet, 1))
-	fall := float64(b.cfg.Fall) / 1e9
+	fall := float64(b.cfg.SlowStartOverloadWindow) / 1e9
 	return peers * b.believe(b.again.n, fall, part*b.standing/peers/fall)
 }
 
 // believe is the rate behind n events in a time, where so many a second were expected before any was seen; 0:
 // none known.
-func (b *Brain) believe(n, seconds, expected float64) float64 {
+func (b *Balancer) believe(n, seconds, expected float64) float64 {
 	if expected <= 0 {
 		return (n + 1) / seconds
 	}
@@ -131,8 +131,8 @@
 }
 
 // age tells servers that have started lately from those before them.
-func (b *Brain) age(s *server) int {
-	if s.since > 0 && b.now < s.since+youngFor*b.cfg.WarmUp {
+func (b *Balancer) age(s *server) int {
+	if s.since > 0 && b.now < s.since+youngFor*b.cfg.SlowStartDuration {
 		return newer
 	}
 	return older
@@ -141,14 +141,14 @@
 // measure keeps the weight of the fleet that the rate belongs to: it sinks slowly, since a fleet that has
 // just lost a zone still sees the ends of connections that the whole one bore. It gives the weight as it is
 // now.
-func (b *Brain) measure() float64 {
+func (b *Balancer) measure() float64 {
 	total := 0.0
 	for _, s := range b.servers {
 		if s.state == Ready {
 			total += s.weight
 		}
 	}
-	f := math.Exp(-float64(b.now-b.fleetAt) / float64(2*b.cfg.WarmUp+1))
+	f := math.Exp(-float64(b.now-b.fleetAt) / float64(2*b.cfg.SlowStartDuration+1))
 	b.fleet, b.fleetAt = max(total, b.fleet*f+total*(1-f)), b.now
 	return total
 }
@@ -156,15 +156,15 @@
 // survey takes in how loaded the fleet is, and how many mean connections fill one server. The tenants'
 // quotas, in sum, are most of what the fleet can hold; where there are none, all balancers' connections, of
 // which this one holds its part, make up the sum of what the servers tell.
-func (b *Brain) survey() {
+func (b *Balancer) survey() {
 	own, sum, told, all := 0.0, 0.0, 0.0, 0.0
 	for _, s := range b.servers {
-		if s.state != Departed {
+		if s.state != Removed {
 			all++
 		}
 		if s.state == Ready && s.told.Known(b.now) {
 			own += s.load
-			sum += s.told.Now(b.now, 0, 0)
+			sum += s.told.Load(b.now, 0, 0)
 			told++
 		}
 	}
@@ -174,9 +174,9 @@
 	if b.standing > 0 {
 		b.full = b.standing / usualPart / quotaPart / max(1, all)
 	} else if own > 0 && sum > 0 {
-		b.full = own / b.meanCost * float64(b.cfg.Peers) / sum
+		b.full = own / b.meanCost * float64(b.cfg.Instances) / sum
 	}
 }
 
 // loaded is how loaded a server is now; 1 is full.
-func (b *Brain) loaded(s *server) float64 { return s.told.Now(b.now, b.full, b.usualLoad) }
+func (b *Balancer) loaded(s *server) float64 { return s.told.Load(b.now, b.full, b.usualLoad) }
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -2,9 +2,9 @@
 
 // Servers that make messages wait: how that is learned, told, and answered.
 
-// Peer takes a message from another balancer: which servers make messages wait. Where each balancer holds a
+// PeerMessageReceived takes a message from another balancer: which servers make messages wait. Where each balancer holds a
 // connection or two, most would learn of a stalled server by sending to it.
-func (b *Brain) Peer(now Time, from int, data []byte) {
+func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
 	b.tick(now)
 	if b.bookTold(from, data) {
 		return
@@ -22,7 +22,7 @@
 }
 
 // tell tells all of the servers that are stalled as seen here, unless another balancer has.
-func (b *Brain) tell() {
+func (b *Balancer) tell() {
 	var data []byte
 	for _, s := range b.servers {
 		if s.telling && b.now-s.toldAt >= tellEvery && s.state == Ready && b.slowness(s) >= 1 {
@@ -32,12 +32,12 @@
 		s.telling = false
 	}
 	if len(data) > 0 {
-		b.fx.Tell(-1, data)
+		b.fx.SendToPeer(-1, data)
 	}
 }
 
-// Note takes news about an open connection.
-func (b *Brain) Note(now Time, id string, attempt int, kind NoteKind, value float64) {
+// Observe takes news about an open connection.
+func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
 	b.tick(now)
 	r := b.requests[id]
 	if r == nil || !r.up || attempt != r.attempts-1 {
@@ -45,14 +45,14 @@
 	}
 	s := r.server
 	switch kind {
-	case NoteLoad:
+	case ObservedLoad:
 		v := max(0, value) * 1000
 		s.load += v - r.load
 		r.load = v
-		if r.Hint <= 0 {
+		if r.ExpectedLoad <= 0 {
 			b.learn(r.Class, max(v, 1))
 		}
-	case NoteDelay:
+	case ObservedLatency:
 		if b.aimMin > 0 {
 			b.stalls(s, value/b.aimMin)
 		}
@@ -61,21 +61,21 @@
 
 // stalls takes in how long messages take at a server, in shortest aims, and moves part of what stands there
 // away. Each balancer moves a small part by chance, since all see the same stall.
-func (b *Brain) stalls(s *server, x float64) {
+func (b *Balancer) stalls(s *server, x float64) {
 	s.delay, s.delayAt = x, b.now
 	if x < 1 {
 		return
 	}
-	if b.cfg.MayTell && b.cfg.Peers > 1 && !s.telling && b.now-s.toldAt >= tellEvery {
+	if b.cfg.MayGossip && b.cfg.Instances > 1 && !s.telling && b.now-s.toldAt >= tellEvery {
 		s.telling = true
-		b.fx.After(max(b.cfg.Tick, Time(tellWithin*b.rng.Float64())), "tell")
+		b.fx.Schedule(max(b.cfg.Tick, Time(tellWithin*b.rng.Float64())), "tell")
 	}
 	// In proportion to its load: a few heavy connections are what overfills a server, and moving them is
 	// cheaper than moving the many light ones.
 	for _, r := range s.conns {
 		if !r.moved && b.rng.Float64() < movePart*r.load/max(1, b.meanCost) {
 			r.moved = true
-			b.fx.Move(r.ID)
+			b.fx.Migrate(r.ID)
 		}
 	}
 }
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -17,7 +17,7 @@
 	hash       uint64
 	weight     float64
 	since      Time
-	state      State
+	state      HostState
 	known      bool
 	lag        float64 // turns owed: the smooth weighted rotation picks the largest
 	fails      int     // consecutive failed connects
@@ -72,8 +72,8 @@
 	flow     float64 // how many like it come a second, all balancers together
 }
 
-// Brain is one balancer's decisions.
-type Brain struct {
+// Balancer is one balancer's decisions.
+type Balancer struct {
 	cfg       Config
 	fx        Effects
 	rng       *rand.Rand
@@ -118,8 +118,8 @@
 
 	tried, stood float64 // attempts of late, and those that stood, fading
 	triedAt      Time
-	desk         *ledger.Desk
-	book         *ledger.Book
+	desk         *ledger.Client
+	book         *ledger.Placements
 	bookOpen     bool    // it has been said that a book is kept here
 	bookDue      Time    // when the keeper is to be told all that is held here
 	epoch        byte    // of the book here
@@ -136,27 +136,27 @@
 }
 
 // New makes a balancer. It refuses settings that cannot be used.
-func New(cfg Config, seed int64, fx Effects) (*Brain, error) {
+func New(cfg Config, seed int64, fx Effects) (*Balancer, error) {
 	if fx == nil {
 		return nil, errors.New("brain: no Effects given")
 	}
 	if len(cfg.Classes) == 0 {
 		return nil, errors.New("brain: settings name no class of request")
 	}
-	if cfg.Peers < 1 || cfg.Me < 0 {
-		return nil, fmt.Errorf("brain: balancer %d of %d is not possible", cfg.Me, cfg.Peers)
+	if cfg.Instances < 1 || cfg.Instance < 0 {
+		return nil, fmt.Errorf("brain: balancer %d of %d is not possible", cfg.Instance, cfg.Instances)
 	}
 	if cfg.MaxAttempts < 1 {
 		return nil, fmt.Errorf("brain: at most %d attempts allows none", cfg.MaxAttempts)
 	}
 	for _, c := range cfg.Classes {
-		if c.Deadline <= 0 || c.Aim <= 0 {
+		if c.Deadline <= 0 || c.LatencyObjective <= 0 {
 			return nil, fmt.Errorf("brain: class %q needs an aim and a deadline above zero", c.Name)
 		}
 	}
-	b := &Brain{cfg: cfg, fx: fx, rng: rand.New(rand.NewSource(seed)), byID: map[string]*server{},
+	b := &Balancer{cfg: cfg, fx: fx, rng: rand.New(rand.NewSource(seed)), byID: map[string]*server{},
 		zones: map[string]int{}, requests: map[string]*request{}, orders: map[string][]int32{}, started: -1,
-		desk: ledger.NewDesk(cfg.Peers), book: ledger.NewBook()}
+		desk: ledger.NewClient(cfg.Instances), book: ledger.NewPlacements()}
 	for _, z := range cfg.Zones {
 		b.zoneOf(z)
 	}
@@ -164,24 +164,24 @@
 	longest := Time(0)
 	for _, c := range cfg.Classes {
 		longest = max(longest, c.Deadline)
-		b.aimLong = max(b.aimLong, c.Aim)
-		if ms := float64(c.MessageAim) / 1e6; ms > 0 && (b.aimMin == 0 || ms < b.aimMin) {
+		b.aimLong = max(b.aimLong, c.LatencyObjective)
+		if ms := float64(c.MessageLatencyObjective) / 1e6; ms > 0 && (b.aimMin == 0 || ms < b.aimMin) {
 			b.aimMin = ms
 		}
 	}
 	b.classCost, b.asked = make([]float64, len(cfg.Classes)), make([]float64, len(cfg.Classes))
 	b.tenants = make([]int, len(cfg.Tenants))
 	for _, t := range cfg.Tenants {
-		b.usual += usualPart * t.QuotaPerS / float64(cfg.Peers)
-		b.standing += usualPart * t.QuotaConnections
+		b.usual += usualPart * t.RateQuota / float64(cfg.Instances)
+		b.standing += usualPart * t.ConnectionQuota
 	}
 	// A first quarantine outlasts every request that saw the failure, so that none meets it twice.
 	b.qInit, b.qMax = longest, Time(float64(longest)*quarantineCap)
-	if cfg.QuarantineInit >= 0 {
-		b.qInit = cfg.QuarantineInit
+	if cfg.EjectionInitial >= 0 {
+		b.qInit = cfg.EjectionInitial
 	}
-	if cfg.QuarantineMax >= 0 {
-		b.qMax = cfg.QuarantineMax
+	if cfg.EjectionMax >= 0 {
+		b.qMax = cfg.EjectionMax
 	}
 	if b.qMax < b.qInit && b.qMax > 0 {
 		return nil, errors.New("brain: the longest quarantine is shorter than the first")
@@ -190,7 +190,7 @@
 }
 
 // stand notes a connection that is up.
-func (b *Brain) stand(r *request) {
+func (b *Balancer) stand(r *request) {
 	s := r.server
 	r.up, r.at, r.load = true, len(s.conns), r.cost
 	s.conns = append(s.conns, r)
@@ -203,7 +203,7 @@
 }
 
 // leave notes its end.
-func (b *Brain) leave(r *request) {
+func (b *Balancer) leave(r *request) {
 	if !r.up {
 		return
 	}
--- a/internal/balancer/told_test.go
+++ b/internal/balancer/told_test.go
@@ -11,14 +11,14 @@
 	var all []*fake
 	for me := 0; me < 80; me++ {
 		cfg := settings()
-		cfg.Me, cfg.Peers, cfg.Zones, cfg.MayTell = me, 80, []string{"a"}, true
+		cfg.Instance, cfg.Instances, cfg.Zones, cfg.MayGossip = me, 80, []string{"a"}, true
 		f := start(t, cfg, fleet(4)...)
 		f.b.rng.Seed(int64(me))
 		all = append(all, f)
 	}
 	for _, f := range all[:16] {
-		f.b.Open(f.now, Request{ID: "o", Tenant: -1}, "s01")
-		f.b.Note(f.now, "o", 0, NoteDelay, 1000)
+		f.b.ConnectionAdopted(f.now, Request{ID: "o", Tenant: -1}, "s01")
+		f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 	}
 	tells := 0
 	for at := Time(0); at < 2*sec; at += 20 * ms { // a message takes 20 ms
@@ -35,7 +35,7 @@
 		}
 		for _, data := range told {
 			for _, f := range all {
-				f.b.Peer(f.now, 0, data)
+				f.b.PeerMessageReceived(f.now, 0, data)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		t.Errorf("%d of 16 told", tells)
 	}
 	for _, f := range all {
-		f.b.Peer(f.now, 0, appendTold(nil, uint32(hash("s01")), 8)) // news, as each second
+		f.b.PeerMessageReceived(f.now, 0, appendTold(nil, uint32(hash("s01")), 8)) // news, as each second
 	}
 	there := 0
 	for _, f := range all[16:] {
@@ -61,8 +61,8 @@
 // TestPeersThatMayNotTell say nothing.
 func TestPeersThatMayNotTell(t *testing.T) {
 	f := start(t, settings(), fleet(2)...)
-	f.b.Open(f.now, Request{ID: "o", Tenant: -1}, "s01")
-	f.b.Note(f.now, "o", 0, NoteDelay, 1000)
+	f.b.ConnectionAdopted(f.now, Request{ID: "o", Tenant: -1}, "s01")
+	f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 	f.run(5 * sec)
 	if len(f.told) > 0 {
 		t.Fatal("told")
@@ -97,7 +97,7 @@
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		x := start(t, settings(), fleet(3)...)
-		x.b.Peer(x.now, 1, data)
+		x.b.PeerMessageReceived(x.now, 1, data)
 		for _, s := range x.b.servers {
 			if s.delay < 0 || s.delay > 64 {
 				t.Errorf("%s: %v", s.id, s.delay)
--- a/internal/balancer/untold_test.go
+++ b/internal/balancer/untold_test.go
@@ -15,7 +15,7 @@
 	all := manyBalancers(t, n, seed)
 	for me := range all {
 		cfg := all[me].b.cfg
-		cfg.Tenants, cfg.WarmUp, cfg.Fall, cfg.FallMultiple, cfg.ColdFrom = nil, 9*sec, sec, 3, 0.31
+		cfg.Tenants, cfg.SlowStartDuration, cfg.SlowStartOverloadWindow, cfg.SlowStartOverloadFactor, cfg.SlowStartFloor = nil, 9*sec, sec, 3, 0.31
 		all[me] = start(t, cfg, fleet(80)...)
 		all[me].b.rng = rand.New(rand.NewSource(seed*1000 + int64(me)))
 	}
@@ -77,12 +77,12 @@
 		}
 	}
 	for _, f := range all {
-		var es []Entry
+		var es []ListedHost
 		for i := 0; i < coldServers; i++ {
-			es = append(es, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, Since: at})
+			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: at})
 		}
 		f.now = max(f.now, at)
-		f.b.Members(f.now, ListDelta, 2, es)
+		f.b.ListReceived(f.now, ListDelta, 2, es)
 	}
 	for up = at; at < up+9*sec; at += step() {
 		later = append(later, at)
@@ -92,7 +92,7 @@
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
 		id, from := fmt.Sprintf("l-%d", i), len(f.sends)
-		f.b.Request(f.now, Request{ID: id, Tenant: -1, Left: 4800 * ms})
+		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		for _, s := range f.sends[from:] {
 			f.stands(s.req)
 			if s.server < fmt.Sprintf("s%02d", coldServers) {
@@ -121,7 +121,7 @@
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
 		id := fmt.Sprintf("e-%d", i)
-		f.b.Request(f.now, Request{ID: id, Tenant: -1, Left: 4800 * ms})
+		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		if f.out[id] {
 			f.stands(id)
 			up = append(up, open{f, id, now + 15*sec})
--- a/internal/balancer/young_test.go
+++ b/internal/balancer/young_test.go
@@ -12,7 +12,7 @@
 	for i := range n {
 		f := all[rng.Intn(len(all))]
 		id, from := fmt.Sprintf("%s-%d", name, i), len(f.sends)
-		f.b.Request(f.now, Request{ID: id, Tenant: -1, Left: 4800 * ms})
+		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		for _, s := range f.sends[from:] {
 			f.stands(s.req)
 			if young(s.server) {
@@ -37,12 +37,12 @@
 		none := func(string) bool { return false }
 		place(all, rng, "before", held, none)
 		for _, f := range all {
-			var es []Entry
+			var es []ListedHost
 			for i := range newer {
-				es = append(es, Entry{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, Since: at})
-				es = append(es, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining})
+				es = append(es, ListedHost{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, StartedAt: at})
+				es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining})
 			}
-			f.b.Members(f.now, ListDelta, 2, es)
+			f.b.ListReceived(f.now, ListDelta, 2, es)
 			f.run(10 * sec) // longer than a warm-up
 		}
 		young := func(server string) bool { return server[0] == 't' }
--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -27,7 +27,7 @@
 	told := make(chan proxy.Change, 64)
 	c := NewClient(l, netio.NewDialer(l, 4), d.Addr(), 3, 0, func(ch proxy.Change) { told <- ch })
 	l.Post(c.Follow)
-	hears := func(what, uid string, state balancer.State) {
+	hears := func(what, uid string, state balancer.HostState) {
 		t.Helper()
 		for limit := time.After(5 * time.Second); ; {
 			select {
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -80,14 +80,14 @@
 // agent is silent while discovery is, and the list held stays the best there is.
 func (c *Client) Follow() {
 	c.agent, c.hold, c.late = true, agentHold, agentWithin
-	c.Watch(true)
+	c.WatchList(true)
 }
 
 // Source is who gives the list, and the version held of it; under 0: none.
 func (c *Client) Source() (addr string, rev int64) { return c.addr, c.rev }
 
-// Watch begins or ends the watch. Asked for again while it goes on, it changes nothing.
-func (c *Client) Watch(on bool) {
+// WatchList begins or ends the watch. Asked for again while it goes on, it changes nothing.
+func (c *Client) WatchList(on bool) {
 	if !on {
 		c.wanted = false
 		c.again.Stop()
@@ -195,8 +195,8 @@
 	}
 }
 
-// Fetch asks for the whole list once.
-func (c *Client) Fetch() {
+// FetchList asks for the whole list once.
+func (c *Client) FetchList() {
 	if c.fetch != nil {
 		return
 	}
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -77,7 +77,7 @@
 	if err != nil || ch.Kind != balancer.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
 		t.Fatal(ch, err)
 	}
-	if h := ch.Hosts[0]; h.Since != 1700000000123000000 || h.State != balancer.Draining || h.Endpoint != "1.2.3.4:5" ||
+	if h := ch.Hosts[0]; h.StartedAt != 1700000000123000000 || h.State != balancer.Draining || h.Address != "1.2.3.4:5" ||
 		h.Weight != 1.5 || h.Cell != 3 || h.Zone != "a" || h.Kind != "m" {
 		t.Fatal(h)
 	}
@@ -127,7 +127,7 @@
 	told := make(chan proxy.Change, 16)
 	old := serve("old")
 	c := NewClient(l, netio.NewDialer(l, 4), old, 3, 90, func(ch proxy.Change) { told <- ch })
-	l.Post(func() { c.Watch(true) })
+	l.Post(func() { c.WatchList(true) })
 	expect := func(want string) {
 		t.Helper()
 		if got := <-calls; got != want {
@@ -136,7 +136,7 @@
 	}
 	expect("old /discovery/hosts?from=90&hold_ms=4000")
 	addr := serve("new", "503 ", `200 {"rev":3,"all":true,"targets":[]}`)
-	l.Post(func() { c.Redirect(addr); c.Watch(true) })
+	l.Post(func() { c.Redirect(addr); c.WatchList(true) })
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts?from=3&hold_ms=4000")
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -27,7 +27,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-var states = map[string]balancer.State{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Departed}
+var states = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // Parse reads a list or a change of it, as discovery and the configuration's known give it.
 func Parse(data []byte) (proxy.Change, error) {
@@ -47,11 +47,11 @@
 		if !ok {
 			return proxy.Change{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
 		}
-		if e.UID == "" || e.Endpoint == "" && state != balancer.Departed {
+		if e.UID == "" || e.Endpoint == "" && state != balancer.Removed {
 			return proxy.Change{}, fmt.Errorf("list entry %d: no uid or endpoint", i)
 		}
-		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Endpoint: e.Endpoint, Entry: balancer.Entry{ID: e.UID, State: state,
-			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, Since: e.BootMS * 1e6}})
+		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Address: e.Endpoint, ListedHost: balancer.ListedHost{ID: e.UID, State: state,
+			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, StartedAt: e.BootMS * 1e6}})
 	}
 	return ch, nil
 }
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -81,7 +81,7 @@
 // of thirty proxies what the watch had missed was heard 0.7 s after it counted as told.
 func TestASilentWatchIsOpenedAnewAtOnce(t *testing.T) {
 	s := scripted(t)
-	s.loop.Post(func() { s.client.Watch(true) })
+	s.loop.Post(func() { s.client.WatchList(true) })
 	silent := <-s.calls
 	s.pass(shortHold + answerWithin)
 	again := <-s.calls
@@ -105,7 +105,7 @@
 // Two calls are out at once, and the answer that is older comes last: it must not undo the newer one.
 func TestAnOlderAnswerThatComesLastTellsNothing(t *testing.T) {
 	s := scripted(t)
-	s.loop.Post(func() { s.client.Watch(true); s.client.Fetch() })
+	s.loop.Post(func() { s.client.WatchList(true); s.client.FetchList() })
 	watch, fetch := <-s.calls, <-s.calls
 	if !strings.Contains(watch.target, "from=") {
 		watch, fetch = fetch, watch
@@ -126,7 +126,7 @@
 // A service that begins its versions anew is believed; a difference from a version that it never gave is no list to go on from.
 func TestAVersionThatGoesBackwards(t *testing.T) {
 	s := scripted(t)
-	s.loop.Post(func() { s.client.Watch(true) })
+	s.loop.Post(func() { s.client.WatchList(true) })
 	(<-s.calls).answer(`{"rev":2,"all":false,"targets":[]}`)
 	whole := <-s.calls
 	if whole.target != path {
--- a/internal/dataplane/hotrestart/disk_test.go
+++ b/internal/dataplane/hotrestart/disk_test.go
@@ -21,18 +21,18 @@
 	t.Cleanup(l.Stop)
 	s := NewStore(l, dir) // the folder is not there yet: every write fails
 	tried := make(chan bool, 2)
-	s.Keep(sample(), func() { tried <- true })
+	s.Save(sample(), func() { tried <- true })
 	<-tried
 	newer := sample()
-	newer.Rev = 8
-	s.Keep(newer, func() { tried <- true })
+	newer.Revision = 8
+	s.Save(newer, func() { tried <- true })
 	<-tried
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		k, err := Read(dir, 1e18)
-		if err == nil && k != nil && k.Rev == 8 && len(k.Out) == 1 {
+		if err == nil && k != nil && k.Revision == 8 && len(k.Suspended) == 1 {
 			break
 		}
 		if time.Now().After(end) {
@@ -56,24 +56,24 @@
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
 		k := sample()
 		k.At = now - step // the writer's time, in the moment that is now here
-		k.Out[0].Since = k.At - 5e9
-		k.Memory.Servers[0].FailedAt, k.Memory.Servers[0].Until = k.At-1e9, k.At+2e9
+		k.Suspended[0].Since = k.At - 5e9
+		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.At-1e9, k.At+2e9
 		data, err := encode(k)
 		if err != nil {
 			t.Fatal(err)
 		}
 		file, err := decode(data, now)
-		if err != nil || len(file.Out) != 1 || file.Out[0].Since > now || file.Memory.Servers[0].FailedAt > now {
+		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
 			t.Errorf("%s: a file gives %+v, %v", name, file, err)
 		}
 		k.Rebase(now, true)
-		if since, until := now-k.Out[0].Since, k.Memory.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
+		if since, until := now-k.Suspended[0].Since, k.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
 			t.Errorf("%s: out for %v, shunned for %v more", name, time.Duration(since), time.Duration(until))
 		}
 	}
-	old := &proxy.Kept{Out: sample().Out} // of a version that did not say when
-	old.Out[0].Since = now + hour
-	if old.Rebase(now, false); old.Valid(now) != nil || old.Out[0].Since != now {
+	old := &proxy.Snapshot{Suspended: sample().Suspended} // of a version that did not say when
+	old.Suspended[0].Since = now + hour
+	if old.Rebase(now, false); old.Check(now) != nil || old.Suspended[0].Since != now {
 		t.Errorf("%+v", old)
 	}
 }
@@ -82,13 +82,13 @@
 func TestTheSpareFile(t *testing.T) {
 	dir := t.TempDir()
 	first, second := sample(), sample()
-	first.At, second.At, second.Rev = 5, 6, 8
+	first.At, second.At, second.Revision = 5, 6, 8
 	if _, err := write(dir, first); err != nil {
 		t.Fatal(err)
 	}
 	rev := func(want int64) {
 		t.Helper()
-		if k, err := Read(dir, 10); err != nil || k == nil || k.Rev != want {
+		if k, err := Read(dir, 10); err != nil || k == nil || k.Revision != want {
 			t.Fatalf("read %+v, %v; want version %d", k, err, want)
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 	rev(7)
 	// What stands in a folder in which no file can be made is kept all the same: there is a file in the way of each new one's name.
-	second.At, second.Rev = 9, 9
+	second.At, second.Revision = 9, 9
 	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		}
 	}()
 	for range 2 {
-		if p, h, err := Ask(dir, "x:1", 10); err == nil || errors.Is(err, ErrBusy) || p != nil || h != nil {
+		if p, h, err := RequestHandover(dir, "x:1", 10); err == nil || errors.Is(err, ErrBusy) || p != nil || h != nil {
 			t.Errorf("got %v, %v, %v", p, h, err)
 		}
 	}
--- a/internal/dataplane/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/hotrestart_test.go
@@ -16,10 +16,10 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-func sample() *proxy.Kept {
-	return &proxy.Kept{Discovery: "127.0.0.1:1", Rev: 7, Out: []maintenance.Ban{{ID: "b", Since: 5}}, Known: []string{"a", "b"},
-		Hosts:  []proxy.HostEntry{{Endpoint: "127.0.0.1:2", Entry: balancer.Entry{ID: "a", Zone: "z", Weight: 1.5, Since: 3}}},
-		Memory: balancer.Memory{Started: 1, MeanCost: 2, Servers: []balancer.ServerMemory{{ID: "a", Fails: 1, Until: 9}}}}
+func sample() *proxy.Snapshot {
+	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
+		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
+		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
 }
 
 // What is written comes back; whatever is torn, foreign, of another version or beyond bounds is told and never taken.
@@ -36,7 +36,7 @@
 	}
 	whole, _ := os.ReadFile(filepath.Join(dir, stateFile))
 	text := string(whole)
-	with := func(change func(k *proxy.Kept)) string {
+	with := func(change func(k *proxy.Snapshot)) string {
 		k := sample()
 		change(k)
 		data, _ := encode(k)
@@ -46,12 +46,12 @@
 		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
 		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
 		"foreign": "[]\n{}", "huge": strings.Repeat("x", mostState+1),
-		"an id too long": with(func(k *proxy.Kept) { k.Known[0] = strings.Repeat("x", 300) }),
-		"no such state":  with(func(k *proxy.Kept) { k.Hosts[0].State = 9 }),
-		"too many":       with(func(k *proxy.Kept) { k.Out = make([]maintenance.Ban, 5000) }),
+		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
+		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
+		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
-		if k, err := Read(dir, now); err == nil || k != nil && k.Valid(now) == nil {
+		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -68,15 +68,15 @@
 // side notes what a partner tells.
 type side struct {
 	told chan string
-	kept *proxy.Kept
+	kept *proxy.Snapshot
 }
 
-func (s *side) Take() *proxy.Kept          { s.told <- "take"; return s.kept }
-func (s *side) Taken(k *proxy.Kept)        { s.told <- "taken " + k.Discovery }
-func (s *side) ByHand(id string, out bool) { s.told <- "byhand " + id }
-func (s *side) Listed(k *proxy.Kept)       { s.told <- "listed " + k.Discovery }
-func (s *side) Sessions(n int)             { s.told <- "sessions" }
-func (s *side) Standing(k *proxy.Standing) {
+func (s *side) TakeOver() *proxy.Snapshot         { s.told <- "take"; return s.kept }
+func (s *side) TakenOver(k *proxy.Snapshot)       { s.told <- "taken " + k.Discovery }
+func (s *side) HostSuspended(id string, out bool) { s.told <- "byhand " + id }
+func (s *side) ListChanged(k *proxy.Snapshot)     { s.told <- "listed " + k.Discovery }
+func (s *side) Sessions(n int)                    { s.told <- "sessions" }
+func (s *side) ConnectionReceived(k *proxy.HandedOverConnection) {
 	s.told <- "standing " + k.Host
 	k.Down.Discard([]byte("x"))
 	k.Up.Discard(nil)
@@ -103,7 +103,7 @@
 	l := netio.NewLoop()
 	go l.Run()
 	t.Cleanup(l.Stop)
-	if p, h, err := Ask(dir, "x:1", 10); p != nil || h != nil || err != nil {
+	if p, h, err := RequestHandover(dir, "x:1", 10); p != nil || h != nil || err != nil {
 		t.Fatalf("with nobody there: %v %v %v", p, h, err)
 	}
 	first, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,34 +119,34 @@
 			return nil, errors.New("not now")
 		}
 		busy = true
-		return &Handoff{Kept: sample(), Listener: int(file.Fd()), Datagram: -1}, nil
+		return &Handoff{Snapshot: sample(), Listener: int(file.Fd()), Datagram: -1}, nil
 	}, func(p *Partner) { p.Run(l, old); partners <- p })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer door.Close()
-	if _, _, err := Ask(dir, "y:1", 10); !errors.Is(err, ErrBusy) {
+	if _, _, err := RequestHandover(dir, "y:1", 10); !errors.Is(err, ErrBusy) {
 		t.Errorf("for another address: %v", err)
 	}
-	p, h, err := Ask(dir, "x:1", 10)
-	if err != nil || !reflect.DeepEqual(h.Kept, sample()) || h.Datagram >= 0 {
+	p, h, err := RequestHandover(dir, "x:1", 10)
+	if err != nil || !reflect.DeepEqual(h.Snapshot, sample()) || h.Datagram >= 0 {
 		t.Fatalf("%v %+v", err, h)
 	}
-	if _, _, err := Ask(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
+	if _, _, err := RequestHandover(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
 		t.Errorf("a third: %v", err)
 	}
 	p.Run(l, young)
 	of := <-partners
-	p.Take()
+	p.TakeOver()
 	old.expect(t, "take")
 	young.expect(t, "taken 127.0.0.1:1")
-	of.ByHand("a", true)
+	of.HostSuspended("a", true)
 	young.expect(t, "byhand a")
-	p.ByHand("b", false)
+	p.HostSuspended("b", false)
 	old.expect(t, "byhand b")
 	of.Sessions(3)
 	young.expect(t, "sessions")
-	of.Listed(sample())
+	of.ListChanged(sample())
 	young.expect(t, "listed 127.0.0.1:1")
 	// A client that waits in the queue when the old process ends its listener gets to the new one.
 	c, err := net.Dial("tcp", first.Addr().String())
@@ -178,10 +178,10 @@
 	t.Cleanup(l.Stop)
 	for _, dir := range []string{t.TempDir(), "/nowhere/at/all"} {
 		done := make(chan bool)
-		NewStore(l, dir).Keep(sample(), func() { close(done) })
+		NewStore(l, dir).Save(sample(), func() { close(done) })
 		<-done
 		k, err := Read(dir, 10)
-		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Rev != 7) {
+		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
 			t.Errorf("%s: %+v, %v", dir, k, err)
 		}
 	}
--- a/internal/dataplane/hotrestart/link.go
+++ b/internal/dataplane/hotrestart/link.go
@@ -24,7 +24,7 @@
 
 // Handoff is what an old process hands over.
 type Handoff struct {
-	Kept     *proxy.Kept
+	Snapshot *proxy.Snapshot
 	Listener int // descriptors, the receiver's to close
 	Datagram int // under 0: none
 }
@@ -46,18 +46,18 @@
 
 // Events is what a partner tells, on the loop.
 type Events interface {
-	// Take says that the partner accepts from here on; what it is to know is the answer.
-	Take() *proxy.Kept
-	// Taken brings what the partner knew as it stopped accepting.
-	Taken(k *proxy.Kept)
-	// ByHand brings an operator's word.
-	ByHand(id string, out bool)
-	// Listed brings a list that the partner was told since.
-	Listed(k *proxy.Kept)
+	// TakeOver says that the partner accepts from here on; what it is to know is the answer.
+	TakeOver() *proxy.Snapshot
+	// TakenOver brings what the partner knew as it stopped accepting.
+	TakenOver(k *proxy.Snapshot)
+	// HostSuspended brings an operator's word.
+	HostSuspended(id string, out bool)
+	// ListChanged brings a list that the partner was told since.
+	ListChanged(k *proxy.Snapshot)
 	// Sessions tells how many downstreams the partner holds.
 	Sessions(n int)
-	// Standing brings an open connection; its sockets are the receiver's.
-	Standing(s *proxy.Standing)
+	// ConnectionReceived brings an open connection; its sockets are the receiver's.
+	ConnectionReceived(s *proxy.HandedOverConnection)
 	// Gone says that the partner has ended.
 	Gone()
 }
@@ -98,7 +98,7 @@
 			}
 			if m.Kind == kindStanding && m.Standing != nil && len(fds) == 2 {
 				m.Standing.Down.FD, m.Standing.Up.FD = fds[0], fds[1]
-				l.Post(func() { ev.Standing(m.Standing) })
+				l.Post(func() { ev.ConnectionReceived(m.Standing) })
 				continue
 			}
 			closeAll(fds)
@@ -110,16 +110,16 @@
 func (p *Partner) take(m *message, ev Events) {
 	switch m.Kind {
 	case kindTake:
-		p.tell(&message{Kind: kindTaken, Kept: ev.Take()})
+		p.tell(&message{Kind: kindTaken, Kept: ev.TakeOver()})
 	case kindTaken:
-		ev.Taken(m.Kept)
+		ev.TakenOver(m.Kept)
 	case kindByHand:
 		if m.ID != "" {
-			ev.ByHand(m.ID, m.Out)
+			ev.HostSuspended(m.ID, m.Out)
 		}
 	case kindListed:
 		if m.Kept != nil {
-			ev.Listed(m.Kept)
+			ev.ListChanged(m.Kept)
 		}
 	case kindSessions:
 		ev.Sessions(max(0, m.Sessions))
@@ -137,9 +137,9 @@
 	}
 }
 
-// Standing hands an open connection over; where that fails its client is told goodbye. done is called, on any goroutine, once
+// HandOver hands an open connection over; where that fails its client is told goodbye. done is called, on any goroutine, once
 // the connection is not this process's any more.
-func (p *Partner) Standing(s *proxy.Standing, goodbye []byte, done func()) {
+func (p *Partner) HandOver(s *proxy.HandedOverConnection, goodbye []byte, done func()) {
 	m := parcel{&message{Kind: kindStanding, Standing: s}, goodbye, done}
 	select {
 	case <-p.gone:
@@ -170,16 +170,16 @@
 	m.done()
 }
 
-// Take tells the old process that this one accepts from here on.
-func (p *Partner) Take() { p.tell(&message{Kind: kindTake}) }
+// TakeOver tells the old process that this one accepts from here on.
+func (p *Partner) TakeOver() { p.tell(&message{Kind: kindTake}) }
 
-// ByHand passes an operator's word on.
-func (p *Partner) ByHand(id string, out bool) {
+// HostSuspended passes an operator's word on.
+func (p *Partner) HostSuspended(id string, out bool) {
 	p.tell(&message{Kind: kindByHand, ID: id, Out: out})
 }
 
-// Listed passes on what discovery has told of hosts: the two processes are one proxy, and what one is told the other has been told.
-func (p *Partner) Listed(k *proxy.Kept) { p.tell(&message{Kind: kindListed, Kept: k}) }
+// ListChanged passes on what discovery has told of hosts: the two processes are one proxy, and what one is told the other has been told.
+func (p *Partner) ListChanged(k *proxy.Snapshot) { p.tell(&message{Kind: kindListed, Kept: k}) }
 
 // Sessions tells how many downstreams this process holds.
 func (p *Partner) Sessions(n int) { p.tell(&message{Kind: kindSessions, Sessions: n}) }
--- a/internal/dataplane/hotrestart/offer.go
+++ b/internal/dataplane/hotrestart/offer.go
@@ -13,9 +13,9 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Ask asks the process that serves at listen, and keeps its things in dir, to hand over. It gives nil without an error where
+// RequestHandover asks the process that serves at listen, and keeps its things in dir, to hand over. It gives nil without an error where
 // there is none. After an error there may be one that can hand over when it is asked again.
-func Ask(dir, listen string, now int64) (*Partner, *Handoff, error) {
+func RequestHandover(dir, listen string, now int64) (*Partner, *Handoff, error) {
 	path, clean := short(dir)
 	defer clean()
 	c, err := net.DialTimeout("unix", path, askWithin)
@@ -41,9 +41,9 @@
 		err = fmt.Errorf("the process that serves answered %q with %d sockets", m.Kind, len(fds))
 	default:
 		m.Kept.Rebase(now, true)
-		if err = m.Kept.Valid(now); err == nil {
+		if err = m.Kept.Check(now); err == nil {
 			conn.SetReadDeadline(time.Time{})
-			h := &Handoff{Kept: m.Kept, Listener: fds[0], Datagram: -1}
+			h := &Handoff{Snapshot: m.Kept, Listener: fds[0], Datagram: -1}
 			if m.Datagram {
 				h.Datagram = fds[1]
 			}
@@ -145,7 +145,7 @@
 		rights = append(rights, a.handed.Datagram)
 	}
 	p := newPartner(c)
-	if err := send(c, &message{Kind: kindWelcome, Kept: a.handed.Kept, Datagram: a.handed.Datagram >= 0}, rights...); err != nil {
+	if err := send(c, &message{Kind: kindWelcome, Kept: a.handed.Snapshot, Datagram: a.handed.Datagram >= 0}, rights...); err != nil {
 		slog.Warn("handover_failed", "reason", err)
 		p.Close()
 	}
--- a/internal/dataplane/hotrestart/spare.go
+++ b/internal/dataplane/hotrestart/spare.go
@@ -21,7 +21,7 @@
 const leastSpare = 64 << 10
 
 // write keeps k in dir. kept says that a process which comes after this one's end will find it; an error that it might not outlive the machine's.
-func write(dir string, k *proxy.Kept) (kept bool, err error) {
+func write(dir string, k *proxy.Snapshot) (kept bool, err error) {
 	data, err := encode(k)
 	if err != nil {
 		return false, err
@@ -97,7 +97,7 @@
 }
 
 // newest gives the later of the state and its spare. A spare that can't be used is as none.
-func newest(dir string, now int64) (*proxy.Kept, error) {
+func newest(dir string, now int64) (*proxy.Snapshot, error) {
 	k, err := readFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readFile(filepath.Join(dir, spareFile), now)
 	if spareErr == nil && spare != nil && (k == nil || spare.At > k.At) {
--- a/internal/dataplane/hotrestart/state.go
+++ b/internal/dataplane/hotrestart/state.go
@@ -24,7 +24,7 @@
 )
 
 // encode gives the file's bytes.
-func encode(k *proxy.Kept) ([]byte, error) {
+func encode(k *proxy.Snapshot) ([]byte, error) {
 	body, err := json.Marshal(k)
 	if err != nil {
 		return nil, err
@@ -34,7 +34,7 @@
 }
 
 // decode reads them. Whatever is torn, foreign, of another version or beyond the bounds is an error.
-func decode(data []byte, now int64) (*proxy.Kept, error) {
+func decode(data []byte, now int64) (*proxy.Snapshot, error) {
 	head, body, ok := bytes.Cut(data, []byte("\n"))
 	var length int
 	var sum uint32
@@ -47,20 +47,20 @@
 	if length != len(body) || sum != crc32.ChecksumIEEE(body) {
 		return nil, fmt.Errorf("%d bytes with checksum %08x, expected %d with %08x", len(body), crc32.ChecksumIEEE(body), length, sum)
 	}
-	k := &proxy.Kept{}
+	k := &proxy.Snapshot{}
 	if err := json.Unmarshal(body, k); err != nil {
 		return nil, err
 	}
 	k.Rebase(now, false)
-	return k, k.Valid(now)
+	return k, k.Check(now)
 }
 
 // Read gives what a process before this one has kept in dir; nil without an error: nothing. A file that can't be used is an
 // error that must not keep a proxy from starting.
-func Read(dir string, now int64) (*proxy.Kept, error) { return newest(dir, now) }
+func Read(dir string, now int64) (*proxy.Snapshot, error) { return newest(dir, now) }
 
 // readFile reads one file of the form; nil without an error: there is none, or one that was never written.
-func readFile(path string, now int64) (*proxy.Kept, error) {
+func readFile(path string, now int64) (*proxy.Snapshot, error) {
 	info, err := os.Lstat(path)
 	if os.IsNotExist(err) {
 		return nil, nil
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -18,7 +18,7 @@
 	wake chan struct{}
 
 	mu   sync.Mutex
-	next *proxy.Kept
+	next *proxy.Snapshot
 	done []func()
 }
 
@@ -39,9 +39,9 @@
 	return s
 }
 
-// Keep writes k; done, which may be nil, is called on the loop once it is written, or the first try has failed: nobody waits for a disk that is
+// Save writes k; done, which may be nil, is called on the loop once it is written, or the first try has failed: nobody waits for a disk that is
 // full. The write is made again until it succeeds, or until something newer is to be kept.
-func (s *Store) Keep(k *proxy.Kept, done func()) {
+func (s *Store) Save(k *proxy.Snapshot, done func()) {
 	s.mu.Lock()
 	s.next = k
 	if done != nil {
@@ -93,7 +93,7 @@
 }
 
 // giveBack has what could not be written wait again, unless something newer does.
-func (s *Store) giveBack(k *proxy.Kept) {
+func (s *Store) giveBack(k *proxy.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.next == nil {
--- a/internal/dataplane/hotrestart/wire.go
+++ b/internal/dataplane/hotrestart/wire.go
@@ -20,15 +20,15 @@
 
 // message is what two processes of a proxy tell one another.
 type message struct {
-	Kind     string          `json:"Kind"`
-	Listen   string          `json:"Listen,omitempty"`   // ask: the address that clients use
-	Kept     *proxy.Kept     `json:"Kept,omitempty"`     // welcome, taken, listed
-	Datagram bool            `json:"Datagram,omitempty"` // welcome: the second socket handed over is for datagrams
-	ID       string          `json:"ID,omitempty"`       // byhand
-	Out      bool            `json:"Out,omitempty"`
-	Sessions int             `json:"Sessions,omitempty"` // sessions: how many downstreams the sender holds
-	Standing *proxy.Standing `json:"Standing,omitempty"` // standing, with two sockets: the client's, the host's
-	Reason   string          `json:"Reason,omitempty"`   // no
+	Kind     string                      `json:"Kind"`
+	Listen   string                      `json:"Listen,omitempty"`   // ask: the address that clients use
+	Kept     *proxy.Snapshot             `json:"Kept,omitempty"`     // welcome, taken, listed
+	Datagram bool                        `json:"Datagram,omitempty"` // welcome: the second socket handed over is for datagrams
+	ID       string                      `json:"ID,omitempty"`       // byhand
+	Out      bool                        `json:"Out,omitempty"`
+	Sessions int                         `json:"Sessions,omitempty"` // sessions: how many downstreams the sender holds
+	Standing *proxy.HandedOverConnection `json:"Standing,omitempty"` // standing, with two sockets: the client's, the host's
+	Reason   string                      `json:"Reason,omitempty"`   // no
 }
 
 // The kinds of message.
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -9,9 +9,9 @@
 const second = int64(1e9)
 
 // given is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
-func given(effect balancer.Effect, scope balancer.Scope) (*Request, *Monitor) {
+func given(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Effect: effect, Scope: scope, Window: 2 * second}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, Attempts: 3}
 	h := Host{Zone: "a", Cell: 1}
 	r.Began(1*second, h)
 	r.Wrote(1*second+1, 1*second, h)
@@ -23,27 +23,27 @@
 func TestRepeats(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
-		effect balancer.Effect
-		scope  balancer.Scope
+		effect balancer.Idempotency
+		scope  balancer.DedupScope
 		at     int64
 		to     Host
 		want   Rule
 	}{
-		{balancer.Safe, balancer.ScopeAll, 9 * second, far, None},
-		{balancer.Safe, balancer.ScopeAll, 10 * second, far, InTime},
-		{balancer.Safe, balancer.ScopeAll, 2 * second, Host{State: balancer.Draining}, HostTakesNone},
-		{balancer.Unsafe, balancer.ScopeAll, 2 * second, near, NoRepeat},
-		{balancer.Keyed, balancer.ScopeAll, 2 * second, far, None},
-		{balancer.Keyed, balancer.ScopeAll, 3 * second, near, RepeatWindow},
-		{balancer.Keyed, balancer.ScopeZone, 2 * second, near, None},
-		{balancer.Keyed, balancer.ScopeZone, 2 * second, far, RepeatScope},
-		{balancer.Keyed, balancer.ScopeCell, 2 * second, far, RepeatScope},
+		{balancer.Idempotent, balancer.ScopeAll, 9 * second, far, None},
+		{balancer.Idempotent, balancer.ScopeAll, 10 * second, far, BeforeDeadline},
+		{balancer.Idempotent, balancer.ScopeAll, 2 * second, Host{State: balancer.Draining}, HostAcceptsNew},
+		{balancer.NotIdempotent, balancer.ScopeAll, 2 * second, near, NoUnsafeRetry},
+		{balancer.IdempotentWithKey, balancer.ScopeAll, 2 * second, far, None},
+		{balancer.IdempotentWithKey, balancer.ScopeAll, 3 * second, near, RetryWithinWindow},
+		{balancer.IdempotentWithKey, balancer.ScopeZone, 2 * second, near, None},
+		{balancer.IdempotentWithKey, balancer.ScopeZone, 2 * second, far, RetryWithinScope},
+		{balancer.IdempotentWithKey, balancer.ScopeCell, 2 * second, far, RetryWithinScope},
 	} {
 		r, m := given(c.effect, c.scope)
 		if got := r.Begin(c.at, c.to); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
-		r.Began(c.at+int64(HeldUp), c.to)
+		r.Began(c.at+int64(MaxSuspension), c.to)
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
 		}
@@ -57,23 +57,23 @@
 func TestBrokenRulesAreCounted(t *testing.T) {
 	h := Host{Zone: "a", Cell: 1}
 	for rule, f := range map[Rule]func(r *Request){
-		Over:            func(r *Request) { r.Left(); r.Began(2*second, h) },
-		OneAttempt:      func(r *Request) { r.Began(2*second, h); r.Began(2*second, h) },
-		AttemptLimit:    func(r *Request) { r.Attempts = 1; r.Began(2*second, h) },
-		RefusalHarmless: func(r *Request) { r.Class.Effect = balancer.Unsafe; r.Refused(2 * second) },
-		OneAnswer:       func(r *Request) { r.Served(2 * second); r.Failed(2 * second) },
-		AnswerInTime:    func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
-		NoSilentEnd:     func(r *Request) { r.Served(2 * second); r.Dropped() },
-		TakenInService:  func(r *Request) { r.Monitor.Close(); r.Began(2*second, h) },
-		HostTakesNone:   func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: balancer.Draining}) },
+		RequestOver:          func(r *Request) { r.ClientLeft(); r.Began(2*second, h) },
+		SingleAttempt:        func(r *Request) { r.Began(2*second, h); r.Began(2*second, h) },
+		AttemptLimit:         func(r *Request) { r.Attempts = 1; r.Began(2*second, h) },
+		RejectionIsSafe:      func(r *Request) { r.Class.Idempotency = balancer.NotIdempotent; r.Rejected(2 * second) },
+		SingleAnswer:         func(r *Request) { r.Accepted(2 * second); r.Failed(2 * second) },
+		AnswerInTime:         func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
+		NoSilentEnd:          func(r *Request) { r.Accepted(2 * second); r.Dropped() },
+		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.Began(2*second, h) },
+		HostAcceptsNew:       func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: balancer.Draining}) },
 	} {
-		r, m := given(balancer.Safe, balancer.ScopeAll)
+		r, m := given(balancer.Idempotent, balancer.ScopeAll)
 		f(r)
 		if broken, _ := m.Counts.Sum(); broken != 1 || m.Counts.Broken[rule] != 1 {
 			t.Errorf("%v: %v", rule, m.Counts.Broken)
 		}
 	}
-	r, m := given(balancer.Unsafe, balancer.ScopeAll)
+	r, m := given(balancer.NotIdempotent, balancer.ScopeAll)
 	r.Failed(2 * second)
 	r.Dropped()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
@@ -84,17 +84,17 @@
 // An attempt that surely has not run leaves a request as it was, and one that is written may run while it is out.
 func TestWhatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, Class: &balancer.Class{Effect: balancer.Unsafe}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, Attempts: 3}
 	r.Began(1, Host{})
 	if r.MayHaveRun() {
 		t.Error("it runs before it is written")
 	}
 	r.Wrote(2, 1, Host{})
-	if !r.MayHaveRun() || r.Refusable() {
+	if !r.MayHaveRun() || r.MayReject() {
 		t.Error("it can't run though it is written")
 	}
 	r.Ended(true)
-	if r.MayHaveRun() || !r.Refusable() || r.Begin(3, Host{}) != None {
+	if r.MayHaveRun() || !r.MayReject() || r.Begin(3, Host{}) != None {
 		t.Error("it has run though its host says that it has not")
 	}
 }
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -4,11 +4,11 @@
 func (r *Request) Began(now int64, h Host) {
 	switch {
 	case r.out:
-		r.Monitor.broke(OneAttempt, r.ID)
+		r.Monitor.broke(SingleAttempt, r.ID)
 	case r.begun >= r.Attempts:
 		r.Monitor.broke(AttemptLimit, r.ID)
 	default:
-		r.Monitor.broke(r.begin(now-int64(HeldUp), h), r.ID)
+		r.Monitor.broke(r.begin(now-int64(MaxSuspension), h), r.ID)
 	}
 	r.begun++
 	r.out, r.written = true, false
@@ -18,9 +18,9 @@
 // hosts reckon how long they discard repeats; h is its host as it is now.
 func (r *Request) Wrote(now, begun int64, h Host) {
 	if !r.out || r.written {
-		r.Monitor.broke(OneAttempt, r.ID)
+		r.Monitor.broke(SingleAttempt, r.ID)
 	}
-	r.Monitor.broke(r.begin(now-int64(HeldUp), h), r.ID)
+	r.Monitor.broke(r.begin(now-int64(MaxSuspension), h), r.ID)
 	r.written = true
 	if r.ranAt == 0 {
 		r.ranAt, r.ranIn = begun, h
@@ -41,8 +41,8 @@
 // TakenOver notes that another process of this proxy had it answered, and hands its open connection over.
 func (r *Request) TakenOver() { r.answered, r.served = true, true }
 
-// Served notes that the client has its host's acceptance.
-func (r *Request) Served(now int64) {
+// Accepted notes that the client has its host's acceptance.
+func (r *Request) Accepted(now int64) {
 	r.answer(now)
 	r.served = true
 }
@@ -50,10 +50,10 @@
 // Failed notes that the client was told that the request failed.
 func (r *Request) Failed(now int64) { r.answer(now) }
 
-// Refused notes that the client was told to try again.
-func (r *Request) Refused(now int64) {
-	if !r.Refusable() {
-		r.Monitor.broke(RefusalHarmless, r.ID)
+// Rejected notes that the client was told to try again.
+func (r *Request) Rejected(now int64) {
+	if !r.MayReject() {
+		r.Monitor.broke(RejectionIsSafe, r.ID)
 	}
 	r.answer(now)
 }
@@ -61,15 +61,15 @@
 func (r *Request) answer(now int64) {
 	switch {
 	case r.answered || r.left:
-		r.Monitor.broke(OneAnswer, r.ID)
+		r.Monitor.broke(SingleAnswer, r.ID)
 	case now > r.Deadline+answerSlack:
 		r.Monitor.broke(AnswerInTime, r.ID)
 	}
 	r.answered = true
 }
 
-// Left notes that its client has ended the connection.
-func (r *Request) Left() { r.left, r.served = true, false }
+// ClientLeft notes that its client has ended the connection.
+func (r *Request) ClientLeft() { r.left, r.served = true, false }
 
 // Released notes that its open connection was moved, or passed on its host's own end.
 func (r *Request) Released() { r.served = false }
@@ -79,5 +79,5 @@
 	if !r.left && (!r.answered || r.served) {
 		r.Monitor.broke(NoSilentEnd, r.ID)
 	}
-	r.Left()
+	r.ClientLeft()
 }
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -10,13 +10,13 @@
 // answerSlack is how late an answer may be: later than this a request counts as lost, and not just as late.
 const answerSlack = int64(500 * time.Millisecond)
 
-// HeldUp is how long a process may be held up between a decision and its effect. Deadlines and windows allow for that, so an action counts as
+// MaxSuspension is how long a process may be held up between a decision and its effect. Deadlines and windows allow for that, so an action counts as
 // against them only where it comes later.
-const HeldUp = 150 * time.Millisecond
+const MaxSuspension = 150 * time.Millisecond
 
 // Host is what the rules have to know of an upstream host.
 type Host struct {
-	State balancer.State
+	State balancer.HostState
 	Zone  string
 	Cell  int
 }
@@ -48,7 +48,7 @@
 		rule = AttemptLimit
 	}
 	if rule == None && r.out {
-		rule = OneAttempt
+		rule = SingleAttempt
 	}
 	return r.Monitor.hold(rule)
 }
@@ -59,13 +59,13 @@
 func (r *Request) begin(now int64, h Host) Rule {
 	switch {
 	case r.answered || r.left:
-		return Over
+		return RequestOver
 	case r.Monitor.closed:
-		return TakenInService
+		return NothingAfterShutdown
 	case now >= r.Deadline:
-		return InTime
+		return BeforeDeadline
 	case h.State != balancer.Ready && !r.Resumed:
-		return HostTakesNone
+		return HostAcceptsNew
 	}
 	return r.repeat(now, h)
 }
@@ -73,35 +73,35 @@
 // repeat says which rule stands against sending it where an earlier attempt may have run.
 func (r *Request) repeat(now int64, h Host) Rule {
 	switch {
-	case !r.mayRun || r.Class.Effect == balancer.Safe:
+	case !r.mayRun || r.Class.Idempotency == balancer.Idempotent:
 		return None
-	case r.Class.Effect == balancer.Unsafe:
-		return NoRepeat
-	case now >= r.RepeatUntil():
-		return RepeatWindow
-	case r.Class.Scope == balancer.ScopeZone && h.Zone != r.ranIn.Zone, r.Class.Scope == balancer.ScopeCell && h.Cell != r.ranIn.Cell:
-		return RepeatScope
+	case r.Class.Idempotency == balancer.NotIdempotent:
+		return NoUnsafeRetry
+	case now >= r.RetryUntil():
+		return RetryWithinWindow
+	case r.Class.DedupScope == balancer.ScopeZone && h.Zone != r.ranIn.Zone, r.Class.DedupScope == balancer.ScopeCell && h.Cell != r.ranIn.Cell:
+		return RetryWithinScope
 	}
 	return None
 }
 
-// RepeatUntil is the time from which on no further attempt may be written: hosts discard repeats of a keyed request for a limited time after
+// RetryUntil is the time from which on no further attempt may be written: hosts discard repeats of a keyed request for a limited time after
 // the first attempt that may have run, and a repeat that arrives later runs twice.
-func (r *Request) RepeatUntil() int64 {
-	if !r.mayRun || r.Class.Effect != balancer.Keyed {
+func (r *Request) RetryUntil() int64 {
+	if !r.mayRun || r.Class.Idempotency != balancer.IdempotentWithKey {
 		return math.MaxInt64
 	}
-	return r.ranAt + r.Class.Window
+	return r.ranAt + r.Class.DedupWindow
 }
 
 // MayHaveRun tells whether an attempt may have run: one that has ended, or the one under way.
 func (r *Request) MayHaveRun() bool { return r.mayRun || r.out && r.written }
 
-// Refusable tells whether a refusal would be true: it promises that trying again is harmless, which holds for a request that may have run
+// MayReject tells whether a refusal would be true: it promises that trying again is harmless, which holds for a request that may have run
 // only where hosts discard its repeats or where these have no effect.
-func (r *Request) Refusable() bool {
-	return !r.MayHaveRun() || r.Class.Effect == balancer.Safe || r.Class.Effect == balancer.Keyed && r.Class.Scope == balancer.ScopeAll
+func (r *Request) MayReject() bool {
+	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// Movable tells whether it may be placed anew by somebody who knows nothing of its earlier attempts.
-func (r *Request) Movable() bool { return !r.mayRun || r.Class.Effect == balancer.Safe }
+// MayPlaceAnew tells whether it may be placed anew by somebody who knows nothing of its earlier attempts.
+func (r *Request) MayPlaceAnew() bool { return !r.mayRun || r.Class.Idempotency == balancer.Idempotent }
--- a/internal/dataplane/invariant/rules.go
+++ b/internal/dataplane/invariant/rules.go
@@ -8,20 +8,20 @@
 
 // The rules.
 const (
-	None            Rule = iota
-	Over                 // nothing begins for a request that is answered, or whose client has left
-	OneAttempt           // one attempt is out at a time
-	AttemptLimit         // a request has so many attempts and no more
-	InTime               // nothing begins past the deadline
-	HostTakesNone        // nothing new goes to a host that drains, is gone or is out by hand
-	NoRepeat             // what may have run and must not run twice is not sent again
-	RepeatScope          // a repeat goes only to hosts that share what they have seen with the first one
-	RepeatWindow         // and only for as long as they remember it
-	RefusalHarmless      // a refusal promises that trying again does no harm
-	OneAnswer            // a request has one answer
-	AnswerInTime         // and it comes within its deadline
-	NoSilentEnd          // no request that was read ends without an answer, and no open connection without a word
-	TakenInService       // nothing is taken or begun once a process has answered for all that it holds
+	None                 Rule = iota
+	RequestOver               // nothing begins for a request that is answered, or whose client has left
+	SingleAttempt             // one attempt is out at a time
+	AttemptLimit              // a request has so many attempts and no more
+	BeforeDeadline            // nothing begins past the deadline
+	HostAcceptsNew            // nothing new goes to a host that drains, is gone or is out by hand
+	NoUnsafeRetry             // what may have run and must not run twice is not sent again
+	RetryWithinScope          // a repeat goes only to hosts that share what they have seen with the first one
+	RetryWithinWindow         // and only for as long as they remember it
+	RejectionIsSafe           // a refusal promises that trying again does no harm
+	SingleAnswer              // a request has one answer
+	AnswerInTime              // and it comes within its deadline
+	NoSilentEnd               // no request that was read ends without an answer, and no open connection without a word
+	NothingAfterShutdown      // nothing is taken or begun once a process has answered for all that it holds
 	rules
 )
 
@@ -32,14 +32,14 @@
 
 // Counts are how often each rule was broken, and how often one held an action back.
 type Counts struct {
-	Broken, Held [rules]int64
+	Broken, Blocked [rules]int64
 }
 
 // Sum adds up all rules.
 func (c *Counts) Sum() (broken, held int64) {
 	for r := range c.Broken {
 		broken += c.Broken[r]
-		held += c.Held[r]
+		held += c.Blocked[r]
 	}
 	return broken, held
 }
@@ -60,7 +60,7 @@
 // hold counts an action that a rule held back.
 func (m *Monitor) hold(r Rule) Rule {
 	if r != None {
-		m.Counts.Held[r]++
+		m.Counts.Blocked[r]++
 	}
 	return r
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -38,7 +38,7 @@
 // cutOff ends a request that has no answer yet for a fault of its client's.
 func (d *downstream) cutOff(cause error) {
 	d.reject(cause)
-	d.req.CutOff()
+	d.req.EndedHere()
 	d.req.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
 }
 
@@ -73,7 +73,7 @@
 		}
 		d.idle.Stop()
 		if !d.front.core.Admit(o.Class) {
-			d.Refuse(d.front.core.ComeBack())
+			d.Reject(d.front.core.RetryAdvice())
 			return false
 		}
 		d.counted = true
@@ -87,7 +87,7 @@
 
 // reject answers what is no request: a failure, nothing upstream.
 func (d *downstream) reject(err error) {
-	d.front.core.Rejected(err)
+	d.front.core.InvalidRequest(err)
 	d.Fail()
 }
 
@@ -97,7 +97,7 @@
 		line, err := Cut(d.conn.Input())
 		if err != nil {
 			d.finish()
-			d.req.CutOff()
+			d.req.EndedHere()
 			d.req.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: err})
 			return
 		}
@@ -118,7 +118,7 @@
 // opened anew.
 func (d *downstream) LastWords() []byte {
 	if d.req != nil {
-		d.req.CutOff()
+		d.req.EndedHere()
 	}
 	if d.served {
 		return move
@@ -137,7 +137,7 @@
 func (d *downstream) gone() {
 	if d.counted {
 		d.counted = false
-		d.front.core.Left()
+		d.front.core.SessionEnded()
 	}
 	if d.place != nil {
 		d.front.newcomers.Remove(d.place)
@@ -169,7 +169,7 @@
 		d.finish() // the front's own
 		return
 	}
-	d.Refuse(d.front.core.ComeBack())
+	d.Reject(d.front.core.RetryAdvice())
 }
 
 // drop ends a newcomer for the sake of the next.
@@ -181,7 +181,7 @@
 	case len(d.conn.Input()) > 0:
 		d.conn.Write(fault)
 	case !d.pinged:
-		d.conn.Write(busy(d.front.core.ComeBack())) // a request may be on its way in this very moment
+		d.conn.Write(busy(d.front.core.RetryAdvice())) // a request may be on its way in this very moment
 	}
 	d.conn.Drop()
 	d.gone()
@@ -192,8 +192,8 @@
 	d.conn.Finish()
 }
 
-// Serve passes the host's own acceptance on.
-func (d *downstream) Serve(receipt proxy.Message) {
+// Accept passes the host's own acceptance on.
+func (d *downstream) Accept(receipt proxy.Message) {
 	d.conn.Write(receipt.Text)
 	d.served = true
 	// What the client sent along with its first line waits in the buffer.
@@ -203,14 +203,14 @@
 // Pass hands on a line of the host's; false: not now.
 func (d *downstream) Pass(m proxy.Message) bool { return d.conn.Write(m.Text) }
 
-func (d *downstream) Refuse(after time.Duration) { d.last(busy(after)) }
+func (d *downstream) Reject(after time.Duration) { d.last(busy(after)) }
 
 func (d *downstream) Fail() { d.last(fault) }
 
-func (d *downstream) Move() { d.last(move) }
+func (d *downstream) Migrate() { d.last(move) }
 
-// Goodbye is what Move says.
-func (d *downstream) Goodbye() []byte { return move }
+// MigrationLine is what Move says.
+func (d *downstream) MigrationLine() []byte { return move }
 
 // Release lets go of the client's connection without ending it.
 func (d *downstream) Release(done func(netio.Parts)) {
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -19,8 +19,8 @@
 
 func newHolder() *holder { return &holder{asked: make(chan string, 8), gone: make(chan string, 8)} }
 
-func (m *holder) Request(_ balancer.Time, q balancer.Request) { m.asked <- q.ID }
-func (m *holder) Gone(_ balancer.Time, id string)             { m.gone <- id }
+func (m *holder) RequestArrived(_ balancer.Time, q balancer.Request) { m.asked <- q.ID }
+func (m *holder) ClientLeft(_ balancer.Time, id string)              { m.gone <- id }
 
 const idOfOpening = "9b1f03aa5c7e2d41"
 
@@ -28,7 +28,7 @@
 // its end behind that: attempts went on for it.
 func TestMuchSentBeforeTheAnswer(t *testing.T) {
 	m := newHolder()
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Decider { return m })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	much := strings.Repeat("M\r\n", inputLimit/3+1)
 
 	along := r.dial()
@@ -50,22 +50,22 @@
 
 // A connection that rests is closed in the moment in which its client sends a request: that request needs an answer all the same.
 func TestARestingClientIsToldToComeAgain(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Decider { return newHolder() })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newHolder() })
 	resting := r.dial()
 	ask(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
-	r.do(func() { r.front.Dismiss(false) })
+	r.do(func() { r.front.EndIdle(false) })
 	io.WriteString(resting, opening) // it has not read yet that it has been dismissed
 	expect(t, resting, "BUSY 500\r\n")
 }
 
 // A process that leaves and carries nothing else ended half a second after its signal, whatever was on its way to it.
 func TestLeavingWaitsForAFirstLineThatIsHalfRead(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Decider { return newHolder() })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newHolder() })
 	half, pinging := r.dial(), r.dial()
 	io.WriteString(half, opening[:20])
 	ask(t, pinging, "PING\r\n", "PONG\r\n")
 	left := make(chan struct{})
-	r.do(func() { r.core.Leave(func() { close(left) }) })
+	r.do(func() { r.core.Shutdown(func() { close(left) }) })
 	for range 20 {
 		r.pass(50 * time.Millisecond)
 		r.do(func() {})
@@ -93,7 +93,7 @@
 // A client that ends its side has left: from here the two can't be told apart, and nothing may begin for one that has.
 func TestAHalfClosedClientHasLeft(t *testing.T) {
 	m := newHolder()
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Decider { return m })
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	c := r.dial()
 	io.WriteString(c, opening)
 	asked := <-m.asked
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -19,7 +19,7 @@
 
 // inputLimit is how much a connection may have sent that nobody has taken before it is read no further: some lines of
 // the longest kind.
-const inputLimit = 4 * Max
+const inputLimit = 4 * MaxLine
 
 // Front takes in clients. It turns their lines into the core's terms.
 type Front struct {
@@ -58,9 +58,9 @@
 	return d
 }
 
-// Dismiss ends the connections that rest without having sent anything, with half also those on which a first line has begun to come, and
+// EndIdle ends the connections that rest without having sent anything, with half also those on which a first line has begun to come, and
 // tells how many without a request are left.
-func (f *Front) Dismiss(half bool) int {
+func (f *Front) EndIdle(half bool) int {
 	for e := f.newcomers.Front(); e != nil; {
 		d := e.Value.(*downstream)
 		e = e.Next() // a connection that ends leaves the list
@@ -72,7 +72,7 @@
 }
 
 // Resume goes on with an open connection that another process has handed over.
-func (f *Front) Resume(s *proxy.Standing) {
+func (f *Front) Resume(s *proxy.HandedOverConnection) {
 	d := &downstream{front: f, counted: true, served: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
 	d.req, u.events = f.core.Resume(s, d, u)
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -16,26 +16,27 @@
 // refuser is a module that refuses what it is asked.
 type refuser struct{ fx balancer.Effects }
 
-func (m refuser) Request(_ balancer.Time, q balancer.Request)                           { m.fx.Refuse(q.ID, 7e6) }
-func (refuser) Open(balancer.Time, balancer.Request, string)                            {}
-func (refuser) First(balancer.Time, string, int, balancer.Time)                         {}
-func (refuser) Gone(balancer.Time, string)                                              {}
-func (refuser) Note(balancer.Time, string, int, balancer.NoteKind, float64)             {}
-func (refuser) Members(balancer.Time, balancer.ListKind, int64, []balancer.Entry)       {}
-func (refuser) Timer(balancer.Time, string)                                             {}
-func (refuser) Probed(balancer.Time, string, balancer.Status, balancer.Time, []float64) {}
-func (refuser) Peer(balancer.Time, int, []byte)                                         {}
-func (refuser) Remember(bool) balancer.Memory                                           { return balancer.Memory{} }
-func (refuser) Recall(balancer.Time, balancer.Memory)                                   {}
-func (refuser) Avoids(balancer.Time, string) bool                                       { return false }
-func (refuser) Outcome(balancer.Time, string, int, balancer.Status, balancer.Time, bool, []float64) {
+func (m refuser) RequestArrived(_ balancer.Time, q balancer.Request)                          { m.fx.Reject(q.ID, 7e6) }
+func (refuser) ConnectionAdopted(balancer.Time, balancer.Request, string)                     {}
+func (refuser) AttemptEstablished(balancer.Time, string, int, balancer.Time)                  {}
+func (refuser) ClientLeft(balancer.Time, string)                                              {}
+func (refuser) Observe(balancer.Time, string, int, balancer.Observation, float64)             {}
+func (refuser) ListReceived(balancer.Time, balancer.ListChange, int64, []balancer.ListedHost) {}
+func (refuser) TimerFired(balancer.Time, string)                                              {}
+func (refuser) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, balancer.Time, []float64) {
+}
+func (refuser) PeerMessageReceived(balancer.Time, int, []byte) {}
+func (refuser) Snapshot(bool) balancer.Snapshot                { return balancer.Snapshot{} }
+func (refuser) Restore(balancer.Time, balancer.Snapshot)       {}
+func (refuser) Ejected(balancer.Time, string) bool             { return false }
+func (refuser) AttemptEnded(balancer.Time, string, int, balancer.AttemptStatus, balancer.Time, bool, []float64) {
 }
 
 // front serves clients with room for two that have no request and none for requests beyond the given number. pass
 // moves its clock.
 func front(t *testing.T, sessions int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
-	r := newFrontRig(t, sessions, func(fx balancer.Effects) proxy.Decider { return refuser{fx} })
+	r := newFrontRig(t, sessions, func(fx balancer.Effects) proxy.Balancer { return refuser{fx} })
 	return r.dial, r.pass
 }
 
@@ -55,7 +56,7 @@
 	<-done
 }
 
-func newFrontRig(t *testing.T, sessions int, module func(balancer.Effects) proxy.Decider) *frontRig {
+func newFrontRig(t *testing.T, sessions int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
 	now.Store(1e18)
@@ -63,9 +64,9 @@
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	core := proxy.New(l, nil, proxy.Options{Sessions: sessions, Settings: balancer.Config{RetryAfter: true,
+	core := proxy.New(l, nil, proxy.Options{Sessions: sessions, Settings: balancer.Config{SendsRetryAfter: true,
 		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
-	core.Run(func(fx balancer.Effects) (proxy.Decider, error) { return module(fx), nil }, nil, proxy.Change{})
+	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.Change{})
 	on, err := netio.Bind("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +152,7 @@
 	dial, _ := front(t, 1)
 	c := dial()
 	for range 100 {
-		io.WriteString(c, strings.Repeat("x", Max))
+		io.WriteString(c, strings.Repeat("x", MaxLine))
 	}
 	expect(t, c, "ERR\r\n")
 }
--- a/internal/dataplane/lineproto/hosts.go
+++ b/internal/dataplane/lineproto/hosts.go
@@ -12,28 +12,28 @@
 type Opener func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 	done func(*netio.Conn, *netio.Error)) (drop func())
 
-// Plain opens connections without any layer.
-func Plain(d *netio.Dialer) Opener {
+// PlainTCP opens connections without any layer.
+func PlainTCP(d *netio.Dialer) Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
-		return d.Dial(to.Endpoint, within, limit, h, done).Drop
+		return d.Dial(to.Address, within, limit, h, done).Drop
 	}
 }
 
-// Hosts opens upstream requests.
-type Hosts struct {
+// Connector opens upstream requests.
+type Connector struct {
 	loop   *netio.Loop
 	open   Opener
 	fields []string // of the load reports that answers end with; none: they hold none
 }
 
-// NewHosts uses the given way to connect, and reads load reports of the given fields behind hosts' answers.
-func NewHosts(l *netio.Loop, open Opener, fields []string) *Hosts {
-	return &Hosts{loop: l, open: open, fields: fields}
+// NewConnector uses the given way to connect, and reads load reports of the given fields behind hosts' answers.
+func NewConnector(l *netio.Loop, open Opener, fields []string) *Connector {
+	return &Connector{loop: l, open: open, fields: fields}
 }
 
 // Start begins one upstream request.
-func (h *Hosts) Start(to proxy.Target, first proxy.First, until int64, connect time.Duration,
+func (h *Connector) Start(to proxy.Target, first proxy.RequestLine, until int64, connect time.Duration,
 	ev proxy.UpstreamEvents) proxy.Upstream {
 	u := &upstream{loop: h.loop, events: ev, first: first, until: until, fields: h.fields}
 	u.drop = h.open(to, connect, inputLimit, u, u.connected)
