--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// Max is the longest line there is, its CRLF included.
-const Max = 4096
+// MaxLine is the longest line there is, its CRLF included.
+const MaxLine = 4096
 
 // What can be wrong with a line.
 var (
@@ -25,13 +25,13 @@
 
 // Cut finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
 func Cut(b []byte) ([]byte, error) {
-	i := bytes.IndexByte(b[:min(len(b), Max)], '\n')
+	i := bytes.IndexByte(b[:min(len(b), MaxLine)], '\n')
 	switch {
 	case i >= 1 && b[i-1] == '\r':
 		return b[:i+1], nil
 	case i >= 0:
 		return nil, ErrMalformed // a lone line feed ends no line of this protocol
-	case len(b) >= Max:
+	case len(b) >= MaxLine:
 		return nil, ErrTooLong
 	}
 	return nil, nil
@@ -123,14 +123,14 @@
 	case "g":
 		o.Group, ok = value, isID(value)
 	case "at":
-		o.At, ok = value, isName(value)
+		o.PinnedHost, ok = value, isName(value)
 	case "r":
-		o.Repeat, ok = true, value == "1"
+		o.Retry, ok = true, value == "1"
 	case "again":
 		o.Returned, ok = true, value == "1"
 	case "h":
 		h, err := number(value)
-		o.Hint, ok = h, err == nil && h >= 0 && h < 1e18
+		o.ExpectedLoad, ok = h, err == nil && h >= 0 && h < 1e18
 	case "d":
 		ms, err := strconv.ParseUint(value, 10, 31)
 		o.Wait, o.HasWait, ok = time.Duration(ms)*time.Millisecond, true, err == nil
@@ -166,18 +166,18 @@
 	first, rest := word(line)
 	switch first {
 	case "UP":
-		m.Kind = proxy.Receipt
+		m.Kind = proxy.Accepted
 	case "BUSY":
-		m.Kind = proxy.Busy
+		m.Kind = proxy.OverCapacity
 	case "ERR":
-		m.Kind = proxy.Fault
+		m.Kind = proxy.Failed
 	case "BYE":
-		m.Kind = proxy.Farewell
+		m.Kind = proxy.Finished
 	case "MOVE":
-		m.Kind = proxy.MoveAway
+		m.Kind = proxy.MigrateClient
 	case "LOAD":
 		if x, err := strconv.ParseFloat(strings.TrimSpace(rest), 64); err == nil && x >= 0 && x < 1e15 {
-			m.Kind, m.Load = proxy.LoadTold, x
+			m.Kind, m.Load = proxy.LoadReported, x
 		}
 	}
 	return m
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -12,11 +12,11 @@
 // the longest line.
 func FuzzCut(f *testing.F) {
 	for i, s := range []string{"PING\r\n", "OPEN a b c=x,d=20\r\nM 1 x\r\nM 2 y\r\n", "\r\n\r\n", "x\ny\r\n", "\n", "a\rb\r\n",
-		strings.Repeat("z", Max-2) + "\r\n", strings.Repeat("z", Max-1) + "\r\n", strings.Repeat("q", 3*Max)} {
+		strings.Repeat("z", MaxLine-2) + "\r\n", strings.Repeat("z", MaxLine-1) + "\r\n", strings.Repeat("q", 3*MaxLine)} {
 		f.Add([]byte(s), int64(i))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, seed int64) {
-		in = in[:min(len(in), 4*Max)]
+		in = in[:min(len(in), 4*MaxLine)]
 		whole, _, wholeErr := cutAll([][]byte{in})
 		rng := rand.New(rand.NewSource(seed))
 		var pieces [][]byte
@@ -28,7 +28,7 @@
 		if err != wholeErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(whole, nil)) || len(got) != len(whole) {
 			t.Fatalf("in pieces %q %v, whole %q %v", got, err, whole, wholeErr)
 		}
-		if held >= Max {
+		if held >= MaxLine {
 			t.Fatalf("%d bytes held without an error", held)
 		}
 	})
--- a/internal/dataplane/lineproto/probes.go
+++ b/internal/dataplane/lineproto/probes.go
@@ -21,9 +21,9 @@
 
 var stats = []byte("STATS\r\n")
 
-// Probes asks upstream hosts how loaded they are, over a connection to each that stays open as long as probes go on, and over
+// HealthChecks asks upstream hosts how loaded they are, over a connection to each that stays open as long as probes go on, and over
 // so many at most.
-type Probes struct {
+type HealthChecks struct {
 	loop   *netio.Loop
 	open   Opener
 	fields []string // of a load report, as the settings name them
@@ -32,33 +32,33 @@
 	denied bool                // a host has said NO: probes are not allowed after all
 }
 
-// NewProbes asks by at most so many connections at a time.
-func NewProbes(l *netio.Loop, open Opener, fields []string, room int) *Probes {
-	return &Probes{loop: l, open: open, fields: fields, room: room, to: map[string]*probing{}}
+// NewHealthChecks asks by at most so many connections at a time.
+func NewHealthChecks(l *netio.Loop, open Opener, fields []string, room int) *HealthChecks {
+	return &HealthChecks{loop: l, open: open, fields: fields, room: room, to: map[string]*probing{}}
 }
 
 // probing is the connection to one host that is probed.
 type probing struct {
-	of     *Probes
+	of     *HealthChecks
 	host   proxy.Target
 	drop   func() // gives the connection up while it opens
 	conn   *netio.Conn
-	done   func(status balancer.Status, load []float64) // nil: no probe is out
+	done   func(status balancer.AttemptStatus, load []float64) // nil: no probe is out
 	timer  *netio.Timer
 	usedAt int64
 }
 
-var _ proxy.Prober = (*Probes)(nil)
+var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
-// Probe asks a host, and calls done on the loop, once, whatever becomes of it.
-func (p *Probes) Probe(host proxy.Target, done func(status balancer.Status, load []float64)) {
+// Check asks a host, and calls done on the loop, once, whatever becomes of it.
+func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := p.to[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
 		q.end(balancer.Cancelled) // its address has changed, or it is asked twice
 		q = nil
 	}
 	if p.denied || q == nil && !p.makeRoom() {
-		p.loop.Post(func() { done(balancer.Moot, nil) })
+		p.loop.Post(func() { done(balancer.TooLate, nil) })
 		return
 	}
 	if q == nil {
@@ -84,14 +84,14 @@
 }
 
 // Forget ends what goes on with a host that is to be left alone.
-func (p *Probes) Forget(host string) {
+func (p *HealthChecks) Forget(host string) {
 	if q := p.to[host]; q != nil {
 		q.end(balancer.Cancelled)
 	}
 }
 
 // makeRoom closes the connection that was used least lately, if it must; it tells whether there is room for one more.
-func (p *Probes) makeRoom() bool {
+func (p *HealthChecks) makeRoom() bool {
 	if len(p.to) < p.room {
 		return true
 	}
@@ -137,7 +137,7 @@
 }
 
 // answer ends a probe; its connection waits for the next.
-func (q *probing) answer(s balancer.Status, load []float64) {
+func (q *probing) answer(s balancer.AttemptStatus, load []float64) {
 	done := q.done
 	q.done = nil
 	q.timer.Stop()
@@ -146,7 +146,7 @@
 }
 
 // end closes the connection, and ends the probe that is out on it.
-func (q *probing) end(s balancer.Status) {
+func (q *probing) end(s balancer.AttemptStatus) {
 	if q.of.to[q.host.ID] == q {
 		delete(q.of.to, q.host.ID)
 	}
--- a/internal/dataplane/lineproto/probes_test.go
+++ b/internal/dataplane/lineproto/probes_test.go
@@ -72,11 +72,11 @@
 	}
 	go l.Run()
 	t.Cleanup(l.Stop)
-	p := NewProbes(l, Plain(netio.NewDialer(l, 4)), []string{"x0", "pending"}, 1)
+	p := NewHealthChecks(l, PlainTCP(netio.NewDialer(l, 4)), []string{"x0", "pending"}, 1)
 	results := make(chan string, 8)
 	probe := func(host string) {
 		l.Post(func() {
-			p.Probe(proxy.Target{ID: host, Endpoint: ln.Addr().String()}, func(s balancer.Status, load []float64) { results <- fmt.Sprint(s, load) })
+			p.Check(proxy.Target{ID: host, Address: ln.Addr().String()}, func(s balancer.AttemptStatus, load []float64) { results <- fmt.Sprint(s, load) })
 		})
 	}
 	expect := func(want string) {
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -12,7 +12,7 @@
 type upstream struct {
 	loop   *netio.Loop
 	events proxy.UpstreamEvents
-	first  proxy.First
+	first  proxy.RequestLine
 	fields []string // of a load report behind an answer
 	until  int64
 	drop   func() // gives the connection up while it opens
@@ -65,11 +65,11 @@
 			return
 		}
 		m := ParseHost(line)
-		if len(u.fields) > 0 && (m.Kind == proxy.Busy || m.Kind == proxy.Fault || m.Kind == proxy.Farewell) {
+		if len(u.fields) > 0 && (m.Kind == proxy.OverCapacity || m.Kind == proxy.Failed || m.Kind == proxy.Finished) {
 			_, rest := word(line)
 			m.Report = ParseReport(strings.TrimSpace(rest), u.fields)
 		}
-		if m.Kind == proxy.Receipt && u.stage < netio.Up {
+		if m.Kind == proxy.Accepted && u.stage < netio.Up {
 			u.stage = netio.Up
 		}
 		if !u.events.FromUpstream(m) {
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -47,8 +47,8 @@
 		t.Fatal(err)
 	}
 	l.Post(func() {
-		hosts := NewHosts(l, Plain(netio.NewDialer(l, 1)), nil)
-		u := hosts.Start(proxy.Target{Endpoint: ln.Addr().String()}, o, l.Now()+int64(time.Minute), 10*time.Second, unheard{})
+		hosts := NewConnector(l, PlainTCP(netio.NewDialer(l, 1)), nil)
+		u := hosts.Start(proxy.Target{Address: ln.Addr().String()}, o, l.Now()+int64(time.Minute), 10*time.Second, unheard{})
 		go func() {
 			<-tried
 			l.Post(func() {
--- a/internal/dataplane/proxy/allowed.go
+++ b/internal/dataplane/proxy/allowed.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Allowance keeps accounts to limits that hold over all proxies together. then is called on the loop.
-type Allowance interface {
-	Bounded(account string) bool
-	Take(account string, spread float64, then func(over string, advice time.Duration))
-	Hold(account string)
+// Quota keeps accounts to limits that hold over all proxies together. then is called on the loop.
+type Quota interface {
+	IsLimited(account string) bool
+	Acquire(account string, spread float64, then func(over string, advice time.Duration))
+	CountExisting(account string)
 	Release(account string)
 }
 
-// SetAllowance gives the core the limits that hold over the fleet. It is called before clients come.
-func (c *Core) SetAllowance(a Allowance) { c.allowance = a }
+// SetQuota gives the core the limits that hold over the fleet. It is called before clients come.
+func (c *Core) SetQuota(a Quota) { c.allowance = a }
 
 // allowed goes on with a request once its account has room for one more connection, over all proxies; where it has none the request is refused, with
 // advice that is spread by its id.
 func (c *Core) allowed(r *Request, account string, on func()) {
-	if c.allowance == nil || account == "" || !c.allowance.Bounded(account) {
+	if c.allowance == nil || account == "" || !c.allowance.IsLimited(account) {
 		on()
 		return
 	}
 	h := fnv.New32a()
 	h.Write([]byte(r.ask.ID))
-	c.allowance.Take(account, float64(h.Sum32()%1000)/1000, func(over string, advice time.Duration) {
+	c.allowance.Acquire(account, float64(h.Sum32()%1000)/1000, func(over string, advice time.Duration) {
 		switch {
 		case over != "" && r.answered:
 		case over != "":
@@ -61,9 +61,9 @@
 		if a := r.out; a == nil || !a.up || r.slot != "" {
 			continue
 		}
-		if account := c.enforcer.Account(c.tenantOf(r)); account != "" && c.allowance.Bounded(account) {
+		if account := c.enforcer.Account(c.tenantOf(r)); account != "" && c.allowance.IsLimited(account) {
 			r.slot = account
-			c.allowance.Hold(account)
+			c.allowance.CountExisting(account)
 		}
 	}
 }
--- a/internal/dataplane/proxy/allowed_test.go
+++ b/internal/dataplane/proxy/allowed_test.go
@@ -15,12 +15,12 @@
 	then []func(over string, advice time.Duration)
 }
 
-func (c *counter) Bounded(account string) bool { return account == "a" }
-func (c *counter) Take(_ string, _ float64, then func(string, time.Duration)) {
+func (c *counter) IsLimited(account string) bool { return account == "a" }
+func (c *counter) Acquire(_ string, _ float64, then func(string, time.Duration)) {
 	c.then = append(c.then, then)
 }
-func (c *counter) Hold(account string)    { c.held[account]++ }
-func (c *counter) Release(account string) { c.held[account]-- }
+func (c *counter) CountExisting(account string) { c.held[account]++ }
+func (c *counter) Release(account string)       { c.held[account]-- }
 
 // say gives the word for the request that has waited longest.
 func (c *counter) say(over string, advice time.Duration) {
@@ -36,12 +36,12 @@
 	w := newWorld(t)
 	c := &counter{held: map[string]int{}}
 	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActBy(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
-	w.core.SetAllowance(c)
+	rules.ActByForTest(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	w.core.SetQuota(c)
 	w.core.SetRules(gate)
 	w.on = func(e string) {
 		if e == "request r" {
-			w.fx.Send("r", "A", 0)
+			w.fx.StartAttempt("r", "A", 0)
 		}
 	}
 	w.seen = nil
@@ -57,7 +57,7 @@
 	w.expect("request r", "start at-A 1000")
 	u := w.ups[0]
 	u.sent()
-	u.ev.FromUpstream(Message{Kind: Receipt})
+	u.ev.FromUpstream(Message{Kind: Accepted})
 	if c.held["a"] != 1 {
 		t.Fatalf("%d held while it stands", c.held["a"])
 	}
@@ -97,15 +97,15 @@
 	w := newWorld(t)
 	_, u := w.serve("r")
 	c := &counter{held: map[string]int{}}
-	gate := &rules.Enforcer{Now: func() int64 { return w.now }, Keep: true}
-	w.core.SetAllowance(c)
+	gate := &rules.Enforcer{Now: func() int64 { return w.now }, KeepAfterLapse: true}
+	w.core.SetQuota(c)
 	w.core.SetRules(gate)
 	if c.held["a"] != 0 {
 		t.Fatal("counted before there are accounts")
 	}
-	rules.ActBy(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
-	w.core.Repool()
-	w.core.Repool()
+	rules.ActByForTest(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	w.core.ReassignPools()
+	w.core.ReassignPools()
 	if c.held["a"] != 1 {
 		t.Fatalf("%d held", c.held["a"])
 	}
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -14,14 +14,14 @@
 	if r.answered {
 		return
 	}
-	r.core.counts.Refused++
-	r.rec.Refused(r.core.loop.Now())
-	r.core.figures.Ended(r.ask.Class, metrics.Refused)
+	r.core.counts.Rejected++
+	r.rec.Rejected(r.core.loop.Now())
+	r.core.figures.Ended(r.ask.Class, metrics.Rejected)
 	if tracing() {
 		slog.Debug("refused", "request", r.ask.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
-	r.answer(func() { r.down.Refuse(after) })
+	r.answer(func() { r.down.Reject(after) })
 }
 
 // fail is the final answer that promises nothing.
@@ -56,7 +56,7 @@
 		return
 	}
 	slog.Error("abandoned", "request", r.ask.ID, "attempts", r.attempts)
-	r.fail(metrics.Abandoned)
+	r.fail(metrics.Unanswered)
 	r.gone()
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	c := r.core
-	c.tell(nil, r.pool, func(now balancer.Time, m Decider) { m.Gone(now, r.ask.ID) })
+	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.ask.ID) })
 }
 
 // cancel ends an attempt at the module's wish.
@@ -77,17 +77,17 @@
 }
 
 // move sends the client of an open connection away politely. status is what the module learns of its end.
-func (r *Request) move(status balancer.Status) {
+func (r *Request) move(status balancer.AttemptStatus) {
 	a := r.out
 	if a == nil || !a.up || !a.detach() {
 		return
 	}
-	r.core.counts.Moved++
+	r.core.counts.Migrated++
 	if tracing() {
 		slog.Debug("moved", "request", r.ask.ID, "host", a.host.id, "status", status.String(), "leaving", r.core.leaving)
 	}
 	r.rec.Released()
-	r.down.Move()
+	r.down.Migrate()
 	a.conn.End(netio.Ended)
 	a.outcome(status)
 }
@@ -116,8 +116,8 @@
 	}
 }
 
-// CutOff says that this side ends the client's connection for a fault, and has told the client so. DownstreamEnded follows.
-func (r *Request) CutOff() {
+// EndedHere says that this side ends the client's connection for a fault, and has told the client so. DownstreamEnded follows.
+func (r *Request) EndedHere() {
 	switch {
 	case r.out != nil && r.out.up:
 		r.rec.Released()
@@ -134,7 +134,7 @@
 	if err.Cause == netio.Dropped {
 		r.rec.Dropped() // it was this side that ended it
 	}
-	r.rec.Left()
+	r.rec.ClientLeft()
 	a := r.out
 	if a != nil && a.up {
 		if a.detach() {
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -14,32 +14,32 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// Decider is the part of the decision module that the core calls.
-type Decider interface {
-	Request(now balancer.Time, q balancer.Request)
-	Open(now balancer.Time, q balancer.Request, server string)
-	First(now balancer.Time, id string, attempt int, elapsed balancer.Time)
-	Outcome(now balancer.Time, id string, attempt int, status balancer.Status, elapsed balancer.Time, closed bool, load []float64)
-	Gone(now balancer.Time, id string)
-	Probed(now balancer.Time, id string, status balancer.Status, elapsed balancer.Time, load []float64)
-	Note(now balancer.Time, id string, attempt int, kind balancer.NoteKind, value float64)
-	Members(now balancer.Time, kind balancer.ListKind, version int64, entries []balancer.Entry)
-	Peer(now balancer.Time, from int, data []byte)
-	Timer(now balancer.Time, token string)
-	Avoids(now balancer.Time, id string) bool
-	Remember(yield bool) balancer.Memory
-	Recall(now balancer.Time, m balancer.Memory)
+// Balancer is the part of the decision module that the core calls.
+type Balancer interface {
+	RequestArrived(now balancer.Time, q balancer.Request)
+	ConnectionAdopted(now balancer.Time, q balancer.Request, server string)
+	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
+	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
+	ClientLeft(now balancer.Time, id string)
+	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, elapsed balancer.Time, load []float64)
+	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
+	ListReceived(now balancer.Time, kind balancer.ListChange, version int64, entries []balancer.ListedHost)
+	PeerMessageReceived(now balancer.Time, from int, data []byte)
+	TimerFired(now balancer.Time, token string)
+	Ejected(now balancer.Time, id string) bool
+	Snapshot(yield bool) balancer.Snapshot
+	Restore(now balancer.Time, m balancer.Snapshot)
 }
 
 // Peers carries the module's messages to the other proxies.
 type Peers interface {
-	Tell(peer int, data []byte)
+	SendToPeer(peer int, data []byte)
 }
 
 // Discovery is what the decision module may ask of discovery.
 type Discovery interface {
-	Watch(on bool)
-	Fetch()
+	WatchList(on bool)
+	FetchList()
 }
 
 // Options are what the core is told at its start.
@@ -58,13 +58,13 @@
 type Core struct {
 	loop      *netio.Loop
 	opt       Options
-	starter   Starter
+	starter   Connector
 	discovery Discovery
 	peers     Peers           // nil: there are none, or the settings forbid it
-	prober    Prober          // nil: the settings do not permit probes
+	prober    HealthChecker   // nil: the settings do not permit probes
 	enforcer  *rules.Enforcer // nil: no rules that the fleet agrees on
-	allowance Allowance       // nil: no limits that hold over the fleet
-	make      func(fx balancer.Effects) (Decider, error)
+	allowance Quota           // nil: no limits that hold over the fleet
+	make      func(fx balancer.Effects) (Balancer, error)
 	main      *pool // the only one where no rules split the hosts
 	pools     map[string]*pool
 	classes   map[string]int
@@ -90,7 +90,7 @@
 	sessions  int
 	leaving   bool
 	newcomers Newcomers // nil: there are none
-	keeper    Keeper    // nil: nothing outlives this process
+	keeper    Successor // nil: nothing outlives this process
 	// handed: another process of this proxy takes what comes; elsewhere is how many downstreams it holds.
 	handed    bool
 	elsewhere int
@@ -101,12 +101,12 @@
 
 // Counts are what the core has done since they were last logged.
 type Counts struct {
-	Opened, Served, Refused, Failed, Rejected, Moved, Lost int
-	Expiring                                               int // of Moved: their certificate ends
-	TurnedAway                                             int // for want of room
-	Handed, Resumed                                        int // open connections, to another process and from one
-	Told, Heard                                            int // messages to other proxies, and from them
-	Probed                                                 int // probes sent
+	Opened, Served, Rejected, Failed, Invalid, Migrated, Lost int
+	Expiring                                                  int // of Moved: their certificate ends
+	OverCapacity                                              int // for want of room
+	HandedOver, Resumed                                       int // open connections, to another process and from one
+	PeerMessagesSent, PeerMessagesReceived                    int // messages to other proxies, and from them
+	HealthChecks                                              int // probes sent
 }
 
 type call struct {
@@ -119,8 +119,8 @@
 	id       string
 	zone     string
 	endpoint string
-	state    balancer.State        // as it counts: an operator's word goes before discovery's
-	listed   balancer.Entry        // as discovery last said
+	state    balancer.HostState    // as it counts: an operator's word goes before discovery's
+	listed   balancer.ListedHost   // as discovery last said
 	since    balancer.Time         // its latest start, as discovery says
 	up       map[*Request]struct{} // its open connections
 	trying   map[*upstreamRequest]struct{}
@@ -128,11 +128,11 @@
 	loaded   float64                // as it last told when probed: load over what it can do
 	loadedAt int64                  // when that was; 0: never
 	pool     *pool                  // nil: it changes hands just now
-	known    *balancer.ServerMemory // what its last pool's instance knew of it, until another takes it
+	known    *balancer.HostSnapshot // what its last pool's instance knew of it, until another takes it
 }
 
 // New makes a core. Module and Discovery are set by Run.
-func New(l *netio.Loop, starter Starter, opt Options) *Core {
+func New(l *netio.Loop, starter Connector, opt Options) *Core {
 	c := &Core{loop: l, starter: starter, opt: opt, classes: map[string]int{}, tenants: map[string]int{},
 		hosts: map[string]*host{}, requests: map[string]*Request{}, pools: map[string]*pool{}}
 	names := make([]string, len(opt.Settings.Classes))
@@ -148,13 +148,13 @@
 }
 
 // Run gives the core its decision module, made for it by make with the core's effects, and the list it starts from.
-func (c *Core) Run(make func(fx balancer.Effects) (Decider, error), d Discovery, known Change) error {
+func (c *Core) Run(make func(fx balancer.Effects) (Balancer, error), d Discovery, known Change) error {
 	c.make, c.discovery = make, d
 	var err error
 	if c.main, err = c.newPool(namespace.Main); err != nil {
 		return err
 	}
-	c.Listed(known)
+	c.ListReceived(known)
 	c.loop.After(watchEvery, c.watchSessions)
 	if c.opt.Expiry.Move {
 		c.planner = certexpiry.New(c.opt.Expiry)
@@ -173,8 +173,8 @@
 // would strike connections that already stand.
 func (c *Core) Admit(class string) bool {
 	if c.sessions+c.elsewhere >= c.opt.Sessions {
-		c.counts.TurnedAway++
-		c.ended(class, metrics.TurnedAway)
+		c.counts.OverCapacity++
+		c.ended(class, metrics.OverCapacity)
 		return false
 	}
 	c.sessions++
@@ -188,29 +188,29 @@
 	}
 }
 
-// ComeBack is the advice to a client that there is no room or no time for; 0 where clients read none.
-func (c *Core) ComeBack() time.Duration {
+// RetryAdvice is the advice to a client that there is no room or no time for; 0 where clients read none.
+func (c *Core) RetryAdvice() time.Duration {
 	return c.advice(comeBack)
 }
 
 // advice is what a client may be told of when to come again, within the settings; 0 where clients read none.
 func (c *Core) advice(after time.Duration) time.Duration {
-	if !c.opt.Settings.RetryAfter {
+	if !c.opt.Settings.SendsRetryAfter {
 		return 0
 	}
 	return min(after, max(0, time.Duration(c.opt.Settings.MaxRetryAfter)))
 }
 
-// Left gives that room back.
-func (c *Core) Left() { c.sessions-- }
+// SessionEnded gives that room back.
+func (c *Core) SessionEnded() { c.sessions-- }
 
 // Sessions is how many downstreams there are.
 func (c *Core) Sessions() int { return c.sessions }
 
-// Rejected notes that a client sent what is no request.
-func (c *Core) Rejected(err error) {
-	c.counts.Rejected++
-	if c.counts.Rejected == 1 {
+// InvalidRequest notes that a client sent what is no request.
+func (c *Core) InvalidRequest(err error) {
+	c.counts.Invalid++
+	if c.counts.Invalid == 1 {
 		slog.Warn("rejected", "reason", err)
 	}
 }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -18,8 +18,8 @@
 	w.expect("request q")
 	w.pass(50 * time.Millisecond)
 	w.expect("fail q", "gone q")
-	w.fx.Refuse("q", 0)
-	w.fx.Send("q", "A", 0)
+	w.fx.Reject("q", 0)
+	w.fx.StartAttempt("q", "A", 0)
 	w.pass(time.Second)
 	w.expect()
 	w.on = func(e string) {
@@ -40,11 +40,11 @@
 	w.on = func(e string) {
 		switch {
 		case e == "request q":
-			w.fx.Send("q", "A", 300e6)
+			w.fx.StartAttempt("q", "A", 300e6)
 		case strings.HasPrefix(e, "outcome q 0"):
-			w.fx.Send("q", "B", 0)
+			w.fx.StartAttempt("q", "B", 0)
 		case strings.HasPrefix(e, "outcome q 1"):
-			w.fx.Refuse("q", 1e9)
+			w.fx.Reject("q", 1e9)
 		}
 	}
 	w.open("q")
@@ -64,17 +64,17 @@
 	w := newWorld(t)
 	w.on = func(e string) {
 		if e == "request q" {
-			w.fx.Send("q", "A", 0)
+			w.fx.StartAttempt("q", "A", 0)
 		}
 	}
 	w.open("q")
-	a := HostEntry{Endpoint: "new", Entry: balancer.Entry{ID: "A"}}
-	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
+	a := HostEntry{Address: "new", ListedHost: balancer.ListedHost{ID: "A"}}
+	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("request q", "start at-A 1000", "end up dropped", "start new 1000", "members 0 1")
 	a.State = balancer.Draining
-	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
+	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("members 0 1", "end up dropped", "outcome q 0 2 false")
-	w.fx.Send("q", "A", 0) // the rule holds should the module err
+	w.fx.StartAttempt("q", "A", 0) // the rule holds should the module err
 	w.core.decide(nil, func(int64) {})
 	w.expect("outcome q 1 2 false")
 }
@@ -84,7 +84,7 @@
 func TestListActsOnLinesThatWait(t *testing.T) {
 	w := sending(t)
 	w.ups[0].stage = netio.Sending
-	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{Endpoint: "at-A", Entry: balancer.Entry{ID: "A", State: balancer.Draining}}}})
+	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
 	w.expect("members 0 1", "end up dropped", "outcome q 0 2 false")
 
 	w = keyed(t)
@@ -100,15 +100,15 @@
 	w.serve("q")
 	w.core.Admit("c")
 	left := false
-	w.core.Leave(func() { left = true })
-	w.core.Leave(func() { t.Error("a second signal ends it by itself") })
+	w.core.Shutdown(func() { left = true })
+	w.core.Shutdown(func() { t.Error("a second signal ends it by itself") })
 	w.open("new")
 	w.expect("refuse new 500")
 	w.pass(400 * time.Millisecond)
 	w.expect()
 	w.pass(1700 * time.Millisecond)
 	w.expect("move q", "end up ended", "outcome q 0 6 true")
-	w.core.Left()
+	w.core.SessionEnded()
 	w.pass(100 * time.Millisecond)
 	if !left {
 		t.Fatal("it does not end")
@@ -138,11 +138,11 @@
 	w.on = func(e string) {
 		switch e {
 		case "request r1":
-			w.fx.Send("r1", "A", 0)
+			w.fx.StartAttempt("r1", "A", 0)
 		case "outcome r1 0 2 false":
-			w.fx.Send("r1", "A", 0) // a module that does not listen
+			w.fx.StartAttempt("r1", "A", 0) // a module that does not listen
 		case "outcome r1 1 2 false":
-			w.fx.Refuse("r1", 0)
+			w.fx.Reject("r1", 0)
 		}
 	}
 	w.open("r1")
@@ -155,14 +155,14 @@
 		t.Errorf("told %s", told)
 	}
 	w.expect("members 4 1", "end up dropped", "outcome r1 0 2 false", "outcome r1 1 2 false", "refuse r1 0")
-	standing.ev.FromUpstream(Message{Kind: Plain, Text: []byte("x\r\n")})
+	standing.ev.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
 	w.expect()
-	e := HostEntry{Endpoint: "elsewhere", Entry: balancer.Entry{ID: "A"}}
-	w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
+	e := HostEntry{Address: "elsewhere", ListedHost: balancer.ListedHost{ID: "A"}}
+	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 	if h := w.core.hosts["A"]; h.state != balancer.Suspended {
 		t.Errorf("listed anew it has state %d", h.state)
 	}
-	if got := string(w.core.Figures()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
+	if got := string(w.core.Metrics()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
 		t.Errorf("figures %s", got)
 	}
 	w.pass(time.Second)
@@ -191,7 +191,7 @@
 	w.core.Open(&fakeDown{w, "x"}, &Opening{ID: "x", Class: "none", Tenant: "t"}, nil)
 	w.on = func(e string) {
 		if strings.HasPrefix(e, "request") {
-			w.fx.Send("sent", "B", 0)
+			w.fx.StartAttempt("sent", "B", 0)
 		}
 	}
 	w.open("sent")
@@ -203,7 +203,7 @@
 	w.core.leaving = true
 	w.open("leaving")
 	want := "replies.c.success=1\nreplies.c.overload=2\nreplies.c.error=4\ndispatches=2\nconcurrent=1\ntargets=2\ntargets_disabled=0\n"
-	if got := string(w.core.Figures()); got != want {
+	if got := string(w.core.Metrics()); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 }
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -18,11 +18,11 @@
 
 func (e *effects) later(f func()) { e.effects = append(e.effects, f) }
 
-func (e *effects) Send(id, server string, timeout balancer.Time) {
+func (e *effects) StartAttempt(id, server string, timeout balancer.Time) {
 	e.later(func() { e.send(e.pool, id, server, timeout) })
 }
 
-func (e *effects) Refuse(id string, after balancer.Time) {
+func (e *effects) Reject(id string, after balancer.Time) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
 			r.decline(time.Duration(after))
@@ -38,7 +38,7 @@
 	})
 }
 
-func (e *effects) Cancel(id string, attempt int) {
+func (e *effects) CancelAttempt(id string, attempt int) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
 			r.cancel(attempt)
@@ -46,7 +46,7 @@
 	})
 }
 
-func (e *effects) Move(id string) {
+func (e *effects) Migrate(id string) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
 			r.move(balancer.Cancelled)
@@ -54,74 +54,74 @@
 	})
 }
 
-func (e *effects) After(delay balancer.Time, token string) {
+func (e *effects) Schedule(delay balancer.Time, token string) {
 	c := e.Core
 	e.later(func() {
 		c.loop.After(time.Duration(delay), func() {
-			c.tell(nil, e.pool, func(now balancer.Time, m Decider) { m.Timer(now, token) })
+			c.tell(nil, e.pool, func(now balancer.Time, m Balancer) { m.TimerFired(now, token) })
 		})
 	})
 }
 
-// Watch and Fetch are for the whole list, which the instance of the pool main asks for.
-func (e *effects) Watch(on bool) {
+// WatchList and Fetch are for the whole list, which the instance of the pool main asks for.
+func (e *effects) WatchList(on bool) {
 	if e.pool.name == namespace.Main {
-		e.later(func() { e.discovery.Watch(on) })
+		e.later(func() { e.discovery.WatchList(on) })
 	}
 }
 
-func (e *effects) Fetch() {
+func (e *effects) FetchList() {
 	if e.pool.name == namespace.Main {
-		e.later(func() { e.discovery.Fetch() })
+		e.later(func() { e.discovery.FetchList() })
 	}
 }
 
 func (e *effects) Log(s string) { slog.Info("module", "text", s) }
 
-// Probe asks a host how loaded it is. One that takes nothing new, and one that is not known any more, is left alone.
-func (e *effects) Probe(server string) {
+// HealthCheck asks a host how loaded it is. One that takes nothing new, and one that is not known any more, is left alone.
+func (e *effects) HealthCheck(server string) {
 	e.later(func() {
 		c := e.Core
 		began := c.loop.Now()
-		done := func(status balancer.Status, load []float64) {
-			if h, i := c.hosts[server], c.opt.Settings.ReportLoad; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
+		done := func(status balancer.AttemptStatus, load []float64) {
+			if h, i := c.hosts[server], c.opt.Settings.LoadField; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
 				h.loaded, h.loadedAt = load[i], c.loop.Now()
 			}
 			if tracing() {
 				slog.Debug("probed", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
 			}
-			c.tell(nil, e.pool, func(now balancer.Time, m Decider) { m.Probed(now, server, status, now-began, load) })
+			c.tell(nil, e.pool, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, server, status, now-began, load) })
 		}
 		h := c.hosts[server]
 		if c.prober == nil || h == nil || h.state != balancer.Ready {
-			done(balancer.Moot, nil)
+			done(balancer.TooLate, nil)
 			return
 		}
-		c.counts.Probed++
-		c.prober.Probe(Target{h.id, h.zone, h.endpoint}, done)
+		c.counts.HealthChecks++
+		c.prober.Check(Target{h.id, h.zone, h.endpoint}, done)
 	})
 }
 
-// Tell is carried out where peers can be reached; a message may be lost in any case.
-func (e *effects) Tell(peer int, data []byte) {
+// SendToPeer is carried out where peers can be reached; a message may be lost in any case.
+func (e *effects) SendToPeer(peer int, data []byte) {
 	e.later(func() {
 		if e.peers != nil {
-			e.counts.Told++
-			e.peers.Tell(peer, data)
+			e.counts.PeerMessagesSent++
+			e.peers.SendToPeer(peer, data)
 		}
 	})
 }
 
-// SetProber gives the core its way to ask hosts how loaded they are.
-func (c *Core) SetProber(p Prober) { c.prober = p }
+// SetHealthChecker gives the core its way to ask hosts how loaded they are.
+func (c *Core) SetHealthChecker(p HealthChecker) { c.prober = p }
 
 // SetPeers gives the core its way to the other proxies.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
-// PeerTold takes a message from another proxy.
-func (c *Core) PeerTold(from int, data []byte) {
-	c.counts.Heard++
+// PeerMessageReceived takes a message from another proxy.
+func (c *Core) PeerMessageReceived(from int, data []byte) {
+	c.counts.PeerMessagesReceived++
 	for _, p := range c.pools {
-		c.tell(nil, p, func(now balancer.Time, m Decider) { m.Peer(now, from, data) })
+		c.tell(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
 	}
 }
--- a/internal/dataplane/proxy/floors.go
+++ b/internal/dataplane/proxy/floors.go
@@ -14,26 +14,26 @@
 	Out(id string, since balancer.Time) bool
 }
 
-// SetFloors has hosts get nothing new of which another proxy's newer list says that they drain or are gone. rev is that of the own list; under 0:
+// SetWatermarks has hosts get nothing new of which another proxy's newer list says that they drain or are gone. rev is that of the own list; under 0:
 // there is none yet.
-func (c *Core) SetFloors(f Watermarks, rev int64) {
+func (c *Core) SetWatermarks(f Watermarks, rev int64) {
 	if c.floors = f; f == nil || rev < 0 {
 		return
 	}
 	now := Change{Kind: balancer.ListCached, Version: rev}
 	for _, h := range c.hosts {
-		now.Hosts = append(now.Hosts, HostEntry{Entry: h.listed, Endpoint: h.endpoint})
+		now.Hosts = append(now.Hosts, HostEntry{ListedHost: h.listed, Address: h.endpoint})
 	}
-	c.Refloor(f.Listed(now))
+	c.WatermarksChanged(f.Listed(now))
 }
 
 // belowFloor tells whether a listed host is out by another proxy's newer list.
-func (c *Core) belowFloor(e balancer.Entry) bool {
-	return c.floors != nil && c.floors.Out(e.ID, e.Since)
+func (c *Core) belowFloor(e balancer.ListedHost) bool {
+	return c.floors != nil && c.floors.Out(e.ID, e.StartedAt)
 }
 
-// Refloor has it take effect that floors have changed for some hosts.
-func (c *Core) Refloor(ids []string) {
+// WatermarksChanged has it take effect that floors have changed for some hosts.
+func (c *Core) WatermarksChanged(ids []string) {
 	for _, id := range ids {
 		h := c.hosts[id]
 		if h == nil || h.listed.State != balancer.Ready || h.state == c.counting(h.listed) {
@@ -42,7 +42,9 @@
 		h.state = c.counting(h.listed)
 		slog.Info("floor", "host", id, "out", h.state != balancer.Ready)
 		e := h.entry()
-		c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{e}) })
+		c.tell(nil, h.pool, func(now balancer.Time, m Balancer) {
+			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{e})
+		})
 	}
 	c.takeBack()
 }
--- a/internal/dataplane/proxy/front.go
+++ b/internal/dataplane/proxy/front.go
@@ -16,36 +16,36 @@
 type Opening struct {
 	ID, Key              string
 	Class, Tenant, Group string
-	Hint                 float64       // expected load, in the unit of the settings; 0: none
-	Repeat, Returned     bool          // the client tries again; it comes back after a break or a move
+	ExpectedLoad         float64       // expected load, in the unit of the settings; 0: none
+	Retry, Returned      bool          // the client tries again; it comes back after a break or a move
 	Wait                 time.Duration // how long it waits for its answer
 	HasWait              bool          // it said so; else its class's deadline holds
-	At                   string        // the upstream host at which it is open already; "" for a new one
+	PinnedHost           string        // the upstream host at which it is open already; "" for a new one
 }
 
-// First is the client's opening in its own protocol, to be handed to an upstream host.
-type First interface {
+// RequestLine is the client's opening in its own protocol, to be handed to an upstream host.
+type RequestLine interface {
 	// WithWait gives the bytes, telling the host how long this proxy will wait.
 	WithWait(wait time.Duration) []byte
 }
 
-// Kind is what a message means to the core; most mean nothing to it.
-type Kind int
+// MessageKind is what a message means to the core; most mean nothing to it.
+type MessageKind int
 
 // The kinds of message.
 const (
-	Plain    Kind = iota
-	Receipt       // the host accepts
-	Busy          // the host turns the request away unseen
-	Fault         // the host failed
-	Farewell      // the host has served the connection to its end
-	MoveAway      // the host sends its client away
-	LoadTold      // the host tells the connection's load
+	PlainMessage  MessageKind = iota
+	Accepted                  // the host accepts
+	OverCapacity              // the host turns the request away unseen
+	Failed                    // the host failed
+	Finished                  // the host has served the connection to its end
+	MigrateClient             // the host sends its client away
+	LoadReported              // the host tells the connection's load
 )
 
 // Message is one message on its way through. Text is passed on as it is, and is valid during the call only.
 type Message struct {
-	Kind Kind
+	Kind MessageKind
 	Load float64 // of LoadTold: microseconds of work a second
 	// Report is the load report behind Busy, Fault or Farewell, in the settings' order of fields; nil: none.
 	Report []float64
@@ -54,13 +54,13 @@
 
 // Downstream is a client's connection. Serve, and one of Refuse and Fail, are answers: a request gets one.
 type Downstream interface {
-	Serve(receipt Message)
-	Refuse(after time.Duration) // a local reply: trying again is harmless
+	Accept(receipt Message)
+	Reject(after time.Duration) // a local reply: trying again is harmless
 	Fail()                      // a local reply that promises nothing
 	Pass(m Message) bool        // false: not now, DownstreamReady will tell
 	Pump()                      // offer again what the core did not take
-	Move()                      // end it politely; the client comes again
-	Goodbye() []byte            // what Move says
+	Migrate()                   // end it politely; the client comes again
+	MigrationLine() []byte      // what Move says
 	End(cause netio.Cause)      // end it as the other side ended
 }
 
@@ -88,17 +88,17 @@
 }
 
 // Target is an upstream host as a Starter needs to know it.
-type Target struct{ ID, Zone, Endpoint string }
+type Target struct{ ID, Zone, Address string }
 
-// Prober asks upstream hosts how loaded they are.
-type Prober interface {
-	// Probe asks a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
-	Probe(to Target, done func(status balancer.Status, load []float64))
+// HealthChecker asks upstream hosts how loaded they are.
+type HealthChecker interface {
+	// Check asks a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
+	Check(to Target, done func(status balancer.AttemptStatus, load []float64))
 	Forget(host string) // ends what goes on with a host that takes nothing new
 }
 
-// Starter opens upstream requests: connect to the target within the time given, send first, and tell ev what
+// Connector opens upstream requests: connect to the target within the time given, send first, and tell ev what
 // follows. until is the loop's time at which the proxy stops waiting.
-type Starter interface {
-	Start(to Target, first First, until int64, connect time.Duration, ev UpstreamEvents) Upstream
+type Connector interface {
+	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
 }
--- a/internal/dataplane/proxy/gone_test.go
+++ b/internal/dataplane/proxy/gone_test.go
@@ -23,7 +23,7 @@
 }
 
 // Start checks that no attempt begins for a client that has left, and draws what becomes of it.
-func (w *leaving) Start(_ Target, _ First, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
+func (w *leaving) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
 	id := ev.(*upstreamRequest).req.ask.ID
 	w.begun++
 	w.checkThere(id, "an attempt begins")
@@ -77,11 +77,11 @@
 	u.after(u.at.draw(250*time.Millisecond), func() {
 		switch answer {
 		default:
-			u.ev.FromUpstream(Message{Kind: Receipt, Text: []byte("UP\r\n")})
+			u.ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 		case 1, 2:
-			u.ev.FromUpstream(Message{Kind: Busy})
+			u.ev.FromUpstream(Message{Kind: OverCapacity})
 		case 3:
-			u.ev.FromUpstream(Message{Kind: Fault})
+			u.ev.FromUpstream(Message{Kind: Failed})
 		case 4, 5:
 			u.ev.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
 		case 6: // nothing comes
@@ -93,22 +93,22 @@
 func newLeaving(t *testing.T) *leaving {
 	w := &leaving{world: &world{t: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), left: map[string]int64{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	cfg := balancer.Config{Peers: 3, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, MayTell: true, MayCancel: true, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9,
-		FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-		Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
+	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
+		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 	w.core = New(w.loop, w, Options{Sessions: 5000, Settings: cfg})
 	ch := Change{Kind: balancer.ListFull}
 	for i := range 6 {
 		id := fmt.Sprintf("h%d", i)
-		ch.Hosts = append(ch.Hosts, HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1}})
+		ch.Hosts = append(ch.Hosts, HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}})
 	}
-	if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		t.Fatal(err)
 	}
 	w.core.SetPeers(deaf{})
 	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActBy(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
-	w.core.SetAllowance(w)
+	rules.ActByForTest(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
+	w.core.SetQuota(w)
 	w.core.SetRules(gate)
 	return w
 }
@@ -116,16 +116,16 @@
 // deaf are peers that hear nothing.
 type deaf struct{}
 
-func (deaf) Tell(int, []byte) {}
+func (deaf) SendToPeer(int, []byte) {}
 
-// Bounded, Take, Hold and Release are limits over the fleet whose word takes a drawn time.
-func (w *leaving) Bounded(account string) bool { return account == "a" }
-func (w *leaving) Take(_ string, _ float64, then func(string, time.Duration)) {
+// IsLimited, Take, Hold and Release are limits over the fleet whose word takes a drawn time.
+func (w *leaving) IsLimited(account string) bool { return account == "a" }
+func (w *leaving) Acquire(_ string, _ float64, then func(string, time.Duration)) {
 	w.permits++
 	w.loop.After(w.draw(300*time.Millisecond), func() { then("", 0) })
 }
-func (w *leaving) Hold(string)    { w.permits++ }
-func (w *leaving) Release(string) { w.permits-- }
+func (w *leaving) CountExisting(string) { w.permits++ }
+func (w *leaving) Release(string)       { w.permits-- }
 
 // state names what a request waits for.
 func state(r *Request, permitted bool) string {
--- a/internal/dataplane/proxy/leave.go
+++ b/internal/dataplane/proxy/leave.go
@@ -19,9 +19,9 @@
 
 // Newcomers are the connections on which no request has come yet.
 type Newcomers interface {
-	// Dismiss ends those that rest without having sent anything, and tells how many are left. With half it also ends those on which a
+	// EndIdle ends those that rest without having sent anything, and tells how many are left. With half it also ends those on which a
 	// request has begun to come.
-	Dismiss(half bool) int
+	EndIdle(half bool) int
 }
 
 // SetNewcomers has a proxy that leaves end the connections without a request, and wait for those on which one is coming.
@@ -39,10 +39,10 @@
 	done  func()
 }
 
-// Leave ends the proxy's service in order: clients that still come are refused with advice, requests under way get
+// Shutdown ends the proxy's service in order: clients that still come are refused with advice, requests under way get
 // their answer, and every open connection is moved. done is called once nothing is left, or when the time that the
 // platform grants is nearly over.
-func (c *Core) Leave(done func()) {
+func (c *Core) Shutdown(done func()) {
 	if c.leaving {
 		return
 	}
@@ -63,7 +63,7 @@
 	open, pending := c.standing()
 	unasked := 0
 	if passed > s.plan.moveFrom && c.newcomers != nil {
-		unasked = c.newcomers.Dismiss(s.cut)
+		unasked = c.newcomers.EndIdle(s.cut)
 	}
 	if passed > s.plan.moveFrom && open+pending+c.handing+unasked == 0 && c.sessions == 0 {
 		s.quiet++
@@ -75,7 +75,7 @@
 		return
 	}
 	switch {
-	case c.handed && open > 0 && c.keeper.CanHand() && passed < s.plan.moveBy:
+	case c.handed && open > 0 && c.keeper.Accepts() && passed < s.plan.moveBy:
 		c.someOpen(handAtOnce, c.handOne)
 	case passed > s.plan.moveFrom:
 		s.move(open, passed)
@@ -106,13 +106,13 @@
 			continue
 		}
 		slog.Warn("cut_short", "request", r.ask.ID, "attempts", r.attempts, "state", r.state(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
-		s.core.guard(r, func() { r.endNow(s.core.ComeBack()) })
+		s.core.guard(r, func() { r.endNow(s.core.RetryAdvice()) })
 	}
 	s.core.monitor.Close()
 	open, _ := s.core.standing()
 	s.move(open, s.plan.answerBy)
 	if s.core.newcomers != nil {
-		s.core.newcomers.Dismiss(true)
+		s.core.newcomers.EndIdle(true)
 	}
 }
 
--- a/internal/dataplane/proxy/leave_test.go
+++ b/internal/dataplane/proxy/leave_test.go
@@ -12,13 +12,13 @@
 // sending opens a request whose module sends it to A, and then to B should that attempt prove not to have run.
 func sending(t *testing.T) *world {
 	w := newWorld(t)
-	w.core.opt.Settings.Classes[0].Effect = balancer.Unsafe
+	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
 	w.on = func(e string) {
 		switch e {
 		case "request q":
-			w.fx.Send("q", "A", 0)
+			w.fx.StartAttempt("q", "A", 0)
 		case "outcome q 0 4 false":
-			w.fx.Send("q", "B", 0)
+			w.fx.StartAttempt("q", "B", 0)
 		}
 	}
 	w.open("q")
@@ -31,10 +31,10 @@
 func TestAcceptedWhileTheProcessLeaves(t *testing.T) {
 	w := sending(t)
 	left := false
-	w.core.Leave(func() { left = true })
+	w.core.Shutdown(func() { left = true })
 	w.pass(900 * time.Millisecond)
 	w.ups[0].sent()
-	w.ups[0].ev.FromUpstream(Message{Kind: Receipt, Text: []byte("UP\r\n")})
+	w.ups[0].ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.expect("serve q", "first q 0")
 	w.pass(1500 * time.Millisecond)
 	w.expect("move q", "end up ended", "outcome q 0 6 true")
@@ -48,8 +48,8 @@
 	w := newWorld(t)
 	w.serve("q")
 	left := false
-	w.core.Leave(func() { left = true })
-	w.core.Listed(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Endpoint: "at-C", Entry: balancer.Entry{ID: "C"}}}})
+	w.core.Shutdown(func() { left = true })
+	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
 	w.expect("members 1 1")
 	w.pass(2100 * time.Millisecond)
 	w.expect("move q", "end up ended", "outcome q 0 6 true")
@@ -76,7 +76,7 @@
 func TestTheQueueIsLookedAtBeforeTheEnd(t *testing.T) {
 	w := newWorld(t)
 	left := false
-	w.core.Leave(func() { left = true })
+	w.core.Shutdown(func() { left = true })
 	w.now += int64(600 * time.Millisecond) // nothing runs meanwhile
 	w.loop.RunPending()
 	if left {
@@ -89,7 +89,7 @@
 	if left {
 		t.Fatal("it does not wait for its client to hang up")
 	}
-	w.core.Left()
+	w.core.SessionEnded()
 	w.pass(200 * time.Millisecond)
 	if !left {
 		t.Error("it does not end")
@@ -122,10 +122,10 @@
 // run. What is held by the module gets one too, a client that comes up in the last moment is moved, and the process ends.
 func TestWhatIsLeftIsAnsweredBeforeTheKill(t *testing.T) {
 	w := newWorld(t)
-	w.core.opt.Settings.Classes[0].Effect = balancer.Unsafe
+	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
 	w.on = func(e string) {
 		if e == "request q" {
-			w.fx.Send("q", "A", 0)
+			w.fx.StartAttempt("q", "A", 0)
 		}
 	}
 	for _, id := range []string{"q", "held"} {
@@ -135,7 +135,7 @@
 	w.seen = nil
 	w.core.sessions = 2
 	left := false
-	w.core.Leave(func() { left = true })
+	w.core.Shutdown(func() { left = true })
 	w.pass(3200 * time.Millisecond)
 	w.expect()
 	w.pass(60 * time.Millisecond)
--- a/internal/dataplane/proxy/list.go
+++ b/internal/dataplane/proxy/list.go
@@ -9,25 +9,25 @@
 
 // Change is news of the cluster: a list of upstream hosts, a change of it, or the failure to get one.
 type Change struct {
-	Kind    balancer.ListKind
+	Kind    balancer.ListChange
 	Version int64
 	Hosts   []HostEntry
 }
 
 // HostEntry is one upstream host with the address at which this proxy reaches it.
 type HostEntry struct {
-	balancer.Entry
-	Endpoint string `json:"Endpoint"`
+	balancer.ListedHost
+	Address string `json:"Endpoint"`
 }
 
-// Listed takes news of the cluster. What is on its way to a host that drains or is gone stops at once, in the queue
+// ListReceived takes news of the cluster. What is on its way to a host that drains or is gone stops at once, in the queue
 // of dials too: nothing new may go there.
-func (c *Core) Listed(ch Change) {
+func (c *Core) ListReceived(ch Change) {
 	var floors []string
 	if c.floors != nil && ch.Kind != balancer.ListFailed {
 		floors = c.floors.Listed(ch)
 	}
-	entries := map[*pool][]balancer.Entry{}
+	entries := map[*pool][]balancer.ListedHost{}
 	named := map[string]bool{}
 	for _, e := range ch.Hosts {
 		isNew := c.hosts[e.ID] == nil
@@ -43,20 +43,20 @@
 	if ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached {
 		for id, h := range c.hosts {
 			if !named[id] {
-				h.state, h.listed.State = balancer.Departed, balancer.Departed
+				h.state, h.listed.State = balancer.Removed, balancer.Removed
 			}
 		}
 	}
 	whole := ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached
 	for _, p := range c.pools {
 		if p == c.main || whole || len(entries[p]) > 0 {
-			c.tell(nil, p, func(now balancer.Time, m Decider) { m.Members(now, ch.Kind, ch.Version, entries[p]) })
+			c.tell(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, ch.Kind, ch.Version, entries[p]) })
 		}
 	}
 	c.takeBack()
-	c.Refloor(floors)
+	c.WatermarksChanged(floors)
 	if c.keeper != nil && ch.Kind != balancer.ListFailed {
-		c.keeper.Listed()
+		c.keeper.ListChanged()
 	}
 }
 
@@ -75,7 +75,7 @@
 				a.finish(balancer.Full, netio.Dropped)
 			}
 		}
-		if h.state == balancer.Departed && len(h.up) == 0 && len(h.trying) == 0 {
+		if h.state == balancer.Removed && len(h.up) == 0 && len(h.trying) == 0 {
 			delete(c.hosts, id)
 		}
 	}
@@ -92,18 +92,18 @@
 	if h == nil {
 		h = c.newHost(e.ID)
 	}
-	if tracing() && (h.state != e.State || h.listed.Since != e.Since || h.endpoint == "") {
-		slog.Debug("host", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.Since/1e6)
+	if tracing() && (h.state != e.State || h.listed.StartedAt != e.StartedAt || h.endpoint == "") {
+		slog.Debug("host", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
 	}
-	c.suspended.Listed(e.ID)
-	if h.endpoint == "" || e.Since != h.listed.Since {
-		h.since = c.started(e.Since)
+	c.suspended.HostListed(e.ID)
+	if h.endpoint == "" || e.StartedAt != h.listed.StartedAt {
+		h.since = c.started(e.StartedAt)
 	}
-	h.state, h.listed, h.zone = c.counting(e.Entry), e.Entry, e.Zone
-	if e.Endpoint == "" || e.Endpoint == h.endpoint {
+	h.state, h.listed, h.zone = c.counting(e.ListedHost), e.ListedHost, e.Zone
+	if e.Address == "" || e.Address == h.endpoint {
 		return
 	}
-	h.endpoint = e.Endpoint
+	h.endpoint = e.Address
 	for a := range h.trying {
 		if a.unsent() {
 			a.conn.End(netio.Dropped) // it goes on towards the new address
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -11,36 +11,36 @@
 )
 
 // Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
-func (c *Core) Open(d Downstream, o *Opening, first First) *Request {
+func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
 	c.counts.Opened++
-	q := balancer.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, Hint: o.Hint, Repeat: o.Repeat,
+	q := balancer.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad, Retry: o.Retry,
 		Returned: o.Returned}
 	class, known := c.classes[o.Class]
 	tenant, shares := c.tenants[o.Tenant]
 	if !known || !shares && len(c.tenants) > 0 || c.requests[o.ID] != nil {
 		// Without a class there is no deadline and no rule to serve it by; an id that is in use belongs to another's
 		// request; and what the settings do not name, no host can read either.
-		c.ended(o.Class, metrics.Unknown)
-		c.Rejected(fmt.Errorf("class %q known=%t tenant %q known=%t", o.Class, known, o.Tenant, shares))
+		c.ended(o.Class, metrics.InvalidRequest)
+		c.InvalidRequest(fmt.Errorf("class %q known=%t tenant %q known=%t", o.Class, known, o.Tenant, shares))
 		d.Fail()
 		return nil
 	}
 	if c.leaving {
-		c.counts.Refused++
-		c.figures.Ended(class, metrics.Leaving)
-		d.Refuse(c.ComeBack())
+		c.counts.Rejected++
+		c.figures.Ended(class, metrics.ShuttingDown)
+		d.Reject(c.RetryAdvice())
 		return nil
 	}
 	verdict := c.ruled(o.Tenant, o.Class, &q)
 	var in *pool
-	if o.At == "" {
+	if o.PinnedHost == "" {
 		if in = c.choose(verdict.Pools); in == nil && !verdict.Refused {
-			verdict.Refused, verdict.Advice = true, c.ComeBack() // no pool that it may use has a host that it may use
+			verdict.Refused, verdict.Advice = true, c.RetryAdvice() // no pool that it may use has a host that it may use
 		}
 		if verdict.Refused {
-			c.counts.Refused++
-			c.figures.Ended(class, metrics.Refused)
-			d.Refuse(verdict.Advice)
+			c.counts.Rejected++
+			c.figures.Ended(class, metrics.Rejected)
+			d.Reject(verdict.Advice)
 			return nil
 		}
 	}
@@ -49,30 +49,30 @@
 		q.Tenant = tenant
 	}
 	wait := o.Wait
-	if longest := time.Duration(c.opt.Settings.Classes[class].Deadline); !o.HasWait || wait > longest && o.At == "" {
+	if longest := time.Duration(c.opt.Settings.Classes[class].Deadline); !o.HasWait || wait > longest && o.PinnedHost == "" {
 		wait = longest // no client waits longer, whatever it writes, and none may be kept for days
 	}
 	now := c.loop.Now()
 	r := &Request{core: c, down: d, first: first, ask: q, pool: in, tenant: o.Tenant, deadline: now + int64(wait)}
 	r.rec = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, Attempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
-	if o.At != "" {
-		r.adopt(o.At)
+	if o.PinnedHost != "" {
+		r.adopt(o.PinnedHost)
 		return r
 	}
 	if tracing() {
-		slog.Debug("asked", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Repeat, "returned", o.Returned,
+		slog.Debug("asked", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Retry, "returned", o.Returned,
 			"ms", wait.Milliseconds())
 	}
 	// The module answers by the deadline. Should it not, the client gets its answer all the same.
 	r.overdue = c.loop.After(wait+overdueAfter, r.abandon)
 	c.allowed(r, verdict.Account, func() {
-		c.tell(r, in, func(now balancer.Time, m Decider) {
+		c.tell(r, in, func(now balancer.Time, m Balancer) {
 			if r.answered {
 				return
 			}
-			q.Left = r.deadline - now
-			m.Request(now, q)
+			q.Remaining = r.deadline - now
+			m.RequestArrived(now, q)
 		})
 	})
 	return r
--- a/internal/dataplane/proxy/paced.go
+++ b/internal/dataplane/proxy/paced.go
@@ -4,7 +4,7 @@
 
 // Pacer tells how many clients may be sent away now, where a fleet goes by one pace. then is called on the loop.
 type Pacer interface {
-	May(want int, then func(n int))
+	RequestMigrations(want int, then func(n int))
 }
 
 const (
@@ -33,7 +33,7 @@
 		return
 	}
 	c.pacerAsked = true
-	c.pacer.May(len(c.pacedMoves), func(n int) {
+	c.pacer.RequestMigrations(len(c.pacedMoves), func(n int) {
 		c.pacerAsked = false
 		for n > 0 && len(c.pacedMoves) > 0 {
 			send := c.pacedMoves[0]
--- a/internal/dataplane/proxy/paced_test.go
+++ b/internal/dataplane/proxy/paced_test.go
@@ -14,7 +14,7 @@
 	then  func(n int)
 }
 
-func (p *permits) May(want int, then func(n int)) {
+func (p *permits) RequestMigrations(want int, then func(n int)) {
 	p.wants = append(p.wants, want)
 	p.then = then
 }
@@ -72,14 +72,14 @@
 		{func() any { return b.Set("A", false, at+5) }, true},
 		{func() any { return b.SetFleet(nil, at+6) }, false},
 	} {
-		if c.do(); b.Out("A") != c.outA {
-			t.Errorf("step %d: A out %t", i, b.Out("A"))
+		if c.do(); b.Suspended("A") != c.outA {
+			t.Errorf("step %d: A out %t", i, b.Suspended("A"))
 		}
 	}
 	if changed := b.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(b.SetFleet([]string{"A", "B"}, at)) != 0 {
 		t.Errorf("changed %v", changed)
 	}
-	if len(b.All()) != 0 || b.Ban("A").Since != at {
-		t.Errorf("%v, %+v", b.All(), b.Ban("A"))
+	if len(b.All()) != 0 || b.Suspension("A").Since != at {
+		t.Errorf("%v, %+v", b.All(), b.Suspension("A"))
 	}
 }
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -13,7 +13,7 @@
 // the hosts there is one, main.
 type pool struct {
 	name   string
-	module Decider
+	module Balancer
 	over   bool // no version names it any more, and nothing is left in it
 }
 
@@ -46,7 +46,7 @@
 }
 
 // tell has a pool's instance of the module take an event; what belongs to no pool is nobody's.
-func (c *Core) tell(about *Request, p *pool, f func(now balancer.Time, m Decider)) {
+func (c *Core) tell(about *Request, p *pool, f func(now balancer.Time, m Balancer)) {
 	if p == nil || p.over {
 		return
 	}
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Repool puts each host into the pool that it is in by the rules that hold now.
-func (c *Core) Repool() {
+// ReassignPools puts each host into the pool that it is in by the rules that hold now.
+func (c *Core) ReassignPools() {
 	c.holdAll()
 	used := map[string]bool{namespace.Main: true}
 	moved := 0
@@ -114,24 +114,26 @@
 	from := h.pool
 	h.pool = to
 	away := h.entry()
-	away.State = balancer.Departed
+	away.State = balancer.Removed
 	if from != nil {
-		m := from.module.Remember(false)
+		m := from.module.Snapshot(false)
 		h.known = nil
 		for _, s := range m.Servers {
 			if s.ID == h.id {
 				h.known = &s
 			}
 		}
-		c.tell(nil, from, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{away}) })
+		c.tell(nil, from, func(now balancer.Time, m Balancer) {
+			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{away})
+		})
 	}
 	if to != nil {
 		here := h.entry()
 		known := h.known
-		c.tell(nil, to, func(now balancer.Time, m Decider) {
-			m.Members(now, balancer.ListByHand, 0, []balancer.Entry{here})
+		c.tell(nil, to, func(now balancer.Time, m Balancer) {
+			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{here})
 			if known != nil {
-				m.Recall(now, balancer.Memory{Servers: []balancer.ServerMemory{*known}})
+				m.Restore(now, balancer.Snapshot{Servers: []balancer.HostSnapshot{*known}})
 			}
 		})
 	}
@@ -154,13 +156,13 @@
 	to := a.host.pool
 	number, elapsed := a.number, c.loop.Now()-a.sentAt
 	r.pool, r.base, a.number = to, r.attempts-1, 0
-	c.tell(nil, from, func(now balancer.Time, m Decider) {
-		m.Outcome(now, r.ask.ID, number, balancer.Cancelled, elapsed, true, nil)
+	c.tell(nil, from, func(now balancer.Time, m Balancer) {
+		m.AttemptEnded(now, r.ask.ID, number, balancer.Cancelled, elapsed, true, nil)
 	})
-	c.tell(nil, to, func(now balancer.Time, m Decider) {
-		m.Open(now, r.ask, a.host.id)
+	c.tell(nil, to, func(now balancer.Time, m Balancer) {
+		m.ConnectionAdopted(now, r.ask, a.host.id)
 		if a.load > 0 {
-			m.Note(now, r.ask.ID, 0, balancer.NoteLoad, a.load)
+			m.Observe(now, r.ask.ID, 0, balancer.ObservedLoad, a.load)
 		}
 	})
 }
@@ -169,21 +171,23 @@
 // fails, since the other instance of the module knows nothing of that.
 func (c *Core) replace(r *Request, number int, to *pool) {
 	from := r.pool
-	c.tell(r, from, func(now balancer.Time, m Decider) { m.Outcome(now, r.ask.ID, number, balancer.Moot, 0, true, nil) })
+	c.tell(r, from, func(now balancer.Time, m Balancer) {
+		m.AttemptEnded(now, r.ask.ID, number, balancer.TooLate, 0, true, nil)
+	})
 	if to == nil {
-		r.decline(c.ComeBack())
+		r.decline(c.RetryAdvice())
 		return
 	}
-	if !r.rec.Movable() {
+	if !r.rec.MayPlaceAnew() {
 		r.fail(metrics.Failed)
 		return
 	}
 	r.pool, r.base = to, r.attempts
-	c.tell(r, to, func(now balancer.Time, m Decider) {
+	c.tell(r, to, func(now balancer.Time, m Balancer) {
 		if !r.answered {
 			q := r.ask
-			q.Left = r.deadline - now
-			m.Request(now, q)
+			q.Remaining = r.deadline - now
+			m.RequestArrived(now, q)
 		}
 	})
 }
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -27,7 +27,7 @@
 }
 
 // Start is where the checks are: an attempt goes to a host of its tenant's pool alone.
-func (w *poolWorld) Start(to Target, first First, until int64, within time.Duration, ev UpstreamEvents) Upstream {
+func (w *poolWorld) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
 	id := ev.(*upstreamRequest).req.ask.ID
 	w.starts[id]++
 	if got, want := w.owner[to.ID], w.pools[w.tenant[id]]; got != want {
@@ -42,7 +42,7 @@
 	if moving != nil {
 		b.Was = &namespace.Frame{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
-	rules.ActBy(w.gate, &rules.Version{Number: number, Book: b}, w.now+1e12)
+	rules.ActByForTest(w.gate, &rules.Version{Number: number, Book: b}, w.now+1e12)
 	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
 	for id, h := range w.hosts {
 		w.owner[id] = namespace.Main
@@ -62,18 +62,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &poolWorld{world: &world{now: 1e18}, t: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{}}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
-		w.gate = &rules.Enforcer{Now: func() int64 { return w.now }, Keep: true}
+		w.gate = &rules.Enforcer{Now: func() int64 { return w.now }, KeepAfterLapse: true}
 		for i, id := range []string{"A", "B", "C", "D"} {
-			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
+			w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
 		}
-		cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9,
-			QuarantineInit: -1, QuarantineMax: -1, Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6, Effect: balancer.Unsafe}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
+		cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9,
+			EjectionInitial: -1, EjectionMax: -1, Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6, Idempotency: balancer.NotIdempotent}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 		w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
 		ch := Change{Kind: balancer.ListFull}
 		for _, id := range []string{"A", "B", "C", "D"} {
 			ch.Hosts = append(ch.Hosts, w.hosts[id])
 		}
-		if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 			t.Fatal(err)
 		}
 		w.rule(1, "m1", nil)
@@ -86,12 +86,12 @@
 				number += 2
 				w.rule(number-1, kind, map[string]bool{"p": true})
 				if rapid.Bool().Draw(t, "between") {
-					w.core.Repool()
+					w.core.ReassignPools()
 				}
 				w.pass(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 				w.rule(number, kind, nil)
 				if rapid.Bool().Draw(t, "at once") { // else requests come before the hosts are put into their pools
-					w.core.Repool()
+					w.core.ReassignPools()
 				}
 				moved++
 			case 1, 2, 3:
@@ -99,7 +99,7 @@
 				w.tenant[id] = rapid.SampledFrom([]string{"t1", "t2"}).Draw(t, "tenant")
 				w.core.Open(&fakeDown{w.world, id}, &Opening{ID: id, Class: "c", Tenant: w.tenant[id], Wait: time.Second, HasWait: true}, nil)
 			case 4:
-				w.core.Listed(ch)
+				w.core.ListReceived(ch)
 			case 7, 8: // its first line is with the host, which is yet to answer
 				if n := len(w.ups); n > 0 {
 					w.ups[n-1].sent()
@@ -114,9 +114,9 @@
 				u.sent()
 				switch rapid.IntRange(0, 2).Draw(t, "end") {
 				case 0:
-					u.ev.FromUpstream(Message{Kind: Busy})
+					u.ev.FromUpstream(Message{Kind: OverCapacity})
 				case 1:
-					u.ev.FromUpstream(Message{Kind: Receipt})
+					u.ev.FromUpstream(Message{Kind: Accepted})
 				case 2:
 					u.ev.UpstreamEnded(&netio.Error{Stage: netio.Sent}) // it may have run, and must not run twice
 					if !a.up && w.starts[a.req.ask.ID] > before {
@@ -126,7 +126,7 @@
 			}
 			w.pass(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
-		w.core.Repool()
+		w.core.ReassignPools()
 		for id, r := range w.core.requests {
 			if a := r.out; a != nil && a.up {
 				stood++
@@ -158,26 +158,26 @@
 
 // A request that may have run, and must not run twice, is not placed anew in another pool, whose instance of the module knows nothing of that.
 func TestWhatMayHaveRunIsNotPlacedAnew(t *testing.T) {
-	for effect, want := range map[balancer.Effect]string{balancer.Keyed: "fail r", balancer.Safe: "start at-B"} {
+	for effect, want := range map[balancer.Idempotency]string{balancer.IdempotentWithKey: "fail r", balancer.Idempotent: "start at-B"} {
 		w := &world{t: t, now: 1e18}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-		cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, WarmUp: 10e9, FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-			Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, Effect: effect, Window: 9e9}}, Tenants: []balancer.Tenant{{Name: "t"}}}
+		cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
+			Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, Idempotency: effect, DedupWindow: 9e9}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 		w.core = New(w.loop, w, Options{Sessions: 10, Settings: cfg})
 		host := func(id, kind string) HostEntry {
-			return HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1, Kind: kind}}
+			return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: kind}}
 		}
-		if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
+		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
 			t.Fatal(err)
 		}
-		rules.ActBy(gate, &rules.Version{Number: 1}, w.now+1e12)
+		rules.ActByForTest(gate, &rules.Version{Number: 1}, w.now+1e12)
 		w.core.SetRules(gate)
 		w.open("r")
 		w.ups[0].sent()
-		rules.ActBy(gate, &rules.Version{Number: 2, Book: &namespace.Book{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
-		w.core.Repool()
-		w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
+		rules.ActByForTest(gate, &rules.Version{Number: 2, Book: &namespace.Book{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
+		w.core.ReassignPools()
+		w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.seen = nil
 		w.ups[0].ev.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 		if got := strings.Join(w.seen, "; "); !strings.Contains(got, want) {
@@ -188,17 +188,17 @@
 
 // A connection that comes up at a host that has changed pools meanwhile is known to the instance of its new pool, and to no other.
 func TestAConnectionFollowsItsHost(t *testing.T) {
-	w := &poolWorld{world: &world{t: t, now: 1e18}, hosts: map[string]HostEntry{"A": {Entry: balancer.Entry{ID: "A", Kind: "m1", Weight: 1}, Endpoint: "at-A"}}, owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
+	w := &poolWorld{world: &world{t: t, now: 1e18}, hosts: map[string]HostEntry{"A": {ListedHost: balancer.ListedHost{ID: "A", Kind: "m1", Weight: 1}, Address: "at-A"}}, owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	w.gate = &rules.Enforcer{Now: func() int64 { return w.now }}
 	modules := 0
 	w.core = New(w.loop, w, Options{Sessions: 10, Settings: balancer.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t1"}}}})
 	w.on = func(e string) {
 		if e == "request r" {
-			w.fx.Send("r", "A", 0)
+			w.fx.StartAttempt("r", "A", 0)
 		}
 	}
-	err := w.core.Run(func(fx balancer.Effects) (Decider, error) {
+	err := w.core.Run(func(fx balancer.Effects) (Balancer, error) {
 		modules++
 		w.fx = fx
 		return &namedModule{(*fakeModule)(w.world), fmt.Sprint("module ", modules)}, nil
@@ -211,9 +211,9 @@
 	r := w.core.Open(&fakeDown{w.world, "r"}, &Opening{ID: "r", Class: "c", Tenant: "t1", Wait: time.Second, HasWait: true}, nil)
 	w.ups[0].sent()
 	w.rule(3, "m2", nil)
-	w.core.Repool()
+	w.core.ReassignPools()
 	w.seen = nil
-	w.ups[0].ev.FromUpstream(Message{Kind: Receipt})
+	w.ups[0].ev.FromUpstream(Message{Kind: Accepted})
 	w.expect("serve r", "first r 0", "outcome r 0 6 true", "module 1 opens r")
 	if r.pool != w.core.main {
 		t.Errorf("%+v", r.pool)
@@ -226,6 +226,6 @@
 	name string
 }
 
-func (m *namedModule) Open(_ balancer.Time, q balancer.Request, _ string) {
+func (m *namedModule) ConnectionAdopted(_ balancer.Time, q balancer.Request, _ string) {
 	m.event("%s opens %s", m.name, q.ID)
 }
--- a/internal/dataplane/proxy/repeat.go
+++ b/internal/dataplane/proxy/repeat.go
@@ -30,7 +30,7 @@
 
 // decline is the final answer of a request that gets no further attempt: a refusal, where that is true.
 func (r *Request) decline(after time.Duration) {
-	if !r.rec.Refusable() {
+	if !r.rec.MayReject() {
 		r.fail(metrics.Failed)
 		return
 	}
@@ -43,15 +43,15 @@
 }
 
 // heldBack logs that a rule stood against an attempt, and tells as what the attempt ends.
-func (r *Request) heldBack(rule invariant.Rule, h *host) balancer.Status {
+func (r *Request) heldBack(rule invariant.Rule, h *host) balancer.AttemptStatus {
 	slog.Warn("held_back", "rule", rule, "request", r.ask.ID, "host", h.id)
 	switch rule {
-	case invariant.HostTakesNone:
+	case invariant.HostAcceptsNew:
 		return balancer.Full
-	case invariant.InTime:
+	case invariant.BeforeDeadline:
 		return balancer.Timeout
 	}
-	return balancer.Moot
+	return balancer.TooLate
 }
 
 // MaySend says whether the first line may be written now that the connection stands: while it was being opened its host may have ceased to take
@@ -69,14 +69,14 @@
 
 // limitRepeat ends the attempt when the time in which a repeat is discarded runs out before its line is written.
 func (a *upstreamRequest) limitRepeat() {
-	deadline := a.req.rec.RepeatUntil()
+	deadline := a.req.rec.RetryUntil()
 	if deadline == math.MaxInt64 {
 		return
 	}
 	c := a.req.core
 	a.repeatTimer = c.loop.After(time.Duration(deadline-c.loop.Now()), func() {
 		if a.unsent() {
-			a.finish(balancer.Moot, netio.Ended) // no fault of the host's
+			a.finish(balancer.TooLate, netio.Ended) // no fault of the host's
 		}
 	})
 }
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -13,15 +13,15 @@
 func keyed(t *testing.T) *world {
 	w := newWorld(t)
 	c := &w.core.opt.Settings.Classes[0]
-	c.Effect, c.Window = balancer.Keyed, int64(500*time.Millisecond)
+	c.Idempotency, c.DedupWindow = balancer.IdempotentWithKey, int64(500*time.Millisecond)
 	w.on = func(e string) {
 		switch e {
 		case "request q":
-			w.fx.Send("q", "A", 0)
+			w.fx.StartAttempt("q", "A", 0)
 		case "outcome q 0 5 false":
-			w.fx.Send("q", "B", 0)
+			w.fx.StartAttempt("q", "B", 0)
 		case "outcome q 1 7 false":
-			w.fx.Refuse("q", 0)
+			w.fx.Reject("q", 0)
 		}
 	}
 	w.open("q")
@@ -61,27 +61,27 @@
 	w := keyed(t)
 	w.ups[1].sent()
 	w.pass(400 * time.Millisecond)
-	w.ups[1].ev.FromUpstream(Message{Kind: Receipt, Text: []byte("UP\r\n")})
+	w.ups[1].ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.expect("end up ended", "outcome q 0 5 false", "start at-B 700", "serve q", "first q 1")
 }
 
 // A refusal says that trying again is harmless. One that may have run must not hear so where it must not run twice.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	for _, c := range []struct {
-		effect balancer.Effect
-		scope  balancer.Scope
+		effect balancer.Idempotency
+		scope  balancer.DedupScope
 		ran    bool
 		want   string
 	}{
-		{balancer.Safe, balancer.ScopeAll, true, "refuse q 0"},
-		{balancer.Keyed, balancer.ScopeAll, true, "refuse q 0"},
-		{balancer.Keyed, balancer.ScopeZone, true, "fail q"},
-		{balancer.Unsafe, balancer.ScopeAll, true, "fail q"},
-		{balancer.Unsafe, balancer.ScopeAll, false, "refuse q 0"},
+		{balancer.Idempotent, balancer.ScopeAll, true, "refuse q 0"},
+		{balancer.IdempotentWithKey, balancer.ScopeAll, true, "refuse q 0"},
+		{balancer.IdempotentWithKey, balancer.ScopeZone, true, "fail q"},
+		{balancer.NotIdempotent, balancer.ScopeAll, true, "fail q"},
+		{balancer.NotIdempotent, balancer.ScopeAll, false, "refuse q 0"},
 	} {
 		w := newWorld(t)
 		k := &w.core.opt.Settings.Classes[0]
-		k.Effect, k.Scope = c.effect, c.scope
+		k.Idempotency, k.DedupScope = c.effect, c.scope
 		r := w.open("q")
 		w.seen = nil
 		if c.ran {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -26,7 +26,7 @@
 type Request struct {
 	core     *Core
 	down     Downstream
-	first    First
+	first    RequestLine
 	ask      balancer.Request
 	tenant   string // as its client named it
 	pool     *pool  // whose instance of the module places it, and after UP the one of its host; nil: its host changes hands
@@ -54,11 +54,11 @@
 	// repeatTimer ends a repeat that is not written before hosts cease to discard it; nil: no repeat, or no such time.
 	repeatTimer *netio.Timer
 	up          bool
-	last        Kind      // Farewell or MoveAway once the host has said so
-	report      []float64 // the load report that came with its answer or its end; nil: none
-	load        float64   // as the host last told it; 0: not yet
-	before      float64   // and the one before that
-	waiting     []int64   // when the client's lines went up that no line has come back for
+	last        MessageKind // Farewell or MoveAway once the host has said so
+	report      []float64   // the load report that came with its answer or its end; nil: none
+	load        float64     // as the host last told it; 0: not yet
+	before      float64     // and the one before that
+	waiting     []int64     // when the client's lines went up that no line has come back for
 }
 
 // tracing tells whether the log takes the life of each request.
@@ -79,25 +79,27 @@
 	}
 	h := c.hosts[server]
 	if h == nil || r.attempts > c.opt.Settings.MaxAttempts {
-		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Moot, 0, r.answered, nil) })
+		c.tell(r, p, func(now balancer.Time, m Balancer) {
+			m.AttemptEnded(now, id, number, balancer.TooLate, 0, r.answered, nil)
+		})
 		return
 	}
 	// The module knows the rules as well; this holds should it ever not.
 	if rule := r.rec.Begin(now, h.place()); rule != invariant.None {
 		status := r.heldBack(rule, h)
-		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, status, 0, r.answered, nil) })
+		c.tell(r, p, func(now balancer.Time, m Balancer) { m.AttemptEnded(now, id, number, status, 0, r.answered, nil) })
 		return
 	}
 	switch v, how := c.again(r, h); how {
 	case refusedNow:
 		r.decline(v.Advice)
-		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Moot, 0, true, nil) })
+		c.tell(r, p, func(now balancer.Time, m Balancer) { m.AttemptEnded(now, id, number, balancer.TooLate, 0, true, nil) })
 		return
 	case elsewhere:
 		c.replace(r, number, c.choose(v.Pools))
 		return
 	case passed:
-		c.tell(r, p, func(now balancer.Time, m Decider) { m.Outcome(now, id, number, balancer.Full, 0, false, nil) })
+		c.tell(r, p, func(now balancer.Time, m Balancer) { m.AttemptEnded(now, id, number, balancer.Full, 0, false, nil) })
 		return
 	}
 	r.start(h, number, until)
@@ -160,7 +162,7 @@
 }
 
 // finish ends an attempt that has not come up, closing its connection before the module can begin another.
-func (a *upstreamRequest) finish(status balancer.Status, cause netio.Cause) {
+func (a *upstreamRequest) finish(status balancer.AttemptStatus, cause netio.Cause) {
 	if !a.detach() {
 		return
 	}
@@ -169,7 +171,7 @@
 }
 
 // outcome tells the module how the attempt ended.
-func (a *upstreamRequest) outcome(status balancer.Status) {
+func (a *upstreamRequest) outcome(status balancer.AttemptStatus) {
 	r, c := a.req, a.req.core
 	elapsed := c.loop.Now() - a.sentAt
 	r.rec.Ended(status.ProvesNotRun())
@@ -195,8 +197,8 @@
 		return
 	}
 	closed := r.answered || a.up
-	c.tell(r, r.pool, func(now balancer.Time, m Decider) {
-		m.Outcome(now, r.ask.ID, a.number, status, elapsed, closed, a.report)
+	c.tell(r, r.pool, func(now balancer.Time, m Balancer) {
+		m.AttemptEnded(now, r.ask.ID, a.number, status, elapsed, closed, a.report)
 	})
 	if closed {
 		r.forget()
--- a/internal/dataplane/proxy/rules.go
+++ b/internal/dataplane/proxy/rules.go
@@ -12,7 +12,7 @@
 // SetRules gives the core the rules on which the fleet agrees. It is called before clients come.
 func (c *Core) SetRules(g *rules.Enforcer) {
 	c.enforcer = g
-	c.Repool()
+	c.ReassignPools()
 }
 
 // ruled says what the fleet's rules make of a request, and logs by which version it was decided.
--- a/internal/dataplane/proxy/schedule.go
+++ b/internal/dataplane/proxy/schedule.go
@@ -16,7 +16,7 @@
 
 const (
 	// holdUp is how long a process may be kept from running between two of its steps.
-	holdUp = invariant.HeldUp
+	holdUp = invariant.MaxSuspension
 	// frontNotices is how long after its SIGTERM a proxy still gets new connections; clients moved before could come
 	// straight back to it.
 	frontNotices = 450 * time.Millisecond
--- a/internal/dataplane/proxy/sessions.go
+++ b/internal/dataplane/proxy/sessions.go
@@ -116,17 +116,19 @@
 			delay = d.isDelay(now, x, a.load)
 		}
 	}
-	kind, wrong := balancer.NoteLoad, delay && tells && d.smallOn == a && a.load == d.small
+	kind, wrong := balancer.ObservedLoad, delay && tells && d.smallOn == a && a.load == d.small
 	if x < mostDelay {
 		d.smallAt, d.smallOn, d.small = now, a, x
 	}
 	switch {
 	case delay:
-		kind, d.told, d.toldAt = balancer.NoteDelay, x, now
+		kind, d.told, d.toldAt = balancer.ObservedLatency, x, now
 		if wrong && a.before > 0 {
 			// What was taken for this connection's load was the first delay.
 			a.load = a.before
-			c.tell(nil, a.req.pool, func(now balancer.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, balancer.NoteLoad, a.before) })
+			c.tell(nil, a.req.pool, func(now balancer.Time, m Balancer) {
+				m.Observe(now, a.req.ask.ID, a.number, balancer.ObservedLoad, a.before)
+			})
 		} else if a.load < mostDelay {
 			a.load = 0 // it may have been a delay itself
 		}
@@ -134,9 +136,9 @@
 		a.before, a.load = a.load, max(x, math.SmallestNonzeroFloat64)
 	}
 	if tracing() {
-		slog.Debug("told", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == balancer.NoteDelay, "value", x)
+		slog.Debug("told", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == balancer.ObservedLatency, "value", x)
 	}
-	c.tell(nil, a.req.pool, func(now balancer.Time, m Decider) { m.Note(now, a.req.ask.ID, a.number, kind, x) })
+	c.tell(nil, a.req.pool, func(now balancer.Time, m Balancer) { m.Observe(now, a.req.ask.ID, a.number, kind, x) })
 }
 
 // watchSessions looks for hosts that have fallen silent and tells the module of slow ones.
@@ -178,9 +180,9 @@
 	}
 	open, pending := c.standing()
 	slog.Info("counts", "open", open, "pending", pending, "connections", c.sessions, "opened", n.Opened,
-		"served", n.Served, "refused", n.Refused, "failed", n.Failed, "rejected", n.Rejected, "moved", n.Moved,
-		"lost", n.Lost, "turned_away", n.TurnedAway, "expiring", n.Expiring, "handed", n.Handed, "resumed", n.Resumed, "told", n.Told, "heard", n.Heard,
-		"probed", n.Probed)
+		"served", n.Served, "refused", n.Rejected, "failed", n.Failed, "rejected", n.Invalid, "moved", n.Migrated,
+		"lost", n.Lost, "turned_away", n.OverCapacity, "expiring", n.Expiring, "handed", n.HandedOver, "resumed", n.Resumed, "told", n.PeerMessagesSent, "heard", n.PeerMessagesReceived,
+		"probed", n.HealthChecks)
 	c.counts = Counts{}
 	if broken, held := c.monitor.Counts.Sum(); broken+held > 0 {
 		slog.Warn("invariants", "broken", broken, "held_back", held)
@@ -192,8 +194,8 @@
 func (c *Core) noteDelay(h *host, now int64) {
 	aim := int64(0)
 	for _, k := range c.opt.Settings.Classes {
-		if k.MessageAim > 0 && (aim == 0 || k.MessageAim < aim) {
-			aim = k.MessageAim
+		if k.MessageLatencyObjective > 0 && (aim == 0 || k.MessageLatencyObjective < aim) {
+			aim = k.MessageLatencyObjective
 		}
 	}
 	d := &h.delay
@@ -217,8 +219,8 @@
 	d.slow, d.noted = slow, now
 	for r := range h.up {
 		a := r.out
-		c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
-			m.Note(now, r.ask.ID, a.number, balancer.NoteDelay, float64(took)/1e6)
+		c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
+			m.Observe(now, r.ask.ID, a.number, balancer.ObservedLatency, float64(took)/1e6)
 		})
 		return
 	}
--- a/internal/dataplane/proxy/sessions_test.go
+++ b/internal/dataplane/proxy/sessions_test.go
@@ -10,7 +10,7 @@
 func TestDelayToldAsLoad(t *testing.T) {
 	w := newWorld(t)
 	_, u := w.serve("q")
-	tell := func(x float64) { u.ev.FromUpstream(Message{Kind: LoadTold, Load: x}) }
+	tell := func(x float64) { u.ev.FromUpstream(Message{Kind: LoadReported, Load: x}) }
 	for _, x := range []float64{1800, 60000, 65, 1100, 2900, 4100, 3000, 1500, 20} {
 		tell(x)
 		w.pass(time.Second)
@@ -27,7 +27,7 @@
 	w := newWorld(t)
 	_, u := w.serve("q")
 	for _, x := range []float64{679, 1064, 1668} {
-		u.ev.FromUpstream(Message{Kind: LoadTold, Load: x})
+		u.ev.FromUpstream(Message{Kind: LoadReported, Load: x})
 		w.pass(time.Second)
 	}
 	w.expect("note q 2 679", "note q 2 1064", "note q 2 1668")
@@ -35,7 +35,7 @@
 	w.pass(2 * time.Second)
 	_, u = w.serve("p")
 	for _, x := range []float64{1702, 2318, 2400, 51000} {
-		u.ev.FromUpstream(Message{Kind: LoadTold, Load: x})
+		u.ev.FromUpstream(Message{Kind: LoadReported, Load: x})
 		w.pass(time.Second)
 	}
 	w.expect("note p 1 1702", "note p 2 2318", "note p 2 2400", "note p 1 51000")
@@ -64,13 +64,13 @@
 	w := newWorld(t)
 	_, u := w.serve("q")
 	for _, x := range []float64{2674, 2506, 216, 21, 2475, 1937} {
-		u.ev.FromUpstream(Message{Kind: LoadTold, Load: x})
+		u.ev.FromUpstream(Message{Kind: LoadReported, Load: x})
 		w.pass(1200 * time.Millisecond)
 	}
 	w.expect("note q 1 2674", "note q 1 2506", "note q 2 216", "note q 2 21", "note q 1 2475", "note q 1 1937")
 	_, u = w.serve("p") // its host said nothing at first
-	u.ev.FromUpstream(Message{Kind: LoadTold, Load: 62})
-	u.ev.FromUpstream(Message{Kind: LoadTold, Load: 56})
+	u.ev.FromUpstream(Message{Kind: LoadReported, Load: 62})
+	u.ev.FromUpstream(Message{Kind: LoadReported, Load: 56})
 	w.expect("note p 2 62", "note p 2 56")
 }
 
@@ -84,7 +84,7 @@
 	tell := func(loaded float64, x ...float64) {
 		for _, x := range x {
 			h.loaded, h.loadedAt = loaded, w.now
-			u.ev.FromUpstream(Message{Kind: LoadTold, Load: x})
+			u.ev.FromUpstream(Message{Kind: LoadReported, Load: x})
 			w.pass(time.Second)
 		}
 	}
--- a/internal/dataplane/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -9,17 +9,17 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Standing is an open connection as one process of a proxy hands it to the next.
-type Standing struct {
-	Request balancer.Request `json:"Request"`
-	Class   string           `json:"Class"` // names, since numbers are of one process's settings
-	Tenant  string           `json:"Tenant"`
-	Host    string           `json:"Host"`
-	Load    float64          `json:"Load"`
-	Waiting []int64          `json:"Waiting"` // when the client's lines went up that no line has come back for
-	Last    Kind             `json:"Last"`
-	Down    netio.Parts      `json:"Down"`
-	Up      netio.Parts      `json:"Up"`
+// HandedOverConnection is an open connection as one process of a proxy hands it to the next.
+type HandedOverConnection struct {
+	Request         balancer.Request `json:"Request"`
+	Class           string           `json:"Class"` // names, since numbers are of one process's settings
+	Tenant          string           `json:"Tenant"`
+	Host            string           `json:"Host"`
+	Load            float64          `json:"Load"`
+	UnansweredSince []int64          `json:"Waiting"` // when the client's lines went up that no line has come back for
+	LastKind        MessageKind      `json:"Last"`
+	Down            netio.Parts      `json:"Down"`
+	Up              netio.Parts      `json:"Up"`
 }
 
 // Releaser is an end of a connection that can be handed over.
@@ -36,8 +36,8 @@
 		r.move(balancer.Cancelled)
 		return
 	}
-	s := &Standing{Request: r.ask, Class: c.opt.Settings.Classes[r.ask.Class].Name, Host: a.host.id, Load: a.load, Waiting: a.waiting,
-		Last: a.last}
+	s := &HandedOverConnection{Request: r.ask, Class: c.opt.Settings.Classes[r.ask.Class].Name, Host: a.host.id, Load: a.load, UnansweredSince: a.waiting,
+		LastKind: a.last}
 	if r.ask.Tenant >= 0 {
 		s.Tenant = c.opt.Settings.Tenants[r.ask.Tenant].Name
 	}
@@ -54,14 +54,14 @@
 				// One of the two has ended, which ends the other; a client that is left is moved.
 				a.conn.End(netio.Ended)
 				if s.Down.FD < 0 {
-					r.down.Move()
+					r.down.Migrate()
 				}
 				s.Up.Discard(nil)
-				s.Down.Discard(r.down.Goodbye())
+				s.Down.Discard(r.down.MigrationLine())
 				gone()
 			} else {
-				c.counts.Handed++
-				c.keeper.Standing(s, r.down.Goodbye(), gone)
+				c.counts.HandedOver++
+				c.keeper.HandOver(s, r.down.MigrationLine(), gone)
 			}
 			a.outcome(balancer.Cancelled)
 		})
@@ -79,12 +79,12 @@
 
 // Resume goes on with an open connection that another process has handed over. down is the client's end, up the host's; it
 // gives what these tell of.
-func (c *Core) Resume(s *Standing, down Downstream, up Upstream) (*Request, UpstreamEvents) {
+func (c *Core) Resume(s *HandedOverConnection, down Downstream, up Upstream) (*Request, UpstreamEvents) {
 	h := c.hosts[s.Host]
 	if h == nil {
 		// The list has dropped it since, and its connections live on.
 		h = c.newHost(s.Host)
-		h.state, h.listed.State = balancer.Departed, balancer.Departed
+		h.state, h.listed.State = balancer.Removed, balancer.Removed
 	}
 	q := s.Request
 	q.Tenant = -1
@@ -97,11 +97,11 @@
 	}
 	q.Class = class
 	r := &Request{core: c, down: down, ask: q, pool: h.pool, answered: true, attempts: 1}
-	a := &upstreamRequest{req: r, host: h, conn: up, sentAt: c.loop.Now(), up: true, last: s.Last}
+	a := &upstreamRequest{req: r, host: h, conn: up, sentAt: c.loop.Now(), up: true, last: s.LastKind}
 	if s.Load > 0 && !math.IsInf(s.Load, 0) {
 		a.load = s.Load
 	}
-	for _, t := range s.Waiting[:min(len(s.Waiting), maxWaiting)] {
+	for _, t := range s.UnansweredSince[:min(len(s.UnansweredSince), maxWaiting)] {
 		a.waiting = append(a.waiting, sinceResumed(t, c.loop.Now()))
 	}
 	r.rec = invariant.Request{Monitor: c.monitor, ID: q.ID, Class: r.class()}
@@ -111,13 +111,13 @@
 	c.requests[q.ID] = r
 	c.sessions++
 	c.counts.Resumed++
-	c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
-		m.Open(now, q, s.Host)
+	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
+		m.ConnectionAdopted(now, q, s.Host)
 		if a.load > 0 {
-			m.Note(now, q.ID, 0, balancer.NoteLoad, a.load)
+			m.Observe(now, q.ID, 0, balancer.ObservedLoad, a.load)
 		}
 	})
-	if c.suspended.Out(h.id) {
+	if c.suspended.Suspended(h.id) {
 		c.leaveHost(h, r)
 	}
 	return r, a
--- a/internal/dataplane/proxy/started.go
+++ b/internal/dataplane/proxy/started.go
@@ -44,8 +44,8 @@
 }
 
 // entry is the host as the module is to see it.
-func (h *host) entry() balancer.Entry {
+func (h *host) entry() balancer.ListedHost {
 	e := h.listed
-	e.State, e.Since = h.state, h.since
+	e.State, e.StartedAt = h.state, h.since
 	return e
 }
--- a/internal/dataplane/proxy/started_test.go
+++ b/internal/dataplane/proxy/started_test.go
@@ -21,14 +21,14 @@
 			if everywhere {
 				told += int64(step)
 			}
-			e := HostEntry{Endpoint: "at-A", Entry: balancer.Entry{ID: "A", Since: told}}
-			w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
+			e := HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", StartedAt: told}}
+			w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 			got := w.core.hosts["A"].since
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
 				t.Errorf("set by %v, at the host too %t: %v before now, 300ms expected at most", step, everywhere, time.Duration(w.now-got))
 			}
 			w.pass(time.Second) // told again, it is the same start
-			if w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts["A"].since != got {
+			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts["A"].since != got {
 				t.Errorf("set by %v: the same start is another one a second later", step)
 			}
 		}
--- a/internal/dataplane/proxy/suspend.go
+++ b/internal/dataplane/proxy/suspend.go
@@ -11,11 +11,11 @@
 
 // counting is the state that counts for a listed host: one that operators have taken out takes nothing, whatever
 // discovery says, and one that drains or is gone by another proxy's newer list takes nothing new.
-func (c *Core) counting(e balancer.Entry) balancer.State {
+func (c *Core) counting(e balancer.ListedHost) balancer.HostState {
 	switch {
 	case e.State != balancer.Ready:
 		return e.State
-	case c.suspended.Out(e.ID):
+	case c.suspended.Suspended(e.ID):
 		return balancer.Suspended
 	case c.belowFloor(e):
 		return balancer.Draining
@@ -37,50 +37,52 @@
 	}
 	// It holds here from now on; the yes waits until it would survive this process. The other process hears of it also
 	// where nothing changed here: a call may have gone to the one that knew less.
-	c.keeper.ByHand(id, out, func() { done(true) })
+	c.keeper.HostSuspended(id, out, func() { done(true) })
 }
 
 // setByHand has a host's ban, or the end of it, take effect.
 func (c *Core) setByHand(id string, out bool) {
-	ban, now, was := c.suspended.Ban(id), c.loop.Now(), c.suspended.Out(id)
+	ban, now, was := c.suspended.Suspension(id), c.loop.Now(), c.suspended.Suspended(id)
 	if !c.suspended.Set(id, out, now) {
 		return
 	}
 	slog.Info("by_hand", "host", id, "out", out)
-	if c.suspended.Out(id) != was {
+	if c.suspended.Suspended(id) != was {
 		c.treat(id, out, ban)
 	}
 }
 
 // SuspendForFleet takes the list of hosts that are out for the whole fleet, whole: a host that is no longer on it comes back.
 func (c *Core) SuspendForFleet(ids []string) {
-	bans := map[string]maintenance.Ban{}
+	bans := map[string]maintenance.Suspension{}
 	for _, id := range c.suspended.IDs() {
-		bans[id] = c.suspended.Ban(id)
+		bans[id] = c.suspended.Suspension(id)
 	}
 	for _, id := range c.suspended.SetFleet(ids, c.loop.Now()) {
-		out := c.suspended.Out(id)
+		out := c.suspended.Suspended(id)
 		slog.Info("by_hand", "host", id, "out", out, "fleet", true)
 		c.treat(id, out, bans[id])
 	}
 }
 
 // treat has a host that is out, or no longer, treated so. ban is the one that ends.
-func (c *Core) treat(id string, out bool, ban maintenance.Ban) {
+func (c *Core) treat(id string, out bool, ban maintenance.Suspension) {
 	now := c.loop.Now()
 	h := c.hosts[id]
-	if h == nil || h.listed.State == balancer.Departed {
+	if h == nil || h.listed.State == balancer.Removed {
 		return // it holds from the next list on that names the host
 	}
 	h.state = c.counting(h.listed)
 	e := h.entry()
 	if !out {
 		var guess bool
-		if e.Since, guess = ban.Start(e.Since, now); guess {
-			c.loop.After(time.Duration(maintenance.Doubt), func() { c.certain(h, e.Since) })
+		if e.StartedAt, guess = ban.StartAfter(e.StartedAt, now); guess {
+			c.loop.After(time.Duration(maintenance.StartUncertainty), func() { c.certain(h, e.StartedAt) })
 		}
 	}
-	c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, []balancer.Entry{e}) })
+	c.tell(nil, h.pool, func(now balancer.Time, m Balancer) {
+		m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{e})
+	})
 	c.takeBack()
 	if out {
 		for r := range h.up {
@@ -91,10 +93,10 @@
 
 // leaveHost moves a client off a host that is out, in its turn. The host is restarted next, which would cut it off.
 func (c *Core) leaveHost(h *host, r *Request) {
-	c.loop.After(maintenance.Leave(r.ask.ID), func() {
+	c.loop.After(maintenance.MigrationDelay(r.ask.ID), func() {
 		c.paced(func() bool {
 			_, there := h.up[r]
-			if there = there && c.suspended.Out(h.id); there {
+			if there = there && c.suspended.Suspended(h.id); there {
 				r.move(balancer.Cancelled)
 			}
 			return there
@@ -110,22 +112,22 @@
 	}
 	away := h.entry()
 	away.State = balancer.Suspended
-	back := []balancer.Entry{away, h.entry()}
-	c.tell(nil, h.pool, func(now balancer.Time, m Decider) { m.Members(now, balancer.ListByHand, 0, back) })
+	back := []balancer.ListedHost{away, h.entry()}
+	c.tell(nil, h.pool, func(now balancer.Time, m Balancer) { m.ListReceived(now, balancer.ListMaintenance, 0, back) })
 }
 
-// Figures is the text of all figures.
-func (c *Core) Figures() []byte {
+// Metrics is the text of all figures.
+func (c *Core) Metrics() []byte {
 	open, pending := c.standing()
-	n := metrics.Now{Concurrent: open + pending}
+	n := metrics.Gauges{Concurrent: open + pending}
 	now := c.loop.Now()
 	for id, h := range c.hosts {
-		if h.state == balancer.Departed {
+		if h.state == balancer.Removed {
 			continue
 		}
 		n.Hosts++
-		if c.suspended.Out(id) || h.pool != nil && h.pool.module.Avoids(now, id) {
-			n.Avoided++
+		if c.suspended.Suspended(id) || h.pool != nil && h.pool.module.Ejected(now, id) {
+			n.Ejected++
 		}
 	}
 	return c.figures.Text(n)
--- a/internal/dataplane/proxy/suspend_test.go
+++ b/internal/dataplane/proxy/suspend_test.go
@@ -14,8 +14,8 @@
 // noDiscovery is one that the test speaks for.
 type noDiscovery struct{}
 
-func (noDiscovery) Watch(bool) {}
-func (noDiscovery) Fetch()     {}
+func (noDiscovery) WatchList(bool) {}
+func (noDiscovery) FetchList()     {}
 
 // handWorld is a core with the real module between fakes.
 type handWorld struct {
@@ -26,7 +26,7 @@
 	hosts map[string]HostEntry
 }
 
-func (w *handWorld) Start(to Target, first First, until int64, within time.Duration, ev UpstreamEvents) Upstream {
+func (w *handWorld) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
 	if w.out[to.ID] {
 		w.t.Fatalf("%s is out by hand and gets a request", to.ID)
 	}
@@ -45,21 +45,21 @@
 }
 
 // begin makes a process of the proxy that knows what the last one kept.
-func (w *handWorld) begin(k *Kept) {
-	cfg := balancer.Config{Peers: 1, Tick: 2e6, MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, ColdFrom: 0.2,
-		WarmUp: 10e9, FallMultiple: 4, Fall: 2e9, QuarantineInit: -1, QuarantineMax: -1,
-		Classes: []balancer.Class{{Name: "c", Aim: 800e6, Deadline: 4800e6, MessageAim: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
+func (w *handWorld) begin(k *Snapshot) {
+	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2,
+		SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 	w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
 	if k != nil {
 		w.core.Inherit(k)
 	}
 	ch := w.list()
 	ch.Kind = balancer.ListCached
-	if err := w.core.Run(func(fx balancer.Effects) (Decider, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		w.t.Fatal(err)
 	}
 	if k != nil {
-		w.core.Recall(k.Memory)
+		w.core.RestoreBalancer(k.Balancer)
 	}
 }
 
@@ -69,7 +69,7 @@
 		w := &handWorld{world: &world{now: 1e18}, t: t, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		for _, id := range []string{"A", "B", "C"} {
-			w.hosts[id] = HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id, Weight: 1}}
+			w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
 		}
 		w.begin(nil)
 		n := 0
@@ -88,20 +88,20 @@
 				}
 			case 2:
 				h := w.hosts[id]
-				h.State = rapid.SampledFrom([]balancer.State{balancer.Ready, balancer.Draining, balancer.Departed}).Draw(t, "state")
-				h.Endpoint = rapid.SampledFrom([]string{"here", "there"}).Draw(t, "endpoint")
-				h.Entry.ID, h.Weight = id, 1
+				h.State = rapid.SampledFrom([]balancer.HostState{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
+				h.Address = rapid.SampledFrom([]string{"here", "there"}).Draw(t, "endpoint")
+				h.ListedHost.ID, h.Weight = id, 1
 				if rapid.Bool().Draw(t, "restarted") {
-					h.Since = w.now
+					h.StartedAt = w.now
 				}
-				if h.State == balancer.Departed {
+				if h.State == balancer.Removed {
 					delete(w.hosts, id)
 				} else {
 					w.hosts[id] = h
 				}
-				w.core.Listed(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
+				w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
 			case 3:
-				w.core.Listed(w.list())
+				w.core.ListReceived(w.list())
 			case 4, 5:
 				n++
 				w.open(fmt.Sprint(n))
@@ -111,15 +111,15 @@
 					u.sent()
 					switch rapid.IntRange(0, 2).Draw(t, "end") {
 					case 0:
-						u.ev.FromUpstream(Message{Kind: Busy})
+						u.ev.FromUpstream(Message{Kind: OverCapacity})
 					case 1:
-						u.ev.FromUpstream(Message{Kind: Receipt})
+						u.ev.FromUpstream(Message{Kind: Accepted})
 					case 2:
 						u.ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting})
 					}
 				}
 			case 7:
-				if k := w.core.Keep(true); rapid.Bool().Draw(t, "restart") {
+				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
 					w.loop, w.ups = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process is gone
 					w.begin(k)
 				}
@@ -133,7 +133,7 @@
 func TestAllHostsOut(t *testing.T) {
 	w := &handWorld{world: &world{t: t, now: 1e18}, t: nil, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.hosts["A"] = HostEntry{Endpoint: "at-A", Entry: balancer.Entry{ID: "A", Weight: 1}}
+	w.hosts["A"] = HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", Weight: 1}}
 	w.begin(nil)
 	w.core.Suspend("A", true, func(bool) {})
 	w.open("r1")
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -25,11 +25,11 @@
 	}
 	a.report = m.Report
 	switch m.Kind {
-	case Receipt:
+	case Accepted:
 		a.stand(m)
-	case Busy:
+	case OverCapacity:
 		a.finish(balancer.Full, netio.Ended)
-	case Fault:
+	case Failed:
 		a.finish(balancer.Error, netio.Ended)
 	default:
 		slog.Warn("odd_answer", "host", a.host.id, "request", r.ask.ID, "text", string(m.Text))
@@ -47,28 +47,28 @@
 	r.overdue.Stop()
 	delete(a.host.trying, a)
 	a.host.up[r] = struct{}{}
-	if c.suspended.Out(a.host.id) {
+	if c.suspended.Suspended(a.host.id) {
 		c.leaveHost(a.host, r) // it was on its way before the operators' word
 	}
 	c.counts.Served++
-	r.rec.Served(c.loop.Now())
-	how := metrics.Stood
+	r.rec.Accepted(c.loop.Now())
+	how := metrics.Established
 	if r.adopted {
 		how = metrics.Adopted
 	}
 	c.figures.Ended(r.ask.Class, how)
-	r.down.Serve(m)
+	r.down.Accept(m)
 	elapsed := c.loop.Now() - a.sentAt
 	if tracing() {
 		slog.Debug("stands", "request", r.ask.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
 			"ms", elapsed/1e6)
 	}
-	c.tell(nil, r.pool, func(now balancer.Time, m Decider) {
+	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
 		if r.adopted {
-			m.Open(now, r.ask, a.host.id)
+			m.ConnectionAdopted(now, r.ask, a.host.id)
 			return
 		}
-		m.First(now, r.ask.ID, a.number, elapsed)
+		m.AttemptEstablished(now, r.ask.ID, a.number, elapsed)
 	})
 	c.follow(r) // its host may have changed pools while it was on its way
 }
@@ -80,9 +80,9 @@
 		return false
 	}
 	switch m.Kind {
-	case Farewell, MoveAway:
+	case Finished, MigrateClient:
 		a.last, a.report = m.Kind, m.Report
-	case LoadTold:
+	case LoadReported:
 		a.loadTold(m.Load)
 	default:
 		if len(a.waiting) > 0 {
@@ -116,9 +116,9 @@
 	}
 	status := balancer.Reset
 	switch a.last {
-	case Farewell:
+	case Finished:
 		status = balancer.OK
-	case MoveAway:
+	case MigrateClient:
 		status = balancer.Cancelled
 	default:
 		a.req.core.counts.Lost++
--- a/internal/dataplane/proxy/world_test.go
+++ b/internal/dataplane/proxy/world_test.go
@@ -26,11 +26,13 @@
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, RetryAfter: true, MaxRetryAfter: 2e9,
-		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageAim: 150e6}},
+	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
+		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
 		Tenants: []balancer.Tenant{{Name: "t"}}}})
-	up := func(id string) HostEntry { return HostEntry{Endpoint: "at-" + id, Entry: balancer.Entry{ID: id}} }
-	err := w.core.Run(func(fx balancer.Effects) (Decider, error) { w.fx = fx; return (*fakeModule)(w), nil }, nil,
+	up := func(id string) HostEntry {
+		return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id}}
+	}
+	err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { w.fx = fx; return (*fakeModule)(w), nil }, nil,
 		Change{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
 	if err != nil {
 		t.Fatal(err)
@@ -68,19 +70,19 @@
 func (w *world) serve(id string) (*Request, *fakeUp) {
 	w.on = func(e string) {
 		if e == "request "+id {
-			w.fx.Send(id, "A", 0)
+			w.fx.StartAttempt(id, "A", 0)
 		}
 	}
 	r := w.open(id)
 	u := w.ups[len(w.ups)-1]
 	u.sent()
-	u.ev.FromUpstream(Message{Kind: Receipt, Text: []byte("UP\r\n")})
+	u.ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.seen = nil
 	return r, u
 }
 
-func (w *world) Start(to Target, _ First, until int64, _ time.Duration, ev UpstreamEvents) Upstream {
-	w.note("start %s %d", to.Endpoint, (until-w.now)/1e6)
+func (w *world) Start(to Target, _ RequestLine, until int64, _ time.Duration, ev UpstreamEvents) Upstream {
+	w.note("start %s %d", to.Address, (until-w.now)/1e6)
 	u := &fakeUp{w: w, ev: ev}
 	w.ups = append(w.ups, u)
 	return u
@@ -116,19 +118,19 @@
 	id string
 }
 
-func (d *fakeDown) Serve(Message) { d.w.note("serve %s", d.id) }
+func (d *fakeDown) Accept(Message) { d.w.note("serve %s", d.id) }
 
-func (d *fakeDown) Refuse(after time.Duration) { d.w.note("refuse %s %d", d.id, after.Milliseconds()) }
+func (d *fakeDown) Reject(after time.Duration) { d.w.note("refuse %s %d", d.id, after.Milliseconds()) }
 
 func (d *fakeDown) Fail() { d.w.note("fail %s", d.id) }
 
 func (d *fakeDown) Pass(Message) bool { return true }
 
-func (d *fakeDown) Goodbye() []byte { return nil }
+func (d *fakeDown) MigrationLine() []byte { return nil }
 
 func (d *fakeDown) Pump() { d.w.note("pump %s", d.id) }
 
-func (d *fakeDown) Move() { d.w.note("move %s", d.id) }
+func (d *fakeDown) Migrate() { d.w.note("move %s", d.id) }
 
 func (d *fakeDown) End(cause netio.Cause) { d.w.note("end %s %s", d.id, cause) }
 
@@ -142,40 +144,42 @@
 	}
 }
 
-func (m *fakeModule) Request(_ balancer.Time, q balancer.Request) { m.event("request %s", q.ID) }
+func (m *fakeModule) RequestArrived(_ balancer.Time, q balancer.Request) { m.event("request %s", q.ID) }
 
-func (m *fakeModule) Open(_ balancer.Time, q balancer.Request, s string) {
+func (m *fakeModule) ConnectionAdopted(_ balancer.Time, q balancer.Request, s string) {
 	m.event("open %s %s", q.ID, s)
 }
 
-func (m *fakeModule) First(_ balancer.Time, id string, n int, _ balancer.Time) {
+func (m *fakeModule) AttemptEstablished(_ balancer.Time, id string, n int, _ balancer.Time) {
 	m.event("first %s %d", id, n)
 }
 
-func (m *fakeModule) Outcome(_ balancer.Time, id string, n int, s balancer.Status, _ balancer.Time, closed bool, _ []float64) {
+func (m *fakeModule) AttemptEnded(_ balancer.Time, id string, n int, s balancer.AttemptStatus, _ balancer.Time, closed bool, _ []float64) {
 	m.event("outcome %s %d %d %t", id, n, s, closed)
 }
 
-func (m *fakeModule) Gone(_ balancer.Time, id string) { m.event("gone %s", id) }
+func (m *fakeModule) ClientLeft(_ balancer.Time, id string) { m.event("gone %s", id) }
 
-func (m *fakeModule) Note(_ balancer.Time, id string, n int, k balancer.NoteKind, v float64) {
+func (m *fakeModule) Observe(_ balancer.Time, id string, n int, k balancer.Observation, v float64) {
 	m.event("note %s %d %g", id, k, v)
 }
 
-func (m *fakeModule) Members(_ balancer.Time, k balancer.ListKind, _ int64, e []balancer.Entry) {
+func (m *fakeModule) ListReceived(_ balancer.Time, k balancer.ListChange, _ int64, e []balancer.ListedHost) {
 	m.event("members %d %d", k, len(e))
 }
 
-func (m *fakeModule) Probed(_ balancer.Time, id string, s balancer.Status, _ balancer.Time, load []float64) {
+func (m *fakeModule) HealthCheckEnded(_ balancer.Time, id string, s balancer.AttemptStatus, _ balancer.Time, load []float64) {
 	m.event("probed %s %s %v", id, s, load)
 }
 
-func (m *fakeModule) Peer(_ balancer.Time, from int, data []byte) { m.event("peer %d %s", from, data) }
+func (m *fakeModule) PeerMessageReceived(_ balancer.Time, from int, data []byte) {
+	m.event("peer %d %s", from, data)
+}
 
-func (m *fakeModule) Remember(bool) balancer.Memory { return balancer.Memory{} }
+func (m *fakeModule) Snapshot(bool) balancer.Snapshot { return balancer.Snapshot{} }
 
-func (m *fakeModule) Recall(balancer.Time, balancer.Memory) {}
+func (m *fakeModule) Restore(balancer.Time, balancer.Snapshot) {}
 
-func (m *fakeModule) Avoids(_ balancer.Time, id string) bool { return id == m.avoided }
+func (m *fakeModule) Ejected(_ balancer.Time, id string) bool { return id == m.avoided }
 
-func (m *fakeModule) Timer(_ balancer.Time, token string) { m.event("timer %s", token) }
+func (m *fakeModule) TimerFired(_ balancer.Time, token string) { m.event("timer %s", token) }
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -13,7 +13,7 @@
 )
 
 // Host is an upstream host to connect to.
-type Host struct{ ID, Zone, Endpoint string }
+type Host struct{ ID, Zone, Address string }
 
 // kernelBuffer is what the kernel is asked to hold for a connection, as netio does.
 const kernelBuffer = 16 << 10
@@ -64,7 +64,7 @@
 	if f := m.OwnFault(k.wall()); f != nil {
 		return nil, f
 	}
-	address, _, err := net.SplitHostPort(t.Endpoint)
+	address, _, err := net.SplitHostPort(t.Address)
 	if err != nil {
 		return nil, &Failure{Reason: Unreachable, Step: "queue", Err: err}
 	}
@@ -110,7 +110,7 @@
 		k.budget.Done(k.loop.Now(), d.id, false, 0, false)
 		return
 	}
-	d.job = &job{id: d.id, peer: p, endpoint: d.host.Endpoint, until: time.Now().Add(time.Duration(d.deadline - k.loop.Now()))}
+	d.job = &job{id: d.id, peer: p, endpoint: d.host.Address, until: time.Now().Add(time.Duration(d.deadline - k.loop.Now()))}
 	k.jobs <- d.job
 }
 
--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -73,22 +73,22 @@
 	c.changing = len(c.conf.VotersOutgoing) > 0
 	c.place()
 	if len(cc.Changes) > 0 {
-		c.fx.Tell("group_changed", "voters", len(c.conf.Voters), "learners", len(c.conf.Learners), "name", name)
+		c.fx.LogEvent("group_changed", "voters", len(c.conf.Voters), "learners", len(c.conf.Learners), "name", name)
 		c.fx.Applied(0, tag, nil)
 	}
 }
 
 // place sees whether this process is of the group.
 func (c *Core) place() {
-	if c.phase != Member && c.phase != Outside {
+	if c.phase != Member && c.phase != NotMember {
 		return
 	}
 	_, in := c.names[c.who.ID]
 	if in != (c.phase == Member) {
-		if c.phase = Outside; in {
+		if c.phase = NotMember; in {
 			c.phase = Member
 		}
-		c.fx.Tell("group_phase", "phase", c.phase.String())
+		c.fx.LogEvent("group_phase", "phase", c.phase.String())
 	}
 }
 
@@ -145,7 +145,7 @@
 }
 
 func (c *Core) compact() {
-	if c.applied-c.snapAt < uint64(c.cfg.Every) {
+	if c.applied-c.snapAt < uint64(c.cfg.SnapshotEvery) {
 		return
 	}
 	conf := c.conf
@@ -161,7 +161,7 @@
 	}
 	c.snapAt = c.applied
 	first, _ := c.mem.FirstIndex()
-	if to := c.applied - uint64(c.cfg.Keep); c.applied > uint64(c.cfg.Keep) && to > first {
+	if to := c.applied - uint64(c.cfg.KeepBehindSnapshot); c.applied > uint64(c.cfg.KeepBehindSnapshot) && to > first {
 		if err := c.mem.Compact(to); err != nil {
 			panic(err)
 		}
--- a/internal/fleet/consensus/consensus.go
+++ b/internal/fleet/consensus/consensus.go
@@ -29,30 +29,30 @@
 
 // Errors of what is asked of a Core.
 var (
-	ErrNotLeader = group.ErrNotLeader
-	ErrLong      = group.ErrLong
-	ErrBusy      = group.ErrBusy
+	ErrNotLeader      = group.ErrNotLeader
+	ErrCommandTooLong = group.ErrCommandTooLong
+	ErrBusy           = group.ErrBusy
 )
 
 // The phases.
 const (
-	Starting Phase = iota // asks the others what they know of it
-	Outside               // not of the group, or not yet
-	Member                // takes part
-	Stale                 // its store is older than what others had from it: it must be replaced
-	Broken                // its store failed
+	Starting  Phase = iota // asks the others what they know of it
+	NotMember              // not of the group, or not yet
+	Member                 // takes part
+	Stale                  // its store is older than what others had from it: it must be replaced
+	Broken                 // its store failed
 )
 
 // Config is what a process is told once.
 type Config struct {
-	Group, Name string
-	Initial     []string // voters at the group's first start, by name; the same list everywhere
-	Seed        uint64
-	Turn        Time // between two calls of Tick; 0: 100 ms
-	Heartbeat   int  // in turns; 0: 2
-	Election    int  // in turns: a leader unheard for so long, and up to twice as long by lot, is lost; 0: 8
-	Every       int  // commands after which a snapshot is taken; 0: 512
-	Keep        int  // commands kept behind it, for voters that lag; 0: 128
+	Group, Name        string
+	InitialVoters      []string // voters at the group's first start, by name; the same list everywhere
+	Seed               uint64
+	TickInterval       Time // between two calls of Tick; 0: 100 ms
+	HeartbeatTicks     int  // in turns; 0: 2
+	ElectionTicks      int  // in turns: a leader unheard for so long, and up to twice as long by lot, is lost; 0: 8
+	SnapshotEvery      int  // commands after which a snapshot is taken; 0: 512
+	KeepBehindSnapshot int  // commands kept behind it, for voters that lag; 0: 128
 }
 
 const (
@@ -87,8 +87,8 @@
 	failure   error
 	who       Identity
 	life      uint64
-	saved     Saved
-	seen      map[uint64]Seen
+	saved     StoredState
+	seen      map[uint64]StartRecord
 	met       map[uint64]met
 	answers   map[uint32]bool // at a start: whether the one who answered knows a group
 	began     Time
@@ -118,7 +118,7 @@
 		c.began = c.now
 	}
 	switch c.phase {
-	case Starting, Outside:
+	case Starting, NotMember:
 		if c.now-c.helloAt >= helloEach || c.helloAt == 0 {
 			c.helloAt = c.now
 			c.hello()
@@ -134,14 +134,14 @@
 	c.turnAt = c.now
 	if c.node.BasicStatus().RaftState == raft.StateLeader {
 		// A leader that slept counts what it slept: it must not go on as if no time had passed.
-		for n := Time(0); n < max(1, min(late/c.cfg.Turn, Time(2*c.cfg.Election))); n++ {
+		for n := Time(0); n < max(1, min(late/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks))); n++ {
 			c.node.Tick()
 		}
 	} else {
 		// The library draws its time-outs from a source that can't be seeded. Its clock goes on without them, and the
 		// drawing is done here.
 		c.node.TickQuiesced()
-		if late > 4*c.cfg.Turn {
+		if late > 4*c.cfg.TickInterval {
 			c.heard() // this process slept: what it did not hear meanwhile says nothing
 		}
 		if c.now-c.heardAt > c.patience && c.promotable() {
@@ -155,13 +155,13 @@
 // heard begins anew the time in which the leader has to be heard.
 func (c *Core) heard() {
 	c.heardAt = c.now
-	e := Time(c.cfg.Election) * c.cfg.Turn
+	e := Time(c.cfg.ElectionTicks) * c.cfg.TickInterval
 	c.patience = e + Time(c.rng.Int64N(int64(e)))
 }
 
 // others are the peers that a start asks: all voters but this one.
 func (c *Core) others() (peers []uint32) {
-	seen := map[uint32]bool{Peer(c.cfg.Name): true}
+	seen := map[uint32]bool{PeerID(c.cfg.Name): true}
 	add := func(p uint32) {
 		if !seen[p] {
 			seen[p] = true
@@ -174,8 +174,8 @@
 		}
 		return peers
 	}
-	for _, n := range c.cfg.Initial {
-		add(Peer(n))
+	for _, n := range c.cfg.InitialVoters {
+		add(PeerID(n))
 	}
 	return peers
 }
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -75,7 +75,7 @@
 	for range 30 {
 		g.run(1e8)
 		for _, m := range g.queue {
-			if m.to == Peer("a") && len(seeds) < 40 {
+			if m.to == PeerID("a") && len(seeds) < 40 {
 				seeds = append(seeds, m.data)
 			}
 		}
@@ -87,8 +87,8 @@
 		g := newGroup(t, 13, "a", "b", "c")
 		g.run(2e9)
 		a := g.cores["a"]
-		a.Receive(g.now, Peer("b"), data)
-		a.Receive(g.now, Peer("b"), append([]byte{msgRaft, 1, 'g'}, data...))
+		a.Receive(g.now, PeerID("b"), data)
+		a.Receive(g.now, PeerID("b"), append([]byte{msgRaft, 1, 'g'}, data...))
 		g.run(5e8)
 	})
 }
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -50,12 +50,12 @@
 	g := newGroup(t, 6, "a", "b", "c")
 	g.propose("one")
 	g.kill("b")
-	g.disks["b"] = &Memory{}
+	g.disks["b"] = &MemoryStore{}
 	if err := g.start("b"); err != nil {
 		t.Fatal(err)
 	}
 	g.run(3e9)
-	if p, _ := g.cores["b"].Phase(); p != Outside {
+	if p, _ := g.cores["b"].Phase(); p != NotMember {
 		t.Fatalf("phase %v", p)
 	}
 	g.propose("two")
@@ -108,12 +108,12 @@
 	g.propose("one")
 	for _, n := range []string{"a", "b"} {
 		g.kill(n)
-		g.disks[n] = &Memory{}
+		g.disks[n] = &MemoryStore{}
 		g.start(n)
 	}
 	g.run(10e9)
 	for _, n := range []string{"a", "b"} {
-		if p, _ := g.cores[n].Phase(); p != Outside {
+		if p, _ := g.cores[n].Phase(); p != NotMember {
 			t.Errorf("%s: %v", n, p)
 		}
 	}
@@ -150,7 +150,7 @@
 func TestWrongStore(t *testing.T) {
 	g := newGroup(t, 11, "a")
 	g.run(2e9)
-	_, err := Open(Config{Group: "g", Name: "b", Initial: []string{"b"}}, g.disks["a"], nil, side{g, "b"})
+	_, err := Open(Config{Group: "g", Name: "b", InitialVoters: []string{"b"}}, g.disks["a"], nil, side{g, "b"})
 	if err == nil || !strings.Contains(err.Error(), "store is of a in group g") {
 		t.Error(err)
 	}
--- a/internal/fleet/consensus/disk/disk.go
+++ b/internal/fleet/consensus/disk/disk.go
@@ -93,15 +93,15 @@
 func (s *Store) SaveIdentity(id consensus.Identity) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
-		return put(tx.Bucket(bucketMeta), keyIdentity, w.Text(id.Group).Text(id.Name).Uint(id.ID).Uint(id.Boots).Bool(id.Stale).Data)
+		return put(tx.Bucket(bucketMeta), keyIdentity, w.Text(id.Group).Text(id.Name).Uint(id.ID).Uint(id.Starts).Bool(id.Stale).Data)
 	})
 }
 
-// SaveSeen keeps another voter's last start.
-func (s *Store) SaveSeen(id uint64, seen consensus.Seen) error {
+// SaveStartRecord keeps another voter's last start.
+func (s *Store) SaveStartRecord(id uint64, seen consensus.StartRecord) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
-		return put(tx.Bucket(bucketSeen), number(id), w.Uint(seen.Boots).Uint(seen.Life).Data)
+		return put(tx.Bucket(bucketSeen), number(id), w.Uint(seen.Starts).Uint(seen.Incarnation).Data)
 	})
 }
 
--- a/internal/fleet/consensus/disk/disk_test.go
+++ b/internal/fleet/consensus/disk/disk_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-func fill(t testing.TB, path string) consensus.Saved {
+func fill(t testing.TB, path string) consensus.StoredState {
 	t.Helper()
 	s, err := Open(path, 1<<20)
 	if err != nil {
@@ -36,8 +36,8 @@
 			t.Fatal(err)
 		}
 	}
-	must(s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Boots: 3}))
-	must(s.SaveSeen(9, consensus.Seen{Boots: 2, Life: 5}))
+	must(s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Starts: 3}))
+	must(s.SaveStartRecord(9, consensus.StartRecord{Starts: 2, Incarnation: 5}))
 	must(s.Save(raftpb.HardState{Term: 2, Vote: 9, Commit: 4}, entries(1, 10, 1), raftpb.Snapshot{}))
 	must(s.Save(raftpb.HardState{}, entries(8, 2, 2), raftpb.Snapshot{})) // takes the place of 8 to 10
 	must(s.Save(raftpb.HardState{}, nil, raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 4, Term: 1}}))
@@ -60,10 +60,10 @@
 		t.Fatal(err)
 	}
 	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
-	if got.ID != 7 || got.Boots != 3 || got.Hard.Vote != 9 || string(got.Snap.Data) != "state" || got.Seen[9].Boots != 2 || !reflect.DeepEqual(got.Entries, want) {
+	if got.ID != 7 || got.Starts != 3 || got.Hard.Vote != 9 || string(got.Snap.Data) != "state" || got.Seen[9].Starts != 2 || !reflect.DeepEqual(got.Entries, want) {
 		t.Errorf("%+v", got)
 	}
-	if _, err := Open(path, 1<<20); !errors.Is(err, ErrInUse) || !ByItself(err) {
+	if _, err := Open(path, 1<<20); !errors.Is(err, ErrInUse) || !Recoverable(err) {
 		t.Error("a store in use:", err)
 	}
 	// A snapshot from another voter, beyond all that is here, takes the log's place.
@@ -110,7 +110,7 @@
 		got, err := s.Load()
 		if err != nil {
 			refused++
-			if ByItself(err) {
+			if Recoverable(err) {
 				t.Errorf("%d: %v is to pass by itself", i, err)
 			}
 		} else if !reflect.DeepEqual(got, want) && got.ID != 0 {
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Boots: 1})
+	s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Starts: 1})
 	if err := s.Save(raftpb.HardState{Term: 1}, entries(1, 5, 1), raftpb.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	err = s.Save(raftpb.HardState{Term: 2}, entries(6, 5, 2), raftpb.Snapshot{})
 	again := s.Save(raftpb.HardState{Term: 2}, nil, raftpb.Snapshot{})
 	unix.Setrlimit(unix.RLIMIT_FSIZE, &was)
-	if err == nil || !ByItself(err) {
+	if err == nil || !Recoverable(err) {
 		t.Fatalf("no room: %v", err)
 	}
 	if again == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
@@ -180,7 +180,7 @@
 		self bool
 	}{{&os.PathError{Op: "write", Err: syscall.ENOSPC}, true}, {&os.PathError{Op: "write", Err: syscall.EIO}, false}, {syscall.EIO, false},
 		{syscall.ENOSPC, false}, {&os.PathError{Op: "sync", Err: syscall.ENOSPC}, false}, {&os.PathError{Op: "open", Err: syscall.EROFS}, true}} {
-		if ByItself(fmt.Errorf("store: %w", c.err)) != c.self {
+		if Recoverable(fmt.Errorf("store: %w", c.err)) != c.self {
 			t.Errorf("%v: by itself %v", c.err, !c.self)
 		}
 	}
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -13,7 +13,7 @@
 )
 
 // Load reads all that is kept.
-func (s *Store) Load() (out consensus.Saved, err error) {
+func (s *Store) Load() (out consensus.StoredState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -23,7 +23,7 @@
 			s.failed = err
 		}
 	}()
-	out.Seen = map[uint64]consensus.Seen{}
+	out.Seen = map[uint64]consensus.StartRecord{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		// The library's own check runs where a fault can't be caught. All that is kept is read here, and fits its sum or does not.
 		meta := tx.Bucket(bucketMeta)
@@ -52,7 +52,7 @@
 		}
 		if err := get(keyIdentity, func(data []byte) error {
 			r := encoding.Reader{Data: data}
-			out.Identity = consensus.Identity{Group: r.Text(64), Name: r.Text(64), ID: r.Uint(), Boots: r.Uint(), Stale: r.Bool()}
+			out.Identity = consensus.Identity{Group: r.Text(64), Name: r.Text(64), ID: r.Uint(), Starts: r.Uint(), Stale: r.Bool()}
 			return r.Err()
 		}); err != nil {
 			return err
@@ -69,7 +69,7 @@
 				return err
 			}
 			r := encoding.Reader{Data: data}
-			out.Seen[binary.BigEndian.Uint64(k)] = consensus.Seen{Boots: r.Uint(), Life: r.Uint()}
+			out.Seen[binary.BigEndian.Uint64(k)] = consensus.StartRecord{Starts: r.Uint(), Incarnation: r.Uint()}
 			return r.Err()
 		}); err != nil {
 			return err
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -68,9 +68,9 @@
 	return d.Sync()
 }
 
-// ByItself tells whether a store that failed may be opened again by the same process: there was no room, or none to write. After any
+// Recoverable tells whether a store that failed may be opened again by the same process: there was no room, or none to write. After any
 // other failure, first of all of a sync, what the system shows of the file may not be what is on the disk.
-func ByItself(err error) bool {
+func Recoverable(err error) bool {
 	var p *fs.PathError
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrInUse) {
 		return true
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -50,7 +50,7 @@
 	initial []string
 	cores   map[string]*Core
 	regs    map[string]*register
-	disks   map[string]*Memory
+	disks   map[string]*MemoryStore
 	done    map[uint64]bool
 	led     map[uint64]bool
 	queue   []mail
@@ -61,7 +61,7 @@
 }
 
 func newGroup(t testing.TB, seed uint64, voters ...string) *fleet {
-	g := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, regs: map[string]*register{}, disks: map[string]*Memory{},
+	g := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, regs: map[string]*register{}, disks: map[string]*MemoryStore{},
 		done: map[uint64]bool{}, led: map[uint64]bool{}, cut: func(string, string) bool { return false }}
 	for _, n := range voters {
 		g.start(n)
@@ -76,8 +76,8 @@
 
 func (s side) Send(peer uint32, msg []byte) {
 	for _, n := range s.g.names {
-		if Peer(n) == peer && s.g.rng.Float64() >= s.g.loss && !s.g.cut(s.name, n) {
-			s.g.queue = append(s.g.queue, mail{Peer(s.name), peer, slices.Clone(msg), s.g.now + 1e6 + s.g.rng.Int64N(5e6)})
+		if PeerID(n) == peer && s.g.rng.Float64() >= s.g.loss && !s.g.cut(s.name, n) {
+			s.g.queue = append(s.g.queue, mail{PeerID(s.name), peer, slices.Clone(msg), s.g.now + 1e6 + s.g.rng.Int64N(5e6)})
 		}
 	}
 }
@@ -86,17 +86,17 @@
 
 func (s side) Confirmed(tag uint64) { s.g.led[tag] = true }
 
-func (s side) Tell(event string, args ...any) {
+func (s side) LogEvent(event string, args ...any) {
 	s.g.events = append(s.g.events, fmt.Sprint(s.name, " ", event, " ", args))
 }
 
 func (g *fleet) start(name string) error {
 	if g.disks[name] == nil {
-		g.disks[name] = &Memory{}
+		g.disks[name] = &MemoryStore{}
 		g.names = append(g.names, name)
 	}
 	reg := &register{}
-	c, err := Open(Config{Group: "g", Name: name, Initial: g.initial, Seed: g.rng.Uint64(), Every: 20, Keep: 5}, g.disks[name], map[byte]Machine{1: reg}, side{g, name})
+	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, KeepBehindSnapshot: 5}, g.disks[name], map[byte]Machine{1: reg}, side{g, name})
 	if err == nil {
 		g.cores[name], g.regs[name] = c, reg
 	}
@@ -115,7 +115,7 @@
 				g.queue = slices.Delete(g.queue, i, i+1)
 				i--
 				for _, n := range g.names {
-					if c := g.cores[n]; c != nil && Peer(n) == m.to {
+					if c := g.cores[n]; c != nil && PeerID(n) == m.to {
 						c.Receive(g.now, m.from, m.data)
 					}
 				}
--- a/internal/fleet/consensus/lead.go
+++ b/internal/fleet/consensus/lead.go
@@ -50,7 +50,7 @@
 func (c *Core) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
 	c.now = max(c.now, now)
 	if len(cmd) > mostCommand {
-		return ErrLong
+		return ErrCommandTooLong
 	}
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
@@ -79,7 +79,7 @@
 		}
 	})
 	if best != 0 {
-		c.yields = c.now + Time(c.cfg.Election)*c.cfg.Turn // as long as the library tries
+		c.yields = c.now + Time(c.cfg.ElectionTicks)*c.cfg.TickInterval // as long as the library tries
 		c.guard(func() { c.node.TransferLeader(best) })
 		c.work()
 	}
@@ -89,14 +89,14 @@
 func (c *Core) Close() error {
 	c.node = nil
 	if c.phase == Member || c.phase == Starting {
-		c.phase = Outside
+		c.phase = NotMember
 	}
 	return c.store.Close()
 }
 
 // Status tells how this process stands.
 func (c *Core) Status() Status {
-	s := Status{Phase: c.phase.String(), Reason: c.why, ID: fmt.Sprintf("%016x", c.who.ID), Boots: c.who.Boots, Applied: c.applied, Waits: []string{}, Members: []StatusMember{}}
+	s := Status{Phase: c.phase.String(), Reason: c.why, ID: fmt.Sprintf("%016x", c.who.ID), Boots: c.who.Starts, Applied: c.applied, Waits: []string{}, Members: []StatusMember{}}
 	progress := map[uint64]tracker{}
 	if c.node != nil {
 		st := c.node.BasicStatus()
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -8,10 +8,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Memory is a Store for tests and for runs in virtual time, which a crash, a failure and a copy put back can be played with.
-type Memory struct {
-	disk Saved
-	lazy *Saved // what was last synced, while syncs are skipped
+// MemoryStore is a Store for tests and for runs in virtual time, which a crash, a failure and a copy put back can be played with.
+type MemoryStore struct {
+	disk StoredState
+	lazy *StoredState // what was last synced, while syncs are skipped
 	// SkipSync is a planted fault: what is saved is lost with a crash.
 	SkipSync bool
 	// Fail is the error of each call that saves from now on.
@@ -19,18 +19,18 @@
 	closed bool
 }
 
-func clone(s Saved) Saved {
+func clone(s StoredState) StoredState {
 	s.Entries = append([]raftpb.Entry(nil), s.Entries...)
 	s.Seen = maps.Clone(s.Seen)
 	return s
 }
 
 // Load gives what was saved.
-func (m *Memory) Load() (Saved, error) {
+func (m *MemoryStore) Load() (StoredState, error) {
 	m.closed = false
 	out := clone(m.disk)
 	if out.Seen == nil {
-		out.Seen = map[uint64]Seen{}
+		out.Seen = map[uint64]StartRecord{}
 	}
 	n := 0
 	for n < len(out.Entries) && out.Entries[n].Index <= out.Snap.Metadata.Index {
@@ -40,7 +40,7 @@
 	return out, m.Fail
 }
 
-func (m *Memory) write(f func(s *Saved)) error {
+func (m *MemoryStore) write(f func(s *StoredState)) error {
 	if m.closed {
 		return errors.New("memory: closed")
 	}
@@ -56,7 +56,7 @@
 }
 
 // Crash loses what was not synced.
-func (m *Memory) Crash() {
+func (m *MemoryStore) Crash() {
 	if m.lazy != nil {
 		m.disk, m.lazy = *m.lazy, nil
 	}
@@ -64,27 +64,29 @@
 }
 
 // Copy is what a backup of the file would hold, and PutBack puts one in its place.
-func (m *Memory) Copy() Saved { return clone(m.disk) }
+func (m *MemoryStore) Copy() StoredState { return clone(m.disk) }
 
 // PutBack takes a copy for the file.
-func (m *Memory) PutBack(s Saved) { m.disk, m.lazy = clone(s), nil }
+func (m *MemoryStore) PutBack(s StoredState) { m.disk, m.lazy = clone(s), nil }
 
 // SaveIdentity is the Store's.
-func (m *Memory) SaveIdentity(id Identity) error { return m.write(func(s *Saved) { s.Identity = id }) }
+func (m *MemoryStore) SaveIdentity(id Identity) error {
+	return m.write(func(s *StoredState) { s.Identity = id })
+}
 
-// SaveSeen is the Store's.
-func (m *Memory) SaveSeen(id uint64, seen Seen) error {
-	return m.write(func(s *Saved) {
+// SaveStartRecord is the Store's.
+func (m *MemoryStore) SaveStartRecord(id uint64, seen StartRecord) error {
+	return m.write(func(s *StoredState) {
 		if s.Seen == nil {
-			s.Seen = map[uint64]Seen{}
+			s.Seen = map[uint64]StartRecord{}
 		}
 		s.Seen[id] = seen
 	})
 }
 
 // Save is the Store's.
-func (m *Memory) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
-	return m.write(func(s *Saved) {
+func (m *MemoryStore) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
+	return m.write(func(s *StoredState) {
 		if !raft.IsEmptySnap(snap) {
 			s.Snap = snap
 			if n := len(s.Entries); n > 0 && s.Entries[n-1].Index < snap.Metadata.Index {
@@ -105,8 +107,8 @@
 }
 
 // Compact is the Store's.
-func (m *Memory) Compact(upTo uint64) error {
-	return m.write(func(s *Saved) {
+func (m *MemoryStore) Compact(upTo uint64) error {
+	return m.write(func(s *StoredState) {
 		n := 0
 		for n < len(s.Entries) && s.Entries[n].Index <= upTo {
 			n++
@@ -116,4 +118,4 @@
 }
 
 // Close is the Store's.
-func (m *Memory) Close() error { m.closed = true; return nil }
+func (m *MemoryStore) Close() error { m.closed = true; return nil }
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -6,20 +6,20 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Peer names a process in messages.
-func Peer(name string) uint32 { return group.Peer(name) }
+// PeerID names a process in messages.
+func PeerID(name string) uint32 { return group.Peer(name) }
 
-// ID is a voter's identity: a process that lost its disk is not the voter that it was, and comes back under another nonce.
-func ID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(Peer(name)) }
+// VoterID is a voter's identity: a process that lost its disk is not the voter that it was, and comes back under another nonce.
+func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
 func peerOf(id uint64) uint32 { return uint32(id) }
 
 // Store keeps what a voter must not forget. What returned without error is durable. After an error nothing else may be asked of it but
 // Close.
 type Store interface {
-	Load() (Saved, error)
+	Load() (StoredState, error)
 	SaveIdentity(Identity) error
-	SaveSeen(id uint64, s Seen) error
+	SaveStartRecord(id uint64, s StartRecord) error
 	Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error
 	Compact(upTo uint64) error
 	Close() error
@@ -29,21 +29,21 @@
 type Identity struct {
 	Group, Name string
 	ID          uint64 // 0: none yet
-	Boots       uint64 // how often it was begun with
+	Starts      uint64 // how often it was begun with
 	Stale       bool   // it was found to be older than what others have had: whoever found it may forget, so it is kept here
 }
 
-// Seen is the last start of another voter that this process knows of.
-type Seen struct {
-	Boots uint64
-	Life  uint64 // drawn at each start
+// StartRecord is the last start of another voter that this process knows of.
+type StartRecord struct {
+	Starts      uint64
+	Incarnation uint64 // drawn at each start
 }
 
-// Saved is all that a store holds.
-type Saved struct {
+// StoredState is all that a store holds.
+type StoredState struct {
 	Identity
 	Hard    raftpb.HardState
 	Snap    raftpb.Snapshot
 	Entries []raftpb.Entry
-	Seen    map[uint64]Seen
+	Seen    map[uint64]StartRecord
 }
--- a/internal/fleet/consensus/welcome.go
+++ b/internal/fleet/consensus/welcome.go
@@ -8,7 +8,7 @@
 
 func (c *Core) hello() {
 	var w encoding.Writer
-	w.Uint(msgHello).Text(c.cfg.Group).Text(c.cfg.Name).Uint(c.who.ID).Uint(c.who.Boots).Uint(c.life)
+	w.Uint(msgHello).Text(c.cfg.Group).Text(c.cfg.Name).Uint(c.who.ID).Uint(c.who.Starts).Uint(c.life)
 	for _, p := range c.others() {
 		c.fx.Send(p, w.Data)
 	}
@@ -16,7 +16,7 @@
 
 func (c *Core) takeHello(from uint32, r encoding.Reader) error {
 	group, name, id, boots, life := r.Text(mostName), r.Text(mostName), r.Uint(), r.Uint(), r.Uint()
-	if r.Err() != nil || group != c.cfg.Group || Peer(name) != from || id != 0 && peerOf(id) != from {
+	if r.Err() != nil || group != c.cfg.Group || PeerID(name) != from || id != 0 && peerOf(id) != from {
 		return errors.New("consensus: a start of another group, or torn")
 	}
 	if c.phase == Broken || c.phase == Stale {
@@ -24,13 +24,13 @@
 	}
 	asked := id
 	if id == 0 {
-		asked = ID(name, 0)
+		asked = VoterID(name, 0)
 	}
 	known := c.seen[asked]
-	if id != 0 && boots > known.Boots {
+	if id != 0 && boots > known.Starts {
 		// Noted before it is answered: the answer lets the other one vote.
-		known = Seen{boots, life}
-		if !c.check(c.store.SaveSeen(id, known)) {
+		known = StartRecord{boots, life}
+		if !c.check(c.store.SaveStartRecord(id, known)) {
 			return nil
 		}
 		c.seen[id] = known
@@ -40,11 +40,11 @@
 	}
 	m := c.met[asked]
 	// A process that has begun the group but never heard of this voter does not stand in the way of its beginning too.
-	lost := c.formed() && (known.Boots > 0 || m.term > 0 || !c.first(asked))
+	lost := c.formed() && (known.Starts > 0 || m.term > 0 || !c.first(asked))
 	var w encoding.Writer
 	// Only who has a memory of its own counts as one who would know.
-	knows := c.who.ID != 0 && c.phase != Outside
-	w.Uint(msgWelcome).Text(c.cfg.Group).Uint(id).Bool(lost).Bool(knows).Uint(known.Boots).Uint(known.Life).Uint(m.term).Uint(m.ackTerm).Uint(m.ackIndex)
+	knows := c.who.ID != 0 && c.phase != NotMember
+	w.Uint(msgWelcome).Text(c.cfg.Group).Uint(id).Bool(lost).Bool(knows).Uint(known.Starts).Uint(known.Incarnation).Uint(m.term).Uint(m.ackTerm).Uint(m.ackIndex)
 	c.fx.Send(from, w.Data)
 	return nil
 }
@@ -57,7 +57,7 @@
 
 func (c *Core) takeWelcome(from uint32, r encoding.Reader) error {
 	group, id, lost, knows := r.Text(mostName), r.Uint(), r.Bool(), r.Bool()
-	known := Seen{r.Uint(), r.Uint()}
+	known := StartRecord{r.Uint(), r.Uint()}
 	m := met{r.Uint(), r.Uint(), r.Uint()}
 	if r.Err() != nil || group != c.cfg.Group || id != c.who.ID {
 		return errors.New("consensus: an answer for another start, or torn")
@@ -69,7 +69,7 @@
 			if n := len(c.saved.Entries); n > 0 {
 				last, lastTerm = c.saved.Entries[n-1].Index, c.saved.Entries[n-1].Term
 			}
-			if known.Boots > c.who.Boots || known.Boots == c.who.Boots && known.Life != c.life ||
+			if known.Starts > c.who.Starts || known.Starts == c.who.Starts && known.Incarnation != c.life ||
 				m.term > hard.Term || m.ackIndex > last && lastTerm <= m.ackTerm {
 				c.stale(from)
 				return nil
--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -16,12 +16,12 @@
 type Time = int64
 
 const (
-	// First is the first byte of each datagram.
-	First = 0x12
-	// Longest bounds a message, in bytes.
-	Longest = 200 << 10
-	// Patience is how long a message is sent again.
-	Patience = Time(3e9)
+	// DatagramPrefix is the first byte of each datagram.
+	DatagramPrefix = 0x12
+	// MaxMessage bounds a message, in bytes.
+	MaxMessage = 200 << 10
+	// GiveUpAfter is how long a message is sent again.
+	GiveUpAfter = Time(3e9)
 
 	wholeHead = 2
 	pieceHead = 2 + 4 + 4 + 2 + 2
@@ -107,11 +107,11 @@
 // Send sends a message to a peer.
 func (b *Transport) Send(now Time, to uint32, data []byte) error {
 	if len(data) <= b.piece+pieceHead-wholeHead {
-		b.buf = append(b.buf[:0], First, kindWhole)
+		b.buf = append(b.buf[:0], DatagramPrefix, kindWhole)
 		b.fx.Datagram(to, append(b.buf, data...))
 		return nil
 	}
-	if len(data) > Longest {
+	if len(data) > MaxMessage {
 		return ErrLong
 	}
 	p := b.peer(to)
@@ -121,7 +121,7 @@
 	}
 	b.seq++
 	n := (len(data) + b.piece - 1) / b.piece
-	o := &outgoing{seq: b.seq, data: append([]byte(nil), data...), taken: make([]bool, n), left: n, until: now + Patience}
+	o := &outgoing{seq: b.seq, data: append([]byte(nil), data...), taken: make([]bool, n), left: n, until: now + GiveUpAfter}
 	p.out = append(p.out, o)
 	b.sendSome(now, to, o)
 	return nil
@@ -138,7 +138,7 @@
 			continue
 		}
 		sent++
-		d := append(b.buf[:0], First, kindPiece)
+		d := append(b.buf[:0], DatagramPrefix, kindPiece)
 		d = binary.BigEndian.AppendUint32(d, b.life)
 		d = binary.BigEndian.AppendUint32(d, o.seq)
 		d = binary.BigEndian.AppendUint16(d, uint16(i))
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -64,7 +64,7 @@
 // TestLongMessagesArriveOnce: through loss, doubling and another order, each arrives whole and once.
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
-		for _, size := range []int{1, 238, 239, 1000, 5000, Longest} {
+		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessage} {
 			w := newWire(seed, 0.2)
 			data := make([]byte, size)
 			for i := range data {
@@ -73,7 +73,7 @@
 			if err := w.ends[0].Send(0, 1, data); err != nil {
 				t.Fatal(err)
 			}
-			w.run(0, Patience)
+			w.run(0, GiveUpAfter)
 			if size > 238 && len(w.got[1]) != 1 {
 				t.Fatalf("seed %d, %d bytes: came %d times", seed, size, len(w.got[1]))
 			}
@@ -85,7 +85,7 @@
 			if w.most > 240 {
 				t.Fatalf("a datagram of %d bytes", w.most)
 			}
-			if size == Longest && seed > 2 {
+			if size == MaxMessage && seed > 2 {
 				break
 			}
 		}
@@ -101,15 +101,15 @@
 	if n := len(w.ends[0].peers[1].out); n != mostOut {
 		t.Errorf("%d messages wait, want %d", n, mostOut)
 	}
-	if w.ends[0].Send(0, 1, make([]byte, Longest+1)) != ErrLong {
+	if w.ends[0].Send(0, 1, make([]byte, MaxMessage+1)) != ErrLong {
 		t.Error("a message over the bound is taken")
 	}
-	w.ends[0].Tick(Patience)
+	w.ends[0].Tick(GiveUpAfter)
 	if n := len(w.ends[0].peers[1].out); n != 0 || w.ends[0].GivenUp != 100 {
 		t.Errorf("after the patience %d wait, %d given up", n, w.ends[0].GivenUp)
 	}
 	for i := range 100 {
-		d := []byte{First, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
+		d := []byte{DatagramPrefix, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
 		w.ends[1].Receive(0, 7, append(d, make([]byte, 150)...))
 	}
 	if n := len(w.ends[1].peers[7].in); n > mostIn {
@@ -131,10 +131,10 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	f.Add([]byte{First, kindWhole, 1})
-	f.Add([]byte{First, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
-	f.Add([]byte{First, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 1, 0, 2, 9})
-	f.Add([]byte{First, kindTaken, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
+	f.Add([]byte{DatagramPrefix, kindWhole, 1})
+	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
+	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 1, 0, 2, 9})
+	f.Add([]byte{DatagramPrefix, kindTaken, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		w := newWire(1, 0)
 		w.ends[0].Send(0, 1, make([]byte, 2000))
@@ -145,7 +145,7 @@
 		}
 		for _, p := range b.peers {
 			for _, m := range p.in {
-				if len(m.data) > 2*Longest {
+				if len(m.data) > 2*MaxMessage {
 					t.Fatalf("%d bytes kept", len(m.data))
 				}
 			}
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -6,7 +6,7 @@
 
 // Receive takes a datagram from a peer.
 func (b *Transport) Receive(now Time, from uint32, data []byte) error {
-	if len(data) < wholeHead || data[0] != First {
+	if len(data) < wholeHead || data[0] != DatagramPrefix {
 		b.Malformed++
 		return ErrMalformed
 	}
@@ -34,7 +34,7 @@
 	life, seq := binary.BigEndian.Uint32(data[2:]), binary.BigEndian.Uint32(data[6:])
 	i, n := int(binary.BigEndian.Uint16(data[10:])), int(binary.BigEndian.Uint16(data[12:]))
 	body := data[pieceHead:]
-	if i >= n || n < 2 || n*len(body) > 2*Longest {
+	if i >= n || n < 2 || n*len(body) > 2*MaxMessage {
 		return false
 	}
 	p := b.peer(from)
@@ -55,7 +55,7 @@
 		if i == n-1 {
 			return true // shorter than the others: it can't be placed yet, and comes again
 		}
-		if n*len(body) > Longest+len(body) {
+		if n*len(body) > MaxMessage+len(body) {
 			return false
 		}
 		m = &incoming{life: life, seq: seq, data: make([]byte, 0, n*len(body)), have: make([]bool, n), left: n, size: len(body)}
@@ -100,7 +100,7 @@
 
 // tell tells a sender which pieces have come; nil: all.
 func (b *Transport) tell(to uint32, life, seq uint32, have []bool) {
-	d := append(b.buf[:0], First, kindTaken)
+	d := append(b.buf[:0], DatagramPrefix, kindTaken)
 	d = binary.BigEndian.AppendUint32(d, life)
 	d = binary.BigEndian.AppendUint32(d, seq)
 	bits := make([]byte, (len(have)+7)/8)
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -29,14 +29,14 @@
 	Applied(machine byte, tag uint64, result []byte)
 	// Confirmed tells that this process still led after Confirm was called.
 	Confirmed(tag uint64)
-	Tell(event string, args ...any)
+	LogEvent(event string, args ...any)
 }
 
 // Errors of what is asked of a voter.
 var (
-	ErrNotLeader = errors.New("this process does not lead the group")
-	ErrLong      = errors.New("a command over 64 KiB")
-	ErrBusy      = errors.New("a change of the group is under way, or too much waits to be agreed on")
+	ErrNotLeader      = errors.New("this process does not lead the group")
+	ErrCommandTooLong = errors.New("a command over 64 KiB")
+	ErrBusy           = errors.New("a change of the group is under way, or too much waits to be agreed on")
 )
 
 // Status is what operators see of a voter.
--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -9,7 +9,7 @@
 type Drill struct {
 	Every Time
 	// Taken hears of each effect here.
-	Taken func(m ownership.Mark)
+	Taken func(m ownership.FencingToken)
 	// Late, once it is set, is called after the owner has looked at its lease and before it sends: whatever happens in between, receivers
 	// have to bear.
 	Late func()
@@ -32,7 +32,7 @@
 	}
 	d.at = now
 	d.number++
-	send := d.owner.Do
+	send := d.owner.SendEffect
 	if late := d.Late; late != nil {
 		if sure, may := d.owner.(interface {
 			DoAnyway(to uint32, number uint64, body []byte)
@@ -47,7 +47,7 @@
 	}
 	if d.number%10 == 0 {
 		var w encoding.Writer
-		d.owner.Note(d.number, w.Uint(d.number).Data)
+		d.owner.StoreCheckpoint(d.number, w.Uint(d.number).Data)
 	}
 }
 
@@ -59,17 +59,17 @@
 	return d.number, w.Uint(d.number).Data
 }
 
-// Asked is the Job's.
-func (d *Drill) Asked(Time, uint32, uint64, []byte) {}
+// QueryReceived is the Job's.
+func (d *Drill) QueryReceived(Time, uint32, uint64, []byte) {}
 
-// Acked is the Job's.
-func (d *Drill) Acked(Time, uint32, ownership.Mark, ownership.Verdict) {}
+// EffectAcknowledged is the Job's.
+func (d *Drill) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// Noted is the Job's.
-func (d *Drill) Noted(Time, uint64, bool) {}
+// CheckpointStored is the Job's.
+func (d *Drill) CheckpointStored(Time, uint64, bool) {}
 
-// Effect is the Job's.
-func (d *Drill) Effect(_ Time, m ownership.Mark, _ []byte) {
+// ApplyEffect is the Job's.
+func (d *Drill) ApplyEffect(_ Time, m ownership.FencingToken, _ []byte) {
 	if d.Taken != nil {
 		d.Taken(m)
 	}
--- a/internal/fleet/jobs/hosts.go
+++ b/internal/fleet/jobs/hosts.go
@@ -10,12 +10,12 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// MostHosts bounds how many hosts may be out for the whole fleet.
-const MostHosts = 256
+// MaxHosts bounds how many hosts may be out for the whole fleet.
+const MaxHosts = 256
 
-// Hosts is the job of hosts that are out by hand for the whole fleet. Its owner orders the commands; each effect is the whole list, so that a late
+// SuspendedHosts is the job of hosts that are out by hand for the whole fleet. Its owner orders the commands; each effect is the whole list, so that a late
 // one has nothing to undo.
-type Hosts struct {
+type SuspendedHosts struct {
 	// Apply carries the list out at this process.
 	Apply func(out []string)
 
@@ -53,8 +53,8 @@
 	commandList = 2
 )
 
-// Command is an operator's word as it is asked of the owner.
-func Command(out bool, host string) []byte {
+// SuspendCommand is an operator's word as it is asked of the owner.
+func SuspendCommand(out bool, host string) []byte {
 	var w encoding.Writer
 	return w.Bool(out).Text(host).Data
 }
@@ -66,7 +66,7 @@
 }
 
 // Start takes over what the last owner left.
-func (h *Hosts) Start(now Time, o Owner, token, number uint64, left []byte) error {
+func (h *SuspendedHosts) Start(now Time, o Owner, token, number uint64, left []byte) error {
 	out, err := readHosts(left)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 	}
 	r := encoding.Reader{Data: data}
 	var out []string
-	for n := r.Count(MostHosts); n > 0; n-- {
+	for n := r.Count(MaxHosts); n > 0; n-- {
 		out = append(out, r.Text(128))
 	}
 	if r.Err() != nil || !slices.IsSorted(out) {
@@ -91,7 +91,7 @@
 	return out, nil
 }
 
-func (h *Hosts) list() []byte {
+func (h *SuspendedHosts) list() []byte {
 	var w encoding.Writer
 	w.Uint(uint64(len(h.out)))
 	for _, id := range h.out {
@@ -101,14 +101,14 @@
 }
 
 // Stop leaves the list.
-func (h *Hosts) Stop() (uint64, []byte) {
+func (h *SuspendedHosts) Stop() (uint64, []byte) {
 	h.owner = nil
 	h.number++
 	return h.number, h.list()
 }
 
-// Asked takes an operator's command.
-func (h *Hosts) Asked(now Time, from uint32, tag uint64, body []byte) {
+// QueryReceived takes an operator's command.
+func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if h.owner == nil {
 		return
 	}
@@ -118,10 +118,10 @@
 	at, there := slices.BinarySearch(h.out, host)
 	switch {
 	case r.Err() != nil || what > commandList || (host == "") != (what == commandList):
-		h.owner.Answer(from, tag, []byte("refused: a host's id of 1 to 128 bytes is expected"))
+		h.owner.Reply(from, tag, []byte("refused: a host's id of 1 to 128 bytes is expected"))
 		return
-	case out && !there && len(h.out) >= MostHosts:
-		h.owner.Answer(from, tag, []byte(fmt.Sprintf("refused: %d hosts are out already", len(h.out))))
+	case out && !there && len(h.out) >= MaxHosts:
+		h.owner.Reply(from, tag, []byte(fmt.Sprintf("refused: %d hosts are out already", len(h.out))))
 		return
 	case out && !there:
 		h.out = slices.Insert(h.out, at, host)
@@ -138,14 +138,14 @@
 	h.note()
 }
 
-func (h *Hosts) note() {
-	if err := h.owner.Note(h.number, h.list()); err != nil {
+func (h *SuspendedHosts) note() {
+	if err := h.owner.StoreCheckpoint(h.number, h.list()); err != nil {
 		h.settle(0, false) // the lease has ended; nobody knows what became of it
 	}
 }
 
-// Noted goes on once the group has kept a list: only then is it carried out.
-func (h *Hosts) Noted(now Time, number uint64, ok bool) {
+// CheckpointStored goes on once the group has kept a list: only then is it carried out.
+func (h *SuspendedHosts) CheckpointStored(now Time, number uint64, ok bool) {
 	if h.owner == nil || !ok {
 		return // a refused note is an old owner's, which is about to be stopped
 	}
@@ -158,24 +158,24 @@
 }
 
 // send sends the list to those that are not known to have it.
-func (h *Hosts) send(now Time) {
+func (h *SuspendedHosts) send(now Time) {
 	if h.kept == 0 || h.kept != h.number {
 		return // what is newer is about to be kept, and goes with it
 	}
 	for _, m := range h.owner.Members() {
-		k := life{m.Peer, m.Life}
-		if m.Here && h.acks[k] < h.number && (now-h.sentAt[k] >= 500*ms || h.sentAt[k] == 0 || h.fresh(k)) {
+		k := life{m.Peer, m.Incarnation}
+		if m.Present && h.acks[k] < h.number && (now-h.sentAt[k] >= 500*ms || h.sentAt[k] == 0 || h.fresh(k)) {
 			h.sentAt[k] = now
-			h.owner.Do(m.Peer, h.number, h.list())
+			h.owner.SendEffect(m.Peer, h.number, h.list())
 		}
 	}
 }
 
 // fresh tells whether a receiver has not been sent this list yet.
-func (h *Hosts) fresh(k life) bool { return h.acks[k]+1 == h.number }
+func (h *SuspendedHosts) fresh(k life) bool { return h.acks[k]+1 == h.number }
 
 // Step sends again to those that lag, and answers commands whose time is up.
-func (h *Hosts) Step(now Time) {
+func (h *SuspendedHosts) Step(now Time) {
 	if h.kept != h.number && len(h.asks) > 0 && now-h.asks[len(h.asks)-1].until > -askFor+300*ms {
 		h.note() // it may have been lost
 	}
@@ -183,28 +183,28 @@
 	h.settle(now, true)
 }
 
-// Acked notes that a receiver has a list.
-func (h *Hosts) Acked(now Time, from uint32, m ownership.Mark, v ownership.Verdict) {
-	if h.owner == nil || m.Token != h.token || v == ownership.Old {
+// EffectAcknowledged notes that a receiver has a list.
+func (h *SuspendedHosts) EffectAcknowledged(now Time, from uint32, m ownership.FencingToken, v ownership.Verdict) {
+	if h.owner == nil || m.Token != h.token || v == ownership.Stale {
 		return
 	}
 	for _, x := range h.owner.Members() {
 		if x.Peer == from {
-			k := life{from, x.Life}
-			h.acks[k] = max(h.acks[k], m.Number)
+			k := life{from, x.Incarnation}
+			h.acks[k] = max(h.acks[k], m.Sequence)
 		}
 	}
 	h.settle(now, true)
 }
 
 // settle answers commands: done once every member that is there has it, or says who is missing; unknown where nobody knows.
-func (h *Hosts) settle(now Time, owns bool) {
+func (h *SuspendedHosts) settle(now Time, owns bool) {
 	left := h.asks[:0]
 	for _, a := range h.asks {
 		have, all, missing := 0, 0, []string(nil)
 		for _, m := range h.owner.Members() {
 			all++
-			if h.acks[life{m.Peer, m.Life}] >= a.number {
+			if h.acks[life{m.Peer, m.Incarnation}] >= a.number {
 				have++
 			} else {
 				missing = append(missing, m.Name)
@@ -212,23 +212,23 @@
 		}
 		switch {
 		case a.kept && a.list != "":
-			h.owner.Answer(a.from, a.tag, []byte(a.list))
+			h.owner.Reply(a.from, a.tag, []byte(a.list))
 		case a.kept && len(missing) == 0:
-			h.owner.Answer(a.from, a.tag, []byte(fmt.Sprintf("done at all %d", all)))
+			h.owner.Reply(a.from, a.tag, []byte(fmt.Sprintf("done at all %d", all)))
 		case owns && now < a.until:
 			left = append(left, a)
 		case a.kept:
 			sort.Strings(missing)
-			h.owner.Answer(a.from, a.tag, []byte(fmt.Sprintf("done at %d of %d; it holds, and follows at: %s", have, all, strings.Join(missing, " "))))
+			h.owner.Reply(a.from, a.tag, []byte(fmt.Sprintf("done at %d of %d; it holds, and follows at: %s", have, all, strings.Join(missing, " "))))
 		default:
-			h.owner.Answer(a.from, a.tag, []byte("unknown: the voters did not say whether they have kept it; ask again"))
+			h.owner.Reply(a.from, a.tag, []byte("unknown: the voters did not say whether they have kept it; ask again"))
 		}
 	}
 	h.asks = left
 }
 
-// Effect carries a list out here.
-func (h *Hosts) Effect(_ Time, _ ownership.Mark, body []byte) {
+// ApplyEffect carries a list out here.
+func (h *SuspendedHosts) ApplyEffect(_ Time, _ ownership.FencingToken, body []byte) {
 	if out, err := readHosts(body); err == nil && h.Apply != nil {
 		h.Apply(out)
 	}
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -16,19 +16,19 @@
 
 // Member is a process of the fleet, as membership has it.
 type Member struct {
-	Name string
-	Peer uint32
-	Life uint64
-	Here bool // alive, or not known not to be
+	Name        string
+	Peer        uint32
+	Incarnation uint64
+	Present     bool // alive, or not known not to be
 }
 
 // Owner is what a job's owner can do.
 type Owner interface {
-	// Do sends an effect to a receiver; the token is the owner's, and nothing is sent once its lease has ended.
-	Do(to uint32, number uint64, body []byte)
-	// Note has what the job leaves kept by the group. The answer comes to Noted.
-	Note(number uint64, left []byte) error
-	Answer(to uint32, tag uint64, body []byte)
+	// SendEffect sends an effect to a receiver; the token is the owner's, and nothing is sent once its lease has ended.
+	SendEffect(to uint32, number uint64, body []byte)
+	// StoreCheckpoint has what the job leaves kept by the group. The answer comes to Noted.
+	StoreCheckpoint(number uint64, left []byte) error
+	Reply(to uint32, tag uint64, body []byte)
 	Members() []Member
 }
 
@@ -37,8 +37,8 @@
 	Start(now Time, o Owner, token, number uint64, left []byte) error
 	Step(now Time)
 	Stop() (number uint64, left []byte)
-	Asked(now Time, from uint32, tag uint64, body []byte)
-	Acked(now Time, from uint32, m ownership.Mark, v ownership.Verdict)
-	Noted(now Time, number uint64, ok bool)
-	Effect(now Time, m ownership.Mark, body []byte)
+	QueryReceived(now Time, from uint32, tag uint64, body []byte)
+	EffectAcknowledged(now Time, from uint32, m ownership.FencingToken, v ownership.Verdict)
+	CheckpointStored(now Time, number uint64, ok bool)
+	ApplyEffect(now Time, m ownership.FencingToken, body []byte)
 }
--- a/internal/fleet/jobs/jobs_test.go
+++ b/internal/fleet/jobs/jobs_test.go
@@ -17,7 +17,7 @@
 	has     map[uint32][]string
 	deaf    map[uint32]bool
 	token   uint64
-	job     *Hosts
+	job     *SuspendedHosts
 	now     Time
 	kept    []byte
 	number  uint64
@@ -30,7 +30,7 @@
 	t := &table{fences: map[uint32]*ownership.Fence{}, has: map[uint32][]string{}, deaf: map[uint32]bool{}, answers: map[uint64]string{}}
 	for i := range n {
 		p := uint32(i + 1)
-		t.members = append(t.members, Member{Name: fmt.Sprintf("n%d", i), Peer: p, Life: 1, Here: true})
+		t.members = append(t.members, Member{Name: fmt.Sprintf("n%d", i), Peer: p, Incarnation: 1, Present: true})
 		t.fences[p] = &ownership.Fence{}
 	}
 	t.begin()
@@ -40,38 +40,40 @@
 // begin has another owner take over what was kept.
 func (t *table) begin() error {
 	t.token++
-	t.job = &Hosts{}
+	t.job = &SuspendedHosts{}
 	return t.job.Start(t.now, t, t.token, t.number, t.kept)
 }
 
-func (t *table) Do(to uint32, number uint64, body []byte) { t.send(t.job, t.token, to, number, body) }
+func (t *table) SendEffect(to uint32, number uint64, body []byte) {
+	t.send(t.job, t.token, to, number, body)
+}
 
-func (t *table) send(j *Hosts, token uint64, to uint32, number uint64, body []byte) {
+func (t *table) send(j *SuspendedHosts, token uint64, to uint32, number uint64, body []byte) {
 	if t.deaf[to] {
 		return
 	}
-	m := ownership.Mark{Token: token, Number: number}
-	v, _ := t.fences[to].Take("hosts", m)
-	if v == ownership.Taken {
-		h := &Hosts{Apply: func(out []string) { t.has[to] = out }}
-		h.Effect(t.now, m, body)
+	m := ownership.FencingToken{Token: token, Sequence: number}
+	v, _ := t.fences[to].Check("hosts", m)
+	if v == ownership.Accepted {
+		h := &SuspendedHosts{Apply: func(out []string) { t.has[to] = out }}
+		h.ApplyEffect(t.now, m, body)
 	}
-	j.Acked(t.now, to, m, v)
+	j.EffectAcknowledged(t.now, to, m, v)
 }
 
-func (t *table) Note(number uint64, left []byte) error {
+func (t *table) StoreCheckpoint(number uint64, left []byte) error {
 	if t.lapsed {
 		return errors.New("the lease has ended")
 	}
 	if !t.mute {
 		t.number, t.kept = number, slices.Clone(left)
-		t.job.Noted(t.now, number, true)
+		t.job.CheckpointStored(t.now, number, true)
 	}
 	return nil
 }
 
-func (t *table) Answer(_ uint32, tag uint64, body []byte) { t.answers[tag] = string(body) }
-func (t *table) Members() []Member                        { return t.members }
+func (t *table) Reply(_ uint32, tag uint64, body []byte) { t.answers[tag] = string(body) }
+func (t *table) Members() []Member                       { return t.members }
 
 func (t *table) wait(d Time) {
 	for end := t.now + d; t.now < end; t.now += 50 * ms {
@@ -81,12 +83,12 @@
 
 func TestHostsAnswers(t *testing.T) {
 	x := newTable(3)
-	x.job.Asked(x.now, 9, 1, Command(true, "s1"))
+	x.job.QueryReceived(x.now, 9, 1, SuspendCommand(true, "s1"))
 	if x.answers[1] != "done at all 3" || !slices.Equal(x.has[3], []string{"s1"}) {
 		t.Errorf("%q, %v", x.answers[1], x.has)
 	}
 	x.deaf[2] = true
-	x.job.Asked(x.now, 9, 2, Command(true, "s2"))
+	x.job.QueryReceived(x.now, 9, 2, SuspendCommand(true, "s2"))
 	if a, said := x.answers[2]; said {
 		t.Errorf("%q before n1 has had its time", a)
 	}
@@ -100,27 +102,27 @@
 		t.Errorf("n1 does not catch up: %v", x.has[2])
 	}
 	// One that starts anew has none of it, and is told.
-	x.members[0].Life, x.has[1], x.fences[1] = 2, nil, &ownership.Fence{}
+	x.members[0].Incarnation, x.has[1], x.fences[1] = 2, nil, &ownership.Fence{}
 	x.wait(sec)
 	if !slices.Equal(x.has[1], []string{"s1", "s2"}) {
 		t.Errorf("one that started anew has %v", x.has[1])
 	}
 	x.mute = true
-	x.job.Asked(x.now, 9, 3, Command(false, "s1"))
+	x.job.QueryReceived(x.now, 9, 3, SuspendCommand(false, "s1"))
 	x.wait(3 * sec)
 	if !strings.HasPrefix(x.answers[3], "unknown") || slices.Equal(x.has[1], []string{"s2"}) {
 		t.Errorf("without the group: %q, and carried out %v", x.answers[3], x.has[1])
 	}
-	for tag, body := range map[uint64][]byte{4: Command(true, ""), 5: {9, 9}, 6: nil, 7: Command(true, strings.Repeat("x", 129))} {
-		if x.job.Asked(x.now, 9, tag, body); !strings.HasPrefix(x.answers[tag], "refused") {
+	for tag, body := range map[uint64][]byte{4: SuspendCommand(true, ""), 5: {9, 9}, 6: nil, 7: SuspendCommand(true, strings.Repeat("x", 129))} {
+		if x.job.QueryReceived(x.now, 9, tag, body); !strings.HasPrefix(x.answers[tag], "refused") {
 			t.Errorf("%x: %q", body, x.answers[tag])
 		}
 	}
 	x.mute = false
-	for i := range MostHosts + 5 {
-		x.job.Asked(x.now, 9, uint64(100+i), Command(true, fmt.Sprintf("more%03d", i)))
+	for i := range MaxHosts + 5 {
+		x.job.QueryReceived(x.now, 9, uint64(100+i), SuspendCommand(true, fmt.Sprintf("more%03d", i)))
 	}
-	if a := x.answers[uint64(100+MostHosts+4)]; !strings.HasPrefix(a, "refused") {
+	if a := x.answers[uint64(100+MaxHosts+4)]; !strings.HasPrefix(a, "refused") {
 		t.Errorf("beyond the bound: %q", a)
 	}
 }
@@ -128,12 +130,12 @@
 // TestLateSuspendUndoesNothing: what an earlier owner sends late does not take a host out that a later one called back.
 func TestLateSuspendUndoesNothing(t *testing.T) {
 	x := newTable(3)
-	x.job.Asked(x.now, 9, 1, Command(true, "s1"))
+	x.job.QueryReceived(x.now, 9, 1, SuspendCommand(true, "s1"))
 	old, oldToken, list := x.job, x.token, x.job.list()
 	if err := x.begin(); err != nil {
 		t.Fatal(err)
 	}
-	x.job.Asked(x.now, 9, 2, Command(false, "s1"))
+	x.job.QueryReceived(x.now, 9, 2, SuspendCommand(false, "s1"))
 	for p := range x.fences {
 		x.send(old, oldToken, p, 99, list)
 	}
@@ -143,30 +145,30 @@
 }
 
 func TestTornListIsRefused(t *testing.T) {
-	h := &Hosts{}
+	h := &SuspendedHosts{}
 	if err := h.Start(0, newTable(1), 1, 1, []byte{2, 1, 'b', 1, 'a'}); err == nil {
 		t.Error("a list out of order is taken over")
 	}
 }
 
 func FuzzAsked(f *testing.F) {
-	f.Add(Command(true, "s1"), []byte{1, 1, 'a'})
+	f.Add(SuspendCommand(true, "s1"), []byte{1, 1, 'a'})
 	f.Add(ListCommand(), []byte{})
 	f.Fuzz(func(t *testing.T, command, list []byte) {
 		x := newTable(2)
-		x.job.Asked(1, 9, 1, command)
+		x.job.QueryReceived(1, 9, 1, command)
 		x.wait(3 * sec)
 		if _, said := x.answers[1]; !said {
 			t.Error("a command without an answer")
 		}
-		h := &Hosts{Apply: func(out []string) {
-			if len(out) > MostHosts {
+		h := &SuspendedHosts{Apply: func(out []string) {
+			if len(out) > MaxHosts {
 				t.Errorf("%d hosts are carried out", len(out))
 			}
 		}}
-		h.Effect(1, ownership.Mark{}, list)
-		m := &Moves{Pace: 1, Base: 1}
+		h.ApplyEffect(1, ownership.FencingToken{}, list)
+		m := &MigrationPermits{Rate: 1, Base: 1}
 		m.Start(1, x, 1, 1, nil)
-		m.Asked(3*sec, 1, 1, command)
+		m.QueryReceived(3*sec, 1, 1, command)
 	})
 }
--- a/internal/fleet/jobs/pace.go
+++ b/internal/fleet/jobs/pace.go
@@ -4,9 +4,9 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Pace is a proxy's own part: when it may send a client away.
-type Pace struct {
-	Pace float64
+// MigrationPacer is a proxy's own part: when it may send a client away.
+type MigrationPacer struct {
+	Rate float64
 	Base int
 	// Ask asks the owner for permits; its answer comes to Answered under the tag.
 	Ask func(tag uint64, body []byte)
@@ -25,8 +25,8 @@
 	until Time
 }
 
-// May tells how many of so many clients may be sent away now. It asks for permits for the rest.
-func (p *Pace) May(now Time, want int) int {
+// Allow tells how many of so many clients may be sent away now. It asks for permits for the rest.
+func (p *MigrationPacer) Allow(now Time, want int) int {
 	given := 0
 	left := p.permits[:0]
 	for _, x := range p.permits {
@@ -42,7 +42,7 @@
 	p.permits = left
 	// Without an owner that answers each keeps to its own share, and saves none of it.
 	if alone := !p.heard || now-p.heardAt > 2*permitFor; alone {
-		p.own = min(1, p.own+p.Pace/float64(max(1, p.Base))*float64(now-max(p.at, p.heardAt))/float64(sec))
+		p.own = min(1, p.own+p.Rate/float64(max(1, p.Base))*float64(now-max(p.at, p.heardAt))/float64(sec))
 		if given < want && p.own >= 1 {
 			p.own--
 			given++
@@ -57,7 +57,7 @@
 	return given
 }
 
-func (p *Pace) ask(now Time, want int) {
+func (p *MigrationPacer) ask(now Time, want int) {
 	for t, at := range p.out {
 		if now-at > permitFor {
 			delete(p.out, t)
@@ -75,8 +75,8 @@
 	p.Ask(p.tag, w.Uint(uint64(min(want, 64))).Data)
 }
 
-// Answered takes permits. They lapse counted from when they were asked for.
-func (p *Pace) Answered(now Time, tag uint64, body []byte) {
+// ReplyReceived takes permits. They lapse counted from when they were asked for.
+func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
 	at, asked := p.out[tag]
 	r := encoding.Reader{Data: body}
 	n := r.Uint()
--- a/internal/fleet/jobs/pace_test.go
+++ b/internal/fleet/jobs/pace_test.go
@@ -12,13 +12,13 @@
 	const proxies, pace = 8, 40.0
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var ps [proxies]*Pace
+		var ps [proxies]*MigrationPacer
 		type word struct {
 			at Time
 			do func(now Time)
 		}
 		var words []word
-		var owner *Moves
+		var owner *MigrationPermits
 		now := Time(1)
 		var sink answerSink
 		later := func(do func(now Time)) {
@@ -28,7 +28,7 @@
 		}
 		cut := [proxies]bool{}
 		for i := range ps {
-			ps[i] = &Pace{Pace: pace, Base: proxies}
+			ps[i] = &MigrationPacer{Rate: pace, Base: proxies}
 			ps[i].Ask = func(tag uint64, body []byte) {
 				later(func(now Time) {
 					if owner == nil || cut[i] {
@@ -37,9 +37,9 @@
 					o := owner
 					sink.f = func(b []byte) {
 						answer := slices.Clone(b)
-						later(func(now Time) { ps[i].Answered(now, tag, answer) })
+						later(func(now Time) { ps[i].ReplyReceived(now, tag, answer) })
 					}
-					o.Asked(now, uint32(i), tag, body)
+					o.QueryReceived(now, uint32(i), tag, body)
 				})
 			}
 		}
@@ -47,7 +47,7 @@
 		for ; now < 60*sec; now += 20 * ms {
 			if rng.IntN(150) == 0 {
 				if owner = nil; rng.IntN(2) == 0 {
-					owner = &Moves{Pace: pace, Base: proxies}
+					owner = &MigrationPermits{Rate: pace, Base: proxies}
 					owner.Start(now, &sink, 1, 1, nil)
 				}
 			}
@@ -63,7 +63,7 @@
 				}
 			}
 			for i := range ps {
-				for range ps[i].May(now, 5) {
+				for range ps[i].Allow(now, 5) {
 					moved = append(moved, now)
 				}
 			}
@@ -85,20 +85,20 @@
 
 type answerSink struct{ f func([]byte) }
 
-func (s *answerSink) Do(uint32, uint64, []byte) {}
+func (s *answerSink) SendEffect(uint32, uint64, []byte) {}
 
-func (s *answerSink) Note(uint64, []byte) error { return nil }
+func (s *answerSink) StoreCheckpoint(uint64, []byte) error { return nil }
 
-func (s *answerSink) Answer(_ uint32, _ uint64, body []byte) { s.f(body) }
+func (s *answerSink) Reply(_ uint32, _ uint64, body []byte) { s.f(body) }
 
 func (s *answerSink) Members() []Member { return nil }
 
 // TestPaceWithoutOwner: alone, a proxy keeps to its share.
 func TestPaceWithoutOwner(t *testing.T) {
-	p := &Pace{Pace: 10, Base: 5}
+	p := &MigrationPacer{Rate: 10, Base: 5}
 	n := 0
 	for now := Time(1); now < 10*sec; now += 20 * ms {
-		n += p.May(now, 3)
+		n += p.Allow(now, 3)
 	}
 	if n < 18 || n > 21 {
 		t.Errorf("%d in ten seconds, its share is 20", n)
--- a/internal/fleet/memberagent/members.go
+++ b/internal/fleet/memberagent/members.go
@@ -47,9 +47,9 @@
 // Room is how many bytes of an attached package's a datagram can carry.
 func (s *Agent) Room() int {
 	if s.seal != nil {
-		return membership.Room(membership.SealLen)
+		return membership.PayloadRoom(membership.SealLength)
 	}
-	return membership.Room(0)
+	return membership.PayloadRoom(0)
 }
 
 // Carry sends an attached package's data to a member; nowhere, where its address is not known.
@@ -59,8 +59,8 @@
 	}
 }
 
-// Other is the core's.
-func (s *Agent) Other(from uint32, whose byte, data []byte) {
+// CarriedData is the core's.
+func (s *Agent) CarriedData(from uint32, whose byte, data []byte) {
 	if take := s.others[whose]; take != nil {
 		take(from, append([]byte(nil), data...))
 	}
@@ -70,7 +70,7 @@
 func (s *Agent) View() []ViewMember {
 	var out []ViewMember
 	for _, m := range s.core.View() {
-		out = append(out, ViewMember{m.Name, m.ID, m.State.String(), uint64(m.Life), m.Unheard})
+		out = append(out, ViewMember{m.Name, m.ID, m.State.String(), uint64(m.Incarnation), m.Unheard})
 	}
 	return out
 }
@@ -85,7 +85,7 @@
 }
 
 // Base is how many members the fleet is meant to have.
-func (s *Agent) Base() int { return s.core.Base() }
+func (s *Agent) Base() int { return s.core.FleetSize() }
 
 // Platform is the platform's own way between its proxies, for a section without addresses; whoever reads from it calls Take.
 type Platform struct {
@@ -101,7 +101,7 @@
 	}
 	s := &Agent{loop: l, seal: seal, name: name}
 	slots, own := len(o.Peers), slices.Index(o.Peers, o.Listen)
-	cfg := membership.Config{Name: name, Fleet: o.Fleet, Life: membership.NewLife(life.UnixMilli()), Base: o.Base, Seed: uint64(life.UnixNano())}
+	cfg := membership.Config{Name: name, Fleet: o.Fleet, Incarnation: membership.NewIncarnation(life.UnixMilli()), FleetSize: o.Base, Seed: uint64(life.UnixNano())}
 	for _, a := range o.Seeds {
 		cfg.Seeds = append(cfg.Seeds, netip.MustParseAddrPort(a)) // the section has checked it
 	}
@@ -112,9 +112,9 @@
 		}
 		s.link, s.shared, slots, own = on.Link, true, on.Peers, on.Me
 	}
-	cfg.Slots, cfg.Own = slots, own
+	cfg.Slots, cfg.OwnSlot = slots, own
 	if seal != nil {
-		cfg.Overhead = membership.SealLen
+		cfg.Overhead = membership.SealLength
 	} else {
 		slog.Warn("membership_unsealed", "reason", "no keys: whoever reaches the address can speak for a member")
 	}
@@ -152,7 +152,7 @@
 
 // Take takes a datagram from the platform's way between proxies, if it is one of these; a nil Shell takes none.
 func (s *Agent) Take(from int, data []byte) bool {
-	if s == nil || !s.shared || !membership.Ours(data) {
+	if s == nil || !s.shared || !membership.IsMembershipDatagram(data) {
 		return false
 	}
 	s.take(from, data)
@@ -191,18 +191,18 @@
 // Send is the core's.
 func (s *Agent) Send(slot int, data []byte) {
 	if s.seal != nil {
-		data = s.seal.Close(data)
+		data = s.seal.Seal(data)
 	}
 	if s.learns {
-		s.link.TellTo(s.core.Where(slot), data)
+		s.link.TellTo(s.core.Address(slot), data)
 		return
 	}
-	s.link.Tell(slot, data)
+	s.link.SendToPeer(slot, data)
 }
 
 // Changed is the core's.
 func (s *Agent) Changed(c membership.Change) {
-	slog.Info("member", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.From, "to", c.To, "life", c.Life.Start(), "version", c.Version, "reason", c.Reason)
+	slog.Info("member", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.From, "to", c.To, "life", c.Incarnation.Start(), "version", c.Version, "reason", c.Reason)
 }
 
 // Leave tells the others that this process ends in order, and ends.
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -52,9 +52,9 @@
 func (s *Agent) report() Report {
 	now := s.loop.Now()
 	n := s.core.Counts()
-	r := Report{Name: s.name, Version: s.core.Version(), Digest: fmt.Sprintf("%08x", s.core.Digest()), Quorum: s.core.Quorum(), Life: s.core.Life().Start(),
+	r := Report{Name: s.name, Version: s.core.Version(), Digest: fmt.Sprintf("%08x", s.core.Digest()), Quorum: s.core.Quorum(), Life: s.core.Incarnation().Start(),
 		Counts: map[string]int{"sent": n.Sent, "bytes": n.Bytes, "heard": n.Heard, "malformed": n.Malformed, "other_version": n.OtherVersion,
-			"other_fleet": n.OtherFleet, "old_life": n.OldLife, "clashes": n.Clashes, "pauses": n.Pauses, "refutations": n.Refutations, "unsealed": s.bad,
+			"other_fleet": n.OtherFleet, "old_life": n.OldIncarnation, "clashes": n.Clashes, "pauses": n.Pauses, "refutations": n.Refutations, "unsealed": s.bad,
 			"strangers": int(s.link.Dropped())}}
 	view := s.core.View()
 	name := func(id uint32) string {
@@ -69,12 +69,12 @@
 		return fmt.Sprintf("%08x", id)
 	}
 	for _, m := range view {
-		row := ReportMember{ID: fmt.Sprintf("%08x", m.ID), Name: m.Name, Slot: m.Slot, State: m.State.String(), Life: m.Life.Start(), HeardMS: -1, AnyMS: -1, Unheard: []string{}}
-		if m.Heard > 0 {
-			row.HeardMS = (now - m.Heard) / 1e6
+		row := ReportMember{ID: fmt.Sprintf("%08x", m.ID), Name: m.Name, Slot: m.Slot, State: m.State.String(), Life: m.Incarnation.Start(), HeardMS: -1, AnyMS: -1, Unheard: []string{}}
+		if m.HeardHere > 0 {
+			row.HeardMS = (now - m.HeardHere) / 1e6
 		}
-		if m.HeardBy > 0 {
-			row.AnyMS = (now - m.HeardBy) / 1e6
+		if m.HeardByAny > 0 {
+			row.AnyMS = (now - m.HeardByAny) / 1e6
 		}
 		for _, u := range m.Unheard {
 			row.Unheard = append(row.Unheard, name(u))
@@ -86,7 +86,7 @@
 
 // serve answers whoever connects to the Unix socket with one report. It runs beside the loop, which gives the report.
 func (s *Agent) serve(path string) error {
-	l, err := Door(path)
+	l, err := ListenUnix(path)
 	if err != nil {
 		return err
 	}
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// Door opens a Unix socket for operators, which its owner alone may use. What an ended process left of it is taken away; one that somebody
+// ListenUnix opens a Unix socket for operators, which its owner alone may use. What an ended process left of it is taken away; one that somebody
 // answers at is refused.
-func Door(path string) (net.Listener, error) {
+func ListenUnix(path string) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("socket %s is in use", path)
--- a/internal/fleet/membership/carry_test.go
+++ b/internal/fleet/membership/carry_test.go
@@ -15,7 +15,7 @@
 
 func (p *pipe) Send(_ int, data []byte) { p.to.Receive(p.now, 0, bytes.Clone(data)) }
 func (p *pipe) Changed(Change)          {}
-func (p *pipe) Other(from uint32, whose byte, data []byte) {
+func (p *pipe) CarriedData(from uint32, whose byte, data []byte) {
 	if whose == 7 {
 		p.who, p.got = from, append(p.got, bytes.Clone(data))
 	}
@@ -24,11 +24,11 @@
 // TestCarriesOthersData: what another package sends by this way comes as it was sent, as long as a datagram holds it, and counts as a word of its sender.
 func TestCarriesOthersData(t *testing.T) {
 	a, b := &pipe{}, &pipe{}
-	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, Own: -1, Life: NewLife(1)}, a)
+	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, a)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := New(Config{Name: "b", Fleet: "f", Slots: 1, Own: -1, Life: NewLife(1)}, b)
+	two, err := New(Config{Name: "b", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		one.Tick(now, now)
 		two.Tick(now, now)
 	}
-	whole := bytes.Repeat([]byte("x"), Room(0))
+	whole := bytes.Repeat([]byte("x"), PayloadRoom(0))
 	for _, data := range [][]byte{[]byte("one"), whole, append(whole, 'x'), {}} {
 		one.Carry(2*sec, ID("b"), 7, data)
 	}
--- a/internal/fleet/membership/codec.go
+++ b/internal/fleet/membership/codec.go
@@ -6,15 +6,15 @@
 	"net/netip"
 )
 
-// Longest is the longest datagram, in bytes.
-const Longest = 256
+// MaxDatagram is the longest datagram, in bytes.
+const MaxDatagram = 256
 
 // version is the codec's: a datagram of another one is passed over and counted. It is no kind of message of the decision module's,
 // with which datagrams may share a socket.
 const version = 0x11
 
-// Ours tells whether a datagram can be one of this package's, of any version.
-func Ours(b []byte) bool { return len(b) > 0 && b[0]&0xf0 == version&0xf0 }
+// IsMembershipDatagram tells whether a datagram can be one of this package's, of any version.
+func IsMembershipDatagram(b []byte) bool { return len(b) > 0 && b[0]&0xf0 == version&0xf0 }
 
 // The kinds of part that a datagram holds, any number of them behind its head.
 const (
@@ -34,8 +34,8 @@
 // otherHead is what a part for others takes besides what it carries.
 const otherHead = 3
 
-// Room is how many bytes of another package's a datagram can carry, with so many taken off by the caller.
-func Room(overhead int) int { return Longest - overhead - headLen - otherHead }
+// PayloadRoom is how many bytes of another package's a datagram can carry, with so many taken off by the caller.
+func PayloadRoom(overhead int) int { return MaxDatagram - overhead - headLen - otherHead }
 
 // ErrMalformed is told of a datagram that is none of this codec's; ErrVersion of one of another version, and ErrFleet of another
 // fleet's.
@@ -45,21 +45,21 @@
 	ErrFleet     = errors.New("datagram of another fleet")
 )
 
-// Life tells one life of a member from another: its start in Unix milliseconds, and a counter within it that only the member
+// Incarnation tells one life of a member from another: its start in Unix milliseconds, and a counter within it that only the member
 // itself raises, to answer what others say of it. A larger one is newer.
-type Life uint64
+type Incarnation uint64
 
-// NewLife begins at a start time.
-func NewLife(unixMS int64) Life { return Life(uint64(unixMS) << 16) }
+// NewIncarnation begins at a start time.
+func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
 
 // Start is the part that tells lives of different processes apart.
-func (l Life) Start() uint64 { return uint64(l) >> 16 }
+func (l Incarnation) Start() uint64 { return uint64(l) >> 16 }
 
-// News is what one member tells of another, or of itself.
-type News struct {
-	ID    uint32
-	State State
-	Life  Life
+// MemberNews is what one member tells of another, or of itself.
+type MemberNews struct {
+	ID          uint32
+	State       State
+	Incarnation Incarnation
 	// Age is how long ago the member was last heard by whoever heard it last, in milliseconds, as the datagram is sent; at most
 	// 65,535.
 	Age uint16
@@ -72,12 +72,12 @@
 
 // Datagram is one that is being written. The zero value is none: see begin.
 type Datagram struct {
-	buf  [Longest]byte
+	buf  [MaxDatagram]byte
 	n    int
 	room int // less for a keyed hash behind
 }
 
-func (d *Datagram) begin(fleet, from uint32, life Life, digest uint32, room int) {
+func (d *Datagram) begin(fleet, from uint32, life Incarnation, digest uint32, room int) {
 	d.room = room
 	d.buf[0] = version
 	binary.BigEndian.PutUint32(d.buf[1:], fleet)
@@ -104,7 +104,7 @@
 	d.n += 4
 }
 
-func (d *Datagram) news(x News) bool {
+func (d *Datagram) news(x MemberNews) bool {
 	if !d.fits(1 + newsLen) {
 		return false
 	}
@@ -112,7 +112,7 @@
 	p[0] = partNews
 	binary.BigEndian.PutUint32(p[1:], x.ID)
 	p[5] = byte(x.State)
-	binary.BigEndian.PutUint64(p[6:], uint64(x.Life))
+	binary.BigEndian.PutUint64(p[6:], uint64(x.Incarnation))
 	binary.BigEndian.PutUint16(p[14:], x.Age)
 	d.n += 1 + newsLen
 	return true
--- a/internal/fleet/membership/codec_test.go
+++ b/internal/fleet/membership/codec_test.go
@@ -14,7 +14,7 @@
 
 func core(t testing.TB, name string) (*Core, *silent) {
 	s := &silent{}
-	c, err := New(Config{Name: name, Fleet: "f", Life: NewLife(1), Slots: 3, Own: 0, Seed: 1}, s)
+	c, err := New(Config{Name: name, Fleet: "f", Incarnation: NewIncarnation(1), Slots: 3, OwnSlot: 0, Seed: 1}, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 // full is a datagram with every kind of part.
 func full() []byte {
 	d := &Datagram{}
-	d.begin(ID("fleet f"), ID("other"), NewLife(7), 99, Longest)
+	d.begin(ID("fleet f"), ID("other"), NewIncarnation(7), 99, MaxDatagram)
 	d.seq(partPing, 1)
 	d.seq(partAck, 2)
 	d.seqID(partPingFor, 3, 4)
@@ -33,7 +33,7 @@
 	d.row([]uint32{1, 2, 3})
 	d.want()
 	d.name("other")
-	for d.news(News{ID: 8, State: Suspect, Life: NewLife(3) + 1, Age: 1200}) {
+	for d.news(MemberNews{ID: 8, State: Suspect, Incarnation: NewIncarnation(3) + 1, Age: 1200}) {
 	}
 	return d.Bytes()
 }
@@ -59,7 +59,7 @@
 		}
 		c.Tick(int64(time.Second), int64(time.Second))
 		for _, d := range s.sent {
-			if len(d) > Longest {
+			if len(d) > MaxDatagram {
 				t.Fatalf("answers with %d bytes", len(d))
 			}
 			// A refusal speaks to the other fleet in its name.
@@ -79,20 +79,20 @@
 		t.Error(err)
 	}
 	d := &Datagram{}
-	d.begin(ID("fleet g"), ID("other"), 1, 0, Longest)
+	d.begin(ID("fleet g"), ID("other"), 1, 0, MaxDatagram)
 	if err := c.Receive(1, 1, d.Bytes()); err != ErrFleet || c.Counts().OtherFleet != 1 {
 		t.Error(err)
 	}
-	d.begin(ID("fleet f"), ID("me"), NewLife(1), 0, Longest)
+	d.begin(ID("fleet f"), ID("me"), NewIncarnation(1), 0, MaxDatagram)
 	if err := c.Receive(1, 1, d.Bytes()); err == nil || c.Counts().Clashes != 1 {
 		t.Error("a process under the own name is taken in")
 	}
 	// One name at two addresses: the one that is there stays.
-	d.begin(ID("fleet f"), ID("twin"), NewLife(1), 0, Longest)
+	d.begin(ID("fleet f"), ID("twin"), NewIncarnation(1), 0, MaxDatagram)
 	if err := c.Receive(1, 1, d.Bytes()); err != nil {
 		t.Fatal(err)
 	}
-	d.begin(ID("fleet f"), ID("twin"), NewLife(2), 0, Longest)
+	d.begin(ID("fleet f"), ID("twin"), NewIncarnation(2), 0, MaxDatagram)
 	if err := c.Receive(2, 2, d.Bytes()); err == nil || c.View()[0].Slot != 1 {
 		t.Error("a second process under a live member's name is taken in")
 	}
@@ -104,9 +104,9 @@
 func TestTakingADatagramAllocatesNothing(t *testing.T) {
 	c, _ := core(t, "me")
 	d := &Datagram{}
-	d.begin(ID("fleet f"), ID("other"), NewLife(7), c.Digest(), Longest)
+	d.begin(ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest(), MaxDatagram)
 	d.row([]uint32{1, 2})
-	for d.news(News{ID: ID("other"), State: Alive, Life: NewLife(7)}) {
+	for d.news(MemberNews{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
 	c.Receive(1, 1, d.Bytes())
 	if n := testing.AllocsPerRun(100, func() { c.Receive(2, 1, d.Bytes()) }); n > 0 {
@@ -117,8 +117,8 @@
 func BenchmarkReceive(b *testing.B) {
 	c, _ := core(b, "me")
 	d := &Datagram{}
-	d.begin(ID("fleet f"), ID("other"), NewLife(7), c.Digest(), Longest)
-	for d.news(News{ID: ID("other"), State: Alive, Life: NewLife(7)}) {
+	d.begin(ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest(), MaxDatagram)
+	for d.news(MemberNews{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
 	b.ReportAllocs()
 	for i := range b.N {
@@ -137,8 +137,8 @@
 		return s
 	}
 	d := &Datagram{}
-	d.begin(1, 2, NewLife(3), 4, Longest-SealLen)
-	first := append([]byte(nil), seal(old).Close(d.Bytes())...)
+	d.begin(1, 2, NewIncarnation(3), 4, MaxDatagram-SealLength)
+	first := append([]byte(nil), seal(old).Seal(d.Bytes())...)
 	for name, s := range map[string]*Seal{"same key": seal(old), "new key first": seal(next, old), "new key second": seal(old, next)} {
 		if got, err := s.Open(first); err != nil || string(got) != string(d.Bytes()) {
 			t.Errorf("%s: %v", name, err)
@@ -164,7 +164,7 @@
 	from, to := seal(old), seal(old)
 	var sent [][]byte
 	for range 100 {
-		sent = append(sent, append([]byte(nil), from.Close(d.Bytes())...))
+		sent = append(sent, append([]byte(nil), from.Seal(d.Bytes())...))
 	}
 	for _, i := range []int{5, 3, 4, 60, 59} {
 		if _, err := to.Open(sent[i]); err != nil {
@@ -187,7 +187,7 @@
 // Whoever is refused is told why.
 func TestTheRefusedIsTold(t *testing.T) {
 	c, s := core(t, "me")
-	other, err := New(Config{Name: "other", Fleet: "g", Life: NewLife(1), Slots: 3, Own: 1}, &silent{})
+	other, err := New(Config{Name: "other", Fleet: "g", Incarnation: NewIncarnation(1), Slots: 3, OwnSlot: 1}, &silent{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -26,25 +26,25 @@
 
 // Change is one change of the view, with its reason.
 type Change struct {
-	Name     string // "" where it has not been told yet
-	ID       uint32
-	From, To State
-	Life     Life
-	Version  uint64
-	Reason   string
+	Name        string // "" where it has not been told yet
+	ID          uint32
+	From, To    State
+	Incarnation Incarnation
+	Version     uint64
+	Reason      string
 }
 
 // Member is one member as others may see it.
 type Member struct {
-	Name      string
-	ID        uint32
-	Slot      int // -1: not known
-	State     State
-	Life      Life
-	Heard     Time     // when it was last heard here; 0: never
-	HeardBy   Time     // and by anybody
-	Unheard   []uint32 // whom it does not hear, as it says itself
-	UnheardAt Time
+	Name        string
+	ID          uint32
+	Slot        int // -1: not known
+	State       State
+	Incarnation Incarnation
+	HeardHere   Time     // when it was last heard here; 0: never
+	HeardByAny  Time     // and by anybody
+	Unheard     []uint32 // whom it does not hear, as it says itself
+	UnheardAt   Time
 }
 
 type member struct {
@@ -72,7 +72,7 @@
 
 // Counts are what a process has done and met.
 type Counts struct {
-	Sent, Bytes, Heard                    int
-	Malformed, OtherVersion, OtherFleet   int
-	OldLife, Clashes, Pauses, Refutations int
+	Sent, Bytes, Heard                           int
+	Malformed, OtherVersion, OtherFleet          int
+	OldIncarnation, Clashes, Pauses, Refutations int
 }
--- a/internal/fleet/membership/members.go
+++ b/internal/fleet/membership/members.go
@@ -35,22 +35,22 @@
 // Config is what a process is told once.
 type Config struct {
 	Name, Fleet string
-	Life        Life // of this process; a successor that takes over the name's work goes on with the same one
-	Slots       int  // addresses at which members may be, by number
-	Own         int  // the own one among them; -1: none
+	Incarnation Incarnation // of this process; a successor that takes over the name's work goes on with the same one
+	Slots       int         // addresses at which members may be, by number
+	OwnSlot     int         // the own one among them; -1: none
 	// Seeds are addresses of some members, in place of Slots and Own, where members come and go: the others' are learnt.
-	Seeds    []netip.AddrPort
-	Base     int // how many members the fleet is meant to have; a majority is more than half of it
-	Overhead int // bytes of each datagram that the caller adds, such as a keyed hash
+	Seeds     []netip.AddrPort
+	FleetSize int // how many members the fleet is meant to have; a majority is more than half of it
+	Overhead  int // bytes of each datagram that the caller adds, such as a keyed hash
 
-	Period    Time // between two probes; 0: 200 ms
-	Within    Time // how long an answer may take before others are asked; 0: 150 ms
-	SilentFor Time // unheard by anybody for so long, a suspect is unreachable; 0: 2.3 s
-	GoneAfter Time // and for so long after that, gone; 0: 10 s
-	Seed      uint64
+	ProbeInterval    Time // between two probes; 0: 200 ms
+	ProbeTimeout     Time // how long an answer may take before others are asked; 0: 150 ms
+	UnreachableAfter Time // unheard by anybody for so long, a suspect is unreachable; 0: 2.3 s
+	GoneAfter        Time // and for so long after that, gone; 0: 10 s
+	Seed             uint64
 
 	// Planted faults, for the proof that the checks find them.
-	IgnoreLife, IgnorePause bool
+	IgnoreIncarnation, IgnorePause bool
 }
 
 // Effects is what a process can do.
@@ -59,9 +59,9 @@
 	Changed(c Change)
 }
 
-// Others is what Effects may have besides: it takes what another package's like has sent by the way that members have.
-type Others interface {
-	Other(from uint32, whose byte, data []byte) // data is valid during the call only
+// Carrier is what Effects may have besides: it takes what another package's like has sent by the way that members have.
+type Carrier interface {
+	CarriedData(from uint32, whose byte, data []byte) // data is valid during the call only
 }
 
 // Core is one process's part.
@@ -71,7 +71,7 @@
 	rng     *rand.Rand
 	id      uint32
 	fleet   uint32
-	life    Life
+	life    Incarnation
 	now     Time
 	started bool
 
@@ -126,28 +126,28 @@
 		return nil, fmt.Errorf("membership: a name of %d bytes, 1 to 64 are possible", len(cfg.Name))
 	}
 	if len(cfg.Seeds) > 0 {
-		cfg.Slots, cfg.Own = len(cfg.Seeds), -1
+		cfg.Slots, cfg.OwnSlot = len(cfg.Seeds), -1
 	}
-	if cfg.Slots < 1 || cfg.Own >= cfg.Slots || cfg.Overhead < 0 || cfg.Overhead > 64 {
-		return nil, fmt.Errorf("membership: %d addresses, the own one number %d, %d bytes taken off each datagram", cfg.Slots, cfg.Own, cfg.Overhead)
+	if cfg.Slots < 1 || cfg.OwnSlot >= cfg.Slots || cfg.Overhead < 0 || cfg.Overhead > 64 {
+		return nil, fmt.Errorf("membership: %d addresses, the own one number %d, %d bytes taken off each datagram", cfg.Slots, cfg.OwnSlot, cfg.Overhead)
 	}
-	if cfg.Base < 1 {
-		cfg.Base = cfg.Slots
+	if cfg.FleetSize < 1 {
+		cfg.FleetSize = cfg.Slots
 	}
 	for _, d := range []struct {
 		v    *Time
 		that Time
-	}{{&cfg.Period, 200 * ms}, {&cfg.Within, 150 * ms}, {&cfg.SilentFor, 2300 * ms}, {&cfg.GoneAfter, 10 * sec}} {
+	}{{&cfg.ProbeInterval, 200 * ms}, {&cfg.ProbeTimeout, 150 * ms}, {&cfg.UnreachableAfter, 2300 * ms}, {&cfg.GoneAfter, 10 * sec}} {
 		if *d.v <= 0 {
 			*d.v = d.that
 		}
 	}
-	c := &Core{cfg: cfg, fx: fx, id: ID(cfg.Name), fleet: ID("fleet " + cfg.Fleet), life: cfg.Life, members: map[uint32]*member{},
+	c := &Core{cfg: cfg, fx: fx, id: ID(cfg.Name), fleet: ID("fleet " + cfg.Fleet), life: cfg.Incarnation, members: map[uint32]*member{},
 		slots: make([]uint32, cfg.Slots), probes: map[uint32]*pending{}}
 	c.rng = rand.New(rand.NewPCG(cfg.Seed, uint64(c.id)))
 	c.where = slices.Clone(cfg.Seeds)
 	for i := range cfg.Slots {
-		if i != cfg.Own {
+		if i != cfg.OwnSlot {
 			c.turn = append(c.turn, i)
 		}
 	}
@@ -161,12 +161,12 @@
 	if !c.started {
 		c.started, c.nextProbe, c.lastHeard = true, now, now
 		c.shuffle()
-	} else if (gap > 4*c.cfg.Period || jump > 4*c.cfg.Period) && !c.cfg.IgnorePause {
+	} else if (gap > 4*c.cfg.ProbeInterval || jump > 4*c.cfg.ProbeInterval) && !c.cfg.IgnorePause {
 		c.woke(gap)
 	}
 	c.expire()
 	for c.now >= c.nextProbe && !c.left {
-		c.nextProbe = max(c.nextProbe+c.cfg.Period, now-c.cfg.Period)
+		c.nextProbe = max(c.nextProbe+c.cfg.ProbeInterval, now-c.cfg.ProbeInterval)
 		c.probe()
 	}
 	c.judge()
@@ -184,7 +184,7 @@
 	m.State, m.since = to, c.now
 	c.digest ^= m.mark()
 	c.version++
-	c.fx.Changed(Change{m.Name, m.ID, from, to, m.Life, c.version, why})
+	c.fx.Changed(Change{m.Name, m.ID, from, to, m.Incarnation, c.version, why})
 }
 
 // mark is a member's part of the digest of a view. A suspect counts still, and a life's own counter does not matter. Who has left
@@ -197,7 +197,7 @@
 	case Suspect:
 		s = Alive
 	}
-	x := uint64(m.ID)<<32 ^ m.Life.Start()*0x9e3779b97f4a7c15 ^ uint64(s)*0xbf58476d1ce4e5b9
+	x := uint64(m.ID)<<32 ^ m.Incarnation.Start()*0x9e3779b97f4a7c15 ^ uint64(s)*0xbf58476d1ce4e5b9
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
 	return uint32(x ^ x>>29)
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -14,7 +14,7 @@
 	for _, id := range c.order {
 		m := c.members[id]
 		if m.State == Alive || m.State == Suspect {
-			m.HeardBy += gap
+			m.HeardByAny += gap
 			c.miss(m, 0)
 			m.suspected = 0
 			c.set(m, Alive, "this process slept")
@@ -42,23 +42,23 @@
 		case p.onward && age > 2*sec:
 			delete(c.probes, seq)
 		case p.onward:
-		case !p.asked && age > c.slow(c.cfg.Within):
+		case !p.asked && age > c.slow(c.cfg.ProbeTimeout):
 			p.asked = true
 			if m != nil && m.missed == 0 {
 				c.miss(m, p.at)
 			}
 			c.askOthers(p.id, seq)
-		case p.asked && age > 2*c.slow(c.cfg.Within):
+		case p.asked && age > 2*c.slow(c.cfg.ProbeTimeout):
 			delete(c.probes, seq)
 			if m == nil {
 				break
 			}
-			if c.now-m.HeardBy > c.cfg.Within && m.suspected == 0 && m.State == Alive && c.now >= c.distrust {
+			if c.now-m.HeardByAny > c.cfg.ProbeTimeout && m.suspected == 0 && m.State == Alive && c.now >= c.distrust {
 				m.suspected = c.now
 				c.set(m, Suspect, "did not answer, directly or through others")
 				c.spread(p.id)
 			}
-			if c.now-c.lastHeard > 2*c.cfg.Period {
+			if c.now-c.lastHeard > 2*c.cfg.ProbeInterval {
 				c.health = min(maxHealth, c.health+1) // nothing comes at all: the fault may be here
 			}
 		}
@@ -129,13 +129,13 @@
 			break
 		}
 		m := c.members[id]
-		unheard := c.now - m.HeardBy
+		unheard := c.now - m.HeardByAny
 		switch {
 		case c.now < c.distrust:
-		case m.State == Suspect && unheard < c.cfg.Period:
+		case m.State == Suspect && unheard < c.cfg.ProbeInterval:
 			m.suspected = 0
 			c.set(m, Alive, "heard again")
-		case m.State == Suspect && unheard > c.slow(c.cfg.SilentFor) && c.now-m.suspected > patience:
+		case m.State == Suspect && unheard > c.slow(c.cfg.UnreachableAfter) && c.now-m.suspected > patience:
 			why := "nobody has heard it"
 			if alone {
 				why = "nothing at all is heard: this process may be cut off"
--- a/internal/fleet/membership/read.go
+++ b/internal/fleet/membership/read.go
@@ -8,14 +8,14 @@
 // reader takes a datagram apart without keeping any of it or allocating.
 type reader struct {
 	fleet, from uint32
-	life        Life
+	life        Incarnation
 	digest      uint32
 	rest        []byte
 }
 
 // read checks a datagram's head, and all of its parts, so that nothing of a malformed one is acted on.
 func read(b []byte, fleet uint32) (reader, error) {
-	if len(b) < 1 || len(b) > Longest {
+	if len(b) < 1 || len(b) > MaxDatagram {
 		return reader{}, ErrMalformed
 	}
 	if b[0] != version {
@@ -24,7 +24,7 @@
 	if len(b) < headLen {
 		return reader{}, ErrMalformed
 	}
-	r := reader{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:]), Life(binary.BigEndian.Uint64(b[9:])),
+	r := reader{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:]), Incarnation(binary.BigEndian.Uint64(b[9:])),
 		binary.BigEndian.Uint32(b[17:]), b[headLen:]}
 	if r.fleet != fleet {
 		return r, ErrFleet
@@ -41,7 +41,7 @@
 type part struct {
 	kind    byte
 	seq, id uint32
-	news    News
+	news    MemberNews
 	row     []byte
 	name    []byte
 	why     byte // or whose data is
@@ -94,7 +94,7 @@
 			p.id = binary.BigEndian.Uint32(b[5:])
 		}
 	case partNews:
-		p.news = News{binary.BigEndian.Uint32(b[1:]), State(b[5]), Life(binary.BigEndian.Uint64(b[6:])), binary.BigEndian.Uint16(b[14:])}
+		p.news = MemberNews{binary.BigEndian.Uint32(b[1:]), State(b[5]), Incarnation(binary.BigEndian.Uint64(b[6:])), binary.BigEndian.Uint16(b[14:])}
 		if p.news.State > Gone {
 			return p, false
 		}
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -18,7 +18,7 @@
 // Receive takes a datagram that came from an address. What is wrong with it is counted, and told.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
-	if gap := now - c.lastTick; c.started && gap > 4*c.cfg.Period && !c.cfg.IgnorePause {
+	if gap := now - c.lastTick; c.started && gap > 4*c.cfg.ProbeInterval && !c.cfg.IgnorePause {
 		// This process slept, and what waited for it comes before its turn does.
 		c.lastTick, c.lastWall = now, c.lastWall+gap
 		c.woke(gap)
@@ -51,14 +51,14 @@
 		return fmt.Errorf("membership: another process has the name %s", c.cfg.Name)
 	}
 	m := c.members[r.from]
-	if m != nil && m.Slot >= 0 && m.Slot != slot && r.life.Start() != m.Life.Start() && now-m.Heard < c.cfg.SilentFor && m.State == Alive {
+	if m != nil && m.Slot >= 0 && m.Slot != slot && r.life.Start() != m.Incarnation.Start() && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive {
 		c.counts.Clashes++
 		c.refuse(slot, c.fleet, refusedName)
 		return fmt.Errorf("membership: the name of %08x is in use by a live member", r.from)
 	}
-	if m != nil && r.life < m.Life && !c.cfg.IgnoreLife {
+	if m != nil && r.life < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		// An earlier life, or one whose clock was set back: if it is the one that runs, it raises its own once it hears this.
-		c.counts.OldLife++
+		c.counts.OldIncarnation++
 		d := c.datagram()
 		d.news(c.about(r.from))
 		c.transmit(slot, d)
@@ -99,7 +99,7 @@
 	}
 	c.refusedAt = c.now
 	d := c.datagram()
-	d.begin(fleet, c.id, c.life, c.Digest(), Longest-c.cfg.Overhead)
+	d.begin(fleet, c.id, c.life, c.Digest(), MaxDatagram-c.cfg.Overhead)
 	d.refused(why)
 	c.transmit(slot, d)
 }
@@ -117,8 +117,8 @@
 }
 
 // heard takes in that a member was heard here.
-func (c *Core) heard(m *member, slot int, life Life) {
-	newer := life > m.Life
+func (c *Core) heard(m *member, slot int, life Incarnation) {
+	newer := life > m.Incarnation
 	c.live(m, life)
 	if (m.State == Left || m.State == Gone) && !newer {
 		// It is to know what it is held to be; its answer is a newer life.
@@ -133,18 +133,18 @@
 	m.Slot = slot
 	c.slots[slot] = m.ID
 	c.miss(m, 0)
-	m.Heard, m.HeardBy, m.suspected = c.now, c.now, 0
+	m.HeardHere, m.HeardByAny, m.suspected = c.now, c.now, 0
 	c.set(m, Alive, "heard")
 }
 
 // live takes in a member's newer life.
-func (c *Core) live(m *member, life Life) {
-	if life <= m.Life && !(c.cfg.IgnoreLife && life != m.Life) {
+func (c *Core) live(m *member, life Incarnation) {
+	if life <= m.Incarnation && !(c.cfg.IgnoreIncarnation && life != m.Incarnation) {
 		return
 	}
 	c.digest ^= m.mark()
-	again := m.Life != 0 && life.Start() != m.Life.Start()
-	m.Life = life
+	again := m.Incarnation != 0 && life.Start() != m.Incarnation.Start()
+	m.Incarnation = life
 	c.digest ^= m.mark()
 	if again {
 		c.version++
