--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -8,8 +8,8 @@
 	"hash"
 )
 
-// SealLen is how many bytes a seal adds to a datagram: a number that counts up and a keyed hash, cut to 128 bits.
-const SealLen = 4 + 16
+// SealLength is how many bytes a seal adds to a datagram: a number that counts up and a keyed hash, cut to 128 bits.
+const SealLength = 4 + 16
 
 // ErrSeal is told of a datagram under no key that is valid here; ErrReplay of one that was taken before.
 var (
@@ -23,7 +23,7 @@
 	macs []hash.Hash
 	seq  uint32
 	seen map[uint32]*window // by sender
-	buf  [Longest]byte
+	buf  [MaxDatagram]byte
 }
 
 // window remembers which of one life's last 64 numbers came.
@@ -55,8 +55,8 @@
 	return m.Sum(out[:0])[:16]
 }
 
-// Close gives a datagram with its seal; it is valid until the next call.
-func (s *Seal) Close(data []byte) []byte {
+// Seal gives a datagram with its seal; it is valid until the next call.
+func (s *Seal) Seal(data []byte) []byte {
 	s.seq++
 	b := append(s.buf[:0], data...)
 	b = binary.BigEndian.AppendUint32(b, s.seq)
@@ -65,7 +65,7 @@
 
 // Open checks a datagram and gives what is in it.
 func (s *Seal) Open(b []byte) ([]byte, error) {
-	if len(b) < headLen+SealLen || len(b) > Longest {
+	if len(b) < headLen+SealLength || len(b) > MaxDatagram {
 		return nil, ErrMalformed
 	}
 	body, mac := b[:len(b)-16], b[len(b)-16:]
@@ -77,7 +77,7 @@
 		return nil, ErrSeal
 	}
 	data := body[:len(body)-4]
-	from, life, seq := binary.BigEndian.Uint32(data[5:]), Life(binary.BigEndian.Uint64(data[9:])).Start(), binary.BigEndian.Uint32(body[len(body)-4:])
+	from, life, seq := binary.BigEndian.Uint32(data[5:]), Incarnation(binary.BigEndian.Uint64(data[9:])).Start(), binary.BigEndian.Uint32(body[len(body)-4:])
 	w := s.seen[from]
 	if w == nil || life > w.life {
 		w = &window{life: life}
--- a/internal/fleet/membership/send.go
+++ b/internal/fleet/membership/send.go
@@ -20,7 +20,7 @@
 
 func (c *Core) datagram() *Datagram {
 	d := &Datagram{}
-	d.begin(c.fleet, c.id, c.life, c.Digest(), Longest-c.cfg.Overhead)
+	d.begin(c.fleet, c.id, c.life, c.Digest(), MaxDatagram-c.cfg.Overhead)
 	return d
 }
 
@@ -51,17 +51,17 @@
 }
 
 // about is the news of a member as they stand.
-func (c *Core) about(id uint32) News {
+func (c *Core) about(id uint32) MemberNews {
 	if id == c.id {
 		s := Alive
 		if c.left {
 			s = Left
 		}
-		return News{ID: id, State: s, Life: c.life}
+		return MemberNews{ID: id, State: s, Incarnation: c.life}
 	}
 	m := c.members[id]
-	age := min((c.now-m.HeardBy)/ms, math.MaxUint16)
-	return News{ID: id, State: m.State, Life: m.Life, Age: uint16(max(0, age))}
+	age := min((c.now-m.HeardByAny)/ms, math.MaxUint16)
+	return MemberNews{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
 }
 
 // tellWhere tells a member's address, where members come and go.
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -20,7 +20,7 @@
 	slept  Time   // since when it sleeps
 	woke   Time   // when it last woke from a sleep of a second or more; 0: never
 	turns  int
-	seen   map[uint32]membership.Life // the newest life that it has known, by member
+	seen   map[uint32]membership.Incarnation // the newest life that it has known, by member
 	ver    uint64
 	fleet  *Fleet
 	i      int
@@ -59,10 +59,10 @@
 		f.Sent(n.i, slot, data)
 	}
 	if f.Seeds > 0 {
-		slot = int(n.Core.Where(slot).Port()) - 1000
+		slot = int(n.Core.Address(slot).Port()) - 1000
 	}
-	if n.Mute || len(data) > membership.Longest {
-		if len(data) > membership.Longest {
+	if n.Mute || len(data) > membership.MaxDatagram {
+		if len(data) > membership.MaxDatagram {
 			f.fail("a datagram of %d bytes", len(data))
 		}
 		return
@@ -115,11 +115,11 @@
 		n.ver = v
 	}
 	for _, m := range n.Core.View() {
-		if m.Life.Start() < n.seen[m.ID].Start() {
+		if m.Incarnation.Start() < n.seen[m.ID].Start() {
 			f.fail("n%d: %d is taken for an earlier life", n.i, m.ID)
 		}
-		n.seen[m.ID] = max(m.Life, n.seen[m.ID])
-		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m.ID, m.Slot, m.Life) {
+		n.seen[m.ID] = max(m.Incarnation, n.seen[m.ID])
+		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m.ID, m.Slot, m.Incarnation) {
 			f.fail("n%d: n%d is gone, whom all others have heard within the last second", n.i, m.Slot)
 		}
 	}
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		f.Changes = func(at int, c membership.Change) {
-			digest.Add("%d at %d: %d from %s to %s, incarnation %d, version %d", f.Now(), at, c.ID, c.From, c.To, c.Life, c.Version)
+			digest.Add("%d at %d: %d from %s to %s, incarnation %d, version %d", f.Now(), at, c.ID, c.From, c.To, c.Incarnation, c.Version)
 		}
 		calm := f.Apply(Draw(processes, seed))
 		f.Run(calm*Ms + Settle)
--- a/internal/fleet/membership/simulation/virtual.go
+++ b/internal/fleet/membership/simulation/virtual.go
@@ -49,7 +49,7 @@
 func New(n int, seed uint64, plant membership.Config) *Fleet {
 	f := &Fleet{Delay: 2 * Ms, Jitter: 2 * Ms, Cut: map[[2]int]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), plant: plant, left: map[int]bool{}}
 	for i := range n {
-		f.Nodes = append(f.Nodes, &Node{fleet: f, i: i, seen: map[uint32]membership.Life{}})
+		f.Nodes = append(f.Nodes, &Node{fleet: f, i: i, seen: map[uint32]membership.Incarnation{}})
 		f.At(Time(f.rng.Int64N(int64(Sec))), func() { f.Start(i) })
 	}
 	return f
@@ -76,11 +76,11 @@
 func (f *Fleet) Start(i int) {
 	n := f.Nodes[i]
 	cfg := f.plant
-	cfg.Name, cfg.Fleet, cfg.Slots, cfg.Own, cfg.Seed = Name(i), "lab", len(f.Nodes), i, f.rng.Uint64()
+	cfg.Name, cfg.Fleet, cfg.Slots, cfg.OwnSlot, cfg.Seed = Name(i), "lab", len(f.Nodes), i, f.rng.Uint64()
 	for s := range f.Seeds {
 		cfg.Seeds = append(cfg.Seeds, addr(s))
 	}
-	cfg.Life = membership.NewLife((wallZero + f.now + n.Step) / Ms)
+	cfg.Incarnation = membership.NewIncarnation((wallZero + f.now + n.Step) / Ms)
 	core, err := membership.New(cfg, n)
 	if err != nil {
 		panic(err)
@@ -138,7 +138,7 @@
 }
 
 // heardByAll tells whether all processes that act, itself aside, have heard a member's life within a second.
-func (f *Fleet) heardByAll(id uint32, slot int, life membership.Life) bool {
+func (f *Fleet) heardByAll(id uint32, slot int, life membership.Incarnation) bool {
 	others := 0
 	for i, o := range f.Nodes {
 		if i == slot || !o.Up || o.Asleep {
@@ -147,7 +147,7 @@
 		others++
 		ok := false
 		for _, m := range o.Core.View() {
-			ok = ok || m.ID == id && m.Heard > 0 && f.now-m.Heard < Sec && m.Life.Start() == life.Start()
+			ok = ok || m.ID == id && m.HeardHere > 0 && f.now-m.HeardHere < Sec && m.Incarnation.Start() == life.Start()
 		}
 		if !ok {
 			return false
--- a/internal/fleet/membership/simulation/virtual_test.go
+++ b/internal/fleet/membership/simulation/virtual_test.go
@@ -30,7 +30,7 @@
 
 // TestPlantedFaultsAreFound: a process that forgets lives, and one that does not notice its own sleep, are found by the same checks.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, plant := range map[string]membership.Config{"incarnation ignored": {IgnoreLife: true}, "own pause not noticed": {IgnorePause: true}} {
+	for name, plant := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not noticed": {IgnorePause: true}} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
 			if _, broken := Play(seed, plant); broken != "" {
@@ -213,7 +213,7 @@
 // leaves makes room, and after both seeds were restarted all find together again.
 func TestJoiningBySeeds(t *testing.T) {
 	for seed := range uint64(5) {
-		f := New(12, seed, membership.Config{Base: 12})
+		f := New(12, seed, membership.Config{FleetSize: 12})
 		f.Seeds = 2
 		f.At(Sec, func() { f.Kill(11) })
 		f.Run(10 * Sec)
--- a/internal/fleet/membership/take.go
+++ b/internal/fleet/membership/take.go
@@ -54,8 +54,8 @@
 			}
 		}
 	case partOther:
-		if o, takes := c.fx.(Others); takes {
-			o.Other(from.ID, p.why, p.data)
+		if o, takes := c.fx.(Carrier); takes {
+			o.CarriedData(from.ID, p.why, p.data)
 		}
 	case partRefused:
 		switch p.why {
@@ -97,8 +97,8 @@
 
 // heardOf takes in that somebody heard a member at a time.
 func (c *Core) heardOf(m *member, at Time) {
-	m.HeardBy = max(m.HeardBy, at)
-	fresh := c.now-m.HeardBy < c.cfg.SilentFor/2
+	m.HeardByAny = max(m.HeardByAny, at)
+	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
 	if fresh && (m.State == Suspect || m.State == Unreachable || m.State == Joining) {
 		m.suspected = 0
 		c.set(m, Alive, "another has heard it")
@@ -106,10 +106,10 @@
 }
 
 // told takes news of a member.
-func (c *Core) told(n News) {
+func (c *Core) told(n MemberNews) {
 	if n.ID == c.id {
-		if n.Life > c.life || n.Life == c.life && (n.State == Suspect || n.State == Unreachable || n.State == Gone || n.State == Left && !c.left) {
-			c.life = n.Life + 1
+		if n.Incarnation > c.life || n.Incarnation == c.life && (n.State == Suspect || n.State == Unreachable || n.State == Gone || n.State == Left && !c.left) {
+			c.life = n.Incarnation + 1
 			c.counts.Refutations++
 			c.spread(c.id)
 		}
@@ -122,11 +122,11 @@
 		}
 		m = c.add(n.ID)
 	}
-	if n.Life < m.Life && !c.cfg.IgnoreLife {
+	if n.Incarnation < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		return
 	}
-	newer := n.Life > m.Life
-	c.live(m, n.Life)
+	newer := n.Incarnation > m.Incarnation
+	c.live(m, n.Incarnation)
 	at := c.now - Time(n.Age)*ms
 	ended := m.State == Left || m.State == Gone
 	switch {
@@ -135,9 +135,9 @@
 			c.set(m, Left, "said so")
 			c.spread(m.ID)
 		}
-	case ended && !newer && !c.cfg.IgnoreLife:
+	case ended && !newer && !c.cfg.IgnoreIncarnation:
 	case n.State == Gone:
-		if c.now-m.HeardBy > c.cfg.SilentFor && c.now >= c.distrust {
+		if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.now >= c.distrust {
 			c.set(m, Gone, "others say so, and nobody here has heard it")
 		}
 		c.spread(m.ID) // or that it was heard
@@ -145,7 +145,7 @@
 	default:
 		if newer && ended {
 			c.set(m, Alive, "a newer life is told")
-			m.HeardBy = at
+			m.HeardByAny = at
 			c.spread(m.ID)
 		}
 		if newer && n.State == Alive {
@@ -164,15 +164,15 @@
 			return
 		}
 		// An accusation. Whoever has heard the member since says so; else it is looked into here.
-		if c.now-m.HeardBy < c.cfg.SilentFor && m.HeardBy > at+50*ms {
+		if c.now-m.HeardByAny < c.cfg.UnreachableAfter && m.HeardByAny > at+50*ms {
 			c.spread(m.ID)
-		} else if m.State == Alive && c.now >= c.distrust && c.now-m.HeardBy > c.cfg.Within {
+		} else if m.State == Alive && c.now >= c.distrust && c.now-m.HeardByAny > c.cfg.ProbeTimeout {
 			m.suspected = c.now
 			c.set(m, Suspect, "others say that it does not answer")
 			c.spread(m.ID)
 			c.ask(m)
 		}
-		if n.State == Unreachable && m.State == Suspect && c.now-m.HeardBy > c.cfg.SilentFor && c.now >= c.distrust {
+		if n.State == Unreachable && m.State == Suspect && c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.now >= c.distrust {
 			c.set(m, Unreachable, "nobody has heard it, others say so too")
 			c.spread(m.ID)
 		}
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,11 +4,11 @@
 	"net/netip"
 )
 
-// Base is how many members the fleet is meant to have.
-func (c *Core) Base() int { return c.cfg.Base }
+// FleetSize is how many members the fleet is meant to have.
+func (c *Core) FleetSize() int { return c.cfg.FleetSize }
 
-// Where is the address of a slot, where members come and go.
-func (c *Core) Where(slot int) netip.AddrPort { return c.where[slot] }
+// Address is the address of a slot, where members come and go.
+func (c *Core) Address(slot int) netip.AddrPort { return c.where[slot] }
 
 // Leave tells some members that this process ends in order, and answers probes no more as one that stays.
 func (c *Core) Leave(now Time) {
@@ -26,7 +26,7 @@
 
 // Quorum tells whether more than half of the base is alive in this process's view, itself included, and it hears somebody.
 func (c *Core) Quorum() bool {
-	return 2*(1+c.alive) > c.cfg.Base && (c.cfg.Base == 1 || c.now-c.lastHeard <= deafAfter)
+	return 2*(1+c.alive) > c.cfg.FleetSize && (c.cfg.FleetSize == 1 || c.now-c.lastHeard <= deafAfter)
 }
 
 // View is the members as this process sees them, itself left out, by id.
@@ -43,12 +43,12 @@
 
 // Digest is alike at processes whose views are, each counting itself as the others do.
 func (c *Core) Digest() uint32 {
-	self := member{Member: Member{ID: c.id, State: Alive, Life: c.life}}
+	self := member{Member: Member{ID: c.id, State: Alive, Incarnation: c.life}}
 	return c.digest ^ self.mark()
 }
 
-// Life is this process's own.
-func (c *Core) Life() Life { return c.life }
+// Incarnation is this process's own.
+func (c *Core) Incarnation() Incarnation { return c.life }
 
 // Counts are what was done and met so far.
 func (c *Core) Counts() Counts { return c.counts }
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -34,7 +34,7 @@
 		s.core.Leave(s.now(), "its process ends in order")
 		var wait func()
 		wait = func() {
-			if s.core.Left() {
+			if s.core.HasLeft() {
 				s.core.Yield(s.now())
 				time.Sleep(5 * time.Millisecond) // what has just been said is on its way
 				s.loop.Post(end)
--- a/internal/fleet/owneragent/owners.go
+++ b/internal/fleet/owneragent/owners.go
@@ -63,12 +63,12 @@
 	names     []string
 	there     []jobs.Member
 	hard      map[string]int
-	pace      *jobs.Pace
+	pace      *jobs.MigrationPacer
 	paceTags  map[uint64]uint64
 	gate      *rules.Enforcer
 	ruled     *rules.Member
 	ruleTags  map[uint64]uint64
-	quota     *quota.Share
+	quota     *quota.Client
 	purseTags map[uint64]uint64
 	quotaAt   int64
 	swapped   func() // called on the loop once this process acts by another version
@@ -98,17 +98,17 @@
 	s.fence.Forget = Planted == "forget"
 	s.box = fragment.New(m.Room(), uint32(s.life), boxSide{s})
 	if o.Hosts {
-		s.handles["hosts"] = &jobs.Hosts{Apply: func(out []string) { l.Post(func() { s.apply(out) }) }}
+		s.handles["hosts"] = &jobs.SuspendedHosts{Apply: func(out []string) { l.Post(func() { s.apply(out) }) }}
 	}
 	base := max(1, m.Base())
 	if o.Pace > 0 {
-		s.handles["moves"] = &jobs.Moves{Pace: float64(o.Pace), Base: base}
-		s.pace = &jobs.Pace{Pace: float64(o.Pace), Base: base, Ask: s.askPermits}
+		s.handles["moves"] = &jobs.MigrationPermits{Rate: float64(o.Pace), Base: base}
+		s.pace = &jobs.MigrationPacer{Rate: float64(o.Pace), Base: base, Ask: s.askPermits}
 	}
 	for i := range o.Drill {
 		name := fmt.Sprintf("drill%03d", i)
-		s.handles[name] = &jobs.Drill{Every: int64(time.Duration(max(20, o.Each)) * time.Millisecond), Taken: func(m ownership.Mark) {
-			slog.Debug("drill_taken", "job", name, "token", m.Token, "number", m.Number)
+		s.handles[name] = &jobs.Drill{Every: int64(time.Duration(max(20, o.Each)) * time.Millisecond), Taken: func(m ownership.FencingToken) {
+			slog.Debug("drill_taken", "job", name, "token", m.Token, "number", m.Sequence)
 		}}
 	}
 	o.Rules.begin(s)
@@ -188,7 +188,7 @@
 		if m.Name == "" || m.State == "left" || m.State == "gone" {
 			continue
 		}
-		there = append(there, jobs.Member{Name: m.Name, Peer: m.ID, Life: m.Life, Here: m.State == "alive" || m.State == "suspect" || m.State == "joining"})
+		there = append(there, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Life, Present: m.State == "alive" || m.State == "suspect" || m.State == "joining"})
 		for _, u := range m.Unheard {
 			if n := names[u]; n != "" {
 				hard[n]++
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	there = append(there, jobs.Member{Name: s.name, Peer: group.Peer(s.name), Life: s.life, Here: true})
+	there = append(there, jobs.Member{Name: s.name, Peer: group.Peer(s.name), Incarnation: s.life, Present: true})
 	s.post(func() { s.there, s.hard = there, hard })
 	s.loop.After(250*time.Millisecond, s.look)
 }
@@ -218,8 +218,8 @@
 			slog.Info("store_again", "dir", s.o.Dir)
 		}
 	}
-	s.core.Able(s.broken == "")
-	s.core.Hard(s.hard)
+	s.core.SetAble(s.broken == "")
+	s.core.SetUnreachable(s.hard)
 	s.core.Tick(now)
 	s.box.Tick(now)
 	if s.ruled != nil {
@@ -243,7 +243,7 @@
 			s.counts.Panics++
 			slog.Error("job_failed", "job", name, "reason", p)
 			if s.owned[name] == token && token != 0 {
-				s.core.Failed(s.now(), name, token, fmt.Sprint(p))
+				s.core.JobFailed(s.now(), name, token, fmt.Sprint(p))
 			}
 		}
 	}()
--- a/internal/fleet/owneragent/owners_test.go
+++ b/internal/fleet/owneragent/owners_test.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, &group.StoreError{Err: err}
 	}
-	c, err := consensus.Open(consensus.Config{Group: o.Group, Name: o.Name, Initial: o.Voters, Seed: o.Seed}, st, o.Machines, o.Effects)
+	c, err := consensus.Open(consensus.Config{Group: o.Group, Name: o.Name, InitialVoters: o.Voters, Seed: o.Seed}, st, o.Machines, o.Effects)
 	if err != nil {
 		return nil, &group.StoreError{Err: err}
 	}
--- a/internal/fleet/owneragent/pace.go
+++ b/internal/fleet/owneragent/pace.go
@@ -1,13 +1,13 @@
 package owneragent
 
-// May tells how many of so many clients may be sent away now; then hears.
-func (s *Agent) May(want int, then func(n int)) {
+// RequestMigrations tells how many of so many clients may be sent away now; then hears.
+func (s *Agent) RequestMigrations(want int, then func(n int)) {
 	if s == nil || s.pace == nil {
 		then(want)
 		return
 	}
 	s.post(func() {
-		n := s.pace.May(s.now(), want)
+		n := s.pace.Allow(s.now(), want)
 		s.loop.Post(func() { then(n) })
 	})
 }
@@ -26,5 +26,5 @@
 			delete(tags, t)
 		}
 	}
-	s.core.Ask(s.now(), job, s.tags, body)
+	s.core.Query(s.now(), job, s.tags, body)
 }
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -51,13 +51,13 @@
 		r.Group = &st
 	}
 	if s.group != nil {
-		for _, row := range s.table.Rows() {
-			r.Jobs = append(r.Jobs, JobRow{row.Job, row.Owner, row.Token, row.Number, len(row.Left), time.UnixMilli(row.Since).UTC().Format(time.RFC3339), row.Why})
+		for _, row := range s.table.Jobs() {
+			r.Jobs = append(r.Jobs, JobRow{row.Job, row.Owner, row.Token, row.CheckpointNumber, len(row.Checkpoint), time.UnixMilli(row.Since).UTC().Format(time.RFC3339), row.Reason})
 		}
 	}
-	r.Mine, r.Seen, r.Lease = s.core.Held(), map[string]uint64{}, s.core.Lease(s.now())/1e6
+	r.Mine, r.Seen, r.Lease = s.core.HeldJobs(), map[string]uint64{}, s.core.LeaseRemaining(s.now())/1e6
 	for _, n := range s.names {
-		if m := s.fence.Last(n); m != (ownership.Mark{}) {
+		if m := s.fence.Last(n); m != (ownership.FencingToken{}) {
 			r.Seen[n] = m.Token
 		}
 	}
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -20,11 +20,11 @@
 }
 
 func (r *Rules) bind(f *settings.Form) {
-	*r = Rules{Within: 3 * time.Second, Cut: "refuse", Most: rules.MostEntries}
+	*r = Rules{Within: 3 * time.Second, Cut: "refuse", Most: rules.MaxEntries}
 	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.On)
 	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.Within, 500*time.Millisecond, time.Minute)
 	f.Enum("when_cut", "what a proxy does that can't know whether its rules still hold: refuse new requests, or keep to the last ones", &r.Cut, "refuse", "keep")
-	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.Most, 1, rules.MostEntries)
+	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.Most, 1, rules.MaxEntries)
 }
 
 // begin makes the keeper's and the member's parts; it is called before there is a goroutine.
@@ -33,19 +33,19 @@
 		return
 	}
 	within := int64(r.Within)
-	s.gate = &rules.Enforcer{Now: s.now, Keep: r.Cut == "keep", Wait: r.Within}
-	s.ruled = &rules.Member{Within: within, Most: r.Most, Gate: s.gate,
-		Ask: func(tag uint64, body []byte) { s.askAs("rules", s.ruleTags, tag, body) },
-		Swapped: func(n uint64, h rules.Hash) {
+	s.gate = &rules.Enforcer{Now: s.now, KeepAfterLapse: r.Cut == "keep", LapsedAdvice: r.Within}
+	s.ruled = &rules.Member{AgreeWithin: within, MaxEntries: r.Most, Enforcer: s.gate,
+		SendQuery: func(tag uint64, body []byte) { s.askAs("rules", s.ruleTags, tag, body) },
+		VersionChanged: func(n uint64, h rules.Hash) {
 			slog.Info("rules", "version", n, "hash", hex.EncodeToString(h[:4]))
 			if s.swapped != nil {
 				s.swapped()
 			}
 		}}
 	if Planted == "lapse" {
-		s.ruled.Within *= 10 // what experiments have to find
+		s.ruled.AgreeWithin *= 10 // what experiments have to find
 	}
-	s.handles["rules"] = &rules.Coordinator{Within: within, Told: s.ruled.Told, Wall: func() int64 { return time.Now().UnixMilli() }}
+	s.handles["rules"] = &rules.Coordinator{AgreeWithin: within, Notified: s.ruled.Notified, Wall: func() int64 { return time.Now().UnixMilli() }}
 }
 
 // lapse is how long what an account's owner hands out holds.
@@ -56,34 +56,34 @@
 	if s.gate == nil {
 		return
 	}
-	s.quota = &quota.Share{Now: s.now, Lapse: int64(lapse), Base: base, Limits: s.gate.Limits, Accounts: s.gate.Limited, Ask: func(shard int, tag uint64, body []byte) {
+	s.quota = &quota.Client{Now: s.now, GrantLifetime: int64(lapse), FleetSize: base, Limits: s.gate.Limits, Accounts: s.gate.Limited, SendQuery: func(shard int, tag uint64, body []byte) {
 		s.post(func() { s.askAs(limitsJob(shard), s.purseTags, tag, body) })
 	}}
 	for shard := range quota.Shards {
-		s.handles[limitsJob(shard)] = &quota.Issuer{Lapse: int64(lapse), Base: base, Limits: s.gate.Limits}
+		s.handles[limitsJob(shard)] = &quota.Issuer{GrantLifetime: int64(lapse), FleetSize: base, Limits: s.gate.Limits}
 	}
 }
 
 func limitsJob(shard int) string { return fmt.Sprintf("limits%d", shard) }
 
-// Bounded tells whether an account has limits over the fleet.
-func (s *Agent) Bounded(account string) bool { return s.gate.Bounded(account) }
+// IsLimited tells whether an account has limits over the fleet.
+func (s *Agent) IsLimited(account string) bool { return s.gate.IsLimited(account) }
 
-// Take asks for one more connection of an account; then is called on the loop.
-func (s *Agent) Take(account string, spread float64, then func(over string, advice time.Duration)) {
-	s.loop.After(takeWithin, s.quota.Try) // whoever has waited long enough is told so
-	s.quota.Take(account, spread, func(over string, advice time.Duration) { s.loop.Post(func() { then(over, advice) }) })
+// Acquire asks for one more connection of an account; then is called on the loop.
+func (s *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
+	s.loop.After(takeWithin, s.quota.RetryWaiting) // whoever has waited long enough is told so
+	s.quota.Acquire(account, spread, func(over string, advice time.Duration) { s.loop.Post(func() { then(over, advice) }) })
 }
 
 // takeWithin is a little longer than a request waits for an owner's word.
 const takeWithin = 110 * time.Millisecond
 
-// Hold counts a connection that is open already, and Release the end of one.
-func (s *Agent) Hold(account string)    { s.quota.Hold(account) }
-func (s *Agent) Release(account string) { s.quota.Release(account) }
+// CountExisting counts a connection that is open already, and Release the end of one.
+func (s *Agent) CountExisting(account string) { s.quota.CountExisting(account) }
+func (s *Agent) Release(account string)       { s.quota.Release(account) }
 
-// Gate is what requests are judged by; nil where there are no such rules.
-func (s *Agent) Gate() *rules.Enforcer {
+// Enforcer is what requests are judged by; nil where there are no such rules.
+func (s *Agent) Enforcer() *rules.Enforcer {
 	if s == nil {
 		return nil
 	}
@@ -92,8 +92,8 @@
 
 const noRules = "refused: (owners (rules on)) is not set"
 
-// OnRules has f called on the loop each time that this process begins to act by another version, and once now.
-func (s *Agent) OnRules(f func()) {
+// OnRulesChanged has f called on the loop each time that this process begins to act by another version, and once now.
+func (s *Agent) OnRulesChanged(f func()) {
 	s.post(func() {
 		s.swapped = func() { s.loop.Post(f) }
 		s.swapped()
@@ -110,5 +110,5 @@
 		ch <- "refused: no question that administrators may ask"
 		return
 	}
-	s.core.Ask(s.now(), "rules", tag, q.Rules)
+	s.core.Query(s.now(), "rules", tag, q.Rules)
 }
--- a/internal/fleet/owneragent/sides.go
+++ b/internal/fleet/owneragent/sides.go
@@ -64,7 +64,7 @@
 		g.s.core.Confirmed(g.s.now(), tag)
 	}
 }
-func (g groupSide) Tell(event string, args ...any) { slog.Info(event, args...) }
+func (g groupSide) LogEvent(event string, args ...any) { slog.Info(event, args...) }
 
 type coreSide struct{ s *Agent }
 
@@ -97,47 +97,47 @@
 	return number, left
 }
 
-func (c coreSide) Effect(job string, m ownership.Mark, body []byte) {
+func (c coreSide) Effect(job string, m ownership.FencingToken, body []byte) {
 	c.s.counts.Taken++
-	c.s.guard(job, 0, func(j jobs.Job) { j.Effect(c.s.now(), m, body) })
+	c.s.guard(job, 0, func(j jobs.Job) { j.ApplyEffect(c.s.now(), m, body) })
 }
 
-func (c coreSide) Acked(peer uint32, job string, m ownership.Mark, v ownership.Verdict, highest ownership.Mark) {
-	if v == ownership.Old {
+func (c coreSide) EffectAcknowledged(peer uint32, job string, m ownership.FencingToken, v ownership.Verdict, highest ownership.FencingToken) {
+	if v == ownership.Stale {
 		slog.Warn("late_owner", "job", job, "token", m.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
 	}
 	if token, owns := c.s.owned[job]; owns {
-		c.s.guard(job, token, func(j jobs.Job) { j.Acked(c.s.now(), peer, m, v) })
+		c.s.guard(job, token, func(j jobs.Job) { j.EffectAcknowledged(c.s.now(), peer, m, v) })
 	}
 }
 
-func (c coreSide) Noted(job string, token, number uint64, ok bool) {
+func (c coreSide) CheckpointStored(job string, token, number uint64, ok bool) {
 	if c.s.owned[job] == token {
-		c.s.guard(job, token, func(j jobs.Job) { j.Noted(c.s.now(), number, ok) })
+		c.s.guard(job, token, func(j jobs.Job) { j.CheckpointStored(c.s.now(), number, ok) })
 	}
 }
 
-func (c coreSide) Asked(peer uint32, job string, tag uint64, body []byte) {
+func (c coreSide) QueryReceived(peer uint32, job string, tag uint64, body []byte) {
 	if token, owns := c.s.owned[job]; owns && c.s.core.Holds(c.s.now(), job, token) {
-		c.s.guard(job, token, func(j jobs.Job) { j.Asked(c.s.now(), peer, tag, body) })
+		c.s.guard(job, token, func(j jobs.Job) { j.QueryReceived(c.s.now(), peer, tag, body) })
 	}
 }
 
-func (c coreSide) Answered(tag uint64, body []byte) {
+func (c coreSide) ReplyReceived(tag uint64, body []byte) {
 	s := c.s
 	if t, permits := s.paceTags[tag]; permits {
 		delete(s.paceTags, tag)
-		s.pace.Answered(s.now(), t, body)
+		s.pace.ReplyReceived(s.now(), t, body)
 		return
 	}
 	if t, asked := s.ruleTags[tag]; asked {
 		delete(s.ruleTags, tag)
-		s.ruled.Answered(s.now(), t, body)
+		s.ruled.ReplyReceived(s.now(), t, body)
 		return
 	}
 	if t, asked := s.purseTags[tag]; asked {
 		delete(s.purseTags, tag)
-		s.quota.Answered(t, body)
+		s.quota.ReplyReceived(t, body)
 		return
 	}
 	if ch := s.asks[tag]; ch != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c coreSide) Tell(event string, args ...any) {
+func (c coreSide) LogEvent(event string, args ...any) {
 	if event == "effect_refused" {
 		c.s.counts.Refused++
 		slog.Warn(event, args...)
@@ -162,26 +162,26 @@
 	token uint64
 }
 
-func (o ownerSide) Do(to uint32, number uint64, body []byte) {
+func (o ownerSide) SendEffect(to uint32, number uint64, body []byte) {
 	now := o.s.now()
 	if !o.s.core.Holds(now, o.job, o.token) {
 		return
 	}
 	o.s.counts.Sent++
-	o.s.core.Do(now, to, o.job, ownership.Mark{Token: o.token, Number: number}, body)
+	o.s.core.SendEffect(now, to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
 }
 
 // DoAnyway is Do without another look at the lease.
 func (o ownerSide) DoAnyway(to uint32, number uint64, body []byte) {
-	o.s.core.Do(o.s.now(), to, o.job, ownership.Mark{Token: o.token, Number: number}, body)
+	o.s.core.SendEffect(o.s.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
 }
 
-func (o ownerSide) Note(number uint64, left []byte) error {
-	return o.s.core.Note(o.s.now(), o.job, o.token, number, left)
+func (o ownerSide) StoreCheckpoint(number uint64, left []byte) error {
+	return o.s.core.StoreCheckpoint(o.s.now(), o.job, o.token, number, left)
 }
 
-func (o ownerSide) Answer(to uint32, tag uint64, body []byte) {
-	o.s.core.Answer(o.s.now(), to, tag, body)
+func (o ownerSide) Reply(to uint32, tag uint64, body []byte) {
+	o.s.core.Reply(o.s.now(), to, tag, body)
 }
 
 func (o ownerSide) Members() []jobs.Member { return o.s.there }
--- a/internal/fleet/owneragent/socket.go
+++ b/internal/fleet/owneragent/socket.go
@@ -39,7 +39,7 @@
 
 // serve answers at a Unix socket that only its owner may use.
 func serve(path string, s *Agent) (*door, error) {
-	l, err := memberagent.Door(path)
+	l, err := memberagent.ListenUnix(path)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 		case <-again.C:
 			s.post(func() {
 				if s.asks[tag] != nil && q.Do == "rules" && s.gate != nil && rules.IsQuestion(q.Rules) {
-					s.core.Ask(s.now(), "rules", tag, q.Rules)
+					s.core.Query(s.now(), "rules", tag, q.Rules)
 				}
 			})
 		}
@@ -152,7 +152,7 @@
 			tag = s.tags
 			s.asks[tag] = ch
 			if q.Do == "move" {
-				s.core.Move(s.now(), q.A, q.B, tag)
+				s.core.MoveJob(s.now(), q.A, q.B, tag)
 				return
 			}
 			if q.Do == "rules" {
@@ -163,11 +163,11 @@
 				ch <- "refused: (owners (hosts on)) is not set"
 				return
 			}
-			body := jobs.Command(q.Do == "suspend", q.A)
+			body := jobs.SuspendCommand(q.Do == "suspend", q.A)
 			if q.Do == "list" {
 				body = jobs.ListCommand()
 			}
-			s.core.Ask(s.now(), "hosts", tag, body)
+			s.core.Query(s.now(), "hosts", tag, body)
 		}) {
 			return late
 		}
@@ -180,7 +180,7 @@
 		case q.Do == "move":
 			a = "its owner is asked for it"
 		case q.Do == "rules":
-			a = rules.Plain(a)
+			a = rules.DecodeReply(a)
 		}
 		return Reply{Answer: a}
 	case "add", "promote", "remove":
--- a/internal/fleet/owneragent/voter.go
+++ b/internal/fleet/owneragent/voter.go
@@ -62,7 +62,7 @@
 		return
 	}
 	var err error
-	s.core, err = ownership.New(ownership.Config{Name: s.name, Life: s.life, Voters: s.o.Voters, Jobs: s.names, Wall: func() int64 { return time.Now().UnixMilli() }}, s.group, s.table, s.fence, coreSide{s})
+	s.core, err = ownership.New(ownership.Config{Name: s.name, Incarnation: s.life, Voters: s.o.Voters, Jobs: s.names, Wall: func() int64 { return time.Now().UnixMilli() }}, s.group, s.table, s.fence, coreSide{s})
 	if err != nil {
 		panic(err) // the section has checked it
 	}
--- a/internal/fleet/ownership/allot.go
+++ b/internal/fleet/ownership/allot.go
@@ -4,19 +4,19 @@
 
 // Candidate is a process that could own jobs, as the coordinator sees it.
 type Candidate struct {
-	Name   string
-	Life   uint64
-	Able   bool // it is not leaving, starved or short of disk, and is heard
-	Hard   int  // how many others can't hear it, or the like: the less the better
-	Stable Time // how long it has been able without a break
-	Offers func(job string) bool
+	Name            string
+	Incarnation     uint64
+	Able            bool // it is not leaving, starved or short of disk, and is heard
+	UnreachableFrom int  // how many others can't hear it, or the like: the less the better
+	StableFor       Time // how long it has been able without a break
+	Offers          func(job string) bool
 }
 
 // Placement is one decision: a job for a process.
 type Placement struct {
-	Job, To, Why string
-	Life         uint64
-	Handover     bool // the present owner is to be asked for it first
+	Job, To, Reason string
+	Incarnation     uint64
+	Handover        bool // the present owner is to be asked for it first
 }
 
 // Pace of moves that are not needed: a job stays where it is unless its place is worse for a while, so that a link that flaps does
@@ -38,9 +38,9 @@
 	return x ^ x>>29
 }
 
-// Allot decides who gets what is free, and one handover at most. free are jobs without an owner, in order; owned tells the owner of the
+// Assign decides who gets what is free, and one handover at most. free are jobs without an owner, in order; owned tells the owner of the
 // others, and since when. Jobs are spread: whoever has the fewest goes first.
-func Allot(now Time, free []string, owned []Row, since func(job string) Time, cands []Candidate) (out []Placement) {
+func Assign(now Time, free []string, owned []JobRecord, since func(job string) Time, cands []Candidate) (out []Placement) {
 	load := map[string]int{}
 	at := map[string]int{}
 	for i, c := range cands {
@@ -53,10 +53,10 @@
 		var b *Candidate
 		for i := range cands {
 			c := &cands[i]
-			if !c.Able || c.Name == but || c.Stable < stable || !c.Offers(job) {
+			if !c.Able || c.Name == but || c.StableFor < stable || !c.Offers(job) {
 				continue
 			}
-			if b == nil || c.Hard != b.Hard && c.Hard < b.Hard || c.Hard == b.Hard && (load[c.Name] < load[b.Name] ||
+			if b == nil || c.UnreachableFrom != b.UnreachableFrom && c.UnreachableFrom < b.UnreachableFrom || c.UnreachableFrom == b.UnreachableFrom && (load[c.Name] < load[b.Name] ||
 				load[c.Name] == load[b.Name] && score(job, c.Name) > score(job, b.Name)) {
 				b = c
 			}
@@ -66,7 +66,7 @@
 	for _, job := range free {
 		if c := best(job, "", 0); c != nil {
 			load[c.Name]++
-			out = append(out, Placement{Job: job, To: c.Name, Life: c.Life, Why: "free, and it has the fewest"})
+			out = append(out, Placement{Job: job, To: c.Name, Incarnation: c.Incarnation, Reason: "free, and it has the fewest"})
 		}
 	}
 	for _, r := range owned {
@@ -75,9 +75,9 @@
 			continue
 		}
 		own := cands[i]
-		if !own.Able || own.Hard > 0 {
-			if c := best(r.Job, r.Owner, settle); c != nil && (!own.Able || c.Hard < own.Hard) {
-				return append(out, Placement{Job: r.Job, To: c.Name, Life: c.Life, Handover: true, Why: "its owner is leaving, starved or hard to hear"})
+		if !own.Able || own.UnreachableFrom > 0 {
+			if c := best(r.Job, r.Owner, settle); c != nil && (!own.Able || c.UnreachableFrom < own.UnreachableFrom) {
+				return append(out, Placement{Job: r.Job, To: c.Name, Incarnation: c.Incarnation, Handover: true, Reason: "its owner is leaving, starved or hard to hear"})
 			}
 		}
 	}
@@ -85,8 +85,8 @@
 		if _, known := at[r.Owner]; !known || now-since(r.Job) < spreadFor {
 			continue
 		}
-		if c := best(r.Job, r.Owner, spreadFor); c != nil && load[c.Name]+1 < load[r.Owner] && c.Hard <= cands[at[r.Owner]].Hard {
-			return append(out, Placement{Job: r.Job, To: c.Name, Life: c.Life, Handover: true, Why: "its owner has more than others"})
+		if c := best(r.Job, r.Owner, spreadFor); c != nil && load[c.Name]+1 < load[r.Owner] && c.UnreachableFrom <= cands[at[r.Owner]].UnreachableFrom {
+			return append(out, Placement{Job: r.Job, To: c.Name, Incarnation: c.Incarnation, Handover: true, Reason: "its owner has more than others"})
 		}
 	}
 	return out
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -13,12 +13,12 @@
 
 // Config is what a process is told once.
 type Config struct {
-	Name   string
-	Life   uint64   // of this process, over 0
-	Voters []string // who may lead the group
-	Jobs   []string // that this process can do
-	Lease  Time     // how long an owner may go on without a word from the coordinator; 0: 2 s
-	Wall   func() int64
+	Name        string
+	Incarnation uint64   // of this process, over 0
+	Voters      []string // who may lead the group
+	Jobs        []string // that this process can do
+	Lease       Time     // how long an owner may go on without a word from the coordinator; 0: 2 s
+	Wall        func() int64
 	// FromAnswer is a planted fault: a lease is counted from its answer, not from before it was asked for.
 	FromAnswer bool
 }
@@ -37,15 +37,15 @@
 	// Stop ends a job, before it returns, and gives what the next owner is to have, under a number above the last one noted.
 	Stop(job string, token uint64, why string) (number uint64, left []byte)
 	// Effect carries out what an owner sent; the fence has let it pass.
-	Effect(job string, m Mark, body []byte)
-	// Acked tells an owner what became of its effect at a receiver.
-	Acked(peer uint32, job string, m Mark, v Verdict, highest Mark)
-	// Noted tells an owner that what it wants left is kept, or was refused.
-	Noted(job string, token, number uint64, ok bool)
-	// Asked brings a word for a job's owner from another process, and Answered the answer.
-	Asked(peer uint32, job string, tag uint64, body []byte)
-	Answered(tag uint64, body []byte)
-	Tell(event string, args ...any)
+	Effect(job string, m FencingToken, body []byte)
+	// EffectAcknowledged tells an owner what became of its effect at a receiver.
+	EffectAcknowledged(peer uint32, job string, m FencingToken, v Verdict, highest FencingToken)
+	// CheckpointStored tells an owner that what it wants left is kept, or was refused.
+	CheckpointStored(job string, token, number uint64, ok bool)
+	// QueryReceived brings a word for a job's owner from another process, and Answered the answer.
+	QueryReceived(peer uint32, job string, tag uint64, body []byte)
+	ReplyReceived(tag uint64, body []byte)
+	LogEvent(event string, args ...any)
 }
 
 type held struct {
@@ -147,8 +147,8 @@
 
 // New makes a process's part. table is the one that group keeps.
 func New(cfg Config, group Group, table *Table, fence *Fence, fx Effects) (*Core, error) {
-	if cfg.Name == "" || len(cfg.Name) > mostName || cfg.Life == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MostJobs {
-		return nil, fmt.Errorf("ownership: name %q, life %d, %d voters and %d jobs are not possible", cfg.Name, cfg.Life, len(cfg.Voters), len(cfg.Jobs))
+	if cfg.Name == "" || len(cfg.Name) > mostName || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
+		return nil, fmt.Errorf("ownership: name %q, life %d, %d voters and %d jobs are not possible", cfg.Name, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs))
 	}
 	if cfg.Lease <= 0 {
 		cfg.Lease = 2 * sec
--- a/internal/fleet/ownership/explore_test.go
+++ b/internal/fleet/ownership/explore_test.go
@@ -17,7 +17,7 @@
 
 func (wire) Applied(byte, uint64, []byte) {}
 func (wire) Confirmed(uint64)             {}
-func (wire) Tell(string, ...any)          {}
+func (wire) LogEvent(string, ...any)      {}
 
 const (
 	quorumLease = 1500 * ms
@@ -50,8 +50,8 @@
 		add(func(c *world) {
 			c.flight = slices.Delete(c.flight, i, i+1)
 			if e.to == 3 {
-				m := Mark{e.epoch, 1}
-				if v, _ := c.fence.Take("j", m); v == Taken {
+				m := FencingToken{e.epoch, 1}
+				if v, _ := c.fence.Check("j", m); v == Accepted {
 					if e.epoch < c.seen {
 						c.bad = fmt.Sprintf("an effect of %d is taken after one of %d", e.epoch, c.seen)
 					}
--- a/internal/fleet/ownership/jobs.go
+++ b/internal/fleet/ownership/jobs.go
@@ -17,13 +17,13 @@
 		left                []byte
 	}
 	var rows []row
-	for n := r.Count(MostJobs); n > 0; n-- {
-		rows = append(rows, row{r.Text(mostName), r.Uint(), r.Uint(), r.Uint(), r.Bytes(MostLeft)})
+	for n := r.Count(MaxJobs); n > 0; n-- {
+		rows = append(rows, row{r.Text(mostName), r.Uint(), r.Uint(), r.Uint(), r.Bytes(MaxCheckpoint)})
 	}
 	if r.Err() != nil {
 		return errTorn
 	}
-	if life != c.cfg.Life || epoch < c.epoch || epoch == c.epoch && list <= c.list {
+	if life != c.cfg.Incarnation || epoch < c.epoch || epoch == c.epoch && list <= c.list {
 		return nil
 	}
 	c.epoch, c.list, c.leader = epoch, list, from
@@ -74,7 +74,7 @@
 	offered := map[string]bool{}
 	for _, s := range c.there() {
 		if c.now >= c.over(s.keptAt) {
-			c.fx.Tell("session_over", "member", s.name)
+			c.fx.LogEvent("session_over", "member", s.name)
 			delete(c.sessions, s.who)
 			continue
 		}
@@ -87,11 +87,11 @@
 		for j := range s.offers {
 			offered[j] = true
 		}
-		cands = append(cands, Candidate{Name: s.name, Life: s.life, Able: s.able, Hard: c.hard[s.name], Stable: c.now - s.since, Offers: func(job string) bool { return s.offers[job] }})
+		cands = append(cands, Candidate{Name: s.name, Incarnation: s.life, Able: s.able, UnreachableFrom: c.hard[s.name], StableFor: c.now - s.since, Offers: func(job string) bool { return s.offers[job] }})
 	}
 	fresh := make([]string, 0, 4)
 	for j := range offered {
-		if c.table.Row(j) == nil && c.busy[j] == 0 {
+		if c.table.Job(j) == nil && c.busy[j] == 0 {
 			fresh = append(fresh, j)
 		}
 	}
@@ -100,14 +100,14 @@
 		c.propose(j, knowCmd(j, c.cfg.Wall()), nil, j)
 	}
 	var free []string
-	var owned []Row
+	var owned []JobRecord
 	why := map[string]string{}
-	for _, row := range c.table.Rows() {
+	for _, row := range c.table.Jobs() {
 		if c.busy[row.Job] != 0 {
 			continue
 		}
 		if row.Owner != "" {
-			if c.sessions[who{row.Owner, row.Life}] != nil || c.now < c.over(c.ledSince) {
+			if c.sessions[who{row.Owner, row.Incarnation}] != nil || c.now < c.over(c.ledSince) {
 				owned = append(owned, *row)
 				continue
 			}
@@ -129,7 +129,7 @@
 	if c.now < c.ledSince+wait {
 		return
 	}
-	for _, p := range Allot(c.now, free, owned, func(job string) Time { return c.since[job] }, cands) {
+	for _, p := range Assign(c.now, free, owned, func(job string) Time { return c.since[job] }, cands) {
 		if p.Handover {
 			if c.now-c.gaveAt >= sec {
 				c.gaveAt = c.now
@@ -140,26 +140,26 @@
 		if g, asked := c.gives[p.Job]; asked {
 			delete(c.gives, p.Job)
 			if s := c.latest(g.To); s != nil && s.offers[p.Job] && s.able {
-				p.To, p.Life, p.Why = g.To, s.life, g.Why
+				p.To, p.Incarnation, p.Reason = g.To, s.life, g.Reason
 			}
 		}
 		if w := why[p.Job]; w != "" {
-			p.Why = w
+			p.Reason = w
 		}
 		c.grant(p)
 	}
 }
 
 func (c *Core) grant(p Placement) {
-	row := c.table.Row(p.Job)
+	row := c.table.Job(p.Job)
 	token := max(row.Token+1, c.leads<<epochBits)
-	c.propose(p.Job, grantCmd(p.Job, p.To, p.Life, token, c.cfg.Wall(), p.Why), nil, p.Job)
+	c.propose(p.Job, grantCmd(p.Job, p.To, p.Incarnation, token, c.cfg.Wall(), p.Reason), nil, p.Job)
 }
 
 func (c *Core) give(p Placement) {
 	c.gives[p.Job] = p
-	if row := c.table.Row(p.Job); row != nil {
-		if s := c.sessions[who{row.Owner, row.Life}]; s != nil {
+	if row := c.table.Job(p.Job); row != nil {
+		if s := c.sessions[who{row.Owner, row.Incarnation}]; s != nil {
 			s.told = 0 // it is to hear at once
 		}
 	}
@@ -167,7 +167,7 @@
 
 // move is an operator's wish for a handover; "" where it is taken.
 func (c *Core) move(job, to string) string {
-	row, s := c.table.Row(job), c.latest(to)
+	row, s := c.table.Job(job), c.latest(to)
 	switch {
 	case c.leads == 0:
 		return "this process does not coordinate any more: ask again"
@@ -180,7 +180,7 @@
 	case row.Owner == to:
 		return fmt.Sprintf("%s owns %s already", to, job)
 	}
-	c.give(Placement{Job: job, To: to, Life: s.life, Handover: true, Why: "moved by an operator"})
+	c.give(Placement{Job: job, To: to, Incarnation: s.life, Handover: true, Reason: "moved by an operator"})
 	c.tellLists()
 	return ""
 }
@@ -198,20 +198,20 @@
 	}
 	var w encoding.Writer
 	n := 0
-	for _, row := range c.table.Rows() {
-		if row.Owner == s.name && row.Life == s.life {
+	for _, row := range c.table.Jobs() {
+		if row.Owner == s.name && row.Incarnation == s.life {
 			n++
 		}
 	}
 	c.lists++
 	w.Uint(msgJobs).Uint(s.life).Uint(c.leads).Uint(c.lists).Uint(uint64(n))
-	for _, row := range c.table.Rows() {
-		if row.Owner == s.name && row.Life == s.life {
+	for _, row := range c.table.Jobs() {
+		if row.Owner == s.name && row.Incarnation == s.life {
 			give := uint64(0)
 			if _, asked := c.gives[row.Job]; asked {
 				give = 1
 			}
-			w.Text(row.Job).Uint(row.Token).Uint(row.Number).Uint(give).Bytes(row.Left)
+			w.Text(row.Job).Uint(row.Token).Uint(row.CheckpointNumber).Uint(give).Bytes(row.Checkpoint)
 		}
 	}
 	s.told, s.toldAt, s.list, s.behind = c.table.Version+1, c.now, c.lists, false
--- a/internal/fleet/ownership/keep.go
+++ b/internal/fleet/ownership/keep.go
@@ -37,18 +37,18 @@
 	}
 	c.asked[c.seq] = c.now
 	var w encoding.Writer
-	c.send(c.leader, w.Uint(msgKeep).Text(c.cfg.Name).Uint(c.cfg.Life).Uint(c.seq).Bool(c.fit()).Uint(c.epoch).Uint(c.list).Data)
+	c.send(c.leader, w.Uint(msgKeep).Text(c.cfg.Name).Uint(c.cfg.Incarnation).Uint(c.seq).Bool(c.fit()).Uint(c.epoch).Uint(c.list).Data)
 }
 
-// Able says whether this process is fit to own: not while it is starved or short of disk.
-func (c *Core) Able(able bool) { c.able = able }
+// SetAble says whether this process is fit to own: not while it is starved or short of disk.
+func (c *Core) SetAble(able bool) { c.able = able }
 
 // fit tells whether this process should be given jobs: not one that had a lease and hears nobody renew it. It may be deaf, and would not hear of
 // a job either, though its own words arrive.
 func (c *Core) fit() bool { return c.able && !c.leaving && (c.until == 0 || c.now < c.until) }
 
-// Hard says how many members can't hear another, as membership's reach table has it; the coordinator keeps jobs away from such.
-func (c *Core) Hard(hard map[string]int) { c.hard = hard }
+// SetUnreachable says how many members can't hear another, as membership's reach table has it; the coordinator keeps jobs away from such.
+func (c *Core) SetUnreachable(hard map[string]int) { c.hard = hard }
 
 // Leave gives all jobs back, and takes none any more.
 func (c *Core) Leave(now Time, why string) {
@@ -62,9 +62,9 @@
 	}
 }
 
-// Left tells whether all that Leave gave back has been taken, or nobody is there to take it. A coordinator has to see to it that others have it: what it
+// HasLeft tells whether all that Leave gave back has been taken, or nobody is there to take it. A coordinator has to see to it that others have it: what it
 // has granted and not told yet waits for the next one.
-func (c *Core) Left() bool {
+func (c *Core) HasLeft() bool {
 	return c.now >= c.until || len(c.held) == 0 && (c.leads == 0 || len(c.waits) == 0)
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// Failed says that a job ended by a fault of its own.
-func (c *Core) Failed(now Time, job string, token uint64, why string) {
+// JobFailed says that a job ended by a fault of its own.
+func (c *Core) JobFailed(now Time, job string, token uint64, why string) {
 	c.now = max(c.now, now)
 	defer c.drain()
 	if h := c.held[job]; h != nil && h.token == token && !h.released {
@@ -90,12 +90,12 @@
 // failedMark begins the reason of a job that ended by a fault of its own.
 const failedMark = "failed: "
 
-// Note asks for what a job leaves to be kept. Noted answers; without an answer it is not known whether it is kept.
-func (c *Core) Note(now Time, job string, token, number uint64, left []byte) error {
+// StoreCheckpoint asks for what a job leaves to be kept. Noted answers; without an answer it is not known whether it is kept.
+func (c *Core) StoreCheckpoint(now Time, job string, token, number uint64, left []byte) error {
 	c.now = max(c.now, now)
 	defer c.drain()
-	if len(left) > MostLeft {
-		return fmt.Errorf("ownership: %d bytes to be left, %d are possible", len(left), MostLeft)
+	if len(left) > MaxCheckpoint {
+		return fmt.Errorf("ownership: %d bytes to be left, %d are possible", len(left), MaxCheckpoint)
 	}
 	if !c.Holds(now, job, token) {
 		return errors.New("ownership: this process does not own the job")
@@ -105,21 +105,21 @@
 	return nil
 }
 
-// Do sends an effect of a job to a receiver, which may be this process. The caller has asked Holds just before.
-func (c *Core) Do(now Time, to uint32, job string, m Mark, body []byte) {
+// SendEffect sends an effect of a job to a receiver, which may be this process. The caller has asked Holds just before.
+func (c *Core) SendEffect(now Time, to uint32, job string, m FencingToken, body []byte) {
 	c.now = max(c.now, now)
 	defer c.drain()
 	var w encoding.Writer
-	c.send(to, w.Uint(msgEffect).Text(job).Uint(m.Token).Uint(m.Number).Bytes(body).Data)
+	c.send(to, w.Uint(msgEffect).Text(job).Uint(m.Token).Uint(m.Sequence).Bytes(body).Data)
 }
 
-// Ask brings a word to whoever owns a job, by way of the coordinator. It may be lost.
-func (c *Core) Ask(now Time, job string, tag uint64, body []byte) {
+// Query brings a word to whoever owns a job, by way of the coordinator. It may be lost.
+func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
 	c.now = max(c.now, now)
 	defer c.drain()
 	var w encoding.Writer
 	if h := c.held[job]; h != nil && !h.released && c.now < c.until {
-		c.fx.Asked(group.Peer(c.cfg.Name), job, tag, body)
+		c.fx.QueryReceived(group.Peer(c.cfg.Name), job, tag, body)
 		return
 	}
 	if c.leader != 0 {
@@ -127,16 +127,16 @@
 	}
 }
 
-// Answer answers one that was Asked.
-func (c *Core) Answer(now Time, to uint32, tag uint64, body []byte) {
+// Reply answers one that was Asked.
+func (c *Core) Reply(now Time, to uint32, tag uint64, body []byte) {
 	c.now = max(c.now, now)
 	defer c.drain()
 	var w encoding.Writer
 	c.send(to, w.Uint(msgAnswer).Uint(tag).Bytes(body).Data)
 }
 
-// Move asks the coordinator to have a job handed over to a member.
-func (c *Core) Move(now Time, job, to string, tag uint64) {
+// MoveJob asks the coordinator to have a job handed over to a member.
+func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.now = max(c.now, now)
 	defer c.drain()
 	var w encoding.Writer
@@ -146,11 +146,11 @@
 // Leader is whom this process takes for the coordinator; 0: nobody.
 func (c *Core) Leader() uint32 { return c.leader }
 
-// Lease is how long this process may go on as an owner.
-func (c *Core) Lease(now Time) Time { return max(0, c.until-now) }
+// LeaseRemaining is how long this process may go on as an owner.
+func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.until-now) }
 
-// Held gives the jobs this process owns, with their tokens.
-func (c *Core) Held() map[string]uint64 {
+// HeldJobs gives the jobs this process owns, with their tokens.
+func (c *Core) HeldJobs() map[string]uint64 {
 	out := map[string]uint64{}
 	for job, h := range c.held {
 		if !h.released {
--- a/internal/fleet/ownership/lapse.go
+++ b/internal/fleet/ownership/lapse.go
@@ -37,5 +37,5 @@
 		return
 	}
 	var w encoding.Writer
-	c.send(c.leader, w.Uint(msgReleased).Text(c.cfg.Name).Uint(c.cfg.Life).Bool(c.fit()).Text(job).Uint(h.token).Uint(h.raise).Uint(h.number).Bytes(h.left).Text(h.why).Data)
+	c.send(c.leader, w.Uint(msgReleased).Text(c.cfg.Name).Uint(c.cfg.Incarnation).Bool(c.fit()).Text(job).Uint(h.token).Uint(h.raise).Uint(h.number).Bytes(h.left).Text(h.why).Data)
 }
--- a/internal/fleet/ownership/lead.go
+++ b/internal/fleet/ownership/lead.go
@@ -25,10 +25,10 @@
 		clear(c.since)
 		clear(c.gives)
 		clear(c.fails)
-		for _, row := range c.table.Rows() {
+		for _, row := range c.table.Jobs() {
 			c.since[row.Job] = c.now
 		}
-		c.fx.Tell("coordinates", "epoch", epoch)
+		c.fx.LogEvent("coordinates", "epoch", epoch)
 	}
 	for tag, p := range c.waits {
 		if c.now >= p.until {
@@ -101,7 +101,7 @@
 
 func (c *Core) nextTag() uint64 {
 	c.tag++
-	return c.cfg.Life<<24 ^ c.tag
+	return c.cfg.Incarnation<<24 ^ c.tag
 }
 
 // Applied is the group's word that a command was applied.
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -25,10 +25,10 @@
 	sec = Time(1e9)
 
 	mostName = 64
-	// MostLeft bounds what a job leaves to its next owner, in bytes.
-	MostLeft = 32 << 10
-	// MostJobs bounds the jobs of a fleet.
-	MostJobs = 1000
+	// MaxCheckpoint bounds what a job leaves to its next owner, in bytes.
+	MaxCheckpoint = 32 << 10
+	// MaxJobs bounds the jobs of a fleet.
+	MaxJobs = 1000
 )
 
 // Group agrees on commands. Who leads may have been deposed without knowing; Confirm asks.
@@ -46,47 +46,47 @@
 // epochBits is how many tokens of a job fit in an epoch.
 const epochBits = 20
 
-// Row is what is known of a job.
-type Row struct {
-	Job    string
-	Token  uint64 // of the last grant
-	Owner  string // "": nobody
-	Life   uint64 // of the owner's process
-	Number uint64 // of the last Left that was taken
-	Left   []byte // what its owners leave to their next one
-	Since  int64  // wall clock of the last change, milliseconds
-	Why    string // of it
+// JobRecord is what is known of a job.
+type JobRecord struct {
+	Job              string
+	Token            uint64 // of the last grant
+	Owner            string // "": nobody
+	Incarnation      uint64 // of the owner's process
+	CheckpointNumber uint64 // of the last Left that was taken
+	Checkpoint       []byte // what its owners leave to their next one
+	Since            int64  // wall clock of the last change, milliseconds
+	Reason           string // of it
 }
 
 // Table is the jobs, as a state machine of the group.
 type Table struct {
-	rows  map[string]*Row
+	rows  map[string]*JobRecord
 	names []string
 	// Version rises with each command that changes whose a job is.
 	Version uint64
 	unsure  bool
 }
 
-// Unsure says that the table may lack what came after it: nobody owns anything by it, and before anything is granted again every lease has
+// MarkUncertain says that the table may lack what came after it: nobody owns anything by it, and before anything is granted again every lease has
 // to have ended.
-func (t *Table) Unsure() {
+func (t *Table) MarkUncertain() {
 	t.unsure = true
 	t.Version++
 	for _, n := range t.names {
 		r := t.rows[n]
-		r.Owner, r.Life, r.Why = "", 0, "the voters lost their memory"
+		r.Owner, r.Incarnation, r.Reason = "", 0, "the voters lost their memory"
 	}
 }
 
 // NewTable makes one.
-func NewTable() *Table { return &Table{rows: map[string]*Row{}} }
+func NewTable() *Table { return &Table{rows: map[string]*JobRecord{}} }
 
-// Row gives a job's row; nil: there is none.
-func (t *Table) Row(job string) *Row { return t.rows[job] }
+// Job gives a job's row; nil: there is none.
+func (t *Table) Job(job string) *JobRecord { return t.rows[job] }
 
-// Rows are all of them, by name.
-func (t *Table) Rows() []*Row {
-	out := make([]*Row, 0, len(t.names))
+// Jobs are all of them, by name.
+func (t *Table) Jobs() []*JobRecord {
+	out := make([]*JobRecord, 0, len(t.names))
 	for _, n := range t.names {
 		out = append(out, t.rows[n])
 	}
@@ -133,10 +133,10 @@
 	}
 	row := t.rows[job]
 	if kind == cmdKnow {
-		if row != nil || len(t.names) >= MostJobs {
+		if row != nil || len(t.names) >= MaxJobs {
 			return false
 		}
-		t.add(&Row{Job: job, Since: wall, Why: "made known"})
+		t.add(&JobRecord{Job: job, Since: wall, Reason: "made known"})
 		return true
 	}
 	if row == nil {
@@ -148,16 +148,16 @@
 		if r.Err() != nil || token <= row.Token {
 			return false
 		}
-		row.Token, row.Owner, row.Life, row.Since, row.Why = token, owner, life, wall, why
+		row.Token, row.Owner, row.Incarnation, row.Since, row.Reason = token, owner, life, wall, why
 	case cmdRelease:
-		number, left, why := r.Uint(), r.Bytes(MostLeft), r.Text(200)
+		number, left, why := r.Uint(), r.Bytes(MaxCheckpoint), r.Text(200)
 		if r.Err() != nil || token != row.Token || row.Owner == "" {
 			return false
 		}
 		row.keep(number, left)
-		row.Owner, row.Life, row.Since, row.Why = "", 0, wall, why
+		row.Owner, row.Incarnation, row.Since, row.Reason = "", 0, wall, why
 	case cmdNote:
-		number, left := r.Uint(), r.Bytes(MostLeft)
+		number, left := r.Uint(), r.Bytes(MaxCheckpoint)
 		if r.Err() != nil || token != row.Token || row.Owner == "" {
 			return false
 		}
@@ -167,22 +167,22 @@
 		if token <= row.Token || token > 1<<62 {
 			return false
 		}
-		row.Token, row.Owner, row.Life, row.Why = token, "", 0, "a receiver has seen a later token"
+		row.Token, row.Owner, row.Incarnation, row.Reason = token, "", 0, "a receiver has seen a later token"
 	default:
 		return false
 	}
 	return true
 }
 
-func (r *Row) keep(number uint64, left []byte) bool {
-	if number <= r.Number {
+func (r *JobRecord) keep(number uint64, left []byte) bool {
+	if number <= r.CheckpointNumber {
 		return false
 	}
-	r.Number, r.Left = number, append([]byte(nil), left...)
+	r.CheckpointNumber, r.Checkpoint = number, append([]byte(nil), left...)
 	return true
 }
 
-func (t *Table) add(r *Row) {
+func (t *Table) add(r *JobRecord) {
 	t.rows[r.Job] = r
 	i := sort.SearchStrings(t.names, r.Job)
 	t.names = append(t.names, "")
@@ -196,7 +196,7 @@
 	w.Uint(1).Uint(t.Version).Bool(t.unsure).Uint(uint64(len(t.names)))
 	for _, n := range t.names {
 		r := t.rows[n]
-		w.Text(r.Job).Uint(r.Token).Text(r.Owner).Uint(r.Life).Uint(r.Number).Bytes(r.Left).Uint(uint64(r.Since)).Text(r.Why)
+		w.Text(r.Job).Uint(r.Token).Text(r.Owner).Uint(r.Incarnation).Uint(r.CheckpointNumber).Bytes(r.Checkpoint).Uint(uint64(r.Since)).Text(r.Reason)
 	}
 	return w.Data
 }
@@ -209,9 +209,9 @@
 	}
 	next := NewTable()
 	next.Version, next.unsure = r.Uint(), r.Bool()
-	for n := r.Count(MostJobs); n > 0; n-- {
-		row := &Row{Job: r.Text(mostName), Token: r.Uint(), Owner: r.Text(mostName), Life: r.Uint(), Number: r.Uint(),
-			Left: append([]byte(nil), r.Bytes(MostLeft)...), Since: int64(r.Uint()), Why: r.Text(200)}
+	for n := r.Count(MaxJobs); n > 0; n-- {
+		row := &JobRecord{Job: r.Text(mostName), Token: r.Uint(), Owner: r.Text(mostName), Incarnation: r.Uint(), CheckpointNumber: r.Uint(),
+			Checkpoint: append([]byte(nil), r.Bytes(MaxCheckpoint)...), Since: int64(r.Uint()), Reason: r.Text(200)}
 		if r.Err() == nil && next.rows[row.Job] == nil {
 			next.add(row)
 		}
@@ -225,7 +225,7 @@
 
 // The verdicts.
 const (
-	Taken Verdict = iota
-	Again         // it, or a later one of the same token, was taken before
-	Old           // a later token was seen
+	Accepted  Verdict = iota
+	Duplicate         // it, or a later one of the same token, was taken before
+	Stale             // a later token was seen
 )
--- a/internal/fleet/ownership/ownership_test.go
+++ b/internal/fleet/ownership/ownership_test.go
@@ -16,8 +16,8 @@
 		a := NewTable()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			job := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job")
-			before := Row{}
-			if r := a.Row(job); r != nil {
+			before := JobRecord{}
+			if r := a.Job(job); r != nil {
 				before = *r
 			}
 			token, number := uint64(rapid.IntRange(0, 6).Draw(t, "token")), uint64(rapid.IntRange(0, 4).Draw(t, "number"))
@@ -37,22 +37,22 @@
 				cmd = knowCmd(job, 1)
 			}
 			ok := a.Apply(cmd)[0] == resultDone
-			after := a.Row(job)
+			after := a.Job(job)
 			if after == nil {
 				continue
 			}
-			if after.Token < before.Token || after.Number < before.Number {
+			if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
 				t.Fatalf("%+v after %+v", after, before)
 			}
 			old := token < before.Token || token == before.Token && kind == cmdGrant
-			if kind != cmdKnow && old && (ok || after.Owner != before.Owner || after.Number != before.Number) {
+			if kind != cmdKnow && old && (ok || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
 				t.Fatalf("token %d after %d: %+v", token, before.Token, after)
 			}
 			if kind == cmdGrant && ok && (after.Owner != "p" || after.Token != token) {
 				t.Fatalf("granted %+v", after)
 			}
 			b := NewTable()
-			if err := b.Restore(a.Snapshot()); err != nil || !slices.EqualFunc(a.Rows(), b.Rows(), func(x, y *Row) bool { return fmt.Sprint(*x) == fmt.Sprint(*y) }) || b.Version != a.Version {
+			if err := b.Restore(a.Snapshot()); err != nil || !slices.EqualFunc(a.Jobs(), b.Jobs(), func(x, y *JobRecord) bool { return fmt.Sprint(*x) == fmt.Sprint(*y) }) || b.Version != a.Version {
 				t.Fatalf("%v: a snapshot gives another table", err)
 			}
 		}
@@ -62,21 +62,21 @@
 func TestFence(t *testing.T) {
 	var f Fence
 	for i, c := range []struct {
-		m    Mark
+		m    FencingToken
 		want Verdict
-	}{{Mark{5, 1}, Taken}, {Mark{5, 1}, Again}, {Mark{5, 3}, Taken}, {Mark{5, 2}, Again}, {Mark{4, 9}, Old}, {Mark{6, 0}, Taken}, {Mark{5, 9}, Old}} {
-		if v, last := f.Take("j", c.m); v != c.want || v != Taken && last.Before(c.m) {
+	}{{FencingToken{5, 1}, Accepted}, {FencingToken{5, 1}, Duplicate}, {FencingToken{5, 3}, Accepted}, {FencingToken{5, 2}, Duplicate}, {FencingToken{4, 9}, Stale}, {FencingToken{6, 0}, Accepted}, {FencingToken{5, 9}, Stale}} {
+		if v, last := f.Check("j", c.m); v != c.want || v != Accepted && last.Before(c.m) {
 			t.Errorf("%d: %v gives %v, seen %v", i, c.m, v, last)
 		}
 	}
-	f.Set("j", Mark{2, 2})
-	if f.Last("j") != (Mark{6, 0}) {
+	f.Raise("j", FencingToken{2, 2})
+	if f.Last("j") != (FencingToken{6, 0}) {
 		t.Error("an earlier mark took a later one's place")
 	}
-	for i := range MostJobs + 5 {
-		f.Take(fmt.Sprint("job ", i), Mark{1, 1})
+	for i := range MaxJobs + 5 {
+		f.Check(fmt.Sprint("job ", i), FencingToken{1, 1})
 	}
-	if v, _ := f.Take("one more", Mark{1, 1}); v != Old {
+	if v, _ := f.Check("one more", FencingToken{1, 1}); v != Stale {
 		t.Error("an effect is taken that can't be remembered")
 	}
 }
@@ -84,8 +84,8 @@
 func all(string) bool { return true }
 
 func TestAllot(t *testing.T) {
-	cands := []Candidate{{Name: "a", Life: 1, Able: true, Stable: 60 * sec, Offers: all}, {Name: "b", Life: 2, Able: true, Stable: 60 * sec, Offers: all},
-		{Name: "c", Life: 3, Able: true, Stable: 60 * sec, Offers: all}}
+	cands := []Candidate{{Name: "a", Incarnation: 1, Able: true, StableFor: 60 * sec, Offers: all}, {Name: "b", Incarnation: 2, Able: true, StableFor: 60 * sec, Offers: all},
+		{Name: "c", Incarnation: 3, Able: true, StableFor: 60 * sec, Offers: all}}
 	long := func(string) Time { return 0 }
 	now := 100 * sec
 	var jobs []string
@@ -93,7 +93,7 @@
 		jobs = append(jobs, fmt.Sprint("job", i))
 	}
 	load := map[string]int{}
-	for _, p := range Allot(now, jobs, nil, long, cands) {
+	for _, p := range Assign(now, jobs, nil, long, cands) {
 		load[p.To]++
 	}
 	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
@@ -105,10 +105,10 @@
 		want string // whoever gets the job that a owns; "": it stays
 	}{
 		{"all is well", func(c []Candidate) {}, ""},
-		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].Hard = 1 }, "b"},
-		{"its owner is hard to hear", func(c []Candidate) { c[0].Hard, c[1].Hard = 2, 1 }, "c"},
-		{"the others have just come back", func(c []Candidate) { c[0].Able = false; c[1].Stable, c[2].Stable = sec, sec }, ""},
-		{"the others are as hard to hear", func(c []Candidate) { c[0].Hard, c[1].Hard, c[2].Hard = 1, 1, 1 }, ""},
+		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnreachableFrom = 1 }, "b"},
+		{"its owner is hard to hear", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom = 2, 1 }, "c"},
+		{"the others have just come back", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
+		{"the others are as hard to hear", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom, c[2].UnreachableFrom = 1, 1, 1 }, ""},
 		{"nobody else can do it", func(c []Candidate) {
 			c[0].Able = false
 			c[1].Offers, c[2].Offers = func(string) bool { return false }, func(string) bool { return false }
@@ -116,17 +116,17 @@
 	} {
 		cs := slices.Clone(cands)
 		c.bend(cs)
-		got := Allot(now, nil, []Row{{Job: "j", Owner: "a"}}, long, cs)
+		got := Assign(now, nil, []JobRecord{{Job: "j", Owner: "a"}}, long, cs)
 		switch {
 		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].To != c.want || !got[0].Handover):
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	owned := []Row{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
-	if got := Allot(now, nil, owned, long, cands); len(got) != 1 || got[0].To != "c" {
+	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
+	if got := Assign(now, nil, owned, long, cands); len(got) != 1 || got[0].To != "c" {
 		t.Errorf("two at one and none at another: %+v", got)
 	}
-	if got := Allot(now, nil, owned, func(string) Time { return now - 2*sec }, cands); len(got) != 0 {
+	if got := Assign(now, nil, owned, func(string) Time { return now - 2*sec }, cands); len(got) != 0 {
 		t.Errorf("a job that has just moved moves again: %+v", got)
 	}
 }
@@ -134,17 +134,17 @@
 // nobody is a Core's and a group's way out, to nowhere.
 type nobody struct{}
 
-func (nobody) Send(uint32, []byte)                             {}
-func (nobody) Start(string, uint64, uint64, []byte) error      { return nil }
-func (nobody) Stop(string, uint64, string) (uint64, []byte)    { return 0, nil }
-func (nobody) Effect(string, Mark, []byte)                     {}
-func (nobody) Acked(uint32, string, Mark, Verdict, Mark)       {}
-func (nobody) Noted(string, uint64, uint64, bool)              {}
-func (nobody) Asked(uint32, string, uint64, []byte)            {}
-func (nobody) Answered(uint64, []byte)                         {}
-func (nobody) Tell(string, ...any)                             {}
-func (nobody) Applied(machine byte, tag uint64, result []byte) {}
-func (nobody) Confirmed(tag uint64)                            {}
+func (nobody) Send(uint32, []byte)                                                    {}
+func (nobody) Start(string, uint64, uint64, []byte) error                             { return nil }
+func (nobody) Stop(string, uint64, string) (uint64, []byte)                           { return 0, nil }
+func (nobody) Effect(string, FencingToken, []byte)                                    {}
+func (nobody) EffectAcknowledged(uint32, string, FencingToken, Verdict, FencingToken) {}
+func (nobody) CheckpointStored(string, uint64, uint64, bool)                          {}
+func (nobody) QueryReceived(uint32, string, uint64, []byte)                           {}
+func (nobody) ReplyReceived(uint64, []byte)                                           {}
+func (nobody) LogEvent(string, ...any)                                                {}
+func (nobody) Applied(machine byte, tag uint64, result []byte)                        {}
+func (nobody) Confirmed(tag uint64)                                                   {}
 
 func lonely(t testing.TB) (*Core, *Quorum) {
 	t.Helper()
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(Config{Name: "a", Life: 1, Voters: []string{"a", "b", "c"}, Jobs: []string{"j"}}, q, table, &Fence{}, nobody{})
+	c, err := New(Config{Name: "a", Incarnation: 1, Voters: []string{"a", "b", "c"}, Jobs: []string{"j"}}, q, table, &Fence{}, nobody{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 	f.Add([]byte{1, 0, 0, 200, 1}, []byte{cmdGrant, 1, 'j'})
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
 		b := NewTable()
-		if b.Restore(snapshot) != nil && len(b.Rows()) > 0 {
+		if b.Restore(snapshot) != nil && len(b.Jobs()) > 0 {
 			t.Error("a torn snapshot leaves rows")
 		}
 		b.Apply(cmd)
--- a/internal/fleet/ownership/quorumlog.go
+++ b/internal/fleet/ownership/quorumlog.go
@@ -155,5 +155,5 @@
 	}
 }
 
-// Until is when the lead ends, unless it is given again.
-func (q *Quorum) Until() Time { return q.lease }
+// LeaseEnd is when the lead ends, unless it is given again.
+func (q *Quorum) LeaseEnd() Time { return q.lease }
--- a/internal/fleet/ownership/receive.go
+++ b/internal/fleet/ownership/receive.go
@@ -31,7 +31,7 @@
 		if r.Err() != nil {
 			return errTorn
 		}
-		if life == c.cfg.Life {
+		if life == c.cfg.Incarnation {
 			c.takeKept(from, seq, epoch, offer)
 		}
 	case msgElse:
@@ -45,7 +45,7 @@
 	case msgOffer:
 		name, life := r.Text(mostName), r.Uint()
 		offers := map[string]bool{}
-		for n := r.Count(MostJobs); n > 0; n-- {
+		for n := r.Count(MaxJobs); n > 0; n-- {
 			offers[r.Text(mostName)] = true
 		}
 		if r.Err() != nil || group.Peer(name) != from {
@@ -59,7 +59,7 @@
 	case msgReleased:
 		name, life, able := r.Text(mostName), r.Uint(), r.Bool()
 		job, token, raise := r.Text(mostName), r.Uint(), r.Uint()
-		number, left, why := r.Uint(), r.Bytes(MostLeft), r.Text(200)
+		number, left, why := r.Uint(), r.Bytes(MaxCheckpoint), r.Text(200)
 		if r.Err() != nil || group.Peer(name) != from {
 			return errTorn
 		}
@@ -68,7 +68,7 @@
 		}
 		c.takeReleased(name, life, job, token, raise, number, left, why)
 	case msgNote:
-		job, token, number, left := r.Text(mostName), r.Uint(), r.Uint(), r.Bytes(MostLeft)
+		job, token, number, left := r.Text(mostName), r.Uint(), r.Uint(), r.Bytes(MaxCheckpoint)
 		if r.Err() != nil {
 			return errTorn
 		}
@@ -81,33 +81,33 @@
 			return errTorn
 		}
 		if h := c.held[job]; h != nil && h.token == token {
-			c.fx.Noted(job, token, number, ok)
+			c.fx.CheckpointStored(job, token, number, ok)
 		}
 	case msgEffect:
-		job, m, body := r.Text(mostName), Mark{r.Uint(), r.Uint()}, r.Bytes(1<<16)
+		job, m, body := r.Text(mostName), FencingToken{r.Uint(), r.Uint()}, r.Bytes(1<<16)
 		if r.Err() != nil || job == "" {
 			return errTorn
 		}
-		v, highest := c.fence.Take(job, m)
+		v, highest := c.fence.Check(job, m)
 		switch v {
-		case Taken:
+		case Accepted:
 			c.fx.Effect(job, m, body)
-		case Old:
-			c.fx.Tell("effect_refused", "job", job, "token", m.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
+		case Stale:
+			c.fx.LogEvent("effect_refused", "job", job, "token", m.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
 		}
 		var w encoding.Writer
-		c.send(from, w.Uint(msgAck).Text(job).Uint(m.Token).Uint(m.Number).Uint(uint64(v)).Uint(highest.Token).Uint(highest.Number).Data)
+		c.send(from, w.Uint(msgAck).Text(job).Uint(m.Token).Uint(m.Sequence).Uint(uint64(v)).Uint(highest.Token).Uint(highest.Sequence).Data)
 	case msgAck:
-		job, m, v, highest := r.Text(mostName), Mark{r.Uint(), r.Uint()}, Verdict(r.Uint()), Mark{r.Uint(), r.Uint()}
-		if r.Err() != nil || v > Old {
+		job, m, v, highest := r.Text(mostName), FencingToken{r.Uint(), r.Uint()}, Verdict(r.Uint()), FencingToken{r.Uint(), r.Uint()}
+		if r.Err() != nil || v > Stale {
 			return errTorn
 		}
-		if h := c.held[job]; v == Old && h != nil && h.token == m.Token && !h.released {
+		if h := c.held[job]; v == Stale && h != nil && h.token == m.Token && !h.released {
 			// There was a later owner, or so a receiver remembers: this one is none, and the next token is to be above.
 			h.raise = highest.Token
 			c.stop(job, h, "a receiver has seen a later token")
 		}
-		c.fx.Acked(from, job, m, v, highest)
+		c.fx.EffectAcknowledged(from, job, m, v, highest)
 	case msgMove:
 		job, to, tag := r.Text(mostName), r.Text(mostName), r.Uint()
 		if r.Err() != nil {
@@ -120,15 +120,15 @@
 		if r.Err() != nil {
 			return errTorn
 		}
-		c.fx.Answered(tag, []byte(answer))
+		c.fx.ReplyReceived(tag, []byte(answer))
 	case msgAsk:
 		job, tag, asker, body := r.Text(mostName), r.Uint(), uint32(r.Uint()), r.Bytes(1<<16)
 		if r.Err() != nil {
 			return errTorn
 		}
 		if h := c.held[job]; h != nil && !h.released && c.now < c.until {
-			c.fx.Asked(asker, job, tag, body)
-		} else if row := c.table.Row(job); c.leads != 0 && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
+			c.fx.QueryReceived(asker, job, tag, body)
+		} else if row := c.table.Job(job); c.leads != 0 && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
 			c.send(group.Peer(row.Owner), msg)
 		}
 	case msgAnswer:
@@ -136,7 +136,7 @@
 		if r.Err() != nil {
 			return errTorn
 		}
-		c.fx.Answered(tag, body)
+		c.fx.ReplyReceived(tag, body)
 	default:
 		return errTorn
 	}
@@ -160,7 +160,7 @@
 	c.until = max(c.until, at+c.cfg.Lease-c.cfg.Lease/drift)
 	if offer {
 		var w encoding.Writer
-		w.Uint(msgOffer).Text(c.cfg.Name).Uint(c.cfg.Life).Uint(uint64(len(c.cfg.Jobs)))
+		w.Uint(msgOffer).Text(c.cfg.Name).Uint(c.cfg.Incarnation).Uint(uint64(len(c.cfg.Jobs)))
 		for _, j := range c.cfg.Jobs {
 			w.Text(j)
 		}
@@ -169,11 +169,11 @@
 }
 
 func (c *Core) takeReleased(name string, life uint64, job string, token, raise, number uint64, left []byte, why string) {
-	row := c.table.Row(job)
+	row := c.table.Job(job)
 	if c.leads == 0 || row == nil || c.busy[job] != 0 {
 		return // it is told again
 	}
-	if row.Owner != name || row.Life != life || row.Token != token {
+	if row.Owner != name || row.Incarnation != life || row.Token != token {
 		if s := c.sessions[who{name, life}]; s != nil && c.now-s.toldAt > 50*ms {
 			s.told = 0 // it does not know yet that the job is no longer its own
 			c.tellList(s)
--- a/internal/fleet/ownership/simulation/check.go
+++ b/internal/fleet/ownership/simulation/check.go
@@ -94,7 +94,7 @@
 		}
 		now := r.local(p)
 		if !r.cfg.Disks && p.group != nil {
-			if _, ok := p.group.Leading(); ok && now < p.group.(*ownership.Quorum).Until() {
+			if _, ok := p.group.Leading(); ok && now < p.group.(*ownership.Quorum).LeaseEnd() {
 				if leads != "" {
 					r.fail("%s and %s both lead", leads, p.name)
 				}
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -34,17 +34,17 @@
 func (r *Run) do(i int, name string, j *job) func() {
 	p := r.ps[i]
 	j.number++
-	m, life := ownership.Mark{Token: j.token, Number: j.number}, p.life
+	m, life := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.life
 	return func() {
 		if !p.up || p.life != life {
 			return
 		}
 		now := r.local(p)
 		for to := range r.ps {
-			p.core.Do(now, consensus.Peer(r.ps[to].name), name, m, []byte("x"))
+			p.core.SendEffect(now, consensus.PeerID(r.ps[to].name), name, m, []byte("x"))
 		}
-		if m.Number%3 == 0 {
-			p.core.Note(now, name, m.Token, m.Number, []byte(fmt.Sprint(m.Number)))
+		if m.Sequence%3 == 0 {
+			p.core.StoreCheckpoint(now, name, m.Token, m.Sequence, []byte(fmt.Sprint(m.Sequence)))
 		}
 	}
 }
--- a/internal/fleet/ownership/simulation/side.go
+++ b/internal/fleet/ownership/simulation/side.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func (s groupSide) Tell(event string, args ...any) {
+func (s groupSide) LogEvent(event string, args ...any) {
 	if event == "group_leads" || event == "quorum_leads" {
 		s.r.Leads++
 	}
@@ -85,7 +85,7 @@
 	return j.number, []byte(fmt.Sprint(j.number))
 }
 
-func (s side) Effect(name string, m ownership.Mark, _ []byte) {
+func (s side) Effect(name string, m ownership.FencingToken, _ []byte) {
 	p := s.r.ps[s.p]
 	if m.Before(p.taken[name]) {
 		s.r.fail("%s takes %v of %s after %v", p.name, m, name, p.taken[name])
@@ -94,13 +94,13 @@
 	s.r.Effects++
 }
 
-func (s side) Acked(_ uint32, _ string, _ ownership.Mark, v ownership.Verdict, _ ownership.Mark) {
-	if v == ownership.Old {
+func (s side) EffectAcknowledged(_ uint32, _ string, _ ownership.FencingToken, v ownership.Verdict, _ ownership.FencingToken) {
+	if v == ownership.Stale {
 		s.r.Refused++
 	}
 }
 
-func (s side) Noted(name string, token, number uint64, ok bool) {
+func (s side) CheckpointStored(name string, token, number uint64, ok bool) {
 	p := s.r.ps[s.p]
 	if j := p.jobs[name]; j != nil && j.token == token && ok {
 		s.r.acked[name] = max(s.r.acked[name], number)
@@ -108,8 +108,8 @@
 	}
 }
 
-func (s side) Asked(uint32, string, uint64, []byte) {}
+func (s side) QueryReceived(uint32, string, uint64, []byte) {}
 
-func (s side) Answered(uint64, []byte) {}
+func (s side) ReplyReceived(uint64, []byte) {}
 
-func (s side) Tell(event string, args ...any) { Trace(s.r.now, s.r.ps[s.p].name, event, args) }
+func (s side) LogEvent(event string, args ...any) { Trace(s.r.now, s.r.ps[s.p].name, event, args) }
--- a/internal/fleet/ownership/simulation/virtual.go
+++ b/internal/fleet/ownership/simulation/virtual.go
@@ -50,8 +50,8 @@
 	raft   *consensus.Core
 	table  *ownership.Table
 	fence  *ownership.Fence
-	disk   *consensus.Memory
-	copied *consensus.Saved
+	disk   *consensus.MemoryStore
+	copied *consensus.StoredState
 	paused Time // until then
 	tickAt Time // true time
 	offset Time
@@ -60,7 +60,7 @@
 	queue  []mail
 	acts   []func() // checked before the process slept, done after
 	jobs   map[string]*job
-	taken  map[string]ownership.Mark // since this receiver began, as the checks see it
+	taken  map[string]ownership.FencingToken // since this receiver began, as the checks see it
 }
 
 type job struct {
@@ -105,8 +105,8 @@
 	r := &Run{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), peers: map[uint32]int{}, owners: map[string]string{}, top: map[string]uint64{}, acked: map[string]uint64{},
 		holds: make([]Time, c.Processes), ownedAt: map[string]Time{}}
 	for i := range c.Processes {
-		p := &process{name: fmt.Sprintf("p%d", i), disk: &consensus.Memory{SkipSync: c.SkipSync}, rate: 0.99 + 0.02*r.rng.Float64(), offset: r.rng.Int64N(1000 * Sec)}
-		r.peers[consensus.Peer(p.name)] = i
+		p := &process{name: fmt.Sprintf("p%d", i), disk: &consensus.MemoryStore{SkipSync: c.SkipSync}, rate: 0.99 + 0.02*r.rng.Float64(), offset: r.rng.Int64N(1000 * Sec)}
+		r.peers[consensus.PeerID(p.name)] = i
 		r.ps = append(r.ps, p)
 		r.cut = append(r.cut, make([]int, c.Processes))
 	}
@@ -133,7 +133,7 @@
 	p.life = uint64(r.now/Ms)<<8 + uint64(i) + 1
 	p.up, p.paused, p.queue, p.acts, p.core, p.group, p.raft = true, 0, nil, nil, nil, nil, nil
 	p.offset = r.rng.Int64N(1000 * Sec)
-	p.table, p.jobs, p.taken = ownership.NewTable(), map[string]*job{}, map[string]ownership.Mark{}
+	p.table, p.jobs, p.taken = ownership.NewTable(), map[string]*job{}, map[string]ownership.FencingToken{}
 	p.fence = &ownership.Fence{Forget: r.cfg.Forget}
 	var voters, jobs []string
 	for v := range r.cfg.Voters {
@@ -146,7 +146,7 @@
 		machines := map[byte]consensus.Machine{ownership.Machine: p.table}
 		seed := r.rng.Uint64()
 		if r.cfg.Disks {
-			c, err := consensus.Open(consensus.Config{Group: "sim", Name: p.name, Initial: voters, Seed: seed, Election: 6, Every: 40, Keep: 10}, p.disk, machines, groupSide{r, i})
+			c, err := consensus.Open(consensus.Config{Group: "sim", Name: p.name, InitialVoters: voters, Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, KeepBehindSnapshot: 10}, p.disk, machines, groupSide{r, i})
 			if err == nil {
 				p.raft, p.group = c, c
 			}
@@ -160,7 +160,7 @@
 		}
 	}
 	var err error
-	p.core, err = ownership.New(ownership.Config{Name: p.name, Life: p.life, Voters: voters, Jobs: jobs, Wall: func() int64 { return (r.now + p.wall) / Ms },
+	p.core, err = ownership.New(ownership.Config{Name: p.name, Incarnation: p.life, Voters: voters, Jobs: jobs, Wall: func() int64 { return (r.now + p.wall) / Ms },
 		FromAnswer: r.cfg.FromAnswer}, p.group, p.table, p.fence, side{r, i})
 	if err != nil {
 		panic(err)
@@ -176,7 +176,7 @@
 	p.up = false
 	p.disk.Crash()
 	if loseDisk {
-		p.disk = &consensus.Memory{SkipSync: r.cfg.SkipSync}
+		p.disk = &consensus.MemoryStore{SkipSync: r.cfg.SkipSync}
 	}
 }
 
@@ -218,7 +218,7 @@
 		}
 		return
 	}
-	from, now := consensus.Peer(r.ps[m.from].name), r.local(p)
+	from, now := consensus.PeerID(r.ps[m.from].name), r.local(p)
 	if m.group {
 		if p.group != nil {
 			p.group.Receive(now, from, m.data)
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// Tell sends a message to a peer, or to all with a number under 0. It may be lost, and nobody hears of that.
-func (k *Link) Tell(peer int, data []byte) {
+// SendToPeer sends a message to a peer, or to all with a number under 0. It may be lost, and nobody hears of that.
+func (k *Link) SendToPeer(peer int, data []byte) {
 	if len(data) == 0 || len(data) > Longest {
 		slog.Error("peer_message", "bytes", len(data), "most", Longest)
 		return
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -60,11 +60,11 @@
 
 func TestTellsOneAndAll(t *testing.T) {
 	links, chans := tier(t, 4)
-	links[1].Tell(3, []byte("one"))
+	links[1].SendToPeer(3, []byte("one"))
 	if h := next(t, chans[3]); h.from != 1 || string(h.data) != "one" {
 		t.Fatalf("%+v", h)
 	}
-	links[2].Tell(-1, []byte("all"))
+	links[2].SendToPeer(-1, []byte("all"))
 	for _, i := range []int{0, 1, 3} {
 		if h := next(t, chans[i]); h.from != 2 || string(h.data) != "all" {
 			t.Fatalf("%d heard %+v", i, h)
@@ -92,10 +92,10 @@
 	if links[0].Dropped() != 2 || len(chans[0]) > 0 {
 		t.Fatalf("dropped %d of 2, took %d", links[0].Dropped(), len(chans[0]))
 	}
-	links[1].Tell(0, bytes.Repeat([]byte("y"), Longest+1)) // never sent
-	links[1].Tell(7, []byte("nobody"))
-	links[1].Tell(0, nil)
-	links[1].Tell(0, bytes.Repeat([]byte("z"), Longest))
+	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), Longest+1)) // never sent
+	links[1].SendToPeer(7, []byte("nobody"))
+	links[1].SendToPeer(0, nil)
+	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), Longest))
 	if h := next(t, chans[0]); len(h.data) != Longest || h.data[0] != 'z' {
 		t.Fatalf("heard %q", h.data)
 	}
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -19,7 +19,7 @@
 type fleet struct {
 	now     Time
 	limits  map[string]Limit
-	p       []*Share
+	p       []*Client
 	bank    [Shards]*Issuer
 	cut     map[int]bool // neither reaches the owner nor hears it
 	late    []func()
@@ -41,36 +41,36 @@
 	shard int
 }
 
-func (s side) Do(uint32, uint64, []byte) {}
-func (s side) Note(uint64, []byte) error { return nil }
+func (s side) SendEffect(uint32, uint64, []byte)    {}
+func (s side) StoreCheckpoint(uint64, []byte) error { return nil }
 func (s side) Members() (all []jobs.Member) {
 	for i := range s.f.p {
-		all = append(all, jobs.Member{Peer: uint32(i), Here: true})
+		all = append(all, jobs.Member{Peer: uint32(i), Present: true})
 	}
 	return all
 }
 
-func (s side) Answer(to uint32, tag uint64, body []byte) {
+func (s side) Reply(to uint32, tag uint64, body []byte) {
 	f := s.f
 	f.record("answer", body)
 	if f.cut[int(to)] || f.rng.Float64() < f.loss {
 		return
 	}
-	f.late = append(f.late, func() { f.p[to].Answered(tag, body) })
+	f.late = append(f.late, func() { f.p[to].ReplyReceived(tag, body) })
 }
 
 func newFleet(n int, seed uint64, limits map[string]Limit) *fleet {
 	f := &fleet{now: 100 * sec, limits: limits, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), taken: map[string][]Time{}, open: map[string]int{}}
 	of := func(a string) Limit { return f.limits[a] }
 	for i := range n {
-		f.p = append(f.p, &Share{Now: func() Time { return f.now }, Lapse: lapse, Base: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, Ask: func(shard int, tag uint64, body []byte) {
+		f.p = append(f.p, &Client{Now: func() Time { return f.now }, GrantLifetime: lapse, FleetSize: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, SendQuery: func(shard int, tag uint64, body []byte) {
 			f.record("ask", body)
 			if f.cut[i] || f.gone || f.rng.Float64() < f.loss {
 				return
 			}
 			f.late = append(f.late, func() {
 				if !f.gone {
-					f.bank[shard].Asked(f.now, uint32(i), tag, body)
+					f.bank[shard].QueryReceived(f.now, uint32(i), tag, body)
 				}
 			})
 		}})
@@ -93,7 +93,7 @@
 // owner begins another one, who knows nothing.
 func (f *fleet) owner() {
 	for s := range f.bank {
-		f.bank[s] = &Issuer{Lapse: lapse, Base: len(f.p), Limits: func(a string) Limit { return f.limits[a] }}
+		f.bank[s] = &Issuer{GrantLifetime: lapse, FleetSize: len(f.p), Limits: func(a string) Limit { return f.limits[a] }}
 		f.bank[s].Start(f.now, side{f, s}, 1, 1, nil)
 	}
 }
@@ -113,7 +113,7 @@
 				}
 				asked := f.now
 				f.asked++
-				p.Take(account, 0.5, func(over string, _ time.Duration) {
+				p.Acquire(account, 0.5, func(over string, _ time.Duration) {
 					f.asked--
 					f.waited = max(f.waited, f.now-asked)
 					if over != "" {
@@ -127,7 +127,7 @@
 					f.ends(i, account, f.now+life)
 				})
 			}
-			p.Try()
+			p.RetryWaiting()
 			if f.now%(lapse/3/(10*ms)*(10*ms)) == 0 {
 				p.Step()
 			}
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -7,9 +7,9 @@
 
 // Issuer is the owner's part of one shard. What it has handed out is forgotten with it: its successor waits until all of that has lapsed.
 type Issuer struct {
-	Lapse  Time // how long what is handed out holds
-	Base   int  // proxies of the fleet: a proxy that is not heard of keeps to one part of so many
-	Limits Limits
+	GrantLifetime Time // how long what is handed out holds
+	FleetSize     int  // proxies of the fleet: a proxy that is not heard of keeps to one part of so many
+	Limits        Limits
 
 	owner    jobs.Owner
 	began    Time
@@ -49,7 +49,7 @@
 
 // Start begins with nothing to hand out.
 func (b *Issuer) Start(now Time, o jobs.Owner, _, number uint64, _ []byte) error {
-	b.owner, b.number, b.began = o, number, now+2*b.Lapse
+	b.owner, b.number, b.began = o, number, now+2*b.GrantLifetime
 	b.asked, b.accounts = map[uint32]Time{}, map[string]*purseOf{}
 	return nil
 }
@@ -71,7 +71,7 @@
 				}
 			}
 		}
-		p = &purseOf{pot: jobs.Bucket{At: max(now, b.began)}, places: map[uint32][]promise{}}
+		p = &purseOf{pot: jobs.Bucket{FilledAt: max(now, b.began)}, places: map[uint32][]promise{}}
 		b.accounts[account] = p
 	}
 	return p
@@ -79,11 +79,11 @@
 
 // free is how many more may be open: of those that are not heard of each holds what it was given last, or its share, whichever is more.
 func (b *Issuer) free(now Time, p *purseOf, most int) int {
-	share := most / max(1, b.Base)
-	left := most - max(0, b.Base-len(b.asked))*share
+	share := most / max(1, b.FleetSize)
+	left := most - max(0, b.FleetSize-len(b.asked))*share
 	for peer, at := range b.asked {
 		n := p.promised(now, peer)
-		if now-at >= 2*b.Lapse {
+		if now-at >= 2*b.GrantLifetime {
 			n = max(n, share)
 		}
 		left -= n
@@ -91,8 +91,8 @@
 	return left
 }
 
-// Asked hands out what a proxy wants, as far as there is room. Each account stands by itself: a proxy needs a permit and a place of every one above, too.
-func (b *Issuer) Asked(now Time, from uint32, tag uint64, body []byte) {
+// QueryReceived hands out what a proxy wants, as far as there is room. Each account stands by itself: a proxy needs a permit and a place of every one above, too.
+func (b *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	lines, err := read(body)
 	if b.owner == nil || err != nil {
 		return
@@ -104,23 +104,23 @@
 		g := line{account: l.account, places: l.held}
 		if now >= b.began { // else an earlier owner's are still out
 			if limit.Rate > 0 {
-				p.pot.Fill(now, limit.Rate, b.Base, jobs.Alone(now, b.Base, b.asked, 2*b.Lapse))
+				p.pot.Fill(now, limit.Rate, b.FleetSize, jobs.SilentMembers(now, b.FleetSize, b.asked, 2*b.GrantLifetime))
 				g.permits = p.pot.Take(l.permits)
 			}
-			if limit.Standing > 0 {
+			if limit.Connections > 0 {
 				// What was promised to this proxy before is its own already.
-				room := b.free(now, p, limit.Standing) + p.promised(now, from)
+				room := b.free(now, p, limit.Connections) + p.promised(now, from)
 				g.places = min(l.held+l.places, uint64(max(int(l.held), room)))
 				if room < int(l.held) {
 					// The limit was cut below what is open: each comes down in step, by taking nothing in place of what ends.
-					g.places = uint64(int(l.held) * limit.Standing / max(1, limit.Standing+int(l.held)-room))
+					g.places = uint64(int(l.held) * limit.Connections / max(1, limit.Connections+int(l.held)-room))
 				}
 			}
 		}
-		p.places[from] = append(p.places[from], promise{int(g.places), now + b.Lapse})
+		p.places[from] = append(p.places[from], promise{int(g.places), now + b.GrantLifetime})
 		given = append(given, g)
 	}
-	b.owner.Answer(from, tag, write(given))
+	b.owner.Reply(from, tag, write(given))
 }
 
 // Step forgets proxies that are gone from the fleet for good: what they held is closed.
@@ -133,7 +133,7 @@
 		here[m.Peer] = true
 	}
 	for peer, at := range b.asked {
-		if !here[peer] && now-at > 4*b.Lapse {
+		if !here[peer] && now-at > 4*b.GrantLifetime {
 			delete(b.asked, peer)
 			for _, p := range b.accounts {
 				delete(p.places, peer)
@@ -142,13 +142,13 @@
 	}
 }
 
-// Acked, Noted and Effect are the Job's: allowances are answers.
-func (b *Issuer) Acked(Time, uint32, ownership.Mark, ownership.Verdict) {}
+// EffectAcknowledged, Noted and Effect are the Job's: allowances are answers.
+func (b *Issuer) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// Noted is the Job's.
-func (b *Issuer) Noted(Time, uint64, bool) {}
+// CheckpointStored is the Job's.
+func (b *Issuer) CheckpointStored(Time, uint64, bool) {}
 
-// Effect is the Job's.
-func (b *Issuer) Effect(Time, ownership.Mark, []byte) {}
+// ApplyEffect is the Job's.
+func (b *Issuer) ApplyEffect(Time, ownership.FencingToken, []byte) {}
 
 var _ jobs.Job = (*Issuer)(nil)
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -25,8 +25,8 @@
 
 // Limit is what all proxies together may have; 0: no bound.
 type Limit struct {
-	Rate     float64 // new connections a second
-	Standing int     // open connections
+	Rate        float64 // new connections a second
+	Connections int     // open connections
 }
 
 // Limits gives an account's limits as the active version has them; an account that it does not know has none.
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestWithoutAnOwnerEachHasItsShare(t *testing.T) {
-	f := newFleet(5, 2, map[string]Limit{"a": {Rate: 50, Standing: 100}})
+	f := newFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
 	f.run(5*sec, "a", all, sec)
 	f.gone = true
@@ -51,7 +51,7 @@
 
 // A parent's limit holds over its children, also as it is cut by half in the middle of a burst.
 func TestAParentsLimitHolds(t *testing.T) {
-	f := newFleet(4, 3, map[string]Limit{"p": {Rate: 40, Standing: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
+	f := newFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
 	for range 20 {
 		f.run(200*ms, "p/x", func(int) float64 { return 0.5 }, 2*sec)
 		f.run(200*ms, "p/y", func(int) float64 { return 0.5 }, 2*sec)
@@ -59,7 +59,7 @@
 	if n := most(f.taken["p"]); n > 40+10+8 || f.open["p"] > 60 {
 		t.Errorf("%d in a second, %d open", n, f.open["p"])
 	}
-	f.limits["p"] = Limit{Rate: 20, Standing: 30}
+	f.limits["p"] = Limit{Rate: 20, Connections: 30}
 	f.run(2*sec, "p/x", func(int) float64 { return 0.5 }, 2*sec) // what was handed out lapses, and what is open ends
 	f.taken = map[string][]Time{}
 	over := 0
@@ -79,7 +79,7 @@
 func TestTheSumIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, standing, n = 40, 50, 5
-		f := newFleet(n, rapid.Uint64().Draw(rt, "seed"), map[string]Limit{"a": {Rate: rate, Standing: standing}})
+		f := newFleet(n, rapid.Uint64().Draw(rt, "seed"), map[string]Limit{"a": {Rate: rate, Connections: standing}})
 		f.loss = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "loss")
 		changed := false
 		for range rapid.IntRange(3, 12).Draw(rt, "steps") {
@@ -114,8 +114,8 @@
 func TestAnAnswerLapsesByItself(t *testing.T) {
 	now := Time(0)
 	var tags []uint64
-	p := &Share{Now: func() Time { return now }, Lapse: lapse, Base: 5, Accounts: func() []string { return []string{"a"} },
-		Limits: func(string) Limit { return Limit{Rate: 40, Standing: 50} }, Ask: func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) }}
+	p := &Client{Now: func() Time { return now }, GrantLifetime: lapse, FleetSize: 5, Accounts: func() []string { return []string{"a"} },
+		Limits: func(string) Limit { return Limit{Rate: 40, Connections: 50} }, SendQuery: func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) }}
 	asks := func() (tag uint64) {
 		tags = nil
 		p.ask(Shard("a"), false)
@@ -154,13 +154,13 @@
 func FuzzAsked(f *testing.F) {
 	f.Add(write([]line{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		x := newFleet(2, 1, map[string]Limit{"a": {Rate: 5, Standing: 5}})
+		x := newFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
 		x.now += 10 * lapse
-		x.bank[0].Asked(x.now, 1, 1, data)
-		x.p[0].Take("a", 0, func(string, time.Duration) {})
+		x.bank[0].QueryReceived(x.now, 1, 1, data)
+		x.p[0].Acquire("a", 0, func(string, time.Duration) {})
 		x.p[0].Step()
-		x.p[0].Answered(1, data)
-		x.p[0].Take("nobody's", 0, func(over string, _ time.Duration) {
+		x.p[0].ReplyReceived(1, data)
+		x.p[0].Acquire("nobody's", 0, func(over string, _ time.Duration) {
 			if over != "" {
 				t.Fatalf("an account without limits: %s", over)
 			}
--- a/internal/fleet/quota/recorded_test.go
+++ b/internal/fleet/quota/recorded_test.go
@@ -14,7 +14,7 @@
 	var lines strings.Builder
 	samples := golden.NewSamples(8)
 	for seed := range uint64(sequences) {
-		f := newFleet(3+int(seed%3), seed, map[string]Limit{"p": {Rate: 40, Standing: 60}, "p/x": {Rate: 25}, "p/y": {Standing: 20 + int(seed%20)}, "q": {Rate: 9, Standing: 5}})
+		f := newFleet(3+int(seed%3), seed, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 25}, "p/y": {Connections: 20 + int(seed%20)}, "q": {Rate: 9, Connections: 5}})
 		f.loss = float64(seed%5) / 20
 		f.recorded = golden.NewDigest()
 		if seed < 4 {
@@ -32,7 +32,7 @@
 				proxy := f.rng.IntN(len(f.p))
 				f.cut[proxy] = !f.cut[proxy]
 			case 3:
-				f.p[f.rng.IntN(len(f.p))].Hold(account)
+				f.p[f.rng.IntN(len(f.p))].CountExisting(account)
 			}
 			steps := 1 + f.rng.IntN(20)
 			f.run(Time(steps)*10*ms, account, func(int) float64 { return demand }, Time(f.rng.IntN(2000))*ms)
--- a/internal/fleet/quota/share.go
+++ b/internal/fleet/quota/share.go
@@ -7,8 +7,8 @@
 
 // Why a request has no room.
 const (
-	OverRate     = "rate"
-	OverStanding = "standing"
+	OverRate        = "rate"
+	OverConnections = "standing"
 )
 
 const (
@@ -17,14 +17,14 @@
 	mostWaiting = 1024
 )
 
-// Share is a proxy's own part: what it may use now. It may be used by the loop and by the goroutine that asks.
-type Share struct {
-	Now    func() Time
-	Lapse  Time
-	Base   int
-	Limits Limits
-	// Ask asks a shard's owner; its answer comes to Answered under the tag.
-	Ask func(shard int, tag uint64, body []byte)
+// Client is a proxy's own part: what it may use now. It may be used by the loop and by the goroutine that asks.
+type Client struct {
+	Now           func() Time
+	GrantLifetime Time
+	FleetSize     int
+	Limits        Limits
+	// SendQuery asks a shard's owner; its answer comes to Answered under the tag.
+	SendQuery func(shard int, tag uint64, body []byte)
 	// Accounts are all that have limits, sorted.
 	Accounts func() []string
 
@@ -68,7 +68,7 @@
 	return n
 }
 
-func (p *Share) of(account string) *use {
+func (p *Client) of(account string) *use {
 	if p.used == nil {
 		p.used, p.out = map[string]*use{}, map[uint64]Time{}
 	}
@@ -81,9 +81,9 @@
 }
 
 // aloneFrom is when this proxy goes by its own share of an account: some time after the owner has begun to keep that back, however late its words are.
-func (p *Share) aloneFrom(account string) Time { return p.heard[Shard(account)] + 2*p.Lapse }
+func (p *Client) aloneFrom(account string) Time { return p.heard[Shard(account)] + 2*p.GrantLifetime }
 
-func (p *Share) alone(now Time, account string) bool { return now >= p.aloneFrom(account) }
+func (p *Client) alone(now Time, account string) bool { return now >= p.aloneFrom(account) }
 
 // waiter is a request that waits for an owner's word.
 type waiter struct {
@@ -93,14 +93,14 @@
 	then    func(over string, advice time.Duration)
 }
 
-// Take asks for one more connection of an account, and then hears of what there is no room, "" if there is, and when to come again, spread by spread (0 to
+// Acquire asks for one more connection of an account, and then hears of what there is no room, "" if there is, and when to come again, spread by spread (0 to
 // 1). Where only a permit that the owner may have is missing it is asked at once, and then hears once that has come, patience later at the most.
-func (p *Share) Take(account string, spread float64, then func(over string, advice time.Duration)) {
+func (p *Client) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
 	p.mu.Lock()
 	now := p.Now()
 	for _, a := range chain(account) {
 		u := p.of(a)
-		if now-u.wantAt > p.Lapse {
+		if now-u.wantAt > p.GrantLifetime {
 			u.wanted, u.wantAt = u.wanted/2, now
 		}
 		u.wanted++
@@ -118,8 +118,8 @@
 	p.ask(Shard(account), true)
 }
 
-// Try lets those that wait try again, and refuses those that have waited long enough. It is called with each answer and now and then.
-func (p *Share) Try() {
+// RetryWaiting lets those that wait try again, and refuses those that have waited long enough. It is called with each answer and now and then.
+func (p *Client) RetryWaiting() {
 	p.mu.Lock()
 	now := p.Now()
 	type word struct {
@@ -145,14 +145,14 @@
 }
 
 // take takes what one more connection needs, or says of what there is none.
-func (p *Share) take(now Time, account string, spread float64) (over string, advice time.Duration) {
+func (p *Client) take(now Time, account string, spread float64) (over string, advice time.Duration) {
 	for _, a := range chain(account) {
 		u, limit := p.of(a), p.Limits(a)
 		if limit.Rate > 0 && !p.permit(now, a, u, limit.Rate) {
-			return OverRate, time.Duration(float64(p.Lapse) * (0.5 + spread))
+			return OverRate, time.Duration(float64(p.GrantLifetime) * (0.5 + spread))
 		}
-		if limit.Standing > 0 && u.held >= p.room(now, a, u, limit.Standing) {
-			return OverStanding, time.Duration(float64(p.Lapse) * (1 + 2*spread))
+		if limit.Connections > 0 && u.held >= p.room(now, a, u, limit.Connections) {
+			return OverConnections, time.Duration(float64(p.GrantLifetime) * (1 + 2*spread))
 		}
 	}
 	for _, a := range chain(account) {
@@ -170,31 +170,31 @@
 }
 
 // permit tells whether a new connection has one: the owner's while it is heard, else from the own share, of which none is saved.
-func (p *Share) permit(now Time, account string, u *use, rate float64) bool {
+func (p *Client) permit(now Time, account string, u *use, rate float64) bool {
 	if !p.alone(now, account) {
 		u.own, u.ownAt = 0, now
 		return u.left(now) > 0
 	}
-	u.own = min(1, u.own+rate/float64(max(1, p.Base))*float64(now-max(u.ownAt, p.aloneFrom(account)))/float64(sec))
+	u.own = min(1, u.own+rate/float64(max(1, p.FleetSize))*float64(now-max(u.ownAt, p.aloneFrom(account)))/float64(sec))
 	u.ownAt = now
 	return u.own >= 1
 }
 
 // room is how many may be open here in all.
-func (p *Share) room(now Time, account string, u *use, most int) int {
+func (p *Client) room(now Time, account string, u *use, most int) int {
 	if !p.alone(now, account) && now < u.until {
 		return u.places
 	}
-	return most / max(1, p.Base)
+	return most / max(1, p.FleetSize)
 }
 
-// Hold counts a connection that is open already, whatever there is room for, and Release the end of one.
-func (p *Share) Hold(account string) { p.count(account, 1) }
+// CountExisting counts a connection that is open already, whatever there is room for, and Release the end of one.
+func (p *Client) CountExisting(account string) { p.count(account, 1) }
 
 // Release counts the end of a connection.
-func (p *Share) Release(account string) { p.count(account, -1) }
+func (p *Client) Release(account string) { p.count(account, -1) }
 
-func (p *Share) count(account string, n int) {
+func (p *Client) count(account string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range chain(account) {
--- a/internal/fleet/replica/voter.go
+++ b/internal/fleet/replica/voter.go
@@ -23,7 +23,7 @@
 }
 
 func wrap(err error) *group.StoreError {
-	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), ByItself: disk.ByItself(err)}
+	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), ByItself: disk.Recoverable(err)}
 }
 
 // Open opens the voter whose store is in a folder.
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, wrap(err)
 	}
-	c, err := consensus.Open(consensus.Config{Group: o.Group, Name: o.Name, Initial: o.Voters, Seed: o.Seed, Election: 6}, st, o.Machines, o.Effects)
+	c, err := consensus.Open(consensus.Config{Group: o.Group, Name: o.Name, InitialVoters: o.Voters, Seed: o.Seed, ElectionTicks: 6}, st, o.Machines, o.Effects)
 	if err != nil {
 		st.Close()
 		return nil, wrap(err)
--- a/internal/fleet/rules/ask.go
+++ b/internal/fleet/rules/ask.go
@@ -19,12 +19,12 @@
 	askStatus  = 't'
 )
 
-// Asked takes a question.
-func (k *Coordinator) Asked(now Time, from uint32, tag uint64, body []byte) {
+// QueryReceived takes a question.
+func (k *Coordinator) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if k.owner == nil || len(body) == 0 {
 		return
 	}
-	answer := func(text string) { k.owner.Answer(from, tag, []byte(text)) }
+	answer := func(text string) { k.owner.Reply(from, tag, []byte(text)) }
 	switch body[0] {
 	case askKeep:
 		k.keep(now, from, tag, body[1:])
@@ -100,8 +100,8 @@
 	return len(body) > 0 && (body[0] == askPut || body[0] == askShow || body[0] == askHistory || body[0] == askRead || body[0] == askStatus)
 }
 
-// Plain is an answer as people read it: long ones come squeezed.
-func Plain(answer string) string {
+// DecodeReply is an answer as people read it: long ones come squeezed.
+func DecodeReply(answer string) string {
 	if answer == "" || answer[0] != formSqueezed {
 		return answer
 	}
@@ -112,8 +112,8 @@
 	return string(out)
 }
 
-// Propose is the question that asks for a change. One without an id gets one of what it says, so that the same once more is as once.
-func Propose(c *Change) []byte {
+// EncodeProposal is the question that asks for a change. One without an id gets one of what it says, so that the same once more is as once.
+func EncodeProposal(c *Change) []byte {
 	c.Name()
 	return append([]byte{askPut}, squeeze(marshal(c))...)
 }
@@ -126,35 +126,35 @@
 	}
 }
 
-// Put is the change that puts the operators' part, made against a version.
-func Put(v *Version, against uint64, id []byte) *Change {
+// ChangeOperators is the change that puts the operators' part, made against a version.
+func ChangeOperators(v *Version, against uint64, id []byte) *Change {
 	c := *v
 	c.Number = against + 1
 	return &Change{ID: id, Kind: ChangeRules, Against: against, Body: c.Encode()}
 }
 
-// PutSpace is the change that puts an account's namespace.
-func PutSpace(s *namespace.Space, against uint64, id []byte) *Change {
+// ChangeNamespace is the change that puts an account's namespace.
+func ChangeNamespace(s *namespace.Space, against uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: ChangeSpace, Part: s.Account, Against: against, Body: marshal(s)}
 }
 
-// PutAccount is the change that puts an account below another.
-func PutAccount(a *namespace.Account, against uint64, id []byte) *Change {
+// ChangeAccountTo is the change that puts an account below another.
+func ChangeAccountTo(a *namespace.Account, against uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: ChangeAccount, Part: a.Name, Against: against, Body: marshal(a)}
 }
 
-// Drop is the change that ends an account and all below it.
-func Drop(account string, against uint64, id []byte) *Change {
+// RemoveAccount is the change that ends an account and all below it.
+func RemoveAccount(account string, against uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: DropAccount, Part: account, Against: against}
 }
 
-// Back is the change that puts everything as an earlier version had it.
-func Back(to, against uint64, id []byte) *Change {
+// RollBackTo is the change that puts everything as an earlier version had it.
+func RollBackTo(to, against uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: Rollback, Against: against, Body: marshal(to)}
 }
 
-// Show is the question what is active, Status who may act by what and what is waited for, History which changes were made, Read what a version says (0: the active one).
-func Show() []byte                { return []byte{askShow} }
-func Status() []byte              { return []byte{askStatus} }
-func History(about string) []byte { return append([]byte{askHistory}, about...) }
-func Read(number uint64) []byte   { return append([]byte{askRead}, marshal(number)...) }
+// QueryActive is the question what is active, Status who may act by what and what is waited for, History which changes were made, Read what a version says (0: the active one).
+func QueryActive() []byte               { return []byte{askShow} }
+func QueryStatus() []byte               { return []byte{askStatus} }
+func QueryHistory(about string) []byte  { return append([]byte{askHistory}, about...) }
+func QueryVersion(number uint64) []byte { return append([]byte{askRead}, marshal(number)...) }
--- a/internal/fleet/rules/audit.go
+++ b/internal/fleet/rules/audit.go
@@ -19,12 +19,12 @@
 type kept struct {
 	_              struct{} `cbor:",toarray"`
 	Active, Staged []byte
-	Trail          []Entry  // the changes that were made, the newest last
-	History        [][]byte // versions that were active, the newest last
+	Trail          []AuditEntry // the changes that were made, the newest last
+	History        [][]byte     // versions that were active, the newest last
 }
 
-// Entry is one change that was made. It is never rewritten: its hash is over the one before, so that one that is missing or altered shows.
-type Entry struct {
+// AuditEntry is one change that was made. It is never rewritten: its hash is over the one before, so that one that is missing or altered shows.
+type AuditEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64   // of the version that it made
 	ID     []byte
@@ -34,14 +34,14 @@
 	Hash   []byte
 }
 
-func (e Entry) over(before []byte) []byte {
+func (e AuditEntry) over(before []byte) []byte {
 	e.Hash = before
 	h := sha256.Sum256(marshal(e))
 	return h[:16]
 }
 
 // follow adds a change to a trail.
-func follow(trail []Entry, e Entry) []Entry {
+func follow(trail []AuditEntry, e AuditEntry) []AuditEntry {
 	var before []byte
 	if n := len(trail); n > 0 {
 		before = trail[n-1].Hash
@@ -51,8 +51,8 @@
 	return out[max(0, len(out)-mostTrail):]
 }
 
-// Sound tells whether a trail's hashes follow one another; the first one's own past may be gone.
-func Sound(trail []Entry) error {
+// CheckAuditLog tells whether a trail's hashes follow one another; the first one's own past may be gone.
+func CheckAuditLog(trail []AuditEntry) error {
 	for i := 1; i < len(trail); i++ {
 		if string(trail[i].over(trail[i-1].Hash)) != string(trail[i].Hash) {
 			return fmt.Errorf("rules: the trail is torn at version %d", trail[i].Number)
@@ -133,7 +133,7 @@
 }
 
 // left is what the group is to keep: as much of the past as there is room for.
-func (k *Coordinator) left(active, staged *Version, trail []Entry, past [][]byte) []byte {
+func (k *Coordinator) left(active, staged *Version, trail []AuditEntry, past [][]byte) []byte {
 	s := kept{Active: k.travels(active, nil), Trail: trail}
 	if staged != nil {
 		s.Staged = k.travels(staged, nil)
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -29,7 +29,7 @@
 	return &namespace.Space{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
-func (g *group) change(c *Change) { g.k.Asked(g.now, 0, 1, Propose(c)) }
+func (g *group) change(c *Change) { g.k.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
 
 func (g *group) signed(c *Change, by byte) {
 	c.Name()
@@ -52,25 +52,25 @@
 	g := begin(t, 3)
 	// Two administrators at once, of one namespace and of two.
 	n := len(g.answers)
-	g.signed(PutSpace(to("acme", 0, "a"), 2, nil), 1)
-	g.signed(PutSpace(to("acme", 0, namespace.Main), 2, nil), 2)
-	g.change(PutSpace(to("other", 0, "b"), 2, nil))
+	g.signed(ChangeNamespace(to("acme", 0, "a"), 2, nil), 1)
+	g.signed(ChangeNamespace(to("acme", 0, namespace.Main), 2, nil), 2)
+	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(within)
 	got := strings.Join(g.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.m[1].Gate.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
+	if v := g.m[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
 		t.Errorf("%+v", v)
 	}
 	// The one that lost made its change against what the other had not changed yet.
-	g.signed(PutSpace(to("acme", 0, namespace.Main), 2, []byte("12345678")), 2)
+	g.signed(ChangeNamespace(to("acme", 0, namespace.Main), 2, []byte("12345678")), 2)
 	g.run(within)
 	if !strings.HasPrefix(g.last(), "refused: it was made against version 2, and ") {
 		t.Fatalf("an old base: %q", g.last())
 	}
 	// The same once more is as once, also after another change.
-	g.signed(PutSpace(to("acme", 0, "a"), 2, nil), 1)
+	g.signed(ChangeNamespace(to("acme", 0, "a"), 2, nil), 1)
 	g.run(within)
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("asked twice: %q", g.last())
@@ -85,14 +85,14 @@
 	g.k.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
 	team := &namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}
 	for want, c := range map[string]*Change{
-		"which has ended":                             PutSpace(to("acme", 0, "a"), 2, []byte("id-clerk")),
-		"no grant of version 2 has this key":          PutSpace(to("acme", 0, "a"), 2, []byte("id-nobody")),
-		"which is for acme and below":                 PutSpace(to("other", 0, "b"), 2, []byte("id-other")),
-		"account acme may not use pool b":             PutSpace(to("acme", 0, "b"), 2, []byte("id-pool-b")),
-		"which is for no such change":                 Put(&Version{}, 2, []byte("id-rules")),
-		"tenant t3 does not belong to account acme":   PutAccount(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant")),
-		"rate 101 at most, and account acme has 100":  PutAccount(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{AtMost: 101}}, 2, []byte("id-rates")),
-		"those at the top are changed with the rules": PutAccount(&namespace.Account{Name: "top"}, 2, []byte("id-top-op")),
+		"which has ended":                             ChangeNamespace(to("acme", 0, "a"), 2, []byte("id-clerk")),
+		"no grant of version 2 has this key":          ChangeNamespace(to("acme", 0, "a"), 2, []byte("id-nobody")),
+		"which is for acme and below":                 ChangeNamespace(to("other", 0, "b"), 2, []byte("id-other")),
+		"account acme may not use pool b":             ChangeNamespace(to("acme", 0, "b"), 2, []byte("id-pool-b")),
+		"which is for no such change":                 ChangeOperators(&Version{}, 2, []byte("id-rules")),
+		"tenant t3 does not belong to account acme":   ChangeAccountTo(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant")),
+		"rate 101 at most, and account acme has 100":  ChangeAccountTo(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{AtMost: 101}}, 2, []byte("id-rates")),
+		"those at the top are changed with the rules": ChangeAccountTo(&namespace.Account{Name: "top"}, 2, []byte("id-top-op")),
 	} {
 		by := map[string]byte{"id-clerk": 2, "id-nobody": 9}[string(c.ID)]
 		switch {
@@ -108,19 +108,19 @@
 			t.Errorf("%q, expected %q", g.last(), want)
 		}
 	}
-	c := PutAccount(team, 2, []byte("id-forged"))
+	c := ChangeAccountTo(team, 2, []byte("id-forged"))
 	c.Sign(key(1))
 	c.Against = 1
 	g.change(c)
 	if !strings.Contains(g.last(), "its signature is not by its key") {
 		t.Errorf("altered after it was signed: %q", g.last())
 	}
-	g.signed(PutAccount(team, 2, nil), 1)
+	g.signed(ChangeAccountTo(team, 2, nil), 1)
 	g.run(2 * within)
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("a team: %q", g.last())
 	}
-	if v := g.m[2].Gate.Judge(namespace.Ask{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
+	if v := g.m[2].Enforcer.Judge(namespace.Ask{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
 		t.Errorf("%+v", v)
 	}
 }
@@ -128,7 +128,7 @@
 // A change that was signed before its grant was revoked and comes, or is made, after it does nothing.
 func TestARevokedKeyDoesNothing(t *testing.T) {
 	g := begin(t, 3)
-	c := PutSpace(to("acme", 0, "a"), 2, []byte("held-back"))
+	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(key(1))
 	// On its way while the grant is revoked: checked again as the version is made.
 	g.cut[3] = true
@@ -141,7 +141,7 @@
 	if len(g.answers) > n {
 		t.Fatalf("answered at once: %q", g.last())
 	}
-	g.k.waiting = append([]*pending{{Change: Put(without, 3, []byte("revoke")), who: "operators", answer: func(string) {}}}, g.k.waiting...)
+	g.k.waiting = append([]*pending{{Change: ChangeOperators(without, 3, []byte("revoke")), who: "operators", answer: func(string) {}}}, g.k.waiting...)
 	g.run(4 * within)
 	if got := strings.Join(g.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
 		t.Errorf("answers\n%s", got)
@@ -153,7 +153,7 @@
 	if !strings.HasPrefix(g.last(), "refused: no grant of version") {
 		t.Errorf("half a minute late: %q", g.last())
 	}
-	if v := g.m[1].Gate.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Route != "" {
+	if v := g.m[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Route != "" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -163,12 +163,12 @@
 	g := begin(t, 3)
 	refused := 0
 	for i := range 1000 {
-		g.signed(PutSpace(to("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
+		g.signed(ChangeNamespace(to("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
 		if strings.HasPrefix(g.last(), "refused: ") {
 			refused++
 		}
 	}
-	g.change(PutSpace(to("other", 0, "b"), 2, nil))
+	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(100 * ms)
 	if refused != 1000 || !strings.HasPrefix(g.last(), "active: version 3 at 3 of 3") {
 		t.Fatalf("%d refused, then %q", refused, g.last())
@@ -181,7 +181,7 @@
 // A change that one process can't use holds up no other that was made with it.
 func TestAPoisonedNamespaceHoldsUpNoOther(t *testing.T) {
 	g := begin(t, 3)
-	g.m[2].Most = 6
+	g.m[2].MaxEntries = 6
 	big := to("acme", 0, "a")
 	for i := range 9 {
 		big.Routes = append(big.Routes, namespace.Route{Name: fmt.Sprint("x", i), Prefix: fmt.Sprint(i), Pool: "a"})
@@ -190,37 +190,37 @@
 	g.k.waiting = nil
 	g.k.blind = g.now + 100*ms
 	g.change(&Change{ID: []byte("first-one"), Kind: ChangeRules, Against: 2, Body: func() []byte { v := frame(); v.Number = 3; v.Out = []string{"h"}; return v.Encode() }()})
-	g.change(PutSpace(big, 2, nil))
-	g.change(PutSpace(to("other", 0, "b"), 2, nil))
+	g.change(ChangeNamespace(big, 2, nil))
+	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(8 * within)
 	got := strings.Join(g.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.m[2].Gate.Judge(namespace.Ask{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
+	if v := g.m[2].Enforcer.Judge(namespace.Ask{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
 		t.Errorf("%+v", v)
 	}
 }
 
 func TestRollbackIsANewVersion(t *testing.T) {
 	g := begin(t, 3)
-	g.change(PutSpace(to("other", 0, "b"), 2, nil))
+	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(within)
-	g.change(Back(2, 3, nil))
+	g.change(RollBackTo(2, 3, nil))
 	g.run(within)
 	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.k.active.Number != 4 || len(g.k.active.Book.Spaces) != 0 {
 		t.Fatalf("%q: %+v", g.last(), g.k.active.Book)
 	}
-	g.change(Back(77, 4, nil))
+	g.change(RollBackTo(77, 4, nil))
 	if g.last() != "refused: version 77 is not kept any more" {
 		t.Fatalf("%q", g.last())
 	}
 	g.keeper() // the past is what the group keeps
-	if g.k.read(3) == nil || len(g.k.trail) < 3 || Sound(g.k.trail) != nil {
+	if g.k.read(3) == nil || len(g.k.trail) < 3 || CheckAuditLog(g.k.trail) != nil {
 		t.Fatalf("a new keeper has version 3: %t, and %d changes", g.k.read(3) != nil, len(g.k.trail))
 	}
 	g.k.trail[1].Who = "somebody"
-	if Sound(g.k.trail) == nil {
+	if CheckAuditLog(g.k.trail) == nil {
 		t.Fatal("an altered trail is found sound")
 	}
 }
--- a/internal/fleet/rules/coordinator.go
+++ b/internal/fleet/rules/coordinator.go
@@ -16,9 +16,9 @@
 // Coordinator is the owner's part: it orders the versions and gives the lease to act by the active one. A newer version becomes active once
 // everyone who may hold a lease has it ready, or that lease has lapsed.
 type Coordinator struct {
-	Within Time
-	Told   func(now Time) // the receiver's part
-	Wall   func() int64   // Unix milliseconds; nil: 0
+	AgreeWithin Time
+	Notified    func(now Time) // the receiver's part
+	Wall        func() int64   // Unix milliseconds; nil: 0
 
 	owner          jobs.Owner
 	number         uint64
@@ -26,7 +26,7 @@
 	active, staged *Version
 	is, hash       Hash // of the one active, and of the one staged
 	since          Time // when staged came
-	trail, next    []Entry
+	trail, next    []AuditEntry
 	past           [][]byte
 	noting         func(ok bool)
 	notedAt        Time // when the group was asked to keep it
@@ -42,7 +42,7 @@
 
 // Start goes on from what the coordinator before has left.
 func (k *Coordinator) Start(now Time, o jobs.Owner, _, number uint64, left []byte) error {
-	k.owner, k.number, k.blind, k.since = o, number, Lapsed(now, k.Within), now
+	k.owner, k.number, k.blind, k.since = o, number, LeaseSurelyEnded(now, k.AgreeWithin), now
 	k.active, k.staged, k.noting, k.waiting, k.made, k.trail, k.next, k.past, k.turned = &Version{}, nil, nil, nil, nil, nil, nil, nil, nil
 	k.is = k.active.Hash()
 	k.leases, k.ready, k.faults, k.spent = map[uint32]lease{}, map[uint32]Hash{}, map[uint32]string{}, map[string]*tokens{}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return fmt.Errorf("rules: what the keeper before left: %w", err)
 	}
-	if err := Sound(s.Trail); err != nil {
+	if err := CheckAuditLog(s.Trail); err != nil {
 		k.turned, s.Trail = append(k.turned, err.Error()), nil // rules go on without it, and say so
 	}
 	k.is = k.active.Hash()
@@ -86,14 +86,14 @@
 func (k *Coordinator) note(now Time, left []byte, then func(ok bool)) {
 	k.number++
 	k.noting, k.notedAt = then, now
-	if err := k.owner.Note(k.number, left); err != nil {
+	if err := k.owner.StoreCheckpoint(k.number, left); err != nil {
 		k.noting = nil
 		then(false)
 	}
 }
 
-// Noted tells whether the group keeps it.
-func (k *Coordinator) Noted(now Time, number uint64, ok bool) {
+// CheckpointStored tells whether the group keeps it.
+func (k *Coordinator) CheckpointStored(now Time, number uint64, ok bool) {
 	if then := k.noting; then != nil && number == k.number {
 		k.noting = nil
 		then(ok)
@@ -127,8 +127,8 @@
 		}
 		a.Staged = k.travels(k.staged, base)
 	}
-	k.leases[from] = lease{k.active.Number, Lapsed(now, k.Within)}
-	k.owner.Answer(from, tag, marshal(a))
+	k.leases[from] = lease{k.active.Number, LeaseSurelyEnded(now, k.AgreeWithin)}
+	k.owner.Reply(from, tag, marshal(a))
 	k.Step(now)
 }
 
@@ -150,15 +150,15 @@
 // call has everybody ask at once.
 func (k *Coordinator) call() {
 	for _, m := range k.owner.Members() {
-		if m.Here {
-			k.owner.Do(m.Peer, k.number, []byte{1})
+		if m.Present {
+			k.owner.SendEffect(m.Peer, k.number, []byte{1})
 		}
 	}
 }
 
 // Step makes the next version active once nobody can act by another one that does not have it, or gives it up.
 func (k *Coordinator) Step(now Time) {
-	if then := k.noting; k.owner != nil && then != nil && now-k.notedAt > k.Within {
+	if then := k.noting; k.owner != nil && then != nil && now-k.notedAt > k.AgreeWithin {
 		k.noting = nil // the word that it is kept may have been lost
 		then(false)
 	}
@@ -181,7 +181,7 @@
 		}
 		late = late || k.ready[peer] != k.hash
 	}
-	if late && now-k.since > 3*k.Within {
+	if late && now-k.since > 3*k.AgreeWithin {
 		k.drop(now, "refused: not everyone that holds a right has it ready")
 		return
 	}
@@ -190,8 +190,8 @@
 	}
 }
 
-// Acked is the Job's: who has heard that there is something new asks by itself.
-func (k *Coordinator) Acked(Time, uint32, ownership.Mark, ownership.Verdict) {}
+// EffectAcknowledged is the Job's: who has heard that there is something new asks by itself.
+func (k *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
 func marshal(x any) []byte {
 	data, err := encoding().Marshal(x)
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -60,7 +60,7 @@
 			last[a.who] = a.number
 		}
 		for i := uint32(1); i <= 4; i++ {
-			if v := g.m[i].Gate.Judge(anyAsk); v.Lapsed || v.Version != g.k.active.Number {
+			if v := g.m[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.k.active.Number {
 				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.k.active.Number)
 			}
 		}
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -40,23 +40,23 @@
 	lapsed bool
 }
 
-func (g *group) Do(to uint32, _ uint64, body []byte) {
+func (g *group) SendEffect(to uint32, _ uint64, body []byte) {
 	g.record.add("do", body)
 	if !g.cut[to] {
-		g.m[to].Told(g.clock(to))
+		g.m[to].Notified(g.clock(to))
 	}
 }
 
-func (g *group) Note(number uint64, left []byte) error {
+func (g *group) StoreCheckpoint(number uint64, left []byte) error {
 	if g.noNotes {
 		return errors.New("no lead")
 	}
 	g.record.add("note", left)
-	g.notes = append(g.notes, func() { g.left = left; g.k.Noted(g.now, number, true) })
+	g.notes = append(g.notes, func() { g.left = left; g.k.CheckpointStored(g.now, number, true) })
 	return nil
 }
 
-func (g *group) Answer(to uint32, tag uint64, body []byte) {
+func (g *group) Reply(to uint32, tag uint64, body []byte) {
 	g.record.add("answer", body)
 	if to == 0 {
 		g.answers = append(g.answers, string(body))
@@ -65,7 +65,7 @@
 	if g.cut[to] || g.deaf[to] {
 		return
 	}
-	deliver := func() { g.m[to].Answered(g.clock(to), tag, body) }
+	deliver := func() { g.m[to].ReplyReceived(g.clock(to), tag, body) }
 	if g.hold {
 		g.held = append(g.held, deliver)
 		return
@@ -75,7 +75,7 @@
 
 func (g *group) Members() (all []jobs.Member) {
 	for i := uint32(1); i <= uint32(len(g.m)); i++ {
-		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Here: !g.cut[i]})
+		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Present: !g.cut[i]})
 	}
 	return all
 }
@@ -87,11 +87,11 @@
 	g.keeper()
 	for i := uint32(1); i <= n; i++ {
 		g.rate[i] = 1
-		gate := &Enforcer{Now: func() Time { return g.clock(i) }, Wait: time.Second}
-		g.m[i] = &Member{Within: within, Gate: gate, Ask: func(tag uint64, body []byte) {
+		gate := &Enforcer{Now: func() Time { return g.clock(i) }, LapsedAdvice: time.Second}
+		g.m[i] = &Member{AgreeWithin: within, Enforcer: gate, SendQuery: func(tag uint64, body []byte) {
 			g.record.add("ask", body)
 			if !g.cut[i] {
-				g.k.Asked(g.now, i, tag, body)
+				g.k.QueryReceived(g.now, i, tag, body)
 			}
 		}}
 	}
@@ -101,7 +101,7 @@
 
 // keeper begins a new coordinator with what the last one has left with the group.
 func (g *group) keeper() {
-	g.k, g.notes = &Coordinator{Within: within}, nil
+	g.k, g.notes = &Coordinator{AgreeWithin: within}, nil
 	if err := g.k.Start(g.now, g, 1, 1, g.left); err != nil {
 		g.t.Fatal(err)
 	}
@@ -117,14 +117,14 @@
 		g.k.Step(g.now)
 		for i := uint32(1); i <= uint32(len(g.m)); i++ {
 			g.m[i].Step(g.clock(i))
-			v := g.m[i].Gate.Judge(anyAsk)
+			v := g.m[i].Enforcer.Judge(anyAsk)
 			g.acts = append(g.acts, act{g.now, i, v.Version, v.Lapsed})
 		}
 	}
 }
 
 func (g *group) put(v *Version, against uint64) {
-	g.k.Asked(g.now, 0, 1, Propose(Put(v, against, nil)))
+	g.k.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
 }
 
 func (g *group) last() string {
--- a/internal/fleet/rules/hands_test.go
+++ b/internal/fleet/rules/hands_test.go
@@ -25,7 +25,7 @@
 	for range 300 {
 		g.run(20 * ms)
 		for i := uint32(1); i <= 4; i++ {
-			gate := g.m[i].Gate
+			gate := g.m[i].Enforcer
 			v := gate.Judge(namespace.Ask{Tenant: "t2", Class: "c"})
 			if v.Lapsed {
 				continue
@@ -75,7 +75,7 @@
 	g.acts = nil
 	g.cut[3] = false
 	g.run(2 * within)
-	if n, left := g.m[3].Gate.Acting(); n != 10_000 || left <= 0 {
+	if n, left := g.m[3].Enforcer.ActiveVersion(); n != 10_000 || left <= 0 {
 		t.Fatalf("acts by %d for %d ms more", n, left/ms)
 	}
 	for _, a := range g.acts {
@@ -93,7 +93,7 @@
 func TestTheSameOnceMoreAtAnotherKeeper(t *testing.T) {
 	g := begin(t, 3)
 	g.cut[3] = true // holds it up
-	c := PutSpace(to("acme", 0, "a"), 2, []byte("once-and-again"))
+	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("once-and-again"))
 	g.signed(c, 1)
 	g.run(100 * ms)
 	if g.k.staged == nil {
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -33,13 +33,13 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
 				a.Name = strings.Split(name, "/")[0]
-				c = Put(&Version{Book: &namespace.Book{Pools: frame().Book.Pools, Accounts: []namespace.Account{a}}}, v.Number, nil)
+				c = ChangeOperators(&Version{Book: &namespace.Book{Pools: frame().Book.Pools, Accounts: []namespace.Account{a}}}, v.Number, nil)
 			case 1:
-				c = PutAccount(&a, v.Number, nil)
+				c = ChangeAccountTo(&a, v.Number, nil)
 			case 2:
-				c = Drop(name, v.Number, nil)
+				c = RemoveAccount(name, v.Number, nil)
 			default:
-				c = PutSpace(to(name, 0, "a"), v.Number, nil)
+				c = ChangeNamespace(to(name, 0, "a"), v.Number, nil)
 			}
 			n, err := v.Apply(c, func(uint64) *Version { return nil })
 			if err != nil {
--- a/internal/fleet/rules/lease.go
+++ b/internal/fleet/rules/lease.go
@@ -13,11 +13,11 @@
 // each. Who gives it counts from when it was asked, and as much more.
 const drift = 50
 
-// Until is when a lease that was asked for then ends at the one that acts by it.
-func Until(asked, within Time) Time { return asked + within - within/drift }
+// LeaseEnd is when a lease that was asked for then ends at the one that acts by it.
+func LeaseEnd(asked, within Time) Time { return asked + within - within/drift }
 
-// Lapsed is when whoever gave it then may take it for ended.
-func Lapsed(heard, within Time) Time { return heard + within + within/drift }
+// LeaseSurelyEnded is when whoever gave it then may take it for ended.
+func LeaseSurelyEnded(heard, within Time) Time { return heard + within + within/drift }
 
 // compiled is a version ready to be asked.
 type compiled struct {
@@ -45,7 +45,7 @@
 		}
 		c.limits = map[string]quota.Limit{}
 		for _, a := range v.Book.Accounts { // by name
-			if l := (quota.Limit{Rate: float64(a.Rate.AtMost), Standing: int(a.Standing.AtMost)}); l != (quota.Limit{}) {
+			if l := (quota.Limit{Rate: float64(a.Rate.AtMost), Connections: int(a.Standing.AtMost)}); l != (quota.Limit{}) {
 				c.limits[a.Name], c.names = l, append(c.names, a.Name)
 			}
 		}
@@ -71,9 +71,9 @@
 
 // Enforcer is what a request is judged by: one value and one deadline, read without a lock.
 type Enforcer struct {
-	Now  func() Time
-	Keep bool          // a process whose lease has lapsed goes by its last version, outside the promise; else it refuses
-	Wait time.Duration // advice to those whom a lapsed lease refuses
+	Now            func() Time
+	KeepAfterLapse bool          // a process whose lease has lapsed goes by its last version, outside the promise; else it refuses
+	LapsedAdvice   time.Duration // advice to those whom a lapsed lease refuses
 	// Clock is the time of day for routes that hold for a part of it; nil: time.Now.
 	Clock func() time.Time
 
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// Bounded tells whether an account, or one above it, has limits.
-func (g *Enforcer) Bounded(account string) bool {
+// IsLimited tells whether an account, or one above it, has limits.
+func (g *Enforcer) IsLimited(account string) bool {
 	a := g.p.Load()
 	if a == nil || len(a.limits) == 0 {
 		return false
@@ -171,7 +171,7 @@
 	switch {
 	case a == nil:
 		return "this process acts by no version yet"
-	case v.Lapsed && !g.Keep:
+	case v.Lapsed && !g.KeepAfterLapse:
 		return fmt.Sprintf("its right to act by version %d has lapsed: refused", v.Version)
 	}
 	s := fmt.Sprintf("version %d", v.Version)
@@ -203,9 +203,9 @@
 	if a != nil && g.Now() < a.until {
 		return a, Verdict{Version: a.v.Number}
 	}
-	v := Verdict{Lapsed: true, Refused: !g.Keep}
-	if !g.Keep {
-		v.Advice = g.Wait
+	v := Verdict{Lapsed: true, Refused: !g.KeepAfterLapse}
+	if !g.KeepAfterLapse {
+		v.Advice = g.LapsedAdvice
 	}
 	if a != nil {
 		v.Version = a.v.Number
@@ -213,8 +213,8 @@
 	return a, v
 }
 
-// Acting tells by which version this process acts, and for how much longer it may.
-func (g *Enforcer) Acting() (number uint64, left Time) {
+// ActiveVersion tells by which version this process acts, and for how much longer it may.
+func (g *Enforcer) ActiveVersion() (number uint64, left Time) {
 	if a := g.p.Load(); a != nil {
 		return a.v.Number, max(0, a.until-g.Now())
 	}
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -29,13 +29,13 @@
 
 // Member is a process's own part: it asks for its lease again and again, and holds the next version ready. It belongs to one goroutine.
 type Member struct {
-	Within Time // agree_within
-	Most   int  // entries that this process takes
-	Gate   *Enforcer
-	// Ask asks the coordinator; its answer comes to Answered under the tag.
-	Ask func(tag uint64, body []byte)
-	// Swapped is told when the version that this process acts by changes.
-	Swapped func(number uint64, hash Hash)
+	AgreeWithin Time // agree_within
+	MaxEntries  int  // entries that this process takes
+	Enforcer    *Enforcer
+	// SendQuery asks the coordinator; its answer comes to Answered under the tag.
+	SendQuery func(tag uint64, body []byte)
+	// VersionChanged is told when the version that this process acts by changes.
+	VersionChanged func(number uint64, hash Hash)
 
 	tag    uint64
 	out    map[uint64]Time
@@ -50,7 +50,7 @@
 
 // Step asks anew once a sixth of a lease's time has passed.
 func (m *Member) Step(now Time) {
-	if now >= m.at+m.Within/6 || m.at == 0 {
+	if now >= m.at+m.AgreeWithin/6 || m.at == 0 {
 		m.ask(now)
 	}
 }
@@ -61,13 +61,13 @@
 		m.out, m.have = map[uint64]Time{}, map[Hash]*compiled{}
 	}
 	for t, at := range m.out {
-		if now-at > m.Within {
+		if now-at > m.AgreeWithin {
 			delete(m.out, t)
 		}
 	}
 	m.tag++
 	m.out[m.tag] = now
-	n, _ := m.Gate.Acting()
+	n, _ := m.Enforcer.ActiveVersion()
 	q := keepAsk{Active: n, Ready: m.number, Fault: m.fault}
 	if m.number > 0 {
 		q.ReadyHash = m.ready[:]
@@ -75,11 +75,11 @@
 	if m.fault != "" {
 		q.FaultOf = m.faulty[:]
 	}
-	m.Ask(m.tag, append([]byte{askKeep}, marshal(q)...))
+	m.SendQuery(m.tag, append([]byte{askKeep}, marshal(q)...))
 }
 
-// Answered takes a lease, and the versions that came with it. It counts from before it was asked for.
-func (m *Member) Answered(now Time, tag uint64, body []byte) {
+// ReplyReceived takes a lease, and the versions that came with it. It counts from before it was asked for.
+func (m *Member) ReplyReceived(now Time, tag uint64, body []byte) {
 	asked, was := m.out[tag]
 	var a keepAnswer
 	if !was || decoding().Unmarshal(body, &a) != nil {
@@ -100,11 +100,11 @@
 }
 
 func (m *Member) act(asked Time, h Hash, c *compiled) {
-	old := m.Gate.p.Load()
-	if old != nil && (old.v.Number > c.v.Number || old.v.Number == c.v.Number && old.until >= Until(asked, m.Within)) {
+	old := m.Enforcer.p.Load()
+	if old != nil && (old.v.Number > c.v.Number || old.v.Number == c.v.Number && old.until >= LeaseEnd(asked, m.AgreeWithin)) {
 		return // an answer that is late says nothing that holds still
 	}
-	m.Gate.p.Store(&acting{c, Until(asked, m.Within)})
+	m.Enforcer.p.Store(&acting{c, LeaseEnd(asked, m.AgreeWithin)})
 	if m.active != h {
 		m.active = h
 		for k := range m.have {
@@ -112,8 +112,8 @@
 				delete(m.have, k)
 			}
 		}
-		if m.Swapped != nil {
-			m.Swapped(c.v.Number, h)
+		if m.VersionChanged != nil {
+			m.VersionChanged(c.v.Number, h)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 		m.number, m.ready = 0, Hash{} // with the next question the whole comes
 		return true
 	}
-	if err == nil && m.Most > 0 && v.Entries() > m.Most {
-		err = fmt.Errorf("rules: %d entries, this process takes %d", v.Entries(), m.Most)
+	if err == nil && m.MaxEntries > 0 && v.Entries() > m.MaxEntries {
+		err = fmt.Errorf("rules: %d entries, this process takes %d", v.Entries(), m.MaxEntries)
 	}
 	if err != nil {
 		m.fault, m.faulty = err.Error(), m.named(data)
@@ -165,13 +165,13 @@
 	return sha256.Sum256(data)
 }
 
-// Told takes the coordinator's word that there is something new, and asks for it at once.
-func (m *Member) Told(now Time) { m.ask(now) }
+// Notified takes the coordinator's word that there is something new, and asks for it at once.
+func (m *Member) Notified(now Time) { m.ask(now) }
 
-// Effect is the receiver's part of the job.
-func (k *Coordinator) Effect(now Time, _ ownership.Mark, _ []byte) {
-	if k.Told != nil {
-		k.Told(now)
+// ApplyEffect is the receiver's part of the job.
+func (k *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
+	if k.Notified != nil {
+		k.Notified(now)
 	}
 }
 
--- a/internal/fleet/rules/queue.go
+++ b/internal/fleet/rules/queue.go
@@ -75,15 +75,15 @@
 }
 
 // named is the change of a trail that has an id; nil: there is none.
-func named(trail []Entry, id []byte) *Entry {
-	if i := slices.IndexFunc(trail, func(e Entry) bool { return len(id) > 0 && bytes.Equal(e.ID, id) }); i >= 0 {
+func named(trail []AuditEntry, id []byte) *AuditEntry {
+	if i := slices.IndexFunc(trail, func(e AuditEntry) bool { return len(id) > 0 && bytes.Equal(e.ID, id) }); i >= 0 {
 		return &trail[i]
 	}
 	return nil
 }
 
 // wasMade answers for a change that was made.
-func (k *Coordinator) wasMade(now Time, e *Entry) string {
+func (k *Coordinator) wasMade(now Time, e *AuditEntry) string {
 	s := k.stands(now)
 	if e.Number < k.active.Number {
 		s += fmt.Sprintf("; this change was made as version %d", e.Number)
@@ -138,7 +138,7 @@
 			next.Book = &namespace.Book{}
 		}
 		v, made = next, append(made, p)
-		trail = follow(trail, Entry{Number: v.Number, ID: p.ID, Who: who, What: p.about(), Wall: k.wall()})
+		trail = follow(trail, AuditEntry{Number: v.Number, ID: p.ID, Who: who, What: p.about(), Wall: k.wall()})
 	}
 	if len(made) == 0 {
 		k.stage(now)
@@ -157,7 +157,7 @@
 }
 
 // prepare has the group keep a version as the next one.
-func (k *Coordinator) prepare(now Time, v *Version, trail []Entry, made []*pending) {
+func (k *Coordinator) prepare(now Time, v *Version, trail []AuditEntry, made []*pending) {
 	k.made = made // they are on their way from here on
 	k.note(now, k.left(k.active, v, trail, k.past), func(ok bool) {
 		if !ok {
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -33,21 +33,21 @@
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
-		return Put(&Version{Out: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{Out: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Book: frame().Book}, against, id)
 	case 1:
-		return Put(&Version{Refuse: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{Refuse: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Book: frame().Book}, against, id)
 	case 2, 3:
-		return PutSpace(to(account, 0, pools[rng.Intn(3)]), against, id)
+		return ChangeNamespace(to(account, 0, pools[rng.Intn(3)]), against, id)
 	case 4:
-		return PutAccount(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
+		return ChangeAccountTo(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
 	case 5:
-		return Drop(account, against, id)
+		return RemoveAccount(account, against, id)
 	case 6:
-		return Back(uint64(rng.Intn(int(against)+2)), against, id)
+		return RollBackTo(uint64(rng.Intn(int(against)+2)), against, id)
 	}
 	moved := frame()
 	moved.Book.Pools[0].Kinds, moved.Book.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
-	return Put(moved, against, id)
+	return ChangeOperators(moved, against, id)
 }
 
 // randomStep does one thing to the group: a change, a question, a fault or its end.
@@ -65,8 +65,8 @@
 		}
 		g.change(c)
 	case 3:
-		questions := [][]byte{Show(), Status(), History(""), History("acme"), Read(0), Read(uint64(rng.Intn(9)))}
-		g.k.Asked(g.now, 0, 2, questions[rng.Intn(len(questions))])
+		questions := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
+		g.k.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
 	case 4:
 		g.cut[member] = !g.cut[member]
 	case 5:
@@ -100,7 +100,7 @@
 			g.run(20 * ms * Time(steps))
 			events += 1 + steps*len(g.m)
 			for i := uint32(1); i <= uint32(len(g.m)); i++ {
-				v := g.m[i].Gate.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
+				v := g.m[i].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
 				g.record.digest.Add("%d %d %+v", g.now, i, v)
 			}
 		}
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("answered %q", g.last())
 	}
 	for i, m := range g.m {
-		if v := m.Gate.Judge(anyAsk); !v.Refused || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
+		if v := m.Enforcer.Judge(anyAsk); !v.Refused || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
 			t.Errorf("%d: %+v", i, v)
 		}
 	}
@@ -50,7 +50,7 @@
 		if o := g.overlap(); o > within {
 			t.Errorf("%s: two versions side by side for %d ms", name, o/ms)
 		}
-		if v := g.m[3].Gate.Judge(anyAsk); !v.Lapsed || !v.Refused {
+		if v := g.m[3].Enforcer.Judge(anyAsk); !v.Lapsed || !v.Refused {
 			t.Errorf("%s: it goes on: %+v", name, v)
 		}
 		fault(g, false)
@@ -59,7 +59,7 @@
 			t.Errorf("%s: answered %q", name, g.last())
 		}
 		if name == "both ways" {
-			if v := g.m[3].Gate.Judge(anyAsk); v.Lapsed || v.Version != 1 {
+			if v := g.m[3].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 1 {
 				t.Errorf("%s: not healed: %+v", name, v)
 			}
 		}
@@ -69,15 +69,15 @@
 // Keep goes on by the last version, and says that it stands outside the promise.
 func TestKeepSaysThatItsRightHasLapsed(t *testing.T) {
 	g := newGroup(t, 2)
-	g.m[2].Gate.Keep = true
+	g.m[2].Enforcer.KeepAfterLapse = true
 	g.put(&Version{Out: []string{"h"}}, 0)
 	g.run(200 * ms)
 	g.cut[2] = true
 	g.run(2 * within)
-	if v := g.m[2].Gate.Judge(anyAsk); v.Refused || !v.Lapsed || v.Version != 1 {
+	if v := g.m[2].Enforcer.Judge(anyAsk); v.Refused || !v.Lapsed || v.Version != 1 {
 		t.Fatalf("%+v", v)
 	}
-	if g.m[2].Gate.Usable("h") || !g.m[2].Gate.Usable("i") {
+	if g.m[2].Enforcer.Usable("h") || !g.m[2].Enforcer.Usable("i") {
 		t.Fatal("its last version names h alone as out")
 	}
 }
@@ -85,14 +85,14 @@
 // A version that compiles everywhere but on one is active nowhere, and its change is answered with who and why.
 func TestAPoisonVersionIsActiveNowhere(t *testing.T) {
 	g := newGroup(t, 3)
-	g.m[2].Most = 1
+	g.m[2].MaxEntries = 1
 	g.put(&Version{Out: []string{"g", "h"}}, 0)
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "refused: b: rules: 2 entries, this process takes 1") {
 		t.Fatalf("answered %q", g.last())
 	}
 	for i, m := range g.m {
-		if n, _ := m.Gate.Acting(); n != 0 {
+		if n, _ := m.Enforcer.ActiveVersion(); n != 0 {
 			t.Errorf("%d acts by %d", i, n)
 		}
 	}
@@ -115,11 +115,11 @@
 	for g.now < began+3*within && g.overlap() == 0 && !strings.Contains(g.k.show(g.now), "version 1 at") {
 		g.run(20 * ms)
 	}
-	if n, _ := g.m[1].Gate.Acting(); n == 1 && g.now-began < within {
+	if n, _ := g.m[1].Enforcer.ActiveVersion(); n == 1 && g.now-began < within {
 		t.Fatalf("active %d ms after a new keeper began, and the one cut off may act still", (g.now-began)/ms)
 	}
 	g.run(3 * within)
-	if n, _ := g.m[1].Gate.Acting(); n != 1 {
+	if n, _ := g.m[1].Enforcer.ActiveVersion(); n != 1 {
 		t.Fatalf("what was kept is lost: %d is acted by; %s", n, g.k.show(g.now))
 	}
 	if o := g.overlap(); o > within {
@@ -137,7 +137,7 @@
 	for _, f := range g.held {
 		f()
 	}
-	if v := g.m[1].Gate.Judge(anyAsk); !v.Lapsed {
+	if v := g.m[1].Enforcer.Judge(anyAsk); !v.Lapsed {
 		t.Fatalf("a right from an answer %d ms late", 3*within/ms)
 	}
 }
@@ -145,7 +145,7 @@
 // What the tests here look for is found where it is put in: a lease that is counted for too long.
 func TestARightThatIsTooLongIsFound(t *testing.T) {
 	g := newGroup(t, 3)
-	g.m[3].Within = 10 * within
+	g.m[3].AgreeWithin = 10 * within
 	g.run(3 * within)
 	g.cut[3] = true
 	g.put(refuseAll, 0)
@@ -182,7 +182,7 @@
 	if !strings.HasPrefix(g.last(), "unknown") {
 		t.Fatalf("answered %q", g.last())
 	}
-	if v := g.m[1].Gate.Judge(anyAsk); v.Lapsed || v.Version != 0 || v.Refused {
+	if v := g.m[1].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 0 || v.Refused {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -192,7 +192,7 @@
 		"twice":        {Refuse: []Refusal{{Tenant: "a"}, {Tenant: "a"}}},
 		"out of order": {Out: []string{"b", "a"}},
 		"no name":      {Out: []string{""}},
-		"too many":     {Out: func() (s []string) { return strings.Split(strings.Repeat("x,", MostEntries+1), ",") }()},
+		"too many":     {Out: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
 		"long":         {Refuse: []Refusal{{Class: strings.Repeat("c", mostName+1)}}},
 	} {
 		if _, err := Decode(v.Encode()); err == nil {
@@ -212,9 +212,9 @@
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
 			t.Fatalf("%x is read as %x", data, v.Encode())
 		}
-		g := &Coordinator{Within: within}
+		g := &Coordinator{AgreeWithin: within}
 		if g.Start(1, &group{t: t}, 1, 1, data) == nil && len(data) > 0 {
-			g.Asked(2, 0, 1, append([]byte{askPut}, data...))
+			g.QueryReceived(2, 0, 1, append([]byte{askPut}, data...))
 		}
 	})
 }
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -33,7 +33,7 @@
 		by, left := "none", "-"
 		if r, has := k.leases[m.Peer]; has && r.until > now {
 			by, left = fmt.Sprint(r.number), span(r.until-now).String()
-		} else if !m.Here {
+		} else if !m.Present {
 			by = "none: not there"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Name, by, left, k.ahead(m.Peer))
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -9,8 +9,8 @@
 func TestStatus(t *testing.T) {
 	g := newGroup(t, 3)
 	status := func() string {
-		g.k.Asked(g.now, 0, 9, Status())
-		return Plain(g.last())
+		g.k.QueryReceived(g.now, 0, 9, QueryStatus())
+		return DecodeReply(g.last())
 	}
 	says := func(words ...string) {
 		t.Helper()
@@ -30,7 +30,7 @@
 	says("version 1 is active, 1 entries; 1 earlier", "c        none: not there  -")
 	g.cut[3] = false
 	g.run(within)
-	g.m[2].Most = 1
+	g.m[2].MaxEntries = 1
 	g.cut[3] = true // holds it up, so that what the other says is still there
 	g.k.staged = nil
 	g.put(&Version{Out: []string{"a", "b"}}, 1)
@@ -38,7 +38,7 @@
 	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(g.answers, "\n"), "refused: b: rules: 2 entries") {
 		t.Error(got)
 	}
-	if !IsQuestion(Status()) || !strings.HasPrefix(Plain("refused: x"), "refused") {
+	if !IsQuestion(QueryStatus()) || !strings.HasPrefix(DecodeReply("refused: x"), "refused") {
 		t.Error("administrators may ask it")
 	}
 }
--- a/internal/fleet/rules/tokens.go
+++ b/internal/fleet/rules/tokens.go
@@ -25,7 +25,7 @@
 	whose := string(c.Key) + c.Part
 	a := k.spent[whose]
 	if a == nil {
-		if len(k.spent) >= 4*MostEntries {
+		if len(k.spent) >= 4*MaxEntries {
 			clear(k.spent)
 		}
 		a = &tokens{left: max(1, most/6), at: now}
--- a/internal/fleet/rules/travel.go
+++ b/internal/fleet/rules/travel.go
@@ -111,7 +111,7 @@
 		default:
 			return nil, errForm
 		}
-		if len(out) > MostEntries {
+		if len(out) > MaxEntries {
 			return nil, errForm
 		}
 	}
--- a/internal/fleet/rules/travel_test.go
+++ b/internal/fleet/rules/travel_test.go
@@ -71,11 +71,11 @@
 		t.Error(err)
 	}
 	g := newGroup(t, 1)
-	g.k.Asked(g.now, 0, 1, append([]byte{askPut}, bomb...))
+	g.k.QueryReceived(g.now, 0, 1, append([]byte{askPut}, bomb...))
 	if !strings.HasPrefix(g.last(), "refused") {
 		t.Error(g.last())
 	}
-	if Plain(string(deflate(formSqueezed, make([]byte, 8*mostBytes+1)))) != "unknown: the answer can't be read" {
+	if DecodeReply(string(deflate(formSqueezed, make([]byte, 8*mostBytes+1)))) != "unknown: the answer can't be read" {
 		t.Error("an answer")
 	}
 }
@@ -100,7 +100,7 @@
 	text := map[uint64]string{}
 	for i := 0; i < len(spaces); i += 15 {
 		for j := i; j < i+15; j++ {
-			g.change(PutSpace(&spaces[j], 0, []byte(fmt.Sprint("id", j))))
+			g.change(ChangeNamespace(&spaces[j], 0, []byte(fmt.Sprint("id", j))))
 		}
 		g.cut[3] = i == 30 // misses a version, and more than one after it
 		g.run(3 * within)
@@ -109,13 +109,13 @@
 		text[against] = g.k.active.String()
 	}
 	g.m[2].have = map[Hash]*compiled{} // what it says that it has it has not
-	g.change(PutSpace(to("customer0003", 0, namespace.Main), against, []byte("last")))
+	g.change(ChangeNamespace(to("customer0003", 0, namespace.Main), against, []byte("last")))
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "active: version ") || !strings.HasSuffix(g.last(), "at 4 of 4") {
 		t.Fatal(g.last())
 	}
 	for i := uint32(1); i <= 4; i++ {
-		if n, left := g.m[i].Gate.Acting(); n != g.k.active.Number || left <= 0 {
+		if n, left := g.m[i].Enforcer.ActiveVersion(); n != g.k.active.Number || left <= 0 {
 			t.Errorf("member %d acts by %d, %d is active", i, n, g.k.active.Number)
 		}
 	}
@@ -133,7 +133,7 @@
 	if read < 4 {
 		t.Errorf("%d of %d versions can be read back", read, len(text))
 	}
-	g.change(Back(against, g.k.active.Number, nil))
+	g.change(RollBackTo(against, g.k.active.Number, nil))
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.k.active.Book.Spaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("back:", g.last())
@@ -154,7 +154,7 @@
 	for i := range 100 { // long enough to be kept as a difference
 		v.Out = append(v.Out, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
 	}
-	c, n := Put(v, first, []byte("with a step")), len(g.answers)
+	c, n := ChangeOperators(v, first, []byte("with a step")), len(g.answers)
 	g.change(c)
 	for range 100 {
 		if g.run(20 * ms); g.k.active.Book.Was != nil {
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -19,7 +19,7 @@
 
 // Bounds of a version: what the group keeps of a job is 32 KiB, and two versions are kept side by side, squeezed.
 const (
-	MostEntries = 4096
+	MaxEntries  = 4096
 	mostBytes   = 256 << 10 // as it is written
 	mostKeptOne = 12 << 10  // as it is kept
 	mostName    = 128
@@ -56,7 +56,7 @@
 })
 
 var decoding = sync.OnceValue(func() cbor.DecMode {
-	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 12, MaxArrayElements: MostEntries, MaxMapPairs: 16,
+	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 12, MaxArrayElements: MaxEntries, MaxMapPairs: 16,
 		IndefLength: cbor.IndefLengthForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
 		panic(err)
@@ -96,8 +96,8 @@
 
 // Check says what is wrong with a version.
 func (v *Version) Check() error {
-	if n := v.Entries(); n > MostEntries {
-		return fmt.Errorf("rules: %d entries, %d are possible", n, MostEntries)
+	if n := v.Entries(); n > MaxEntries {
+		return fmt.Errorf("rules: %d entries, %d are possible", n, MaxEntries)
 	}
 	for i, r := range v.Refuse {
 		if len(r.Tenant) > mostName || len(r.Class) > mostName || r.Advice > mostAdvice {
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -44,7 +44,7 @@
 	data := head
 	for _, f := range all {
 		var w encoding.Writer
-		w.Uint(uint64(f.State)).Text(f.Host).Uint(uint64(max(0, f.Boot))).Uint(uint64(f.Rev)).Uint(uint64(max(0, f.Left) / unit))
+		w.Uint(uint64(f.State)).Text(f.Host).Uint(uint64(max(0, f.StartedAt))).Uint(uint64(f.Revision)).Uint(uint64(max(0, f.ValidFor) / unit))
 		if len(f.Host) > mostHost || len(head)+len(w.Data) > room {
 			continue
 		}
@@ -75,7 +75,7 @@
 		for good && len(r.Data) > 0 {
 			state, host, boot, rev, left := State(r.Uint()), r.Text(mostHost), r.Uint(), r.Uint(), r.Uint()
 			good = (state == Draining || state == Gone) && host != "" && boot <= math.MaxInt64 && rev < math.MaxInt64
-			m.floors = append(m.floors, Watermark{host, int64(boot), int64(rev), state, Time(min(left, uint64(Life/unit))) * unit})
+			m.floors = append(m.floors, Watermark{host, int64(boot), int64(rev), state, Time(min(left, uint64(Lifetime/unit))) * unit})
 		}
 	default:
 		good = false
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Whose marks this package's data among what members carry for one another.
-const Whose = 'f'
+// CarrierID marks this package's data among what members carry for one another.
+const CarrierID = 'f'
 
 // Transport is how datagrams get to the other members.
 type Transport interface {
@@ -39,12 +39,12 @@
 
 // Link sends and takes floors. It belongs to the loop.
 type Link struct {
-	Way    Transport
-	Clock  Clock
-	Rand   *rand.Rand
-	Source func() uint32 // whose numbering the own list has now
-	Within time.Duration // a proxy that is behind for so long asks discovery anew
-	Anew   func()
+	Transport    Transport
+	Clock        Clock
+	Rand         *rand.Rand
+	Source       func() uint32 // whose numbering the own list has now
+	RefetchAfter time.Duration // a proxy that is behind for so long asks discovery anew
+	RefetchList  func()
 	// Changed is told of hosts that are out now, or no longer.
 	Changed func(ids []string)
 
@@ -60,7 +60,7 @@
 
 // Run begins; it must be called once.
 func (l *Link) Run() {
-	l.book, l.source, l.backoff = NewRegistry(), l.Source(), l.Within
+	l.book, l.source, l.backoff = NewRegistry(), l.Source(), l.RefetchAfter
 	l.asked = l.Clock.Now() - Time(l.Rand.Int64N(int64(askEvery)))
 	l.turn()
 }
@@ -69,14 +69,14 @@
 func (l *Link) Close() { l.closed = true }
 
 // List takes the own list, or a change of it, and names hosts that are out now, or no longer.
-func (l *Link) List(rev int64, whole bool, hosts []Listed) []string {
+func (l *Link) List(rev int64, whole bool, hosts []ListedHost) []string {
 	var changed []string
 	if s := l.Source(); s != l.source {
 		l.source, l.pending, changed = s, nil, l.book.Forget()
 	}
 	news, ended := l.book.Listed(l.Clock.Now(), rev, whole, hosts)
 	if l.book.Behind(l.Clock.Now()) == 0 {
-		l.backoff, l.anewAt = l.Within, 0
+		l.backoff, l.anewAt = l.RefetchAfter, 0
 	}
 	if l.pending = append(l.pending, news...); len(l.pending) > mostFloors {
 		l.pending = l.pending[len(l.pending)-mostFloors:]
@@ -103,21 +103,21 @@
 	if l.pending = nil; l.closed || len(left) == 0 {
 		return
 	}
-	l.carry(left, l.Way.Others()...)
+	l.carry(left, l.Transport.Others()...)
 }
 
 // carry sends floors to some, as many as a bounded number of datagrams holds.
 func (l *Link) carry(all []Watermark, peers ...uint32) {
-	out := tells(l.source, all, l.Way.Room())
+	out := tells(l.source, all, l.Transport.Room())
 	for _, peer := range peers {
 		for _, data := range out[:min(len(out), mostDatagrams)] {
-			l.Way.Carry(peer, Whose, data)
+			l.Transport.Carry(peer, CarrierID, data)
 		}
 	}
 }
 
-// Take takes a datagram.
-func (l *Link) Take(from uint32, data []byte) {
+// Receive takes a datagram.
+func (l *Link) Receive(from uint32, data []byte) {
 	m, err := read(data)
 	if err != nil || l.closed || m.source != l.source {
 		return // of another numbering nothing can be said
@@ -133,13 +133,13 @@
 	l.carry(l.book.Above(now, m.rev), from)
 	if m.rev > l.book.Rev() && l.book.Rev() >= 0 && now-l.asked >= Time(askEvery)/4 {
 		l.asked = now
-		l.Way.Carry(from, Whose, ask(l.source, l.book.Rev())) // it knows more
+		l.Transport.Carry(from, CarrierID, ask(l.source, l.book.Rev())) // it knows more
 	}
 }
 
 // pass passes on what is news here, to a few by chance: what was lost on its way to some comes to nearly all so.
 func (l *Link) pass(all []Watermark, changed []string) {
-	others := l.Way.Others()
+	others := l.Transport.Others()
 	all = slices.DeleteFunc(slices.Clone(all), func(f Watermark) bool { return !slices.Contains(changed, f.Host) })
 	if len(all) == 0 || len(others) == 0 {
 		return
@@ -157,10 +157,10 @@
 	l.Clock.After(askEvery/4, l.turn)
 	now := l.Clock.Now()
 	l.tellChanged(l.book.Step(now))
-	others := l.Way.Others()
+	others := l.Transport.Others()
 	if every := max(askEvery, time.Duration(len(others))*askEach); len(others) > 0 && now-l.asked >= Time(every) {
 		l.asked = now
-		l.Way.Carry(others[l.Rand.IntN(len(others))], Whose, ask(l.source, l.book.Rev()))
+		l.Transport.Carry(others[l.Rand.IntN(len(others))], CarrierID, ask(l.source, l.book.Rev()))
 	}
 	since := l.book.Behind(now)
 	if since == 0 || now-max(since, l.anewAt) < Time(l.backoff) {
@@ -168,7 +168,7 @@
 	}
 	slog.Info("list_behind", "rev", l.book.Rev(), "for_ms", (now-since)/1e6)
 	l.anewAt, l.backoff = now, min(2*l.backoff, mostBackoff)
-	l.Anew()
+	l.RefetchList()
 }
 
 func (l *Link) tellChanged(ids []string) {
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -74,21 +74,21 @@
 func (y *way) Carry(peer uint32, whose byte, data []byte) {
 	w := y.w
 	w.sent++
-	if y.cut || w.ways[peer].cut || w.rng.Float64() < w.loss || whose != Whose || len(data) > y.Room() {
+	if y.cut || w.ways[peer].cut || w.rng.Float64() < w.loss || whose != CarrierID || len(data) > y.Room() {
 		return
 	}
-	w.After(time.Duration(1+w.rng.IntN(40))*time.Millisecond, func() { w.links[peer].Take(uint32(y.me), data) })
+	w.After(time.Duration(1+w.rng.IntN(40))*time.Millisecond, func() { w.links[peer].Receive(uint32(y.me), data) })
 }
 
 func newWorld(n int, seed uint64) *world {
 	w := &world{now: 100 * sec, rng: rand.New(rand.NewPCG(seed, 2)), anew: make([]int, n)}
 	for i := range n {
 		w.ways = append(w.ways, &way{w: w, me: i})
-		w.links = append(w.links, &Link{Way: w.ways[i], Clock: w, Rand: rand.New(rand.NewPCG(seed, uint64(i))), Within: 2 * time.Second, Source: func() uint32 { return 1 }, Anew: func() { w.anew[i]++ }, Changed: func([]string) {}})
+		w.links = append(w.links, &Link{Transport: w.ways[i], Clock: w, Rand: rand.New(rand.NewPCG(seed, uint64(i))), RefetchAfter: 2 * time.Second, Source: func() uint32 { return 1 }, RefetchList: func() { w.anew[i]++ }, Changed: func([]string) {}})
 	}
 	for _, l := range w.links {
 		l.Run()
-		l.List(5, true, []Listed{{"a", 1, Up}, {"b", 1, Up}})
+		l.List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	}
 	return w
 }
@@ -109,7 +109,7 @@
 		w.loss = 0.33
 		w.ways[n-1].cut = true
 		w.run(2 * sec)
-		w.links[0].List(6, false, []Listed{{"a", 1, Draining}})
+		w.links[0].List(6, false, []ListedHost{{"a", 1, Draining}})
 		w.run(200 * 1e6)
 		soon := w.out("a")
 		if soon < (n-2)*9/10 || soon > n-2 {
@@ -121,7 +121,7 @@
 		}
 		t.Logf("%d members, a third of all lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, w.out("a"), n-2, w.sent)
 		w.ways[n-1].cut, w.loss = false, 0
-		w.links[0].List(7, false, []Listed{{"b", 1, Gone}})
+		w.links[0].List(7, false, []ListedHost{{"b", 1, Gone}})
 		w.run(200 * 1e6)
 		if got := w.out("b"); got != n-1 {
 			t.Errorf("%d members: %d know of b", n, got)
@@ -136,7 +136,7 @@
 	w.run(2 * sec)
 	before := w.sent
 	for _, l := range w.links {
-		w.After(time.Duration(w.rng.IntN(20))*time.Millisecond, func() { l.List(6, false, []Listed{{"a", 1, Draining}}) })
+		w.After(time.Duration(w.rng.IntN(20))*time.Millisecond, func() { l.List(6, false, []ListedHost{{"a", 1, Draining}}) })
 	}
 	w.run(sec / 2)
 	if told := w.sent - before; told > n*n/3 {
@@ -152,13 +152,13 @@
 // A proxy that stays behind asks discovery anew, and less and less often while that does not help; one whose list catches up asks no more.
 func TestOneThatIsBehindAsksAnew(t *testing.T) {
 	w := newWorld(3, 5)
-	w.links[0].List(6, false, []Listed{{"a", 1, Gone}})
+	w.links[0].List(6, false, []ListedHost{{"a", 1, Gone}})
 	w.run(60 * sec)
 	if w.anew[0] > 0 || w.anew[1] < 3 || w.anew[1] > 6 {
 		t.Errorf("asked anew: %v", w.anew)
 	}
-	w.links[1].List(6, false, []Listed{{"a", 1, Gone}})
-	w.links[2].List(6, true, []Listed{{"b", 1, Up}})
+	w.links[1].List(6, false, []ListedHost{{"a", 1, Gone}})
+	w.links[2].List(6, true, []ListedHost{{"b", 1, Up}})
 	was := fmt.Sprint(w.anew)
 	w.run(60 * sec)
 	if got := fmt.Sprint(w.anew); got != was || w.out("a") > 0 {
@@ -170,22 +170,22 @@
 func TestAnOldListDoesNotUnsay(t *testing.T) {
 	w := newWorld(2, 6)
 	w.ways[0].cut = true
-	w.links[0].List(8, false, []Listed{{"a", 1, Draining}})
-	if ids := w.links[0].List(5, true, []Listed{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !w.links[0].Out("a", 1) || w.links[0].Out("b", 1) {
+	w.links[0].List(8, false, []ListedHost{{"a", 1, Draining}})
+	if ids := w.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !w.links[0].Out("a", 1) || w.links[0].Out("b", 1) {
 		t.Error("a drained by list 8, and list 5 came after", ids)
 	}
 	if w.links[0].Out("a", 2) {
 		t.Error("it has started anew")
 	}
-	w.run(Life)
+	w.run(Lifetime)
 	if w.links[0].Out("a", 1) {
 		t.Error("the numbering may have begun anew: it has lapsed")
 	}
 	w.ways[0].cut = false
-	w.links[0].List(9, false, []Listed{{"b", 1, Gone}})
+	w.links[0].List(9, false, []ListedHost{{"b", 1, Gone}})
 	source := uint32(2)
 	w.links[1].Source = func() uint32 { return source }
-	w.links[1].List(3, true, []Listed{{"a", 1, Up}, {"b", 1, Up}})
+	w.links[1].List(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	w.run(5 * sec)
 	if w.links[1].Out("b", 1) {
 		t.Error("revisions of two services are not comparable")
--- a/internal/fleet/watermark/recorded_test.go
+++ b/internal/fleet/watermark/recorded_test.go
@@ -9,7 +9,7 @@
 
 // TestRecordedMessages: each datagram has the bytes that it had, and reads back as what was written.
 func TestRecordedMessages(t *testing.T) {
-	marks := []Watermark{{Host: "a", Boot: 100, Rev: 5, State: Draining, Left: Life}, {Host: "host-b", Boot: 1 << 40, Rev: 1 << 33, State: Gone, Left: 3 * unit}}
+	marks := []Watermark{{Host: "a", StartedAt: 100, Revision: 5, State: Draining, ValidFor: Lifetime}, {Host: "host-b", StartedAt: 1 << 40, Revision: 1 << 33, State: Gone, ValidFor: 3 * unit}}
 	samples := golden.NewSamples(4)
 	samples.Add("ask", ask(0xdeadbeef, -1))
 	samples.Add("ask", ask(7, 1<<40))
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -22,29 +22,29 @@
 	Gone
 )
 
-// Life is how long a floor holds after the list that it is from was last known to say so. Without it a word that was wrong, or of a numbering that
+// Lifetime is how long a floor holds after the list that it is from was last known to say so. Without it a word that was wrong, or of a numbering that
 // began anew, would keep a host out for good.
-const Life = Time(30e9)
+const Lifetime = Time(30e9)
 
 const (
 	mostFloors = 4096
-	goneKept   = 2 * Life // for which a host that has left the own list is still told of
+	goneKept   = 2 * Lifetime // for which a host that has left the own list is still told of
 )
 
 // Watermark is a list's word on one host.
 type Watermark struct {
-	Host  string
-	Boot  int64 // when the host last started, Unix milliseconds: a later start is not meant
-	Rev   int64 // of the list that first said so
-	State State
-	Left  Time // for which the word holds still
+	Host      string
+	StartedAt int64 // when the host last started, Unix milliseconds: a later start is not meant
+	Revision  int64 // of the list that first said so
+	State     State
+	ValidFor  Time // for which the word holds still
 }
 
-// Listed is one host of the own list.
-type Listed struct {
-	Host  string
-	Boot  int64
-	State State
+// ListedHost is one host of the own list.
+type ListedHost struct {
+	Host      string
+	StartedAt int64
+	State     State
 }
 
 type own struct {
@@ -54,7 +54,7 @@
 	at    Time
 }
 
-func (o own) floor(host string) Watermark { return Watermark{host, o.boot, o.rev, o.state, Life} }
+func (o own) floor(host string) Watermark { return Watermark{host, o.boot, o.rev, o.state, Lifetime} }
 
 type word struct {
 	Watermark
@@ -88,15 +88,15 @@
 // Listed takes the own list, or a change of it. news is what it says for the first time of hosts that get nothing new, except in a first list:
 // everybody has that from discovery, and nobody is surprised. A whole list that is older than the one before, as an agent may push it after an outage,
 // does not unsay what that one said: it holds as another's word does. changed names hosts of which a floor speaks no more, or speaks now.
-func (b *Registry) Listed(now Time, rev int64, whole bool, hosts []Listed) (news []Watermark, changed []string) {
+func (b *Registry) Listed(now Time, rev int64, whole bool, hosts []ListedHost) (news []Watermark, changed []string) {
 	first := b.rev < 0
 	if !whole && rev < b.rev {
 		return nil, nil // a change of a list that is older than the one held
 	}
 	if rev < b.rev {
 		for id, o := range b.list {
-			if w, known := b.heard[id]; o.state != Up && o.rev > rev && !(known && w.Rev >= o.rev) {
-				b.heard[id] = word{o.floor(id), now + Life, now}
+			if w, known := b.heard[id]; o.state != Up && o.rev > rev && !(known && w.Revision >= o.rev) {
+				b.heard[id] = word{o.floor(id), now + Lifetime, now}
 				changed = append(changed, id)
 			}
 		}
@@ -110,14 +110,14 @@
 	}
 	for id, o := range b.list {
 		if whole && !named[id] && o.state != Gone {
-			news = b.put(now, rev, Listed{id, o.boot, Gone}, news)
+			news = b.put(now, rev, ListedHost{id, o.boot, Gone}, news)
 		} else if o.state == Gone && now-o.at > goneKept {
 			delete(b.list, id)
 		}
 	}
 	b.rev = rev
 	for id, w := range b.heard {
-		if w.Rev <= rev {
+		if w.Revision <= rev {
 			delete(b.heard, id)
 			changed = append(changed, id)
 		}
@@ -129,15 +129,15 @@
 	return news, changed
 }
 
-func (b *Registry) put(now Time, rev int64, h Listed, news []Watermark) []Watermark {
+func (b *Registry) put(now Time, rev int64, h ListedHost, news []Watermark) []Watermark {
 	o, had := b.list[h.Host]
-	if had && o.state == h.State && o.boot == h.Boot {
+	if had && o.state == h.State && o.boot == h.StartedAt {
 		return news
 	}
 	if !had && len(b.list) >= mostFloors {
 		return news
 	}
-	o = own{h.Boot, h.State, rev, now}
+	o = own{h.StartedAt, h.State, rev, now}
 	b.list[h.Host] = o
 	if h.State == Up || !had && h.State == Gone {
 		return news
@@ -151,18 +151,18 @@
 		w, had := b.heard[f.Host]
 		had = had && now < w.until
 		switch {
-		case f.Rev <= b.rev, f.State == Up, f.Left <= 0: // the own list knows better, or nothing is said
+		case f.Revision <= b.rev, f.State == Up, f.ValidFor <= 0: // the own list knows better, or nothing is said
 			continue
-		case had && w.Rev > f.Rev:
+		case had && w.Revision > f.Revision:
 			continue
-		case had && w.Rev == f.Rev && w.Boot == f.Boot:
-			w.until = max(w.until, now+min(f.Left, Life))
+		case had && w.Revision == f.Revision && w.StartedAt == f.StartedAt:
+			w.until = max(w.until, now+min(f.ValidFor, Lifetime))
 			b.heard[f.Host] = w
 			continue
 		case !had && len(b.heard) >= mostFloors:
 			continue
 		}
-		n := word{f, now + min(f.Left, Life), now}
+		n := word{f, now + min(f.ValidFor, Lifetime), now}
 		if had {
 			n.since = w.since
 		}
@@ -178,7 +178,7 @@
 // Out tells whether a host that the own list calls usable gets nothing new, by the word of a newer one.
 func (b *Registry) Out(now Time, host string, boot int64) bool {
 	w, is := b.heard[host]
-	return is && now < w.until && w.Rev > b.rev && boot <= w.Boot
+	return is && now < w.until && w.Revision > b.rev && boot <= w.StartedAt
 }
 
 // Step drops what holds no longer, and names it.
@@ -213,14 +213,14 @@
 		}
 	}
 	for _, w := range b.heard {
-		if w.Rev > rev && now < w.until {
+		if w.Revision > rev && now < w.until {
 			f := w.Watermark
-			f.Left = w.until - now
+			f.ValidFor = w.until - now
 			all = append(all, f)
 		}
 	}
 	slices.SortFunc(all, func(x, y Watermark) int {
-		return cmp.Or(cmp.Compare(x.Rev, y.Rev), cmp.Compare(x.Host, y.Host))
+		return cmp.Or(cmp.Compare(x.Revision, y.Revision), cmp.Compare(x.Host, y.Host))
 	})
 	return all
 }
@@ -231,8 +231,8 @@
 		if len(b.said) >= mostFloors {
 			clear(b.said) // it spares messages, no more
 		}
-		b.said[f.Host] = max(b.said[f.Host], f.Rev)
+		b.said[f.Host] = max(b.said[f.Host], f.Revision)
 	}
 }
 
-func (b *Registry) wasTold(f Watermark) bool { return b.said[f.Host] >= f.Rev }
+func (b *Registry) wasTold(f Watermark) bool { return b.said[f.Host] >= f.Revision }
--- a/internal/fleet/watermark/watermark_test.go
+++ b/internal/fleet/watermark/watermark_test.go
@@ -14,11 +14,11 @@
 
 func TestANewerListTakesAHostOut(t *testing.T) {
 	b := NewRegistry()
-	b.Listed(0, 5, true, []Listed{{"a", 100, Up}, {"b", 100, Up}})
-	if c := b.Heard(sec, []Watermark{{"a", 100, 5, Draining, Life}}); len(c) > 0 || b.Out(sec, "a", 100) {
+	b.Listed(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
+	if c := b.Heard(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || b.Out(sec, "a", 100) {
 		t.Error("a list that is no newer takes nothing out")
 	}
-	if c := b.Heard(sec, []Watermark{{"a", 100, 7, Draining, Life}}); !has(c, "a") || !b.Out(sec, "a", 100) || b.Out(sec, "b", 100) {
+	if c := b.Heard(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !has(c, "a") || !b.Out(sec, "a", 100) || b.Out(sec, "b", 100) {
 		t.Error("a newer one takes its host out, and no other", c)
 	}
 	if b.Out(sec, "a", 101) {
@@ -27,7 +27,7 @@
 	if b.Behind(3*sec) != sec {
 		t.Error("behind since", b.Behind(3*sec))
 	}
-	if _, c := b.Listed(4*sec, 6, false, []Listed{{"b", 100, Up}}); len(c) > 0 || !b.Out(4*sec, "a", 100) {
+	if _, c := b.Listed(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !b.Out(4*sec, "a", 100) {
 		t.Error("an own list that is older still changes nothing")
 	}
 	if _, c := b.Listed(5*sec, 7, false, nil); !has(c, "a") || b.Out(5*sec, "a", 100) || b.Behind(5*sec) != 0 {
@@ -37,7 +37,7 @@
 
 func TestAWordLapses(t *testing.T) {
 	b := NewRegistry()
-	b.Listed(0, 5, true, []Listed{{"a", 100, Up}})
+	b.Listed(0, 5, true, []ListedHost{{"a", 100, Up}})
 	b.Heard(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
 	if c := b.Step(9 * sec); len(c) > 0 || !b.Out(9*sec, "a", 100) {
 		t.Error("it holds still")
@@ -54,21 +54,21 @@
 // What a whole list no longer names is gone; what the first one says surprises nobody; what has come back is told of no more.
 func TestNews(t *testing.T) {
 	b := NewRegistry()
-	if news, _ := b.Listed(0, 1, true, []Listed{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(news) > 0 {
+	if news, _ := b.Listed(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(news) > 0 {
 		t.Error(news)
 	}
-	news, _ := b.Listed(sec, 3, true, []Listed{{"a", 1, Up}, {"b", 1, Draining}})
-	if want := []Watermark{{"c", 1, 3, Gone, Life}}; !slices.Equal(news, want) {
+	news, _ := b.Listed(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
+	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(news, want) {
 		t.Error(news)
 	}
-	if got, want := b.Above(sec, 0), []Watermark{{"b", 1, 1, Draining, Life}, {"c", 1, 3, Gone, Life}}; !slices.Equal(got, want) {
+	if got, want := b.Above(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
 		t.Error(got)
 	}
-	b.Listed(2*sec, 4, false, []Listed{{"c", 50, Up}, {"b", 60, Up}})
+	b.Listed(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
 	if got := b.Above(2*sec, 0); len(got) > 0 {
 		t.Error("both are back:", got)
 	}
-	if news, _ := b.Listed(3*sec, 2, false, []Listed{{"a", 1, Draining}}); len(news) > 0 || len(b.Above(3*sec, 0)) > 0 {
+	if news, _ := b.Listed(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(news) > 0 || len(b.Above(3*sec, 0)) > 0 {
 		t.Error("a change of an older list is none")
 	}
 }
@@ -84,8 +84,8 @@
 		}
 		said := map[fact]Time{} // when a list last said so
 		books := []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}
-		truth, rev, now := map[string]Listed{"a": {"a", 1, Up}, "b": {"b", 1, Up}, "c": {"c", 1, Up}}, int64(1), Time(0)
-		hosts := func() (all []Listed) {
+		truth, rev, now := map[string]ListedHost{"a": {"a", 1, Up}, "b": {"b", 1, Up}, "c": {"c", 1, Up}}, int64(1), Time(0)
+		hosts := func() (all []ListedHost) {
 			for _, id := range []string{"a", "b", "c"} {
 				if h := truth[id]; h.State != Gone {
 					all = append(all, h)
@@ -105,7 +105,7 @@
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "host")
 				h := truth[id]
 				if h.State = State(rapid.IntRange(0, 2).Draw(rt, "state")); h.State == Up {
-					h.Boot++
+					h.StartedAt++
 				}
 				truth[id] = h
 			case 1:
@@ -133,7 +133,7 @@
 					}
 					right := false
 					for f, at := range said {
-						right = right || f.host == id && f.boot >= boot && f.rev > b.Rev() && now-at < Life
+						right = right || f.host == id && f.boot >= boot && f.rev > b.Rev() && now-at < Lifetime
 					}
 					if !right || b.Rev() == rev {
 						rt.Fatalf("at %d host %s is out at list %d of %d by no newer list's word", k, id, b.Rev(), rev)
@@ -149,9 +149,9 @@
 	b.Listed(0, 1, true, nil)
 	for i := range 2 * mostFloors {
 		id := string([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
-		b.Heard(0, []Watermark{{id, 1, 5, Gone, Life}})
-		b.note([]Watermark{{id, 1, 5, Gone, Life}})
-		b.Listed(0, 1, false, []Listed{{id, 1, Draining}})
+		b.Heard(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
+		b.note([]Watermark{{id, 1, 5, Gone, Lifetime}})
+		b.Listed(0, 1, false, []ListedHost{{id, 1, Draining}})
 	}
 	if len(b.heard) > mostFloors || len(b.said) > mostFloors || len(b.list) > mostFloors {
 		t.Error(len(b.heard), len(b.said), len(b.list))
@@ -186,7 +186,7 @@
 
 func FuzzRead(f *testing.F) {
 	f.Add(ask(3, 17))
-	f.Add(tells(3, []Watermark{{"s-1", 5, 6, Gone, Life}, {"s-2", 5, 6, Draining, 0}}, 200)[0])
+	f.Add(tells(3, []Watermark{{"s-1", 5, 6, Gone, Lifetime}, {"s-2", 5, 6, Draining, 0}}, 200)[0])
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := read(data)
 		if err != nil {
@@ -199,8 +199,8 @@
 			}
 		}
 		b := NewRegistry()
-		b.Listed(0, 1, true, []Listed{{"s-1", 1, Up}})
+		b.Listed(0, 1, true, []ListedHost{{"s-1", 1, Up}})
 		b.Heard(0, m.floors)
-		b.Step(Life)
+		b.Step(Lifetime)
 	})
 }
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -48,7 +48,7 @@
 type proxy struct{ calls []string }
 
 func (p *proxy) Serves() bool    { return true }
-func (p *proxy) Figures() []byte { return []byte("concurrent=0\n") }
+func (p *proxy) Metrics() []byte { return []byte("concurrent=0\n") }
 func (p *proxy) Suspend(id string, out bool, done func(bool)) {
 	p.calls = append(p.calls, fmt.Sprint(id, out))
 	done(id == "a/b")
--- a/internal/operations/admin/front.go
+++ b/internal/operations/admin/front.go
@@ -24,8 +24,8 @@
 type Proxy interface {
 	// Serves tells whether this process serves.
 	Serves() bool
-	// Figures is the text of all figures.
-	Figures() []byte
+	// Metrics is the text of all figures.
+	Metrics() []byte
 	// Suspend has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
 	// with false at once where no list has ever named the host.
 	Suspend(id string, out bool, done func(known bool))
@@ -153,7 +153,7 @@
 		}
 	case len(p) == 2 && p[0] == "v1" && p[1] == "metrics":
 		if get {
-			k.reply(http.StatusOK, "", k.front.to.Figures(), head)
+			k.reply(http.StatusOK, "", k.front.to.Metrics(), head)
 			return
 		}
 		allow = "GET, HEAD"
--- a/internal/operations/balancerconfig/config.go
+++ b/internal/operations/balancerconfig/config.go
@@ -78,11 +78,11 @@
 	} `json:"tariffs"`
 }
 
-var semantics = map[string]balancer.Effect{
-	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed, "non_idempotent": balancer.Unsafe,
+var semantics = map[string]balancer.Idempotency{
+	"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey, "non_idempotent": balancer.NotIdempotent,
 }
 
-var scopes = map[string]balancer.Scope{
+var scopes = map[string]balancer.DedupScope{
 	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
@@ -93,30 +93,30 @@
 		return balancer.Config{}, fmt.Errorf("message Init with malformed config: %v", err)
 	}
 	c := balancer.Config{
-		Me: s.Me, Peers: s.Peers, Zone: s.Zone, Zones: s.Zones, Tick: s.Step, OverShare: s.OverShare,
-		WorthByWork: s.WorthBy == "work",
-		MaxAttempts: s.Bounds.TryLimit, ConnectTimeout: s.Bounds.ConnectTimeout,
-		IdleClose:     s.Bounds.IdleClose,
-		MaxRetryAfter: s.Bounds.MaxRetryAfter, RetryAfter: s.Bounds.RetryAfter, MayProbe: s.Bounds.Probes,
-		MayTell: s.Bounds.MayTell, MayCancel: s.Bounds.Cancelling,
-		AnswerSlack: s.Contract.AnswerSlack, ColdFrom: s.Contract.ColdFrom, WarmUp: s.Contract.WarmUp,
-		DrainGrace: s.Contract.DrainGrace, FallMultiple: s.Contract.FallMultiple, Fall: s.Contract.Fall,
-		AskWithin: s.Contract.MustAskIn, Pass: s.Extra.Mode == "pass", Park: s.Extra.Park,
-		QuarantineInit: -1, QuarantineMax: -1,
-		ReportLoad: slices.Index(s.Report.Fields, "x0"), ReportQueue: slices.Index(s.Report.Fields, "queue"),
+		Instance: s.Me, Instances: s.Peers, Zone: s.Zone, Zones: s.Zones, Tick: s.Step, OverQuotaWeight: s.OverShare,
+		PriorityByWork: s.WorthBy == "work",
+		MaxAttempts:    s.Bounds.TryLimit, ConnectTimeout: s.Bounds.ConnectTimeout,
+		IdleTimeout:   s.Bounds.IdleClose,
+		MaxRetryAfter: s.Bounds.MaxRetryAfter, SendsRetryAfter: s.Bounds.RetryAfter, MayHealthCheck: s.Bounds.Probes,
+		MayGossip: s.Bounds.MayTell, MayCancel: s.Bounds.Cancelling,
+		AnswerSlack: s.Contract.AnswerSlack, SlowStartFloor: s.Contract.ColdFrom, SlowStartDuration: s.Contract.WarmUp,
+		DrainGrace: s.Contract.DrainGrace, SlowStartOverloadFactor: s.Contract.FallMultiple, SlowStartOverloadWindow: s.Contract.Fall,
+		PollInterval: s.Contract.MustAskIn, PassThrough: s.Extra.Mode == "pass", ParkDuration: s.Extra.Park,
+		EjectionInitial: -1, EjectionMax: -1,
+		LoadField: slices.Index(s.Report.Fields, "x0"), QueueField: slices.Index(s.Report.Fields, "queue"),
 	}
-	if c.ReportQueue < 0 {
-		c.ReportQueue = slices.Index(s.Report.Fields, "pending") // its name on the simulator's wire
+	if c.QueueField < 0 {
+		c.QueueField = slices.Index(s.Report.Fields, "pending") // its name on the simulator's wire
 	}
 	if s.Report.How == "none" {
-		c.ReportLoad, c.ReportQueue = -1, -1
+		c.LoadField, c.QueueField = -1, -1
 	}
-	c.Prices = balancer.Prices{CrossZone: s.Tariffs.CrossZone, Waste: s.Tariffs.Waste, Probe: s.Tariffs.Probe, Peer: s.Tariffs.Peer, LateFail: s.Tariffs.LateFail,
-		Handshake: s.Tariffs.Handshake, Moves: s.Tariffs.Moves, Connection: s.Tariffs.Connection, Discovery: s.Tariffs.Discovery}
+	c.Prices = balancer.Prices{CrossZone: s.Tariffs.CrossZone, Waste: s.Tariffs.Waste, HealthCheck: s.Tariffs.Probe, PeerMessage: s.Tariffs.Peer, LateFail: s.Tariffs.LateFail,
+		Handshake: s.Tariffs.Handshake, Migration: s.Tariffs.Moves, Connection: s.Tariffs.Connection, Discovery: s.Tariffs.Discovery}
 	switch s.Discovery {
 	case "automatic", "":
 	case "subscribe":
-		c.Ask = true
+		c.PollsDiscovery = true
 	default:
 		return c, fmt.Errorf("config with discovery %q, which is unknown", s.Discovery)
 	}
@@ -129,17 +129,17 @@
 		if !ok {
 			return c, fmt.Errorf("config: class %q with dedup_scope %q, which is unknown", l.Name, l.Scope)
 		}
-		class := balancer.Class{Name: l.Name, Aim: l.OnTime, Deadline: l.Deadline, Effect: effect, Scope: scope,
-			Window: l.KeyTTL, Worth: l.Gain, LateWorth: l.Late}
+		class := balancer.Class{Name: l.Name, LatencyObjective: l.OnTime, Deadline: l.Deadline, Idempotency: effect, DedupScope: scope,
+			DedupWindow: l.KeyTTL, PriorityWeight: l.Gain, LatePriorityWeight: l.Late}
 		if i < len(s.Extra.MessageAim) {
-			class.MessageAim = s.Extra.MessageAim[i]
+			class.MessageLatencyObjective = s.Extra.MessageAim[i]
 		}
 		c.Classes = append(c.Classes, class)
 	}
 	for i, o := range s.Orgs {
-		t := balancer.Tenant{Name: o.Name, QuotaPerS: o.Quota, Share: o.Fraction}
+		t := balancer.Tenant{Name: o.Name, RateQuota: o.Quota, ServiceQuota: o.Fraction}
 		if i < len(s.Extra.Quota) {
-			t.QuotaConnections = s.Extra.Quota[i]
+			t.ConnectionQuota = s.Extra.Quota[i]
 		}
 		c.Tenants = append(c.Tenants, t)
 	}
@@ -153,14 +153,14 @@
 func unround(tenants []balancer.Tenant) {
 	least, most := 0.0, math.Inf(1)
 	for _, t := range tenants {
-		n := t.QuotaPerS
-		if n != math.Trunc(n) || t.QuotaConnections <= 0 {
+		n := t.RateQuota
+		if n != math.Trunc(n) || t.ConnectionQuota <= 0 {
 			return
 		}
 		// The connections are rounded as well.
-		least = max(least, (t.QuotaConnections-0.5)/(n+0.5))
+		least = max(least, (t.ConnectionQuota-0.5)/(n+0.5))
 		if n > 0 {
-			most = min(most, (t.QuotaConnections+0.5)/(n-0.5))
+			most = min(most, (t.ConnectionQuota+0.5)/(n-0.5))
 		}
 	}
 	if least <= 0 || math.IsInf(most, 1) || least > most {
@@ -168,6 +168,6 @@
 	}
 	life := math.Sqrt(least * most)
 	for i := range tenants {
-		tenants[i].QuotaPerS = tenants[i].QuotaConnections / life
+		tenants[i].RateQuota = tenants[i].ConnectionQuota / life
 	}
 }
--- a/internal/operations/balancerconfig/config_test.go
+++ b/internal/operations/balancerconfig/config_test.go
@@ -17,8 +17,8 @@
 			told := 0.0
 			for _, s := range shares {
 				n := math.Round(fleet * s)
-				ts = append(ts, balancer.Tenant{QuotaConnections: n, QuotaPerS: math.Round(fleet * s / life)})
-				told += ts[len(ts)-1].QuotaPerS
+				ts = append(ts, balancer.Tenant{ConnectionQuota: n, RateQuota: math.Round(fleet * s / life)})
+				told += ts[len(ts)-1].RateQuota
 			}
 			if told == 0 {
 				continue
@@ -26,15 +26,15 @@
 			unround(ts)
 			sum := 0.0
 			for _, x := range ts {
-				sum += x.QuotaPerS
+				sum += x.RateQuota
 			}
 			if want := fleet / life; sum < want/1.5 || sum > want*1.5 {
 				t.Errorf("%v connections that live %v s: %.2f a second, told %.0f, made %.2f", fleet, life, want, told, sum)
 			}
 		}
 	}
-	for _, odd := range [][]balancer.Tenant{nil, {{QuotaPerS: 2}}, {{QuotaPerS: 0, QuotaConnections: 5}},
-		{{QuotaPerS: 2.5, QuotaConnections: 90}}, {{QuotaPerS: 1, QuotaConnections: 1000}, {QuotaPerS: 9, QuotaConnections: 10}}} {
+	for _, odd := range [][]balancer.Tenant{nil, {{RateQuota: 2}}, {{RateQuota: 0, ConnectionQuota: 5}},
+		{{RateQuota: 2.5, ConnectionQuota: 90}}, {{RateQuota: 1, ConnectionQuota: 1000}, {RateQuota: 9, ConnectionQuota: 10}}} {
 		before := append([]balancer.Tenant(nil), odd...)
 		unround(odd)
 		for i := range odd {
@@ -51,11 +51,11 @@
 	c, err := Decode([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
 		"goal":{"worst_class":0.3,"other":1},"report":{"how":"probe","fields":["x1","x0","odd","pending"],"since":2},
 		"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like","colour":"red"}]}`))
-	if err != nil || c.Ask || !c.MayProbe || c.ReportLoad != 1 || c.ReportQueue != 3 {
+	if err != nil || c.PollsDiscovery || !c.MayHealthCheck || c.LoadField != 1 || c.QueueField != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	c, err = Decode([]byte(`{"report":{"how":"none","fields":["x0"]},"lanes":[]}`))
-	if err != nil || c.ReportLoad != -1 {
-		t.Errorf("reports that nobody gives are expected: %d, %v", c.ReportLoad, err)
+	if err != nil || c.LoadField != -1 {
+		t.Errorf("reports that nobody gives are expected: %d, %v", c.LoadField, err)
 	}
 }
--- a/internal/operations/maintenance/book.go
+++ b/internal/operations/maintenance/book.go
@@ -13,20 +13,20 @@
 // needs three weeks to get there.
 const mostIDs = 4096
 
-// Doubt is how long a host that has come back may have started without discovery's word of it: what discovery has to tell
+// StartUncertainty is how long a host that has come back may have started without discovery's word of it: what discovery has to tell
 // counts as told after 6 s.
-const Doubt = int64(6e9)
+const StartUncertainty = int64(6e9)
 
-// Ban is a host that is out.
-type Ban struct {
+// Suspension is a host that is out.
+type Suspension struct {
 	ID    string `json:"ID"`
 	Since int64  `json:"Since"` // when the first call came, in nanoseconds since 1970
 }
 
-// Start is when a host that comes back now is to be held to have started, and whether that is a guess which ends after
+// StartAfter is when a host that comes back now is to be held to have started, and whether that is a guess which ends after
 // Doubt. listed is its latest start as discovery says. Hosts are taken out to be restarted; one of which discovery has not
 // told a start since then may have come back cold, and is taken for that until its news would have come.
-func (b Ban) Start(listed, now int64) (start int64, guess bool) {
+func (b Suspension) StartAfter(listed, now int64) (start int64, guess bool) {
 	if listed >= b.Since {
 		return listed, false
 	}
@@ -37,9 +37,9 @@
 // one moment.
 const leaveOver = time.Second
 
-// Leave is how long after its host's ban a connection is moved: spread evenly by its id, over all proxies together however few
+// MigrationDelay is how long after its host's ban a connection is moved: spread evenly by its id, over all proxies together however few
 // each of them holds.
-func Leave(request string) time.Duration {
+func MigrationDelay(request string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(request))
 	return time.Duration(h.Sum32()%1000) * leaveOver / 1000
@@ -58,14 +58,14 @@
 	return &Registry{banned: map[string]int64{}, fleet: map[string]int64{}, known: map[string]bool{}}
 }
 
-// Listed notes that a list has named a host.
-func (b *Registry) Listed(id string) {
+// HostListed notes that a list has named a host.
+func (b *Registry) HostListed(id string) {
 	if b.known[id] {
 		return
 	}
 	if len(b.order) >= mostIDs {
 		// A banned one is never forgotten: its call back must find it.
-		if i := slices.IndexFunc(b.order, func(s string) bool { return !b.Out(s) }); i >= 0 {
+		if i := slices.IndexFunc(b.order, func(s string) bool { return !b.Suspended(s) }); i >= 0 {
 			delete(b.known, b.order[i])
 			b.order = slices.Delete(b.order, i, i+1)
 		}
@@ -83,7 +83,7 @@
 		return false
 	}
 	if out {
-		b.Listed(id)
+		b.HostListed(id)
 		b.banned[id] = now
 	} else {
 		delete(b.banned, id)
@@ -110,7 +110,7 @@
 		}
 	}
 	for id := range next {
-		if !b.Out(id) {
+		if !b.Suspended(id) {
 			changed = append(changed, id)
 		}
 	}
@@ -122,28 +122,28 @@
 // IDs is every uid that a call may name, the oldest first.
 func (b *Registry) IDs() []string { return slices.Clone(b.order) }
 
-// Out tells whether a host is banned.
-func (b *Registry) Out(id string) bool {
+// Suspended tells whether a host is banned.
+func (b *Registry) Suspended(id string) bool {
 	_, out := b.banned[id]
 	_, fleet := b.fleet[id]
 	return out || fleet
 }
 
-// Ban is a host's ban, the earlier where there are two.
-func (b *Registry) Ban(id string) Ban {
+// Suspension is a host's ban, the earlier where there are two.
+func (b *Registry) Suspension(id string) Suspension {
 	since, own := b.banned[id]
 	if at, fleet := b.fleet[id]; fleet && (!own || at < since) {
 		since = at
 	}
-	return Ban{id, since}
+	return Suspension{id, since}
 }
 
 // All is every ban that was set at this proxy, sorted.
-func (b *Registry) All() []Ban {
-	out := make([]Ban, 0, len(b.banned))
+func (b *Registry) All() []Suspension {
+	out := make([]Suspension, 0, len(b.banned))
 	for id, since := range b.banned {
-		out = append(out, Ban{id, since})
+		out = append(out, Suspension{id, since})
 	}
-	slices.SortFunc(out, func(x, y Ban) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(out, func(x, y Suspension) int { return strings.Compare(x.ID, y.ID) })
 	return out
 }
--- a/internal/operations/maintenance/book_test.go
+++ b/internal/operations/maintenance/book_test.go
@@ -16,7 +16,7 @@
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				b.Listed(id)
+				b.HostListed(id)
 				listed[id] = true
 			case 1:
 				if listed[id] && b.Set(id, true, 5) == out[id] {
@@ -29,8 +29,8 @@
 				}
 				out[id] = false
 			}
-			if b.Out(id) != out[id] || b.Known(id) != listed[id] {
-				t.Fatalf("%s: out %t known %t, want %t %t", id, b.Out(id), b.Known(id), out[id], listed[id])
+			if b.Suspended(id) != out[id] || b.Known(id) != listed[id] {
+				t.Fatalf("%s: out %t known %t, want %t %t", id, b.Suspended(id), b.Known(id), out[id], listed[id])
 			}
 		}
 	})
@@ -39,15 +39,15 @@
 // A fleet that is replaced for months must not fill the memory, and a ban must still be found.
 func TestKnownIsBounded(t *testing.T) {
 	b := New()
-	b.Listed("first")
+	b.HostListed("first")
 	b.Set("first", true, 7)
 	for i := range 2 * mostIDs {
-		b.Listed(fmt.Sprint(i))
+		b.HostListed(fmt.Sprint(i))
 	}
 	if len(b.known) > mostIDs || !b.Known("first") || b.Known("0") || !b.Known(fmt.Sprint(2*mostIDs-1)) {
 		t.Errorf("%d known, first %t", len(b.known), b.Known("first"))
 	}
-	if !slices.Equal(b.All(), []Ban{{"first", 7}}) {
+	if !slices.Equal(b.All(), []Suspension{{"first", 7}}) {
 		t.Errorf("bans %v", b.All())
 	}
 }
@@ -58,7 +58,7 @@
 		listed, start int64
 		guess         bool
 	}{{0, 90, true}, {49, 90, true}, {50, 50, false}, {80, 80, false}} {
-		if start, guess := (Ban{"a", 50}).Start(x.listed, 90); start != x.start || guess != x.guess {
+		if start, guess := (Suspension{"a", 50}).StartAfter(x.listed, 90); start != x.start || guess != x.guess {
 			t.Errorf("listed %d: start %d, a guess %t", x.listed, start, guess)
 		}
 	}
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -12,15 +12,15 @@
 
 // The kinds of end.
 const (
-	Stood      End = iota // a host's acceptance was passed on
-	Adopted               // the same, for a connection that was open at its host before
-	Refused               // the module refused it
-	TurnedAway            // refused for want of descriptors
-	Leaving               // refused because the proxy is on its way out
-	Failed                // the module failed it, or a connection from before could not be restored
-	Abandoned             // the module did not answer in time or panicked; the client got ERR
-	Unknown               // a tenant that the settings lack, or an id in use; the client got ERR
-	ClientLeft            // the client hung up before its answer
+	Established    End = iota // a host's acceptance was passed on
+	Adopted                   // the same, for a connection that was open at its host before
+	Rejected                  // the module refused it
+	OverCapacity              // refused for want of descriptors
+	ShuttingDown              // refused because the proxy is on its way out
+	Failed                    // the module failed it, or a connection from before could not be restored
+	Unanswered                // the module did not answer in time or panicked; the client got ERR
+	InvalidRequest            // a tenant that the settings lack, or an id in use; the client got ERR
+	ClientLeft                // the client hung up before its answer
 	ends
 )
 
@@ -37,8 +37,8 @@
 
 // of says for each kind of end which count it has. First lines that name no class of the settings are of no class and so in
 // no count; clients that have left are owed no answer and may be counted anywhere, so they are counted nowhere.
-var of = [ends]count{Stood: success, Adopted: success, Refused: overload, TurnedAway: overload, Leaving: overload,
-	Failed: failure, Abandoned: failure, Unknown: failure, ClientLeft: nowhere}
+var of = [ends]count{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
+	Failed: failure, Unanswered: failure, InvalidRequest: failure, ClientLeft: nowhere}
 
 var names = [counts]string{"success", "overload", "error"}
 
@@ -64,15 +64,15 @@
 // Dispatched counts an attempt whose last byte has been written.
 func (t *Table) Dispatched() { t.dispatched++ }
 
-// Now are the figures that are read from what holds them.
-type Now struct {
+// Gauges are the figures that are read from what holds them.
+type Gauges struct {
 	Concurrent int // connections taken and not yet ended
 	Hosts      int // in the list
-	Avoided    int // of these, by hand or by the module's choice
+	Ejected    int // of these, by hand or by the module's choice
 }
 
 // Text is all figures, a line each, in an order that never changes.
-func (t *Table) Text(n Now) []byte {
+func (t *Table) Text(n Gauges) []byte {
 	var out []byte
 	line := func(v int64, name ...string) {
 		for _, s := range name {
@@ -88,6 +88,6 @@
 	line(t.dispatched, "dispatches")
 	line(int64(n.Concurrent), "concurrent")
 	line(int64(n.Hosts), "targets")
-	line(int64(n.Avoided), "targets_disabled")
+	line(int64(n.Ejected), "targets_disabled")
 	return out
 }
--- a/internal/operations/metrics/metrics_test.go
+++ b/internal/operations/metrics/metrics_test.go
@@ -10,12 +10,12 @@
 			f.Ended(1, e)
 		}
 	}
-	f.Ended(7, Stood) // no class of the settings
+	f.Ended(7, Established) // no class of the settings
 	f.Dispatched()
 	const want = "replies.a.success=0\nreplies.a.overload=0\nreplies.a.error=0\n" +
 		"replies.b.success=3\nreplies.b.overload=12\nreplies.b.error=21\n" +
 		"dispatches=1\nconcurrent=4\ntargets=5\ntargets_disabled=2\n"
-	if got := string(f.Text(Now{4, 5, 2})); got != want {
+	if got := string(f.Text(Gauges{4, 5, 2})); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 }
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -15,5 +15,5 @@
 		}
 	}
 	table.Dispatched()
-	golden.Check(t, "metrics.txt", table.Text(Now{Concurrent: 4, Hosts: 5, Avoided: 2}))
+	golden.Check(t, "metrics.txt", table.Text(Gauges{Concurrent: 4, Hosts: 5, Ejected: 2}))
 }
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -199,7 +199,7 @@
 // Probers is how many connections may be open to ask hosts how loaded they are.
 func (c *Config) Probers() int {
 	switch {
-	case !c.Settings.MayProbe || len(c.Reports) == 0:
+	case !c.Settings.MayHealthCheck || len(c.Reports) == 0:
 		return 0
 	case c.Limits.Sockets <= 0:
 		return 256
--- a/internal/testbed/experiment/agreeing.go
+++ b/internal/testbed/experiment/agreeing.go
@@ -82,7 +82,7 @@
 	for i := range g.Procs {
 		go func() {
 			for !over.Load() {
-				if is(g.ask(i, rules.Show())) {
+				if is(g.ask(i, rules.QueryActive())) {
 					found <- time.Since(began)
 					return
 				}
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -63,7 +63,7 @@
 
 // pass hands lines on until either side ends.
 func pass(to io.Writer, from io.Reader, look func(text []byte)) {
-	in := bufio.NewReaderSize(from, lineproto.Max)
+	in := bufio.NewReaderSize(from, lineproto.MaxLine)
 	for {
 		text, err := in.ReadSlice('\n')
 		if err != nil {
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -115,14 +115,14 @@
 		if !g.down[i].Load() {
 			began := time.Now()
 			v := &rules.Version{Out: []string{fmt.Sprint("nobody", n)}}
-			got := g.ask(i, rules.Propose(rules.Put(v, at, fmt.Appendf(nil, "change%08d", n))))
+			got := g.ask(i, rules.EncodeProposal(rules.ChangeOperators(v, at, fmt.Appendf(nil, "change%08d", n))))
 			if _, err := fmt.Sscanf(got, "active: version %d", &at); err == nil {
 				g.agreement.mu.Lock()
 				g.active++
 				g.took = append(g.took, time.Since(began))
 				g.agreement.mu.Unlock()
 			} else {
-				fmt.Sscanf(g.ask(i, rules.Show()), "active: version %d", &at)
+				fmt.Sscanf(g.ask(i, rules.QueryActive()), "active: version %d", &at)
 			}
 		}
 		time.Sleep(time.Until(next))
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -96,7 +96,7 @@
 		}
 		began, answer := time.Now(), make(chan string, 1)
 		id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, at, t.played)
-		change := rules.Propose(rules.Put(&rules.Version{Out: []string{fmt.Sprint("nobody", at, f.kind)}}, at, id))
+		change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{Out: []string{fmt.Sprint("nobody", at, f.kind)}}, at, id))
 		go func() { answer <- g.ask(by, change) }()
 		switch f.kind {
 		case "pause":
@@ -115,7 +115,7 @@
 		// Any process may be the one that has lost its way to the keeper, and then waits for an answer: all are asked.
 		heal, ok := g.anyone(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
 		if !ok {
-			return nil, fmt.Errorf("all do not act by one version once all is well: %s", g.ask(by, rules.Show()))
+			return nil, fmt.Errorf("all do not act by one version once all is well: %s", g.ask(by, rules.QueryActive()))
 		}
 		t.heals = append(t.heals, heal)
 		switch got := <-answer; {
@@ -133,7 +133,7 @@
 		}
 		want := fmt.Sprintf("active: version %d at 5 of 5", at+1)
 		if _, ok := g.anyone(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
-			return nil, fmt.Errorf("all do not act by version %d: %s", at+1, g.ask(by, rules.Show()))
+			return nil, fmt.Errorf("all do not act by version %d: %s", at+1, g.ask(by, rules.QueryActive()))
 		}
 	}
 	return t, nil
@@ -171,7 +171,7 @@
 func (g *agreeingRig) standing(by int) (at uint64, err error) {
 	got := ""
 	if _, ok := Until(ownersWait, func() bool {
-		got = g.ask(by, rules.Show())
+		got = g.ask(by, rules.QueryActive())
 		n, _ := fmt.Sscanf(got, "active: version %d at 5 of 5", &at)
 		return n == 1
 	}); !ok {
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -431,7 +431,7 @@
 }
 
 // direct calls a balancer's decision module with what the wire has no event for.
-func (s *sequence) direct(name string, call func(b *balancer.Brain)) {
+func (s *sequence) direct(name string, call func(b *balancer.Balancer)) {
 	s.host.out.start()
 	s.host.guard(s.host.instances[name], call)
 	reply := s.host.out.finish()
@@ -443,11 +443,13 @@
 // suspend has an operator take a server out, or call it back.
 func (s *sequence) suspend(name string) {
 	e := s.servers[s.rng.Intn(len(s.servers))]
-	entry := balancer.Entry{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, Since: e.Since}
+	entry := balancer.ListedHost{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.Since}
 	if s.rng.Intn(2) == 0 {
 		entry.State = balancer.Suspended
 	}
-	s.direct(name, func(b *balancer.Brain) { b.Members(s.now, balancer.ListByHand, 0, []balancer.Entry{entry}) })
+	s.direct(name, func(b *balancer.Balancer) {
+		b.ListReceived(s.now, balancer.ListMaintenance, 0, []balancer.ListedHost{entry})
+	})
 }
 
 // restart ends a name with its connections, and begins it anew.
@@ -477,7 +479,7 @@
 
 // hotStart has another process of the name take over, with what the one before knew and its open connections.
 func (s *sequence) hotStart(name string) {
-	memory := s.host.instances[name].brain.Remember(true)
+	memory := s.host.instances[name].brain.Snapshot(true)
 	kept, err := json.Marshal(memory)
 	if err != nil {
 		s.fail("%v", err)
@@ -490,7 +492,7 @@
 		}
 	}
 	s.restart(name)
-	s.direct(name, func(b *balancer.Brain) { b.Recall(s.now, memory) })
+	s.direct(name, func(b *balancer.Balancer) { b.Restore(s.now, memory) })
 	for _, r := range standing {
 		again, e := s.newRequest("Adopted", name, 0)
 		again.attempt, again.out, again.up, again.server, again.sentAt = 0, true, true, r.server, r.sentAt
