--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -53,16 +53,16 @@
 	Msgs []event `json:"msgs"`
 }
 
-var statuses = map[string]balancer.Status{
+var statuses = map[string]balancer.AttemptStatus{
 	"OK": balancer.OK, "INTERNAL": balancer.Error, "RESOURCE_EXHAUSTED": balancer.Full, "DEADLINE_EXCEEDED": balancer.Timeout,
-	"UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset, "CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.Moot,
+	"UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset, "CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.TooLate,
 }
 
-var states = map[string]balancer.State{
-	"healthy": balancer.Ready, "cordoned": balancer.Draining, "deregistered": balancer.Departed,
+var states = map[string]balancer.HostState{
+	"healthy": balancer.Ready, "cordoned": balancer.Draining, "deregistered": balancer.Removed,
 }
 
-var forms = map[string]balancer.ListKind{
+var forms = map[string]balancer.ListChange{
 	"update": balancer.ListDelta, "replace": balancer.ListFull, "restored": balancer.ListCached,
 	"unavailable": balancer.ListFailed,
 }
@@ -70,7 +70,7 @@
 func missing(e *event, field string) error { return fmt.Errorf("%s without %s", e.Type, field) }
 
 // decode checks an event and gives the call that delivers it; nil where there is nothing to deliver.
-func (h *Host) decode(now int64, in *instance, e *event) (func(*balancer.Brain), error) {
+func (h *Host) decode(now int64, in *instance, e *event) (func(*balancer.Balancer), error) {
 	switch e.Type {
 	case "Inbound", "ClientLeft", "Adopted", "Notice", "Response", "Streaming":
 		if e.RequestID == "" {
@@ -83,7 +83,7 @@
 			return nil, missing(e, "server")
 		}
 	}
-	var status balancer.Status
+	var status balancer.AttemptStatus
 	if e.Type == "Response" || e.Type == "HealthResult" {
 		s, ok := statuses[e.Ending]
 		if !ok {
@@ -97,7 +97,7 @@
 		if !ok {
 			return nil, fmt.Errorf("message Membership with form %q, which is unknown", e.Form)
 		}
-		var entries []balancer.Entry
+		var entries []balancer.ListedHost
 		if form != balancer.ListFailed {
 			if e.Sheet == nil {
 				return nil, missing(e, "sheet")
@@ -106,46 +106,46 @@
 				return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *e.Sheet)
 			}
 		}
-		return func(b *balancer.Brain) { b.Members(now, form, e.Gen, entries) }, nil
+		return func(b *balancer.Balancer) { b.ListReceived(now, form, e.Gen, entries) }, nil
 	case "Inbound", "Adopted":
 		q, err := in.request(e)
 		if err != nil {
 			return nil, err
 		}
 		if e.Type == "Adopted" {
-			return func(b *balancer.Brain) { b.Open(now, q, e.Server) }, nil
+			return func(b *balancer.Balancer) { b.ConnectionAdopted(now, q, e.Server) }, nil
 		}
-		return func(b *balancer.Brain) { b.Request(now, q) }, nil
+		return func(b *balancer.Balancer) { b.RequestArrived(now, q) }, nil
 	case "ClientLeft":
-		return func(b *balancer.Brain) { b.Gone(now, e.RequestID) }, nil
+		return func(b *balancer.Balancer) { b.ClientLeft(now, e.RequestID) }, nil
 	case "HealthResult":
-		return func(b *balancer.Brain) { b.Probed(now, e.Server, status, e.Elapsed, e.Gauge) }, nil
+		return func(b *balancer.Balancer) { b.HealthCheckEnded(now, e.Server, status, e.Elapsed, e.Gauge) }, nil
 	case "Fired":
 		if e.Ref == nil {
 			return nil, missing(e, "ref")
 		}
-		return func(b *balancer.Brain) { b.Timer(now, *e.Ref) }, nil
+		return func(b *balancer.Balancer) { b.TimerFired(now, *e.Ref) }, nil
 	case "Notice":
-		return func(b *balancer.Brain) { b.Note(now, e.RequestID, e.Seq, balancer.NoteKind(e.Sort), e.Level) }, nil
+		return func(b *balancer.Balancer) { b.Observe(now, e.RequestID, e.Seq, balancer.Observation(e.Sort), e.Level) }, nil
 	case "Response":
-		return func(b *balancer.Brain) {
-			b.Outcome(now, e.RequestID, e.Seq, status, e.Elapsed, e.NoMore, e.Gauge)
+		return func(b *balancer.Balancer) {
+			b.AttemptEnded(now, e.RequestID, e.Seq, status, e.Elapsed, e.NoMore, e.Gauge)
 		}, nil
 	case "Streaming":
-		return func(b *balancer.Brain) { b.First(now, e.RequestID, e.Seq, e.Elapsed) }, nil
+		return func(b *balancer.Balancer) { b.AttemptEstablished(now, e.RequestID, e.Seq, e.Elapsed) }, nil
 	case "Memo":
 		data, err := base64.StdEncoding.DecodeString(e.Contents)
 		if err != nil {
 			return nil, fmt.Errorf("message Memo with contents that are not base64: %v", err)
 		}
-		return func(b *balancer.Brain) { b.Peer(now, e.Origin, data) }, nil
+		return func(b *balancer.Balancer) { b.PeerMessageReceived(now, e.Origin, data) }, nil
 	}
 	return nil, fmt.Errorf("unknown event %q", e.Type)
 }
 
 func (in *instance) request(e *event) (balancer.Request, error) {
 	q := balancer.Request{ID: e.RequestID, Key: e.Item, Group: e.Channel, Tenant: -1,
-		Repeat: e.Bits&flagRepeat != 0, MidFlow: e.Bits&flagMidFlow != 0, Returned: e.Bits&flagReturned != 0}
+		Retry: e.Bits&flagRepeat != 0, MidFlow: e.Bits&flagMidFlow != 0, Returned: e.Bits&flagReturned != 0}
 	if e.Class == nil {
 		return q, missing(e, "cls")
 	}
@@ -155,12 +155,12 @@
 	}
 	q.Class = c
 	if e.Remaining != nil {
-		q.Left = *e.Remaining
+		q.Remaining = *e.Remaining
 	} else if e.Type == "Inbound" {
 		return q, missing(e, "remaining")
 	}
 	if e.Bits&flagHint != 0 {
-		q.Hint = e.Hint
+		q.ExpectedLoad = e.Hint
 	}
 	var name string
 	if len(e.Party) > 0 && json.Unmarshal(e.Party, &name) == nil {
--- a/internal/testbed/simulator/directory.go
+++ b/internal/testbed/simulator/directory.go
@@ -12,7 +12,7 @@
 	if e.Sheet == nil {
 		return missing(e, "sheet")
 	}
-	entries := make([]balancer.Entry, len(e.Elements))
+	entries := make([]balancer.ListedHost, len(e.Elements))
 	for i, m := range e.Elements {
 		state, ok := states[m.State]
 		if !ok {
@@ -21,8 +21,8 @@
 		if m.Server == "" {
 			return fmt.Errorf("message Directory entry %d without server", i)
 		}
-		entries[i] = balancer.Entry{ID: m.Server, State: state, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
-			Weight: m.Weight, Since: m.Since}
+		entries[i] = balancer.ListedHost{ID: m.Server, State: state, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+			Weight: m.Weight, StartedAt: m.Since}
 	}
 	h.sheets[*e.Sheet] = entries
 	return nil
--- a/internal/testbed/simulator/wire.go
+++ b/internal/testbed/simulator/wire.go
@@ -10,18 +10,18 @@
 )
 
 // Factory makes the decision code of one instance.
-type Factory func(cfg balancer.Config, seed int64, fx balancer.Effects) (*balancer.Brain, error)
+type Factory func(cfg balancer.Config, seed int64, fx balancer.Effects) (*balancer.Balancer, error)
 
 // Host keeps the instances of one process and turns batches into replies. The instances share nothing.
 type Host struct {
 	make      Factory
 	instances map[string]*instance
-	sheets    map[int][]balancer.Entry
+	sheets    map[int][]balancer.ListedHost
 	out       writer
 }
 
 type instance struct {
-	brain   *balancer.Brain
+	brain   *balancer.Balancer
 	classes map[string]int
 	tenants map[string]int
 	failed  bool
@@ -29,7 +29,7 @@
 
 // NewHost makes a host that builds its instances with the given factory.
 func NewHost(f Factory) *Host {
-	return &Host{make: f, instances: map[string]*instance{}, sheets: map[int][]balancer.Entry{}}
+	return &Host{make: f, instances: map[string]*instance{}, sheets: map[int][]balancer.ListedHost{}}
 }
 
 // Flags of a request.
@@ -101,7 +101,7 @@
 }
 
 // guard reports an inner failure as the wire asks, in place of a crash of the whole process.
-func (h *Host) guard(in *instance, call func(*balancer.Brain)) {
+func (h *Host) guard(in *instance, call func(*balancer.Balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
 			in.failed = true
--- a/internal/testbed/simulator/wire_test.go
+++ b/internal/testbed/simulator/wire_test.go
@@ -135,7 +135,7 @@
 }
 
 func TestInnerFailureIsReported(t *testing.T) {
-	h := NewHost(func(balancer.Config, int64, balancer.Effects) (*balancer.Brain, error) { return nil, nil })
+	h := NewHost(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
 	out, err := h.Batch(line(initMsg, sheet, members))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/simulator/write.go
+++ b/internal/testbed/simulator/write.go
@@ -68,11 +68,11 @@
 	return f.host.out.action(name)
 }
 
-func (f *effects) Send(request, server string, timeout balancer.Time) {
+func (f *effects) StartAttempt(request, server string, timeout balancer.Time) {
 	f.action("Dispatch").text("request_id", request).text("server", server).number("allow_for", timeout).end()
 }
 
-func (f *effects) Refuse(request string, retryAfter balancer.Time) {
+func (f *effects) Reject(request string, retryAfter balancer.Time) {
 	w := f.action("Deny").text("request_id", request)
 	if retryAfter > 0 {
 		w.number("hold_off", retryAfter)
@@ -82,15 +82,15 @@
 
 func (f *effects) Fail(request string) { f.action("Surrender").text("request_id", request).end() }
 
-func (f *effects) Cancel(request string, attempt int) {
+func (f *effects) CancelAttempt(request string, attempt int) {
 	f.action("Revoke").text("request_id", request).number("seq_no", int64(attempt)).end()
 }
 
-func (f *effects) Move(request string) { f.action("GoAway").text("request_id", request).end() }
+func (f *effects) Migrate(request string) { f.action("GoAway").text("request_id", request).end() }
 
-func (f *effects) Probe(server string) { f.action("Sample").text("server", server).end() }
+func (f *effects) HealthCheck(server string) { f.action("Sample").text("server", server).end() }
 
-func (f *effects) Tell(peer int, data []byte) {
+func (f *effects) SendToPeer(peer int, data []byte) {
 	w := f.action("MemoTo")
 	if peer >= 0 {
 		w.number("dst", int64(peer))
@@ -98,16 +98,16 @@
 	w.text("contents", base64.StdEncoding.EncodeToString(data)).end()
 }
 
-func (f *effects) Watch(on bool) {
+func (f *effects) WatchList(on bool) {
 	w := f.action("Subscribe")
 	w.key("want")
 	w.buf = strconv.AppendBool(w.buf, on)
 	w.end()
 }
 
-func (f *effects) Fetch() { f.action("ReadList").end() }
+func (f *effects) FetchList() { f.action("ReadList").end() }
 
-func (f *effects) After(delay balancer.Time, token string) {
+func (f *effects) Schedule(delay balancer.Time, token string) {
 	f.action("Defer").number("after", delay).text("ref", token).end()
 }
 
