--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -53,7 +53,7 @@
 		switch {
 		case f["event"] == "ruled":
 			account[f["request"]], version[f["request"]] = f["account"], f["version"]
-		case f["event"] == "attempt":
+		case f["event"] == "attempt_started":
 			at := loggedAt(t, l)
 			all = append(all, made{at, account[f["request"]], f["host"], version[f["request"]]})
 		}
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -95,12 +95,12 @@
 	experiment.Until(patience, func() bool {
 		r.Suspend(1, true)
 		r.Suspend(1, false)
-		return len(r.Procs[1].Log("event=state_not_kept")) > 0
+		return len(r.Procs[1].Log("event=state_not_saved")) > 0
 	})
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Procs[1].Log("event=state_not_kept")) == 0 {
+	if len(r.Procs[1].Log("event=state_not_saved")) == 0 {
 		t.Errorf("a full disk is not told\n%s", experiment.PlanText(full))
 	}
 	whole("a full disk")
--- a/internal/app/command/ops_test.go
+++ b/internal/app/command/ops_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("a third start: %v", err)
 	}
 	second.Kill()
-	if !first.Await("event=taken_back", 20*time.Second) {
+	if !first.Await("event=hot_restart_taken_back", 20*time.Second) {
 		t.Fatal("the old one does not go on")
 	}
 	call(admin, "GET", "/v1/readyz", 200)
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -55,7 +55,7 @@
 
 func decisions(t *testing.T, p *experiment.Process) (all []decision) {
 	t.Helper()
-	for _, l := range p.Log("event=ruled") {
+	for _, l := range p.Log("event=rules_applied") {
 		what := ruledWhat.FindStringSubmatch(l)
 		if what == nil {
 			t.Fatalf("a line that the checker can't read: %q", l)
--- a/internal/app/node/joined.go
+++ b/internal/app/node/joined.go
@@ -56,7 +56,7 @@
 	r.members.Yield()
 	s, err := memberagent.Start(r.loop, r.joining, r.cfg.Name, time.Now(), r.platform())
 	if err != nil {
-		slog.Warn("membership_waits", "reason", err)
+		slog.Warn("membership_delayed", "reason", err)
 		r.loop.After(tellEvery, r.rejoin)
 		return
 	}
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -19,7 +19,7 @@
 			r.peers.Deafen()
 		}
 		r.core.SetHandedOver(true)
-		slog.Info("handed_over", "sessions", r.core.Sessions())
+		slog.Info("hot_restart_handed_over", "sessions", r.core.Sessions())
 		r.tell()
 	}
 	k := r.keep(true)
@@ -36,7 +36,7 @@
 	if k != nil {
 		k.Rebase(r.loop.Now(), true)
 		if err := k.Check(r.loop.Now()); err != nil {
-			slog.Warn("handover_odd", "reason", err)
+			slog.Warn("hot_restart_unexpected", "reason", err)
 		} else {
 			p.takeList(k)
 			r.core.Inherit(k)
@@ -53,7 +53,7 @@
 		return
 	}
 	if err := k.Check(r.loop.Now()); err != nil {
-		slog.Warn("handover_odd", "reason", err)
+		slog.Warn("hot_restart_unexpected", "reason", err)
 		return
 	}
 	p.takeList(k)
@@ -95,7 +95,7 @@
 	}
 	r.partner = nil
 	debug.SetMemoryLimit(r.cfg.MemoryLimit())
-	slog.Info("partner_gone", "older", r.older)
+	slog.Info("hot_restart_partner_gone", "older", r.older)
 	if !r.older {
 		r.core.SetSessionsElsewhere(0)
 		r.accept()
@@ -110,5 +110,5 @@
 	r.core.RestoreBalancer(r.gave) // the cold budgets that were given up, among others
 	r.mustServe()
 	r.rejoin()
-	slog.Warn("taken_back", "sessions", r.core.Sessions())
+	slog.Warn("hot_restart_taken_back", "sessions", r.core.Sessions())
 }
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -30,14 +30,14 @@
 		return nil, nil, err
 	}
 	if err != nil {
-		slog.Warn("handover_failed", "reason", err) // it serves on beside this one
+		slog.Warn("hot_restart_failed", "reason", err) // it serves on beside this one
 	}
 	if a.p != nil {
 		return a.p, a.h, nil
 	}
 	k, err := readState(dir, now)
 	if err != nil {
-		slog.Warn("state_passed_over", "reason", err)
+		slog.Warn("state_file_ignored", "reason", err)
 		hotrestart.SetAside(dir)
 	}
 	if k == nil {
--- a/internal/app/node/replace.go
+++ b/internal/app/node/replace.go
@@ -156,7 +156,7 @@
 		p.Run(r.loop, partner{r, p})
 	})
 	if err != nil {
-		slog.Warn("handover_off", "reason", err)
+		slog.Warn("hot_restart_off", "reason", err)
 	}
 }
 
@@ -173,7 +173,7 @@
 	if r.peers != nil {
 		h.Datagram = r.peers.Fd()
 	}
-	slog.Info("handover_asked", "sessions", r.core.Sessions())
+	slog.Info("hot_restart_requested", "sessions", r.core.Sessions())
 	return h, nil
 }
 
@@ -228,7 +228,7 @@
 	r.waits, r.handed = false, false
 	r.mustServe()
 	r.rejoin()
-	slog.Info("taken_over", "partner", r.partner != nil)
+	slog.Info("hot_restart_taken_over", "partner", r.partner != nil)
 	r.store.Save(r.keep(false), nil)
 }
 
--- a/internal/balancer/api.go
+++ b/internal/balancer/api.go
@@ -197,5 +197,5 @@
 	WatchList(on bool)                // subscribe to changes of the list
 	FetchList()                       // ask for the whole list once
 	Schedule(delay Time, token string)
-	Log(text string)
+	Report(e Event) // a fact for the log
 }
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -22,7 +22,7 @@
 func (h *host) WatchList(on bool)                               {}
 func (h *host) FetchList()                                      {}
 func (h *host) Schedule(delay balancer.Time, token string)      {} // call Timer with the token after the delay
-func (h *host) Log(text string)                                 {}
+func (h *host) Report(e balancer.Event)                         {}
 
 func Example() {
 	const ms = balancer.Time(1e6)
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -78,7 +78,7 @@
 	f.say("after %d %s", d, token)
 }
 
-func (f *fake) Log(text string) { f.say("log %s", text) }
+func (f *fake) Report(e Event) { f.say("report %T %+v", e, e) }
 
 func settings() Config {
 	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
--- a/internal/balancer/keepers.go
+++ b/internal/balancer/keepers.go
@@ -1,10 +1,6 @@
 package balancer
 
-import (
-	"fmt"
-
-	"croftlock/internal/balancer/ledger"
-)
+import "croftlock/internal/balancer/ledger"
 
 // What is told between a balancer and the one that keeps the book, and what comes of it. Nothing is decided here.
 
@@ -75,7 +71,7 @@
 func (b *Balancer) heardBook(from int, epoch byte) {
 	if b.keepsBook() && b.desk.CoordinatorHeard(from, epoch) {
 		b.bookDue = b.now + Time(bookSpread*b.rng.Float64())
-		b.fx.Log(fmt.Sprintf("the book of balancer %d is asked", from))
+		b.fx.Report(LedgerPolled{Coordinator: from})
 	}
 }
 
@@ -100,7 +96,7 @@
 func (b *Balancer) unanswered(r *request) {
 	r.waits, r.waitTo = false, 0
 	if b.desk.TimedOut(b.now, r.ID); b.desk.Coordinator(b.now) < 0 {
-		b.fx.Log("no book answers, on its own")
+		b.fx.Report(LedgerUnreachable{})
 	}
 }
 
--- a/internal/balancer/loads.go
+++ b/internal/balancer/loads.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// HealthCheckEnded takes a probe's result. One that fails tells nothing of the server's load, and what was known fades.
+// HealthCheckEnded takes a probe's result. One that fails tells nothing of the server's load, and what was
+// known fades.
 func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
 	b.tick(now)
 	if s := b.byID[id]; s != nil {
--- a/internal/balancer/pool.go
+++ b/internal/balancer/pool.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 // The pool and the quarantine: PIP-425's own mechanism.
 
@@ -30,7 +27,7 @@
 // success restores a server to the pool at once.
 func (b *Balancer) success(s *server) {
 	if s.fails > 0 {
-		b.fx.Log("server " + s.id + " accepts again, back in the pool")
+		b.fx.Report(HostReadmitted{Host: s.id})
 	}
 	s.fails, s.until, s.trials = 0, 0, 0
 	s.lag = min(s.lag, 0)
@@ -60,7 +57,7 @@
 	d := b.period(s.fails)
 	s.until = b.now + d/2 + Time(b.rng.Float64()*float64(d)/2)
 	if s.fails == 1 {
-		b.fx.Log(fmt.Sprintf("server %s fails to connect, quarantined for %d ms", s.id, (s.until-b.now)/1e6))
+		b.fx.Report(HostEjected{Host: s.id, Ejection: s.until - b.now, ConsecutiveFailures: s.fails})
 	}
 }
 
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -2,8 +2,8 @@
 
 // Servers that make messages wait: how that is learned, told, and answered.
 
-// PeerMessageReceived takes a message from another balancer: which servers make messages wait. Where each balancer holds a
-// connection or two, most would learn of a stalled server by sending to it.
+// PeerMessageReceived takes a message from another balancer: which servers make messages wait. Where each
+// balancer holds a connection or two, most would learn of a stalled server by sending to it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
 	b.tick(now)
 	if b.bookTold(from, data) {
--- a/internal/dataplane/hotrestart/link.go
+++ b/internal/dataplane/hotrestart/link.go
@@ -124,7 +124,7 @@
 	case kindSessions:
 		ev.Sessions(max(0, m.Sessions))
 	default:
-		slog.Warn("handover_odd", "kind", m.Kind) // a later version's; what it means is not known here
+		slog.Warn("hot_restart_unexpected", "kind", m.Kind) // a later version's; what it means is not known here
 	}
 }
 
--- a/internal/dataplane/hotrestart/offer.go
+++ b/internal/dataplane/hotrestart/offer.go
@@ -146,7 +146,7 @@
 	}
 	p := newPartner(c)
 	if err := send(c, &message{Kind: kindWelcome, Kept: a.handed.Snapshot, Datagram: a.handed.Datagram >= 0}, rights...); err != nil {
-		slog.Warn("handover_failed", "reason", err)
+		slog.Warn("hot_restart_failed", "reason", err)
 		p.Close()
 	}
 	l.Post(func() { come(p) })
--- a/internal/dataplane/hotrestart/spare.go
+++ b/internal/dataplane/hotrestart/spare.go
@@ -71,12 +71,12 @@
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		slog.Warn("no_spare_state", "reason", err)
+		slog.Warn("spare_state_unavailable", "reason", err)
 		return
 	}
 	defer f.Close()
 	if err := unix.Fallocate(int(f.Fd()), 0, 0, int64(size)); err != nil {
-		slog.Warn("no_spare_state", "reason", err)
+		slog.Warn("spare_state_unavailable", "reason", err)
 	}
 }
 
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -78,13 +78,13 @@
 	if k != nil {
 		var kept bool
 		if kept, err = write(s.dir, k); err != nil && !again {
-			slog.Warn("state_not_kept", "dir", s.dir, "for_the_next_process", kept, "reason", err)
+			slog.Warn("state_not_saved", "dir", s.dir, "for_the_next_process", kept, "reason", err)
 		}
 	}
 	if err != nil {
 		s.giveBack(k)
 	} else if again {
-		slog.Info("state_kept", "dir", s.dir)
+		slog.Info("state_saved", "dir", s.dir)
 	}
 	for _, f := range done {
 		s.loop.Post(f)
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -148,7 +148,7 @@
 // trace logs why a connection without a request ends.
 func (d *downstream) trace(reason string) {
 	if logging.Tracing() {
-		slog.Debug("newcomer_ended", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
+		slog.Debug("idle_client_closed", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
 	}
 }
 
--- a/internal/dataplane/lineproto/probes.go
+++ b/internal/dataplane/lineproto/probes.go
@@ -128,7 +128,7 @@
 	case "NO":
 		if !q.of.denied {
 			q.of.denied = true
-			slog.Warn("probes_denied", "host", q.host.ID)
+			slog.Warn("health_checks_denied", "host", q.host.ID)
 		}
 		q.end(balancer.Error)
 	default:
--- a/internal/dataplane/netio/fence.go
+++ b/internal/dataplane/netio/fence.go
@@ -43,7 +43,7 @@
 // memory for one more watch is asked again.
 func (f *fence) serve() {
 	for {
-		slog.Error("fence_failed", "reason", fmt.Sprint(watchListener(f)))
+		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(f)))
 		time.Sleep(fenceAgain)
 	}
 }
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -94,7 +94,7 @@
 	if len(last) > 0 {
 		words := append(bytes.Clone(p.Rest), last...)
 		if n, err := sendSome(sendmsg, p.FD, words); n < len(words) {
-			slog.Warn("goodbye_lost", "bytes", len(words)-n, "reason", err)
+			slog.Warn("migration_line_lost", "bytes", len(words)-n, "reason", err)
 		}
 	}
 	unix.Close(p.FD)
--- a/internal/dataplane/proxy/allowed.go
+++ b/internal/dataplane/proxy/allowed.go
@@ -31,7 +31,7 @@
 		case over != "" && r.answered:
 		case over != "":
 			if tracing() {
-				slog.Debug("over_limit", "request", r.ask.ID, "account", account, "of", over)
+				slog.Debug("quota_exceeded", "request", r.ask.ID, "account", account, "of", over)
 			}
 			r.refuse(c.advice(advice))
 		case r.answered:
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -18,7 +18,7 @@
 	r.rec.Rejected(r.core.loop.Now())
 	r.core.figures.Ended(r.ask.Class, metrics.Rejected)
 	if tracing() {
-		slog.Debug("refused", "request", r.ask.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
+		slog.Debug("request_rejected", "request", r.ask.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(func() { r.down.Reject(after) })
@@ -33,7 +33,7 @@
 	r.rec.Failed(r.core.loop.Now())
 	r.core.figures.Ended(r.ask.Class, how)
 	if tracing() {
-		slog.Debug("failed", "request", r.ask.ID, "attempts", r.attempts, "state", r.state(), "left_ms", (r.deadline-r.core.loop.Now())/1e6)
+		slog.Debug("request_failed", "request", r.ask.ID, "attempts", r.attempts, "state", r.state(), "left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(r.down.Fail)
 }
@@ -55,7 +55,7 @@
 	if r.answered {
 		return
 	}
-	slog.Error("abandoned", "request", r.ask.ID, "attempts", r.attempts)
+	slog.Error("balancer_unresponsive", "request", r.ask.ID, "attempts", r.attempts)
 	r.fail(metrics.Unanswered)
 	r.gone()
 }
@@ -84,7 +84,7 @@
 	}
 	r.core.counts.Migrated++
 	if tracing() {
-		slog.Debug("moved", "request", r.ask.ID, "host", a.host.id, "status", status.String(), "leaving", r.core.leaving)
+		slog.Debug("client_migrated", "request", r.ask.ID, "host", a.host.id, "status", status.String(), "leaving", r.core.leaving)
 	}
 	r.rec.Released()
 	r.down.Migrate()
@@ -129,7 +129,7 @@
 // DownstreamEnded says that the client has gone, or was cut off.
 func (r *Request) DownstreamEnded(err *netio.Error) {
 	if tracing() {
-		slog.Debug("client_ended", "request", r.ask.ID, "answered", r.answered, "state", r.state(), "reason", err)
+		slog.Debug("downstream_closed", "request", r.ask.ID, "answered", r.answered, "state", r.state(), "reason", err)
 	}
 	if err.Cause == netio.Dropped {
 		r.rec.Dropped() // it was this side that ended it
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -211,6 +211,6 @@
 func (c *Core) InvalidRequest(err error) {
 	c.counts.Invalid++
 	if c.counts.Invalid == 1 {
-		slog.Warn("rejected", "reason", err)
+		slog.Warn("invalid_request", "reason", err)
 	}
 }
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -76,7 +76,19 @@
 	}
 }
 
-func (e *effects) Log(s string) { slog.Info("module", "text", s) }
+// Report logs a fact of the decision module's.
+func (e *effects) Report(event balancer.Event) {
+	switch x := event.(type) {
+	case balancer.HostEjected:
+		slog.Info("host_ejected", "host", x.Host, "reason", "connect_failed", "ejection_ms", x.Ejection/1e6, "consecutive", x.ConsecutiveFailures)
+	case balancer.HostReadmitted:
+		slog.Info("host_readmitted", "host", x.Host)
+	case balancer.LedgerPolled:
+		slog.Info("ledger_polled", "coordinator", x.Coordinator)
+	case balancer.LedgerUnreachable:
+		slog.Info("ledger_unreachable")
+	}
+}
 
 // HealthCheck asks a host how loaded it is. One that takes nothing new, and one that is not known any more, is left alone.
 func (e *effects) HealthCheck(server string) {
@@ -88,7 +100,7 @@
 				h.loaded, h.loadedAt = load[i], c.loop.Now()
 			}
 			if tracing() {
-				slog.Debug("probed", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
+				slog.Debug("health_checked", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
 			}
 			c.tell(nil, e.pool, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, server, status, now-began, load) })
 		}
--- a/internal/dataplane/proxy/expiring.go
+++ b/internal/dataplane/proxy/expiring.go
@@ -42,6 +42,6 @@
 		})
 	}
 	if len(move) > 0 {
-		slog.Info("moved_expiring", "connections", len(move), "standing", len(standing), "first_ends", first.UTC().Format(time.RFC3339))
+		slog.Info("expiring_migrated", "connections", len(move), "standing", len(standing), "first_ends", first.UTC().Format(time.RFC3339))
 	}
 }
--- a/internal/dataplane/proxy/floors.go
+++ b/internal/dataplane/proxy/floors.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		h.state = c.counting(h.listed)
-		slog.Info("floor", "host", id, "out", h.state != balancer.Ready)
+		slog.Info("watermark_applied", "host", id, "out", h.state != balancer.Ready)
 		e := h.entry()
 		c.tell(nil, h.pool, func(now balancer.Time, m Balancer) {
 			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{e})
--- a/internal/dataplane/proxy/leave.go
+++ b/internal/dataplane/proxy/leave.go
@@ -105,7 +105,7 @@
 		if r.answered {
 			continue
 		}
-		slog.Warn("cut_short", "request", r.ask.ID, "attempts", r.attempts, "state", r.state(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
+		slog.Warn("answered_before_kill", "request", r.ask.ID, "attempts", r.attempts, "state", r.state(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
 		s.core.guard(r, func() { r.endNow(s.core.RetryAdvice()) })
 	}
 	s.core.monitor.Close()
@@ -126,7 +126,7 @@
 		r.rec.Dropped() // whoever has had no answer, or no word, gets none any more
 	}
 	broken, held := s.core.monitor.Counts.Sum()
-	slog.Info("left", "open", open, "pending", pending, "connections", s.core.sessions, "handing", s.core.handing, "broken", broken, "held_back", held)
+	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", s.core.sessions, "handing", s.core.handing, "broken", broken, "held_back", held)
 	s.done()
 	s.done = nil
 }
--- a/internal/dataplane/proxy/list.go
+++ b/internal/dataplane/proxy/list.go
@@ -93,7 +93,7 @@
 		h = c.newHost(e.ID)
 	}
 	if tracing() && (h.state != e.State || h.listed.StartedAt != e.StartedAt || h.endpoint == "") {
-		slog.Debug("host", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
+		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
 	}
 	c.suspended.HostListed(e.ID)
 	if h.endpoint == "" || e.StartedAt != h.listed.StartedAt {
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -61,7 +61,7 @@
 		return r
 	}
 	if tracing() {
-		slog.Debug("asked", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Retry, "returned", o.Returned,
+		slog.Debug("request_received", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Retry, "returned", o.Returned,
 			"ms", wait.Milliseconds())
 	}
 	// The module answers by the deadline. Should it not, the client gets its answer all the same.
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -41,7 +41,7 @@
 		slog.Error("pool_failed", "pool", name, "reason", err) // the settings have made one before
 		return nil
 	}
-	slog.Info("pool", "pool", name)
+	slog.Info("pool_created", "pool", name)
 	return p
 }
 
@@ -100,11 +100,11 @@
 		if !used[name] {
 			p.over = true
 			delete(c.pools, name)
-			slog.Info("pool_over", "pool", name)
+			slog.Info("pool_removed", "pool", name)
 		}
 	}
 	if moved > 0 {
-		slog.Info("repooled", "hosts", moved, "pools", len(c.pools))
+		slog.Info("hosts_reassigned", "hosts", moved, "pools", len(c.pools))
 	}
 }
 
--- a/internal/dataplane/proxy/repeat.go
+++ b/internal/dataplane/proxy/repeat.go
@@ -44,7 +44,7 @@
 
 // heldBack logs that a rule stood against an attempt, and tells as what the attempt ends.
 func (r *Request) heldBack(rule invariant.Rule, h *host) balancer.AttemptStatus {
-	slog.Warn("held_back", "rule", rule, "request", r.ask.ID, "host", h.id)
+	slog.Warn("attempt_blocked", "rule", rule, "request", r.ask.ID, "host", h.id)
 	switch rule {
 	case invariant.HostAcceptsNew:
 		return balancer.Full
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -113,7 +113,7 @@
 	r.rec.Began(now, h.place())
 	h.trying[a] = struct{}{}
 	if tracing() {
-		slog.Debug("attempt", "request", r.ask.ID, "number", number, "host", h.id, "left_ms", (r.deadline-now)/1e6)
+		slog.Debug("attempt_started", "request", r.ask.ID, "number", number, "host", h.id, "left_ms", (r.deadline-now)/1e6)
 	}
 	a.timer = c.loop.After(time.Duration(until-now), func() { a.finish(balancer.Timeout, netio.Ended) })
 	a.limitRepeat()
@@ -134,7 +134,7 @@
 	c := r.core
 	h := c.hosts[server]
 	if h == nil {
-		slog.Warn("adopt_failed", "host", server, "reason", "not in the list")
+		slog.Warn("adoption_failed", "host", server, "reason", "not in the list")
 		r.fail(metrics.Failed)
 		return
 	}
@@ -176,7 +176,7 @@
 	elapsed := c.loop.Now() - a.sentAt
 	r.rec.Ended(status.ProvesNotRun())
 	if tracing() {
-		slog.Debug("outcome", "request", r.ask.ID, "number", a.number, "host", a.host.id, "status", status.String(),
+		slog.Debug("attempt_ended", "request", r.ask.ID, "number", a.number, "host", a.host.id, "status", status.String(),
 			"up", a.up, "ms", elapsed/1e6)
 	}
 	if r.adopted && !a.up {
@@ -192,7 +192,7 @@
 			})
 			return
 		}
-		slog.Warn("adopt_failed", "host", a.host.id, "status", int(status))
+		slog.Warn("adoption_failed", "host", a.host.id, "status", int(status))
 		r.fail(metrics.Failed)
 		return
 	}
--- a/internal/dataplane/proxy/rules.go
+++ b/internal/dataplane/proxy/rules.go
@@ -26,7 +26,7 @@
 		if len(v.Pools) > 0 {
 			pool = v.Pools[0]
 		}
-		slog.Debug("ruled", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "refused", v.Refused,
+		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "refused", v.Refused,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
 	v.Advice = c.advice(v.Advice)
--- a/internal/dataplane/proxy/sessions.go
+++ b/internal/dataplane/proxy/sessions.go
@@ -136,7 +136,7 @@
 		a.before, a.load = a.load, max(x, math.SmallestNonzeroFloat64)
 	}
 	if tracing() {
-		slog.Debug("told", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == balancer.ObservedLatency, "value", x)
+		slog.Debug("load_reported", "request", a.req.ask.ID, "host", a.host.id, "delay", kind == balancer.ObservedLatency, "value", x)
 	}
 	c.tell(nil, a.req.pool, func(now balancer.Time, m Balancer) { m.Observe(now, a.req.ask.ID, a.number, kind, x) })
 }
@@ -185,7 +185,7 @@
 		"probed", n.HealthChecks)
 	c.counts = Counts{}
 	if broken, held := c.monitor.Counts.Sum(); broken+held > 0 {
-		slog.Warn("invariants", "broken", broken, "held_back", held)
+		slog.Warn("invariant_counts", "broken", broken, "held_back", held)
 	}
 }
 
--- a/internal/dataplane/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -93,7 +93,7 @@
 	}
 	class, known := c.classes[s.Class]
 	if !known {
-		slog.Warn("resumed_odd", "class", s.Class)
+		slog.Warn("resumed_unknown_class", "class", s.Class)
 	}
 	q.Class = class
 	r := &Request{core: c, down: down, ask: q, pool: h.pool, answered: true, attempts: 1}
--- a/internal/dataplane/proxy/started.go
+++ b/internal/dataplane/proxy/started.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if at > now {
-		slog.Debug("start_to_come", "ms", (at-now)/1e6)
+		slog.Debug("host_start_in_future", "ms", (at-now)/1e6)
 		return now
 	}
 	return at
--- a/internal/dataplane/proxy/suspend.go
+++ b/internal/dataplane/proxy/suspend.go
@@ -46,7 +46,7 @@
 	if !c.suspended.Set(id, out, now) {
 		return
 	}
-	slog.Info("by_hand", "host", id, "out", out)
+	slog.Info("host_suspended", "host", id, "out", out)
 	if c.suspended.Suspended(id) != was {
 		c.treat(id, out, ban)
 	}
@@ -60,7 +60,7 @@
 	}
 	for _, id := range c.suspended.SetFleet(ids, c.loop.Now()) {
 		out := c.suspended.Suspended(id)
-		slog.Info("by_hand", "host", id, "out", out, "fleet", true)
+		slog.Info("host_suspended", "host", id, "out", out, "fleet", true)
 		c.treat(id, out, bans[id])
 	}
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -32,7 +32,7 @@
 	case Failed:
 		a.finish(balancer.Error, netio.Ended)
 	default:
-		slog.Warn("odd_answer", "host", a.host.id, "request", r.ask.ID, "text", string(m.Text))
+		slog.Warn("unexpected_answer", "host", a.host.id, "request", r.ask.ID, "text", string(m.Text))
 		a.finish(balancer.Error, netio.Ended)
 	}
 	return true
@@ -60,7 +60,7 @@
 	r.down.Accept(m)
 	elapsed := c.loop.Now() - a.sentAt
 	if tracing() {
-		slog.Debug("stands", "request", r.ask.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
+		slog.Debug("request_established", "request", r.ask.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
 			"ms", elapsed/1e6)
 	}
 	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
@@ -124,7 +124,7 @@
 		a.req.core.counts.Lost++
 	}
 	if tracing() {
-		slog.Debug("host_ended", "request", a.req.ask.ID, "host", a.host.id, "status", status.String(), "reason", err)
+		slog.Debug("upstream_closed", "request", a.req.ask.ID, "host", a.host.id, "status", status.String(), "reason", err)
 	}
 	a.req.rec.Released()
 	a.req.down.End(err.Cause)
--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -88,7 +88,7 @@
 		if c.phase = NotMember; in {
 			c.phase = Member
 		}
-		c.fx.LogEvent("group_phase", "phase", c.phase.String())
+		c.fx.LogEvent("replica_phase", "phase", c.phase.String())
 	}
 }
 
--- a/internal/fleet/consensus/receive.go
+++ b/internal/fleet/consensus/receive.go
@@ -85,7 +85,7 @@
 		return
 	}
 	c.phase, c.why, c.failure, c.node = Broken, err.Error(), err, nil
-	c.fx.LogEvent("group_broken", "reason", c.why)
+	c.fx.LogEvent("replica_broken", "reason", c.why)
 }
 
 // check stops this voter where its store failed.
@@ -153,11 +153,11 @@
 	if st.RaftState == raft.StateLeader {
 		if c.leadsTerm != st.Term {
 			c.leadsTerm, c.changing = st.Term, false
-			c.fx.LogEvent("group_leads", "term", st.Term)
+			c.fx.LogEvent("leader_elected", "term", st.Term)
 		}
 	} else if c.leadsTerm != 0 {
 		c.leadsTerm = 0
-		c.fx.LogEvent("group_follows", "term", st.Term)
+		c.fx.LogEvent("leader_lost", "term", st.Term)
 	}
 }
 
--- a/internal/fleet/consensus/start.go
+++ b/internal/fleet/consensus/start.go
@@ -51,7 +51,7 @@
 	}
 	if c.who.Stale {
 		c.phase, c.why = Stale, staleWhy
-		fx.LogEvent("group_stale", "reason", c.why)
+		fx.LogEvent("replica_stale", "reason", c.why)
 		return c, nil
 	}
 	if c.who.ID != 0 {
@@ -104,7 +104,7 @@
 		nonce := c.rng.Uint32() | 1
 		c.who = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
 		if c.check(c.store.SaveIdentity(c.who)) {
-			c.fx.LogEvent("group_outside", "reason", "there is a group already, and this process is not of it, or lost its store: it waits to be added")
+			c.fx.LogEvent("replica_not_member", "reason", "there is a group already, and this process is not of it, or lost its store: it waits to be added")
 			c.begin()
 		}
 	case len(c.answers) == len(others):
@@ -127,7 +127,7 @@
 	}
 	c.saved.Snap, c.saved.Hard = snap, hard
 	c.applied, c.snapAt, c.termAt = 1, 1, 1
-	c.fx.LogEvent("group_begun", "voters", len(c.conf.Voters))
+	c.fx.LogEvent("group_bootstrapped", "voters", len(c.conf.Voters))
 	clear(c.answers)
 	c.began = c.now
 	if c.hello(); len(c.others()) == 0 {
@@ -173,5 +173,5 @@
 		return
 	}
 	c.phase, c.why = Stale, staleWhy
-	c.fx.LogEvent("group_stale", "reason", c.why, "by", fmt.Sprintf("%08x", from))
+	c.fx.LogEvent("replica_stale", "reason", c.why, "by", fmt.Sprintf("%08x", from))
 }
--- a/internal/fleet/memberagent/members.go
+++ b/internal/fleet/memberagent/members.go
@@ -176,14 +176,14 @@
 	if s.seal != nil {
 		if data, err = s.seal.Open(data); err != nil {
 			if s.bad++; s.bad == 1 {
-				slog.Warn("membership_refused", "peer", from, "reason", err)
+				slog.Warn("membership_datagram_rejected", "peer", from, "reason", err)
 			}
 			return
 		}
 	}
 	if err := take(data); err != nil {
 		if s.odd++; s.odd == 1 {
-			slog.Warn("membership_refused", "peer", from, "reason", err)
+			slog.Warn("membership_datagram_rejected", "peer", from, "reason", err)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 
 // Changed is the core's.
 func (s *Agent) Changed(c membership.Change) {
-	slog.Info("member", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.From, "to", c.To, "life", c.Incarnation.Start(), "version", c.Version, "reason", c.Reason)
+	slog.Info("member_changed", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.From, "to", c.To, "life", c.Incarnation.Start(), "version", c.Version, "reason", c.Reason)
 }
 
 // Leave tells the others that this process ends in order, and ends.
--- a/internal/fleet/owneragent/owners.go
+++ b/internal/fleet/owneragent/owners.go
@@ -215,7 +215,7 @@
 	if s.broken != "" && !s.again.IsZero() && time.Now().After(s.again) {
 		s.again = time.Time{}
 		if s.open(); s.broken == "" {
-			slog.Info("store_again", "dir", s.o.Dir)
+			slog.Info("store_reopened", "dir", s.o.Dir)
 		}
 	}
 	s.core.SetAble(s.broken == "")
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -37,7 +37,7 @@
 	s.ruled = &rules.Member{AgreeWithin: within, MaxEntries: r.Most, Enforcer: s.gate,
 		SendQuery: func(tag uint64, body []byte) { s.askAs("rules", s.ruleTags, tag, body) },
 		VersionChanged: func(n uint64, h rules.Hash) {
-			slog.Info("rules", "version", n, "hash", hex.EncodeToString(h[:4]))
+			slog.Info("rules_activated", "version", n, "hash", hex.EncodeToString(h[:4]))
 			if s.swapped != nil {
 				s.swapped()
 			}
--- a/internal/fleet/owneragent/sides.go
+++ b/internal/fleet/owneragent/sides.go
@@ -34,7 +34,7 @@
 	}
 	if err != nil {
 		if s.counts.Malformed++; s.counts.Malformed == 1 {
-			slog.Warn("owners_refused", "peer", fmt.Sprintf("%08x", peer), "reason", err)
+			slog.Warn("owner_message_rejected", "peer", fmt.Sprintf("%08x", peer), "reason", err)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 
 func (s *Agent) send(to uint32, whom byte, msg []byte) {
 	if err := s.box.Send(s.now(), to, append([]byte{whom}, msg...)); err != nil {
-		slog.Error("owners_message", "bytes", len(msg), "reason", err)
+		slog.Error("owner_message_too_long", "bytes", len(msg), "reason", err)
 	}
 }
 
@@ -86,13 +86,13 @@
 		return err
 	}
 	s.owned[job] = token
-	slog.Info("owns", "job", job, "token", token)
+	slog.Info("job_acquired", "job", job, "token", token)
 	return nil
 }
 
 func (c coreSide) Stop(job string, token uint64, why string) (number uint64, left []byte) {
 	delete(c.s.owned, job)
-	slog.Info("owns_no_more", "job", job, "token", token, "reason", why)
+	slog.Info("job_released", "job", job, "token", token, "reason", why)
 	c.s.guard(job, 0, func(j jobs.Job) { number, left = j.Stop() })
 	return number, left
 }
@@ -104,7 +104,7 @@
 
 func (c coreSide) EffectAcknowledged(peer uint32, job string, m ownership.FencingToken, v ownership.Verdict, highest ownership.FencingToken) {
 	if v == ownership.Stale {
-		slog.Warn("late_owner", "job", job, "token", m.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
+		slog.Warn("stale_owner", "job", job, "token", m.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
 	}
 	if token, owns := c.s.owned[job]; owns {
 		c.s.guard(job, token, func(j jobs.Job) { j.EffectAcknowledged(c.s.now(), peer, m, v) })
--- a/internal/fleet/owneragent/voter.go
+++ b/internal/fleet/owneragent/voter.go
@@ -88,7 +88,7 @@
 	}
 	if err.InUse {
 		s.again = time.Now().Add(inUseWait) // by the process that this one replaces
-		slog.Info("store_waits", "reason", err)
+		slog.Info("store_retry_pending", "reason", err)
 		return
 	}
 	slog.Error("store_failed", "reason", err, "needs_kb", s.o.MostKB, "tried_again", byItself)
--- a/internal/fleet/ownership/jobs.go
+++ b/internal/fleet/ownership/jobs.go
@@ -74,7 +74,7 @@
 	offered := map[string]bool{}
 	for _, s := range c.there() {
 		if c.now >= c.over(s.keptAt) {
-			c.fx.LogEvent("session_over", "member", s.name)
+			c.fx.LogEvent("session_expired", "member", s.name)
 			delete(c.sessions, s.who)
 			continue
 		}
--- a/internal/fleet/ownership/lead.go
+++ b/internal/fleet/ownership/lead.go
@@ -28,7 +28,7 @@
 		for _, row := range c.table.Jobs() {
 			c.since[row.Job] = c.now
 		}
-		c.fx.LogEvent("coordinates", "epoch", epoch)
+		c.fx.LogEvent("coordinator_elected", "epoch", epoch)
 	}
 	for tag, p := range c.waits {
 		if c.now >= p.until {
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -157,7 +157,7 @@
 		q.nextTry = q.now + q.some()
 	}
 	if q.leads != 0 && q.now >= q.lease {
-		q.fx.LogEvent("quorum_lost", "epoch", q.leads)
+		q.fx.LogEvent("quorum_leader_lost", "epoch", q.leads)
 		q.follow()
 		q.nextTry = q.now + q.some()
 	}
--- a/internal/fleet/ownership/quorumreceive.go
+++ b/internal/fleet/ownership/quorumreceive.go
@@ -194,7 +194,7 @@
 		q.leads, q.ballot, q.trying = b, b, 0
 		q.state = at{b, 0}
 		q.lease, q.done, q.log, q.acked = until, 0, nil, map[uint32]uint64{q.me: 0}
-		q.fx.LogEvent("quorum_leads", "epoch", b, "sure", q.sure)
+		q.fx.LogEvent("quorum_leader_elected", "epoch", b, "sure", q.sure)
 		for _, k := range q.kinds {
 			if m, may := q.machines[k].(uncertainMachine); may && !q.sure {
 				m.MarkUncertain()
--- a/internal/fleet/ownership/receive.go
+++ b/internal/fleet/ownership/receive.go
@@ -93,7 +93,7 @@
 		case Accepted:
 			c.fx.Effect(job, m, body)
 		case Stale:
-			c.fx.LogEvent("effect_refused", "job", job, "token", m.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
+			c.fx.LogEvent("stale_effect_rejected", "job", job, "token", m.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
 		}
 		var w encoding.Writer
 		c.send(from, w.Uint(msgAck).Text(job).Uint(m.Token).Uint(m.Sequence).Uint(uint64(v)).Uint(highest.Token).Uint(highest.Sequence).Data)
--- a/internal/fleet/ownership/simulation/side.go
+++ b/internal/fleet/ownership/simulation/side.go
@@ -28,10 +28,10 @@
 }
 
 func (s groupSide) LogEvent(event string, args ...any) {
-	if event == "group_leads" || event == "quorum_leads" {
+	if event == "leader_elected" || event == "quorum_leader_elected" {
 		s.r.Leads++
 	}
-	if event == "quorum_leads" && args[3] == false {
+	if event == "quorum_leader_elected" && args[3] == false {
 		// It says itself that what was kept may be gone.
 		clear(s.r.acked)
 		s.r.Unsure++
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -89,7 +89,7 @@
 // TellTo sends a datagram to an address.
 func (k *Link) TellTo(to netip.AddrPort, data []byte) {
 	if len(data) == 0 || len(data) > Longest {
-		slog.Error("peer_message", "bytes", len(data), "most", Longest)
+		slog.Error("peer_message_invalid", "bytes", len(data), "most", Longest)
 		return
 	}
 	k.send(to, data)
@@ -182,14 +182,14 @@
 // SendToPeer sends a message to a peer, or to all with a number under 0. It may be lost, and nobody hears of that.
 func (k *Link) SendToPeer(peer int, data []byte) {
 	if len(data) == 0 || len(data) > Longest {
-		slog.Error("peer_message", "bytes", len(data), "most", Longest)
+		slog.Error("peer_message_invalid", "bytes", len(data), "most", Longest)
 		return
 	}
 	switch {
 	case peer >= 0 && peer < len(k.to):
 		k.send(k.to[peer], data)
 	case peer >= 0:
-		slog.Error("peer_message", "peer", peer, "peers", len(k.to))
+		slog.Error("peer_message_invalid", "peer", peer, "peers", len(k.to))
 	case k.all.IsValid():
 		k.send(k.all, data)
 	default:
--- a/internal/operations/admin/front.go
+++ b/internal/operations/admin/front.go
@@ -188,7 +188,7 @@
 		body = []byte(http.StatusText(status) + "\n")
 	}
 	if status >= 400 {
-		slog.Debug("call_refused", "status", status)
+		slog.Debug("admin_call_rejected", "status", status)
 	}
 	out := []byte("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) +
 		"\r\nContent-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n")
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -14,10 +14,10 @@
 func TestText(t *testing.T) {
 	var b bytes.Buffer
 	h := New(&b, Options{Format: "text", Level: "info"})
-	r := slog.NewRecord(time.Unix(1e9, 5000).UTC(), slog.LevelWarn, "odd_answer", 0)
+	r := slog.NewRecord(time.Unix(1e9, 5000).UTC(), slog.LevelWarn, "unexpected_answer", 0)
 	r.Add("host", "s-1", "reason", errors.New("a \"b\"\n"), "n", 3, "empty", "", slog.Group("in", "x", 1))
 	h.WithAttrs([]slog.Attr{slog.String("name", "n0")}).Handle(context.Background(), r)
-	want := `2001/09/09 01:46:40.000005 event=odd_answer name=n0 host=s-1 reason="a \"b\"\n" n=3 empty="" in.x=1 level=warn` + "\n"
+	want := `2001/09/09 01:46:40.000005 event=unexpected_answer name=n0 host=s-1 reason="a \"b\"\n" n=3 empty="" in.x=1 level=warn` + "\n"
 	if b.String() != want {
 		t.Errorf("got %s", b.String())
 	}
--- a/internal/testbed/experiment/agreement.go
+++ b/internal/testbed/experiment/agreement.go
@@ -27,7 +27,7 @@
 	var acts []act
 	first := map[int]time.Time{}
 	for _, p := range all {
-		for _, l := range p.Log("event=ruled") {
+		for _, l := range p.Log("event=rules_applied") {
 			if field(l, "lapsed") == "true" {
 				a.lapsed++
 				continue
--- a/internal/testbed/experiment/owner.go
+++ b/internal/testbed/experiment/owner.go
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	out := map[string]time.Duration{}
 	for _, p := range r.all {
-		for _, l := range p.Log("event=owns ") {
+		for _, l := range p.Log("event=job_acquired ") {
 			if at, job := logTime(l), field(l, "job"); at.After(since) && slices.Contains(jobs, job) {
 				if g, seen := out[job]; !seen || at.Sub(since) < g {
 					out[job] = at.Sub(since)
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -133,7 +133,7 @@
 
 // since are the times at which a process began a job after one.
 func (r *Rig) since(i int, job string, at time.Time) (out []time.Time) {
-	for _, l := range r.Procs[i].Log("event=owns ") {
+	for _, l := range r.Procs[i].Log("event=job_acquired ") {
 		if t := logTime(l); field(l, "job") == job && !t.Before(at.Truncate(time.Millisecond)) {
 			out = append(out, t)
 		}
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -71,7 +71,7 @@
 		if _, err := r.AllOwned(jobs); err != nil {
 			return nil, err
 		}
-		for _, l := range old.Log("event=owns_no_more ") {
+		for _, l := range old.Log("event=job_released ") {
 			gone, job := logTime(l), field(l, "job")
 			if gone.Before(began) {
 				continue
@@ -79,7 +79,7 @@
 			next := time.Duration(-1)
 			r.mu.Lock()
 			for _, p := range r.all {
-				for _, b := range p.Log("event=owns ") {
+				for _, b := range p.Log("event=job_acquired ") {
 					if d := logTime(b).Sub(gone); field(b, "job") == job && d >= 0 && (next < 0 || d < next) {
 						next = d
 					}
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -30,7 +30,7 @@
 			}
 			top[job] = max(top[job], token)
 		}
-		refused += len(p.Log("event=effect_refused "))
+		refused += len(p.Log("event=stale_effect_rejected "))
 	}
 	return late, refused
 }
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -203,7 +203,7 @@
 	defer r.mu.Unlock()
 	by := map[string]string{}
 	for life, p := range r.all {
-		for _, l := range p.Log("event=owns ") {
+		for _, l := range p.Log("event=job_acquired ") {
 			key := field(l, "job") + " " + field(l, "token")
 			me := fmt.Sprintf("life %d, at %s", life, p.Addr)
 			if o, taken := by[key]; taken && o != me {
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -79,14 +79,14 @@
 		case "ready":
 			w.Started++
 			standing[e.Proxy] = map[string]open{} // a new process holds nothing
-		case "asked":
+		case "request_received":
 			w.Asked++
 			f.Asked++
 			group[request] = v["group"]
 			if v["returned"] == "true" || v["repeat"] == "true" {
 				w.Returned++
 			}
-		case "attempt":
+		case "attempt_started":
 			if _, placed := group[request]; !placed {
 				continue // back to the server that held it before the start: nobody chose that
 			}
@@ -98,24 +98,24 @@
 				h.ColdSent++
 				cold[h.Name] = append(cold[h.Name], e.At)
 			}
-		case "stands":
+		case "request_established":
 			w.Stood++
 			if standing[e.Proxy] == nil {
 				standing[e.Proxy] = map[string]open{}
 			}
 			standing[e.Proxy][request] = open{v["host"], group[request]}
-		case "outcome":
+		case "attempt_ended":
 			delete(standing[e.Proxy], request)
 			if v["up"] != "true" {
 				w.Bad[v["status"]]++
 			} else if v["status"] == "reset" {
 				w.Lost++
 			}
-		case "refused":
+		case "request_rejected":
 			w.Refused++
 		case "discovery_failed":
 			w.DiscoveryFailed++
-		case "host":
+		case "host_updated":
 			w.Listed++
 			h := host(v["host"])
 			h.Zone = v["zone"]
@@ -123,7 +123,7 @@
 			if ms, err := strconv.ParseInt(v["since_ms"], 10, 64); err == nil && ms > 0 {
 				h.Since = time.UnixMilli(ms).UTC()
 			}
-		case "told":
+		case "load_reported":
 			if x, err := strconv.ParseFloat(v["value"], 64); err == nil && v["delay"] == "true" {
 				h := host(v["host"])
 				h.SlowestMS = max(h.SlowestMS, x)
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -122,7 +122,7 @@
 			value, rest, _ = strings.Cut(value, " ")
 		}
 		if key == "event" {
-			e.Name = value
+			e.Name = currentName(value)
 		} else {
 			e.Field[key] = value
 		}
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -42,12 +42,12 @@
 			say("told", "request", "q"+p, "host", "s1", "delay", true, "value", 250.5)
 			say("told", "request", "q"+p, "host", "s1", "delay", false, "value", 99999.0)
 			say("refused", "request", "other")
-		}, "0.1 2026/12/01 10:00:00.000000 event=attempt request=torn host=s")
+		}, "0.1 2026/12/01 10:00:00.000000 event=attempt_started request=torn host=s")
 	}
 	// What another program wrote, an odd line and an endless one are skipped; a word before the date is not ours to mind.
-	odd := "a stranger's line\n2026/12/01 10:00 event=asked\nx event=y\n" +
-		time.Now().UTC().Format("12.5 2006/01/02 15:04:05.000000") + " event=refused request=\"a b\" after_ms=3\n" +
-		time.Now().UTC().Format("2006/01/02 15:04:05.000000") + " event=attempt host=\"torn\n" +
+	odd := "a stranger's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
+		time.Now().UTC().Format("12.5 2006/01/02 15:04:05.000000") + " event=request_rejected request=\"a b\" after_ms=3\n" +
+		time.Now().UTC().Format("2006/01/02 15:04:05.000000") + " event=attempt_started host=\"torn\n" +
 		string(bytes.Repeat([]byte("z"), 3*longest)) + "\n"
 	if err := os.WriteFile(filepath.Join(dir, "n2.log"), []byte(odd), 0o600); err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(`2026/12/01 10:00:00.000000 event=asked request=q group=g text="a \"b\" c" level=debug`)
+	f.Add(`2026/12/01 10:00:00.000000 event=request_received request=q group=g text="a \"b\" c" level=debug`)
 	f.Add(`1.5 2026/12/01 10:00:00.000000 event=x`)
 	f.Add(" event=")
 	f.Fuzz(func(t *testing.T, line string) {
@@ -132,21 +132,21 @@
 		l.Events = append(l.Events, e)
 	}
 	for _, h := range []string{"a", "b", "c"} {
-		say(0, "host", "host", h, "weight", "1", "state", "0")
+		say(0, "host_updated", "host", h, "weight", "1", "state", "0")
 	}
 	for _, r := range []string{"1", "2", "3", "4"} {
-		say(0.1, "asked", "request", r)
-		say(1.1, "stands", "request", r, "host", map[bool]string{true: "a", false: "b"}[r != "4"])
-	}
-	say(5.1, "told", "request", "1", "host", "a", "delay", "true", "value", "400")
-	say(5.1, "told", "request", "4", "host", "b", "delay", "true", "value", "400")
-	say(5.2, "told", "request", "4", "host", "c", "delay", "true", "value", "100")
-	say(8.1, "outcome", "request", "1", "host", "a", "status", "reset", "up", "true")
-	say(8.1, "outcome", "request", "2", "host", "a", "status", "cancelled", "up", "true")
-	say(8.1, "outcome", "request", "3", "host", "a", "status", "ok", "up", "true")
-	say(10.1, "asked", "request", "1")
-	say(10.1, "refused", "request", "1")
-	say(60.1, "outcome", "request", "4", "host", "b", "status", "ok", "up", "true")
+		say(0.1, "request_received", "request", r)
+		say(1.1, "request_established", "request", r, "host", map[bool]string{true: "a", false: "b"}[r != "4"])
+	}
+	say(5.1, "load_reported", "request", "1", "host", "a", "delay", "true", "value", "400")
+	say(5.1, "load_reported", "request", "4", "host", "b", "delay", "true", "value", "400")
+	say(5.2, "load_reported", "request", "4", "host", "c", "delay", "true", "value", "100")
+	say(8.1, "attempt_ended", "request", "1", "host", "a", "status", "reset", "up", "true")
+	say(8.1, "attempt_ended", "request", "2", "host", "a", "status", "cancelled", "up", "true")
+	say(8.1, "attempt_ended", "request", "3", "host", "a", "status", "ok", "up", "true")
+	say(10.1, "request_received", "request", "1")
+	say(10.1, "request_rejected", "request", "1")
+	say(60.1, "attempt_ended", "request", "4", "host", "b", "status", "ok", "up", "true")
 	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].At.Before(l.Events[j].At) })
 	got := Lose(&l, 250*time.Millisecond)
 	for _, c := range []struct {
@@ -162,3 +162,16 @@
 		t.Errorf("%+v", got)
 	}
 }
+
+// TestEarlierNames: logs of earlier versions are read by the names that events have now.
+func TestEarlierNames(t *testing.T) {
+	for line, want := range map[string]string{
+		"2026/01/02 03:04:05.000006 event=asked request=q":            "request_received",
+		"2026/01/02 03:04:05.000006 event=request_received request=q": "request_received",
+		"2026/01/02 03:04:05.000006 event=counts open=1":              "counts",
+	} {
+		if e, ok := parse(line); !ok || e.Name != want {
+			t.Errorf("%s is read as %q, %t", line, e.Name, ok)
+		}
+	}
+}
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -128,21 +128,21 @@
 		}
 		id, v := e.Field["request"], e.Field
 		switch e.Name {
-		case "host":
+		case "host_updated":
 			host(v["host"])
 			if w, err := strconv.ParseFloat(v["weight"], 64); err == nil && v["state"] == "0" {
 				weight[v["host"]] = w
 			} else {
 				weight[v["host"]] = 0 // it takes nothing new, and what it held is to go elsewhere
 			}
-		case "asked":
+		case "request_received":
 			be(id, "waiting", "", e.At)
-		case "stands":
+		case "request_established":
 			host(v["host"])
 			be(id, "up", v["host"], e.At)
-		case "refused":
+		case "request_rejected":
 			be(id, "refused", "", e.At)
-		case "outcome":
+		case "attempt_ended":
 			if v["up"] != "true" {
 				continue
 			}
@@ -155,7 +155,7 @@
 			default:
 				be(id, "moved", "", e.At)
 			}
-		case "told":
+		case "load_reported":
 			if x, err := strconv.ParseFloat(v["value"], 64); err == nil && v["delay"] == "true" && x >= float64(aim.Milliseconds()) {
 				slowTill[v["host"]] = e.At.Add(newsFor)
 			}
--- a/internal/testbed/simulator/write.go
+++ b/internal/testbed/simulator/write.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/base64"
 	"encoding/json"
+	"fmt"
 	"strconv"
 
 	"croftlock/internal/balancer"
@@ -111,4 +112,21 @@
 	f.action("Defer").number("after", delay).text("ref", token).end()
 }
 
-func (f *effects) Log(text string) { f.action("Print").text("message", text).end() }
+func (f *effects) Report(e balancer.Event) {
+	f.action("Print").text("message", eventText(e)).end()
+}
+
+// eventText is the sentence that an event is on the simulator's wire.
+func eventText(e balancer.Event) string {
+	switch e := e.(type) {
+	case balancer.HostEjected:
+		return fmt.Sprintf("server %s fails to connect, quarantined for %d ms", e.Host, e.Ejection/1e6)
+	case balancer.HostReadmitted:
+		return "server " + e.Host + " accepts again, back in the pool"
+	case balancer.LedgerPolled:
+		return fmt.Sprintf("the book of balancer %d is asked", e.Coordinator)
+	case balancer.LedgerUnreachable:
+		return "no book answers, on its own"
+	}
+	return fmt.Sprintf("%T", e)
+}
