--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -51,7 +51,7 @@
 			f[m[1]] = m[2]
 		}
 		switch {
-		case f["event"] == "ruled":
+		case f["event"] == "rules_applied":
 			account[f["request"]], version[f["request"]] = f["account"], f["version"]
 		case f["event"] == "attempt_started":
 			at := loggedAt(t, l)
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -46,7 +46,7 @@
 		return len(out) == 4
 	}); !ok {
 		for i, p := range r.Procs {
-			t.Logf("n%d: %s", i, strings.Join(p.Log("group_"), "\n"))
+			t.Logf("n%d: %s", i, strings.Join(p.Log("event=replica_"), "\n"))
 		}
 		t.Fatalf("after %s the owners are %v; %s", after, out, last)
 	}
