--- a/internal/testbed/experiment/opssite.go
+++ b/internal/testbed/experiment/opssite.go
@@ -18,6 +18,7 @@
 	setup Setup
 	now   *Process
 	admin string
+	begun int // processes that were started
 	crowd *crowd
 	fresh *tally
 	loads sync.WaitGroup
@@ -61,6 +62,10 @@
 	}
 	with := s.setup
 	with.Admin = admin
+	s.begun++
+	if s.Earlier != "" && s.begun%2 == 0 {
+		with.Program = s.Earlier
+	}
 	p, err := s.Proxy(with)
 	return p, admin, err
 }
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -19,6 +19,7 @@
 // Env is what an experiment runs with.
 type Env struct {
 	Croftlock string // path of the program
+	Earlier   string // path of an earlier build: replacements alternate between the two; "": all are of the program
 	Self      string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
 	Dir       string // of its own, for files; removed afterwards
 	Say       func(format string, args ...any)
