--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -31,7 +31,7 @@
 			if err := printFleet(cmd.OutOrStdout(), l, fleetlog.Count(l, window, warm, fall)); err != nil {
 				return err
 			}
-			return printLoss(cmd.OutOrStdout(), fleetlog.Lose(l, aim))
+			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(l, aim))
 		}}
 	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a stretch")
 	c.Flags().DurationVar(&warm, "warm", 23*time.Second, "how long a server counts as cold after its start")
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -8,146 +8,216 @@
 
 // Window is what all proxies did in one stretch of time.
 type Window struct {
-	From                                  time.Duration // since the first event
-	Asked, Returned, Sent, Stood, Refused int
-	Bad                                   map[string]int // attempts that did not stand, by outcome
-	Lost                                  int            // standing connections that broke
-	Open, Places                          int            // at its end; places are pairs of server and group
-	Started, DiscoveryFailed, Listed      int
+	From            time.Duration  // since the first event
+	Asked           int            // requests that came
+	Returned        int            // of them, from clients that came again
+	Sent            int            // attempts that the decision module placed
+	Stood           int            // connections that were established
+	Refused         int            // requests rejected
+	Bad             map[string]int // attempts that were not established, by status
+	Lost            int            // established connections that broke
+	Open            int            // established connections at its end
+	Places          int            // at its end, pairs of host and group
+	Started         int            // processes that became ready
+	DiscoveryFailed int
+	Listed          int // hosts that changed in some proxy's list
 }
 
-// Host is what all proxies together did with one server.
+// Host is what all proxies together did with one host.
 type Host struct {
 	Name, Zone string
 	Weight     float64
 	Since      time.Time // its latest start; zero: long ago
-	Sent       int
-	ColdSent   int // within the warm-up that the caller states
-	ColdPeak   int // most of those in any window
-	Open       int
-	SlowestMS  float64
+	Sent       int       // attempts
+	ColdSent   int       // attempts within the warm-up that the caller states
+	ColdPeak   int       // most of those in any stretch of the length that the caller states
+	Open       int       // established connections at the end
+	SlowestMS  float64   // longest message delay reported, milliseconds
 }
 
 // Fleet is the whole count.
 type Fleet struct {
 	Began   time.Time
 	Windows []*Window
-	Hosts   []*Host
+	Hosts   []*Host // by name
 	Asked   int
 	Sent    int
 }
 
-// Count goes through a log in windows of the given length. A server is cold for warm after its start, and its peak is
-// taken over fall.
-func Count(l *Log, window, warm, fall time.Duration) *Fleet {
-	f := &Fleet{Began: l.Events[0].At}
-	hosts, cold := map[string]*Host{}, map[string][]time.Time{}
-	host := func(name string) *Host {
-		h := hosts[name]
-		if h == nil {
-			h = &Host{Name: name}
-			hosts[name] = h
-		}
-		return h
+// connection is where an established connection stands.
+type connection struct{ host, group string }
+
+// counter goes through the events of all proxies.
+type counter struct {
+	fleet        *Fleet
+	window       *Window
+	windowLength time.Duration
+	warmUp       time.Duration
+	hosts        map[string]*Host
+	coldSentAt   map[string][]time.Time           // by host
+	established  map[string]map[string]connection // by proxy and request
+	groupOf      map[string]string                // of each request that came
+	peakOver     time.Duration
+}
+
+// Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
+// any stretch of peakOver.
+func Count(l *Log, window, warmUp, peakOver time.Duration) *Fleet {
+	c := &counter{fleet: &Fleet{Began: l.Events[0].At}, windowLength: window, warmUp: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
+		coldSentAt: map[string][]time.Time{}, established: map[string]map[string]connection{}, groupOf: map[string]string{}}
+	for _, e := range l.Events {
+		c.advance(e.At)
+		c.take(e)
 	}
-	type open struct{ host, group string }
-	standing, group := map[string]map[string]open{}, map[string]string{}
-	places := func() (n, p int) {
-		seen := map[open]bool{}
-		for _, of := range standing {
-			for _, o := range of {
-				n++
-				seen[o] = true
-			}
+	c.closeWindow()
+	c.finishHosts()
+	return c.fleet
+}
+
+func (c *counter) host(name string) *Host {
+	h := c.hosts[name]
+	if h == nil {
+		h = &Host{Name: name}
+		c.hosts[name] = h
+	}
+	return h
+}
+
+// advance begins the windows up to the one that holds a time.
+func (c *counter) advance(to time.Time) {
+	passed := to.Sub(c.fleet.Began)
+	for c.window == nil || passed >= c.window.From+c.windowLength {
+		from := time.Duration(0)
+		if c.window != nil {
+			from = c.window.From + c.windowLength
+			c.closeWindow()
 		}
-		return n, len(seen)
+		c.window = &Window{From: from, Bad: map[string]int{}}
+		c.fleet.Windows = append(c.fleet.Windows, c.window)
 	}
-	var w *Window
-	for _, e := range l.Events {
-		passed := e.At.Sub(f.Began)
-		for w == nil || passed >= w.From+window {
-			from := time.Duration(0)
-			if w != nil {
-				from = w.From + window
-				w.Open, w.Places = places()
-			}
-			w = &Window{From: from, Bad: map[string]int{}}
-			f.Windows = append(f.Windows, w)
+}
+
+// closeWindow counts what is established at the window's end.
+func (c *counter) closeWindow() {
+	places := map[connection]bool{}
+	for _, ofProxy := range c.established {
+		for _, at := range ofProxy {
+			c.window.Open++
+			places[at] = true
 		}
-		request, v := e.Field["request"], e.Field
-		switch e.Name {
-		case "ready":
-			w.Started++
-			standing[e.Proxy] = map[string]open{} // a new process holds nothing
-		case "request_received":
-			w.Asked++
-			f.Asked++
-			group[request] = v["group"]
-			if v["returned"] == "true" || v["repeat"] == "true" {
-				w.Returned++
-			}
-		case "attempt_started":
-			if _, placed := group[request]; !placed {
-				continue // back to the server that held it before the start: nobody chose that
-			}
-			w.Sent++
-			f.Sent++
-			h := host(v["host"])
-			h.Sent++
-			if !h.Since.IsZero() && e.At.Sub(h.Since) < warm {
-				h.ColdSent++
-				cold[h.Name] = append(cold[h.Name], e.At)
-			}
-		case "request_established":
-			w.Stood++
-			if standing[e.Proxy] == nil {
-				standing[e.Proxy] = map[string]open{}
-			}
-			standing[e.Proxy][request] = open{v["host"], group[request]}
-		case "attempt_ended":
-			delete(standing[e.Proxy], request)
-			if v["up"] != "true" {
-				w.Bad[v["status"]]++
-			} else if v["status"] == "reset" {
-				w.Lost++
-			}
-		case "request_rejected":
-			w.Refused++
-		case "discovery_failed":
-			w.DiscoveryFailed++
-		case "host_updated":
-			w.Listed++
-			h := host(v["host"])
-			h.Zone = v["zone"]
-			h.Weight, _ = strconv.ParseFloat(v["weight"], 64)
-			if ms, err := strconv.ParseInt(v["since_ms"], 10, 64); err == nil && ms > 0 {
-				h.Since = time.UnixMilli(ms).UTC()
-			}
-		case "load_reported":
-			if x, err := strconv.ParseFloat(v["value"], 64); err == nil && v["delay"] == "true" {
-				h := host(v["host"])
-				h.SlowestMS = max(h.SlowestMS, x)
-			}
+	}
+	c.window.Places = len(places)
+}
+
+// take counts one event.
+func (c *counter) take(e Event) {
+	switch e.Name {
+	case "ready":
+		c.window.Started++
+		c.established[e.Proxy] = map[string]connection{} // a new process holds nothing
+	case "request_received":
+		c.requestReceived(e)
+	case "attempt_started":
+		c.attemptStarted(e)
+	case "request_established":
+		c.requestEstablished(e)
+	case "attempt_ended":
+		c.attemptEnded(e)
+	case "request_rejected":
+		c.window.Refused++
+	case "discovery_failed":
+		c.window.DiscoveryFailed++
+	case "host_updated":
+		c.hostUpdated(e)
+	case "load_reported":
+		if ms, ok := reportedDelay(e); ok {
+			h := c.host(e.Field["host"])
+			h.SlowestMS = max(h.SlowestMS, ms)
 		}
 	}
-	w.Open, w.Places = places()
-	for _, of := range standing {
-		for _, o := range of {
-			host(o.host).Open++
+}
+
+func (c *counter) requestReceived(e Event) {
+	c.window.Asked++
+	c.fleet.Asked++
+	c.groupOf[e.Field["request"]] = e.Field["group"]
+	if e.Field["returned"] == "true" || e.Field["repeat"] == "true" {
+		c.window.Returned++
+	}
+}
+
+func (c *counter) attemptStarted(e Event) {
+	if _, placed := c.groupOf[e.Field["request"]]; !placed {
+		return // back to the host that held it before the start: nobody chose that
+	}
+	c.window.Sent++
+	c.fleet.Sent++
+	h := c.host(e.Field["host"])
+	h.Sent++
+	if !h.Since.IsZero() && e.At.Sub(h.Since) < c.warmUp {
+		h.ColdSent++
+		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.At)
+	}
+}
+
+func (c *counter) requestEstablished(e Event) {
+	c.window.Stood++
+	if c.established[e.Proxy] == nil {
+		c.established[e.Proxy] = map[string]connection{}
+	}
+	request := e.Field["request"]
+	c.established[e.Proxy][request] = connection{e.Field["host"], c.groupOf[request]}
+}
+
+func (c *counter) attemptEnded(e Event) {
+	delete(c.established[e.Proxy], e.Field["request"])
+	if e.Field["up"] != "true" {
+		c.window.Bad[e.Field["status"]]++
+	} else if e.Field["status"] == "reset" {
+		c.window.Lost++
+	}
+}
+
+func (c *counter) hostUpdated(e Event) {
+	c.window.Listed++
+	h := c.host(e.Field["host"])
+	h.Zone = e.Field["zone"]
+	h.Weight, _ = strconv.ParseFloat(e.Field["weight"], 64)
+	if ms, err := strconv.ParseInt(e.Field["since_ms"], 10, 64); err == nil && ms > 0 {
+		h.Since = time.UnixMilli(ms).UTC()
+	}
+}
+
+// finishHosts takes in what is established at the end, and the peaks.
+func (c *counter) finishHosts() {
+	for _, ofProxy := range c.established {
+		for _, at := range ofProxy {
+			c.host(at.host).Open++
 		}
 	}
-	for name, h := range hosts {
-		for i, from := range cold[name] {
-			n := 0
-			for _, x := range cold[name][i:] {
-				if x.Sub(from) < fall {
-					n++
-				}
+	for name, h := range c.hosts {
+		h.ColdPeak = peak(c.coldSentAt[name], c.peakOver)
+		c.fleet.Hosts = append(c.fleet.Hosts, h)
+	}
+	sort.Slice(c.fleet.Hosts, func(i, j int) bool { return c.fleet.Hosts[i].Name < c.fleet.Hosts[j].Name })
+}
+
+// peak is the most of some times, in order, within any stretch of the given length.
+func peak(times []time.Time, within time.Duration) (most int) {
+	for i, from := range times {
+		n := 0
+		for _, at := range times[i:] {
+			if at.Sub(from) < within {
+				n++
 			}
-			h.ColdPeak = max(h.ColdPeak, n)
 		}
-		f.Hosts = append(f.Hosts, h)
+		most = max(most, n)
 	}
-	sort.Slice(f.Hosts, func(i, j int) bool { return f.Hosts[i].Name < f.Hosts[j].Name })
-	return f
+	return most
+}
+
+// reportedDelay is the message delay that an event reports, in milliseconds; false: it reports something else.
+func reportedDelay(e Event) (ms float64, ok bool) {
+	ms, err := strconv.ParseFloat(e.Field["value"], 64)
+	return ms, err == nil && e.Field["delay"] == "true"
 }
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestLose: each second counts once, under what kept it from being a good one.
-func TestLose(t *testing.T) {
+// TestCountLoss: each second counts once, under what kept it from being a good one.
+func TestCountLoss(t *testing.T) {
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
 	say := func(s float64, event string, kv ...string) {
@@ -148,7 +148,7 @@
 	say(10.1, "request_rejected", "request", "1")
 	say(60.1, "attempt_ended", "request", "4", "host", "b", "status", "ok", "up", "true")
 	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].At.Before(l.Events[j].At) })
-	got := Lose(&l, 250*time.Millisecond)
+	got := CountLoss(&l, 250*time.Millisecond)
 	for _, c := range []struct {
 		what      string
 		got, want float64
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -9,21 +9,22 @@
 // Loss is what became of the seconds that clients wanted to be connected, over all proxies, in seconds.
 type Loss struct {
 	Good float64
-	// Standing on a host that made messages wait: one that held more than its share, and one that did not.
+	// Connected to a host that made messages wait: one that held more than its share, and one that did not.
 	Crowded, Slow float64
-	// Not standing: before the answer, after a connection was broken, after a refusal, after being sent away; each until the client came again,
-	// AwayMost at most.
+	// Not connected: before the answer, after a connection was broken, after a rejection, after a migration; each until the client came again,
+	// MaxAway at most.
 	Waiting, Broken, Refused, Moved float64
-	// Spread is the most that a host held over the mean, for its weight: the median over the seconds, and the worst.
+	// Spread is the most that a host held over the mean, for its weight: the median over the samples, and the worst.
 	Spread, SpreadWorst float64
 	Hosts               []HostLoss // those that lost most first
 }
 
 // HostLoss is a host's part.
 type HostLoss struct {
-	Name                   string
-	Stood, Crowded, Slow   float64
-	Broken, Share, ShareOf float64 // connections that broke; the mean and the most of its load over the fleet's mean
+	Name                 string
+	Stood, Crowded, Slow float64 // seconds of connections
+	Broken               float64 // connections that broke
+	Share, ShareOf       float64 // the mean and the most of its load over the fleet's mean, for its weight
 }
 
 // All is every second.
@@ -32,150 +33,202 @@
 }
 
 const (
-	// AwayMost bounds what a client that does not come again is counted for.
-	AwayMost = 10 * time.Second
-	// newsFor is how long a told delay counts.
-	newsFor = 1500 * time.Millisecond
-	// crowdedAt is how much over its share a host has to hold for its slowness to be its load's.
-	crowdedAt = 1.25
+	// MaxAway bounds what a client that does not come again is counted for.
+	MaxAway = 10 * time.Second
+	// delayReportLife is how long a reported delay counts.
+	delayReportLife = 1500 * time.Millisecond
+	// crowdedShare is how much over its share a host has to hold for its slowness to be its load's.
+	crowdedShare = 1.25
+	// sampleEvery is the time that one sample stands for.
+	sampleEvery = 250 * time.Millisecond
+	// minSpreadConnections is how many connections there have to be for their spread to say something.
+	minSpreadConnections = 20
 )
 
-// Lose goes through a log second by second. A host is slow while it has been told of late that messages took aim or longer.
-func Lose(l *Log, aim time.Duration) *Loss {
-	out := &Loss{}
-	type state struct {
-		is    string // waiting, up, broken, refused, moved; "": done
-		host  string
-		since time.Time
-	}
-	at := map[string]*state{}
-	hosts, weight, slowTill := map[string]*HostLoss{}, map[string]float64{}, map[string]time.Time{}
-	host := func(n string) *HostLoss {
-		if hosts[n] == nil {
-			hosts[n] = &HostLoss{Name: n}
+// clientState is how a client that wants a connection stands.
+type clientState int
+
+const (
+	clientWaiting clientState = iota // for its answer
+	clientConnected
+	clientBroken   // its connection broke
+	clientRejected // it was told to come again
+	clientMigrated // it was sent away
+)
+
+// client is one request's client since its last change.
+type client struct {
+	state clientState
+	host  string // where it is connected
+	since time.Time
+}
+
+// lossCounter samples the clients of all proxies.
+type lossCounter struct {
+	loss      *Loss
+	objective time.Duration // for a message
+	clients   map[string]*client
+	hosts     map[string]*HostLoss
+	weight    map[string]float64
+	slowUntil map[string]time.Time
+	spreads   []float64
+}
+
+// CountLoss goes through a log sample by sample. A host is slow while it was reported of late that messages took the objective or longer.
+func CountLoss(l *Log, objective time.Duration) *Loss {
+	c := &lossCounter{loss: &Loss{}, objective: objective, clients: map[string]*client{}, hosts: map[string]*HostLoss{}, weight: map[string]float64{},
+		slowUntil: map[string]time.Time{}}
+	next := l.Events[0].At.Add(sampleEvery)
+	for _, e := range l.Events {
+		for ; e.At.After(next); next = next.Add(sampleEvery) {
+			c.sample(next)
 		}
-		return hosts[n]
+		c.take(e)
 	}
-	be := func(id, is, host string, now time.Time) { at[id] = &state{is, host, now} }
-	var spreads []float64
-	const step = 250 * time.Millisecond
-	sample := func(now time.Time) {
-		d := step.Seconds()
-		held := map[string]float64{}
-		total, all := 0.0, 0.0
-		for _, s := range at {
-			if s.is == "up" {
-				held[s.host]++
-				total++
-			}
-		}
-		for n := range hosts {
-			all += max(weight[n], 0)
-		}
-		mean, top := 0.0, 0.0
-		if all > 0 {
-			mean = total / all
-		}
-		share := func(n string) float64 {
-			if mean == 0 || weight[n] <= 0 {
-				return 0
-			}
-			return held[n] / weight[n] / mean
+	samples := max(1, l.Events[len(l.Events)-1].At.Sub(l.Events[0].At)/sampleEvery)
+	c.finish(float64(samples))
+	return c.loss
+}
+
+func (c *lossCounter) host(name string) *HostLoss {
+	if c.hosts[name] == nil {
+		c.hosts[name] = &HostLoss{Name: name}
+	}
+	return c.hosts[name]
+}
+
+// take notes what an event changes.
+func (c *lossCounter) take(e Event) {
+	request, host := e.Field["request"], e.Field["host"]
+	set := func(state clientState, host string) { c.clients[request] = &client{state, host, e.At} }
+	switch e.Name {
+	case "host_updated":
+		c.host(host)
+		c.weight[host] = usableWeight(e)
+	case "request_received":
+		set(clientWaiting, "")
+	case "request_established":
+		c.host(host)
+		set(clientConnected, host)
+	case "request_rejected":
+		set(clientRejected, "")
+	case "attempt_ended":
+		switch {
+		case e.Field["up"] != "true":
+		case e.Field["status"] == "ok":
+			delete(c.clients, request)
+		case e.Field["status"] == "reset":
+			c.host(host).Broken++
+			set(clientBroken, "")
+		default:
+			set(clientMigrated, "")
 		}
-		for n, h := range hosts {
-			x := share(n)
-			h.Share += x
-			h.ShareOf = max(h.ShareOf, x)
-			top = max(top, x)
+	case "load_reported":
+		if ms, ok := reportedDelay(e); ok && ms >= float64(c.objective.Milliseconds()) {
+			c.slowUntil[host] = e.At.Add(delayReportLife)
 		}
-		if total > 20 {
-			spreads = append(spreads, top)
+	}
+}
+
+// usableWeight is a listed host's weight; 0 where it takes nothing new: what it held is to go elsewhere.
+func usableWeight(e Event) float64 {
+	weight, err := strconv.ParseFloat(e.Field["weight"], 64)
+	if err != nil || e.Field["state"] != "0" {
+		return 0
+	}
+	return weight
+}
+
+// sample counts every client for the time since the last sample.
+func (c *lossCounter) sample(now time.Time) {
+	shares, connected := c.shares()
+	top := 0.0
+	for name, h := range c.hosts {
+		h.Share += shares[name]
+		h.ShareOf = max(h.ShareOf, shares[name])
+		top = max(top, shares[name])
+	}
+	if connected > minSpreadConnections {
+		c.spreads = append(c.spreads, top)
+	}
+	for request, client := range c.clients {
+		if client.state != clientConnected && now.Sub(client.since) > MaxAway {
+			delete(c.clients, request)
+			continue
 		}
-		for id, s := range at {
-			if s.is != "up" && now.Sub(s.since) > AwayMost {
-				delete(at, id)
-				continue
-			}
-			switch s.is {
-			case "waiting":
-				out.Waiting += d
-			case "broken":
-				out.Broken += d
-			case "refused":
-				out.Refused += d
-			case "moved":
-				out.Moved += d
-			case "up":
-				h := host(s.host)
-				h.Stood += d
-				switch {
-				case !now.Before(slowTill[s.host]):
-					out.Good += d
-				case share(s.host) > crowdedAt:
-					out.Crowded += d
-					h.Crowded += d
-				default:
-					out.Slow += d
-					h.Slow += d
-				}
-			}
+		c.count(client, now, shares)
+	}
+}
+
+// shares are the hosts' connections over the fleet's mean, for their weight, and how many connections there are.
+func (c *lossCounter) shares() (shares map[string]float64, connected float64) {
+	held := map[string]float64{}
+	for _, client := range c.clients {
+		if client.state == clientConnected {
+			held[client.host]++
+			connected++
 		}
 	}
-	next := l.Events[0].At.Add(step)
-	for _, e := range l.Events {
-		for ; e.At.After(next); next = next.Add(step) {
-			sample(next)
+	weights := 0.0
+	for name := range c.hosts {
+		weights += max(c.weight[name], 0)
+	}
+	shares = map[string]float64{}
+	if weights == 0 || connected == 0 {
+		return shares, connected
+	}
+	mean := connected / weights
+	for name := range c.hosts {
+		if c.weight[name] > 0 {
+			shares[name] = held[name] / c.weight[name] / mean
 		}
-		id, v := e.Field["request"], e.Field
-		switch e.Name {
-		case "host_updated":
-			host(v["host"])
-			if w, err := strconv.ParseFloat(v["weight"], 64); err == nil && v["state"] == "0" {
-				weight[v["host"]] = w
-			} else {
-				weight[v["host"]] = 0 // it takes nothing new, and what it held is to go elsewhere
-			}
-		case "request_received":
-			be(id, "waiting", "", e.At)
-		case "request_established":
-			host(v["host"])
-			be(id, "up", v["host"], e.At)
-		case "request_rejected":
-			be(id, "refused", "", e.At)
-		case "attempt_ended":
-			if v["up"] != "true" {
-				continue
-			}
-			switch v["status"] {
-			case "ok":
-				delete(at, id)
-			case "reset":
-				host(v["host"]).Broken++
-				be(id, "broken", "", e.At)
-			default:
-				be(id, "moved", "", e.At)
-			}
-		case "load_reported":
-			if x, err := strconv.ParseFloat(v["value"], 64); err == nil && v["delay"] == "true" && x >= float64(aim.Milliseconds()) {
-				slowTill[v["host"]] = e.At.Add(newsFor)
-			}
+	}
+	return shares, connected
+}
+
+// count adds one sample of a client to where its time went.
+func (c *lossCounter) count(client *client, now time.Time, shares map[string]float64) {
+	seconds := sampleEvery.Seconds()
+	switch client.state {
+	case clientWaiting:
+		c.loss.Waiting += seconds
+	case clientBroken:
+		c.loss.Broken += seconds
+	case clientRejected:
+		c.loss.Refused += seconds
+	case clientMigrated:
+		c.loss.Moved += seconds
+	case clientConnected:
+		h := c.host(client.host)
+		h.Stood += seconds
+		switch {
+		case !now.Before(c.slowUntil[client.host]):
+			c.loss.Good += seconds
+		case shares[client.host] > crowdedShare:
+			c.loss.Crowded += seconds
+			h.Crowded += seconds
+		default:
+			c.loss.Slow += seconds
+			h.Slow += seconds
 		}
 	}
-	n := max(1, l.Events[len(l.Events)-1].At.Sub(l.Events[0].At)/step)
-	for _, h := range hosts {
-		h.Share /= float64(n)
-		out.Hosts = append(out.Hosts, *h)
+}
+
+// finish makes means of sums, and puts the hosts in order.
+func (c *lossCounter) finish(samples float64) {
+	for _, h := range c.hosts {
+		h.Share /= samples
+		c.loss.Hosts = append(c.loss.Hosts, *h)
 	}
-	sort.Slice(out.Hosts, func(i, j int) bool {
-		a, b := out.Hosts[i], out.Hosts[j]
+	sort.Slice(c.loss.Hosts, func(i, j int) bool {
+		a, b := c.loss.Hosts[i], c.loss.Hosts[j]
 		if x, y := a.Crowded+a.Slow, b.Crowded+b.Slow; x != y {
 			return x > y
 		}
 		return a.Name < b.Name
 	})
-	if len(spreads) > 0 {
-		sort.Float64s(spreads)
-		out.Spread, out.SpreadWorst = spreads[len(spreads)/2], spreads[len(spreads)-1]
+	if len(c.spreads) > 0 {
+		sort.Float64s(c.spreads)
+		c.loss.Spread, c.loss.SpreadWorst = c.spreads[len(c.spreads)/2], c.spreads[len(c.spreads)-1]
 	}
-	return out
 }
