--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -11,23 +11,24 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// current is where netpoll's tasks run. netpoll has one set of pollers for a process, hence one runner.
-var current env
+// environment is where netpoll's tasks run. netpoll has one set of pollers for a process, hence one of these.
+var environment pollerEnvironment
 
-type env struct {
+// pollerEnvironment is netpoll's poller with the loop that it serves.
+type pollerEnvironment struct {
 	sync.Mutex
-	loop  *Loop
-	fence *fence
-	gate  *gate
+	loop    *Loop
+	barrier *pollerBarrier
+	gate    *loopGate
 }
 
-// park runs f on the loop while the poller is between two sockets and waits.
-func (e *env) park(f func()) {
-	e.gate.raise()
-	e.fence.wait(func() {
-		e.gate.lower() // before the poller goes on, or what it reads first would not be held back
-		e.gate.own.Store(true)
-		defer e.gate.own.Store(false)
+// whilePollerParked runs f on the loop while the poller is between two sockets and waits.
+func (e *pollerEnvironment) whilePollerParked(f func()) {
+	e.gate.openForBarrier()
+	e.barrier.wait(func() {
+		e.gate.shut() // before the poller goes on, or what it reads first would not be held back
+		e.gate.pollerParked.Store(true)
+		defer e.gate.pollerParked.Store(false)
 		f()
 	})
 }
@@ -35,43 +36,43 @@
 // Attach makes l the loop on which netpoll runs the callbacks of this process. One poller suits a machine of one
 // core, and it only reads: nothing that blocks happens on it.
 func Attach(l *Loop) error {
-	current.Lock()
-	defer current.Unlock()
-	current.loop = l
-	if current.fence != nil {
+	environment.Lock()
+	defer environment.Unlock()
+	environment.loop = l
+	if environment.barrier != nil {
 		return nil // netpoll runs, and reads its configuration without a lock
 	}
-	current.gate = newGate()
+	environment.gate = newLoopGate()
 	err := startPoller(netpoll.Config{
 		PollerNum:  1,
 		BufferSize: 1024,
 		Runner: func(_ context.Context, f func()) {
-			current.Lock()
-			to := current.loop
-			current.Unlock()
-			current.gate.pass(to, f)
+			environment.Lock()
+			to := environment.loop
+			environment.Unlock()
+			environment.gate.runOnLoop(to, f)
 		},
 		LoggerOutput: netpollLog{},
 	})
 	if err == nil {
-		current.fence, err = newFence()
+		environment.barrier, err = newPollerBarrier()
 	}
 	if err == nil {
-		current.fence.wait(func() {}) // from here on the loop can wait for the poller
+		environment.barrier.wait(func() {}) // from here on the loop can wait for the poller
 	}
 	return err
 }
 
 // How often, and how soon, the poller is started that could not be.
 const (
-	mostStarts = 50
-	startAgain = 20 * time.Millisecond
+	maxPollerStarts  = 50
+	pollerStartPause = 20 * time.Millisecond
 )
 
 // startPoller has netpoll open its poller. netpoll does that when it is first used, on whatever goroutine, and panics there if the kernel has nothing
 // for it at that moment.
 func startPoller(c netpoll.Config) (err error) {
-	for range mostStarts {
+	for range maxPollerStarts {
 		if err = netpoll.Configure(c); err == nil {
 			err = openPoller()
 		}
@@ -79,11 +80,12 @@
 			return nil
 		}
 		slog.Warn("poller_failed", "reason", err)
-		time.Sleep(startAgain)
+		time.Sleep(pollerStartPause)
 	}
 	return err
 }
 
+// openPoller turns netpoll's panic into an error.
 func openPoller() (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -97,6 +99,7 @@
 // netpollLog brings netpoll's own complaints into the form of this program's log.
 type netpollLog struct{}
 
+// Write takes one complaint.
 func (netpollLog) Write(p []byte) (int, error) {
 	if !bytes.Contains(p, []byte(errStopped.Error())) {
 		slog.Error("netpoll", "text", string(bytes.TrimSpace(p)))
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -1,7 +1,7 @@
 package netio
 
-// smallest is the room a buffer begins with; most connections never need more.
-const smallest = 1024
+// minBufferSize is the room a buffer begins with; most connections never need more.
+const minBufferSize = 1024
 
 // Buffer holds what a connection has received and nobody has taken yet. It grows as it needs up to a limit, moves
 // its content to the front instead of growing where that makes room, and lets its memory go once it is empty and has
@@ -37,11 +37,11 @@
 			copy(b.data[:held], b.data[b.start:])
 			b.data = b.data[:held]
 		} else {
-			size := max(smallest, cap(b.data))
+			size := max(minBufferSize, cap(b.data))
 			for size < held+n {
 				size *= 2
 			}
-			grown := make([]byte, held, min(size, max(b.limit, smallest)))
+			grown := make([]byte, held, min(size, max(b.limit, minBufferSize)))
 			copy(grown, b.data[b.start:])
 			b.data = grown
 		}
@@ -69,7 +69,7 @@
 		return
 	}
 	b.start = 0
-	if cap(b.data) > smallest {
+	if cap(b.data) > minBufferSize {
 		b.data = nil
 		return
 	}
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -23,9 +23,9 @@
 	Closed(c *Conn, err *Error)
 }
 
-// overshoot is how much netpoll may have read beyond a connection's limit before it is stopped: what one read brings,
+// inputOvershoot is how much netpoll may have read beyond a connection's limit before it is stopped: what one read brings,
 // and some that come while it lets go of the socket.
-const overshoot = 8 * kernelBuffer
+const inputOvershoot = 8 * kernelBuffer
 
 // kernelBuffer is what the kernel is asked to hold for a connection in each direction; it takes that twice. Lines are
 // short, and the megabytes that it would allow by itself are not counted anywhere until they are missing. It bounds what
@@ -37,31 +37,46 @@
 // refuses, so the source leaves its own bytes where they are, and a connection whose input nobody takes is not read
 // any further: that is the back-pressure.
 type Conn struct {
-	loop      *Loop
-	handler   Handler
-	np        netpoll.Connection
-	in        Buffer
-	layer     Layer  // between the socket and the input; nil: none
-	more      bool   // the layer may hold more than the input had room for
-	limit     int    // input at which reading pauses
-	paused    bool   // netpoll does not watch it
-	refilling bool   // refill will come
-	refused   int    // times in a row that the poller could not take it
-	giveUp    int64  // when a peer that takes nothing is given up
-	rest      []byte // of the one line that is partly written
-	retry     *Timer
-	pause     time.Duration
-	over      bool  // Closed was called, or this side closed
-	until     int64 // over with a line still partly written: the moment at which its rest is given up
-	reset     bool  // Abort was called
-	ending    bool  // Finish was called
-	surplus   int   // what came in after that
-	linger    *Timer
-	gone      func()      // told once the descriptor is free
-	release   func(Parts) // nil: nobody has asked for its parts
-
-	// netpoll may close the descriptor on a goroutine of its own, after which its number can belong to another
-	// connection. Whoever uses the number holds mu.
+	loop            *Loop
+	handler         Handler
+	transport       netpoll.Connection
+	input           Buffer
+	layer           Layer // between the socket and the input; nil: none
+	layerHasMore    bool  // the layer may hold more than the input had room for
+	inputLimit      int   // bytes of input at which reading pauses
+	paused          bool  // netpoll does not watch it
+	refillScheduled bool
+	pollerRefusals  int // times in a row that the poller could not take it
+	output          unsentOutput
+	over            bool // Closed was called, or this side closed
+	ending          endingState
+	// onDescriptorFree is told once the descriptor is free.
+	onDescriptorFree func()
+	// onReleased gets the parts of a connection that is let go of; nil: nobody has asked for them.
+	onReleased func(Parts)
+	socket     socketState
+}
+
+// unsentOutput is the rest of the one line that the kernel took only in part.
+type unsentOutput struct {
+	unsent     []byte
+	retry      *Timer
+	retryPause time.Duration
+	giveUpAt   int64 // when a peer that takes nothing is given up
+}
+
+// endingState is how a connection ends that this side has closed.
+type endingState struct {
+	unsentUntil    int64 // when the rest of a line that is still partly written is given up
+	abort          bool  // Abort was called
+	finishing      bool  // Finish was called
+	discardedBytes int   // what came in after that
+	linger         *Timer
+}
+
+// socketState is the descriptor. netpoll may close it on a goroutine of its own, after which its number can belong to another connection: whoever
+// uses the number holds mu.
+type socketState struct {
 	mu        sync.Mutex
 	fd        int
 	detaching bool // netpoll's close callback means a pause, not the end
@@ -70,45 +85,45 @@
 
 // newConn wraps a connection of netpoll's that stands. Reading pauses while its input is at the limit.
 func newConn(l *Loop, np netpoll.Connection, limit int) *Conn {
-	c := &Conn{loop: l, np: np, in: NewBuffer(limit + overshoot), limit: limit, fd: -1}
+	c := &Conn{loop: l, transport: np, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: -1}}
 	if d, ok := np.(netpoll.Conn); ok {
-		c.fd = d.Fd()
+		c.socket.fd = d.Fd()
 		c.sizeBuffers()
 	}
 	return c
 }
 
-// pausedConn wraps a socket that stands and that netpoll does not watch yet; resume has it watched.
-func pausedConn(l *Loop, fd, limit int, h Handler) *Conn {
-	return &Conn{loop: l, in: NewBuffer(limit + overshoot), limit: limit, fd: fd, paused: true, handler: h}
+// newPausedConn wraps a socket that stands and that netpoll does not watch yet; resume has it watched.
+func newPausedConn(l *Loop, fd, limit int, h Handler) *Conn {
+	return &Conn{loop: l, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: fd}, paused: true, handler: h}
 }
 
 // sizeBuffers bounds what the kernel holds for the connection.
 func (c *Conn) sizeBuffers() {
-	unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
-	unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
+	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
+	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
 }
 
 // start begins delivery to h. It is called on the loop.
 func (c *Conn) start(h Handler) {
 	c.handler = h
-	current.park(c.watch)
+	environment.whilePollerParked(c.watch)
 	if c.layer != nil && !c.over {
-		c.open(c.limit) // the layer may have read ahead
+		c.readLayer(c.inputLimit) // the layer may have read ahead
 	}
 }
 
 // watch has netpoll deliver what comes on the connection. The poller must be parked: what it has read by now is delivered
 // from here, and it adds callbacks of its own without a lock.
 func (c *Conn) watch() {
-	c.np.AddCloseCallback(c.closed)
-	c.np.SetOnRequest(func(context.Context, netpoll.Connection) error {
+	c.transport.AddCloseCallback(c.closed)
+	c.transport.SetOnRequest(func(context.Context, netpoll.Connection) error {
 		c.read()
 		return nil
 	})
-	if !c.np.IsActive() {
+	if !c.transport.IsActive() {
 		// The peer was gone before the callbacks were in place; closing makes netpoll call the one above.
-		c.np.Close()
+		c.transport.Close()
 	}
 }
 
@@ -116,12 +131,12 @@
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
 // Input is what has come in and was not consumed. It is valid during the call of the handler, up to Consume.
-func (c *Conn) Input() []byte { return c.in.Bytes() }
+func (c *Conn) Input() []byte { return c.input.Bytes() }
 
 // Consume drops the first n bytes of the input.
 func (c *Conn) Consume(n int) {
-	c.in.Consume(n)
-	if c.paused && !c.over && c.in.Len() < c.limit/2 {
+	c.input.Consume(n)
+	if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
 		c.refill()
 	}
 }
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -23,8 +23,8 @@
 	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests put another in its place
 }
 
-// dialAgain is the pause before a connect is made again that this machine had nothing for.
-const dialAgain = 5 * time.Millisecond
+// dialRetryPause is the pause before a connect is made again that this machine had nothing for.
+const dialRetryPause = 5 * time.Millisecond
 
 // Dial is one connection being opened.
 type Dial struct {
@@ -137,10 +137,10 @@
 		if over {
 			return nil, err
 		}
-		if np, err = d.dial("tcp", q.addr, left); err == nil || !scarce(err) {
+		if np, err = d.dial("tcp", q.addr, left); err == nil || !isResourceShortage(err) {
 			return np, err
 		}
-		time.Sleep(dialAgain)
+		time.Sleep(dialRetryPause)
 	}
 }
 
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -10,28 +10,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingering is how long a closed connection may still take to deliver its last line, and to hang up after that.
-const lingering = time.Second
+// lingerTimeout is how long a closed connection may still take to deliver its last line, and to hang up after that.
+const lingerTimeout = time.Second
 
-// lingeringInput is how much may come in meanwhile. Who sends more than that after its answer is not reading it.
-const lingeringInput = 1 << 20
+// maxLingerInput is how much may come in meanwhile. Who sends more than that after its answer is not reading it.
+const maxLingerInput = 1 << 20
 
 // closed is netpoll's word that the connection is closed. It may come on a goroutine of netpoll's.
 func (c *Conn) closed(np netpoll.Connection) error {
-	current.gate.free()
+	environment.gate.releasePoller()
 	cause := Ended
-	c.mu.Lock()
-	if c.detaching {
-		c.mu.Unlock()
+	c.socket.mu.Lock()
+	if c.socket.detaching {
+		c.socket.mu.Unlock()
 		c.detached(np)
 		return nil
 	}
-	kept := c.fd >= 0 && c.keep()
-	if c.fd >= 0 && !kept {
-		cause = c.howEnded()
-		c.fd = -1 // the number is another's from here on
+	kept := c.socket.fd >= 0 && c.keepDescriptor()
+	if c.socket.fd >= 0 && !kept {
+		cause = c.endCause()
+		c.socket.fd = -1 // the number is another's from here on
 	}
-	c.mu.Unlock()
+	c.socket.mu.Unlock()
 	var tail []byte
 	if n := np.Reader().Len(); n > 0 {
 		// Bytes that came right before the end, with no task of netpoll's left to bring them.
@@ -39,23 +39,23 @@
 		np.Read(tail)
 	}
 	if kept {
-		c.loop.Post(func() { c.goOn(tail) })
+		c.loop.Post(func() { c.watchAfterLoss(tail) })
 		return nil
 	}
 	c.loop.Post(func() {
 		if c.over {
-			c.released()
+			c.descriptorFreed()
 			return
 		}
 		switch {
 		case c.layer != nil:
-			c.unseal(tail, c.limit+overshoot)
+			c.readSealed(tail, c.inputLimit+inputOvershoot)
 			if cause == Ended {
 				// Whoever can end the socket can cut off what the peer said last; only the layer's end is the peer's.
-				c.fail(&Error{Stage: Up, Cause: Broke, Detail: errCutShort})
+				c.fail(&Error{Stage: Up, Cause: Broke, Detail: errTruncated})
 			}
 		case len(tail) > 0:
-			c.in.Append(tail)
+			c.input.Append(tail)
 			c.deliver()
 		}
 		c.fail(&Error{Stage: Up, Cause: cause})
@@ -63,30 +63,30 @@
 	return nil
 }
 
-// errLetGo is why netpoll gave a connection up that stands: it says no more than that.
-var errLetGo = errors.New("the poller could not take the socket, or not read from it")
+// errPollerLetGo is why netpoll gave a connection up that stands: it says no more than that.
+var errPollerLetGo = errors.New("the poller could not take the socket, or not read from it")
 
-// keep tells whether netpoll closes a connection that neither side has ended: the kernel had no memory for watching its socket, say. The socket
-// then lives on under another number, which it notes. mu is held.
-func (c *Conn) keep() bool {
+// keepDescriptor tells whether netpoll closes a connection that neither side has ended: the kernel had no memory for watching its socket, say. The socket
+// then lives on under another number, which it notes. socket.mu is held.
+func (c *Conn) keepDescriptor() bool {
 	const tcpEstablished = 1
-	if c.closing {
+	if c.socket.closing {
 		return false
 	}
-	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil || info.State != tcpEstablished {
 		return false
 	}
-	fd := secondNumber(c.fd)
+	fd := duplicateDescriptor(c.socket.fd)
 	if fd < 0 {
 		return false
 	}
-	c.fd = fd
+	c.socket.fd = fd
 	return true
 }
 
-// secondNumber gives a socket another descriptor; under 0: there is none to be had.
-func secondNumber(fd int) int {
+// duplicateDescriptor gives a socket another descriptor; under 0: there is none to be had.
+func duplicateDescriptor(fd int) int {
 	second, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return -1
@@ -94,66 +94,67 @@
 	return second
 }
 
-// goOn has netpoll watch a socket again that it has let go of. tail came in before that.
-func (c *Conn) goOn(tail []byte) {
+// watchAfterLoss has netpoll watch a socket again that it has let go of. tail came in before that.
+func (c *Conn) watchAfterLoss(tail []byte) {
 	c.paused = true
-	if c.over && !c.ending {
-		c.shut()
+	if c.over && !c.ending.finishing {
+		c.closeSocket()
 		return
 	}
 	switch {
 	case c.over:
 		c.discarded(len(tail))
 	case c.layer != nil:
-		c.unseal(tail, c.limit+overshoot)
+		c.readSealed(tail, c.inputLimit+inputOvershoot)
 	default:
-		c.in.Append(tail)
+		c.input.Append(tail)
 		c.deliver()
 	}
-	c.watchAgain(errLetGo)
+	c.watchAgain(errPollerLetGo)
 }
 
-// shut closes the socket, whoever holds it.
-func (c *Conn) shut() {
-	c.linger.Stop()
-	c.ending = false
-	c.mu.Lock()
-	c.closing = true
-	if c.reset && c.fd >= 0 {
-		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+// closeSocket closes the socket, whoever holds it.
+func (c *Conn) closeSocket() {
+	c.ending.linger.Stop()
+	c.ending.finishing = false
+	c.socket.mu.Lock()
+	c.socket.closing = true
+	if c.ending.abort && c.socket.fd >= 0 {
+		unix.SetsockoptLinger(c.socket.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
-	c.mu.Unlock()
+	c.socket.mu.Unlock()
 	if !c.paused {
-		c.np.Close()
-		c.released()
+		c.transport.Close()
+		c.descriptorFreed()
 		return
 	}
-	c.mu.Lock()
-	closed := !c.detaching && c.fd >= 0
+	c.socket.mu.Lock()
+	closed := !c.socket.detaching && c.socket.fd >= 0
 	if closed {
-		unix.Close(c.fd)
-		c.fd = -1
+		unix.Close(c.socket.fd)
+		c.socket.fd = -1
 	}
-	c.mu.Unlock()
+	c.socket.mu.Unlock()
 	if closed {
-		c.released()
+		c.descriptorFreed()
 	}
 }
 
 // WhenGone has f called once the connection holds no descriptor any more, which may be some time after its end.
-func (c *Conn) WhenGone(f func()) { c.gone = f }
+func (c *Conn) WhenGone(f func()) { c.onDescriptorFree = f }
 
-func (c *Conn) released() {
-	c.linger.Stop()
-	if f := c.gone; f != nil {
-		c.gone = nil
+// descriptorFreed tells whoever waits for the descriptor.
+func (c *Conn) descriptorFreed() {
+	c.ending.linger.Stop()
+	if f := c.onDescriptorFree; f != nil {
+		c.onDescriptorFree = nil
 		f()
 	}
 }
 
-// howEnded asks the kernel whether the peer ended in order: netpoll reports a reset as an end. mu is held.
-func (c *Conn) howEnded() Cause {
-	info, err := unix.GetsockoptTCPInfo(c.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+// endCause asks the kernel whether the peer ended in order: netpoll reports a reset as an end. socket.mu is held.
+func (c *Conn) endCause() Cause {
+	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
 	if err != nil || info.State == tcpClose {
 		return Broke
@@ -172,13 +173,13 @@
 	if c.over {
 		return
 	}
-	held := c.in
+	held := c.input
 	if w, ok := c.handler.(LastWords); ok && err.Cause == Dropped {
 		c.FinishWith(w.LastWords())
 	} else {
 		c.Close()
 	}
-	c.in = held // the handler may still want what came before the end
+	c.input = held // the handler may still want what came before the end
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "close", "reason", p, "stack", string(debug.Stack()))
@@ -192,14 +193,14 @@
 	if c.over {
 		return
 	}
-	c.unrelease()
-	c.sayEnd()
-	c.over, c.in = true, Buffer{}
-	if len(c.rest) > 0 {
-		c.until = c.loop.Now() + int64(lingering)
-		return // flush closes: a line must not end in its middle because its reader is slow
+	c.releaseFailed()
+	c.endLayer()
+	c.over, c.input = true, Buffer{}
+	if len(c.output.unsent) > 0 {
+		c.ending.unsentUntil = c.loop.Now() + int64(lingerTimeout)
+		return // retryUnsent closes: a line must not end in its middle because its reader is slow
 	}
-	c.shut()
+	c.closeSocket()
 }
 
 // Finish ends the connection after its last line. Close would reset it wherever the peer has sent what nobody has read,
@@ -209,22 +210,23 @@
 	if c.over {
 		return
 	}
-	c.unrelease()
-	c.sayEnd()
-	c.over, c.ending, c.in = true, true, Buffer{}
-	c.until = c.loop.Now() + int64(lingering)
-	c.linger = c.loop.After(lingering, c.shut)
-	if len(c.rest) == 0 {
+	c.releaseFailed()
+	c.endLayer()
+	c.over, c.ending.finishing, c.input = true, true, Buffer{}
+	c.ending.unsentUntil = c.loop.Now() + int64(lingerTimeout)
+	c.ending.linger = c.loop.After(lingerTimeout, c.closeSocket)
+	if len(c.output.unsent) == 0 {
 		c.halfClose()
 	}
 }
 
+// halfClose ends this side alone.
 func (c *Conn) halfClose() {
-	c.mu.Lock()
-	if c.fd >= 0 {
-		unix.Shutdown(c.fd, unix.SHUT_WR)
+	c.socket.mu.Lock()
+	if c.socket.fd >= 0 {
+		unix.Shutdown(c.socket.fd, unix.SHUT_WR)
 	}
-	c.mu.Unlock()
+	c.socket.mu.Unlock()
 	if c.paused {
 		c.resume()
 	}
@@ -233,9 +235,9 @@
 // Drop frees the descriptor at once, also of a connection that was finished.
 func (c *Conn) Drop() {
 	c.Close()
-	c.retry.Stop()
-	c.rest = nil
-	c.shut()
+	c.output.retry.Stop()
+	c.output.unsent = nil
+	c.closeSocket()
 }
 
 // Abort ends it with a reset, after the rest of a line that the peer has not taken yet: that may be the answer to its request.
@@ -243,6 +245,6 @@
 	if c.over {
 		return
 	}
-	c.layer, c.reset = nil, true // a layer has nothing to say at a reset
+	c.layer, c.ending.abort = nil, true // a layer has nothing to say at a reset
 	c.Close()
 }
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -69,7 +69,7 @@
 	}
 	if err := Serve(l, n, 1024, func(c *Conn) Handler {
 		c.FinishWith([]byte("here\r\n"))
-		return nobody{}
+		return discardingHandler{}
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 			}
 			if letGo < times {
 				letGo++
-				c.np.Close() // as netpoll does by itself
+				c.transport.Close() // as netpoll does by itself
 				return
 			}
 			c.FinishWith(append([]byte(nil), c.Input()...))
@@ -172,7 +172,7 @@
 		}
 		stood := make(chan bool)
 		l.Post(func() {
-			d.Dial(addr, 10*time.Second, 1024, nobody{}, func(c *Conn, err *Error) { stood <- err == nil })
+			d.Dial(addr, 10*time.Second, 1024, discardingHandler{}, func(c *Conn, err *Error) { stood <- err == nil })
 		})
 		if got := <-stood; got != c.stands || c.stands && tries != 4 || !c.stands && tries != 1 {
 			t.Errorf("%v: stands %t after %d tries", c.err, got, tries)
@@ -211,7 +211,7 @@
 		syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE}}
 	if err := Serve(l, n, 1024, func(c *Conn) Handler {
 		c.FinishWith([]byte("here\r\n"))
-		return nobody{}
+		return discardingHandler{}
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -16,6 +16,7 @@
 
 var stageNames = [...]string{"connecting", "sending", "sent", "up"}
 
+// String names a stage as the log writes it.
 func (s Stage) String() string { return stageNames[s] }
 
 // Cause is why a connection is over.
@@ -32,6 +33,7 @@
 
 var causeNames = [...]string{"ended", "broke", "refused", "expired", "dropped"}
 
+// String names a cause as the log writes it.
 func (c Cause) String() string { return causeNames[c] }
 
 // Error is the end of a connection, with how far it had come.
@@ -41,6 +43,7 @@
 	Detail error // what the system or the parser said; may be nil
 }
 
+// Error says how far the connection had come, why it ended, and what the system said.
 func (e *Error) Error() string {
 	if e.Detail != nil {
 		return fmt.Sprintf("%s while %s: %v", e.Cause, e.Stage, e.Detail)
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -29,17 +29,17 @@
 type neverStood interface{ NeverStood() bool }
 
 const (
-	// opened is how much of the buffer is set aside for what a layer opens at once. It leaves an idle connection's
+	// layerReadSize is how much of the buffer is set aside for what a layer opens at once. It leaves an idle connection's
 	// buffer at its smallest.
-	opened = smallest / 2
-	// mostSaid is how much may wait for the peer of what a layer has to say by itself. A peer that makes it talk and
+	layerReadSize = minBufferSize / 2
+	// maxUnsent is how much may wait for the peer of what a layer has to say by itself. A peer that makes it talk and
 	// does not listen is given up.
-	mostSaid = 64 << 10
+	maxUnsent = 64 << 10
 )
 
 var (
-	errCutShort = errors.New("the connection ended without the layer's own end")
-	errTalk     = errors.New("the peer makes the layer talk and does not listen")
+	errTruncated      = errors.New("the connection ended without the layer's own end")
+	errPeerNotReading = errors.New("the peer makes the layer talk and does not listen")
 )
 
 // Adopt makes a connection of a socket that stands, behind layer, and gives it to done and then to h. It is called on the
@@ -48,54 +48,54 @@
 // It begins as a connection whose reading is paused: netpoll reads from the moment it has the socket, as fast as the peer
 // sends, and what came before the callbacks were in place ended connections for more input than the limit.
 func Adopt(l *Loop, fd int, layer Layer, limit int, h Handler, done func(*Conn)) {
-	c := &Conn{loop: l, in: NewBuffer(limit + overshoot), limit: limit, fd: fd, paused: true, handler: h, layer: layer}
+	c := &Conn{loop: l, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: fd}, paused: true, handler: h, layer: layer}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
-	layer.Attach(c.push)
+	layer.Attach(c.writeToSocket)
 	c.guard(func() { done(c) })
 	if !c.over {
 		c.resume()
 	}
 	if c.layer != nil && !c.over {
-		c.open(c.limit) // the layer may have read ahead
+		c.readLayer(c.inputLimit) // the layer may have read ahead
 	}
 }
 
 // Layer is what stands between the socket and the handler; nil: nothing, or no longer.
 func (c *Conn) Layer() Layer { return c.layer }
 
-// unseal gives the layer what came, and the handler what it makes of it.
-func (c *Conn) unseal(p []byte, most int) {
+// readSealed gives the layer what came, and the handler what it makes of it.
+func (c *Conn) readSealed(p []byte, most int) {
 	if !c.layer.Take(p) {
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errFlood})
+		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
 		return
 	}
-	c.open(most)
+	c.readLayer(most)
 }
 
-// open has the layer fill the input up to most, and the handler look at it.
-func (c *Conn) open(most int) {
+// readLayer has the layer fill the input up to most, and the handler look at it.
+func (c *Conn) readLayer(most int) {
 	c.guard(func() {
 		for !c.over {
-			fresh, err := c.openSome(most)
-			c.more = err == nil && c.in.Len() >= most
+			fresh, err := c.readLayerOnce(most)
+			c.layerHasMore = err == nil && c.input.Len() >= most
 			if fresh {
 				c.handler.Data(c)
 			}
 			if err != nil {
-				c.fail(whyNot(err))
+				c.fail(layerError(err))
 			}
-			if !c.more || c.in.Len() >= most {
+			if !c.layerHasMore || c.input.Len() >= most {
 				return
 			}
 		}
 	})
 }
 
-func (c *Conn) openSome(most int) (fresh bool, err error) {
-	for c.in.Len() < most {
-		n, err := c.layer.Open(c.in.Reserve(opened))
-		c.in.Extend(n)
+func (c *Conn) readLayerOnce(most int) (fresh bool, err error) {
+	for c.input.Len() < most {
+		n, err := c.layer.Open(c.input.Reserve(layerReadSize))
+		c.input.Extend(n)
 		fresh = fresh || n > 0
 		if err != nil || n == 0 {
 			return fresh, err
@@ -104,7 +104,7 @@
 	return fresh, nil
 }
 
-func whyNot(err error) *Error {
+func layerError(err error) *Error {
 	var never neverStood
 	switch {
 	case errors.Is(err, io.EOF):
@@ -117,29 +117,29 @@
 
 // refill brings more input to a connection that is paused and has room again: first what its layer holds.
 func (c *Conn) refill() {
-	if c.layer == nil || !c.more {
+	if c.layer == nil || !c.layerHasMore {
 		c.resume()
 		return
 	}
-	if c.refilling {
+	if c.refillScheduled {
 		return
 	}
 	// Not from inside the handler, which has just consumed and would be entered again.
-	c.refilling = true
+	c.refillScheduled = true
 	c.loop.Post(func() {
-		c.refilling = false
+		c.refillScheduled = false
 		if c.over {
 			return
 		}
-		c.open(c.limit)
-		if c.paused && !c.over && c.in.Len() < c.limit/2 {
+		c.readLayer(c.inputLimit)
+		if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
 			c.refill()
 		}
 	})
 }
 
-// sayEnd has the layer tell the peer of the end, and lets go of it.
-func (c *Conn) sayEnd() {
+// endLayer has the layer tell the peer of the end, and lets go of it.
+func (c *Conn) endLayer() {
 	if l := c.layer; l != nil {
 		c.guard(l.End)
 		c.layer = nil
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -31,9 +31,9 @@
 // errStopped ends netpoll's accepting. netpoll looks for the word "closed"; the socket stays open.
 var errStopped = errors.New("accepting is closed here, by order")
 
-// acceptAgain is the pause before the queue is looked at again when the kernel had no descriptor or no memory for a connection: netpoll would
+// acceptRetryPause is the pause before the queue is looked at again when the kernel had no descriptor or no memory for a connection: netpoll would
 // come back at once for as long as that lasts.
-const acceptAgain = 5 * time.Millisecond
+const acceptRetryPause = 5 * time.Millisecond
 
 // Accept takes one connection from the queue, unless accepting has been stopped, and gives netpoll none: what netpoll registers itself it closes
 // without a word should the kernel have no memory for that. Nor is netpoll told of errors. Those of a client are over with it; where descriptors run
@@ -50,8 +50,8 @@
 	n.mu.Unlock() // the loop may wait for it, and is waited for below
 	if err != nil {
 		slog.Warn("accept_failed", "addr", n.addr, "reason", err)
-		if scarce(err) {
-			time.Sleep(acceptAgain)
+		if isResourceShortage(err) {
+			time.Sleep(acceptRetryPause)
 		}
 		return nil, nil
 	}
@@ -61,8 +61,8 @@
 	return nil, nil
 }
 
-// scarce tells whether this machine is out of something, which it may stay for a while.
-func scarce(err error) bool {
+// isResourceShortage tells whether this machine is out of something, which it may stay for a while.
+func isResourceShortage(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 		syscall.EINTR} {
 		if errors.Is(err, e) {
@@ -131,8 +131,8 @@
 
 // How often, and how soon, accepting is begun again that netpoll could not begin.
 const (
-	mostServes = 50
-	serveAgain = 100 * time.Millisecond
+	maxListenerFailures = 50
+	listenerRetryPause  = 100 * time.Millisecond
 )
 
 // Serve accepts connections and gives each one, on the loop, to accept, which names its handler. limit bounds each
@@ -141,7 +141,7 @@
 	n.mu.Lock()
 	n.stopped = false
 	// Accepting waits for the loop, so that it can make room for each.
-	n.take = func(fd int) { current.gate.pass(l, func() { taken(l, fd, limit, accept) }) }
+	n.take = func(fd int) { environment.gate.runOnLoop(l, func() { accepted(l, fd, limit, accept) }) }
 	serving, before := n.ended != nil && !n.detached, n.ended
 	if !serving {
 		n.detached, n.ended = false, make(chan struct{})
@@ -164,13 +164,13 @@
 // serve has netpoll watch the queue until accepting is stopped. It ends the process where that can't be had: a proxy that takes nobody must not
 // stay.
 func (n *Listener) serve() {
-	for range mostServes {
+	for range maxListenerFailures {
 		err := watchListener(n)
 		if errors.Is(err, errStopped) {
 			return
 		}
 		slog.Error("listener_failed", "addr", n.addr.String(), "reason", fmt.Sprint(err))
-		time.Sleep(serveAgain)
+		time.Sleep(listenerRetryPause)
 	}
 	slog.Error("listener_lost", "addr", n.addr.String())
 	os.Exit(1)
@@ -185,11 +185,11 @@
 	return events.Serve(l)
 }
 
-// taken begins a connection that was accepted, on the loop.
-func taken(l *Loop, fd, limit int, accept func(c *Conn) Handler) {
+// accepted begins a connection that was accepted, on the loop.
+func accepted(l *Loop, fd, limit int, accept func(c *Conn) Handler) {
 	unix.SetNonblock(fd, true)
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := pausedConn(l, fd, limit, nobody{})
+	c := newPausedConn(l, fd, limit, discardingHandler{})
 	c.sizeBuffers()
 	c.guard(func() {
 		if h := accept(c); !c.Over() {
@@ -199,9 +199,14 @@
 	})
 }
 
-// nobody is the handler of a connection that was not taken.
-type nobody struct{}
+// discardingHandler is the handler of a connection that was not taken.
+type discardingHandler struct{}
 
-func (nobody) Data(*Conn)           {}
-func (nobody) Writable(*Conn)       {}
-func (nobody) Closed(*Conn, *Error) {}
+// Data takes nothing.
+func (discardingHandler) Data(*Conn) {}
+
+// Writable has nothing to write.
+func (discardingHandler) Writable(*Conn) {}
+
+// Closed has nobody to tell.
+func (discardingHandler) Closed(*Conn, *Error) {}
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -119,59 +119,68 @@
 func (l *Loop) fire() time.Duration {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
-		if wait := t.at - l.Now(); wait > 0 {
+		if wait := t.due - l.Now(); wait > 0 {
 			return time.Duration(wait)
 		}
 		heap.Pop(&l.timers)
-		l.guard(t.f)
+		l.guard(t.call)
 	}
 	return time.Hour
 }
 
 // Timer is one pending call. A nil Timer is one that never was; stopping it is harmless.
 type Timer struct {
-	at    int64
-	order uint64 // timers of the same moment fire in the order they were set
-	place int    // in the heap; -1 once fired or stopped
-	f     func()
-	loop  *Loop
+	due       int64
+	order     uint64 // timers of the same moment fire in the order they were set
+	heapIndex int    // in the heap; -1 once fired or stopped
+	call      func()
+	loop      *Loop
 }
 
 // After calls f on the loop once d has passed.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	l.order++
-	t := &Timer{at: l.Now() + int64(max(d, 0)), order: l.order, f: f, loop: l}
+	t := &Timer{due: l.Now() + int64(max(d, 0)), order: l.order, call: f, loop: l}
 	heap.Push(&l.timers, t)
 	return t
 }
 
 // Stop forgets the call if it has not begun.
 func (t *Timer) Stop() {
-	if t != nil && t.place >= 0 {
-		heap.Remove(&t.loop.timers, t.place)
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(&t.loop.timers, t.heapIndex)
 	}
 }
 
 type timerHeap []*Timer
 
+// Len, Less, Swap, Push and Pop are container/heap's.
 func (h timerHeap) Len() int { return len(h) }
+
+// Less puts the timer that is due first first.
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].order < h[j].order
 }
+
+// Swap keeps the timers' places true.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
+
+// Push adds a timer.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
-	t.place = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
+
+// Pop takes the last timer off.
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.place = -1
+	t.heapIndex = -1
 	return t
 }
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -59,7 +59,7 @@
 			c.Consume(min(1024, len(c.Input())))
 		}
 		most = max(most, len(c.Input()))
-		if c.Blocked() && len(c.Input()) >= c.limit/2 { // from here on a pause lasts
+		if c.Blocked() && len(c.Input()) >= c.inputLimit/2 { // from here on a pause lasts
 			select {
 			case stopped <- struct{}{}:
 			default:
@@ -79,7 +79,7 @@
 	if err := <-closed; err.Cause != Ended {
 		t.Errorf("ended by %v", err)
 	}
-	if most > 4096+overshoot {
+	if most > 4096+inputOvershoot {
 		t.Fatalf("%d bytes were held", most)
 	}
 }
--- a/internal/dataplane/netio/fence.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -11,50 +11,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// fence makes the loop wait until netpoll's poller has finished what it is doing.
+// pollerBarrier makes the loop wait until netpoll's poller has finished what it is doing.
 //
 // It exists for the sake of pausing a connection and taking it up again. netpoll reads whatever a socket holds for as long as it watches it,
 // so the only way to stop reading is to take the socket away from it; and what the poller reads at that very moment
 // would be lost with netpoll's buffer. netpoll calls a listener's Accept on the poller, between two sockets, so a
 // listener that stands on an eventfd tells when the poller has come to it: by then it is done with all it had found
 // before the eventfd was written.
-type fence struct {
-	fd      int
-	passed  chan struct{}
+type pollerBarrier struct {
+	eventFD int
+	reached chan struct{}
 	release chan struct{}
 }
 
-var _ netpoll.Listener = (*fence)(nil)
+var _ netpoll.Listener = (*pollerBarrier)(nil)
 
-func newFence() (*fence, error) {
+func newPollerBarrier() (*pollerBarrier, error) {
 	fd, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
-	f := &fence{fd: fd, passed: make(chan struct{}), release: make(chan struct{})}
+	f := &pollerBarrier{eventFD: fd, reached: make(chan struct{}), release: make(chan struct{})}
 	go f.serve()
 	return f, nil
 }
 
-// fenceAgain is the pause before netpoll is asked again to watch the fence. The loop waits meanwhile.
-const fenceAgain = 5 * time.Millisecond
+// barrierRetryPause is the pause before netpoll is asked again to watch the barrier. The loop waits meanwhile.
+const barrierRetryPause = 5 * time.Millisecond
 
-// serve has netpoll watch the fence, for good. Without it the loop would wait for ever as soon as it waits for the poller, so a kernel that has no
+// serve has netpoll watch the barrier, for good. Without it the loop would wait for ever as soon as it waits for the poller, so a kernel that has no
 // memory for one more watch is asked again.
-func (f *fence) serve() {
+func (f *pollerBarrier) serve() {
 	for {
 		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(f)))
-		time.Sleep(fenceAgain)
+		time.Sleep(barrierRetryPause)
 	}
 }
 
 // wait runs do once the poller has come here, and lets it go on after that. The gate is open meanwhile, so the poller
 // waits for nothing else and this takes microseconds.
-func (f *fence) wait(do func()) {
+func (f *pollerBarrier) wait(do func()) {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
 	for {
-		_, err := unix.Write(f.fd, one[:])
+		_, err := unix.Write(f.eventFD, one[:])
 		if err == unix.EINTR {
 			continue
 		}
@@ -63,22 +63,26 @@
 		}
 		break
 	}
-	<-f.passed
+	<-f.reached
 	defer func() { f.release <- struct{}{} }()
 	do()
 }
 
 // Accept is called on the poller. It accepts nothing.
-func (f *fence) Accept() (net.Conn, error) {
+func (f *pollerBarrier) Accept() (net.Conn, error) {
 	var count [8]byte
-	if n, err := unix.Read(f.fd, count[:]); err == nil && n == len(count) {
-		f.passed <- struct{}{}
+	if n, err := unix.Read(f.eventFD, count[:]); err == nil && n == len(count) {
+		f.reached <- struct{}{}
 		<-f.release
 	}
 	return nil, nil
 }
 
-// Fd, Addr and Close make it a listener.
-func (f *fence) Fd() int        { return f.fd }
-func (f *fence) Addr() net.Addr { return &net.UnixAddr{Name: "fence", Net: "unix"} }
-func (f *fence) Close() error   { return nil }
+// Fd is the eventfd that netpoll watches.
+func (f *pollerBarrier) Fd() int { return f.eventFD }
+
+// Addr is part of being a listener.
+func (f *pollerBarrier) Addr() net.Addr { return &net.UnixAddr{Name: "poller barrier", Net: "unix"} }
+
+// Close is part of being a listener; a barrier is never closed.
+func (f *pollerBarrier) Close() error { return nil }
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -11,41 +11,41 @@
 
 // read takes over what netpoll holds. netpoll calls it on the loop.
 func (c *Conn) read() {
-	for c.np.Reader().Len() > 0 {
-		n := c.np.Reader().Len()
+	for c.transport.Reader().Len() > 0 {
+		n := c.transport.Reader().Len()
 		if c.over {
-			c.np.Reader().Skip(n)
+			c.transport.Reader().Skip(n)
 			c.discarded(n)
 			continue
 		}
 		if !c.readSome(n) {
 			break
 		}
-		if !c.over && c.in.Len() >= c.limit && c.pauseReading() {
+		if !c.over && c.input.Len() >= c.inputLimit && c.pauseReading() {
 			return // detached lets the poller go on
 		}
 	}
-	c.np.Reader().Release()
+	c.transport.Reader().Release()
 }
 
 // readSome takes over up to n bytes; false: netpoll has none after all.
 func (c *Conn) readSome(n int) bool {
 	if c.layer != nil {
-		p, err := c.np.Reader().Next(n)
+		p, err := c.transport.Reader().Next(n)
 		if err == nil {
-			c.unseal(p, c.limit)
+			c.readSealed(p, c.inputLimit)
 		}
 		return err == nil
 	}
-	space := c.in.Reserve(n)
+	space := c.input.Reserve(n)
 	if len(space) == 0 {
-		c.np.Reader().Skip(n)
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errFlood})
+		c.transport.Reader().Skip(n)
+		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
 		return true
 	}
-	got, err := c.np.Read(space)
+	got, err := c.transport.Read(space)
 	if err == nil {
-		c.in.Extend(got)
+		c.input.Extend(got)
 		c.deliver()
 	}
 	return err == nil
@@ -53,22 +53,22 @@
 
 // discarded counts what comes in after the last line went out.
 func (c *Conn) discarded(n int) {
-	if c.surplus += n; c.ending && c.surplus > lingeringInput {
-		c.shut()
+	if c.ending.discardedBytes += n; c.ending.finishing && c.ending.discardedBytes > maxLingerInput {
+		c.closeSocket()
 	}
 }
 
 // pauseReading takes the socket away from netpoll; what comes from here on stays in the kernel, and in the end with
 // the sender. It is called from inside a callback of netpoll's, which completes the detaching when it returns.
 func (c *Conn) pauseReading() bool {
-	d, ok := c.np.(interface{ Detach() error })
+	d, ok := c.transport.(interface{ Detach() error })
 	if !ok {
 		return false
 	}
-	c.mu.Lock()
-	c.detaching = c.fd >= 0
-	detach := c.detaching
-	c.mu.Unlock()
+	c.socket.mu.Lock()
+	c.socket.detaching = c.socket.fd >= 0
+	detach := c.socket.detaching
+	c.socket.mu.Unlock()
 	if detach {
 		c.paused = true
 		d.Detach()
@@ -78,10 +78,10 @@
 
 // resume gives the socket back.
 func (c *Conn) resume() {
-	c.mu.Lock()
-	fd, ready := c.fd, !c.detaching
-	c.mu.Unlock()
-	if !ready || fd < 0 || c.release != nil {
+	c.socket.mu.Lock()
+	fd, ready := c.socket.fd, !c.socket.detaching
+	c.socket.mu.Unlock()
+	if !ready || fd < 0 || c.onReleased != nil {
 		return // netpoll has not let go yet, and closed comes here again; or somebody else takes the socket
 	}
 	c.paused = false
@@ -90,17 +90,17 @@
 		c.watchAgain(err)
 		return
 	}
-	c.refused = 0
+	c.pollerRefusals = 0
 }
 
 // handToPoller has netpoll watch the socket. netpoll closes what it can't take, so the socket has another number meanwhile, where there is one
 // to be had.
 func (c *Conn) handToPoller(fd int) (err error) {
-	spare := secondNumber(fd)
-	current.park(func() {
+	spare := duplicateDescriptor(fd)
+	environment.whilePollerParked(func() {
 		var np netpoll.Connection
 		if np, err = netpoll.NewFDConnection(fd); err == nil {
-			c.np = np
+			c.transport = np
 			c.watch()
 		}
 	})
@@ -110,86 +110,86 @@
 		}
 		return nil
 	}
-	c.mu.Lock()
-	c.fd = spare
-	c.mu.Unlock()
+	c.socket.mu.Lock()
+	c.socket.fd = spare
+	c.socket.mu.Unlock()
 	return err
 }
 
 // How often, and how soon, a socket is offered to the poller again that it could not take: the kernel may be short of memory for a moment.
 const (
-	mostWatches = 20
-	watchAgain  = 25 * time.Millisecond
+	maxWatchAttempts = 20
+	watchRetryPause  = 25 * time.Millisecond
 )
 
 func (c *Conn) watchAgain(err error) {
-	c.refused++
-	slog.Warn("watch_failed", "times", c.refused, "reason", err)
-	c.mu.Lock()
-	none := c.fd < 0
-	c.mu.Unlock()
-	if c.refused >= mostWatches || none {
+	c.pollerRefusals++
+	slog.Warn("watch_failed", "times", c.pollerRefusals, "reason", err)
+	c.socket.mu.Lock()
+	none := c.socket.fd < 0
+	c.socket.mu.Unlock()
+	if c.pollerRefusals >= maxWatchAttempts || none {
 		c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: err}) })
 		return
 	}
-	c.loop.After(watchAgain, func() {
-		if c.paused && (!c.over || c.ending) {
+	c.loop.After(watchRetryPause, func() {
+		if c.paused && (!c.over || c.ending.finishing) {
 			c.resume()
 		}
 	})
 }
 
 func (c *Conn) deliver() {
-	if !c.over && c.release == nil {
+	if !c.over && c.onReleased == nil {
 		c.guard(func() { c.handler.Data(c) })
 	}
 }
 
 // detached is netpoll's word that a pause has begun. It comes on the loop, where the pause was asked for.
 func (c *Conn) detached(np netpoll.Connection) {
-	current.park(func() {})
+	environment.whilePollerParked(func() {})
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
 		if c.layer != nil {
 			p, _ := np.Reader().Next(n)
 			if !c.layer.Take(p) {
-				c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errFlood}) })
+				c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit}) })
 				break
 			}
 			continue
 		}
-		space := c.in.Reserve(n)
+		space := c.input.Reserve(n)
 		if len(space) == 0 {
-			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errFlood}) })
+			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit}) })
 			break
 		}
 		got, _ := np.Read(space)
-		c.in.Extend(got)
+		c.input.Extend(got)
 	}
 	// netpoll lets go of the socket only after this callback, so all that follows waits for the loop's next turn.
 	c.loop.Post(func() {
-		c.mu.Lock()
-		c.detaching = false
-		c.mu.Unlock()
-		if c.over && !c.ending {
-			c.shut()
+		c.socket.mu.Lock()
+		c.socket.detaching = false
+		c.socket.mu.Unlock()
+		if c.over && !c.ending.finishing {
+			c.closeSocket()
 			return
 		}
-		if c.release != nil && !c.over {
-			c.yield()
+		if c.onReleased != nil && !c.over {
+			c.giveParts()
 			return
 		}
 		if c.layer != nil {
-			c.open(c.limit)
+			c.readLayer(c.inputLimit)
 		} else {
 			c.deliver()
 		}
-		if c.ending {
+		if c.ending.finishing {
 			c.resume()
 		}
-		if c.paused && !c.over && c.in.Len() < c.limit/2 {
+		if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
 			c.refill()
 		}
 	})
 }
 
-var errFlood = errors.New("more input than the limit")
+var errInputLimit = errors.New("more input than the limit")
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -18,50 +18,50 @@
 // Release lets go of a connection that stands, without ending it, and gives its parts to done, on the loop, later. From here
 // on its handler hears nothing of it. A connection with a layer can't be released: what the layer knows stays here.
 func (c *Conn) Release(done func(Parts)) {
-	if c.over || c.layer != nil || c.release != nil {
+	if c.over || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(Parts{FD: -1}) })
 		return
 	}
-	c.release = done
+	c.onReleased = done
 	if !c.paused && !c.pauseReading() {
-		c.unrelease()
+		c.releaseFailed()
 		return
 	}
-	c.mu.Lock()
-	ready := !c.detaching
-	c.mu.Unlock()
+	c.socket.mu.Lock()
+	ready := !c.socket.detaching
+	c.socket.mu.Unlock()
 	if ready {
-		c.loop.Post(c.yield) // else it comes once netpoll has let go
+		c.loop.Post(c.giveParts) // else it comes once netpoll has let go
 	}
 }
 
-// unrelease tells that a connection has ended before it could be let go of.
-func (c *Conn) unrelease() {
-	if done := c.release; done != nil {
-		c.release = nil
+// releaseFailed tells that a connection has ended before it could be let go of.
+func (c *Conn) releaseFailed() {
+	if done := c.onReleased; done != nil {
+		c.onReleased = nil
 		c.loop.Post(func() { done(Parts{FD: -1}) })
 	}
 }
 
-// yield gives the parts away.
-func (c *Conn) yield() {
-	done := c.release
+// giveParts gives the parts away.
+func (c *Conn) giveParts() {
+	done := c.onReleased
 	if done == nil {
 		return
 	}
-	c.mu.Lock()
-	fd := c.fd
-	c.fd = -1
-	c.mu.Unlock()
+	c.socket.mu.Lock()
+	fd := c.socket.fd
+	c.socket.fd = -1
+	c.socket.mu.Unlock()
 	if c.over || fd < 0 {
-		c.unrelease()
+		c.releaseFailed()
 		return
 	}
-	c.release = nil
-	p := Parts{FD: fd, In: bytes.Clone(c.in.Bytes()), Rest: c.rest}
-	c.over, c.in, c.rest = true, Buffer{}, nil
-	c.retry.Stop()
-	c.released()
+	c.onReleased = nil
+	p := Parts{FD: fd, In: bytes.Clone(c.input.Bytes()), Rest: c.output.unsent}
+	c.over, c.input, c.output.unsent = true, Buffer{}, nil
+	c.output.retry.Stop()
+	c.descriptorFreed()
 	done(p)
 }
 
@@ -70,16 +70,16 @@
 // netpoll would read as fast as the peer sends until the callbacks are in place, and a connection whose input nobody has taken
 // must not grow with each process it comes to.
 func Resume(l *Loop, p Parts, limit int, h Handler, done func(*Conn)) error {
-	c := pausedConn(l, p.FD, limit, h)
-	if c.in.Append(p.In) < len(p.In) || len(p.Rest) > mostSaid {
+	c := newPausedConn(l, p.FD, limit, h)
+	if c.input.Append(p.In) < len(p.In) || len(p.Rest) > maxUnsent {
 		unix.Close(p.FD)
 		return errors.New("more left over than a connection may have")
 	}
 	c.guard(func() { done(c) })
 	if !c.over && len(p.Rest) > 0 {
-		c.push(p.Rest)
+		c.writeToSocket(p.Rest)
 	}
-	if !c.over && c.in.Len() < limit/2 {
+	if !c.over && c.input.Len() < limit/2 {
 		c.resume()
 	}
 	return nil
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -93,7 +93,7 @@
 	serve := func() {
 		err := Serve(l, n, 4096, func(*Conn) Handler {
 			came <- true
-			return nobody{}
+			return discardingHandler{}
 		})
 		if err != nil {
 			t.Error(err)
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -14,9 +14,9 @@
 	lastRetry  = 64 * time.Millisecond
 )
 
-// stuckAfter is how long a peer may take nothing before its connection is given up: what waits for it holds memory, and
+// writeStallTimeout is how long a peer may take nothing before its connection is given up: what waits for it holds memory, and
 // somebody else's descriptor too.
-const stuckAfter = 10 * time.Second
+const writeStallTimeout = 10 * time.Second
 
 // Write hands one line to the kernel. It tells false, and takes nothing, while the rest of an earlier one waits;
 // Writable says when to come again.
@@ -24,67 +24,67 @@
 	if c.over {
 		return true // its end is on the way to the handler, or came from it
 	}
-	if len(c.rest) > 0 {
+	if len(c.output.unsent) > 0 {
 		return false
 	}
-	c.say(p)
+	c.writeThroughLayer(p)
 	return true
 }
 
-// say sends bytes, by way of the layer where there is one; they go behind the rest of what the peer has not taken yet.
-func (c *Conn) say(p []byte) {
+// writeThroughLayer sends bytes, by way of the layer where there is one; they go behind the rest of what the peer has not taken yet.
+func (c *Conn) writeThroughLayer(p []byte) {
 	if c.layer == nil {
-		c.push(p)
+		c.writeToSocket(p)
 	} else if err := c.layer.Seal(p); err != nil {
-		c.loop.Post(func() { c.fail(whyNot(err)) })
+		c.loop.Post(func() { c.fail(layerError(err)) })
 	}
 }
 
-// push hands bytes to the kernel and keeps what it does not take.
-func (c *Conn) push(p []byte) {
-	if len(c.rest) > 0 {
-		if len(c.rest)+len(p) > mostSaid {
-			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errTalk}) })
+// writeToSocket hands bytes to the kernel and keeps what it does not take.
+func (c *Conn) writeToSocket(p []byte) {
+	if len(c.output.unsent) > 0 {
+		if len(c.output.unsent)+len(p) > maxUnsent {
+			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errPeerNotReading}) })
 			return
 		}
-		c.rest = append(c.rest, p...)
+		c.output.unsent = append(c.output.unsent, p...)
 		return
 	}
 	n, err := c.send(p)
 	if err != nil {
-		c.broken(err)
+		c.writeFailed(err)
 	}
 	if n < len(p) {
-		c.rest = append(c.rest, p[n:]...)
-		c.pause, c.giveUp = firstRetry, c.loop.Now()+int64(stuckAfter)
-		c.retry = c.loop.After(c.pause, c.flush)
+		c.output.unsent = append(c.output.unsent, p[n:]...)
+		c.output.retryPause, c.output.giveUpAt = firstRetry, c.loop.Now()+int64(writeStallTimeout)
+		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
 	}
 }
 
 // Blocked tells whether the rest of a line waits for the peer.
-func (c *Conn) Blocked() bool { return len(c.rest) > 0 }
+func (c *Conn) Blocked() bool { return len(c.output.unsent) > 0 }
 
-// flush offers the peer the rest of a line again. netpoll's own Flush would block the loop until a slow reader has
+// retryUnsent offers the peer the rest of a line again. netpoll's own Flush would block the loop until a slow reader has
 // taken everything, and its poller watches for writing only inside that call; so the offer is renewed by a timer,
 // more and more seldom.
-func (c *Conn) flush() {
-	n, err := c.send(c.rest)
-	c.rest = c.rest[:copy(c.rest, c.rest[n:])]
+func (c *Conn) retryUnsent() {
+	n, err := c.send(c.output.unsent)
+	c.output.unsent = c.output.unsent[:copy(c.output.unsent, c.output.unsent[n:])]
 	switch {
 	case err != nil:
-		c.broken(err)
-	case len(c.rest) > 0 && !c.over && c.loop.Now() > c.giveUp:
-		c.rest = nil
+		c.writeFailed(err)
+	case len(c.output.unsent) > 0 && !c.over && c.loop.Now() > c.output.giveUpAt:
+		c.output.unsent = nil
 		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errors.New("peer takes nothing")})
-	case len(c.rest) > 0 && !(c.over && c.loop.Now() > c.until):
-		c.pause = min(2*c.pause, lastRetry)
-		c.retry = c.loop.After(c.pause, c.flush)
-	case c.over && c.ending && len(c.rest) == 0:
+	case len(c.output.unsent) > 0 && !(c.over && c.loop.Now() > c.ending.unsentUntil):
+		c.output.retryPause = min(2*c.output.retryPause, lastRetry)
+		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
+	case c.over && c.ending.finishing && len(c.output.unsent) == 0:
 		c.halfClose()
 	case c.over:
-		c.shut()
+		c.closeSocket()
 	default:
-		c.rest = nil
+		c.output.unsent = nil
 		c.guard(func() { c.handler.Writable(c) })
 	}
 }
@@ -98,12 +98,12 @@
 // the moment. Any other error means that the connection is broken, and that nothing of what was not taken is on its way. A connection whose
 // socket is closed already takes everything: its end is on the way to the handler.
 func (c *Conn) send(p []byte) (done int, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.fd < 0 {
+	c.socket.mu.Lock()
+	defer c.socket.mu.Unlock()
+	if c.socket.fd < 0 {
 		return len(p), nil
 	}
-	return sendSome(c.loop.sendmsg, c.fd, p)
+	return sendSome(c.loop.sendmsg, c.socket.fd, p)
 }
 
 // sendSome writes what the kernel takes right now. It gives no error where the kernel takes no more for the moment.
@@ -123,14 +123,14 @@
 	return len(p), nil
 }
 
-// broken ends a connection on which a write has failed. Until its handler hears of that the line counts as not written whole. netpoll may tell
+// writeFailed ends a connection on which a write has failed. Until its handler hears of that the line counts as not written whole. netpoll may tell
 // of the end as well, or may not: the error that a write meets is gone from the socket.
-func (c *Conn) broken(err error) {
+func (c *Conn) writeFailed(err error) {
 	c.loop.Post(func() {
-		c.retry.Stop()
-		c.rest = nil
+		c.output.retry.Stop()
+		c.output.unsent = nil
 		if c.over {
-			c.shut()
+			c.closeSocket()
 			return
 		}
 		c.fail(&Error{Stage: Up, Cause: Broke, Detail: err})
@@ -143,6 +143,6 @@
 	if c.over {
 		return
 	}
-	c.say(last)
+	c.writeThroughLayer(last)
 	c.Finish()
 }
