--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -15,24 +15,25 @@
 // errSilent is the end of a call that has not been answered in time.
 var errSilent = errors.New("no answer")
 
-// noVersion is the version held where no list of the service's is.
-const noVersion = -1
+// noRevision is the version held where no list of the service's is.
+const noRevision = -1
 
 // call is one request on its way.
 type call struct {
-	client *Client
-	from   int64 // the version held as it began
-	began  int64
-	target string
-	dial   *netio.Dial
-	conn   *netio.Conn
-	timer  *netio.Timer
-	reused bool
-	done   func(ch proxy.Change, err error)
+	client       *Client
+	fromRevision int64 // the version held as it began
+	startedAt    int64
+	target       string
+	dial         *netio.Dial
+	conn         *netio.Conn
+	timer        *netio.Timer
+	reused       bool
+	done         func(ch proxy.Change, err error)
 }
 
-func (c *Client) start(target string, within time.Duration, done func(proxy.Change, error)) *call {
-	q := &call{client: c, from: c.rev, began: c.loop.Now(), target: target, done: done}
+// startCall makes a call, on the connection at rest where there is one.
+func (c *Client) startCall(target string, within time.Duration, done func(proxy.Change, error)) *call {
+	q := &call{client: c, fromRevision: c.revision, startedAt: c.loop.Now(), target: target, done: done}
 	q.timer = c.loop.After(within, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, within)) })
 	if c.idle != nil && !c.idle.Over() {
 		q.conn, q.reused, c.idle = c.idle, true, nil
@@ -46,7 +47,7 @@
 
 func (q *call) connect() {
 	c := q.client
-	q.dial = c.dialer.Dial(c.addr, connectWithin, inputLimit, q, func(conn *netio.Conn, err *netio.Error) {
+	q.dial = c.dialer.Dial(c.address, connectTimeout, inputLimit, q, func(conn *netio.Conn, err *netio.Error) {
 		q.dial = nil
 		if err != nil {
 			q.finish(nil, err)
@@ -58,13 +59,13 @@
 }
 
 func (q *call) send() {
-	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.addr + "\r\nAccept: application/json\r\n\r\n"))
+	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.address + "\r\nAccept: application/json\r\n\r\n"))
 }
 
 // Data looks whether the response is complete.
-func (q *call) Data(c *netio.Conn) { q.look(false) }
+func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
-func (q *call) look(ended bool) {
+func (q *call) parse(ended bool) {
 	r, err := parseResponse(q.conn.Input(), ended)
 	if r != nil || err != nil {
 		q.finish(r, err)
@@ -83,7 +84,7 @@
 		return
 	}
 	if err.Cause == netio.Ended {
-		q.look(true)
+		q.parse(true)
 		return
 	}
 	q.finish(nil, err)
@@ -102,17 +103,17 @@
 	}
 	q.trace(ch, err)
 	done := q.done
-	if err == nil && !r.last && !q.conn.Over() {
+	if err == nil && !r.closes && !q.conn.Over() {
 		q.conn.Consume(r.length)
 		q.client.idle = q.conn
-		q.conn.SetHandler(unused{q.client})
+		q.conn.SetHandler(idleHandler{q.client})
 		q.conn = nil
 	}
 	q.drop()
 	if err == nil {
-		ch = q.client.take(q, ch)
-		if q.client.lastErr != "" {
-			q.client.lastErr = ""
+		ch = q.client.acceptAnswer(q, ch)
+		if q.client.lastFailure != "" {
+			q.client.lastFailure = ""
 			slog.Info("discovery_back", "rev", ch.Version)
 		}
 	}
@@ -122,22 +123,22 @@
 // trace logs how the call ended.
 func (q *call) trace(ch proxy.Change, err error) {
 	if logging.Tracing() {
-		slog.Debug("discovery_call", "addr", q.client.addr, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.began)/1e6,
+		slog.Debug("discovery_call", "addr", q.client.address, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.startedAt)/1e6,
 			"rev", ch.Version, "hosts", len(ch.Hosts), "err", err)
 	}
 }
 
-// take makes an answer's version the one held. Of two calls that are out at once the older answer may come last: it tells nothing
+// acceptAnswer makes an answer's version the one held. Of two calls that are out at once the older answer may come last: it tells nothing
 // then, or it would undo what is held. A service that begins its versions anew answers a call made from the version held.
-func (c *Client) take(q *call, ch proxy.Change) proxy.Change {
-	c.moved = 0
+func (c *Client) acceptAnswer(q *call, ch proxy.Change) proxy.Change {
+	c.redirectedAt = 0
 	switch {
-	case ch.Version < c.rev && q.from != c.rev:
-		return proxy.Change{Kind: balancer.ListDelta, Version: c.rev}
-	case ch.Version < c.rev && ch.Kind == balancer.ListDelta:
-		c.rev = noVersion // a difference from a version of another numbering: the whole list is asked for next
+	case ch.Version < c.revision && q.fromRevision != c.revision:
+		return proxy.Change{Kind: balancer.ListDelta, Version: c.revision}
+	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
+		c.revision = noRevision // a difference from a version of another numbering: the whole list is asked for next
 	default:
-		c.rev = ch.Version
+		c.revision = ch.Version
 	}
 	return ch
 }
@@ -152,14 +153,16 @@
 	}
 }
 
-// unused handles a connection that waits for the next call.
-type unused struct{ client *Client }
+// idleHandler handles a connection that waits for the next call.
+type idleHandler struct{ client *Client }
 
-func (u unused) Data(c *netio.Conn) {
-	// Nothing was asked, so nothing can be meant.
+// Data ends the connection: nothing was asked, so nothing can be meant.
+func (u idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
 
-func (u unused) Writable(*netio.Conn) {}
+// Writable is nothing to a connection at rest.
+func (u idleHandler) Writable(*netio.Conn) {}
 
-func (u unused) Closed(*netio.Conn, *netio.Error) {}
+// Closed is nothing to a connection at rest: the next call opens another.
+func (u idleHandler) Closed(*netio.Conn, *netio.Error) {}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -12,96 +12,96 @@
 )
 
 const (
-	path = "/discovery/hosts"
-	// shortHold and longHold bound how long discovery may keep a watch waiting, and holdEach is the part of it that each
+	hostsPath = "/discovery/hosts"
+	// minWatchHold and longHold bound how long discovery may keep a watch waiting, and holdEach is the part of it that each
 	// proxy of the tier adds. News counts as told 2 s past the end of the wait, so a call that has gone silent is given up,
 	// and made anew, before that; and the shorter the wait, the sooner a watch that has died unseen is replaced. But
 	// discovery is one service for all proxies and works through calls in turn: 80 proxies that each call every 4 s are
 	// 20 calls a second, more than it gets through, and then each call waits and some fail. So the fleet together makes
 	// four a second, up to the longest wait that is sound for one.
-	shortHold = 4 * time.Second
-	longHold  = 20 * time.Second
-	holdEach  = 250 * time.Millisecond
-	// answerWithin is how long past its wait a watch's call may take. Discovery works through calls in turn and gives up
+	minWatchHold      = 4 * time.Second
+	maxWatchHold      = 20 * time.Second
+	watchHoldPerProxy = 250 * time.Millisecond
+	// watchAnswerTimeout is how long past its wait a watch's call may take. Discovery works through calls in turn and gives up
 	// on one after 2 s; waiting that long would let the moment pass at which its news counts as told.
-	answerWithin = 1200 * time.Millisecond
-	// wholeWithin is how long a call for the whole list may take, which waits for nothing but its turn. Discovery itself ends one that has
+	watchAnswerTimeout = 1200 * time.Millisecond
+	// fullListTimeout is how long a call for the whole list may take, which waits for nothing but its turn. Discovery itself ends one that has
 	// waited 2 s; who gives it up sooner and asks again leaves it the work of both, and a service that is slow for a moment stays slow for
 	// as long as all its callers do so.
-	wholeWithin   = 2300 * time.Millisecond
-	connectWithin = time.Second
-	inputLimit    = maxHead + 2*maxBody
-	// settling is how long after a redirect the client itself asks a new address again, and askAgain how soon: what
+	fullListTimeout = 2300 * time.Millisecond
+	connectTimeout  = time.Second
+	inputLimit      = maxHead + 2*maxBody
+	// redirectSettleTime is how long after a redirect the client itself asks a new address again, and askAgain how soon: what
 	// that address has to tell counts as told 4 s after the redirect, and the module's own pause may be longer.
-	settling = 3500 * time.Millisecond
-	askAgain = 150 * time.Millisecond
+	redirectSettleTime = 3500 * time.Millisecond
+	redirectRetryPause = 150 * time.Millisecond
 	// agentHold, agentWithin and agentAgain are for an agent on this machine, to which lists are pushed. Calls on it cost
 	// nobody anything, and whatever it has counts as told, also in the moment in which it is back from a silence that a
 	// watch has not survived. So a call that has died unseen is given up and made anew within the 250 ms that the rules
 	// leave for what is told.
-	agentHold   = 100 * time.Millisecond
-	agentWithin = 80 * time.Millisecond
-	agentAgain  = 30 * time.Millisecond
+	agentHold          = 100 * time.Millisecond
+	agentAnswerTimeout = 80 * time.Millisecond
+	agentRetryPause    = 30 * time.Millisecond
 )
 
 // Client keeps a watch while it is wanted, one call after the other on one connection, and fetches the whole list
 // when asked. All its methods belong to the loop.
 type Client struct {
-	loop   *netio.Loop
-	dialer *netio.Dialer
-	addr   string
-	tell   func(proxy.Change)
-	hold   time.Duration // how long discovery may keep a watch waiting
-	late   time.Duration // how long past that an answer may come
-	agent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
-
-	rev    int64 // of the list as held, in the numbering of the service at addr; under 0: none is held of it
-	moved  int64 // when addr last changed, until it has answered; 0: it has
-	again  *netio.Timer
-	wanted bool  // the watch goes on
-	first  bool  // its first answer is awaited, which is told even if it is empty
-	watch  *call // the call under way
+	loop          *netio.Loop
+	dialer        *netio.Dialer
+	address       string
+	notify        func(proxy.Change)
+	watchHold     time.Duration // how long discovery may keep a watch waiting
+	answerTimeout time.Duration // how long past that an answer may come
+	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
+
+	revision       int64 // of the list as held, in the numbering of the service at addr; under 0: none is held of it
+	redirectedAt   int64 // when addr last changed, until it has answered; 0: it has
+	retry          *netio.Timer
+	watching       bool  // the watch goes on
+	firstAnswerDue bool  // its first answer is awaited, which is told even if it is empty
+	watch          *call // the call under way
 	// reopened: the watch has been opened anew since it fell silent, and nothing has come since.
-	reopened bool
-	silent   int // calls of the watch in a row that got no answer
-	fetch    *call
-	idle     *netio.Conn // a connection whose last response is complete
-	lastErr  string
+	reopened    bool
+	silentCalls int // calls of the watch in a row that got no answer
+	fetch       *call
+	idle        *netio.Conn // a connection whose last response is complete
+	lastFailure string
 }
 
 // NewClient makes a client, one of so many that share discovery, that holds the list up to rev and gives news to tell.
 func NewClient(l *netio.Loop, d *netio.Dialer, addr string, sharing int, rev int64, tell func(proxy.Change)) *Client {
-	hold := min(longHold, max(shortHold, time.Duration(sharing)*holdEach))
-	return &Client{loop: l, dialer: d, addr: addr, hold: hold, late: answerWithin, rev: rev, tell: tell}
+	hold := min(maxWatchHold, max(minWatchHold, time.Duration(sharing)*watchHoldPerProxy))
+	return &Client{loop: l, dialer: d, address: addr, watchHold: hold, answerTimeout: watchAnswerTimeout, revision: rev, notify: tell}
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on and without being asked:
 // the module asks only where lists come to those who ask. A call that fails is made again at once, and is no failure told: the
 // agent is silent while discovery is, and the list held stays the best there is.
 func (c *Client) Follow() {
-	c.agent, c.hold, c.late = true, agentHold, agentWithin
+	c.followsAgent, c.watchHold, c.answerTimeout = true, agentHold, agentAnswerTimeout
 	c.WatchList(true)
 }
 
 // Source is who gives the list, and the version held of it; under 0: none.
-func (c *Client) Source() (addr string, rev int64) { return c.addr, c.rev }
+func (c *Client) Source() (addr string, rev int64) { return c.address, c.revision }
 
 // WatchList begins or ends the watch. Asked for again while it goes on, it changes nothing.
 func (c *Client) WatchList(on bool) {
 	if !on {
-		c.wanted = false
-		c.again.Stop()
+		c.watching = false
+		c.retry.Stop()
 		if c.watch != nil {
 			c.watch.drop()
 			c.watch = nil
 		}
 		return
 	}
-	if c.wanted {
+	if c.watching {
 		return
 	}
-	c.wanted, c.first = true, true
-	c.next()
+	c.watching, c.firstAnswerDue = true, true
+	c.callWatch()
 }
 
 // Redirect has the client ask another address from now on. What is under way at the old one is dropped without a word:
@@ -109,10 +109,10 @@
 // watch from a version that the new one has not come to would hear nothing; so the whole list is asked for first. That
 // happens at once, also while the module waits before it asks again.
 func (c *Client) Redirect(addr string) {
-	if addr == c.addr {
+	if addr == c.address {
 		return
 	}
-	c.addr, c.rev, c.moved = addr, noVersion, c.loop.Now()
+	c.address, c.revision, c.redirectedAt = addr, noRevision, c.loop.Now()
 	c.closeIdle()
 	if c.watch != nil {
 		c.watch.drop()
@@ -122,60 +122,60 @@
 		c.fetch.drop()
 		c.fetch = nil // the watch below brings what was asked for
 	}
-	c.again.Stop()
-	c.wanted, c.first = true, true
-	c.next()
+	c.retry.Stop()
+	c.watching, c.firstAnswerDue = true, true
+	c.callWatch()
 }
 
-// next makes the watch's next call. The watch goes on only if that comes within 200 ms of the last answer.
-func (c *Client) next() {
-	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", path, c.rev, c.hold.Milliseconds()), c.hold+c.late
-	if c.rev < 0 {
-		target, within = path, c.wholeWithin()
+// callWatch makes the watch's next call. The watch goes on only if that comes within 200 ms of the last answer.
+func (c *Client) callWatch() {
+	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchHold.Milliseconds()), c.watchHold+c.answerTimeout
+	if c.revision < 0 {
+		target, within = hostsPath, c.fullListTimeout()
 	}
-	c.watch = c.start(target, within, func(ch proxy.Change, err error) {
+	c.watch = c.startCall(target, within, func(ch proxy.Change, err error) {
 		c.watch = nil
 		if errors.Is(err, errSilent) {
-			c.silent++
+			c.silentCalls++
 		} else {
-			c.silent = 0
+			c.silentCalls = 0
 		}
-		if err != nil && (c.agent || c.moved > 0 && c.loop.Now()-c.moved < int64(settling)) {
-			c.note(err)
-			pause := askAgain
-			if c.agent {
-				pause = agentAgain
+		if err != nil && (c.followsAgent || c.redirectedAt > 0 && c.loop.Now()-c.redirectedAt < int64(redirectSettleTime)) {
+			c.logFailure(err)
+			pause := redirectRetryPause
+			if c.followsAgent {
+				pause = agentRetryPause
 			}
-			c.again = c.loop.After(pause, c.next)
+			c.retry = c.loop.After(pause, c.callWatch)
 			return
 		}
 		if errors.Is(err, errSilent) && !c.reopened {
-			c.note(err)
+			c.logFailure(err)
 			c.reopen()
 			return
 		}
 		c.reopened = false
 		if err != nil {
 			// The module decides when to ask again; it backs off.
-			c.wanted = false
-			c.failed(err)
+			c.watching = false
+			c.reportFailure(err)
 			return
 		}
-		c.next()
-		if c.first || len(ch.Hosts) > 0 || ch.Kind == balancer.ListFull {
-			c.first = false
-			c.tell(ch)
+		c.callWatch()
+		if c.firstAnswerDue || len(ch.Hosts) > 0 || ch.Kind == balancer.ListFull {
+			c.firstAnswerDue = false
+			c.notify(ch)
 		}
 	})
 }
 
-// wholeWithin is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
+// fullListTimeout is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
 // large that it does not come in time, the next call has twice as long.
-func (c *Client) wholeWithin() time.Duration {
-	if !c.agent {
-		return wholeWithin
+func (c *Client) fullListTimeout() time.Duration {
+	if !c.followsAgent {
+		return fullListTimeout
 	}
-	return min(wholeWithin, c.late<<min(c.silent, 6))
+	return min(fullListTimeout, c.answerTimeout<<min(c.silentCalls, 6))
 }
 
 // reopen opens a watch that has fallen silent anew, at once: what it has missed counts as told soon, while the module's own
@@ -184,7 +184,7 @@
 func (c *Client) reopen() {
 	c.reopened = true
 	c.closeIdle()
-	c.next()
+	c.callWatch()
 }
 
 // closeIdle ends the connection at rest, so that the next call is made on a new one.
@@ -200,25 +200,25 @@
 	if c.fetch != nil {
 		return
 	}
-	c.fetch = c.start(path, wholeWithin, func(ch proxy.Change, err error) {
+	c.fetch = c.startCall(hostsPath, fullListTimeout, func(ch proxy.Change, err error) {
 		c.fetch = nil
 		if err != nil {
-			c.failed(err)
+			c.reportFailure(err)
 			return
 		}
-		c.tell(ch)
+		c.notify(ch)
 	})
 }
 
-// note logs why a call failed, unless the last one failed for the same reason.
-func (c *Client) note(err error) {
-	if c.lastErr != err.Error() {
-		c.lastErr = err.Error()
+// logFailure logs why a call failed, unless the last one failed for the same reason.
+func (c *Client) logFailure(err error) {
+	if c.lastFailure != err.Error() {
+		c.lastFailure = err.Error()
 		slog.Warn("discovery_failed", "reason", err)
 	}
 }
 
-func (c *Client) failed(err error) {
-	c.note(err)
-	c.tell(proxy.Change{Kind: balancer.ListFailed})
+func (c *Client) reportFailure(err error) {
+	c.logFailure(err)
+	c.notify(proxy.Change{Kind: balancer.ListFailed})
 }
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -56,7 +56,7 @@
 		r, err := parseResponse([]byte(seeds[i]), true)
 		if err != nil {
 			t.Errorf("%d: %v", i, err)
-		} else if got := fmt.Sprintf("%d %s %d %t", r.status, r.body, r.length, r.last); got != want {
+		} else if got := fmt.Sprintf("%d %s %d %t", r.status, r.body, r.length, r.closes); got != want {
 			t.Errorf("%d: %s, want %s", i, got, want)
 		}
 	}
@@ -154,10 +154,10 @@
 	}{{0, 4 * time.Second}, {1, 4 * time.Second}, {3, 4 * time.Second}, {16, 4 * time.Second}, {40, 10 * time.Second},
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
 		k := NewClient(nil, nil, "127.0.0.1:1", c.sharing, 0, nil)
-		if k.hold != c.want {
-			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.hold, c.want)
+		if k.watchHold != c.want {
+			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchHold, c.want)
 		}
-		if k.hold+answerWithin >= k.hold+2*time.Second {
+		if k.watchHold+watchAnswerTimeout >= k.watchHold+2*time.Second {
 			t.Errorf("%d proxies: a silent call outlives the moment at which its news counts as told", c.sharing)
 		}
 	}
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -24,7 +24,7 @@
 	status int
 	body   []byte
 	length int  // bytes of input it takes up
-	last   bool // the connection carries no further one
+	closes bool // the connection carries no further one
 }
 
 // parseResponse reads one HTTP/1.1 response. It gives nil while more is to come. ended says that nothing will, which
@@ -41,80 +41,110 @@
 		}
 		return nil, nil
 	}
-	lines := strings.Split(string(in[:end]), "\r\n")
-	r := &response{}
-	var err error
-	if r.status, r.last, err = statusLine(lines[0]); err != nil {
+	head, err := parseHead(string(in[:end]))
+	if err != nil {
 		return nil, err
 	}
-	size, chunked := -1, false
-	for _, l := range lines[1:] {
-		name, value, found := strings.Cut(l, ":")
+	bodyStart := end + len("\r\n\r\n")
+	if head.status >= 100 && head.status < 200 {
+		// An interim response announces the real one.
+		final, err := parseResponse(in[bodyStart:], ended)
+		if final != nil {
+			final.length += bodyStart
+		}
+		return final, err
+	}
+	r, err := head.takeBody(in[bodyStart:], ended)
+	if r != nil {
+		r.length += bodyStart
+	}
+	if r == nil && err == nil && ended {
+		err = errMalformed
+	}
+	return r, err
+}
+
+// responseHead is what a response's head says of the rest.
+type responseHead struct {
+	status  int
+	closes  bool // the connection carries no further response
+	size    int  // bytes of the body; under 0: not stated
+	chunked bool
+}
+
+func parseHead(text string) (responseHead, error) {
+	lines := strings.Split(text, "\r\n")
+	h := responseHead{size: -1}
+	var err error
+	if h.status, h.closes, err = statusLine(lines[0]); err != nil {
+		return h, err
+	}
+	for _, line := range lines[1:] {
+		name, value, found := strings.Cut(line, ":")
 		if !found || name == "" || strings.ContainsAny(name, " \t") {
-			return nil, errMalformed
+			return h, errMalformed
 		}
-		value = strings.Trim(value, " \t")
-		switch strings.ToLower(name) {
-		case "content-length":
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || size >= 0 && size != int(n) {
-				return nil, errMalformed
-			}
-			size = int(n)
-		case "transfer-encoding":
-			if !strings.EqualFold(value, "chunked") {
-				return nil, errMalformed
-			}
-			chunked = true
-		case "connection":
-			for _, token := range strings.Split(strings.ToLower(value), ",") {
-				switch strings.TrimSpace(token) {
-				case "close":
-					r.last = true
-				case "keep-alive":
-					r.last = false
-				}
-			}
+		if err := h.set(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
+			return h, err
 		}
 	}
-	if r.status >= 100 && r.status < 200 {
-		// An interim response announces the real one.
-		rest, err := parseResponse(in[end+4:], ended)
-		if rest != nil {
-			rest.length += end + 4
+	return h, nil
+}
+
+// set takes one header field.
+func (h *responseHead) set(name, value string) error {
+	switch name {
+	case "content-length":
+		n, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || h.size >= 0 && h.size != int(n) {
+			return errMalformed
+		}
+		h.size = int(n)
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") {
+			return errMalformed
+		}
+		h.chunked = true
+	case "connection":
+		for _, token := range strings.Split(strings.ToLower(value), ",") {
+			switch strings.TrimSpace(token) {
+			case "close":
+				h.closes = true
+			case "keep-alive":
+				h.closes = false
+			}
 		}
-		return rest, err
 	}
-	body := in[end+4:]
+	return nil
+}
+
+// takeBody reads the body behind the head; nil without an error: it is not complete. The length is that of the body alone.
+func (h *responseHead) takeBody(in []byte, ended bool) (*response, error) {
+	r := &response{status: h.status, closes: h.closes}
 	switch {
-	case r.status == 204 || r.status == 304:
-		r.length = end + 4
+	case h.status == 204 || h.status == 304:
 		return r, nil
-	case chunked:
-		n := 0
-		if r.body, n, err = unchunk(body); err != nil {
+	case h.chunked:
+		body, length, err := unchunk(in)
+		if err != nil || length == 0 {
 			return nil, err
 		}
-		if n > 0 {
-			r.length = end + 4 + n
-			return r, nil
-		}
-	case size > maxBody:
+		r.body, r.length = body, length
+		return r, nil
+	case h.size > maxBody:
 		return nil, errTooLarge
-	case size >= 0:
-		if len(body) >= size {
-			r.body, r.length = body[:size], end+4+size
-			return r, nil
+	case h.size >= 0:
+		if len(in) < h.size {
+			return nil, nil
 		}
-	case len(body) > maxBody:
+		r.body, r.length = in[:h.size], h.size
+		return r, nil
+	case len(in) > maxBody:
 		return nil, errTooLarge
 	case ended:
-		r.body, r.length, r.last = body, len(in), true
+		r.body, r.length, r.closes = in, len(in), true
 		return r, nil
 	}
-	if ended {
-		return nil, errMalformed
-	}
 	return nil, nil
 }
 
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -10,12 +10,14 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
+// list is a list, or a change of it, in discovery's form and by its names.
 type list struct {
 	Rev     *int64  `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []entry `json:"targets"`
 }
 
+// entry is one host in it.
 type entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -27,7 +29,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-var states = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
+var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // Parse reads a list or a change of it, as discovery and the configuration's known give it.
 func Parse(data []byte) (proxy.Change, error) {
@@ -43,7 +45,7 @@
 		ch.Kind = balancer.ListFull
 	}
 	for i, e := range l.Targets {
-		state, ok := states[e.State]
+		state, ok := hostStates[e.State]
 		if !ok {
 			return proxy.Change{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
 		}
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -83,7 +83,7 @@
 	s := scripted(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	silent := <-s.calls
-	s.pass(shortHold + answerWithin)
+	s.pass(minWatchHold + watchAnswerTimeout)
 	again := <-s.calls
 	if silent.target != again.target || silent.conn == again.conn {
 		t.Errorf("called %s, then %s (same connection: %t)", silent.target, again.target, silent.conn == again.conn)
@@ -95,7 +95,7 @@
 	// Silence twice in a row is a failure; the module decides when to ask again.
 	for range 2 {
 		<-s.calls
-		s.pass(shortHold + answerWithin)
+		s.pass(minWatchHold + watchAnswerTimeout)
 	}
 	if ch := <-s.told; ch.Kind != balancer.ListFailed || len(s.calls) > 0 {
 		t.Errorf("told %+v, %d calls more", ch, len(s.calls))
@@ -129,7 +129,7 @@
 	s.loop.Post(func() { s.client.WatchList(true) })
 	(<-s.calls).answer(`{"rev":2,"all":false,"targets":[]}`)
 	whole := <-s.calls
-	if whole.target != path {
+	if whole.target != hostsPath {
 		t.Fatalf("called %s", whole.target)
 	}
 	whole.answer(`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
@@ -146,8 +146,8 @@
 // service busy with what nobody waited for, and their lists came 9 s after the redirect, when hosts had drained for 7 s.
 func TestASlowDiscoveryIsNotAskedAgain(t *testing.T) {
 	s := scripted(t)
-	addr := s.client.addr
-	s.loop.Post(func() { s.client.addr = "127.0.0.1:1"; s.client.Redirect(addr) })
+	addr := s.client.address
+	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	whole := <-s.calls
 	s.pass(1900 * time.Millisecond)
 	whole.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
@@ -158,12 +158,12 @@
 		t.Errorf("called %s before the answer had come", next.target)
 	}
 	// One that never answers is asked again, sooner than what it has to tell counts as told.
-	s.loop.Post(func() { s.client.addr = "127.0.0.1:1"; s.client.Redirect(addr) })
+	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	<-s.calls
-	s.pass(wholeWithin)
+	s.pass(fullListTimeout)
 	s.settle()
-	s.pass(askAgain)
-	if again := <-s.calls; again.target != path {
+	s.pass(redirectRetryPause)
+	if again := <-s.calls; again.target != hostsPath {
 		t.Errorf("called %s", again.target)
 	}
 }
--- a/internal/dataplane/handshake/bucket.go
+++ b/internal/dataplane/handshake/bucket.go
@@ -8,20 +8,20 @@
 // bucket saves what is not used, up to most.
 type bucket struct {
 	have, most, perSecond float64
-	at                    int64
+	filledAt              int64
 }
 
 func newBucket(perSecond float64, burst time.Duration, least float64, now int64) bucket {
 	most := math.Max(perSecond*burst.Seconds(), least)
-	return bucket{have: most, most: most, perSecond: perSecond, at: now}
+	return bucket{have: most, most: most, perSecond: perSecond, filledAt: now}
 }
 
 // refill brings a bucket up to now. A clock that steps back brings nothing and takes nothing.
 func (b *bucket) refill(now int64) {
-	if now > b.at {
-		b.have = math.Min(b.most, b.have+float64(now-b.at)/1e9*b.perSecond)
+	if now > b.filledAt {
+		b.have = math.Min(b.most, b.have+float64(now-b.filledAt)/1e9*b.perSecond)
 	}
-	b.at = now
+	b.filledAt = now
 }
 
 // until is how long, in nanoseconds, the bucket takes to hold n; 0: it does.
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -74,12 +74,12 @@
 }
 
 type entry struct {
-	id       uint64
-	host     *host
-	resumed  bool
-	deadline int64
-	cost     float64 // what was charged
-	began    int64
+	requestID uint64
+	host      *host
+	resumed   bool
+	deadline  int64
+	cost      float64 // what was charged
+	began     int64
 }
 
 // New makes a budget.
@@ -125,7 +125,7 @@
 		b.settle(h)
 		return NoTime
 	}
-	e := &entry{id: id, host: h, resumed: resumed, deadline: deadline}
+	e := &entry{requestID: id, host: h, resumed: resumed, deadline: deadline}
 	b.waiting[id] = e
 	h.queue = append(h.queue, e)
 	if !h.turn {
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -16,7 +16,7 @@
 			wake = math.Min(wake, wait)
 			break
 		}
-		begin = append(begin, e.id)
+		begin = append(begin, e.requestID)
 	}
 	if math.IsInf(wake, 1) {
 		return begin, late, 0
@@ -31,8 +31,8 @@
 		h := b.ring[0]
 		for len(h.queue) > 0 && float64(h.queue[0].deadline) < float64(now)+b.took/2 {
 			e := h.queue[0]
-			*late = append(*late, e.id)
-			delete(b.waiting, e.id)
+			*late = append(*late, e.requestID)
+			delete(b.waiting, e.requestID)
 			b.unqueue(e)
 		}
 		if len(h.queue) == 0 {
@@ -61,8 +61,8 @@
 		}
 		h.queue[0] = nil
 		h.queue = h.queue[1:]
-		delete(b.waiting, e.id)
-		b.out[e.id] = e
+		delete(b.waiting, e.requestID)
+		b.out[e.requestID] = e
 		h.out++
 		h.rate.have -= w
 		b.rate.have -= w
--- a/internal/dataplane/lineproto/hosts.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -35,7 +35,7 @@
 // Start begins one upstream request.
 func (h *Connector) Start(to proxy.Target, first proxy.RequestLine, until int64, connect time.Duration,
 	ev proxy.UpstreamEvents) proxy.Upstream {
-	u := &upstream{loop: h.loop, events: ev, first: first, until: until, fields: h.fields}
-	u.drop = h.open(to, connect, inputLimit, u, u.connected)
+	u := &upstream{loop: h.loop, events: ev, requestLine: first, waitUntil: until, reportFields: h.fields}
+	u.cancelDial = h.open(to, connect, inputLimit, u, u.connected)
 	return u
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -12,54 +12,55 @@
 
 // downstream is a client's connection.
 type downstream struct {
-	front   *Front
-	conn    *netio.Conn
-	req     *proxy.Request
-	idle    *netio.Timer
-	place   *list.Element // among the newcomers; nil once it has a request
-	counted bool          // the core has given it room
-	served  bool
-	pinged  bool // it has asked PING
+	front     *Front
+	conn      *netio.Conn
+	request   *proxy.Request
+	idleTimer *netio.Timer
+	idleEntry *list.Element // among the newcomers; nil once it has a request
+	admitted  bool          // the core has given it room
+	accepted  bool
+	pinged    bool // it has asked PING
 }
 
 var _ proxy.Downstream = (*downstream)(nil)
 
+// Data takes what the client sent.
 func (d *downstream) Data(c *netio.Conn) {
-	if d.req == nil && !d.greet() {
+	if d.request == nil && !d.readRequestLine() {
 		return
 	}
-	if !d.served && len(c.Input()) >= inputLimit {
-		d.cutOff(errEarly)
+	if !d.accepted && len(c.Input()) >= inputLimit {
+		d.endForClientFault(errSentBeforeAnswer)
 		return
 	}
 	d.Pump()
 }
 
-// cutOff ends a request that has no answer yet for a fault of its client's.
-func (d *downstream) cutOff(cause error) {
-	d.reject(cause)
-	d.req.EndedHere()
-	d.req.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
+// endForClientFault ends a request that has no answer yet for a fault of its client's.
+func (d *downstream) endForClientFault(cause error) {
+	d.rejectInvalid(cause)
+	d.request.EndedHere()
+	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
 }
 
-// greet reads lines up to the one that opens a request, and tells whether it has come.
-func (d *downstream) greet() bool {
+// readRequestLine reads lines up to the one that opens a request, and tells whether it has come.
+func (d *downstream) readRequestLine() bool {
 	for !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
 		if err != nil {
-			d.reject(err)
+			d.rejectInvalid(err)
 			return false
 		}
 		if line == nil {
 			return false
 		}
-		if string(text(line)) == "PING" {
+		if string(trimLineEnd(line)) == "PING" {
 			d.conn.Consume(len(line))
 			d.pinged = true
 			// A proxy that is on its way out must not be taken in by the front.
-			d.idle.Stop()
-			d.idle = d.front.loop.After(betweenPings, d.late)
-			if !d.front.core.Ready() || !d.conn.Write(pong) {
+			d.idleTimer.Stop()
+			d.idleTimer = d.front.loop.After(pingIdleTimeout, d.firstLineLate)
+			if !d.front.core.Ready() || !d.conn.Write(pongLine) {
 				d.finish()
 				return false
 			}
@@ -68,103 +69,105 @@
 		o, err := ParseOpen(line)
 		d.conn.Consume(len(line))
 		if err != nil {
-			d.reject(err)
+			d.rejectInvalid(err)
 			return false
 		}
-		d.idle.Stop()
+		d.idleTimer.Stop()
 		if !d.front.core.Admit(o.Class) {
 			d.Reject(d.front.core.RetryAdvice())
 			return false
 		}
-		d.counted = true
-		d.front.newcomers.Remove(d.place)
-		d.place = nil
-		d.req = d.front.core.Open(d, &o.Opening, o)
-		return d.req != nil
+		d.admitted = true
+		d.front.idleClients.Remove(d.idleEntry)
+		d.idleEntry = nil
+		d.request = d.front.core.Open(d, &o.Opening, o)
+		return d.request != nil
 	}
 	return false
 }
 
-// reject answers what is no request: a failure, nothing upstream.
-func (d *downstream) reject(err error) {
+// rejectInvalid answers what is no request: a failure, nothing upstream.
+func (d *downstream) rejectInvalid(err error) {
 	d.front.core.InvalidRequest(err)
 	d.Fail()
 }
 
 // Pump hands the client's lines on, as far as the other side takes them.
 func (d *downstream) Pump() {
-	for d.served && !d.conn.Over() {
+	for d.accepted && !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
 		if err != nil {
 			d.finish()
-			d.req.EndedHere()
-			d.req.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: err})
+			d.request.EndedHere()
+			d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: err})
 			return
 		}
-		if line == nil || !d.req.FromDownstream(proxy.Message{Text: line}) {
+		if line == nil || !d.request.FromDownstream(proxy.Message{Text: line}) {
 			return
 		}
 		d.conn.Consume(len(line))
 	}
 }
 
+// Writable says that the client takes bytes again.
 func (d *downstream) Writable(c *netio.Conn) {
-	if d.req != nil {
-		d.req.DownstreamReady()
+	if d.request != nil {
+		d.request.DownstreamReady()
 	}
 }
 
 // LastWords is what a client is told whose connection ends for a fault of this side's: its request has failed, or its connection is to be
 // opened anew.
 func (d *downstream) LastWords() []byte {
-	if d.req != nil {
-		d.req.EndedHere()
+	if d.request != nil {
+		d.request.EndedHere()
 	}
-	if d.served {
-		return move
+	if d.accepted {
+		return moveLine
 	}
-	return fault
+	return errLine
 }
 
+// Closed says that the client's connection is over.
 func (d *downstream) Closed(c *netio.Conn, err *netio.Error) {
-	d.idle.Stop()
-	if d.req != nil {
-		d.req.DownstreamEnded(err)
+	d.idleTimer.Stop()
+	if d.request != nil {
+		d.request.DownstreamEnded(err)
 	}
 }
 
-// gone gives back the room of a connection that holds no descriptor any more.
-func (d *downstream) gone() {
-	if d.counted {
-		d.counted = false
+// descriptorFreed gives back the room of a connection that holds no descriptor any more.
+func (d *downstream) descriptorFreed() {
+	if d.admitted {
+		d.admitted = false
 		d.front.core.SessionEnded()
 	}
-	if d.place != nil {
-		d.front.newcomers.Remove(d.place)
-		d.place = nil
+	if d.idleEntry != nil {
+		d.front.idleClients.Remove(d.idleEntry)
+		d.idleEntry = nil
 	}
 }
 
-// trace logs why a connection without a request ends.
-func (d *downstream) trace(reason string) {
+// logIdleEnd logs why a connection without a request ends.
+func (d *downstream) logIdleEnd(reason string) {
 	if logging.Tracing() {
 		slog.Debug("idle_client_closed", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
 	}
 }
 
-// late ends a connection whose first line has not come in time: what began as a line gets an answer.
-func (d *downstream) late() {
+// firstLineLate ends a connection whose first line has not come in time: what began as a line gets an answer.
+func (d *downstream) firstLineLate() {
 	if len(d.conn.Input()) > 0 {
-		d.reject(errLate)
+		d.rejectInvalid(errFirstLineLate)
 		return
 	}
-	d.dismiss()
+	d.endIdle()
 }
 
-// dismiss ends a connection on which nothing has been said. A request may be on its way in this very moment, so the client is
+// endIdle ends a connection on which nothing has been said. A request may be on its way in this very moment, so the client is
 // told to come again: a close alone would leave that request without an answer.
-func (d *downstream) dismiss() {
-	d.trace("rested")
+func (d *downstream) endIdle() {
+	d.logIdleEnd("rested")
 	if d.pinged {
 		d.finish() // the front's own
 		return
@@ -172,30 +175,30 @@
 	d.Reject(d.front.core.RetryAdvice())
 }
 
-// drop ends a newcomer for the sake of the next.
-func (d *downstream) drop() {
-	d.idle.Stop()
-	d.trace("makes_room")
+// makeRoom ends a newcomer for the sake of the next.
+func (d *downstream) makeRoom() {
+	d.idleTimer.Stop()
+	d.logIdleEnd("makes_room")
 	switch {
 	case d.conn.Over():
 	case len(d.conn.Input()) > 0:
-		d.conn.Write(fault)
+		d.conn.Write(errLine)
 	case !d.pinged:
-		d.conn.Write(busy(d.front.core.RetryAdvice())) // a request may be on its way in this very moment
+		d.conn.Write(busyLine(d.front.core.RetryAdvice())) // a request may be on its way in this very moment
 	}
 	d.conn.Drop()
-	d.gone()
+	d.descriptorFreed()
 }
 
 func (d *downstream) finish() {
-	d.idle.Stop()
+	d.idleTimer.Stop()
 	d.conn.Finish()
 }
 
 // Accept passes the host's own acceptance on.
 func (d *downstream) Accept(receipt proxy.Message) {
 	d.conn.Write(receipt.Text)
-	d.served = true
+	d.accepted = true
 	// What the client sent along with its first line waits in the buffer.
 	d.front.loop.Post(d.Pump)
 }
@@ -203,29 +206,32 @@
 // Pass hands on a line of the host's; false: not now.
 func (d *downstream) Pass(m proxy.Message) bool { return d.conn.Write(m.Text) }
 
-func (d *downstream) Reject(after time.Duration) { d.last(busy(after)) }
+// Reject tells the client to come again, and when.
+func (d *downstream) Reject(after time.Duration) { d.finishWith(busyLine(after)) }
 
-func (d *downstream) Fail() { d.last(fault) }
+// Fail tells the client that its request failed.
+func (d *downstream) Fail() { d.finishWith(errLine) }
 
-func (d *downstream) Migrate() { d.last(move) }
+// Migrate tells the client to open its connection anew.
+func (d *downstream) Migrate() { d.finishWith(moveLine) }
 
-// MigrationLine is what Move says.
-func (d *downstream) MigrationLine() []byte { return move }
+// MigrationLine is what Migrate says.
+func (d *downstream) MigrationLine() []byte { return moveLine }
 
 // Release lets go of the client's connection without ending it.
 func (d *downstream) Release(done func(netio.Parts)) {
-	d.idle.Stop()
+	d.idleTimer.Stop()
 	d.conn.Release(done)
 }
 
-func (d *downstream) last(p []byte) {
-	d.idle.Stop()
+func (d *downstream) finishWith(p []byte) {
+	d.idleTimer.Stop()
 	d.conn.FinishWith(p)
 }
 
 // End ends the client's connection as the host's ended.
 func (d *downstream) End(cause netio.Cause) {
-	d.idle.Stop()
+	d.idleTimer.Stop()
 	if cause == netio.Broke {
 		d.conn.Abort()
 		return
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// firstLine is how long after connecting a downstream's first line may take, whole: a client that sends it in
+	// firstLineTimeout is how long after connecting a downstream's first line may take, whole: a client that sends it in
 	// pieces gets no more time for each. Who does not send one is owed its end within 3 s.
-	firstLine = 2500 * time.Millisecond
-	// betweenPings is how long a connection that has asked PING may stay: the front may keep one.
-	betweenPings = 30 * time.Second
+	firstLineTimeout = 2500 * time.Millisecond
+	// pingIdleTimeout is how long a connection that has asked PING may stay: the front may keep one.
+	pingIdleTimeout = 30 * time.Second
 )
 
 // inputLimit is how much a connection may have sent that nobody has taken before it is read no further: some lines of
@@ -25,12 +25,12 @@
 type Front struct {
 	loop *netio.Loop
 	core *proxy.Core
-	// newcomers are the connections that hold a descriptor and no request: those without a first line yet, and those
+	// idleClients are the connections that hold a descriptor and no request: those without a first line yet, and those
 	// that have been turned away and not hung up. They have room of their own, else hundreds of clients that say
 	// nothing would turn away the ones that do; and the one that has been there longest makes room for the next.
-	newcomers list.List
-	room      int
-	listener  *netio.Listener
+	idleClients    list.List
+	maxIdleClients int
+	listener       *netio.Listener
 }
 
 // Addr is where it listens.
@@ -38,7 +38,7 @@
 
 // NewFront is for clients of the line protocol who come to a listener, with room for so many that have no request.
 func NewFront(l *netio.Loop, core *proxy.Core, on *netio.Listener, room int) *Front {
-	return &Front{loop: l, core: core, room: room, listener: on}
+	return &Front{loop: l, core: core, maxIdleClients: room, listener: on}
 }
 
 // Stop leaves clients that come from now on to another process that holds the listener.
@@ -49,40 +49,40 @@
 
 func (f *Front) accept(c *netio.Conn) netio.Handler {
 	d := &downstream{front: f, conn: c}
-	c.WhenGone(d.gone)
-	if f.newcomers.Len() >= f.room {
-		f.newcomers.Front().Value.(*downstream).drop()
+	c.WhenGone(d.descriptorFreed)
+	if f.idleClients.Len() >= f.maxIdleClients {
+		f.idleClients.Front().Value.(*downstream).makeRoom()
 	}
-	d.place = f.newcomers.PushBack(d)
-	d.idle = f.loop.After(firstLine, d.late)
+	d.idleEntry = f.idleClients.PushBack(d)
+	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineLate)
 	return d
 }
 
 // EndIdle ends the connections that rest without having sent anything, with half also those on which a first line has begun to come, and
 // tells how many without a request are left.
 func (f *Front) EndIdle(half bool) int {
-	for e := f.newcomers.Front(); e != nil; {
+	for e := f.idleClients.Front(); e != nil; {
 		d := e.Value.(*downstream)
 		e = e.Next() // a connection that ends leaves the list
 		if !d.conn.Over() && (half || len(d.conn.Input()) == 0) {
-			d.dismiss()
+			d.endIdle()
 		}
 	}
-	return f.newcomers.Len()
+	return f.idleClients.Len()
 }
 
 // Resume goes on with an open connection that another process has handed over.
 func (f *Front) Resume(s *proxy.HandedOverConnection) {
-	d := &downstream{front: f, counted: true, served: true}
+	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
-	d.req, u.events = f.core.Resume(s, d, u)
+	d.request, u.events = f.core.Resume(s, d, u)
 	if err := netio.Resume(f.loop, s.Down, inputLimit, d, func(c *netio.Conn) {
 		d.conn = c
-		c.WhenGone(d.gone)
+		c.WhenGone(d.descriptorFreed)
 	}); err != nil {
 		s.Up.Discard(nil)
-		d.gone()
-		d.req.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
+		d.descriptorFreed()
+		d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
 		return
 	}
 	if err := netio.Resume(f.loop, s.Up, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -135,15 +135,15 @@
 	ask(t, silent, "PING\r\n", "PONG\r\n")
 	half := dial()
 	ask(t, half, "PING\r\nOPEN 9b", "PONG\r\n")
-	pass(firstLine)
+	pass(firstLineTimeout)
 	ask(t, silent, "PING\r\n", "PONG\r\n")
-	pass(betweenPings - firstLine)
+	pass(pingIdleTimeout - firstLineTimeout)
 	expect(t, half, "ERR\r\n")
-	pass(firstLine)
+	pass(firstLineTimeout)
 	expect(t, silent, "")
 	fresh := dial()
 	ask(t, dial(), "PING\r\n", "PONG\r\n") // by now the loop has accepted both
-	pass(firstLine)
+	pass(firstLineTimeout)
 	expect(t, fresh, "BUSY 500\r\n")
 }
 
--- a/internal/dataplane/lineproto/probes.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// probeWithin is how long a probe's answer may take, connecting included. One that is later tells of a moment that
+	// checkTimeout is how long a probe's answer may take, connecting included. One that is later tells of a moment that
 	// is past.
-	probeWithin = 250 * time.Millisecond
-	// probeIdle is how long a connection stays open for the next probe of its host: each new one costs the host a
+	checkTimeout = 250 * time.Millisecond
+	// checkIdleTimeout is how long a connection stays open for the next probe of its host: each new one costs the host a
 	// handshake, some twenty times the work of a probe.
-	probeIdle = 10 * time.Second
+	checkIdleTimeout = 10 * time.Second
 )
 
-var stats = []byte("STATS\r\n")
+var statsLine = []byte("STATS\r\n")
 
 // HealthChecks asks upstream hosts how loaded they are, over a connection to each that stays open as long as probes go on, and over
 // so many at most.
 type HealthChecks struct {
-	loop   *netio.Loop
-	open   Opener
-	fields []string // of a load report, as the settings name them
-	room   int
-	to     map[string]*probing // by host
-	denied bool                // a host has said NO: probes are not allowed after all
+	loop           *netio.Loop
+	open           Opener
+	fields         []string // of a load report, as the settings name them
+	maxConnections int
+	byHost         map[string]*hostCheck // by host
+	denied         bool                  // a host has said NO: probes are not allowed after all
 }
 
 // NewHealthChecks asks by at most so many connections at a time.
 func NewHealthChecks(l *netio.Loop, open Opener, fields []string, room int) *HealthChecks {
-	return &HealthChecks{loop: l, open: open, fields: fields, room: room, to: map[string]*probing{}}
+	return &HealthChecks{loop: l, open: open, fields: fields, maxConnections: room, byHost: map[string]*hostCheck{}}
 }
 
-// probing is the connection to one host that is probed.
-type probing struct {
-	of     *HealthChecks
-	host   proxy.Target
-	drop   func() // gives the connection up while it opens
-	conn   *netio.Conn
-	done   func(status balancer.AttemptStatus, load []float64) // nil: no probe is out
-	timer  *netio.Timer
-	usedAt int64
+// hostCheck is the connection to one host that is probed.
+type hostCheck struct {
+	checks     *HealthChecks
+	host       proxy.Target
+	cancelDial func() // gives the connection up while it opens
+	conn       *netio.Conn
+	done       func(status balancer.AttemptStatus, load []float64) // nil: no probe is out
+	timer      *netio.Timer
+	usedAt     int64
 }
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
 // Check asks a host, and calls done on the loop, once, whatever becomes of it.
 func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
-	q := p.to[host.ID]
+	q := p.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
 		q.end(balancer.Cancelled) // its address has changed, or it is asked twice
 		q = nil
@@ -62,41 +62,41 @@
 		return
 	}
 	if q == nil {
-		q = &probing{of: p, host: host}
-		p.to[host.ID] = q
+		q = &hostCheck{checks: p, host: host}
+		p.byHost[host.ID] = q
 	}
 	q.done, q.usedAt = done, p.loop.Now()
 	q.timer.Stop()
-	q.timer = p.loop.After(probeWithin, func() { q.end(balancer.Timeout) })
+	q.timer = p.loop.After(checkTimeout, func() { q.end(balancer.Timeout) })
 	if q.conn != nil {
-		q.conn.Write(stats)
+		q.conn.Write(statsLine)
 		return
 	}
-	q.drop = p.open(host, probeWithin, inputLimit, q, func(c *netio.Conn, err *netio.Error) {
-		q.drop = nil
+	q.cancelDial = p.open(host, checkTimeout, inputLimit, q, func(c *netio.Conn, err *netio.Error) {
+		q.cancelDial = nil
 		if err != nil {
 			q.end(balancer.ConnectFailed)
 			return
 		}
 		q.conn = c
-		c.Write(stats)
+		c.Write(statsLine)
 	})
 }
 
 // Forget ends what goes on with a host that is to be left alone.
 func (p *HealthChecks) Forget(host string) {
-	if q := p.to[host]; q != nil {
+	if q := p.byHost[host]; q != nil {
 		q.end(balancer.Cancelled)
 	}
 }
 
 // makeRoom closes the connection that was used least lately, if it must; it tells whether there is room for one more.
 func (p *HealthChecks) makeRoom() bool {
-	if len(p.to) < p.room {
+	if len(p.byHost) < p.maxConnections {
 		return true
 	}
-	var least *probing
-	for _, q := range p.to {
+	var least *hostCheck
+	for _, q := range p.byHost {
 		if q.done == nil && (least == nil || q.usedAt < least.usedAt) {
 			least = q
 		}
@@ -109,7 +109,7 @@
 }
 
 // Data takes the answer, in whatever pieces it comes.
-func (q *probing) Data(c *netio.Conn) {
+func (q *hostCheck) Data(c *netio.Conn) {
 	line, err := Cut(c.Input())
 	if err != nil || line != nil && q.done == nil {
 		q.end(balancer.Error) // it says what nobody asked
@@ -118,16 +118,16 @@
 	if line == nil {
 		return
 	}
-	first, rest := word(line)
+	first, rest := cutWord(line)
 	c.Consume(len(line))
 	switch first {
 	case "PONG":
-		q.answer(balancer.OK, ParseReport(strings.TrimSpace(rest), q.of.fields))
+		q.answer(balancer.OK, ParseReport(strings.TrimSpace(rest), q.checks.fields))
 	case "ERR":
-		q.answer(balancer.Error, ParseReport(strings.TrimSpace(rest), q.of.fields))
+		q.answer(balancer.Error, ParseReport(strings.TrimSpace(rest), q.checks.fields))
 	case "NO":
-		if !q.of.denied {
-			q.of.denied = true
+		if !q.checks.denied {
+			q.checks.denied = true
 			slog.Warn("health_checks_denied", "host", q.host.ID)
 		}
 		q.end(balancer.Error)
@@ -137,23 +137,23 @@
 }
 
 // answer ends a probe; its connection waits for the next.
-func (q *probing) answer(s balancer.AttemptStatus, load []float64) {
+func (q *hostCheck) answer(s balancer.AttemptStatus, load []float64) {
 	done := q.done
 	q.done = nil
 	q.timer.Stop()
-	q.timer = q.of.loop.After(probeIdle, func() { q.end(balancer.Cancelled) })
+	q.timer = q.checks.loop.After(checkIdleTimeout, func() { q.end(balancer.Cancelled) })
 	done(s, load)
 }
 
 // end closes the connection, and ends the probe that is out on it.
-func (q *probing) end(s balancer.AttemptStatus) {
-	if q.of.to[q.host.ID] == q {
-		delete(q.of.to, q.host.ID)
+func (q *hostCheck) end(s balancer.AttemptStatus) {
+	if q.checks.byHost[q.host.ID] == q {
+		delete(q.checks.byHost, q.host.ID)
 	}
 	q.timer.Stop()
-	if q.drop != nil {
-		q.drop()
-		q.drop = nil
+	if q.cancelDial != nil {
+		q.cancelDial()
+		q.cancelDial = nil
 	}
 	if q.conn != nil {
 		q.conn.Close()
@@ -165,7 +165,7 @@
 }
 
 // Writable is nothing to a probe: what it writes is one short line.
-func (q *probing) Writable(*netio.Conn) {}
+func (q *hostCheck) Writable(*netio.Conn) {}
 
 // Closed comes when the host ends the connection.
-func (q *probing) Closed(*netio.Conn, *netio.Error) { q.end(balancer.Reset) }
+func (q *hostCheck) Closed(*netio.Conn, *netio.Error) { q.end(balancer.Reset) }
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -17,10 +17,10 @@
 
 // What can be wrong with a line.
 var (
-	ErrTooLong   = errors.New("line over 4 KiB")
-	ErrMalformed = errors.New("malformed line")
-	errLate      = errors.New("first line not whole in time")
-	errEarly     = errors.New("much sent before the answer, which a client has to wait for")
+	ErrTooLong          = errors.New("line over 4 KiB")
+	ErrMalformed        = errors.New("malformed line")
+	errFirstLineLate    = errors.New("first line not whole in time")
+	errSentBeforeAnswer = errors.New("much sent before the answer, which a client has to wait for")
 )
 
 // Cut finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
@@ -37,27 +37,27 @@
 	return nil, nil
 }
 
-// text is a line without its CRLF.
-func text(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
+// trimLineEnd is a line without its CRLF.
+func trimLineEnd(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
 
-// word splits off the first word of a line.
-func word(line []byte) (string, string) {
-	first, rest, _ := strings.Cut(string(text(line)), " ")
+// cutWord splits off the first word of a line.
+func cutWord(line []byte) (string, string) {
+	first, rest, _ := strings.Cut(string(trimLineEnd(line)), " ")
 	return first, rest
 }
 
 // Open is a client's first line.
 type Open struct {
 	proxy.Opening
-	line     []byte // as it came, CRLF included
-	from, to int    // where the value of d stands in it; to is 0 where there is none
+	line               []byte // as it came, CRLF included
+	waitStart, waitEnd int    // where the value of d stands in it; to is 0 where there is none
 }
 
 // ParseOpen reads a client's first line. It copies what it keeps. What it takes must be what a host can read: a host that
 // finds a line unreadable says so, and the fault is then this proxy's. So the form is the protocol's to the letter.
 func ParseOpen(line []byte) (*Open, error) {
 	o := &Open{line: bytes.Clone(line)}
-	s := string(text(line))
+	s := string(trimLineEnd(line))
 	parts := strings.Split(s, " ")
 	if len(parts) != 4 || parts[0] != "OPEN" || !isID(parts[1]) || !isID(parts[2]) {
 		return nil, ErrMalformed
@@ -99,8 +99,8 @@
 	return s != ""
 }
 
-// number reads a decimal figure. ParseFloat alone takes words and other bases as well.
-func number(s string) (float64, error) {
+// parseNumber reads a decimal figure. ParseFloat alone takes words and other bases as well.
+func parseNumber(s string) (float64, error) {
 	if s == "" || strings.Trim(s, "0123456789.+-eE") != "" {
 		return 0, ErrMalformed
 	}
@@ -129,14 +129,14 @@
 	case "again":
 		o.Returned, ok = true, value == "1"
 	case "h":
-		h, err := number(value)
+		h, err := parseNumber(value)
 		o.ExpectedLoad, ok = h, err == nil && h >= 0 && h < 1e18
 	case "d":
 		ms, err := strconv.ParseUint(value, 10, 31)
 		o.Wait, o.HasWait, ok = time.Duration(ms)*time.Millisecond, true, err == nil
-		o.from, o.to = at, at+len(value)
+		o.waitStart, o.waitEnd = at, at+len(value)
 	default:
-		_, err := number(value)
+		_, err := parseNumber(value)
 		ok = err == nil
 	}
 	if !ok {
@@ -149,12 +149,12 @@
 func (o *Open) WithWait(wait time.Duration) []byte {
 	ms := strconv.AppendInt(nil, max(1, wait.Milliseconds()), 10)
 	out := make([]byte, 0, len(o.line)+len(ms)+3)
-	if o.to > 0 {
-		out = append(out, o.line[:o.from]...)
+	if o.waitEnd > 0 {
+		out = append(out, o.line[:o.waitStart]...)
 		out = append(out, ms...)
-		return append(out, o.line[o.to:]...)
+		return append(out, o.line[o.waitEnd:]...)
 	}
-	out = append(append(out, text(o.line)...), ',')
+	out = append(append(out, trimLineEnd(o.line)...), ',')
 	out = append(out, "d="...)
 	out = append(out, ms...)
 	return append(out, "\r\n"...)
@@ -163,7 +163,7 @@
 // ParseHost reads a line of an upstream host.
 func ParseHost(line []byte) proxy.Message {
 	m := proxy.Message{Text: line}
-	first, rest := word(line)
+	first, rest := cutWord(line)
 	switch first {
 	case "UP":
 		m.Kind = proxy.Accepted
@@ -185,13 +185,13 @@
 
 // The lines that a proxy says in its own name.
 var (
-	pong  = []byte("PONG\r\n")
-	fault = []byte("ERR\r\n")
-	move  = []byte("MOVE\r\n")
+	pongLine = []byte("PONG\r\n")
+	errLine  = []byte("ERR\r\n")
+	moveLine = []byte("MOVE\r\n")
 )
 
-// busy is a refusal. Advice below a millisecond is still advice.
-func busy(after time.Duration) []byte {
+// busyLine is a refusal. Advice below a millisecond is still advice.
+func busyLine(after time.Duration) []byte {
 	if after <= 0 {
 		return []byte("BUSY\r\n")
 	}
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -112,7 +112,7 @@
 			t.Errorf("%s: %v", in, err)
 		}
 	}
-	if got := string(busy(1500 * time.Microsecond)); got != "BUSY 2\r\n" {
+	if got := string(busyLine(1500 * time.Microsecond)); got != "BUSY 2\r\n" {
 		t.Error(got)
 	}
 }
--- a/internal/dataplane/lineproto/report.go
+++ b/internal/dataplane/lineproto/report.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// onWire are the names by which the settings know what a report calls otherwise.
-var onWire = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util", "svc_ms": "latency_ms",
+// wireNames are the names by which the settings know what a report calls otherwise.
+var wireNames = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util", "svc_ms": "latency_ms",
 	"served_ps": "qps", "failed_ps": "eps"}
 
 // ParseReport reads a load report, name=figure,name=figure, into the order of the fields that the settings name. What it lacks
@@ -21,12 +21,12 @@
 	}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		x, err := number(value)
+		x, err := parseNumber(value)
 		if err != nil {
 			return nil
 		}
 		for i, f := range fields {
-			if name != "" && (name == f || name == onWire[f]) {
+			if name != "" && (name == f || name == wireNames[f]) {
 				out[i], found = x, true
 			}
 		}
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -10,22 +10,22 @@
 
 // upstream is the connection of one upstream request.
 type upstream struct {
-	loop   *netio.Loop
-	events proxy.UpstreamEvents
-	first  proxy.RequestLine
-	fields []string // of a load report behind an answer
-	until  int64
-	drop   func() // gives the connection up while it opens
-	conn   *netio.Conn
-	stage  netio.Stage
-	ended  *netio.Error // the host is gone; its last lines may still wait for the client
-	done   bool
+	loop         *netio.Loop
+	events       proxy.UpstreamEvents
+	requestLine  proxy.RequestLine
+	reportFields []string // of a load report behind an answer
+	waitUntil    int64
+	cancelDial   func() // gives the connection up while it opens
+	conn         *netio.Conn
+	stage        netio.Stage
+	hostEnded    *netio.Error // the host is gone; its last lines may still wait for the client
+	finished     bool
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
 
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
-	u.drop = nil
+	u.cancelDial = nil
 	if err != nil {
 		u.finish(err)
 		return
@@ -36,7 +36,7 @@
 		return
 	}
 	u.stage = netio.Sending
-	c.Write(u.first.WithWait(time.Duration(u.until - u.loop.Now())))
+	c.Write(u.requestLine.WithWait(time.Duration(u.waitUntil - u.loop.Now())))
 	if !c.Blocked() {
 		u.sent()
 	}
@@ -47,11 +47,12 @@
 	u.events.UpstreamSent()
 }
 
+// Data takes what the host sent.
 func (u *upstream) Data(c *netio.Conn) { u.Pump() }
 
 // Pump hands the host's lines on, as far as the other side takes them.
 func (u *upstream) Pump() {
-	for !u.done && u.conn != nil {
+	for !u.finished && u.conn != nil {
 		line, err := Cut(u.conn.Input())
 		if err != nil {
 			u.conn.Close()
@@ -59,15 +60,15 @@
 			return
 		}
 		if line == nil {
-			if u.ended != nil {
-				u.finish(u.ended)
+			if u.hostEnded != nil {
+				u.finish(u.hostEnded)
 			}
 			return
 		}
 		m := ParseHost(line)
-		if len(u.fields) > 0 && (m.Kind == proxy.OverCapacity || m.Kind == proxy.Failed || m.Kind == proxy.Finished) {
-			_, rest := word(line)
-			m.Report = ParseReport(strings.TrimSpace(rest), u.fields)
+		if len(u.reportFields) > 0 && (m.Kind == proxy.OverCapacity || m.Kind == proxy.Failed || m.Kind == proxy.Finished) {
+			_, rest := cutWord(line)
+			m.Report = ParseReport(strings.TrimSpace(rest), u.reportFields)
 		}
 		if m.Kind == proxy.Accepted && u.stage < netio.Up {
 			u.stage = netio.Up
@@ -79,6 +80,7 @@
 	}
 }
 
+// Writable says that the host takes bytes again: the request line has gone out whole, or a line of the client's may follow.
 func (u *upstream) Writable(c *netio.Conn) {
 	if u.stage == netio.Sending {
 		u.sent()
@@ -87,24 +89,25 @@
 	u.events.UpstreamReady()
 }
 
+// Closed says that the host's connection is over.
 func (u *upstream) Closed(c *netio.Conn, err *netio.Error) {
 	// The connection knows that it stood; how far the request on it had come is known here.
 	// Its layer may know that it never stood: then the host has read nothing, whatever was written.
-	u.ended = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
+	u.hostEnded = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
 	u.Pump() // a slow client still gets what the host said before it ended
 }
 
 func (u *upstream) finish(err *netio.Error) {
-	if !u.done {
-		u.done = true
+	if !u.finished {
+		u.finished = true
 		u.events.UpstreamEnded(err)
 	}
 }
 
 // Release lets go of the host's connection without ending it. What a host that has ended said last is not left behind.
 func (u *upstream) Release(done func(netio.Parts)) {
-	u.done = true
-	if u.conn == nil || u.ended != nil {
+	u.finished = true
+	if u.conn == nil || u.hostEnded != nil {
 		u.loop.Post(func() { done(netio.Parts{FD: -1}) })
 		return
 	}
@@ -129,10 +132,10 @@
 
 // End gives the request up, or ends the connection as the client's ended. Nothing more is told.
 func (u *upstream) End(cause netio.Cause) {
-	u.done = true
-	if u.drop != nil {
-		u.drop()
-		u.drop = nil
+	u.finished = true
+	if u.cancelDial != nil {
+		u.cancelDial()
+		u.cancelDial = nil
 	}
 	switch {
 	case u.conn == nil:
