--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -14,73 +14,73 @@
 	epoch uint64
 }
 
-// cache keeps the last session of each host, and forgets the one that was used longest ago. Workers and the loop use it.
-type cache struct {
-	mu    sync.Mutex
-	most  int
-	items map[sessionKey]*list.Element
-	order list.List // of *kept, the last used first
+// sessionCache keeps the last session of each host, and forgets the one that was used longest ago. Workers and the loop use it.
+type sessionCache struct {
+	mu          sync.Mutex
+	maxSessions int
+	items       map[sessionKey]*list.Element
+	order       list.List // of *kept, the last used first
 }
 
-type kept struct {
-	key   sessionKey
-	state *tls.ClientSessionState
-	until time.Time // of the chain that was verified when it was made
+type cachedSession struct {
+	key        sessionKey
+	state      *tls.ClientSessionState
+	validUntil time.Time // of the chain that was verified when it was made
 }
 
-func newCache(most int) *cache {
-	return &cache{most: most, items: map[sessionKey]*list.Element{}}
+func newSessionCache(most int) *sessionCache {
+	return &sessionCache{maxSessions: most, items: map[sessionKey]*list.Element{}}
 }
 
-func (c *cache) get(key sessionKey, now time.Time) *tls.ClientSessionState {
+func (c *sessionCache) get(key sessionKey, now time.Time) *tls.ClientSessionState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.items[key]
 	if e == nil {
 		return nil
 	}
-	k := e.Value.(*kept)
-	if now.After(k.until) {
+	k := e.Value.(*cachedSession)
+	if now.After(k.validUntil) {
 		// Its certificate has run out; the host may have a new one by now, which a resumed handshake would not show.
-		c.drop(e)
+		c.remove(e)
 		return nil
 	}
 	c.order.MoveToFront(e)
 	return k.state
 }
 
-func (c *cache) put(key sessionKey, state *tls.ClientSessionState, until time.Time) {
+func (c *sessionCache) put(key sessionKey, state *tls.ClientSessionState, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.items[key]; e != nil {
-		c.drop(e)
+		c.remove(e)
 	}
 	if state == nil {
 		return
 	}
-	c.items[key] = c.order.PushFront(&kept{key, state, until})
-	if c.order.Len() > c.most {
-		c.drop(c.order.Back())
+	c.items[key] = c.order.PushFront(&cachedSession{key, state, until})
+	if c.order.Len() > c.maxSessions {
+		c.remove(c.order.Back())
 	}
 }
 
-func (c *cache) drop(e *list.Element) {
+func (c *sessionCache) remove(e *list.Element) {
 	c.order.Remove(e)
-	delete(c.items, e.Value.(*kept).key)
+	delete(c.items, e.Value.(*cachedSession).key)
 }
 
 // keepOnly forgets the sessions of other epochs.
-func (c *cache) keepOnly(epoch uint64) {
+func (c *sessionCache) keepOnly(epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, e := range c.items {
 		if k.epoch != epoch {
-			c.drop(e)
+			c.remove(e)
 		}
 	}
 }
 
-func (c *cache) len() int {
+func (c *sessionCache) len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.order.Len()
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -36,7 +36,7 @@
 	BrokenOff     Reason = "broken_off"     // the host ended or reset the connection
 	Protocol      Reason = "protocol"       // what it sent makes no sense, or does not verify
 	NoName        Reason = "no_name"        // the options have no name to expect of it
-	TurnedDown    Reason = "turned_down"    // the host refused this side's certificate or wishes
+	RefusedByHost Reason = "turned_down"    // the host refused this side's certificate or wishes
 
 	OwnExpired Reason = "own_certificate_expired"
 	OwnTrust   Reason = "own_trust_unusable" // the bundle or a revocation list
@@ -52,6 +52,7 @@
 	Err    error  // what the system or the library said; may be nil
 }
 
+// Error says the reason, the step and what the library said.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return fmt.Sprintf("%s at %s", f.Reason, f.Step)
@@ -62,17 +63,17 @@
 // Unwrap gives what the system said.
 func (f *Failure) Unwrap() error { return f.Err }
 
-func fault(r Reason, format string, args ...any) *Failure {
+func newFailure(r Reason, format string, args ...any) *Failure {
 	return &Failure{Reason: r, Step: "certificate", Err: fmt.Errorf(format, args...)}
 }
 
 // Alerts by which a peer says that it will not have this side: RFC 8446, 6.2. None of them can come from a peer that has
 // read application data, since that takes a handshake it has accepted.
-var turnedDown = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
+var refusalAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 
 const (
-	alertVersion = 70
-	alertNoName  = 112 // unrecognized_name: the host has no certificate for the name asked for
+	alertVersion          = 70
+	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the name asked for
 )
 
 // alertOf finds the alert that the peer sent. crypto/tls does not export its type.
@@ -103,10 +104,10 @@
 	switch code, alert := alertOf(err); {
 	case alert && code == alertVersion:
 		f.Reason = OldVersion
-	case alert && code == alertNoName:
+	case alert && code == alertUnrecognizedName:
 		f.Reason, f.Step = NoCertificate, "certificate"
-	case alert && turnedDown[code]:
-		f.Reason = TurnedDown
+	case alert && refusalAlerts[code]:
+		f.Reason = RefusedByHost
 	case errors.As(err, &verify):
 		f.Reason, f.Step = UnknownCA, "certificate"
 	case errors.As(err, &header):
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -20,19 +20,19 @@
 
 // Link opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
 type Link struct {
-	loop     *netio.Loop
-	wall     func() time.Time
-	material *Material
-	budget   *handshake.Budget
-	cache    *cache
-	peers    map[string]*peer
-	dials    map[uint64]*dial // that wait or are out
-	next     uint64
-	jobs     chan *job
-	turn     chan struct{} // to compute; see wire
-	again    *netio.Timer
-	counts   counts
-	files    chan reload // to the watcher
+	loop         *netio.Loop
+	wallClock    func() time.Time
+	material     *Material
+	budget       *handshake.Budget
+	cache        *sessionCache
+	peers        map[string]*tlsPeer
+	dials        map[uint64]*pendingDial // that wait or are out
+	lastID       uint64
+	jobs         chan *handshakeJob
+	computeToken chan struct{} // to compute; see wire
+	budgetTimer  *netio.Timer
+	counts       counts
+	reloads      chan reload // to the watcher
 }
 
 // counts are what was done since they were last logged.
@@ -47,28 +47,28 @@
 
 // New makes a link with its workers. m was loaded from the options it holds.
 func New(l *netio.Loop, m *Material, wall func() time.Time) *Link {
-	k := &Link{loop: l, wall: wall, material: m, budget: handshake.New(m.opt.Handshakes, l.Now()),
-		cache: newCache(m.opt.Sessions), peers: map[string]*peer{}, dials: map[uint64]*dial{},
-		jobs: make(chan *job, m.opt.Handshakes.AtOnce), files: make(chan reload, 1),
-		turn: make(chan struct{}, 1)}
+	k := &Link{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
+		cache: newSessionCache(m.options.Sessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
+		jobs: make(chan *handshakeJob, m.options.Handshakes.AtOnce), reloads: make(chan reload, 1),
+		computeToken: make(chan struct{}, 1)}
 	k.counts.failed = map[Reason]int{}
-	for range m.opt.Handshakes.AtOnce {
-		go k.work()
+	for range m.options.Handshakes.AtOnce {
+		go k.runWorker()
 	}
 	return k
 }
 
 // peer gives how a host is spoken to now, or why it can't be.
-func (k *Link) peer(t Host) (*peer, *Failure) {
+func (k *Link) peer(t Host) (*tlsPeer, *Failure) {
 	m := k.material
-	if f := m.OwnFault(k.wall()); f != nil {
+	if f := m.OwnFault(k.wallClock()); f != nil {
 		return nil, f
 	}
 	address, _, err := net.SplitHostPort(t.Address)
 	if err != nil {
 		return nil, &Failure{Reason: Unreachable, Step: "queue", Err: err}
 	}
-	name, ok := m.opt.Expect(t.ID, t.Zone, address)
+	name, ok := m.options.Expect(t.ID, t.Zone, address)
 	if !ok {
 		return nil, &Failure{Reason: NoName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", t.ID, t.Zone)}
 	}
@@ -77,45 +77,45 @@
 		if len(k.peers) >= maxPeers {
 			clear(k.peers)
 		}
-		p = newPeer(m, t.ID, name, k.cache, k.wall)
+		p = newTLSPeer(m, t.ID, name, k.cache, k.wallClock)
 		k.peers[t.ID] = p
 	}
 	return p, nil
 }
 
-// kick begins what may begin.
-func (k *Link) kick() {
+// beginAllowed begins what may begin.
+func (k *Link) beginAllowed() {
 	begin, late, again := k.budget.Next(k.loop.Now())
 	for _, id := range late {
 		if d := k.dials[id]; d != nil {
-			k.loop.Post(func() { d.fail(noBudget(handshake.NoTime)) })
+			k.loop.Post(func() { d.fail(budgetFailure(handshake.NoTime)) })
 		}
 	}
 	for _, id := range begin {
-		k.begin(k.dials[id])
+		k.startHandshake(k.dials[id])
 	}
-	k.again.Stop()
-	k.again = nil
+	k.budgetTimer.Stop()
+	k.budgetTimer = nil
 	if again > 0 {
-		k.again = k.loop.After(again, k.kick)
+		k.budgetTimer = k.loop.After(again, k.beginAllowed)
 	}
 }
 
-// begin hands a dial to a worker. There are as many workers as may be out, so the channel takes it at once.
-func (k *Link) begin(d *dial) {
+// startHandshake hands a dial to a worker. There are as many workers as may be out, so the channel takes it at once.
+func (k *Link) startHandshake(d *pendingDial) {
 	// What is right for the host may have changed while it waited.
 	p, f := k.peer(d.host)
 	if f != nil {
 		k.loop.Post(func() { d.fail(f) })
-		k.budget.Done(k.loop.Now(), d.id, false, 0, false)
+		k.budget.Done(k.loop.Now(), d.requestID, false, 0, false)
 		return
 	}
-	d.job = &job{id: d.id, peer: p, endpoint: d.host.Address, until: time.Now().Add(time.Duration(d.deadline - k.loop.Now()))}
+	d.job = &handshakeJob{requestID: d.requestID, peer: p, endpoint: d.host.Address, until: time.Now().Add(time.Duration(d.deadline - k.loop.Now()))}
 	k.jobs <- d.job
 }
 
-// note logs a failure. One of the proxy's own is told apart: it strikes every host, and no host can mend it.
-func (k *Link) note(host string, f *Failure) {
+// logFailure logs a failure. One of the proxy's own is told apart: it strikes every host, and no host can mend it.
+func (k *Link) logFailure(host string, f *Failure) {
 	k.counts.failed[f.Reason]++
 	text := ""
 	if f.Err != nil {
@@ -128,10 +128,10 @@
 	slog.Warn("tls_failed", "host", host, "reason", string(f.Reason), "step", f.Step, "detail", text)
 }
 
-// broke logs what ended a connection that this side thought to stand.
-func (k *Link) broke(host string, f *Failure, late bool) {
+// logBrokenSession logs what ended a connection that this side thought to stand.
+func (k *Link) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
-		k.note(host, f)
+		k.logFailure(host, f)
 		return
 	}
 	slog.Warn("tls_broken", "host", host, "reason", string(f.Reason), "detail", f.Err.Error())
@@ -140,14 +140,14 @@
 // Run begins what goes on for as long as the proxy runs: the watch on the files, and the counts in the log.
 func (k *Link) Run() {
 	go k.watch(k.material)
-	k.loop.After(countEvery, k.sum)
+	k.loop.After(countEvery, k.logCounts)
 }
 
 const countEvery = 10 * time.Second
 
-// sum writes what was done since the last time.
-func (k *Link) sum() {
-	k.loop.After(countEvery, k.sum)
+// logCounts writes what was done since the last time.
+func (k *Link) logCounts() {
+	k.loop.After(countEvery, k.logCounts)
 	c := k.counts
 	if c.full+c.resumed+len(c.failed) == 0 {
 		return
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -149,7 +149,7 @@
 		if !bytes.Equal(got, sent[:len(got)]) || len(sent)-len(got) > 8192 {
 			t.Errorf("%d of %d bytes came, equal as far: %t", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
 		}
-		if most > 4096+mostHeld+8*kernelBuffer {
+		if most > 4096+maxSealedBytes+8*kernelBuffer {
 			t.Errorf("%d bytes were held", most)
 		}
 	})
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -8,6 +8,7 @@
 	"encoding/pem"
 	"errors"
 	"fmt"
+	"hash"
 	"sync"
 	"time"
 
@@ -17,22 +18,22 @@
 // Material is what was read from the files, whole and consistent. It never changes; a replacement is another one, of a
 // higher epoch, and nothing verified or resumed under one epoch counts in another.
 type Material struct {
-	Epoch  uint64
-	Ends   time.Time // when the first of it that all connections need runs out: the own certificate, a revocation list
-	sum    [sha256.Size]byte
-	opt    Options
-	roots  *x509.CertPool
-	count  int
-	lists  []revocation
-	own    *tls.Certificate
-	ownEnd time.Time
+	Epoch          uint64
+	Ends           time.Time // when the first of it that all connections need runs out: the own certificate, a revocation list
+	digest         [sha256.Size]byte
+	options        Options
+	roots          *x509.CertPool
+	authorities    int
+	revocations    []revocationList
+	certificate    *tls.Certificate
+	certificateEnd time.Time
 
 	mu       sync.Mutex
-	verified map[seenKey]span
+	verified map[verifiedChain]validity
 }
 
-// revocation is a revocation list, whose signature was verified.
-type revocation struct {
+// revocationList is a revocation list, whose signature was verified.
+type revocationList struct {
 	file    string
 	issuer  []byte // raw subject
 	keyID   []byte
@@ -40,93 +41,122 @@
 	revoked map[string]bool // by serial
 }
 
-// seenKey is a chain as it was shown, with the name it was verified for.
-type seenKey struct {
+// verifiedChain is a chain as it was shown, with the name it was verified for.
+type verifiedChain struct {
 	name  Name
 	chain [sha256.Size]byte
 }
 
-// span is the time within which a verification holds: the signatures do not change, the clock does.
-type span struct{ from, until time.Time }
+// validity is the time within which a verification holds: the signatures do not change, the clock does.
+type validity struct{ from, until time.Time }
 
 // maxVerified bounds what is remembered; a host shows one chain, or two in a rotation.
 const maxVerified = 1024
 
 // Load reads all files. It gives all that is wrong with them, in one error.
 func Load(o Options, epoch uint64) (*Material, error) {
-	m := &Material{Epoch: epoch, opt: o, roots: x509.NewCertPool(), verified: map[seenKey]span{}}
-	var faults []error
-	sum := sha256.New()
-	read := func(path string) []byte {
-		data, err := certs.ReadFile(path)
-		if err != nil {
-			faults = append(faults, err)
-		}
-		sum.Write(data)
-		return data
-	}
-	var roots []*x509.Certificate
+	l := &loader{material: &Material{Epoch: epoch, options: o, roots: x509.NewCertPool(), verified: map[verifiedChain]validity{}}, digest: sha256.New()}
 	for _, path := range o.Trust {
-		data := read(path)
-		if data == nil {
-			continue
-		}
-		bundle, err := certs.ParseBundle(path, data)
-		if err != nil {
-			faults = append(faults, err)
-		}
-		for _, c := range bundle {
-			if !c.IsCA {
-				faults = append(faults, fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
-			} else if w := certs.Weak(c); w != "" {
-				faults = append(faults, fmt.Errorf("%s: %s: %s", path, c.Subject, w))
-			}
-			m.roots.AddCert(c)
-			roots = append(roots, c)
-		}
+		l.loadBundle(path)
 	}
-	m.count = len(roots)
+	l.material.authorities = len(l.roots)
 	for _, path := range o.CRLs {
-		data := read(path)
-		if data == nil {
-			continue
-		}
-		lists, err := parseLists(path, data, roots)
-		if err != nil {
-			faults = append(faults, err)
-		}
-		m.lists = append(m.lists, lists...)
-		for _, l := range lists {
-			m.end(l.until)
-		}
+		l.loadRevocations(path)
 	}
 	if o.Certificate != "" {
-		read(o.Certificate)
-		pair, err := certs.LoadPair(o.Certificate, o.Key, o.Password)
-		if err != nil {
-			faults = append(faults, err)
-		} else if w := certs.Weak(pair.Cert); w != "" {
-			faults = append(faults, fmt.Errorf("%s: %s", o.Certificate, w))
-		} else if !usable(pair.Cert, x509.ExtKeyUsageClientAuth) {
-			faults = append(faults, fmt.Errorf("%s: not for clients, which the proxy is to its hosts", o.Certificate))
-		} else {
-			m.own = &tls.Certificate{PrivateKey: pair.Key, Leaf: pair.Cert, Certificate: [][]byte{pair.Cert.Raw}}
-			m.ownEnd = pair.Cert.NotAfter
-			for _, c := range pair.Rest {
-				m.own.Certificate = append(m.own.Certificate, c.Raw)
-				m.ownEnd = earlier(m.ownEnd, c.NotAfter)
-			}
-			m.end(m.ownEnd)
+		l.loadCertificate(o)
+	}
+	l.digest.Sum(l.material.digest[:0])
+	if len(l.faults) > 0 {
+		return nil, errors.Join(l.faults...)
+	}
+	return l.material, nil
+}
+
+// loader collects material and all that is wrong with it.
+type loader struct {
+	material *Material
+	roots    []*x509.Certificate
+	digest   hash.Hash // of all files, in their order
+	faults   []error
+}
+
+func (l *loader) fault(err error) { l.faults = append(l.faults, err) }
+
+func (l *loader) read(path string) []byte {
+	data, err := certs.ReadFile(path)
+	if err != nil {
+		l.fault(err)
+	}
+	l.digest.Write(data)
+	return data
+}
+
+// loadBundle takes the authorities of a file.
+func (l *loader) loadBundle(path string) {
+	data := l.read(path)
+	if data == nil {
+		return
+	}
+	bundle, err := certs.ParseBundle(path, data)
+	if err != nil {
+		l.fault(err)
+	}
+	for _, c := range bundle {
+		if !c.IsCA {
+			l.fault(fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
+		} else if weakness := certs.Weak(c); weakness != "" {
+			l.fault(fmt.Errorf("%s: %s: %s", path, c.Subject, weakness))
 		}
+		l.material.roots.AddCert(c)
+		l.roots = append(l.roots, c)
+	}
+}
+
+// loadRevocations takes the revocation lists of a file.
+func (l *loader) loadRevocations(path string) {
+	data := l.read(path)
+	if data == nil {
+		return
+	}
+	lists, err := parseRevocationLists(path, data, l.roots)
+	if err != nil {
+		l.fault(err)
+	}
+	l.material.revocations = append(l.material.revocations, lists...)
+	for _, list := range lists {
+		l.material.noteEnd(list.until)
+	}
+}
+
+// loadCertificate takes the proxy's own certificate and key.
+func (l *loader) loadCertificate(o Options) {
+	l.read(o.Certificate)
+	pair, err := certs.LoadPair(o.Certificate, o.Key, o.Password)
+	if err != nil {
+		l.fault(err)
+		return
+	}
+	if weakness := certs.Weak(pair.Cert); weakness != "" {
+		l.fault(fmt.Errorf("%s: %s", o.Certificate, weakness))
+		return
+	}
+	if !hasUsage(pair.Cert, x509.ExtKeyUsageClientAuth) {
+		l.fault(fmt.Errorf("%s: not for clients, which the proxy is to its hosts", o.Certificate))
+		return
 	}
-	sum.Sum(m.sum[:0])
-	if len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	m := l.material
+	m.certificate = &tls.Certificate{PrivateKey: pair.Key, Leaf: pair.Cert, Certificate: [][]byte{pair.Cert.Raw}}
+	m.certificateEnd = pair.Cert.NotAfter
+	for _, c := range pair.Rest {
+		m.certificate.Certificate = append(m.certificate.Certificate, c.Raw)
+		m.certificateEnd = earlier(m.certificateEnd, c.NotAfter)
 	}
-	return m, nil
+	m.noteEnd(m.certificateEnd)
 }
 
-func (m *Material) end(t time.Time) {
+// noteEnd takes in when something runs out that all connections need.
+func (m *Material) noteEnd(t time.Time) {
 	if m.Ends.IsZero() || t.Before(m.Ends) {
 		m.Ends = t
 	}
@@ -139,7 +169,7 @@
 	return a
 }
 
-func usable(c *x509.Certificate, use x509.ExtKeyUsage) bool {
+func hasUsage(c *x509.Certificate, use x509.ExtKeyUsage) bool {
 	if len(c.ExtKeyUsage) == 0 && len(c.UnknownExtKeyUsage) == 0 {
 		return true
 	}
@@ -151,9 +181,9 @@
 	return false
 }
 
-// parseLists reads revocation lists, in PEM or DER. A list counts only under the signature of an authority in trust.
-func parseLists(path string, data []byte, roots []*x509.Certificate) ([]revocation, error) {
-	var out []revocation
+// parseRevocationLists reads revocation lists, in PEM or DER. A list counts only under the signature of an authority in trust.
+func parseRevocationLists(path string, data []byte, roots []*x509.Certificate) ([]revocationList, error) {
+	var out []revocationList
 	for len(bytes.TrimSpace(data)) > 0 {
 		der := data
 		if block, rest := pem.Decode(data); block != nil {
@@ -165,7 +195,7 @@
 		if err != nil {
 			return out, fmt.Errorf("%s: revocation list %d: %v", path, len(out)+1, err)
 		}
-		l := revocation{file: path, issuer: crl.RawIssuer, keyID: crl.AuthorityKeyId, until: crl.NextUpdate, revoked: map[string]bool{}}
+		l := revocationList{file: path, issuer: crl.RawIssuer, keyID: crl.AuthorityKeyId, until: crl.NextUpdate, revoked: map[string]bool{}}
 		signed := false
 		for _, c := range roots {
 			signed = signed || bytes.Equal(c.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(c) == nil
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// peer is how one host is spoken to under one epoch. It is made once and shared by all handshakes with the host.
-type peer struct {
-	key      sessionKey
-	material *Material
-	config   *tls.Config
-	cache    *cache
-	wall     func() time.Time
-	until    atomic.Int64 // of the chain that was last verified, Unix nanoseconds
+// tlsPeer is how one host is spoken to under one epoch. It is made once and shared by all handshakes with the host.
+type tlsPeer struct {
+	key             sessionKey
+	material        *Material
+	config          *tls.Config
+	cache           *sessionCache
+	wall            func() time.Time
+	chainValidUntil atomic.Int64 // of the chain that was last verified, Unix nanoseconds
 }
 
-func newPeer(m *Material, uid string, name Name, sessions *cache, wall func() time.Time) *peer {
-	p := &peer{key: sessionKey{uid, name, m.Epoch}, material: m, cache: sessions, wall: wall}
+func newTLSPeer(m *Material, uid string, name Name, sessions *sessionCache, wall func() time.Time) *tlsPeer {
+	p := &tlsPeer{key: sessionKey{uid, name, m.Epoch}, material: m, cache: sessions, wall: wall}
 	p.config = &tls.Config{
 		Time:       wall,
 		MinVersion: tls.VersionTLS13,
@@ -27,10 +27,10 @@
 		InsecureSkipVerify: true,
 		VerifyConnection:   p.verify,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			if m.own == nil {
+			if m.certificate == nil {
 				return &tls.Certificate{}, nil // the host says whether it can do without
 			}
-			return m.own, nil
+			return m.certificate, nil
 		},
 		// Lines are short: a record each, not several for the longer ones.
 		DynamicRecordSizingDisabled: true,
@@ -39,13 +39,13 @@
 	if !name.URI {
 		p.config.ServerName = name.Text
 	}
-	if m.opt.MinVersion == "1.2" {
+	if m.options.MinVersion == "1.2" {
 		p.config.MinVersion = tls.VersionTLS12
 	}
-	for _, x := range m.opt.KeyExchange {
-		p.config.CurvePreferences = append(p.config.CurvePreferences, exchanges[x])
+	for _, x := range m.options.KeyExchange {
+		p.config.CurvePreferences = append(p.config.CurvePreferences, keyExchanges[x])
 	}
-	if m.opt.Reuse {
+	if m.options.Reuse {
 		p.config.ClientSessionCache = p
 	} else {
 		p.config.SessionTicketsDisabled = true
@@ -53,36 +53,36 @@
 	return p
 }
 
-func (p *peer) verify(cs tls.ConnectionState) error {
+func (p *tlsPeer) verify(cs tls.ConnectionState) error {
 	until, err := p.material.Verify(cs.PeerCertificates, p.key.name, p.wall())
 	if err == nil {
-		p.until.Store(until.UnixNano())
+		p.chainValidUntil.Store(until.UnixNano())
 	}
 	return err
 }
 
 // Get and Put make it the cache of its own sessions: what crypto/tls would take for the key is a name or an address,
 // which two hosts or two epochs can share.
-func (p *peer) Get(string) (*tls.ClientSessionState, bool) {
+func (p *tlsPeer) Get(string) (*tls.ClientSessionState, bool) {
 	s := p.cache.get(p.key, p.wall())
 	return s, s != nil
 }
 
 // Put keeps a session that the host has offered.
-func (p *peer) Put(_ string, s *tls.ClientSessionState) {
-	p.cache.put(p.key, s, time.Unix(0, p.until.Load()))
+func (p *tlsPeer) Put(_ string, s *tls.ClientSessionState) {
+	p.cache.put(p.key, s, time.Unix(0, p.chainValidUntil.Load()))
 }
 
 // resumable tells whether there is a session to take up.
-func (p *peer) resumable() bool {
+func (p *tlsPeer) resumable() bool {
 	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wall()) != nil
 }
 
 // ends is when the first certificate that a new connection rests on ends.
-func (p *peer) ends() time.Time {
-	t := time.Unix(0, p.until.Load())
-	if p.material.own != nil {
-		t = earlier(t, p.material.ownEnd)
+func (p *tlsPeer) ends() time.Time {
+	t := time.Unix(0, p.chainValidUntil.Load())
+	if p.material.certificate != nil {
+		t = earlier(t, p.material.certificateEnd)
 	}
 	return t
 }
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := watcher{current: m, opt: b.opt, seen: signature(b.opt.Files())}
+	w := watcher{current: m, options: b.opt, signature: signature(b.opt.Files())}
 	look := func(want bool) *Material {
 		t.Helper()
-		next := w.look(false, time.Now())
+		next := w.poll(false, time.Now())
 		if (next != nil) != want {
-			t.Fatalf("taken: %t, want %t; told %q", next != nil, want, w.told)
+			t.Fatalf("taken: %t, want %t; told %q", next != nil, want, w.lastFault)
 		}
 		return next
 	}
@@ -38,12 +38,12 @@
 	whole := append(certs.Bundle(b.pki.Trusted.Root.Cert), certs.Bundle(b.pki.Other.Root.Cert)...)
 	os.WriteFile(b.opt.Trust[0], whole[:len(whole)-100], 0o644)
 	look(false)
-	if !strings.Contains(w.told, "half written") {
-		t.Errorf("told %q", w.told)
+	if !strings.Contains(w.lastFault, "half written") {
+		t.Errorf("told %q", w.lastFault)
 	}
 	os.WriteFile(b.opt.Trust[0], whole, 0o644)
-	if next := look(true); next.count != 2 || next.Epoch != 2 || w.told != "" {
-		t.Errorf("%d authorities, epoch %d", next.count, next.Epoch)
+	if next := look(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
+		t.Errorf("%d authorities, epoch %d", next.authorities, next.Epoch)
 	}
 	look(false)
 	// A certificate whose key comes later.
@@ -52,7 +52,7 @@
 	look(false)
 	key, _ := pair.KeyPEM(nil)
 	certs.Replace(b.opt.Key, key, 0o600)
-	if next := look(true); next.own.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
+	if next := look(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
 	// The same content under a new inode is no replacement.
@@ -145,7 +145,7 @@
 		}
 		c.write(open)
 		c.read(up)
-		b.on(func() { last = c.c.Layer().(*session).tls.ConnectionState() })
+		b.on(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
 		if last.DidResume != (i == 1 || i == 3) {
 			t.Errorf("connection %d: resumed %t", i, last.DidResume)
 		}
@@ -153,7 +153,7 @@
 }
 
 func TestCacheIsBounded(t *testing.T) {
-	c := newCache(2)
+	c := newSessionCache(2)
 	now := time.Now()
 	key := func(uid string) sessionKey { return sessionKey{uid, Name{Text: uid}, 1} }
 	for _, uid := range []string{"a", "b", "a", "c"} {
@@ -199,7 +199,7 @@
 	f.Add(good[:len(good)/2])
 	f.Add([]byte("0\x80"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		lists, err := parseLists("f", data, []*x509.Certificate{pki.Trusted.Root.Cert})
+		lists, err := parseRevocationLists("f", data, []*x509.Certificate{pki.Trusted.Root.Cert})
 		if err == nil && len(lists) == 0 {
 			t.Error("nothing, and no error")
 		}
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -13,16 +13,16 @@
 
 // OwnFault tells what of the proxy's own is wrong now, before any host is asked.
 func (m *Material) OwnFault(now time.Time) *Failure {
-	if m.count == 0 {
+	if m.authorities == 0 {
 		return &Failure{Reason: OwnTrust, Step: "queue", Err: errors.New("no authority is trusted")}
 	}
-	for _, l := range m.lists {
+	for _, l := range m.revocations {
 		if now.After(l.until) {
 			return &Failure{Reason: OwnTrust, Step: "queue", Err: fmt.Errorf("the revocation list %s ran out %s", l.file, l.until.UTC().Format(time.RFC3339))}
 		}
 	}
-	if m.own != nil && now.After(m.ownEnd) {
-		return &Failure{Reason: OwnExpired, Step: "queue", Err: fmt.Errorf("%s ended %s", m.opt.Certificate, m.ownEnd.UTC().Format(time.RFC3339))}
+	if m.certificate != nil && now.After(m.certificateEnd) {
+		return &Failure{Reason: OwnExpired, Step: "queue", Err: fmt.Errorf("%s ended %s", m.options.Certificate, m.certificateEnd.UTC().Format(time.RFC3339))}
 	}
 	return nil
 }
@@ -31,9 +31,9 @@
 // signatures are verified once for each epoch, name and chain; times count every time.
 func (m *Material) Verify(shown []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(shown) == 0 {
-		return time.Time{}, fault(NoCertificate, "the host showed none")
+		return time.Time{}, newFailure(NoCertificate, "the host showed none")
 	}
-	key := seenKey{name: name}
+	key := verifiedChain{name: name}
 	sum := sha256.New()
 	for _, c := range shown {
 		sum.Write(c.Raw)
@@ -58,10 +58,10 @@
 	return s.until, nil
 }
 
-func (m *Material) verify(shown []*x509.Certificate, name Name, now time.Time) (span, error) {
+func (m *Material) verify(shown []*x509.Certificate, name Name, now time.Time) (validity, error) {
 	leaf := shown[0]
 	if w := certs.Weak(leaf); w != "" {
-		return span{}, fault(WeakKey, "%s: %s", leaf.Subject, w)
+		return validity{}, newFailure(WeakKey, "%s: %s", leaf.Subject, w)
 	}
 	between := x509.NewCertPool()
 	for _, c := range shown[1:] {
@@ -74,22 +74,22 @@
 		for _, c := range shown {
 			early = early || now.Before(c.NotBefore)
 		}
-		return span{}, certificateFault(err, leaf, early)
+		return validity{}, certificateFault(err, leaf, early)
 	}
 	if leaf.KeyUsage != 0 && leaf.KeyUsage&x509.KeyUsageDigitalSignature == 0 {
-		return span{}, fault(WrongUsage, "%s may not sign handshakes", leaf.Subject)
+		return validity{}, newFailure(WrongUsage, "%s may not sign handshakes", leaf.Subject)
 	}
 	if err := hasName(leaf, name); err != nil {
-		return span{}, err
+		return validity{}, err
 	}
 	// Any chain that holds will do; the reason told is that of the last.
 	for _, chain := range chains {
-		var s span
+		var s validity
 		if s, err = m.judge(chain); err == nil {
 			return s, nil
 		}
 	}
-	return span{}, err
+	return validity{}, err
 }
 
 func hasName(leaf *x509.Certificate, name Name) error {
@@ -104,27 +104,27 @@
 			return nil
 		}
 	}
-	return fault(WrongName, "certificate for the URIs %v, expected %s", leaf.URIs, name.Text)
+	return newFailure(WrongName, "certificate for the URIs %v, expected %s", leaf.URIs, name.Text)
 }
 
 // judge looks at a chain whose signatures hold.
-func (m *Material) judge(chain []*x509.Certificate) (span, error) {
-	s := span{chain[0].NotBefore, chain[0].NotAfter}
+func (m *Material) judge(chain []*x509.Certificate) (validity, error) {
+	s := validity{chain[0].NotBefore, chain[0].NotAfter}
 	for i, c := range chain {
 		if c.NotBefore.After(s.from) {
 			s.from = c.NotBefore
 		}
 		s.until = earlier(s.until, c.NotAfter)
 		if w := certs.Weak(c); w != "" {
-			return s, fault(WeakKey, "%s: %s", c.Subject, w)
+			return s, newFailure(WeakKey, "%s: %s", c.Subject, w)
 		}
 		if i+1 == len(chain) {
 			break
 		}
-		for _, l := range m.lists {
+		for _, l := range m.revocations {
 			if bytes.Equal(l.issuer, c.RawIssuer) && (len(l.keyID) == 0 || bytes.Equal(l.keyID, chain[i+1].SubjectKeyId)) &&
 				l.revoked[c.SerialNumber.String()] {
-				return s, fault(Revoked, "%s, serial %x, by %s", c.Subject, c.SerialNumber, l.file)
+				return s, newFailure(Revoked, "%s, serial %x, by %s", c.Subject, c.SerialNumber, l.file)
 			}
 		}
 	}
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// lookEvery is how often the files are looked at: a replacement is to be in use within 2 s.
-	lookEvery = 500 * time.Millisecond
-	// settling is how long after a change the files are read again whether or not they seem to have changed: two writes
+	// filePollInterval is how often the files are looked at: a replacement is to be in use within 2 s.
+	filePollInterval = 500 * time.Millisecond
+	// rereadAfterChange is how long after a change the files are read again whether or not they seem to have changed: two writes
 	// in one tick of the file system's clock look like one.
-	settling = 3 * time.Second
+	rereadAfterChange = 3 * time.Second
 )
 
 // reload asks the watcher to look now, with other options if there are any.
@@ -25,12 +25,12 @@
 func (k *Link) Reload(o *Options) {
 	for {
 		select {
-		case k.files <- reload{o}:
+		case k.reloads <- reload{o}:
 			return
 		default:
 		}
 		select {
-		case <-k.files: // it was not looked at yet; the newer one counts
+		case <-k.reloads: // it was not looked at yet; the newer one counts
 		default:
 		}
 	}
@@ -39,21 +39,21 @@
 // watch looks at the files for as long as the program runs. It is the only one to read them after the start, beside the
 // loop.
 func (k *Link) watch(m *Material) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
-	w := watcher{current: m, opt: m.opt, seen: signature(m.opt.Files()), changed: time.Now()}
+	w := watcher{current: m, options: m.options, signature: signature(m.options.Files()), changed: time.Now()}
 	for {
 		force := false
 		select {
 		case <-tick.C:
-		case r := <-k.files:
+		case r := <-k.reloads:
 			force = true
 			if r.options != nil {
-				w.opt = *r.options
-				w.opt.On, w.opt.Handshakes, w.opt.Sessions = m.opt.On, m.opt.Handshakes, m.opt.Sessions
+				w.options = *r.options
+				w.options.On, w.options.Handshakes, w.options.Sessions = m.options.On, m.options.Handshakes, m.options.Sessions
 			}
 		}
-		if next := w.look(force, k.wall()); next != nil {
+		if next := w.poll(force, k.wallClock()); next != nil {
 			k.loop.Post(func() { k.Use(next) })
 		}
 	}
@@ -61,41 +61,41 @@
 
 // watcher knows the files as they were last seen.
 type watcher struct {
-	current *Material
-	opt     Options
-	seen    string
-	changed time.Time
-	told    string // the fault that was last told
+	current   *Material
+	options   Options
+	signature string
+	changed   time.Time
+	lastFault string // the fault that was last told
 }
 
-// look gives new material where the files hold some; nil: what is in use stays.
-func (w *watcher) look(force bool, wall time.Time) *Material {
+// poll gives new material where the files hold some; nil: what is in use stays.
+func (w *watcher) poll(force bool, wall time.Time) *Material {
 	now := time.Now()
-	if s := signature(w.opt.Files()); s != w.seen {
-		w.seen, w.changed = s, now
-	} else if !force && now.Sub(w.changed) > settling {
+	if s := signature(w.options.Files()); s != w.signature {
+		w.signature, w.changed = s, now
+	} else if !force && now.Sub(w.changed) > rereadAfterChange {
 		return nil
 	}
-	m, err := Load(w.opt, w.current.Epoch+1)
+	m, err := Load(w.options, w.current.Epoch+1)
 	if err != nil {
-		if text := err.Error(); text != w.told {
-			w.told = text
+		if text := err.Error(); text != w.lastFault {
+			w.lastFault = text
 			slog.Warn("tls_files_kept", "reason", strings.ReplaceAll(text, "\n", "; "), "epoch", w.current.Epoch,
-				"in_use_until", until(w.current.Ends, wall))
+				"in_use_until", describeTime(w.current.Ends, wall))
 		}
 		return nil
 	}
-	w.told = ""
-	if m.sum == w.current.sum && sameOptions(m.opt, w.current.opt) {
+	w.lastFault = ""
+	if m.digest == w.current.digest && sameOptions(m.options, w.current.options) {
 		return nil
 	}
 	w.current = m
-	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.count, "lists", len(m.lists), "until", until(m.Ends, wall))
+	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.authorities, "lists", len(m.revocations), "until", describeTime(m.Ends, wall))
 	return m
 }
 
-// until tells a moment with what is left to it.
-func until(t, now time.Time) string {
+// describeTime tells a moment with what is left to it.
+func describeTime(t, now time.Time) string {
 	if t.IsZero() {
 		return "no_end"
 	}
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -16,46 +16,46 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// job is one handshake on a worker.
-type job struct {
-	id       uint64
-	peer     *peer
-	endpoint string
-	until    time.Time
+// handshakeJob is one handshake on a worker.
+type handshakeJob struct {
+	requestID uint64
+	peer      *tlsPeer
+	endpoint  string
+	until     time.Time
 
 	mu      sync.Mutex
-	raw     net.Conn
+	conn    net.Conn
 	aborted bool
 }
 
 // abort ends the handshake from the loop.
-func (j *job) abort() {
+func (j *handshakeJob) abort() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.aborted = true
-	if j.raw != nil {
-		j.raw.Close()
+	if j.conn != nil {
+		j.conn.Close()
 	}
 }
 
-// work is a worker, for good.
-func (k *Link) work() {
+// runWorker is a worker, for good.
+func (k *Link) runWorker() {
 	for j := range k.jobs {
-		s, fd, spent, f := j.run(k.turn)
-		k.loop.Post(func() { k.ended(j, s, fd, spent, f) })
+		s, fd, spent, f := j.run(k.computeToken)
+		k.loop.Post(func() { k.handshakeEnded(j, s, fd, spent, f) })
 	}
 }
 
 // run connects and shakes hands. It gives a socket that is in nobody's hands.
-func (j *job) run(turn chan struct{}) (s *session, fd int, spent time.Duration, f *Failure) {
-	w := &wire{turn: turn, in: netio.NewBuffer(mostHeld)}
+func (j *handshakeJob) run(turn chan struct{}) (s *session, fd int, spent time.Duration, f *Failure) {
+	w := &sealedSocket{computeToken: turn, sealed: netio.NewBuffer(maxSealedBytes)}
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "handshake", "reason", p, "stack", string(debug.Stack()))
 			s, fd, f = nil, -1, &Failure{Reason: Protocol, Step: "finish", Err: fmt.Errorf("panic: %v", p)}
 		}
-		w.pause()
-		spent = w.spent
+		w.releaseToken()
+		spent = w.computed
 	}()
 	dialer := net.Dialer{Deadline: j.until, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -75,30 +75,30 @@
 	}
 	defer raw.Close()
 	j.mu.Lock()
-	j.raw = raw
+	j.conn = raw
 	aborted := j.aborted
 	j.mu.Unlock()
 	if aborted {
 		return nil, -1, 0, &Failure{Reason: TimedOut, Step: "connect"}
 	}
 	raw.SetDeadline(j.until)
-	w.raw = raw
-	w.compute()
-	s = &session{wire: w, tls: tls.Client(w, j.peer.config)}
-	err = s.tls.Handshake()
+	w.handshakeConn = raw
+	w.acquireToken()
+	s = &session{socket: w, tlsConn: tls.Client(w, j.peer.config)}
+	err = s.tlsConn.Handshake()
 	if err != nil {
-		return nil, -1, 0, classify(err, w.heard)
+		return nil, -1, 0, classify(err, w.received)
 	}
-	s.resumed, s.ends = s.tls.ConnectionState().DidResume, j.peer.ends()
-	fd, err = release(raw.(*net.TCPConn))
+	s.resumed, s.certificateEnd = s.tlsConn.ConnectionState().DidResume, j.peer.ends()
+	fd, err = detachSocket(raw.(*net.TCPConn))
 	if err != nil {
 		return nil, -1, 0, &Failure{Reason: BrokenOff, Step: "finish", Err: err}
 	}
 	return s, fd, 0, nil
 }
 
-// release takes the socket out of the hands of Go's own poller.
-func release(c *net.TCPConn) (int, error) {
+// detachSocket takes the socket out of the hands of Go's own poller.
+func detachSocket(c *net.TCPConn) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return -1, err
@@ -110,35 +110,35 @@
 	return fd, err
 }
 
-// ended takes a worker's result.
-func (k *Link) ended(j *job, s *session, fd int, spent time.Duration, f *Failure) {
+// handshakeEnded takes a worker's result.
+func (k *Link) handshakeEnded(j *handshakeJob, s *session, fd int, spent time.Duration, f *Failure) {
 	k.counts.cpu += spent
-	k.budget.Done(k.loop.Now(), j.id, s != nil && s.resumed, spent, f == nil)
-	d := k.dials[j.id]
+	k.budget.Done(k.loop.Now(), j.requestID, s != nil && s.resumed, spent, f == nil)
+	d := k.dials[j.requestID]
 	switch {
 	case d == nil && f == nil:
 		unix.Close(fd) // given up meanwhile: nothing was sent on it
 	case d == nil:
 	case f != nil:
 		d.fail(f)
-	case j.peer.material != k.material && !k.still(j.peer, s):
+	case j.peer.material != k.material && !k.stillTrusted(j.peer, s):
 		unix.Close(fd)
-		d.fail(fault(UnknownCA, "trust was replaced during the handshake, and does not hold the host's certificate any more"))
+		d.fail(newFailure(UnknownCA, "trust was replaced during the handshake, and does not hold the host's certificate any more"))
 	default:
 		if s.resumed {
 			k.counts.resumed++
 		} else {
 			k.counts.full++
 		}
-		d.settle()
-		s.failed = func(f *Failure, late bool) { k.broke(d.host.ID, f, late) }
-		netio.Adopt(k.loop, fd, s, d.limit, d.handler, func(c *netio.Conn) { d.done(c, nil) })
+		d.end()
+		s.onFailure = func(f *Failure, late bool) { k.logBrokenSession(d.host.ID, f, late) }
+		netio.Adopt(k.loop, fd, s, d.inputLimit, d.handler, func(c *netio.Conn) { d.done(c, nil) })
 	}
-	k.kick()
+	k.beginAllowed()
 }
 
-// still tells whether what was verified under an epoch that ended during the handshake holds under the new one.
-func (k *Link) still(p *peer, s *session) bool {
-	_, err := k.material.Verify(s.tls.ConnectionState().PeerCertificates, p.key.name, k.wall())
+// stillTrusted tells whether what was verified under an epoch that ended during the handshake holds under the new one.
+func (k *Link) stillTrusted(p *tlsPeer, s *session) bool {
+	_, err := k.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, k.wallClock())
 	return err == nil
 }
