--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -16,105 +16,139 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// fleet are the commands that ask a running proxy about the fleet, over the Unix sockets that the operators' file names.
+// fleetClient asks a running proxy, over the Unix sockets that the operators' file names.
+type fleetClient struct {
+	commands *commands
+	socket   string // names the socket in place of the file
+	asJSON   bool
+}
+
+// showReply prints a reply; nil: its answer is printed as it is.
+type showReply func(w io.Writer, r owneragent.Reply) error
+
+// fleet are the commands that ask a running proxy about the fleet.
 func (c *commands) fleet() []*cobra.Command {
-	var socket string
-	var asJSON bool
-	path := func(section string) (string, error) {
-		if socket != "" {
-			return socket, nil
-		}
-		file, err := node.Schema().Load(c.path)
-		if err != nil {
-			return "", err
-		}
-		p := file.Value("owners").(owneragent.Options).Socket
-		if section == "membership" {
-			p = file.Value("membership").(memberagent.Options).Socket
-		}
-		if p == "" {
-			return "", fmt.Errorf("no socket: name it by --socket, or the operators' file with (%s (socket ...)) by --settings", section)
-		}
-		return p, nil
+	f := &fleetClient{commands: c}
+	all := []*cobra.Command{f.ownersCommand(), f.groupCommand(), f.fleetCommand(), f.membersCommand(), f.rulesCommand()}
+	for _, command := range all {
+		command.PersistentFlags().StringVar(&f.socket, "socket", "", "the running proxy's socket; else the one that the operators' file names")
+		command.PersistentFlags().BoolVar(&f.asJSON, "json", false, "as JSON")
 	}
-	ask := func(cmd *cobra.Command, q owneragent.Request, show func(w io.Writer, r owneragent.Reply) error) error {
-		p, err := path("owners")
-		if err != nil {
-			return err
-		}
-		r, err := owneragent.Ask(p, q)
-		if err != nil {
-			return fmt.Errorf("%s: %w", p, err)
-		}
-		if asJSON {
-			return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
-		}
-		if r.Error != "" {
-			return errors.New(r.Error)
-		}
-		if show != nil {
-			return show(cmd.OutOrStdout(), r)
-		}
-		fmt.Fprintln(cmd.OutOrStdout(), r.Answer)
-		if strings.HasPrefix(r.Answer, "refused") || strings.HasPrefix(r.Answer, "unknown") {
-			return errors.New("it was not done, or nobody knows")
-		}
-		return nil
+	return all
+}
+
+// socketOf is the socket of a section: owners or membership.
+func (f *fleetClient) socketOf(section string) (string, error) {
+	if f.socket != "" {
+		return f.socket, nil
 	}
-	said := func(do string) func(cmd *cobra.Command, args []string) error {
-		return func(cmd *cobra.Command, args []string) error {
-			q := owneragent.Request{Do: do}
-			if q.A = args[0]; len(args) > 1 {
-				q.B = args[1]
-			}
-			return ask(cmd, q, nil)
+	file, err := node.Schema().Load(f.commands.path)
+	if err != nil {
+		return "", err
+	}
+	path := file.Value("owners").(owneragent.Options).Socket
+	if section == "membership" {
+		path = file.Value("membership").(memberagent.Options).Socket
+	}
+	if path == "" {
+		return "", fmt.Errorf("no socket: name it by --socket, or the operators' file with (%s (socket ...)) by --settings", section)
+	}
+	return path, nil
+}
+
+// ask sends a request to the owner agent and prints the reply. An answer that nothing was done is an error.
+func (f *fleetClient) ask(cmd *cobra.Command, q owneragent.Request, show showReply) error {
+	socket, err := f.socketOf("owners")
+	if err != nil {
+		return err
+	}
+	r, err := owneragent.Ask(socket, q)
+	if err != nil {
+		return fmt.Errorf("%s: %w", socket, err)
+	}
+	if f.asJSON {
+		return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
+	}
+	if r.Error != "" {
+		return errors.New(r.Error)
+	}
+	if show != nil {
+		return show(cmd.OutOrStdout(), r)
+	}
+	fmt.Fprintln(cmd.OutOrStdout(), r.Answer)
+	if strings.HasPrefix(r.Answer, "refused") || strings.HasPrefix(r.Answer, "unknown") {
+		return errNotDone
+	}
+	return nil
+}
+
+// errNotDone is the end of a command whose request was refused, or whose outcome nobody knows.
+var errNotDone = errors.New("it was not done, or nobody knows")
+
+// withArguments is a command that sends its one or two arguments.
+func (f *fleetClient) withArguments(do string) func(cmd *cobra.Command, args []string) error {
+	return func(cmd *cobra.Command, args []string) error {
+		q := owneragent.Request{Do: do}
+		if q.A = args[0]; len(args) > 1 {
+			q.B = args[1]
 		}
+		return f.ask(cmd, q, nil)
 	}
-	own := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs",
-		Example: "  croftlock owners --socket /run/croftlock/owners.sock\n  croftlock owners move hosts proxy-2",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, owneragent.Request{Do: "owners"}, showOwners)
-		}}
-	own.AddCommand(&cobra.Command{Use: "move JOB MEMBER", Args: cobra.ExactArgs(2), Short: "Have a job handed over", RunE: said("move"),
+}
+
+// withoutArguments is a command that has none.
+func (f *fleetClient) withoutArguments(do string, show showReply) func(cmd *cobra.Command, args []string) error {
+	return func(cmd *cobra.Command, _ []string) error { return f.ask(cmd, owneragent.Request{Do: do}, show) }
+}
+
+func (f *fleetClient) ownersCommand() *cobra.Command {
+	owners := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs", RunE: f.withoutArguments("owners", showOwners),
+		Example: "  croftlock owners --socket /run/croftlock/owners.sock\n  croftlock owners move hosts proxy-2"}
+	owners.AddCommand(&cobra.Command{Use: "move JOB MEMBER", Args: cobra.ExactArgs(2), Short: "Have a job handed over", RunE: f.withArguments("move"),
 		Example: "  croftlock owners move hosts proxy-2"})
+	return owners
+}
+
+func (f *fleetClient) groupCommand() *cobra.Command {
 	group := &cobra.Command{Use: "group", Short: "The voters that the owners rest on"}
-	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, owneragent.Request{Do: "status"}, showGroup)
-		}})
-	for _, x := range []struct{ use, do, short string }{{"add NAME", "add", "Take a process in that asks for it, as one that listens"},
-		{"promote NAME", "promote", "Let a member that listens vote, in the place of its earlier self"}, {"remove NAME", "remove", "Take a member out"}} {
-		group.AddCommand(&cobra.Command{Use: x.use, Args: cobra.ExactArgs(1), Short: x.short, RunE: said(x.do)})
+	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it", RunE: f.withoutArguments("status", showGroup)})
+	for _, x := range []struct{ use, do, short string }{
+		{"add NAME", "add", "Take a process in that asks for it, as one that listens"},
+		{"promote NAME", "promote", "Let a member that listens vote, in the place of its earlier self"},
+		{"remove NAME", "remove", "Take a member out"},
+	} {
+		group.AddCommand(&cobra.Command{Use: x.use, Args: cobra.ExactArgs(1), Short: x.short, RunE: f.withArguments(x.do)})
 	}
+	return group
+}
+
+func (f *fleetClient) fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "What holds at every proxy"}
 	for _, do := range []string{"suspend", "resume"} {
-		fleet.AddCommand(&cobra.Command{Use: do + " ID", Args: cobra.ExactArgs(1), Short: do + " a host at every proxy", RunE: said(do),
+		fleet.AddCommand(&cobra.Command{Use: do + " ID", Args: cobra.ExactArgs(1), Short: do + " a host at every proxy", RunE: f.withArguments(do),
 			Long:    "The answer says at how many proxies it is done and which are still missing; refused; or unknown, where nobody can say.",
 			Example: "  croftlock fleet " + do + " catalogue-07"})
 	}
-	fleet.AddCommand(&cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Tell which hosts are out for the whole fleet",
-		RunE: func(cmd *cobra.Command, _ []string) error { return ask(cmd, owneragent.Request{Do: "list"}, nil) }})
-	who := &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
+	fleet.AddCommand(&cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Tell which hosts are out for the whole fleet", RunE: f.withoutArguments("list", nil)})
+	return fleet
+}
+
+func (f *fleetClient) membersCommand() *cobra.Command {
+	return &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, err := path("membership")
+			socket, err := f.socketOf("membership")
 			if err != nil {
 				return err
 			}
-			r, err := memberagent.Ask(p)
+			r, err := memberagent.Ask(socket)
 			if err != nil {
-				return fmt.Errorf("%s: %w", p, err)
+				return fmt.Errorf("%s: %w", socket, err)
 			}
-			if asJSON {
+			if f.asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
 			}
 			return r.Print(cmd.OutOrStdout())
 		}}
-	all := []*cobra.Command{own, group, fleet, who, ruling(ask)}
-	for _, x := range all {
-		x.PersistentFlags().StringVar(&socket, "socket", "", "the running proxy's socket; else the one that the operators' file names")
-		x.PersistentFlags().BoolVar(&asJSON, "json", false, "as JSON")
-	}
-	return all
 }
 
 func showOwners(w io.Writer, r owneragent.Reply) error {
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/ed25519"
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -18,65 +19,75 @@
 	"croftlock/internal/operations/settings"
 )
 
-type asking = func(cmd *cobra.Command, q owneragent.Request, show func(w io.Writer, r owneragent.Reply) error) error
-
-// ruling are the commands about the rules that all proxies agree on.
-func ruling(ask asking) *cobra.Command {
+// rulesCommand holds the commands about the rules that all proxies agree on.
+func (f *fleetClient) rulesCommand() *cobra.Command {
 	all := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
-	question := func(use, short, example string, args cobra.PositionalArgs, q func(args []string) ([]byte, error)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Example: "  croftlock rules " + example, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
-			body, err := q(args)
+	all.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
+		f.historyCommand(), f.rulesStatusCommand(), f.showCommand())
+	return all
+}
+
+// query sends a question to the rules' coordinator.
+func (f *fleetClient) query(cmd *cobra.Command, question []byte) error {
+	return f.ask(cmd, owneragent.Request{Do: "rules", Rules: question}, nil)
+}
+
+func (f *fleetClient) historyCommand() *cobra.Command {
+	c := &cobra.Command{Use: "history", Args: cobra.NoArgs, Example: "  croftlock rules history --account acme",
+		Short: "Tell which changes were made, by whom and by which grant, and which were refused since this keeper began"}
+	account := c.Flags().String("account", "", "only what is about this account and those below it")
+	c.RunE = func(cmd *cobra.Command, _ []string) error { return f.query(cmd, rules.QueryHistory(*account)) }
+	return c
+}
+
+func (f *fleetClient) rulesStatusCommand() *cobra.Command {
+	return &cobra.Command{Use: "status", Args: cobra.NoArgs, Example: "  croftlock rules status",
+		Short: "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for",
+		RunE:  func(cmd *cobra.Command, _ []string) error { return f.query(cmd, rules.QueryStatus()) }}
+}
+
+func (f *fleetClient) showCommand() *cobra.Command {
+	return &cobra.Command{Use: "show [VERSION]", Args: cobra.MaximumNArgs(1), Example: "  croftlock rules show 0",
+		Short: "Tell which version is active, at how many, and who has no right; with a number, what that version says (0: the active one)",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if len(args) == 0 {
+				return f.query(cmd, rules.QueryActive())
+			}
+			version, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
 				return err
 			}
-			return ask(cmd, owneragent.Request{Do: "rules", Rules: body}, nil)
+			return f.query(cmd, rules.QueryVersion(version))
 		}}
-	}
-	history := question("history", "Tell which changes were made, by whom and by which grant, and which were refused since this keeper began", "history --account acme", cobra.NoArgs, nil)
-	about := history.Flags().String("account", "", "only what is about this account and those below it")
-	history.RunE = func(cmd *cobra.Command, _ []string) error {
-		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryHistory(*about)}, nil)
-	}
-	all.AddCommand(putting(ask), dropping(ask), rolling(ask), diffing(ask), explaining(ask), checking(), keying(), history,
-		question("status", "Tell who may act by which version and for how long, who has the next one ready or why not, and what is waited for", "status", cobra.NoArgs,
-			func([]string) ([]byte, error) { return rules.QueryStatus(), nil }),
-		question("show [VERSION]", "Tell which version is active, at how many, and who has no right; with a number, what that version says (0: the active one)", "show 0",
-			cobra.MaximumNArgs(1), func(args []string) ([]byte, error) {
-				if len(args) == 0 {
-					return rules.QueryActive(), nil
-				}
-				n, err := strconv.ParseUint(args[0], 10, 64)
-				return rules.QueryVersion(n), err
-			}))
-	return all
 }
 
-// changing is a command that asks for a change; change gives it.
-func changing(ask asking, use, short, long, example string, change func(args []string, against uint64) (*rules.Change, error)) *cobra.Command {
+// changeCommand has c ask for a change, which change gives from the argument and the version that it is made against.
+func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
 	var against uint64
 	var key string
-	c := &cobra.Command{Use: use, Args: cobra.ExactArgs(1), Short: short, Long: long, Example: example, RunE: func(cmd *cobra.Command, args []string) error {
-		ch, err := change(args, against)
+	c.Args = cobra.ExactArgs(1)
+	c.RunE = func(cmd *cobra.Command, args []string) error {
+		ch, err := change(args[0], against)
 		if err != nil {
 			return err
 		}
 		if err := sign(ch, key); err != nil {
 			return err
 		}
-		return ask(cmd, owneragent.Request{Do: "rules", Rules: rules.EncodeProposal(ch)}, nil)
-	}}
+		return f.query(cmd, rules.EncodeProposal(ch))
+	}
 	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
 	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
 	return c
 }
 
-func putting(ask asking) *cobra.Command {
-	return changing(ask, "put FILE", "Propose the operators' rules, whole, or an account's namespace, or an account below another",
-		"FILE holds one section: (rules …), (namespace …) or (account …). The answer says at how many proxies it is active and whose right has lapsed; refused,\n"+
+func (f *fleetClient) putCommand() *cobra.Command {
+	return f.changeCommand(&cobra.Command{Use: "put FILE", Short: "Propose the operators' rules, whole, or an account's namespace, or an account below another",
+		Long: "FILE holds one section: (rules …), (namespace …) or (account …). The answer says at how many proxies it is active and whose right has lapsed; refused,\n" +
 			"with the reason; or unknown, where nobody can say: the same once more is as once.",
-		"  croftlock rules put rules.sexp --against 4\n  croftlock rules put routes.sexp --against 7 --key acme.key",
-		func(args []string, against uint64) (*rules.Change, error) {
-			what, err := readChange(args[0])
+		Example: "  croftlock rules put rules.sexp --against 4\n  croftlock rules put routes.sexp --against 7 --key acme.key"},
+		func(path string, against uint64) (*rules.Change, error) {
+			what, err := readChange(path)
 			if err != nil {
 				return nil, err
 			}
@@ -107,7 +118,7 @@
 	return file.Value(found[0]), nil
 }
 
-func checking() *cobra.Command {
+func checkRulesCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Args: cobra.ExactArgs(1), Short: "Say what is wrong with a file of rules, a namespace or an account, without asking anybody", Example: "  croftlock rules check rules.sexp",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := readChange(args[0]); err != nil {
@@ -118,45 +129,54 @@
 		}}
 }
 
-func dropping(ask asking) *cobra.Command {
-	return changing(ask, "drop ACCOUNT", "Propose the end of an account below another, with all below it and their namespaces", "", "  croftlock rules drop acme/web --against 9",
-		func(args []string, against uint64) (*rules.Change, error) {
-			return rules.RemoveAccount(args[0], against, nil), nil
+func (f *fleetClient) dropCommand() *cobra.Command {
+	return f.changeCommand(&cobra.Command{Use: "drop ACCOUNT", Short: "Propose the end of an account below another, with all below it and their namespaces",
+		Example: "  croftlock rules drop acme/web --against 9"},
+		func(account string, against uint64) (*rules.Change, error) {
+			return rules.RemoveAccount(account, against, nil), nil
 		})
 }
 
-func rolling(ask asking) *cobra.Command {
-	return changing(ask, "rollback VERSION", "Propose everything as an earlier version had it, as a new version", "", "  croftlock rules rollback 6 --against 9",
-		func(args []string, against uint64) (*rules.Change, error) {
-			to, err := strconv.ParseUint(args[0], 10, 64)
+func (f *fleetClient) rollbackCommand() *cobra.Command {
+	return f.changeCommand(&cobra.Command{Use: "rollback VERSION", Short: "Propose everything as an earlier version had it, as a new version",
+		Example: "  croftlock rules rollback 6 --against 9"},
+		func(version string, against uint64) (*rules.Change, error) {
+			to, err := strconv.ParseUint(version, 10, 64)
 			return rules.RollBackTo(to, against, nil), err
 		})
 }
 
-// diffing compares what two versions say, line by line.
-func diffing(ask asking) *cobra.Command {
+// diffCommand compares what two versions say, line by line.
+func (f *fleetClient) diffCommand() *cobra.Command {
 	return &cobra.Command{Use: "diff VERSION VERSION", Args: cobra.ExactArgs(2), Short: "Tell what one version says and another does not (0: the active one)", Example: "  croftlock rules diff 6 0",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var text [2]string
-			for i, a := range args {
-				n, err := strconv.ParseUint(a, 10, 64)
-				if err != nil {
+			var texts [2]string
+			for i, version := range args {
+				var err error
+				if texts[i], err = f.versionText(cmd, version); err != nil {
 					return err
 				}
-				if err := ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
-					text[i] = r.Answer
-					return nil
-				}); err != nil {
-					return err
-				}
-				if strings.HasPrefix(text[i], "refused: ") {
-					return fmt.Errorf("%s", text[i])
-				}
 			}
-			return difference(cmd.OutOrStdout(), text[0], text[1])
+			return difference(cmd.OutOrStdout(), texts[0], texts[1])
 		}}
 }
 
+// versionText asks for what a version says.
+func (f *fleetClient) versionText(cmd *cobra.Command, version string) (text string, err error) {
+	n, err := strconv.ParseUint(version, 10, 64)
+	if err != nil {
+		return "", err
+	}
+	err = f.ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
+		text = r.Answer
+		return nil
+	})
+	if err == nil && strings.HasPrefix(text, "refused: ") {
+		err = errors.New(text)
+	}
+	return text, err
+}
+
 // difference writes the lines of either text that the other has not; comments are numbers, which differ in any case.
 func difference(w io.Writer, a, b string) error {
 	only := func(mark, x, y string) {
@@ -179,7 +199,7 @@
 	return nil
 }
 
-func explaining(ask asking) *cobra.Command {
+func (f *fleetClient) explainCommand() *cobra.Command {
 	var zone string
 	c := &cobra.Command{Use: "explain 'OPEN …'", Args: cobra.ExactArgs(1), Short: "Say what becomes of a request by the version that this proxy acts by, and why",
 		Example: "  croftlock rules explain 'OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000'",
@@ -188,14 +208,14 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return f.ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
 }
 
-// signing reads the key of a grant.
-func signing(path string) (ed25519.PrivateKey, error) {
+// grantKey reads the key of a grant.
+func grantKey(path string) (ed25519.PrivateKey, error) {
 	k, err := certs.LoadKey(path, "")
 	if err != nil {
 		return nil, err
@@ -212,7 +232,7 @@
 	if path == "" {
 		return nil
 	}
-	key, err := signing(path)
+	key, err := grantKey(path)
 	if err != nil {
 		return err
 	}
@@ -221,10 +241,10 @@
 	return nil
 }
 
-func keying() *cobra.Command {
+func keyCommand() *cobra.Command {
 	return &cobra.Command{Use: "key FILE", Args: cobra.ExactArgs(1), Short: "Print the public half of an Ed25519 key as a grant names it", Example: "  croftlock rules key acme.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			key, err := signing(args[0])
+			key, err := grantKey(args[0])
 			if err == nil {
 				fmt.Fprintln(cmd.OutOrStdout(), base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey)))
 			}
