--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -34,8 +34,8 @@
 	whole("the start")
 
 	// Lost, doubled, late and spoilt datagrams, and a process that sleeps for a second: nobody is given up.
-	plan := []simulation.Fault{{Kind: "loss", At: 0, For: 3000, Part: 0.2}, {Kind: "twice", At: 500, For: 3000, Part: 0.3}, {Kind: "garbage", At: 0, For: 3000, Part: 0.1},
-		{Kind: "pause", At: 800, For: 1000, A: 1}, {Kind: "slow", At: 1000, For: 2000}}
+	plan := []simulation.Fault{{Kind: "loss", StartMS: 0, DurationMS: 3000, Amount: 0.2}, {Kind: "twice", StartMS: 500, DurationMS: 3000, Amount: 0.3}, {Kind: "garbage", StartMS: 0, DurationMS: 3000, Amount: 0.1},
+		{Kind: "pause", StartMS: 800, DurationMS: 1000, Process: 1}, {Kind: "slow", StartMS: 1000, DurationMS: 2000}}
 	again, err := experiment.ReadPlan("plan", []byte(experiment.PlanText(plan)), 5)
 	if err != nil || !slices.Equal(again, plan) {
 		t.Fatalf("a plan is not read as it is printed: %v, %v", again, err)
@@ -51,7 +51,7 @@
 	whole("the faults that nobody dies of")
 
 	// A one-sided cut is a fact about a link.
-	r.Play([]simulation.Fault{{Kind: "one-way", A: 1, B: 2}})
+	r.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Peer: 2}})
 	named := func() bool {
 		rep, err := r.Ask(0)
 		for _, m := range rep.Members {
@@ -61,7 +61,7 @@
 		}
 		return false
 	}
-	plan = []simulation.Fault{{Kind: "one-way", At: 0, For: 4000, A: 1, B: 2}}
+	plan = []simulation.Fault{{Kind: "one-way", StartMS: 0, DurationMS: 4000, Process: 1, Peer: 2}}
 	done := make(chan error, 1)
 	go func() { done <- r.Play(plan) }()
 	if _, ok := experiment.Until(patience, func() bool { return named() || len(done) > 0 }); !ok || !named() && len(done) > 0 {
@@ -90,7 +90,7 @@
 	}
 
 	// A disk that is full is said in the log, and ends nothing.
-	full := []simulation.Fault{{Kind: "full", For: 3000, A: 1}}
+	full := []simulation.Fault{{Kind: "full", DurationMS: 3000, Process: 1}}
 	go func() { done <- r.Play(full) }()
 	experiment.Until(patience, func() bool {
 		r.Suspend(1, true)
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -75,7 +75,7 @@
 			// The owner in the smaller part of a cut.
 			who = owned(t, r, "the wake-up")
 			a := who["drill001"]
-			if err := r.Play([]simulation.Fault{{Kind: "cut", For: 5000, A: a}}); err != nil {
+			if err := r.Play([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: a}}); err != nil {
 				t.Fatal(err)
 			}
 			owned(t, r, "a cut healed")
--- a/internal/fleet/memberagent/members.go
+++ b/internal/fleet/memberagent/members.go
@@ -202,7 +202,7 @@
 
 // Changed is the core's.
 func (s *Agent) Changed(c membership.Change) {
-	slog.Info("member_changed", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.From, "to", c.To, "life", c.Incarnation.Start(), "version", c.Version, "reason", c.Reason)
+	slog.Info("member_changed", "id", fmt.Sprintf("%08x", c.ID), "name", c.Name, "from", c.OldState, "to", c.NewState, "life", c.Incarnation.Start(), "version", c.Version, "reason", c.Reason)
 }
 
 // Leave tells the others that this process ends in order, and ends.
--- a/internal/fleet/membership/carry_test.go
+++ b/internal/fleet/membership/carry_test.go
@@ -7,22 +7,22 @@
 
 // pipe is one end of two, whose datagrams go to the other.
 type pipe struct {
-	to  *Core
-	now Time
-	got [][]byte
-	who uint32
+	peer     *Core
+	now      Time
+	received [][]byte
+	sender   uint32
 }
 
-func (p *pipe) Send(_ int, data []byte) { p.to.Receive(p.now, 0, bytes.Clone(data)) }
+func (p *pipe) Send(_ int, data []byte) { p.peer.Receive(p.now, 0, bytes.Clone(data)) }
 func (p *pipe) Changed(Change)          {}
-func (p *pipe) CarriedData(from uint32, whose byte, data []byte) {
-	if whose == 7 {
-		p.who, p.got = from, append(p.got, bytes.Clone(data))
+func (p *pipe) CarriedData(from uint32, channel byte, data []byte) {
+	if channel == 7 {
+		p.sender, p.received = from, append(p.received, bytes.Clone(data))
 	}
 }
 
-// TestCarriesOthersData: what another package sends by this way comes as it was sent, as long as a datagram holds it, and counts as a word of its sender.
-func TestCarriesOthersData(t *testing.T) {
+// TestCarry: another package's data arrive unchanged, with their sender, if a datagram has room for them.
+func TestCarry(t *testing.T) {
 	a, b := &pipe{}, &pipe{}
 	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, a)
 	if err != nil {
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.to, b.to = two, one
+	a.peer, b.peer = two, one
 	one.Carry(0, ID("b"), 7, []byte("too early")) // its address is not known
 	for now := Time(1); now < 2*sec; now += 50 * ms {
 		a.now, b.now = now, now
@@ -45,8 +45,8 @@
 	}
 	one.Carry(2*sec, ID("nobody"), 7, []byte("lost"))
 	one.Carry(2*sec, ID("b"), 8, []byte("another's"))
-	if len(b.got) != 3 || string(b.got[0]) != "one" || !bytes.Equal(b.got[1], whole) || len(b.got[2]) != 0 || b.who != ID("a") {
-		t.Errorf("%d came, from %08x", len(b.got), b.who)
+	if len(b.received) != 3 || string(b.received[0]) != "one" || !bytes.Equal(b.received[1], whole) || len(b.received[2]) != 0 || b.sender != ID("a") {
+		t.Errorf("%d arrived, from %08x", len(b.received), b.sender)
 	}
 	if one.Counts().Malformed+two.Counts().Malformed > 0 {
 		t.Error("a datagram was malformed")
--- /dev/null
+++ b/internal/fleet/membership/decode.go
@@ -0,0 +1,140 @@
+package membership
+
+import (
+	"encoding/binary"
+	"net/netip"
+)
+
+// decodeHeader checks a datagram's header and all of its parts, so that nothing of a malformed one is acted on. The header is valid with
+// ErrFleet, too.
+func decodeHeader(b []byte, fleet uint32) (header, parts, error) {
+	if len(b) < 1 || len(b) > MaxDatagram {
+		return header{}, nil, ErrMalformed
+	}
+	if b[0] != formatVersion {
+		return header{}, nil, ErrVersion
+	}
+	if len(b) < headerLength {
+		return header{}, nil, ErrMalformed
+	}
+	h := header{
+		fleet:       binary.BigEndian.Uint32(b[1:]),
+		sender:      binary.BigEndian.Uint32(b[5:]),
+		incarnation: Incarnation(binary.BigEndian.Uint64(b[9:])),
+		digest:      binary.BigEndian.Uint32(b[17:]),
+	}
+	if h.fleet != fleet {
+		return h, nil, ErrFleet
+	}
+	all := parts(b[headerLength:])
+	for rest := all; len(rest) > 0; {
+		if _, ok := rest.next(); !ok {
+			return h, nil, ErrMalformed
+		}
+	}
+	return h, all, nil
+}
+
+// parts are those of a datagram that are not yet read. Reading copies and allocates nothing.
+type parts []byte
+
+// part is one part, its kind included; the decode functions read the fields of each kind.
+type part []byte
+
+func (p part) kind() partKind { return partKind(p[0]) }
+
+// next cuts off the first part; false: what follows is malformed.
+func (p *parts) next() (part, bool) {
+	b := []byte(*p)
+	n := partLength(b)
+	if n == 0 || len(b) < n {
+		return nil, false
+	}
+	first := part(b[:n])
+	if first.kind() == partNews && State(first[5]) > Gone {
+		return nil, false
+	}
+	*p = b[n:]
+	return first, true
+}
+
+// partLength is how long the first part of b says that it is, in bytes; 0: it is malformed.
+func partLength(b []byte) int {
+	switch partKind(b[0]) {
+	case partPing, partAck:
+		return sequenceLength
+	case partPingRequest, partIndirectAck:
+		return relayedLength
+	case partNews:
+		return newsLength
+	case partViewRequest:
+		return viewRequestLength
+	case partRejected:
+		return rejectedLength
+	case partAddress:
+		return addressLength
+	case partUnheard:
+		if len(b) >= unheardHeaderLength {
+			return unheardHeaderLength + 4*int(b[1])
+		}
+	case partName:
+		if len(b) >= nameHeaderLength {
+			return nameHeaderLength + int(b[1])
+		}
+	case partCarried:
+		if len(b) >= carriedHeaderLength {
+			return carriedHeaderLength + int(b[2])
+		}
+	}
+	return 0
+}
+
+// relayed is a request for an indirect probe, or its result.
+type relayed struct{ sequence, target uint32 }
+
+// memberAddress is where a member is.
+type memberAddress struct {
+	member  uint32
+	address netip.AddrPort
+}
+
+// carriedData is another package's.
+type carriedData struct {
+	channel byte
+	data    []byte
+}
+
+// decodeSequence reads a ping or an ack.
+func decodeSequence(p part) uint32 { return binary.BigEndian.Uint32(p[1:]) }
+
+func decodeRelayed(p part) relayed {
+	return relayed{sequence: binary.BigEndian.Uint32(p[1:]), target: binary.BigEndian.Uint32(p[5:])}
+}
+
+func decodeNews(p part) MemberNews {
+	return MemberNews{
+		ID:          binary.BigEndian.Uint32(p[1:]),
+		State:       State(p[5]),
+		Incarnation: Incarnation(binary.BigEndian.Uint64(p[6:])),
+		Age:         binary.BigEndian.Uint16(p[14:]),
+	}
+}
+
+// decodeUnheard appends the members that a part lists to ids.
+func decodeUnheard(p part, ids []uint32) []uint32 {
+	for b := p[unheardHeaderLength:]; len(b) >= 4; b = b[4:] {
+		ids = append(ids, binary.BigEndian.Uint32(b))
+	}
+	return ids
+}
+
+func decodeName(p part) []byte { return p[nameHeaderLength:] }
+
+func decodeRejection(p part) rejection { return rejection(p[1]) }
+
+func decodeAddress(p part) memberAddress {
+	ip := netip.AddrFrom4([4]byte(p[5:9]))
+	return memberAddress{binary.BigEndian.Uint32(p[1:]), netip.AddrPortFrom(ip, binary.BigEndian.Uint16(p[9:]))}
+}
+
+func decodeCarried(p part) carriedData { return carriedData{p[1], p[carriedHeaderLength:]} }
--- /dev/null
+++ b/internal/fleet/membership/detect.go
@@ -0,0 +1,195 @@
+package membership
+
+import "math/bits"
+
+// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: it has to reach whoever has heard
+// the suspect, and the refutation has to come back.
+const suspicionStep = 250 * ms
+
+// minSuspicion is how long a member stays suspect at least in a view of a size.
+func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
+
+// probeNext probes the next member in turn.
+func (c *Core) probeNext() {
+	for range c.prober.slots {
+		slot := c.prober.nextSlot()
+		id := c.addresses.memberAt[slot]
+		if m := c.members.get(id); m != nil && m.State.ended() && c.rng.IntN(endedProbeOneIn) > 0 {
+			continue
+		}
+		var sequence uint32
+		if id != 0 {
+			sequence = c.prober.begin(id, c.now, nil)
+		} else {
+			sequence = c.prober.nextSequence()
+		}
+		d := c.newDatagram()
+		d.ping(sequence)
+		d.name(c.cfg.Name)
+		c.send(slot, d)
+		return
+	}
+}
+
+// probeNow probes a member out of turn.
+func (c *Core) probeNow(m *member) {
+	if m.Slot >= 0 {
+		c.sendProbe(m, nil)
+	}
+}
+
+func (c *Core) sendProbe(m *member, behalf *relay) {
+	sequence := c.prober.begin(m.ID, c.now, behalf)
+	d := c.newDatagram()
+	d.ping(sequence)
+	c.send(m.Slot, d)
+}
+
+// expireProbes acts on the outstanding probes that took too long.
+func (c *Core) expireProbes() {
+	for _, sequence := range c.prober.sequences() {
+		p := c.prober.outstanding[sequence]
+		age := c.now - p.sentAt
+		timeout := c.prober.health.extend(c.cfg.ProbeTimeout)
+		switch {
+		case p.relay != nil:
+			if age > relayTimeout {
+				delete(c.prober.outstanding, sequence)
+			}
+		case !p.indirect && age > timeout:
+			c.probeUnanswered(p, sequence)
+		case p.indirect && age > 2*timeout:
+			delete(c.prober.outstanding, sequence)
+			c.indirectProbesFailed(p)
+		}
+	}
+}
+
+// probeUnanswered has others probe a member that did not answer this process.
+func (c *Core) probeUnanswered(p *probe, sequence uint32) {
+	p.indirect = true
+	if m := c.members.get(p.target); m != nil && m.unansweredSince == 0 {
+		c.members.setUnanswered(m, p.sentAt)
+	}
+	c.requestIndirectProbes(relayed{sequence: sequence, target: p.target})
+}
+
+// requestIndirectProbes asks some members that are heard, drawn at random, to probe one that did not answer.
+func (c *Core) requestIndirectProbes(r relayed) {
+	var able []int
+	for slot, id := range c.addresses.memberAt {
+		if m := c.members.get(id); id != 0 && id != r.target && m.State == Alive && m.unansweredSince == 0 {
+			able = append(able, slot)
+		}
+	}
+	for range min(indirectProbes, len(able)) {
+		i := c.rng.IntN(len(able))
+		d := c.newDatagram()
+		d.pingRequest(r)
+		c.send(able[i], d)
+		able = append(able[:i], able[i+1:]...)
+	}
+}
+
+// indirectProbesFailed suspects a member that answered nobody, unless somebody has heard it meanwhile.
+func (c *Core) indirectProbesFailed(p *probe) {
+	m := c.members.get(p.target)
+	if m == nil {
+		return
+	}
+	unheard := c.now - m.HeardByAny
+	if unheard > c.cfg.ProbeTimeout && m.suspectedAt == 0 && m.State == Alive && c.isolation.mayAccuse(c.now) {
+		c.markSuspect(m, "did not answer, directly or through others")
+		c.spread(m.ID)
+	}
+	if c.now-c.isolation.lastHeard > 2*c.cfg.ProbeInterval {
+		c.prober.health.degrade() // nothing arrives at all: the fault may be here
+	}
+}
+
+// reviewTroubled draws the conclusions that time brings about suspect and unreachable members.
+func (c *Core) reviewTroubled() {
+	if !c.Quorum() {
+		c.isolation.lastMinority = c.now
+	}
+	for _, id := range c.members.ids {
+		if c.members.troubled == 0 || !c.isolation.mayAccuse(c.now) {
+			return
+		}
+		switch m := c.members.get(id); m.State {
+		case Suspect:
+			c.reviewSuspect(m)
+		case Unreachable:
+			c.reviewUnreachable(m)
+		}
+	}
+}
+
+func (c *Core) reviewSuspect(m *member) {
+	unheard := c.now - m.HeardByAny
+	switch {
+	case unheard < c.cfg.ProbeInterval:
+		c.markAlive(m, "heard again")
+	case unheard <= c.prober.health.extend(c.cfg.UnreachableAfter) || c.now-m.suspectedAt <= minSuspicion(len(c.members.ids)):
+		// It still has time to refute the suspicion.
+	case c.isolation.hearsNothing(c.now):
+		// Not spread: others need not believe the one that may be cut off itself.
+		c.markUnreachable(m, "nothing at all is heard: this process may be cut off")
+	default:
+		c.markUnreachable(m, "nobody has heard it")
+		c.spread(m.ID)
+	}
+}
+
+// reviewUnreachable gives a member up once a majority has been without it for long: a minority must not, as it may be the side cut off.
+func (c *Core) reviewUnreachable(m *member) {
+	if c.now-max(m.stateSince, c.isolation.lastMinority) > c.cfg.GoneAfter {
+		c.markGone(m, "unreachable for long, to a majority of the base")
+		c.spread(m.ID)
+	}
+}
+
+// markAlive ends a suspicion.
+func (c *Core) markAlive(m *member, reason string) {
+	m.suspectedAt = 0
+	c.setState(m, Alive, reason)
+}
+
+// markSuspect begins a suspicion, which the member may refute for minSuspicion.
+func (c *Core) markSuspect(m *member, reason string) {
+	m.suspectedAt = c.now
+	c.setState(m, Suspect, reason)
+}
+
+func (c *Core) markUnreachable(m *member, reason string) { c.setState(m, Unreachable, reason) }
+
+func (c *Core) markGone(m *member, reason string) { c.setState(m, Gone, reason) }
+
+func (c *Core) markLeft(m *member) { c.setState(m, Left, "said so") }
+
+// refute answers an accusation of this process with an incarnation newer than the accused one.
+func (c *Core) refute(accused Incarnation) {
+	c.incarnation = accused + 1
+	c.counts.Refutations++
+	c.spread(c.selfID)
+}
+
+// setState changes a member's state and reports it.
+func (c *Core) setState(m *member, to State, reason string) {
+	from := m.State
+	if from == to {
+		return
+	}
+	c.members.setState(m, to, c.now)
+	c.effects.Changed(Change{m.Name, m.ID, from, to, m.Incarnation, c.members.version, reason})
+}
+
+// raiseIncarnation takes in a member's newer incarnation.
+func (c *Core) raiseIncarnation(m *member, to Incarnation) {
+	if to == m.Incarnation || to < m.Incarnation && !c.cfg.IgnoreIncarnation {
+		return
+	}
+	if restarted := c.members.setIncarnation(m, to); restarted {
+		c.effects.Changed(Change{m.Name, m.ID, m.State, m.State, to, c.members.version, "a new life"})
+	}
+}
--- /dev/null
+++ b/internal/fleet/membership/encode.go
@@ -0,0 +1,211 @@
+package membership
+
+import (
+	"encoding/binary"
+	"errors"
+	"net/netip"
+)
+
+// MaxDatagram is the longest datagram, in bytes.
+const MaxDatagram = 256
+
+// formatVersion begins each datagram; one of another version is counted and ignored. It differs from the first byte of the decision
+// module's messages, with which datagrams may share a socket.
+const formatVersion = 0x11
+
+// IsMembershipDatagram says whether a datagram can be one of this package's, of any version.
+func IsMembershipDatagram(b []byte) bool { return len(b) > 0 && b[0]&0xf0 == formatVersion&0xf0 }
+
+// partKind says what a part of a datagram is; any number of parts follow the header.
+type partKind byte
+
+const (
+	partPing        partKind = 1  // sequence: a probe
+	partAck         partKind = 2  // sequence: the answer to a probe
+	partPingRequest partKind = 3  // sequence, target: probe the target on the sender's behalf
+	partIndirectAck partKind = 4  // sequence, target: the target has answered
+	partNews        partKind = 5  // news of one member
+	partUnheard     partKind = 6  // the members that the sender does not hear
+	partViewRequest partKind = 7  // send the whole view
+	partName        partKind = 8  // the sender's name, of which its id is the hash
+	partRejected    partKind = 9  // why the receiver is not admitted
+	partAddress     partKind = 10 // a member's address, where addresses are learnt
+	partCarried     partKind = 11 // another package's data for its counterpart at the receiver
+)
+
+// Lengths in bytes, a part's kind included; those with "header" precede data of variable length.
+const (
+	headerLength        = 1 + 4 + 4 + 8 + 4
+	sequenceLength      = 1 + 4
+	relayedLength       = 1 + 4 + 4
+	newsLength          = 1 + 4 + 1 + 8 + 2
+	unheardHeaderLength = 2
+	nameHeaderLength    = 2
+	viewRequestLength   = 1
+	rejectedLength      = 2
+	addressLength       = 1 + 4 + 4 + 2
+	carriedHeaderLength = 3
+)
+
+// maxUnheardListed bounds how many members a datagram lists as unheard.
+const maxUnheardListed = 8
+
+// PayloadRoom is how many bytes of another package's a datagram can carry, with an overhead in bytes that the caller adds.
+func PayloadRoom(overhead int) int {
+	return MaxDatagram - overhead - headerLength - carriedHeaderLength
+}
+
+// Errors of Receive and of Seal.Open.
+var (
+	ErrMalformed = errors.New("malformed datagram")
+	ErrVersion   = errors.New("datagram of another version")
+	ErrFleet     = errors.New("datagram of another fleet")
+)
+
+// rejection is why a process is not admitted.
+type rejection byte
+
+const (
+	rejectedFleet rejection = 1
+	rejectedName  rejection = 2
+)
+
+// String is the reason as operators read it at the process that is rejected.
+func (r rejection) String() string {
+	switch r {
+	case rejectedFleet:
+		return "it is of another fleet"
+	case rejectedName:
+		return "its name is in use by a live member"
+	}
+	return "for a reason that is not known here"
+}
+
+// MemberNews is what one member says of another, or of itself.
+type MemberNews struct {
+	ID          uint32
+	State       State
+	Incarnation Incarnation
+	// Age is how long ago anybody last heard the member, in milliseconds, when the datagram is sent; at most 65,535.
+	Age uint16
+}
+
+// header begins each datagram, behind the version.
+type header struct {
+	fleet, sender uint32
+	incarnation   Incarnation // the sender's
+	digest        uint32      // of the sender's view
+}
+
+// datagram is one that is being written. The zero value has no header: see begin.
+type datagram struct {
+	buffer [MaxDatagram]byte
+	length int
+	limit  int // on length: what the caller adds comes behind
+}
+
+func (d *datagram) begin(h header, limit int) {
+	d.limit = limit
+	d.buffer[0] = formatVersion
+	binary.BigEndian.PutUint32(d.buffer[1:], h.fleet)
+	binary.BigEndian.PutUint32(d.buffer[5:], h.sender)
+	binary.BigEndian.PutUint64(d.buffer[9:], uint64(h.incarnation))
+	binary.BigEndian.PutUint32(d.buffer[17:], h.digest)
+	d.length = headerLength
+}
+
+// bytes is what is written so far.
+func (d *datagram) bytes() []byte { return d.buffer[:d.length] }
+
+func (d *datagram) fits(n int) bool { return d.length+n <= d.limit }
+
+// part appends a part's kind and returns the n bytes that the part has in all.
+func (d *datagram) part(kind partKind, n int) []byte {
+	p := d.buffer[d.length : d.length+n]
+	p[0] = byte(kind)
+	d.length += n
+	return p
+}
+
+func (d *datagram) ping(sequence uint32) {
+	binary.BigEndian.PutUint32(d.part(partPing, sequenceLength)[1:], sequence)
+}
+
+func (d *datagram) ack(sequence uint32) {
+	binary.BigEndian.PutUint32(d.part(partAck, sequenceLength)[1:], sequence)
+}
+
+func (d *datagram) pingRequest(r relayed) { d.relayed(partPingRequest, r) }
+
+func (d *datagram) indirectAck(r relayed) { d.relayed(partIndirectAck, r) }
+
+func (d *datagram) relayed(kind partKind, r relayed) {
+	p := d.part(kind, relayedLength)
+	binary.BigEndian.PutUint32(p[1:], r.sequence)
+	binary.BigEndian.PutUint32(p[5:], r.target)
+}
+
+func (d *datagram) news(n MemberNews) bool {
+	if !d.fits(newsLength) {
+		return false
+	}
+	p := d.part(partNews, newsLength)
+	binary.BigEndian.PutUint32(p[1:], n.ID)
+	p[5] = byte(n.State)
+	binary.BigEndian.PutUint64(p[6:], uint64(n.Incarnation))
+	binary.BigEndian.PutUint16(p[14:], n.Age)
+	return true
+}
+
+// unheard writes the members that the sender does not hear, as many as fit and 255 at most.
+func (d *datagram) unheard(ids []uint32) {
+	if !d.fits(unheardHeaderLength) {
+		return
+	}
+	n := min(len(ids), 255, (d.limit-d.length-unheardHeaderLength)/4)
+	p := d.part(partUnheard, unheardHeaderLength+4*n)
+	p[1] = byte(n)
+	for i, id := range ids[:n] {
+		binary.BigEndian.PutUint32(p[unheardHeaderLength+4*i:], id)
+	}
+}
+
+func (d *datagram) name(s string) {
+	if d.fits(nameHeaderLength + len(s)) {
+		p := d.part(partName, nameHeaderLength+len(s))
+		p[1] = byte(len(s))
+		copy(p[nameHeaderLength:], s)
+	}
+}
+
+// address writes a member's address; one that is not IPv4 has no form here and is left out.
+func (d *datagram) address(id uint32, a netip.AddrPort) {
+	if !a.Addr().Is4() || !d.fits(addressLength) {
+		return
+	}
+	p := d.part(partAddress, addressLength)
+	binary.BigEndian.PutUint32(p[1:], id)
+	ip := a.Addr().As4()
+	copy(p[5:], ip[:])
+	binary.BigEndian.PutUint16(p[9:], a.Port())
+}
+
+func (d *datagram) rejected(why rejection) {
+	d.part(partRejected, rejectedLength)[1] = byte(why)
+}
+
+func (d *datagram) carried(channel byte, data []byte) bool {
+	if !d.fits(carriedHeaderLength+len(data)) || len(data) > 255 {
+		return false
+	}
+	p := d.part(partCarried, carriedHeaderLength+len(data))
+	p[1], p[2] = channel, byte(len(data))
+	copy(p[carriedHeaderLength:], data)
+	return true
+}
+
+func (d *datagram) viewRequest() {
+	if d.fits(viewRequestLength) {
+		d.part(partViewRequest, viewRequestLength)
+	}
+}
--- /dev/null
+++ b/internal/fleet/membership/gossip.go
@@ -0,0 +1,94 @@
+package membership
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// gossipItem is a member of which news is still being spread.
+type gossipItem struct {
+	member    uint32
+	sendsLeft int
+}
+
+// gossipQueue is the news that goes out on the next datagrams, the least spread first.
+type gossipQueue struct{ items []gossipItem }
+
+// spread has news of a member sent as often as it takes to reach a fleet of a size: logarithmic, as epidemics are.
+func (q *gossipQueue) spread(id uint32, members int) {
+	sends := 3 * int(math.Ceil(math.Log2(float64(members+2))))
+	for i := range q.items {
+		if q.items[i].member == id {
+			q.items[i].sendsLeft = sends
+			return
+		}
+	}
+	q.items = append(q.items, gossipItem{id, sends})
+}
+
+// drain offers each item to write, which reports whether it found room, and drops what has been sent often enough.
+func (q *gossipQueue) drain(write func(id uint32) bool) {
+	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
+	remaining := q.items[:0]
+	for _, item := range q.items {
+		if write(item.member) {
+			item.sendsLeft--
+		}
+		if item.sendsLeft > 0 {
+			remaining = append(remaining, item)
+		}
+	}
+	q.items = remaining
+}
+
+// spread has the next datagrams carry what is known of a member.
+func (c *Core) spread(id uint32) { c.gossip.spread(id, len(c.members.ids)) }
+
+// newsOf is what this process knows of a member now.
+func (c *Core) newsOf(id uint32) MemberNews {
+	if id == c.selfID {
+		s := Alive
+		if c.hasLeft {
+			s = Left
+		}
+		return MemberNews{ID: id, State: s, Incarnation: c.incarnation}
+	}
+	m := c.members.get(id)
+	age := min((c.now-m.HeardByAny)/ms, math.MaxUint16)
+	return MemberNews{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
+}
+
+// writeNews writes what is known of a member, with its address where addresses are learnt, and reports whether there was room.
+func (c *Core) writeNews(d *datagram, id uint32) bool {
+	if !d.news(c.newsOf(id)) {
+		return false
+	}
+	m := c.members.get(id)
+	if m != nil && m.Slot >= 0 && m.Slot < len(c.addresses.addresses) && !m.State.ended() {
+		d.address(id, c.addresses.addresses[m.Slot])
+	}
+	return true
+}
+
+// newDatagram begins a datagram with this process's header.
+func (c *Core) newDatagram() *datagram {
+	d := &datagram{}
+	d.begin(header{fleet: c.fleet, sender: c.selfID, incarnation: c.incarnation, digest: c.Digest()}, MaxDatagram-c.cfg.Overhead)
+	return d
+}
+
+// send fills a datagram with the members that this process does not hear and with gossip, and sends it.
+func (c *Core) send(slot int, d *datagram) {
+	if d.fits(unheardHeaderLength + 4*maxUnheardListed) {
+		d.unheard(c.members.unheard())
+	}
+	c.gossip.drain(func(id uint32) bool { return c.writeNews(d, id) })
+	c.transmit(slot, d)
+}
+
+func (c *Core) transmit(slot int, d *datagram) {
+	c.counts.Sent++
+	c.counts.Bytes += d.length + c.cfg.Overhead
+	c.effects.Send(slot, d.bytes())
+}
--- /dev/null
+++ b/internal/fleet/membership/handle.go
@@ -0,0 +1,113 @@
+package membership
+
+// handlePart acts on one part of a member's datagram.
+func (c *Core) handlePart(from *member, slot int, p part) {
+	switch p.kind() {
+	case partPing:
+		c.handlePing(from, slot, decodeSequence(p))
+	case partAck:
+		c.handleAck(from, decodeSequence(p))
+	case partPingRequest:
+		c.handlePingRequest(slot, decodeRelayed(p))
+	case partIndirectAck:
+		c.handleIndirectAck(decodeRelayed(p))
+	case partNews:
+		c.handleNews(decodeNews(p))
+	case partUnheard:
+		from.Unheard = decodeUnheard(p, from.Unheard[:0])
+		from.UnheardAt = c.now
+	case partAddress:
+		c.handleAddress(decodeAddress(p))
+	case partCarried:
+		if carrier, ok := c.effects.(Carrier); ok {
+			data := decodeCarried(p)
+			carrier.CarriedData(from.ID, data.channel, data.data)
+		}
+	case partName:
+		c.handleName(from, decodeName(p))
+	case partViewRequest:
+		c.sendView(slot)
+	}
+}
+
+func (c *Core) handlePing(from *member, slot int, sequence uint32) {
+	d := c.newDatagram()
+	d.ack(sequence)
+	if from.Name == "" {
+		d.name(c.cfg.Name) // it is new here, and so is this process there
+	}
+	c.send(slot, d)
+}
+
+func (c *Core) handleAck(from *member, sequence uint32) {
+	p := c.prober.acked(sequence, from.ID)
+	if p == nil || p.relay == nil {
+		return
+	}
+	d := c.newDatagram()
+	d.indirectAck(relayed{sequence: p.relay.sequence, target: p.target})
+	c.send(p.relay.slot, d)
+}
+
+func (c *Core) handlePingRequest(slot int, r relayed) {
+	if m := c.members.get(r.target); m != nil && m.Slot >= 0 {
+		c.sendProbe(m, &relay{slot: slot, sequence: r.sequence})
+	}
+}
+
+func (c *Core) handleIndirectAck(r relayed) {
+	if !c.prober.indirectlyAcked(r.sequence, r.target) {
+		return
+	}
+	if m := c.members.get(r.target); m != nil {
+		c.handleHeardByOther(m, c.now)
+	}
+}
+
+// handleAddress learns where a member is that is known by gossip alone, and probes it.
+func (c *Core) handleAddress(a memberAddress) {
+	m := c.members.get(a.member)
+	if m == nil || m.Slot >= 0 || !c.addresses.learns() || m.State.ended() {
+		return
+	}
+	if slot := c.learnSlot(a.address); slot >= 0 {
+		c.addresses.assign(m, slot)
+		c.probeNow(m)
+	}
+}
+
+func (c *Core) handleName(from *member, name []byte) {
+	if from.Name != "" || len(name) > maxNameLength {
+		return
+	}
+	if s := string(name); ID(s) == from.ID {
+		from.Name = s
+	}
+}
+
+// handleHeard takes in that this process has heard a member.
+func (c *Core) handleHeard(m *member, slot int, incarnation Incarnation) {
+	newer := incarnation > m.Incarnation
+	c.raiseIncarnation(m, incarnation)
+	if m.State.ended() && !newer {
+		// It must learn that it was given up; it refutes that by a newer incarnation.
+		if m.State == Gone {
+			c.spread(m.ID)
+		}
+		return
+	}
+	c.addresses.release(m, slot)
+	c.addresses.assign(m, slot)
+	c.members.setUnanswered(m, 0)
+	m.HeardHere, m.HeardByAny = c.now, c.now
+	c.markAlive(m, "heard")
+}
+
+// handleHeardByOther takes in that another has heard a member at a time.
+func (c *Core) handleHeardByOther(m *member, at Time) {
+	m.HeardByAny = max(m.HeardByAny, at)
+	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
+	if fresh && (m.State == Suspect || m.State == Unreachable || m.State == Joining) {
+		c.markAlive(m, "another has heard it")
+	}
+}
--- /dev/null
+++ b/internal/fleet/membership/parts_test.go
@@ -0,0 +1,173 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"testing"
+)
+
+func TestMemberTableCountsAndDigest(t *testing.T) {
+	table := newMemberTable()
+	a, b := table.add(20, 0), table.add(10, 0)
+	if !slices.Equal(table.ids, []uint32{10, 20}) {
+		t.Errorf("ids are %v, want them sorted", table.ids)
+	}
+	table.setIncarnation(a, NewIncarnation(1))
+	table.setState(a, Alive, 1)
+	alive := table.digest
+	for _, c := range []struct {
+		to              State
+		alive, troubled int
+		sameDigest      bool
+	}{{Suspect, 1, 1, true}, {Unreachable, 0, 1, false}, {Gone, 0, 0, false}, {Alive, 1, 0, true}} {
+		table.setState(a, c.to, 2)
+		if table.alive != c.alive || table.troubled != c.troubled || (table.digest == alive) != c.sameDigest {
+			t.Errorf("%s: %d alive, %d troubled, digest as when alive: %t", c.to, table.alive, table.troubled, table.digest == alive)
+		}
+	}
+	if table.setIncarnation(a, NewIncarnation(1)+1) || !table.setIncarnation(a, NewIncarnation(2)) {
+		t.Error("a counter is taken for a restart, or a restart is not noticed")
+	}
+	table.setUnanswered(b, 5)
+	table.setUnanswered(a, 6)
+	table.setUnanswered(a, 7)
+	if table.unanswered != 2 || !slices.Equal(table.unheard(), []uint32{20}) {
+		t.Errorf("%d unanswered, unheard %v: one that is joining does not count", table.unanswered, table.unheard())
+	}
+}
+
+func TestProberRounds(t *testing.T) {
+	p := newProber(rand.New(rand.NewPCG(1, 2)), 4, 1)
+	p.addSlot(4)
+	for range 3 {
+		var round []int
+		for range p.slots {
+			round = append(round, p.nextSlot())
+		}
+		slices.Sort(round)
+		if !slices.Equal(round, []int{0, 2, 3, 4}) {
+			t.Errorf("a round probes slots %v", round)
+		}
+	}
+	p.removeSlot(4)
+	if slices.Contains(p.slots, 4) {
+		t.Error("a removed slot is still probed")
+	}
+}
+
+func TestProberAcks(t *testing.T) {
+	p := newProber(rand.New(rand.NewPCG(1, 2)), 2, 0)
+	own, relayedProbe := p.begin(7, 1, nil), p.begin(7, 1, &relay{slot: 1, sequence: 9})
+	if p.acked(own, 8) != nil || p.indirectlyAcked(relayedProbe, 7) {
+		t.Error("an ack of another member's, or one in another's place, ends a probe")
+	}
+	if !p.indirectlyAcked(own, 7) || p.acked(relayedProbe, 7) == nil || len(p.sequences()) > 0 {
+		t.Error("an acked probe is still outstanding")
+	}
+}
+
+func TestLocalHealthBounds(t *testing.T) {
+	var h localHealth
+	h.improve()
+	if h.extend(100) != 100 {
+		t.Errorf("well, and 100 becomes %d", h.extend(100))
+	}
+	for range 2 * maxHealth {
+		h.degrade()
+	}
+	if h.extend(100) != 100+100*maxHealth/2 {
+		t.Errorf("at its worst 100 becomes %d", h.extend(100))
+	}
+}
+
+func TestGossipIsSentOftenEnough(t *testing.T) {
+	var q gossipQueue
+	q.spread(1, 6) // 3*log2(8) = 9 sends
+	q.spread(1, 6)
+	sent := map[uint32]int{}
+	for i := range 20 {
+		if i == 4 {
+			q.spread(2, 6)
+		}
+		first := true
+		q.drain(func(id uint32) bool { // room for one
+			if !first {
+				return false
+			}
+			first = false
+			sent[id]++
+			return true
+		})
+	}
+	if sent[1] != 9 || sent[2] != 9 || len(q.items) != 0 {
+		t.Errorf("sent %v, want 9 each", sent)
+	}
+}
+
+func TestAntiEntropyRequests(t *testing.T) {
+	var a antiEntropy
+	var due []string
+	for now := sec; now <= 6*sec; now += sec / 2 {
+		a.compared(now < 2*sec || now > 4*sec, now)
+		if a.requestDue(now) {
+			due = append(due, fmt.Sprint(now/ms))
+		}
+	}
+	if !slices.Equal(due, []string{"3500"}) {
+		t.Errorf("requests at %v ms, want one, over 1 s after views began to differ", due)
+	}
+}
+
+func TestAddressBookReusesSlots(t *testing.T) {
+	addr := func(port uint16) netip.AddrPort {
+		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)
+	}
+	b, table := newAddressBook(Config{Slots: 1, Seeds: []netip.AddrPort{addr(1)}}), newMemberTable()
+	seed, other := table.add(10, 0), table.add(20, 0)
+	b.assign(seed, 0)
+	slot, added := b.slotFor(addr(2), &table)
+	b.assign(other, slot)
+	table.setState(seed, Left, 1)
+	table.setState(other, Left, 1)
+	if reused, again := b.slotFor(addr(3), &table); !added || again || reused != slot || other.Slot != -1 {
+		t.Errorf("slot %d, want %d again, and not the seed's", reused, slot)
+	}
+	for port := uint16(4); len(b.addresses) < maxSlots; port++ {
+		b.slotFor(addr(port), &table)
+	}
+	if slot, _ := b.slotFor(addr(65000), &table); slot != -1 {
+		t.Errorf("slot %d beyond the bound", slot)
+	}
+}
+
+func TestIsolationNoticesPauses(t *testing.T) {
+	const threshold = 800 * ms
+	for _, c := range []struct {
+		name      string
+		now, wall Time // since the last tick
+		paused    bool
+	}{
+		{"on time", 50 * ms, 50 * ms, false},
+		{"clock set back", 50 * ms, -sec, false},
+		{"stopped", sec, sec, true},
+		{"suspended with a monotonic clock that stands still", 50 * ms, sec, true},
+	} {
+		var i isolation
+		i.start(sec, 5*sec)
+		if gap, paused := i.tick(sec+c.now, 5*sec+c.wall, threshold); paused != c.paused || gap != c.now {
+			t.Errorf("%s: paused %t for %d", c.name, paused, gap)
+		}
+	}
+	var i isolation
+	if _, paused := i.receive(sec, threshold); paused {
+		t.Error("paused before the first tick")
+	}
+	i.start(sec, 5*sec)
+	gap, paused := i.receive(3*sec, threshold)
+	i.skipPause(3*sec, gap)
+	if _, again := i.tick(3*sec, 7*sec, threshold); !paused || again {
+		t.Errorf("paused %t, and again at the next tick: %t", paused, again)
+	}
+}
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -3,151 +3,162 @@
 import (
 	"fmt"
 	"net/netip"
-	"slices"
-	"sort"
 )
 
-// ReceiveFrom is Receive where members come and go: an address is kept once what came from it can be read and is this fleet's.
+// rejectionInterval is the least time between two rejections that are sent, so that nobody can have this process send without end.
+const rejectionInterval = sec
+
+// NameInUseError is of a datagram whose sender uses the name of another live process: the receiver's own, or another member's.
+type NameInUseError struct {
+	Name   string // the receiver's own; "": another member's
+	Sender uint32
+}
+
+// Error says whose name it is.
+func (e *NameInUseError) Error() string {
+	if e.Name != "" {
+		return fmt.Sprintf("membership: another process has the name %s", e.Name)
+	}
+	return fmt.Sprintf("membership: the name of %08x is in use by a live member", e.Sender)
+}
+
+// RejectedError says that a member does not admit this process.
+type RejectedError struct {
+	Member uint32 // who rejected this process
+	Reason string // in words, for operators
+}
+
+// Error says who rejected this process, and why.
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason)
+}
+
+// ReceiveFrom is Receive where addresses are learnt: an address is kept once a well-formed datagram of this fleet came from it.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
-	if _, err := read(data, c.fleet); err != nil {
+	if _, _, err := decodeHeader(data, c.fleet); err != nil {
 		return c.Receive(now, -1, data)
 	}
-	return c.Receive(now, c.place(from), data)
+	return c.Receive(now, c.learnSlot(from), data)
+}
+
+// learnSlot is the slot of an address, which is probed from now on if it is new; below 0 where all slots are taken.
+func (c *Core) learnSlot(a netip.AddrPort) int {
+	slot, added := c.addresses.slotFor(a, &c.members)
+	if added {
+		c.prober.addSlot(slot)
+	}
+	return slot
 }
 
-// Receive takes a datagram that came from an address. What is wrong with it is counted, and told.
+// Receive handles a datagram that came from an address, by its slot. Errors are ErrMalformed, ErrVersion, ErrFleet, a *NameInUseError or
+// a *RejectedError; all but the last are counted.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
-	if gap := now - c.lastTick; c.started && gap > 4*c.cfg.ProbeInterval && !c.cfg.IgnorePause {
-		// This process slept, and what waited for it comes before its turn does.
-		c.lastTick, c.lastWall = now, c.lastWall+gap
-		c.woke(gap)
+	if gap, paused := c.isolation.receive(now, c.pauseThreshold()); paused && !c.cfg.IgnorePause {
+		c.isolation.skipPause(now, gap)
+		c.resumeAfterPause(gap)
 	}
-	r, err := read(data, c.fleet)
-	switch err {
-	case nil:
-	case ErrVersion:
-		c.counts.OtherVersion++
-		return err
-	case ErrFleet:
-		c.counts.OtherFleet++
-		c.refuse(slot, r.fleet, refusedFleet)
-		return err
-	default:
-		c.counts.Malformed++
+	h, all, err := decodeHeader(data, c.fleet)
+	if err != nil {
+		c.rejectUndecoded(slot, h, err)
 		return err
 	}
-	if slot < 0 || slot >= len(c.slots) {
+	if !c.addresses.valid(slot) {
 		c.counts.Malformed++
 		return ErrMalformed
 	}
-	if r.from == c.id && len(c.where) > 0 && r.life.Start() == c.life.Start() {
-		// The own address is among the seeds.
-		c.turn = slices.DeleteFunc(c.turn, func(i int) bool { return i == slot })
-		return nil
+	if h.sender == c.selfID {
+		return c.handleOwnName(slot, h)
 	}
-	if r.from == c.id {
+	m := c.members.get(h.sender)
+	if m != nil && c.nameInUse(m, slot, h.incarnation, now) {
 		c.counts.Clashes++
-		return fmt.Errorf("membership: another process has the name %s", c.cfg.Name)
+		c.reject(slot, c.fleet, rejectedName)
+		return &NameInUseError{Sender: h.sender}
 	}
-	m := c.members[r.from]
-	if m != nil && m.Slot >= 0 && m.Slot != slot && r.life.Start() != m.Incarnation.Start() && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive {
-		c.counts.Clashes++
-		c.refuse(slot, c.fleet, refusedName)
-		return fmt.Errorf("membership: the name of %08x is in use by a live member", r.from)
-	}
-	if m != nil && r.life < m.Incarnation && !c.cfg.IgnoreIncarnation {
-		// An earlier life, or one whose clock was set back: if it is the one that runs, it raises its own once it hears this.
-		c.counts.OldIncarnation++
-		d := c.datagram()
-		d.news(c.about(r.from))
-		c.transmit(slot, d)
+	if m != nil && h.incarnation < m.Incarnation && !c.cfg.IgnoreIncarnation {
+		c.handleOldIncarnation(slot, h.sender)
 		return nil
 	}
-	c.counts.Heard++
-	c.lastHeard = now
-	c.health = max(0, c.health-1)
-	if m == nil {
-		m = c.add(r.from)
-		if len(c.where) > 0 {
-			defer c.spread(r.from) // the others may not know where it is
-		}
-	}
-	c.heard(m, slot, r.life)
-	if r.digest != c.Digest() {
-		if c.differs == 0 {
-			c.differs = now
-		}
-	} else {
-		c.differs = 0
-	}
-	for len(r.rest) > 0 {
-		p, _ := r.next()
-		c.take(m, slot, p)
-	}
-	if why := c.refusedBy; why != "" {
-		c.refusedBy = ""
-		return fmt.Errorf("membership: %08x does not take this process in: %s", r.from, why)
+	return c.handleDatagram(slot, h, all)
+}
+
+// rejectUndecoded counts a datagram that cannot be used.
+func (c *Core) rejectUndecoded(slot int, h header, err error) {
+	switch err {
+	case ErrVersion:
+		c.counts.OtherVersion++
+	case ErrFleet:
+		c.counts.OtherFleet++
+		c.reject(slot, h.fleet, rejectedFleet)
+	default:
+		c.counts.Malformed++
 	}
-	return nil
 }
 
-// refuse tells a process why it is not taken in, once a second at most: whoever it is can't have this one send without end.
-func (c *Core) refuse(slot int, fleet uint32, why byte) {
-	if slot < 0 || slot >= len(c.slots) || c.now-c.refusedAt < sec && c.refusedAt > 0 {
-		return
+// handleOwnName is for a datagram under this process's name: its own, where its address is among the seeds, or another process's.
+func (c *Core) handleOwnName(slot int, h header) error {
+	if c.addresses.learns() && h.incarnation.Start() == c.incarnation.Start() {
+		c.prober.removeSlot(slot)
+		return nil
 	}
-	c.refusedAt = c.now
-	d := c.datagram()
-	d.begin(fleet, c.id, c.life, c.Digest(), MaxDatagram-c.cfg.Overhead)
-	d.refused(why)
-	c.transmit(slot, d)
+	c.counts.Clashes++
+	return &NameInUseError{Name: c.cfg.Name, Sender: h.sender}
 }
 
-func (c *Core) add(id uint32) *member {
-	m := &member{Member: Member{ID: id, Slot: -1}}
-	m.since = c.now
-	c.members[id] = m
-	i := sort.Search(len(c.order), func(i int) bool { return c.order[i] >= id })
-	c.order = append(c.order, 0)
-	copy(c.order[i+1:], c.order[i:])
-	c.order[i] = id
-	c.digest ^= m.mark()
-	return m
+// nameInUse says whether a datagram under a member's name comes from another process while the member is alive elsewhere.
+func (c *Core) nameInUse(m *member, slot int, incarnation Incarnation, now Time) bool {
+	elsewhere := m.Slot >= 0 && m.Slot != slot && incarnation.Start() != m.Incarnation.Start()
+	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
+}
+
+// handleOldIncarnation answers an earlier incarnation, or a process whose clock was set back, with the one known here: if the sender is
+// the process that runs, it raises its own.
+func (c *Core) handleOldIncarnation(slot int, sender uint32) {
+	c.counts.OldIncarnation++
+	d := c.newDatagram()
+	d.news(c.newsOf(sender))
+	c.transmit(slot, d)
 }
 
-// heard takes in that a member was heard here.
-func (c *Core) heard(m *member, slot int, life Incarnation) {
-	newer := life > m.Incarnation
-	c.live(m, life)
-	if (m.State == Left || m.State == Gone) && !newer {
-		// It is to know what it is held to be; its answer is a newer life.
-		if m.State == Gone {
-			c.spread(m.ID)
+// handleDatagram acts on a datagram whose sender counts as heard.
+func (c *Core) handleDatagram(slot int, h header, all parts) error {
+	c.counts.Heard++
+	c.isolation.lastHeard = c.now
+	c.prober.health.improve()
+	m := c.members.get(h.sender)
+	isNew := m == nil
+	if isNew {
+		m = c.members.add(h.sender, c.now)
+	}
+	c.handleHeard(m, slot, h.incarnation)
+	c.antiEntropy.compared(h.digest == c.Digest(), c.now)
+	reason := ""
+	for len(all) > 0 {
+		p, _ := all.next()
+		if p.kind() == partRejected {
+			reason = decodeRejection(p).String()
+		} else {
+			c.handlePart(m, slot, p)
 		}
-		return
 	}
-	if m.Slot >= 0 && m.Slot != slot && c.slots[m.Slot] == m.ID {
-		c.slots[m.Slot] = 0
+	if isNew && c.addresses.learns() {
+		c.spread(h.sender) // the others may not know its address
+	}
+	if reason != "" {
+		return &RejectedError{Member: h.sender, Reason: reason}
 	}
-	m.Slot = slot
-	c.slots[slot] = m.ID
-	c.miss(m, 0)
-	m.HeardHere, m.HeardByAny, m.suspected = c.now, c.now, 0
-	c.set(m, Alive, "heard")
+	return nil
 }
 
-// live takes in a member's newer life.
-func (c *Core) live(m *member, life Incarnation) {
-	if life <= m.Incarnation && !(c.cfg.IgnoreIncarnation && life != m.Incarnation) {
+// reject tells a process why it is not admitted, in the name of a fleet.
+func (c *Core) reject(slot int, fleet uint32, why rejection) {
+	if !c.addresses.valid(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
 		return
 	}
-	c.digest ^= m.mark()
-	again := m.Incarnation != 0 && life.Start() != m.Incarnation.Start()
-	m.Incarnation = life
-	c.digest ^= m.mark()
-	if again {
-		c.version++
-		c.fx.Changed(Change{m.Name, m.ID, m.State, m.State, life, c.version, "a new life"})
-	}
+	c.lastRejection = c.now
+	d := &datagram{}
+	d.begin(header{fleet, c.selfID, c.incarnation, c.Digest()}, MaxDatagram-c.cfg.Overhead)
+	d.rejected(why)
+	c.transmit(slot, d)
 }
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -8,29 +8,36 @@
 	"hash"
 )
 
-// SealLength is how many bytes a seal adds to a datagram: a number that counts up and a keyed hash, cut to 128 bits.
-const SealLength = 4 + 16
+const (
+	sequenceBytes = 4
+	hashBytes     = 16 // HMAC-SHA-256, cut to 128 bits
+	minKeyBytes   = 16
+	replayWindow  = 64 // sequence numbers below the highest that are told apart
+)
+
+// SealLength is how many bytes a seal adds to a datagram: a sequence number and a keyed hash.
+const SealLength = sequenceBytes + hashBytes
 
-// ErrSeal is told of a datagram under no key that is valid here; ErrReplay of one that was taken before.
+// Errors of Seal.Open besides ErrMalformed.
 var (
 	ErrSeal   = errors.New("datagram under an unknown key")
 	ErrReplay = errors.New("datagram that was taken before")
 )
 
-// Seal puts a keyed hash over datagrams, and a number against replays. Of its keys the first seals, and any opens: with the new one
-// second everywhere, then first everywhere, then alone, keys are changed while the fleet serves.
+// Seal authenticates datagrams by a keyed hash and rejects replays by a sequence number. The first key seals, and any opens: keys are
+// changed while the fleet serves by putting the new one second everywhere, then first everywhere, then alone.
 type Seal struct {
-	macs []hash.Hash
-	seq  uint32
-	seen map[uint32]*window // by sender
-	buf  [MaxDatagram]byte
+	hashes       []hash.Hash // by key
+	lastSequence uint32
+	windows      map[uint32]*window // by sender
+	buffer       [MaxDatagram]byte
 }
 
-// window remembers which of one life's last 64 numbers came.
+// window remembers which sequence numbers of one process have arrived, as in IPsec.
 type window struct {
-	life uint64
-	top  uint32
-	bits uint64
+	start    uint64 // of the process: its incarnation's
+	highest  uint32
+	received uint64 // bit n: highest-n has arrived
 }
 
 // NewSeal takes one or two keys, of 16 bytes at least.
@@ -38,62 +45,77 @@
 	if len(keys) < 1 || len(keys) > 2 {
 		return nil, errors.New("membership: one key, or two while they are changed")
 	}
-	s := &Seal{seen: map[uint32]*window{}}
-	for _, k := range keys {
-		if len(k) < 16 {
+	s := &Seal{windows: map[uint32]*window{}}
+	for _, key := range keys {
+		if len(key) < minKeyBytes {
 			return nil, errors.New("membership: a key of under 16 bytes")
 		}
-		s.macs = append(s.macs, hmac.New(sha256.New, k))
+		s.hashes = append(s.hashes, hmac.New(sha256.New, key))
 	}
 	return s, nil
 }
 
-func sum(m hash.Hash, p []byte) []byte {
-	m.Reset()
-	m.Write(p)
-	var out [sha256.Size]byte
-	return m.Sum(out[:0])[:16]
+func keyedHash(h hash.Hash, data []byte) []byte {
+	h.Reset()
+	h.Write(data)
+	var sum [sha256.Size]byte
+	return h.Sum(sum[:0])[:hashBytes]
 }
 
-// Seal gives a datagram with its seal; it is valid until the next call.
+// Seal returns a datagram with its seal; it is valid until the next call.
 func (s *Seal) Seal(data []byte) []byte {
-	s.seq++
-	b := append(s.buf[:0], data...)
-	b = binary.BigEndian.AppendUint32(b, s.seq)
-	return append(b, sum(s.macs[0], b)...)
+	s.lastSequence++
+	b := append(s.buffer[:0], data...)
+	b = binary.BigEndian.AppendUint32(b, s.lastSequence)
+	return append(b, keyedHash(s.hashes[0], b)...)
 }
 
-// Open checks a datagram and gives what is in it.
+// Open checks a sealed datagram and returns what is in it; its errors are ErrMalformed, ErrSeal and ErrReplay.
 func (s *Seal) Open(b []byte) ([]byte, error) {
-	if len(b) < headLen+SealLength || len(b) > MaxDatagram {
+	if len(b) < headerLength+SealLength || len(b) > MaxDatagram {
 		return nil, ErrMalformed
 	}
-	body, mac := b[:len(b)-16], b[len(b)-16:]
-	good := false
-	for _, m := range s.macs {
-		good = good || hmac.Equal(sum(m, body), mac)
-	}
-	if !good {
+	signed, sum := b[:len(b)-hashBytes], b[len(b)-hashBytes:]
+	if !s.authentic(signed, sum) {
 		return nil, ErrSeal
 	}
-	data := body[:len(body)-4]
-	from, life, seq := binary.BigEndian.Uint32(data[5:]), Incarnation(binary.BigEndian.Uint64(data[9:])).Start(), binary.BigEndian.Uint32(body[len(body)-4:])
-	w := s.seen[from]
-	if w == nil || life > w.life {
-		w = &window{life: life}
-		s.seen[from] = w
+	data := signed[:len(signed)-sequenceBytes]
+	sender := binary.BigEndian.Uint32(data[5:])
+	start := Incarnation(binary.BigEndian.Uint64(data[9:])).Start()
+	w := s.windows[sender]
+	if w == nil || start > w.start {
+		w = &window{start: start}
+		s.windows[sender] = w
 	}
-	if life < w.life {
-		return data, nil // an earlier life: what is held of the later one answers it
+	if start < w.start {
+		return data, nil // an earlier process: Core answers it with the newer incarnation
 	}
-	switch {
-	case seq > w.top:
-		w.bits = w.bits<<min(64, seq-w.top) | 1
-		w.top = seq
-	case w.top-seq >= 64 || w.bits>>(w.top-seq)&1 == 1:
+	if !w.accept(binary.BigEndian.Uint32(signed[len(data):])) {
 		return nil, ErrReplay
-	default:
-		w.bits |= 1 << (w.top - seq)
 	}
 	return data, nil
 }
+
+// authentic says whether a hash fits under any of the keys.
+func (s *Seal) authentic(signed, sum []byte) bool {
+	valid := false
+	for _, h := range s.hashes {
+		valid = valid || hmac.Equal(keyedHash(h, signed), sum)
+	}
+	return valid
+}
+
+// accept notes a sequence number; false: it arrived before, or is too far behind to be told from one that did.
+func (w *window) accept(sequence uint32) bool {
+	if sequence > w.highest {
+		w.received = w.received<<min(replayWindow, sequence-w.highest) | 1
+		w.highest = sequence
+		return true
+	}
+	behind := w.highest - sequence
+	if behind >= replayWindow || w.received>>behind&1 == 1 {
+		return false
+	}
+	w.received |= 1 << behind
+	return true
+}
--- /dev/null
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -0,0 +1,151 @@
+package simulation
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+const (
+	// heartbeatInterval is how often the alternatives send a heartbeat, and heartbeatBytes its length.
+	heartbeatInterval = 500 * Ms
+	heartbeatBytes    = 40
+	// maxLinks bounds how many links are simulated: all are alike.
+	maxLinks = 2000
+)
+
+// arrivals are the recent intervals between heartbeats on one link, as a phi-accrual failure detector keeps them.
+type arrivals struct {
+	last      float64 // in seconds; 0: none
+	intervals []float64
+}
+
+const (
+	phiWindow       = 100 // intervals
+	phiMinIntervals = 20  // before which nothing is suspected
+	phiMinDeviation = 0.05
+	phi8Deviations  = 5.61 // of a normal distribution, 1e-8 lies beyond
+)
+
+// suspectAfter is the silence in seconds at which phi reaches 8.
+func (a *arrivals) suspectAfter() float64 {
+	mean, deviation := 0.0, 0.0
+	for _, interval := range a.intervals {
+		mean += interval
+	}
+	mean /= float64(len(a.intervals))
+	for _, interval := range a.intervals {
+		deviation += (interval - mean) * (interval - mean)
+	}
+	deviation = math.Max(math.Sqrt(deviation/float64(len(a.intervals))), phiMinDeviation)
+	return mean + phi8Deviations*deviation
+}
+
+// arrive takes in a heartbeat and reports whether the silence before it raised a false alarm.
+func (a *arrivals) arrive(at float64) (alarm bool) {
+	alarm = len(a.intervals) >= phiMinIntervals && at-a.last > a.suspectAfter()
+	if a.last > 0 {
+		a.intervals = append(a.intervals, at-a.last)
+		if len(a.intervals) > phiWindow {
+			a.intervals = a.intervals[1:]
+		}
+	}
+	a.last = at
+	return alarm
+}
+
+// Heartbeats is the alternative of heartbeats from all to all, with a phi-accrual detector at each (Hayashibara): phi 8 over a window of
+// 100 intervals.
+func Heartbeats(n int, loss float64, duration Time, seed uint64) Cost {
+	r := rand.New(rand.NewPCG(seed, 13))
+	links := min(n*(n-1), maxLinks)
+	alarms := 0
+	var delays []Time
+	for range links {
+		var link arrivals
+		now := 0.0
+		for now < float64(duration)/1e9 {
+			now += float64(heartbeatInterval) / 1e9
+			if r.Float64() < loss {
+				continue
+			}
+			if link.arrive(now + 0.002 + 0.002*r.Float64()) {
+				alarms++
+			}
+		}
+		delays = append(delays, Time((link.last+link.suspectAfter()-now-r.Float64()*float64(heartbeatInterval)/1e9)*1e9))
+	}
+	slices.Sort(delays)
+	messages := float64(n-1) * 1e9 / float64(heartbeatInterval)
+	return Cost{
+		Messages:    messages,
+		Bytes:       messages * heartbeatBytes,
+		Known:       delays[(99*len(delays)-1)/100],
+		FalseAlarms: float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration),
+	}
+}
+
+const (
+	observersEach   = 10 // of a member
+	observerProbe   = Sec
+	observerMisses  = 3    // probes in a row
+	maxObserved     = 200  // members that are simulated: all are alike
+	observerDeaths  = 1000 // simulated
+	observerVoteFor = 100 * Ms
+)
+
+// Observers is the alternative of fixed observers for each member and a vote of all on each change of the view (Rapid): ten observers
+// probe each second, and nine of them must have missed three answers in a row.
+func Observers(n int, loss float64, duration Time, seed uint64) Cost {
+	r := rand.New(rand.NewPCG(seed, 17))
+	observers := min(observersEach, n-1)
+	need := max(1, observers-1)
+	lost := 1 - (1-loss)*(1-loss) // there or back
+	members := min(n, maxObserved)
+	alarms := 0
+	for range members {
+		alarms += observerAlarms(r, lost, observers, int(duration/observerProbe))
+	}
+	// The slowest of the observers that are needed, and a vote that goes from all to all once.
+	var delays []Time
+	for range observerDeaths {
+		at := make([]float64, observers)
+		for i := range at {
+			at[i] = r.Float64() + float64(observerMisses)
+		}
+		slices.Sort(at)
+		delays = append(delays, Time(at[need-1]*1e9)+observerVoteFor)
+	}
+	slices.Sort(delays)
+	return Cost{
+		Messages:    2 * float64(observers),
+		Bytes:       2 * float64(observers) * heartbeatBytes,
+		Known:       delays[989],
+		FalseAlarms: float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration),
+	}
+}
+
+// observerAlarms counts the false alarms about one living member.
+func observerAlarms(r *rand.Rand, lost float64, observers, rounds int) (alarms int) {
+	need := max(1, observers-1)
+	missed := make([]int, observers)
+	alarmed := false
+	for range rounds {
+		agreeing := 0
+		for i := range missed {
+			if r.Float64() < lost {
+				missed[i]++
+			} else {
+				missed[i] = 0
+			}
+			if missed[i] >= observerMisses {
+				agreeing++
+			}
+		}
+		if agreeing >= need && !alarmed {
+			alarms++
+		}
+		alarmed = agreeing >= need
+	}
+	return alarms
+}
--- /dev/null
+++ b/internal/fleet/membership/simulation/check.go
@@ -0,0 +1,111 @@
+package simulation
+
+import (
+	"fmt"
+
+	"croftlock/internal/fleet/membership"
+)
+
+// violate notes the first violated invariant.
+func (f *Fleet) violate(format string, a ...any) {
+	if f.Violation == "" {
+		f.Violation = fmt.Sprintf("at %d ms: ", f.now/Ms) + fmt.Sprintf(format, a...)
+	}
+}
+
+// check checks the invariants that show at one process: its version never falls, no member goes back to an earlier process, and nobody
+// is gone whom all others hear.
+func (n *Node) check() {
+	f := n.fleet
+	if f.SkipChecks {
+		return
+	}
+	if v := n.Core.Version(); v < n.version {
+		f.violate("n%d: version %d after %d", n.index, v, n.version)
+	} else {
+		n.version = v
+	}
+	for _, m := range n.Core.View() {
+		if m.Incarnation.Start() < n.newest[m.ID].Start() {
+			f.violate("n%d: %d is taken for an earlier incarnation", n.index, m.ID)
+		}
+		n.newest[m.ID] = max(m.Incarnation, n.newest[m.ID])
+		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m) {
+			f.violate("n%d: n%d is gone, but all others have heard it within the last second", n.index, m.Slot)
+		}
+	}
+}
+
+// checkChange checks that a process accuses nobody right after it was paused for a second or more.
+func (n *Node) checkChange(c membership.Change) {
+	accuses := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
+	if accuses && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
+		n.fleet.violate("n%d accuses %d right after it was paused: %s", n.index, c.ID, c.Reason)
+	}
+}
+
+// heardByAll says whether all processes that act, a member aside, have heard the member's process within a second.
+func (f *Fleet) heardByAll(member membership.Member) bool {
+	others := 0
+	for i, o := range f.Nodes {
+		if i == member.Slot || !o.Running || o.Paused {
+			continue
+		}
+		others++
+		heard := false
+		for _, m := range o.Core.View() {
+			heard = heard || m.ID == member.ID && m.HeardHere > 0 && f.now-m.HeardHere < Sec && m.Incarnation.Start() == member.Incarnation.Start()
+		}
+		if !heard {
+			return false
+		}
+	}
+	return others > 1
+}
+
+// StateOf is the state of process j in the view of process i.
+func (f *Fleet) StateOf(i, j int) membership.State {
+	id := membership.ID(Name(j))
+	for _, m := range f.Nodes[i].Core.View() {
+		if m.ID == id {
+			return m.State
+		}
+	}
+	return membership.Joining
+}
+
+// Disagreement says whose view is wrong, or which views differ; "": every process that runs sees every other as it is.
+func (f *Fleet) Disagreement() string {
+	digest, first := uint32(0), -1
+	for i, n := range f.Nodes {
+		if !n.Running {
+			continue
+		}
+		if wrong := f.wrongView(i); wrong != "" {
+			return wrong
+		}
+		if d := n.Core.Digest(); first < 0 {
+			digest, first = d, i
+		} else if d != digest {
+			return fmt.Sprintf("n%d and n%d have different views", first, i)
+		}
+	}
+	return ""
+}
+
+// wrongView says what is wrong in a process's view; "": nothing.
+func (f *Fleet) wrongView(i int) string {
+	for j, o := range f.Nodes {
+		if i == j {
+			continue
+		}
+		s := f.StateOf(i, j)
+		switch {
+		case o.Running && s != membership.Alive:
+			return fmt.Sprintf("n%d sees n%d, which runs, as %s", i, j, s)
+		case !o.Running && (s == membership.Alive || s == membership.Suspect):
+			return fmt.Sprintf("n%d sees n%d, which does not run, as %s", i, j, s)
+		}
+	}
+	return ""
+}
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -2,166 +2,80 @@
 
 import (
 	"math"
-	"math/rand/v2"
-	"sort"
+	"slices"
 
 	"croftlock/internal/fleet/membership"
 )
 
-// Cost is what a way to detect failures costs, and what it gives.
+// Cost is what a way to detect failures costs, and how well it detects.
 type Cost struct {
 	Messages, Bytes float64 // a second an instance
-	Known           Time    // from a death until 99 in 100 survivors hold the member for unreachable or gone; -1: not within the run
-	FalseAlarms     float64 // an hour, in the whole fleet: a member that is there held for unreachable by somebody
+	Known           Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
+	FalseAlarms     float64 // an hour in the whole fleet: a living member that somebody sees as unreachable
 }
 
-// Measure plays this package's own part: n processes, at a loss, for a time in which nothing happens but one death in the middle.
-func Measure(n int, loss float64, lasts Time, seed uint64) Cost {
+// observation collects what the processes of a run conclude.
+type observation struct {
+	diedAt Time         // 0: the victim lives
+	alarms map[int]bool // members that were given up, the dead victim aside
+	knows  map[int]Time // by process: how long after the death it saw the victim as unreachable
+}
+
+// Measure runs this package's own way: n processes, at a loss, for a time in which nothing happens, and then one death.
+func Measure(n int, loss float64, duration Time, seed uint64) Cost {
 	f := New(n, seed, membership.Config{})
-	f.Loss, f.Unchecked = loss, true
-	victim, begun := int(seed)%n, Time(0)
-	alarms := map[int]bool{}
-	knows := map[int]Time{}
-	f.Changes = func(at int, c membership.Change) {
-		if c.To != membership.Unreachable && c.To != membership.Gone {
+	f.Loss, f.SkipChecks = loss, true
+	victim := int(seed) % n
+	seen := observation{alarms: map[int]bool{}, knows: map[int]Time{}}
+	f.OnChange = func(at int, c membership.Change) {
+		if c.NewState != membership.Unreachable && c.NewState != membership.Gone {
 			return
 		}
-		if id := membership.ID(Name(victim)); c.ID == id && begun > 0 {
-			if _, ok := knows[at]; !ok {
-				knows[at] = f.now - begun
-			}
-		} else {
-			alarms[int(c.ID)] = true
+		if c.ID != membership.ID(Name(victim)) || seen.diedAt == 0 {
+			seen.alarms[int(c.ID)] = true
+		} else if _, known := seen.knows[at]; !known {
+			seen.knows[at] = f.now - seen.diedAt
 		}
 	}
-	// A large fleet takes a while to hear of itself.
-	warm := 10*Sec + Time(n)*Sec/12
-	f.Run(warm)
+	// A large fleet takes a while to learn of itself.
+	warmUp := 10*Sec + Time(n)*Sec/12
+	f.Run(warmUp)
+	sentBefore, bytesBefore := f.traffic()
+	clear(seen.alarms)
+	f.Run(warmUp + duration)
 	sent, bytes := f.traffic()
-	clear(alarms)
-	f.Run(warm + lasts)
-	s2, b2 := f.traffic()
-	c := Cost{Messages: float64(s2-sent) / float64(n) * 1e9 / float64(lasts), Bytes: float64(b2-bytes) / float64(n) * 1e9 / float64(lasts),
-		FalseAlarms: float64(len(alarms)) * 3600e9 / float64(lasts), Known: -1}
-	begun = f.now
+	c := Cost{
+		Messages:    float64(sent-sentBefore) / float64(n) * 1e9 / float64(duration),
+		Bytes:       float64(bytes-bytesBefore) / float64(n) * 1e9 / float64(duration),
+		FalseAlarms: float64(len(seen.alarms)) * 3600e9 / float64(duration),
+	}
+	seen.diedAt = f.now
 	f.Kill(victim)
 	f.Run(f.now + 15*Sec)
-	var took []Time
+	c.Known = knownAfter(seen.knows, n-1)
+	return c
+}
+
+// knownAfter is when 99 in 100 of the survivors knew of a death; -1: fewer did.
+func knownAfter(knows map[int]Time, survivors int) Time {
+	var delays []Time
 	for _, t := range knows {
-		took = append(took, t)
+		delays = append(delays, t)
 	}
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	if need := int(math.Ceil(0.99 * float64(n-1))); len(took) >= need {
-		c.Known = took[need-1]
+	slices.Sort(delays)
+	need := int(math.Ceil(0.99 * float64(survivors)))
+	if len(delays) < need {
+		return -1
 	}
-	return c
+	return delays[need-1]
 }
 
+// traffic is what all processes have sent so far.
 func (f *Fleet) traffic() (sent, bytes int) {
 	for _, n := range f.Nodes {
-		k := n.Core.Counts()
-		sent += k.Sent
-		bytes += k.Bytes
+		counts := n.Core.Counts()
+		sent += counts.Sent
+		bytes += counts.Bytes
 	}
 	return sent, bytes
 }
-
-// beat is how often the heartbeats of the ways not taken are sent, and beatBytes what one weighs.
-const (
-	beat      = 500 * Ms
-	beatBytes = 40
-)
-
-// Heartbeats is the way not taken of a heartbeat from all to all with a phi-accrual detector at each: phi 8 over a window of 100
-// intervals, as in Hayashibara's paper.
-func Heartbeats(n int, loss float64, lasts Time, seed uint64) Cost {
-	r := rand.New(rand.NewPCG(seed, 13))
-	// Each link is alike: one observer of one member is played, for as long as the time times a bounded number of links.
-	links := min(n*(n-1), 2000)
-	alarms := 0
-	var took []Time
-	for range links {
-		var gaps []float64
-		last := 0.0
-		now := 0.0
-		wait := func() float64 { // the silence at which phi comes to 8
-			mean, sd := 0.0, 0.0
-			for _, g := range gaps {
-				mean += g
-			}
-			mean /= float64(len(gaps))
-			for _, g := range gaps {
-				sd += (g - mean) * (g - mean)
-			}
-			sd = math.Max(math.Sqrt(sd/float64(len(gaps))), 0.05)
-			return mean + 5.61*sd // 1e-8 of a normal distribution lies beyond
-		}
-		for now < float64(lasts)/1e9 {
-			now += float64(beat) / 1e9
-			if r.Float64() < loss {
-				continue
-			}
-			at := now + 0.002 + 0.002*r.Float64()
-			if len(gaps) >= 20 && at-last > wait() {
-				alarms++
-			}
-			if last > 0 {
-				gaps = append(gaps, at-last)
-				if len(gaps) > 100 {
-					gaps = gaps[1:]
-				}
-			}
-			last = at
-		}
-		took = append(took, Time((last+wait()-now-r.Float64()*float64(beat)/1e9)*1e9))
-	}
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	each := float64(n-1) * 1e9 / float64(beat)
-	return Cost{each, each * beatBytes, took[(99*len(took)-1)/100], float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(lasts)}
-}
-
-// Observers is the way not taken of a fixed set of observers for each member, an alarm once enough of them agree, and a vote of all
-// on the change of view (Rapid): ten observers that probe each second, nine of whom must have missed three in a row.
-func Observers(n int, loss float64, lasts Time, seed uint64) Cost {
-	const probe, misses = Sec, 3
-	r := rand.New(rand.NewPCG(seed, 17))
-	k := min(10, n-1)
-	need := max(1, k-1)
-	lost := 1 - (1-loss)*(1-loss) // there or back
-	alarms := 0
-	rounds := int(lasts / probe)
-	members := min(n, 200)
-	for range members {
-		missed := make([]int, k)
-		alarmed := false
-		for range rounds {
-			bad := 0
-			for i := range missed {
-				if r.Float64() < lost {
-					missed[i]++
-				} else {
-					missed[i] = 0
-				}
-				if missed[i] >= misses {
-					bad++
-				}
-			}
-			if bad >= need && !alarmed {
-				alarms++
-			}
-			alarmed = bad >= need
-		}
-	}
-	// The slowest of the observers that are needed, and a vote that goes from all to all once.
-	var took []Time
-	for range 1000 {
-		at := make([]float64, k)
-		for i := range at {
-			at[i] = r.Float64() + float64(misses)
-		}
-		sort.Float64s(at)
-		took = append(took, Time(at[need-1]*1e9)+100*Ms)
-	}
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	return Cost{2 * float64(k), 2 * float64(k) * beatBytes, took[989], float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(lasts)}
-}
--- /dev/null
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -0,0 +1,235 @@
+package simulation
+
+import (
+	"os"
+	"strconv"
+	"testing"
+
+	"croftlock/internal/fleet/membership"
+)
+
+// TestRandomPlans runs random plans; MEMBERSHIP_SEEDS sets how many, MEMBERSHIP_FIRST from which seed on.
+func TestRandomPlans(t *testing.T) {
+	seeds := 300
+	if s, err := strconv.Atoi(os.Getenv("MEMBERSHIP_SEEDS")); err == nil {
+		seeds = s
+	}
+	first, _ := strconv.ParseUint(os.Getenv("MEMBERSHIP_FIRST"), 10, 32)
+	bad := 0
+	for seed := first; seed < first+uint64(seeds); seed++ {
+		if plan, violation := Play(seed, membership.Config{}); violation != "" {
+			if bad++; bad <= 5 {
+				t.Errorf("seed %d: %s\n%v", seed, violation, plan)
+			}
+		}
+	}
+	if bad > 0 {
+		t.Errorf("%d of %d", bad, seeds)
+	}
+}
+
+// TestPlantedFaultsAreFound: the same checks find a process that ignores incarnations, and one that does not notice its own pauses.
+func TestPlantedFaultsAreFound(t *testing.T) {
+	for name, planted := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not noticed": {IgnorePause: true}} {
+		found := false
+		for seed := uint64(0); seed < 200 && !found; seed++ {
+			if _, violation := Play(seed, planted); violation != "" {
+				t.Logf("%s: seed %d, %s", name, seed, violation)
+				found = true
+			}
+		}
+		if !found {
+			t.Errorf("%s: not found by 200 seeds", name)
+		}
+	}
+}
+
+// TestHardCases runs each hard case by itself: no invariant is violated, nobody who runs is given up, and views agree at the end.
+func TestHardCases(t *testing.T) {
+	checkNotGone := func(f *Fleet, staying ...int) func() {
+		return func() {
+			for i, n := range f.Nodes {
+				for _, j := range staying {
+					if i != j && n.Running && !n.Paused && !n.Deaf && f.StateOf(i, j) == membership.Gone {
+						f.violate("n%d sees n%d as gone", i, j)
+					}
+				}
+			}
+		}
+	}
+	all := []int{0, 1, 2, 3, 4}
+	for _, c := range []struct {
+		name  string
+		plan  []Fault
+		loss  float64
+		stays []int // who may never be seen as gone
+		until Time
+	}{
+		{"a pause of 0.2 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 200, Process: 1}}, 0, all, 15},
+		{"a pause of 2 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 2000, Process: 1}}, 0, all, 15},
+		{"a pause of 10 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 10000, Process: 1}}, 0, all, 30},
+		{"a pause of 60 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 60000, Process: 1}}, 0, []int{0, 2, 3, 4}, 90},
+		{"all but one paused", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 1}, {Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 2},
+			{Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 3}, {Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 4}}, 0, all, 50},
+		{"a fifth of all lost", nil, 0.2, all, 120},
+		{"two fifths of all lost", nil, 0.4, all, 120},
+		{"a one-sided cut", []Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 30000, Process: 1, Peer: 2}}, 0, all, 60},
+		{"one that is deaf", []Fault{{Kind: "deaf", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
+		{"one that is mute", []Fault{{Kind: "mute", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
+		{"a cut that comes again", []Fault{{Kind: "cut", StartMS: 5000, DurationMS: 2500, Process: 1}, {Kind: "cut", StartMS: 10000, DurationMS: 2500, Process: 1},
+			{Kind: "cut", StartMS: 15000, DurationMS: 2500, Process: 1}, {Kind: "cut", StartMS: 20000, DurationMS: 2500, Process: 1}}, 0, all, 50},
+		{"a quick restart", []Fault{{Kind: "restart", StartMS: 5000, DurationMS: 100, Process: 1}}, 0, all, 15},
+		{"all restarted within 2 s", []Fault{{Kind: "restart", StartMS: 5000, DurationMS: 500, Process: 0}, {Kind: "restart", StartMS: 5300, DurationMS: 500, Process: 1},
+			{Kind: "restart", StartMS: 5600, DurationMS: 500, Process: 2}, {Kind: "restart", StartMS: 6000, DurationMS: 500, Process: 3}, {Kind: "restart", StartMS: 6400, DurationMS: 500, Process: 4}}, 0, all, 20},
+		{"a clock a minute off, and back", []Fault{{Kind: "step", StartMS: 5000, DurationMS: 10000, Process: 1, Amount: 0.4}, {Kind: "step", StartMS: 20000, DurationMS: 5000, Process: 1, Amount: 0}}, 0, all, 40},
+		{"each second turn only", []Fault{{Kind: "lame", StartMS: 3000, DurationMS: 40000, Process: 1}}, 0, all, 60},
+		{"all late and out of order", []Fault{{Kind: "slow", StartMS: 3000, DurationMS: 30000}, {Kind: "twice", StartMS: 3000, DurationMS: 30000, Amount: 0.4}}, 0, all, 50},
+	} {
+		for seed := range uint64(5) {
+			f := New(5, seed, membership.Config{})
+			f.Loss = c.loss
+			f.Apply(c.plan)
+			for at := 2 * Sec; at < c.until*Sec; at += Sec / 4 {
+				f.Schedule(at, checkNotGone(f, c.stays...))
+			}
+			f.Run(c.until * Sec)
+			if f.Violation != "" {
+				t.Errorf("%s, seed %d: %s", c.name, seed, f.Violation)
+			} else if why := f.Disagreement(); why != "" && c.loss == 0 {
+				t.Errorf("%s, seed %d: %s", c.name, seed, why)
+			}
+		}
+	}
+}
+
+// TestPartition: the minority gives nobody up, the majority does, and both agree again without a restart.
+func TestPartition(t *testing.T) {
+	for seed := range uint64(5) {
+		f := New(5, seed, membership.Config{})
+		cut := func(on bool) func() {
+			return func() {
+				for _, i := range []int{0, 1} {
+					for _, j := range []int{2, 3, 4} {
+						f.CutLinks[link{i, j}], f.CutLinks[link{j, i}] = on, on
+					}
+				}
+			}
+		}
+		f.Schedule(5*Sec, cut(true))
+		f.Run(25 * Sec)
+		if q0, q2 := f.Nodes[0].Core.Quorum(), f.Nodes[2].Core.Quorum(); q0 || !q2 {
+			t.Errorf("seed %d: quorum %t with two of five, %t with three", seed, q0, q2)
+		}
+		for j := 2; j < 5; j++ {
+			if s := f.StateOf(0, j); s != membership.Unreachable {
+				t.Errorf("seed %d: the minority sees n%d as %s", seed, j, s)
+			}
+		}
+		if s := f.StateOf(2, 0); s != membership.Gone {
+			t.Errorf("seed %d: the majority sees n0 as %s after 20 s", seed, s)
+		}
+		f.Schedule(f.now, cut(false))
+		f.Run(30 * Sec)
+		if why := f.Disagreement(); why != "" || f.Violation != "" {
+			t.Errorf("seed %d, 5 s after healing: %s %s", seed, why, f.Violation)
+		}
+	}
+}
+
+// TestReachNamesTheLink: with a one-way cut whoever does not hear lists the other as unheard, and all stay alive.
+func TestReachNamesTheLink(t *testing.T) {
+	f := New(5, 3, membership.Config{})
+	f.Apply([]Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 60000, Process: 1, Peer: 2}})
+	f.Run(8 * Sec)
+	for _, m := range f.Nodes[0].Core.View() {
+		if m.ID == membership.ID("n2") && (len(m.Unheard) != 1 || m.Unheard[0] != membership.ID("n1")) {
+			t.Errorf("n2 does not hear n1, 3 s after the cut it lists %v as unheard", m.Unheard)
+		}
+		if m.State != membership.Alive {
+			t.Errorf("%d is %s", m.ID, m.State)
+		}
+	}
+}
+
+// TestLeftIsNotLost: an orderly shutdown differs from a death.
+func TestLeftIsNotLost(t *testing.T) {
+	f := New(5, 4, membership.Config{})
+	f.Schedule(5*Sec, func() { f.Leave(1) })
+	f.Schedule(5*Sec, func() { f.Kill(2) })
+	f.Run(6 * Sec)
+	if s := f.StateOf(0, 1); s != membership.Left {
+		t.Errorf("one that left is seen as %s", s)
+	}
+	f.Run(10 * Sec)
+	if s, l := f.StateOf(0, 2), f.StateOf(0, 1); s != membership.Unreachable || l != membership.Left {
+		t.Errorf("one that was killed is seen as %s, one that left as %s", s, l)
+	}
+}
+
+// TestManyKilledAtOnce: of five with three killed, the other two see them as unreachable and give nobody up, for want of a majority; of
+// seven the other four do.
+func TestManyKilledAtOnce(t *testing.T) {
+	for _, c := range []struct {
+		n    int
+		want membership.State
+	}{{5, membership.Unreachable}, {7, membership.Gone}} {
+		f := New(c.n, 5, membership.Config{})
+		for i := range 3 {
+			f.Schedule(5*Sec, func() { f.Kill(i) })
+		}
+		f.Run(25 * Sec)
+		for i := range 3 {
+			if s := f.StateOf(c.n-1, i); s != c.want {
+				t.Errorf("of %d: n%d is %s after 20 s, want %s", c.n, i, s, c.want)
+			}
+		}
+		if q := f.Nodes[c.n-1].Core.Quorum(); q != (c.want == membership.Gone) {
+			t.Errorf("of %d with three killed: quorum %t", c.n, q)
+		}
+	}
+}
+
+// TestRollingRestart: each process comes back with a new incarnation, and nobody is ever given up.
+func TestRollingRestart(t *testing.T) {
+	f := New(7, 6, membership.Config{})
+	wrong := 0
+	f.OnChange = func(at int, c membership.Change) {
+		if c.NewState == membership.Gone {
+			wrong++
+		}
+	}
+	var plan []Fault
+	for i := range 7 {
+		plan = append(plan, Fault{Kind: "restart", StartMS: 5000 + 2000*int64(i), DurationMS: 800, Process: i})
+	}
+	endMS := f.Apply(plan)
+	f.Run(endMS*Ms + 5*Sec)
+	if why := f.Disagreement(); why != "" || f.Violation != "" || wrong > 0 {
+		t.Errorf("%s %s, %d given up", why, f.Violation, wrong)
+	}
+}
+
+// TestJoiningBySeeds: processes know two addresses at first and learn the others'; a late one becomes known to all, one that leaves frees
+// its slot, and after both seeds were restarted all views agree again.
+func TestJoiningBySeeds(t *testing.T) {
+	for seed := range uint64(5) {
+		f := New(12, seed, membership.Config{FleetSize: 12})
+		f.Seeds = 2
+		f.Schedule(Sec, func() { f.Kill(11) })
+		f.Run(10 * Sec)
+		if why := f.Disagreement(); why != "" {
+			t.Errorf("seed %d: %s", seed, why)
+		}
+		f.Schedule(f.now, func() { f.Start(11) })
+		f.Schedule(f.now, func() { f.Leave(10) })
+		f.Run(15 * Sec)
+		if why := f.Disagreement(); why != "" {
+			t.Errorf("seed %d, after one came and one left: %s", seed, why)
+		}
+		f.Apply([]Fault{{Kind: "restart", StartMS: 16000, DurationMS: 500, Process: 0}, {Kind: "restart", StartMS: 16000, DurationMS: 800, Process: 1}})
+		f.Run(30 * Sec)
+		if why := f.Disagreement(); why != "" || f.Violation != "" {
+			t.Errorf("seed %d, after both seeds were restarted: %s %s", seed, why, f.Violation)
+		}
+	}
+}
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -6,86 +6,100 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Node is one process.
+// maxInbox is how many datagrams wait for a paused process, as a socket's buffer holds few.
+const maxInbox = 256
+
+// Node is one process of the fleet.
 type Node struct {
-	Core   *membership.Core
-	Up     bool
-	Asleep bool
-	Deaf   bool
-	Mute   bool
-	Lame   bool // it gets each second turn only
-	Step   Time // of its wall clock
-	Sends  int
-	inbox  []mail // what waits while it sleeps
-	slept  Time   // since when it sleeps
-	woke   Time   // when it last woke from a sleep of a second or more; 0: never
-	turns  int
-	seen   map[uint32]membership.Incarnation // the newest life that it has known, by member
-	ver    uint64
-	fleet  *Fleet
-	i      int
+	Core     *membership.Core
+	Running  bool
+	Paused   bool
+	Deaf     bool // receives nothing
+	Mute     bool // what it sends is lost
+	Slow     bool // it gets each second turn only
+	WallStep Time // by which its wall clock is off
+	Sends    int
+
+	fleet     *Fleet
+	index     int
+	turns     int
+	inbox     []queuedDatagram // what waits while it is paused
+	pausedAt  Time
+	resumedAt Time                              // from the last pause of over a second; 0: there was none
+	newest    map[uint32]membership.Incarnation // seen, by member
+	version   uint64                            // of the view, when last checked
 }
 
-type mail struct {
+// queuedDatagram is one that waits for a paused process.
+type queuedDatagram struct {
 	from int
 	data []byte
 }
 
+// reset begins a new process in the node's place.
+func (n *Node) reset(core *membership.Core) {
+	n.Core, n.Running, n.Paused = core, true, false
+	n.inbox, n.version, n.resumedAt = nil, 0, 0
+	clear(n.newest)
+}
+
 func (n *Node) receive(from int, data []byte) {
 	if n.fleet.Seeds > 0 {
-		n.Core.ReceiveFrom(n.fleet.now, addr(from), data)
+		n.Core.ReceiveFrom(n.fleet.now, address(from), data)
 	} else {
 		n.Core.Receive(n.fleet.now, from, data)
 	}
 }
 
-func (n *Node) act() {
+// takeTurn gives the process a turn, and then what waited for it. With the planted fault of unnoticed pauses, what waited comes first.
+func (n *Node) takeTurn() {
 	inbox := n.inbox
 	n.inbox = nil
-	if len(inbox) == 0 || !n.fleet.plant.IgnorePause {
-		n.Core.Tick(n.fleet.now, wallZero+n.fleet.now+n.Step)
+	if len(inbox) == 0 || !n.fleet.planted.IgnorePause {
+		n.Core.Tick(n.fleet.now, wallStart+n.fleet.now+n.WallStep)
 	}
-	for _, m := range inbox {
-		n.receive(m.from, m.data)
+	for _, d := range inbox {
+		n.receive(d.from, d.data)
 	}
 	n.check()
 }
 
-// Send is the network.
+// Send is the network: membership.Effects.
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
 	n.Sends++
 	if f.Sent != nil {
-		f.Sent(n.i, slot, data)
+		f.Sent(n.index, slot, data)
 	}
 	if f.Seeds > 0 {
-		slot = int(n.Core.Address(slot).Port()) - 1000
+		slot = int(n.Core.Address(slot).Port()) - firstPort
 	}
-	if n.Mute || len(data) > membership.MaxDatagram {
-		if len(data) > membership.MaxDatagram {
-			f.fail("a datagram of %d bytes", len(data))
-		}
+	if len(data) > membership.MaxDatagram {
+		f.violate("a datagram of %d bytes", len(data))
 		return
 	}
-	times := 1
-	if f.rng.Float64() < f.Twice {
-		times = 2
+	if n.Mute {
+		return
+	}
+	copies := 1
+	if f.rng.Float64() < f.Duplication {
+		copies = 2
 	}
-	for range times {
-		if f.rng.Float64() < f.Loss || f.Cut[[2]int{n.i, slot}] {
+	for range copies {
+		if f.rng.Float64() < f.Loss || f.CutLinks[link{n.index, slot}] {
 			continue
 		}
 		data := slices.Clone(data)
-		f.At(f.now+f.Delay+Time(f.rng.Int64N(int64(f.Jitter)+1)), func() { f.Nodes[slot].arrive(n.i, data) })
+		f.Schedule(f.now+f.Delay+Time(f.rng.Int64N(int64(f.Jitter)+1)), func() { f.Nodes[slot].deliver(n.index, data) })
 	}
 }
 
-func (n *Node) arrive(from int, data []byte) {
+func (n *Node) deliver(from int, data []byte) {
 	switch {
-	case !n.Up || n.Deaf || n.fleet.Cut[[2]int{from, n.i}]:
-	case n.Asleep:
-		if len(n.inbox) < 256 {
-			n.inbox = append(n.inbox, mail{from, data})
+	case !n.Running || n.Deaf || n.fleet.CutLinks[link{from, n.index}]:
+	case n.Paused:
+		if len(n.inbox) < maxInbox {
+			n.inbox = append(n.inbox, queuedDatagram{from, data})
 		}
 	default:
 		n.receive(from, data)
@@ -93,34 +107,10 @@
 	}
 }
 
-// Changed hears of a change at a process.
+// Changed is membership.Effects'.
 func (n *Node) Changed(c membership.Change) {
-	if n.woke > 0 && n.fleet.now-n.woke < Sec && c.From != c.To && (c.To == membership.Suspect || c.To == membership.Unreachable) {
-		n.fleet.fail("n%d accuses %d right after it slept: %s", n.i, c.ID, c.Reason)
-	}
-	if n.fleet.Changes != nil {
-		n.fleet.Changes(n.i, c)
-	}
-}
-
-// check looks at what may never happen, as one process sees it.
-func (n *Node) check() {
-	f := n.fleet
-	if f.Unchecked {
-		return
-	}
-	if v := n.Core.Version(); v < n.ver {
-		f.fail("n%d: version %d after %d", n.i, v, n.ver)
-	} else {
-		n.ver = v
-	}
-	for _, m := range n.Core.View() {
-		if m.Incarnation.Start() < n.seen[m.ID].Start() {
-			f.fail("n%d: %d is taken for an earlier life", n.i, m.ID)
-		}
-		n.seen[m.ID] = max(m.Incarnation, n.seen[m.ID])
-		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m.ID, m.Slot, m.Incarnation) {
-			f.fail("n%d: n%d is gone, whom all others have heard within the last second", n.i, m.Slot)
-		}
+	n.checkChange(c)
+	if n.fleet.OnChange != nil {
+		n.fleet.OnChange(n.index, c)
 	}
 }
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -8,121 +8,152 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Fault is one line of a plan. Times are milliseconds.
+// Fault is one line of a plan: something that happens to a process, a link or the network, for a time.
 type Fault struct {
-	Kind    string
-	At, For Time
-	A, B    int
-	Part    float64
+	Kind       string  // see IsFault
+	StartMS    Time    // in milliseconds
+	DurationMS Time    // in milliseconds
+	Process    int     // to which it happens
+	Peer       int     // at the other end, for faults of a link
+	Amount     float64 // loss, duplication: the probability; step: 0.2 is none, each 0.1 more is 30 s ahead
 }
 
-// String is the fault as an S-expression, as plans are kept and printed.
+// String is the fault as an S-expression, as plan files hold it.
 func (p Fault) String() string {
-	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", p.Kind, p.At, p.For, p.A, p.B, p.Part)
+	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", p.Kind, p.StartMS, p.DurationMS, p.Process, p.Peer, p.Amount)
 }
 
-// kinds of fault that a random plan draws from.
-var kinds = []string{"pause", "kill", "restart", "leave", "cut", "one-way", "deaf", "mute", "loss", "twice", "step", "lame", "slow"}
+// The kinds of fault, as plan files name them. Processes:
+const (
+	faultPause   = "pause"   // stopped as by SIGSTOP
+	faultKill    = "kill"    // ended at once
+	faultRestart = "restart" // ended at once, and started again at the end
+	faultLeave   = "leave"   // shut down in order
+	faultDeaf    = "deaf"    // receives nothing
+	faultMute    = "mute"    // sends nothing
+	faultSlow    = "lame"    // gets each second turn only
+	faultStep    = "step"    // its wall clock is off
+)
+
+// Links, the network, and what only real processes can have: forged datagrams, since theirs are sealed, and a full disk.
+const (
+	faultCut         = "cut"     // a process is cut off from all others
+	faultOneWay      = "one-way" // nothing arrives from Process at Peer
+	faultLoss        = "loss"
+	faultDuplication = "twice"
+	faultDelay       = "slow" // jitter of 100 ms
+	faultGarbage     = "garbage"
+	faultFullDisk    = "full"
+)
 
-// Draw makes a plan of some faults within 20 s, from a seed.
-func Draw(n int, seed uint64) []Fault {
+// simulatedFaults are those that RandomPlan draws from; their order is part of what a seed means.
+var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
+	faultDuplication, faultStep, faultSlow, faultDelay}
+
+// IsFault says whether there is such a kind of fault, in this simulation or for real processes.
+func IsFault(kind string) bool {
+	return slices.Contains(simulatedFaults, kind) || kind == faultGarbage || kind == faultFullDisk
+}
+
+// RandomPlan draws a plan of one to six faults within 26 s for a fleet of n.
+func RandomPlan(n int, seed uint64) []Fault {
 	r := rand.New(rand.NewPCG(seed, 11))
 	plan := make([]Fault, 1+r.IntN(6))
 	for i := range plan {
-		plan[i] = Fault{Kind: kinds[r.IntN(len(kinds))], At: 3000 + r.Int64N(15000), For: 100 + r.Int64N(8000), A: r.IntN(n), B: r.IntN(n),
-			Part: 0.05 + 0.35*r.Float64()}
+		plan[i] = Fault{
+			Kind:       simulatedFaults[r.IntN(len(simulatedFaults))],
+			StartMS:    3000 + r.Int64N(15000),
+			DurationMS: 100 + r.Int64N(8000),
+			Process:    r.IntN(n),
+			Peer:       r.IntN(n),
+			Amount:     0.05 + 0.35*r.Float64(),
+		}
 	}
 	return plan
 }
 
-// Apply has a plan's faults happen. It gives the time in milliseconds at which the last one has ended.
-func (f *Fleet) Apply(plan []Fault) (calm Time) {
+// Apply schedules a plan's faults and returns when the last one ends, in milliseconds.
+func (f *Fleet) Apply(plan []Fault) (endMS Time) {
 	for _, p := range plan {
-		calm = max(calm, p.At+p.For)
-		begin, end := f.effect(p)
-		f.At(p.At*Ms, begin)
-		f.At((p.At+p.For)*Ms, end)
+		end := p.StartMS + p.DurationMS
+		endMS = max(endMS, end)
+		begin, finish := f.faultEffect(p)
+		f.Schedule(p.StartMS*Ms, begin)
+		f.Schedule(end*Ms, finish)
 	}
-	return calm
+	return endMS
 }
 
-func (f *Fleet) effect(p Fault) (begin, end func()) {
-	n := f.Nodes[p.A]
-	set := func(to *bool) (func(), func()) { return func() { *to = true }, func() { *to = false } }
-	links := func(on bool, both bool) func() {
-		return func() {
-			for j := range f.Nodes {
-				if j != p.A && (p.Kind == "cut" || j == p.B) {
-					f.Cut[[2]int{p.A, j}] = on
-					if both {
-						f.Cut[[2]int{j, p.A}] = on
-					}
-				}
-			}
-		}
-	}
+// faultEffect is what begins and what ends a fault.
+func (f *Fleet) faultEffect(p Fault) (begin, end func()) {
+	n := f.Nodes[p.Process]
 	nothing := func() {}
 	switch p.Kind {
-	case "pause":
-		return func() { f.Pause(p.A) }, func() { f.Wake(p.A) }
-	case "kill":
-		return func() { f.Kill(p.A) }, nothing
-	case "restart":
-		return func() { f.Kill(p.A) }, func() { f.Start(p.A) }
-	case "leave":
-		return func() { f.Leave(p.A) }, nothing
-	case "cut":
-		return links(true, true), links(false, true)
-	case "one-way":
-		return links(true, false), links(false, false)
-	case "deaf":
-		return set(&n.Deaf)
-	case "mute":
-		return set(&n.Mute)
-	case "lame":
-		return set(&n.Lame)
-	case "loss":
-		return func() { f.Loss = p.Part }, func() { f.Loss = 0 }
-	case "twice":
-		return func() { f.Twice = p.Part }, func() { f.Twice = 0 }
-	case "slow":
-		return func() { f.Jitter = 100 * Ms }, func() { f.Jitter = 2 * Ms }
-	case "step":
-		return func() { n.Step = Time((p.Part - 0.2) * 300 * float64(Sec)) }, func() { n.Step = 0 }
+	case faultPause:
+		return func() { f.Pause(p.Process) }, func() { f.Resume(p.Process) }
+	case faultKill:
+		return func() { f.Kill(p.Process) }, nothing
+	case faultRestart:
+		return func() { f.Kill(p.Process) }, func() { f.Start(p.Process) }
+	case faultLeave:
+		return func() { f.Leave(p.Process) }, nothing
+	case faultCut:
+		return func() { f.cutOff(p.Process, true) }, func() { f.cutOff(p.Process, false) }
+	case faultOneWay:
+		return func() { f.cutLink(p.Process, p.Peer, true) }, func() { f.cutLink(p.Process, p.Peer, false) }
+	case faultDeaf:
+		return during(&n.Deaf)
+	case faultMute:
+		return during(&n.Mute)
+	case faultSlow:
+		return during(&n.Slow)
+	case faultLoss:
+		return func() { f.Loss = p.Amount }, func() { f.Loss = 0 }
+	case faultDuplication:
+		return func() { f.Duplication = p.Amount }, func() { f.Duplication = 0 }
+	case faultDelay:
+		return func() { f.Jitter = 100 * Ms }, func() { f.Jitter = usualJitter }
+	case faultStep:
+		return func() { n.WallStep = Time((p.Amount - 0.2) * 300 * float64(Sec)) }, func() { n.WallStep = 0 }
 	}
 	panic("no such fault: " + p.Kind)
 }
 
-// Settle is how long after the last fault all views are alike at the latest, whatever came before.
-const Settle = 20 * Sec
+// during sets a flag for as long as a fault lasts.
+func during(flag *bool) (begin, end func()) {
+	return func() { *flag = true }, func() { *flag = false }
+}
 
-// Play plays a random plan from a seed and tells what went wrong: what may never happen, or views that do not agree in time.
-func Play(seed uint64, plant membership.Config) (plan []Fault, broken string) {
-	n := 3 + int(seed%6)
-	plan = Draw(n, seed)
-	f := New(n, seed, plant)
-	calm := f.Apply(plan)
-	f.Run(calm*Ms + Settle)
-	if f.Broken != "" {
-		return plan, f.Broken
+// cutOff cuts all links of a process, or mends them.
+func (f *Fleet) cutOff(process int, cut bool) {
+	for other := range f.Nodes {
+		f.cutLink(process, other, cut)
+		f.cutLink(other, process, cut)
 	}
-	if up := f.up(); 2*up <= n {
-		return plan, "" // with the majority dead nobody is given up for good, and views rest on what each saw last
-	}
-	return plan, f.Agreed()
 }
 
-func (f *Fleet) up() (n int) {
-	for _, x := range f.Nodes {
-		if x.Up {
-			n++
-		}
+// cutLink cuts one direction of a link, or mends it; a process has no link to itself.
+func (f *Fleet) cutLink(from, to int, cut bool) {
+	if from != to {
+		f.CutLinks[link{from, to}] = cut
 	}
-	return n
 }
 
-// Known tells whether there is such a fault. Spoilt datagrams (garbage) and a full disk (full) are for real processes only, whose
-// datagrams can be sealed and who have a disk.
-func Known(kind string) bool {
-	return slices.Contains(kinds, kind) || kind == "garbage" || kind == "full"
+// SettleTime is how long after the last fault all views agree at the latest.
+const SettleTime = 20 * Sec
+
+// Play runs a random plan and returns the violated invariant, or the views that do not agree in time; "": neither.
+func Play(seed uint64, planted membership.Config) (plan []Fault, violation string) {
+	n := 3 + int(seed%6)
+	plan = RandomPlan(n, seed)
+	f := New(n, seed, planted)
+	endMS := f.Apply(plan)
+	f.Run(endMS*Ms + SettleTime)
+	if f.Violation != "" {
+		return plan, f.Violation
+	}
+	if 2*f.running() <= n {
+		return plan, "" // without a majority nobody is given up for good, and views rest on what each process heard last
+	}
+	return plan, f.Disagreement()
 }
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -17,7 +17,7 @@
 	play := func(seed uint64, samples *golden.Samples) {
 		processes := 3 + int(seed%6)
 		f, digest := New(processes, seed, membership.Config{}), golden.NewDigest()
-		f.Unchecked = true
+		f.SkipChecks = true
 		if seed%4 == 3 {
 			f.Seeds = 2
 		}
@@ -27,11 +27,11 @@
 				samples.Add(fmt.Sprintf("first-part-%d", firstPart(datagram)), datagram)
 			}
 		}
-		f.Changes = func(at int, c membership.Change) {
-			digest.Add("%d at %d: %d from %s to %s, incarnation %d, version %d", f.Now(), at, c.ID, c.From, c.To, c.Incarnation, c.Version)
+		f.OnChange = func(at int, c membership.Change) {
+			digest.Add("%d at %d: %d from %s to %s, incarnation %d, version %d", f.Now(), at, c.ID, c.OldState, c.NewState, c.Incarnation, c.Version)
 		}
-		calm := f.Apply(Draw(processes, seed))
-		f.Run(calm*Ms + Settle)
+		endMS := f.Apply(RandomPlan(processes, seed))
+		f.Run(endMS*Ms + SettleTime)
 		for _, n := range f.Nodes {
 			digest.Add("%08x %d", n.Core.Digest(), n.Core.Version())
 		}
--- /dev/null
+++ b/internal/fleet/membership/state.go
@@ -0,0 +1,66 @@
+package membership
+
+import "hash/fnv"
+
+// State is what a member is believed to be.
+type State uint8
+
+// The states of a member.
+const (
+	Joining     State = iota // not heard yet
+	Alive                    // heard lately, by this process or by another that says so
+	Suspect                  // did not answer; others are asked, and it still counts as a member
+	Unreachable              // heard by nobody for Config.UnreachableAfter; it may be cut off
+	Left                     // it announced its shutdown
+	Gone                     // unreachable for Config.GoneAfter, in the view of a majority of the fleet
+)
+
+var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
+
+// String names a state as operators read it.
+func (s State) String() string {
+	if int(s) < len(stateNames) {
+		return stateNames[s]
+	}
+	return "unknown"
+}
+
+// ended says whether a member in this state takes part no more, unless a newer incarnation shows up.
+func (s State) ended() bool { return s == Left || s == Gone }
+
+// countsAlive says whether a member in this state counts towards a majority.
+func (s State) countsAlive() bool { return s == Alive || s == Suspect }
+
+// Incarnation tells one process under a member's name from another: its start in Unix milliseconds, and a 16-bit counter that only the
+// member itself raises, to refute what others say of it. A larger one is newer.
+type Incarnation uint64
+
+// NewIncarnation is the first one of a process that started at a time in Unix milliseconds.
+func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
+
+// Start is the part that tells processes apart: the start in Unix milliseconds.
+func (l Incarnation) Start() uint64 { return uint64(l) >> 16 }
+
+// ID names a member in datagrams: its name, hashed.
+func ID(name string) uint32 {
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	return h.Sum32()
+}
+
+// Change is one change of the view, with its reason.
+type Change struct {
+	Name               string // "": not known yet
+	ID                 uint32
+	OldState, NewState State
+	Incarnation        Incarnation
+	Version            uint64
+	Reason             string
+}
+
+// Counts are what a process has sent and received.
+type Counts struct {
+	Sent, Bytes, Heard                           int
+	Malformed, OtherVersion, OtherFleet          int
+	OldIncarnation, Clashes, Pauses, Refutations int
+}
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -236,6 +236,6 @@
 
 // Full has a process's disk without room, and with it again.
 func (r *Rig) Full(i int) (begin, end func() error) {
-	begin, end, _ = r.effect(simulation.Fault{Kind: "full", A: i})
+	begin, end, _ = r.effect(simulation.Fault{Kind: "full", Process: i})
 	return begin, end
 }
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -28,7 +28,7 @@
 			return nil, bad("expected (KIND (at MS) (for MS) (a N) ...)")
 		}
 		p := simulation.Fault{Kind: v[0].Text}
-		if !simulation.Known(p.Kind) {
+		if !simulation.IsFault(p.Kind) {
 			return nil, bad(fmt.Sprintf("no fault %q", p.Kind))
 		}
 		for _, field := range v[1:] {
@@ -42,20 +42,20 @@
 			}
 			switch w[0].Text {
 			case "at":
-				p.At = int64(x)
+				p.StartMS = int64(x)
 			case "for":
-				p.For = int64(x)
+				p.DurationMS = int64(x)
 			case "a":
-				p.A = int(x)
+				p.Process = int(x)
 			case "b":
-				p.B = int(x)
+				p.Peer = int(x)
 			case "part":
-				p.Part = x
+				p.Amount = x
 			default:
 				return nil, bad(fmt.Sprintf("no field %q", w[0].Text))
 			}
 		}
-		if p.A >= processes || p.B >= processes || p.Part > 1 {
+		if p.Process >= processes || p.Peer >= processes || p.Amount > 1 {
 			return nil, bad(fmt.Sprintf("a process under %d and a part up to 1 are possible", processes))
 		}
 		plan = append(plan, p)
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		steps = append(steps, step{time.Duration(p.At) * time.Millisecond, begin}, step{time.Duration(p.At+p.For) * time.Millisecond, end})
+		steps = append(steps, step{time.Duration(p.StartMS) * time.Millisecond, begin}, step{time.Duration(p.StartMS+p.DurationMS) * time.Millisecond, end})
 	}
 	began := time.Now()
 	for len(steps) > 0 {
@@ -115,36 +115,36 @@
 	cut := func(l *fake.Link, on bool) { l.Cut = on }
 	part := func(on bool) float64 {
 		if on {
-			return p.Part
+			return p.Amount
 		}
 		return 0
 	}
 	all := func(int, int) bool { return true }
 	switch p.Kind {
 	case "pause":
-		return func() error { r.Procs[p.A].Signal(syscall.SIGSTOP); return nil }, func() error { r.Procs[p.A].Signal(syscall.SIGCONT); return nil }, nil
+		return func() error { r.Procs[p.Process].Signal(syscall.SIGSTOP); return nil }, func() error { r.Procs[p.Process].Signal(syscall.SIGCONT); return nil }, nil
 	case "full":
 		// A limit on the size of files stands for a disk that is full: each write to one fails at once. It needs no privileges.
 		limit := func(most uint64) func() error {
 			return func() error {
-				return unix.Prlimit(r.Procs[p.A].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+				return unix.Prlimit(r.Procs[p.Process].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
 			}
 		}
 		return limit(0), limit(unix.RLIM_INFINITY), nil
 	case "kill":
-		return func() error { r.Procs[p.A].Kill(); return nil }, nothing, nil
+		return func() error { r.Procs[p.Process].Kill(); return nil }, nothing, nil
 	case "restart":
-		return func() error { r.Procs[p.A].Kill(); return nil }, func() error { return r.Start(p.A) }, nil
+		return func() error { r.Procs[p.Process].Kill(); return nil }, func() error { return r.Start(p.Process) }, nil
 	case "leave":
-		return func() error { return r.Procs[p.A].Stop() }, nothing, nil
+		return func() error { return r.Procs[p.Process].Stop() }, nothing, nil
 	case "cut":
-		begin, end = links(func(i, j int) bool { return i == p.A || j == p.A }, cut)
+		begin, end = links(func(i, j int) bool { return i == p.Process || j == p.Process }, cut)
 	case "one-way":
-		begin, end = links(func(i, j int) bool { return i == p.A && j == p.B }, cut)
+		begin, end = links(func(i, j int) bool { return i == p.Process && j == p.Peer }, cut)
 	case "deaf":
-		begin, end = links(func(i, j int) bool { return j == p.A }, cut)
+		begin, end = links(func(i, j int) bool { return j == p.Process }, cut)
 	case "mute":
-		begin, end = links(func(i, j int) bool { return i == p.A }, cut)
+		begin, end = links(func(i, j int) bool { return i == p.Process }, cut)
 	case "loss":
 		begin, end = links(all, func(l *fake.Link, on bool) { l.Loss = part(on) })
 	case "twice":
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -150,7 +150,7 @@
 	}
 	var ends []func() error
 	for _, a := range at {
-		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, A: a})
+		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, Process: a})
 		if err == nil {
 			err = begin()
 		}
