--- /dev/null
+++ b/internal/fleet/consensus/change.go
@@ -0,0 +1,120 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// promotionLag is how many commands a learner may lag behind and still be promoted.
+const promotionLag = 64
+
+// Add takes a process that has asked for it into the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
+func (c *Core) Add(now Time, tag uint64, name string) error {
+	id, asks := c.joining.applicants[name]
+	if !asks {
+		return fmt.Errorf("%s has not asked to be taken in: start it with an empty store and this group's name", name)
+	}
+	if c.configuration.contains(id) {
+		return fmt.Errorf("%s is of the group already", name)
+	}
+	return c.proposeChange(now, tag, name, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
+}
+
+// Promote makes a learner a voter, once it has caught up. An earlier identity of the same process loses its vote in the same step.
+func (c *Core) Promote(now Time, tag uint64, name string) error {
+	if _, ok := c.Leading(); !ok {
+		return ErrNotLeader
+	}
+	var changes []raftpb.ConfChangeSingle
+	for _, id := range c.identitiesOf(name, c.configuration.state.Learners) {
+		if !c.caughtUp(id) {
+			return fmt.Errorf("%s has not caught up yet", name)
+		}
+		changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode, NodeID: id})
+	}
+	if len(changes) == 0 {
+		return fmt.Errorf("%s is no member that listens: add it first", name)
+	}
+	for _, id := range c.identitiesOf(name, c.configuration.state.Voters) {
+		changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode, NodeID: id})
+	}
+	return c.proposeChange(now, tag, name, changes...)
+}
+
+// Remove takes a process out of the group. It fails where the other voters that answer are no majority.
+func (c *Core) Remove(now Time, tag uint64, name string) error {
+	if _, ok := c.Leading(); !ok {
+		return ErrNotLeader
+	}
+	var changes []raftpb.ConfChangeSingle
+	state := &c.configuration.state
+	for _, id := range slices.Concat(c.identitiesOf(name, state.Voters), c.identitiesOf(name, state.Learners)) {
+		changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode, NodeID: id})
+	}
+	remaining, active := c.votersWithout(name)
+	switch {
+	case len(changes) == 0:
+		return fmt.Errorf("%s is not of the group", name)
+	case remaining == 0 || 2*active <= remaining:
+		return fmt.Errorf("without %s %d voters are left, of which %d answer: that is no majority", name, remaining, active)
+	}
+	return c.proposeChange(now, tag, name, changes...)
+}
+
+// identitiesOf are those among ids that a process has.
+func (c *Core) identitiesOf(name string, ids []uint64) (own []uint64) {
+	for _, id := range ids {
+		if c.configuration.names[id] == name {
+			own = append(own, id)
+		}
+	}
+	return own
+}
+
+// caughtUp says whether a learner is active and has nearly all of the log.
+func (c *Core) caughtUp(id uint64) (enough bool) {
+	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) {
+		if p == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
+			enough = true
+		}
+	})
+	return enough
+}
+
+// votersWithout counts the voters but for one process, and those of them that answer.
+func (c *Core) votersWithout(name string) (remaining, active int) {
+	recent := map[uint64]bool{c.identity.ID: true}
+	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) { recent[p] = recent[p] || pr.RecentActive })
+	for _, id := range c.configuration.state.Voters {
+		if c.configuration.names[id] == name {
+			continue
+		}
+		remaining++
+		if recent[id] {
+			active++
+		}
+	}
+	return remaining, active
+}
+
+func (c *Core) proposeChange(now Time, tag uint64, name string, changes ...raftpb.ConfChangeSingle) error {
+	c.now = max(c.now, now)
+	if _, ok := c.Leading(); !ok {
+		return ErrNotLeader
+	}
+	if c.configuration.changing {
+		return ErrBusy
+	}
+	var err error
+	c.guard(func() {
+		err = c.node.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes, Context: changeContext{tag, name}.encode()})
+	})
+	c.processReady()
+	if err != nil {
+		return ErrBusy
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/consensus/configuration.go
@@ -0,0 +1,76 @@
+package consensus
+
+import (
+	"maps"
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+// maxMembers bounds how many members a snapshot may name.
+const maxMembers = 64
+
+// configuration is who is of the group.
+type configuration struct {
+	names    map[uint64]string // of members, voters and learners, by identity
+	state    raftpb.ConfState
+	changing bool // a joint configuration is in force
+}
+
+func newConfiguration() configuration { return configuration{names: map[uint64]string{}} }
+
+// formed says whether this process knows a group that was bootstrapped.
+func (g *configuration) formed() bool { return len(g.state.Voters) > 0 }
+
+func (g *configuration) contains(id uint64) bool {
+	_, member := g.names[id]
+	return member
+}
+
+// isInitialMember says whether an identity is an initial voter's first one and still of the group.
+func (g *configuration) isInitialMember(id uint64) bool { return isInitial(id) && g.contains(id) }
+
+func (g *configuration) isVoter(id uint64) bool { return slices.Contains(g.state.Voters, id) }
+
+// bootstrap begins with the initial voters.
+func (g *configuration) bootstrap(voters []string) {
+	for _, name := range voters {
+		id := VoterID(name, 0)
+		g.state.Voters = append(g.state.Voters, id)
+		g.names[id] = name
+	}
+	slices.Sort(g.state.Voters)
+}
+
+// apply takes in a change that was agreed on, with the state that follows from it.
+func (g *configuration) apply(state raftpb.ConfState, changes []raftpb.ConfChangeSingle, name string) {
+	g.state = state
+	for _, change := range changes {
+		switch change.Type {
+		case raftpb.ConfChangeAddNode, raftpb.ConfChangeAddLearnerNode:
+			g.names[change.NodeID] = name
+		case raftpb.ConfChangeRemoveNode:
+			delete(g.names, change.NodeID)
+		}
+	}
+	g.changing = len(g.state.VotersOutgoing) > 0
+}
+
+// encodeNames writes the members for a snapshot, by identity.
+func (g *configuration) encodeNames(w *encoding.Writer) {
+	w.Uint(uint64(len(g.names)))
+	for _, id := range slices.Sorted(maps.Keys(g.names)) {
+		w.Uint(id).Text(g.names[id])
+	}
+}
+
+func decodeNames(r *encoding.Reader) map[uint64]string {
+	names := map[uint64]string{}
+	for n := r.Count(maxMembers); n > 0; n-- {
+		id := r.Uint()
+		names[id] = r.Text(maxNameBytes)
+	}
+	return names
+}
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestAgreesThroughLossAndRestarts(t *testing.T) {
+func TestAgreementThroughLossAndRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		g := newGroup(t, seed, "a", "b", "c")
 		g.loss = 0.2
@@ -22,19 +22,19 @@
 			g.propose(fmt.Sprint("command ", i))
 		}
 		g.loss = 0
-		g.alike()
-		at := -1
-		for i := range 60 { // each once at least, in their order
-			next := slices.Index(g.regs["a"].log, fmt.Sprint("command ", i))
-			if next <= at {
-				t.Fatalf("seed %d: command %d at %d after %d", seed, i, next, at)
+		g.checkEqual()
+		last := -1
+		for i := range 60 { // each at least once, in order
+			next := slices.Index(g.machines["a"].log, fmt.Sprint("command ", i))
+			if next <= last {
+				t.Fatalf("seed %d: command %d at %d after %d", seed, i, next, last)
 			}
-			at = next
+			last = next
 		}
 	}
 }
 
-func TestYieldsTheLead(t *testing.T) {
+func TestYield(t *testing.T) {
 	g := newGroup(t, 9, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
@@ -49,17 +49,17 @@
 	}
 }
 
-// TestDeposedLeaderConfirmsNothing: a leader that is cut off may take itself for one, but nobody confirms it.
+// TestDeposedLeaderConfirmsNothing: a leader that is cut off may still believe that it leads, but nobody confirms it.
 func TestDeposedLeaderConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 10, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
-	g.cut = func(from, to string) bool { return from == old.cfg.Name || to == old.cfg.Name }
+	g.isCut = func(from, to string) bool { return from == old.cfg.Name || to == old.cfg.Name }
 	tag, cmd := g.tag(), g.tag()
 	old.Confirm(g.now, tag)
 	old.Propose(g.now, 1, cmd, []byte("lost"))
 	g.run(5e9)
-	if g.led[tag] || g.done[cmd] {
+	if g.confirmed[tag] || g.applied[cmd] {
 		t.Error("a leader without a majority was confirmed")
 	}
 	if _, ok := old.Leading(); ok {
@@ -67,15 +67,15 @@
 	}
 }
 
-// FuzzReceive: whatever a peer sends, a voter neither ends nor takes what is not from that peer.
+// FuzzReceive: no message of a peer ends a replica.
 func FuzzReceive(f *testing.F) {
 	g := newGroup(f, 12, "a", "b", "c")
-	g.cut = func(from, to string) bool { return to != "a" }
+	g.isCut = func(from, to string) bool { return to != "a" }
 	var seeds [][]byte
 	for range 30 {
 		g.run(1e8)
 		for _, m := range g.queue {
-			if m.to == PeerID("a") && len(seeds) < 40 {
+			if m.receiver == PeerID("a") && len(seeds) < 40 {
 				seeds = append(seeds, m.data)
 			}
 		}
@@ -88,7 +88,7 @@
 		g.run(2e9)
 		a := g.cores["a"]
 		a.Receive(g.now, PeerID("b"), data)
-		a.Receive(g.now, PeerID("b"), append([]byte{msgRaft, 1, 'g'}, data...))
+		a.Receive(g.now, PeerID("b"), append([]byte{kindRaft, 1, 'g'}, data...))
 		g.run(5e8)
 	})
 }
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// TestOlderFilePutBack: a voter whose file is yesterday's takes no part, whether it was copied in an earlier life or in the last.
-func TestOlderFilePutBack(t *testing.T) {
-	for _, sameLife := range []bool{false, true} {
+// TestRestoredOldFile: a replica whose file is an older copy takes no part, whether the copy is from an earlier start or from the last one.
+func TestRestoredOldFile(t *testing.T) {
+	for _, sameStart := range []bool{false, true} {
 		g := newGroup(t, 5, "a", "b", "c")
 		g.propose("yesterday")
 		g.run(1e9)
 		old := g.disks["b"].Copy()
-		if !sameLife {
+		if !sameStart {
 			g.kill("b")
 			g.start("b")
 			g.run(3e9)
@@ -28,10 +28,10 @@
 		}
 		g.run(5e9)
 		if p, why := g.cores["b"].Phase(); p != Stale || !strings.Contains(why, "put back") {
-			t.Errorf("same life %v: phase %v, %q", sameLife, p, why)
+			t.Errorf("same start %v: phase %v, %q", sameStart, p, why)
 		}
-		g.propose("goes on without it")
-		// Also when all start anew, and nobody remembers what it was told.
+		g.propose("without it")
+		// Also after all have started anew, and no process remembers what it received.
 		for _, n := range []string{"a", "b", "c"} {
 			g.kill(n)
 		}
@@ -40,12 +40,12 @@
 		}
 		g.run(5e9)
 		if p, _ := g.cores["b"].Phase(); p != Stale {
-			t.Errorf("same life %v: phase %v after all started anew", sameLife, p)
+			t.Errorf("same start %v: phase %v after all started anew", sameStart, p)
 		}
 	}
 }
 
-// TestLostDisk: a voter that lost its disk is not the voter it was; it is added under another identity and gets its vote.
+// TestLostDisk: a replica that lost its disk is added under another identity, and gets its vote.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 6, "a", "b", "c")
 	g.propose("one")
@@ -65,7 +65,7 @@
 			tag := g.tag()
 			err := f(g.leader(), tag)
 			g.run(1e9)
-			if g.done[tag] {
+			if g.applied[tag] {
 				return
 			}
 			t.Log(what, err)
@@ -78,7 +78,7 @@
 	do("add", func(c *Core, tag uint64) error { return c.Add(g.now, tag, "b") })
 	do("promote", func(c *Core, tag uint64) error { return c.Promote(g.now, tag, "b") })
 	g.propose("three")
-	g.alike()
+	g.checkEqual()
 	s := g.leader().Status()
 	votes := 0
 	for _, m := range s.Members {
@@ -86,10 +86,10 @@
 			votes++
 		}
 	}
-	if votes != 3 || !slices.Equal(g.regs["b"].log, g.regs["a"].log) {
+	if votes != 3 || !slices.Equal(g.machines["b"].log, g.machines["a"].log) {
 		t.Errorf("%d voters; %+v", votes, s)
 	}
-	// Its vote counts: with another one gone the fleet goes on.
+	// Its vote counts: with another one gone the group still has a majority.
 	for _, n := range []string{"a", "c"} {
 		if g.leader() != g.cores[n] {
 			g.kill(n)
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestNoSecondBeginning: two of three that lost their disks do not begin another fleet beside the third.
-func TestNoSecondBeginning(t *testing.T) {
+// TestNoSecondBootstrap: two of three that lost their disks do not bootstrap another group beside the third.
+func TestNoSecondBootstrap(t *testing.T) {
 	g := newGroup(t, 7, "a", "b", "c")
 	g.propose("one")
 	for _, n := range []string{"a", "b"} {
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestFailedStore: a voter whose store fails says so, stops, and acknowledges nothing; the others go on, and from its disk it comes back.
+// TestFailedStore: a replica whose store fails reports it, stops, and acknowledges nothing; the others go on, and it recovers from its disk.
 func TestFailedStore(t *testing.T) {
 	g := newGroup(t, 8, "a", "b", "c")
 	g.propose("one")
@@ -140,17 +140,17 @@
 	g.kill(name)
 	g.start(name)
 	g.propose("three")
-	g.alike()
+	g.checkEqual()
 	if p, _ := g.cores[name].Phase(); p != Member {
 		t.Errorf("phase %v after its return", p)
 	}
 }
 
-// TestWrongStore: a file of another process is refused in clear words.
-func TestWrongStore(t *testing.T) {
+// TestStoreOfAnotherProcess: the store of another process is rejected with an error that names both.
+func TestStoreOfAnotherProcess(t *testing.T) {
 	g := newGroup(t, 11, "a")
 	g.run(2e9)
-	_, err := Open(Config{Group: "g", Name: "b", InitialVoters: []string{"b"}}, g.disks["a"], nil, side{g, "b"})
+	_, err := Open(Config{Group: "g", Name: "b", InitialVoters: []string{"b"}}, g.disks["a"], nil, testEffects{g, "b"})
 	if err == nil || !strings.Contains(err.Error(), "store is of a in group g") {
 		t.Error(err)
 	}
--- a/internal/fleet/consensus/disk/killed_test.go
+++ b/internal/fleet/consensus/disk/killed_test.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// TestKilledWhileItSaves: a process killed at any moment leaves a store that can be read, with all that was acknowledged.
+// TestKilledWhileItSaves: a process killed at any moment leaves a readable store with all that was acknowledged.
 func TestKilledWhileItSaves(t *testing.T) {
 	if path := os.Getenv("CROFTLOCK_DISK_WRITER"); path != "" {
 		writer(path)
@@ -34,12 +34,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		said := make(chan int, 1)
+		acknowledged := make(chan int, 1)
 		go func() {
 			last, n := 0, 0
 			for {
 				if _, err := fmt.Fscanln(out, &n); err != nil {
-					said <- last
+					acknowledged <- last
 					return
 				}
 				last = n
@@ -47,10 +47,10 @@
 		}()
 		time.Sleep(time.Duration(20+rand.IntN(30)) * time.Millisecond)
 		c.Process.Kill()
-		last := <-said
+		last := <-acknowledged
 		c.Wait()
 		var s *Store
-		for i := 0; i < 200; i++ { // the system may let go of the file a little later
+		for i := 0; i < 200; i++ { // the system may release the file a little later
 			if s, err = Open(path, 4<<20); !errors.Is(err, ErrInUse) {
 				break
 			}
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatalf("turn %d: %v", turn, err)
 		}
-		at := int(got.Snap.Metadata.Index)
+		at := int(got.Snapshot.Metadata.Index)
 		if n := len(got.Entries); n > 0 {
 			at = int(got.Entries[n-1].Index)
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-// writer appends and compacts until it is killed, and says what is durable.
+// writer appends and compacts until it is killed, and prints what is durable.
 func writer(path string) {
 	s, err := Open(path, 4<<20)
 	if err != nil {
@@ -84,7 +84,7 @@
 	if err != nil {
 		os.Exit(4)
 	}
-	at := int(got.Snap.Metadata.Index)
+	at := int(got.Snapshot.Metadata.Index)
 	if n := len(got.Entries); n > 0 {
 		at = int(got.Entries[n-1].Index)
 	}
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -1,7 +1,6 @@
 package disk
 
 import (
-	"encoding/binary"
 	"fmt"
 	"runtime/debug"
 
@@ -12,8 +11,28 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Load reads all that is kept.
+const maxNameBytes = 64
+
+// extent is how much a file holds.
+type extent struct {
+	lastIndex uint64 // of the log; 0: it is empty
+	starts    uint64 // other replicas' starts
+}
+
+func (e extent) encode() []byte {
+	var w encoding.Writer
+	return w.Uint(e.lastIndex).Uint(e.starts).Data
+}
+
+func (e *extent) decode(data []byte) error {
+	r := encoding.Reader{Data: data}
+	e.lastIndex, e.starts = r.Uint(), r.Uint()
+	return r.Err()
+}
+
+// Load reads all that is stored; the error is ErrUnreadable where that does not fit together. After an error nothing more is saved.
 func (s *Store) Load() (out consensus.StoredState, err error) {
+	// bbolt's own check runs where a fault cannot be recovered from. All that is stored is read here, and each record is checked.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -23,87 +42,123 @@
 			s.failed = err
 		}
 	}()
-	out.Seen = map[uint64]consensus.StartRecord{}
-	err = s.db.View(func(tx *bbolt.Tx) error {
-		// The library's own check runs where a fault can't be caught. All that is kept is read here, and fits its sum or does not.
-		meta := tx.Bucket(bucketMeta)
-		whole := meta.Get(keyIdentity) != nil
-		get := func(key []byte, take func([]byte) error) error {
-			sealed := meta.Get(key)
-			if sealed == nil && whole {
-				return fmt.Errorf("%w: there is no record %q", ErrUnreadable, key)
-			}
-			if sealed == nil {
-				return nil
-			}
-			data, err := open(key, sealed)
-			if err == nil {
-				err = take(data)
-			}
-			return err
-		}
-		var last, seen uint64
-		if err := get(keyShape, func(data []byte) error {
-			r := encoding.Reader{Data: data}
-			last, seen = r.Uint(), r.Uint()
-			return r.Err()
-		}); err != nil {
+	l := loader{state: consensus.StoredState{StartRecords: map[uint64]consensus.StartRecord{}}}
+	err = s.database.View(func(tx *bbolt.Tx) error {
+		l.meta = tx.Bucket(bucketMeta)
+		l.complete = l.meta.Get(keyIdentity) != nil
+		if err := l.loadMeta(); err != nil {
 			return err
 		}
-		if err := get(keyIdentity, func(data []byte) error {
-			r := encoding.Reader{Data: data}
-			out.Identity = consensus.Identity{Group: r.Text(64), Name: r.Text(64), ID: r.Uint(), Starts: r.Uint(), Stale: r.Bool()}
-			return r.Err()
-		}); err != nil {
+		if err := l.loadStarts(tx.Bucket(bucketStarts)); err != nil {
 			return err
 		}
-		if err := get(keyHard, out.Hard.Unmarshal); err != nil {
+		return l.loadLog(tx.Bucket(bucketLog))
+	})
+	return l.state, err
+}
+
+// loader is one call of Load.
+type loader struct {
+	state    consensus.StoredState
+	meta     *bbolt.Bucket
+	complete bool // the file has an identity, which is stored last at a bootstrap: all records must be there
+	extent   extent
+}
+
+func (l *loader) loadMeta() error {
+	if err := l.loadRecord(keyExtent, l.extent.decode); err != nil {
+		return err
+	}
+	if err := l.loadRecord(keyIdentity, l.decodeIdentity); err != nil {
+		return err
+	}
+	if err := l.loadRecord(keyHardState, l.state.HardState.Unmarshal); err != nil {
+		return err
+	}
+	return l.loadRecord(keySnapshot, l.state.Snapshot.Unmarshal)
+}
+
+func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
+	sealed := l.meta.Get(key)
+	if sealed == nil && l.complete {
+		return fmt.Errorf("%w: there is no record %q", ErrUnreadable, key)
+	}
+	if sealed == nil {
+		return nil
+	}
+	data, err := openRecord(key, sealed)
+	if err != nil {
+		return err
+	}
+	return decode(data)
+}
+
+func (l *loader) decodeIdentity(data []byte) error {
+	r := encoding.Reader{Data: data}
+	l.state.Identity = consensus.Identity{
+		Group:  r.Text(maxNameBytes),
+		Name:   r.Text(maxNameBytes),
+		ID:     r.Uint(),
+		Starts: r.Uint(),
+		Stale:  r.Bool(),
+	}
+	return r.Err()
+}
+
+func (l *loader) loadStarts(b *bbolt.Bucket) error {
+	err := b.ForEach(func(key, sealed []byte) error {
+		data, err := openRecord(key, sealed)
+		if err != nil {
 			return err
 		}
-		if err := get(keySnap, out.Snap.Unmarshal); err != nil {
+		r := encoding.Reader{Data: data}
+		l.state.StartRecords[keyNumber(key)] = consensus.StartRecord{Starts: r.Uint(), Incarnation: r.Uint()}
+		return r.Err()
+	})
+	if err != nil {
+		return err
+	}
+	if found := len(l.state.StartRecords); l.complete && uint64(found) != l.extent.starts {
+		return fmt.Errorf("%w: %d voters' starts of %d", ErrUnreadable, found, l.extent.starts)
+	}
+	return nil
+}
+
+// loadLog reads the entries and keeps those behind the snapshot.
+func (l *loader) loadLog(b *bbolt.Bucket) error {
+	next := uint64(0) // the index expected; 0: any
+	err := b.ForEach(func(key, sealed []byte) error {
+		data, err := openRecord(key, sealed)
+		if err != nil {
 			return err
 		}
-		if err := tx.Bucket(bucketSeen).ForEach(func(k, v []byte) error {
-			data, err := open(k, v)
-			if err != nil {
-				return err
-			}
-			r := encoding.Reader{Data: data}
-			out.Seen[binary.BigEndian.Uint64(k)] = consensus.StartRecord{Starts: r.Uint(), Incarnation: r.Uint()}
-			return r.Err()
-		}); err != nil {
+		var e raftpb.Entry
+		if err := e.Unmarshal(data); err != nil {
 			return err
 		}
-		if whole && uint64(len(out.Seen)) != seen {
-			return fmt.Errorf("%w: %d voters' starts of %d", ErrUnreadable, len(out.Seen), seen)
+		if e.Index != keyNumber(key) || next != 0 && e.Index != next {
+			return fmt.Errorf("%w: command %d follows %d", ErrUnreadable, e.Index, next-1)
 		}
-		next := uint64(0)
-		err := tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
-			data, err := open(k, v)
-			if err != nil {
-				return err
-			}
-			var e raftpb.Entry
-			if err := e.Unmarshal(data); err != nil {
-				return err
-			}
-			if e.Index != binary.BigEndian.Uint64(k) || next != 0 && e.Index != next {
-				return fmt.Errorf("%w: command %d follows %d", ErrUnreadable, e.Index, next-1)
-			}
-			next = e.Index + 1
-			if e.Index > out.Snap.Metadata.Index {
-				out.Entries = append(out.Entries, e)
-			}
-			return nil
-		})
-		switch {
-		case err != nil || !whole:
-		case next > 0 && next-1 != last || next == 0 && last > out.Snap.Metadata.Index:
-			return fmt.Errorf("%w: the commands end before %d", ErrUnreadable, last)
-		case len(out.Entries) > 0 && out.Entries[0].Index != out.Snap.Metadata.Index+1:
-			return fmt.Errorf("%w: the commands begin at %d, the snapshot is of %d", ErrUnreadable, out.Entries[0].Index, out.Snap.Metadata.Index)
+		next = e.Index + 1
+		if e.Index > l.state.Snapshot.Metadata.Index {
+			l.state.Entries = append(l.state.Entries, e)
 		}
-		return err
+		return nil
 	})
-	return out, err
+	if err != nil || !l.complete {
+		return err
+	}
+	return l.checkLog(next)
+}
+
+// checkLog checks that the log ends where the file says, and that it continues the snapshot.
+func (l *loader) checkLog(next uint64) error {
+	snapshotIndex, lastIndex := l.state.Snapshot.Metadata.Index, l.extent.lastIndex
+	if next > 0 && next-1 != lastIndex || next == 0 && lastIndex > snapshotIndex {
+		return fmt.Errorf("%w: the commands end before %d", ErrUnreadable, lastIndex)
+	}
+	if entries := l.state.Entries; len(entries) > 0 && entries[0].Index != snapshotIndex+1 {
+		return fmt.Errorf("%w: the commands begin at %d, the snapshot is of %d", ErrUnreadable, entries[0].Index, snapshotIndex)
+	}
+	return nil
 }
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -1,13 +1,13 @@
 package disk
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"runtime/debug"
+	"slices"
 	"syscall"
 	"time"
 
@@ -15,33 +15,29 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Open opens a file, or makes it. most bounds it in bytes.
-func Open(path string, most int64) (s *Store, err error) {
-	// A file that is shorter than it says faults when its pages are touched; that is to be an error here, not the process's end.
+// lockTimeout is how long Open waits for another process to close the file.
+const lockTimeout = 20 * time.Millisecond
+
+// Open opens a file, or creates it. maxBytes bounds its size. Errors are ErrInUse, ErrUnreadable or what the system says, as an
+// *fs.PathError.
+func Open(path string, maxBytes int64) (s *Store, err error) {
+	// A file that is shorter than its header says faults when its pages are touched; that must be an error here, not end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
 			s, err = nil, fmt.Errorf("%w: %s: %v", ErrUnreadable, path, p)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 20 * time.Millisecond, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("%w: %s", ErrInUse, path)
 	}
 	if err != nil {
 		return nil, unreadable(path, err)
 	}
-	s = &Store{db: db, path: path, most: most}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{bucketMeta, bucketLog, bucketSeen} {
-			if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	if err == nil {
-		err = syncDir(filepath.Dir(path)) // else a new file's name may be lost, and its votes with it
+	s = &Store{database: db, path: path, maxBytes: maxBytes}
+	if err = db.Update(createBuckets); err == nil {
+		err = syncDir(filepath.Dir(path)) // otherwise a new file's name may be lost, and its votes with it
 	}
 	if err != nil {
 		db.Close()
@@ -50,10 +46,19 @@
 	return s, nil
 }
 
-// unreadable leaves what the system says about a file as it is, and calls everything else a fault of the file.
+func createBuckets(tx *bbolt.Tx) error {
+	for _, name := range [][]byte{bucketMeta, bucketLog, bucketStarts} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// unreadable keeps what the system says about a file, and makes everything else an ErrUnreadable.
 func unreadable(path string, err error) error {
-	var p *fs.PathError
-	if errors.As(err, &p) {
+	var system *fs.PathError
+	if errors.As(err, &system) {
 		return err
 	}
 	return fmt.Errorf("%w: %s: %v", ErrUnreadable, path, err)
@@ -68,24 +73,18 @@
 	return d.Sync()
 }
 
-// Recoverable tells whether a store that failed may be opened again by the same process: there was no room, or none to write. After any
-// other failure, first of all of a sync, what the system shows of the file may not be what is on the disk.
+// recoverable are the system's errors after which a file is as it was before: there was no room, or no permission to write.
+var recoverable = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
+
+// Recoverable says whether the same process may open a store again that failed. After any other failure, first of all of a sync, what the
+// system shows of the file may not be what is on the disk.
 func Recoverable(err error) bool {
-	var p *fs.PathError
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrInUse) {
 		return true
 	}
-	for _, e := range []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM} {
-		if errors.Is(err, e) && errors.As(err, &p) && p.Op != "sync" {
-			return true
-		}
-	}
-	return false
-}
-
-func open(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < 8 || binary.BigEndian.Uint64(sealed) != sum(key, sealed[8:]) {
-		return nil, fmt.Errorf("%w: the record %q does not fit its sum", ErrUnreadable, key)
+	var system *fs.PathError
+	if !errors.As(err, &system) || system.Op == "sync" {
+		return false
 	}
-	return append([]byte(nil), sealed[8:]...), nil
+	return slices.ContainsFunc(recoverable, func(e error) bool { return errors.Is(err, e) })
 }
--- a/internal/fleet/consensus/disk/recorded_test.go
+++ b/internal/fleet/consensus/disk/recorded_test.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedStore: a file that was written when this was recorded is opened, read whole, and written on.
+// TestRecordedStore: a file that was written by an earlier version is opened, read, and written to.
 func TestRecordedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	want := fill(t, path)
@@ -38,7 +38,7 @@
 	if err := s.Save(raftpb.HardState{Term: 3, Vote: 7, Commit: 9}, entries(10, 2, 3), raftpb.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
-	if got, err = s.Load(); err != nil || len(got.Entries) != len(want.Entries)+2 || got.Hard.Term != 3 {
+	if got, err = s.Load(); err != nil || len(got.Entries) != len(want.Entries)+2 || got.HardState.Term != 3 {
 		t.Errorf("after a write: %+v, %v", got, err)
 	}
 }
--- /dev/null
+++ b/internal/fleet/consensus/disk/store.go
@@ -0,0 +1,174 @@
+// Package disk stores a replica's log, votes and snapshots in one bbolt file. It owns the file's format and bound, and what becomes of a file
+// that is truncated, damaged, full or another's. Each call that saves is one transaction, synced before it returns. Every record carries a
+// checksum: one that does not match is rejected, never used.
+package disk
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/encoding"
+)
+
+// The names of buckets and keys are part of the file's format.
+var (
+	bucketMeta   = []byte("meta")
+	bucketLog    = []byte("log")  // entries, by index
+	bucketStarts = []byte("seen") // other replicas' last starts, by replica
+
+	keyIdentity  = []byte("identity")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
+	keyExtent    = []byte("shape")
+)
+
+// Errors of a store.
+var (
+	ErrUnreadable = errors.New("disk: the store is unreadable")                // the file is there but cannot be trusted
+	ErrInUse      = errors.New("disk: the store is in use by another process") // another process has the file open
+	ErrFull       = errors.New("disk: the store has reached its bound")        // of Open's maxBytes
+)
+
+// Store is an open file. It implements consensus.Store.
+type Store struct {
+	database *bbolt.DB
+	path     string
+	maxBytes int64
+	failed   error // after it every call that saves fails
+}
+
+// update runs a transaction.
+func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
+	if s.failed != nil {
+		return s.failed
+	}
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if p := recover(); p != nil {
+			err = fmt.Errorf("%w: %s: %v", ErrUnreadable, s.path, p)
+		}
+		if err != nil {
+			s.failed = fmt.Errorf("%s: %w", s.path, err)
+			err = s.failed
+		}
+	}()
+	return s.database.Update(func(tx *bbolt.Tx) error {
+		if tx.Size() > s.maxBytes {
+			return fmt.Errorf("%w of %d bytes", ErrFull, s.maxBytes)
+		}
+		if err := f(tx); err != nil {
+			return err
+		}
+		return putExtent(tx)
+	})
+}
+
+// putExtent records how much the file holds: a page that was replaced by one with fewer records would still match all its checksums.
+func putExtent(tx *bbolt.Tx) error {
+	meta := tx.Bucket(bucketMeta)
+	for _, key := range [][]byte{keyHardState, keySnapshot} {
+		if meta.Get(key) == nil {
+			if err := put(meta, key, nil); err != nil {
+				return err
+			}
+		}
+	}
+	e := extent{}
+	if k, _ := tx.Bucket(bucketLog).Cursor().Last(); k != nil {
+		e.lastIndex = keyNumber(k)
+	}
+	c := tx.Bucket(bucketStarts).Cursor()
+	for k, _ := c.First(); k != nil; k, _ = c.Next() {
+		e.starts++
+	}
+	return put(meta, keyExtent, e.encode())
+}
+
+// SaveIdentity stores who the store belongs to.
+func (s *Store) SaveIdentity(id consensus.Identity) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		var w encoding.Writer
+		w.Text(id.Group).Text(id.Name).Uint(id.ID).Uint(id.Starts).Bool(id.Stale)
+		return put(tx.Bucket(bucketMeta), keyIdentity, w.Data)
+	})
+}
+
+// SaveStartRecord stores another replica's last start.
+func (s *Store) SaveStartRecord(id uint64, start consensus.StartRecord) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		var w encoding.Writer
+		w.Uint(start.Starts).Uint(start.Incarnation)
+		return put(tx.Bucket(bucketStarts), numberKey(id), w.Data)
+	})
+}
+
+// Save stores a hard state, entries and a snapshot, those of them that are not empty. Entries replace the stored ones from the first one's
+// index on.
+func (s *Store) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		if !raft.IsEmptySnap(snap) {
+			if err := saveSnapshot(tx, snap); err != nil {
+				return err
+			}
+		}
+		if err := saveEntries(tx, entries); err != nil {
+			return err
+		}
+		if raft.IsEmptyHardState(hard) {
+			return nil
+		}
+		return putMarshaled(tx.Bucket(bucketMeta), keyHardState, &hard)
+	})
+}
+
+// saveSnapshot stores a snapshot. A log that ends before it is dropped: what follows would not continue it.
+func saveSnapshot(tx *bbolt.Tx, snap raftpb.Snapshot) error {
+	if err := putMarshaled(tx.Bucket(bucketMeta), keySnapshot, &snap); err != nil {
+		return err
+	}
+	c := tx.Bucket(bucketLog).Cursor()
+	if k, _ := c.Last(); k != nil && keyNumber(k) < snap.Metadata.Index {
+		return deleteFrom(c, 0)
+	}
+	return nil
+}
+
+func saveEntries(tx *bbolt.Tx, entries []raftpb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	log := tx.Bucket(bucketLog)
+	if err := deleteFrom(log.Cursor(), entries[0].Index); err != nil {
+		return err
+	}
+	for i := range entries {
+		if err := putMarshaled(log, numberKey(entries[i].Index), &entries[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Compact removes the entries up to an index, which a stored snapshot covers.
+func (s *Store) Compact(upTo uint64) error {
+	return s.update(func(tx *bbolt.Tx) error { return deleteUpTo(tx.Bucket(bucketLog).Cursor(), upTo) })
+}
+
+// Size is the file's size in bytes. Freed space is used again, but the file never shrinks.
+func (s *Store) Size() int64 {
+	info, err := os.Stat(s.path)
+	if err != nil {
+		return 0
+	}
+	return info.Size()
+}
+
+// Close closes the file.
+func (s *Store) Close() error { return s.database.Close() }
--- a/internal/fleet/consensus/disk/disk_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -39,7 +39,7 @@
 	must(s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Starts: 3}))
 	must(s.SaveStartRecord(9, consensus.StartRecord{Starts: 2, Incarnation: 5}))
 	must(s.Save(raftpb.HardState{Term: 2, Vote: 9, Commit: 4}, entries(1, 10, 1), raftpb.Snapshot{}))
-	must(s.Save(raftpb.HardState{}, entries(8, 2, 2), raftpb.Snapshot{})) // takes the place of 8 to 10
+	must(s.Save(raftpb.HardState{}, entries(8, 2, 2), raftpb.Snapshot{})) // replaces 8 to 10
 	must(s.Save(raftpb.HardState{}, nil, raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 4, Term: 1}}))
 	must(s.Compact(2))
 	out, err := s.Load()
@@ -47,7 +47,8 @@
 	return out
 }
 
-func TestKeepsWhatItIsGiven(t *testing.T) {
+// TestStoresWhatIsSaved: a file opened again holds what was saved, and one in use is not opened twice.
+func TestStoresWhatIsSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fill(t, path)
 	s, err := Open(path, 1<<20)
@@ -60,21 +61,21 @@
 		t.Fatal(err)
 	}
 	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
-	if got.ID != 7 || got.Starts != 3 || got.Hard.Vote != 9 || string(got.Snap.Data) != "state" || got.Seen[9].Starts != 2 || !reflect.DeepEqual(got.Entries, want) {
+	if got.ID != 7 || got.Starts != 3 || got.HardState.Vote != 9 || string(got.Snapshot.Data) != "state" || got.StartRecords[9].Starts != 2 || !reflect.DeepEqual(got.Entries, want) {
 		t.Errorf("%+v", got)
 	}
 	if _, err := Open(path, 1<<20); !errors.Is(err, ErrInUse) || !Recoverable(err) {
 		t.Error("a store in use:", err)
 	}
-	// A snapshot from another voter, beyond all that is here, takes the log's place.
+	// A snapshot of another replica, beyond all that is here, replaces the log.
 	s.Save(raftpb.HardState{}, nil, raftpb.Snapshot{Data: []byte("later"), Metadata: raftpb.SnapshotMetadata{Index: 50, Term: 3}})
-	if got, err = s.Load(); err != nil || len(got.Entries) != 0 || got.Snap.Metadata.Index != 50 {
+	if got, err = s.Load(); err != nil || len(got.Entries) != 0 || got.Snapshot.Metadata.Index != 50 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-// TestDamagedFiles: a file with flipped bytes, a torn end or a page of another time is refused, or gives what was stored; never
-// something else, and the process goes on.
+// TestDamagedFiles: a file with flipped bytes, a truncated one or one with a stale page is rejected or gives what was stored, never
+// something else, and does not end the process.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
@@ -84,7 +85,7 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	refused := 0
+	rejected := 0
 	for i := range 300 {
 		bad := append([]byte(nil), data...)
 		switch i % 3 {
@@ -104,26 +105,26 @@
 		}
 		s, err := Open(path, 1<<20)
 		if err != nil {
-			refused++
+			rejected++
 			continue
 		}
 		got, err := s.Load()
 		if err != nil {
-			refused++
+			rejected++
 			if Recoverable(err) {
-				t.Errorf("%d: %v is to pass by itself", i, err)
+				t.Errorf("%d: %v counts as recoverable", i, err)
 			}
 		} else if !reflect.DeepEqual(got, want) && got.ID != 0 {
 			t.Errorf("%d: gives %+v", i, got)
 		}
 		s.Close()
 	}
-	if refused < 60 {
-		t.Errorf("%d of 300 refused: the damage does not reach what is read", refused)
+	if rejected < 60 {
+		t.Errorf("%d of 300 rejected: the damage does not reach what is read", rejected)
 	}
 }
 
-// TestFullDisk: with no room left a call that saves fails, nothing half is kept, and with room again the file opens as it was.
+// TestFullDisk: on a full disk a call that saves fails and saves nothing, and with room again the file opens as it was.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	s, err := Open(path, 1<<20)
@@ -145,7 +146,7 @@
 		t.Fatalf("no room: %v", err)
 	}
 	if again == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
-		t.Error("a store that failed takes more")
+		t.Error("a store that failed saves more")
 	}
 	s.Close()
 	if s, err = Open(path, 1<<20); err != nil {
@@ -153,7 +154,7 @@
 	}
 	defer s.Close()
 	got, err := s.Load()
-	if err != nil || got.Hard.Term != 1 || len(got.Entries) != 5 {
+	if err != nil || got.HardState.Term != 1 || len(got.Entries) != 5 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
@@ -173,15 +174,15 @@
 	}
 }
 
-// TestFailedSync: only what can't have reached the disk in part may be tried again by the same process.
-func TestFailedSync(t *testing.T) {
+// TestRecoverable: the same process may retry only after a failure that left the file as it was.
+func TestRecoverable(t *testing.T) {
 	for _, c := range []struct {
-		err  error
-		self bool
+		err         error
+		recoverable bool
 	}{{&os.PathError{Op: "write", Err: syscall.ENOSPC}, true}, {&os.PathError{Op: "write", Err: syscall.EIO}, false}, {syscall.EIO, false},
 		{syscall.ENOSPC, false}, {&os.PathError{Op: "sync", Err: syscall.ENOSPC}, false}, {&os.PathError{Op: "open", Err: syscall.EROFS}, true}} {
-		if Recoverable(fmt.Errorf("store: %w", c.err)) != c.self {
-			t.Errorf("%v: by itself %v", c.err, !c.self)
+		if Recoverable(fmt.Errorf("store: %w", c.err)) != c.recoverable {
+			t.Errorf("%v: recoverable %v", c.err, !c.recoverable)
 		}
 	}
 }
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -9,15 +9,15 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// register is a machine that keeps all it is told.
-type register struct{ log []string }
+// recorder is a machine that keeps all commands.
+type recorder struct{ log []string }
 
-func (r *register) Apply(cmd []byte) []byte {
+func (r *recorder) Apply(cmd []byte) []byte {
 	r.log = append(r.log, string(cmd))
 	return []byte(fmt.Sprint(len(r.log)))
 }
 
-func (r *register) Snapshot() []byte {
+func (r *recorder) Snapshot() []byte {
 	var w encoding.Writer
 	w.Uint(uint64(len(r.log)))
 	for _, s := range r.log {
@@ -26,7 +26,7 @@
 	return w.Data
 }
 
-func (r *register) Restore(data []byte) error {
+func (r *recorder) Restore(data []byte) error {
 	rd := encoding.Reader{Data: data}
 	r.log = nil
 	for n := rd.Count(1 << 20); n > 0; n-- {
@@ -35,88 +35,88 @@
 	return rd.Err()
 }
 
-type mail struct {
-	from, to uint32
-	data     []byte
-	at       Time
+type queuedMessage struct {
+	sender, receiver uint32
+	data             []byte
+	due              Time
 }
 
-// fleet is some voters in virtual time.
-type fleet struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     Time
-	names   []string
-	initial []string
-	cores   map[string]*Core
-	regs    map[string]*register
-	disks   map[string]*MemoryStore
-	done    map[uint64]bool
-	led     map[uint64]bool
-	queue   []mail
-	loss    float64
-	cut     func(from, to string) bool
-	tags    uint64
-	events  []string
+// testGroup is some replicas in virtual time.
+type testGroup struct {
+	t         testing.TB
+	rng       *rand.Rand
+	now       Time
+	names     []string
+	initial   []string
+	cores     map[string]*Core
+	machines  map[string]*recorder
+	disks     map[string]*MemoryStore
+	applied   map[uint64]bool
+	confirmed map[uint64]bool
+	queue     []queuedMessage
+	loss      float64
+	isCut     func(from, to string) bool
+	lastTag   uint64
+	events    []string
 }
 
-func newGroup(t testing.TB, seed uint64, voters ...string) *fleet {
-	g := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, regs: map[string]*register{}, disks: map[string]*MemoryStore{},
-		done: map[uint64]bool{}, led: map[uint64]bool{}, cut: func(string, string) bool { return false }}
+func newGroup(t testing.TB, seed uint64, voters ...string) *testGroup {
+	g := &testGroup{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, machines: map[string]*recorder{}, disks: map[string]*MemoryStore{},
+		applied: map[uint64]bool{}, confirmed: map[uint64]bool{}, isCut: func(string, string) bool { return false }}
 	for _, n := range voters {
 		g.start(n)
 	}
 	return g
 }
 
-type side struct {
-	g    *fleet
-	name string
+type testEffects struct {
+	group *testGroup
+	name  string
 }
 
-func (s side) Send(peer uint32, msg []byte) {
-	for _, n := range s.g.names {
-		if PeerID(n) == peer && s.g.rng.Float64() >= s.g.loss && !s.g.cut(s.name, n) {
-			s.g.queue = append(s.g.queue, mail{PeerID(s.name), peer, slices.Clone(msg), s.g.now + 1e6 + s.g.rng.Int64N(5e6)})
+func (s testEffects) Send(peer uint32, msg []byte) {
+	for _, n := range s.group.names {
+		if PeerID(n) == peer && s.group.rng.Float64() >= s.group.loss && !s.group.isCut(s.name, n) {
+			s.group.queue = append(s.group.queue, queuedMessage{PeerID(s.name), peer, slices.Clone(msg), s.group.now + 1e6 + s.group.rng.Int64N(5e6)})
 		}
 	}
 }
 
-func (s side) Applied(_ byte, tag uint64, _ []byte) { s.g.done[tag] = true }
+func (s testEffects) Applied(_ byte, tag uint64, _ []byte) { s.group.applied[tag] = true }
 
-func (s side) Confirmed(tag uint64) { s.g.led[tag] = true }
+func (s testEffects) Confirmed(tag uint64) { s.group.confirmed[tag] = true }
 
-func (s side) LogEvent(event string, args ...any) {
-	s.g.events = append(s.g.events, fmt.Sprint(s.name, " ", event, " ", args))
+func (s testEffects) LogEvent(event string, args ...any) {
+	s.group.events = append(s.group.events, fmt.Sprint(s.name, " ", event, " ", args))
 }
 
-func (g *fleet) start(name string) error {
+func (g *testGroup) start(name string) error {
 	if g.disks[name] == nil {
 		g.disks[name] = &MemoryStore{}
 		g.names = append(g.names, name)
 	}
-	reg := &register{}
-	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, KeepBehindSnapshot: 5}, g.disks[name], map[byte]Machine{1: reg}, side{g, name})
+	reg := &recorder{}
+	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, KeepBehindSnapshot: 5}, g.disks[name], map[byte]Machine{1: reg}, testEffects{g, name})
 	if err == nil {
-		g.cores[name], g.regs[name] = c, reg
+		g.cores[name], g.machines[name] = c, reg
 	}
 	return err
 }
 
-func (g *fleet) kill(name string) {
+func (g *testGroup) kill(name string) {
 	g.disks[name].Crash()
 	delete(g.cores, name)
 }
 
-func (g *fleet) run(d Time) {
+func (g *testGroup) run(d Time) {
 	for end := g.now + d; g.now < end; g.now += 1e7 {
 		for i := 0; i < len(g.queue); i++ {
-			if m := g.queue[i]; m.at <= g.now {
+			if m := g.queue[i]; m.due <= g.now {
 				g.queue = slices.Delete(g.queue, i, i+1)
 				i--
 				for _, n := range g.names {
-					if c := g.cores[n]; c != nil && PeerID(n) == m.to {
-						c.Receive(g.now, m.from, m.data)
+					if c := g.cores[n]; c != nil && PeerID(n) == m.receiver {
+						c.Receive(g.now, m.sender, m.data)
 					}
 				}
 			}
@@ -131,8 +131,8 @@
 	}
 }
 
-// leader waits for one.
-func (g *fleet) leader() *Core {
+// leader waits for one that is confirmed.
+func (g *testGroup) leader() *Core {
 	g.t.Helper()
 	for range 200 {
 		for _, n := range g.names {
@@ -141,7 +141,7 @@
 					tag := g.tag()
 					c.Confirm(g.now, tag)
 					g.run(2e8)
-					if g.led[tag] {
+					if g.confirmed[tag] {
 						return c
 					}
 				}
@@ -153,16 +153,16 @@
 	return nil
 }
 
-func (g *fleet) tag() uint64 { g.tags++; return g.tags }
+func (g *testGroup) tag() uint64 { g.lastTag++; return g.lastTag }
 
-// propose has a command agreed on, whoever leads.
-func (g *fleet) propose(text string) {
+// propose has a command agreed on, by whichever process leads.
+func (g *testGroup) propose(text string) {
 	g.t.Helper()
 	for range 50 {
 		tag := g.tag()
 		if g.leader().Propose(g.now, 1, tag, []byte(text)) == nil {
 			for range 30 {
-				if g.run(1e8); g.done[tag] {
+				if g.run(1e8); g.applied[tag] {
 					return
 				}
 			}
@@ -171,16 +171,16 @@
 	g.t.Fatalf("%q is not agreed on", text)
 }
 
-func (g *fleet) alike() {
+func (g *testGroup) checkEqual() {
 	g.t.Helper()
 	g.run(3e9)
 	var first []string
 	for _, n := range g.names {
 		if c := g.cores[n]; c != nil && c.phase == Member {
 			if first == nil {
-				first = g.regs[n].log
-			} else if !slices.Equal(first, g.regs[n].log) {
-				g.t.Fatalf("%s has %q, another %q", n, g.regs[n].log, first)
+				first = g.machines[n].log
+			} else if !slices.Equal(first, g.machines[n].log) {
+				g.t.Fatalf("%s has %q, another %q", n, g.machines[n].log, first)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/fleet/consensus/join.go
@@ -0,0 +1,248 @@
+package consensus
+
+import (
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+const (
+	helloInterval = Time(2e8)
+	// waitForOthers is how long a start waits for those voters beyond a majority that have not answered.
+	waitForOthers = Time(1e9)
+)
+
+const staleReason = "its store is older than what others have had from this voter: a file was put back; move it away and have the voter replaced"
+
+// evidence is what this process has received from another replica: what the other must have on its disk.
+type evidence struct {
+	term              uint64
+	logTerm, logIndex uint64 // up to which it must have the log
+}
+
+// joining is what a start has heard from the others, and what this process can tell them at theirs.
+type joining struct {
+	startedAt    Time                   // below 0: no tick yet
+	lastHello    Time                   // 0: none
+	answers      map[uint32]bool        // by peer that remembers: whether it knows a group
+	startRecords map[uint64]StartRecord // stored, by replica
+	received     map[uint64]evidence    // since this process started, by replica
+	applicants   map[string]uint64      // identities of processes that ask to be added, by name
+}
+
+func newJoining(stored map[uint64]StartRecord) joining {
+	if stored == nil {
+		stored = map[uint64]StartRecord{}
+	}
+	return joining{startedAt: -1, answers: map[uint32]bool{}, startRecords: stored, received: map[uint64]evidence{}, applicants: map[string]uint64{}}
+}
+
+// begin notes the first tick.
+func (j *joining) begin(now Time) {
+	if j.startedAt < 0 {
+		j.startedAt = now
+	}
+}
+
+// restart forgets the answers, as this process has got an identity that they do not know.
+func (j *joining) restart(now Time) {
+	clear(j.answers)
+	j.startedAt = now
+}
+
+func (j *joining) helloDue(now Time) bool {
+	if j.lastHello != 0 && now-j.lastHello < helloInterval {
+		return false
+	}
+	j.lastHello = now
+	return true
+}
+
+// noteMessage takes in what a replica's message proves that it has stored. Pre-votes prove nothing: their term is not stored.
+func (j *joining) noteMessage(m *raftpb.Message) {
+	if m.Type == raftpb.MsgPreVote || m.Type == raftpb.MsgPreVoteResp {
+		return
+	}
+	e := j.received[m.From]
+	e.term = max(e.term, m.Term)
+	switch {
+	case m.Type == raftpb.MsgApp:
+		e.logTerm, e.logIndex = m.Term, m.Index+uint64(len(m.Entries))
+	case m.Type == raftpb.MsgAppResp && !m.Reject:
+		e.logTerm, e.logIndex = m.Term, m.Index
+	}
+	j.received[m.From] = e
+}
+
+// otherVoters are the peers that a start asks: all voters but this one.
+func (c *Core) otherVoters() (peers []uint32) {
+	self := PeerID(c.cfg.Name)
+	add := func(p uint32) {
+		if p != self && !slices.Contains(peers, p) {
+			peers = append(peers, p)
+		}
+	}
+	if !c.configuration.formed() {
+		for _, name := range c.cfg.InitialVoters {
+			add(PeerID(name))
+		}
+	}
+	for _, id := range c.configuration.state.Voters {
+		add(peerOf(id))
+	}
+	return peers
+}
+
+func (c *Core) sendHello() {
+	h := hello{group: c.cfg.Group, name: c.cfg.Name, replica: c.identity.ID, starts: c.identity.Starts, incarnation: c.incarnation}
+	data := h.encode()
+	for _, p := range c.otherVoters() {
+		c.effects.Send(p, data)
+	}
+}
+
+// handleHello answers a process that starts with what is known of it.
+func (c *Core) handleHello(from uint32, h hello) error {
+	if h.group != c.cfg.Group || PeerID(h.name) != from || h.replica != 0 && peerOf(h.replica) != from {
+		return ErrHello
+	}
+	if c.phase == Broken || c.phase == Stale {
+		return nil // what this process remembers cannot be stored, or is old
+	}
+	replica := h.replica
+	if replica == 0 {
+		replica = VoterID(h.name, 0)
+	}
+	start := c.joining.startRecords[replica]
+	if h.replica != 0 && h.starts > start.Starts {
+		// Stored before it is answered: the answer lets the other one vote.
+		start = StartRecord{h.starts, h.incarnation}
+		if !c.checkStored(c.store.SaveStartRecord(h.replica, start)) {
+			return nil
+		}
+		c.joining.startRecords[h.replica] = start
+	}
+	if !c.configuration.contains(h.replica) && !isInitial(h.replica) && c.phase == Member {
+		c.joining.applicants[h.name] = h.replica
+	}
+	received := c.joining.received[replica]
+	// A group that has never heard of an initial voter does not keep that one from bootstrapping the same group.
+	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
+	answer := welcome{
+		group:     c.cfg.Group,
+		replica:   h.replica,
+		hasGroup:  c.configuration.formed() && everSeen,
+		remembers: c.identity.ID != 0 && c.phase != NotMember,
+		start:     start,
+		received:  received,
+	}
+	c.effects.Send(from, answer.encode())
+	return nil
+}
+
+// handleWelcome takes in what another process knows of this one.
+func (c *Core) handleWelcome(from uint32, m welcome) error {
+	if m.group != c.cfg.Group || m.replica != c.identity.ID {
+		return ErrWelcome
+	}
+	if c.phase != Starting {
+		return nil
+	}
+	if m.replica != 0 && c.storeIsOlder(m) {
+		c.becomeStale(from)
+		return nil
+	}
+	if (m.remembers || m.replica == 0) && slices.Contains(c.otherVoters(), from) {
+		c.joining.answers[from] = m.hasGroup
+	}
+	c.tryStart()
+	return nil
+}
+
+// storeIsOlder says whether another process has received what the own store does not hold: a later start, term or part of the log.
+func (c *Core) storeIsOlder(m welcome) bool {
+	lastIndex, lastTerm := c.recovered.lastEntry()
+	otherStart := m.start.Starts > c.identity.Starts || m.start.Starts == c.identity.Starts && m.start.Incarnation != c.incarnation
+	return otherStart || m.received.term > c.recovered.HardState.Term || m.received.logIndex > lastIndex && lastTerm <= m.received.logTerm
+}
+
+// tryStart ends a start once enough of the others have answered.
+func (c *Core) tryStart() {
+	others, answers := c.otherVoters(), c.joining.answers
+	groupExists := false
+	for _, p := range others {
+		groupExists = groupExists || answers[p]
+	}
+	switch {
+	case c.identity.ID != 0:
+		if c.enoughAnswers(len(others)) {
+			c.startRaft()
+		}
+	case !slices.Contains(c.cfg.InitialVoters, c.cfg.Name) || groupExists:
+		c.startAsNewReplica()
+	case len(answers) == len(others):
+		c.bootstrap()
+	}
+}
+
+// enoughAnswers says whether a majority of the voters, this one counted, has noted this start: a later start with an older file then meets
+// one of them.
+func (c *Core) enoughAnswers(others int) bool {
+	enough := (others + 1) / 2
+	if c.identity.Starts == 1 && isInitial(c.identity.ID) {
+		enough = others // so that an initial voter that loses its disk later meets nobody who does not know it
+	}
+	answers := len(c.joining.answers)
+	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= waitForOthers)
+}
+
+// startAsNewReplica takes a new identity. Either this process never was of the group, or it was and lost its disk: it may have voted, and
+// must not be that voter again.
+func (c *Core) startAsNewReplica() {
+	nonce := c.rng.Uint32() | 1
+	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
+	if c.checkStored(c.store.SaveIdentity(c.identity)) {
+		c.effects.LogEvent("replica_not_member", "reason", "there is a group already, and this process is not of it, or lost its store: it waits to be added")
+		c.startRaft()
+	}
+}
+
+// bootstrap begins the group. All initial voters have answered and none knows a group, so that all come to the same beginning.
+func (c *Core) bootstrap() {
+	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, 0), Starts: 1}
+	c.configuration.bootstrap(c.cfg.InitialVoters)
+	snap := raftpb.Snapshot{Data: c.encodeSnapshot(), Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: c.configuration.state}}
+	hard := raftpb.HardState{Term: 1, Commit: 1}
+	if !c.checkStored(c.store.Save(hard, nil, snap)) || !c.checkStored(c.store.SaveIdentity(c.identity)) {
+		return
+	}
+	c.recovered.Snapshot, c.recovered.HardState = snap, hard
+	c.applied.reset(snap.Metadata)
+	c.effects.LogEvent("group_bootstrapped", "voters", len(c.configuration.state.Voters))
+	c.joining.restart(c.now)
+	c.sendHello()
+	if len(c.otherVoters()) == 0 {
+		c.tryStart()
+	}
+}
+
+// raftConfig is the raft library's configuration.
+func (c *Core) raftConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        c.identity.ID,
+		ElectionTick:              c.cfg.ElectionTicks,
+		HeartbeatTick:             c.cfg.HeartbeatTicks,
+		Storage:                   currentSnapshots{c.storage, c},
+		Applied:                   c.applied.index,
+		MaxSizePerMsg:             2048,
+		MaxInflightMsgs:           16,
+		MaxUncommittedEntriesSize: 1 << 20,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    panicLogger{},
+	}
+}
--- /dev/null
+++ b/internal/fleet/consensus/leadership.go
@@ -0,0 +1,104 @@
+package consensus
+
+import (
+	"go.etcd.io/raft/v3"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+// leadership is what this process has reported of its own leading.
+type leadership struct {
+	reportedTerm uint64 // in which it leads; 0: it does not
+	yieldsUntil  Time   // until then it does not act as leader, as it has handed over
+}
+
+// Leading says whether this process leads and has applied all that earlier leaders agreed on, and in which term. It may have been deposed
+// without knowing yet: what must not rest on a deposed leader calls Confirm first.
+func (c *Core) Leading() (term uint64, ok bool) {
+	if c.node == nil || c.phase != Member {
+		return 0, false
+	}
+	status := c.node.BasicStatus()
+	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.yieldsUntil
+}
+
+// Leader is the peer that this process takes for the leader; 0: nobody.
+func (c *Core) Leader() uint32 {
+	if c.node == nil {
+		return 0
+	}
+	return peerOf(c.node.BasicStatus().Lead)
+}
+
+// Confirm asks the voters whether this process still leads; Effects.Confirmed is called with the tag if so, and never if not. The error is
+// ErrNotLeader.
+func (c *Core) Confirm(now Time, tag uint64) error {
+	c.now = max(c.now, now)
+	if _, ok := c.Leading(); !ok {
+		return ErrNotLeader
+	}
+	var w encoding.Writer
+	c.guard(func() { c.node.ReadIndex(w.Uint(tag).Data) })
+	c.processReady()
+	return nil
+}
+
+// Propose has a command agreed on. Effects.Applied reports, with the tag, that it was; a leader that is deposed may never hear. Errors are
+// ErrCommandTooLong, ErrNotLeader and ErrBusy.
+func (c *Core) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
+	c.now = max(c.now, now)
+	if len(cmd) > maxCommandBytes {
+		return ErrCommandTooLong
+	}
+	if _, ok := c.Leading(); !ok {
+		return ErrNotLeader
+	}
+	var err error
+	c.guard(func() { err = c.node.Propose(proposal{tag, machine, cmd}.encode()) })
+	c.processReady()
+	if err != nil {
+		return ErrBusy
+	}
+	return nil
+}
+
+// Yield transfers leadership to the voter that is most up to date, if this process leads.
+func (c *Core) Yield(now Time) {
+	c.now = max(c.now, now)
+	if _, ok := c.Leading(); !ok {
+		return
+	}
+	if successor := c.mostUpToDate(); successor != 0 {
+		c.leadership.yieldsUntil = c.now + c.cfg.electionTimeout() // as long as the library tries
+		c.guard(func() { c.node.TransferLeader(successor) })
+		c.processReady()
+	}
+}
+
+// mostUpToDate is the active voter, this process aside, that has most of the log; 0: none is active.
+func (c *Core) mostUpToDate() (best uint64) {
+	match := uint64(0)
+	c.node.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
+		if id != c.identity.ID && kind == raft.ProgressTypePeer && pr.RecentActive && (best == 0 || pr.Match > match) {
+			best, match = id, pr.Match
+		}
+	})
+	return best
+}
+
+// reportLeadership logs changes in whether this process leads.
+func (c *Core) reportLeadership() {
+	status := c.node.BasicStatus()
+	if status.RaftState != raft.StateLeader {
+		if c.leadership.reportedTerm != 0 {
+			c.leadership.reportedTerm = 0
+			c.effects.LogEvent("leader_lost", "term", status.Term)
+		}
+		return
+	}
+	if c.leadership.reportedTerm != status.Term {
+		c.leadership.reportedTerm = status.Term
+		c.configuration.changing = false
+		c.effects.LogEvent("leader_elected", "term", status.Term)
+	}
+}
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -3,119 +3,120 @@
 import (
 	"errors"
 	"maps"
+	"slices"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// MemoryStore is a Store for tests and for runs in virtual time, which a crash, a failure and a copy put back can be played with.
+// ErrClosed is of a MemoryStore that crashed or was closed.
+var ErrClosed = errors.New("memory: closed")
+
+// MemoryStore is a Store for tests and for runs in virtual time; it simulates crashes, failures and files restored from a backup.
 type MemoryStore struct {
-	disk StoredState
-	lazy *StoredState // what was last synced, while syncs are skipped
-	// SkipSync is a planted fault: what is saved is lost with a crash.
-	SkipSync bool
-	// Fail is the error of each call that saves from now on.
-	Fail   error
+	SkipSync bool  // a planted fault: what is saved is lost with a crash
+	Fail     error // of each call from now on; nil: none
+
+	stored StoredState
+	synced *StoredState // what was last synced, while syncs are skipped
 	closed bool
 }
 
+// entriesAfter is the part of a log behind an index.
+func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
+	n := 0
+	for n < len(entries) && entries[n].Index <= index {
+		n++
+	}
+	return entries[n:]
+}
+
 func clone(s StoredState) StoredState {
-	s.Entries = append([]raftpb.Entry(nil), s.Entries...)
-	s.Seen = maps.Clone(s.Seen)
+	s.Entries = slices.Clone(s.Entries)
+	s.StartRecords = maps.Clone(s.StartRecords)
 	return s
 }
 
-// Load gives what was saved.
+// Load returns what was saved, without the entries that the snapshot covers. It opens a store that crashed or was closed.
 func (m *MemoryStore) Load() (StoredState, error) {
 	m.closed = false
-	out := clone(m.disk)
-	if out.Seen == nil {
-		out.Seen = map[uint64]StartRecord{}
-	}
-	n := 0
-	for n < len(out.Entries) && out.Entries[n].Index <= out.Snap.Metadata.Index {
-		n++
+	out := clone(m.stored)
+	if out.StartRecords == nil {
+		out.StartRecords = map[uint64]StartRecord{}
 	}
-	out.Entries = out.Entries[n:]
+	out.Entries = entriesAfter(out.Entries, out.Snapshot.Metadata.Index)
 	return out, m.Fail
 }
 
 func (m *MemoryStore) write(f func(s *StoredState)) error {
 	if m.closed {
-		return errors.New("memory: closed")
+		return ErrClosed
 	}
 	if m.Fail != nil {
 		return m.Fail
 	}
-	if m.SkipSync && m.lazy == nil {
-		was := clone(m.disk)
-		m.lazy = &was
+	if m.SkipSync && m.synced == nil {
+		synced := clone(m.stored)
+		m.synced = &synced
 	}
-	f(&m.disk)
+	f(&m.stored)
 	return nil
 }
 
-// Crash loses what was not synced.
+// Crash loses what was not synced and closes the store.
 func (m *MemoryStore) Crash() {
-	if m.lazy != nil {
-		m.disk, m.lazy = *m.lazy, nil
+	if m.synced != nil {
+		m.stored, m.synced = *m.synced, nil
 	}
 	m.closed = true
 }
 
-// Copy is what a backup of the file would hold, and PutBack puts one in its place.
-func (m *MemoryStore) Copy() StoredState { return clone(m.disk) }
+// Copy is what a backup of the store would hold.
+func (m *MemoryStore) Copy() StoredState { return clone(m.stored) }
 
-// PutBack takes a copy for the file.
-func (m *MemoryStore) PutBack(s StoredState) { m.disk, m.lazy = clone(s), nil }
+// PutBack restores a copy in place of all that was saved.
+func (m *MemoryStore) PutBack(s StoredState) { m.stored, m.synced = clone(s), nil }
 
-// SaveIdentity is the Store's.
+// SaveIdentity implements Store.
 func (m *MemoryStore) SaveIdentity(id Identity) error {
 	return m.write(func(s *StoredState) { s.Identity = id })
 }
 
-// SaveStartRecord is the Store's.
-func (m *MemoryStore) SaveStartRecord(id uint64, seen StartRecord) error {
+// SaveStartRecord implements Store.
+func (m *MemoryStore) SaveStartRecord(id uint64, start StartRecord) error {
 	return m.write(func(s *StoredState) {
-		if s.Seen == nil {
-			s.Seen = map[uint64]StartRecord{}
+		if s.StartRecords == nil {
+			s.StartRecords = map[uint64]StartRecord{}
 		}
-		s.Seen[id] = seen
+		s.StartRecords[id] = start
 	})
 }
 
-// Save is the Store's.
+// Save implements Store.
 func (m *MemoryStore) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
 	return m.write(func(s *StoredState) {
 		if !raft.IsEmptySnap(snap) {
-			s.Snap = snap
+			s.Snapshot = snap
 			if n := len(s.Entries); n > 0 && s.Entries[n-1].Index < snap.Metadata.Index {
 				s.Entries = nil
 			}
 		}
 		if len(entries) > 0 {
-			n := 0
-			for n < len(s.Entries) && s.Entries[n].Index < entries[0].Index {
-				n++
-			}
-			s.Entries = append(s.Entries[:n:n], entries...)
+			kept := len(s.Entries) - len(entriesAfter(s.Entries, entries[0].Index-1))
+			s.Entries = append(s.Entries[:kept:kept], entries...)
 		}
 		if !raft.IsEmptyHardState(hard) {
-			s.Hard = hard
+			s.HardState = hard
 		}
 	})
 }
 
-// Compact is the Store's.
+// Compact implements Store.
 func (m *MemoryStore) Compact(upTo uint64) error {
 	return m.write(func(s *StoredState) {
-		n := 0
-		for n < len(s.Entries) && s.Entries[n].Index <= upTo {
-			n++
-		}
-		s.Entries = append([]raftpb.Entry(nil), s.Entries[n:]...)
+		s.Entries = slices.Clone(entriesAfter(s.Entries, upTo))
 	})
 }
 
-// Close is the Store's.
+// Close implements Store.
 func (m *MemoryStore) Close() error { m.closed = true; return nil }
--- /dev/null
+++ b/internal/fleet/consensus/message_test.go
@@ -0,0 +1,88 @@
+package consensus
+
+import (
+	"bytes"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+// kindAndBody cuts the kind off a message, as Receive does.
+func kindAndBody(t *testing.T, data []byte) (kind uint64, body encoding.Reader) {
+	t.Helper()
+	r := encoding.Reader{Data: data}
+	kind = r.Uint()
+	return kind, r
+}
+
+func TestMessagesRoundTrip(t *testing.T) {
+	h := hello{group: "g", name: "a", replica: 1 << 40, starts: 300, incarnation: 1 << 63}
+	kind, body := kindAndBody(t, h.encode())
+	if got, err := decodeHello(body); err != nil || kind != kindHello || got != h {
+		t.Errorf("hello: %d %+v %v", kind, got, err)
+	}
+	m := welcome{group: "g", replica: 7, hasGroup: true, start: StartRecord{Starts: 2, Incarnation: 3}, received: evidence{4, 5, 6}}
+	kind, body = kindAndBody(t, m.encode())
+	if got, err := decodeWelcome(body); err != nil || kind != kindWelcome || got != m {
+		t.Errorf("welcome: %d %+v %v", kind, got, err)
+	}
+	sent := raftpb.Message{Type: raftpb.MsgApp, From: 1, To: 2, Term: 3}
+	data, err := encodeRaft("g", &sent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	kind, body = kindAndBody(t, data)
+	if got, err := decodeRaft(body, "g"); err != nil || kind != kindRaft || got.Term != 3 {
+		t.Errorf("raft: %d %+v %v", kind, got, err)
+	}
+	if _, err := decodeRaft(body, "other"); err != ErrRaftMessage {
+		t.Errorf("raft message of another group: %v", err)
+	}
+	p := proposal{tag: 9, machine: 1, command: []byte("x")}
+	if got, err := decodeProposal(p.encode()); err != nil || got.tag != 9 || got.machine != 1 || !bytes.Equal(got.command, p.command) {
+		t.Errorf("proposal: %+v %v", got, err)
+	}
+}
+
+func TestTruncatedMessagesAreRejected(t *testing.T) {
+	for name, c := range map[string]struct {
+		data   []byte
+		decode func(encoding.Reader) error
+	}{
+		"hello":   {hello{group: "g", name: "a"}.encode(), func(r encoding.Reader) error { _, err := decodeHello(r); return err }},
+		"welcome": {welcome{group: "g"}.encode(), func(r encoding.Reader) error { _, err := decodeWelcome(r); return err }},
+	} {
+		for n := 1; n < len(c.data); n++ {
+			if _, body := kindAndBody(t, c.data[:n]); c.decode(body) == nil {
+				t.Errorf("%s truncated to %d bytes is accepted", name, n)
+			}
+		}
+	}
+}
+
+// TestStoreIsOlder: each thing that another process has received and the own store does not hold shows.
+func TestStoreIsOlder(t *testing.T) {
+	c := &Core{identity: Identity{ID: 1, Starts: 4}, incarnation: 11}
+	c.recovered.HardState.Term = 5
+	c.recovered.Entries = []raftpb.Entry{{Index: 20, Term: 5}}
+	own := StartRecord{Starts: 4, Incarnation: 11}
+	for _, x := range []struct {
+		name string
+		m    welcome
+		want bool
+	}{
+		{"the same", welcome{start: own, received: evidence{5, 5, 20}}, false},
+		{"less", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, false},
+		{"a later start", welcome{start: StartRecord{5, 11}}, true},
+		{"the same start of another process", welcome{start: StartRecord{4, 12}}, true},
+		{"a later term", welcome{start: own, received: evidence{6, 0, 0}}, true},
+		{"more of the log", welcome{start: own, received: evidence{5, 5, 21}}, true},
+		{"more of a log that was overwritten", welcome{start: own, received: evidence{5, 4, 21}}, false},
+	} {
+		if got := c.storeIsOlder(x.m); got != x.want {
+			t.Errorf("%s: %t", x.name, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/consensus/ready.go
@@ -0,0 +1,227 @@
+package consensus
+
+import (
+	"fmt"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+// Receive handles a message of another process's Core. Errors are ErrHello, ErrWelcome, ErrRaftMessage, ErrMessageKind, a *MisroutedError or
+// what the raft library says of a malformed message.
+func (c *Core) Receive(now Time, from uint32, msg []byte) error {
+	c.now = max(c.now, now)
+	r := encoding.Reader{Data: msg}
+	switch r.Uint() {
+	case kindHello:
+		h, err := decodeHello(r)
+		if err != nil {
+			return err
+		}
+		return c.handleHello(from, h)
+	case kindWelcome:
+		m, err := decodeWelcome(r)
+		if err != nil {
+			return err
+		}
+		return c.handleWelcome(from, m)
+	case kindRaft:
+		m, err := decodeRaft(r, c.cfg.Group)
+		if err != nil {
+			return err
+		}
+		return c.handleRaft(from, m)
+	}
+	return ErrMessageKind
+}
+
+// handleRaft passes a message to the raft library.
+func (c *Core) handleRaft(from uint32, m raftpb.Message) error {
+	if peerOf(m.From) != from || m.To != c.identity.ID || raft.IsLocalMsg(m.Type) {
+		return &MisroutedError{Sender: m.From, Receiver: m.To, Peer: from}
+	}
+	c.joining.noteMessage(&m)
+	if c.node == nil || c.phase != Member && c.phase != NotMember {
+		return nil
+	}
+	c.guard(func() {
+		c.node.Step(m)
+		if c.deservesTime(&m) {
+			c.election.reset(c.now)
+		}
+	})
+	c.processReady()
+	return nil
+}
+
+// deservesTime says whether a message that was just handled puts off this process's own candidacy: it is of the leader, or of a candidate
+// that got this process's vote.
+func (c *Core) deservesTime(m *raftpb.Message) bool {
+	status := c.node.BasicStatus()
+	switch m.Type {
+	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
+		return status.Lead == m.From
+	case raftpb.MsgVote:
+		return status.HardState.Vote == m.From && status.HardState.Term == m.Term
+	}
+	return false
+}
+
+// startRaft begins to take part, with what the store held.
+func (c *Core) startRaft() {
+	c.storage = raft.NewMemoryStorage()
+	if !raft.IsEmptySnap(c.recovered.Snapshot) {
+		c.storage.ApplySnapshot(c.recovered.Snapshot)
+	}
+	c.storage.SetHardState(c.recovered.HardState)
+	c.storage.Append(c.recovered.Entries)
+	var err error
+	c.guard(func() { c.node, err = raft.NewRawNode(c.raftConfig()) })
+	if err != nil {
+		c.becomeBroken(fmt.Errorf("what the store holds does not fit together: %v", err))
+	}
+	if c.phase == Broken {
+		return
+	}
+	c.recovered.Entries = nil
+	c.phase = NotMember
+	if c.configuration.contains(c.identity.ID) {
+		c.phase = Member
+	}
+	c.lastTick = c.now
+	c.election.reset(c.now)
+	c.processReady()
+}
+
+// processReady carries out what the raft library has decided.
+func (c *Core) processReady() {
+	if c.processing {
+		return // an effect has asked for more: the loop that runs goes on with it
+	}
+	c.processing = true
+	defer func() { c.processing = false }()
+	c.guard(func() {
+		for c.node != nil && c.node.HasReady() {
+			rd := c.node.Ready()
+			if !c.persist(&rd) {
+				return
+			}
+			c.carryOut(&rd)
+			if c.node == nil {
+				return
+			}
+			c.node.Advance(rd)
+			c.compact()
+		}
+		if c.node != nil {
+			c.reportLeadership()
+		}
+	})
+}
+
+// persist makes durable what must not be forgotten, before any message speaks of it; false: the store failed.
+func (c *Core) persist(rd *raft.Ready) bool {
+	if len(rd.Entries) > 0 || !raft.IsEmptyHardState(rd.HardState) || !raft.IsEmptySnap(rd.Snapshot) {
+		if !c.checkStored(c.store.Save(rd.HardState, rd.Entries, rd.Snapshot)) {
+			return false
+		}
+	}
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil {
+			panic(err)
+		}
+		if err := c.restoreSnapshot(rd.Snapshot); err != nil {
+			panic(err)
+		}
+	}
+	if !raft.IsEmptyHardState(rd.HardState) {
+		c.storage.SetHardState(rd.HardState)
+	}
+	c.storage.Append(rd.Entries)
+	return true
+}
+
+// carryOut sends messages, applies committed entries and reports confirmed reads.
+func (c *Core) carryOut(rd *raft.Ready) {
+	for i := range rd.Messages {
+		c.sendRaft(&rd.Messages[i])
+	}
+	for i := range rd.CommittedEntries {
+		c.apply(&rd.CommittedEntries[i])
+	}
+	for _, s := range rd.ReadStates {
+		r := encoding.Reader{Data: s.RequestCtx}
+		if tag := r.Uint(); r.Err() == nil {
+			c.effects.Confirmed(tag)
+		}
+	}
+}
+
+func (c *Core) sendRaft(m *raftpb.Message) {
+	if m.To == c.identity.ID {
+		return
+	}
+	data, err := encodeRaft(c.cfg.Group, m)
+	if err != nil {
+		panic(err)
+	}
+	c.effects.Send(peerOf(m.To), data)
+	if m.Type == raftpb.MsgSnap {
+		// A snapshot that does not arrive is sent again; the library must not wait for a report meanwhile.
+		c.node.ReportSnapshot(m.To, raft.SnapshotFinish)
+	}
+}
+
+// apply applies a committed entry.
+func (c *Core) apply(e *raftpb.Entry) {
+	c.applied.index, c.applied.term = e.Index, e.Term
+	switch e.Type {
+	case raftpb.EntryNormal:
+		c.applyCommand(e.Data)
+	case raftpb.EntryConfChange:
+		var change raftpb.ConfChange
+		if err := change.Unmarshal(e.Data); err != nil {
+			panic(err)
+		}
+		c.applyChange(change.AsV2())
+	case raftpb.EntryConfChangeV2:
+		var change raftpb.ConfChangeV2
+		if err := change.Unmarshal(e.Data); err != nil {
+			panic(err)
+		}
+		c.applyChange(change)
+	}
+}
+
+// applyCommand gives a command to its machine. An empty entry is a new leader's, and a machine that is not known here is skipped.
+func (c *Core) applyCommand(data []byte) {
+	if len(data) == 0 {
+		return
+	}
+	p, err := decodeProposal(data)
+	if err != nil {
+		return
+	}
+	if m := c.machines.byKind[p.machine]; m != nil {
+		c.effects.Applied(p.machine, p.tag, m.Apply(p.command))
+	}
+}
+
+// applyChange applies a change of the configuration. One without changes only leaves a joint configuration.
+func (c *Core) applyChange(change raftpb.ConfChangeV2) {
+	context := decodeChangeContext(change.Context)
+	c.configuration.apply(*c.node.ApplyConfChange(change), change.Changes, context.name)
+	for _, single := range change.Changes {
+		if single.Type == raftpb.ConfChangeAddNode || single.Type == raftpb.ConfChangeAddLearnerNode {
+			delete(c.joining.applicants, context.name)
+		}
+	}
+	c.updatePhase()
+	if len(change.Changes) > 0 {
+		state := &c.configuration.state
+		c.effects.LogEvent("group_changed", "voters", len(state.Voters), "learners", len(state.Learners), "name", context.name)
+		c.effects.Applied(0, context.tag, nil)
+	}
+}
--- /dev/null
+++ b/internal/fleet/consensus/status.go
@@ -0,0 +1,66 @@
+package consensus
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+)
+
+// Status is what operators see of this process.
+func (c *Core) Status() Status {
+	s := Status{
+		Phase:   c.phase.String(),
+		Reason:  c.reason(),
+		ID:      formatID(c.identity.ID),
+		Boots:   c.identity.Starts,
+		Applied: c.applied.index,
+		Waits:   []string{},
+		Members: []StatusMember{},
+	}
+	followers := map[uint64]progress{}
+	if c.node != nil {
+		status := c.node.BasicStatus()
+		s.Term, s.Commit, s.Leader = status.Term, status.Commit, c.configuration.names[status.Lead]
+		if status.RaftState == raft.StateLeader {
+			c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) { followers[id] = pr })
+		}
+	}
+	s.Waits = slices.AppendSeq(s.Waits, maps.Keys(c.joining.applicants))
+	slices.Sort(s.Waits)
+	member := func(id uint64, votes bool) StatusMember {
+		pr := followers[id]
+		active := pr.RecentActive || id == c.identity.ID && pr.Match > 0
+		return StatusMember{Name: c.configuration.names[id], ID: formatID(id), Votes: votes, Match: pr.Match, Active: active}
+	}
+	for _, id := range c.configuration.state.Voters {
+		s.Members = append(s.Members, member(id, true))
+	}
+	for _, id := range c.configuration.state.Learners {
+		s.Members = append(s.Members, member(id, false))
+	}
+	return s
+}
+
+func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
+
+// Phase is how far this process takes part, and why not further.
+func (c *Core) Phase() (Phase, string) { return c.phase, c.reason() }
+
+// reason is why this process takes no part any more.
+func (c *Core) reason() string {
+	switch c.phase {
+	case Stale:
+		return staleReason
+	case Broken:
+		return c.failure.Error()
+	}
+	return ""
+}
+
+// Failure is what broke this replica; nil: nothing.
+func (c *Core) Failure() error { return c.failure }
+
+// Applied is the index of the last command applied here.
+func (c *Core) Applied() uint64 { return c.applied.index }
