--- a/internal/app/node/joined.go
+++ b/internal/app/node/joined.go
@@ -44,7 +44,7 @@
 }
 
 func (r *replacement) platform() memberagent.Platform {
-	return memberagent.Platform{Link: r.peers, Peers: len(r.cfg.Peers.Peers), Me: r.cfg.Settings.Instance}
+	return memberagent.Platform{Link: r.peers, PeerCount: len(r.cfg.Peers.Peers), OwnNumber: r.cfg.Settings.Instance}
 }
 
 // rejoin is join for a process that has come to be the one that serves; the other one may hold the address a moment longer.
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -146,7 +146,7 @@
 	if s := cfg.Settings; s.MayGossip && cfg.Peers.Listen != "" && s.Instances > 1 {
 		// Messages help, and a proxy without them serves all the same.
 		told, err := peers.Open(loop, cfg.Peers, s.Instance, handed.Datagram, func(from int, data []byte) {
-			if !r.members.Take(from, data) {
+			if !r.members.ReceiveShared(from, data) {
 				core.PeerMessageReceived(from, data)
 			}
 		})
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -16,7 +16,7 @@
 		r.owners.Leave(func() { r.members.Yield() })
 		r.front.Stop()
 		if r.peers != nil {
-			r.peers.Deafen()
+			r.peers.StopReceiving()
 		}
 		r.core.SetHandedOver(true)
 		slog.Info("hot_restart_handed_over", "sessions", r.core.Sessions())
--- a/internal/app/node/replace.go
+++ b/internal/app/node/replace.go
@@ -183,7 +183,7 @@
 		return err
 	}
 	if r.peers != nil {
-		r.peers.Hear()
+		r.peers.StartReceiving()
 	}
 	r.core.SetHandedOver(false)
 	if r.dir != "" {
--- a/internal/fleet/encoding/encoding.go
+++ b/internal/fleet/encoding/encoding.go
@@ -1,6 +1,6 @@
-// Package encoding writes and reads the short records that processes of a fleet send one another and keep on disk: unsigned numbers in as few
-// bytes as they need, and byte strings after their length. It owns nothing but that form. A Reader never reads past its data: what is
-// torn or too long gives zero values, and Err tells.
+// Package encoding writes and reads the short records that processes of a fleet send to one another and store on disk: unsigned numbers as
+// varints, and byte strings behind their length. A Reader never reads past its data: what is truncated or too long gives zero values, and
+// Err reports it.
 package encoding
 
 import (
@@ -8,10 +8,10 @@
 	"errors"
 )
 
-// ErrTorn says that a record ends before it should, or holds a length beyond what its field may have.
+// ErrTorn is of a record that ends early, or that holds a length beyond its field's bound.
 var ErrTorn = errors.New("encoding: the record is torn")
 
-// Writer appends to Data.
+// Writer appends fields to Data; its methods return it, so that calls can be chained.
 type Writer struct{ Data []byte }
 
 // Uint appends a number.
@@ -42,10 +42,10 @@
 	return w
 }
 
-// Reader takes records apart.
+// Reader reads fields from the front of Data. After the first error all fields are zero.
 type Reader struct {
-	Data []byte
-	bad  bool
+	Data []byte // what is not read yet
+	torn bool
 }
 
 // Uint reads a number.
@@ -62,10 +62,10 @@
 // Bool reads a flag.
 func (r *Reader) Bool() bool { return r.Uint() == 1 }
 
-// Bytes reads a byte string of at most so many bytes. It is a part of Data, not a copy.
-func (r *Reader) Bytes(most int) []byte {
+// Bytes reads a byte string of at most maxBytes. It is a part of Data, not a copy.
+func (r *Reader) Bytes(maxBytes int) []byte {
 	n := r.Uint()
-	if n > uint64(most) || n > uint64(len(r.Data)) {
+	if n > uint64(maxBytes) || n > uint64(len(r.Data)) {
 		r.fail()
 		return nil
 	}
@@ -74,25 +74,26 @@
 	return b
 }
 
-// Text reads a string of at most so many bytes.
-func (r *Reader) Text(most int) string { return string(r.Bytes(most)) }
+// Text reads a string of at most maxBytes.
+func (r *Reader) Text(maxBytes int) string { return string(r.Bytes(maxBytes)) }
 
-// Count reads how many records follow, each of at least a byte and at most so many.
-func (r *Reader) Count(most int) int {
+// Count reads how many records follow, at most maxCount. Each has at least a byte, so that a count cannot make a caller allocate more than
+// the data's length.
+func (r *Reader) Count(maxCount int) int {
 	n := r.Uint()
-	if n > uint64(most) || n > uint64(len(r.Data)) {
+	if n > uint64(maxCount) || n > uint64(len(r.Data)) {
 		r.fail()
 		return 0
 	}
 	return int(n)
 }
 
-// Err tells whether all that was read was there.
+// Err is ErrTorn if a field could not be read; nil: all could.
 func (r *Reader) Err() error {
-	if r.bad {
+	if r.torn {
 		return ErrTorn
 	}
 	return nil
 }
 
-func (r *Reader) fail() { r.bad, r.Data = true, nil }
+func (r *Reader) fail() { r.torn, r.Data = true, nil }
--- a/internal/fleet/encoding/encoding_test.go
+++ b/internal/fleet/encoding/encoding_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// FuzzReader: whatever comes, nothing is read past the data, no length is believed beyond its bound, and what is whole comes back as
-// it was written.
+// FuzzReader: nothing is read past the data, no length beyond its bound is accepted, and what is complete is written the same again.
 func FuzzReader(f *testing.F) {
 	w := Writer{}
 	f.Add(w.Uint(300).Text("name").Bool(true).Bytes([]byte{1, 2}).Data)
@@ -25,11 +24,12 @@
 		w := Writer{}
 		again := Reader{Data: w.Uint(n).Text(s).Bool(b).Bytes(c).Uint(uint64(k)).Data}
 		if again.Uint() != n || again.Text(16) != s || again.Bool() != b || !bytes.Equal(again.Bytes(8), c) {
-			t.Fatalf("%x does not come back", data)
+			t.Fatalf("%x is not read as written", data)
 		}
 	})
 }
 
+// TestTornRecords: a truncated record, and a field beyond its bound, are errors.
 func TestTornRecords(t *testing.T) {
 	w := Writer{}
 	whole := w.Uint(1 << 40).Text("abc").Data
@@ -38,11 +38,11 @@
 		r.Uint()
 		r.Text(3)
 		if r.Err() == nil {
-			t.Errorf("%d of %d bytes are taken for whole", n, len(whole))
+			t.Errorf("%d of %d bytes are accepted as complete", n, len(whole))
 		}
 	}
 	r := Reader{Data: whole}
 	if r.Uint() != 1<<40 || r.Text(2) != "" || r.Err() == nil {
-		t.Error("a text beyond its bound is taken")
+		t.Error("a text beyond its bound is accepted")
 	}
 }
--- a/internal/fleet/fragment/fragment.go
+++ b/internal/fleet/fragment/fragment.go
@@ -27,20 +27,20 @@
 	pieceHead = 2 + 4 + 4 + 2 + 2
 	burst     = 24        // pieces sent at a time, a message
 	again     = Time(4e7) // between two such
-	mostOut   = 4         // long messages on their way to a peer
-	mostIn    = 4         // and from one
+	maxOutgoing   = 4         // long messages on their way to a peer
+	maxIncoming    = 4         // and from one
 	kept      = 32        // whole ones remembered, so that none is taken twice
 
 	kindWhole = 0
 	kindPiece = 1
-	kindTaken = 2
+	kindAck = 2
 )
 
 // ErrMalformed says that a datagram is no part of a message.
 var ErrMalformed = errors.New("fragment: malformed datagram")
 
 // ErrLong says that a message is too long.
-var ErrLong = errors.New("fragment: message over 200 KiB")
+var ErrMessageTooLong = errors.New("fragment: message over 200 KiB")
 
 // Effects is what a Box can do. What is passed is valid during the call only.
 type Effects interface {
@@ -68,8 +68,8 @@
 }
 
 type peer struct {
-	out   []*outgoing
-	in    []*incoming
+	outgoing   []*outgoing
+	incoming    []*incoming
 	whole []uint64 // life and seq of messages that came whole, the latest last
 }
 
@@ -112,17 +112,17 @@
 		return nil
 	}
 	if len(data) > MaxMessage {
-		return ErrLong
+		return ErrMessageTooLong
 	}
 	p := b.peer(to)
-	if len(p.out) >= mostOut { // the newest news matter most
-		p.out = p.out[1:]
+	if len(p.outgoing) >= maxOutgoing { // the newest news matter most
+		p.outgoing = p.outgoing[1:]
 		b.GivenUp++
 	}
 	b.seq++
 	n := (len(data) + b.piece - 1) / b.piece
 	o := &outgoing{seq: b.seq, data: append([]byte(nil), data...), taken: make([]bool, n), left: n, until: now + GiveUpAfter}
-	p.out = append(p.out, o)
+	p.outgoing = append(p.outgoing, o)
 	b.sendSome(now, to, o)
 	return nil
 }
@@ -152,8 +152,8 @@
 func (b *Transport) Tick(now Time) {
 	for _, id := range b.order {
 		p := b.peers[id]
-		kept := p.out[:0]
-		for _, o := range p.out {
+		kept := p.outgoing[:0]
+		for _, o := range p.outgoing {
 			if now >= o.until {
 				b.GivenUp++
 				continue
@@ -163,6 +163,6 @@
 				b.sendSome(now, id, o)
 			}
 		}
-		p.out = kept
+		p.outgoing = kept
 	}
 }
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -11,39 +11,39 @@
 	rng   *rand.Rand
 	loss  float64
 	ends  [2]*Transport
-	queue []sent
-	got   [2][][]byte
-	most  int
+	queue []queuedDatagram
+	received   [2][][]byte
+	longest  int
 }
 
-type sent struct {
-	to   int
+type queuedDatagram struct {
+	end   int
 	data []byte
 }
 
-type end struct {
-	w  *wire
-	me int
+type testEnd struct {
+	wire  *wire
+	index int
 }
 
-func (e end) Datagram(_ uint32, data []byte) {
-	w := e.w
-	w.most = max(w.most, len(data))
+func (e testEnd) Datagram(_ uint32, data []byte) {
+	w := e.wire
+	w.longest = max(w.longest, len(data))
 	for range 1 + w.rng.IntN(2) { // some twice
 		if w.rng.Float64() >= w.loss {
-			w.queue = append(w.queue, sent{1 - e.me, append([]byte(nil), data...)})
+			w.queue = append(w.queue, queuedDatagram{1 - e.index, append([]byte(nil), data...)})
 		}
 	}
 }
 
-func (e end) Message(_ uint32, data []byte) {
-	e.w.got[e.me] = append(e.w.got[e.me], append([]byte(nil), data...))
+func (e testEnd) Message(_ uint32, data []byte) {
+	e.wire.received[e.index] = append(e.wire.received[e.index], append([]byte(nil), data...))
 }
 
 func newWire(seed uint64, loss float64) *wire {
 	w := &wire{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
 	for i := range w.ends {
-		w.ends[i] = New(240, uint32(seed)+uint32(i), end{w, i})
+		w.ends[i] = New(240, uint32(seed)+uint32(i), testEnd{w, i})
 	}
 	return w
 }
@@ -54,7 +54,7 @@
 		w.queue = nil
 		w.rng.Shuffle(len(q), func(i, j int) { q[i], q[j] = q[j], q[i] })
 		for _, s := range q {
-			w.ends[s.to].Receive(now, uint32(1-s.to), s.data)
+			w.ends[s.end].Receive(now, uint32(1-s.end), s.data)
 		}
 		w.ends[0].Tick(now)
 		w.ends[1].Tick(now)
@@ -74,16 +74,16 @@
 				t.Fatal(err)
 			}
 			w.run(0, GiveUpAfter)
-			if size > 238 && len(w.got[1]) != 1 {
-				t.Fatalf("seed %d, %d bytes: came %d times", seed, size, len(w.got[1]))
+			if size > 238 && len(w.received[1]) != 1 {
+				t.Fatalf("seed %d, %d bytes: came %d times", seed, size, len(w.received[1]))
 			}
-			for _, g := range w.got[1] {
+			for _, g := range w.received[1] {
 				if !bytes.Equal(g, data) {
 					t.Fatalf("seed %d, %d bytes: came torn", seed, size)
 				}
 			}
-			if w.most > 240 {
-				t.Fatalf("a datagram of %d bytes", w.most)
+			if w.longest > 240 {
+				t.Fatalf("a datagram of %d bytes", w.longest)
 			}
 			if size == MaxMessage && seed > 2 {
 				break
@@ -98,21 +98,21 @@
 	for range 100 {
 		w.ends[0].Send(0, 1, make([]byte, 10000))
 	}
-	if n := len(w.ends[0].peers[1].out); n != mostOut {
-		t.Errorf("%d messages wait, want %d", n, mostOut)
+	if n := len(w.ends[0].peers[1].outgoing); n != maxOutgoing {
+		t.Errorf("%d messages wait, want %d", n, maxOutgoing)
 	}
-	if w.ends[0].Send(0, 1, make([]byte, MaxMessage+1)) != ErrLong {
+	if w.ends[0].Send(0, 1, make([]byte, MaxMessage+1)) != ErrMessageTooLong {
 		t.Error("a message over the bound is taken")
 	}
 	w.ends[0].Tick(GiveUpAfter)
-	if n := len(w.ends[0].peers[1].out); n != 0 || w.ends[0].GivenUp != 100 {
+	if n := len(w.ends[0].peers[1].outgoing); n != 0 || w.ends[0].GivenUp != 100 {
 		t.Errorf("after the patience %d wait, %d given up", n, w.ends[0].GivenUp)
 	}
 	for i := range 100 {
 		d := []byte{DatagramPrefix, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
 		w.ends[1].Receive(0, 7, append(d, make([]byte, 150)...))
 	}
-	if n := len(w.ends[1].peers[7].in); n > mostIn {
+	if n := len(w.ends[1].peers[7].incoming); n > maxIncoming {
 		t.Errorf("%d messages in part", n)
 	}
 }
@@ -122,11 +122,11 @@
 	w := newWire(1, 0)
 	w.ends[0].Send(0, 1, bytes.Repeat([]byte("a"), 1000))
 	w.run(0, 1e9)
-	w.ends[0] = New(240, 99, end{w, 0})
+	w.ends[0] = New(240, 99, testEnd{w, 0})
 	w.ends[0].Send(1e9, 1, bytes.Repeat([]byte("b"), 1000))
 	w.run(1e9, 2e9)
-	if len(w.got[1]) != 2 || w.got[1][1][0] != 'b' {
-		t.Fatalf("%d messages came", len(w.got[1]))
+	if len(w.received[1]) != 2 || w.received[1][1][0] != 'b' {
+		t.Fatalf("%d messages came", len(w.received[1]))
 	}
 }
 
@@ -134,7 +134,7 @@
 	f.Add([]byte{DatagramPrefix, kindWhole, 1})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 1, 0, 2, 9})
-	f.Add([]byte{DatagramPrefix, kindTaken, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
+	f.Add([]byte{DatagramPrefix, kindAck, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		w := newWire(1, 0)
 		w.ends[0].Send(0, 1, make([]byte, 2000))
@@ -144,7 +144,7 @@
 			b.Receive(0, 1, append(append([]byte(nil), data...), data...))
 		}
 		for _, p := range b.peers {
-			for _, m := range p.in {
+			for _, m := range p.incoming {
 				if len(m.data) > 2*MaxMessage {
 					t.Fatalf("%d bytes kept", len(m.data))
 				}
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -17,7 +17,7 @@
 		b.fx.Message(from, data[wholeHead:])
 	case kindPiece:
 		ok = b.takePiece(from, data)
-	case kindTaken:
+	case kindAck:
 		ok = b.takeTaken(now, from, data)
 	}
 	if !ok {
@@ -46,7 +46,7 @@
 		}
 	}
 	var m *incoming
-	for _, o := range p.in {
+	for _, o := range p.incoming {
 		if o.life == life && o.seq == seq {
 			m = o
 		}
@@ -60,10 +60,10 @@
 		}
 		m = &incoming{life: life, seq: seq, data: make([]byte, 0, n*len(body)), have: make([]bool, n), left: n, size: len(body)}
 		m.data = m.data[:n*len(body)]
-		if len(p.in) >= mostIn {
-			p.in = p.in[1:]
+		if len(p.incoming) >= maxIncoming {
+			p.incoming = p.incoming[1:]
 		}
-		p.in = append(p.in, m)
+		p.incoming = append(p.incoming, m)
 	}
 	if len(m.have) != n || i < n-1 && len(body) != m.size || len(body) > m.size {
 		return false
@@ -84,9 +84,9 @@
 		}
 		return true
 	}
-	for j, o := range p.in {
+	for j, o := range p.incoming {
 		if o == m {
-			p.in = append(p.in[:j:j], p.in[j+1:]...)
+			p.incoming = append(p.incoming[:j:j], p.incoming[j+1:]...)
 			break
 		}
 	}
@@ -100,7 +100,7 @@
 
 // tell tells a sender which pieces have come; nil: all.
 func (b *Transport) tell(to uint32, life, seq uint32, have []bool) {
-	d := append(b.buf[:0], DatagramPrefix, kindTaken)
+	d := append(b.buf[:0], DatagramPrefix, kindAck)
 	d = binary.BigEndian.AppendUint32(d, life)
 	d = binary.BigEndian.AppendUint32(d, seq)
 	bits := make([]byte, (len(have)+7)/8)
@@ -123,7 +123,7 @@
 	}
 	seq, bits := binary.BigEndian.Uint32(data[6:]), data[10:]
 	p := b.peer(from)
-	for j, o := range p.out {
+	for j, o := range p.outgoing {
 		if o.seq != seq {
 			continue
 		}
@@ -134,7 +134,7 @@
 			}
 		}
 		if len(bits) == 0 || o.left == 0 {
-			p.out = append(p.out[:j:j], p.out[j+1:]...)
+			p.outgoing = append(p.outgoing[:j:j], p.outgoing[j+1:]...)
 		} else if o.at < 2*len(o.taken) {
 			b.sendSome(now, from, o) // the first round goes as fast as it is taken
 		}
--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -12,7 +12,7 @@
 type recordingEnd struct {
 	samples *golden.Samples
 	queue   [][]byte
-	got     [][]byte
+	received     [][]byte
 }
 
 func (e *recordingEnd) Datagram(_ uint32, data []byte) {
@@ -20,7 +20,7 @@
 	e.queue = append(e.queue, bytes.Clone(data))
 }
 
-func (e *recordingEnd) Message(_ uint32, data []byte) { e.got = append(e.got, bytes.Clone(data)) }
+func (e *recordingEnd) Message(_ uint32, data []byte) { e.received = append(e.received, bytes.Clone(data)) }
 
 // TestRecordedDatagrams: short and long messages are cut into the datagrams that they were cut into.
 func TestRecordedDatagrams(t *testing.T) {
@@ -43,8 +43,8 @@
 			t.Fatal(err)
 		}
 	}
-	if len(far.got) != 2 || string(far.got[0]) != "short" || !bytes.Equal(far.got[1], long) {
-		t.Errorf("%d messages arrived", len(far.got))
+	if len(far.received) != 2 || string(far.received[0]) != "short" || !bytes.Equal(far.received[1], long) {
+		t.Errorf("%d messages arrived", len(far.received))
 	}
 	golden.Check(t, "datagrams.golden", samples.Bytes())
 }
--- /dev/null
+++ b/internal/fleet/memberagent/channels.go
@@ -0,0 +1,29 @@
+package memberagent
+
+import "slices"
+
+// channels are the receivers of other packages' data, by channel.
+type channels map[byte]func(peer uint32, data []byte)
+
+// Attach has data that another package's counterpart sends on a channel received, with the id of the member that sent them. They share
+// membership's datagrams and its seal. A nil receive detaches.
+func (s *Agent) Attach(channel byte, receive func(peer uint32, data []byte)) {
+	s.channels[channel] = receive
+}
+
+// Room is how many bytes of an attached package's a datagram can carry.
+func (s *Agent) Room() int { return s.transport.payloadRoom() }
+
+// Carry sends an attached package's data to a member, at most Room bytes; they may be lost, and are where its address is not known.
+func (s *Agent) Carry(peer uint32, channel byte, data []byte) {
+	if !s.closed {
+		s.core.Carry(s.loop.Now(), peer, channel, data)
+	}
+}
+
+// CarriedData implements membership.Carrier.
+func (s *Agent) CarriedData(from uint32, channel byte, data []byte) {
+	if receive := s.channels[channel]; receive != nil {
+		receive(from, slices.Clone(data))
+	}
+}
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -9,13 +9,13 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-type heard struct {
+type received struct {
 	from int
 	data []byte
 }
 
-// tier opens n links on loopback; what each hears goes to its channel.
-func tier(t *testing.T, n int) ([]*Link, []chan heard) {
+// openLinks opens n links on loopback; what each receives goes to its channel.
+func openLinks(t *testing.T, n int) ([]*Link, []chan received) {
 	t.Helper()
 	var addrs []string
 	for i := 0; i < n; i++ { // ports are found by opening and closing once
@@ -27,39 +27,39 @@
 		c.Close()
 	}
 	var links []*Link
-	var chans []chan heard
+	var chans []chan received
 	for i := 0; i < n; i++ {
 		loop := netio.NewLoop()
 		go loop.Run()
 		t.Cleanup(loop.Stop)
-		ch := make(chan heard, 1000)
+		ch := make(chan received, 1000)
 		chans = append(chans, ch)
 		k, err := Open(loop, Addresses{Listen: addrs[i], Peers: addrs}, i, -1, func(from int, data []byte) {
-			ch <- heard{from, data}
+			ch <- received{from, data}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		k.Hear()
+		k.StartReceiving()
 		links = append(links, k)
 	}
 	return links, chans
 }
 
-func next(t *testing.T, ch chan heard) heard {
+func next(t *testing.T, ch chan received) received {
 	t.Helper()
 	select {
 	case h := <-ch:
 		return h
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing heard")
+		t.Fatal("nothing received")
 	}
-	return heard{}
+	return received{}
 }
 
-func TestTellsOneAndAll(t *testing.T) {
-	links, chans := tier(t, 4)
+func TestSendToOneAndAll(t *testing.T) {
+	links, chans := openLinks(t, 4)
 	links[1].SendToPeer(3, []byte("one"))
 	if h := next(t, chans[3]); h.from != 1 || string(h.data) != "one" {
 		t.Fatalf("%+v", h)
@@ -67,17 +67,17 @@
 	links[2].SendToPeer(-1, []byte("all"))
 	for _, i := range []int{0, 1, 3} {
 		if h := next(t, chans[i]); h.from != 2 || string(h.data) != "all" {
-			t.Fatalf("%d heard %+v", i, h)
+			t.Fatalf("%d received %+v", i, h)
 		}
 	}
 	if len(chans[2]) > 0 {
-		t.Fatal("told itself")
+		t.Fatal("sent to itself")
 	}
 }
 
-// TestTakesNothingFromStrangers: what is too long, or from an address that is no peer's, is counted and dropped.
-func TestTakesNothingFromStrangers(t *testing.T) {
-	links, chans := tier(t, 2)
+// TestDropsUnknownAndLong: datagrams that are too long, or from an address that is no peer's, are counted and dropped.
+func TestDropsUnknownAndLong(t *testing.T) {
+	links, chans := openLinks(t, 2)
 	to := links[0].conn.LocalAddr().(*net.UDPAddr)
 	c, err := net.DialUDP("udp4", nil, to)
 	if err != nil {
@@ -85,28 +85,28 @@
 	}
 	defer c.Close()
 	c.Write([]byte("stranger"))
-	links[1].conn.WriteToUDP(bytes.Repeat([]byte("x"), Longest+1), to)
+	links[1].conn.WriteToUDP(bytes.Repeat([]byte("x"), MaxDatagram+1), to)
 	for until := time.Now().Add(10 * time.Second); links[0].Dropped() < 2 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if links[0].Dropped() != 2 || len(chans[0]) > 0 {
-		t.Fatalf("dropped %d of 2, took %d", links[0].Dropped(), len(chans[0]))
+		t.Fatalf("dropped %d of 2, received %d", links[0].Dropped(), len(chans[0]))
 	}
-	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), Longest+1)) // never sent
+	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), MaxDatagram+1)) // never sent
 	links[1].SendToPeer(7, []byte("nobody"))
 	links[1].SendToPeer(0, nil)
-	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), Longest))
-	if h := next(t, chans[0]); len(h.data) != Longest || h.data[0] != 'z' {
-		t.Fatalf("heard %q", h.data)
+	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagram))
+	if h := next(t, chans[0]); len(h.data) != MaxDatagram || h.data[0] != 'z' {
+		t.Fatalf("received %q", h.data)
 	}
 }
 
-func TestAddressesThatCannotBeUsed(t *testing.T) {
+func TestInvalidAddresses(t *testing.T) {
 	for _, a := range []Addresses{{Listen: ""}, {Listen: "x:1"}, {Listen: "127.0.0.1:0", Peers: []string{"y"}},
 		{Listen: "127.0.0.1:0", All: "z"}} {
 		if k, err := Open(netio.NewLoop(), a, 0, -1, nil); err == nil {
 			k.Close()
-			t.Errorf("%+v taken", a)
+			t.Errorf("%+v accepted", a)
 		}
 	}
 }
--- /dev/null
+++ b/internal/fleet/peers/read.go
@@ -0,0 +1,54 @@
+package peers
+
+import (
+	"errors"
+	"net"
+	"net/netip"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"croftlock/internal/dataplane/netio"
+)
+
+const (
+	// maxWaiting bounds the datagrams that wait for the loop: what a busy loop is late for is out of date.
+	maxWaiting = 64
+	// readRetryDelay is the pause after a read that failed, as the kernel may stay short of memory.
+	readRetryDelay = time.Millisecond
+)
+
+// handler handles a datagram on the loop.
+type handler func(data []byte)
+
+// read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
+// the link is closed or told to stop.
+func (k *Link) read(l *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
+	var waiting atomic.Int32
+	buffer := make([]byte, MaxDatagram+1) // one more, so that a datagram that is too long shows
+	for {
+		n, from, err := k.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
+			return
+		}
+		if err != nil {
+			// ECONNREFUSED is of an earlier datagram of this process's that met a closed port: it says nothing of the next read.
+			if !errors.Is(err, syscall.ECONNREFUSED) {
+				time.Sleep(readRetryDelay)
+			}
+			continue
+		}
+		handle, known := handlerOf(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		if !known || n > MaxDatagram || waiting.Load() >= maxWaiting {
+			k.dropped.Add(1)
+			continue
+		}
+		data := append([]byte(nil), buffer[:n]...)
+		waiting.Add(1)
+		l.Post(func() {
+			waiting.Add(-1)
+			handle(data)
+		})
+	}
+}
--- /dev/null
+++ b/internal/fleet/replica/replica.go
@@ -0,0 +1,48 @@
+// Package replica opens a replica with a disk for the owner agent: consensus on a bbolt file. It is a package of its own so that programs
+// without replicas need not contain the two.
+package replica
+
+import (
+	"errors"
+	"path/filepath"
+
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/consensus/disk"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/owneragent"
+)
+
+const (
+	fileName      = "voter.db"
+	electionTicks = 6 // of 100 ms
+)
+
+// replica is consensus as the owner agent uses it.
+type replica struct{ *consensus.Core }
+
+// Stopped is why the replica takes part no more; nil: it does.
+func (r replica) Stopped() *group.StoreError {
+	if phase, _ := r.Phase(); phase == consensus.Broken {
+		return storeError(r.Failure())
+	}
+	return nil
+}
+
+func storeError(err error) *group.StoreError {
+	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), ByItself: disk.Recoverable(err)}
+}
+
+// Open opens the replica whose store is in a folder.
+func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
+	store, err := disk.Open(filepath.Join(o.Dir, fileName), o.Most)
+	if err != nil {
+		return nil, storeError(err)
+	}
+	cfg := consensus.Config{Group: o.Group, Name: o.Name, InitialVoters: o.Voters, Seed: o.Seed, ElectionTicks: electionTicks}
+	core, err := consensus.Open(cfg, store, o.Machines, o.Effects)
+	if err != nil {
+		store.Close()
+		return nil, storeError(err)
+	}
+	return replica{core}, nil
+}
