--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -8,16 +8,16 @@
 
 // wire is two ends with a bad link between them.
 type wire struct {
-	rng   *rand.Rand
-	loss  float64
-	ends  [2]*Transport
-	queue []queuedDatagram
-	received   [2][][]byte
+	rng      *rand.Rand
+	loss     float64
+	ends     [2]*Transport
+	queue    []queuedDatagram
+	received [2][][]byte
 	longest  int
 }
 
 type queuedDatagram struct {
-	end   int
+	end  int
 	data []byte
 }
 
@@ -29,7 +29,7 @@
 func (e testEnd) Datagram(_ uint32, data []byte) {
 	w := e.wire
 	w.longest = max(w.longest, len(data))
-	for range 1 + w.rng.IntN(2) { // some twice
+	for range 1 + w.rng.IntN(2) { // some are duplicated
 		if w.rng.Float64() >= w.loss {
 			w.queue = append(w.queue, queuedDatagram{1 - e.index, append([]byte(nil), data...)})
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestLongMessagesArriveOnce: through loss, doubling and another order, each arrives whole and once.
+// TestLongMessagesArriveOnce: through loss, duplication and reordering, each arrives complete and once.
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
 		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessage} {
@@ -75,11 +75,11 @@
 			}
 			w.run(0, GiveUpAfter)
 			if size > 238 && len(w.received[1]) != 1 {
-				t.Fatalf("seed %d, %d bytes: came %d times", seed, size, len(w.received[1]))
+				t.Fatalf("seed %d, %d bytes: arrived %d times", seed, size, len(w.received[1]))
 			}
 			for _, g := range w.received[1] {
 				if !bytes.Equal(g, data) {
-					t.Fatalf("seed %d, %d bytes: came torn", seed, size)
+					t.Fatalf("seed %d, %d bytes: arrived incomplete", seed, size)
 				}
 			}
 			if w.longest > 240 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestBounds: messages for a peer that takes nothing, and pieces of messages that never get whole, take bounded room.
+// TestBounds: messages for a peer that acknowledges nothing, and messages that stay incomplete, take bounded memory.
 func TestBounds(t *testing.T) {
 	w := newWire(1, 1)
 	for range 100 {
@@ -102,22 +102,22 @@
 		t.Errorf("%d messages wait, want %d", n, maxOutgoing)
 	}
 	if w.ends[0].Send(0, 1, make([]byte, MaxMessage+1)) != ErrMessageTooLong {
-		t.Error("a message over the bound is taken")
+		t.Error("a message over the bound is accepted")
 	}
 	w.ends[0].Tick(GiveUpAfter)
 	if n := len(w.ends[0].peers[1].outgoing); n != 0 || w.ends[0].GivenUp != 100 {
-		t.Errorf("after the patience %d wait, %d given up", n, w.ends[0].GivenUp)
+		t.Errorf("after GiveUpAfter %d wait, %d given up", n, w.ends[0].GivenUp)
 	}
 	for i := range 100 {
 		d := []byte{DatagramPrefix, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
 		w.ends[1].Receive(0, 7, append(d, make([]byte, 150)...))
 	}
 	if n := len(w.ends[1].peers[7].incoming); n > maxIncoming {
-		t.Errorf("%d messages in part", n)
+		t.Errorf("%d incomplete messages", n)
 	}
 }
 
-// TestRestartedSender: a new life's first message is not taken for the earlier one's.
+// TestRestartedSender: a new process's first message is not taken for the earlier one's.
 func TestRestartedSender(t *testing.T) {
 	w := newWire(1, 0)
 	w.ends[0].Send(0, 1, bytes.Repeat([]byte("a"), 1000))
@@ -126,10 +126,11 @@
 	w.ends[0].Send(1e9, 1, bytes.Repeat([]byte("b"), 1000))
 	w.run(1e9, 2e9)
 	if len(w.received[1]) != 2 || w.received[1][1][0] != 'b' {
-		t.Fatalf("%d messages came", len(w.received[1]))
+		t.Fatalf("%d messages arrived", len(w.received[1]))
 	}
 }
 
+// FuzzReceive: no datagram makes a Transport panic or exceed its bounds.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{DatagramPrefix, kindWhole, 1})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -1,144 +1,109 @@
 package fragment
 
-import (
-	"encoding/binary"
-)
+import "slices"
 
-// Receive takes a datagram from a peer.
-func (b *Transport) Receive(now Time, from uint32, data []byte) error {
-	if len(data) < wholeHead || data[0] != DatagramPrefix {
-		b.Malformed++
-		return ErrMalformed
-	}
-	ok := false
-	switch data[1] {
-	case kindWhole:
-		ok = true
-		b.fx.Message(from, data[wholeHead:])
-	case kindPiece:
-		ok = b.takePiece(from, data)
-	case kindAck:
-		ok = b.takeTaken(now, from, data)
-	}
-	if !ok {
-		b.Malformed++
-		return ErrMalformed
-	}
-	return nil
+// incoming is a long message of which some pieces have arrived.
+type incoming struct {
+	message    messageID
+	data       []byte
+	received   []bool // by piece
+	missing    int
+	pieceBytes int // of each piece but the last
+	sinceAck   int // pieces that arrived since the last ack, repeated ones included
 }
 
-func (b *Transport) takePiece(from uint32, data []byte) bool {
-	if len(data) <= pieceHead {
-		return false
+func newIncoming(p piece) *incoming {
+	return &incoming{
+		message:    p.message,
+		data:       make([]byte, p.count*len(p.body)),
+		received:   make([]bool, p.count),
+		missing:    p.count,
+		pieceBytes: len(p.body),
 	}
-	life, seq := binary.BigEndian.Uint32(data[2:]), binary.BigEndian.Uint32(data[6:])
-	i, n := int(binary.BigEndian.Uint16(data[10:])), int(binary.BigEndian.Uint16(data[12:]))
-	body := data[pieceHead:]
-	if i >= n || n < 2 || n*len(body) > 2*MaxMessage {
+}
+
+// add places a piece; false: it does not fit the earlier ones.
+func (m *incoming) add(p piece) bool {
+	if len(m.received) != p.count || !p.last() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
 	}
-	p := b.peer(from)
-	key := uint64(life)<<32 | uint64(seq)
-	for _, k := range p.whole {
-		if k == key {
-			b.tell(from, life, seq, nil)
-			return true
+	if !m.received[p.index] {
+		m.received[p.index] = true
+		m.missing--
+		copy(m.data[p.index*m.pieceBytes:], p.body)
+		if p.last() {
+			m.data = m.data[:p.index*m.pieceBytes+len(p.body)]
 		}
 	}
-	var m *incoming
-	for _, o := range p.incoming {
-		if o.life == life && o.seq == seq {
-			m = o
-		}
+	m.sinceAck++
+	return true
+}
+
+// handlePiece adds a piece to its message and delivers that once it is complete; false: the piece is malformed.
+func (b *Transport) handlePiece(from uint32, part piece) bool {
+	p := b.peer(from)
+	if slices.Contains(p.completed, part.message) {
+		b.sendAck(from, part.message, nil)
+		return true
 	}
+	m := p.find(part.message)
 	if m == nil {
-		if i == n-1 {
-			return true // shorter than the others: it can't be placed yet, and comes again
+		if part.last() {
+			return true // the length of the others is not known yet; it is sent again
 		}
-		if n*len(body) > MaxMessage+len(body) {
+		if part.count*len(part.body) > MaxMessage+len(part.body) {
 			return false
 		}
-		m = &incoming{life: life, seq: seq, data: make([]byte, 0, n*len(body)), have: make([]bool, n), left: n, size: len(body)}
-		m.data = m.data[:n*len(body)]
-		if len(p.incoming) >= maxIncoming {
-			p.incoming = p.incoming[1:]
-		}
-		p.incoming = append(p.incoming, m)
+		m = newIncoming(part)
+		p.begin(m)
 	}
-	if len(m.have) != n || i < n-1 && len(body) != m.size || len(body) > m.size {
+	if !m.add(part) {
 		return false
 	}
-	if !m.have[i] {
-		m.have[i] = true
-		m.left--
-		copy(m.data[i*m.size:], body)
-		if i == n-1 {
-			m.data = m.data[:i*m.size+len(body)]
-		}
-	}
-	m.fresh++
-	if m.left > 0 {
-		if m.fresh >= burst/2 || i == n-1 {
-			m.fresh = 0
-			b.tell(from, life, seq, m.have)
+	if m.missing > 0 {
+		if m.sinceAck >= piecesPerBurst/2 || part.last() {
+			m.sinceAck = 0
+			b.sendAck(from, m.message, m.received)
 		}
 		return true
 	}
-	for j, o := range p.incoming {
-		if o == m {
-			p.incoming = append(p.incoming[:j:j], p.incoming[j+1:]...)
-			break
-		}
-	}
-	if p.whole = append(p.whole, key); len(p.whole) > kept {
-		p.whole = p.whole[1:]
-	}
-	b.tell(from, life, seq, nil)
-	b.fx.Message(from, m.data)
+	p.complete(m)
+	b.sendAck(from, m.message, nil)
+	b.effects.Message(from, m.data)
 	return true
 }
 
-// tell tells a sender which pieces have come; nil: all.
-func (b *Transport) tell(to uint32, life, seq uint32, have []bool) {
-	d := append(b.buf[:0], DatagramPrefix, kindAck)
-	d = binary.BigEndian.AppendUint32(d, life)
-	d = binary.BigEndian.AppendUint32(d, seq)
-	bits := make([]byte, (len(have)+7)/8)
-	for i, h := range have {
-		if h {
-			bits[i/8] |= 1 << (i % 8)
+// find is an incomplete message; nil: no piece of it has arrived.
+func (p *peerState) find(id messageID) *incoming {
+	for _, m := range p.incoming {
+		if m.message == id {
+			return m
 		}
 	}
-	// What does not fit is sent once more than it had to be.
-	b.buf = append(d, bits[:min(len(bits), b.piece)]...)
-	b.fx.Datagram(to, b.buf)
+	return nil
 }
 
-func (b *Transport) takeTaken(now Time, from uint32, data []byte) bool {
-	if len(data) < 10 {
-		return false
+// begin adds an incomplete message, in place of the oldest one if there are too many.
+func (p *peerState) begin(m *incoming) {
+	if len(p.incoming) >= maxIncoming {
+		p.incoming = p.incoming[1:]
 	}
-	if binary.BigEndian.Uint32(data[2:]) != b.life {
-		return true // of an earlier life of this process
+	p.incoming = append(p.incoming, m)
+}
+
+// complete remembers a complete message by its id alone.
+func (p *peerState) complete(m *incoming) {
+	if i := slices.Index(p.incoming, m); i >= 0 {
+		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
 	}
-	seq, bits := binary.BigEndian.Uint32(data[6:]), data[10:]
-	p := b.peer(from)
-	for j, o := range p.outgoing {
-		if o.seq != seq {
-			continue
-		}
-		for i := range o.taken {
-			if !o.taken[i] && i/8 < len(bits) && bits[i/8]&(1<<(i%8)) != 0 {
-				o.taken[i] = true
-				o.left--
-			}
-		}
-		if len(bits) == 0 || o.left == 0 {
-			p.outgoing = append(p.outgoing[:j:j], p.outgoing[j+1:]...)
-		} else if o.at < 2*len(o.taken) {
-			b.sendSome(now, from, o) // the first round goes as fast as it is taken
-		}
-		break
+	if p.completed = append(p.completed, m.message); len(p.completed) > maxCompleted {
+		p.completed = p.completed[1:]
 	}
-	return true
+}
+
+// sendAck tells a sender which pieces have arrived; nil: all. What does not fit is sent once more than necessary.
+func (b *Transport) sendAck(to uint32, id messageID, received []bool) {
+	bits := newBitmap(received)
+	b.buffer = ack{id, bits[:min(len(bits), b.pieceBytes)]}.append(b.buffer[:0])
+	b.effects.Datagram(to, b.buffer)
 }
--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -10,9 +10,9 @@
 
 // recordingEnd notes the datagrams of one end and carries them to the other.
 type recordingEnd struct {
-	samples *golden.Samples
-	queue   [][]byte
-	received     [][]byte
+	samples  *golden.Samples
+	queue    [][]byte
+	received [][]byte
 }
 
 func (e *recordingEnd) Datagram(_ uint32, data []byte) {
@@ -20,9 +20,11 @@
 	e.queue = append(e.queue, bytes.Clone(data))
 }
 
-func (e *recordingEnd) Message(_ uint32, data []byte) { e.received = append(e.received, bytes.Clone(data)) }
+func (e *recordingEnd) Message(_ uint32, data []byte) {
+	e.received = append(e.received, bytes.Clone(data))
+}
 
-// TestRecordedDatagrams: short and long messages are cut into the datagrams that they were cut into.
+// TestRecordedDatagrams: short and long messages become the same datagrams as when they were recorded.
 func TestRecordedDatagrams(t *testing.T) {
 	samples := golden.NewSamples(4)
 	near, far := &recordingEnd{samples: samples}, &recordingEnd{samples: samples}
--- /dev/null
+++ b/internal/fleet/fragment/send.go
@@ -0,0 +1,89 @@
+package fragment
+
+import "slices"
+
+// outgoing is a long message that is not acknowledged yet.
+type outgoing struct {
+	sequence uint32
+	data     []byte
+	acked    []bool // by piece
+	unacked  int
+	next     int // the piece after the last one sent, counted on over all rounds
+	sentAt   Time
+	giveUpAt Time
+}
+
+// Send sends a message to a peer; the error is ErrMessageTooLong.
+func (b *Transport) Send(now Time, to uint32, data []byte) error {
+	if len(data) <= b.pieceBytes+pieceHeader-wholeHeader {
+		b.buffer = append(b.buffer[:0], DatagramPrefix, kindWhole)
+		b.effects.Datagram(to, append(b.buffer, data...))
+		return nil
+	}
+	if len(data) > MaxMessage {
+		return ErrMessageTooLong
+	}
+	p := b.peer(to)
+	if len(p.outgoing) >= maxOutgoing { // newer messages matter more
+		p.outgoing = p.outgoing[1:]
+		b.GivenUp++
+	}
+	b.lastSequence++
+	pieces := (len(data) + b.pieceBytes - 1) / b.pieceBytes
+	o := &outgoing{
+		sequence: b.lastSequence,
+		data:     slices.Clone(data),
+		acked:    make([]bool, pieces),
+		unacked:  pieces,
+		giveUpAt: now + GiveUpAfter,
+	}
+	p.outgoing = append(p.outgoing, o)
+	b.sendBurst(now, to, o)
+	return nil
+}
+
+// sendBurst sends the next pieces that are not acknowledged.
+func (b *Transport) sendBurst(now Time, to uint32, o *outgoing) {
+	o.sentAt = now
+	count := len(o.acked)
+	for sent, visited := 0, 0; sent < piecesPerBurst && visited < count; visited++ {
+		i := o.next % count
+		o.next++
+		if o.acked[i] {
+			continue
+		}
+		sent++
+		body := o.data[i*b.pieceBytes : min(len(o.data), (i+1)*b.pieceBytes)]
+		part := piece{messageID{b.incarnation, o.sequence}, i, count, body}
+		b.buffer = part.append(b.buffer[:0])
+		b.effects.Datagram(to, b.buffer)
+	}
+}
+
+// handleAck notes which pieces have arrived.
+func (b *Transport) handleAck(now Time, from uint32, a ack) {
+	if a.message.incarnation != b.incarnation {
+		return // of an earlier process's message
+	}
+	p := b.peer(from)
+	i := slices.IndexFunc(p.outgoing, func(o *outgoing) bool { return o.sequence == a.message.sequence })
+	if i < 0 {
+		return
+	}
+	o := p.outgoing[i]
+	o.note(a.bitmap)
+	if len(a.bitmap) == 0 || o.unacked == 0 {
+		p.outgoing = append(p.outgoing[:i:i], p.outgoing[i+1:]...)
+	} else if o.next < 2*len(o.acked) {
+		b.sendBurst(now, from, o) // the first round goes as fast as it is acknowledged
+	}
+}
+
+func (o *outgoing) note(received bitmap) {
+	for i := range o.acked {
+		if !o.acked[i] && received.has(i) {
+			o.acked[i] = true
+			o.unacked--
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/fragment/transport.go
@@ -0,0 +1,130 @@
+package fragment
+
+import (
+	"errors"
+	"sort"
+)
+
+// Time is nanoseconds on the caller's monotonic clock.
+type Time = int64
+
+const (
+	// MaxMessage bounds a message, in bytes.
+	MaxMessage = 200 << 10
+	// GiveUpAfter is how long an unacknowledged message is sent again.
+	GiveUpAfter = Time(3e9)
+
+	minPieceBytes  = 16
+	piecesPerBurst = 24        // of a message, sent at a time
+	burstInterval  = Time(4e7) // between two bursts of a message
+	maxOutgoing    = 4         // unacknowledged long messages to a peer
+	maxIncoming    = 4         // incomplete long messages from a peer
+	maxCompleted   = 32        // complete messages remembered for each peer, so that none is delivered twice
+)
+
+// Errors of a Transport.
+var (
+	ErrMalformed      = errors.New("fragment: malformed datagram")
+	ErrMessageTooLong = errors.New("fragment: message over 200 KiB")
+)
+
+// Effects is what a Transport can do. What is passed is valid during the call only.
+type Effects interface {
+	Datagram(peer uint32, data []byte)
+	Message(peer uint32, data []byte)
+}
+
+// peerState is what is under way with a peer.
+type peerState struct {
+	outgoing  []*outgoing // the oldest first
+	incoming  []*incoming // the oldest first
+	completed []messageID // the latest last
+}
+
+// Transport is one process's end. It is not safe for concurrent use.
+type Transport struct {
+	Malformed int // datagrams received
+	GivenUp   int // long messages
+
+	effects      Effects
+	incarnation  uint32 // tells this process's messages from an earlier one's
+	lastSequence uint32
+	pieceBytes   int // of a message in one datagram
+	peers        map[uint32]*peerState
+	peerIDs      []uint32 // sorted: what is sent does not follow the order of a map
+	buffer       []byte
+}
+
+// New makes a transport. maxDatagram is the longest that may be sent, in bytes.
+func New(maxDatagram int, incarnation uint32, fx Effects) *Transport {
+	return &Transport{
+		effects:     fx,
+		incarnation: incarnation,
+		pieceBytes:  max(minPieceBytes, maxDatagram-pieceHeader),
+		peers:       map[uint32]*peerState{},
+	}
+}
+
+// peer is what is under way with a peer, a new state where there is none yet.
+func (b *Transport) peer(id uint32) *peerState {
+	p := b.peers[id]
+	if p == nil {
+		p = &peerState{}
+		b.peers[id] = p
+		i := sort.Search(len(b.peerIDs), func(i int) bool { return b.peerIDs[i] >= id })
+		b.peerIDs = append(b.peerIDs, 0)
+		copy(b.peerIDs[i+1:], b.peerIDs[i:])
+		b.peerIDs[i] = id
+	}
+	return p
+}
+
+// Tick must be called every 20 to 100 ms: it sends again what is not acknowledged.
+func (b *Transport) Tick(now Time) {
+	for _, id := range b.peerIDs {
+		p := b.peers[id]
+		remaining := p.outgoing[:0]
+		for _, o := range p.outgoing {
+			if now >= o.giveUpAt {
+				b.GivenUp++
+				continue
+			}
+			remaining = append(remaining, o)
+			if now-o.sentAt >= burstInterval {
+				b.sendBurst(now, id, o)
+			}
+		}
+		p.outgoing = remaining
+	}
+}
+
+// Receive handles a datagram of a peer; the error is ErrMalformed.
+func (b *Transport) Receive(now Time, from uint32, data []byte) error {
+	if !b.handle(now, from, data) {
+		b.Malformed++
+		return ErrMalformed
+	}
+	return nil
+}
+
+// handle acts on a datagram; false: it is malformed.
+func (b *Transport) handle(now Time, from uint32, data []byte) bool {
+	if len(data) < wholeHeader || data[0] != DatagramPrefix {
+		return false
+	}
+	switch data[1] {
+	case kindWhole:
+		b.effects.Message(from, data[wholeHeader:])
+		return true
+	case kindPiece:
+		p, ok := decodePiece(data)
+		return ok && b.handlePiece(from, p)
+	case kindAck:
+		a, ok := decodeAck(data)
+		if ok {
+			b.handleAck(now, from, a)
+		}
+		return ok
+	}
+	return false
+}
