--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 
+	"go.etcd.io/raft/v3"
+
 	"croftlock/internal/fleet/group"
 )
 
@@ -27,6 +29,13 @@
 	ErrBusy           = group.ErrBusy
 )
 
+const (
+	// Bounds on what the raft library has in flight to each replica, and on what waits to be agreed on.
+	maxMessageBytes     = 2048
+	maxInflightMessages = 16
+	maxUncommittedBytes = 1 << 20
+)
+
 const (
 	maxCommandBytes  = 64 << 10
 	maxNameBytes     = 64
@@ -34,7 +43,7 @@
 	// maxMachineBytes bounds one machine's state in a snapshot.
 	maxMachineBytes = 150 << 10
 
-	defaultTickInterval       = Time(1e8)
+	defaultTickInterval       = Time(1e8) // 100 ms
 	defaultHeartbeatTicks     = 2
 	defaultElectionTicks      = 8
 	defaultSnapshotEvery      = 512
@@ -74,3 +83,23 @@
 
 // electionTimeout is the shortest time after which a leader counts as lost.
 func (cfg Config) electionTimeout() Time { return Time(cfg.ElectionTicks) * cfg.TickInterval }
+
+// raftConfig is the raft library's configuration.
+func (c *Core) raftConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        c.identity.ID,
+		ElectionTick:              c.cfg.ElectionTicks,
+		HeartbeatTick:             c.cfg.HeartbeatTicks,
+		Storage:                   currentSnapshots{c.storage, c},
+		Applied:                   c.applied.index,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    panicLogger{},
+	}
+}
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -44,7 +44,7 @@
 	slices.Sort(g.state.Voters)
 }
 
-// apply takes in a change that was agreed on, with the state that follows from it.
+// apply applies a change that was agreed on, with the state that follows from it.
 func (g *configuration) apply(state raftpb.ConfState, changes []raftpb.ConfChangeSingle, name string) {
 	g.state = state
 	for _, change := range changes {
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -3,14 +3,13 @@
 import (
 	"slices"
 
-	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 )
 
 const (
-	helloInterval = Time(2e8)
+	helloInterval = Time(2e8) // 200 ms
 	// waitForOthers is how long a start waits for those voters beyond a majority that have not answered.
-	waitForOthers = Time(1e9)
+	waitForOthers = Time(1e9) // 1 s
 )
 
 const staleReason = "its store is older than what others have had from this voter: a file was put back; move it away and have the voter replaced"
@@ -21,7 +20,7 @@
 	logTerm, logIndex uint64 // up to which it must have the log
 }
 
-// joining is what a start has heard from the others, and what this process can tell them at theirs.
+// joining is what a start has heard from the others, and what this process knows of them for theirs.
 type joining struct {
 	startedAt    Time                   // below 0: no tick yet
 	lastHello    Time                   // 0: none
@@ -59,7 +58,7 @@
 	return true
 }
 
-// noteMessage takes in what a replica's message proves that it has stored. Pre-votes prove nothing: their term is not stored.
+// noteMessage records what a replica's message proves that it has stored. Pre-votes prove nothing: their term is not stored.
 func (j *joining) noteMessage(m *raftpb.Message) {
 	if m.Type == raftpb.MsgPreVote || m.Type == raftpb.MsgPreVoteResp {
 		return
@@ -127,7 +126,7 @@
 		c.joining.applicants[h.name] = h.replica
 	}
 	received := c.joining.received[replica]
-	// A group that has never heard of an initial voter does not keep that one from bootstrapping the same group.
+	// A group that has never heard of an initial voter does not prevent that one from bootstrapping the same group.
 	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
 		group:     c.cfg.Group,
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// handleWelcome takes in what another process knows of this one.
+// handleWelcome handles what another process knows of this one.
 func (c *Core) handleWelcome(from uint32, m welcome) error {
 	if m.group != c.cfg.Group || m.replica != c.identity.ID {
 		return ErrWelcome
@@ -226,23 +225,3 @@
 		c.tryStart()
 	}
 }
-
-// raftConfig is the raft library's configuration.
-func (c *Core) raftConfig() *raft.Config {
-	return &raft.Config{
-		ID:                        c.identity.ID,
-		ElectionTick:              c.cfg.ElectionTicks,
-		HeartbeatTick:             c.cfg.HeartbeatTicks,
-		Storage:                   currentSnapshots{c.storage, c},
-		Applied:                   c.applied.index,
-		MaxSizePerMsg:             2048,
-		MaxInflightMsgs:           16,
-		MaxUncommittedEntriesSize: 1 << 20,
-		CheckQuorum:               true,
-		PreVote:                   true,
-		ReadOnlyOption:            raft.ReadOnlySafe,
-		DisableProposalForwarding: true,
-		StepDownOnRemoval:         true,
-		Logger:                    panicLogger{},
-	}
-}
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -22,7 +22,7 @@
 	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.yieldsUntil
 }
 
-// Leader is the peer that this process takes for the leader; 0: nobody.
+// Leader is the peer that leads, as far as this process knows; 0: nobody.
 func (c *Core) Leader() uint32 {
 	if c.node == nil {
 		return 0
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -28,7 +28,7 @@
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
 
-// stateMachines are those that take the commands, by the kind that a command names.
+// stateMachines are those that apply the commands, by the kind that a command names.
 type stateMachines struct {
 	byKind map[byte]Machine
 	kinds  []byte // sorted, so that equal states have equal snapshots
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -18,7 +18,7 @@
 // isInitial says whether an identity is the first one of an initial voter.
 func isInitial(id uint64) bool { return id>>32 == 0 }
 
-// Store keeps what a replica must not forget. What returned without error is durable. After an error only Close may be called.
+// Store stores what a replica must not forget. What returned without error is durable. After an error only Close may be called.
 type Store interface {
 	Load() (StoredState, error)
 	SaveIdentity(Identity) error
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -12,11 +12,11 @@
 	// MaxMessage bounds a message, in bytes.
 	MaxMessage = 200 << 10
 	// GiveUpAfter is how long an unacknowledged message is sent again.
-	GiveUpAfter = Time(3e9)
+	GiveUpAfter = Time(3e9) // 3 s
 
 	minPieceBytes  = 16
 	piecesPerBurst = 24        // of a message, sent at a time
-	burstInterval  = Time(4e7) // between two bursts of a message
+	burstInterval  = Time(4e7) // 40 ms between two bursts of a message
 	maxOutgoing    = 4         // unacknowledged long messages to a peer
 	maxIncoming    = 4         // incomplete long messages from a peer
 	maxCompleted   = 32        // complete messages remembered for each peer, so that none is delivered twice
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// slotFor is the slot of an address, an added one where there is none yet; below 0 where all slots are taken.
+// slotFor is the slot of an address, an added one where there is none yet; below 0 where all slots are in use.
 func (b *addressBook) slotFor(a netip.AddrPort, table *memberTable) (slot int, added bool) {
 	if i := slices.Index(b.addresses, a); i >= 0 {
 		return i, false
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -1,7 +1,7 @@
 package membership
 
 const (
-	// differentFor is how long views may differ before a whole view is requested: gossip mends most differences by itself.
+	// differentFor is how long views may differ before a whole view is requested: gossip removes most differences by itself.
 	differentFor = sec
 	// viewRequestInterval is the least time between two requests for a whole view.
 	viewRequestInterval = sec
@@ -9,14 +9,14 @@
 	viewPages = 4
 )
 
-// antiEntropy mends differences between views that gossip has missed: digests are compared, and whole views are requested.
+// antiEntropy repairs differences between views that gossip has missed: digests are compared, and whole views are requested.
 type antiEntropy struct {
 	differentSince Time // 0: the last digest received is this process's
 	lastRequest    Time
 	nextEntry      int // where the next page of the own view begins
 }
 
-// compared takes in whether another's digest equals the own one.
+// compared records whether another's digest equals the own one.
 func (a *antiEntropy) compared(equal bool, now Time) {
 	if equal {
 		a.differentSince = 0
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -82,7 +82,7 @@
 
 func (c *Core) pauseThreshold() Time { return pauseIntervals * c.cfg.ProbeInterval }
 
-// resumeAfterPause takes back what the time in which this process heard nothing would have it conclude.
+// resumeAfterPause discounts the time in which this process slept: that it heard nothing then says nothing of the others.
 func (c *Core) resumeAfterPause(gap Time) {
 	c.counts.Pauses++
 	c.isolation.noAccusingBefore = c.now + noAccusationsFor
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: it has to reach whoever has heard
-// the suspect, and the refutation has to come back.
+// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: it has to reach those that have
+// heard the suspect, and the refutation has to come back.
 const suspicionStep = 250 * ms
 
 // minSuspicion is how long a member stays suspect at least in a view of a size.
@@ -184,7 +184,7 @@
 	c.effects.Changed(Change{m.Name, m.ID, from, to, m.Incarnation, c.members.version, reason})
 }
 
-// raiseIncarnation takes in a member's newer incarnation.
+// raiseIncarnation records a member's newer incarnation, and reports a restart.
 func (c *Core) raiseIncarnation(m *member, to Incarnation) {
 	if to == m.Incarnation || to < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		return
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// handleHeard takes in that this process has heard a member.
+// handleHeard records that this process has heard a member.
 func (c *Core) handleHeard(m *member, slot int, incarnation Incarnation) {
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
@@ -103,7 +103,7 @@
 	c.markAlive(m, "heard")
 }
 
-// handleHeardByOther takes in that another has heard a member at a time.
+// handleHeardByOther records that another has heard a member at a time.
 func (c *Core) handleHeardByOther(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -1,7 +1,7 @@
 package membership
 
 const (
-	// isolatedAfter is how long nothing at all may arrive before a process takes itself for the one that is cut off.
+	// isolatedAfter is how long nothing at all may arrive before a process assumes that it is the one cut off.
 	isolatedAfter = sec
 	// noAccusationsFor is how long a process that slept probes before it accuses anybody.
 	noAccusationsFor = 1500 * ms
--- a/internal/fleet/membership/news.go
+++ b/internal/fleet/membership/news.go
@@ -3,7 +3,7 @@
 // refutationMargin is by how much this process must have heard a member later than its accuser did, to contradict: ages are rounded.
 const refutationMargin = 50 * ms
 
-// handleNews takes in what one member says of another, or of this process.
+// handleNews handles what one member says of another, or of this process.
 func (c *Core) handleNews(n MemberNews) {
 	if n.ID == c.selfID {
 		c.handleNewsOfSelf(n)
--- a/internal/fleet/membership/parts_test.go
+++ b/internal/fleet/membership/parts_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if table.setIncarnation(a, NewIncarnation(1)+1) || !table.setIncarnation(a, NewIncarnation(2)) {
-		t.Error("a counter is taken for a restart, or a restart is not noticed")
+		t.Error("a raised counter counts as a restart, or a restart does not")
 	}
 	table.setUnanswered(b, 5)
 	table.setUnanswered(a, 6)
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -25,7 +25,7 @@
 // RejectedError says that a member does not admit this process.
 type RejectedError struct {
 	Member uint32 // who rejected this process
-	Reason string // in words, for operators
+	Reason string // as operators read it
 }
 
 // Error says who rejected this process, and why.
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason)
 }
 
-// ReceiveFrom is Receive where addresses are learnt: an address is kept once a well-formed datagram of this fleet came from it.
+// ReceiveFrom is Receive where addresses are learnt: an address is learnt once a well-formed datagram of this fleet came from it.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
 	if _, _, err := decodeHeader(data, c.fleet); err != nil {
 		return c.Receive(now, -1, data)
@@ -41,7 +41,7 @@
 	return c.Receive(now, c.learnSlot(from), data)
 }
 
-// learnSlot is the slot of an address, which is probed from now on if it is new; below 0 where all slots are taken.
+// learnSlot is the slot of an address, which is probed from now on if it is new; below 0 where all slots are in use.
 func (c *Core) learnSlot(a netip.AddrPort) int {
 	slot, added := c.addresses.slotFor(a, &c.members)
 	if added {
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -12,7 +12,7 @@
 	sequenceBytes = 4
 	hashBytes     = 16 // HMAC-SHA-256, cut to 128 bits
 	minKeyBytes   = 16
-	replayWindow  = 64 // sequence numbers below the highest that are told apart
+	replayWindow  = 64 // sequence numbers, the highest and those below it that are remembered
 )
 
 // SealLength is how many bytes a seal adds to a datagram: a sequence number and a keyed hash.
@@ -105,7 +105,7 @@
 	return valid
 }
 
-// accept notes a sequence number; false: it arrived before, or is too far behind to be told from one that did.
+// accept notes a sequence number; false: it arrived before, or is too far behind for the window.
 func (w *window) accept(sequence uint32) bool {
 	if sequence > w.highest {
 		w.received = w.received<<min(replayWindow, sequence-w.highest) | 1
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -14,7 +14,7 @@
 	maxLinks = 2000
 )
 
-// arrivals are the recent intervals between heartbeats on one link, as a phi-accrual failure detector keeps them.
+// arrivals are the recent intervals between heartbeats on one link, as a phi-accrual failure detector records them.
 type arrivals struct {
 	last      float64 // in seconds; 0: none
 	intervals []float64
@@ -41,7 +41,7 @@
 	return mean + phi8Deviations*deviation
 }
 
-// arrive takes in a heartbeat and reports whether the silence before it raised a false alarm.
+// arrive records a heartbeat and reports whether the silence before it raised a false alarm.
 func (a *arrivals) arrive(at float64) (alarm bool) {
 	alarm = len(a.intervals) >= phiMinIntervals && at-a.last > a.suspectAfter()
 	if a.last > 0 {
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -27,7 +27,7 @@
 	}
 	for _, m := range n.Core.View() {
 		if m.Incarnation.Start() < n.newest[m.ID].Start() {
-			f.violate("n%d: %d is taken for an earlier incarnation", n.index, m.ID)
+			f.violate("n%d: %d went back to an earlier incarnation", n.index, m.ID)
 		}
 		n.newest[m.ID] = max(m.Incarnation, n.newest[m.ID])
 		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m) {
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -31,14 +31,14 @@
 // countsAlive says whether a member in this state counts towards a majority.
 func (s State) countsAlive() bool { return s == Alive || s == Suspect }
 
-// Incarnation tells one process under a member's name from another: its start in Unix milliseconds, and a 16-bit counter that only the
+// Incarnation distinguishes the processes that have had a member's name: its start in Unix milliseconds, and a 16-bit counter that only the
 // member itself raises, to refute what others say of it. A larger one is newer.
 type Incarnation uint64
 
 // NewIncarnation is the first one of a process that started at a time in Unix milliseconds.
 func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
 
-// Start is the part that tells processes apart: the start in Unix milliseconds.
+// Start is the part that distinguishes processes: the start in Unix milliseconds.
 func (l Incarnation) Start() uint64 { return uint64(l) >> 16 }
 
 // ID names a member in datagrams: its name, hashed.
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -40,7 +40,7 @@
 	return uint32(x ^ x>>29)
 }
 
-// memberTable is one process's view of the others. Its counts and digest are kept up with each change, since a large fleet cannot be
+// memberTable is one process's view of the others. Its counts and digest are updated with each change, since a large fleet cannot be
 // iterated over for each datagram.
 type memberTable struct {
 	byID       map[uint32]*member
