--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	c.Name()
+	c.SetID()
 	c.Sign(key)
 	return nil
 }
--- /dev/null
+++ b/internal/fleet/rules/apply.go
@@ -0,0 +1,227 @@
+package rules
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+
+	"croftlock/internal/fleet/namespace"
+)
+
+var errUnknownChange = errors.New("a kind of change that is not known here")
+
+// versionByNumber gives an earlier version, or the active one; nil: it is not kept any more.
+type versionByNumber func(number uint64) *Version
+
+// next is a copy with the following number, to which changes may be applied; nothing of v is changed through it.
+func (v *Version) next() *Version {
+	n := *v
+	n.Number++
+	book := v.namespaces()
+	book.Was = nil
+	book.Accounts, book.Spaces = slices.Clone(book.Accounts), slices.Clone(book.Spaces)
+	n.Book = &book
+	return &n
+}
+
+// finish drops an empty book, and checks the version.
+func (v *Version) finish() error {
+	if b := v.Book; b != nil && len(b.Pools)+len(b.Accounts)+len(b.Spaces) == 0 && b.Was == nil {
+		v.Book = nil
+	}
+	return v.Check()
+}
+
+// Apply gives the version after a change. The whole version is checked, so that no order of changes gets round an account's limits. history
+// serves KindRollback.
+func (v *Version) Apply(c *Change, history versionByNumber) (*Version, error) {
+	n := v.next()
+	return n, n.apply(v, c, history)
+}
+
+// apply changes a version that next has made. base is the active version, while v may hold other changes of the same round already.
+func (v *Version) apply(base *Version, c *Change, history versionByNumber) error {
+	var err error
+	switch c.Kind {
+	case KindOperators:
+		err = v.applyOperators(base, c)
+	case KindNamespace:
+		err = v.applyNamespace(base, c)
+	case KindAccount:
+		err = v.applyAccount(base, c)
+	case KindRemoveAccount:
+		err = v.applyRemoval(base, c)
+	case KindRollback:
+		err = v.applyRollback(base, c, history)
+	default:
+		err = errUnknownChange
+	}
+	if err != nil {
+		return err
+	}
+	return v.finish()
+}
+
+func (v *Version) applyOperators(base *Version, c *Change) error {
+	if err := checkBase(c.Against, base.Root, base.Number); err != nil {
+		return err
+	}
+	proposed, err := Decode(c.Body)
+	if err != nil {
+		return err
+	}
+	v.Refuse, v.Out, v.Root = proposed.Refuse, proposed.Out, v.Number
+	book, old := proposed.namespaces(), *v.Book
+	v.Book.Pools = book.Pools
+	v.Book.Accounts = mergeAccounts(book.Accounts, old.Accounts, v.Number)
+	v.Book.Spaces, err = mergeSpaces(book.Spaces, old.Spaces, v.Book.Accounts, v.Number)
+	return err
+}
+
+// mergeAccounts gives the operators' accounts, with the numbers of those that stay as they are, and what customers have made below them.
+func mergeAccounts(proposed, old []namespace.Account, number uint64) (accounts []namespace.Account) {
+	for _, a := range proposed {
+		a.Number = number
+		if i, found := findAccount(old, a.Name); found {
+			if a.Number = old[i].Number; !bytes.Equal(marshal(a), marshal(old[i])) {
+				a.Number = number
+			}
+		}
+		accounts = append(accounts, a)
+	}
+	for _, a := range old {
+		i, proposed := findAccount(accounts, a.Name)
+		if _, hasParent := findAccount(accounts, namespace.Parent(a.Name)); !proposed && hasParent {
+			accounts = slices.Insert(accounts, i, a)
+		}
+	}
+	return accounts
+}
+
+// mergeSpaces gives the operators' own namespace, and those of accounts that still exist.
+func mergeSpaces(proposed, old []namespace.Space, accounts []namespace.Account, number uint64) (spaces []namespace.Space, err error) {
+	for _, s := range proposed {
+		if s.Account != "" {
+			return spaces, fmt.Errorf("the namespace of account %s is changed by itself", s.Account)
+		}
+		s.Number = number
+		spaces = append(spaces, s)
+	}
+	for _, s := range old {
+		if _, found := findAccount(accounts, s.Account); found {
+			spaces = append(spaces, s)
+		}
+	}
+	return spaces, nil
+}
+
+func findAccount(all []namespace.Account, name string) (int, bool) {
+	return slices.BinarySearchFunc(all, name, func(a namespace.Account, name string) int { return cmp.Compare(a.Name, name) })
+}
+
+func findSpace(all []namespace.Space, account string) (int, bool) {
+	return slices.BinarySearchFunc(all, account, func(s namespace.Space, account string) int { return cmp.Compare(s.Account, account) })
+}
+
+// without gives the entries less the one at i, where it exists, and the number of the version that changed that one last. It
+// changes all, which is a copy of the next version's own.
+func without[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
+	if !exists {
+		return all, 0
+	}
+	lastChanged = number(all[i]) // Delete clears the last element
+	return slices.Delete(all, i, i+1), lastChanged
+}
+
+func (v *Version) applyNamespace(base *Version, c *Change) error {
+	var s namespace.Space
+	if err := unmarshal(c.Body, &s); err != nil {
+		return err
+	}
+	if s.Account != c.Part || c.Part == "" {
+		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Part, s.Account)
+	}
+	if err := namespace.CheckSpace(&s); err != nil {
+		return err
+	}
+	i, exists := findSpace(v.Book.Spaces, c.Part)
+	spaces, lastChanged := without(v.Book.Spaces, i, exists, func(s namespace.Space) uint64 { return s.Number })
+	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
+		return err
+	}
+	v.Book.Spaces = spaces
+	if s.Number = v.Number; len(s.Guards)+len(s.Routes)+len(s.Defaults) > 0 {
+		v.Book.Spaces = slices.Insert(v.Book.Spaces, i, s)
+	}
+	return nil
+}
+
+func (v *Version) applyAccount(base *Version, c *Change) error {
+	var a namespace.Account
+	if err := unmarshal(c.Body, &a); err != nil {
+		return err
+	}
+	if a.Name != c.Part || namespace.Parent(a.Name) == "" {
+		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Part, a.Name)
+	}
+	i, exists := findAccount(v.Book.Accounts, a.Name)
+	accounts, lastChanged := without(v.Book.Accounts, i, exists, func(a namespace.Account) uint64 { return a.Number })
+	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
+		return err
+	}
+	a.Number = v.Number
+	v.Book.Accounts = slices.Insert(accounts, i, a)
+	return nil
+}
+
+func (v *Version) applyRemoval(base *Version, c *Change) error {
+	i, exists := findAccount(v.Book.Accounts, c.Part)
+	if !exists || namespace.Parent(c.Part) == "" {
+		return fmt.Errorf("there is no account %s below another", c.Part)
+	}
+	if err := checkBase(c.Against, v.Book.Accounts[i].Number, base.Number); err != nil {
+		return err
+	}
+	v.Book.Accounts = slices.DeleteFunc(v.Book.Accounts, func(a namespace.Account) bool { return namespace.Under(a.Name, c.Part) })
+	v.Book.Spaces = slices.DeleteFunc(v.Book.Spaces, func(s namespace.Space) bool { return namespace.Under(s.Account, c.Part) })
+	return nil
+}
+
+func (v *Version) applyRollback(base *Version, c *Change, history versionByNumber) error {
+	if c.Against != base.Number {
+		return checkBase(c.Against, base.Number, base.Number)
+	}
+	var number uint64
+	if err := unmarshal(c.Body, &number); err != nil {
+		return err
+	}
+	old := history(number)
+	if old == nil {
+		return fmt.Errorf("version %d is not kept any more", number)
+	}
+	restored := old.next()
+	restored.setNumber(v.Number)
+	*v = *restored
+	return nil
+}
+
+// setNumber numbers a version and all parts of it.
+func (v *Version) setNumber(number uint64) {
+	v.Number, v.Root = number, number
+	for i := range v.Book.Spaces {
+		v.Book.Spaces[i].Number = number
+	}
+	for i := range v.Book.Accounts {
+		v.Book.Accounts[i].Number = number
+	}
+}
+
+// equalIgnoringNumbers tells whether two versions differ in numbers at most.
+func equalIgnoringNumbers(a, b *Version) bool {
+	x, y := a.next(), b.next()
+	x.setNumber(0)
+	y.setNumber(0)
+	return bytes.Equal(marshal(x), marshal(y))
+}
--- /dev/null
+++ b/internal/fleet/rules/authorize.go
@@ -0,0 +1,137 @@
+package rules
+
+import (
+	"bytes"
+	"crypto/ed25519"
+	"errors"
+	"fmt"
+
+	"croftlock/internal/fleet/namespace"
+)
+
+// signatureDomain keeps a signature over a change from being one over anything else.
+const signatureDomain = "croftlock rules change\x00"
+
+// minSignedIDBytes keeps IDs of signed changes from meeting by chance.
+const minSignedIDBytes = 8
+
+var (
+	errBadSignature     = errors.New("its signature is not by its key")
+	errShortID          = errors.New("a signed change needs an id of 8 bytes or more")
+	errNotGrantable     = errors.New("which is for no such change")
+	errMalformedAccount = errors.New("and the account can't be read")
+)
+
+// signedBytes is what a signature is over: the whole change but for the signature itself.
+func (c *Change) signedBytes() []byte {
+	unsigned := *c
+	unsigned.Sig = nil
+	return append([]byte(signatureDomain), marshal(unsigned)...)
+}
+
+// Sign signs a change with a grant's key.
+func (c *Change) Sign(key ed25519.PrivateKey) {
+	c.Key = key.Public().(ed25519.PublicKey)
+	c.Sig = ed25519.Sign(key, c.signedBytes())
+}
+
+// authorize says who proposes a change, and whether a grant of v allows it. It is asked when the change comes and again when a version is made of
+// it: a grant that was revoked in between allows nothing. The operators propose at their own socket, unsigned.
+func (k *Coordinator) authorize(c *Change, v *Version) (proposer string, err error) {
+	if len(c.Key) == 0 {
+		return "operators", nil
+	}
+	if len(c.Key) != ed25519.PublicKeySize || !ed25519.Verify(c.Key, c.signedBytes(), c.Sig) {
+		return "somebody", errBadSignature
+	}
+	if len(c.ID) < minSignedIDBytes {
+		return "somebody", errShortID
+	}
+	a, g, err := v.grantFor(c, k.wallMillis()/1000)
+	if err != nil {
+		return fmt.Sprintf("key %x", c.Key[:4]), err
+	}
+	return a.Name + ":" + g.Label, nil
+}
+
+// NoGrantError says that no grant of a version allows a signed change.
+type NoGrantError struct {
+	Version uint64
+	Against uint64 // the version that the change was made against
+	Grant   string // the last grant with the key, and why it does not allow the change; "": the key has none
+}
+
+// Error names the versions and the grant.
+func (e *NoGrantError) Error() string {
+	if e.Grant == "" {
+		return fmt.Sprintf("no grant of version %d has this key; the change was made against version %d", e.Version, e.Against)
+	}
+	return fmt.Sprintf("by version %d its grant is %s; the change was made against version %d", e.Version, e.Grant, e.Against)
+}
+
+// grantFor finds the grant that allows a change, and its account. unix is the time in seconds.
+func (v *Version) grantFor(c *Change, unix int64) (*namespace.Account, *namespace.Grant, error) {
+	var grant string
+	accounts := v.namespaces().Accounts
+	for i := range accounts {
+		a := &accounts[i]
+		for j := range a.Grants {
+			g := &a.Grants[j]
+			if !bytes.Equal(g.Key, c.Key) {
+				continue
+			}
+			if grant = a.Name + ":" + g.Label; g.Until > 0 && unix >= g.Until {
+				grant += ", which has ended"
+				continue
+			}
+			err := v.checkGrant(a, g, c)
+			if err == nil {
+				return a, g, nil
+			}
+			grant += ", " + err.Error()
+		}
+	}
+	return nil, nil, &NoGrantError{Version: v.Number, Against: c.Against, Grant: grant}
+}
+
+// checkGrant returns why a grant on account a does not cover a change.
+func (v *Version) checkGrant(a *namespace.Account, g *namespace.Grant, c *Change) error {
+	switch c.Kind {
+	case KindNamespace:
+		if !namespace.Under(c.Part, a.Name) {
+			return fmt.Errorf("which is for %s and below", a.Name)
+		}
+		return checkVerb(g, namespace.MayRoute)
+	case KindAccount, KindRemoveAccount:
+		if c.Part == a.Name || !namespace.Under(c.Part, a.Name) {
+			return fmt.Errorf("which is for what is below %s", a.Name)
+		}
+	default:
+		return errNotGrantable
+	}
+	if c.Kind == KindRemoveAccount {
+		return checkVerb(g, namespace.MayDelegate)
+	}
+	var next namespace.Account
+	if unmarshal(c.Body, &next) != nil {
+		return errMalformedAccount
+	}
+	if i, exists := findAccount(v.Book.Accounts, c.Part); exists && differInLimitsOnly(v.Book.Accounts[i], next) {
+		return checkVerb(g, namespace.MayLimit)
+	}
+	return checkVerb(g, namespace.MayDelegate)
+}
+
+func checkVerb(g *namespace.Grant, verb uint8) error {
+	if g.Verbs&verb == 0 {
+		return fmt.Errorf("which may %s alone", namespace.VerbNames(g.Verbs))
+	}
+	return nil
+}
+
+func differInLimitsOnly(a, b namespace.Account) bool {
+	for _, x := range []*namespace.Account{&a, &b} {
+		x.Rate, x.Standing, x.Routes, x.Changes, x.Number = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
+	}
+	return bytes.Equal(marshal(a), marshal(b))
+}
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -29,10 +29,10 @@
 	return &namespace.Space{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
-func (g *group) change(c *Change) { g.k.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
+func (g *group) change(c *Change) { g.coordinator.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
 
 func (g *group) signed(c *Change, by byte) {
-	c.Name()
+	c.SetID()
 	c.Sign(key(by))
 	g.change(c)
 }
@@ -48,7 +48,7 @@
 	return g
 }
 
-func TestChangesOfDifferentNamespacesBothWin(t *testing.T) {
+func TestConcurrentChangesOfDifferentNamespaces(t *testing.T) {
 	g := begin(t, 3)
 	// Two administrators at once, of one namespace and of two.
 	n := len(g.answers)
@@ -60,7 +60,7 @@
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.m[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
+	if v := g.members[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
 		t.Errorf("%+v", v)
 	}
 	// The one that lost made its change against what the other had not changed yet.
@@ -75,14 +75,14 @@
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("asked twice: %q", g.last())
 	}
-	if h := g.k.history("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
+	if h := g.coordinator.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
 		t.Errorf("history\n%s", h)
 	}
 }
 
-func TestWhatAGrantDoesNotCoverIsRefused(t *testing.T) {
+func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
 	g := begin(t, 3)
-	g.k.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
+	g.coordinator.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
 	team := &namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}
 	for want, c := range map[string]*Change{
 		"which has ended":                             ChangeNamespace(to("acme", 0, "a"), 2, []byte("id-clerk")),
@@ -120,13 +120,13 @@
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("a team: %q", g.last())
 	}
-	if v := g.m[2].Enforcer.Judge(namespace.Ask{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
+	if v := g.members[2].Enforcer.Judge(namespace.Ask{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
 		t.Errorf("%+v", v)
 	}
 }
 
 // A change that was signed before its grant was revoked and comes, or is made, after it does nothing.
-func TestARevokedKeyDoesNothing(t *testing.T) {
+func TestRevokedGrantAllowsNothing(t *testing.T) {
 	g := begin(t, 3)
 	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(key(1))
@@ -141,7 +141,7 @@
 	if len(g.answers) > n {
 		t.Fatalf("answered at once: %q", g.last())
 	}
-	g.k.waiting = append([]*pending{{Change: ChangeOperators(without, 3, []byte("revoke")), who: "operators", answer: func(string) {}}}, g.k.waiting...)
+	g.coordinator.proposals.waiting = append([]*proposal{{Change: ChangeOperators(without, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, g.coordinator.proposals.waiting...)
 	g.run(4 * within)
 	if got := strings.Join(g.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
 		t.Errorf("answers\n%s", got)
@@ -153,13 +153,13 @@
 	if !strings.HasPrefix(g.last(), "refused: no grant of version") {
 		t.Errorf("half a minute late: %q", g.last())
 	}
-	if v := g.m[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Route != "" {
+	if v := g.members[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Route != "" {
 		t.Errorf("%+v", v)
 	}
 }
 
 // One customer's bad changes without end take nobody else's time: the other's change is active as soon as without them.
-func TestAFloodOfBadChangesHoldsUpNobody(t *testing.T) {
+func TestFloodOfBadChangesIsRateLimited(t *testing.T) {
 	g := begin(t, 3)
 	refused := 0
 	for i := range 1000 {
@@ -179,17 +179,17 @@
 }
 
 // A change that one process can't use holds up no other that was made with it.
-func TestAPoisonedNamespaceHoldsUpNoOther(t *testing.T) {
+func TestUnusableNamespaceHoldsUpNoOther(t *testing.T) {
 	g := begin(t, 3)
-	g.m[2].MaxEntries = 6
+	g.members[2].MaxEntries = 6
 	big := to("acme", 0, "a")
 	for i := range 9 {
 		big.Routes = append(big.Routes, namespace.Route{Name: fmt.Sprint("x", i), Prefix: fmt.Sprint(i), Pool: "a"})
 	}
 	n := len(g.answers)
-	g.k.waiting = nil
-	g.k.blind = g.now + 100*ms
-	g.change(&Change{ID: []byte("first-one"), Kind: ChangeRules, Against: 2, Body: func() []byte { v := frame(); v.Number = 3; v.Out = []string{"h"}; return v.Encode() }()})
+	g.coordinator.proposals.waiting = nil
+	g.coordinator.leases.unknownUntil = g.now + 100*ms
+	g.change(&Change{ID: []byte("first-one"), Kind: KindOperators, Against: 2, Body: func() []byte { v := frame(); v.Number = 3; v.Out = []string{"h"}; return v.Encode() }()})
 	g.change(ChangeNamespace(big, 2, nil))
 	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(8 * within)
@@ -197,7 +197,7 @@
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.m[2].Enforcer.Judge(namespace.Ask{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
+	if v := g.members[2].Enforcer.Judge(namespace.Ask{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -208,19 +208,19 @@
 	g.run(within)
 	g.change(RollBackTo(2, 3, nil))
 	g.run(within)
-	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.k.active.Number != 4 || len(g.k.active.Book.Spaces) != 0 {
-		t.Fatalf("%q: %+v", g.last(), g.k.active.Book)
+	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.coordinator.versions.active.Number != 4 || len(g.coordinator.versions.active.Book.Spaces) != 0 {
+		t.Fatalf("%q: %+v", g.last(), g.coordinator.versions.active.Book)
 	}
 	g.change(RollBackTo(77, 4, nil))
 	if g.last() != "refused: version 77 is not kept any more" {
 		t.Fatalf("%q", g.last())
 	}
-	g.keeper() // the past is what the group keeps
-	if g.k.read(3) == nil || len(g.k.trail) < 3 || CheckAuditLog(g.k.trail) != nil {
-		t.Fatalf("a new keeper has version 3: %t, and %d changes", g.k.read(3) != nil, len(g.k.trail))
+	g.restartCoordinator() // the past is what the group keeps
+	if g.coordinator.versions.byNumber(3) == nil || len(g.coordinator.audit.active) < 3 || CheckAuditLog(g.coordinator.audit.active) != nil {
+		t.Fatalf("a new coordinator has version 3: %t, and %d changes", g.coordinator.versions.byNumber(3) != nil, len(g.coordinator.audit.active))
 	}
-	g.k.trail[1].Who = "somebody"
-	if CheckAuditLog(g.k.trail) == nil {
+	g.coordinator.audit.active[1].Who = "somebody"
+	if CheckAuditLog(g.coordinator.audit.active) == nil {
 		t.Fatal("an altered trail is found sound")
 	}
 }
--- /dev/null
+++ b/internal/fleet/rules/compiled.go
@@ -0,0 +1,63 @@
+package rules
+
+import (
+	"time"
+
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/quota"
+)
+
+// refusalKey is a tenant and a class; "" stands for all.
+type refusalKey struct{ tenant, class string }
+
+// compiledVersion is a version in the form in which requests are judged.
+type compiledVersion struct {
+	version         *Version
+	refusalAdvice   map[refusalKey]uint32 // milliseconds
+	hostsOut        map[string]struct{}
+	namespaces      *namespace.Compiled // nil: one pool, and no routes
+	limits          map[string]quota.Limit
+	limitedAccounts []string // of limits, sorted
+}
+
+// compileVersion compiles a version that has passed Check.
+func compileVersion(v *Version) *compiledVersion {
+	c := &compiledVersion{
+		version:       v,
+		refusalAdvice: make(map[refusalKey]uint32, len(v.Refuse)),
+		hostsOut:      make(map[string]struct{}, len(v.Out)),
+	}
+	for _, r := range v.Refuse {
+		c.refusalAdvice[refusalKey{r.Tenant, r.Class}] = r.Advice
+	}
+	for _, h := range v.Out {
+		c.hostsOut[h] = struct{}{}
+	}
+	if v.Book != nil {
+		c.compileNamespaces(v.Book)
+	}
+	return c
+}
+
+func (c *compiledVersion) compileNamespaces(book *namespace.Book) {
+	var err error
+	if c.namespaces, err = namespace.Compile(book); err != nil {
+		panic(err) // Check has compiled it
+	}
+	c.limits = map[string]quota.Limit{}
+	for _, a := range book.Accounts { // sorted by name
+		if l := (quota.Limit{Rate: float64(a.Rate.AtMost), Connections: int(a.Standing.AtMost)}); l != (quota.Limit{}) {
+			c.limits[a.Name], c.limitedAccounts = l, append(c.limitedAccounts, a.Name)
+		}
+	}
+}
+
+// refuses tells whether the operators refuse a request, and after which time its client may come again: the most specific refusal decides.
+func (c *compiledVersion) refuses(tenant, class string) (refused bool, advice time.Duration) {
+	for _, k := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
+		if ms, found := c.refusalAdvice[k]; found {
+			return true, time.Duration(ms) * time.Millisecond
+		}
+	}
+	return false, 0
+}
--- /dev/null
+++ b/internal/fleet/rules/compression.go
@@ -0,0 +1,66 @@
+package rules
+
+import (
+	"bytes"
+	"compress/flate"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// The first byte of a transfer form. An encoded version begins with a CBOR map, so that neither can be one's first byte.
+const (
+	formCompressed = 1
+	formDelta      = 2
+)
+
+const (
+	uncompressedUpTo = 4 << 10 // bytes sent as they are encoded, which earlier builds read
+	noDeltaUpTo      = 1 << 10 // bytes sent complete: a delta would save little
+	maxReplyBytes    = 8 * maxEncodedBytes
+)
+
+var errMalformedVersion = errors.New("rules: a version in a form that can't be read")
+
+// compress shortens an encoded version or text where it is long.
+func compress(data []byte) []byte {
+	if len(data) <= uncompressedUpTo {
+		return data
+	}
+	return deflate(formCompressed, data)
+}
+
+// decompress reverses compress; data in another form comes back unchanged.
+func decompress(data []byte) ([]byte, error) {
+	if len(data) == 0 || data[0] != formCompressed {
+		return data, nil
+	}
+	return inflate(data[1:], maxEncodedBytes)
+}
+
+func deflate(form byte, data []byte) []byte {
+	var b bytes.Buffer
+	b.WriteByte(form)
+	w, err := flate.NewWriter(&b, flate.DefaultCompression)
+	if err == nil {
+		if _, err = w.Write(data); err == nil {
+			err = w.Close()
+		}
+	}
+	if err != nil {
+		panic(err) // a buffer takes every write, and the level exists
+	}
+	return b.Bytes()
+}
+
+// inflate bounds the output: a few bytes can expand to very many.
+func inflate(data []byte, limit int64) ([]byte, error) {
+	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), limit+1))
+	switch {
+	case err != nil:
+		return nil, errMalformedVersion
+	case int64(len(out)) > limit:
+		return nil, fmt.Errorf("rules: over %d bytes", limit)
+	}
+	return out, nil
+}
--- a/internal/fleet/rules/coordinator.go
+++ b/internal/fleet/rules/coordinator.go
@@ -1,202 +1,157 @@
 package rules
 
 import (
+	"errors"
 	"fmt"
 
 	"croftlock/internal/fleet/jobs"
 	"croftlock/internal/fleet/ownership"
 )
 
-// lease is what a member was given last.
-type lease struct {
-	number uint64
-	until  Time
-}
+// stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned.
+const stagingLeases = 3
 
-// Coordinator is the owner's part: it orders the versions and gives the lease to act by the active one. A newer version becomes active once
-// everyone who may hold a lease has it ready, or that lease has lapsed.
+// Coordinator is the owner's part: it orders the versions and grants the lease to act by the active one. A newer version becomes active once
+// every lease holder has it compiled, or that lease has ended, so that no two versions are acted by side by side. It belongs to one goroutine.
 type Coordinator struct {
-	AgreeWithin Time
-	Notified    func(now Time) // the receiver's part
+	AgreeWithin Time           // duration of a lease
+	Notified    func(now Time) // the receiver's part: there is something new; nil: nothing is done
 	Wall        func() int64   // Unix milliseconds; nil: 0
 
-	owner          jobs.Owner
-	number         uint64
-	blind          Time // until then an earlier coordinator's leases may be held
-	active, staged *Version
-	is, hash       Hash // of the one active, and of the one staged
-	since          Time // when staged came
-	trail, next    []AuditEntry
-	past           [][]byte
-	noting         func(ok bool)
-	notedAt        Time // when the group was asked to keep it
-	leases         map[uint32]lease
-	ready          map[uint32]Hash
-	faults         map[uint32]string
-	waiting        []*pending // changes that no version holds yet
-	made           []*pending // those that staged holds
-	spent          map[string]*tokens
-	travelling     map[[2]*Version][]byte
-	turned         []string
+	owner     jobs.Owner // nil: this process does not own the job
+	versions  versionStore
+	leases    leaseTable
+	proposals proposalQueue
+	limiter   rateLimiter
+	audit     auditLog
+	pending   pendingTransition
 }
 
-// Start goes on from what the coordinator before has left.
-func (k *Coordinator) Start(now Time, o jobs.Owner, _, number uint64, left []byte) error {
-	k.owner, k.number, k.blind, k.since = o, number, LeaseSurelyEnded(now, k.AgreeWithin), now
-	k.active, k.staged, k.noting, k.waiting, k.made, k.trail, k.next, k.past, k.turned = &Version{}, nil, nil, nil, nil, nil, nil, nil, nil
-	k.is = k.active.Hash()
-	k.leases, k.ready, k.faults, k.spent = map[uint32]lease{}, map[uint32]Hash{}, map[uint32]string{}, map[string]*tokens{}
-	if len(left) == 0 {
-		return nil
-	}
-	var s kept
-	err := decoding().Unmarshal(left, &s)
-	if err == nil && len(s.Active) > 0 {
-		k.active, err = arrive(s.Active, only(nil))
-	}
-	if err == nil && len(s.Staged) > 0 {
-		if k.staged, err = arrive(s.Staged, only(nil)); err == nil {
-			k.hash = k.staged.Hash()
-		}
-	}
-	if err != nil {
-		return fmt.Errorf("rules: what the keeper before left: %w", err)
-	}
-	if err := CheckAuditLog(s.Trail); err != nil {
-		k.turned, s.Trail = append(k.turned, err.Error()), nil // rules go on without it, and say so
-	}
-	k.is = k.active.Hash()
-	// The staged version's changes are in the trail that was kept with it.
-	k.past, k.next = s.History, s.Trail
-	for k.trail = s.Trail; len(k.trail) > 0 && k.trail[len(k.trail)-1].Number > k.active.Number; {
-		k.trail = k.trail[:len(k.trail)-1]
-	}
-	return nil
+var _ jobs.Job = (*Coordinator)(nil)
+
+// Start goes on from the checkpoint that the coordinator before has left; an error says that it can't be read.
+func (k *Coordinator) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
+	k.owner = o
+	k.versions = versionStore{stagedAt: now}
+	k.leases = newLeaseTable(now, k.AgreeWithin)
+	k.proposals = proposalQueue{}
+	k.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
+	k.audit = auditLog{}
+	k.pending = pendingTransition{sequence: sequence}
+	return k.restore(left)
 }
 
-// Stop ends the coordinator's part. Whoever waits for an answer gets none: it is not known.
-func (k *Coordinator) Stop() (uint64, []byte) {
-	left := k.left(k.active, k.staged, k.next, k.past)
+// Stop ends the coordinator's part. Whoever waits for an answer gets none: the outcome is not known.
+func (k *Coordinator) Stop() (sequence uint64, left []byte) {
+	left = k.encodeCheckpoint(k.versions.active, k.versions.staged, k.audit.staged, k.versions.history)
 	k.owner = nil
-	k.number++
-	return k.number, left
+	k.pending.sequence++
+	return k.pending.sequence, left
 }
 
-// note has a state kept by the group before anybody acts by it.
-func (k *Coordinator) note(now Time, left []byte, then func(ok bool)) {
-	k.number++
-	k.noting, k.notedAt = then, now
-	if err := k.owner.StoreCheckpoint(k.number, left); err != nil {
-		k.noting = nil
-		then(false)
+// Step activates the staged version once nobody can act by another without having it, or abandons it; without one it stages what is proposed.
+func (k *Coordinator) Step(now Time) {
+	if k.owner == nil {
+		return
 	}
-}
-
-// CheckpointStored tells whether the group keeps it.
-func (k *Coordinator) CheckpointStored(now Time, number uint64, ok bool) {
-	if then := k.noting; then != nil && number == k.number {
-		k.noting = nil
-		then(ok)
+	k.abortLate(now)
+	if k.pending.next != nil {
+		return
+	}
+	if k.versions.staged == nil {
+		k.stageProposals(now)
+		return
+	}
+	r := k.leases.readiness(k.versions.stagedHash, now)
+	switch {
+	case r.faultReason != "":
+		k.abandon(now, fmt.Sprintf("refused: %s: %s", k.memberName(r.faultyPeer), r.faultReason))
+	case !r.all && now-k.versions.stagedAt > stagingLeases*k.AgreeWithin:
+		k.abandon(now, "refused: not everyone that holds a right has it ready")
+	case r.all && now >= k.leases.unknownUntil:
+		k.activate(now)
 	}
-	k.Step(now)
 }
 
-// keep takes a member's question for its lease.
-func (k *Coordinator) keep(now Time, from uint32, tag uint64, body []byte) {
-	var q keepAsk
-	if decoding().Unmarshal(body, &q) != nil {
+// QueryReceived answers a query.
+func (k *Coordinator) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	if k.owner == nil || len(body) == 0 {
+		return
+	}
+	reply := func(text string) { k.owner.Reply(from, tag, []byte(text)) }
+	q, err := decodeQuery(body)
+	if err != nil {
+		if !errors.Is(err, errMalformedLease) {
+			reply("refused: " + err.Error())
+		}
 		return
 	}
-	k.ready[from], k.faults[from] = Hash{}, ""
-	faulty := k.staged != nil && q.Fault != "" && string(q.FaultOf) == string(k.hash[:])
-	if faulty {
-		k.faults[from] = q.Fault
+	switch q := q.(type) {
+	case *leaseQuery:
+		r := k.grantLease(now, from, q)
+		k.owner.Reply(from, tag, r.encode())
+		k.Step(now)
+	case proposalQuery:
+		k.propose(now, q.change, reply)
+	case activeQuery:
+		reply(k.overview(now))
+	case statusQuery:
+		reply(string(compress([]byte(k.status(now)))))
+	case historyQuery:
+		reply(k.audit.text(q.about))
+	case versionQuery:
+		reply(k.versionText(q.number))
+	}
+}
+
+// grantLease records what a member has, and grants it the lease to act by the active version.
+func (k *Coordinator) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
+	m, v := k.leases.member(from), &k.versions
+	m.ready, m.fault = Hash{}, ""
+	if v.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(v.stagedHash[:]) {
+		m.fault = q.Fault
 	}
 	if len(q.ReadyHash) == len(Hash{}) {
-		k.ready[from] = Hash(q.ReadyHash)
+		m.ready = Hash(q.ReadyHash)
 	}
-	h := k.is
-	a := keepAnswer{Right: k.active.Number, Hash: h[:]}
-	if q.Active != k.active.Number && k.ready[from] != h || q.Active == 0 && q.Ready == 0 {
-		a.Active = k.travels(k.active, nil)
+	activeHash := v.activeHash
+	r := leaseReply{Number: v.active.Number, Hash: activeHash[:]}
+	if q.ActiveNumber != v.active.Number && m.ready != activeHash || q.ActiveNumber == 0 && q.ReadyNumber == 0 {
+		r.Active = v.transfers.encode(v.active, nil)
 	}
-	if k.staged != nil && k.ready[from] != k.hash && !faulty {
-		base := k.active
-		if k.ready[from] != h {
+	if v.staged != nil && m.ready != v.stagedHash && m.fault == "" {
+		base := v.active
+		if m.ready != activeHash {
 			base = nil
 		}
-		a.Staged = k.travels(k.staged, base)
-	}
-	k.leases[from] = lease{k.active.Number, LeaseSurelyEnded(now, k.AgreeWithin)}
-	k.owner.Reply(from, tag, marshal(a))
-	k.Step(now)
-}
-
-// travels is travel, made once for all that ask and for what the group keeps.
-func (k *Coordinator) travels(v, base *Version) []byte {
-	key := [2]*Version{v, base}
-	if k.travelling[key] == nil {
-		if len(k.travelling) >= 4 { // the active one and the staged one, whole and different
-			k.travelling = nil
-		}
-		if k.travelling == nil {
-			k.travelling = map[[2]*Version][]byte{}
-		}
-		k.travelling[key] = v.travel(base)
+		r.Staged = v.transfers.encode(v.staged, base)
 	}
-	return k.travelling[key]
+	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, k.AgreeWithin)
+	return r
 }
 
-// call has everybody ask at once.
-func (k *Coordinator) call() {
+// notifyMembers has every member ask for its lease at once.
+func (k *Coordinator) notifyMembers() {
 	for _, m := range k.owner.Members() {
 		if m.Present {
-			k.owner.SendEffect(m.Peer, k.number, []byte{1})
+			k.owner.SendEffect(m.Peer, k.pending.sequence, []byte{1})
 		}
 	}
 }
 
-// Step makes the next version active once nobody can act by another one that does not have it, or gives it up.
-func (k *Coordinator) Step(now Time) {
-	if then := k.noting; k.owner != nil && then != nil && now-k.notedAt > k.AgreeWithin {
-		k.noting = nil // the word that it is kept may have been lost
-		then(false)
-	}
-	if k.owner == nil || k.noting != nil {
-		return
-	}
-	if k.staged == nil {
-		k.stage(now)
-		return
-	}
-	late := false
-	for peer, r := range k.leases {
-		if r.until <= now {
-			delete(k.leases, peer)
-			continue
-		}
-		if f := k.faults[peer]; f != "" {
-			k.drop(now, fmt.Sprintf("refused: %s: %s", k.name(peer), f))
-			return
-		}
-		late = late || k.ready[peer] != k.hash
-	}
-	if late && now-k.since > 3*k.AgreeWithin {
-		k.drop(now, "refused: not everyone that holds a right has it ready")
-		return
-	}
-	if !late && now >= k.blind {
-		k.activate(now)
+// EffectAcknowledged does nothing: a member that was notified asks by itself.
+func (k *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
+
+// ApplyEffect is the receiver's part of the job.
+func (k *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
+	if k.Notified != nil {
+		k.Notified(now)
 	}
 }
 
-// EffectAcknowledged is the Job's: who has heard that there is something new asks by itself.
-func (k *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
-
-func marshal(x any) []byte {
-	data, err := encoding().Marshal(x)
-	if err != nil {
-		panic(err) // structures of this package
+func (k *Coordinator) wallMillis() int64 {
+	if k.Wall == nil {
+		return 0
 	}
-	return data
+	return k.Wall()
 }
--- /dev/null
+++ b/internal/fleet/rules/delta.go
@@ -0,0 +1,189 @@
+package rules
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"errors"
+
+	"croftlock/internal/fleet/namespace"
+)
+
+// run is consecutive elements of a version: either Count of the base's from From on, or one that the base has not.
+type run[T any] struct {
+	_     struct{} `cbor:",toarray"`
+	From  uint32
+	Count uint32
+	Own   *T
+}
+
+// delta is a version relative to a base that the receiver has: everything but accounts and namespaces, and the runs of these.
+type delta struct {
+	_          struct{} `cbor:",toarray"`
+	BaseHash   []byte
+	ResultHash []byte
+	Head       []byte // the version without accounts and namespaces, encoded
+	Accounts   []run[namespace.Account]
+	Spaces     []run[namespace.Space]
+}
+
+func (d *delta) valid() bool {
+	return len(d.BaseHash) == len(Hash{}) && len(d.ResultHash) == len(Hash{})
+}
+
+func accountName(a *namespace.Account) string { return a.Name }
+func spaceName(s *namespace.Space) string     { return s.Account }
+
+func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
+	at := map[string]uint32{}
+	for i := range base {
+		at[name(&base[i])] = uint32(i)
+	}
+	for i := range all {
+		j, inBase := at[name(&all[i])]
+		if !inBase || !bytes.Equal(marshal(all[i]), marshal(base[j])) {
+			runs = append(runs, run[T]{Own: &all[i]})
+			continue
+		}
+		if n := len(runs); n > 0 && runs[n-1].Own == nil && runs[n-1].From+runs[n-1].Count == j {
+			runs[n-1].Count++
+			continue
+		}
+		runs = append(runs, run[T]{From: j, Count: 1})
+	}
+	return runs
+}
+
+func fromRuns[T any](runs []run[T], base []T) (all []T, err error) {
+	for _, r := range runs {
+		switch {
+		case r.Own != nil && r.Count == 0:
+			all = append(all, *r.Own)
+		case r.Own == nil && r.Count > 0 && uint64(r.From)+uint64(r.Count) <= uint64(len(base)):
+			all = append(all, base[r.From:r.From+r.Count]...)
+		default:
+			return nil, errMalformedVersion
+		}
+		if len(all) > MaxEntries {
+			return nil, errMalformedVersion
+		}
+	}
+	return all, nil
+}
+
+func newDelta(v, base *Version) delta {
+	book, baseBook := v.namespaces(), base.namespaces()
+	baseHash, hash := base.Hash(), v.Hash()
+	head := *v
+	if v.Book != nil {
+		rest := book
+		rest.Accounts, rest.Spaces = nil, nil
+		head.Book = &rest
+	}
+	return delta{
+		BaseHash:   baseHash[:],
+		ResultHash: hash[:],
+		Head:       marshal(head),
+		Accounts:   toRuns(book.Accounts, baseBook.Accounts, accountName),
+		Spaces:     toRuns(book.Spaces, baseBook.Spaces, spaceName),
+	}
+}
+
+// apply gives the version that a delta describes. It is not checked.
+func (d *delta) apply(base *Version) (*Version, error) {
+	v, baseBook := &Version{}, base.namespaces()
+	if unmarshal(d.Head, v) != nil {
+		return nil, errMalformedVersion
+	}
+	book := v.namespaces()
+	var err error
+	if book.Accounts, err = fromRuns(d.Accounts, baseBook.Accounts); err != nil {
+		return nil, err
+	}
+	if book.Spaces, err = fromRuns(d.Spaces, baseBook.Spaces); err != nil {
+		return nil, err
+	}
+	if v.Book != nil || len(book.Accounts)+len(book.Spaces) > 0 {
+		v.Book = &book
+	}
+	return v, nil
+}
+
+// encodeFor gives a version in the shortest form that a receiver with base reads; a nil base: it is not known what the receiver has.
+func (v *Version) encodeFor(base *Version) []byte {
+	data := compress(v.Encode())
+	if base == nil || len(data) <= noDeltaUpTo {
+		return data
+	}
+	if short := deflate(formDelta, marshal(newDelta(v, base))); len(short) < len(data) {
+		return short
+	}
+	return data
+}
+
+// errMissingBase says that a delta's base is not here: the version has to come complete.
+var errMissingBase = errors.New("rules: the version that a difference is from is not here")
+
+// versionByHash gives a version that is here; nil: it is not.
+type versionByHash func(Hash) *Version
+
+// onlyBase knows one version; nil: none.
+func onlyBase(v *Version) versionByHash {
+	return func(h Hash) *Version {
+		if v != nil && v.Hash() == h {
+			return v
+		}
+		return nil
+	}
+}
+
+// decodeVersion reads a version in any transfer form.
+func decodeVersion(data []byte, bases versionByHash) (*Version, error) {
+	if len(data) > 0 && data[0] == formDelta {
+		return decodeDelta(data[1:], bases)
+	}
+	data, err := decompress(data)
+	if err != nil {
+		return nil, err
+	}
+	return Decode(data)
+}
+
+func decodeDelta(data []byte, bases versionByHash) (*Version, error) {
+	data, err := inflate(data, maxEncodedBytes)
+	if err != nil {
+		return nil, err
+	}
+	var d delta
+	if unmarshal(data, &d) != nil || !d.valid() {
+		return nil, errMalformedVersion
+	}
+	base := bases(Hash(d.BaseHash))
+	if base == nil {
+		return nil, errMissingBase
+	}
+	v, err := d.apply(base)
+	if err != nil {
+		return nil, err
+	}
+	if v.Hash() != Hash(d.ResultHash) {
+		return nil, errMissingBase // the base here is not the one that the delta was made from
+	}
+	if err := v.Check(); err != nil {
+		return nil, err
+	}
+	return v, nil
+}
+
+// transferredHash is the hash by which the sender knows a version, also where it can't be decoded.
+func transferredHash(data []byte) Hash {
+	if data[0] == formDelta {
+		var d delta
+		if data, err := inflate(data[1:], maxEncodedBytes); err == nil && unmarshal(data, &d) == nil && len(d.ResultHash) == len(Hash{}) {
+			return Hash(d.ResultHash)
+		}
+	}
+	if plain, err := decompress(data); err == nil {
+		data = plain
+	}
+	return sha256.Sum256(data)
+}
--- a/internal/fleet/rules/travel_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -34,28 +34,28 @@
 	return n
 }
 
-func TestADifferenceIsSmallAndWhole(t *testing.T) {
+func TestDeltaIsSmallAndComplete(t *testing.T) {
 	base := large(300)
 	next := altered(base)
 	if err := next.Check(); err != nil {
 		t.Fatal(err)
 	}
-	wholeData, short := next.travel(nil), next.travel(base)
+	wholeData, short := next.encodeFor(nil), next.encodeFor(base)
 	t.Logf("%d entries: %d bytes, %d squeezed, %d as a difference", next.Entries(), len(next.Encode()), len(wholeData), len(short))
-	if len(wholeData) > mostKeptOne || len(short) > 600 {
+	if len(wholeData) > maxStoredBytes || len(short) > 600 {
 		t.Errorf("%d bytes squeezed, %d as a difference", len(wholeData), len(short))
 	}
 	for name, data := range map[string][]byte{"whole": wholeData, "as a difference": short} {
-		v, err := arrive(data, only(base))
+		v, err := decodeVersion(data, onlyBase(base))
 		if err != nil || !bytes.Equal(v.Encode(), next.Encode()) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := arrive(short, only(nil)); err != errBase {
+	if _, err := decodeVersion(short, onlyBase(nil)); err != errMissingBase {
 		t.Error("without its base:", err)
 	}
 	// What is small goes as it is written, which processes of an earlier build read.
-	if data := refuseAll.travel(base); !bytes.Equal(data, refuseAll.Encode()) {
+	if data := refuseAll.encodeFor(base); !bytes.Equal(data, refuseAll.Encode()) {
 		t.Error("a small version does not go as it is written")
 	}
 	over := large(410)
@@ -65,17 +65,17 @@
 }
 
 // A few bytes that stand for very many are refused, and cost nothing much.
-func TestABombIsRefused(t *testing.T) {
-	bomb := deflate(formSqueezed, make([]byte, 8*mostBytes+1))
-	if _, err := arrive(bomb, only(nil)); err == nil || !strings.Contains(err.Error(), "over") {
+func TestDecompressionIsBounded(t *testing.T) {
+	bomb := deflate(formCompressed, make([]byte, 8*maxEncodedBytes+1))
+	if _, err := decodeVersion(bomb, onlyBase(nil)); err == nil || !strings.Contains(err.Error(), "over") {
 		t.Error(err)
 	}
 	g := newGroup(t, 1)
-	g.k.QueryReceived(g.now, 0, 1, append([]byte{askPut}, bomb...))
+	g.coordinator.QueryReceived(g.now, 0, 1, append([]byte{queryPropose}, bomb...))
 	if !strings.HasPrefix(g.last(), "refused") {
 		t.Error(g.last())
 	}
-	if DecodeReply(string(deflate(formSqueezed, make([]byte, 8*mostBytes+1)))) != "unknown: the answer can't be read" {
+	if DecodeReply(string(deflate(formCompressed, make([]byte, 8*maxEncodedBytes+1)))) != "unknown: the answer can't be read" {
 		t.Error("an answer")
 	}
 }
@@ -105,26 +105,26 @@
 		g.cut[3] = i == 30 // misses a version, and more than one after it
 		g.run(3 * within)
 		g.cut[3] = false
-		against = g.k.active.Number
-		text[against] = g.k.active.String()
+		against = g.coordinator.versions.active.Number
+		text[against] = g.coordinator.versions.active.String()
 	}
-	g.m[2].have = map[Hash]*compiled{} // what it says that it has it has not
+	g.members[2].versions = map[Hash]*compiledVersion{} // what it says that it has it has not
 	g.change(ChangeNamespace(to("customer0003", 0, namespace.Main), against, []byte("last")))
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "active: version ") || !strings.HasSuffix(g.last(), "at 4 of 4") {
 		t.Fatal(g.last())
 	}
 	for i := uint32(1); i <= 4; i++ {
-		if n, left := g.m[i].Enforcer.ActiveVersion(); n != g.k.active.Number || left <= 0 {
-			t.Errorf("member %d acts by %d, %d is active", i, n, g.k.active.Number)
+		if n, left := g.members[i].Enforcer.ActiveVersion(); n != g.coordinator.versions.active.Number || left <= 0 {
+			t.Errorf("member %d acts by %d, %d is active", i, n, g.coordinator.versions.active.Number)
 		}
 	}
-	t.Logf("%d entries, %d bytes, %d kept by the group with %d versions before it", g.k.active.Entries(), len(g.k.active.Encode()), len(g.left), len(g.k.past))
+	t.Logf("%d entries, %d bytes, %d kept by the group with %d versions before it", g.coordinator.versions.active.Entries(), len(g.coordinator.versions.active.Encode()), len(g.checkpoint), len(g.coordinator.versions.history))
 	g.run(within)
-	g.keeper()
+	g.restartCoordinator()
 	read := 0
 	for number, want := range text {
-		if old := g.k.read(number); old != nil {
+		if old := g.coordinator.versions.byNumber(number); old != nil {
 			if read++; old.String() != want {
 				t.Errorf("version %d is not as it was", number)
 			}
@@ -133,9 +133,9 @@
 	if read < 4 {
 		t.Errorf("%d of %d versions can be read back", read, len(text))
 	}
-	g.change(RollBackTo(against, g.k.active.Number, nil))
+	g.change(RollBackTo(against, g.coordinator.versions.active.Number, nil))
 	g.run(4 * within)
-	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.k.active.Book.Spaces[3].Routes), marshal(spaces[3].Routes)) {
+	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.coordinator.versions.active.Book.Spaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("back:", g.last())
 	}
 	if o := g.overlap(); o > within {
@@ -144,10 +144,10 @@
 }
 
 // A version on the way from one to the next is nothing to go back to: the one before it is kept as what is different from the next.
-func TestThePastGoesOnOverAStepBetween(t *testing.T) {
+func TestHistoryOverATransitionalVersion(t *testing.T) {
 	g := begin(t, 2)
-	first := g.k.active.Number
-	want := g.k.active.String()
+	first := g.coordinator.versions.active.Number
+	want := g.coordinator.versions.active.String()
 	v := frame()
 	v.Book.Accounts[1].Tenants = []string{"t2", "t3"}
 	v.Book.Accounts[0].Tenants = []string{"t1"}
@@ -157,40 +157,40 @@
 	c, n := ChangeOperators(v, first, []byte("with a step")), len(g.answers)
 	g.change(c)
 	for range 100 {
-		if g.run(20 * ms); g.k.active.Book.Was != nil {
+		if g.run(20 * ms); g.coordinator.versions.active.Book.Was != nil {
 			break
 		}
 	}
-	if g.change(c); g.k.active.Book.Was == nil || len(g.answers) > n {
+	if g.change(c); g.coordinator.versions.active.Book.Was == nil || len(g.answers) > n {
 		t.Errorf("asked again between: %q", g.answers[n:])
 	}
 	g.run(4 * within)
 	if got := g.answers[n:]; len(got) != 1 || !strings.HasPrefix(got[0], fmt.Sprintf("active: version %d at", first+2)) {
 		t.Fatalf("%q", got)
 	}
-	if old := g.k.read(first); old == nil || old.String() != want {
+	if old := g.coordinator.versions.byNumber(first); old == nil || old.String() != want {
 		t.Error("the version before is not as it was")
 	}
-	if g.k.read(first+1) != nil {
+	if g.coordinator.versions.byNumber(first+1) != nil {
 		t.Error("the step between can be gone back to")
 	}
 }
 
-func FuzzArrive(f *testing.F) {
+func FuzzDecodeVersion(f *testing.F) {
 	base := large(30)
-	f.Add(altered(large(60)).travel(large(60)))
-	f.Add(base.travel(nil))
-	f.Add(marshal(different{Base: make([]byte, 32), Is: make([]byte, 32), Head: marshal(base)}))
+	f.Add(altered(large(60)).encodeFor(large(60)))
+	f.Add(base.encodeFor(nil))
+	f.Add(marshal(delta{BaseHash: make([]byte, 32), ResultHash: make([]byte, 32), Head: marshal(base)}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if v, err := arrive(data, only(base)); err == nil {
-			if again, err := arrive(v.travel(base), only(base)); err != nil || !bytes.Equal(again.Encode(), v.Encode()) {
+		if v, err := decodeVersion(data, onlyBase(base)); err == nil {
+			if again, err := decodeVersion(v.encodeFor(base), onlyBase(base)); err != nil || !bytes.Equal(again.Encode(), v.Encode()) {
 				t.Fatal(err)
 			}
 		}
 		if len(data) < 1<<16 {
 			h := base.Hash()
-			d := different{Base: h[:], Is: h[:], Head: data}
-			arrive(deflate(formDifferent, marshal(d)), only(base))
+			d := delta{BaseHash: h[:], ResultHash: h[:], Head: data}
+			decodeVersion(deflate(formDelta, marshal(d)), onlyBase(base))
 		}
 	})
 }
--- /dev/null
+++ b/internal/fleet/rules/enforcer.go
@@ -0,0 +1,169 @@
+package rules
+
+import (
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/quota"
+)
+
+// leasedVersion is the version that a process acts by, and until when it may.
+type leasedVersion struct {
+	*compiledVersion
+	leaseEnd Time
+}
+
+// Enforcer judges requests by the version that this process acts by: one value and one deadline, read without a lock.
+type Enforcer struct {
+	Now            func() Time
+	KeepAfterLapse bool          // once the lease has lapsed requests are judged by the last version, which others may have replaced; else they are refused
+	LapsedAdvice   time.Duration // Retry-After of requests that a lapsed lease refuses
+	// Clock is the time of day for routes that hold for a part of it; nil: time.Now.
+	Clock func() time.Time
+
+	active atomic.Pointer[leasedVersion] // nil: there was none yet
+}
+
+// Verdict is the answer to one request, or about one host.
+type Verdict struct {
+	Refused bool
+	Advice  time.Duration // Retry-After; 0: none
+	Version uint64        // by which it was given; 0: by none
+	Lapsed  bool          // the lease had ended
+	Account string        // whose the request is; "": the operators'
+	Route   string        // the route that decided, with its scope; "": none
+	Pools   []string      // in the order in which they are to be tried; nil: there are no pools
+}
+
+// Judge says whether a request may be placed, and where.
+func (e *Enforcer) Judge(q namespace.Ask) (v Verdict) {
+	a, v := e.current()
+	if a == nil || v.Refused {
+		return v
+	}
+	if v.Refused, v.Advice = a.refuses(q.Tenant, q.Class); v.Refused || a.namespaces == nil {
+		return v
+	}
+	q.Minute = e.minuteOfDay()
+	routed := a.namespaces.Judge(q)
+	v.Refused, v.Advice, v.Account, v.Pools = routed.Refused, routed.Advice, routed.Account, routed.Pools
+	if routed.Route != "" {
+		v.Route = namespace.Scoped(routed.Scope, routed.Route)
+	}
+	return v
+}
+
+// minuteOfDay is in UTC.
+func (e *Enforcer) minuteOfDay() int {
+	now := time.Now
+	if e.Clock != nil {
+		now = e.Clock
+	}
+	t := now().UTC()
+	return 60*t.Hour() + t.Minute()
+}
+
+// Limits are an account's, by the version that this process acts by or acted by last.
+func (e *Enforcer) Limits(account string) quota.Limit {
+	if a := e.active.Load(); a != nil {
+		return a.limits[account]
+	}
+	return quota.Limit{}
+}
+
+// Limited names the accounts that have limits, sorted.
+func (e *Enforcer) Limited() []string {
+	if a := e.active.Load(); a != nil {
+		return a.limitedAccounts
+	}
+	return nil
+}
+
+// IsLimited tells whether an account, or one above it, has limits.
+func (e *Enforcer) IsLimited(account string) bool {
+	a := e.active.Load()
+	if a == nil || len(a.limits) == 0 {
+		return false
+	}
+	for ; account != ""; account = namespace.Parent(account) {
+		if _, has := a.limits[account]; has {
+			return true
+		}
+	}
+	return false
+}
+
+// Account is a tenant's by the version that this process acts by, or acted by last; "": the operators'.
+func (e *Enforcer) Account(tenant string) string {
+	if a := e.active.Load(); a != nil && a.namespaces != nil {
+		return a.namespaces.Account(tenant)
+	}
+	return ""
+}
+
+// Pool is the pool that a host is in, and whether this process may know: a host that changes hands is in none, "", and without pools all are in one.
+func (e *Enforcer) Pool(host, kind, zone string) string {
+	if a := e.active.Load(); a != nil && a.namespaces != nil {
+		return a.namespaces.Pool(host, kind, zone)
+	}
+	return namespace.Main
+}
+
+// Explain says what becomes of a request by the version that this process acts by, and why.
+func (e *Enforcer) Explain(q namespace.Ask) string {
+	a, v := e.current()
+	switch {
+	case a == nil:
+		return "this process acts by no version yet"
+	case v.Lapsed && !e.KeepAfterLapse:
+		return fmt.Sprintf("its right to act by version %d has lapsed: refused", v.Version)
+	}
+	s := fmt.Sprintf("version %d", v.Version)
+	if v.Lapsed {
+		s += ", the last one known"
+	}
+	if refused, _ := a.refuses(q.Tenant, q.Class); refused {
+		return s + "\nrefused by the operators, for its tenant and class"
+	}
+	if a.namespaces == nil {
+		return s + "\nthere are no accounts and no pools: it may go to any host"
+	}
+	q.Minute = e.minuteOfDay()
+	return s + "\n" + a.namespaces.Explain(q)
+}
+
+// Usable says whether a host may get something new.
+func (e *Enforcer) Usable(host string) bool {
+	a, v := e.current()
+	if a == nil || v.Refused {
+		return !v.Refused
+	}
+	_, out := a.hostsOut[host]
+	return !out
+}
+
+// current gives the version to judge by, nil for none, and the verdict so far: refused where the lease has lapsed.
+func (e *Enforcer) current() (*leasedVersion, Verdict) {
+	a := e.active.Load()
+	if a != nil && e.Now() < a.leaseEnd {
+		return a, Verdict{Version: a.version.Number}
+	}
+	v := Verdict{Lapsed: true, Refused: !e.KeepAfterLapse}
+	if !e.KeepAfterLapse {
+		v.Advice = e.LapsedAdvice
+	}
+	if a != nil {
+		v.Version = a.version.Number
+	}
+	return a, v
+}
+
+// ActiveVersion tells by which version this process acts, and for how much longer it may.
+func (e *Enforcer) ActiveVersion() (number uint64, remaining Time) {
+	if a := e.active.Load(); a != nil {
+		return a.version.Number, max(0, a.leaseEnd-e.Now())
+	}
+	return 0, 0
+}
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// However cuts, deafness, late answers, lost keepers, a group without a lead and changes come together, with clocks a hundredth apart: no two
+// However cuts, deafness, late answers, lost coordinators, a group without a lead and changes come together, with clocks a hundredth apart: no two
 // versions side by side for longer than stated, numbers only rise at each process, and once all is well everyone agrees again.
 func TestOverlapUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := newGroup(t, 4)
 		for i := uint32(1); i <= 4; i++ {
-			g.rate[i] = rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(rt, "rate")
+			g.clockRate[i] = rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(rt, "rate")
 		}
 		release := func() {
-			held := g.held
-			g.held, g.hold = nil, false
+			held := g.delayedReplies
+			g.delayedReplies, g.delayReplies = nil, false
 			for _, f := range held {
 				f()
 			}
@@ -28,17 +28,17 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "what") {
 			case 0, 1:
 				n++
-				g.put(&Version{Out: []string{strings.Repeat("h", int(n))}}, g.k.active.Number)
+				g.put(&Version{Out: []string{strings.Repeat("h", int(n))}}, g.coordinator.versions.active.Number)
 			case 2:
 				g.cut[who] = !g.cut[who]
 			case 3:
 				g.deaf[who] = !g.deaf[who]
 			case 4:
-				g.keeper()
+				g.restartCoordinator()
 			case 5:
-				g.noNotes = !g.noNotes
+				g.checkpointsFail = !g.checkpointsFail
 			case 6:
-				g.hold = true
+				g.delayReplies = true
 			case 7:
 				release()
 			}
@@ -46,22 +46,22 @@
 		}
 		clear(g.cut)
 		clear(g.deaf)
-		g.noNotes = false
+		g.checkpointsFail = false
 		release()
 		g.run(6 * within)
 		if o := g.overlap(); o > within {
 			rt.Fatalf("two versions side by side for %d ms", o/ms)
 		}
 		last := map[uint32]uint64{}
-		for _, a := range g.acts {
+		for _, a := range g.observations {
 			if a.number < last[a.who] {
 				rt.Fatalf("%d went back from version %d to %d", a.who, last[a.who], a.number)
 			}
 			last[a.who] = a.number
 		}
 		for i := uint32(1); i <= 4; i++ {
-			if v := g.m[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.k.active.Number {
-				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.k.active.Number)
+			if v := g.members[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.coordinator.versions.active.Number {
+				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.coordinator.versions.active.Number)
 			}
 		}
 	})
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -14,26 +14,27 @@
 	within = 1000 * ms
 )
 
-// group is a coordinator and members whose messages a test may hold up; each has a clock of its own speed.
+// group is a coordinator and members whose messages a test may delay or lose; each has a clock of its own speed.
 type group struct {
-	t       *testing.T
-	now     Time
-	k       *Coordinator
-	m       map[uint32]*Member
-	rate    map[uint32]float64
-	cut     map[uint32]bool
-	deaf    map[uint32]bool // hears no answers
-	noNotes bool
-	answers []string
-	notes   []func()
-	left    []byte
-	acts    []act
-	held    []func()
-	hold    bool // answers are held up until release
-	record  *recorder
+	t                  *testing.T
+	now                Time
+	coordinator        *Coordinator
+	members            map[uint32]*Member
+	clockRate          map[uint32]float64
+	cut                map[uint32]bool // neither reaches the coordinator nor hears it
+	deaf               map[uint32]bool // hears no replies
+	checkpointsFail    bool
+	answers            []string // to administrators
+	pendingCheckpoints []func()
+	checkpoint         []byte // the last one stored
+	observations       []observation
+	delayedReplies     []func()
+	delayReplies       bool // until release
+	recorder           *recorder
 }
 
-type act struct {
+// observation is by which version a member acts at a time.
+type observation struct {
 	at     Time
 	who    uint32
 	number uint64
@@ -41,23 +42,23 @@
 }
 
 func (g *group) SendEffect(to uint32, _ uint64, body []byte) {
-	g.record.add("do", body)
+	g.recorder.add("do", body)
 	if !g.cut[to] {
-		g.m[to].Notified(g.clock(to))
+		g.members[to].Notified(g.clock(to))
 	}
 }
 
 func (g *group) StoreCheckpoint(number uint64, left []byte) error {
-	if g.noNotes {
+	if g.checkpointsFail {
 		return errors.New("no lead")
 	}
-	g.record.add("note", left)
-	g.notes = append(g.notes, func() { g.left = left; g.k.CheckpointStored(g.now, number, true) })
+	g.recorder.add("note", left)
+	g.pendingCheckpoints = append(g.pendingCheckpoints, func() { g.checkpoint = left; g.coordinator.CheckpointStored(g.now, number, true) })
 	return nil
 }
 
 func (g *group) Reply(to uint32, tag uint64, body []byte) {
-	g.record.add("answer", body)
+	g.recorder.add("answer", body)
 	if to == 0 {
 		g.answers = append(g.answers, string(body))
 		return
@@ -65,33 +66,33 @@
 	if g.cut[to] || g.deaf[to] {
 		return
 	}
-	deliver := func() { g.m[to].ReplyReceived(g.clock(to), tag, body) }
-	if g.hold {
-		g.held = append(g.held, deliver)
+	deliver := func() { g.members[to].ReplyReceived(g.clock(to), tag, body) }
+	if g.delayReplies {
+		g.delayedReplies = append(g.delayedReplies, deliver)
 		return
 	}
 	deliver()
 }
 
 func (g *group) Members() (all []jobs.Member) {
-	for i := uint32(1); i <= uint32(len(g.m)); i++ {
+	for i := uint32(1); i <= uint32(len(g.members)); i++ {
 		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Present: !g.cut[i]})
 	}
 	return all
 }
 
-func (g *group) clock(i uint32) Time { return 5e15 + Time(float64(g.now)*g.rate[i]) }
+func (g *group) clock(i uint32) Time { return 5e15 + Time(float64(g.now)*g.clockRate[i]) }
 
 func newGroup(t *testing.T, n uint32) *group {
-	g := &group{t: t, now: 1e9, m: map[uint32]*Member{}, rate: map[uint32]float64{}, cut: map[uint32]bool{}, deaf: map[uint32]bool{}}
-	g.keeper()
+	g := &group{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, cut: map[uint32]bool{}, deaf: map[uint32]bool{}}
+	g.restartCoordinator()
 	for i := uint32(1); i <= n; i++ {
-		g.rate[i] = 1
-		gate := &Enforcer{Now: func() Time { return g.clock(i) }, LapsedAdvice: time.Second}
-		g.m[i] = &Member{AgreeWithin: within, Enforcer: gate, SendQuery: func(tag uint64, body []byte) {
-			g.record.add("ask", body)
+		g.clockRate[i] = 1
+		enforcer := &Enforcer{Now: func() Time { return g.clock(i) }, LapsedAdvice: time.Second}
+		g.members[i] = &Member{AgreeWithin: within, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
+			g.recorder.add("ask", body)
 			if !g.cut[i] {
-				g.k.QueryReceived(g.now, i, tag, body)
+				g.coordinator.QueryReceived(g.now, i, tag, body)
 			}
 		}}
 	}
@@ -99,32 +100,32 @@
 	return g
 }
 
-// keeper begins a new coordinator with what the last one has left with the group.
-func (g *group) keeper() {
-	g.k, g.notes = &Coordinator{AgreeWithin: within}, nil
-	if err := g.k.Start(g.now, g, 1, 1, g.left); err != nil {
+// restartCoordinator begins a new coordinator with what the last one has left with the group.
+func (g *group) restartCoordinator() {
+	g.coordinator, g.pendingCheckpoints = &Coordinator{AgreeWithin: within}, nil
+	if err := g.coordinator.Start(g.now, g, 1, 1, g.checkpoint); err != nil {
 		g.t.Fatal(err)
 	}
 }
 
 func (g *group) run(d Time) {
 	for end := g.now + d; g.now < end; g.now += 20 * ms {
-		notes := g.notes
-		g.notes = nil
-		for _, f := range notes {
+		pending := g.pendingCheckpoints
+		g.pendingCheckpoints = nil
+		for _, f := range pending {
 			f()
 		}
-		g.k.Step(g.now)
-		for i := uint32(1); i <= uint32(len(g.m)); i++ {
-			g.m[i].Step(g.clock(i))
-			v := g.m[i].Enforcer.Judge(anyAsk)
-			g.acts = append(g.acts, act{g.now, i, v.Version, v.Lapsed})
+		g.coordinator.Step(g.now)
+		for i := uint32(1); i <= uint32(len(g.members)); i++ {
+			g.members[i].Step(g.clock(i))
+			v := g.members[i].Enforcer.Judge(anyAsk)
+			g.observations = append(g.observations, observation{g.now, i, v.Version, v.Lapsed})
 		}
 	}
 }
 
 func (g *group) put(v *Version, against uint64) {
-	g.k.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
+	g.coordinator.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
 }
 
 func (g *group) last() string {
@@ -138,7 +139,7 @@
 func (g *group) overlap() (most Time) {
 	first := map[uint64]Time{}
 	newest := uint64(0)
-	for _, a := range g.acts {
+	for _, a := range g.observations {
 		if a.lapsed {
 			continue
 		}
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -11,7 +11,7 @@
 
 // Whatever administrators ask for in whatever order, at every version each host is in one pool, each tenant in one account, and no child has more
 // than its parent; and what a version says can be read back from its text.
-func TestInvariantsHoldWhateverTheOrder(t *testing.T) {
+func TestInvariantsHoldInAnyOrderOfChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := &Version{}
 		taken := 0
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -1,178 +1,168 @@
 package rules
 
 import (
-	"crypto/sha256"
 	"errors"
 	"fmt"
-
-	"croftlock/internal/fleet/jobs"
-	"croftlock/internal/fleet/ownership"
 )
 
-// keep is what a member says of itself with each question for a lease, and what it gets.
-type (
-	keepAsk struct {
-		_             struct{} `cbor:",toarray"`
-		Active, Ready uint64
-		ReadyHash     []byte
-		Fault         string // why a version can't be used here
-		FaultOf       []byte // its hash
-	}
-	keepAnswer struct {
-		_      struct{} `cbor:",toarray"`
-		Right  uint64   // the version that the asker may act by
-		Hash   []byte
-		Active []byte // that version, where the asker has it not
-		Staged []byte // the next one, where the asker has it not
-	}
-)
+// queriesPerLease is how often a member asks within a lease: several queries may be lost before the lease ends.
+const queriesPerLease = 6
 
-// Member is a process's own part: it asks for its lease again and again, and holds the next version ready. It belongs to one goroutine.
+// Member is a process's own part: it renews its lease, and holds the staged version ready. It belongs to one goroutine.
 type Member struct {
-	AgreeWithin Time // agree_within
-	MaxEntries  int  // entries that this process takes
+	AgreeWithin Time // duration of a lease
+	MaxEntries  int  // entries of a version that this process takes; 0: any number
 	Enforcer    *Enforcer
-	// SendQuery asks the coordinator; its answer comes to Answered under the tag.
+	// SendQuery sends a query to the coordinator; its answer comes to ReplyReceived under the tag.
 	SendQuery func(tag uint64, body []byte)
-	// VersionChanged is told when the version that this process acts by changes.
+	// VersionChanged is called when the version that this process acts by changes; nil: nothing is.
 	VersionChanged func(number uint64, hash Hash)
 
-	tag    uint64
-	out    map[uint64]Time
-	at     Time
-	have   map[Hash]*compiled // the version acted by, and the next one
-	active Hash
-	ready  Hash
-	number uint64 // of the one ready
-	fault  string
-	faulty Hash // the version that can't be used here
+	queries  queryTracker
+	versions map[Hash]*compiledVersion // the version acted by, and the newest one
+	active   Hash
+	ready    versionID // the newest version that was compiled; zero: none
+	fault    versionFault
+}
+
+// versionID is a version's number and hash.
+type versionID struct {
+	number uint64
+	hash   Hash
+}
+
+// versionFault is why a version can't be used at this process.
+type versionFault struct {
+	reason string // "": there is none
+	hash   Hash
+}
+
+// queryTracker is the queries that have no answer yet.
+type queryTracker struct {
+	lastTag    uint64
+	lastSentAt Time // 0: none was sent
+	sentAt     map[uint64]Time
 }
 
-// Step asks anew once a sixth of a lease's time has passed.
+// start gives the tag of a query sent now, and forgets those whose lease would have ended.
+func (q *queryTracker) start(now, leaseDuration Time) (tag uint64) {
+	if q.sentAt == nil {
+		q.sentAt = map[uint64]Time{}
+	}
+	q.lastSentAt = now
+	for t, at := range q.sentAt {
+		if now-at > leaseDuration {
+			delete(q.sentAt, t)
+		}
+	}
+	q.lastTag++
+	q.sentAt[q.lastTag] = now
+	return q.lastTag
+}
+
+// Step renews the lease once a sixth of its time has passed.
 func (m *Member) Step(now Time) {
-	if now >= m.at+m.AgreeWithin/6 || m.at == 0 {
-		m.ask(now)
+	if now >= m.queries.lastSentAt+m.AgreeWithin/queriesPerLease || m.queries.lastSentAt == 0 {
+		m.requestLease(now)
 	}
 }
 
-func (m *Member) ask(now Time) {
-	m.at = now
-	if m.out == nil {
-		m.out, m.have = map[uint64]Time{}, map[Hash]*compiled{}
-	}
-	for t, at := range m.out {
-		if now-at > m.AgreeWithin {
-			delete(m.out, t)
-		}
+// Notified takes the coordinator's notice that there is something new, and asks for it at once.
+func (m *Member) Notified(now Time) { m.requestLease(now) }
+
+func (m *Member) requestLease(now Time) {
+	if m.versions == nil {
+		m.versions = map[Hash]*compiledVersion{}
 	}
-	m.tag++
-	m.out[m.tag] = now
-	n, _ := m.Enforcer.ActiveVersion()
-	q := keepAsk{Active: n, Ready: m.number, Fault: m.fault}
-	if m.number > 0 {
-		q.ReadyHash = m.ready[:]
+	tag := m.queries.start(now, m.AgreeWithin)
+	number, _ := m.Enforcer.ActiveVersion()
+	q := leaseQuery{ActiveNumber: number, ReadyNumber: m.ready.number, Fault: m.fault.reason}
+	if m.ready.number > 0 {
+		q.ReadyHash = m.ready.hash[:]
 	}
-	if m.fault != "" {
-		q.FaultOf = m.faulty[:]
+	if m.fault.reason != "" {
+		q.FaultyVersion = m.fault.hash[:]
 	}
-	m.SendQuery(m.tag, append([]byte{askKeep}, marshal(q)...))
+	m.SendQuery(tag, q.encode())
 }
 
-// ReplyReceived takes a lease, and the versions that came with it. It counts from before it was asked for.
+// ReplyReceived takes a lease, and the versions that came with it. The lease counts from when it was asked for.
 func (m *Member) ReplyReceived(now Time, tag uint64, body []byte) {
-	asked, was := m.out[tag]
-	var a keepAnswer
-	if !was || decoding().Unmarshal(body, &a) != nil {
+	askedAt, pending := m.queries.sentAt[tag]
+	if !pending {
+		return
+	}
+	r, err := decodeLeaseReply(body)
+	if err != nil {
 		return
 	}
-	delete(m.out, tag)
-	again := m.take(a.Staged)
-	m.take(a.Active)
-	if len(a.Hash) == len(Hash{}) {
-		h := Hash(a.Hash)
-		if c := m.have[h]; c != nil && c.v.Number == a.Right {
-			m.act(asked, h, c)
+	delete(m.queries.sentAt, tag)
+	stagedReported := m.receiveVersion(r.Staged)
+	m.receiveVersion(r.Active)
+	if len(r.Hash) == len(Hash{}) {
+		h := Hash(r.Hash)
+		if v := m.versions[h]; v != nil && v.version.Number == r.Number {
+			m.actBy(h, v, LeaseEnd(askedAt, m.AgreeWithin))
 		}
 	}
-	if again {
-		m.ask(now) // its being ready is what the others wait for
+	if stagedReported {
+		m.requestLease(now) // the others wait for its being ready
 	}
 }
 
-func (m *Member) act(asked Time, h Hash, c *compiled) {
-	old := m.Enforcer.p.Load()
-	if old != nil && (old.v.Number > c.v.Number || old.v.Number == c.v.Number && old.until >= LeaseEnd(asked, m.AgreeWithin)) {
-		return // an answer that is late says nothing that holds still
-	}
-	m.Enforcer.p.Store(&acting{c, LeaseEnd(asked, m.AgreeWithin)})
-	if m.active != h {
-		m.active = h
-		for k := range m.have {
-			if k != h && k != m.ready {
-				delete(m.have, k)
-			}
-		}
-		if m.VersionChanged != nil {
-			m.VersionChanged(c.v.Number, h)
+// actBy acts by a version until its lease ends. An answer that is late, and so says nothing that still holds, changes nothing.
+func (m *Member) actBy(h Hash, v *compiledVersion, leaseEnd Time) {
+	old := m.Enforcer.active.Load()
+	if old != nil && (old.version.Number > v.version.Number || old.version.Number == v.version.Number && old.leaseEnd >= leaseEnd) {
+		return
+	}
+	m.Enforcer.active.Store(&leasedVersion{v, leaseEnd})
+	if m.active == h {
+		return
+	}
+	m.active = h
+	for other := range m.versions {
+		if other != h && other != m.ready.hash {
+			delete(m.versions, other)
 		}
 	}
+	if m.VersionChanged != nil {
+		m.VersionChanged(v.version.Number, h)
+	}
 }
 
-// take makes a version ready; one that can't be used here is told to the coordinator, and is active nowhere.
-func (m *Member) take(data []byte) bool {
+// receiveVersion compiles a version, and tells whether there is something to report to the coordinator: that it is ready, or can't be used
+// here and so is to become active nowhere.
+func (m *Member) receiveVersion(data []byte) (report bool) {
 	if len(data) == 0 {
 		return false
 	}
-	v, err := arrive(data, func(h Hash) *Version {
-		if c := m.have[h]; c != nil {
-			return c.v
-		}
-		return nil
-	})
-	if errors.Is(err, errBase) {
-		m.number, m.ready = 0, Hash{} // with the next question the whole comes
+	v, err := decodeVersion(data, m.versionByHash)
+	if errors.Is(err, errMissingBase) {
+		m.ready = versionID{} // the answer to the next query has it complete
 		return true
 	}
 	if err == nil && m.MaxEntries > 0 && v.Entries() > m.MaxEntries {
 		err = fmt.Errorf("rules: %d entries, this process takes %d", v.Entries(), m.MaxEntries)
 	}
 	if err != nil {
-		m.fault, m.faulty = err.Error(), m.named(data)
+		m.fault = versionFault{err.Error(), transferredHash(data)}
 		return true
 	}
-	h := v.Hash()
-	if m.have[h] == nil {
-		m.have[h] = compile(v)
+	id := versionID{v.Number, v.Hash()}
+	if m.versions[id.hash] == nil {
+		m.versions[id.hash] = compileVersion(v)
 	}
-	if v.Number > m.number || v.Number == m.number && h != m.ready {
-		m.ready, m.number, m.fault = h, v.Number, ""
-		return true
-	}
-	return false
-}
-
-// named is the hash by which the coordinator knows a version that can't be used here, also where it came as a difference.
-func (m *Member) named(data []byte) Hash {
-	if data[0] == formDifferent {
-		var d different
-		if data, err := inflate(data[1:], mostBytes); err == nil && decoding().Unmarshal(data, &d) == nil && len(d.Is) == len(Hash{}) {
-			return Hash(d.Is)
-		}
-	}
-	if plain, err := loosen(data); err == nil {
-		data = plain
+	if id.number < m.ready.number || id == m.ready {
+		return false
 	}
-	return sha256.Sum256(data)
+	m.ready, m.fault.reason = id, ""
+	return true
 }
 
-// Notified takes the coordinator's word that there is something new, and asks for it at once.
-func (m *Member) Notified(now Time) { m.ask(now) }
-
-// ApplyEffect is the receiver's part of the job.
-func (k *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
-	if k.Notified != nil {
-		k.Notified(now)
+func (m *Member) versionByHash(h Hash) *Version {
+	if v := m.versions[h]; v != nil {
+		return v.version
 	}
+	return nil
 }
-
-var _ jobs.Job = (*Coordinator)(nil)
--- /dev/null
+++ b/internal/fleet/rules/parts_test.go
@@ -0,0 +1,121 @@
+package rules
+
+import (
+	"testing"
+)
+
+func TestRateLimiter(t *testing.T) {
+	limiter := rateLimiter{buckets: map[string]*tokenBucket{}}
+	v := frame()
+	v.Book.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
+	acme := &Change{Part: "acme", Key: public(1)}
+	allowed := func(now Time, c *Change) (n int) {
+		for range 1000 {
+			if limiter.allow(now, c, v) {
+				n++
+			}
+		}
+		return n
+	}
+	for _, step := range []struct {
+		name   string
+		at     Time
+		change *Change
+		want   int
+	}{
+		{"the burst", 0, acme, 10},
+		{"one second later", 1000 * ms, acme, 1},
+		{"after an hour", 3600 * 1000 * ms, acme, 10},
+		{"an account below", 3600 * 1000 * ms, &Change{Part: "acme/web", Key: public(1)}, 10},
+		{"another account", 3600 * 1000 * ms, &Change{Part: "other", Key: public(1)}, defaultChangesPerMinute / burstDivisor},
+	} {
+		if got := allowed(step.at, step.change); got != step.want {
+			t.Errorf("%s: %d changes allowed, expected %d", step.name, got, step.want)
+		}
+	}
+}
+
+func TestLeaseTableReadiness(t *testing.T) {
+	staged, other := Hash{1}, Hash{2}
+	for _, c := range []struct {
+		name    string
+		members []memberState
+		want    readiness
+	}{
+		{"nobody", nil, readiness{all: true}},
+		{"all ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: staged}}, readiness{all: true}},
+		{"one not ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: other}}, readiness{}},
+		{"not ready, and its lease has ended", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 5, ready: other}}, readiness{all: true}},
+		{"faulty", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, fault: "too large"}}, readiness{faultyPeer: 1, faultReason: "too large"}},
+		{"faulty, and its lease has ended", []memberState{{leaseEnd: 5, fault: "too large"}}, readiness{all: true}},
+	} {
+		table := newLeaseTable(0, within)
+		for i := range c.members {
+			*table.member(uint32(i)) = c.members[i]
+		}
+		if got := table.readiness(staged, 5); got != c.want {
+			t.Errorf("%s: %+v, expected %+v", c.name, got, c.want)
+		}
+	}
+}
+
+// Between the two ends of a lease lie clocks that run apart: the coordinator's comes later even if the member's clock is the slower one.
+func TestCoordinatorCountsALeaseLonger(t *testing.T) {
+	member, coordinator := LeaseEnd(0, within), LeaseSurelyEnded(0, within)
+	if float64(member)/0.99 >= float64(coordinator)/1.01 {
+		t.Errorf("a member's lease of %d ends after the coordinator's %d", member, coordinator)
+	}
+}
+
+func TestProposalRounds(t *testing.T) {
+	alone := &proposal{Change: &Change{ID: []byte("alone")}, alone: true}
+	first, second := &proposal{Change: &Change{ID: []byte("first")}}, &proposal{Change: &Change{ID: []byte("second")}}
+	q := proposalQueue{waiting: []*proposal{first, second, alone}}
+	for i, want := range []int{2, 1, 0} {
+		if round := q.nextRound(); len(round) != want {
+			t.Errorf("round %d has %d proposals, expected %d", i, len(round), want)
+		}
+	}
+	q.retryAlone([]*proposal{first, second})
+	if round := q.nextRound(); len(round) != 1 || round[0] != first {
+		t.Errorf("after a round that could not be used: %d proposals", len(round))
+	}
+	if q.byID([]byte("second")) != second || q.byID(nil) != nil {
+		t.Error("proposals are found by their IDs alone")
+	}
+}
+
+func TestDecodeQueryNamesTheFault(t *testing.T) {
+	for _, c := range []struct {
+		body string
+		want error
+	}{
+		{"k\xff", errMalformedLease},
+		{"p", errMalformedChange},
+		{"r\x61a", errMalformedNumber},
+		{"?", errUnknownQuery},
+		{"s", nil},
+	} {
+		if _, err := decodeQuery([]byte(c.body)); err != c.want {
+			t.Errorf("%q: %v, expected %v", c.body, err, c.want)
+		}
+	}
+}
+
+func TestAuditLogRestore(t *testing.T) {
+	var entries []AuditEntry
+	for n := uint64(1); n <= 3; n++ {
+		entries = appendEntry(entries, AuditEntry{Number: n, Who: "operators", What: "rules"})
+	}
+	var log auditLog
+	log.restore(entries, 2)
+	if len(log.active) != 2 || len(log.staged) != 3 {
+		t.Errorf("%d entries up to version 2, %d with the staged one", len(log.active), len(log.staged))
+	}
+	entries[1].Who = "somebody"
+	log = auditLog{}
+	log.restore(entries, 2)
+	if len(log.active) != 0 || len(log.staged) != 0 || len(log.rejected) != 1 {
+		t.Errorf("an altered log is restored: %+v", log)
+	}
+}
--- /dev/null
+++ b/internal/fleet/rules/proposal.go
@@ -0,0 +1,170 @@
+package rules
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+
+	"croftlock/internal/fleet/namespace"
+)
+
+// maxWaitingProposals bounds what the coordinator holds for answers.
+const maxWaitingProposals = 64
+
+// proposal is a change and who waits for its answer.
+type proposal struct {
+	*Change
+	proposer string
+	reply    func(text string)
+	alone    bool // it is staged without others: a rollback, or one of a round that could not be used
+}
+
+// replyAll gives one answer to several proposals.
+func replyAll(proposals []*proposal, text string) {
+	for _, p := range proposals {
+		p.reply(text)
+	}
+}
+
+// proposalQueue is the proposals that have no answer yet.
+type proposalQueue struct {
+	waiting []*proposal // no version holds them yet
+	staged  []*proposal // the staged version holds them
+}
+
+// find gives the first proposal that matches; nil: none does.
+func (q *proposalQueue) find(match func(*proposal) bool) *proposal {
+	for _, list := range [...][]*proposal{q.waiting, q.staged} {
+		if i := slices.IndexFunc(list, match); i >= 0 {
+			return list[i]
+		}
+	}
+	return nil
+}
+
+func (q *proposalQueue) byID(id []byte) *proposal {
+	return q.find(func(p *proposal) bool { return len(id) > 0 && bytes.Equal(p.ID, id) })
+}
+
+func (q *proposalQueue) bySubject(subject string) *proposal {
+	return q.find(func(p *proposal) bool { return p.subject() == subject })
+}
+
+// nextRound takes the proposals that are staged together.
+func (q *proposalQueue) nextRound() []*proposal {
+	round := q.waiting
+	if i := slices.IndexFunc(round, func(p *proposal) bool { return p.alone }); i >= 0 {
+		round = round[:max(1, i)]
+	}
+	q.waiting = q.waiting[len(round):]
+	return round
+}
+
+// retryAlone has proposals that were staged together staged one by one.
+func (q *proposalQueue) retryAlone(proposals []*proposal) {
+	for _, p := range proposals {
+		p.alone = true
+	}
+	q.waiting = append(proposals, q.waiting...)
+}
+
+// propose takes a change. What is wrong with it by itself is answered at once, and takes nobody's time but the coordinator's.
+func (k *Coordinator) propose(now Time, c *Change, reply func(string)) {
+	if k.isRetry(now, c, reply) {
+		return
+	}
+	if !k.limiter.allow(now, c, k.versions.active) {
+		reply(fmt.Sprintf("refused: more changes of %s a minute than it may have, ask again in some seconds", c.subject()))
+		return
+	}
+	reject := func(proposer, reason string) {
+		k.audit.reject(c, proposer, reason)
+		reply("refused: " + reason)
+	}
+	if k.proposals.bySubject(c.subject()) != nil {
+		reject("", fmt.Sprintf("another change of %s is on its way, ask again", c.subject()))
+		return
+	}
+	proposer, err := k.authorize(c, k.versions.active)
+	if err != nil {
+		reject(proposer, err.Error())
+		return
+	}
+	v, err := k.versions.active.Apply(c, k.versions.byNumber)
+	switch {
+	case err != nil:
+		reject(proposer, err.Error())
+	case k.versions.staged == nil && equalIgnoringNumbers(v, k.versions.active):
+		reply(k.summary(now)) // it holds already
+	case len(k.proposals.waiting) >= maxWaitingProposals:
+		reply("refused: too many changes are on their way, ask again")
+	default:
+		k.proposals.waiting = append(k.proposals.waiting, &proposal{Change: c, proposer: proposer, reply: reply, alone: c.Kind == KindRollback})
+		k.Step(now)
+	}
+}
+
+// isRetry handles a change that was proposed before: whoever has heard no answer asks again, which is applied once and costs no tokens.
+func (k *Coordinator) isRetry(now Time, c *Change, reply func(string)) bool {
+	if p := k.proposals.byID(c.ID); p != nil {
+		p.reply = reply
+		return true
+	}
+	if e := findEntry(k.audit.active, c.ID); e != nil && (k.versions.staged == nil || !k.versions.active.transitional()) {
+		reply(k.summaryOfChange(now, e))
+		return true
+	}
+	if k.versions.staged != nil && findEntry(k.audit.staged, c.ID) != nil { // staged by a coordinator before this one
+		k.proposals.staged = append(k.proposals.staged, &proposal{Change: c, reply: reply})
+		return true
+	}
+	return false
+}
+
+// stageProposals makes one version of all changes that wait, so that one customer's change waits for nobody else's. After a transitional version
+// of a coordinator before this one it stages what follows that.
+func (k *Coordinator) stageProposals(now Time) {
+	if k.versions.active.transitional() {
+		k.stageReassigned(now, nil)
+		return
+	}
+	for len(k.proposals.waiting) > 0 {
+		s := k.applyRound(now, k.proposals.nextRound())
+		if len(s.proposals) == 0 {
+			continue
+		}
+		if reassigns(k.versions.active, s.version) {
+			s.version.Book.Was = ownersFrame(k.versions.active)
+		}
+		if err := s.version.finish(); err != nil {
+			replyAll(s.proposals, "refused: "+err.Error())
+			return
+		}
+		k.stage(s)
+		return
+	}
+}
+
+// applyRound applies each proposal that is still allowed: what was revoked since it came, or changed by another, is rejected.
+func (k *Coordinator) applyRound(now Time, round []*proposal) *staging {
+	s := &staging{startedAt: now, version: k.versions.active.next(), audit: k.audit.active}
+	for _, p := range round {
+		proposer, err := k.authorize(p.Change, s.version)
+		next := s.version.next()
+		next.Number = s.version.Number
+		if err == nil {
+			err = next.apply(k.versions.active, p.Change, k.versions.byNumber)
+		}
+		if err != nil {
+			k.audit.reject(p.Change, p.proposer, err.Error())
+			p.reply("refused: " + err.Error())
+			continue
+		}
+		if next.Book == nil {
+			next.Book = &namespace.Book{}
+		}
+		s.version, s.proposals = next, append(s.proposals, p)
+		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: p.ID, Who: proposer, What: p.subject(), Wall: k.wallMillis()})
+	}
+	return s
+}
--- /dev/null
+++ b/internal/fleet/rules/ratelimit.go
@@ -0,0 +1,57 @@
+package rules
+
+import "croftlock/internal/fleet/namespace"
+
+const (
+	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count: an account that sends bad ones
+	// without end must not take the coordinator's time from others.
+	defaultChangesPerMinute = 600
+	burstDivisor            = 6 // a bucket holds ten seconds' worth of changes
+	maxBuckets              = 4 * MaxEntries
+	nanosPerMinute          = 6e10
+)
+
+// tokenBucket is how many changes may still be proposed.
+type tokenBucket struct {
+	tokens   float64
+	filledAt Time
+}
+
+// take fills the bucket for the time that has passed, and takes a token if there is one.
+func (b *tokenBucket) take(now Time, perMinute float64) bool {
+	b.tokens = min(max(1, perMinute/burstDivisor), b.tokens+float64(now-b.filledAt)/nanosPerMinute*perMinute)
+	b.filledAt = now
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// rateLimiter has a bucket for each key and account, so that nobody spends another's tokens.
+type rateLimiter struct{ buckets map[string]*tokenBucket }
+
+func (l *rateLimiter) allow(now Time, c *Change, active *Version) bool {
+	perMinute := changesPerMinute(active, c.Part)
+	id := string(c.Key) + c.Part
+	b := l.buckets[id]
+	if b == nil {
+		if len(l.buckets) >= maxBuckets {
+			clear(l.buckets)
+		}
+		b = &tokenBucket{tokens: max(1, perMinute/burstDivisor), filledAt: now}
+		l.buckets[id] = b
+	}
+	return b.take(now, perMinute)
+}
+
+// changesPerMinute is the lowest rate of an account and those above it.
+func changesPerMinute(v *Version, part string) float64 {
+	lowest := float64(defaultChangesPerMinute)
+	for _, a := range v.namespaces().Accounts {
+		if a.Changes > 0 && namespace.Under(part, a.Name) {
+			lowest = min(lowest, float64(a.Changes))
+		}
+	}
+	return lowest
+}
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -52,10 +52,10 @@
 
 // randomStep does one thing to the group: a change, a question, a fault or its end.
 func randomStep(g *group, rng *rand.Rand) {
-	member := 1 + uint32(rng.Intn(len(g.m)))
+	member := 1 + uint32(rng.Intn(len(g.members)))
 	switch rng.Intn(12) {
 	case 0, 1, 2:
-		against := g.k.active.Number
+		against := g.coordinator.versions.active.Number
 		if rng.Intn(6) == 0 {
 			against = uint64(rng.Intn(int(against) + 2))
 		}
@@ -66,16 +66,16 @@
 		g.change(c)
 	case 3:
 		questions := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
-		g.k.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
+		g.coordinator.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
 	case 4:
 		g.cut[member] = !g.cut[member]
 	case 5:
 		g.deaf[member] = !g.deaf[member]
 	case 6:
-		g.noNotes = rng.Intn(3) == 0
+		g.checkpointsFail = rng.Intn(3) == 0
 	case 7:
 		if rng.Intn(3) == 0 {
-			g.keeper()
+			g.restartCoordinator()
 		}
 	default:
 		g.cut[member], g.deaf[member] = false, false
@@ -90,7 +90,7 @@
 	play := func(seed int64, samples *golden.Samples) {
 		rng := rand.New(rand.NewSource(seed))
 		g := newGroup(t, 2+uint32(seed%4))
-		g.record = &recorder{digest: golden.NewDigest(), samples: samples}
+		g.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
 		if seed%2 == 0 {
 			g.put(frame(), 0)
 		}
@@ -98,13 +98,13 @@
 			randomStep(g, rng)
 			steps := 1 + rng.Intn(3)
 			g.run(20 * ms * Time(steps))
-			events += 1 + steps*len(g.m)
-			for i := uint32(1); i <= uint32(len(g.m)); i++ {
-				v := g.m[i].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
-				g.record.digest.Add("%d %d %+v", g.now, i, v)
+			events += 1 + steps*len(g.members)
+			for i := uint32(1); i <= uint32(len(g.members)); i++ {
+				v := g.members[i].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
+				g.recorder.digest.Add("%d %d %+v", g.now, i, v)
 			}
 		}
-		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.m), g.k.active.Number, g.record.digest)
+		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.members), g.coordinator.versions.active.Number, g.recorder.digest)
 	}
 	const sampled = 4
 	for seed := range int64(sampled) {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -9,14 +9,14 @@
 	"croftlock/internal/operations/settings"
 )
 
-func TestAVersionBecomesActiveEverywhere(t *testing.T) {
+func TestVersionBecomesActiveEverywhere(t *testing.T) {
 	g := newGroup(t, 5)
 	g.put(refuseAll, 0)
 	g.run(200 * ms)
 	if !strings.HasPrefix(g.last(), "active: version 1 at 5 of 5") {
 		t.Fatalf("answered %q", g.last())
 	}
-	for i, m := range g.m {
+	for i, m := range g.members {
 		if v := m.Enforcer.Judge(anyAsk); !v.Refused || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
 			t.Errorf("%d: %+v", i, v)
 		}
@@ -35,7 +35,7 @@
 }
 
 // Cut off in each direction: nothing newer is active before its lease has ended, and it acts by nothing after.
-func TestOneThatIsCutOffActsByNothing(t *testing.T) {
+func TestMemberCutOffActsByNothing(t *testing.T) {
 	for name, fault := range map[string]func(g *group, on bool){
 		"both ways": func(g *group, on bool) { g.cut[3] = on }, "hears nothing": func(g *group, on bool) { g.deaf[3] = on }} {
 		g := newGroup(t, 3)
@@ -50,7 +50,7 @@
 		if o := g.overlap(); o > within {
 			t.Errorf("%s: two versions side by side for %d ms", name, o/ms)
 		}
-		if v := g.m[3].Enforcer.Judge(anyAsk); !v.Lapsed || !v.Refused {
+		if v := g.members[3].Enforcer.Judge(anyAsk); !v.Lapsed || !v.Refused {
 			t.Errorf("%s: it goes on: %+v", name, v)
 		}
 		fault(g, false)
@@ -59,7 +59,7 @@
 			t.Errorf("%s: answered %q", name, g.last())
 		}
 		if name == "both ways" {
-			if v := g.m[3].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 1 {
+			if v := g.members[3].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 1 {
 				t.Errorf("%s: not healed: %+v", name, v)
 			}
 		}
@@ -67,31 +67,31 @@
 }
 
 // Keep goes on by the last version, and says that it stands outside the promise.
-func TestKeepSaysThatItsRightHasLapsed(t *testing.T) {
+func TestKeepAfterLapseReportsTheLapse(t *testing.T) {
 	g := newGroup(t, 2)
-	g.m[2].Enforcer.KeepAfterLapse = true
+	g.members[2].Enforcer.KeepAfterLapse = true
 	g.put(&Version{Out: []string{"h"}}, 0)
 	g.run(200 * ms)
 	g.cut[2] = true
 	g.run(2 * within)
-	if v := g.m[2].Enforcer.Judge(anyAsk); v.Refused || !v.Lapsed || v.Version != 1 {
+	if v := g.members[2].Enforcer.Judge(anyAsk); v.Refused || !v.Lapsed || v.Version != 1 {
 		t.Fatalf("%+v", v)
 	}
-	if g.m[2].Enforcer.Usable("h") || !g.m[2].Enforcer.Usable("i") {
+	if g.members[2].Enforcer.Usable("h") || !g.members[2].Enforcer.Usable("i") {
 		t.Fatal("its last version names h alone as out")
 	}
 }
 
 // A version that compiles everywhere but on one is active nowhere, and its change is answered with who and why.
-func TestAPoisonVersionIsActiveNowhere(t *testing.T) {
+func TestUnusableVersionIsActiveNowhere(t *testing.T) {
 	g := newGroup(t, 3)
-	g.m[2].MaxEntries = 1
+	g.members[2].MaxEntries = 1
 	g.put(&Version{Out: []string{"g", "h"}}, 0)
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "refused: b: rules: 2 entries, this process takes 1") {
 		t.Fatalf("answered %q", g.last())
 	}
-	for i, m := range g.m {
+	for i, m := range g.members {
 		if n, _ := m.Enforcer.ActiveVersion(); n != 0 {
 			t.Errorf("%d acts by %d", i, n)
 		}
@@ -105,22 +105,22 @@
 
 // A new coordinator knows of no leases: it makes nothing active before those that its predecessor may have given have ended, and
 // what the group keeps is not lost.
-func TestAKeeperThatIsLostBetweenReadyAndActive(t *testing.T) {
+func TestCoordinatorLostBetweenReadyAndActive(t *testing.T) {
 	g := newGroup(t, 3)
 	g.cut[3] = true
 	g.put(refuseAll, 0)
 	g.run(200 * ms) // kept, and on its way: the one cut off may hold a lease
-	g.keeper()
+	g.restartCoordinator()
 	began := g.now
-	for g.now < began+3*within && g.overlap() == 0 && !strings.Contains(g.k.show(g.now), "version 1 at") {
+	for g.now < began+3*within && g.overlap() == 0 && !strings.Contains(g.coordinator.overview(g.now), "version 1 at") {
 		g.run(20 * ms)
 	}
-	if n, _ := g.m[1].Enforcer.ActiveVersion(); n == 1 && g.now-began < within {
-		t.Fatalf("active %d ms after a new keeper began, and the one cut off may act still", (g.now-began)/ms)
+	if n, _ := g.members[1].Enforcer.ActiveVersion(); n == 1 && g.now-began < within {
+		t.Fatalf("active %d ms after a new coordinator began, and the one cut off may act still", (g.now-began)/ms)
 	}
 	g.run(3 * within)
-	if n, _ := g.m[1].Enforcer.ActiveVersion(); n != 1 {
-		t.Fatalf("what was kept is lost: %d is acted by; %s", n, g.k.show(g.now))
+	if n, _ := g.members[1].Enforcer.ActiveVersion(); n != 1 {
+		t.Fatalf("what was kept is lost: %d is acted by; %s", n, g.coordinator.overview(g.now))
 	}
 	if o := g.overlap(); o > within {
 		t.Fatalf("two versions side by side for %d ms", o/ms)
@@ -128,24 +128,24 @@
 }
 
 // An answer that was held up says nothing of now: a lease counts from before it was asked for.
-func TestALateAnswerGivesNoRight(t *testing.T) {
+func TestLateReplyGrantsNoLease(t *testing.T) {
 	g := newGroup(t, 2)
-	g.hold = true
+	g.delayReplies = true
 	g.run(within / 2)
 	g.cut[1], g.cut[2] = true, true
 	g.run(3 * within)
-	for _, f := range g.held {
+	for _, f := range g.delayedReplies {
 		f()
 	}
-	if v := g.m[1].Enforcer.Judge(anyAsk); !v.Lapsed {
+	if v := g.members[1].Enforcer.Judge(anyAsk); !v.Lapsed {
 		t.Fatalf("a right from an answer %d ms late", 3*within/ms)
 	}
 }
 
 // What the tests here look for is found where it is put in: a lease that is counted for too long.
-func TestARightThatIsTooLongIsFound(t *testing.T) {
+func TestOverlapCheckFindsAnOverlongLease(t *testing.T) {
 	g := newGroup(t, 3)
-	g.m[3].AgreeWithin = 10 * within
+	g.members[3].AgreeWithin = 10 * within
 	g.run(3 * within)
 	g.cut[3] = true
 	g.put(refuseAll, 0)
@@ -158,7 +158,7 @@
 // Clocks that run a hundredth apart each, and a change each while one is cut off.
 func TestOverlapWithClocksApart(t *testing.T) {
 	g := newGroup(t, 4)
-	g.rate[3], g.rate[4] = 0.99, 1.01
+	g.clockRate[3], g.clockRate[4] = 0.99, 1.01
 	for n := uint64(0); n < 6; n++ {
 		g.cut[3] = n%2 == 0
 		g.run(200 * ms)
@@ -174,26 +174,26 @@
 }
 
 // Without the group nothing changes, and nobody loses a lease for it.
-func TestNothingIsActiveThatTheGroupDoesNotKeep(t *testing.T) {
+func TestNothingIsActiveWithoutACheckpoint(t *testing.T) {
 	g := newGroup(t, 2)
-	g.noNotes = true
+	g.checkpointsFail = true
 	g.put(refuseAll, 0)
 	g.run(3 * within)
 	if !strings.HasPrefix(g.last(), "unknown") {
 		t.Fatalf("answered %q", g.last())
 	}
-	if v := g.m[1].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 0 || v.Refused {
+	if v := g.members[1].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != 0 || v.Refused {
 		t.Fatalf("%+v", v)
 	}
 }
 
-func TestVersionsThatAreRefused(t *testing.T) {
+func TestDecodeRejects(t *testing.T) {
 	for name, v := range map[string]*Version{
 		"twice":        {Refuse: []Refusal{{Tenant: "a"}, {Tenant: "a"}}},
 		"out of order": {Out: []string{"b", "a"}},
 		"no name":      {Out: []string{""}},
 		"too many":     {Out: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
-		"long":         {Refuse: []Refusal{{Class: strings.Repeat("c", mostName+1)}}},
+		"long":         {Refuse: []Refusal{{Class: strings.Repeat("c", maxNameBytes+1)}}},
 	} {
 		if _, err := Decode(v.Encode()); err == nil {
 			t.Errorf("%s: taken", name)
@@ -214,7 +214,7 @@
 		}
 		g := &Coordinator{AgreeWithin: within}
 		if g.Start(1, &group{t: t}, 1, 1, data) == nil && len(data) > 0 {
-			g.QueryReceived(2, 0, 1, append([]byte{askPut}, data...))
+			g.QueryReceived(2, 0, 1, append([]byte{queryPropose}, data...))
 		}
 	})
 }
--- /dev/null
+++ b/internal/fleet/rules/settings.go
@@ -0,0 +1,54 @@
+package rules
+
+import (
+	"slices"
+	"time"
+
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/operations/settings"
+)
+
+// Section is what operators write: (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST), each as often as wanted; pools and accounts; and the
+// operators' own guards, routes and defaults.
+func Section() settings.Section {
+	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.Form) any { return bindVersion(f) }}
+}
+
+func bindVersion(f *settings.Form) *Version {
+	v := &Version{}
+	f.Each("refuse", "requests that get no placement, under a label that is the operators' own", func(_ string, f *settings.Form) {
+		v.Refuse = append(v.Refuse, bindRefusal(f))
+	})
+	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.Out = append(v.Out, host) })
+	v.Book = bindOperatorsNamespaces(f)
+	slices.SortFunc(v.Refuse, compareRefusals)
+	slices.Sort(v.Out)
+	if err := v.Check(); err != nil {
+		f.Fault("", "%v", err)
+	}
+	return v
+}
+
+func bindRefusal(f *settings.Form) Refusal {
+	var r Refusal
+	var advice time.Duration
+	anyName := func(string) bool { return true }
+	f.Text("tenant", "whose; all where it is left out", "a name", &r.Tenant, anyName)
+	f.Text("class", "of which class; all where it is left out", "a name", &r.Class, anyName)
+	f.Duration("advice", "after which its client may come again", &advice, 0, time.Minute)
+	r.Advice = uint32(advice.Milliseconds())
+	return r
+}
+
+// bindOperatorsNamespaces gives nil where nothing of it is written.
+func bindOperatorsNamespaces(f *settings.Form) *namespace.Book {
+	book, own := &namespace.Book{}, namespace.Space{}
+	namespace.BindFrame(f, book)
+	if namespace.BindRoutes(f, &own); len(own.Guards)+len(own.Routes)+len(own.Defaults) > 0 {
+		book.Spaces = []namespace.Space{own}
+	}
+	if len(book.Pools)+len(book.Accounts)+len(book.Spaces) == 0 {
+		return nil
+	}
+	return book
+}
--- /dev/null
+++ b/internal/fleet/rules/transfer.go
@@ -0,0 +1,46 @@
+package rules
+
+import (
+	"bytes"
+
+	"croftlock/internal/fleet/namespace"
+)
+
+// reassigns tells whether a host or a tenant gets another owner between two versions. If so a transitional version comes between them, by which
+// nobody uses what is reassigned.
+func reassigns(old, next *Version) bool {
+	before, after := tenantOwners(old), tenantOwners(next)
+	if len(before) != len(after) || !bytes.Equal(marshal(old.namespaces().Pools), marshal(next.namespaces().Pools)) {
+		return true
+	}
+	for tenant, account := range after {
+		if before[tenant] != account {
+			return true
+		}
+	}
+	return false
+}
+
+// tenantOwners gives each tenant's account: the deepest, since accounts are sorted by name and a child comes after its parent.
+func tenantOwners(v *Version) map[string]string {
+	owners := map[string]string{}
+	for _, a := range v.namespaces().Accounts {
+		for _, t := range a.Tenants {
+			owners[t] = a.Name
+		}
+	}
+	return owners
+}
+
+// ownersFrame is what a transitional version needs of the one before: whose each host and tenant was.
+func ownersFrame(v *Version) *namespace.Frame {
+	book := v.namespaces()
+	f := &namespace.Frame{Pools: book.Pools}
+	for _, a := range book.Accounts {
+		f.Accounts = append(f.Accounts, namespace.Account{Name: a.Name, Tenants: a.Tenants})
+	}
+	return f
+}
+
+// transitional tells whether a version is a step between two others, while something is reassigned.
+func (v *Version) transitional() bool { return v.namespaces().Was != nil }
--- a/internal/fleet/rules/hands_test.go
+++ b/internal/fleet/rules/transfer_test.go
@@ -8,7 +8,7 @@
 )
 
 // While a host and a tenant change hands, and one is cut off: from the moment that anyone may use them as the new owner nobody uses them as the old.
-func TestNothingBelongsToTwo(t *testing.T) {
+func TestReassignedHostsHaveOneOwnerAtATime(t *testing.T) {
 	g := begin(t, 4)
 	g.run(within)
 	type use struct {
@@ -25,7 +25,7 @@
 	for range 300 {
 		g.run(20 * ms)
 		for i := uint32(1); i <= 4; i++ {
-			gate := g.m[i].Enforcer
+			gate := g.members[i].Enforcer
 			v := gate.Judge(namespace.Ask{Tenant: "t2", Class: "c"})
 			if v.Lapsed {
 				continue
@@ -59,7 +59,7 @@
 }
 
 // One that was away for 10,000 versions takes the newest whole, and nothing in between.
-func TestFarBehind(t *testing.T) {
+func TestMemberFarBehind(t *testing.T) {
 	g := newGroup(t, 3)
 	g.cut[3] = true
 	g.run(2 * within)
@@ -67,41 +67,41 @@
 		g.put(&Version{Out: []string{string(rune('a' + n%26))}}, n)
 		g.run(100 * ms)
 	}
-	if g.k.active.Number != 2000 {
-		t.Fatalf("version %d is active: %s", g.k.active.Number, g.last())
+	if g.coordinator.versions.active.Number != 2000 {
+		t.Fatalf("version %d is active: %s", g.coordinator.versions.active.Number, g.last())
 	}
-	g.k.active.Number, g.k.active.Root = 10_000, 10_000 // as if 8,000 more had come
-	g.k.is, g.k.travelling = g.k.active.Hash(), nil
-	g.acts = nil
+	g.coordinator.versions.active.Number, g.coordinator.versions.active.Root = 10_000, 10_000 // as if 8,000 more had come
+	g.coordinator.versions.activeHash, g.coordinator.versions.transfers = g.coordinator.versions.active.Hash(), nil
+	g.observations = nil
 	g.cut[3] = false
 	g.run(2 * within)
-	if n, left := g.m[3].Enforcer.ActiveVersion(); n != 10_000 || left <= 0 {
+	if n, left := g.members[3].Enforcer.ActiveVersion(); n != 10_000 || left <= 0 {
 		t.Fatalf("acts by %d for %d ms more", n, left/ms)
 	}
-	for _, a := range g.acts {
+	for _, a := range g.observations {
 		if a.who == 3 && !a.lapsed && a.number != 10_000 {
 			t.Fatalf("acted by %d on its way", a.number)
 		}
 	}
-	if len(g.k.past) > mostHistory || len(g.k.trail) > mostTrail || len(g.left) > mostKept {
-		t.Errorf("%d versions, %d changes, %d bytes are kept", len(g.k.past), len(g.k.trail), len(g.left))
+	if len(g.coordinator.versions.history) > maxHistory || len(g.coordinator.audit.active) > maxAuditEntries || len(g.checkpoint) > maxCheckpointBytes {
+		t.Errorf("%d versions, %d changes, %d bytes are kept", len(g.coordinator.versions.history), len(g.coordinator.audit.active), len(g.checkpoint))
 	}
 }
 
 // A change whose coordinator ends with it on its way is asked for once more at the next one: it hears that it is active, and not that it was made against
 // something older. Asking again costs nothing of what may be asked for.
-func TestTheSameOnceMoreAtAnotherKeeper(t *testing.T) {
+func TestRetryAtAnotherCoordinator(t *testing.T) {
 	g := begin(t, 3)
 	g.cut[3] = true // holds it up
 	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("once-and-again"))
 	g.signed(c, 1)
 	g.run(100 * ms)
-	if g.k.staged == nil {
+	if g.coordinator.versions.staged == nil {
 		t.Fatal("it is not on its way:", g.last())
 	}
-	g.keeper()
+	g.restartCoordinator()
 	n := len(g.answers)
-	for range 3 * usualChanges {
+	for range 3 * defaultChangesPerMinute {
 		g.change(c)
 	}
 	g.run(4 * within)
--- /dev/null
+++ b/internal/fleet/rules/versions.go
@@ -0,0 +1,82 @@
+package rules
+
+// maxHistory bounds how many earlier versions can be rolled back to.
+const maxHistory = 64
+
+// versionStore is the coordinator's versions: the active one, the staged one that is to follow it, and those before.
+type versionStore struct {
+	active     *Version
+	activeHash Hash
+	staged     *Version // nil: none
+	stagedHash Hash
+	stagedAt   Time
+	history    [][]byte // earlier versions, the newest last, each as its delta from the one after it
+	transfers  transferCache
+}
+
+func (s *versionStore) setActive(v *Version) { s.active, s.activeHash = v, v.Hash() }
+
+func (s *versionStore) stage(v *Version, now Time) {
+	s.staged, s.stagedHash, s.stagedAt = v, v.Hash(), now
+}
+
+// activate makes the staged version the active one, and history what is before it.
+func (s *versionStore) activate(history [][]byte) {
+	s.setActive(s.staged)
+	s.staged, s.history = nil, history
+}
+
+// byNumber gives an earlier version, or the active one; nil: it is not kept any more.
+func (s *versionStore) byNumber(number uint64) *Version {
+	if number == s.active.Number {
+		return s.active
+	}
+	later := s.active
+	for i := len(s.history) - 1; i >= 0; i-- {
+		v, err := decodeVersion(s.history[i], onlyBase(later))
+		if later = v; err == nil && v.Number == number {
+			return v
+		}
+	}
+	return nil
+}
+
+// historyAfter is the history once next is active.
+func (s *versionStore) historyAfter(next *Version) [][]byte {
+	history := s.history[:len(s.history):len(s.history)]
+	if !s.active.transitional() {
+		history = append(history, s.active.encodeFor(next))
+		return history[max(0, len(history)-maxHistory):]
+	}
+	// A transitional version can't be rolled back to: the one before it becomes a delta from next.
+	n := len(history)
+	if n == 0 {
+		return history
+	}
+	before, err := decodeVersion(history[n-1], onlyBase(s.active))
+	if err != nil {
+		return nil // none before it can be read either
+	}
+	return append(history[:n-1:n-1], before.encodeFor(next))
+}
+
+// transferKey is a version and the base of its delta; nil: it is sent complete.
+type transferKey struct{ version, base *Version }
+
+// transferCache encodes a version once for all members that ask for it and for the checkpoint.
+type transferCache map[transferKey][]byte
+
+const maxTransfers = 4 // the active version and the staged one, each complete and as a delta
+
+func (c *transferCache) encode(v, base *Version) []byte {
+	key := transferKey{v, base}
+	if data := (*c)[key]; data != nil {
+		return data
+	}
+	if *c == nil || len(*c) >= maxTransfers {
+		*c = transferCache{}
+	}
+	data := v.encodeFor(base)
+	(*c)[key] = data
+	return data
+}
