--- /dev/null
+++ b/internal/fleet/quota/client.go
@@ -0,0 +1,191 @@
+package quota
+
+import (
+	"sync"
+	"time"
+)
+
+// What a request is over.
+const (
+	OverRate        = "rate"
+	OverConnections = "standing"
+)
+
+const (
+	maxWait             = 100 * Time(time.Millisecond) // of a request for a grant
+	urgentQueryInterval = 20 * Time(time.Millisecond)  // between two queries to a shard that can't wait for the next step
+	maxWaiting          = 1024                         // requests
+)
+
+// Client is a proxy's own part: what it may use now. It may be used by several goroutines.
+type Client struct {
+	Now           func() Time
+	GrantLifetime Time
+	FleetSize     int // proxies, over which a limit is shared while no issuer is heard
+	Limits        Limits
+	// SendQuery sends a query to a shard's issuer; its answer comes to ReplyReceived under the tag.
+	SendQuery func(shard int, tag uint64, body []byte)
+	// Accounts are all that have limits, sorted.
+	Accounts func() []string
+
+	mu      sync.Mutex
+	usage   map[string]*accountUsage
+	waiting []waitingRequest
+	lastTag uint64
+	sentAt  map[uint64]Time // queries without an answer, by tag
+	shards  [Shards]shardState
+}
+
+// shardState is what a client knows of a shard's issuer.
+type shardState struct {
+	urgentQueryFrom Time // until then no urgent query is sent
+	grantsUntil     Time // when the last of its grants lapses
+}
+
+// waitingRequest is a request that waits for a grant.
+type waitingRequest struct {
+	account string
+	spread  float64 // of the advice, 0 to 1
+	until   Time
+	done    func(over string, advice time.Duration)
+}
+
+func (c *Client) account(name string) *accountUsage {
+	u := c.usage[name]
+	if u == nil {
+		if c.usage == nil {
+			c.usage = map[string]*accountUsage{}
+		}
+		u = &accountUsage{share: shareBucket{filledAt: c.Now()}}
+		c.usage[name] = u
+	}
+	return u
+}
+
+// shareFrom is when this proxy goes by its own share of an account: some time after the issuer has begun to reserve that, however late its grants are.
+func (c *Client) shareFrom(account string) Time {
+	return c.shards[Shard(account)].grantsUntil + silentAfterLifetimes*c.GrantLifetime
+}
+
+func (c *Client) onOwnShare(now Time, account string) bool { return now >= c.shareFrom(account) }
+
+// Acquire asks for one more connection of an account. done hears of what there is no capacity, "" if there is, and when to come again, spread by spread (0 to
+// 1). Where only a permit that the issuer may have is missing the issuer is asked at once, and done hears once the answer has come, 100 ms later at the most.
+func (c *Client) Acquire(account string, spread float64, done func(over string, advice time.Duration)) {
+	over, advice, waits := c.acquireOrWait(account, spread, done)
+	if !waits {
+		done(over, advice)
+		return
+	}
+	c.query(Shard(account), true)
+}
+
+func (c *Client) acquireOrWait(account string, spread float64, done func(string, time.Duration)) (over string, advice time.Duration, waits bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	for _, a := range withAncestors(account) {
+		c.account(a).addDemand(now, c.GrantLifetime)
+	}
+	over, advice = c.tryAcquire(now, account, spread)
+	waits = over != "" && !c.onOwnShare(now, account) && len(c.waiting) < maxWaiting
+	if waits {
+		c.waiting = append(c.waiting, waitingRequest{account, spread, now + maxWait, done})
+	}
+	return over, advice, waits
+}
+
+// RetryWaiting lets requests that wait try again, and rejects those that have waited long enough. It is called with each answer and now and then.
+func (c *Client) RetryWaiting() {
+	for _, o := range c.retryWaiting() {
+		o.done(o.over, o.advice)
+	}
+}
+
+// outcome is a request that waits no longer.
+type outcome struct {
+	waitingRequest
+	over   string
+	advice time.Duration
+}
+
+func (c *Client) retryWaiting() (outcomes []outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	still := c.waiting[:0]
+	for _, w := range c.waiting {
+		over, advice := c.tryAcquire(now, w.account, w.spread)
+		if over != "" && now < w.until && !c.onOwnShare(now, w.account) {
+			still = append(still, w)
+			continue
+		}
+		outcomes = append(outcomes, outcome{w, over, advice})
+	}
+	c.waiting = still
+	return outcomes
+}
+
+// tryAcquire uses what one more connection needs, of the account and each above it, or says of what there is none.
+func (c *Client) tryAcquire(now Time, account string, spread float64) (over string, advice time.Duration) {
+	accounts := withAncestors(account)
+	for _, a := range accounts {
+		u, limit := c.account(a), c.Limits(a)
+		if limit.Rate > 0 && !c.hasPermit(now, a, u, limit.Rate) {
+			return OverRate, time.Duration(float64(c.GrantLifetime) * (0.5 + spread))
+		}
+		if limit.Connections > 0 && u.open >= c.maxOpen(now, a, u, limit.Connections) {
+			return OverConnections, time.Duration(float64(c.GrantLifetime) * (1 + 2*spread))
+		}
+	}
+	for _, a := range accounts {
+		u := c.account(a)
+		u.open++
+		if c.Limits(a).Rate > 0 {
+			c.usePermit(now, a, u)
+		}
+	}
+	return "", 0
+}
+
+// hasPermit tells whether a new connection has a permit: the issuer's while it is heard, else one of the own share.
+func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
+	if !c.onOwnShare(now, account) {
+		u.share.empty(now)
+		return u.validPermits(now) > 0
+	}
+	u.share.fill(now, c.shareFrom(account), rate/float64(max(1, c.FleetSize)))
+	return u.share.tokens >= 1
+}
+
+// usePermit uses the permit that hasPermit has found.
+func (c *Client) usePermit(now Time, account string, u *accountUsage) {
+	if c.onOwnShare(now, account) {
+		u.share.tokens--
+		return
+	}
+	u.permits[0].count-- // hasPermit has left no batch that is empty or has lapsed
+}
+
+// maxOpen is how many connections may be open here.
+func (c *Client) maxOpen(now Time, account string, u *accountUsage, limit int) int {
+	if !c.onOwnShare(now, account) && now < u.maxOpenUntil {
+		return u.maxOpen
+	}
+	return limit / max(1, c.FleetSize)
+}
+
+// CountExisting counts a connection that is open already, whatever the limits.
+func (c *Client) CountExisting(account string) { c.addOpen(account, 1) }
+
+// Release counts the end of a connection.
+func (c *Client) Release(account string) { c.addOpen(account, -1) }
+
+func (c *Client) addOpen(account string, n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, a := range withAncestors(account) {
+		u := c.account(a)
+		u.open = max(0, u.open+n)
+	}
+}
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -11,71 +11,72 @@
 )
 
 const (
-	ms    = Time(time.Millisecond)
-	lapse = 500 * ms
+	ms            = Time(time.Millisecond)
+	grantLifetime = 500 * ms
 )
 
-// fleet is proxies that take connections of accounts, and one owner of all shards at a time.
+// fleet is proxies that open connections of accounts, and one issuer a shard at a time.
 type fleet struct {
-	now     Time
-	limits  map[string]Limit
-	p       []*Client
-	bank    [Shards]*Issuer
-	cut     map[int]bool // neither reaches the owner nor hears it
-	late    []func()
-	rng     *rand.Rand
-	loss    float64
-	taken   map[string][]Time
-	open    map[string]int
-	refused int
-	asked   int // that wait for their answer
-	waited  Time
-	gone    bool // no owner
+	now         Time
+	limits      map[string]Limit
+	clients     []*Client
+	issuers     [Shards]*Issuer
+	cut         map[int]bool // hears no issuer
+	inFlight    []func()     // messages, and connections that are to end
+	rng         *rand.Rand
+	loss        float64
+	acquiredAt  map[string][]Time
+	open        map[string]int
+	rejected    int
+	waiting     int // requests
+	longestWait Time
+	noIssuer    bool
 
 	recorded *golden.Digest // nil: nothing is recorded
 	samples  *golden.Samples
 }
 
-type side struct {
+// issuerOwner is what the issuer of a shard can do.
+type issuerOwner struct {
 	f     *fleet
 	shard int
 }
 
-func (s side) SendEffect(uint32, uint64, []byte)    {}
-func (s side) StoreCheckpoint(uint64, []byte) error { return nil }
-func (s side) Members() (all []jobs.Member) {
-	for i := range s.f.p {
+func (s issuerOwner) SendEffect(uint32, uint64, []byte)    {}
+func (s issuerOwner) StoreCheckpoint(uint64, []byte) error { return nil }
+func (s issuerOwner) Members() (all []jobs.Member) {
+	for i := range s.f.clients {
 		all = append(all, jobs.Member{Peer: uint32(i), Present: true})
 	}
 	return all
 }
 
-func (s side) Reply(to uint32, tag uint64, body []byte) {
+func (s issuerOwner) Reply(to uint32, tag uint64, body []byte) {
 	f := s.f
 	f.record("answer", body)
 	if f.cut[int(to)] || f.rng.Float64() < f.loss {
 		return
 	}
-	f.late = append(f.late, func() { f.p[to].ReplyReceived(tag, body) })
+	f.inFlight = append(f.inFlight, func() { f.clients[to].ReplyReceived(tag, body) })
 }
 
 func newFleet(n int, seed uint64, limits map[string]Limit) *fleet {
-	f := &fleet{now: 100 * sec, limits: limits, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), taken: map[string][]Time{}, open: map[string]int{}}
+	f := &fleet{now: 100 * sec, limits: limits, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	of := func(a string) Limit { return f.limits[a] }
 	for i := range n {
-		f.p = append(f.p, &Client{Now: func() Time { return f.now }, GrantLifetime: lapse, FleetSize: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, SendQuery: func(shard int, tag uint64, body []byte) {
+		f.clients = append(f.clients, &Client{Now: func() Time { return f.now }, GrantLifetime: grantLifetime, FleetSize: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, SendQuery: func(shard int, tag uint64, body []byte) {
 			f.record("ask", body)
-			if f.cut[i] || f.gone || f.rng.Float64() < f.loss {
+			if f.cut[i] || f.noIssuer || f.rng.Float64() < f.loss {
 				return
 			}
-			f.late = append(f.late, func() {
-				if !f.gone {
-					f.bank[shard].QueryReceived(f.now, uint32(i), tag, body)
+			f.inFlight = append(f.inFlight, func() {
+				if !f.noIssuer {
+					f.issuers[shard].QueryReceived(f.now, uint32(i), tag, body)
 				}
 			})
 		}})
 	}
-	f.owner()
+	f.restartIssuers()
 	return f
 }
 
@@ -90,51 +91,51 @@
 	}
 }
 
-// owner begins another one, who knows nothing.
-func (f *fleet) owner() {
-	for s := range f.bank {
-		f.bank[s] = &Issuer{GrantLifetime: lapse, FleetSize: len(f.p), Limits: func(a string) Limit { return f.limits[a] }}
-		f.bank[s].Start(f.now, side{f, s}, 1, 1, nil)
+// restartIssuers begins issuers that know nothing of earlier grants.
+func (f *fleet) restartIssuers() {
+	for s := range f.issuers {
+		f.issuers[s] = &Issuer{GrantLifetime: grantLifetime, FleetSize: len(f.clients), Limits: func(a string) Limit { return f.limits[a] }}
+		f.issuers[s].Start(f.now, issuerOwner{f, s}, 1, 1, nil)
 	}
 }
 
 // run lets time go on; want gives how many connections of an account a proxy is asked for in a step of 10 ms, and life how long each stays.
 func (f *fleet) run(d Time, account string, want func(proxy int) float64, life Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
-		late := f.late
-		f.late = nil
-		for _, g := range late {
+		messages := f.inFlight
+		f.inFlight = nil
+		for _, g := range messages {
 			g()
 		}
-		for i, p := range f.p {
+		for i, p := range f.clients {
 			for n := want(i); n > 0; n-- {
 				if f.rng.Float64() >= n {
 					continue
 				}
 				asked := f.now
-				f.asked++
+				f.waiting++
 				p.Acquire(account, 0.5, func(over string, _ time.Duration) {
-					f.asked--
-					f.waited = max(f.waited, f.now-asked)
+					f.waiting--
+					f.longestWait = max(f.longestWait, f.now-asked)
 					if over != "" {
-						f.refused++
+						f.rejected++
 						return
 					}
-					for _, a := range chain(account) {
-						f.taken[a] = append(f.taken[a], f.now)
+					for _, a := range withAncestors(account) {
+						f.acquiredAt[a] = append(f.acquiredAt[a], f.now)
 						f.open[a]++
 					}
 					f.ends(i, account, f.now+life)
 				})
 			}
 			p.RetryWaiting()
-			if f.now%(lapse/3/(10*ms)*(10*ms)) == 0 {
+			if f.now%(grantLifetime/3/(10*ms)*(10*ms)) == 0 {
 				p.Step()
 			}
 		}
-		for s := range f.bank {
-			if !f.gone {
-				f.bank[s].Step(f.now)
+		for s := range f.issuers {
+			if !f.noIssuer {
+				f.issuers[s].Step(f.now)
 			}
 		}
 	}
@@ -145,19 +146,19 @@
 	var try func()
 	try = func() {
 		if f.now < at {
-			f.late = append(f.late, try)
+			f.inFlight = append(f.inFlight, try)
 			return
 		}
-		f.p[i].Release(account)
-		for _, a := range chain(account) {
+		f.clients[i].Release(account)
+		for _, a := range withAncestors(account) {
 			f.open[a]--
 		}
 	}
-	f.late = append(f.late, try)
+	f.inFlight = append(f.inFlight, try)
 }
 
-// most gives the most taken within any second.
-func most(at []Time) (n int) {
+// maxPerSecond gives the most acquired within any second.
+func maxPerSecond(at []Time) (n int) {
 	for i, j := 0, 0; i < len(at); i++ {
 		for at[i]-at[j] >= sec {
 			j++
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -5,85 +5,97 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Issuer is the owner's part of one shard. What it has handed out is forgotten with it: its successor waits until all of that has lapsed.
+const (
+	silentAfterLifetimes    = 2 // a proxy that has not asked for so many grant lifetimes goes by its own share
+	forgottenAfterLifetimes = 4 // one that has left the fleet has ended by then
+	maxIdleAccounts         = 4 * maxAccountsPerMessage
+)
+
+// Issuer is the owner's part of one shard. What it has granted is in memory alone: its successor waits until all of that has lapsed.
 type Issuer struct {
-	GrantLifetime Time // how long what is handed out holds
-	FleetSize     int  // proxies of the fleet: a proxy that is not heard of keeps to one part of so many
+	GrantLifetime Time // how long a grant holds
+	FleetSize     int  // proxies of the fleet: one that is not heard of keeps to one part of so many
 	Limits        Limits
 
-	owner    jobs.Owner
-	began    Time
-	number   uint64
-	asked    map[uint32]Time // when each proxy asked last
-	accounts map[string]*purseOf
+	owner      jobs.Owner // nil: this process does not own the job
+	grantsFrom Time       // until then grants of an earlier issuer may hold
+	sequence   uint64
+	lastAsked  map[uint32]Time // by peer
+	accounts   map[string]*issuedAccount
 }
 
-// purseOf is what is out of one account.
-type purseOf struct {
-	pot    jobs.Bucket
-	places map[uint32][]promise // how many may be open at each proxy
+var _ jobs.Job = (*Issuer)(nil)
+
+// issuedAccount is what is granted of one account.
+type issuedAccount struct {
+	permits jobs.Bucket
+	places  map[uint32][]placeGrant // by peer
 }
 
-// promise is a number of places that a proxy may go by until it lapses: an answer that is lost does not take back the one before.
-type promise struct {
-	n     int
-	until Time
+// placeGrant is how many connections a proxy may have open until the grant lapses: a grant that is lost does not revoke the one before.
+type placeGrant struct {
+	maxOpen int
+	until   Time
 }
 
-// promised is the most that a proxy may go by now; the last one counts for as long as nothing newer is known.
-func (p *purseOf) promised(now Time, peer uint32) int {
-	all := p.places[peer]
+// maxOpenAt is the most that a proxy may have open now; the last grant counts for as long as nothing newer is known.
+func (a *issuedAccount) maxOpenAt(now Time, peer uint32) int {
+	all := a.places[peer]
 	if len(all) == 0 {
 		return 0
 	}
-	most := all[len(all)-1].n
-	kept := all[:0]
-	for i, x := range all {
-		if i == len(all)-1 || now < x.until {
-			kept, most = append(kept, x), max(most, x.n)
+	last := len(all) - 1
+	most, valid := all[last].maxOpen, all[:0]
+	for i, g := range all {
+		if i == last || now < g.until {
+			valid, most = append(valid, g), max(most, g.maxOpen)
 		}
 	}
-	p.places[peer] = kept
+	a.places[peer] = valid
 	return most
 }
 
-// Start begins with nothing to hand out.
-func (b *Issuer) Start(now Time, o jobs.Owner, _, number uint64, _ []byte) error {
-	b.owner, b.number, b.began = o, number, now+2*b.GrantLifetime
-	b.asked, b.accounts = map[uint32]Time{}, map[string]*purseOf{}
+// Start begins with nothing to grant.
+func (s *Issuer) Start(now Time, o jobs.Owner, _, sequence uint64, _ []byte) error {
+	s.owner, s.sequence, s.grantsFrom = o, sequence, now+silentAfterLifetimes*s.GrantLifetime
+	s.lastAsked, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
 
-// Stop ends the owner's part.
-func (b *Issuer) Stop() (uint64, []byte) {
-	b.owner = nil
-	b.number++
-	return b.number, nil
+// Stop ends the owner's part. It leaves nothing to its successor.
+func (s *Issuer) Stop() (sequence uint64, left []byte) {
+	s.owner = nil
+	s.sequence++
+	return s.sequence, nil
 }
 
-func (b *Issuer) of(now Time, account string) *purseOf {
-	p := b.accounts[account]
-	if p == nil {
-		if len(b.accounts) >= 4*mostAsked {
-			for a := range b.accounts {
-				if b.Limits(a) == (Limit{}) {
-					delete(b.accounts, a)
-				}
-			}
+func (s *Issuer) account(now Time, name string) *issuedAccount {
+	if a := s.accounts[name]; a != nil {
+		return a
+	}
+	if len(s.accounts) >= maxIdleAccounts {
+		s.forgetUnlimited()
+	}
+	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.grantsFrom)}, places: map[uint32][]placeGrant{}}
+	s.accounts[name] = a
+	return a
+}
+
+func (s *Issuer) forgetUnlimited() {
+	for name := range s.accounts {
+		if s.Limits(name) == (Limit{}) {
+			delete(s.accounts, name)
 		}
-		p = &purseOf{pot: jobs.Bucket{FilledAt: max(now, b.began)}, places: map[uint32][]promise{}}
-		b.accounts[account] = p
 	}
-	return p
 }
 
-// free is how many more may be open: of those that are not heard of each holds what it was given last, or its share, whichever is more.
-func (b *Issuer) free(now Time, p *purseOf, most int) int {
-	share := most / max(1, b.FleetSize)
-	left := most - max(0, b.FleetSize-len(b.asked))*share
-	for peer, at := range b.asked {
-		n := p.promised(now, peer)
-		if now-at >= 2*b.GrantLifetime {
+// unassigned is how many more connections may be open: a proxy that is not heard of holds what it was granted last, or its share, whichever is more.
+func (s *Issuer) unassigned(now Time, a *issuedAccount, limit int) int {
+	share := limit / max(1, s.FleetSize)
+	left := limit - max(0, s.FleetSize-len(s.lastAsked))*share
+	for peer, at := range s.lastAsked {
+		n := a.maxOpenAt(now, peer)
+		if now-at >= silentAfterLifetimes*s.GrantLifetime {
 			n = max(n, share)
 		}
 		left -= n
@@ -91,64 +103,72 @@
 	return left
 }
 
-// QueryReceived hands out what a proxy wants, as far as there is room. Each account stands by itself: a proxy needs a permit and a place of every one above, too.
-func (b *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
-	lines, err := read(body)
-	if b.owner == nil || err != nil {
+// QueryReceived grants what a proxy demands, as far as the limits allow. Each account stands by itself: a proxy needs a permit and a place of every one
+// above, too.
+func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	demands, err := decodeDemands(body)
+	if s.owner == nil || err != nil {
 		return
 	}
-	b.asked[from] = now
-	given := make([]line, 0, len(lines))
-	for _, l := range lines {
-		limit, p := b.Limits(l.account), b.of(now, l.account)
-		g := line{account: l.account, places: l.held}
-		if now >= b.began { // else an earlier owner's are still out
-			if limit.Rate > 0 {
-				p.pot.Fill(now, limit.Rate, b.FleetSize, jobs.SilentMembers(now, b.FleetSize, b.asked, 2*b.GrantLifetime))
-				g.permits = p.pot.Take(l.permits)
-			}
-			if limit.Connections > 0 {
-				// What was promised to this proxy before is its own already.
-				room := b.free(now, p, limit.Connections) + p.promised(now, from)
-				g.places = min(l.held+l.places, uint64(max(int(l.held), room)))
-				if room < int(l.held) {
-					// The limit was cut below what is open: each comes down in step, by taking nothing in place of what ends.
-					g.places = uint64(int(l.held) * limit.Connections / max(1, limit.Connections+int(l.held)-room))
-				}
-			}
+	s.lastAsked[from] = now
+	grants := make([]grant, 0, len(demands))
+	for _, d := range demands {
+		grants = append(grants, s.grant(now, from, d))
+	}
+	s.owner.Reply(from, tag, encodeGrants(grants))
+}
+
+func (s *Issuer) grant(now Time, from uint32, d demand) grant {
+	limit, a := s.Limits(d.account), s.account(now, d.account)
+	g := grant{account: d.account, maxOpen: d.open}
+	if now >= s.grantsFrom {
+		if limit.Rate > 0 {
+			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastAsked, silentAfterLifetimes*s.GrantLifetime))
+			g.permits = a.permits.Take(d.permits)
+		}
+		if limit.Connections > 0 {
+			capacity := s.unassigned(now, a, limit.Connections) + a.maxOpenAt(now, from) // its earlier grant is its own already
+			g.maxOpen = grantedPlaces(d, capacity, limit.Connections)
 		}
-		p.places[from] = append(p.places[from], promise{int(g.places), now + b.GrantLifetime})
-		given = append(given, g)
 	}
-	b.owner.Reply(from, tag, write(given))
+	a.places[from] = append(a.places[from], placeGrant{int(g.maxOpen), now + s.GrantLifetime})
+	return g
 }
 
-// Step forgets proxies that are gone from the fleet for good: what they held is closed.
-func (b *Issuer) Step(now Time) {
-	if b.owner == nil {
+// grantedPlaces is how many connections a proxy may have open where it may take up capacity. Where the limit was cut below what is open, each proxy
+// comes down in step, by taking nothing in place of what ends.
+func grantedPlaces(d demand, capacity, limit int) uint64 {
+	open := int(d.open)
+	if capacity < open {
+		return uint64(open * limit / max(1, limit+open-capacity))
+	}
+	return min(d.open+d.places, uint64(capacity))
+}
+
+// Step forgets proxies that have left the fleet for good: their connections are closed.
+func (s *Issuer) Step(now Time) {
+	if s.owner == nil {
 		return
 	}
-	here := map[uint32]bool{}
-	for _, m := range b.owner.Members() {
-		here[m.Peer] = true
+	present := map[uint32]bool{}
+	for _, m := range s.owner.Members() {
+		present[m.Peer] = true
 	}
-	for peer, at := range b.asked {
-		if !here[peer] && now-at > 4*b.GrantLifetime {
-			delete(b.asked, peer)
-			for _, p := range b.accounts {
-				delete(p.places, peer)
+	for peer, at := range s.lastAsked {
+		if !present[peer] && now-at > forgottenAfterLifetimes*s.GrantLifetime {
+			delete(s.lastAsked, peer)
+			for _, a := range s.accounts {
+				delete(a.places, peer)
 			}
 		}
 	}
 }
 
-// EffectAcknowledged, Noted and Effect are the Job's: allowances are answers.
-func (b *Issuer) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
+// EffectAcknowledged does nothing: the job has no effects, since grants are replies.
+func (s *Issuer) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// CheckpointStored is the Job's.
-func (b *Issuer) CheckpointStored(Time, uint64, bool) {}
+// CheckpointStored does nothing: the job has no checkpoint.
+func (s *Issuer) CheckpointStored(Time, uint64, bool) {}
 
-// ApplyEffect is the Job's.
-func (b *Issuer) ApplyEffect(Time, ownership.FencingToken, []byte) {}
-
-var _ jobs.Job = (*Issuer)(nil)
+// ApplyEffect does nothing: the job has no effects.
+func (s *Issuer) ApplyEffect(Time, ownership.FencingToken, []byte) {}
--- /dev/null
+++ b/internal/fleet/quota/query.go
@@ -0,0 +1,85 @@
+package quota
+
+import "slices"
+
+// Step asks each shard for what is demanded of its accounts here, some times in a grant's lifetime. A proxy without demand says so: nothing is then
+// reserved for it.
+func (c *Client) Step() {
+	for shard := range Shards {
+		c.query(shard, false)
+	}
+	c.RetryWaiting()
+}
+
+// query asks a shard's issuer; an urgent query is dropped where another was sent just before.
+func (c *Client) query(shard int, urgent bool) {
+	if tag, demands := c.startQuery(shard, urgent); len(demands) > 0 {
+		c.SendQuery(shard, tag, encodeDemands(demands))
+	}
+}
+
+func (c *Client) startQuery(shard int, urgent bool) (tag uint64, demands []demand) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now, s := c.Now(), &c.shards[shard]
+	if urgent && now < s.urgentQueryFrom {
+		return 0, nil
+	}
+	accounts := c.Accounts()
+	c.forgetLapsedQueries(now)
+	c.forgetUnlimited(accounts)
+	for _, a := range accounts {
+		if Shard(a) == shard && len(demands) < maxAccountsPerMessage {
+			demands = append(demands, c.account(a).demand(now, c.GrantLifetime, a, c.Limits(a)))
+		}
+	}
+	if len(demands) == 0 {
+		return 0, nil
+	}
+	c.lastTag++
+	c.sentAt[c.lastTag], s.urgentQueryFrom = now, now+urgentQueryInterval
+	return c.lastTag, demands
+}
+
+func (c *Client) forgetLapsedQueries(now Time) {
+	if c.sentAt == nil {
+		c.sentAt = map[uint64]Time{}
+	}
+	for tag, at := range c.sentAt {
+		if now-at > c.GrantLifetime {
+			delete(c.sentAt, tag)
+		}
+	}
+}
+
+// forgetUnlimited drops accounts that only an earlier version of the rules has limited.
+func (c *Client) forgetUnlimited(accounts []string) {
+	for a, u := range c.usage {
+		if _, limited := slices.BinarySearch(accounts, a); !limited && u.open == 0 {
+			delete(c.usage, a)
+		}
+	}
+}
+
+// ReplyReceived takes what was granted. It lapses counted from when it was asked for.
+func (c *Client) ReplyReceived(tag uint64, body []byte) {
+	c.receiveGrants(tag, body)
+	c.RetryWaiting()
+}
+
+func (c *Client) receiveGrants(tag uint64, body []byte) {
+	grants, err := decodeGrants(body)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sentAt, pending := c.sentAt[tag]
+	until := sentAt + c.GrantLifetime
+	if !pending || err != nil || c.Now() >= until {
+		return
+	}
+	delete(c.sentAt, tag)
+	for _, g := range grants {
+		s := &c.shards[Shard(g.account)]
+		s.grantsUntil = max(s.grantsUntil, until)
+		c.account(g.account).receive(g, until)
+	}
+}
--- a/internal/fleet/quota/recorded_test.go
+++ b/internal/fleet/quota/recorded_test.go
@@ -25,21 +25,21 @@
 			demand := f.rng.Float64()
 			switch f.rng.IntN(12) {
 			case 0:
-				f.gone = !f.gone
+				f.noIssuer = !f.noIssuer
 			case 1:
-				f.owner()
+				f.restartIssuers()
 			case 2:
-				proxy := f.rng.IntN(len(f.p))
+				proxy := f.rng.IntN(len(f.clients))
 				f.cut[proxy] = !f.cut[proxy]
 			case 3:
-				f.p[f.rng.IntN(len(f.p))].CountExisting(account)
+				f.clients[f.rng.IntN(len(f.clients))].CountExisting(account)
 			}
 			steps := 1 + f.rng.IntN(20)
 			f.run(Time(steps)*10*ms, account, func(int) float64 { return demand }, Time(f.rng.IntN(2000))*ms)
-			f.recorded.Add("%d %v asked %d refused %d waited %d", f.now, f.open, f.asked, f.refused, f.waited)
-			events += steps * len(f.p)
+			f.recorded.Add("%d %v asked %d refused %d waited %d", f.now, f.open, f.waiting, f.rejected, f.longestWait)
+			events += steps * len(f.clients)
 		}
-		fmt.Fprintf(&lines, "seed=%d proxies=%d %s\n", seed, len(f.p), f.recorded)
+		fmt.Fprintf(&lines, "seed=%d proxies=%d %s\n", seed, len(f.clients), f.recorded)
 	}
 	golden.Check(t, "decisions.golden", []byte(lines.String()))
 	golden.Check(t, "messages.golden", samples.Bytes())
