--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -81,7 +81,7 @@
 				return nil, err
 			}
 			switch v := what.(type) {
-			case *namespace.Space:
+			case *namespace.Namespace:
 				return rules.ChangeNamespace(v, against, nil), nil
 			case *namespace.Account:
 				return rules.ChangeAccountTo(v, against, nil), nil
@@ -188,7 +188,7 @@
 			if err != nil {
 				return err
 			}
-			return ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Request{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -38,11 +38,11 @@
 
 // rule has the core act by a book. kind is which kind of host pool p has; t1 is the tenant of p, t2 has the rest.
 func (w *poolWorld) rule(number uint64, kind string, moving map[string]bool) {
-	b := &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}, Pools: []string{"p"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{kind}}}}
+	b := &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}, Pools: []string{"p"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{kind}}}}
 	if moving != nil {
-		b.Was = &namespace.Frame{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
+		b.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
-	rules.ActByForTest(w.gate, &rules.Version{Number: number, Book: b}, w.now+1e12)
+	rules.ActByForTest(w.gate, &rules.Version{Number: number, Directory: b}, w.now+1e12)
 	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
 	for id, h := range w.hosts {
 		w.owner[id] = namespace.Main
@@ -175,7 +175,7 @@
 		w.core.SetRules(gate)
 		w.open("r")
 		w.ups[0].sent()
-		rules.ActByForTest(gate, &rules.Version{Number: 2, Book: &namespace.Book{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
+		rules.ActByForTest(gate, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
 		w.core.ReassignPools()
 		w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.seen = nil
--- a/internal/dataplane/proxy/rules.go
+++ b/internal/dataplane/proxy/rules.go
@@ -20,7 +20,7 @@
 	if c.enforcer == nil {
 		return v
 	}
-	v = c.enforcer.Judge(namespace.Ask{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
+	v = c.enforcer.Judge(namespace.Request{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
 	if tracing() {
 		pool := ""
 		if len(v.Pools) > 0 {
--- /dev/null
+++ b/internal/fleet/namespace/assignment.go
@@ -0,0 +1,228 @@
+package namespace
+
+import (
+	"crypto/ed25519"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// assignment is who has what: hosts to pools, tenants to accounts, and each account's limits.
+type assignment struct {
+	poolOfHost, poolOfPrefix, poolOfKind, poolOfZone map[string]string
+
+	prefixLengths   []int // of poolOfPrefix, longest first
+	pools           map[string]bool
+	accounts        map[string]*Account // with what the parent has filled in
+	accountOfTenant map[string]string
+	reserved        map[string]reservations // by parent
+}
+
+// reservations is what the children of an account have reserved in sum.
+type reservations struct{ rate, connections uint64 }
+
+func compileAssignment(pools []Pool, accounts []Account) (*assignment, error) {
+	a := &assignment{
+		poolOfHost:      map[string]string{},
+		poolOfPrefix:    map[string]string{},
+		poolOfKind:      map[string]string{},
+		poolOfZone:      map[string]string{},
+		pools:           map[string]bool{Main: true},
+		accounts:        make(map[string]*Account, len(accounts)+1),
+		accountOfTenant: map[string]string{},
+		reserved:        map[string]reservations{},
+	}
+	for i, p := range pools {
+		if !validName(p.Name) || p.Name == Main || i > 0 && pools[i-1].Name >= p.Name {
+			return nil, &Fault{Text: fmt.Sprintf("pool %q: its name is none, taken, or out of order", p.Name)}
+		}
+		if err := a.addPool(&p); err != nil {
+			return nil, err
+		}
+	}
+	a.sortPrefixLengths()
+	a.accounts[""] = &Account{Pools: []string{Main}}
+	for i := range accounts {
+		if i > 0 && accounts[i-1].Name >= accounts[i].Name {
+			return nil, &Fault{Account: accounts[i].Name, Text: "it stands twice, or out of order"}
+		}
+		if err := a.addAccount(accounts[i]); err != nil {
+			return nil, err
+		}
+	}
+	return a, nil
+}
+
+func (a *assignment) addPool(p *Pool) error {
+	a.pools[p.Name] = true
+	for _, by := range []struct {
+		what  string
+		names []string
+		pools map[string]string
+	}{{"host", p.Hosts, a.poolOfHost}, {"prefix", p.Prefixes, a.poolOfPrefix}, {"kind", p.Kinds, a.poolOfKind}, {"zone", p.Zones, a.poolOfZone}} {
+		for _, n := range by.names {
+			if n == "" || len(n) > 2*maxNameBytes {
+				return &Fault{Text: fmt.Sprintf("pool %s: %s %q is empty or too long", p.Name, by.what, n)}
+			}
+			if other, taken := by.pools[n]; taken {
+				return &Fault{Text: fmt.Sprintf("%s %q is in pool %s and in pool %s", by.what, n, other, p.Name)}
+			}
+			by.pools[n] = p.Name
+		}
+	}
+	return nil
+}
+
+func (a *assignment) sortPrefixLengths() {
+	for p := range a.poolOfPrefix {
+		a.prefixLengths = append(a.prefixLengths, len(p))
+	}
+	slices.Sort(a.prefixLengths)
+	a.prefixLengths = slices.Compact(a.prefixLengths)
+	slices.Reverse(a.prefixLengths)
+}
+
+// addAccount adds an account whose parent is added already, and holds it to what the parent has: a child narrows, and never widens.
+func (a *assignment) addAccount(account Account) error {
+	parts := strings.Split(account.Name, "/")
+	if len(parts) > MaxDepth || slices.ContainsFunc(parts, func(s string) bool { return !validName(s) }) {
+		return accountFault(&account, "no name of an account, expected up to %d names with / between", MaxDepth)
+	}
+	parent := a.accounts[Parent(account.Name)]
+	if parent == nil {
+		return accountFault(&account, "there is no account %s above it", Parent(account.Name))
+	}
+	for _, narrow := range []func(account, parent *Account) error{a.narrowTenants, a.narrowPools, narrowClasses, a.narrowLimits, narrowCounts} {
+		if err := narrow(&account, parent); err != nil {
+			return err
+		}
+	}
+	if err := checkGrants(&account); err != nil {
+		return err
+	}
+	a.accounts[account.Name] = &account
+	return nil
+}
+
+func accountFault(a *Account, format string, args ...any) error {
+	return &Fault{Account: a.Name, Text: fmt.Sprintf(format, args...)}
+}
+
+// narrowTenants gives a child tenants of its parent's, and a top account such as nobody has.
+func (a *assignment) narrowTenants(account, parent *Account) error {
+	for _, t := range account.Tenants {
+		owner, owned := a.accountOfTenant[t]
+		switch {
+		case t == "" || len(t) > 2*maxNameBytes:
+			return accountFault(account, "tenant %q is empty or too long", t)
+		case owned && owner != parent.Name:
+			return accountFault(account, "tenant %s belongs to account %s", t, owner)
+		case !owned && parent.Name != "":
+			return accountFault(account, "tenant %s does not belong to account %s", t, parent.Name)
+		}
+		a.accountOfTenant[t] = account.Name
+	}
+	return nil
+}
+
+func (a *assignment) narrowPools(account, parent *Account) error {
+	for _, p := range account.Pools {
+		if !a.pools[p] {
+			return accountFault(account, "there is no pool %s", p)
+		}
+		if parent.Name != "" && !slices.Contains(parent.Pools, p) {
+			return accountFault(account, "account %s may not use pool %s", parent.Name, p)
+		}
+	}
+	if len(account.Pools) == 0 {
+		account.Pools = parent.Pools
+	}
+	return nil
+}
+
+func narrowClasses(account, parent *Account) error {
+	for _, c := range account.Classes {
+		if len(parent.Classes) > 0 && !slices.Contains(parent.Classes, c) {
+			return accountFault(account, "account %s may not use class %s", parent.Name, c)
+		}
+	}
+	if len(account.Classes) == 0 {
+		account.Classes = parent.Classes
+	}
+	return nil
+}
+
+func (a *assignment) narrowLimits(account, parent *Account) error {
+	reserved := a.reserved[parent.Name]
+	for _, l := range []struct {
+		name         string
+		own, parents *Limit
+		reserved     *uint64
+	}{
+		{"rate", &account.Rate, &parent.Rate, &reserved.rate},
+		{"standing", &account.Connections, &parent.Connections, &reserved.connections},
+	} {
+		if l.parents.Max > 0 && l.own.Max > l.parents.Max {
+			return accountFault(account, "%s %d at most, and account %s has %d", l.name, l.own.Max, parent.Name, l.parents.Max)
+		}
+		if l.own.Max == 0 {
+			l.own.Max = l.parents.Max
+		}
+		if l.own.Max > 0 && l.own.Reserved > l.own.Max {
+			return accountFault(account, "%s %d reserved, and %d is the most", l.name, l.own.Reserved, l.own.Max)
+		}
+		if *l.reserved += uint64(l.own.Reserved); parent.Name != "" && *l.reserved > uint64(l.parents.Reserved) {
+			return accountFault(account, "%s: with it %d are reserved below account %s, which has %d", l.name, *l.reserved, parent.Name, l.parents.Reserved)
+		}
+	}
+	a.reserved[parent.Name] = reserved
+	return nil
+}
+
+func narrowCounts(account, parent *Account) error {
+	for _, n := range []struct {
+		name         string
+		own, parents *uint32
+	}{{"routes", &account.Routes, &parent.Routes}, {"changes", &account.Changes, &parent.Changes}} {
+		if *n.parents > 0 && *n.own > *n.parents {
+			return accountFault(account, "%d %s, and account %s has %d", *n.own, n.name, parent.Name, *n.parents)
+		}
+		if *n.own == 0 {
+			*n.own = *n.parents
+		}
+	}
+	return nil
+}
+
+func checkGrants(account *Account) error {
+	for i, g := range account.Grants {
+		if !validName(g.Label) || i > 0 && account.Grants[i-1].Label >= g.Label {
+			return accountFault(account, "grant %q: its label is none, taken, or out of order", g.Label)
+		}
+		if len(g.Key) != ed25519.PublicKeySize || g.Verbs == 0 || g.Verbs > MayRoute|MayLimit|MayDelegate || g.Until < 0 {
+			return accountFault(account, "grant %s: no Ed25519 key, no verb, or an end before 1970", g.Label)
+		}
+	}
+	return nil
+}
+
+// pool is the one pool that a host is in.
+func (a *assignment) pool(host, kind, zone string) string {
+	if p, found := a.poolOfHost[host]; found {
+		return p
+	}
+	for _, n := range a.prefixLengths {
+		if len(host) >= n {
+			if p, found := a.poolOfPrefix[host[:n]]; found {
+				return p
+			}
+		}
+	}
+	if p, found := a.poolOfKind[kind]; found && kind != "" {
+		return p
+	}
+	if p, found := a.poolOfZone[zone]; found && zone != "" {
+		return p
+	}
+	return Main
+}
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -3,180 +3,144 @@
 import (
 	"fmt"
 	"slices"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Compiled is a book ready to be asked. It is never changed, and may be asked by any number of goroutines.
+// Compiled is a directory in the form in which requests are judged. It is immutable, and any number of goroutines may use it.
 type Compiled struct {
-	frame    *frame
-	was      *frame // nil: nothing changes hands
-	accounts map[string]*account
+	current  *assignment
+	previous *assignment // nil: nothing is reassigned
+	accounts map[string]*compiledAccount
 }
 
-// account is an account with its chain, the operators' first.
-type account struct {
-	name  string
-	hash  uint64
-	limit *Account
-	chain []*space
-	usual *plan // where no route fits
+// compiledAccount is an account with the namespaces that hold for it, the operators' first.
+type compiledAccount struct {
+	name         string
+	hash         uint64
+	settings     *Account
+	chain        []*compiledNamespace
+	defaultRoute *compiledRoute // where no route fits
 }
 
-// space is a namespace ready to be asked.
-type space struct {
+// compiledNamespace is a namespace whose routes can be searched.
+type compiledNamespace struct {
 	account                  string
-	guards, routes, defaults index
+	guards, routes, defaults routeIndex
 }
 
-// index finds the routes of one list by their conditions. Its cost follows the kinds of condition, not the number of routes.
-type index struct {
-	shapes []shape // most specific first
-	at     map[key]int32
-	plans  []plan // those with the same key stand together, the most specific first
-}
-
-// shape is which conditions a route has.
-type shape struct {
-	group, class, zone bool
-	prefix             uint8 // its length
-}
-
-type key struct{ group, prefix, class, zone string }
-
-// plan is what a route comes to.
-type plan struct {
-	*Route
-	account string
-	key     key
-	pools   []string // in the order in which they are tried
-	advice  time.Duration
+// own is the account's own namespace; nil: it has none.
+func (a *compiledAccount) own() *compiledNamespace {
+	if n := len(a.chain); n > 0 && a.chain[n-1].account == a.name {
+		return a.chain[n-1]
+	}
+	return nil
 }
 
-// Compile makes a book ready, or says what is wrong with it. The error is a *Fault.
-func Compile(b *Book) (*Compiled, error) {
-	f, err := framed(b.Pools, b.Accounts)
+// Compile compiles a directory. The error is a *Fault.
+func Compile(d *Directory) (*Compiled, error) {
+	current, err := compileAssignment(d.Pools, d.Accounts)
 	if err != nil {
 		return nil, err
 	}
-	c := &Compiled{frame: f, accounts: make(map[string]*account, len(f.accounts))}
-	if b.Was != nil {
-		if c.was, err = framed(b.Was.Pools, b.Was.Accounts); err != nil {
+	c := &Compiled{current: current, accounts: make(map[string]*compiledAccount, len(current.accounts))}
+	if d.Previous != nil {
+		if c.previous, err = compileAssignment(d.Previous.Pools, d.Previous.Accounts); err != nil {
 			return nil, err
 		}
 	}
-	spaces := make(map[string]*space, len(b.Spaces))
-	for i := range b.Spaces {
-		s := &b.Spaces[i]
-		if i > 0 && b.Spaces[i-1].Account >= s.Account {
+	namespaces := make(map[string]*compiledNamespace, len(d.Namespaces))
+	for i := range d.Namespaces {
+		s := &d.Namespaces[i]
+		if i > 0 && d.Namespaces[i-1].Account >= s.Account {
 			return nil, &Fault{Account: s.Account, Text: "its namespace stands twice, or out of order"}
 		}
-		if spaces[s.Account], err = f.compile(s); err != nil {
+		if namespaces[s.Account], err = current.compileNamespace(s); err != nil {
 			return nil, err
 		}
 	}
-	for name, limit := range f.accounts {
-		a := &account{name: name, hash: xxhash.Sum64String(name), limit: limit, usual: &plan{account: name, pools: limit.Pools[:1]}}
-		for up := name; ; up = Parent(up) {
-			if s := spaces[up]; s != nil {
-				a.chain = append(a.chain, s)
-			}
-			if up == "" {
-				break
-			}
-		}
-		slices.Reverse(a.chain)
-		c.accounts[name] = a
+	for name, account := range current.accounts {
+		c.accounts[name] = compileAccount(name, account, namespaces)
 	}
 	return c, nil
 }
 
-// CheckSpace says what is wrong with a namespace taken by itself; whether its account may have what it names shows in a book.
-func CheckSpace(s *Space) error {
-	_, err := (&frame{}).compile(s)
+func compileAccount(name string, account *Account, namespaces map[string]*compiledNamespace) *compiledAccount {
+	a := &compiledAccount{
+		name:         name,
+		hash:         xxhash.Sum64String(name),
+		settings:     account,
+		defaultRoute: &compiledRoute{account: name, pools: account.Pools[:1]},
+	}
+	for above := name; ; above = Parent(above) {
+		if s := namespaces[above]; s != nil {
+			a.chain = append(a.chain, s)
+		}
+		if above == "" {
+			break
+		}
+	}
+	slices.Reverse(a.chain)
+	return a
+}
+
+// CheckNamespace returns the fault of a namespace taken by itself; whether its account may have what it names shows in a directory.
+func CheckNamespace(s *Namespace) error {
+	_, err := (&assignment{}).compileNamespace(s)
 	return err
 }
 
-func (f *frame) compile(s *Space) (*space, error) {
-	out := &space{account: s.Account}
+// compileNamespace checks a namespace against its account too, unless the assignment is empty.
+func (a *assignment) compileNamespace(s *Namespace) (*compiledNamespace, error) {
 	var owner *Account
-	if f.accounts != nil {
-		if owner = f.accounts[s.Account]; owner == nil {
+	if a.accounts != nil {
+		if owner = a.accounts[s.Account]; owner == nil {
 			return nil, &Fault{Account: s.Account, Text: "it has a namespace, and does not exist"}
 		}
 		if n := len(s.Guards) + len(s.Routes) + len(s.Defaults); owner.Routes > 0 && n > int(owner.Routes) {
 			return nil, &Fault{Account: s.Account, Text: fmt.Sprintf("%d routes, and it may have %d", n, owner.Routes)}
 		}
 	}
+	c := &compiledNamespace{account: s.Account}
 	names := map[string]bool{}
-	for _, l := range []struct {
+	for _, list := range []struct {
 		routes []Route
-		to     *index
-	}{{s.Guards, &out.guards}, {s.Routes, &out.routes}, {s.Defaults, &out.defaults}} {
-		for i := range l.routes {
-			r := &l.routes[i]
-			if names[r.Name] {
-				return nil, &Fault{s.Account, r.Name, "its name is taken"}
-			}
-			names[r.Name] = true
-			if text := r.wrong(); text != "" {
-				return nil, &Fault{s.Account, r.Name, text}
-			}
-			if text := f.denied(owner, r); text != "" {
-				return nil, &Fault{s.Account, r.Name, text}
+		index  *routeIndex
+	}{{s.Guards, &c.guards}, {s.Routes, &c.routes}, {s.Defaults, &c.defaults}} {
+		for i := range list.routes {
+			if text := a.checkRoute(owner, &list.routes[i], names); text != "" {
+				return nil, &Fault{s.Account, list.routes[i].Name, text}
 			}
 		}
-		if err := l.to.build(s.Account, l.routes); err != nil {
+		if err := list.index.build(s.Account, list.routes); err != nil {
 			return nil, err
 		}
 	}
-	for _, under := range []struct{ over, under *index }{{&out.guards, &out.routes}, {&out.guards, &out.defaults}, {&out.routes, &out.defaults}} {
-		for i := range under.under.plans {
-			p := &under.under.plans[i]
-			if by := under.over.covers(p); by != nil {
-				return nil, &Fault{s.Account, p.Name, fmt.Sprintf("nothing reaches it: %s takes all that fits it", by.Name)}
-			}
-		}
+	if err := c.checkReachable(); err != nil {
+		return nil, err
 	}
-	return out, nil
+	return c, nil
 }
 
-// wrong says what is wrong with a route by itself.
-func (r *Route) wrong() string {
-	switch {
-	case !good(r.Name):
-		return "no name of a route"
-	case len(r.Prefix) > MostPrefix:
-		return fmt.Sprintf("a prefix of %d bytes, %d are possible", len(r.Prefix), MostPrefix)
-	case len(r.Group) > 2*mostName || len(r.Class) > 2*mostName || len(r.Zone) > 2*mostName:
-		return "a group, class or zone that is too long"
-	case r.To > Whole || r.shared() && (r.From >= r.To || r.To-r.From == Whole):
-		return "a share that is none, or all"
-	case r.Begin >= minutesADay || r.End >= minutesADay || r.windowed() && r.Begin == r.End:
-		return "a time of day that is none, or all day"
-	case r.Refuse == (r.Pool != ""):
-		return "it has to name either a pool or refuse"
-	case r.Advice > mostAdvice || r.Advice > 0 && !r.Refuse:
-		return "advice of over a minute, or for those who are not refused"
-	case len(r.Else) > mostFall || len(r.Else) > 0 && r.Refuse:
-		return fmt.Sprintf("more than %d pools to fall to, or some for those who are refused", mostFall)
-	}
-	all := append([]string{r.Pool}, r.Else...)
-	slices.Sort(all)
-	if len(slices.Compact(all)) < 1+len(r.Else) {
-		return "it falls to a pool in a circle"
+// checkRoute says what is wrong with a route, "" for nothing, and adds its name to those that are taken.
+func (a *assignment) checkRoute(owner *Account, r *Route, names map[string]bool) string {
+	if names[r.Name] {
+		return "its name is taken"
 	}
-	return ""
+	names[r.Name] = true
+	if text := r.check(); text != "" {
+		return text
+	}
+	return a.checkPermitted(owner, r)
 }
 
-// denied says what a route names that its account does not have.
-func (f *frame) denied(owner *Account, r *Route) string {
+// checkPermitted says what a route names that its account does not have.
+func (a *assignment) checkPermitted(owner *Account, r *Route) string {
 	if owner == nil || r.Refuse {
 		return ""
 	}
-	for _, p := range append([]string{r.Pool}, r.Else...) {
-		if !f.pools[p] {
+	for _, p := range append([]string{r.Pool}, r.Fallbacks...) {
+		if !a.pools[p] {
 			return "there is no pool " + p
 		}
 		if owner.Name != "" && !slices.Contains(owner.Pools, p) {
@@ -189,17 +153,15 @@
 	return ""
 }
 
-func (r *Route) shared() bool   { return r.From != 0 || r.To != 0 }
-func (r *Route) windowed() bool { return r.Begin != 0 || r.End != 0 }
-
-// fits tells whether share and time of day fit.
-func (r *Route) fits(share uint16, minute int) bool {
-	return (!r.shared() || share >= r.From && share < r.To) && (!r.windowed() || r.during(minute))
-}
-
-func (r *Route) during(minute int) bool {
-	if r.Begin < r.End {
-		return minute >= int(r.Begin) && minute < int(r.End)
+// checkReachable returns the fault of a route that one of an earlier list keeps all requests from.
+func (c *compiledNamespace) checkReachable() error {
+	for _, lists := range []struct{ earlier, later *routeIndex }{{&c.guards, &c.routes}, {&c.guards, &c.defaults}, {&c.routes, &c.defaults}} {
+		for i := range lists.later.routes {
+			r := &lists.later.routes[i]
+			if by := lists.earlier.covering(r); by != nil {
+				return &Fault{c.account, r.Name, fmt.Sprintf("nothing reaches it: %s takes all that fits it", by.Name)}
+			}
+		}
 	}
-	return minute >= int(r.Begin) || minute < int(r.End)
+	return nil
 }
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -7,24 +7,49 @@
 	"time"
 )
 
-func (r *Route) key() key { return key{r.Group, r.Prefix, r.Class, r.Zone} }
+// routeIndex finds the routes of one list by their conditions. Its cost follows the number of condition sets, not that of routes.
+type routeIndex struct {
+	conditionSets []conditionSet // most specific first
+	firstByKey    map[matchKey]int32
+	routes        []compiledRoute // those with the same key stand together, the most specific first
+}
 
-func (k key) shape() shape {
-	return shape{group: k.group != "", class: k.class != "", zone: k.zone != "", prefix: uint8(len(k.prefix))}
+// compiledRoute is a route and what follows from it; without a Route it is an account's default.
+type compiledRoute struct {
+	*Route
+	account string
+	key     matchKey
+	pools   []string // in the order in which they are tried
+	advice  time.Duration
 }
 
-// of is the part of a key that a shape looks at. ok: it has all of it.
-func (s shape) of(k key) (part key, ok bool) {
+// matchKey is the conditions of a route that are compared for equality, or what a request has of them.
+type matchKey struct{ group, prefix, class, zone string }
+
+// conditionSet is which conditions a route has.
+type conditionSet struct {
+	group, class, zone bool
+	prefixBytes        uint8
+}
+
+func (r *Route) matchKey() matchKey { return matchKey{r.Group, r.Prefix, r.Class, r.Zone} }
+
+func (k matchKey) conditions() conditionSet {
+	return conditionSet{group: k.group != "", class: k.class != "", zone: k.zone != "", prefixBytes: uint8(len(k.prefix))}
+}
+
+// project gives the part of a request's key that routes with these conditions compare; ok: it has all of it.
+func (s conditionSet) project(k matchKey) (part matchKey, ok bool) {
 	if s.group {
 		if part.group = k.group; k.group == "" {
 			return part, false
 		}
 	}
-	if s.prefix > 0 {
-		if len(k.prefix) < int(s.prefix) {
+	if s.prefixBytes > 0 {
+		if len(k.prefix) < int(s.prefixBytes) {
 			return part, false
 		}
-		part.prefix = k.prefix[:s.prefix]
+		part.prefix = k.prefix[:s.prefixBytes]
 	}
 	if s.class {
 		if part.class = k.class; k.class == "" {
@@ -39,107 +64,119 @@
 	return part, true
 }
 
-// before orders by how specific shapes are.
-func (s shape) before(o shape) int {
+// compareSpecificity orders the most specific first.
+func (s conditionSet) compareSpecificity(o conditionSet) int {
 	number := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(number(o.group)-number(s.group), int(o.prefix)-int(s.prefix), number(o.class)-number(s.class), number(o.zone)-number(s.zone))
+	return cmp.Or(number(o.group)-number(s.group), int(o.prefixBytes)-int(s.prefixBytes), number(o.class)-number(s.class), number(o.zone)-number(s.zone))
 }
 
-// extra is how specific a route is beyond its key: by a window more than by a share.
-func (r *Route) extra() (n int) {
-	if r.windowed() {
+// secondarySpecificity is how specific a route is beyond its key: by a window more than by a share.
+func (r *Route) secondarySpecificity() (n int) {
+	if r.hasWindow() {
 		n += 2
 	}
-	if r.shared() {
+	if r.hasShare() {
 		n++
 	}
 	return n
 }
 
-func (x *index) build(account string, routes []Route) error {
-	x.plans, x.at = make([]plan, 0, len(routes)), make(map[key]int32, len(routes))
-	shapes := map[shape]bool{}
+func compileRoute(account string, r *Route) compiledRoute {
+	c := compiledRoute{Route: r, account: account, key: r.matchKey(), advice: time.Duration(r.Advice) * time.Millisecond}
+	if !r.Refuse {
+		c.pools = append([]string{r.Pool}, r.Fallbacks...)
+	}
+	return c
+}
+
+func compareRoutes(a, b compiledRoute) int {
+	return cmp.Or(cmp.Compare(a.key.group, b.key.group), cmp.Compare(a.key.prefix, b.key.prefix), cmp.Compare(a.key.class, b.key.class),
+		cmp.Compare(a.key.zone, b.key.zone), b.secondarySpecificity()-a.secondarySpecificity(), cmp.Compare(a.From, b.From), cmp.Compare(a.Begin, b.Begin))
+}
+
+func (x *routeIndex) build(account string, routes []Route) error {
+	x.routes, x.firstByKey = make([]compiledRoute, 0, len(routes)), make(map[matchKey]int32, len(routes))
+	sets := map[conditionSet]bool{}
 	for i := range routes {
-		r := &routes[i]
-		p := plan{Route: r, account: account, key: r.key(), advice: time.Duration(r.Advice) * time.Millisecond}
-		if !r.Refuse {
-			p.pools = append([]string{r.Pool}, r.Else...)
-		}
-		x.plans = append(x.plans, p)
-		shapes[p.key.shape()] = true
+		r := compileRoute(account, &routes[i])
+		x.routes = append(x.routes, r)
+		sets[r.key.conditions()] = true
 	}
-	if len(shapes) > MostShapes {
-		return &Fault{Account: account, Text: fmt.Sprintf("its routes have %d kinds of condition, %d are possible in one list", len(shapes), MostShapes)}
+	if len(sets) > MaxConditionSets {
+		return &Fault{Account: account, Text: fmt.Sprintf("its routes have %d kinds of condition, %d are possible in one list", len(sets), MaxConditionSets)}
 	}
-	for s := range shapes {
-		x.shapes = append(x.shapes, s)
+	for s := range sets {
+		x.conditionSets = append(x.conditionSets, s)
 	}
-	slices.SortFunc(x.shapes, shape.before)
-	slices.SortStableFunc(x.plans, func(a, b plan) int {
-		return cmp.Or(cmp.Compare(a.key.group, b.key.group), cmp.Compare(a.key.prefix, b.key.prefix), cmp.Compare(a.key.class, b.key.class),
-			cmp.Compare(a.key.zone, b.key.zone), b.extra()-a.extra(), cmp.Compare(a.From, b.From), cmp.Compare(a.Begin, b.Begin))
-	})
-	for i := 0; i < len(x.plans); {
-		k, j := x.plans[i].key, i
-		for j < len(x.plans) && x.plans[j].key == k {
-			j++
+	slices.SortFunc(x.conditionSets, conditionSet.compareSpecificity)
+	slices.SortStableFunc(x.routes, compareRoutes)
+	for i := 0; i < len(x.routes); {
+		key, end := x.routes[i].key, i
+		for end < len(x.routes) && x.routes[end].key == key {
+			end++
 		}
-		x.at[k] = int32(i)
-		if err := alike(account, x.plans[i:j]); err != nil {
+		x.firstByKey[key] = int32(i)
+		if err := checkSameKey(account, x.routes[i:end]); err != nil {
 			return err
 		}
-		i = j
+		i = end
 	}
 	return nil
 }
 
-// alike finds what is wrong among routes with the same key: two that are as specific as one another, and one that shares leave nothing.
-func alike(account string, same []plan) error {
+// checkSameKey returns the fault among routes with the same key: two that are equally specific, or one that shares leave nothing.
+func checkSameKey(account string, same []compiledRoute) error {
 	shares := 0
 	for i := range same {
 		a := same[i].Route
-		if a.shared() && !a.windowed() {
+		if a.hasShare() && !a.hasWindow() {
 			shares += int(a.To - a.From)
 		}
-		if a.extra() == 0 && shares == Whole {
+		if a.secondarySpecificity() == 0 && shares == WholeShare {
 			return &Fault{account, a.Name, "nothing reaches it: the shares of others are all there is"}
 		}
-		for j := i + 1; j < len(same) && same[j].extra() == a.extra(); j++ {
+		for j := i + 1; j < len(same) && same[j].secondarySpecificity() == a.secondarySpecificity(); j++ {
 			b := same[j].Route
-			if a.shared() && (a.To <= b.From || b.To <= a.From) {
-				if !a.windowed() {
-					break // sorted by where they begin
-				}
-				continue
+			if a.hasShare() && !a.hasWindow() && sharesDisjoint(a, b) {
+				break // sorted by where they begin: those after b are disjoint too
 			}
-			if a.windowed() && !a.during(int(b.Begin)) && !b.during(int(a.Begin)) {
-				continue
+			if a.overlaps(b) {
+				return &Fault{account, b.Name, fmt.Sprintf("it fits the same requests as %s, and neither is more specific", a.Name)}
 			}
-			return &Fault{account, b.Name, fmt.Sprintf("it fits the same requests as %s, and neither is more specific", a.Name)}
 		}
 	}
 	return nil
 }
 
-// first gives the first route, the most specific before others, whose conditions a key has and that ok takes; nil: none.
-func (x *index) first(k key, ok func(p *plan) bool) *plan {
-	for _, s := range x.shapes {
-		part, has := s.of(k)
-		if !has {
+// overlaps tells whether some request fits two routes with the same key and the same kinds of further conditions.
+func (r *Route) overlaps(o *Route) bool {
+	if r.hasShare() && sharesDisjoint(r, o) {
+		return false
+	}
+	return !r.hasWindow() || r.inWindow(int(o.Begin)) || o.inWindow(int(r.Begin))
+}
+
+func sharesDisjoint(a, b *Route) bool { return a.To <= b.From || b.To <= a.From }
+
+// firstMatch gives the most specific route whose conditions a key has and that accept takes; nil: none.
+func (x *routeIndex) firstMatch(k matchKey, accept func(*compiledRoute) bool) *compiledRoute {
+	for _, s := range x.conditionSets {
+		part, complete := s.project(k)
+		if !complete {
 			continue
 		}
-		i, is := x.at[part]
-		if !is {
+		i, found := x.firstByKey[part]
+		if !found {
 			continue
 		}
-		for ; int(i) < len(x.plans) && x.plans[i].key == part; i++ {
-			if p := &x.plans[i]; ok(p) {
-				return p
+		for ; int(i) < len(x.routes) && x.routes[i].key == part; i++ {
+			if r := &x.routes[i]; accept(r) {
+				return r
 			}
 		}
 	}
@@ -147,13 +184,15 @@
 }
 
 // find gives the most specific route that fits; nil: none.
-func (x *index) find(k key, share uint16, minute int) *plan {
-	return x.first(k, func(p *plan) bool { return p.fits(share, minute) })
+func (x *routeIndex) find(k matchKey, share uint16, minute int) *compiledRoute {
+	return x.firstMatch(k, func(r *compiledRoute) bool { return r.fitsShareAndTime(share, minute) })
 }
 
-// covers gives a route that takes all that fits p; nil: none does alone.
-func (x *index) covers(p *plan) *plan {
-	return x.first(p.key, func(o *plan) bool {
-		return (!o.shared() || p.shared() && o.From <= p.From && p.To <= o.To) && (!o.windowed() || p.windowed() && o.Begin == p.Begin && o.End == p.End)
+// covering gives a route that takes all that fits r; nil: none does alone.
+func (x *routeIndex) covering(r *compiledRoute) *compiledRoute {
+	return x.firstMatch(r.key, func(o *compiledRoute) bool {
+		coversShare := !o.hasShare() || r.hasShare() && o.From <= r.From && r.To <= o.To
+		coversWindow := !o.hasWindow() || r.hasWindow() && o.Begin == r.Begin && o.End == r.End
+		return coversShare && coversWindow
 	})
 }
--- a/internal/fleet/namespace/others_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// slow finds the route by looking at all: what the index has to agree with.
-func slow(b *Book, c *Compiled, q Ask) string {
+// judgeByScan finds the route by looking at all: what the index has to agree with.
+func judgeByScan(b *Directory, c *Compiled, q Request) string {
 	a := c.accounts[c.Account(q.Tenant)]
-	k, share := key{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
+	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
 	best := func(rs []Route) (out string) {
 		var most [6]int
 		for i := range rs {
 			r := &rs[i]
-			if len(r.misses(k, share, q.Minute)) > 0 {
+			if len(r.unmetConditions(k, share, q.Minute)) > 0 {
 				continue
 			}
 			is := func(b bool) int { return map[bool]int{true: 1}[b] }
-			how := [6]int{1 + is(r.Group != ""), len(r.Prefix), is(r.Class != ""), is(r.Zone != ""), is(r.windowed()), is(r.shared())}
+			how := [6]int{1 + is(r.Group != ""), len(r.Prefix), is(r.Class != ""), is(r.Zone != ""), is(r.hasWindow()), is(r.hasShare())}
 			if slices.Compare(how[:], most[:]) > 0 {
 				most, out = how, r.Name
 			}
 		}
 		return out
 	}
-	of := func(account string) (s Space) {
-		for _, x := range b.Spaces {
+	of := func(account string) (s Namespace) {
+		for _, x := range b.Namespaces {
 			if x.Account == account {
 				s = x
 			}
@@ -59,8 +59,8 @@
 	return ""
 }
 
-func drawSpace(rt *rapid.T, account string) Space {
-	s := Space{Account: account}
+func drawSpace(rt *rapid.T, account string) Namespace {
+	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
 		some := func(of ...string) string { return rapid.SampledFrom(of).Draw(rt, "x") }
 		r := Route{Name: fmt.Sprint("r", i), Group: some("", "", "g", "h"), Prefix: some("", "a", "ab", "b"), Class: some("", "c", "d"), Zone: some("", "", "y"), Pool: Main}
@@ -76,19 +76,19 @@
 	return s
 }
 
-func drawAsk(rt *rapid.T) Ask {
+func drawRequest(rt *rapid.T) Request {
 	some := func(of ...string) string { return rapid.SampledFrom(of).Draw(rt, "q") }
-	return Ask{Tenant: some("t1", "t2", "t3", "no"), Class: some("c", "d", "e"), Key: some("", "a", "ab", "abc", "b", "bc", "z"), Group: some("", "g", "h", "i"), Zone: some("y", "z"),
+	return Request{Tenant: some("t1", "t2", "t3", "no"), Class: some("c", "d", "e"), Key: some("", "a", "ab", "abc", "b", "bc", "z"), Group: some("", "g", "h", "i"), Zone: some("y", "z"),
 		Minute: rapid.IntRange(0, 1439).Draw(rt, "minute")}
 }
 
 // The index finds what a look at every route finds, and whatever others put into their namespaces an account's answers stay the same.
-func TestOthersChangeNothing(t *testing.T) {
+func TestNamespacesAreIsolated(t *testing.T) {
 	drawn, fit := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		b := &Book{Accounts: customers.Accounts, Pools: customers.Pools}
+		b := &Directory{Accounts: customers.Accounts, Pools: customers.Pools}
 		for _, a := range []string{"", "acme", "acme/web", "other"} {
-			b.Spaces = append(b.Spaces, drawSpace(rt, a))
+			b.Namespaces = append(b.Namespaces, drawSpace(rt, a))
 		}
 		drawn++
 		c, err := Compile(b)
@@ -97,13 +97,13 @@
 		}
 		fit++
 		other := *b
-		other.Spaces = slices.Clone(b.Spaces)
-		other.Spaces[3] = drawSpace(rt, "other")
+		other.Namespaces = slices.Clone(b.Namespaces)
+		other.Namespaces[3] = drawSpace(rt, "other")
 		d, err := Compile(&other)
 		for range 20 {
-			q := drawAsk(rt)
+			q := drawRequest(rt)
 			v := c.Judge(q)
-			if want := slow(b, c, q); v.Route != want {
+			if want := judgeByScan(b, c, q); v.Route != want {
 				rt.Fatalf("%+v: route %q, expected %q", q, v.Route, want)
 			}
 			if !strings.Contains(c.Explain(q), v.Route) {
@@ -112,12 +112,12 @@
 			if err != nil || v.Account == "other" {
 				continue
 			}
-			if w := d.Judge(q); w.Route != v.Route || w.Scope != v.Scope || !slices.Equal(w.Pools, v.Pools) || w.Refused != v.Refused {
+			if w := d.Judge(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Refused != v.Refused {
 				rt.Fatalf("%+v: %+v, and with another's changes %+v", q, v, w)
 			}
 		}
 	})
 	if fit*5 < drawn {
-		t.Errorf("of %d books drawn only %d can be used", drawn, fit)
+		t.Errorf("of %d directories drawn only %d can be used", drawn, fit)
 	}
 }
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -1,13 +1,14 @@
 package namespace
 
 import (
+	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ask is a request as the rules see it.
-type Ask struct {
+// Request is a request as the rules see it.
+type Request struct {
 	Tenant string `json:"Tenant"`
 	Class  string `json:"Class"`
 	Key    string `json:"Key"`
@@ -16,84 +17,83 @@
 	Minute int    `json:"Minute"` // of the day, UTC
 }
 
-// Verdict is what becomes of a request. It shares memory with the compiled book and is not to be changed.
+func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
+
+// classesRoute stands for a route where the account's classes have refused a request.
+const classesRoute = "classes"
+
+// Verdict is what becomes of a request. It shares memory with the compiled directory and is not to be changed.
 type Verdict struct {
-	Account string
-	Scope   string // the account whose route decided
-	Route   string // "": none fits, and the account's first pool takes it
-	Refused bool
-	Moving  bool // refused since its tenant changes accounts just now
-	Advice  time.Duration
-	Pools   []string // in the order in which they are to be tried
+	Account      string
+	RouteAccount string // the account whose route decided
+	Route        string // "": none fits, and the account's first pool takes it
+	Refused      bool
+	Reassigned   bool // refused since its tenant changes accounts just now
+	Advice       time.Duration
+	Pools        []string // in the order in which they are to be tried
 }
 
-// movingAdvice is when to come again while a tenant or a host changes hands: what it waits for takes a few round trips, or a right's time.
-const movingAdvice = 500 * time.Millisecond
+// reassignedAdvice is the Retry-After while a tenant or a host is reassigned: that takes a few round trips, or a lease's time.
+const reassignedAdvice = 500 * time.Millisecond
 
-// Judge finds the account first, then the route in that account's chain alone.
-func (c *Compiled) Judge(q Ask) Verdict {
-	name := c.frame.tenant[q.Tenant]
+// Judge finds the account first, then the route among those that hold for that account alone.
+func (c *Compiled) Judge(q Request) Verdict {
+	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
-	if c.was != nil && c.was.tenant[q.Tenant] != name {
-		return Verdict{Account: name, Refused: true, Moving: true, Advice: movingAdvice}
+	if c.previous != nil && c.previous.accountOfTenant[q.Tenant] != name {
+		return Verdict{Account: name, Refused: true, Reassigned: true, Advice: reassignedAdvice}
 	}
-	if len(a.limit.Classes) > 0 && !has(a.limit.Classes, q.Class) {
-		return Verdict{Account: name, Scope: name, Route: "classes", Refused: true}
+	if len(a.settings.Classes) > 0 && !slices.Contains(a.settings.Classes, q.Class) {
+		return Verdict{Account: name, RouteAccount: name, Route: classesRoute, Refused: true}
 	}
-	p := a.find(q)
-	v := Verdict{Account: name, Scope: p.account, Pools: p.pools, Advice: p.advice}
-	if p.Route != nil {
-		v.Route, v.Refused = p.Name, p.Refuse
+	r := a.find(&q)
+	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, Advice: r.advice}
+	if r.Route != nil {
+		v.Route, v.Refused = r.Name, r.Refuse
 	}
 	return v
 }
 
-func (a *account) find(q Ask) *plan {
-	k := key{q.Group, q.Key, q.Class, q.Zone}
-	share := a.share(q.Key)
+// find gives the route that decides: a guard of the account or one above it, a route of its own, a default, the nearest account's first.
+func (a *compiledAccount) find(q *Request) *compiledRoute {
+	k, share := q.matchKey(), a.share(q.Key)
 	for _, s := range a.chain {
-		if p := s.guards.find(k, share, q.Minute); p != nil {
-			return p
+		if r := s.guards.find(k, share, q.Minute); r != nil {
+			return r
 		}
 	}
-	if n := len(a.chain); n > 0 && a.chain[n-1].account == a.name {
-		if p := a.chain[n-1].routes.find(k, share, q.Minute); p != nil {
-			return p
+	if own := a.own(); own != nil {
+		if r := own.routes.find(k, share, q.Minute); r != nil {
+			return r
 		}
 	}
 	for i := len(a.chain) - 1; i >= 0; i-- {
-		if p := a.chain[i].defaults.find(k, share, q.Minute); p != nil {
-			return p
+		if r := a.chain[i].defaults.find(k, share, q.Minute); r != nil {
+			return r
 		}
 	}
-	return a.usual
+	return a.defaultRoute
 }
 
-// share is a flow's place among all of the account's, the same at every proxy and in every version.
-func (a *account) share(key string) uint16 {
-	return uint16((xxhash.Sum64String(key) ^ a.hash) * 0x9e3779b97f4a7c15 >> 32 * Whole >> 32)
-}
+// shareHashFactor spreads hashes that differ in few bits: 2^64 divided by the golden ratio.
+const shareHashFactor = 0x9e3779b97f4a7c15
 
-func has(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
-			return true
-		}
-	}
-	return false
+// share is a flow's place among all of the account's, from 0 to WholeShare, the same at every proxy and in every version.
+func (a *compiledAccount) share(key string) uint16 {
+	return uint16((xxhash.Sum64String(key) ^ a.hash) * shareHashFactor >> 32 * WholeShare >> 32)
 }
 
-// Pool is the one pool that a host is in; "": it changes hands just now and gets nothing new.
-func (c *Compiled) Pool(id, kind, zone string) string {
-	p := c.frame.pool(id, kind, zone)
-	if c.was != nil && c.was.pool(id, kind, zone) != p {
+// Pool is the one pool that a host is in; "": it is reassigned just now and gets nothing new.
+func (c *Compiled) Pool(host, kind, zone string) string {
+	p := c.current.pool(host, kind, zone)
+	if c.previous != nil && c.previous.pool(host, kind, zone) != p {
 		return ""
 	}
 	return p
 }
 
-// Limits are an account's, with what its parents fill in, and those above it; nil: there is no such account.
-func (c *Compiled) Limits(account string) *Account { return c.frame.accounts[account] }
+// Limits are an account's, with what its parents fill in; nil: there is no such account.
+func (c *Compiled) Limits(account string) *Account { return c.current.accounts[account] }
 
 // Account is a tenant's; "": the operators'.
-func (c *Compiled) Account(tenant string) string { return c.frame.tenant[tenant] }
+func (c *Compiled) Account(tenant string) string { return c.current.accountOfTenant[tenant] }
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-func compiled(t testing.TB, b *Book) *Compiled {
+func compiled(t testing.TB, b *Directory) *Compiled {
 	t.Helper()
 	c, err := Compile(b)
 	if err != nil {
@@ -18,42 +18,42 @@
 	return c
 }
 
-var customers = &Book{
+var customers = &Directory{
 	Pools: []Pool{{Name: "fast", Kinds: []string{"m2"}}, {Name: "kept", Hosts: []string{"s-1"}, Prefixes: []string{"s-", "s-9"}}},
 	Accounts: []Account{{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"fast", Main}, Rate: Limit{100, 60}}, {Name: "acme/web", Tenants: []string{"t2"}, Rate: Limit{50, 30}},
 		{Name: "other", Tenants: []string{"t3"}}},
-	Spaces: []Space{
+	Namespaces: []Namespace{
 		{Account: "", Guards: []Route{{Name: "closed", Class: "bulk", Refuse: true, Advice: 2000}}, Defaults: []Route{{Name: "rest", Zone: "z9", Pool: "fast"}}},
-		{Account: "acme", Guards: []Route{{Name: "night", Begin: 22 * 60, End: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Else: []string{Main}}},
+		{Account: "acme", Guards: []Route{{Name: "night", Begin: 22 * 60, End: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Fallbacks: []string{Main}}},
 			Defaults: []Route{{Name: "last", Pool: Main}}},
 		{Account: "acme/web", Routes: []Route{{Name: "half", To: 5000, Pool: "fast"}, {Name: "g", Group: "g1", Pool: Main}, {Name: "gab", Group: "g1", Prefix: "ab", Pool: "fast"}}},
 	},
 }
 
-func TestWhereRequestsGo(t *testing.T) {
+func TestJudge(t *testing.T) {
 	c := compiled(t, customers)
 	for _, x := range []struct {
-		q       Ask
+		q       Request
 		account string
 		route   string
 		pool    string // "": refused
 	}{
-		{Ask{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
-		{Ask{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", Main},
-		{Ask{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
-		{Ask{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
-		{Ask{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
-		{Ask{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
-		{Ask{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the longer list of conditions
-		{Ask{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // before the operators' default
-		{Ask{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", Main},                                 //
-		{Ask{Tenant: "t3", Key: "abc"}, "other", "", Main},                                                 // another's routes do not reach it
-		{Ask{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
-		{Ask{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", Main},                                   //
-		{Ask{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
-		{Ask{Tenant: "acme", Key: "abc"}, "", "", Main},                                                    // an account's name is no tenant
-		{Ask{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window's end
-		{Ask{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
+		{Request{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
+		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", Main},
+		{Request{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
+		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
+		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the longer list of conditions
+		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // before the operators' default
+		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", Main},                                 //
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", Main},                                                 // another's routes do not reach it
+		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
+		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", Main},                                   //
+		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
+		{Request{Tenant: "acme", Key: "abc"}, "", "", Main},                                                    // an account's name is no tenant
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window's end
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
 	} {
 		v := c.Judge(x.q)
 		pool := ""
@@ -77,11 +77,11 @@
 func TestSharesAreStable(t *testing.T) {
 	c := compiled(t, customers)
 	more := *customers
-	more.Spaces = append(slices.Clone(customers.Spaces), Space{Account: "other", Routes: []Route{{Name: "x", Pool: Main, Prefix: "k"}}})
+	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: Main, Prefix: "k"}}})
 	d := compiled(t, &more)
 	n := 0
 	for i := range 10_000 {
-		q := Ask{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
+		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
 		v := c.Judge(q)
 		if w := d.Judge(q); w.Route != v.Route {
 			t.Fatalf("%s: %q and %q", q.Key, v.Route, w.Route)
@@ -95,12 +95,12 @@
 	}
 }
 
-func TestBooksThatAreRefused(t *testing.T) {
-	routes := func(rs ...Route) *Book {
-		return &Book{Accounts: []Account{{Name: "a"}}, Spaces: []Space{{Account: "a", Routes: rs}}}
+func TestCompileRejects(t *testing.T) {
+	routes := func(rs ...Route) *Directory {
+		return &Directory{Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Routes: rs}}}
 	}
 	to := func(name string, r Route) Route { r.Name, r.Pool = name, Main; return r }
-	for want, b := range map[string]*Book{
+	for want, b := range map[string]*Directory{
 		"is in pool p and in pool q":             {Pools: []Pool{{Name: "p", Kinds: []string{"m"}}, {Name: "q", Kinds: []string{"m"}}}},
 		"its name is none, taken":                {Pools: []Pool{{Name: Main}}},
 		"tenant t belongs to account a":          {Accounts: []Account{{Name: "a", Tenants: []string{"t"}}, {Name: "b", Tenants: []string{"t"}}}},
@@ -114,21 +114,21 @@
 		"with it 6 are reserved below account a": {Accounts: []Account{{Name: "a", Rate: Limit{9, 5}}, {Name: "a/b", Rate: Limit{0, 3}}, {Name: "a/c", Rate: Limit{0, 3}}}},
 		"9 routes, and account a has 5":          {Accounts: []Account{{Name: "a", Routes: 5}, {Name: "a/b", Routes: 9}}},
 		"no Ed25519 key":                         {Accounts: []Account{{Name: "a", Grants: []Grant{{Label: "g", Key: []byte{1}, Verbs: 1}}}}},
-		"it has a namespace, and does not exist": {Spaces: []Space{{Account: "a"}}},
-		"2 routes, and it may have 1":            {Accounts: []Account{{Name: "a", Routes: 1}}, Spaces: []Space{{Account: "a", Routes: []Route{to("x", Route{Class: "c"}), to("y", Route{Class: "d"})}}}},
+		"it has a namespace, and does not exist": {Namespaces: []Namespace{{Account: "a"}}},
+		"2 routes, and it may have 1":            {Accounts: []Account{{Name: "a", Routes: 1}}, Namespaces: []Namespace{{Account: "a", Routes: []Route{to("x", Route{Class: "c"}), to("y", Route{Class: "d"})}}}},
 		"neither is more specific":               routes(to("x", Route{Class: "c"}), to("y", Route{Class: "c"})),
 		"as x, and neither":                      routes(to("x", Route{To: 4000}), to("y", Route{From: 3000, To: 5000})),
 		"as v, and neither":                      routes(to("v", Route{Begin: 60, End: 120}), to("w", Route{Begin: 90, End: 180})),
-		"the shares of others are all":           routes(to("x", Route{To: 4000}), to("y", Route{From: 4000, To: Whole}), to("z", Route{})),
+		"the shares of others are all":           routes(to("x", Route{To: 4000}), to("y", Route{From: 4000, To: WholeShare}), to("z", Route{})),
 		"its name is taken":                      routes(to("x", Route{Class: "c"}), to("x", Route{})),
-		"in a circle":                            routes(Route{Name: "x", Pool: Main, Else: []string{Main}}),
+		"in a circle":                            routes(Route{Name: "x", Pool: Main, Fallbacks: []string{Main}}),
 		"either a pool or refuse":                routes(Route{Name: "x"}),
 		"no pool nowhere":                        routes(Route{Name: "x", Pool: "nowhere"}),
 		"a share that is none":                   routes(to("x", Route{From: 5, To: 5})),
 		"a time of day that is none":             routes(to("x", Route{Begin: 5, End: 5})),
-		"nothing reaches it: g takes all":        {Accounts: []Account{{Name: "a"}}, Spaces: []Space{{Account: "a", Guards: []Route{{Name: "g", Class: "c", Refuse: true}}, Routes: []Route{to("x", Route{Class: "c", Prefix: "ab"})}}}},
+		"nothing reaches it: g takes all":        {Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Guards: []Route{{Name: "g", Class: "c", Refuse: true}}, Routes: []Route{to("x", Route{Class: "c", Prefix: "ab"})}}}},
 		"kinds of condition": routes(func() (rs []Route) {
-			for i := range MostShapes + 1 {
+			for i := range MaxConditionSets + 1 {
 				rs = append(rs, to(fmt.Sprint("r", i), Route{Prefix: strings.Repeat("k", i%9), Zone: []string{"", "z"}[i/9]}))
 			}
 			return rs
@@ -141,21 +141,21 @@
 }
 
 // A host and a tenant that change hands get nothing until nobody acts by the version before.
-func TestWhatChangesHandsGetsNothing(t *testing.T) {
-	b := &Book{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
-		Was: &Frame{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
+func TestReassignedGetsNothing(t *testing.T) {
+	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
+		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
 	c := compiled(t, b)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
 		t.Errorf("pools %q and %q", p, q)
 	}
 	for tenant, moving := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
-		if v := c.Judge(Ask{Tenant: tenant}); v.Moving != moving || v.Refused != moving {
+		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != moving || v.Refused != moving {
 			t.Errorf("%s: %+v", tenant, v)
 		}
 	}
 }
 
-func TestFaultsHaveTheirPlace(t *testing.T) {
+func TestFaultsNameTheirPlace(t *testing.T) {
 	_, err := settings.Schema{Section()}.Read("acme.sexp", []byte("(namespace\n  (account acme)\n  (route x (class c) (pool main))\n  (route y (class c) (pool main)))"))
 	if err == nil || !strings.Contains(err.Error(), "acme.sexp:4:3") || !strings.Contains(err.Error(), "the same requests as x") {
 		t.Fatalf("%v", err)
@@ -164,22 +164,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := f.Value("namespace").(*Space); s.Guards[0].Begin != 1320 || s.Guards[0].Advice != 2000 || s.Defaults[0].To != 1250 || s.Defaults[0].Else[0] != Main {
+	if s := f.Value("namespace").(*Namespace); s.Guards[0].Begin != 1320 || s.Guards[0].Advice != 2000 || s.Defaults[0].To != 1250 || s.Defaults[0].Fallbacks[0] != Main {
 		t.Fatalf("%+v", s)
 	}
 }
 
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
-		book := &Book{Accounts: []Account{{Name: "big", Tenants: []string{"b"}}, {Name: "small", Tenants: []string{"s"}}}, Spaces: []Space{{Account: "big"}, {Account: "small", Routes: customers.Spaces[1].Routes[:0:0]}}}
+		directory := &Directory{Accounts: []Account{{Name: "big", Tenants: []string{"b"}}, {Name: "small", Tenants: []string{"s"}}}, Namespaces: []Namespace{{Account: "big"}, {Account: "small", Routes: customers.Namespaces[1].Routes[:0:0]}}}
 		for i := range n {
-			book.Spaces[0].Routes = append(book.Spaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: Main})
+			directory.Namespaces[0].Routes = append(directory.Namespaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: Main})
 		}
-		c := compiled(b, book)
+		c := compiled(b, directory)
 		for who, tenant := range map[string]string{"own": "b", "beside": "s"} {
 			b.Run(fmt.Sprintf("%s/%d", who, n), func(b *testing.B) {
 				b.ReportAllocs()
-				q := Ask{Tenant: tenant, Class: "c", Key: "0000000500000000"}
+				q := Request{Tenant: tenant, Class: "c", Key: "0000000500000000"}
 				for range b.N {
 					c.Judge(q)
 				}
@@ -187,7 +187,7 @@
 		}
 		b.Run(fmt.Sprintf("compile/%d", n), func(b *testing.B) {
 			for range b.N {
-				compiled(b, book)
+				compiled(b, directory)
 			}
 		})
 	}
@@ -198,14 +198,14 @@
 		f.Add(p, "t", "c", "abcd")
 	}
 	f.Fuzz(func(t *testing.T, text, tenant, class, key string) {
-		b := &Book{}
-		own := Space{}
-		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindFrame(f, b); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
+		b := &Directory{}
+		own := Namespace{}
+		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, b); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
 			return
 		}
-		b.Spaces = []Space{own}
+		b.Namespaces = []Namespace{own}
 		if c, err := Compile(b); err == nil {
-			q := Ask{Tenant: tenant, Class: class, Key: key, Minute: 1}
+			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
 			if v := c.Judge(q); !v.Refused && len(v.Pools) == 0 {
 				t.Fatalf("%q: neither refused nor a pool", text)
 			}
--- /dev/null
+++ b/internal/fleet/namespace/route.go
@@ -0,0 +1,121 @@
+package namespace
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Route says what becomes of the requests that fit all its conditions; an empty one fits all. Of several that fit the most specific counts:
+// a group before a key's prefix, the longer prefix first, then class, zone, window, share.
+type Route struct {
+	Name   string `cbor:"1,keyasint"`
+	Group  string `cbor:"2,keyasint,omitempty"`
+	Prefix string `cbor:"3,keyasint,omitempty"` // of the flow's key
+	Class  string `cbor:"4,keyasint,omitempty"`
+	Zone   string `cbor:"5,keyasint,omitempty"` // of the proxy
+	// From and To bound a share of the flows, by a hash of the key that is the same at every proxy and in every version; both 0: all.
+	From uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a per cent
+	To   uint16 `cbor:"7,keyasint,omitempty"`
+	// Begin and End bound a time of day, UTC; a window may run over midnight; both 0: all day.
+	Begin uint16 `cbor:"8,keyasint,omitempty"` // minutes
+	End   uint16 `cbor:"9,keyasint,omitempty"`
+
+	Pool      string   `cbor:"10,keyasint,omitempty"`
+	Fallbacks []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
+	Refuse    bool     `cbor:"12,keyasint,omitempty"`
+	Advice    uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a refused request in milliseconds; 0: none
+}
+
+// check says what is wrong with a route by itself; "": nothing.
+func (r *Route) check() string {
+	switch {
+	case !validName(r.Name):
+		return "no name of a route"
+	case len(r.Prefix) > MaxPrefixBytes:
+		return fmt.Sprintf("a prefix of %d bytes, %d are possible", len(r.Prefix), MaxPrefixBytes)
+	case len(r.Group) > 2*maxNameBytes || len(r.Class) > 2*maxNameBytes || len(r.Zone) > 2*maxNameBytes:
+		return "a group, class or zone that is too long"
+	case r.To > WholeShare || r.hasShare() && (r.From >= r.To || r.To-r.From == WholeShare):
+		return "a share that is none, or all"
+	case r.Begin >= minutesPerDay || r.End >= minutesPerDay || r.hasWindow() && r.Begin == r.End:
+		return "a time of day that is none, or all day"
+	case r.Refuse == (r.Pool != ""):
+		return "it has to name either a pool or refuse"
+	case r.Advice > maxAdviceMillis || r.Advice > 0 && !r.Refuse:
+		return "advice of over a minute, or for those who are not refused"
+	case len(r.Fallbacks) > maxFallbacks || len(r.Fallbacks) > 0 && r.Refuse:
+		return fmt.Sprintf("more than %d pools to fall to, or some for those who are refused", maxFallbacks)
+	case r.repeatsPool():
+		return "it falls to a pool in a circle"
+	}
+	return ""
+}
+
+func (r *Route) repeatsPool() bool {
+	all := append([]string{r.Pool}, r.Fallbacks...)
+	slices.Sort(all)
+	return len(slices.Compact(all)) < 1+len(r.Fallbacks)
+}
+
+func (r *Route) hasShare() bool  { return r.From != 0 || r.To != 0 }
+func (r *Route) hasWindow() bool { return r.Begin != 0 || r.End != 0 }
+
+// fitsShareAndTime tests the conditions that are not in the match key.
+func (r *Route) fitsShareAndTime(share uint16, minute int) bool {
+	return (!r.hasShare() || r.inShare(share)) && (!r.hasWindow() || r.inWindow(minute))
+}
+
+func (r *Route) inShare(share uint16) bool { return share >= r.From && share < r.To }
+
+func (r *Route) inWindow(minute int) bool {
+	if r.Begin < r.End {
+		return minute >= int(r.Begin) && minute < int(r.End)
+	}
+	return minute >= int(r.Begin) || minute < int(r.End)
+}
+
+// unmetConditions names the conditions that a request does not fit.
+func (r *Route) unmetConditions(k matchKey, share uint16, minute int) (names []string) {
+	for _, c := range []struct {
+		name  string
+		unmet bool
+	}{
+		{"group", r.Group != "" && r.Group != k.group},
+		{"key", !strings.HasPrefix(k.prefix, r.Prefix)},
+		{"class", r.Class != "" && r.Class != k.class},
+		{"zone", r.Zone != "" && r.Zone != k.zone},
+		{"share", r.hasShare() && !r.inShare(share)},
+		{"time of day", r.hasWindow() && !r.inWindow(minute)},
+	} {
+		if c.unmet {
+			names = append(names, c.name)
+		}
+	}
+	return names
+}
+
+// Describe writes what a route does, for people.
+func (r *Route) Describe() string {
+	var conditions []string
+	for _, c := range []struct{ name, value string }{{"group", r.Group}, {"key", r.Prefix}, {"class", r.Class}, {"zone", r.Zone}} {
+		if c.value != "" {
+			conditions = append(conditions, c.name+" "+strconv.Quote(c.value))
+		}
+	}
+	if r.hasShare() {
+		conditions = append(conditions, fmt.Sprintf("share %g%% to %g%%", float64(r.From)/100, float64(r.To)/100))
+	}
+	if r.hasWindow() {
+		conditions = append(conditions, fmt.Sprintf("%02d:%02d to %02d:%02d UTC", r.Begin/60, r.Begin%60, r.End/60, r.End%60))
+	}
+	if len(conditions) == 0 {
+		conditions = []string{"all"}
+	}
+	action := "refuse"
+	if !r.Refuse {
+		action = "pool " + strings.Join(append([]string{r.Pool}, r.Fallbacks...), ", else ")
+	}
+	return strings.Join(conditions, ", ") + ": " + action
+}
--- a/internal/fleet/owneragent/socket.go
+++ b/internal/fleet/owneragent/socket.go
@@ -24,7 +24,7 @@
 	B  string `json:"b,omitempty"`
 
 	Rules   []byte         `json:"rules,omitempty"`   // a question to the keeper
-	Explain *namespace.Ask `json:"explain,omitempty"` // a request, for the rules to explain
+	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
 }
 
 // askWithin bounds a request's time.
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -19,17 +19,17 @@
 func (v *Version) next() *Version {
 	n := *v
 	n.Number++
-	book := v.namespaces()
-	book.Was = nil
-	book.Accounts, book.Spaces = slices.Clone(book.Accounts), slices.Clone(book.Spaces)
-	n.Book = &book
+	directory := v.namespaces()
+	directory.Previous = nil
+	directory.Accounts, directory.Namespaces = slices.Clone(directory.Accounts), slices.Clone(directory.Namespaces)
+	n.Directory = &directory
 	return &n
 }
 
-// finish drops an empty book, and checks the version.
+// finish drops an empty directory, and checks the version.
 func (v *Version) finish() error {
-	if b := v.Book; b != nil && len(b.Pools)+len(b.Accounts)+len(b.Spaces) == 0 && b.Was == nil {
-		v.Book = nil
+	if b := v.Directory; b != nil && len(b.Pools)+len(b.Accounts)+len(b.Namespaces) == 0 && b.Previous == nil {
+		v.Directory = nil
 	}
 	return v.Check()
 }
@@ -65,18 +65,18 @@
 }
 
 func (v *Version) applyOperators(base *Version, c *Change) error {
-	if err := checkBase(c.Against, base.Root, base.Number); err != nil {
+	if err := checkBase(c.Against, base.OperatorsNumber, base.Number); err != nil {
 		return err
 	}
 	proposed, err := Decode(c.Body)
 	if err != nil {
 		return err
 	}
-	v.Refuse, v.Out, v.Root = proposed.Refuse, proposed.Out, v.Number
-	book, old := proposed.namespaces(), *v.Book
-	v.Book.Pools = book.Pools
-	v.Book.Accounts = mergeAccounts(book.Accounts, old.Accounts, v.Number)
-	v.Book.Spaces, err = mergeSpaces(book.Spaces, old.Spaces, v.Book.Accounts, v.Number)
+	v.Refusals, v.HostsOut, v.OperatorsNumber = proposed.Refusals, proposed.HostsOut, v.Number
+	directory, old := proposed.namespaces(), *v.Directory
+	v.Directory.Pools = directory.Pools
+	v.Directory.Accounts = mergeAccounts(directory.Accounts, old.Accounts, v.Number)
+	v.Directory.Namespaces, err = mergeSpaces(directory.Namespaces, old.Namespaces, v.Directory.Accounts, v.Number)
 	return err
 }
 
@@ -101,7 +101,7 @@
 }
 
 // mergeSpaces gives the operators' own namespace, and those of accounts that still exist.
-func mergeSpaces(proposed, old []namespace.Space, accounts []namespace.Account, number uint64) (spaces []namespace.Space, err error) {
+func mergeSpaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
 	for _, s := range proposed {
 		if s.Account != "" {
 			return spaces, fmt.Errorf("the namespace of account %s is changed by itself", s.Account)
@@ -121,8 +121,8 @@
 	return slices.BinarySearchFunc(all, name, func(a namespace.Account, name string) int { return cmp.Compare(a.Name, name) })
 }
 
-func findSpace(all []namespace.Space, account string) (int, bool) {
-	return slices.BinarySearchFunc(all, account, func(s namespace.Space, account string) int { return cmp.Compare(s.Account, account) })
+func findSpace(all []namespace.Namespace, account string) (int, bool) {
+	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
 // without gives the entries less the one at i, where it exists, and the number of the version that changed that one last. It
@@ -136,24 +136,24 @@
 }
 
 func (v *Version) applyNamespace(base *Version, c *Change) error {
-	var s namespace.Space
+	var s namespace.Namespace
 	if err := unmarshal(c.Body, &s); err != nil {
 		return err
 	}
 	if s.Account != c.Part || c.Part == "" {
 		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Part, s.Account)
 	}
-	if err := namespace.CheckSpace(&s); err != nil {
+	if err := namespace.CheckNamespace(&s); err != nil {
 		return err
 	}
-	i, exists := findSpace(v.Book.Spaces, c.Part)
-	spaces, lastChanged := without(v.Book.Spaces, i, exists, func(s namespace.Space) uint64 { return s.Number })
+	i, exists := findSpace(v.Directory.Namespaces, c.Part)
+	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.Number })
 	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
 		return err
 	}
-	v.Book.Spaces = spaces
+	v.Directory.Namespaces = spaces
 	if s.Number = v.Number; len(s.Guards)+len(s.Routes)+len(s.Defaults) > 0 {
-		v.Book.Spaces = slices.Insert(v.Book.Spaces, i, s)
+		v.Directory.Namespaces = slices.Insert(v.Directory.Namespaces, i, s)
 	}
 	return nil
 }
@@ -166,26 +166,26 @@
 	if a.Name != c.Part || namespace.Parent(a.Name) == "" {
 		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Part, a.Name)
 	}
-	i, exists := findAccount(v.Book.Accounts, a.Name)
-	accounts, lastChanged := without(v.Book.Accounts, i, exists, func(a namespace.Account) uint64 { return a.Number })
+	i, exists := findAccount(v.Directory.Accounts, a.Name)
+	accounts, lastChanged := without(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.Number })
 	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
 		return err
 	}
 	a.Number = v.Number
-	v.Book.Accounts = slices.Insert(accounts, i, a)
+	v.Directory.Accounts = slices.Insert(accounts, i, a)
 	return nil
 }
 
 func (v *Version) applyRemoval(base *Version, c *Change) error {
-	i, exists := findAccount(v.Book.Accounts, c.Part)
+	i, exists := findAccount(v.Directory.Accounts, c.Part)
 	if !exists || namespace.Parent(c.Part) == "" {
 		return fmt.Errorf("there is no account %s below another", c.Part)
 	}
-	if err := checkBase(c.Against, v.Book.Accounts[i].Number, base.Number); err != nil {
+	if err := checkBase(c.Against, v.Directory.Accounts[i].Number, base.Number); err != nil {
 		return err
 	}
-	v.Book.Accounts = slices.DeleteFunc(v.Book.Accounts, func(a namespace.Account) bool { return namespace.Under(a.Name, c.Part) })
-	v.Book.Spaces = slices.DeleteFunc(v.Book.Spaces, func(s namespace.Space) bool { return namespace.Under(s.Account, c.Part) })
+	v.Directory.Accounts = slices.DeleteFunc(v.Directory.Accounts, func(a namespace.Account) bool { return namespace.IsWithin(a.Name, c.Part) })
+	v.Directory.Namespaces = slices.DeleteFunc(v.Directory.Namespaces, func(s namespace.Namespace) bool { return namespace.IsWithin(s.Account, c.Part) })
 	return nil
 }
 
@@ -209,12 +209,12 @@
 
 // setNumber numbers a version and all parts of it.
 func (v *Version) setNumber(number uint64) {
-	v.Number, v.Root = number, number
-	for i := range v.Book.Spaces {
-		v.Book.Spaces[i].Number = number
+	v.Number, v.OperatorsNumber = number, number
+	for i := range v.Directory.Namespaces {
+		v.Directory.Namespaces[i].Number = number
 	}
-	for i := range v.Book.Accounts {
-		v.Book.Accounts[i].Number = number
+	for i := range v.Directory.Accounts {
+		v.Directory.Accounts[i].Number = number
 	}
 }
 
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -98,12 +98,12 @@
 func (v *Version) checkGrant(a *namespace.Account, g *namespace.Grant, c *Change) error {
 	switch c.Kind {
 	case KindNamespace:
-		if !namespace.Under(c.Part, a.Name) {
+		if !namespace.IsWithin(c.Part, a.Name) {
 			return fmt.Errorf("which is for %s and below", a.Name)
 		}
 		return checkVerb(g, namespace.MayRoute)
 	case KindAccount, KindRemoveAccount:
-		if c.Part == a.Name || !namespace.Under(c.Part, a.Name) {
+		if c.Part == a.Name || !namespace.IsWithin(c.Part, a.Name) {
 			return fmt.Errorf("which is for what is below %s", a.Name)
 		}
 	default:
@@ -116,22 +116,22 @@
 	if unmarshal(c.Body, &next) != nil {
 		return errMalformedAccount
 	}
-	if i, exists := findAccount(v.Book.Accounts, c.Part); exists && differInLimitsOnly(v.Book.Accounts[i], next) {
+	if i, exists := findAccount(v.Directory.Accounts, c.Part); exists && differInLimitsOnly(v.Directory.Accounts[i], next) {
 		return checkVerb(g, namespace.MayLimit)
 	}
 	return checkVerb(g, namespace.MayDelegate)
 }
 
-func checkVerb(g *namespace.Grant, verb uint8) error {
+func checkVerb(g *namespace.Grant, verb namespace.Verbs) error {
 	if g.Verbs&verb == 0 {
-		return fmt.Errorf("which may %s alone", namespace.VerbNames(g.Verbs))
+		return fmt.Errorf("which may %s alone", g.Verbs)
 	}
 	return nil
 }
 
 func differInLimitsOnly(a, b namespace.Account) bool {
 	for _, x := range []*namespace.Account{&a, &b} {
-		x.Rate, x.Standing, x.Routes, x.Changes, x.Number = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
+		x.Rate, x.Connections, x.Routes, x.Changes, x.Number = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
 	}
 	return bytes.Equal(marshal(a), marshal(b))
 }
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -66,7 +66,7 @@
 }
 
 // ChangeNamespace replaces an account's namespace.
-func ChangeNamespace(s *namespace.Space, against uint64, id []byte) *Change {
+func ChangeNamespace(s *namespace.Namespace, against uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindNamespace, Part: s.Account, Against: against, Body: marshal(s)}
 }
 
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -14,19 +14,19 @@
 
 func public(n byte) []byte { return key(n).Public().(ed25519.PublicKey) }
 
-// frame is two customers, each with a pool; acme's administrator may route and delegate.
-func frame() *Version {
-	return &Version{Book: &namespace.Book{
+// twoCustomers is two customers, each with a pool; acme's administrator may route and delegate.
+func twoCustomers() *Version {
+	return &Version{Directory: &namespace.Directory{
 		Pools: []namespace.Pool{{Name: "a", Kinds: []string{"m1"}}, {Name: "b", Kinds: []string{"m2"}}},
 		Accounts: []namespace.Account{
-			{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"a", namespace.Main}, Rate: namespace.Limit{AtMost: 100, Reserved: 50}, Grants: []namespace.Grant{
+			{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"a", namespace.Main}, Rate: namespace.Limit{Max: 100, Reserved: 50}, Grants: []namespace.Grant{
 				{Label: "admin", Key: public(1), Verbs: namespace.MayRoute | namespace.MayDelegate}, {Label: "clerk", Key: public(2), Verbs: namespace.MayRoute, Until: 5000}}},
 			{Name: "other", Tenants: []string{"t3"}, Pools: []string{"b"}},
 		}}}
 }
 
-func to(account string, number uint64, pool string) *namespace.Space {
-	return &namespace.Space{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
+func to(account string, number uint64, pool string) *namespace.Namespace {
+	return &namespace.Namespace{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
 func (g *group) change(c *Change) { g.coordinator.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
@@ -40,7 +40,7 @@
 // begin has the frame active; the version's number is 2, since hosts changed hands from main to the pools.
 func begin(t *testing.T, n uint32) *group {
 	g := newGroup(t, n)
-	g.put(frame(), 0)
+	g.put(twoCustomers(), 0)
 	g.run(2 * within)
 	if !strings.HasPrefix(g.last(), "active: version 2 at") {
 		t.Fatalf("the first pools: %q", g.last())
@@ -60,7 +60,7 @@
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.members[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
+	if v := g.members[1].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
 		t.Errorf("%+v", v)
 	}
 	// The one that lost made its change against what the other had not changed yet.
@@ -91,7 +91,7 @@
 		"account acme may not use pool b":             ChangeNamespace(to("acme", 0, "b"), 2, []byte("id-pool-b")),
 		"which is for no such change":                 ChangeOperators(&Version{}, 2, []byte("id-rules")),
 		"tenant t3 does not belong to account acme":   ChangeAccountTo(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant")),
-		"rate 101 at most, and account acme has 100":  ChangeAccountTo(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{AtMost: 101}}, 2, []byte("id-rates")),
+		"rate 101 at most, and account acme has 100":  ChangeAccountTo(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{Max: 101}}, 2, []byte("id-rates")),
 		"those at the top are changed with the rules": ChangeAccountTo(&namespace.Account{Name: "top"}, 2, []byte("id-top-op")),
 	} {
 		by := map[string]byte{"id-clerk": 2, "id-nobody": 9}[string(c.ID)]
@@ -120,7 +120,7 @@
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("a team: %q", g.last())
 	}
-	if v := g.members[2].Enforcer.Judge(namespace.Ask{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
+	if v := g.members[2].Enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
 		t.Errorf("%+v", v)
 	}
 }
@@ -132,16 +132,16 @@
 	c.Sign(key(1))
 	// On its way while the grant is revoked: checked again as the version is made.
 	g.cut[3] = true
-	g.put(&Version{Out: []string{"h"}, Book: frame().Book}, 2) // holds the next round up
+	g.put(&Version{HostsOut: []string{"h"}, Directory: twoCustomers().Directory}, 2) // holds the next round up
 	g.run(60 * ms)
-	without := frame()
-	without.Book.Accounts[0].Grants = without.Book.Accounts[0].Grants[1:]
+	revoked := twoCustomers()
+	revoked.Directory.Accounts[0].Grants = revoked.Directory.Accounts[0].Grants[1:]
 	n := len(g.answers)
 	g.change(c)
 	if len(g.answers) > n {
 		t.Fatalf("answered at once: %q", g.last())
 	}
-	g.coordinator.proposals.waiting = append([]*proposal{{Change: ChangeOperators(without, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, g.coordinator.proposals.waiting...)
+	g.coordinator.proposals.waiting = append([]*proposal{{Change: ChangeOperators(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, g.coordinator.proposals.waiting...)
 	g.run(4 * within)
 	if got := strings.Join(g.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
 		t.Errorf("answers\n%s", got)
@@ -153,7 +153,7 @@
 	if !strings.HasPrefix(g.last(), "refused: no grant of version") {
 		t.Errorf("half a minute late: %q", g.last())
 	}
-	if v := g.members[1].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"}); v.Route != "" {
+	if v := g.members[1].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"}); v.Route != "" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -189,7 +189,7 @@
 	n := len(g.answers)
 	g.coordinator.proposals.waiting = nil
 	g.coordinator.leases.unknownUntil = g.now + 100*ms
-	g.change(&Change{ID: []byte("first-one"), Kind: KindOperators, Against: 2, Body: func() []byte { v := frame(); v.Number = 3; v.Out = []string{"h"}; return v.Encode() }()})
+	g.change(&Change{ID: []byte("first-one"), Kind: KindOperators, Against: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.HostsOut = []string{"h"}; return v.Encode() }()})
 	g.change(ChangeNamespace(big, 2, nil))
 	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(8 * within)
@@ -197,7 +197,7 @@
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := g.members[2].Enforcer.Judge(namespace.Ask{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
+	if v := g.members[2].Enforcer.Judge(namespace.Request{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -208,8 +208,8 @@
 	g.run(within)
 	g.change(RollBackTo(2, 3, nil))
 	g.run(within)
-	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.coordinator.versions.active.Number != 4 || len(g.coordinator.versions.active.Book.Spaces) != 0 {
-		t.Fatalf("%q: %+v", g.last(), g.coordinator.versions.active.Book)
+	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.coordinator.versions.active.Number != 4 || len(g.coordinator.versions.active.Directory.Namespaces) != 0 {
+		t.Fatalf("%q: %+v", g.last(), g.coordinator.versions.active.Directory)
 	}
 	g.change(RollBackTo(77, 4, nil))
 	if g.last() != "refused: version 77 is not kept any more" {
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -24,29 +24,29 @@
 func compileVersion(v *Version) *compiledVersion {
 	c := &compiledVersion{
 		version:       v,
-		refusalAdvice: make(map[refusalKey]uint32, len(v.Refuse)),
-		hostsOut:      make(map[string]struct{}, len(v.Out)),
+		refusalAdvice: make(map[refusalKey]uint32, len(v.Refusals)),
+		hostsOut:      make(map[string]struct{}, len(v.HostsOut)),
 	}
-	for _, r := range v.Refuse {
+	for _, r := range v.Refusals {
 		c.refusalAdvice[refusalKey{r.Tenant, r.Class}] = r.Advice
 	}
-	for _, h := range v.Out {
+	for _, h := range v.HostsOut {
 		c.hostsOut[h] = struct{}{}
 	}
-	if v.Book != nil {
-		c.compileNamespaces(v.Book)
+	if v.Directory != nil {
+		c.compileNamespaces(v.Directory)
 	}
 	return c
 }
 
-func (c *compiledVersion) compileNamespaces(book *namespace.Book) {
+func (c *compiledVersion) compileNamespaces(directory *namespace.Directory) {
 	var err error
-	if c.namespaces, err = namespace.Compile(book); err != nil {
+	if c.namespaces, err = namespace.Compile(directory); err != nil {
 		panic(err) // Check has compiled it
 	}
 	c.limits = map[string]quota.Limit{}
-	for _, a := range book.Accounts { // sorted by name
-		if l := (quota.Limit{Rate: float64(a.Rate.AtMost), Connections: int(a.Standing.AtMost)}); l != (quota.Limit{}) {
+	for _, a := range directory.Accounts { // sorted by name
+		if l := (quota.Limit{Rate: float64(a.Rate.Max), Connections: int(a.Connections.Max)}); l != (quota.Limit{}) {
 			c.limits[a.Name], c.limitedAccounts = l, append(c.limitedAccounts, a.Name)
 		}
 	}
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -23,7 +23,7 @@
 	ResultHash []byte
 	Head       []byte // the version without accounts and namespaces, encoded
 	Accounts   []run[namespace.Account]
-	Spaces     []run[namespace.Space]
+	Spaces     []run[namespace.Namespace]
 }
 
 func (d *delta) valid() bool {
@@ -31,7 +31,7 @@
 }
 
 func accountName(a *namespace.Account) string { return a.Name }
-func spaceName(s *namespace.Space) string     { return s.Account }
+func spaceName(s *namespace.Namespace) string { return s.Account }
 
 func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
 	at := map[string]uint32{}
@@ -71,39 +71,39 @@
 }
 
 func newDelta(v, base *Version) delta {
-	book, baseBook := v.namespaces(), base.namespaces()
+	directory, baseDirectory := v.namespaces(), base.namespaces()
 	baseHash, hash := base.Hash(), v.Hash()
 	head := *v
-	if v.Book != nil {
-		rest := book
-		rest.Accounts, rest.Spaces = nil, nil
-		head.Book = &rest
+	if v.Directory != nil {
+		rest := directory
+		rest.Accounts, rest.Namespaces = nil, nil
+		head.Directory = &rest
 	}
 	return delta{
 		BaseHash:   baseHash[:],
 		ResultHash: hash[:],
 		Head:       marshal(head),
-		Accounts:   toRuns(book.Accounts, baseBook.Accounts, accountName),
-		Spaces:     toRuns(book.Spaces, baseBook.Spaces, spaceName),
+		Accounts:   toRuns(directory.Accounts, baseDirectory.Accounts, accountName),
+		Spaces:     toRuns(directory.Namespaces, baseDirectory.Namespaces, spaceName),
 	}
 }
 
 // apply gives the version that a delta describes. It is not checked.
 func (d *delta) apply(base *Version) (*Version, error) {
-	v, baseBook := &Version{}, base.namespaces()
+	v, baseDirectory := &Version{}, base.namespaces()
 	if unmarshal(d.Head, v) != nil {
 		return nil, errMalformedVersion
 	}
-	book := v.namespaces()
+	directory := v.namespaces()
 	var err error
-	if book.Accounts, err = fromRuns(d.Accounts, baseBook.Accounts); err != nil {
+	if directory.Accounts, err = fromRuns(d.Accounts, baseDirectory.Accounts); err != nil {
 		return nil, err
 	}
-	if book.Spaces, err = fromRuns(d.Spaces, baseBook.Spaces); err != nil {
+	if directory.Namespaces, err = fromRuns(d.Spaces, baseDirectory.Namespaces); err != nil {
 		return nil, err
 	}
-	if v.Book != nil || len(book.Accounts)+len(book.Spaces) > 0 {
-		v.Book = &book
+	if v.Directory != nil || len(directory.Accounts)+len(directory.Namespaces) > 0 {
+		v.Directory = &directory
 	}
 	return v, nil
 }
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -11,15 +11,15 @@
 
 // large is a version of so many customers with ten routes each.
 func large(customers int) *Version {
-	v := &Version{Number: 7, Book: &namespace.Book{}}
+	v := &Version{Number: 7, Directory: &namespace.Directory{}}
 	for i := range customers {
 		name := fmt.Sprintf("customer%04d", i)
-		v.Book.Accounts = append(v.Book.Accounts, namespace.Account{Name: name, Number: 5, Tenants: []string{name}, Pools: []string{namespace.Main}})
-		s := namespace.Space{Account: name, Number: uint64(i)}
+		v.Directory.Accounts = append(v.Directory.Accounts, namespace.Account{Name: name, Number: 5, Tenants: []string{name}, Pools: []string{namespace.Main}})
+		s := namespace.Namespace{Account: name, Number: uint64(i)}
 		for r := range 10 {
 			s.Routes = append(s.Routes, namespace.Route{Name: fmt.Sprintf("r%d", r), Prefix: fmt.Sprintf("%02x", r), Pool: namespace.Main})
 		}
-		v.Book.Spaces = append(v.Book.Spaces, s)
+		v.Directory.Namespaces = append(v.Directory.Namespaces, s)
 	}
 	return v
 }
@@ -27,10 +27,10 @@
 // altered is a version in which one customer's routes are others, and one customer is gone.
 func altered(v *Version) *Version {
 	n := v.next()
-	n.Book.Spaces[20].Number = n.Number
-	n.Book.Spaces[20].Routes = n.Book.Spaces[20].Routes[:4]
-	n.Book.Spaces = append(n.Book.Spaces[:40:40], n.Book.Spaces[41:]...)
-	n.Book.Accounts = append(n.Book.Accounts[:40:40], n.Book.Accounts[41:]...)
+	n.Directory.Namespaces[20].Number = n.Number
+	n.Directory.Namespaces[20].Routes = n.Directory.Namespaces[20].Routes[:4]
+	n.Directory.Namespaces = append(n.Directory.Namespaces[:40:40], n.Directory.Namespaces[41:]...)
+	n.Directory.Accounts = append(n.Directory.Accounts[:40:40], n.Directory.Accounts[41:]...)
 	return n
 }
 
@@ -86,11 +86,11 @@
 	g := newGroup(t, 4)
 	v := large(75)
 	v.Number = 0
-	for i := range v.Book.Accounts {
-		v.Book.Accounts[i].Number = 0
+	for i := range v.Directory.Accounts {
+		v.Directory.Accounts[i].Number = 0
 	}
-	spaces := v.Book.Spaces
-	v.Book.Spaces = nil
+	spaces := v.Directory.Namespaces
+	v.Directory.Namespaces = nil
 	g.put(v, 0)
 	g.run(3 * within)
 	if !strings.HasPrefix(g.last(), "active: version 2 at 4 of 4") {
@@ -135,7 +135,7 @@
 	}
 	g.change(RollBackTo(against, g.coordinator.versions.active.Number, nil))
 	g.run(4 * within)
-	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.coordinator.versions.active.Book.Spaces[3].Routes), marshal(spaces[3].Routes)) {
+	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.coordinator.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("back:", g.last())
 	}
 	if o := g.overlap(); o > within {
@@ -148,20 +148,20 @@
 	g := begin(t, 2)
 	first := g.coordinator.versions.active.Number
 	want := g.coordinator.versions.active.String()
-	v := frame()
-	v.Book.Accounts[1].Tenants = []string{"t2", "t3"}
-	v.Book.Accounts[0].Tenants = []string{"t1"}
+	v := twoCustomers()
+	v.Directory.Accounts[1].Tenants = []string{"t2", "t3"}
+	v.Directory.Accounts[0].Tenants = []string{"t1"}
 	for i := range 100 { // long enough to be kept as a difference
-		v.Out = append(v.Out, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
+		v.HostsOut = append(v.HostsOut, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
 	}
 	c, n := ChangeOperators(v, first, []byte("with a step")), len(g.answers)
 	g.change(c)
 	for range 100 {
-		if g.run(20 * ms); g.coordinator.versions.active.Book.Was != nil {
+		if g.run(20 * ms); g.coordinator.versions.active.Directory.Previous != nil {
 			break
 		}
 	}
-	if g.change(c); g.coordinator.versions.active.Book.Was == nil || len(g.answers) > n {
+	if g.change(c); g.coordinator.versions.active.Directory.Previous == nil || len(g.answers) > n {
 		t.Errorf("asked again between: %q", g.answers[n:])
 	}
 	g.run(4 * within)
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -38,7 +38,7 @@
 }
 
 // Judge says whether a request may be placed, and where.
-func (e *Enforcer) Judge(q namespace.Ask) (v Verdict) {
+func (e *Enforcer) Judge(q namespace.Request) (v Verdict) {
 	a, v := e.current()
 	if a == nil || v.Refused {
 		return v
@@ -50,7 +50,7 @@
 	routed := a.namespaces.Judge(q)
 	v.Refused, v.Advice, v.Account, v.Pools = routed.Refused, routed.Advice, routed.Account, routed.Pools
 	if routed.Route != "" {
-		v.Route = namespace.Scoped(routed.Scope, routed.Route)
+		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
 	}
 	return v
 }
@@ -112,7 +112,7 @@
 }
 
 // Explain says what becomes of a request by the version that this process acts by, and why.
-func (e *Enforcer) Explain(q namespace.Ask) string {
+func (e *Enforcer) Explain(q namespace.Request) string {
 	a, v := e.current()
 	switch {
 	case a == nil:
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -28,7 +28,7 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "what") {
 			case 0, 1:
 				n++
-				g.put(&Version{Out: []string{strings.Repeat("h", int(n))}}, g.coordinator.versions.active.Number)
+				g.put(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, g.coordinator.versions.active.Number)
 			case 2:
 				g.cut[who] = !g.cut[who]
 			case 3:
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -156,6 +156,6 @@
 	return most
 }
 
-var anyAsk = namespace.Ask{Tenant: "t", Class: "c"}
+var anyAsk = namespace.Request{Tenant: "t", Class: "c"}
 
-var refuseAll = &Version{Refuse: []Refusal{{Advice: 500}}}
+var refuseAll = &Version{Refusals: []Refusal{{Advice: 500}}}
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -18,7 +18,7 @@
 		for range 12 {
 			name := rapid.SampledFrom([]string{"acme", "acme/web", "acme/web/x", "other", "other/y"}).Draw(rt, "name")
 			limit := func() namespace.Limit {
-				return namespace.Limit{AtMost: rapid.Uint32Range(0, 9).Draw(rt, "most"), Reserved: rapid.Uint32Range(0, 5).Draw(rt, "reserved")}
+				return namespace.Limit{Max: rapid.Uint32Range(0, 9).Draw(rt, "most"), Reserved: rapid.Uint32Range(0, 5).Draw(rt, "reserved")}
 			}
 			some := func(of ...string) (out []string) {
 				for _, s := range of {
@@ -28,12 +28,12 @@
 				}
 				return out
 			}
-			a := namespace.Account{Name: name, Tenants: some("t1", "t2", "t3"), Pools: some("a", "b"), Rate: limit(), Standing: limit()}
+			a := namespace.Account{Name: name, Tenants: some("t1", "t2", "t3"), Pools: some("a", "b"), Rate: limit(), Connections: limit()}
 			var c *Change
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
 				a.Name = strings.Split(name, "/")[0]
-				c = ChangeOperators(&Version{Book: &namespace.Book{Pools: frame().Book.Pools, Accounts: []namespace.Account{a}}}, v.Number, nil)
+				c = ChangeOperators(&Version{Directory: &namespace.Directory{Pools: twoCustomers().Directory.Pools, Accounts: []namespace.Account{a}}}, v.Number, nil)
 			case 1:
 				c = ChangeAccountTo(&a, v.Number, nil)
 			case 2:
@@ -50,15 +50,15 @@
 			if back, err := Decode(v.Encode()); err != nil || back.String() != v.String() {
 				rt.Fatalf("read back: %v", err)
 			}
-			if v.Book == nil {
+			if v.Directory == nil {
 				continue
 			}
 			holder, sum := map[string]string{}, map[string]uint32{}
-			compiled, err := namespace.Compile(v.Book)
+			compiled, err := namespace.Compile(v.Directory)
 			if err != nil {
 				rt.Fatal(err)
 			}
-			for _, a := range v.Book.Accounts {
+			for _, a := range v.Directory.Accounts {
 				up := namespace.Parent(a.Name)
 				for _, x := range a.Tenants {
 					if h, held := holder[x]; held && h != up {
@@ -67,7 +67,7 @@
 					holder[x] = a.Name
 				}
 				p, q := compiled.Limits(a.Name), compiled.Limits(up)
-				if sum[up] += a.Rate.Reserved; up != "" && (sum[up] > q.Rate.Reserved || q.Rate.AtMost > 0 && (p.Rate.AtMost > q.Rate.AtMost || p.Rate.AtMost == 0)) {
+				if sum[up] += a.Rate.Reserved; up != "" && (sum[up] > q.Rate.Reserved || q.Rate.Max > 0 && (p.Rate.Max > q.Rate.Max || p.Rate.Max == 0)) {
 					rt.Fatalf("%s has %+v, and %s %+v", a.Name, p.Rate, up, q.Rate)
 				}
 			}
--- a/internal/fleet/rules/parts_test.go
+++ b/internal/fleet/rules/parts_test.go
@@ -6,8 +6,8 @@
 
 func TestRateLimiter(t *testing.T) {
 	limiter := rateLimiter{buckets: map[string]*tokenBucket{}}
-	v := frame()
-	v.Book.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
+	v := twoCustomers()
+	v.Directory.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
 	acme := &Change{Part: "acme", Key: public(1)}
 	allowed := func(now Time, c *Change) (n int) {
 		for range 1000 {
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -15,49 +15,49 @@
 // and their namespaces stand in sections of their own.
 func (v *Version) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.Root)
-	for i, r := range v.Refuse {
+	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
+	for i, r := range v.Refusals {
 		fmt.Fprintf(&b, "  (refuse r%d%s%s%s)\n", i+1, formatField("tenant", r.Tenant), formatField("class", r.Class), formatAdvice(r.Advice))
 	}
-	for _, h := range v.Out {
+	for _, h := range v.HostsOut {
 		fmt.Fprintf(&b, "  (out %s)\n", settings.Quote(h))
 	}
-	if v.Book == nil {
+	if v.Directory == nil {
 		return b.String() + ")\n"
 	}
-	writeOperatorsNamespaces(&b, v.Book)
+	writeOperatorsNamespaces(&b, v.Directory)
 	b.WriteString(")\n")
-	writeCustomersNamespaces(&b, v.Book)
+	writeCustomersNamespaces(&b, v.Directory)
 	if v.transitional() {
 		b.WriteString("; something changes hands: a version more follows\n")
 	}
 	return b.String()
 }
 
-func writeOperatorsNamespaces(w io.Writer, book *namespace.Book) {
-	for _, p := range book.Pools {
+func writeOperatorsNamespaces(w io.Writer, directory *namespace.Directory) {
+	for _, p := range directory.Pools {
 		fmt.Fprintf(w, "  (pool %s%s%s%s%s)\n", settings.Quote(p.Name), formatField("hosts", p.Hosts...), formatField("prefixes", p.Prefixes...),
 			formatField("kinds", p.Kinds...), formatField("zones", p.Zones...))
 	}
-	for _, a := range book.Accounts {
+	for _, a := range directory.Accounts {
 		if namespace.Parent(a.Name) == "" {
 			fmt.Fprintf(w, "  (account %s%s)\n", settings.Quote(a.Name), formatAccount(&a))
 		}
 	}
-	for _, s := range book.Spaces {
+	for _, s := range directory.Namespaces {
 		if s.Account == "" {
 			writeRoutes(w, &s)
 		}
 	}
 }
 
-func writeCustomersNamespaces(w io.Writer, book *namespace.Book) {
-	for _, a := range book.Accounts {
+func writeCustomersNamespaces(w io.Writer, directory *namespace.Directory) {
+	for _, a := range directory.Accounts {
 		if namespace.Parent(a.Name) != "" {
 			fmt.Fprintf(w, "; of version %d\n(account (name %s)%s)\n", a.Number, settings.Quote(a.Name), formatAccount(&a))
 		}
 	}
-	for _, s := range book.Spaces {
+	for _, s := range directory.Namespaces {
 		if s.Account != "" {
 			fmt.Fprintf(w, "; of version %d\n(namespace (account %s)\n", s.Number, settings.Quote(s.Account))
 			writeRoutes(w, &s)
@@ -89,8 +89,8 @@
 
 func formatAccount(a *namespace.Account) string {
 	s := formatField("tenants", a.Tenants...) + formatField("pools", a.Pools...) + formatField("classes", a.Classes...) +
-		formatNumber("rate", a.Rate.AtMost) + formatNumber("rate_reserved", a.Rate.Reserved) +
-		formatNumber("standing", a.Standing.AtMost) + formatNumber("standing_reserved", a.Standing.Reserved) +
+		formatNumber("rate", a.Rate.Max) + formatNumber("rate_reserved", a.Rate.Reserved) +
+		formatNumber("standing", a.Connections.Max) + formatNumber("standing_reserved", a.Connections.Reserved) +
 		formatNumber("routes", a.Routes) + formatNumber("changes", a.Changes)
 	for _, g := range a.Grants {
 		s += formatGrant(&g)
@@ -104,10 +104,10 @@
 		until = " (until " + time.Unix(g.Until-1, 0).UTC().Format(time.DateOnly) + ")"
 	}
 	return fmt.Sprintf(" (grant %s (key %s) (verbs %s)%s)", settings.Quote(g.Label), settings.Quote(base64.StdEncoding.EncodeToString(g.Key)),
-		settings.Quote(namespace.VerbNames(g.Verbs)), until)
+		settings.Quote(g.Verbs.String()), until)
 }
 
-func writeRoutes(w io.Writer, s *namespace.Space) {
+func writeRoutes(w io.Writer, s *namespace.Namespace) {
 	writeRouteList(w, "guard", s.Guards)
 	writeRouteList(w, "route", s.Routes)
 	writeRouteList(w, "default", s.Defaults)
@@ -123,7 +123,7 @@
 		if r.Begin != 0 || r.End != 0 { // minutes of the day
 			fmt.Fprintf(w, " (begin %02d:%02d) (end %02d:%02d)", r.Begin/60, r.Begin%60, r.End/60, r.End%60)
 		}
-		fmt.Fprintf(w, "%s%s", formatField("pool", r.Pool), formatField("else", r.Else...))
+		fmt.Fprintf(w, "%s%s", formatField("pool", r.Pool), formatField("else", r.Fallbacks...))
 		if r.Refuse {
 			fmt.Fprintf(w, " (refuse on)%s", formatAdvice(r.Advice))
 		}
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		if reassigns(k.versions.active, s.version) {
-			s.version.Book.Was = ownersFrame(k.versions.active)
+			s.version.Directory.Previous = ownersFrame(k.versions.active)
 		}
 		if err := s.version.finish(); err != nil {
 			replyAll(s.proposals, "refused: "+err.Error())
@@ -160,8 +160,8 @@
 			p.reply("refused: " + err.Error())
 			continue
 		}
-		if next.Book == nil {
-			next.Book = &namespace.Book{}
+		if next.Directory == nil {
+			next.Directory = &namespace.Directory{}
 		}
 		s.version, s.proposals = next, append(s.proposals, p)
 		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: p.ID, Who: proposer, What: p.subject(), Wall: k.wallMillis()})
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -49,7 +49,7 @@
 func changesPerMinute(v *Version, part string) float64 {
 	lowest := float64(defaultChangesPerMinute)
 	for _, a := range v.namespaces().Accounts {
-		if a.Changes > 0 && namespace.Under(part, a.Name) {
+		if a.Changes > 0 && namespace.IsWithin(part, a.Name) {
 			lowest = min(lowest, float64(a.Changes))
 		}
 	}
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -33,9 +33,9 @@
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
-		return ChangeOperators(&Version{Out: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{HostsOut: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, against, id)
 	case 1:
-		return ChangeOperators(&Version{Refuse: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{Refusals: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
 	case 2, 3:
 		return ChangeNamespace(to(account, 0, pools[rng.Intn(3)]), against, id)
 	case 4:
@@ -45,8 +45,8 @@
 	case 6:
 		return RollBackTo(uint64(rng.Intn(int(against)+2)), against, id)
 	}
-	moved := frame()
-	moved.Book.Pools[0].Kinds, moved.Book.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
+	moved := twoCustomers()
+	moved.Directory.Pools[0].Kinds, moved.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
 	return ChangeOperators(moved, against, id)
 }
 
@@ -92,7 +92,7 @@
 		g := newGroup(t, 2+uint32(seed%4))
 		g.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
 		if seed%2 == 0 {
-			g.put(frame(), 0)
+			g.put(twoCustomers(), 0)
 		}
 		for events := 0; events < eventsPerSequence; {
 			randomStep(g, rng)
@@ -100,7 +100,7 @@
 			g.run(20 * ms * Time(steps))
 			events += 1 + steps*len(g.members)
 			for i := uint32(1); i <= uint32(len(g.members)); i++ {
-				v := g.members[i].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
+				v := g.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
 				g.recorder.digest.Add("%d %d %+v", g.now, i, v)
 			}
 		}
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -28,7 +28,7 @@
 	if !strings.HasPrefix(g.last(), "active: version 1") {
 		t.Errorf("asked again: %q", g.last())
 	}
-	g.put(&Version{Out: []string{"h"}}, 0)
+	g.put(&Version{HostsOut: []string{"h"}}, 0)
 	if !strings.HasPrefix(g.last(), "refused: it was made against version 0, and 1 is active") {
 		t.Errorf("an old base: %q", g.last())
 	}
@@ -70,7 +70,7 @@
 func TestKeepAfterLapseReportsTheLapse(t *testing.T) {
 	g := newGroup(t, 2)
 	g.members[2].Enforcer.KeepAfterLapse = true
-	g.put(&Version{Out: []string{"h"}}, 0)
+	g.put(&Version{HostsOut: []string{"h"}}, 0)
 	g.run(200 * ms)
 	g.cut[2] = true
 	g.run(2 * within)
@@ -86,7 +86,7 @@
 func TestUnusableVersionIsActiveNowhere(t *testing.T) {
 	g := newGroup(t, 3)
 	g.members[2].MaxEntries = 1
-	g.put(&Version{Out: []string{"g", "h"}}, 0)
+	g.put(&Version{HostsOut: []string{"g", "h"}}, 0)
 	g.run(4 * within)
 	if !strings.HasPrefix(g.last(), "refused: b: rules: 2 entries, this process takes 1") {
 		t.Fatalf("answered %q", g.last())
@@ -96,7 +96,7 @@
 			t.Errorf("%d acts by %d", i, n)
 		}
 	}
-	g.put(&Version{Out: []string{"h"}}, 0)
+	g.put(&Version{HostsOut: []string{"h"}}, 0)
 	g.run(within)
 	if !strings.HasPrefix(g.last(), "active: version 1 at 3 of 3") {
 		t.Fatalf("the next change: %q", g.last())
@@ -162,7 +162,7 @@
 	for n := uint64(0); n < 6; n++ {
 		g.cut[3] = n%2 == 0
 		g.run(200 * ms)
-		g.put(&Version{Out: []string{strings.Repeat("h", int(n)+1)}}, n)
+		g.put(&Version{HostsOut: []string{strings.Repeat("h", int(n)+1)}}, n)
 		g.run(3 * within)
 		if !strings.HasPrefix(g.last(), "active: version ") {
 			t.Fatalf("change %d: %q", n+1, g.last())
@@ -189,11 +189,11 @@
 
 func TestDecodeRejects(t *testing.T) {
 	for name, v := range map[string]*Version{
-		"twice":        {Refuse: []Refusal{{Tenant: "a"}, {Tenant: "a"}}},
-		"out of order": {Out: []string{"b", "a"}},
-		"no name":      {Out: []string{""}},
-		"too many":     {Out: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
-		"long":         {Refuse: []Refusal{{Class: strings.Repeat("c", maxNameBytes+1)}}},
+		"twice":        {Refusals: []Refusal{{Tenant: "a"}, {Tenant: "a"}}},
+		"out of order": {HostsOut: []string{"b", "a"}},
+		"no name":      {HostsOut: []string{""}},
+		"too many":     {HostsOut: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
+		"long":         {Refusals: []Refusal{{Class: strings.Repeat("c", maxNameBytes+1)}}},
 	} {
 		if _, err := Decode(v.Encode()); err == nil {
 			t.Errorf("%s: taken", name)
@@ -207,7 +207,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(refuseAll.Encode())
-	f.Add((&Version{Number: 3, Out: []string{"a", "b"}}).Encode())
+	f.Add((&Version{Number: 3, HostsOut: []string{"a", "b"}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
 			t.Fatalf("%x is read as %x", data, v.Encode())
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -17,12 +17,12 @@
 func bindVersion(f *settings.Form) *Version {
 	v := &Version{}
 	f.Each("refuse", "requests that get no placement, under a label that is the operators' own", func(_ string, f *settings.Form) {
-		v.Refuse = append(v.Refuse, bindRefusal(f))
+		v.Refusals = append(v.Refusals, bindRefusal(f))
 	})
-	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.Out = append(v.Out, host) })
-	v.Book = bindOperatorsNamespaces(f)
-	slices.SortFunc(v.Refuse, compareRefusals)
-	slices.Sort(v.Out)
+	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.HostsOut = append(v.HostsOut, host) })
+	v.Directory = bindOperatorsNamespaces(f)
+	slices.SortFunc(v.Refusals, compareRefusals)
+	slices.Sort(v.HostsOut)
 	if err := v.Check(); err != nil {
 		f.Fault("", "%v", err)
 	}
@@ -41,14 +41,14 @@
 }
 
 // bindOperatorsNamespaces gives nil where nothing of it is written.
-func bindOperatorsNamespaces(f *settings.Form) *namespace.Book {
-	book, own := &namespace.Book{}, namespace.Space{}
-	namespace.BindFrame(f, book)
+func bindOperatorsNamespaces(f *settings.Form) *namespace.Directory {
+	directory, own := &namespace.Directory{}, namespace.Namespace{}
+	namespace.BindPoolsAndAccounts(f, directory)
 	if namespace.BindRoutes(f, &own); len(own.Guards)+len(own.Routes)+len(own.Defaults) > 0 {
-		book.Spaces = []namespace.Space{own}
+		directory.Namespaces = []namespace.Namespace{own}
 	}
-	if len(book.Pools)+len(book.Accounts)+len(book.Spaces) == 0 {
+	if len(directory.Pools)+len(directory.Accounts)+len(directory.Namespaces) == 0 {
 		return nil
 	}
-	return book
+	return directory
 }
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -33,7 +33,7 @@
 	g.members[2].MaxEntries = 1
 	g.cut[3] = true // holds it up, so that what the other says is still there
 	g.coordinator.versions.staged = nil
-	g.put(&Version{Out: []string{"a", "b"}}, 1)
+	g.put(&Version{HostsOut: []string{"a", "b"}}, 1)
 	g.run(60 * ms)
 	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(g.answers, "\n"), "refused: b: rules: 2 entries") {
 		t.Error(got)
--- a/internal/fleet/rules/transfer.go
+++ b/internal/fleet/rules/transfer.go
@@ -33,14 +33,14 @@
 }
 
 // ownersFrame is what a transitional version needs of the one before: whose each host and tenant was.
-func ownersFrame(v *Version) *namespace.Frame {
-	book := v.namespaces()
-	f := &namespace.Frame{Pools: book.Pools}
-	for _, a := range book.Accounts {
+func ownersFrame(v *Version) *namespace.Assignment {
+	directory := v.namespaces()
+	f := &namespace.Assignment{Pools: directory.Pools}
+	for _, a := range directory.Accounts {
 		f.Accounts = append(f.Accounts, namespace.Account{Name: a.Name, Tenants: a.Tenants})
 	}
 	return f
 }
 
 // transitional tells whether a version is a step between two others, while something is reassigned.
-func (v *Version) transitional() bool { return v.namespaces().Was != nil }
+func (v *Version) transitional() bool { return v.namespaces().Previous != nil }
--- a/internal/fleet/rules/transfer_test.go
+++ b/internal/fleet/rules/transfer_test.go
@@ -18,19 +18,19 @@
 	}
 	var uses []use
 	g.cut[4] = true
-	next := frame()
-	next.Book.Pools[0].Kinds, next.Book.Pools[1].Kinds = nil, []string{"m1", "m2"}
-	next.Book.Accounts[0].Tenants, next.Book.Accounts[1].Tenants = []string{"t1"}, []string{"t2", "t3"}
+	next := twoCustomers()
+	next.Directory.Pools[0].Kinds, next.Directory.Pools[1].Kinds = nil, []string{"m1", "m2"}
+	next.Directory.Accounts[0].Tenants, next.Directory.Accounts[1].Tenants = []string{"t1"}, []string{"t2", "t3"}
 	g.put(next, 2)
 	for range 300 {
 		g.run(20 * ms)
 		for i := uint32(1); i <= 4; i++ {
-			gate := g.members[i].Enforcer
-			v := gate.Judge(namespace.Ask{Tenant: "t2", Class: "c"})
+			enforcer := g.members[i].Enforcer
+			v := enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"})
 			if v.Lapsed {
 				continue
 			}
-			u := use{at: g.now, pool: gate.Pool("h", "m1", "")}
+			u := use{at: g.now, pool: enforcer.Pool("h", "m1", "")}
 			if !v.Refused {
 				u.acc = v.Account
 			}
@@ -64,13 +64,13 @@
 	g.cut[3] = true
 	g.run(2 * within)
 	for n := range uint64(2000) {
-		g.put(&Version{Out: []string{string(rune('a' + n%26))}}, n)
+		g.put(&Version{HostsOut: []string{string(rune('a' + n%26))}}, n)
 		g.run(100 * ms)
 	}
 	if g.coordinator.versions.active.Number != 2000 {
 		t.Fatalf("version %d is active: %s", g.coordinator.versions.active.Number, g.last())
 	}
-	g.coordinator.versions.active.Number, g.coordinator.versions.active.Root = 10_000, 10_000 // as if 8,000 more had come
+	g.coordinator.versions.active.Number, g.coordinator.versions.active.OperatorsNumber = 10_000, 10_000 // as if 8,000 more had come
 	g.coordinator.versions.activeHash, g.coordinator.versions.transfers = g.coordinator.versions.active.Hash(), nil
 	g.observations = nil
 	g.cut[3] = false
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -37,12 +37,12 @@
 
 // Version is one complete state of the rules. It is immutable.
 type Version struct {
-	Number uint64    `cbor:"1,keyasint"`
-	Refuse []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
-	Out    []string  `cbor:"3,keyasint,omitempty"` // hosts that get nothing new, sorted
+	Number   uint64    `cbor:"1,keyasint"`
+	Refusals []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
+	HostsOut []string  `cbor:"3,keyasint,omitempty"` // hosts that get nothing new, sorted
 	// Root is the number of the version that changed the operators' own part last; each namespace and account has its own such number.
-	Root uint64          `cbor:"4,keyasint,omitempty"`
-	Book *namespace.Book `cbor:"5,keyasint,omitempty"` // pools, accounts, namespaces; nil: there are none
+	OperatorsNumber uint64               `cbor:"4,keyasint,omitempty"`
+	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // pools, accounts, namespaces; nil: there are none
 }
 
 // Hash identifies a version's content.
@@ -88,21 +88,21 @@
 	if n := v.Entries(); n > MaxEntries {
 		return fmt.Errorf("rules: %d entries, %d are possible", n, MaxEntries)
 	}
-	if err := checkRefusals(v.Refuse); err != nil {
+	if err := checkRefusals(v.Refusals); err != nil {
 		return err
 	}
-	for i, h := range v.Out {
-		if h == "" || len(h) > maxNameBytes || i > 0 && v.Out[i-1] >= h {
+	for i, h := range v.HostsOut {
+		if h == "" || len(h) > maxNameBytes || i > 0 && v.HostsOut[i-1] >= h {
 			return fmt.Errorf("rules: host %q is without a name, named twice, or out of order", h)
 		}
 	}
 	if err := v.checkSize(); err != nil {
 		return err
 	}
-	if v.Book == nil {
+	if v.Directory == nil {
 		return nil
 	}
-	_, err := namespace.Compile(v.Book)
+	_, err := namespace.Compile(v.Directory)
 	return err
 }
 
@@ -134,21 +134,21 @@
 
 // Entries counts what a version holds: refusals, hosts, pools, accounts and routes.
 func (v *Version) Entries() int {
-	n := len(v.Refuse) + len(v.Out)
-	if v.Book != nil {
-		n += len(v.Book.Pools) + len(v.Book.Accounts)
-		for i := range v.Book.Spaces {
-			s := &v.Book.Spaces[i]
+	n := len(v.Refusals) + len(v.HostsOut)
+	if v.Directory != nil {
+		n += len(v.Directory.Pools) + len(v.Directory.Accounts)
+		for i := range v.Directory.Namespaces {
+			s := &v.Directory.Namespaces[i]
 			n += len(s.Guards) + len(s.Routes) + len(s.Defaults)
 		}
 	}
 	return n
 }
 
-// namespaces is the version's book, empty where it has none.
-func (v *Version) namespaces() namespace.Book {
-	if v.Book == nil {
-		return namespace.Book{}
+// namespaces is the version's directory, empty where it has none.
+func (v *Version) namespaces() namespace.Directory {
+	if v.Directory == nil {
+		return namespace.Directory{}
 	}
-	return *v.Book
+	return *v.Directory
 }
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -114,7 +114,7 @@
 		i := n % 5
 		if !g.down[i].Load() {
 			began := time.Now()
-			v := &rules.Version{Out: []string{fmt.Sprint("nobody", n)}}
+			v := &rules.Version{HostsOut: []string{fmt.Sprint("nobody", n)}}
 			got := g.ask(i, rules.EncodeProposal(rules.ChangeOperators(v, at, fmt.Appendf(nil, "change%08d", n))))
 			if _, err := fmt.Sscanf(got, "active: version %d", &at); err == nil {
 				g.agreement.mu.Lock()
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -96,7 +96,7 @@
 		}
 		began, answer := time.Now(), make(chan string, 1)
 		id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, at, t.played)
-		change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{Out: []string{fmt.Sprint("nobody", at, f.kind)}}, at, id))
+		change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", at, f.kind)}}, at, id))
 		go func() { answer <- g.ask(by, change) }()
 		switch f.kind {
 		case "pause":
