--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -7,81 +7,107 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Kinds of datagrams.
+// The first number of a datagram.
 const (
-	kindTell = 1 + iota // floors
-	kindAsk             // what is above a revision
+	kindGossip = 1 + iota
+	kindQuery
 )
 
 const (
-	mostHost = 64    // bytes of a host's name
-	unit     = 100e6 // nanoseconds that a word's life is counted in
+	maxHostBytes = 64
+	validityUnit = 100e6 // nanoseconds in which a watermark's validity is written
+	maxValidity  = uint64(Lifetime / validityUnit)
 )
 
-var errTorn = errors.New("floors: a datagram that can't be read")
+var errMalformed = errors.New("floors: a datagram that can't be read")
 
-// message is one datagram: whose numbering the revisions are of, and what is said.
+// message is one datagram: a gossip or a query.
 type message struct {
-	kind   uint64
-	source uint32
-	rev    int64 // of an ask, the asker's own
-	floors []Watermark
+	source uint32 // whose numbering the revisions are of
+	body   any
 }
 
-func start(kind uint64, source uint32) *encoding.Writer {
+type (
+	// gossip is watermarks that the sender knows.
+	gossip struct{ watermarks []Watermark }
+	// query asks for what is newer than a revision.
+	query struct{ revision int64 } // under 0: the sender has no list
+)
+
+func newWriter(kind uint64, source uint32) *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(kind).Uint(uint64(source))
 }
 
-// ask is the question for what is above a revision; one under 0 stands for none.
-func ask(source uint32, rev int64) []byte {
-	return start(kindAsk, source).Uint(uint64(max(-1, rev) + 1)).Data
+func (q query) encode(source uint32) []byte {
+	return newWriter(kindQuery, source).Uint(uint64(max(noRevision, q.revision) + 1)).Data
 }
 
-// tells writes floors into as few datagrams of at most room bytes as they need.
-func tells(source uint32, all []Watermark, room int) (out [][]byte) {
-	head := start(kindTell, source).Data
+// encode writes watermarks into as few datagrams of at most room bytes as they need. One that fits in none is left out.
+func (g gossip) encode(source uint32, room int) (datagrams [][]byte) {
+	head := newWriter(kindGossip, source).Data
 	data := head
-	for _, f := range all {
-		var w encoding.Writer
-		w.Uint(uint64(f.State)).Text(f.Host).Uint(uint64(max(0, f.StartedAt))).Uint(uint64(f.Revision)).Uint(uint64(max(0, f.ValidFor) / unit))
-		if len(f.Host) > mostHost || len(head)+len(w.Data) > room {
+	for _, w := range g.watermarks {
+		entry := encodeWatermark(w)
+		if len(w.Host) > maxHostBytes || len(head)+len(entry) > room {
 			continue
 		}
-		if len(data)+len(w.Data) > room {
-			out = append(out, data)
+		if len(data)+len(entry) > room {
+			datagrams = append(datagrams, data)
 			data = head
 		}
-		data = append(data[:len(data):len(data)], w.Data...)
+		data = append(data[:len(data):len(data)], entry...)
 	}
 	if len(data) > len(head) {
-		out = append(out, data)
+		datagrams = append(datagrams, data)
 	}
-	return out
+	return datagrams
+}
+
+func encodeWatermark(m Watermark) []byte {
+	var w encoding.Writer
+	return w.Uint(uint64(m.State)).Text(m.Host).Uint(uint64(max(0, m.StartedAt))).Uint(uint64(m.Revision)).Uint(uint64(max(0, m.ValidFor) / validityUnit)).Data
 }
 
-// read reads a datagram; one that is torn says nothing at all.
-func read(data []byte) (m message, err error) {
+// decode reads a datagram; one that is malformed in part says nothing at all.
+func decode(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind, source := r.Uint(), r.Uint()
-	m = message{kind: kind, source: uint32(source)}
-	good := r.Err() == nil && source <= math.MaxUint32
+	if r.Err() != nil || source > math.MaxUint32 {
+		return message{}, errMalformed
+	}
+	m := message{source: uint32(source)}
+	ok := false
 	switch kind {
-	case kindAsk:
-		rev := r.Uint()
-		m.rev = int64(rev) - 1
-		good = good && rev <= math.MaxInt64 && len(r.Data) == 0
-	case kindTell:
-		for good && len(r.Data) > 0 {
-			state, host, boot, rev, left := State(r.Uint()), r.Text(mostHost), r.Uint(), r.Uint(), r.Uint()
-			good = (state == Draining || state == Gone) && host != "" && boot <= math.MaxInt64 && rev < math.MaxInt64
-			m.floors = append(m.floors, Watermark{host, int64(boot), int64(rev), state, Time(min(left, uint64(Lifetime/unit))) * unit})
-		}
-	default:
-		good = false
+	case kindQuery:
+		m.body, ok = decodeQuery(&r)
+	case kindGossip:
+		m.body, ok = decodeGossip(&r)
 	}
-	if !good || r.Err() != nil {
-		return message{}, errTorn
+	if !ok || r.Err() != nil {
+		return message{}, errMalformed
 	}
 	return m, nil
 }
+
+func decodeQuery(r *encoding.Reader) (q query, ok bool) {
+	n := r.Uint()
+	return query{int64(n) - 1}, n <= math.MaxInt64 && len(r.Data) == 0
+}
+
+func decodeGossip(r *encoding.Reader) (g gossip, ok bool) {
+	for len(r.Data) > 0 {
+		w, ok := decodeWatermark(r)
+		if !ok {
+			return gossip{}, false
+		}
+		g.watermarks = append(g.watermarks, w)
+	}
+	return g, true
+}
+
+func decodeWatermark(r *encoding.Reader) (w Watermark, ok bool) {
+	state, host, startedAt, revision, validity := State(r.Uint()), r.Text(maxHostBytes), r.Uint(), r.Uint(), r.Uint()
+	ok = (state == Draining || state == Gone) && host != "" && startedAt <= math.MaxInt64 && revision < math.MaxInt64
+	return Watermark{host, int64(startedAt), int64(revision), state, Time(min(validity, maxValidity)) * validityUnit}, ok
+}
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -13,165 +13,192 @@
 // Transport is how datagrams get to the other members.
 type Transport interface {
 	Carry(peer uint32, whose byte, data []byte)
-	Room() int        // bytes of one
-	Others() []uint32 // that may be there
+	Room() int        // bytes of one datagram
+	Others() []uint32 // members that may be alive
 }
 
-// Clock gives the time and turns on the loop.
+// Clock gives the time, and calls functions on the event loop.
 type Clock interface {
 	Now() Time
 	After(d time.Duration, f func())
 }
 
 const (
-	// spread is the time within which one of those that hear of a change from discovery tells all others: whoever draws the shortest wait. The
+	// maxGossipDelay is the time within which one of those that hear of a change from discovery tells all others: whoever draws the shortest delay. The
 	// others then need not.
-	spread = 100 * time.Millisecond
-	// Each asks one other now and then what it may have missed; a fleet of n asks fifty times a second in all at the most.
-	askEvery = time.Second
-	askEach  = 20 * time.Millisecond
-	// passTo is how many others hear of it from whoever hears something new.
-	passTo = 3
-	// answers and pushes are bounded, whatever is known.
-	mostDatagrams = 16
-	mostBackoff   = 30 * time.Second
+	maxGossipDelay = 100 * time.Millisecond
+	// Each member asks one other now and then what it may have missed; a fleet of n asks fifty times a second in all at the most.
+	minQueryInterval       = time.Second
+	queryIntervalPerMember = 20 * time.Millisecond
+	turnInterval           = minQueryInterval / 4
+	forwardTo              = 3 // others that hear of something new from each that hears it
+	maxDatagrams           = 16
+	maxRefetchBackoff      = 30 * time.Second
 )
 
-// Link sends and takes floors. It belongs to the loop.
+// Link sends and receives watermarks. It belongs to the event loop.
 type Link struct {
 	Transport    Transport
 	Clock        Clock
 	Rand         *rand.Rand
 	Source       func() uint32 // whose numbering the own list has now
-	RefetchAfter time.Duration // a proxy that is behind for so long asks discovery anew
+	RefetchAfter time.Duration // a list that is behind for so long is fetched from discovery anew
 	RefetchList  func()
-	// Changed is told of hosts that are out now, or no longer.
-	Changed func(ids []string)
+	Changed      func(ids []string) // is told of hosts that are out now, or no longer
+
+	registry    *Registry
+	source      uint32
+	pending     pendingGossip
+	refetch     refetchBackoff
+	lastQueryAt Time
+	closed      bool
+}
+
+// pendingGossip is what all others are to hear after a short delay, unless another member tells them.
+type pendingGossip struct {
+	watermarks []Watermark
+	scheduled  bool
+}
 
-	book    *Registry
-	source  uint32
-	pending []Watermark // told after a short wait, unless another does
-	waits   bool
-	closed  bool
-	anewAt  Time
-	backoff time.Duration
-	asked   Time
+func (p *pendingGossip) add(news []Watermark) {
+	p.watermarks = append(p.watermarks, news...)
+	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
 }
 
+// refetchBackoff says when a list that stays behind is fetched anew.
+type refetchBackoff struct {
+	lastAt Time // 0: not since the list was last up to date
+	wait   time.Duration
+}
+
+func (b *refetchBackoff) due(now, behindSince Time) bool {
+	return now-max(behindSince, b.lastAt) >= Time(b.wait)
+}
+
+func (b *refetchBackoff) fetched(now Time) { b.lastAt, b.wait = now, min(2*b.wait, maxRefetchBackoff) }
+
 // Run begins; it must be called once.
 func (l *Link) Run() {
-	l.book, l.source, l.backoff = NewRegistry(), l.Source(), l.RefetchAfter
-	l.asked = l.Clock.Now() - Time(l.Rand.Int64N(int64(askEvery)))
+	l.registry, l.source, l.refetch = NewRegistry(), l.Source(), refetchBackoff{wait: l.RefetchAfter}
+	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval)))
 	l.turn()
 }
 
 // Close ends it.
 func (l *Link) Close() { l.closed = true }
 
-// List takes the own list, or a change of it, and names hosts that are out now, or no longer.
-func (l *Link) List(rev int64, whole bool, hosts []ListedHost) []string {
-	var changed []string
+// List takes the own list, complete or as a change, and names hosts that are out now, or no longer.
+func (l *Link) List(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
-		l.source, l.pending, changed = s, nil, l.book.Forget()
-	}
-	news, ended := l.book.Listed(l.Clock.Now(), rev, whole, hosts)
-	if l.book.Behind(l.Clock.Now()) == 0 {
-		l.backoff, l.anewAt = l.RefetchAfter, 0
+		l.source, l.pending.watermarks, changed = s, nil, l.registry.Reset()
 	}
-	if l.pending = append(l.pending, news...); len(l.pending) > mostFloors {
-		l.pending = l.pending[len(l.pending)-mostFloors:]
+	news, ended := l.registry.UpdateList(l.Clock.Now(), revision, complete, hosts)
+	if l.registry.BehindSince(l.Clock.Now()) == 0 {
+		l.refetch = refetchBackoff{wait: l.RefetchAfter}
 	}
-	if len(l.pending) > 0 && !l.waits {
-		l.waits = true
-		l.Clock.After(time.Duration(l.Rand.Int64N(int64(spread))), l.tell)
+	l.pending.add(news)
+	if len(l.pending.watermarks) > 0 && !l.pending.scheduled {
+		l.pending.scheduled = true
+		l.Clock.After(time.Duration(l.Rand.Int64N(int64(maxGossipDelay))), l.gossipPending)
 	}
 	return append(changed, ended...)
 }
 
-// Out tells whether a host that the own list calls usable gets nothing new. boot is its start, Unix milliseconds.
-func (l *Link) Out(host string, boot int64) bool { return l.book.Out(l.Clock.Now(), host, boot) }
+// Out tells whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
+func (l *Link) Out(host string, startedAt int64) bool {
+	return l.registry.Out(l.Clock.Now(), host, startedAt)
+}
 
-// tell tells all others what nobody has told meanwhile.
-func (l *Link) tell() {
-	l.waits = false
-	var left []Watermark
-	for _, f := range l.pending {
-		if !l.book.wasTold(f) {
-			left = append(left, f)
-		}
-	}
-	if l.pending = nil; l.closed || len(left) == 0 {
+// gossipPending tells all others what no other member has told meanwhile.
+func (l *Link) gossipPending() {
+	news := slices.DeleteFunc(l.pending.watermarks, l.registry.wasGossiped)
+	l.pending = pendingGossip{}
+	if l.closed || len(news) == 0 {
 		return
 	}
-	l.carry(left, l.Transport.Others()...)
+	l.send(news, l.Transport.Others()...)
 }
 
-// carry sends floors to some, as many as a bounded number of datagrams holds.
-func (l *Link) carry(all []Watermark, peers ...uint32) {
-	out := tells(l.source, all, l.Transport.Room())
+// send sends watermarks to some peers, as many as a bounded number of datagrams holds.
+func (l *Link) send(watermarks []Watermark, peers ...uint32) {
+	datagrams := gossip{watermarks}.encode(l.source, l.Transport.Room())
 	for _, peer := range peers {
-		for _, data := range out[:min(len(out), mostDatagrams)] {
+		for _, data := range datagrams[:min(len(datagrams), maxDatagrams)] {
 			l.Transport.Carry(peer, CarrierID, data)
 		}
 	}
 }
 
-// Receive takes a datagram.
+func (l *Link) query(now Time, peer uint32) {
+	l.lastQueryAt = now
+	l.Transport.Carry(peer, CarrierID, query{l.registry.Revision()}.encode(l.source))
+}
+
+// Receive takes a datagram. One that is malformed, or of another numbering, with which nothing can be compared, is ignored.
 func (l *Link) Receive(from uint32, data []byte) {
-	m, err := read(data)
+	m, err := decode(data)
 	if err != nil || l.closed || m.source != l.source {
-		return // of another numbering nothing can be said
-	}
-	now := l.Clock.Now()
-	if m.kind == kindTell {
-		l.book.note(m.floors)
-		changed := l.book.Heard(now, m.floors)
-		l.pass(m.floors, changed)
-		l.tellChanged(changed)
 		return
 	}
-	l.carry(l.book.Above(now, m.rev), from)
-	if m.rev > l.book.Rev() && l.book.Rev() >= 0 && now-l.asked >= Time(askEvery)/4 {
-		l.asked = now
-		l.Transport.Carry(from, CarrierID, ask(l.source, l.book.Rev())) // it knows more
+	switch body := m.body.(type) {
+	case gossip:
+		l.handleGossip(body)
+	case query:
+		l.handleQuery(from, body)
+	}
+}
+
+func (l *Link) handleGossip(g gossip) {
+	l.registry.recordGossip(g.watermarks)
+	changed := l.registry.Merge(l.Clock.Now(), g.watermarks)
+	l.forward(g.watermarks, changed)
+	l.notifyChanged(changed)
+}
+
+// handleQuery answers, and asks in turn if the peer has a newer list.
+func (l *Link) handleQuery(from uint32, q query) {
+	now, own := l.Clock.Now(), l.registry.Revision()
+	l.send(l.registry.NewerThan(now, q.revision), from)
+	if q.revision > own && own >= 0 && now-l.lastQueryAt >= Time(turnInterval) {
+		l.query(now, from)
 	}
 }
 
-// pass passes on what is news here, to a few by chance: what was lost on its way to some comes to nearly all so.
-func (l *Link) pass(all []Watermark, changed []string) {
+// forward passes on what is new here to a few others by chance: so what was lost on its way to some comes to nearly all.
+func (l *Link) forward(watermarks []Watermark, changed []string) {
 	others := l.Transport.Others()
-	all = slices.DeleteFunc(slices.Clone(all), func(f Watermark) bool { return !slices.Contains(changed, f.Host) })
-	if len(all) == 0 || len(others) == 0 {
+	news := slices.DeleteFunc(slices.Clone(watermarks), func(w Watermark) bool { return !slices.Contains(changed, w.Host) })
+	if len(news) == 0 || len(others) == 0 {
 		return
 	}
-	for range passTo {
-		l.carry(all, others[l.Rand.IntN(len(others))])
+	for range forwardTo {
+		l.send(news, others[l.Rand.IntN(len(others))])
 	}
 }
 
-// turn asks one other what was missed, drops what has lapsed, and has discovery asked anew where the own list stays behind.
+// turn asks one other what was missed, drops what has lapsed, and has the list fetched anew where it stays behind.
 func (l *Link) turn() {
 	if l.closed {
 		return
 	}
-	l.Clock.After(askEvery/4, l.turn)
+	l.Clock.After(turnInterval, l.turn)
 	now := l.Clock.Now()
-	l.tellChanged(l.book.Step(now))
+	l.notifyChanged(l.registry.Expire(now))
 	others := l.Transport.Others()
-	if every := max(askEvery, time.Duration(len(others))*askEach); len(others) > 0 && now-l.asked >= Time(every) {
-		l.asked = now
-		l.Transport.Carry(others[l.Rand.IntN(len(others))], CarrierID, ask(l.source, l.book.Rev()))
+	interval := max(minQueryInterval, time.Duration(len(others))*queryIntervalPerMember)
+	if len(others) > 0 && now-l.lastQueryAt >= Time(interval) {
+		l.query(now, others[l.Rand.IntN(len(others))])
 	}
-	since := l.book.Behind(now)
-	if since == 0 || now-max(since, l.anewAt) < Time(l.backoff) {
+	since := l.registry.BehindSince(now)
+	if since == 0 || !l.refetch.due(now, since) {
 		return
 	}
-	slog.Info("list_behind", "rev", l.book.Rev(), "for_ms", (now-since)/1e6)
-	l.anewAt, l.backoff = now, min(2*l.backoff, mostBackoff)
+	slog.Info("list_behind", "rev", l.registry.Revision(), "for_ms", (now-since)/1e6)
+	l.refetch.fetched(now)
 	l.RefetchList()
 }
 
-func (l *Link) tellChanged(ids []string) {
+func (l *Link) notifyChanged(ids []string) {
 	if len(ids) > 0 && !l.closed {
 		l.Changed(ids)
 	}
--- a/internal/fleet/watermark/section.go
+++ b/internal/fleet/watermark/settings.go
@@ -19,7 +19,7 @@
 		o := Options{Within: 2 * time.Second}
 		f.Bool("on", "whether a host gets nothing new of which another proxy's newer list says that it drains or is gone; needs membership", &o.On)
 		f.Text("source", "a name for whose numbering the lists have, the same at all proxies that ask the same discovery; its address where it is left out", "a name",
-			&o.Source, func(s string) bool { return s != "" && len(s) <= mostHost })
+			&o.Source, func(s string) bool { return s != "" && len(s) <= maxHostBytes })
 		f.Duration("within", "a proxy whose list stays behind for so long asks discovery anew", &o.Within, 500*time.Millisecond, time.Minute)
 		return o
 	}}
