--- /dev/null
+++ b/internal/operations/maintenance/registry.go
@@ -0,0 +1,117 @@
+// Package maintenance owns which upstream hosts the operators have suspended, and how a host is taken that comes back. It has no
+// I/O and no clock of its own: suspensions are by host id, hold until they are called back, and outlive the host's place in the list.
+package maintenance
+
+import (
+	"slices"
+	"strings"
+)
+
+// maxKnownHosts bounds how many ids are remembered as once listed.
+const maxKnownHosts = 4096
+
+// Registry is the suspensions, and the ids that a call may name.
+type Registry struct {
+	suspendedHere  map[string]int64 // by a call at this proxy: since when, Unix nanoseconds
+	suspendedFleet map[string]int64 // by the fleet's list: since when, Unix nanoseconds
+	known          map[string]bool
+	knownOrder     []string // oldest first
+}
+
+// New makes an empty registry.
+func New() *Registry {
+	return &Registry{suspendedHere: map[string]int64{}, suspendedFleet: map[string]int64{}, known: map[string]bool{}}
+}
+
+// HostListed records that a list has named a host.
+func (r *Registry) HostListed(id string) {
+	if r.known[id] {
+		return
+	}
+	if len(r.knownOrder) >= maxKnownHosts {
+		r.forgetOldest()
+	}
+	r.known[id] = true
+	r.knownOrder = append(r.knownOrder, id)
+}
+
+// forgetOldest forgets the oldest host that is not suspended: a call to resume must find one that is.
+func (r *Registry) forgetOldest() {
+	if i := slices.IndexFunc(r.knownOrder, func(id string) bool { return !r.Suspended(id) }); i >= 0 {
+		delete(r.known, r.knownOrder[i])
+		r.knownOrder = slices.Delete(r.knownOrder, i, i+1)
+	}
+}
+
+// Known tells whether a list has ever named the host.
+func (r *Registry) Known(id string) bool { return r.known[id] }
+
+// IDs is every host that a call may name, the oldest first.
+func (r *Registry) IDs() []string { return slices.Clone(r.knownOrder) }
+
+// Set suspends a host at this proxy or resumes it, and tells whether that changed anything.
+func (r *Registry) Set(id string, suspended bool, now int64) (changed bool) {
+	if _, is := r.suspendedHere[id]; is == suspended {
+		return false
+	}
+	if suspended {
+		r.HostListed(id)
+		r.suspendedHere[id] = now
+	} else {
+		delete(r.suspendedHere, id)
+	}
+	return true
+}
+
+// SetFleet takes the list of hosts that are suspended for the whole fleet, and gives those of which that changes whether they are suspended. A host
+// is while either says so: a call at this proxy does not resume it for the fleet.
+func (r *Registry) SetFleet(ids []string, now int64) (changed []string) {
+	next := map[string]int64{}
+	for _, id := range ids {
+		since, was := r.suspendedFleet[id]
+		if !was {
+			since = now
+		}
+		next[id] = since
+	}
+	for id := range r.suspendedFleet {
+		_, still := next[id]
+		if _, here := r.suspendedHere[id]; !still && !here {
+			changed = append(changed, id)
+		}
+	}
+	for id := range next {
+		if !r.Suspended(id) {
+			changed = append(changed, id)
+		}
+	}
+	r.suspendedFleet = next
+	slices.Sort(changed)
+	return changed
+}
+
+// Suspended tells whether a host is suspended, here or for the whole fleet.
+func (r *Registry) Suspended(id string) bool {
+	_, here := r.suspendedHere[id]
+	_, fleet := r.suspendedFleet[id]
+	return here || fleet
+}
+
+// Suspension is a host's suspension, the earlier where there are two.
+func (r *Registry) Suspension(id string) Suspension {
+	since, here := r.suspendedHere[id]
+	if at, fleet := r.suspendedFleet[id]; fleet && (!here || at < since) {
+		since = at
+	}
+	return Suspension{id, since}
+}
+
+// All is every suspension that was set at this proxy, sorted by id.
+func (r *Registry) All() []Suspension {
+	all := make([]Suspension, 0, len(r.suspendedHere))
+	for id, since := range r.suspendedHere {
+		all = append(all, Suspension{id, since})
+	}
+	slices.SortFunc(all, func(x, y Suspension) int { return strings.Compare(x.ID, y.ID) })
+	return all
+}
--- a/internal/operations/maintenance/book_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the order of calls and lists: a ban holds from its first call to one call back.
-func TestBans(t *testing.T) {
+// Whatever the order of calls and lists: a suspension holds from its first call to one that resumes.
+func TestSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, out, listed := New(), map[string]bool{}, map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -20,12 +20,12 @@
 				listed[id] = true
 			case 1:
 				if listed[id] && b.Set(id, true, 5) == out[id] {
-					t.Fatal("a first ban changes something, a second nothing")
+					t.Fatal("a first suspension changes something, a second nothing")
 				}
 				out[id] = out[id] || listed[id]
 			case 2:
 				if b.Set(id, false, 5) != out[id] {
-					t.Fatal("one call back ends any number of bans")
+					t.Fatal("one call to resume ends any number of suspensions")
 				}
 				out[id] = false
 			}
@@ -36,24 +36,24 @@
 	})
 }
 
-// A fleet that is replaced for months must not fill the memory, and a ban must still be found.
+// A fleet that is replaced for months must not fill the memory, and a suspension must still be found.
 func TestKnownIsBounded(t *testing.T) {
 	b := New()
 	b.HostListed("first")
 	b.Set("first", true, 7)
-	for i := range 2 * mostIDs {
+	for i := range 2 * maxKnownHosts {
 		b.HostListed(fmt.Sprint(i))
 	}
-	if len(b.known) > mostIDs || !b.Known("first") || b.Known("0") || !b.Known(fmt.Sprint(2*mostIDs-1)) {
+	if len(b.known) > maxKnownHosts || !b.Known("first") || b.Known("0") || !b.Known(fmt.Sprint(2*maxKnownHosts-1)) {
 		t.Errorf("%d known, first %t", len(b.known), b.Known("first"))
 	}
 	if !slices.Equal(b.All(), []Suspension{{"first", 7}}) {
-		t.Errorf("bans %v", b.All())
+		t.Errorf("suspensions %v", b.All())
 	}
 }
 
-// A host that comes back with no start told since its ban is taken for cold.
-func TestStartInDoubt(t *testing.T) {
+// A host that comes back with no start listed since its suspension is taken for cold.
+func TestStartAfterSuspension(t *testing.T) {
 	for _, x := range []struct {
 		listed, start int64
 		guess         bool
--- /dev/null
+++ b/internal/operations/maintenance/suspension.go
@@ -0,0 +1,40 @@
+package maintenance
+
+import (
+	"hash/fnv"
+	"time"
+)
+
+// StartUncertainty is how long, in nanoseconds, a host that has come back may have started without discovery saying so.
+const StartUncertainty = int64(6 * time.Second)
+
+// Suspension is a host that gets nothing new.
+type Suspension struct {
+	ID    string `json:"ID"`
+	Since int64  `json:"Since"` // when the first call came, Unix nanoseconds
+}
+
+// StartAfter is when a host that comes back now is taken to have started, and whether that is a guess, which ends after
+// StartUncertainty. listed is its latest start as discovery says. Hosts are suspended to be restarted; one of which discovery has
+// named no start since then may have come back cold, and is taken for that until discovery would have said so.
+func (s Suspension) StartAfter(listed, now int64) (start int64, guess bool) {
+	if listed >= s.Since {
+		return listed, false
+	}
+	return now, true
+}
+
+const (
+	// migrateWithin is the time over which connections leave a suspended host: before a restart that follows soon, and not all in
+	// one moment.
+	migrateWithin  = time.Second
+	migrationSlots = 1000
+)
+
+// MigrationDelay is how long after its host's suspension a connection migrates: spread evenly by its request's id, over all proxies together however
+// few each of them holds.
+func MigrationDelay(request string) time.Duration {
+	h := fnv.New32a()
+	h.Write([]byte(request))
+	return time.Duration(h.Sum32()%migrationSlots) * migrateWithin / migrationSlots
+}
