--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -167,7 +167,7 @@
 	r.front = lineproto.NewFront(loop, core, r.on, cfg.Newcomers())
 	core.SetNewcomers(r.front)
 	if cfg.Admin != "" {
-		_, err := patiently(func() (*admin.Front, error) { return admin.Listen(loop, core, cfg.Admin, cfg.Callers()) }, inUse)
+		_, err := patiently(func() (*admin.Server, error) { return admin.Listen(loop, core, cfg.Admin, cfg.Callers()) }, inUse)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %v", err)
 		}
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -21,8 +21,8 @@
 	"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "\x16\x03\x01\x02",
 	"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\n folded\r\n\r\n",
-	"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "GET /" + strings.Repeat("x", maxTarget) + " HTTP/1.1\r\n",
-	"GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", maxHead), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n",
+	"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "GET /" + strings.Repeat("x", maxTargetBytes) + " HTTP/1.1\r\n",
+	"GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", maxHeadBytes), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n",
 }
 
 // FuzzCall feeds a call byte by byte: what it comes to must not depend on the cut, nor on what follows it.
@@ -54,19 +54,21 @@
 	done(id == "a/b")
 }
 
-func front(t *testing.T, room int) func() net.Conn {
+// serve starts a server and gives what dials it.
+func serve(t *testing.T, capacity int) func() net.Conn {
+	t.Helper()
 	l := netio.NewLoop()
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Listen(l, &proxy{}, "127.0.0.1:0", room)
+	s, err := Listen(l, &proxy{}, "127.0.0.1:0", capacity)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.Run()
 	t.Cleanup(l.Stop)
 	return func() net.Conn {
-		c, err := net.Dial("tcp", f.Addr().String())
+		c, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +102,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	dial := front(t, 4)
+	dial := serve(t, 4)
 	for _, x := range [][2]string{
 		{"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK ready"},
 		{"HEAD /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK "},
@@ -130,7 +132,7 @@
 
 // A caller that wants leave for its body gets it, once.
 func TestExpectContinue(t *testing.T) {
-	c := front(t, 1)()
+	c := serve(t, 1)()
 	io.WriteString(c, "POST /v1/catalogue-servers/a%2Fb/suspend HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	got := make([]byte, 25)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "HTTP/1.1 100 Continue\r\n\r\n" {
@@ -142,8 +144,8 @@
 }
 
 // Two hundred half callers stay; a whole call among them is answered all the same, and the half ones hear 408 or an end.
-func TestHalfCallersKeepNobodyWaiting(t *testing.T) {
-	dial := front(t, 4)
+func TestIncompleteCallsDelayNobody(t *testing.T) {
+	dial := serve(t, 4)
 	var half []net.Conn
 	for i := range 200 {
 		c := dial()
--- /dev/null
+++ b/internal/operations/admin/caller.go
@@ -0,0 +1,133 @@
+package admin
+
+import (
+	"container/list"
+	"log/slog"
+	"net/http"
+	"strconv"
+
+	"croftlock/internal/dataplane/netio"
+)
+
+// caller is one operator's connection.
+type caller struct {
+	server       *Server
+	conn         *netio.Conn
+	element      *list.Element // in the server's callers; nil: no longer
+	timeout      *netio.Timer
+	sentContinue bool
+	complete     bool // its request is complete or can't become so, and is answered or being so
+	replied      bool
+}
+
+// Data takes what the caller has sent so far.
+func (c *caller) Data(conn *netio.Conn) {
+	if c.complete {
+		conn.Consume(len(conn.Input())) // one call a connection; what follows it is not read
+		return
+	}
+	if c.element != nil {
+		c.server.callers.MoveToBack(c.element)
+	}
+	r, expectsContinue, fault := parse(conn.Input())
+	switch {
+	case fault != noFault:
+		c.complete = true
+		c.reply(response{status: int(fault)})
+	case r != nil:
+		c.complete = true
+		c.timeout.Stop()
+		c.serve(r)
+	case expectsContinue && !c.sentContinue:
+		c.sentContinue = true
+		conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+}
+
+// Writable does nothing: a response fits the kernel's buffer, or the connection finishes it.
+func (c *caller) Writable(*netio.Conn) {}
+
+// Closed ends the call without an answer.
+func (c *caller) Closed(*netio.Conn, *netio.Error) {
+	c.replied = true
+	c.timeout.Stop()
+}
+
+func (c *caller) gone() {
+	if c.element != nil {
+		c.server.callers.Remove(c.element)
+		c.element = nil
+	}
+}
+
+// timedOut ends a call whose request is not complete in time.
+func (c *caller) timedOut() {
+	if len(c.conn.Input()) == 0 && !c.complete {
+		c.conn.Close() // nothing was said, so nothing is answered
+		return
+	}
+	c.complete = true
+	c.reply(response{status: http.StatusRequestTimeout})
+}
+
+// evict makes room for the next caller.
+func (c *caller) evict() {
+	if !c.conn.Over() && len(c.conn.Input()) > 0 {
+		c.timedOut()
+	}
+	c.timeout.Stop()
+	c.conn.Drop()
+	c.gone()
+}
+
+// serve answers a complete request.
+func (c *caller) serve(r *request) {
+	route := r.route()
+	head := r.method == http.MethodHead
+	if allow := route.allowedMethods(); route != routeUnknown && !allow.includes(r.method) {
+		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, headOnly: head})
+		return
+	}
+	switch route {
+	case routeReady:
+		if c.server.proxy.Serves() {
+			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), headOnly: head})
+			return
+		}
+		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), headOnly: head})
+	case routeMetrics:
+		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), headOnly: head})
+	case routeSuspend, routeResume:
+		c.setSuspended(r.path[2], route == routeSuspend)
+	default:
+		c.reply(response{status: http.StatusNotFound, headOnly: head})
+	}
+}
+
+func (c *caller) setSuspended(host string, suspended bool) {
+	verb := "resume"
+	if suspended {
+		verb = "suspend"
+	}
+	c.server.proxy.Suspend(host, suspended, func(known bool) {
+		if !known {
+			c.reply(response{status: http.StatusNotFound, body: []byte("no list has named this server\n")})
+			return
+		}
+		c.reply(response{status: http.StatusOK, body: []byte(verb + " " + strconv.Quote(host) + "\n")})
+	})
+}
+
+// reply sends the one answer of a call.
+func (c *caller) reply(r response) {
+	if c.replied || c.conn.Over() {
+		return
+	}
+	c.replied = true
+	c.timeout.Stop()
+	if r.status >= http.StatusBadRequest {
+		slog.Debug("admin_call_rejected", "status", r.status)
+	}
+	c.conn.Write(r.encode())
+	c.conn.Finish()
+}
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -2,212 +2,197 @@
 
 import (
 	"bytes"
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
 )
 
-// What a caller may send at most.
+// What a caller may send at most, in bytes.
 const (
-	maxTarget = 2 << 10
-	maxHead   = 8 << 10
-	maxBody   = 16 << 10
+	maxTargetBytes       = 2 << 10
+	maxHeadBytes         = 8 << 10
+	maxBodyBytes         = 16 << 10
+	maxMethodBytes       = 16
+	versionBytes         = len("HTTP/1.1")
+	requestLineAllowance = 32 // of a request line beside its target
 )
 
-// fault is a request that can't be served, by the status that says why.
+// fault is why a request can't be served: an HTTP status.
 type fault int
 
 // The faults that the parser finds.
 const (
-	badRequest   fault = 400
-	tooMuchBody  fault = 413
-	tooLongPath  fault = 414
-	tooMuchHead  fault = 431
-	notHere      fault = 501
-	otherVersion fault = 505
+	noFault             fault = 0
+	badRequest          fault = http.StatusBadRequest
+	bodyTooLarge        fault = http.StatusRequestEntityTooLarge
+	targetTooLong       fault = http.StatusRequestURITooLong
+	headTooLarge        fault = http.StatusRequestHeaderFieldsTooLarge
+	notImplemented      fault = http.StatusNotImplemented
+	versionNotSupported fault = http.StatusHTTPVersionNotSupported
 )
 
 // request is one call.
 type request struct {
-	method string
-	path   []string // the segments, percent-decoded
-	expect bool     // the caller waits for 100 before it sends its body
+	method          string
+	path            []string // the segments, percent-decoded
+	expectsContinue bool     // the caller waits for 100 before it sends its body
 }
 
-// parse looks for a whole request at the start of in. It gives nil while more is to come; expecting then tells that the
+// parse looks for a complete request at the start of in. It gives nil while more is to come; expectsContinue then tells that the
 // caller waits for leave to send its body. It looks at the whole input each time, so that the outcome can't depend on how
 // the input was cut; the input is bounded.
-func parse(in []byte) (r *request, expecting bool, f fault) {
-	for len(in) >= 2 && in[0] == '\r' && in[1] == '\n' {
-		in = in[2:] // an empty line before the request is passed over
+func parse(in []byte) (r *request, expectsContinue bool, f fault) {
+	for bytes.HasPrefix(in, []byte("\r\n")) {
+		in = in[2:] // empty lines before the request are ignored
 	}
-	end := bytes.Index(in[:min(len(in), maxHead)], []byte("\r\n\r\n"))
-	first := bytes.IndexByte(in, '\n')
+	end := bytes.Index(in[:min(len(in), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
-		// What can't become a request is told at once, not after a time.
-		switch {
-		case first < 0 && len(in) > maxTarget+32:
-			return nil, false, tooLongPath
-		case first < 0:
-			return nil, false, begins(in)
-		case first == 0 || in[first-1] != '\r':
-			return nil, false, badRequest
-		case len(in) >= maxHead:
-			return nil, false, tooMuchHead
-		}
-		if _, f := requestLine(string(in[:first-1])); f != 0 {
-			return nil, false, f
-		}
-		return nil, false, 0
+		return nil, false, checkIncompleteHead(in)
 	}
 	lines := strings.Split(string(in[:end]), "\r\n")
-	r, f = requestLine(lines[0])
-	if f != 0 {
+	r, f = parseRequestLine(lines[0])
+	if f != noFault {
 		return nil, false, f
 	}
-	size, chunked, f := r.headers(lines[1:], strings.HasSuffix(lines[0], "1"))
-	if f != 0 {
+	h, f := parseHeaders(lines[1:], strings.HasSuffix(lines[0], "1"))
+	if f != noFault {
 		return nil, false, f
 	}
-	body := in[end+4:]
+	r.expectsContinue = h.expectsContinue
+	body := in[end+len("\r\n\r\n"):]
+	complete, f := h.bodyComplete(body)
+	if f != noFault || !complete {
+		return nil, r.expectsContinue && len(body) == 0 && f == noFault, f
+	}
+	return r, false, noFault
+}
+
+// checkIncompleteHead answers at once what can't become a request, not after a timeout.
+func checkIncompleteHead(in []byte) fault {
+	first := bytes.IndexByte(in, '\n')
 	switch {
-	case chunked:
-		whole, f := unchunked(body)
-		if f != 0 || !whole {
-			return nil, r.expect && len(body) == 0 && f == 0, f
-		}
-	case size > maxBody:
-		return nil, false, tooMuchBody
-	case len(body) < size:
-		return nil, r.expect && len(body) == 0, 0
+	case first < 0 && len(in) > maxTargetBytes+requestLineAllowance:
+		return targetTooLong
+	case first < 0:
+		return checkMethodStart(in)
+	case first == 0 || in[first-1] != '\r':
+		return badRequest
+	case len(in) >= maxHeadBytes:
+		return headTooLarge
 	}
-	return r, false, 0
+	_, f := parseRequestLine(string(in[:first-1]))
+	return f
 }
 
-// begins tells whether in can become a request line.
-func begins(in []byte) fault {
+// checkMethodStart tells whether in can become a request line.
+func checkMethodStart(in []byte) fault {
 	method, _, _ := bytes.Cut(in, []byte(" "))
-	if len(method) > 16 || !token(string(method)) && len(method) > 0 && string(method) != "\r" {
+	if len(method) > maxMethodBytes || !isToken(string(method)) && len(method) > 0 && string(method) != "\r" {
 		return badRequest
 	}
-	return 0
+	return noFault
 }
 
-func requestLine(l string) (*request, fault) {
-	method, rest, ok := strings.Cut(l, " ")
-	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !token(method) || len(method) > 16 || target == "" {
-		return nil, badRequest
-	}
-	if len(target) > maxTarget {
-		return nil, tooLongPath
-	}
+func parseRequestLine(line string) (*request, fault) {
+	method, rest, hasTarget := strings.Cut(line, " ")
+	target, version, hasVersion := strings.Cut(rest, " ")
 	switch {
-	case len(version) != 8 || !strings.HasPrefix(version, "HTTP/") || version[6] != '.' || version[5] < '0' || version[5] > '9' ||
-		version[7] < '0' || version[7] > '9':
+	case !hasTarget || !hasVersion || !isToken(method) || len(method) > maxMethodBytes || target == "":
 		return nil, badRequest
-	case version[5] != '1':
-		return nil, otherVersion
+	case len(target) > maxTargetBytes:
+		return nil, targetTooLong
+	case !isVersion(version):
+		return nil, badRequest
+	case version[len("HTTP/")] != '1':
+		return nil, versionNotSupported
+	}
+	path, f := parseTarget(target)
+	if f != noFault {
+		return nil, f
 	}
+	return &request{method: method, path: path}, noFault
+}
+
+func isVersion(s string) bool {
+	isDigit := func(c byte) bool { return c >= '0' && c <= '9' }
+	return len(s) == versionBytes && strings.HasPrefix(s, "HTTP/") && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
+}
+
+// parseTarget gives the segments of a target's path, which may be absolute; none for "*" and the like, which name nothing here.
+func parseTarget(target string) (path []string, f fault) {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) > len(scheme) && strings.EqualFold(target[:len(scheme)], scheme) {
-			_, path, _ := strings.Cut(target[len(scheme):], "/")
-			target = "/" + path
+			_, rest, _ := strings.Cut(target[len(scheme):], "/")
+			target = "/" + rest
 		}
 	}
 	target, _, _ = strings.Cut(target, "?")
-	r := &request{method: method}
 	if !strings.HasPrefix(target, "/") {
-		return r, 0 // "*" and the like name nothing here
+		return nil, noFault
 	}
-	for _, part := range strings.Split(target[1:], "/") {
-		s, err := url.PathUnescape(part)
+	for _, escaped := range strings.Split(target[1:], "/") {
+		segment, err := url.PathUnescape(escaped)
 		if err != nil {
 			return nil, badRequest
 		}
-		r.path = append(r.path, s)
+		path = append(path, segment)
 	}
-	return r, 0
+	return path, noFault
 }
 
-// headers reads what says where the request ends. size is that of the body, where it is not chunked.
-func (r *request) headers(lines []string, one bool) (size int, chunked bool, f fault) {
-	size, host := -1, 0
-	for _, l := range lines {
-		name, value, found := strings.Cut(l, ":")
-		if !found || !token(name) || strings.ContainsAny(value, "\r\n\x00") {
-			return 0, false, badRequest
+// headers are those that say where a request ends.
+type headers struct {
+	contentLength   int // -1: none is named
+	chunked         bool
+	expectsContinue bool
+	hosts           int // Host headers
+}
+
+func parseHeaders(lines []string, hostRequired bool) (h headers, f fault) {
+	h.contentLength = -1
+	for _, line := range lines {
+		name, value, found := strings.Cut(line, ":")
+		if !found || !isToken(name) || strings.ContainsAny(value, "\r\n\x00") {
+			return h, badRequest
 		}
-		value = strings.Trim(value, " \t")
-		switch strings.ToLower(name) {
-		case "host":
-			host++
-		case "expect":
-			r.expect = strings.EqualFold(value, "100-continue")
-		case "content-length":
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || size >= 0 && size != int(n) {
-				return 0, false, badRequest
-			}
-			size = int(n)
-		case "transfer-encoding":
-			if chunked {
-				return 0, false, badRequest
-			}
-			if !strings.EqualFold(value, "chunked") {
-				return 0, false, notHere
-			}
-			chunked = true
+		if f := h.add(strings.ToLower(name), strings.Trim(value, " \t")); f != noFault {
+			return h, f
 		}
 	}
-	if host > 1 || host == 0 && one || chunked && size >= 0 {
-		return 0, false, badRequest // both lengths at once is how a request is smuggled past another's reading
+	// Both lengths at once is how a request is smuggled past another's reading.
+	if h.hosts > 1 || h.hosts == 0 && hostRequired || h.chunked && h.contentLength >= 0 {
+		return h, badRequest
 	}
-	return size, chunked, 0
+	return h, noFault
 }
 
-// unchunked tells whether a body in chunks is whole.
-func unchunked(in []byte) (bool, fault) {
-	for at, total := 0, 0; ; {
-		i := bytes.Index(in[at:], []byte("\r\n"))
-		if i < 0 {
-			if len(in)-at > maxTarget {
-				return false, badRequest
-			}
-			return false, 0
-		}
-		text, _, _ := strings.Cut(string(in[at:at+i]), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(text), 16, 31)
-		if err != nil || i > maxTarget {
-			return false, badRequest
-		}
-		at += i + 2
-		if n == 0 {
-			// Lines that follow the last chunk mean nothing here; an empty one ends them.
-			rest := in[at:]
-			if bytes.HasPrefix(rest, []byte("\r\n")) || bytes.Contains(rest, []byte("\r\n\r\n")) {
-				return true, 0
-			}
-			if len(rest) > maxHead {
-				return false, tooMuchHead
-			}
-			return false, 0
-		}
-		if total += int(n); total > maxBody {
-			return false, tooMuchBody
+func (h *headers) add(name, value string) fault {
+	switch name {
+	case "host":
+		h.hosts++
+	case "expect":
+		h.expectsContinue = strings.EqualFold(value, "100-continue")
+	case "content-length":
+		n, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || h.contentLength >= 0 && h.contentLength != int(n) {
+			return badRequest
 		}
-		if len(in) < at+int(n)+2 {
-			return false, 0
+		h.contentLength = int(n)
+	case "transfer-encoding":
+		if h.chunked {
+			return badRequest
 		}
-		if at += int(n); in[at] != '\r' || in[at+1] != '\n' {
-			return false, badRequest
+		if !strings.EqualFold(value, "chunked") {
+			return notImplemented
 		}
-		at += 2
+		h.chunked = true
 	}
+	return noFault
 }
 
-// token tells whether s is a word as HTTP defines it.
-func token(s string) bool {
+// isToken tells whether s is a token as HTTP defines it.
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
--- /dev/null
+++ b/internal/operations/admin/response.go
@@ -0,0 +1,31 @@
+package admin
+
+import (
+	"net/http"
+	"strconv"
+)
+
+// response is the answer to a call.
+type response struct {
+	status   int
+	allow    methods // of a call with another method
+	body     []byte  // nil: the status as text
+	headOnly bool    // the body is counted, and not sent
+}
+
+func (r response) encode() []byte {
+	body := r.body
+	if body == nil {
+		body = []byte(http.StatusText(r.status) + "\n")
+	}
+	out := []byte("HTTP/1.1 " + strconv.Itoa(r.status) + " " + http.StatusText(r.status) +
+		"\r\nContent-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n")
+	if len(r.allow) > 0 {
+		out = append(out, "Allow: "+r.allow.String()+"\r\n"...)
+	}
+	out = append(out, "Content-Length: "+strconv.Itoa(len(body))+"\r\nConnection: close\r\n\r\n"...)
+	if !r.headOnly {
+		out = append(out, body...)
+	}
+	return out
+}
