--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -88,14 +88,14 @@
 // format is that of the log, "" for what the file says.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
 	Logs(file, format)
-	runtime.GOMAXPROCS(cfg.Procs())
+	runtime.GOMAXPROCS(cfg.MaxThreads())
 	debug.SetMemoryLimit(cfg.MemoryLimit())
 	loop := netio.NewLoop()
 	if err := netio.Attach(loop); err != nil {
 		return fmt.Errorf("netpoll: %v", err)
 	}
-	dialer := netio.NewDialer(loop, cfg.Dialers())
-	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.Sessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	dialer := netio.NewDialer(loop, cfg.MaxDials())
+	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.MaxSessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
 	open := lineproto.PlainTCP(dialer)
 	link, err := secure(loop, file, &opt)
 	if err != nil {
@@ -105,12 +105,12 @@
 		open = through(link)
 	}
 	var behind []string
-	if cfg.InAnswers {
-		behind = cfg.Reports
+	if cfg.ReportsInAnswers {
+		behind = cfg.ReportFields
 	}
 	core := proxy.New(loop, lineproto.NewConnector(loop, open, behind), opt)
-	if n := cfg.Probers(); n > 0 {
-		core.SetHealthChecker(lineproto.NewHealthChecks(loop, open, cfg.Reports, n))
+	if n := cfg.MaxHealthChecks(); n > 0 {
+		core.SetHealthChecker(lineproto.NewHealthChecks(loop, open, cfg.ReportFields, n))
 	}
 	r := &replacement{cfg: cfg, loop: loop, core: core}
 	var old *hotrestart.Partner
@@ -164,10 +164,10 @@
 	if r.on, err = listen(cfg.Listen, handed.Listener, r.dir != ""); err != nil {
 		return fmt.Errorf("listen: %v", err)
 	}
-	r.front = lineproto.NewFront(loop, core, r.on, cfg.Newcomers())
+	r.front = lineproto.NewFront(loop, core, r.on, cfg.MaxIdleClients())
 	core.SetNewcomers(r.front)
 	if cfg.Admin != "" {
-		_, err := patiently(func() (*admin.Server, error) { return admin.Listen(loop, core, cfg.Admin, cfg.Callers()) }, inUse)
+		_, err := patiently(func() (*admin.Server, error) { return admin.Listen(loop, core, cfg.Admin, cfg.MaxAdminCallers()) }, inUse)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %v", err)
 		}
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -83,7 +83,7 @@
 // Sessions counts the other process's downstreams with this one's, and its descriptors that are nobody's in particular.
 func (p partner) Sessions(n int) {
 	if r := p.replacement; r.partner == p.of && !r.older {
-		r.core.SetSessionsElsewhere(n + r.cfg.Spare()/2)
+		r.core.SetSessionsElsewhere(n + r.cfg.HotRestartDescriptors()/2)
 	}
 }
 
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -69,8 +69,8 @@
 
 // known is the list to start from: what another process held, where it is the same service's and newer.
 func known(cfg *platform.Config, h *hotrestart.Handoff) proxy.Change {
-	if h == nil || h.Snapshot.Discovery != cfg.Discovery || h.Snapshot.Revision <= cfg.Known.Version {
-		return cfg.Known
+	if h == nil || h.Snapshot.Discovery != cfg.Discovery || h.Snapshot.Revision <= cfg.CachedList.Version {
+		return cfg.CachedList
 	}
-	return proxy.Change{Kind: cfg.Known.Kind, Version: h.Snapshot.Revision, Hosts: h.Snapshot.Hosts}
+	return proxy.Change{Kind: cfg.CachedList.Kind, Version: h.Snapshot.Revision, Hosts: h.Snapshot.Hosts}
 }
--- a/internal/operations/platform/config_test.go
+++ b/internal/operations/platform/config_test.go
@@ -17,8 +17,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.1:9" || c.Known.Version != 7 || c.Seed != -1 || !c.DelayInLoad || c.Procs() != 1 ||
-		2*c.Sessions()+c.Newcomers()+c.Dialers() > 1024-spare || 3*c.Sessions() < 1024 || c.MemoryLimit() >= 192<<20 {
+	if c.Listen != "127.0.0.1:9" || c.CachedList.Version != 7 || c.Seed != -1 || !c.DelayInLoad || c.MaxThreads() != 1 ||
+		2*c.MaxSessions()+c.MaxIdleClients()+c.MaxDials() > 1024-reservedDescriptors || 3*c.MaxSessions() < 1024 || c.MemoryLimit() >= 192<<20 {
 		t.Errorf("%+v", c)
 	}
 	for _, change := range [][2]string{{"{", ""}, {"127.0.0.1:2", "nowhere"}, {`"seed":"ffffffffffffffff"`, `"seed":"x"`},
@@ -31,7 +31,7 @@
 	for at, ok := range map[string]bool{"127.0.0.1:7": true, "127.0.0.1:9": false, "127.0.0.1": false, "host:7": false, "127.0.0.1:0": false,
 		"127.0.0.1:99999": false} {
 		c, err := Parse([]byte(strings.Replace(usable, `"name"`, `"admin_addr":"`+at+`","name"`, 1)), env)
-		if (err == nil) != ok || ok && (c.Admin != at || c.Callers() != 32) {
+		if (err == nil) != ok || ok && (c.Admin != at || c.MaxAdminCallers() != 32) {
 			t.Errorf("admin_addr %s: %v", at, err)
 		}
 	}
--- /dev/null
+++ b/internal/operations/platform/reload.go
@@ -0,0 +1,34 @@
+package platform
+
+import "reflect"
+
+// Reload reads the file again, for a process that runs on old. The file's discovery wins here: the environment
+// still holds the one from the start. later names what differs but takes effect at the next start only: the address
+// listened on, the limits and the decision module's configuration bind what is already open.
+func Reload(env func(string) string, old *Config) (c *Config, later []string, err error) {
+	c, err = Load(func(name string) string {
+		if name == "NODE_DISCOVERY" {
+			return ""
+		}
+		return env(name)
+	})
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, v := range []struct {
+		name string
+		same bool
+	}{
+		{"name", c.Name == old.Name},
+		{"listen", c.Listen == old.Listen},
+		{"admin_addr", c.Admin == old.Admin},
+		{"limits", c.Limits == old.Limits},
+		{"settings", reflect.DeepEqual(c.Settings, old.Settings) && c.DelayInLoad == old.DelayInLoad},
+	} {
+		if !v.same {
+			later = append(later, v.name)
+		}
+	}
+	return c, later, nil
+}
+
