--- a/internal/operations/platform/reload.go
+++ b/internal/operations/platform/reload.go
@@ -31,4 +31,3 @@
 	}
 	return c, later, nil
 }
-
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -1,8 +1,6 @@
 package settings
 
-import (
-	"strings"
-)
+import "slices"
 
 // Form is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
 // that takes it; what the variable held before is the default. After the last field, whatever else stands in the section
@@ -11,17 +9,19 @@
 	node   *Node // nil: the file does not have the section
 	faults *Faults
 	dir    string // that relative paths start from
-	path   string
+	path   string // of names, from the section down
 	fields []*Field
-	seen   map[string][]*Node
+	seen   map[string][]*Node // by field name
 }
 
 // Field is what a section declares, as `settings show` prints it.
 type Field struct {
-	Name, Doc, Want string
-	Set             bool // the file has it
-	value           func() string
-	Forms           []*Form // of a list of fields
+	Name  string
+	Doc   string
+	Want  string  // which values are valid
+	Set   bool    // the file has it
+	Forms []*Form // of a list of fields
+	value func() string
 }
 
 // Value is the field's value in the form of the file.
@@ -33,7 +33,7 @@
 // Present tells whether the file has the section.
 func (f *Form) Present() bool { return f.node != nil }
 
-// Fault notes that values which are right each by itself can't stand together. name says at which field.
+// Fault reports that values which are right each by itself can't stand together. name says at which field.
 func (f *Form) Fault(name, format string, args ...any) {
 	at := Pos{1, 1}
 	if f.node != nil {
@@ -61,33 +61,24 @@
 	return f
 }
 
-// done tells of what was not declared.
+// done reports what was not declared.
 func (f *Form) done() {
 	known := make([]string, 0, len(f.fields))
 	for _, d := range f.fields {
 		known = append(known, d.Name)
 	}
 	for name, nodes := range f.seen {
-		if contains(known, name) {
+		if slices.Contains(known, name) {
 			continue
 		}
 		for _, n := range nodes {
-			f.faults.Add(n.Pos, "%q is unknown in (%s ...)%s", clip(name), f.path, nearest(name, known))
+			f.faults.Add(n.Pos, "%q is unknown in (%s ...)%s", clip(name), f.path, suggestion(name, known))
 		}
 	}
 }
 
-func contains(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
-			return true
-		}
-	}
-	return false
-}
-
-// take finds the values of a field that may stand once.
-func (f *Form) take(name, doc, want string, value func() string) (*Node, []*Node) {
+// declare declares a field that may stand once, and gives its node, nil where the file has it not, and its values.
+func (f *Form) declare(name, doc, want string, value func() string) (*Node, []*Node) {
 	d := &Field{Name: name, Doc: doc, Want: want, value: value}
 	f.fields = append(f.fields, d)
 	nodes := f.seen[name]
@@ -101,67 +92,11 @@
 	return nodes[0], nodes[0].Values()[1:]
 }
 
-func (f *Form) many(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
-	n, values := f.take(name, doc, want, func() string {
-		var out []string
-		for _, s := range *to {
-			out = append(out, Quote(s))
-		}
-		return strings.Join(out, " ")
-	})
-	if n == nil {
-		return
-	}
-	if len(values) == 0 {
-		f.faults.Add(n.Pos, "%s has no value, expected %s", name, want)
-	}
-	var out []string
-	for _, v := range values {
-		s, ok := read(v.Text)
-		switch {
-		case v.Kind == List || !ok:
-			f.faults.Add(v.Pos, "%s is %s, expected %s", name, v.describe(), want)
-		case contains(out, s):
-			f.faults.Add(v.Pos, "%s names %s twice, expected once", name, v.describe())
-		default:
-			out = append(out, s)
-		}
-	}
-	*to = out
-}
-
-// Pairs declares a map: (name (key value) ...). check may be nil.
-func (f *Form) Pairs(name, doc, want string, to *map[string]string, check func(key, value string) bool) {
-	n, values := f.take(name, doc, want, func() string {
-		var out []string
-		for _, k := range sortedKeys(*to) {
-			out = append(out, "("+Quote(k)+" "+Quote((*to)[k])+")")
-		}
-		return strings.Join(out, " ")
-	})
-	if n == nil {
-		return
-	}
-	out := map[string]string{}
-	for _, v := range values {
-		pair := v.Values()
-		if v.Kind != List || len(pair) != 2 || pair[0].Kind == List || pair[1].Kind == List ||
-			check != nil && !check(pair[0].Text, pair[1].Text) {
-			f.faults.Add(v.Pos, "%s has %s, expected %s", name, v.describe(), want)
-			continue
-		}
-		if _, twice := out[pair[0].Text]; twice {
-			f.faults.Add(v.Pos, "%s names %q twice, expected once", name, clip(pair[0].Text))
-		}
-		out[pair[0].Text] = pair[1].Text
-	}
-	*to = out
-}
-
 // Group declares a list of fields of its own: (name (field value) ...).
 func (f *Form) Group(name, doc string, bind func(f *Form)) {
-	n, _ := f.take(name, doc, "a list of fields", func() string { return "" })
-	f.nest(n, name, bind)
+	n, _ := f.declare(name, doc, "a list of fields", func() string { return "" })
+	nested := f.bindNested(n, name, bind)
+	f.fields[len(f.fields)-1].Forms = []*Form{nested}
 }
 
 // Each declares a list of fields that may stand any number of times; bind is called for each. label is its first value,
@@ -183,16 +118,14 @@
 		}
 		labels[label] = true
 		rest := &Node{Kind: List, Pos: n.Pos, End: n.End, Items: append([]*Node{values[0]}, values[2:]...)}
-		sub := newForm(rest, f.faults, f.dir, f.path+" "+name)
-		bind(label, sub)
-		sub.done()
-		d.Forms = append(d.Forms, sub)
+		bindLabelled := func(f *Form) { bind(label, f) }
+		d.Forms = append(d.Forms, f.bindNested(rest, name, bindLabelled))
 	}
 }
 
-func (f *Form) nest(n *Node, name string, bind func(f *Form)) {
-	sub := newForm(n, f.faults, f.dir, f.path+" "+name)
-	bind(sub)
-	sub.done()
-	f.fields[len(f.fields)-1].Forms = []*Form{sub}
+func (f *Form) bindNested(n *Node, name string, bind func(f *Form)) *Form {
+	nested := newForm(n, f.faults, f.dir, f.path+" "+name)
+	bind(nested)
+	nested.done()
+	return nested
 }
--- /dev/null
+++ b/internal/operations/settings/pairs.go
@@ -0,0 +1,43 @@
+package settings
+
+import (
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Pairs declares a map: (name (key value) ...). check may be nil.
+func (f *Form) Pairs(name, doc, want string, to *map[string]string, check func(key, value string) bool) {
+	n, values := f.declare(name, doc, want, func() string {
+		var out []string
+		for _, k := range slices.Sorted(maps.Keys(*to)) {
+			out = append(out, "("+Quote(k)+" "+Quote((*to)[k])+")")
+		}
+		return strings.Join(out, " ")
+	})
+	if n == nil {
+		return
+	}
+	out := map[string]string{}
+	for _, v := range values {
+		key, value, ok := v.pair()
+		if !ok || check != nil && !check(key, value) {
+			f.faults.Add(v.Pos, "%s has %s, expected %s", name, v.describe(), want)
+			continue
+		}
+		if _, twice := out[key]; twice {
+			f.faults.Add(v.Pos, "%s names %q twice, expected once", name, clip(key))
+		}
+		out[key] = value
+	}
+	*to = out
+}
+
+// pair is the key and value of a list (key value).
+func (n *Node) pair() (key, value string, ok bool) {
+	items := n.Values()
+	if n.Kind != List || len(items) != 2 || items[0].Kind == List || items[1].Kind == List {
+		return "", "", false
+	}
+	return items[0].Text, items[1].Text, true
+}
--- /dev/null
+++ b/internal/operations/settings/parse.go
@@ -0,0 +1,204 @@
+package settings
+
+import (
+	"bytes"
+	"strings"
+	"unicode"
+	"unicode/utf8"
+)
+
+// Parse reads the form of a file. name stands in the faults, all of which are reported. The tree is returned even with
+// faults, as far as it could be read, so that its contents can be checked in the same pass.
+func Parse(name string, data []byte) (*Node, *Faults) {
+	faults := &Faults{file: name}
+	root := &Node{Kind: List, Pos: Pos{1, 1}}
+	if len(data) > MaxBytes {
+		faults.Add(Pos{1, 1}, "the file has %d bytes, expected at most %d", len(data), MaxBytes)
+		return root, faults
+	}
+	if i := firstInvalid(data); i >= 0 {
+		faults.Add(position(data[:i]), "a byte that is no UTF-8, expected text")
+		return root, faults
+	}
+	p := &parser{rest: string(data), pos: Pos{1, 1}, faults: faults}
+	p.items(root, 0)
+	return root, faults
+}
+
+// position is the place after some text.
+func position(text []byte) Pos {
+	lineStart := bytes.LastIndexByte(text, '\n') + 1
+	return Pos{Line: 1 + bytes.Count(text, []byte("\n")), Col: 1 + utf8.RuneCount(text[lineStart:])}
+}
+
+// firstInvalid is the index of the first byte that is no UTF-8; -1: there is none.
+func firstInvalid(data []byte) int {
+	for i := 0; i < len(data); {
+		c, n := utf8.DecodeRune(data[i:])
+		if c == utf8.RuneError && n == 1 {
+			return i
+		}
+		i += n
+	}
+	return -1
+}
+
+// parser reads nodes one by one.
+type parser struct {
+	rest   string
+	pos    Pos
+	faults *Faults
+}
+
+// peek gives the next character; 0 at the end.
+func (p *parser) peek() rune {
+	c, n := utf8.DecodeRuneInString(p.rest)
+	if n == 0 {
+		return 0
+	}
+	return c
+}
+
+func (p *parser) next() rune {
+	c, n := utf8.DecodeRuneInString(p.rest)
+	p.rest = p.rest[n:]
+	if c == '\n' {
+		p.pos = Pos{p.pos.Line + 1, 1}
+	} else {
+		p.pos.Col++
+	}
+	return c
+}
+
+func (p *parser) skipSpace() {
+	for p.rest != "" && unicode.IsSpace(p.peek()) {
+		p.next()
+	}
+}
+
+// items reads up to the bracket that closes list, or the end of the file where it is the root.
+func (p *parser) items(list *Node, depth int) {
+	lastLine := 0 // on which the previous element ended
+	if depth > 0 {
+		lastLine = list.Pos.Line
+	}
+	for {
+		p.skipSpace()
+		at := p.pos
+		if p.rest == "" {
+			if depth > 0 {
+				p.faults.Add(list.Pos, "%s is not closed, expected )", list.describe())
+			}
+			list.End = at
+			return
+		}
+		if p.peek() == ')' {
+			p.next()
+			if depth > 0 {
+				list.End = at
+				return
+			}
+			p.faults.Add(at, "a ) that closes nothing")
+			continue
+		}
+		n := &Node{Pos: at, afterBlankLine: lastLine > 0 && at.Line > lastLine+1}
+		if !p.node(n, depth, lastLine) {
+			return
+		}
+		list.Items = append(list.Items, n)
+		lastLine = p.pos.Line
+	}
+}
+
+// node reads one node; false: nothing after it can be read.
+func (p *parser) node(n *Node, depth, lastLine int) bool {
+	switch p.peek() {
+	case '(':
+		p.next()
+		n.Kind = List
+		if depth >= MaxDepth {
+			p.faults.Add(n.Pos, "lists %d deep, expected at most %d", depth+1, MaxDepth)
+			p.rest = ""
+			return false
+		}
+		p.items(n, depth+1)
+	case ';':
+		p.comment(n)
+		n.sameLine = n.Pos.Line == lastLine
+	case '"':
+		p.text(n)
+	default:
+		p.word(n)
+	}
+	return true
+}
+
+func (p *parser) comment(n *Node) {
+	end := strings.IndexByte(p.rest, '\n')
+	if end < 0 {
+		end = len(p.rest)
+	}
+	n.Kind, n.Text = Comment, strings.TrimRightFunc(p.rest[:end], unicode.IsSpace)
+	for range utf8.RuneCountInString(p.rest[:end]) {
+		p.next()
+	}
+}
+
+func (p *parser) word(n *Node) {
+	var b strings.Builder
+	for p.rest != "" && !endsWord(p.peek()) {
+		c := p.next()
+		if unicode.IsControl(c) {
+			p.faults.Add(n.Pos, "a control character in a word, expected printable text")
+		}
+		b.WriteRune(c)
+	}
+	n.Kind, n.Text = Word, b.String()
+}
+
+func endsWord(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
+
+// text reads a quoted text.
+func (p *parser) text(n *Node) {
+	n.Kind = Text
+	p.next()
+	var b strings.Builder
+	for {
+		if p.rest == "" {
+			p.faults.Add(n.Pos, `a text is not closed, expected "`)
+			return
+		}
+		at := p.pos
+		switch c := p.next(); c {
+		case '"':
+			n.Text = b.String()
+			return
+		case '\n':
+			p.faults.Add(n.Pos, `a text runs over the end of its line, expected " (a line break is written \n)`)
+			return
+		case '\\':
+			p.escape(&b, at)
+		default:
+			b.WriteRune(c)
+		}
+	}
+}
+
+// escape reads what follows a backslash at a place.
+func (p *parser) escape(b *strings.Builder, at Pos) {
+	if p.rest == "" {
+		return
+	}
+	switch c := p.next(); c {
+	case 'n':
+		b.WriteByte('\n')
+	case 't':
+		b.WriteByte('\t')
+	case 'r':
+		b.WriteByte('\r')
+	case '"', '\\':
+		b.WriteRune(c)
+	default:
+		p.faults.Add(at, `\%c in a text, expected \n, \t, \r, \" or \\`, c)
+	}
+}
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -6,7 +6,7 @@
 
 // Path declares the path of a file; a relative one starts from the folder of the settings.
 func (f *Form) Path(name, doc string, to *string) {
-	f.one(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
+	f.single(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
 		*to = f.resolve(s)
 		return s != ""
 	})
@@ -14,7 +14,7 @@
 
 // Paths declares some paths.
 func (f *Form) Paths(name, doc string, to *[]string) {
-	f.many(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
+	f.list(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
 }
 
 func (f *Form) resolve(s string) string {
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// width is how long a printed line may get before its list is broken up.
-const width = 100
+// maxLine is how many bytes a printed line may have before its list is broken up.
+const maxLine = 100
 
 // Print writes a file in its one form: what fits on a line stands on one, two blanks a level, comments where they were.
 // Reading it back gives the same nodes, and printing them again the same bytes.
@@ -20,7 +20,7 @@
 			b.WriteString("  " + n.Text + "\n")
 			continue
 		}
-		if i > 0 && n.gap {
+		if i > 0 && n.afterBlankLine {
 			b.WriteByte('\n')
 		}
 		b.WriteString(strings.Repeat(" ", indent))
@@ -32,30 +32,32 @@
 }
 
 func printNode(b *strings.Builder, n *Node, indent int) {
-	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= width) {
+	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= maxLine) {
 		b.WriteString(flat)
 		return
 	}
-	// The words at the list's head stay on its first line; a closing bracket never follows a comment.
 	b.WriteByte('(')
-	head := 0
-	for head < len(n.Items) && head < 2 && n.Items[head].Kind == Word {
+	head := printHead(b, n.Items)
+	b.WriteByte('\n')
+	printItems(b, n.Items[head:], indent+2)
+	b.WriteString(strings.Repeat(" ", indent) + ")")
+}
+
+// printHead writes the items of a list that stay on its first line, and gives their number: up to two words, and a comment beside them, which a
+// closing bracket can't follow.
+func printHead(b *strings.Builder, items []*Node) (head int) {
+	for head < len(items) && head < 2 && items[head].Kind == Word {
 		if head > 0 {
 			b.WriteByte(' ')
 		}
-		b.WriteString(n.Items[head].Text)
+		b.WriteString(items[head].Text)
 		head++
 	}
-	if head == 0 && len(n.Items) > 0 && n.Items[0].Kind == Comment {
-		b.WriteString("  " + n.Items[0].Text)
-		head = 1
-	} else if head < len(n.Items) && n.Items[head].Kind == Comment && n.Items[head].sameLine {
-		b.WriteString("  " + n.Items[head].Text)
+	if head < len(items) && items[head].Kind == Comment && (head == 0 || items[head].sameLine) {
+		b.WriteString("  " + items[head].Text)
 		head++
 	}
-	b.WriteByte('\n')
-	printItems(b, n.Items[head:], indent+2)
-	b.WriteString(strings.Repeat(" ", indent) + ")")
+	return head
 }
 
 // flatten writes a node on one line; a comment can't stand inside one.
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -5,12 +5,14 @@
 	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 )
 
 // Section is what a package may be told in the operators' file.
 type Section struct {
-	Name, Doc string
+	Name string
+	Doc  string
 	// Bind declares the section's fields on f and gives the value that holds them. For a file without the section the
 	// form is empty, and the value is the default.
 	Bind func(f *Form) any
@@ -53,65 +55,75 @@
 func (s Schema) Read(path string, data []byte) (*File, error) {
 	root, faults := Parse(path, data)
 	f := &File{Path: path, Root: root, values: map[string]any{}, forms: map[string]*Form{}}
+	nodes := s.sections(root, faults)
+	for _, section := range s {
+		form := newForm(nodes[section.Name], faults, filepath.Dir(path), section.Name)
+		f.values[section.Name] = section.Bind(form)
+		form.done()
+		f.forms[section.Name] = form
+	}
+	return f, faults.Err()
+}
+
+// sections finds each section's node, and reports those that are unknown or repeated.
+func (s Schema) sections(root *Node, faults *Faults) map[string]*Node {
 	found := map[string]*Node{}
 	names := make([]string, 0, len(s))
-	for _, x := range s {
-		names = append(names, x.Name)
+	for _, section := range s {
+		names = append(names, section.Name)
 	}
 	for _, n := range root.Values() {
 		name := n.Name()
 		switch first := found[name]; {
 		case name == "":
 			faults.Add(n.Pos, "%s, expected (section ...)", n.describe())
-		case !contains(names, name):
-			faults.Add(n.Pos, "section %q is unknown%s", clip(name), nearest(name, names))
+		case !slices.Contains(names, name):
+			faults.Add(n.Pos, "section %q is unknown%s", clip(name), suggestion(name, names))
 		case first != nil:
 			faults.Add(n.Pos, "section %q stands a second time, first on line %d, expected once", name, first.Pos.Line)
 		default:
 			found[name] = n
 		}
 	}
-	for _, x := range s {
-		form := newForm(found[x.Name], faults, filepath.Dir(path), x.Name)
-		f.values[x.Name] = x.Bind(form)
-		form.done()
-		f.forms[x.Name] = form
-	}
-	return f, faults.Err()
+	return found
 }
 
 // Show writes every section with the value that each field has, defaults marked, in the form of a file.
 func (s Schema) Show(w io.Writer, f *File) {
-	for i, x := range s {
+	for i, section := range s {
 		if i > 0 {
 			fmt.Fprintln(w)
 		}
-		fmt.Fprintf(w, "; %s\n(%s\n", x.Doc, x.Name)
-		showFields(w, f.forms[x.Name], 1)
+		fmt.Fprintf(w, "; %s\n(%s\n", section.Doc, section.Name)
+		showFields(w, f.forms[section.Name], 1)
 		fmt.Fprintln(w, ")")
 	}
 }
 
 func showFields(w io.Writer, form *Form, depth int) {
-	pad := strings.Repeat("  ", depth)
+	indent := strings.Repeat("  ", depth)
 	for _, d := range form.Fields() {
-		if d.Forms != nil {
-			for _, sub := range d.Forms {
-				fmt.Fprintf(w, "%s(%s  ; %s\n", pad, d.Name, d.Doc)
-				showFields(w, sub, depth+1)
-				fmt.Fprintf(w, "%s)\n", pad)
-			}
+		if d.Forms == nil {
+			fmt.Fprintln(w, indent+d.describe())
 			continue
 		}
-		origin := ""
-		if !d.Set {
-			origin = " (default)"
-		}
-		value := d.Value()
-		if value == "" || value == `""` {
-			fmt.Fprintf(w, "%s; (%s ...)  ; not set: %s; takes %s\n", pad, d.Name, d.Doc, d.Want)
-			continue
+		for _, nested := range d.Forms {
+			fmt.Fprintf(w, "%s(%s  ; %s\n", indent, d.Name, d.Doc)
+			showFields(w, nested, depth+1)
+			fmt.Fprintf(w, "%s)\n", indent)
 		}
-		fmt.Fprintf(w, "%s(%s %s)  ; %s%s\n", pad, d.Name, value, d.Doc, origin)
 	}
 }
+
+// describe is the field as Show prints it.
+func (f *Field) describe() string {
+	value := f.Value()
+	if value == "" || value == `""` {
+		return fmt.Sprintf("; (%s ...)  ; not set: %s; takes %s", f.Name, f.Doc, f.Want)
+	}
+	origin := ""
+	if !f.Set {
+		origin = " (default)"
+	}
+	return fmt.Sprintf("(%s %s)  ; %s%s", f.Name, value, f.Doc, origin)
+}
--- /dev/null
+++ b/internal/operations/settings/units.go
@@ -0,0 +1,73 @@
+package settings
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// unit is a unit of time or size.
+type unit[T int64 | time.Duration] struct {
+	name string
+	size T
+}
+
+// Largest first; a value is printed in the largest unit that it is a whole number of.
+var (
+	timeUnits = []unit[time.Duration]{{"d", 24 * time.Hour}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second},
+		{"ms", time.Millisecond}, {"us", time.Microsecond}, {"ns", 1}}
+	sizeUnits = []unit[int64]{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
+)
+
+// ParseDuration reads a time with one unit: d, h, m, s, ms, us or ns.
+func ParseDuration(s string) (time.Duration, bool) { return parseUnit(s, timeUnits) }
+
+// FormatDuration writes a time as ParseDuration reads it.
+func FormatDuration(d time.Duration) string { return formatUnit(d, timeUnits) }
+
+// ParseSize reads a number of bytes with its unit: B, KiB, MiB or GiB.
+func ParseSize(s string) (int64, bool) { return parseUnit(s, sizeUnits) }
+
+// FormatSize writes a size as ParseSize reads it.
+func FormatSize(n int64) string { return formatUnit(n, sizeUnits) }
+
+const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
+
+func parseUnit[T int64 | time.Duration](s string, units []unit[T]) (T, bool) {
+	digits := strings.TrimRight(s, letters)
+	for _, u := range units {
+		if s[len(digits):] != u.name {
+			continue
+		}
+		x, ok := parseDecimal(digits)
+		if !ok {
+			return 0, false
+		}
+		if x *= float64(u.size); x >= math.MaxInt64 {
+			return 0, false
+		}
+		return T(math.Round(x)), true
+	}
+	return 0, false
+}
+
+func formatUnit[T int64 | time.Duration](x T, units []unit[T]) string {
+	for _, u := range units {
+		if x != 0 && x%u.size == 0 {
+			return strconv.FormatInt(int64(x/u.size), 10) + u.name
+		}
+	}
+	return "0" + units[len(units)-1].name
+}
+
+// parseDecimal reads digits with at most one point. ParseFloat alone takes words, exponents and signs as well.
+func parseDecimal(s string) (float64, bool) {
+	if s == "" || strings.Trim(s, "0123456789.") != "" {
+		return 0, false
+	}
+	x, err := strconv.ParseFloat(s, 64)
+	return x, err == nil
+}
+
+func formatPercent(x float64) string { return strconv.FormatFloat(x*100, 'f', -1, 64) + "%" }
