--- a/internal/app/command/command.go
+++ b/internal/app/command/command.go
@@ -170,5 +170,5 @@
 	if err != nil {
 		return err
 	}
-	return certs.Replace(path, out, info.Mode().Perm())
+	return certs.ReplaceFile(path, out, info.Mode().Perm())
 }
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -72,7 +72,7 @@
 }
 
 // stderr is where the log goes. Whoever reads it may stop reading.
-var stderr = logging.NewUnblocked(os.Stderr)
+var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
 // Logs makes the log what the file says, in another form where one is given: the command line wins over the file, also
 // once that is read again.
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -121,7 +121,7 @@
 
 // trace logs how the call ended.
 func (q *call) trace(ch proxy.Change, err error) {
-	if logging.Tracing() {
+	if logging.DebugEnabled() {
 		slog.Debug("discovery_call", "addr", q.client.addr, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.began)/1e6,
 			"rev", ch.Version, "hosts", len(ch.Hosts), "err", err)
 	}
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -147,7 +147,7 @@
 
 // trace logs why a connection without a request ends.
 func (d *downstream) trace(reason string) {
-	if logging.Tracing() {
+	if logging.DebugEnabled() {
 		slog.Debug("idle_client_closed", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
 	}
 }
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -62,7 +62,7 @@
 }
 
 // tracing tells whether the log takes the life of each request.
-func tracing() bool { return logging.Tracing() }
+func tracing() bool { return logging.DebugEnabled() }
 
 // send begins an attempt.
 func (c *Core) send(p *pool, id, server string, timeout balancer.Time) {
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -59,7 +59,7 @@
 func (b *bench) file(file string, data []byte) string {
 	b.t.Helper()
 	path := filepath.Join(b.dir, file)
-	if err := certs.Replace(path, data, 0o600); err != nil {
+	if err := certs.ReplaceFile(path, data, 0o600); err != nil {
 		b.t.Fatal(err)
 	}
 	return path
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -161,7 +161,7 @@
 		t.Errorf("the right password: %v", err)
 	}
 	os.Chmod(good.Key, 0o640)
-	if _, err := Load(good, 1); !errors.Is(err, certs.ErrOpenKey) {
+	if _, err := Load(good, 1); !errors.Is(err, certs.ErrKeyPermissions) {
 		t.Errorf("a key that others may read: %v", err)
 	}
 }
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -78,7 +78,7 @@
 		for _, c := range bundle {
 			if !c.IsCA {
 				faults = append(faults, fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
-			} else if w := certs.Weak(c); w != "" {
+			} else if w := certs.Weakness(c); w != "" {
 				faults = append(faults, fmt.Errorf("%s: %s: %s", path, c.Subject, w))
 			}
 			m.roots.AddCert(c)
@@ -105,14 +105,14 @@
 		pair, err := certs.LoadPair(o.Certificate, o.Key, o.Password)
 		if err != nil {
 			faults = append(faults, err)
-		} else if w := certs.Weak(pair.Cert); w != "" {
+		} else if w := certs.Weakness(pair.Cert); w != "" {
 			faults = append(faults, fmt.Errorf("%s: %s", o.Certificate, w))
 		} else if !usable(pair.Cert, x509.ExtKeyUsageClientAuth) {
 			faults = append(faults, fmt.Errorf("%s: not for clients, which the proxy is to its hosts", o.Certificate))
 		} else {
 			m.own = &tls.Certificate{PrivateKey: pair.Key, Leaf: pair.Cert, Certificate: [][]byte{pair.Cert.Raw}}
 			m.ownEnd = pair.Cert.NotAfter
-			for _, c := range pair.Rest {
+			for _, c := range pair.Chain {
 				m.own.Certificate = append(m.own.Certificate, c.Raw)
 				m.ownEnd = earlier(m.ownEnd, c.NotAfter)
 			}
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -48,19 +48,19 @@
 	look(false)
 	// A certificate whose key comes later.
 	pair, _ := b.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
-	certs.Replace(b.opt.Certificate, pair.PEM(), 0o644)
+	certs.ReplaceFile(b.opt.Certificate, pair.PEM(), 0o644)
 	look(false)
 	key, _ := pair.KeyPEM(nil)
-	certs.Replace(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(b.opt.Key, key, 0o600)
 	if next := look(true); next.own.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
 	// The same content under a new inode is no replacement.
-	certs.Replace(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(b.opt.Key, key, 0o600)
 	look(false)
 	os.Remove(b.opt.Key)
 	look(false)
-	certs.Replace(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(b.opt.Key, key, 0o600)
 	look(false)
 }
 
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -60,7 +60,7 @@
 
 func (m *Material) verify(shown []*x509.Certificate, name Name, now time.Time) (span, error) {
 	leaf := shown[0]
-	if w := certs.Weak(leaf); w != "" {
+	if w := certs.Weakness(leaf); w != "" {
 		return span{}, fault(WeakKey, "%s: %s", leaf.Subject, w)
 	}
 	between := x509.NewCertPool()
@@ -115,7 +115,7 @@
 			s.from = c.NotBefore
 		}
 		s.until = earlier(s.until, c.NotAfter)
-		if w := certs.Weak(c); w != "" {
+		if w := certs.Weakness(c); w != "" {
 			return s, fault(WeakKey, "%s: %s", c.Subject, w)
 		}
 		if i+1 == len(chain) {
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -1,4 +1,4 @@
-// Package certs makes, reads and looks into certificates and keys, on files. It owns their forms on disk: PEM, keys in
+// Package certs makes, reads and describes certificates and keys, on files. It owns their forms on disk: PEM, keys in
 // PKCS #8 that only their owner may read, encrypted where a password is given. Keys and encryption are go.step.sm/crypto's.
 package certs
 
@@ -21,9 +21,9 @@
 
 // Pair is a certificate with its key.
 type Pair struct {
-	Cert *x509.Certificate
-	Key  crypto.Signer
-	Rest []*x509.Certificate // the chain above it, without the root
+	Cert  *x509.Certificate
+	Key   crypto.Signer
+	Chain []*x509.Certificate // those above it, without the root
 }
 
 // Spec says what a certificate is to hold.
@@ -32,13 +32,13 @@
 	Hosts     []string // DNS names, addresses and URIs
 	NotBefore time.Time
 	NotAfter  time.Time
-	Server    bool
-	Client    bool
-	CA        bool
-	Key       string // ec (P-256), ec384, ed25519, rsa, rsa1024
+	Server    bool   // it may authenticate servers
+	Client    bool   // it may authenticate clients
+	CA        bool   // it may issue others
+	Key       string // a kind of KeyKinds; default ec
 }
 
-// KeyKinds are the kinds of key that are made. The last is for stand-ins only: everything refuses it.
+// KeyKinds are the kinds of key that are made; ec is P-256. The last is for tests only: everything rejects it.
 var KeyKinds = []string{"ec", "ec384", "ed25519", "rsa", "rsa1024"}
 
 // NewKey makes a key.
@@ -53,7 +53,7 @@
 	case "rsa":
 		return keyutil.GenerateSigner("RSA", "", 2048)
 	case "rsa1024":
-		return rsa.GenerateKey(rand.Reader, 1024) // too weak, so step does not make it
+		return rsa.GenerateKey(rand.Reader, 1024) // too weak, so the library does not make it
 	}
 	return nil, fmt.Errorf("key kind %q, expected one of %s", kind, strings.Join(KeyKinds, ", "))
 }
@@ -69,58 +69,91 @@
 
 // IssueFor is Issue for a key that exists.
 func IssueFor(issuer *Pair, spec Spec, key crypto.Signer) (*Pair, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 126))
+	template, err := spec.template()
 	if err != nil {
 		return nil, err
 	}
-	if !spec.NotAfter.After(spec.NotBefore) {
-		return nil, fmt.Errorf("it would end %v, before it begins %v", spec.NotAfter, spec.NotBefore)
+	parent, signer := template, key
+	if issuer != nil {
+		parent, signer = issuer.Cert, issuer.Key
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, key.Public(), signer)
+	if err != nil {
+		return nil, err
+	}
+	cert, err := x509.ParseCertificate(der)
+	if err != nil {
+		return nil, err
+	}
+	return &Pair{Cert: cert, Key: key, Chain: issuer.chainBelow()}, nil
+}
+
+// chainBelow is the chain of a certificate that p issues, without the root; none for one that signs itself.
+func (p *Pair) chainBelow() []*x509.Certificate {
+	if p == nil || p.Cert.Subject.String() == p.Cert.Issuer.String() {
+		return nil
 	}
-	t := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: spec.Name}, NotBefore: spec.NotBefore,
-		NotAfter: spec.NotAfter, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageDigitalSignature}
-	if spec.CA {
+	return append([]*x509.Certificate{p.Cert}, p.Chain...)
+}
+
+const serialBits = 126 // of randomness
+
+// template is the certificate before it is signed.
+func (s *Spec) template() (*x509.Certificate, error) {
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+	if err != nil {
+		return nil, err
+	}
+	if !s.NotAfter.After(s.NotBefore) {
+		return nil, fmt.Errorf("it would end %v, before it begins %v", s.NotAfter, s.NotBefore)
+	}
+	t := &x509.Certificate{
+		SerialNumber:          serial,
+		Subject:               pkix.Name{CommonName: s.Name},
+		NotBefore:             s.NotBefore,
+		NotAfter:              s.NotAfter,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageDigitalSignature,
+	}
+	if s.CA {
 		t.IsCA, t.KeyUsage = true, x509.KeyUsageCertSign|x509.KeyUsageCRLSign
 	}
-	if spec.Server {
+	if s.Server {
 		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 	}
-	if spec.Client {
+	if s.Client {
 		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageClientAuth)
 	}
-	for _, h := range spec.Hosts {
-		if ip := net.ParseIP(h); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
-		} else if strings.Contains(h, "://") {
-			u, err := url.Parse(h)
-			if err != nil {
-				return nil, fmt.Errorf("name %q: %v", h, err)
-			}
-			t.URIs = append(t.URIs, u)
-		} else if h == "" || strings.ContainsAny(h, " /") {
-			return nil, fmt.Errorf("name %q is no DNS name, address or URI", h)
-		} else {
-			t.DNSNames = append(t.DNSNames, h)
+	for _, name := range s.Hosts {
+		if err := addName(t, name); err != nil {
+			return nil, err
 		}
 	}
-	parent, signer, rest := t, key, []*x509.Certificate(nil)
-	if issuer != nil {
-		parent, signer = issuer.Cert, issuer.Key
-		if issuer.Cert.Subject.String() != issuer.Cert.Issuer.String() {
-			rest = append([]*x509.Certificate{issuer.Cert}, issuer.Rest...)
-		}
+	return t, nil
+}
+
+// addName adds an address, URI or DNS name.
+func addName(t *x509.Certificate, name string) error {
+	if ip := net.ParseIP(name); ip != nil {
+		t.IPAddresses = append(t.IPAddresses, ip)
+		return nil
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, parent, key.Public(), signer)
-	if err != nil {
-		return nil, err
+	if strings.Contains(name, "://") {
+		u, err := url.Parse(name)
+		if err != nil {
+			return fmt.Errorf("name %q: %w", name, err)
+		}
+		t.URIs = append(t.URIs, u)
+		return nil
 	}
-	cert, err := x509.ParseCertificate(der)
-	if err != nil {
-		return nil, err
+	if name == "" || strings.ContainsAny(name, " /") {
+		return fmt.Errorf("name %q is no DNS name, address or URI", name)
 	}
-	return &Pair{Cert: cert, Key: key, Rest: rest}, nil
+	t.DNSNames = append(t.DNSNames, name)
+	return nil
 }
 
-// Revoke makes a list of certificates that ca takes back.
+// Revoke makes the PEM of a list of certificates that ca revokes.
 func Revoke(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
 	l := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
 	for _, c := range certs {
--- a/internal/operations/certs/certs_test.go
+++ b/internal/operations/certs/certs_test.go
@@ -35,7 +35,7 @@
 		if _, err := LoadPair(cert, key, ""); err != nil {
 			t.Errorf("%s: %v", kind, err)
 		}
-		if w := Weak(p.Cert); (w != "") != (kind == "rsa1024") {
+		if w := Weakness(p.Cert); (w != "") != (kind == "rsa1024") {
 			t.Errorf("%s: weak %q", kind, w)
 		}
 		if d := Describe(p.Cert, time.Now()); !strings.Contains(d, "a.test 10.0.0.1 spiffe://x/y") || !strings.Contains(d, "left") {
@@ -77,7 +77,7 @@
 			t.Error("nothing, and no error")
 		}
 		for _, c := range all {
-			Weak(c)
+			Weakness(c)
 			Describe(c, time.Unix(0, 0))
 		}
 	})
--- a/internal/operations/certs/describe.go
+++ b/internal/operations/certs/describe.go
@@ -7,20 +7,26 @@
 	"crypto/sha256"
 	"crypto/x509"
 	"fmt"
+	"slices"
 	"strings"
 	"time"
 )
 
-// Weak tells why a certificate's key or signature is too weak to be taken; "" if it is not.
-func Weak(c *x509.Certificate) string {
+const (
+	minRSABits = 2048
+	minECBits  = 256
+)
+
+// Weakness says why a certificate's key or signature is too weak to be accepted; "" if it is not.
+func Weakness(c *x509.Certificate) string {
 	switch k := c.PublicKey.(type) {
 	case *rsa.PublicKey:
-		if k.N.BitLen() < 2048 {
-			return fmt.Sprintf("RSA key of %d bits, expected 2048 at least", k.N.BitLen())
+		if k.N.BitLen() < minRSABits {
+			return fmt.Sprintf("RSA key of %d bits, expected %d at least", k.N.BitLen(), minRSABits)
 		}
 	case *ecdsa.PublicKey:
-		if k.Curve.Params().BitSize < 256 {
-			return fmt.Sprintf("EC key of %d bits, expected 256 at least", k.Curve.Params().BitSize)
+		if k.Curve.Params().BitSize < minECBits {
+			return fmt.Sprintf("EC key of %d bits, expected %d at least", k.Curve.Params().BitSize, minECBits)
 		}
 	case ed25519.PublicKey:
 	default:
@@ -33,10 +39,10 @@
 	return ""
 }
 
-// Print is the fingerprint of a certificate, by which people compare them.
-func Print(c *x509.Certificate) string { return fmt.Sprintf("%x", sha256.Sum256(c.Raw)) }
+// Fingerprint is the hash of a certificate, by which people compare them.
+func Fingerprint(c *x509.Certificate) string { return fmt.Sprintf("%x", sha256.Sum256(c.Raw)) }
 
-// Describe is what an operator wants to know of a certificate.
+// Describe is what an operator wants to know of a certificate, a line each.
 func Describe(c *x509.Certificate, now time.Time) string {
 	var b strings.Builder
 	line := func(name, format string, args ...any) {
@@ -45,40 +51,50 @@
 	line("subject", "%s", c.Subject)
 	line("issuer", "%s", c.Issuer)
 	line("serial", "%x", c.SerialNumber)
-	var names []string
-	names = append(names, c.DNSNames...)
+	line("names", "%s", strings.Join(names(c), " "))
+	line("valid", "%s to %s (%s)", c.NotBefore.UTC().Format(time.RFC3339), c.NotAfter.UTC().Format(time.RFC3339), validity(c, now))
+	line("use", "%s", strings.Join(uses(c), " "))
+	key := c.PublicKeyAlgorithm.String()
+	if w := Weakness(c); w != "" {
+		key += " (too weak: " + w + ")"
+	}
+	line("key", "%s, signed with %s", key, c.SignatureAlgorithm)
+	line("sha256", "%s", Fingerprint(c))
+	return b.String()
+}
+
+func names(c *x509.Certificate) []string {
+	all := slices.Clone(c.DNSNames)
 	for _, ip := range c.IPAddresses {
-		names = append(names, ip.String())
+		all = append(all, ip.String())
 	}
 	for _, u := range c.URIs {
-		names = append(names, u.String())
+		all = append(all, u.String())
 	}
-	line("names", "%s", strings.Join(names, " "))
-	state := fmt.Sprintf("%s left", c.NotAfter.Sub(now).Round(time.Second))
-	if now.Before(c.NotBefore) {
-		state = "not yet valid"
-	} else if now.After(c.NotAfter) {
-		state = "EXPIRED"
+	return all
+}
+
+func validity(c *x509.Certificate, now time.Time) string {
+	switch {
+	case now.Before(c.NotBefore):
+		return "not yet valid"
+	case now.After(c.NotAfter):
+		return "EXPIRED"
 	}
-	line("valid", "%s to %s (%s)", c.NotBefore.UTC().Format(time.RFC3339), c.NotAfter.UTC().Format(time.RFC3339), state)
-	var uses []string
+	return fmt.Sprintf("%s left", c.NotAfter.Sub(now).Round(time.Second))
+}
+
+func uses(c *x509.Certificate) (all []string) {
 	for _, u := range c.ExtKeyUsage {
 		switch u {
 		case x509.ExtKeyUsageServerAuth:
-			uses = append(uses, "server")
+			all = append(all, "server")
 		case x509.ExtKeyUsageClientAuth:
-			uses = append(uses, "client")
+			all = append(all, "client")
 		}
 	}
 	if c.IsCA {
-		uses = append(uses, "ca")
+		all = append(all, "ca")
 	}
-	line("use", "%s", strings.Join(uses, " "))
-	key := c.PublicKeyAlgorithm.String()
-	if w := Weak(c); w != "" {
-		key += " (too weak: " + w + ")"
-	}
-	line("key", "%s, signed with %s", key, c.SignatureAlgorithm)
-	line("sha256", "%s", Print(c))
-	return b.String()
+	return all
 }
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -1,6 +1,7 @@
 package certs
 
 import (
+	"cmp"
 	"crypto"
 	"crypto/x509"
 	"encoding/pem"
@@ -17,7 +18,7 @@
 
 // PEM is the certificate with its chain as it stands in a file.
 func (p *Pair) PEM() []byte {
-	return Bundle(append([]*x509.Certificate{p.Cert}, p.Rest...)...)
+	return Bundle(append([]*x509.Certificate{p.Cert}, p.Chain...)...)
 }
 
 // Bundle writes certificates as they stand in a file.
@@ -42,44 +43,46 @@
 	return pem.EncodeToMemory(block), nil
 }
 
-// Save writes both files, each whole or not at all: the key first, since a watcher that sees only the certificate would
+// Save writes both files, each completely or not at all: the key first, since a watcher that sees only the certificate would
 // find that they do not match.
 func (p *Pair) Save(certFile, keyFile string, password []byte) error {
 	key, err := p.KeyPEM(password)
 	if err != nil {
 		return err
 	}
-	if err := Replace(keyFile, key, 0o600); err != nil {
+	if err := ReplaceFile(keyFile, key, 0o600); err != nil {
 		return err
 	}
-	return Replace(certFile, p.PEM(), 0o644)
+	return ReplaceFile(certFile, p.PEM(), 0o644)
 }
 
-// Replace puts a whole file in the place of another at once.
-func Replace(path string, data []byte, mode fs.FileMode) error {
+// ReplaceFile puts a complete file in the place of another at once.
+func ReplaceFile(path string, data []byte, mode fs.FileMode) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(data)
+	if err := writeSynced(f, data, mode); err != nil {
+		return err
+	}
+	return os.Rename(f.Name(), path)
+}
+
+// writeSynced writes a file to the disk and closes it.
+func writeSynced(f *os.File, data []byte, mode fs.FileMode) error {
+	_, err := f.Write(data)
 	if err == nil {
 		err = f.Chmod(mode)
 	}
 	if err == nil {
 		err = f.Sync()
 	}
-	if e := f.Close(); err == nil {
-		err = e
-	}
-	if err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	return err
+	return cmp.Or(err, f.Close())
 }
 
-// maxFile bounds what is read of a file of certificates.
-const maxFile = 4 << 20
+// maxFileBytes bounds what is read of a file of certificates.
+const maxFileBytes = 4 << 20
 
 // ReadFile reads a file of bounded size.
 func ReadFile(path string) ([]byte, error) {
@@ -87,8 +90,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxFile || !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: %d bytes, mode %v; expected a plain file of at most %d", path, info.Size(), info.Mode(), maxFile)
+	if info.Size() > maxFileBytes || !info.Mode().IsRegular() {
+		return nil, fmt.Errorf("%s: %d bytes, mode %v; expected a plain file of at most %d", path, info.Size(), info.Mode(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
@@ -117,8 +120,8 @@
 	return out, nil
 }
 
-// ErrOpenKey is a key file that others than its owner may read.
-var ErrOpenKey = errors.New("others than its owner may read it; expected mode 0600 or 0400")
+// ErrKeyPermissions is a key file that others than its owner may read.
+var ErrKeyPermissions = errors.New("others than its owner may read it; expected mode 0600 or 0400")
 
 // ReadSecret reads a file that only its owner may read, as ReadFile does.
 func ReadSecret(path string) ([]byte, error) {
@@ -127,7 +130,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: mode %04o: %w", path, info.Mode().Perm(), ErrOpenKey)
+		return nil, fmt.Errorf("%s: mode %04o: %w", path, info.Mode().Perm(), ErrKeyPermissions)
 	}
 	return ReadFile(path)
 }
@@ -138,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options := []pemutil.Options{}
+	var options []pemutil.Options
 	if passwordFile != "" {
 		password, err := ReadSecret(passwordFile)
 		if err != nil {
@@ -159,7 +162,7 @@
 	return key, nil
 }
 
-// LoadPair reads a certificate with its chain and its key, and sees that they belong together.
+// LoadPair reads a certificate with its chain and its key, and checks that they belong together.
 func LoadPair(certFile, keyFile, passwordFile string) (*Pair, error) {
 	data, err := ReadFile(certFile)
 	if err != nil {
@@ -176,5 +179,5 @@
 	if err := keyutil.VerifyPair(chain[0].PublicKey, key); err != nil {
 		return nil, fmt.Errorf("%s does not belong to the key %s", certFile, keyFile)
 	}
-	return &Pair{Cert: chain[0], Key: key, Rest: chain[1:]}, nil
+	return &Pair{Cert: chain[0], Key: key, Chain: chain[1:]}, nil
 }
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -59,7 +59,7 @@
 	for i := range 10 * maxKinds {
 		say(5*time.Second, "c", strings.Repeat("z", i))
 	}
-	if n := len(h.(*limit).table.kinds); n > maxKinds+1 {
+	if n := len(h.(*repeatHandler).limiter.kinds); n > maxKinds+1 {
 		t.Errorf("%d kinds are held", n)
 	}
 }
--- /dev/null
+++ b/internal/operations/logging/nonblocking.go
@@ -0,0 +1,58 @@
+package logging
+
+import (
+	"fmt"
+	"os"
+	"sync"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxLineBytes is what a pipe takes at once where it takes anything; a longer line is cut.
+const maxLineBytes = 4096
+
+// NonBlockingWriter writes lines to a file or a pipe, and leaves out those that would have to wait: whoever reads the log may stop reading, and nobody's
+// request may wait for that. What was left out is counted, and reported before the next line that is written.
+type NonBlockingWriter struct {
+	mutex      sync.Mutex
+	file       *os.File
+	descriptor int32
+	dropped    int // lines
+}
+
+// NewNonBlockingWriter writes to a file.
+func NewNonBlockingWriter(file *os.File) *NonBlockingWriter {
+	return &NonBlockingWriter{file: file, descriptor: int32(file.Fd())}
+}
+
+// Write takes one line. Its error is the file's.
+func (w *NonBlockingWriter) Write(line []byte) (int, error) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if w.dropped > 0 && w.ready() {
+		if _, err := fmt.Fprintf(w.file, "event=log_dropped lines=%d level=warn\n", w.dropped); err != nil {
+			return 0, err
+		}
+		w.dropped = 0
+	}
+	if !w.ready() {
+		w.dropped++
+		return len(line), nil
+	}
+	if len(line) > maxLineBytes {
+		line = append(line[:maxLineBytes-1:maxLineBytes-1], '\n')
+	}
+	return w.file.Write(line)
+}
+
+// ready tells whether a line can be written without waiting. Where the system can't say, it can.
+func (w *NonBlockingWriter) ready() bool {
+	fds := []unix.PollFd{{Fd: w.descriptor, Events: unix.POLLOUT}}
+	for {
+		n, err := unix.Poll(fds, 0)
+		if err == unix.EINTR {
+			continue
+		}
+		return err != nil || n > 0
+	}
+}
--- a/internal/operations/logging/unblocked_test.go
+++ b/internal/operations/logging/nonblocking_test.go
@@ -8,13 +8,13 @@
 )
 
 // A reader of the log that stops reading stopped the proxy with its next lines: every request waited for the pipe.
-func TestALogThatNobodyReadsHoldsNobodyUp(t *testing.T) {
+func TestUnreadLogDelaysNobody(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	u := NewUnblocked(w)
+	u := NewNonBlockingWriter(w)
 	line := []byte("event=x " + strings.Repeat("y", 1000) + "\n")
 	const lines = 500 // far more than a pipe holds
 	for range lines {
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -67,7 +67,7 @@
 		}},
 		{"the servers' certificates, by the second authority, and their ticket keys", servers(other)},
 		{"a client certificate by the second authority, by renaming", client(other)},
-		{"the first authority out of the bundle, by renaming", func() error { return certs.Replace(trust, certs.Bundle(other.Root.Cert), 0o644) }},
+		{"the first authority out of the bundle, by renaming", func() error { return certs.ReplaceFile(trust, certs.Bundle(other.Root.Cert), 0o644) }},
 		{"the servers' certificates once more", servers(other)},
 	}
 	const title = "replacements"
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -47,7 +47,7 @@
 // TLS is a pair as crypto/tls takes it.
 func TLS(p *certs.Pair) *tls.Certificate {
 	c := &tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
-	for _, r := range p.Rest {
+	for _, r := range p.Chain {
 		c.Certificate = append(c.Certificate, r.Raw)
 	}
 	return c
@@ -70,7 +70,7 @@
 		bundle = append(bundle, a.Root.Cert)
 	}
 	path := filepath.Join(dir, "trust.pem")
-	return path, certs.Replace(path, certs.Bundle(bundle...), 0o644)
+	return path, certs.ReplaceFile(path, certs.Bundle(bundle...), 0o644)
 }
 
 // SaveClient writes a new client's pair into dir.
