--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -11,7 +11,7 @@
 type routeIndex struct {
 	conditionSets []conditionSet // most specific first
 	firstByKey    map[matchKey]int32
-	routes        []compiledRoute // those with the same key stand together, the most specific first
+	routes        []compiledRoute // those with the same key are adjacent, the most specific first
 }
 
 // compiledRoute is a route and what follows from it; without a Route it is an account's default.
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// overlaps tells whether some request fits two routes with the same key and the same kinds of further conditions.
+// overlaps reports whether some request fits two routes with the same key and the same kinds of further conditions.
 func (r *Route) overlaps(o *Route) bool {
 	if r.hasShare() && sharesDisjoint(r, o) {
 		return false
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -19,7 +19,7 @@
 
 func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
 
-// classesRoute stands for a route where the account's classes have refused a request.
+// classesRoute is named as the route where the account's classes have refused a request.
 const classesRoute = "classes"
 
 // Verdict is what becomes of a request. It shares memory with the compiled directory and is not to be changed.
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -31,7 +31,7 @@
 	Pools      []Pool      `cbor:"1,keyasint,omitempty"` // by name
 	Accounts   []Account   `cbor:"2,keyasint,omitempty"` // by name: a parent stands before its children
 	Namespaces []Namespace `cbor:"3,keyasint,omitempty"` // by account; "" is the operators' own
-	// Previous is what held before, while something is reassigned: a host or a tenant that is given to another gets nothing until nobody acts
+	// Previous is the assignment before, while something is reassigned: a host or a tenant that is given to another gets nothing until nobody acts
 	// by the version before.
 	Previous *Assignment `cbor:"4,keyasint,omitempty"`
 }
@@ -122,12 +122,12 @@
 	return account[:max(0, i)]
 }
 
-// IsWithin tells whether an account is the other one or below it.
+// IsWithin reports whether an account is the other one or below it.
 func IsWithin(account, top string) bool {
 	return top == "" || account == top || strings.HasPrefix(account, top+"/")
 }
 
-// validName tells whether a name can be written in a file, a log and a path.
+// validName reports whether a name can be written in a file, a log and a path.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -62,7 +62,7 @@
 	return u
 }
 
-// shareFrom is when this proxy goes by its own share of an account: some time after the issuer has begun to reserve that, however late its grants are.
+// shareFrom is when this proxy uses its own share of an account: some time after the issuer has begun to reserve that, however late its grants are.
 func (c *Client) shareFrom(account string) Time {
 	return c.shards[Shard(account)].grantsUntil + silentAfterLifetimes*c.GrantLifetime
 }
@@ -148,7 +148,7 @@
 	return "", 0
 }
 
-// hasPermit tells whether a new connection has a permit: the issuer's while it is heard, else one of the own share.
+// hasPermit reports whether a new connection has a permit: the issuer's while it is heard, else one of the own share.
 func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
 	if !c.onOwnShare(now, account) {
 		u.share.empty(now)
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	silentAfterLifetimes    = 2 // a proxy that has not asked for so many grant lifetimes goes by its own share
+	silentAfterLifetimes    = 2 // a proxy that has not asked for so many grant lifetimes uses its own share
 	forgottenAfterLifetimes = 4 // one that has left the fleet has ended by then
 	maxIdleAccounts         = 4 * maxAccountsPerMessage
 )
@@ -103,7 +103,7 @@
 	return left
 }
 
-// QueryReceived grants what a proxy demands, as far as the limits allow. Each account stands by itself: a proxy needs a permit and a place of every one
+// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided by itself: a proxy needs a permit and a place of every one
 // above, too.
 func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	demands, err := decodeDemands(body)
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -12,7 +12,7 @@
 
 var errUnknownChange = errors.New("a kind of change that is not known here")
 
-// versionByNumber gives an earlier version, or the active one; nil: it is not kept any more.
+// versionByNumber gives an earlier version, or the active one; nil: it is in the history no longer.
 type versionByNumber func(number uint64) *Version
 
 // next is a copy with the following number, to which changes may be applied; nothing of v is changed through it.
@@ -34,7 +34,7 @@
 	return v.Check()
 }
 
-// Apply gives the version after a change. The whole version is checked, so that no order of changes gets round an account's limits. history
+// Apply gives the version after a change. The complete version is checked, so that no order of changes evades an account's limits. history
 // serves KindRollback.
 func (v *Version) Apply(c *Change, history versionByNumber) (*Version, error) {
 	n := v.next()
@@ -218,7 +218,7 @@
 	}
 }
 
-// equalIgnoringNumbers tells whether two versions differ in numbers at most.
+// equalIgnoringNumbers reports whether two versions differ in numbers at most.
 func equalIgnoringNumbers(a, b *Version) bool {
 	x, y := a.next(), b.next()
 	x.setNumber(0)
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -22,7 +22,7 @@
 	errMalformedAccount = errors.New("and the account can't be read")
 )
 
-// signedBytes is what a signature is over: the whole change but for the signature itself.
+// signedBytes is what a signature is over: all of the change but the signature itself.
 func (c *Change) signedBytes() []byte {
 	unsigned := *c
 	unsigned.Sig = nil
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// refuses tells whether the operators refuse a request, and after which time its client may come again: the most specific refusal decides.
+// refuses reports whether the operators refuse a request, and after which time its client may come again: the most specific refusal decides.
 func (c *compiledVersion) refuses(tenant, class string) (refused bool, advice time.Duration) {
 	for _, k := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
 		if ms, found := c.refusalAdvice[k]; found {
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// IsLimited tells whether an account, or one above it, has limits.
+// IsLimited reports whether an account, or one above it, has limits.
 func (e *Enforcer) IsLimited(account string) bool {
 	a := e.active.Load()
 	if a == nil || len(a.limits) == 0 {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// Pool is the pool that a host is in, and whether this process may know: a host that changes hands is in none, "", and without pools all are in one.
+// Pool is the pool that a host is in; "": it is reassigned just now and in none. Without pools all hosts are in namespace.Main.
 func (e *Enforcer) Pool(host, kind, zone string) string {
 	if a := e.active.Load(); a != nil && a.namespaces != nil {
 		return a.namespaces.Pool(host, kind, zone)
@@ -111,7 +111,7 @@
 	return namespace.Main
 }
 
-// Explain says what becomes of a request by the version that this process acts by, and why.
+// Explain says, for people, what becomes of a request by the version that this process acts by, and why.
 func (e *Enforcer) Explain(q namespace.Request) string {
 	a, v := e.current()
 	switch {
@@ -160,7 +160,7 @@
 	return a, v
 }
 
-// ActiveVersion tells by which version this process acts, and for how much longer it may.
+// ActiveVersion is the version by which this process acts, and for how much longer it may, in nanoseconds.
 func (e *Enforcer) ActiveVersion() (number uint64, remaining Time) {
 	if a := e.active.Load(); a != nil {
 		return a.version.Number, max(0, a.leaseEnd-e.Now())
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// readiness is what lease holders have said of the staged version.
+// readiness is what lease holders have reported of the staged version.
 type readiness struct {
 	all         bool   // every holder has it compiled
 	faultyPeer  uint32 // one that can't use it
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// receiveVersion compiles a version, and tells whether there is something to report to the coordinator: that it is ready, or can't be used
+// receiveVersion compiles a version, and reports whether there is something to report to the coordinator: that it is ready, or can't be used
 // here and so is to become active nowhere.
 func (m *Member) receiveVersion(data []byte) (report bool) {
 	if len(data) == 0 {
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -105,7 +105,7 @@
 	return c, nil
 }
 
-// IsQuestion tells whether administrators may send a query; members alone ask for leases.
+// IsQuestion reports whether administrators may send a query; members alone ask for leases.
 func IsQuestion(body []byte) bool {
 	if len(body) == 0 {
 		return false
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -12,7 +12,7 @@
 )
 
 // String writes a version as a settings file has it, an entry a line, so that two of them can be compared line by line. Accounts below others
-// and their namespaces stand in sections of their own.
+// and their namespaces have sections of their own.
 func (v *Version) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
--- a/internal/fleet/rules/transfer.go
+++ b/internal/fleet/rules/transfer.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// reassigns tells whether a host or a tenant gets another owner between two versions. If so a transitional version comes between them, by which
+// reassigns reports whether a host or a tenant gets another owner between two versions. If so a transitional version comes between them, by which
 // nobody uses what is reassigned.
 func reassigns(old, next *Version) bool {
 	before, after := tenantOwners(old), tenantOwners(next)
@@ -42,5 +42,5 @@
 	return f
 }
 
-// transitional tells whether a version is a step between two others, while something is reassigned.
+// transitional reports whether a version is a step between two others, while something is reassigned.
 func (v *Version) transitional() bool { return v.namespaces().Previous != nil }
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -4,7 +4,7 @@
 // coordinator would not know.
 type transition interface {
 	commit(k *Coordinator)
-	// abort leaves the state as it was: the group has not said that it stores the new one.
+	// abort leaves the state as it was: the group has not confirmed that it stores the new one.
 	abort(k *Coordinator)
 }
 
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -26,7 +26,7 @@
 	s.staged, s.history = nil, history
 }
 
-// byNumber gives an earlier version, or the active one; nil: it is not kept any more.
+// byNumber gives an earlier version, or the active one; nil: it is in the history no longer.
 func (s *versionStore) byNumber(number uint64) *Version {
 	if number == s.active.Number {
 		return s.active
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -24,13 +24,13 @@
 }
 
 const (
-	// maxGossipDelay is the time within which one of those that hear of a change from discovery tells all others: whoever draws the shortest delay. The
+	// maxGossipDelay is the time within which one of those that hear of a change from discovery sends it to all others: whoever draws the shortest delay. The
 	// others then need not.
 	maxGossipDelay = 100 * time.Millisecond
 	// Each member asks one other now and then what it may have missed; a fleet of n asks fifty times a second in all at the most.
 	minQueryInterval       = time.Second
 	queryIntervalPerMember = 20 * time.Millisecond
-	turnInterval           = minQueryInterval / 4
+	updateInterval         = minQueryInterval / 4
 	forwardTo              = 3 // others that hear of something new from each that hears it
 	maxDatagrams           = 16
 	maxRefetchBackoff      = 30 * time.Second
@@ -44,7 +44,7 @@
 	Source       func() uint32 // whose numbering the own list has now
 	RefetchAfter time.Duration // a list that is behind for so long is fetched from discovery anew
 	RefetchList  func()
-	Changed      func(ids []string) // is told of hosts that are out now, or no longer
+	Changed      func(ids []string) // called with hosts that are out now, or no longer
 
 	registry    *Registry
 	source      uint32
@@ -54,7 +54,7 @@
 	closed      bool
 }
 
-// pendingGossip is what all others are to hear after a short delay, unless another member tells them.
+// pendingGossip is what is sent to all others after a short delay, unless another member has sent it.
 type pendingGossip struct {
 	watermarks []Watermark
 	scheduled  bool
@@ -81,7 +81,7 @@
 func (l *Link) Run() {
 	l.registry, l.source, l.refetch = NewRegistry(), l.Source(), refetchBackoff{wait: l.RefetchAfter}
 	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval)))
-	l.turn()
+	l.periodicUpdate()
 }
 
 // Close ends it.
@@ -104,12 +104,12 @@
 	return append(changed, ended...)
 }
 
-// Out tells whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
+// Out reports whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
 func (l *Link) Out(host string, startedAt int64) bool {
 	return l.registry.Out(l.Clock.Now(), host, startedAt)
 }
 
-// gossipPending tells all others what no other member has told meanwhile.
+// gossipPending sends all others what no other member has sent meanwhile.
 func (l *Link) gossipPending() {
 	news := slices.DeleteFunc(l.pending.watermarks, l.registry.wasGossiped)
 	l.pending = pendingGossip{}
@@ -159,7 +159,7 @@
 func (l *Link) handleQuery(from uint32, q query) {
 	now, own := l.Clock.Now(), l.registry.Revision()
 	l.send(l.registry.NewerThan(now, q.revision), from)
-	if q.revision > own && own >= 0 && now-l.lastQueryAt >= Time(turnInterval) {
+	if q.revision > own && own >= 0 && now-l.lastQueryAt >= Time(updateInterval) {
 		l.query(now, from)
 	}
 }
@@ -176,12 +176,12 @@
 	}
 }
 
-// turn asks one other what was missed, drops what has lapsed, and has the list fetched anew where it stays behind.
-func (l *Link) turn() {
+// periodicUpdate asks one other what was missed, drops what has lapsed, and has the list fetched anew where it stays behind.
+func (l *Link) periodicUpdate() {
 	if l.closed {
 		return
 	}
-	l.Clock.After(turnInterval, l.turn)
+	l.Clock.After(updateInterval, l.periodicUpdate)
 	now := l.Clock.Now()
 	l.notifyChanged(l.registry.Expire(now))
 	others := l.Transport.Others()
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// noRevision stands for a list that there is none of.
+// noRevision is the revision where there is no list.
 const noRevision = -1
 
 // ownHost is what the own list says of a host.
@@ -33,7 +33,7 @@
 	revision int64 // of the own list; under 0: there is none
 	own      map[string]ownHost
 	heard    map[string]heardWatermark
-	gossiped map[string]int64 // up to which revision others have told of a host lately
+	gossiped map[string]int64 // up to which revision others have gossiped about a host lately
 }
 
 // NewRegistry knows nothing.
@@ -75,8 +75,8 @@
 	return news, changed
 }
 
-// supersedeList drops the own list for a complete one that is older, as an agent may push it after an outage. That does not revoke what the newer one
-// said of hosts: it holds as another proxy's watermark does.
+// supersedeList drops the own list for a complete one that is older, as an agent may push it after an outage. That does not revoke the newer one's
+// watermarks: they hold as another proxy's do.
 func (r *Registry) supersedeList(now Time, revision int64) (changed []string) {
 	for host, o := range r.own {
 		w, known := r.heard[host]
@@ -143,7 +143,7 @@
 }
 
 func (r *Registry) merge(now Time, w Watermark) (changed bool) {
-	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or nothing is said
+	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or it says nothing
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
@@ -168,7 +168,7 @@
 	return r.Out(now, w.Host, r.own[w.Host].startedAt) != wasOut
 }
 
-// Out tells whether a host that the own list calls usable gets nothing new, by a watermark of a newer list.
+// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list.
 func (r *Registry) Out(now Time, host string, startedAt int64) bool {
 	w, heard := r.heard[host]
 	return heard && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
@@ -219,7 +219,7 @@
 	return all
 }
 
-// recordGossip records what others have told, so that it need not be told once more.
+// recordGossip records what others have sent, so that it need not be sent once more.
 func (r *Registry) recordGossip(all []Watermark) {
 	for _, w := range all {
 		if len(r.gossiped) >= maxWatermarks {
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -1,5 +1,5 @@
-// Package watermark owns what proxies tell one another of upstream hosts that drain or are gone: a watermark under each one's list. A proxy whose own
-// list lags places nothing at a host of which another's newer list says so. A watermark only ever takes a host out; hearing of one makes none usable.
+// Package watermark owns the gossip among proxies about upstream hosts that drain or are gone. A proxy whose own endpoint list
+// lags places nothing at a host of which another's newer list says so. A watermark only ever takes a host out; none makes a host usable.
 // The Registry decides, without I/O and with time passed in; the Link sends and receives the datagrams.
 package watermark
 
@@ -42,7 +42,7 @@
 type Watermark struct {
 	Host      string
 	StartedAt int64 // when the host last started, Unix milliseconds: a later start is not meant
-	Revision  int64 // of the list that first said so
+	Revision  int64 // of the list that first had it so
 	State     State
 	ValidFor  Time // for which it holds still
 }
--- a/internal/operations/admin/body.go
+++ b/internal/operations/admin/body.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// bodyComplete tells whether a request's body has arrived.
+// bodyComplete reports whether a request's body has arrived.
 func (h *headers) bodyComplete(body []byte) (bool, fault) {
 	switch {
 	case h.chunked:
@@ -17,7 +17,7 @@
 	return len(body) >= h.contentLength, noFault
 }
 
-// chunksComplete tells whether a body in chunks has arrived with its trailer.
+// chunksComplete reports whether a body in chunks has arrived with its trailer.
 func chunksComplete(in []byte) (bool, fault) {
 	for total := 0; ; {
 		size, header, f := parseChunkSize(in)
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -85,7 +85,7 @@
 	return f
 }
 
-// checkMethodStart tells whether in can become a request line.
+// checkMethodStart reports whether in can become a request line.
 func checkMethodStart(in []byte) fault {
 	method, _, _ := bytes.Cut(in, []byte(" "))
 	if len(method) > maxMethodBytes || !isToken(string(method)) && len(method) > 0 && string(method) != "\r" {
@@ -191,7 +191,7 @@
 	return noFault
 }
 
-// isToken tells whether s is a token as HTTP defines it.
+// isToken reports whether s is a token as HTTP defines it.
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -17,7 +17,7 @@
 
 // Proxy is what the calls are about.
 type Proxy interface {
-	// Serves tells whether this process serves.
+	// Serves reports whether this process serves.
 	Serves() bool
 	// Metrics is the text of all metrics.
 	Metrics() []byte
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -16,12 +16,12 @@
 	"go.step.sm/crypto/pemutil"
 )
 
-// PEM is the certificate with its chain as it stands in a file.
+// PEM is the certificate with its chain in the form of a file.
 func (p *Pair) PEM() []byte {
 	return Bundle(append([]*x509.Certificate{p.Cert}, p.Chain...)...)
 }
 
-// Bundle writes certificates as they stand in a file.
+// Bundle writes certificates in the form of a file.
 func Bundle(certs ...*x509.Certificate) []byte {
 	var out []byte
 	for _, c := range certs {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// KeyPEM is the key as it stands in a file, encrypted where there is a password.
+// KeyPEM is the key in the form of a file, encrypted where there is a password.
 func (p *Pair) KeyPEM(password []byte) ([]byte, error) {
 	options := []pemutil.Options{pemutil.WithPKCS8(true)}
 	if len(password) > 0 {
--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -41,7 +41,7 @@
 	}}
 }
 
-// DebugEnabled tells whether the log takes lines of the debug level. It is asked before a line is put together: lines that nobody reads cost CPU
+// DebugEnabled reports whether the log takes lines of the debug level. It is asked before a line is put together: lines that nobody reads cost CPU
 // on every request.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -45,7 +45,7 @@
 	return w.file.Write(line)
 }
 
-// ready tells whether a line can be written without waiting. Where the system can't say, it can.
+// ready reports whether a line can be written without waiting. Where the system can't say, it can.
 func (w *NonBlockingWriter) ready() bool {
 	fds := []unix.PollFd{{Fd: w.descriptor, Events: unix.POLLOUT}}
 	for {
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -22,7 +22,7 @@
 	limiter *repeatLimiter
 }
 
-// Enabled tells whether lines of a level are written.
+// Enabled reports whether lines of a level are written.
 func (h *repeatHandler) Enabled(c context.Context, level slog.Level) bool {
 	return h.next.Enabled(c, level)
 }
@@ -79,13 +79,13 @@
 	leftOut   int
 }
 
-// over tells whether the window has ended, also by a clock that was set back.
+// over reports whether the window has ended, also where the clock was set back.
 func (k *kindCount) over(now time.Time, window time.Duration) bool {
 	age := now.Sub(k.startedAt)
 	return age >= window || age < 0
 }
 
-// pass tells whether a line is written, and of which kinds lines were left out in a window that is over.
+// pass reports whether a line is written, and of which kinds lines were left out in a window that is over.
 func (l *repeatLimiter) pass(key, event string, now time.Time) (write bool, over []kindCount) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/operations/logging/text.go
+++ b/internal/operations/logging/text.go
@@ -21,7 +21,7 @@
 	group  string      // of names, each with a dot behind it
 }
 
-// Enabled tells whether lines of a level are written.
+// Enabled reports whether lines of a level are written.
 func (t *textHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= t.level }
 
 // Handle writes a record as one line.
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -43,13 +43,13 @@
 	}
 }
 
-// Known tells whether a list has ever named the host.
+// Known reports whether a list has ever named the host.
 func (r *Registry) Known(id string) bool { return r.known[id] }
 
 // IDs is every host that a call may name, the oldest first.
 func (r *Registry) IDs() []string { return slices.Clone(r.knownOrder) }
 
-// Set suspends a host at this proxy or resumes it, and tells whether that changed anything.
+// Set suspends a host at this proxy or resumes it, and reports whether that changed anything.
 func (r *Registry) Set(id string, suspended bool, now int64) (changed bool) {
 	if _, is := r.suspendedHere[id]; is == suspended {
 		return false
@@ -90,7 +90,7 @@
 	return changed
 }
 
-// Suspended tells whether a host is suspended, here or for the whole fleet.
+// Suspended reports whether a host is suspended, here or for the whole fleet.
 func (r *Registry) Suspended(id string) bool {
 	_, here := r.suspendedHere[id]
 	_, fleet := r.suspendedFleet[id]
--- a/internal/operations/maintenance/suspension.go
+++ b/internal/operations/maintenance/suspension.go
@@ -16,7 +16,7 @@
 
 // StartAfter is when a host that comes back now is taken to have started, and whether that is a guess, which ends after
 // StartUncertainty. listed is its latest start as discovery says. Hosts are suspended to be restarted; one of which discovery has
-// named no start since then may have come back cold, and is taken for that until discovery would have said so.
+// named no start since then may have come back cold, and is taken to be until discovery would have named it.
 func (s Suspension) StartAfter(listed, now int64) (start int64, guess bool) {
 	if listed >= s.Since {
 		return listed, false
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -1,4 +1,4 @@
-// Package platform reads what the platform tells a proxy: the JSON file that NODE_CONFIG names, and its environment. It owns
+// Package platform reads the platform's configuration of a proxy: the JSON file that NODE_CONFIG names, and its environment. It owns
 // what follows from the limits in it, too: how many clients, dials and health checks fit.
 package platform
 
@@ -17,7 +17,7 @@
 	"croftlock/internal/operations/balancerconfig"
 )
 
-// Config is what a proxy is told at its start.
+// Config is a proxy's configuration at its start.
 type Config struct {
 	Name             string
 	Listen           string // host:port for clients
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Form is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
-// that takes it; what the variable held before is the default. After the last field, whatever else stands in the section
+// that takes it; what the variable held before is the default. After the last field, whatever else the section has
 // is unknown.
 type Form struct {
 	node   *Node // nil: the file does not have the section
@@ -30,10 +30,10 @@
 // Fields are what was declared, in order.
 func (f *Form) Fields() []*Field { return f.fields }
 
-// Present tells whether the file has the section.
+// Present reports whether the file has the section.
 func (f *Form) Present() bool { return f.node != nil }
 
-// Fault reports that values which are right each by itself can't stand together. name says at which field.
+// Fault reports that values that are valid each by itself contradict one another. name says at which field.
 func (f *Form) Fault(name, format string, args ...any) {
 	at := Pos{1, 1}
 	if f.node != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// declare declares a field that may stand once, and gives its node, nil where the file has it not, and its values.
+// declare declares a field that may occur once, and gives its node, nil where the file lacks it, and its values.
 func (f *Form) declare(name, doc, want string, value func() string) (*Node, []*Node) {
 	d := &Field{Name: name, Doc: doc, Want: want, value: value}
 	f.fields = append(f.fields, d)
@@ -99,7 +99,7 @@
 	f.fields[len(f.fields)-1].Forms = []*Form{nested}
 }
 
-// Each declares a list of fields that may stand any number of times; bind is called for each. label is its first value,
+// Each declares a list of fields that may occur any number of times; bind is called for each. label is its first value,
 // a word or a text.
 func (f *Form) Each(name, doc string, bind func(label string, f *Form)) {
 	d := &Field{Name: name, Doc: doc, Want: "a label and fields, any number of times", value: func() string { return "" }}
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -1,5 +1,5 @@
 // Package settings reads the operators' settings file: S-expressions, typed and validated. It owns the form of the file, its
-// faults and its printing; what stands in a section is known to the package that registers it (see Schema).
+// faults and its printing; what a section may hold is known to the package that registers it (see Schema).
 package settings
 
 import "fmt"
@@ -21,7 +21,7 @@
 	Word    Kind = iota // bare: on, 250ms, x25519
 	Text                // quoted
 	List                // (...)
-	Comment             // ; to the end of the line, kept for printing
+	Comment             // ; to the end of the line, preserved by Print
 )
 
 // Node is one element of a file.
@@ -33,7 +33,7 @@
 	Items []*Node // of a List, comments included
 
 	afterBlankLine bool
-	sameLine       bool // of a Comment: something stood before it on its line
+	sameLine       bool // of a Comment: it follows something on its line
 }
 
 // Values are the items of a list without its comments.
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// Parse reads the form of a file. name stands in the faults, all of which are reported. The tree is returned even with
+// Parse reads the form of a file. All faults are reported, and carry name. The tree is returned even with
 // faults, as far as it could be read, so that its contents can be checked in the same pass.
 func Parse(name string, data []byte) (*Node, *Faults) {
 	faults := &Faults{file: name}
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -5,7 +5,7 @@
 // maxLine is how many bytes a printed line may have before its list is broken up.
 const maxLine = 100
 
-// Print writes a file in its one form: what fits on a line stands on one, two blanks a level, comments where they were.
+// Print writes a file in its one form: what fits on a line is on one, indented by two blanks a level, comments where they were.
 // Reading it back gives the same nodes, and printing them again the same bytes.
 func Print(root *Node) []byte {
 	var b strings.Builder
@@ -79,7 +79,7 @@
 	return "(" + strings.Join(parts, " ") + ")", true
 }
 
-// Quote writes a text as it stands in a file.
+// Quote writes a text in the form of a file.
 func Quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`, "\r", `\r`).Replace(s) + `"`
 }
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Section is what a package may be told in the operators' file.
+// Section is a part of the settings file that one package declares.
 type Section struct {
 	Name string
 	Doc  string
--- a/internal/operations/settings/values.go
+++ b/internal/operations/settings/values.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// single reads a field of one value. read tells whether the value is valid.
+// single reads a field of one value. read reports whether the value is valid.
 func (f *Form) single(name, doc, want string, value func() string, read func(s string) bool) {
 	n, values := f.declare(name, doc, want, value)
 	if n == nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// list reads a field of several values. read gives a value as it is held, and tells whether it is valid.
+// list reads a field of several values. read gives a value as it is held, and reports whether it is valid.
 func (f *Form) list(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
 	n, values := f.declare(name, doc, want, func() string {
 		var out []string
