--- a/internal/app/node/floors.go
+++ b/internal/app/node/floors.go
@@ -14,14 +14,14 @@
 
 // lay begins to tell the other members of hosts that drain or are gone, and to go by what they tell, where the operators want it.
 func (r *replacement) lay() {
-	if !r.flooring.On || r.members == nil {
+	if !r.flooring.Enabled || r.members == nil {
 		return
 	}
 	if r.floors != nil {
 		r.floors.Close()
 	}
 	m := r.members
-	r.floors = &watermark.Link{Transport: memberWay{m}, Clock: loopClock{r.loop}, Rand: rand.New(rand.NewPCG(rand.Uint64(), 1)), RefetchAfter: r.flooring.Within, RefetchList: r.watch.FetchList, Changed: r.core.WatermarksChanged,
+	r.floors = &watermark.Link{Transport: memberWay{m}, Clock: loopClock{r.loop}, Rand: rand.New(rand.NewPCG(rand.Uint64(), 1)), RefetchAfter: r.flooring.RefetchAfter, RefetchList: r.watch.FetchList, Changed: r.core.WatermarksChanged,
 		Source: func() uint32 {
 			name := r.flooring.Source
 			if addr, _ := r.watch.Source(); name == "" {
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -57,7 +57,7 @@
 	if err := file.Value("owners").(owneragent.Options).Check(member); err != nil {
 		faults = append(faults, fmt.Errorf("%s: owners: %w", file.Path, err))
 	}
-	if file.Value("floors").(watermark.Options).On && !member.On {
+	if file.Value("floors").(watermark.Options).Enabled && !member.On {
 		faults = append(faults, fmt.Errorf("%s: floors need membership: (membership (on on) …)", file.Path))
 	}
 	return faults
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -96,7 +96,7 @@
 
 func compareRoutes(a, b compiledRoute) int {
 	return cmp.Or(cmp.Compare(a.key.group, b.key.group), cmp.Compare(a.key.prefix, b.key.prefix), cmp.Compare(a.key.class, b.key.class),
-		cmp.Compare(a.key.zone, b.key.zone), b.secondarySpecificity()-a.secondarySpecificity(), cmp.Compare(a.From, b.From), cmp.Compare(a.Begin, b.Begin))
+		cmp.Compare(a.key.zone, b.key.zone), b.secondarySpecificity()-a.secondarySpecificity(), cmp.Compare(a.ShareFrom, b.ShareFrom), cmp.Compare(a.WindowBegin, b.WindowBegin))
 }
 
 func (x *routeIndex) build(account string, routes []Route) error {
@@ -135,7 +135,7 @@
 	for i := range same {
 		a := same[i].Route
 		if a.hasShare() && !a.hasWindow() {
-			shares += int(a.To - a.From)
+			shares += int(a.ShareTo - a.ShareFrom)
 		}
 		if a.secondarySpecificity() == 0 && shares == WholeShare {
 			return &Fault{account, a.Name, "nothing reaches it: the shares of others are all there is"}
@@ -158,10 +158,10 @@
 	if r.hasShare() && sharesDisjoint(r, o) {
 		return false
 	}
-	return !r.hasWindow() || r.inWindow(int(o.Begin)) || o.inWindow(int(r.Begin))
+	return !r.hasWindow() || r.inWindow(int(o.WindowBegin)) || o.inWindow(int(r.WindowBegin))
 }
 
-func sharesDisjoint(a, b *Route) bool { return a.To <= b.From || b.To <= a.From }
+func sharesDisjoint(a, b *Route) bool { return a.ShareTo <= b.ShareFrom || b.ShareTo <= a.ShareFrom }
 
 // firstMatch gives the most specific route whose conditions a key has and that accept takes; nil: none.
 func (x *routeIndex) firstMatch(k matchKey, accept func(*compiledRoute) bool) *compiledRoute {
@@ -191,8 +191,8 @@
 // covering gives a route that takes all that fits r; nil: none does alone.
 func (x *routeIndex) covering(r *compiledRoute) *compiledRoute {
 	return x.firstMatch(r.key, func(o *compiledRoute) bool {
-		coversShare := !o.hasShare() || r.hasShare() && o.From <= r.From && r.To <= o.To
-		coversWindow := !o.hasWindow() || r.hasWindow() && o.Begin == r.Begin && o.End == r.End
+		coversShare := !o.hasShare() || r.hasShare() && o.ShareFrom <= r.ShareFrom && r.ShareTo <= o.ShareTo
+		coversWindow := !o.hasWindow() || r.hasWindow() && o.WindowBegin == r.WindowBegin && o.WindowEnd == r.WindowEnd
 		return coversShare && coversWindow
 	})
 }
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -66,9 +66,9 @@
 		r := Route{Name: fmt.Sprint("r", i), Group: some("", "", "g", "h"), Prefix: some("", "a", "ab", "b"), Class: some("", "c", "d"), Zone: some("", "", "y"), Pool: Main}
 		switch rapid.IntRange(0, 3).Draw(rt, "extra") {
 		case 0:
-			r.From, r.To = 2500, 7500
+			r.ShareFrom, r.ShareTo = 2500, 7500
 		case 1:
-			r.Begin, r.End = 600, 120
+			r.WindowBegin, r.WindowEnd = 600, 120
 		}
 		to := rapid.SampledFrom([]*[]Route{&s.Guards, &s.Routes, &s.Defaults}).Draw(rt, "list")
 		*to = append(*to, r)
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -24,9 +24,9 @@
 		{Name: "other", Tenants: []string{"t3"}}},
 	Namespaces: []Namespace{
 		{Account: "", Guards: []Route{{Name: "closed", Class: "bulk", Refuse: true, Advice: 2000}}, Defaults: []Route{{Name: "rest", Zone: "z9", Pool: "fast"}}},
-		{Account: "acme", Guards: []Route{{Name: "night", Begin: 22 * 60, End: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Fallbacks: []string{Main}}},
+		{Account: "acme", Guards: []Route{{Name: "night", WindowBegin: 22 * 60, WindowEnd: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Fallbacks: []string{Main}}},
 			Defaults: []Route{{Name: "last", Pool: Main}}},
-		{Account: "acme/web", Routes: []Route{{Name: "half", To: 5000, Pool: "fast"}, {Name: "g", Group: "g1", Pool: Main}, {Name: "gab", Group: "g1", Prefix: "ab", Pool: "fast"}}},
+		{Account: "acme/web", Routes: []Route{{Name: "half", ShareTo: 5000, Pool: "fast"}, {Name: "g", Group: "g1", Pool: Main}, {Name: "gab", Group: "g1", Prefix: "ab", Pool: "fast"}}},
 	},
 }
 
@@ -117,15 +117,15 @@
 		"it has a namespace, and does not exist": {Namespaces: []Namespace{{Account: "a"}}},
 		"2 routes, and it may have 1":            {Accounts: []Account{{Name: "a", Routes: 1}}, Namespaces: []Namespace{{Account: "a", Routes: []Route{to("x", Route{Class: "c"}), to("y", Route{Class: "d"})}}}},
 		"neither is more specific":               routes(to("x", Route{Class: "c"}), to("y", Route{Class: "c"})),
-		"as x, and neither":                      routes(to("x", Route{To: 4000}), to("y", Route{From: 3000, To: 5000})),
-		"as v, and neither":                      routes(to("v", Route{Begin: 60, End: 120}), to("w", Route{Begin: 90, End: 180})),
-		"the shares of others are all":           routes(to("x", Route{To: 4000}), to("y", Route{From: 4000, To: WholeShare}), to("z", Route{})),
+		"as x, and neither":                      routes(to("x", Route{ShareTo: 4000}), to("y", Route{ShareFrom: 3000, ShareTo: 5000})),
+		"as v, and neither":                      routes(to("v", Route{WindowBegin: 60, WindowEnd: 120}), to("w", Route{WindowBegin: 90, WindowEnd: 180})),
+		"the shares of others are all":           routes(to("x", Route{ShareTo: 4000}), to("y", Route{ShareFrom: 4000, ShareTo: WholeShare}), to("z", Route{})),
 		"its name is taken":                      routes(to("x", Route{Class: "c"}), to("x", Route{})),
 		"in a circle":                            routes(Route{Name: "x", Pool: Main, Fallbacks: []string{Main}}),
 		"either a pool or refuse":                routes(Route{Name: "x"}),
 		"no pool nowhere":                        routes(Route{Name: "x", Pool: "nowhere"}),
-		"a share that is none":                   routes(to("x", Route{From: 5, To: 5})),
-		"a time of day that is none":             routes(to("x", Route{Begin: 5, End: 5})),
+		"a share that is none":                   routes(to("x", Route{ShareFrom: 5, ShareTo: 5})),
+		"a time of day that is none":             routes(to("x", Route{WindowBegin: 5, WindowEnd: 5})),
 		"nothing reaches it: g takes all":        {Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Guards: []Route{{Name: "g", Class: "c", Refuse: true}}, Routes: []Route{to("x", Route{Class: "c", Prefix: "ab"})}}}},
 		"kinds of condition": routes(func() (rs []Route) {
 			for i := range MaxConditionSets + 1 {
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := f.Value("namespace").(*Namespace); s.Guards[0].Begin != 1320 || s.Guards[0].Advice != 2000 || s.Defaults[0].To != 1250 || s.Defaults[0].Fallbacks[0] != Main {
+	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].Advice != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != Main {
 		t.Fatalf("%+v", s)
 	}
 }
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -16,11 +16,11 @@
 	Class  string `cbor:"4,keyasint,omitempty"`
 	Zone   string `cbor:"5,keyasint,omitempty"` // of the proxy
 	// From and To bound a share of the flows, by a hash of the key that is the same at every proxy and in every version; both 0: all.
-	From uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a per cent
-	To   uint16 `cbor:"7,keyasint,omitempty"`
+	ShareFrom uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a per cent
+	ShareTo   uint16 `cbor:"7,keyasint,omitempty"`
 	// Begin and End bound a time of day, UTC; a window may run over midnight; both 0: all day.
-	Begin uint16 `cbor:"8,keyasint,omitempty"` // minutes
-	End   uint16 `cbor:"9,keyasint,omitempty"`
+	WindowBegin uint16 `cbor:"8,keyasint,omitempty"` // minutes
+	WindowEnd   uint16 `cbor:"9,keyasint,omitempty"`
 
 	Pool      string   `cbor:"10,keyasint,omitempty"`
 	Fallbacks []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
@@ -37,9 +37,9 @@
 		return fmt.Sprintf("a prefix of %d bytes, %d are possible", len(r.Prefix), MaxPrefixBytes)
 	case len(r.Group) > 2*maxNameBytes || len(r.Class) > 2*maxNameBytes || len(r.Zone) > 2*maxNameBytes:
 		return "a group, class or zone that is too long"
-	case r.To > WholeShare || r.hasShare() && (r.From >= r.To || r.To-r.From == WholeShare):
+	case r.ShareTo > WholeShare || r.hasShare() && (r.ShareFrom >= r.ShareTo || r.ShareTo-r.ShareFrom == WholeShare):
 		return "a share that is none, or all"
-	case r.Begin >= minutesPerDay || r.End >= minutesPerDay || r.hasWindow() && r.Begin == r.End:
+	case r.WindowBegin >= minutesPerDay || r.WindowEnd >= minutesPerDay || r.hasWindow() && r.WindowBegin == r.WindowEnd:
 		return "a time of day that is none, or all day"
 	case r.Refuse == (r.Pool != ""):
 		return "it has to name either a pool or refuse"
@@ -59,21 +59,21 @@
 	return len(slices.Compact(all)) < 1+len(r.Fallbacks)
 }
 
-func (r *Route) hasShare() bool  { return r.From != 0 || r.To != 0 }
-func (r *Route) hasWindow() bool { return r.Begin != 0 || r.End != 0 }
+func (r *Route) hasShare() bool  { return r.ShareFrom != 0 || r.ShareTo != 0 }
+func (r *Route) hasWindow() bool { return r.WindowBegin != 0 || r.WindowEnd != 0 }
 
 // fitsShareAndTime tests the conditions that are not in the match key.
 func (r *Route) fitsShareAndTime(share uint16, minute int) bool {
 	return (!r.hasShare() || r.inShare(share)) && (!r.hasWindow() || r.inWindow(minute))
 }
 
-func (r *Route) inShare(share uint16) bool { return share >= r.From && share < r.To }
+func (r *Route) inShare(share uint16) bool { return share >= r.ShareFrom && share < r.ShareTo }
 
 func (r *Route) inWindow(minute int) bool {
-	if r.Begin < r.End {
-		return minute >= int(r.Begin) && minute < int(r.End)
+	if r.WindowBegin < r.WindowEnd {
+		return minute >= int(r.WindowBegin) && minute < int(r.WindowEnd)
 	}
-	return minute >= int(r.Begin) || minute < int(r.End)
+	return minute >= int(r.WindowBegin) || minute < int(r.WindowEnd)
 }
 
 // unmetConditions names the conditions that a request does not fit.
@@ -105,10 +105,10 @@
 		}
 	}
 	if r.hasShare() {
-		conditions = append(conditions, fmt.Sprintf("share %g%% to %g%%", float64(r.From)/100, float64(r.To)/100))
+		conditions = append(conditions, fmt.Sprintf("share %g%% to %g%%", float64(r.ShareFrom)/100, float64(r.ShareTo)/100))
 	}
 	if r.hasWindow() {
-		conditions = append(conditions, fmt.Sprintf("%02d:%02d to %02d:%02d UTC", r.Begin/60, r.Begin%60, r.End/60, r.End%60))
+		conditions = append(conditions, fmt.Sprintf("%02d:%02d to %02d:%02d UTC", r.WindowBegin/60, r.WindowBegin%60, r.WindowEnd/60, r.WindowEnd%60))
 	}
 	if len(conditions) == 0 {
 		conditions = []string{"all"}
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -86,10 +86,10 @@
 	from, to := 0.0, 0.0
 	f.Percent("share_from", "where a share of the flows begins, by a hash of their key", &from, 0, 1)
 	f.Percent("share", "where that share ends", &to, 0, 1)
-	r.From, r.To = uint16(math.Round(from*WholeShare)), uint16(math.Round(to*WholeShare))
+	r.ShareFrom, r.ShareTo = uint16(math.Round(from*WholeShare)), uint16(math.Round(to*WholeShare))
 	var clock string
-	f.Text("begin", "from what time of day on, UTC", "a time as 22:00", &clock, parseMinute(&r.Begin))
-	f.Text("end", "up to what time of day", "a time as 06:00", &clock, parseMinute(&r.End))
+	f.Text("begin", "from what time of day on, UTC", "a time as 22:00", &clock, parseMinute(&r.WindowBegin))
+	f.Text("end", "up to what time of day", "a time as 06:00", &clock, parseMinute(&r.WindowEnd))
 }
 
 // parseMinute reads a time of day as the minute of it.
--- a/internal/fleet/owneragent/socket.go
+++ b/internal/fleet/owneragent/socket.go
@@ -23,7 +23,7 @@
 	A  string `json:"a,omitempty"`
 	B  string `json:"b,omitempty"`
 
-	Rules   []byte         `json:"rules,omitempty"`   // a question to the keeper
+	Rules   []byte             `json:"rules,omitempty"`   // a question to the keeper
 	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
 }
 
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -28,7 +28,7 @@
 	// Accounts are all that have limits, sorted.
 	Accounts func() []string
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	usage   map[string]*accountUsage
 	waiting []waitingRequest
 	lastTag uint64
@@ -81,8 +81,8 @@
 }
 
 func (c *Client) acquireOrWait(account string, spread float64, done func(string, time.Duration)) (over string, advice time.Duration, waits bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := c.Now()
 	for _, a := range withAncestors(account) {
 		c.account(a).addDemand(now, c.GrantLifetime)
@@ -110,8 +110,8 @@
 }
 
 func (c *Client) retryWaiting() (outcomes []outcome) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := c.Now()
 	still := c.waiting[:0]
 	for _, w := range c.waiting {
@@ -182,8 +182,8 @@
 func (c *Client) Release(account string) { c.addOpen(account, -1) }
 
 func (c *Client) addOpen(account string, n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for _, a := range withAncestors(account) {
 		u := c.account(a)
 		u.open = max(0, u.open+n)
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -19,8 +19,8 @@
 }
 
 func (c *Client) startQuery(shard int, urgent bool) (tag uint64, demands []demand) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now, s := c.Now(), &c.shards[shard]
 	if urgent && now < s.urgentQueryFrom {
 		return 0, nil
@@ -69,8 +69,8 @@
 
 func (c *Client) receiveGrants(tag uint64, body []byte) {
 	grants, err := decodeGrants(body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	sentAt, pending := c.sentAt[tag]
 	until := sentAt + c.GrantLifetime
 	if !pending || err != nil || c.Now() >= until {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -124,9 +124,9 @@
 	took := func() (n int) {
 		for {
 			over := "waits"
-			p.mu.Lock()
+			p.mutex.Lock()
 			over, _ = p.tryAcquire(now, "a", 0)
-			p.mu.Unlock()
+			p.mutex.Unlock()
 			if over != "" {
 				return n
 			}
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -117,11 +117,11 @@
 	for _, r := range routes {
 		fmt.Fprintf(w, "  (%s %s%s%s%s%s", kind, settings.Quote(r.Name), formatField("group", r.Group), formatField("key", r.Prefix),
 			formatField("class", r.Class), formatField("zone", r.Zone))
-		if r.From != 0 || r.To != 0 { // hundredths of a per cent
-			fmt.Fprintf(w, " (share_from %g%%) (share %g%%)", float64(r.From)/100, float64(r.To)/100)
+		if r.ShareFrom != 0 || r.ShareTo != 0 { // hundredths of a per cent
+			fmt.Fprintf(w, " (share_from %g%%) (share %g%%)", float64(r.ShareFrom)/100, float64(r.ShareTo)/100)
 		}
-		if r.Begin != 0 || r.End != 0 { // minutes of the day
-			fmt.Fprintf(w, " (begin %02d:%02d) (end %02d:%02d)", r.Begin/60, r.Begin%60, r.End/60, r.End%60)
+		if r.WindowBegin != 0 || r.WindowEnd != 0 { // minutes of the day
+			fmt.Fprintf(w, " (begin %02d:%02d) (end %02d:%02d)", r.WindowBegin/60, r.WindowBegin%60, r.WindowEnd/60, r.WindowEnd%60)
 		}
 		fmt.Fprintf(w, "%s%s", formatField("pool", r.Pool), formatField("else", r.Fallbacks...))
 		if r.Refuse {
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -8,19 +8,19 @@
 
 // Options are the section (floors …).
 type Options struct {
-	On     bool
-	Source string // whose numbering discovery's lists have; "": its address
-	Within time.Duration
+	Enabled      bool
+	Source       string // whose numbering discovery's lists have; "": its address
+	RefetchAfter time.Duration
 }
 
 // Section is what operators write.
 func Section() settings.Section {
 	return settings.Section{Name: "floors", Doc: "what proxies tell one another of hosts that drain or are gone", Bind: func(f *settings.Form) any {
-		o := Options{Within: 2 * time.Second}
-		f.Bool("on", "whether a host gets nothing new of which another proxy's newer list says that it drains or is gone; needs membership", &o.On)
+		o := Options{RefetchAfter: 2 * time.Second}
+		f.Bool("on", "whether a host gets nothing new of which another proxy's newer list says that it drains or is gone; needs membership", &o.Enabled)
 		f.Text("source", "a name for whose numbering the lists have, the same at all proxies that ask the same discovery; its address where it is left out", "a name",
 			&o.Source, func(s string) bool { return s != "" && len(s) <= maxHostBytes })
-		f.Duration("within", "a proxy whose list stays behind for so long asks discovery anew", &o.Within, 500*time.Millisecond, time.Minute)
+		f.Duration("within", "a proxy whose list stays behind for so long asks discovery anew", &o.RefetchAfter, 500*time.Millisecond, time.Minute)
 		return o
 	}}
 }
