--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -15,10 +15,10 @@
 	Prefix string `cbor:"3,keyasint,omitempty"` // of the flow's key
 	Class  string `cbor:"4,keyasint,omitempty"`
 	Zone   string `cbor:"5,keyasint,omitempty"` // of the proxy
-	// From and To bound a share of the flows, by a hash of the key that is the same at every proxy and in every version; both 0: all.
+	// ShareFrom and ShareTo bound a share of the flows, by a hash of the key that is the same at every proxy and in every version; both 0: all.
 	ShareFrom uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a per cent
 	ShareTo   uint16 `cbor:"7,keyasint,omitempty"`
-	// Begin and End bound a time of day, UTC; a window may run over midnight; both 0: all day.
+	// WindowBegin and WindowEnd bound a time of day, UTC; a window may run over midnight; both 0: all day.
 	WindowBegin uint16 `cbor:"8,keyasint,omitempty"` // minutes
 	WindowEnd   uint16 `cbor:"9,keyasint,omitempty"`
 
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -37,8 +37,9 @@
 	g.change(c)
 }
 
-// begin has the frame active; the version's number is 2, since hosts changed hands from main to the pools.
-func begin(t *testing.T, n uint32) *group {
+// startWithPools has twoCustomers active; the version's number is 2, since hosts were reassigned from main to the pools.
+func startWithPools(t *testing.T, n uint32) *group {
+	t.Helper()
 	g := newGroup(t, n)
 	g.put(twoCustomers(), 0)
 	g.run(2 * within)
@@ -49,7 +50,7 @@
 }
 
 func TestConcurrentChangesOfDifferentNamespaces(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	// Two administrators at once, of one namespace and of two.
 	n := len(g.answers)
 	g.signed(ChangeNamespace(to("acme", 0, "a"), 2, nil), 1)
@@ -81,7 +82,7 @@
 }
 
 func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	g.coordinator.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
 	team := &namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}
 	for want, c := range map[string]*Change{
@@ -127,7 +128,7 @@
 
 // A change that was signed before its grant was revoked and comes, or is made, after it does nothing.
 func TestRevokedGrantAllowsNothing(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(key(1))
 	// On its way while the grant is revoked: checked again as the version is made.
@@ -160,7 +161,7 @@
 
 // One customer's bad changes without end take nobody else's time: the other's change is active as soon as without them.
 func TestFloodOfBadChangesIsRateLimited(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	refused := 0
 	for i := range 1000 {
 		g.signed(ChangeNamespace(to("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
@@ -180,7 +181,7 @@
 
 // A change that one process can't use holds up no other that was made with it.
 func TestUnusableNamespaceHoldsUpNoOther(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	g.members[2].MaxEntries = 6
 	big := to("acme", 0, "a")
 	for i := range 9 {
@@ -203,7 +204,7 @@
 }
 
 func TestRollbackIsANewVersion(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
 	g.run(within)
 	g.change(RollBackTo(2, 3, nil))
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -145,7 +145,7 @@
 
 // A version on the way from one to the next is nothing to go back to: the one before it is kept as what is different from the next.
 func TestHistoryOverATransitionalVersion(t *testing.T) {
-	g := begin(t, 2)
+	g := startWithPools(t, 2)
 	first := g.coordinator.versions.active.Number
 	want := g.coordinator.versions.active.String()
 	v := twoCustomers()
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -84,6 +84,7 @@
 func (g *group) clock(i uint32) Time { return 5e15 + Time(float64(g.now)*g.clockRate[i]) }
 
 func newGroup(t *testing.T, n uint32) *group {
+	t.Helper()
 	g := &group{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, cut: map[uint32]bool{}, deaf: map[uint32]bool{}}
 	g.restartCoordinator()
 	for i := uint32(1); i <= n; i++ {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -44,7 +44,7 @@
 		g.put(refuseAll, 0)
 		g.run(500 * ms)
 		if name == "both ways" && g.last() != "" {
-			t.Errorf("%s: active %d ms after a cut, though a right may be held: %q", name, (g.now-began)/ms, g.last())
+			t.Errorf("%s: active %d ms after a cut, though a lease may be held: %q", name, (g.now-began)/ms, g.last())
 		}
 		g.run(3 * within)
 		if o := g.overlap(); o > within {
@@ -138,7 +138,7 @@
 		f()
 	}
 	if v := g.members[1].Enforcer.Judge(anyAsk); !v.Lapsed {
-		t.Fatalf("a right from an answer %d ms late", 3*within/ms)
+		t.Fatalf("a lease from an answer %d ms late", 3*within/ms)
 	}
 }
 
@@ -151,7 +151,7 @@
 	g.put(refuseAll, 0)
 	g.run(5 * within)
 	if o := g.overlap(); o <= within {
-		t.Fatalf("overlap %d ms with a right of ten times its time", o/ms)
+		t.Fatalf("overlap %d ms with a lease of ten times its time", o/ms)
 	}
 }
 
--- a/internal/fleet/rules/transfer_test.go
+++ b/internal/fleet/rules/transfer_test.go
@@ -9,7 +9,7 @@
 
 // While a host and a tenant change hands, and one is cut off: from the moment that anyone may use them as the new owner nobody uses them as the old.
 func TestReassignedHostsHaveOneOwnerAtATime(t *testing.T) {
-	g := begin(t, 4)
+	g := startWithPools(t, 4)
 	g.run(within)
 	type use struct {
 		at   Time
@@ -91,7 +91,7 @@
 // A change whose coordinator ends with it on its way is asked for once more at the next one: it hears that it is active, and not that it was made against
 // something older. Asking again costs nothing of what may be asked for.
 func TestRetryAtAnotherCoordinator(t *testing.T) {
-	g := begin(t, 3)
+	g := startWithPools(t, 3)
 	g.cut[3] = true // holds it up
 	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("once-and-again"))
 	g.signed(c, 1)
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -8,9 +8,9 @@
 
 // Options are the section (floors …).
 type Options struct {
-	Enabled      bool
-	Source       string // whose numbering discovery's lists have; "": its address
-	RefetchAfter time.Duration
+	Enabled      bool          // default off
+	Source       string        // whose numbering discovery's lists have; "": its address
+	RefetchAfter time.Duration // a list that is behind for so long is fetched anew; default 2 s
 }
 
 // Section is what operators write.
