--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -150,7 +150,7 @@
 
 // logIdleEnd logs why a connection without a request ends.
 func (d *downstream) logIdleEnd(reason string) {
-	if logging.Tracing() {
+	if logging.DebugEnabled() {
 		slog.Debug("idle_client_closed", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
 	}
 }
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -105,7 +105,7 @@
 	for _, c := range bundle {
 		if !c.IsCA {
 			l.fault(fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
-		} else if weakness := certs.Weak(c); weakness != "" {
+		} else if weakness := certs.Weakness(c); weakness != "" {
 			l.fault(fmt.Errorf("%s: %s: %s", path, c.Subject, weakness))
 		}
 		l.material.roots.AddCert(c)
@@ -137,7 +137,7 @@
 		l.fault(err)
 		return
 	}
-	if weakness := certs.Weak(pair.Cert); weakness != "" {
+	if weakness := certs.Weakness(pair.Cert); weakness != "" {
 		l.fault(fmt.Errorf("%s: %s", o.Certificate, weakness))
 		return
 	}
@@ -148,7 +148,7 @@
 	m := l.material
 	m.certificate = &tls.Certificate{PrivateKey: pair.Key, Leaf: pair.Cert, Certificate: [][]byte{pair.Cert.Raw}}
 	m.certificateEnd = pair.Cert.NotAfter
-	for _, c := range pair.Rest {
+	for _, c := range pair.Chain {
 		m.certificate.Certificate = append(m.certificate.Certificate, c.Raw)
 		m.certificateEnd = earlier(m.certificateEnd, c.NotAfter)
 	}
--- a/internal/fleet/owneragent/socket.go
+++ b/internal/fleet/owneragent/socket.go
@@ -23,8 +23,8 @@
 	A  string `json:"a,omitempty"`
 	B  string `json:"b,omitempty"`
 
-	Rules   []byte         `json:"rules,omitempty"`   // a question to the keeper
-	Explain *namespace.Ask `json:"explain,omitempty"` // a request, for the rules to explain
+	Rules   []byte             `json:"rules,omitempty"`   // a question to the keeper
+	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
 }
 
 // askWithin bounds a request's time.
