--- a/internal/fleet/owneragent/sides.go
+++ b/internal/fleet/owneragent/sides.go
@@ -147,7 +147,7 @@
 }
 
 func (c coreSide) LogEvent(event string, args ...any) {
-	if event == "effect_refused" {
+	if event == "stale_effect_rejected" {
 		c.s.counts.Refused++
 		slog.Warn(event, args...)
 		return
