--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -1,35 +1,180 @@
 package ownership
 
 import (
+	"fmt"
+
 	"croftlock/internal/fleet/encoding"
 )
 
-func grantCmd(job, owner string, life, token uint64, wall int64, why string) []byte {
-	var w encoding.Writer
-	return w.Uint(cmdGrant).Text(job).Uint(token).Uint(uint64(wall)).Text(owner).Uint(life).Text(why).Data
+// Kinds of commands, as replicated and stored.
+const (
+	kindGrant      = 1
+	kindRelease    = 2
+	kindCheckpoint = 3
+	kindRaiseToken = 4
+	kindRegister   = 5
+	kindConfirm    = 6
+)
+
+// maxRaisedToken leaves room above a token that a receiver reports.
+const maxRaisedToken = 1 << 62
+
+// tableCommand is a change of the table. apply tells whether it was accepted; one that is rejected changes nothing.
+type tableCommand interface {
+	encode() []byte
+	apply(t *Table) bool
 }
 
-func releaseCmd(job string, token, number uint64, left []byte, wall int64, why string) []byte {
-	var w encoding.Writer
-	return w.Uint(cmdRelease).Text(job).Uint(token).Uint(uint64(wall)).Uint(number).Bytes(left).Text(why).Data
+// registerCommand adds a job without an owner.
+type registerCommand struct {
+	job string
+	at  int64 // wall clock, Unix milliseconds
 }
 
-func noteCmd(job string, token, number uint64, left []byte) []byte {
-	var w encoding.Writer
-	return w.Uint(cmdNote).Text(job).Uint(token).Uint(0).Uint(number).Bytes(left).Data
+// grantCommand gives a job to a process under a new token.
+type grantCommand struct {
+	job         string
+	token       uint64
+	at          int64 // wall clock, Unix milliseconds
+	owner       string
+	incarnation uint64
+	reason      string
 }
 
-func raiseCmd(job string, token uint64) []byte {
-	var w encoding.Writer
-	return w.Uint(cmdRaise).Text(job).Uint(token).Uint(0).Data
+// releaseCommand takes a job back from its owner, with its last checkpoint.
+type releaseCommand struct {
+	job              string
+	token            uint64
+	at               int64 // wall clock, Unix milliseconds
+	checkpointNumber uint64
+	checkpoint       []byte
+	reason           string
 }
 
-func sureCmd() []byte {
-	var w encoding.Writer
-	return w.Uint(cmdSure).Text("").Uint(0).Uint(0).Data
+// checkpointCommand stores a checkpoint of the present owner.
+type checkpointCommand struct {
+	job              string
+	token            uint64
+	checkpointNumber uint64
+	checkpoint       []byte
 }
 
-func knowCmd(job string, wall int64) []byte {
+// raiseTokenCommand follows a receiver that has seen a higher token than the table knows.
+type raiseTokenCommand struct {
+	job   string
+	token uint64
+}
+
+// confirmCommand ends the uncertainty that Table.MarkUncertain began.
+type confirmCommand struct{}
+
+// commandHeader begins every command: kind, job, token, wall clock.
+func commandHeader(kind uint64, job string, token uint64, at int64) *encoding.Writer {
 	var w encoding.Writer
-	return w.Uint(cmdKnow).Text(job).Uint(0).Uint(uint64(wall)).Data
+	return w.Uint(kind).Text(job).Uint(token).Uint(uint64(at))
+}
+
+func (c registerCommand) encode() []byte { return commandHeader(kindRegister, c.job, 0, c.at).Data }
+
+func (c grantCommand) encode() []byte {
+	return commandHeader(kindGrant, c.job, c.token, c.at).Text(c.owner).Uint(c.incarnation).Text(c.reason).Data
+}
+
+func (c releaseCommand) encode() []byte {
+	return commandHeader(kindRelease, c.job, c.token, c.at).Uint(c.checkpointNumber).Bytes(c.checkpoint).Text(c.reason).Data
+}
+
+func (c checkpointCommand) encode() []byte {
+	return commandHeader(kindCheckpoint, c.job, c.token, 0).Uint(c.checkpointNumber).Bytes(c.checkpoint).Data
+}
+
+func (c raiseTokenCommand) encode() []byte {
+	return commandHeader(kindRaiseToken, c.job, c.token, 0).Data
+}
+
+func (confirmCommand) encode() []byte { return commandHeader(kindConfirm, "", 0, 0).Data }
+
+func decodeCommand(data []byte) (cmd tableCommand, err error) {
+	r := encoding.Reader{Data: data}
+	kind, job, token, at := r.Uint(), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
+	switch kind {
+	case kindRegister:
+		cmd = registerCommand{job: job, at: at}
+	case kindGrant:
+		cmd = grantCommand{job: job, token: token, at: at, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
+	case kindRelease:
+		cmd = releaseCommand{job: job, token: token, at: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint), reason: r.Text(maxReasonBytes)}
+	case kindCheckpoint:
+		cmd = checkpointCommand{job: job, token: token, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
+	case kindRaiseToken:
+		cmd = raiseTokenCommand{job: job, token: token}
+	case kindConfirm:
+		cmd = confirmCommand{}
+	default:
+		return nil, fmt.Errorf("ownership: unknown command kind %d", kind)
+	}
+	if err := r.Err(); err != nil {
+		return nil, fmt.Errorf("ownership: command kind %d: %w", kind, err)
+	}
+	return cmd, nil
+}
+
+func (c registerCommand) apply(t *Table) bool {
+	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
+		return false
+	}
+	t.add(&JobRecord{Job: c.job, Since: c.at, Reason: "made known"})
+	return true
+}
+
+// apply requires a rising token: what an earlier owner sends is stale from here on.
+func (c grantCommand) apply(t *Table) bool {
+	row := t.rows[c.job]
+	if row == nil || c.token <= row.Token {
+		return false
+	}
+	row.Token, row.Owner, row.Incarnation, row.Since, row.Reason = c.token, c.owner, c.incarnation, c.at, c.reason
+	return true
+}
+
+func (c releaseCommand) apply(t *Table) bool {
+	row := t.ownedUnder(c.job, c.token)
+	if row == nil {
+		return false
+	}
+	row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
+	row.clearOwner(c.reason)
+	row.Since = c.at
+	return true
+}
+
+func (c checkpointCommand) apply(t *Table) bool {
+	row := t.ownedUnder(c.job, c.token)
+	return row != nil && row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
+}
+
+// ownedUnder gives the row of a job that is owned under exactly this token; nil: it is not.
+func (t *Table) ownedUnder(job string, token uint64) *JobRecord {
+	row := t.rows[job]
+	if row == nil || row.Token != token || row.Owner == "" {
+		return nil
+	}
+	return row
+}
+
+// apply clears the owner too: the higher token may have been another's, so nobody continues under it.
+func (c raiseTokenCommand) apply(t *Table) bool {
+	row := t.rows[c.job]
+	if row == nil || c.token <= row.Token || c.token > maxRaisedToken {
+		return false
+	}
+	row.Token = c.token
+	row.clearOwner("a receiver has seen a later token")
+	return true
+}
+
+func (confirmCommand) apply(t *Table) bool {
+	wasUncertain := t.uncertain
+	t.uncertain = false
+	return wasUncertain
 }
--- /dev/null
+++ b/internal/fleet/ownership/coordinator.go
@@ -0,0 +1,196 @@
+package ownership
+
+import "fmt"
+
+const (
+	// reviewInterval is how often the coordinator looks at all jobs.
+	reviewInterval = 20 * ms
+	// confirmInterval bounds how often the voters are asked whether this process still leads: once for all requests of the time.
+	confirmInterval = 200 * ms
+	// listRepeatInterval is the time before a job list is repeated to a process that seems not to have it.
+	listRepeatInterval = 200 * ms
+	// listSettleTime is the time that a process has to take a list before a release is read as a sign that it does not have it.
+	listSettleTime = 50 * ms
+)
+
+// coordinator is the role of the process that leads the group: it grants leases and places jobs. It never leads in two epochs at a time;
+// what it learned in one is dropped at the start of the next.
+type coordinator struct {
+	*environment
+	unreachableFrom map[string]int // members that can't hear a member, by its name
+
+	epoch        uint64 // 0: this process does not lead
+	leadsSince   Time
+	emptyAtStart bool // the table held nothing when the epoch began
+	sessions     sessions
+	proposals    proposals
+	confirmation leadershipConfirmation
+	backoff      failureBackoff
+	handovers    handovers
+	changedAt    map[string]Time // last change of a job's owner, as seen here
+	listSequence uint64
+	reviewedAt   Time
+}
+
+func newCoordinator(env *environment) *coordinator {
+	c := &coordinator{environment: env}
+	c.dropEpochState()
+	return c
+}
+
+func (c *coordinator) leads() bool { return c.epoch != 0 }
+
+// dropEpochState drops all that was learned in an epoch. Tags, the times of the last confirmation, review and handover go on.
+func (c *coordinator) dropEpochState() {
+	c.listSequence = 0
+	c.sessions = sessions{}
+	c.proposals.byTag, c.proposals.inFlight = map[uint64]proposal{}, map[string]uint64{}
+	c.confirmation.waiting, c.confirmation.byTag = nil, map[uint64][]leaseClaim{}
+	c.backoff = failureBackoff{}
+	c.handovers.byJob = map[string]Placement{}
+	c.changedAt = map[string]Time{}
+}
+
+// becomeCoordinator begins an epoch. What an earlier coordinator knew is not known here, so nobody is given up before a lease that it may
+// have granted has ended.
+func (c *coordinator) becomeCoordinator(epoch uint64) {
+	c.epoch, c.leadsSince, c.emptyAtStart = epoch, c.now, c.table.Version == 0
+	c.dropEpochState()
+	for _, row := range c.table.Jobs() {
+		c.changedAt[row.Job] = c.now
+	}
+	c.effects.LogEvent("coordinator_elected", "epoch", epoch)
+}
+
+// stepDown ends the epoch. Results of proposals that are under way are still passed on.
+func (c *coordinator) stepDown() { c.epoch = 0 }
+
+func (c *coordinator) tick() {
+	epoch, ok := c.group.Leading()
+	if !ok {
+		c.stepDown()
+		return
+	}
+	if c.epoch != epoch {
+		c.becomeCoordinator(epoch)
+	}
+	c.proposals.expire(c.now)
+	c.confirmation.expire(c.now, c.cfg.Lease)
+	c.confirmLeadership()
+	if c.now-c.reviewedAt < reviewInterval {
+		return
+	}
+	c.reviewedAt = c.now
+	if c.table.uncertain {
+		c.waitForCertainty()
+		return
+	}
+	c.placeJobs()
+	c.sendJobLists()
+}
+
+// waitForCertainty ends the table's uncertainty once every lease has ended that commands unknown here may have led to.
+func (c *coordinator) waitForCertainty() {
+	if c.now >= c.leaseSurelyEnded(c.leadsSince) {
+		c.propose(confirmCommand{}, proposal{})
+	}
+}
+
+// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, whatever its clock: the coordinator counts longer by
+// the drift.
+func (c *coordinator) leaseSurelyEnded(grantedAt Time) Time {
+	return grantedAt + lengthened(c.cfg.Lease)
+}
+
+// handleJobReleased takes a job back. Before its last proposal is decided a release is ignored: it is repeated.
+func (c *coordinator) handleJobReleased(m jobReleased) {
+	s := c.sessions[m.sender]
+	if s != nil && !m.able {
+		s.able = false // else it would be granted again what it has just released
+	}
+	row := c.table.Job(m.job)
+	if !c.leads() || row == nil || c.proposals.busy(m.job) {
+		return
+	}
+	if row.Owner != m.sender.name || row.Incarnation != m.sender.incarnation || row.Token != m.token {
+		c.remindOfList(s)
+		return
+	}
+	if m.higherToken > row.Token {
+		// The row's token changes by this, and with it the list: the process sees that it owns the job no more.
+		c.propose(raiseTokenCommand{job: m.job, token: m.higherToken}, proposal{job: m.job, exclusive: true})
+		return
+	}
+	if len(m.reason) > len(failedReason) && m.reason[:len(failedReason)] == failedReason {
+		c.backoff.recordFailure(m.job, c.now)
+	}
+	release := releaseCommand{job: m.job, token: m.token, at: c.cfg.Wall(), checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint, reason: m.reason}
+	c.propose(release, proposal{job: m.job, exclusive: true})
+}
+
+// remindOfList sends the list again to a process that releases what is not its own any more.
+func (c *coordinator) remindOfList(s *session) {
+	if s != nil && c.now-s.notifiedAt > listSettleTime {
+		s.notifiedVersion = 0
+		c.sendJobList(s)
+	}
+}
+
+func (c *coordinator) handleStoreCheckpoint(from uint32, m storeCheckpoint) {
+	if !c.leads() {
+		return
+	}
+	cmd := checkpointCommand{job: m.job, token: m.token, checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint}
+	c.propose(cmd, proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
+}
+
+// moveJob carries out an operator's wish for a handover, and gives the refusal; "": it is accepted.
+func (c *coordinator) moveJob(job, to string) (refusal string) {
+	row, s := c.table.Job(job), c.sessions.latest(to)
+	switch {
+	case !c.leads():
+		return "this process does not coordinate any more: ask again"
+	case row == nil:
+		return fmt.Sprintf("there is no job %q", job)
+	case s == nil || !s.able:
+		return fmt.Sprintf("%s is not there, or not fit to own", to)
+	case !s.offers[job]:
+		return fmt.Sprintf("%s can't do %s", to, job)
+	case row.Owner == to:
+		return fmt.Sprintf("%s owns %s already", to, job)
+	}
+	c.beginHandover(Placement{Job: job, To: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
+	c.sendJobLists()
+	return ""
+}
+
+func (c *coordinator) forwardQuery(m queryMessage) {
+	row := c.table.Job(m.job)
+	if c.leads() && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
+		c.sendEncoded(peerOf(row.Owner), m.encoded)
+	}
+}
+
+func (c *coordinator) sendJobLists() {
+	for _, s := range c.sessions.ordered() {
+		c.sendJobList(s)
+	}
+}
+
+// sendJobList tells a process what it is to own, where that has changed since it was told, or it seems not to have the last list.
+func (c *coordinator) sendJobList(s *session) {
+	current := c.table.Version + 1
+	if s.notifiedVersion == current && (!s.behind || c.now-s.notifiedAt < listRepeatInterval) {
+		return
+	}
+	c.listSequence++
+	m := jobList{incarnation: s.incarnation, epoch: c.epoch, sequence: c.listSequence}
+	for _, row := range c.table.Jobs() {
+		if row.Owner == s.name && row.Incarnation == s.incarnation {
+			m.jobs = append(m.jobs, listedJob{job: row.Job, token: row.Token, checkpointNumber: row.CheckpointNumber,
+				handover: c.handovers.requested(row.Job), checkpoint: row.Checkpoint})
+		}
+	}
+	s.notifiedVersion, s.notifiedAt, s.listSequence, s.behind = current, c.now, c.listSequence, false
+	c.send(peerOf(s.name), m)
+}
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -3,229 +3,195 @@
 import (
 	"fmt"
 	"slices"
-	"sort"
 
 	"croftlock/internal/fleet/group"
 )
 
-// Machine is the table's number among the group's machines.
-const Machine = 1
-
-// Config is what a process is told once.
+// Config describes a process to its Core.
 type Config struct {
-	Name        string
-	Incarnation uint64   // of this process, over 0
-	Voters      []string // who may lead the group
-	Jobs        []string // that this process can do
-	Lease       Time     // how long an owner may go on without a word from the coordinator; 0: 2 s
-	Wall        func() int64
-	// FromAnswer is a planted fault: a lease is counted from its answer, not from before it was asked for.
+	Name        string       // member name
+	Incarnation uint64       // of the process, above 0
+	Voters      []string     // names of those that may lead the group
+	Jobs        []string     // that this process can own
+	Lease       Time         // how long an owner continues without the coordinator; default 2 s
+	Wall        func() int64 // wall clock, Unix milliseconds; default always 0
+	// FromAnswer is a fault for experiments: a lease is counted from its answer, not from its request.
 	FromAnswer bool
 }
 
-// confirmEach bounds how often the voters are asked whether this process leads still: once for all keeps that came meanwhile.
-const confirmEach = 200 * ms
+const defaultLease = 2 * sec
+
+func (cfg Config) withDefaults() Config {
+	if cfg.Lease <= 0 {
+		cfg.Lease = defaultLease
+	}
+	if cfg.Wall == nil {
+		cfg.Wall = func() int64 { return 0 }
+	}
+	return cfg
+}
 
-// drift is by what part clocks may run apart, twice: an owner counts its lease shorter by so much, a coordinator longer.
-const drift = 50 // one fiftieth
+func (cfg Config) validate() error {
+	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
+		return fmt.Errorf("%w: name %q, incarnation %d, %d voters, %d jobs", ErrInvalidConfig, cfg.Name, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs))
+	}
+	return nil
+}
 
-// Effects is what a Core can do. What is passed is valid during the call only.
+// Effects is what a Core has done by its process. Byte strings passed are valid during the call only.
 type Effects interface {
 	Send(peer uint32, msg []byte)
-	// Start begins a job with its token and what was left. A job that can't start gives an error; it is given back.
-	Start(job string, token, number uint64, left []byte) error
-	// Stop ends a job, before it returns, and gives what the next owner is to have, under a number above the last one noted.
-	Stop(job string, token uint64, why string) (number uint64, left []byte)
-	// Effect carries out what an owner sent; the fence has let it pass.
-	Effect(job string, m FencingToken, body []byte)
-	// EffectAcknowledged tells an owner what became of its effect at a receiver.
-	EffectAcknowledged(peer uint32, job string, m FencingToken, v Verdict, highest FencingToken)
-	// CheckpointStored tells an owner that what it wants left is kept, or was refused.
-	CheckpointStored(job string, token, number uint64, ok bool)
-	// QueryReceived brings a word for a job's owner from another process, and Answered the answer.
+	// Start begins a job under a token, from the last checkpoint. A job that can't start gives an error and is released.
+	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
+	// Stop ends a job before it returns. It gives the checkpoint for the next owner, under a number above the last one stored.
+	Stop(job string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte)
+	// Effect carries out an effect that the fence has accepted.
+	Effect(job string, token FencingToken, body []byte)
+	// EffectAcknowledged tells an owner a receiver's verdict on its effect.
+	EffectAcknowledged(peer uint32, job string, token FencingToken, v Verdict, highest FencingToken)
+	// CheckpointStored tells an owner whether a checkpoint was stored or rejected.
+	CheckpointStored(job string, token, checkpointNumber uint64, stored bool)
+	// QueryReceived passes on a query to a job that this process owns.
 	QueryReceived(peer uint32, job string, tag uint64, body []byte)
+	// ReplyReceived passes on the answer to Core.Query or Core.MoveJob.
 	ReplyReceived(tag uint64, body []byte)
 	LogEvent(event string, args ...any)
 }
 
-type held struct {
-	token    uint64
-	released bool // stopped; the coordinator is to know
-	raise    uint64
-	number   uint64
-	left     []byte
-	why      string
-	toldAt   Time
+// processID tells two processes of one name apart: both may be there for a moment.
+type processID struct {
+	name        string
+	incarnation uint64
 }
 
-// who is a process: two of one name may be there for a moment.
-type who struct {
-	name string
-	life uint64
+// environment is what the roles of one process share.
+type environment struct {
+	cfg     Config
+	effects Effects
+	group   Group // nil: this process is no voter
+	table   *Table
+	self    uint32 // peer
+	now     Time
+	toSelf  [][]byte // messages to this process, delivered after the current step
 }
 
-type session struct {
-	who
-	keptAt Time
-	began  Time
-	able   bool
-	since  Time // able without a break
-	offers map[string]bool
-	told   uint64 // version of the table it was told, and one
-	list   uint64 // under which number
-	toldAt Time
-	behind bool // it does not seem to have heard
-}
+func (e *environment) advance(now Time) { e.now = max(e.now, now) }
 
-type pending struct {
-	job   string
-	until Time
-	note  *noted
-}
+func (e *environment) processID() processID { return processID{e.cfg.Name, e.cfg.Incarnation} }
 
-type noted struct {
-	peer          uint32
-	token, number uint64
-}
+func (e *environment) send(peer uint32, m message) { e.sendEncoded(peer, m.encode()) }
 
-type confirming struct {
-	who
-	seq uint64
-	at  Time
+func (e *environment) sendEncoded(peer uint32, data []byte) {
+	if peer == e.self {
+		e.toSelf = append(e.toSelf, slices.Clone(data))
+		return
+	}
+	e.effects.Send(peer, data)
 }
 
-type failing struct {
-	n     int
-	until Time
+// Core is one process's part: a participant that may own jobs, a receiver of effects behind a fence, and the coordinator while the
+// process leads the group. Its methods must not be called at a time.
+type Core struct {
+	*environment
+	fence       *Fence
+	participant *participant
+	coordinator *coordinator
+	delivering  bool // messages to this process are being delivered
 }
 
-// Core is one process's part: as one that may own, as a receiver, and as the coordinator while it leads the group.
-type Core struct {
-	cfg   Config
-	fx    Effects
-	group Group // nil: this process is no voter
-	table *Table
-	fence *Fence
-	now   Time
-
-	inbox    [][]byte
-	draining bool
-
-	// As one that may own.
-	held    map[string]*held
-	leader  uint32
-	tryAt   int
-	heardAt Time // the coordinator
-	seq     uint64
-	asked   map[uint64]Time // keeps that are out
-	askAt   Time
-	until   Time // of the lease
-	epoch   uint64
-	list    uint64 // of the last list of jobs, within the epoch
-	able    bool
-	leaving bool
-	hard    map[string]int
-
-	// As the coordinator.
-	leads       uint64 // epoch; 0: it does not lead
-	ledSince    Time
-	fresh       bool // it leads a group that has given nothing yet
-	sessions    map[who]*session
-	keeps       []confirming // that came since the voters were last asked
-	confirmedAt Time
-	lists       uint64
-	tag         uint64
-	waits       map[uint64]pending
-	busy        map[string]uint64 // jobs with a command under way, by its tag
-	confirms    map[uint64][]confirming
-	since       map[string]Time
-	gives       map[string]Placement
-	gaveAt      Time
-	fails       map[string]*failing
-	looked      Time
-}
-
-// New makes a process's part. table is the one that group keeps.
-func New(cfg Config, group Group, table *Table, fence *Fence, fx Effects) (*Core, error) {
-	if cfg.Name == "" || len(cfg.Name) > mostName || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
-		return nil, fmt.Errorf("ownership: name %q, life %d, %d voters and %d jobs are not possible", cfg.Name, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs))
-	}
-	if cfg.Lease <= 0 {
-		cfg.Lease = 2 * sec
-	}
-	if cfg.Wall == nil {
-		cfg.Wall = func() int64 { return 0 }
+// New makes a process's part. table is the one that group replicates.
+func New(cfg Config, group Group, table *Table, fence *Fence, effects Effects) (*Core, error) {
+	if err := cfg.validate(); err != nil {
+		return nil, err
 	}
-	return &Core{cfg: cfg, fx: fx, group: group, table: table, fence: fence, held: map[string]*held{}, asked: map[uint64]Time{}, able: true,
-		sessions: map[who]*session{}, waits: map[uint64]pending{}, busy: map[string]uint64{},
-		confirms: map[uint64][]confirming{}, since: map[string]Time{}, gives: map[string]Placement{}, fails: map[string]*failing{}}, nil
-}
-
-// The messages.
-const (
-	msgKeep     = 1
-	msgKept     = 2
-	msgElse     = 3
-	msgOffer    = 4
-	msgJobs     = 5
-	msgReleased = 6
-	msgNote     = 7
-	msgNoted    = 8
-	msgEffect   = 9
-	msgAck      = 10
-	msgMove     = 11
-	msgMoved    = 12
-	msgAsk      = 13
-	msgAnswer   = 14
-)
+	env := &environment{cfg: cfg.withDefaults(), effects: effects, group: group, table: table, self: peerOf(cfg.Name)}
+	return &Core{environment: env, fence: fence, participant: newParticipant(env), coordinator: newCoordinator(env)}, nil
+}
 
-// Tick is to be called every 50 to 100 ms, and before a job acts: a lease that has ended is noticed here.
+func peerOf(name string) uint32 { return group.Peer(name) }
+
+// Tick is to be called every 50 to 100 ms, and before a job acts: the end of a lease is noticed here.
 func (c *Core) Tick(now Time) {
-	c.now = max(c.now, now)
-	defer c.drain()
-	c.lapse()
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.participant.stopAtLeaseEnd()
 	if c.group != nil {
 		c.group.Tick(c.now)
-		c.lead()
-	}
-	if !c.leaving || len(c.held) > 0 {
-		c.keep()
-	}
-	for _, job := range c.jobs() {
-		if h := c.held[job]; h.released && c.now-h.toldAt >= 100*ms {
-			c.tellReleased(job, h)
-		}
+		c.coordinator.tick()
 	}
+	c.participant.tick()
 }
 
-func (c *Core) jobs() []string {
-	names := make([]string, 0, len(c.held))
-	for n := range c.held {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	return names
+// Applied is the group's report that a proposed command was applied.
+func (c *Core) Applied(now Time, tag uint64, result []byte) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.coordinator.commandApplied(tag, result)
 }
 
-// send sends a message, or keeps it for drain where this process is meant.
-func (c *Core) send(peer uint32, msg []byte) {
-	if peer == group.Peer(c.cfg.Name) {
-		c.inbox = append(c.inbox, slices.Clone(msg))
-		return
-	}
-	c.fx.Send(peer, msg)
+// Confirmed is the group's report that this process still led after Confirm was called.
+func (c *Core) Confirmed(now Time, tag uint64) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.coordinator.leadershipConfirmed(tag)
 }
 
-// drain takes what this process has told itself, once whatever it was doing is done.
-func (c *Core) drain() {
-	if c.draining {
-		return
+// SetGroup replaces the group, or takes it away: a voter whose store has failed is none until it is opened again. The table stays.
+func (c *Core) SetGroup(g Group) {
+	c.group = g
+	c.coordinator.stepDown()
+}
+
+// Yield gives up the lead of the group.
+func (c *Core) Yield(now Time) {
+	if c.group != nil {
+		c.group.Yield(now)
 	}
-	c.draining = true
-	for len(c.inbox) > 0 {
-		msg := c.inbox[0]
-		c.inbox = c.inbox[1:]
-		c.receive(group.Peer(c.cfg.Name), msg)
+}
+
+// SetAble says whether this process is fit to own jobs: not while it is starved or short of disk.
+func (c *Core) SetAble(able bool) { c.participant.able = able }
+
+// SetUnreachable says from how many members each member can't be heard. The coordinator keeps jobs away from such members.
+func (c *Core) SetUnreachable(unreachableFrom map[string]int) {
+	c.coordinator.unreachableFrom = unreachableFrom
+}
+
+// Leave releases all jobs, and takes none any more.
+func (c *Core) Leave(now Time, reason string) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.participant.leave(reason)
+}
+
+// HasLeft tells whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
+// its proposals as well: what it has granted and told nobody would be idle until the next coordinator.
+func (c *Core) HasLeft() bool {
+	if c.participant.leaseEnded() {
+		return true
 	}
-	c.draining = false
+	return len(c.participant.held) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
+}
+
+// JobFailed releases a job that ended by a fault of its own.
+func (c *Core) JobFailed(now Time, job string, token uint64, reason string) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.participant.jobFailed(job, token, reason)
+}
+
+// Holds tells whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
+// are for that.
+func (c *Core) Holds(now Time, job string, token uint64) bool {
+	c.advance(now)
+	return c.participant.holds(job, token)
 }
+
+// Leader is the peer that this process takes for the coordinator; 0: none.
+func (c *Core) Leader() uint32 { return c.participant.lease.leader }
+
+// LeaseRemaining is how long this process may go on as an owner.
+func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.participant.lease.end-now) }
+
+// HeldJobs gives the jobs that this process owns, with their tokens.
+func (c *Core) HeldJobs() map[string]uint64 { return c.participant.ownedJobs() }
--- /dev/null
+++ b/internal/fleet/ownership/decode.go
@@ -0,0 +1,118 @@
+package ownership
+
+import (
+	"errors"
+	"fmt"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+var (
+	errNoJob          = errors.New("no job")
+	errNoIncarnation  = errors.New("no incarnation")
+	errUnknownVerdict = errors.New("unknown verdict")
+)
+
+// decodeMessage decodes one message. Byte strings in it are parts of data, not copies.
+func decodeMessage(data []byte) (message, error) {
+	r := encoding.Reader{Data: data}
+	kind := r.Uint()
+	var m message
+	switch kind {
+	case kindLeaseRequest:
+		m = decodeLeaseRequest(&r)
+	case kindLeaseGranted:
+		m = leaseGranted{sequence: r.Uint(), incarnation: r.Uint(), epoch: r.Uint(), wantsOffer: r.Bool()}
+	case kindLeaderRedirect:
+		m = leaderRedirect{leader: uint32(r.Uint())}
+	case kindJobOffer:
+		m = decodeJobOffer(&r)
+	case kindJobList:
+		m = decodeJobList(&r)
+	case kindJobReleased:
+		m = decodeJobReleased(&r)
+	case kindStoreCheckpoint:
+		m = storeCheckpoint{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
+	case kindCheckpointResult:
+		m = checkpointResult{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), stored: r.Bool()}
+	case kindEffect:
+		m = effectMessage{job: r.Text(maxNameBytes), token: decodeFencingToken(&r), body: r.Bytes(maxBodyBytes)}
+	case kindEffectAck:
+		m = effectAck{job: r.Text(maxNameBytes), token: decodeFencingToken(&r), verdict: Verdict(r.Uint()), highest: decodeFencingToken(&r)}
+	case kindMoveRequest:
+		m = moveRequest{job: r.Text(maxNameBytes), to: r.Text(maxNameBytes), tag: r.Uint()}
+	case kindMoveReply:
+		m = moveReply{tag: r.Uint(), refusal: r.Text(maxReasonBytes)}
+	case kindQuery:
+		m = queryMessage{job: r.Text(maxNameBytes), tag: r.Uint(), asker: uint32(r.Uint()), body: r.Bytes(maxBodyBytes), encoded: data}
+	case kindQueryReply:
+		m = queryReply{tag: r.Uint(), body: r.Bytes(maxBodyBytes)}
+	default:
+		return nil, fmt.Errorf("%w: %d", ErrUnknownMessage, kind)
+	}
+	if err := r.Err(); err != nil {
+		return nil, malformed(kind, err)
+	}
+	return m, validate(m)
+}
+
+// validate rejects values that no sender means.
+func validate(m message) error {
+	switch m := m.(type) {
+	case leaseRequest:
+		if m.sender.incarnation == 0 {
+			return malformed(kindLeaseRequest, errNoIncarnation)
+		}
+	case effectMessage:
+		if m.job == "" {
+			return malformed(kindEffect, errNoJob)
+		}
+	case effectAck:
+		if m.verdict > Stale {
+			return malformed(kindEffectAck, errUnknownVerdict)
+		}
+	}
+	return nil
+}
+
+func decodeProcessID(r *encoding.Reader) processID {
+	return processID{name: r.Text(maxNameBytes), incarnation: r.Uint()}
+}
+
+func decodeFencingToken(r *encoding.Reader) FencingToken {
+	return FencingToken{Token: r.Uint(), Sequence: r.Uint()}
+}
+
+func decodeLeaseRequest(r *encoding.Reader) leaseRequest {
+	return leaseRequest{sender: decodeProcessID(r), sequence: r.Uint(), able: r.Bool(), epoch: r.Uint(), listSequence: r.Uint()}
+}
+
+func decodeJobOffer(r *encoding.Reader) jobOffer {
+	m := jobOffer{sender: decodeProcessID(r)}
+	for n := r.Count(MaxJobs); n > 0; n-- {
+		m.jobs = append(m.jobs, r.Text(maxNameBytes))
+	}
+	return m
+}
+
+func decodeJobList(r *encoding.Reader) jobList {
+	m := jobList{incarnation: r.Uint(), epoch: r.Uint(), sequence: r.Uint()}
+	for n := r.Count(MaxJobs); n > 0; n-- {
+		m.jobs = append(m.jobs, listedJob{
+			job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), handover: r.Bool(), checkpoint: r.Bytes(MaxCheckpoint)})
+	}
+	return m
+}
+
+func decodeJobReleased(r *encoding.Reader) jobReleased {
+	return jobReleased{
+		sender:           decodeProcessID(r),
+		able:             r.Bool(),
+		job:              r.Text(maxNameBytes),
+		token:            r.Uint(),
+		higherToken:      r.Uint(),
+		checkpointNumber: r.Uint(),
+		checkpoint:       r.Bytes(MaxCheckpoint),
+		reason:           r.Text(maxReasonBytes),
+	}
+}
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -1,52 +1,72 @@
 package ownership
 
-// Fence is what a receiver remembers of each job: the highest token it has seen, and of that the last effect.
-type Fence struct {
-	last map[string]FencingToken
-	// Forget is a planted fault: nothing is remembered.
-	Forget bool
-}
-
-// FencingToken is a place in a job's order of effects.
+// FencingToken orders the effects of a job: by the owner's token, then by the number that the owner gave the effect.
 type FencingToken struct{ Token, Sequence uint64 }
 
-// Before tells whether a mark comes before another.
-func (m FencingToken) Before(o FencingToken) bool {
-	return m.Token < o.Token || m.Token == o.Token && m.Sequence < o.Sequence
+// Before tells whether t comes before other.
+func (t FencingToken) Before(other FencingToken) bool {
+	return t.Token < other.Token || t.Token == other.Token && t.Sequence < other.Sequence
 }
 
-// Verdict is what becomes of an effect.
+// Verdict is what a receiver decides on an effect.
 type Verdict uint8
 
-// Check tells whether an effect may be carried out, and notes it. Each carries all that it is to bring about, so that an earlier one of
-// the same token has nothing to add to a later one.
-func (f *Fence) Check(job string, m FencingToken) (Verdict, FencingToken) {
+// The verdicts, as sent in acknowledgements.
+const (
+	Accepted  Verdict = iota
+	Duplicate         // this effect or a later one of the same token was accepted before
+	Stale             // a higher token was seen
+)
+
+// String names the verdict.
+func (v Verdict) String() string {
+	switch v {
+	case Accepted:
+		return "accepted"
+	case Duplicate:
+		return "duplicate"
+	case Stale:
+		return "stale"
+	}
+	return "unknown"
+}
+
+// Fence is what a receiver remembers of each job: the latest effect it accepted. It makes a stale owner harmless.
+type Fence struct {
+	last map[string]FencingToken
+	// Forget is a fault for experiments: nothing is remembered.
+	Forget bool
+}
+
+// Check decides on an effect, and remembers it if it is accepted; it returns the latest effect seen as well. An effect holds the
+// whole of what it is to bring about, so an earlier one of the same token has nothing to add to a later one.
+func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
 	}
-	k, known := f.last[job]
+	last, known := f.last[job]
 	switch {
 	case f.Forget:
-	case m.Token < k.Token:
-		return Stale, k
-	case m.Token == k.Token && m.Sequence <= k.Sequence:
-		return Duplicate, k
+	case token.Token < last.Token:
+		return Stale, last
+	case token.Token == last.Token && token.Sequence <= last.Sequence:
+		return Duplicate, last
 	case !known && len(f.last) >= MaxJobs:
-		return Stale, k // no room to remember: nothing is carried out that could not be refused later
+		return Stale, last // what can't be remembered could not be fenced later
 	}
-	f.last[job] = m
-	return Accepted, m
+	f.last[job] = token
+	return Accepted, token
 }
 
-// Last is the latest effect seen of a job.
+// Last is the latest effect accepted of a job.
 func (f *Fence) Last(job string) FencingToken { return f.last[job] }
 
-// Raise raises what is remembered, as a durable receiver does at its start.
-func (f *Fence) Raise(job string, m FencingToken) {
+// Raise raises what is remembered, as a receiver with a durable fence does at its start.
+func (f *Fence) Raise(job string, token FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
 	}
-	if f.last[job].Before(m) {
-		f.last[job] = m
+	if f.last[job].Before(token) {
+		f.last[job] = token
 	}
 }
--- /dev/null
+++ b/internal/fleet/ownership/lease.go
@@ -0,0 +1,89 @@
+package ownership
+
+// processLease is the lease of a process, under which it holds all its jobs, and the search for the coordinator that grants it.
+type processLease struct {
+	end         Time   // as this process counts it; 0: it never had one
+	leader      uint32 // whom this process takes for the coordinator; 0: nobody
+	heardAt     Time   // the coordinator, last
+	requestedAt Time   // last; 0: at once
+	sequence    uint64 // of the last request
+	outstanding map[uint64]Time
+	nextVoter   int // to be asked next where no coordinator is known
+}
+
+func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
+
+// stopAtLeaseEnd keeps the owner's part of the lease: all jobs stop before the coordinator may grant them again.
+func (p *participant) stopAtLeaseEnd() {
+	if p.leaseEnded() {
+		p.releaseAll("the lease ended")
+	}
+}
+
+// renewLease asks the coordinator for another lease four times in each.
+func (p *participant) renewLease() {
+	l := &p.lease
+	interval := p.cfg.Lease / 4
+	if p.now-l.heardAt > interval+interval/2 {
+		interval /= 2 // the coordinator may be another by now
+	}
+	if p.now-l.requestedAt < interval && l.requestedAt > 0 {
+		return
+	}
+	l.requestedAt = max(1, p.now)
+	if p.now-l.heardAt > p.cfg.Lease/2 || l.leader == 0 {
+		p.findCoordinator()
+	}
+	l.sequence++
+	for sequence, at := range l.outstanding {
+		if p.now-at > p.cfg.Lease {
+			delete(l.outstanding, sequence)
+		}
+	}
+	l.outstanding[l.sequence] = p.now
+	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence})
+}
+
+// findCoordinator asks the own group first, and then one voter after the other: a voter that does not lead says who does.
+func (p *participant) findCoordinator() {
+	l := &p.lease
+	l.leader = 0
+	if p.group != nil {
+		l.leader = p.group.Leader()
+	}
+	if l.leader == 0 || p.now-l.heardAt > p.cfg.Lease {
+		l.leader = peerOf(p.cfg.Voters[l.nextVoter%len(p.cfg.Voters)])
+		l.nextVoter++
+	}
+}
+
+// handleLeaseGranted counts the lease from before its request, and shorter by the drift of clocks: it ends here before it ends at the
+// coordinator, however long the answer took.
+func (p *participant) handleLeaseGranted(from uint32, m leaseGranted) {
+	if m.incarnation != p.cfg.Incarnation {
+		return
+	}
+	l := &p.lease
+	requestedAt, ok := l.outstanding[m.sequence]
+	if !ok || m.epoch < p.epoch {
+		return
+	}
+	delete(l.outstanding, m.sequence)
+	if p.cfg.FromAnswer {
+		requestedAt = p.now
+	}
+	if m.epoch > p.epoch {
+		p.epoch, p.listSequence = m.epoch, 0
+	}
+	l.leader, l.heardAt = from, p.now
+	l.end = max(l.end, requestedAt+shortened(p.cfg.Lease))
+	if m.wantsOffer {
+		p.send(from, jobOffer{sender: p.processID(), jobs: p.cfg.Jobs})
+	}
+}
+
+func (p *participant) handleLeaderRedirect(from uint32, m leaderRedirect) {
+	if from == p.lease.leader && m.leader != 0 && m.leader != from {
+		p.lease.leader, p.lease.requestedAt = m.leader, 0
+	}
+}
--- a/internal/fleet/ownership/ownership_test.go
+++ b/internal/fleet/ownership/ownership_test.go
@@ -25,18 +25,18 @@
 			var cmd []byte
 			kind := rapid.IntRange(1, 5).Draw(t, "kind")
 			switch kind {
-			case cmdGrant:
-				cmd = grantCmd(job, "p", 3, token, 1, "why")
-			case cmdRelease:
-				cmd = releaseCmd(job, token, number, left, 1, "why")
-			case cmdNote:
-				cmd = noteCmd(job, token, number, left)
-			case cmdRaise:
-				cmd = raiseCmd(job, token)
-			case cmdKnow:
-				cmd = knowCmd(job, 1)
+			case kindGrant:
+				cmd = grantCommand{job: job, token: token, at: 1, owner: "p", incarnation: 3, reason: "why"}.encode()
+			case kindRelease:
+				cmd = releaseCommand{job: job, token: token, at: 1, checkpointNumber: number, checkpoint: left, reason: "why"}.encode()
+			case kindCheckpoint:
+				cmd = checkpointCommand{job: job, token: token, checkpointNumber: number, checkpoint: left}.encode()
+			case kindRaiseToken:
+				cmd = raiseTokenCommand{job: job, token: token}.encode()
+			case kindRegister:
+				cmd = registerCommand{job: job, at: 1}.encode()
 			}
-			ok := a.Apply(cmd)[0] == resultDone
+			ok := a.Apply(cmd)[0] == resultApplied
 			after := a.Job(job)
 			if after == nil {
 				continue
@@ -44,11 +44,11 @@
 			if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
 				t.Fatalf("%+v after %+v", after, before)
 			}
-			old := token < before.Token || token == before.Token && kind == cmdGrant
-			if kind != cmdKnow && old && (ok || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
+			old := token < before.Token || token == before.Token && kind == kindGrant
+			if kind != kindRegister && old && (ok || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
 				t.Fatalf("token %d after %d: %+v", token, before.Token, after)
 			}
-			if kind == cmdGrant && ok && (after.Owner != "p" || after.Token != token) {
+			if kind == kindGrant && ok && (after.Owner != "p" || after.Token != token) {
 				t.Fatalf("granted %+v", after)
 			}
 			b := NewTable()
@@ -184,10 +184,10 @@
 
 func FuzzTable(f *testing.F) {
 	a := NewTable()
-	a.Apply(knowCmd("j", 1))
-	a.Apply(grantCmd("j", "p", 2, 3, 4, "why"))
-	f.Add(a.Snapshot(), noteCmd("j", 3, 1, []byte("left")))
-	f.Add([]byte{1, 0, 0, 200, 1}, []byte{cmdGrant, 1, 'j'})
+	a.Apply(registerCommand{job: "j", at: 1}.encode())
+	a.Apply(grantCommand{job: "j", token: 3, at: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
+	f.Add(a.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("left")}.encode())
+	f.Add([]byte{1, 0, 0, 200, 1}, []byte{kindGrant, 1, 'j'})
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
 		b := NewTable()
 		if b.Restore(snapshot) != nil && len(b.Jobs()) > 0 {
--- /dev/null
+++ b/internal/fleet/ownership/participant.go
@@ -0,0 +1,198 @@
+package ownership
+
+import "sort"
+
+// releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
+const releaseRepeatInterval = 100 * ms
+
+// failedReason begins the reason of a job that ended by a fault of its own; the coordinator delays its next grant.
+const failedReason = "failed: "
+
+// heldLease is a job that this process owns, or has released while the coordinator may not know it yet.
+type heldLease struct {
+	token            uint64
+	released         bool
+	reason           string // of the release
+	higherToken      uint64 // that a receiver reported; 0: none
+	checkpointNumber uint64
+	checkpoint       []byte
+	reportedAt       Time // the release, to the coordinator
+}
+
+// participant is the role of a process that may own jobs.
+type participant struct {
+	*environment
+	lease        processLease
+	held         map[string]*heldLease // by job
+	epoch        uint64                // of the last coordinator that was followed
+	listSequence uint64                // of the last job list in that epoch
+	able         bool
+	leaving      bool
+}
+
+func newParticipant(env *environment) *participant {
+	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, held: map[string]*heldLease{}, able: true}
+}
+
+func (p *participant) tick() {
+	if !p.leaving || len(p.held) > 0 {
+		p.renewLease()
+	}
+	for _, job := range p.heldNames() {
+		if h := p.held[job]; h.released && p.now-h.reportedAt >= releaseRepeatInterval {
+			p.reportRelease(job, h)
+		}
+	}
+}
+
+// heldNames is in order, so that a run can be replayed.
+func (p *participant) heldNames() []string {
+	names := make([]string, 0, len(p.held))
+	for name := range p.held {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	return names
+}
+
+func (p *participant) ownedJobs() map[string]uint64 {
+	tokens := map[string]uint64{}
+	for job, h := range p.held {
+		if !h.released {
+			tokens[job] = h.token
+		}
+	}
+	return tokens
+}
+
+// owns tells whether this process may act as a job's owner now.
+func (p *participant) owns(job string) bool {
+	h := p.held[job]
+	return h != nil && !h.released && !p.leaseEnded()
+}
+
+func (p *participant) holds(job string, token uint64) bool {
+	return p.owns(job) && p.held[job].token == token
+}
+
+// mayBeAssigned tells whether this process should be given jobs. One whose lease ended without a renewal may be deaf: it would not hear of
+// a job either, though its requests arrive.
+func (p *participant) mayBeAssigned() bool {
+	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
+}
+
+func (p *participant) leave(reason string) {
+	p.leaving = true
+	p.releaseAll(reason)
+}
+
+func (p *participant) releaseAll(reason string) {
+	for _, job := range p.heldNames() {
+		if h := p.held[job]; !h.released {
+			p.release(job, h, reason)
+		}
+	}
+}
+
+func (p *participant) jobFailed(job string, token uint64, reason string) {
+	if h := p.held[job]; h != nil && h.token == token && !h.released {
+		p.release(job, h, failedReason+reason)
+	}
+}
+
+// release stops a job here. The coordinator is told, with the checkpoint, until it has taken the job back.
+func (p *participant) release(job string, h *heldLease, reason string) {
+	h.released, h.reason = true, reason
+	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
+	p.reportRelease(job, h)
+}
+
+func (p *participant) reportRelease(job string, h *heldLease) {
+	h.reportedAt = p.now
+	if p.lease.leader == 0 {
+		return
+	}
+	p.send(p.lease.leader, jobReleased{
+		sender:           p.processID(),
+		able:             p.mayBeAssigned(),
+		job:              job,
+		token:            h.token,
+		higherToken:      h.higherToken,
+		checkpointNumber: h.checkpointNumber,
+		checkpoint:       h.checkpoint,
+		reason:           h.reason,
+	})
+}
+
+// handleJobList takes the list of what this process is to own. Lists that are overtaken, or for an earlier process of this name, change nothing.
+func (p *participant) handleJobList(from uint32, m jobList) {
+	if m.incarnation != p.cfg.Incarnation || m.epoch < p.epoch || m.epoch == p.epoch && m.sequence <= p.listSequence {
+		return
+	}
+	p.epoch, p.listSequence, p.lease.leader = m.epoch, m.sequence, from
+	p.dropUnlisted(m.jobs)
+	for _, j := range m.jobs {
+		if p.held[j.job] == nil && !p.acquire(j) {
+			p.listSequence = m.sequence - 1 // looks not yet heard, so that the list is sent again
+		}
+	}
+}
+
+// dropUnlisted stops what the list no longer holds under the same token, and releases what is to be handed over.
+func (p *participant) dropUnlisted(jobs []listedJob) {
+	listed := map[string]listedJob{}
+	for _, j := range jobs {
+		listed[j.job] = j
+	}
+	for _, job := range p.heldNames() {
+		h := p.held[job]
+		j, ok := listed[job]
+		switch {
+		case ok && j.token == h.token:
+			if j.handover && !h.released {
+				p.release(job, h, "it is to be handed over")
+			}
+		case !h.released:
+			p.effects.Stop(job, h.token, "the coordinator has given it to another")
+			delete(p.held, job)
+		default:
+			delete(p.held, job) // the coordinator has taken it back
+		}
+	}
+}
+
+// acquire begins a listed job, or releases it at once where it must not begin here. It gives false where the job has to wait for a lease.
+func (p *participant) acquire(j listedJob) bool {
+	if j.handover || p.leaving {
+		h := &heldLease{token: j.token, released: true, reason: "not begun: it is to be handed over, or this process is leaving"}
+		p.held[j.job] = h
+		p.reportRelease(j.job, h)
+		return true
+	}
+	// Lease: without one nothing begins.
+	if p.leaseEnded() {
+		return false
+	}
+	h := &heldLease{token: j.token}
+	p.held[j.job] = h
+	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
+		h.released, h.reason, h.checkpointNumber = true, failedReason+err.Error(), 0
+		p.reportRelease(j.job, h)
+	}
+	return true
+}
+
+func (p *participant) handleCheckpointResult(m checkpointResult) {
+	if h := p.held[m.job]; h != nil && h.token == m.token {
+		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
+	}
+}
+
+func (p *participant) handleEffectAck(from uint32, m effectAck) {
+	if h := p.held[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
+		// Fencing: the receiver remembers a later owner, so this one stops, and the next token is to be above that.
+		h.higherToken = m.highest.Token
+		p.release(m.job, h, "a receiver has seen a later token")
+	}
+	p.effects.EffectAcknowledged(from, m.job, m.token, m.verdict, m.highest)
+}
--- /dev/null
+++ b/internal/fleet/ownership/placejobs.go
@@ -0,0 +1,195 @@
+package ownership
+
+import "sort"
+
+const (
+	// sessionGatherTime is the wait before the first grant of an epoch: processes arrive one after the other, and the first would get all.
+	sessionGatherTime = 200 * ms
+	// handoverInterval bounds how often a handover that is not needed at once begins.
+	handoverInterval = sec
+
+	backoffBase       = sec
+	backoffMax        = 60 * sec
+	backoffMaxDoubles = 6
+)
+
+// jobFailures are the failures of one job.
+type jobFailures struct {
+	count        int
+	blockedUntil Time
+}
+
+// failureBackoff delays the grant of jobs that fail, twice as long each time.
+type failureBackoff map[string]*jobFailures
+
+func (b failureBackoff) recordFailure(job string, now Time) {
+	f := b[job]
+	if f == nil || now-f.blockedUntil > backoffMax {
+		f = &jobFailures{}
+		b[job] = f
+	}
+	f.blockedUntil = now + min(backoffMax, backoffBase<<min(f.count, backoffMaxDoubles))
+	f.count++
+}
+
+func (b failureBackoff) blocked(job string, now Time) bool {
+	f := b[job]
+	return f != nil && now < f.blockedUntil
+}
+
+// handovers are the placements for which the present owner is to release the job first.
+type handovers struct {
+	byJob   map[string]Placement
+	begunAt Time // the last that Assign asked for
+}
+
+func (h *handovers) requested(job string) bool {
+	_, ok := h.byJob[job]
+	return ok
+}
+
+func (h *handovers) due(now Time) bool { return now-h.begunAt >= handoverInterval }
+
+// placeJobs registers new jobs, takes jobs from owners that are lost, and grants what is free.
+func (c *coordinator) placeJobs() {
+	candidates := c.candidates()
+	c.registerNewJobs(candidates.offered)
+	jobs := c.classifyJobs()
+	if !c.handovers.due(c.now) && len(jobs.free) == 0 {
+		return
+	}
+	if c.now < c.leadsSince+c.gatherTime() {
+		return
+	}
+	changedAt := func(job string) Time { return c.changedAt[job] }
+	for _, p := range Assign(c.now, jobs.free, jobs.owned, changedAt, candidates.list) {
+		if p.Handover {
+			if c.handovers.due(c.now) { // asked again: a grant may have been applied meanwhile, and jobs placed
+				c.handovers.begunAt = c.now
+				c.beginHandover(p)
+			}
+			continue
+		}
+		p = c.preferHandover(p)
+		if reason := jobs.lostOwner[p.Job]; reason != "" {
+			p.Reason = reason
+		}
+		c.grant(p)
+	}
+}
+
+// gatherTime is longer for a fleet that starts for the first time.
+func (c *coordinator) gatherTime() Time {
+	if c.emptyAtStart {
+		return c.cfg.Lease / 2
+	}
+	return sessionGatherTime
+}
+
+// candidateSet are the processes that may own jobs, and what any of them offers.
+type candidateSet struct {
+	list    []Candidate
+	offered map[string]bool
+}
+
+// candidates ends the sessions whose lease has surely ended, and gives the others that are heard.
+func (c *coordinator) candidates() candidateSet {
+	set := candidateSet{offered: map[string]bool{}}
+	for _, s := range c.sessions.ordered() {
+		if c.now >= c.leaseSurelyEnded(s.renewedAt) {
+			c.effects.LogEvent("session_expired", "member", s.name)
+			delete(c.sessions, s.processID)
+			continue
+		}
+		if n := len(set.list); n > 0 && set.list[n-1].Name == s.name {
+			set.list = set.list[:n-1] // an earlier process of the same name keeps what it has until it releases it
+		}
+		if s.offers == nil || c.now-s.renewedAt > c.cfg.Lease*2/3 {
+			continue // what it can do is not known yet, or it may be lost
+		}
+		for job := range s.offers {
+			set.offered[job] = true
+		}
+		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Able: s.able, UnreachableFrom: c.unreachableFrom[s.name],
+			StableFor: c.now - s.ableSince, Offers: func(job string) bool { return s.offers[job] }})
+	}
+	return set
+}
+
+func (c *coordinator) registerNewJobs(offered map[string]bool) {
+	var fresh []string
+	for job := range offered {
+		if c.table.Job(job) == nil && !c.proposals.busy(job) {
+			fresh = append(fresh, job)
+		}
+	}
+	sort.Strings(fresh)
+	for _, job := range fresh {
+		c.propose(registerCommand{job: job, at: c.cfg.Wall()}, proposal{job: job, exclusive: true})
+	}
+}
+
+// classifiedJobs are the jobs without a proposal under way.
+type classifiedJobs struct {
+	free      []string
+	owned     []JobRecord
+	lostOwner map[string]string // reason for the grant of a job whose owner is lost
+}
+
+func (c *coordinator) classifyJobs() classifiedJobs {
+	jobs := classifiedJobs{lostOwner: map[string]string{}}
+	for _, row := range c.table.Jobs() {
+		if c.proposals.busy(row.Job) {
+			continue
+		}
+		if row.Owner != "" {
+			if c.ownerMayBeAlive(row) {
+				jobs.owned = append(jobs.owned, *row)
+				continue
+			}
+			jobs.lostOwner[row.Job] = "its owner " + row.Owner + " was lost"
+		}
+		if !c.backoff.blocked(row.Job, c.now) {
+			jobs.free = append(jobs.free, row.Job)
+		}
+	}
+	return jobs
+}
+
+// ownerMayBeAlive keeps the coordinator's part of the lease: an owner is given up only once its lease has surely ended, be it one that an
+// earlier coordinator granted.
+func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
+	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.leaseSurelyEnded(c.leadsSince)
+}
+
+// preferHandover places a job that was released for a handover at the process that it was meant for, if that is still fit.
+func (c *coordinator) preferHandover(p Placement) Placement {
+	h, ok := c.handovers.byJob[p.Job]
+	if !ok {
+		return p
+	}
+	delete(c.handovers.byJob, p.Job)
+	if s := c.sessions.latest(h.To); s != nil && s.offers[p.Job] && s.able {
+		p.To, p.Incarnation, p.Reason = h.To, s.incarnation, h.Reason
+	}
+	return p
+}
+
+// beginHandover asks the owner to release a job.
+func (c *coordinator) beginHandover(p Placement) {
+	c.handovers.byJob[p.Job] = p
+	row := c.table.Job(p.Job)
+	if row == nil {
+		return
+	}
+	if s := c.sessions[processID{row.Owner, row.Incarnation}]; s != nil {
+		s.notifiedVersion = 0 // it is to hear at once
+	}
+}
+
+// grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
+func (c *coordinator) grant(p Placement) {
+	token := max(c.table.Job(p.Job).Token+1, c.epoch<<tokensPerEpochBits)
+	cmd := grantCommand{job: p.Job, token: token, at: c.cfg.Wall(), owner: p.To, incarnation: p.Incarnation, reason: p.Reason}
+	c.propose(cmd, proposal{job: p.Job, exclusive: true})
+}
--- /dev/null
+++ b/internal/fleet/ownership/placement.go
@@ -0,0 +1,138 @@
+package ownership
+
+import "hash/fnv"
+
+// Candidate is a process that could own jobs, as the coordinator sees it.
+type Candidate struct {
+	Name            string
+	Incarnation     uint64
+	Able            bool // not leaving, starved or short of disk, and heard
+	UnreachableFrom int  // members that can't hear it; fewer is better
+	StableFor       Time // how long it has been able without a break
+	Offers          func(job string) bool
+}
+
+// Placement is one decision: a job for a process.
+type Placement struct {
+	Job, To, Reason string
+	Incarnation     uint64
+	Handover        bool // the present owner is to release the job first
+}
+
+// A job that has an owner stays where it is unless its place has been worse for a while: a link that flaps must not move jobs to and fro.
+const (
+	handoverHoldDown  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to hear
+	rebalanceHoldDown = 10 * sec // since the last change, before a job moves to even out the load
+)
+
+// rendezvousScore is a process's rank for a job (rendezvous hashing), the same at every coordinator.
+func rendezvousScore(job, name string) uint64 {
+	h := fnv.New64a()
+	h.Write([]byte(job))
+	h.Write([]byte{0})
+	h.Write([]byte(name))
+	x := h.Sum64()
+	x ^= x >> 31
+	x *= 0x94d049bb133111eb
+	return x ^ x>>29
+}
+
+// assignment is the state of one call of Assign.
+type assignment struct {
+	now        Time
+	changedAt  func(job string) Time
+	candidates []Candidate
+	byName     map[string]*Candidate
+	load       map[string]int // jobs by process
+}
+
+// Assign places all free jobs, and asks for one handover at most. free are jobs without an owner, in order; owned are the others, and
+// changedAt tells when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
+func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Placement {
+	a := assignment{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
+	for i := range candidates {
+		a.byName[candidates[i].Name] = &candidates[i]
+	}
+	for _, row := range owned {
+		a.load[row.Owner]++
+	}
+	var placements []Placement
+	for _, job := range free {
+		if to := a.best(job, "", 0); to != nil {
+			a.load[to.Name]++
+			placements = append(placements, Placement{Job: job, To: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
+		}
+	}
+	if handover, ok := a.handover(owned); ok {
+		placements = append(placements, handover)
+	}
+	return placements
+}
+
+// best is the best able candidate that offers a job, other than except, stable for a time; nil: there is none.
+func (a *assignment) best(job, except string, stableFor Time) *Candidate {
+	var best *Candidate
+	for i := range a.candidates {
+		c := &a.candidates[i]
+		if !c.Able || c.Name == except || c.StableFor < stableFor || !c.Offers(job) {
+			continue
+		}
+		if best == nil || a.better(job, c, best) {
+			best = c
+		}
+	}
+	return best
+}
+
+// better orders by reachability, then by load, then by rank.
+func (a *assignment) better(job string, c, than *Candidate) bool {
+	if c.UnreachableFrom != than.UnreachableFrom {
+		return c.UnreachableFrom < than.UnreachableFrom
+	}
+	if a.load[c.Name] != a.load[than.Name] {
+		return a.load[c.Name] < a.load[than.Name]
+	}
+	return rendezvousScore(job, c.Name) > rendezvousScore(job, than.Name)
+}
+
+func (a *assignment) handover(owned []JobRecord) (Placement, bool) {
+	if p, ok := a.leaveUnfitOwner(owned); ok {
+		return p, true
+	}
+	return a.evenOut(owned)
+}
+
+func (a *assignment) leaveUnfitOwner(owned []JobRecord) (Placement, bool) {
+	for _, row := range owned {
+		owner := a.byName[row.Owner]
+		if owner == nil || a.now-a.changedAt(row.Job) < handoverHoldDown {
+			continue
+		}
+		if owner.Able && owner.UnreachableFrom == 0 {
+			continue
+		}
+		to := a.best(row.Job, row.Owner, handoverHoldDown)
+		if to != nil && (!owner.Able || to.UnreachableFrom < owner.UnreachableFrom) {
+			return handoverTo(row.Job, to, "its owner is leaving, starved or hard to hear"), true
+		}
+	}
+	return Placement{}, false
+}
+
+func (a *assignment) evenOut(owned []JobRecord) (Placement, bool) {
+	for _, row := range owned {
+		owner := a.byName[row.Owner]
+		if owner == nil || a.now-a.changedAt(row.Job) < rebalanceHoldDown {
+			continue
+		}
+		to := a.best(row.Job, row.Owner, rebalanceHoldDown)
+		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnreachableFrom <= owner.UnreachableFrom {
+			return handoverTo(row.Job, to, "its owner has more than others"), true
+		}
+	}
+	return Placement{}, false
+}
+
+func handoverTo(job string, to *Candidate, reason string) Placement {
+	return Placement{Job: job, To: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
+}
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -132,7 +132,7 @@
 
 // abstains tells whether this voter may have granted what it does not remember.
 func (q *Quorum) abstains() bool {
-	return q.started < 0 || !q.cfg.Eager && q.now < q.started+q.cfg.Lease+q.cfg.Lease/drift
+	return q.started < 0 || !q.cfg.Eager && q.now < q.started+q.cfg.Lease+q.cfg.Lease/clockDriftDivisor
 }
 
 func (q *Quorum) send(peer uint32, msg []byte) {
--- a/internal/fleet/ownership/quorumreceive.go
+++ b/internal/fleet/ownership/quorumreceive.go
@@ -11,7 +11,7 @@
 func (q *Quorum) Receive(now Time, from uint32, msg []byte) error {
 	q.now = max(q.now, now)
 	r := encoding.Reader{Data: msg}
-	kind, of := r.Uint(), r.Text(mostName)
+	kind, of := r.Uint(), r.Text(maxNameBytes)
 	voter := false
 	for _, v := range q.cfg.Voters {
 		voter = voter || group.Peer(v) == from
@@ -186,7 +186,7 @@
 	if q.cfg.FromAnswer {
 		began = q.now
 	}
-	until := began + q.cfg.Lease - q.cfg.Lease/drift
+	until := began + q.cfg.Lease - q.cfg.Lease/clockDriftDivisor
 	if until <= q.now {
 		return
 	}
--- /dev/null
+++ b/internal/fleet/ownership/requests.go
@@ -0,0 +1,51 @@
+package ownership
+
+import "fmt"
+
+// StoreCheckpoint asks for a checkpoint of a job to be stored. Effects.CheckpointStored reports the result; without a report it is unknown.
+func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
+	c.advance(now)
+	defer c.deliverToSelf()
+	if len(checkpoint) > MaxCheckpoint {
+		return fmt.Errorf("%w: job %q, %d bytes, at most %d", ErrCheckpointTooLarge, job, len(checkpoint), MaxCheckpoint)
+	}
+	if !c.Holds(now, job, token) {
+		return fmt.Errorf("%w: %q under token %d", ErrNotOwner, job, token)
+	}
+	c.send(c.Leader(), storeCheckpoint{job: job, token: token, checkpointNumber: checkpointNumber, checkpoint: checkpoint})
+	return nil
+}
+
+// SendEffect sends an effect of a job to a receiver, which may be this process. The caller has asked Holds just before.
+func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.send(to, effectMessage{job: job, token: token, body: body})
+}
+
+// Query asks the owner of a job, by way of the coordinator. It may be lost; Effects.ReplyReceived brings the answer.
+func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	if c.participant.owns(job) {
+		c.effects.QueryReceived(c.self, job, tag, body)
+		return
+	}
+	if leader := c.Leader(); leader != 0 {
+		c.send(leader, queryMessage{job: job, tag: tag, asker: c.self, body: body})
+	}
+}
+
+// Reply answers a query.
+func (c *Core) Reply(now Time, to uint32, tag uint64, body []byte) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.send(to, queryReply{tag: tag, body: body})
+}
+
+// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived brings the refusal, empty where it is accepted.
+func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
+	c.advance(now)
+	defer c.deliverToSelf()
+	c.send(c.Leader(), moveRequest{job: job, to: to, tag: tag})
+}
--- /dev/null
+++ b/internal/fleet/ownership/step.go
@@ -0,0 +1,101 @@
+package ownership
+
+import "fmt"
+
+// Receive takes a message of another process's Core. What can't be decoded changes nothing.
+func (c *Core) Receive(now Time, from uint32, data []byte) error {
+	c.advance(now)
+	defer c.deliverToSelf()
+	return c.receive(from, data)
+}
+
+func (c *Core) receive(from uint32, data []byte) error {
+	m, err := decodeMessage(data)
+	if err != nil {
+		return err
+	}
+	return c.step(from, m)
+}
+
+// deliverToSelf takes the messages that this process has sent itself, once the current step is done.
+func (c *Core) deliverToSelf() {
+	if c.delivering {
+		return
+	}
+	c.delivering = true
+	for len(c.toSelf) > 0 {
+		data := c.toSelf[0]
+		c.toSelf = c.toSelf[1:]
+		c.receive(c.self, data)
+	}
+	c.delivering = false
+}
+
+// step hands a message to the role that it is for.
+func (c *Core) step(from uint32, m message) error {
+	switch m := m.(type) {
+	case leaseRequest:
+		if peerOf(m.sender.name) != from {
+			return foreignSender(m.sender, from)
+		}
+		c.coordinator.handleLeaseRequest(from, m)
+	case jobOffer:
+		if peerOf(m.sender.name) != from {
+			return foreignSender(m.sender, from)
+		}
+		c.coordinator.handleJobOffer(m)
+	case jobReleased:
+		if peerOf(m.sender.name) != from {
+			return foreignSender(m.sender, from)
+		}
+		c.coordinator.handleJobReleased(m)
+	case storeCheckpoint:
+		c.coordinator.handleStoreCheckpoint(from, m)
+	case moveRequest:
+		c.send(from, moveReply{tag: m.tag, refusal: c.coordinator.moveJob(m.job, m.to)})
+	case leaseGranted:
+		c.participant.handleLeaseGranted(from, m)
+	case leaderRedirect:
+		c.participant.handleLeaderRedirect(from, m)
+	case jobList:
+		c.participant.handleJobList(from, m)
+	case checkpointResult:
+		c.participant.handleCheckpointResult(m)
+	case effectAck:
+		c.participant.handleEffectAck(from, m)
+	case effectMessage:
+		c.handleEffect(from, m)
+	case queryMessage:
+		c.handleQuery(m)
+	case moveReply:
+		c.effects.ReplyReceived(m.tag, []byte(m.refusal))
+	case queryReply:
+		c.effects.ReplyReceived(m.tag, m.body)
+	}
+	return nil
+}
+
+func foreignSender(sender processID, from uint32) error {
+	return fmt.Errorf("%w: %q from peer %08x", ErrForeignSender, sender.name, from)
+}
+
+// handleEffect is the receiver's part. Fencing: only what the fence accepts is carried out.
+func (c *Core) handleEffect(from uint32, m effectMessage) {
+	verdict, highest := c.fence.Check(m.job, m.token)
+	switch verdict {
+	case Accepted:
+		c.effects.Effect(m.job, m.token, m.body)
+	case Stale:
+		c.effects.LogEvent("stale_effect_rejected", "job", m.job, "token", m.token.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
+	}
+	c.send(from, effectAck{job: m.job, token: m.token, verdict: verdict, highest: highest})
+}
+
+// handleQuery answers a query as the owner, or forwards it as the coordinator.
+func (c *Core) handleQuery(m queryMessage) {
+	if c.participant.owns(m.job) {
+		c.effects.QueryReceived(m.asker, m.job, m.tag, m.body)
+		return
+	}
+	c.coordinator.forwardQuery(m)
+}
--- a/internal/fleet/ownership/world_test.go
+++ b/internal/fleet/ownership/world_test.go
@@ -116,7 +116,7 @@
 			return false
 		}
 		r := encoding.Reader{Data: e.data}
-		kind, _, b := r.Uint(), r.Text(mostName), r.Uint()
+		kind, _, b := r.Uint(), r.Text(maxNameBytes), r.Uint()
 		q := w.voters[e.to]
 		switch kind {
 		case quorumPromise:
