--- a/internal/fleet/ownership/explore_test.go
+++ b/internal/fleet/ownership/explore_test.go
@@ -29,7 +29,7 @@
 	w.trim()
 	leads := -1
 	for i, q := range w.voters {
-		if q.leads != 0 && q.now < q.lease {
+		if q.leads() && q.now < q.leader.leaseEnd {
 			if leads >= 0 {
 				w.bad = fmt.Sprintf("%s and %s both lead", names[leads], names[i])
 			}
@@ -68,11 +68,11 @@
 			c.steps--
 			for _, q := range c.voters {
 				q.now += stepBy
-				if q.leads != 0 && q.now >= q.lease {
-					q.follow()
+				if q.leads() && q.now >= q.leader.leaseEnd {
+					q.becomeFollower()
 				}
-				if q.trying != 0 && q.fetchOf == 0 {
-					q.gather()
+				if q.candidate.ballot != 0 && q.candidate.stateFrom == 0 {
+					q.chooseState()
 				}
 			}
 		})
@@ -93,22 +93,22 @@
 	}
 	for i := range 2 {
 		q := w.voters[i]
-		if w.tries > 0 && q.leads == 0 && !q.abstains() && q.now >= q.until {
+		if w.tries > 0 && !q.leads() && !q.abstains() && q.now >= q.voter.grantEnd {
 			add(func(c *world) {
 				c.tries--
-				c.voters[i].prepare()
+				c.voters[i].becomeCandidate()
 			})
 		}
-		if w.renewals > 0 && q.leads != 0 && q.now < q.lease {
+		if w.renewals > 0 && q.leads() && q.now < q.leader.leaseEnd {
 			add(func(c *world) {
 				c.renewals--
-				c.voters[i].propose()
+				c.voters[i].requestLease()
 			})
 		}
-		if w.acts > 0 && q.leads != 0 && q.now < q.lease {
+		if w.acts > 0 && q.leads() && q.now < q.leader.leaseEnd {
 			add(func(c *world) { // it has looked at its lease; when what it sends arrives is anybody's guess
 				c.acts--
-				c.flight = append(c.flight, envelope{from: i, to: 3, epoch: c.voters[i].leads})
+				c.flight = append(c.flight, envelope{from: i, to: 3, epoch: c.voters[i].leader.epoch})
 			})
 		}
 	}
--- a/internal/fleet/ownership/ownership_test.go
+++ b/internal/fleet/ownership/ownership_test.go
@@ -174,7 +174,7 @@
 			c.Tick(now)
 			c.Receive(now, group.Peer("b"), data)
 			q.Receive(now, group.Peer("b"), data)
-			q.Receive(now, group.Peer("b"), append([]byte{quorumPropose, 1, 'g'}, data...))
+			q.Receive(now, group.Peer("b"), append([]byte{kindLeaseProposal, 1, 'g'}, data...))
 		}
 		if _, ok := c.group.Leading(); ok && c.Holds(now, "j", 1) {
 			t.Error("one peer's word makes an owner")
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -3,219 +3,202 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"sort"
 
-	"croftlock/internal/fleet/encoding"
 	"croftlock/internal/fleet/group"
 )
 
-// Quorum is a Group of voters without disks, after PaxosLease: a fixed set of them grants the lead for a time, from memory. A voter that has
-// just started may have granted it before and does not know; it abstains until every lease that it could have granted has ended.
+// Quorum is a Group of voters without disks, after PaxosLease: a fixed set of voters grants a candidate the lead for a time, from memory. A
+// voter that has just started does not know what it granted before; it abstains until every lease that it could have granted has ended.
 //
-// What it promises: no two lead at a time, as long as clocks run apart by no more than the stated drift; epochs, and tokens with them, rise
-// while one voter of each majority remembers; what was agreed on survives as long as no majority has lost its memory at a time. After a
-// start of all voters at once epochs rise if their clocks are not set back by more than the fleet was up; where they were, receivers'
-// fences refuse, and the job's next token is taken from what they remember.
+// It guarantees:
+//   - No two lead at a time, as long as clocks drift apart by no more than clockDriftDivisor allows.
+//   - Epochs, and fencing tokens with them, rise while one voter of each majority remembers.
+//   - What was committed survives as long as no majority loses its memory at a time.
+//
+// After a start of all voters at once epochs rise if no clock was set back by more than the fleet was up. If one was, receivers' fences
+// reject the job's effects, and its next token is taken from what they remember.
 type Quorum struct {
-	cfg      QuorumConfig
-	fx       group.Effects
-	machines map[byte]group.Machine
-	kinds    []byte
-	rng      *rand.Rand
-	me       uint32
-	now      Time
-	started  Time // -1: not yet
-
-	// As a voter.
-	promised uint64
-	holder   uint32 // to whom the lead is granted
-	epoch    uint64 // and for which epoch
-	until    Time   // of the grant, as this voter counts it
-	state    at     // of the machines here
-
-	// As one that would lead.
-	counter  uint64
-	trying   uint64 // ballot; 0: none
-	tryAt    Time
-	promises map[uint32]promise
-	fetchOf  uint32 // whose state is awaited
-	round    uint64 // of the grant asked for last
-	askedAt  map[uint64]Time
-	grants   map[uint64]map[uint32]bool
-	leads    uint64 // epoch, the ballot under which it came to lead; 0: it does not
-	ballot   uint64 // under which it asks for more: above what voters have promised since
-	lease    Time   // until when it leads
-	renewAt  Time
-	nextTry  Time
-	yielded  Time
-
-	sure bool // what this lead began with is all that was agreed on
-
-	log   []command // of the epoch, the last ones
-	acked map[uint32]uint64
-	done  uint64 // version up to which commands are agreed on
-}
-
-// at is a place in the order of commands.
-type at struct{ epoch, version uint64 }
-
-func (a at) before(b at) bool {
-	return a.epoch < b.epoch || a.epoch == b.epoch && a.version < b.version
-}
-
-type promise struct {
-	open  bool
-	state at
-}
-
-type command struct {
-	version uint64
-	tag     uint64
-	machine byte
-	data    []byte
+	cfg       QuorumConfig
+	effects   group.Effects
+	machines  machineSet
+	rng       *rand.Rand
+	self      uint32 // peer
+	now       Time
+	startedAt Time // -1: before the first Tick
+
+	ballotCounter uint64 // highest seen
+	voter         voterState
+	candidate     candidateState
+	rounds        leaseRounds
+	leader        leaderState
+	log           replicatedLog
 }
 
-// QuorumConfig is what a voter is told once.
+// QuorumConfig describes a voter.
 type QuorumConfig struct {
-	Group, Name string
-	Voters      []string // the same list everywhere
-	Lease       Time     // of the lead; 0: 1.5 s
-	Seed        uint64
-	Clock       int64 // wall clock at the start, in hundredths of a second: the first epoch is above it
-	// Eager and FromAnswer are planted faults: a voter that has just started does not abstain; a lease is counted from its answer.
+	Group  string // messages of others are rejected
+	Name   string // of this voter
+	Voters []string
+	Lease  Time // of the lead; default 1.5 s; the same everywhere
+	Seed   uint64
+	Clock  int64 // wall clock at the start, hundredths of a second: the first epoch is above it
+	// Faults for experiments: a voter that has just started does not abstain; a lease is counted from its answer, not from its request.
 	Eager, FromAnswer bool
 }
 
-// NewQuorum makes a voter.
-func NewQuorum(cfg QuorumConfig, machines map[byte]group.Machine, fx group.Effects) (*Quorum, error) {
+const (
+	defaultQuorumLease = 1500 * ms
+	maxVoters          = 15
+	// ballotVoterBits at the end of a ballot hold the number of its voter: two voters never use one ballot.
+	ballotVoterBits = 4
+)
+
+// NewQuorum makes a voter. machines are what it replicates, by number.
+func NewQuorum(cfg QuorumConfig, machines map[byte]group.Machine, effects group.Effects) (*Quorum, error) {
 	if cfg.Lease <= 0 {
-		cfg.Lease = 1500 * ms
-	}
-	if len(cfg.Voters) == 0 || len(cfg.Voters) > 15 || cfg.Clock < 0 {
-		return nil, fmt.Errorf("ownership: %d voters, clock at %d: 1 to 15 voters and a clock after 1970 are possible", len(cfg.Voters), cfg.Clock)
+		cfg.Lease = defaultQuorumLease
 	}
-	q := &Quorum{cfg: cfg, fx: fx, machines: machines, rng: rand.New(rand.NewPCG(cfg.Seed, 5)), me: group.Peer(cfg.Name), started: -1,
-		counter: uint64(cfg.Clock), askedAt: map[uint64]Time{}, grants: map[uint64]map[uint32]bool{}}
-	for k := range machines {
-		q.kinds = append(q.kinds, k)
+	if len(cfg.Voters) == 0 || len(cfg.Voters) > maxVoters || cfg.Clock < 0 {
+		return nil, fmt.Errorf("%w: %d voters, expected 1 to %d; clock %d, expected 0 or more", ErrInvalidConfig, len(cfg.Voters), maxVoters, cfg.Clock)
 	}
-	sort.Slice(q.kinds, func(i, j int) bool { return q.kinds[i] < q.kinds[j] })
-	return q, nil
+	return &Quorum{
+		cfg:           cfg,
+		effects:       effects,
+		machines:      newMachineSet(machines),
+		rng:           rand.New(rand.NewPCG(cfg.Seed, 5)),
+		self:          peerOf(cfg.Name),
+		startedAt:     -1,
+		ballotCounter: uint64(cfg.Clock),
+		rounds:        leaseRounds{requestedAt: map[uint64]Time{}, grants: map[uint64]map[uint32]bool{}},
+	}, nil
 }
 
-const (
-	quorumPrepare = 1
-	quorumPromise = 2
-	quorumPropose = 3
-	quorumGranted = 4
-	quorumFetch   = 5
-	quorumState   = 6
-	quorumCommand = 7
-	quorumHave    = 8
-	quorumFree    = 9
-	quorumNo      = 10
-
-	inFlight  = 64 // commands that may wait to be agreed on
-	voterBits = 4
-)
-
-func (q *Quorum) number() uint64 {
-	for i, v := range q.cfg.Voters {
-		if v == q.cfg.Name {
+// voterNumber is this voter's place among the voters.
+func (q *Quorum) voterNumber() uint64 {
+	for i, name := range q.cfg.Voters {
+		if name == q.cfg.Name {
 			return uint64(i)
 		}
 	}
 	return uint64(len(q.cfg.Voters))
 }
 
-func (q *Quorum) majority(n int) bool { return 2*n > len(q.cfg.Voters) }
+func (q *Quorum) isMajority(n int) bool { return 2*n > len(q.cfg.Voters) }
 
-// abstains tells whether this voter may have granted what it does not remember.
-func (q *Quorum) abstains() bool {
-	return q.started < 0 || !q.cfg.Eager && q.now < q.started+q.cfg.Lease+q.cfg.Lease/clockDriftDivisor
+func (q *Quorum) isVoter(peer uint32) bool {
+	for _, name := range q.cfg.Voters {
+		if peerOf(name) == peer {
+			return true
+		}
+	}
+	return false
+}
+
+// nextBallot is above all ballots seen, and no other voter's.
+func (q *Quorum) nextBallot() uint64 {
+	q.ballotCounter++
+	return q.ballotCounter<<ballotVoterBits | q.voterNumber()
+}
+
+func (q *Quorum) observeBallot(ballot uint64) {
+	q.ballotCounter = max(q.ballotCounter, ballot>>ballotVoterBits)
 }
 
-func (q *Quorum) send(peer uint32, msg []byte) {
-	if peer == q.me {
-		q.Receive(q.now, peer, msg)
+func (q *Quorum) send(peer uint32, m quorumMessage) { q.sendEncoded(peer, m.encode(q.cfg.Group)) }
+
+func (q *Quorum) sendEncoded(peer uint32, data []byte) {
+	if peer == q.self {
+		q.Receive(q.now, peer, data)
 		return
 	}
-	q.fx.Send(peer, msg)
+	q.effects.Send(peer, data)
 }
 
-func (q *Quorum) all(msg []byte) {
-	for _, v := range q.cfg.Voters {
-		q.send(group.Peer(v), msg)
+func (q *Quorum) broadcast(m quorumMessage) {
+	data := m.encode(q.cfg.Group)
+	for _, name := range q.cfg.Voters {
+		q.sendEncoded(peerOf(name), data)
 	}
 }
 
 // Tick is to be called every 50 to 100 ms.
 func (q *Quorum) Tick(now Time) {
 	q.now = max(q.now, now)
-	if q.started < 0 {
-		q.started = q.now
-		q.nextTry = q.now + q.some()
+	if q.startedAt < 0 {
+		q.startedAt = q.now
+		q.delayCandidacy()
 	}
-	if q.leads != 0 && q.now >= q.lease {
-		q.fx.LogEvent("quorum_leader_lost", "epoch", q.leads)
-		q.follow()
-		q.nextTry = q.now + q.some()
+	if q.leads() && q.now >= q.leader.leaseEnd {
+		q.effects.LogEvent("quorum_leader_lost", "epoch", q.leader.epoch)
+		q.becomeFollower()
+		q.delayCandidacy()
 	}
-	switch {
-	case q.leads != 0 && q.now >= q.renewAt:
-		q.propose()
-		q.resend()
-	case q.leads != 0, q.abstains():
-	case q.trying != 0 && q.now-q.tryAt > q.cfg.Lease/2:
-		q.trying = 0
-		q.nextTry = q.now + q.some()
-	case q.trying != 0 && q.fetchOf == 0:
-		q.gather()
-	case q.trying == 0 && q.now >= q.until && q.now >= q.nextTry && q.now >= q.yielded:
-		q.prepare()
+	if q.leads() {
+		if q.now >= q.leader.renewAt {
+			q.requestLease()
+			q.resendEntries()
+		}
+		return
+	}
+	if !q.abstains() {
+		q.tickCandidate()
 	}
 }
 
-// follow ends the lead. What was not agreed on is forgotten: it was not applied here.
-func (q *Quorum) follow() {
-	q.state = q.here()
-	q.leads, q.trying, q.log = 0, 0, nil
+// Receive takes another voter's message. What can't be decoded changes nothing.
+func (q *Quorum) Receive(now Time, from uint32, data []byte) error {
+	q.now = max(q.now, now)
+	groupName, m, err := decodeQuorumMessage(data)
+	if err != nil {
+		return err
+	}
+	if groupName != q.cfg.Group || !q.isVoter(from) {
+		return fmt.Errorf("%w: group %q, peer %08x", ErrNotVoter, groupName, from)
+	}
+	q.step(from, m)
+	return nil
 }
 
-// here is how far the machines are. One that leads applies what is agreed on, and no sooner: what it grants must not be lost with it.
-func (q *Quorum) here() at {
-	if q.leads != 0 {
-		return at{q.leads, q.done}
+func (q *Quorum) step(from uint32, m quorumMessage) {
+	switch m := m.(type) {
+	case prepareRequest:
+		q.handlePrepare(from, m)
+	case prepareReply:
+		q.handlePrepareReply(from, m)
+	case leaseProposal:
+		q.handleLeaseProposal(from, m)
+	case leaseAccepted:
+		q.handleLeaseAccepted(from, m)
+	case leaseRejected:
+		q.handleLeaseRejected(m)
+	case leaseYielded:
+		q.handleLeaseYielded(from, m)
+	case stateRequest:
+		q.handleStateRequest(from, m)
+	case stateTransfer:
+		q.handleStateTransfer(from, m)
+	case appendEntries:
+		q.handleAppendEntries(from, m)
+	case appendAcknowledged:
+		q.handleAppendAcknowledged(from, m)
 	}
-	return q.state
 }
 
-// some is a wait by lot, so that two that would lead do not go on hindering each other.
-func (q *Quorum) some() Time { return q.cfg.Lease/16 + Time(q.rng.Int64N(int64(q.cfg.Lease/4))) }
-
-func (q *Quorum) prepare() {
-	q.counter++
-	q.trying, q.tryAt = q.counter<<voterBits|q.number(), q.now
-	q.promises, q.fetchOf = map[uint32]promise{}, 0
-	var w encoding.Writer
-	q.all(w.Uint(quorumPrepare).Text(q.cfg.Group).Uint(q.trying).Data)
+// Leading tells whether this process leads: not after its lease, whatever else it heard.
+func (q *Quorum) Leading() (epoch uint64, ok bool) {
+	return q.leader.epoch, q.leads() && q.now < q.leader.leaseEnd && q.stateIsReplicated()
 }
 
-// propose asks for the lead, or for more of it.
-func (q *Quorum) propose() {
-	q.round++
-	q.askedAt[q.round], q.grants[q.round] = q.now, map[uint32]bool{}
-	for r := range q.askedAt {
-		if r+8 < q.round {
-			delete(q.askedAt, r)
-			delete(q.grants, r)
-		}
+// Leader is the peer that this voter takes for the leader, by the lease that it granted; 0: none.
+func (q *Quorum) Leader() uint32 {
+	if q.leads() {
+		return q.self
 	}
-	b, epoch := q.trying, q.trying
-	if q.leads != 0 {
-		b, epoch = q.ballot, q.leads
+	if q.now < q.voter.grantEnd {
+		return q.voter.grantee
 	}
-	q.renewAt = q.now + q.cfg.Lease/5
-	var w encoding.Writer
-	q.all(w.Uint(quorumPropose).Text(q.cfg.Group).Uint(b).Uint(epoch).Uint(q.round).Data)
+	return 0
 }
+
+// LeaseEnd is when the lead ends, unless it is renewed.
+func (q *Quorum) LeaseEnd() Time { return q.leader.leaseEnd }
--- /dev/null
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -0,0 +1,178 @@
+package ownership
+
+// candidateState is an election under way here, and when the next one may begin.
+type candidateState struct {
+	ballot        uint64 // 0: no election
+	startedAt     Time
+	promises      map[uint32]prepareReply // by voter
+	stateFrom     uint32                  // voter whose state the epoch begins with; 0: not chosen yet
+	stateComplete bool                    // that state surely holds all that was committed
+	nextAt        Time
+	yieldedUntil  Time
+}
+
+// leaseRounds are the proposals of this voter for a lease. A lease counts from the request of the round that a majority has accepted.
+type leaseRounds struct {
+	last        uint64
+	requestedAt map[uint64]Time
+	grants      map[uint64]map[uint32]bool // voters that accepted, by round
+}
+
+// keptRounds is how many earlier rounds may still be answered.
+const keptRounds = 8
+
+func (r *leaseRounds) begin(now Time) uint64 {
+	r.last++
+	r.requestedAt[r.last], r.grants[r.last] = now, map[uint32]bool{}
+	for round := range r.requestedAt {
+		if round+keptRounds < r.last {
+			delete(r.requestedAt, round)
+			delete(r.grants, round)
+		}
+	}
+	return r.last
+}
+
+func (q *Quorum) tickCandidate() {
+	c := &q.candidate
+	switch {
+	case c.ballot != 0 && q.now-c.startedAt > q.cfg.Lease/2:
+		q.abandonElection()
+	case c.ballot != 0 && c.stateFrom == 0:
+		q.chooseState()
+	case c.ballot == 0 && q.now >= q.voter.grantEnd && q.now >= c.nextAt && q.now >= c.yieldedUntil:
+		q.becomeCandidate()
+	}
+}
+
+// delayCandidacy waits for a random time, so that two candidates do not go on hindering each other.
+func (q *Quorum) delayCandidacy() {
+	q.candidate.nextAt = q.now + q.cfg.Lease/16 + Time(q.rng.Int64N(int64(q.cfg.Lease/4)))
+}
+
+func (q *Quorum) becomeCandidate() {
+	c := &q.candidate
+	c.ballot, c.startedAt = q.nextBallot(), q.now
+	c.promises, c.stateFrom = map[uint32]prepareReply{}, 0
+	q.broadcast(prepareRequest{ballot: c.ballot})
+}
+
+func (q *Quorum) abandonElection() {
+	q.candidate.ballot = 0
+	q.delayCandidacy()
+}
+
+func (q *Quorum) handlePrepareReply(from uint32, m prepareReply) {
+	c := &q.candidate
+	if m.ballot == 0 || m.ballot != c.ballot || c.stateFrom != 0 {
+		return
+	}
+	c.promises[from] = m
+	q.chooseState()
+}
+
+// chooseState goes on once a majority has promised: the epoch begins with the latest state among theirs.
+func (q *Quorum) chooseState() {
+	promised, withState := 0, 0
+	latest, latestAt := q.log.position, uint32(0)
+	for _, name := range q.cfg.Voters {
+		p, ok := q.candidate.promises[peerOf(name)]
+		if !ok || !p.promised {
+			continue
+		}
+		promised++
+		if p.position != (logPosition{}) {
+			withState++
+		}
+		if latest.before(p.position) {
+			latest, latestAt = p.position, peerOf(name)
+		}
+	}
+	q.candidate.stateComplete = q.isMajority(withState)
+	if !q.isMajority(promised) || !q.candidate.stateComplete && !q.mayBeginIncomplete(promised) {
+		return
+	}
+	if latestAt == 0 || latestAt == q.self {
+		q.candidate.stateFrom = q.self
+		q.requestLease()
+		return
+	}
+	q.candidate.stateFrom = latestAt
+	q.send(latestAt, stateRequest{ballot: q.candidate.ballot})
+}
+
+// mayBeginIncomplete decides where the promises come from no majority with state. A majority knew what was committed, but voters that lost
+// their memory since do not count towards one that surely holds it. So the others are waited for, and only then does an epoch begin that may
+// lack something; its machines are told (Table.MarkUncertain).
+func (q *Quorum) mayBeginIncomplete(promised int) bool {
+	if promised >= len(q.cfg.Voters) {
+		return true
+	}
+	withoutLeader := q.now - max(q.voter.grantEnd, q.startedAt+q.cfg.Lease)
+	return withoutLeader >= 3*q.cfg.Lease && q.now-q.candidate.startedAt >= q.cfg.Lease/4
+}
+
+// requestLease asks for the lead, or for more of it.
+func (q *Quorum) requestLease() {
+	round := q.rounds.begin(q.now)
+	ballot, epoch := q.candidate.ballot, q.candidate.ballot
+	if q.leads() {
+		ballot, epoch = q.leader.ballot, q.leader.epoch
+	}
+	q.leader.renewAt = q.now + q.cfg.Lease/5
+	q.broadcast(leaseProposal{ballot: ballot, epoch: epoch, round: round})
+}
+
+func (q *Quorum) handleLeaseRejected(m leaseRejected) {
+	q.observeBallot(m.promised)
+	switch {
+	case m.epoch == 0:
+	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
+		// Another was a candidate while this voter did not hear. The lease is renewed under a higher ballot, or this voter's grant would be lost.
+		q.leader.ballot = q.nextBallot()
+	case m.epoch == q.candidate.ballot:
+		q.abandonElection()
+	}
+}
+
+func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
+	elected := m.epoch == q.leader.epoch
+	if m.epoch == 0 || m.epoch != q.candidate.ballot && !elected || q.rounds.grants[m.round] == nil {
+		return
+	}
+	q.rounds.grants[m.round][from] = true
+	if elected {
+		q.noteFollower(from, m)
+	}
+	if !q.isMajority(len(q.rounds.grants[m.round])) {
+		return
+	}
+	leaseEnd := q.leaseEnd(m.round)
+	if leaseEnd <= q.now {
+		return
+	}
+	if !q.leads() && m.epoch == q.candidate.ballot {
+		q.becomeLeader(leaseEnd)
+	}
+	if q.leader.epoch == m.epoch {
+		q.leader.leaseEnd = max(q.leader.leaseEnd, leaseEnd)
+	}
+}
+
+// leaseEnd counts the lease from before it was requested, and shorter by the drift of clocks: it ends here before it ends at any voter.
+func (q *Quorum) leaseEnd(round uint64) Time {
+	requestedAt := q.rounds.requestedAt[round]
+	if q.cfg.FromAnswer {
+		requestedAt = q.now
+	}
+	return requestedAt + shortened(q.cfg.Lease)
+}
+
+// noteFollower notes how far a voter's state is, or sends it the state of this epoch.
+func (q *Quorum) noteFollower(from uint32, m leaseAccepted) {
+	if m.position.epoch == m.epoch {
+		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
+	} else if from != q.self {
+		q.sendState(from)
+	}
+}
--- /dev/null
+++ b/internal/fleet/ownership/quorummessages.go
@@ -0,0 +1,171 @@
+package ownership
+
+import (
+	"fmt"
+
+	"croftlock/internal/fleet/encoding"
+)
+
+// Kinds of messages between voters, as sent.
+const (
+	kindPrepare            = 1
+	kindPrepareReply       = 2
+	kindLeaseProposal      = 3
+	kindLeaseAccepted      = 4
+	kindStateRequest       = 5
+	kindStateTransfer      = 6
+	kindAppendEntries      = 7
+	kindAppendAcknowledged = 8
+	kindLeaseYielded       = 9
+	kindLeaseRejected      = 10
+)
+
+// maxSnapshotBytes bounds the state of one machine, and of all together.
+const maxSnapshotBytes = 1 << 18
+
+// quorumMessage is one message between voters of a group. decodeQuorumMessage is the inverse of encode.
+type quorumMessage interface {
+	encode(groupName string) []byte
+}
+
+// prepareRequest asks voters to promise a ballot: the first phase of an election.
+type prepareRequest struct{ ballot uint64 }
+
+// prepareReply answers it.
+type prepareReply struct {
+	ballot   uint64
+	promised bool        // false: another's lease lasts
+	position logPosition // of the voter's state
+}
+
+// leaseProposal asks voters to accept a lease for an epoch, the first one or a renewal.
+type leaseProposal struct {
+	ballot, epoch uint64
+	round         uint64 // of the proposer
+}
+
+// leaseAccepted grants it.
+type leaseAccepted struct {
+	epoch, round uint64
+	position     logPosition
+}
+
+// leaseRejected refuses it.
+type leaseRejected struct {
+	epoch    uint64
+	promised uint64 // the voter's highest ballot
+}
+
+// leaseYielded tells voters that the leader of an epoch gives up its lease.
+type leaseYielded struct{ epoch uint64 }
+
+// stateRequest asks the voter with the latest state for it.
+type stateRequest struct{ ballot uint64 }
+
+// stateTransfer is the state of all machines, for a candidate that asked or for a follower that lags.
+type stateTransfer struct {
+	term     uint64 // the candidate's ballot, or the leader's epoch
+	position logPosition
+	snapshot []byte
+}
+
+// appendEntries are commands of the leader, in order.
+type appendEntries struct {
+	epoch   uint64
+	entries []logEntry
+}
+
+// appendAcknowledged tells the leader how far a follower's state is.
+type appendAcknowledged struct{ position logPosition }
+
+func encodeQuorumKind(kind uint64, groupName string) *encoding.Writer {
+	var w encoding.Writer
+	return w.Uint(kind).Text(groupName)
+}
+
+func (m prepareRequest) encode(groupName string) []byte {
+	return encodeQuorumKind(kindPrepare, groupName).Uint(m.ballot).Data
+}
+
+func (m prepareReply) encode(groupName string) []byte {
+	return encodeQuorumKind(kindPrepareReply, groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
+}
+
+func (m leaseProposal) encode(groupName string) []byte {
+	return encodeQuorumKind(kindLeaseProposal, groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
+}
+
+func (m leaseAccepted) encode(groupName string) []byte {
+	return encodeQuorumKind(kindLeaseAccepted, groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
+}
+
+func (m leaseRejected) encode(groupName string) []byte {
+	return encodeQuorumKind(kindLeaseRejected, groupName).Uint(m.epoch).Uint(m.promised).Data
+}
+
+func (m leaseYielded) encode(groupName string) []byte {
+	return encodeQuorumKind(kindLeaseYielded, groupName).Uint(m.epoch).Data
+}
+
+func (m stateRequest) encode(groupName string) []byte {
+	return encodeQuorumKind(kindStateRequest, groupName).Uint(m.ballot).Data
+}
+
+func (m stateTransfer) encode(groupName string) []byte {
+	return encodeQuorumKind(kindStateTransfer, groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
+}
+
+func (m appendEntries) encode(groupName string) []byte {
+	w := encodeQuorumKind(kindAppendEntries, groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
+	for _, e := range m.entries {
+		e.encode(w)
+	}
+	return w.Data
+}
+
+func (m appendAcknowledged) encode(groupName string) []byte {
+	return encodeQuorumKind(kindAppendAcknowledged, groupName).Uint(m.position.epoch).Uint(m.position.version).Data
+}
+
+// decodeQuorumMessage decodes one message, and the name of the group that it is for. Byte strings in it are parts of data, not copies.
+func decodeQuorumMessage(data []byte) (groupName string, m quorumMessage, err error) {
+	r := encoding.Reader{Data: data}
+	kind := r.Uint()
+	groupName = r.Text(maxNameBytes)
+	switch kind {
+	case kindPrepare:
+		m = prepareRequest{ballot: r.Uint()}
+	case kindPrepareReply:
+		m = prepareReply{ballot: r.Uint(), promised: r.Bool(), position: decodePosition(&r)}
+	case kindLeaseProposal:
+		m = leaseProposal{ballot: r.Uint(), epoch: r.Uint(), round: r.Uint()}
+	case kindLeaseAccepted:
+		m = leaseAccepted{epoch: r.Uint(), round: r.Uint(), position: decodePosition(&r)}
+	case kindLeaseRejected:
+		m = leaseRejected{epoch: r.Uint(), promised: r.Uint()}
+	case kindLeaseYielded:
+		m = leaseYielded{epoch: r.Uint()}
+	case kindStateRequest:
+		m = stateRequest{ballot: r.Uint()}
+	case kindStateTransfer:
+		m = stateTransfer{term: r.Uint(), position: decodePosition(&r), snapshot: r.Bytes(maxSnapshotBytes)}
+	case kindAppendEntries:
+		m = decodeAppendEntries(&r)
+	case kindAppendAcknowledged:
+		m = appendAcknowledged{position: decodePosition(&r)}
+	default:
+		return "", nil, fmt.Errorf("%w: %d between voters", ErrUnknownMessage, kind)
+	}
+	if err := r.Err(); err != nil {
+		return "", nil, malformed(kind, err)
+	}
+	return groupName, m, nil
+}
+
+func decodeAppendEntries(r *encoding.Reader) appendEntries {
+	m := appendEntries{epoch: r.Uint()}
+	for n := r.Count(maxUncommitted); n > 0; n-- {
+		m.entries = append(m.entries, decodeEntry(r))
+	}
+	return m
+}
--- a/internal/fleet/ownership/world_test.go
+++ b/internal/fleet/ownership/world_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		panic(err)
 	}
-	q.started, q.now = now, now
+	q.startedAt, q.now = now, now
 	return q
 }
 
@@ -61,11 +61,11 @@
 	c.fence = &Fence{last: maps.Clone(w.fence.last), Forget: w.fence.Forget}
 	for i, q := range w.voters {
 		n := *q
-		n.fx = wire{&c, i}
-		n.promises, n.askedAt, n.acked = maps.Clone(q.promises), maps.Clone(q.askedAt), maps.Clone(q.acked)
-		n.grants = map[uint64]map[uint32]bool{}
-		for k, v := range q.grants {
-			n.grants[k] = maps.Clone(v)
+		n.effects = wire{&c, i}
+		n.candidate.promises, n.rounds.requestedAt, n.log.acknowledged = maps.Clone(q.candidate.promises), maps.Clone(q.rounds.requestedAt), maps.Clone(q.log.acknowledged)
+		n.rounds.grants = map[uint64]map[uint32]bool{}
+		for k, v := range q.rounds.grants {
+			n.rounds.grants[k] = maps.Clone(v)
 		}
 		c.voters[i] = &n
 	}
@@ -81,21 +81,21 @@
 		}
 	}
 	for _, q := range w.voters {
-		put(uint64(q.now), uint64(q.started+1), q.promised, uint64(q.holder), q.epoch, uint64(q.until), q.state.epoch, q.state.version, q.counter, q.trying,
-			uint64(q.fetchOf), q.round, q.leads, q.ballot, uint64(q.lease), uint64(len(q.acked)))
+		put(uint64(q.now), uint64(q.startedAt+1), q.voter.promised, uint64(q.voter.grantee), q.voter.epoch, uint64(q.voter.grantEnd), q.log.position.epoch, q.log.position.version, q.ballotCounter, q.candidate.ballot,
+			uint64(q.candidate.stateFrom), q.rounds.last, q.leader.epoch, q.leader.ballot, uint64(q.leader.leaseEnd), uint64(len(q.log.acknowledged)))
 		for _, n := range names {
-			p, ok := q.promises[group.Peer(n)]
-			if ok && p.open {
+			p, ok := q.candidate.promises[group.Peer(n)]
+			if ok && p.promised {
 				put(1)
 			} else if ok {
 				put(2)
 			}
-			put(p.state.epoch)
+			put(p.position.epoch)
 		}
 		for r := range 4 {
-			put(uint64(q.askedAt[uint64(r)]), uint64(len(q.grants[uint64(r)])))
+			put(uint64(q.rounds.requestedAt[uint64(r)]), uint64(len(q.rounds.grants[uint64(r)])))
 			for _, n := range names {
-				if q.grants[uint64(r)][group.Peer(n)] {
+				if q.rounds.grants[uint64(r)][group.Peer(n)] {
 					put(uint64(r))
 				}
 			}
@@ -119,14 +119,14 @@
 		kind, _, b := r.Uint(), r.Text(maxNameBytes), r.Uint()
 		q := w.voters[e.to]
 		switch kind {
-		case quorumPromise:
-			return b != q.trying || q.fetchOf != 0
-		case quorumGranted, quorumNo:
-			return b != q.trying && b != q.leads
-		case quorumHave:
-			return b != q.leads
-		case quorumState, quorumCommand:
-			return b != q.trying && (e.from == e.to || b < q.epoch)
+		case kindPrepareReply:
+			return b != q.candidate.ballot || q.candidate.stateFrom != 0
+		case kindLeaseAccepted, kindLeaseRejected:
+			return b != q.candidate.ballot && b != q.leader.epoch
+		case kindAppendAcknowledged:
+			return b != q.leader.epoch
+		case kindStateTransfer, kindAppendEntries:
+			return b != q.candidate.ballot && (e.from == e.to || b < q.voter.epoch)
 		}
 		return false
 	})
