--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -140,8 +140,7 @@
 	if !c.leads() {
 		return
 	}
-	cmd := checkpointCommand{job: m.job, token: m.token, checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint}
-	c.propose(cmd, proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
+	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
 // moveJob carries out an operator's wish for a handover, and gives the refusal; "": it is accepted.
--- /dev/null
+++ b/internal/fleet/ownership/messages_test.go
@@ -0,0 +1,139 @@
+package ownership
+
+import (
+	"errors"
+	"fmt"
+	"reflect"
+	"testing"
+)
+
+var (
+	testSender = processID{"a", 7}
+	testToken  = FencingToken{Token: 3 << tokensPerEpochBits, Sequence: 300}
+)
+
+// TestMessageRoundTrip: each message decodes to what was encoded, and no part of one decodes.
+func TestMessageRoundTrip(t *testing.T) {
+	for _, m := range []message{
+		leaseRequest{sender: testSender, sequence: 300, able: true, epoch: 2, listSequence: 5},
+		leaseGranted{sequence: 300, incarnation: 7, epoch: 2, wantsOffer: true},
+		leaderRedirect{leader: 1 << 31},
+		jobOffer{sender: testSender, jobs: []string{"j", "k"}},
+		jobList{incarnation: 7, epoch: 2, sequence: 5, jobs: []listedJob{{"j", 9, 4, true, []byte("left")}, {"k", 10, 0, false, []byte{}}}},
+		jobReleased{testSender, true, "j", 9, 11, 4, []byte("left"), failedReason + "why"},
+		storeCheckpoint{"j", 9, 4, []byte("left")},
+		checkpointResult{"j", 9, 4, true},
+		effectMessage{"j", testToken, []byte("body")},
+		effectAck{"j", testToken, Stale, FencingToken{4 << tokensPerEpochBits, 1}},
+		moveRequest{"j", "b", 12},
+		moveReply{12, "there is no job"},
+		queryReply{12, []byte("body")},
+	} {
+		data := m.encode()
+		if got, err := decodeMessage(data); err != nil || !reflect.DeepEqual(got, m) {
+			t.Errorf("%#v decodes to %#v, %v", m, got, err)
+		}
+		for n := 1; n < len(data); n++ {
+			if got, err := decodeMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
+				t.Errorf("%d of %d bytes of %T decode to %#v, %v", n, len(data), m, got, err)
+			}
+		}
+	}
+}
+
+// TestQueryKeepsItsBytes: the coordinator forwards a query as it came.
+func TestQueryKeepsItsBytes(t *testing.T) {
+	data := queryMessage{job: "j", tag: 12, asker: 8, body: []byte("body")}.encode()
+	got, err := decodeMessage(data)
+	want := queryMessage{job: "j", tag: 12, asker: 8, body: []byte("body"), encoded: data}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%#v, %v", got, err)
+	}
+}
+
+func TestInvalidMessages(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		data []byte
+		want error
+	}{
+		{"no incarnation", leaseRequest{sender: processID{"a", 0}}.encode(), errNoIncarnation},
+		{"no job", effectMessage{}.encode(), errNoJob},
+		{"verdict", effectAck{job: "j", verdict: Stale + 1}.encode(), errUnknownVerdict},
+		{"kind", []byte{99}, ErrUnknownMessage},
+	} {
+		if _, err := decodeMessage(c.data); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+		}
+	}
+}
+
+// TestQuorumMessageRoundTrip: the same of the messages between voters.
+func TestQuorumMessageRoundTrip(t *testing.T) {
+	position := logPosition{epoch: 300, version: 9}
+	for _, m := range []quorumMessage{
+		prepareRequest{ballot: 300},
+		prepareReply{ballot: 300, promised: true, position: position},
+		leaseProposal{ballot: 310, epoch: 300, round: 3},
+		leaseAccepted{epoch: 300, round: 3, position: position},
+		leaseRejected{epoch: 300, promised: 400},
+		leaseYielded{epoch: 300},
+		stateRequest{ballot: 300},
+		stateTransfer{term: 300, position: position, snapshot: []byte("state")},
+		appendEntries{epoch: 300, entries: []logEntry{{9, 1, Machine, []byte("cmd")}, {10, 2, Machine, []byte("cmd")}}},
+		appendAcknowledged{position: position},
+	} {
+		data := m.encode("g")
+		if name, got, err := decodeQuorumMessage(data); err != nil || name != "g" || !reflect.DeepEqual(got, m) {
+			t.Errorf("%#v decodes to %q %#v, %v", m, name, got, err)
+		}
+		for n := 1; n < len(data); n++ {
+			if _, got, err := decodeQuorumMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
+				t.Errorf("%d of %d bytes of %T decode to %#v, %v", n, len(data), m, got, err)
+			}
+		}
+	}
+}
+
+// TestFailureBackoff: a job that fails waits twice as long each time, up to a bound, and from the start again after a quiet time.
+func TestFailureBackoff(t *testing.T) {
+	b, now := failureBackoff{}, 100*sec
+	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
+		b.recordFailure("j", now)
+		if !b.blocked("j", now+want-1) || b.blocked("j", now+want) || b.blocked("k", now) {
+			t.Errorf("failure %d does not block for %d s", i+1, want/sec)
+		}
+		now += want
+	}
+	now += backoffMax + 1
+	if b.recordFailure("j", now); b.blocked("j", now+sec) {
+		t.Error("a quiet time is not forgiven")
+	}
+}
+
+// TestLogBatches: a message takes entries up to its bound, and one at least.
+func TestLogBatches(t *testing.T) {
+	var l replicatedLog
+	l.reset(300, 1)
+	for _, size := range []int{5000, 2000, 1000, 2000} {
+		l.append(Machine, 1, make([]byte, size))
+	}
+	for _, c := range []struct {
+		after uint64
+		want  string
+	}{{0, "[1]"}, {1, "[2 3]"}, {2, "[3 4]"}, {3, "[4]"}, {4, "[]"}} {
+		versions := []uint64{}
+		for _, e := range l.batchAfter(c.after) {
+			versions = append(versions, e.version)
+		}
+		if fmt.Sprint(versions) != c.want {
+			t.Errorf("after %d: %v, want %s", c.after, versions, c.want)
+		}
+	}
+	for range maxUncommitted {
+		l.append(Machine, 1, nil)
+	}
+	if !l.full() || l.holdsAfter(3) || !l.holdsAfter(4) {
+		t.Errorf("full %t, first entry %d", l.full(), l.entries[0].version)
+	}
+}
