--- /dev/null
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -0,0 +1,135 @@
+package simulation
+
+import (
+	"fmt"
+
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
+)
+
+const (
+	maxReported = 5
+	// settledWithin bounds the time without an owner at the end of calm time.
+	settledWithin = 2 * Sec
+)
+
+// grant names a grant of a job.
+type grant struct {
+	job   string
+	token uint64
+}
+
+// checks are what is known of a run, to judge what follows.
+type checks struct {
+	broken       []string
+	ownerOf      map[grant]string  // process and incarnation
+	highestToken map[string]uint64 // that a job was started under
+	stored       map[string]uint64 // highest checkpoint number that an owner was told is stored
+	ownedAt      map[string]Time   // last time that a job had an owner
+}
+
+func newChecks() *checks {
+	return &checks{ownerOf: map[grant]string{}, highestToken: map[string]uint64{}, stored: map[string]uint64{}, ownedAt: map[string]Time{}}
+}
+
+func (c *checks) hold() bool { return len(c.broken) == 0 }
+
+func (r *Run) fail(format string, args ...any) {
+	if len(r.checks.broken) < maxReported {
+		r.checks.broken = append(r.checks.broken, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
+	}
+}
+
+// checkStart is what must hold where a job begins: one owner a token, rising tokens, and no checkpoint lost.
+func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
+	c := r.checks
+	owner := fmt.Sprint(p.name, " ", p.incarnation)
+	if other, taken := c.ownerOf[grant{name, token}]; taken && other != owner {
+		r.fail("token %d of %s was %s's and is %s's", token, name, other, owner)
+	}
+	c.ownerOf[grant{name, token}] = owner
+	if token <= c.highestToken[name] {
+		r.fail("%s begins %s with token %d, after %d", owner, name, token, c.highestToken[name])
+	}
+	c.highestToken[name] = max(c.highestToken[name], token)
+	if number < c.stored[name] {
+		r.fail("%s begins %s from checkpoint %d, %d was surely stored", owner, name, number, c.stored[name])
+	}
+	if number > 0 && string(checkpoint) != string(checkpointOf(number)) {
+		r.fail("%s begins %s with %q under number %d", owner, name, checkpoint, number)
+	}
+}
+
+// checkOwners is what must hold at every step: of the processes that are awake one leads, and one owns each job.
+func (r *Run) checkOwners() {
+	owners, leader := map[string]string{}, ""
+	for _, p := range r.processes {
+		if !r.awake(p) {
+			continue
+		}
+		if r.leads(p) {
+			if leader != "" {
+				r.fail("%s and %s both lead", leader, p.name)
+			}
+			leader = p.name
+		}
+		for name, j := range p.jobs {
+			if !p.core.Holds(r.localTime(p), name, j.token) {
+				continue
+			}
+			if other := owners[name]; other != "" {
+				r.fail("%s and %s both own %s", other, p.name, name)
+			}
+			owners[name] = p.name
+		}
+	}
+	r.noteGaps(owners)
+}
+
+// leads tells whether a voter leads by its lease. With disks two may believe so: there each command is confirmed.
+func (r *Run) leads(p *process) bool {
+	if r.cfg.Disks || p.group == nil {
+		return false
+	}
+	_, ok := p.group.Leading()
+	return ok && r.localTime(p) < p.group.(*ownership.Quorum).LeaseEnd()
+}
+
+func (r *Run) noteGaps(owners map[string]string) {
+	for i := range r.cfg.Jobs {
+		name := jobName(i)
+		if owners[name] == "" {
+			continue
+		}
+		if at, had := r.checks.ownedAt[name]; had && r.now-at > stepInterval {
+			r.Gaps = append(r.Gaps, r.now-at)
+		}
+		r.checks.ownedAt[name] = r.now
+	}
+}
+
+// checkSettled is what must hold at the end: each job has an owner, unless a majority of the disks is lost, which takes operators.
+func (r *Run) checkSettled() {
+	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
+		return
+	}
+	for i := range r.cfg.Jobs {
+		name := jobName(i)
+		if at, had := r.checks.ownedAt[name]; !had || r.now-at > settledWithin {
+			r.fail("%s has had no owner since %d ms", name, at/Ms)
+		}
+	}
+}
+
+func (r *Run) lostVoters() (lost int) {
+	for _, p := range r.processes {
+		if p.raft != nil {
+			if phase, _ := p.raft.Phase(); phase != consensus.Member {
+				lost++
+			}
+		} else if p.index < r.cfg.Voters && r.cfg.Disks {
+			lost++
+		}
+	}
+	return lost
+}
--- /dev/null
+++ b/internal/fleet/ownership/simulation/network.go
@@ -0,0 +1,117 @@
+package simulation
+
+import (
+	"slices"
+	"sort"
+
+	"croftlock/internal/fleet/consensus"
+)
+
+// Delays of a message; with loss some are late by more.
+const (
+	minDelay       = Ms
+	delaySpread    = 4 * Ms
+	lateOneIn      = 5
+	lateBySpread   = 300 * Ms
+	copiesOfDouble = 2
+)
+
+// envelope is a message on its way.
+type envelope struct {
+	from, to  int
+	group     bool // between voters of the group, or else between Cores
+	data      []byte
+	deliverAt Time
+	sequence  int
+}
+
+// network is the links between processes.
+type network struct {
+	peers     map[uint32]int
+	inFlight  []envelope
+	sequence  int
+	cuts      [][]int // how many faults cut the link from one process to another
+	loss      float64 // probability that a message is lost, and that it is doubled
+	heldUntil []Time  // messages of a process arrive no sooner
+}
+
+func newNetwork(processes int) *network {
+	n := &network{peers: map[uint32]int{}, heldUntil: make([]Time, processes)}
+	for range processes {
+		n.cuts = append(n.cuts, make([]int, processes))
+	}
+	return n
+}
+
+func (r *Run) send(p *process, peer uint32, group bool, message []byte) {
+	n := r.network
+	to, known := n.peers[peer]
+	r.Sent++
+	r.Bytes += len(message)
+	if r.sent != nil {
+		r.sent(p.index, peer, group, message)
+	}
+	if !known || n.cuts[p.index][to] > 0 {
+		return
+	}
+	copies := 1
+	if n.loss > 0 && r.rng.Float64() < n.loss {
+		copies = copiesOfDouble
+	}
+	for range copies {
+		if r.rng.Float64() < n.loss {
+			continue
+		}
+		n.sequence++
+		n.inFlight = append(n.inFlight, envelope{from: p.index, to: to, group: group, data: slices.Clone(message),
+			deliverAt: max(r.arrival(), n.heldUntil[p.index]), sequence: n.sequence})
+	}
+}
+
+func (r *Run) arrival() Time {
+	at := r.now + minDelay + r.rng.Int64N(delaySpread)
+	if r.network.loss > 0 && r.rng.IntN(lateOneIn) == 0 {
+		at += r.rng.Int64N(lateBySpread)
+	}
+	return at
+}
+
+// deliverDue delivers what has arrived, in order. What is sent meanwhile arrives later.
+func (r *Run) deliverDue() {
+	n := r.network
+	due := n.inFlight[:0:0]
+	later := n.inFlight[:0]
+	for _, e := range n.inFlight {
+		if e.deliverAt <= r.now {
+			due = append(due, e)
+		} else {
+			later = append(later, e)
+		}
+	}
+	n.inFlight = later
+	sort.Slice(due, func(i, j int) bool {
+		return due[i].deliverAt < due[j].deliverAt || due[i].deliverAt == due[j].deliverAt && due[i].sequence < due[j].sequence
+	})
+	for _, e := range due {
+		r.deliver(e)
+	}
+}
+
+func (r *Run) deliver(e envelope) {
+	p := r.processes[e.to]
+	if !p.up {
+		return
+	}
+	if r.now < p.pausedUntil {
+		if len(p.queue) < maxQueuedWhilePaused {
+			p.queue = append(p.queue, e)
+		}
+		return
+	}
+	from, now := consensus.PeerID(r.processes[e.from].name), r.localTime(p)
+	if !e.group {
+		p.core.Receive(now, from, e.data)
+	} else if p.group != nil {
+		p.group.Receive(now, from, e.data)
+	}
+}
--- /dev/null
+++ b/internal/fleet/ownership/simulation/process.go
@@ -0,0 +1,200 @@
+package simulation
+
+import (
+	"fmt"
+	"sort"
+
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
+)
+
+// process is one member of the fleet through all its incarnations.
+type process struct {
+	index int
+	name  string
+
+	// What outlives an incarnation.
+	disk       *consensus.MemoryStore
+	diskCopy   *consensus.StoredState // to be put back later; nil: none
+	clockRate  float64                // of the monotonic clock
+	wallOffset Time                   // of the wall clock
+
+	// The present incarnation.
+	incarnation uint64
+	up          bool
+	core        *ownership.Core
+	group       ownership.Group // nil: no voter
+	raft        *consensus.Core // the same, where it has a disk
+	table       *ownership.Table
+	fence       *ownership.Fence
+	clockZero   Time // of the monotonic clock
+	tickAt      Time // true time
+	pausedUntil Time // 0: it runs
+	jobs        map[string]*job
+	accepted    map[string]ownership.FencingToken // last effect of each job, as the checks see it
+
+	// What waits for a paused process.
+	queue        []envelope
+	checkedSends []func() // it has looked at its lease, and sends once it wakes
+}
+
+// job is one that a process owns, by Start and Stop.
+type job struct {
+	token, number uint64
+	stepAt        Time // local
+}
+
+const (
+	jobStepInterval      = 100 * Ms
+	checkpointEvery      = 3 // steps of a job
+	maxQueuedWhilePaused = 64
+)
+
+func (r *Run) localTime(p *process) Time { return p.clockZero + Time(float64(r.now)*p.clockRate) }
+
+func (r *Run) awake(p *process) bool { return p.up && r.now >= p.pausedUntil }
+
+// start begins a new incarnation of a process.
+func (r *Run) start(p *process) {
+	p.incarnation = uint64(r.now/Ms)<<8 + uint64(p.index) + 1
+	p.up, p.pausedUntil, p.queue, p.checkedSends = true, 0, nil, nil
+	p.core, p.group, p.raft = nil, nil, nil
+	p.clockZero = r.rng.Int64N(1000 * Sec)
+	p.table, p.jobs, p.accepted = ownership.NewTable(), map[string]*job{}, map[string]ownership.FencingToken{}
+	p.fence = &ownership.Fence{Forget: r.cfg.Forget}
+	if p.index < r.cfg.Voters {
+		r.openGroup(p)
+	}
+	cfg := ownership.Config{
+		Name:        p.name,
+		Incarnation: p.incarnation,
+		Voters:      r.voterNames(),
+		Wall:        func() int64 { return (r.now + p.wallOffset) / Ms },
+		FromAnswer:  r.cfg.FromAnswer,
+	}
+	for j := range r.cfg.Jobs {
+		cfg.Jobs = append(cfg.Jobs, jobName(j))
+	}
+	core, err := ownership.New(cfg, p.group, p.table, p.fence, coreEffects{r, p})
+	if err != nil {
+		panic(err)
+	}
+	p.core = core
+	p.tickAt = r.now + r.rng.Int64N(tickInterval)
+}
+
+func jobName(i int) string { return fmt.Sprintf("job%d", i) }
+
+func (r *Run) voterNames() (names []string) {
+	for i := range r.cfg.Voters {
+		names = append(names, r.processes[i].name)
+	}
+	return names
+}
+
+// openGroup makes a voter's group. One whose disk can't be opened has none.
+func (r *Run) openGroup(p *process) {
+	machines := map[byte]consensus.Machine{ownership.Machine: p.table}
+	seed := r.rng.Uint64()
+	if r.cfg.Disks {
+		cfg := consensus.Config{Group: "sim", Name: p.name, InitialVoters: r.voterNames(), Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, KeepBehindSnapshot: 10}
+		if c, err := consensus.Open(cfg, p.disk, machines, groupEffects{r, p}); err == nil {
+			p.raft, p.group = c, c
+		}
+		return
+	}
+	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, Clock: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
+		Eager: r.cfg.Eager, FromAnswer: r.cfg.FromAnswer}
+	q, err := ownership.NewQuorum(cfg, machines, groupEffects{r, p})
+	if err != nil {
+		panic(err)
+	}
+	p.group = q
+}
+
+func (r *Run) kill(p *process, loseDisk bool) {
+	if !p.up {
+		return
+	}
+	p.up = false
+	p.disk.Crash()
+	if loseDisk {
+		p.disk = r.newDisk()
+	}
+}
+
+func (r *Run) restart(p *process) {
+	r.kill(p, false)
+	r.start(p)
+}
+
+// run gives a process its turn.
+func (r *Run) run(p *process) {
+	if !r.awake(p) {
+		return
+	}
+	if p.pausedUntil > 0 {
+		r.wake(p)
+	}
+	if r.now >= p.tickAt {
+		p.tickAt = r.now + tickInterval
+		r.tick(p)
+	}
+}
+
+// wake lets a process first send what it had checked before it slept, and then read.
+func (r *Run) wake(p *process) {
+	p.pausedUntil = 0
+	for _, send := range p.checkedSends {
+		send()
+	}
+	p.checkedSends = nil
+	queue := p.queue
+	p.queue = nil
+	for _, e := range queue {
+		r.deliver(e)
+	}
+}
+
+func (r *Run) tick(p *process) {
+	now := r.localTime(p)
+	p.core.Tick(now)
+	for _, name := range p.jobNames() {
+		j := p.jobs[name]
+		if j == nil || now < j.stepAt || !p.core.Holds(now, name, j.token) {
+			continue
+		}
+		j.stepAt = now + jobStepInterval
+		r.nextEffect(p, name, j)()
+	}
+}
+
+func (p *process) jobNames() []string {
+	names := make([]string, 0, len(p.jobs))
+	for name := range p.jobs {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	return names
+}
+
+// nextEffect is what follows a check that this process owns a job: an effect at all receivers, and now and then a checkpoint.
+func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
+	j.number++
+	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.incarnation
+	return func() {
+		if !p.up || p.incarnation != incarnation {
+			return
+		}
+		now := r.localTime(p)
+		for _, to := range r.processes {
+			p.core.SendEffect(now, consensus.PeerID(to.name), name, token, []byte("x"))
+		}
+		if token.Sequence%checkpointEvery == 0 {
+			p.core.StoreCheckpoint(now, name, token.Token, token.Sequence, checkpointOf(token.Sequence))
+		}
+	}
+}
+
+// checkpointOf is what a job stores under a number.
+func checkpointOf(number uint64) []byte { return []byte(fmt.Sprint(number)) }
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	err := r.Play()
-	for _, p := range r.ps {
+	for _, p := range r.processes {
 		digest.Add("%x", p.table.Snapshot())
 	}
 	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, c.Voters, kept, r.Effects, r.Refused, r.Starts, r.Notes, err == nil, digest)
--- /dev/null
+++ b/internal/fleet/ownership/simulation/run.go
@@ -0,0 +1,158 @@
+// Package simulation plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that sleep and
+// die, links that lose, repeat, delay and cut, disks that fail and clocks that drift. It owns the plans of faults and the checks of what must
+// hold at every step. The same seed plays the same run.
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"croftlock/internal/fleet/consensus"
+)
+
+// Time is virtual nanoseconds.
+type Time = int64
+
+// Units of Time.
+const (
+	Ms  = Time(1e6)
+	Sec = Time(1e9)
+)
+
+const (
+	stepInterval = 10 * Ms
+	tickInterval = 50 * Ms // between two ticks of one process, true time
+	// calmTime is played after the last fault, in which every job has to find an owner.
+	calmTime = 40 * Sec
+
+	defaultFaultPeriod = 30 * Sec
+)
+
+// Config describes a run. The first Voters of Processes are the voters.
+type Config struct {
+	Processes, Voters, Jobs int
+	Disks                   bool // voters keep their state on disk (consensus), or else in memory (ownership.Quorum)
+	Seed                    uint64
+	Lasts                   Time // the period in which faults begin; default 30 s
+	Calm                    bool // no faults at all
+	// Faults of the program that checks have to find: a sync of the disk is skipped; see ownership.QuorumConfig and ownership.Fence for the others.
+	SkipSync, Eager, FromAnswer, Forget bool
+}
+
+// ErrBroken is returned where a check has failed.
+var ErrBroken = errors.New("a check failed")
+
+// Stats are what happened in a run: checks say nothing of a run in which nothing happens.
+type Stats struct {
+	Effects int // accepted by receivers
+	Refused int // stale, as owners were told
+	Starts  int // of jobs
+	Notes   int // checkpoints stored
+	Leads   int // elections of a leader of the group
+	Unsure  int // those after which the table may lack something
+	Gaps    []Time
+	Sent    int // messages
+	Bytes   int // of them
+}
+
+// Run is one fleet.
+type Run struct {
+	Stats
+	cfg       Config
+	rng       *rand.Rand
+	now       Time
+	processes []*process
+	network   *network
+	checks    *checks
+	plan      []Fault // still to begin
+	active    []Fault
+	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
+	damagedDisks map[int]bool
+	// sent is told of each message before the network has it; nil: nobody is.
+	sent func(from int, peer uint32, group bool, message []byte)
+}
+
+// New makes a fleet.
+func New(c Config) *Run {
+	if c.Lasts <= 0 {
+		c.Lasts = defaultFaultPeriod
+	}
+	r := &Run{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), checks: newChecks(), damagedDisks: map[int]bool{}}
+	r.network = newNetwork(c.Processes)
+	for i := range c.Processes {
+		p := &process{
+			index:     i,
+			name:      fmt.Sprintf("p%d", i),
+			disk:      r.newDisk(),
+			clockRate: 0.99 + 0.02*r.rng.Float64(),
+			clockZero: r.rng.Int64N(1000 * Sec),
+		}
+		r.network.peers[consensus.PeerID(p.name)] = i
+		r.processes = append(r.processes, p)
+	}
+	if !c.Calm {
+		r.plan = Plan(r.rng, c)
+	}
+	for _, p := range r.processes {
+		r.start(p)
+	}
+	return r
+}
+
+func (r *Run) newDisk() *consensus.MemoryStore {
+	return &consensus.MemoryStore{SkipSync: r.cfg.SkipSync}
+}
+
+// Faults is the plan, as far as it has not begun.
+func (r *Run) Faults() []Fault { return slices.Clone(r.plan) }
+
+// Play runs the faults, then calm time, and gives what the checks found.
+func (r *Run) Play() error {
+	for end := r.end(); r.now < end && r.checks.hold(); r.now += stepInterval {
+		r.beginFaults()
+		r.endFaults()
+		r.deliverDue()
+		for _, p := range r.processes {
+			r.run(p)
+		}
+		r.checkOwners()
+	}
+	if r.checks.hold() {
+		r.checkSettled()
+	}
+	if !r.checks.hold() {
+		return fmt.Errorf("%w: seed %d, %d processes, %d voters, disks %t: %s",
+			ErrBroken, r.cfg.Seed, r.cfg.Processes, r.cfg.Voters, r.cfg.Disks, strings.Join(r.checks.broken, "; "))
+	}
+	return nil
+}
+
+func (r *Run) end() Time {
+	end := r.cfg.Lasts + calmTime
+	for _, f := range r.plan {
+		end = max(end, f.At+f.For+calmTime)
+	}
+	return end
+}
+
+func (r *Run) beginFaults() {
+	for len(r.plan) > 0 && r.plan[0].At <= r.now {
+		f := r.plan[0]
+		r.plan = r.plan[1:]
+		r.begin(f)
+		r.active = append(r.active, f)
+	}
+}
+
+func (r *Run) endFaults() {
+	for i := 0; i < len(r.active); i++ {
+		if f := r.active[i]; f.At+f.For <= r.now {
+			r.active = slices.Delete(r.active, i, i+1)
+			i--
+			r.endFault(f)
+		}
+	}
+}
