--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -35,9 +35,9 @@
 	send := d.owner.SendEffect
 	if late := d.Late; late != nil {
 		if sure, may := d.owner.(interface {
-			DoAnyway(to uint32, number uint64, body []byte)
+			SendEffectUnchecked(to uint32, number uint64, body []byte)
 		}); may {
-			send = sure.DoAnyway // it has looked, and looks no more
+			send = sure.SendEffectUnchecked // it has looked, and looks no more
 		}
 		d.Late = nil
 		late()
--- /dev/null
+++ b/internal/fleet/owneragent/admincommands.go
@@ -0,0 +1,199 @@
+package owneragent
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/rules"
+)
+
+// adminCommands are what operators may ask, by Request.Do.
+var adminCommands = map[string]func(a *Agent, q Request) Reply{
+	"owners":  (*Agent).adminReport,
+	"status":  (*Agent).adminReport,
+	"move":    (*Agent).adminMove,
+	"suspend": (*Agent).adminSuspendedHosts,
+	"resume":  (*Agent).adminSuspendedHosts,
+	"list":    (*Agent).adminSuspendedHosts,
+	"rules":   (*Agent).adminRules,
+	"explain": (*Agent).adminExplain,
+	"add":     (*Agent).adminChangeVoters,
+	"promote": (*Agent).adminChangeVoters,
+	"remove":  (*Agent).adminChangeVoters,
+	"late":    (*Agent).adminDelayDrill,
+}
+
+const (
+	// rulesRetryInterval is how soon a question about rules without an answer is repeated.
+	rulesRetryInterval = 200 * time.Millisecond
+
+	rulesOff = "refused: (owners (rules on)) is not set"
+)
+
+// Replies to requests that could not be carried out, or may not have been.
+var (
+	replyBusy    = Reply{Error: "this proxy is too busy, or its disk hangs: ask again"}
+	replyUnknown = Reply{Error: "unknown: no owner has answered; what was asked may or may not have been done. Ask again: twice is as once"}
+)
+
+func (a *Agent) serveRequest(q Request) Reply {
+	command, known := adminCommands[q.Do]
+	if !known {
+		return Reply{Error: fmt.Sprintf("no request %q", q.Do)}
+	}
+	return command(a, q)
+}
+
+// onWorker has f run on the worker, and waits; false: it did not end in time.
+func (a *Agent) onWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
+
+func (a *Agent) adminReport(Request) (r Reply) {
+	if !a.onWorker(func() { a.report(&r) }) {
+		return replyBusy
+	}
+	return r
+}
+
+// adminDelayDrill has a drill stop its own process in its next turn: after the look at its lease, before it sends. A SIGSTOP from outside can't
+// be placed there.
+func (a *Agent) adminDelayDrill(q Request) (r Reply) {
+	if !a.onWorker(func() {
+		drill, ok := a.jobs.byName[q.A].(*jobs.Drill)
+		if !ok || a.jobs.owned[q.A] == 0 {
+			r.Error = "only an owner of a drill can be late"
+			return
+		}
+		drill.Late = func() { syscall.Kill(os.Getpid(), syscall.SIGSTOP) }
+		r.Answer = "its next turn is a late one"
+	}) {
+		return replyBusy
+	}
+	return r
+}
+
+func (a *Agent) adminExplain(q Request) Reply {
+	if a.rules.enforcer == nil || q.Explain == nil {
+		return Reply{Error: rulesOff}
+	}
+	return Reply{Answer: a.rules.enforcer.Explain(*q.Explain)}
+}
+
+func (a *Agent) adminMove(q Request) Reply {
+	answer, failed := a.askOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.A, q.B, tag) }, nil)
+	switch {
+	case failed != nil:
+		return *failed
+	case answer != "":
+		return Reply{Error: answer}
+	}
+	return Reply{Answer: "its owner is asked for it"}
+}
+
+func (a *Agent) adminSuspendedHosts(q Request) Reply {
+	command := jobs.SuspendCommand(q.Do == "suspend", q.A)
+	if q.Do == "list" {
+		command = jobs.ListCommand()
+	}
+	answer, failed := a.askOwner(func(tag uint64) {
+		if a.jobs.byName[hostsJob] == nil {
+			a.queries.answerOperator(tag, "refused: (owners (hosts on)) is not set")
+			return
+		}
+		a.core.Query(a.now(), hostsJob, tag, command)
+	}, nil)
+	if failed != nil {
+		return *failed
+	}
+	return Reply{Answer: answer}
+}
+
+// adminRules brings a question to the coordinator of rules. It is repeated until it is answered: an owner that ends, or one that is just taking
+// over, may lose it, and asking twice is as asking once.
+func (a *Agent) adminRules(q Request) Reply {
+	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, q.Rules) }
+	answer, failed := a.askOwner(func(tag uint64) {
+		switch {
+		case a.rules.enforcer == nil:
+			a.queries.answerOperator(tag, rulesOff)
+		case !rules.IsQuestion(q.Rules):
+			a.queries.answerOperator(tag, "refused: no question that administrators may ask")
+		default:
+			query(tag)
+		}
+	}, query)
+	if failed != nil {
+		return *failed
+	}
+	return Reply{Answer: rules.DecodeReply(answer)}
+}
+
+// askOwner sends a question by send and waits for its answer; where there is none, failed says why. retry sends it again until it is
+// answered; nil: it is sent once.
+func (a *Agent) askOwner(send, retry func(tag uint64)) (answer string, failed *Reply) {
+	answers := make(chan string, 1)
+	var tag uint64
+	if !a.onWorker(func() {
+		tag = a.queries.askOperator(answers)
+		send(tag)
+	}) {
+		return "", &replyBusy
+	}
+	ticker := time.NewTicker(rulesRetryInterval)
+	defer ticker.Stop()
+	timeout := time.After(requestTimeout)
+	for {
+		select {
+		case answer := <-answers:
+			return answer, nil
+		case <-timeout:
+			a.worker.post(func() { a.queries.forgetOperator(tag) })
+			return "", &replyUnknown
+		case <-ticker.C:
+			if retry == nil {
+				continue
+			}
+			a.worker.post(func() {
+				if a.queries.operatorWaits(tag) {
+					retry(tag)
+				}
+			})
+		}
+	}
+}
+
+var errNotVoter = errors.New("this proxy is no voter with a disk: ask one")
+
+// adminChangeVoters asks the group to change who votes.
+func (a *Agent) adminChangeVoters(q Request) Reply {
+	var err error
+	if !a.onWorker(func() { err = a.changeVoters(q.Do, q.A) }) {
+		return replyBusy
+	}
+	if errors.Is(err, group.ErrNotLeader) {
+		err = fmt.Errorf("%w: group status names who does", err)
+	}
+	if err != nil {
+		return Reply{Error: err.Error()}
+	}
+	return Reply{Answer: "asked; group status tells once it is done"}
+}
+
+func (a *Agent) changeVoters(change, name string) error {
+	voter := a.replica.voter
+	if voter == nil {
+		return errNotVoter
+	}
+	tag := a.queries.nextTag()
+	switch change {
+	case "add":
+		return voter.Add(a.now(), tag, name)
+	case "promote":
+		return voter.Promote(a.now(), tag, name)
+	}
+	return voter.Remove(a.now(), tag, name)
+}
--- /dev/null
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -0,0 +1,93 @@
+package owneragent
+
+import (
+	"encoding/json"
+	"net"
+	"path/filepath"
+	"time"
+
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/namespace"
+)
+
+// Request is what operators ask at the socket, one a connection.
+type Request struct {
+	Do string `json:"do"`          // a command: owners, move, status, add, promote, remove, suspend, resume, list, rules, explain, late
+	A  string `json:"a,omitempty"` // its first argument
+	B  string `json:"b,omitempty"` // its second
+
+	Rules   []byte         `json:"rules,omitempty"`   // a question to the coordinator of rules
+	Explain *namespace.Ask `json:"explain,omitempty"` // a request, for the rules to explain
+}
+
+const (
+	// requestTimeout bounds the time of a request.
+	requestTimeout = 4 * time.Second
+	// replyMargin is what a connection has beyond it, to write the reply.
+	replyMargin   = time.Second
+	dialTimeout   = 2 * time.Second
+	maxConcurrent = 8
+)
+
+// adminSocket serves operators at a Unix socket. Its goroutines end with the listener, and with the deadlines of their connections.
+type adminSocket struct {
+	listener net.Listener
+	handle   func(Request) Reply
+	slots    chan struct{} // one a connection
+}
+
+// listenAdmin serves at a Unix socket that only the user of this process may use.
+func listenAdmin(path string, handle func(Request) Reply) (*adminSocket, error) {
+	l, err := memberagent.ListenUnix(path)
+	if err != nil {
+		return nil, err
+	}
+	s := &adminSocket{listener: l, handle: handle, slots: make(chan struct{}, maxConcurrent)}
+	go s.accept()
+	return s, nil
+}
+
+func (s *adminSocket) close() { s.listener.Close() }
+
+// accept closes connections beyond the bound at once.
+func (s *adminSocket) accept() {
+	for {
+		c, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		select {
+		case s.slots <- struct{}{}:
+			go s.serve(c)
+		default:
+			c.Close()
+		}
+	}
+}
+
+func (s *adminSocket) serve(c net.Conn) {
+	defer func() { <-s.slots }()
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(requestTimeout + replyMargin))
+	var q Request
+	if json.NewDecoder(c).Decode(&q) != nil {
+		json.NewEncoder(c).Encode(Reply{Error: "a request as JSON is expected"})
+		return
+	}
+	json.NewEncoder(c).Encode(s.handle(q))
+}
+
+// Ask asks a running proxy at its socket.
+func Ask(socket string, q Request) (Reply, error) {
+	var r Reply
+	c, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
+	if err != nil {
+		return r, err
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(requestTimeout + 2*replyMargin))
+	if err := json.NewEncoder(c).Encode(q); err != nil {
+		return r, err
+	}
+	return r, json.NewDecoder(c).Decode(&r)
+}
--- /dev/null
+++ b/internal/fleet/owneragent/agent.go
@@ -0,0 +1,189 @@
+// Package owneragent runs the ownership package in a process: it owns the section (owners ...) of the operators' file, the worker goroutine on
+// which the replicated group, its store and the jobs run beside the event loop, their datagrams, and the socket at which operators ask.
+// Decisions are those of packages ownership, consensus, jobs, rules and quota.
+package owneragent
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/fragment"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/ownership"
+)
+
+// Agent is one process's part. Its exported methods belong to the event loop; of the fields those under "worker" belong to the worker.
+type Agent struct {
+	options     Options
+	name        string
+	incarnation uint64
+	startedAt   time.Time
+	loop        *netio.Loop
+	members     *memberagent.Agent
+	worker      *worker
+	socket      *adminSocket // nil: none
+	departure   departure
+
+	// worker
+	core            *ownership.Core
+	fence           *ownership.Fence
+	replica         *replica
+	transport       *fragment.Transport
+	jobs            *jobRunner
+	queries         *queries
+	migrationPacer  *jobs.MigrationPacer // nil: migrations are not paced
+	rules           ruleAgreement
+	quota           quotaSharing
+	unreachableFrom map[string]int // members that can't hear a member, by its name
+	counts          Counts
+}
+
+// Counts are what a process has done and met.
+type Counts struct {
+	Taken     int `json:"Taken"`     // effects accepted here
+	Again     int `json:"Again"`     // always 0; kept for those who read the JSON
+	Refused   int `json:"Refused"`   // stale effects rejected here
+	Sent      int `json:"Sent"`      // effects of jobs owned here
+	Panics    int `json:"Panics"`    // of jobs
+	Malformed int `json:"Malformed"` // messages
+}
+
+// ErrMembershipOff is returned where owners are on and membership is off.
+var ErrMembershipOff = errors.New("owners: membership is off")
+
+// viewInterval is how often the worker learns who is in the fleet.
+const viewInterval = 250 * time.Millisecond
+
+// Start begins. applySuspended carries out, on the loop, which hosts are suspended for the whole fleet.
+func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, applySuspended func(hosts []string)) (*Agent, error) {
+	if m == nil {
+		return nil, ErrMembershipOff
+	}
+	now := time.Now()
+	a := &Agent{options: o, name: name, incarnation: uint64(now.UnixMilli()), startedAt: now, loop: l, members: m,
+		worker: newWorker(), fence: &ownership.Fence{Forget: Planted == "forget"}}
+	a.transport = fragment.New(m.Room(), uint32(a.incarnation), transportEffects{a})
+	a.queries = newQueries(a)
+	a.replica = newReplica(o, name, ownership.NewTable(), groupEffects{a})
+	a.jobs = newJobRunner(a)
+	a.addJobs(applySuspended)
+	if o.Socket != "" {
+		socket, err := listenAdmin(o.Socket, a.serveRequest)
+		if err != nil {
+			return nil, fmt.Errorf("owners: %w", err)
+		}
+		a.socket = socket
+	}
+	m.Attach(carrierID, a.receiveDatagram)
+	a.refreshView()
+	go a.worker.run(a.openGroup, a.tick, a.replica.close)
+	return a, nil
+}
+
+// addJobs makes the jobs that this process can own.
+func (a *Agent) addJobs(applySuspended func(hosts []string)) {
+	fleetSize := max(1, a.members.Base())
+	if a.options.Hosts {
+		a.jobs.add(hostsJob, &jobs.SuspendedHosts{Apply: func(hosts []string) { a.loop.Post(func() { applySuspended(hosts) }) }})
+	}
+	if a.options.Pace > 0 {
+		a.addMigrationJob(fleetSize)
+	}
+	for i := range a.options.Drill {
+		a.addDrill(fmt.Sprintf("drill%03d", i))
+	}
+	a.addRules()
+	a.addQuota(fleetSize)
+	for name, job := range more {
+		a.jobs.add(name, job)
+	}
+}
+
+// now is the worker's monotonic clock, above 0.
+func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
+
+// refreshView tells the worker who is in the fleet, from the loop, until the worker stops.
+func (a *Agent) refreshView() {
+	if a.worker.stopping() {
+		return
+	}
+	view := a.members.View()
+	members, unreachableFrom := a.presentMembers(view), a.unheardMembers(view)
+	a.worker.post(func() { a.jobs.members, a.unreachableFrom = members, unreachableFrom })
+	a.loop.After(viewInterval, a.refreshView)
+}
+
+func departed(m memberagent.ViewMember) bool {
+	return m.Name == "" || m.State == "left" || m.State == "gone"
+}
+
+// presentMembers are those that have not left, with this process at the end.
+func (a *Agent) presentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
+	for _, m := range view {
+		if !departed(m) {
+			present := m.State == "alive" || m.State == "suspect" || m.State == "joining"
+			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Life, Present: present})
+		}
+	}
+	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
+}
+
+// unheardMembers counts, by name, how many members do not hear a member.
+func (a *Agent) unheardMembers(view []memberagent.ViewMember) map[string]int {
+	names := map[uint32]string{}
+	for _, m := range view {
+		names[m.ID] = m.Name
+	}
+	unheard := map[string]int{}
+	for _, m := range view {
+		if departed(m) {
+			continue
+		}
+		for _, id := range m.Unheard {
+			if name := names[id]; name != "" {
+				unheard[name]++
+			} else if id == group.Peer(a.name) {
+				unheard[a.name]++
+			}
+		}
+	}
+	return unheard
+}
+
+// openGroup opens the group, on the worker: it may wait for a disk.
+func (a *Agent) openGroup() {
+	a.replica.open()
+	if a.core != nil {
+		a.core.SetGroup(a.replica.group)
+		return
+	}
+	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Wall: func() int64 { return time.Now().UnixMilli() }}
+	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
+	if err != nil {
+		panic(err) // Options.Check lets no such configuration pass
+	}
+	a.core = core
+}
+
+// tick is the worker's turn.
+func (a *Agent) tick() {
+	now := a.now()
+	if a.replica.closeIfStopped() {
+		a.core.SetGroup(nil)
+	}
+	if a.replica.retryDue() {
+		a.openGroup()
+		a.replica.logReopened()
+	}
+	a.core.SetAble(a.replica.failure == "")
+	a.core.SetUnreachable(a.unreachableFrom)
+	a.core.Tick(now)
+	a.transport.Tick(now)
+	a.rules.tick(now)
+	a.quota.tick(now)
+	a.jobs.step(now)
+}
--- a/internal/fleet/owneragent/owners_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -166,7 +166,7 @@
 	began := time.Now()
 	s, _ := alone(t, Options{Drill: 200, Dir: t.TempDir()})
 	report := func() (r Reply) {
-		s.on(func() { s.report(&r) })
+		s.onWorker(func() { s.report(&r) })
 		return r
 	}
 	await(t, "200 jobs have no owner", func() bool {
@@ -199,14 +199,14 @@
 	}
 }
 
-// TestDoor: bad requests get a clear word, and the socket is its owner's alone.
-func TestDoor(t *testing.T) {
+// TestAdminSocket: bad requests get a clear word, and the socket is its owner's alone.
+func TestAdminSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, _ := alone(t, Options{Hosts: true, Socket: path})
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
-	if _, err := serve(path, s); err == nil || !strings.Contains(err.Error(), "in use") {
+	if _, err := listenAdmin(path, s.serveRequest); err == nil || !strings.Contains(err.Error(), "in use") {
 		t.Error("a socket in use:", err)
 	}
 	for _, c := range []struct{ q, want string }{{`{"do":"dance"}`, "no request"}, {`nonsense`, "JSON"}, {`{"do":"add","a":"x"}`, "no voter with a disk"}, {`{"do":"move","a":"hosts","b":"x"}`, ""}} {
@@ -241,7 +241,7 @@
 	s, _ := alone(t, Options{Drill: 1, Dir: dir})
 	await(t, "it does not say what is wrong", func() bool {
 		var r Reply
-		s.on(func() { s.report(&r) })
+		s.onWorker(func() { s.report(&r) })
 		return strings.Contains(r.Store, "unreadable") && len(r.Mine) == 0
 	})
 }
--- /dev/null
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -0,0 +1,138 @@
+package owneragent
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"croftlock/internal/fleet/jobs"
+	"croftlock/internal/fleet/ownership"
+)
+
+// Names of jobs, as the table and operators' commands have them.
+const (
+	hostsJob      = "hosts"
+	migrationsJob = "moves"
+	rulesJob      = "rules"
+)
+
+// jobRunner runs the jobs that this process can own. A panic of one releases it and leaves the others alone.
+type jobRunner struct {
+	a       *Agent
+	byName  map[string]jobs.Job
+	names   []string          // sorted
+	owned   map[string]uint64 // token of each job that runs here
+	members []jobs.Member
+}
+
+func newJobRunner(a *Agent) *jobRunner {
+	return &jobRunner{a: a, byName: map[string]jobs.Job{}, owned: map[string]uint64{}}
+}
+
+// add adds a job, before the worker starts.
+func (r *jobRunner) add(name string, job jobs.Job) {
+	r.byName[name] = job
+	if i, known := slices.BinarySearch(r.names, name); !known {
+		r.names = slices.Insert(r.names, i, name)
+	}
+}
+
+// step gives each job that is owned here its turn.
+func (r *jobRunner) step(now int64) {
+	for _, name := range r.names {
+		if token, owns := r.owned[name]; owns && r.a.core.Holds(now, name, token) {
+			r.guard(name, token, func(j jobs.Job) { j.Step(r.a.now()) })
+		}
+	}
+}
+
+func (r *jobRunner) start(name string, token, checkpointNumber uint64, checkpoint []byte) (err error) {
+	job := r.byName[name]
+	if job == nil {
+		return fmt.Errorf("this process knows no job %q", name)
+	}
+	defer func() {
+		if p := recover(); p != nil {
+			r.a.counts.Panics++
+			err = fmt.Errorf("%v", p)
+		}
+	}()
+	if err := job.Start(r.a.now(), jobOwner{r.a, name, token}, token, checkpointNumber, checkpoint); err != nil {
+		return err
+	}
+	r.owned[name] = token
+	slog.Info("job_acquired", "job", name, "token", token)
+	return nil
+}
+
+func (r *jobRunner) stop(name string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte) {
+	delete(r.owned, name)
+	slog.Info("job_released", "job", name, "token", token, "reason", reason)
+	r.guard(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
+	return checkpointNumber, checkpoint
+}
+
+// guard runs a job's code. One that panics while it is owned under token is released; 0: it is not owned.
+func (r *jobRunner) guard(name string, token uint64, f func(j jobs.Job)) {
+	defer func() {
+		if p := recover(); p != nil {
+			r.a.counts.Panics++
+			slog.Error("job_failed", "job", name, "reason", p)
+			if r.owned[name] == token && token != 0 {
+				r.a.core.JobFailed(r.a.now(), name, token, fmt.Sprint(p))
+			}
+		}
+	}()
+	if job := r.byName[name]; job != nil {
+		f(job)
+	}
+}
+
+// guardOwned is guard for a job that is owned here; another is not run.
+func (r *jobRunner) guardOwned(name string, f func(j jobs.Job)) {
+	if token, owns := r.owned[name]; owns {
+		r.guard(name, token, f)
+	}
+}
+
+func (a *Agent) addDrill(name string) {
+	interval := time.Duration(max(minDrillIntervalMS, a.options.Each)) * time.Millisecond
+	a.jobs.add(name, &jobs.Drill{Every: int64(interval), Taken: func(token ownership.FencingToken) {
+		slog.Debug("drill_taken", "job", name, "token", token.Token, "number", token.Sequence)
+	}})
+}
+
+// jobOwner is what a job may do while it is owned here.
+type jobOwner struct {
+	a     *Agent
+	job   string
+	token uint64
+}
+
+// SendEffect sends an effect, unless the lease has ended.
+func (o jobOwner) SendEffect(to uint32, number uint64, body []byte) {
+	if !o.a.core.Holds(o.a.now(), o.job, o.token) {
+		return
+	}
+	o.a.counts.Sent++
+	o.SendEffectUnchecked(to, number, body)
+}
+
+// SendEffectUnchecked is SendEffect without another look at the lease: drills show by it that receivers reject a stale owner.
+func (o jobOwner) SendEffectUnchecked(to uint32, number uint64, body []byte) {
+	o.a.core.SendEffect(o.a.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
+}
+
+// StoreCheckpoint has a checkpoint stored by the group.
+func (o jobOwner) StoreCheckpoint(number uint64, checkpoint []byte) error {
+	return o.a.core.StoreCheckpoint(o.a.now(), o.job, o.token, number, checkpoint)
+}
+
+// Reply answers a query.
+func (o jobOwner) Reply(to uint32, tag uint64, body []byte) {
+	o.a.core.Reply(o.a.now(), to, tag, body)
+}
+
+// Members are those that have not left the fleet.
+func (o jobOwner) Members() []jobs.Member { return o.a.jobs.members }
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -1,73 +1,75 @@
 package owneragent
 
-import (
-	"time"
+import "time"
+
+const (
+	// leaveTimeout bounds the wait of a process that ends for the coordinator to have its jobs back.
+	leaveTimeout = 200 * time.Millisecond
+	// leavePollInterval is how often the wait looks while nothing arrives.
+	leavePollInterval = 5 * time.Millisecond
 )
 
-// Leave gives all jobs and the lead back, and calls done once others have them or a short time has passed.
-func (s *Agent) Leave(done func()) {
-	if s == nil {
+// departure is the way out of the fleet. It belongs to the loop.
+type departure struct {
+	waiting []func() // to be called once this process has left; nil: it is not leaving
+	left    bool
+}
+
+// Leave releases all jobs and the lead, and calls done on the loop once others have them or a short time has passed.
+func (a *Agent) Leave(done func()) {
+	if a == nil || a.departure.left {
 		done()
 		return
 	}
-	if s.leaving != nil || s.left {
-		// A process that has handed over is ended next, and must not cut off what it is about to say.
-		if s.left {
-			done()
-		} else {
-			s.leaving = append(s.leaving, done)
-		}
+	// A process that has handed over is ended next, and must not cut off what it is about to say: all wait for the first.
+	first := a.departure.waiting == nil
+	a.departure.waiting = append(a.departure.waiting, done)
+	if !first {
 		return
 	}
-	s.leaving = append(s.leaving, done)
-	end := func() {
-		if !s.left {
-			s.left = true
-			s.Yield()
-			for _, f := range s.leaving {
-				f()
-			}
-		}
-	}
-	s.loop.After(leaveWithin, end)
-	s.post(func() {
-		s.core.Leave(s.now(), "its process ends in order")
-		var wait func()
-		wait = func() {
-			if s.core.HasLeft() {
-				s.core.Yield(s.now())
-				time.Sleep(5 * time.Millisecond) // what has just been said is on its way
-				s.loop.Post(end)
-				return
-			}
-			select {
-			case <-s.quit:
-			case f := <-s.in:
-				f()
-				go s.post(wait)
-			case <-time.After(5 * time.Millisecond):
-				s.core.Tick(s.now())
-				go s.post(wait)
-			}
-		}
-		wait()
+	a.loop.After(leaveTimeout, a.finishLeaving)
+	a.worker.post(func() {
+		a.core.Leave(a.now(), "its process ends in order")
+		a.awaitRelease()
 	})
 }
 
+func (a *Agent) finishLeaving() {
+	if a.departure.left {
+		return
+	}
+	a.departure.left = true
+	a.Yield()
+	for _, done := range a.departure.waiting {
+		done()
+	}
+}
+
+// awaitRelease works on until the coordinator has the jobs back, on the worker.
+func (a *Agent) awaitRelease() {
+	if a.core.HasLeft() {
+		a.core.Yield(a.now())
+		time.Sleep(leavePollInterval) // for the loop to send what has just been posted to it
+		a.loop.Post(a.finishLeaving)
+		return
+	}
+	if a.worker.stopping() {
+		return
+	}
+	if !a.worker.runNext(leavePollInterval) {
+		a.core.Tick(a.now())
+	}
+	a.worker.post(a.awaitRelease)
+}
+
 // Yield ends this process's part, and lets go of the store.
-func (s *Agent) Yield() {
-	if s == nil {
+func (a *Agent) Yield() {
+	if a == nil || a.worker.stopping() {
 		return
 	}
-	s.once.Do(func() {
-		s.members.Attach(whose, nil)
-		if s.door != nil {
-			s.door.close()
-		}
-		close(s.quit)
-		select {
-		case <-s.over:
-		case <-time.After(300 * time.Millisecond): // a disk that hangs must not hold the process
-		}
-	})
+	a.members.Attach(carrierID, nil)
+	if a.socket != nil {
+		a.socket.close()
+	}
+	a.worker.stop()
 }
--- /dev/null
+++ b/internal/fleet/owneragent/migrations.go
@@ -0,0 +1,27 @@
+package owneragent
+
+import "croftlock/internal/fleet/jobs"
+
+func (a *Agent) addMigrationJob(fleetSize int) {
+	rate := float64(a.options.Pace)
+	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, Base: fleetSize})
+	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, Base: fleetSize}
+	permits := a.queries.newAsker(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
+	a.migrationPacer.Ask = func(tag uint64, body []byte) { a.queries.ask(permits, migrationsJob, tag, body) }
+}
+
+// RequestMigrations asks how many of so many clients may be migrated now; then is called on the loop with the number, or at once where
+// migrations are not paced.
+func (a *Agent) RequestMigrations(want int, then func(allowed int)) {
+	if a == nil || a.migrationPacer == nil {
+		then(want)
+		return
+	}
+	a.worker.post(func() {
+		allowed := a.migrationPacer.Allow(a.now(), want)
+		a.loop.Post(func() { then(allowed) })
+	})
+}
+
+// Paced tells whether migrations are paced.
+func (a *Agent) Paced() bool { return a != nil && a.migrationPacer != nil }
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -12,40 +12,38 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Options are the section (owners …).
+// minDrillIntervalMS bounds Options.Each from below.
+const minDrillIntervalMS = 20
+
+// Options are the section (owners ...).
 type Options struct {
 	On     bool
-	Group  string
-	Voters []string
-	Dir    string // "": voters keep nothing on disk
-	MostKB int
-	Hosts  bool
-	Pace   int // moves a second over the whole fleet; 0: not paced
-	Drill  int
-	Each   int // milliseconds between two numbers of a drill
-	Socket string
+	Group  string   // name of the group of voters; messages of others are rejected; default croftlock
+	Voters []string // names of those that vote, the same list everywhere
+	Dir    string   // folder of a voter's store; "": voters go by memory
+	MostKB int      // bound of that store, KiB; default 8192
+	Hosts  bool     // hosts can be suspended for the whole fleet
+	Pace   int      // migrations a second over the whole fleet; 0: not paced
+	Drill  int      // number of drill jobs
+	Each   int      // time between two numbers of a drill, milliseconds; default 100
+	Socket string   // Unix socket for operators; "": none
 	Rules  Rules
 }
 
-// Section is the operators' say.
+// Section is the section (owners ...) of the operators' file.
 func Section() settings.Section {
 	return settings.Section{Name: "owners", Doc: "one owner at a time for the fleet's work", Bind: func(f *settings.Form) any {
 		o := Options{Group: "croftlock", MostKB: 8192, Each: 100}
 		f.Bool("on", "whether this proxy takes part; membership has to be on too", &o.On)
 		f.Text("group", "name of the group of voters; others' messages are refused", "a name", &o.Group, func(s string) bool { return s != "" && len(s) <= 64 })
-		var list string
-		f.Text("voters", "names of the proxies that vote, 1 to 7, the same list everywhere, with spaces between", "names", &list, func(s string) bool {
-			o.Voters = strings.Fields(s)
-			sorted := slices.Clone(o.Voters)
-			slices.Sort(sorted)
-			return len(sorted) > 0 && len(sorted) <= 7 && len(slices.Compact(sorted)) == len(o.Voters)
-		})
+		var voters string
+		f.Text("voters", "names of the proxies that vote, 1 to 7, the same list everywhere, with spaces between", "names", &voters, o.setVoters)
 		f.Path("dir", "folder in which a voter keeps its log and votes, on a disk that lasts; without it voters go by memory", &o.Dir)
 		f.Int("most_kb", "bound of a voter's store, in KiB", &o.MostKB, 1024, 1<<20)
 		f.Bool("hosts", "whether hosts can be taken out for the whole fleet: croftlock fleet suspend ID", &o.Hosts)
 		f.Int("pace", "clients that all proxies together may send away a second; 0: not bounded", &o.Pace, 0, 100000)
 		f.Int("drill", "jobs that only tell every proxy a number, to try the fleet's owners", &o.Drill, 0, 500)
-		f.Int("drill_ms", "time between two such numbers, in milliseconds", &o.Each, 20, 60000)
+		f.Int("drill_ms", "time between two such numbers, in milliseconds", &o.Each, minDrillIntervalMS, 60000)
 		f.Path("socket", "Unix socket at which operators ask: croftlock owners, group, fleet", &o.Socket)
 		o.Rules.bind(f)
 		if o.On && len(o.Voters) == 0 {
@@ -55,6 +53,17 @@
 	}}
 }
 
+// maxVoters bounds the voters of the section.
+const maxVoters = 7
+
+// setVoters takes the names, and tells whether they are 1 to maxVoters different ones.
+func (o *Options) setVoters(names string) bool {
+	o.Voters = strings.Fields(names)
+	sorted := slices.Clone(o.Voters)
+	slices.Sort(sorted)
+	return len(sorted) > 0 && len(sorted) <= maxVoters && len(slices.Compact(sorted)) == len(o.Voters)
+}
+
 // Check looks at what the section refers to. member is the section (membership …).
 func (o Options) Check(member memberagent.Options) error {
 	if !o.On {
@@ -67,7 +76,7 @@
 		return nil
 	}
 	if OpenVoter == nil {
-		return fmt.Errorf("dir: %w", errNoVoters)
+		return fmt.Errorf("dir: %w", ErrNoVoters)
 	}
 	info, err := os.Stat(o.Dir)
 	if err == nil && !info.IsDir() {
@@ -79,7 +88,8 @@
 	return nil
 }
 
-// Planted is a fault that experiments put in, to show that they find it. No file and no argument of the program sets it.
+// Planted names a fault that experiments put in, to show that they find it: forget (the fence), lapse (of rules). No file and no argument of the
+// program sets it.
 var Planted string
 
 // more are jobs that tests add.
--- /dev/null
+++ b/internal/fleet/owneragent/quota.go
@@ -0,0 +1,64 @@
+package owneragent
+
+import (
+	"fmt"
+	"time"
+
+	"croftlock/internal/fleet/quota"
+)
+
+const (
+	// grantLifetime is how long what an issuer hands out holds.
+	grantLifetime = time.Second
+	// acquireTimeout is a little longer than a request waits for an issuer's answer.
+	acquireTimeout = 110 * time.Millisecond
+)
+
+// quotaSharing is this process's part in limits of accounts over the whole fleet. Without agreed rules there are none.
+type quotaSharing struct {
+	client    *quota.Client // nil: off
+	steppedAt int64
+}
+
+func (q *quotaSharing) tick(now int64) {
+	if q.client != nil && now-q.steppedAt >= int64(grantLifetime)/4 {
+		q.steppedAt = now
+		q.client.Step()
+	}
+}
+
+// addQuota makes the client and the issuers' jobs, before the worker starts.
+func (a *Agent) addQuota(fleetSize int) {
+	enforcer := a.rules.enforcer
+	if enforcer == nil {
+		return
+	}
+	client := &quota.Client{Now: a.now, GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits, Accounts: enforcer.Limited}
+	replies := a.queries.newAsker(client.ReplyReceived)
+	client.SendQuery = func(shard int, tag uint64, body []byte) {
+		a.worker.post(func() { a.queries.ask(replies, issuerJob(shard), tag, body) })
+	}
+	a.quota.client = client
+	for shard := range quota.Shards {
+		a.jobs.add(issuerJob(shard), &quota.Issuer{GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits})
+	}
+}
+
+func issuerJob(shard int) string { return fmt.Sprintf("limits%d", shard) }
+
+// IsLimited tells whether an account has limits over the fleet.
+func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
+
+// Acquire asks for one more connection of an account; then is called on the loop.
+func (a *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
+	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // whoever has waited long enough is told so
+	a.quota.client.Acquire(account, spread, func(over string, advice time.Duration) {
+		a.loop.Post(func() { then(over, advice) })
+	})
+}
+
+// CountExisting counts a connection that is open already.
+func (a *Agent) CountExisting(account string) { a.quota.client.CountExisting(account) }
+
+// Release counts the end of a connection.
+func (a *Agent) Release(account string) { a.quota.client.Release(account) }
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -7,58 +7,64 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Reply is the answer.
+// Reply is the answer to a Request. Error or Answer is set by commands, the others by owners and status.
 type Reply struct {
 	Error  string            `json:"error,omitempty"`
 	Answer string            `json:"answer,omitempty"`
-	Name   string            `json:"name,omitempty"`
-	Leader string            `json:"leader,omitempty"`
-	Kind   string            `json:"kind,omitempty"`
-	Store  string            `json:"store,omitempty"` // what is wrong with it
-	Jobs   []JobRow          `json:"jobs,omitempty"`
-	Group  *group.Status     `json:"group,omitempty"`
+	Name   string            `json:"name,omitempty"`   // of this process
+	Leader string            `json:"leader,omitempty"` // name of the coordinator
+	Kind   string            `json:"kind,omitempty"`   // where votes are kept: memory or disk
+	Store  string            `json:"store,omitempty"`  // what is wrong with it
+	Jobs   []JobRow          `json:"jobs,omitempty"`   // at voters
+	Group  *group.Status     `json:"group,omitempty"`  // at voters with a disk
 	Counts *Counts           `json:"counts,omitempty"`
-	Mine   map[string]uint64 `json:"mine,omitempty"`
-	Seen   map[string]uint64 `json:"seen,omitempty"`
-	Lease  int64             `json:"lease_ms"`
+	Mine   map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs owned here
+	Seen   map[string]uint64 `json:"seen,omitempty"` // highest tokens that the fence here has accepted
+	Lease  int64             `json:"lease_ms"`       // remaining
 }
 
-// JobRow is a job as this process's copy of the table has it: a voter's; others know their own jobs alone.
+// JobRow is a job as this voter's copy of the table has it.
 type JobRow struct {
 	Job    string `json:"job"`
 	Owner  string `json:"owner"`
 	Token  uint64 `json:"token"`
-	Number uint64 `json:"number"`
-	Left   int    `json:"left_bytes"`
-	Since  string `json:"since"`
-	Why    string `json:"why"`
+	Number uint64 `json:"number"`     // of the checkpoint
+	Left   int    `json:"left_bytes"` // size of the checkpoint
+	Since  string `json:"since"`      // last change, RFC 3339
+	Why    string `json:"why"`        // reason of the last change
 }
 
-func (s *Agent) report(r *Reply) {
-	r.Name, r.Kind, r.Store = s.name, "memory", s.broken
-	counts := s.counts
-	r.Counts = &counts
-	for _, m := range s.there {
-		if m.Peer == s.core.Leader() {
+// report fills the answer to owners and status, on the worker.
+func (a *Agent) report(r *Reply) {
+	counts := a.counts
+	r.Name, r.Kind, r.Store, r.Counts = a.name, "memory", a.replica.failure, &counts
+	if a.options.Dir != "" {
+		r.Kind = "disk"
+	}
+	for _, m := range a.jobs.members {
+		if m.Peer == a.core.Leader() {
 			r.Leader = m.Name
 		}
 	}
-	if s.o.Dir != "" {
-		r.Kind = "disk"
-	}
-	if s.raft != nil {
-		st := s.raft.Status()
-		r.Group = &st
+	if a.replica.voter != nil {
+		status := a.replica.voter.Status()
+		r.Group = &status
 	}
-	if s.group != nil {
-		for _, row := range s.table.Jobs() {
-			r.Jobs = append(r.Jobs, JobRow{row.Job, row.Owner, row.Token, row.CheckpointNumber, len(row.Checkpoint), time.UnixMilli(row.Since).UTC().Format(time.RFC3339), row.Reason})
+	if a.replica.group != nil {
+		for _, row := range a.replica.table.Jobs() {
+			r.Jobs = append(r.Jobs, newJobRow(row))
 		}
 	}
-	r.Mine, r.Seen, r.Lease = s.core.HeldJobs(), map[string]uint64{}, s.core.LeaseRemaining(s.now())/1e6
-	for _, n := range s.names {
-		if m := s.fence.Last(n); m != (ownership.FencingToken{}) {
-			r.Seen[n] = m.Token
+	r.Mine, r.Lease = a.core.HeldJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
+	r.Seen = map[string]uint64{}
+	for _, name := range a.jobs.names {
+		if token := a.fence.Last(name); token != (ownership.FencingToken{}) {
+			r.Seen[name] = token.Token
 		}
 	}
 }
+
+func newJobRow(row *ownership.JobRecord) JobRow {
+	return JobRow{Job: row.Job, Owner: row.Owner, Token: row.Token, Number: row.CheckpointNumber, Left: len(row.Checkpoint),
+		Since: time.UnixMilli(row.Since).UTC().Format(time.RFC3339), Why: row.Reason}
+}
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -2,20 +2,18 @@
 
 import (
 	"encoding/hex"
-	"fmt"
 	"log/slog"
 	"time"
 
-	"croftlock/internal/fleet/quota"
 	"croftlock/internal/fleet/rules"
 	"croftlock/internal/operations/settings"
 )
 
-// Rules is what the section (owners …) says of rules on which the fleet agrees.
+// Rules is the part of the section (owners ...) on rules that the fleet agrees on.
 type Rules struct {
 	On     bool
-	Within time.Duration // from the moment that any proxy acts on a newer rule none acts on one that it contradicts for longer
-	Cut    string        // what a proxy does whose lease has lapsed: refuse or keep
+	Within time.Duration // once any proxy acts on a newer rule, none acts on one that it contradicts for longer; default 3 s
+	Cut    string        // what a proxy does whose lease has lapsed: refuse (default) or keep
 	Most   int           // entries that this proxy takes
 }
 
@@ -27,88 +25,59 @@
 	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.Most, 1, rules.MaxEntries)
 }
 
-// begin makes the keeper's and the member's parts; it is called before there is a goroutine.
-func (r Rules) begin(s *Agent) {
-	if !r.On {
-		return
-	}
-	within := int64(r.Within)
-	s.gate = &rules.Enforcer{Now: s.now, KeepAfterLapse: r.Cut == "keep", LapsedAdvice: r.Within}
-	s.ruled = &rules.Member{AgreeWithin: within, MaxEntries: r.Most, Enforcer: s.gate,
-		SendQuery: func(tag uint64, body []byte) { s.askAs("rules", s.ruleTags, tag, body) },
-		VersionChanged: func(n uint64, h rules.Hash) {
-			slog.Info("rules_activated", "version", n, "hash", hex.EncodeToString(h[:4]))
-			if s.swapped != nil {
-				s.swapped()
-			}
-		}}
-	if Planted == "lapse" {
-		s.ruled.AgreeWithin *= 10 // what experiments have to find
+// lapseFaultFactor is how much longer a planted fault lets rules hold.
+const lapseFaultFactor = 10
+
+// ruleAgreement is this process's part in the agreement on rules. Where the section has them off it is empty.
+type ruleAgreement struct {
+	enforcer  *rules.Enforcer // nil: off
+	member    *rules.Member
+	onChanged func() // on the worker, once this process acts by another version; nil: nobody is told
+}
+
+func (r *ruleAgreement) tick(now int64) {
+	if r.member != nil {
+		r.member.Step(now)
 	}
-	s.handles["rules"] = &rules.Coordinator{AgreeWithin: within, Notified: s.ruled.Notified, Wall: func() int64 { return time.Now().UnixMilli() }}
 }
 
-// lapse is how long what an account's owner hands out holds.
-const lapse = time.Second
+func (r *ruleAgreement) versionChanged(version uint64, hash rules.Hash) {
+	slog.Info("rules_activated", "version", version, "hash", hex.EncodeToString(hash[:4]))
+	if r.onChanged != nil {
+		r.onChanged()
+	}
+}
 
-// beginLimits makes the parts that keep accounts to their limits over the fleet.
-func (s *Agent) beginLimits(base int) {
-	if s.gate == nil {
+// addRules makes the enforcer, the member and the coordinator's job, before the worker starts.
+func (a *Agent) addRules() {
+	o := a.options.Rules
+	if !o.On {
 		return
 	}
-	s.quota = &quota.Client{Now: s.now, GrantLifetime: int64(lapse), FleetSize: base, Limits: s.gate.Limits, Accounts: s.gate.Limited, SendQuery: func(shard int, tag uint64, body []byte) {
-		s.post(func() { s.askAs(limitsJob(shard), s.purseTags, tag, body) })
-	}}
-	for shard := range quota.Shards {
-		s.handles[limitsJob(shard)] = &quota.Issuer{GrantLifetime: int64(lapse), FleetSize: base, Limits: s.gate.Limits}
+	within := int64(o.Within)
+	enforcer := &rules.Enforcer{Now: a.now, KeepAfterLapse: o.Cut == "keep", LapsedAdvice: o.Within}
+	member := &rules.Member{AgreeWithin: within, MaxEntries: o.Most, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
+	replies := a.queries.newAsker(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
+	member.SendQuery = func(tag uint64, body []byte) { a.queries.ask(replies, rulesJob, tag, body) }
+	if Planted == "lapse" {
+		member.AgreeWithin *= lapseFaultFactor
 	}
+	a.rules.enforcer, a.rules.member = enforcer, member
+	a.jobs.add(rulesJob, &rules.Coordinator{AgreeWithin: within, Notified: member.Notified, Wall: func() int64 { return time.Now().UnixMilli() }})
 }
 
-func limitsJob(shard int) string { return fmt.Sprintf("limits%d", shard) }
-
-// IsLimited tells whether an account has limits over the fleet.
-func (s *Agent) IsLimited(account string) bool { return s.gate.IsLimited(account) }
-
-// Acquire asks for one more connection of an account; then is called on the loop.
-func (s *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
-	s.loop.After(takeWithin, s.quota.RetryWaiting) // whoever has waited long enough is told so
-	s.quota.Acquire(account, spread, func(over string, advice time.Duration) { s.loop.Post(func() { then(over, advice) }) })
-}
-
-// takeWithin is a little longer than a request waits for an owner's word.
-const takeWithin = 110 * time.Millisecond
-
-// CountExisting counts a connection that is open already, and Release the end of one.
-func (s *Agent) CountExisting(account string) { s.quota.CountExisting(account) }
-func (s *Agent) Release(account string)       { s.quota.Release(account) }
-
-// Enforcer is what requests are judged by; nil where there are no such rules.
-func (s *Agent) Enforcer() *rules.Enforcer {
-	if s == nil {
+// Enforcer is what requests are judged by; nil: there are no such rules.
+func (a *Agent) Enforcer() *rules.Enforcer {
+	if a == nil {
 		return nil
 	}
-	return s.gate
+	return a.rules.enforcer
 }
 
-const noRules = "refused: (owners (rules on)) is not set"
-
 // OnRulesChanged has f called on the loop each time that this process begins to act by another version, and once now.
-func (s *Agent) OnRulesChanged(f func()) {
-	s.post(func() {
-		s.swapped = func() { s.loop.Post(f) }
-		s.swapped()
+func (a *Agent) OnRulesChanged(f func()) {
+	a.worker.post(func() {
+		a.rules.onChanged = func() { a.loop.Post(f) }
+		a.rules.onChanged()
 	})
 }
-
-// askRules brings an administrator's question to the keeper.
-func (s *Agent) askRules(q Request, tag uint64, ch chan string) {
-	if s.gate == nil {
-		ch <- noRules
-		return
-	}
-	if !rules.IsQuestion(q.Rules) {
-		ch <- "refused: no question that administrators may ask"
-		return
-	}
-	s.core.Query(s.now(), "rules", tag, q.Rules)
-}
--- /dev/null
+++ b/internal/fleet/owneragent/transport.go
@@ -0,0 +1,94 @@
+package owneragent
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+)
+
+// carrierID says to membership whose data a datagram carries.
+const carrierID = 1
+
+// The first byte of a message says whom it is for.
+const (
+	forGroup = 1
+	forCore  = 2
+)
+
+var errUnknownAddressee = errors.New("owners: message for neither the group nor the core")
+
+// receiveDatagram takes a datagram from membership, on the loop.
+func (a *Agent) receiveDatagram(peer uint32, data []byte) {
+	a.worker.post(func() {
+		if a.transport.Receive(a.now(), peer, data) != nil {
+			a.counts.Malformed++
+		}
+	})
+}
+
+func (a *Agent) send(to uint32, addressee byte, msg []byte) {
+	if err := a.transport.Send(a.now(), to, append([]byte{addressee}, msg...)); err != nil {
+		slog.Error("owner_message_too_long", "bytes", len(msg), "reason", err)
+	}
+}
+
+// receiveMessage passes a whole message on.
+func (a *Agent) receiveMessage(peer uint32, data []byte) error {
+	switch data[0] {
+	case forGroup:
+		if g := a.replica.group; g != nil {
+			return g.Receive(a.now(), peer, data[1:])
+		}
+		return nil
+	case forCore:
+		return a.core.Receive(a.now(), peer, data[1:])
+	}
+	return errUnknownAddressee
+}
+
+// transportEffects are the effects of the fragmenting transport.
+type transportEffects struct{ a *Agent }
+
+// Datagram has membership carry a datagram.
+func (t transportEffects) Datagram(peer uint32, data []byte) {
+	copied := append([]byte(nil), data...)
+	t.a.loop.Post(func() { t.a.members.Carry(peer, carrierID, copied) })
+}
+
+// Message takes a whole message; the first that is rejected is logged.
+func (t transportEffects) Message(peer uint32, data []byte) {
+	if len(data) == 0 {
+		return
+	}
+	err := t.a.receiveMessage(peer, data)
+	if err == nil {
+		return
+	}
+	t.a.counts.Malformed++
+	if t.a.counts.Malformed == 1 {
+		slog.Warn("owner_message_rejected", "peer", fmt.Sprintf("%08x", peer), "reason", err)
+	}
+}
+
+// groupEffects are the effects of the replicated group.
+type groupEffects struct{ a *Agent }
+
+// Send sends a message to another voter.
+func (g groupEffects) Send(peer uint32, msg []byte) { g.a.send(peer, forGroup, msg) }
+
+// Applied reports a command; while the group opens there is no core yet.
+func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
+	if g.a.core != nil {
+		g.a.core.Applied(g.a.now(), tag, result)
+	}
+}
+
+// Confirmed reports that this process still leads.
+func (g groupEffects) Confirmed(tag uint64) {
+	if g.a.core != nil {
+		g.a.core.Confirmed(g.a.now(), tag)
+	}
+}
+
+// LogEvent logs at level info.
+func (g groupEffects) LogEvent(event string, args ...any) { slog.Info(event, args...) }
