--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -5,72 +5,89 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Drill is a job that only tells every proxy a number: with it operators try the fleet's owners before anything rests on them.
+// drillCheckpointEvery is how many numbers lie between two checkpoints of a drill.
+const drillCheckpointEvery = 10
+
+// Drill is a job that only sends every proxy a number: with it operators try the fleet's owners before anything rests on them.
 type Drill struct {
-	Every Time
-	// Taken hears of each effect here.
-	Taken func(m ownership.FencingToken)
-	// Late, once it is set, is called after the owner has looked at its lease and before it sends: whatever happens in between, receivers
-	// have to bear.
+	Interval Time // between two numbers
+	// Received hears of each effect at this process; nil: nobody does.
+	Received func(token ownership.FencingToken)
+	// Late, once set, is called in the next step after the look at the lease and before the effects are sent: whatever happens in between,
+	// receivers have to reject what comes late.
 	Late func()
 
 	owner  Owner
 	number uint64
-	at     Time
+	sentAt Time
+}
+
+// uncheckedSender is an Owner that sends an effect without another look at the lease.
+type uncheckedSender interface {
+	SendEffectUnchecked(to uint32, number uint64, body []byte)
 }
 
-// Start is the Job's.
-func (d *Drill) Start(now Time, o Owner, _, number uint64, left []byte) error {
-	d.owner, d.number, d.at = o, number, now
+// Start goes on from the last number.
+func (d *Drill) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
+	d.owner, d.number, d.sentAt = o, checkpointNumber, now
 	return nil
 }
 
-// Step tells the next number.
+// Step sends the next number.
 func (d *Drill) Step(now Time) {
-	if now-d.at < d.Every {
+	if now-d.sentAt < d.Interval {
 		return
 	}
-	d.at = now
+	d.sentAt = now
 	d.number++
-	send := d.owner.SendEffect
-	if late := d.Late; late != nil {
-		if sure, may := d.owner.(interface {
-			SendEffectUnchecked(to uint32, number uint64, body []byte)
-		}); may {
-			send = sure.SendEffectUnchecked // it has looked, and looks no more
-		}
-		d.Late = nil
-		late()
-	}
+	send := d.beLate()
 	for _, m := range d.owner.Members() {
 		send(m.Peer, d.number, nil)
 	}
-	if d.number%10 == 0 {
-		var w encoding.Writer
-		d.owner.StoreCheckpoint(d.number, w.Uint(d.number).Data)
+	if d.number%drillCheckpointEvery == 0 {
+		d.owner.StoreCheckpoint(d.number, d.checkpoint())
+	}
+}
+
+// beLate calls Late, once, and gives what to send with.
+func (d *Drill) beLate() (send func(to uint32, number uint64, body []byte)) {
+	send = d.owner.SendEffect
+	if d.Late == nil {
+		return send
+	}
+	if u, ok := d.owner.(uncheckedSender); ok {
+		send = u.SendEffectUnchecked
 	}
+	late := d.Late
+	d.Late = nil
+	late()
+	return send
+}
+
+func (d *Drill) checkpoint() []byte {
+	var w encoding.Writer
+	return w.Uint(d.number).Data
 }
 
-// Stop is the Job's.
+// Stop ends the owner's part.
 func (d *Drill) Stop() (uint64, []byte) {
 	d.owner = nil
 	d.number++
-	var w encoding.Writer
-	return d.number, w.Uint(d.number).Data
+	return d.number, d.checkpoint()
 }
 
-// QueryReceived is the Job's.
+// QueryReceived does nothing: a drill is not asked.
 func (d *Drill) QueryReceived(Time, uint32, uint64, []byte) {}
 
-// EffectAcknowledged is the Job's.
+// EffectAcknowledged does nothing.
 func (d *Drill) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// CheckpointStored is the Job's.
+// CheckpointStored does nothing.
 func (d *Drill) CheckpointStored(Time, uint64, bool) {}
 
-// ApplyEffect is the Job's.
-func (d *Drill) ApplyEffect(_ Time, m ownership.FencingToken, _ []byte) {
-	if d.Taken != nil {
-		d.Taken(m)
+// ApplyEffect reports the number.
+func (d *Drill) ApplyEffect(_ Time, token ownership.FencingToken, _ []byte) {
+	if d.Received != nil {
+		d.Received(token)
 	}
 }
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -1,5 +1,5 @@
-// Package jobs owns what the fleet does once and not at each proxy: the hosts that are out by hand everywhere, and the pace at which all
-// proxies together send clients away. Each job has an owner's part and a receiver's. They do no I/O and read no clock.
+// Package jobs owns what the fleet does once and not at each proxy: the hosts that operators have suspended everywhere, and the rate at which
+// all proxies together migrate clients. Each job has an owner's part and a receiver's. They do no I/O and read no clock.
 package jobs
 
 import (
@@ -22,23 +22,34 @@
 	Present     bool // alive, or not known not to be
 }
 
-// Owner is what a job's owner can do.
+// Owner is what a job can do while it is owned. It is valid from Job.Start to Job.Stop.
 type Owner interface {
-	// SendEffect sends an effect to a receiver; the token is the owner's, and nothing is sent once its lease has ended.
+	// SendEffect sends an effect to a receiver, under the owner's token. Nothing is sent once the lease has ended.
 	SendEffect(to uint32, number uint64, body []byte)
-	// StoreCheckpoint has what the job leaves kept by the group. The answer comes to Noted.
-	StoreCheckpoint(number uint64, left []byte) error
+	// StoreCheckpoint has a checkpoint stored by the group, under a number that rises; Job.CheckpointStored gets the result. An error says that
+	// the lease has ended.
+	StoreCheckpoint(number uint64, checkpoint []byte) error
+	// Reply answers a query.
 	Reply(to uint32, tag uint64, body []byte)
+	// Members are the processes of the fleet that have not left it.
 	Members() []Member
 }
 
-// Job is one job at one process. Start to Stop are the owner's part; Effect is a receiver's.
+// Job is one job at one process. ApplyEffect is the receiver's part, at every process; the others are the owner's part, from Start to Stop. Calls
+// never overlap. A panic releases the job.
 type Job interface {
-	Start(now Time, o Owner, token, number uint64, left []byte) error
+	// Start takes over from the last owner's checkpoint. An error releases the job.
+	Start(now Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error
+	// Step is called about every 100 ms.
 	Step(now Time)
-	Stop() (number uint64, left []byte)
+	// Stop ends the owner's part, and gives a checkpoint under a number above all that were stored.
+	Stop() (checkpointNumber uint64, checkpoint []byte)
+	// QueryReceived takes a question from another process; Owner.Reply answers it.
 	QueryReceived(now Time, from uint32, tag uint64, body []byte)
-	EffectAcknowledged(now Time, from uint32, m ownership.FencingToken, v ownership.Verdict)
-	CheckpointStored(now Time, number uint64, ok bool)
-	ApplyEffect(now Time, m ownership.FencingToken, body []byte)
+	// EffectAcknowledged tells a receiver's verdict on an effect.
+	EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict)
+	// CheckpointStored tells whether the group has stored a checkpoint.
+	CheckpointStored(now Time, checkpointNumber uint64, stored bool)
+	// ApplyEffect carries out an effect that the fence has accepted.
+	ApplyEffect(now Time, token ownership.FencingToken, body []byte)
 }
--- a/internal/fleet/jobs/pace_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -28,8 +28,8 @@
 		}
 		cut := [proxies]bool{}
 		for i := range ps {
-			ps[i] = &MigrationPacer{Rate: pace, Base: proxies}
-			ps[i].Ask = func(tag uint64, body []byte) {
+			ps[i] = &MigrationPacer{Rate: pace, FleetSize: proxies}
+			ps[i].SendQuery = func(tag uint64, body []byte) {
 				later(func(now Time) {
 					if owner == nil || cut[i] {
 						return
@@ -47,7 +47,7 @@
 		for ; now < 60*sec; now += 20 * ms {
 			if rng.IntN(150) == 0 {
 				if owner = nil; rng.IntN(2) == 0 {
-					owner = &MigrationPermits{Rate: pace, Base: proxies}
+					owner = &MigrationPermits{Rate: pace, FleetSize: proxies}
 					owner.Start(now, &sink, 1, 1, nil)
 				}
 			}
@@ -73,7 +73,7 @@
 			for moved[i]-moved[j] > 2*sec {
 				j++
 			}
-			if n := i - j + 1; float64(n) > 2*pace+pace*float64(permitFor)/float64(sec)+pace/4+proxies {
+			if n := i - j + 1; float64(n) > 2*pace+pace*float64(permitLifetime)/float64(sec)+pace/4+proxies {
 				t.Fatalf("seed %d: %d in two seconds, at a pace of %.0f a second", seed, n, pace)
 			}
 		}
@@ -95,7 +95,7 @@
 
 // TestPaceWithoutOwner: alone, a proxy keeps to its share.
 func TestPaceWithoutOwner(t *testing.T) {
-	p := &MigrationPacer{Rate: 10, Base: 5}
+	p := &MigrationPacer{Rate: 10, FleetSize: 5}
 	n := 0
 	for now := Time(1); now < 10*sec; now += 20 * ms {
 		n += p.Allow(now, 3)
--- /dev/null
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -0,0 +1,66 @@
+package jobs
+
+import (
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/ownership"
+)
+
+// permitLifetime is how long a permit may be used, from when it was asked for.
+const permitLifetime = sec
+
+// silentAfter is when a proxy that has not asked, or an owner that has not answered, counts as silent.
+const silentAfter = 2 * permitLifetime
+
+// MigrationPermits is the owner's part of the rate of migrations: it hands out permits from one bucket. It has no checkpoint, since permits lapse.
+type MigrationPermits struct {
+	Rate      float64 // migrations a second, over the whole fleet
+	FleetSize int     // proxies that the fleet is meant to have
+
+	owner            Owner
+	beginsAt         Time
+	bucket           Bucket
+	checkpointNumber uint64
+	askedAt          map[uint32]Time // last, by peer
+}
+
+// Start waits for a permit's lifetime: until then an earlier owner's permits, and each proxy's own share, may be in use.
+func (m *MigrationPermits) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
+	m.owner, m.checkpointNumber = o, checkpointNumber
+	m.beginsAt = now + permitLifetime
+	m.bucket = Bucket{FilledAt: m.beginsAt}
+	m.askedAt = map[uint32]Time{}
+	return nil
+}
+
+// Stop ends the owner's part.
+func (m *MigrationPermits) Stop() (uint64, []byte) {
+	m.owner = nil
+	m.checkpointNumber++
+	return m.checkpointNumber, nil
+}
+
+// QueryReceived hands out permits. Without an answer a proxy keeps to its own share.
+func (m *MigrationPermits) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	r := encoding.Reader{Data: body}
+	want := r.Uint()
+	if m.owner == nil || r.Err() != nil || now < m.beginsAt {
+		return
+	}
+	m.bucket.Fill(now, m.Rate, m.FleetSize, SilentMembers(now, m.FleetSize, m.askedAt, silentAfter))
+	m.askedAt[from] = now
+	var w encoding.Writer
+	m.owner.Reply(from, tag, w.Uint(m.bucket.Take(want)).Data)
+}
+
+// Step does nothing: permits are answers.
+func (m *MigrationPermits) Step(Time) {}
+
+// EffectAcknowledged does nothing: there are no effects.
+func (m *MigrationPermits) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {
+}
+
+// CheckpointStored does nothing.
+func (m *MigrationPermits) CheckpointStored(Time, uint64, bool) {}
+
+// ApplyEffect does nothing.
+func (m *MigrationPermits) ApplyEffect(Time, ownership.FencingToken, []byte) {}
--- /dev/null
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -0,0 +1,217 @@
+package jobs
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+
+	"croftlock/internal/fleet/ownership"
+)
+
+const (
+	// commandTimeout is how long a command's answer waits for the receivers.
+	commandTimeout = 2 * sec
+	// storeRetryAfter is the time, from a command on, after which each step stores its list again.
+	storeRetryAfter = 300 * ms
+	// resendInterval is the time until a list is sent again to a member that has not acknowledged it.
+	resendInterval = 500 * ms
+)
+
+// SuspendedHosts is the job of hosts that operators suspend for the whole fleet. Its owner orders the commands; each effect is the whole list, so
+// that a late one has nothing to undo. A list is carried out only once the group has stored it.
+type SuspendedHosts struct {
+	// Apply carries the list out at this process; nil: it is not.
+	Apply func(hosts []string)
+
+	owner        Owner
+	token        uint64
+	number       uint64 // of hosts, as a checkpoint and as an effect
+	storedNumber uint64 // up to which the group has stored
+	hosts        hostList
+	acknowledged map[receiver]uint64 // number of the list that a receiver has
+	sentAt       map[receiver]Time
+	waiting      []*waitingCommand
+}
+
+// receiver is one process: a later one of the same member has nothing of its list.
+type receiver struct {
+	peer        uint32
+	incarnation uint64
+}
+
+// waitingCommand is a command without an answer.
+type waitingCommand struct {
+	from     uint32
+	tag      uint64
+	number   uint64 // of the list that holds it
+	deadline Time
+	stored   bool
+	list     string // the answer to a list, given once it is stored; "": another command
+}
+
+// Start takes over the list.
+func (h *SuspendedHosts) Start(_ Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error {
+	hosts, err := decodeHostList(checkpoint)
+	if err != nil {
+		return err
+	}
+	h.owner, h.token, h.hosts = o, token, hosts
+	h.number, h.storedNumber = checkpointNumber, checkpointNumber
+	h.acknowledged, h.sentAt, h.waiting = map[receiver]uint64{}, map[receiver]Time{}, nil
+	return nil
+}
+
+// Stop passes on the list.
+func (h *SuspendedHosts) Stop() (uint64, []byte) {
+	h.owner = nil
+	h.number++
+	return h.number, h.hosts.encode()
+}
+
+// QueryReceived takes an operator's command. It is stored, and sent, also where it changes nothing: the answer says where it holds, and a list is
+// that of an owner whom the group has heard since.
+func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	if h.owner == nil {
+		return
+	}
+	command, err := decodeHostCommand(body)
+	if err != nil {
+		h.owner.Reply(from, tag, []byte("refused: a host's id of 1 to 128 bytes is expected"))
+		return
+	}
+	hosts, ok := h.hosts.with(command)
+	if !ok {
+		h.owner.Reply(from, tag, []byte(fmt.Sprintf("refused: %d hosts are out already", len(h.hosts))))
+		return
+	}
+	h.hosts = hosts
+	h.number++
+	w := &waitingCommand{from: from, tag: tag, number: h.number, deadline: now + commandTimeout}
+	if command.kind == commandList {
+		w.list = "out for the fleet: " + strings.Join(h.hosts, " ")
+	}
+	h.waiting = append(h.waiting, w)
+	h.store()
+}
+
+func (h *SuspendedHosts) store() {
+	if err := h.owner.StoreCheckpoint(h.number, h.hosts.encode()); err != nil {
+		h.answerAll()
+	}
+}
+
+// CheckpointStored goes on once the group has stored a list. One that it rejected is a stale owner's, which is about to be stopped.
+func (h *SuspendedHosts) CheckpointStored(now Time, checkpointNumber uint64, stored bool) {
+	if h.owner == nil || !stored {
+		return
+	}
+	h.storedNumber = max(h.storedNumber, checkpointNumber)
+	for _, w := range h.waiting {
+		w.stored = w.stored || w.number <= checkpointNumber
+	}
+	h.send(now)
+	h.answer(now)
+}
+
+// send sends the list to those that are not known to have it. While a newer one is being stored it waits for that.
+func (h *SuspendedHosts) send(now Time) {
+	if h.storedNumber == 0 || h.storedNumber != h.number {
+		return
+	}
+	for _, m := range h.owner.Members() {
+		to := receiver{m.Peer, m.Incarnation}
+		if m.Present && h.acknowledged[to] < h.number && h.sendDue(to, now) {
+			h.sentAt[to] = now
+			h.owner.SendEffect(m.Peer, h.number, h.hosts.encode())
+		}
+	}
+}
+
+// sendDue bounds how often a list is repeated. One that is just new is sent at once to who had the last one.
+func (h *SuspendedHosts) sendDue(to receiver, now Time) bool {
+	return now-h.sentAt[to] >= resendInterval || h.sentAt[to] == 0 || h.acknowledged[to]+1 == h.number
+}
+
+// Step sends again to those that lag, and answers commands whose time is up.
+func (h *SuspendedHosts) Step(now Time) {
+	if h.storeOverdue(now) {
+		h.store() // it may have been lost
+	}
+	h.send(now)
+	h.answer(now)
+}
+
+func (h *SuspendedHosts) storeOverdue(now Time) bool {
+	if h.storedNumber == h.number || len(h.waiting) == 0 {
+		return false
+	}
+	last := h.waiting[len(h.waiting)-1]
+	return now-last.deadline > storeRetryAfter-commandTimeout
+}
+
+// EffectAcknowledged notes that a receiver has a list.
+func (h *SuspendedHosts) EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict) {
+	if h.owner == nil || token.Token != h.token || v == ownership.Stale {
+		return
+	}
+	for _, m := range h.owner.Members() {
+		if m.Peer == from {
+			r := receiver{from, m.Incarnation}
+			h.acknowledged[r] = max(h.acknowledged[r], token.Sequence)
+		}
+	}
+	h.answer(now)
+}
+
+// answer answers the commands that every member has, and those whose time is up.
+func (h *SuspendedHosts) answer(now Time) {
+	h.answerWhere(func(w *waitingCommand) bool { return now >= w.deadline })
+}
+
+// answerAll answers all commands: the lease has ended, and nobody here learns what becomes of them.
+func (h *SuspendedHosts) answerAll() {
+	h.answerWhere(func(*waitingCommand) bool { return true })
+}
+
+func (h *SuspendedHosts) answerWhere(due func(w *waitingCommand) bool) {
+	waiting := h.waiting[:0]
+	for _, w := range h.waiting {
+		total, missing := h.missing(w.number)
+		switch {
+		case w.stored && w.list != "":
+			h.reply(w, "%s", w.list)
+		case w.stored && len(missing) == 0:
+			h.reply(w, "done at all %d", total)
+		case !due(w):
+			waiting = append(waiting, w)
+		case w.stored:
+			h.reply(w, "done at %d of %d; it holds, and follows at: %s", total-len(missing), total, strings.Join(missing, " "))
+		default:
+			h.reply(w, "unknown: the voters did not say whether they have kept it; ask again")
+		}
+	}
+	h.waiting = waiting
+}
+
+func (h *SuspendedHosts) reply(w *waitingCommand, format string, args ...any) {
+	h.owner.Reply(w.from, w.tag, []byte(fmt.Sprintf(format, args...)))
+}
+
+// missing gives how many members there are, and the names of those that do not have a list, sorted.
+func (h *SuspendedHosts) missing(number uint64) (total int, names []string) {
+	for _, m := range h.owner.Members() {
+		total++
+		if h.acknowledged[receiver{m.Peer, m.Incarnation}] < number {
+			names = append(names, m.Name)
+		}
+	}
+	sort.Strings(names)
+	return total, names
+}
+
+// ApplyEffect carries a list out here. One that can't be decoded changes nothing.
+func (h *SuspendedHosts) ApplyEffect(_ Time, _ ownership.FencingToken, body []byte) {
+	if hosts, err := decodeHostList(body); err == nil && h.Apply != nil {
+		h.Apply(hosts)
+	}
+}
--- a/internal/fleet/jobs/jobs_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -131,7 +131,7 @@
 func TestLateSuspendUndoesNothing(t *testing.T) {
 	x := newTable(3)
 	x.job.QueryReceived(x.now, 9, 1, SuspendCommand(true, "s1"))
-	old, oldToken, list := x.job, x.token, x.job.list()
+	old, oldToken, list := x.job, x.token, x.job.hosts.encode()
 	if err := x.begin(); err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 			}
 		}}
 		h.ApplyEffect(1, ownership.FencingToken{}, list)
-		m := &MigrationPermits{Rate: 1, Base: 1}
+		m := &MigrationPermits{Rate: 1, FleetSize: 1}
 		m.Start(1, x, 1, 1, nil)
 		m.QueryReceived(3*sec, 1, 1, command)
 	})
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -4,10 +4,10 @@
 
 func (a *Agent) addMigrationJob(fleetSize int) {
 	rate := float64(a.options.Pace)
-	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, Base: fleetSize})
-	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, Base: fleetSize}
+	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, FleetSize: fleetSize})
+	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, FleetSize: fleetSize}
 	permits := a.queries.newAsker(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
-	a.migrationPacer.Ask = func(tag uint64, body []byte) { a.queries.ask(permits, migrationsJob, tag, body) }
+	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.ask(permits, migrationsJob, tag, body) }
 }
 
 // RequestMigrations asks how many of so many clients may be migrated now; then is called on the loop with the number, or at once where
