--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -9,25 +9,25 @@
 )
 
 // coreEffects are the effects of the ownership Core.
-type coreEffects struct{ a *Agent }
+type coreEffects struct{ agent *Agent }
 
 // Send sends a message to another process's Core.
-func (c coreEffects) Send(peer uint32, msg []byte) { c.a.send(peer, forCore, msg) }
+func (c coreEffects) Send(peer uint32, msg []byte) { c.agent.send(peer, forCore, msg) }
 
 // Start begins a job.
 func (c coreEffects) Start(job string, token, checkpointNumber uint64, checkpoint []byte) error {
-	return c.a.jobs.start(job, token, checkpointNumber, checkpoint)
+	return c.agent.jobs.start(job, token, checkpointNumber, checkpoint)
 }
 
 // Stop ends a job.
 func (c coreEffects) Stop(job string, token uint64, reason string) (uint64, []byte) {
-	return c.a.jobs.stop(job, token, reason)
+	return c.agent.jobs.stop(job, token, reason)
 }
 
 // Effect carries out what a job's owner has sent.
 func (c coreEffects) Effect(job string, token ownership.FencingToken, body []byte) {
-	c.a.counts.Taken++
-	c.a.jobs.guard(job, 0, func(j jobs.Job) { j.ApplyEffect(c.a.now(), token, body) })
+	c.agent.counts.Taken++
+	c.agent.jobs.guard(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
 
 // EffectAcknowledged tells a job a receiver's verdict.
@@ -35,31 +35,31 @@
 	if v == ownership.Stale {
 		slog.Warn("stale_owner", "job", job, "token", token.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
 	}
-	c.a.jobs.guardOwned(job, func(j jobs.Job) { j.EffectAcknowledged(c.a.now(), peer, token, v) })
+	c.agent.jobs.guardOwned(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
 
 // CheckpointStored tells a job what became of its checkpoint.
 func (c coreEffects) CheckpointStored(job string, token, checkpointNumber uint64, stored bool) {
-	if c.a.jobs.owned[job] == token {
-		c.a.jobs.guard(job, token, func(j jobs.Job) { j.CheckpointStored(c.a.now(), checkpointNumber, stored) })
+	if c.agent.jobs.owned[job] == token {
+		c.agent.jobs.guard(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
 	}
 }
 
 // QueryReceived passes a query to a job, while the lease lasts.
 func (c coreEffects) QueryReceived(peer uint32, job string, tag uint64, body []byte) {
-	token, owns := c.a.jobs.owned[job]
-	if owns && c.a.core.Holds(c.a.now(), job, token) {
-		c.a.jobs.guard(job, token, func(j jobs.Job) { j.QueryReceived(c.a.now(), peer, tag, body) })
+	token, owns := c.agent.jobs.owned[job]
+	if owns && c.agent.core.Holds(c.agent.now(), job, token) {
+		c.agent.jobs.guard(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
 	}
 }
 
 // ReplyReceived passes an answer to whoever asked.
-func (c coreEffects) ReplyReceived(tag uint64, body []byte) { c.a.queries.replyReceived(tag, body) }
+func (c coreEffects) ReplyReceived(tag uint64, body []byte) { c.agent.queries.replyReceived(tag, body) }
 
 // LogEvent counts stale effects and logs them as warnings, other events at level info.
 func (c coreEffects) LogEvent(event string, args ...any) {
 	if event == "stale_effect_rejected" {
-		c.a.counts.Refused++
+		c.agent.counts.Refused++
 		slog.Warn(event, args...)
 		return
 	}
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -19,7 +19,7 @@
 
 // jobRunner runs the jobs that this process can own. A panic of one releases it and leaves the others alone.
 type jobRunner struct {
-	a       *Agent
+	agent   *Agent
 	byName  map[string]jobs.Job
 	names   []string          // sorted
 	owned   map[string]uint64 // token of each job that runs here
@@ -27,7 +27,7 @@
 }
 
 func newJobRunner(a *Agent) *jobRunner {
-	return &jobRunner{a: a, byName: map[string]jobs.Job{}, owned: map[string]uint64{}}
+	return &jobRunner{agent: a, byName: map[string]jobs.Job{}, owned: map[string]uint64{}}
 }
 
 // add adds a job, before the worker starts.
@@ -41,8 +41,8 @@
 // step gives each job that is owned here its turn.
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
-		if token, owns := r.owned[name]; owns && r.a.core.Holds(now, name, token) {
-			r.guard(name, token, func(j jobs.Job) { j.Step(r.a.now()) })
+		if token, owns := r.owned[name]; owns && r.agent.core.Holds(now, name, token) {
+			r.guard(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
 		}
 	}
 }
@@ -54,11 +54,11 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			r.a.counts.Panics++
+			r.agent.counts.Panics++
 			err = fmt.Errorf("%v", p)
 		}
 	}()
-	if err := job.Start(r.a.now(), jobOwner{r.a, name, token}, token, checkpointNumber, checkpoint); err != nil {
+	if err := job.Start(r.agent.now(), jobOwner{r.agent, name, token}, token, checkpointNumber, checkpoint); err != nil {
 		return err
 	}
 	r.owned[name] = token
@@ -77,10 +77,10 @@
 func (r *jobRunner) guard(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.a.counts.Panics++
+			r.agent.counts.Panics++
 			slog.Error("job_failed", "job", name, "reason", p)
 			if r.owned[name] == token && token != 0 {
-				r.a.core.JobFailed(r.a.now(), name, token, fmt.Sprint(p))
+				r.agent.core.JobFailed(r.agent.now(), name, token, fmt.Sprint(p))
 			}
 		}
 	}()
@@ -105,34 +105,34 @@
 
 // jobOwner is what a job may do while it is owned here.
 type jobOwner struct {
-	a     *Agent
+	agent *Agent
 	job   string
 	token uint64
 }
 
 // SendEffect sends an effect, unless the lease has ended.
 func (o jobOwner) SendEffect(to uint32, number uint64, body []byte) {
-	if !o.a.core.Holds(o.a.now(), o.job, o.token) {
+	if !o.agent.core.Holds(o.agent.now(), o.job, o.token) {
 		return
 	}
-	o.a.counts.Sent++
+	o.agent.counts.Sent++
 	o.SendEffectUnchecked(to, number, body)
 }
 
 // SendEffectUnchecked is SendEffect without another look at the lease: drills show by it that receivers reject a stale owner.
 func (o jobOwner) SendEffectUnchecked(to uint32, number uint64, body []byte) {
-	o.a.core.SendEffect(o.a.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
+	o.agent.core.SendEffect(o.agent.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
 }
 
 // StoreCheckpoint has a checkpoint stored by the group.
 func (o jobOwner) StoreCheckpoint(number uint64, checkpoint []byte) error {
-	return o.a.core.StoreCheckpoint(o.a.now(), o.job, o.token, number, checkpoint)
+	return o.agent.core.StoreCheckpoint(o.agent.now(), o.job, o.token, number, checkpoint)
 }
 
 // Reply answers a query.
 func (o jobOwner) Reply(to uint32, tag uint64, body []byte) {
-	o.a.core.Reply(o.a.now(), to, tag, body)
+	o.agent.core.Reply(o.agent.now(), to, tag, body)
 }
 
 // Members are those that have not left the fleet.
-func (o jobOwner) Members() []jobs.Member { return o.a.jobs.members }
+func (o jobOwner) Members() []jobs.Member { return o.agent.jobs.members }
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -5,7 +5,7 @@
 
 // queries are the questions to owners of jobs that wait for an answer. Each asker numbers its own; on the way a query has a tag of this process.
 type queries struct {
-	a         *Agent
+	agent     *Agent
 	lastTag   uint64
 	askers    []*asker
 	operators map[uint64]chan<- string // operators' questions, by tag; each channel takes one answer without waiting
@@ -18,7 +18,7 @@
 }
 
 func newQueries(a *Agent) *queries {
-	return &queries{a: a, operators: map[uint64]chan<- string{}}
+	return &queries{agent: a, operators: map[uint64]chan<- string{}}
 }
 
 func (q *queries) nextTag() uint64 {
@@ -42,7 +42,7 @@
 			delete(k.tags, t)
 		}
 	}
-	q.a.core.Query(q.a.now(), job, tag, body)
+	q.agent.core.Query(q.agent.now(), job, tag, body)
 }
 
 func (q *queries) replyReceived(tag uint64, body []byte) {
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -47,12 +47,12 @@
 }
 
 // transportEffects are the effects of the fragmenting transport.
-type transportEffects struct{ a *Agent }
+type transportEffects struct{ agent *Agent }
 
 // Datagram has membership carry a datagram.
 func (t transportEffects) Datagram(peer uint32, data []byte) {
 	copied := append([]byte(nil), data...)
-	t.a.loop.Post(func() { t.a.members.Carry(peer, carrierID, copied) })
+	t.agent.loop.Post(func() { t.agent.members.Carry(peer, carrierID, copied) })
 }
 
 // Message takes a whole message; the first that is rejected is logged.
@@ -60,33 +60,33 @@
 	if len(data) == 0 {
 		return
 	}
-	err := t.a.receiveMessage(peer, data)
+	err := t.agent.receiveMessage(peer, data)
 	if err == nil {
 		return
 	}
-	t.a.counts.Malformed++
-	if t.a.counts.Malformed == 1 {
+	t.agent.counts.Malformed++
+	if t.agent.counts.Malformed == 1 {
 		slog.Warn("owner_message_rejected", "peer", fmt.Sprintf("%08x", peer), "reason", err)
 	}
 }
 
 // groupEffects are the effects of the replicated group.
-type groupEffects struct{ a *Agent }
+type groupEffects struct{ agent *Agent }
 
 // Send sends a message to another voter.
-func (g groupEffects) Send(peer uint32, msg []byte) { g.a.send(peer, forGroup, msg) }
+func (g groupEffects) Send(peer uint32, msg []byte) { g.agent.send(peer, forGroup, msg) }
 
 // Applied reports a command; while the group opens there is no core yet.
 func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
-	if g.a.core != nil {
-		g.a.core.Applied(g.a.now(), tag, result)
+	if g.agent.core != nil {
+		g.agent.core.Applied(g.agent.now(), tag, result)
 	}
 }
 
 // Confirmed reports that this process still leads.
 func (g groupEffects) Confirmed(tag uint64) {
-	if g.a.core != nil {
-		g.a.core.Confirmed(g.a.now(), tag)
+	if g.agent.core != nil {
+		g.agent.core.Confirmed(g.agent.now(), tag)
 	}
 }
 
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -27,15 +27,15 @@
 
 // registerCommand adds a job without an owner.
 type registerCommand struct {
-	job string
-	at  int64 // wall clock, Unix milliseconds
+	job       string
+	changedAt int64 // wall clock, Unix milliseconds
 }
 
 // grantCommand gives a job to a process under a new token.
 type grantCommand struct {
 	job         string
 	token       uint64
-	at          int64 // wall clock, Unix milliseconds
+	changedAt   int64 // wall clock, Unix milliseconds
 	owner       string
 	incarnation uint64
 	reason      string
@@ -45,7 +45,7 @@
 type releaseCommand struct {
 	job              string
 	token            uint64
-	at               int64 // wall clock, Unix milliseconds
+	changedAt        int64 // wall clock, Unix milliseconds
 	checkpointNumber uint64
 	checkpoint       []byte
 	reason           string
@@ -74,14 +74,16 @@
 	return w.Uint(kind).Text(job).Uint(token).Uint(uint64(at))
 }
 
-func (c registerCommand) encode() []byte { return commandHeader(kindRegister, c.job, 0, c.at).Data }
+func (c registerCommand) encode() []byte {
+	return commandHeader(kindRegister, c.job, 0, c.changedAt).Data
+}
 
 func (c grantCommand) encode() []byte {
-	return commandHeader(kindGrant, c.job, c.token, c.at).Text(c.owner).Uint(c.incarnation).Text(c.reason).Data
+	return commandHeader(kindGrant, c.job, c.token, c.changedAt).Text(c.owner).Uint(c.incarnation).Text(c.reason).Data
 }
 
 func (c releaseCommand) encode() []byte {
-	return commandHeader(kindRelease, c.job, c.token, c.at).Uint(c.checkpointNumber).Bytes(c.checkpoint).Text(c.reason).Data
+	return commandHeader(kindRelease, c.job, c.token, c.changedAt).Uint(c.checkpointNumber).Bytes(c.checkpoint).Text(c.reason).Data
 }
 
 func (c checkpointCommand) encode() []byte {
@@ -99,11 +101,11 @@
 	kind, job, token, at := r.Uint(), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
 	switch kind {
 	case kindRegister:
-		cmd = registerCommand{job: job, at: at}
+		cmd = registerCommand{job: job, changedAt: at}
 	case kindGrant:
-		cmd = grantCommand{job: job, token: token, at: at, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
+		cmd = grantCommand{job: job, token: token, changedAt: at, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
 	case kindRelease:
-		cmd = releaseCommand{job: job, token: token, at: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint), reason: r.Text(maxReasonBytes)}
+		cmd = releaseCommand{job: job, token: token, changedAt: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint), reason: r.Text(maxReasonBytes)}
 	case kindCheckpoint:
 		cmd = checkpointCommand{job: job, token: token, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
 	case kindRaiseToken:
@@ -123,7 +125,7 @@
 	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
 		return false
 	}
-	t.add(&JobRecord{Job: c.job, Since: c.at, Reason: "made known"})
+	t.add(&JobRecord{Job: c.job, Since: c.changedAt, Reason: "made known"})
 	return true
 }
 
@@ -133,7 +135,7 @@
 	if row == nil || c.token <= row.Token {
 		return false
 	}
-	row.Token, row.Owner, row.Incarnation, row.Since, row.Reason = c.token, c.owner, c.incarnation, c.at, c.reason
+	row.Token, row.Owner, row.Incarnation, row.Since, row.Reason = c.token, c.owner, c.incarnation, c.changedAt, c.reason
 	return true
 }
 
@@ -144,7 +146,7 @@
 	}
 	row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
 	row.clearOwner(c.reason)
-	row.Since = c.at
+	row.Since = c.changedAt
 	return true
 }
 
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -90,7 +90,7 @@
 }
 
 // Core is one process's part: a participant that may own jobs, a receiver of effects behind a fence, and the coordinator while the
-// process leads the group. Its methods must not be called at a time.
+// process leads the group. Its methods must not be called concurrently.
 type Core struct {
 	*environment
 	fence       *Fence
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -40,7 +40,7 @@
 	case kindEffectAck:
 		m = effectAck{job: r.Text(maxNameBytes), token: decodeFencingToken(&r), verdict: Verdict(r.Uint()), highest: decodeFencingToken(&r)}
 	case kindMoveRequest:
-		m = moveRequest{job: r.Text(maxNameBytes), to: r.Text(maxNameBytes), tag: r.Uint()}
+		m = moveRequest{job: r.Text(maxNameBytes), member: r.Text(maxNameBytes), tag: r.Uint()}
 	case kindMoveReply:
 		m = moveReply{tag: r.Uint(), refusal: r.Text(maxReasonBytes)}
 	case kindQuery:
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -116,8 +116,8 @@
 
 // moveRequest is an operator's wish to hand a job over.
 type moveRequest struct {
-	job, to string
-	tag     uint64
+	job, member string
+	tag         uint64
 }
 
 // moveReply answers moveRequest.
@@ -197,7 +197,7 @@
 }
 
 func (m moveRequest) encode() []byte {
-	return encodeKind(kindMoveRequest).Text(m.job).Text(m.to).Uint(m.tag).Data
+	return encodeKind(kindMoveRequest).Text(m.job).Text(m.member).Uint(m.tag).Data
 }
 
 func (m moveReply) encode() []byte {
--- a/internal/fleet/ownership/ownership_test.go
+++ b/internal/fleet/ownership/ownership_test.go
@@ -26,15 +26,15 @@
 			kind := rapid.IntRange(1, 5).Draw(t, "kind")
 			switch kind {
 			case kindGrant:
-				cmd = grantCommand{job: job, token: token, at: 1, owner: "p", incarnation: 3, reason: "why"}.encode()
+				cmd = grantCommand{job: job, token: token, changedAt: 1, owner: "p", incarnation: 3, reason: "why"}.encode()
 			case kindRelease:
-				cmd = releaseCommand{job: job, token: token, at: 1, checkpointNumber: number, checkpoint: left, reason: "why"}.encode()
+				cmd = releaseCommand{job: job, token: token, changedAt: 1, checkpointNumber: number, checkpoint: left, reason: "why"}.encode()
 			case kindCheckpoint:
 				cmd = checkpointCommand{job: job, token: token, checkpointNumber: number, checkpoint: left}.encode()
 			case kindRaiseToken:
 				cmd = raiseTokenCommand{job: job, token: token}.encode()
 			case kindRegister:
-				cmd = registerCommand{job: job, at: 1}.encode()
+				cmd = registerCommand{job: job, changedAt: 1}.encode()
 			}
 			ok := a.Apply(cmd)[0] == resultApplied
 			after := a.Job(job)
@@ -184,8 +184,8 @@
 
 func FuzzTable(f *testing.F) {
 	a := NewTable()
-	a.Apply(registerCommand{job: "j", at: 1}.encode())
-	a.Apply(grantCommand{job: "j", token: 3, at: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
+	a.Apply(registerCommand{job: "j", changedAt: 1}.encode())
+	a.Apply(grantCommand{job: "j", token: 3, changedAt: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
 	f.Add(a.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("left")}.encode())
 	f.Add([]byte{1, 0, 0, 200, 1}, []byte{kindGrant, 1, 'j'})
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/placejobs.go
@@ -125,7 +125,7 @@
 	}
 	sort.Strings(fresh)
 	for _, job := range fresh {
-		c.propose(registerCommand{job: job, at: c.cfg.Wall()}, proposal{job: job, exclusive: true})
+		c.propose(registerCommand{job: job, changedAt: c.cfg.Wall()}, proposal{job: job, exclusive: true})
 	}
 }
 
@@ -190,6 +190,6 @@
 // grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
 func (c *coordinator) grant(p Placement) {
 	token := max(c.table.Job(p.Job).Token+1, c.epoch<<tokensPerEpochBits)
-	cmd := grantCommand{job: p.Job, token: token, at: c.cfg.Wall(), owner: p.To, incarnation: p.Incarnation, reason: p.Reason}
+	cmd := grantCommand{job: p.Job, token: token, changedAt: c.cfg.Wall(), owner: p.To, incarnation: p.Incarnation, reason: p.Reason}
 	c.propose(cmd, proposal{job: p.Job, exclusive: true})
 }
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -47,5 +47,5 @@
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.send(c.Leader(), moveRequest{job: job, to: to, tag: tag})
+	c.send(c.Leader(), moveRequest{job: job, member: to, tag: tag})
 }
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -67,7 +67,7 @@
 	}
 	s.able = m.able
 	s.behind = m.epoch < c.epoch || m.listSequence < s.listSequence
-	c.confirmation.waiting = append(c.confirmation.waiting, leaseClaim{processID: m.sender, sequence: m.sequence, at: c.now})
+	c.confirmation.waiting = append(c.confirmation.waiting, leaseClaim{processID: m.sender, sequence: m.sequence, claimedAt: c.now})
 }
 
 func (c *coordinator) handleJobOffer(m jobOffer) {
@@ -84,8 +84,8 @@
 // leaseClaim is a lease request that waits for the voters' confirmation.
 type leaseClaim struct {
 	processID
-	sequence uint64
-	at       Time
+	sequence  uint64
+	claimedAt Time
 }
 
 // leadershipConfirmation is the round in which the voters confirm that this process leads. One round serves all requests that came before
@@ -98,7 +98,7 @@
 
 func (l *leadershipConfirmation) expire(now, timeout Time) {
 	for tag, claims := range l.byTag {
-		if now-claims[0].at > timeout {
+		if now-claims[0].claimedAt > timeout {
 			delete(l.byTag, tag)
 		}
 	}
@@ -133,7 +133,7 @@
 		if s == nil || !c.leads() {
 			continue
 		}
-		s.renewedAt = max(s.renewedAt, claim.at)
+		s.renewedAt = max(s.renewedAt, claim.claimedAt)
 		c.send(peerOf(claim.name), leaseGranted{sequence: claim.sequence, incarnation: claim.incarnation, epoch: c.epoch, wantsOffer: s.offers == nil})
 		c.sendJobList(s)
 	}
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -12,12 +12,12 @@
 
 func (r *Run) begin(f Fault) {
 	Trace(r.now, "", "fault", []any{f})
-	p := r.processes[f.A]
+	p := r.processes[f.Process]
 	switch f.Kind {
 	case faultPause:
-		r.pause(p, f.For)
+		r.pause(p, f.Duration)
 	case faultKill:
-		r.kill(p, f.Part > losesDiskAbove && r.mayDamageDisk(f.A))
+		r.kill(p, f.Part > losesDiskAbove && r.mayDamageDisk(f.Process))
 	case faultAllKilled:
 		for _, p := range r.processes {
 			r.kill(p, false)
@@ -30,14 +30,14 @@
 	case faultFull:
 		p.disk.Fail = errDiskFull
 	case faultCopyBack:
-		if r.mayDamageDisk(f.A) {
+		if r.mayDamageDisk(f.Process) {
 			state := p.disk.Copy()
 			p.diskCopy = &state
 		}
 	case faultClock:
 		p.wallOffset += clockStep(f.Part)
 	case faultHeldBack:
-		r.network.heldUntil[f.A] = r.now + f.For
+		r.network.heldUntil[f.Process] = r.now + f.Duration
 	case faultLoss:
 		r.network.loss = f.Part
 	default:
@@ -46,7 +46,7 @@
 }
 
 func (r *Run) endFault(f Fault) {
-	p := r.processes[f.A]
+	p := r.processes[f.Process]
 	switch f.Kind {
 	case faultKill:
 		r.startIfDown(p)
@@ -83,7 +83,7 @@
 }
 
 func (r *Run) startIfDown(p *process) {
-	if !p.up {
+	if !p.running {
 		r.start(p)
 	}
 }
@@ -124,15 +124,15 @@
 func cutsLink(f Fault, from, to int) bool {
 	switch f.Kind {
 	case faultCut:
-		return from == f.A || to == f.A
+		return from == f.Process || to == f.Process
 	case faultOneWay:
-		return from == f.A && to == f.B
+		return from == f.Process && to == f.OtherProcess
 	case faultDeaf:
-		return to == f.A
+		return to == f.Process
 	case faultMute:
-		return from == f.A
+		return from == f.Process
 	case faultHalves:
-		boundary := min(f.A, f.B)
+		boundary := min(f.Process, f.OtherProcess)
 		return (from <= boundary) != (to <= boundary)
 	}
 	return false
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -18,11 +18,11 @@
 
 // envelope is a message on its way.
 type envelope struct {
-	from, to  int
-	group     bool // between voters of the group, or else between Cores
-	data      []byte
-	deliverAt Time
-	sequence  int
+	sender, receiver int
+	group            bool // between voters of the group, or else between Cores
+	data             []byte
+	deliverAt        Time
+	sequence         int
 }
 
 // network is the links between processes.
@@ -63,7 +63,7 @@
 			continue
 		}
 		n.sequence++
-		n.inFlight = append(n.inFlight, envelope{from: p.index, to: to, group: group, data: slices.Clone(message),
+		n.inFlight = append(n.inFlight, envelope{sender: p.index, receiver: to, group: group, data: slices.Clone(message),
 			deliverAt: max(r.arrival(), n.heldUntil[p.index]), sequence: n.sequence})
 	}
 }
@@ -98,8 +98,8 @@
 }
 
 func (r *Run) deliver(e envelope) {
-	p := r.processes[e.to]
-	if !p.up {
+	p := r.processes[e.receiver]
+	if !p.running {
 		return
 	}
 	if r.now < p.pausedUntil {
@@ -108,7 +108,7 @@
 		}
 		return
 	}
-	from, now := consensus.PeerID(r.processes[e.from].name), r.localTime(p)
+	from, now := consensus.PeerID(r.processes[e.sender].name), r.localTime(p)
 	if !e.group {
 		p.core.Receive(now, from, e.data)
 	} else if p.group != nil {
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -8,33 +8,34 @@
 
 // Fault is one in a plan.
 type Fault struct {
-	Kind    string
-	At, For Time
-	A, B    int     // processes
-	Part    float64 // of loss, or how far a clock is set
+	Kind               string
+	BeginsAt, Duration Time
+	Process            int     // that it hits
+	OtherProcess       int     // at the other end of a link, or of a half of the fleet
+	Part               float64 // probability of loss, or how far a clock is set
 }
 
 // String gives the fault as an S-expression, times in milliseconds.
 func (f Fault) String() string {
-	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.At/Ms, f.For/Ms, f.A, f.B, f.Part)
+	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Part)
 }
 
-// Kinds of faults.
+// Kinds of faults: what they do to Process, and OtherProcess where it is named.
 const (
-	faultPause     = "pause"      // A sleeps
-	faultKill      = "kill"       // A dies, now and then with its disk
-	faultAllKilled = "all-killed" // all die
-	faultCut       = "cut"        // A's links are cut
-	faultOneWay    = "one-way"    // the link from A to B is cut
-	faultDeaf      = "deaf"       // A hears nobody
-	faultMute      = "mute"       // nobody hears A
+	faultPause     = "pause"      // sleeps
+	faultKill      = "kill"       // dies, now and then with its disk
+	faultAllKilled = "all-killed" // all processes die
+	faultCut       = "cut"        // all its links are cut
+	faultOneWay    = "one-way"    // the link to OtherProcess is cut
+	faultDeaf      = "deaf"       // hears nobody
+	faultMute      = "mute"       // is heard by nobody
 	faultHalves    = "halves"     // the fleet falls in two
 	faultLoss      = "loss"       // messages are lost, doubled and late
-	faultHeldBack  = "held-back"  // A's messages arrive at the end
-	faultFull      = "full"       // A's disk is full
-	faultCopyBack  = "copy-back"  // A's disk is copied, and put back at the end
-	faultClock     = "clock"      // A's wall clock is set
-	faultLeave     = "leave"      // A ends in order
+	faultHeldBack  = "held-back"  // its messages arrive at the end
+	faultFull      = "full"       // its disk is full
+	faultCopyBack  = "copy-back"  // its disk is copied, and put back at the end
+	faultClock     = "clock"      // its wall clock is set
+	faultLeave     = "leave"      // ends in order
 )
 
 // Kinds are the faults that a plan may hold, in the order in which they are drawn.
@@ -56,25 +57,25 @@
 	for range n {
 		plan = append(plan, drawFault(rng, c))
 	}
-	sort.SliceStable(plan, func(i, j int) bool { return plan[i].At < plan[j].At })
+	sort.SliceStable(plan, func(i, j int) bool { return plan[i].BeginsAt < plan[j].BeginsAt })
 	return plan
 }
 
 func drawFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
-		Kind: Kinds[rng.IntN(len(Kinds))],
-		At:   rng.Int64N(c.Lasts),
-		For:  minFaultTime + rng.Int64N(faultTimeRange),
-		A:    rng.IntN(c.Processes),
-		B:    rng.IntN(c.Processes),
-		Part: rng.Float64() * maxPart,
+		Kind:         Kinds[rng.IntN(len(Kinds))],
+		BeginsAt:     rng.Int64N(c.Lasts),
+		Duration:     minFaultTime + rng.Int64N(faultTimeRange),
+		Process:      rng.IntN(c.Processes),
+		OtherProcess: rng.IntN(c.Processes),
+		Part:         rng.Float64() * maxPart,
 	}
 	needsDisk := f.Kind == faultCopyBack || f.Kind == faultFull
-	if needsDisk && !c.Disks || f.A == f.B {
+	if needsDisk && !c.Disks || f.Process == f.OtherProcess {
 		f.Kind = faultPause
 	}
 	if rng.IntN(longOneIn) == 0 {
-		f.For *= longTimes
+		f.Duration *= longTimes
 	}
 	return f
 }
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -21,7 +21,7 @@
 
 	// The present incarnation.
 	incarnation uint64
-	up          bool
+	running     bool
 	core        *ownership.Core
 	group       ownership.Group // nil: no voter
 	raft        *consensus.Core // the same, where it has a disk
@@ -52,12 +52,12 @@
 
 func (r *Run) localTime(p *process) Time { return p.clockZero + Time(float64(r.now)*p.clockRate) }
 
-func (r *Run) awake(p *process) bool { return p.up && r.now >= p.pausedUntil }
+func (r *Run) awake(p *process) bool { return p.running && r.now >= p.pausedUntil }
 
 // start begins a new incarnation of a process.
 func (r *Run) start(p *process) {
 	p.incarnation = uint64(r.now/Ms)<<8 + uint64(p.index) + 1
-	p.up, p.pausedUntil, p.queue, p.checkedSends = true, 0, nil, nil
+	p.running, p.pausedUntil, p.queue, p.checkedSends = true, 0, nil, nil
 	p.core, p.group, p.raft = nil, nil, nil
 	p.clockZero = r.rng.Int64N(1000 * Sec)
 	p.table, p.jobs, p.accepted = ownership.NewTable(), map[string]*job{}, map[string]ownership.FencingToken{}
@@ -113,10 +113,10 @@
 }
 
 func (r *Run) kill(p *process, loseDisk bool) {
-	if !p.up {
+	if !p.running {
 		return
 	}
-	p.up = false
+	p.running = false
 	p.disk.Crash()
 	if loseDisk {
 		p.disk = r.newDisk()
@@ -183,7 +183,7 @@
 	j.number++
 	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.incarnation
 	return func() {
-		if !p.up || p.incarnation != incarnation {
+		if !p.running || p.incarnation != incarnation {
 			return
 		}
 		now := r.localTime(p)
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -133,13 +133,13 @@
 func (r *Run) end() Time {
 	end := r.cfg.Lasts + calmTime
 	for _, f := range r.plan {
-		end = max(end, f.At+f.For+calmTime)
+		end = max(end, f.BeginsAt+f.Duration+calmTime)
 	}
 	return end
 }
 
 func (r *Run) beginFaults() {
-	for len(r.plan) > 0 && r.plan[0].At <= r.now {
+	for len(r.plan) > 0 && r.plan[0].BeginsAt <= r.now {
 		f := r.plan[0]
 		r.plan = r.plan[1:]
 		r.begin(f)
@@ -149,7 +149,7 @@
 
 func (r *Run) endFaults() {
 	for i := 0; i < len(r.active); i++ {
-		if f := r.active[i]; f.At+f.For <= r.now {
+		if f := r.active[i]; f.BeginsAt+f.Duration <= r.now {
 			r.active = slices.Delete(r.active, i, i+1)
 			i--
 			r.endFault(f)
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -52,7 +52,7 @@
 	case storeCheckpoint:
 		c.coordinator.handleStoreCheckpoint(from, m)
 	case moveRequest:
-		c.send(from, moveReply{tag: m.tag, refusal: c.coordinator.moveJob(m.job, m.to)})
+		c.send(from, moveReply{tag: m.tag, refusal: c.coordinator.moveJob(m.job, m.member)})
 	case leaseGranted:
 		c.participant.handleLeaseGranted(from, m)
 	case leaderRedirect:
