--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -1,6 +1,5 @@
-// Package group is what a group of voters is to those who build on it, whatever it keeps its votes on. It owns names and errors alone, so that a
-// program that has no voters with disks does not carry their library: that costs each start a few milliseconds of processor time, which a
-// proxy with a small part of a core feels.
+// Package group defines the replicated group for those who build on it: the machines that it drives, its effects, errors and status. It depends on
+// no implementation, so that a program without voters on disk does not link the library that those need, nor pay for its start.
 package group
 
 import (
@@ -12,27 +11,30 @@
 // Time is nanoseconds on the caller's monotonic clock.
 type Time = int64
 
-// Peer names a process in messages, as membership does: by its word of who sent a datagram messages are told apart.
+// Peer is the number of a member in messages, the same as membership's: it tells who sent a datagram.
 func Peer(name string) uint32 { return membership.ID(name) }
 
-// Machine is a state machine of the group. The same commands in the same order bring it to the same state everywhere.
+// Machine is a state machine of the group. The same commands in the same order bring it to the same state at every voter.
 type Machine interface {
+	// Apply carries out a command, and gives its result to whoever proposed it.
 	Apply(cmd []byte) (result []byte)
+	// Snapshot encodes the whole state.
 	Snapshot() []byte
+	// Restore replaces the state by a snapshot. An error changes nothing.
 	Restore(data []byte) error
 }
 
-// Effects is what a voter can do. What is passed is valid during the call only.
+// Effects is what a voter has done by its process. Byte strings passed are valid during the call only.
 type Effects interface {
 	Send(peer uint32, msg []byte)
-	// Applied tells that a command was applied, with the tag it was proposed under here or at another process.
+	// Applied reports a command that was applied, with the tag under which it was proposed here or at another process.
 	Applied(machine byte, tag uint64, result []byte)
-	// Confirmed tells that this process still led after Confirm was called.
+	// Confirmed reports that this process still led after Confirm was called with the tag.
 	Confirmed(tag uint64)
 	LogEvent(event string, args ...any)
 }
 
-// Errors of what is asked of a voter.
+// Errors of proposals and changes of the group.
 var (
 	ErrNotLeader      = errors.New("this process does not lead the group")
 	ErrCommandTooLong = errors.New("a command over 64 KiB")
@@ -41,33 +43,36 @@
 
 // Status is what operators see of a voter.
 type Status struct {
-	Phase   string         `json:"phase"`
-	Reason  string         `json:"reason,omitempty"`
+	Phase   string         `json:"phase"`            // of the voter: see package consensus
+	Reason  string         `json:"reason,omitempty"` // of the phase
 	ID      string         `json:"id"`
-	Boots   uint64         `json:"boots"`
+	Boots   uint64         `json:"boots"` // starts on this store
 	Term    uint64         `json:"term"`
-	Leader  string         `json:"leader"`
-	Commit  uint64         `json:"commit"`
+	Leader  string         `json:"leader"` // name; "": none known
+	Commit  uint64         `json:"commit"` // index up to which the log is committed
 	Applied uint64         `json:"applied"`
-	Waits   []string       `json:"asks_to_be_added"`
+	Waits   []string       `json:"asks_to_be_added"` // names
 	Members []StatusMember `json:"members"`
 }
 
-// StatusMember is one row of it. Match and Active are known at the leader.
+// StatusMember is a member of the group. Match and Active are known at the leader.
 type StatusMember struct {
 	Name   string `json:"name"`
 	ID     string `json:"id"`
 	Votes  bool   `json:"votes"`
-	Match  uint64 `json:"match"`
+	Match  uint64 `json:"match"` // index up to which it has the log
 	Active bool   `json:"active"`
 }
 
-// StoreError is why a voter's store can't be used.
+// StoreError says why a voter's store can't be used.
 type StoreError struct {
 	Err      error
 	InUse    bool // by another process
-	ByItself bool // it may be opened again by this process
+	ByItself bool // opening it again may succeed without a restart
 }
 
+// Error gives the cause.
 func (e *StoreError) Error() string { return e.Err.Error() }
+
+// Unwrap gives the cause.
 func (e *StoreError) Unwrap() error { return e.Err }
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -6,8 +6,8 @@
 	FilledAt Time // last; nothing is added for the time before
 }
 
-// bucketDepth divides a rate: a bucket saves what comes in a quarter of a second, and one token at least.
-const bucketDepth = 4
+// bucketDepthDivisor divides a rate: a bucket saves what comes in a quarter of a second, and one token at least.
+const bucketDepthDivisor = 4
 
 // Fill adds what has become due at a rate, in tokens a second. silent of fleetSize proxies go by their own share of the rate, which is kept back.
 func (b *Bucket) Fill(now Time, rate float64, fleetSize, silent int) {
@@ -15,7 +15,7 @@
 		return
 	}
 	part := 1 - float64(silent)/float64(max(1, fleetSize))
-	b.Tokens = min(b.Tokens+rate*part*float64(now-b.FilledAt)/float64(sec), max(1, rate/bucketDepth))
+	b.Tokens = min(b.Tokens+rate*part*float64(now-b.FilledAt)/float64(sec), max(1, rate/bucketDepthDivisor))
 	b.FilledAt = now
 }
 
--- /dev/null
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -0,0 +1,159 @@
+package ownership
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"croftlock/internal/fleet/encoding"
+	"croftlock/internal/fleet/group"
+)
+
+var voterNames = []string{"a", "b", "c"}
+
+const (
+	candidates     = 2 // the first voters, which stand for election
+	receiverNumber = 3 // in place of a voter's
+)
+
+// packet is a message between voters, or an effect for the receiver.
+type packet struct {
+	from, to int
+	data     []byte
+	epoch    uint64
+}
+
+// world is one state of three voters, a receiver and all that is on its way.
+type world struct {
+	voters   [3]*Quorum
+	inFlight []packet
+	// What may happen still.
+	elections, renewals, restarts, steps, skews, effects int
+	highestEpoch                                         uint64 // of an effect that the receiver has accepted
+	fence                                                *Fence
+	violation                                            string
+}
+
+// faults are planted in the program.
+type faults struct{ eager, fromAnswer, forget bool }
+
+// worldEffects put what a voter sends on its way.
+type worldEffects struct {
+	w  *world
+	me int
+}
+
+func (x worldEffects) Send(peer uint32, msg []byte) {
+	for i, name := range voterNames {
+		if group.Peer(name) == peer {
+			x.w.inFlight = append(x.w.inFlight, packet{from: x.me, to: i, data: slices.Clone(msg)})
+		}
+	}
+}
+
+func (worldEffects) Applied(byte, uint64, []byte) {}
+func (worldEffects) Confirmed(uint64)             {}
+func (worldEffects) LogEvent(string, ...any)      {}
+
+func (w *world) newVoter(i int, now Time, f faults) *Quorum {
+	cfg := QuorumConfig{Group: "g", Name: voterNames[i], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Eager: f.eager, FromAnswer: f.fromAnswer}
+	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, i})
+	if err != nil {
+		panic(err)
+	}
+	q.startedAt, q.now = now, now
+	return q
+}
+
+// clone copies a world: what one order does must not touch another.
+func (w *world) clone() *world {
+	c := *w
+	c.inFlight = slices.Clone(w.inFlight)
+	c.fence = &Fence{last: maps.Clone(w.fence.last), Forget: w.fence.Forget}
+	for i, q := range w.voters {
+		n := *q
+		n.effects = worldEffects{&c, i}
+		n.candidate.promises = maps.Clone(q.candidate.promises)
+		n.log.acknowledged = maps.Clone(q.log.acknowledged)
+		n.rounds.requestedAt = maps.Clone(q.rounds.requestedAt)
+		n.rounds.grants = map[uint64]map[uint32]bool{}
+		for round, grants := range q.rounds.grants {
+			n.rounds.grants[round] = maps.Clone(grants)
+		}
+		c.voters[i] = &n
+	}
+	return &c
+}
+
+// hasher gathers what a world is.
+type hasher struct{ data []byte }
+
+func (h *hasher) put(vs ...uint64) {
+	for _, v := range vs {
+		h.data = binary.AppendUvarint(h.data, v)
+	}
+}
+
+// key is what a world is, for whatever can follow from it.
+func (w *world) key() uint64 {
+	var h hasher
+	for _, q := range w.voters {
+		h.putVoter(q)
+	}
+	sum := uint64(0) // in any order
+	for _, p := range w.inFlight {
+		sum += xxhash.Sum64(append([]byte{byte(p.from), byte(p.to), byte(p.epoch), byte(p.epoch >> 8), byte(p.epoch >> 16), byte(p.epoch >> 24)}, p.data...))
+	}
+	h.put(sum, uint64(w.elections), uint64(w.renewals), uint64(w.restarts), uint64(w.steps), uint64(w.skews), uint64(w.effects), w.highestEpoch)
+	return xxhash.Sum64(h.data)
+}
+
+func (h *hasher) putVoter(q *Quorum) {
+	h.put(uint64(q.now), uint64(q.startedAt+1))
+	h.put(q.voter.promised, uint64(q.voter.grantee), q.voter.epoch, uint64(q.voter.grantEnd))
+	h.put(q.log.position.epoch, q.log.position.version, q.ballotCounter, q.candidate.ballot, uint64(q.candidate.stateFrom), q.rounds.last)
+	h.put(q.leader.epoch, q.leader.ballot, uint64(q.leader.leaseEnd), uint64(len(q.log.acknowledged)))
+	for _, name := range voterNames {
+		p, ok := q.candidate.promises[group.Peer(name)]
+		if ok && p.promised {
+			h.put(1)
+		} else if ok {
+			h.put(2)
+		}
+		h.put(p.position.epoch)
+	}
+	for round := range uint64(4) {
+		grants := q.rounds.grants[round]
+		h.put(uint64(q.rounds.requestedAt[round]), uint64(len(grants)))
+		for _, name := range voterNames {
+			if grants[group.Peer(name)] {
+				h.put(round)
+			}
+		}
+	}
+}
+
+// trim drops what can't matter any more: answers to what is not asked.
+func (w *world) trim() {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(p packet) bool {
+		if p.to == receiverNumber || len(p.data) == 0 {
+			return false
+		}
+		r := encoding.Reader{Data: p.data}
+		kind, _, ballot := r.Uint(), r.Text(maxNameBytes), r.Uint()
+		q := w.voters[p.to]
+		switch kind {
+		case kindPrepareReply:
+			return ballot != q.candidate.ballot || q.candidate.stateFrom != 0
+		case kindLeaseAccepted, kindLeaseRejected:
+			return ballot != q.candidate.ballot && ballot != q.leader.epoch
+		case kindAppendAcknowledged:
+			return ballot != q.leader.epoch
+		case kindStateTransfer, kindAppendEntries:
+			return ballot != q.candidate.ballot && (p.from == p.to || ballot < q.voter.epoch)
+		}
+		return false
+	})
+}
--- /dev/null
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -0,0 +1,77 @@
+package ownership
+
+import (
+	"testing"
+
+	"croftlock/internal/fleet/group"
+)
+
+// discardEffects are effects of a Core and of a group that lead nowhere.
+type discardEffects struct{}
+
+func (discardEffects) Send(uint32, []byte)                                                    {}
+func (discardEffects) Start(string, uint64, uint64, []byte) error                             { return nil }
+func (discardEffects) Stop(string, uint64, string) (uint64, []byte)                           { return 0, nil }
+func (discardEffects) Effect(string, FencingToken, []byte)                                    {}
+func (discardEffects) EffectAcknowledged(uint32, string, FencingToken, Verdict, FencingToken) {}
+func (discardEffects) CheckpointStored(string, uint64, uint64, bool)                          {}
+func (discardEffects) QueryReceived(uint32, string, uint64, []byte)                           {}
+func (discardEffects) ReplyReceived(uint64, []byte)                                           {}
+func (discardEffects) LogEvent(string, ...any)                                                {}
+func (discardEffects) Applied(machine byte, tag uint64, result []byte)                        {}
+func (discardEffects) Confirmed(tag uint64)                                                   {}
+
+func newVoterCore(t testing.TB) (*Core, *Quorum) {
+	t.Helper()
+	table := NewTable()
+	q, err := NewQuorum(QuorumConfig{Group: "g", Name: "a", Voters: []string{"a", "b", "c"}}, map[byte]group.Machine{Machine: table}, discardEffects{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := New(Config{Name: "a", Incarnation: 1, Voters: []string{"a", "b", "c"}, Jobs: []string{"j"}}, q, table, &Fence{}, discardEffects{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c, q
+}
+
+// FuzzMessages: whatever comes from a peer, nothing ends, and what is torn changes no token.
+func FuzzMessages(f *testing.F) {
+	for k := range byte(15) {
+		f.Add([]byte{k, 1, 'a', 1, 'j', 1, 1, 0, 0, 1, 2, 3})
+		f.Add([]byte{k, 1, 'g', 1, 1, 1, 1, 1, 1})
+	}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		c, q := newVoterCore(t)
+		now := Time(1)
+		for range 3 {
+			now += 2 * sec
+			c.Tick(now)
+			c.Receive(now, group.Peer("b"), data)
+			q.Receive(now, group.Peer("b"), data)
+			q.Receive(now, group.Peer("b"), append([]byte{kindLeaseProposal, 1, 'g'}, data...))
+		}
+		if _, ok := c.group.Leading(); ok && c.Holds(now, "j", 1) {
+			t.Error("one peer's word makes an owner")
+		}
+	})
+}
+
+func FuzzTable(f *testing.F) {
+	a := NewTable()
+	a.Apply(registerCommand{job: "j", changedAt: 1}.encode())
+	a.Apply(grantCommand{job: "j", token: 3, changedAt: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
+	f.Add(a.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("left")}.encode())
+	f.Add([]byte{1, 0, 0, 200, 1}, []byte{kindGrant, 1, 'j'})
+	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
+		b := NewTable()
+		if b.Restore(snapshot) != nil && len(b.Jobs()) > 0 {
+			t.Error("a torn snapshot leaves rows")
+		}
+		b.Apply(cmd)
+		c := NewTable()
+		if err := c.Restore(b.Snapshot()); err != nil {
+			t.Error(err)
+		}
+	})
+}
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -137,3 +137,19 @@
 		t.Errorf("full %t, first entry %d", l.full(), l.entries[0].version)
 	}
 }
+
+// TestRepliesWithoutBallot: a voter that is no candidate and no leader ignores replies for ballot 0.
+func TestRepliesWithoutBallot(t *testing.T) {
+	_, q := newVoterCore(t)
+	q.rounds.begin(0)
+	for _, m := range []quorumMessage{
+		prepareReply{promised: true},
+		leaseAccepted{round: q.rounds.last},
+		leaseRejected{promised: 1 << 20},
+		appendAcknowledged{},
+	} {
+		if err := q.Receive(1, peerOf("b"), m.encode("g")); err != nil || q.leads() || q.candidate.ballot != 0 || len(q.log.acknowledged) > 0 {
+			t.Errorf("%#v: %v, %+v", m, err, q.candidate)
+		}
+	}
+}
