--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -15,7 +15,7 @@
 func main() {
 	soak.BehindShim()
 	owneragent.OpenVoter = replica.Open
-	if owneragent.Planted = os.Getenv(experiment.PlantedEnv); owneragent.Planted != "" {
+	if owneragent.PlantedFault = os.Getenv(experiment.PlantedEnv); owneragent.PlantedFault != "" {
 		os.Exit(command.Run(os.Args[1:], os.Getenv)) // the program itself, with a fault that an experiment has to find
 	}
 	os.Exit(experiment.Main(os.Args[1:], soak.Command()))
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -118,7 +118,7 @@
 }
 
 func showOwners(w io.Writer, r owneragent.Reply) error {
-	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, dash(r.Leader), r.Lease)
+	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, dash(r.Leader), r.LeaseMS)
 	if r.Store != "" {
 		fmt.Fprintf(w, "its store can't be used: %s\n", r.Store)
 	}
@@ -126,19 +126,19 @@
 	if r.Jobs == nil {
 		fmt.Fprintln(w, "this proxy is no voter, and knows its own jobs alone")
 		fmt.Fprintln(t, "JOB\tTOKEN")
-		names := make([]string, 0, len(r.Mine))
-		for n := range r.Mine {
+		names := make([]string, 0, len(r.Owned))
+		for n := range r.Owned {
 			names = append(names, n)
 		}
 		sort.Strings(names)
 		for _, n := range names {
-			fmt.Fprintf(t, "%s\t%d\n", n, r.Mine[n])
+			fmt.Fprintf(t, "%s\t%d\n", n, r.Owned[n])
 		}
 		return t.Flush()
 	}
 	fmt.Fprintln(t, "JOB\tOWNER\tTOKEN\tSINCE\tKEPT BYTES\tWHY")
 	for _, j := range r.Jobs {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%s\n", j.Job, dash(j.Owner), j.Token, j.Since, j.Left, j.Why)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%s\n", j.Job, dash(j.Owner), j.Token, j.ChangedAt, j.CheckpointBytes, j.Reason)
 	}
 	return t.Flush()
 }
--- a/internal/app/node/joined.go
+++ b/internal/app/node/joined.go
@@ -24,7 +24,7 @@
 
 // own begins to take part in the fleet's work, where the operators want it. Membership has to be on.
 func (r *replacement) own() (err error) {
-	if !r.owning.On {
+	if !r.owning.Enabled {
 		return nil
 	}
 	if r.owners, err = owneragent.Start(r.loop, r.owning, r.cfg.Name, r.members, r.core.SuspendForFleet); err == nil && r.owners.Paced() {
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -66,9 +66,9 @@
 
 // StoreError says why a voter's store can't be used.
 type StoreError struct {
-	Err      error
-	InUse    bool // by another process
-	ByItself bool // opening it again may succeed without a restart
+	Err       error
+	InUse     bool // by another process
+	Retryable bool // opening it again may succeed without a restart
 }
 
 // Error gives the cause.
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -65,7 +65,7 @@
 	}
 	now := time.Now()
 	a := &Agent{options: o, name: name, incarnation: uint64(now.UnixMilli()), startedAt: now, loop: l, members: m,
-		worker: newWorker(), fence: &ownership.Fence{Forget: Planted == "forget"}}
+		worker: newWorker(), fence: &ownership.Fence{Forget: PlantedFault == "forget"}}
 	a.transport = fragment.New(m.Room(), uint32(a.incarnation), transportEffects{a})
 	a.queries = newQueries(a)
 	a.replica = newReplica(o, name, ownership.NewTable(), groupEffects{a})
@@ -87,13 +87,13 @@
 // addJobs makes the jobs that this process can own.
 func (a *Agent) addJobs(applySuspended func(hosts []string)) {
 	fleetSize := max(1, a.members.Base())
-	if a.options.Hosts {
+	if a.options.SuspendHosts {
 		a.jobs.add(hostsJob, &jobs.SuspendedHosts{Apply: func(hosts []string) { a.loop.Post(func() { applySuspended(hosts) }) }})
 	}
-	if a.options.Pace > 0 {
+	if a.options.MigrationRate > 0 {
 		a.addMigrationJob(fleetSize)
 	}
-	for i := range a.options.Drill {
+	for i := range a.options.Drills {
 		a.addDrill(fmt.Sprintf("drill%03d", i))
 	}
 	a.addRules()
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -43,8 +43,8 @@
 		o    Options
 		m    memberagent.Options
 		want string
-	}{{Options{On: true}, memberagent.Options{}, "need membership"}, {Options{On: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{On: true, Dir: path}, on, "no folder"},
-		{Options{On: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, memberagent.Options{}, ""}} {
+	}{{Options{Enabled: true}, memberagent.Options{}, "need membership"}, {Options{Enabled: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{Enabled: true, Dir: path}, on, "no folder"},
+		{Options{Enabled: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, memberagent.Options{}, ""}} {
 		if err := c.o.Check(c.m); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v, want %q", c.o, err, c.want)
 		}
@@ -62,7 +62,7 @@
 }
 
 func openVoter(o VoterOptions) (Voter, *group.StoreError) {
-	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.Most)
+	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.MaxBytes)
 	if err != nil {
 		return nil, &group.StoreError{Err: err}
 	}
@@ -82,7 +82,7 @@
 func TestProgramWithoutVoters(t *testing.T) {
 	OpenVoter = nil
 	defer func() { OpenVoter = openVoter }()
-	if err := (Options{On: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
+	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
 		t.Error(err)
 	}
 }
@@ -110,7 +110,7 @@
 			got <- made{nil, err}
 			return
 		}
-		o.On, o.Group, o.Voters, o.MostKB = true, "g", []string{"a"}, 8192
+		o.Enabled, o.Group, o.Voters, o.MaxStoreKB = true, "g", []string{"a"}, 8192
 		s, err := Start(l, o, "a", m, func([]string) {})
 		got <- made{s, err}
 	})
@@ -164,14 +164,14 @@
 	more = map[string]jobs.Job{"breaks-at-start": first, "breaks-later": second}
 	defer func() { more = nil }()
 	began := time.Now()
-	s, _ := alone(t, Options{Drill: 200, Dir: t.TempDir()})
+	s, _ := alone(t, Options{Drills: 200, Dir: t.TempDir()})
 	report := func() (r Reply) {
 		s.onWorker(func() { s.report(&r) })
 		return r
 	}
 	await(t, "200 jobs have no owner", func() bool {
 		n := 0
-		for job := range report().Mine {
+		for job := range report().Owned {
 			if strings.HasPrefix(job, "drill") {
 				n++
 			}
@@ -189,12 +189,12 @@
 		}
 	}
 	r := report()
-	if len(r.Mine) < 200 || r.Counts.Panics < 4 {
-		t.Errorf("%d jobs owned, %d panics", len(r.Mine), r.Counts.Panics)
+	if len(r.Owned) < 200 || r.Counts.Panics < 4 {
+		t.Errorf("%d jobs owned, %d panics", len(r.Owned), r.Counts.Panics)
 	}
 	for _, j := range r.Jobs {
-		if j.Job == "breaks-at-start" && !strings.Contains(j.Why, "it can't begin") && j.Owner == "" {
-			t.Errorf("the table does not say why: %q", j.Why)
+		if j.Job == "breaks-at-start" && !strings.Contains(j.Reason, "it can't begin") && j.Owner == "" {
+			t.Errorf("the table does not say why: %q", j.Reason)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 // TestAdminSocket: bad requests get a clear word, and the socket is its owner's alone.
 func TestAdminSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, _ := alone(t, Options{Hosts: true, Socket: path})
+	s, _ := alone(t, Options{SuspendHosts: true, Socket: path})
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
@@ -238,10 +238,10 @@
 	if err := os.WriteFile(filepath.Join(dir, "voter.db"), []byte(strings.Repeat("no store ", 4000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, _ := alone(t, Options{Drill: 1, Dir: dir})
+	s, _ := alone(t, Options{Drills: 1, Dir: dir})
 	await(t, "it does not say what is wrong", func() bool {
 		var r Reply
 		s.onWorker(func() { s.report(&r) })
-		return strings.Contains(r.Store, "unreadable") && len(r.Mine) == 0
+		return strings.Contains(r.Store, "unreadable") && len(r.Owned) == 0
 	})
 }
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -97,7 +97,7 @@
 }
 
 func (a *Agent) addDrill(name string) {
-	interval := time.Duration(max(minDrillIntervalMS, a.options.Each)) * time.Millisecond
+	interval := time.Duration(max(minDrillIntervalMS, a.options.DrillIntervalMS)) * time.Millisecond
 	a.jobs.add(name, &jobs.Drill{Interval: int64(interval), Received: func(token ownership.FencingToken) {
 		slog.Debug("drill_taken", "job", name, "token", token.Token, "number", token.Sequence)
 	}})
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -3,7 +3,7 @@
 import "croftlock/internal/fleet/jobs"
 
 func (a *Agent) addMigrationJob(fleetSize int) {
-	rate := float64(a.options.Pace)
+	rate := float64(a.options.MigrationRate)
 	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, FleetSize: fleetSize})
 	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, FleetSize: fleetSize}
 	permits := a.queries.newAsker(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -17,36 +17,36 @@
 
 // Options are the section (owners ...).
 type Options struct {
-	On     bool
-	Group  string   // name of the group of voters; messages of others are rejected; default croftlock
-	Voters []string // names of those that vote, the same list everywhere
-	Dir    string   // folder of a voter's store; "": voters go by memory
-	MostKB int      // bound of that store, KiB; default 8192
-	Hosts  bool     // hosts can be suspended for the whole fleet
-	Pace   int      // migrations a second over the whole fleet; 0: not paced
-	Drill  int      // number of drill jobs
-	Each   int      // time between two numbers of a drill, milliseconds; default 100
-	Socket string   // Unix socket for operators; "": none
-	Rules  Rules
+	Enabled         bool
+	Group           string   // name of the group of voters; messages of others are rejected; default croftlock
+	Voters          []string // names of those that vote, the same list everywhere
+	Dir             string   // folder of a voter's store; "": voters go by memory
+	MaxStoreKB      int      // bound of that store, KiB; default 8192
+	SuspendHosts    bool     // hosts can be suspended for the whole fleet
+	MigrationRate   int      // migrations a second over the whole fleet; 0: not paced
+	Drills          int      // number of drill jobs
+	DrillIntervalMS int      // time between two numbers of a drill, milliseconds; default 100
+	Socket          string   // Unix socket for operators; "": none
+	Rules           Rules
 }
 
 // Section is the section (owners ...) of the operators' file.
 func Section() settings.Section {
 	return settings.Section{Name: "owners", Doc: "one owner at a time for the fleet's work", Bind: func(f *settings.Form) any {
-		o := Options{Group: "croftlock", MostKB: 8192, Each: 100}
-		f.Bool("on", "whether this proxy takes part; membership has to be on too", &o.On)
+		o := Options{Group: "croftlock", MaxStoreKB: 8192, DrillIntervalMS: 100}
+		f.Bool("on", "whether this proxy takes part; membership has to be on too", &o.Enabled)
 		f.Text("group", "name of the group of voters; others' messages are refused", "a name", &o.Group, func(s string) bool { return s != "" && len(s) <= 64 })
 		var voters string
 		f.Text("voters", "names of the proxies that vote, 1 to 7, the same list everywhere, with spaces between", "names", &voters, o.setVoters)
 		f.Path("dir", "folder in which a voter keeps its log and votes, on a disk that lasts; without it voters go by memory", &o.Dir)
-		f.Int("most_kb", "bound of a voter's store, in KiB", &o.MostKB, 1024, 1<<20)
-		f.Bool("hosts", "whether hosts can be taken out for the whole fleet: croftlock fleet suspend ID", &o.Hosts)
-		f.Int("pace", "clients that all proxies together may send away a second; 0: not bounded", &o.Pace, 0, 100000)
-		f.Int("drill", "jobs that only tell every proxy a number, to try the fleet's owners", &o.Drill, 0, 500)
-		f.Int("drill_ms", "time between two such numbers, in milliseconds", &o.Each, minDrillIntervalMS, 60000)
+		f.Int("most_kb", "bound of a voter's store, in KiB", &o.MaxStoreKB, 1024, 1<<20)
+		f.Bool("hosts", "whether hosts can be taken out for the whole fleet: croftlock fleet suspend ID", &o.SuspendHosts)
+		f.Int("pace", "clients that all proxies together may send away a second; 0: not bounded", &o.MigrationRate, 0, 100000)
+		f.Int("drill", "jobs that only tell every proxy a number, to try the fleet's owners", &o.Drills, 0, 500)
+		f.Int("drill_ms", "time between two such numbers, in milliseconds", &o.DrillIntervalMS, minDrillIntervalMS, 60000)
 		f.Path("socket", "Unix socket at which operators ask: croftlock owners, group, fleet", &o.Socket)
 		o.Rules.bind(f)
-		if o.On && len(o.Voters) == 0 {
+		if o.Enabled && len(o.Voters) == 0 {
 			f.Fault("voters", "no voters, expected the names of 1 to 7 proxies")
 		}
 		return o
@@ -66,7 +66,7 @@
 
 // Check looks at what the section refers to. member is the section (membership …).
 func (o Options) Check(member memberagent.Options) error {
-	if !o.On {
+	if !o.Enabled {
 		return nil
 	}
 	if !member.On {
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// Planted names a fault that experiments put in, to show that they find it: forget (the fence), lapse (of rules). No file and no argument of the
+// PlantedFault names a fault that experiments put in, to show that they find it: forget (the fence), lapse (of rules). No file and no argument of the
 // program sets it.
-var Planted string
+var PlantedFault string
 
 // more are jobs that tests add.
 var more map[string]jobs.Job
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -37,7 +37,7 @@
 	Group, Name string
 	Voters      []string
 	Dir         string
-	Most        int64 // size of its store, bytes
+	MaxBytes    int64 // size of its store, bytes
 	Seed        uint64
 	Machines    map[byte]group.Machine
 	Effects     group.Effects
@@ -94,7 +94,7 @@
 		return
 	}
 	v, err := OpenVoter(VoterOptions{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Dir: r.options.Dir,
-		Most: int64(r.options.MostKB) << 10, Seed: seed, Machines: machines, Effects: r.effects})
+		MaxBytes: int64(r.options.MaxStoreKB) << 10, Seed: seed, Machines: machines, Effects: r.effects})
 	if err != nil {
 		r.fail(err)
 		return
@@ -132,10 +132,10 @@
 		return
 	}
 	r.retryAt = time.Time{}
-	if err.ByItself {
+	if err.Retryable {
 		r.retryAt = time.Now().Add(storeRetryDelay)
 	}
-	slog.Error("store_failed", "reason", err, "needs_kb", r.options.MostKB, "tried_again", err.ByItself)
+	slog.Error("store_failed", "reason", err, "needs_kb", r.options.MaxStoreKB, "tried_again", err.Retryable)
 }
 
 // retryDue tells, once, that the store is to be opened again.
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -9,29 +9,29 @@
 
 // Reply is the answer to a Request. Error or Answer is set by commands, the others by owners and status.
 type Reply struct {
-	Error  string            `json:"error,omitempty"`
-	Answer string            `json:"answer,omitempty"`
-	Name   string            `json:"name,omitempty"`   // of this process
-	Leader string            `json:"leader,omitempty"` // name of the coordinator
-	Kind   string            `json:"kind,omitempty"`   // where votes are kept: memory or disk
-	Store  string            `json:"store,omitempty"`  // what is wrong with it
-	Jobs   []JobRow          `json:"jobs,omitempty"`   // at voters
-	Group  *group.Status     `json:"group,omitempty"`  // at voters with a disk
-	Counts *Counts           `json:"counts,omitempty"`
-	Mine   map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs owned here
-	Seen   map[string]uint64 `json:"seen,omitempty"` // highest tokens that the fence here has accepted
-	Lease  int64             `json:"lease_ms"`       // remaining
+	Error         string            `json:"error,omitempty"`
+	Answer        string            `json:"answer,omitempty"`
+	Name          string            `json:"name,omitempty"`   // of this process
+	Leader        string            `json:"leader,omitempty"` // name of the coordinator
+	Kind          string            `json:"kind,omitempty"`   // where votes are kept: memory or disk
+	Store         string            `json:"store,omitempty"`  // what is wrong with it
+	Jobs          []JobRow          `json:"jobs,omitempty"`   // at voters
+	Group         *group.Status     `json:"group,omitempty"`  // at voters with a disk
+	Counts        *Counts           `json:"counts,omitempty"`
+	Owned         map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs owned here
+	HighestTokens map[string]uint64 `json:"seen,omitempty"` // highest tokens that the fence here has accepted
+	LeaseMS       int64             `json:"lease_ms"`       // remaining
 }
 
 // JobRow is a job as this voter's copy of the table has it.
 type JobRow struct {
-	Job    string `json:"job"`
-	Owner  string `json:"owner"`
-	Token  uint64 `json:"token"`
-	Number uint64 `json:"number"`     // of the checkpoint
-	Left   int    `json:"left_bytes"` // size of the checkpoint
-	Since  string `json:"since"`      // last change, RFC 3339
-	Why    string `json:"why"`        // reason of the last change
+	Job              string `json:"job"`
+	Owner            string `json:"owner"`
+	Token            uint64 `json:"token"`
+	CheckpointNumber uint64 `json:"number"`     // of the checkpoint
+	CheckpointBytes  int    `json:"left_bytes"` // size of the checkpoint
+	ChangedAt        string `json:"since"`      // last change, RFC 3339
+	Reason           string `json:"why"`        // reason of the last change
 }
 
 // report fills the answer to owners and status, on the worker.
@@ -55,16 +55,16 @@
 			r.Jobs = append(r.Jobs, newJobRow(row))
 		}
 	}
-	r.Mine, r.Lease = a.core.HeldJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
-	r.Seen = map[string]uint64{}
+	r.Owned, r.LeaseMS = a.core.HeldJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
+	r.HighestTokens = map[string]uint64{}
 	for _, name := range a.jobs.names {
 		if token := a.fence.Last(name); token != (ownership.FencingToken{}) {
-			r.Seen[name] = token.Token
+			r.HighestTokens[name] = token.Token
 		}
 	}
 }
 
 func newJobRow(row *ownership.JobRecord) JobRow {
-	return JobRow{Job: row.Job, Owner: row.Owner, Token: row.Token, Number: row.CheckpointNumber, Left: len(row.Checkpoint),
-		Since: time.UnixMilli(row.Since).UTC().Format(time.RFC3339), Why: row.Reason}
+	return JobRow{Job: row.Job, Owner: row.Owner, Token: row.Token, CheckpointNumber: row.CheckpointNumber, CheckpointBytes: len(row.Checkpoint),
+		ChangedAt: time.UnixMilli(row.ChangedAt).UTC().Format(time.RFC3339), Reason: row.Reason}
 }
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -11,18 +11,18 @@
 
 // Rules is the part of the section (owners ...) on rules that the fleet agrees on.
 type Rules struct {
-	On     bool
-	Within time.Duration // once any proxy acts on a newer rule, none acts on one that it contradicts for longer; default 3 s
-	Cut    string        // what a proxy does whose lease has lapsed: refuse (default) or keep
-	Most   int           // entries that this proxy takes
+	Enabled     bool
+	AgreeWithin time.Duration // once any proxy acts on a newer rule, none acts on one that it contradicts for longer; default 3 s
+	WhenCut     string        // what a proxy does whose lease has lapsed: refuse (default) or keep
+	MaxEntries  int           // entries that this proxy takes
 }
 
 func (r *Rules) bind(f *settings.Form) {
-	*r = Rules{Within: 3 * time.Second, Cut: "refuse", Most: rules.MaxEntries}
-	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.On)
-	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.Within, 500*time.Millisecond, time.Minute)
-	f.Enum("when_cut", "what a proxy does that can't know whether its rules still hold: refuse new requests, or keep to the last ones", &r.Cut, "refuse", "keep")
-	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.Most, 1, rules.MaxEntries)
+	*r = Rules{AgreeWithin: 3 * time.Second, WhenCut: "refuse", MaxEntries: rules.MaxEntries}
+	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.Enabled)
+	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.AgreeWithin, 500*time.Millisecond, time.Minute)
+	f.Enum("when_cut", "what a proxy does that can't know whether its rules still hold: refuse new requests, or keep to the last ones", &r.WhenCut, "refuse", "keep")
+	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.MaxEntries, 1, rules.MaxEntries)
 }
 
 // lapseFaultFactor is how much longer a planted fault lets rules hold.
@@ -51,15 +51,15 @@
 // addRules makes the enforcer, the member and the coordinator's job, before the worker starts.
 func (a *Agent) addRules() {
 	o := a.options.Rules
-	if !o.On {
+	if !o.Enabled {
 		return
 	}
-	within := int64(o.Within)
-	enforcer := &rules.Enforcer{Now: a.now, KeepAfterLapse: o.Cut == "keep", LapsedAdvice: o.Within}
-	member := &rules.Member{AgreeWithin: within, MaxEntries: o.Most, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
+	within := int64(o.AgreeWithin)
+	enforcer := &rules.Enforcer{Now: a.now, KeepAfterLapse: o.WhenCut == "keep", LapsedAdvice: o.AgreeWithin}
+	member := &rules.Member{AgreeWithin: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
 	replies := a.queries.newAsker(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
 	member.SendQuery = func(tag uint64, body []byte) { a.queries.ask(replies, rulesJob, tag, body) }
-	if Planted == "lapse" {
+	if PlantedFault == "lapse" {
 		member.AgreeWithin *= lapseFaultFactor
 	}
 	a.rules.enforcer, a.rules.member = enforcer, member
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -125,7 +125,7 @@
 	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
 		return false
 	}
-	t.add(&JobRecord{Job: c.job, Since: c.changedAt, Reason: "made known"})
+	t.add(&JobRecord{Job: c.job, ChangedAt: c.changedAt, Reason: "made known"})
 	return true
 }
 
@@ -135,7 +135,7 @@
 	if row == nil || c.token <= row.Token {
 		return false
 	}
-	row.Token, row.Owner, row.Incarnation, row.Since, row.Reason = c.token, c.owner, c.incarnation, c.changedAt, c.reason
+	row.Token, row.Owner, row.Incarnation, row.ChangedAt, row.Reason = c.token, c.owner, c.incarnation, c.changedAt, c.reason
 	return true
 }
 
@@ -146,7 +146,7 @@
 	}
 	row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
 	row.clearOwner(c.reason)
-	row.Since = c.changedAt
+	row.ChangedAt = c.changedAt
 	return true
 }
 
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -64,7 +64,7 @@
 func drawFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
 		Kind:         Kinds[rng.IntN(len(Kinds))],
-		BeginsAt:     rng.Int64N(c.Lasts),
+		BeginsAt:     rng.Int64N(c.FaultPeriod),
 		Duration:     minFaultTime + rng.Int64N(faultTimeRange),
 		Process:      rng.IntN(c.Processes),
 		OtherProcess: rng.IntN(c.Processes),
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -14,7 +14,7 @@
 // record plays one plan and gives a line for it.
 func record(seed uint64, samples *golden.Samples) string {
 	c := config(seed)
-	c.Lasts = 5 * Sec
+	c.FaultPeriod = 5 * Sec
 	r, digest := New(c), golden.NewDigest()
 	kept := "memory"
 	if c.Disks {
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -36,7 +36,7 @@
 	Processes, Voters, Jobs int
 	Disks                   bool // voters keep their state on disk (consensus), or else in memory (ownership.Quorum)
 	Seed                    uint64
-	Lasts                   Time // the period in which faults begin; default 30 s
+	FaultPeriod             Time // the period in which faults begin; default 30 s
 	Calm                    bool // no faults at all
 	// Faults of the program that checks have to find: a sync of the disk is skipped; see ownership.QuorumConfig and ownership.Fence for the others.
 	SkipSync, Eager, FromAnswer, Forget bool
@@ -77,8 +77,8 @@
 
 // New makes a fleet.
 func New(c Config) *Run {
-	if c.Lasts <= 0 {
-		c.Lasts = defaultFaultPeriod
+	if c.FaultPeriod <= 0 {
+		c.FaultPeriod = defaultFaultPeriod
 	}
 	r := &Run{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), checks: newChecks(), damagedDisks: map[int]bool{}}
 	r.network = newNetwork(c.Processes)
@@ -131,7 +131,7 @@
 }
 
 func (r *Run) end() Time {
-	end := r.cfg.Lasts + calmTime
+	end := r.cfg.FaultPeriod + calmTime
 	for _, f := range r.plan {
 		end = max(end, f.BeginsAt+f.Duration+calmTime)
 	}
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -23,7 +23,7 @@
 	Incarnation      uint64 // of the owner's process
 	CheckpointNumber uint64 // of Checkpoint; only rises
 	Checkpoint       []byte // what its owners pass on to the next one
-	Since            int64  // wall clock of the last change, Unix milliseconds
+	ChangedAt        int64  // wall clock of the last change, Unix milliseconds
 	Reason           string // of the last change
 }
 
@@ -110,7 +110,7 @@
 
 func (r *JobRecord) encode(w *encoding.Writer) {
 	w.Text(r.Job).Uint(r.Token).Text(r.Owner).Uint(r.Incarnation)
-	w.Uint(r.CheckpointNumber).Bytes(r.Checkpoint).Uint(uint64(r.Since)).Text(r.Reason)
+	w.Uint(r.CheckpointNumber).Bytes(r.Checkpoint).Uint(uint64(r.ChangedAt)).Text(r.Reason)
 }
 
 func decodeRecord(r *encoding.Reader) *JobRecord {
@@ -121,7 +121,7 @@
 		Incarnation:      r.Uint(),
 		CheckpointNumber: r.Uint(),
 		Checkpoint:       append([]byte(nil), r.Bytes(MaxCheckpoint)...),
-		Since:            int64(r.Uint()),
+		ChangedAt:        int64(r.Uint()),
 		Reason:           r.Text(maxReasonBytes),
 	}
 }
--- a/internal/fleet/replica/voter.go
+++ b/internal/fleet/replica/voter.go
@@ -23,12 +23,12 @@
 }
 
 func wrap(err error) *group.StoreError {
-	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), ByItself: disk.Recoverable(err)}
+	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), Retryable: disk.Recoverable(err)}
 }
 
 // Open opens the voter whose store is in a folder.
 func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
-	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.Most)
+	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.MaxBytes)
 	if err != nil {
 		return nil, wrap(err)
 	}
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -184,7 +184,7 @@
 		if err != nil {
 			return nil, err.Error()
 		}
-		for job := range rep.Mine {
+		for job := range rep.Owned {
 			if j, two := out[job]; two {
 				odd = fmt.Sprintf("n%d and n%d both own %s", j, i, job)
 			}
