--- /dev/null
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -0,0 +1,86 @@
+package jobs
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"croftlock/internal/fleet/ownership"
+)
+
+// fakeGroup is what SuspendedHosts meets: receivers with fences, and a group that stores checkpoints.
+type fakeGroup struct {
+	now     Time
+	members []Member
+	fences  map[uint32]*ownership.Fence
+	applied map[uint32][]string // list by receiver
+	deaf    map[uint32]bool     // receivers that hear nothing
+	answers map[uint64]string   // by tag
+
+	job    *SuspendedHosts
+	token  uint64
+	silent bool // the group does not answer
+
+	checkpoint       []byte
+	checkpointNumber uint64
+	leaseEnded       bool
+}
+
+func newFakeGroup(n int) *fakeGroup {
+	g := &fakeGroup{fences: map[uint32]*ownership.Fence{}, applied: map[uint32][]string{}, deaf: map[uint32]bool{}, answers: map[uint64]string{}}
+	for i := range n {
+		peer := uint32(i + 1)
+		g.members = append(g.members, Member{Name: fmt.Sprintf("n%d", i), Peer: peer, Incarnation: 1, Present: true})
+		g.fences[peer] = &ownership.Fence{}
+	}
+	g.newOwner()
+	return g
+}
+
+// newOwner has another owner take over the checkpoint.
+func (g *fakeGroup) newOwner() error {
+	g.token++
+	g.job = &SuspendedHosts{}
+	return g.job.Start(g.now, g, g.token, g.checkpointNumber, g.checkpoint)
+}
+
+func (g *fakeGroup) SendEffect(to uint32, number uint64, body []byte) {
+	g.send(g.job, g.token, to, number, body)
+}
+
+func (g *fakeGroup) send(from *SuspendedHosts, token uint64, to uint32, number uint64, body []byte) {
+	if g.deaf[to] {
+		return
+	}
+	t := ownership.FencingToken{Token: token, Sequence: number}
+	verdict, _ := g.fences[to].Check("hosts", t)
+	if verdict == ownership.Accepted {
+		receiver := &SuspendedHosts{Apply: func(hosts []string) { g.applied[to] = hosts }}
+		receiver.ApplyEffect(g.now, t, body)
+	}
+	from.EffectAcknowledged(g.now, to, t, verdict)
+}
+
+func (g *fakeGroup) StoreCheckpoint(number uint64, checkpoint []byte) error {
+	if g.leaseEnded {
+		return errors.New("the lease has ended")
+	}
+	if !g.silent {
+		g.checkpointNumber, g.checkpoint = number, slices.Clone(checkpoint)
+		g.job.CheckpointStored(g.now, number, true)
+	}
+	return nil
+}
+
+func (g *fakeGroup) Reply(_ uint32, tag uint64, body []byte) { g.answers[tag] = string(body) }
+func (g *fakeGroup) Members() []Member                       { return g.members }
+
+func (g *fakeGroup) ask(tag uint64, command []byte) {
+	g.job.QueryReceived(g.now, 9, tag, command)
+}
+
+func (g *fakeGroup) wait(d Time) {
+	for end := g.now + d; g.now < end; g.now += 50 * ms {
+		g.job.Step(g.now)
+	}
+}
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -6,95 +6,125 @@
 	"testing"
 )
 
-// TestPaceIsKept: through owners that come and go, lost answers and permits that are kept back, all proxies together send no more clients away than the
-// pace lets, and what was handed out in one expiry.
-func TestPaceIsKept(t *testing.T) {
-	const proxies, pace = 8, 40.0
-	for seed := range uint64(60) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		var ps [proxies]*MigrationPacer
-		type word struct {
-			at Time
-			do func(now Time)
+const (
+	pacedProxies = 8
+	fleetRate    = 40.0 // migrations a second
+)
+
+// delayed is a message on its way.
+type delayed struct {
+	at      Time
+	deliver func(now Time)
+}
+
+// pacedFleet is proxies that migrate clients as fast as they may, over a network that loses and delays.
+type pacedFleet struct {
+	rng      *rand.Rand
+	now      Time
+	pacers   [pacedProxies]*MigrationPacer
+	cut      [pacedProxies]bool
+	owner    *MigrationPermits // nil: none
+	replies  replyFunc
+	inFlight []delayed
+	migrated []Time
+}
+
+func newPacedFleet(seed uint64) *pacedFleet {
+	f := &pacedFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1}
+	for i := range f.pacers {
+		f.pacers[i] = &MigrationPacer{Rate: fleetRate, FleetSize: pacedProxies}
+		f.pacers[i].SendQuery = func(tag uint64, body []byte) {
+			f.send(func(now Time) { f.query(now, i, tag, body) })
 		}
-		var words []word
-		var owner *MigrationPermits
-		now := Time(1)
-		var sink answerSink
-		later := func(do func(now Time)) {
-			if rng.Float64() < 0.8 {
-				words = append(words, word{at: now + rng.Int64N(300*ms), do: do})
-			}
+	}
+	return f
+}
+
+func (f *pacedFleet) send(deliver func(now Time)) {
+	if f.rng.Float64() < 0.8 {
+		f.inFlight = append(f.inFlight, delayed{at: f.now + f.rng.Int64N(300*ms), deliver: deliver})
+	}
+}
+
+func (f *pacedFleet) query(now Time, proxy int, tag uint64, body []byte) {
+	if f.owner == nil || f.cut[proxy] {
+		return
+	}
+	f.replies.reply = func(b []byte) {
+		answer := slices.Clone(b)
+		f.send(func(now Time) { f.pacers[proxy].ReplyReceived(now, tag, answer) })
+	}
+	f.owner.QueryReceived(now, uint32(proxy), tag, body)
+}
+
+// step changes the owner and the links now and then, delivers what is due, and migrates.
+func (f *pacedFleet) step() {
+	if f.rng.IntN(150) == 0 {
+		if f.owner = nil; f.rng.IntN(2) == 0 {
+			f.owner = &MigrationPermits{Rate: fleetRate, FleetSize: pacedProxies}
+			f.owner.Start(f.now, &f.replies, 1, 1, nil)
+		}
+	}
+	if f.rng.IntN(200) == 0 {
+		i := f.rng.IntN(pacedProxies)
+		f.cut[i] = !f.cut[i]
+	}
+	for k := 0; k < len(f.inFlight); k++ {
+		if d := f.inFlight[k]; d.at <= f.now {
+			f.inFlight = slices.Delete(f.inFlight, k, k+1)
+			k--
+			d.deliver(f.now)
+		}
+	}
+	for i := range f.pacers {
+		for range f.pacers[i].Allow(f.now, 5) {
+			f.migrated = append(f.migrated, f.now)
 		}
-		cut := [proxies]bool{}
-		for i := range ps {
-			ps[i] = &MigrationPacer{Rate: pace, FleetSize: proxies}
-			ps[i].SendQuery = func(tag uint64, body []byte) {
-				later(func(now Time) {
-					if owner == nil || cut[i] {
-						return
-					}
-					o := owner
-					sink.f = func(b []byte) {
-						answer := slices.Clone(b)
-						later(func(now Time) { ps[i].ReplyReceived(now, tag, answer) })
-					}
-					o.QueryReceived(now, uint32(i), tag, body)
-				})
-			}
+	}
+}
+
+// mostIn is the most migrations in any period so long.
+func (f *pacedFleet) mostIn(period Time) (most int) {
+	for i, j := 0, 0; i < len(f.migrated); i++ {
+		for f.migrated[i]-f.migrated[j] > period {
+			j++
 		}
-		moved := []Time{}
-		for ; now < 60*sec; now += 20 * ms {
-			if rng.IntN(150) == 0 {
-				if owner = nil; rng.IntN(2) == 0 {
-					owner = &MigrationPermits{Rate: pace, FleetSize: proxies}
-					owner.Start(now, &sink, 1, 1, nil)
-				}
-			}
-			if rng.IntN(200) == 0 {
-				i := rng.IntN(proxies)
-				cut[i] = !cut[i]
-			}
-			for k := 0; k < len(words); k++ {
-				if w := words[k]; w.at <= now {
-					words = slices.Delete(words, k, k+1)
-					k--
-					w.do(now)
-				}
-			}
-			for i := range ps {
-				for range ps[i].Allow(now, 5) {
-					moved = append(moved, now)
-				}
-			}
+		most = max(most, i-j+1)
+	}
+	return most
+}
+
+// TestRateIsKept: through owners that come and go, lost answers and permits that are kept back, all proxies together migrate no more clients than
+// the rate lets, and what an owner handed out in a permit's lifetime before.
+func TestRateIsKept(t *testing.T) {
+	for seed := range uint64(60) {
+		f := newPacedFleet(seed)
+		for ; f.now < 60*sec; f.now += 20 * ms {
+			f.step()
 		}
-		// Over any two seconds: the pace, and what an owner may have handed out in the second before.
-		for i, j := 0, 0; i < len(moved); i++ {
-			for moved[i]-moved[j] > 2*sec {
-				j++
-			}
-			if n := i - j + 1; float64(n) > 2*pace+pace*float64(permitLifetime)/float64(sec)+pace/4+proxies {
-				t.Fatalf("seed %d: %d in two seconds, at a pace of %.0f a second", seed, n, pace)
-			}
+		bound := 2*fleetRate + fleetRate*float64(permitLifetime)/float64(sec) + fleetRate/4 + pacedProxies
+		if n := f.mostIn(2 * sec); float64(n) > bound {
+			t.Fatalf("seed %d: %d in two seconds, at a rate of %.0f a second", seed, n, fleetRate)
 		}
-		if len(moved) < 60*int(pace)/4 {
-			t.Fatalf("seed %d: %d in a minute: hardly any", seed, len(moved))
+		if len(f.migrated) < 60*int(fleetRate)/4 {
+			t.Fatalf("seed %d: %d in a minute: hardly any", seed, len(f.migrated))
 		}
 	}
 }
 
-type answerSink struct{ f func([]byte) }
+// replyFunc is an Owner that only replies.
+type replyFunc struct{ reply func([]byte) }
 
-func (s *answerSink) SendEffect(uint32, uint64, []byte) {}
+func (r *replyFunc) SendEffect(uint32, uint64, []byte) {}
 
-func (s *answerSink) StoreCheckpoint(uint64, []byte) error { return nil }
+func (r *replyFunc) StoreCheckpoint(uint64, []byte) error { return nil }
 
-func (s *answerSink) Reply(_ uint32, _ uint64, body []byte) { s.f(body) }
+func (r *replyFunc) Reply(_ uint32, _ uint64, body []byte) { r.reply(body) }
 
-func (s *answerSink) Members() []Member { return nil }
+func (r *replyFunc) Members() []Member { return nil }
 
-// TestPaceWithoutOwner: alone, a proxy keeps to its share.
-func TestPaceWithoutOwner(t *testing.T) {
+// TestRateWithoutOwner: without an owner a proxy keeps to its share.
+func TestRateWithoutOwner(t *testing.T) {
 	p := &MigrationPacer{Rate: 10, FleetSize: 5}
 	n := 0
 	for now := Time(1); now < 10*sec; now += 20 * ms {
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -88,7 +88,7 @@
 }
 
 // alone is one process, its own only voter.
-func alone(t *testing.T, o Options) (*Agent, *netio.Loop) {
+func startAlone(t *testing.T, o Options) (*Agent, *netio.Loop) {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -126,7 +126,7 @@
 	return x.s, l
 }
 
-func await(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -136,14 +136,14 @@
 }
 
 // breaks is a job that panics: at each start, or at its second step.
-type breaks struct {
+type panickingJob struct {
 	jobs.Drill
 	atStart bool
 	starts  atomic.Int64
 	steps   int
 }
 
-func (b *breaks) Start(now jobs.Time, o jobs.Owner, token, number uint64, left []byte) error {
+func (b *panickingJob) Start(now jobs.Time, o jobs.Owner, token, number uint64, left []byte) error {
 	b.starts.Add(1)
 	b.steps = 0
 	if b.atStart {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (b *breaks) Step(jobs.Time) {
+func (b *panickingJob) Step(jobs.Time) {
 	if b.steps++; b.steps == 2 {
 		panic("it breaks")
 	}
@@ -160,16 +160,16 @@
 
 // TestJobsThatPanic: they are begun again after longer and longer times, and two hundred others are not touched.
 func TestJobsThatPanic(t *testing.T) {
-	first, second := &breaks{atStart: true}, &breaks{}
+	first, second := &panickingJob{atStart: true}, &panickingJob{}
 	more = map[string]jobs.Job{"breaks-at-start": first, "breaks-later": second}
 	defer func() { more = nil }()
 	began := time.Now()
-	s, _ := alone(t, Options{Drills: 200, Dir: t.TempDir()})
+	s, _ := startAlone(t, Options{Drills: 200, Dir: t.TempDir()})
 	report := func() (r Reply) {
 		s.onWorker(func() { s.report(&r) })
 		return r
 	}
-	await(t, "200 jobs have no owner", func() bool {
+	eventually(t, "200 jobs have no owner", func() bool {
 		n := 0
 		for job := range report().Owned {
 			if strings.HasPrefix(job, "drill") {
@@ -178,12 +178,12 @@
 		}
 		return n == 200
 	})
-	await(t, "what panics is not begun again", func() bool { return first.starts.Load() >= 3 && second.starts.Load() >= 3 })
+	eventually(t, "what panics is not begun again", func() bool { return first.starts.Load() >= 3 && second.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
 	// A second at least lies between two beginnings, also where a starved process coordinates anew and has forgotten how often they failed;
 	// without it the job would begin at every step, tens of times a second.
 	took := time.Since(began)
-	for _, b := range []*breaks{first, second} {
+	for _, b := range []*panickingJob{first, second} {
 		if n, most := b.starts.Load(), 3+int64(2*took.Seconds()); n > most {
 			t.Errorf("%d beginnings in %v: no time is left between them", n, took)
 		}
@@ -202,7 +202,7 @@
 // TestAdminSocket: bad requests get a clear word, and the socket is its owner's alone.
 func TestAdminSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, _ := alone(t, Options{SuspendHosts: true, Socket: path})
+	s, _ := startAlone(t, Options{SuspendHosts: true, Socket: path})
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
@@ -222,11 +222,11 @@
 			t.Errorf("%s: %+v %v", c.q, r, err)
 		}
 	}
-	await(t, "a host is not taken out", func() bool {
+	eventually(t, "a host is not taken out", func() bool {
 		r, err := Ask(path, Request{Do: "suspend", A: "s1"})
 		return err == nil && r.Answer == "done at all 1"
 	})
-	await(t, "the list does not tell", func() bool {
+	eventually(t, "the list does not tell", func() bool {
 		r, err := Ask(path, Request{Do: "list"})
 		return err == nil && r.Answer == "out for the fleet: s1"
 	})
@@ -238,8 +238,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "voter.db"), []byte(strings.Repeat("no store ", 4000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, _ := alone(t, Options{Drills: 1, Dir: dir})
-	await(t, "it does not say what is wrong", func() bool {
+	s, _ := startAlone(t, Options{Drills: 1, Dir: dir})
+	eventually(t, "it does not say what is wrong", func() bool {
 		var r Reply
 		s.onWorker(func() { s.report(&r) })
 		return strings.Contains(r.Store, "unreadable") && len(r.Owned) == 0
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -158,7 +158,7 @@
 	case row.Owner == to:
 		return fmt.Sprintf("%s owns %s already", to, job)
 	}
-	c.beginHandover(Placement{Job: job, To: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
+	c.beginHandover(Placement{Job: job, Member: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
 	c.sendJobLists()
 	return ""
 }
--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/placejobs.go
@@ -169,8 +169,8 @@
 		return p
 	}
 	delete(c.handovers.byJob, p.Job)
-	if s := c.sessions.latest(h.To); s != nil && s.offers[p.Job] && s.able {
-		p.To, p.Incarnation, p.Reason = h.To, s.incarnation, h.Reason
+	if s := c.sessions.latest(h.Member); s != nil && s.offers[p.Job] && s.able {
+		p.Member, p.Incarnation, p.Reason = h.Member, s.incarnation, h.Reason
 	}
 	return p
 }
@@ -190,6 +190,6 @@
 // grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
 func (c *coordinator) grant(p Placement) {
 	token := max(c.table.Job(p.Job).Token+1, c.epoch<<tokensPerEpochBits)
-	cmd := grantCommand{job: p.Job, token: token, changedAt: c.cfg.Wall(), owner: p.To, incarnation: p.Incarnation, reason: p.Reason}
+	cmd := grantCommand{job: p.Job, token: token, changedAt: c.cfg.Wall(), owner: p.Member, incarnation: p.Incarnation, reason: p.Reason}
 	c.propose(cmd, proposal{job: p.Job, exclusive: true})
 }
--- a/internal/fleet/ownership/placement.go
+++ b/internal/fleet/ownership/placement.go
@@ -14,7 +14,7 @@
 
 // Placement is one decision: a job for a process.
 type Placement struct {
-	Job, To, Reason string
+	Job, Member, Reason string
 	Incarnation     uint64
 	Handover        bool // the present owner is to release the job first
 }
@@ -60,7 +60,7 @@
 	for _, job := range free {
 		if to := a.best(job, "", 0); to != nil {
 			a.load[to.Name]++
-			placements = append(placements, Placement{Job: job, To: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
+			placements = append(placements, Placement{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
 		}
 	}
 	if handover, ok := a.handover(owned); ok {
@@ -134,5 +134,5 @@
 }
 
 func handoverTo(job string, to *Candidate, reason string) Placement {
-	return Placement{Job: job, To: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
+	return Placement{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
 }
--- a/internal/fleet/ownership/placement_test.go
+++ b/internal/fleet/ownership/placement_test.go
@@ -27,7 +27,7 @@
 	}
 	load := map[string]int{}
 	for _, p := range Assign(placementTestTime, jobs, nil, changedLongAgo, stableCandidates()) {
-		load[p.To]++
+		load[p.Member]++
 	}
 	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
 		t.Errorf("200 jobs are spread %v", load)
@@ -51,7 +51,7 @@
 		c.change(candidates)
 		got := Assign(placementTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
 		switch {
-		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].To != c.want || !got[0].Handover):
+		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].Member != c.want || !got[0].Handover):
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -59,7 +59,7 @@
 
 func TestRebalance(t *testing.T) {
 	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
-	if got := Assign(placementTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].To != "c" {
+	if got := Assign(placementTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
 		t.Errorf("two at one and none at another: %+v", got)
 	}
 	changedJustNow := func(string) Time { return placementTestTime - 2*sec }
