--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -11,12 +11,12 @@
 // Time is nanoseconds on the caller's monotonic clock.
 type Time = int64
 
-// Peer is the number of a member in messages, the same as membership's: it tells who sent a datagram.
+// Peer is the number of a member in messages, the same as membership's: it identifies the sender of a datagram.
 func Peer(name string) uint32 { return membership.ID(name) }
 
 // Machine is a state machine of the group. The same commands in the same order bring it to the same state at every voter.
 type Machine interface {
-	// Apply carries out a command, and gives its result to whoever proposed it.
+	// Apply carries out a command, and gives its result to the proposer.
 	Apply(cmd []byte) (result []byte)
 	// Snapshot encodes the whole state.
 	Snapshot() []byte
--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -11,7 +11,7 @@
 // Drill is a job that only sends every proxy a number: with it operators try the fleet's owners before anything rests on them.
 type Drill struct {
 	Interval Time // between two numbers
-	// Received hears of each effect at this process; nil: nobody does.
+	// Received is called with each effect at this process; nil: it is not.
 	Received func(token ownership.FencingToken)
 	// Late, once set, is called in the next step after the look at the lease and before the effects are sent: whatever happens in between,
 	// receivers have to reject what comes late.
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -46,9 +46,9 @@
 	Stop() (checkpointNumber uint64, checkpoint []byte)
 	// QueryReceived takes a question from another process; Owner.Reply answers it.
 	QueryReceived(now Time, from uint32, tag uint64, body []byte)
-	// EffectAcknowledged tells a receiver's verdict on an effect.
+	// EffectAcknowledged reports a receiver's verdict on an effect.
 	EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict)
-	// CheckpointStored tells whether the group has stored a checkpoint.
+	// CheckpointStored reports whether the group has stored a checkpoint.
 	CheckpointStored(now Time, checkpointNumber uint64, stored bool)
 	// ApplyEffect carries out an effect that the fence has accepted.
 	ApplyEffect(now Time, token ownership.FencingToken, body []byte)
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -29,7 +29,7 @@
 	expiresAt Time
 }
 
-// Allow tells how many of so many clients may be migrated now, and asks for permits for the rest.
+// Allow reports how many of the wanted migrations may happen now, and asks for permits for the rest.
 func (p *MigrationPacer) Allow(now Time, want int) int {
 	allowed := p.usePermits(now, want)
 	allowed += p.useOwnShare(now, want-allowed)
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -69,7 +69,7 @@
 }
 
 // QueryReceived takes an operator's command. It is stored, and sent, also where it changes nothing: the answer says where it holds, and a list is
-// that of an owner whom the group has heard since.
+// that of an owner which the group still accepts.
 func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if h.owner == nil {
 		return
@@ -168,7 +168,7 @@
 	h.answerWhere(func(w *waitingCommand) bool { return now >= w.deadline })
 }
 
-// answerAll answers all commands: the lease has ended, and nobody here learns what becomes of them.
+// answerAll answers all commands: the lease has ended, and their result will not be known here.
 func (h *SuspendedHosts) answerAll() {
 	h.answerWhere(func(*waitingCommand) bool { return true })
 }
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -106,7 +106,7 @@
 // now is the worker's monotonic clock, above 0.
 func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
 
-// refreshView tells the worker who is in the fleet, from the loop, until the worker stops.
+// refreshView passes the members of the fleet to the worker, from the loop, until the worker stops.
 func (a *Agent) refreshView() {
 	if a.worker.stopping() {
 		return
@@ -132,7 +132,7 @@
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// unheardMembers counts, by name, how many members do not hear a member.
+// unheardMembers counts, by name, how many members can't hear a member.
 func (a *Agent) unheardMembers(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// alone is one process, its own only voter.
+// startAlone starts one process, its own only voter.
 func startAlone(t *testing.T, o Options) (*Agent, *netio.Loop) {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -99,20 +99,20 @@
 	l := netio.NewLoop()
 	go l.Run()
 	t.Cleanup(l.Stop)
-	type made struct {
-		s   *Agent
-		err error
+	type started struct {
+		agent *Agent
+		err   error
 	}
-	got := make(chan made, 1)
+	got := make(chan started, 1)
 	l.Post(func() {
 		m, err := memberagent.Start(l, memberagent.Options{On: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), memberagent.Platform{})
 		if err != nil {
-			got <- made{nil, err}
+			got <- started{nil, err}
 			return
 		}
 		o.Enabled, o.Group, o.Voters, o.MaxStoreKB = true, "g", []string{"a"}, 8192
 		s, err := Start(l, o, "a", m, func([]string) {})
-		got <- made{s, err}
+		got <- started{s, err}
 	})
 	x := <-got
 	if x.err != nil {
@@ -120,10 +120,10 @@
 	}
 	t.Cleanup(func() {
 		done := make(chan struct{})
-		l.Post(func() { x.s.Yield(); close(done) })
+		l.Post(func() { x.agent.Yield(); close(done) })
 		<-done
 	})
-	return x.s, l
+	return x.agent, l
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// breaks is a job that panics: at each start, or at its second step.
+// panickingJob is a job that panics: at each start, or at its second step.
 type panickingJob struct {
 	jobs.Drill
 	atStart bool
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -30,7 +30,7 @@
 	c.agent.jobs.guard(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
 
-// EffectAcknowledged tells a job a receiver's verdict.
+// EffectAcknowledged passes a receiver's verdict to the job.
 func (c coreEffects) EffectAcknowledged(peer uint32, job string, token ownership.FencingToken, v ownership.Verdict, highest ownership.FencingToken) {
 	if v == ownership.Stale {
 		slog.Warn("stale_owner", "job", job, "token", token.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
@@ -38,7 +38,7 @@
 	c.agent.jobs.guardOwned(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
 
-// CheckpointStored tells a job what became of its checkpoint.
+// CheckpointStored passes the result to the job.
 func (c coreEffects) CheckpointStored(job string, token, checkpointNumber uint64, stored bool) {
 	if c.agent.jobs.owned[job] == token {
 		c.agent.jobs.guard(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
@@ -53,7 +53,7 @@
 	}
 }
 
-// ReplyReceived passes an answer to whoever asked.
+// ReplyReceived passes an answer to the asker.
 func (c coreEffects) ReplyReceived(tag uint64, body []byte) { c.agent.queries.replyReceived(tag, body) }
 
 // LogEvent counts stale effects and logs them as warnings, other events at level info.
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -56,7 +56,7 @@
 // maxVoters bounds the voters of the section.
 const maxVoters = 7
 
-// setVoters takes the names, and tells whether they are 1 to maxVoters different ones.
+// setVoters takes the names, and reports whether they are 1 to maxVoters different ones.
 func (o *Options) setVoters(names string) bool {
 	o.Voters = strings.Fields(names)
 	sorted := slices.Clone(o.Voters)
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -46,12 +46,12 @@
 
 func issuerJob(shard int) string { return fmt.Sprintf("limits%d", shard) }
 
-// IsLimited tells whether an account has limits over the fleet.
+// IsLimited reports whether an account has limits over the fleet.
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
 // Acquire asks for one more connection of an account; then is called on the loop.
 func (a *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
-	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // whoever has waited long enough is told so
+	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // ends the wait of those that no issuer has answered
 	a.quota.client.Acquire(account, spread, func(over string, advice time.Duration) {
 		a.loop.Post(func() { then(over, advice) })
 	})
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -23,7 +23,7 @@
 // Voter is a voter with a disk.
 type Voter interface {
 	ownership.Group
-	// Stopped tells why the voter can't go on; nil: it can.
+	// Stopped gives the reason why the voter can't go on; nil: it can.
 	Stopped() *group.StoreError
 	Status() group.Status
 	Add(now group.Time, tag uint64, name string) error
@@ -102,7 +102,7 @@
 	r.group, r.voter = v, v
 }
 
-// closeIfStopped gives up a voter that can't go on, and tells whether it did.
+// closeIfStopped gives up a voter that can't go on, and reports whether it did.
 func (r *replica) closeIfStopped() bool {
 	if r.voter == nil {
 		return false
@@ -138,7 +138,7 @@
 	slog.Error("store_failed", "reason", err, "needs_kb", r.options.MaxStoreKB, "tried_again", err.Retryable)
 }
 
-// retryDue tells, once, that the store is to be opened again.
+// retryDue reports, once, that the store is to be opened again.
 func (r *replica) retryDue() bool {
 	if r.failure == "" || r.retryAt.IsZero() || !time.Now().After(r.retryAt) {
 		return false
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -32,7 +32,7 @@
 type ruleAgreement struct {
 	enforcer  *rules.Enforcer // nil: off
 	member    *rules.Member
-	onChanged func() // on the worker, once this process acts by another version; nil: nobody is told
+	onChanged func() // on the worker, once this process acts by another version; nil: not reported
 }
 
 func (r *ruleAgreement) tick(now int64) {
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -19,7 +19,7 @@
 // maxRaisedToken leaves room above a token that a receiver reports.
 const maxRaisedToken = 1 << 62
 
-// tableCommand is a change of the table. apply tells whether it was accepted; one that is rejected changes nothing.
+// tableCommand is a change of the table. apply reports whether it was accepted; one that is rejected changes nothing.
 type tableCommand interface {
 	encode() []byte
 	apply(t *Table) bool
@@ -164,7 +164,7 @@
 	return row
 }
 
-// apply clears the owner too: the higher token may have been another's, so nobody continues under it.
+// apply clears the owner too: the higher token may have been another's, so no owner continues under it.
 func (c raiseTokenCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token || c.token > maxRaisedToken {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -51,7 +51,7 @@
 	c.changedAt = map[string]Time{}
 }
 
-// becomeCoordinator begins an epoch. What an earlier coordinator knew is not known here, so nobody is given up before a lease that it may
+// becomeCoordinator begins an epoch. What an earlier coordinator knew is not known here, so no owner is given up before a lease that it may
 // have granted has ended.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
 	c.epoch, c.leadsSince, c.emptyAtStart = epoch, c.now, c.table.Version == 0
@@ -176,7 +176,7 @@
 	}
 }
 
-// sendJobList tells a process what it is to own, where that has changed since it was told, or it seems not to have the last list.
+// sendJobList sends a process the list of what it is to own, where that has changed since the last list, or the process seems not to have it.
 func (c *coordinator) sendJobList(s *session) {
 	current := c.table.Version + 1
 	if s.notifiedVersion == current && (!s.behind || c.now-s.notifiedAt < listRepeatInterval) {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -47,9 +47,9 @@
 	Stop(job string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte)
 	// Effect carries out an effect that the fence has accepted.
 	Effect(job string, token FencingToken, body []byte)
-	// EffectAcknowledged tells an owner a receiver's verdict on its effect.
+	// EffectAcknowledged passes a receiver's verdict to the owner of the job.
 	EffectAcknowledged(peer uint32, job string, token FencingToken, v Verdict, highest FencingToken)
-	// CheckpointStored tells an owner whether a checkpoint was stored or rejected.
+	// CheckpointStored reports to an owner whether a checkpoint was stored or rejected.
 	CheckpointStored(job string, token, checkpointNumber uint64, stored bool)
 	// QueryReceived passes on a query to a job that this process owns.
 	QueryReceived(peer uint32, job string, tag uint64, body []byte)
@@ -58,7 +58,7 @@
 	LogEvent(event string, args ...any)
 }
 
-// processID tells two processes of one name apart: both may be there for a moment.
+// processID distinguishes two processes of one name: both may run for a moment.
 type processID struct {
 	name        string
 	incarnation uint64
@@ -149,10 +149,10 @@
 	}
 }
 
-// SetAble says whether this process is fit to own jobs: not while it is starved or short of disk.
+// SetAble sets whether this process is fit to own jobs: not while it is starved or short of disk.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
-// SetUnreachable says from how many members each member can't be heard. The coordinator keeps jobs away from such members.
+// SetUnreachable sets from how many members each member can't be heard. The coordinator keeps jobs away from such members.
 func (c *Core) SetUnreachable(unreachableFrom map[string]int) {
 	c.coordinator.unreachableFrom = unreachableFrom
 }
@@ -164,8 +164,8 @@
 	c.participant.leave(reason)
 }
 
-// HasLeft tells whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
-// its proposals as well: what it has granted and told nobody would be idle until the next coordinator.
+// HasLeft reports whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
+// its proposals as well: a job that it has granted without notifying the new owner would be idle until the next coordinator.
 func (c *Core) HasLeft() bool {
 	if c.participant.leaseEnded() {
 		return true
@@ -180,7 +180,7 @@
 	c.participant.jobFailed(job, token, reason)
 }
 
-// Holds tells whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
+// Holds reports whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
 // are for that.
 func (c *Core) Holds(now Time, job string, token uint64) bool {
 	c.advance(now)
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -3,7 +3,7 @@
 // FencingToken orders the effects of a job: by the owner's token, then by the number that the owner gave the effect.
 type FencingToken struct{ Token, Sequence uint64 }
 
-// Before tells whether t comes before other.
+// Before reports whether t comes before other.
 func (t FencingToken) Before(other FencingToken) bool {
 	return t.Token < other.Token || t.Token == other.Token && t.Sequence < other.Sequence
 }
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -3,7 +3,7 @@
 // processLease is the lease of a process, under which it holds all its jobs, and the search for the coordinator that grants it.
 type processLease struct {
 	end         Time   // as this process counts it; 0: it never had one
-	leader      uint32 // whom this process takes for the coordinator; 0: nobody
+	leader      uint32 // taken for the coordinator; 0: unknown
 	heardAt     Time   // the coordinator, last
 	requestedAt Time   // last; 0: at once
 	sequence    uint64 // of the last request
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -71,7 +71,7 @@
 	checkpoint       []byte
 }
 
-// jobReleased tells the coordinator that a process has stopped a job; repeated until the job list no longer holds it.
+// jobReleased notifies the coordinator that a process has stopped a job; repeated until the job list no longer holds it.
 type jobReleased struct {
 	sender           processID
 	able             bool
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -65,7 +65,7 @@
 	return tokens
 }
 
-// owns tells whether this process may act as a job's owner now.
+// owns reports whether this process may act as a job's owner now.
 func (p *participant) owns(job string) bool {
 	h := p.held[job]
 	return h != nil && !h.released && !p.leaseEnded()
@@ -75,7 +75,7 @@
 	return p.owns(job) && p.held[job].token == token
 }
 
-// mayBeAssigned tells whether this process should be given jobs. One whose lease ended without a renewal may be deaf: it would not hear of
+// mayBeAssigned reports whether this process should be given jobs. One whose lease ended without a renewal may receive nothing: it would not learn of
 // a job either, though its requests arrive.
 func (p *participant) mayBeAssigned() bool {
 	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
@@ -100,7 +100,7 @@
 	}
 }
 
-// release stops a job here. The coordinator is told, with the checkpoint, until it has taken the job back.
+// release stops a job here. The coordinator is notified, with the checkpoint, until it has taken the job back.
 func (p *participant) release(job string, h *heldLease, reason string) {
 	h.released, h.reason = true, reason
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
@@ -133,7 +133,7 @@
 	p.dropUnlisted(m.jobs)
 	for _, j := range m.jobs {
 		if p.held[j.job] == nil && !p.acquire(j) {
-			p.listSequence = m.sequence - 1 // looks not yet heard, so that the list is sent again
+			p.listSequence = m.sequence - 1 // as if not received, so that the list is sent again
 		}
 	}
 }
--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/placejobs.go
@@ -92,7 +92,7 @@
 	offered map[string]bool
 }
 
-// candidates ends the sessions whose lease has surely ended, and gives the others that are heard.
+// candidates ends the sessions whose lease has surely ended, and gives the others whose requests arrive.
 func (c *coordinator) candidates() candidateSet {
 	set := candidateSet{offered: map[string]bool{}}
 	for _, s := range c.sessions.ordered() {
@@ -183,7 +183,7 @@
 		return
 	}
 	if s := c.sessions[processID{row.Owner, row.Incarnation}]; s != nil {
-		s.notifiedVersion = 0 // it is to hear at once
+		s.notifiedVersion = 0 // its list is sent at once
 	}
 }
 
--- a/internal/fleet/ownership/placement.go
+++ b/internal/fleet/ownership/placement.go
@@ -6,7 +6,7 @@
 type Candidate struct {
 	Name            string
 	Incarnation     uint64
-	Able            bool // not leaving, starved or short of disk, and heard
+	Able            bool // not leaving, starved or short of disk
 	UnreachableFrom int  // members that can't hear it; fewer is better
 	StableFor       Time // how long it has been able without a break
 	Offers          func(job string) bool
@@ -15,13 +15,13 @@
 // Placement is one decision: a job for a process.
 type Placement struct {
 	Job, Member, Reason string
-	Incarnation     uint64
-	Handover        bool // the present owner is to release the job first
+	Incarnation         uint64
+	Handover            bool // the present owner is to release the job first
 }
 
 // A job that has an owner stays where it is unless its place has been worse for a while: a link that flaps must not move jobs to and fro.
 const (
-	handoverHoldDown  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to hear
+	handoverHoldDown  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to reach
 	rebalanceHoldDown = 10 * sec // since the last change, before a job moves to even out the load
 )
 
@@ -47,7 +47,7 @@
 }
 
 // Assign places all free jobs, and asks for one handover at most. free are jobs without an owner, in order; owned are the others, and
-// changedAt tells when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
+// changedAt gives when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
 func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Placement {
 	a := assignment{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
 	for i := range candidates {
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -24,7 +24,7 @@
 
 func (ps *proposals) none() bool { return len(ps.byTag) == 0 }
 
-// busy tells whether a job's owner is about to change.
+// busy reports whether a job's owner is about to change.
 func (ps *proposals) busy(job string) bool { return ps.inFlight[job] != 0 }
 
 func (ps *proposals) add(tag uint64, p proposal) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// remove ends a proposal, and tells whether it was the job's exclusive one.
+// remove ends a proposal, and reports whether it was the job's exclusive one.
 func (ps *proposals) remove(tag uint64) (p proposal, wasExclusive, known bool) {
 	p, known = ps.byTag[tag]
 	if !known {
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// Leading tells whether this process leads: not after its lease, whatever else it heard.
+// Leading reports whether this process leads: not after its lease, whatever it received.
 func (q *Quorum) Leading() (epoch uint64, ok bool) {
 	return q.leader.epoch, q.leads() && q.now < q.leader.leaseEnd && q.stateIsReplicated()
 }
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -103,7 +103,7 @@
 
 // mayBeginIncomplete decides where the promises come from no majority with state. A majority knew what was committed, but voters that lost
 // their memory since do not count towards one that surely holds it. So the others are waited for, and only then does an epoch begin that may
-// lack something; its machines are told (Table.MarkUncertain).
+// lack something; its machines are marked (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
@@ -128,7 +128,7 @@
 	switch {
 	case m.epoch == 0:
 	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
-		// Another was a candidate while this voter did not hear. The lease is renewed under a higher ballot, or this voter's grant would be lost.
+		// Another was a candidate while this voter was cut off. The lease is renewed under a higher ballot, or this voter's grant would be lost.
 		q.leader.ballot = q.nextBallot()
 	case m.epoch == q.candidate.ballot:
 		q.abandonElection()
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -43,7 +43,7 @@
 	return q.log.position
 }
 
-// stateIsReplicated tells whether a majority has the state that the epoch begins with. Before, what this process grants could be lost with it.
+// stateIsReplicated reports whether a majority has the state that the epoch begins with. Before, what this process grants could be lost with it.
 func (q *Quorum) stateIsReplicated() bool { return q.isMajority(len(q.log.acknowledged)) }
 
 func (q *Quorum) sendState(to uint32) {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// Confirm needs no round of messages: while the lease lasts nobody else leads.
+// Confirm needs no round of messages: while the lease lasts no other voter leads.
 func (q *Quorum) Confirm(now Time, tag uint64) error {
 	q.now = max(q.now, now)
 	if _, ok := q.Leading(); !ok {
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -56,7 +56,7 @@
 	promised uint64 // the voter's highest ballot
 }
 
-// leaseYielded tells voters that the leader of an epoch gives up its lease.
+// leaseYielded notifies voters that the leader of an epoch gives up its lease.
 type leaseYielded struct{ epoch uint64 }
 
 // stateRequest asks the voter with the latest state for it.
@@ -75,7 +75,7 @@
 	entries []logEntry
 }
 
-// appendAcknowledged tells the leader how far a follower's state is.
+// appendAcknowledged reports to the leader how far a follower's state is.
 type appendAcknowledged struct{ position logPosition }
 
 func encodeQuorumKind(kind uint64, groupName string) *encoding.Writer {
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -8,13 +8,13 @@
 	grantEnd Time   // as this voter counts it
 }
 
-// mayGrantTo tells whether no other's lease lasts. A voter grants the lead to one at a time, so what a majority has granted to one nobody else
+// mayGrantTo reports whether no other's lease lasts. A voter grants the lead to one at a time, so what a majority has granted to one no other
 // can have.
 func (v *voterState) mayGrantTo(candidate uint32, now Time) bool {
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains tells whether an earlier process of this voter may have granted a lease that lasts, which this one does not know.
+// abstains reports whether an earlier process of this voter may have granted a lease that lasts, which this one does not know.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Eager && q.now < q.startedAt+lengthened(q.cfg.Lease)
 }
@@ -56,7 +56,7 @@
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: q.machines.snapshot()})
 }
 
-// follows tells whether this voter takes an epoch's commands from a process: only while what it granted lasts. A candidate that it promised
+// follows reports whether this voter takes an epoch's commands from a process: only while what it granted lasts. A candidate that it promised
 // a ballot since would begin without them.
 func (q *Quorum) follows(from uint32, epoch uint64) bool {
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -15,7 +15,7 @@
 	maxMachines   = 256
 )
 
-// logPosition is a place in the order of all commands: versions begin anew in each epoch.
+// logPosition is a place in the order of all commands: versions start at 0 in each epoch.
 type logPosition struct{ epoch, version uint64 }
 
 func (p logPosition) before(other logPosition) bool {
@@ -76,7 +76,7 @@
 	return logEntry{}, false
 }
 
-// holdsAfter tells whether no entry after a version has been dropped.
+// holdsAfter reports whether no entry after a version has been dropped.
 func (l *replicatedLog) holdsAfter(version uint64) bool {
 	return len(l.entries) > 0 && l.entries[0].version <= version+1
 }
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -115,7 +115,7 @@
 	claims := l.waiting
 	l.waiting = nil
 	if c.table.uncertain {
-		return // whoever owns something is to stop: it may be missing from the table
+		return // owners are to stop: their jobs may be missing from the table
 	}
 	tag := c.nextTag()
 	l.byTag[tag] = claims
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -24,7 +24,7 @@
 	broken       []string
 	ownerOf      map[grant]string  // process and incarnation
 	highestToken map[string]uint64 // that a job was started under
-	stored       map[string]uint64 // highest checkpoint number that an owner was told is stored
+	stored       map[string]uint64 // highest checkpoint number that was reported as stored
 	ownedAt      map[string]Time   // last time that a job had an owner
 }
 
@@ -86,7 +86,7 @@
 	r.noteGaps(owners)
 }
 
-// leads tells whether a voter leads by its lease. With disks two may believe so: there each command is confirmed.
+// leads reports whether a voter leads by its lease. With disks two may believe so: there each command is confirmed.
 func (r *Run) leads(p *process) bool {
 	if r.cfg.Disks || p.group == nil {
 		return false
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -98,7 +98,7 @@
 	r.start(p)
 }
 
-// mayDamageDisk tells whether a voter's disk may be lost or put back: the group promises nothing where more than a minority is damaged.
+// mayDamageDisk reports whether a voter's disk may be lost or put back: the group promises nothing where more than a minority is damaged.
 func (r *Run) mayDamageDisk(voter int) bool {
 	if !r.cfg.Disks || voter >= r.cfg.Voters {
 		return false
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -27,8 +27,8 @@
 	faultAllKilled = "all-killed" // all processes die
 	faultCut       = "cut"        // all its links are cut
 	faultOneWay    = "one-way"    // the link to OtherProcess is cut
-	faultDeaf      = "deaf"       // hears nobody
-	faultMute      = "mute"       // is heard by nobody
+	faultDeaf      = "deaf"       // receives nothing
+	faultMute      = "mute"       // sends nothing that arrives
 	faultHalves    = "halves"     // the fleet falls in two
 	faultLoss      = "loss"       // messages are lost, doubled and late
 	faultHeldBack  = "held-back"  // its messages arrive at the end
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -48,7 +48,7 @@
 // Stats are what happened in a run: checks say nothing of a run in which nothing happens.
 type Stats struct {
 	Effects int // accepted by receivers
-	Refused int // stale, as owners were told
+	Refused int // stale, as reported to owners
 	Starts  int // of jobs
 	Notes   int // checkpoints stored
 	Leads   int // elections of a leader of the group
@@ -71,7 +71,7 @@
 	active    []Fault
 	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
 	damagedDisks map[int]bool
-	// sent is told of each message before the network has it; nil: nobody is.
+	// sent is called with each message before the network has it; nil: it is not.
 	sent func(from int, peer uint32, group bool, message []byte)
 }
 
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -8,66 +8,81 @@
 	"testing"
 )
 
-func number(name string, def int) int {
+func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return def
+	return fallback
 }
 
 func config(seed uint64) Config {
 	return Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 }
 
-// play plays seeds on all processors, and gives the first that fails.
-func play(first, n int, config func(seed uint64) Config) (effects, refused int, plan []Fault, worst error) {
+// outcome is what came of many plans.
+type outcome struct {
+	effects, refused int
+	failure          error // the first; nil: none
+	plan             []Fault
+}
+
+func (o *outcome) add(r *Run, plan []Fault, err error) {
+	o.effects, o.refused = o.effects+r.Effects, o.refused+r.Refused
+	if err != nil && o.failure == nil {
+		o.failure, o.plan = err, plan
+	}
+}
+
+func (o *outcome) logPlan(t *testing.T) {
+	t.Helper()
+	for _, f := range o.plan {
+		t.Log(f)
+	}
+}
+
+// play plays seeds on all processors, up to the first failure.
+func play(first, n int, config func(seed uint64) Config) (o outcome) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	next := make(chan uint64)
+	seeds := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for s := range next {
-				r := New(config(s))
-				p := r.plan
+			for seed := range seeds {
+				r := New(config(seed))
+				plan := r.Faults()
 				err := r.Play()
 				mu.Lock()
-				effects, refused = effects+r.Effects, refused+r.Refused
-				if err != nil && worst == nil {
-					worst, plan = err, p
-				}
+				o.add(r, plan, err)
 				mu.Unlock()
 			}
 		}()
 	}
-	for s := first; s < first+n; s++ {
+	failed := func() bool {
 		mu.Lock()
-		found := worst != nil
-		mu.Unlock()
-		if found {
-			break
-		}
-		next <- uint64(s)
+		defer mu.Unlock()
+		return o.failure != nil
 	}
-	close(next)
+	for seed := first; seed < first+n && !failed(); seed++ {
+		seeds <- uint64(seed)
+	}
+	close(seeds)
 	wg.Wait()
-	return effects, refused, plan, worst
+	return o
 }
 
 // TestPlans: OWNERS_SEEDS plans of faults from OWNERS_FIRST on, each checked at every step.
 func TestPlans(t *testing.T) {
-	effects, refused, plan, err := play(number("OWNERS_FIRST", 1), number("OWNERS_SEEDS", 40), config)
-	if err != nil {
-		t.Error(err)
-		for _, f := range plan {
-			t.Log(f)
-		}
+	o := play(envInt("OWNERS_FIRST", 1), envInt("OWNERS_SEEDS", 40), config)
+	if o.failure != nil {
+		t.Error(o.failure)
+		o.logPlan(t)
 	}
-	if effects < 1000 || refused == 0 {
-		t.Errorf("%d effects taken and %d refused show nothing", effects, refused)
+	if o.effects < 1000 || o.refused == 0 {
+		t.Errorf("%d effects taken and %d refused show nothing", o.effects, o.refused)
 	}
-	t.Logf("%d effects taken, %d refused", effects, refused)
+	t.Logf("%d effects taken, %d refused", o.effects, o.refused)
 }
 
 // TestPlantedFaults: each fault that was put in is found. By hand all plans from the first on are played; here those that lie just before one that
@@ -83,18 +98,16 @@
 		{"a lease counted from its answer", func(c *Config) { c.FromAnswer = true }, 118},
 		{"a receiver forgets its fence", func(c *Config) { c.Forget = true }, 1},
 	} {
-		_, _, plan, err := play(number("OWNERS_FIRST", c.first), 1000, func(s uint64) Config {
+		o := play(envInt("OWNERS_FIRST", c.first), 1000, func(s uint64) Config {
 			x := config(s)
 			c.plant(&x)
 			return x
 		})
-		if err == nil {
+		if o.failure == nil {
 			t.Errorf("%s: not found in 1,000 plans", c.name)
-		} else {
-			t.Logf("%s: %v", c.name, err)
-			for _, f := range plan {
-				t.Log(f)
-			}
+			continue
 		}
+		t.Logf("%s: %v", c.name, o.failure)
+		o.logPlan(t)
 	}
 }
