--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -166,7 +166,7 @@
 func (c *coordinator) forwardQuery(m queryMessage) {
 	row := c.table.Job(m.job)
 	if c.leads() && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
-		c.sendEncoded(peerOf(row.Owner), m.encoded)
+		c.send(peerOf(row.Owner), m.encoded)
 	}
 }
 
@@ -191,5 +191,5 @@
 		}
 	}
 	s.notifiedVersion, s.notifiedAt, s.listSequence, s.behind = current, c.now, c.listSequence, false
-	c.send(peerOf(s.name), m)
+	c.send(peerOf(s.name), m.encode())
 }
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -79,9 +79,8 @@
 
 func (e *environment) processID() processID { return processID{e.cfg.Name, e.cfg.Incarnation} }
 
-func (e *environment) send(peer uint32, m message) { e.sendEncoded(peer, m.encode()) }
-
-func (e *environment) sendEncoded(peer uint32, data []byte) {
+// send sends an encoded message. One to this process waits for the end of the current step.
+func (e *environment) send(peer uint32, data []byte) {
 	if peer == e.self {
 		e.toSelf = append(e.toSelf, slices.Clone(data))
 		return
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -41,7 +41,7 @@
 		}
 	}
 	l.outstanding[l.sequence] = p.now
-	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence})
+	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
 }
 
 // findCoordinator asks the own group first, and then one voter after the other: a voter that does not lead says who does.
@@ -78,7 +78,7 @@
 	l.leader, l.heardAt = from, p.now
 	l.end = max(l.end, requestedAt+shortened(p.cfg.Lease))
 	if m.wantsOffer {
-		p.send(from, jobOffer{sender: p.processID(), jobs: p.cfg.Jobs})
+		p.send(from, jobOffer{sender: p.processID(), jobs: p.cfg.Jobs}.encode())
 	}
 }
 
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -141,25 +141,24 @@
 	body []byte
 }
 
-func encodeKind(kind uint64) *encoding.Writer {
-	var w encoding.Writer
-	return w.Uint(kind)
-}
-
 func (m leaseRequest) encode() []byte {
-	return encodeKind(kindLeaseRequest).Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.able).Uint(m.epoch).Uint(m.listSequence).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseRequest).Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.able).Uint(m.epoch).Uint(m.listSequence).Data
 }
 
 func (m leaseGranted) encode() []byte {
-	return encodeKind(kindLeaseGranted).Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.wantsOffer).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseGranted).Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.wantsOffer).Data
 }
 
 func (m leaderRedirect) encode() []byte {
-	return encodeKind(kindLeaderRedirect).Uint(uint64(m.leader)).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaderRedirect).Uint(uint64(m.leader)).Data
 }
 
 func (m jobOffer) encode() []byte {
-	w := encodeKind(kindJobOffer).Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
+	var w encoding.Writer
+	w.Uint(kindJobOffer).Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
 	for _, job := range m.jobs {
 		w.Text(job)
 	}
@@ -167,7 +166,8 @@
 }
 
 func (m jobList) encode() []byte {
-	w := encodeKind(kindJobList).Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
+	var w encoding.Writer
+	w.Uint(kindJobList).Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
 	for _, j := range m.jobs {
 		w.Text(j.job).Uint(j.token).Uint(j.checkpointNumber).Bool(j.handover).Bytes(j.checkpoint)
 	}
@@ -175,41 +175,50 @@
 }
 
 func (m jobReleased) encode() []byte {
-	w := encodeKind(kindJobReleased).Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.able)
+	var w encoding.Writer
+	w.Uint(kindJobReleased).Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.able)
 	return w.Text(m.job).Uint(m.token).Uint(m.higherToken).Uint(m.checkpointNumber).Bytes(m.checkpoint).Text(m.reason).Data
 }
 
 func (m storeCheckpoint) encode() []byte {
-	return encodeKind(kindStoreCheckpoint).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
+	var w encoding.Writer
+	return w.Uint(kindStoreCheckpoint).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
 }
 
 func (m checkpointResult) encode() []byte {
-	return encodeKind(kindCheckpointResult).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
+	var w encoding.Writer
+	return w.Uint(kindCheckpointResult).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
 }
 
 func (m effectMessage) encode() []byte {
-	return encodeKind(kindEffect).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
+	var w encoding.Writer
+	return w.Uint(kindEffect).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
 }
 
 func (m effectAck) encode() []byte {
-	w := encodeKind(kindEffectAck).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
+	var w encoding.Writer
+	w.Uint(kindEffectAck).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
 	return w.Uint(uint64(m.verdict)).Uint(m.highest.Token).Uint(m.highest.Sequence).Data
 }
 
 func (m moveRequest) encode() []byte {
-	return encodeKind(kindMoveRequest).Text(m.job).Text(m.member).Uint(m.tag).Data
+	var w encoding.Writer
+	return w.Uint(kindMoveRequest).Text(m.job).Text(m.member).Uint(m.tag).Data
 }
 
 func (m moveReply) encode() []byte {
-	return encodeKind(kindMoveReply).Uint(m.tag).Text(m.refusal).Data
+	var w encoding.Writer
+	return w.Uint(kindMoveReply).Uint(m.tag).Text(m.refusal).Data
 }
 
 func (m queryMessage) encode() []byte {
-	return encodeKind(kindQuery).Text(m.job).Uint(m.tag).Uint(uint64(m.asker)).Bytes(m.body).Data
+	var w encoding.Writer
+	return w.Uint(kindQuery).Text(m.job).Uint(m.tag).Uint(uint64(m.asker)).Bytes(m.body).Data
 }
 
 func (m queryReply) encode() []byte {
-	return encodeKind(kindQueryReply).Uint(m.tag).Bytes(m.body).Data
+	var w encoding.Writer
+	return w.Uint(kindQueryReply).Uint(m.tag).Bytes(m.body).Data
 }
 
 // malformed names the message at fault.
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -121,7 +121,7 @@
 		checkpointNumber: h.checkpointNumber,
 		checkpoint:       h.checkpoint,
 		reason:           h.reason,
-	})
+	}.encode())
 }
 
 // handleJobList takes the list of what this process is to own. Lists that are overtaken, or for an earlier process of this name, change nothing.
--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/placejobs.go
@@ -137,7 +137,7 @@
 }
 
 func (c *coordinator) classifyJobs() classifiedJobs {
-	jobs := classifiedJobs{lostOwner: map[string]string{}}
+	var jobs classifiedJobs
 	for _, row := range c.table.Jobs() {
 		if c.proposals.busy(row.Job) {
 			continue
@@ -147,6 +147,9 @@
 				jobs.owned = append(jobs.owned, *row)
 				continue
 			}
+			if jobs.lostOwner == nil {
+				jobs.lostOwner = map[string]string{}
+			}
 			jobs.lostOwner[row.Job] = "its owner " + row.Owner + " was lost"
 		}
 		if !c.backoff.blocked(row.Job, c.now) {
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -84,7 +84,7 @@
 		c.changedAt[p.job] = c.now
 	}
 	if r := p.checkpoint; r != nil {
-		c.send(r.peer, checkpointResult{job: p.job, token: r.token, checkpointNumber: r.number, stored: applied})
+		c.send(r.peer, checkpointResult{job: p.job, token: r.token, checkpointNumber: r.number, stored: applied}.encode())
 		return
 	}
 	if c.leads() && c.now >= c.leadsSince+sessionGatherTime && !c.table.uncertain {
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -78,53 +78,58 @@
 // appendAcknowledged reports to the leader how far a follower's state is.
 type appendAcknowledged struct{ position logPosition }
 
-func encodeQuorumKind(kind uint64, groupName string) *encoding.Writer {
-	var w encoding.Writer
-	return w.Uint(kind).Text(groupName)
-}
-
 func (m prepareRequest) encode(groupName string) []byte {
-	return encodeQuorumKind(kindPrepare, groupName).Uint(m.ballot).Data
+	var w encoding.Writer
+	return w.Uint(kindPrepare).Text(groupName).Uint(m.ballot).Data
 }
 
 func (m prepareReply) encode(groupName string) []byte {
-	return encodeQuorumKind(kindPrepareReply, groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
+	var w encoding.Writer
+	return w.Uint(kindPrepareReply).Text(groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseProposal) encode(groupName string) []byte {
-	return encodeQuorumKind(kindLeaseProposal, groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseProposal).Text(groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
 }
 
 func (m leaseAccepted) encode(groupName string) []byte {
-	return encodeQuorumKind(kindLeaseAccepted, groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseAccepted).Text(groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseRejected) encode(groupName string) []byte {
-	return encodeQuorumKind(kindLeaseRejected, groupName).Uint(m.epoch).Uint(m.promised).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseRejected).Text(groupName).Uint(m.epoch).Uint(m.promised).Data
 }
 
 func (m leaseYielded) encode(groupName string) []byte {
-	return encodeQuorumKind(kindLeaseYielded, groupName).Uint(m.epoch).Data
+	var w encoding.Writer
+	return w.Uint(kindLeaseYielded).Text(groupName).Uint(m.epoch).Data
 }
 
 func (m stateRequest) encode(groupName string) []byte {
-	return encodeQuorumKind(kindStateRequest, groupName).Uint(m.ballot).Data
+	var w encoding.Writer
+	return w.Uint(kindStateRequest).Text(groupName).Uint(m.ballot).Data
 }
 
 func (m stateTransfer) encode(groupName string) []byte {
-	return encodeQuorumKind(kindStateTransfer, groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
+	var w encoding.Writer
+	return w.Uint(kindStateTransfer).Text(groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
 }
 
 func (m appendEntries) encode(groupName string) []byte {
-	w := encodeQuorumKind(kindAppendEntries, groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
+	var w encoding.Writer
+	w.Uint(kindAppendEntries).Text(groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
 	for _, e := range m.entries {
-		e.encode(w)
+		e.encode(&w)
 	}
 	return w.Data
 }
 
 func (m appendAcknowledged) encode(groupName string) []byte {
-	return encodeQuorumKind(kindAppendAcknowledged, groupName).Uint(m.position.epoch).Uint(m.position.version).Data
+	var w encoding.Writer
+	return w.Uint(kindAppendAcknowledged).Text(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 // decodeQuorumMessage decodes one message, and the name of the group that it is for. Byte strings in it are parts of data, not copies.
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -12,7 +12,7 @@
 	if !c.Holds(now, job, token) {
 		return fmt.Errorf("%w: %q under token %d", ErrNotOwner, job, token)
 	}
-	c.send(c.Leader(), storeCheckpoint{job: job, token: token, checkpointNumber: checkpointNumber, checkpoint: checkpoint})
+	c.send(c.Leader(), storeCheckpoint{job: job, token: token, checkpointNumber: checkpointNumber, checkpoint: checkpoint}.encode())
 	return nil
 }
 
@@ -20,7 +20,7 @@
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.send(to, effectMessage{job: job, token: token, body: body})
+	c.send(to, effectMessage{job: job, token: token, body: body}.encode())
 }
 
 // Query asks the owner of a job, by way of the coordinator. It may be lost; Effects.ReplyReceived brings the answer.
@@ -32,7 +32,7 @@
 		return
 	}
 	if leader := c.Leader(); leader != 0 {
-		c.send(leader, queryMessage{job: job, tag: tag, asker: c.self, body: body})
+		c.send(leader, queryMessage{job: job, tag: tag, asker: c.self, body: body}.encode())
 	}
 }
 
@@ -40,12 +40,12 @@
 func (c *Core) Reply(now Time, to uint32, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.send(to, queryReply{tag: tag, body: body})
+	c.send(to, queryReply{tag: tag, body: body}.encode())
 }
 
 // MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived brings the refusal, empty where it is accepted.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.send(c.Leader(), moveRequest{job: job, member: to, tag: tag})
+	c.send(c.Leader(), moveRequest{job: job, member: to, tag: tag}.encode())
 }
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -53,7 +53,7 @@
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
 		if c.group != nil {
-			c.send(from, leaderRedirect{leader: c.group.Leader()})
+			c.send(from, leaderRedirect{leader: c.group.Leader()}.encode())
 		}
 		return
 	}
@@ -134,7 +134,7 @@
 			continue
 		}
 		s.renewedAt = max(s.renewedAt, claim.claimedAt)
-		c.send(peerOf(claim.name), leaseGranted{sequence: claim.sequence, incarnation: claim.incarnation, epoch: c.epoch, wantsOffer: s.offers == nil})
+		c.send(peerOf(claim.name), leaseGranted{sequence: claim.sequence, incarnation: claim.incarnation, epoch: c.epoch, wantsOffer: s.offers == nil}.encode())
 		c.sendJobList(s)
 	}
 }
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -52,7 +52,7 @@
 	case storeCheckpoint:
 		c.coordinator.handleStoreCheckpoint(from, m)
 	case moveRequest:
-		c.send(from, moveReply{tag: m.tag, refusal: c.coordinator.moveJob(m.job, m.member)})
+		c.send(from, moveReply{tag: m.tag, refusal: c.coordinator.moveJob(m.job, m.member)}.encode())
 	case leaseGranted:
 		c.participant.handleLeaseGranted(from, m)
 	case leaderRedirect:
@@ -88,7 +88,7 @@
 	case Stale:
 		c.effects.LogEvent("stale_effect_rejected", "job", m.job, "token", m.token.Token, "seen", highest.Token, "from", fmt.Sprintf("%08x", from))
 	}
-	c.send(from, effectAck{job: m.job, token: m.token, verdict: verdict, highest: highest})
+	c.send(from, effectAck{job: m.job, token: m.token, verdict: verdict, highest: highest}.encode())
 }
 
 // handleQuery answers a query as the owner, or forwards it as the coordinator.
