--- a/internal/fleet/owneragent/queries_test.go
+++ b/internal/fleet/owneragent/queries_test.go
@@ -1,6 +1,11 @@
 package owneragent
 
-import "testing"
+import (
+	"testing"
+
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/ownership"
+)
 
 func TestAnswersReachTheirAsker(t *testing.T) {
 	q := newQueries(nil)
@@ -20,3 +25,20 @@
 		t.Errorf("askers got %v", got)
 	}
 }
+
+// TestStaleEffectIsCounted: what the fence rejects shows in the counts of this process.
+func TestStaleEffectIsCounted(t *testing.T) {
+	a, _ := startAlone(t, Options{Drills: 1})
+	var counts Counts
+	if !a.onWorker(func() {
+		for _, token := range []uint64{6, 5} {
+			a.core.SendEffect(a.now(), group.Peer(a.name), "no-job", ownership.FencingToken{Token: token, Sequence: 1}, nil)
+		}
+		counts = a.counts
+	}) {
+		t.Fatal("the worker does not answer")
+	}
+	if counts.Taken != 1 || counts.Refused != 1 {
+		t.Errorf("%+v", counts)
+	}
+}
