--- a/internal/fleet/owneragent/owners_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -43,8 +43,8 @@
 		o    Options
 		m    memberagent.Options
 		want string
-	}{{Options{On: true}, memberagent.Options{}, "need membership"}, {Options{On: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{On: true, Dir: path}, on, "no folder"},
-		{Options{On: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, memberagent.Options{}, ""}} {
+	}{{Options{Enabled: true}, memberagent.Options{}, "need membership"}, {Options{Enabled: true, Dir: "/nowhere/at/all"}, on, "dir"}, {Options{Enabled: true, Dir: path}, on, "no folder"},
+		{Options{Enabled: true, Dir: filepath.Dir(path)}, on, ""}, {Options{}, memberagent.Options{}, ""}} {
 		if err := c.o.Check(c.m); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %v, want %q", c.o, err, c.want)
 		}
@@ -62,7 +62,7 @@
 }
 
 func openVoter(o VoterOptions) (Voter, *group.StoreError) {
-	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.Most)
+	st, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.MaxBytes)
 	if err != nil {
 		return nil, &group.StoreError{Err: err}
 	}
@@ -82,13 +82,13 @@
 func TestProgramWithoutVoters(t *testing.T) {
 	OpenVoter = nil
 	defer func() { OpenVoter = openVoter }()
-	if err := (Options{On: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
+	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
 		t.Error(err)
 	}
 }
 
-// alone is one process, its own only voter.
-func alone(t *testing.T, o Options) (*Agent, *netio.Loop) {
+// startAlone starts one process, its own only voter.
+func startAlone(t *testing.T, o Options) (*Agent, *netio.Loop) {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -99,20 +99,20 @@
 	l := netio.NewLoop()
 	go l.Run()
 	t.Cleanup(l.Stop)
-	type made struct {
-		s   *Agent
-		err error
+	type started struct {
+		agent *Agent
+		err   error
 	}
-	got := make(chan made, 1)
+	got := make(chan started, 1)
 	l.Post(func() {
 		m, err := memberagent.Start(l, memberagent.Options{On: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), memberagent.Platform{})
 		if err != nil {
-			got <- made{nil, err}
+			got <- started{nil, err}
 			return
 		}
-		o.On, o.Group, o.Voters, o.MostKB = true, "g", []string{"a"}, 8192
+		o.Enabled, o.Group, o.Voters, o.MaxStoreKB = true, "g", []string{"a"}, 8192
 		s, err := Start(l, o, "a", m, func([]string) {})
-		got <- made{s, err}
+		got <- started{s, err}
 	})
 	x := <-got
 	if x.err != nil {
@@ -120,13 +120,13 @@
 	}
 	t.Cleanup(func() {
 		done := make(chan struct{})
-		l.Post(func() { x.s.Yield(); close(done) })
+		l.Post(func() { x.agent.Yield(); close(done) })
 		<-done
 	})
-	return x.s, l
+	return x.agent, l
 }
 
-func await(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -135,15 +135,15 @@
 	}
 }
 
-// breaks is a job that panics: at each start, or at its second step.
-type breaks struct {
+// panickingJob is a job that panics: at each start, or at its second step.
+type panickingJob struct {
 	jobs.Drill
 	atStart bool
 	starts  atomic.Int64
 	steps   int
 }
 
-func (b *breaks) Start(now jobs.Time, o jobs.Owner, token, number uint64, left []byte) error {
+func (b *panickingJob) Start(now jobs.Time, o jobs.Owner, token, number uint64, left []byte) error {
 	b.starts.Add(1)
 	b.steps = 0
 	if b.atStart {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (b *breaks) Step(jobs.Time) {
+func (b *panickingJob) Step(jobs.Time) {
 	if b.steps++; b.steps == 2 {
 		panic("it breaks")
 	}
@@ -160,53 +160,53 @@
 
 // TestJobsThatPanic: they are begun again after longer and longer times, and two hundred others are not touched.
 func TestJobsThatPanic(t *testing.T) {
-	first, second := &breaks{atStart: true}, &breaks{}
+	first, second := &panickingJob{atStart: true}, &panickingJob{}
 	more = map[string]jobs.Job{"breaks-at-start": first, "breaks-later": second}
 	defer func() { more = nil }()
 	began := time.Now()
-	s, _ := alone(t, Options{Drill: 200, Dir: t.TempDir()})
+	s, _ := startAlone(t, Options{Drills: 200, Dir: t.TempDir()})
 	report := func() (r Reply) {
-		s.on(func() { s.report(&r) })
+		s.onWorker(func() { s.report(&r) })
 		return r
 	}
-	await(t, "200 jobs have no owner", func() bool {
+	eventually(t, "200 jobs have no owner", func() bool {
 		n := 0
-		for job := range report().Mine {
+		for job := range report().Owned {
 			if strings.HasPrefix(job, "drill") {
 				n++
 			}
 		}
 		return n == 200
 	})
-	await(t, "what panics is not begun again", func() bool { return first.starts.Load() >= 3 && second.starts.Load() >= 3 })
+	eventually(t, "what panics is not begun again", func() bool { return first.starts.Load() >= 3 && second.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
 	// A second at least lies between two beginnings, also where a starved process coordinates anew and has forgotten how often they failed;
 	// without it the job would begin at every step, tens of times a second.
 	took := time.Since(began)
-	for _, b := range []*breaks{first, second} {
+	for _, b := range []*panickingJob{first, second} {
 		if n, most := b.starts.Load(), 3+int64(2*took.Seconds()); n > most {
 			t.Errorf("%d beginnings in %v: no time is left between them", n, took)
 		}
 	}
 	r := report()
-	if len(r.Mine) < 200 || r.Counts.Panics < 4 {
-		t.Errorf("%d jobs owned, %d panics", len(r.Mine), r.Counts.Panics)
+	if len(r.Owned) < 200 || r.Counts.Panics < 4 {
+		t.Errorf("%d jobs owned, %d panics", len(r.Owned), r.Counts.Panics)
 	}
 	for _, j := range r.Jobs {
-		if j.Job == "breaks-at-start" && !strings.Contains(j.Why, "it can't begin") && j.Owner == "" {
-			t.Errorf("the table does not say why: %q", j.Why)
+		if j.Job == "breaks-at-start" && !strings.Contains(j.Reason, "it can't begin") && j.Owner == "" {
+			t.Errorf("the table does not say why: %q", j.Reason)
 		}
 	}
 }
 
-// TestDoor: bad requests get a clear word, and the socket is its owner's alone.
-func TestDoor(t *testing.T) {
+// TestAdminSocket: bad requests get a clear word, and the socket is its owner's alone.
+func TestAdminSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	s, _ := alone(t, Options{Hosts: true, Socket: path})
+	s, _ := startAlone(t, Options{SuspendHosts: true, Socket: path})
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
-	if _, err := serve(path, s); err == nil || !strings.Contains(err.Error(), "in use") {
+	if _, err := listenAdmin(path, s.serveRequest); err == nil || !strings.Contains(err.Error(), "in use") {
 		t.Error("a socket in use:", err)
 	}
 	for _, c := range []struct{ q, want string }{{`{"do":"dance"}`, "no request"}, {`nonsense`, "JSON"}, {`{"do":"add","a":"x"}`, "no voter with a disk"}, {`{"do":"move","a":"hosts","b":"x"}`, ""}} {
@@ -222,11 +222,11 @@
 			t.Errorf("%s: %+v %v", c.q, r, err)
 		}
 	}
-	await(t, "a host is not taken out", func() bool {
+	eventually(t, "a host is not taken out", func() bool {
 		r, err := Ask(path, Request{Do: "suspend", A: "s1"})
 		return err == nil && r.Answer == "done at all 1"
 	})
-	await(t, "the list does not tell", func() bool {
+	eventually(t, "the list does not tell", func() bool {
 		r, err := Ask(path, Request{Do: "list"})
 		return err == nil && r.Answer == "out for the fleet: s1"
 	})
@@ -238,10 +238,10 @@
 	if err := os.WriteFile(filepath.Join(dir, "voter.db"), []byte(strings.Repeat("no store ", 4000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, _ := alone(t, Options{Drill: 1, Dir: dir})
-	await(t, "it does not say what is wrong", func() bool {
+	s, _ := startAlone(t, Options{Drills: 1, Dir: dir})
+	eventually(t, "it does not say what is wrong", func() bool {
 		var r Reply
-		s.on(func() { s.report(&r) })
-		return strings.Contains(r.Store, "unreadable") && len(r.Mine) == 0
+		s.onWorker(func() { s.report(&r) })
+		return strings.Contains(r.Store, "unreadable") && len(r.Owned) == 0
 	})
 }
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -29,12 +29,12 @@
 }
 
 func storeError(err error) *group.StoreError {
-	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), ByItself: disk.Recoverable(err)}
+	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), Retryable: disk.Recoverable(err)}
 }
 
 // Open opens the replica whose store is in a folder.
 func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
-	store, err := disk.Open(filepath.Join(o.Dir, fileName), o.Most)
+	store, err := disk.Open(filepath.Join(o.Dir, fileName), o.MaxBytes)
 	if err != nil {
 		return nil, storeError(err)
 	}
