--- /dev/null
+++ b/internal/balancer/agegroup.go
@@ -0,0 +1,54 @@
+package balancer
+
+// newerFor is for how many slow starts a host counts as one that has started lately.
+const newerFor = 4
+
+// ageGroup is the hosts that have started lately, or those before them.
+type ageGroup int
+
+const (
+	anyAge ageGroup = iota
+	newer
+	older
+	ageGroups // how many values there are
+)
+
+func (b *Balancer) ageGroup(h *host) ageGroup {
+	if h.startedAt > 0 && b.now < h.startedAt+newerFor*b.cfg.SlowStartDuration {
+		return newer
+	}
+	return older
+}
+
+// preferredAgeGroup tells among which hosts a request is placed first: the newer ones if they hold less than
+// their part of what this balancer placed, else the older ones. Where traffic is sparse its loads tell
+// nothing of one host, but something of all of an age: each balancer keeps to the part by chance, so that all
+// together do.
+func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
+	if b.hostsReportLoad() || !b.sparseTraffic() {
+		return anyAge
+	}
+	var load, capacity [ageGroups]float64
+	for _, h := range b.hosts {
+		if h.state == Ready {
+			age := b.ageGroup(h)
+			load[age] += h.load
+			capacity[age] += h.weight * b.warmCapacityShare(h)
+		}
+	}
+	if capacity[newer] == 0 {
+		return anyAge
+	}
+	total := load[newer] + load[older] + r.cost
+	draw := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that asking again does not draw again
+	if load[newer]+draw*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
+		return newer
+	}
+	return older
+}
+
+// excludedByAge tells whether a host is not of the age group that is looked among. A warming one counts as
+// either, since it has its own budget.
+func (b *Balancer) excludedByAge(h *host, among ageGroup) bool {
+	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.warmCapacityShare(h) >= 1)
+}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -27,7 +27,7 @@
 			n++
 		}
 	}
-	if limit := coldSafety * 3 * 0.3 * 2; float64(n) > limit+1 {
+	if limit := slowStartSafety * 3 * 0.3 * 2; float64(n) > limit+1 {
 		t.Fatalf("%d connections in a second to a cold server that bears %.1f from here", n, limit)
 	}
 }
@@ -87,7 +87,7 @@
 		}
 	}
 	warmth := 0.2 + 0.8*4/10
-	if limit := coldSafety * 3 * warmth * 12; float64(n) > limit {
+	if limit := slowStartSafety * 3 * warmth * 12; float64(n) > limit {
 		t.Fatalf("a wave brought %d connections at once to a cold server that bears %.0f in a second", n, limit)
 	}
 	if n == 0 {
--- /dev/null
+++ b/internal/balancer/endpoints.go
@@ -0,0 +1,182 @@
+package balancer
+
+import (
+	"math"
+	"sort"
+)
+
+// HostState is what discovery says of a host.
+type HostState int
+
+// The states of a host.
+const (
+	Ready HostState = iota
+	Draining
+	Removed
+	Suspended // by an operator, whatever discovery says
+)
+
+// String names a state.
+func (s HostState) String() string {
+	if s < Ready || s > Suspended {
+		return "unknown"
+	}
+	return [...]string{"ready", "draining", "removed", "suspended"}[s]
+}
+
+// ListedHost is one host in an endpoint list.
+type ListedHost struct {
+	ID        string    `json:"ID"`
+	State     HostState `json:"State"`
+	Zone      string    `json:"Zone"`
+	Kind      string    `json:"Kind"`
+	Cell      int       `json:"Cell"`
+	Weight    float64   `json:"Weight"` // capacity in relation to others; 0 counts as 1
+	StartedAt Time      `json:"Since"`  // its latest start; 0: long past
+}
+
+// ListChange says how an endpoint list is to be read.
+type ListChange int
+
+// The kinds of list.
+const (
+	ListDelta       ListChange = iota // only what has changed
+	ListFull                          // everything: what is absent is removed
+	ListCached                        // everything, as this balancer last had it; may be old
+	ListFailed                        // a poll of discovery failed or a watch broke; no entries
+	ListMaintenance                   // a change by an operator, not by discovery
+)
+
+// endpointList is the hosts that discovery has named since the start.
+type endpointList struct {
+	hosts    []*host // sorted by ID: the order of the rotation, the same at every balancer
+	byID     map[string]*host
+	zones    map[string]int // index by name
+	zone     int            // own
+	received bool           // a list with hosts has come
+}
+
+func newEndpointList(cfg *Config) endpointList {
+	l := endpointList{byID: map[string]*host{}, zones: map[string]int{}}
+	for _, name := range cfg.Zones {
+		l.zoneIndex(name)
+	}
+	l.zone = l.zoneIndex(cfg.Zone)
+	return l
+}
+
+func (l *endpointList) zoneIndex(name string) int {
+	z, ok := l.zones[name]
+	if !ok {
+		z = len(l.zones)
+		l.zones[name] = z
+	}
+	return z
+}
+
+func (l *endpointList) add(h *host) {
+	l.byID[h.id] = h
+	l.hosts = append(l.hosts, h)
+}
+
+func (l *endpointList) sortByID() {
+	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].id < l.hosts[j].id })
+}
+
+// hostByHash finds the host that a message names by 32 bits of its hash; 0 names none.
+func (l *endpointList) hostByHash(hash uint32) *host {
+	for _, h := range l.hosts {
+		if uint32(h.hash) == hash && hash != 0 {
+			return h
+		}
+	}
+	return nil
+}
+
+// allHostsSuspended tells whether operators have suspended every host that could serve, so that waiting helps
+// nobody.
+func (l *endpointList) allHostsSuspended() bool {
+	suspended := false
+	for _, h := range l.hosts {
+		if h.state == Ready {
+			return false
+		}
+		suspended = suspended || h.state == Suspended
+	}
+	return suspended
+}
+
+// ListReceived takes an endpoint list or a change of it.
+func (b *Balancer) ListReceived(now Time, kind ListChange, version int64, entries []ListedHost) {
+	b.tick(now)
+	if kind == ListFailed {
+		b.discovery.failed()
+		b.schedulePoll()
+		return
+	}
+	if kind <= ListFull {
+		b.discovery.answered()
+	}
+	if kind == ListFull || kind == ListCached {
+		for _, h := range b.hosts {
+			h.listed = false
+		}
+	}
+	added := false
+	for i := range entries {
+		added = b.updateHost(&entries[i]) || added
+	}
+	for _, h := range b.hosts {
+		if !h.listed {
+			h.state = Removed
+		}
+	}
+	if added {
+		b.sortByID()
+	}
+	clear(b.groups)
+	if !b.received && len(b.hosts) > 0 {
+		b.received = true
+		b.spreadRotation()
+	}
+	if b.hostsReportLoad() {
+		b.updateFleetLoad()
+	}
+	b.updateFleetWeight()
+	b.drainQueue()
+}
+
+// updateHost takes in what a list says of a host, and tells whether it is a new one.
+func (b *Balancer) updateHost(e *ListedHost) (added bool) {
+	h := b.byID[e.ID]
+	if h == nil {
+		h = &host{id: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
+		h.slowStart = tokenBucket{tokens: b.slowStartStagger(h), filledAt: b.now}
+		// A place of its own in the rotation, no later than most.
+		h.deficit = 0.5 - h.slowStart.tokens
+		b.add(h)
+		added = true
+	} else if e.StartedAt > h.startedAt || h.state == Suspended && e.State == Ready {
+		h.restarted(b.now, e.StartedAt, b.slowStartStagger(h))
+	}
+	h.zone, h.cell, h.weight, h.listed = b.zoneIndex(e.Zone), e.Cell, e.Weight, true
+	if h.weight <= 0 {
+		h.weight = 1
+	}
+	if h.state == Ready && e.State != Ready {
+		b.traffic.hostLeft(b.now, h.weight)
+	}
+	h.state = e.State
+	return added
+}
+
+// spreadRotation starts the rotations of the balancers at places spread over the common order, so that many
+// sparse rotations interleave into one even stream instead of all beginning with the same host.
+func (b *Balancer) spreadRotation() {
+	n := float64(len(b.hosts))
+	start := float64(b.cfg.Instance%b.cfg.Instances) / float64(b.cfg.Instances)
+	for i, h := range b.hosts {
+		_, place := math.Modf(float64(i)/n - start + 1)
+		h.deficit = 0.5 - place
+	}
+}
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Event is a fact that the decision module reports for the log: one of the types of this file.
+// Event is a fact that a Balancer reports for the log: one of the types of this file.
 type Event interface{ isEvent() }
 
 // HostEjected says that a host that could not be connected to gets nothing for a while.
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -135,9 +135,9 @@
 }
 
 // breaks is one failed connect to a server.
-func (f *fake) breaks(s *server) {
+func (f *fake) breaks(s *host) {
 	f.b.tick(f.now)
-	f.b.failure(s, f.now, true)
+	f.b.hostFailed(s, f.now, true)
 }
 
 func (f *fake) last() sent { return f.sends[len(f.sends)-1] }
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/fleet_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math/rand"
 	"testing"
+
+	"croftlock/internal/balancer/stallgossip"
 )
 
 // manyBalancers are n instances with the settings of a grown fleet: 11 servers, a fresh connection in half a minute at
@@ -164,17 +166,17 @@
 		f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 		f.run(sec)
 	}
-	if f.b.restraint > 0.6 {
-		t.Errorf("refuses %.2f of what comes for one connection of its own, with ten of eleven servers idle", f.b.restraint)
+	if f.b.shedding.share > 0.6 {
+		t.Errorf("refuses %.2f of what comes for one connection of its own, with ten of eleven servers idle", f.b.shedding.share)
 	}
 	f.b.Observe(f.now, "o", 0, ObservedLatency, 1)
-	f.b.restraint = 0.9
+	f.b.shedding.share = 0.9
 	for i := 0; i < 10; i++ {
-		f.b.PeerMessageReceived(f.now, 1, appendTold(nil, uint32(hash("s05")), 3)) // another server stalls, far from here
+		f.b.PeerMessageReceived(f.now, 1, stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s05")), Delay: 3})) // another server stalls, far from here
 		f.run(sec)
 	}
-	if f.b.restraint > 0.2 {
-		t.Errorf("still refuses %.2f after 10 s in which one server of eleven was stalled", f.b.restraint)
+	if f.b.shedding.share > 0.2 {
+		t.Errorf("still refuses %.2f after 10 s in which one server of eleven was stalled", f.b.shedding.share)
 	}
 }
 
@@ -186,9 +188,9 @@
 	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 	cold, warm := 0, 0
 	for i := 0; i < 3000; i++ {
-		f.b.restraint = 1 // what rank draws is below
+		f.b.shedding.share = 1 // what rank draws is below
 		from, id := len(f.sends), fmt.Sprintf("q%d", i)
-		f.b.again.n = 0
+		f.b.traffic.retries.Sum = 0
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: true, Remaining: 4800 * ms})
 		if len(f.sends) == from {
 			if f.answers[id] != 1 {
@@ -203,7 +205,7 @@
 		}
 		f.stands(id)
 		f.ends(id, Cancelled)
-		f.b.servers[3].tokens = 0
+		f.b.hosts[3].slowStart.tokens = 0
 	}
 	if warm > 0 || cold == 0 || cold > 600 {
 		t.Errorf("%d sent to the cold server, %d to the others", cold, warm)
--- /dev/null
+++ b/internal/balancer/groupplacement.go
@@ -0,0 +1,98 @@
+package balancer
+
+import (
+	"sort"
+
+	"croftlock/internal/balancer/rendezvous"
+)
+
+const (
+	// firstOfGroupCost is what the first connection of a group costs a host on top, in mean connections.
+	firstOfGroupCost = 3.0
+	// rankedHosts is how many hosts of a group's order cost more than the one before, and
+	// rankedHostsSparse how many where traffic is sparse.
+	rankedHosts       = 2.0
+	rankedHostsSparse = 8.0
+	// awayFromHomeCost is the factor on firstOfGroupCost of a host that is not the group's home, where hosts
+	// report their loads.
+	awayFromHomeCost = 8.0
+	// homeMaxLoad is the load up to which a host is to hold the groups whose home it is.
+	homeMaxLoad = 0.9
+	// maxGroupOrders bounds the memory for orders of groups.
+	maxGroupOrders = 256
+)
+
+// groupOrders holds the order of hosts of each group, as indexes in endpointList.hosts, until the list
+// changes.
+type groupOrders map[string][]int32
+
+// rendezvousOrder is the order of the ready hosts to which a group's connections keep, the same at every
+// balancer.
+func (b *Balancer) rendezvousOrder(group string) []int32 {
+	if order := b.groups[group]; order != nil {
+		return order
+	}
+	scores := make([]float64, len(b.hosts))
+	order := make([]int32, 0, len(b.hosts))
+	for i, h := range b.hosts {
+		if h.state == Ready {
+			scores[i] = rendezvous.Score(group, h.id, h.weight)
+			order = append(order, int32(i))
+		}
+	}
+	sort.Slice(order, func(i, j int) bool { return scores[order[i]] < scores[order[j]] })
+	if len(b.groups) >= maxGroupOrders {
+		clear(b.groups)
+	}
+	b.groups[group] = order
+	return order
+}
+
+// groupPlacementCost is what a host pays for a group that it does not hold yet, in the unit of host.load.
+// Where other balancers put a group's connections is unknown here, but all keep to the group's rendezvous
+// order, so that few hosts pay for it and not each of them. Where traffic is sparse that order is all there
+// is to go by: it is one for a set of zones, goes further, and a slow host stands later in it.
+func (b *Balancer) groupPlacementCost(p *pick, c *candidate) float64 {
+	group, h := p.request.Group, c.host
+	if group == "" {
+		return 0
+	}
+	for _, o := range h.connections {
+		if o.Group == group {
+			return 0
+		}
+	}
+	if b.hostsReportLoad() {
+		return awayFromHomeCost * firstOfGroupCost * b.costs.unit() * c.groupHomedElsewhere
+	}
+	place, last := 0.0, rankedHosts
+	if p.sparse {
+		last = rankedHostsSparse
+		place = min(last, 2*b.currentMessageDelay(h)/slowMessageDelay)
+	}
+	for _, i := range b.rendezvousOrder(group) {
+		o := b.hosts[i]
+		if o == h || place >= last {
+			break
+		}
+		near := o.zone == h.zone || p.sparse && o.zone%zoneSets == h.zone%zoneSets
+		if near && b.warmCapacityShare(o) >= 1 && !b.excludedByAge(o, p.among) {
+			place++
+		}
+	}
+	return firstOfGroupCost * b.costs.unit() * place / 2
+}
+
+// markGroupHomes marks each host but for the group's home: the first one in the group's order that is warm
+// and not full. Reported loads keep the balance, so that the order may weigh more than where there are none.
+// all has a candidate for each host, at the host's index.
+func (b *Balancer) markGroupHomes(group string, all []candidate) {
+	homes := 0.0
+	for _, i := range b.rendezvousOrder(group) {
+		c := &all[i]
+		c.groupHomedElsewhere = min(1, homes)
+		if c.load < homeMaxLoad && b.warmCapacityShare(c.host) >= 1 {
+			homes++
+		}
+	}
+}
--- a/internal/balancer/groups_test.go
+++ b/internal/balancer/groups_test.go
@@ -58,7 +58,7 @@
 			cfg.Tenants = []Tenant{{Name: "t", RateQuota: 5, ServiceQuota: 1, ConnectionQuota: 240}}
 			f := start(t, cfg, servers...)
 			if s := f.b.byID[slow]; s != nil {
-				s.delay, s.delayAt = 1, f.now
+				s.messages.delay, s.messages.at = 1, f.now
 			}
 			f.b.RequestArrived(f.now, Request{ID: "q", Group: "g", Remaining: 4800 * ms})
 			got[f.last().server]++
@@ -97,9 +97,9 @@
 	total := 0
 	for i := 0; i < 40000; i++ {
 		group := fmt.Sprintf("group%d", i%4)
-		r := &request{Request: Request{ID: fmt.Sprint("q", i), Group: group}, flow: 20}
+		r := &request{Request: Request{ID: fmt.Sprint("q", i), Group: group}, similarPerSecond: 20}
 		for id := range took {
-			if f.b.lot(f.b.byID[id], r) {
+			if f.b.drawnByLottery(f.b.byID[id], r) {
 				took[id][group]++
 				total++
 			}
@@ -112,12 +112,12 @@
 	if pairs != 8 {
 		t.Errorf("4 groups go to %d places on 4 cold servers, 8 expected: %v", pairs, took)
 	}
-	r := &request{Request: Request{ID: "x"}, flow: 20}
+	r := &request{Request: Request{ID: "x"}, similarPerSecond: 20}
 	alone := 0
 	for i := 0; i < 40000; i++ {
 		r.ID = fmt.Sprint("q", i)
 		for id := range took {
-			if f.b.lot(f.b.byID[id], r) {
+			if f.b.drawnByLottery(f.b.byID[id], r) {
 				alone++
 			}
 		}
--- a/internal/balancer/homes_test.go
+++ b/internal/balancer/homes_test.go
@@ -26,7 +26,7 @@
 	}
 	f.now += 2 * sec
 	f.report(func(i int) float64 {
-		if homes[f.b.servers[i].id] {
+		if homes[f.b.hosts[i].id] {
 			return 1.05
 		}
 		return 0.5
@@ -45,7 +45,7 @@
 	heavy.Name, heavy.PriorityWeight = "heavy", 3
 	cfg.Classes = append(cfg.Classes, heavy)
 	f := told(t, cfg, fleet(4)...)
-	turns := func(class int) float64 { return f.b.turns(&request{cost: f.b.price(&Request{Class: class})}) }
+	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.expect(&Request{Class: class})) }
 	if turns(0) != 1 || turns(1) != 1 {
 		t.Errorf("%.2f and %.2f turns before anything is known", turns(0), turns(1))
 	}
--- /dev/null
+++ b/internal/balancer/host.go
@@ -0,0 +1,75 @@
+package balancer
+
+import "croftlock/internal/balancer/loadestimate"
+
+// host is an upstream host as one balancer knows it. Each rule has its state in a part of its own.
+type host struct {
+	id         string
+	hash       uint64 // of id
+	zone, cell int
+	weight     float64 // above 0
+	startedAt  Time    // its latest start; 0: long past
+	state      HostState
+	listed     bool // in the list that is being read
+
+	connections []*request // open ones that this balancer placed
+	load        float64    // of these, in the unit of Request.ExpectedLoad
+
+	deficit     float64 // turns owed: the smooth weighted rotation picks the largest
+	ejection    hostEjection
+	fullUntil   Time // it has said that it is full
+	errors      errorScore
+	messages    messageDelay
+	slowStart   tokenBucket
+	reported    loadestimate.Host
+	healthCheck healthCheckState
+}
+
+// restarted forgets what was held against the process before: else a host that came back would be shunned for
+// the rest of the old one's ejection.
+func (h *host) restarted(now, startedAt Time, tokens float64) {
+	h.startedAt = startedAt
+	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
+	h.errors.score = 0
+	h.messages.delay = 0
+	h.reported.Reset()
+	h.fullUntil = 0
+	h.slowStart = tokenBucket{tokens: tokens, filledAt: now}
+	h.deficit = min(h.deficit, 0)
+}
+
+// connectionEstablished counts a connection that is open at its host.
+func (b *Balancer) connectionEstablished(r *request) {
+	h := r.host
+	r.established, r.connectionIndex, r.load = true, len(h.connections), r.cost
+	h.connections = append(h.connections, r)
+	h.load += r.load
+	b.establishedConnections++
+	b.reconcileLedger(r, h)
+	if r.Tenant >= 0 {
+		b.shedding.tenantConnections[r.Tenant]++
+	}
+}
+
+// connectionEnded takes it back, where it was open.
+func (b *Balancer) connectionEnded(r *request) {
+	if !r.established {
+		return
+	}
+	h := r.host
+	last := len(h.connections) - 1
+	h.connections[r.connectionIndex] = h.connections[last]
+	h.connections[r.connectionIndex].connectionIndex = r.connectionIndex
+	h.connections = h.connections[:last]
+	h.load -= r.load
+	b.establishedConnections--
+	b.reportPlacement(h, r, -1)
+	b.loadAdded(h, -r.load/b.costs.unit())
+	if last == 0 {
+		h.load = 0 // no rounding error stays
+	}
+	r.established = false
+	if r.Tenant >= 0 {
+		b.shedding.tenantConnections[r.Tenant]--
+	}
+}
--- a/internal/balancer/keep_test.go
+++ b/internal/balancer/keep_test.go
@@ -18,7 +18,7 @@
 		up := 110 * sec
 		var at, later []Time
 		for _, f := range all {
-			f.b.byID["s03"].fails, f.b.byID["s03"].until = 3, up+100*sec
+			f.b.byID["s03"].ejection.consecutiveFailures, f.b.byID["s03"].ejection.until = 3, up+100*sec
 			f.b.ListReceived(up-5*sec, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
 			f.b.ListReceived(up, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 			f.now = up
@@ -48,11 +48,11 @@
 func TestMemory(t *testing.T) {
 	cold := []ListedHost{{ID: "s00", Zone: "a", Weight: 1}, {ID: "s01", Zone: "a", Weight: 1, StartedAt: 99 * sec}}
 	old := start(t, settings(), cold...)
-	old.b.byID["s00"].fails, old.b.byID["s00"].until, old.b.byID["s00"].failedAt = 2, old.now+sec, old.now
-	old.b.byID["s01"].tokens = 3
-	old.b.meanCost = 7
+	old.b.byID["s00"].ejection.consecutiveFailures, old.b.byID["s00"].ejection.until, old.b.byID["s00"].ejection.failedAt = 2, old.now+sec, old.now
+	old.b.byID["s01"].slowStart.tokens = 3
+	old.b.costs.mean = 7
 	m := old.b.Snapshot(true)
-	if old.b.byID["s01"].tokens >= 0 {
+	if old.b.byID["s01"].slowStart.tokens >= 0 {
 		t.Error("a budget that was given away is still there")
 	}
 	if again := old.b.Snapshot(false); again.Servers[1].Tokens != 0 {
@@ -60,7 +60,7 @@
 	}
 	young := start(t, settings(), cold...)
 	young.b.Restore(young.now, m)
-	if s := young.b.byID["s00"]; !young.b.Ejected(young.now, "s00") || s.fails != 2 || young.b.byID["s01"].tokens != 3 || young.b.meanCost != 7 {
+	if s := young.b.byID["s00"]; !young.b.Ejected(young.now, "s00") || s.ejection.consecutiveFailures != 2 || young.b.byID["s01"].slowStart.tokens != 3 || young.b.costs.mean != 7 {
 		t.Errorf("it recalls %+v", s)
 	}
 	if young.b.Ejected(young.now+2*sec, "s00") {
@@ -68,7 +68,7 @@
 	}
 	// One that gave its budgets away and goes on takes them back.
 	old.b.Restore(old.now, m)
-	if old.b.byID["s01"].tokens != 3 {
+	if old.b.byID["s01"].slowStart.tokens != 3 {
 		t.Error("the budget is lost")
 	}
 	for name, spoil := range map[string]func(s *HostSnapshot){
--- /dev/null
+++ b/internal/balancer/ledger/client.go
@@ -0,0 +1,133 @@
+package ledger
+
+const (
+	maxCoordinators = 8    // balancers that count, of which one is asked
+	maxMisses       = 2    // queries in a row without a reply, after which the next coordinator is asked
+	maxPending      = 256  // queries that are remembered
+	initialPause    = 3e9  // how long nobody is asked once no coordinator replied, in nanoseconds
+	maxPauseDouble  = 4    // doublings of it: where no one can be heard hardly any request waits
+	pollInterval    = 2e9  // how often an earlier coordinator is polled, in nanoseconds
+	pendingTimeout  = 10e9 // after which a reply counts for nothing, in nanoseconds
+)
+
+// PendingQuery is a query without a reply yet.
+type PendingQuery struct {
+	Request   string
+	Group     uint32
+	Units     int
+	SentAt    Time
+	Abandoned bool // its request waits no longer
+}
+
+// Client is the asking side: which coordinator is asked, and which queries are pending. The coordinators are
+// in one order for all balancers; the first of them that replies is asked.
+type Client struct {
+	coordinators []int // balancers
+	current      int   // index of the one that is asked
+	misses       int   // in a row
+	pausedUntil  Time  // nobody is asked before
+	pauses       int   // in a row
+	polledAt     Time
+	synced       bool // the current one has replied, and is told all that is held here
+	epoch        byte // of the current one
+	sequence     uint16
+	pending      map[uint16]*PendingQuery
+}
+
+// NewClient makes the client of one of so many balancers. The coordinators are spread over the balancers'
+// numbers, which may follow zones.
+func NewClient(balancers int) *Client {
+	c := &Client{pending: map[uint16]*PendingQuery{}}
+	n := min(balancers, maxCoordinators)
+	for i := range n {
+		c.coordinators = append(c.coordinators, i*balancers/n)
+	}
+	return c
+}
+
+// IsCoordinator tells whether a balancer is one of the coordinators.
+func (c *Client) IsCoordinator(balancer int) bool { return c.index(balancer) >= 0 }
+
+func (c *Client) index(balancer int) int {
+	for i, k := range c.coordinators {
+		if k == balancer {
+			return i
+		}
+	}
+	return -1
+}
+
+// Coordinator is the balancer that is asked now; -1: none.
+func (c *Client) Coordinator(now Time) int {
+	if now < c.pausedUntil {
+		return -1
+	}
+	return c.coordinators[c.current]
+}
+
+// Synced tells whether the coordinator was told all that is held here, so that changes are worth reporting.
+func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
+
+// Register notes a query that is sent, and gives its sequence number.
+func (c *Client) Register(q PendingQuery) uint16 {
+	if len(c.pending) >= maxPending {
+		for sequence, p := range c.pending {
+			if q.SentAt-p.SentAt > pendingTimeout {
+				delete(c.pending, sequence)
+			}
+		}
+		if len(c.pending) >= maxPending {
+			clear(c.pending)
+		}
+	}
+	c.sequence++
+	c.pending[c.sequence] = &q
+	return c.sequence
+}
+
+// TimedOut notes that a request waits no longer for its reply.
+func (c *Client) TimedOut(now Time, request string) {
+	for _, p := range c.pending {
+		if p.Request == request {
+			p.Abandoned = true
+		}
+	}
+	if c.misses++; c.misses < maxMisses {
+		return
+	}
+	c.misses, c.synced = 0, false
+	if c.current++; c.current == len(c.coordinators) {
+		c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
+		c.pauses++
+	}
+}
+
+// Take removes and gives the query of a sequence number; nil: none is pending.
+func (c *Client) Take(sequence uint16) *PendingQuery {
+	p := c.pending[sequence]
+	delete(c.pending, sequence)
+	return p
+}
+
+// CoordinatorHeard notes a sign of life of a coordinator. sync: it has to be told all that is held here.
+func (c *Client) CoordinatorHeard(from int, epoch byte) (sync bool) {
+	i := c.index(from)
+	if i < 0 || i > c.current {
+		return false
+	}
+	sync = i != c.current || !c.synced || epoch != c.epoch
+	c.current, c.misses, c.pausedUntil, c.pauses, c.synced, c.epoch = i, 0, 0, 0, true, epoch
+	return sync
+}
+
+// NextPoll gives the coordinator to poll now: one before the current one, which may be back; -1: none.
+func (c *Client) NextPoll(now Time) int {
+	if c.current == 0 && now >= c.pausedUntil && c.synced || now-c.polledAt < pollInterval {
+		return -1
+	}
+	c.polledAt = now
+	if c.current == 0 {
+		return c.coordinators[0]
+	}
+	return c.coordinators[int(uint64(now/pollInterval)%uint64(c.current))]
+}
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -53,22 +53,22 @@
 func TestTheBookIsBounded(t *testing.T) {
 	b := NewPlacements()
 	b.Add(1, 1, 1, 8)
-	for i := range uint32(3 * mostOfPeer) {
+	for i := range uint32(3 * maxEntriesPerPeer) {
 		b.Add(2, 1, i, 8)
 	}
-	if n := len(b.peers[2]); n > mostOfPeer {
+	if n := len(b.peers[2]); n > maxEntriesPerPeer {
 		t.Errorf("%d entries of one balancer", n)
 	}
 	b.Forget(2)
 	if load, groups, _ := b.Load(1, 1); load != 1 || groups != 1 {
 		t.Errorf("%g of %d groups", load, groups)
 	}
-	for i := range uint32(3 * mostServers) {
+	for i := range uint32(3 * maxHosts) {
 		b.Add(3, i, 1, 8)
 		b.RecordGrant(5, Time(i))
 	}
-	if len(b.servers) > mostServers+1 || len(b.held(5).grants) > mostGrants {
-		t.Errorf("%d servers, %d grants", len(b.servers), len(b.held(5).grants))
+	if len(b.hosts) > maxHosts+1 || len(b.at(5).grants) > maxGrantsPerHost {
+		t.Errorf("%d servers, %d grants", len(b.hosts), len(b.at(5).grants))
 	}
 }
 
@@ -87,7 +87,7 @@
 // The first keeper that answers is asked: past the misses the next one, after all nobody for a while, and an earlier one as soon as it is back.
 func TestWhomToAsk(t *testing.T) {
 	d := NewClient(300)
-	if got := d.keepers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
+	if got := d.coordinators; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("keepers %v", got)
 	}
 	if !d.CoordinatorHeard(0, 5) || d.CoordinatorHeard(0, 5) || !d.CoordinatorHeard(0, 6) || !d.Synced(1) {
@@ -108,36 +108,36 @@
 	if d.CoordinatorHeard(150, 1) {
 		t.Error("a later keeper than the one that is asked has to be told")
 	}
-	if k := d.NextPoll(now + lookEvery); k != 0 {
+	if k := d.NextPoll(now + pollInterval); k != 0 {
 		t.Errorf("looked for %d", k)
 	}
-	if d.NextPoll(now+lookEvery+1) >= 0 {
+	if d.NextPoll(now+pollInterval+1) >= 0 {
 		t.Error("looked again at once")
 	}
 	if !d.CoordinatorHeard(0, 6) || d.Coordinator(now) != 0 {
 		t.Error("the first one is back and not asked")
 	}
-	for range 2 * mostKeepers {
+	for range 2 * maxCoordinators {
 		miss()
 	}
-	if d.Coordinator(now) >= 0 || d.Coordinator(now+rest) != 0 {
-		t.Errorf("after all have missed %d is asked, later %d", d.Coordinator(now), d.Coordinator(now+rest))
+	if d.Coordinator(now) >= 0 || d.Coordinator(now+initialPause) != 0 {
+		t.Errorf("after all have missed %d is asked, later %d", d.Coordinator(now), d.Coordinator(now+initialPause))
 	}
-	off := now + rest
+	off := now + initialPause
 	for i := range 6 {
-		for range 2 * mostKeepers {
+		for range 2 * maxCoordinators {
 			d.TimedOut(off, "r")
 		}
-		next := off + 2*rest<<min(i, mostRests-1)
+		next := off + 2*initialPause<<min(i, maxPauseDouble-1)
 		if d.Coordinator(next-1) >= 0 || d.Coordinator(next) != 0 {
-			t.Errorf("rest %d does not end after %g s", i+2, float64(next-off)/1e9)
+			t.Errorf("initialPause %d does not end after %g s", i+2, float64(next-off)/1e9)
 		}
 		off = next
 	}
 	if d.CoordinatorHeard(0, 6); d.Coordinator(off-1) != 0 {
 		t.Error("not asked though it is heard")
 	}
-	if n := len(NewClient(2).keepers); n != 2 {
+	if n := len(NewClient(2).coordinators); n != 2 {
 		t.Errorf("%d keepers of two balancers", n)
 	}
 }
@@ -145,11 +145,11 @@
 func TestAsksAreBounded(t *testing.T) {
 	d := NewClient(9)
 	first := d.Register(PendingQuery{Request: "a", SentAt: 0})
-	for i := range 10 * mostOut {
+	for i := range 10 * maxPending {
 		d.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
 	}
-	if len(d.out) > mostOut || d.Take(first) != nil {
-		t.Errorf("%d asks kept", len(d.out))
+	if len(d.pending) > maxPending || d.Take(first) != nil {
+		t.Errorf("%d asks kept", len(d.pending))
 	}
 	s := d.Register(PendingQuery{Request: "c", SentAt: 1})
 	d.TimedOut(1, "c")
@@ -160,34 +160,17 @@
 
 func FuzzRead(f *testing.F) {
 	f.Add(Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil))
-	f.Add(AppendReply(7, 9, 0xdeadbeef))
-	f.Add(Entry{1, 2, -3}.Append(Entry{4, 5, 127}.Append(StartSync())))
+	f.Add(Reply{Seq: 7, Epoch: 9, Host: 0xdeadbeef}.Append(nil))
+	f.Add(Entry{1, 2, -3}.Append(Entry{4, 5, 127}.Append(Sync{}.Append(nil))))
 	f.Add(Entry{1, 2, 3}.Append(nil))
-	f.Add(Announcement(3))
-	f.Add(Poll())
+	f.Add(Announcement{Epoch: 3}.Append(nil))
+	f.Add(Poll{}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, ok := Decode(data)
-		if !ok {
+		m, err := Decode(data)
+		if err != nil {
 			return
 		}
-		var back []byte
-		switch {
-		case m.Query != nil:
-			back = m.Query.Append(nil)
-		case m.Reply:
-			back = AppendReply(m.Seq, m.Epoch, m.Host)
-		case m.Announcement:
-			back = Announcement(m.Epoch)
-		case m.Poll:
-			back = Poll()
-		default:
-			if m.Sync {
-				back = StartSync()
-			}
-			for _, e := range m.Entries {
-				back = e.Append(back)
-			}
-		}
+		back := m.Append(nil)
 		if !bytes.Equal(back, data) {
 			t.Fatalf("%x is read as %x", data, back)
 		}
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -1,110 +1,179 @@
 package ledger
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+	"errors"
+)
+
+// The first byte of a message is its kind; 1 is stallgossip's. Messages are priced by the byte, so that they
+// hold nothing that is not needed.
+const (
+	kindQuery        = 2
+	kindReply        = 3
+	kindEntry        = 4
+	kindSync         = 5 // entries follow
+	kindAnnouncement = 6
+	kindPoll         = 7
+)
 
-// Kinds of message. The first byte tells; 1 is the decision module's own. Peers pay by the byte, so nothing is said that is not needed.
 const (
-	kindAsk    = 2 // who asks for a server
-	kindAnswer = 3
-	kindEntry  = 4 // what the sender holds more, or less
-	kindAll    = 5 // what it holds is this alone: entries follow
-	kindHere   = 6 // who keeps a book begins, or is still there
-	kindLook   = 7 // are you there?
-
-	entryBytes = 9
-	// MaxEntries is how many entries a datagram of 256 bytes has room for behind its kind.
+	queryBytes        = 8
+	replyBytes        = 8
+	entryBytes        = 9
+	announcementBytes = 2
+	pollBytes         = 1
+
+	// MaxEntries is how many entries a datagram of 256 bytes holds behind a kind.
 	MaxEntries = 28
+	// MaxUnits is the largest load of a query or an entry, in units.
+	MaxUnits = 127
+
+	maxZone  = 127
+	retryBit = 128 // in the byte of the zone
 )
 
-// Query is a request for a server.
+// ErrNoMessage says that data is no message of the ledger, or is torn.
+var ErrNoMessage = errors.New("ledger: no message of the placement ledger")
+
+// Message is a Query, Reply, Entries, Sync, Announcement or Poll.
+type Message interface {
+	// Append appends the message's bytes.
+	Append(data []byte) []byte
+}
+
+// Query asks the coordinator for a host.
 type Query struct {
 	Seq   uint16
-	Zone  int    // of the asker, 0 to 127
-	Retry bool   // its client comes again
-	Units int    // 1 to 127
+	Zone  int    // of the asking balancer, 0 to 127
+	Retry bool   // its client may be one of a wave
+	Units int    // load, 1 to MaxUnits
 	Group uint32 // 24 bits
 }
 
-// Entry is what its sender holds more (or less) of a group at a server.
+// Reply names the host for a query.
+type Reply struct {
+	Epoch byte // of the coordinator
+	Seq   uint16
+	Host  uint32 // 32 bits of the hash of its ID; 0: none
+}
+
+// Entry is what its sender holds more of a group at a host, or less.
 type Entry struct {
 	Host, Group uint32
-	Units       int // -127 to 127
+	Units       int // -MaxUnits to MaxUnits
 }
 
-// Message is any of them.
-type Message struct {
-	Query        *Query
-	Reply        bool
-	Seq          uint16
-	Epoch        byte   // of the book that answers, or is here
-	Host         uint32 // 0: none
-	Entries      []Entry
-	Sync         bool
-	Announcement bool
-	Poll         bool
-}
+// Entries are changes of what their sender holds, 1 to MaxEntries.
+type Entries []Entry
+
+// Sync is all that its sender holds; further Entries may follow in messages of their own.
+type Sync struct{ Entries Entries }
+
+// Announcement says that its sender is a coordinator. Another epoch: it has forgotten all.
+type Announcement struct{ Epoch byte }
+
+// Poll asks for an Announcement.
+type Poll struct{}
 
 // GroupID is a group's name in messages: 24 bits of its hash.
 func GroupID(hash uint64) uint32 { return uint32(hash) &^ 0xff >> 8 }
 
-// Append writes an ask.
-func (a Query) Append(d []byte) []byte {
-	flags := byte(min(127, max(0, a.Zone)))
-	if a.Retry {
-		flags |= 128
+// Append implements Message.
+func (q Query) Append(data []byte) []byte {
+	zone := byte(min(maxZone, max(0, q.Zone)))
+	if q.Retry {
+		zone |= retryBit
 	}
-	return append(d, kindAsk, byte(a.Seq>>8), byte(a.Seq), flags, byte(min(127, max(1, a.Units))), byte(a.Group>>16), byte(a.Group>>8), byte(a.Group))
+	data = binary.BigEndian.AppendUint16(append(data, kindQuery), q.Seq)
+	return appendGroup(append(data, zone, byte(min(MaxUnits, max(1, q.Units)))), q.Group)
+}
+
+// Append implements Message.
+func (r Reply) Append(data []byte) []byte {
+	data = binary.BigEndian.AppendUint16(append(data, kindReply, r.Epoch), r.Seq)
+	return binary.BigEndian.AppendUint32(data, r.Host)
 }
 
-// AppendReply writes an answer.
-func AppendReply(seq uint16, epoch byte, server uint32) []byte {
-	return binary.BigEndian.AppendUint32([]byte{kindAnswer, epoch, byte(seq >> 8), byte(seq)}, server)
+// Append appends the entry's bytes.
+func (e Entry) Append(data []byte) []byte {
+	data = binary.BigEndian.AppendUint32(append(data, kindEntry), e.Host)
+	return append(appendGroup(data, e.Group), byte(int8(min(MaxUnits, max(-MaxUnits, e.Units)))))
 }
 
-// Append writes an entry.
-func (e Entry) Append(d []byte) []byte {
-	d = binary.BigEndian.AppendUint32(append(d, kindEntry), e.Host)
-	return append(d, byte(e.Group>>16), byte(e.Group>>8), byte(e.Group), byte(int8(min(127, max(-127, e.Units)))))
+// Append implements Message.
+func (es Entries) Append(data []byte) []byte {
+	for _, e := range es {
+		data = e.Append(data)
+	}
+	return data
 }
 
-// StartSync begins a message of all that the sender holds.
-func StartSync() []byte { return []byte{kindAll} }
+// Append implements Message.
+func (s Sync) Append(data []byte) []byte { return s.Entries.Append(append(data, kindSync)) }
+
+// Append implements Message.
+func (a Announcement) Append(data []byte) []byte { return append(data, kindAnnouncement, a.Epoch) }
+
+// Append implements Message.
+func (Poll) Append(data []byte) []byte { return append(data, kindPoll) }
+
+func appendGroup(data []byte, group uint32) []byte {
+	return append(data, byte(group>>16), byte(group>>8), byte(group))
+}
 
-// Announcement says that a book is kept here, and Look asks whether it is.
-func Announcement(epoch byte) []byte { return []byte{kindHere, epoch} }
-func Poll() []byte                   { return []byte{kindLook} }
+func group(data []byte) uint32 { return uint32(data[0])<<16 | uint32(data[1])<<8 | uint32(data[2]) }
 
-// Decode reads a message; ok is false for what is none, or torn.
-func Decode(d []byte) (m Message, ok bool) {
-	if len(d) == 0 {
-		return m, false
+// Decode reads a message. It returns ErrNoMessage for what is none, or torn.
+func Decode(data []byte) (Message, error) {
+	if len(data) == 0 {
+		return nil, ErrNoMessage
 	}
-	switch {
-	case d[0] == kindAsk && len(d) == 8 && d[4] > 0 && d[4] < 128:
-		m.Query = &Query{Seq: uint16(d[1])<<8 | uint16(d[2]), Zone: int(d[3] & 127), Retry: d[3] > 127, Units: int(d[4]), Group: uint32(d[5])<<16 | uint32(d[6])<<8 | uint32(d[7])}
-		return m, true
-	case d[0] == kindAnswer && len(d) == 8:
-		m.Reply, m.Epoch, m.Seq, m.Host = true, d[1], uint16(d[2])<<8|uint16(d[3]), binary.BigEndian.Uint32(d[4:])
-		return m, true
-	case d[0] == kindHere && len(d) == 2:
-		m.Announcement, m.Epoch = true, d[1]
-		return m, true
-	case d[0] == kindLook && len(d) == 1:
-		m.Poll = true
-		return m, true
-	case d[0] == kindAll:
-		m.Sync, d = true, d[1:]
-	case d[0] != kindEntry:
-		return m, false
+	switch kind := data[0]; {
+	case kind == kindQuery && len(data) == queryBytes:
+		return decodeQuery(data)
+	case kind == kindReply && len(data) == replyBytes:
+		return Reply{Epoch: data[1], Seq: binary.BigEndian.Uint16(data[2:]),
+			Host: binary.BigEndian.Uint32(data[4:])}, nil
+	case kind == kindAnnouncement && len(data) == announcementBytes:
+		return Announcement{Epoch: data[1]}, nil
+	case kind == kindPoll && len(data) == pollBytes:
+		return Poll{}, nil
+	case kind == kindSync:
+		entries, err := decodeEntries(data[1:])
+		if err != nil {
+			return nil, err
+		}
+		return Sync{Entries: entries}, nil
+	case kind == kindEntry:
+		entries, err := decodeEntries(data)
+		if err != nil {
+			return nil, err
+		}
+		return entries, nil
 	}
-	if len(d)%entryBytes != 0 || len(d) > MaxEntries*entryBytes {
-		return Message{}, false
+	return nil, ErrNoMessage
+}
+
+func decodeQuery(data []byte) (Message, error) {
+	units := int(data[4])
+	if units < 1 || units > MaxUnits {
+		return nil, ErrNoMessage
+	}
+	return Query{Seq: binary.BigEndian.Uint16(data[1:]), Zone: int(data[3] &^ retryBit),
+		Retry: data[3]&retryBit != 0, Units: units, Group: group(data[5:])}, nil
+}
+
+func decodeEntries(data []byte) (Entries, error) {
+	if len(data)%entryBytes != 0 || len(data) > MaxEntries*entryBytes {
+		return nil, ErrNoMessage
 	}
-	for ; len(d) > 0; d = d[entryBytes:] {
-		if d[0] != kindEntry || d[8] == 0x80 {
-			return Message{}, false
+	var entries Entries
+	for ; len(data) > 0; data = data[entryBytes:] {
+		units := int(int8(data[8]))
+		if data[0] != kindEntry || units < -MaxUnits {
+			return nil, ErrNoMessage
 		}
-		m.Entries = append(m.Entries, Entry{Host: binary.BigEndian.Uint32(d[1:]), Group: uint32(d[5])<<16 | uint32(d[6])<<8 | uint32(d[7]), Units: int(int8(d[8]))})
+		entries = append(entries, Entry{Host: binary.BigEndian.Uint32(data[1:]), Group: group(data[5:]), Units: units})
 	}
-	return m, m.Sync || len(m.Entries) > 0
+	return entries, nil
 }
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -64,37 +64,19 @@
 	}{
 		{"ask", Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil)},
 		{"ask", Query{Seq: 1, Zone: 127, Units: 127, Group: 0xffffff}.Append(nil)},
-		{"answer", AppendReply(7, 9, 0xdeadbeef)},
+		{"answer", Reply{Seq: 7, Epoch: 9, Host: 0xdeadbeef}.Append(nil)},
 		{"entries", Entry{Host: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(Entry{Host: 1, Group: 2, Units: 127}.Append(nil))},
-		{"all", Entry{Host: 4, Group: 5, Units: 6}.Append(StartSync())},
-		{"here", Announcement(3)},
-		{"look", Poll()},
+		{"all", Entry{Host: 4, Group: 5, Units: 6}.Append(Sync{}.Append(nil))},
+		{"here", Announcement{Epoch: 3}.Append(nil)},
+		{"look", Poll{}.Append(nil)},
 	} {
 		samples.Add(m.kind, m.data)
-		read, ok := Decode(m.data)
-		if again := rewrite(read); !ok || !bytes.Equal(again, m.data) {
-			t.Errorf("%s: %x is read, %t, and written as %x", m.kind, m.data, ok, again)
+		read, err := Decode(m.data)
+		if err != nil {
+			t.Errorf("%s: %x: %v", m.kind, m.data, err)
+		} else if again := read.Append(nil); !bytes.Equal(again, m.data) {
+			t.Errorf("%s: %x is written again as %x", m.kind, m.data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", samples.Bytes())
 }
-
-// rewrite writes a message that was read.
-func rewrite(m Message) (data []byte) {
-	switch {
-	case m.Query != nil:
-		return m.Query.Append(nil)
-	case m.Reply:
-		return AppendReply(m.Seq, m.Epoch, m.Host)
-	case m.Announcement:
-		return Announcement(m.Epoch)
-	case m.Poll:
-		return Poll()
-	case m.Sync:
-		data = StartSync()
-	}
-	for _, e := range m.Entries {
-		data = e.Append(data)
-	}
-	return data
-}
--- a/internal/balancer/ledger_test.go
+++ b/internal/balancer/ledger_test.go
@@ -132,11 +132,11 @@
 	n, held := map[string]int{}, map[string]bool{}
 	for id, f := range x.open {
 		r := f.b.requests[id]
-		n[r.server.id]++
-		held[r.server.id+r.Group] = true
+		n[r.host.id]++
+		held[r.host.id+r.Group] = true
 	}
 	for _, c := range n {
-		most = max(most, float64(c)*float64(len(x.all[0].b.servers))/float64(len(x.open)))
+		most = max(most, float64(c)*float64(len(x.all[0].b.hosts))/float64(len(x.open)))
 	}
 	return most, len(held)
 }
@@ -170,7 +170,7 @@
 	x.flow(8*sec, 8, 15, false)
 	moved := 0
 	for me, f := range x.all {
-		if !x.dead[me] && f.b.desk.Coordinator(x.now) != 0 {
+		if !x.dead[me] && f.b.ledger.client.Coordinator(x.now) != 0 {
 			moved++
 		}
 	}
@@ -178,7 +178,7 @@
 		t.Errorf("%d of 39 balancers ask another keeper", moved)
 	}
 	for id, at := range x.asked {
-		if x.now-at > 3*bookWait {
+		if x.now-at > 3*ledgerReplyTimeout {
 			t.Errorf("%s waits for %d ms", id, (x.now-at)/ms)
 		}
 	}
@@ -192,13 +192,13 @@
 	x.flow(12*sec, 8, 15, false)
 	back := 0
 	for _, f := range x.all {
-		if f.b.desk.Coordinator(x.now) == 0 {
+		if f.b.ledger.client.Coordinator(x.now) == 0 {
 			back++
 		}
 	}
 	known := 0.0
-	for _, s := range x.all[0].b.servers {
-		n, _, _ := x.all[0].b.book.Load(uint32(s.hash), 0)
+	for _, s := range x.all[0].b.hosts {
+		n, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
 		known += n
 	}
 	t.Logf("%d went on to another keeper, %d came back; the book has %.0f of %d connections", moved, back, known, len(x.open))
--- a/internal/balancer/ledgercold_test.go
+++ b/internal/balancer/ledgercold_test.go
@@ -54,8 +54,8 @@
 
 // Whatever peers send, nothing breaks.
 func FuzzPeer(f *testing.F) {
-	f.Add(ledger.Query{Seq: 1, Units: 8, Group: 5}.Append(nil), ledger.AppendReply(1, 2, 3))
-	f.Add(ledger.Announcement(4), ledger.Entry{Host: 1, Group: 2, Units: -9}.Append(ledger.StartSync()))
+	f.Add(ledger.Query{Seq: 1, Units: 8, Group: 5}.Append(nil), ledger.Reply{Seq: 1, Epoch: 2, Host: 3}.Append(nil))
+	f.Add(ledger.Announcement{Epoch: 4}.Append(nil), ledger.Entry{Host: 1, Group: 2, Units: -9}.Append(ledger.Sync{}.Append(nil)))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		x := newTier(t, 4, 3, true)
 		x.all[1].b.RequestArrived(x.now, Request{ID: "r", Tenant: 0, Group: "g", Remaining: 4800 * ms})
--- a/internal/balancer/ledgerfault_test.go
+++ b/internal/balancer/ledgerfault_test.go
@@ -9,8 +9,8 @@
 
 // known is how many connections the first keeper's book has.
 func (x *tier) known() (n float64) {
-	for _, s := range x.all[0].b.servers {
-		held, _, _ := x.all[0].b.book.Load(uint32(s.hash), 0)
+	for _, s := range x.all[0].b.hosts {
+		held, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
 		n += held
 	}
 	return n
@@ -20,7 +20,7 @@
 func (x *tier) restart(t *testing.T, from, to int) {
 	for me := from; me < to; me++ {
 		x.dead[me] = false
-		x.all[me] = x.begin(t, me, len(x.all), len(x.all[0].b.servers), true)
+		x.all[me] = x.begin(t, me, len(x.all), len(x.all[0].b.hosts), true)
 	}
 	for id, f := range x.open {
 		if f != x.all[f.b.cfg.Instance] {
@@ -51,7 +51,7 @@
 		}, true},
 		{"all keepers are killed, one after the other", func(x *tier) {
 			for me := range x.all {
-				if x.all[0].b.desk.IsCoordinator(me) {
+				if x.all[0].b.ledger.client.IsCoordinator(me) {
 					x.dead[me] = true
 					x.flow(sec/2, 8, 60, false)
 					x.restart(t, me, me+1)
@@ -84,7 +84,7 @@
 		waited := func() {
 			t.Helper()
 			for id, at := range x.asked {
-				if x.now-at > 3*bookWait && !x.dead[x.by[id]] {
+				if x.now-at > 3*ledgerReplyTimeout && !x.dead[x.by[id]] {
 					t.Errorf("%s: one waits for %d ms", c.name, (x.now-at)/ms)
 				}
 			}
@@ -104,7 +104,7 @@
 		waited()
 		back := 0
 		for _, f := range x.all {
-			if f.b.desk.Coordinator(x.now) == 0 {
+			if f.b.ledger.client.Coordinator(x.now) == 0 {
 				back++
 			}
 		}
--- /dev/null
+++ b/internal/balancer/ledgersync.go
@@ -0,0 +1,148 @@
+package balancer
+
+import "croftlock/internal/balancer/ledger"
+
+const (
+	// syncSpread is the time over which all balancers tell a coordinator that begins what they hold, and
+	// syncInterval the mean time after which each does so again, in nanoseconds. It corrects what was lost.
+	syncSpread   = 1e9
+	syncInterval = 8e9
+	// epochUnit makes an epoch from the time of the process's start, in nanoseconds.
+	epochUnit = 1e8
+)
+
+// maintainLedger announces once that this balancer coordinates, tells the coordinator all that is held here
+// when that is due, and polls one that may be back. Where there is no ledger nothing is sent and nothing
+// drawn.
+func (b *Balancer) maintainLedger() {
+	if !b.ledgerUsable() {
+		return
+	}
+	l := &b.ledger
+	if !l.announced {
+		l.announced, l.epoch = true, byte(b.now/epochUnit)
+		if l.client.IsCoordinator(b.cfg.Instance) {
+			b.fx.SendToPeer(-1, ledger.Announcement{Epoch: l.epoch}.Append(nil))
+		}
+	}
+	if b.now >= l.syncDue && l.client.Synced(b.now) {
+		b.syncLedger()
+	}
+	if coordinator := l.client.NextPoll(b.now); coordinator == b.cfg.Instance {
+		b.coordinatorHeard(coordinator, l.epoch)
+	} else if coordinator >= 0 {
+		b.fx.SendToPeer(coordinator, ledger.Poll{}.Append(nil))
+	}
+}
+
+// ledgerMessageReceived handles a message of the ledger; false: it is none.
+func (b *Balancer) ledgerMessageReceived(from int, data []byte) bool {
+	message, err := ledger.Decode(data)
+	if err != nil {
+		return false
+	}
+	b.handleLedger(from, message)
+	return true
+}
+
+func (b *Balancer) handleLedger(from int, message ledger.Message) {
+	switch m := message.(type) {
+	case ledger.Query:
+		reply := ledger.Reply{Seq: m.Seq}
+		if h := b.assign(from, m); h != nil {
+			reply.Host = uint32(h.hash)
+		}
+		reply.Epoch = b.ledger.epoch
+		b.fx.SendToPeer(from, reply.Append(nil))
+	case ledger.Reply:
+		b.coordinatorHeard(from, m.Epoch)
+		b.ledgerReplyReceived(from, m)
+	case ledger.Announcement:
+		b.coordinatorHeard(from, m.Epoch)
+	case ledger.Poll:
+		b.fx.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
+	case ledger.Sync:
+		b.ledger.placements.Forget(from)
+		b.countPlacements(from, m.Entries)
+	case ledger.Entries:
+		b.countPlacements(from, m)
+	}
+}
+
+func (b *Balancer) countPlacements(from int, entries ledger.Entries) {
+	for _, e := range entries {
+		b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
+	}
+}
+
+// coordinatorHeard plans to tell all that is held here to a coordinator that does not know it: after a random
+// wait, since all balancers hear of it together.
+func (b *Balancer) coordinatorHeard(from int, epoch byte) {
+	if b.ledgerUsable() && b.ledger.client.CoordinatorHeard(from, epoch) {
+		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
+		b.fx.Report(LedgerPolled{Coordinator: from})
+	}
+}
+
+// syncLedger tells the coordinator all that is held here.
+func (b *Balancer) syncLedger() {
+	coordinator := b.ledger.client.Coordinator(b.now)
+	b.ledger.syncDue = b.now + Time(syncInterval*(0.5+b.rng.Float64()))
+	if coordinator < 0 {
+		return
+	}
+	var entries ledger.Entries
+	for _, h := range b.hosts {
+		entries = b.appendHeld(entries, h)
+	}
+	n := min(len(entries), ledger.MaxEntries)
+	b.sendToCoordinator(coordinator, ledger.Sync{Entries: entries[:n]})
+	for entries = entries[n:]; len(entries) > 0; entries = entries[n:] {
+		n = min(len(entries), ledger.MaxEntries)
+		b.sendToCoordinator(coordinator, entries[:n])
+	}
+}
+
+// appendHeld appends what this balancer holds at a host, group by group in the order of their first
+// connections.
+func (b *Balancer) appendHeld(entries ledger.Entries, h *host) ledger.Entries {
+	var groups []uint32
+	units := map[uint32]int{}
+	for _, r := range h.connections {
+		if r.Group == "" {
+			continue
+		}
+		group := ledger.GroupID(stableHash(r.Group))
+		if units[group] == 0 {
+			groups = append(groups, group)
+		}
+		units[group] += b.ledgerUnits(r)
+	}
+	for _, group := range groups {
+		for left := units[group]; left > 0; left -= ledger.MaxUnits {
+			entries = append(entries,
+				ledger.Entry{Host: uint32(h.hash), Group: group, Units: min(left, ledger.MaxUnits)})
+		}
+	}
+	return entries
+}
+
+// reportPlacement tells the coordinator that a host holds a connection more (1), or less (-1).
+func (b *Balancer) reportPlacement(h *host, r *request, sign int) {
+	coordinator := b.ledger.client.Coordinator(b.now)
+	if r.Group == "" || coordinator < 0 || !b.ledgerUsable() {
+		return
+	}
+	group := ledger.GroupID(stableHash(r.Group))
+	entry := ledger.Entry{Host: uint32(h.hash), Group: group, Units: sign * b.ledgerUnits(r)}
+	b.sendToCoordinator(coordinator, ledger.Entries{entry})
+}
+
+// sendToCoordinator sends a message, or handles it where this balancer coordinates.
+func (b *Balancer) sendToCoordinator(coordinator int, m ledger.Message) {
+	if coordinator == b.cfg.Instance {
+		b.handleLedger(coordinator, m)
+		return
+	}
+	b.fx.SendToPeer(coordinator, m.Append(nil))
+}
--- /dev/null
+++ b/internal/balancer/loadreports.go
@@ -0,0 +1,146 @@
+package balancer
+
+import "math"
+
+const (
+	// healthCheckTimer is how often it is looked which hosts are due for a health check, in nanoseconds, and
+	// minHealthCheckInterval how often one host is checked at most.
+	healthCheckTimer       = 2.5e8
+	minHealthCheckInterval = 5e8
+	// healthCheckBudget is what health checks may cost, as part of what the requests are worth.
+	healthCheckBudget = 0.005
+	// minHealthCheckRate is for how many requests a second hosts are checked at least.
+	minHealthCheckRate = 0.2
+	// quotaCapacityShare is the part of the fleet's capacity to which all quotas add up.
+	quotaCapacityShare = 0.8
+	// Load from which connections are migrated off a host, the load to which, and the mean load of the fleet
+	// above which none are, since no host has spare capacity.
+	migrateAboveLoad   = 0.98
+	migrateToLoad      = 0.8
+	migrateMaxMeanLoad = 0.8
+	// maxMigratedShare is the part of a balancer's connections that one report migrates at most.
+	maxMigratedShare = 0.1
+)
+
+// healthCheckState is the health check of one host.
+type healthCheckState struct {
+	inFlight  bool
+	startedAt Time // a random while earlier than it was, which spreads the next one
+}
+
+// fleetLoad is how loaded the hosts are that report it.
+type fleetLoad struct {
+	full float64 // mean connections of this balancer that fill a host; 0: unknown
+	mean float64 // reported load; 1 is full
+}
+
+// hostsReportLoad tells whether hosts can be asked how loaded they are.
+func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
+
+// startHealthChecks checks each host again once its last report is older than another is worth at its price:
+// the more requests there are to be placed by it, the sooner.
+func (b *Balancer) startHealthChecks() {
+	b.schedule(healthCheckTimer, timerHealthCheck)
+	b.updateFleetLoad()
+	interval := b.healthCheckInterval()
+	for _, h := range b.hosts {
+		due := interval
+		if h.reported.LastReport() == 0 {
+			due = minHealthCheckInterval // it may begin to report only once it is checked
+		}
+		check := &h.healthCheck
+		if h.state == Ready && !check.inFlight && b.now-check.startedAt >= due && b.now >= h.ejection.until {
+			// Jitter, else the checks of all balancers reach a host together.
+			jitter := Time(float64(interval) * 0.2 * b.rng.Float64())
+			check.inFlight, check.startedAt = true, b.now-jitter
+			b.fx.HealthCheck(h.id)
+		}
+	}
+}
+
+// healthCheckInterval is how often each host is checked.
+func (b *Balancer) healthCheckInterval() Time {
+	t := &b.traffic
+	t.fade(b.now)
+	rate := max(minHealthCheckRate, t.endRate, t.fresh/t.window(b.now))
+	price := float64(len(b.hosts)) * b.cfg.Prices.HealthCheck
+	return max(minHealthCheckInterval, Time(1e9*price/(healthCheckBudget*rate)))
+}
+
+// HealthCheckEnded takes the result of a health check. One that fails tells nothing of the host's load, and
+// what was known fades.
+func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
+	b.tick(now)
+	if h := b.byID[id]; h != nil {
+		h.healthCheck.inFlight = false
+		if status == OK {
+			b.loadReported(h, load)
+		}
+	}
+}
+
+// loadReported takes a load report. One without the load field is ignored.
+func (b *Balancer) loadReported(h *host, report []float64) {
+	i, j := b.cfg.LoadField, b.cfg.QueueField
+	if i < 0 || i >= len(report) {
+		return
+	}
+	queue := 0.0
+	if j >= 0 && j < len(report) {
+		queue = report[j]
+	}
+	h.reported.Report(b.now, report[i], queue)
+	b.migrateFromFull(h)
+}
+
+// loadAdded notes load that no report holds yet, in mean connections. The other balancers have the same
+// reports and place by them too: somewhere between nothing and as much each.
+func (b *Balancer) loadAdded(h *host, turns float64) {
+	h.reported.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
+}
+
+// currentLoad is how loaded a host is now; 1 is full.
+func (b *Balancer) currentLoad(h *host) float64 {
+	return h.reported.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
+}
+
+// updateFleetLoad takes in how loaded the fleet is, and how many mean connections fill one host. The tenants'
+// quotas, in sum, are most of what the fleet can hold; where there are none, all balancers' connections, of
+// which this one holds its part, make up the sum of what the hosts report.
+func (b *Balancer) updateFleetLoad() {
+	own, sum, reporting, present := 0.0, 0.0, 0.0, 0.0
+	for _, h := range b.hosts {
+		if h.state != Removed {
+			present++
+		}
+		if h.state == Ready && h.reported.Known(b.now) {
+			own += h.load
+			sum += h.reported.Load(b.now, 0, 0)
+			reporting++
+		}
+	}
+	if reporting > 0 {
+		b.fleetLoad.mean = sum / reporting
+	}
+	if expected := b.traffic.expectedConnections; expected > 0 {
+		b.fleetLoad.full = expected / usualQuotaShare / quotaCapacityShare / max(1, present)
+	} else if own > 0 && sum > 0 {
+		b.fleetLoad.full = own / b.costs.mean * float64(b.cfg.Instances) / sum
+	}
+}
+
+// migrateFromFull migrates some connections off a host that has more than it can do, where others have spare
+// capacity. Each balancer migrates by chance a part of its own, since all get the same report.
+func (b *Balancer) migrateFromFull(h *host) {
+	load, mean := b.currentLoad(h), b.fleetLoad.mean
+	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
+		return
+	}
+	share := min(maxMigratedShare, (load-migrateToLoad)/load)
+	for _, r := range h.connections {
+		if !r.migrationRequested && b.rng.Float64() < share {
+			r.migrationRequested = true
+			b.fx.Migrate(r.ID)
+		}
+	}
+}
--- a/internal/balancer/loads_test.go
+++ b/internal/balancer/loads_test.go
@@ -16,10 +16,10 @@
 
 // report has every server tell a load.
 func (f *fake) report(x func(i int) float64) {
-	for i, s := range f.b.servers {
+	for i, s := range f.b.hosts {
 		f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{x(i), 0})
 	}
-	f.b.survey()
+	f.b.updateFleetLoad()
 }
 
 func (f *fake) probes(id string) (n int) {
@@ -72,7 +72,7 @@
 			f.request(id)
 			f.stands(id)
 			f.run(sec / Time(rate))
-			for _, s := range f.b.servers {
+			for _, s := range f.b.hosts {
 				f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{0.5, 0})
 			}
 		}
@@ -142,14 +142,14 @@
 	cfg.Instances = 3
 	f := told(t, cfg, fleet(5)...)
 	f.report(func(int) float64 { return 0.6 })
-	f.b.learn(0, 1000)
+	f.b.costs.learn(0, 1000)
 	f.request("a")
 	f.stands("a")
 	f.now += 250 * ms
 	for i := range 50 {
 		f.report(func(int) float64 { return 0.6 + float64(i)/1e4 })
 	}
-	if x := f.b.loaded(f.b.byID[f.last().server]); x > 0.7 {
+	if x := f.b.currentLoad(f.b.byID[f.last().server]); x > 0.7 {
 		t.Errorf("%.2f: one connection of some 500 filled a server at 0.6", x)
 	}
 	if len(f.moves) > 0 {
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -1,97 +1,114 @@
 package balancer
 
-// What became of attempts and connections.
+import "math"
 
-// AttemptEstablished tells that an attempt's connection stands.
+// errorStep is what one error adds to a host's error score, and errorRelief what a success leaves of it.
+const (
+	errorStep   = 0.5
+	errorRelief = 0.5
+)
+
+// errorScore is how much a host fails of late: 0 none, 1 always. It fades with the initial ejection as time
+// constant.
+type errorScore struct {
+	score float64
+	at    Time
+}
+
+func (b *Balancer) currentErrorScore(h *host) float64 {
+	if h.errors.score == 0 {
+		return 0
+	}
+	return h.errors.score * math.Exp(-float64(b.now-h.errors.at)/float64(b.ejection.initial+1))
+}
+
+// AttemptEstablished tells that an attempt, counted from 0, has set up its connection in the time elapsed.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.tick(now)
 	r := b.requests[id]
-	if r == nil || !r.out || r.up || attempt != r.attempts-1 {
+	if r == nil || !r.attemptInFlight || r.established || attempt != r.attempts-1 {
 		return
 	}
-	b.sample(float64(elapsed))
-	b.doneBy[0], b.doneBy[1], b.errors = b.doneBy[1], now+elapsed*3/2, 0
-	b.fade()
-	b.good++
-	b.stood++
-	s := r.server
-	b.success(s)
-	s.ill = b.illness(s) / 2
-	s.illAt = now
-	b.stand(r)
+	b.setups.Sample(now, float64(elapsed))
+	b.setups.ExpectCompletion(now + elapsed*3/2)
+	b.ejection.evidence.addSuccess(now)
+	b.retryStorm.succeeded()
+	h := r.host
+	b.hostAccepted(h)
+	h.errors.score, h.errors.at = b.currentErrorScore(h)*errorRelief, now
+	b.connectionEstablished(r)
 }
 
-// AttemptEnded tells how an attempt ended. Closed: the request has had its final answer.
+// AttemptEnded tells how an attempt ended. closed: the request has had its final answer. load is the host's
+// load report, if one came.
 func (b *Balancer) AttemptEnded(now Time, id string, attempt int, status AttemptStatus, elapsed Time,
 	closed bool, load []float64) {
 	b.tick(now)
 	r := b.requests[id]
-	if r == nil || !r.out || attempt != r.attempts-1 {
+	if r == nil || !r.attemptInFlight || attempt != r.attempts-1 {
 		return
 	}
-	s := r.server
-	wasUp := r.up
-	b.reported(s, load)
-	if wasUp && status == OK {
-		b.count(r)
+	h, wasEstablished := r.host, r.established
+	b.loadReported(h, load)
+	if wasEstablished && status == OK {
+		b.traffic.connectionEnded(now, b.costs.turns(r.cost))
 	}
-	b.leave(r)
-	r.out = false
-	if s.trials > 0 {
-		s.trials--
+	b.connectionEnded(r)
+	r.attemptInFlight = false
+	if h.ejection.trials > 0 {
+		h.ejection.trials--
 	}
-	if !status.ProvesNotRun() && r.ranOn == nil {
-		r.ranOn, r.ranAt = s, r.sentAt
+	if !status.ProvesNotRun() && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn, r.mayHaveRunAt = h, r.sentAt
 	}
-	switch {
-	case wasUp && status == Reset:
-		// A server that drops standing connections sheds load or has died; without this its turns go on and
-		// the dropped clients come straight back to it.
-		b.stalls(s, 1)
-	case !wasUp:
-		switch status {
-		case OK:
-			b.success(s)
-		case ConnectFailed:
-			b.tried = max(0, b.tried-1)
-			b.failure(s, r.sentAt, true)
-		case Timeout:
-			b.doneBy[0], b.doneBy[1] = b.doneBy[1], now+elapsed
-			b.sample(float64(elapsed) * 1.5) // the truth lies beyond; else a slow store is never waited for
-			b.failure(s, r.sentAt, false)
-		case Reset:
-			b.failure(s, r.sentAt, true)
-		case Full:
-			b.tried = max(0, b.tried-1)
-			s.passed = now + b.aimLong
-		case Error:
-			if r.attempts == 1 {
-				b.errors, b.erredAt = b.errors+1, now
-			}
-			if r.attempts > 2 {
-				// It failed elsewhere too, twice: a client that asks for what no server can do must not
-				// look like a jam, and hold up all others.
-				b.tried = max(0, b.tried-1)
-			}
-			s.ill, s.illAt = min(1, b.illness(s)+0.5), now
-		}
+	if !wasEstablished {
+		b.setupEnded(r, status, elapsed)
+	} else if status == Reset {
+		// A host that drops open connections sheds load or has died; else its turns would go on, and the
+		// dropped clients come straight back to it.
+		b.messagesDelayed(h, 1)
 	}
-	if closed || r.closed || wasUp {
+	if closed || r.closed || wasEstablished {
 		delete(b.requests, id)
-		if !closed && !r.closed { // a stream's end closes its request; if not told so, answer
+		if !closed && !r.closed { // the end of a connection closes its request; without word of it, answer
 			r.closed = true
 			b.fx.Fail(id)
 		}
 		return
 	}
 	if status == TooLate {
-		b.giveUp(r)
+		b.reject(r)
 		return
 	}
 	b.place(r)
 }
 
-// ClientLeft tells that a client has left: nothing more is owed.
+// setupEnded takes in how an attempt without a connection ended.
+func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
+	h := r.host
+	switch status {
+	case OK:
+		b.hostAccepted(h)
+	case ConnectFailed:
+		b.retryStorm.discountAttempt()
+		b.hostFailed(h, r.sentAt, true)
+	case Timeout:
+		b.setups.ExpectCompletion(b.now + elapsed)
+		// The time it would have taken lies beyond; else a slow store would never be waited for.
+		b.setups.Sample(b.now, float64(elapsed)*1.5)
+		b.hostFailed(h, r.sentAt, false)
+	case Reset:
+		b.hostFailed(h, r.sentAt, true)
+	case Full:
+		b.retryStorm.discountAttempt()
+		h.fullUntil = b.now + b.retryStorm.window
+	case Error:
+		b.retryStorm.failedWithError(b.now, r.attempts)
+		h.errors.score, h.errors.at = min(1, b.currentErrorScore(h)+errorStep), b.now
+	}
+}
+
+// ClientLeft tells that a client has left: no answer is owed.
 func (b *Balancer) ClientLeft(now Time, id string) {
 	b.tick(now)
 	r := b.requests[id]
@@ -99,10 +116,10 @@
 		return
 	}
 	r.closed = true
-	b.settle(r, nil)
-	if !r.out {
+	b.reconcileLedger(r, nil)
+	if !r.attemptInFlight {
 		delete(b.requests, id)
-	} else if !r.up && b.cfg.MayCancel {
+	} else if !r.established && b.cfg.MayCancel {
 		b.fx.CancelAttempt(id, r.attempts-1)
 	}
 }
--- a/internal/balancer/quarantine_test.go
+++ b/internal/balancer/quarantine_test.go
@@ -13,7 +13,7 @@
 	longest := Time(0)
 	for i, want := range []Time{10, 20, 40, 40} {
 		f.breaks(s)
-		got := s.until - f.now
+		got := s.ejection.until - f.now
 		if got > want*sec || got < want*sec/2 {
 			t.Fatalf("failure %d: quarantined %d ms, want at most %d s and at least half", i, got/ms, want)
 		}
@@ -23,7 +23,7 @@
 				t.Fatal("a quarantined server got a turn")
 			}
 		}
-		f.now = s.until
+		f.now = s.ejection.until
 	}
 	// half-open: exactly one trial at a time
 	for i := 0; i < 12; i++ {
@@ -39,11 +39,11 @@
 	if trials != 1 {
 		t.Fatalf("%d trials at once, want 1", trials)
 	}
-	if s.fails != 0 || s.until != 0 {
+	if s.ejection.consecutiveFailures != 0 || s.ejection.until != 0 {
 		t.Fatal("success did not restore the server")
 	}
 	f.breaks(s)
-	if s.until-f.now > 10*sec {
+	if s.ejection.until-f.now > 10*sec {
 		t.Fatal("success did not reset the period")
 	}
 }
@@ -56,7 +56,7 @@
 	if len(f.sends) != 2 || f.last().server == first {
 		t.Fatalf("no further attempt elsewhere: %v", f.sends)
 	}
-	if f.b.byID[first].fails != 1 {
+	if f.b.byID[first].ejection.consecutiveFailures != 1 {
 		t.Fatal("failed connect did not quarantine")
 	}
 }
@@ -66,7 +66,7 @@
 	f.request("r")
 	first := f.last().server
 	f.ends("r", Full)
-	if f.last().server == first || f.b.byID[first].fails != 0 {
+	if f.last().server == first || f.b.byID[first].ejection.consecutiveFailures != 0 {
 		t.Fatal("full should go elsewhere without quarantine")
 	}
 }
@@ -78,20 +78,20 @@
 	f.request("r")
 	first := f.last().server
 	f.ends("r", ConnectFailed)
-	if f.b.byID[first].fails != 0 {
+	if f.b.byID[first].ejection.consecutiveFailures != 0 {
 		t.Fatal("quarantine acted though disabled")
 	}
 }
 
 func TestEmptyPoolFallsBackToAll(t *testing.T) {
 	f := start(t, settings(), append(fleet(3), ListedHost{ID: "drain", Zone: "a", Weight: 1, State: Draining})...)
-	for _, s := range f.b.servers {
+	for _, s := range f.b.hosts {
 		f.breaks(s)
 	}
 	seen := map[string]bool{}
 	for i := 0; i < 6; i++ {
 		seen[f.serve(fmt.Sprint(i))] = true
-		for _, s := range f.b.servers {
+		for _, s := range f.b.hosts {
 			f.breaks(s)
 		}
 	}
@@ -105,7 +105,7 @@
 	s := f.b.byID["s01"]
 	f.breaks(s)
 	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s01", Zone: "a", Weight: 1, StartedAt: f.now}})
-	if s.fails != 0 || s.until != 0 {
+	if s.ejection.consecutiveFailures != 0 || s.ejection.until != 0 {
 		t.Fatal("a restarted server stays shunned for its predecessor's failures")
 	}
 }
--- a/internal/balancer/restraint_test.go
+++ b/internal/balancer/restraint_test.go
@@ -76,10 +76,10 @@
 // One server's pause brought restraint that refused most of what came for 18 s after it.
 func TestRestraintEndsWithTheStall(t *testing.T) {
 	f := start(t, settings(), fleet(3)...)
-	f.b.restraint = 0.9
+	f.b.shedding.share = 0.9
 	f.run(6 * sec)
-	if f.b.restraint > 0.1 {
-		t.Fatalf("%.2f is still refused 6 s after the last stall", f.b.restraint)
+	if f.b.shedding.share > 0.1 {
+		t.Fatalf("%.2f is still refused 6 s after the last stall", f.b.shedding.share)
 	}
 }
 
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -2,166 +2,181 @@
 
 import "math"
 
-// The smooth weighted rotation over the pool, and what a server's share of turns is.
+const (
+	// tieBreakSlack is by how many turns a tie-break may run ahead of the rotation, and
+	// reportedLoadSlack the factor on it where hosts report how loaded they are.
+	tieBreakSlack     = 1.0
+	reportedLoadSlack = 24.0
+	// crossZoneBias is how fast the price of a crossing takes turns from other zones.
+	crossZoneBias = 100.0
+	// minHealth is the part of its turns that a host which still accepts keeps, so that healing is noticed.
+	minHealth = 0.02
+	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full.
+	noTurnsLoad = 1.1
+	// zoneSets is how many sets of zones have hosts of their own for a group where traffic is sparse.
+	zoneSets = 2
+)
 
-// pick is the smooth weighted rotation over the available pool; if that is empty, over all that may be sent
-// to.
-func (b *Balancer) pick(r *request) *server {
-	cost := b.turns(r)
-	if b.among = b.ages(r); b.among != anyAge {
-		s := b.rotate(r, cost, false)
-		if b.among = anyAge; s != nil {
-			return s
-		}
-	}
-	if s := b.rotate(r, cost, false); s != nil {
-		return s
-	}
-	return b.rotate(r, cost, true)
+// pick is the choice of a host for one request.
+type pick struct {
+	request  *request
+	turns    float64
+	among    ageGroup
+	fallback bool // hosts that are not available may be picked
+	sparse   bool // sparseTraffic
 }
 
-// ages tells among which servers a request is placed first: those that have started lately, if they hold less
-// than their part of what is held from here, else those before them. Where traffic is thin that tells nothing
-// of one server, but something of all of an age: each balancer keeps to the part by chance, and so all do.
-func (b *Balancer) ages(r *request) int {
-	if b.reports() || !b.thin() {
-		return anyAge
-	}
-	var load, room [3]float64
-	for _, s := range b.servers {
-		if s.state == Ready {
-			a := b.age(s)
-			load[a] += s.load
-			room[a] += s.weight * b.warmth(s)
+// candidate is a host in one pick.
+type candidate struct {
+	host                *host
+	load                float64 // where hosts report it; 1 is full
+	weight              float64 // its share of the turns
+	groupHomedElsewhere float64 // 1: another host is to hold the group; below: in part
+	drawnByLottery      bool    // a warming host that got this request by lottery
+}
+
+// pick chooses by smooth weighted rotation over the available hosts, of the preferred age if there is one; if
+// none is available, over all that may take the request. It returns nil where none may.
+func (b *Balancer) pick(r *request) *host {
+	p := pick{request: r, turns: b.costs.turns(r.cost), among: b.preferredAgeGroup(r)}
+	if p.among != anyAge {
+		if h := b.rotate(&p); h != nil {
+			return h
 		}
+		p.among = anyAge
 	}
-	if room[newer] == 0 {
-		return anyAge
-	}
-	all, luck := load[newer]+load[older]+r.cost, float64(hash(r.ID)%1024)/1024
-	if load[newer]+luck*r.cost < all*room[newer]/(room[newer]+room[older]) {
-		return newer
+	if h := b.rotate(&p); h != nil {
+		return h
 	}
-	return older
+	p.fallback = true
+	return b.rotate(&p)
 }
 
-// passes tells whether a server is not of the age that is looked among. A cold one has its own budget.
-func (b *Balancer) passes(s *server) bool {
-	return b.among != anyAge && b.age(s) != b.among && (b.among == newer || b.warmth(s) >= 1)
-}
-
-func (b *Balancer) rotate(r *request, cost float64, all bool) *server {
-	total, widest, top := 0.0, 0.0, math.Inf(-1)
-	pool := b.scratch[:0]
-	if b.reports() {
-		for _, s := range b.servers {
-			s.x = b.loaded(s)
-		}
-		if r.Group != "" {
-			b.homes(r.Group)
-		}
-	}
-	for _, s := range b.servers {
-		if !b.mayTake(s, r, cost) || !all && !b.available(s, r) || r.spare && b.warmth(s) >= 1 {
-			continue
-		}
-		s.eff = b.turnWeight(s)
-		total += s.eff
-		widest = max(widest, s.eff)
-		pool = append(pool, s)
-	}
-	b.scratch = pool
-	for _, s := range pool {
-		s.lag += cost * s.eff / total
-		top = max(top, s.lag)
-	}
-	// Within the slack the order is open: the server with the least load from here, for its weight, goes
-	// first.
-	var best *server
-	least, thin := math.Inf(1), b.thin()
-	for _, s := range pool {
-		if b.warmth(s) < 1 {
-			// A cold server's turn comes with its budget. In the rotation all newcomers would stand at the
+// rotate is one turn of the smooth weighted rotation: each candidate's deficit grows by its share of the
+// turns, and the picked one's shrinks by all of them. Within a slack the order is open: the candidate with
+// the least load for its weight goes first.
+func (b *Balancer) rotate(p *pick) *host {
+	p.sparse = b.sparseTraffic()
+	candidates, total, widest := b.candidates(p)
+	furthest := math.Inf(-1)
+	for i := range candidates {
+		c := &candidates[i]
+		c.host.deficit += p.turns * c.weight / total
+		furthest = max(furthest, c.host.deficit)
+	}
+	var best *host
+	least := math.Inf(1)
+	for i := range candidates {
+		c := &candidates[i]
+		h := c.host
+		if b.warmCapacityShare(h) < 1 {
+			// A warming host's turn comes with its budget. In the rotation all new hosts would stand at the
 			// same place at every balancer, and wait there for half a round of many sparse rotations.
-			s.lag = top
-		}
-		reach, size := slack*s.eff/widest, s.eff
-		if thin && s.zone%areas == b.zone%areas {
-			reach, size = 2*slack, s.weight
-		}
-		if b.reports() {
-			reach *= slackTold
+			h.deficit = furthest
 		}
-		if s.lag < top-reach {
+		reach, size := b.tieBreakReach(p, c, widest)
+		if h.deficit < furthest-reach {
 			continue
 		}
-		// Load as held, not as it would be: else all balancers begin with the same large servers.
-		l := (s.load + b.strange(s, r, thin)) / size
-		if b.full > 0 {
-			l = s.x + (cost+b.strange(s, r, thin)/max(1, b.meanCost))/b.full
-		}
-		if s.lucky {
-			l = -1 / (1 + l + float64(hash(r.ID+s.id)%1024)/1e6) // lots first, by load and then by the draw
-		}
-		if l < least || l == least && s.lag > best.lag {
-			best, least = s, l
+		load := b.tieBreakLoad(p, c, size)
+		if load < least || load == least && h.deficit > best.deficit {
+			best, least = h, load
 		}
 	}
 	if best != nil {
-		best.lag -= cost
+		best.deficit -= p.turns
 	}
 	return best
 }
 
-// mayTake holds what no fallback sets aside: drains, groups that discard repeats, the cold budget.
-func (b *Balancer) mayTake(s *server, r *request, cost float64) bool {
-	if s.state != Ready || b.passes(s) {
-		return false // nothing new to a draining or gone server: at once, well within the grace
-	}
-	if r.ranOn != nil {
-		switch c := &b.cfg.Classes[r.Class]; {
-		case c.Idempotency != IdempotentWithKey || c.DedupScope == ScopeAll:
-		case c.DedupScope == ScopeZone && s.zone != r.ranOn.zone,
-			c.DedupScope == ScopeCell && s.cell != r.ranOn.cell:
-			return false
+// candidates are the hosts that may be picked, in the order of the rotation, with the sum of their weights
+// and the largest one.
+func (b *Balancer) candidates(p *pick) (pool []candidate, total, widest float64) {
+	all := b.candidateBuffer[:0]
+	reported := b.hostsReportLoad()
+	for _, h := range b.hosts {
+		c := candidate{host: h}
+		if reported {
+			c.load = b.currentLoad(h)
+		}
+		all = append(all, c)
+	}
+	b.candidateBuffer = all
+	if reported && p.request.Group != "" {
+		b.markGroupHomes(p.request.Group, all)
+	}
+	pool = all[:0] // in place: it never overtakes what is still to be read
+	for i := range all {
+		c := &all[i]
+		allowed, byLottery := b.mayPlaceOn(c.host, p)
+		if !allowed || !p.fallback && !b.available(c.host, p.request) ||
+			p.request.shedUnlessWarmingHost && b.warmCapacityShare(c.host) >= 1 {
+			continue
 		}
+		c.drawnByLottery = byLottery
+		c.weight = b.turnWeight(c)
+		total += c.weight
+		widest = max(widest, c.weight)
+		pool = append(pool, *c)
+	}
+	return pool, total, widest
+}
+
+// mayPlaceOn holds what no fallback sets aside: drains, hosts that do not discard repeats, and the budget of
+// a warming host.
+func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
+	if h.state != Ready || b.excludedByAge(h, p.among) || b.outsideDedupScope(h, p.request) {
+		return false, false
 	}
-	return b.coldAllows(s, r, cost)
+	return b.slowStartAllows(h, p.request, p.turns)
 }
 
-// turnWeight is a server's share of turns: the list's weight, less for a crossing that costs, for a cold
-// server, and for one seen slow or failing.
-func (b *Balancer) turnWeight(s *server) float64 {
-	w := s.weight
-	if s.zone != b.zone {
-		far := 1 / (1 + zoneBias*b.cfg.Prices.CrossZone)
-		w *= far + (1-far)*b.spill
-	}
-	if f := b.warmth(s); f < 1 {
-		w *= min(1, coldSafety*b.cfg.SlowStartOverloadFactor*f)
-	}
-	if b.reports() {
-		w *= max(minHealth, roomTop-s.x) // the share of its turns that its load leaves it
-	}
-	health := 1 - b.illness(s)
-	if x := b.slowness(s) / slowAt; x > 0 {
+// turnWeight is a host's share of the turns: the list's weight, less for a crossing that costs, for a warming
+// host, for a loaded one, and for one that fails or delays messages.
+func (b *Balancer) turnWeight(c *candidate) float64 {
+	h := c.host
+	w := h.weight
+	if h.zone != b.zone {
+		far := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
+		w *= far + (1-far)*b.shedding.crossZoneShare
+	}
+	if warm := b.warmCapacityShare(h); warm < 1 {
+		w *= min(1, slowStartSafety*b.cfg.SlowStartOverloadFactor*warm)
+	}
+	if b.hostsReportLoad() {
+		w *= max(minHealth, noTurnsLoad-c.load)
+	}
+	health := 1 - b.currentErrorScore(h)
+	if x := b.currentMessageDelay(h) / slowMessageDelay; x > 0 {
 		health /= 1 + x*x
 	}
 	return w * max(minHealth, health)
 }
 
-func (b *Balancer) illness(s *server) float64 {
-	if s.ill == 0 {
-		return 0
+// tieBreakReach is by how many turns a candidate may be behind and still be picked, and the size by which its
+// load is divided.
+func (b *Balancer) tieBreakReach(p *pick, c *candidate, widest float64) (reach, size float64) {
+	reach, size = tieBreakSlack*c.weight/widest, c.weight
+	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
+		reach, size = 2*tieBreakSlack, c.host.weight
+	}
+	if b.hostsReportLoad() {
+		reach *= reportedLoadSlack
 	}
-	return s.ill * math.Exp(-float64(b.now-s.illAt)/float64(b.qInit+1))
+	return reach, size
 }
 
-// slowness is the last message delay told, over the shortest aim; it fades once no news comes.
-func (b *Balancer) slowness(s *server) float64 {
-	if s.delay < slowAt {
-		return 0
-	}
-	const news = 1.5e9 // notes come once a second while there is something to tell
-	return s.delay * math.Exp(-max(0, float64(b.now-s.delayAt)-news)/1e9)
+// tieBreakLoad is the load by which candidates within the slack are ordered. It is the load as held, not as
+// it would be with the request: else all balancers begin with the same large hosts.
+func (b *Balancer) tieBreakLoad(p *pick, c *candidate, size float64) float64 {
+	groupCost := b.groupPlacementCost(p, c)
+	load := (c.host.load + groupCost) / size
+	if b.fleetLoad.full > 0 {
+		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
+	}
+	if c.drawnByLottery {
+		// Before all others, by load and then by the draw.
+		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.id)%1024)/1e6)
+	}
+	return load
 }
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -89,13 +89,13 @@
 	before := far("a")
 	for i := 0; i < 10; i++ {
 		for k := 0; k < 40; k++ {
-			if id := fmt.Sprint("a", k); f.b.requests[id].server.zone == f.b.zone {
+			if id := fmt.Sprint("a", k); f.b.requests[id].host.zone == f.b.zone {
 				f.b.Observe(f.now, id, 0, ObservedLatency, 150)
 			}
 		}
 		f.run(sec)
 	}
-	f.b.restraint = 0
+	f.b.shedding.share = 0
 	if after := far("b"); before > 10 || after <= before {
 		t.Fatalf("%d of 40 crossed before the own zone stalled, %d after", before, after)
 	}
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -1,81 +1,147 @@
 package balancer
 
-// Servers that make messages wait: how that is learned, told, and answered.
+import (
+	"math"
 
-// PeerMessageReceived takes a message from another balancer: which servers make messages wait. Where each
-// balancer holds a connection or two, most would learn of a stalled server by sending to it.
-func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
-	b.tick(now)
-	if b.bookTold(from, data) {
-		return
-	}
-	readTold(data, func(id uint32, x float64) {
-		for _, s := range b.servers {
-			if uint32(s.hash) == id {
-				s.toldAt = now
-				if len(s.conns) == 0 || now-s.delayAt > tellEvery {
-					s.delay, s.delayAt = x, now
-				}
-			}
-		}
-	})
+	"croftlock/internal/balancer/stallgossip"
+)
+
+const (
+	// slowMessageDelay halves a host's turns, in shortest latency objectives; below it, a host is well.
+	slowMessageDelay = 0.33
+	// stalledMessageDelay is from when a host counts as stalled, in shortest latency objectives.
+	stalledMessageDelay = 1
+	// gossipInterval is how often one host's stall is told to all balancers at most, in nanoseconds, and
+	// gossipSpread the time within which one of those that see it does.
+	gossipInterval = 2e9
+	gossipSpread   = 6e8
+	// delayValidFor is how long an observed delay counts in full, and delayFade the time constant from then
+	// on, in nanoseconds. Observations come once a second while there is something to tell.
+	delayValidFor = 1.5e9
+	delayFade     = 1e9
+	// stallMigrationShare is the chance that a mean connection is migrated from a stalled host, at each
+	// observation.
+	stallMigrationShare = 0.15
+)
+
+// messageDelay is how long messages take at a host.
+type messageDelay struct {
+	delay         float64 // the last one observed or received, in shortest latency objectives
+	at            Time
+	gossipedAt    Time // when some balancer last told of it
+	gossipPending bool // to be told, unless another balancer does before
 }
 
-// tell tells all of the servers that are stalled as seen here, unless another balancer has.
-func (b *Balancer) tell() {
-	var data []byte
-	for _, s := range b.servers {
-		if s.telling && b.now-s.toldAt >= tellEvery && s.state == Ready && b.slowness(s) >= 1 {
-			s.toldAt = b.now
-			data = appendTold(data, uint32(s.hash), s.delay)
+// shortestMessageObjective is the smallest message latency objective in milliseconds; 0: there is none.
+func (b *Balancer) shortestMessageObjective() float64 {
+	shortest := 0.0
+	for i := range b.cfg.Classes {
+		ms := float64(b.cfg.Classes[i].MessageLatencyObjective) / 1e6
+		if ms > 0 && (shortest == 0 || ms < shortest) {
+			shortest = ms
 		}
-		s.telling = false
 	}
-	if len(data) > 0 {
-		b.fx.SendToPeer(-1, data)
+	return shortest
+}
+
+// currentMessageDelay is a host's message delay in shortest latency objectives, fading once no observation
+// comes.
+func (b *Balancer) currentMessageDelay(h *host) float64 {
+	if h.messages.delay < slowMessageDelay {
+		return 0
 	}
+	age := max(0, float64(b.now-h.messages.at)-delayValidFor)
+	return h.messages.delay * math.Exp(-age/delayFade)
 }
 
-// Observe takes news about an open connection.
+// stalled tells whether messages take longer at a host than the shortest latency objective.
+func (b *Balancer) stalled(h *host) bool { return b.currentMessageDelay(h) >= stalledMessageDelay }
+
+// Observe takes an observation of an open connection.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
 	b.tick(now)
 	r := b.requests[id]
-	if r == nil || !r.up || attempt != r.attempts-1 {
+	if r == nil || !r.established || attempt != r.attempts-1 {
 		return
 	}
-	s := r.server
+	h := r.host
 	switch kind {
 	case ObservedLoad:
-		v := max(0, value) * 1000
-		s.load += v - r.load
-		r.load = v
+		load := max(0, value) * 1000 // microseconds to nanoseconds of work a second
+		h.load += load - r.load
+		r.load = load
 		if r.ExpectedLoad <= 0 {
-			b.learn(r.Class, max(v, 1))
+			b.costs.learn(r.Class, max(load, 1))
 		}
 	case ObservedLatency:
-		if b.aimMin > 0 {
-			b.stalls(s, value/b.aimMin)
+		if objective := b.shortestMessageObjective(); objective > 0 {
+			b.messagesDelayed(h, value/objective)
 		}
 	}
 }
 
-// stalls takes in how long messages take at a server, in shortest aims, and moves part of what stands there
-// away. Each balancer moves a small part by chance, since all see the same stall.
-func (b *Balancer) stalls(s *server, x float64) {
-	s.delay, s.delayAt = x, b.now
-	if x < 1 {
+// messagesDelayed takes in how long messages take at a host, in shortest latency objectives. From a stalled
+// one, connections are migrated: each balancer migrates a small part by chance, since all see the same stall,
+// and in proportion to their load: a few heavy connections overfill a host, and migrating these is cheaper
+// than migrating the many light ones.
+func (b *Balancer) messagesDelayed(h *host, delay float64) {
+	h.messages.delay, h.messages.at = delay, b.now
+	if delay < stalledMessageDelay {
 		return
 	}
-	if b.cfg.MayGossip && b.cfg.Instances > 1 && !s.telling && b.now-s.toldAt >= tellEvery {
-		s.telling = true
-		b.fx.Schedule(max(b.cfg.Tick, Time(tellWithin*b.rng.Float64())), "tell")
-	}
-	// In proportion to its load: a few heavy connections are what overfills a server, and moving them is
-	// cheaper than moving the many light ones.
-	for _, r := range s.conns {
-		if !r.moved && b.rng.Float64() < movePart*r.load/max(1, b.meanCost) {
-			r.moved = true
+	b.scheduleGossip(h)
+	for _, r := range h.connections {
+		if !r.migrationRequested && b.rng.Float64() < stallMigrationShare*r.load/b.costs.unit() {
+			r.migrationRequested = true
 			b.fx.Migrate(r.ID)
 		}
 	}
 }
+
+// scheduleGossip plans to tell of a stalled host, after a random wait in which another balancer may.
+func (b *Balancer) scheduleGossip(h *host) {
+	if b.cfg.MayGossip && b.cfg.Instances > 1 && !h.messages.gossipPending &&
+		b.now-h.messages.gossipedAt >= gossipInterval {
+		h.messages.gossipPending = true
+		b.schedule(Time(gossipSpread*b.rng.Float64()), timerGossip)
+	}
+}
+
+// gossipStalls tells all balancers of the hosts that are stalled as seen here, unless another one has.
+func (b *Balancer) gossipStalls() {
+	var message []byte
+	for _, h := range b.hosts {
+		m := &h.messages
+		if m.gossipPending && b.now-m.gossipedAt >= gossipInterval && h.state == Ready && b.stalled(h) {
+			m.gossipedAt = b.now
+			message = stallgossip.Append(message, stallgossip.Record{Host: uint32(h.hash), Delay: m.delay})
+		}
+		m.gossipPending = false
+	}
+	if len(message) > 0 {
+		b.fx.SendToPeer(-1, message)
+	}
+}
+
+// PeerMessageReceived takes a message of another balancer: of the placement ledger, or of stalled hosts.
+// Where each balancer holds a connection or two, most would learn of a stalled host only by using it.
+func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
+	b.tick(now)
+	if b.ledgerMessageReceived(from, data) {
+		return
+	}
+	stallgossip.Decode(data, b.stallReceived)
+}
+
+// stallReceived takes in a stall that another balancer sees. Own observations of late come first.
+func (b *Balancer) stallReceived(r stallgossip.Record) {
+	for _, h := range b.hosts {
+		if uint32(h.hash) != r.Host {
+			continue
+		}
+		h.messages.gossipedAt = b.now
+		if len(h.connections) == 0 || b.now-h.messages.at > gossipInterval {
+			h.messages.delay, h.messages.at = r.Delay, b.now
+		}
+	}
+}
--- a/internal/balancer/told_test.go
+++ b/internal/balancer/told_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"croftlock/internal/balancer/stallgossip"
 )
 
 // TestFewTellOfAStalledServer: of sixteen balancers that see a server stall, few tell the others, and those then send
@@ -29,9 +31,7 @@
 			f.told = nil
 		}
 		for _, data := range told {
-			if data[0] == toldSlow {
-				tells++
-			}
+			stallgossip.Decode(data[:min(6, len(data))], func(stallgossip.Record) { tells++ })
 		}
 		for _, data := range told {
 			for _, f := range all {
@@ -43,7 +43,7 @@
 		t.Errorf("%d of 16 told", tells)
 	}
 	for _, f := range all {
-		f.b.PeerMessageReceived(f.now, 0, appendTold(nil, uint32(hash("s01")), 8)) // news, as each second
+		f.b.PeerMessageReceived(f.now, 0, stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s01")), Delay: 8})) // news, as each second
 	}
 	there := 0
 	for _, f := range all[16:] {
@@ -69,38 +69,18 @@
 	}
 }
 
-func TestTold(t *testing.T) {
-	var data []byte
-	for i := 0; i < 100; i++ {
-		data = appendTold(data, uint32(i), float64(i))
-	}
-	if len(data) > 256 {
-		t.Fatalf("%d bytes in a message", len(data))
-	}
-	n := 0
-	readTold(data, func(server uint32, x float64) {
-		if server != uint32(n) || x != min(255.0/4, float64(n)) {
-			t.Errorf("record %d: %d %v", n, server, x)
-		}
-		n++
-	})
-	if n != toldMost {
-		t.Errorf("%d records", n)
-	}
-}
-
 // FuzzTold: whatever comes, the module stays whole and believes in no delay that can't be said.
 func FuzzTold(f *testing.F) {
 	f.Add([]byte{})
-	f.Add(appendTold(nil, uint32(hash("s01")), 3))
-	f.Add(append(appendTold(nil, 1, 3), 9, 9, 9, 9, 9, 9))
+	f.Add(stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s01")), Delay: 3}))
+	f.Add(append(stallgossip.Append(nil, stallgossip.Record{Host: 1, Delay: 3}), 9, 9, 9, 9, 9, 9))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		x := start(t, settings(), fleet(3)...)
 		x.b.PeerMessageReceived(x.now, 1, data)
-		for _, s := range x.b.servers {
-			if s.delay < 0 || s.delay > 64 {
-				t.Errorf("%s: %v", s.id, s.delay)
+		for _, s := range x.b.hosts {
+			if s.messages.delay < 0 || s.messages.delay > 64 {
+				t.Errorf("%s: %v", s.id, s.messages.delay)
 			}
 		}
 		x.request("q")
