--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -44,7 +44,9 @@
 	ledger     placementLedger
 	fleetLoad  fleetLoad
 
-	candidateBuffer []candidate // reused by each pick, so that a pick allocates nothing
+	// Reused by each pick, so that a pick allocates nothing.
+	candidateBuffer []candidate
+	loadBuffer      []reportedLoad
 }
 
 // Errors of New, for settings that cannot be used.
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -85,13 +85,13 @@
 
 // markGroupHomes marks each host but for the group's home: the first one in the group's order that is warm
 // and not full. Reported loads keep the balance, so that the order may weigh more than where there are none.
-// all has a candidate for each host, at the host's index.
-func (b *Balancer) markGroupHomes(group string, all []candidate) {
+// loads are those of all hosts, in their order.
+func (b *Balancer) markGroupHomes(group string, loads []reportedLoad) {
 	homes := 0.0
 	for _, i := range b.rendezvousOrder(group) {
-		c := &all[i]
-		c.groupHomedElsewhere = min(1, homes)
-		if c.load < homeMaxLoad && b.warmCapacityShare(c.host) >= 1 {
+		l := &loads[i]
+		l.groupHomedElsewhere = min(1, homes)
+		if l.load < homeMaxLoad && b.warmCapacityShare(b.hosts[i]) >= 1 {
 			homes++
 		}
 	}
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -28,11 +28,16 @@
 
 // candidate is a host in one pick.
 type candidate struct {
-	host                *host
-	load                float64 // where hosts report it; 1 is full
-	weight              float64 // its share of the turns
-	groupHomedElsewhere float64 // 1: another host is to hold the group; below: in part
-	drawnByLottery      bool    // a warming host that got this request by lottery
+	reportedLoad
+	host           *host
+	weight         float64 // its share of the turns
+	drawnByLottery bool    // a warming host that got this request by lottery
+}
+
+// reportedLoad is what load reports mean for a host in one pick; zero where hosts do not report.
+type reportedLoad struct {
+	load                float64 // 1 is full
+	groupHomedElsewhere float64 // 1: another host is to hold the group; 0: this one
 }
 
 // pick chooses by smooth weighted rotation over the available hosts, of the preferred age if there is one; if
@@ -92,40 +97,47 @@
 // candidates are the hosts that may be picked, in the order of the rotation, with the sum of their weights
 // and the largest one.
 func (b *Balancer) candidates(p *pick) (pool []candidate, total, widest float64) {
-	all := b.candidateBuffer[:0]
 	reported := b.hostsReportLoad()
-	for _, h := range b.hosts {
-		c := candidate{host: h}
-		if reported {
-			c.load = b.currentLoad(h)
-		}
-		all = append(all, c)
-	}
-	b.candidateBuffer = all
-	if reported && p.request.Group != "" {
-		b.markGroupHomes(p.request.Group, all)
-	}
-	pool = all[:0] // in place: it never overtakes what is still to be read
-	for i := range all {
-		c := &all[i]
-		allowed, byLottery := b.mayPlaceOn(c.host, p)
-		if !allowed || !p.fallback && !b.available(c.host, p.request) ||
-			p.request.shedUnlessWarmingHost && b.warmCapacityShare(c.host) >= 1 {
+	if reported {
+		b.readLoads(p.request.Group)
+	}
+	pool = b.candidateBuffer[:0]
+	for i, h := range b.hosts {
+		allowed, byLottery := b.mayPlaceOn(h, p)
+		if !allowed || !p.fallback && !b.available(h, p.request) ||
+			p.request.shedUnlessWarmingHost && b.warmCapacityShare(h) >= 1 {
 			continue
 		}
-		c.drawnByLottery = byLottery
-		c.weight = b.turnWeight(c)
+		c := candidate{host: h, drawnByLottery: byLottery}
+		if reported {
+			c.reportedLoad = b.loadBuffer[i]
+		}
+		c.weight = b.turnWeight(h, c.load)
 		total += c.weight
 		widest = max(widest, c.weight)
-		pool = append(pool, *c)
+		pool = append(pool, c)
 	}
+	b.candidateBuffer = pool
 	return pool, total, widest
 }
 
+// readLoads fills loadBuffer for a pick for a request of a group.
+func (b *Balancer) readLoads(group string) {
+	loads := b.loadBuffer[:0]
+	for _, h := range b.hosts {
+		loads = append(loads, reportedLoad{load: b.currentLoad(h)})
+	}
+	b.loadBuffer = loads
+	if group != "" {
+		b.markGroupHomes(group, loads)
+	}
+}
+
 // mayPlaceOn holds what no fallback sets aside: drains, hosts that do not discard repeats, and the budget of
 // a warming host.
 func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
-	if h.state != Ready || b.excludedByAge(h, p.among) || b.outsideDedupScope(h, p.request) {
+	if h.state != Ready || p.among != anyAge && b.excludedByAge(h, p.among) ||
+		b.outsideDedupScope(h, p.request) {
 		return false, false
 	}
 	return b.slowStartAllows(h, p.request, p.turns)
@@ -133,8 +145,7 @@
 
 // turnWeight is a host's share of the turns: the list's weight, less for a crossing that costs, for a warming
 // host, for a loaded one, and for one that fails or delays messages.
-func (b *Balancer) turnWeight(c *candidate) float64 {
-	h := c.host
+func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
 	if h.zone != b.zone {
 		far := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
@@ -144,7 +155,7 @@
 		w *= min(1, slowStartSafety*b.cfg.SlowStartOverloadFactor*warm)
 	}
 	if b.hostsReportLoad() {
-		w *= max(minHealth, noTurnsLoad-c.load)
+		w *= max(minHealth, noTurnsLoad-load)
 	}
 	health := 1 - b.currentErrorScore(h)
 	if x := b.currentMessageDelay(h) / slowMessageDelay; x > 0 {
