--- a/internal/balancer/loadestimate/estimate_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -67,11 +67,11 @@
 	if h.queue != 0 || h.LastReport() != 2*sec {
 		t.Error("a report without a queue is a report")
 	}
-	for i := range 10 * kept {
+	for i := range 10 * maxAdditions {
 		h.AddLoad(3*sec+int64(i), 1)
 	}
-	if x := h.Load(4*sec, 1000, 0); math.Abs(x-0.5-0.01*kept) > 1e-9 || len(h.changes) > kept {
-		t.Errorf("%.3f from %d changes: merged, none lost", x, len(h.changes))
+	if x := h.Load(4*sec, 1000, 0); math.Abs(x-0.5-0.01*maxAdditions) > 1e-9 || len(h.additions) > maxAdditions {
+		t.Errorf("%.3f from %d additions: merged, none lost", x, len(h.additions))
 	}
 	h.Reset()
 	if h.Known(4 * sec) {
