--- a/cmd/croftlock-simulator-adapter/main.go
+++ b/cmd/croftlock-simulator-adapter/main.go
@@ -21,13 +21,13 @@
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	host := simulator.NewHost(balancer.New)
+	adapter := simulator.NewAdapter(balancer.New)
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, bad := host.Batch(line)
+			reply, bad := adapter.Batch(line)
 			if bad != nil {
 				return bad
 			}
--- a/internal/testbed/simulator/wire_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -29,7 +29,7 @@
 
 type action map[string]any
 
-func reply(t *testing.T, out []byte) []action {
+func actions(t *testing.T, out []byte) []action {
 	t.Helper()
 	var r struct{ Outbox []action }
 	if err := json.Unmarshal(out, &r); err != nil {
@@ -49,52 +49,52 @@
 }
 
 func TestRequestGoesOut(t *testing.T) {
-	h := NewHost(balancer.New)
+	h := NewAdapter(balancer.New)
 	out, err := h.Batch(line(initMsg, sheet, members, inbound("q")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sends := of(reply(t, out), "Dispatch")
+	sends := of(actions(t, out), "Dispatch")
 	if len(sends) != 1 || sends[0]["server"] != "S" || sends[0]["request_id"] != "q" || sends[0]["balancer"] != "B" {
 		t.Fatalf("want one Dispatch of q to S: %s", out)
 	}
 }
 
 func TestEmptyBatch(t *testing.T) {
-	out, err := NewHost(balancer.New).Batch([]byte(`{"time":5,"msgs":[]}`))
+	out, err := NewAdapter(balancer.New).Batch([]byte(`{"time":5,"msgs":[]}`))
 	if err != nil || string(out) != "{\"outbox\":[]}\n" {
 		t.Fatalf("%s %v", out, err)
 	}
 }
 
 func TestSheetRecycledWithinABatch(t *testing.T) {
-	h := NewHost(balancer.New)
+	h := NewAdapter(balancer.New)
 	again := strings.Replace(sheet, `"server":"S"`, `"server":"T"`, 1)
 	out, err := h.Batch(line(initMsg, sheet, members, again,
 		strings.Replace(members, "restored", "replace", 1), inbound("q")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := of(reply(t, out), "Dispatch"); len(s) != 1 || s[0]["server"] != "T" {
+	if s := of(actions(t, out), "Dispatch"); len(s) != 1 || s[0]["server"] != "T" {
 		t.Fatalf("the newer sheet did not count: %s", out)
 	}
 }
 
 func TestExitAndRestartWithinABatch(t *testing.T) {
-	h := NewHost(balancer.New)
+	h := NewAdapter(balancer.New)
 	exit := `{"event_type":"Exit","balancer":"B"}`
 	out, err := h.Batch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
 		`{"event_type":"Response","balancer":"B","request_id":"q","seq_no":0,"server":"S","ending":"INTERNAL"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := of(reply(t, out), "Dispatch"); len(s) != 2 {
+	if s := of(actions(t, out), "Dispatch"); len(s) != 2 {
 		t.Fatalf("an old life's outcome acted on the new: %s", out)
 	}
 }
 
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	h := NewHost(balancer.New)
+	h := NewAdapter(balancer.New)
 	if _, err := h.Batch(line(initMsg, sheet, members)); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 		`{"event_type":"Streaming","balancer":"B","request_id":"nobody","server":"S"}`,
 		`{"event_type":"HealthResult","balancer":"B","server":"nowhere","ending":"OK"}`,
 		`{"event_type":"Fired","balancer":"B","ref":"nothing"}`))
-	if err != nil || len(reply(t, out)) != 0 {
+	if err != nil || len(actions(t, out)) != 0 {
 		t.Fatalf("%s %v", out, err)
 	}
 }
@@ -127,7 +127,7 @@
 		"ending":              line(initMsg, `{"event_type":"Response","balancer":"B","request_id":"q","server":"S","ending":"HM"}`),
 		"no class of request": line(`{"event_type":"Init","balancer":"B","config":{"peers_total":1}}`),
 	} {
-		out, err := NewHost(balancer.New).Batch(msgs)
+		out, err := NewAdapter(balancer.New).Batch(msgs)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || out != nil {
 			t.Errorf("want an error with %q and no reply, got %v, %s", want, err, out)
 		}
@@ -135,19 +135,19 @@
 }
 
 func TestInnerFailureIsReported(t *testing.T) {
-	h := NewHost(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
+	h := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
 	out, err := h.Batch(line(initMsg, sheet, members))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b := of(reply(t, out), "Bug"); len(b) != 1 || b[0]["balancer"] != "B" {
+	if b := of(actions(t, out), "Bug"); len(b) != 1 || b[0]["balancer"] != "B" {
 		t.Fatalf("want one Bug: %s", out)
 	}
 }
 
 func TestInstancesDoNotMix(t *testing.T) {
 	run := func(others bool) string {
-		h := NewHost(balancer.New)
+		h := NewAdapter(balancer.New)
 		got := ""
 		for i := 0; i < 30; i++ {
 			msgs := []string{}
@@ -166,7 +166,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, a := range reply(t, out) {
+			for _, a := range actions(t, out) {
 				if a["balancer"] == "B" {
 					text, _ := json.Marshal(a)
 					got += string(text) + "\n"
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -30,12 +30,12 @@
 type sequence struct {
 	seed      int64
 	rng       *rand.Rand
-	host      *Host
+	adapter   *Adapter
 	now       int64
 	events    int
 	balancers []string
 	config    map[string]json.RawMessage
-	servers   []element
+	servers   []sheetHost
 	sheets    int
 	gen       int64
 	due       []dueEvent
@@ -64,15 +64,15 @@
 }
 
 func newSequence(seed int64) *sequence {
-	s := &sequence{seed: seed, rng: rand.New(rand.NewSource(seed)), host: NewHost(balancer.New), now: 100 * second,
+	s := &sequence{seed: seed, rng: rand.New(rand.NewSource(seed)), adapter: NewAdapter(balancer.New), now: 100 * second,
 		config: map[string]json.RawMessage{}, byID: map[string]*liveRequest{}, digest: golden.NewDigest()}
 	instances := []int{1, 3, 2}[seed%3]
 	for i := range instances {
 		s.balancers = append(s.balancers, fmt.Sprintf("B%d", i))
 	}
 	for i := range 3 + s.rng.Intn(12) {
-		s.servers = append(s.servers, element{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
-			Server: fmt.Sprintf("s%02d", i), Kind: "k", Cell: i % 2})
+		s.servers = append(s.servers, sheetHost{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
+			ID: fmt.Sprintf("s%02d", i), Kind: "k", Cell: i % 2})
 	}
 	for i, b := range s.balancers {
 		s.config[b] = s.settings(i, instances)
@@ -146,14 +146,14 @@
 }
 
 // sheet names a list of servers for the events that follow.
-func (s *sequence) sheet(servers []element) map[string]any {
+func (s *sequence) sheet(servers []sheetHost) map[string]any {
 	s.sheets++
 	return map[string]any{"event_type": "Directory", "sheet": s.sheets, "elements": servers}
 }
 
 // deliver gives a batch of events to the host and follows its actions.
 func (s *sequence) deliver(events ...map[string]any) {
-	reply, err := s.host.Batch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
+	reply, err := s.adapter.Batch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
 	s.events += len(events)
 	if err != nil {
 		s.fail("%v", err)
@@ -341,7 +341,7 @@
 	case draw < 42:
 		bits := 0
 		if s.rng.Intn(5) == 0 {
-			bits = flagRepeat
+			bits = flagRetry
 		}
 		s.inbound(s.balancer(), bits)
 	case draw < 80:
@@ -352,7 +352,7 @@
 		s.serverChanges()
 	case draw < 95:
 		r, e := s.newRequest("Adopted", s.balancer(), 0)
-		r.attempt, r.out, r.up, r.server, r.sentAt = 0, true, true, s.servers[s.rng.Intn(len(s.servers))].Server, s.now
+		r.attempt, r.out, r.up, r.server, r.sentAt = 0, true, true, s.servers[s.rng.Intn(len(s.servers))].ID, s.now
 		e["server"] = r.server
 		s.deliver(e)
 	case draw < 97:
@@ -416,25 +416,25 @@
 	e := &s.servers[i]
 	e.State = []string{"healthy", "healthy", "healthy", "cordoned", "deregistered"}[s.rng.Intn(5)]
 	if e.State == "healthy" && s.rng.Intn(2) == 0 {
-		e.Since = s.now
+		e.StartedAt = s.now
 	}
 	if s.rng.Intn(6) == 0 {
-		s.servers = append(s.servers, element{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, Since: s.now, Server: fmt.Sprintf("n%d", s.dueSeq), Kind: "k"})
+		s.servers = append(s.servers, sheetHost{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, StartedAt: s.now, ID: fmt.Sprintf("n%d", s.dueSeq), Kind: "k"})
 	}
 	s.gen++
 	for _, b := range s.balancers {
 		if s.rng.Intn(4) == 0 {
 			continue
 		}
-		s.deliver(s.sheet([]element{s.servers[i], s.servers[len(s.servers)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.gen, "sheet": s.sheets})
+		s.deliver(s.sheet([]sheetHost{s.servers[i], s.servers[len(s.servers)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.gen, "sheet": s.sheets})
 	}
 }
 
 // direct calls a balancer's decision module with what the wire has no event for.
 func (s *sequence) direct(name string, call func(b *balancer.Balancer)) {
-	s.host.out.start()
-	s.host.guard(s.host.instances[name], call)
-	reply := s.host.out.finish()
+	s.adapter.reply.start()
+	s.adapter.guard(s.adapter.instances[name], call)
+	reply := s.adapter.reply.finish()
 	s.events++
 	s.digest.Add("%d %s", s.now, reply)
 	s.follow(reply)
@@ -443,7 +443,7 @@
 // suspend has an operator take a server out, or call it back.
 func (s *sequence) suspend(name string) {
 	e := s.servers[s.rng.Intn(len(s.servers))]
-	entry := balancer.ListedHost{ID: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.Since}
+	entry := balancer.ListedHost{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.StartedAt}
 	if s.rng.Intn(2) == 0 {
 		entry.State = balancer.Suspended
 	}
@@ -479,7 +479,7 @@
 
 // hotStart has another process of the name take over, with what the one before knew and its open connections.
 func (s *sequence) hotStart(name string) {
-	memory := s.host.instances[name].brain.Snapshot(true)
+	memory := s.adapter.instances[name].balancer.Snapshot(true)
 	kept, err := json.Marshal(memory)
 	if err != nil {
 		s.fail("%v", err)
--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -8,165 +8,137 @@
 	"croftlock/internal/balancer"
 )
 
-type event struct {
-	Type      string          `json:"event_type"`
-	Balancer  string          `json:"balancer"`
-	RequestID string          `json:"request_id"`
-	Server    string          `json:"server"`
-	Seq       int             `json:"seq_no"`
-	Ending    string          `json:"ending"`
-	Elapsed   int64           `json:"elapsed"`
-	NoMore    bool            `json:"no_more"`
-	Gauge     []float64       `json:"gauge"`
-	Hint      float64         `json:"hint"`
-	Item      string          `json:"item"`
-	Party     json.RawMessage `json:"party"`
-	Channel   string          `json:"channel"`
-	Class     *string         `json:"cls"`
-	Bits      int             `json:"bits"`
-	Remaining *int64          `json:"remaining"`
-	Ref       *string         `json:"ref"`
-	Level     float64         `json:"level"`
-	Sort      int             `json:"sort"`
-	Salt      json.Number     `json:"salt"`
-	Config    json.RawMessage `json:"config"`
-	Sheet     *int            `json:"sheet"`
-	Elements  []element       `json:"elements"`
-	Form      string          `json:"form"`
-	Gen       int64           `json:"gen"`
-	Origin    int             `json:"origin_peer"`
-	Contents  string          `json:"contents"`
+var attemptStatuses = map[string]balancer.AttemptStatus{
+	"OK": balancer.OK, "INTERNAL": balancer.Error, "RESOURCE_EXHAUSTED": balancer.Full,
+	"DEADLINE_EXCEEDED": balancer.Timeout, "UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset,
+	"CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.TooLate,
 }
 
-type element struct {
-	State  string  `json:"stage_state"`
-	Zone   string  `json:"region_part"`
-	Weight float64 `json:"capacity_hint"`
-	Since  int64   `json:"since"`
-	Server string  `json:"server"`
-	Kind   string  `json:"type"`
-	Cell   int     `json:"stripe"`
-}
-
-type batch struct {
-	Time *int64  `json:"time"`
-	Msgs []event `json:"msgs"`
-}
-
-var statuses = map[string]balancer.AttemptStatus{
-	"OK": balancer.OK, "INTERNAL": balancer.Error, "RESOURCE_EXHAUSTED": balancer.Full, "DEADLINE_EXCEEDED": balancer.Timeout,
-	"UNAVAILABLE": balancer.ConnectFailed, "ABORTED": balancer.Reset, "CANCELLED": balancer.Cancelled, "TOO_LATE": balancer.TooLate,
-}
-
-var states = map[string]balancer.HostState{
+var hostStates = map[string]balancer.HostState{
 	"healthy": balancer.Ready, "cordoned": balancer.Draining, "deregistered": balancer.Removed,
 }
 
-var forms = map[string]balancer.ListChange{
+var listChanges = map[string]balancer.ListChange{
 	"update": balancer.ListDelta, "replace": balancer.ListFull, "restored": balancer.ListCached,
 	"unavailable": balancer.ListFailed,
 }
 
-func missing(e *event, field string) error { return fmt.Errorf("%s without %s", e.Type, field) }
+func missing(m *message, field string) error { return fmt.Errorf("%s without %s", m.Type, field) }
 
-// decode checks an event and gives the call that delivers it; nil where there is nothing to deliver.
-func (h *Host) decode(now int64, in *instance, e *event) (func(*balancer.Balancer), error) {
-	switch e.Type {
-	case "Inbound", "ClientLeft", "Adopted", "Notice", "Response", "Streaming":
-		if e.RequestID == "" {
-			return nil, missing(e, "request_id")
-		}
+// decode checks a message for a running instance and gives its event.
+func (a *Adapter) decode(in *instance, m *message) (event, error) {
+	if err := requireIDs(m); err != nil {
+		return nil, err
 	}
-	switch e.Type {
-	case "HealthResult", "Adopted", "Response", "Streaming":
-		if e.Server == "" {
-			return nil, missing(e, "server")
+	switch m.Type {
+	case typeList:
+		return a.decodeList(m)
+	case typeRequest, typeAdopted:
+		return in.decodeRequest(m)
+	case typeClientLeft:
+		return clientLeft{request: m.RequestID}, nil
+	case typeHealthCheck, typeAttemptEnded:
+		return decodeStatus(m)
+	case typeTimer:
+		if m.Token == nil {
+			return nil, missing(m, "ref")
 		}
-	}
-	var status balancer.AttemptStatus
-	if e.Type == "Response" || e.Type == "HealthResult" {
-		s, ok := statuses[e.Ending]
-		if !ok {
-			return nil, fmt.Errorf("%s with ending %q, which is unknown", e.Type, e.Ending)
-		}
-		status = s
-	}
-	switch e.Type {
-	case "Membership":
-		form, ok := forms[e.Form]
-		if !ok {
-			return nil, fmt.Errorf("message Membership with form %q, which is unknown", e.Form)
-		}
-		var entries []balancer.ListedHost
-		if form != balancer.ListFailed {
-			if e.Sheet == nil {
-				return nil, missing(e, "sheet")
-			}
-			if entries, ok = h.sheets[*e.Sheet]; !ok {
-				return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *e.Sheet)
-			}
-		}
-		return func(b *balancer.Balancer) { b.ListReceived(now, form, e.Gen, entries) }, nil
-	case "Inbound", "Adopted":
-		q, err := in.request(e)
+		return timerFired{token: *m.Token}, nil
+	case typeObservation:
+		return observed{request: m.RequestID, attempt: m.Attempt, kind: balancer.Observation(m.Kind), value: m.Value}, nil
+	case typeEstablished:
+		return attemptEstablished{request: m.RequestID, attempt: m.Attempt, elapsed: m.Elapsed}, nil
+	case typePeerMessage:
+		data, err := base64.StdEncoding.DecodeString(m.Contents)
 		if err != nil {
-			return nil, err
-		}
-		if e.Type == "Adopted" {
-			return func(b *balancer.Balancer) { b.ConnectionAdopted(now, q, e.Server) }, nil
+			return nil, fmt.Errorf("message Memo with contents that are not base64: %v", err)
 		}
-		return func(b *balancer.Balancer) { b.RequestArrived(now, q) }, nil
-	case "ClientLeft":
-		return func(b *balancer.Balancer) { b.ClientLeft(now, e.RequestID) }, nil
-	case "HealthResult":
-		return func(b *balancer.Balancer) { b.HealthCheckEnded(now, e.Server, status, e.Elapsed, e.Gauge) }, nil
-	case "Fired":
-		if e.Ref == nil {
-			return nil, missing(e, "ref")
+		return peerMessage{from: m.Peer, data: data}, nil
+	}
+	return nil, fmt.Errorf("unknown event %q", m.Type)
+}
+
+// requireIDs checks that a message names the request and the host that it is about.
+func requireIDs(m *message) error {
+	switch m.Type {
+	case typeRequest, typeClientLeft, typeAdopted, typeObservation, typeAttemptEnded, typeEstablished:
+		if m.RequestID == "" {
+			return missing(m, "request_id")
 		}
-		return func(b *balancer.Balancer) { b.TimerFired(now, *e.Ref) }, nil
-	case "Notice":
-		return func(b *balancer.Balancer) { b.Observe(now, e.RequestID, e.Seq, balancer.Observation(e.Sort), e.Level) }, nil
-	case "Response":
-		return func(b *balancer.Balancer) {
-			b.AttemptEnded(now, e.RequestID, e.Seq, status, e.Elapsed, e.NoMore, e.Gauge)
-		}, nil
-	case "Streaming":
-		return func(b *balancer.Balancer) { b.AttemptEstablished(now, e.RequestID, e.Seq, e.Elapsed) }, nil
-	case "Memo":
-		data, err := base64.StdEncoding.DecodeString(e.Contents)
-		if err != nil {
-			return nil, fmt.Errorf("message Memo with contents that are not base64: %v", err)
+	}
+	switch m.Type {
+	case typeHealthCheck, typeAdopted, typeAttemptEnded, typeEstablished:
+		if m.Host == "" {
+			return missing(m, "server")
 		}
-		return func(b *balancer.Balancer) { b.PeerMessageReceived(now, e.Origin, data) }, nil
 	}
-	return nil, fmt.Errorf("unknown event %q", e.Type)
+	return nil
+}
+
+func (a *Adapter) decodeList(m *message) (event, error) {
+	change, ok := listChanges[m.Change]
+	if !ok {
+		return nil, fmt.Errorf("message Membership with form %q, which is unknown", m.Change)
+	}
+	e := listReceived{change: change, version: m.Version}
+	if change == balancer.ListFailed {
+		return e, nil
+	}
+	if m.Sheet == nil {
+		return nil, missing(m, "sheet")
+	}
+	if e.hosts, ok = a.sheets[*m.Sheet]; !ok {
+		return nil, fmt.Errorf("message Membership names sheet %d, which was not sent", *m.Sheet)
+	}
+	return e, nil
+}
+
+func decodeStatus(m *message) (event, error) {
+	status, ok := attemptStatuses[m.Status]
+	if !ok {
+		return nil, fmt.Errorf("%s with ending %q, which is unknown", m.Type, m.Status)
+	}
+	if m.Type == typeHealthCheck {
+		return healthCheckEnded{host: m.Host, status: status, elapsed: m.Elapsed, load: m.Load}, nil
+	}
+	return attemptEnded{request: m.RequestID, attempt: m.Attempt, status: status, elapsed: m.Elapsed,
+		closed: m.Closed, load: m.Load}, nil
 }
 
-func (in *instance) request(e *event) (balancer.Request, error) {
-	q := balancer.Request{ID: e.RequestID, Key: e.Item, Group: e.Channel, Tenant: -1,
-		Retry: e.Bits&flagRepeat != 0, MidFlow: e.Bits&flagMidFlow != 0, Returned: e.Bits&flagReturned != 0}
-	if e.Class == nil {
-		return q, missing(e, "cls")
+// decodeRequest reads a request, or a connection that is already open.
+func (in *instance) decodeRequest(m *message) (event, error) {
+	r := balancer.Request{ID: m.RequestID, Key: m.Key, Group: m.Group, Tenant: in.tenant(m.Tenant),
+		Retry: m.Flags&flagRetry != 0, MidFlow: m.Flags&flagMidFlow != 0, Returned: m.Flags&flagReturned != 0}
+	if m.Class == nil {
+		return nil, missing(m, "cls")
 	}
-	c, ok := in.classes[*e.Class]
+	class, ok := in.classes[*m.Class]
 	if !ok {
-		return q, fmt.Errorf("%s of class %q, which the settings do not name", e.Type, *e.Class)
+		return nil, fmt.Errorf("%s of class %q, which the settings do not name", m.Type, *m.Class)
+	}
+	r.Class = class
+	if m.Remaining != nil {
+		r.Remaining = *m.Remaining
+	} else if m.Type == typeRequest {
+		return nil, missing(m, "remaining")
 	}
-	q.Class = c
-	if e.Remaining != nil {
-		q.Remaining = *e.Remaining
-	} else if e.Type == "Inbound" {
-		return q, missing(e, "remaining")
+	if m.Flags&flagHint != 0 {
+		r.ExpectedLoad = m.Hint
 	}
-	if e.Bits&flagHint != 0 {
-		q.ExpectedLoad = e.Hint
+	if m.Type == typeAdopted {
+		return connectionAdopted{request: r, host: m.Host}, nil
 	}
+	return requestArrived{request: r}, nil
+}
+
+// tenant is the index of the tenant that a message names; -1: none, or one that the settings do not name.
+func (in *instance) tenant(raw json.RawMessage) int {
 	var name string
-	if len(e.Party) > 0 && json.Unmarshal(e.Party, &name) == nil {
-		if t, ok := in.tenants[name]; ok {
-			q.Tenant = t
-		}
+	if len(raw) == 0 || json.Unmarshal(raw, &name) != nil {
+		return -1
+	}
+	if t, ok := in.tenants[name]; ok {
+		return t
 	}
-	return q, nil
+	return -1
 }
--- /dev/null
+++ b/internal/testbed/simulator/effects.go
@@ -0,0 +1,85 @@
+package simulator
+
+import (
+	"encoding/base64"
+	"fmt"
+
+	"croftlock/internal/balancer"
+)
+
+// effects writes the effects of one balancer as actions of the reply.
+type effects struct {
+	reply    *reply
+	balancer string
+}
+
+func (f *effects) action(name string) *reply {
+	f.reply.balancer = f.balancer
+	return f.reply.action(name)
+}
+
+// StartAttempt implements balancer.Effects.
+func (f *effects) StartAttempt(request, host string, timeout balancer.Time) {
+	f.action("Dispatch").text("request_id", request).text("server", host).number("allow_for", timeout).end()
+}
+
+// Reject implements balancer.Effects.
+func (f *effects) Reject(request string, retryAfter balancer.Time) {
+	w := f.action("Deny").text("request_id", request)
+	if retryAfter > 0 {
+		w.number("hold_off", retryAfter)
+	}
+	w.end()
+}
+
+// Fail implements balancer.Effects.
+func (f *effects) Fail(request string) { f.action("Surrender").text("request_id", request).end() }
+
+// CancelAttempt implements balancer.Effects.
+func (f *effects) CancelAttempt(request string, attempt int) {
+	f.action("Revoke").text("request_id", request).number("seq_no", int64(attempt)).end()
+}
+
+// Migrate implements balancer.Effects.
+func (f *effects) Migrate(request string) { f.action("GoAway").text("request_id", request).end() }
+
+// HealthCheck implements balancer.Effects.
+func (f *effects) HealthCheck(host string) { f.action("Sample").text("server", host).end() }
+
+// SendToPeer implements balancer.Effects.
+func (f *effects) SendToPeer(peer int, data []byte) {
+	w := f.action("MemoTo")
+	if peer >= 0 {
+		w.number("dst", int64(peer))
+	}
+	w.text("contents", base64.StdEncoding.EncodeToString(data)).end()
+}
+
+// WatchList implements balancer.Effects.
+func (f *effects) WatchList(on bool) { f.action("Subscribe").flag("want", on).end() }
+
+// FetchList implements balancer.Effects.
+func (f *effects) FetchList() { f.action("ReadList").end() }
+
+// Schedule implements balancer.Effects.
+func (f *effects) Schedule(delay balancer.Time, token string) {
+	f.action("Defer").number("after", delay).text("ref", token).end()
+}
+
+// Report implements balancer.Effects.
+func (f *effects) Report(e balancer.Event) { f.action("Print").text("message", eventText(e)).end() }
+
+// eventText is the sentence that an event is in the protocol.
+func eventText(e balancer.Event) string {
+	switch e := e.(type) {
+	case balancer.HostEjected:
+		return fmt.Sprintf("server %s fails to connect, quarantined for %d ms", e.Host, e.Ejection/1e6)
+	case balancer.HostReadmitted:
+		return "server " + e.Host + " accepts again, back in the pool"
+	case balancer.LedgerPolled:
+		return fmt.Sprintf("the book of balancer %d is asked", e.Coordinator)
+	case balancer.LedgerUnreachable:
+		return "no book answers, on its own"
+	}
+	return fmt.Sprintf("%T", e)
+}
--- /dev/null
+++ b/internal/testbed/simulator/message.go
@@ -0,0 +1,79 @@
+package simulator
+
+import "encoding/json"
+
+// Types of messages.
+const (
+	typeStart        = "Init"
+	typeExit         = "Exit"
+	typeSheet        = "Directory"
+	typeList         = "Membership"
+	typeRequest      = "Inbound"
+	typeAdopted      = "Adopted"
+	typeClientLeft   = "ClientLeft"
+	typeHealthCheck  = "HealthResult"
+	typeTimer        = "Fired"
+	typeObservation  = "Notice"
+	typeAttemptEnded = "Response"
+	typeEstablished  = "Streaming"
+	typePeerMessage  = "Memo"
+	flagHint         = 1 // message.Hint is set
+	flagRetry        = 2
+	flagMidFlow      = 8
+	flagReturned     = 16
+)
+
+// knownTypes are the types that name a balancer.
+var knownTypes = map[string]bool{
+	typeStart: true, typeExit: true, typeList: true, typeRequest: true, typeAdopted: true, typeClientLeft: true,
+	typeHealthCheck: true, typeTimer: true, typeObservation: true, typeAttemptEnded: true, typeEstablished: true,
+	typePeerMessage: true,
+}
+
+// batch is one line of input.
+type batch struct {
+	Time     *int64    `json:"time"` // nanoseconds
+	Messages []message `json:"msgs"`
+}
+
+// message has the fields of all types of messages, so that a line is parsed in one pass; each type uses some.
+type message struct {
+	Type      string          `json:"event_type"`
+	Balancer  string          `json:"balancer"`
+	RequestID string          `json:"request_id"`
+	Host      string          `json:"server"`
+	Attempt   int             `json:"seq_no"`
+	Status    string          `json:"ending"`
+	Elapsed   int64           `json:"elapsed"`
+	Closed    bool            `json:"no_more"`
+	Load      []float64       `json:"gauge"`
+	Hint      float64         `json:"hint"`
+	Key       string          `json:"item"`
+	Tenant    json.RawMessage `json:"party"`
+	Group     string          `json:"channel"`
+	Class     *string         `json:"cls"`
+	Flags     int             `json:"bits"`
+	Remaining *int64          `json:"remaining"`
+	Token     *string         `json:"ref"`
+	Value     float64         `json:"level"`
+	Kind      int             `json:"sort"`
+	Seed      json.Number     `json:"salt"`
+	Config    json.RawMessage `json:"config"`
+	Sheet     *int            `json:"sheet"`
+	Hosts     []sheetHost     `json:"elements"`
+	Change    string          `json:"form"`
+	Version   int64           `json:"gen"`
+	Peer      int             `json:"origin_peer"`
+	Contents  string          `json:"contents"` // base64
+}
+
+// sheetHost is a host in an endpoint list.
+type sheetHost struct {
+	State     string  `json:"stage_state"`
+	Zone      string  `json:"region_part"`
+	Weight    float64 `json:"capacity_hint"`
+	StartedAt int64   `json:"since"`
+	ID        string  `json:"server"`
+	Kind      string  `json:"type"`
+	Cell      int     `json:"stripe"`
+}
