--- /dev/null
+++ b/internal/operations/balancerconfig/decode.go
@@ -0,0 +1,137 @@
+// Package balancerconfig reads the platform's settings object as the configuration of a balancer. The names
+// that the protocol gives to settings are known here alone, by the tags of settings.go; the proxy and the
+// simulator's adapter both read them by Decode.
+package balancerconfig
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"croftlock/internal/balancer"
+)
+
+// Values of settings.
+const (
+	priorityByWork     = "work"
+	passThrough        = "pass"
+	noLoadReports      = "none"
+	loadField          = "x0"
+	queueField         = "queue"
+	queueFieldOnWire   = "pending" // the simulator's name of it
+	discoveryAutomatic = "automatic"
+	discoverySubscribe = "subscribe"
+)
+
+var idempotencies = map[string]balancer.Idempotency{
+	"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey,
+	"non_idempotent": balancer.NotIdempotent,
+}
+
+var dedupScopes = map[string]balancer.DedupScope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+}
+
+// Decode reads the settings object. Unknown keys are skipped; a value that cannot be used is an error that
+// names it.
+func Decode(raw []byte) (balancer.Config, error) {
+	var s settings
+	if err := json.Unmarshal(raw, &s); err != nil {
+		return balancer.Config{}, fmt.Errorf("message Init with malformed config: %v", err)
+	}
+	c := s.config()
+	c.LoadField, c.QueueField = s.Report.positions()
+	switch s.Discovery {
+	case discoveryAutomatic, "":
+	case discoverySubscribe:
+		c.PollsDiscovery = true
+	default:
+		return c, fmt.Errorf("config with discovery %q, which is unknown", s.Discovery)
+	}
+	var err error
+	if c.Classes, err = s.classes(); err != nil {
+		return c, err
+	}
+	c.Tenants = s.tenants()
+	restoreRateQuotas(c.Tenants)
+	return c, nil
+}
+
+// config is the configuration but for what has to be checked or put together.
+func (s *settings) config() balancer.Config {
+	return balancer.Config{
+		Instance:                s.Instance,
+		Instances:               s.Instances,
+		Zone:                    s.Zone,
+		Zones:                   s.Zones,
+		Tick:                    s.Tick,
+		OverQuotaWeight:         s.OverQuotaWeight,
+		PriorityByWork:          s.PriorityBy == priorityByWork,
+		MaxAttempts:             s.Limits.MaxAttempts,
+		ConnectTimeout:          s.Limits.ConnectTimeout,
+		IdleTimeout:             s.Limits.IdleTimeout,
+		MaxRetryAfter:           s.Limits.MaxRetryAfter,
+		SendsRetryAfter:         s.Limits.SendsRetryAfter,
+		MayHealthCheck:          s.Limits.MayHealthCheck,
+		MayGossip:               s.Limits.MayGossip,
+		MayCancel:               s.Limits.MayCancel,
+		AnswerSlack:             s.Contract.AnswerSlack,
+		SlowStartFloor:          s.Contract.SlowStartFloor,
+		SlowStartDuration:       s.Contract.SlowStartDuration,
+		SlowStartOverloadFactor: s.Contract.SlowStartOverloadFactor,
+		SlowStartOverloadWindow: s.Contract.SlowStartOverloadWindow,
+		DrainGrace:              s.Contract.DrainGrace,
+		PollInterval:            s.Contract.PollInterval,
+		PassThrough:             s.Extra.Mode == passThrough,
+		ParkDuration:            s.Extra.ParkDuration,
+		Prices:                  balancer.Prices(s.Prices),
+		EjectionInitial:         -1, // derived from the deadlines
+		EjectionMax:             -1,
+	}
+}
+
+// positions are those of the load and of the queue length in a report; -1: not reported.
+func (r *loadReport) positions() (load, queue int) {
+	if r.How == noLoadReports {
+		return -1, -1
+	}
+	load, queue = slices.Index(r.Fields, loadField), slices.Index(r.Fields, queueField)
+	if queue < 0 {
+		queue = slices.Index(r.Fields, queueFieldOnWire)
+	}
+	return load, queue
+}
+
+func (s *settings) classes() ([]balancer.Class, error) {
+	var classes []balancer.Class
+	for i, l := range s.Classes {
+		idempotency, ok := idempotencies[l.Semantics]
+		if !ok {
+			return classes, fmt.Errorf("config: class %q with semantics %q, which is unknown", l.Name, l.Semantics)
+		}
+		scope, ok := dedupScopes[l.DedupScope]
+		if !ok {
+			return classes, fmt.Errorf("config: class %q with dedup_scope %q, which is unknown", l.Name, l.DedupScope)
+		}
+		c := balancer.Class{Name: l.Name, LatencyObjective: l.LatencyObjective, Deadline: l.Deadline,
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: l.DedupWindow,
+			PriorityWeight: l.PriorityWeight, LatePriorityWeight: l.LatePriorityWeight}
+		if i < len(s.Extra.MessageObjectives) {
+			c.MessageLatencyObjective = s.Extra.MessageObjectives[i]
+		}
+		classes = append(classes, c)
+	}
+	return classes, nil
+}
+
+func (s *settings) tenants() []balancer.Tenant {
+	var tenants []balancer.Tenant
+	for i, o := range s.Tenants {
+		t := balancer.Tenant{Name: o.Name, RateQuota: o.RateQuota, ServiceQuota: o.ServiceQuota}
+		if i < len(s.Extra.ConnectionQuotas) {
+			t.ConnectionQuota = s.Extra.ConnectionQuotas[i]
+		}
+		tenants = append(tenants, t)
+	}
+	return tenants
+}
--- a/internal/operations/balancerconfig/config_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -23,7 +23,7 @@
 			if told == 0 {
 				continue
 			}
-			unround(ts)
+			restoreRateQuotas(ts)
 			sum := 0.0
 			for _, x := range ts {
 				sum += x.RateQuota
@@ -36,7 +36,7 @@
 	for _, odd := range [][]balancer.Tenant{nil, {{RateQuota: 2}}, {{RateQuota: 0, ConnectionQuota: 5}},
 		{{RateQuota: 2.5, ConnectionQuota: 90}}, {{RateQuota: 1, ConnectionQuota: 1000}, {RateQuota: 9, ConnectionQuota: 10}}} {
 		before := append([]balancer.Tenant(nil), odd...)
-		unround(odd)
+		restoreRateQuotas(odd)
 		for i := range odd {
 			if odd[i] != before[i] {
 				t.Errorf("%+v made of %+v", odd[i], before[i])
