--- a/internal/balancer/brain_test.go
+++ b/internal/balancer/balancer_test.go
@@ -18,43 +18,43 @@
 	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
 	for i := 0; i < 6; i++ {
 		if f.serve(fmt.Sprint(i)) == "s00" {
-			t.Fatal("sent to a draining server")
+			t.Fatal("sent to a draining host")
 		}
 	}
 	f.b.ListReceived(f.now, ListFull, 3, []ListedHost{{ID: "s00", Zone: "a", Weight: 1}})
 	if got := f.serve("z"); got != "s00" {
-		t.Fatalf("a server missing from a full list was used: %s", got)
+		t.Fatalf("a host missing from a full list was used: %s", got)
 	}
 }
 
-func TestNoServerHoldsThenRefuses(t *testing.T) {
+func TestNoHostQueuesThenRejects(t *testing.T) {
 	f := start(t, settings())
 	f.request("r")
 	f.run(3 * sec)
 	if f.answers["r"] != 1 || f.failed["r"] {
-		t.Fatalf("want one refusal, got %v", f.trace)
+		t.Fatalf("want one rejection, got %v", f.trace)
 	}
-	if f.refused["r"] == 0 {
-		t.Fatal("refused without advice when to come back")
+	if f.rejected["r"] == 0 {
+		t.Fatal("rejected without advice when to come back")
 	}
 }
 
-func TestUnsafeIsNotSentAgainOnceItMayHaveRun(t *testing.T) {
+func TestNotIdempotentIsNotRetriedOnceItMayHaveRun(t *testing.T) {
 	cfg := settings()
 	cfg.Classes[0].Idempotency = NotIdempotent
 	f := start(t, cfg, fleet(4)...)
 	f.request("a")
-	f.ends("a", ConnectFailed) // proves that it never ran
-	if len(f.sends) != 2 {
+	f.end("a", ConnectFailed) // proves that it never ran
+	if len(f.attemptsStarted) != 2 {
 		t.Fatal("no further attempt though it had not run")
 	}
-	f.ends("a", Timeout)
-	if len(f.sends) != 2 || !f.failed["a"] || f.answers["a"] != 1 {
-		t.Fatalf("an unsafe request that may have run must fail, once: %v", f.trace)
+	f.end("a", Timeout)
+	if len(f.attemptsStarted) != 2 || !f.failed["a"] || f.answers["a"] != 1 {
+		t.Fatalf("a request that may have run and is not idempotent must fail, once: %v", f.trace)
 	}
 }
 
-func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
+func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	cfg := settings()
 	cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = IdempotentWithKey, ScopeZone, sec
 	es := fleet(6)
@@ -63,22 +63,22 @@
 	}
 	f := start(t, cfg, es...)
 	f.request("r")
-	zone := f.b.byID[f.last().server].zone
+	zone := f.b.byID[f.last().host].zone
 	for i := 0; i < 2; i++ {
-		f.ends("r", Error)
-		if f.b.byID[f.last().server].zone != zone {
-			t.Fatal("a keyed repeat left its group")
+		f.end("r", Error)
+		if f.b.byID[f.last().host].zone != zone {
+			t.Fatal("a keyed retry left its group")
 		}
 	}
 	f.now += 2 * sec
-	n := len(f.sends)
-	f.ends("r", Error)
-	if len(f.sends) != n || !f.failed["r"] {
-		t.Fatal("a keyed repeat went out after its window, or was refused outside group all")
+	n := len(f.attemptsStarted)
+	f.end("r", Error)
+	if len(f.attemptsStarted) != n || !f.failed["r"] {
+		t.Fatal("a keyed retry went out after its window, or was rejected outside group all")
 	}
 }
 
-func TestAskBacksOffButNotTooLong(t *testing.T) {
+func TestPollBackoffIsBounded(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery = true
 	f := start(t, cfg, fleet(3)...)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestSettingsThatCannotBeUsed(t *testing.T) {
+func TestUnusableSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"no class":    func(c *Config) { c.Classes = nil },
 		"no peers":    func(c *Config) { c.Instances = 0 },
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -15,10 +15,10 @@
 			for i := 0; i < b.N; i++ {
 				id := fmt.Sprint(i)
 				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint("g", i%8), Remaining: 2 * sec})
-				f.stands(id)
-				f.ends(id, OK)
+				f.establish(id)
+				f.end(id, OK)
 				f.now += 50 * ms
-				f.sends, f.trace = f.sends[:0], f.trace[:0]
+				f.attemptsStarted, f.trace = f.attemptsStarted[:0], f.trace[:0]
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		f := told(&testing.T{}, settings(), fleet(n)...)
+		f := startReporting(&testing.T{}, settings(), fleet(n)...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
@@ -53,17 +53,17 @@
 
 func BenchmarkPlacementByLoad(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		f := told(&testing.T{}, settings(), fleet(n)...)
-		f.report(func(i int) float64 { return 0.4 + float64(i%10)/50 })
+		f := startReporting(&testing.T{}, settings(), fleet(n)...)
+		f.reportLoads(func(i int) float64 { return 0.4 + float64(i%10)/50 })
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				f.now += ms
-				f.trace, f.sends = f.trace[:0], f.sends[:0]
+				f.trace, f.attemptsStarted = f.trace[:0], f.attemptsStarted[:0]
 				id := fmt.Sprint("r", i)
 				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint(i % 8), Remaining: 2 * sec})
-				f.stands(id)
-				f.ends(id, OK)
+				f.establish(id)
+				f.end(id, OK)
 			}
 		})
 	}
--- a/internal/balancer/asking_test.go
+++ b/internal/balancer/discovery_test.go
@@ -4,7 +4,7 @@
 
 // What discovery has counts as told 6 s after it can be reached again, whatever the settings allow between two calls: half of a
 // minute passed between them where a proxy need only ask once a minute.
-func TestAFailedCallIsMadeAgainBeforeItsNewsCountsAsTold(t *testing.T) {
+func TestFailedPollIsRepeatedInTime(t *testing.T) {
 	for _, within := range []Time{10 * sec, 20 * sec, 60 * sec} {
 		for _, peers := range []int{1, 30, 300} {
 			cfg := settings()
@@ -25,7 +25,7 @@
 
 // A long outage made the pauses of a small fleet up to 5 s long. The call that then found discovery back and crowded was told nothing, and
 // there was no time left for another before the news counted as told.
-func TestASmallFleetHasTimeForASecondCall(t *testing.T) {
+func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
 	f := start(t, cfg, fleet(3)...)
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -6,14 +6,14 @@
 	"croftlock/internal/balancer"
 )
 
-// host carries out what the brain decides; a real one would open connections here.
+// host carries out what the balancer decides; a real one would open connections here.
 type host struct{ sent string }
 
 func (h *host) StartAttempt(request, server string, timeout balancer.Time) {
 	h.sent = server
 	fmt.Println(request, "goes to", server)
 }
-func (h *host) Reject(request string, retryAfter balancer.Time) { fmt.Println(request, "is refused") }
+func (h *host) Reject(request string, retryAfter balancer.Time) { fmt.Println(request, "is rejected") }
 func (h *host) Fail(request string)                             { fmt.Println(request, "fails") }
 func (h *host) CancelAttempt(request string, attempt int)       {}
 func (h *host) Migrate(request string)                          {}
@@ -40,7 +40,7 @@
 		{ID: "10.0.0.2:9000", Zone: "east", Weight: 1},
 	})
 	b.RequestArrived(5*ms, balancer.Request{ID: "a", Tenant: -1, Remaining: 2000 * ms})
-	b.AttemptEnded(10*ms, "a", 0, balancer.ConnectFailed, 5*ms, false, nil) // quarantined, and tried elsewhere
+	b.AttemptEnded(10*ms, "a", 0, balancer.ConnectFailed, 5*ms, false, nil) // ejected, and tried elsewhere
 	b.AttemptEstablished(20*ms, "a", 1, 10*ms)                              // it stands
 	b.RequestArrived(30*ms, balancer.Request{ID: "b", Tenant: -1, Remaining: 2000 * ms})
 	// Output:
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-type sent struct {
-	req, server string
-	timeout     Time
-	at          Time
+type attemptStart struct {
+	request, host string
+	timeout       Time
+	at            Time
 }
 
-// fake records the actions of one brain and lets a test answer them.
+// fake records the actions of one balancer and lets a test answer them.
 type fake struct {
-	t        testing.TB
-	b        *Balancer
-	now      Time
-	sends    []sent
-	attempts map[string]int
-	out      map[string]bool
-	answers  map[string]int
-	refused  map[string]Time
-	failed   map[string]bool
-	moves    []string
-	cancels  []string
-	watches  []Time
-	timers   []timer
-	told     [][]byte
-	trace    []string
+	t               testing.TB
+	b               *Balancer
+	now             Time
+	attemptsStarted []attemptStart
+	attempts        map[string]int
+	inFlight        map[string]bool
+	answers         map[string]int
+	rejected        map[string]Time
+	failed          map[string]bool
+	migrations      []string
+	cancelled       []string
+	watches         []Time
+	timers          []timer
+	peerMessages    [][]byte
+	trace           []string
 }
 
 type timer struct {
@@ -35,50 +35,56 @@
 	token string
 }
 
-func (f *fake) say(format string, a ...any) { f.trace = append(f.trace, fmt.Sprintf(format, a...)) }
+func (f *fake) record(format string, a ...any) { f.trace = append(f.trace, fmt.Sprintf(format, a...)) }
 
 func (f *fake) StartAttempt(r, s string, t Time) {
-	if f.out[r] {
+	if f.inFlight[r] {
 		f.t.Errorf("two attempts of %s out at once", r)
 	}
 	if f.answers[r] > 0 {
 		f.t.Errorf("%s sent after its final answer", r)
 	}
-	f.out[r] = true
+	f.inFlight[r] = true
 	f.attempts[r]++
-	f.sends = append(f.sends, sent{r, s, t, f.now})
-	f.say("%d send %s %s %d", f.now, r, s, t)
+	f.attemptsStarted = append(f.attemptsStarted, attemptStart{r, s, t, f.now})
+	f.record("%d send %s %s %d", f.now, r, s, t)
 }
 
 func (f *fake) Reject(r string, after Time) {
-	f.refused[r] = after
+	f.rejected[r] = after
 	f.answers[r]++
-	f.say("%d refuse %s %d", f.now, r, after)
+	f.record("%d refuse %s %d", f.now, r, after)
 }
 
-func (f *fake) Fail(r string) { f.failed[r] = true; f.answers[r]++; f.say("%d fail %s", f.now, r) }
+func (f *fake) Fail(r string) { f.failed[r] = true; f.answers[r]++; f.record("%d fail %s", f.now, r) }
 
 func (f *fake) CancelAttempt(r string, n int) {
-	f.cancels = append(f.cancels, r)
-	f.say("cancel %s %d", r, n)
+	f.cancelled = append(f.cancelled, r)
+	f.record("cancel %s %d", r, n)
 }
 
-func (f *fake) Migrate(r string) { f.moves = append(f.moves, r); f.say("%d move %s", f.now, r) }
+func (f *fake) Migrate(r string) {
+	f.migrations = append(f.migrations, r)
+	f.record("%d move %s", f.now, r)
+}
 
-func (f *fake) HealthCheck(s string) { f.say("probe %s", s) }
+func (f *fake) HealthCheck(s string) { f.record("probe %s", s) }
 
-func (f *fake) SendToPeer(p int, d []byte) { f.told = append(f.told, d); f.say("tell %d %x", p, d) }
+func (f *fake) SendToPeer(p int, d []byte) {
+	f.peerMessages = append(f.peerMessages, d)
+	f.record("tell %d %x", p, d)
+}
 
-func (f *fake) WatchList(on bool) { f.watches = append(f.watches, f.now); f.say("watch %v", on) }
+func (f *fake) WatchList(on bool) { f.watches = append(f.watches, f.now); f.record("watch %v", on) }
 
-func (f *fake) FetchList() { f.say("fetch") }
+func (f *fake) FetchList() { f.record("fetch") }
 
 func (f *fake) Schedule(d Time, token string) {
 	f.timers = append(f.timers, timer{f.now + d, token})
-	f.say("after %d %s", d, token)
+	f.record("after %d %s", d, token)
 }
 
-func (f *fake) Report(e Event) { f.say("report %T %+v", e, e) }
+func (f *fake) Report(e Event) { f.record("report %T %+v", e, e) }
 
 func settings() Config {
 	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
@@ -90,8 +96,8 @@
 
 func start(t testing.TB, cfg Config, servers ...ListedHost) *fake {
 	t.Helper()
-	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, out: map[string]bool{},
-		answers: map[string]int{}, refused: map[string]Time{}, failed: map[string]bool{}}
+	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, inFlight: map[string]bool{},
+		answers: map[string]int{}, rejected: map[string]Time{}, failed: map[string]bool{}}
 	b, err := New(cfg, 1, f)
 	if err != nil {
 		t.Fatal(err)
@@ -134,31 +140,31 @@
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
-// breaks is one failed connect to a server.
-func (f *fake) breaks(s *host) {
+// breaks is one failed connect to a host.
+func (f *fake) failConnect(s *host) {
 	f.b.tick(f.now)
 	f.b.hostFailed(s, f.now, true)
 }
 
-func (f *fake) last() sent { return f.sends[len(f.sends)-1] }
+func (f *fake) last() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
 
-func (f *fake) stands(id string) {
+func (f *fake) establish(id string) {
 	f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 }
 
-func (f *fake) ends(id string, s AttemptStatus) {
-	f.out[id] = false
+func (f *fake) end(id string, s AttemptStatus) {
+	f.inFlight[id] = false
 	if s == OK {
 		f.answers[id]++
 	}
 	f.b.AttemptEnded(f.now, id, f.attempts[id]-1, s, 10*ms, s == OK, nil)
 }
 
-// serve sends one request, lets it stand and end, and returns its server.
+// serve sends one request, lets it stand and end, and returns its host.
 func (f *fake) serve(id string) string {
 	f.request(id)
-	s := f.last().server
-	f.stands(id)
-	f.ends(id, OK)
+	s := f.last().host
+	f.establish(id)
+	f.end(id, OK)
 	return s
 }
--- a/internal/balancer/rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -77,9 +77,9 @@
 	t.Logf("at most %d calls a second, the last of %d told after %.1f s", most, len(told), float64(last-upAt)/1e9)
 }
 
-// TestSixInTenReplaced: hosts are replaced within seven seconds, told to each balancer at a moment of its own; nothing goes
+// TestRollingReplacement: hosts are replaced within seven seconds, told to each balancer at a moment of its own; nothing goes
 // to one that drains later than the grace after that balancer was told, whatever comes back meanwhile.
-func TestSixInTenReplaced(t *testing.T) {
+func TestRollingReplacement(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		all := manyBalancers(t, 80, seed)
@@ -115,14 +115,14 @@
 			f, id := all[rng.Intn(len(all))], fmt.Sprintf("%d-%d", seed, n)
 			n++
 			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4), Returned: n%2 == 0, Remaining: 4800 * ms})
-			if f.out[id] {
-				f.stands(id)
+			if f.inFlight[id] {
+				f.establish(id)
 			}
 		}
 		for _, f := range all {
-			for _, s := range f.sends {
-				if at, ok := told[f][s.server]; ok && s.at > at+250*ms {
-					t.Errorf("seed %d: %s got a connection %d ms after its drain was told", seed, s.server, (s.at-at)/ms)
+			for _, s := range f.attemptsStarted {
+				if at, ok := told[f][s.host]; ok && s.at > at+250*ms {
+					t.Errorf("seed %d: %s got a connection %d ms after its drain was told", seed, s.host, (s.at-at)/ms)
 				}
 			}
 		}
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestZoneGoneAndBackCold: four of eleven hosts vanish and come back cold at one moment; of eighty balancers, whose failed
+// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty balancers, whose failed
 // connects have run out at different times, not all send there at once.
-func TestZoneGoneAndBackCold(t *testing.T) {
+func TestZoneReturnsWarming(t *testing.T) {
 	mean := 0.0
 	const seeds = 10
 	for seed := int64(1); seed <= seeds; seed++ {
@@ -144,7 +144,7 @@
 		for _, f := range all {
 			for _, id := range gone {
 				if rng.Intn(2) == 0 {
-					f.breaks(f.b.byID[id])
+					f.failConnect(f.b.byID[id])
 				}
 			}
 			f.now = 106 * sec
@@ -159,13 +159,13 @@
 			at = append(at, now)
 		}
 		for _, f := range all {
-			f.sends = nil
+			f.attemptsStarted = nil
 		}
 		replay(all, rng, at, true, "s00")
 		cold := map[string]int{}
 		for _, f := range all {
-			for _, s := range f.sends {
-				cold[s.server]++
+			for _, s := range f.attemptsStarted {
+				cold[s.host]++
 			}
 		}
 		for _, id := range gone {
@@ -177,7 +177,7 @@
 	}
 	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of what the hosts bear.
 	if mean > 0.9 {
-		t.Errorf("%.2f connections in 2 s to a cold host that bears 0.9", mean)
+		t.Errorf("%.2f connections in 2 s to a warming host that bears 0.9", mean)
 	}
-	t.Logf("%.2f connections in 2 s to a cold host", mean)
+	t.Logf("%.2f connections in 2 s to a warming host", mean)
 }
--- a/internal/balancer/homes_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -5,46 +5,46 @@
 	"testing"
 )
 
-// A group's connections keep to the first server of its order, the same at every balancer, until that is full.
+// A group's connections keep to the first host of its order, the same at every balancer, until that is full.
 func TestGroupsKeepToTheirHome(t *testing.T) {
 	homes := map[string]bool{}
 	var f *fake
 	for me := range 3 {
 		cfg := settings()
 		cfg.Instance, cfg.Instances = me, 3
-		f = told(t, cfg, fleet(8)...)
-		f.report(func(int) float64 { return 0.5 })
+		f = startReporting(t, cfg, fleet(8)...)
+		f.reportLoads(func(int) float64 { return 0.5 })
 		for i := range 8 {
 			id := fmt.Sprint("r", i)
 			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: "g", Remaining: 2 * sec})
-			f.stands(id)
-			homes[f.last().server] = true
+			f.establish(id)
+			homes[f.last().host] = true
 		}
 	}
 	if len(homes) != 1 {
-		t.Errorf("24 connections of a group, placed by three balancers, stand on %d servers", len(homes))
+		t.Errorf("24 connections of a group, placed by three balancers, stand on %d hosts", len(homes))
 	}
 	f.now += 2 * sec
-	f.report(func(i int) float64 {
+	f.reportLoads(func(i int) float64 {
 		if homes[f.b.hosts[i].id] {
 			return 1.05
 		}
 		return 0.5
 	})
 	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
-	if homes[f.last().server] {
+	if homes[f.last().host] {
 		t.Error("a group's home that is full gets more of it")
 	}
 }
 
-// A class whose load is unknown at first counts as any other; once servers tell it, it counts for what it is, in turns and in
+// A class whose load is unknown at first counts as any other; once hosts tell it, it counts for what it is, in turns and in
 // what is held to be placed.
 func TestClassOfUnknownLoad(t *testing.T) {
 	cfg := settings()
 	heavy := cfg.Classes[0]
 	heavy.Name, heavy.PriorityWeight = "heavy", 3
 	cfg.Classes = append(cfg.Classes, heavy)
-	f := told(t, cfg, fleet(4)...)
+	f := startReporting(t, cfg, fleet(4)...)
 	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.expect(&Request{Class: class})) }
 	if turns(0) != 1 || turns(1) != 1 {
 		t.Errorf("%.2f and %.2f turns before anything is known", turns(0), turns(1))
@@ -52,7 +52,7 @@
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
 		f.b.RequestArrived(f.now, Request{ID: id, Class: i % 2, Tenant: -1, Remaining: 2 * sec})
-		f.stands(id)
+		f.establish(id)
 		f.b.Observe(f.now, id, 0, ObservedLoad, 1000+float64(i%2)*5000)
 	}
 	if x := turns(1) / turns(0); x < 4 || x > 8 {
--- a/internal/balancer/groups_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestGroupsKeepToFewServers: a server pays for each group of which it holds a connection. Eighty balancers with a request
-// each put every group everywhere; told nothing of one another they keep to one order of servers.
-func TestGroupsKeepToFewServers(t *testing.T) {
+// TestGroupsKeepToFewHosts: a host pays for each group of which it holds a connection. Eighty balancers with a request
+// each put every group everywhere; told nothing of one another they keep to one order of hosts.
+func TestGroupsKeepToFewHosts(t *testing.T) {
 	pairs, most := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
 	var es []ListedHost
@@ -23,14 +23,14 @@
 		for i := 0; i < 2; i++ {
 			id, group := fmt.Sprint(i), fmt.Sprintf("group%d", rng.Intn(4))
 			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec})
-			f.stands(id)
-			pairs[f.last().server+group] = true
-			most[f.last().server]++
+			f.establish(id)
+			pairs[f.last().host+group] = true
+			most[f.last().host]++
 			f.now += sec
 		}
 	}
 	if len(pairs) > 32 {
-		t.Errorf("4 groups of 40 connections stand in %d places on 12 servers", len(pairs))
+		t.Errorf("4 groups of 40 connections stand in %d places on 12 hosts", len(pairs))
 	}
 	for s, n := range most {
 		if n > 4*160/12 {
@@ -40,10 +40,10 @@
 	t.Logf("%d places, %v", len(pairs), most)
 }
 
-// TestThinTrafficAgreesOnAGroupsServer: with less than a connection a server at each balancer, all of them take a group's
-// requests to the same server in all zones of a set, and to the next one while it is slow. At 300 balancers, an order for each of
-// six zones made every server pay for more groups; with most of the fleet cold, what was left shed all it held.
-func TestThinTrafficAgreesOnAGroupsServer(t *testing.T) {
+// TestSparseTrafficAgreesOnHostOfGroup: with less than a connection a host at each balancer, all of them take a group's
+// requests to the same host in all zones of a set, and to the next one while it is slow. At 300 balancers, an order for each of
+// six zones made every host pay for more groups; with most of the fleet warming, what was left shed all it held.
+func TestSparseTrafficAgreesOnHostOfGroup(t *testing.T) {
 	servers := fleet(11)
 	for i := range servers {
 		servers[i].Zone = []string{"z0", "z2"}[i%2]
@@ -61,7 +61,7 @@
 				s.messages.delay, s.messages.at = 1, f.now
 			}
 			f.b.RequestArrived(f.now, Request{ID: "q", Group: "g", Remaining: 4800 * ms})
-			got[f.last().server]++
+			got[f.last().host]++
 		}
 		return got
 	}
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestColdServersShareOutGroups: of a group, half of a zone's cold servers take connections, and all of them together
+// TestWarmingHostsShareGroups: of a group, half of a zone's warming hosts take connections, and all of them together
 // what they took without groups.
-func TestColdServersShareOutGroups(t *testing.T) {
+func TestWarmingHostsShareGroups(t *testing.T) {
 	took := map[string]map[string]int{}
 	f := manyBalancers(t, 80, 1)[0]
 	for _, id := range []string{"s01", "s02", "s03", "s04"} {
@@ -110,7 +110,7 @@
 		pairs += len(groups)
 	}
 	if pairs != 8 {
-		t.Errorf("4 groups go to %d places on 4 cold servers, 8 expected: %v", pairs, took)
+		t.Errorf("4 groups go to %d places on 4 warming hosts, 8 expected: %v", pairs, took)
 	}
 	r := &request{Request: Request{ID: "x"}, similarPerSecond: 20}
 	alone := 0
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// However balancers tell, are lost and begin anew: a server holds the sum of what each was last known to hold, and nothing is under 0.
-func TestTheBookIsTheSum(t *testing.T) {
+// However balancers tell, are lost and begin anew: a host holds the sum of what each was last known to hold, and nothing is under 0.
+func TestPlacementsAreTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := NewPlacements()
+		p := NewPlacements()
 		type key struct {
 			peer          int
 			server, group uint32
@@ -19,7 +19,7 @@
 		for range rapid.IntRange(0, 80).Draw(rt, "steps") {
 			k := key{rapid.IntRange(0, 3).Draw(rt, "peer"), rapid.Uint32Range(1, 3).Draw(rt, "server"), rapid.Uint32Range(1, 3).Draw(rt, "group")}
 			if rapid.IntRange(0, 9).Draw(rt, "what") == 0 {
-				b.Forget(k.peer)
+				p.Forget(k.peer)
 				for x := range model {
 					if x.peer == k.peer {
 						delete(model, x)
@@ -28,7 +28,7 @@
 				continue
 			}
 			n := rapid.IntRange(-127, 127).Draw(rt, "units")
-			b.Add(k.peer, k.server, k.group, n)
+			p.Add(k.peer, k.server, k.group, n)
 			model[k] = max(0, model[k]+n)
 		}
 		for s := uint32(1); s <= 3; s++ {
@@ -40,9 +40,9 @@
 				}
 			}
 			for g := uint32(1); g <= 3; g++ {
-				load, n, holds := b.Load(s, g)
+				load, n, holds := p.Load(s, g)
 				if load != float64(units)/UnitsPerConnection || n != len(groups) || holds != (groups[g] > 0) {
-					rt.Fatalf("server %d: %g of %d groups, group %d %t; expected %g of %d, %t", s, load, n, g, holds, float64(units)/UnitsPerConnection, len(groups), groups[g] > 0)
+					rt.Fatalf("host %d: %g of %d groups, group %d %t; expected %g of %d, %t", s, load, n, g, holds, float64(units)/UnitsPerConnection, len(groups), groups[g] > 0)
 				}
 			}
 		}
@@ -50,48 +50,48 @@
 }
 
 // What one balancer tells without end fills no memory, and leaves the others' counts as they are.
-func TestTheBookIsBounded(t *testing.T) {
-	b := NewPlacements()
-	b.Add(1, 1, 1, 8)
+func TestPlacementsAreBounded(t *testing.T) {
+	p := NewPlacements()
+	p.Add(1, 1, 1, 8)
 	for i := range uint32(3 * maxEntriesPerPeer) {
-		b.Add(2, 1, i, 8)
+		p.Add(2, 1, i, 8)
 	}
-	if n := len(b.peers[2]); n > maxEntriesPerPeer {
+	if n := len(p.peers[2]); n > maxEntriesPerPeer {
 		t.Errorf("%d entries of one balancer", n)
 	}
-	b.Forget(2)
-	if load, groups, _ := b.Load(1, 1); load != 1 || groups != 1 {
+	p.Forget(2)
+	if load, groups, _ := p.Load(1, 1); load != 1 || groups != 1 {
 		t.Errorf("%g of %d groups", load, groups)
 	}
 	for i := range uint32(3 * maxHosts) {
-		b.Add(3, i, 1, 8)
-		b.RecordGrant(5, Time(i))
+		p.Add(3, i, 1, 8)
+		p.RecordGrant(5, Time(i))
 	}
-	if len(b.hosts) > maxHosts+1 || len(b.at(5).grants) > maxGrantsPerHost {
-		t.Errorf("%d servers, %d grants", len(b.hosts), len(b.at(5).grants))
+	if len(p.hosts) > maxHosts+1 || len(p.at(5).grants) > maxGrantsPerHost {
+		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.at(5).grants))
 	}
 }
 
 func TestGrantsInAWindow(t *testing.T) {
-	b := NewPlacements()
+	p := NewPlacements()
 	for _, at := range []Time{10, 20, 30, 40} {
-		b.RecordGrant(7, at)
+		p.RecordGrant(7, at)
 	}
 	for since, want := range map[Time]int{0: 4, 20: 3, 25: 2, 41: 0} {
-		if n := b.GrantsSince(7, since); n != want {
+		if n := p.GrantsSince(7, since); n != want {
 			t.Errorf("since %d: %d, expected %d", since, n, want)
 		}
 	}
 }
 
-// The first keeper that answers is asked: past the misses the next one, after all nobody for a while, and an earlier one as soon as it is back.
-func TestWhomToAsk(t *testing.T) {
+// The first coordinator that answers is asked: past the misses the next one, after all nobody for a while, and an earlier one as soon as it is back.
+func TestWhichCoordinatorIsAsked(t *testing.T) {
 	d := NewClient(300)
 	if got := d.coordinators; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
-		t.Fatalf("keepers %v", got)
+		t.Fatalf("coordinators %v", got)
 	}
 	if !d.CoordinatorHeard(0, 5) || d.CoordinatorHeard(0, 5) || !d.CoordinatorHeard(0, 6) || !d.Synced(1) {
-		t.Error("a keeper has to be told once, and again when it has begun anew")
+		t.Error("a coordinator has to be told once, and again when it has begun anew")
 	}
 	now := Time(1e9)
 	miss := func() { d.TimedOut(now, "r") }
@@ -106,7 +106,7 @@
 		t.Errorf("after two misses %d is asked", d.Coordinator(now))
 	}
 	if d.CoordinatorHeard(150, 1) {
-		t.Error("a later keeper than the one that is asked has to be told")
+		t.Error("a later coordinator than the one that is asked has to be told")
 	}
 	if k := d.NextPoll(now + pollInterval); k != 0 {
 		t.Errorf("looked for %d", k)
@@ -138,11 +138,11 @@
 		t.Error("not asked though it is heard")
 	}
 	if n := len(NewClient(2).coordinators); n != 2 {
-		t.Errorf("%d keepers of two balancers", n)
+		t.Errorf("%d coordinators of two balancers", n)
 	}
 }
 
-func TestAsksAreBounded(t *testing.T) {
+func TestPendingQueriesAreBounded(t *testing.T) {
 	d := NewClient(9)
 	first := d.Register(PendingQuery{Request: "a", SentAt: 0})
 	for i := range 10 * maxPending {
@@ -158,7 +158,7 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add(Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil))
 	f.Add(Reply{Seq: 7, Epoch: 9, Host: 0xdeadbeef}.Append(nil))
 	f.Add(Entry{1, 2, -3}.Append(Entry{4, 5, 127}.Append(Sync{}.Append(nil))))
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -17,7 +17,7 @@
 	for seed := range int64(sequences) {
 		rng, digest := rand.New(rand.NewSource(seed)), golden.NewDigest()
 		peers := []int{1, 3, 20, 300}[seed%4]
-		desk, book := NewClient(peers), NewPlacements()
+		client, placements := NewClient(peers), NewPlacements()
 		now := Time(1e9)
 		var asked []uint16
 		for range eventsPerSequence {
@@ -25,30 +25,30 @@
 			peer, server, group := rng.Intn(peers), uint32(rng.Intn(12)), uint32(rng.Intn(6))
 			switch rng.Intn(10) {
 			case 0, 1, 2:
-				book.Add(peer, server, group, rng.Intn(255)-127)
+				placements.Add(peer, server, group, rng.Intn(255)-127)
 			case 3:
 				if rng.Intn(10) == 0 {
-					book.Forget(peer)
+					placements.Forget(peer)
 				}
 			case 4:
-				book.RecordGrant(server, now)
+				placements.RecordGrant(server, now)
 			case 5:
-				asked = append(asked, desk.Register(PendingQuery{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, SentAt: now}))
+				asked = append(asked, client.Register(PendingQuery{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, SentAt: now}))
 			case 6:
-				desk.TimedOut(now, fmt.Sprint("r", rng.Intn(40)))
+				client.TimedOut(now, fmt.Sprint("r", rng.Intn(40)))
 			case 7:
 				if len(asked) > 0 {
-					if out := desk.Take(asked[rng.Intn(len(asked))]); out != nil {
+					if out := client.Take(asked[rng.Intn(len(asked))]); out != nil {
 						digest.Add("answered %s %d %d %d %t", out.Request, out.Group, out.Units, out.SentAt, out.Abandoned)
 					}
 				}
 			case 8:
-				digest.Add("heard %t", desk.CoordinatorHeard(peer, byte(rng.Intn(3))))
+				digest.Add("heard %t", client.CoordinatorHeard(peer, byte(rng.Intn(3))))
 			default:
-				digest.Add("look %d", desk.NextPoll(now))
+				digest.Add("look %d", client.NextPoll(now))
 			}
-			load, groups, holds := book.Load(server, group)
-			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, book.GrantsSince(server, now-2e9), desk.Coordinator(now), desk.Synced(now), desk.IsCoordinator(peer))
+			load, groups, holds := placements.Load(server, group)
+			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, placements.GrantsSince(server, now-2e9), client.Coordinator(now), client.Synced(now), client.IsCoordinator(peer))
 		}
 		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, peers, digest)
 	}
--- a/internal/balancer/ledgercold_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -8,9 +8,9 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// TestTheColdBudgetInSum: with the book, the cold servers' budget is given out exactly: close to what is allowed, never over it, also with a wave that
+// TestLedgerKeepsSlowStartBudgetInSum: with the ledger, the warming hosts' budget is given out exactly: close to what is allowed, never over it, also with a wave that
 // comes again and all balancers new.
-func TestTheColdBudgetInSum(t *testing.T) {
+func TestLedgerKeepsSlowStartBudgetInSum(t *testing.T) {
 	for _, c := range []struct {
 		n    int
 		wave bool
@@ -37,23 +37,23 @@
 			at := x.grants[e.ID]
 			total += len(at)
 			for i, from := range at {
-				// N in two seconds, by a server's part of the flow that the settings tell.
+				// N in two seconds, by a host's part of the flow that the settings tell.
 				n := 2.5 * 3 * (0.2 + 0.8*float64(from-up)/float64(20*sec)) / 20 * 10 * 2
 				closest = max(closest, float64(within(at[i:min(len(at), i+30)], 2*sec))/(n+3*math.Sqrt(n)+3))
 			}
 		}
-		t.Logf("%3d balancers, wave %t: %d sends to %d cold servers in 8 s; at one at most %.2f of N + 3 x root of N + 3", c.n, c.wave, total, c.cold, closest)
+		t.Logf("%3d balancers, wave %t: %d sends to %d warming hosts in 8 s; at one at most %.2f of N + 3 x root of N + 3", c.n, c.wave, total, c.cold, closest)
 		if closest > 1 {
-			t.Errorf("%d balancers: %.2f times what may come to a cold server by chance", c.n, closest)
+			t.Errorf("%d balancers: %.2f times what may come to a warming host by chance", c.n, closest)
 		}
 		if c.wave && c.n > 20 && total < 48 {
-			t.Errorf("%d balancers: %d sends to the cold servers, while 60 a second come", c.n, total)
+			t.Errorf("%d balancers: %d sends to the warming hosts, while 60 a second come", c.n, total)
 		}
 	}
 }
 
 // Whatever peers send, nothing breaks.
-func FuzzPeer(f *testing.F) {
+func FuzzPeerMessage(f *testing.F) {
 	f.Add(ledger.Query{Seq: 1, Units: 8, Group: 5}.Append(nil), ledger.Reply{Seq: 1, Epoch: 2, Host: 3}.Append(nil))
 	f.Add(ledger.Announcement{Epoch: 4}.Append(nil), ledger.Entry{Host: 1, Group: 2, Units: -9}.Append(ledger.Sync{}.Append(nil)))
 	f.Fuzz(func(t *testing.T, a, b []byte) {
--- a/internal/balancer/ledger_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -9,73 +9,73 @@
 )
 
 // tier is balancers that reach one another, late or not at all.
-type tier struct {
-	all    []*fake
-	rng    *rand.Rand
-	now    Time
-	mail   []letter
-	loss   float64
-	lost   byte         // a kind of message that is lost
-	dead   map[int]bool // neither sends nor hears
-	bytes  int
-	open   map[string]*fake
-	stood  []string
-	asked  map[string]Time
-	by     map[string]int    // who was asked
-	grants map[string][]Time // sends by server
+type peerNetwork struct {
+	all         []*fake
+	rng         *rand.Rand
+	now         Time
+	inFlight    []datagram
+	loss        float64
+	lost        byte         // a kind of message that is lost
+	dead        map[int]bool // neither sends nor hears
+	bytes       int
+	open        map[string]*fake
+	established []string
+	asked       map[string]Time
+	by          map[string]int    // who was asked
+	grants      map[string][]Time // sends by host
 }
 
-type letter struct {
+type datagram struct {
 	at       Time
 	from, to int
 	data     []byte
 }
 
 // talker is a balancer's effects with messages that arrive.
-type talker struct {
+type networkedFake struct {
 	*fake
-	t  *tier
+	t  *peerNetwork
 	me int
 }
 
-func (k *talker) SendToPeer(peer int, data []byte) {
+func (k *networkedFake) SendToPeer(peer int, data []byte) {
 	for to := range k.t.all {
 		if to == k.me || peer >= 0 && to != peer || k.t.dead[k.me] || k.t.dead[to] || data[0] == k.t.lost || k.t.rng.Float64() < k.t.loss {
 			continue
 		}
 		k.t.bytes += len(data)
-		k.t.mail = append(k.t.mail, letter{k.t.now + ms + Time(k.t.rng.Intn(20))*ms, k.me, to, append([]byte(nil), data...)})
+		k.t.inFlight = append(k.t.inFlight, datagram{k.t.now + ms + Time(k.t.rng.Intn(20))*ms, k.me, to, append([]byte(nil), data...)})
 	}
 }
 
-func newTier(t *testing.T, n, servers int, tells bool) *tier {
-	x := &tier{rng: rand.New(rand.NewSource(5)), now: 100 * sec, dead: map[int]bool{}, open: map[string]*fake{}, asked: map[string]Time{}, by: map[string]int{}, grants: map[string][]Time{}}
+func newTier(t *testing.T, n, servers int, tells bool) *peerNetwork {
+	x := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, dead: map[int]bool{}, open: map[string]*fake{}, asked: map[string]Time{}, by: map[string]int{}, grants: map[string][]Time{}}
 	for me := range n {
 		x.all = append(x.all, x.begin(t, me, n, servers, tells))
 	}
 	return x
 }
 
-func (x *tier) begin(t *testing.T, me, n, servers int, tells bool) *fake {
+func (x *peerNetwork) begin(t *testing.T, me, n, servers int, tells bool) *fake {
 	cfg := settings()
 	cfg.Instance, cfg.Instances, cfg.Zones, cfg.MayGossip = me, n, []string{"a"}, tells
 	cfg.SlowStartFloor, cfg.SlowStartDuration, cfg.SlowStartOverloadFactor, cfg.SlowStartOverloadWindow = 0.2, 20*sec, 3, 2*sec
 	cfg.Classes = []Class{{Name: "x", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 150 * ms}}
 	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 20, ServiceQuota: 1, ConnectionQuota: float64(n)}}
 	f := start(t, cfg, fleet(servers)...)
-	f.b.fx, f.now = &talker{f, x, me}, x.now
+	f.b.fx, f.now = &networkedFake{f, x, me}, x.now
 	f.b.rng.Seed(int64(me) + 77)
 	return f
 }
 
 // run lets time go on, in steps, with what arrives in each.
-func (x *tier) run(d Time) {
+func (x *peerNetwork) run(d Time) {
 	for end := x.now + d; x.now < end; x.now += 5 * ms {
-		mail := x.mail
-		x.mail = nil
+		mail := x.inFlight
+		x.inFlight = nil
 		for _, l := range mail {
 			if l.at > x.now {
-				x.mail = append(x.mail, l)
+				x.inFlight = append(x.inFlight, l)
 			} else if f := x.all[l.to]; !x.dead[l.to] {
 				f.b.PeerMessageReceived(f.now, l.from, l.data)
 			}
@@ -86,24 +86,24 @@
 				continue
 			}
 			f.run(x.now - f.now)
-			for _, s := range f.sends {
-				x.grants[s.server] = append(x.grants[s.server], x.now)
-				f.stands(s.req)
-				x.open[s.req], x.stood = f, append(x.stood, s.req)
-				delete(x.asked, s.req)
+			for _, s := range f.attemptsStarted {
+				x.grants[s.host] = append(x.grants[s.host], x.now)
+				f.establish(s.request)
+				x.open[s.request], x.established = f, append(x.established, s.request)
+				delete(x.asked, s.request)
 			}
-			f.sends = nil
+			f.attemptsStarted = nil
 		}
 	}
 }
 
 // group draws one of 20, of which the first brings a sixth.
-func (x *tier) group() string {
+func (x *peerNetwork) group() string {
 	return fmt.Sprint("g", int(20*math.Pow(x.rng.Float64(), 2)))
 }
 
 // flow is so many connections a second, each with a life in the mean.
-func (x *tier) flow(d Time, rate, life float64, returned bool) {
+func (x *peerNetwork) flow(d Time, rate, life float64, returned bool) {
 	step := 20 * ms
 	for end := x.now + d; x.now < end; {
 		for n := rate * float64(step) / 1e9; n > 0; n-- {
@@ -116,19 +116,19 @@
 				}
 			}
 		}
-		for _, id := range x.stood { // in their order: a map's would be another each time
+		for _, id := range x.established { // in their order: a map's would be another each time
 			if f := x.open[id]; f != nil && x.rng.Float64() < float64(step)/1e9/life {
-				f.ends(id, OK)
+				f.end(id, OK)
 				delete(x.open, id)
 			}
 		}
-		x.stood = slices.DeleteFunc(x.stood, func(id string) bool { return x.open[id] == nil })
+		x.established = slices.DeleteFunc(x.established, func(id string) bool { return x.open[id] == nil })
 		x.run(step)
 	}
 }
 
-// balance gives the fullest server's connections over the mean, and places of groups at servers.
-func (x *tier) balance() (most float64, places int) {
+// balance gives the fullest host's connections over the mean, and places of groups at hosts.
+func (x *peerNetwork) balance() (most float64, places int) {
 	n, held := map[string]int{}, map[string]bool{}
 	for id, f := range x.open {
 		r := f.b.requests[id]
@@ -141,9 +141,9 @@
 	return most, len(held)
 }
 
-// TestTheBookBalancesWhatNobodySees: with a connection or two at each balancer those of a large group all go to the first server of its order; who is asked
+// TestLedgerBalancesWhatNoBalancerSees: with a connection or two at each balancer those of a large group all go to the first host of its order; who is asked
 // sees all of them.
-func TestTheBookBalancesWhatNobodySees(t *testing.T) {
+func TestLedgerBalancesWhatNoBalancerSees(t *testing.T) {
 	var most [2]float64
 	var places [2]int
 	for i, tells := range []bool{false, true} {
@@ -154,15 +154,15 @@
 			t.Errorf("%d requests wait", len(x.asked))
 		}
 	}
-	t.Logf("alone: fullest server %.1f times the mean, %d places; with a book %.1f, %d", most[0], places[0], most[1], places[1])
+	t.Logf("alone: fullest host %.1f times the mean, %d places; with a ledger %.1f, %d", most[0], places[0], most[1], places[1])
 	if most[1] > 0.6*most[0] || places[1] > 2*places[0] {
-		t.Errorf("with a book the fullest server has %.1f times the mean and groups %d places, alone %.1f and %d", most[1], places[1], most[0], places[0])
+		t.Errorf("with a ledger the fullest host has %.1f times the mean and groups %d places, alone %.1f and %d", most[1], places[1], most[0], places[0])
 	}
 }
 
-// TestWithoutTheKeeper: its keeper is gone, and a fifth of all messages is lost. Nobody waits for long, the next one is asked, and what the first one knew
+// TestWithoutCoordinator: its coordinator is gone, and a fifth of all messages is lost. Nobody waits for long, the next one is asked, and what the first one knew
 // comes back to it once it is there again.
-func TestWithoutTheKeeper(t *testing.T) {
+func TestWithoutCoordinator(t *testing.T) {
 	x := newTier(t, 40, 20, true)
 	x.loss = 0.2
 	x.flow(10*sec, 8, 15, false)
@@ -175,7 +175,7 @@
 		}
 	}
 	if moved < 10 {
-		t.Errorf("%d of 39 balancers ask another keeper", moved)
+		t.Errorf("%d of 39 balancers ask another coordinator", moved)
 	}
 	for id, at := range x.asked {
 		if x.now-at > 3*ledgerReplyTimeout {
@@ -201,8 +201,8 @@
 		n, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
 		known += n
 	}
-	t.Logf("%d went on to another keeper, %d came back; the book has %.0f of %d connections", moved, back, known, len(x.open))
+	t.Logf("%d went on to another coordinator, %d came back; the ledger has %.0f of %d connections", moved, back, known, len(x.open))
 	if back < 38 || math.Abs(known-float64(len(x.open))) > 0.25*float64(len(x.open)) {
-		t.Errorf("%d of 40 ask the first keeper, whose book has %.0f of %d connections", back, known, len(x.open))
+		t.Errorf("%d of 40 ask the first coordinator, whose book has %.0f of %d connections", back, known, len(x.open))
 	}
 }
--- a/internal/balancer/ledgerfault_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// known is how many connections the first keeper's book has.
-func (x *tier) known() (n float64) {
+// known is how many connections the first coordinator's book has.
+func (x *peerNetwork) ledgerConnections() (n float64) {
 	for _, s := range x.all[0].b.hosts {
 		held, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
 		n += held
@@ -17,7 +17,7 @@
 }
 
 // restart has balancers begin anew; their connections die with them.
-func (x *tier) restart(t *testing.T, from, to int) {
+func (x *peerNetwork) restart(t *testing.T, from, to int) {
 	for me := from; me < to; me++ {
 		x.dead[me] = false
 		x.all[me] = x.begin(t, me, len(x.all), len(x.all[0].b.hosts), true)
@@ -29,27 +29,27 @@
 	}
 }
 
-// TestTheBookThroughFaults: whatever happens to keepers and messages, no request waits longer than twice for an answer that does not come, and soon after it
-// the book has what stands again.
-func TestTheBookThroughFaults(t *testing.T) {
+// TestLedgerThroughFaults: whatever happens to coordinators and messages, no request waits longer than twice for an answer that does not come, and soon after it
+// the ledger has what stands again.
+func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault func(x *tier)
-		soon  bool // all tell a keeper that begins anew at once
+		fault func(x *peerNetwork)
+		soon  bool // all tell a coordinator that begins anew at once
 	}{
-		{"the keeper sleeps for 5 s and wakes up", func(x *tier) {
+		{"the coordinator sleeps for 5 s and wakes up", func(x *peerNetwork) {
 			x.dead[0] = true
 			x.flow(5*sec, 8, 60, false)
 			x.dead[0] = false
 		}, false},
-		{"seven in ten are killed at once", func(x *tier) {
+		{"seven in ten are killed at once", func(x *peerNetwork) {
 			for me := range 28 {
 				x.dead[me] = true
 			}
 			x.flow(sec, 8, 60, true)
 			x.restart(t, 0, 28)
 		}, true},
-		{"all keepers are killed, one after the other", func(x *tier) {
+		{"all coordinators are killed, one after the other", func(x *peerNetwork) {
 			for me := range x.all {
 				if x.all[0].b.ledger.client.IsCoordinator(me) {
 					x.dead[me] = true
@@ -60,22 +60,22 @@
 			x.dead[0] = true
 			x.restart(t, 0, 1)
 		}, true},
-		{"nobody hears anybody for 8 s", func(x *tier) {
+		{"nobody hears anybody for 8 s", func(x *peerNetwork) {
 			x.loss = 1
 			x.flow(8*sec, 8, 60, false)
 			x.loss = 0
 		}, false},
-		{"half of all messages are lost", func(x *tier) {
+		{"half of all messages are lost", func(x *peerNetwork) {
 			x.loss = 0.5
 			x.flow(8*sec, 8, 60, false)
 			x.loss = 0
 		}, false},
-		{"what is told is lost, and all else is heard", func(x *tier) {
+		{"what is told is lost, and all else is heard", func(x *peerNetwork) {
 			x.lost = ledger.Entry{Host: 1}.Append(nil)[0]
 			x.flow(8*sec, 8, 8, false)
 			x.lost = 0
 		}, false},
-		{"200 ask in the same moment", func(x *tier) {
+		{"200 ask in the same moment", func(x *peerNetwork) {
 			x.flow(20*ms, 10_000, 60, true)
 		}, false},
 	} {
@@ -97,8 +97,8 @@
 		}
 		x.flow(2500*ms, 8, 60, false)
 		waited()
-		if d := math.Abs(x.known() - float64(len(x.open))); c.soon && d > 0.25*float64(len(x.open)) {
-			t.Errorf("%s: 2.5 s later its book has %.0f of %d connections", c.name, x.known(), len(x.open))
+		if d := math.Abs(x.ledgerConnections() - float64(len(x.open))); c.soon && d > 0.25*float64(len(x.open)) {
+			t.Errorf("%s: 2.5 s later its book has %.0f of %d connections", c.name, x.ledgerConnections(), len(x.open))
 		}
 		x.flow(13*sec, 8, 60, false)
 		waited()
@@ -108,8 +108,8 @@
 				back++
 			}
 		}
-		if d := math.Abs(x.known() - float64(len(x.open))); back < 38 || d > 0.08*float64(len(x.open))+2 {
-			t.Errorf("%s: 15 s later %d of 40 ask the first keeper, whose book has %.0f of %d connections", c.name, back, x.known(), len(x.open))
+		if d := math.Abs(x.ledgerConnections() - float64(len(x.open))); back < 38 || d > 0.08*float64(len(x.open))+2 {
+			t.Errorf("%s: 15 s later %d of 40 ask the first coordinator, whose book has %.0f of %d connections", c.name, back, x.ledgerConnections(), len(x.open))
 		}
 	}
 }
--- a/internal/balancer/loadestimate/host_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -8,7 +8,7 @@
 const sec = int64(1e9)
 
 // A report older than the connection that it should count: what was placed after it, or shortly before, counts on top.
-func TestWhatNoReportHoldsYet(t *testing.T) {
+func TestAddedLoadCountsUntilReported(t *testing.T) {
 	var h Host
 	h.Report(10*sec, 0.5, 0)
 	h.AddLoad(10*sec+1, 20)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestNothingBadIsTaken(t *testing.T) {
+func TestUnusableReportsAreIgnored(t *testing.T) {
 	var h Host
 	if x := h.Load(sec, 0, 0.4); x != 0.4 || h.Known(sec) {
 		t.Errorf("%.3f of a host of which nothing is known", x)
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -8,7 +8,7 @@
 )
 
 // play feeds a random but legal sequence of events and checks the rules on the actions: one final answer for each
-// request before its deadline, never two attempts out, nothing to a draining server, no repeat of an unsafe effect.
+// request before its deadline, never two attempts out, nothing to a draining host, no repeat of an unsafe effect.
 func play(t *testing.T, seed int64, effect Idempotency) []string {
 	rng := rand.New(rand.NewSource(seed))
 	cfg := settings()
@@ -22,21 +22,21 @@
 	answered := func(id string) bool { return f.answers[id] > 0 }
 	checked := 0
 	check := func() {
-		for ; checked < len(f.sends); checked++ {
-			x := f.sends[checked]
-			if drained[x.server] {
-				t.Fatalf("seed %d: sent to %s, which drains", seed, x.server)
+		for ; checked < len(f.attemptsStarted); checked++ {
+			x := f.attemptsStarted[checked]
+			if drained[x.host] {
+				t.Fatalf("seed %d: sent to %s, which drains", seed, x.host)
 			}
-			if x.timeout <= 0 || x.at+x.timeout > deadline[x.req] {
-				t.Fatalf("seed %d: %s has a time-out past its deadline", seed, x.req)
+			if x.timeout <= 0 || x.at+x.timeout > deadline[x.request] {
+				t.Fatalf("seed %d: %s has a time-out past its deadline", seed, x.request)
 			}
-			if effect == NotIdempotent && ran[x.req] {
-				t.Fatalf("seed %d: unsafe %s sent again after it may have run", seed, x.req)
+			if effect == NotIdempotent && ran[x.request] {
+				t.Fatalf("seed %d: unsafe %s sent again after it may have run", seed, x.request)
 			}
 		}
 	}
 	finish := func(id string, s AttemptStatus) {
-		f.out[id] = false
+		f.inFlight[id] = false
 		wasUp := up[id]
 		delete(up, id)
 		if !s.ProvesNotRun() {
@@ -54,9 +54,9 @@
 		f.run(Time(rng.Intn(30)) * ms)
 		check()
 		// an attempt that has used up its time ends now
-		for _, x := range f.sends {
-			if f.out[x.req] && !up[x.req] && f.last().at <= f.now && sentLast(f, x) && x.at+x.timeout <= f.now {
-				finish(x.req, Timeout)
+		for _, x := range f.attemptsStarted {
+			if f.inFlight[x.request] && !up[x.request] && f.last().at <= f.now && sentLast(f, x) && x.at+x.timeout <= f.now {
+				finish(x.request, Timeout)
 				check()
 			}
 		}
@@ -72,7 +72,7 @@
 		case k < 8 && len(ids) > 0:
 			id := ids[rng.Intn(len(ids))]
 			switch {
-			case !f.out[id]:
+			case !f.inFlight[id]:
 			case up[id]:
 				finish(id, []AttemptStatus{OK, Reset, Cancelled}[rng.Intn(3)])
 			case rng.Intn(2) == 0 && !answered(id):
@@ -101,9 +101,9 @@
 	for end := 0; end < 500; end++ {
 		f.run(20 * ms)
 		check()
-		for _, x := range f.sends {
-			if f.out[x.req] && !up[x.req] && sentLast(f, x) && x.at+x.timeout <= f.now {
-				finish(x.req, Timeout)
+		for _, x := range f.attemptsStarted {
+			if f.inFlight[x.request] && !up[x.request] && sentLast(f, x) && x.at+x.timeout <= f.now {
+				finish(x.request, Timeout)
 			}
 		}
 	}
@@ -112,8 +112,8 @@
 			t.Fatalf("seed %d: %s has %d final answers", seed, id, f.answers[id])
 		}
 		if effect == NotIdempotent && ran[id] && f.answers[id] == 1 {
-			if _, refused := f.refused[id]; refused {
-				t.Fatalf("seed %d: unsafe %s refused though it may have run", seed, id)
+			if _, refused := f.rejected[id]; refused {
+				t.Fatalf("seed %d: unsafe %s rejected though it may have run", seed, id)
 			}
 		}
 	}
@@ -121,10 +121,10 @@
 }
 
 // sentLast tells whether x is the newest attempt of its request.
-func sentLast(f *fake, x sent) bool {
-	for i := len(f.sends) - 1; i >= 0; i-- {
-		if f.sends[i].req == x.req {
-			return f.sends[i] == x
+func sentLast(f *fake, x attemptStart) bool {
+	for i := len(f.attemptsStarted) - 1; i >= 0; i-- {
+		if f.attemptsStarted[i].request == x.request {
+			return f.attemptsStarted[i] == x
 		}
 	}
 	return false
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsSameEffects(t *testing.T) {
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := play(t, seed, Idempotent), play(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -8,7 +8,7 @@
 // What all set-ups wait for alike, a store that hosts share: how long its queue is, and what follows.
 
 // A process that has seen no set-up timed out at the aim, and its calls took the store's time for nobody.
-func TestSetUpsThatNobodyKnowsAreWaitedFor(t *testing.T) {
+func TestUnknownSetUpTimesAreWaitedFor(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
 	if got := f.last().timeout; got < 990*ms {
@@ -19,7 +19,7 @@
 		id := fmt.Sprint(i)
 		f.request(id)
 		f.now += 20 * ms
-		f.stands(id)
+		f.establish(id)
 	}
 	f.request("b")
 	if got := f.last().timeout; got > 600*ms {
@@ -33,7 +33,7 @@
 }
 
 // A call that can't end in time takes its place in the store's queue all the same.
-func TestWhatCannotStandInTimeIsRefusedAtOnce(t *testing.T) {
+func TestWhatCannotBeEstablishedInTimeIsRejectedAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for _, id := range []string{"a", "b"} {
 		f.request(id)
@@ -42,49 +42,49 @@
 	f.now += 900 * ms
 	slow("a")
 	f.request("one") // one slow set-up may be its host's alone
-	if !f.out["one"] {
-		t.Fatal("refused for one slow set-up")
+	if !f.inFlight["one"] {
+		t.Fatal("rejected for one slow set-up")
 	}
 	slow("b")
-	n := len(f.sends)
+	n := len(f.attemptsStarted)
 	f.request("c")
-	if len(f.sends) != n || f.answers["c"] != 1 {
+	if len(f.attemptsStarted) != n || f.answers["c"] != 1 {
 		t.Fatalf("sent though set-ups take 1.5 s and more of its 2 s: %v", f.trace)
 	}
-	if f.refused["c"] == 0 {
-		t.Fatal("refused without advice: its client is back at once")
+	if f.rejected["c"] == 0 {
+		t.Fatal("rejected without advice: its client is back at once")
 	}
 	f.now += 2500 * ms // by then it may be gone
 	f.request("d")
-	if !f.out["d"] {
-		t.Fatal("still refused 2.5 s after")
+	if !f.inFlight["d"] {
+		t.Fatal("still rejected 2.5 s after")
 	}
 }
 
 // A full store answers with errors at once; each further attempt was made within milliseconds.
-func TestTheNextAttemptWaitsWhereTwoRequestsWereTurnedAway(t *testing.T) {
+func TestAttemptWaitsAfterTwoEarlyErrors(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
-	f.ends("a", Error)
-	if !f.out["a"] {
+	f.end("a", Error)
+	if !f.inFlight["a"] {
 		t.Fatal("one error: another host is tried at once")
 	}
-	f.stands("a")
+	f.establish("a")
 	for _, id := range []string{"b", "c"} {
 		f.request(id)
-		f.ends(id, Error)
+		f.end(id, Error)
 	}
-	if f.out["c"] {
+	if f.inFlight["c"] {
 		t.Fatal("a third attempt at once, though whoever is asked turns away")
 	}
-	n := len(f.sends)
+	n := len(f.attemptsStarted)
 	f.run(sec)
-	if len(f.sends) == n || f.answers["c"] != 0 {
+	if len(f.attemptsStarted) == n || f.answers["c"] != 0 {
 		t.Fatalf("neither sent nor owed an answer after a second: %v", f.trace)
 	}
-	f.stands("c")
+	f.establish("c")
 	f.request("d")
-	if !f.out["d"] {
+	if !f.inFlight["d"] {
 		t.Fatal("sends wait though the last one stands")
 	}
 }
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -13,7 +13,7 @@
 			seen[f.serve(fmt.Sprintf("r%d-%d", round, i))]++
 		}
 		if len(seen) != 7 {
-			t.Fatalf("round %d reached %d of 7 servers: %v", round, len(seen), seen)
+			t.Fatalf("round %d reached %d of 7 hosts: %v", round, len(seen), seen)
 		}
 	}
 }
@@ -40,11 +40,11 @@
 		seen[f.serve("r")] = true
 	}
 	if len(seen) != 8 {
-		t.Fatalf("8 balancers began at %d of 8 servers", len(seen))
+		t.Fatalf("8 balancers began at %d of 8 hosts", len(seen))
 	}
 }
 
-func TestSparseBalancersSpreadOverUnequalServers(t *testing.T) {
+func TestSparseBalancersSpreadOverUnequalHosts(t *testing.T) {
 	es := fleet(20)
 	for i := range es {
 		es[i].Weight = 1 + float64(i%4)/10
@@ -56,8 +56,8 @@
 		f := start(t, cfg, es...)
 		for k := 0; k < 4; k++ {
 			f.request(fmt.Sprint(k))
-			f.stands(fmt.Sprint(k))
-			n[f.last().server]++
+			f.establish(fmt.Sprint(k))
+			n[f.last().host]++
 		}
 	}
 	for s, k := range n {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTurnsSpillOverWhileTheOwnZoneStalls(t *testing.T) {
+func TestTurnsCrossZonesWhileOwnZoneStalls(t *testing.T) {
 	cfg := settings()
 	cfg.Prices.CrossZone = 0.1
 	es := fleet(8)
@@ -79,8 +79,8 @@
 		n := 0
 		for i := 0; i < 40; i++ {
 			f.request(fmt.Sprint(prefix, i))
-			f.stands(fmt.Sprint(prefix, i))
-			if f.b.byID[f.last().server].zone != f.b.zone {
+			f.establish(fmt.Sprint(prefix, i))
+			if f.b.byID[f.last().host].zone != f.b.zone {
 				n++
 			}
 		}
--- a/internal/balancer/restraint_test.go
+++ b/internal/balancer/shedding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRestraintRefusesTheLeastWorthFirst(t *testing.T) {
+func TestLowestPriorityIsShedFirst(t *testing.T) {
 	cfg := settings()
 	cfg.Classes = append(cfg.Classes, Class{Name: "dear", LatencyObjective: 300 * ms, Deadline: 2 * sec, MessageLatencyObjective: 100 * ms})
 	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight, cfg.PriorityByWork = 1, 5, true
@@ -15,9 +15,9 @@
 	}
 	for i := 0; i < 40; i++ {
 		ask(fmt.Sprint("o", i), i%2)
-		f.stands(fmt.Sprint("o", i))
+		f.establish(fmt.Sprint("o", i))
 	}
-	for i := 0; i < 20; i++ { // every server stalls and stays so
+	for i := 0; i < 20; i++ { // every host stalls and stays so
 		for k := 0; k < 40; k++ {
 			f.b.Observe(f.now, fmt.Sprint("o", k), 0, ObservedLatency, 500)
 		}
@@ -32,23 +32,23 @@
 		}
 	}
 	if refused[0] < 40 || refused[1] >= refused[0] {
-		t.Fatalf("with all servers stalled, %d of 50 cheap and %d of 50 dear ones refused", refused[0], refused[1])
+		t.Fatalf("with all hosts stalled, %d of 50 cheap and %d of 50 dear ones rejected", refused[0], refused[1])
 	}
 	f.run(60 * sec) // no more bad news
 	ask("later", 0)
 	if f.answers["later"] == 1 {
-		t.Fatal("restraint outlasted its reason")
+		t.Fatal("load shedding outlasted its reason")
 	}
 }
 
-func TestStalledServerLosesTurnsAndConnections(t *testing.T) {
+func TestStalledHostLosesTurnsAndConnections(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	on := []string{}
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprint("o", i)
 		f.request(id)
-		f.stands(id)
-		if f.last().server == "s02" {
+		f.establish(id)
+		if f.last().host == "s02" {
 			on = append(on, id)
 		}
 	}
@@ -56,45 +56,45 @@
 		f.b.Observe(f.now, on[0], 0, ObservedLatency, 2000)
 		f.run(sec)
 	}
-	if len(f.moves) == 0 {
-		t.Fatalf("%d of %d connections moved off a stalled server in three notes, want some", len(f.moves), len(on))
+	if len(f.migrations) == 0 {
+		t.Fatalf("%d of %d connections moved off a stalled host in three notes, want some", len(f.migrations), len(on))
 	}
 	n := 0
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprint("n", i)
 		f.request(id)
-		f.stands(id)
-		if f.last().server == "s02" {
+		f.establish(id)
+		if f.last().host == "s02" {
 			n++
 		}
 	}
 	if n > 3 {
-		t.Fatalf("a stalled server that accepts still got %d of 40 turns", n)
+		t.Fatalf("a stalled host that accepts still got %d of 40 turns", n)
 	}
 }
 
-// One server's pause brought restraint that refused most of what came for 18 s after it.
-func TestRestraintEndsWithTheStall(t *testing.T) {
+// One host's pause brought load shedding that rejected most of what came for 18 s after it.
+func TestSheddingEndsWithStall(t *testing.T) {
 	f := start(t, settings(), fleet(3)...)
 	f.b.shedding.share = 0.9
 	f.run(6 * sec)
 	if f.b.shedding.share > 0.1 {
-		t.Fatalf("%.2f is still refused 6 s after the last stall", f.b.shedding.share)
+		t.Fatalf("%.2f is still rejected 6 s after the last stall", f.b.shedding.share)
 	}
 }
 
 // One bad request, answered with an error wherever it went, made every other request wait as in a jam.
-func TestOneRequestsErrorsAreNoJam(t *testing.T) {
+func TestErrorsOfOneRequestAreNoRetryStorm(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	f.request("bad")
-	for f.out["bad"] {
-		f.ends("bad", Error)
+	for f.inFlight["bad"] {
+		f.end("bad", Error)
 	}
 	if f.attempts["bad"] != 4 || f.answers["bad"] != 1 {
 		t.Fatalf("%d attempts, %d answers", f.attempts["bad"], f.answers["bad"])
 	}
 	f.request("usual")
-	if !f.out["usual"] {
+	if !f.inFlight["usual"] {
 		t.Fatal("a request waits though nothing jams")
 	}
 }
--- a/internal/balancer/untold_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -9,8 +9,8 @@
 // Fleets whose settings name no tenants, so that no quota tells how many connections come: what each balancer makes of the
 // little that it sees.
 
-// untold are n balancers without quotas, part of them just started, before a fleet of 80 servers.
-func untold(t *testing.T, n int, seed int64) []*fake {
+// untold are n balancers without quotas, part of them just started, before a fleet of 80 hosts.
+func manyWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	all := manyBalancers(t, n, seed)
 	for me := range all {
@@ -22,9 +22,9 @@
 	return all
 }
 
-// Without quotas all lots were off, and a cold server got nothing from a process that had just started: its warm-up went by
+// Without quotas all lots were off, and a warming host got nothing from a process that had just started: its slow start went by
 // unused while the warm ones were full.
-func TestColdServersAreUsedWhereNoQuotasAreTold(t *testing.T) {
+func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
 	const cold, flow = coldServers, untoldFlow
 	for _, c := range []struct {
 		n   int
@@ -35,20 +35,20 @@
 		for _, at := range sent {
 			total, most = total+len(at), max(most, within(at, sec))
 		}
-		// What the settings allow each: three times its warmth of what a server bears, here 2.5 times the mean flow.
+		// What the settings allow each: three times its warmth of what a host bears, here 2.5 times the mean flow.
 		allowed := 0.0
 		for s := 0.0; s < 9; s++ {
 			allowed += cold * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * flow / 80
 		}
-		t.Logf("%3d balancers, %3.0f%% new: %d of %d to cold servers, allowed %.0f; most in a second to one %d",
+		t.Logf("%3d balancers, %3.0f%% new: %d of %d to warming hosts, allowed %.0f; most in a second to one %d",
 			c.n, 100*c.new, total, len(later), allowed, most)
 		if fair := float64(len(later)) * cold / 80; float64(total) < fair/3 {
-			t.Errorf("%d balancers, %.0f%% new: %d connections to the cold servers, %.0f would be their part", c.n, 100*c.new, total, fair)
+			t.Errorf("%d balancers, %.0f%% new: %d connections to the warming hosts, %.0f would be their part", c.n, 100*c.new, total, fair)
 		}
-		// 600 connections stand, 7.5 at a server: at least 0.83 a second fill it within its warm-up, and a full one holds 2.5 times as
+		// 600 connections stand, 7.5 at a host: at least 0.83 a second fill it within its slow start, and a full one holds 2.5 times as
 		// many. Three times that at its first warmth is 1.9: three times the root of it and three more is what is left to chance.
 		if most > 9 {
-			t.Errorf("%d balancers, %.0f%% new: %d connections within a second at one cold server", c.n, 100*c.new, most)
+			t.Errorf("%d balancers, %.0f%% new: %d connections within a second at one warming host", c.n, 100*c.new, most)
 		}
 	}
 }
@@ -58,12 +58,12 @@
 	untoldFlow  = 40.0 // requests a second
 )
 
-// startCold has servers start under balancers, a part of which are new as well. It tells when each of these servers was sent something in
-// its warm-up, and when requests came.
+// startCold has hosts start under balancers, a part of which are new as well. It tells when each of these hosts was sent something in
+// its slow start, and when requests came.
 func startCold(t *testing.T, n int, restarted float64, seed int64) (up Time, sent map[string][]Time, later []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
-	all, young := untold(t, n, seed), untold(t, n, seed+1)
+	all, young := manyWithoutQuotas(t, n, seed), manyWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
 	step := func() Time { return Time(rng.ExpFloat64() / untoldFlow * 1e9) }
 	var before []Time
@@ -91,12 +91,12 @@
 	for i, now := range later {
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
-		id, from := fmt.Sprintf("l-%d", i), len(f.sends)
+		id, from := fmt.Sprintf("l-%d", i), len(f.attemptsStarted)
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
-		for _, s := range f.sends[from:] {
-			f.stands(s.req)
-			if s.server < fmt.Sprintf("s%02d", coldServers) {
-				sent[s.server] = append(sent[s.server], now)
+		for _, s := range f.attemptsStarted[from:] {
+			f.establish(s.request)
+			if s.host < fmt.Sprintf("s%02d", coldServers) {
+				sent[s.host] = append(sent[s.host], now)
 			}
 		}
 	}
@@ -116,14 +116,14 @@
 			o := up[0]
 			up = up[1:]
 			o.f.run(o.until - o.f.now)
-			o.f.ends(o.id, OK)
+			o.f.end(o.id, OK)
 		}
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
 		id := fmt.Sprintf("e-%d", i)
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
-		if f.out[id] {
-			f.stands(id)
+		if f.inFlight[id] {
+			f.establish(id)
 			up = append(up, open{f, id, now + 15*sec})
 		}
 	}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// chanceBudget is how many calls a cold server may get in a window in which the settings allow it n, chance included.
+// chanceBudget is how many calls a warming host may get in a window in which the settings allow it n, chance included.
 func chanceBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -13,11 +13,11 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartUse tells what part of its budget any cold server was sent at most in any second, and what part of all that the settings allow
+// slowStartUse tells what part of its budget any warming host was sent at most in any second, and what part of all that the settings allow
 // was left unused.
 func slowStartUse(up Time, sent map[string][]Time) (closest, unused float64) {
 	const warmUp, coldFrom, multiple = 9.0, 0.31, 3.0
-	const usual = 2.5 * untoldFlow / 80 // what a full server takes in a second
+	const usual = 2.5 * untoldFlow / 80 // what a full host takes in a second
 	allowed := func(age float64) float64 { return multiple * (coldFrom + (1-coldFrom)*age/warmUp) * usual }
 	used, all := 0.0, 0.0
 	for _, at := range sent {
@@ -43,9 +43,9 @@
 				closest, unused := slowStartUse(up, sent)
 				worst, least = max(worst, closest), min(least, unused)
 			}
-			t.Logf("%3d instances, %3.0f%% new: at most %.2f of a server's budget, at least %.2f of all unused", n, 100*restarted, worst, least)
+			t.Logf("%3d instances, %3.0f%% new: at most %.2f of a host's budget, at least %.2f of all unused", n, 100*restarted, worst, least)
 			if worst > 1 {
-				t.Errorf("%d instances, %.0f%% new: %.2f times a cold server's budget", n, 100*restarted, worst)
+				t.Errorf("%d instances, %.0f%% new: %.2f times a warming host's budget", n, 100*restarted, worst)
 			}
 		}
 	}
--- a/internal/balancer/keep_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A host out by hand comes back cold, called back at eighty balancers in one moment, and a wave follows: what they send it
-// together is what a wave may bring to a cold server, and its old quarantine does not keep it empty.
-func TestAllCallOneServerBack(t *testing.T) {
+// A host out by hand comes back warming, called back at eighty balancers in one moment, and a wave follows: what they send it
+// together is what a wave may bring to a warming host, and its old ejection does not keep it empty.
+func TestHostAcceptingAgainIsNotFlooded(t *testing.T) {
 	const seeds = 100
 	total, fresh := 0, 0
 	for seed := int64(1); seed <= seeds; seed++ {
@@ -37,15 +37,15 @@
 		fresh += len(replay(all, rng, later, false, "s03"))
 	}
 	if mean := float64(total) / seeds; mean > 0.68 {
-		t.Errorf("waves bring %.2f connections to a server that bears 0.68", mean)
+		t.Errorf("waves bring %.2f connections to a host that bears 0.68", mean)
 	}
 	if fresh < seeds {
 		t.Errorf("%d connections in %d times 20 s: it is shunned", fresh, seeds)
 	}
 }
 
-// What a balancer knows passes from process to process, its cold budgets once; what a broken file could hold is passed over.
-func TestMemory(t *testing.T) {
+// What a balancer knows passes from process to process, its slow start budget once; what a broken file could hold is passed over.
+func TestSnapshotAndRestore(t *testing.T) {
 	cold := []ListedHost{{ID: "s00", Zone: "a", Weight: 1}, {ID: "s01", Zone: "a", Weight: 1, StartedAt: 99 * sec}}
 	old := start(t, settings(), cold...)
 	old.b.byID["s00"].ejection.consecutiveFailures, old.b.byID["s00"].ejection.until, old.b.byID["s00"].ejection.failedAt = 2, old.now+sec, old.now
@@ -64,7 +64,7 @@
 		t.Errorf("it recalls %+v", s)
 	}
 	if young.b.Ejected(young.now+2*sec, "s00") {
-		t.Error("a quarantine does not end")
+		t.Error("a ejection does not end")
 	}
 	// One that gave its budgets away and goes on takes them back.
 	old.b.Restore(old.now, m)
--- a/internal/balancer/fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// manyBalancers are n instances with the settings of a grown fleet: 11 servers, a fresh connection in half a minute at
+// manyBalancers are n instances with the settings of a grown fleet: 11 hosts, a fresh connection in half a minute at
 // each balancer.
 func manyBalancers(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
@@ -27,17 +27,17 @@
 }
 
 // replay gives requests at moments to balancers by chance, each of which stands at once, and tells when connections were
-// sent to server.
+// sent to host.
 func replay(all []*fake, rng *rand.Rand, at []Time, returned bool, server string) []Time {
 	var sent []Time
 	for i, now := range at {
 		f := all[rng.Intn(len(all))]
 		f.run(now - f.now)
-		from, id := len(f.sends), fmt.Sprintf("%x-%d", rng.Int63(), i)
+		from, id := len(f.attemptsStarted), fmt.Sprintf("%x-%d", rng.Int63(), i)
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: returned, Remaining: 4800 * ms})
-		for _, s := range f.sends[from:] {
-			f.stands(s.req)
-			if s.server == server {
+		for _, s := range f.attemptsStarted[from:] {
+			f.establish(s.request)
+			if s.host == server {
 				sent = append(sent, now)
 			}
 		}
@@ -60,9 +60,9 @@
 	return most
 }
 
-// TestThinTrafficUsesTheColdBudget: at 80 balancers with a request each half a minute a cold server's budget ripens where
+// TestSparseTrafficUsesSlowStartBudget: at 80 balancers with a request each half a minute a warming host's budget ripens where
 // nobody comes for it. It got next to nothing while the others carried its part.
-func TestThinTrafficUsesTheColdBudget(t *testing.T) {
+func TestSparseTrafficUsesSlowStartBudget(t *testing.T) {
 	const seeds = 20
 	total, bound := 0, 0.0
 	for seed := int64(1); seed <= seeds; seed++ {
@@ -87,22 +87,22 @@
 		total += len(sent)
 		// Two seconds bear 2.1 at the end; chance brings more now and then, but no wave.
 		if n := within(sent, 2*sec); n > 6 {
-			t.Errorf("seed %d: %d connections within 2 s at a cold server", seed, n)
+			t.Errorf("seed %d: %d connections within 2 s at a warming host", seed, n)
 		}
 	}
-	// What it bears in 10 s: four times its present share of the 5 a second that 11 servers bear.
+	// What it bears in 10 s: four times its present share of the 5 a second that 11 hosts bear.
 	for s := 0.0; s < 10; s++ {
 		bound += 4 * (0.14 + 0.86*s/23) * 5.0 / 11
 	}
-	t.Logf("%.1f connections of %.1f in a cold server's first 10 s", float64(total)/seeds, bound)
+	t.Logf("%.1f connections of %.1f in a warming host's first 10 s", float64(total)/seeds, bound)
 	if got := float64(total) / seeds; got < bound/4 || got > bound {
-		t.Fatalf("a cold server got %.1f connections in its first 10 s, and bears %.1f", got, bound)
+		t.Fatalf("a warming host got %.1f connections in its first 10 s, and bears %.1f", got, bound)
 	}
 }
 
-// TestWaveOverManyBalancersSparesAColdServer: what two servers held comes back at once, a request or none at each
+// TestWaveSparesWarmingHost: what two hosts held comes back at once, a request or none at each
 // balancer, which can't tell alone that it is a wave.
-func TestWaveOverManyBalancersSparesAColdServer(t *testing.T) {
+func TestWaveSparesWarmingHost(t *testing.T) {
 	const seeds = 30
 	total := 0
 	for seed := int64(1); seed <= seeds; seed++ {
@@ -121,18 +121,18 @@
 		sent := replay(all, rng, at, true, "s03")
 		total += len(sent)
 		if len(sent) > 4 {
-			t.Errorf("seed %d: a wave of 30 brought %d connections to a cold server", seed, len(sent))
+			t.Errorf("seed %d: a wave of 30 brought %d connections to a warming host", seed, len(sent))
 		}
 	}
 	// The rule's window of 2 s at four times 0.19 of 0.45 a second: 0.68 connections.
 	if mean := float64(total) / seeds; mean > 0.68 {
-		t.Fatalf("waves bring %.2f connections to a cold server that bears 0.68", mean)
+		t.Fatalf("waves bring %.2f connections to a warming host that bears 0.68", mean)
 	}
 }
 
-// TestQuotasThatSayNothing: without quotas, with one balancer, or with a number outside the fleet, nothing divides by zero
+// TestWithoutUsableQuotas: without quotas, with one balancer, or with a number outside the fleet, nothing divides by zero
 // and requests are placed.
-func TestQuotasThatSayNothing(t *testing.T) {
+func TestWithoutUsableQuotas(t *testing.T) {
 	for _, c := range []struct {
 		peers, me int
 		quota     float64
@@ -145,18 +145,18 @@
 		f := start(t, cfg, es...)
 		for i := 0; i < 50; i++ {
 			f.b.RequestArrived(f.now, Request{ID: fmt.Sprint(i), Tenant: 0, Returned: i%2 == 0, Remaining: 2 * sec})
-			f.stands(fmt.Sprint(i))
+			f.establish(fmt.Sprint(i))
 			f.now += 50 * ms
 		}
-		if len(f.sends) < 40 {
-			t.Errorf("%+v: %d of 50 requests sent", c, len(f.sends))
+		if len(f.attemptsStarted) < 40 {
+			t.Errorf("%+v: %d of 50 requests sent", c, len(f.attemptsStarted))
 		}
 	}
 }
 
-// TestOneStalledConnectionIsNoOverload: a balancer whose only connection stands on a stalled server refused up to nine in
-// ten of all that came, with ten servers idle; and news of any stalled server kept it from ending that.
-func TestOneStalledConnectionIsNoOverload(t *testing.T) {
+// TestOneStalledConnectionShedsLittle: a balancer whose only connection stands on a stalled host rejected up to nine in
+// ten of all that came, with ten hosts idle; and news of any stalled host kept it from ending that.
+func TestOneStalledConnectionShedsLittle(t *testing.T) {
 	cfg := settings()
 	cfg.Instances, cfg.Zones = 80, []string{"a"}
 	f := start(t, cfg, fleet(11)...)
@@ -167,48 +167,48 @@
 		f.run(sec)
 	}
 	if f.b.shedding.share > 0.6 {
-		t.Errorf("refuses %.2f of what comes for one connection of its own, with ten of eleven servers idle", f.b.shedding.share)
+		t.Errorf("rejects %.2f of what comes for one connection of its own, with ten of eleven hosts idle", f.b.shedding.share)
 	}
 	f.b.Observe(f.now, "o", 0, ObservedLatency, 1)
 	f.b.shedding.share = 0.9
 	for i := 0; i < 10; i++ {
-		f.b.PeerMessageReceived(f.now, 1, stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s05")), Delay: 3})) // another server stalls, far from here
+		f.b.PeerMessageReceived(f.now, 1, stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s05")), Delay: 3})) // another host stalls, far from here
 		f.run(sec)
 	}
 	if f.b.shedding.share > 0.2 {
-		t.Errorf("still refuses %.2f after 10 s in which one server of eleven was stalled", f.b.shedding.share)
+		t.Errorf("still rejects %.2f after 10 s in which one host of eleven was stalled", f.b.shedding.share)
 	}
 }
 
-// TestRefusedMayGoToAColdServer: what restraint refuses never came to draw lots, though the lots were counted out for it:
-// cold servers got a quarter of their budget just when the warm ones were overloaded.
-func TestRefusedMayGoToAColdServer(t *testing.T) {
+// TestShedRequestMayGoToWarmingHost: what load shedding rejects never came to draw lots, though the lots were counted out for it:
+// warming hosts got a quarter of their budget just when the warm ones were overloaded.
+func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	up := f.now - 8*sec
 	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 	cold, warm := 0, 0
 	for i := 0; i < 3000; i++ {
 		f.b.shedding.share = 1 // what rank draws is below
-		from, id := len(f.sends), fmt.Sprintf("q%d", i)
+		from, id := len(f.attemptsStarted), fmt.Sprintf("q%d", i)
 		f.b.traffic.retries.Sum = 0
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: true, Remaining: 4800 * ms})
-		if len(f.sends) == from {
+		if len(f.attemptsStarted) == from {
 			if f.answers[id] != 1 {
 				t.Fatalf("%s has neither an attempt nor its answer at once", id)
 			}
 			continue
 		}
-		if f.last().server == "s03" {
+		if f.last().host == "s03" {
 			cold++
 		} else {
 			warm++
 		}
-		f.stands(id)
-		f.ends(id, Cancelled)
+		f.establish(id)
+		f.end(id, Cancelled)
 		f.b.hosts[3].slowStart.tokens = 0
 	}
 	if warm > 0 || cold == 0 || cold > 600 {
-		t.Errorf("%d sent to the cold server, %d to the others", cold, warm)
+		t.Errorf("%d sent to the warming host, %d to the others", cold, warm)
 	}
-	t.Logf("%d of 3000 to the cold server", cold)
+	t.Logf("%d of 3000 to the warming host", cold)
 }
--- a/internal/balancer/told_test.go
+++ b/internal/balancer/stalls_test.go
@@ -7,9 +7,9 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// TestFewTellOfAStalledServer: of sixteen balancers that see a server stall, few tell the others, and those then send
+// TestFewGossipOfStalledHost: of sixteen balancers that see a host stall, few tell the others, and those then send
 // elsewhere though they hold nothing there.
-func TestFewTellOfAStalledServer(t *testing.T) {
+func TestFewGossipOfStalledHost(t *testing.T) {
 	var all []*fake
 	for me := 0; me < 80; me++ {
 		cfg := settings()
@@ -27,8 +27,8 @@
 		var told [][]byte
 		for _, f := range all {
 			f.run(20 * ms)
-			told = append(told, f.told...)
-			f.told = nil
+			told = append(told, f.peerMessages...)
+			f.peerMessages = nil
 		}
 		for _, data := range told {
 			stallgossip.Decode(data[:min(6, len(data))], func(stallgossip.Record) { tells++ })
@@ -48,29 +48,29 @@
 	there := 0
 	for _, f := range all[16:] {
 		f.request("r")
-		if f.last().server == "s01" {
+		if f.last().host == "s01" {
 			there++
 		}
-		f.stands("r")
+		f.establish("r")
 	}
 	if there > 3 {
-		t.Errorf("%d of 64 that were told sent to the stalled server", there)
+		t.Errorf("%d of 64 that were told sent to the stalled host", there)
 	}
 }
 
-// TestPeersThatMayNotTell say nothing.
-func TestPeersThatMayNotTell(t *testing.T) {
+// TestNoGossipWhereForbidden say nothing.
+func TestNoGossipWhereForbidden(t *testing.T) {
 	f := start(t, settings(), fleet(2)...)
 	f.b.ConnectionAdopted(f.now, Request{ID: "o", Tenant: -1}, "s01")
 	f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 	f.run(5 * sec)
-	if len(f.told) > 0 {
+	if len(f.peerMessages) > 0 {
 		t.Fatal("told")
 	}
 }
 
-// FuzzTold: whatever comes, the module stays whole and believes in no delay that can't be said.
-func FuzzTold(f *testing.F) {
+// FuzzStallGossip: whatever comes, the module stays whole and believes in no delay that can't be said.
+func FuzzStallGossip(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash("s01")), Delay: 3}))
 	f.Add(append(stallgossip.Append(nil, stallgossip.Record{Host: 1, Delay: 3}), 9, 9, 9, 9, 9, 9))
@@ -84,7 +84,7 @@
 			}
 		}
 		x.request("q")
-		if len(x.sends) != 1 {
+		if len(x.attemptsStarted) != 1 {
 			t.Errorf("%s", fmt.Sprint(x.trace))
 		}
 	})
--- a/internal/operations/balancerconfig/decode_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -9,7 +9,7 @@
 
 // TestQuotasAreMadeExactAgain: quotas a second are told as whole numbers, so that a fleet that bears 3 a second may read 2,
 // and all cold budgets of thin traffic follow from them.
-func TestQuotasAreMadeExactAgain(t *testing.T) {
+func TestRateQuotasAreRestored(t *testing.T) {
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
 	for _, fleet := range []float64{60, 137, 239, 1200} {
 		for _, life := range []float64{24, 37, 51} {
@@ -47,7 +47,7 @@
 
 // Settings of a later day hold fields that are not known here, and reports of more than is read: they are passed over, and what is
 // known is found wherever it stands.
-func TestUnknownSettingsArePassedOver(t *testing.T) {
+func TestUnknownSettingsAreIgnored(t *testing.T) {
 	c, err := Decode([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
 		"goal":{"worst_class":0.3,"other":1},"report":{"how":"probe","fields":["x1","x0","odd","pending"],"since":2},
 		"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like","colour":"red"}]}`))
--- a/internal/testbed/simulator/adapter_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -48,7 +48,7 @@
 	return found
 }
 
-func TestRequestGoesOut(t *testing.T) {
+func TestRequestStartsAttempt(t *testing.T) {
 	h := NewAdapter(balancer.New)
 	out, err := h.Batch(line(initMsg, sheet, members, inbound("q")))
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestSheetRecycledWithinABatch(t *testing.T) {
+func TestSheetReplacedWithinBatch(t *testing.T) {
 	h := NewAdapter(balancer.New)
 	again := strings.Replace(sheet, `"server":"S"`, `"server":"T"`, 1)
 	out, err := h.Batch(line(initMsg, sheet, members, again,
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestPlainErrors(t *testing.T) {
+func TestErrorsNameTheFault(t *testing.T) {
 	for want, msgs := range map[string][]byte{
 		"malformed batch":     []byte(`{"time":1,"msgs":[`),
 		"no time":             []byte(`{"msgs":[]}`),
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestInnerFailureIsReported(t *testing.T) {
+func TestPanicIsReported(t *testing.T) {
 	h := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
 	out, err := h.Batch(line(initMsg, sheet, members))
 	if err != nil {
