--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -19,7 +19,7 @@
 }{
 	{"primitives", []string{"fleet/encoding", "operations/certs", "operations/logging", "operations/settings", "testbed/fleetlog", "testbed/golden"}},
 	{"sockets", []string{"dataplane/netio"}},
-	{"decisions", []string{"balancer", "balancer/ledger", "balancer/loadestimate", "dataplane/certexpiry", "dataplane/handshake", "dataplane/invariant", "fleet/consensus", "fleet/fragment",
+	{"decisions", []string{"balancer", "balancer/decay", "balancer/ledger", "balancer/loadestimate", "balancer/rendezvous", "balancer/setuptime", "balancer/stallgossip", "dataplane/certexpiry", "dataplane/handshake", "dataplane/invariant", "fleet/consensus", "fleet/fragment",
 		"fleet/group", "fleet/jobs", "fleet/membership", "fleet/namespace", "fleet/ownership", "fleet/quota", "fleet/rules", "fleet/watermark", "operations/balancerconfig",
 		"operations/maintenance", "operations/metrics"}},
 	{"core", []string{"dataplane/proxy"}},
--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -47,7 +47,7 @@
 	return older
 }
 
-// excludedByAge tells whether a host is not of the age group that is looked among. A warming one counts as
+// excludedByAge reports whether a host is not of the age group that is looked among. A warming one counts as
 // either, since it has its own budget.
 func (b *Balancer) excludedByAge(h *host, among ageGroup) bool {
 	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.warmCapacityShare(h) >= 1)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -22,10 +22,10 @@
 // Balancer is the decisions of one proxy. Each part holds the state of one rule, and its file the rule's
 // functions.
 type Balancer struct {
-	cfg Config
-	fx  Effects
-	rng *rand.Rand // drawn from in the order of events: another order is another decision
-	now Time       // of the event under way
+	cfg     Config
+	effects Effects
+	rng     *rand.Rand // drawn from in the order of events: another order is another decision
+	now     Time       // of the event under way
 
 	endpointList // embedded: most rules walk the hosts
 	requests     map[string]*request
@@ -61,7 +61,7 @@
 	if err := check(&cfg, fx); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, fx: fx, rng: rand.New(rand.NewSource(seed)),
+	b := &Balancer{cfg: cfg, effects: fx, rng: rand.New(rand.NewSource(seed)),
 		endpointList: newEndpointList(&cfg), requests: map[string]*request{},
 		costs: connectionCosts{byClass: make([]float64, len(cfg.Classes))},
 		shedding: loadShedding{demandByClass: make([]float64, len(cfg.Classes)),
@@ -116,7 +116,7 @@
 
 // schedule sets a timer, no shorter than the tick.
 func (b *Balancer) schedule(delay Time, token timerToken) {
-	b.fx.Schedule(max(b.cfg.Tick, delay), string(token))
+	b.effects.Schedule(max(b.cfg.Tick, delay), string(token))
 }
 
 // TimerFired brings back a token that was given to Effects.Schedule. Unknown tokens are ignored.
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -45,7 +45,7 @@
 			for i := range b.N {
 				f.now += ms
 				f.trace = f.trace[:0]
-				f.b.HealthCheckEnded(f.now, f.b.hosts[i%n].id, OK, ms, []float64{0.5 + float64(i%100)/1e4, 0})
+				f.b.HealthCheckEnded(f.now, f.b.hosts[i%n].hostID, OK, ms, []float64{0.5 + float64(i%100)/1e4, 0})
 			}
 		})
 	}
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -47,7 +47,7 @@
 		return
 	}
 	b.discovery.polling = true
-	b.fx.WatchList(true)
+	b.effects.WatchList(true)
 }
 
 // schedulePoll plans the next poll after a failure.
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -51,7 +51,7 @@
 	return min(e.max, Time(float64(e.initial)*math.Pow(2, float64(min(failures, 30)-1))))
 }
 
-// blocks tells whether a host is ejected, or its trial is under way.
+// blocks reports whether a host is ejected, or its trial is under way.
 func (e *ejection) blocks(now Time, h *hostEjection) bool {
 	return h.consecutiveFailures > 0 && e.initial > 0 && (now < h.until || h.trials > 0)
 }
@@ -73,8 +73,8 @@
 	e.succeeded++
 }
 
-// addTimeout counts a timeout, and tells whether most set-ups time out: then the store or the links are slow,
-// and the timeout is no evidence against one host.
+// addTimeout counts a timeout, and reports whether most set-ups time out: then the store or the links are
+// slow, and the timeout is no evidence against one host.
 func (e *setupEvidence) addTimeout(now Time) (shared bool) {
 	e.fade(now)
 	e.timedOut++
@@ -82,13 +82,13 @@
 		e.timedOut >= sharedFaultShare*(e.timedOut+e.succeeded)
 }
 
-// Ejected tells whether a host is ejected and not yet due for its trial.
+// Ejected reports whether a host is ejected and not yet due for its trial.
 func (b *Balancer) Ejected(now Time, id string) bool {
 	h := b.byID[id]
 	return h != nil && h.ejection.consecutiveFailures > 0 && b.ejection.initial > 0 && now < h.ejection.until
 }
 
-// available tells whether a host may be picked for a request: not ejected, its trial not taken, not full of
+// available reports whether a host may be picked for a request: not ejected, its trial not taken, not full of
 // late, and not tried by the request.
 func (b *Balancer) available(h *host, r *request) bool {
 	if b.ejection.blocks(b.now, &h.ejection) || b.now < h.fullUntil {
@@ -105,7 +105,7 @@
 // hostAccepted ends an ejection at once.
 func (b *Balancer) hostAccepted(h *host) {
 	if h.ejection.consecutiveFailures > 0 {
-		b.fx.Report(HostReadmitted{Host: h.id})
+		b.effects.Report(HostReadmitted{Host: h.hostID})
 	}
 	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.trials = 0, 0, 0
 	h.deficit = min(h.deficit, 0) // no turns are owed for the time of the ejection
@@ -132,12 +132,12 @@
 	period := b.ejection.period(e.consecutiveFailures)
 	e.until = b.now + period/2 + Time(b.rng.Float64()*float64(period)/2)
 	if e.consecutiveFailures == 1 {
-		b.fx.Report(HostEjected{Host: h.id, Ejection: e.until - b.now,
+		b.effects.Report(HostEjected{Host: h.hostID, Ejection: e.until - b.now,
 			ConsecutiveFailures: e.consecutiveFailures})
 	}
 }
 
-// zoneFailing tells whether most of a zone fails: then the fault is the zone's, and doubling would shun its
+// zoneFailing reports whether most of a zone fails: then the fault is the zone's, and doubling would shun its
 // hosts long after.
 func (l *endpointList) zoneFailing(zone int) bool {
 	ready, failing := 0, 0
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -16,14 +16,6 @@
 	Suspended // by an operator, whatever discovery says
 )
 
-// String names a state.
-func (s HostState) String() string {
-	if s < Ready || s > Suspended {
-		return "unknown"
-	}
-	return [...]string{"ready", "draining", "removed", "suspended"}[s]
-}
-
 // ListedHost is one host in an endpoint list.
 type ListedHost struct {
 	ID        string    `json:"ID"`
@@ -75,12 +67,12 @@
 }
 
 func (l *endpointList) add(h *host) {
-	l.byID[h.id] = h
+	l.byID[h.hostID] = h
 	l.hosts = append(l.hosts, h)
 }
 
 func (l *endpointList) sortByID() {
-	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].id < l.hosts[j].id })
+	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].hostID < l.hosts[j].hostID })
 }
 
 // hostByHash finds the host that a message names by 32 bits of its hash; 0 names none.
@@ -93,8 +85,8 @@
 	return nil
 }
 
-// allHostsSuspended tells whether operators have suspended every host that could serve, so that waiting helps
-// nobody.
+// allHostsSuspended reports whether operators have suspended every host that could serve, so that waiting
+// helps nobody.
 func (l *endpointList) allHostsSuspended() bool {
 	suspended := false
 	for _, h := range l.hosts {
@@ -114,7 +106,7 @@
 		b.schedulePoll()
 		return
 	}
-	if kind <= ListFull {
+	if kind == ListDelta || kind == ListFull {
 		b.discovery.answered()
 	}
 	if kind == ListFull || kind == ListCached {
@@ -146,11 +138,11 @@
 	b.drainQueue()
 }
 
-// updateHost takes in what a list says of a host, and tells whether it is a new one.
+// updateHost takes in what a list says of a host, and reports whether it is a new one.
 func (b *Balancer) updateHost(e *ListedHost) (added bool) {
 	h := b.byID[e.ID]
 	if h == nil {
-		h = &host{id: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
+		h = &host{hostID: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
 		h.slowStart = tokenBucket{tokens: b.slowStartStagger(h), filledAt: b.now}
 		// A place of its own in the rotation, no later than most.
 		h.deficit = 0.5 - h.slowStart.tokens
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -26,7 +26,7 @@
 	}
 	f.now += 2 * sec
 	f.reportLoads(func(i int) float64 {
-		if homes[f.b.hosts[i].id] {
+		if homes[f.b.hosts[i].hostID] {
 			return 1.05
 		}
 		return 0.5
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -36,7 +36,7 @@
 	order := make([]int32, 0, len(b.hosts))
 	for i, h := range b.hosts {
 		if h.state == Ready {
-			scores[i] = rendezvous.Score(group, h.id, h.weight)
+			scores[i] = rendezvous.Score(group, h.hostID, h.weight)
 			order = append(order, int32(i))
 		}
 	}
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -58,7 +58,7 @@
 			cfg.Tenants = []Tenant{{Name: "t", RateQuota: 5, ServiceQuota: 1, ConnectionQuota: 240}}
 			f := start(t, cfg, servers...)
 			if s := f.b.byID[slow]; s != nil {
-				s.messages.delay, s.messages.at = 1, f.now
+				s.messages.delay, s.messages.observedAt = 1, f.now
 			}
 			f.b.RequestArrived(f.now, Request{ID: "q", Group: "g", Remaining: 4800 * ms})
 			got[f.last().host]++
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -4,7 +4,7 @@
 
 // host is an upstream host as one balancer knows it. Each rule has its state in a part of its own.
 type host struct {
-	id         string
+	hostID     string
 	hash       uint64 // of id
 	zone, cell int
 	weight     float64 // above 0
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -1,6 +1,6 @@
 package balancer
 
-// retryForbidden tells whether another attempt could bring a request's effect twice.
+// retryForbidden reports whether another attempt could bring a request's effect twice.
 func (b *Balancer) retryForbidden(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -10,7 +10,7 @@
 		c.Idempotency == IdempotentWithKey && b.now >= r.mayHaveRunAt+c.DedupWindow
 }
 
-// outsideDedupScope tells whether a host would not discard a repeat of a request that may have run.
+// outsideDedupScope reports whether a host would not discard a repeat of a request that may have run.
 func (b *Balancer) outsideDedupScope(h *host, r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -28,8 +28,8 @@
 	return false
 }
 
-// clientRetryUnsafe tells whether a request may have run and its client's retry could bring the effect twice,
-// so that it must not be told that a retry is harmless.
+// clientRetryUnsafe reports whether a request may have run and its client's retry could bring the effect
+// twice, so that the client must not learn that a retry is harmless.
 func (b *Balancer) clientRetryUnsafe(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -28,7 +28,7 @@
 	pausedUntil  Time  // nobody is asked before
 	pauses       int   // in a row
 	polledAt     Time
-	synced       bool // the current one has replied, and is told all that is held here
+	synced       bool // the current one has replied, and is sent all that is held here
 	epoch        byte // of the current one
 	sequence     uint16
 	pending      map[uint16]*PendingQuery
@@ -45,7 +45,7 @@
 	return c
 }
 
-// IsCoordinator tells whether a balancer is one of the coordinators.
+// IsCoordinator reports whether a balancer is one of the coordinators.
 func (c *Client) IsCoordinator(balancer int) bool { return c.index(balancer) >= 0 }
 
 func (c *Client) index(balancer int) int {
@@ -65,7 +65,7 @@
 	return c.coordinators[c.current]
 }
 
-// Synced tells whether the coordinator was told all that is held here, so that changes are worth reporting.
+// Synced reports whether the coordinator was sent all that is held here, so that changes are worth sending.
 func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
@@ -109,7 +109,7 @@
 	return p
 }
 
-// CoordinatorHeard notes a sign of life of a coordinator. sync: it has to be told all that is held here.
+// CoordinatorHeard notes a sign of life of a coordinator. sync: it has to be sent all that is held here.
 func (c *Client) CoordinatorHeard(from int, epoch byte) (sync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -173,7 +173,8 @@
 		if data[0] != kindEntry || units < -MaxUnits {
 			return nil, ErrNoMessage
 		}
-		entries = append(entries, Entry{Host: binary.BigEndian.Uint32(data[1:]), Group: group(data[5:]), Units: units})
+		host := binary.BigEndian.Uint32(data[1:])
+		entries = append(entries, Entry{Host: host, Group: group(data[5:]), Units: units})
 	}
 	return entries, nil
 }
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -51,7 +51,7 @@
 	return best
 }
 
-// assignable tells whether the coordinator may assign a host: what it knows itself counts for all.
+// assignable reports whether the coordinator may assign a host: what it knows itself counts for all.
 func (b *Balancer) assignable(h *host) bool {
 	if h.state != Ready || b.now < h.fullUntil {
 		return false
@@ -92,7 +92,7 @@
 	return cost + assignStallCost*b.currentMessageDelay(h)
 }
 
-// slowStartBudgetLeft tells whether a warming host's budget bears one more request: of n that the settings
+// slowStartBudgetLeft reports whether a warming host's budget bears one more request: of n that the settings
 // allow in the overload window, n + 3 √n + 3 may come by chance. The coordinator gives out a part of that,
 // counted exactly.
 func (b *Balancer) slowStartBudgetLeft(h *host) bool {
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -37,7 +37,7 @@
 	return placementLedger{client: ledger.NewClient(cfg.Instances), placements: ledger.NewPlacements()}
 }
 
-// ledgerUsable tells whether other balancers can be reached.
+// ledgerUsable reports whether other balancers can be reached.
 func (b *Balancer) ledgerUsable() bool { return b.cfg.MayGossip && b.cfg.Instances > 1 }
 
 // ledgerUnits is a connection's load in messages, the same when it is added and when it is taken back.
@@ -69,7 +69,7 @@
 	}
 	q.Seq = b.ledger.client.Register(
 		ledger.PendingQuery{Request: r.ID, Group: q.Group, Units: q.Units, SentAt: b.now})
-	b.fx.SendToPeer(coordinator, q.Append(nil))
+	b.effects.SendToPeer(coordinator, q.Append(nil))
 	r.ledger.awaiting, r.wait.notBefore = true, b.now+ledgerReplyTimeout
 	b.enqueue(r)
 	return true
@@ -95,7 +95,7 @@
 	if r == nil || r.closed || !r.ledger.awaiting || query.Abandoned {
 		if m.Host != 0 {
 			back := ledger.Entry{Host: m.Host, Group: query.Group, Units: -query.Units}
-			b.fx.SendToPeer(from, back.Append(nil))
+			b.effects.SendToPeer(from, back.Append(nil))
 		}
 		return
 	}
@@ -109,7 +109,7 @@
 	r.ledger.awaiting, r.wait.notBefore = false, 0
 	b.ledger.client.TimedOut(b.now, r.ID)
 	if b.ledger.client.Coordinator(b.now) < 0 {
-		b.fx.Report(LedgerUnreachable{})
+		b.effects.Report(LedgerUnreachable{})
 	}
 }
 
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -63,7 +63,7 @@
 	cfg.Classes = []Class{{Name: "x", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 150 * ms}}
 	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 20, ServiceQuota: 1, ConnectionQuota: float64(n)}}
 	f := start(t, cfg, fleet(servers)...)
-	f.b.fx, f.now = &networkedFake{f, x, me}, x.now
+	f.b.effects, f.now = &networkedFake{f, x, me}, x.now
 	f.b.rng.Seed(int64(me) + 77)
 	return f
 }
@@ -132,8 +132,8 @@
 	n, held := map[string]int{}, map[string]bool{}
 	for id, f := range x.open {
 		r := f.b.requests[id]
-		n[r.host.id]++
-		held[r.host.id+r.Group] = true
+		n[r.host.hostID]++
+		held[r.host.hostID+r.Group] = true
 	}
 	for _, c := range n {
 		most = max(most, float64(c)*float64(len(x.all[0].b.hosts))/float64(len(x.open)))
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -22,7 +22,7 @@
 	if !l.announced {
 		l.announced, l.epoch = true, byte(b.now/epochUnit)
 		if l.client.IsCoordinator(b.cfg.Instance) {
-			b.fx.SendToPeer(-1, ledger.Announcement{Epoch: l.epoch}.Append(nil))
+			b.effects.SendToPeer(-1, ledger.Announcement{Epoch: l.epoch}.Append(nil))
 		}
 	}
 	if b.now >= l.syncDue && l.client.Synced(b.now) {
@@ -31,7 +31,7 @@
 	if coordinator := l.client.NextPoll(b.now); coordinator == b.cfg.Instance {
 		b.coordinatorHeard(coordinator, l.epoch)
 	} else if coordinator >= 0 {
-		b.fx.SendToPeer(coordinator, ledger.Poll{}.Append(nil))
+		b.effects.SendToPeer(coordinator, ledger.Poll{}.Append(nil))
 	}
 }
 
@@ -53,14 +53,14 @@
 			reply.Host = uint32(h.hash)
 		}
 		reply.Epoch = b.ledger.epoch
-		b.fx.SendToPeer(from, reply.Append(nil))
+		b.effects.SendToPeer(from, reply.Append(nil))
 	case ledger.Reply:
 		b.coordinatorHeard(from, m.Epoch)
 		b.ledgerReplyReceived(from, m)
 	case ledger.Announcement:
 		b.coordinatorHeard(from, m.Epoch)
 	case ledger.Poll:
-		b.fx.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
+		b.effects.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
 	case ledger.Sync:
 		b.ledger.placements.Forget(from)
 		b.countPlacements(from, m.Entries)
@@ -80,7 +80,7 @@
 func (b *Balancer) coordinatorHeard(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.CoordinatorHeard(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
-		b.fx.Report(LedgerPolled{Coordinator: from})
+		b.effects.Report(LedgerPolled{Coordinator: from})
 	}
 }
 
@@ -144,5 +144,5 @@
 		b.handleLedger(coordinator, m)
 		return
 	}
-	b.fx.SendToPeer(coordinator, m.Append(nil))
+	b.effects.SendToPeer(coordinator, m.Append(nil))
 }
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -21,8 +21,8 @@
 
 // addition is load that no report holds yet.
 type addition struct {
-	at   int64
-	load float64 // in the caller's unit
+	addedAt int64
+	load    float64 // in the caller's unit
 }
 
 // Host is the load of one upstream host as far as it is known. The zero value knows nothing.
@@ -71,7 +71,7 @@
 // prune drops what the last report holds.
 func (h *Host) prune() {
 	held := 0
-	for held < len(h.additions) && h.additions[held].at < h.changedAt-ReportDelay {
+	for held < len(h.additions) && h.additions[held].addedAt < h.changedAt-ReportDelay {
 		held++
 	}
 	if held > 0 {
@@ -95,7 +95,7 @@
 	return max(0, load)
 }
 
-// Known tells whether a report came that is not too old to go by.
+// Known reports whether a report came that is not too old to go by.
 func (h *Host) Known(now int64) bool {
 	return h.changedAt > 0 && float64(now-h.changedAt) < staleAfter+fadeTime
 }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -34,7 +34,7 @@
 	mean float64 // reported load; 1 is full
 }
 
-// hostsReportLoad tells whether hosts can be asked how loaded they are.
+// hostsReportLoad reports whether hosts can be asked how loaded they are.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
 // startHealthChecks checks each host again once its last report is older than another is worth at its price:
@@ -53,7 +53,7 @@
 			// Jitter, else the checks of all balancers reach a host together.
 			jitter := Time(float64(interval) * 0.2 * b.rng.Float64())
 			check.inFlight, check.startedAt = true, b.now-jitter
-			b.fx.HealthCheck(h.id)
+			b.effects.HealthCheck(h.hostID)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	for _, r := range h.connections {
 		if !r.migrationRequested && b.rng.Float64() < share {
 			r.migrationRequested = true
-			b.fx.Migrate(r.ID)
+			b.effects.Migrate(r.ID)
 		}
 	}
 }
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -17,7 +17,7 @@
 // report has every host tell a load.
 func (f *fake) reportLoads(x func(i int) float64) {
 	for i, s := range f.b.hosts {
-		f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{x(i), 0})
+		f.b.HealthCheckEnded(f.now, s.hostID, OK, ms, []float64{x(i), 0})
 	}
 	f.b.updateFleetLoad()
 }
@@ -73,7 +73,7 @@
 			f.establish(id)
 			f.run(sec / Time(rate))
 			for _, s := range f.b.hosts {
-				f.b.HealthCheckEnded(f.now, s.id, OK, ms, []float64{0.5, 0})
+				f.b.HealthCheckEnded(f.now, s.hostID, OK, ms, []float64{0.5, 0})
 			}
 		}
 		return f.healthChecks("s")
@@ -110,7 +110,7 @@
 		f.establish(id)
 	}
 	for _, s := range f.attemptsStarted[before:] {
-		if s.host == bad.id {
+		if s.host == bad.hostID {
 			t.Error("a new connection goes to a host that tells three times what it can do")
 		}
 	}
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -11,15 +11,15 @@
 // errorScore is how much a host fails of late: 0 none, 1 always. It fades with the initial ejection as time
 // constant.
 type errorScore struct {
-	score float64
-	at    Time
+	score     float64
+	updatedAt Time
 }
 
 func (b *Balancer) currentErrorScore(h *host) float64 {
 	if h.errors.score == 0 {
 		return 0
 	}
-	return h.errors.score * math.Exp(-float64(b.now-h.errors.at)/float64(b.ejection.initial+1))
+	return h.errors.score * math.Exp(-float64(b.now-h.errors.updatedAt)/float64(b.ejection.initial+1))
 }
 
 // AttemptEstablished tells that an attempt, counted from 0, has set up its connection in the time elapsed.
@@ -35,7 +35,7 @@
 	b.retryStorm.succeeded()
 	h := r.host
 	b.hostAccepted(h)
-	h.errors.score, h.errors.at = b.currentErrorScore(h)*errorRelief, now
+	h.errors.score, h.errors.updatedAt = b.currentErrorScore(h)*errorRelief, now
 	b.connectionEstablished(r)
 }
 
@@ -72,7 +72,7 @@
 		delete(b.requests, id)
 		if !closed && !r.closed { // the end of a connection closes its request; without word of it, answer
 			r.closed = true
-			b.fx.Fail(id)
+			b.effects.Fail(id)
 		}
 		return
 	}
@@ -104,7 +104,7 @@
 		h.fullUntil = b.now + b.retryStorm.window
 	case Error:
 		b.retryStorm.failedWithError(b.now, r.attempts)
-		h.errors.score, h.errors.at = min(1, b.currentErrorScore(h)+errorStep), b.now
+		h.errors.score, h.errors.updatedAt = min(1, b.currentErrorScore(h)+errorStep), b.now
 	}
 }
 
@@ -120,6 +120,6 @@
 	if !r.attemptInFlight {
 		delete(b.requests, id)
 	} else if !r.established && b.cfg.MayCancel {
-		b.fx.CancelAttempt(id, r.attempts-1)
+		b.effects.CancelAttempt(id, r.attempts-1)
 	}
 }
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -99,7 +99,7 @@
 		h.ejection.trials++
 	}
 	b.loadAdded(h, turns)
-	b.fx.StartAttempt(r.ID, h.id, timeout)
+	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
 // reject gives the final answer of a request that is not served.
@@ -107,9 +107,9 @@
 	r.closed = true
 	b.reconcileLedger(r, nil)
 	if b.clientRetryUnsafe(r) {
-		b.fx.Fail(r.ID)
+		b.effects.Fail(r.ID)
 	} else {
-		b.fx.Reject(r.ID, b.retryAfter(r))
+		b.effects.Reject(r.ID, b.retryAfter(r))
 	}
 	if !r.attemptInFlight {
 		delete(b.requests, r.ID)
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -37,7 +37,7 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}[s]
 }
 
-// ProvesNotRun tells whether an attempt that ended so surely had no effect.
+// ProvesNotRun reports whether an attempt that ended so surely had no effect.
 func (s AttemptStatus) ProvesNotRun() bool { return s == Full || s == ConnectFailed || s == TooLate }
 
 // Observation says what was observed of an open connection.
@@ -76,5 +76,5 @@
 	similarPerSecond      float64 // requests like it, all balancers together
 }
 
-// isRetry tells whether a request may be one of a wave of clients that come back together.
+// isRetry reports whether a request may be one of a wave of clients that come back together.
 func (r *request) isRetry() bool { return r.Retry || r.Returned }
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -21,19 +21,19 @@
 	lastEarlyErrorAt    Time
 }
 
-// suspected fades the counts to now and tells whether new attempts should wait.
+// suspected fades the counts to now and reports whether new attempts should wait.
 func (s *retryStorm) suspected(now Time) bool {
 	f := math.Exp(-float64(now-s.fadedAt) / float64(8*s.window))
 	s.attempts, s.successes, s.fadedAt = s.attempts*f, s.successes*f, now
 	return s.attemptsExceedSuccesses(stormMargin)
 }
 
-// attemptsExceedSuccesses tells whether too few attempts succeed, by more than a margin of attempts.
+// attemptsExceedSuccesses reports whether too few attempts succeed, by more than a margin of attempts.
 func (s *retryStorm) attemptsExceedSuccesses(margin float64) bool {
 	return s.attempts > s.successes/stormSuccessShare+margin
 }
 
-// consecutiveEarlyErrors tells whether the first attempts of the last two requests ended in errors, at
+// consecutiveEarlyErrors reports whether the first attempts of the last two requests ended in errors, at
 // whichever hosts.
 func (s *retryStorm) consecutiveEarlyErrors(now Time) bool {
 	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < 2*s.window
@@ -61,7 +61,7 @@
 	}
 }
 
-// waitsForRetryStorm tells whether a request's attempt is delayed. Once delayed for early errors alone, a
+// waitsForRetryStorm reports whether a request's attempt is delayed. Once delayed for early errors alone, a
 // request is not delayed for them again.
 func (b *Balancer) waitsForRetryStorm(r *request) bool {
 	suspected := b.retryStorm.suspected(b.now) ||
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -187,7 +187,7 @@
 	}
 	if c.drawnByLottery {
 		// Before all others, by load and then by the draw.
-		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.id)%1024)/1e6)
+		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
 	return load
 }
--- a/internal/balancer/setuptime/setuptime.go
+++ b/internal/balancer/setuptime/setuptime.go
@@ -40,7 +40,7 @@
 // Bound is a time that few set-ups exceed, in nanoseconds.
 func (e *Estimator) Bound() float64 { return e.mean + 4*e.deviation }
 
-// Reliable tells whether there were enough samples to go by.
+// Reliable reports whether there were enough samples to go by.
 func (e *Estimator) Reliable() bool { return e.samples >= 4 }
 
 // SinceSample is how long ago the last sample came, in nanoseconds.
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -78,8 +78,8 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shed tells whether load shedding rejects a request, unless a warming host's budget bears it. It draws from
-// the random numbers only while load is shed.
+// shed reports whether load shedding rejects a request, unless a warming host's budget bears it. It draws
+// from the random numbers only while load is shed.
 func (b *Balancer) shed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -59,8 +59,8 @@
 	return fill
 }
 
-// slowStartAllows tells whether a host's budget bears a connection of so many turns now, and whether it does
-// so by lottery only. It fills the host's tokens up to now. Tokens that are not used within the overload
+// slowStartAllows reports whether a host's budget bears a connection of so many turns now, and whether it
+// does so by lottery only. It fills the host's tokens up to now. Tokens that are not used within the overload
 // window are lost: else many sparse balancers would keep theirs, and a wave would spend them all at once.
 // What is lost so is given out by lottery.
 func (b *Balancer) slowStartAllows(h *host, r *request, turns float64) (allowed, byLottery bool) {
@@ -121,7 +121,7 @@
 	}
 	chance := share * unused * rate * float64(b.cfg.Instances) / r.similarPerSecond
 	const draws = 1 << 20
-	return float64(rendezvous.Hash(r.ID+h.id)%draws) < chance*draws
+	return float64(rendezvous.Hash(r.ID+h.hostID)%draws) < chance*draws
 }
 
 // lotteryShare is the part of a warming host's lost budget that requests like this one may use; false: none.
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -52,9 +52,10 @@
 }
 
 func (h *host) snapshot() HostSnapshot {
-	return HostSnapshot{ID: h.id, Since: h.startedAt,
+	return HostSnapshot{ID: h.hostID, Since: h.startedAt,
 		Fails: h.ejection.consecutiveFailures, Until: h.ejection.until, FailedAt: h.ejection.failedAt,
-		Ill: h.errors.score, IllAt: h.errors.at, Delay: h.messages.delay, DelayAt: h.messages.at,
+		Ill: h.errors.score, IllAt: h.errors.updatedAt,
+		Delay: h.messages.delay, DelayAt: h.messages.observedAt,
 		Tokens: max(0, h.slowStart.tokens), TokensAt: h.slowStart.filledAt, Passed: h.fullUntil}
 }
 
@@ -78,7 +79,7 @@
 	}
 }
 
-// usable tells whether a host's snapshot can be believed.
+// usable reports whether a host's snapshot can be believed.
 func (b *Balancer) usable(k *HostSnapshot) bool {
 	return k.Fails >= 0 && inPast(b.now, k.FailedAt, k.IllAt, k.DelayAt, k.TokensAt) &&
 		plausible(k.Ill, k.Delay) && !math.IsNaN(k.Tokens) && k.Tokens <= maxRestoredTokens &&
@@ -87,8 +88,8 @@
 
 func (h *host) restore(k *HostSnapshot) {
 	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.failedAt = k.Fails, k.Until, k.FailedAt
-	h.errors = errorScore{score: min(1, k.Ill), at: k.IllAt}
-	h.messages.delay, h.messages.at = k.Delay, k.DelayAt
+	h.errors = errorScore{score: min(1, k.Ill), updatedAt: k.IllAt}
+	h.messages.delay, h.messages.observedAt = k.Delay, k.DelayAt
 	h.fullUntil = k.Passed
 	h.slowStart = tokenBucket{tokens: max(0, k.Tokens), filledAt: max(k.TokensAt, k.Since)}
 }
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -27,7 +27,7 @@
 // messageDelay is how long messages take at a host.
 type messageDelay struct {
 	delay         float64 // the last one observed or received, in shortest latency objectives
-	at            Time
+	observedAt    Time
 	gossipedAt    Time // when some balancer last told of it
 	gossipPending bool // to be told, unless another balancer does before
 }
@@ -50,11 +50,11 @@
 	if h.messages.delay < slowMessageDelay {
 		return 0
 	}
-	age := max(0, float64(b.now-h.messages.at)-delayValidFor)
+	age := max(0, float64(b.now-h.messages.observedAt)-delayValidFor)
 	return h.messages.delay * math.Exp(-age/delayFade)
 }
 
-// stalled tells whether messages take longer at a host than the shortest latency objective.
+// stalled reports whether messages take longer at a host than the shortest latency objective.
 func (b *Balancer) stalled(h *host) bool { return b.currentMessageDelay(h) >= stalledMessageDelay }
 
 // Observe takes an observation of an open connection.
@@ -85,7 +85,7 @@
 // and in proportion to their load: a few heavy connections overfill a host, and migrating these is cheaper
 // than migrating the many light ones.
 func (b *Balancer) messagesDelayed(h *host, delay float64) {
-	h.messages.delay, h.messages.at = delay, b.now
+	h.messages.delay, h.messages.observedAt = delay, b.now
 	if delay < stalledMessageDelay {
 		return
 	}
@@ -93,7 +93,7 @@
 	for _, r := range h.connections {
 		if !r.migrationRequested && b.rng.Float64() < stallMigrationShare*r.load/b.costs.unit() {
 			r.migrationRequested = true
-			b.fx.Migrate(r.ID)
+			b.effects.Migrate(r.ID)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		m.gossipPending = false
 	}
 	if len(message) > 0 {
-		b.fx.SendToPeer(-1, message)
+		b.effects.SendToPeer(-1, message)
 	}
 }
 
@@ -140,8 +140,8 @@
 			continue
 		}
 		h.messages.gossipedAt = b.now
-		if len(h.connections) == 0 || b.now-h.messages.at > gossipInterval {
-			h.messages.delay, h.messages.at = r.Delay, b.now
+		if len(h.connections) == 0 || b.now-h.messages.observedAt > gossipInterval {
+			h.messages.delay, h.messages.observedAt = r.Delay, b.now
 		}
 	}
 }
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -80,7 +80,7 @@
 		x.b.PeerMessageReceived(x.now, 1, data)
 		for _, s := range x.b.hosts {
 			if s.messages.delay < 0 || s.messages.delay > 64 {
-				t.Errorf("%s: %v", s.id, s.messages.delay)
+				t.Errorf("%s: %v", s.hostID, s.messages.delay)
 			}
 		}
 		x.request("q")
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -125,7 +125,7 @@
 	return total
 }
 
-// sparseTraffic tells whether a balancer holds less than one connection a host, by the quotas if there are
+// sparseTraffic reports whether a balancer holds less than one connection a host, by the quotas if there are
 // any: its own turns and loads then say little of the fleet's.
 func (b *Balancer) sparseTraffic() bool {
 	if b.traffic.expectedConnections > 0 {
