--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -15,11 +15,15 @@
 	updatedAt Time
 }
 
+func (e *errorScore) faded(now, timeConstant Time) float64 {
+	return e.score * math.Exp(-float64(now-e.updatedAt)/float64(timeConstant+1))
+}
+
 func (b *Balancer) currentErrorScore(h *host) float64 {
 	if h.errors.score == 0 {
 		return 0
 	}
-	return h.errors.score * math.Exp(-float64(b.now-h.errors.updatedAt)/float64(b.ejection.initial+1))
+	return h.errors.faded(b.now, b.ejection.initial)
 }
 
 // AttemptEstablished tells that an attempt, counted from 0, has set up its connection in the time elapsed.
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -140,6 +140,9 @@
 		b.outsideDedupScope(h, p.request) {
 		return false, false
 	}
+	if b.warmCapacityShare(h) >= 1 {
+		return true, false
+	}
 	return b.slowStartAllows(h, p.request, p.turns)
 }
 
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -59,14 +59,11 @@
 	return fill
 }
 
-// slowStartAllows reports whether a host's budget bears a connection of so many turns now, and whether it
-// does so by lottery only. It fills the host's tokens up to now. Tokens that are not used within the overload
-// window are lost: else many sparse balancers would keep theirs, and a wave would spend them all at once.
-// What is lost so is given out by lottery.
+// slowStartAllows reports whether a warming host's budget bears a connection of so many turns now, and
+// whether it does so by lottery only. It fills the host's tokens up to now. Tokens that are not used within
+// the overload window are lost: else many sparse balancers would keep theirs, and a wave would spend them all
+// at once. What is lost so is given out by lottery.
 func (b *Balancer) slowStartAllows(h *host, r *request, turns float64) (allowed, byLottery bool) {
-	if b.warmCapacityShare(h) >= 1 {
-		return true, false
-	}
 	if r.ledger.replied && r.attempts == 0 {
 		return false, false // the coordinator has counted what is left
 	}
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -50,8 +50,12 @@
 	if h.messages.delay < slowMessageDelay {
 		return 0
 	}
-	age := max(0, float64(b.now-h.messages.observedAt)-delayValidFor)
-	return h.messages.delay * math.Exp(-age/delayFade)
+	return h.messages.faded(b.now)
+}
+
+func (m *messageDelay) faded(now Time) float64 {
+	age := max(0, float64(now-m.observedAt)-delayValidFor)
+	return m.delay * math.Exp(-age/delayFade)
 }
 
 // stalled reports whether messages take longer at a host than the shortest latency objective.
