--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// place gives n requests to balancers by chance, all of which stand, and counts those sent to hosts that started lately.
+// placeRandomly gives n requests to balancers by chance, all of which stand, and counts those sent to hosts that started lately.
 func placeRandomly(all []*fake, rng *rand.Rand, name string, n int, young func(server string) bool) int {
 	there := 0
 	for i := range n {
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -140,7 +140,7 @@
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
-// breaks is one failed connect to a host.
+// failConnect is one failed connect to a host.
 func (f *fake) failConnect(s *host) {
 	f.b.tick(f.now)
 	f.b.hostFailed(s, f.now, true)
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// tier is balancers that reach one another, late or not at all.
+// peerNetwork is balancers that reach one another, late or not at all.
 type peerNetwork struct {
 	all         []*fake
 	rng         *rand.Rand
@@ -31,7 +31,7 @@
 	data     []byte
 }
 
-// talker is a balancer's effects with messages that arrive.
+// networkedFake is a balancer's effects with messages that arrive.
 type networkedFake struct {
 	*fake
 	t  *peerNetwork
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// known is how many connections the first coordinator's book has.
+// ledgerConnections is how many connections the first coordinator's book has.
 func (x *peerNetwork) ledgerConnections() (n float64) {
 	for _, s := range x.all[0].b.hosts {
 		held, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// told starts a balancer whose hosts tell their load when probed.
+// startReporting starts a balancer whose hosts report their load to health checks.
 func startReporting(t *testing.T, cfg Config, servers ...ListedHost) *fake {
 	cfg.MayHealthCheck, cfg.LoadField, cfg.QueueField = true, 0, 1
 	cfg.Prices.HealthCheck = 0.0016
@@ -14,7 +14,7 @@
 	return start(t, cfg, servers...)
 }
 
-// report has every host tell a load.
+// reportLoads has every host report a load.
 func (f *fake) reportLoads(x func(i int) float64) {
 	for i, s := range f.b.hosts {
 		f.b.HealthCheckEnded(f.now, s.hostID, OK, ms, []float64{x(i), 0})
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -9,7 +9,7 @@
 // Fleets whose settings name no tenants, so that no quota tells how many connections come: what each balancer makes of the
 // little that it sees.
 
-// untold are n balancers without quotas, part of them just started, before a fleet of 80 hosts.
+// manyWithoutQuotas are n balancers without quotas, part of them just started, before a fleet of 80 hosts.
 func manyWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	all := manyBalancers(t, n, seed)
@@ -25,12 +25,12 @@
 // Without quotas all lots were off, and a warming host got nothing from a process that had just started: its slow start went by
 // unused while the warm ones were full.
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
-	const cold, flow = coldServers, untoldFlow
+	const cold, flow = warmingHosts, unquotedFlow
 	for _, c := range []struct {
 		n   int
 		new float64
 	}{{1, 0}, {3, 0}, {30, 0.5}, {300, 0}, {300, 0.5}, {300, 1}} {
-		_, sent, later := startCold(t, c.n, c.new, 1)
+		_, sent, later := startWarming(t, c.n, c.new, 1)
 		total, most := 0, 0
 		for _, at := range sent {
 			total, most = total+len(at), max(most, within(at, sec))
@@ -54,18 +54,18 @@
 }
 
 const (
-	coldServers = 30   // of 80 have just started
-	untoldFlow  = 40.0 // requests a second
+	warmingHosts = 30   // of 80 have just started
+	unquotedFlow = 40.0 // requests a second
 )
 
-// startCold has hosts start under balancers, a part of which are new as well. It tells when each of these hosts was sent something in
+// startWarming has hosts start under balancers, a part of which are new as well. It tells when each of these hosts was sent something in
 // its slow start, and when requests came.
-func startCold(t *testing.T, n int, restarted float64, seed int64) (up Time, sent map[string][]Time, later []Time) {
+func startWarming(t *testing.T, n int, restarted float64, seed int64) (up Time, sent map[string][]Time, later []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
 	all, young := manyWithoutQuotas(t, n, seed), manyWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
-	step := func() Time { return Time(rng.ExpFloat64() / untoldFlow * 1e9) }
+	step := func() Time { return Time(rng.ExpFloat64() / unquotedFlow * 1e9) }
 	var before []Time
 	for ; at < 130*sec; at += step() {
 		before = append(before, at)
@@ -78,7 +78,7 @@
 	}
 	for _, f := range all {
 		var es []ListedHost
-		for i := 0; i < coldServers; i++ {
+		for i := 0; i < warmingHosts; i++ {
 			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: at})
 		}
 		f.now = max(f.now, at)
@@ -95,7 +95,7 @@
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		for _, s := range f.attemptsStarted[from:] {
 			f.establish(s.request)
-			if s.host < fmt.Sprintf("s%02d", coldServers) {
+			if s.host < fmt.Sprintf("s%02d", warmingHosts) {
 				sent[s.host] = append(sent[s.host], now)
 			}
 		}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -17,7 +17,7 @@
 // was left unused.
 func slowStartUse(up Time, sent map[string][]Time) (closest, unused float64) {
 	const warmUp, coldFrom, multiple = 9.0, 0.31, 3.0
-	const usual = 2.5 * untoldFlow / 80 // what a full host takes in a second
+	const usual = 2.5 * unquotedFlow / 80 // what a full host takes in a second
 	allowed := func(age float64) float64 { return multiple * (coldFrom + (1-coldFrom)*age/warmUp) * usual }
 	used, all := 0.0, 0.0
 	for _, at := range sent {
@@ -28,7 +28,7 @@
 		}
 	}
 	for age := 0.5; age < warmUp; age++ {
-		all += coldServers * allowed(age)
+		all += warmingHosts * allowed(age)
 	}
 	return closest, 1 - used/all
 }
@@ -39,7 +39,7 @@
 		for _, restarted := range []float64{0, 0.25, 0.5, 1} {
 			worst, least := 0.0, 1.0
 			for seed := int64(1); seed <= slowStartSeeds; seed++ {
-				up, sent, _ := startCold(t, n, restarted, seed)
+				up, sent, _ := startWarming(t, n, restarted, seed)
 				closest, unused := slowStartUse(up, sent)
 				worst, least = max(worst, closest), min(least, unused)
 			}
--- /dev/null
+++ b/internal/testbed/simulator/requests_test.go
@@ -0,0 +1,111 @@
+package simulator
+
+import (
+	"encoding/base64"
+	"fmt"
+)
+
+func (s *sequence) balancer() string { return s.balancers[s.rng.Intn(len(s.balancers))] }
+
+// newRequest makes the fields that an arriving request and an adopted connection share.
+func (s *sequence) newRequest(kind, name string, bits int) (*liveRequest, map[string]any) {
+	s.nextID++
+	r := &liveRequest{balancer: name, id: fmt.Sprintf("r%d", s.nextID), attempt: -1}
+	s.requests = append(s.requests, r)
+	s.byID[name+"/"+r.id] = r
+	classes := 1 + int(s.seed%3)
+	e := map[string]any{"event_type": kind, "balancer": name, "request_id": r.id, "cls": fmt.Sprintf("c%d", s.rng.Intn(classes)),
+		"remaining": (200 + s.rng.Int63n(1800)) * millisecond, "item": fmt.Sprintf("key%d", s.rng.Intn(50)), "party": fmt.Sprintf("t%d", s.rng.Intn(3))}
+	if s.grouped && s.rng.Intn(4) > 0 {
+		e["channel"] = fmt.Sprintf("g%d", s.rng.Intn(8))
+	}
+	if s.rng.Intn(2) == 0 {
+		bits |= flagHint
+		e["hint"] = 1e5 * float64(1+s.rng.Intn(40))
+	}
+	if s.rng.Intn(8) == 0 {
+		bits |= flagMidFlow
+	}
+	e["bits"] = bits
+	return r, e
+}
+
+func (s *sequence) inbound(name string, bits int) {
+	_, e := s.newRequest("Inbound", name, bits)
+	s.deliver(e)
+}
+
+// step brings one drawn event.
+func (s *sequence) step() {
+	switch draw := s.rng.Intn(100); {
+	case draw < 42:
+		bits := 0
+		if s.rng.Intn(5) == 0 {
+			bits = flagRetry
+		}
+		s.inbound(s.balancer(), bits)
+	case draw < 80:
+		s.progress()
+	case draw < 84:
+		s.clientLeaves()
+	case draw < 93:
+		s.serverChanges()
+	case draw < 95:
+		r, e := s.newRequest("Adopted", s.balancer(), 0)
+		r.attempt, r.out, r.up, r.server, r.sentAt = 0, true, true, s.servers[s.rng.Intn(len(s.servers))].ID, s.now
+		e["server"] = r.server
+		s.deliver(e)
+	case draw < 97:
+		s.suspend(s.balancer())
+	case draw < 98:
+		s.deliver(map[string]any{"event_type": "Memo", "balancer": s.balancer(), "origin_peer": 0, "contents": base64.StdEncoding.EncodeToString([]byte{byte(s.rng.Intn(20)), 2, 3, 4, 5, 6})})
+	case draw < 99:
+		s.hotStart(s.balancer())
+	default:
+		s.restart(s.balancer())
+	}
+}
+
+// progress moves on the attempt of a request that is out.
+func (s *sequence) progress() {
+	var out []*liveRequest
+	for _, r := range s.requests {
+		if r.out {
+			out = append(out, r)
+		}
+	}
+	if len(out) == 0 {
+		return
+	}
+	r := out[s.rng.Intn(len(out))]
+	switch {
+	case r.up && s.rng.Intn(2) == 0:
+		e := map[string]any{"event_type": "Notice", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "sort": 1 + s.rng.Intn(2), "level": s.rng.Float64() * 400}
+		if e["sort"] == 1 {
+			e["level"] = s.rng.Float64() * 3000
+		}
+		s.deliver(e)
+	case r.up:
+		s.end(r, []string{"OK", "OK", "ABORTED", "CANCELLED"}[s.rng.Intn(4)])
+	case s.rng.Intn(5) < 3 && !r.closed:
+		r.up = true
+		s.deliver(map[string]any{"event_type": "Streaming", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.server, "elapsed": s.now - r.sentAt})
+	default:
+		s.end(r, outcomes[s.rng.Intn(len(outcomes))])
+	}
+}
+
+func (s *sequence) clientLeaves() {
+	var waiting []*liveRequest
+	for _, r := range s.requests {
+		if !r.closed && !r.up {
+			waiting = append(waiting, r)
+		}
+	}
+	if len(waiting) == 0 {
+		return
+	}
+	r := waiting[s.rng.Intn(len(waiting))]
+	r.closed = true
+	s.deliver(map[string]any{"event_type": "ClientLeft", "balancer": r.balancer, "request_id": r.id})
+}
