--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -71,20 +71,25 @@
 // Register notes a query that is sent, and gives its sequence number.
 func (c *Client) Register(q PendingQuery) uint16 {
 	if len(c.pending) >= maxPending {
-		for sequence, p := range c.pending {
-			if q.SentAt-p.SentAt > pendingTimeout {
-				delete(c.pending, sequence)
-			}
-		}
-		if len(c.pending) >= maxPending {
-			clear(c.pending)
-		}
+		c.forgetPending(q.SentAt)
 	}
 	c.sequence++
 	c.pending[c.sequence] = &q
 	return c.sequence
 }
 
+// forgetPending makes room: it drops the queries that have timed out, or all where none has.
+func (c *Client) forgetPending(now Time) {
+	for sequence, p := range c.pending {
+		if now-p.SentAt > pendingTimeout {
+			delete(c.pending, sequence)
+		}
+	}
+	if len(c.pending) >= maxPending {
+		clear(c.pending)
+	}
+}
+
 // TimedOut notes that a request waits no longer for its reply.
 func (c *Client) TimedOut(now Time, request string) {
 	for _, p := range c.pending {
@@ -92,16 +97,25 @@
 			p.Abandoned = true
 		}
 	}
-	if c.misses++; c.misses < maxMisses {
-		return
+	if c.misses++; c.misses >= maxMisses {
+		c.askNext(now)
 	}
+}
+
+// askNext gives up the current coordinator for the next one, or for a pause after the last.
+func (c *Client) askNext(now Time) {
 	c.misses, c.synced = 0, false
 	if c.current++; c.current == len(c.coordinators) {
-		c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
-		c.pauses++
+		c.pause(now)
 	}
 }
 
+// pause asks nobody for a time that doubles with each pause in a row, and then the first coordinator.
+func (c *Client) pause(now Time) {
+	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
+	c.pauses++
+}
+
 // Take removes and gives the query of a sequence number; nil: none is pending.
 func (c *Client) Take(sequence uint16) *PendingQuery {
 	p := c.pending[sequence]
@@ -116,10 +130,17 @@
 		return false
 	}
 	sync = i != c.current || !c.synced || epoch != c.epoch
-	c.current, c.misses, c.pausedUntil, c.pauses, c.synced, c.epoch = i, 0, 0, 0, true, epoch
+	c.follow(i, epoch)
 	return sync
 }
 
+// follow asks a coordinator, by its index, from now on.
+func (c *Client) follow(i int, epoch byte) {
+	c.current, c.epoch = i, epoch
+	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
+	c.synced = true
+}
+
 // NextPoll gives the coordinator to poll now: one before the current one, which may be back; -1: none.
 func (c *Client) NextPoll(now Time) int {
 	if c.current == 0 && now >= c.pausedUntil && c.synced || now-c.polledAt < pollInterval {
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -67,8 +67,8 @@
 	return max(minHealthCheckInterval, Time(1e9*price/(healthCheckBudget*rate)))
 }
 
-// HealthCheckEnded takes the result of a health check. One that fails tells nothing of the host's load, and
-// what was known fades.
+// HealthCheckEnded takes the result of a health check. One that fails says nothing of the host's load, and
+// what was known fades. How long it took decides nothing.
 func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
 	b.tick(now)
 	if h := b.byID[id]; h != nil {
--- /dev/null
+++ b/internal/balancer/parts_test.go
@@ -0,0 +1,101 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestPollPause(t *testing.T) {
+	for _, c := range []struct {
+		failures, instances int
+		interval            Time
+		want                Time // nanoseconds
+	}{
+		{1, 1, 10 * sec, 625 * ms},   // an eighth of half the interval
+		{3, 1, 10 * sec, 1200 * ms},  // the longest backoff of a small fleet
+		{1, 80, 10 * sec, 4000 * ms}, // spaced for eighty balancers
+		{8, 300, 60 * sec, 5 * sec},  // the longest pause
+		{1, 300, 4 * sec, 2 * sec},   // half the interval
+	} {
+		d := discoveryPoller{failures: c.failures}
+		if got := Time(d.pause(c.interval, c.instances)); got != c.want {
+			t.Errorf("%+v: %d ms", c, got/ms)
+		}
+	}
+}
+
+func TestRetryStormIsSuspectedAndFades(t *testing.T) {
+	s := retryStorm{window: sec}
+	for range 4 {
+		s.attemptStarted()
+	}
+	if !s.suspected(0) {
+		t.Error("not suspected after four attempts without a success")
+	}
+	s.succeeded()
+	if s.suspected(0) {
+		t.Error("suspected though one of four succeeded")
+	}
+	s = retryStorm{window: sec, attempts: 10}
+	if s.suspected(30 * sec) {
+		t.Error("suspected long after")
+	}
+	s.failedWithError(30*sec, 1)
+	s.failedWithError(30*sec, 1)
+	if !s.consecutiveEarlyErrors(31*sec) || s.consecutiveEarlyErrors(32*sec) {
+		t.Error("two early errors count for two windows")
+	}
+}
+
+func TestSharedTimeoutsAreNoEvidence(t *testing.T) {
+	e := setupEvidence{window: sec}
+	for i, want := range []bool{false, false, false, true} {
+		if e.addTimeout(0) != want {
+			t.Errorf("timeout %d: shared %t", i+1, !want)
+		}
+	}
+	for range 6 {
+		e.addSuccess(0)
+	}
+	if e.addTimeout(0) != false || e.addTimeout(20*sec) {
+		t.Error("shared though most set-ups succeed, or long after")
+	}
+}
+
+func TestSheddingGrowsAndEnds(t *testing.T) {
+	s := loadShedding{demandByClass: []float64{1}}
+	for range 100 {
+		s.update(zoneLoad{open: 10, stalled: 10}, zoneLoad{open: 10}, 0.1)
+	}
+	if s.share != maxShedShare || s.crossZoneShare != 1 {
+		t.Errorf("shed %.2f, cross zone %.2f after 10 s of a stalled zone", s.share, s.crossZoneShare)
+	}
+	if want := math.Exp(-1); math.Abs(s.demandByClass[0]-want) > 1e-9 {
+		t.Errorf("demand %.3f, expected %.3f", s.demandByClass[0], want)
+	}
+	for range 300 {
+		s.update(zoneLoad{open: 10}, zoneLoad{open: 10}, 0.1)
+	}
+	if s.share > 1e-6 || s.crossZoneShare != 0 {
+		t.Errorf("shed %.2f, cross zone %.2f after 30 s without a stall", s.share, s.crossZoneShare)
+	}
+}
+
+func TestConnectionCosts(t *testing.T) {
+	c := connectionCosts{byClass: make([]float64, 2)}
+	if c.expect(&Request{}) != 1 || c.turns(5) != 1 {
+		t.Error("knows a cost before any was seen")
+	}
+	c.learn(0, 100)
+	for _, q := range []struct {
+		request Request
+		want    float64
+	}{{Request{Class: 0}, 100}, {Request{Class: 1}, 100}, {Request{Class: 1, ExpectedLoad: 200}, 200}} {
+		if got := c.expect(&q.request); got != q.want {
+			t.Errorf("%+v: %g, expected %g", q.request, got, q.want)
+		}
+	}
+	if c.turns(1e9) != maxTurns || c.turns(1) != minTurns {
+		t.Error("turns are not bounded")
+	}
+}
