--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -23,8 +23,8 @@
 	return there
 }
 
-// Hosts that have come up are empty, and where neither loads nor a ledger are told nobody sees it: with a connection or two
-// at each balancer they went on getting their turns and no more, while those before them were full.
+// Hosts that have started lately are empty. Without load reports or a ledger no balancer sees that, holding a connection or
+// two: yet such hosts have to get more than their turns.
 func TestNewerHostsAreFilled(t *testing.T) {
 	const servers, newer, held = 80, 40, 2400
 	for _, n := range []int{60, 300} {
@@ -46,7 +46,7 @@
 			f.run(10 * sec) // longer than a slow start
 		}
 		young := func(server string) bool { return server[0] == 't' }
-		// Half of what is held stands on the other half of the hosts: as much is to be placed to be even.
+		// Half of the connections are on the older half of the hosts: as many have to be placed for an even load.
 		there := placeRandomly(all, rng, "after", held/2, young)
 		t.Logf("%d balancers: %d of %d go to the hosts that started lately", n, there, held/2)
 		if there < held/2*7/10 {
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// What discovery has counts as told 6 s after it can be reached again, whatever the settings allow between two calls: half of a
-// minute passed between them where a proxy need only ask once a minute.
+// A change counts as known 6 s after discovery can be reached again, however long the settings allow between two polls.
 func TestFailedPollIsRepeatedInTime(t *testing.T) {
 	for _, within := range []Time{10 * sec, 20 * sec, 60 * sec} {
 		for _, peers := range []int{1, 30, 300} {
@@ -23,8 +22,8 @@
 	}
 }
 
-// A long outage made the pauses of a small fleet up to 5 s long. The call that then found discovery back and crowded was told nothing, and
-// there was no time left for another before the news counted as told.
+// After a long outage a small fleet pauses so briefly that, where a poll finds discovery back but overloaded, there is time for
+// another one before a change counts as known.
 func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -77,8 +77,8 @@
 	t.Logf("at most %d calls a second, the last of %d told after %.1f s", most, len(told), float64(last-upAt)/1e9)
 }
 
-// TestRollingReplacement: hosts are replaced within seven seconds, told to each balancer at a moment of its own; nothing goes
-// to one that drains later than the grace after that balancer was told, whatever comes back meanwhile.
+// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer is notified at a moment of its own;
+// nothing goes to a draining host later than the grace after that, whatever comes back meanwhile.
 func TestRollingReplacement(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewSource(seed))
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestGroupsKeepToFewHosts: a host pays for each group of which it holds a connection. Eighty balancers with a request
-// each put every group everywhere; told nothing of one another they keep to one order of hosts.
+// each would put every group everywhere, but keep to one order of hosts without a message.
 func TestGroupsKeepToFewHosts(t *testing.T) {
 	pairs, most := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// ledgerConnections is how many connections the first coordinator's book has.
+// ledgerConnections is how many connections the first coordinator counts.
 func (x *peerNetwork) ledgerConnections() (n float64) {
 	for _, s := range x.all[0].b.hosts {
 		held, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestLedgerThroughFaults: whatever happens to coordinators and messages, no request waits longer than twice for an answer that does not come, and soon after it
-// the ledger has what stands again.
+// TestLedgerThroughFaults: whatever happens to coordinators and messages, no request waits for more than two replies that do not come, and
+// soon after the fault the ledger has all connections again.
 func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Health checks are paced by their price: with little to place, each costs more than its word is worth.
+// Health checks are paced by their price: with little to place, each costs more than its report is worth.
 func TestHealthChecksArePacedByPrice(t *testing.T) {
 	count := func(rate int, price float64) int {
 		f := startReporting(t, settings(), fleet(10)...)
@@ -84,8 +84,8 @@
 	}
 }
 
-// A host slowed nine times still answers probes: what it tells takes its turns away, and clients are moved off it
-// while others have room.
+// A host slowed nine times still answers health checks: its reports take its turns away, and clients are migrated off it
+// while others have spare capacity.
 func TestConnectionsMigrateFromFullHost(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.4 })
@@ -119,7 +119,7 @@
 	}
 }
 
-// With the whole fleet full, moving clients about helps nobody.
+// With the whole fleet full, migrations help nobody.
 func TestNoMigrationsInFullFleet(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	for i := range 50 {
@@ -158,7 +158,7 @@
 }
 
 // Weights that fall as a host fills come late and alike to all: a host that looks empty by them must not draw every
-// balancer, where its load is told.
+// balancer, where its load is reported.
 func TestReportedLoadOutweighsWeights(t *testing.T) {
 	to := map[string]int{}
 	for me := range 3 {
@@ -180,7 +180,7 @@
 	}
 }
 
-// Every mixture of what settings allow: each request gets its one answer, nothing is probed or told that may not be.
+// Every mixture of what settings allow: each request gets its one answer, no health check or message is sent that may not be.
 func TestWhateverSettingsAllow(t *testing.T) {
 	for bits := range 16 {
 		cfg := settings()
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// One bad request, answered with an error wherever it went, made every other request wait as in a jam.
+// One bad request, answered with an error wherever it goes, makes no other request wait as in a retry storm.
 func TestErrorsOfOneRequestAreNoRetryStorm(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	f.request("bad")
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Fleets whose settings name no tenants, so that no quota tells how many connections come: what each balancer makes of the
+// Fleets whose settings name no tenants, so that no quota says how many connections come: what each balancer makes of the
 // little that it sees.
 
 // manyWithoutQuotas are n balancers without quotas, part of them just started, before a fleet of 80 hosts.
@@ -22,8 +22,8 @@
 	return all
 }
 
-// Without quotas all lots were off, and a warming host got nothing from a process that had just started: its slow start went by
-// unused while the warm ones were full.
+// Without quotas the lottery goes by what is seen and held: a warming host has to get its part from processes too that have just
+// started.
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
 	const cold, flow = warmingHosts, unquotedFlow
 	for _, c := range []struct {
@@ -45,8 +45,8 @@
 		if fair := float64(len(later)) * cold / 80; float64(total) < fair/3 {
 			t.Errorf("%d balancers, %.0f%% new: %d connections to the warming hosts, %.0f would be their part", c.n, 100*c.new, total, fair)
 		}
-		// 600 connections stand, 7.5 at a host: at least 0.83 a second fill it within its slow start, and a full one holds 2.5 times as
-		// many. Three times that at its first warmth is 1.9: three times the root of it and three more is what is left to chance.
+		// 600 connections are open, 7.5 at a host: at least 0.83 a second fill it within its slow start, and a full one holds 2.5 times
+		// as many. Three times that at its first capacity is 1.9: chance may bring three times the root of it and three more.
 		if most > 9 {
 			t.Errorf("%d balancers, %.0f%% new: %d connections within a second at one warming host", c.n, 100*c.new, most)
 		}
@@ -58,7 +58,7 @@
 	unquotedFlow = 40.0 // requests a second
 )
 
-// startWarming has hosts start under balancers, a part of which are new as well. It tells when each of these hosts was sent something in
+// startWarming has hosts start under balancers, a part of which are new as well. It returns when each of these hosts was sent something in
 // its slow start, and when requests came.
 func startWarming(t *testing.T, n int, restarted float64, seed int64) (up Time, sent map[string][]Time, later []Time) {
 	t.Helper()
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -13,7 +13,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartUse tells what part of its budget any warming host was sent at most in any second, and what part of all that the settings allow
+// slowStartUse returns what part of its budget any warming host was sent at most in any second, and what part of all that the settings allow
 // was left unused.
 func slowStartUse(up Time, sent map[string][]Time) (closest, unused float64) {
 	const warmUp, coldFrom, multiple = 9.0, 0.31, 3.0
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -26,8 +26,8 @@
 	return all
 }
 
-// replay gives requests at moments to balancers by chance, each of which stands at once, and tells when connections were
-// sent to host.
+// replay gives requests at moments to balancers by chance, each of which is established at once, and returns when
+// connections were sent to host.
 func replay(all []*fake, rng *rand.Rand, at []Time, returned bool, server string) []Time {
 	var sent []Time
 	for i, now := range at {
@@ -60,8 +60,8 @@
 	return most
 }
 
-// TestSparseTrafficUsesSlowStartBudget: at 80 balancers with a request each half a minute a warming host's budget ripens where
-// nobody comes for it. It got next to nothing while the others carried its part.
+// TestSparseTrafficUsesSlowStartBudget: at 80 balancers with a request each half a minute the tokens of a
+// warming host fill where nobody comes for them; it has to get its part nevertheless.
 func TestSparseTrafficUsesSlowStartBudget(t *testing.T) {
 	const seeds = 20
 	total, bound := 0, 0.0
@@ -101,7 +101,7 @@
 }
 
 // TestWaveSparesWarmingHost: what two hosts held comes back at once, a request or none at each
-// balancer, which can't tell alone that it is a wave.
+// balancer, none of which sees that it is a wave.
 func TestWaveSparesWarmingHost(t *testing.T) {
 	const seeds = 30
 	total := 0
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestOneStalledConnectionShedsLittle: a balancer whose only connection stands on a stalled host rejected up to nine in
-// ten of all that came, with ten hosts idle; and news of any stalled host kept it from ending that.
+// TestOneStalledConnectionShedsLittle: a balancer whose only connection is on a stalled host must not shed most of
+// what comes, with ten hosts idle, nor go on with it because any other host is stalled.
 func TestOneStalledConnectionShedsLittle(t *testing.T) {
 	cfg := settings()
 	cfg.Instances, cfg.Zones = 80, []string{"a"}
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestShedRequestMayGoToWarmingHost: what load shedding rejects never came to draw lots, though the lots were counted out for it:
-// warming hosts got a quarter of their budget just when the warm ones were overloaded.
+// TestShedRequestMayGoToWarmingHost: what load shedding rejects takes part in the lottery, whose chances count it:
+// else warming hosts get a part of their budget just when the warm ones are overloaded.
 func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	up := f.now - 8*sec
