--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	b.traffic = newTraffic(&cfg, b.ejection.initial)
-	b.retryStorm.window = longestLatencyObjective(cfg.Classes)
+	b.retryStorm.longestObjective = longestLatencyObjective(cfg.Classes)
 	return b, nil
 }
 
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -9,6 +9,8 @@
 	sharedFaultShare = 0.5
 	// minTimeoutEvidence is how many set-ups have to have ended of late to tell whose fault a timeout is.
 	minTimeoutEvidence = 4
+	// evidenceMemory is the time constant with which set-ups fade, in longest latency objectives.
+	evidenceMemory = 2
 )
 
 // hostEjection is what the ejection of one host goes by.
@@ -42,7 +44,7 @@
 	if e.max < e.initial && e.max > 0 {
 		return e, ErrEjectionMax
 	}
-	e.evidence.window = longestLatencyObjective(cfg.Classes)
+	e.evidence.longestObjective = longestLatencyObjective(cfg.Classes)
 	return e, nil
 }
 
@@ -58,13 +60,13 @@
 
 // setupEvidence is how the set-ups of late ended, at all hosts.
 type setupEvidence struct {
-	window              Time // time constant of the fading is twice this
+	longestObjective    Time // the longest latency objective
 	succeeded, timedOut float64
 	fadedAt             Time
 }
 
 func (e *setupEvidence) fade(now Time) {
-	f := math.Exp(-float64(now-e.fadedAt) / float64(2*e.window))
+	f := math.Exp(-float64(now-e.fadedAt) / float64(evidenceMemory*e.longestObjective))
 	e.succeeded, e.timedOut, e.fadedAt = e.succeeded*f, e.timedOut*f, now
 }
 
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -71,10 +71,14 @@
 
 func (b *Balancer) countPlacements(from int, entries ledger.Entries) {
 	for _, e := range entries {
-		b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
+		b.countPlacement(from, e)
 	}
 }
 
+func (b *Balancer) countPlacement(from int, e ledger.Entry) {
+	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
+}
+
 // coordinatorHeard plans to tell all that is held here to a coordinator that does not know it: after a random
 // wait, since all balancers hear of it together.
 func (b *Balancer) coordinatorHeard(from int, epoch byte) {
@@ -135,7 +139,11 @@
 	}
 	group := ledger.GroupID(stableHash(r.Group))
 	entry := ledger.Entry{Host: uint32(h.hash), Group: group, Units: sign * b.ledgerUnits(r)}
-	b.sendToCoordinator(coordinator, ledger.Entries{entry})
+	if coordinator == b.cfg.Instance {
+		b.countPlacement(coordinator, entry)
+		return
+	}
+	b.effects.SendToPeer(coordinator, entry.Append(nil))
 }
 
 // sendToCoordinator sends a message, or handles it where this balancer coordinates.
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -105,7 +105,7 @@
 		b.hostFailed(h, r.sentAt, true)
 	case Full:
 		b.retryStorm.discountAttempt()
-		h.fullUntil = b.now + b.retryStorm.window
+		h.fullUntil = b.now + b.retryStorm.longestObjective
 	case Error:
 		b.retryStorm.failedWithError(b.now, r.attempts)
 		h.errors.score, h.errors.updatedAt = min(1, b.currentErrorScore(h)+errorStep), b.now
--- a/internal/balancer/parts_test.go
+++ b/internal/balancer/parts_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestRetryStormIsSuspectedAndFades(t *testing.T) {
-	s := retryStorm{window: sec}
+	s := retryStorm{longestObjective: sec}
 	for range 4 {
 		s.attemptStarted()
 	}
@@ -36,7 +36,7 @@
 	if s.suspected(0) {
 		t.Error("suspected though one of four succeeded")
 	}
-	s = retryStorm{window: sec, attempts: 10}
+	s = retryStorm{longestObjective: sec, attempts: 10}
 	if s.suspected(30 * sec) {
 		t.Error("suspected long after")
 	}
@@ -48,7 +48,7 @@
 }
 
 func TestSharedTimeoutsAreNoEvidence(t *testing.T) {
-	e := setupEvidence{window: sec}
+	e := setupEvidence{longestObjective: sec}
 	for i, want := range []bool{false, false, false, true} {
 		if e.addTimeout(0) != want {
 			t.Errorf("timeout %d: shared %t", i+1, !want)
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -9,12 +9,16 @@
 	// an attempt gets all the time that is left.
 	stormMargin   = 3
 	timeoutMargin = 2
+	// stormMemory is the time constant with which attempts fade, and earlyErrorMemory how long an early error
+	// counts, in longest latency objectives.
+	stormMemory      = 8
+	earlyErrorMemory = 2
 )
 
 // retryStorm suspects a retry storm: most attempts of late fail, so that retries add to what makes them fail.
 // Failed connects and hosts that are full count on neither side: they cost the hosts nothing.
 type retryStorm struct {
-	window              Time // the longest latency objective
+	longestObjective    Time // the longest latency objective
 	attempts, successes float64
 	fadedAt             Time
 	earlyErrors         int // requests in a row whose first attempt ended in an error
@@ -23,7 +27,7 @@
 
 // suspected fades the counts to now and reports whether new attempts should wait.
 func (s *retryStorm) suspected(now Time) bool {
-	f := math.Exp(-float64(now-s.fadedAt) / float64(8*s.window))
+	f := math.Exp(-float64(now-s.fadedAt) / float64(stormMemory*s.longestObjective))
 	s.attempts, s.successes, s.fadedAt = s.attempts*f, s.successes*f, now
 	return s.attemptsExceedSuccesses(stormMargin)
 }
@@ -36,7 +40,7 @@
 // consecutiveEarlyErrors reports whether the first attempts of the last two requests ended in errors, at
 // whichever hosts.
 func (s *retryStorm) consecutiveEarlyErrors(now Time) bool {
-	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < 2*s.window
+	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < earlyErrorMemory*s.longestObjective
 }
 
 func (s *retryStorm) attemptStarted() { s.attempts++ }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -83,7 +83,7 @@
 func (b *Balancer) usable(k *HostSnapshot) bool {
 	return k.Fails >= 0 && inPast(b.now, k.FailedAt, k.IllAt, k.DelayAt, k.TokensAt) &&
 		plausible(k.Ill, k.Delay) && !math.IsNaN(k.Tokens) && k.Tokens <= maxRestoredTokens &&
-		k.Until <= b.now+b.ejection.max && k.Passed <= b.now+b.retryStorm.window
+		k.Until <= b.now+b.ejection.max && k.Passed <= b.now+b.retryStorm.longestObjective
 }
 
 func (h *host) restore(k *HostSnapshot) {
