--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -56,47 +56,47 @@
 
 // Core is one proxy.
 type Core struct {
-	loop      *netio.Loop
-	opt       Options
-	starter   Connector
-	discovery Discovery
-	peers     Peers           // nil: there are none, or the settings forbid it
-	prober    HealthChecker   // nil: the settings do not permit probes
-	enforcer  *rules.Enforcer // nil: no rules that the fleet agrees on
-	allowance Quota           // nil: no limits that hold over the fleet
-	make      func(fx balancer.Effects) (Balancer, error)
-	main      *pool // the only one where no rules split the hosts
-	pools     map[string]*pool
-	classes   map[string]int
-	tenants   map[string]int
-
-	hosts      map[string]*host
-	suspended  *maintenance.Registry // the hosts that operators have taken out
-	floors     Watermarks            // nil: every proxy goes by its own list alone
-	pacer      Pacer                 // nil: clients leave as it suits this proxy
-	pacedMoves []func() bool         // clients that wait for it
-	pacerAsked bool
-	figures    *metrics.Table
-	monitor    *invariant.Monitor
-	requests   map[string]*Request
+	loop          *netio.Loop
+	opt           Options
+	connector     Connector
+	discovery     Discovery
+	peers         Peers           // nil: there are none, or the settings forbid it
+	healthChecker HealthChecker   // nil: the settings do not permit probes
+	enforcer      *rules.Enforcer // nil: no rules that the fleet agrees on
+	quota         Quota           // nil: no limits that hold over the fleet
+	newBalancer   func(fx balancer.Effects) (Balancer, error)
+	main          *pool // the only one where no rules split the hosts
+	pools         map[string]*pool
+	classes       map[string]int
+	tenants       map[string]int
+
+	hosts               map[string]*host
+	suspended           *maintenance.Registry // the hosts that operators have taken out
+	watermarks          Watermarks            // nil: every proxy goes by its own list alone
+	pacer               Pacer                 // nil: clients leave as it suits this proxy
+	pendingMigrations   []func() bool         // clients that wait for it
+	migrationsRequested bool
+	metrics             *metrics.Table
+	monitor             *invariant.Monitor
+	requests            map[string]*Request
 
 	// The module is single-threaded and its effects must not call it: they are kept in effects while it runs, and
 	// what they cause is kept in calls until they have all been carried out.
 	deciding bool
-	calls    []call
+	calls    []decisionEvent
 	effects  []func()
 
-	planner   *certexpiry.Planner // nil: connections are kept whatever ends
-	sessions  int
-	leaving   bool
-	newcomers Newcomers // nil: there are none
-	keeper    Successor // nil: nothing outlives this process
-	// handed: another process of this proxy takes what comes; elsewhere is how many downstreams it holds.
-	handed    bool
-	elsewhere int
-	handing   int // open connections on their way to it
-	counts    Counts
-	counted   int64 // when they were last logged
+	expiryPlanner *certexpiry.Planner // nil: connections are kept whatever ends
+	sessions      int
+	shuttingDown  bool
+	newcomers     Newcomers // nil: there are none
+	successor     Successor // nil: nothing outlives this process
+	// handedOver: another process of this proxy takes what comes; elsewhere is how many downstreams it holds.
+	handedOver        bool
+	sessionsElsewhere int
+	handoversInFlight int // open connections on their way to it
+	counts            Counts
+	countsLoggedAt    int64 // when they were last logged
 }
 
 // Counts are what the core has done since they were last logged.
@@ -109,37 +109,37 @@
 	HealthChecks                                              int // probes sent
 }
 
-type call struct {
-	about *Request
-	f     func(now balancer.Time)
+type decisionEvent struct {
+	about  *Request
+	handle func(now balancer.Time)
 }
 
 // host is an upstream host as this proxy knows it.
 type host struct {
-	id       string
-	zone     string
-	endpoint string
-	state    balancer.HostState    // as it counts: an operator's word goes before discovery's
-	listed   balancer.ListedHost   // as discovery last said
-	since    balancer.Time         // its latest start, as discovery says
-	up       map[*Request]struct{} // its open connections
-	trying   map[*upstreamRequest]struct{}
-	delay    messageDelay
-	loaded   float64                // as it last told when probed: load over what it can do
-	loadedAt int64                  // when that was; 0: never
-	pool     *pool                  // nil: it changes hands just now
-	known    *balancer.HostSnapshot // what its last pool's instance knew of it, until another takes it
+	id           string
+	zone         string
+	address      string
+	state        balancer.HostState    // as it counts: an operator's word goes before discovery's
+	listed       balancer.ListedHost   // as discovery last said
+	startedAt    balancer.Time         // its latest start, as discovery says
+	established  map[*Request]struct{} // its open connections
+	pending      map[*upstreamRequest]struct{}
+	latency      messageDelay
+	checkedLoad  float64                // as it last told when probed: load over what it can do
+	checkedAt    int64                  // when that was; 0: never
+	pool         *pool                  // nil: it changes hands just now
+	lastSnapshot *balancer.HostSnapshot // what its last pool's instance knew of it, until another takes it
 }
 
 // New makes a core. Module and Discovery are set by Run.
 func New(l *netio.Loop, starter Connector, opt Options) *Core {
-	c := &Core{loop: l, starter: starter, opt: opt, classes: map[string]int{}, tenants: map[string]int{},
+	c := &Core{loop: l, connector: starter, opt: opt, classes: map[string]int{}, tenants: map[string]int{},
 		hosts: map[string]*host{}, requests: map[string]*Request{}, pools: map[string]*pool{}}
 	names := make([]string, len(opt.Settings.Classes))
 	for i, k := range opt.Settings.Classes {
 		c.classes[k.Name], names[i] = i, k.Name
 	}
-	c.suspended, c.figures = maintenance.New(), metrics.New(names)
+	c.suspended, c.metrics = maintenance.New(), metrics.New(names)
 	c.monitor = invariant.NewMonitor(func(r invariant.Rule, id string) { slog.Error("invariant_broken", "rule", r, "request", id) })
 	for i, t := range opt.Settings.Tenants {
 		c.tenants[t.Name] = i
@@ -149,52 +149,52 @@
 
 // Run gives the core its decision module, made for it by make with the core's effects, and the list it starts from.
 func (c *Core) Run(make func(fx balancer.Effects) (Balancer, error), d Discovery, known Change) error {
-	c.make, c.discovery = make, d
+	c.newBalancer, c.discovery = make, d
 	var err error
 	if c.main, err = c.newPool(namespace.Main); err != nil {
 		return err
 	}
 	c.ListReceived(known)
-	c.loop.After(watchEvery, c.watchSessions)
+	c.loop.After(sessionCheckInterval, c.monitorSessions)
 	if c.opt.Expiry.Move {
-		c.planner = certexpiry.New(c.opt.Expiry)
-		c.loop.After(certexpiry.Every, c.moveExpiring)
+		c.expiryPlanner = certexpiry.New(c.opt.Expiry)
+		c.loop.After(certexpiry.Every, c.migrateExpiring)
 	}
 	return nil
 }
 
 // Ready tells whether clients may come.
-func (c *Core) Ready() bool { return c.main != nil && !c.leaving }
+func (c *Core) Ready() bool { return c.main != nil && !c.shuttingDown }
 
 // Serves tells whether this process takes what comes: it may be on its way out, or another process of this proxy does.
-func (c *Core) Serves() bool { return c.Ready() && !c.handed }
+func (c *Core) Serves() bool { return c.Ready() && !c.handedOver }
 
 // Admit asks for room for one more downstream's request of a class. Each may come to need two descriptors, and running out of them
 // would strike connections that already stand.
 func (c *Core) Admit(class string) bool {
-	if c.sessions+c.elsewhere >= c.opt.Sessions {
+	if c.sessions+c.sessionsElsewhere >= c.opt.Sessions {
 		c.counts.OverCapacity++
-		c.ended(class, metrics.OverCapacity)
+		c.countEnd(class, metrics.OverCapacity)
 		return false
 	}
 	c.sessions++
 	return true
 }
 
-// ended counts the end of a request that was not taken.
-func (c *Core) ended(class string, e metrics.End) {
+// countEnd counts the end of a request that was not taken.
+func (c *Core) countEnd(class string, e metrics.End) {
 	if i, known := c.classes[class]; known {
-		c.figures.Ended(i, e)
+		c.metrics.Ended(i, e)
 	}
 }
 
 // RetryAdvice is the advice to a client that there is no room or no time for; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration {
-	return c.advice(comeBack)
+	return c.boundedRetryAfter(shutdownRetryAfter)
 }
 
-// advice is what a client may be told of when to come again, within the settings; 0 where clients read none.
-func (c *Core) advice(after time.Duration) time.Duration {
+// boundedRetryAfter is what a client may be told of when to come again, within the settings; 0 where clients read none.
+func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
 	if !c.opt.Settings.SendsRetryAfter {
 		return 0
 	}
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -200,7 +200,7 @@
 	w.pass(2 * time.Second)
 	w.core.opt.Sessions = 0
 	w.core.Admit("c")
-	w.core.leaving = true
+	w.core.shuttingDown = true
 	w.open("leaving")
 	want := "replies.c.success=1\nreplies.c.overload=2\nreplies.c.error=4\ndispatches=2\nconcurrent=1\ntargets=2\ntargets_disabled=0\n"
 	if got := string(w.core.Metrics()); got != want {
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -19,13 +19,13 @@
 func (e *effects) later(f func()) { e.effects = append(e.effects, f) }
 
 func (e *effects) StartAttempt(id, server string, timeout balancer.Time) {
-	e.later(func() { e.send(e.pool, id, server, timeout) })
+	e.later(func() { e.startAttempt(e.pool, id, server, timeout) })
 }
 
 func (e *effects) Reject(id string, after balancer.Time) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
-			r.decline(time.Duration(after))
+			r.rejectOrFail(time.Duration(after))
 		}
 	})
 }
@@ -49,7 +49,7 @@
 func (e *effects) Migrate(id string) {
 	e.later(func() {
 		if r := e.requests[id]; r != nil {
-			r.move(balancer.Cancelled)
+			r.migrate(balancer.Cancelled)
 		}
 	})
 }
@@ -58,7 +58,7 @@
 	c := e.Core
 	e.later(func() {
 		c.loop.After(time.Duration(delay), func() {
-			c.tell(nil, e.pool, func(now balancer.Time, m Balancer) { m.TimerFired(now, token) })
+			c.notify(nil, e.pool, func(now balancer.Time, m Balancer) { m.TimerFired(now, token) })
 		})
 	})
 }
@@ -97,20 +97,20 @@
 		began := c.loop.Now()
 		done := func(status balancer.AttemptStatus, load []float64) {
 			if h, i := c.hosts[server], c.opt.Settings.LoadField; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
-				h.loaded, h.loadedAt = load[i], c.loop.Now()
+				h.checkedLoad, h.checkedAt = load[i], c.loop.Now()
 			}
 			if tracing() {
 				slog.Debug("health_checked", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
 			}
-			c.tell(nil, e.pool, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, server, status, now-began, load) })
+			c.notify(nil, e.pool, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, server, status, now-began, load) })
 		}
 		h := c.hosts[server]
-		if c.prober == nil || h == nil || h.state != balancer.Ready {
+		if c.healthChecker == nil || h == nil || h.state != balancer.Ready {
 			done(balancer.TooLate, nil)
 			return
 		}
 		c.counts.HealthChecks++
-		c.prober.Check(Target{h.id, h.zone, h.endpoint}, done)
+		c.healthChecker.Check(Target{h.id, h.zone, h.address}, done)
 	})
 }
 
@@ -125,7 +125,7 @@
 }
 
 // SetHealthChecker gives the core its way to ask hosts how loaded they are.
-func (c *Core) SetHealthChecker(p HealthChecker) { c.prober = p }
+func (c *Core) SetHealthChecker(p HealthChecker) { c.healthChecker = p }
 
 // SetPeers gives the core its way to the other proxies.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
@@ -134,6 +134,6 @@
 func (c *Core) PeerMessageReceived(from int, data []byte) {
 	c.counts.PeerMessagesReceived++
 	for _, p := range c.pools {
-		c.tell(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
+		c.notify(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
 	}
 }
--- a/internal/dataplane/proxy/expiring.go
+++ b/internal/dataplane/proxy/expiring.go
@@ -8,17 +8,17 @@
 	"croftlock/internal/dataplane/certexpiry"
 )
 
-// moveExpiring moves the connections whose certificate is about to end, at the planner's pace. Their clients come again
+// migrateExpiring moves the connections whose certificate is about to end, at the planner's pace. Their clients come again
 // by themselves and are placed anew.
-func (c *Core) moveExpiring() {
-	c.loop.After(certexpiry.Every, c.moveExpiring)
-	if c.leaving {
+func (c *Core) migrateExpiring() {
+	c.loop.After(certexpiry.Every, c.migrateExpiring)
+	if c.shuttingDown {
 		return // all are being moved
 	}
 	standing := make([]certexpiry.Conn, 0, len(c.requests))
 	first := time.Time{}
 	for id, r := range c.requests {
-		if a := r.out; a != nil && a.up {
+		if a := r.attempt; a != nil && a.established {
 			x := certexpiry.Conn{ID: id}
 			if e, ok := a.conn.(Expiring); ok {
 				x.Ends = e.Expires()
@@ -29,14 +29,14 @@
 			standing = append(standing, x)
 		}
 	}
-	move := c.planner.Plan(c.loop.Now(), c.opt.Wall(), standing)
+	move := c.expiryPlanner.Plan(c.loop.Now(), c.opt.Wall(), standing)
 	for _, id := range move {
 		c.counts.Expiring++
 		r := c.requests[id]
-		c.paced(func() bool {
+		c.migratePaced(func() bool {
 			there := c.requests[id] == r
 			if there {
-				r.move(balancer.Cancelled)
+				r.migrate(balancer.Cancelled)
 			}
 			return there
 		})
--- a/internal/dataplane/proxy/expiring_test.go
+++ b/internal/dataplane/proxy/expiring_test.go
@@ -25,11 +25,11 @@
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
 		if move {
 			w.core.opt.Expiry = certexpiry.Policy{Move: true, Before: 30 * time.Second, Share: 1}
-			w.core.planner = certexpiry.New(w.core.opt.Expiry)
-			w.loop.After(certexpiry.Every, w.core.moveExpiring)
+			w.core.expiryPlanner = certexpiry.New(w.core.opt.Expiry)
+			w.loop.After(certexpiry.Every, w.core.migrateExpiring)
 		}
 		r1, u1 := w.serve("r1")
-		r1.out.conn = &resting{u1, time.Unix(0, w.now).Add(40 * time.Second)}
+		r1.attempt.conn = &resting{u1, time.Unix(0, w.now).Add(40 * time.Second)}
 		w.serve("r2")
 		for range 40 {
 			w.pass(time.Second)
--- a/internal/dataplane/proxy/floors.go
+++ b/internal/dataplane/proxy/floors.go
@@ -17,34 +17,34 @@
 // SetWatermarks has hosts get nothing new of which another proxy's newer list says that they drain or are gone. rev is that of the own list; under 0:
 // there is none yet.
 func (c *Core) SetWatermarks(f Watermarks, rev int64) {
-	if c.floors = f; f == nil || rev < 0 {
+	if c.watermarks = f; f == nil || rev < 0 {
 		return
 	}
 	now := Change{Kind: balancer.ListCached, Version: rev}
 	for _, h := range c.hosts {
-		now.Hosts = append(now.Hosts, HostEntry{ListedHost: h.listed, Address: h.endpoint})
+		now.Hosts = append(now.Hosts, HostEntry{ListedHost: h.listed, Address: h.address})
 	}
 	c.WatermarksChanged(f.Listed(now))
 }
 
-// belowFloor tells whether a listed host is out by another proxy's newer list.
-func (c *Core) belowFloor(e balancer.ListedHost) bool {
-	return c.floors != nil && c.floors.Out(e.ID, e.StartedAt)
+// drainedByWatermark tells whether a listed host is out by another proxy's newer list.
+func (c *Core) drainedByWatermark(e balancer.ListedHost) bool {
+	return c.watermarks != nil && c.watermarks.Out(e.ID, e.StartedAt)
 }
 
 // WatermarksChanged has it take effect that floors have changed for some hosts.
 func (c *Core) WatermarksChanged(ids []string) {
 	for _, id := range ids {
 		h := c.hosts[id]
-		if h == nil || h.listed.State != balancer.Ready || h.state == c.counting(h.listed) {
+		if h == nil || h.listed.State != balancer.Ready || h.state == c.effectiveState(h.listed) {
 			continue
 		}
-		h.state = c.counting(h.listed)
+		h.state = c.effectiveState(h.listed)
 		slog.Info("watermark_applied", "host", id, "out", h.state != balancer.Ready)
-		e := h.entry()
-		c.tell(nil, h.pool, func(now balancer.Time, m Balancer) {
+		e := h.effectiveEntry()
+		c.notify(nil, h.pool, func(now balancer.Time, m Balancer) {
 			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{e})
 		})
 	}
-	c.takeBack()
+	c.stopUnsentAttempts()
 }
--- a/internal/dataplane/proxy/gone_test.go
+++ b/internal/dataplane/proxy/gone_test.go
@@ -24,7 +24,7 @@
 
 // Start checks that no attempt begins for a client that has left, and draws what becomes of it.
 func (w *leaving) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
-	id := ev.(*upstreamRequest).req.ask.ID
+	id := ev.(*upstreamRequest).request.attributes.ID
 	w.begun++
 	w.checkThere(id, "an attempt begins")
 	u := &drawnUp{fakeUp: &fakeUp{w: w.world, ev: ev}, at: w, id: id}
@@ -130,9 +130,9 @@
 // state names what a request waits for.
 func state(r *Request, permitted bool) string {
 	switch {
-	case r.out != nil && r.out.unsent():
+	case r.attempt != nil && r.attempt.lineUnsent():
 		return "a connection"
-	case r.out != nil:
+	case r.attempt != nil:
 		return "a host's answer"
 	case !permitted:
 		return "a permit"
@@ -155,7 +155,7 @@
 			if r == nil || r.answered {
 				return
 			}
-			gone[state(r, tenant == "t2" || r.slot != "")]++
+			gone[state(r, tenant == "t2" || r.quotaAccount != "")]++
 			w.left[id] = w.now
 			r.DownstreamEnded(&netio.Error{Cause: netio.Ended})
 		})
@@ -169,7 +169,7 @@
 		}
 	}
 	for id, r := range w.core.requests {
-		if !r.answered || r.out == nil {
+		if !r.answered || r.attempt == nil {
 			t.Errorf("%s is still there", id)
 		}
 	}
--- a/internal/dataplane/proxy/kept.go
+++ b/internal/dataplane/proxy/kept.go
@@ -23,19 +23,19 @@
 
 // What a Kept may hold at most; a file with more is no file of ours.
 const (
-	mostHosts = 4096
-	longestID = 256
+	maxHosts    = 4096
+	maxIDLength = 256
 )
 
-// clockStep is the least difference between two processes' clocks that is taken for a step of the system's clock between their starts.
-const clockStep = int64(time.Second)
+// minClockStep is the least difference between two processes' clocks that is taken for a step of the system's clock between their starts.
+const minClockStep = int64(time.Second)
 
 // Rebase brings its times into this process's, whose time is now. The two processes' clocks are the system's as each of them started, and that may
 // have been set in between, by an hour either way. live says that it was written in this very moment; of a file it is only known that
 // it is not from the future.
 func (k *Snapshot) Rebase(now int64, live bool) {
 	by := now - k.At
-	if k.At > 0 && (by < 0 || live) && (by <= -clockStep || by >= clockStep) {
+	if k.At > 0 && (by < 0 || live) && (by <= -minClockStep || by >= minClockStep) {
 		slog.Warn("clock_stepped", "between", "processes", "ms", by/1e6)
 		k.shift(by)
 	}
@@ -64,8 +64,8 @@
 
 // Check tells what makes it unusable. now is the loop's time.
 func (k *Snapshot) Check(now int64) error {
-	if len(k.Hosts) > mostHosts || len(k.Suspended) > mostHosts || len(k.KnownHosts) > 2*mostHosts {
-		return fmt.Errorf("%d hosts, %d out, %d known: more than %d", len(k.Hosts), len(k.Suspended), len(k.KnownHosts), mostHosts)
+	if len(k.Hosts) > maxHosts || len(k.Suspended) > maxHosts || len(k.KnownHosts) > 2*maxHosts {
+		return fmt.Errorf("%d hosts, %d out, %d known: more than %d", len(k.Hosts), len(k.Suspended), len(k.KnownHosts), maxHosts)
 	}
 	ids := k.KnownHosts
 	for _, b := range k.Suspended {
@@ -75,12 +75,12 @@
 		}
 	}
 	for _, id := range ids {
-		if id == "" || len(id) > longestID {
+		if id == "" || len(id) > maxIDLength {
 			return fmt.Errorf("an id of %d bytes", len(id))
 		}
 	}
 	for _, e := range k.Hosts {
-		if e.ID == "" || len(e.ID) > longestID || len(e.Address) > longestID || e.State < balancer.Ready || e.State > balancer.Removed ||
+		if e.ID == "" || len(e.ID) > maxIDLength || len(e.Address) > maxIDLength || e.State < balancer.Ready || e.State > balancer.Removed ||
 			math.IsNaN(e.Weight) || e.Weight < 0 || e.StartedAt < 0 {
 			return fmt.Errorf("host %.40q: not as a list has it", e.ID)
 		}
@@ -100,20 +100,20 @@
 
 // RestoreBalancer has the module take over what the other process's knew. It comes after Run.
 func (c *Core) RestoreBalancer(m balancer.Snapshot) {
-	c.tell(nil, c.main, func(now balancer.Time, d Balancer) { d.Restore(now, m) })
+	c.notify(nil, c.main, func(now balancer.Time, d Balancer) { d.Restore(now, m) })
 }
 
 // Snapshot is what the next process is to know. With yield, this one gives up its cold budgets.
 func (c *Core) Snapshot(yield bool) *Snapshot {
-	k := &Snapshot{At: c.loop.Now(), Suspended: c.suspended.All(), KnownHosts: c.suspended.IDs(), Balancer: c.main.module.Snapshot(yield)}
+	k := &Snapshot{At: c.loop.Now(), Suspended: c.suspended.All(), KnownHosts: c.suspended.IDs(), Balancer: c.main.balancer.Snapshot(yield)}
 	for _, p := range c.pools {
 		if p != c.main {
-			k.Balancer.Servers = append(k.Balancer.Servers, p.module.Snapshot(yield).Servers...)
+			k.Balancer.Servers = append(k.Balancer.Servers, p.balancer.Snapshot(yield).Servers...)
 		}
 	}
 	for id, h := range c.hosts {
 		if h.listed.State != balancer.Removed {
-			k.Hosts = append(k.Hosts, HostEntry{ListedHost: h.listed, Address: h.endpoint})
+			k.Hosts = append(k.Hosts, HostEntry{ListedHost: h.listed, Address: h.address})
 			k.Hosts[len(k.Hosts)-1].ID = id
 		}
 	}
@@ -134,15 +134,15 @@
 }
 
 // SetSuccessor names who keeps what must outlive this process.
-func (c *Core) SetSuccessor(k Successor) { c.keeper = k }
+func (c *Core) SetSuccessor(k Successor) { c.successor = k }
 
 // HostSuspendedElsewhere takes an operator's word that another process of this proxy was told.
 func (c *Core) HostSuspendedElsewhere(id string, out bool) {
-	c.setByHand(id, out)
+	c.applySuspension(id, out)
 }
 
 // SetHandedOver says that another process of this proxy takes what comes from now on, or, with false, that it is gone.
-func (c *Core) SetHandedOver(over bool) { c.handed = over }
+func (c *Core) SetHandedOver(over bool) { c.handedOver = over }
 
 // SetSessionsElsewhere says how many downstreams another process of this proxy holds: they share the descriptors.
-func (c *Core) SetSessionsElsewhere(n int) { c.elsewhere = n }
+func (c *Core) SetSessionsElsewhere(n int) { c.sessionsElsewhere = n }
--- a/internal/dataplane/proxy/leave_test.go
+++ b/internal/dataplane/proxy/leave_test.go
@@ -103,12 +103,12 @@
 		kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 		for _, handed := range []bool{false, true} {
 			s := newSchedule(int64(deadline), handed)
-			if s.moveFrom < 0 || s.moveFrom >= s.moveBy || s.moveBy > s.answerBy || s.answerBy >= s.exitBy ||
-				s.exitBy > int64(kill-2*holdUp) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueAfter) {
+			if s.migrateFrom < 0 || s.migrateFrom >= s.migrateBy || s.migrateBy > s.answerBy || s.answerBy >= s.exitBy ||
+				s.exitBy > int64(kill-2*maxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
 				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handed, s, kill)
 			}
 			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
-				if due := s.due(100, passed); due < before || passed >= s.moveBy && due != 100 {
+				if due := s.due(100, passed); due < before || passed >= s.migrateBy && due != 100 {
 					t.Fatalf("%v: %d due after %v, %d before", deadline, due, time.Duration(passed), before)
 				} else {
 					before = due
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -20,26 +20,26 @@
 	if !known || !shares && len(c.tenants) > 0 || c.requests[o.ID] != nil {
 		// Without a class there is no deadline and no rule to serve it by; an id that is in use belongs to another's
 		// request; and what the settings do not name, no host can read either.
-		c.ended(o.Class, metrics.InvalidRequest)
+		c.countEnd(o.Class, metrics.InvalidRequest)
 		c.InvalidRequest(fmt.Errorf("class %q known=%t tenant %q known=%t", o.Class, known, o.Tenant, shares))
 		d.Fail()
 		return nil
 	}
-	if c.leaving {
+	if c.shuttingDown {
 		c.counts.Rejected++
-		c.figures.Ended(class, metrics.ShuttingDown)
+		c.metrics.Ended(class, metrics.ShuttingDown)
 		d.Reject(c.RetryAdvice())
 		return nil
 	}
-	verdict := c.ruled(o.Tenant, o.Class, &q)
+	verdict := c.judge(o.Tenant, o.Class, &q)
 	var in *pool
 	if o.PinnedHost == "" {
-		if in = c.choose(verdict.Pools); in == nil && !verdict.Refused {
+		if in = c.choosePool(verdict.Pools); in == nil && !verdict.Refused {
 			verdict.Refused, verdict.Advice = true, c.RetryAdvice() // no pool that it may use has a host that it may use
 		}
 		if verdict.Refused {
 			c.counts.Rejected++
-			c.figures.Ended(class, metrics.Rejected)
+			c.metrics.Ended(class, metrics.Rejected)
 			d.Reject(verdict.Advice)
 			return nil
 		}
@@ -53,8 +53,8 @@
 		wait = longest // no client waits longer, whatever it writes, and none may be kept for days
 	}
 	now := c.loop.Now()
-	r := &Request{core: c, down: d, first: first, ask: q, pool: in, tenant: o.Tenant, deadline: now + int64(wait)}
-	r.rec = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, Attempts: c.opt.Settings.MaxAttempts}
+	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: now + int64(wait)}
+	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, Attempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
 	if o.PinnedHost != "" {
 		r.adopt(o.PinnedHost)
@@ -65,9 +65,9 @@
 			"ms", wait.Milliseconds())
 	}
 	// The module answers by the deadline. Should it not, the client gets its answer all the same.
-	r.overdue = c.loop.After(wait+overdueAfter, r.abandon)
-	c.allowed(r, verdict.Account, func() {
-		c.tell(r, in, func(now balancer.Time, m Balancer) {
+	r.overdueTimer = c.loop.After(wait+overdueGrace, r.failUnresponsive)
+	c.acquireQuota(r, verdict.Account, func() {
+		c.notify(r, in, func(now balancer.Time, m Balancer) {
 			if r.answered {
 				return
 			}
--- a/internal/dataplane/proxy/paced_test.go
+++ b/internal/dataplane/proxy/paced_test.go
@@ -25,7 +25,7 @@
 	sent, gone := 0, 0
 	send := func() bool { sent++; return true }
 	late := func() bool { gone++; return false }
-	c.paced(send)
+	c.migratePaced(send)
 	if sent != 1 {
 		t.Fatal("without a pace a client waits")
 	}
@@ -33,7 +33,7 @@
 	c.SetPacer(p)
 	sent = 0
 	for _, f := range []func() bool{send, late, send, send} {
-		c.paced(f)
+		c.migratePaced(f)
 	}
 	if sent != 0 || len(p.wants) != 1 {
 		t.Fatalf("%d left before a permit, %d questions", sent, len(p.wants))
@@ -42,17 +42,17 @@
 	if sent != 2 || gone != 1 {
 		t.Errorf("with two permits %d left, %d were gone", sent, gone)
 	}
-	c.leaving = true
-	c.paced(send)
+	c.shuttingDown = true
+	c.migratePaced(send)
 	if sent != 3 {
 		t.Error("at the process's end a client waits for a permit")
 	}
-	c.leaving = false
-	for range mostPaced + 10 {
-		c.paced(send)
+	c.shuttingDown = false
+	for range maxPendingMigrations + 10 {
+		c.migratePaced(send)
 	}
-	if len(c.pacedMoves) > mostPaced {
-		t.Errorf("%d wait", len(c.pacedMoves))
+	if len(c.pendingMigrations) > maxPendingMigrations {
+		t.Errorf("%d wait", len(c.pendingMigrations))
 	}
 }
 
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -12,16 +12,16 @@
 // pool is a part of the hosts with an instance of the decision module of its own, which knows of these hosts alone. Without rules that split
 // the hosts there is one, main.
 type pool struct {
-	name   string
-	module Balancer
-	over   bool // no version names it any more, and nothing is left in it
+	name     string
+	balancer Balancer
+	removed  bool // no version names it any more, and nothing is left in it
 }
 
 // newPool makes a pool's instance of the module.
 func (c *Core) newPool(name string) (*pool, error) {
 	p := &pool{name: name}
 	var err error
-	if p.module, err = c.make(&effects{c, p}); err != nil {
+	if p.balancer, err = c.newBalancer(&effects{c, p}); err != nil {
 		return nil, err
 	}
 	c.pools[name] = p
@@ -45,12 +45,12 @@
 	return p
 }
 
-// tell has a pool's instance of the module take an event; what belongs to no pool is nobody's.
-func (c *Core) tell(about *Request, p *pool, f func(now balancer.Time, m Balancer)) {
-	if p == nil || p.over {
+// notify has a pool's instance of the module take an event; what belongs to no pool is nobody's.
+func (c *Core) notify(about *Request, p *pool, f func(now balancer.Time, m Balancer)) {
+	if p == nil || p.removed {
 		return
 	}
-	c.decide(about, func(now balancer.Time) { f(now, p.module) })
+	c.decide(about, func(now balancer.Time) { f(now, p.balancer) })
 }
 
 // poolOf is the pool that a host is in by the rules that hold here now.
@@ -61,8 +61,8 @@
 	return c.pool(c.enforcer.Pool(h.id, h.listed.Kind, h.zone))
 }
 
-// choose gives the first of some pools that has a host that may be used; nil: none has.
-func (c *Core) choose(names []string) *pool {
+// choosePool gives the first of some pools that has a host that may be used; nil: none has.
+func (c *Core) choosePool(names []string) *pool {
 	if names == nil {
 		return c.main
 	}
@@ -78,7 +78,7 @@
 
 // ReassignPools puts each host into the pool that it is in by the rules that hold now.
 func (c *Core) ReassignPools() {
-	c.holdAll()
+	c.countExistingConnections()
 	used := map[string]bool{namespace.Main: true}
 	moved := 0
 	for _, h := range c.hosts {
@@ -87,7 +87,7 @@
 			used[to.name] = true
 		}
 		if h.pool != to {
-			c.transfer(h, to)
+			c.transferHost(h, to)
 			moved++
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	for name, p := range c.pools {
 		if !used[name] {
-			p.over = true
+			p.removed = true
 			delete(c.pools, name)
 			slog.Info("pool_removed", "pool", name)
 		}
@@ -108,84 +108,84 @@
 	}
 }
 
-// transfer takes a host from one pool to another with its standing connections and what is known of it: quarantine and cold budget go along, since
+// transferHost takes a host from one pool to another with its standing connections and what is known of it: quarantine and cold budget go along, since
 // the host is as it was. What has not reached it yet goes elsewhere.
-func (c *Core) transfer(h *host, to *pool) {
+func (c *Core) transferHost(h *host, to *pool) {
 	from := h.pool
 	h.pool = to
-	away := h.entry()
+	away := h.effectiveEntry()
 	away.State = balancer.Removed
 	if from != nil {
-		m := from.module.Snapshot(false)
-		h.known = nil
+		m := from.balancer.Snapshot(false)
+		h.lastSnapshot = nil
 		for _, s := range m.Servers {
 			if s.ID == h.id {
-				h.known = &s
+				h.lastSnapshot = &s
 			}
 		}
-		c.tell(nil, from, func(now balancer.Time, m Balancer) {
+		c.notify(nil, from, func(now balancer.Time, m Balancer) {
 			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{away})
 		})
 	}
 	if to != nil {
-		here := h.entry()
-		known := h.known
-		c.tell(nil, to, func(now balancer.Time, m Balancer) {
+		here := h.effectiveEntry()
+		known := h.lastSnapshot
+		c.notify(nil, to, func(now balancer.Time, m Balancer) {
 			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{here})
 			if known != nil {
 				m.Restore(now, balancer.Snapshot{Servers: []balancer.HostSnapshot{*known}})
 			}
 		})
 	}
-	for a := range h.trying {
-		if a.unsent() && !a.req.adopted && a.req.pool == from {
+	for a := range h.pending {
+		if a.lineUnsent() && !a.request.adopted && a.request.pool == from {
 			a.finish(balancer.Full, netio.Dropped)
 		}
 	}
-	for r := range h.up {
-		c.follow(r)
+	for r := range h.established {
+		c.followHost(r)
 	}
 }
 
-// follow has an open connection counted where its host is now.
-func (c *Core) follow(r *Request) {
-	a, from := r.out, r.pool
-	if a == nil || !a.up || a.host.pool == from {
+// followHost has an open connection counted where its host is now.
+func (c *Core) followHost(r *Request) {
+	a, from := r.attempt, r.pool
+	if a == nil || !a.established || a.host.pool == from {
 		return
 	}
 	to := a.host.pool
-	number, elapsed := a.number, c.loop.Now()-a.sentAt
-	r.pool, r.base, a.number = to, r.attempts-1, 0
-	c.tell(nil, from, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, r.ask.ID, number, balancer.Cancelled, elapsed, true, nil)
+	number, elapsed := a.number, c.loop.Now()-a.startedAt
+	r.pool, r.attemptsInEarlierPools, a.number = to, r.attempts-1, 0
+	c.notify(nil, from, func(now balancer.Time, m Balancer) {
+		m.AttemptEnded(now, r.attributes.ID, number, balancer.Cancelled, elapsed, true, nil)
 	})
-	c.tell(nil, to, func(now balancer.Time, m Balancer) {
-		m.ConnectionAdopted(now, r.ask, a.host.id)
+	c.notify(nil, to, func(now balancer.Time, m Balancer) {
+		m.ConnectionAdopted(now, r.attributes, a.host.id)
 		if a.load > 0 {
-			m.Observe(now, r.ask.ID, 0, balancer.ObservedLoad, a.load)
+			m.Observe(now, r.attributes.ID, 0, balancer.ObservedLoad, a.load)
 		}
 	})
 }
 
-// replace has a request placed anew in another pool: the rules have changed since it came. One that may have run already, and must not run twice,
+// placeInPool has a request placed anew in another pool: the rules have changed since it came. One that may have run already, and must not run twice,
 // fails, since the other instance of the module knows nothing of that.
-func (c *Core) replace(r *Request, number int, to *pool) {
+func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	from := r.pool
-	c.tell(r, from, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, r.ask.ID, number, balancer.TooLate, 0, true, nil)
+	c.notify(r, from, func(now balancer.Time, m Balancer) {
+		m.AttemptEnded(now, r.attributes.ID, number, balancer.TooLate, 0, true, nil)
 	})
 	if to == nil {
-		r.decline(c.RetryAdvice())
+		r.rejectOrFail(c.RetryAdvice())
 		return
 	}
-	if !r.rec.MayPlaceAnew() {
+	if !r.record.MayPlaceAnew() {
 		r.fail(metrics.Failed)
 		return
 	}
-	r.pool, r.base = to, r.attempts
-	c.tell(r, to, func(now balancer.Time, m Balancer) {
+	r.pool, r.attemptsInEarlierPools = to, r.attempts
+	c.notify(r, to, func(now balancer.Time, m Balancer) {
 		if !r.answered {
-			q := r.ask
+			q := r.attributes
 			q.Remaining = r.deadline - now
 			m.RequestArrived(now, q)
 		}
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -28,7 +28,7 @@
 
 // Start is where the checks are: an attempt goes to a host of its tenant's pool alone.
 func (w *poolWorld) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
-	id := ev.(*upstreamRequest).req.ask.ID
+	id := ev.(*upstreamRequest).request.attributes.ID
 	w.starts[id]++
 	if got, want := w.owner[to.ID], w.pools[w.tenant[id]]; got != want {
 		w.t.Fatalf("%s of tenant %s goes to %s of pool %q, expected one of %q", id, w.tenant[id], to.ID, got, want)
@@ -110,7 +110,7 @@
 				}
 				u := w.ups[rapid.IntRange(max(0, len(w.ups)-2), len(w.ups)-1).Draw(t, "attempt")]
 				a := u.ev.(*upstreamRequest)
-				before := w.starts[a.req.ask.ID]
+				before := w.starts[a.request.attributes.ID]
 				u.sent()
 				switch rapid.IntRange(0, 2).Draw(t, "end") {
 				case 0:
@@ -119,8 +119,8 @@
 					u.ev.FromUpstream(Message{Kind: Accepted})
 				case 2:
 					u.ev.UpstreamEnded(&netio.Error{Stage: netio.Sent}) // it may have run, and must not run twice
-					if !a.up && w.starts[a.req.ask.ID] > before {
-						t.Fatalf("%s may have run and is tried again", a.req.ask.ID)
+					if !a.established && w.starts[a.request.attributes.ID] > before {
+						t.Fatalf("%s may have run and is tried again", a.request.attributes.ID)
 					}
 				}
 			}
@@ -128,7 +128,7 @@
 		}
 		w.core.ReassignPools()
 		for id, r := range w.core.requests {
-			if a := r.out; a != nil && a.up {
+			if a := r.attempt; a != nil && a.established {
 				stood++
 				if r.pool != a.host.pool || a.host.pool.name != w.owner[a.host.id] {
 					t.Fatalf("%s stands at %s of %q and is known to %v", id, a.host.id, w.owner[a.host.id], r.pool)
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -85,11 +85,11 @@
 		r := w.open("q")
 		w.seen = nil
 		if c.ran {
-			r.rec.Began(w.now, invariant.Host{})
-			r.rec.Wrote(w.now, w.now, invariant.Host{})
-			r.rec.Ended(false)
+			r.record.Began(w.now, invariant.Host{})
+			r.record.Wrote(w.now, w.now, invariant.Host{})
+			r.record.Ended(false)
 		}
-		r.decline(0)
+		r.rejectOrFail(0)
 		w.expect(c.want)
 	}
 }
--- a/internal/dataplane/proxy/rules.go
+++ b/internal/dataplane/proxy/rules.go
@@ -15,8 +15,8 @@
 	c.ReassignPools()
 }
 
-// ruled says what the fleet's rules make of a request, and logs by which version it was decided.
-func (c *Core) ruled(tenant, class string, q *balancer.Request) (v rules.Verdict) {
+// judge says what the fleet's rules make of a request, and logs by which version it was decided.
+func (c *Core) judge(tenant, class string, q *balancer.Request) (v rules.Verdict) {
 	if c.enforcer == nil {
 		return v
 	}
@@ -29,31 +29,31 @@
 		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "refused", v.Refused,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
-	v.Advice = c.advice(v.Advice)
+	v.Advice = c.boundedRetryAfter(v.Advice)
 	return v
 }
 
 // What the second look at the rules finds.
 const (
-	stillRight = iota
-	refusedNow // the request gets no placement any more
-	elsewhere  // it is another pool's
-	passed     // this host gets nothing new, or is another pool's
+	rulesUnchanged = iota
+	rulesReject    // the request gets no placement any more
+	rulesOtherPool // it is another pool's
+	rulesOtherHost // this host gets nothing new, or is another pool's
 )
 
-// again is the second look, right before an attempt: the process may have slept since the first one, and rules may have changed.
-func (c *Core) again(r *Request, h *host) (v rules.Verdict, how int) {
+// recheckRules is the second look, right before an attempt: the process may have slept since the first one, and rules may have changed.
+func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, how int) {
 	if c.enforcer == nil || r.adopted {
-		return v, stillRight
+		return v, rulesUnchanged
 	}
-	v = c.ruled(r.tenant, c.opt.Settings.Classes[r.ask.Class].Name, &r.ask)
+	v = c.judge(r.tenant, c.opt.Settings.Classes[r.attributes.Class].Name, &r.attributes)
 	switch {
 	case v.Refused:
-		return v, refusedNow
+		return v, rulesReject
 	case v.Pools != nil && !slices.Contains(v.Pools, r.pool.name), v.Pools == nil && r.pool != c.main:
-		return v, elsewhere
+		return v, rulesOtherPool
 	case !c.enforcer.Usable(h.id), c.enforcer.Pool(h.id, h.listed.Kind, h.zone) != r.pool.name:
-		return v, passed
+		return v, rulesOtherHost
 	}
-	return v, stillRight
+	return v, rulesUnchanged
 }
--- a/internal/dataplane/proxy/sessions_test.go
+++ b/internal/dataplane/proxy/sessions_test.go
@@ -83,7 +83,7 @@
 	h := w.core.hosts["A"]
 	tell := func(loaded float64, x ...float64) {
 		for _, x := range x {
-			h.loaded, h.loadedAt = loaded, w.now
+			h.checkedLoad, h.checkedAt = loaded, w.now
 			u.ev.FromUpstream(Message{Kind: LoadReported, Load: x})
 			w.pass(time.Second)
 		}
--- a/internal/dataplane/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -27,51 +27,51 @@
 	Release(done func(netio.Parts))
 }
 
-// handOne begins to hand an open connection over; one that can't be is moved.
-func (c *Core) handOne(r *Request) {
-	a := r.out
-	down, ok := r.down.(Releaser)
+// handOver begins to hand an open connection over; one that can't be is moved.
+func (c *Core) handOver(r *Request) {
+	a := r.attempt
+	down, ok := r.downstream.(Releaser)
 	up, ok2 := a.conn.(Releaser)
 	if !ok || !ok2 {
-		r.move(balancer.Cancelled)
+		r.migrate(balancer.Cancelled)
 		return
 	}
-	s := &HandedOverConnection{Request: r.ask, Class: c.opt.Settings.Classes[r.ask.Class].Name, Host: a.host.id, Load: a.load, UnansweredSince: a.waiting,
-		LastKind: a.last}
-	if r.ask.Tenant >= 0 {
-		s.Tenant = c.opt.Settings.Tenants[r.ask.Tenant].Name
+	s := &HandedOverConnection{Request: r.attributes, Class: c.opt.Settings.Classes[r.attributes.Class].Name, Host: a.host.id, Load: a.load, UnansweredSince: a.unansweredSince,
+		LastKind: a.finalKind}
+	if r.attributes.Tenant >= 0 {
+		s.Tenant = c.opt.Settings.Tenants[r.attributes.Tenant].Name
 	}
 	// From here on nothing more is passed; a connection that ends meanwhile gives no parts.
 	a.detach()
-	c.handing++
+	c.handoversInFlight++
 	up.Release(func(p netio.Parts) {
 		s.Up = p
 		down.Release(func(p netio.Parts) {
 			s.Down = p
-			r.rec.Released()
-			gone := func() { c.handing-- }
+			r.record.Released()
+			gone := func() { c.handoversInFlight-- }
 			if s.Up.FD < 0 || s.Down.FD < 0 {
 				// One of the two has ended, which ends the other; a client that is left is moved.
 				a.conn.End(netio.Ended)
 				if s.Down.FD < 0 {
-					r.down.Migrate()
+					r.downstream.Migrate()
 				}
 				s.Up.Discard(nil)
-				s.Down.Discard(r.down.MigrationLine())
+				s.Down.Discard(r.downstream.MigrationLine())
 				gone()
 			} else {
 				c.counts.HandedOver++
-				c.keeper.HandOver(s, r.down.MigrationLine(), gone)
+				c.successor.HandOver(s, r.downstream.MigrationLine(), gone)
 			}
-			a.outcome(balancer.Cancelled)
+			a.notifyEnded(balancer.Cancelled)
 		})
 	})
 }
 
-// sinceResumed is when a line went up, by this process's time: the other one's clock may be another. What lies further back than a silent host is
+// rebaseUnanswered is when a line went up, by this process's time: the other one's clock may be another. What lies further back than a silent host is
 // suffered for comes from a clock that was set in between.
-func sinceResumed(t, now int64) int64 {
-	if t > now || t < now-int64(silentAfter) {
+func rebaseUnanswered(t, now int64) int64 {
+	if t > now || t < now-int64(hostSilenceTimeout) {
 		return now
 	}
 	return t
@@ -96,29 +96,29 @@
 		slog.Warn("resumed_unknown_class", "class", s.Class)
 	}
 	q.Class = class
-	r := &Request{core: c, down: down, ask: q, pool: h.pool, answered: true, attempts: 1}
-	a := &upstreamRequest{req: r, host: h, conn: up, sentAt: c.loop.Now(), up: true, last: s.LastKind}
+	r := &Request{core: c, downstream: down, attributes: q, pool: h.pool, answered: true, attempts: 1}
+	a := &upstreamRequest{request: r, host: h, conn: up, startedAt: c.loop.Now(), established: true, finalKind: s.LastKind}
 	if s.Load > 0 && !math.IsInf(s.Load, 0) {
 		a.load = s.Load
 	}
-	for _, t := range s.UnansweredSince[:min(len(s.UnansweredSince), maxWaiting)] {
-		a.waiting = append(a.waiting, sinceResumed(t, c.loop.Now()))
+	for _, t := range s.UnansweredSince[:min(len(s.UnansweredSince), maxUnansweredLines)] {
+		a.unansweredSince = append(a.unansweredSince, rebaseUnanswered(t, c.loop.Now()))
 	}
-	r.rec = invariant.Request{Monitor: c.monitor, ID: q.ID, Class: r.class()}
-	r.rec.TakenOver()
-	r.out = a
-	h.up[r] = struct{}{}
+	r.record = invariant.Request{Monitor: c.monitor, ID: q.ID, Class: r.class()}
+	r.record.TakenOver()
+	r.attempt = a
+	h.established[r] = struct{}{}
 	c.requests[q.ID] = r
 	c.sessions++
 	c.counts.Resumed++
-	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
+	c.notify(nil, r.pool, func(now balancer.Time, m Balancer) {
 		m.ConnectionAdopted(now, q, s.Host)
 		if a.load > 0 {
 			m.Observe(now, q.ID, 0, balancer.ObservedLoad, a.load)
 		}
 	})
 	if c.suspended.Suspended(h.id) {
-		c.leaveHost(h, r)
+		c.migrateOffHost(h, r)
 	}
 	return r, a
 }
--- a/internal/dataplane/proxy/world_test.go
+++ b/internal/dataplane/proxy/world_test.go
@@ -98,7 +98,7 @@
 // sent has the host's machine take the last byte of the first line.
 func (u *fakeUp) sent() {
 	a, attempt := u.ev.(*upstreamRequest)
-	fresh := attempt && a.req.out == a && u.stage < netio.Sent
+	fresh := attempt && a.request.attempt == a && u.stage < netio.Sent
 	u.stage = netio.Sent
 	if fresh {
 		u.ev.UpstreamSent()
