--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -11,11 +11,11 @@
 // given is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
 func given(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
 	h := Host{Zone: "a", Cell: 1}
-	r.Began(1*second, h)
-	r.Wrote(1*second+1, 1*second, h)
-	r.Ended(false)
+	r.AttemptBegan(1*second, h)
+	r.LineWritten(1*second+1, 1*second, h)
+	r.AttemptEnded(false)
 	return r, m
 }
 
@@ -40,10 +40,10 @@
 		{balancer.IdempotentWithKey, balancer.ScopeCell, 2 * second, far, RetryWithinScope},
 	} {
 		r, m := given(c.effect, c.scope)
-		if got := r.Begin(c.at, c.to); got != c.want {
+		if got := r.CheckAttempt(c.at, c.to); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
-		r.Began(c.at+int64(MaxSuspension), c.to)
+		r.AttemptBegan(c.at+int64(MaxSuspension), c.to)
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
 		}
@@ -57,15 +57,18 @@
 func TestBrokenRulesAreCounted(t *testing.T) {
 	h := Host{Zone: "a", Cell: 1}
 	for rule, f := range map[Rule]func(r *Request){
-		RequestOver:          func(r *Request) { r.ClientLeft(); r.Began(2*second, h) },
-		SingleAttempt:        func(r *Request) { r.Began(2*second, h); r.Began(2*second, h) },
-		AttemptLimit:         func(r *Request) { r.Attempts = 1; r.Began(2*second, h) },
+		RequestOver:          func(r *Request) { r.ClientLeft(); r.AttemptBegan(2*second, h) },
+		SingleAttempt:        func(r *Request) { r.AttemptBegan(2*second, h); r.AttemptBegan(2*second, h) },
+		AttemptLimit:         func(r *Request) { r.MaxAttempts = 1; r.AttemptBegan(2*second, h) },
 		RejectionIsSafe:      func(r *Request) { r.Class.Idempotency = balancer.NotIdempotent; r.Rejected(2 * second) },
 		SingleAnswer:         func(r *Request) { r.Accepted(2 * second); r.Failed(2 * second) },
 		AnswerInTime:         func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
 		NoSilentEnd:          func(r *Request) { r.Accepted(2 * second); r.Dropped() },
-		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.Began(2*second, h) },
-		HostAcceptsNew:       func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: balancer.Draining}) },
+		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.AttemptBegan(2*second, h) },
+		HostAcceptsNew: func(r *Request) {
+			r.AttemptBegan(2*second, h)
+			r.LineWritten(2*second, 2*second, Host{State: balancer.Draining})
+		},
 	} {
 		r, m := given(balancer.Idempotent, balancer.ScopeAll)
 		f(r)
@@ -84,17 +87,17 @@
 // An attempt that surely has not run leaves a request as it was, and one that is written may run while it is out.
 func TestWhatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, Attempts: 3}
-	r.Began(1, Host{})
+	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, MaxAttempts: 3}
+	r.AttemptBegan(1, Host{})
 	if r.MayHaveRun() {
 		t.Error("it runs before it is written")
 	}
-	r.Wrote(2, 1, Host{})
+	r.LineWritten(2, 1, Host{})
 	if !r.MayHaveRun() || r.MayReject() {
 		t.Error("it can't run though it is written")
 	}
-	r.Ended(true)
-	if r.MayHaveRun() || !r.MayReject() || r.Begin(3, Host{}) != None {
+	r.AttemptEnded(true)
+	if r.MayHaveRun() || !r.MayReject() || r.CheckAttempt(3, Host{}) != None {
 		t.Error("it has run though its host says that it has not")
 	}
 }
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -1,83 +1,92 @@
 package invariant
 
-// Began notes that an attempt goes out.
-func (r *Request) Began(now int64, h Host) {
-	switch {
-	case r.out:
-		r.Monitor.broke(SingleAttempt, r.ID)
-	case r.begun >= r.Attempts:
-		r.Monitor.broke(AttemptLimit, r.ID)
-	default:
-		r.Monitor.broke(r.begin(now-int64(MaxSuspension), h), r.ID)
+// AttemptBegan records that an attempt at a host goes out.
+func (r *Request) AttemptBegan(now int64, h Host) {
+	rule := r.checkAttemptLimit()
+	if r.attemptInFlight {
+		rule = SingleAttempt
 	}
-	r.begun++
-	r.out, r.written = true, false
+	if rule == None {
+		rule = r.checkSend(now-int64(MaxSuspension), h)
+	}
+	r.Monitor.countBroken(rule, r.ID)
+	r.attemptsBegun++
+	r.attemptInFlight, r.lineWritten = true, false
 }
 
-// Wrote notes that the last byte of its line is written: from here on its host may act on it. begun is when the attempt began, from which
-// hosts reckon how long they discard repeats; h is its host as it is now.
-func (r *Request) Wrote(now, begun int64, h Host) {
-	if !r.out || r.written {
-		r.Monitor.broke(SingleAttempt, r.ID)
+// LineWritten records that the last byte of the attempt's first line is written: from here on its host may act on it. begun is when
+// the attempt began; h is its host as it is now.
+func (r *Request) LineWritten(now, begun int64, h Host) {
+	if !r.attemptInFlight || r.lineWritten {
+		r.Monitor.countBroken(SingleAttempt, r.ID)
 	}
-	r.Monitor.broke(r.begin(now-int64(MaxSuspension), h), r.ID)
-	r.written = true
-	if r.ranAt == 0 {
-		r.ranAt, r.ranIn = begun, h
+	r.Monitor.countBroken(r.checkSend(now-int64(MaxSuspension), h), r.ID)
+	r.lineWritten = true
+	if r.firstRunAt == 0 {
+		r.firstRunAt, r.firstRunHost = begun, h
 	}
 }
 
-// Ended notes that the attempt is over, and whether its host says that it has not run. One that was not written has not in any case.
-func (r *Request) Ended(notRun bool) {
-	r.out = false
-	if r.written && !notRun {
-		r.mayRun = true
+// AttemptEnded records the end of the attempt, and whether its host says that it has not run. One whose line was not written has not
+// in any case.
+func (r *Request) AttemptEnded(notRun bool) {
+	r.attemptInFlight = false
+	if r.lineWritten && !notRun {
+		r.mayHaveRun = true
 	}
-	if !r.mayRun {
-		r.ranAt = 0
+	if !r.mayHaveRun {
+		r.firstRunAt = 0
 	}
 }
 
-// TakenOver notes that another process of this proxy had it answered, and hands its open connection over.
-func (r *Request) TakenOver() { r.answered, r.served = true, true }
+// TakenOver records that another process of this proxy answered it, and hands its open connection over.
+func (r *Request) TakenOver() { r.client = established }
 
-// Accepted notes that the client has its host's acceptance.
+// Accepted records that the client has its host's acceptance.
 func (r *Request) Accepted(now int64) {
-	r.answer(now)
-	r.served = true
+	r.recordAnswer(now)
+	if r.client != clientLeft {
+		r.client = established
+	}
 }
 
-// Failed notes that the client was told that the request failed.
-func (r *Request) Failed(now int64) { r.answer(now) }
+// Failed records the answer that promises nothing.
+func (r *Request) Failed(now int64) { r.recordAnswer(now) }
 
-// Rejected notes that the client was told to try again.
+// Rejected records the answer that invites the client to retry.
 func (r *Request) Rejected(now int64) {
 	if !r.MayReject() {
-		r.Monitor.broke(RejectionIsSafe, r.ID)
+		r.Monitor.countBroken(RejectionIsSafe, r.ID)
 	}
-	r.answer(now)
+	r.recordAnswer(now)
 }
 
-func (r *Request) answer(now int64) {
-	switch {
-	case r.answered || r.left:
-		r.Monitor.broke(SingleAnswer, r.ID)
-	case now > r.Deadline+answerSlack:
-		r.Monitor.broke(AnswerInTime, r.ID)
+func (r *Request) recordAnswer(now int64) {
+	if r.client != awaitingAnswer {
+		r.Monitor.countBroken(SingleAnswer, r.ID)
+		return
+	}
+	if now > r.Deadline+answerSlack {
+		r.Monitor.countBroken(AnswerInTime, r.ID)
 	}
-	r.answered = true
+	r.client = answered
 }
 
-// ClientLeft notes that its client has ended the connection.
-func (r *Request) ClientLeft() { r.left, r.served = true, false }
+// ClientLeft records that the client has ended the connection.
+func (r *Request) ClientLeft() { r.client = clientLeft }
 
-// Released notes that its open connection was moved, or passed on its host's own end.
-func (r *Request) Released() { r.served = false }
+// Released records that the open connection was migrated, handed over, or passed its host's own end on.
+func (r *Request) Released() {
+	if r.client == established {
+		r.client = answered
+	}
+}
 
-// Dropped notes that this side ended its client's connection: it must have had its answer, and a word if it was open.
+// Dropped records that this side ended the client's connection. The client must have had its answer, and a line about the end if the
+// connection was open.
 func (r *Request) Dropped() {
-	if !r.left && (!r.answered || r.served) {
-		r.Monitor.broke(NoSilentEnd, r.ID)
+	if r.client == awaitingAnswer || r.client == established {
+		r.Monitor.countBroken(NoSilentEnd, r.ID)
 	}
 	r.ClientLeft()
 }
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -54,7 +54,7 @@
 	}
 	now := c.loop.Now()
 	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: now + int64(wait)}
-	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, Attempts: c.opt.Settings.MaxAttempts}
+	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
 	if o.PinnedHost != "" {
 		r.adopt(o.PinnedHost)
--- a/internal/dataplane/proxy/repeat.go
+++ b/internal/dataplane/proxy/repeat.go
@@ -60,7 +60,7 @@
 	if a.request.attempt != a {
 		return false
 	}
-	if rule := a.request.record.Write(a.request.core.loop.Now(), a.host.invariantHost()); rule != invariant.None {
+	if rule := a.request.record.CheckWrite(a.request.core.loop.Now(), a.host.invariantHost()); rule != invariant.None {
 		a.finish(a.request.attemptBlocked(rule, a.host), netio.Ended)
 		return false
 	}
--- a/internal/dataplane/proxy/repeat_test.go
+++ b/internal/dataplane/proxy/repeat_test.go
@@ -85,9 +85,9 @@
 		r := w.open("q")
 		w.seen = nil
 		if c.ran {
-			r.record.Began(w.now, invariant.Host{})
-			r.record.Wrote(w.now, w.now, invariant.Host{})
-			r.record.Ended(false)
+			r.record.AttemptBegan(w.now, invariant.Host{})
+			r.record.LineWritten(w.now, w.now, invariant.Host{})
+			r.record.AttemptEnded(false)
 		}
 		r.rejectOrFail(0)
 		w.expect(c.want)
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -85,7 +85,7 @@
 		return
 	}
 	// The module knows the rules as well; this holds should it ever not.
-	if rule := r.record.Begin(now, h.invariantHost()); rule != invariant.None {
+	if rule := r.record.CheckAttempt(now, h.invariantHost()); rule != invariant.None {
 		status := r.attemptBlocked(rule, h)
 		c.notify(r, p, func(now balancer.Time, m Balancer) { m.AttemptEnded(now, id, number, status, 0, r.answered, nil) })
 		return
@@ -110,7 +110,7 @@
 	now := c.loop.Now()
 	a := &upstreamRequest{request: r, number: number, host: h, startedAt: now, deadline: until}
 	r.attempt = a
-	r.record.Began(now, h.invariantHost())
+	r.record.AttemptBegan(now, h.invariantHost())
 	h.pending[a] = struct{}{}
 	if tracing() {
 		slog.Debug("attempt_started", "request", r.attributes.ID, "number", number, "host", h.id, "left_ms", (r.deadline-now)/1e6)
@@ -139,8 +139,8 @@
 		return
 	}
 	r.adopted, r.pool = true, h.pool
-	r.record.Resumed, r.record.Attempts = true, math.MaxInt
-	if rule := r.record.Begin(c.loop.Now(), h.invariantHost()); rule != invariant.None {
+	r.record.Resumed, r.record.MaxAttempts = true, math.MaxInt
+	if rule := r.record.CheckAttempt(c.loop.Now(), h.invariantHost()); rule != invariant.None {
 		r.attemptBlocked(rule, h)
 		r.fail(metrics.Failed)
 		return
@@ -174,7 +174,7 @@
 func (a *upstreamRequest) notifyEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
-	r.record.Ended(status.ProvesNotRun())
+	r.record.AttemptEnded(status.ProvesNotRun())
 	if tracing() {
 		slog.Debug("attempt_ended", "request", r.attributes.ID, "number", a.number, "host", a.host.id, "status", status.String(),
 			"up", a.established, "ms", elapsed/1e6)
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -11,7 +11,7 @@
 // UpstreamSent says that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
 	a.request.core.metrics.Dispatched()
-	a.request.record.Wrote(a.request.core.loop.Now(), a.startedAt, a.host.invariantHost())
+	a.request.record.LineWritten(a.request.core.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
 // FromUpstream takes a message of the host's.
