--- a/internal/dataplane/proxy/allowed.go
+++ b/internal/dataplane/proxy/allowed.go
@@ -38,7 +38,7 @@
 			c.quota.Release(account) // its client has left meanwhile
 		default:
 			r.quotaAccount = account
-			c.guard(r, on)
+			guard(r, on)
 		}
 	})
 }
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -80,11 +80,7 @@
 	monitor             *invariant.Monitor
 	requests            map[string]*Request
 
-	// The module is single-threaded and its effects must not call it: they are kept in effects while it runs, and
-	// what they cause is kept in calls until they have all been carried out.
-	deciding bool
-	calls    []decisionEvent
-	effects  []func()
+	decisions decisionLoop
 
 	expiryPlanner *certexpiry.Planner // nil: connections are kept whatever ends
 	sessions      int
@@ -109,11 +105,6 @@
 	HealthChecks                                              int // probes sent
 }
 
-type decisionEvent struct {
-	about  *Request
-	handle func(now balancer.Time)
-}
-
 // host is an upstream host as this proxy knows it.
 type host struct {
 	id           string
@@ -135,6 +126,7 @@
 func New(l *netio.Loop, starter Connector, opt Options) *Core {
 	c := &Core{loop: l, connector: starter, opt: opt, classes: map[string]int{}, tenants: map[string]int{},
 		hosts: map[string]*host{}, requests: map[string]*Request{}, pools: map[string]*pool{}}
+	c.decisions.now = l.Now
 	names := make([]string, len(opt.Settings.Classes))
 	for i, k := range opt.Settings.Classes {
 		c.classes[k.Name], names[i] = i, k.Name
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -75,7 +75,7 @@
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("members 0 1", "end up dropped", "outcome q 0 2 false")
 	w.fx.StartAttempt("q", "A", 0) // the rule holds should the module err
-	w.core.decide(nil, func(int64) {})
+	w.core.decisions.submit(nil, func(int64) {})
 	w.expect("outcome q 1 2 false")
 }
 
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -7,30 +7,54 @@
 	"croftlock/internal/balancer"
 )
 
-// decide has the module take one event, then carries out what it did, in order, and then whatever that caused. about
-// is the request that is answered for should the module panic; it may be nil.
-func (c *Core) decide(about *Request, f func(now balancer.Time)) {
-	c.calls = append(c.calls, decisionEvent{about, f})
-	if c.deciding {
+// decisionLoop serialises the decision module. The module is single-threaded and must not be entered from inside itself, so its
+// effects are noted while it handles an event and are carried out, in order, once it has returned. Events that the effects cause wait
+// until all effects of the event before have been carried out.
+type decisionLoop struct {
+	now     func() balancer.Time
+	running bool
+	events  []decisionEvent
+	effects []func()
+}
+
+// decisionEvent is an event for the decision module.
+type decisionEvent struct {
+	about  *Request // answered should the module panic; nil: no request
+	handle func(now balancer.Time)
+}
+
+// submit has the module handle an event, then carries out its effects, then whatever these caused. Called while an event is handled,
+// it only queues.
+func (d *decisionLoop) submit(about *Request, handle func(now balancer.Time)) {
+	d.events = append(d.events, decisionEvent{about, handle})
+	if d.running {
 		return
 	}
-	c.deciding = true
-	defer func() { c.deciding = false }()
-	for len(c.calls) > 0 {
-		next := c.calls[0]
-		c.calls = c.calls[1:]
-		c.guard(next.about, func() { next.handle(c.loop.Now()) })
-		for len(c.effects) > 0 {
-			do := c.effects[0]
-			c.effects = c.effects[1:]
-			c.guard(next.about, do)
-		}
+	d.running = true
+	defer func() { d.running = false }()
+	for len(d.events) > 0 {
+		next := d.events[0]
+		d.events = d.events[1:]
+		guard(next.about, func() { next.handle(d.now()) })
+		d.carryOutEffects(next.about)
 	}
-	c.calls, c.effects = nil, nil
+	d.events, d.effects = nil, nil
 }
 
-// guard keeps a panic from reaching beyond the request it happened for, which still gets its one answer.
-func (c *Core) guard(about *Request, f func()) {
+// carryOutEffects carries out what the module asked for while it handled an event.
+func (d *decisionLoop) carryOutEffects(about *Request) {
+	for len(d.effects) > 0 {
+		effect := d.effects[0]
+		d.effects = d.effects[1:]
+		guard(about, effect)
+	}
+}
+
+// addEffect notes an effect, to be carried out when the module has returned.
+func (d *decisionLoop) addEffect(effect func()) { d.effects = append(d.effects, effect) }
+
+// guard confines a panic to the request that it happened for, which still gets its one answer.
+func guard(about *Request, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "core", "reason", p, "stack", string(debug.Stack()))
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -16,14 +16,12 @@
 	pool *pool
 }
 
-func (e *effects) later(f func()) { e.effects = append(e.effects, f) }
-
 func (e *effects) StartAttempt(id, server string, timeout balancer.Time) {
-	e.later(func() { e.startAttempt(e.pool, id, server, timeout) })
+	e.decisions.addEffect(func() { e.startAttempt(e.pool, id, server, timeout) })
 }
 
 func (e *effects) Reject(id string, after balancer.Time) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		if r := e.requests[id]; r != nil {
 			r.rejectOrFail(time.Duration(after))
 		}
@@ -31,7 +29,7 @@
 }
 
 func (e *effects) Fail(id string) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		if r := e.requests[id]; r != nil {
 			r.fail(metrics.Failed)
 		}
@@ -39,7 +37,7 @@
 }
 
 func (e *effects) CancelAttempt(id string, attempt int) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		if r := e.requests[id]; r != nil {
 			r.cancel(attempt)
 		}
@@ -47,7 +45,7 @@
 }
 
 func (e *effects) Migrate(id string) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		if r := e.requests[id]; r != nil {
 			r.migrate(balancer.Cancelled)
 		}
@@ -56,7 +54,7 @@
 
 func (e *effects) Schedule(delay balancer.Time, token string) {
 	c := e.Core
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		c.loop.After(time.Duration(delay), func() {
 			c.notify(nil, e.pool, func(now balancer.Time, m Balancer) { m.TimerFired(now, token) })
 		})
@@ -66,13 +64,13 @@
 // WatchList and Fetch are for the whole list, which the instance of the pool main asks for.
 func (e *effects) WatchList(on bool) {
 	if e.pool.name == namespace.Main {
-		e.later(func() { e.discovery.WatchList(on) })
+		e.decisions.addEffect(func() { e.discovery.WatchList(on) })
 	}
 }
 
 func (e *effects) FetchList() {
 	if e.pool.name == namespace.Main {
-		e.later(func() { e.discovery.FetchList() })
+		e.decisions.addEffect(func() { e.discovery.FetchList() })
 	}
 }
 
@@ -92,7 +90,7 @@
 
 // HealthCheck asks a host how loaded it is. One that takes nothing new, and one that is not known any more, is left alone.
 func (e *effects) HealthCheck(server string) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		c := e.Core
 		began := c.loop.Now()
 		done := func(status balancer.AttemptStatus, load []float64) {
@@ -116,7 +114,7 @@
 
 // SendToPeer is carried out where peers can be reached; a message may be lost in any case.
 func (e *effects) SendToPeer(peer int, data []byte) {
-	e.later(func() {
+	e.decisions.addEffect(func() {
 		if e.peers != nil {
 			e.counts.PeerMessagesSent++
 			e.peers.SendToPeer(peer, data)
--- a/internal/dataplane/proxy/leave.go
+++ b/internal/dataplane/proxy/leave.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		slog.Warn("answered_before_kill", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
-		s.core.guard(r, func() { r.answerNow(s.core.RetryAdvice()) })
+		guard(r, func() { r.answerNow(s.core.RetryAdvice()) })
 	}
 	s.core.monitor.Close()
 	open, _ := s.core.countRequests()
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -50,7 +50,7 @@
 	if p == nil || p.removed {
 		return
 	}
-	c.decide(about, func(now balancer.Time) { f(now, p.balancer) })
+	c.decisions.submit(about, func(now balancer.Time) { f(now, p.balancer) })
 }
 
 // poolOf is the pool that a host is in by the rules that hold here now.
