--- /dev/null
+++ b/internal/dataplane/proxy/admission.go
@@ -0,0 +1,69 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"croftlock/internal/operations/metrics"
+)
+
+// shutdownRetryAfter is the Retry-After for clients that come while this proxy shuts down: by then the front sends them elsewhere.
+const shutdownRetryAfter = 500 * time.Millisecond
+
+// admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
+// break connections that are open already.
+type admission struct {
+	limit             int // downstreams, of this process and the other one together
+	sessions          int // downstreams of this process
+	sessionsElsewhere int // downstreams of the other process of this proxy
+}
+
+// acquire takes capacity for one downstream; false: there is none.
+func (a *admission) acquire() bool {
+	if a.sessions+a.sessionsElsewhere >= a.limit {
+		return false
+	}
+	a.sessions++
+	return true
+}
+
+// release gives the capacity of one downstream back.
+func (a *admission) release() { a.sessions-- }
+
+// Admit asks for capacity for one more downstream's request of a class. SessionEnded gives it back.
+func (c *Core) Admit(class string) bool {
+	if c.admission.acquire() {
+		return true
+	}
+	c.counters.overCapacity++
+	c.countEnd(class, metrics.OverCapacity)
+	return false
+}
+
+// SessionEnded gives the capacity of an admitted downstream back.
+func (c *Core) SessionEnded() { c.admission.release() }
+
+// Sessions is how many downstreams this process holds.
+func (c *Core) Sessions() int { return c.admission.sessions }
+
+// SetSessionsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
+func (c *Core) SetSessionsElsewhere(n int) { c.admission.sessionsElsewhere = n }
+
+// RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
+func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(shutdownRetryAfter) }
+
+// boundedRetryAfter bounds a Retry-After by the settings; 0 where clients read none.
+func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
+	if !c.opt.Settings.SendsRetryAfter {
+		return 0
+	}
+	return min(after, max(0, time.Duration(c.opt.Settings.MaxRetryAfter)))
+}
+
+// InvalidRequest counts what a client sent that is no request, and logs the first of a log interval.
+func (c *Core) InvalidRequest(err error) {
+	c.counters.invalid++
+	if c.counters.invalid == 1 {
+		slog.Warn("invalid_request", "reason", err)
+	}
+}
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -14,9 +14,9 @@
 	if r.answered {
 		return
 	}
-	r.core.counts.Rejected++
+	r.core.counters.rejected++
 	r.record.Rejected(r.core.loop.Now())
-	r.core.metrics.Ended(r.attributes.Class, metrics.Rejected)
+	r.core.counters.metrics.Ended(r.attributes.Class, metrics.Rejected)
 	if tracing() {
 		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
@@ -29,9 +29,9 @@
 	if r.answered {
 		return
 	}
-	r.core.counts.Failed++
+	r.core.counters.failed++
 	r.record.Failed(r.core.loop.Now())
-	r.core.metrics.Ended(r.attributes.Class, how)
+	r.core.counters.metrics.Ended(r.attributes.Class, how)
 	if tracing() {
 		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
@@ -82,7 +82,7 @@
 	if a == nil || !a.established || !a.detach() {
 		return
 	}
-	r.core.counts.Migrated++
+	r.core.counters.migrated++
 	if tracing() {
 		slog.Debug("client_migrated", "request", r.attributes.ID, "host", a.host.id, "status", status.String(), "leaving", r.core.shuttingDown)
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	// It left before its answer: nothing is owed, but the attempt must not go on for nobody.
-	r.core.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
+	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
 	r.answered = true
 	r.overdueTimer.Stop()
 	r.notifyClientLeft()
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -76,33 +76,20 @@
 	pacer               Pacer                 // nil: clients leave as it suits this proxy
 	pendingMigrations   []func() bool         // clients that wait for it
 	migrationsRequested bool
-	metrics             *metrics.Table
 	monitor             *invariant.Monitor
 	requests            map[string]*Request
 
 	decisions decisionLoop
 
 	expiryPlanner *certexpiry.Planner // nil: connections are kept whatever ends
-	sessions      int
+	admission     admission
 	shuttingDown  bool
 	newcomers     Newcomers // nil: there are none
 	successor     Successor // nil: nothing outlives this process
 	// handedOver: another process of this proxy takes what comes; elsewhere is how many downstreams it holds.
 	handedOver        bool
-	sessionsElsewhere int
 	handoversInFlight int // open connections on their way to it
-	counts            Counts
-	countsLoggedAt    int64 // when they were last logged
-}
-
-// Counts are what the core has done since they were last logged.
-type Counts struct {
-	Opened, Served, Rejected, Failed, Invalid, Migrated, Lost int
-	Expiring                                                  int // of Moved: their certificate ends
-	OverCapacity                                              int // for want of room
-	HandedOver, Resumed                                       int // open connections, to another process and from one
-	PeerMessagesSent, PeerMessagesReceived                    int // messages to other proxies, and from them
-	HealthChecks                                              int // probes sent
+	counters          counters
 }
 
 // host is an upstream host as this proxy knows it.
@@ -131,7 +118,8 @@
 	for i, k := range opt.Settings.Classes {
 		c.classes[k.Name], names[i] = i, k.Name
 	}
-	c.suspended, c.metrics = maintenance.New(), metrics.New(names)
+	c.suspended, c.counters.metrics = maintenance.New(), metrics.New(names)
+	c.admission.limit = opt.Sessions
 	c.monitor = invariant.NewMonitor(func(r invariant.Rule, id string) { slog.Error("invariant_broken", "rule", r, "request", id) })
 	for i, t := range opt.Settings.Tenants {
 		c.tenants[t.Name] = i
@@ -160,49 +148,3 @@
 
 // Serves tells whether this process takes what comes: it may be on its way out, or another process of this proxy does.
 func (c *Core) Serves() bool { return c.Ready() && !c.handedOver }
-
-// Admit asks for room for one more downstream's request of a class. Each may come to need two descriptors, and running out of them
-// would strike connections that already stand.
-func (c *Core) Admit(class string) bool {
-	if c.sessions+c.sessionsElsewhere >= c.opt.Sessions {
-		c.counts.OverCapacity++
-		c.countEnd(class, metrics.OverCapacity)
-		return false
-	}
-	c.sessions++
-	return true
-}
-
-// countEnd counts the end of a request that was not taken.
-func (c *Core) countEnd(class string, e metrics.End) {
-	if i, known := c.classes[class]; known {
-		c.metrics.Ended(i, e)
-	}
-}
-
-// RetryAdvice is the advice to a client that there is no room or no time for; 0 where clients read none.
-func (c *Core) RetryAdvice() time.Duration {
-	return c.boundedRetryAfter(shutdownRetryAfter)
-}
-
-// boundedRetryAfter is what a client may be told of when to come again, within the settings; 0 where clients read none.
-func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
-	if !c.opt.Settings.SendsRetryAfter {
-		return 0
-	}
-	return min(after, max(0, time.Duration(c.opt.Settings.MaxRetryAfter)))
-}
-
-// SessionEnded gives that room back.
-func (c *Core) SessionEnded() { c.sessions-- }
-
-// Sessions is how many downstreams there are.
-func (c *Core) Sessions() int { return c.sessions }
-
-// InvalidRequest notes that a client sent what is no request.
-func (c *Core) InvalidRequest(err error) {
-	c.counts.Invalid++
-	if c.counts.Invalid == 1 {
-		slog.Warn("invalid_request", "reason", err)
-	}
-}
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -176,7 +176,7 @@
 // Figures count each end where it happens.
 func TestFiguresOfMixedEnds(t *testing.T) {
 	w := newWorld(t)
-	w.core.opt.Sessions = 100
+	w.core.admission.limit = 100
 	w.serve("up")
 	fail := func(e string) {
 		w.fx.Fail(strings.TrimPrefix(e, "request "))
@@ -198,7 +198,7 @@
 	w.ups[len(w.ups)-1].ev.UpstreamSent()
 	w.on = nil
 	w.pass(2 * time.Second)
-	w.core.opt.Sessions = 0
+	w.core.admission.limit = 0
 	w.core.Admit("c")
 	w.core.shuttingDown = true
 	w.open("leaving")
--- /dev/null
+++ b/internal/dataplane/proxy/counters.go
@@ -0,0 +1,57 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"croftlock/internal/operations/metrics"
+)
+
+// countsInterval is how often the log sums up.
+const countsInterval = 10 * time.Second
+
+// counters are what the core has done: since it was last logged, and as metrics since the start of the process.
+type counters struct {
+	activity
+	loggedAt int64 // ns of the loop's time
+	metrics  *metrics.Table
+}
+
+// activity is what the core has done since it was last logged.
+type activity struct {
+	opened, served, rejected, failed, invalid, migrated, lost int
+
+	expiring                               int // of migrated: their certificate ends
+	overCapacity                           int // rejected for want of descriptors
+	handedOver, resumed                    int // open connections, to another process and from one
+	peerMessagesSent, peerMessagesReceived int
+	healthChecks                           int
+}
+
+// logCountsIfDue logs what was done once in countsInterval.
+func (c *Core) logCountsIfDue(now int64) {
+	if now-c.counters.loggedAt < int64(countsInterval) {
+		return
+	}
+	c.counters.loggedAt = now
+	n := c.counters.activity
+	if n == (activity{}) {
+		return // a proxy that did nothing logs nothing
+	}
+	open, pending := c.countRequests()
+	slog.Info("counts", "open", open, "pending", pending, "connections", c.admission.sessions, "opened", n.opened,
+		"served", n.served, "refused", n.rejected, "failed", n.failed, "rejected", n.invalid, "moved", n.migrated,
+		"lost", n.lost, "turned_away", n.overCapacity, "expiring", n.expiring, "handed", n.handedOver, "resumed", n.resumed,
+		"told", n.peerMessagesSent, "heard", n.peerMessagesReceived, "probed", n.healthChecks)
+	c.counters.activity = activity{}
+	if broken, blocked := c.monitor.Counts.Sum(); broken+blocked > 0 {
+		slog.Warn("invariant_counts", "broken", broken, "held_back", blocked)
+	}
+}
+
+// countEnd counts the end of a request that was not accepted, for a class by name; unknown classes have no metrics.
+func (c *Core) countEnd(class string, e metrics.End) {
+	if i, known := c.classes[class]; known {
+		c.counters.metrics.Ended(i, e)
+	}
+}
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -107,7 +107,7 @@
 			done(balancer.TooLate, nil)
 			return
 		}
-		c.counts.HealthChecks++
+		c.counters.healthChecks++
 		c.healthChecker.Check(Target{h.id, h.zone, h.address}, done)
 	})
 }
@@ -116,7 +116,7 @@
 func (e *effects) SendToPeer(peer int, data []byte) {
 	e.decisions.addEffect(func() {
 		if e.peers != nil {
-			e.counts.PeerMessagesSent++
+			e.counters.peerMessagesSent++
 			e.peers.SendToPeer(peer, data)
 		}
 	})
@@ -130,7 +130,7 @@
 
 // PeerMessageReceived takes a message from another proxy.
 func (c *Core) PeerMessageReceived(from int, data []byte) {
-	c.counts.PeerMessagesReceived++
+	c.counters.peerMessagesReceived++
 	for _, p := range c.pools {
 		c.notify(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
 	}
--- a/internal/dataplane/proxy/expiring.go
+++ b/internal/dataplane/proxy/expiring.go
@@ -31,7 +31,7 @@
 	}
 	move := c.expiryPlanner.Plan(c.loop.Now(), c.opt.Wall(), standing)
 	for _, id := range move {
-		c.counts.Expiring++
+		c.counters.expiring++
 		r := c.requests[id]
 		c.migratePaced(func() bool {
 			there := c.requests[id] == r
--- a/internal/dataplane/proxy/kept.go
+++ b/internal/dataplane/proxy/kept.go
@@ -143,6 +143,3 @@
 
 // SetHandedOver says that another process of this proxy takes what comes from now on, or, with false, that it is gone.
 func (c *Core) SetHandedOver(over bool) { c.handedOver = over }
-
-// SetSessionsElsewhere says how many downstreams another process of this proxy holds: they share the descriptors.
-func (c *Core) SetSessionsElsewhere(n int) { c.sessionsElsewhere = n }
--- a/internal/dataplane/proxy/leave.go
+++ b/internal/dataplane/proxy/leave.go
@@ -65,7 +65,7 @@
 	if passed > s.schedule.migrateFrom && c.newcomers != nil {
 		unasked = c.newcomers.EndIdle(s.answersDue)
 	}
-	if passed > s.schedule.migrateFrom && open+pending+c.handoversInFlight+unasked == 0 && c.sessions == 0 {
+	if passed > s.schedule.migrateFrom && open+pending+c.handoversInFlight+unasked == 0 && c.admission.sessions == 0 {
 		s.idleSteps++
 	} else {
 		s.idleSteps = 0
@@ -126,7 +126,7 @@
 		r.record.Dropped() // whoever has had no answer, or no word, gets none any more
 	}
 	broken, held := s.core.monitor.Counts.Sum()
-	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", s.core.sessions, "handing", s.core.handoversInFlight, "broken", broken, "held_back", held)
+	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", s.core.admission.sessions, "handing", s.core.handoversInFlight, "broken", broken, "held_back", held)
 	s.done()
 	s.done = nil
 }
--- a/internal/dataplane/proxy/leave_test.go
+++ b/internal/dataplane/proxy/leave_test.go
@@ -133,7 +133,7 @@
 	}
 	w.ups[0].sent()
 	w.seen = nil
-	w.core.sessions = 2
+	w.core.admission.sessions = 2
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.pass(3200 * time.Millisecond)
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -12,7 +12,7 @@
 
 // Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
 func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
-	c.counts.Opened++
+	c.counters.opened++
 	q := balancer.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad, Retry: o.Retry,
 		Returned: o.Returned}
 	class, known := c.classes[o.Class]
@@ -26,8 +26,8 @@
 		return nil
 	}
 	if c.shuttingDown {
-		c.counts.Rejected++
-		c.metrics.Ended(class, metrics.ShuttingDown)
+		c.counters.rejected++
+		c.counters.metrics.Ended(class, metrics.ShuttingDown)
 		d.Reject(c.RetryAdvice())
 		return nil
 	}
@@ -38,8 +38,8 @@
 			verdict.Refused, verdict.Advice = true, c.RetryAdvice() // no pool that it may use has a host that it may use
 		}
 		if verdict.Refused {
-			c.counts.Rejected++
-			c.metrics.Ended(class, metrics.Rejected)
+			c.counters.rejected++
+			c.counters.metrics.Ended(class, metrics.Rejected)
 			d.Reject(verdict.Advice)
 			return nil
 		}
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -16,8 +16,6 @@
 	// overdueGrace is how long past a request's deadline the module's own answer is waited for: within the slack
 	// that the rules leave.
 	overdueGrace = 15 * time.Millisecond
-	// shutdownRetryAfter is the advice to clients that come while this proxy leaves: by then the front knows.
-	shutdownRetryAfter = 500 * time.Millisecond
 	// adoptionRetryDelay is the pause before a host that holds a connection from before is tried again.
 	adoptionRetryDelay = 200 * time.Millisecond
 )
--- a/internal/dataplane/proxy/sessions.go
+++ b/internal/dataplane/proxy/sessions.go
@@ -13,8 +13,6 @@
 	// hostSilenceTimeout is how long a client's line may go unanswered before the host counts as silent. Clients send every
 	// 2 s and a silent host must be left within 7 s, so the first unanswered line is at most 2 s late.
 	hostSilenceTimeout = 4500 * time.Millisecond
-	// countsInterval is how often the log sums up.
-	countsInterval = 10 * time.Second
 	// maxUnansweredLines bounds how many unanswered lines are remembered for one connection.
 	maxUnansweredLines = 16
 	// latencyReportInterval is how often the module is told of a slow host.
@@ -145,9 +143,7 @@
 func (c *Core) monitorSessions() {
 	c.loop.After(sessionCheckInterval, c.monitorSessions)
 	now := c.loop.Now()
-	if now-c.countsLoggedAt >= int64(countsInterval) {
-		c.logCounts(now)
-	}
+	c.logCountsIfDue(now)
 	for _, h := range c.hosts {
 		h.latency.oldest = 0
 		for r := range h.established {
@@ -159,7 +155,7 @@
 			if now-sent >= int64(hostSilenceTimeout) {
 				// The machine has vanished or hangs, and TCP does not tell. The client must not wait for it.
 				slog.Warn("host_silent", "host", h.id, "request", r.attributes.ID, "ms", (now-sent)/1e6)
-				c.counts.Lost++
+				c.counters.lost++
 				r.migrate(balancer.Reset)
 				continue
 			}
@@ -171,24 +167,6 @@
 	}
 }
 
-// logCounts sums up what was done since the last time; a proxy that did nothing says nothing.
-func (c *Core) logCounts(now int64) {
-	c.countsLoggedAt = now
-	n := c.counts
-	if n == (Counts{}) {
-		return
-	}
-	open, pending := c.countRequests()
-	slog.Info("counts", "open", open, "pending", pending, "connections", c.sessions, "opened", n.Opened,
-		"served", n.Served, "refused", n.Rejected, "failed", n.Failed, "rejected", n.Invalid, "moved", n.Migrated,
-		"lost", n.Lost, "turned_away", n.OverCapacity, "expiring", n.Expiring, "handed", n.HandedOver, "resumed", n.Resumed, "told", n.PeerMessagesSent, "heard", n.PeerMessagesReceived,
-		"probed", n.HealthChecks)
-	c.counts = Counts{}
-	if broken, held := c.monitor.Counts.Sum(); broken+held > 0 {
-		slog.Warn("invariant_counts", "broken", broken, "held_back", held)
-	}
-}
-
 // reportLatency tells the module once a second how long messages take at a host, while that is over a third of the
 // shortest aim, and once more when it is back under: what the settings promise as notes of kind 2.
 func (c *Core) reportLatency(h *host, now int64) {
--- a/internal/dataplane/proxy/standing.go
+++ b/internal/dataplane/proxy/standing.go
@@ -60,7 +60,7 @@
 				s.Down.Discard(r.downstream.MigrationLine())
 				gone()
 			} else {
-				c.counts.HandedOver++
+				c.counters.handedOver++
 				c.successor.HandOver(s, r.downstream.MigrationLine(), gone)
 			}
 			a.notifyEnded(balancer.Cancelled)
@@ -109,8 +109,8 @@
 	r.attempt = a
 	h.established[r] = struct{}{}
 	c.requests[q.ID] = r
-	c.sessions++
-	c.counts.Resumed++
+	c.admission.sessions++
+	c.counters.resumed++
 	c.notify(nil, r.pool, func(now balancer.Time, m Balancer) {
 		m.ConnectionAdopted(now, q, s.Host)
 		if a.load > 0 {
--- a/internal/dataplane/proxy/suspend.go
+++ b/internal/dataplane/proxy/suspend.go
@@ -130,5 +130,5 @@
 			n.Ejected++
 		}
 	}
-	return c.metrics.Text(n)
+	return c.counters.metrics.Text(n)
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -10,7 +10,7 @@
 
 // UpstreamSent says that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
-	a.request.core.metrics.Dispatched()
+	a.request.core.counters.metrics.Dispatched()
 	a.request.record.LineWritten(a.request.core.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
@@ -50,13 +50,13 @@
 	if c.suspended.Suspended(a.host.id) {
 		c.migrateOffHost(a.host, r) // it was on its way before the operators' word
 	}
-	c.counts.Served++
+	c.counters.served++
 	r.record.Accepted(c.loop.Now())
 	how := metrics.Established
 	if r.adopted {
 		how = metrics.Adopted
 	}
-	c.metrics.Ended(r.attributes.Class, how)
+	c.counters.metrics.Ended(r.attributes.Class, how)
 	r.downstream.Accept(m)
 	elapsed := c.loop.Now() - a.startedAt
 	if tracing() {
@@ -121,7 +121,7 @@
 	case MigrateClient:
 		status = balancer.Cancelled
 	default:
-		a.request.core.counts.Lost++
+		a.request.core.counters.lost++
 	}
 	if tracing() {
 		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.id, "status", status.String(), "reason", err)
