--- a/internal/dataplane/proxy/admission_test.go
+++ b/internal/dataplane/proxy/admission_test.go
@@ -5,8 +5,10 @@
 // The two processes of a proxy share its descriptors.
 func TestAdmissionCountsBothProcesses(t *testing.T) {
 	a := admission{limit: 3, sessionsElsewhere: 1}
-	if !a.acquire() || !a.acquire() || a.acquire() {
-		t.Fatalf("%+v: expected two of three", a)
+	for i, want := range []bool{true, true, false} {
+		if a.acquire() != want {
+			t.Fatalf("downstream %d: expected %t of %+v", i, want, a)
+		}
 	}
 	a.release()
 	if !a.acquire() {
--- /dev/null
+++ b/internal/dataplane/proxy/adopt.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"log/slog"
+	"math"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/operations/metrics"
+)
+
+// adoptionRetryDelay is the pause before a host that holds a connection from before is tried again.
+const adoptionRetryDelay = 200 * time.Millisecond
+
+// adopt restores a connection that was open at a host before this proxy's start. The balancer is notified once it is established: it
+// decides nothing here, since the connection belongs to that host.
+func (r *Request) adopt(hostID string) {
+	h := r.core.hosts.byID[hostID]
+	if h == nil {
+		slog.Warn("adoption_failed", "host", hostID, "reason", "not in the list")
+		r.fail(metrics.Failed)
+		return
+	}
+	r.adopted, r.pool = true, h.pool
+	r.record.Resumed, r.record.MaxAttempts = true, math.MaxInt
+	if rule := r.record.CheckAttempt(r.core.loop.Now(), h.invariantHost()); rule != invariant.None {
+		r.attemptBlocked(rule, h)
+		r.fail(metrics.Failed)
+		return
+	}
+	r.beginAttempt(h, 0, r.deadline)
+}
+
+// adoptionEnded tries an adoption that failed again, as long as its host has not seen it and its client waits.
+func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
+	r, c := a.request, a.request.core
+	if r.answered() {
+		r.removeIfDone()
+		return
+	}
+	if status.ProvesNotRun() && c.loop.Now()+int64(adoptionRetryDelay) < r.deadline {
+		c.loop.After(adoptionRetryDelay, func() {
+			if !r.answered() {
+				r.adopt(a.host.id)
+			}
+		})
+		return
+	}
+	slog.Warn("adoption_failed", "host", a.host.id, "status", int(status))
+	r.fail(metrics.Failed)
+}
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -9,9 +9,21 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// reject is the final answer that says trying again is harmless.
+// overdueGrace is how long past a request's deadline the balancer's own answer is waited for: within the slack that the platform leaves.
+const overdueGrace = 15 * time.Millisecond
+
+// rejectOrFail is the final answer of a request that gets no further attempt: a rejection, where that is true.
+func (r *Request) rejectOrFail(after time.Duration) {
+	if !r.record.MayReject() {
+		r.fail(metrics.Failed)
+		return
+	}
+	r.reject(after)
+}
+
+// reject is the final answer that says that a retry is harmless.
 func (r *Request) reject(after time.Duration) {
-	if r.answered {
+	if r.answered() {
 		return
 	}
 	r.core.counters.rejected++
@@ -24,9 +36,9 @@
 	r.answer(func() { r.downstream.Reject(after) })
 }
 
-// fail is the final answer that promises nothing.
+// fail is the final answer that promises nothing. how is the metric that it counts for.
 func (r *Request) fail(how metrics.End) {
-	if r.answered {
+	if r.answered() {
 		return
 	}
 	r.core.counters.failed++
@@ -38,11 +50,15 @@
 	r.answer(r.downstream.Fail)
 }
 
-// answer gives the client its one answer. Should an attempt be out all the same, it ends.
-func (r *Request) answer(say func()) {
-	r.answered = true
-	r.overdueTimer.Stop()
-	say()
+// answer gives the client its one answer, and ends an attempt that is under way all the same.
+func (r *Request) answer(write func()) {
+	r.becomeClosed()
+	write()
+	r.endAttempt()
+}
+
+// endAttempt ends the attempt of a closed request; without one the request is done.
+func (r *Request) endAttempt() {
 	if r.attempt != nil {
 		r.attempt.finish(balancer.Cancelled, netio.Ended)
 		return
@@ -50,9 +66,9 @@
 	r.removeIfDone()
 }
 
-// failUnresponsive answers for a module that has not, in time or at all.
+// failUnresponsive answers for a balancer that has not, in time or at all.
 func (r *Request) failUnresponsive() {
-	if r.answered {
+	if r.answered() {
 		return
 	}
 	slog.Error("balancer_unresponsive", "request", r.attributes.ID, "attempts", r.attempts)
@@ -60,23 +76,28 @@
 	r.notifyClientLeft()
 }
 
-// notifyClientLeft tells the module that the client is.
+// answerNow gives a request its answer at once, whatever is under way for it, and has the balancer forget it.
+func (r *Request) answerNow(after time.Duration) {
+	r.rejectOrFail(after)
+	r.notifyClientLeft()
+}
+
+// notifyClientLeft notifies the balancer that nobody waits for the request any more.
 func (r *Request) notifyClientLeft() {
 	if r.adopted {
 		return
 	}
-	c := r.core
-	c.notify(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.attributes.ID) })
+	r.core.notify(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.attributes.ID) })
 }
 
-// cancel ends an attempt at the module's wish.
+// cancel ends an attempt at the balancer's wish.
 func (r *Request) cancel(attempt int) {
 	if a := r.attempt; a != nil && a.number == attempt && !a.established {
 		a.finish(balancer.Cancelled, netio.Ended)
 	}
 }
 
-// migrate sends the client of an open connection away politely. status is what the module learns of its end.
+// migrate sends the client of an open connection away politely. status is what the balancer learns of its end.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
@@ -91,71 +112,3 @@
 	a.conn.End(netio.Ended)
 	a.notifyEnded(status)
 }
-
-// ---- events of the downstream ----
-
-// FromDownstream passes a client's message to its host; false: not now.
-func (r *Request) FromDownstream(m Message) bool {
-	a := r.attempt
-	if a == nil || !a.established {
-		return false
-	}
-	if !a.conn.Pass(m) {
-		return false
-	}
-	if len(a.unansweredSince) < maxUnansweredLines {
-		a.unansweredSince = append(a.unansweredSince, r.core.loop.Now())
-	}
-	return true
-}
-
-// DownstreamReady says that the client takes bytes again.
-func (r *Request) DownstreamReady() {
-	if a := r.attempt; a != nil {
-		a.conn.Pump()
-	}
-}
-
-// EndedHere says that this side ends the client's connection for a fault, and has told the client so. DownstreamEnded follows.
-func (r *Request) EndedHere() {
-	switch {
-	case r.attempt != nil && r.attempt.established:
-		r.record.Released()
-	case !r.answered:
-		r.record.Failed(r.core.loop.Now())
-	}
-}
-
-// DownstreamEnded says that the client has gone, or was cut off.
-func (r *Request) DownstreamEnded(err *netio.Error) {
-	if tracing() {
-		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered, "state", r.stageName(), "reason", err)
-	}
-	if err.Cause == netio.Dropped {
-		r.record.Dropped() // it was this side that ended it
-	}
-	r.record.ClientLeft()
-	a := r.attempt
-	if a != nil && a.established {
-		if a.detach() {
-			a.conn.End(err.Cause)
-			a.notifyEnded(balancer.Cancelled)
-		}
-		return
-	}
-	if r.answered {
-		return
-	}
-	// It left before its answer: nothing is owed, but the attempt must not go on for nobody.
-	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
-	r.answered = true
-	r.overdueTimer.Stop()
-	r.notifyClientLeft()
-	if a := r.attempt; a != nil {
-		a.finish(balancer.Cancelled, netio.Ended)
-		return
-	}
-	r.removeIfDone()
-}
-
-// ---- events of the upstream ----
--- a/internal/dataplane/proxy/expiring_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -25,7 +25,7 @@
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
 		if move {
 			w.core.opt.Expiry = certexpiry.Policy{Move: true, Before: 30 * time.Second, Share: 1}
-			w.core.expiryPlanner = certexpiry.New(w.core.opt.Expiry)
+			w.core.expiry = certexpiry.New(w.core.opt.Expiry)
 			w.loop.After(certexpiry.Every, w.core.migrateExpiring)
 		}
 		r1, u1 := w.serve("r1")
--- a/internal/dataplane/proxy/gone_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -152,7 +152,7 @@
 		tenant := []string{"t1", "t2"}[n%2]
 		r := w.core.Open(&fakeDown{w.world, id}, &Opening{ID: id, Class: "c", Tenant: tenant, Wait: 3 * time.Second, HasWait: true}, nil)
 		w.loop.After(w.draw(1500*time.Millisecond), func() {
-			if r == nil || r.answered {
+			if r == nil || r.answered() {
 				return
 			}
 			gone[state(r, tenant == "t2" || r.quotaAccount != "")]++
@@ -169,7 +169,7 @@
 		}
 	}
 	for id, r := range w.core.requests {
-		if !r.answered || r.attempt == nil {
+		if !r.answered() || r.attempt == nil {
 			t.Errorf("%s is still there", id)
 		}
 	}
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -9,142 +9,133 @@
 	"croftlock/internal/dataplane/invariant"
 	"croftlock/internal/dataplane/netio"
 	"croftlock/internal/fleet/namespace"
-	"croftlock/internal/fleet/rules"
+	"croftlock/internal/operations/logging"
 	"croftlock/internal/operations/maintenance"
 	"croftlock/internal/operations/metrics"
 )
 
-// Balancer is the part of the decision module that the core calls.
-type Balancer interface {
-	RequestArrived(now balancer.Time, q balancer.Request)
-	ConnectionAdopted(now balancer.Time, q balancer.Request, server string)
-	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
-	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
-	ClientLeft(now balancer.Time, id string)
-	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, elapsed balancer.Time, load []float64)
-	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
-	ListReceived(now balancer.Time, kind balancer.ListChange, version int64, entries []balancer.ListedHost)
-	PeerMessageReceived(now balancer.Time, from int, data []byte)
-	TimerFired(now balancer.Time, token string)
-	Ejected(now balancer.Time, id string) bool
-	Snapshot(yield bool) balancer.Snapshot
-	Restore(now balancer.Time, m balancer.Snapshot)
-}
-
-// Peers carries the module's messages to the other proxies.
-type Peers interface {
-	SendToPeer(peer int, data []byte)
-}
-
-// Discovery is what the decision module may ask of discovery.
-type Discovery interface {
-	WatchList(on bool)
-	FetchList()
-}
-
-// Options are what the core is told at its start.
+// Options configure a core.
 type Options struct {
 	Settings balancer.Config
-	Sessions int // how many downstreams it takes at most
-	// DelayInLoad: hosts tell both a connection's load and how long messages take, in the same form.
+	Sessions int // how many downstreams this proxy holds at most
+	// DelayInLoad: hosts report both a connection's load and their message delay, in the same form.
 	DelayInLoad bool
-	// Expiry says what becomes of connections that rest on a certificate when it ends; Wall is the clock that
-	// certificates are read by.
+	// Expiry says what becomes of connections that rest on a certificate when it ends.
 	Expiry certexpiry.Policy
-	Wall   func() time.Time
+	// Wall is the system's clock, by which certificates and starts of hosts are read.
+	Wall func() time.Time
 }
 
-// Core is one proxy.
+// Core is one proxy: its parts, and the requests between them.
 type Core struct {
-	loop          *netio.Loop
-	opt           Options
+	loop  *netio.Loop
+	opt   Options
+	names settingsNames
+
 	connector     Connector
 	discovery     Discovery
-	peers         Peers           // nil: there are none, or the settings forbid it
-	healthChecker HealthChecker   // nil: the settings do not permit probes
-	enforcer      *rules.Enforcer // nil: no rules that the fleet agrees on
-	quota         Quota           // nil: no limits that hold over the fleet
-	newBalancer   func(fx balancer.Effects) (Balancer, error)
-	main          *pool // the only one where no rules split the hosts
-	pools         map[string]*pool
-	classes       map[string]int
-	tenants       map[string]int
-
-	hosts               map[string]*host
-	suspended           *maintenance.Registry // the hosts that operators have taken out
-	watermarks          Watermarks            // nil: every proxy goes by its own list alone
-	pacer               Pacer                 // nil: clients leave as it suits this proxy
-	pendingMigrations   []func() bool         // clients that wait for it
-	migrationsRequested bool
-	monitor             *invariant.Monitor
-	requests            map[string]*Request
-
-	decisions decisionLoop
-
-	expiryPlanner *certexpiry.Planner // nil: connections are kept whatever ends
-	admission     admission
-	shuttingDown  bool
-	newcomers     Newcomers // nil: there are none
-	successor     Successor // nil: nothing outlives this process
-	// handedOver: another process of this proxy takes what comes; elsewhere is how many downstreams it holds.
-	handedOver        bool
-	handoversInFlight int // open connections on their way to it
-	counters          counters
+	peers         Peers         // nil: there are none, or the settings forbid messages
+	healthChecker HealthChecker // nil: the settings do not permit health checks
+	newcomers     Newcomers     // nil: there are none
+
+	fleet      fleetRules
+	decisions  decisionLoop
+	requests   requestTable
+	hosts      hostTable
+	pools      poolTable
+	admission  admission
+	migrations migrationPacer
+	expiry     *certexpiry.Planner // nil: connections are kept whatever ends
+	handover   handover
+	monitor    *invariant.Monitor
+	counters   counters
+
+	shuttingDown bool
 }
 
-// host is an upstream host as this proxy knows it.
-type host struct {
-	id           string
-	zone         string
-	address      string
-	state        balancer.HostState    // as it counts: an operator's word goes before discovery's
-	listed       balancer.ListedHost   // as discovery last said
-	startedAt    balancer.Time         // its latest start, as discovery says
-	established  map[*Request]struct{} // its open connections
-	pending      map[*upstreamRequest]struct{}
-	latency      messageDelay
-	checkedLoad  float64                // as it last told when probed: load over what it can do
-	checkedAt    int64                  // when that was; 0: never
-	pool         *pool                  // nil: it changes hands just now
-	lastSnapshot *balancer.HostSnapshot // what its last pool's instance knew of it, until another takes it
+// settingsNames maps names to their numbers in the settings.
+type settingsNames struct {
+	classes, tenants map[string]int
+}
+
+func newSettingsNames(s *balancer.Config) settingsNames {
+	n := settingsNames{map[string]int{}, map[string]int{}}
+	for i, k := range s.Classes {
+		n.classes[k.Name] = i
+	}
+	for i, t := range s.Tenants {
+		n.tenants[t.Name] = i
+	}
+	return n
 }
 
-// New makes a core. Module and Discovery are set by Run.
-func New(l *netio.Loop, starter Connector, opt Options) *Core {
-	c := &Core{loop: l, connector: starter, opt: opt, classes: map[string]int{}, tenants: map[string]int{},
-		hosts: map[string]*host{}, requests: map[string]*Request{}, pools: map[string]*pool{}}
-	c.decisions.now = l.Now
-	names := make([]string, len(opt.Settings.Classes))
-	for i, k := range opt.Settings.Classes {
-		c.classes[k.Name], names[i] = i, k.Name
+// New makes a core. Run gives it its decision module and discovery.
+func New(l *netio.Loop, connector Connector, opt Options) *Core {
+	return &Core{
+		loop:      l,
+		opt:       opt,
+		names:     newSettingsNames(&opt.Settings),
+		connector: connector,
+		decisions: decisionLoop{now: l.Now},
+		requests:  requestTable{},
+		hosts: hostTable{
+			byID:        map[string]*host{},
+			suspensions: maintenance.New(),
+			clock:       startClock{now: l.Now, wall: opt.Wall},
+		},
+		pools:      poolTable{byName: map[string]*pool{}},
+		admission:  admission{limit: opt.Sessions},
+		migrations: migrationPacer{loop: l},
+		monitor:    invariant.NewMonitor(logBroken),
+		counters:   counters{metrics: metrics.New(classNames(opt.Settings.Classes))},
 	}
-	c.suspended, c.counters.metrics = maintenance.New(), metrics.New(names)
-	c.admission.limit = opt.Sessions
-	c.monitor = invariant.NewMonitor(func(r invariant.Rule, id string) { slog.Error("invariant_broken", "rule", r, "request", id) })
-	for i, t := range opt.Settings.Tenants {
-		c.tenants[t.Name] = i
+}
+
+func classNames(classes []balancer.Class) []string {
+	names := make([]string, len(classes))
+	for i, k := range classes {
+		names[i] = k.Name
 	}
-	return c
+	return names
 }
 
-// Run gives the core its decision module, made for it by make with the core's effects, and the list it starts from.
-func (c *Core) Run(make func(fx balancer.Effects) (Balancer, error), d Discovery, known Change) error {
-	c.newBalancer, c.discovery = make, d
-	var err error
-	if c.main, err = c.newPool(namespace.Main); err != nil {
+func logBroken(r invariant.Rule, id string) {
+	slog.Error("invariant_broken", "rule", r, "request", id)
+}
+
+// Run gives the core its discovery, the endpoint list that it starts from, and the decision module: newBalancer makes a balancer with the
+// core's effects, one for each pool.
+func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known Change) (err error) {
+	c.discovery = d
+	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
+	if c.pools.main, err = c.pools.create(namespace.Main); err != nil {
 		return err
 	}
 	c.ListReceived(known)
 	c.loop.After(sessionCheckInterval, c.monitorSessions)
-	if c.opt.Expiry.Move {
-		c.expiryPlanner = certexpiry.New(c.opt.Expiry)
-		c.loop.After(certexpiry.Every, c.migrateExpiring)
-	}
+	c.startExpiryMigrations()
 	return nil
 }
 
 // Ready tells whether clients may come.
-func (c *Core) Ready() bool { return c.main != nil && !c.shuttingDown }
+func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
+
+// Serves tells whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
+func (c *Core) Serves() bool { return c.Ready() && !c.handover.handedOver }
+
+// SetHealthChecker gives the core its way to ask hosts how loaded they are.
+func (c *Core) SetHealthChecker(h HealthChecker) { c.healthChecker = h }
+
+// SetPeers gives the core its way to the other proxies.
+func (c *Core) SetPeers(p Peers) { c.peers = p }
+
+// PeerMessageReceived handles a message from another proxy.
+func (c *Core) PeerMessageReceived(from int, data []byte) {
+	c.counters.peerMessagesReceived++
+	for _, p := range c.pools.byName {
+		c.notify(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
+	}
+}
 
-// Serves tells whether this process takes what comes: it may be on its way out, or another process of this proxy does.
-func (c *Core) Serves() bool { return c.Ready() && !c.handedOver }
+// tracing tells whether the log takes each step of each request.
+func tracing() bool { return logging.Tracing() }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -159,7 +159,7 @@
 	w.expect()
 	e := HostEntry{Address: "elsewhere", ListedHost: balancer.ListedHost{ID: "A"}}
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
-	if h := w.core.hosts["A"]; h.state != balancer.Suspended {
+	if h := w.core.hosts.byID["A"]; h.state != balancer.Suspended {
 		t.Errorf("listed anew it has state %d", h.state)
 	}
 	if got := string(w.core.Metrics()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
@@ -168,7 +168,7 @@
 	w.pass(time.Second)
 	w.expect("members 0 1", "move r0", "end up ended", "outcome r0 0 6 true")
 	w.core.Suspend("A", false, func(bool) {})
-	if h := w.core.hosts["A"]; h.state != balancer.Ready {
+	if h := w.core.hosts.byID["A"]; h.state != balancer.Ready {
 		t.Errorf("called back it has state %d", h.state)
 	}
 }
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"croftlock/internal/balancer"
 	"croftlock/internal/operations/metrics"
 )
 
@@ -51,7 +52,24 @@
 
 // countEnd counts the end of a request that was not accepted, for a class by name; unknown classes have no metrics.
 func (c *Core) countEnd(class string, e metrics.End) {
-	if i, known := c.classes[class]; known {
+	if i, known := c.names.classes[class]; known {
 		c.counters.metrics.Ended(i, e)
 	}
 }
+
+// Metrics is the text of all metrics.
+func (c *Core) Metrics() []byte {
+	open, pending := c.countRequests()
+	gauges := metrics.Gauges{Concurrent: open + pending}
+	now := c.loop.Now()
+	for id, h := range c.hosts.byID {
+		if h.state == balancer.Removed {
+			continue
+		}
+		gauges.Hosts++
+		if c.hosts.suspensions.Suspended(id) || h.pool != nil && h.pool.balancer.Ejected(now, id) {
+			gauges.Ejected++
+		}
+	}
+	return c.counters.metrics.Text(gauges)
+}
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -9,68 +9,76 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// effects is the core as a pool's instance of the module sees it. Each effect is only noted here, to be carried out once the module has
-// returned: the module must never be entered from inside itself.
+// effects is the core as a pool's balancer sees it. Each effect is only noted here, and carried out once the balancer has returned.
 type effects struct {
-	*Core
+	core *Core
 	pool *pool
 }
 
+var _ balancer.Effects = (*effects)(nil)
+
+// StartAttempt begins the request's next attempt.
 func (e *effects) StartAttempt(id, server string, timeout balancer.Time) {
-	e.decisions.addEffect(func() { e.startAttempt(e.pool, id, server, timeout) })
+	e.core.decisions.addEffect(func() { e.core.startAttempt(e.pool, id, server, timeout) })
 }
 
+// Reject gives the request its final answer: not done, and a retry is harmless.
 func (e *effects) Reject(id string, after balancer.Time) {
-	e.decisions.addEffect(func() {
-		if r := e.requests[id]; r != nil {
+	e.core.decisions.addEffect(func() {
+		if r := e.core.requests[id]; r != nil {
 			r.rejectOrFail(time.Duration(after))
 		}
 	})
 }
 
+// Fail gives the request the final answer that promises nothing.
 func (e *effects) Fail(id string) {
-	e.decisions.addEffect(func() {
-		if r := e.requests[id]; r != nil {
+	e.core.decisions.addEffect(func() {
+		if r := e.core.requests[id]; r != nil {
 			r.fail(metrics.Failed)
 		}
 	})
 }
 
+// CancelAttempt ends an attempt that is under way.
 func (e *effects) CancelAttempt(id string, attempt int) {
-	e.decisions.addEffect(func() {
-		if r := e.requests[id]; r != nil {
+	e.core.decisions.addEffect(func() {
+		if r := e.core.requests[id]; r != nil {
 			r.cancel(attempt)
 		}
 	})
 }
 
+// Migrate migrates the client of an open connection.
 func (e *effects) Migrate(id string) {
-	e.decisions.addEffect(func() {
-		if r := e.requests[id]; r != nil {
+	e.core.decisions.addEffect(func() {
+		if r := e.core.requests[id]; r != nil {
 			r.migrate(balancer.Cancelled)
 		}
 	})
 }
 
+// Schedule notifies the balancer of a token after a delay.
 func (e *effects) Schedule(delay balancer.Time, token string) {
-	c := e.Core
-	e.decisions.addEffect(func() {
+	c := e.core
+	c.decisions.addEffect(func() {
 		c.loop.After(time.Duration(delay), func() {
 			c.notify(nil, e.pool, func(now balancer.Time, m Balancer) { m.TimerFired(now, token) })
 		})
 	})
 }
 
-// WatchList and Fetch are for the whole list, which the instance of the pool main asks for.
+// WatchList begins or ends the watch of the endpoint list, which main's balancer asks for all pools.
 func (e *effects) WatchList(on bool) {
 	if e.pool.name == namespace.Main {
-		e.decisions.addEffect(func() { e.discovery.WatchList(on) })
+		e.core.decisions.addEffect(func() { e.core.discovery.WatchList(on) })
 	}
 }
 
+// FetchList fetches the whole endpoint list, which main's balancer asks for all pools.
 func (e *effects) FetchList() {
 	if e.pool.name == namespace.Main {
-		e.decisions.addEffect(func() { e.discovery.FetchList() })
+		e.core.decisions.addEffect(func() { e.core.discovery.FetchList() })
 	}
 }
 
@@ -88,50 +96,18 @@
 	}
 }
 
-// HealthCheck asks a host how loaded it is. One that takes nothing new, and one that is not known any more, is left alone.
+// HealthCheck asks a host how loaded it is.
 func (e *effects) HealthCheck(server string) {
-	e.decisions.addEffect(func() {
-		c := e.Core
-		began := c.loop.Now()
-		done := func(status balancer.AttemptStatus, load []float64) {
-			if h, i := c.hosts[server], c.opt.Settings.LoadField; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
-				h.checkedLoad, h.checkedAt = load[i], c.loop.Now()
-			}
-			if tracing() {
-				slog.Debug("health_checked", "host", server, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
-			}
-			c.notify(nil, e.pool, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, server, status, now-began, load) })
-		}
-		h := c.hosts[server]
-		if c.healthChecker == nil || h == nil || h.state != balancer.Ready {
-			done(balancer.TooLate, nil)
-			return
-		}
-		c.counters.healthChecks++
-		c.healthChecker.Check(Target{h.id, h.zone, h.address}, done)
-	})
+	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, server) })
 }
 
-// SendToPeer is carried out where peers can be reached; a message may be lost in any case.
+// SendToPeer sends a message where peers can be reached; a message may be lost in any case.
 func (e *effects) SendToPeer(peer int, data []byte) {
-	e.decisions.addEffect(func() {
-		if e.peers != nil {
-			e.counters.peerMessagesSent++
-			e.peers.SendToPeer(peer, data)
+	c := e.core
+	c.decisions.addEffect(func() {
+		if c.peers != nil {
+			c.counters.peerMessagesSent++
+			c.peers.SendToPeer(peer, data)
 		}
 	})
 }
-
-// SetHealthChecker gives the core its way to ask hosts how loaded they are.
-func (c *Core) SetHealthChecker(p HealthChecker) { c.healthChecker = p }
-
-// SetPeers gives the core its way to the other proxies.
-func (c *Core) SetPeers(p Peers) { c.peers = p }
-
-// PeerMessageReceived takes a message from another proxy.
-func (c *Core) PeerMessageReceived(from int, data []byte) {
-	c.counters.peerMessagesReceived++
-	for _, p := range c.pools {
-		c.notify(nil, p, func(now balancer.Time, m Balancer) { m.PeerMessageReceived(now, from, data) })
-	}
-}
--- /dev/null
+++ b/internal/dataplane/proxy/hoststart.go
@@ -0,0 +1,53 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"croftlock/internal/balancer"
+)
+
+// minClockOffset is how far, in nanoseconds, the system's clock must be from this process's own to count as having been set.
+const minClockOffset = minClockStep
+
+// startClock reads the starts of hosts, which discovery tells in the system's time, on this process's clock. That one goes on from
+// where the system's stood as the process began.
+type startClock struct {
+	now  func() balancer.Time
+	wall func() time.Time // nil: the system's clock is taken for the process's
+}
+
+// hostStart is when a host started, on this process's clock.
+//
+// A system's clock that has been set since tells starts that lie before or after what they mean by as much, and a cold host that is
+// taken for a warm one is overloaded. Where the clock was set here, it may have been set at the host too or not: of the two moments
+// that a start can mean the later one counts that is not in the future. One that is in the future by either has started just now.
+func (k startClock) hostStart(listed balancer.Time) balancer.Time {
+	now := k.now()
+	if listed == 0 {
+		return 0
+	}
+	at := listed
+	if offset := k.offset(now); offset != 0 {
+		if other := listed - offset; other <= now && (other > at || at > now) {
+			at = other
+		}
+	}
+	if at > now {
+		slog.Debug("host_start_in_future", "ms", (at-now)/1e6)
+		return now
+	}
+	return at
+}
+
+// offset is by how much the system's clock has been set since the start of this process, in nanoseconds; 0: not at all.
+func (k startClock) offset(now balancer.Time) balancer.Time {
+	if k.wall == nil {
+		return 0
+	}
+	offset := k.wall().UnixNano() - now
+	if offset > -minClockOffset && offset < minClockOffset {
+		return 0
+	}
+	return offset
+}
--- a/internal/dataplane/proxy/started_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -13,8 +13,8 @@
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, everywhere := range []bool{true, false} {
 			w := newWorld(t)
-			w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now+int64(step)) }
-			before := w.core.hosts["A"].startedAt
+			w.core.hosts.clock.wall = func() time.Time { return time.Unix(0, w.now+int64(step)) }
+			before := w.core.hosts.byID["A"].startedAt
 			w.pass(time.Second)
 			startedAt := w.now - int64(300*time.Millisecond)
 			told := startedAt
@@ -23,12 +23,12 @@
 			}
 			e := HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", StartedAt: told}}
 			w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
-			got := w.core.hosts["A"].startedAt
+			got := w.core.hosts.byID["A"].startedAt
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
 				t.Errorf("set by %v, at the host too %t: %v before now, 300ms expected at most", step, everywhere, time.Duration(w.now-got))
 			}
 			w.pass(time.Second) // told again, it is the same start
-			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts["A"].startedAt != got {
+			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts.byID["A"].startedAt != got {
 				t.Errorf("set by %v: the same start is another one a second later", step)
 			}
 		}
--- /dev/null
+++ b/internal/dataplane/proxy/interfaces.go
@@ -0,0 +1,88 @@
+package proxy
+
+import (
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+)
+
+// Balancer is the part of the decision module that the core calls. It is called from one goroutine, and never from inside one of its
+// effects.
+type Balancer interface {
+	RequestArrived(now balancer.Time, q balancer.Request)
+	ConnectionAdopted(now balancer.Time, q balancer.Request, server string)
+	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
+	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
+	ClientLeft(now balancer.Time, id string)
+	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, elapsed balancer.Time, load []float64)
+	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
+	ListReceived(now balancer.Time, kind balancer.ListChange, version int64, entries []balancer.ListedHost)
+	PeerMessageReceived(now balancer.Time, from int, data []byte)
+	TimerFired(now balancer.Time, token string)
+	Ejected(now balancer.Time, id string) bool
+	Snapshot(yield bool) balancer.Snapshot
+	Restore(now balancer.Time, m balancer.Snapshot)
+}
+
+// Peers carries the decision module's messages to the other proxies.
+type Peers interface {
+	SendToPeer(peer int, data []byte)
+}
+
+// Discovery is what the decision module may ask of discovery.
+type Discovery interface {
+	WatchList(on bool)
+	FetchList()
+}
+
+// Downstream is a client's connection. Accept, Reject and Fail are answers: a request gets one.
+type Downstream interface {
+	Accept(receipt Message)
+	Reject(after time.Duration) // a local reply: a retry is harmless
+	Fail()                      // a local reply that promises nothing
+	Pass(m Message) bool        // false: not now, DownstreamReady follows
+	Pump()                      // offer again what the core did not take
+	Migrate()                   // end it politely; the client comes again
+	MigrationLine() []byte      // what Migrate writes
+	End(cause netio.Cause)      // end it as the other side ended
+}
+
+// Upstream is the connection of one upstream request. After End it notifies nothing more.
+type Upstream interface {
+	Pass(m Message) bool // false: not now, UpstreamReady follows
+	Pump()
+	Stage() netio.Stage // how far it has come
+	End(cause netio.Cause)
+}
+
+// UpstreamEvents is what an Upstream notifies the core of.
+type UpstreamEvents interface {
+	// MaySend is asked right before the first line is written. False: it must not be, and the attempt has been ended.
+	MaySend() bool
+	UpstreamSent()               // the first line is written whole: from here on the host may act on it
+	FromUpstream(m Message) bool // false: not taken, Pump will ask for it again
+	UpstreamReady()
+	UpstreamEnded(err *netio.Error)
+}
+
+// Expiring is an Upstream that rests on something that ends, such as a certificate.
+type Expiring interface {
+	Expires() time.Time // zero: never
+}
+
+// Target is an upstream host as a Connector needs to know it.
+type Target struct{ ID, Zone, Address string }
+
+// HealthChecker asks upstream hosts how loaded they are.
+type HealthChecker interface {
+	// Check asks a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
+	Check(to Target, done func(status balancer.AttemptStatus, load []float64))
+	Forget(host string) // ends the checks of a host that takes nothing new
+}
+
+// Connector opens upstream requests: connect to the target within the time given, send first, and notify ev of what follows. until is
+// the loop's time, in nanoseconds, at which the proxy stops waiting.
+type Connector interface {
+	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
+}
--- a/internal/dataplane/proxy/sessions_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -80,7 +80,7 @@
 func TestLoadTellsWhatIsADelay(t *testing.T) {
 	w := newWorld(t)
 	_, u := w.serve("q")
-	h := w.core.hosts["A"]
+	h := w.core.hosts.byID["A"]
 	tell := func(loaded float64, x ...float64) {
 		for _, x := range x {
 			h.checkedLoad, h.checkedAt = loaded, w.now
--- a/internal/dataplane/proxy/paced_test.go
+++ b/internal/dataplane/proxy/migrations_test.go
@@ -19,21 +19,21 @@
 	p.then = then
 }
 
-// TestPacedMoves: clients leave as permits come, one that is gone by its turn costs none, and an end of the process waits for nobody.
-func TestPacedMoves(t *testing.T) {
-	c := &Core{loop: netio.NewLoop()}
+// TestPacedMigrations: clients leave as permits come, one that is gone by its turn costs none, and an end of the process waits for nobody.
+func TestPacedMigrations(t *testing.T) {
+	c := &migrationPacer{loop: netio.NewLoop()}
 	sent, gone := 0, 0
 	send := func() bool { sent++; return true }
 	late := func() bool { gone++; return false }
-	c.migratePaced(send)
+	c.submit(send)
 	if sent != 1 {
 		t.Fatal("without a pace a client waits")
 	}
 	p := &permits{}
-	c.SetPacer(p)
+	c.pacer = p
 	sent = 0
 	for _, f := range []func() bool{send, late, send, send} {
-		c.migratePaced(f)
+		c.submit(f)
 	}
 	if sent != 0 || len(p.wants) != 1 {
 		t.Fatalf("%d left before a permit, %d questions", sent, len(p.wants))
@@ -42,17 +42,17 @@
 	if sent != 2 || gone != 1 {
 		t.Errorf("with two permits %d left, %d were gone", sent, gone)
 	}
-	c.shuttingDown = true
-	c.migratePaced(send)
+	c.unpaced = true
+	c.submit(send)
 	if sent != 3 {
 		t.Error("at the process's end a client waits for a permit")
 	}
-	c.shuttingDown = false
+	c.unpaced = false
 	for range maxPendingMigrations + 10 {
-		c.migratePaced(send)
+		c.submit(send)
 	}
-	if len(c.pendingMigrations) > maxPendingMigrations {
-		t.Errorf("%d wait", len(c.pendingMigrations))
+	if len(c.pending) > maxPendingMigrations {
+		t.Errorf("%d wait", len(c.pending))
 	}
 }
 
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -1,59 +1,48 @@
 package proxy
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/fleet/rules"
 	"croftlock/internal/operations/metrics"
 )
 
+// What is wrong with a client's opening.
+var (
+	errUnknownClass  = errors.New("class is not in the settings")
+	errUnknownTenant = errors.New("tenant is not in the settings")
+	errIDInUse       = errors.New("request ID is in use")
+)
+
 // Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
 func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
 	c.counters.opened++
-	q := balancer.Request{ID: o.ID, Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad, Retry: o.Retry,
-		Returned: o.Returned}
-	class, known := c.classes[o.Class]
-	tenant, shares := c.tenants[o.Tenant]
-	if !known || !shares && len(c.tenants) > 0 || c.requests[o.ID] != nil {
-		// Without a class there is no deadline and no rule to serve it by; an id that is in use belongs to another's
-		// request; and what the settings do not name, no host can read either.
+	if err := c.validate(o); err != nil {
 		c.countEnd(o.Class, metrics.InvalidRequest)
-		c.InvalidRequest(fmt.Errorf("class %q known=%t tenant %q known=%t", o.Class, known, o.Tenant, shares))
+		c.InvalidRequest(err)
 		d.Fail()
 		return nil
 	}
+	q := c.attributesOf(o)
 	if c.shuttingDown {
-		c.counters.rejected++
-		c.counters.metrics.Ended(class, metrics.ShuttingDown)
-		d.Reject(c.RetryAdvice())
+		c.rejectOpening(d, q.Class, metrics.ShuttingDown, c.RetryAdvice())
 		return nil
 	}
 	verdict := c.judge(o.Tenant, o.Class, &q)
 	var in *pool
 	if o.PinnedHost == "" {
-		if in = c.choosePool(verdict.Pools); in == nil && !verdict.Refused {
-			verdict.Refused, verdict.Advice = true, c.RetryAdvice() // no pool that it may use has a host that it may use
-		}
-		if verdict.Refused {
-			c.counters.rejected++
-			c.counters.metrics.Ended(class, metrics.Rejected)
-			d.Reject(verdict.Advice)
+		if in = c.placement(&verdict); verdict.Refused {
+			c.rejectOpening(d, q.Class, metrics.Rejected, verdict.Advice)
 			return nil
 		}
 	}
-	q.Class = class
-	if shares {
-		q.Tenant = tenant
-	}
-	wait := o.Wait
-	if longest := time.Duration(c.opt.Settings.Classes[class].Deadline); !o.HasWait || wait > longest && o.PinnedHost == "" {
-		wait = longest // no client waits longer, whatever it writes, and none may be kept for days
-	}
-	now := c.loop.Now()
-	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: now + int64(wait)}
+	wait := c.answerTime(o, q.Class)
+	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: c.loop.Now() + int64(wait)}
 	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
 	if o.PinnedHost != "" {
@@ -64,16 +53,59 @@
 		slog.Debug("request_received", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Retry, "returned", o.Returned,
 			"ms", wait.Milliseconds())
 	}
-	// The module answers by the deadline. Should it not, the client gets its answer all the same.
 	r.overdueTimer = c.loop.After(wait+overdueGrace, r.failUnresponsive)
-	c.acquireQuota(r, verdict.Account, func() {
-		c.notify(r, in, func(now balancer.Time, m Balancer) {
-			if r.answered {
-				return
-			}
-			q.Remaining = r.deadline - now
-			m.RequestArrived(now, q)
-		})
-	})
+	c.acquireQuota(r, verdict.Account, r.requestPlacement)
 	return r
 }
+
+// validate tells what is wrong with an opening. Without a class there is no deadline and no rule to serve it by, an ID that is in use
+// belongs to another's request, and what the settings do not name no host can read.
+func (c *Core) validate(o *Opening) error {
+	_, classKnown := c.names.classes[o.Class]
+	_, tenantKnown := c.names.tenants[o.Tenant]
+	switch {
+	case !classKnown:
+		return fmt.Errorf("%w: %q", errUnknownClass, o.Class)
+	case !tenantKnown && len(c.names.tenants) > 0:
+		return fmt.Errorf("%w: %q", errUnknownTenant, o.Tenant)
+	case c.requests[o.ID] != nil:
+		return fmt.Errorf("%w: %q", errIDInUse, o.ID)
+	}
+	return nil
+}
+
+// attributesOf is what the decision module is to know of a valid opening.
+func (c *Core) attributesOf(o *Opening) balancer.Request {
+	q := balancer.Request{ID: o.ID, Class: c.names.classes[o.Class], Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad,
+		Retry: o.Retry, Returned: o.Returned}
+	if tenant, known := c.names.tenants[o.Tenant]; known {
+		q.Tenant = tenant
+	}
+	return q
+}
+
+// rejectOpening rejects a client that no request is made for.
+func (c *Core) rejectOpening(d Downstream, class int, how metrics.End, after time.Duration) {
+	c.counters.rejected++
+	c.counters.metrics.Ended(class, how)
+	d.Reject(after)
+}
+
+// placement is the first pool that a request may use and that has a usable host; where there is none the verdict becomes a rejection.
+func (c *Core) placement(v *rules.Verdict) *pool {
+	in := c.choosePool(v.Pools)
+	if in == nil && !v.Refused {
+		v.Refused, v.Advice = true, c.RetryAdvice()
+	}
+	return in
+}
+
+// answerTime is how long a client waits for its answer: as it says, at most its class's deadline. A client that comes back to the host at
+// which it is open may wait for longer.
+func (c *Core) answerTime(o *Opening, class int) time.Duration {
+	longest := time.Duration(c.opt.Settings.Classes[class].Deadline)
+	if !o.HasWait || o.Wait > longest && o.PinnedHost == "" {
+		return longest
+	}
+	return o.Wait
+}
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -215,7 +215,7 @@
 	w.seen = nil
 	w.ups[0].ev.FromUpstream(Message{Kind: Accepted})
 	w.expect("serve r", "first r 0", "outcome r 0 6 true", "module 1 opens r")
-	if r.pool != w.core.main {
+	if r.pool != w.core.pools.main {
 		t.Errorf("%+v", r.pool)
 	}
 }
--- /dev/null
+++ b/internal/dataplane/proxy/shutdown.go
@@ -0,0 +1,214 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+)
+
+// What happens from SIGTERM to the end of the process, in order; times are those of shutdownSchedule:
+//
+//  1. Core.Shutdown: Core.Open rejects requests that still come, with a Retry-After.
+//  2. Where another process of this proxy has taken over, open connections are handed over (shutdown.step, Core.handOver).
+//  3. From migrateFrom to migrateBy open connections are migrated, evenly spread (shutdown.migrateDue), and idle ones without a request
+//     are ended. Requests under way go on.
+//  4. Once nothing is left for idleStepsToEnd steps the process ends (shutdown.end).
+//  5. At answerBy each request that still waits gets its answer, whoever is left is migrated, and nothing begins any more
+//     (shutdown.answerAll).
+//  6. At exitBy the process ends, whoever has not hung up by then.
+
+// What the platform grants a process between SIGTERM and SIGKILL: the longest deadline of any class, of which at most
+// maxGrantedDeadline counts, and killGrace more.
+const (
+	maxGrantedDeadline = 3 * time.Second
+	killGrace          = 700 * time.Millisecond
+)
+
+const (
+	// frontNoticeDelay is how long after its SIGTERM a proxy still gets new connections; clients migrated before could come straight
+	// back to it.
+	frontNoticeDelay = 450 * time.Millisecond
+	// migrationSpan is the time over which clients are migrated, so that they do not all arrive elsewhere at once.
+	migrationSpan = 1500 * time.Millisecond
+	// handoverSpan is the same where another process of this proxy takes them in again: it is alone with them, and warming hosts accept
+	// only so many a second. What is left until the end is for clients to hang up.
+	handoverSpan = 2500 * time.Millisecond
+	// answerMargin is how long before SIGKILL each request has to have its answer and each open connection its migration: the process
+	// may be suspended once as it takes the signal and once as it answers, and clients have to hang up. It leaves each request that was
+	// accepted before SIGTERM its deadline, where that counts whole.
+	answerMargin = 3 * invariant.MaxSuspension
+	// exitMargin is how long before SIGKILL the process ends.
+	exitMargin = 2 * invariant.MaxSuspension
+	// shutdownStepInterval is how often a shutdown makes progress.
+	shutdownStepInterval = 50 * time.Millisecond
+	// handoversPerStep is how many connections are handed to the other process in one step.
+	handoversPerStep = 16
+	// idleStepsToEnd is how many steps in a row have to find nothing left before the process ends: after a suspension the first step
+	// comes before the connections that wait in the listener's queue are accepted, and they end with the process.
+	idleStepsToEnd = 2
+)
+
+// shutdownSchedule says when a process that shuts down does what, in nanoseconds since its SIGTERM.
+type shutdownSchedule struct {
+	migrateFrom int64 // from here on open connections are migrated, and idle ones ended
+	migrateBy   int64 // by here all have been migrated, and later ones migrate at once
+	answerBy    int64 // by here each request has an answer; what still comes is rejected
+	exitBy      int64 // by here the process ends
+}
+
+// newShutdownSchedule derives the schedule from the longest deadline of all classes, in nanoseconds. handedOver says that another
+// process accepts clients, so that nothing new comes here.
+func newShutdownSchedule(longestDeadline int64, handedOver bool) shutdownSchedule {
+	kill := min(longestDeadline, int64(maxGrantedDeadline)) + int64(killGrace)
+	s := shutdownSchedule{answerBy: kill - int64(answerMargin), exitBy: kill - int64(exitMargin)}
+	span := int64(migrationSpan)
+	if handedOver {
+		span = int64(handoverSpan)
+	} else {
+		s.migrateFrom = min(int64(frontNoticeDelay), s.answerBy/2)
+	}
+	s.migrateBy = min(s.migrateFrom+span, s.answerBy)
+	return s
+}
+
+// due is how many of all open connections are to have been migrated when so much time has passed.
+func (s shutdownSchedule) due(all int, passed int64) int {
+	switch {
+	case passed >= s.migrateBy:
+		return all
+	case passed <= s.migrateFrom:
+		return 0
+	}
+	return int(int64(all) * (passed - s.migrateFrom) / (s.migrateBy - s.migrateFrom))
+}
+
+// Newcomers are the client connections on which no request has come yet.
+type Newcomers interface {
+	// EndIdle ends those that have not sent anything, and gives how many are left. With half it also ends those on which a request
+	// has begun to come.
+	EndIdle(half bool) int
+}
+
+// SetNewcomers has a shutdown end the connections without a request, and wait for those on which one is coming.
+func (c *Core) SetNewcomers(n Newcomers) { c.newcomers = n }
+
+// shutdown is the shutdown of a process, from SIGTERM to its end.
+type shutdown struct {
+	core      *Core
+	schedule  shutdownSchedule
+	began     int64  // ns of the loop's time
+	migrated  int    // connections so far
+	total     int    // the most connections that there were to migrate
+	idleSteps int    // steps in a row that found nothing left
+	answered  bool   // answerBy is over
+	done      func() // nil: the shutdown is over
+}
+
+// Shutdown ends the proxy's service in order: clients that still come are rejected with a Retry-After, requests under way get their
+// answer, and every open connection is migrated. done is called once nothing is left, or when the time that the platform grants is
+// nearly over.
+func (c *Core) Shutdown(done func()) {
+	if c.shuttingDown {
+		return
+	}
+	c.shuttingDown, c.migrations.unpaced = true, true
+	schedule := newShutdownSchedule(c.longestDeadline(), c.handover.handedOver)
+	s := &shutdown{core: c, schedule: schedule, began: c.loop.Now(), done: done}
+	// The last two moments are kept to the millisecond, whatever the steps between them.
+	c.loop.After(time.Duration(schedule.answerBy), s.answerAll)
+	c.loop.After(time.Duration(schedule.exitBy), s.end)
+	s.step()
+}
+
+// longestDeadline is that of all classes, in nanoseconds.
+func (c *Core) longestDeadline() (longest int64) {
+	for _, k := range c.opt.Settings.Classes {
+		longest = max(longest, k.Deadline)
+	}
+	return longest
+}
+
+// step makes progress, and comes again until nothing is left.
+func (s *shutdown) step() {
+	if s.done == nil {
+		return
+	}
+	c, passed := s.core, s.core.loop.Now()-s.began
+	open, pending := c.countRequests()
+	withoutRequest := 0
+	if passed > s.schedule.migrateFrom && c.newcomers != nil {
+		withoutRequest = c.newcomers.EndIdle(s.answered)
+	}
+	left := open + pending + c.handover.inFlight + withoutRequest
+	if s.isIdle(left, passed) {
+		s.end()
+		return
+	}
+	switch {
+	case c.handover.handedOver && open > 0 && c.handover.successor.Accepts() && passed < s.schedule.migrateBy:
+		c.forEachOpen(handoversPerStep, c.handOver)
+	case passed > s.schedule.migrateFrom:
+		s.migrateDue(open, passed)
+	}
+	c.loop.After(shutdownStepInterval, s.step)
+}
+
+// isIdle tells whether enough steps in a row have found nothing left.
+func (s *shutdown) isIdle(left int, passed int64) bool {
+	if passed > s.schedule.migrateFrom && left == 0 && s.core.admission.sessions == 0 {
+		s.idleSteps++
+	} else {
+		s.idleSteps = 0
+	}
+	return s.idleSteps >= idleStepsToEnd
+}
+
+// migrateDue migrates as many clients as are due by now. Those that come up meanwhile count, and after migrateBy all go.
+func (s *shutdown) migrateDue(open int, passed int64) {
+	s.total = max(s.total, s.migrated+open)
+	n := min(open, s.schedule.due(s.total, passed)-s.migrated)
+	if passed >= s.schedule.migrateBy {
+		n = open
+	}
+	s.core.forEachOpen(n, func(r *Request) { r.migrate(balancer.Cancelled) })
+	s.migrated += max(0, n)
+}
+
+// answerAll gives each request that still waits its answer, and migrates whoever is left: the process is about to be killed.
+func (s *shutdown) answerAll() {
+	if s.done == nil {
+		return
+	}
+	s.answered = true
+	for _, r := range s.core.requests {
+		if r.answered() {
+			continue
+		}
+		slog.Warn("answered_before_kill", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
+		guard(r, func() { r.answerNow(s.core.RetryAdvice()) })
+	}
+	s.core.monitor.Close()
+	open, _ := s.core.countRequests()
+	s.migrateDue(open, s.schedule.answerBy)
+	if s.core.newcomers != nil {
+		s.core.newcomers.EndIdle(true)
+	}
+}
+
+// end is the last step. Whoever has had no answer, or no migration line, gets none any more.
+func (s *shutdown) end() {
+	if s.done == nil {
+		return
+	}
+	c := s.core
+	open, pending := c.countRequests()
+	for _, r := range c.requests {
+		r.record.Dropped()
+	}
+	broken, blocked := c.monitor.Counts.Sum()
+	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", c.admission.sessions, "handing", c.handover.inFlight, "broken", broken, "held_back", blocked)
+	s.done()
+	s.done = nil
+}
--- a/internal/dataplane/proxy/leave_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
 	"croftlock/internal/dataplane/netio"
 )
 
@@ -102,9 +103,9 @@
 		deadline *= time.Millisecond
 		kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 		for _, handed := range []bool{false, true} {
-			s := newSchedule(int64(deadline), handed)
+			s := newShutdownSchedule(int64(deadline), handed)
 			if s.migrateFrom < 0 || s.migrateFrom >= s.migrateBy || s.migrateBy > s.answerBy || s.answerBy >= s.exitBy ||
-				s.exitBy > int64(kill-2*maxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
+				s.exitBy > int64(kill-2*invariant.MaxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
 				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handed, s, kill)
 			}
 			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
--- /dev/null
+++ b/internal/dataplane/proxy/snapshot.go
@@ -0,0 +1,153 @@
+package proxy
+
+import (
+	"fmt"
+	"log/slog"
+	"math"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/maintenance"
+)
+
+// Snapshot is what one process of a proxy leaves to the next: suspensions, the endpoint list, and what the decision module knows.
+type Snapshot struct {
+	At         int64                    `json:"At"`        // ns, the writer's time as it was written; 0: an earlier version did not say
+	Discovery  string                   `json:"Discovery"` // address of who gave the list; revisions of another service mean nothing
+	Revision   int64                    `json:"Rev"`
+	Hosts      []HostEntry              `json:"Hosts"`
+	Suspended  []maintenance.Suspension `json:"Out"`   // the hosts that this proxy was told to suspend
+	KnownHosts []string                 `json:"Known"` // every host that a call may name
+	Balancer   balancer.Snapshot        `json:"Memory"`
+}
+
+// What a Snapshot may hold at most; one with more was not written by this program.
+const (
+	maxHosts    = 4096
+	maxIDLength = 256 // bytes
+)
+
+// minClockStep is the least difference, in nanoseconds, between two processes' clocks that is taken for a step of the system's clock
+// between their starts.
+const minClockStep = int64(time.Second)
+
+// Rebase brings its times into this process's, whose time is now, in nanoseconds. The two processes' clocks are the system's as each of
+// them started, and that may have been set in between, by an hour either way. live says that it was written at this moment; of a file it
+// is only known that it is not from the future.
+func (s *Snapshot) Rebase(now int64, live bool) {
+	by := now - s.At
+	if s.At > 0 && (by < 0 || live) && (by <= -minClockStep || by >= minClockStep) {
+		slog.Warn("clock_stepped", "between", "processes", "ms", by/1e6)
+		s.shift(by)
+	}
+	for i := range s.Suspended {
+		s.Suspended[i].Since = min(s.Suspended[i].Since, now) // a suspension holds whatever its time says
+	}
+}
+
+// shift moves all times by some nanoseconds; 0 stays "never".
+func (s *Snapshot) shift(by int64) {
+	move := func(times ...*int64) {
+		for _, t := range times {
+			if *t > 0 {
+				*t = max(1, *t+by)
+			}
+		}
+	}
+	for i := range s.Suspended {
+		move(&s.Suspended[i].Since)
+	}
+	move(&s.Balancer.Started, &s.Balancer.RateAt)
+	for i := range s.Balancer.Servers {
+		h := &s.Balancer.Servers[i]
+		move(&h.Until, &h.FailedAt, &h.IllAt, &h.DelayAt, &h.TokensAt, &h.Passed)
+	}
+}
+
+// Check gives an error that names what makes the snapshot unusable. now is the loop's time.
+func (s *Snapshot) Check(now int64) error {
+	if len(s.Hosts) > maxHosts || len(s.Suspended) > maxHosts || len(s.KnownHosts) > 2*maxHosts {
+		return fmt.Errorf("%d hosts, %d suspended, %d known: more than %d", len(s.Hosts), len(s.Suspended), len(s.KnownHosts), maxHosts)
+	}
+	for _, b := range s.Suspended {
+		if b.Since > now {
+			return fmt.Errorf("host %.40q: suspended in the future", b.ID)
+		}
+	}
+	if err := s.checkIDs(); err != nil {
+		return err
+	}
+	for _, e := range s.Hosts {
+		if !e.isPlausible() {
+			return fmt.Errorf("host %.40q: address, state, weight or start out of range", e.ID)
+		}
+	}
+	return nil
+}
+
+// checkIDs checks the IDs that operators' calls have named.
+func (s *Snapshot) checkIDs() error {
+	check := func(id string) error {
+		if id == "" || len(id) > maxIDLength {
+			return fmt.Errorf("host ID of %d bytes, expected 1 to %d", len(id), maxIDLength)
+		}
+		return nil
+	}
+	for _, id := range s.KnownHosts {
+		if err := check(id); err != nil {
+			return err
+		}
+	}
+	for _, b := range s.Suspended {
+		if err := check(b.ID); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isPlausible tells whether an endpoint list can have held the entry.
+func (e *HostEntry) isPlausible() bool {
+	return e.ID != "" && len(e.ID) <= maxIDLength && len(e.Address) <= maxIDLength &&
+		e.State >= balancer.Ready && e.State <= balancer.Removed &&
+		!math.IsNaN(e.Weight) && e.Weight >= 0 && e.StartedAt >= 0
+}
+
+// Inherit takes over the suspensions. It comes before Run.
+func (c *Core) Inherit(s *Snapshot) {
+	for _, id := range s.KnownHosts {
+		c.hosts.suspensions.HostListed(id)
+	}
+	for _, b := range s.Suspended {
+		c.hosts.suspensions.Set(b.ID, true, b.Since)
+	}
+}
+
+// RestoreBalancer has the decision module take over what the other process's knew. It comes after Run.
+func (c *Core) RestoreBalancer(s balancer.Snapshot) {
+	c.notify(nil, c.pools.main, func(now balancer.Time, m Balancer) { m.Restore(now, s) })
+}
+
+// Snapshot is what the next process is to know. With yield, this one gives up its slow-start budgets.
+func (c *Core) Snapshot(yield bool) *Snapshot {
+	s := &Snapshot{
+		At:         c.loop.Now(),
+		Suspended:  c.hosts.suspensions.All(),
+		KnownHosts: c.hosts.suspensions.IDs(),
+		Balancer:   c.pools.main.balancer.Snapshot(yield),
+	}
+	for _, p := range c.pools.byName {
+		if p != c.pools.main {
+			s.Balancer.Servers = append(s.Balancer.Servers, p.balancer.Snapshot(yield).Servers...)
+		}
+	}
+	for id, h := range c.hosts.byID {
+		if h.listed.State == balancer.Removed {
+			continue
+		}
+		e := HostEntry{ListedHost: h.listed, Address: h.address}
+		e.ID = id
+		s.Hosts = append(s.Hosts, e)
+	}
+	return s
+}
--- /dev/null
+++ b/internal/dataplane/proxy/suspension.go
@@ -0,0 +1,109 @@
+package proxy
+
+import (
+	"log/slog"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/maintenance"
+)
+
+// Suspend has nothing more go to a host from now on (out), or ends that; twice is as once. done hears, on the loop, whether any list has
+// ever named the host.
+func (c *Core) Suspend(id string, out bool, done func(known bool)) {
+	if !c.hosts.suspensions.Known(id) {
+		done(false)
+		return
+	}
+	c.applySuspension(id, out)
+	if c.handover.successor == nil {
+		done(true)
+		return
+	}
+	// It holds here from now on; done waits until it would survive this process. The other process is notified also where nothing
+	// changed here: the call before may have gone to the one that knew less.
+	c.handover.successor.HostSuspended(id, out, func() { done(true) })
+}
+
+// HostSuspendedElsewhere applies a suspension, or its end, that the other process of this proxy was told.
+func (c *Core) HostSuspendedElsewhere(id string, out bool) { c.applySuspension(id, out) }
+
+// applySuspension has a host's suspension, or its end, take effect.
+func (c *Core) applySuspension(id string, out bool) {
+	s := c.hosts.suspensions
+	before, was := s.Suspension(id), s.Suspended(id)
+	if !s.Set(id, out, c.loop.Now()) {
+		return
+	}
+	slog.Info("host_suspended", "host", id, "out", out)
+	if s.Suspended(id) != was {
+		c.suspensionChanged(id, out, before)
+	}
+}
+
+// SuspendForFleet applies the whole list of hosts that are suspended for the fleet: one that is not on it any more comes back.
+func (c *Core) SuspendForFleet(ids []string) {
+	s := c.hosts.suspensions
+	before := map[string]maintenance.Suspension{}
+	for _, id := range s.IDs() {
+		before[id] = s.Suspension(id)
+	}
+	for _, id := range s.SetFleet(ids, c.loop.Now()) {
+		out := s.Suspended(id)
+		slog.Info("host_suspended", "host", id, "out", out, "fleet", true)
+		c.suspensionChanged(id, out, before[id])
+	}
+}
+
+// suspensionChanged treats a host as suspended, or as back. ended is the suspension that a host comes back from.
+func (c *Core) suspensionChanged(id string, out bool, ended maintenance.Suspension) {
+	h := c.hosts.byID[id]
+	if h == nil || h.listed.State == balancer.Removed {
+		return // it takes effect with the next list that names the host
+	}
+	h.state = c.hosts.effectiveState(h.listed)
+	e := h.effectiveEntry()
+	if !out {
+		e.StartedAt = c.startAfterSuspension(h, ended, e.StartedAt)
+	}
+	c.maintenanceChanged(h.pool, e)
+	c.clearUnusableHosts()
+	if out {
+		for r := range h.established {
+			c.migrateOffHost(h, r)
+		}
+	}
+}
+
+// startAfterSuspension is when a host that comes back is taken to have started. Discovery may not have said so yet; where it is a guess,
+// it is put right once discovery has had its time.
+func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
+	start, guess := ended.StartAfter(listed, c.loop.Now())
+	if guess {
+		c.loop.After(time.Duration(maintenance.StartUncertainty), func() { c.confirmStart(h, start) })
+	}
+	return start
+}
+
+// confirmStart replaces the guessed start of a host that came back by what discovery says.
+func (c *Core) confirmStart(h *host, guess balancer.Time) {
+	if c.hosts.byID[h.id] != h || h.state != balancer.Ready || h.startedAt >= guess {
+		return // it is suspended again, or removed; or discovery has told its start since, and the balancer knows
+	}
+	away := h.effectiveEntry()
+	away.State = balancer.Suspended
+	c.maintenanceChanged(h.pool, away, h.effectiveEntry())
+}
+
+// migrateOffHost migrates a client off a suspended host, in its turn. The host is restarted next, which would cut it off.
+func (c *Core) migrateOffHost(h *host, r *Request) {
+	c.loop.After(maintenance.MigrationDelay(r.attributes.ID), func() {
+		c.migrations.submit(func() bool {
+			_, open := h.established[r]
+			if open = open && c.hosts.suspensions.Suspended(h.id); open {
+				r.migrate(balancer.Cancelled)
+			}
+			return open
+		})
+	})
+}
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -8,13 +8,16 @@
 	"croftlock/internal/operations/metrics"
 )
 
+var _ UpstreamEvents = (*upstreamRequest)(nil)
+
 // UpstreamSent says that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
-	a.request.core.counters.metrics.Dispatched()
-	a.request.record.LineWritten(a.request.core.loop.Now(), a.startedAt, a.host.invariantHost())
+	c := a.request.core
+	c.counters.metrics.Dispatched()
+	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream takes a message of the host's.
+// FromUpstream handles a message of the host's.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
 	r := a.request
 	if r.attempt != a {
@@ -41,14 +44,14 @@
 // becomeEstablished is the host's acceptance: the client's answer.
 func (a *upstreamRequest) becomeEstablished(m Message) {
 	r, c := a.request, a.request.core
-	a.established, r.answered = true, true
+	a.established = true
+	r.becomeEstablished()
 	a.timeoutTimer.Stop()
 	a.retryWindowTimer.Stop()
-	r.overdueTimer.Stop()
 	delete(a.host.pending, a)
 	a.host.established[r] = struct{}{}
-	if c.suspended.Suspended(a.host.id) {
-		c.migrateOffHost(a.host, r) // it was on its way before the operators' word
+	if c.hosts.suspensions.Suspended(a.host.id) {
+		c.migrateOffHost(a.host, r) // it was on its way before the suspension
 	}
 	c.counters.served++
 	r.record.Accepted(c.loop.Now())
@@ -58,6 +61,13 @@
 	}
 	c.counters.metrics.Ended(r.attributes.Class, how)
 	r.downstream.Accept(m)
+	a.notifyEstablished()
+	c.followHost(r) // its host may have changed pools meanwhile
+}
+
+// notifyEstablished notifies the balancer of the acceptance.
+func (a *upstreamRequest) notifyEstablished() {
+	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
 	if tracing() {
 		slog.Debug("request_established", "request", r.attributes.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
@@ -70,10 +80,9 @@
 		}
 		m.AttemptEstablished(now, r.attributes.ID, a.number, elapsed)
 	})
-	c.followHost(r) // its host may have changed pools while it was on its way
 }
 
-// relay hands a line of an open connection on and takes note of what it tells.
+// relay passes a line of an open connection on and notes what it reports. False: the client takes nothing now.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
 	if !r.downstream.Pass(m) {
@@ -100,27 +109,17 @@
 	}
 }
 
-// UpstreamEnded says that the connection to the host is over, or never stood.
+// UpstreamEnded says that the connection to the host is over, or was never established.
 func (a *upstreamRequest) UpstreamEnded(err *netio.Error) {
 	if !a.established {
-		// Up to the last byte of the first line the host cannot have acted on it.
-		status := balancer.Reset
-		if err.Stage < netio.Sent {
-			status = balancer.ConnectFailed
-		}
-		a.finish(status, netio.Ended)
+		a.finish(statusBeforeAnswer(err.Stage), netio.Ended)
 		return
 	}
 	if !a.detach() {
 		return
 	}
-	status := balancer.Reset
-	switch a.finalKind {
-	case Finished:
-		status = balancer.OK
-	case MigrateClient:
-		status = balancer.Cancelled
-	default:
+	status := a.finalStatus()
+	if status == balancer.Reset {
 		a.request.core.counters.lost++
 	}
 	if tracing() {
@@ -130,3 +129,23 @@
 	a.request.downstream.End(err.Cause)
 	a.notifyEnded(status)
 }
+
+// statusBeforeAnswer is how an attempt ended whose connection broke at a stage. Up to the last byte of the first line the host cannot have
+// acted on it.
+func statusBeforeAnswer(stage netio.Stage) balancer.AttemptStatus {
+	if stage < netio.Sent {
+		return balancer.ConnectFailed
+	}
+	return balancer.Reset
+}
+
+// finalStatus is how an open connection ended, by the host's last word.
+func (a *upstreamRequest) finalStatus() balancer.AttemptStatus {
+	switch a.finalKind {
+	case Finished:
+		return balancer.OK
+	case MigrateClient:
+		return balancer.Cancelled
+	}
+	return balancer.Reset
+}
--- /dev/null
+++ b/internal/dataplane/proxy/watermarks.go
@@ -0,0 +1,42 @@
+package proxy
+
+import (
+	"log/slog"
+
+	"croftlock/internal/balancer"
+)
+
+// Watermarks is what other proxies' newer endpoint lists say of hosts that drain or are removed.
+type Watermarks interface {
+	// Listed receives the own list's change before it takes effect, and names the hosts for which others' word begins or ends to hold.
+	Listed(ch Change) []string
+	// Out tells whether a host that the own list calls ready gets nothing new; since is its start as the list has it.
+	Out(id string, since balancer.Time) bool
+}
+
+// SetWatermarks has hosts get nothing new of which another proxy's newer list says that they drain or are removed; nil: no more.
+// revision is that of the own list; under 0: there is none yet.
+func (c *Core) SetWatermarks(w Watermarks, revision int64) {
+	if c.hosts.watermarks = w; w == nil || revision < 0 {
+		return
+	}
+	list := Change{Kind: balancer.ListCached, Version: revision}
+	for _, h := range c.hosts.byID {
+		list.Hosts = append(list.Hosts, HostEntry{ListedHost: h.listed, Address: h.address})
+	}
+	c.WatermarksChanged(w.Listed(list))
+}
+
+// WatermarksChanged applies the watermarks of some hosts anew.
+func (c *Core) WatermarksChanged(ids []string) {
+	for _, id := range ids {
+		h := c.hosts.byID[id]
+		if h == nil || h.listed.State != balancer.Ready || h.state == c.hosts.effectiveState(h.listed) {
+			continue
+		}
+		h.state = c.hosts.effectiveState(h.listed)
+		slog.Info("watermark_applied", "host", id, "out", h.state != balancer.Ready)
+		c.maintenanceChanged(h.pool, h.effectiveEntry())
+	}
+	c.clearUnusableHosts()
+}
