--- /dev/null
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -0,0 +1,125 @@
+package hotrestart
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"time"
+
+	"croftlock/internal/dataplane/netio"
+)
+
+// acceptRetryDelay is the pause after a failed accept: the process may be out of descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
+
+// Endpoint is where the next process asks.
+type Endpoint struct {
+	listener *net.UnixListener
+	loop     *netio.Loop
+	welcome  func(listen string) (*Handoff, error)
+	come     func(*Partner)
+}
+
+// Offer takes over the place in dir where the next process asks. welcome is called on the loop when one does, with the address that clients
+// use at it; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the partner.
+// Close ends the offer.
+func Offer(l *netio.Loop, dir string, welcome func(listen string) (*Handoff, error), come func(*Partner)) (*Endpoint, error) {
+	ln, err := replaceSocket(dir)
+	if err != nil {
+		return nil, err
+	}
+	d := &Endpoint{ln, l, welcome, come}
+	go d.serve()
+	return d, nil
+}
+
+// replaceSocket puts a listener into the place of the socket in dir. Another process may listen there still, and must not be cut off before
+// this one is in its place.
+func replaceSocket(dir string) (*net.UnixListener, error) {
+	path, release := socketPath(dir)
+	defer release()
+	fresh := path + ".new"
+	os.Remove(fresh)
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	if err != nil {
+		return nil, err
+	}
+	ln.SetUnlinkOnClose(false)
+	err = os.Chmod(fresh, 0o600)
+	if err == nil {
+		err = os.Rename(fresh, path)
+	}
+	if err != nil {
+		ln.Close()
+		return nil, err
+	}
+	return ln, nil
+}
+
+// Close ends the offer.
+func (d *Endpoint) Close() { d.listener.Close() }
+
+// serve answers one caller after the other, until Close: there is never more than one that matters.
+func (d *Endpoint) serve() {
+	for {
+		c, err := d.listener.AcceptUnix()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		d.answer(c)
+	}
+}
+
+// answer reads a caller's request and hands over, or says why not.
+func (d *Endpoint) answer(c *net.UnixConn) {
+	m, ok := readRequest(c)
+	if !ok {
+		c.Close()
+		return
+	}
+	h, err := d.askLoop(m.listen)
+	if err != nil {
+		send(c, rejection{reason: err.Error()})
+		c.Close()
+		return
+	}
+	c.SetReadDeadline(time.Time{})
+	p := newPartner(c)
+	if err := send(c, welcome{*h}); err != nil {
+		slog.Warn("hot_restart_failed", "reason", err)
+		p.Close()
+	}
+	d.loop.Post(func() { d.come(p) })
+}
+
+// readRequest reads what a caller asks; false: it is not a request to hand over.
+func readRequest(c *net.UnixConn) (m handoverRequest, ok bool) {
+	c.SetReadDeadline(time.Now().Add(answerTimeout))
+	e, fds, err := receive(c)
+	if err != nil {
+		return m, false
+	}
+	closeAll(fds)
+	m, ok = decode(e, nil).(handoverRequest)
+	return m, ok
+}
+
+// askLoop calls welcome on the loop and waits for its result.
+func (d *Endpoint) askLoop(listen string) (*Handoff, error) {
+	type answer struct {
+		handoff *Handoff
+		err     error
+	}
+	got := make(chan answer, 1)
+	d.loop.Post(func() {
+		h, err := d.welcome(listen)
+		got <- answer{h, err}
+	})
+	a := <-got
+	return a.handoff, a.err
+}
--- a/internal/dataplane/hotrestart/hotrestart_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -28,7 +28,7 @@
 	if k, err := Read(dir, now); k != nil || err != nil {
 		t.Fatalf("nothing kept gave %v, %v", k, err)
 	}
-	if _, err := write(dir, sample()); err != nil {
+	if _, err := writeState(dir, sample()); err != nil {
 		t.Fatal(err)
 	}
 	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
@@ -39,13 +39,13 @@
 	with := func(change func(k *proxy.Snapshot)) string {
 		k := sample()
 		change(k)
-		data, _ := encode(k)
+		data, _ := encodeState(k)
 		return string(data)
 	}
 	for name, data := range map[string]string{
 		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
 		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
-		"foreign": "[]\n{}", "huge": strings.Repeat("x", mostState+1),
+		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
 		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
 		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
 		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
@@ -59,10 +59,10 @@
 
 // FuzzState: no bytes make reading panic.
 func FuzzState(f *testing.F) {
-	data, _ := encode(sample())
+	data, _ := encodeState(sample())
 	f.Add(data)
-	f.Add([]byte(magic + " 2 0\n{}"))
-	f.Fuzz(func(t *testing.T, in []byte) { decode(in, 10) })
+	f.Add([]byte(stateMagic + " 2 0\n{}"))
+	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
 }
 
 // side notes what a partner tells.
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -30,33 +30,34 @@
 
 // TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
 func TestRecordedStateFile(t *testing.T) {
-	data, err := encode(fullState())
+	data, err := encodeState(fullState())
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "croftlock.state", data)
-	got, err := decode(golden.Read(t, "croftlock.state"), 1000)
+	got, err := decodeState(golden.Read(t, "croftlock.state"), 1000)
 	if err != nil || !reflect.DeepEqual(got, fullState()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
 
-// TestRecordedMessages: what two processes of a proxy tell one another has the bytes that it had, and messages of then are read.
+// TestRecordedMessages: what two processes of a proxy send one another has the bytes that it had, and messages of then are read.
 func TestRecordedMessages(t *testing.T) {
 	messages := []message{
-		{Kind: kindAsk, Listen: "127.0.0.1:3"},
-		{Kind: kindWelcome, Kept: fullState(), Datagram: true},
-		{Kind: kindNo, Reason: "why"},
-		{Kind: kindTake},
-		{Kind: kindTaken, Kept: fullState()},
-		{Kind: kindByHand, ID: "b", Out: true},
-		{Kind: kindListed, Kept: fullState()},
-		{Kind: kindSessions, Sessions: 12},
-		{Kind: kindStanding, Standing: fullStanding()},
+		handoverRequest{listen: "127.0.0.1:3"},
+		welcome{Handoff{Snapshot: fullState(), Listener: 8, Datagram: 9}},
+		rejection{reason: "why"},
+		takeOver{},
+		takenOver{snapshot: fullState()},
+		hostSuspended{hostID: "b", out: true},
+		listChanged{snapshot: fullState()},
+		sessionsHeld{sessions: 12},
+		connection{fullStanding()},
 	}
 	var lines []byte
 	for _, m := range messages {
-		body, err := json.Marshal(&m)
+		e := m.envelope()
+		body, err := json.Marshal(&e)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,9 +65,21 @@
 	}
 	golden.Check(t, "messages.golden", lines)
 	for i, line := range bytes.Split(bytes.TrimSpace(golden.Read(t, "messages.golden")), []byte("\n")) {
-		var got message
-		if err := json.Unmarshal(line, &got); err != nil || !reflect.DeepEqual(got, messages[i]) {
-			t.Errorf("%s is read as %+v, %v", line, got, err)
+		var e envelope
+		if err := json.Unmarshal(line, &e); err != nil || !reflect.DeepEqual(e, messages[i].envelope()) {
+			t.Errorf("%s is read as %+v, %v", line, e, err)
+		}
+		if got := decode(&e, messages[i].descriptors()); !reflect.DeepEqual(got, messages[i]) {
+			t.Errorf("%s is read as %+v", line, got)
+		}
+	}
+}
+
+// A message without what belongs to it, or of a later version, is known as such.
+func TestUnexpectedMessages(t *testing.T) {
+	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullState()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullStanding()}} {
+		if m, ok := decode(&e, nil).(unexpected); !ok || m.kind != e.Kind {
+			t.Errorf("%+v is read as %+v", e, m)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/disk_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -58,11 +58,11 @@
 		k.At = now - step // the writer's time, in the moment that is now here
 		k.Suspended[0].Since = k.At - 5e9
 		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.At-1e9, k.At+2e9
-		data, err := encode(k)
+		data, err := encodeState(k)
 		if err != nil {
 			t.Fatal(err)
 		}
-		file, err := decode(data, now)
+		file, err := decodeState(data, now)
 		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
 			t.Errorf("%s: a file gives %+v, %v", name, file, err)
 		}
@@ -83,7 +83,7 @@
 	dir := t.TempDir()
 	first, second := sample(), sample()
 	first.At, second.At, second.Revision = 5, 6, 8
-	if _, err := write(dir, first); err != nil {
+	if _, err := writeState(dir, first); err != nil {
 		t.Fatal(err)
 	}
 	rev := func(want int64) {
@@ -93,7 +93,7 @@
 		}
 	}
 	rev(7)
-	data, err := encode(second)
+	data, err := encodeState(second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	rev(8)
-	if info, err := os.Stat(spare); err != nil || info.Size() < leastSpare {
+	if info, err := os.Stat(spare); err != nil || info.Size() < minSpareSize {
 		t.Errorf("%v, %v: written over it has lost its room", info, err)
 	}
 	if err := overwrite(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
@@ -120,7 +120,7 @@
 	if err := os.MkdirAll(filepath.Join(dir, stateFile, "in the way"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if kept, err := write(dir, second); !kept || err == nil {
+	if kept, err := writeState(dir, second); !kept || err == nil {
 		t.Errorf("kept %t, %v", kept, err)
 	}
 	os.RemoveAll(filepath.Join(dir, stateFile))
@@ -131,7 +131,7 @@
 // over: the new process served beside it. It is an error now, after which the caller asks again, and the next answer counts.
 func TestAnAnswerThatBreaksOffIsAnError(t *testing.T) {
 	dir := t.TempDir()
-	ln, err := net.Listen("unix", filepath.Join(dir, door))
+	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/dataplane/hotrestart/transport.go
@@ -0,0 +1,117 @@
+package hotrestart
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// maxMessageSize is the longest message, in bytes. On the wire it is a length of four bytes, big-endian, and that many bytes of JSON.
+	maxMessageSize = maxStateSize
+	// maxDescriptors is how many descriptors may come with one part of a message.
+	maxDescriptors = 8
+	// writeTimeout is how long the other process may take nothing.
+	writeTimeout = 2 * time.Second
+)
+
+var (
+	errMessageTooLong = errors.New("message too long")
+	errEnded          = errors.New("ended")
+)
+
+// send writes a message whole, with its descriptors beside the first byte.
+func send(c *net.UnixConn, m message) error {
+	e := m.envelope()
+	body, err := json.Marshal(&e)
+	if err != nil {
+		return err
+	}
+	if len(body) > maxMessageSize {
+		return fmt.Errorf("%w: %d bytes, kind %q", errMessageTooLong, len(body), e.Kind)
+	}
+	data := append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if fds := m.descriptors(); len(fds) > 0 {
+		n, _, err := c.WriteMsgUnix(data[:4], unix.UnixRights(fds...), nil)
+		if err != nil || n != 4 {
+			return fmt.Errorf("descriptors: %d bytes written: %v", n, err)
+		}
+		data = data[4:]
+	}
+	_, err = c.Write(data)
+	return err
+}
+
+// receive reads an envelope, and the descriptors that came with it; they are the caller's.
+func receive(c *net.UnixConn) (e *envelope, fds []int, err error) {
+	defer func() {
+		if err != nil {
+			closeAll(fds)
+			e, fds = nil, nil
+		}
+	}()
+	size, fds, err := receiveHead(c)
+	if err != nil {
+		return nil, fds, err
+	}
+	if size > maxMessageSize {
+		return nil, fds, fmt.Errorf("%w: %d bytes", errMessageTooLong, size)
+	}
+	body := make([]byte, size)
+	if _, err := io.ReadFull(c, body); err != nil {
+		return nil, fds, err
+	}
+	e = &envelope{}
+	return e, fds, json.Unmarshal(body, e)
+}
+
+// receiveHead reads the length of a message, and the descriptors that come with it, also where an error follows them.
+func receiveHead(c *net.UnixConn) (size uint32, fds []int, err error) {
+	var head [4]byte
+	control := make([]byte, unix.CmsgSpace(maxDescriptors*4))
+	for got := 0; got < len(head); {
+		n, controlLen, _, _, err := c.ReadMsgUnix(head[got:], control)
+		fds = append(fds, parseDescriptors(control[:controlLen])...)
+		if err == nil && n == 0 {
+			err = errEnded
+		}
+		if err != nil {
+			return 0, fds, err
+		}
+		got += n
+	}
+	return binary.BigEndian.Uint32(head[:]), fds, nil
+}
+
+// parseDescriptors reads the descriptors in a control message; they are closed on exec.
+func parseDescriptors(control []byte) (fds []int) {
+	all, err := syscall.ParseSocketControlMessage(control)
+	if err != nil {
+		return nil
+	}
+	for i := range all {
+		got, err := syscall.ParseUnixRights(&all[i])
+		if err != nil {
+			continue
+		}
+		for _, fd := range got {
+			unix.CloseOnExec(fd)
+		}
+		fds = append(fds, got...)
+	}
+	return fds
+}
+
+func closeAll(fds []int) {
+	for _, fd := range fds {
+		unix.Close(fd)
+	}
+}
