--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires one proxy together: what the platform and the operators' file tell it, the loop, the core with its
-// module, the fronts and the clients, and the signals. It decides nothing.
+// Package node wires one proxy together: what the platform and the settings file say, the loop, the core with its decision module, the
+// fronts and the clients, the process before and the one after, and the signals. It decides nothing.
 package node
 
 import (
@@ -7,10 +7,8 @@
 	"fmt"
 	"log/slog"
 	"os"
-	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"strings"
 	"syscall"
 	"time"
 
@@ -21,209 +19,203 @@
 	"croftlock/internal/dataplane/netio"
 	"croftlock/internal/dataplane/proxy"
 	"croftlock/internal/dataplane/upstreamtls"
-	"croftlock/internal/fleet/memberagent"
-	"croftlock/internal/fleet/owneragent"
 	"croftlock/internal/fleet/peers"
-	"croftlock/internal/fleet/watermark"
 	"croftlock/internal/operations/admin"
-	"croftlock/internal/operations/logging"
 	"croftlock/internal/operations/platform"
 	"croftlock/internal/operations/settings"
 )
 
-// Schema is every section that the operators' file may have.
-func Schema() settings.Schema {
-	return settings.Schema{logging.Section(), upstreamtls.Section(), memberagent.Section(), owneragent.Section(), watermark.Section()}
+// process is one process of a proxy, put together. Its methods run on the loop, or before it runs.
+type process struct {
+	cfg       *platform.Config
+	loop      *netio.Loop
+	dialer    *netio.Dialer
+	link      *upstreamtls.Link // nil: upstream hosts speak plain TCP
+	core      *proxy.Core
+	discovery *cluster.Client
+	listener  *netio.Listener
+	front     *lineproto.Front
+	peers     *peers.Link // nil: there are none
+	restart   restart
+	fleet     fleet
 }
 
-// Check reads what the operators' file refers to and tells what of it can't be used.
-func Check(file *settings.File) []error {
-	var faults []error
-	if o := file.Value("tls").(upstreamtls.Options); o.On {
-		m, err := upstreamtls.Load(o, 1)
-		if err == nil {
-			if f := m.OwnFault(time.Now()); f != nil {
-				err = f
-			}
-		}
-		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: tls: %w", file.Path, err))
-		}
-	}
-	member := file.Value("membership").(memberagent.Options)
-	if err := member.Check(); err != nil {
-		faults = append(faults, fmt.Errorf("%s: membership: %w", file.Path, err))
-	}
-	if err := file.Value("owners").(owneragent.Options).Check(member); err != nil {
-		faults = append(faults, fmt.Errorf("%s: owners: %w", file.Path, err))
-	}
-	if file.Value("floors").(watermark.Options).On && !member.On {
-		faults = append(faults, fmt.Errorf("%s: floors need membership: (membership (on on) …)", file.Path))
-	}
-	return faults
-}
-
-// Signals takes the signals that a proxy obeys. It comes before anything else: a SIGHUP that nobody takes ends the
-// process.
-func Signals() <-chan os.Signal {
-	signals := make(chan os.Signal, 4)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	return signals
-}
-
-// stderr is where the log goes. Whoever reads it may stop reading.
-var stderr = logging.NewUnblocked(os.Stderr)
-
-// Logs makes the log what the file says, in another form where one is given: the command line wins over the file, also
-// once that is read again.
-func Logs(file *settings.File, format string) {
-	o := file.Value("log").(logging.Options)
-	if format != "" {
-		o.Format = format
-	}
-	slog.SetDefault(slog.New(logging.New(stderr, o)))
-}
-
-// Run runs the proxy until it has been told to stop and has nothing left to carry.
-// format is that of the log, "" for what the file says.
+// Run runs the proxy until it has been told to stop and has nothing left to serve. format is that of the log, "" for what the settings file
+// says.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
 	Logs(file, format)
 	runtime.GOMAXPROCS(cfg.Procs())
 	debug.SetMemoryLimit(cfg.MemoryLimit())
-	loop := netio.NewLoop()
-	if err := netio.Attach(loop); err != nil {
+	p := &process{cfg: cfg, loop: netio.NewLoop(), fleet: newFleet(file)}
+	if err := netio.Attach(p.loop); err != nil {
 		return fmt.Errorf("netpoll: %v", err)
 	}
-	dialer := netio.NewDialer(loop, cfg.Dialers())
-	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.Sessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
-	open := lineproto.PlainTCP(dialer)
-	link, err := secure(loop, file, &opt)
+	if err := p.start(file); err != nil {
+		return err
+	}
+	stopped := make(chan struct{})
+	h := &signalHandler{cfg: cfg, file: file, format: format, link: p.link, redirect: p.redirect, shutDown: p.shutDown}
+	go h.run(signals, stopped)
+	p.loop.Run()
+	close(stopped)
+	slog.Info("stopped")
+	return nil
+}
+
+// start puts the process together. Accepting clients comes last: a client, or the front's PING, must find the proxy ready.
+func (p *process) start(file *settings.File) error {
+	sessions, err := p.makeCore(tlsOptions(file))
+	if err != nil {
+		return err
+	}
+	old, handoff, err := p.findPredecessor()
 	if err != nil {
 		return err
 	}
-	if link != nil {
-		open = through(link)
+	list, err := p.runCore(handoff)
+	if err != nil {
+		return err
+	}
+	p.openPeers(handoff.Datagram)
+	if err := p.joinFleet(old == nil); err != nil {
+		return err
 	}
-	var behind []string
+	if err := p.listen(handoff.Listener); err != nil {
+		return err
+	}
+	if err := p.listenAdmin(); err != nil {
+		return err
+	}
+	if old != nil {
+		p.beginTakeover(old)
+	} else if err := p.serve(); err != nil {
+		return fmt.Errorf("listen: %v", err)
+	}
+	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "sessions", sessions)
+	return nil
+}
+
+// makeCore makes the core and its ways to upstream hosts. sessions is how many downstreams it holds at most.
+func (p *process) makeCore(tls upstreamtls.Options) (sessions int, err error) {
+	cfg := p.cfg
+	p.dialer = netio.NewDialer(p.loop, cfg.Dialers())
+	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.Sessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	open := lineproto.PlainTCP(p.dialer)
+	if p.link, err = newUpstreamTLS(p.loop, tls, &opt); err != nil {
+		return 0, err
+	}
+	if p.link != nil {
+		open = openByTLS(p.link)
+	}
+	var reportsInAnswers []string
 	if cfg.InAnswers {
-		behind = cfg.Reports
+		reportsInAnswers = cfg.Reports
 	}
-	core := proxy.New(loop, lineproto.NewConnector(loop, open, behind), opt)
+	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, open, reportsInAnswers), opt)
 	if n := cfg.Probers(); n > 0 {
-		core.SetHealthChecker(lineproto.NewHealthChecks(loop, open, cfg.Reports, n))
+		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, open, cfg.Reports, n))
 	}
-	r := &replacement{cfg: cfg, loop: loop, core: core}
-	var old *hotrestart.Partner
-	var handed *hotrestart.Handoff
-	if r.dir = os.Getenv("TMPDIR"); cfg.Admin == "" {
-		r.dir = "" // nobody can ask whether a new process is ready, so none can take another's place
-	}
-	if r.dir != "" {
-		if old, handed, err = predecessor(cfg, r.dir, loop.Now()); err != nil {
-			return err
+	return opt.Sessions, nil
+}
+
+// findPredecessor asks the process that serves, or reads what one before has stored. old is nil where none serves; handoff never is.
+func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
+	if p.cfg.Admin != "" { // else nobody can ask whether a new process is ready, so none can take another's place
+		p.restart.dir = os.Getenv("TMPDIR")
+	}
+	if p.restart.dir != "" {
+		if old, handoff, err = predecessor(p.cfg, p.restart.dir, p.loop.Now()); err != nil {
+			return nil, nil, err
 		}
-		r.store = hotrestart.NewStore(loop, r.dir)
-		core.SetSuccessor(r)
+		p.restart.store = hotrestart.NewStore(p.loop, p.restart.dir)
+		p.core.SetSuccessor(p)
 	}
-	if handed != nil {
-		core.Inherit(handed.Snapshot)
-	} else {
-		handed = &hotrestart.Handoff{Snapshot: &proxy.Snapshot{}, Listener: -1, Datagram: -1}
+	if handoff == nil {
+		return nil, &hotrestart.Handoff{Snapshot: &proxy.Snapshot{}, Listener: -1, Datagram: -1}, nil
 	}
-	list := known(cfg, handed)
-	r.watch = cluster.NewClient(loop, dialer, cfg.Discovery, cfg.Settings.Instances, list.Version, r.news)
-	err = core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) },
-		r.watch, list)
-	if err != nil {
-		return err
+	p.core.Inherit(handoff.Snapshot)
+	return old, handoff, nil
+}
+
+// runCore gives the core its decision module, discovery, and the endpoint list to start from.
+func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.Change, err error) {
+	cfg := p.cfg
+	list = knownList(cfg, handoff.Snapshot)
+	p.discovery = cluster.NewClient(p.loop, p.dialer, cfg.Discovery, cfg.Settings.Instances, list.Version, p.listReceived)
+	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) }
+	if err := p.core.Run(newBalancer, p.discovery, list); err != nil {
+		return list, err
 	}
 	if !cfg.Settings.PollsDiscovery {
-		// Lists are pushed, to an agent that the platform runs beside the proxy; the module, which hears of them unasked in
-		// the simulator, asks for none.
-		r.watch.Follow()
-	}
-	core.RestoreBalancer(handed.Snapshot.Balancer)
-	if s := cfg.Settings; s.MayGossip && cfg.Peers.Listen != "" && s.Instances > 1 {
-		// Messages help, and a proxy without them serves all the same.
-		told, err := peers.Open(loop, cfg.Peers, s.Instance, handed.Datagram, func(from int, data []byte) {
-			if !r.members.Take(from, data) {
-				core.PeerMessageReceived(from, data)
-			}
-		})
-		if err != nil {
-			slog.Warn("peers_off", "reason", err)
-		} else {
-			core.SetPeers(told)
-			r.peers = told
-		}
+		// Lists are pushed to an agent that the platform runs beside the proxy; the decision module asks for none.
+		p.discovery.Follow()
 	}
-	r.owning, r.flooring = file.Value("owners").(owneragent.Options), file.Value("floors").(watermark.Options)
-	if err := r.join(file.Value("membership").(memberagent.Options), old == nil); err != nil {
-		return err
+	p.core.RestoreBalancer(handoff.Snapshot.Balancer)
+	return list, nil
+}
+
+// openPeers opens the way to the other proxies, on a socket that was handed over where datagram is not under 0. Messages help, and a proxy
+// without them serves all the same.
+func (p *process) openPeers(datagram int) {
+	s := p.cfg.Settings
+	if !s.MayGossip || p.cfg.Peers.Listen == "" || s.Instances <= 1 {
+		return
+	}
+	link, err := peers.Open(p.loop, p.cfg.Peers, s.Instance, datagram, p.peerMessageReceived)
+	if err != nil {
+		slog.Warn("peers_off", "reason", err)
+		return
 	}
-	if r.on, err = listen(cfg.Listen, handed.Listener, r.dir != ""); err != nil {
-		return fmt.Errorf("listen: %v", err)
+	p.core.SetPeers(link)
+	p.peers = link
+}
+
+// peerMessageReceived gives a datagram to membership, or else to the decision module.
+func (p *process) peerMessageReceived(from int, data []byte) {
+	if !p.fleet.members.Take(from, data) {
+		p.core.PeerMessageReceived(from, data)
 	}
-	r.front = lineproto.NewFront(loop, core, r.on, cfg.Newcomers())
-	core.SetNewcomers(r.front)
-	if cfg.Admin != "" {
-		_, err := patiently(func() (*admin.Front, error) { return admin.Listen(loop, core, cfg.Admin, cfg.Callers()) }, inUse)
-		if err != nil {
-			return fmt.Errorf("admin_addr: %v", err)
-		}
+}
+
+// listen makes the front for clients, on the listening socket that was handed over, or on one of its own: shared, where a new process may come
+// to which this one cannot hand over.
+func (p *process) listen(fd int) (err error) {
+	if fd >= 0 {
+		p.listener, err = netio.Inherit(fd)
+	} else {
+		p.listener, err = retryStart(func() (*netio.Listener, error) { return netio.Bind(p.cfg.Listen, p.restart.dir != "") }, addressInUse)
 	}
-	// Accepting comes last: a client, or the front's PING, must find the proxy ready.
-	if old != nil {
-		r.begin(old)
-	} else if err := r.serve(); err != nil {
+	if err != nil {
 		return fmt.Errorf("listen: %v", err)
 	}
-	slog.Info("ready", "name", cfg.Name, "listen", r.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version,
-		"sessions", opt.Sessions)
-	n := &node{cfg: cfg, file: file, format: format, link: link, redirect: func(discovery string) { loop.Post(func() { r.watch.Redirect(discovery) }) },
-		leave: func() { loop.Post(func() { r.leave(); core.Shutdown(loop.Stop) }) }}
-	go n.obey(signals)
-	loop.Run()
-	slog.Info("stopped")
+	p.front = lineproto.NewFront(p.loop, p.core, p.listener, p.cfg.Newcomers())
+	p.core.SetNewcomers(p.front)
 	return nil
 }
 
-// listen takes the listening socket that was handed over, or opens one: shared, where a new process may come for which this
-// one can't hand over.
-func listen(addr string, fd int, shared bool) (*netio.Listener, error) {
-	if fd >= 0 {
-		return netio.Inherit(fd)
+// listenAdmin makes the admin interface, where the platform names an address for it.
+func (p *process) listenAdmin() error {
+	if p.cfg.Admin == "" {
+		return nil
 	}
-	return patiently(func() (*netio.Listener, error) { return netio.Bind(addr, shared) }, inUse)
+	listen := func() (*admin.Front, error) { return admin.Listen(p.loop, p.core, p.cfg.Admin, p.cfg.Callers()) }
+	if _, err := retryStart(listen, addressInUse); err != nil {
+		return fmt.Errorf("admin_addr: %v", err)
+	}
+	return nil
 }
 
-func inUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+func addressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// secure makes TLS to upstream hosts, where the operators want it; else nil. Files that can't be used end the start: a
-// proxy that can reach nobody must not take clients in.
-func secure(loop *netio.Loop, file *settings.File, opt *proxy.Options) (*upstreamtls.Link, error) {
-	o := file.Value("tls").(upstreamtls.Options)
-	if !o.On {
-		return nil, nil
-	}
-	m, err := upstreamtls.Load(o, 1)
-	if err != nil {
-		return nil, fmt.Errorf("tls: %w", err)
-	}
-	opt.Expiry = o.Expiry
-	// Each handshake that is out holds a descriptor, and one more while its socket changes hands.
-	opt.Sessions = max(1, opt.Sessions-o.Handshakes.AtOnce)
-	link := upstreamtls.New(loop, m, opt.Wall)
-	link.Run()
-	slog.Info("tls_on", "epoch", m.Epoch, "min_version", o.MinVersion, "key_exchange", strings.Join(o.KeyExchange, ","),
-		"reuse", o.Reuse, "on_expiry", o.OnExpiry)
-	return link, nil
+// redirect has discovery be another service. It may be called on any goroutine.
+func (p *process) redirect(discovery string) {
+	p.loop.Post(func() { p.discovery.Redirect(discovery) })
 }
 
-// through opens connections by TLS.
-func through(k *upstreamtls.Link) lineproto.Opener {
-	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
-		done func(*netio.Conn, *netio.Error)) func() {
-		return k.Dial(upstreamtls.Host(to), within, limit, h, done)
-	}
+// shutDown ends the process in order. It may be called on any goroutine.
+func (p *process) shutDown() {
+	p.loop.Post(func() {
+		p.leaveFleet()
+		p.core.Shutdown(p.loop.Stop)
+	})
 }
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -5,110 +5,110 @@
 	"runtime/debug"
 
 	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/hotrestart"
 	"croftlock/internal/dataplane/proxy"
 )
 
-// TakeOver stops accepting, and says what this process knows.
-func (p partner) TakeOver() *proxy.Snapshot {
-	r := p.replacement
-	if r.partner == p.of && r.older {
-		r.handed = true
-		r.owners.Leave(func() { r.members.Yield() })
-		r.front.Stop()
-		if r.peers != nil {
-			r.peers.Deafen()
-		}
-		r.core.SetHandedOver(true)
-		slog.Info("hot_restart_handed_over", "sessions", r.core.Sessions())
-		r.tell()
+// partnerEvents hears the other process. What a former partner still sends counts for nothing.
+type partnerEvents struct {
+	*process
+	partner *hotrestart.Partner
+}
+
+var _ hotrestart.Events = partnerEvents{}
+
+// isCurrent tells whether the sender is the other process still.
+func (e partnerEvents) isCurrent() bool { return e.restart.partner == e.partner }
+
+// TakeOver accepts no more clients, and says what this process knows.
+func (e partnerEvents) TakeOver() *proxy.Snapshot {
+	if e.isCurrent() && e.restart.isOld {
+		e.becomeHandedOver()
 	}
-	k := r.keep(true)
-	r.gave = k.Balancer
-	return k
+	s := e.snapshot(true)
+	e.restart.givenAway = s.Balancer
+	return s
 }
 
-// TakenOver takes what the old process knew last, and begins.
-func (p partner) TakenOver(k *proxy.Snapshot) {
-	r := p.replacement
-	if r.partner != p.of || !r.waits {
+// TakenOver takes over what the old process knew last, and begins to serve.
+func (e partnerEvents) TakenOver(s *proxy.Snapshot) {
+	if !e.isCurrent() || e.restart.phase != awaitingList && e.restart.phase != takingOver {
 		return
 	}
-	if k != nil {
-		k.Rebase(r.loop.Now(), true)
-		if err := k.Check(r.loop.Now()); err != nil {
-			slog.Warn("hot_restart_unexpected", "reason", err)
-		} else {
-			p.takeList(k)
-			r.core.Inherit(k)
-			r.core.RestoreBalancer(k.Balancer)
-		}
+	if s != nil {
+		e.inherit(s)
+	}
+	e.becomeServing()
+}
+
+// inherit takes over a snapshot, where it can be used.
+func (e partnerEvents) inherit(s *proxy.Snapshot) {
+	s.Rebase(e.loop.Now(), true)
+	if err := s.Check(e.loop.Now()); err != nil {
+		slog.Warn("hot_restart_unexpected", "reason", err)
+		return
 	}
-	r.accept()
+	e.takeList(s)
+	e.core.Inherit(s)
+	e.core.RestoreBalancer(s.Balancer)
 }
 
-// ListChanged takes the list of the other process, where it is newer than this one's: the two are one proxy, and this one may not be watching yet.
-func (p partner) ListChanged(k *proxy.Snapshot) {
-	r := p.replacement
-	if r.partner != p.of || r.older {
+// ListChanged takes the list of the old process, where it is newer than this one's: the two are one proxy, and this one may not be watching
+// yet.
+func (e partnerEvents) ListChanged(s *proxy.Snapshot) {
+	if !e.isCurrent() || e.restart.isOld {
 		return
 	}
-	if err := k.Check(r.loop.Now()); err != nil {
+	if err := s.Check(e.loop.Now()); err != nil {
 		slog.Warn("hot_restart_unexpected", "reason", err)
 		return
 	}
-	p.takeList(k)
+	e.takeList(s)
 }
 
-func (p partner) takeList(k *proxy.Snapshot) {
-	r := p.replacement
-	if len(k.Hosts) == 0 {
+func (e partnerEvents) takeList(s *proxy.Snapshot) {
+	if len(s.Hosts) == 0 {
 		return
 	}
-	if from, rev := r.watch.Source(); k.Discovery == from && k.Revision > rev {
-		r.core.ListReceived(proxy.Change{Kind: balancer.ListCached, Version: k.Revision, Hosts: k.Hosts})
+	if from, revision := e.discovery.Source(); s.Discovery == from && s.Revision > revision {
+		e.core.ListReceived(proxy.Change{Kind: balancer.ListCached, Version: s.Revision, Hosts: s.Hosts})
 	}
 }
 
-func (p partner) HostSuspended(id string, out bool) {
-	r := p.replacement
-	r.core.HostSuspendedElsewhere(id, out)
-	if !r.handed && !r.waits {
-		r.store.Save(r.keep(false), nil)
+// HostSuspended applies a suspension, or its end, that the other process was told.
+func (e partnerEvents) HostSuspended(id string, out bool) {
+	e.core.HostSuspendedElsewhere(id, out)
+	if e.restart.phase == serving {
+		e.save(nil)
 	}
 }
 
 // ConnectionReceived goes on with an open connection of the old process's.
-func (p partner) ConnectionReceived(s *proxy.HandedOverConnection) { p.front.Resume(s) }
+func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// Sessions counts the other process's downstreams with this one's, and its descriptors that are nobody's in particular.
-func (p partner) Sessions(n int) {
-	if r := p.replacement; r.partner == p.of && !r.older {
-		r.core.SetSessionsElsewhere(n + r.cfg.Spare()/2)
+// Sessions counts the old process's downstreams with this one's, and its descriptors that are nobody's in particular.
+func (e partnerEvents) Sessions(n int) {
+	if e.isCurrent() && !e.restart.isOld {
+		e.core.SetSessionsElsewhere(n + e.cfg.Spare()/2)
 	}
 }
 
 // Gone goes on alone.
-func (p partner) Gone() {
-	r := p.replacement
-	if r.partner != p.of {
+func (e partnerEvents) Gone() {
+	if !e.isCurrent() {
 		return
 	}
+	r := &e.restart
 	r.partner = nil
-	debug.SetMemoryLimit(r.cfg.MemoryLimit())
-	slog.Info("hot_restart_partner_gone", "older", r.older)
-	if !r.older {
-		r.core.SetSessionsElsewhere(0)
-		r.accept()
+	debug.SetMemoryLimit(e.cfg.MemoryLimit())
+	slog.Info("hot_restart_partner_gone", "older", r.isOld)
+	if !r.isOld {
+		e.core.SetSessionsElsewhere(0)
+		e.becomeServing()
 		return
 	}
-	r.older = false
-	if !r.handed || !r.core.Ready() {
-		return
+	r.isOld = false
+	if r.phase == handedOver && e.core.Ready() {
+		e.takeBack()
 	}
-	// The new process has died after it took over: whoever waits in the queue is this one's again.
-	r.handed = false
-	r.core.RestoreBalancer(r.gave) // the cold budgets that were given up, among others
-	r.mustServe()
-	r.rejoin()
-	slog.Warn("hot_restart_taken_back", "sessions", r.core.Sessions())
 }
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -20,9 +20,9 @@
 		SlowStartOverloadFactor: 2, SlowStartFloor: 0.2, PollInterval: 1e10, ConnectTimeout: 1e8}
 	l := netio.NewLoop()
 	core := proxy.New(l, nil, proxy.Options{Sessions: 1, Settings: settings})
-	r := &replacement{loop: l, core: core, watch: cluster.NewClient(l, nil, "127.0.0.1:2", 1, 7, nil)}
+	r := &process{loop: l, core: core, discovery: cluster.NewClient(l, nil, "127.0.0.1:2", 1, 7, nil)}
 	known := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{host("a", balancer.Ready), host("b", balancer.Ready)}}
-	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.watch, known); err != nil {
+	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.discovery, known); err != nil {
 		t.Fatal(err)
 	}
 	state := func() balancer.HostState {
@@ -33,8 +33,8 @@
 		}
 		return balancer.Removed
 	}
-	r.partner = &hotrestart.Partner{}
-	old := partner{r, r.partner}
+	r.restart.partner = &hotrestart.Partner{}
+	old := partnerEvents{r, r.restart.partner}
 	for _, c := range []struct {
 		from string
 		rev  int64
@@ -45,7 +45,7 @@
 			t.Errorf("version %d of %s: state %d, want %d", c.rev, c.from, got, c.want)
 		}
 	}
-	r.older = true
+	r.restart.isOld = true
 	old.ListChanged(&proxy.Snapshot{Discovery: "127.0.0.1:2", Revision: 9, Hosts: []proxy.HostEntry{host("a", balancer.Ready)}})
 	if state() != balancer.Draining {
 		t.Error("an old process takes the new one's list")
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -11,66 +11,89 @@
 	"croftlock/internal/operations/platform"
 )
 
-// predecessor asks the process that serves, if there is one, and else reads what one before has kept.
-func predecessor(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
-	type answer struct {
-		p *hotrestart.Partner
-		h *hotrestart.Handoff
+const (
+	// startRetryTime is how long a start waits for an address, or for another hot restart to end: a new process has 6 s to be ready.
+	startRetryTime     = 5500 * time.Millisecond
+	startRetryInterval = 100 * time.Millisecond
+	// unclearAnswerTime is how long a process is asked again that does not answer as it should.
+	unclearAnswerTime = 2 * time.Second
+	// maxStateReads is how often a state file is read that the disk does not give, and stateReadInterval how soon again.
+	maxStateReads     = 10
+	stateReadInterval = 100 * time.Millisecond
+)
+
+// retryStart tries until it succeeds, for as long as a start may take and the error is one to retry.
+func retryStart[T any](try func() (T, error), retryable func(error) bool) (T, error) {
+	for end := time.Now().Add(startRetryTime); ; time.Sleep(startRetryInterval) {
+		x, err := try()
+		if err == nil || !retryable(err) || time.Now().After(end) {
+			return x, err
+		}
 	}
-	began := time.Now()
-	a, err := patiently(func() (answer, error) {
-		p, h, err := hotrestart.RequestHandover(dir, cfg.Listen, now)
-		return answer{p, h}, err
-	}, func(err error) bool {
-		// A process that could not answer in this moment is worth asking again: beside it, with a queue of its own, this one would serve, and what
-		// waits in the old one's queue as that ends is lost.
-		return errors.Is(err, hotrestart.ErrBusy) || time.Since(began) < askFor
-	})
+}
+
+// predecessor asks the process that serves to hand over, and where there is none reads what one before has stored. Both are nil where there was
+// neither.
+func predecessor(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
+	partner, handoff, err := requestHandover(cfg, dir, now)
 	if errors.Is(err, hotrestart.ErrBusy) {
 		return nil, nil, err
 	}
 	if err != nil {
 		slog.Warn("hot_restart_failed", "reason", err) // it serves on beside this one
 	}
-	if a.p != nil {
-		return a.p, a.h, nil
+	if partner != nil {
+		return partner, handoff, nil
 	}
-	k, err := readState(dir, now)
+	return nil, storedHandoff(dir, now), nil
+}
+
+// requestHandover asks the process that serves, again where it could not answer for the moment: beside it, with a queue of its own, this one
+// would serve, and what waits in the old one's queue as that ends is lost.
+func requestHandover(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
+	type answer struct {
+		partner *hotrestart.Partner
+		handoff *hotrestart.Handoff
+	}
+	began := time.Now()
+	a, err := retryStart(func() (answer, error) {
+		partner, handoff, err := hotrestart.RequestHandover(dir, cfg.Listen, now)
+		return answer{partner, handoff}, err
+	}, func(err error) bool {
+		return errors.Is(err, hotrestart.ErrBusy) || time.Since(began) < unclearAnswerTime
+	})
+	return a.partner, a.handoff, err
+}
+
+// storedHandoff is what a process before this one has stored; nil: nothing that can be used.
+func storedHandoff(dir string, now int64) *hotrestart.Handoff {
+	s, err := readState(dir, now)
 	if err != nil {
 		slog.Warn("state_file_ignored", "reason", err)
 		hotrestart.SetAside(dir)
 	}
-	if k == nil {
-		return nil, nil, nil
+	if s == nil {
+		return nil
 	}
-	return nil, &hotrestart.Handoff{Snapshot: k, Listener: -1, Datagram: -1}, nil
+	return &hotrestart.Handoff{Snapshot: s, Listener: -1, Datagram: -1}
 }
 
-// askFor is for how long a process is asked that does not answer as it should: this one has 6 s to be ready.
-const askFor = 2 * time.Second
-
-// How often a state file is read that the disk does not give, and how soon again.
-const (
-	mostReads = 10
-	readAgain = 100 * time.Millisecond
-)
-
-// readState gives what a process before this one has kept. A disk that fails for a moment is asked again: what operators have said stands there.
-func readState(dir string, now int64) (k *proxy.Snapshot, err error) {
-	for range mostReads {
-		k, err = hotrestart.Read(dir, now)
+// readState reads the state file, again where the disk fails for a moment: it holds what operators have said.
+func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
+	for range maxStateReads {
+		s, err = hotrestart.Read(dir, now)
 		if system := new(fs.PathError); !errors.As(err, &system) {
-			return k, err
+			return s, err
 		}
-		time.Sleep(readAgain)
+		time.Sleep(stateReadInterval)
 	}
 	return nil, err
 }
 
-// known is the list to start from: what another process held, where it is the same service's and newer.
-func known(cfg *platform.Config, h *hotrestart.Handoff) proxy.Change {
-	if h == nil || h.Snapshot.Discovery != cfg.Discovery || h.Snapshot.Revision <= cfg.Known.Version {
+// knownList is the endpoint list to start from: the other process's, where it is the same service's and newer than the platform's.
+func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.Change {
+	if s.Discovery != cfg.Discovery || s.Revision <= cfg.Known.Version {
 		return cfg.Known
 	}
-	return proxy.Change{Kind: cfg.Known.Kind, Version: h.Snapshot.Revision, Hosts: h.Snapshot.Hosts}
+	return proxy.Change{Kind: cfg.Known.Kind, Version: s.Revision, Hosts: s.Hosts}
 }
