--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -56,8 +56,8 @@
 // HandOver hands an open connection to the process that takes over.
 func (p *process) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	if !p.Accepts() {
-		s.Down.Discard(migrationLine)
-		s.Up.Discard(nil)
+		s.Downstream.Discard(migrationLine)
+		s.Upstream.Discard(nil)
 		done()
 		return
 	}
@@ -78,6 +78,6 @@
 	p.becomeTakingOver()
 	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 { // also before it has taken over: this one may be gone by then
 		s := p.snapshot(false)
-		p.restart.partner.ListChanged(&proxy.Snapshot{At: s.At, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
+		p.restart.partner.ListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
 	}
 }
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -89,8 +89,8 @@
 // hostSuspended, either way, is a host's suspension or its end.
 type hostSuspended struct {
 	noDescriptors
-	hostID  string
-	out bool
+	hostID string
+	out    bool
 }
 
 func (m hostSuspended) envelope() envelope {
@@ -120,7 +120,7 @@
 	return envelope{Kind: kindConnection, Connection: m.HandedOverConnection}
 }
 
-func (m connection) descriptors() []int { return []int{m.Down.FD, m.Up.FD} }
+func (m connection) descriptors() []int { return []int{m.Downstream.FD, m.Upstream.FD} }
 
 // unexpected is a message that this version does not know, or one that lacks what belongs to it.
 type unexpected struct {
@@ -139,7 +139,7 @@
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 2 && e.Datagram:
 		return welcome{Handoff{Snapshot: e.Snapshot, Listener: fds[0], Datagram: fds[1]}}
 	case e.Kind == kindConnection && e.Connection != nil && len(fds) == 2:
-		e.Connection.Down.FD, e.Connection.Up.FD = fds[0], fds[1]
+		e.Connection.Downstream.FD, e.Connection.Upstream.FD = fds[0], fds[1]
 		return connection{e.Connection}
 	}
 	closeAll(fds)
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -54,11 +54,11 @@
 // finish gives up this process's part of the connection. Where the handover failed, the client is told to come again.
 func (h *handover) finish(failed bool) {
 	if failed {
-		h.connection.Down.Discard(h.migrationLine)
+		h.connection.Downstream.Discard(h.migrationLine)
 	} else {
-		h.connection.Down.Discard(nil)
+		h.connection.Downstream.Discard(nil)
 	}
-	h.connection.Up.Discard(nil)
+	h.connection.Upstream.Discard(nil)
 	h.done()
 }
 
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -78,8 +78,8 @@
 func (s *side) Sessions(n int)                    { s.told <- "sessions" }
 func (s *side) ConnectionReceived(k *proxy.HandedOverConnection) {
 	s.told <- "standing " + k.Host
-	k.Down.Discard([]byte("x"))
-	k.Up.Discard(nil)
+	k.Downstream.Discard([]byte("x"))
+	k.Upstream.Discard(nil)
 }
 func (s *side) Gone() { s.told <- "gone" }
 func (s *side) expect(t *testing.T, w string) {
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -15,7 +15,7 @@
 
 // fullState has a value of its own in every field of what one process leaves to the next.
 func fullState() *proxy.Snapshot {
-	return &proxy.Snapshot{At: 900, Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
+	return &proxy.Snapshot{WrittenAt: 900, Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts: []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", State: balancer.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 4}}},
 		Balancer: balancer.Snapshot{Started: 1, RateAt: 2, Rate: 3.5, Fresh: 4.5, MeanCost: 5.5, ClassCost: []float64{6.5, 7.5},
 			Servers: []balancer.HostSnapshot{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
@@ -25,7 +25,7 @@
 func fullStanding() *proxy.HandedOverConnection {
 	return &proxy.HandedOverConnection{Request: balancer.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", ExpectedLoad: 3.5, Retry: true, MidFlow: true, Returned: true, Remaining: 4},
 		Class: "c", Tenant: "t", Host: "h", Load: 5.5, UnansweredSince: []int64{6, 7}, LastKind: proxy.LoadReported,
-		Down: netio.Parts{FD: 8, In: []byte("in"), Rest: []byte("rest")}, Up: netio.Parts{FD: 9, In: []byte("up"), Rest: []byte("more")}}
+		Downstream: netio.Parts{FD: 8, In: []byte("in"), Rest: []byte("rest")}, Upstream: netio.Parts{FD: 9, In: []byte("up"), Rest: []byte("more")}}
 }
 
 // TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -75,7 +75,7 @@
 func Read(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readFile(filepath.Join(dir, spareFile), now)
-	if spareErr == nil && spare != nil && (s == nil || spare.At > s.At) {
+	if spareErr == nil && spare != nil && (s == nil || spare.WrittenAt > s.WrittenAt) {
 		return spare, nil // the later of the two
 	}
 	if system := new(fs.PathError); err == nil && errors.As(spareErr, &system) {
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -55,9 +55,9 @@
 	now := int64(1e18)
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
 		k := sample()
-		k.At = now - step // the writer's time, in the moment that is now here
-		k.Suspended[0].Since = k.At - 5e9
-		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.At-1e9, k.At+2e9
+		k.WrittenAt = now - step // the writer's time, in the moment that is now here
+		k.Suspended[0].Since = k.WrittenAt - 5e9
+		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.WrittenAt-1e9, k.WrittenAt+2e9
 		data, err := encodeState(k)
 		if err != nil {
 			t.Fatal(err)
@@ -82,7 +82,7 @@
 func TestTheSpareFile(t *testing.T) {
 	dir := t.TempDir()
 	first, second := sample(), sample()
-	first.At, second.At, second.Revision = 5, 6, 8
+	first.WrittenAt, second.WrittenAt, second.Revision = 5, 6, 8
 	if _, err := writeState(dir, first); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	}
 	rev(7)
 	// What stands in a folder in which no file can be made is kept all the same: there is a file in the way of each new one's name.
-	second.At, second.Revision = 9, 9
+	second.WrittenAt, second.Revision = 9, 9
 	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -76,16 +76,16 @@
 	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
 	d.request, u.events = f.core.Resume(s, d, u)
-	if err := netio.Resume(f.loop, s.Down, inputLimit, d, func(c *netio.Conn) {
+	if err := netio.Resume(f.loop, s.Downstream, inputLimit, d, func(c *netio.Conn) {
 		d.conn = c
 		c.WhenGone(d.descriptorFreed)
 	}); err != nil {
-		s.Up.Discard(nil)
+		s.Upstream.Discard(nil)
 		d.descriptorFreed()
 		d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
 		return
 	}
-	if err := netio.Resume(f.loop, s.Up, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
+	if err := netio.Resume(f.loop, s.Upstream, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
 		u.finish(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
 		return
 	}
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -42,11 +42,11 @@
 	if status.ProvesNotRun() && c.loop.Now()+int64(adoptionRetryDelay) < r.deadline {
 		c.loop.After(adoptionRetryDelay, func() {
 			if !r.answered() {
-				r.adopt(a.host.id)
+				r.adopt(a.host.hostID)
 			}
 		})
 		return
 	}
-	slog.Warn("adoption_failed", "host", a.host.id, "status", int(status))
+	slog.Warn("adoption_failed", "host", a.host.hostID, "status", int(status))
 	r.fail(metrics.Failed)
 }
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -105,7 +105,7 @@
 	}
 	r.core.counters.migrated++
 	if tracing() {
-		slog.Debug("client_migrated", "request", r.attributes.ID, "host", a.host.id, "status", status.String(), "leaving", r.core.shuttingDown)
+		slog.Debug("client_migrated", "request", r.attributes.ID, "host", a.host.hostID, "status", status.String(), "leaving", r.core.shuttingDown)
 	}
 	r.record.Released()
 	r.downstream.Migrate()
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -82,7 +82,7 @@
 
 // attemptBlocked logs that a rule forbids an attempt, and gives the status with which the attempt ends.
 func (r *Request) attemptBlocked(rule invariant.Rule, h *host) balancer.AttemptStatus {
-	slog.Warn("attempt_blocked", "rule", rule, "request", r.attributes.ID, "host", h.id)
+	slog.Warn("attempt_blocked", "rule", rule, "request", r.attributes.ID, "host", h.hostID)
 	switch rule {
 	case invariant.HostAcceptsNew:
 		return balancer.Full
@@ -101,7 +101,7 @@
 	r.record.AttemptBegan(now, h.invariantHost())
 	h.pending[a] = struct{}{}
 	if tracing() {
-		slog.Debug("attempt_started", "request", r.attributes.ID, "number", number, "host", h.id, "left_ms", (r.deadline-now)/1e6)
+		slog.Debug("attempt_started", "request", r.attributes.ID, "number", number, "host", h.hostID, "left_ms", (r.deadline-now)/1e6)
 	}
 	a.timeoutTimer = c.loop.After(time.Duration(deadline-now), func() { a.finish(balancer.Timeout, netio.Ended) })
 	a.limitRetry()
@@ -148,7 +148,7 @@
 	elapsed := c.loop.Now() - a.startedAt
 	r.record.AttemptEnded(status.ProvesNotRun())
 	if tracing() {
-		slog.Debug("attempt_ended", "request", r.attributes.ID, "number", a.number, "host", a.host.id, "status", status.String(),
+		slog.Debug("attempt_ended", "request", r.attributes.ID, "number", a.number, "host", a.host.hostID, "status", status.String(),
 			"up", a.established, "ms", elapsed/1e6)
 	}
 	if r.adopted && !a.established {
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -66,7 +66,7 @@
 		return v, rulesReject
 	case v.Pools != nil && !slices.Contains(v.Pools, r.pool.name), v.Pools == nil && r.pool != c.pools.main:
 		return v, rulesOtherPool
-	case !c.fleet.enforcer.Usable(h.id), c.fleet.enforcer.Pool(h.id, h.listed.Kind, h.zone) != r.pool.name:
+	case !c.fleet.enforcer.Usable(h.hostID), c.fleet.enforcer.Pool(h.hostID, h.listed.Kind, h.zone) != r.pool.name:
 		return v, rulesOtherHost
 	}
 	return v, rulesAgree
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -44,8 +44,8 @@
 	Load            float64          `json:"Load"`    // µs of work a second; 0: not known
 	UnansweredSince []int64          `json:"Waiting"` // ns, when the client's lines were sent that no answer has come for
 	LastKind        MessageKind      `json:"Last"`    // Finished or MigrateClient once the host has said so
-	Down            netio.Parts      `json:"Down"`
-	Up              netio.Parts      `json:"Up"`
+	Downstream      netio.Parts      `json:"Down"`
+	Upstream        netio.Parts      `json:"Up"`
 }
 
 // Releaser is an end of a connection that can be handed over.
@@ -67,9 +67,9 @@
 	a.detach()
 	c.handover.inFlight++
 	up.Release(func(p netio.Parts) {
-		s.Up = p
+		s.Upstream = p
 		down.Release(func(p netio.Parts) {
-			s.Down = p
+			s.Downstream = p
 			c.released(a, s)
 		})
 	})
@@ -78,7 +78,7 @@
 // describe is the connection without its two ends.
 func (a *upstreamRequest) describe() *HandedOverConnection {
 	r, c := a.request, a.request.core
-	s := &HandedOverConnection{Request: r.attributes, Class: r.class().Name, Host: a.host.id, Load: a.load,
+	s := &HandedOverConnection{Request: r.attributes, Class: r.class().Name, Host: a.host.hostID, Load: a.load,
 		UnansweredSince: a.unansweredSince, LastKind: a.finalKind}
 	if r.attributes.Tenant >= 0 {
 		s.Tenant = c.opt.Settings.Tenants[r.attributes.Tenant].Name
@@ -90,7 +90,7 @@
 func (c *Core) released(a *upstreamRequest, s *HandedOverConnection) {
 	r := a.request
 	r.record.Released()
-	if s.Up.FD < 0 || s.Down.FD < 0 {
+	if s.Upstream.FD < 0 || s.Downstream.FD < 0 {
 		c.endReleased(a, s)
 		c.handover.inFlight--
 	} else {
@@ -104,11 +104,11 @@
 func (c *Core) endReleased(a *upstreamRequest, s *HandedOverConnection) {
 	down := a.request.downstream
 	a.conn.End(netio.Ended)
-	if s.Down.FD < 0 {
+	if s.Downstream.FD < 0 {
 		down.Migrate()
 	}
-	s.Up.Discard(nil)
-	s.Down.Discard(down.MigrationLine())
+	s.Upstream.Discard(nil)
+	s.Downstream.Discard(down.MigrationLine())
 }
 
 // Resume goes on with an open connection that another process has handed over. down is the client's end, up the host's; it gives what
@@ -131,7 +131,7 @@
 	c.admission.sessions++ // whatever the limit: the connection is open
 	c.counters.resumed++
 	c.notify(nil, r.pool, a.reportAdopted)
-	if c.hosts.suspensions.Suspended(h.id) {
+	if c.hosts.suspensions.Suspended(h.hostID) {
 		c.migrateOffHost(h, r)
 	}
 	return r, a
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -11,7 +11,7 @@
 
 // host is an upstream host as this proxy knows it.
 type host struct {
-	id        string
+	hostID    string
 	zone      string
 	address   string
 	listed    balancer.ListedHost // as discovery last said
@@ -43,7 +43,7 @@
 }
 
 // target is what a Connector needs to know of it.
-func (h *host) target() Target { return Target{h.id, h.zone, h.address} }
+func (h *host) target() Target { return Target{h.hostID, h.zone, h.address} }
 
 // setRemoved says that the endpoint list does not name the host any more.
 func (h *host) setRemoved() { h.state, h.listed.State = balancer.Removed, balancer.Removed }
@@ -81,7 +81,7 @@
 
 // add enters a host that is in no pool yet.
 func (t *hostTable) add(id string) *host {
-	h := &host{id: id, established: map[*Request]struct{}{}, pending: map[*upstreamRequest]struct{}{}}
+	h := &host{hostID: id, established: map[*Request]struct{}{}, pending: map[*upstreamRequest]struct{}{}}
 	t.byID[id] = h
 	return h
 }
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -104,7 +104,7 @@
 		a.previousLoad, a.load = a.load, max(figure, math.SmallestNonzeroFloat64)
 	}
 	if tracing() {
-		slog.Debug("load_reported", "request", a.request.attributes.ID, "host", a.host.id, "delay", delay, "value", figure)
+		slog.Debug("load_reported", "request", a.request.attributes.ID, "host", a.host.hostID, "delay", delay, "value", figure)
 	}
 	c.notify(nil, a.request.pool, func(now balancer.Time, m Balancer) {
 		m.Observe(now, a.request.attributes.ID, a.number, kind, figure)
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		// The machine has vanished or hangs, and TCP does not say so. The client must not wait for it.
-		slog.Warn("host_silent", "host", h.id, "request", r.attributes.ID, "ms", (now-sent)/1e6)
+		slog.Warn("host_silent", "host", h.hostID, "request", r.attributes.ID, "ms", (now-sent)/1e6)
 		c.counters.lost++
 		r.migrate(balancer.Reset)
 	}
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -82,7 +82,7 @@
 	if c.fleet.enforcer == nil {
 		return c.pools.main
 	}
-	return c.pools.get(c.fleet.enforcer.Pool(h.id, h.listed.Kind, h.zone))
+	return c.pools.get(c.fleet.enforcer.Pool(h.hostID, h.listed.Kind, h.zone))
 }
 
 // choosePool gives the first of the named pools that has a usable host; nil: none has. Without names it is main.
@@ -92,7 +92,7 @@
 	}
 	for _, name := range names {
 		for _, h := range c.hosts.byID {
-			if h.state == balancer.Ready && h.pool != nil && h.pool.name == name && c.fleet.enforcer.Usable(h.id) {
+			if h.state == balancer.Ready && h.pool != nil && h.pool.name == name && c.fleet.enforcer.Usable(h.hostID) {
 				return h.pool
 			}
 		}
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -130,8 +130,8 @@
 		for id, r := range w.core.requests {
 			if a := r.attempt; a != nil && a.established {
 				stood++
-				if r.pool != a.host.pool || a.host.pool.name != w.owner[a.host.id] {
-					t.Fatalf("%s stands at %s of %q and is known to %v", id, a.host.id, w.owner[a.host.id], r.pool)
+				if r.pool != a.host.pool || a.host.pool.name != w.owner[a.host.hostID] {
+					t.Fatalf("%s stands at %s of %q and is known to %v", id, a.host.hostID, w.owner[a.host.hostID], r.pool)
 				}
 			}
 		}
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -31,7 +31,7 @@
 	away := h.effectiveEntry()
 	away.State = balancer.Removed
 	if from != nil {
-		h.lastSnapshot = snapshotOf(from.balancer, h.id)
+		h.lastSnapshot = snapshotOf(from.balancer, h.hostID)
 		c.maintenanceChanged(from, away)
 	}
 	if to != nil {
@@ -77,7 +77,7 @@
 // reportAdopted notifies a balancer of an open connection that it has not placed, with its load where that is known.
 func (a *upstreamRequest) reportAdopted(now balancer.Time, m Balancer) {
 	attributes := a.request.attributes
-	m.ConnectionAdopted(now, attributes, a.host.id)
+	m.ConnectionAdopted(now, attributes, a.host.hostID)
 	if a.load > 0 {
 		m.Observe(now, attributes.ID, 0, balancer.ObservedLoad, a.load)
 	}
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -12,7 +12,7 @@
 
 // Snapshot is what one process of a proxy leaves to the next: suspensions, the endpoint list, and what the decision module knows.
 type Snapshot struct {
-	At         int64                    `json:"At"`        // ns, the writer's time as it was written; 0: an earlier version did not say
+	WrittenAt  int64                    `json:"At"`        // ns, the writer's time as it was written; 0: an earlier version did not say
 	Discovery  string                   `json:"Discovery"` // address of who gave the list; revisions of another service mean nothing
 	Revision   int64                    `json:"Rev"`
 	Hosts      []HostEntry              `json:"Hosts"`
@@ -35,8 +35,8 @@
 // them started, and that may have been set in between, by an hour either way. live says that it was written at this moment; of a file it
 // is only known that it is not from the future.
 func (s *Snapshot) Rebase(now int64, live bool) {
-	by := now - s.At
-	if s.At > 0 && (by < 0 || live) && (by <= -minClockStep || by >= minClockStep) {
+	by := now - s.WrittenAt
+	if s.WrittenAt > 0 && (by < 0 || live) && (by <= -minClockStep || by >= minClockStep) {
 		slog.Warn("clock_stepped", "between", "processes", "ms", by/1e6)
 		s.shift(by)
 	}
@@ -131,7 +131,7 @@
 // Snapshot is what the next process is to know. With yield, this one gives up its slow-start budgets.
 func (c *Core) Snapshot(yield bool) *Snapshot {
 	s := &Snapshot{
-		At:         c.loop.Now(),
+		WrittenAt:  c.loop.Now(),
 		Suspended:  c.hosts.suspensions.All(),
 		KnownHosts: c.hosts.suspensions.IDs(),
 		Balancer:   c.pools.main.balancer.Snapshot(yield),
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -87,7 +87,7 @@
 
 // confirmStart replaces the guessed start of a host that came back by what discovery says.
 func (c *Core) confirmStart(h *host, guess balancer.Time) {
-	if c.hosts.byID[h.id] != h || h.state != balancer.Ready || h.startedAt >= guess {
+	if c.hosts.byID[h.hostID] != h || h.state != balancer.Ready || h.startedAt >= guess {
 		return // it is suspended again, or removed; or discovery has told its start since, and the balancer knows
 	}
 	away := h.effectiveEntry()
@@ -100,7 +100,7 @@
 	c.loop.After(maintenance.MigrationDelay(r.attributes.ID), func() {
 		c.migrations.submit(func() bool {
 			_, open := h.established[r]
-			if open = open && c.hosts.suspensions.Suspended(h.id); open {
+			if open = open && c.hosts.suspensions.Suspended(h.hostID); open {
 				r.migrate(balancer.Cancelled)
 			}
 			return open
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -35,7 +35,7 @@
 	case Failed:
 		a.finish(balancer.Error, netio.Ended)
 	default:
-		slog.Warn("unexpected_answer", "host", a.host.id, "request", r.attributes.ID, "text", string(m.Text))
+		slog.Warn("unexpected_answer", "host", a.host.hostID, "request", r.attributes.ID, "text", string(m.Text))
 		a.finish(balancer.Error, netio.Ended)
 	}
 	return true
@@ -50,7 +50,7 @@
 	a.retryWindowTimer.Stop()
 	delete(a.host.pending, a)
 	a.host.established[r] = struct{}{}
-	if c.hosts.suspensions.Suspended(a.host.id) {
+	if c.hosts.suspensions.Suspended(a.host.hostID) {
 		c.migrateOffHost(a.host, r) // it was on its way before the suspension
 	}
 	c.counters.served++
@@ -70,12 +70,12 @@
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
 	if tracing() {
-		slog.Debug("request_established", "request", r.attributes.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
+		slog.Debug("request_established", "request", r.attributes.ID, "number", a.number, "host", a.host.hostID, "adopted", r.adopted,
 			"ms", elapsed/1e6)
 	}
 	c.notify(nil, r.pool, func(now balancer.Time, m Balancer) {
 		if r.adopted {
-			m.ConnectionAdopted(now, r.attributes, a.host.id)
+			m.ConnectionAdopted(now, r.attributes, a.host.hostID)
 			return
 		}
 		m.AttemptEstablished(now, r.attributes.ID, a.number, elapsed)
@@ -123,7 +123,7 @@
 		a.request.core.counters.lost++
 	}
 	if tracing() {
-		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.id, "status", status.String(), "reason", err)
+		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.hostID, "status", status.String(), "reason", err)
 	}
 	a.request.record.Released()
 	a.request.downstream.End(err.Cause)
