--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -12,86 +12,86 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// leaving is a core with the real module among hosts that answer late, badly or not at all, and clients that leave at drawn moments.
-type leaving struct {
-	*world
-	rng     *rand.Rand
-	left    map[string]int64 // when a client has left
-	begun   int              // attempts
-	wrote   int              // first lines
-	permits int              // held
+// leavingClients is a core with the real balancer among hosts that answer late, badly or not at all, and clients that leave at drawn moments.
+type leavingClients struct {
+	*harness
+	rng          *rand.Rand
+	leftAt       map[string]int64 // when a client has left
+	attempts     int              // attempts
+	linesWritten int              // first lines
+	quotaHeld    int              // held
 }
 
 // Start checks that no attempt begins for a client that has left, and draws what becomes of it.
-func (w *leaving) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
+func (w *leavingClients) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
 	id := ev.(*upstreamRequest).request.attributes.ID
-	w.begun++
-	w.checkThere(id, "an attempt begins")
-	u := &drawnUp{fakeUp: &fakeUp{w: w.world, ev: ev}, at: w, id: id}
+	w.attempts++
+	w.checkNotLeft(id, "an attempt begins")
+	u := &drawnUpstream{fakeUpstream: &fakeUpstream{harness: w.harness, events: ev}, clients: w, requestID: id}
 	took := w.draw(120 * time.Millisecond)
 	if took >= within || w.rng.Intn(20) == 0 {
 		u.after(min(took, within), func() { ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting, Cause: netio.Refused}) })
 	} else {
-		u.after(took, u.stands)
+		u.after(took, u.connected)
 	}
 	return u
 }
 
-func (w *leaving) draw(most time.Duration) time.Duration {
+func (w *leavingClients) draw(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int63n(int64(most)))
 }
 
-func (w *leaving) checkThere(id, what string) {
-	if at, gone := w.left[id]; gone {
-		w.t.Errorf("%s for %s, whose client left %v before", what, id, time.Duration(w.now-at))
+func (w *leavingClients) checkNotLeft(id, what string) {
+	if at, gone := w.leftAt[id]; gone {
+		w.test.Errorf("%s for %s, whose client left %v before", what, id, time.Duration(w.now-at))
 	}
 }
 
-// drawnUp is an attempt whose course is drawn.
-type drawnUp struct {
-	*fakeUp
-	at   *leaving
-	id   string
-	over bool
+// drawnUpstream is an attempt whose course is drawn.
+type drawnUpstream struct {
+	*fakeUpstream
+	clients   *leavingClients
+	requestID string
+	ended     bool
 }
 
-func (u *drawnUp) End(netio.Cause) { u.over = true }
+func (u *drawnUpstream) End(netio.Cause) { u.ended = true }
 
-func (u *drawnUp) after(d time.Duration, f func()) {
-	u.w.loop.After(d, func() {
-		if !u.over {
+func (u *drawnUpstream) after(d time.Duration, f func()) {
+	u.harness.loop.After(d, func() {
+		if !u.ended {
 			f()
 		}
 	})
 }
 
-// stands is the moment in which the connection has come up.
-func (u *drawnUp) stands() {
-	if !u.ev.MaySend() {
+// connected is the moment in which the connection has come up.
+func (u *drawnUpstream) connected() {
+	if !u.events.MaySend() {
 		return
 	}
-	u.at.checkThere(u.id, "a first line is written")
-	u.at.wrote++
+	u.clients.checkNotLeft(u.requestID, "a first line is written")
+	u.clients.linesWritten++
 	u.sent()
-	answer := u.at.rng.Intn(20)
-	u.after(u.at.draw(250*time.Millisecond), func() {
+	answer := u.clients.rng.Intn(20)
+	u.after(u.clients.draw(250*time.Millisecond), func() {
 		switch answer {
 		default:
-			u.ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
+			u.events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 		case 1, 2:
-			u.ev.FromUpstream(Message{Kind: OverCapacity})
+			u.events.FromUpstream(Message{Kind: OverCapacity})
 		case 3:
-			u.ev.FromUpstream(Message{Kind: Failed})
+			u.events.FromUpstream(Message{Kind: Failed})
 		case 4, 5:
-			u.ev.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+			u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
 		case 6: // nothing comes
 		}
 	})
 }
 
-// newLeaving has half of the clients wait for a permit over the fleet, and all for another proxy's answer, which never comes.
-func newLeaving(t *testing.T) *leaving {
-	w := &leaving{world: &world{t: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), left: map[string]int64{}}
+// newLeavingClients has half of the clients wait for quota, and all for another proxy's answer, which never comes.
+func newLeavingClients(t *testing.T) *leavingClients {
+	w := &leavingClients{harness: &harness{test: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
@@ -105,7 +105,7 @@
 	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		t.Fatal(err)
 	}
-	w.core.SetPeers(deaf{})
+	w.core.SetPeers(deafPeers{})
 	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
 	rules.ActByForTest(gate, &rules.Version{Number: 1, Book: &namespace.Book{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
 	w.core.SetQuota(w)
@@ -113,19 +113,19 @@
 	return w
 }
 
-// deaf are peers that hear nothing.
-type deaf struct{}
+// deafPeers are peers that hear nothing.
+type deafPeers struct{}
 
-func (deaf) SendToPeer(int, []byte) {}
+func (deafPeers) SendToPeer(int, []byte) {}
 
-// IsLimited, Take, Hold and Release are limits over the fleet whose word takes a drawn time.
-func (w *leaving) IsLimited(account string) bool { return account == "a" }
-func (w *leaving) Acquire(_ string, _ float64, then func(string, time.Duration)) {
-	w.permits++
+// IsLimited, Acquire, CountExisting and Release are quotas over the fleet whose replies take a drawn time.
+func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
+func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
+	w.quotaHeld++
 	w.loop.After(w.draw(300*time.Millisecond), func() { then("", 0) })
 }
-func (w *leaving) CountExisting(string) { w.permits++ }
-func (w *leaving) Release(string)       { w.permits-- }
+func (w *leavingClients) CountExisting(string) { w.quotaHeld++ }
+func (w *leavingClients) Release(string)       { w.quotaHeld-- }
 
 // state names what a request waits for.
 func state(r *Request, permitted bool) string {
@@ -143,26 +143,26 @@
 }
 
 // Whatever a request waits for as its client leaves, nothing begins for it any more.
-func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
-	w := newLeaving(t)
+func TestNothingBeginsForClientsThatLeft(t *testing.T) {
+	w := newLeavingClients(t)
 	const clients = 4000
 	gone := map[string]int{}
 	for n := range clients {
 		id := fmt.Sprintf("%016x", n)
 		tenant := []string{"t1", "t2"}[n%2]
-		r := w.core.Open(&fakeDown{w.world, id}, &Opening{ID: id, Class: "c", Tenant: tenant, Wait: 3 * time.Second, HasWait: true}, nil)
+		r := w.core.Open(&fakeDownstream{w.harness, id}, &Opening{ID: id, Class: "c", Tenant: tenant, Wait: 3 * time.Second, HasWait: true}, nil)
 		w.loop.After(w.draw(1500*time.Millisecond), func() {
 			if r == nil || r.answered() {
 				return
 			}
 			gone[state(r, tenant == "t2" || r.quotaAccount != "")]++
-			w.left[id] = w.now
+			w.leftAt[id] = w.now
 			r.DownstreamEnded(&netio.Error{Cause: netio.Ended})
 		})
 		w.pass(10 * time.Millisecond)
 	}
 	w.pass(10 * time.Second)
-	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.begun, w.wrote, gone)
+	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, gone)
 	for _, what := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
 		if gone[what] < 10 {
 			t.Errorf("%d clients left while they waited for %s: too few to tell", gone[what], what)
--- /dev/null
+++ b/internal/dataplane/proxy/harness_test.go
@@ -0,0 +1,189 @@
+package proxy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+)
+
+// harness is a core between fakes, on a clock that the test moves. Everything that the core does is noted in events.
+type harness struct {
+	test      *testing.T
+	now       int64
+	loop      *netio.Loop
+	core      *Core
+	effects   balancer.Effects
+	events    []string
+	upstreams []*fakeUpstream
+	onEvent   func(event string) // what the balancer does about an event
+	ejected   string             // a host that the balancer has ejected
+}
+
+func newHarness(t *testing.T) *harness {
+	w := &harness{test: t, now: 1e18}
+	w.loop = netio.NewLoopAt(func() int64 { return w.now })
+	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
+		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
+		Tenants: []balancer.Tenant{{Name: "t"}}}})
+	up := func(id string) HostEntry {
+		return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id}}
+	}
+	err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { w.effects = fx; return (*fakeBalancer)(w), nil }, nil,
+		Change{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.events = nil
+	return w
+}
+
+func (w *harness) note(format string, args ...any) {
+	w.events = append(w.events, fmt.Sprintf(format, args...))
+}
+
+// expect compares what has happened since the last call.
+func (w *harness) expect(want ...string) {
+	w.test.Helper()
+	if got := strings.Join(w.events, "; "); got != strings.Join(want, "; ") {
+		w.test.Fatalf("\n got %s\nwant %s", got, strings.Join(want, "; "))
+	}
+	w.events = nil
+}
+
+func (w *harness) pass(d time.Duration) {
+	for end := w.now + int64(d); w.now < end; {
+		w.now = min(end, w.now+int64(10*time.Millisecond))
+		w.loop.RunPending()
+	}
+}
+
+// open sends a request, which the balancer answers as onEvent says.
+func (w *harness) open(id string) *Request {
+	return w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: time.Second, HasWait: true}, nil)
+}
+
+// serve has host A accept a request.
+func (w *harness) serve(id string) (*Request, *fakeUpstream) {
+	w.onEvent = func(e string) {
+		if e == "request "+id {
+			w.effects.StartAttempt(id, "A", 0)
+		}
+	}
+	r := w.open(id)
+	u := w.upstreams[len(w.upstreams)-1]
+	u.sent()
+	u.events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
+	w.events = nil
+	return r, u
+}
+
+func (w *harness) Start(to Target, _ RequestLine, until int64, _ time.Duration, ev UpstreamEvents) Upstream {
+	w.note("start %s %d", to.Address, (until-w.now)/1e6)
+	u := &fakeUpstream{harness: w, events: ev}
+	w.upstreams = append(w.upstreams, u)
+	return u
+}
+
+type fakeUpstream struct {
+	harness      *harness
+	events       UpstreamEvents
+	stage        netio.Stage
+	takesNothing bool
+}
+
+// sent has the host's machine take the last byte of the first line.
+func (u *fakeUpstream) sent() {
+	a, attempt := u.events.(*upstreamRequest)
+	fresh := attempt && a.request.attempt == a && u.stage < netio.Sent
+	u.stage = netio.Sent
+	if fresh {
+		u.events.UpstreamSent()
+	}
+}
+
+func (u *fakeUpstream) Pass(m Message) bool { return !u.takesNothing }
+
+func (u *fakeUpstream) Pump() { u.harness.note("pump up") }
+
+func (u *fakeUpstream) Stage() netio.Stage { return u.stage }
+
+func (u *fakeUpstream) End(cause netio.Cause) { u.harness.note("end up %s", cause) }
+
+type fakeDownstream struct {
+	harness   *harness
+	requestID string
+}
+
+func (d *fakeDownstream) Accept(Message) { d.harness.note("accept %s", d.requestID) }
+
+func (d *fakeDownstream) Reject(after time.Duration) {
+	d.harness.note("reject %s %d", d.requestID, after.Milliseconds())
+}
+
+func (d *fakeDownstream) Fail() { d.harness.note("fail %s", d.requestID) }
+
+func (d *fakeDownstream) Pass(Message) bool { return true }
+
+func (d *fakeDownstream) MigrationLine() []byte { return nil }
+
+func (d *fakeDownstream) Pump() { d.harness.note("pump %s", d.requestID) }
+
+func (d *fakeDownstream) Migrate() { d.harness.note("migrate %s", d.requestID) }
+
+func (d *fakeDownstream) End(cause netio.Cause) { d.harness.note("end %s %s", d.requestID, cause) }
+
+type fakeBalancer harness
+
+func (m *fakeBalancer) event(format string, args ...any) {
+	e := fmt.Sprintf(format, args...)
+	(*harness)(m).note("%s", e)
+	if m.onEvent != nil {
+		m.onEvent(e)
+	}
+}
+
+func (m *fakeBalancer) RequestArrived(_ balancer.Time, q balancer.Request) {
+	m.event("request %s", q.ID)
+}
+
+func (m *fakeBalancer) ConnectionAdopted(_ balancer.Time, q balancer.Request, s string) {
+	m.event("adopted %s %s", q.ID, s)
+}
+
+func (m *fakeBalancer) AttemptEstablished(_ balancer.Time, id string, n int, _ balancer.Time) {
+	m.event("established %s %d", id, n)
+}
+
+func (m *fakeBalancer) AttemptEnded(_ balancer.Time, id string, n int, s balancer.AttemptStatus, _ balancer.Time, closed bool, _ []float64) {
+	m.event("ended %s %d %d %t", id, n, s, closed)
+}
+
+func (m *fakeBalancer) ClientLeft(_ balancer.Time, id string) { m.event("left %s", id) }
+
+func (m *fakeBalancer) Observe(_ balancer.Time, id string, n int, k balancer.Observation, v float64) {
+	m.event("observe %s %d %g", id, k, v)
+}
+
+func (m *fakeBalancer) ListReceived(_ balancer.Time, k balancer.ListChange, _ int64, e []balancer.ListedHost) {
+	m.event("list %d %d", k, len(e))
+}
+
+func (m *fakeBalancer) HealthCheckEnded(_ balancer.Time, id string, s balancer.AttemptStatus, _ balancer.Time, load []float64) {
+	m.event("checked %s %s %v", id, s, load)
+}
+
+func (m *fakeBalancer) PeerMessageReceived(_ balancer.Time, from int, data []byte) {
+	m.event("peer %d %s", from, data)
+}
+
+func (m *fakeBalancer) Snapshot(bool) balancer.Snapshot { return balancer.Snapshot{} }
+
+func (m *fakeBalancer) Restore(balancer.Time, balancer.Snapshot) {}
+
+func (m *fakeBalancer) Ejected(_ balancer.Time, id string) bool { return id == m.ejected }
+
+func (m *fakeBalancer) TimerFired(_ balancer.Time, token string) { m.event("timer %s", token) }
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -7,12 +7,12 @@
 	"croftlock/internal/balancer"
 )
 
-// The system's clock is set while the process runs. A host that starts anew after that is as cold as it is, whether its own machine's clock was set
-// as well or not: read as it stood, an hour back made its start older than the one before, and the module took it for the warm host that it had been.
-func TestAHostThatStartsAfterTheClockWasSet(t *testing.T) {
+// The system's clock is set while the process runs. A host that starts anew after that counts as cold, whether its own machine's clock was set as
+// well or not.
+func TestHostStartAfterTheClockWasSet(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, everywhere := range []bool{true, false} {
-			w := newWorld(t)
+			w := newHarness(t)
 			w.core.hosts.clock.wall = func() time.Time { return time.Unix(0, w.now+int64(step)) }
 			before := w.core.hosts.byID["A"].startedAt
 			w.pass(time.Second)
@@ -27,7 +27,7 @@
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
 				t.Errorf("set by %v, at the host too %t: %v before now, 300ms expected at most", step, everywhere, time.Duration(w.now-got))
 			}
-			w.pass(time.Second) // told again, it is the same start
+			w.pass(time.Second) // listed again, it is the same start
 			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts.byID["A"].startedAt != got {
 				t.Errorf("set by %v: the same start is another one a second later", step)
 			}
--- a/internal/dataplane/proxy/migrations_test.go
+++ b/internal/dataplane/proxy/migrations_test.go
@@ -2,24 +2,22 @@
 
 import (
 	"testing"
-	"time"
 
 	"croftlock/internal/dataplane/netio"
-	"croftlock/internal/operations/maintenance"
 )
 
-// permits is a pacer that a test gives permits through.
-type permits struct {
+// fakePacer is a pacer that a test gives permits through.
+type fakePacer struct {
 	wants []int
 	then  func(n int)
 }
 
-func (p *permits) RequestMigrations(want int, then func(n int)) {
+func (p *fakePacer) RequestMigrations(want int, then func(n int)) {
 	p.wants = append(p.wants, want)
 	p.then = then
 }
 
-// TestPacedMigrations: clients leave as permits come, one that is gone by its turn costs none, and an end of the process waits for nobody.
+// TestPacedMigrations: clients migrate as permits come, one that has left by its turn costs none, and a shutdown waits for nobody.
 func TestPacedMigrations(t *testing.T) {
 	c := &migrationPacer{loop: netio.NewLoop()}
 	sent, gone := 0, 0
@@ -29,7 +27,7 @@
 	if sent != 1 {
 		t.Fatal("without a pace a client waits")
 	}
-	p := &permits{}
+	p := &fakePacer{}
 	c.pacer = p
 	sent = 0
 	for _, f := range []func() bool{send, late, send, send} {
@@ -55,31 +53,3 @@
 		t.Errorf("%d wait", len(c.pending))
 	}
 }
-
-// TestFleetsListAndOwnCalls: a host is out while either word holds.
-func TestFleetsListAndOwnCalls(t *testing.T) {
-	b := maintenance.New()
-	at := time.Now().UnixNano()
-	for i, c := range []struct {
-		do   func() any
-		outA bool
-	}{
-		{func() any { return b.SetFleet([]string{"A", "B"}, at) }, true},
-		{func() any { return b.Set("A", true, at+1) }, true},
-		{func() any { return b.SetFleet([]string{"B"}, at+2) }, true},
-		{func() any { return b.Set("A", false, at+3) }, false},
-		{func() any { return b.SetFleet([]string{"A"}, at+4) }, true},
-		{func() any { return b.Set("A", false, at+5) }, true},
-		{func() any { return b.SetFleet(nil, at+6) }, false},
-	} {
-		if c.do(); b.Suspended("A") != c.outA {
-			t.Errorf("step %d: A out %t", i, b.Suspended("A"))
-		}
-	}
-	if changed := b.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(b.SetFleet([]string{"A", "B"}, at)) != 0 {
-		t.Errorf("changed %v", changed)
-	}
-	if len(b.All()) != 0 || b.Suspension("A").Since != at {
-		t.Errorf("%v, %+v", b.All(), b.Suspension("A"))
-	}
-}
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -10,50 +10,50 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// sending opens a request whose module sends it to A, and then to B should that attempt prove not to have run.
-func sending(t *testing.T) *world {
-	w := newWorld(t)
+// sending opens a request whose balancer places it at A, and then to B should that attempt prove not to have run.
+func sending(t *testing.T) *harness {
+	w := newHarness(t)
 	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
-	w.on = func(e string) {
+	w.onEvent = func(e string) {
 		switch e {
 		case "request q":
-			w.fx.StartAttempt("q", "A", 0)
-		case "outcome q 0 4 false":
-			w.fx.StartAttempt("q", "B", 0)
+			w.effects.StartAttempt("q", "A", 0)
+		case "ended q 0 4 false":
+			w.effects.StartAttempt("q", "B", 0)
 		}
 	}
 	w.open("q")
-	w.seen = nil
+	w.events = nil
 	return w
 }
 
-// A host's acceptance that comes while the process leaves, when the clients before it have been moved, is passed on, and that
-// client is moved like the others.
-func TestAcceptedWhileTheProcessLeaves(t *testing.T) {
+// A host's acceptance that comes during a shutdown, when the clients before it have been migrated, is passed on, and that client is
+// migrated like the others.
+func TestAcceptedDuringShutdown(t *testing.T) {
 	w := sending(t)
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.pass(900 * time.Millisecond)
-	w.ups[0].sent()
-	w.ups[0].ev.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
-	w.expect("serve q", "first q 0")
+	w.upstreams[0].sent()
+	w.upstreams[0].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
+	w.expect("accept q", "established q 0")
 	w.pass(1500 * time.Millisecond)
-	w.expect("move q", "end up ended", "outcome q 0 6 true")
+	w.expect("migrate q", "end up ended", "ended q 0 6 true")
 	if !left {
 		t.Error("it does not end")
 	}
 }
 
-// A new configuration while the process leaves brings a list: the clients are moved all the same, and nothing new begins.
-func TestAListWhileTheProcessLeaves(t *testing.T) {
-	w := newWorld(t)
+// A list that comes during a shutdown changes nothing: the clients are migrated, and nothing new begins.
+func TestListDuringShutdown(t *testing.T) {
+	w := newHarness(t)
 	w.serve("q")
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
-	w.expect("members 1 1")
+	w.expect("list 1 1")
 	w.pass(2100 * time.Millisecond)
-	w.expect("move q", "end up ended", "outcome q 0 6 true")
+	w.expect("migrate q", "end up ended", "ended q 0 6 true")
 	if !left {
 		t.Error("it does not end")
 	}
@@ -61,21 +61,21 @@
 
 // A connection that breaks before the first line's last byte is written has not reached its host: the request may go elsewhere, also one
 // that must not run twice. After that byte it may not.
-func TestABreakInTheLastBytesWrite(t *testing.T) {
+func TestBreakBeforeTheLineIsWritten(t *testing.T) {
 	w := sending(t)
-	w.ups[0].stage = netio.Sending
-	w.ups[0].ev.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
-	w.expect("end up ended", "outcome q 0 4 false", "start at-B 1000")
+	w.upstreams[0].stage = netio.Sending
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
+	w.expect("end up ended", "ended q 0 4 false", "start at-B 1000")
 
 	w = sending(t)
-	w.ups[0].sent()
-	w.ups[0].ev.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
-	w.expect("end up ended", "outcome q 0 5 false")
+	w.upstreams[0].sent()
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+	w.expect("end up ended", "ended q 0 5 false")
 }
 
-// A process that was held up found nothing left in the first step after that, and ended before it had accepted who waited in the queue.
-func TestTheQueueIsLookedAtBeforeTheEnd(t *testing.T) {
-	w := newWorld(t)
+// A process that was suspended accepts who waits in the listener's queue before it finds that nothing is left.
+func TestListenerQueueIsAcceptedBeforeTheEnd(t *testing.T) {
+	w := newHarness(t)
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.now += int64(600 * time.Millisecond) // nothing runs meanwhile
@@ -85,7 +85,7 @@
 	}
 	w.core.Admit("c") // the queue is looked at now
 	w.open("late")
-	w.expect("refuse late 500")
+	w.expect("reject late 500")
 	w.pass(300 * time.Millisecond)
 	if left {
 		t.Fatal("it does not wait for its client to hang up")
@@ -119,29 +119,29 @@
 	}
 }
 
-// A request whose time reaches past SIGKILL gets its answer before: a refusal where trying again is harmless, a failure where it may have
-// run. What is held by the module gets one too, a client that comes up in the last moment is moved, and the process ends.
-func TestWhatIsLeftIsAnsweredBeforeTheKill(t *testing.T) {
-	w := newWorld(t)
+// A request whose deadline is past SIGKILL gets its answer before: a rejection where a retry is harmless, a failure where it may have run. One that
+// the balancer has queued gets one too, a client that is accepted in the last moment is migrated, and the process ends.
+func TestWaitingRequestsAreAnsweredBeforeTheKill(t *testing.T) {
+	w := newHarness(t)
 	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
-	w.on = func(e string) {
+	w.onEvent = func(e string) {
 		if e == "request q" {
-			w.fx.StartAttempt("q", "A", 0)
+			w.effects.StartAttempt("q", "A", 0)
 		}
 	}
 	for _, id := range []string{"q", "held"} {
-		w.core.Open(&fakeDown{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: 4800 * time.Millisecond, HasWait: true}, nil)
+		w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: 4800 * time.Millisecond, HasWait: true}, nil)
 	}
-	w.ups[0].sent()
-	w.seen = nil
+	w.upstreams[0].sent()
+	w.events = nil
 	w.core.admission.sessions = 2
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.pass(3200 * time.Millisecond)
 	w.expect()
 	w.pass(60 * time.Millisecond)
-	seen := strings.Join(w.seen, "; ")
-	for _, want := range []string{"fail q; end up ended; outcome q 0 6 true; gone q", "refuse held 500; gone held"} {
+	seen := strings.Join(w.events, "; ")
+	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject held 500; left held"} {
 		if !strings.Contains(seen, want) {
 			t.Errorf("got %s, want %s in it", seen, want)
 		}
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -9,6 +9,7 @@
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/operations/maintenance"
 )
 
 // noDiscovery is one that the test speaks for.
@@ -17,24 +18,24 @@
 func (noDiscovery) WatchList(bool) {}
 func (noDiscovery) FetchList()     {}
 
-// handWorld is a core with the real module between fakes.
-type handWorld struct {
-	*world
-	t     *rapid.T
-	out   map[string]bool
-	at    map[string]int // starts by host
-	hosts map[string]HostEntry
+// suspensionHarness is a core with the real balancer between fakes.
+type suspensionHarness struct {
+	*harness
+	test      *rapid.T
+	suspended map[string]bool
+	starts    map[string]int // starts by host
+	hosts     map[string]HostEntry
 }
 
-func (w *handWorld) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
-	if w.out[to.ID] {
-		w.t.Fatalf("%s is out by hand and gets a request", to.ID)
+func (w *suspensionHarness) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
+	if w.suspended[to.ID] {
+		w.test.Fatalf("%s is suspended and gets a request", to.ID)
 	}
-	w.at[to.ID]++
-	return w.world.Start(to, first, until, within, ev)
+	w.starts[to.ID]++
+	return w.harness.Start(to, first, until, within, ev)
 }
 
-func (w *handWorld) list() (ch Change) {
+func (w *suspensionHarness) list() (ch Change) {
 	ch.Kind = balancer.ListFull
 	for _, id := range []string{"A", "B", "C"} {
 		if h, ok := w.hosts[id]; ok {
@@ -44,8 +45,8 @@
 	return ch
 }
 
-// begin makes a process of the proxy that knows what the last one kept.
-func (w *handWorld) begin(k *Snapshot) {
+// begin makes a process of the proxy that knows what the last one left.
+func (w *suspensionHarness) begin(k *Snapshot) {
 	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2,
 		SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
@@ -56,17 +57,17 @@
 	ch := w.list()
 	ch.Kind = balancer.ListCached
 	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
-		w.t.Fatal(err)
+		w.test.Fatal(err)
 	}
 	if k != nil {
 		w.core.RestoreBalancer(k.Balancer)
 	}
 }
 
-// However calls, lists, ends of attempts, restarts and time come together: a host that is out gets nothing.
-func TestNothingToAHostThatIsOut(t *testing.T) {
+// However calls, lists, ends of attempts, restarts and time come together: a suspended host gets nothing.
+func TestNothingToSuspendedHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &handWorld{world: &world{now: 1e18}, t: t, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
+		w := &suspensionHarness{harness: &harness{now: 1e18}, test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
 		for _, id := range []string{"A", "B", "C"} {
 			w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
@@ -80,7 +81,7 @@
 				out := rapid.Bool().Draw(t, "out")
 				// From the call on nothing new starts, and from the call that brings it back what waits may: the model knows
 				// before the core acts.
-				w.out[id] = out
+				w.suspended[id] = out
 				known := false
 				w.core.Suspend(id, out, func(k bool) { known = k })
 				if !known {
@@ -106,21 +107,21 @@
 				n++
 				w.open(fmt.Sprint(n))
 			case 6:
-				if len(w.ups) > 0 {
-					u := w.ups[rapid.IntRange(0, len(w.ups)-1).Draw(t, "attempt")]
+				if len(w.upstreams) > 0 {
+					u := w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")]
 					u.sent()
 					switch rapid.IntRange(0, 2).Draw(t, "end") {
 					case 0:
-						u.ev.FromUpstream(Message{Kind: OverCapacity})
+						u.events.FromUpstream(Message{Kind: OverCapacity})
 					case 1:
-						u.ev.FromUpstream(Message{Kind: Accepted})
+						u.events.FromUpstream(Message{Kind: Accepted})
 					case 2:
-						u.ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting})
+						u.events.UpstreamEnded(&netio.Error{Stage: netio.Connecting})
 					}
 				}
 			case 7:
 				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
-					w.loop, w.ups = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process is gone
+					w.loop, w.upstreams = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process is gone
 					w.begin(k)
 				}
 			}
@@ -129,15 +130,43 @@
 	})
 }
 
-// With every host out the answer comes at once.
-func TestAllHostsOut(t *testing.T) {
-	w := &handWorld{world: &world{t: t, now: 1e18}, t: nil, out: map[string]bool{}, at: map[string]int{}, hosts: map[string]HostEntry{}}
+// With every host suspended the answer comes at once.
+func TestAllHostsSuspended(t *testing.T) {
+	w := &suspensionHarness{harness: &harness{test: t, now: 1e18}, test: nil, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	w.hosts["A"] = HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", Weight: 1}}
 	w.begin(nil)
 	w.core.Suspend("A", true, func(bool) {})
 	w.open("r1")
-	if len(w.seen) != 1 || w.seen[0][:9] != "refuse r1" {
-		t.Errorf("got %v", w.seen)
+	if len(w.events) != 1 || w.events[0][:9] != "reject r1" {
+		t.Errorf("got %v", w.events)
+	}
+}
+
+// TestSuspendedByFleetOrOwnCall: a host is suspended while either the fleet's list or the proxy's own call says so.
+func TestSuspendedByFleetOrOwnCall(t *testing.T) {
+	b := maintenance.New()
+	at := time.Now().UnixNano()
+	for i, c := range []struct {
+		do   func() any
+		outA bool
+	}{
+		{func() any { return b.SetFleet([]string{"A", "B"}, at) }, true},
+		{func() any { return b.Set("A", true, at+1) }, true},
+		{func() any { return b.SetFleet([]string{"B"}, at+2) }, true},
+		{func() any { return b.Set("A", false, at+3) }, false},
+		{func() any { return b.SetFleet([]string{"A"}, at+4) }, true},
+		{func() any { return b.Set("A", false, at+5) }, true},
+		{func() any { return b.SetFleet(nil, at+6) }, false},
+	} {
+		if c.do(); b.Suspended("A") != c.outA {
+			t.Errorf("step %d: A out %t", i, b.Suspended("A"))
+		}
+	}
+	if changed := b.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(b.SetFleet([]string{"A", "B"}, at)) != 0 {
+		t.Errorf("changed %v", changed)
+	}
+	if len(b.All()) != 0 || b.Suspension("A").Since != at {
+		t.Errorf("%v, %+v", b.All(), b.Suspension("A"))
 	}
 }
