--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -10,9 +10,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The two processes of a replacement are one proxy. The new one asked discovery for its watch up to 2.5 s after its start, and until then sent to hosts
-// of which the old one had been told that they drain.
-func TestTheNewProcessKnowsWhatTheOldOneIsTold(t *testing.T) {
+// The two processes of a hot restart are one proxy: until the new one has its own list, it goes by what the old one is told.
+func TestNewProcessTakesTheOldOnesList(t *testing.T) {
 	host := func(id string, state balancer.HostState) proxy.HostEntry {
 		return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
 	}
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -10,82 +10,31 @@
 	"testing"
 	"time"
 
-	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
 	"croftlock/internal/dataplane/proxy"
-	"croftlock/internal/operations/maintenance"
 )
 
-func sample() *proxy.Snapshot {
-	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
-		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
-		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
+// recordedEvents notes what a partner notifies.
+type recordedEvents struct {
+	events   chan string
+	snapshot *proxy.Snapshot
 }
 
-// What is written comes back; whatever is torn, foreign, of another version or beyond bounds is told and never taken.
-func TestStateFile(t *testing.T) {
-	dir, now := t.TempDir(), int64(10)
-	if k, err := Read(dir, now); k != nil || err != nil {
-		t.Fatalf("nothing kept gave %v, %v", k, err)
-	}
-	if _, err := writeState(dir, sample()); err != nil {
-		t.Fatal(err)
-	}
-	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
-		t.Fatalf("got %+v, %v", k, err)
-	}
-	whole, _ := os.ReadFile(filepath.Join(dir, stateFile))
-	text := string(whole)
-	with := func(change func(k *proxy.Snapshot)) string {
-		k := sample()
-		change(k)
-		data, _ := encodeState(k)
-		return string(data)
-	}
-	for name, data := range map[string]string{
-		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
-		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
-		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
-		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
-		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
-		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
-	} {
-		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
-		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
-			t.Errorf("%s: taken", name)
-		}
-	}
-}
-
-// FuzzState: no bytes make reading panic.
-func FuzzState(f *testing.F) {
-	data, _ := encodeState(sample())
-	f.Add(data)
-	f.Add([]byte(stateMagic + " 2 0\n{}"))
-	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
-}
-
-// side notes what a partner tells.
-type side struct {
-	told chan string
-	kept *proxy.Snapshot
-}
-
-func (s *side) TakeOver() *proxy.Snapshot         { s.told <- "take"; return s.kept }
-func (s *side) TakenOver(k *proxy.Snapshot)       { s.told <- "taken " + k.Discovery }
-func (s *side) HostSuspended(id string, out bool) { s.told <- "byhand " + id }
-func (s *side) ListChanged(k *proxy.Snapshot)     { s.told <- "listed " + k.Discovery }
-func (s *side) Sessions(n int)                    { s.told <- "sessions" }
-func (s *side) ConnectionReceived(k *proxy.HandedOverConnection) {
-	s.told <- "standing " + k.Host
+func (s *recordedEvents) TakeOver() *proxy.Snapshot         { s.events <- "take"; return s.snapshot }
+func (s *recordedEvents) TakenOver(k *proxy.Snapshot)       { s.events <- "taken " + k.Discovery }
+func (s *recordedEvents) HostSuspended(id string, out bool) { s.events <- "byhand " + id }
+func (s *recordedEvents) ListChanged(k *proxy.Snapshot)     { s.events <- "listed " + k.Discovery }
+func (s *recordedEvents) Sessions(n int)                    { s.events <- "sessions" }
+func (s *recordedEvents) ConnectionReceived(k *proxy.HandedOverConnection) {
+	s.events <- "standing " + k.Host
 	k.Downstream.Discard([]byte("x"))
 	k.Upstream.Discard(nil)
 }
-func (s *side) Gone() { s.told <- "gone" }
-func (s *side) expect(t *testing.T, w string) {
+func (s *recordedEvents) Gone() { s.events <- "gone" }
+func (s *recordedEvents) expect(t *testing.T, w string) {
 	t.Helper()
 	select {
-	case got := <-s.told:
+	case got := <-s.events:
 		if got != w {
 			t.Fatalf("told %q, want %q", got, w)
 		}
@@ -94,8 +43,8 @@
 	}
 }
 
-// From the old process to the new: one queue that neither's end touches, what is known, words both ways; a third waits.
-func TestOneProcessAfterTheOther(t *testing.T) {
+// From the old process to the new: a listener's queue that neither's end touches, the snapshot, messages both ways; a third process waits.
+func TestHandoverBetweenProcesses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 24)) // beyond what a socket's path may have
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -111,7 +60,7 @@
 		t.Fatal(err)
 	}
 	file, _ := first.(*net.TCPListener).File()
-	old, young := &side{told: make(chan string, 9), kept: sample()}, &side{told: make(chan string, 9)}
+	old, young := &recordedEvents{events: make(chan string, 9), snapshot: sample()}, &recordedEvents{events: make(chan string, 9)}
 	partners := make(chan *Partner, 1)
 	busy := false
 	door, err := Offer(l, dir, func(listen string) (*Handoff, error) {
@@ -170,19 +119,3 @@
 	young.expect(t, "gone")
 	old.expect(t, "gone")
 }
-
-// A yes waits until its word is on disk, and a folder that can't be written to holds nobody up.
-func TestStore(t *testing.T) {
-	l := netio.NewLoop()
-	go l.Run()
-	t.Cleanup(l.Stop)
-	for _, dir := range []string{t.TempDir(), "/nowhere/at/all"} {
-		done := make(chan bool)
-		NewStore(l, dir).Save(sample(), func() { close(done) })
-		<-done
-		k, err := Read(dir, 10)
-		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
-			t.Errorf("%s: %+v, %v", dir, k, err)
-		}
-	}
-}
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -21,8 +21,8 @@
 			Servers: []balancer.HostSnapshot{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
 }
 
-// fullStanding has a value of its own in every field of a connection that is handed over.
-func fullStanding() *proxy.HandedOverConnection {
+// fullConnection has a value of its own in every field of a connection that is handed over.
+func fullConnection() *proxy.HandedOverConnection {
 	return &proxy.HandedOverConnection{Request: balancer.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", ExpectedLoad: 3.5, Retry: true, MidFlow: true, Returned: true, Remaining: 4},
 		Class: "c", Tenant: "t", Host: "h", Load: 5.5, UnansweredSince: []int64{6, 7}, LastKind: proxy.LoadReported,
 		Downstream: netio.Parts{FD: 8, In: []byte("in"), Rest: []byte("rest")}, Upstream: netio.Parts{FD: 9, In: []byte("up"), Rest: []byte("more")}}
@@ -52,7 +52,7 @@
 		hostSuspended{hostID: "b", out: true},
 		listChanged{snapshot: fullState()},
 		sessionsHeld{sessions: 12},
-		connection{fullStanding()},
+		connection{fullConnection()},
 	}
 	var lines []byte
 	for _, m := range messages {
@@ -77,7 +77,7 @@
 
 // A message without what belongs to it, or of a later version, is known as such.
 func TestUnexpectedMessages(t *testing.T) {
-	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullState()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullStanding()}} {
+	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullState()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullConnection()}} {
 		if m, ok := decode(&e, nil).(unexpected); !ok || m.kind != e.Kind {
 			t.Errorf("%+v is read as %+v", e, m)
 		}
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -5,16 +5,69 @@
 	"net"
 	"os"
 	"path/filepath"
+	"reflect"
+	"strings"
 	"testing"
 	"time"
 
+	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
 	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/maintenance"
 )
 
-// A state that could not be written was forgotten: the operator had his yes, and a process killed later came back without the ban. A folder that
-// takes no writes for a while stands for a full disk; a kill's half-written file does no harm.
-func TestWhatCouldNotBeWrittenIsWrittenLater(t *testing.T) {
+func sample() *proxy.Snapshot {
+	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
+		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
+		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
+}
+
+// What is written comes back; whatever is torn, foreign, of another version or beyond bounds is an error.
+func TestStateFile(t *testing.T) {
+	dir, now := t.TempDir(), int64(10)
+	if k, err := Read(dir, now); k != nil || err != nil {
+		t.Fatalf("nothing kept gave %v, %v", k, err)
+	}
+	if _, err := writeState(dir, sample()); err != nil {
+		t.Fatal(err)
+	}
+	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
+		t.Fatalf("got %+v, %v", k, err)
+	}
+	whole, _ := os.ReadFile(filepath.Join(dir, stateFile))
+	text := string(whole)
+	with := func(change func(k *proxy.Snapshot)) string {
+		k := sample()
+		change(k)
+		data, _ := encodeState(k)
+		return string(data)
+	}
+	for name, data := range map[string]string{
+		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
+		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
+		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
+		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
+		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
+		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
+	} {
+		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
+		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
+			t.Errorf("%s: taken", name)
+		}
+	}
+}
+
+// FuzzState: no bytes make reading panic.
+func FuzzState(f *testing.F) {
+	data, _ := encodeState(sample())
+	f.Add(data)
+	f.Add([]byte(stateMagic + " 2 0\n{}"))
+	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
+}
+
+// A state that could not be written is retried, as the call that it is for has been answered. A folder that is missing for a while stands for a
+// full disk; a half-written file of a process that was killed is removed.
+func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	l := netio.NewLoop()
 	go l.Run()
@@ -49,8 +102,8 @@
 	}
 }
 
-// The system's clock was set by an hour between two processes: bans lay in the future, and the whole state was passed over.
-func TestAStateOfAnotherClock(t *testing.T) {
+// The system's clock was set by an hour between two processes: the state is brought to the new one's time.
+func TestStateOfAnotherClock(t *testing.T) {
 	const hour = int64(time.Hour)
 	now := int64(1e18)
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
@@ -78,8 +131,8 @@
 	}
 }
 
-// A disk without room for another file takes the state in place; the later of the two counts, and a torn one as none.
-func TestTheSpareFile(t *testing.T) {
+// A disk without capacity for another file takes the state in place; the later of the two counts, and a torn one as none.
+func TestSpareFile(t *testing.T) {
 	dir := t.TempDir()
 	first, second := sample(), sample()
 	first.WrittenAt, second.WrittenAt, second.Revision = 5, 6, 8
@@ -112,7 +165,7 @@
 		t.Fatal(err)
 	}
 	rev(7)
-	// What stands in a folder in which no file can be made is kept all the same: there is a file in the way of each new one's name.
+	// A folder in which the state file cannot be replaced takes the state all the same.
 	second.WrittenAt, second.Revision = 9, 9
 	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
 		t.Fatal(err)
@@ -127,9 +180,8 @@
 	rev(9)
 }
 
-// A process that closes the connection before it has answered, as one does that has no memory for it in that moment, was taken for one that can't hand
-// over: the new process served beside it. It is an error now, after which the caller asks again, and the next answer counts.
-func TestAnAnswerThatBreaksOffIsAnError(t *testing.T) {
+// A process that closes the connection before it has answered may be able to hand over when it is asked again: that is an error, and not ErrBusy.
+func TestBrokenOffAnswerIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
 	if err != nil {
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -8,8 +8,8 @@
 
 const second = int64(1e9)
 
-// given is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
-func given(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
+// servedOnce is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
+func servedOnce(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
 	h := Host{Zone: "a", Cell: 1}
@@ -19,8 +19,8 @@
 	return r, m
 }
 
-// What may not be begun is held back before it happens, and counted as broken where it happens all the same.
-func TestRepeats(t *testing.T) {
+// A forbidden attempt is blocked, and counted as broken where it begins all the same.
+func TestRetries(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
 		effect balancer.Idempotency
@@ -39,7 +39,7 @@
 		{balancer.IdempotentWithKey, balancer.ScopeZone, 2 * second, far, RetryWithinScope},
 		{balancer.IdempotentWithKey, balancer.ScopeCell, 2 * second, far, RetryWithinScope},
 	} {
-		r, m := given(c.effect, c.scope)
+		r, m := servedOnce(c.effect, c.scope)
 		if got := r.CheckAttempt(c.at, c.to); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
@@ -70,13 +70,13 @@
 			r.LineWritten(2*second, 2*second, Host{State: balancer.Draining})
 		},
 	} {
-		r, m := given(balancer.Idempotent, balancer.ScopeAll)
+		r, m := servedOnce(balancer.Idempotent, balancer.ScopeAll)
 		f(r)
 		if broken, _ := m.Counts.Sum(); broken != 1 || m.Counts.Broken[rule] != 1 {
 			t.Errorf("%v: %v", rule, m.Counts.Broken)
 		}
 	}
-	r, m := given(balancer.NotIdempotent, balancer.ScopeAll)
+	r, m := servedOnce(balancer.NotIdempotent, balancer.ScopeAll)
 	r.Failed(2 * second)
 	r.Dropped()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
@@ -84,8 +84,8 @@
 	}
 }
 
-// An attempt that surely has not run leaves a request as it was, and one that is written may run while it is out.
-func TestWhatHasNotRun(t *testing.T) {
+// An attempt that surely has not run leaves a request as it was, and one whose line is written may run while it is in flight.
+func TestAttemptThatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, MaxAttempts: 3}
 	r.AttemptBegan(1, Host{})
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -18,8 +18,8 @@
 var _ balancer.Effects = (*effects)(nil)
 
 // StartAttempt begins the request's next attempt.
-func (e *effects) StartAttempt(id, server string, timeout balancer.Time) {
-	e.core.decisions.addEffect(func() { e.core.startAttempt(e.pool, id, server, timeout) })
+func (e *effects) StartAttempt(id, host string, timeout balancer.Time) {
+	e.core.decisions.addEffect(func() { e.core.startAttempt(e.pool, id, host, timeout) })
 }
 
 // Reject gives the request its final answer: not done, and a retry is harmless.
@@ -97,8 +97,8 @@
 }
 
 // HealthCheck asks a host how loaded it is.
-func (e *effects) HealthCheck(server string) {
-	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, server) })
+func (e *effects) HealthCheck(host string) {
+	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, host) })
 }
 
 // SendToPeer sends a message where peers can be reached; a message may be lost in any case.
--- /dev/null
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -0,0 +1,38 @@
+package proxy
+
+import (
+	"testing"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/operations/maintenance"
+)
+
+// belowWatermark keeps one host from getting anything new.
+type belowWatermark string
+
+func (b belowWatermark) Listed(Change) []string              { return nil }
+func (b belowWatermark) Out(id string, _ balancer.Time) bool { return id == string(b) }
+
+// Discovery's word comes first, then a suspension, then other proxies' lists.
+func TestEffectiveState(t *testing.T) {
+	table := hostTable{byID: map[string]*host{}, suspensions: maintenance.New(), watermarks: belowWatermark("w")}
+	for _, id := range []string{"s", "w"} {
+		table.suspensions.HostListed(id)
+	}
+	table.suspensions.Set("s", true, 1)
+	for _, c := range []struct {
+		id           string
+		listed, want balancer.HostState
+	}{
+		{"a", balancer.Ready, balancer.Ready},
+		{"a", balancer.Draining, balancer.Draining},
+		{"s", balancer.Ready, balancer.Suspended},
+		{"s", balancer.Removed, balancer.Removed},
+		{"w", balancer.Ready, balancer.Draining},
+		{"w", balancer.Removed, balancer.Removed},
+	} {
+		if got := table.effectiveState(balancer.ListedHost{ID: c.id, State: c.listed}); got != c.want {
+			t.Errorf("%s listed as %v: %v, want %v", c.id, c.listed, got, c.want)
+		}
+	}
+}
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -11,7 +11,7 @@
 // effects.
 type Balancer interface {
 	RequestArrived(now balancer.Time, q balancer.Request)
-	ConnectionAdopted(now balancer.Time, q balancer.Request, server string)
+	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
 	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
 	ClientLeft(now balancer.Time, id string)
