--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -45,7 +45,7 @@
 	pools      poolTable
 	admission  admission
 	migrations migrationPacer
-	expiry     *certexpiry.Planner // nil: connections are kept whatever ends
+	expiry     *certexpiry.Planner // nil: no connection is migrated for its certificate
 	handover   handover
 	monitor    *invariant.Monitor
 	counters   counters
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -75,7 +75,7 @@
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
 	w.effects.StartAttempt("q", "A", 0) // the rule holds should the balancer err
-	w.core.decisions.submit(nil, func(int64) {})
+	w.core.decisions.submit(nil, nil, func(int64, Balancer) {})
 	w.expect("ended q 1 2 false")
 }
 
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -20,13 +20,14 @@
 // decisionEvent is an event for the decision module.
 type decisionEvent struct {
 	about  *Request // answered should the module panic; nil: no request
-	handle func(now balancer.Time)
+	module Balancer // the one of a pool
+	handle func(now balancer.Time, m Balancer)
 }
 
 // submit has the module handle an event, then carries out its effects, then whatever these caused. Called while an event is handled,
 // it only queues.
-func (d *decisionLoop) submit(about *Request, handle func(now balancer.Time)) {
-	d.events = append(d.events, decisionEvent{about, handle})
+func (d *decisionLoop) submit(about *Request, module Balancer, handle func(now balancer.Time, m Balancer)) {
+	d.events = append(d.events, decisionEvent{about, module, handle})
 	if d.running {
 		return
 	}
@@ -35,7 +36,7 @@
 	for len(d.events) > 0 {
 		next := d.events[0]
 		d.events = d.events[1:]
-		guard(next.about, func() { next.handle(d.now()) })
+		guard(next.about, func() { next.handle(d.now(), next.module) })
 		d.carryOutEffects(next.about)
 	}
 	d.events, d.effects = nil, nil
--- a/internal/dataplane/proxy/decide_test.go
+++ b/internal/dataplane/proxy/decide_test.go
@@ -12,10 +12,10 @@
 	d := decisionLoop{now: func() balancer.Time { return 1 }}
 	var done []string
 	note := func(s string) func() { return func() { done = append(done, s) } }
-	d.submit(nil, func(balancer.Time) {
+	d.submit(nil, nil, func(balancer.Time, Balancer) {
 		d.addEffect(func() {
 			note("effect 1")()
-			d.submit(nil, func(balancer.Time) { d.addEffect(note("effect of the caused event")); note("caused event")() })
+			d.submit(nil, nil, func(balancer.Time, Balancer) { d.addEffect(note("effect of the caused event")); note("caused event")() })
 		})
 		d.addEffect(func() { panic("on purpose") })
 		d.addEffect(note("effect 3"))
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -20,7 +20,7 @@
 	c.healthChecker.Check(h.target(), done)
 }
 
-// hostChecked notes a host's word about its load, and notifies the balancer.
+// hostChecked notes what a host says of its load, and notifies the balancer.
 func (c *Core) hostChecked(p *pool, id string, began balancer.Time, status balancer.AttemptStatus, load []float64) {
 	if h, i := c.hosts.byID[id], c.opt.Settings.LoadField; h != nil && i >= 0 && i < len(load) && load[i] >= 0 {
 		h.checkedLoad, h.checkedAt = load[i], c.loop.Now()
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -24,7 +24,7 @@
 	maxLoadRatio          = 3    // how many times over a connection's load may change from one figure to the next
 	queueingLoad          = 0.8  // load over capacity from which messages may wait
 
-	// checkedLoadValidity is how long, in nanoseconds, a host's own word about its load counts.
+	// checkedLoadValidity is how long, in nanoseconds, what a host's health check said of its load counts.
 	checkedLoadValidity = int64(3500 * time.Millisecond)
 	// delayInterval is the interval, in nanoseconds, at which hosts report delays.
 	delayInterval = int64(time.Second)
@@ -96,9 +96,8 @@
 	delay := c.opt.DelayInLoad && a.classifiedAsDelay(now, figure, loadKnown)
 	previousWasDelay := delay && loadKnown && d.candidateOn == a && a.load == d.candidate
 	d.noteCandidate(now, figure, a)
-	kind := balancer.ObservedLoad
 	if delay {
-		kind, d.delay, d.delayAt = balancer.ObservedLatency, figure, now
+		d.delay, d.delayAt = figure, now
 		a.correctLoad(previousWasDelay)
 	} else {
 		a.previousLoad, a.load = a.load, max(figure, math.SmallestNonzeroFloat64)
@@ -106,11 +105,19 @@
 	if tracing() {
 		slog.Debug("load_reported", "request", a.request.attributes.ID, "host", a.host.hostID, "delay", delay, "value", figure)
 	}
+	kind := observationKind(delay)
 	c.notify(nil, a.request.pool, func(now balancer.Time, m Balancer) {
 		m.Observe(now, a.request.attributes.ID, a.number, kind, figure)
 	})
 }
 
+func observationKind(delay bool) balancer.Observation {
+	if delay {
+		return balancer.ObservedLatency
+	}
+	return balancer.ObservedLoad
+}
+
 func (a *upstreamRequest) classifiedAsDelay(now int64, figure float64, loadKnown bool) bool {
 	if loadKnown {
 		return a.host.loadFigures.isDelayGivenLoad(now, figure, a, a.host.checkedLoad)
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -106,5 +106,5 @@
 	if p == nil || p.removed {
 		return
 	}
-	c.decisions.submit(about, func(now balancer.Time) { handle(now, p.balancer) })
+	c.decisions.submit(about, p.balancer, handle)
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -139,7 +139,7 @@
 	return balancer.Reset
 }
 
-// finalStatus is how an open connection ended, by the host's last word.
+// finalStatus is how an open connection ended, by the kind of the host's last message.
 func (a *upstreamRequest) finalStatus() balancer.AttemptStatus {
 	switch a.finalKind {
 	case Finished:
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -8,7 +8,7 @@
 
 // Watermarks is what other proxies' newer endpoint lists say of hosts that drain or are removed.
 type Watermarks interface {
-	// Listed receives the own list's change before it takes effect, and names the hosts for which others' word begins or ends to hold.
+	// Listed receives the own list's change before it takes effect, and names the hosts for which what others say begins or ends to count.
 	Listed(ch Change) []string
 	// Out tells whether a host that the own list calls ready gets nothing new; since is its start as the list has it.
 	Out(id string, since balancer.Time) bool
@@ -27,7 +27,7 @@
 	c.WatermarksChanged(w.Listed(list))
 }
 
-// WatermarksChanged applies the watermarks of some hosts anew.
+// WatermarksChanged applies the watermarks of some hosts after a change.
 func (c *Core) WatermarksChanged(ids []string) {
 	for _, id := range ids {
 		h := c.hosts.byID[id]
