--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -26,7 +26,8 @@
 var (
 	errStateHead     = errors.New("state file: unknown head")
 	errStateChecksum = errors.New("state file: length or checksum does not match")
-	errStateKind     = errors.New("state file: not a plain file of a plausible size")
+	errStateNotPlain = errors.New("state file: not a plain file")
+	errStateTooLarge = errors.New("state file: too large")
 )
 
 // encodeState gives the file's bytes.
@@ -93,8 +94,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > maxStateSize {
-		return nil, fmt.Errorf("%s: %w: %d bytes, mode %v; at most %d bytes", path, errStateKind, info.Size(), info.Mode(), maxStateSize)
+	if !info.Mode().IsRegular() {
+		return nil, fmt.Errorf("%s: %w: mode %v", path, errStateNotPlain, info.Mode())
+	}
+	if info.Size() > maxStateSize {
+		return nil, fmt.Errorf("%s: %w: %d bytes, at most %d", path, errStateTooLarge, info.Size(), maxStateSize)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -28,7 +28,7 @@
 		return false, err
 	}
 	if len(data) > maxStateSize {
-		return false, fmt.Errorf("%w: %d bytes, at most %d", errStateKind, len(data), maxStateSize)
+		return false, fmt.Errorf("%w: %d bytes, at most %d", errStateTooLarge, len(data), maxStateSize)
 	}
 	readable, err = replaceFile(filepath.Join(dir, stateFile), data)
 	if readable {
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -86,9 +86,9 @@
 
 // Newcomers are the client connections on which no request has come yet.
 type Newcomers interface {
-	// EndIdle ends those that have not sent anything, and gives how many are left. With half it also ends those on which a request
-	// has begun to come.
-	EndIdle(half bool) int
+	// EndIdle ends those that have not sent anything, and gives how many are left. With partial it also ends those on which part of
+	// a request has come.
+	EndIdle(partial bool) int
 }
 
 // SetNewcomers has a shutdown end the connections without a request, and wait for those on which one is coming.
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"math"
@@ -10,6 +11,14 @@
 	"croftlock/internal/operations/maintenance"
 )
 
+// What makes a Snapshot unusable.
+var (
+	errTooManyHosts     = errors.New("snapshot: too many hosts")
+	errHostID           = errors.New("snapshot: host ID of an impossible length")
+	errFutureSuspension = errors.New("snapshot: host suspended in the future")
+	errImplausibleHost  = errors.New("snapshot: address, state, weight or start of a host out of range")
+)
+
 // Snapshot is what one process of a proxy leaves to the next: suspensions, the endpoint list, and what the decision module knows.
 type Snapshot struct {
 	WrittenAt  int64                    `json:"At"`        // ns, the writer's time as it was written; 0: an earlier version did not say
@@ -67,11 +76,11 @@
 // Check gives an error that names what makes the snapshot unusable. now is the loop's time.
 func (s *Snapshot) Check(now int64) error {
 	if len(s.Hosts) > maxHosts || len(s.Suspended) > maxHosts || len(s.KnownHosts) > 2*maxHosts {
-		return fmt.Errorf("%d hosts, %d suspended, %d known: more than %d", len(s.Hosts), len(s.Suspended), len(s.KnownHosts), maxHosts)
+		return fmt.Errorf("%w: %d listed, %d suspended, %d known; at most %d", errTooManyHosts, len(s.Hosts), len(s.Suspended), len(s.KnownHosts), maxHosts)
 	}
 	for _, b := range s.Suspended {
 		if b.Since > now {
-			return fmt.Errorf("host %.40q: suspended in the future", b.ID)
+			return fmt.Errorf("%w: %.40q", errFutureSuspension, b.ID)
 		}
 	}
 	if err := s.checkIDs(); err != nil {
@@ -79,7 +88,7 @@
 	}
 	for _, e := range s.Hosts {
 		if !e.isPlausible() {
-			return fmt.Errorf("host %.40q: address, state, weight or start out of range", e.ID)
+			return fmt.Errorf("%w: %.40q", errImplausibleHost, e.ID)
 		}
 	}
 	return nil
@@ -89,7 +98,7 @@
 func (s *Snapshot) checkIDs() error {
 	check := func(id string) error {
 		if id == "" || len(id) > maxIDLength {
-			return fmt.Errorf("host ID of %d bytes, expected 1 to %d", len(id), maxIDLength)
+			return fmt.Errorf("%w: %d bytes, expected 1 to %d", errHostID, len(id), maxIDLength)
 		}
 		return nil
 	}
