--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -10,18 +10,32 @@
 // Balancer is the part of the decision module that the core calls. It is called from one goroutine, and never from inside one of its
 // effects.
 type Balancer interface {
+	// RequestArrived asks to place a request.
 	RequestArrived(now balancer.Time, q balancer.Request)
+	// ConnectionAdopted brings an open connection that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
+	// AttemptEstablished brings a host's acceptance.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
+	// AttemptEnded brings the end of an attempt, or of its open connection. closed: the request is over; else the balancer decides on.
+	// load is in the settings' order of fields, nil where none came.
 	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
+	// ClientLeft says that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
+	// HealthCheckEnded brings the result of effect HealthCheck.
 	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, elapsed balancer.Time, load []float64)
+	// Observe brings the load (µs/s) of an open connection, or the latency (ms) of messages on it.
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
+	// ListReceived brings the endpoint list, or a change of it.
 	ListReceived(now balancer.Time, kind balancer.ListChange, version int64, entries []balancer.ListedHost)
+	// PeerMessageReceived brings a message of another proxy's.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
+	// TimerFired brings the token of effect Schedule.
 	TimerFired(now balancer.Time, token string)
+	// Ejected tells whether a host gets nothing because it is an outlier.
 	Ejected(now balancer.Time, id string) bool
+	// Snapshot is what the balancer knows of its hosts; with yield it gives up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
+	// Restore takes over what another balancer knew.
 	Restore(now balancer.Time, m balancer.Snapshot)
 }
 
@@ -32,8 +46,8 @@
 
 // Discovery is what the decision module may ask of discovery.
 type Discovery interface {
-	WatchList(on bool)
-	FetchList()
+	WatchList(on bool) // be notified of changes of the endpoint list
+	FetchList()        // fetch the whole list
 }
 
 // Downstream is a client's connection. Accept, Reject and Fail are answers: a request gets one.
