--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -92,7 +92,7 @@
 				return nil, err
 			}
 			switch v := what.(type) {
-			case *namespace.Space:
+			case *namespace.Namespace:
 				return rules.ChangeNamespace(v, against, nil), nil
 			case *namespace.Account:
 				return rules.ChangeAccountTo(v, against, nil), nil
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			return f.ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Ask{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return f.ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Request{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
@@ -236,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	c.Name()
+	c.SetID()
 	c.Sign(key)
 	return nil
 }
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -66,14 +66,14 @@
 
 // startMembers starts membership, with an incarnation that begins now.
 func (p *process) startMembers() (*memberagent.Agent, error) {
-	platform := memberagent.Platform{Link: p.peers, Peers: len(p.cfg.Peers.Peers), Me: p.cfg.Settings.Instance}
+	platform := memberagent.Platform{Link: p.peers, PeerCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
 	return memberagent.Start(p.loop, p.fleet.memberOptions, p.cfg.Name, time.Now(), platform)
 }
 
 // startOwners begins to take part in the fleet's jobs, where the operators want it. Membership has to be on.
 func (p *process) startOwners() error {
 	f := &p.fleet
-	if !f.ownerOptions.On {
+	if !f.ownerOptions.Enabled {
 		return nil
 	}
 	var err error
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -44,7 +44,7 @@
 // says.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
 	Logs(file, format)
-	runtime.GOMAXPROCS(cfg.Procs())
+	runtime.GOMAXPROCS(cfg.MaxThreads())
 	debug.SetMemoryLimit(cfg.MemoryLimit())
 	p := &process{cfg: cfg, loop: netio.NewLoop(), fleet: newFleet(file)}
 	if err := netio.Attach(p.loop); err != nil {
@@ -98,8 +98,8 @@
 // makeCore makes the core and its ways to upstream hosts. sessions is how many downstreams it holds at most.
 func (p *process) makeCore(tls upstreamtls.Options) (sessions int, err error) {
 	cfg := p.cfg
-	p.dialer = netio.NewDialer(p.loop, cfg.Dialers())
-	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.Sessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
+	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.MaxSessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
 	open := lineproto.PlainTCP(p.dialer)
 	if p.link, err = newUpstreamTLS(p.loop, tls, &opt); err != nil {
 		return 0, err
@@ -108,12 +108,12 @@
 		open = openByTLS(p.link)
 	}
 	var reportsInAnswers []string
-	if cfg.InAnswers {
-		reportsInAnswers = cfg.Reports
+	if cfg.ReportsInAnswers {
+		reportsInAnswers = cfg.ReportFields
 	}
 	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, open, reportsInAnswers), opt)
-	if n := cfg.Probers(); n > 0 {
-		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, open, cfg.Reports, n))
+	if n := cfg.MaxHealthChecks(); n > 0 {
+		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, open, cfg.ReportFields, n))
 	}
 	return opt.Sessions, nil
 }
@@ -172,7 +172,7 @@
 
 // peerMessageReceived gives a datagram to membership, or else to the decision module.
 func (p *process) peerMessageReceived(from int, data []byte) {
-	if !p.fleet.members.Take(from, data) {
+	if !p.fleet.members.ReceiveShared(from, data) {
 		p.core.PeerMessageReceived(from, data)
 	}
 }
@@ -188,7 +188,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %v", err)
 	}
-	p.front = lineproto.NewFront(p.loop, p.core, p.listener, p.cfg.Newcomers())
+	p.front = lineproto.NewFront(p.loop, p.core, p.listener, p.cfg.MaxIdleClients())
 	p.core.SetNewcomers(p.front)
 	return nil
 }
@@ -198,7 +198,9 @@
 	if p.cfg.Admin == "" {
 		return nil
 	}
-	listen := func() (*admin.Front, error) { return admin.Listen(p.loop, p.core, p.cfg.Admin, p.cfg.Callers()) }
+	listen := func() (*admin.Server, error) {
+		return admin.Listen(p.loop, p.core, p.cfg.Admin, p.cfg.MaxAdminCallers())
+	}
 	if _, err := retryStart(listen, addressInUse); err != nil {
 		return fmt.Errorf("admin_addr: %v", err)
 	}
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -89,7 +89,7 @@
 // Sessions counts the old process's downstreams with this one's, and its descriptors that are nobody's in particular.
 func (e partnerEvents) Sessions(n int) {
 	if e.isCurrent() && !e.restart.isOld {
-		e.core.SetSessionsElsewhere(n + e.cfg.Spare()/2)
+		e.core.SetSessionsElsewhere(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -92,8 +92,8 @@
 
 // knownList is the endpoint list to start from: the other process's, where it is the same service's and newer than the platform's.
 func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.Change {
-	if s.Discovery != cfg.Discovery || s.Revision <= cfg.Known.Version {
-		return cfg.Known
+	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
+		return cfg.CachedList
 	}
-	return proxy.Change{Kind: cfg.Known.Kind, Version: s.Revision, Hosts: s.Hosts}
+	return proxy.Change{Kind: cfg.CachedList.Kind, Version: s.Revision, Hosts: s.Hosts}
 }
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	if p.peers != nil {
-		p.peers.Hear()
+		p.peers.StartReceiving()
 	}
 	p.core.SetHandedOver(false)
 	if p.restart.dir != "" {
@@ -169,7 +169,7 @@
 	p.fleet.owners.Leave(func() { p.fleet.members.Yield() })
 	p.front.Stop()
 	if p.peers != nil {
-		p.peers.Deafen()
+		p.peers.StopReceiving()
 	}
 	p.core.SetHandedOver(true)
 	slog.Info("hot_restart_handed_over", "sessions", p.core.Sessions())
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -44,7 +44,7 @@
 	if err := ownerOptions(file).Check(member); err != nil {
 		faults = append(faults, fmt.Errorf("%s: owners: %w", file.Path, err))
 	}
-	if watermarkOptions(file).On && !member.On {
+	if watermarkOptions(file).Enabled && !member.On {
 		faults = append(faults, fmt.Errorf("%s: floors need membership: (membership (on on) …)", file.Path))
 	}
 	return faults
@@ -66,7 +66,7 @@
 }
 
 // stderr is where the log goes. Whoever reads it may stop reading.
-var stderr = logging.NewUnblocked(os.Stderr)
+var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
 // Logs makes the log what the settings file says, in another format where one is given: the command line wins over the file, also once
 // that is read again.
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -16,7 +16,7 @@
 // it.
 func (p *process) startWatermarks() {
 	f := &p.fleet
-	if !f.watermarkOptions.On || f.members == nil {
+	if !f.watermarkOptions.Enabled || f.members == nil {
 		return
 	}
 	if f.watermarks != nil {
@@ -26,7 +26,7 @@
 		Transport:    memberTransport{f.members},
 		Clock:        loopClock{p.loop},
 		Rand:         rand.New(rand.NewPCG(rand.Uint64(), 1)),
-		RefetchAfter: f.watermarkOptions.Within,
+		RefetchAfter: f.watermarkOptions.RefetchAfter,
 		RefetchList:  p.discovery.FetchList,
 		Changed:      p.core.WatermarksChanged,
 		Source:       p.watermarkSource,
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -138,4 +138,4 @@
 }
 
 // tracing tells whether the log takes each step of each request.
-func tracing() bool { return logging.Tracing() }
+func tracing() bool { return logging.DebugEnabled() }
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -26,7 +26,7 @@
 	if c.fleet.enforcer == nil {
 		return v
 	}
-	v = c.fleet.enforcer.Judge(namespace.Ask{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
+	v = c.fleet.enforcer.Judge(namespace.Request{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
 	if tracing() {
 		pool := ""
 		if len(v.Pools) > 0 {
--- /dev/null
+++ b/internal/fleet/owneragent/queries_test.go
@@ -0,0 +1,44 @@
+package owneragent
+
+import (
+	"testing"
+
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/ownership"
+)
+
+func TestAnswersReachTheirAsker(t *testing.T) {
+	q := newQueries(nil)
+	var got []uint64
+	first := q.newAsker(func(tag uint64, _ []byte) { got = append(got, tag) })
+	second := q.newAsker(func(tag uint64, _ []byte) { got = append(got, 100+tag) })
+	first.tags[q.nextTag()] = 7
+	second.tags[q.nextTag()] = 7
+	answers := make(chan string, 1)
+	tag := q.askOperator(answers)
+	for range 2 { // the second time nobody waits
+		q.replyReceived(2, nil)
+		q.replyReceived(1, nil)
+		q.replyReceived(tag, []byte("yes"))
+	}
+	if len(got) != 2 || got[0] != 107 || got[1] != 7 || <-answers != "yes" || len(answers) > 0 || q.operatorWaits(tag) {
+		t.Errorf("askers got %v", got)
+	}
+}
+
+// TestStaleEffectIsCounted: what the fence rejects shows in the counts of this process.
+func TestStaleEffectIsCounted(t *testing.T) {
+	a, _ := startAlone(t, Options{Drills: 1})
+	var counts Counts
+	if !a.onWorker(func() {
+		for _, token := range []uint64{6, 5} {
+			a.core.SendEffect(a.now(), group.Peer(a.name), "no-job", ownership.FencingToken{Token: token, Sequence: 1}, nil)
+		}
+		counts = a.counts
+	}) {
+		t.Fatal("the worker does not answer")
+	}
+	if counts.Taken != 1 || counts.Refused != 1 {
+		t.Errorf("%+v", counts)
+	}
+}
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -33,9 +33,9 @@
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
-		return ChangeOperators(&Version{Out: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{HostsOut: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, against, id)
 	case 1:
-		return ChangeOperators(&Version{Refuse: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Book: frame().Book}, against, id)
+		return ChangeOperators(&Version{Refusals: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
 	case 2, 3:
 		return ChangeNamespace(to(account, 0, pools[rng.Intn(3)]), against, id)
 	case 4:
@@ -45,17 +45,17 @@
 	case 6:
 		return RollBackTo(uint64(rng.Intn(int(against)+2)), against, id)
 	}
-	moved := frame()
-	moved.Book.Pools[0].Kinds, moved.Book.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
+	moved := twoCustomers()
+	moved.Directory.Pools[0].Kinds, moved.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
 	return ChangeOperators(moved, against, id)
 }
 
 // randomStep does one thing to the group: a change, a question, a fault or its end.
 func randomStep(g *group, rng *rand.Rand) {
-	member := 1 + uint32(rng.Intn(len(g.m)))
+	member := 1 + uint32(rng.Intn(len(g.members)))
 	switch rng.Intn(12) {
 	case 0, 1, 2:
-		against := g.k.active.Number
+		against := g.coordinator.versions.active.Number
 		if rng.Intn(6) == 0 {
 			against = uint64(rng.Intn(int(against) + 2))
 		}
@@ -66,16 +66,16 @@
 		g.change(c)
 	case 3:
 		questions := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
-		g.k.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
+		g.coordinator.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
 	case 4:
 		g.cut[member] = !g.cut[member]
 	case 5:
 		g.deaf[member] = !g.deaf[member]
 	case 6:
-		g.noNotes = rng.Intn(3) == 0
+		g.checkpointsFail = rng.Intn(3) == 0
 	case 7:
 		if rng.Intn(3) == 0 {
-			g.keeper()
+			g.restartCoordinator()
 		}
 	default:
 		g.cut[member], g.deaf[member] = false, false
@@ -90,21 +90,21 @@
 	play := func(seed int64, samples *golden.Samples) {
 		rng := rand.New(rand.NewSource(seed))
 		g := newGroup(t, 2+uint32(seed%4))
-		g.record = &recorder{digest: golden.NewDigest(), samples: samples}
+		g.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
 		if seed%2 == 0 {
-			g.put(frame(), 0)
+			g.put(twoCustomers(), 0)
 		}
 		for events := 0; events < eventsPerSequence; {
 			randomStep(g, rng)
 			steps := 1 + rng.Intn(3)
 			g.run(20 * ms * Time(steps))
-			events += 1 + steps*len(g.m)
-			for i := uint32(1); i <= uint32(len(g.m)); i++ {
-				v := g.m[i].Enforcer.Judge(namespace.Ask{Tenant: "t1", Class: "c"})
-				g.record.digest.Add("%d %d %+v", g.now, i, v)
+			events += 1 + steps*len(g.members)
+			for i := uint32(1); i <= uint32(len(g.members)); i++ {
+				v := g.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
+				g.recorder.digest.Add("%d %d %+v", g.now, i, v)
 			}
 		}
-		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.m), g.k.active.Number, g.record.digest)
+		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.members), g.coordinator.versions.active.Number, g.recorder.digest)
 	}
 	const sampled = 4
 	for seed := range int64(sampled) {
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -184,7 +184,7 @@
 		if err != nil {
 			return nil, err.Error()
 		}
-		for job := range rep.Mine {
+		for job := range rep.Owned {
 			if j, two := out[job]; two {
 				odd = fmt.Sprintf("n%d and n%d both own %s", j, i, job)
 			}
@@ -236,6 +236,6 @@
 
 // Full has a process's disk without room, and with it again.
 func (r *Rig) Full(i int) (begin, end func() error) {
-	begin, end, _ = r.effect(simulation.Fault{Kind: "full", A: i})
+	begin, end, _ = r.effect(simulation.Fault{Kind: "full", Process: i})
 	return begin, end
 }
