--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -10,9 +10,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The two processes of a replacement are one proxy. The new one asked discovery for its watch up to 2.5 s after its start, and until then sent to hosts
-// of which the old one had been told that they drain.
-func TestTheNewProcessKnowsWhatTheOldOneIsTold(t *testing.T) {
+// The two processes of a hot restart are one proxy: until the new one has its own list, it goes by what the old one is told.
+func TestNewProcessTakesTheOldOnesList(t *testing.T) {
 	host := func(id string, state balancer.HostState) proxy.HostEntry {
 		return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
 	}
@@ -20,9 +19,9 @@
 		SlowStartOverloadFactor: 2, SlowStartFloor: 0.2, PollInterval: 1e10, ConnectTimeout: 1e8}
 	l := netio.NewLoop()
 	core := proxy.New(l, nil, proxy.Options{Sessions: 1, Settings: settings})
-	r := &replacement{loop: l, core: core, watch: cluster.NewClient(l, nil, "127.0.0.1:2", 1, 7, nil)}
+	r := &process{loop: l, core: core, discovery: cluster.NewClient(l, nil, "127.0.0.1:2", 1, 7, nil)}
 	known := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{host("a", balancer.Ready), host("b", balancer.Ready)}}
-	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.watch, known); err != nil {
+	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.discovery, known); err != nil {
 		t.Fatal(err)
 	}
 	state := func() balancer.HostState {
@@ -33,8 +32,8 @@
 		}
 		return balancer.Removed
 	}
-	r.partner = &hotrestart.Partner{}
-	old := partner{r, r.partner}
+	r.restart.partner = &hotrestart.Partner{}
+	old := partnerEvents{r, r.restart.partner}
 	for _, c := range []struct {
 		from string
 		rev  int64
@@ -45,7 +44,7 @@
 			t.Errorf("version %d of %s: state %d, want %d", c.rev, c.from, got, c.want)
 		}
 	}
-	r.older = true
+	r.restart.isOld = true
 	old.ListChanged(&proxy.Snapshot{Discovery: "127.0.0.1:2", Revision: 9, Hosts: []proxy.HostEntry{host("a", balancer.Ready)}})
 	if state() != balancer.Draining {
 		t.Error("an old process takes the new one's list")
--- /dev/null
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -0,0 +1,203 @@
+package hotrestart
+
+import (
+	"errors"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/proxy"
+	"croftlock/internal/operations/maintenance"
+)
+
+func sample() *proxy.Snapshot {
+	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
+		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
+		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
+}
+
+// What is written comes back; whatever is torn, foreign, of another version or beyond bounds is an error.
+func TestStateFile(t *testing.T) {
+	dir, now := t.TempDir(), int64(10)
+	if k, err := Read(dir, now); k != nil || err != nil {
+		t.Fatalf("nothing kept gave %v, %v", k, err)
+	}
+	if _, err := writeState(dir, sample()); err != nil {
+		t.Fatal(err)
+	}
+	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
+		t.Fatalf("got %+v, %v", k, err)
+	}
+	whole, _ := os.ReadFile(filepath.Join(dir, stateFile))
+	text := string(whole)
+	with := func(change func(k *proxy.Snapshot)) string {
+		k := sample()
+		change(k)
+		data, _ := encodeState(k)
+		return string(data)
+	}
+	for name, data := range map[string]string{
+		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
+		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
+		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
+		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
+		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
+		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
+	} {
+		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
+		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
+			t.Errorf("%s: taken", name)
+		}
+	}
+}
+
+// FuzzState: no bytes make reading panic.
+func FuzzState(f *testing.F) {
+	data, _ := encodeState(sample())
+	f.Add(data)
+	f.Add([]byte(stateMagic + " 2 0\n{}"))
+	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
+}
+
+// A state that could not be written is retried, as the call that it is for has been answered. A folder that is missing for a while stands for a
+// full disk; a half-written file of a process that was killed is removed.
+func TestFailedWriteIsRetried(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "state")
+	l := netio.NewLoop()
+	go l.Run()
+	t.Cleanup(l.Stop)
+	s := NewStore(l, dir) // the folder is not there yet: every write fails
+	tried := make(chan bool, 2)
+	s.Save(sample(), func() { tried <- true })
+	<-tried
+	newer := sample()
+	newer.Revision = 8
+	s.Save(newer, func() { tried <- true })
+	<-tried
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		k, err := Read(dir, 1e18)
+		if err == nil && k != nil && k.Revision == 8 && len(k.Suspended) == 1 {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatalf("kept %+v, %v", k, err)
+		}
+	}
+	half := filepath.Join(dir, "."+stateFile+".123")
+	if err := os.WriteFile(half, []byte("croftlock-st"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	NewStore(l, dir)
+	if _, err := os.Stat(half); !os.IsNotExist(err) {
+		t.Error("a half-written file stays")
+	}
+}
+
+// The system's clock was set by an hour between two processes: the state is brought to the new one's time.
+func TestStateOfAnotherClock(t *testing.T) {
+	const hour = int64(time.Hour)
+	now := int64(1e18)
+	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
+		k := sample()
+		k.WrittenAt = now - step // the writer's time, in the moment that is now here
+		k.Suspended[0].Since = k.WrittenAt - 5e9
+		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.WrittenAt-1e9, k.WrittenAt+2e9
+		data, err := encodeState(k)
+		if err != nil {
+			t.Fatal(err)
+		}
+		file, err := decodeState(data, now)
+		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
+			t.Errorf("%s: a file gives %+v, %v", name, file, err)
+		}
+		k.Rebase(now, true)
+		if since, until := now-k.Suspended[0].Since, k.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
+			t.Errorf("%s: out for %v, shunned for %v more", name, time.Duration(since), time.Duration(until))
+		}
+	}
+	old := &proxy.Snapshot{Suspended: sample().Suspended} // of a version that did not say when
+	old.Suspended[0].Since = now + hour
+	if old.Rebase(now, false); old.Check(now) != nil || old.Suspended[0].Since != now {
+		t.Errorf("%+v", old)
+	}
+}
+
+// A disk without capacity for another file takes the state in place; the later of the two counts, and a torn one as none.
+func TestSpareFile(t *testing.T) {
+	dir := t.TempDir()
+	first, second := sample(), sample()
+	first.WrittenAt, second.WrittenAt, second.Revision = 5, 6, 8
+	if _, err := writeState(dir, first); err != nil {
+		t.Fatal(err)
+	}
+	rev := func(want int64) {
+		t.Helper()
+		if k, err := Read(dir, 10); err != nil || k == nil || k.Revision != want {
+			t.Fatalf("read %+v, %v; want version %d", k, err, want)
+		}
+	}
+	rev(7)
+	data, err := encodeState(second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	spare := filepath.Join(dir, spareFile)
+	if err := overwrite(spare, data); err != nil {
+		t.Fatal(err)
+	}
+	rev(8)
+	if info, err := os.Stat(spare); err != nil || info.Size() < minSpareSize {
+		t.Errorf("%v, %v: written over it has lost its room", info, err)
+	}
+	if err := overwrite(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
+		t.Fatal(err)
+	}
+	if err := overwrite(spare, []byte("croftlock-state 1 99 0")); err != nil {
+		t.Fatal(err)
+	}
+	rev(7)
+	// A folder in which the state file cannot be replaced takes the state all the same.
+	second.WrittenAt, second.Revision = 9, 9
+	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Join(dir, stateFile, "in the way"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if kept, err := writeState(dir, second); !kept || err == nil {
+		t.Errorf("kept %t, %v", kept, err)
+	}
+	os.RemoveAll(filepath.Join(dir, stateFile))
+	rev(9)
+}
+
+// A process that closes the connection before it has answered may be able to hand over when it is asked again: that is an error, and not ErrBusy.
+func TestBrokenOffAnswerIsAnError(t *testing.T) {
+	dir := t.TempDir()
+	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	go func() {
+		for range 2 {
+			if c, err := ln.Accept(); err == nil {
+				c.Close()
+			}
+		}
+	}()
+	for range 2 {
+		if p, h, err := RequestHandover(dir, "x:1", 10); err == nil || errors.Is(err, ErrBusy) || p != nil || h != nil {
+			t.Errorf("got %v, %v, %v", p, h, err)
+		}
+	}
+}
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -8,19 +8,19 @@
 
 const second = int64(1e9)
 
-// given is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
-func given(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
+// servedOnce is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
+func servedOnce(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, Attempts: 3}
+	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
 	h := Host{Zone: "a", Cell: 1}
-	r.Began(1*second, h)
-	r.Wrote(1*second+1, 1*second, h)
-	r.Ended(false)
+	r.AttemptBegan(1*second, h)
+	r.LineWritten(1*second+1, 1*second, h)
+	r.AttemptEnded(false)
 	return r, m
 }
 
-// What may not be begun is held back before it happens, and counted as broken where it happens all the same.
-func TestRepeats(t *testing.T) {
+// A forbidden attempt is blocked, and counted as broken where it begins all the same.
+func TestRetries(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
 		effect balancer.Idempotency
@@ -39,11 +39,11 @@
 		{balancer.IdempotentWithKey, balancer.ScopeZone, 2 * second, far, RetryWithinScope},
 		{balancer.IdempotentWithKey, balancer.ScopeCell, 2 * second, far, RetryWithinScope},
 	} {
-		r, m := given(c.effect, c.scope)
-		if got := r.Begin(c.at, c.to); got != c.want {
+		r, m := servedOnce(c.effect, c.scope)
+		if got := r.CheckAttempt(c.at, c.to); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
-		r.Began(c.at+int64(MaxSuspension), c.to)
+		r.AttemptBegan(c.at+int64(MaxSuspension), c.to)
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
 		}
@@ -57,23 +57,26 @@
 func TestBrokenRulesAreCounted(t *testing.T) {
 	h := Host{Zone: "a", Cell: 1}
 	for rule, f := range map[Rule]func(r *Request){
-		RequestOver:          func(r *Request) { r.ClientLeft(); r.Began(2*second, h) },
-		SingleAttempt:        func(r *Request) { r.Began(2*second, h); r.Began(2*second, h) },
-		AttemptLimit:         func(r *Request) { r.Attempts = 1; r.Began(2*second, h) },
+		RequestOver:          func(r *Request) { r.ClientLeft(); r.AttemptBegan(2*second, h) },
+		SingleAttempt:        func(r *Request) { r.AttemptBegan(2*second, h); r.AttemptBegan(2*second, h) },
+		AttemptLimit:         func(r *Request) { r.MaxAttempts = 1; r.AttemptBegan(2*second, h) },
 		RejectionIsSafe:      func(r *Request) { r.Class.Idempotency = balancer.NotIdempotent; r.Rejected(2 * second) },
 		SingleAnswer:         func(r *Request) { r.Accepted(2 * second); r.Failed(2 * second) },
 		AnswerInTime:         func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
 		NoSilentEnd:          func(r *Request) { r.Accepted(2 * second); r.Dropped() },
-		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.Began(2*second, h) },
-		HostAcceptsNew:       func(r *Request) { r.Began(2*second, h); r.Wrote(2*second, 2*second, Host{State: balancer.Draining}) },
+		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.AttemptBegan(2*second, h) },
+		HostAcceptsNew: func(r *Request) {
+			r.AttemptBegan(2*second, h)
+			r.LineWritten(2*second, 2*second, Host{State: balancer.Draining})
+		},
 	} {
-		r, m := given(balancer.Idempotent, balancer.ScopeAll)
+		r, m := servedOnce(balancer.Idempotent, balancer.ScopeAll)
 		f(r)
 		if broken, _ := m.Counts.Sum(); broken != 1 || m.Counts.Broken[rule] != 1 {
 			t.Errorf("%v: %v", rule, m.Counts.Broken)
 		}
 	}
-	r, m := given(balancer.NotIdempotent, balancer.ScopeAll)
+	r, m := servedOnce(balancer.NotIdempotent, balancer.ScopeAll)
 	r.Failed(2 * second)
 	r.Dropped()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
@@ -81,20 +84,20 @@
 	}
 }
 
-// An attempt that surely has not run leaves a request as it was, and one that is written may run while it is out.
-func TestWhatHasNotRun(t *testing.T) {
+// An attempt that surely has not run leaves a request as it was, and one whose line is written may run while it is in flight.
+func TestAttemptThatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, Attempts: 3}
-	r.Began(1, Host{})
+	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, MaxAttempts: 3}
+	r.AttemptBegan(1, Host{})
 	if r.MayHaveRun() {
 		t.Error("it runs before it is written")
 	}
-	r.Wrote(2, 1, Host{})
+	r.LineWritten(2, 1, Host{})
 	if !r.MayHaveRun() || r.MayReject() {
 		t.Error("it can't run though it is written")
 	}
-	r.Ended(true)
-	if r.MayHaveRun() || !r.MayReject() || r.Begin(3, Host{}) != None {
+	r.AttemptEnded(true)
+	if r.MayHaveRun() || !r.MayReject() || r.CheckAttempt(3, Host{}) != None {
 		t.Error("it has run though its host says that it has not")
 	}
 }
--- /dev/null
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -0,0 +1,176 @@
+package proxy
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
+)
+
+// leavingClients is a core with the real balancer among hosts that answer late, badly or not at all, and clients that leave at drawn moments.
+type leavingClients struct {
+	*harness
+	rng          *rand.Rand
+	leftAt       map[string]int64 // when a client has left
+	attempts     int              // attempts
+	linesWritten int              // first lines
+	quotaHeld    int              // held
+}
+
+// Start checks that no attempt begins for a client that has left, and draws what becomes of it.
+func (w *leavingClients) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
+	id := ev.(*upstreamRequest).request.attributes.ID
+	w.attempts++
+	w.checkNotLeft(id, "an attempt begins")
+	u := &drawnUpstream{fakeUpstream: &fakeUpstream{harness: w.harness, events: ev}, clients: w, requestID: id}
+	took := w.draw(120 * time.Millisecond)
+	if took >= within || w.rng.Intn(20) == 0 {
+		u.after(min(took, within), func() { ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting, Cause: netio.Refused}) })
+	} else {
+		u.after(took, u.connected)
+	}
+	return u
+}
+
+func (w *leavingClients) draw(most time.Duration) time.Duration {
+	return time.Duration(w.rng.Int63n(int64(most)))
+}
+
+func (w *leavingClients) checkNotLeft(id, what string) {
+	if at, gone := w.leftAt[id]; gone {
+		w.test.Errorf("%s for %s, whose client left %v before", what, id, time.Duration(w.now-at))
+	}
+}
+
+// drawnUpstream is an attempt whose course is drawn.
+type drawnUpstream struct {
+	*fakeUpstream
+	clients   *leavingClients
+	requestID string
+	ended     bool
+}
+
+func (u *drawnUpstream) End(netio.Cause) { u.ended = true }
+
+func (u *drawnUpstream) after(d time.Duration, f func()) {
+	u.harness.loop.After(d, func() {
+		if !u.ended {
+			f()
+		}
+	})
+}
+
+// connected is the moment in which the connection has come up.
+func (u *drawnUpstream) connected() {
+	if !u.events.MaySend() {
+		return
+	}
+	u.clients.checkNotLeft(u.requestID, "a first line is written")
+	u.clients.linesWritten++
+	u.sent()
+	answer := u.clients.rng.Intn(20)
+	u.after(u.clients.draw(250*time.Millisecond), func() {
+		switch answer {
+		default:
+			u.events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
+		case 1, 2:
+			u.events.FromUpstream(Message{Kind: OverCapacity})
+		case 3:
+			u.events.FromUpstream(Message{Kind: Failed})
+		case 4, 5:
+			u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+		case 6: // nothing comes
+		}
+	})
+}
+
+// newLeavingClients has half of the clients wait for quota, and all for another proxy's answer, which never comes.
+func newLeavingClients(t *testing.T) *leavingClients {
+	w := &leavingClients{harness: &harness{test: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
+	w.loop = netio.NewLoopAt(func() int64 { return w.now })
+	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
+		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
+		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
+	w.core = New(w.loop, w, Options{Sessions: 5000, Settings: cfg})
+	ch := Change{Kind: balancer.ListFull}
+	for i := range 6 {
+		id := fmt.Sprintf("h%d", i)
+		ch.Hosts = append(ch.Hosts, HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}})
+	}
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+		t.Fatal(err)
+	}
+	w.core.SetPeers(deafPeers{})
+	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
+	rules.ActByForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
+	w.core.SetQuota(w)
+	w.core.SetRules(gate)
+	return w
+}
+
+// deafPeers are peers that hear nothing.
+type deafPeers struct{}
+
+func (deafPeers) SendToPeer(int, []byte) {}
+
+// IsLimited, Acquire, CountExisting and Release are quotas over the fleet whose replies take a drawn time.
+func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
+func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
+	w.quotaHeld++
+	w.loop.After(w.draw(300*time.Millisecond), func() { then("", 0) })
+}
+func (w *leavingClients) CountExisting(string) { w.quotaHeld++ }
+func (w *leavingClients) Release(string)       { w.quotaHeld-- }
+
+// state names what a request waits for.
+func state(r *Request, permitted bool) string {
+	switch {
+	case r.attempt != nil && r.attempt.lineUnsent():
+		return "a connection"
+	case r.attempt != nil:
+		return "a host's answer"
+	case !permitted:
+		return "a permit"
+	case r.attempts > 0:
+		return "a retry"
+	}
+	return "a choice"
+}
+
+// Whatever a request waits for as its client leaves, nothing begins for it any more.
+func TestNothingBeginsForClientsThatLeft(t *testing.T) {
+	w := newLeavingClients(t)
+	const clients = 4000
+	gone := map[string]int{}
+	for n := range clients {
+		id := fmt.Sprintf("%016x", n)
+		tenant := []string{"t1", "t2"}[n%2]
+		r := w.core.Open(&fakeDownstream{w.harness, id}, &Opening{ID: id, Class: "c", Tenant: tenant, Wait: 3 * time.Second, HasWait: true}, nil)
+		w.loop.After(w.draw(1500*time.Millisecond), func() {
+			if r == nil || r.answered() {
+				return
+			}
+			gone[state(r, tenant == "t2" || r.quotaAccount != "")]++
+			w.leftAt[id] = w.now
+			r.DownstreamEnded(&netio.Error{Cause: netio.Ended})
+		})
+		w.pass(10 * time.Millisecond)
+	}
+	w.pass(10 * time.Second)
+	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, gone)
+	for _, what := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
+		if gone[what] < 10 {
+			t.Errorf("%d clients left while they waited for %s: too few to tell", gone[what], what)
+		}
+	}
+	for id, r := range w.core.requests {
+		if !r.answered() || r.attempt == nil {
+			t.Errorf("%s is still there", id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/messagelatency_test.go
@@ -0,0 +1,45 @@
+package proxy
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// A host that answers none of its client's lines is left in time, and the client is migrated.
+func TestSilentHost(t *testing.T) {
+	w := newHarness(t)
+	r, u := w.serve("q")
+	for range 2 {
+		r.FromDownstream(Message{Text: []byte("M\r\n")})
+		u.events.FromUpstream(Message{Text: []byte("M\r\n")})
+		w.pass(2 * time.Second)
+	}
+	w.expect()
+	r.FromDownstream(Message{Text: []byte("M\r\n")})
+	w.pass(5 * time.Second)
+	if got := w.events[len(w.events)-3:]; strings.Join(got, "; ") != "migrate q; end up ended; ended q 0 5 true" {
+		t.Fatal(w.events)
+	}
+}
+
+// A slow host is reported while it is slow and once more when it is not; a line that waits counts as it is.
+func TestMessageLatency(t *testing.T) {
+	const second, threshold = int64(time.Second), int64(50 * time.Millisecond)
+	l := messageLatency{}
+	l.answered(second, second-20e6)
+	if got := l.current(second); got != 20e6 || l.due(second, got, threshold) {
+		t.Errorf("%d reported: not slow yet", got)
+	}
+	l.noteUnanswered(second)
+	l.noteUnanswered(2 * second)
+	for _, now := range []int64{2 * second, 3 * second} {
+		if got := l.current(now); got != now-second || !l.due(now, got, threshold) {
+			t.Errorf("%d not reported", got)
+		}
+	}
+	l.oldestSent = 0
+	if got := l.current(4 * second); got != 0 || !l.due(4*second, got, threshold) || l.due(5*second, got, threshold) {
+		t.Errorf("%d: expected one report that it is over", got)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -0,0 +1,157 @@
+package proxy
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/invariant"
+	"croftlock/internal/dataplane/netio"
+)
+
+// sending opens a request whose balancer places it at A, and then to B should that attempt prove not to have run.
+func sending(t *testing.T) *harness {
+	w := newHarness(t)
+	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
+	w.onEvent = func(e string) {
+		switch e {
+		case "request q":
+			w.effects.StartAttempt("q", "A", 0)
+		case "ended q 0 4 false":
+			w.effects.StartAttempt("q", "B", 0)
+		}
+	}
+	w.open("q")
+	w.events = nil
+	return w
+}
+
+// A host's acceptance that comes during a shutdown, when the clients before it have been migrated, is passed on, and that client is
+// migrated like the others.
+func TestAcceptedDuringShutdown(t *testing.T) {
+	w := sending(t)
+	left := false
+	w.core.Shutdown(func() { left = true })
+	w.pass(900 * time.Millisecond)
+	w.upstreams[0].sent()
+	w.upstreams[0].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
+	w.expect("accept q", "established q 0")
+	w.pass(1500 * time.Millisecond)
+	w.expect("migrate q", "end up ended", "ended q 0 6 true")
+	if !left {
+		t.Error("it does not end")
+	}
+}
+
+// A list that comes during a shutdown changes nothing: the clients are migrated, and nothing new begins.
+func TestListDuringShutdown(t *testing.T) {
+	w := newHarness(t)
+	w.serve("q")
+	left := false
+	w.core.Shutdown(func() { left = true })
+	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
+	w.expect("list 1 1")
+	w.pass(2100 * time.Millisecond)
+	w.expect("migrate q", "end up ended", "ended q 0 6 true")
+	if !left {
+		t.Error("it does not end")
+	}
+}
+
+// A connection that breaks before the first line's last byte is written has not reached its host: the request may go elsewhere, also one
+// that must not run twice. After that byte it may not.
+func TestBreakBeforeTheLineIsWritten(t *testing.T) {
+	w := sending(t)
+	w.upstreams[0].stage = netio.Sending
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
+	w.expect("end up ended", "ended q 0 4 false", "start at-B 1000")
+
+	w = sending(t)
+	w.upstreams[0].sent()
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+	w.expect("end up ended", "ended q 0 5 false")
+}
+
+// A process that was suspended accepts who waits in the listener's queue before it finds that nothing is left.
+func TestListenerQueueIsAcceptedBeforeTheEnd(t *testing.T) {
+	w := newHarness(t)
+	left := false
+	w.core.Shutdown(func() { left = true })
+	w.now += int64(600 * time.Millisecond) // nothing runs meanwhile
+	w.loop.RunPending()
+	if left {
+		t.Fatal("it ends in its first step")
+	}
+	w.core.Admit("c") // the queue is looked at now
+	w.open("late")
+	w.expect("reject late 500")
+	w.pass(300 * time.Millisecond)
+	if left {
+		t.Fatal("it does not wait for its client to hang up")
+	}
+	w.core.SessionEnded()
+	w.pass(200 * time.Millisecond)
+	if !left {
+		t.Error("it does not end")
+	}
+}
+
+// Whatever the deadlines, the moments of a shutdown come in order and before SIGKILL, and a request whose deadline counts whole has it whole.
+func TestScheduleEndsBeforeTheKill(t *testing.T) {
+	for _, deadline := range []time.Duration{0, time.Millisecond, 100, 400, 1000, 2000, 2999, 3000, 4800, 60000} {
+		deadline *= time.Millisecond
+		kill := min(deadline, 3*time.Second) + 700*time.Millisecond
+		for _, handed := range []bool{false, true} {
+			s := newShutdownSchedule(int64(deadline), handed)
+			if s.migrateFrom < 0 || s.migrateFrom >= s.migrateBy || s.migrateBy > s.answerBy || s.answerBy >= s.exitBy ||
+				s.exitBy > int64(kill-2*invariant.MaxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
+				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handed, s, kill)
+			}
+			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
+				if due := s.due(100, passed); due < before || passed >= s.migrateBy && due != 100 {
+					t.Fatalf("%v: %d due after %v, %d before", deadline, due, time.Duration(passed), before)
+				} else {
+					before = due
+				}
+			}
+		}
+	}
+}
+
+// A request whose deadline is past SIGKILL gets its answer before: a rejection where a retry is harmless, a failure where it may have run. One that
+// the balancer has queued gets one too, a client that is accepted in the last moment is migrated, and the process ends.
+func TestWaitingRequestsAreAnsweredBeforeTheKill(t *testing.T) {
+	w := newHarness(t)
+	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
+	w.onEvent = func(e string) {
+		if e == "request q" {
+			w.effects.StartAttempt("q", "A", 0)
+		}
+	}
+	for _, id := range []string{"q", "held"} {
+		w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: 4800 * time.Millisecond, HasWait: true}, nil)
+	}
+	w.upstreams[0].sent()
+	w.events = nil
+	w.core.admission.sessions = 2
+	left := false
+	w.core.Shutdown(func() { left = true })
+	w.pass(3200 * time.Millisecond)
+	w.expect()
+	w.pass(60 * time.Millisecond)
+	seen := strings.Join(w.events, "; ")
+	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject held 500; left held"} {
+		if !strings.Contains(seen, want) {
+			t.Errorf("got %s, want %s in it", seen, want)
+		}
+	}
+	w.pass(100 * time.Millisecond)
+	if left {
+		t.Fatal("it has not waited for its clients to hang up")
+	}
+	w.pass(50 * time.Millisecond)
+	if !left {
+		t.Error("it does not end before SIGKILL")
+	}
+}
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -8,86 +8,95 @@
 	"croftlock/internal/operations/metrics"
 )
 
+var _ UpstreamEvents = (*upstreamRequest)(nil)
+
 // UpstreamSent says that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
-	a.req.core.figures.Dispatched()
-	a.req.rec.Wrote(a.req.core.loop.Now(), a.sentAt, a.host.place())
+	c := a.request.core
+	c.counters.metrics.Dispatched()
+	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream takes a message of the host's.
+// FromUpstream handles a message of the host's.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
-	r := a.req
-	if r.out != a {
+	r := a.request
+	if r.attempt != a {
 		return true
 	}
-	if a.up {
-		return a.pass(m)
+	if a.established {
+		return a.relay(m)
 	}
-	a.report = m.Report
+	a.loadReport = m.Report
 	switch m.Kind {
 	case Accepted:
-		a.stand(m)
+		a.becomeEstablished(m)
 	case OverCapacity:
 		a.finish(balancer.Full, netio.Ended)
 	case Failed:
 		a.finish(balancer.Error, netio.Ended)
 	default:
-		slog.Warn("unexpected_answer", "host", a.host.id, "request", r.ask.ID, "text", string(m.Text))
+		slog.Warn("unexpected_answer", "host", a.host.hostID, "request", r.attributes.ID, "text", string(m.Text))
 		a.finish(balancer.Error, netio.Ended)
 	}
 	return true
 }
 
-// stand is the host's acceptance: the client's answer.
-func (a *upstreamRequest) stand(m Message) {
-	r, c := a.req, a.req.core
-	a.up, r.answered = true, true
-	a.timer.Stop()
-	a.repeatTimer.Stop()
-	r.overdue.Stop()
-	delete(a.host.trying, a)
-	a.host.up[r] = struct{}{}
-	if c.suspended.Suspended(a.host.id) {
-		c.leaveHost(a.host, r) // it was on its way before the operators' word
+// becomeEstablished is the host's acceptance: the client's answer.
+func (a *upstreamRequest) becomeEstablished(m Message) {
+	r, c := a.request, a.request.core
+	a.established = true
+	r.becomeEstablished()
+	a.timeoutTimer.Stop()
+	a.retryWindowTimer.Stop()
+	delete(a.host.pending, a)
+	a.host.established[r] = struct{}{}
+	if c.hosts.suspensions.Suspended(a.host.hostID) {
+		c.migrateOffHost(a.host, r) // it was on its way before the suspension
 	}
-	c.counts.Served++
-	r.rec.Accepted(c.loop.Now())
+	c.counters.served++
+	r.record.Accepted(c.loop.Now())
 	how := metrics.Established
 	if r.adopted {
 		how = metrics.Adopted
 	}
-	c.figures.Ended(r.ask.Class, how)
-	r.down.Accept(m)
-	elapsed := c.loop.Now() - a.sentAt
+	c.counters.metrics.Ended(r.attributes.Class, how)
+	r.downstream.Accept(m)
+	a.notifyEstablished()
+	c.followHost(r) // its host may have changed pools meanwhile
+}
+
+// notifyEstablished notifies the balancer of the acceptance.
+func (a *upstreamRequest) notifyEstablished() {
+	r, c := a.request, a.request.core
+	elapsed := c.loop.Now() - a.startedAt
 	if tracing() {
-		slog.Debug("request_established", "request", r.ask.ID, "number", a.number, "host", a.host.id, "adopted", r.adopted,
+		slog.Debug("request_established", "request", r.attributes.ID, "number", a.number, "host", a.host.hostID, "adopted", r.adopted,
 			"ms", elapsed/1e6)
 	}
-	c.tell(nil, r.pool, func(now balancer.Time, m Balancer) {
+	c.notify(nil, r.pool, func(now balancer.Time, m Balancer) {
 		if r.adopted {
-			m.ConnectionAdopted(now, r.ask, a.host.id)
+			m.ConnectionAdopted(now, r.attributes, a.host.hostID)
 			return
 		}
-		m.AttemptEstablished(now, r.ask.ID, a.number, elapsed)
+		m.AttemptEstablished(now, r.attributes.ID, a.number, elapsed)
 	})
-	c.follow(r) // its host may have changed pools while it was on its way
 }
 
-// pass hands a line of an open connection on and takes note of what it tells.
-func (a *upstreamRequest) pass(m Message) bool {
-	r, c := a.req, a.req.core
-	if !r.down.Pass(m) {
+// relay passes a line of an open connection on and notes what it reports. False: the client takes nothing now.
+func (a *upstreamRequest) relay(m Message) bool {
+	r, c := a.request, a.request.core
+	if !r.downstream.Pass(m) {
 		return false
 	}
 	switch m.Kind {
 	case Finished, MigrateClient:
-		a.last, a.report = m.Kind, m.Report
+		a.finalKind, a.loadReport = m.Kind, m.Report
 	case LoadReported:
-		a.loadTold(m.Load)
+		a.loadFigureReceived(m.Load)
 	default:
-		if len(a.waiting) > 0 {
-			a.host.delay.answered(c.loop.Now(), a.waiting[0])
-			a.waiting = a.waiting[:copy(a.waiting, a.waiting[1:])]
+		if len(a.unansweredSince) > 0 {
+			a.host.latency.answered(c.loop.Now(), a.unansweredSince[0])
+			a.unansweredSince = a.unansweredSince[:copy(a.unansweredSince, a.unansweredSince[1:])]
 		}
 	}
 	return true
@@ -95,38 +104,48 @@
 
 // UpstreamReady says that the host takes bytes again.
 func (a *upstreamRequest) UpstreamReady() {
-	if a.req.out == a && a.up {
-		a.req.down.Pump()
+	if a.request.attempt == a && a.established {
+		a.request.downstream.Pump()
 	}
 }
 
-// UpstreamEnded says that the connection to the host is over, or never stood.
+// UpstreamEnded says that the connection to the host is over, or was never established.
 func (a *upstreamRequest) UpstreamEnded(err *netio.Error) {
-	if !a.up {
-		// Up to the last byte of the first line the host cannot have acted on it.
-		status := balancer.Reset
-		if err.Stage < netio.Sent {
-			status = balancer.ConnectFailed
-		}
-		a.finish(status, netio.Ended)
+	if !a.established {
+		a.finish(statusBeforeAnswer(err.Stage), netio.Ended)
 		return
 	}
 	if !a.detach() {
 		return
 	}
-	status := balancer.Reset
-	switch a.last {
-	case Finished:
-		status = balancer.OK
-	case MigrateClient:
-		status = balancer.Cancelled
-	default:
-		a.req.core.counts.Lost++
+	status := a.finalStatus()
+	if status == balancer.Reset {
+		a.request.core.counters.lost++
 	}
 	if tracing() {
-		slog.Debug("upstream_closed", "request", a.req.ask.ID, "host", a.host.id, "status", status.String(), "reason", err)
+		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.hostID, "status", status.String(), "reason", err)
+	}
+	a.request.record.Released()
+	a.request.downstream.End(err.Cause)
+	a.notifyEnded(status)
+}
+
+// statusBeforeAnswer is how an attempt ended whose connection broke at a stage. Up to the last byte of the first line the host cannot have
+// acted on it.
+func statusBeforeAnswer(stage netio.Stage) balancer.AttemptStatus {
+	if stage < netio.Sent {
+		return balancer.ConnectFailed
+	}
+	return balancer.Reset
+}
+
+// finalStatus is how an open connection ended, by the kind of the host's last message.
+func (a *upstreamRequest) finalStatus() balancer.AttemptStatus {
+	switch a.finalKind {
+	case Finished:
+		return balancer.OK
+	case MigrateClient:
+		return balancer.Cancelled
 	}
-	a.req.rec.Released()
-	a.req.down.End(err.Cause)
-	a.outcome(status)
+	return balancer.Reset
 }
