--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -141,7 +141,7 @@
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.Change, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
-	p.discovery = cluster.NewClient(p.loop, p.dialer, cfg.Discovery, cfg.Settings.Instances, list.Version, p.listReceived)
+	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, Sharing: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
 	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) }
 	if err := p.core.Run(newBalancer, p.discovery, list); err != nil {
 		return list, err
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -40,8 +40,8 @@
 		{ID: "10.0.0.2:9000", Zone: "east", Weight: 1},
 	})
 	b.RequestArrived(5*ms, balancer.Request{ID: "a", Tenant: -1, Remaining: 2000 * ms})
-	b.AttemptEnded(10*ms, "a", 0, balancer.ConnectFailed, 5*ms, false, nil) // ejected, and tried elsewhere
-	b.AttemptEstablished(20*ms, "a", 1, 10*ms)                              // it stands
+	b.AttemptEnded(10*ms, balancer.AttemptResult{RequestID: "a", Status: balancer.ConnectFailed, Elapsed: 5 * ms}) // ejected, and tried elsewhere
+	b.AttemptEstablished(20*ms, "a", 1, 10*ms)                                                                     // it stands
 	b.RequestArrived(30*ms, balancer.Request{ID: "b", Tenant: -1, Remaining: 2000 * ms})
 	// Output:
 	// a goes to 10.0.0.1:9000
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -157,7 +157,7 @@
 	if s == OK {
 		f.answers[id]++
 	}
-	f.b.AttemptEnded(f.now, id, f.attempts[id]-1, s, 10*ms, s == OK, nil)
+	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: s, Elapsed: 10 * ms, Closed: s == OK})
 }
 
 // serve sends one request, lets it stand and end, and returns its host.
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -43,18 +43,26 @@
 	b.connectionEstablished(r)
 }
 
-// AttemptEnded tells how an attempt ended. closed: the request has had its final answer. load is the host's
-// load report, if one came.
-func (b *Balancer) AttemptEnded(now Time, id string, attempt int, status AttemptStatus, elapsed Time,
-	closed bool, load []float64) {
+// AttemptResult is how an attempt, or the connection that it established, ended.
+type AttemptResult struct {
+	RequestID string
+	Attempt   int // of this request, from 0
+	Status    AttemptStatus
+	Elapsed   Time      // since the attempt began, in nanoseconds
+	Closed    bool      // the request has had its final answer
+	Load      []float64 // the host's load report, if one came
+}
+
+// AttemptEnded takes how an attempt ended.
+func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
-	r := b.requests[id]
-	if r == nil || !r.attemptInFlight || attempt != r.attempts-1 {
+	r := b.requests[result.RequestID]
+	if r == nil || !r.attemptInFlight || result.Attempt != r.attempts-1 {
 		return
 	}
 	h, wasEstablished := r.host, r.established
-	b.loadReported(h, load)
-	if wasEstablished && status == OK {
+	b.loadReported(h, result.Load)
+	if wasEstablished && result.Status == OK {
 		b.traffic.connectionEnded(now, b.costs.turns(r.cost))
 	}
 	b.connectionEnded(r)
@@ -62,25 +70,26 @@
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
-	if !status.ProvesNotRun() && r.mayHaveRunOn == nil {
+	if !result.Status.ProvesNotRun() && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunAt = h, r.sentAt
 	}
 	if !wasEstablished {
-		b.setupEnded(r, status, elapsed)
-	} else if status == Reset {
+		b.setupEnded(r, result.Status, result.Elapsed)
+	} else if result.Status == Reset {
 		// A host that drops open connections sheds load or has died; else its turns would go on, and the
 		// dropped clients come straight back to it.
 		b.messagesDelayed(h, 1)
 	}
-	if closed || r.closed || wasEstablished {
-		delete(b.requests, id)
-		if !closed && !r.closed { // the end of a connection closes its request; without word of it, answer
+	if result.Closed || r.closed || wasEstablished {
+		delete(b.requests, r.ID)
+		if !result.Closed && !r.closed {
+			// The end of a connection closes its request; without word of it, answer.
 			r.closed = true
-			b.effects.Fail(id)
+			b.effects.Fail(r.ID)
 		}
 		return
 	}
-	if status == TooLate {
+	if result.Status == TooLate {
 		b.reject(r)
 		return
 	}
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -46,7 +46,7 @@
 		if closed && !answered(id) {
 			f.answers[id]++
 		}
-		f.b.AttemptEnded(f.now, id, f.attempts[id]-1, s, 10*ms, closed, nil)
+		f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: s, Elapsed: 10 * ms, Closed: closed})
 	}
 	n := 0
 	ids := []string{}
--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -25,7 +25,7 @@
 	go l.Run()
 	t.Cleanup(l.Stop)
 	told := make(chan proxy.Change, 64)
-	c := NewClient(l, netio.NewDialer(l, 4), d.Addr(), 3, 0, func(ch proxy.Change) { told <- ch })
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.Change) { told <- ch }})
 	l.Post(c.Follow)
 	hears := func(what, uid string, state balancer.HostState) {
 		t.Helper()
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -69,10 +69,18 @@
 	lastFailure string
 }
 
-// NewClient makes a client, one of so many that share discovery, that holds the list up to rev and gives news to tell.
-func NewClient(l *netio.Loop, d *netio.Dialer, addr string, sharing int, rev int64, tell func(proxy.Change)) *Client {
-	hold := min(maxWatchHold, max(minWatchHold, time.Duration(sharing)*watchHoldPerProxy))
-	return &Client{loop: l, dialer: d, address: addr, watchHold: hold, answerTimeout: watchAnswerTimeout, revision: rev, notify: tell}
+// Options are what a client begins with.
+type Options struct {
+	Address  string // of discovery
+	Sharing  int    // how many proxies share it
+	Revision int64  // of the list that is held
+	Notify   func(proxy.Change)
+}
+
+// NewClient makes a client. It asks for nothing until it is told to.
+func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
+	hold := min(maxWatchHold, max(minWatchHold, time.Duration(o.Sharing)*watchHoldPerProxy))
+	return &Client{loop: l, dialer: d, address: o.Address, watchHold: hold, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on and without being asked:
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -126,7 +126,7 @@
 	t.Cleanup(l.Stop)
 	told := make(chan proxy.Change, 16)
 	old := serve("old")
-	c := NewClient(l, netio.NewDialer(l, 4), old, 3, 90, func(ch proxy.Change) { told <- ch })
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.Change) { told <- ch }})
 	l.Post(func() { c.WatchList(true) })
 	expect := func(want string) {
 		t.Helper()
@@ -153,7 +153,7 @@
 		want    time.Duration
 	}{{0, 4 * time.Second}, {1, 4 * time.Second}, {3, 4 * time.Second}, {16, 4 * time.Second}, {40, 10 * time.Second},
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
-		k := NewClient(nil, nil, "127.0.0.1:1", c.sharing, 0, nil)
+		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", Sharing: c.sharing})
 		if k.watchHold != c.want {
 			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchHold, c.want)
 		}
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -73,7 +73,7 @@
 	}
 	go s.loop.Run()
 	t.Cleanup(s.loop.Stop)
-	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), ln.Addr().String(), 3, 40, func(ch proxy.Change) { s.told <- ch })
+	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), Options{Address: ln.Addr().String(), Sharing: 3, Revision: 40, Notify: func(ch proxy.Change) { s.told <- ch }})
 	return s
 }
 
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -25,12 +25,11 @@
 func (refuser) TimerFired(balancer.Time, string)                                              {}
 func (refuser) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, balancer.Time, []float64) {
 }
-func (refuser) PeerMessageReceived(balancer.Time, int, []byte) {}
-func (refuser) Snapshot(bool) balancer.Snapshot                { return balancer.Snapshot{} }
-func (refuser) Restore(balancer.Time, balancer.Snapshot)       {}
-func (refuser) Ejected(balancer.Time, string) bool             { return false }
-func (refuser) AttemptEnded(balancer.Time, string, int, balancer.AttemptStatus, balancer.Time, bool, []float64) {
-}
+func (refuser) PeerMessageReceived(balancer.Time, int, []byte)     {}
+func (refuser) Snapshot(bool) balancer.Snapshot                    { return balancer.Snapshot{} }
+func (refuser) Restore(balancer.Time, balancer.Snapshot)           {}
+func (refuser) Ejected(balancer.Time, string) bool                 { return false }
+func (refuser) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
 // front serves clients with room for two that have no request and none for requests beyond the given number. pass
 // moves its clock.
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"io"
-
-	"golang.org/x/sys/unix"
 )
 
 // Layer stands between a socket and the handler of its connection: it opens what the peer has sealed and seals what goes
@@ -42,16 +40,23 @@
 	errPeerNotReading = errors.New("the peer makes the layer talk and does not listen")
 )
 
-// Adopt makes a connection of a socket that stands, behind layer, and gives it to done and then to h. It is called on the
-// loop. The socket is the connection's from here on; should it be of no use, h hears of its end.
+// Socket is one that stands, for Adopt.
+type Socket struct {
+	FD         int // the connection's from here on
+	Layer      Layer
+	InputLimit int // bytes of input at which reading pauses
+}
+
+// Adopt makes a connection of a socket that stands, behind its layer, and gives it to done and then to h. It is called on the
+// loop. Should the socket be of no use, h hears of its end.
 //
 // It begins as a connection whose reading is paused: netpoll reads from the moment it has the socket, as fast as the peer
 // sends, and what came before the callbacks were in place ended connections for more input than the limit.
-func Adopt(l *Loop, fd int, layer Layer, limit int, h Handler, done func(*Conn)) {
-	c := &Conn{loop: l, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: fd}, paused: true, handler: h, layer: layer}
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
-	layer.Attach(c.writeToSocket)
+func Adopt(l *Loop, s Socket, h Handler, done func(*Conn)) {
+	c := newPausedConn(l, s.FD, s.InputLimit, h)
+	c.layer = s.Layer
+	c.sizeBuffers()
+	s.Layer.Attach(c.writeToSocket)
 	c.guard(func() { done(c) })
 	if !c.over {
 		c.resume()
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -76,7 +76,7 @@
 // is over.
 func (r *Request) notifyNotBegun(number int, status balancer.AttemptStatus, isClosed func() bool) {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, r.attributes.ID, number, status, 0, isClosed(), nil)
+		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: number, Status: status, Closed: isClosed()})
 	})
 }
 
@@ -157,7 +157,7 @@
 	}
 	over := r.answered() || a.established
 	c.notify(r, r.pool, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, r.attributes.ID, a.number, status, elapsed, over, a.loadReport)
+		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: a.number, Status: status, Elapsed: elapsed, Closed: over, Load: a.loadReport})
 	})
 	if over {
 		r.removeIfDone()
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -158,8 +158,8 @@
 	m.event("established %s %d", id, n)
 }
 
-func (m *fakeBalancer) AttemptEnded(_ balancer.Time, id string, n int, s balancer.AttemptStatus, _ balancer.Time, closed bool, _ []float64) {
-	m.event("ended %s %d %d %t", id, n, s, closed)
+func (m *fakeBalancer) AttemptEnded(_ balancer.Time, r balancer.AttemptResult) {
+	m.event("ended %s %d %d %t", r.RequestID, r.Attempt, r.Status, r.Closed)
 }
 
 func (m *fakeBalancer) ClientLeft(_ balancer.Time, id string) { m.event("left %s", id) }
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -18,7 +18,7 @@
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
 	// AttemptEnded brings the end of an attempt, or of its open connection. closed: the request is over; else the balancer decides on.
 	// load is in the settings' order of fields, nil where none came.
-	AttemptEnded(now balancer.Time, id string, attempt int, status balancer.AttemptStatus, elapsed balancer.Time, closed bool, load []float64)
+	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
 	// ClientLeft says that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
 	// HealthCheckEnded brings the result of effect HealthCheck.
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -69,7 +69,7 @@
 	number, elapsed := a.number, c.loop.Now()-a.startedAt
 	r.pool, r.attemptsInEarlierPools, a.number = to, r.attempts-1, 0
 	c.notify(nil, from, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, r.attributes.ID, number, balancer.Cancelled, elapsed, true, nil)
+		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: number, Status: balancer.Cancelled, Elapsed: elapsed, Closed: true})
 	})
 	c.notify(nil, to, a.reportAdopted)
 }
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -132,7 +132,7 @@
 		}
 		d.end()
 		s.onFailure = func(f *Failure, late bool) { k.logBrokenSession(d.host.ID, f, late) }
-		netio.Adopt(k.loop, fd, s, d.inputLimit, d.handler, func(c *netio.Conn) { d.done(c, nil) })
+		netio.Adopt(k.loop, netio.Socket{FD: fd, Layer: s, InputLimit: d.inputLimit}, d.handler, func(c *netio.Conn) { d.done(c, nil) })
 	}
 	k.beginAllowed()
 }
--- a/internal/testbed/simulator/event.go
+++ b/internal/testbed/simulator/event.go
@@ -80,7 +80,7 @@
 }
 
 func (e attemptEnded) deliver(b *balancer.Balancer, now balancer.Time) {
-	b.AttemptEnded(now, e.request, e.attempt, e.status, e.elapsed, e.closed, e.load)
+	b.AttemptEnded(now, balancer.AttemptResult{RequestID: e.request, Attempt: e.attempt, Status: e.status, Elapsed: e.elapsed, Closed: e.closed, Load: e.load})
 }
 
 func (e peerMessage) deliver(b *balancer.Balancer, now balancer.Time) {
