--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -26,7 +26,8 @@
 	if disks {
 		section += ` (dir "DIR")`
 	}
-	r, err := experiment.NewOwners(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, 5, 1, "0123456789abcdef0123456789abcdef", section+")", "CROFTLOCK_TEST_RUN=1")
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 1,
+		Key: "0123456789abcdef0123456789abcdef", Sections: section + ")", Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -1,11 +1,9 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -19,88 +17,62 @@
 
 // Rig is several processes of the program with faults between them.
 type Rig struct {
-	Mesh  *fake.Mesh
-	Procs []*Process
-	env   *Env
-	dir   string
-	setup []Setup
-	admin []string // where each one's operators call
-	mu    sync.Mutex
-	all   []*Process // every life that was begun
+	Mesh   *fake.Mesh
+	Procs  []*Process // the running process of each name
+	env    *Env
+	dir    string
+	setups []Setup  // what each process is started with
+	admin  []string // address of each process's admin interface
+
+	mu  sync.Mutex // protects all
+	all []*Process // every incarnation that was started
 }
 
-// NewRig starts n processes that know one another through a mesh; run is added to each one's environment. key, if any, seals what
-// they tell one another.
-func NewRig(e *Env, n int, seed uint64, key string, run ...string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{N: n, Seed: seed, Key: key, Env: run})
+// RigOptions are what a rig's processes are like.
+type RigOptions struct {
+	N        int    // number of processes
+	Seed     uint64 // of the mesh's random faults
+	Key      string // seals the datagrams between the processes; "": they are not sealed
+	Sections string // more of the settings file; DIR stands for a folder of each process's own
+	Level    string // of the log; "": info
+	Fleet    *fleet // whose hosts they serve; nil: none that answers
+	// Discovery is another way to say which hosts; nil: as Fleet has it.
+	Discovery *fake.Discovery
+	// Discoveries are one for each process, in place of one for all: what each hears can differ.
+	Discoveries []*fake.Discovery
+	Env         []string // added to each process's environment
 }
 
-// NewOwners is NewRig with more sections in each process's file, in which DIR stands for a folder of its own.
-func NewOwners(e *Env, n int, seed uint64, key, sections string, run ...string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{N: n, Seed: seed, Key: key, Sections: sections, Env: run})
+// NewRig starts n processes that know one another through a mesh; env is added to each one's environment. key, if any, seals the
+// datagrams between them.
+func NewRig(e *Env, n int, seed uint64, key string, env ...string) (*Rig, error) {
+	return NewRigWith(e, RigOptions{N: n, Seed: seed, Key: key, Env: env})
 }
 
 // NewRigWith starts processes that know one another through a mesh.
 func NewRigWith(e *Env, o RigOptions) (*Rig, error) {
-	n, key, sections, run := o.N, o.Key, o.Sections, o.Env
 	if o.Level == "" {
 		o.Level = "info"
 	}
-	setup := Setup{Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{{UID: "s0", Endpoint: "127.0.0.1:1", State: "up", Weight: 1}}}}
-	if o.Fleet != nil {
-		o.Discovery = o.Fleet.discovery
-	}
-	if o.Discovery != nil {
-		setup.Discovery, setup.Known = o.Discovery.Addr(), o.Discovery.List()
-	}
-	if len(o.Discoveries) > 0 && len(o.Discoveries) != n {
-		return nil, fmt.Errorf("%d discoveries for %d processes", len(o.Discoveries), n)
+	if len(o.Discoveries) > 0 && len(o.Discoveries) != o.N {
+		return nil, fmt.Errorf("%d discoveries for %d processes", len(o.Discoveries), o.N)
 	}
 	dir, err := os.MkdirTemp(e.Dir, "rig")
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{env: e, dir: dir, Procs: make([]*Process, n), admin: make([]string, n)}
-	if r.Mesh, err = fake.NewMesh(n, o.Seed); err != nil {
+	r := &Rig{env: e, dir: dir, Procs: make([]*Process, o.N), admin: make([]string, o.N)}
+	if r.Mesh, err = fake.NewMesh(o.N, o.Seed); err != nil {
 		return nil, err
 	}
-	for i := range n {
-		if len(o.Discoveries) > 0 {
-			setup.Discovery, setup.Known = o.Discoveries[i].Addr(), o.Discoveries[i].List()
-		}
-		text := fmt.Sprintf("(membership (on on) (fleet lab) (listen %q) (peers %q) (socket %q)", r.Mesh.Own(i), strings.Join(r.Mesh.Peers(i), " "), r.socket(i))
-		if key != "" {
-			path := filepath.Join(dir, "key")
-			if err := os.WriteFile(path, []byte(key), 0o600); err != nil {
-				return nil, err
-			}
-			text += fmt.Sprintf(" (keys %q)", path)
-		}
-		path := filepath.Join(dir, fmt.Sprintf("n%d.sexp", i))
-		own := r.Dir(i)
-		if err := os.Mkdir(own, 0o700); err != nil {
-			return nil, err
-		}
-		more := strings.ReplaceAll(sections, "DIR", own)
-		if err := os.WriteFile(path, []byte(fmt.Sprintf("(log (level %s) (repeat 0))\n", o.Level)+text+")\n"+more+"\n"), 0o600); err != nil {
-			return nil, err
-		}
-		listen, err := FreeAddr()
+	for i := range o.N {
+		s, err := r.prepare(i, o)
 		if err != nil {
 			return nil, err
 		}
-		tmp := filepath.Join(dir, fmt.Sprintf("tmp%d", i))
-		if err := os.Mkdir(tmp, 0o700); err != nil {
-			return nil, err
-		}
-		program := ""
-		if strings.Contains(sections, "(dir ") && filepath.Base(e.Croftlock) == "croftlock" {
-			program = e.Croftlock + "-voter" // the program that keeps votes on a disk
-		}
-		r.setup = append(r.setup, Setup{Program: program, Listen: listen, Tmp: tmp, Name: simulation.Name(i), Discovery: setup.Discovery, Known: setup.Known,
-			Settings: path, Cores: 0.5, Sockets: 1024, MemoryMB: 64, Env: run})
+		r.setups = append(r.setups, s)
 	}
-	for i := range n {
+	for i := range o.N {
 		if err := r.Start(i); err != nil {
 			r.Close()
 			return nil, err
@@ -109,19 +81,82 @@
 	return r, nil
 }
 
+// prepare makes the folders and the settings file of process i.
+func (r *Rig) prepare(i int, o RigOptions) (Setup, error) {
+	if err := os.Mkdir(r.Dir(i), 0o700); err != nil {
+		return Setup{}, err
+	}
+	settings, err := r.writeSettings(i, o)
+	if err != nil {
+		return Setup{}, err
+	}
+	listen, err := FreeAddr()
+	if err != nil {
+		return Setup{}, err
+	}
+	tmp := filepath.Join(r.dir, fmt.Sprintf("tmp%d", i))
+	if err := os.Mkdir(tmp, 0o700); err != nil {
+		return Setup{}, err
+	}
+	discovery, known := o.hosts(i)
+	return Setup{Program: r.env.programFor(o.Sections), Listen: listen, Tmp: tmp, Name: simulation.Name(i), Discovery: discovery, Known: known,
+		Settings: settings, Cores: 0.5, Sockets: 1024, MemoryMB: 64, Env: o.Env}, nil
+}
+
+// writeSettings writes process i's settings file and gives its path.
+func (r *Rig) writeSettings(i int, o RigOptions) (string, error) {
+	keys := ""
+	if o.Key != "" {
+		path := filepath.Join(r.dir, "key")
+		if err := os.WriteFile(path, []byte(o.Key), 0o600); err != nil {
+			return "", err
+		}
+		keys = fmt.Sprintf(" (keys %q)", path)
+	}
+	peers := strings.Join(r.Mesh.Peers(i), " ")
+	text := fmt.Sprintf("(log (level %s) (repeat 0))\n", o.Level) +
+		fmt.Sprintf("(membership (on on) (fleet lab) (listen %q) (peers %q) (socket %q)%s)\n", r.Mesh.Own(i), peers, r.socket(i), keys) +
+		strings.ReplaceAll(o.Sections, "DIR", r.Dir(i)) + "\n"
+	path := filepath.Join(r.dir, fmt.Sprintf("n%d.sexp", i))
+	return path, os.WriteFile(path, []byte(text), 0o600)
+}
+
+// programFor is the program that processes with these sections need: one with a store also votes. "" is the usual one.
+func (e *Env) programFor(sections string) string {
+	if strings.Contains(sections, "(dir ") && filepath.Base(e.Croftlock) == "croftlock" {
+		return e.Croftlock + "-voter"
+	}
+	return ""
+}
+
+// hosts are process i's discovery and the endpoint list that it starts with. Without a discovery both name an address that
+// refuses connections.
+func (o *RigOptions) hosts(i int) (discovery string, known fake.List) {
+	d := o.Discovery
+	if o.Fleet != nil {
+		d = o.Fleet.discovery
+	}
+	if len(o.Discoveries) > 0 {
+		d = o.Discoveries[i]
+	}
+	if d != nil {
+		return d.Addr(), d.List()
+	}
+	const unused = "127.0.0.1:1"
+	return unused, fake.List{Rev: 1, All: true, Targets: []fake.Entry{{UID: "s0", Endpoint: unused, State: "up", Weight: 1}}}
+}
+
 // Dir is a process's own folder, which outlives it.
 func (r *Rig) Dir(i int) string { return filepath.Join(r.dir, fmt.Sprintf("own%d", i)) }
 
-// Owners asks a process about the fleet's owners.
-func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
-	return owneragent.Ask(filepath.Join(r.Dir(i), "owners.sock"), q)
-}
+// Admin is the address of a process's admin interface.
+func (r *Rig) Admin(i int) string { return r.admin[i] }
 
 func (r *Rig) socket(i int) string { return filepath.Join(r.dir, fmt.Sprintf("n%d.sock", i)) }
 
-// Start begins a process, or a new life of it.
+// Start starts a process, or a new incarnation of it.
 func (r *Rig) Start(i int) (err error) {
-	s := r.setup[i]
+	s := r.setups[i]
 	if s.Admin, err = FreeAddr(); err != nil {
 		return err
 	}
@@ -146,23 +181,28 @@
 	return old.Stop()
 }
 
-// Suspend has a process's operators take its one host out, or call it back; what is kept of that goes to its disk.
+// Suspend has a process's operators suspend its one host, or resume it; that state is saved on its disk.
 func (r *Rig) Suspend(i int, out bool) error {
-	word := "resume"
+	action := "resume"
 	if out {
-		word = "suspend"
+		action = "suspend"
 	}
-	status, body, _, err := Call(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+word)
+	status, body, _, err := Call(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+action)
 	if err == nil && status != 200 {
-		err = fmt.Errorf("%s: %d %s", word, status, body)
+		err = fmt.Errorf("%s: %d %s", action, status, body)
 	}
 	return err
 }
 
-// Ask asks a process who is there.
+// Ask asks a process for its view of the members.
 func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.Ask(r.socket(i)) }
 
-// Close ends all of it.
+// Owners asks a process about the fleet's owners.
+func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
+	return owneragent.Ask(filepath.Join(r.Dir(i), "owners.sock"), q)
+}
+
+// Close kills all processes and ends the mesh.
 func (r *Rig) Close() {
 	for _, p := range r.Procs {
 		if p != nil {
@@ -172,70 +212,3 @@
 	}
 	r.Mesh.Close()
 }
-
-// Holders asks all processes but some which jobs they own. A job that two own counts for none, and what is odd is told.
-func (r *Rig) Holders(but ...int) (map[string]int, string) {
-	out, odd := map[string]int{}, ""
-	for i := range r.Procs {
-		if slices.Contains(but, i) {
-			continue
-		}
-		rep, err := r.Owners(i, owneragent.Request{Do: "owners"})
-		if err != nil {
-			return nil, err.Error()
-		}
-		for job := range rep.Mine {
-			if j, two := out[job]; two {
-				odd = fmt.Sprintf("n%d and n%d both own %s", j, i, job)
-			}
-			out[job] = i
-		}
-	}
-	if odd != "" {
-		return nil, odd
-	}
-	return out, ""
-}
-
-// CheckTokens looks through all processes' logs, those of this rig's whole time: no token of a job was begun by two processes.
-func (r *Rig) CheckTokens() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	by := map[string]string{}
-	for life, p := range r.all {
-		for _, l := range p.Log("event=job_acquired ") {
-			key := field(l, "job") + " " + field(l, "token")
-			me := fmt.Sprintf("life %d, at %s", life, p.Addr)
-			if o, taken := by[key]; taken && o != me {
-				return fmt.Errorf("token %s was begun by %s and by %s", key, o, me)
-			}
-			by[key] = me
-		}
-	}
-	if len(by) == 0 {
-		return errors.New("no job was ever begun")
-	}
-	return nil
-}
-
-func field(line, name string) string {
-	_, rest, _ := strings.Cut(line, " "+name+"=")
-	value, _, _ := strings.Cut(rest, " ")
-	return value
-}
-
-// Cut cuts a process from all others, in both directions, or heals that.
-func (r *Rig) Cut(i int, on bool) {
-	for j := range r.Procs {
-		if i != j {
-			r.Mesh.Set(i, j, func(l *fake.Link) { l.Cut = on })
-			r.Mesh.Set(j, i, func(l *fake.Link) { l.Cut = on })
-		}
-	}
-}
-
-// Full has a process's disk without room, and with it again.
-func (r *Rig) Full(i int) (begin, end func() error) {
-	begin, end, _ = r.effect(simulation.Fault{Kind: "full", Process: i})
-	return begin, end
-}
--- /dev/null
+++ b/internal/testbed/experiment/rigfaults.go
@@ -0,0 +1,149 @@
+package experiment
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/testbed/fake"
+)
+
+// planStep is the beginning or the end of one fault.
+type planStep struct {
+	at time.Duration // since the plan's beginning
+	do func() error
+}
+
+// Play has a plan's faults happen to real processes, and returns once the last one has ended.
+func (r *Rig) Play(plan []simulation.Fault) error {
+	var steps []planStep
+	for _, f := range plan {
+		begin, end, err := r.effect(f)
+		if err != nil {
+			return err
+		}
+		steps = append(steps, planStep{time.Duration(f.StartMS) * time.Millisecond, begin},
+			planStep{time.Duration(f.StartMS+f.DurationMS) * time.Millisecond, end})
+	}
+	slices.SortStableFunc(steps, func(a, b planStep) int { return cmp.Compare(a.at, b.at) })
+	began := time.Now()
+	for _, s := range steps {
+		time.Sleep(time.Until(began.Add(s.at)))
+		if err := s.do(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// effect gives what begins and what ends a fault.
+func (r *Rig) effect(f simulation.Fault) (begin, end func() error, err error) {
+	if begin, end = r.processEffect(f); begin != nil {
+		return begin, end, nil
+	}
+	which, change := linkEffect(f)
+	if change == nil {
+		return nil, nil, fmt.Errorf("%s happens in virtual time only", f.Kind)
+	}
+	set := func(on bool) func() error {
+		return func() error {
+			r.setLinks(which, func(l *fake.Link) { change(l, on) })
+			return nil
+		}
+	}
+	return set(true), set(false), nil
+}
+
+// processEffect is a fault of one process; nil for another kind of fault.
+func (r *Rig) processEffect(f simulation.Fault) (begin, end func() error) {
+	nothing := func() error { return nil }
+	signal := func(s syscall.Signal) func() error {
+		return func() error { r.Procs[f.Process].Signal(s); return nil }
+	}
+	kill := func() error { r.Procs[f.Process].Kill(); return nil }
+	switch f.Kind {
+	case "pause":
+		return signal(syscall.SIGSTOP), signal(syscall.SIGCONT)
+	case "full":
+		return r.limitFiles(f.Process, 0), r.limitFiles(f.Process, unix.RLIM_INFINITY)
+	case "kill":
+		return kill, nothing
+	case "restart":
+		return kill, func() error { return r.Start(f.Process) }
+	case "leave":
+		return func() error { return r.Procs[f.Process].Stop() }, nothing
+	}
+	return nil, nil
+}
+
+// limitFiles limits the size of files that process i may write, in bytes. It stands for a full disk: each write beyond fails at
+// once. It needs no privileges.
+func (r *Rig) limitFiles(i int, most uint64) func() error {
+	return func() error {
+		return unix.Prlimit(r.Procs[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+	}
+}
+
+// slowJitter is the most by which the fault "slow" delays a datagram.
+const slowJitter = 100 * time.Millisecond
+
+// linkEffect is a fault of links: the links that it touches, and how one changes when it begins and ends. nil for another kind.
+func linkEffect(f simulation.Fault) (which func(from, to int) bool, change func(l *fake.Link, on bool)) {
+	cut := func(l *fake.Link, on bool) { l.Cut = on }
+	all := func(int, int) bool { return true }
+	amount := func(on bool) float64 {
+		if on {
+			return f.Amount
+		}
+		return 0
+	}
+	switch f.Kind {
+	case "cut":
+		return func(from, to int) bool { return from == f.Process || to == f.Process }, cut
+	case "one-way":
+		return func(from, to int) bool { return from == f.Process && to == f.Peer }, cut
+	case "deaf":
+		return func(_, to int) bool { return to == f.Process }, cut
+	case "mute":
+		return func(from, _ int) bool { return from == f.Process }, cut
+	case "loss":
+		return all, func(l *fake.Link, on bool) { l.Loss = amount(on) }
+	case "twice":
+		return all, func(l *fake.Link, on bool) { l.Twice = amount(on) }
+	case "garbage":
+		return all, func(l *fake.Link, on bool) { l.Garbage = amount(on) }
+	case "slow":
+		return all, func(l *fake.Link, on bool) {
+			if l.Jitter = 0; on {
+				l.Jitter = slowJitter
+			}
+		}
+	}
+	return nil, nil
+}
+
+// setLinks changes those links between two processes that which picks.
+func (r *Rig) setLinks(which func(from, to int) bool, change func(l *fake.Link)) {
+	for i := range r.Procs {
+		for j := range r.Procs {
+			if i != j && which(i, j) {
+				r.Mesh.Set(i, j, change)
+			}
+		}
+	}
+}
+
+// Cut cuts a process from all others, in both directions, or heals that.
+func (r *Rig) Cut(i int, on bool) {
+	r.setLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
+}
+
+// Full gives what makes a process's disk full, and what gives it room again.
+func (r *Rig) Full(i int) (begin, end func() error) {
+	return r.limitFiles(i, 0), r.limitFiles(i, unix.RLIM_INFINITY)
+}
--- /dev/null
+++ b/internal/testbed/experiment/rigowners.go
@@ -0,0 +1,207 @@
+package experiment
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"croftlock/internal/fleet/owneragent"
+)
+
+// ownersWait is how long a rig may take until all is well again.
+const ownersWait = 40 * time.Second
+
+// ownersFile is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory.
+func ownersFile(voters int, disks bool, more string) string {
+	names := make([]string, voters)
+	for i := range names {
+		names[i] = fmt.Sprintf("n%d", i)
+	}
+	s := fmt.Sprintf(`(owners (on on) (voters %q) %s (socket "DIR/owners.sock")`, strings.Join(names, " "), more)
+	if disks {
+		s += ` (dir "DIR")`
+	}
+	return s + ")"
+}
+
+// storeName names a store in tables.
+func storeName(disks bool) string {
+	if disks {
+		return "disk"
+	}
+	return "memory"
+}
+
+// Holders asks all processes but some which jobs they own, and gives each job's owner. Where two own one job it gives no owners, and
+// says which two.
+func (r *Rig) Holders(but ...int) (owners map[string]int, conflict string) {
+	owners = map[string]int{}
+	for i := range r.Procs {
+		if slices.Contains(but, i) {
+			continue
+		}
+		rep, err := r.Owners(i, owneragent.Request{Do: "owners"})
+		if err != nil {
+			return nil, err.Error()
+		}
+		for job := range rep.Mine {
+			if j, two := owners[job]; two {
+				conflict = fmt.Sprintf("n%d and n%d both own %s", j, i, job)
+			}
+			owners[job] = i
+		}
+	}
+	if conflict != "" {
+		return nil, conflict
+	}
+	return owners, ""
+}
+
+// AllOwned waits until so many jobs have one owner each among all processes but some.
+func (r *Rig) AllOwned(jobs int, but ...int) (map[string]int, error) {
+	var owners map[string]int
+	conflict := ""
+	if _, ok := Until(ownersWait, func() bool {
+		owners, conflict = r.Holders(but...)
+		return len(owners) >= jobs
+	}); !ok {
+		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", ownersWait, len(owners), jobs, conflict)
+	}
+	return owners, nil
+}
+
+// CheckTokens looks through the logs of all incarnations: no fencing token of a job may have been begun by two processes.
+func (r *Rig) CheckTokens() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	by := map[string]string{}
+	for incarnation, p := range r.all {
+		for _, l := range p.Log("event=job_acquired ") {
+			key := field(l, "job") + " " + field(l, "token")
+			me := fmt.Sprintf("life %d, at %s", incarnation, p.Addr)
+			if other, taken := by[key]; taken && other != me {
+				return fmt.Errorf("token %s was begun by %s and by %s", key, other, me)
+			}
+			by[key] = me
+		}
+	}
+	if len(by) == 0 {
+		return errors.New("no job was ever begun")
+	}
+	return nil
+}
+
+// field is a field's value in a line of a log.
+func field(line, name string) string {
+	_, rest, _ := strings.Cut(line, " "+name+"=")
+	value, _, _ := strings.Cut(rest, " ")
+	return value
+}
+
+// logTime is when a line of a log was written.
+func logTime(line string) time.Time {
+	const layout = "2006/01/02 15:04:05.000000"
+	t, _ := time.Parse(layout, line[:min(len(line), len(layout))])
+	return t
+}
+
+// acquired are the times at which a process acquired a job, from a time on.
+func (r *Rig) acquired(i int, job string, from time.Time) (times []time.Time) {
+	for _, l := range r.Procs[i].Log("event=job_acquired ") {
+		if t := logTime(l); field(l, "job") == job && !t.Before(from.Truncate(time.Millisecond)) {
+			times = append(times, t)
+		}
+	}
+	return times
+}
+
+// gaps are how long jobs were without an owner since a time, as the logs have it: until the first acquisition by anybody.
+func (r *Rig) gaps(since time.Time, jobs []string) map[string]time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	gaps := map[string]time.Duration{}
+	for _, p := range r.all {
+		for _, l := range p.Log("event=job_acquired ") {
+			at, job := logTime(l), field(l, "job")
+			if !at.After(since) || !slices.Contains(jobs, job) {
+				continue
+			}
+			if gap, seen := gaps[job]; !seen || at.Sub(since) < gap {
+				gaps[job] = at.Sub(since)
+			}
+		}
+	}
+	return gaps
+}
+
+// staleEffects counts, in the logs of all incarnations, effects of an older token that were taken after a newer one's, and
+// rejections of such effects.
+func (r *Rig) staleEffects() (taken, rejected int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, p := range r.all {
+		newest := map[string]uint64{}
+		for _, l := range p.Log("event=drill_taken ") {
+			job, token := field(l, "job"), tokenOf(l)
+			if token < newest[job] {
+				taken++
+			}
+			newest[job] = max(newest[job], token)
+		}
+		rejected += len(p.Log("event=stale_effect_rejected "))
+	}
+	return taken, rejected
+}
+
+// tokenOf is the fencing token in a line of a log.
+func tokenOf(line string) uint64 {
+	token, _ := strconv.ParseUint(field(line, "token"), 10, 64)
+	return token
+}
+
+// effectSpan is the time from the first to the last effect of one token.
+type effectSpan struct{ first, last time.Time }
+
+// effectSpans gives the effects' times, by job and token, over the logs of all incarnations.
+func (r *Rig) effectSpans() map[string]map[uint64]effectSpan {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	spans := map[string]map[uint64]effectSpan{}
+	for _, p := range r.all {
+		for _, l := range p.Log("event=drill_taken ") {
+			job, at, token := field(l, "job"), logTime(l), tokenOf(l)
+			if spans[job] == nil {
+				spans[job] = map[uint64]effectSpan{}
+			}
+			s, seen := spans[job][token]
+			if !seen || at.Before(s.first) {
+				s.first = at
+			}
+			if at.After(s.last) {
+				s.last = at
+			}
+			spans[job][token] = s
+		}
+	}
+	return spans
+}
+
+// effectGaps are how long each job was without effects, over all changes of owner: from the last effect of one token at anybody to
+// the next token's first.
+func (r *Rig) effectGaps() (gaps []time.Duration) {
+	for _, tokens := range r.effectSpans() {
+		order := make([]uint64, 0, len(tokens))
+		for t := range tokens {
+			order = append(order, t)
+		}
+		slices.Sort(order)
+		for i := 1; i < len(order); i++ {
+			gaps = append(gaps, max(0, tokens[order[i]].first.Sub(tokens[order[i-1]].last)))
+		}
+	}
+	slices.Sort(gaps)
+	return gaps
+}
