--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -45,6 +45,16 @@
 	return t.kinds[kind]
 }
 
+// total is how many answers were counted, of any kind.
+func (t *tally) total() (all int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, n := range t.kinds {
+		all += n
+	}
+	return all
+}
+
 // arrivals opens connections at a fixed rate, whatever becomes of the earlier ones, and has each do something.
 func arrivals(rate float64, length time.Duration, do func(i int)) {
 	var all sync.WaitGroup
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -3,131 +3,133 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
-	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"croftlock/internal/testbed/fake"
 )
 
+// chaosJobs are the jobs of the rig: twenty drills, and that of the suspended hosts.
+const chaosJobs = 21
+
 // ownerChaos has a fault every 2 s for two minutes, with clients placed throughout.
-func ownerChaos(e *Env, r *Report) error { return chaos(e, r, 120*time.Second, 200) }
+func ownerChaos(e *Env, r *Report) error {
+	c := &chaosRun{env: e, report: r, lasts: 120 * time.Second, rate: 200}
+	r.Head(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
+	if err := c.quiet(); err != nil {
+		return err
+	}
+	return c.withFaults()
+}
 
-func chaos(e *Env, r *Report, lasts time.Duration, rate float64) error {
-	const table = "placement, clients at a rate throughout"
-	r.Head(table, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
-	var p99 [2]float64
-	for i, on := range []bool{false, true} {
-		f, err := newFleet(e, 3, false)
-		if err != nil {
-			return err
-		}
-		rig, err := NewRigWith(e, RigOptions{N: 5, Seed: 7, Key: labKey, Level: "debug", Fleet: f, Sections: ownersFile(3, true, "(drill 20) (hosts on)")})
-		if err != nil {
-			return err
-		}
-		defer rig.Close()
-		if _, err := rig.AllOwned(21); err != nil {
-			return err
-		}
-		h := &history{rig: rig, stop: make(chan struct{})}
-		rng := rand.New(rand.NewPCG(11, 11))
-		var faults sync.WaitGroup
-		if on {
-			faults.Add(1)
-			go func() {
-				defer faults.Done()
-				h.faults(rng, lasts)
-			}()
-			h.begin(3)
-		}
-		got := newTally()
-		// Clients go to the processes that faults leave alone: those kill proxies with all that they carry, which is no matter of owners.
-		var next atomic.Int64
-		arrivals(rate, lasts, func(int) {
-			p := rig.Procs[3+int(next.Add(1))%2]
-			c, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
-			if err != nil {
-				a.Kind = "NONE"
-			}
-			got.add(a, 2*time.Second)
-			if c != nil {
-				time.Sleep(time.Second)
-				c.Close()
-			}
-		})
-		faults.Wait()
-		name := "no faults"
-		if on {
-			name = "a fault every 2 s"
-		}
-		all := 0
-		for _, n := range got.kinds {
-			all += n
-		}
-		p99[i] = got.took.quantile(0.99)
-		r.Row(table, name, all, got.count("UP"), all-got.count("UP"), got.took.quantile(0.5), p99[i])
-		if !on {
-			rig.Close()
-			continue
-		}
-		r.Hold(all == got.count("UP"), "no client fails by it", all-got.count("UP"))
-		r.Hold(p99[1] <= 1.1*p99[0], "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99[1], p99[0]))
-		if _, err := rig.AllOwned(21); err != nil {
-			return err
-		}
-		h.end()
-		late, refused := rig.lateTaken()
-		r.Hold(late == 0, "no effect of an older token is taken after a newer one's", fmt.Sprintf("%d; %d refused", late, refused))
-		err = rig.CheckTokens()
-		r.Hold(err == nil, "each token is one process's", err)
-		ok, n, unknown := h.check()
-		r.Hold(ok && n > 20, "the history of hosts out by hand is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", n, unknown, h.count))
-		gaps := rig.jobGaps()
-		slices.Sort(gaps)
-		if n := len(gaps); n > 0 {
-			r.Hold(gaps[n*99/100] <= 5*time.Second, "a job without an owner for no more than 5 s at p99", fmt.Sprintf("median %v, p99 %v, worst %v of %d", gaps[n/2].Round(time.Millisecond),
-				gaps[n*99/100].Round(time.Millisecond), gaps[n-1].Round(time.Millisecond), n))
-		}
+const chaosTable = "placement, clients at a rate throughout"
+
+// chaosRun is the experiment on a rig without faults, then on one with.
+type chaosRun struct {
+	env      *Env
+	report   *Report
+	lasts    time.Duration
+	rate     float64 // clients a second
+	quietP99 float64 // milliseconds of a placement without faults
+}
+
+// newRig starts five processes of which three vote.
+func (c *chaosRun) newRig() (*Rig, error) {
+	f, err := newFleet(c.env, 3, false)
+	if err != nil {
+		return nil, err
+	}
+	rig, err := NewRigWith(c.env, RigOptions{N: 5, Seed: 7, Key: labKey, Level: "debug", Fleet: f, Sections: ownersFile(3, true, "(drill 20) (hosts on)")})
+	if err != nil {
+		return nil, err
+	}
+	if _, err := rig.AllOwned(chaosJobs); err != nil {
 		rig.Close()
+		return nil, err
+	}
+	return rig, nil
+}
+
+// quiet places clients without faults.
+func (c *chaosRun) quiet() error {
+	rig, err := c.newRig()
+	if err != nil {
+		return err
 	}
+	defer rig.Close()
+	got := c.placements(rig)
+	c.quietP99 = got.took.quantile(0.99)
+	c.row("no faults", got)
 	return nil
 }
 
-// jobGaps are how long each job was without effects, over all changes of owner: from the last effect of one token at anybody to the next token's first.
-func (r *Rig) jobGaps() (gaps []time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	type span struct{ first, last time.Time }
-	spans := map[string]map[uint64]span{}
-	for _, p := range r.all {
-		for _, l := range p.Log("event=drill_taken ") {
-			job, at := field(l, "job"), logTime(l)
-			token, _ := strconv.ParseUint(field(l, "token"), 10, 64)
-			if spans[job] == nil {
-				spans[job] = map[uint64]span{}
-			}
-			s, seen := spans[job][token]
-			if !seen || at.Before(s.first) {
-				s.first = at
-			}
-			if at.After(s.last) {
-				s.last = at
-			}
-			spans[job][token] = s
-		}
+// withFaults places clients while faults happen and operators call.
+func (c *chaosRun) withFaults() error {
+	rig, err := c.newRig()
+	if err != nil {
+		return err
+	}
+	defer rig.Close()
+	h := &history{rig: rig, stop: make(chan struct{})}
+	faults := make(chan struct{})
+	go func() {
+		defer close(faults)
+		h.faults(rand.New(rand.NewPCG(11, 11)), c.lasts)
+	}()
+	h.begin(3)
+	got := c.placements(rig)
+	<-faults
+	c.row("a fault every 2 s", got)
+	failed, p99 := got.total()-got.count("UP"), got.took.quantile(0.99)
+	c.report.Hold(failed == 0, "no client fails by it", failed)
+	c.report.Hold(p99 <= 1.1*c.quietP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.quietP99))
+	if _, err := rig.AllOwned(chaosJobs); err != nil {
+		return err
 	}
-	for _, tokens := range spans {
-		var order []uint64
-		for t := range tokens {
-			order = append(order, t)
+	h.end()
+	c.check(rig, h)
+	return nil
+}
+
+// placements has clients come at the rate, each for a second. They go to the processes that faults leave alone: the death of a proxy
+// that carries clients is no matter of owners.
+func (c *chaosRun) placements(rig *Rig) *tally {
+	const wait = 2 * time.Second
+	got := newTally()
+	var next atomic.Int64
+	arrivals(c.rate, c.lasts, func(int) {
+		p := rig.Procs[3+int(next.Add(1))%2]
+		client, a, err := fake.Open(p.Addr, class, "", wait)
+		if err != nil {
+			a.Kind = "NONE"
 		}
-		slices.Sort(order)
-		for i := 1; i < len(order); i++ {
-			gaps = append(gaps, max(0, tokens[order[i]].first.Sub(tokens[order[i-1]].last)))
+		got.add(a, wait)
+		if client != nil {
+			time.Sleep(time.Second)
+			client.Close()
 		}
+	})
+	return got
+}
+
+func (c *chaosRun) row(name string, got *tally) {
+	all, up := got.total(), got.count("UP")
+	c.report.Row(chaosTable, name, all, up, all-up, got.took.quantile(0.5), got.took.quantile(0.99))
+}
+
+// check holds the logs and the operators' history against what owners promise.
+func (c *chaosRun) check(rig *Rig, h *history) {
+	r := c.report
+	stale, rejected := rig.staleEffects()
+	r.Hold(stale == 0, "no effect of an older token is taken after a newer one's", fmt.Sprintf("%d; %d refused", stale, rejected))
+	err := rig.CheckTokens()
+	r.Hold(err == nil, "each token is one process's", err)
+	ok, calls, unknown := h.check()
+	r.Hold(ok && calls > 20, "the history of hosts out by hand is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.count))
+	gaps := rig.effectGaps()
+	if n := len(gaps); n > 0 {
+		p99 := gaps[n*99/100]
+		r.Hold(p99 <= 5*time.Second, "a job without an owner for no more than 5 s at p99", fmt.Sprintf("median %v, p99 %v, worst %v of %d",
+			gaps[n/2].Round(time.Millisecond), p99.Round(time.Millisecond), gaps[n-1].Round(time.Millisecond), n))
 	}
-	return gaps
 }
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -13,24 +13,18 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerCost measures what owners cost: grants and changes, an idle voter's and a follower's CPU, bytes.
+// ownerCost measures what owners cost: handovers, an idle voter's and a follower's CPU, bytes.
 func ownerCost(e *Env, r *Report) error {
-	const table = "what owners cost"
-	r.Head(table, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms", "CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
-	idle, err := NewRig(e, 5, 1, labKey)
+	r.Head(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms", "CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
+	membership, err := membershipCPU(e)
 	if err != nil {
 		return err
 	}
-	if _, ok := idle.Whole(ownersWait); !ok {
-		return errors.New("not whole")
-	}
-	time.Sleep(2 * time.Second)
-	alone := cpuOf(idle, 8*time.Second)
-	idle.Close()
-	r.Set("cpu_membership_alone", fmt.Sprintf("%.4f", alone[4]))
+	r.Set("cpu_membership_alone", fmt.Sprintf("%.4f", membership))
 	for _, voters := range []int{3, 5} {
 		for _, disks := range []bool{true, false} {
-			if err := ownersCost(e, r, table, voters, disks, alone); err != nil {
+			g := ownerGroup{voters, disks}
+			if err := g.cost(e, r, membership); err != nil {
 				return err
 			}
 		}
@@ -44,103 +38,168 @@
 	return nil
 }
 
-func ownersCost(e *Env, r *Report, table string, voters int, disks bool, alone []float64) error {
-	rig, err := NewRigWith(e, RigOptions{N: 6, Seed: 3, Key: labKey, Sections: ownersFile(voters, disks, "(drill 6) (hosts on)")})
+const (
+	ownerCostTable     = "what owners cost"
+	ownerCostProcesses = 6
+	ownerCostDrills    = 6 // jobs, beside that of the suspended hosts
+	idleSpan           = 8 * time.Second
+)
+
+// membershipCPU is the part of a core that an idle process with membership alone takes.
+func membershipCPU(e *Env) (float64, error) {
+	idle, err := NewRig(e, 5, 1, labKey)
+	if err != nil {
+		return 0, err
+	}
+	defer idle.Close()
+	if _, ok := idle.Whole(ownersWait); !ok {
+		return 0, errors.New("not whole")
+	}
+	time.Sleep(2 * time.Second)
+	return cpuOf(idle, idleSpan)[4], nil
+}
+
+// ownerGroup is the kind of a group of voters.
+type ownerGroup struct {
+	voters int
+	disks  bool
+}
+
+func (g ownerGroup) newRig(e *Env, sections string) (*Rig, error) {
+	return NewRigWith(e, RigOptions{N: ownerCostProcesses, Seed: 3, Key: labKey, Sections: ownersFile(g.voters, g.disks, sections)})
+}
+
+// cost measures one kind of group; membership is the CPU of an idle process without owners.
+func (g ownerGroup) cost(e *Env, r *Report, membership float64) error {
+	moved, killed, err := g.handoverTimes(e)
 	if err != nil {
 		return err
 	}
-	defer rig.Close()
-	who, err := rig.AllOwned(7)
+	idle, err := g.idleCost(e)
 	if err != nil {
 		return err
 	}
-	var moved, killed series
+	store := storeName(g.disks)
+	r.Row(ownerCostTable, g.voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1),
+		fmt.Sprintf("%.4f", idle.leaderCPU), fmt.Sprintf("%.4f", idle.voterCPU), fmt.Sprintf("%.4f", idle.followerCPU), idle.leaderBytes, idle.followerBytes)
+	r.Hold(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d voters, %s: an idle voter costs under 0.005 of a core beside membership", g.voters, store),
+		fmt.Sprintf("%.4f less %.4f", idle.voterCPU, membership))
+	return nil
+}
+
+// handoverTimes are the milliseconds until a job is begun elsewhere: from a request to move it, and from its owner's death.
+func (g ownerGroup) handoverTimes(e *Env) (moved, killed series, err error) {
+	rig, err := g.newRig(e, fmt.Sprintf("(drill %d) (hosts on)", ownerCostDrills))
+	if err != nil {
+		return nil, nil, err
+	}
+	defer rig.Close()
+	owners, err := rig.AllOwned(ownerCostDrills + 1)
+	if err != nil {
+		return nil, nil, err
+	}
+	if moved, err = moveTimes(rig, owners); err != nil {
+		return nil, nil, err
+	}
+	killed, err = killTimes(rig)
+	return moved, killed, err
+}
+
+// moveTimes moves jobs from owner to owner, and gives the milliseconds that each took.
+func moveTimes(rig *Rig, owners map[string]int) (took series, err error) {
 	for turn := range 40 {
-		job := fmt.Sprintf("drill%03d", turn%6)
-		to := (who[job] + 1) % 6
+		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
+		to := (owners[job] + 1) % ownerCostProcesses
 		began := time.Now()
 		rep, err := rig.Owners(0, owneragent.Request{Do: "move", A: job, B: fmt.Sprintf("n%d", to)})
 		if err != nil || rep.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
 		}
-		if _, ok := Until(10*time.Second, func() bool { return len(rig.since(to, job, began)) > 0 }); !ok {
-			return fmt.Errorf("%s is not begun at n%d", job, to)
+		if _, ok := Until(10*time.Second, func() bool { return len(rig.acquired(to, job, began)) > 0 }); !ok {
+			return nil, fmt.Errorf("%s is not begun at n%d", job, to)
 		}
-		moved = append(moved, float64(rig.since(to, job, began)[0].Sub(began))/1e6)
-		who[job] = to
+		took = append(took, float64(rig.acquired(to, job, began)[0].Sub(began))/1e6)
+		owners[job] = to
 	}
+	slices.Sort(took)
+	return took, nil
+}
+
+// killTimes kills owners, and gives the milliseconds until a job of each is begun elsewhere.
+func killTimes(rig *Rig) (took series, err error) {
 	for turn := range 5 {
-		if who, err = rig.AllOwned(7); err != nil {
-			return err
+		owners, err := rig.AllOwned(ownerCostDrills + 1)
+		if err != nil {
+			return nil, err
 		}
 		job, began := fmt.Sprintf("drill%03d", turn), time.Now()
-		i := who[job]
-		rig.Procs[i].Kill()
-		if _, ok := Until(20*time.Second, func() bool {
-			for j := range 6 {
-				if j != i && len(rig.since(j, job, began)) > 0 {
-					return true
-				}
-			}
-			return false
-		}); !ok {
-			return fmt.Errorf("%s has no owner 20 s after n%d was killed", job, i)
+		owner := owners[job]
+		rig.Procs[owner].Kill()
+		if _, ok := Until(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, began) }); !ok {
+			return nil, fmt.Errorf("%s has no owner 20 s after n%d was killed", job, owner)
+		}
+		took = append(took, float64(time.Since(began))/1e6)
+		if err := rig.Start(owner); err != nil {
+			return nil, err
 		}
-		killed = append(killed, float64(time.Since(began))/1e6)
-		if err := rig.Start(i); err != nil {
-			return err
+	}
+	slices.Sort(took)
+	return took, nil
+}
+
+// acquiredByOther tells whether a process other than one acquired a job from a time on.
+func (r *Rig) acquiredByOther(than int, job string, from time.Time) bool {
+	for i := range r.Procs {
+		if i != than && len(r.acquired(i, job, from)) > 0 {
+			return true
 		}
 	}
-	rig.Close()
-	// Idle: one job that does nothing, so that what is measured is the group and the leases.
-	rig, err = NewRigWith(e, RigOptions{N: 6, Seed: 3, Key: labKey, Sections: ownersFile(voters, disks, "(hosts on)")})
+	return false
+}
+
+// idleGroup is what a group costs that does nothing: parts of a core, and bytes a second.
+type idleGroup struct {
+	leaderCPU, voterCPU, followerCPU float64
+	leaderBytes, followerBytes       int
+}
+
+// idleCost measures a group with one job that does nothing, so that only the group and the leases cost.
+func (g ownerGroup) idleCost(e *Env) (c idleGroup, err error) {
+	rig, err := g.newRig(e, "(hosts on)")
 	if err != nil {
-		return err
+		return c, err
 	}
 	defer rig.Close()
 	if _, err := rig.AllOwned(1); err != nil {
-		return err
+		return c, err
 	}
 	time.Sleep(2 * time.Second)
-	bytes := func() (b []int) {
-		for i := range 6 {
-			rep, _ := rig.Ask(i)
-			b = append(b, rep.Counts["bytes"])
-		}
-		return b
-	}
 	rep, err := rig.Owners(0, owneragent.Request{Do: "owners"})
 	if err != nil {
-		return err
+		return c, err
 	}
+	const follower = ownerCostProcesses - 1
 	leader, _ := strconv.Atoi(strings.TrimPrefix(rep.Leader, "n"))
-	before := bytes()
-	cpu := cpuOf(rig, 8*time.Second)
-	after := bytes()
-	voter := (leader + 1) % voters
-	slices.Sort(moved)
-	slices.Sort(killed)
-	store := "memory"
-	if disks {
-		store = "disk"
-	}
-	r.Row(table, voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1), fmt.Sprintf("%.4f", cpu[leader]), fmt.Sprintf("%.4f", cpu[voter]), fmt.Sprintf("%.4f", cpu[5]),
-		(after[leader]-before[leader])/8, (after[5]-before[5])/8)
-	r.Hold(cpu[voter]-alone[4] < 0.005, fmt.Sprintf("%d voters, %s: an idle voter costs under 0.005 of a core beside membership", voters, store), fmt.Sprintf("%.4f less %.4f", cpu[voter], alone[4]))
-	return nil
+	before := rig.bytesSent()
+	cpu := cpuOf(rig, idleSpan)
+	after := rig.bytesSent()
+	perSecond := func(i int) int { return (after[i] - before[i]) / int(idleSpan/time.Second) }
+	return idleGroup{leaderCPU: cpu[leader], voterCPU: cpu[(leader+1)%g.voters], followerCPU: cpu[follower],
+		leaderBytes: perSecond(leader), followerBytes: perSecond(follower)}, nil
 }
 
-// since are the times at which a process began a job after one.
-func (r *Rig) since(i int, job string, at time.Time) (out []time.Time) {
-	for _, l := range r.Procs[i].Log("event=job_acquired ") {
-		if t := logTime(l); field(l, "job") == job && !t.Before(at.Truncate(time.Millisecond)) {
-			out = append(out, t)
-		}
-	}
-	return out
+// bytesSent are the bytes that each process counts as sent to other members.
+func (r *Rig) bytesSent() []int {
+	sent := make([]int, len(r.Procs))
+	for i := range r.Procs {
+		rep, _ := r.Ask(i)
+		sent[i] = rep.Counts["bytes"]
+	}
+	return sent
 }
 
+// cpuOf is the part of a core that each process of a rig takes over a time.
 func cpuOf(r *Rig, lasts time.Duration) []float64 {
 	before := make([]time.Duration, len(r.Procs))
 	for i, p := range r.Procs {
@@ -154,6 +213,7 @@
 	return out
 }
 
+// rawSyncs are the milliseconds that each of 200 writes of 4 KiB with a sync takes, without the program.
 func rawSyncs(dir string) (took series, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerHandover ends processes in order, and replaces them, and looks how long their jobs were without an owner.
+// ownerHandover ends processes in order, and replaces them, and measures how long their jobs were without an owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "jobs given back and begun elsewhere"
 	r.Head(table, "how", "voters", "store", "changes", "median ms", "p99 ms", "worst ms")
@@ -19,10 +19,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", how, err)
 			}
-			store := "memory"
-			if disks {
-				store = "disk"
-			}
+			store := storeName(disks)
 			r.Row(table, how, 3, store, len(took), took.quantile(0.5), took.quantile(0.99), took.quantile(1))
 			r.Hold(took.quantile(0.99) <= 200, how+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", took.quantile(0.99)))
 		}
@@ -30,6 +27,7 @@
 	return nil
 }
 
+// handovers ends or replaces one process after the other, and gives the milliseconds that each job of theirs was without an owner.
 func handovers(e *Env, how string, disks bool) (series, error) {
 	const jobs, turns = 20, 8
 	r, err := NewRigWith(e, RigOptions{N: 5, Seed: 3, Key: labKey, Sections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
@@ -43,53 +41,18 @@
 			return nil, err
 		}
 		// One voter at a time, as the operators' page says: the last one has to be back first.
-		if _, ok := Until(ownersWait, func() bool {
-			for v := range 3 {
-				rep, err := r.Owners(v, owneragent.Request{Do: "status"})
-				if err != nil || disks && (rep.Group == nil || rep.Group.Phase != "member" || rep.Group.Leader == "") {
-					return false
-				}
-			}
-			return true
-		}); !ok {
+		if _, ok := Until(ownersWait, func() bool { return r.votersBack(3, disks) }); !ok {
 			return nil, errors.New("the voters are not back")
 		}
 		time.Sleep(4 * time.Second)
-		i := turn % 5
-		began := time.Now()
-		old := r.Procs[i]
-		if how == "SIGTERM" {
-			if err := old.Stop(); err != nil {
-				return nil, err
-			}
-			if err := r.Start(i); err != nil {
-				return nil, err
-			}
-		} else if err := r.Replace(i); err != nil {
+		began, old := time.Now(), r.Procs[turn%5]
+		if err := r.handOver(turn%5, how); err != nil {
 			return nil, err
 		}
 		if _, err := r.AllOwned(jobs); err != nil {
 			return nil, err
 		}
-		for _, l := range old.Log("event=job_released ") {
-			gone, job := logTime(l), field(l, "job")
-			if gone.Before(began) {
-				continue
-			}
-			next := time.Duration(-1)
-			r.mu.Lock()
-			for _, p := range r.all {
-				for _, b := range p.Log("event=job_acquired ") {
-					if d := logTime(b).Sub(gone); field(b, "job") == job && d >= 0 && (next < 0 || d < next) {
-						next = d
-					}
-				}
-			}
-			r.mu.Unlock()
-			if next >= 0 {
-				took = append(took, float64(next)/1e6)
-			}
-		}
+		took = append(took, r.releaseGaps(old, began)...)
 	}
 	slices.Sort(took)
 	if len(took) < 10 {
@@ -97,3 +60,54 @@
 	}
 	return took, nil
 }
+
+// votersBack tells whether the first so many processes answer, and with stores know a leader as members.
+func (r *Rig) votersBack(voters int, disks bool) bool {
+	for v := range voters {
+		rep, err := r.Owners(v, owneragent.Request{Do: "status"})
+		if err != nil || disks && (rep.Group == nil || rep.Group.Phase != "member" || rep.Group.Leader == "") {
+			return false
+		}
+	}
+	return true
+}
+
+// handOver ends process i in order and starts it anew, or replaces it as a release does.
+func (r *Rig) handOver(i int, how string) error {
+	if how != "SIGTERM" {
+		return r.Replace(i)
+	}
+	if err := r.Procs[i].Stop(); err != nil {
+		return err
+	}
+	return r.Start(i)
+}
+
+// releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by anybody.
+func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps series) {
+	for _, l := range by.Log("event=job_released ") {
+		released := logTime(l)
+		if released.Before(since) {
+			continue
+		}
+		if gap := r.untilAcquired(field(l, "job"), released); gap >= 0 {
+			gaps = append(gaps, float64(gap)/1e6)
+		}
+	}
+	return gaps
+}
+
+// untilAcquired is the time from a moment to a job's next acquisition; -1: there was none.
+func (r *Rig) untilAcquired(job string, from time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	next := time.Duration(-1)
+	for _, p := range r.all {
+		for _, l := range p.Log("event=job_acquired ") {
+			if d := logTime(l).Sub(from); field(l, "job") == job && d >= 0 && (next < 0 || d < next) {
+				next = d
+			}
+		}
+	}
+	return next
+}
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -1,10 +1,10 @@
 package experiment
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -16,147 +16,185 @@
 // PlantedEnv has croftlock-experiment run as the program, with a fault that an experiment has to find.
 const PlantedEnv = "CROFTLAB_PLANTED"
 
-// lateTaken counts, in all lives' logs, effects of an older token that were taken after a newer one's, and refusals.
-func (r *Rig) lateTaken() (late, refused int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, p := range r.all {
-		top := map[string]uint64{}
-		for _, l := range p.Log("event=drill_taken ") {
-			job := field(l, "job")
-			token, _ := strconv.ParseUint(field(l, "token"), 10, 64)
-			if token < top[job] {
-				late++
-			}
-			top[job] = max(top[job], token)
-		}
-		refused += len(p.Log("event=stale_effect_rejected "))
-	}
-	return late, refused
+// lateCase is one way in which owners are late.
+type lateCase struct {
+	how string
+	be  func(l *lateOwner) error // has the owner be late, and returns once it is no more
+}
+
+// The cases. Their names say how long each lasts: lateFor.
+var (
+	stoppedCase = lateCase{"stopped for 30 s after its look", (*lateOwner).beStopped}
+	lateCases   = []lateCase{stoppedCase, {"its datagrams held back for 30 s", (*lateOwner).beHeldBack},
+		{"deaf for 30 s", (*lateOwner).beDeaf}, {"mute for 30 s", (*lateOwner).beMute}}
+)
+
+const lateFor = 30 * time.Second
+
+// lateOutcome is what came of late owners.
+type lateOutcome struct {
+	owners   int             // of jobs, that were late
+	stale    int             // effects of an older token that were taken after a newer one's
+	rejected int             // effects that the fence rejected
+	gaps     []time.Duration // that jobs were without an owner
 }
 
-// ownerLate has owners wake up late: stopped between their look at the lease and their sending, with what they sent held back, and cut off in one
-// direction, each way. jobs of them at a time, for half a minute each.
+// ownerLate has owners wake up late: stopped between their look at the lease and their sending, with what they sent held back, and
+// cut off in one direction, each way. Without the fence the first case has to show.
 func ownerLate(e *Env, r *Report) error {
 	const table = "late owners: five processes, three voters with disks"
 	r.Head(table, "case", "fence", "late owners", "their effects taken after a newer one's", "refused", "without an owner, median, worst")
-	for _, fence := range []bool{true, false} {
-		for _, how := range []string{"stopped for 30 s after its look", "its datagrams held back for 30 s", "deaf for 30 s", "mute for 30 s"} {
-			if !fence && how != "stopped for 30 s after its look" {
-				continue
-			}
-			turns, late, refused, gaps, err := lateTurns(e, how, fence, 30*time.Second)
-			if err != nil {
-				return fmt.Errorf("%s: %w", how, err)
-			}
-			slices.Sort(gaps)
-			mid, worst := time.Duration(0), time.Duration(0)
-			if n := len(gaps); n > 0 {
-				mid, worst = gaps[n/2], gaps[n-1]
-			}
-			r.Row(table, how, fence, turns, late, refused, fmt.Sprint(mid.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
-			if fence {
-				r.Hold(late == 0 && turns >= 50, how+": 50 late owners and more, none of whose effects is taken after a newer one's", fmt.Sprintf("%d of %d", late, turns))
-			} else {
-				r.Hold(late > 0, "without the fence it is found", late)
-			}
+	for _, c := range lateCases {
+		o, err := c.play(e, true)
+		if err != nil {
+			return fmt.Errorf("%s: %w", c.how, err)
 		}
+		o.row(r, table, c.how, true)
+		r.Hold(o.stale == 0 && o.owners >= 50, c.how+": 50 late owners and more, none of whose effects is taken after a newer one's", fmt.Sprintf("%d of %d", o.stale, o.owners))
+	}
+	o, err := stoppedCase.play(e, false)
+	if err != nil {
+		return fmt.Errorf("%s: %w", stoppedCase.how, err)
 	}
+	o.row(r, table, stoppedCase.how, false)
+	r.Hold(o.stale > 0, "without the fence it is found", o.stale)
 	return nil
 }
 
-// lateTurns has the owners of many jobs be late at once, on some rigs side by side.
-func lateTurns(e *Env, how string, fence bool, lasts time.Duration) (turns, late, refused int, gaps []time.Duration, err error) {
-	const rigs, jobs = 3, 100
-	var mu sync.Mutex
+// row adds the outcome to the table.
+func (o *lateOutcome) row(r *Report, table, how string, fence bool) {
+	slices.Sort(o.gaps)
+	median, worst := time.Duration(0), time.Duration(0)
+	if n := len(o.gaps); n > 0 {
+		median, worst = o.gaps[n/2], o.gaps[n-1]
+	}
+	r.Row(table, how, fence, o.owners, o.stale, o.rejected, fmt.Sprint(median.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
+}
+
+// play has the owners of many jobs be late at once, on some rigs side by side.
+func (c lateCase) play(e *Env, fence bool) (sum lateOutcome, err error) {
+	const rigs = 3
+	var outcomes [rigs]lateOutcome
+	var errs [rigs]error
 	var all sync.WaitGroup
 	for k := range rigs {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			n, l, f, g, fault := lateTurn(e, how, fence, lasts, jobs, uint64(k+1))
-			mu.Lock()
-			defer mu.Unlock()
-			turns, late, refused, gaps = turns+n, late+l, refused+f, append(gaps, g...)
-			if fault != nil {
-				err = fault
-			}
+			outcomes[k], errs[k] = c.playOnRig(e, fence, uint64(k+1))
 		}()
 	}
 	all.Wait()
-	return turns, late, refused, gaps, err
+	for _, o := range outcomes {
+		sum.owners, sum.stale, sum.rejected = sum.owners+o.owners, sum.stale+o.stale, sum.rejected+o.rejected
+		sum.gaps = append(sum.gaps, o.gaps...)
+	}
+	return sum, cmp.Or(errs[:]...)
 }
 
-func lateTurn(e *Env, how string, fence bool, lasts time.Duration, jobs int, seed uint64) (turns, late, refused int, gaps []time.Duration, err error) {
-	o := RigOptions{N: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
-	env := *e
-	if !fence {
-		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=forget"}
-	}
-	// Without a key: a seal would refuse what comes half a minute late by itself, and the fence is to be tried.
-	r, err := NewRigWith(&env, o)
+// playOnRig has one process be late, which owns a fifth of the jobs or so.
+func (c lateCase) playOnRig(e *Env, fence bool, seed uint64) (out lateOutcome, err error) {
+	const jobs = 100
+	r, err := newLateRig(e, fence, jobs, seed)
 	if err != nil {
-		return 0, 0, 0, nil, err
+		return out, err
 	}
 	defer r.Close()
-	who, err := r.AllOwned(jobs)
+	owners, err := r.AllOwned(jobs)
 	if err != nil {
-		return 0, 0, 0, nil, err
+		return out, err
 	}
-	victim := int(seed) % 5
-	var mine []string
-	for job, i := range who {
-		if i == victim {
-			mine = append(mine, job)
+	l := &lateOwner{rig: r, process: int(seed) % 5}
+	for job, i := range owners {
+		if i == l.process {
+			l.jobs = append(l.jobs, job)
 		}
 	}
-	slices.Sort(mine)
-	if len(mine) == 0 {
-		return 0, 0, 0, nil, errors.New("the one that is to be late owns nothing")
-	}
-	links := func(change func(l *fake.Link, out bool)) {
-		for j := range 5 {
-			if j != victim {
-				r.Mesh.Set(victim, j, func(l *fake.Link) { change(l, true) })
-				r.Mesh.Set(j, victim, func(l *fake.Link) { change(l, false) })
-			}
-		}
+	slices.Sort(l.jobs)
+	if len(l.jobs) == 0 {
+		return out, errors.New("the one that is to be late owns nothing")
 	}
 	began := time.Now()
-	switch how {
-	case "stopped for 30 s after its look":
-		// One job stops the process between its look and its sending; the others sleep wherever they are.
-		if _, err := r.Owners(victim, owneragent.Request{Do: "late", A: mine[0]}); err != nil {
-			return 0, 0, 0, nil, err
-		}
-		time.Sleep(lasts)
-		r.Procs[victim].Signal(syscall.SIGCONT)
-	case "its datagrams held back for 30 s":
-		links(func(l *fake.Link, out bool) {
-			if out {
-				l.Delay = lasts
-			}
-		})
-		time.Sleep(600 * time.Millisecond) // a turn of each job is on its way for half a minute
-		links(func(l *fake.Link, out bool) { l.Delay = 0; l.Cut = true })
-		time.Sleep(lasts / 2)
-		links(func(l *fake.Link, out bool) { l.Cut = false })
-		time.Sleep(lasts/2 + time.Second)
-	default:
-		links(func(l *fake.Link, out bool) { l.Cut = out == (how == "mute for 30 s") })
-		time.Sleep(lasts)
-		links(func(l *fake.Link, out bool) { l.Cut = false })
+	if err := c.be(l); err != nil {
+		return out, err
 	}
 	time.Sleep(2 * time.Second)
 	if _, err := r.AllOwned(jobs); err != nil {
-		return 0, 0, 0, nil, err
+		return out, err
 	}
 	if err := r.CheckTokens(); err != nil {
-		return 0, 0, 0, nil, err
+		return out, err
 	}
-	for _, g := range r.gaps(began, mine) {
-		gaps = append(gaps, g)
+	for _, g := range r.gaps(began, l.jobs) {
+		out.gaps = append(out.gaps, g)
 	}
-	late, refused = r.lateTaken()
-	return len(mine), late, refused, gaps, nil
+	out.owners = len(l.jobs)
+	out.stale, out.rejected = r.staleEffects()
+	return out, nil
+}
+
+// newLateRig starts five processes with many jobs, with the fence or without it.
+func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
+	// Without a key: a seal would reject what comes half a minute late by itself, and the fence is to be tried.
+	o := RigOptions{N: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
+	env := *e
+	if !fence {
+		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=forget"}
+	}
+	return NewRigWith(&env, o)
+}
+
+// lateOwner is a process that is to be late, and the jobs that it owns before.
+type lateOwner struct {
+	rig     *Rig
+	process int
+	jobs    []string
+}
+
+// links changes the process's links to all others, out of it and into it.
+func (l *lateOwner) links(change func(link *fake.Link, out bool)) {
+	for j := range l.rig.Procs {
+		if j != l.process {
+			l.rig.Mesh.Set(l.process, j, func(link *fake.Link) { change(link, true) })
+			l.rig.Mesh.Set(j, l.process, func(link *fake.Link) { change(link, false) })
+		}
+	}
+}
+
+// beStopped has one job stop the process between its look and its sending; the other jobs sleep wherever they are.
+func (l *lateOwner) beStopped() error {
+	if _, err := l.rig.Owners(l.process, owneragent.Request{Do: "late", A: l.jobs[0]}); err != nil {
+		return err
+	}
+	time.Sleep(lateFor)
+	l.rig.Procs[l.process].Signal(syscall.SIGCONT)
+	return nil
+}
+
+// beHeldBack delays what the process sends, then cuts it off until that arrives.
+func (l *lateOwner) beHeldBack() error {
+	l.links(func(link *fake.Link, out bool) {
+		if out {
+			link.Delay = lateFor
+		}
+	})
+	time.Sleep(600 * time.Millisecond) // a turn of each job is on its way for half a minute
+	l.links(func(link *fake.Link, _ bool) { link.Delay = 0; link.Cut = true })
+	time.Sleep(lateFor / 2)
+	l.links(func(link *fake.Link, _ bool) { link.Cut = false })
+	time.Sleep(lateFor/2 + time.Second)
+	return nil
+}
+
+// beDeaf has nothing reach the process.
+func (l *lateOwner) beDeaf() error { return l.beCut(func(out bool) bool { return !out }) }
+
+// beMute has nothing of the process reach others.
+func (l *lateOwner) beMute() error { return l.beCut(func(out bool) bool { return out }) }
+
+func (l *lateOwner) beCut(which func(out bool) bool) error {
+	l.links(func(link *fake.Link, out bool) { link.Cut = which(out) })
+	time.Sleep(lateFor)
+	l.links(func(link *fake.Link, _ bool) { link.Cut = false })
+	return nil
 }
