--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -104,11 +105,29 @@
 	}
 	cmd := exec.Command(s.Program, args...)
 	cmd.ExtraFiles = s.Files
-	return start(dir, cmd, append(s.Env, "NODE_CONFIG="+path), "event=ready", "listen=")
+	return start(dir, cmd, append(s.Env, "NODE_CONFIG="+path), readyLine)
 }
 
-// start runs a command and waits for a line of its log that holds mark; the address stands in it after field.
-func start(dir string, cmd *exec.Cmd, env []string, mark, field string) (*Process, error) {
+// readyMark names the line of a log with which a process says that it is ready; its address stands in the line's field.
+type readyMark struct{ event, field string }
+
+// readyLine is that of the proxy and of the relay.
+var readyLine = readyMark{event: "event=ready", field: "listen="}
+
+// address is the address in a line, if it is the ready line.
+func (m readyMark) address(line string) (addr string, ready bool) {
+	if _, rest, ok := strings.Cut(line, m.field); ok && strings.Contains(line, m.event) {
+		addr, _, _ = strings.Cut(rest, " ")
+		return addr, true
+	}
+	return "", false
+}
+
+// startLimit is how long a process may take until it is ready.
+const startLimit = 10 * time.Second
+
+// start runs a command and waits for the line of its log that says that it is ready.
+func start(dir string, cmd *exec.Cmd, env []string, mark readyMark) (*Process, error) {
 	p := &Process{cmd: cmd, dir: dir, done: make(chan struct{})}
 	cmd.Env = append(os.Environ(), env...)
 	out, err := cmd.StderrPipe()
@@ -120,39 +139,41 @@
 	}
 	running.Store(p, true)
 	ready := make(chan string, 1)
-	go func() {
-		lines := bufio.NewScanner(out)
-		lines.Buffer(nil, 1<<20)
-		for lines.Scan() {
-			p.mu.Lock()
-			p.log = append(p.log, lines.Text())
-			p.mu.Unlock()
-			if _, rest, ok := strings.Cut(lines.Text(), field); ok && strings.Contains(lines.Text(), mark) {
-				addr, _, _ := strings.Cut(rest, " ")
-				select {
-				case ready <- addr:
-				default:
-				}
-			}
-		}
-		p.err = cmd.Wait()
-		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.peak = u.Maxrss << 10
-		}
-		running.Delete(p)
-		close(p.done)
-	}()
+	go p.follow(out, mark, ready)
 	select {
 	case p.Addr = <-ready:
 		return p, nil
 	case <-p.done:
 		return nil, fmt.Errorf("it ended before it was ready: %s", strings.Join(p.Log(""), "; "))
-	case <-time.After(10 * time.Second):
+	case <-time.After(startLimit):
 		p.Kill()
 		return nil, errors.New("it was not ready after 10 s")
 	}
 }
 
+// follow reads the process's log until its end, sends its address once it is ready, and notes how it ended.
+func (p *Process) follow(out io.Reader, mark readyMark, ready chan<- string) {
+	lines := bufio.NewScanner(out)
+	lines.Buffer(nil, 1<<20)
+	for lines.Scan() {
+		p.mu.Lock()
+		p.log = append(p.log, lines.Text())
+		p.mu.Unlock()
+		if addr, ok := mark.address(lines.Text()); ok {
+			select {
+			case ready <- addr:
+			default:
+			}
+		}
+	}
+	p.err = p.cmd.Wait()
+	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		p.peak = u.Maxrss << 10
+	}
+	running.Delete(p)
+	close(p.done)
+}
+
 // ConfigPath is where its configuration stands.
 func (p *Process) ConfigPath() string { return filepath.Join(p.dir, "config.json") }
 
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -15,7 +15,11 @@
 
 // relayOptions are those of the program that croftlock's TLS is compared with: a plain relay with two goroutines a
 // connection and crypto/tls as it comes. It decides nothing and checks nothing.
-type relayOptions struct{ to, trust, name string }
+type relayOptions struct {
+	upstream string // address of the server
+	trust    string // path of the bundle of authorities; "": TCP without TLS
+	name     string // that the server's certificate has to have
+}
 
 func (o *relayOptions) run() error {
 	runtime.GOMAXPROCS(1)
@@ -44,7 +48,7 @@
 
 func (o *relayOptions) serve(c net.Conn, config *tls.Config) {
 	defer c.Close()
-	up, err := net.Dial("tcp", o.to)
+	up, err := net.Dial("tcp", o.upstream)
 	if err != nil {
 		return
 	}
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -14,132 +14,174 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// badCase is a bad server, or a fault of the proxy's own files, and the reason that the proxy's log has to give.
+type badCase struct {
+	server fake.Fault
+	own    ownFault
+	reason string
+}
+
+// ownFault is a fault of the proxy's own files.
+type ownFault string
+
+const (
+	noOwnFault         ownFault = ""
+	ownExpired         ownFault = "own-certificate-expired"
+	ownRevocationStale ownFault = "own-revocation-list-ran-out"
+)
+
+// badCases are all faults of servers, then those of the proxy's own files, with which it may reach nobody.
+func badCases() (cases []badCase) {
+	for _, f := range fake.Faults() {
+		cases = append(cases, badCase{f, noOwnFault, f.Reason})
+	}
+	nobody := func(net.Conn, *tls.Config) {}
+	return append(cases,
+		badCase{fake.Fault{Kind: string(ownExpired), Raw: nobody}, ownExpired, "own_certificate_expired"},
+		badCase{fake.Fault{Kind: string(ownRevocationStale), Raw: nobody}, ownRevocationStale, "own_trust_unusable"})
+}
+
+// badOutcome is what came of a case.
+type badOutcome struct {
+	answer, reason string // the client's answer, and the reason in the log
+	connections    int64  // that the server saw
+	requestBytes   int64  // that the server saw
+	took           time.Duration
+	err            error
+}
+
+// asStated tells whether the case ended as it has to.
+func (c *badCase) asStated(o badOutcome) bool {
+	reached := o.connections > 0
+	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && reached == (c.own == noOwnFault) && o.reason == c.reason
+}
+
+// badAtOnce is how many cases are played side by side.
+const badAtOnce = 3
+
 // tlsBad has a proxy meet every bad server, each in a process of its own, and then faults of its own.
 func tlsBad(e *Env, r *Report) error {
-	type row struct {
-		kind, answer, reason, want string
-		came, bytes                int64
-		took                       time.Duration
-		ok                         bool
-		err                        error
-	}
-	faults := fake.Faults()
-	own := []string{"own-certificate-expired", "own-revocation-list-ran-out"}
-	rows := make([]row, len(faults)+len(own))
-	turns := make(chan struct{}, 3)
+	cases := badCases()
+	outcomes := make([]badOutcome, len(cases))
+	turns := make(chan struct{}, badAtOnce)
 	var all sync.WaitGroup
-	for i := range rows {
+	for i := range cases {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			turns <- struct{}{}
 			defer func() { <-turns }()
-			x := &rows[i]
-			if i < len(faults) {
-				x.kind, x.want = faults[i].Kind, faults[i].Reason
-				x.answer, x.reason, x.came, x.bytes, x.took, x.err = meet(e, faults[i], "", x.want)
-				x.ok = x.err == nil && x.bytes == 0 && x.answer != "UP" && x.answer != "NONE" && x.came > 0 && x.reason == x.want
-				return
-			}
-			x.kind = own[i-len(faults)]
-			x.want = []string{"own_certificate_expired", "own_trust_unusable"}[i-len(faults)]
-			sound := fake.Fault{Kind: x.kind, Raw: func(net.Conn, *tls.Config) {}} // nobody is to come
-			x.answer, x.reason, x.came, x.bytes, x.took, x.err = meet(e, sound, x.kind, x.want)
-			x.ok = x.err == nil && x.bytes == 0 && x.came == 0 && x.answer != "UP" && x.answer != "NONE" && x.reason == x.want
+			var err error
+			outcomes[i], err = cases[i].play(e)
+			outcomes[i].err = err
 		}()
 	}
 	all.Wait()
 	bytes, bad := int64(0), 0
 	const title = "bad servers; the client waits 2 s, connects may take 0.25 s"
 	r.Head(title, "server", "client's answer", "after", "reason in the log", "connections", "request bytes seen", "as stated")
-	for _, x := range rows {
-		reason := x.reason
-		if reason == "" {
-			reason = "(stood, then broke)"
-		}
-		if x.err != nil {
-			reason = x.err.Error()
-		}
-		r.Row(title, x.kind, x.answer, x.took, reason, x.came, x.bytes, x.ok)
-		bytes += x.bytes
-		if !x.ok {
+	for i, o := range outcomes {
+		ok := cases[i].asStated(o)
+		r.Row(title, cases[i].server.Kind, o.answer, o.took, o.reasonText(), o.connections, o.requestBytes, ok)
+		bytes += o.requestBytes
+		if !ok {
 			bad++
 		}
 	}
-	r.Hold(bad == 0, "every bad server ends in the stated outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(rows)))
+	r.Hold(bad == 0, "every bad server ends in the stated outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
 	r.Hold(bytes == 0, "no byte of a request was seen by any", bytes)
-	r.Set("servers", len(rows))
+	r.Set("servers", len(cases))
 	r.Set("request_bytes_seen", bytes)
 	return nil
 }
 
-// meet has a proxy of its own meet one bad server.
-func meet(e *Env, f fake.Fault, own, want string) (answer, reason string, came, bytes int64, took time.Duration, err error) {
-	dir, err := os.MkdirTemp(e.Dir, "bad")
-	if err != nil {
-		return
-	}
+// reasonText is the reason as the table has it.
+func (o *badOutcome) reasonText() string {
+	switch {
+	case o.err != nil:
+		return o.err.Error()
+	case o.reason == "":
+		return "(stood, then broke)"
+	}
+	return o.reason
+}
+
+// play has a proxy of its own meet the server.
+func (c *badCase) play(e *Env) (o badOutcome, err error) {
 	pki, err := fake.NewPki("s1.lab")
 	if err != nil {
-		return
+		return o, err
 	}
-	if _, err = fake.SaveTrust(dir, pki.Trusted); err != nil {
-		return
-	}
-	until := time.Now().Add(time.Hour)
-	more := ""
-	switch own {
-	case "own-certificate-expired":
-		if _, err = pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(-time.Minute)}); err != nil {
-			return
-		}
-		more = ` (certificate "client.pem") (key "client.key")`
-	case "own-revocation-list-ran-out":
-		until = time.Now().Add(-time.Minute)
-	}
-	crl, err := pki.CRL(until)
+	settings, err := c.settings(e, pki)
 	if err != nil {
-		return
-	}
-	if err = os.WriteFile(filepath.Join(dir, "crl.pem"), crl, 0o644); err != nil {
-		return
+		return o, err
 	}
-	if f.Old {
-		more += " (min-version 1.2)"
-	}
-	path := filepath.Join(dir, "croftlock.sexp")
-	text := `(tls (servers on) (trust "trust.pem") (crl "crl.pem") (name (pattern "{uid}.lab"))` + more + ")\n"
-	if err = os.WriteFile(path, []byte(text), 0o644); err != nil {
-		return
-	}
-	bad, err := fake.NewBad(f, pki)
+	bad, err := fake.NewBad(c.server, pki)
 	if err != nil {
-		return
+		return o, err
 	}
 	defer bad.Close()
 	d, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: bad.Addr(), Zone: "a", Model: "type-a"})
 	if err != nil {
-		return
+		return o, err
 	}
 	defer d.Close()
-	p, err := e.Proxy(Setup{Name: f.Kind, Discovery: d.Addr(), Known: d.List(), Settings: path})
+	p, err := e.Proxy(Setup{Name: c.server.Kind, Discovery: d.Addr(), Known: d.List(), Settings: settings})
 	if err != nil {
-		return
+		return o, err
 	}
 	defer p.Stop()
-	c, a, e2 := fake.Open(p.Addr, class, "", 2*time.Second)
-	if c != nil {
-		c.Close()
-	}
-	if e2 != nil {
-		err = e2
+	client, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
+	if client != nil {
+		client.Close()
 	}
-	if want != "" {
+	if c.reason != "" {
 		p.Await(" reason=", 2*time.Second) // the log comes by another way than the answer
 	}
-	if lines := append(p.Log("event=tls_failed"), p.Log("event=tls_own_fault")...); len(lines) > 0 {
-		_, rest, _ := strings.Cut(lines[0], "reason=")
-		reason, _, _ = strings.Cut(rest, " ")
+	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Came.Load(), requestBytes: bad.Requests.Load(), took: a.Took}, err
+}
+
+// firstReason is the reason of the first failed handshake in a proxy's log, or else of its first fault of its own.
+func firstReason(p *Process) string {
+	lines := append(p.Log("event=tls_failed"), p.Log("event=tls_own_fault")...)
+	if len(lines) == 0 {
+		return ""
+	}
+	_, rest, _ := strings.Cut(lines[0], "reason=")
+	reason, _, _ := strings.Cut(rest, " ")
+	return reason
+}
+
+// settings writes the proxy's files, with their fault if the case has one, and gives the path of its settings file.
+func (c *badCase) settings(e *Env, pki *fake.Pki) (string, error) {
+	dir, err := os.MkdirTemp(e.Dir, "bad")
+	if err != nil {
+		return "", err
 	}
-	return a.Kind, reason, bad.Came.Load(), bad.Requests.Load(), a.Took, err
+	if _, err = fake.SaveTrust(dir, pki.Trusted); err != nil {
+		return "", err
+	}
+	listUntil, more := time.Now().Add(time.Hour), ""
+	switch c.own {
+	case ownExpired:
+		if _, err = pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(-time.Minute)}); err != nil {
+			return "", err
+		}
+		more = ` (certificate "client.pem") (key "client.key")`
+	case ownRevocationStale:
+		listUntil = time.Now().Add(-time.Minute)
+	}
+	revoked, err := pki.CRL(listUntil)
+	if err != nil {
+		return "", err
+	}
+	if err = os.WriteFile(filepath.Join(dir, "crl.pem"), revoked, 0o644); err != nil {
+		return "", err
+	}
+	if c.server.Old {
+		more += " (min-version 1.2)"
+	}
+	path := filepath.Join(dir, "croftlock.sexp")
+	text := `(tls (servers on) (trust "trust.pem") (crl "crl.pem") (name (pattern "{uid}.lab"))` + more + ")\n"
+	return path, os.WriteFile(path, []byte(text), 0o644)
 }
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -10,164 +10,215 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// costVariant is one way to reach a server.
+type costVariant struct {
+	name     string
+	secure   bool     // by TLS
+	settings []string // more of the tls section
+	relay    bool     // by the plain relay with goroutines, in place of the proxy
+}
+
+// The variants, by their place in costVariants.
+const (
+	costPlain = iota
+	costFull
+	costFullClassic
+	costResumed
+	costResumedClassic
+	costRelayTLS
+	costRelayPlain
+)
+
+var costVariants = []costVariant{
+	costPlain:          {name: "plain"},
+	costFull:           {name: "full, x25519mlkem768", secure: true, settings: []string{"(reuse off)", "(key-exchange x25519mlkem768)"}},
+	costFullClassic:    {name: "full, x25519", secure: true, settings: []string{"(reuse off)", "(key-exchange x25519)"}},
+	costResumed:        {name: "resumed, x25519mlkem768", secure: true, settings: []string{"(key-exchange x25519mlkem768)"}},
+	costResumedClassic: {name: "resumed, x25519", secure: true, settings: []string{"(key-exchange x25519)"}},
+	costRelayTLS:       {name: "tls.Conn and goroutines", secure: true, relay: true},
+	costRelayPlain:     {name: "plain, goroutines", relay: true},
+}
+
+// costSeries are the rounds' figures of one variant.
+type costSeries struct{ open, took, line, memory, descriptors series }
+
+func (s *costSeries) add(c cost) {
+	s.open = append(s.open, c.open)
+	s.took = append(s.took, c.took)
+	s.line = append(s.line, c.line)
+	s.memory = append(s.memory, c.memory)
+	s.descriptors = append(s.descriptors, c.descriptors)
+}
+
 // tlsCost measures what TLS to servers costs the proxy: to open a connection, to carry a line, to hold it.
 func tlsCost(e *Env, r *Report) error {
 	if err := handshakeParts(r); err != nil {
 		return err
 	}
-	const repeats = 3
-	type variant struct {
-		name   string
-		secure bool
-		more   []string
-		relay  bool
-	}
-	variants := []variant{
-		{"plain", false, nil, false},
-		{"full, x25519mlkem768", true, []string{"(reuse off)", "(key-exchange x25519mlkem768)"}, false},
-		{"full, x25519", true, []string{"(reuse off)", "(key-exchange x25519)"}, false},
-		{"resumed, x25519mlkem768", true, []string{"(key-exchange x25519mlkem768)"}, false},
-		{"resumed, x25519", true, []string{"(key-exchange x25519)"}, false},
-		{"tls.Conn and goroutines", true, nil, true},
-		{"plain, goroutines", false, nil, true},
-	}
-	type result struct{ open, took, line, memory, descriptors series }
-	results := make([]result, len(variants))
-	for round := range repeats {
-		for i, v := range variants {
-			e.Say("round %d of %d: %s", round+1, repeats, v.name)
-			m, err := costOf(e, v.secure, v.relay, v.more)
+	const rounds = 3
+	results := make([]costSeries, len(costVariants))
+	for round := range rounds {
+		for i, v := range costVariants {
+			e.Say("round %d of %d: %s", round+1, rounds, v.name)
+			c, err := v.measure(e)
 			if err != nil {
 				return fmt.Errorf("%s: %w", v.name, err)
 			}
-			x := &results[i]
-			x.open = append(x.open, m.open)
-			x.took = append(x.took, m.took)
-			x.line = append(x.line, m.line)
-			x.memory = append(x.memory, m.memory)
-			x.descriptors = append(x.descriptors, m.descriptors)
+			results[i].add(c)
 		}
 	}
+	reportCosts(r, results)
+	return nil
+}
+
+// reportCosts writes the table, the bounds and the figures; results are by variant.
+func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
 	r.Head(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line there and back", "KiB an idle connection", "descriptors")
-	for i, v := range variants {
-		x := results[i]
-		r.Row(title, v.name, x.open, x.took, x.line, x.memory, x.descriptors)
+	for i, x := range results {
+		r.Row(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
 	}
-	plain, standard, relay := results[0], results[3], results[5]
-	r.Hold(standard.memory.median() <= 40, "at most 40 KiB an idle TLS connection", standard.memory)
-	r.Hold(standard.line.median() <= relay.line.median(), "no more CPU a line than a tls.Conn with goroutines",
-		fmt.Sprintf("%v against %v us", standard.line, relay.line))
-	r.Hold(results[3].open.median() < results[1].open.median(), "a resumed handshake costs less than a full one",
-		fmt.Sprintf("%v against %v ms", results[3].open, results[1].open))
+	plain, full, resumed, relay := results[costPlain], results[costFull], results[costResumed], results[costRelayTLS]
+	r.Hold(resumed.memory.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memory)
+	r.Hold(resumed.line.median() <= relay.line.median(), "no more CPU a line than a tls.Conn with goroutines",
+		fmt.Sprintf("%v against %v us", resumed.line, relay.line))
+	r.Hold(resumed.open.median() < full.open.median(), "a resumed handshake costs less than a full one",
+		fmt.Sprintf("%v against %v ms", resumed.open, full.open))
 	r.Set("open_plain_ms", plain.open.median())
-	r.Set("open_full_ms", results[1].open.median())
-	r.Set("open_resumed_ms", results[3].open.median())
+	r.Set("open_full_ms", full.open.median())
+	r.Set("open_resumed_ms", resumed.open.median())
 	r.Set("line_plain_us", plain.line.median())
-	r.Set("line_tls_us", standard.line.median())
+	r.Set("line_tls_us", resumed.line.median())
 	r.Set("line_goroutines_us", relay.line.median())
-	r.Set("idle_kib", standard.memory.median())
-	return nil
+	r.Set("idle_kib", resumed.memory.median())
 }
 
-type cost struct{ open, took, line, memory, descriptors float64 }
+// cost is what one variant costs.
+type cost struct {
+	open        float64 // milliseconds of CPU to open and close a connection
+	took        float64 // milliseconds until a client is served, median
+	line        float64 // microseconds of CPU for a line there and back
+	memory      float64 // KiB an idle connection
+	descriptors float64 // an idle connection
+}
 
-// costOf measures one variant on a fresh process.
-func costOf(e *Env, secure, relay bool, more []string) (m cost, err error) {
-	f, err := newFleet(e, 1, secure)
+// measure measures the variant on a fresh process.
+func (v costVariant) measure(e *Env) (c cost, err error) {
+	f, err := newFleet(e, 1, v.secure)
 	if err != nil {
-		return m, err
+		return c, err
 	}
 	defer f.close()
-	var p *Process
-	if relay {
-		args := []string{"relay", "--to", f.servers[0].Addr(), "--name", "s1.lab"}
-		if secure {
-			config := f.config(0)
-			config.ClientAuth = tls.NoClientCert // the relay has no certificate
-			f.servers[0].Secure(config)
-			args = append(args, "--trust", filepath.Join(f.dir, "trust.pem"))
-		}
-		p, err = start(f.dir, exec.Command(e.Self, args...), nil, "event=ready", "listen=")
-	} else {
-		settings := ""
-		if secure {
-			if settings, err = f.settings(append(more, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
-				return m, err
-			}
-		}
-		p, err = e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings})
-	}
+	p, err := v.start(e, f)
 	if err != nil {
-		return m, err
+		return c, err
 	}
 	defer p.Kill()
-	once := func() (time.Duration, error) {
-		c, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
-		if c == nil {
-			return 0, fmt.Errorf("no connection: %s %v", a.Text, err)
+	if c.open, c.took, err = openingCost(p); err != nil {
+		return c, err
+	}
+	const idle = 300
+	time.Sleep(200 * time.Millisecond)
+	memory, descriptors := p.Memory(), p.Descriptors()
+	var clients []*fake.Client
+	defer func() {
+		for _, client := range clients {
+			client.Close()
 		}
-		c.Close()
-		return a.Took, nil
+	}()
+	for range idle {
+		client, _, err := openOne(p)
+		if err != nil {
+			return c, err
+		}
+		clients = append(clients, client)
+	}
+	time.Sleep(300 * time.Millisecond)
+	c.memory = float64(p.Memory()-memory) / 1024 / idle
+	c.descriptors = float64(p.Descriptors()-descriptors) / idle
+	c.line, err = lineCost(p, clients[:20])
+	return c, err
+}
+
+// start starts the proxy, or the relay, in front of the fleet's one server.
+func (v costVariant) start(e *Env, f *fleet) (*Process, error) {
+	if v.relay {
+		return v.startRelay(e, f)
 	}
-	for range 50 { // caches, sessions, the runtime's own
-		if _, err := once(); err != nil {
-			return m, err
+	settings := ""
+	if v.secure {
+		var err error
+		if settings, err = f.settings(append(v.settings, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
+			return nil, err
 		}
 	}
-	const opens = 400
-	var took series
-	time.Sleep(100 * time.Millisecond)
-	cpu := p.CPU()
-	for range opens {
-		d, err := once()
+	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings})
+}
+
+func (v costVariant) startRelay(e *Env, f *fleet) (*Process, error) {
+	args := []string{"relay", "--to", f.servers[0].Addr(), "--name", "s1.lab"}
+	if v.secure {
+		config := f.config(0)
+		config.ClientAuth = tls.NoClientCert // the relay has no certificate
+		f.servers[0].Secure(config)
+		args = append(args, "--trust", filepath.Join(f.dir, "trust.pem"))
+	}
+	return start(f.dir, exec.Command(e.Self, args...), nil, readyLine)
+}
+
+// openOne opens one connection.
+func openOne(p *Process) (*fake.Client, fake.Answer, error) {
+	c, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
+	if c == nil {
+		return nil, a, fmt.Errorf("no connection: %s %v", a.Text, err)
+	}
+	return c, a, nil
+}
+
+// openingCost opens and closes connections one after the other: milliseconds of CPU each, and the median until it is served.
+func openingCost(p *Process) (cpu, took float64, err error) {
+	const warmUp, opens = 50, 400 // the first fill caches, sessions and the runtime's own
+	var times series
+	var before time.Duration
+	for i := range warmUp + opens {
+		if i == warmUp {
+			time.Sleep(100 * time.Millisecond)
+			before = p.CPU()
+		}
+		client, a, err := openOne(p)
 		if err != nil {
-			return m, err
+			return 0, 0, err
+		}
+		client.Close()
+		if i >= warmUp {
+			times = append(times, float64(a.Took)/1e6)
 		}
-		took = append(took, float64(d)/1e6)
 	}
 	time.Sleep(50 * time.Millisecond)
-	m.open, m.took = float64(p.CPU()-cpu)/1e6/opens, took.median()
+	return float64(p.CPU()-before) / 1e6 / opens, times.median(), nil
+}
 
-	// Memory of idle connections.
-	const idle = 300
-	time.Sleep(200 * time.Millisecond)
-	before, fds := p.Memory(), p.Descriptors()
-	var clients []*fake.Client
-	for range idle {
-		c, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
-		if c == nil {
-			return m, fmt.Errorf("no connection: %s %v", a.Text, err)
-		}
-		clients = append(clients, c)
-	}
-	time.Sleep(300 * time.Millisecond)
-	m.memory = float64(p.Memory()-before) / 1024 / idle
-	m.descriptors = float64(p.Descriptors()-fds) / idle
-
-	// Lines, one after the other on 20 connections at once.
-	const lines, at = 500, 20
-	errs := make(chan error, at)
-	cpu = p.CPU()
-	for _, c := range clients[:at] {
-		go func() {
-			for range lines {
-				if _, moved, err := c.Ask("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || moved {
-					errs <- fmt.Errorf("line: %v", err)
-					return
-				}
-			}
-			errs <- nil
-		}()
+// lineCost has each client send lines one after the other, all clients at once: microseconds of CPU a line.
+func lineCost(p *Process, clients []*fake.Client) (float64, error) {
+	const lines = 500
+	errs := make(chan error, len(clients))
+	before := p.CPU()
+	for _, c := range clients {
+		go func() { errs <- sendLines(c, lines) }()
 	}
-	for range at {
+	for range clients {
 		if err := <-errs; err != nil {
-			return m, err
+			return 0, err
 		}
 	}
-	m.line = float64(p.CPU()-cpu) / 1e3 / (lines * at)
-	for _, c := range clients {
-		c.Close()
+	return float64(p.CPU()-before) / 1e3 / float64(lines*len(clients)), nil
+}
+
+func sendLines(c *fake.Client, n int) error {
+	for range n {
+		if _, moved, err := c.Ask("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || moved {
+			return fmt.Errorf("line: %v", err)
+		}
 	}
-	return m, nil
+	return nil
 }
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -11,9 +11,27 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// rotation is a proxy under load while everything that TLS needs is replaced.
+type rotation struct {
+	fleet    *fleet
+	proxy    *Process
+	standing *crowd
+	fresh    *tally
+	trust    string // path of the proxy's bundle of authorities
+}
+
+const (
+	rotationStanding  = 400
+	rotationRate      = 200 // new connections a second
+	rotationSpan      = 30 * time.Second
+	rotationWait      = 2 * time.Second
+	rotationStepEvery = 4500 * time.Millisecond
+	takenWithin       = 2 * time.Second // until the proxy has to have taken new files
+	rotationTable     = "replacements"
+)
+
 // tlsRotation replaces everything that can be replaced, while 200 connections a second are opened and 400 stand.
 func tlsRotation(e *Env, r *Report) error {
-	const standing, rate, length, wait = 400, 200, 30 * time.Second, 2 * time.Second
 	f, err := newFleet(e, 4, true)
 	if err != nil {
 		return err
@@ -24,128 +42,161 @@
 		return err
 	}
 	p, err := e.Proxy(Setup{Name: "rotation", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings,
-		Connect: 800 * time.Millisecond, Deadline: wait})
+		Connect: 800 * time.Millisecond, Deadline: rotationWait})
 	if err != nil {
 		return err
 	}
-	c := &crowd{answers: newTally(), every: time.Second}
-	defer c.leave()
-	if err := c.join(p.Addr, standing, "", wait); err != nil {
+	t := &rotation{fleet: f, proxy: p, standing: &crowd{answers: newTally(), every: time.Second}, fresh: newTally(),
+		trust: filepath.Join(f.dir, "trust.pem")}
+	defer t.standing.leave()
+	if err := t.standing.join(p.Addr, rotationStanding, "", rotationWait); err != nil {
 		return err
 	}
-	old, other := f.pki.Trusted, f.pki.Other
-	trust := filepath.Join(f.dir, "trust.pem")
-	both := append(certs.Bundle(old.Root.Cert), certs.Bundle(other.Root.Cert)...)
-	client := func(by *fake.Authority) func() error {
-		return func() error {
-			_, err := by.SaveClient(f.dir, certs.Spec{Name: "proxy"})
-			return err
-		}
+	late, err := t.underLoad(r)
+	if err != nil {
+		return err
 	}
-	servers := func(by *fake.Authority) func() error {
-		return func() error {
-			for i := range f.servers {
-				if err := f.renew(i, by); err != nil {
-					return err
-				}
-				f.servers[i].Secure(f.config(i)) // with ticket keys of its own
-			}
-			return nil
+	t.report(r, late)
+	return nil
+}
+
+// underLoad makes the replacements while new connections come, and gives how many the proxy took too late.
+func (t *rotation) underLoad(r *Report) (late int, err error) {
+	r.Head(rotationTable, "at", "what", "taken after", "epoch")
+	finished := make(chan error, 1)
+	go func() {
+		var err error
+		late, err = t.replaceAll(r)
+		finished <- err
+	}()
+	arrivals(rotationRate, rotationSpan, func(int) { t.openFresh() })
+	err = <-finished
+	return late, err
+}
+
+// openFresh opens a new connection, sends one line and closes it.
+func (t *rotation) openFresh() {
+	client, a, _ := fake.Open(t.proxy.Addr, class, "", rotationWait)
+	t.fresh.add(a, rotationWait)
+	if client == nil {
+		return
+	}
+	if _, _, err := client.Ask("M", 5*time.Second); err != nil {
+		t.standing.note("new connection: %v", err)
+	}
+	client.Close()
+}
+
+// replacement is one thing that is replaced.
+type replacement struct {
+	what  string
+	files bool // the proxy's files, which it takes at once; else the servers' side, which shows at their handshakes
+	do    func() error
+}
+
+// replacements are the steps, in order: to a second authority and away from the first.
+func (t *rotation) replacements() []replacement {
+	first, second := t.fleet.pki.Trusted, t.fleet.pki.Other
+	return []replacement{
+		{"a new client certificate, by renaming", true, func() error { return t.renewClient(first) }},
+		{"a second authority in the bundle, written in place and first by half", true, t.widenTrust},
+		{"the servers' certificates, by the second authority, and their ticket keys", false, func() error { return t.renewServers(second) }},
+		{"a client certificate by the second authority, by renaming", true, func() error { return t.renewClient(second) }},
+		{"the first authority out of the bundle, by renaming", true, func() error { return certs.Replace(t.trust, certs.Bundle(second.Root.Cert), 0o644) }},
+		{"the servers' certificates once more", false, func() error { return t.renewServers(second) }},
+	}
+}
+
+func (t *rotation) renewClient(by *fake.Authority) error {
+	_, err := by.SaveClient(t.fleet.dir, certs.Spec{Name: "proxy"})
+	return err
+}
+
+// renewServers gives each server a new certificate and ticket keys of its own.
+func (t *rotation) renewServers(by *fake.Authority) error {
+	for i := range t.fleet.servers {
+		if err := t.fleet.renew(i, by); err != nil {
+			return err
 		}
+		t.fleet.servers[i].Secure(t.fleet.config(i))
 	}
-	steps := []struct {
-		what string
-		do   func() error
-	}{
-		{"a new client certificate, by renaming", client(old)},
-		{"a second authority in the bundle, written in place and first by half", func() error {
-			if err := os.WriteFile(trust, both[:len(both)-200], 0o644); err != nil {
-				return err
-			}
-			time.Sleep(1200 * time.Millisecond)
-			return os.WriteFile(trust, both, 0o644)
-		}},
-		{"the servers' certificates, by the second authority, and their ticket keys", servers(other)},
-		{"a client certificate by the second authority, by renaming", client(other)},
-		{"the first authority out of the bundle, by renaming", func() error { return certs.Replace(trust, certs.Bundle(other.Root.Cert), 0o644) }},
-		{"the servers' certificates once more", servers(other)},
+	return nil
+}
+
+// widenTrust writes both authorities in place, and first a part of them that is no sound file.
+func (t *rotation) widenTrust() error {
+	both := append(certs.Bundle(t.fleet.pki.Trusted.Root.Cert), certs.Bundle(t.fleet.pki.Other.Root.Cert)...)
+	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
+		return err
 	}
-	const title = "replacements"
-	r.Head(title, "at", "what", "taken after", "epoch")
+	time.Sleep(1200 * time.Millisecond)
+	return os.WriteFile(t.trust, both, 0o644)
+}
+
+// replaceAll makes the replacements at their times, a row each.
+func (t *rotation) replaceAll(r *Report) (late int, err error) {
 	began := time.Now()
-	failed := make(chan error, 1)
-	go func() {
-		for i, s := range steps {
-			time.Sleep(time.Until(began.Add(time.Duration(i)*4500*time.Millisecond + 2*time.Second)))
-			seen := len(p.Log("event=tls_files_taken"))
-			at := time.Now()
-			if err := s.do(); err != nil {
-				failed <- err
-				return
-			}
-			done := time.Now()
-			taken := "-"
-			if !strings.HasPrefix(s.what, "the servers'") {
-				for len(p.Log("event=tls_files_taken")) == seen && time.Since(done) < 3*time.Second {
-					time.Sleep(5 * time.Millisecond)
-				}
-				taken = time.Since(done).Round(10 * time.Millisecond).String()
-				if time.Since(done) > 2*time.Second {
-					taken += " LATE"
-				}
-			}
-			r.Row(title, at.Sub(began), s.what, taken, len(p.Log("event=tls_files_taken"))+1)
+	for i, step := range t.replacements() {
+		time.Sleep(time.Until(began.Add(time.Duration(i)*rotationStepEvery + 2*time.Second)))
+		epoch := t.filesTaken()
+		at := time.Now()
+		if err := step.do(); err != nil {
+			return late, err
 		}
-		failed <- nil
-	}()
-	t := newTally()
-	arrivals(rate, length, func(int) {
-		client, a, _ := fake.Open(p.Addr, class, "", wait)
-		t.add(a, wait)
-		if client != nil {
-			if _, _, err := client.Ask("M", 5*time.Second); err != nil {
-				c.note("new connection: %v", err)
+		taken := "-"
+		if step.files {
+			took := t.awaitTaken(epoch)
+			taken = took.Round(10 * time.Millisecond).String()
+			if took > takenWithin {
+				taken += " LATE"
+				late++
 			}
-			client.Close()
 		}
-	})
-	if err := <-failed; err != nil {
-		return err
-	}
-	stood := 0
-	for _, s := range f.servers {
-		stood += s.Standing()
+		r.Row(rotationTable, at.Sub(began), step.what, taken, t.filesTaken()+1)
 	}
-	serials := map[string]int{}
-	for _, s := range f.servers {
-		for k, n := range s.Clients() {
-			serials[k] += n
-		}
+	return late, nil
+}
+
+// filesTaken is how often the proxy has taken new files.
+func (t *rotation) filesTaken() int { return len(t.proxy.Log("event=tls_files_taken")) }
+
+// awaitTaken waits until the proxy has taken files once more, for a second over the bound at most, and gives how long that took.
+func (t *rotation) awaitTaken(before int) time.Duration {
+	written := time.Now()
+	for t.filesTaken() == before && time.Since(written) < takenWithin+time.Second {
+		time.Sleep(5 * time.Millisecond)
 	}
-	full, resumed := f.handshakes()
-	late := 0
-	for _, row := range r.Tables[0].Rows {
-		if strings.Contains(row[2], "LATE") {
-			late++
+	return time.Since(written)
+}
+
+// report ends the proxy and states the bounds; late is how many replacements were taken too late.
+func (t *rotation) report(r *Report, late int) {
+	stood, serials := 0, map[string]int{}
+	for _, s := range t.fleet.servers {
+		stood += s.Standing()
+		for serial, n := range s.Clients() {
+			serials[serial] += n
 		}
 	}
-	kept := len(p.Log("event=tls_files_kept"))
+	full, resumed := t.fleet.handshakes()
+	rejected := len(t.proxy.Log("event=tls_files_kept"))
+	c, a := t.standing, t.fresh
 	r.Head("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
-	r.Row("new connections", t.count("UP"), t.count("BUSY"), t.count("ERR"), t.count("NONE"), t.late, t.took.median(), t.took.quantile(0.99))
+	r.Row("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.took.median(), a.took.quantile(0.99))
 	c.stop.Store(true)
-	ended := p.Stop()
-	total := int(rate * length.Seconds())
-	r.Hold(t.count("UP") == total && t.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", t.count("UP"), total))
-	r.Hold(len(c.lost) == 0 && c.moved == 0 && stood >= standing, "no standing connection is lost or moved", fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, strings.Join(c.lost[:min(3, len(c.lost))], "; ")))
+	ended := t.proxy.Stop()
+	total := int(rotationRate * rotationSpan.Seconds())
+	r.Hold(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
+	r.Hold(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved", fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, strings.Join(c.lost[:min(3, len(c.lost))], "; ")))
 	r.Hold(len(serials) == 3, "the servers saw the three client certificates", len(serials))
-	r.Hold(late == 0 && kept >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, kept))
-	r.Hold(len(p.Log("event=tls_failed")) == 0, "no handshake failed", len(p.Log("event=tls_failed")))
+	r.Hold(late == 0 && rejected >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, rejected))
+	failed := len(t.proxy.Log("event=tls_failed"))
+	r.Hold(failed == 0, "no handshake failed", failed)
 	r.Hold(ended == nil, "the proxy ended in order", fmt.Sprint(ended))
 	r.Set("opened", total)
-	r.Set("failed", total-t.count("UP"))
+	r.Set("failed", total-a.count("UP"))
 	r.Set("lost", len(c.lost))
 	r.Set("full", full)
 	r.Set("resumed", resumed)
-	r.Set("p99_ms", t.took.quantile(0.99))
-	return nil
+	r.Set("p99_ms", a.took.quantile(0.99))
 }
