--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -39,36 +39,47 @@
 	{"tls-bad", "every bad server, its outcome and reason; 20 s", tlsBad},
 }
 
+// program is the command line's state.
+type program struct {
+	self     string // path of croftlock-experiment
+	proxy    string // path of the program that experiments run
+	earlier  string // path of an earlier build of it; "": none
+	out      string // folder for reports; "": none are saved
+	boundsOK bool   // no bound was missed so far
+}
+
 // Main is croftlock-experiment's command line, with more commands than those of this package; it gives the exit status.
 func Main(args []string, more ...*cobra.Command) int {
-	var program, earlier, out string
-	root := &cobra.Command{Use: "croftlock-experiment", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
 	self, _ := os.Executable()
-	root.PersistentFlags().StringVar(&program, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
-	root.PersistentFlags().StringVar(&earlier, "earlier", "", "an earlier build: in ops-upgrade it and the program replace each other in turn")
-	root.PersistentFlags().StringVar(&out, "out", "", "folder to keep the report in, as JSON")
+	p := &program{self: self, boundsOK: true}
+	root := &cobra.Command{Use: "croftlock-experiment", Short: "Experiments with croftlock on loopback", SilenceUsage: true, SilenceErrors: true}
+	root.PersistentFlags().StringVar(&p.proxy, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
+	root.PersistentFlags().StringVar(&p.earlier, "earlier", "", "an earlier build: in ops-upgrade it and the program replace each other in turn")
+	root.PersistentFlags().StringVar(&p.out, "out", "", "folder to keep the report in, as JSON")
+	root.AddCommand(fleetCommand(), membersCommand(), simCommand(), listCommand(), p.runCommand(), p.demoCommand(), relayCommand())
+	root.AddCommand(more...)
+	root.SetArgs(args)
+	if err := root.Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "croftlock-experiment:", err)
+		return 1
+	}
+	if !p.boundsOK {
+		return 1
+	}
+	return 0
+}
 
-	root.AddCommand(fleetCommand(), membersCommand(), simCommand())
-	root.AddCommand(&cobra.Command{Use: "list", Short: "Name the experiments", Args: cobra.NoArgs,
+func listCommand() *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "Name the experiments", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, x := range experiments {
 				fmt.Fprintf(cmd.OutOrStdout(), "%-14s %s\n", x.name, x.short)
 			}
-		}})
-	missed := false
-	do := func(name string, run func(e *Env, r *Report) error) error {
-		r, err := carryOut(name, &Env{Croftlock: program, Earlier: earlier, Self: self}, run)
-		if err != nil {
-			return err
-		}
-		r.Print(os.Stdout)
-		missed = missed || !r.OK()
-		if out != "" {
-			return r.Save(out)
-		}
-		return nil
-	}
-	root.AddCommand(&cobra.Command{Use: "run NAME...", Short: "Run experiments; exit 1 where a bound is missed",
+		}}
+}
+
+func (p *program) runCommand() *cobra.Command {
+	return &cobra.Command{Use: "run NAME...", Short: "Run experiments; exit 1 where a bound is missed",
 		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, name := range args {
@@ -76,31 +87,28 @@
 				if x == nil {
 					return fmt.Errorf("no experiment %q; croftlock-experiment list names them", name)
 				}
-				if err := do(x.name, x.run); err != nil {
+				if err := p.run(*x); err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
 			}
 			return nil
-		}})
-	root.AddCommand(&cobra.Command{Use: "demo", Short: "A discovery, three servers, one proxy and some clients, on loopback",
-		Example: "  croftlock-experiment demo", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return do("demo", demo) }})
-	relay := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs}
-	var r relayOptions
-	relay.Flags().StringVar(&r.to, "to", "", "")
-	relay.Flags().StringVar(&r.trust, "trust", "", "")
-	relay.Flags().StringVar(&r.name, "name", "", "")
-	relay.RunE = func(*cobra.Command, []string) error { return r.run() }
-	root.AddCommand(relay)
-	root.AddCommand(more...)
-	root.SetArgs(args)
-	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "croftlock-experiment:", err)
-		return 1
-	}
-	if missed {
-		return 1
-	}
-	return 0
+		}}
+}
+
+func (p *program) demoCommand() *cobra.Command {
+	return &cobra.Command{Use: "demo", Short: "A discovery, three servers, one proxy and some clients, on loopback",
+		Example: "  croftlock-experiment demo", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return p.run(experiment{name: "demo", run: demo}) }}
+}
+
+// relayCommand is for the experiments themselves, which run it as a process.
+func relayCommand() *cobra.Command {
+	var o relayOptions
+	c := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return o.run() }}
+	c.Flags().StringVar(&o.upstream, "to", "", "")
+	c.Flags().StringVar(&o.trust, "trust", "", "")
+	c.Flags().StringVar(&o.name, "name", "", "")
+	return c
 }
 
 func find(name string) *experiment {
@@ -112,8 +120,22 @@
 	return nil
 }
 
-// carryOut runs an experiment in a folder of its own, which e is given.
-func carryOut(name string, e *Env, run func(e *Env, r *Report) error) (*Report, error) {
+// run runs an experiment, prints its report and saves it where that is asked for.
+func (p *program) run(x experiment) error {
+	r, err := x.carryOut(&Env{Croftlock: p.proxy, Earlier: p.earlier, Self: p.self})
+	if err != nil {
+		return err
+	}
+	r.Print(os.Stdout)
+	p.boundsOK = p.boundsOK && r.OK()
+	if p.out != "" {
+		return r.Save(p.out)
+	}
+	return nil
+}
+
+// carryOut runs the experiment in a folder of its own, which e is given.
+func (x experiment) carryOut(e *Env) (*Report, error) {
 	if _, err := os.Stat(e.Croftlock); err != nil {
 		return nil, fmt.Errorf("the program to run: %v; --croftlock names it", err)
 	}
@@ -122,8 +144,21 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	// An interruption must leave neither files nor processes: those die with this one's pipe, or by the signal of the
-	// terminal, which they get too.
+	defer cleanUpOnInterrupt(dir)()
+	defer killAll()
+	e.Dir = dir
+	e.Say = func(format string, args ...any) {
+		fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().UTC().Format("15:04:05")}, args...)...)
+	}
+	r := &Report{Name: x.name, Began: time.Now()}
+	err = x.run(e, r)
+	r.Took = time.Since(r.Began)
+	return r, err
+}
+
+// cleanUpOnInterrupt has an interruption leave neither files nor processes, and gives what ends that. Processes die with this one's
+// pipe, or by the signal of the terminal, which they get too.
+func cleanUpOnInterrupt(dir string) (end func()) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	go func() {
@@ -133,14 +168,5 @@
 			os.Exit(130)
 		}
 	}()
-	defer func() { signal.Stop(stop); close(stop) }()
-	defer killAll()
-	e.Dir = dir
-	e.Say = func(format string, args ...any) {
-		fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().UTC().Format("15:04:05")}, args...)...)
-	}
-	r := &Report{Name: name, Began: time.Now()}
-	err = run(e, r)
-	r.Took = time.Since(r.Began)
-	return r, err
+	return func() { signal.Stop(stop); close(stop) }
 }
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -12,90 +12,147 @@
 	"croftlock/internal/fleet/membership/simulation"
 )
 
+// detector is a way to detect failures, as the simulation measures it.
+type detector struct {
+	name    string
+	measure func(n int, loss float64, lasts simulation.Time, seed uint64) simulation.Cost
+}
+
+// detectors are the program's own way, first, and those beside it.
+var detectors = []detector{
+	{"suspicion, heard by anybody", simulation.Measure},
+	{"heartbeats to all, phi 8", simulation.Heartbeats},
+	{"ten observers that agree", simulation.Observers},
+}
+
+const (
+	costLasts = 60 * simulation.Sec
+	costSeeds = 5
+	// Large fleets are simulated once, for a shorter time: each step costs more there.
+	largeFleet      = 300
+	largeFleetLasts = 20 * simulation.Sec
+	// neverKnown stands for a death that not all heard of.
+	neverKnown = simulation.Time(1 << 62)
+)
+
+// detectorRun is one detector in one fleet at one loss.
+type detectorRun struct {
+	detector int // in detectors
+	members  int
+	loss     float64 // part of all datagrams
+	costs    []simulation.Cost
+}
+
+// simulate measures the run, a cost for each seed.
+func (d *detectorRun) simulate() {
+	seeds, lasts := costSeeds, costLasts
+	if d.members >= largeFleet {
+		seeds, lasts = 1, largeFleetLasts
+	}
+	for seed := range seeds {
+		d.costs = append(d.costs, detectors[d.detector].measure(d.members, d.loss, lasts, uint64(seed+1)))
+	}
+}
+
+// falseAlarms is the mean of the seeds.
+func (d *detectorRun) falseAlarms() (alarms float64) {
+	for _, c := range d.costs {
+		alarms += c.FalseAlarms / float64(len(d.costs))
+	}
+	return alarms
+}
+
+// knownAfter is the median and the longest time until a death was known.
+func (d *detectorRun) knownAfter() (median, longest simulation.Time) {
+	var known []simulation.Time
+	for _, c := range d.costs {
+		if c.Known < 0 {
+			c.Known = neverKnown
+		}
+		known = append(known, c.Known)
+	}
+	slices.Sort(known)
+	return known[len(known)/2], known[len(known)-1]
+}
+
+// knownText is a time until a death was known, in milliseconds.
+func knownText(t simulation.Time) string {
+	if t == neverKnown {
+		return "over 15000"
+	}
+	return fmt.Sprint(t / simulation.Ms)
+}
+
 // memberCost plays each way to detect failures that was weighed, in virtual time.
 func memberCost(e *Env, r *Report) error {
-	ways := []struct {
-		name string
-		f    func(n int, loss float64, lasts simulation.Time, seed uint64) simulation.Cost
-	}{{"suspicion, heard by anybody", simulation.Measure}, {"heartbeats to all, phi 8", simulation.Heartbeats}, {"ten observers that agree", simulation.Observers}}
 	const table = "a second an instance; time until 99 in 100 know of a death; false alarms an hour in the whole fleet"
 	r.Head(table, "way", "members", "loss", "messages", "bytes", "known ms (median, worst of 5)", "false alarms")
-	type job struct {
-		way, n, turns int
-		loss          float64
-		lasts         simulation.Time
-		got           []simulation.Cost
+	runs := detectorRuns()
+	simulateAll(e, runs)
+	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
+	messages := map[int]float64{} // of the program's own way without loss, by members
+	for _, d := range runs {
+		median, longest := d.knownAfter()
+		r.Row(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
+			knownText(median)+", "+knownText(longest), fmt.Sprintf("%.1f", d.falseAlarms()))
+		if d.detector == 0 && d.loss == 0 {
+			messages[d.members] = d.costs[0].Messages
+		}
+	}
+	cpu, err := idleMemberCPU(e)
+	if err != nil {
+		return err
 	}
-	var jobs []*job
-	for _, n := range []int{1000, 300, 100, 10, 3} { // the longest first
-		for way := range ways {
+	r.Hold(cpu < 0.003, "CPU of an idle process of five with membership on, under 0.003 of a core", fmt.Sprintf("%.4f", cpu))
+	r.Hold(messages[1000] < 2*messages[3], "messages an instance at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", messages[1000], messages[3]))
+	return nil
+}
+
+// detectorRuns are all runs, the longest first.
+func detectorRuns() (runs []*detectorRun) {
+	for _, members := range []int{1000, 300, 100, 10, 3} {
+		for i := range detectors {
 			for _, loss := range []float64{0, 0.05, 0.2} {
-				x := &job{way: way, n: n, turns: costTurns, loss: loss, lasts: costLasts}
-				if n >= 300 {
-					x.turns, x.lasts = 1, 20*simulation.Sec
-				}
-				jobs = append(jobs, x)
+				runs = append(runs, &detectorRun{detector: i, members: members, loss: loss})
 			}
 		}
 	}
-	next := make(chan *job)
+	return runs
+}
+
+// simulateAll plays the runs, as many side by side as there are cores.
+func simulateAll(e *Env, runs []*detectorRun) {
+	next := make(chan *detectorRun)
 	var busy sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		busy.Add(1)
 		go func() {
 			defer busy.Done()
-			for x := range next {
-				for seed := range x.turns {
-					x.got = append(x.got, ways[x.way].f(x.n, x.loss, x.lasts, uint64(seed+1)))
-				}
-				e.Say("%s, %d members, loss %.2f: %+v", ways[x.way].name, x.n, x.loss, x.got[0])
+			for d := range next {
+				d.simulate()
+				e.Say("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
 			}
 		}()
 	}
-	for _, x := range jobs {
-		next <- x
+	for _, d := range runs {
+		next <- d
 	}
 	close(next)
 	busy.Wait()
-	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Or(a.way-b.way, a.n-b.n) })
-	var at3, at1000 float64
-	for _, x := range jobs {
-		var known []simulation.Time
-		alarms := 0.0
-		for _, c := range x.got {
-			if c.Known < 0 {
-				c.Known = 1 << 62
-			}
-			known = append(known, c.Known)
-			alarms += c.FalseAlarms / float64(x.turns)
-		}
-		slices.Sort(known)
-		took := func(t simulation.Time) string {
-			if t == 1<<62 {
-				return "over 15000"
-			}
-			return fmt.Sprint(t / simulation.Ms)
-		}
-		r.Row(table, ways[x.way].name, x.n, x.loss, fmt.Sprintf("%.1f", x.got[0].Messages), fmt.Sprintf("%.0f", x.got[0].Bytes),
-			took(known[len(known)/2])+", "+took(known[len(known)-1]), fmt.Sprintf("%.1f", alarms))
-		if x.way == 0 && x.loss == 0 && x.n == 3 {
-			at3 = x.got[0].Messages
-		} else if x.way == 0 && x.loss == 0 && x.n == 1000 {
-			at1000 = x.got[0].Messages
-		}
-	}
+}
+
+// idleMemberCPU is the part of a core that an idle process of five takes, membership included.
+func idleMemberCPU(e *Env) (float64, error) {
+	const span = 10 * time.Second
 	rig, err := NewRig(e, 5, 1, labKey)
 	if err != nil {
-		return err
+		return 0, err
 	}
 	defer rig.Close()
 	if _, ok := rig.Whole(30 * time.Second); !ok {
-		return errors.New("five processes: not whole after 30 s")
+		return 0, errors.New("five processes: not whole after 30 s")
 	}
 	before := rig.Procs[0].CPU()
-	time.Sleep(10 * time.Second)
-	cpu := float64(rig.Procs[0].CPU()-before) / float64(10*time.Second)
-	r.Hold(cpu < 0.003, "CPU of an idle process of five with membership on, under 0.003 of a core", fmt.Sprintf("%.4f", cpu))
-	r.Hold(at1000 < 2*at3, "messages an instance at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", at1000, at3))
-	return nil
+	time.Sleep(span)
+	return float64(rig.Procs[0].CPU()-before) / float64(span), nil
 }
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -12,6 +12,24 @@
 	"croftlock/internal/testbed/fake"
 )
 
+// linkCut is a cut among five processes.
+type linkCut struct {
+	name    string
+	cut     func(from, to int) bool // the links that it cuts
+	lost    []int                   // whom the others may give up
+	namedBy int                     // who is to say that it does not hear another; -1: nobody
+}
+
+var linkCuts = []linkCut{
+	{"1 to 2", func(from, to int) bool { return from == 1 && to == 2 }, nil, 2},
+	{"1 deaf", func(_, to int) bool { return to == 1 }, nil, 1},
+	{"1 mute", func(from, _ int) bool { return from == 1 }, []int{1}, -1},
+	{"0, 1 from 2, 3, 4", func(from, to int) bool { return (from < 2) != (to < 2) }, []int{0, 1}, -1},
+}
+
+// cutLasts is how long each cut lasts.
+const cutLasts = 8 * time.Second
+
 // memberCut cuts links in one direction, makes one deaf and one mute, and cuts two off from three.
 func memberCut(e *Env, r *Report) error {
 	rig, err := NewRig(e, 5, 1, labKey)
@@ -21,47 +39,16 @@
 	defer rig.Close()
 	const table = "cuts among five, 8 s each"
 	r.Head(table, "cut", "held for unreachable, not meant", "link named after", "views alike after healing")
-	for _, c := range []struct {
-		name string
-		cut  func(i, j int) bool
-		lost []int // whom the others may hold for unreachable
-		by   int   // who is to say that it does not hear
-	}{
-		{"1 to 2", func(i, j int) bool { return i == 1 && j == 2 }, nil, 2},
-		{"1 deaf", func(i, j int) bool { return j == 1 }, nil, 1},
-		{"1 mute", func(i, j int) bool { return i == 1 }, []int{1}, -1},
-		{"0, 1 from 2, 3, 4", func(i, j int) bool { return (i < 2) != (j < 2) }, []int{0, 1}, -1},
-	} {
+	for _, c := range linkCuts {
 		if _, ok := rig.Whole(30 * time.Second); !ok {
 			return fmt.Errorf("%s: not whole before", c.name)
 		}
-		set := func(on bool) {
-			for i := range 5 {
-				for j := range 5 {
-					if i != j && c.cut(i, j) {
-						rig.Mesh.Set(i, j, func(l *fake.Link) { l.Cut = on })
-					}
-				}
-			}
+		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
+		named, wrong, err := c.observe(rig)
+		if err != nil {
+			return err
 		}
-		set(true)
-		began, named, wrong := time.Now(), time.Duration(-1), 0
-		for time.Since(began) < 8*time.Second {
-			rep, err := rig.Ask(3)
-			if err != nil {
-				return err
-			}
-			for _, m := range rep.Members {
-				if m.Slot == c.by && len(m.Unheard) > 0 && named < 0 {
-					named = time.Since(began)
-				}
-				if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.lost, m.Slot) {
-					wrong++
-				}
-			}
-			time.Sleep(50 * time.Millisecond)
-		}
-		set(false)
+		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = false })
 		heal, ok := rig.Whole(20 * time.Second)
 		if !ok {
 			return fmt.Errorf("%s: not whole 20 s after healing", c.name)
@@ -69,13 +56,34 @@
 		r.Row(table, c.name, wrong, named, heal)
 		r.Hold(wrong == 0, c.name+": the majority gives nobody up whom it hears", wrong)
 		r.Hold(heal < 3*time.Second, c.name+": views alike within 3 s of healing", heal)
-		if c.by >= 0 {
+		if c.namedBy >= 0 {
 			r.Hold(named >= 0 && named < 3*time.Second, c.name+": the cut is named within 3 s", named)
 		}
 	}
 	return nil
 }
 
+// observe asks one of the majority again and again while the cut lasts: after what time the cut link is named, -1 for never, and how
+// often a process is given up that may not be.
+func (c *linkCut) observe(rig *Rig) (named time.Duration, wrong int, err error) {
+	named = -1
+	for began := time.Now(); time.Since(began) < cutLasts; time.Sleep(50 * time.Millisecond) {
+		rep, err := rig.Ask(3)
+		if err != nil {
+			return 0, 0, err
+		}
+		for _, m := range rep.Members {
+			if m.Slot == c.namedBy && len(m.Unheard) > 0 && named < 0 {
+				named = time.Since(began)
+			}
+			if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.lost, m.Slot) {
+				wrong++
+			}
+		}
+	}
+	return named, wrong, nil
+}
+
 // membersCommand asks a running proxy who is there.
 func membersCommand() *cobra.Command {
 	var asJSON bool
--- a/internal/testbed/experiment/opsfigures.go
+++ b/internal/testbed/experiment/opsfigures.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// opsFigures compares the figures with what clients and servers counted, times operators' calls under load with half
+// opsFigures compares the metrics with what clients and servers counted, times operators' calls under load with half
 // callers about, and the CPU of a placement and of a line; CROFTLOCK_BEFORE names a program to compare that with.
 func opsFigures(e *Env, r *Report) error {
 	s, err := newSite(e, 200)
@@ -19,8 +19,28 @@
 		return err
 	}
 	defer s.close()
-	var took series
-	bad := 0
+	took, bad := s.callUnderLoad()
+	close(s.stop)
+	s.loads.Wait()
+	s.crowd.leave()
+	time.Sleep(600 * time.Millisecond)
+	_, body, _, err := Call(s.admin, "GET", "/v1/metrics")
+	if err != nil {
+		return err
+	}
+	worst := s.compareMetrics(r, parseMetrics(body))
+	r.Hold(worst == 0, "largest deviation of a figure", worst)
+	r.Hold(bad == 0, "calls late or wrong beside 200 half callers", bad)
+	r.Hold(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
+	r.Set("deviation", worst)
+	r.Set("call_p99_ms", took.quantile(0.99))
+	r.Set("call_max_ms", took.quantile(1))
+	return s.reportCosts(r)
+}
+
+// callUnderLoad asks for the metrics 200 times while callers that never finish their request add up and servers fail and are busy in
+// turn. It gives the milliseconds of each call, and how many were answered wrongly.
+func (s *site) callUnderLoad() (took series, bad int) {
 	var half []net.Conn
 	for i := range 200 {
 		if c, err := net.Dial("tcp", s.admin); err == nil {
@@ -39,87 +59,62 @@
 	for _, c := range half {
 		c.Close()
 	}
-	close(s.stop)
-	s.loads.Wait()
-	s.crowd.leave()
-	time.Sleep(600 * time.Millisecond)
-	_, body, _, err := Call(s.admin, "GET", "/v1/metrics")
-	if err != nil {
-		return err
+	return took, bad
+}
+
+// parseMetrics reads name=number lines; others are left out.
+func parseMetrics(body string) map[string]int {
+	metrics := map[string]int{}
+	for _, line := range strings.Split(body, "\n") {
+		if name, value, ok := strings.Cut(line, "="); ok {
+			metrics[name], _ = strconv.Atoi(value)
+		}
 	}
+	return metrics
+}
+
+// compareMetrics holds the metrics against what the peers counted, and gives the largest deviation.
+func (s *site) compareMetrics(r *Report, metrics map[string]int) (worst int) {
 	opened := 0
-	for _, x := range s.fleet.servers {
-		n, _ := x.Opened()
+	for _, server := range s.fleet.servers {
+		n, _ := server.Opened()
 		opened += n
 	}
 	all := func(kind string) int { return s.fresh.count(kind) + s.crowd.answers.count(kind) }
 	const title = "figures against peers"
 	r.Head(title, "figure", "told", "counted by peers", "off by")
-	worst := 0
 	for _, x := range []struct {
-		name string
-		want int
+		name    string
+		counted int
 	}{{"replies." + class + ".success", all("UP")}, {"replies." + class + ".overload", all("BUSY")},
 		{"replies." + class + ".error", all("ERR")}, {"dispatches", opened}, {"concurrent", 0}, {"targets", 3}} {
-		got := -1
-		for _, l := range strings.Split(body, "\n") {
-			if v, ok := strings.CutPrefix(l, x.name+"="); ok {
-				got, _ = strconv.Atoi(v)
-			}
+		got, named := metrics[x.name]
+		if !named {
+			got = -1
 		}
-		off := max(got-x.want, x.want-got)
+		off := max(got-x.counted, x.counted-got)
 		worst = max(worst, off)
-		r.Row(title, x.name, got, x.want, off)
+		r.Row(title, x.name, got, x.counted, off)
 	}
-	r.Hold(worst == 0, "largest deviation of a figure", worst)
-	r.Hold(bad == 0, "calls late or wrong beside 200 half callers", bad)
-	r.Hold(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
-	r.Set("deviation", worst)
-	r.Set("call_p99_ms", took.quantile(0.99))
-	r.Set("call_max_ms", took.quantile(1))
-	return s.costs(r)
+	return worst
 }
 
-// costs is the CPU of a placement and of a line, with the figures and, in turn, by the program before them.
-func (s *site) costs(r *Report) error {
-	const title = "CPU, microseconds"
+// reportCosts is the CPU of a placement and of a line there and back, by the program and, in turn, by the one before it.
+func (s *site) reportCosts(r *Report) error {
+	const title, rounds = "CPU, microseconds", 5
 	programs := []string{s.Croftlock}
 	if before := os.Getenv("CROFTLOCK_BEFORE"); before != "" {
 		programs = append(programs, before)
 	}
 	r.Head(title, "program", "a placement", "a line there and back")
 	placing, passing := make([]series, len(programs)), make([]series, len(programs))
-	for range 5 {
+	for range rounds {
 		for i, program := range programs {
-			with := s.setup
-			with.Listen, with.Tmp, with.Program = "", "", program
-			p, err := s.Proxy(with)
+			placement, line, err := s.costs(program)
 			if err != nil {
 				return err
 			}
-			const n = 400
-			began := p.CPU()
-			for range n {
-				c, _, err := fake.Open(p.Addr, class, "", opsWait)
-				if err != nil || c == nil {
-					return fmt.Errorf("a placement: %v", err)
-				}
-				c.Close()
-			}
-			placing[i] = append(placing[i], float64(p.CPU()-began)/1e3/n)
-			c, _, err := fake.Open(p.Addr, class, "", opsWait)
-			if err != nil || c == nil {
-				return fmt.Errorf("a connection: %v", err)
-			}
-			began = p.CPU()
-			for range 5 * n {
-				if _, _, err := c.Ask("x", opsWait); err != nil {
-					return err
-				}
-			}
-			passing[i] = append(passing[i], float64(p.CPU()-began)/1e3/(5*n))
-			c.Close()
-			p.Kill()
+			placing[i], passing[i] = append(placing[i], placement), append(passing[i], line)
 		}
 	}
 	for i, name := range []string{"this one", "before"}[:len(programs)] {
@@ -127,3 +122,36 @@
 	}
 	return nil
 }
+
+// costs measures a program: the microseconds of CPU of a placement, and of a line there and back.
+func (s *site) costs(program string) (placement, line float64, err error) {
+	const placements, lines = 400, 2000
+	with := s.setup
+	with.Listen, with.Tmp, with.Program = "", "", program
+	p, err := s.Proxy(with)
+	if err != nil {
+		return 0, 0, err
+	}
+	defer p.Kill()
+	before := p.CPU()
+	for range placements {
+		c, _, err := fake.Open(p.Addr, class, "", opsWait)
+		if err != nil || c == nil {
+			return 0, 0, fmt.Errorf("a placement: %v", err)
+		}
+		c.Close()
+	}
+	placement = float64(p.CPU()-before) / 1e3 / placements
+	c, _, err := fake.Open(p.Addr, class, "", opsWait)
+	if err != nil || c == nil {
+		return 0, 0, fmt.Errorf("a connection: %v", err)
+	}
+	defer c.Close()
+	before = p.CPU()
+	for range lines {
+		if _, _, err := c.Ask("x", opsWait); err != nil {
+			return 0, 0, err
+		}
+	}
+	return placement, float64(p.CPU()-before) / 1e3 / lines, nil
+}
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -11,132 +11,186 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// turns are what came of one fault, played again and again with a change under way each time.
-type turns struct {
-	played           int
-	took, heals      []time.Duration // until the change was active, and from the fault's end until all act by it
-	unknown, refused int             // answers other than that it is active
+// cutOutcome is what came of one fault, played again and again with a change under way each time.
+type cutOutcome struct {
+	played   int
+	active   []time.Duration // until the change was active
+	heals    []time.Duration // from the fault's end until all act by the change
+	unknown  int             // changes that nobody answered
+	rejected int             // changes that the coordinator rejected
 }
 
+// cutFault is one fault that is played beside changes.
+type cutFault struct {
+	name  string
+	turns int
+	kind  string // as simulation.Fault has it, or pause or kill, which the turn itself plays
+	lasts time.Duration
+}
+
+// cutSuite is a rig's settings and the faults that are played on it.
+type cutSuite struct {
+	name, sections string
+	faults         []cutFault
+}
+
+func cutSuites() []cutSuite {
+	const ms = time.Millisecond
+	return []cutSuite{
+		{"when_cut refuse, votes in memory", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
+			{"cut off in both directions, 1.5 s", 20, "cut", 1500 * ms}, {"hears nothing, 1.5 s", 20, "deaf", 1500 * ms}, {"is not heard, 1.5 s", 20, "mute", 1500 * ms},
+			{"stopped, 1 s", 20, "pause", 1000 * ms}, {"stopped, 10 s", 1, "pause", 10000 * ms}, {"the keeper killed", 8, "kill", 0}}},
+		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{{"cut off in both directions, 1.5 s, and keeps", 8, "cut", 1500 * ms}}},
+		{"votes on disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
+	}
+}
+
+const rulesCutTable = "a change beside each fault; five processes, three voters, agree_within 1 s"
+
 // rulesCut plays each cut, pause and loss of a process beside a change: never over the bound, and all agree again soon after.
 func rulesCut(e *Env, r *Report) error {
-	const table = "a change beside each fault; five processes, three voters, agree_within 1 s"
-	r.Head(table, "fault", "turns", "active after, p50 p99", "no word, refused", "all agree after its end, p50 p99", "side by side, longest", "no answer")
-	for _, part := range []struct {
-		name, sections string
-		faults         []cutFault
-	}{
-		{"when_cut refuse, votes in memory", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
-			{"cut off in both directions, 1.5 s", 20, "cut", 1500}, {"hears nothing, 1.5 s", 20, "deaf", 1500}, {"is not heard, 1.5 s", 20, "mute", 1500},
-			{"stopped, 1 s", 20, "pause", 1000}, {"stopped, 10 s", 1, "pause", 10000}, {"the keeper killed", 8, "kill", 0}}},
-		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{{"cut off in both directions, 1.5 s, and keeps", 8, "cut", 1500}}},
-		{"votes on disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500}}},
-	} {
-		g, err := newAgreeing(e, part.sections, "")
-		if err != nil {
-			return fmt.Errorf("%s: %w", part.name, err)
-		}
-		var rows [][]any
-		for _, f := range part.faults {
-			t, err := g.play(f)
-			if err != nil {
-				g.Close()
-				return fmt.Errorf("%s: %w", f.name, err)
-			}
-			rows = append(rows, []any{f.name, t.played, spread(t.took), fmt.Sprint(t.unknown, ", ", t.refused), spread(t.heals)})
-			if f.kind != "full" { // there it waits for the voters to open their stores again
-				r.Hold(percentile(t.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(t.heals, 1))
-			}
+	r.Head(rulesCutTable, "fault", "turns", "active after, p50 p99", "no word, refused", "all agree after its end, p50 p99", "side by side, longest", "no answer")
+	for _, s := range cutSuites() {
+		if err := s.play(e, r); err != nil {
+			return err
 		}
-		a := g.end()
-		_, longest := a.overlaps()
-		for _, row := range rows {
-			r.Row(table, append(row, longest, a.silent)...)
-		}
-		r.Hold(longest <= agreeWithin, part.name+": no act by an older version for longer than agree_within after the first by a newer", longest)
-		r.Hold(a.silent == 0, part.name+": each request gets an answer", a.silent)
-		r.Hold(a.lapsed > 0, part.name+": who has no right acts by none, or says that it has lapsed", a.lapsed)
-		g.Close()
 	}
 	return nil
 }
 
-type cutFault struct {
-	name  string
-	turns int
-	kind  string
-	ms    int64
+// play plays the suite's faults on a rig of its own.
+func (s *cutSuite) play(e *Env, r *Report) error {
+	g, err := newAgreeing(e, s.sections, "")
+	if err != nil {
+		return fmt.Errorf("%s: %w", s.name, err)
+	}
+	defer g.Close()
+	var rows [][]any
+	for _, f := range s.faults {
+		o, err := g.play(f)
+		if err != nil {
+			return fmt.Errorf("%s: %w", f.name, err)
+		}
+		rows = append(rows, []any{f.name, o.played, spread(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), spread(o.heals)})
+		if f.kind != "full" { // there it waits for the voters to open their stores again
+			r.Hold(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
+		}
+	}
+	a := g.end()
+	_, longest := a.overlaps()
+	for _, row := range rows {
+		r.Row(rulesCutTable, append(row, longest, a.silent)...)
+	}
+	r.Hold(longest <= agreeWithin, s.name+": no act by an older version for longer than agree_within after the first by a newer", longest)
+	r.Hold(a.silent == 0, s.name+": each request gets an answer", a.silent)
+	r.Hold(a.lapsed > 0, s.name+": who has no right acts by none, or says that it has lapsed", a.lapsed)
+	return nil
 }
 
 // play has a fault happen so many times, each time at another process, with a change put while it lasts.
-func (g *agreeingRig) play(f cutFault) (*turns, error) {
-	t := &turns{}
+func (g *agreeingRig) play(f cutFault) (*cutOutcome, error) {
+	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
-	for ; t.played < f.turns; t.played++ {
-		i := rng.IntN(5)
-		if f.kind == "kill" {
-			owner, odd := g.Holders()
-			k, is := owner["rules"]
-			if !is {
-				return nil, fmt.Errorf("nobody keeps the rules: %s", odd)
-			}
-			i = k
-		}
-		by := (i + 1 + rng.IntN(4)) % 5
-		if f.kind == "full" {
-			i, by = t.played%3, 3
-		}
-		at, err := g.standing(by)
-		if err != nil {
-			return nil, err
-		}
-		end, err := g.strike(f, i)
-		if err != nil {
+	for ; o.played < f.turns; o.played++ {
+		if err := g.cutTurn(f, o, rng); err != nil {
 			return nil, err
 		}
-		began, answer := time.Now(), make(chan string, 1)
-		id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, at, t.played)
-		change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{Out: []string{fmt.Sprint("nobody", at, f.kind)}}, at, id))
-		go func() { answer <- g.ask(by, change) }()
-		switch f.kind {
-		case "pause":
-			g.sleeps(i, time.Duration(f.ms)*time.Millisecond)
-		case "kill":
-			time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
-			if err := g.dies(i); err != nil {
-				return nil, err
-			}
-		default:
-			time.Sleep(time.Duration(f.ms)*time.Millisecond - time.Since(began))
-		}
-		if err := end(); err != nil {
-			return nil, err
-		}
-		// Any process may be the one that has lost its way to the keeper, and then waits for an answer: all are asked.
-		heal, ok := g.anyone(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
-		if !ok {
-			return nil, fmt.Errorf("all do not act by one version once all is well: %s", g.ask(by, rules.QueryActive()))
-		}
-		t.heals = append(t.heals, heal)
-		switch got := <-answer; {
-		case strings.HasPrefix(got, "active: "):
-			t.took = append(t.took, time.Since(began))
-		case strings.HasPrefix(got, "refused: "):
-			t.refused++
-			continue
-		default:
-			t.unknown++
-			// The same once more is as once.
-			if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.ask(by, change), "active: ") }); !ok {
-				return nil, fmt.Errorf("a change that nobody answered can't be made once all is well: %s", g.ask(by, change))
-			}
+	}
+	return o, nil
+}
+
+// cutTurn has a fault happen once beside a change, and waits until all act by one version again.
+func (g *agreeingRig) cutTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
+	victim, by, err := g.pickVictim(f, o.played, rng)
+	if err != nil {
+		return err
+	}
+	version, err := g.standing(by)
+	if err != nil {
+		return err
+	}
+	end, err := g.strike(f, victim)
+	if err != nil {
+		return err
+	}
+	began, answer := time.Now(), make(chan string, 1)
+	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
+	change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{Out: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
+	go func() { answer <- g.ask(by, change) }()
+	if err := g.sitOut(f, victim, began, rng); err != nil {
+		return err
+	}
+	if err := end(); err != nil {
+		return err
+	}
+	// Any process may be the one that has lost its way to the coordinator, and then waits for an answer: all are asked.
+	heal, ok := g.anyone(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
+	if !ok {
+		return fmt.Errorf("all do not act by one version once all is well: %s", g.ask(by, rules.QueryActive()))
+	}
+	o.heals = append(o.heals, heal)
+	switch got := <-answer; {
+	case strings.HasPrefix(got, "active: "):
+		o.active = append(o.active, time.Since(began))
+	case strings.HasPrefix(got, "refused: "):
+		o.rejected++
+		return nil
+	default:
+		o.unknown++
+		if err := g.repeat(by, change); err != nil {
+			return err
 		}
-		want := fmt.Sprintf("active: version %d at 5 of 5", at+1)
-		if _, ok := g.anyone(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
-			return nil, fmt.Errorf("all do not act by version %d: %s", at+1, g.ask(by, rules.QueryActive()))
+	}
+	return g.awaitVersion(by, version+1)
+}
+
+// pickVictim gives the process that the fault strikes, and another by way of which the change is put.
+func (g *agreeingRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, by int, err error) {
+	victim = rng.IntN(5)
+	if f.kind == "kill" {
+		owners, conflict := g.Holders()
+		coordinator, is := owners["rules"]
+		if !is {
+			return 0, 0, fmt.Errorf("nobody keeps the rules: %s", conflict)
 		}
+		victim = coordinator
+	}
+	by = (victim + 1 + rng.IntN(4)) % 5
+	if f.kind == "full" {
+		victim, by = turn%3, 3 // a voter, and a process that does not vote
+	}
+	return victim, by, nil
+}
+
+// sitOut lets the fault last: stops and deaths happen here.
+func (g *agreeingRig) sitOut(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
+	switch f.kind {
+	case "pause":
+		g.sleeps(victim, f.lasts)
+	case "kill":
+		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
+		return g.dies(victim)
+	default:
+		time.Sleep(f.lasts - time.Since(began))
+	}
+	return nil
+}
+
+// repeat puts a change that nobody answered until it is active: twice is as once.
+func (g *agreeingRig) repeat(by int, change []byte) error {
+	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.ask(by, change), "active: ") }); !ok {
+		return fmt.Errorf("a change that nobody answered can't be made once all is well: %s", g.ask(by, change))
+	}
+	return nil
+}
+
+// awaitVersion waits until all act by a version.
+func (g *agreeingRig) awaitVersion(by int, version uint64) error {
+	want := fmt.Sprintf("active: version %d at 5 of 5", version)
+	if _, ok := g.anyone(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
+		return fmt.Errorf("all do not act by version %d: %s", version, g.ask(by, rules.QueryActive()))
 	}
-	return t, nil
+	return nil
 }
 
 // strike begins a fault at a process, and gives what ends it; stops and deaths are played by the turn itself.
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"runtime"
 	"slices"
 	"sync"
@@ -15,74 +16,113 @@
 // simCommand plays the program's own decisions in virtual time.
 func simCommand() *cobra.Command {
 	root := &cobra.Command{Use: "sim", Short: "Play decisions in virtual time, many plans of faults"}
-	var first, seeds, show int
-	var fault string
+	var o simOptions
 	owner := &cobra.Command{Use: "owner", Args: cobra.NoArgs, Short: "Owners, with 3 and 5 voters, with disks and without",
 		Example: "  croftlock-experiment sim owner --seeds 2000\n  croftlock-experiment sim owner --seeds 1000 --plant skip-sync",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			plant, known := plants[fault]
-			if !known {
-				return fmt.Errorf("no fault %q to plant; skip-sync, eager, from-answer and forget are known", fault)
-			}
-			began := time.Now()
-			var mu sync.Mutex
-			var sum simulation.Run
-			var first1 error
-			bad, at := 0, 0
-			next := make(chan uint64)
-			var busy sync.WaitGroup
-			for range runtime.GOMAXPROCS(0) {
-				busy.Add(1)
-				go func() {
-					defer busy.Done()
-					for s := range next {
-						c := simulation.Config{Processes: 5, Voters: 3 + 2*int(s/2%2), Jobs: 3, Disks: s%2 == 0, Seed: s}
-						plant(&c)
-						r := simulation.New(c)
-						plan := r.Faults()
-						err := r.Play()
-						mu.Lock()
-						if err != nil {
-							if bad++; bad <= show {
-								fmt.Fprintf(cmd.OutOrStdout(), "%v\n", err)
-								for _, f := range plan {
-									fmt.Fprintf(cmd.OutOrStdout(), "  %v\n", f)
-								}
-							}
-							if first1 == nil || int(s) < at {
-								first1, at = err, int(s)
-							}
-						}
-						sum.Effects, sum.Refused, sum.Starts, sum.Notes = sum.Effects+r.Effects, sum.Refused+r.Refused, sum.Starts+r.Starts, sum.Notes+r.Notes
-						sum.Leads, sum.Unsure, sum.Gaps = sum.Leads+r.Leads, sum.Unsure+r.Unsure, append(sum.Gaps, r.Gaps...)
-						mu.Unlock()
-					}
-				}()
-			}
-			for s := first; s < first+seeds; s++ {
-				next <- uint64(s)
-			}
-			close(next)
-			busy.Wait()
-			slices.Sort(sum.Gaps)
-			fmt.Fprintf(cmd.OutOrStdout(), "%d plans from %d on in %v: %d failed; %d effects taken, %d old ones refused, %d beginnings, %d notes kept, %d leads, %d of them unsure\n",
-				seeds, first, time.Since(began).Round(time.Second), bad, sum.Effects, sum.Refused, sum.Starts, sum.Notes, sum.Leads, sum.Unsure)
-			if n := len(sum.Gaps); n > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, sum.Gaps[n/2]/simulation.Ms, sum.Gaps[n*99/100]/simulation.Ms)
-			}
-			if bad > 0 {
-				return fmt.Errorf("first found at seed %d", at)
-			}
-			return nil
-		}}
-	owner.Flags().IntVar(&first, "first", 1, "first seed")
-	owner.Flags().IntVar(&seeds, "seeds", 2000, "how many")
-	owner.Flags().IntVar(&show, "show", 1, "failures printed with their plans")
-	owner.Flags().StringVar(&fault, "plant", "", "a fault to plant: skip-sync, eager, from-answer or forget")
+		RunE:    func(cmd *cobra.Command, _ []string) error { return o.run(cmd.OutOrStdout()) }}
+	owner.Flags().IntVar(&o.first, "first", 1, "first seed")
+	owner.Flags().IntVar(&o.seeds, "seeds", 2000, "how many")
+	owner.Flags().IntVar(&o.show, "show", 1, "failures printed with their plans")
+	owner.Flags().StringVar(&o.plant, "plant", "", "a fault to plant: skip-sync, eager, from-answer or forget")
 	root.AddCommand(owner)
 	return root
 }
 
+// simOptions say which plans are played.
+type simOptions struct {
+	first, seeds int    // seeds from first on
+	show         int    // failures that are printed with their plans
+	plant        string // in plants: a fault that the simulation has to find
+}
+
+// run plays the plans, as many side by side as there are cores, and prints the sums.
+func (o *simOptions) run(out io.Writer) error {
+	plant, known := plants[o.plant]
+	if !known {
+		return fmt.Errorf("no fault %q to plant; skip-sync, eager, from-answer and forget are known", o.plant)
+	}
+	began := time.Now()
+	sum := simSum{out: out, show: o.show}
+	next := make(chan uint64)
+	var busy sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		busy.Add(1)
+		go func() {
+			defer busy.Done()
+			for seed := range next {
+				c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
+				plant(&c)
+				sum.play(c)
+			}
+		}()
+	}
+	for seed := o.first; seed < o.first+o.seeds; seed++ {
+		next <- uint64(seed)
+	}
+	close(next)
+	busy.Wait()
+	sum.print(o, time.Since(began))
+	if sum.failed > 0 {
+		return fmt.Errorf("first found at seed %d", sum.firstFailed)
+	}
+	return nil
+}
+
+// simSum adds up what came of the plans.
+type simSum struct {
+	out  io.Writer
+	show int // failures that are printed
+
+	mu          sync.Mutex
+	run         simulation.Run // sums
+	failed      int
+	firstFailed uint64 // least seed that failed
+}
+
+// play plays one plan and adds what came of it.
+func (s *simSum) play(c simulation.Config) {
+	r := simulation.New(c)
+	plan := r.Faults()
+	err := r.Play()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.fail(c.Seed, plan, err)
+	}
+	s.run.Effects += r.Effects
+	s.run.Refused += r.Refused
+	s.run.Starts += r.Starts
+	s.run.Notes += r.Notes
+	s.run.Leads += r.Leads
+	s.run.Unsure += r.Unsure
+	s.run.Gaps = append(s.run.Gaps, r.Gaps...)
+}
+
+// fail notes a plan that failed, and prints the first ones.
+func (s *simSum) fail(seed uint64, plan []simulation.Fault, err error) {
+	if s.failed == 0 || seed < s.firstFailed {
+		s.firstFailed = seed
+	}
+	if s.failed++; s.failed > s.show {
+		return
+	}
+	fmt.Fprintf(s.out, "%v\n", err)
+	for _, f := range plan {
+		fmt.Fprintf(s.out, "  %v\n", f)
+	}
+}
+
+// print writes the sums.
+func (s *simSum) print(o *simOptions, took time.Duration) {
+	slices.Sort(s.run.Gaps)
+	fmt.Fprintf(s.out, "%d plans from %d on in %v: %d failed; %d effects taken, %d old ones refused, %d beginnings, %d notes kept, %d leads, %d of them unsure\n",
+		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.Effects, s.run.Refused, s.run.Starts, s.run.Notes, s.run.Leads, s.run.Unsure)
+	if n := len(s.run.Gaps); n > 0 {
+		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, s.run.Gaps[n/2]/simulation.Ms, s.run.Gaps[n*99/100]/simulation.Ms)
+	}
+}
+
+// plants are the faults that can be planted in the program's decisions.
 var plants = map[string]func(c *simulation.Config){
 	"":            func(*simulation.Config) {},
 	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
