--- a/internal/app/command/book_test.go
+++ b/internal/app/command/book_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		b.setup = append(b.setup, experiment.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: d.Addr(), Known: d.List(), Cores: 0.5, Sockets: 1024, MemoryMB: 64,
-			Peers: b.mesh.Peers(i), PeerListen: b.mesh.Own(i), Me: i, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+			Tier: experiment.Tier{Peers: b.mesh.Peers(i), Number: i, Listen: b.mesh.Own(i)}, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 		b.procs = append(b.procs, nil)
 		b.start(i)
 	}
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -20,14 +20,16 @@
 	Settings   processSettings `json:"settings"`
 }
 
+// processLimits are what the platform allows the process.
 type processLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
+// processSettings is the platform's settings object.
 type processSettings struct {
-	Me         int             `json:"me"`
+	Number     int             `json:"me"`
 	PeersTotal int             `json:"peers_total"`
 	Discovery  string          `json:"discovery"`
 	Bounds     processBounds   `json:"bounds"`
@@ -44,17 +46,19 @@
 	MaxRetryAfter  int64 `json:"max_retry_after"`
 }
 
+// processContract is what the platform expects of the process.
 type processContract struct {
 	MustAskIn int64 `json:"must_ask_in"` // nanoseconds
 }
 
+// processClass is a class of requests.
 type processClass struct {
-	Name     string `json:"name"`
-	Aim      int64  `json:"on_time"`  // nanoseconds
-	Deadline int64  `json:"deadline"` // nanoseconds
-	Effect   string `json:"semantics"`
-	Scope    string `json:"dedup_scope,omitempty"`
-	Window   int64  `json:"key_ttl,omitempty"` // nanoseconds
+	Name             string `json:"name"`
+	LatencyObjective int64  `json:"on_time"`  // nanoseconds
+	Deadline         int64  `json:"deadline"` // nanoseconds
+	Effect           string `json:"semantics"`
+	Scope            string `json:"dedup_scope,omitempty"`
+	Window           int64  `json:"key_ttl,omitempty"` // nanoseconds
 }
 
 // Class is a class of requests of an experiment with more than one.
@@ -62,26 +66,29 @@
 	Name     string
 	Deadline time.Duration
 	Effect   Effect
-	Window   time.Duration // for Keyed: how long hosts discard repeats
+	Window   time.Duration // for Keyed: the dedup window
 }
 
-// Effect is what a repeat of a request may do, as the settings name it.
+// Effect is what a repeated request may do, as the settings name it.
 type Effect string
 
-// The effects.
+// The effects that a class can have.
 const (
-	Safe   Effect = "read_like"
-	Keyed  Effect = "idempotency_key"
+	Safe   Effect = "read_like"       // idempotent
+	Keyed  Effect = "idempotency_key" // idempotent within the dedup window, by its key
 	Unsafe Effect = "non_idempotent"
 )
 
+// maxLatencyObjective is the latency objective of classes with longer deadlines.
+const maxLatencyObjective = 800 * time.Millisecond
+
 // classes are the settings' entries.
 func (s *Setup) classes() (out []processClass) {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{Name: class, Deadline: s.Deadline, Effect: Safe}}
 	}
 	for _, c := range s.Classes {
-		p := processClass{Name: c.Name, Aim: int64(min(800*time.Millisecond, c.Deadline)), Deadline: int64(c.Deadline), Effect: string(c.Effect)}
+		p := processClass{Name: c.Name, LatencyObjective: int64(min(maxLatencyObjective, c.Deadline)), Deadline: int64(c.Deadline), Effect: string(c.Effect)}
 		if c.Effect == Keyed {
 			p.Scope, p.Window = "all", int64(c.Window)
 		}
@@ -120,10 +127,10 @@
 		lists = listsPushed
 	}
 	return processConfig{
-		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.Known, PeerListen: s.PeerListen, Peers: s.Peers,
+		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.Known, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
 		Limits: processLimits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.Sockets},
-		Settings: processSettings{Me: s.Me, PeersTotal: max(1, len(s.Peers)), Discovery: lists,
-			Bounds: processBounds{MayTell: len(s.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.Connect), RetryAfter: true,
+		Settings: processSettings{Number: s.Tier.Number, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: lists,
+			Bounds: processBounds{MayTell: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.Connect), RetryAfter: true,
 				MaxRetryAfter: int64(time.Second)},
 			Contract: processContract{MustAskIn: int64(10 * time.Second)},
 			Classes:  s.classes()},
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -29,26 +29,31 @@
 // Setup is what a proxy process is started with.
 type Setup struct {
 	Name      string
-	Discovery string
-	Pushed    bool // discovery is an agent to which lists are pushed
-	Known     fake.List
-	Settings  string // the operators' file; "": none
-	Cores     float64
-	Sockets   int
-	MemoryMB  float64
-	Connect   time.Duration // limit of a connect
-	Deadline  time.Duration // of a request
+	Discovery string        // address
+	Pushed    bool          // discovery is an agent to which lists are pushed
+	Known     fake.List     // the endpoint list that it starts with
+	Settings  string        // path of the settings file; "": none
+	Cores     float64       // part of a core that it may use; default 1
+	Sockets   int           // descriptors that it may hold; default 4096
+	MemoryMB  float64       // memory that it may hold; default 192
+	Connect   time.Duration // limit of a connect; default 250 ms
+	Deadline  time.Duration // of a request; default 2 s
 	Classes   []Class       // none: one class of safe requests with that deadline
-	Args, Env []string
-	Files     []*os.File // descriptors that it inherits, from 3 on
-	Listen    string     // "": any address
-	Admin     string     // where operators call; "": nowhere
-	Tmp       string     // the platform's private folder; "": as this process has it
-	Program   string     // "": the one that experiments run
-	// Where it reaches the other proxies of its tier, itself included, its number among them, and where it is reached; none: it has no others.
-	Peers      []string
-	Me         int
-	PeerListen string
+	Args      []string      // more arguments of the command serve
+	Env       []string      // more of its environment, NAME=VALUE
+	Files     []*os.File    // descriptors that it inherits, from 3 on
+	Listen    string        // "": any address
+	Admin     string        // address of the admin interface; "": none
+	Tmp       string        // the platform's private folder; "": as this process has it
+	Program   string        // "": the one that experiments run
+	Tier      Tier
+}
+
+// Tier is where a proxy stands among the other proxies of its tier; none: it has no others.
+type Tier struct {
+	Peers  []string // addresses of all proxies of the tier, itself included
+	Number int      // its own place in Peers
+	Listen string   // where it is reached
 }
 
 // Process is a process that an experiment started.
