--- a/internal/app/command/floors_test.go
+++ b/internal/app/command/floors_test.go
@@ -58,7 +58,7 @@
 	}
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: n, Seed: 4, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: n, Seed: 4, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
 		Discoveries: lists, Sections: `(floors (on on) (source lab) (within 500ms))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -123,7 +123,7 @@
 	r.Cut(2, true)
 	used("one cut off", 3*time.Second, 1, 2*rate+rate/4, standing)
 	r.Cut(2, false)
-	owner, _ := r.Holders()
+	owner, _ := r.JobOwners()
 	k := owner["limits0"]
 	for s := range 4 {
 		if o, has := owner[fmt.Sprintf("limits%d", s)]; has && o != 0 {
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -27,7 +27,7 @@
 	const patience = 40 * time.Second
 	whole := func(after string) {
 		t.Helper()
-		if _, ok := r.Whole(patience); !ok {
+		if _, ok := r.AllAlive(patience); !ok {
 			t.Fatalf("after %s not all hold all for alive", after)
 		}
 	}
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -38,7 +38,7 @@
 	t.Cleanup(d.Close)
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock"))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -26,7 +26,7 @@
 	if disks {
 		section += ` (dir "DIR")`
 	}
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 1,
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 1,
 		Key: "0123456789abcdef0123456789abcdef", Sections: section + ")", Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	var out map[string]int
 	var last string
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		out, last = r.Holders(but...)
+		out, last = r.JobOwners(but...)
 		return len(out) == 4
 	}); !ok {
 		for i, p := range r.Procs {
@@ -158,7 +158,7 @@
 	t.Parallel()
 	r := fleetOf(t, true)
 	owned(t, r, "the start")
-	full, back := r.Full(0)
+	full, back := r.FillDisk(0)
 	if err := full(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -91,7 +91,7 @@
 	active(0, 3, 5)
 
 	// The keeper is killed while a change is on its way.
-	owner, _ := r.Holders()
+	owner, _ := r.JobOwners()
 	k := owner["rules"]
 	r.Cut((k+1)%5, true) // holds the change up
 	done := make(chan string, 1)
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{N: 5, Seed: 3, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + more + `)`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// addrs counts the addresses that were given out.
-var addrs atomic.Uint32
+// addrsGiven counts the addresses that were given out.
+var addrsGiven atomic.Uint32
 
 // What the addresses of one process are made of: a loopback network of its own, in which it counts.
 const (
-	ownNetworks = 250
-	ownPorts    = 20000
-	firstPort   = 10000
-	mostTries   = 1000
+	ownNetworks     = 250
+	ownPorts        = 20000
+	firstPort       = 10000
+	maxAddrAttempts = 1000
 )
 
 // OwnPort is a port that other processes of the same loopback network do not use.
@@ -27,8 +27,8 @@
 // FreeAddr is an address that nothing listens on and that nothing else is given: a port of 127.0.0.1 that was free a moment ago can be any
 // connection's by the time it is listened on.
 func FreeAddr() (string, error) {
-	for range mostTries {
-		k := int(addrs.Add(1))
+	for range maxAddrAttempts {
+		k := int(addrsGiven.Add(1))
 		addr := fmt.Sprintf("127.%d.%d.%d:%d", OwnNetwork(), 100+k/ownNetworks%150, 1+k%ownNetworks, OwnPort())
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -37,5 +37,5 @@
 		l.Close()
 		return addr, nil
 	}
-	return "", fmt.Errorf("no address of %d is free", mostTries)
+	return "", fmt.Errorf("no address of %d is free", maxAddrAttempts)
 }
--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -83,7 +83,7 @@
 		Example: "  croftlock-experiment run tls-bad tls-storm --out reports", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			for _, name := range args {
-				x := find(name)
+				x := experimentNamed(name)
 				if x == nil {
 					return fmt.Errorf("no experiment %q; croftlock-experiment list names them", name)
 				}
@@ -111,7 +111,7 @@
 	return c
 }
 
-func find(name string) *experiment {
+func experimentNamed(name string) *experiment {
 	for i := range experiments {
 		if experiments[i].name == name {
 			return &experiments[i]
@@ -147,7 +147,7 @@
 	defer cleanUpOnInterrupt(dir)()
 	defer killAll()
 	e.Dir = dir
-	e.Say = func(format string, args ...any) {
+	e.Logf = func(format string, args ...any) {
 		fmt.Fprintf(os.Stderr, "%s "+format+"\n", append([]any{time.Now().UTC().Format("15:04:05")}, args...)...)
 	}
 	r := &Report{Name: x.name, Began: time.Now()}
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -85,7 +85,7 @@
 // classes are the settings' entries.
 func (s *Setup) classes() (out []processClass) {
 	if len(s.Classes) == 0 {
-		s.Classes = []Class{{Name: class, Deadline: s.Deadline, Effect: Safe}}
+		s.Classes = []Class{{Name: requestClass, Deadline: s.Deadline, Effect: Safe}}
 	}
 	for _, c := range s.Classes {
 		p := processClass{Name: c.Name, LatencyObjective: int64(min(maxLatencyObjective, c.Deadline)), Deadline: int64(c.Deadline), Effect: string(c.Effect)}
@@ -105,15 +105,15 @@
 
 // setDefaults fills in what an experiment leaves out.
 func (s *Setup) setDefaults() {
-	setDefault(&s.Cores, 1)
-	setDefault(&s.Sockets, 4096)
-	setDefault(&s.MemoryMB, 192)
-	setDefault(&s.Connect, 250*time.Millisecond)
-	setDefault(&s.Deadline, 2*time.Second)
-	setDefault(&s.Listen, "127.0.0.1:0")
+	setIfZero(&s.Cores, 1)
+	setIfZero(&s.Sockets, 4096)
+	setIfZero(&s.MemoryMB, 192)
+	setIfZero(&s.Connect, 250*time.Millisecond)
+	setIfZero(&s.Deadline, 2*time.Second)
+	setIfZero(&s.Listen, "127.0.0.1:0")
 }
 
-func setDefault[T comparable](value *T, to T) {
+func setIfZero[T comparable](value *T, to T) {
 	var unset T
 	if *value == unset {
 		*value = to
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -16,9 +16,9 @@
 // memberKill kills one, and a third, among 5 and 15 processes.
 func memberKill(e *Env, r *Report) error {
 	const table = "from SIGKILL until all survivors hold the killed for unreachable or gone"
-	r.Head(table, "processes", "killed", "turns", "median", "p99", "back as a new life, median")
+	r.Columns(table, "processes", "killed", "turns", "median", "p99", "back as a new life, median")
 	for _, n := range []int{5, 15} {
-		rig, err := NewRig(e, n, 1, labKey)
+		rig, err := NewRig(e, n, 1, sealKey)
 		if err != nil {
 			return err
 		}
@@ -30,7 +30,7 @@
 			}
 			p99 := known[len(known)-1]
 			r.Row(table, n, kill, len(known), known[len(known)/2], p99, back[len(back)/2])
-			r.Hold(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", kill, n), p99)
+			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", kill, n), p99)
 		}
 		rig.Close()
 	}
@@ -42,7 +42,7 @@
 func (r *Rig) killTurns(kill int) (known, back []time.Duration, err error) {
 	n := len(r.Procs)
 	for turn := range killTurns {
-		if _, ok := r.Whole(30 * time.Second); !ok {
+		if _, ok := r.AllAlive(30 * time.Second); !ok {
 			return nil, nil, fmt.Errorf("%d processes, turn %d: not whole after 30 s", n, turn)
 		}
 		var dead, alive []int
@@ -64,7 +64,7 @@
 				return nil, nil, err
 			}
 		}
-		took, ok := r.Whole(30 * time.Second)
+		took, ok := r.AllAlive(30 * time.Second)
 		if !ok {
 			return nil, nil, fmt.Errorf("%d processes, turn %d: not whole 30 s after the restart", n, turn)
 		}
@@ -90,21 +90,21 @@
 	return took, nil
 }
 
-// labKey seals the datagrams of rigs.
-const labKey = "0123456789abcdef0123456789abcdef"
+// sealKey seals the datagrams of rigs.
+const sealKey = "0123456789abcdef0123456789abcdef"
 
 // memberPause stops one of five for times under 2 s, and for 10 s.
 func memberPause(e *Env, r *Report) error {
-	rig, err := NewRig(e, 5, 1, labKey)
+	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
 	const table, sleeper = "a process that sleeps", 1
 	others := []int{0, 2, 3, 4}
-	r.Head(table, "pause", "held for unreachable by", "alive again to all after", "the sleeper accuses")
+	r.Columns(table, "pause", "held for unreachable by", "alive again to all after", "the sleeper accuses")
 	for _, pause := range []time.Duration{200 * time.Millisecond, time.Second, 1900 * time.Millisecond, 10 * time.Second} {
-		if _, ok := rig.Whole(30 * time.Second); !ok {
+		if _, ok := rig.AllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("not whole before a pause of %v", pause)
 		}
 		givenUpBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(sleeper)
@@ -119,12 +119,12 @@
 		givenUp, accused := rig.logLines("to=unreachable", others...)-givenUpBefore, rig.accusations(sleeper)-accusedBefore
 		r.Row(table, pause, givenUp, back, accused)
 		if pause < 2*time.Second {
-			r.Hold(givenUp == 0, fmt.Sprintf("a pause of %v removes nobody", pause), givenUp)
+			r.Check(givenUp == 0, fmt.Sprintf("a pause of %v removes nobody", pause), givenUp)
 		} else {
-			r.Hold(givenUp == 4, "a pause of 10 s is noticed by all", givenUp)
+			r.Check(givenUp == 4, "a pause of 10 s is noticed by all", givenUp)
 		}
-		r.Hold(back < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), back)
-		r.Hold(accused == 0, fmt.Sprintf("%v: the sleeper accuses nobody", pause), accused)
+		r.Check(back < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), back)
+		r.Check(accused == 0, fmt.Sprintf("%v: the sleeper accuses nobody", pause), accused)
 	}
 	return nil
 }
@@ -145,12 +145,12 @@
 // memberLoss loses a fifth of all datagrams for five minutes, then one process dies.
 func memberLoss(e *Env, r *Report) error {
 	const lasts = 5 * time.Minute
-	rig, err := NewRig(e, 5, 1, labKey)
+	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	if _, ok := rig.Whole(30 * time.Second); !ok {
+	if _, ok := rig.AllAlive(30 * time.Second); !ok {
 		return errors.New("not whole after 30 s")
 	}
 	rig.setLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
@@ -164,7 +164,7 @@
 	took, ok := rig.AllSee(20*time.Second, []int{0, 1, 3, 4}, 2, "unreachable", "gone")
 	r.Set("unreachable", unreachable)
 	r.Set("detected", took)
-	r.Hold(gone == 0, fmt.Sprintf("nobody called gone in %v at a loss of 20%%", lasts), gone)
-	r.Hold(ok && took < 5*time.Second, "a death is known to all within 5 s", took)
+	r.Check(gone == 0, fmt.Sprintf("nobody called gone in %v at a loss of 20%%", lasts), gone)
+	r.Check(ok && took < 5*time.Second, "a death is known to all within 5 s", took)
 	return nil
 }
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -86,7 +86,7 @@
 // memberCost plays each way to detect failures that was weighed, in virtual time.
 func memberCost(e *Env, r *Report) error {
 	const table = "a second an instance; time until 99 in 100 know of a death; false alarms an hour in the whole fleet"
-	r.Head(table, "way", "members", "loss", "messages", "bytes", "known ms (median, worst of 5)", "false alarms")
+	r.Columns(table, "way", "members", "loss", "messages", "bytes", "known ms (median, worst of 5)", "false alarms")
 	runs := detectorRuns()
 	simulateAll(e, runs)
 	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
@@ -103,8 +103,8 @@
 	if err != nil {
 		return err
 	}
-	r.Hold(cpu < 0.003, "CPU of an idle process of five with membership on, under 0.003 of a core", fmt.Sprintf("%.4f", cpu))
-	r.Hold(messages[1000] < 2*messages[3], "messages an instance at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", messages[1000], messages[3]))
+	r.Check(cpu < 0.003, "CPU of an idle process of five with membership on, under 0.003 of a core", fmt.Sprintf("%.4f", cpu))
+	r.Check(messages[1000] < 2*messages[3], "messages an instance at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", messages[1000], messages[3]))
 	return nil
 }
 
@@ -130,7 +130,7 @@
 			defer busy.Done()
 			for d := range next {
 				d.simulate()
-				e.Say("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
+				e.Logf("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
 			}
 		}()
 	}
@@ -144,12 +144,12 @@
 // idleMemberCPU is the part of a core that an idle process of five takes, membership included.
 func idleMemberCPU(e *Env) (float64, error) {
 	const span = 10 * time.Second
-	rig, err := NewRig(e, 5, 1, labKey)
+	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return 0, err
 	}
 	defer rig.Close()
-	if _, ok := rig.Whole(30 * time.Second); !ok {
+	if _, ok := rig.AllAlive(30 * time.Second); !ok {
 		return 0, errors.New("five processes: not whole after 30 s")
 	}
 	before := rig.Procs[0].CPU()
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -32,15 +32,15 @@
 
 // memberCut cuts links in one direction, makes one deaf and one mute, and cuts two off from three.
 func memberCut(e *Env, r *Report) error {
-	rig, err := NewRig(e, 5, 1, labKey)
+	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
 	const table = "cuts among five, 8 s each"
-	r.Head(table, "cut", "held for unreachable, not meant", "link named after", "views alike after healing")
+	r.Columns(table, "cut", "held for unreachable, not meant", "link named after", "views alike after healing")
 	for _, c := range linkCuts {
-		if _, ok := rig.Whole(30 * time.Second); !ok {
+		if _, ok := rig.AllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("%s: not whole before", c.name)
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
@@ -49,15 +49,15 @@
 			return err
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = false })
-		heal, ok := rig.Whole(20 * time.Second)
+		heal, ok := rig.AllAlive(20 * time.Second)
 		if !ok {
 			return fmt.Errorf("%s: not whole 20 s after healing", c.name)
 		}
 		r.Row(table, c.name, wrong, named, heal)
-		r.Hold(wrong == 0, c.name+": the majority gives nobody up whom it hears", wrong)
-		r.Hold(heal < 3*time.Second, c.name+": views alike within 3 s of healing", heal)
+		r.Check(wrong == 0, c.name+": the majority gives nobody up whom it hears", wrong)
+		r.Check(heal < 3*time.Second, c.name+": views alike within 3 s of healing", heal)
 		if c.namedBy >= 0 {
-			r.Hold(named >= 0 && named < 3*time.Second, c.name+": the cut is named within 3 s", named)
+			r.Check(named >= 0 && named < 3*time.Second, c.name+": the cut is named within 3 s", named)
 		}
 	}
 	return nil
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	opsWait   = 2 * time.Second
-	opsCrowd  = 40
-	opsRate   = 60.0 // fresh connections a second
-	upgrades  = 20
-	drainRule = 250 * time.Millisecond
+	opsTimeout       = 2 * time.Second
+	opsStanding      = 40
+	opsRate          = 60.0 // fresh connections a second
+	upgrades         = 20
+	drainNoticeLimit = 250 * time.Millisecond
 )
 
 // opsUpgrade: 20 replacements under load, then a process that dies at each step of one.
 func opsUpgrade(e *Env, r *Report) error {
-	s, err := newSite(e, opsRate)
+	s, err := newProxySite(e, opsRate)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	var readies, leaves series
+	var readies, leaves samples
 	for range upgrades {
 		in, out, err := s.replace()
 		if err != nil {
@@ -34,38 +34,38 @@
 		readies, leaves = append(readies, in.Seconds()*1e3), append(leaves, out.Seconds()*1e3)
 		time.Sleep(500 * time.Millisecond)
 	}
-	door := s.door()
+	door := s.unansweredCount()
 	handed := 0
-	for _, l := range s.now.Log("resumed=") {
+	for _, l := range s.current.Log("resumed=") {
 		_, rest, _ := strings.Cut(l, "resumed=")
 		n, _ := strconv.Atoi(strings.Fields(rest)[0])
 		handed += n
 	}
-	r.Head("replacements under load", "processes", "fresh clients", "ended at the door", "standing", "lost", "moved", "ready, ms", "old one gone, ms")
-	r.Row("replacements under load", upgrades, s.fresh.count("UP")+s.fresh.count("BUSY")+s.fresh.count("ERR")+door, door, opsCrowd,
-		len(s.crowd.lost), s.crowd.moved, readies, leaves)
-	r.Hold(door == 0, "connections that ended at the door", door)
-	r.Hold(len(s.crowd.lost) == 0, "standing connections lost", strings.Join(s.crowd.lost, "; ")+fmt.Sprint(len(s.crowd.lost)))
-	r.Hold(readies.quantile(1) < 6000, "ms to the yes, at most 6,000", readies)
-	r.Hold(leaves.quantile(1) < 3700, "ms from SIGTERM to the old one's end, at most 3,700", leaves)
-	r.Hold(s.fresh.count("ERR") == 0, "fresh clients that failed", s.fresh.count("ERR"))
+	r.Columns("replacements under load", "processes", "fresh clients", "ended at the door", "standing", "lost", "moved", "ready, ms", "old one gone, ms")
+	r.Row("replacements under load", upgrades, s.fresh.count("UP")+s.fresh.count("BUSY")+s.fresh.count("ERR")+door, door, opsStanding,
+		len(s.standing.lost), s.standing.moved, readies, leaves)
+	r.Check(door == 0, "connections that ended at the door", door)
+	r.Check(len(s.standing.lost) == 0, "standing connections lost", strings.Join(s.standing.lost, "; ")+fmt.Sprint(len(s.standing.lost)))
+	r.Check(readies.quantile(1) < 6000, "ms to the yes, at most 6,000", readies)
+	r.Check(leaves.quantile(1) < 3700, "ms from SIGTERM to the old one's end, at most 3,700", leaves)
+	r.Check(s.fresh.count("ERR") == 0, "fresh clients that failed", s.fresh.count("ERR"))
 
-	r.Head("a process dies", "step", "fresh clients that ended without an answer", "who serves")
+	r.Columns("a process dies", "step", "fresh clients that ended without an answer", "who serves")
 	for _, step := range []string{"new one, before its yes", "old one, before the new one's yes", "new one, after its yes"} {
-		before := s.door()
-		who, err := s.dies(step)
+		before := s.unansweredCount()
+		who, err := s.killAtStep(step)
 		if err != nil {
 			return fmt.Errorf("%s: %w", step, err)
 		}
-		lost := s.door() - before
+		lost := s.unansweredCount() - before
 		r.Row("a process dies", step, lost, who)
 		// Whoever is connected to a process that is killed loses that connection; who waits in the queue does not.
-		c, a, err := fake.Open(s.setup.Listen, class, "", opsWait)
+		c, a, err := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
 		if c != nil {
 			c.Close()
 		}
-		r.Hold(err == nil && a.Kind == "UP", "served after the death of the "+step, a.Kind)
-		r.Hold(lost <= 3, "fresh clients cut off by the death of the "+step+", at most 3", lost)
+		r.Check(err == nil && a.Kind == "UP", "served after the death of the "+step, a.Kind)
+		r.Check(lost <= 3, "fresh clients cut off by the death of the "+step+", at most 3", lost)
 	}
 	r.Set("door", door)
 	r.Set("ready_ms", readies)
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// dies kills a process at one step of a replacement, and leaves one that serves.
-func (s *site) dies(step string) (string, error) {
-	p, admin, err := s.begin()
+// killAtStep kills a process at one step of a replacement, and leaves one that serves.
+func (s *proxySite) killAtStep(step string) (string, error) {
+	p, admin, err := s.startProcess()
 	if err != nil {
 		return "", err
 	}
@@ -84,14 +84,14 @@
 	case strings.HasPrefix(step, "new one, before"):
 		p.Kill()
 	case strings.HasPrefix(step, "old one"):
-		s.now.Kill()
-		s.now, s.admin, who = p, admin, "new"
+		s.current.Kill()
+		s.current, s.admin, who = p, admin, "new"
 	default:
 		if err := Ready(admin, 6*time.Second); err != nil {
 			return "", err
 		}
 		p.Kill()
-		if !s.now.Await("taken_back", 5*time.Second) {
+		if !s.current.Await("taken_back", 5*time.Second) {
 			return "", errors.New("the old one did not take over again")
 		}
 	}
@@ -102,33 +102,33 @@
 
 // opsHand: a host is taken out and called back, three times, through list changes and a replacement in between.
 func opsHand(e *Env, r *Report) error {
-	s, err := newSite(e, opsRate)
+	s, err := newProxySite(e, opsRate)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	const title = "a host out by hand"
-	r.Head(title, "round", "sends in the rule's 250 ms", "sends after", "standing left after 1.5 s", "first send after the call back, ms")
-	uid := s.fleet.servers[0].UID
-	after, firsts := 0, series{}
+	r.Columns(title, "round", "sends in the rule's 250 ms", "sends after", "standing left after 1.5 s", "first send after the call back, ms")
+	uid := s.upstreams.servers[0].UID
+	after, firsts := 0, samples{}
 	for round := range 3 {
 		time.Sleep(2 * time.Second)
-		b, _ := s.fleet.servers[0].Opened()
+		b, _ := s.upstreams.servers[0].Opened()
 		if status, body, _, err := Call(s.admin, "POST", "/v1/catalogue-servers/"+uid+"/suspend"); err != nil || status != 200 {
 			return fmt.Errorf("suspend: %d %s %v", status, body, err)
 		}
-		time.Sleep(drainRule)
-		from, _ := s.fleet.servers[0].Opened()
-		s.fleet.discovery.Set(s.fleet.servers[0].Entry()) // told anew that it is up
+		time.Sleep(drainNoticeLimit)
+		from, _ := s.upstreams.servers[0].Opened()
+		s.upstreams.discovery.Set(s.upstreams.servers[0].Entry()) // told anew that it is up
 		time.Sleep(time.Second)
-		left := s.fleet.servers[0].Standing()
+		left := s.upstreams.servers[0].Standing()
 		if _, _, err := s.replace(); err != nil {
 			return err
 		}
-		s.fleet.discovery.State(uid, "draining")
-		s.fleet.discovery.State(uid, "up")
+		s.upstreams.discovery.State(uid, "draining")
+		s.upstreams.discovery.State(uid, "up")
 		time.Sleep(2 * time.Second)
-		to, _ := s.fleet.servers[0].Opened()
+		to, _ := s.upstreams.servers[0].Opened()
 		after += to - from
 		began := time.Now()
 		if status, _, _, err := Call(s.admin, "POST", "/v1/catalogue-servers/"+uid+"/resume"); err != nil || status != 200 {
@@ -136,7 +136,7 @@
 		}
 		first := 0.0
 		for time.Since(began) < 5*time.Second && first == 0 {
-			if n, _ := s.fleet.servers[0].Opened(); n > to {
+			if n, _ := s.upstreams.servers[0].Opened(); n > to {
 				first = time.Since(began).Seconds() * 1e3
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -145,12 +145,12 @@
 			firsts = append(firsts, first)
 		}
 		r.Row(title, round+1, from-b, to-from, left, first)
-		r.Hold(first > 0, fmt.Sprintf("round %d: it receives within 5 s of the call back", round+1), first)
+		r.Check(first > 0, fmt.Sprintf("round %d: it receives within 5 s of the call back", round+1), first)
 	}
 	status, _, _, _ := Call(s.admin, "POST", "/v1/catalogue-servers/nobody/suspend")
-	r.Hold(status == 404, "an id that was never listed", status)
-	r.Hold(after == 0, "sends to a suspended host after its grace", after)
-	r.Hold(len(s.crowd.lost) == 0, "standing connections lost", strings.Join(s.crowd.lost, "; ")+fmt.Sprint(len(s.crowd.lost)))
+	r.Check(status == 404, "an id that was never listed", status)
+	r.Check(after == 0, "sends to a suspended host after its grace", after)
+	r.Check(len(s.standing.lost) == 0, "standing connections lost", strings.Join(s.standing.lost, "; ")+fmt.Sprint(len(s.standing.lost)))
 	r.Set("sends_after_grace", after)
 	r.Set("first_ms", firsts)
 	return nil
--- a/internal/testbed/experiment/opsfigures.go
+++ b/internal/testbed/experiment/opsfigures.go
@@ -14,24 +14,24 @@
 // opsFigures compares the metrics with what clients and servers counted, times operators' calls under load with half
 // callers about, and the CPU of a placement and of a line; CROFTLOCK_BEFORE names a program to compare that with.
 func opsFigures(e *Env, r *Report) error {
-	s, err := newSite(e, 200)
+	s, err := newProxySite(e, 200)
 	if err != nil {
 		return err
 	}
 	defer s.close()
 	took, bad := s.callUnderLoad()
 	close(s.stop)
-	s.loads.Wait()
-	s.crowd.leave()
+	s.load.Wait()
+	s.standing.end()
 	time.Sleep(600 * time.Millisecond)
 	_, body, _, err := Call(s.admin, "GET", "/v1/metrics")
 	if err != nil {
 		return err
 	}
 	worst := s.compareMetrics(r, parseMetrics(body))
-	r.Hold(worst == 0, "largest deviation of a figure", worst)
-	r.Hold(bad == 0, "calls late or wrong beside 200 half callers", bad)
-	r.Hold(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
+	r.Check(worst == 0, "largest deviation of a figure", worst)
+	r.Check(bad == 0, "calls late or wrong beside 200 half callers", bad)
+	r.Check(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
 	r.Set("deviation", worst)
 	r.Set("call_p99_ms", took.quantile(0.99))
 	r.Set("call_max_ms", took.quantile(1))
@@ -40,15 +40,15 @@
 
 // callUnderLoad asks for the metrics 200 times while callers that never finish their request add up and servers fail and are busy in
 // turn. It gives the milliseconds of each call, and how many were answered wrongly.
-func (s *site) callUnderLoad() (took series, bad int) {
+func (s *proxySite) callUnderLoad() (took samples, bad int) {
 	var half []net.Conn
 	for i := range 200 {
 		if c, err := net.Dial("tcp", s.admin); err == nil {
 			fmt.Fprint(c, "GET /v1/metrics HT")
 			half = append(half, c)
 		}
-		s.fleet.servers[1].Fault.Store(i%50 < 10)
-		s.fleet.servers[2].Busy.Store(i%40 < 20)
+		s.upstreams.servers[1].Fault.Store(i%50 < 10)
+		s.upstreams.servers[2].Busy.Store(i%40 < 20)
 		status, _, t, err := Call(s.admin, "GET", "/v1/metrics")
 		if err != nil || status != 200 {
 			bad++
@@ -74,20 +74,20 @@
 }
 
 // compareMetrics holds the metrics against what the peers counted, and gives the largest deviation.
-func (s *site) compareMetrics(r *Report, metrics map[string]int) (worst int) {
+func (s *proxySite) compareMetrics(r *Report, metrics map[string]int) (worst int) {
 	opened := 0
-	for _, server := range s.fleet.servers {
+	for _, server := range s.upstreams.servers {
 		n, _ := server.Opened()
 		opened += n
 	}
-	all := func(kind string) int { return s.fresh.count(kind) + s.crowd.answers.count(kind) }
+	all := func(kind string) int { return s.fresh.count(kind) + s.standing.answers.count(kind) }
 	const title = "figures against peers"
-	r.Head(title, "figure", "told", "counted by peers", "off by")
+	r.Columns(title, "figure", "told", "counted by peers", "off by")
 	for _, x := range []struct {
 		name    string
 		counted int
-	}{{"replies." + class + ".success", all("UP")}, {"replies." + class + ".overload", all("BUSY")},
-		{"replies." + class + ".error", all("ERR")}, {"dispatches", opened}, {"concurrent", 0}, {"targets", 3}} {
+	}{{"replies." + requestClass + ".success", all("UP")}, {"replies." + requestClass + ".overload", all("BUSY")},
+		{"replies." + requestClass + ".error", all("ERR")}, {"dispatches", opened}, {"concurrent", 0}, {"targets", 3}} {
 		got, named := metrics[x.name]
 		if !named {
 			got = -1
@@ -100,14 +100,14 @@
 }
 
 // reportCosts is the CPU of a placement and of a line there and back, by the program and, in turn, by the one before it.
-func (s *site) reportCosts(r *Report) error {
+func (s *proxySite) reportCosts(r *Report) error {
 	const title, rounds = "CPU, microseconds", 5
 	programs := []string{s.Croftlock}
 	if before := os.Getenv("CROFTLOCK_BEFORE"); before != "" {
 		programs = append(programs, before)
 	}
-	r.Head(title, "program", "a placement", "a line there and back")
-	placing, passing := make([]series, len(programs)), make([]series, len(programs))
+	r.Columns(title, "program", "a placement", "a line there and back")
+	placing, passing := make([]samples, len(programs)), make([]samples, len(programs))
 	for range rounds {
 		for i, program := range programs {
 			placement, line, err := s.costs(program)
@@ -124,7 +124,7 @@
 }
 
 // costs measures a program: the microseconds of CPU of a placement, and of a line there and back.
-func (s *site) costs(program string) (placement, line float64, err error) {
+func (s *proxySite) costs(program string) (placement, line float64, err error) {
 	const placements, lines = 400, 2000
 	with := s.setup
 	with.Listen, with.Tmp, with.Program = "", "", program
@@ -135,21 +135,21 @@
 	defer p.Kill()
 	before := p.CPU()
 	for range placements {
-		c, _, err := fake.Open(p.Addr, class, "", opsWait)
+		c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 		if err != nil || c == nil {
 			return 0, 0, fmt.Errorf("a placement: %v", err)
 		}
 		c.Close()
 	}
 	placement = float64(p.CPU()-before) / 1e3 / placements
-	c, _, err := fake.Open(p.Addr, class, "", opsWait)
+	c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 	if err != nil || c == nil {
 		return 0, 0, fmt.Errorf("a connection: %v", err)
 	}
 	defer c.Close()
 	before = p.CPU()
 	for range lines {
-		if _, _, err := c.Ask("x", opsWait); err != nil {
+		if _, _, err := c.Ask("x", opsTimeout); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -15,7 +15,7 @@
 // ownerChaos has a fault every 2 s for two minutes, with clients placed throughout.
 func ownerChaos(e *Env, r *Report) error {
 	c := &chaosRun{env: e, report: r, lasts: 120 * time.Second, rate: 200}
-	r.Head(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
+	r.Columns(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
 	if err := c.quiet(); err != nil {
 		return err
 	}
@@ -35,11 +35,11 @@
 
 // newRig starts five processes of which three vote.
 func (c *chaosRun) newRig() (*Rig, error) {
-	f, err := newFleet(c.env, 3, false)
+	f, err := newUpstreams(c.env, 3, false)
 	if err != nil {
 		return nil, err
 	}
-	rig, err := NewRigWith(c.env, RigOptions{N: 5, Seed: 7, Key: labKey, Level: "debug", Fleet: f, Sections: ownersFile(3, true, "(drill 20) (hosts on)")})
+	rig, err := NewRigWith(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, Level: "debug", Upstreams: f, Sections: ownersFile(3, true, "(drill 20) (hosts on)")})
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	}
 	defer rig.Close()
 	got := c.placements(rig)
-	c.quietP99 = got.took.quantile(0.99)
+	c.quietP99 = got.milliseconds.quantile(0.99)
 	c.row("no faults", got)
 	return nil
 }
@@ -70,19 +70,19 @@
 		return err
 	}
 	defer rig.Close()
-	h := &history{rig: rig, stop: make(chan struct{})}
+	h := &operatorHistory{rig: rig, stop: make(chan struct{})}
 	faults := make(chan struct{})
 	go func() {
 		defer close(faults)
-		h.faults(rand.New(rand.NewPCG(11, 11)), c.lasts)
+		h.playFaults(rand.New(rand.NewPCG(11, 11)), c.lasts)
 	}()
-	h.begin(3)
+	h.startCallers(3)
 	got := c.placements(rig)
 	<-faults
 	c.row("a fault every 2 s", got)
-	failed, p99 := got.total()-got.count("UP"), got.took.quantile(0.99)
-	c.report.Hold(failed == 0, "no client fails by it", failed)
-	c.report.Hold(p99 <= 1.1*c.quietP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.quietP99))
+	failed, p99 := got.total()-got.count("UP"), got.milliseconds.quantile(0.99)
+	c.report.Check(failed == 0, "no client fails by it", failed)
+	c.report.Check(p99 <= 1.1*c.quietP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.quietP99))
 	if _, err := rig.AllOwned(chaosJobs); err != nil {
 		return err
 	}
@@ -93,13 +93,13 @@
 
 // placements has clients come at the rate, each for a second. They go to the processes that faults leave alone: the death of a proxy
 // that carries clients is no matter of owners.
-func (c *chaosRun) placements(rig *Rig) *tally {
+func (c *chaosRun) placements(rig *Rig) *answerCounts {
 	const wait = 2 * time.Second
-	got := newTally()
+	got := newAnswerCounts()
 	var next atomic.Int64
-	arrivals(c.rate, c.lasts, func(int) {
+	openLoop(c.rate, c.lasts, func(int) {
 		p := rig.Procs[3+int(next.Add(1))%2]
-		client, a, err := fake.Open(p.Addr, class, "", wait)
+		client, a, err := fake.Open(p.Addr, requestClass, "", wait)
 		if err != nil {
 			a.Kind = "NONE"
 		}
@@ -112,24 +112,24 @@
 	return got
 }
 
-func (c *chaosRun) row(name string, got *tally) {
+func (c *chaosRun) row(name string, got *answerCounts) {
 	all, up := got.total(), got.count("UP")
-	c.report.Row(chaosTable, name, all, up, all-up, got.took.quantile(0.5), got.took.quantile(0.99))
+	c.report.Row(chaosTable, name, all, up, all-up, got.milliseconds.quantile(0.5), got.milliseconds.quantile(0.99))
 }
 
 // check holds the logs and the operators' history against what owners promise.
-func (c *chaosRun) check(rig *Rig, h *history) {
+func (c *chaosRun) check(rig *Rig, h *operatorHistory) {
 	r := c.report
 	stale, rejected := rig.staleEffects()
-	r.Hold(stale == 0, "no effect of an older token is taken after a newer one's", fmt.Sprintf("%d; %d refused", stale, rejected))
+	r.Check(stale == 0, "no effect of an older token is taken after a newer one's", fmt.Sprintf("%d; %d refused", stale, rejected))
 	err := rig.CheckTokens()
-	r.Hold(err == nil, "each token is one process's", err)
+	r.Check(err == nil, "each token is one process's", err)
 	ok, calls, unknown := h.check()
-	r.Hold(ok && calls > 20, "the history of hosts out by hand is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.count))
+	r.Check(ok && calls > 20, "the history of hosts out by hand is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.faultCount))
 	gaps := rig.effectGaps()
 	if n := len(gaps); n > 0 {
 		p99 := gaps[n*99/100]
-		r.Hold(p99 <= 5*time.Second, "a job without an owner for no more than 5 s at p99", fmt.Sprintf("median %v, p99 %v, worst %v of %d",
+		r.Check(p99 <= 5*time.Second, "a job without an owner for no more than 5 s at p99", fmt.Sprintf("median %v, p99 %v, worst %v of %d",
 			gaps[n/2].Round(time.Millisecond), p99.Round(time.Millisecond), gaps[n-1].Round(time.Millisecond), n))
 	}
 }
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -15,7 +15,7 @@
 
 // ownerCost measures what owners cost: handovers, an idle voter's and a follower's CPU, bytes.
 func ownerCost(e *Env, r *Report) error {
-	r.Head(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms", "CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
+	r.Columns(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms", "CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
 	membership, err := membershipCPU(e)
 	if err != nil {
 		return err
@@ -47,12 +47,12 @@
 
 // membershipCPU is the part of a core that an idle process with membership alone takes.
 func membershipCPU(e *Env) (float64, error) {
-	idle, err := NewRig(e, 5, 1, labKey)
+	idle, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return 0, err
 	}
 	defer idle.Close()
-	if _, ok := idle.Whole(ownersWait); !ok {
+	if _, ok := idle.AllAlive(ownersWait); !ok {
 		return 0, errors.New("not whole")
 	}
 	time.Sleep(2 * time.Second)
@@ -66,7 +66,7 @@
 }
 
 func (g ownerGroup) newRig(e *Env, sections string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{N: ownerCostProcesses, Seed: 3, Key: labKey, Sections: ownersFile(g.voters, g.disks, sections)})
+	return NewRigWith(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, Sections: ownersFile(g.voters, g.disks, sections)})
 }
 
 // cost measures one kind of group; membership is the CPU of an idle process without owners.
@@ -82,13 +82,13 @@
 	store := storeName(g.disks)
 	r.Row(ownerCostTable, g.voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1),
 		fmt.Sprintf("%.4f", idle.leaderCPU), fmt.Sprintf("%.4f", idle.voterCPU), fmt.Sprintf("%.4f", idle.followerCPU), idle.leaderBytes, idle.followerBytes)
-	r.Hold(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d voters, %s: an idle voter costs under 0.005 of a core beside membership", g.voters, store),
+	r.Check(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d voters, %s: an idle voter costs under 0.005 of a core beside membership", g.voters, store),
 		fmt.Sprintf("%.4f less %.4f", idle.voterCPU, membership))
 	return nil
 }
 
 // handoverTimes are the milliseconds until a job is begun elsewhere: from a request to move it, and from its owner's death.
-func (g ownerGroup) handoverTimes(e *Env) (moved, killed series, err error) {
+func (g ownerGroup) handoverTimes(e *Env) (moved, killed samples, err error) {
 	rig, err := g.newRig(e, fmt.Sprintf("(drill %d) (hosts on)", ownerCostDrills))
 	if err != nil {
 		return nil, nil, err
@@ -106,7 +106,7 @@
 }
 
 // moveTimes moves jobs from owner to owner, and gives the milliseconds that each took.
-func moveTimes(rig *Rig, owners map[string]int) (took series, err error) {
+func moveTimes(rig *Rig, owners map[string]int) (took samples, err error) {
 	for turn := range 40 {
 		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
@@ -127,7 +127,7 @@
 }
 
 // killTimes kills owners, and gives the milliseconds until a job of each is begun elsewhere.
-func killTimes(rig *Rig) (took series, err error) {
+func killTimes(rig *Rig) (took samples, err error) {
 	for turn := range 5 {
 		owners, err := rig.AllOwned(ownerCostDrills + 1)
 		if err != nil {
@@ -214,7 +214,7 @@
 }
 
 // rawSyncs are the milliseconds that each of 200 writes of 4 KiB with a sync takes, without the program.
-func rawSyncs(dir string) (took series, err error) {
+func rawSyncs(dir string) (took samples, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
 		return nil, err
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -49,9 +49,9 @@
 // ownerDisk has each fault of a disk happen to each voter during a stream of commands.
 func ownerDisk(e *Env, r *Report) error {
 	const table = "faults of disks, each at each of three voters, during a stream of commands"
-	r.Head(table, "fault", "turns", "commands answered", "lost", "as stated")
+	r.Columns(table, "fault", "turns", "commands answered", "lost", "as stated")
 	for _, f := range diskFaults {
-		e.Say("%s", f.name)
+		e.Logf("%s", f.name)
 		outcomes, err := f.atEachVoter(e)
 		if err != nil {
 			return err
@@ -64,8 +64,8 @@
 			}
 		}
 		r.Row(table, f.name, len(outcomes), answered, lost, len(wrong) == 0)
-		r.Hold(lost == 0 && answered > 30, f.name+": nothing that was answered is lost", fmt.Sprintf("%d of %d", lost, answered))
-		r.Hold(len(wrong) == 0, f.name+": afterwards as stated", strings.Join(wrong, "; "))
+		r.Check(lost == 0 && answered > 30, f.name+": nothing that was answered is lost", fmt.Sprintf("%d of %d", lost, answered))
+		r.Check(len(wrong) == 0, f.name+": afterwards as stated", strings.Join(wrong, "; "))
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 
 // play has a stream of commands go on while a voter's disk fails; afterwards what was answered has to be there.
 func (f *diskFault) play(e *Env, voter int) (o diskOutcome, err error) {
-	rig, err := NewRigWith(e, RigOptions{N: 5, Seed: 5, Key: labKey, Sections: ownersFile(3, true, "(hosts on)")})
+	rig, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, Sections: ownersFile(3, true, "(hosts on)")})
 	if err != nil {
 		return o, err
 	}
@@ -160,7 +160,7 @@
 // strike has the fault happen, and the voter run again.
 func (f *diskFault) strike(rig *Rig, voter int, path string, copied []byte) error {
 	if f.damage == nil {
-		full, room := rig.Full(voter)
+		full, room := rig.FillDisk(voter)
 		if err := full(); err != nil {
 			return err
 		}
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -12,7 +12,7 @@
 // ownerHandover ends processes in order, and replaces them, and measures how long their jobs were without an owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "jobs given back and begun elsewhere"
-	r.Head(table, "how", "voters", "store", "changes", "median ms", "p99 ms", "worst ms")
+	r.Columns(table, "how", "voters", "store", "changes", "median ms", "p99 ms", "worst ms")
 	for _, how := range []string{"SIGTERM", "replaced"} {
 		for _, disks := range []bool{true, false} {
 			took, err := handovers(e, how, disks)
@@ -21,21 +21,21 @@
 			}
 			store := storeName(disks)
 			r.Row(table, how, 3, store, len(took), took.quantile(0.5), took.quantile(0.99), took.quantile(1))
-			r.Hold(took.quantile(0.99) <= 200, how+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", took.quantile(0.99)))
+			r.Check(took.quantile(0.99) <= 200, how+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", took.quantile(0.99)))
 		}
 	}
 	return nil
 }
 
 // handovers ends or replaces one process after the other, and gives the milliseconds that each job of theirs was without an owner.
-func handovers(e *Env, how string, disks bool) (series, error) {
+func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, turns = 20, 8
-	r, err := NewRigWith(e, RigOptions{N: 5, Seed: 3, Key: labKey, Sections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
+	r, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, Sections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	var took series
+	var took samples
 	for turn := range turns {
 		if _, err := r.AllOwned(jobs); err != nil {
 			return nil, err
@@ -84,7 +84,7 @@
 }
 
 // releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by anybody.
-func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps series) {
+func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps samples) {
 	for _, l := range by.Log("event=job_released ") {
 		released := logTime(l)
 		if released.Before(since) {
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -15,8 +15,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// call is one operator's word, for the check of the history.
-type call struct {
+// operatorCall is one operator's word, for the check of the history.
+type operatorCall struct {
 	host string
 	kind string // suspend, resume, list
 }
@@ -25,7 +25,7 @@
 var registerModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		in := input.(call)
+		in := input.(operatorCall)
 		switch in.kind {
 		case "suspend":
 			return true, true
@@ -37,22 +37,22 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history is operators' calls against a rig, and faults beside them.
-type history struct {
-	rig   *Rig
-	stop  chan struct{}
-	all   sync.WaitGroup
-	mu    sync.Mutex
-	ops   []porcupine.Operation
-	count int
+// operatorHistory is operators' calls against a rig, and faults beside them.
+type operatorHistory struct {
+	rig        *Rig
+	stop       chan struct{}
+	callers    sync.WaitGroup
+	mu         sync.Mutex
+	operations []porcupine.Operation
+	faultCount int
 }
 
-// begin has some operators call.
-func (h *history) begin(n int) {
+// startCallers has some operators call.
+func (h *operatorHistory) startCallers(n int) {
 	for k := range n {
-		h.all.Add(1)
+		h.callers.Add(1)
 		go func() {
-			defer h.all.Done()
+			defer h.callers.Done()
 			rng := rand.New(rand.NewPCG(uint64(k), 5))
 			for {
 				select {
@@ -61,16 +61,16 @@
 				case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
 				}
 				// A host that is no upstream host of anybody's: placement is not to follow from it.
-				c := call{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: []string{"suspend", "resume", "list"}[rng.IntN(3)]}
+				c := operatorCall{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: []string{"suspend", "resume", "list"}[rng.IntN(3)]}
 				at := time.Now()
 				rep, err := h.rig.Owners(3+rng.IntN(2), owneragent.Request{Do: c.kind, A: map[bool]string{true: "", false: c.host}[c.kind == "list"]})
-				h.note(k, c, at, rep, err)
+				h.record(k, c, at, rep, err)
 			}
 		}()
 	}
 }
 
-func (h *history) note(client int, c call, at time.Time, rep owneragent.Reply, err error) {
+func (h *operatorHistory) record(client int, c operatorCall, at time.Time, rep owneragent.Reply, err error) {
 	op := porcupine.Operation{ClientId: client, Input: c, Call: at.UnixNano(), Output: "unknown", Return: time.Now().UnixNano()}
 	done := err == nil && rep.Error == "" && !strings.HasPrefix(rep.Answer, "unknown") && !strings.HasPrefix(rep.Answer, "refused")
 	if done && c.kind == "list" {
@@ -81,21 +81,21 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, op)
+	h.operations = append(h.operations, op)
 }
 
-func (h *history) end() {
+func (h *operatorHistory) end() {
 	close(h.stop)
-	h.all.Wait()
+	h.callers.Wait()
 }
 
 // check gives whether the calls can have happened one after the other. One that is unknown may have been done at any time after it was asked, or
 // never.
-func (h *history) check() (ok bool, calls, unknown int) {
+func (h *operatorHistory) check() (ok bool, calls, unknown int) {
 	last := time.Now().Add(time.Hour).UnixNano()
 	byHost := map[string][]porcupine.Operation{}
-	for _, op := range h.ops {
-		c := op.Input.(call)
+	for _, op := range h.operations {
+		c := op.Input.(operatorCall)
 		if op.Output == "unknown" {
 			unknown++
 			if c.kind == "list" {
@@ -111,13 +111,13 @@
 	for _, ops := range byHost {
 		ok = ok && porcupine.CheckOperations(registerModel, ops)
 	}
-	return ok, len(h.ops), unknown
+	return ok, len(h.operations), unknown
 }
 
-// faults has one every 2 s, at the three voters: a minority at a time.
-func (h *history) faults(rng *rand.Rand, lasts time.Duration) {
+// playFaults has one every 2 s, at the three voters: a minority at a time.
+func (h *operatorHistory) playFaults(rng *rand.Rand, lasts time.Duration) {
 	r := h.rig
-	for end := time.Now().Add(lasts - 4*time.Second); time.Now().Before(end); h.count++ {
+	for end := time.Now().Add(lasts - 4*time.Second); time.Now().Before(end); h.faultCount++ {
 		i, j := rng.IntN(3), 0
 		for j = rng.IntN(5); j == i; j = rng.IntN(5) {
 		}
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -18,8 +18,8 @@
 
 // lateCase is one way in which owners are late.
 type lateCase struct {
-	how string
-	be  func(l *lateOwner) error // has the owner be late, and returns once it is no more
+	how      string
+	playLate func(l *lateOwner) error // has the owner be late, and returns once it is no more
 }
 
 // The cases. Their names say how long each lasts: lateFor.
@@ -43,21 +43,21 @@
 // cut off in one direction, each way. Without the fence the first case has to show.
 func ownerLate(e *Env, r *Report) error {
 	const table = "late owners: five processes, three voters with disks"
-	r.Head(table, "case", "fence", "late owners", "their effects taken after a newer one's", "refused", "without an owner, median, worst")
+	r.Columns(table, "case", "fence", "late owners", "their effects taken after a newer one's", "refused", "without an owner, median, worst")
 	for _, c := range lateCases {
 		o, err := c.play(e, true)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.how, err)
 		}
 		o.row(r, table, c.how, true)
-		r.Hold(o.stale == 0 && o.owners >= 50, c.how+": 50 late owners and more, none of whose effects is taken after a newer one's", fmt.Sprintf("%d of %d", o.stale, o.owners))
+		r.Check(o.stale == 0 && o.owners >= 50, c.how+": 50 late owners and more, none of whose effects is taken after a newer one's", fmt.Sprintf("%d of %d", o.stale, o.owners))
 	}
 	o, err := stoppedCase.play(e, false)
 	if err != nil {
 		return fmt.Errorf("%s: %w", stoppedCase.how, err)
 	}
 	o.row(r, table, stoppedCase.how, false)
-	r.Hold(o.stale > 0, "without the fence it is found", o.stale)
+	r.Check(o.stale > 0, "without the fence it is found", o.stale)
 	return nil
 }
 
@@ -115,7 +115,7 @@
 		return out, errors.New("the one that is to be late owns nothing")
 	}
 	began := time.Now()
-	if err := c.be(l); err != nil {
+	if err := c.playLate(l); err != nil {
 		return out, err
 	}
 	time.Sleep(2 * time.Second)
@@ -136,7 +136,7 @@
 // newLateRig starts five processes with many jobs, with the fence or without it.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
 	// Without a key: a seal would reject what comes half a minute late by itself, and the fence is to be tried.
-	o := RigOptions{N: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
+	o := RigOptions{Processes: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
 		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=forget"}
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -23,7 +23,7 @@
 	Earlier   string // path of an earlier build: replacements alternate between the two; "": all are of the program
 	Self      string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
 	Dir       string // of its own, for files; removed afterwards
-	Say       func(format string, args ...any)
+	Logf      func(format string, args ...any)
 }
 
 // Setup is what a proxy process is started with.
@@ -62,11 +62,11 @@
 	cmd  *exec.Cmd
 	dir  string
 
-	mu   sync.Mutex
-	log  []string
-	done chan struct{}
-	err  error
-	peak int64 // most memory that it ever held, once it has ended
+	mu         sync.Mutex
+	log        []string
+	done       chan struct{}
+	exitErr    error
+	peakMemory int64 // most memory that it ever held, once it has ended
 }
 
 // running are the processes that have not ended.
@@ -80,8 +80,8 @@
 	})
 }
 
-// class is the one class that experiments use.
-const class = "lab"
+// requestClass is the one class that experiments use.
+const requestClass = "lab"
 
 // Proxy starts a croftlock process and waits until it is ready.
 func (e *Env) Proxy(s Setup) (*Process, error) {
@@ -171,9 +171,9 @@
 			}
 		}
 	}
-	p.err = p.cmd.Wait()
+	p.exitErr = p.cmd.Wait()
 	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-		p.peak = u.Maxrss << 10
+		p.peakMemory = u.Maxrss << 10
 	}
 	running.Delete(p)
 	close(p.done)
@@ -211,7 +211,7 @@
 // Err is how it ended: nil in order.
 func (p *Process) Err() error {
 	<-p.done
-	return p.err
+	return p.exitErr
 }
 
 // Signal sends one.
@@ -228,7 +228,7 @@
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-		return p.err
+		return p.exitErr
 	case <-time.After(10 * time.Second):
 		p.Kill()
 		return errors.New("it was still there 10 s after SIGTERM")
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// apart gives the process a core of its own and this program the others, so that what stand-ins compute is not taken for
+// isolateCPU gives the process a core of its own and this program the others, so that what stand-ins compute is not taken for
 // a delay of the proxy's. Without cores enough it tells false and changes nothing.
-func (p *Process) apart() bool {
+func (p *Process) isolateCPU() bool {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 3 {
 		return false
--- a/internal/testbed/experiment/opssite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -11,28 +11,28 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// site is one proxy with its stand-ins, which processes may replace one another at.
-type site struct {
+// proxySite is one proxy with its stand-ins, which processes may replace one another at.
+type proxySite struct {
 	*Env
-	fleet *fleet
-	setup Setup
-	now   *Process
-	admin string
-	begun int // processes that were started
-	crowd *crowd
-	fresh *tally
-	loads sync.WaitGroup
-	stop  chan struct{}
+	upstreams *upstreams
+	setup     Setup
+	current   *Process
+	admin     string
+	started   int // processes that were started
+	standing  *standingClients
+	fresh     *answerCounts
+	load      sync.WaitGroup
+	stop      chan struct{}
 }
 
-// newSite starts it, with standing clients and fresh ones that come at a rate.
-func newSite(e *Env, rate float64) (*site, error) {
-	f, err := newFleet(e, 3, false)
+// newProxySite starts it, with standing clients and fresh ones that come at a rate.
+func newProxySite(e *Env, rate float64) (*proxySite, error) {
+	f, err := newUpstreams(e, 3, false)
 	if err != nil {
 		return nil, err
 	}
-	s := &site{Env: e, fleet: f, fresh: newTally(), stop: make(chan struct{}),
-		crowd: &crowd{answers: newTally(), every: 500 * time.Millisecond, away: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}, listen: true}}
+	s := &proxySite{Env: e, upstreams: f, fresh: newAnswerCounts(), stop: make(chan struct{}),
+		standing: &standingClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, returnAfter: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}, awaitMoves: true}}
 	tmp, err := os.MkdirTemp(e.Dir, "tmp")
 	if err != nil {
 		return nil, err
@@ -41,29 +41,29 @@
 	if s.setup.Listen, err = FreeAddr(); err != nil {
 		return nil, err
 	}
-	if s.now, s.admin, err = s.begin(); err != nil {
+	if s.current, s.admin, err = s.startProcess(); err != nil {
 		return nil, err
 	}
-	if err := s.crowd.join(s.setup.Listen, opsCrowd, "", opsWait); err != nil {
+	if err := s.standing.connect(s.setup.Listen, opsStanding, "", opsTimeout); err != nil {
 		return nil, err
 	}
-	s.load(rate)
+	s.startLoad(rate)
 	return s, nil
 }
 
-// door is how many fresh connections ended without an answer.
-func (s *site) door() int { return s.fresh.count("NONE") }
+// unansweredCount is how many fresh connections ended without an answer.
+func (s *proxySite) unansweredCount() int { return s.fresh.count("NONE") }
 
 // begin starts a process of the proxy, with an address of its own for operators.
-func (s *site) begin() (*Process, string, error) {
+func (s *proxySite) startProcess() (*Process, string, error) {
 	admin, err := FreeAddr()
 	if err != nil {
 		return nil, "", err
 	}
 	with := s.setup
 	with.Admin = admin
-	s.begun++
-	if s.Earlier != "" && s.begun%2 == 0 {
+	s.started++
+	if s.Earlier != "" && s.started%2 == 0 {
 		with.Program = s.Earlier
 	}
 	p, err := s.Proxy(with)
@@ -99,11 +99,11 @@
 	return fmt.Errorf("not ready after %v", within)
 }
 
-// load has fresh clients come until close, each for a second.
-func (s *site) load(rate float64) {
-	s.loads.Add(1)
+// startLoad has fresh clients come until close, each for a second.
+func (s *proxySite) startLoad(rate float64) {
+	s.load.Add(1)
 	go func() {
-		defer s.loads.Done()
+		defer s.load.Done()
 		var all sync.WaitGroup
 		every := time.NewTicker(time.Duration(1e9 / rate))
 		defer every.Stop()
@@ -116,8 +116,8 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					c, a, _ := fake.Open(s.setup.Listen, class, "", opsWait)
-					s.fresh.add(a, opsWait)
+					c, a, _ := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
+					s.fresh.add(a, opsTimeout)
 					if c != nil {
 						time.Sleep(time.Second)
 						c.Close()
@@ -128,22 +128,22 @@
 	}()
 }
 
-func (s *site) close() {
+func (s *proxySite) close() {
 	select {
 	case <-s.stop:
 	default:
 		close(s.stop)
 	}
-	s.loads.Wait()
-	s.crowd.leave()
-	s.now.Stop()
-	s.fleet.close()
+	s.load.Wait()
+	s.standing.end()
+	s.current.Stop()
+	s.upstreams.close()
 }
 
 // replace has a new process take the place of the one that serves, as the platform does it.
-func (s *site) replace() (readyIn, leftIn time.Duration, err error) {
+func (s *proxySite) replace() (readyIn, leftIn time.Duration, err error) {
 	started := time.Now()
-	p, admin, err := s.begin()
+	p, admin, err := s.startProcess()
 	if err != nil {
 		return 0, 0, err
 	}
@@ -151,8 +151,8 @@
 		return 0, 0, err
 	}
 	readyIn = time.Since(started)
-	old, began := s.now, time.Now()
-	s.now, s.admin = p, admin
+	old, began := s.current, time.Now()
+	s.current, s.admin = p, admin
 	err = old.Stop()
 	return readyIn, time.Since(began), err
 }
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -38,13 +38,13 @@
 
 // Bound is something that must hold.
 type Bound struct {
-	What string
-	OK   bool
-	Got  string
+	What     string
+	Kept     bool   `json:"OK"`
+	Measured string `json:"Got"`
 }
 
-// Head begins the table with the given title; a table that has begun keeps its head.
-func (r *Report) Head(title string, names ...string) {
+// Columns begins the table with the given title; a table that has begun keeps its columns.
+func (r *Report) Columns(title string, names ...string) {
 	for _, t := range r.Tables {
 		if t.Title == title {
 			return
@@ -53,7 +53,7 @@
 	r.Tables = append(r.Tables, Table{Title: title, Head: names})
 }
 
-// Row adds a row to the table with the given title, which Head has begun.
+// Row adds a row to the table with the given title, which Columns has begun.
 func (r *Report) Row(title string, cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -74,7 +74,7 @@
 		return fmt.Sprintf("%.3g", v)
 	case time.Duration:
 		return v.Round(10 * time.Microsecond).String()
-	case series:
+	case samples:
 		return v.String()
 	}
 	return strings.ReplaceAll(fmt.Sprint(x), "\t", " ")
@@ -83,15 +83,15 @@
 // Set adds a figure to the result line.
 func (r *Report) Set(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
 
-// Hold states a bound and whether it was kept.
-func (r *Report) Hold(ok bool, what string, got any) {
+// Check states a bound and whether it was kept.
+func (r *Report) Check(ok bool, what string, got any) {
 	r.Bounds = append(r.Bounds, Bound{what, ok, text(got)})
 }
 
 // OK tells whether every bound was kept, and that there were any.
 func (r *Report) OK() bool {
 	for _, b := range r.Bounds {
-		if !b.OK {
+		if !b.Kept {
 			return false
 		}
 	}
@@ -111,10 +111,10 @@
 	fmt.Fprintln(w)
 	for _, b := range r.Bounds {
 		mark := "kept"
-		if !b.OK {
+		if !b.Kept {
 			mark = "MISSED"
 		}
-		fmt.Fprintf(w, "%-6s  %s: %s\n", mark, b.What, b.Got)
+		fmt.Fprintf(w, "%-6s  %s: %s\n", mark, b.What, b.Measured)
 	}
 	for _, m := range r.Remarks {
 		fmt.Fprintln(w, "note   ", m)
@@ -138,20 +138,20 @@
 	return os.WriteFile(filepath.Join(dir, r.Name+"-"+r.Began.UTC().Format("20060102T150405")+".json"), append(data, '\n'), 0o644)
 }
 
-// series are figures of the same kind: repeats, or a sample.
-type series []float64
+// samples are figures of the same kind: repeats, or a sample.
+type samples []float64
 
-func (s series) sorted() series {
+func (s samples) sorted() samples {
 	out := slices.Clone(s)
 	slices.Sort(out)
 	return out
 }
 
 // median is the middle one.
-func (s series) median() float64 { return s.quantile(0.5) }
+func (s samples) median() float64 { return s.quantile(0.5) }
 
 // quantile is the figure that a part q of all does not exceed.
-func (s series) quantile(q float64) float64 {
+func (s samples) quantile(q float64) float64 {
 	if len(s) == 0 {
 		return 0
 	}
@@ -160,7 +160,7 @@
 }
 
 // String gives the median with the least and the most.
-func (s series) String() string {
+func (s samples) String() string {
 	if len(s) == 0 {
 		return "-"
 	}
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -30,12 +30,12 @@
 
 // RigOptions are what a rig's processes are like.
 type RigOptions struct {
-	N        int    // number of processes
-	Seed     uint64 // of the mesh's random faults
-	Key      string // seals the datagrams between the processes; "": they are not sealed
-	Sections string // more of the settings file; DIR stands for a folder of each process's own
-	Level    string // of the log; "": info
-	Fleet    *fleet // whose hosts they serve; nil: none that answers
+	Processes int        // number of processes
+	Seed      uint64     // of the mesh's random faults
+	Key       string     // seals the datagrams between the processes; "": they are not sealed
+	Sections  string     // more of the settings file; DIR stands for a folder of each process's own
+	Level     string     // of the log; "": info
+	Upstreams *upstreams // whose hosts they serve; nil: none that answers
 	// Discovery is another way to say which hosts; nil: as Fleet has it.
 	Discovery *fake.Discovery
 	// Discoveries are one for each process, in place of one for all: what each hears can differ.
@@ -46,7 +46,7 @@
 // NewRig starts n processes that know one another through a mesh; env is added to each one's environment. key, if any, seals the
 // datagrams between them.
 func NewRig(e *Env, n int, seed uint64, key string, env ...string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{N: n, Seed: seed, Key: key, Env: env})
+	return NewRigWith(e, RigOptions{Processes: n, Seed: seed, Key: key, Env: env})
 }
 
 // NewRigWith starts processes that know one another through a mesh.
@@ -54,25 +54,25 @@
 	if o.Level == "" {
 		o.Level = "info"
 	}
-	if len(o.Discoveries) > 0 && len(o.Discoveries) != o.N {
-		return nil, fmt.Errorf("%d discoveries for %d processes", len(o.Discoveries), o.N)
+	if len(o.Discoveries) > 0 && len(o.Discoveries) != o.Processes {
+		return nil, fmt.Errorf("%d discoveries for %d processes", len(o.Discoveries), o.Processes)
 	}
 	dir, err := os.MkdirTemp(e.Dir, "rig")
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{env: e, dir: dir, Procs: make([]*Process, o.N), admin: make([]string, o.N)}
-	if r.Mesh, err = fake.NewMesh(o.N, o.Seed); err != nil {
+	r := &Rig{env: e, dir: dir, Procs: make([]*Process, o.Processes), admin: make([]string, o.Processes)}
+	if r.Mesh, err = fake.NewMesh(o.Processes, o.Seed); err != nil {
 		return nil, err
 	}
-	for i := range o.N {
+	for i := range o.Processes {
 		s, err := r.prepare(i, o)
 		if err != nil {
 			return nil, err
 		}
 		r.setups = append(r.setups, s)
 	}
-	for i := range o.N {
+	for i := range o.Processes {
 		if err := r.Start(i); err != nil {
 			r.Close()
 			return nil, err
@@ -133,8 +133,8 @@
 // refuses connections.
 func (o *RigOptions) hosts(i int) (discovery string, known fake.List) {
 	d := o.Discovery
-	if o.Fleet != nil {
-		d = o.Fleet.discovery
+	if o.Upstreams != nil {
+		d = o.Upstreams.discovery
 	}
 	if len(o.Discoveries) > 0 {
 		d = o.Discoveries[i]
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -15,8 +15,8 @@
 
 // planStep is the beginning or the end of one fault.
 type planStep struct {
-	at time.Duration // since the plan's beginning
-	do func() error
+	startsAt time.Duration // since the plan's beginning
+	run      func() error
 }
 
 // Play has a plan's faults happen to real processes, and returns once the last one has ended.
@@ -30,11 +30,11 @@
 		steps = append(steps, planStep{time.Duration(f.StartMS) * time.Millisecond, begin},
 			planStep{time.Duration(f.StartMS+f.DurationMS) * time.Millisecond, end})
 	}
-	slices.SortStableFunc(steps, func(a, b planStep) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(steps, func(a, b planStep) int { return cmp.Compare(a.startsAt, b.startsAt) })
 	began := time.Now()
 	for _, s := range steps {
-		time.Sleep(time.Until(began.Add(s.at)))
-		if err := s.do(); err != nil {
+		time.Sleep(time.Until(began.Add(s.startsAt)))
+		if err := s.run(); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 	r.setLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
-// Full gives what makes a process's disk full, and what gives it room again.
-func (r *Rig) Full(i int) (begin, end func() error) {
+// FillDisk gives what makes a process's disk full, and what gives it room again.
+func (r *Rig) FillDisk(i int) (begin, end func() error) {
 	return r.limitFiles(i, 0), r.limitFiles(i, unix.RLIM_INFINITY)
 }
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -35,9 +35,9 @@
 	return "memory"
 }
 
-// Holders asks all processes but some which jobs they own, and gives each job's owner. Where two own one job it gives no owners, and
+// JobOwners asks all processes but some which jobs they own, and gives each job's owner. Where two own one job it gives no owners, and
 // says which two.
-func (r *Rig) Holders(but ...int) (owners map[string]int, conflict string) {
+func (r *Rig) JobOwners(but ...int) (owners map[string]int, conflict string) {
 	owners = map[string]int{}
 	for i := range r.Procs {
 		if slices.Contains(but, i) {
@@ -65,7 +65,7 @@
 	var owners map[string]int
 	conflict := ""
 	if _, ok := Until(ownersWait, func() bool {
-		owners, conflict = r.Holders(but...)
+		owners, conflict = r.JobOwners(but...)
 		return len(owners) >= jobs
 	}); !ok {
 		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", ownersWait, len(owners), jobs, conflict)
--- a/internal/testbed/experiment/rigview.go
+++ b/internal/testbed/experiment/rigview.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// Whole waits until all processes see all others alive.
-func (r *Rig) Whole(within time.Duration) (time.Duration, bool) {
+// AllAlive waits until all processes see all others alive.
+func (r *Rig) AllAlive(within time.Duration) (time.Duration, bool) {
 	return Until(within, func() bool {
 		for i := range r.Procs {
 			for j := range r.Procs {
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -49,7 +49,7 @@
 
 // rulesCut plays each cut, pause and loss of a process beside a change: never over the bound, and all agree again soon after.
 func rulesCut(e *Env, r *Report) error {
-	r.Head(rulesCutTable, "fault", "turns", "active after, p50 p99", "no word, refused", "all agree after its end, p50 p99", "side by side, longest", "no answer")
+	r.Columns(rulesCutTable, "fault", "turns", "active after, p50 p99", "no word, refused", "all agree after its end, p50 p99", "side by side, longest", "no answer")
 	for _, s := range cutSuites() {
 		if err := s.play(e, r); err != nil {
 			return err
@@ -60,7 +60,7 @@
 
 // play plays the suite's faults on a rig of its own.
 func (s *cutSuite) play(e *Env, r *Report) error {
-	g, err := newAgreeing(e, s.sections, "")
+	g, err := newRulesRig(e, s.sections, "")
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.name, err)
 	}
@@ -71,24 +71,24 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
-		rows = append(rows, []any{f.name, o.played, spread(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), spread(o.heals)})
+		rows = append(rows, []any{f.name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals)})
 		if f.kind != "full" { // there it waits for the voters to open their stores again
-			r.Hold(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
+			r.Check(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
 		}
 	}
 	a := g.end()
 	_, longest := a.overlaps()
 	for _, row := range rows {
-		r.Row(rulesCutTable, append(row, longest, a.silent)...)
+		r.Row(rulesCutTable, append(row, longest, a.unanswered)...)
 	}
-	r.Hold(longest <= agreeWithin, s.name+": no act by an older version for longer than agree_within after the first by a newer", longest)
-	r.Hold(a.silent == 0, s.name+": each request gets an answer", a.silent)
-	r.Hold(a.lapsed > 0, s.name+": who has no right acts by none, or says that it has lapsed", a.lapsed)
+	r.Check(longest <= agreeWithin, s.name+": no act by an older version for longer than agree_within after the first by a newer", longest)
+	r.Check(a.unanswered == 0, s.name+": each request gets an answer", a.unanswered)
+	r.Check(a.lapsedDecisions > 0, s.name+": who has no right acts by none, or says that it has lapsed", a.lapsedDecisions)
 	return nil
 }
 
 // play has a fault happen so many times, each time at another process, with a change put while it lasts.
-func (g *agreeingRig) play(f cutFault) (*cutOutcome, error) {
+func (g *rulesRig) play(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
 	for ; o.played < f.turns; o.played++ {
@@ -100,12 +100,12 @@
 }
 
 // cutTurn has a fault happen once beside a change, and waits until all act by one version again.
-func (g *agreeingRig) cutTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
+func (g *rulesRig) cutTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
 	victim, by, err := g.pickVictim(f, o.played, rng)
 	if err != nil {
 		return err
 	}
-	version, err := g.standing(by)
+	version, err := g.awaitAgreement(by)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	began, answer := time.Now(), make(chan string, 1)
 	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
 	change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{Out: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
-	go func() { answer <- g.ask(by, change) }()
+	go func() { answer <- g.query(by, change) }()
 	if err := g.sitOut(f, victim, began, rng); err != nil {
 		return err
 	}
@@ -124,9 +124,9 @@
 		return err
 	}
 	// Any process may be the one that has lost its way to the coordinator, and then waits for an answer: all are asked.
-	heal, ok := g.anyone(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
+	heal, ok := g.awaitAnswer(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
 	if !ok {
-		return fmt.Errorf("all do not act by one version once all is well: %s", g.ask(by, rules.QueryActive()))
+		return fmt.Errorf("all do not act by one version once all is well: %s", g.query(by, rules.QueryActive()))
 	}
 	o.heals = append(o.heals, heal)
 	switch got := <-answer; {
@@ -145,10 +145,10 @@
 }
 
 // pickVictim gives the process that the fault strikes, and another by way of which the change is put.
-func (g *agreeingRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, by int, err error) {
+func (g *rulesRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, by int, err error) {
 	victim = rng.IntN(5)
 	if f.kind == "kill" {
-		owners, conflict := g.Holders()
+		owners, conflict := g.JobOwners()
 		coordinator, is := owners["rules"]
 		if !is {
 			return 0, 0, fmt.Errorf("nobody keeps the rules: %s", conflict)
@@ -163,13 +163,13 @@
 }
 
 // sitOut lets the fault last: stops and deaths happen here.
-func (g *agreeingRig) sitOut(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
+func (g *rulesRig) sitOut(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
-		g.sleeps(victim, f.lasts)
+		g.pause(victim, f.lasts)
 	case "kill":
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
-		return g.dies(victim)
+		return g.restart(victim)
 	default:
 		time.Sleep(f.lasts - time.Since(began))
 	}
@@ -177,24 +177,24 @@
 }
 
 // repeat puts a change that nobody answered until it is active: twice is as once.
-func (g *agreeingRig) repeat(by int, change []byte) error {
-	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.ask(by, change), "active: ") }); !ok {
-		return fmt.Errorf("a change that nobody answered can't be made once all is well: %s", g.ask(by, change))
+func (g *rulesRig) repeat(by int, change []byte) error {
+	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.query(by, change), "active: ") }); !ok {
+		return fmt.Errorf("a change that nobody answered can't be made once all is well: %s", g.query(by, change))
 	}
 	return nil
 }
 
 // awaitVersion waits until all act by a version.
-func (g *agreeingRig) awaitVersion(by int, version uint64) error {
+func (g *rulesRig) awaitVersion(by int, version uint64) error {
 	want := fmt.Sprintf("active: version %d at 5 of 5", version)
-	if _, ok := g.anyone(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
-		return fmt.Errorf("all do not act by version %d: %s", version, g.ask(by, rules.QueryActive()))
+	if _, ok := g.awaitAnswer(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
+		return fmt.Errorf("all do not act by version %d: %s", version, g.query(by, rules.QueryActive()))
 	}
 	return nil
 }
 
 // strike begins a fault at a process, and gives what ends it; stops and deaths are played by the turn itself.
-func (g *agreeingRig) strike(f cutFault, i int) (end func() error, err error) {
+func (g *rulesRig) strike(f cutFault, i int) (end func() error, err error) {
 	at := []int{i}
 	switch f.kind {
 	case "pause", "kill":
@@ -221,11 +221,11 @@
 	}, nil
 }
 
-// standing waits until all act by one version, and gives it.
-func (g *agreeingRig) standing(by int) (at uint64, err error) {
+// awaitAgreement waits until all act by one version, and gives it.
+func (g *rulesRig) awaitAgreement(by int) (at uint64, err error) {
 	got := ""
 	if _, ok := Until(ownersWait, func() bool {
-		got = g.ask(by, rules.QueryActive())
+		got = g.query(by, rules.QueryActive())
 		n, _ := fmt.Sscanf(got, "active: version %d at 5 of 5", &at)
 		return n == 1
 	}); !ok {
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -79,7 +79,7 @@
 	all.Wait()
 	bytes, bad := int64(0), 0
 	const title = "bad servers; the client waits 2 s, connects may take 0.25 s"
-	r.Head(title, "server", "client's answer", "after", "reason in the log", "connections", "request bytes seen", "as stated")
+	r.Columns(title, "server", "client's answer", "after", "reason in the log", "connections", "request bytes seen", "as stated")
 	for i, o := range outcomes {
 		ok := cases[i].asStated(o)
 		r.Row(title, cases[i].server.Kind, o.answer, o.took, o.reasonText(), o.connections, o.requestBytes, ok)
@@ -88,8 +88,8 @@
 			bad++
 		}
 	}
-	r.Hold(bad == 0, "every bad server ends in the stated outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
-	r.Hold(bytes == 0, "no byte of a request was seen by any", bytes)
+	r.Check(bad == 0, "every bad server ends in the stated outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
+	r.Check(bytes == 0, "no byte of a request was seen by any", bytes)
 	r.Set("servers", len(cases))
 	r.Set("request_bytes_seen", bytes)
 	return nil
@@ -131,7 +131,7 @@
 		return o, err
 	}
 	defer p.Stop()
-	client, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
+	client, a, err := fake.Open(p.Addr, requestClass, "", 2*time.Second)
 	if client != nil {
 		client.Close()
 	}
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -40,7 +40,7 @@
 }
 
 // costSeries are the rounds' figures of one variant.
-type costSeries struct{ open, took, line, memory, descriptors series }
+type costSeries struct{ open, took, line, memory, descriptors samples }
 
 func (s *costSeries) add(c cost) {
 	s.open = append(s.open, c.open)
@@ -59,7 +59,7 @@
 	results := make([]costSeries, len(costVariants))
 	for round := range rounds {
 		for i, v := range costVariants {
-			e.Say("round %d of %d: %s", round+1, rounds, v.name)
+			e.Logf("round %d of %d: %s", round+1, rounds, v.name)
 			c, err := v.measure(e)
 			if err != nil {
 				return fmt.Errorf("%s: %w", v.name, err)
@@ -74,15 +74,15 @@
 // reportCosts writes the table, the bounds and the figures; results are by variant.
 func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
-	r.Head(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line there and back", "KiB an idle connection", "descriptors")
+	r.Columns(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line there and back", "KiB an idle connection", "descriptors")
 	for i, x := range results {
 		r.Row(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
 	}
 	plain, full, resumed, relay := results[costPlain], results[costFull], results[costResumed], results[costRelayTLS]
-	r.Hold(resumed.memory.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memory)
-	r.Hold(resumed.line.median() <= relay.line.median(), "no more CPU a line than a tls.Conn with goroutines",
+	r.Check(resumed.memory.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memory)
+	r.Check(resumed.line.median() <= relay.line.median(), "no more CPU a line than a tls.Conn with goroutines",
 		fmt.Sprintf("%v against %v us", resumed.line, relay.line))
-	r.Hold(resumed.open.median() < full.open.median(), "a resumed handshake costs less than a full one",
+	r.Check(resumed.open.median() < full.open.median(), "a resumed handshake costs less than a full one",
 		fmt.Sprintf("%v against %v ms", resumed.open, full.open))
 	r.Set("open_plain_ms", plain.open.median())
 	r.Set("open_full_ms", full.open.median())
@@ -104,7 +104,7 @@
 
 // measure measures the variant on a fresh process.
 func (v costVariant) measure(e *Env) (c cost, err error) {
-	f, err := newFleet(e, 1, v.secure)
+	f, err := newUpstreams(e, 1, v.secure)
 	if err != nil {
 		return c, err
 	}
@@ -141,7 +141,7 @@
 }
 
 // start starts the proxy, or the relay, in front of the fleet's one server.
-func (v costVariant) start(e *Env, f *fleet) (*Process, error) {
+func (v costVariant) start(e *Env, f *upstreams) (*Process, error) {
 	if v.relay {
 		return v.startRelay(e, f)
 	}
@@ -155,7 +155,7 @@
 	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings})
 }
 
-func (v costVariant) startRelay(e *Env, f *fleet) (*Process, error) {
+func (v costVariant) startRelay(e *Env, f *upstreams) (*Process, error) {
 	args := []string{"relay", "--to", f.servers[0].Addr(), "--name", "s1.lab"}
 	if v.secure {
 		config := f.config(0)
@@ -168,7 +168,7 @@
 
 // openOne opens one connection.
 func openOne(p *Process) (*fake.Client, fake.Answer, error) {
-	c, a, err := fake.Open(p.Addr, class, "", 2*time.Second)
+	c, a, err := fake.Open(p.Addr, requestClass, "", 2*time.Second)
 	if c == nil {
 		return nil, a, fmt.Errorf("no connection: %s %v", a.Text, err)
 	}
@@ -178,7 +178,7 @@
 // openingCost opens and closes connections one after the other: milliseconds of CPU each, and the median until it is served.
 func openingCost(p *Process) (cpu, took float64, err error) {
 	const warmUp, opens = 50, 400 // the first fill caches, sessions and the runtime's own
-	var times series
+	var times samples
 	var before time.Duration
 	for i := range warmUp + opens {
 		if i == warmUp {
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	const title = "one handshake, microseconds that each side computes, median (10% to 90%) of 300"
-	r.Head(title, "key exchange", "kind", "client", "server")
+	r.Columns(title, "key exchange", "kind", "client", "server")
 	for _, x := range []struct {
 		name string
 		id   tls.CurveID
@@ -35,7 +35,7 @@
 			if resumed {
 				client.ClientSessionCache = tls.NewLRUClientSessionCache(1)
 			}
-			var c, s series
+			var c, s samples
 			for i := range 330 {
 				cu, su, did, err := oneHandshake(client, server)
 				if err != nil {
@@ -52,7 +52,7 @@
 			if resumed {
 				kind = "resumed"
 			}
-			spread := func(x series) string {
+			spread := func(x samples) string {
 				return fmt.Sprintf("%.0f (%.0f to %.0f)", x.median(), x.quantile(0.1), x.quantile(0.9))
 			}
 			r.Row(title, x.name, kind, spread(c), spread(s))
@@ -77,14 +77,14 @@
 		return err
 	}
 	const title = "verification of one chain, microseconds, median (10% to 90%) of 300"
-	r.Head(title, "how", "time")
-	var first, again series
+	r.Columns(title, "how", "time")
+	var first, again samples
 	for range 300 {
 		m, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}}, 1)
 		if err != nil {
 			return err
 		}
-		for _, s := range []*series{&first, &again} {
+		for _, s := range []*samples{&first, &again} {
 			began := time.Now()
 			if _, err := m.Verify([]*x509.Certificate{leaf.Cert}, upstreamtls.Name{Text: "s1.lab"}, began); err != nil {
 				return err
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -13,11 +13,11 @@
 
 // rotation is a proxy under load while everything that TLS needs is replaced.
 type rotation struct {
-	fleet    *fleet
-	proxy    *Process
-	standing *crowd
-	fresh    *tally
-	trust    string // path of the proxy's bundle of authorities
+	upstreams *upstreams
+	proxy     *Process
+	standing  *standingClients
+	fresh     *answerCounts
+	trust     string // path of the proxy's bundle of authorities
 }
 
 const (
@@ -32,7 +32,7 @@
 
 // tlsRotation replaces everything that can be replaced, while 200 connections a second are opened and 400 stand.
 func tlsRotation(e *Env, r *Report) error {
-	f, err := newFleet(e, 4, true)
+	f, err := newUpstreams(e, 4, true)
 	if err != nil {
 		return err
 	}
@@ -46,10 +46,10 @@
 	if err != nil {
 		return err
 	}
-	t := &rotation{fleet: f, proxy: p, standing: &crowd{answers: newTally(), every: time.Second}, fresh: newTally(),
+	t := &rotation{upstreams: f, proxy: p, standing: &standingClients{answers: newAnswerCounts(), interval: time.Second}, fresh: newAnswerCounts(),
 		trust: filepath.Join(f.dir, "trust.pem")}
-	defer t.standing.leave()
-	if err := t.standing.join(p.Addr, rotationStanding, "", rotationWait); err != nil {
+	defer t.standing.end()
+	if err := t.standing.connect(p.Addr, rotationStanding, "", rotationWait); err != nil {
 		return err
 	}
 	late, err := t.underLoad(r)
@@ -62,41 +62,41 @@
 
 // underLoad makes the replacements while new connections come, and gives how many the proxy took too late.
 func (t *rotation) underLoad(r *Report) (late int, err error) {
-	r.Head(rotationTable, "at", "what", "taken after", "epoch")
+	r.Columns(rotationTable, "at", "what", "taken after", "epoch")
 	finished := make(chan error, 1)
 	go func() {
 		var err error
 		late, err = t.replaceAll(r)
 		finished <- err
 	}()
-	arrivals(rotationRate, rotationSpan, func(int) { t.openFresh() })
+	openLoop(rotationRate, rotationSpan, func(int) { t.openFresh() })
 	err = <-finished
 	return late, err
 }
 
 // openFresh opens a new connection, sends one line and closes it.
 func (t *rotation) openFresh() {
-	client, a, _ := fake.Open(t.proxy.Addr, class, "", rotationWait)
+	client, a, _ := fake.Open(t.proxy.Addr, requestClass, "", rotationWait)
 	t.fresh.add(a, rotationWait)
 	if client == nil {
 		return
 	}
 	if _, _, err := client.Ask("M", 5*time.Second); err != nil {
-		t.standing.note("new connection: %v", err)
+		t.standing.recordLoss("new connection: %v", err)
 	}
 	client.Close()
 }
 
 // replacement is one thing that is replaced.
 type replacement struct {
-	what  string
-	files bool // the proxy's files, which it takes at once; else the servers' side, which shows at their handshakes
-	do    func() error
+	what    string
+	files   bool // the proxy's files, which it takes at once; else the servers' side, which shows at their handshakes
+	replace func() error
 }
 
 // replacements are the steps, in order: to a second authority and away from the first.
 func (t *rotation) replacements() []replacement {
-	first, second := t.fleet.pki.Trusted, t.fleet.pki.Other
+	first, second := t.upstreams.pki.Trusted, t.upstreams.pki.Other
 	return []replacement{
 		{"a new client certificate, by renaming", true, func() error { return t.renewClient(first) }},
 		{"a second authority in the bundle, written in place and first by half", true, t.widenTrust},
@@ -108,24 +108,24 @@
 }
 
 func (t *rotation) renewClient(by *fake.Authority) error {
-	_, err := by.SaveClient(t.fleet.dir, certs.Spec{Name: "proxy"})
+	_, err := by.SaveClient(t.upstreams.dir, certs.Spec{Name: "proxy"})
 	return err
 }
 
 // renewServers gives each server a new certificate and ticket keys of its own.
 func (t *rotation) renewServers(by *fake.Authority) error {
-	for i := range t.fleet.servers {
-		if err := t.fleet.renew(i, by); err != nil {
+	for i := range t.upstreams.servers {
+		if err := t.upstreams.renew(i, by); err != nil {
 			return err
 		}
-		t.fleet.servers[i].Secure(t.fleet.config(i))
+		t.upstreams.servers[i].Secure(t.upstreams.config(i))
 	}
 	return nil
 }
 
 // widenTrust writes both authorities in place, and first a part of them that is no sound file.
 func (t *rotation) widenTrust() error {
-	both := append(certs.Bundle(t.fleet.pki.Trusted.Root.Cert), certs.Bundle(t.fleet.pki.Other.Root.Cert)...)
+	both := append(certs.Bundle(t.upstreams.pki.Trusted.Root.Cert), certs.Bundle(t.upstreams.pki.Other.Root.Cert)...)
 	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 		time.Sleep(time.Until(began.Add(time.Duration(i)*rotationStepEvery + 2*time.Second)))
 		epoch := t.filesTaken()
 		at := time.Now()
-		if err := step.do(); err != nil {
+		if err := step.replace(); err != nil {
 			return late, err
 		}
 		taken := "-"
@@ -172,31 +172,31 @@
 // report ends the proxy and states the bounds; late is how many replacements were taken too late.
 func (t *rotation) report(r *Report, late int) {
 	stood, serials := 0, map[string]int{}
-	for _, s := range t.fleet.servers {
+	for _, s := range t.upstreams.servers {
 		stood += s.Standing()
 		for serial, n := range s.Clients() {
 			serials[serial] += n
 		}
 	}
-	full, resumed := t.fleet.handshakes()
+	full, resumed := t.upstreams.handshakes()
 	rejected := len(t.proxy.Log("event=tls_files_kept"))
 	c, a := t.standing, t.fresh
-	r.Head("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
-	r.Row("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.took.median(), a.took.quantile(0.99))
-	c.stop.Store(true)
+	r.Columns("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
+	r.Row("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
+	c.stopping.Store(true)
 	ended := t.proxy.Stop()
 	total := int(rotationRate * rotationSpan.Seconds())
-	r.Hold(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
-	r.Hold(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved", fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, strings.Join(c.lost[:min(3, len(c.lost))], "; ")))
-	r.Hold(len(serials) == 3, "the servers saw the three client certificates", len(serials))
-	r.Hold(late == 0 && rejected >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, rejected))
+	r.Check(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
+	r.Check(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved", fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, strings.Join(c.lost[:min(3, len(c.lost))], "; ")))
+	r.Check(len(serials) == 3, "the servers saw the three client certificates", len(serials))
+	r.Check(late == 0 && rejected >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, rejected))
 	failed := len(t.proxy.Log("event=tls_failed"))
-	r.Hold(failed == 0, "no handshake failed", failed)
-	r.Hold(ended == nil, "the proxy ended in order", fmt.Sprint(ended))
+	r.Check(failed == 0, "no handshake failed", failed)
+	r.Check(ended == nil, "the proxy ended in order", fmt.Sprint(ended))
 	r.Set("opened", total)
 	r.Set("failed", total-a.count("UP"))
 	r.Set("lost", len(c.lost))
 	r.Set("full", full)
 	r.Set("resumed", resumed)
-	r.Set("p99_ms", a.took.quantile(0.99))
+	r.Set("p99_ms", a.milliseconds.quantile(0.99))
 }
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -52,16 +52,16 @@
 // storm is one case under way.
 type storm struct {
 	stormCase
-	fleet *fleet
-	proxy *Process
-	alone bool   // the proxy has a core of its own
-	calm  *crowd // clients of the two servers that stay
-	gone  *crowd // clients of the server that drains
+	upstreams *upstreams
+	proxy     *Process
+	alone     bool             // the proxy has a core of its own
+	staying   *standingClients // clients of the two servers that stay
+	movedAway *standingClients // clients of the server that drains
 }
 
 // stormFigures is what one storm was measured by.
 type stormFigures struct {
-	calm, wave   series         // milliseconds of the calm crowd's lines, before and during it
+	calm, wave   samples        // milliseconds of the calm crowd's lines, before and during it
 	earlier      map[string]int // handshakes of each server before it
 	filesTaken   int            // times that the proxy had taken new files before it
 	placed       time.Duration  // until all were placed again; 0: they were not
@@ -79,10 +79,10 @@
 	if err != nil {
 		return err
 	}
-	defer s.fleet.close()
+	defer s.upstreams.close()
 	defer s.proxy.Kill()
-	defer s.calm.leave()
-	defer s.gone.leave()
+	defer s.staying.end()
+	defer s.movedAway.end()
 	if err := s.settle(e); err != nil {
 		return err
 	}
@@ -92,8 +92,8 @@
 	}
 	s.count(figures)
 	s.tables(r, figures)
-	s.calm.stop.Store(true)
-	s.gone.stop.Store(true)
+	s.staying.stopping.Store(true)
+	s.movedAway.stopping.Store(true)
 	ended := s.proxy.Stop()
 	if c.bounds {
 		s.hold(r, figures, ended)
@@ -103,7 +103,7 @@
 
 // prepare starts the servers and the proxy.
 func (c stormCase) prepare(e *Env) (s *storm, err error) {
-	f, err := newFleet(e, 3, !c.plain)
+	f, err := newUpstreams(e, 3, !c.plain)
 	if err != nil {
 		return nil, err
 	}
@@ -124,24 +124,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &storm{stormCase: c, fleet: f, proxy: p, alone: p.apart(),
-		calm: &crowd{answers: newTally(), every: 250 * time.Millisecond},
-		gone: &crowd{answers: newTally(), every: 2 * time.Second, listen: true, away: c.away}}, nil
+	return &storm{stormCase: c, upstreams: f, proxy: p, alone: p.isolateCPU(),
+		staying:   &standingClients{answers: newAnswerCounts(), interval: 250 * time.Millisecond},
+		movedAway: &standingClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMoves: true, returnAfter: c.away}}, nil
 }
 
 // settle has all clients connect to the servers that they are to stand on.
 func (s *storm) settle(e *Env) error {
-	e.Say("%s: %d clients settle on two servers, %d on the third", s.name, calmClients, stormClients)
+	e.Logf("%s: %d clients settle on two servers, %d on the third", s.name, calmClients, stormClients)
 	for _, group := range []struct {
-		crowd   *crowd
+		crowd   *standingClients
 		clients int
 		server  string
-	}{{s.calm, calmClients / 2, "at=s2"}, {s.calm, calmClients / 2, "at=s3"}, {s.gone, stormClients, "at=s1"}} {
-		if err := group.crowd.join(s.proxy.Addr, group.clients, group.server, 20*time.Second); err != nil {
+	}{{s.staying, calmClients / 2, "at=s2"}, {s.staying, calmClients / 2, "at=s3"}, {s.movedAway, stormClients, "at=s1"}} {
+		if err := group.crowd.connect(s.proxy.Addr, group.clients, group.server, 20*time.Second); err != nil {
 			return fmt.Errorf("before the storm: %v", err)
 		}
 	}
-	s.gone.answers.reset()
+	s.movedAway.answers.reset()
 	time.Sleep(2 * time.Second)
 	return nil
 }
@@ -152,15 +152,15 @@
 	calmFrom := time.Now()
 	time.Sleep(5 * time.Second)
 	calmTo := time.Now()
-	for _, server := range s.fleet.servers {
+	for _, server := range s.upstreams.servers {
 		f.earlier[server.UID] = len(server.Handshakes())
 	}
 	cpu := s.proxy.CPU()
-	e.Say("server s1 drains")
-	s.fleet.discovery.State("s1", "draining")
+	e.Logf("server s1 drains")
+	s.upstreams.discovery.State("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
-	s.fleet.servers[0].Drain()
+	s.upstreams.servers[0].Drain()
 	f.filesTaken = len(s.proxy.Log("event=tls_files_taken"))
 	if s.bounds {
 		if err := s.replaceFiles(); err != nil {
@@ -171,17 +171,17 @@
 	stormTo := time.Now()
 	f.cpu = s.proxy.CPU() - cpu
 	time.Sleep(time.Second)
-	f.calm, f.wave = s.calm.between(calmFrom, calmTo), s.calm.between(began, stormTo)
+	f.calm, f.wave = s.staying.between(calmFrom, calmTo), s.staying.between(began, stormTo)
 	return f, nil
 }
 
 // replaceFiles has the bundle of authorities grow and the proxy's certificate replaced, in the midst of the storm.
 func (s *storm) replaceFiles() error {
 	time.Sleep(300 * time.Millisecond)
-	if _, err := fake.SaveTrust(s.fleet.dir, s.fleet.pki.Trusted, s.fleet.pki.Other); err != nil {
+	if _, err := fake.SaveTrust(s.upstreams.dir, s.upstreams.pki.Trusted, s.upstreams.pki.Other); err != nil {
 		return err
 	}
-	_, err := s.fleet.pki.Trusted.SaveClient(s.fleet.dir, certs.Spec{Name: "proxy"})
+	_, err := s.upstreams.pki.Trusted.SaveClient(s.upstreams.dir, certs.Spec{Name: "proxy"})
 	return err
 }
 
@@ -189,7 +189,7 @@
 func (s *storm) awaitPlaced(began time.Time) time.Duration {
 	for time.Since(began) < 2*placedWithin {
 		time.Sleep(10 * time.Millisecond)
-		if s.fleet.servers[1].Standing()+s.fleet.servers[2].Standing() >= calmClients+stormClients {
+		if s.upstreams.servers[1].Standing()+s.upstreams.servers[2].Standing() >= calmClients+stormClients {
 			return time.Since(began)
 		}
 	}
--- a/internal/testbed/experiment/tls.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -14,22 +14,22 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// fleet are stand-in servers behind TLS with the files that a proxy needs for them.
-type fleet struct {
-	dir       string
-	pki       *fake.Pki
-	servers   []*fake.Server
-	shown     []atomic.Pointer[tls.Certificate]
-	discovery *fake.Discovery
+// upstreams are stand-in servers behind TLS with the files that a proxy needs for them.
+type upstreams struct {
+	dir          string
+	pki          *fake.Pki
+	servers      []*fake.Server
+	certificates []atomic.Pointer[tls.Certificate]
+	discovery    *fake.Discovery
 }
 
-// newFleet makes n servers, behind TLS or plain. They ask for the proxy's certificate.
-func newFleet(e *Env, n int, secure bool) (*fleet, error) {
+// newUpstreams makes n servers, behind TLS or plain. They ask for the proxy's certificate.
+func newUpstreams(e *Env, n int, secure bool) (*upstreams, error) {
 	dir, err := os.MkdirTemp(e.Dir, "fleet")
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{dir: dir, shown: make([]atomic.Pointer[tls.Certificate], n)}
+	f := &upstreams{dir: dir, certificates: make([]atomic.Pointer[tls.Certificate], n)}
 	if f.pki, err = fake.NewPki("s1.lab"); err != nil {
 		return nil, err
 	}
@@ -63,22 +63,22 @@
 }
 
 // config is the side of TLS of server i: the certificate it has now, and clients that either authority vouches for.
-func (f *fleet) config(i int) *tls.Config {
+func (f *upstreams) config(i int) *tls.Config {
 	pool := f.pki.Trusted.Pool()
 	pool.AddCert(f.pki.Other.Root.Cert)
-	return fake.Config(func() *tls.Certificate { return f.shown[i].Load() }, func() *x509.CertPool { return pool })
+	return fake.Config(func() *tls.Certificate { return f.certificates[i].Load() }, func() *x509.CertPool { return pool })
 }
 
 // renew gives server i a new certificate by an authority.
-func (f *fleet) renew(i int, by *fake.Authority) error {
+func (f *upstreams) renew(i int, by *fake.Authority) error {
 	p, err := by.Issue(certs.Spec{Hosts: []string{fmt.Sprintf("s%d.lab", i+1)}})
 	if err == nil {
-		f.shown[i].Store(fake.TLS(p))
+		f.certificates[i].Store(fake.TLS(p))
 	}
 	return err
 }
 
-func (f *fleet) close() {
+func (f *upstreams) close() {
 	f.discovery.Close()
 	for _, s := range f.servers {
 		s.Close()
@@ -86,7 +86,7 @@
 }
 
 // settings writes the operators' file; more is added to the tls section.
-func (f *fleet) settings(more ...string) (string, error) {
+func (f *upstreams) settings(more ...string) (string, error) {
 	path := filepath.Join(f.dir, fmt.Sprintf("croftlock%d.sexp", time.Now().UnixNano()))
 	text := `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.lab")) ` +
 		strings.Join(more, " ") + ")\n"
@@ -94,7 +94,7 @@
 }
 
 // handshakes counts those of all servers.
-func (f *fleet) handshakes() (full, resumed int) {
+func (f *upstreams) handshakes() (full, resumed int) {
 	for _, s := range f.servers {
 		for _, h := range s.Handshakes() {
 			if h.Resumed {
@@ -109,7 +109,7 @@
 
 // demo is the shortest way to see the program at work.
 func demo(e *Env, r *Report) error {
-	f, err := newFleet(e, 3, false)
+	f, err := newUpstreams(e, 3, false)
 	if err != nil {
 		return err
 	}
@@ -118,31 +118,31 @@
 	if err != nil {
 		return err
 	}
-	e.Say("proxy on %s, discovery on %s, servers on %s %s %s", p.Addr, f.discovery.Addr(), f.servers[0].Addr(),
+	e.Logf("proxy on %s, discovery on %s, servers on %s %s %s", p.Addr, f.discovery.Addr(), f.servers[0].Addr(),
 		f.servers[1].Addr(), f.servers[2].Addr())
-	c := &crowd{answers: newTally(), every: 200 * time.Millisecond}
-	if err := c.join(p.Addr, 60, "", 2*time.Second); err != nil {
+	c := &standingClients{answers: newAnswerCounts(), interval: 200 * time.Millisecond}
+	if err := c.connect(p.Addr, 60, "", 2*time.Second); err != nil {
 		return err
 	}
-	e.Say("60 clients are served; one of the servers drains")
+	e.Logf("60 clients are served; one of the servers drains")
 	time.Sleep(1500 * time.Millisecond)
 	f.discovery.State("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	f.servers[0].Drain()
 	time.Sleep(2 * time.Second)
 	standing := 0
-	r.Head("servers", "server", "opened", "standing")
+	r.Columns("servers", "server", "opened", "standing")
 	for _, s := range f.servers {
 		all, _ := s.Opened()
 		r.Row("servers", s.UID, all, s.Standing())
 		standing += s.Standing()
 	}
 	lines := c.between(r.Began, time.Now())
-	c.leave()
+	c.end()
 	err = p.Stop()
-	r.Hold(err == nil, "the proxy ended in order on SIGTERM", fmt.Sprint(err))
-	r.Hold(standing == 60, "all clients are standing after the drain", standing)
-	r.Hold(len(c.lost) == 0, "no connection was lost", strings.Join(c.lost, "; "))
+	r.Check(err == nil, "the proxy ended in order on SIGTERM", fmt.Sprint(err))
+	r.Check(standing == 60, "all clients are standing after the drain", standing)
+	r.Check(len(c.lost) == 0, "no connection was lost", strings.Join(c.lost, "; "))
 	r.Set("clients", 60)
 	r.Set("moved", c.moved)
 	r.Set("lines", len(lines))
