--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if err = Ready(admin, 6*time.Second); err != nil {
+	if err = Ready(admin, upgradeTimeout); err != nil {
 		return 0, 0, err
 	}
 	readyIn = time.Since(started)
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -167,3 +167,8 @@
 	o := s.sorted()
 	return fmt.Sprintf("%.3g (%.3g to %.3g)", s.median(), o[0], o[len(o)-1])
 }
+
+// spread gives the median with the first and last tenth cut off, to so many places.
+func (s samples) spread(places int) string {
+	return fmt.Sprintf("%.*f (%.*f to %.*f)", places, s.median(), places, s.quantile(0.1), places, s.quantile(0.9))
+}
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -32,35 +32,48 @@
 	}{{"x25519mlkem768", tls.X25519MLKEM768}, {"x25519", tls.X25519}, {"p256", tls.CurveP256}} {
 		for _, resumed := range []bool{false, true} {
 			client := &tls.Config{ServerName: "s1.lab", RootCAs: pki.Trusted.Pool(), CurvePreferences: []tls.CurveID{x.id}}
-			if resumed {
-				client.ClientSessionCache = tls.NewLRUClientSessionCache(1)
-			}
-			var c, s samples
-			for i := range 330 {
-				cu, su, did, err := oneHandshake(client, server)
-				if err != nil {
-					return err
-				}
-				if i >= 30 {
-					if did != resumed {
-						return fmt.Errorf("handshake %d: resumed %t, want %t", i, did, resumed)
-					}
-					c, s = append(c, cu), append(s, su)
-				}
+			client.ClientSessionCache = sessionCache(resumed)
+			clients, servers, err := manyHandshakes(client, server, resumed)
+			if err != nil {
+				return err
 			}
 			kind := "full"
 			if resumed {
 				kind = "resumed"
 			}
-			spread := func(x samples) string {
-				return fmt.Sprintf("%.0f (%.0f to %.0f)", x.median(), x.quantile(0.1), x.quantile(0.9))
-			}
-			r.Row(title, x.name, kind, spread(c), spread(s))
+			r.Row(title, x.name, kind, clients.spread(0), servers.spread(0))
 		}
 	}
 	return verification(r, pki)
 }
 
+// sessionCache is a client's cache of sessions; none: it never resumes.
+func sessionCache(resumed bool) tls.ClientSessionCache {
+	if !resumed {
+		return nil
+	}
+	return tls.NewLRUClientSessionCache(1)
+}
+
+// manyHandshakes are the microseconds of each side of 300 handshakes, after some that fill caches.
+func manyHandshakes(client, server *tls.Config, resumed bool) (clients, servers samples, err error) {
+	const warmUp, handshakes = 30, 300
+	for i := range warmUp + handshakes {
+		h, err := oneHandshake(client, server)
+		if err != nil {
+			return nil, nil, err
+		}
+		if i < warmUp {
+			continue
+		}
+		if h.resumed != resumed {
+			return nil, nil, fmt.Errorf("handshake %d: resumed %t, want %t", i, h.resumed, resumed)
+		}
+		clients, servers = append(clients, h.client), append(servers, h.server)
+	}
+	return clients, servers, nil
+}
+
 // verification is what looking at a chain takes by itself: Go's, and again once this proxy remembers it.
 func verification(r *Report, pki *fake.Pki) error {
 	leaf, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.lab"}})
@@ -92,18 +105,27 @@
 			*s = append(*s, float64(time.Since(began))/1e3)
 		}
 	}
-	r.Row(title, "first in its epoch", fmt.Sprintf("%.1f (%.1f to %.1f)", first.median(), first.quantile(0.1), first.quantile(0.9)))
-	r.Row(title, "remembered", fmt.Sprintf("%.1f (%.1f to %.1f)", again.median(), again.quantile(0.1), again.quantile(0.9)))
+	r.Row(title, "first in its epoch", first.spread(1))
+	r.Row(title, "remembered", again.spread(1))
 	return nil
 }
 
-// stopwatch counts what its owner computes between waits.
+// stopwatch is a connection that counts what its owner computes between waits.
 type stopwatch struct {
 	net.Conn
-	mark  time.Time
+	mark  time.Time // since when the owner computes
 	spent time.Duration
 }
 
+func newStopwatch(c net.Conn) *stopwatch { return &stopwatch{Conn: c, mark: time.Now()} }
+
+// stop counts what was computed since the last wait, and gives the sum in microseconds.
+func (w *stopwatch) stop() float64 {
+	w.spent += time.Since(w.mark)
+	return float64(w.spent) / 1e3
+}
+
+// Read reads, and does not count the wait.
 func (w *stopwatch) Read(p []byte) (int, error) {
 	w.spent += time.Since(w.mark)
 	n, err := w.Conn.Read(p)
@@ -111,6 +133,7 @@
 	return n, err
 }
 
+// Write writes, and does not count the wait.
 func (w *stopwatch) Write(p []byte) (int, error) {
 	w.spent += time.Since(w.mark)
 	n, err := w.Conn.Write(p)
@@ -118,50 +141,61 @@
 	return n, err
 }
 
-// oneHandshake gives the microseconds of the client and of the server. They never compute at the same time.
-func oneHandshake(client, server *tls.Config) (c, s float64, resumed bool, err error) {
+// handshakeTime is the microseconds that each side of one handshake computes.
+type handshakeTime struct {
+	client, server float64
+	resumed        bool
+}
+
+// serverSide is what came of the server's side.
+type serverSide struct {
+	microseconds float64
+	err          error
+}
+
+// serveHandshake answers one handshake, and waits for the client's end.
+func serveHandshake(l net.Listener, config *tls.Config) serverSide {
+	raw, err := l.Accept()
+	if err != nil {
+		return serverSide{0, err}
+	}
+	defer raw.Close()
+	w := newStopwatch(raw)
+	t := tls.Server(w, config)
+	err = t.Handshake()
+	spent := w.stop()
+	io.WriteString(t, "x") // with it the client reads the ticket
+	io.Copy(io.Discard, t)
+	return serverSide{spent, err}
+}
+
+// oneHandshake measures one handshake. The sides never compute at the same time.
+func oneHandshake(client, server *tls.Config) (h handshakeTime, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return 0, 0, false, err
+		return h, err
 	}
 	defer l.Close()
-	type side struct {
-		us  float64
-		err error
-	}
-	done := make(chan side, 1)
-	go func() {
-		raw, err := l.Accept()
-		if err != nil {
-			done <- side{0, err}
-			return
-		}
-		defer raw.Close()
-		w := &stopwatch{Conn: raw, mark: time.Now()}
-		t := tls.Server(w, server)
-		err = t.Handshake()
-		w.spent += time.Since(w.mark)
-		io.WriteString(t, "x") // with it the client reads the ticket
-		io.Copy(io.Discard, t)
-		done <- side{float64(w.spent) / 1e3, err}
-	}()
+	served := make(chan serverSide, 1)
+	go func() { served <- serveHandshake(l, server) }()
 	raw, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		return 0, 0, false, err
+		return h, err
 	}
-	w := &stopwatch{Conn: raw, mark: time.Now()}
+	defer raw.Close()
+	w := newStopwatch(raw)
 	t := tls.Client(w, client)
 	if err := t.Handshake(); err != nil {
-		return 0, 0, false, err
+		return h, err
 	}
-	w.spent += time.Since(w.mark)
-	us := float64(w.spent) / 1e3
+	h.client = w.stop()
 	if _, err := io.ReadFull(t, make([]byte, 1)); err != nil {
-		return 0, 0, false, err
+		return h, err
 	}
-	resumed = t.ConnectionState().DidResume
+	h.resumed = t.ConnectionState().DidResume
 	t.Close()
 	raw.Close()
-	x := <-done
-	return us, x.us, resumed, x.err
+	s := <-served
+	h.server = s.microseconds
+	return h, s.err
 }
