--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -15,7 +15,7 @@
 
 // fleetCommand counts over a folder of logs.
 func fleetCommand() *cobra.Command {
-	var window, warm, fall, aim time.Duration
+	var window, warm, fall, objective time.Duration
 	c := &cobra.Command{Use: "fleet LOGDIR", Short: "Count over the logs of many proxies, on one time axis",
 		Long: "Reads each *.log in a folder as the log of one proxy, written with (log (level debug) (repeat 0)), and counts\n" +
 			"what all of them did together: by stretches of time, and by server.",
@@ -31,16 +31,16 @@
 			if err := printFleet(cmd.OutOrStdout(), l, fleetlog.Count(l, window, warm, fall)); err != nil {
 				return err
 			}
-			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(l, aim))
+			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(l, objective))
 		}}
 	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a stretch")
 	c.Flags().DurationVar(&warm, "warm", 23*time.Second, "how long a server counts as cold after its start")
 	c.Flags().DurationVar(&fall, "fall", 2*time.Second, "window over which the most sends to a cold server are told")
-	c.Flags().DurationVar(&aim, "aim", 250*time.Millisecond, "how long messages may take")
+	c.Flags().DurationVar(&objective, "aim", 250*time.Millisecond, "how long messages may take")
 	return c
 }
 
-// printLoss tells where the seconds went that clients wanted to be connected.
+// printLoss prints where the seconds went that clients wanted to be connected.
 func printLoss(to io.Writer, l *fleetlog.Loss) error {
 	all := max(l.All(), 1e-9)
 	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
@@ -54,6 +54,7 @@
 	return t.Flush()
 }
 
+// printFleet prints what all proxies did, by stretches of time and by host.
 func printFleet(to io.Writer, l *fleetlog.Log, f *fleetlog.Fleet) error {
 	fmt.Fprintf(to, "%d proxies, %d events, %d lines skipped, from %s\n\n", l.Proxies, len(l.Events), l.Skipped,
 		f.Began.Format(time.RFC3339))
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -12,7 +12,7 @@
 )
 
 // isolateCPU gives the process a core of its own and this program the others, so that what stand-ins compute is not taken for
-// a delay of the proxy's. Without cores enough it tells false and changes nothing.
+// a delay of the proxy's. It returns false, and changes nothing, where there are fewer than three cores.
 func (p *Process) isolateCPU() bool {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 3 {
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -16,13 +16,13 @@
 	*Env
 	upstreams *upstreams
 	setup     Setup
-	current   *Process
-	admin     string
-	started   int // processes that were started
+	current   *Process // that serves
+	admin     string   // address of its admin interface
+	started   int      // processes that were started
 	standing  *standingClients
-	fresh     *answerCounts
-	load      sync.WaitGroup
-	stop      chan struct{}
+	fresh     *answerCounts  // of the clients that come at a rate
+	load      sync.WaitGroup // the goroutines that have them come
+	stop      chan struct{}  // closed at the load's end
 }
 
 // newProxySite starts it, with standing clients and fresh ones that come at a rate.
@@ -54,7 +54,7 @@
 // unansweredCount is how many fresh connections ended without an answer.
 func (s *proxySite) unansweredCount() int { return s.fresh.count("NONE") }
 
-// begin starts a process of the proxy, with an address of its own for operators.
+// startProcess starts a process of the proxy, with an admin interface of its own.
 func (s *proxySite) startProcess() (*Process, string, error) {
 	admin, err := FreeAddr()
 	if err != nil {
@@ -70,7 +70,7 @@
 	return p, admin, err
 }
 
-// Call is one operator's call.
+// Call is one call of the admin interface; a call that takes over 5 s is an error.
 func Call(admin, method, path string) (status int, body string, took time.Duration, err error) {
 	began := time.Now()
 	req, err := http.NewRequest(method, "http://"+admin+path, nil)
@@ -87,7 +87,7 @@
 	return resp.StatusCode, string(data), time.Since(began), err
 }
 
-// Ready waits for a process's yes.
+// Ready waits until a process says that it is ready.
 func Ready(admin string, within time.Duration) error {
 	began := time.Now()
 	for time.Since(began) < within {
@@ -128,6 +128,7 @@
 	}()
 }
 
+// close ends the load, the clients, the process and the hosts.
 func (s *proxySite) close() {
 	select {
 	case <-s.stop:
--- a/internal/testbed/experiment/upstreams.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -14,12 +14,12 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// upstreams are stand-in servers behind TLS with the files that a proxy needs for them.
+// upstreams are fake hosts, with their discovery and the files that a proxy needs to reach them by TLS.
 type upstreams struct {
-	dir          string
+	dir          string // of the proxy's files
 	pki          *fake.Pki
 	servers      []*fake.Server
-	certificates []atomic.Pointer[tls.Certificate]
+	certificates []atomic.Pointer[tls.Certificate] // of each server
 	discovery    *fake.Discovery
 }
 
