--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -148,7 +148,7 @@
 	return took, nil
 }
 
-// acquiredByOther tells whether a process other than one acquired a job from a time on.
+// acquiredByOther returns whether a process other than one acquired a job from a time on.
 func (r *Rig) acquiredByOther(than int, job string, from time.Time) bool {
 	for i := range r.Procs {
 		if i != than && len(r.acquired(i, job, from)) > 0 {
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -31,7 +31,7 @@
 	{"lost", func(path string, _ []byte) error { return os.Remove(path) }, "outside"},
 }
 
-// accepts tells whether a voter's state is one that the fault may lead to.
+// accepts returns whether a voter's state is one that the fault may lead to.
 func (f *diskFault) accepts(state string) bool {
 	if f.phase != "" {
 		return strings.Contains(state, f.phase)
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -61,7 +61,7 @@
 	return took, nil
 }
 
-// votersBack tells whether the first so many processes answer, and with stores know a leader as members.
+// votersBack returns whether the first so many processes answer, and with stores know a leader as members.
 func (r *Rig) votersBack(voters int, disks bool) bool {
 	for v := range voters {
 		rep, err := r.Owners(v, owneragent.Request{Do: "status"})
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -205,7 +205,7 @@
 	return false
 }
 
-// Done is closed once it has ended, and Err tells how.
+// Done is closed once it has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Err is how it ended: nil in order.
@@ -223,7 +223,7 @@
 	<-p.done
 }
 
-// Stop ends it in order; an error tells that it did not end in order.
+// Stop ends it by SIGTERM; an error says that it did not end in order.
 func (p *Process) Stop() error {
 	p.Signal(syscall.SIGTERM)
 	select {
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// isolateCPU gives the process a core of its own and this program the others, so that what stand-ins compute is not taken for
+// isolateCPU gives the process a core of its own and this program the others, so that what fakes compute is not taken for
 // a delay of the proxy's. It returns false, and changes nothing, where there are fewer than three cores.
 func (p *Process) isolateCPU() bool {
 	var all unix.CPUSet
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// proxySite is one proxy with its stand-ins, which processes may replace one another at.
+// proxySite is one proxy with its fakes, which processes may replace one another at.
 type proxySite struct {
 	*Env
 	upstreams *upstreams
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -1,4 +1,4 @@
-// Package experiment holds experiments: each starts real croftlock processes against stand-ins on loopback, measures, and holds
+// Package experiment holds experiments: each starts real croftlock processes against fakes on loopback, measures, and holds
 // the result against stated bounds. They take from seconds to a few minutes, bounded in count and time, and stay out of
 // the tests.
 package experiment
@@ -88,7 +88,7 @@
 	r.Bounds = append(r.Bounds, Bound{what, ok, text(got)})
 }
 
-// OK tells whether every bound was kept, and that there were any.
+// OK returns whether every bound was kept, and that there were any.
 func (r *Report) OK() bool {
 	for _, b := range r.Bounds {
 		if !b.Kept {
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -114,9 +114,9 @@
 	case "loss":
 		return all, func(l *fake.Link, on bool) { l.Loss = amount(on) }
 	case "twice":
-		return all, func(l *fake.Link, on bool) { l.Twice = amount(on) }
+		return all, func(l *fake.Link, on bool) { l.Duplicated = amount(on) }
 	case "garbage":
-		return all, func(l *fake.Link, on bool) { l.Garbage = amount(on) }
+		return all, func(l *fake.Link, on bool) { l.Corrupted = amount(on) }
 	case "slow":
 		return all, func(l *fake.Link, on bool) {
 			if l.Jitter = 0; on {
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -10,17 +10,17 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// clockEnv tells a process how its clock is off: at its start, when it is set, and by how much it is off from then on, as durations.
+// clockEnv says to a process how its clock is off: at its start, when it is set, and by how much it is off from then on, as durations.
 const clockEnv = "CROFTLOCK_SOAK_CLOCK"
 
-// steps are what the system's clock may be set by.
-var steps = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
+// clockOffsets are what the system's clock may be set by.
+var clockOffsets = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
 // drawClock draws how a process's clock goes.
 func (f *Fleet) drawClock() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return fmt.Sprintf("%s=%v %v %v", clockEnv, steps[f.clocks.IntN(len(steps))], span(f.clocks, 200, 8000), steps[f.clocks.IntN(len(steps))])
+	return fmt.Sprintf("%s=%v %v %v", clockEnv, clockOffsets[f.clocks.IntN(len(clockOffsets))], randomSpan(f.clocks, 200, 8000), clockOffsets[f.clocks.IntN(len(clockOffsets))])
 }
 
 // BendClock has this process's idea of the system's clock go as the soak that started it says; else it does nothing. It is to be called first.
--- a/internal/testbed/experiment/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -27,7 +27,7 @@
 	c.Flags().DurationVar(&opt.Length, "length", 30*time.Second, "how long clients come")
 	c.Flags().Float64Var(&opt.Rate, "rate", 6, "requests a second at each proxy")
 	c.Flags().IntVar(&opt.Faults, "faults", 120, "faults in that time")
-	c.Flags().BoolVar(&opt.Calls, "calls", true, "system calls fail too")
+	c.Flags().BoolVar(&opt.FailCalls, "calls", true, "system calls fail too")
 	c.Flags().StringVar(&opt.Logs, "logs", "", "a folder for the processes' logs at debug level")
 	c.Flags().StringVar(&program, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	c.RunE = func(*cobra.Command, []string) error {
@@ -62,8 +62,8 @@
 	for _, v := range r.Violations {
 		fmt.Println("  ", v)
 	}
-	for _, err := range r.Errs {
+	for _, err := range r.Errors {
 		fmt.Println("   error:", err)
 	}
-	return len(r.Violations) + len(r.Errs), nil
+	return len(r.Violations) + len(r.Errors), nil
 }
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// fault is one kind of trouble. play has it happen and returns once it is over; it may be called for several at once.
-type fault struct {
+// faultKind is one kind of trouble. play has it happen and returns once it is over; it may be called for several at once.
+type faultKind struct {
 	name   string
 	weight int
 	play   func(f *Fleet, rng *rand.Rand)
 }
 
-var faults = []fault{
+var faultKinds = []faultKind{
 	{"stop", 6, func(f *Fleet, rng *rand.Rand) { f.onNode(rng, (*Fleet).stopNode) }},
 	{"stop-while-hosts-hang", 4, func(f *Fleet, rng *rand.Rand) {
-		undo := f.hang(rng, len(f.Hosts())/2)
+		undo := f.hangHosts(rng, len(f.Hosts())/2)
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		f.onNode(rng, (*Fleet).stopNode)
 		undo()
@@ -25,52 +25,52 @@
 	{"replace", 2, func(f *Fleet, rng *rand.Rand) { f.onNode(rng, (*Fleet).replaceNode) }},
 	{"kill", 3, func(f *Fleet, rng *rand.Rand) { f.onNode(rng, (*Fleet).killNode) }},
 	{"pause", 4, func(f *Fleet, rng *rand.Rand) {
-		if l := f.node(rng).Life(); l != nil && !l.over() {
+		if l := f.node(rng).Current(); l != nil && !l.hasEnded() {
 			l.pause(time.Duration(20+rng.IntN(130)) * time.Millisecond)
 		}
 	}},
 	{"hang", 5, func(f *Fleet, rng *rand.Rand) {
-		undo := f.hang(rng, 1+rng.IntN(len(f.Hosts())))
-		time.Sleep(span(rng, 300, 4000))
+		undo := f.hangHosts(rng, 1+rng.IntN(len(f.Hosts())))
+		time.Sleep(randomSpan(rng, 300, 4000))
 		undo()
 	}},
 	{"slow", 4, func(f *Fleet, rng *rand.Rand) {
 		h := f.host(rng)
-		h.slow.Store(int64(span(rng, 50, 1500)))
-		time.Sleep(span(rng, 500, 4000))
+		h.slow.Store(int64(randomSpan(rng, 50, 1500)))
+		time.Sleep(randomSpan(rng, 500, 4000))
 		h.slow.Store(0)
 	}},
 	{"errors", 3, func(f *Fleet, rng *rand.Rand) {
 		h := f.host(rng)
 		h.errs.Store(true)
-		time.Sleep(span(rng, 200, 2000))
+		time.Sleep(randomSpan(rng, 200, 2000))
 		h.errs.Store(false)
 	}},
 	{"resets", 4, func(f *Fleet, rng *rand.Rand) {
 		h := f.host(rng)
 		h.resets.Store(true)
-		time.Sleep(span(rng, 200, 2000))
+		time.Sleep(randomSpan(rng, 200, 2000))
 		h.resets.Store(false)
 	}},
 	{"reset-standing", 3, func(f *Fleet, rng *rand.Rand) { f.host(rng).ResetSome(1 + rng.IntN(4)) }},
 	{"host-restart", 3, func(f *Fleet, rng *rand.Rand) {
 		h := f.host(rng)
 		if h.claimed.CompareAndSwap(false, true) {
-			f.fail(h.Restart(span(rng, 50, 1500)))
-			f.list(h, "up")
+			f.recordError(h.Restart(randomSpan(rng, 50, 1500)))
+			f.setState(h, "up")
 			h.claimed.Store(false)
 		}
 	}},
 	{"drain", 5, (*Fleet).drain},
 	{"discovery-down", 4, func(f *Fleet, rng *rand.Rand) {
-		f.discoveries(rng, 300, 6000, func(n *Node, k int, on bool) { n.discovery[k].Down(on) })
+		f.disturbDiscoveries(rng, 300, 6000, func(n *Node, k int, on bool) { n.discovery[k].Down(on) })
 	}},
 	{"discovery-silent", 3, func(f *Fleet, rng *rand.Rand) {
-		f.discoveries(rng, 300, 5000, func(n *Node, k int, on bool) { n.discovery[k].Silent(on) })
+		f.disturbDiscoveries(rng, 300, 5000, func(n *Node, k int, on bool) { n.discovery[k].Silent(on) })
 	}},
 	{"discovery-slow", 3, func(f *Fleet, rng *rand.Rand) {
-		by := span(rng, 200, 1900)
-		f.discoveries(rng, 1000, 5000, func(n *Node, k int, on bool) {
+		by := randomSpan(rng, 200, 1900)
+		f.disturbDiscoveries(rng, 1000, 5000, func(n *Node, k int, on bool) {
 			if !on {
 				by = 0
 			}
@@ -81,7 +81,8 @@
 	{"reconfigure", 4, (*Fleet).reconfigure},
 }
 
-func span(rng *rand.Rand, least, most int) time.Duration {
+// randomSpan draws a time from least to most milliseconds.
+func randomSpan(rng *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rng.IntN(most-least)) * time.Millisecond
 }
 
@@ -99,42 +100,42 @@
 		return
 	}
 	defer n.release()
-	if n.Life() != nil {
-		f.fail(do(f, n, rng))
+	if n.Current() != nil {
+		f.recordError(do(f, n, rng))
 	}
 }
 
 // stopNode ends a process in order and starts the next one.
 func (f *Fleet) stopNode(n *Node, rng *rand.Rand) error {
-	n.Life().stop(f.longest(), f.slack.value())
-	time.Sleep(span(rng, 10, 400))
+	n.Current().stop(f.longestDeadline(), f.stalls.value())
+	time.Sleep(randomSpan(rng, 10, 400))
 	return n.start()
 }
 
 // killNode ends a process at once and starts the next one.
 func (f *Fleet) killNode(n *Node, rng *rand.Rand) error {
-	n.Life().kill()
-	time.Sleep(span(rng, 10, 1500))
+	n.Current().kill()
+	time.Sleep(randomSpan(rng, 10, 1500))
 	return n.start()
 }
 
 // replaceNode has a new process take over from one that serves, which then ends in order.
 func (f *Fleet) replaceNode(n *Node, rng *rand.Rand) error {
-	old := n.Life()
+	old := n.Current()
 	if err := n.start(); err != nil {
 		return err
 	}
-	next := n.Life()
+	next := n.Current()
 	old.mu.Lock()
-	old.next = next
+	old.successor = next
 	old.mu.Unlock()
-	time.Sleep(span(rng, 0, 3000))
-	old.stop(f.longest(), f.slack.value())
+	time.Sleep(randomSpan(rng, 0, 3000))
+	old.stop(f.longestDeadline(), f.stalls.value())
 	return nil
 }
 
-// hang has some hosts say nothing any more; what it gives ends that.
-func (f *Fleet) hang(rng *rand.Rand, n int) (undo func()) {
+// hangHosts has some hosts say nothing any more; what it gives ends that.
+func (f *Fleet) hangHosts(rng *rand.Rand, n int) (undo func()) {
 	var hung []*Host
 	for range n {
 		h := f.host(rng)
@@ -155,21 +156,21 @@
 		return
 	}
 	defer h.claimed.Store(false)
-	f.list(h, "draining")
-	time.Sleep(span(rng, 0, 500))
+	f.setState(h, "draining")
+	time.Sleep(randomSpan(rng, 0, 500))
 	h.drains.Store(true)
 	h.SendAway()
-	time.Sleep(span(rng, 500, 3000))
+	time.Sleep(randomSpan(rng, 500, 3000))
 	if rng.IntN(2) == 0 {
-		f.list(h, "removed")
-		f.fail(h.Restart(span(rng, 100, 1000)))
+		f.setState(h, "removed")
+		f.recordError(h.Restart(randomSpan(rng, 100, 1000)))
 	}
 	h.drains.Store(false)
-	f.list(h, "up")
+	f.setState(h, "up")
 }
 
-// discoveries has the discoveries of some proxies be in trouble for a while, the one that is asked and the next one alike.
-func (f *Fleet) discoveries(rng *rand.Rand, least, most int, set func(n *Node, which int, on bool)) {
+// disturbDiscoveries has the discoveries of some proxies be in trouble for a while, the one that is asked and the next one alike.
+func (f *Fleet) disturbDiscoveries(rng *rand.Rand, least, most int, set func(n *Node, which int, on bool)) {
 	first, count, which := rng.IntN(len(f.nodes)), 1+rng.IntN(len(f.nodes)), rng.IntN(2)
 	each := func(on bool) {
 		for i := range count {
@@ -177,7 +178,7 @@
 		}
 	}
 	each(true)
-	time.Sleep(span(rng, least, most))
+	time.Sleep(randomSpan(rng, least, most))
 	each(false)
 }
 
@@ -188,29 +189,29 @@
 		return
 	}
 	defer n.release()
-	l := n.Life()
+	l := n.Current()
 	if l == nil {
 		return
 	}
 	for range 1 + rng.IntN(3) {
-		n.asks = 1 - n.asks
-		if err := l.config("discovery", n.discovery[n.asks].Addr()); err != nil {
-			f.fail(err)
+		n.activeDiscovery = 1 - n.activeDiscovery
+		if err := l.rewriteConfig("discovery", n.discovery[n.activeDiscovery].Addr()); err != nil {
+			f.recordError(err)
 			return
 		}
 		l.proc.Signal(syscall.SIGHUP)
-		time.Sleep(span(rng, 5, 400))
+		time.Sleep(randomSpan(rng, 5, 400))
 	}
 }
 
-// draw gives one fault by its weight.
-func draw(rng *rand.Rand) fault {
+// drawFault gives one fault by its weight.
+func drawFault(rng *rand.Rand) faultKind {
 	sum := 0
-	for _, x := range faults {
+	for _, x := range faultKinds {
 		sum += x.weight
 	}
 	at := rng.IntN(sum)
-	for _, x := range faults {
+	for _, x := range faultKinds {
 		if at -= x.weight; at < 0 {
 			return x
 		}
@@ -218,16 +219,16 @@
 	panic("unreachable")
 }
 
-// trouble has faults begin at drawn moments, whatever others are under way.
-func (f *Fleet) trouble(until time.Time, rng *rand.Rand, say func(string)) {
-	defer f.playing.Done()
+// playFaults has faults begin at drawn moments, whatever others are under way.
+func (f *Fleet) playFaults(until time.Time, rng *rand.Rand, say func(string)) {
+	defer f.workers.Done()
 	total := time.Until(until)
-	for i := range f.opt.Faults {
-		x, seed := draw(rng), rng.Uint64()
+	for i := range f.options.Faults {
+		x, seed := drawFault(rng), rng.Uint64()
 		at := time.Duration(rng.Float64() * float64(total))
-		f.playing.Add(1)
+		f.workers.Add(1)
 		go func() {
-			defer f.playing.Done()
+			defer f.workers.Done()
 			time.Sleep(at)
 			say(fmt.Sprintf("%.3f fault %d %s", at.Seconds(), i, x.name))
 			x.play(f, rand.New(rand.NewPCG(seed, 2)))
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -12,8 +12,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Host is a catalogue server that can be broken in the ways that the platform breaks them. It notes in the record what it received of each
-// request.
+// Host is an upstream host that can be broken in the ways that the platform breaks them. It records what it received of each request.
 type Host struct {
 	UID, Zone string
 	addr      string
@@ -22,7 +21,7 @@
 	hangs  atomic.Bool  // it reads and says nothing
 	resets atomic.Bool  // it resets a connection as soon as it has a first line
 	errs   atomic.Bool  // it answers ERR
-	drains atomic.Bool  // it turns new requests away
+	drains atomic.Bool  // it rejects new requests
 	slow   atomic.Int64 // nanoseconds that an acceptance takes
 	booted atomic.Int64 // Unix milliseconds
 
@@ -58,7 +57,7 @@
 	defer h.mu.Unlock()
 	h.listener.Close()
 	for c, a := range h.conns {
-		a.end("host")
+		a.recordEnd("host")
 		fake.Reset(c)
 	}
 }
@@ -72,18 +71,18 @@
 	return h.Up()
 }
 
-// Entry is how discovery tells of it.
+// Entry is how an endpoint list has it.
 func (h *Host) Entry(state string) fake.Entry {
 	return fake.Entry{UID: h.UID, Endpoint: h.addr, Zone: h.Zone, Model: "type-a", State: state, Weight: 1, BootMS: h.booted.Load()}
 }
 
-// SendAway has all its clients moved, as a draining server does.
+// SendAway has all its clients migrated, as a draining server does.
 func (h *Host) SendAway() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c, a := range h.conns {
 		if a.served() {
-			a.end("host")
+			a.recordEnd("host")
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			fmt.Fprint(c, "MOVE\r\n")
 			c.Close()
@@ -98,7 +97,7 @@
 	i := 0
 	for c, a := range h.conns {
 		if i++; i%part == 0 {
-			a.end("host")
+			a.recordEnd("host")
 			fake.Reset(c)
 		}
 	}
@@ -123,7 +122,7 @@
 	if err != nil || len(words) < 3 {
 		return
 	}
-	a := h.record.arrived(words[1], h.UID)
+	a := h.record.recordArrival(words[1], h.UID)
 	h.mu.Lock()
 	h.conns[c] = a
 	h.mu.Unlock()
@@ -131,7 +130,7 @@
 		h.mu.Lock()
 		delete(h.conns, c)
 		h.mu.Unlock()
-		a.end("proxy")
+		a.recordEnd("proxy")
 	}()
 	lines := make(chan string, 64)
 	go func() {
@@ -139,7 +138,7 @@
 		for {
 			line, err := in.ReadString('\n')
 			if err != nil {
-				a.end("proxy")
+				a.recordEnd("proxy")
 				return
 			}
 			lines <- line
@@ -155,19 +154,19 @@
 	}
 }
 
-// answer says what it makes of a request, and tells whether the connection goes on.
+// answer answers a request, and returns whether the connection goes on.
 func (h *Host) answer(c net.Conn, a *arrival, lines <-chan string) bool {
 	switch {
 	case h.drains.Load():
-		a.says("BUSY")
+		a.recordAnswer("BUSY")
 		fmt.Fprint(c, "BUSY\r\n")
 		return false
 	case h.resets.Load():
-		a.end("host")
+		a.recordEnd("host")
 		fake.Reset(c)
 		return false
 	case h.errs.Load():
-		a.says("ERR")
+		a.recordAnswer("ERR")
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
@@ -185,7 +184,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	a.says("UP")
-	fmt.Fprintf(c, "UP %s-%s\r\n", h.UID, a.id)
+	a.recordAnswer("UP")
+	fmt.Fprintf(c, "UP %s-%s\r\n", h.UID, a.requestID)
 	return true
 }
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -8,70 +8,72 @@
 // Record is what happened to each request, from both sides of the proxies.
 type Record struct {
 	mu       sync.Mutex
-	arrivals map[string][]*arrival // by the request's id, in the order in which they came
-	told     map[tellKey][]telling // what lives of proxies were told of hosts
+	arrivals map[string][]*arrival       // by the request's id, in the order in which they came
+	notices  map[noticeKey][]stateNotice // what lists written to each process say of a host, in order
 }
 
-// telling is one list's word on a host, written to a life of a proxy.
-type telling struct {
-	at    time.Time
-	state string
-	by    string // the list
+// stateNotice is a host's state in a list that was written to a process.
+type stateNotice struct {
+	writtenAt time.Time
+	state     string
+	list      string // the list
 }
 
-// tellKey is a host as one life of a proxy sees it.
-type tellKey struct {
-	life *life
-	host string
+// noticeKey is a host as one process of a proxy sees it.
+type noticeKey struct {
+	incarnation *incarnation
+	host        string
 }
 
 // NewRecord makes an empty one.
 func NewRecord() *Record {
-	return &Record{arrivals: map[string][]*arrival{}, told: map[tellKey][]telling{}}
+	return &Record{arrivals: map[string][]*arrival{}, notices: map[noticeKey][]stateNotice{}}
 }
 
 // arrival is one attempt as its host received it: the whole first line.
 type arrival struct {
-	id, host string
-	at       time.Time
+	requestID, host string
+	receivedAt      time.Time
 
 	mu      sync.Mutex
-	said    string // what the host answered; "": nothing
+	answer  string // what the host answered; "": nothing
 	endedBy string // "host" or "proxy"; "": it stands
 	endedAt time.Time
 }
 
-func (r *Record) arrived(id, host string) *arrival {
-	a := &arrival{id: id, host: host, at: time.Now()}
+// recordArrival adds an attempt that a host received.
+func (r *Record) recordArrival(id, host string) *arrival {
+	a := &arrival{requestID: id, host: host, receivedAt: time.Now()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals[id] = append(r.arrivals[id], a)
 	return a
 }
 
-func (r *Record) of(id string) []*arrival {
+// arrivalsOf are the attempts of one request, in the order in which they came.
+func (r *Record) arrivalsOf(id string) []*arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*arrival(nil), r.arrivals[id]...)
 }
 
-// tell notes that a list with a host's state was written to a proxy.
-func (r *Record) tell(l *life, host, state, by string, at time.Time) {
-	k := tellKey{l, host}
+// recordNotice notes that a list with a host's state was written to a proxy.
+func (r *Record) recordNotice(l *incarnation, host, state, by string, at time.Time) {
+	k := noticeKey{l, host}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if all := r.told[k]; len(all) == 0 || all[len(all)-1].state != state {
-		r.told[k] = append(all, telling{at, state, by})
+	if all := r.notices[k]; len(all) == 0 || all[len(all)-1].state != state {
+		r.notices[k] = append(all, stateNotice{at, state, by})
 	}
 }
 
-// outSince gives when a life was last told that a host takes nothing, if that still held at a moment.
-func (r *Record) outSince(l *life, host string, at time.Time) (since telling, out bool) {
+// excludedSince is the notice since which a process had a host as draining or removed, if that still held at a moment.
+func (r *Record) excludedSince(l *incarnation, host string, at time.Time) (since stateNotice, out bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, t := range r.told[tellKey{l, host}] {
+	for _, t := range r.notices[noticeKey{l, host}] {
 		switch {
-		case !t.at.Before(at):
+		case !t.writtenAt.Before(at):
 			return since, out
 		case t.state == "up":
 			out = false
@@ -82,20 +84,22 @@
 	return since, out
 }
 
-func (a *arrival) says(what string) {
+// recordAnswer notes what the host answered.
+func (a *arrival) recordAnswer(what string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.said = what
+	a.answer = what
 }
 
+// served returns whether the host accepted the request.
 func (a *arrival) served() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.said == "UP"
+	return a.answer == "UP"
 }
 
-// end notes the first end.
-func (a *arrival) end(by string) {
+// recordEnd notes the first end.
+func (a *arrival) recordEnd(by string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.endedBy == "" {
@@ -103,9 +107,9 @@
 	}
 }
 
-// seen is a copy that nothing changes any more.
-func (a *arrival) seen() (said, endedBy string, endedAt time.Time) {
+// snapshot is a copy that nothing changes any more.
+func (a *arrival) snapshot() (said, endedBy string, endedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.said, a.endedBy, a.endedAt
+	return a.answer, a.endedBy, a.endedAt
 }
--- a/internal/testbed/experiment/soak/notify.go
+++ b/internal/testbed/experiment/soak/seccomp.go
@@ -9,22 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// notification is the kernel's struct seccomp_notif, and verdict its struct seccomp_notif_resp.
+// notification is the kernel's struct seccomp_notif.
 type notification struct {
-	id    uint64
-	pid   uint32
-	flags uint32
-	call  int32
-	arch  uint32
-	ip    uint64
-	args  [6]uint64
+	requestID   uint64
+	pid         uint32
+	flags       uint32
+	call        int32
+	arch        uint32
+	instruction uint64
+	args        [6]uint64
 }
 
+// verdict is the kernel's struct seccomp_notif_resp.
 type verdict struct {
-	id    uint64
-	val   int64
-	errno int32
-	flags uint32
+	requestID uint64
+	value     int64
+	errno     int32
+	flags     uint32
 }
 
 // The requests on a notification descriptor, and the flag that lets a call go on.
@@ -32,9 +33,11 @@
 	notifyReceive  = 0xc0502100
 	notifySend     = 0xc0182101
 	notifyContinue = 1
-	pollMS         = 100
 )
 
+// pollMS is how often the shim looks whether it has ended, in milliseconds.
+const pollMS = 100
+
 // lockThread keeps the calling goroutine on its thread: a filter is the thread's that sets it.
 func lockThread() { runtime.LockOSThread() }
 
@@ -52,27 +55,29 @@
 		case err == unix.EINTR || n == 0 && err == nil:
 			continue
 		case err != nil || poll[0].Revents&unix.POLLIN == 0:
-			return // nobody is left to be looked at
+			return // no process is left
 		}
 		s.answer(fd, ready.Load())
 	}
 }
 
+// answer answers one notification: the call goes on, or fails.
 func (s *Shim) answer(fd int, ready bool) {
 	var q notification
 	if ioctl(fd, notifyReceive, unsafe.Pointer(&q)) != 0 {
 		return // the caller has been killed meanwhile
 	}
-	v := verdict{id: q.id}
+	v := verdict{requestID: q.requestID}
 	v.flags = notifyContinue
 	if ready {
-		if errno := s.fault(q.call, q.args[1]); errno != 0 {
+		if errno := s.drawError(q.call, q.args[1]); errno != 0 {
 			v.errno, v.flags = -int32(errno), 0
 		}
 	}
 	ioctl(fd, notifySend, unsafe.Pointer(&v))
 }
 
+// ioctl is the system call, made again when it is interrupted.
 func ioctl(fd int, request uintptr, arg unsafe.Pointer) syscall.Errno {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(arg))
--- a/internal/testbed/experiment/soak/session.go
+++ b/internal/testbed/experiment/soak/session.go
@@ -20,7 +20,7 @@
 const (
 	Unanswered Answer = ""
 	Served     Answer = "UP"
-	Refused    Answer = "BUSY"
+	Rejected   Answer = "BUSY"
 	Failed     Answer = "ERR"
 )
 
@@ -29,44 +29,44 @@
 
 // The ends that a connection can have.
 const (
-	Open   End = ""      // it stands
-	Moved  End = "MOVE"  // the proxy sent its client away
-	Bye    End = "BYE"   // its host served it to its end
-	Closed End = "close" // ended in order, without a word
-	Reset  End = "reset"
-	Left   End = "left" // the client ended it itself
+	Open       End = ""      // it stands
+	Migrated   End = "MOVE"  // the proxy has its client migrate
+	Finished   End = "BYE"   // its host served it to its end
+	Closed     End = "close" // ended in order, without a line
+	Reset      End = "reset"
+	ClientLeft End = "left" // the client ended it itself
 )
 
 // Outcome is what became of a session so far.
 type Outcome struct {
-	Sent       time.Time // when its first line was written whole; zero: never
-	Answer     Answer
-	AnsweredAt time.Time
-	End        End
-	EndedAt    time.Time
-	Lines      int           // lines that came back
-	Held       time.Duration // longest time from a line to the line back, of those that came
+	Sent             time.Time // when its first line was written whole; zero: never
+	Answer           Answer
+	AnsweredAt       time.Time
+	End              End
+	EndedAt          time.Time
+	Lines            int           // lines that came back
+	LongestRoundTrip time.Duration // longest time from a line to the line back, of those that came
 }
 
 // Request is what a client asks for.
 type Request struct {
-	Class string
-	Wait  time.Duration // how long the client waits for its answer
-	Extra string        // further values of the first line, such as "again=1"
-	Every time.Duration // how often it sends a line once it is served; 0: never
+	Class    string
+	Wait     time.Duration // how long the client waits for its answer
+	Extra    string        // further values of the first line, such as "again=1"
+	Interval time.Duration // how often it sends a line once it is served; 0: never
 }
 
 // Session is one client's connection from its first line to its end. Its methods may be called from any goroutine.
 type Session struct {
-	ID      string
-	Request Request
-	Pieces  bool // its first line comes in two pieces
-	conn    net.Conn
-	ended   chan struct{}
-
-	mu      sync.Mutex
-	out     Outcome
-	waiting []time.Time // lines without an answer yet
+	ID       string
+	Request  Request
+	InPieces bool // its first line comes in two pieces
+	conn     net.Conn
+	ended    chan struct{}
+
+	mu              sync.Mutex
+	outcome         Outcome
+	unansweredLines []time.Time // lines without an answer yet
 }
 
 // Dial connects to a proxy and sends nothing yet.
@@ -95,17 +95,17 @@
 	if s.Request.Extra != "" {
 		line += "," + s.Request.Extra
 	}
-	if s.Pieces {
+	if s.InPieces {
 		fmt.Fprint(s.conn, line[:len(line)/2])
 		line = line[len(line)/2:]
 		time.Sleep(30 * time.Millisecond)
 	}
 	s.mu.Lock()
-	s.out.Sent = time.Now()
+	s.outcome.Sent = time.Now()
 	s.mu.Unlock()
 	if _, err := fmt.Fprint(s.conn, line+"\r\n"); err != nil {
 		s.mu.Lock()
-		s.out.Sent = time.Time{}
+		s.outcome.Sent = time.Time{}
 		s.mu.Unlock()
 		return err
 	}
@@ -116,10 +116,10 @@
 func (s *Session) Outcome() Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.out
-	for _, at := range s.waiting {
+	out := s.outcome
+	for _, at := range s.unansweredLines {
 		if out.End == Open {
-			out.Held = max(out.Held, time.Since(at))
+			out.LongestRoundTrip = max(out.LongestRoundTrip, time.Since(at))
 		}
 	}
 	return out
@@ -130,15 +130,16 @@
 
 // Leave ends the connection from the client's side.
 func (s *Session) Leave() {
-	s.finish(Left)
+	s.finish(ClientLeft)
 	s.conn.Close()
 }
 
+// finish records how the connection ended; the first end counts.
 func (s *Session) finish(how End) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out.End == Open {
-		s.out.End, s.out.EndedAt = how, time.Now()
+	if s.outcome.End == Open {
+		s.outcome.End, s.outcome.EndedAt = how, time.Now()
 		close(s.ended)
 	}
 }
@@ -153,12 +154,13 @@
 			s.finish(endOf(err))
 			return
 		}
-		if word, _, _ := strings.Cut(strings.TrimSpace(line), " "); !s.take(word) {
+		if word, _, _ := strings.Cut(strings.TrimSpace(line), " "); !s.receive(word) {
 			return
 		}
 	}
 }
 
+// endOf is the end that a read error stands for.
 func endOf(err error) End {
 	if strings.Contains(err.Error(), "reset") {
 		return Reset
@@ -166,40 +168,40 @@
 	return Closed
 }
 
-// take notes one line, and tells whether more may come.
-func (s *Session) take(word string) bool {
+// receive notes one line, and returns whether more may come.
+func (s *Session) receive(word string) bool {
 	s.mu.Lock()
-	if s.out.Answer == Unanswered {
-		s.out.Answer, s.out.AnsweredAt = Answer(word), time.Now()
+	if s.outcome.Answer == Unanswered {
+		s.outcome.Answer, s.outcome.AnsweredAt = Answer(word), time.Now()
 		s.mu.Unlock()
 		if Answer(word) != Served {
 			s.finish(Closed)
 			return false
 		}
-		if s.Request.Every > 0 {
-			go s.talk()
+		if s.Request.Interval > 0 {
+			go s.sendLines()
 		}
 		return true
 	}
 	defer s.mu.Unlock()
 	switch {
-	case s.out.End != Open:
+	case s.outcome.End != Open:
 		return false // its client has left meanwhile
-	case word == string(Moved) || word == string(Bye):
-		s.out.End, s.out.EndedAt = End(word), time.Now()
+	case word == string(Migrated) || word == string(Finished):
+		s.outcome.End, s.outcome.EndedAt = End(word), time.Now()
 		close(s.ended)
 		return false
-	case word == "GOT" && len(s.waiting) > 0:
-		s.out.Lines++
-		s.out.Held = max(s.out.Held, time.Since(s.waiting[0]))
-		s.waiting = s.waiting[1:]
+	case word == "GOT" && len(s.unansweredLines) > 0:
+		s.outcome.Lines++
+		s.outcome.LongestRoundTrip = max(s.outcome.LongestRoundTrip, time.Since(s.unansweredLines[0]))
+		s.unansweredLines = s.unansweredLines[1:]
 	}
 	return true
 }
 
-// talk sends a line every so often, whatever has come back, until the connection ends.
-func (s *Session) talk() {
-	every := time.NewTicker(s.Request.Every)
+// sendLines sends a line every so often, whatever has come back, until the connection ends.
+func (s *Session) sendLines() {
+	every := time.NewTicker(s.Request.Interval)
 	defer every.Stop()
 	for {
 		select {
@@ -207,10 +209,10 @@
 			return
 		case <-every.C:
 			s.mu.Lock()
-			s.waiting = append(s.waiting, time.Now())
+			s.unansweredLines = append(s.unansweredLines, time.Now())
 			s.mu.Unlock()
 			if _, err := fmt.Fprint(s.conn, "M "+s.ID+"\r\n"); err != nil {
-				return // read tells how it ended
+				return // read records how it ended
 			}
 		}
 	}
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -22,12 +22,12 @@
 // Shim looks at some system calls of a proxy's processes and has some of them fail, as the kernel documents that they may. It uses a seccomp
 // filter with user notification on these processes alone, which needs no rights.
 type Shim struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	armed  bool
-	part   float64 // of the calls that fail while it is armed
-	failed atomic.Int64
-	ended  chan struct{}
+	mu        sync.Mutex
+	rng       *rand.Rand
+	armed     bool
+	failShare float64 // of the calls that fail while it is armed
+	failed    atomic.Int64
+	ended     chan struct{}
 }
 
 // NewShim makes one for the processes of one proxy.
@@ -77,13 +77,14 @@
 		return
 	}
 	os.Unsetenv(shimEnv)
-	if err := become(program); err != nil {
+	if err := execBehindFilter(program); err != nil {
 		fmt.Fprintln(os.Stderr, "shim:", err)
 		os.Exit(1)
 	}
 }
 
-func become(program string) error {
+// execBehindFilter sets the filter, hands its descriptor over and executes the program in this process's place.
+func execBehindFilter(program string) error {
 	lockThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
@@ -114,7 +115,7 @@
 	theirs, ours := os.NewFile(uintptr(pair[0]), "shim"), os.NewFile(uintptr(pair[1]), "shim")
 	defer theirs.Close()
 	ready := new(atomic.Bool)
-	go s.attend(ours, ready)
+	go s.answerFor(ours, ready)
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -126,8 +127,8 @@
 	return proc, err
 }
 
-// attend answers the kernel's questions about one process until it has ended.
-func (s *Shim) attend(from *os.File, ready *atomic.Bool) {
+// answerFor answers the kernel's questions about one process until it has ended.
+func (s *Shim) answerFor(from *os.File, ready *atomic.Bool) {
 	c, err := net.FileConn(from)
 	from.Close()
 	if err != nil {
@@ -151,11 +152,11 @@
 	s.serve(fds[0], ready)
 }
 
-// Trouble has calls fail for a while, again and again, until the given time.
-func (s *Shim) Trouble(until time.Time) {
+// FailCalls has calls fail for a while, again and again, until the given time.
+func (s *Shim) FailCalls(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		quiet, busy, part := span(s.rng, 200, 3000), span(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
+		quiet, busy, part := randomSpan(s.rng, 200, 3000), randomSpan(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
 		s.mu.Unlock()
 		time.Sleep(quiet)
 		s.arm(true, part)
@@ -164,10 +165,11 @@
 	}
 }
 
+// arm has a share of calls fail from now on, or none.
 func (s *Shim) arm(on bool, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed, s.part = on, part
+	s.armed, s.failShare = on, part
 }
 
 // Failed is how many calls were made to fail.
@@ -176,12 +178,12 @@
 // Close ends it; its processes must have ended.
 func (s *Shim) Close() { close(s.ended) }
 
-// fault draws what a call fails with; 0: it goes on.
-func (s *Shim) fault(call int32, second uint64) syscall.Errno {
+// drawError draws what a call fails with; 0: it goes on.
+func (s *Shim) drawError(call int32, second uint64) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := errnos[call]
-	if !s.armed || len(all) == 0 || s.rng.Float64() >= s.part || call == unix.SYS_EPOLL_CTL && second != unix.EPOLL_CTL_ADD {
+	if !s.armed || len(all) == 0 || s.rng.Float64() >= s.failShare || call == unix.SYS_EPOLL_CTL && second != unix.EPOLL_CTL_ADD {
 		return 0
 	}
 	s.failed.Add(1)
--- a/internal/testbed/experiment/soak/soak_test.go
+++ b/internal/testbed/experiment/soak/soak_test.go
@@ -20,7 +20,7 @@
 // Ten processes under faults that overlap, for a short time: no rule is broken, by what clients and hosts saw and by the processes' own count.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		r, err := Play(environment(t), Options{Seed: seed, Proxies: 10, Hosts: 8, Length: 10 * time.Second, Rate: 6, Faults: 40, Calls: seed%2 == 0, Clocks: true})
+		r, err := Play(environment(t), Options{Seed: seed, Proxies: 10, Hosts: 8, Length: 10 * time.Second, Rate: 6, Faults: 40, FailCalls: seed%2 == 0, BendClocks: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,7 +28,7 @@
 		for _, v := range r.Violations {
 			t.Error(v)
 		}
-		for _, err := range r.Errs {
+		for _, err := range r.Errors {
 			t.Error(err)
 		}
 		if t.Failed() {
--- /dev/null
+++ b/internal/testbed/experiment/soak/stallmeter.go
@@ -0,0 +1,42 @@
+package soak
+
+import (
+	"sync"
+	"time"
+)
+
+// stallMeter measures for how long this machine keeps a process from running.
+type stallMeter struct {
+	mu      sync.Mutex
+	longest time.Duration
+	end     chan struct{}
+}
+
+// newStallMeter begins to measure; stop ends it.
+func newStallMeter() *stallMeter {
+	m := &stallMeter{end: make(chan struct{})}
+	go func() {
+		const step = 5 * time.Millisecond // between two looks at the clock
+		for last := time.Now(); ; {
+			select {
+			case <-m.end:
+				return
+			case <-time.After(step):
+				m.mu.Lock()
+				m.longest = max(m.longest, time.Since(last)-step)
+				m.mu.Unlock()
+				last = time.Now()
+			}
+		}
+	}()
+	return m
+}
+
+// value is the longest stall so far.
+func (m *stallMeter) value() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.longest
+}
+
+func (m *stallMeter) stop() { close(m.end) }
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -62,7 +62,7 @@
 func (s *stopping) start(t *testing.T, n int) (all []*Session) {
 	t.Helper()
 	for range n {
-		c, err := Start(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline, Every: 100 * time.Millisecond})
+		c, err := Start(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline, Interval: 100 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,7 +124,7 @@
 	}
 }
 
-// check tells what the process left behind.
+// check reports what the process left behind.
 func check(t *testing.T, s *stopping, standing, asked []*Session) {
 	t.Helper()
 	lost, unanswered := map[End]int{}, 0
@@ -133,7 +133,7 @@
 		case <-c.Ended():
 		case <-time.After(2 * time.Second): // what the process had written is on its way
 		}
-		if o := c.Outcome(); o.End != Moved {
+		if o := c.Outcome(); o.End != Migrated {
 			lost[o.End]++
 		}
 	}
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -50,7 +50,7 @@
 	err            error
 }
 
-// asStated tells whether the case ended as it has to.
+// asStated returns whether the case ended as it has to.
 func (c *badCase) asStated(o badOutcome) bool {
 	reached := o.connections > 0
 	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && reached == (c.own == noOwnFault) && o.reason == c.reason
@@ -116,7 +116,7 @@
 	if err != nil {
 		return o, err
 	}
-	bad, err := fake.NewBad(c.server, pki)
+	bad, err := fake.NewBadServer(c.server, pki)
 	if err != nil {
 		return o, err
 	}
@@ -138,7 +138,7 @@
 	if c.reason != "" {
 		p.Await(" reason=", 2*time.Second) // the log comes by another way than the answer
 	}
-	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Came.Load(), requestBytes: bad.Requests.Load(), took: a.Took}, err
+	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Took}, err
 }
 
 // firstReason is the reason of the first failed handshake in a proxy's log, or else of its first fault of its own.
@@ -178,7 +178,7 @@
 	if err = os.WriteFile(filepath.Join(dir, "crl.pem"), revoked, 0o644); err != nil {
 		return "", err
 	}
-	if c.server.Old {
+	if c.server.TLS12 {
 		more += " (min-version 1.2)"
 	}
 	path := filepath.Join(dir, "croftlock.sexp")
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -25,7 +25,7 @@
 }
 
 // since are the handshakes of a server since the storm began.
-func (f *stormFigures) since(server *fake.Server) []fake.Shake {
+func (f *stormFigures) since(server *fake.Server) []fake.Handshake {
 	return server.Handshakes()[f.earlier[server.UID]:]
 }
 
@@ -83,9 +83,9 @@
 }
 
 // inASecond is the most handshakes that any second held, a resumed one counted as half, as the budget does.
-func inASecond(list []fake.Shake) float64 {
-	sort.Slice(list, func(i, j int) bool { return list[i].At.Before(list[j].At) })
-	weight := func(h fake.Shake) float64 {
+func inASecond(list []fake.Handshake) float64 {
+	sort.Slice(list, func(i, j int) bool { return list[i].CompletedAt.Before(list[j].CompletedAt) })
+	weight := func(h fake.Handshake) float64 {
 		if h.Resumed {
 			return 0.5
 		}
@@ -94,7 +94,7 @@
 	most, sum, from := 0.0, 0.0, 0
 	for _, h := range list {
 		sum += weight(h)
-		for h.At.Sub(list[from].At) > time.Second {
+		for h.CompletedAt.Sub(list[from].CompletedAt) > time.Second {
 			sum -= weight(list[from])
 			from++
 		}
