--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -1,4 +1,4 @@
-// Command croftlock-experiment runs croftlock's experiments: real processes against stand-ins on loopback. It is never part of a
+// Command croftlock-experiment runs croftlock's experiments: real processes against fakes on loopback. It is never part of a
 // proxy's service.
 package main
 
--- a/cmd/croftlock-simulator-adapter/main.go
+++ b/cmd/croftlock-simulator-adapter/main.go
@@ -13,6 +13,9 @@
 	"croftlock/internal/testbed/simulator"
 )
 
+// bufferBytes holds most batches and replies whole.
+const bufferBytes = 1 << 20
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "croftlock-simulator-adapter:", err)
@@ -20,22 +23,23 @@
 	}
 }
 
+// serve answers each batch with one line, until the input ends or a batch is invalid.
 func serve(in io.Reader, out io.Writer) error {
 	host := simulator.NewHost(balancer.New)
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
+	r := bufio.NewReaderSize(in, bufferBytes)
+	w := bufio.NewWriterSize(out, bufferBytes)
 	for {
 		line, err := r.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, bad := host.Batch(line)
-			if bad != nil {
-				return bad
+			reply, batchErr := host.Batch(line)
+			if batchErr != nil {
+				return batchErr
 			}
-			if _, bad := w.Write(reply); bad != nil {
-				return bad
+			if _, writeErr := w.Write(reply); writeErr != nil {
+				return writeErr
 			}
-			if bad := w.Flush(); bad != nil {
-				return bad
+			if flushErr := w.Flush(); flushErr != nil {
+				return flushErr
 			}
 		}
 		if err == io.EOF {
--- a/cmd/croftlock-voter/main.go
+++ b/cmd/croftlock-voter/main.go
@@ -1,5 +1,5 @@
-// Command croftlock-voter is croftlock with the voters that keep their votes on a disk: (owners (dir ...)). It is a program of its own since the
-// library that they need costs each start some milliseconds, which a proxy with a small part of a core feels.
+// Command croftlock-voter is croftlock with replicas that store their votes on a disk: (owners (dir ...)). It is a program of its own since
+// the library for that store slows each start by some milliseconds.
 package main
 
 import (
--- a/internal/app/command/badlinks_test.go
+++ b/internal/app/command/badlinks_test.go
@@ -20,7 +20,7 @@
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				r.Mesh.Set(i, j, func(l *fake.Link) { l.Loss, l.Twice, l.Jitter = 0.2, 0.2, 40*time.Millisecond })
+				r.Mesh.Set(i, j, func(l *fake.Link) { l.Loss, l.Duplicated, l.Jitter = 0.2, 0.2, 40*time.Millisecond })
 			}
 		}
 	}
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -25,11 +25,11 @@
 					t.Fatal(err)
 				}
 				b.opt.CRLs = []string{b.file("crl.pem", crl)}
-				if f.Old {
+				if f.TLS12 {
 					b.opt.MinVersion = "1.2"
 				}
 			})
-			bad, err := fake.NewBad(f, b.pki)
+			bad, err := fake.NewBadServer(f, b.pki)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -41,7 +41,7 @@
 			}
 			c := b.dial(bad.Addr(), within)
 			late := f.Reason == string(RefusedByHost) // TLS 1.3: known only after this side's end of the handshake
-			if f.Stood || late {
+			if f.SoundHandshake || late {
 				if c.err != nil {
 					t.Fatal(c.err)
 				}
@@ -53,8 +53,8 @@
 			} else if string(c.reason()) != f.Reason || c.err.Stage != netio.Connecting {
 				t.Errorf("got %v, want %s", c.err, f.Reason)
 			}
-			if n := bad.Requests.Load(); n > 0 || bad.Came.Load() == 0 {
-				t.Errorf("%d bytes of requests were seen on %d connections", n, bad.Came.Load())
+			if n := bad.RequestBytes.Load(); n > 0 || bad.Connections.Load() == 0 {
+				t.Errorf("%d bytes of requests were seen on %d connections", n, bad.Connections.Load())
 			}
 		})
 	}
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -197,7 +197,7 @@
 // A drop while the handshake is out leaves nothing behind, and done is not called.
 func TestDrop(t *testing.T) {
 	b := newBench(t, nil)
-	bad, err := fake.NewBad(fake.Fault{Kind: "silent", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
+	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 				func(*netio.Conn, *netio.Error) { t.Error("done was called") }))
 		}
 	})
-	for end := time.Now().Add(5 * time.Second); bad.Came.Load() < int64(b.opt.Handshakes.HostAtOnce) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(b.opt.Handshakes.HostAtOnce) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	b.on(func() {
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -53,6 +53,23 @@
 	return c
 }
 
+// Config is a server's side of TLS that shows the certificate that get gives, and asks clients for a certificate where there is a pool.
+func Config(get func() *tls.Certificate, clients func() *x509.CertPool) *tls.Config {
+	c := &tls.Config{MinVersion: tls.VersionTLS12,
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return get(), nil }}
+	if clients != nil {
+		c.ClientAuth = tls.RequireAnyClientCert
+		c.VerifyPeerCertificate = func(raw [][]byte, _ [][]*x509.Certificate) error {
+			leaf, err := x509.ParseCertificate(raw[0])
+			if err == nil {
+				_, err = leaf.Verify(x509.VerifyOptions{Roots: clients(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}})
+			}
+			return err
+		}
+	}
+	return c
+}
+
 // ForServer is the side of TLS of a server that goes by these names.
 func (a *Authority) ForServer(names ...string) (*tls.Config, error) {
 	p, err := a.Issue(certs.Spec{Hosts: names})
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -11,9 +11,9 @@
 
 // Client is one connection of a line client's.
 type Client struct {
-	ID   string
-	conn net.Conn
-	in   *bufio.Reader
+	ID     string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // NewID makes an id that no other has.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, Answer{Kind: "NONE"}, err
 	}
-	c := &Client{ID: NewID(), conn: conn, in: bufio.NewReaderSize(conn, 512)}
+	c := &Client{ID: NewID(), conn: conn, reader: bufio.NewReaderSize(conn, 512)}
 	line := fmt.Sprintf("OPEN %s %s c=%s,d=%d", c.ID, NewID(), class, wait.Milliseconds())
 	if extra != "" {
 		line += "," + extra
@@ -41,7 +41,7 @@
 	began := time.Now()
 	conn.SetDeadline(began.Add(wait + time.Second))
 	fmt.Fprint(conn, line+"\r\n")
-	text, err := c.in.ReadString('\n')
+	text, err := c.reader.ReadString('\n')
 	a := Answer{Kind: "NONE", Text: strings.TrimSpace(text), Took: time.Since(began)}
 	if err != nil {
 		conn.Close()
@@ -59,14 +59,14 @@
 	return c, a, nil
 }
 
-// Ask sends a line and waits for the one that answers it. moved tells that the answer was MOVE.
+// Ask sends a line and waits for the one that answers it. moved says that the answer was MOVE.
 func (c *Client) Ask(text string, within time.Duration) (took time.Duration, moved bool, err error) {
 	began := time.Now()
 	c.conn.SetDeadline(began.Add(within))
 	if _, err = fmt.Fprint(c.conn, text+"\r\n"); err != nil {
 		return 0, false, err
 	}
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return 0, false, err
 	}
@@ -82,7 +82,7 @@
 // Wait waits for a line that nobody asked for.
 func (c *Client) Wait(within time.Duration) (string, error) {
 	c.conn.SetReadDeadline(time.Now().Add(within))
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	return strings.TrimSpace(line), err
 }
 
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -4,16 +4,13 @@
 package fake
 
 import (
-	"encoding/json"
-	"fmt"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 )
 
-// Entry is a catalogue server as discovery tells of it.
+// Entry is an upstream host in an endpoint list.
 type Entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -25,7 +22,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// List is what discovery answers.
+// List is an endpoint list, or the changes of one, as discovery answers.
 type List struct {
 	Rev     int64   `json:"rev"`
 	All     bool    `json:"all"`
@@ -34,25 +31,25 @@
 
 // Discovery is a discovery service.
 type Discovery struct {
-	mu      sync.Mutex
-	rev     int64
-	entries []Entry          // in the order they came
-	changed map[string]int64 // when each last changed
-	news    chan struct{}    // closed at the next change
-	down    bool
-	silent  chan struct{} // not nil: calls wait for its close, and then get no answer
-	delay   time.Duration
-	calls   int
-	server  *http.Server
-	addr    string
-	written func(List)
+	mu         sync.Mutex
+	rev        int64
+	hosts      []Entry          // in the order they came
+	changedAt  map[string]int64 // when each last changed
+	nextChange chan struct{}    // closed at the next change
+	down       bool
+	silent     chan struct{} // not nil: calls wait for its close, and then get no answer
+	delay      time.Duration
+	calls      int
+	server     *http.Server
+	addr       string
+	onWritten  func(List)
 }
 
-// OnWritten has f called, on any goroutine, with each list once it is written: from then on the caller has been told of it.
+// OnWritten has f called, on any goroutine, with each list once it is written: from then on the caller counts as notified.
 func (d *Discovery) OnWritten(f func(List)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.written = f
+	d.onWritten = f
 }
 
 // NewDiscovery serves a list on a loopback address.
@@ -61,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{news: make(chan struct{}), changed: map[string]int64{}, addr: l.Addr().String()}
+	d := &Discovery{nextChange: make(chan struct{}), changedAt: map[string]int64{}, addr: l.Addr().String()}
 	d.Set(entries...)
 	d.server = &http.Server{Handler: d}
 	go d.server.Serve(l)
@@ -87,25 +84,25 @@
 			e.Weight = 1
 		}
 		found := false
-		for i := range d.entries {
-			if d.entries[i].UID == e.UID {
-				d.entries[i], found = e, true
+		for i := range d.hosts {
+			if d.hosts[i].UID == e.UID {
+				d.hosts[i], found = e, true
 			}
 		}
 		if !found {
-			d.entries = append(d.entries, e)
+			d.hosts = append(d.hosts, e)
 		}
-		d.changed[e.UID] = d.rev
+		d.changedAt[e.UID] = d.rev
 	}
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // State changes one entry's state.
 func (d *Discovery) State(uid, state string) {
 	d.mu.Lock()
 	var e Entry
-	for _, x := range d.entries {
+	for _, x := range d.hosts {
 		if x.UID == uid {
 			e = x
 		}
@@ -120,8 +117,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
 // Silent makes it say nothing, as an agent does while discovery is down: calls wait, those under way too, and when it speaks
@@ -137,8 +134,8 @@
 	}
 }
 
-// mute is the end of the silence, nil where there is none.
-func (d *Discovery) mute() chan struct{} {
+// silence is the end of the silence, nil where there is none.
+func (d *Discovery) silence() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silent
@@ -168,78 +165,10 @@
 // since gives what is newer than a version; the whole list for one under 0. mu is held.
 func (d *Discovery) since(rev int64) List {
 	l := List{Rev: d.rev, All: rev < 0, Targets: []Entry{}}
-	for _, e := range d.entries {
-		if rev < 0 && e.State != "removed" || rev >= 0 && d.changed[e.UID] > rev {
+	for _, e := range d.hosts {
+		if rev < 0 && e.State != "removed" || rev >= 0 && d.changedAt[e.UID] > rev {
 			l.Targets = append(l.Targets, e)
 		}
 	}
 	return l
 }
-
-// ServeHTTP answers GET /discovery/hosts, and the watch on it.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.Method != http.MethodGet || r.URL.Path != "/discovery/hosts" {
-		http.NotFound(w, r)
-		return
-	}
-	d.mu.Lock()
-	d.calls++
-	down, delay := d.down, d.delay
-	d.mu.Unlock()
-	time.Sleep(delay)
-	if down {
-		http.Error(w, "down", http.StatusServiceUnavailable)
-		return
-	}
-	from, hold := int64(-1), int64(0)
-	if q := r.URL.Query(); q.Has("from") {
-		var err, err2 error
-		from, err = strconv.ParseInt(q.Get("from"), 10, 64)
-		if q.Has("hold_ms") {
-			hold, err2 = strconv.ParseInt(q.Get("hold_ms"), 10, 64)
-		}
-		if err != nil || err2 != nil || hold < 0 || hold > 60000 {
-			http.Error(w, fmt.Sprint("what? ", r.URL.RawQuery), http.StatusBadRequest)
-			return
-		}
-	}
-	end := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer end.Stop()
-	for {
-		d.mu.Lock()
-		l, news, down := d.since(from), d.news, d.down
-		d.mu.Unlock()
-		if quiet := d.mute(); quiet != nil {
-			<-quiet
-			panic(http.ErrAbortHandler)
-		}
-		if down {
-			http.Error(w, "down", http.StatusServiceUnavailable)
-			return
-		}
-		if from < 0 || l.Rev > from || hold == 0 {
-			w.Header().Set("Content-Type", "application/json")
-			data, err := json.Marshal(l)
-			if err != nil {
-				panic(err) // it holds nothing that has no form
-			}
-			w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-			w.Write(data)
-			http.NewResponseController(w).Flush()
-			d.mu.Lock()
-			written := d.written
-			d.mu.Unlock()
-			if written != nil && r.Context().Err() == nil { // the caller is still there
-				written(l)
-			}
-			return
-		}
-		select {
-		case <-news:
-		case <-r.Context().Done():
-			return
-		case <-end.C:
-			hold = 0
-		}
-	}
-}
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -16,13 +16,14 @@
 	Reason string // as the proxy logs it
 	// Stood: the handshake is sound, so the request may be under way; the server breaks the connection afterwards and
 	// reads nothing. Else nothing of a request may ever come.
-	Stood  bool
-	Old    bool // it speaks TLS 1.2 and the proxy is told to
-	Config func(p *Pki) (*tls.Config, error)
-	Raw    func(c net.Conn, config *tls.Config)
+	SoundHandshake bool
+	TLS12          bool // it speaks TLS 1.2, and the proxy is configured to
+	Config         func(p *Pki) (*tls.Config, error)
+	Raw            func(c net.Conn, config *tls.Config)
 }
 
-func shows(spec func(p *Pki) certs.Spec, by func(p *Pki) *Authority) func(p *Pki) (*tls.Config, error) {
+// showing is a configuration with a certificate of some kind by an authority.
+func showing(spec func(p *Pki) certs.Spec, by func(p *Pki) *Authority) func(p *Pki) (*tls.Config, error) {
 	return func(p *Pki) (*tls.Config, error) {
 		s := spec(p)
 		if s.Hosts == nil {
@@ -37,13 +38,14 @@
 	}
 }
 
-func trusted(p *Pki) *Authority { return p.Trusted }
+func byTrusted(p *Pki) *Authority { return p.Trusted }
 
-func other(p *Pki) *Authority { return p.Other }
+func byOther(p *Pki) *Authority { return p.Other }
 
-func plain(*Pki) certs.Spec { return certs.Spec{} }
+func unchangedSpec(*Pki) certs.Spec { return certs.Spec{} }
 
-func with(f func(p *Pki) (*tls.Config, error), change func(*tls.Config)) func(p *Pki) (*tls.Config, error) {
+// changed is a configuration with a change.
+func changed(f func(p *Pki) (*tls.Config, error), change func(*tls.Config)) func(p *Pki) (*tls.Config, error) {
 	return func(p *Pki) (*tls.Config, error) {
 		c, err := f(p)
 		if err == nil {
@@ -55,30 +57,30 @@
 
 // Faults is the whole table.
 func Faults() []Fault {
-	sound := shows(plain, trusted)
+	sound := showing(unchangedSpec, byTrusted)
 	at := func(from, to time.Duration) func(*Pki) certs.Spec {
 		return func(*Pki) certs.Spec {
 			return certs.Spec{NotBefore: time.Now().Add(from), NotAfter: time.Now().Add(to)}
 		}
 	}
 	return []Fault{
-		{Kind: "expired", Reason: "expired", Config: shows(at(-2*time.Hour, -time.Hour), trusted)},
-		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: shows(at(time.Hour, 2*time.Hour), trusted)},
-		{Kind: "wrong-name", Reason: "wrong_name", Config: shows(func(*Pki) certs.Spec {
+		{Kind: "expired", Reason: "expired", Config: showing(at(-2*time.Hour, -time.Hour), byTrusted)},
+		{Kind: "not-yet-valid", Reason: "not_yet_valid", Config: showing(at(time.Hour, 2*time.Hour), byTrusted)},
+		{Kind: "wrong-name", Reason: "wrong_name", Config: showing(func(*Pki) certs.Spec {
 			return certs.Spec{Hosts: []string{"cat3.example.org"}}
-		}, trusted)},
-		{Kind: "unknown-ca", Reason: "unknown_ca", Config: shows(plain, other)},
+		}, byTrusted)},
+		{Kind: "unknown-ca", Reason: "unknown_ca", Config: showing(unchangedSpec, byOther)},
 		{Kind: "self-signed", Reason: "self_signed", Config: selfSigned},
-		{Kind: "wrong-usage", Reason: "wrong_usage", Config: shows(func(*Pki) certs.Spec { return certs.Spec{Client: true} }, trusted)},
+		{Kind: "wrong-usage", Reason: "wrong_usage", Config: showing(func(*Pki) certs.Spec { return certs.Spec{Client: true} }, byTrusted)},
 		{Kind: "revoked", Reason: "revoked", Config: func(p *Pki) (*tls.Config, error) {
 			return Config(func() *tls.Certificate { return TLS(p.Revoked) }, nil), nil
 		}},
-		{Kind: "weak-key", Reason: "weak_key", Config: shows(func(*Pki) certs.Spec { return certs.Spec{Key: "rsa1024"} }, trusted)},
-		{Kind: "old-version", Reason: "old_version", Config: with(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
+		{Kind: "weak-key", Reason: "weak_key", Config: showing(func(*Pki) certs.Spec { return certs.Spec{Key: "rsa1024"} }, byTrusted)},
+		{Kind: "old-version", Reason: "old_version", Config: changed(sound, func(c *tls.Config) { c.MaxVersion = tls.VersionTLS12 })},
 		{Kind: "no-certificate", Reason: "no_certificate", Config: func(*Pki) (*tls.Config, error) {
 			return &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}, nil
 		}},
-		{Kind: "wants-a-certificate", Reason: "turned_down", Config: with(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
+		{Kind: "wants-a-certificate", Reason: "turned_down", Config: changed(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
 		{Kind: "chain-of-1mb", Reason: "too_large", Config: longChain},
 		{Kind: "plain-text", Reason: "not_tls", Raw: func(c net.Conn, _ *tls.Config) {
 			c.Read(make([]byte, 1))
@@ -86,7 +88,7 @@
 		}},
 		{Kind: "plain-and-silent", Reason: "timeout", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }},
 		{Kind: "trickles", Reason: "timeout", Config: sound, Raw: func(c net.Conn, config *tls.Config) {
-			tls.Server(&trickle{c}, config).Handshake()
+			tls.Server(&tricklingConn{c}, config).Handshake()
 		}},
 		{Kind: "resets-at-once", Reason: "broken_off", Raw: func(c net.Conn, _ *tls.Config) { Reset(c) }},
 		{Kind: "resets-after-hello", Reason: "broken_off", Raw: func(c net.Conn, _ *tls.Config) {
@@ -94,7 +96,7 @@
 			Reset(c)
 		}},
 		{Kind: "resets-in-its-flight", Reason: "broken_off", Config: sound, Raw: func(c net.Conn, config *tls.Config) {
-			tls.Server(&cutOff{Conn: c, left: 200}, config).Handshake()
+			tls.Server(&truncatingConn{Conn: c, bytesLeft: 200}, config).Handshake()
 			Reset(c)
 		}},
 		{Kind: "ends-after-hello", Reason: "broken_off", Raw: func(c net.Conn, _ *tls.Config) { c.Read(make([]byte, 4096)) }},
@@ -102,12 +104,12 @@
 			c.Read(make([]byte, 4096))
 			c.Write(bytes.Repeat([]byte{0xa5}, 4096))
 		}},
-		{Kind: "resets-after-handshake", Reason: "", Stood: true, Config: sound, Raw: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-after-handshake", Reason: "", SoundHandshake: true, Config: sound, Raw: func(c net.Conn, config *tls.Config) {
 			tls.Server(c, config).Handshake()
 			Reset(c)
 		}},
-		{Kind: "floods-key-updates", Reason: "", Stood: true, Config: sound, Raw: floodKeyUpdates},
-		{Kind: "renegotiates", Reason: "", Stood: true, Old: true, Config: sound, Raw: renegotiate},
+		{Kind: "floods-key-updates", Reason: "", SoundHandshake: true, Config: sound, Raw: floodKeyUpdates},
+		{Kind: "renegotiates", Reason: "", SoundHandshake: true, TLS12: true, Config: sound, Raw: renegotiate},
 	}
 }
 
@@ -141,10 +143,11 @@
 	c.Close()
 }
 
-// trickle writes a byte at a time.
-type trickle struct{ net.Conn }
+// tricklingConn writes a byte at a time.
+type tricklingConn struct{ net.Conn }
 
-func (t *trickle) Write(p []byte) (int, error) {
+// Write writes a byte each 5 ms.
+func (t *tricklingConn) Write(p []byte) (int, error) {
 	for i := range p {
 		if _, err := t.Conn.Write(p[i : i+1]); err != nil {
 			return i, err
@@ -154,15 +157,16 @@
 	return len(p), nil
 }
 
-// cutOff stops writing after some bytes.
-type cutOff struct {
+// truncatingConn stops writing after some bytes.
+type truncatingConn struct {
 	net.Conn
-	left int
+	bytesLeft int
 }
 
-func (t *cutOff) Write(p []byte) (int, error) {
-	n := min(t.left, len(p))
-	t.left -= n
+// Write writes as far as the bytes left go.
+func (t *truncatingConn) Write(p []byte) (int, error) {
+	n := min(t.bytesLeft, len(p))
+	t.bytesLeft -= n
 	t.Conn.Write(p[:n])
 	if n < len(p) {
 		return n, io.ErrClosedPipe
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -13,44 +13,41 @@
 
 // Link is what becomes of datagrams on their way from one process to another.
 type Link struct {
-	Cut         bool
-	Loss, Twice float64
-	Garbage     float64 // part that has a byte changed
-	Delay       time.Duration
-	Jitter      time.Duration // up to so much more: what is sent later may come sooner
+	Cut        bool
+	Loss       float64 // part that is lost
+	Duplicated float64 // part that arrives twice
+	Corrupted  float64 // part that has a byte changed
+	Delay      time.Duration
+	Jitter     time.Duration // up to so much more: what is sent later may come sooner
 }
 
 // Mesh carries datagrams between processes, with a socket for every ordered pair: each process is given addresses of its own for
 // the others, so that whatever is between any two of them can be broken in one direction. It needs no privileges.
 type Mesh struct {
-	mu    sync.Mutex
-	own   []netip.AddrPort
-	socks [][]*net.UDPConn // by sender and receiver
-	links [][]Link
+	ownAddrs   []netip.AddrPort
+	sockets    [][]*net.UDPConn // by sender and receiver
+	forwarders sync.WaitGroup
+
+	mu    sync.Mutex // protects links and rng
+	links [][]Link   // by sender and receiver
 	rng   *rand.Rand
-	wg    sync.WaitGroup
 }
 
-// meshes counts those of this process.
-var meshes atomic.Uint32
+// meshCount counts those of this process.
+var meshCount atomic.Uint32
 
-// NewMesh makes one for n processes.
+// NewMesh makes one for n processes; seed draws its random faults.
 func NewMesh(n int, seed uint64) (*Mesh, error) {
-	m := &Mesh{own: make([]netip.AddrPort, n), socks: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
+	m := &Mesh{ownAddrs: ownAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
 	loopback := net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0"))
-	// The processes' own addresses are a loopback address of this mesh's alone: a port that is found free and let go again would be given to
-	// another mesh's socket before its process has it.
-	k := meshes.Add(1)
-	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), byte(k / 250), byte(1 + k%250)})
 	for i := range n {
-		var err error
-		m.own[i] = netip.AddrPortFrom(ip, uint16(20000+os.Getpid()/250%400*100+i))
-		m.socks[i], m.links[i] = make([]*net.UDPConn, n), make([]Link, n)
+		m.sockets[i], m.links[i] = make([]*net.UDPConn, n), make([]Link, n)
 		for j := range n {
 			if i == j {
 				continue
 			}
-			if m.socks[i][j], err = net.ListenUDP("udp4", loopback); err != nil {
+			var err error
+			if m.sockets[i][j], err = net.ListenUDP("udp4", loopback); err != nil {
 				m.Close()
 				return nil, err
 			}
@@ -59,23 +56,35 @@
 	for i := range n {
 		for j := range n {
 			if i != j {
-				m.wg.Add(1)
-				go m.carry(i, j)
+				m.forwarders.Add(1)
+				go m.forward(i, j)
 			}
 		}
 	}
 	return m, nil
 }
 
-// Own is the address at which a process is to listen, and Peers all addresses as it is to use them.
-func (m *Mesh) Own(i int) string { return m.own[i].String() }
+// ownAddrs are the processes' own addresses, at a loopback address of this mesh's alone: a port that is found free and let go again would be
+// given to another mesh's socket before its process has it.
+func ownAddrs(n int) []netip.AddrPort {
+	addrs := make([]netip.AddrPort, n)
+	k := meshCount.Add(1)
+	ip := netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), byte(k / 250), byte(1 + k%250)})
+	for i := range addrs {
+		addrs[i] = netip.AddrPortFrom(ip, uint16(20000+os.Getpid()/250%400*100+i))
+	}
+	return addrs
+}
+
+// Own is the address at which a process is to listen.
+func (m *Mesh) Own(i int) string { return m.ownAddrs[i].String() }
 
-// Peers is every process's address as seen from one.
+// Peers is every process's address as a process is to use it, its own included.
 func (m *Mesh) Peers(i int) []string {
-	out := make([]string, len(m.own))
+	out := make([]string, len(m.ownAddrs))
 	for j := range out {
 		if out[j] = m.Own(i); i != j {
-			out[j] = m.socks[i][j].LocalAddr().String()
+			out[j] = m.sockets[i][j].LocalAddr().String()
 		}
 	}
 	return out
@@ -88,46 +97,55 @@
 	change(&m.links[from][to])
 }
 
-// carry takes what one process sends to another, and sends it on from the address by which the other knows the one.
-func (m *Mesh) carry(i, j int) {
-	defer m.wg.Done()
-	in, out, buf := m.socks[i][j], m.socks[j][i], make([]byte, 2048)
-	to := net.UDPAddrFromAddrPort(m.own[j])
+// maxDatagram is more than processes send in one datagram, in bytes.
+const maxDatagram = 2048
+
+// forward takes what one process sends to another, and sends it on from the address by which the other knows the one.
+func (m *Mesh) forward(from, to int) {
+	defer m.forwarders.Done()
+	in, buf := m.sockets[from][to], make([]byte, maxDatagram)
 	for {
 		n, err := in.Read(buf)
-		if err != nil {
-			if _, ok := err.(*net.OpError); ok && m.closed(in) {
-				return
-			}
+		if err == nil {
+			m.send(from, to, buf[:n])
 			continue
 		}
-		m.mu.Lock()
-		l, times := m.links[i][j], 1
-		if m.rng.Float64() < l.Twice {
-			times = 2
+		if _, ok := err.(*net.OpError); ok && m.closed(in) {
+			return
 		}
-		for range times {
-			if l.Cut || m.rng.Float64() < l.Loss {
-				continue
-			}
-			data := append([]byte(nil), buf[:n]...)
-			if n > 0 && m.rng.Float64() < l.Garbage {
-				data[m.rng.IntN(n)] ^= byte(1 + m.rng.IntN(255))
-			}
-			wait := l.Delay
-			if l.Jitter > 0 {
-				wait += time.Duration(m.rng.Int64N(int64(l.Jitter)))
-			}
-			if wait == 0 {
-				out.WriteToUDP(data, to)
-			} else {
-				time.AfterFunc(wait, func() { out.WriteToUDP(data, to) })
-			}
+	}
+}
+
+// send sends a datagram on, as the link has it: lost, duplicated, corrupted or late.
+func (m *Mesh) send(from, to int, datagram []byte) {
+	out, addr := m.sockets[to][from], net.UDPAddrFromAddrPort(m.ownAddrs[to])
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	l, times := m.links[from][to], 1
+	if m.rng.Float64() < l.Duplicated {
+		times = 2
+	}
+	for range times {
+		if l.Cut || m.rng.Float64() < l.Loss {
+			continue
+		}
+		data := append([]byte(nil), datagram...)
+		if len(data) > 0 && m.rng.Float64() < l.Corrupted {
+			data[m.rng.IntN(len(data))] ^= byte(1 + m.rng.IntN(255))
+		}
+		wait := l.Delay
+		if l.Jitter > 0 {
+			wait += time.Duration(m.rng.Int64N(int64(l.Jitter)))
+		}
+		if wait == 0 {
+			out.WriteToUDP(data, addr)
+		} else {
+			time.AfterFunc(wait, func() { out.WriteToUDP(data, addr) })
 		}
-		m.mu.Unlock()
 	}
 }
 
+// closed returns whether a socket is closed.
 func (m *Mesh) closed(c *net.UDPConn) bool {
 	_, err := c.SyscallConn()
 	if err != nil {
@@ -141,18 +159,18 @@
 	if from == to {
 		return fmt.Errorf("no link from %d to itself", from)
 	}
-	_, err := m.socks[to][from].WriteToUDP(data, net.UDPAddrFromAddrPort(m.own[to]))
+	_, err := m.sockets[to][from].WriteToUDP(data, net.UDPAddrFromAddrPort(m.ownAddrs[to]))
 	return err
 }
 
 // Close ends it.
 func (m *Mesh) Close() {
-	for _, row := range m.socks {
+	for _, row := range m.sockets {
 		for _, c := range row {
 			if c != nil {
 				c.Close()
 			}
 		}
 	}
-	m.wg.Wait()
+	m.forwarders.Wait()
 }
--- /dev/null
+++ b/internal/testbed/fake/pki.go
@@ -0,0 +1,48 @@
+package fake
+
+import (
+	"crypto/x509"
+	"encoding/pem"
+	"fmt"
+	"math/big"
+	"time"
+
+	"croftlock/internal/operations/certs"
+)
+
+// Pki is what faults of TLS are made from: an authority that is trusted, one that is not, and a revoked certificate.
+type Pki struct {
+	Trusted *Authority
+	Other   *Authority
+	Name    string // that the proxy expects
+	Revoked *certs.Pair
+}
+
+// NewPki makes one, with a certificate that is to be revoked.
+func NewPki(name string) (*Pki, error) {
+	p := &Pki{Name: name}
+	var err, err2, err3 error
+	p.Trusted, err = NewAuthority("trusted")
+	p.Other, err2 = NewAuthority("other")
+	if err != nil || err2 != nil {
+		return nil, fmt.Errorf("%v %v", err, err2)
+	}
+	p.Revoked, err3 = p.Trusted.Issue(certs.Spec{Hosts: []string{name}})
+	return p, err3
+}
+
+// CRL is the revocation list that names the revoked certificate, valid until the time given.
+func (p *Pki) CRL(until time.Time) ([]byte, error) {
+	return certs.Revoke(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
+}
+
+// ForeignCRL is a revocation list that nobody trusted has signed.
+func ForeignCRL(p *Pki) ([]byte, error) {
+	return certs.Revoke(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
+}
+
+// HalfPEM is a bundle as one sees it while it is being written.
+func HalfPEM(c *x509.Certificate) []byte {
+	whole := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
+	return whole[:len(whole)/2]
+}
--- /dev/null
+++ b/internal/testbed/fake/serverconn.go
@@ -0,0 +1,134 @@
+package fake
+
+import (
+	"bufio"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"time"
+)
+
+func (s *Server) accept() {
+	for {
+		c, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		go s.serve(c)
+	}
+}
+
+// serve answers one connection from its handshake to its end.
+func (s *Server) serve(c net.Conn) {
+	if s.secure {
+		secured, err := s.handshake(c)
+		if err != nil {
+			c.Close()
+			return
+		}
+		c = secured
+	}
+	s.setUp(c, false)
+	defer func() {
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
+		c.Close()
+	}()
+	in := bufio.NewReaderSize(c, 512)
+	id, err := readRequest(in)
+	if err == errNoRequest {
+		fmt.Fprint(c, "SYNTAX\r\n")
+	}
+	if err != nil {
+		return
+	}
+	if s.answer(c, id) {
+		s.serveLines(c, in)
+	}
+}
+
+// handshakeTimeout is how long a client may take for its side of a handshake.
+const handshakeTimeout = 10 * time.Second
+
+// handshake completes the server's side of TLS, and notes it.
+func (s *Server) handshake(c net.Conn) (net.Conn, error) {
+	t := tls.Server(c, s.tls.Load())
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := t.Handshake(); err != nil {
+		return nil, err
+	}
+	c.SetDeadline(time.Time{})
+	state := t.ConnectionState()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.handshakes = append(s.handshakes, Handshake{time.Now(), state.DidResume})
+	if certificates := state.PeerCertificates; len(certificates) > 0 {
+		s.clientSerials[certificates[0].SerialNumber.String()]++
+	}
+	return t, nil
+}
+
+// setUp notes a connection, and whether its client has its UP.
+func (s *Server) setUp(c net.Conn, up bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns[c] = up
+}
+
+// errNoRequest says that a first line is no request.
+var errNoRequest = errors.New("the first line is no request")
+
+// readRequest reads a request's line and gives its id.
+func readRequest(in *bufio.Reader) (id string, err error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	words := strings.Fields(line)
+	if len(words) < 3 || words[0] != "OPEN" || !strings.HasSuffix(line, "\r\n") {
+		return "", errNoRequest
+	}
+	return words[1], nil
+}
+
+// answer answers a request, and returns whether its connection goes on.
+func (s *Server) answer(c net.Conn, id string) bool {
+	time.Sleep(time.Duration(s.Slow.Load()))
+	s.mu.Lock()
+	s.requests[id]++
+	s.mu.Unlock()
+	switch {
+	case s.Busy.Load() || s.draining.Load():
+		fmt.Fprint(c, "BUSY\r\n")
+		return false
+	case s.Fault.Load():
+		fmt.Fprint(c, "ERR\r\n")
+		return false
+	}
+	s.setUp(c, true)
+	fmt.Fprintf(c, "UP %s-%s\r\n", s.UID, id)
+	return true
+}
+
+// serveLines answers each further line, until the client ends with BYE or the connection breaks.
+func (s *Server) serveLines(c net.Conn, in *bufio.Reader) {
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if s.Silent.Load() {
+			continue
+		}
+		if strings.HasPrefix(line, "BYE") {
+			fmt.Fprint(c, "BYE\r\n")
+			return
+		}
+		if _, err := fmt.Fprint(c, "GOT "+line); err != nil {
+			return
+		}
+	}
+}
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -18,19 +18,21 @@
 // crypto/tls sends neither key updates nor requests to renegotiate, so these are written by hand, from RFC 8446 and RFC
 // 5246, under the keys that the handshake came to.
 
-// keys takes a key log: NSS's form, a label, the client's random and the secret a line.
-type keys struct {
+// keyLog takes a key log: NSS's form, a label, the client's random and the secret a line.
+type keyLog struct {
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-func (k *keys) Write(p []byte) (int, error) {
+// Write takes what crypto/tls logs.
+func (k *keyLog) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.log.Write(p)
 }
 
-func (k *keys) find(label string) (random, secret []byte) {
+// find is the last secret of a label, with the client's random.
+func (k *keyLog) find(label string) (random, secret []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, line := range strings.Split(k.log.String(), "\n") {
@@ -42,8 +44,8 @@
 	return random, secret
 }
 
-// sealer is AES-128 in Galois mode.
-func sealer(key []byte) cipher.AEAD {
+// newSealer is AES-128 in Galois mode.
+func newSealer(key []byte) cipher.AEAD {
 	block, err := aes.NewCipher(key)
 	if err != nil {
 		panic(err)
@@ -69,7 +71,7 @@
 
 // floodKeyUpdates completes a handshake of TLS 1.3 and then sends key updates, each asking for one in return.
 func floodKeyUpdates(c net.Conn, config *tls.Config) {
-	var log keys
+	var log keyLog
 	config = config.Clone()
 	config.KeyLogWriter, config.SessionTicketsDisabled, config.MinVersion = &log, true, tls.VersionTLS13
 	s := tls.Server(c, config)
@@ -81,7 +83,7 @@
 		key, nonce := expandLabel(secret, "key", 16), expandLabel(secret, "iv", 12)
 		inner := []byte{24, 0, 0, 1, 1, 22} // KeyUpdate, update_requested; its content type
 		head := []byte{23, 3, 3, 0, byte(len(inner) + 16)}
-		if _, err := c.Write(append(head, sealer(key).Seal(nil, nonce, inner, head)...)); err != nil {
+		if _, err := c.Write(append(head, newSealer(key).Seal(nil, nonce, inner, head)...)); err != nil {
 			return
 		}
 		secret = expandLabel(secret, "traffic upd", 32) // with it the sequence begins again
@@ -90,7 +92,7 @@
 
 // renegotiate completes a handshake of TLS 1.2 and then asks for another.
 func renegotiate(c net.Conn, config *tls.Config) {
-	var log keys
+	var log keyLog
 	config = config.Clone()
 	config.KeyLogWriter, config.SessionTicketsDisabled, config.MaxVersion = &log, true, tls.VersionTLS12
 	config.CipherSuites = []uint16{tls.TLS_ECDHE_ECDSA_WITH_AES_128_GCM_SHA256}
@@ -106,7 +108,7 @@
 	seq := binary.BigEndian.AppendUint64(nil, 1)
 	request := []byte{0, 0, 0, 0} // HelloRequest
 	extra := append(append([]byte(nil), seq...), 22, 3, 3, 0, byte(len(request)))
-	sealed := sealer(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, extra)
+	sealed := newSealer(key).Seal(nil, append(append([]byte(nil), salt...), seq...), request, extra)
 	record := append([]byte{22, 3, 3, 0, byte(len(seq) + len(sealed))}, seq...)
 	c.Write(append(record, sealed...))
 }
@@ -117,6 +119,7 @@
 	first []byte
 }
 
+// Write writes, and keeps the first bytes.
 func (f *firstFlight) Write(p []byte) (int, error) {
 	if len(f.first) < 64 {
 		f.first = append(f.first, p[:min(len(p), 64)]...)
--- /dev/null
+++ b/internal/testbed/fake/watch.go
@@ -0,0 +1,110 @@
+package fake
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+)
+
+// maxHoldMS is the longest watch that a caller may ask for, in milliseconds.
+const maxHoldMS = 60000
+
+// watchQuery is what a caller asks for: changes since a version, for which it waits.
+type watchQuery struct {
+	from   int64 // a version; under 0: the whole list
+	holdMS int64 // how long to wait for a change; 0: not at all
+}
+
+// errBadQuery says that a query is none.
+var errBadQuery = errors.New("bad query")
+
+func decodeQuery(q url.Values) (w watchQuery, err error) {
+	w.from = -1
+	if !q.Has("from") {
+		return w, nil
+	}
+	if w.from, err = strconv.ParseInt(q.Get("from"), 10, 64); err != nil {
+		return w, errBadQuery
+	}
+	if q.Has("hold_ms") {
+		if w.holdMS, err = strconv.ParseInt(q.Get("hold_ms"), 10, 64); err != nil || w.holdMS < 0 || w.holdMS > maxHoldMS {
+			return w, errBadQuery
+		}
+	}
+	return w, nil
+}
+
+// ServeHTTP answers GET /discovery/hosts, and the watch on it.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.Method != http.MethodGet || r.URL.Path != "/discovery/hosts" {
+		http.NotFound(w, r)
+		return
+	}
+	d.mu.Lock()
+	d.calls++
+	down, delay := d.down, d.delay
+	d.mu.Unlock()
+	time.Sleep(delay)
+	if down {
+		http.Error(w, "down", http.StatusServiceUnavailable)
+		return
+	}
+	q, err := decodeQuery(r.URL.Query())
+	if err != nil {
+		http.Error(w, fmt.Sprint("what? ", r.URL.RawQuery), http.StatusBadRequest)
+		return
+	}
+	d.watch(w, r, q)
+}
+
+// watch answers with the first list that the query asks for, or with what there is once its time is over.
+func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, q watchQuery) {
+	end := time.NewTimer(time.Duration(q.holdMS) * time.Millisecond)
+	defer end.Stop()
+	for over := q.holdMS == 0; ; {
+		d.mu.Lock()
+		l, nextChange, down := d.since(q.from), d.nextChange, d.down
+		d.mu.Unlock()
+		if silence := d.silence(); silence != nil {
+			<-silence
+			panic(http.ErrAbortHandler)
+		}
+		if down {
+			http.Error(w, "down", http.StatusServiceUnavailable)
+			return
+		}
+		if q.from < 0 || l.Rev > q.from || over {
+			d.write(w, r, l)
+			return
+		}
+		select {
+		case <-nextChange:
+		case <-r.Context().Done():
+			return
+		case <-end.C:
+			over = true
+		}
+	}
+}
+
+// write answers with a list, and says so where somebody wants to know and the caller is still there.
+func (d *Discovery) write(w http.ResponseWriter, r *http.Request, l List) {
+	data, err := json.Marshal(l)
+	if err != nil {
+		panic(err) // a list has a form in JSON
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
+	w.Write(data)
+	http.NewResponseController(w).Flush()
+	d.mu.Lock()
+	onWritten := d.onWritten
+	d.mu.Unlock()
+	if onWritten != nil && r.Context().Err() == nil {
+		onWritten(l)
+	}
+}
