--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -12,8 +12,8 @@
 
 // What the addresses of one process are made of: a loopback network of its own, in which it counts.
 const (
-	ownNetworks     = 250
-	ownPorts        = 20000
+	ownNetworks     = 250   // second numbers of loopback addresses, by process id
+	ownPorts        = 20000 // ports, by process id, for processes of the same network
 	firstPort       = 10000
 	maxAddrAttempts = 1000
 )
--- a/internal/testbed/experiment/addr_test.go
+++ b/internal/testbed/experiment/addr_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// An address that was given out could be taken by any connection before its process listened there: a restart then failed by chance. Here as many
-// ports are taken in between as a busy machine does.
+// No connection can take an address that was given out before its process listens there, although many ports are taken in between.
 func TestAFreeAddressStaysFree(t *testing.T) {
 	var given []string
 	seen := map[string]bool{}
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -90,8 +90,7 @@
 }
 
 // Hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then each request has its answer, each open
-// connection has been moved, and nothing is held any more. A process that did not count the longest deadline as 3 s at most left requests
-// without an answer; one that took 3.4 s for granted still held half of its connections where deadlines are short.
+// connection has been migrated, and nothing is in flight any more.
 func TestNothingIsHeldAtTheEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{100, 400, 1000, 2000, 3000, 4800, 9000} {
 		deadline *= time.Millisecond
