--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -118,21 +118,21 @@
 }
 
 // placeClients asks for connections at a process, 25 a second, each ended at once.
-func (a *rulesOutcome) placeClients(r *Rig, i int, down, quit *atomic.Bool) {
+func (o *rulesOutcome) placeClients(r *Rig, i int, down, quit *atomic.Bool) {
 	for !quit.Load() {
 		time.Sleep(40 * time.Millisecond)
 		if down.Load() {
 			continue
 		}
 		c, ans, _ := fake.Open(r.Procs[i].Addr, "lab", "", time.Second)
-		a.mu.Lock()
+		o.mu.Lock()
 		if ans.Kind == "NONE" && !down.Load() {
-			a.unanswered++
+			o.unanswered++
 		}
 		if c != nil {
-			a.placementTimes = append(a.placementTimes, ans.Took)
+			o.placementTimes = append(o.placementTimes, ans.Took)
 		}
-		a.mu.Unlock()
+		o.mu.Unlock()
 		if c != nil {
 			c.Close()
 		}
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -28,13 +28,13 @@
 }
 
 // readLogs takes the decisions from the logs of all incarnations: the checker knows nothing else of the program.
-func (a *rulesOutcome) readLogs(all []*Process) {
+func (o *rulesOutcome) readLogs(all []*Process) {
 	var decisions []ruleDecision
 	first := map[int]time.Time{} // decision by each version
 	for _, p := range all {
 		for _, l := range p.Log("event=rules_applied") {
 			if field(l, "lapsed") == "true" {
-				a.lapsedDecisions++
+				o.lapsedDecisions++
 				continue
 			}
 			version, _ := strconv.Atoi(field(l, "version"))
@@ -45,11 +45,11 @@
 			decisions = append(decisions, ruleDecision{at, version})
 		}
 	}
-	a.decisions = len(decisions)
+	o.decisions = len(decisions)
 	newer := firstByNewer(first)
 	for _, d := range decisions {
 		if n := newer[d.version]; !n.IsZero() && d.at.After(n) {
-			a.overlapTimes = append(a.overlapTimes, d.at.Sub(n))
+			o.overlapTimes = append(o.overlapTimes, d.at.Sub(n))
 		}
 	}
 }
@@ -73,11 +73,11 @@
 }
 
 // overlaps are the times for which versions were applied side by side, and the longest.
-func (a *rulesOutcome) overlaps() (all []time.Duration, longest time.Duration) {
-	if len(a.overlapTimes) > 0 {
-		longest = slices.Max(a.overlapTimes)
+func (o *rulesOutcome) overlaps() (all []time.Duration, longest time.Duration) {
+	if len(o.overlapTimes) > 0 {
+		longest = slices.Max(o.overlapTimes)
 	}
-	return a.overlapTimes, longest.Round(time.Millisecond)
+	return o.overlapTimes, longest.Round(time.Millisecond)
 }
 
 // percentile is the time that a part q of all does not exceed.
--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -30,10 +30,10 @@
 const frontNoticeDelay = 350 * time.Millisecond
 
 // stoppedFor returns whether the process got SIGTERM longer ago than d, or has ended.
-func (l *incarnation) stoppedFor(d time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.stoppedAt.IsZero() && time.Since(l.stoppedAt) > d || !l.killedAt.IsZero() || !l.endedAt.IsZero()
+func (p *incarnation) stoppedFor(d time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) > d || !p.killedAt.IsZero() || !p.endedAt.IsZero()
 }
 
 // clientKind is what sets a client apart; most are ordinary.
--- a/internal/testbed/experiment/soak/incarnation.go
+++ b/internal/testbed/experiment/soak/incarnation.go
@@ -30,125 +30,125 @@
 }
 
 // latestSuccessor is the last process of those that took over one from the other.
-func (l *incarnation) latestSuccessor() *incarnation {
-	l.mu.Lock()
-	next := l.successor
-	l.mu.Unlock()
+func (p *incarnation) latestSuccessor() *incarnation {
+	p.mu.Lock()
+	next := p.successor
+	p.mu.Unlock()
 	if next == nil {
-		return l
+		return p
 	}
 	return next.latestSuccessor()
 }
 
 // sinceStart is a moment in seconds since this process's start.
-func (l *incarnation) sinceStart(t time.Time) string {
-	return fmt.Sprintf("%.3f", t.Sub(l.startedAt).Seconds())
+func (p *incarnation) sinceStart(t time.Time) string {
+	return fmt.Sprintf("%.3f", t.Sub(p.startedAt).Seconds())
 }
 
 // String names the process with the times of its signals and its end.
-func (l *incarnation) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *incarnation) String() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var b strings.Builder
-	fmt.Fprintf(&b, "process %s", l.name)
+	fmt.Fprintf(&b, "process %s", p.name)
 	for _, e := range []struct {
 		what string
 		at   time.Time
-	}{{"SIGTERM", l.stoppedAt}, {"SIGKILL", l.killedAt}, {"ended", l.endedAt}} {
+	}{{"SIGTERM", p.stoppedAt}, {"SIGKILL", p.killedAt}, {"ended", p.endedAt}} {
 		if !e.at.IsZero() {
-			fmt.Fprintf(&b, " %s %s", e.what, l.sinceStart(e.at))
+			fmt.Fprintf(&b, " %s %s", e.what, p.sinceStart(e.at))
 		}
 	}
-	if l.killedAtLimit {
+	if p.killedAtLimit {
 		b.WriteString(", killed at the end of its time")
 	}
 	return b.String()
 }
 
 // pausedFor is for how long it was stopped, in sum.
-func (l *incarnation) pausedFor() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.pausedTotal
+func (p *incarnation) pausedFor() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.pausedTotal
 }
 
 // wasKilled returns whether it was killed as by a crash, or one that took over from it was.
-func (l *incarnation) wasKilled() bool { return l.wasKilledBefore(time.Now()) }
+func (p *incarnation) wasKilled() bool { return p.wasKilledBefore(time.Now()) }
 
 // wasKilledBefore is wasKilled at a moment.
-func (l *incarnation) wasKilledBefore(t time.Time) bool {
-	l.mu.Lock()
-	killed, next := !l.killedAt.IsZero() && l.killedAt.Before(t), l.successor
-	l.mu.Unlock()
+func (p *incarnation) wasKilledBefore(t time.Time) bool {
+	p.mu.Lock()
+	killed, next := !p.killedAt.IsZero() && p.killedAt.Before(t), p.successor
+	p.mu.Unlock()
 	return killed || next != nil && next.wasKilledBefore(t)
 }
 
 // hasEnded returns whether the process has ended.
-func (l *incarnation) hasEnded() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.endedAt.IsZero()
+func (p *incarnation) hasEnded() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.endedAt.IsZero()
 }
 
 // isStopping returns whether it got a signal to end.
-func (l *incarnation) isStopping() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.stoppedAt.IsZero() || !l.killedAt.IsZero()
+func (p *incarnation) isStopping() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return !p.stoppedAt.IsZero() || !p.killedAt.IsZero()
 }
 
 // exitError is how it ended, if it has.
-func (l *incarnation) exitError() (err error, over bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.err, !l.endedAt.IsZero()
+func (p *incarnation) exitError() (err error, over bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.err, !p.endedAt.IsZero()
 }
 
 // recordEnd notes how the process ended.
-func (l *incarnation) recordEnd(forced bool) {
-	err := l.proc.Err()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endedAt, l.killedAtLimit, l.err = time.Now(), forced, err
+func (p *incarnation) recordEnd(forced bool) {
+	err := p.proc.Err()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endedAt, p.killedAtLimit, p.err = time.Now(), forced, err
 }
 
 // kill ends it at once, as a crash does.
-func (l *incarnation) kill() {
-	l.mu.Lock()
-	l.killedAt = time.Now()
-	l.mu.Unlock()
-	l.proc.Kill()
-	l.recordEnd(false)
+func (p *incarnation) kill() {
+	p.mu.Lock()
+	p.killedAt = time.Now()
+	p.mu.Unlock()
+	p.proc.Kill()
+	p.recordEnd(false)
 }
 
 // stop sends SIGTERM and, when the platform's shortest time is over, SIGKILL.
-func (l *incarnation) stop(longest, slack time.Duration) {
-	l.mu.Lock()
-	l.stoppedAt = time.Now()
-	l.mu.Unlock()
-	l.proc.Signal(syscall.SIGTERM)
+func (p *incarnation) stop(longest, slack time.Duration) {
+	p.mu.Lock()
+	p.stoppedAt = time.Now()
+	p.mu.Unlock()
+	p.proc.Signal(syscall.SIGTERM)
 	select {
-	case <-l.proc.Done():
-		l.recordEnd(false)
+	case <-p.proc.Done():
+		p.recordEnd(false)
 	case <-time.After(KillAfter(longest) + slack):
-		l.proc.Kill()
-		l.recordEnd(true)
+		p.proc.Kill()
+		p.recordEnd(true)
 	}
 }
 
 // pause has it not run for a while.
-func (l *incarnation) pause(d time.Duration) {
-	l.mu.Lock()
-	l.pausedTotal += d
-	l.mu.Unlock()
-	l.proc.Signal(syscall.SIGSTOP)
+func (p *incarnation) pause(d time.Duration) {
+	p.mu.Lock()
+	p.pausedTotal += d
+	p.mu.Unlock()
+	p.proc.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	l.proc.Signal(syscall.SIGCONT)
+	p.proc.Signal(syscall.SIGCONT)
 }
 
 // rewriteConfig is where a process's configuration stands, for a new one to be written there.
-func (l *incarnation) rewriteConfig(name, value string) error {
-	path := l.proc.ConfigPath()
+func (p *incarnation) rewriteConfig(name, value string) error {
+	path := p.proc.ConfigPath()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
