--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -9,7 +9,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -17,13 +16,13 @@
 
 // Report is the outcome of an experiment.
 type Report struct {
-	Name    string
+	Name    string // of the experiment
 	Began   time.Time
 	Took    time.Duration
 	Tables  []Table
-	Values  []Value
+	Values  []Value // of the result line
 	Bounds  []Bound
-	Remarks []string
+	Remarks []string // notes for the reader
 }
 
 // Table is one table.
@@ -38,9 +37,9 @@
 
 // Bound is something that must hold.
 type Bound struct {
-	What     string
+	What     string // what must hold
 	Kept     bool   `json:"OK"`
-	Measured string `json:"Got"`
+	Measured string `json:"Got"` // as text
 }
 
 // Columns begins the table with the given title; a table that has begun keeps its columns.
@@ -68,6 +67,7 @@
 	panic("no table " + title)
 }
 
+// text is a figure as reports show it.
 func text(x any) string {
 	switch v := x.(type) {
 	case float64:
@@ -83,9 +83,9 @@
 // Set adds a figure to the result line.
 func (r *Report) Set(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
 
-// Check states a bound and whether it was kept.
-func (r *Report) Check(ok bool, what string, got any) {
-	r.Bounds = append(r.Bounds, Bound{what, ok, text(got)})
+// Check states a bound, whether it was kept, and what was measured.
+func (r *Report) Check(kept bool, what string, measured any) {
+	r.Bounds = append(r.Bounds, Bound{what, kept, text(measured)})
 }
 
 // OK returns whether every bound was kept, and that there were any.
@@ -137,38 +137,3 @@
 	}
 	return os.WriteFile(filepath.Join(dir, r.Name+"-"+r.Began.UTC().Format("20060102T150405")+".json"), append(data, '\n'), 0o644)
 }
-
-// samples are figures of the same kind: repeats, or a sample.
-type samples []float64
-
-func (s samples) sorted() samples {
-	out := slices.Clone(s)
-	slices.Sort(out)
-	return out
-}
-
-// median is the middle one.
-func (s samples) median() float64 { return s.quantile(0.5) }
-
-// quantile is the figure that a part q of all does not exceed.
-func (s samples) quantile(q float64) float64 {
-	if len(s) == 0 {
-		return 0
-	}
-	o := s.sorted()
-	return o[min(len(o)-1, int(q*float64(len(o))))]
-}
-
-// String gives the median with the least and the most.
-func (s samples) String() string {
-	if len(s) == 0 {
-		return "-"
-	}
-	o := s.sorted()
-	return fmt.Sprintf("%.3g (%.3g to %.3g)", s.median(), o[0], o[len(o)-1])
-}
-
-// spread gives the median with the first and last tenth cut off, to so many places.
-func (s samples) spread(places int) string {
-	return fmt.Sprintf("%.*f (%.*f to %.*f)", places, s.median(), places, s.quantile(0.1), places, s.quantile(0.9))
-}
--- /dev/null
+++ b/internal/testbed/experiment/samples.go
@@ -0,0 +1,41 @@
+package experiment
+
+import (
+	"fmt"
+	"slices"
+)
+
+// samples are figures of the same kind: repeats, or a sample.
+type samples []float64
+
+func (s samples) sorted() samples {
+	out := slices.Clone(s)
+	slices.Sort(out)
+	return out
+}
+
+// median is the middle one.
+func (s samples) median() float64 { return s.quantile(0.5) }
+
+// quantile is the figure that a part q of all does not exceed.
+func (s samples) quantile(q float64) float64 {
+	if len(s) == 0 {
+		return 0
+	}
+	o := s.sorted()
+	return o[min(len(o)-1, int(q*float64(len(o))))]
+}
+
+// String gives the median with the least and the most.
+func (s samples) String() string {
+	if len(s) == 0 {
+		return "-"
+	}
+	o := s.sorted()
+	return fmt.Sprintf("%.3g (%.3g to %.3g)", s.median(), o[0], o[len(o)-1])
+}
+
+// spread gives the median with the first and last tenth cut off, to so many places.
+func (s samples) spread(places int) string {
+	return fmt.Sprintf("%.*f (%.*f to %.*f)", places, s.median(), places, s.quantile(0.1), places, s.quantile(0.9))
+}
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -121,11 +121,7 @@
 		}
 	}
 	if f.options.FailCalls {
-		s, err := NewShim(f.options.Seed*1000 + uint64(i))
-		if err != nil {
-			return err
-		}
-		f.shims = append(f.shims, s)
+		f.shims = append(f.shims, NewShim(f.options.Seed*1000+uint64(i)))
 	}
 	f.nodes = append(f.nodes, n)
 	return n.start()
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -22,17 +22,18 @@
 // Shim looks at some system calls of a proxy's processes and has some of them fail, as the kernel documents that they may. It uses a seccomp
 // filter with user notification on these processes alone, which needs no rights.
 type Shim struct {
-	mu        sync.Mutex
+	failed atomic.Int64  // calls that were made to fail
+	ended  chan struct{} // closed at its end
+
+	mu        sync.Mutex // protects what follows
 	rng       *rand.Rand
 	armed     bool
-	failShare float64 // of the calls that fail while it is armed
-	failed    atomic.Int64
-	ended     chan struct{}
+	failShare float64 // of the calls, while it is armed
 }
 
 // NewShim makes one for the processes of one proxy.
-func NewShim(seed uint64) (*Shim, error) {
-	return &Shim{rng: rand.New(rand.NewPCG(seed, 5)), ended: make(chan struct{})}, nil
+func NewShim(seed uint64) *Shim {
+	return &Shim{rng: rand.New(rand.NewPCG(seed, 5)), ended: make(chan struct{})}
 }
 
 // errnos are what each call may fail with, and leave everything as it was.
