--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -43,7 +43,8 @@
 // printLoss prints where the seconds went that clients wanted to be connected.
 func printLoss(to io.Writer, l *fleetlog.Loss) error {
 	all := max(l.All(), 1e-9)
-	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
+	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, "+
+		"waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
 		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Refused/all, 100*l.Moved/all)
 	fmt.Fprintf(to, "most that a host holds over the mean, for its weight: median %.2f, worst %.2f\n", l.Spread, l.SpreadWorst)
 	t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -15,7 +15,8 @@
 
 // ownerCost measures what owners cost: handovers, an idle voter's and a follower's CPU, bytes.
 func ownerCost(e *Env, r *Report) error {
-	r.Columns(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms", "CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
+	r.Columns(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms",
+		"CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
 	membership, err := membershipCPU(e)
 	if err != nil {
 		return err
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -50,7 +50,8 @@
 			return fmt.Errorf("%s: %w", c.how, err)
 		}
 		o.row(r, table, c.how, true)
-		r.Check(o.stale == 0 && o.owners >= 50, c.how+": 50 late owners and more, none of whose effects is taken after a newer one's", fmt.Sprintf("%d of %d", o.stale, o.owners))
+		r.Check(o.stale == 0 && o.owners >= 50, c.how+": 50 late owners and more, none of whose effects is taken after a newer one's",
+			fmt.Sprintf("%d of %d", o.stale, o.owners))
 	}
 	o, err := stoppedCase.play(e, false)
 	if err != nil {
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -32,7 +32,8 @@
 		return nil, err
 	}
 	s := &proxySite{Env: e, upstreams: f, fresh: newAnswerCounts(), stop: make(chan struct{}),
-		standing: &standingClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, returnAfter: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}, awaitMoves: true}}
+		standing: &standingClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, awaitMoves: true,
+			returnAfter: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}}}
 	tmp, err := os.MkdirTemp(e.Dir, "tmp")
 	if err != nil {
 		return nil, err
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -45,7 +45,8 @@
 			quiet = o
 		}
 		over, longest := o.overlaps()
-		r.Row(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions, fmt.Sprint(percentile(over, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
+		r.Row(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions,
+			fmt.Sprint(percentile(over, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
 		c.check(r, o, quiet)
 		if c.planted == "" {
 			r.Check(o.unanswered == 0, c.name+": each request gets an answer", o.unanswered)
@@ -60,7 +61,8 @@
 	before, placed := percentile(quiet.placementTimes, 0.99), percentile(o.placementTimes, 0.99)
 	r.Check(longest <= agreeWithin && percentile(over, 0.99) <= 100*time.Millisecond, "undisturbed 100 ms side by side at p99", percentile(over, 0.99))
 	r.Check(percentile(o.changeTimes, 0.99) <= 300*time.Millisecond, "undisturbed a change is active within 300 ms at p99", percentile(o.changeTimes, 0.99))
-	r.Check(placed <= before*11/10+time.Millisecond, "p99 of a placement within a tenth, and a millisecond, of the same without changes", fmt.Sprint(placed, " of ", before))
+	r.Check(placed <= before*11/10+time.Millisecond, "p99 of a placement within a tenth, and a millisecond, of the same without changes",
+		fmt.Sprint(placed, " of ", before))
 }
 
 // checkWithFaults states the bounds on changes among faults.
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -40,7 +40,8 @@
 		{"when_cut refuse, votes in memory", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
 			{"cut off in both directions, 1.5 s", 20, "cut", 1500 * ms}, {"hears nothing, 1.5 s", 20, "deaf", 1500 * ms}, {"is not heard, 1.5 s", 20, "mute", 1500 * ms},
 			{"stopped, 1 s", 20, "pause", 1000 * ms}, {"stopped, 10 s", 1, "pause", 10000 * ms}, {"the keeper killed", 8, "kill", 0}}},
-		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{{"cut off in both directions, 1.5 s, and keeps", 8, "cut", 1500 * ms}}},
+		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{
+			{"cut off in both directions, 1.5 s, and keeps", 8, "cut", 1500 * ms}}},
 		{"votes on disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
 	}
 }
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -58,7 +58,8 @@
 // NewFleet starts hosts, discoveries and proxies. All of them have addresses of this process's own, so that no port can be taken by another.
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
-	f := &Fleet{options: opt, env: env, rng: rand.New(rand.NewPCG(opt.Seed, 38)), clocks: rand.New(rand.NewPCG(opt.Seed, 39)), record: NewRecord(), stalls: newStallMeter()}
+	f := &Fleet{options: opt, env: env, record: NewRecord(), stalls: newStallMeter(),
+		rng: rand.New(rand.NewPCG(opt.Seed, 38)), clocks: rand.New(rand.NewPCG(opt.Seed, 39))}
 	f.classes = drawClasses(f.rng)
 	for i := range opt.Hosts {
 		h, err := NewHost(fmt.Sprintf("s-%d", i), zone(i), f.address(2, i), f.record)
--- a/internal/testbed/experiment/standingclients.go
+++ b/internal/testbed/experiment/standingclients.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -151,6 +152,9 @@
 	c.lost = append(c.lost, fmt.Sprintf(format, args...))
 }
 
+// firstLosses are the first three losses, as text.
+func firstLosses(lost []string) string { return strings.Join(lost[:min(3, len(lost))], "; ") }
+
 // between are the milliseconds that lines took which were sent in a span of time.
 func (c *standingClients) between(from, to time.Time) samples {
 	c.mu.Lock()
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
 	"time"
 
 	"croftlock/internal/operations/certs"
@@ -187,7 +186,8 @@
 	ended := t.proxy.Stop()
 	total := int(rotationRate * rotationSpan.Seconds())
 	r.Check(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
-	r.Check(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved", fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, strings.Join(c.lost[:min(3, len(c.lost))], "; ")))
+	r.Check(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved",
+		fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, firstLosses(c.lost)))
 	r.Check(len(serials) == 3, "the servers saw the three client certificates", len(serials))
 	r.Check(late == 0 && rejected >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, rejected))
 	failed := len(t.proxy.Log("event=tls_failed"))
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"sort"
-	"strings"
 	"time"
 
 	"croftlock/internal/testbed/fake"
@@ -57,7 +56,8 @@
 	a := s.movedAway.answers
 	const answers = "answers to the 500"
 	r.Columns(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all placed after", "proxy CPU s")
-	r.Row(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99), f.placed, f.cpu.Seconds())
+	r.Row(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
+		a.milliseconds.median(), a.milliseconds.quantile(0.99), f.placed, f.cpu.Seconds())
 }
 
 // hold states the bounds; ended is how the proxy ended.
@@ -68,8 +68,10 @@
 	taken := len(s.proxy.Log("event=tls_files_taken"))
 	calmP99, waveP99 := f.calm.quantile(0.99), f.wave.quantile(0.99)
 	r.Check(f.placed > 0 && f.placed <= placedWithin, "all 500 are placed within "+placedWithin.String(), f.placed)
-	r.Check(f.served >= stormClients && f.unanswered == 0 && f.late == 0, "every request has its answer in time", fmt.Sprintf("%d served, %d without, %d late", f.served, f.unanswered, f.late))
-	r.Check(len(f.lost) == 0 && s.movedAway.moved >= stormClients, "no connection lost, each of the 500 moved", fmt.Sprintf("%d lost, %d moves %s", len(f.lost), s.movedAway.moved, strings.Join(f.lost[:min(3, len(f.lost))], "; ")))
+	r.Check(f.served >= stormClients && f.unanswered == 0 && f.late == 0, "every request has its answer in time",
+		fmt.Sprintf("%d served, %d without, %d late", f.served, f.unanswered, f.late))
+	r.Check(len(f.lost) == 0 && s.movedAway.moved >= stormClients, "no connection lost, each of the 500 moved",
+		fmt.Sprintf("%d lost, %d moves %s", len(f.lost), s.movedAway.moved, firstLosses(f.lost)))
 	r.Check(taken > f.filesTaken, "trust and certificate replaced in the midst of it", taken-f.filesTaken)
 	r.Check(f.ranTwice == 0, "no request ran twice", f.ranTwice)
 	r.Check(f.withinBudget, "no host got more handshakes than its budget", f.withinBudget)
