--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -14,16 +14,17 @@
 
 // Host is an upstream host that can be broken in the ways that the platform breaks them. It records what it received of each request.
 type Host struct {
-	UID, Zone string
-	addr      string
-	record    *Record
+	UID    string
+	Zone   string
+	addr   string
+	record *Record
 
 	hangs  atomic.Bool  // it reads and says nothing
 	resets atomic.Bool  // it resets a connection as soon as it has a first line
 	errs   atomic.Bool  // it answers ERR
 	drains atomic.Bool  // it rejects new requests
 	slow   atomic.Int64 // nanoseconds that an acceptance takes
-	booted atomic.Int64 // Unix milliseconds
+	booted atomic.Int64 // its start, Unix milliseconds; 0: unknown
 
 	claimed atomic.Bool // a fault that lists it anew is under way
 
@@ -57,7 +58,7 @@
 	defer h.mu.Unlock()
 	h.listener.Close()
 	for c, a := range h.conns {
-		a.recordEnd("host")
+		a.recordEnd(hostSide)
 		fake.Reset(c)
 	}
 }
@@ -82,7 +83,7 @@
 	defer h.mu.Unlock()
 	for c, a := range h.conns {
 		if a.served() {
-			a.recordEnd("host")
+			a.recordEnd(hostSide)
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			fmt.Fprint(c, "MOVE\r\n")
 			c.Close()
@@ -97,7 +98,7 @@
 	i := 0
 	for c, a := range h.conns {
 		if i++; i%part == 0 {
-			a.recordEnd("host")
+			a.recordEnd(hostSide)
 			fake.Reset(c)
 		}
 	}
@@ -130,20 +131,10 @@
 		h.mu.Lock()
 		delete(h.conns, c)
 		h.mu.Unlock()
-		a.recordEnd("proxy")
+		a.recordEnd(proxySide)
 	}()
 	lines := make(chan string, 64)
-	go func() {
-		defer close(lines)
-		for {
-			line, err := in.ReadString('\n')
-			if err != nil {
-				a.recordEnd("proxy")
-				return
-			}
-			lines <- line
-		}
-	}()
+	go readLines(in, a, lines)
 	if !h.answer(c, a, lines) {
 		return
 	}
@@ -154,19 +145,32 @@
 	}
 }
 
+// readLines passes lines on until the proxy ends the connection, and notes that.
+func readLines(in *bufio.Reader, a *arrival, lines chan<- string) {
+	defer close(lines)
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			a.recordEnd(proxySide)
+			return
+		}
+		lines <- line
+	}
+}
+
 // answer answers a request, and returns whether the connection goes on.
 func (h *Host) answer(c net.Conn, a *arrival, lines <-chan string) bool {
 	switch {
 	case h.drains.Load():
-		a.recordAnswer("BUSY")
+		a.recordAnswer(Rejected)
 		fmt.Fprint(c, "BUSY\r\n")
 		return false
 	case h.resets.Load():
-		a.recordEnd("host")
+		a.recordEnd(hostSide)
 		fake.Reset(c)
 		return false
 	case h.errs.Load():
-		a.recordAnswer("ERR")
+		a.recordAnswer(Failed)
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
@@ -184,7 +188,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	a.recordAnswer("UP")
+	a.recordAnswer(Served)
 	fmt.Fprintf(c, "UP %s-%s\r\n", h.UID, a.requestID)
 	return true
 }
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -24,7 +24,7 @@
 
 	knownEntries  map[string]fake.Entry
 	knownRevision int64
-	suspending    map[string]bool // hosts that an operator takes out or calls back just now
+	suspending    map[string]bool // hosts that an operator suspends or resumes just now
 	claimed       bool            // a fault that starts or ends a process is under way
 }
 
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -58,7 +58,7 @@
 	}
 	if out.Answer == Rejected && a.class.Effect == experiment.Unsafe {
 		for _, x := range arrivals {
-			if said, _, _ := x.snapshot(); said != "BUSY" {
+			if said, _, _ := x.snapshot(); said != Rejected {
 				o.violate("refusal_harmful", "%s: refused, and %s has it whole and said %q", who, x.host, said)
 			}
 		}
@@ -111,7 +111,7 @@
 			o.violate("invented", "%s: served by no host", who)
 			return
 		}
-		if _, by, _ := arrivals[len(arrivals)-1].snapshot(); by != "host" {
+		if _, by, _ := arrivals[len(arrivals)-1].snapshot(); by != hostSide {
 			o.violate("cut", "%s: %s without MOVE %v after; %s", who, out.End, out.EndedAt.Sub(out.Sent), a.incarnation)
 		}
 	}
@@ -133,7 +133,7 @@
 				o.violate("duplicate", "%s: at %s %v after %s", who, x.host, apart, ran.host)
 			}
 		}
-		if said, _, _ := x.snapshot(); said != "BUSY" && ran == nil {
+		if said, _, _ := x.snapshot(); said != Rejected && ran == nil {
 			ran = x
 		}
 	}
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -30,14 +30,22 @@
 	return &Record{arrivals: map[string][]*arrival{}, notices: map[noticeKey][]stateNotice{}}
 }
 
+// side is who ended an attempt.
+type side string
+
+const (
+	hostSide  side = "host"
+	proxySide side = "proxy"
+)
+
 // arrival is one attempt as its host received it: the whole first line.
 type arrival struct {
 	requestID, host string
 	receivedAt      time.Time
 
 	mu      sync.Mutex
-	answer  string // what the host answered; "": nothing
-	endedBy string // "host" or "proxy"; "": it stands
+	answer  Answer // of the host
+	endedBy side   // "": it stands
 	endedAt time.Time
 }
 
@@ -85,7 +93,7 @@
 }
 
 // recordAnswer notes what the host answered.
-func (a *arrival) recordAnswer(what string) {
+func (a *arrival) recordAnswer(what Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answer = what
@@ -95,11 +103,11 @@
 func (a *arrival) served() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.answer == "UP"
+	return a.answer == Served
 }
 
 // recordEnd notes the first end.
-func (a *arrival) recordEnd(by string) {
+func (a *arrival) recordEnd(by side) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.endedBy == "" {
@@ -107,8 +115,8 @@
 	}
 }
 
-// snapshot is a copy that nothing changes any more.
-func (a *arrival) snapshot() (said, endedBy string, endedAt time.Time) {
+// snapshot is what is known of the attempt so far.
+func (a *arrival) snapshot() (answer Answer, endedBy side, endedAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.answer, a.endedBy, a.endedAt
--- a/internal/testbed/experiment/soak/session.go
+++ b/internal/testbed/experiment/soak/session.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// read takes every line that comes until the connection ends. A client that is moved hangs up.
+// read takes every line that comes until the connection ends. A client that is migrated hangs up.
 func (s *Session) read() {
 	defer s.conn.Close()
 	in := bufio.NewReaderSize(s.conn, 512)
