--- a/internal/app/command/floors_test.go
+++ b/internal/app/command/floors_test.go
@@ -118,7 +118,7 @@
 	r.Cut(4, true)
 	asleep[3].Store(true)
 	r.Procs[3].Signal(syscall.SIGSTOP)
-	lists[0].State("a", "draining")
+	lists[0].SetState("a", "draining")
 	all("it does not hear that a drains", func(i int) bool { return said(i, "event=watermark_applied host=a out=true") }, 1, 2)
 	r.Procs[3].Signal(syscall.SIGCONT)
 	asleep[3].Store(false)
@@ -144,7 +144,7 @@
 
 	// Their own lists catch up, and then a is back: floors say nothing more.
 	for _, d := range lists[1:] {
-		d.State("a", "draining")
+		d.SetState("a", "draining")
 	}
 	back := entries[0]
 	back.BootMS = time.Now().UnixMilli()
@@ -155,10 +155,10 @@
 	all("a is back and gets nothing", func(i int) bool { return after(sentTo(t, r.Procs[i], "a"), up) > 0 }, 0, 1, 2, 3, 4)
 
 	// One whose discovery is down hears that b is gone, and its own list never names it again.
-	lists[2].Down(true)
+	lists[2].SetDown(true)
 	for i, d := range lists {
 		if i != 2 {
-			d.State("b", "removed")
+			d.SetState("b", "removed")
 		}
 	}
 	all("it does not hear that b is gone", func(i int) bool { return said(i, "event=watermark_applied host=b out=true") }, 2)
--- a/internal/app/command/pushed_test.go
+++ b/internal/app/command/pushed_test.go
@@ -54,7 +54,7 @@
 		open()
 	}
 	heard := d.Calls()
-	d.State("s0", "draining")
+	d.SetState("s0", "draining")
 	for end := time.Now().Add(20 * time.Second); d.Calls() < heard+3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) { // the change has been answered once two more calls have come
 			t.Fatal("the agent is not asked")
--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -46,16 +46,16 @@
 		}
 	}
 	hears("at the start", "s2", balancer.Ready)
-	d.State("s1", "draining")
+	d.SetState("s1", "draining")
 	hears("while it speaks", "s1", balancer.Draining)
-	d.Silent(true)
-	d.State("s2", "draining")
+	d.SetSilent(true)
+	d.SetState("s2", "draining")
 	before := d.Calls()
 	for end := time.Now().Add(20 * time.Second); d.Calls() < before+3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) { // each call on a silent agent is given up: one that waits could have died
 			t.Fatal("a call waits for ever")
 		}
 	}
-	d.Silent(false)
+	d.SetSilent(false)
 	hears("after a silence", "s2", balancer.Draining)
 }
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -26,7 +26,7 @@
 	}
 	e.Logf("60 clients are served; one of the servers drains")
 	time.Sleep(1500 * time.Millisecond)
-	u.discovery.State("s1", "draining")
+	u.discovery.SetState("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	u.servers[0].Drain()
 	time.Sleep(2 * time.Second)
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -200,8 +200,8 @@
 	if _, _, err := s.replace(); err != nil {
 		return o, err
 	}
-	s.upstreams.discovery.State(host.UID, "draining")
-	s.upstreams.discovery.State(host.UID, "up")
+	s.upstreams.discovery.SetState(host.UID, "draining")
+	s.upstreams.discovery.SetState(host.UID, "up")
 	time.Sleep(2 * time.Second)
 	atEnd := opened()
 	o.sentInNotice, o.sentAfter = atLimit-before, atEnd-atLimit
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -63,10 +63,10 @@
 	}},
 	{"drain", 5, (*Fleet).drain},
 	{"discovery-down", 4, func(f *Fleet, rng *rand.Rand) {
-		f.disturbDiscoveries(rng, 300, 6000, func(n *Node, k int, on bool) { n.discovery[k].Down(on) })
+		f.disturbDiscoveries(rng, 300, 6000, func(n *Node, k int, on bool) { n.discovery[k].SetDown(on) })
 	}},
 	{"discovery-silent", 3, func(f *Fleet, rng *rand.Rand) {
-		f.disturbDiscoveries(rng, 300, 5000, func(n *Node, k int, on bool) { n.discovery[k].Silent(on) })
+		f.disturbDiscoveries(rng, 300, 5000, func(n *Node, k int, on bool) { n.discovery[k].SetSilent(on) })
 	}},
 	{"discovery-slow", 3, func(f *Fleet, rng *rand.Rand) {
 		by := randomSpan(rng, 200, 1900)
@@ -74,7 +74,7 @@
 			if !on {
 				by = 0
 			}
-			n.discovery[k].Delay(by)
+			n.discovery[k].SetDelay(by)
 		})
 	}},
 	{"suspend", 4, (*Fleet).suspend},
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -157,7 +157,7 @@
 	}
 	cpu := s.proxy.CPU()
 	e.Logf("server s1 drains")
-	s.upstreams.discovery.State("s1", "draining")
+	s.upstreams.discovery.SetState("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
 	s.upstreams.servers[0].Drain()
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -12,12 +12,13 @@
 // BadServer is a server with a fault.
 type BadServer struct {
 	Fault        Fault
-	listener     net.Listener
-	config       *tls.Config
-	mu           sync.Mutex
-	conns        map[net.Conn]bool
-	Connections  atomic.Int64 // connections
+	Connections  atomic.Int64 // that came
 	RequestBytes atomic.Int64 // bytes of requests that it could read, sealed or not
+
+	listener net.Listener
+	config   *tls.Config // nil where the fault needs none
+	mu       sync.Mutex  // protects conns
+	conns    map[net.Conn]bool
 }
 
 // NewBadServer serves on a loopback address.
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -13,35 +13,36 @@
 // Entry is an upstream host in an endpoint list.
 type Entry struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
+	Endpoint string  `json:"endpoint"` // address
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	Group    int     `json:"pod_group"`
-	State    string  `json:"state"`
+	State    string  `json:"state"` // up, draining or removed
 	Weight   float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
+	BootMS   int64   `json:"boot_ms"` // its start, Unix milliseconds; 0: unknown
 }
 
 // List is an endpoint list, or the changes of one, as discovery answers.
 type List struct {
 	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"`
+	All     bool    `json:"all"` // the whole list; else what has changed
 	Targets []Entry `json:"targets"`
 }
 
-// Discovery is a discovery service.
+// Discovery is a discovery service. Its methods may be called from any goroutine.
 type Discovery struct {
-	mu         sync.Mutex
+	server *http.Server
+	addr   string
+
+	mu         sync.Mutex // protects what follows
 	rev        int64
 	hosts      []Entry          // in the order they came
-	changedAt  map[string]int64 // when each last changed
+	changedAt  map[string]int64 // the version in which each last changed, by its id
 	nextChange chan struct{}    // closed at the next change
 	down       bool
-	silent     chan struct{} // not nil: calls wait for its close, and then get no answer
-	delay      time.Duration
+	silenceEnd chan struct{} // not nil: calls wait for its close, and then get no answer
+	delay      time.Duration // of every answer
 	calls      int
-	server     *http.Server
-	addr       string
 	onWritten  func(List)
 }
 
@@ -98,8 +99,8 @@
 	d.nextChange = make(chan struct{})
 }
 
-// State changes one entry's state.
-func (d *Discovery) State(uid, state string) {
+// SetState changes one entry's state.
+func (d *Discovery) SetState(uid, state string) {
 	d.mu.Lock()
 	var e Entry
 	for _, x := range d.hosts {
@@ -112,8 +113,8 @@
 	d.Set(e)
 }
 
-// Down makes every call fail, or not.
-func (d *Discovery) Down(down bool) {
+// SetDown makes every call fail, or not.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
@@ -121,28 +122,28 @@
 	d.nextChange = make(chan struct{})
 }
 
-// Silent makes it say nothing, as an agent does while discovery is down: calls wait, those under way too, and when it speaks
+// SetSilent makes it say nothing, as an agent does while discovery is down: calls wait, those under way too, and when it speaks
 // again it ends them without an answer.
-func (d *Discovery) Silent(on bool) {
+func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if on && d.silent == nil {
-		d.silent = make(chan struct{})
-	} else if !on && d.silent != nil {
-		close(d.silent)
-		d.silent = nil
+	if on && d.silenceEnd == nil {
+		d.silenceEnd = make(chan struct{})
+	} else if !on && d.silenceEnd != nil {
+		close(d.silenceEnd)
+		d.silenceEnd = nil
 	}
 }
 
-// silence is the end of the silence, nil where there is none.
-func (d *Discovery) silence() chan struct{} {
+// currentSilence is the end of the silence, nil where there is none.
+func (d *Discovery) currentSilence() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.silent
+	return d.silenceEnd
 }
 
-// Delay makes every answer late.
-func (d *Discovery) Delay(by time.Duration) {
+// SetDelay makes every answer late.
+func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = by
--- a/internal/testbed/fake/server.go
+++ b/internal/testbed/fake/server.go
@@ -11,7 +11,8 @@
 
 // Server is an upstream host. It answers a client's first line with UP and each further line with a line.
 type Server struct {
-	UID, Zone string
+	UID  string
+	Zone string
 
 	// Scripted faults; set them before or while it runs.
 	Busy   atomic.Bool  // rejects every request with BUSY
@@ -20,11 +21,11 @@
 	Slow   atomic.Int64 // nanoseconds that an answer to a first line takes
 
 	listener net.Listener
+	secure   bool // behind TLS
 	tls      atomic.Pointer[tls.Config]
-	secure   bool
-	draining atomic.Bool
+	draining atomic.Bool // migrates its clients and rejects others
 
-	mu            sync.Mutex
+	mu            sync.Mutex        // protects what follows
 	conns         map[net.Conn]bool // true: its client has its UP
 	handshakes    []Handshake
 	requests      map[string]int // requests by id: 2 means that one ran twice
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -69,7 +69,7 @@
 		d.mu.Lock()
 		l, nextChange, down := d.since(q.from), d.nextChange, d.down
 		d.mu.Unlock()
-		if silence := d.silence(); silence != nil {
+		if silence := d.currentSilence(); silence != nil {
 			<-silence
 			panic(http.ErrAbortHandler)
 		}
