--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -78,7 +78,7 @@
 	cmd := &cobra.Command{Use: "ca NAME", Short: "Make a certificate authority", Args: cobra.ExactArgs(1),
 		Example: "  croftlock certs ca 'Valley catalogue CA' --life 1000d --out ca.pem --key ca.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := o.issue(nil, certs.Spec{Name: args[0], CA: true})
+			p, err := o.issue(nil, certs.Spec{Name: args[0], Authority: true})
 			if err == nil {
 				fmt.Fprint(cmd.OutOrStdout(), certs.Describe(p.Cert, time.Now()))
 			}
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -88,9 +88,9 @@
 // withArguments is a command that sends its one or two arguments.
 func (f *fleetClient) withArguments(do string) func(cmd *cobra.Command, args []string) error {
 	return func(cmd *cobra.Command, args []string) error {
-		q := owneragent.Request{Do: do}
-		if q.A = args[0]; len(args) > 1 {
-			q.B = args[1]
+		q := owneragent.Request{Command: do}
+		if q.Argument = args[0]; len(args) > 1 {
+			q.SecondArgument = args[1]
 		}
 		return f.ask(cmd, q, nil)
 	}
@@ -98,7 +98,7 @@
 
 // withoutArguments is a command that has none.
 func (f *fleetClient) withoutArguments(do string, show showReply) func(cmd *cobra.Command, args []string) error {
-	return func(cmd *cobra.Command, _ []string) error { return f.ask(cmd, owneragent.Request{Do: do}, show) }
+	return func(cmd *cobra.Command, _ []string) error { return f.ask(cmd, owneragent.Request{Command: do}, show) }
 }
 
 func (f *fleetClient) ownersCommand() *cobra.Command {
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -111,7 +111,7 @@
 	owned(t, r, "the start")
 	say := func(i int, do, id string) string {
 		t.Helper()
-		rep, err := r.Owners(i, owneragent.Request{Do: do, A: id})
+		rep, err := r.Owners(i, owneragent.Request{Command: do, Argument: id})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	broken := func() bool {
-		rep, err := r.Owners(0, owneragent.Request{Do: "status"})
+		rep, err := r.Owners(0, owneragent.Request{Command: "status"})
 		return err == nil && rep.Store != ""
 	}
 	if _, ok := experiment.Until(ownersPatience, broken); !ok {
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(0, owneragent.Request{Do: "status"})
+		rep, err := r.Owners(0, owneragent.Request{Command: "status"})
 		return err == nil && rep.Store == "" && rep.Group != nil && rep.Group.Phase == "member"
 	}); !ok {
 		t.Fatal("it does not return by itself")
@@ -199,7 +199,7 @@
 	anywhere := func(do string) func() bool {
 		return func() bool {
 			for _, i := range []int{0, 2} {
-				if rep, err := r.Owners(i, owneragent.Request{Do: do, A: "n1"}); err == nil && rep.Error == "" {
+				if rep, err := r.Owners(i, owneragent.Request{Command: do, Argument: "n1"}); err == nil && rep.Error == "" {
 					return true
 				}
 			}
@@ -208,7 +208,7 @@
 	}
 	phase := func(want string, votes int) func() bool {
 		return func() bool {
-			rep, err := r.Owners(1, owneragent.Request{Do: "status"})
+			rep, err := r.Owners(1, owneragent.Request{Command: "status"})
 			if err != nil || rep.Group == nil || rep.Group.Phase != want {
 				return false
 			}
@@ -226,11 +226,11 @@
 		done func() bool
 	}{{"it waits to be added", phase("outside", 0)}, {"add", anywhere("add")}, {"it listens", phase("member", 3)}, {"promote", anywhere("promote")},
 		{"it votes", func() bool {
-			rep, err := r.Owners(1, owneragent.Request{Do: "status"})
+			rep, err := r.Owners(1, owneragent.Request{Command: "status"})
 			return err == nil && rep.Group != nil && len(rep.Group.Members) == 3 && phase("member", 3)()
 		}}} {
 		if _, ok := experiment.Until(ownersPatience, s.done); !ok {
-			rep, _ := r.Owners(0, owneragent.Request{Do: "status"})
+			rep, _ := r.Owners(0, owneragent.Request{Command: "status"})
 			t.Fatalf("%s: not reached; n0 says %+v", s.what, rep.Group)
 		}
 	}
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -29,7 +29,7 @@
 
 // query sends a question to the rules' coordinator.
 func (f *fleetClient) query(cmd *cobra.Command, question []byte) error {
-	return f.ask(cmd, owneragent.Request{Do: "rules", Rules: question}, nil)
+	return f.ask(cmd, owneragent.Request{Command: "rules", Rules: question}, nil)
 }
 
 func (f *fleetClient) historyCommand() *cobra.Command {
@@ -167,7 +167,7 @@
 	if err != nil {
 		return "", err
 	}
-	err = f.ask(cmd, owneragent.Request{Do: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
+	err = f.ask(cmd, owneragent.Request{Command: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
 		text = r.Answer
 		return nil
 	})
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			return f.ask(cmd, owneragent.Request{Do: "explain", Explain: &namespace.Request{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return f.ask(cmd, owneragent.Request{Command: "explain", Explain: &namespace.Request{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -157,7 +157,7 @@
 	}
 	version := 0
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(3, owneragent.Request{Do: "rules", Rules: rules.QueryActive()})
+		rep, err := r.Owners(3, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
 		got = fmt.Sprint(rep.Answer, rep.Error, err)
 		n, _ := fmt.Sscanf(got, "active: version %d at 5 of 5", &version)
 		return n == 1 && !strings.Contains(got, "on its way")
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -94,7 +94,7 @@
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
 	got := ""
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(i, owneragent.Request{Do: "rules", Rules: rules.QueryActive()})
+		rep, err := r.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
 		got = fmt.Sprint(rep.Answer, rep.Error, err)
 		return strings.HasPrefix(got, want)
 	}); !ok {
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -34,7 +34,7 @@
 	if !now {
 		return nil
 	}
-	if p.fleet.memberOptions.On {
+	if p.fleet.memberOptions.Enabled {
 		p.fleet.members, err = p.startMembers()
 	}
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // rejoinFleet is joinFleet for a process that has come to be the one that serves; the other one may hold the address a moment longer.
 func (p *process) rejoinFleet() {
-	if !p.fleet.memberOptions.On || p.restart.phase == handedOver {
+	if !p.fleet.memberOptions.Enabled || p.restart.phase == handedOver {
 		return
 	}
 	p.fleet.owners.Yield()
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -44,7 +44,7 @@
 	if err := ownerOptions(file).Check(member); err != nil {
 		faults = append(faults, fmt.Errorf("%s: owners: %w", file.Path, err))
 	}
-	if watermarkOptions(file).Enabled && !member.On {
+	if watermarkOptions(file).Enabled && !member.Enabled {
 		faults = append(faults, fmt.Errorf("%s: floors need membership: (membership (on on) …)", file.Path))
 	}
 	return faults
@@ -52,7 +52,7 @@
 
 // checkTLS loads certificates and keys.
 func checkTLS(o upstreamtls.Options) error {
-	if !o.On {
+	if !o.Enabled {
 		return nil
 	}
 	m, err := upstreamtls.Load(o, 1)
--- a/internal/app/node/upstreamtls.go
+++ b/internal/app/node/upstreamtls.go
@@ -15,7 +15,7 @@
 // newUpstreamTLS makes TLS to upstream hosts, where the operators want it; else nil. Files that cannot be used end the start: a proxy that
 // can reach nobody must not accept clients. It takes what it needs from the core's options.
 func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, opt *proxy.Options) (*upstreamtls.Link, error) {
-	if !o.On {
+	if !o.Enabled {
 		return nil, nil
 	}
 	m, err := upstreamtls.Load(o, 1)
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		peer := os.NewFile(uintptr(pair[1]), "peer")
-		Parts{FD: pair[0], Rest: []byte("of a line\r\n")}.Discard([]byte(c.last))
+		Parts{FD: pair[0], Unsent: []byte("of a line\r\n")}.Discard([]byte(c.last))
 		got, err := io.ReadAll(peer)
 		if err != nil || string(got) != c.want {
 			t.Errorf("last %q: got %q and %v", c.last, got, err)
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -11,8 +11,8 @@
 // Parts are what is left of a connection that is let go of without being ended, for another process to go on with.
 type Parts struct {
 	FD   int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be let go of
-	In   []byte `json:"In"`   // came in and was not consumed
-	Rest []byte `json:"Rest"` // of the line that is partly written
+	Input   []byte `json:"In"`   // came in and was not consumed
+	Unsent []byte `json:"Rest"` // of the line that is partly written
 }
 
 // Release lets go of a connection that stands, without ending it, and gives its parts to done, on the loop, later. From here
@@ -58,7 +58,7 @@
 		return
 	}
 	c.onReleased = nil
-	p := Parts{FD: fd, In: bytes.Clone(c.input.Bytes()), Rest: c.output.unsent}
+	p := Parts{FD: fd, Input: bytes.Clone(c.input.Bytes()), Unsent: c.output.unsent}
 	c.over, c.input, c.output.unsent = true, Buffer{}, nil
 	c.output.retry.Stop()
 	c.descriptorFreed()
@@ -71,13 +71,13 @@
 // must not grow with each process it comes to.
 func Resume(l *Loop, p Parts, limit int, h Handler, done func(*Conn)) error {
 	c := newPausedConn(l, p.FD, limit, h)
-	if c.input.Append(p.In) < len(p.In) || len(p.Rest) > maxUnsent {
+	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsent {
 		unix.Close(p.FD)
 		return errors.New("more left over than a connection may have")
 	}
 	c.guard(func() { done(c) })
-	if !c.over && len(p.Rest) > 0 {
-		c.writeToSocket(p.Rest)
+	if !c.over && len(p.Unsent) > 0 {
+		c.writeToSocket(p.Unsent)
 	}
 	if !c.over && c.input.Len() < limit/2 {
 		c.resume()
@@ -92,7 +92,7 @@
 		return
 	}
 	if len(last) > 0 {
-		words := append(bytes.Clone(p.Rest), last...)
+		words := append(bytes.Clone(p.Unsent), last...)
 		if n, err := sendSome(sendmsg, p.FD, words); n < len(words) {
 			slog.Warn("migration_line_lost", "bytes", len(words)-n, "reason", err)
 		}
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, dir: t.TempDir(), pki: pki, opt: Defaults(), loop: netio.NewLoop()}
-	b.opt.On, b.opt.Pattern = true, "{uid}.test"
+	b.opt.Enabled, b.opt.Pattern = true, "{uid}.test"
 	trust, err := fake.SaveTrust(b.dir, pki.Trusted)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -19,7 +19,7 @@
 
 // Options are what the operators' file says.
 type Options struct {
-	On                         bool
+	Enabled                    bool
 	Trust, CRLs                []string
 	Certificate, Key, Password string
 	MinVersion                 string
@@ -48,7 +48,7 @@
 func Section() settings.Section {
 	return settings.Section{Name: "tls", Doc: "TLS to upstream hosts", Bind: func(f *settings.Form) any {
 		o := Defaults()
-		f.Bool("servers", "whether upstream hosts are reached by TLS; there is no fallback", &o.On)
+		f.Bool("servers", "whether upstream hosts are reached by TLS; there is no fallback", &o.Enabled)
 		f.Paths("trust", "bundles of the authorities that sign hosts' certificates", &o.Trust)
 		f.Paths("crl", "lists of certificates taken back; one that has run out counts as no list: nothing passes", &o.CRLs)
 		f.Path("certificate", "the proxy's own certificate with its chain, shown to hosts", &o.Certificate)
@@ -86,10 +86,10 @@
 			f.Int("queue", "requests that wait", &h.Queue, 1, 100000)
 			f.Duration("burst", "how long unused budget is saved", &h.Burst, time.Millisecond, 10*time.Second)
 		})
-		if o.On && len(o.Trust) == 0 {
+		if o.Enabled && len(o.Trust) == 0 {
 			f.Fault("servers", "tls to servers without trust, expected (trust \"bundle.pem\" ...)")
 		}
-		if o.On && o.Pattern == "" && o.URI == "" && len(o.Names) == 0 {
+		if o.Enabled && o.Pattern == "" && o.URI == "" && len(o.Names) == 0 {
 			f.Fault("servers", "tls to servers without a name to expect, expected (name (pattern \"...\"))")
 		}
 		if (o.Certificate == "") != (o.Key == "") {
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -50,7 +50,7 @@
 			force = true
 			if r.options != nil {
 				w.options = *r.options
-				w.options.On, w.options.Handshakes, w.options.Sessions = m.options.On, m.options.Handshakes, m.options.Sessions
+				w.options.Enabled, w.options.Handshakes, w.options.Sessions = m.options.Enabled, m.options.Handshakes, m.options.Sessions
 			}
 		}
 		if next := w.poll(force, k.wallClock()); next != nil {
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -23,7 +23,7 @@
 
 // Options are the section (membership …) of the settings file.
 type Options struct {
-	On        bool     // whether this process takes part; default: no
+	Enabled   bool     // whether this process takes part; default: no
 	Fleet     string   // the fleet's name, by which others' datagrams are told apart; default: croftlock
 	Listen    string   // own address for datagrams; "": the platform's link is used
 	Peers     []string // every member's address as reached from here, the own included
@@ -47,7 +47,7 @@
 }
 
 func (o *Options) bind(f *settings.Form) {
-	f.Bool("on", "whether proxies tell one another who is there, by datagrams", &o.On)
+	f.Bool("on", "whether proxies tell one another who is there, by datagrams", &o.Enabled)
 	f.Text("fleet", "name of the fleet; others' datagrams are refused", "a name", &o.Fleet, func(s string) bool { return s != "" && len(s) <= maxFleetName })
 	f.Text("listen", "own address for datagrams", formOfAddress, &o.Listen, isAddress)
 	var list string
@@ -63,7 +63,7 @@
 	if len(o.Seeds) > 0 && (len(o.Peers) > 0 || o.Listen == "") {
 		f.Fault("seeds", "seeds go with listen and without peers")
 	}
-	if o.On && len(o.Seeds) == 0 && len(o.Peers)+len(o.Listen) > 0 && !slices.Contains(o.Peers, o.Listen) {
+	if o.Enabled && len(o.Seeds) == 0 && len(o.Peers)+len(o.Listen) > 0 && !slices.Contains(o.Peers, o.Listen) {
 		f.Fault("peers", "the own address %q is not among the peers, expected it there", o.Listen)
 	}
 	if len(o.Keys) > maxKeys {
@@ -97,7 +97,7 @@
 
 // seal makes the seal over datagrams; nil: they are not sealed.
 func (o Options) seal() (*membership.Seal, error) {
-	if !o.On || len(o.Keys) == 0 {
+	if !o.Enabled || len(o.Keys) == 0 {
 		return nil, nil
 	}
 	var keys [][]byte
--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -4,11 +4,11 @@
 
 // ViewMember is one member as this process sees it.
 type ViewMember struct {
-	Name    string // "": not known yet
-	ID      uint32
-	State   string
-	Life    uint64   // its incarnation
-	Unheard []uint32 // members that it says it does not hear
+	Name        string // "": not known yet
+	ID          uint32
+	State       string
+	Incarnation uint64   // its incarnation
+	Unheard     []uint32 // members that it says it does not hear
 }
 
 // View is the members as this process sees them, itself left out.
@@ -20,8 +20,8 @@
 	return out
 }
 
-// Base is how many members the fleet is intended to have.
-func (s *Agent) Base() int { return s.core.FleetSize() }
+// FleetSize is how many members the fleet is intended to have.
+func (s *Agent) FleetSize() int { return s.core.FleetSize() }
 
 // formatID is a member's id as the log and reports show it.
 func formatID(id uint32) string { return fmt.Sprintf("%08x", id) }
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -42,9 +42,9 @@
 )
 
 func (a *Agent) serveRequest(q Request) Reply {
-	command, known := adminCommands[q.Do]
+	command, known := adminCommands[q.Command]
 	if !known {
-		return Reply{Error: fmt.Sprintf("no request %q", q.Do)}
+		return Reply{Error: fmt.Sprintf("no request %q", q.Command)}
 	}
 	return command(a, q)
 }
@@ -63,8 +63,8 @@
 // be placed there.
 func (a *Agent) adminDelayDrill(q Request) (r Reply) {
 	if !a.onWorker(func() {
-		drill, ok := a.jobs.byName[q.A].(*jobs.Drill)
-		if !ok || a.jobs.owned[q.A] == 0 {
+		drill, ok := a.jobs.byName[q.Argument].(*jobs.Drill)
+		if !ok || a.jobs.owned[q.Argument] == 0 {
 			r.Error = "only an owner of a drill can be late"
 			return
 		}
@@ -84,7 +84,7 @@
 }
 
 func (a *Agent) adminMove(q Request) Reply {
-	answer, failed := a.askOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.A, q.B, tag) }, nil)
+	answer, failed := a.askOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
 	switch {
 	case failed != nil:
 		return *failed
@@ -95,8 +95,8 @@
 }
 
 func (a *Agent) adminSuspendedHosts(q Request) Reply {
-	command := jobs.SuspendCommand(q.Do == "suspend", q.A)
-	if q.Do == "list" {
+	command := jobs.SuspendCommand(q.Command == "suspend", q.Argument)
+	if q.Command == "list" {
 		command = jobs.ListCommand()
 	}
 	answer, failed := a.askOwner(func(tag uint64) {
@@ -171,7 +171,7 @@
 // adminChangeVoters asks the group to change who votes.
 func (a *Agent) adminChangeVoters(q Request) Reply {
 	var err error
-	if !a.onWorker(func() { err = a.changeVoters(q.Do, q.A) }) {
+	if !a.onWorker(func() { err = a.changeVoters(q.Command, q.Argument) }) {
 		return replyBusy
 	}
 	if errors.Is(err, group.ErrNotLeader) {
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -12,9 +12,9 @@
 
 // Request is what operators ask at the socket, one a connection.
 type Request struct {
-	Do string `json:"do"`          // a command: owners, move, status, add, promote, remove, suspend, resume, list, rules, explain, late
-	A  string `json:"a,omitempty"` // its first argument
-	B  string `json:"b,omitempty"` // its second
+	Command        string `json:"do"`          // a command: owners, move, status, add, promote, remove, suspend, resume, list, rules, explain, late
+	Argument       string `json:"a,omitempty"` // its first argument
+	SecondArgument string `json:"b,omitempty"` // its second
 
 	Rules   []byte             `json:"rules,omitempty"`   // a question to the coordinator of rules
 	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -86,7 +86,7 @@
 
 // addJobs makes the jobs that this process can own.
 func (a *Agent) addJobs(applySuspended func(hosts []string)) {
-	fleetSize := max(1, a.members.Base())
+	fleetSize := max(1, a.members.FleetSize())
 	if a.options.SuspendHosts {
 		a.jobs.add(hostsJob, &jobs.SuspendedHosts{Apply: func(hosts []string) { a.loop.Post(func() { applySuspended(hosts) }) }})
 	}
@@ -126,7 +126,7 @@
 	for _, m := range view {
 		if !departed(m) {
 			present := m.State == "alive" || m.State == "suspect" || m.State == "joining"
-			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Life, Present: present})
+			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Incarnation, Present: present})
 		}
 	}
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
-	on := memberagent.Options{On: true}
+	on := memberagent.Options{Enabled: true}
 	for _, c := range []struct {
 		o    Options
 		m    memberagent.Options
@@ -82,7 +82,7 @@
 func TestProgramWithoutVoters(t *testing.T) {
 	OpenVoter = nil
 	defer func() { OpenVoter = openVoter }()
-	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{On: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
+	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{Enabled: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
 		t.Error(err)
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	got := make(chan started, 1)
 	l.Post(func() {
-		m, err := memberagent.Start(l, memberagent.Options{On: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), memberagent.Platform{})
+		m, err := memberagent.Start(l, memberagent.Options{Enabled: true, Fleet: "f", Listen: addr, Peers: []string{addr}}, "a", time.Now(), memberagent.Platform{})
 		if err != nil {
 			got <- started{nil, err}
 			return
@@ -223,11 +223,11 @@
 		}
 	}
 	eventually(t, "a host is not taken out", func() bool {
-		r, err := Ask(path, Request{Do: "suspend", A: "s1"})
+		r, err := Ask(path, Request{Command: "suspend", Argument: "s1"})
 		return err == nil && r.Answer == "done at all 1"
 	})
 	eventually(t, "the list does not tell", func() bool {
-		r, err := Ask(path, Request{Do: "list"})
+		r, err := Ask(path, Request{Command: "list"})
 		return err == nil && r.Answer == "out for the fleet: s1"
 	})
 }
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -69,7 +69,7 @@
 	if !o.Enabled {
 		return nil
 	}
-	if !member.On {
+	if !member.Enabled {
 		return errors.New("owners need membership: (membership (on on) ...)")
 	}
 	if o.Dir == "" {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -33,12 +33,12 @@
 // LogEvent counts elections.
 func (g groupEffects) LogEvent(event string, args ...any) {
 	if event == "leader_elected" || event == "quorum_leader_elected" {
-		g.run.Leads++
+		g.run.Elections++
 	}
 	if event == "quorum_leader_elected" && args[3] == false {
 		// The quorum says itself that what was stored may be gone.
 		clear(g.run.checks.stored)
-		g.run.Unsure++
+		g.run.UncertainElections++
 	}
 	Trace(g.run.now, g.process.name, event, args)
 }
@@ -86,7 +86,7 @@
 // EffectAcknowledged counts rejected effects.
 func (c coreEffects) EffectAcknowledged(_ uint32, _ string, _ ownership.FencingToken, v ownership.Verdict, _ ownership.FencingToken) {
 	if v == ownership.Stale {
-		c.run.Refused++
+		c.run.Rejected++
 	}
 }
 
@@ -94,7 +94,7 @@
 func (c coreEffects) CheckpointStored(name string, token, number uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
 		c.run.checks.stored[name] = max(c.run.checks.stored[name], number)
-		c.run.Notes++
+		c.run.Checkpoints++
 	}
 }
 
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -34,7 +34,7 @@
 	for _, p := range r.processes {
 		digest.Add("%x", p.table.Snapshot())
 	}
-	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, c.Voters, kept, r.Effects, r.Refused, r.Starts, r.Notes, err == nil, digest)
+	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, c.Voters, kept, r.Effects, r.Rejected, r.Starts, r.Checkpoints, err == nil, digest)
 }
 
 // TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -47,15 +47,15 @@
 
 // Stats are what happened in a run: checks say nothing of a run in which nothing happens.
 type Stats struct {
-	Effects int // accepted by receivers
-	Refused int // stale, as reported to owners
-	Starts  int // of jobs
-	Notes   int // checkpoints stored
-	Leads   int // elections of a leader of the group
-	Unsure  int // those after which the table may lack something
-	Gaps    []Time
-	Sent    int // messages
-	Bytes   int // of them
+	Effects            int // accepted by receivers
+	Rejected           int // stale, as reported to owners
+	Starts             int // of jobs
+	Checkpoints        int // checkpoints stored
+	Elections          int // elections of a leader of the group
+	UncertainElections int // those after which the table may lack something
+	Gaps               []Time
+	Sent               int // messages
+	Bytes              int // of them
 }
 
 // Run is one fleet.
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -27,7 +27,7 @@
 }
 
 func (o *outcome) add(r *Run, plan []Fault, err error) {
-	o.effects, o.refused = o.effects+r.Effects, o.refused+r.Refused
+	o.effects, o.refused = o.effects+r.Effects, o.refused+r.Rejected
 	if err != nil && o.failure == nil {
 		o.failure, o.plan = err, plan
 	}
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -34,7 +34,7 @@
 	NotAfter  time.Time
 	Server    bool   // it may authenticate servers
 	Client    bool   // it may authenticate clients
-	CA        bool   // it may issue others
+	Authority bool   // it may issue others
 	Key       string // a kind of KeyKinds; default ec
 }
 
@@ -115,7 +115,7 @@
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageDigitalSignature,
 	}
-	if s.CA {
+	if s.Authority {
 		t.IsCA, t.KeyUsage = true, x509.KeyUsageCertSign|x509.KeyUsageCRLSign
 	}
 	if s.Server {
--- a/internal/operations/certs/certs_test.go
+++ b/internal/operations/certs/certs_test.go
@@ -49,8 +49,8 @@
 
 // A chain through an authority in between verifies, and goes into the file whole.
 func TestChain(t *testing.T) {
-	root := pair(t, nil, Spec{Name: "root", CA: true})
-	between := pair(t, root, Spec{Name: "between", CA: true})
+	root := pair(t, nil, Spec{Name: "root", Authority: true})
+	between := pair(t, root, Spec{Name: "between", Authority: true})
 	leaf := pair(t, between, Spec{Name: "leaf", Server: true, Hosts: []string{"a.test"}})
 	all, err := ParseBundle("x", leaf.PEM())
 	if err != nil || len(all) != 2 {
@@ -65,7 +65,7 @@
 }
 
 func FuzzBundle(f *testing.F) {
-	p := pair(f, nil, Spec{Name: "root", CA: true})
+	p := pair(f, nil, Spec{Name: "root", Authority: true})
 	f.Add(p.PEM())
 	f.Add(p.PEM()[:200])
 	f.Add(append(p.PEM(), "-----BEGIN X-----\n-----END X-----\n"...))
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -112,7 +112,7 @@
 		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
 		began := time.Now()
-		rep, err := rig.Owners(0, owneragent.Request{Do: "move", A: job, B: fmt.Sprintf("n%d", to)})
+		rep, err := rig.Owners(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
 		if err != nil || rep.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
@@ -176,7 +176,7 @@
 		return c, err
 	}
 	time.Sleep(2 * time.Second)
-	rep, err := rig.Owners(0, owneragent.Request{Do: "owners"})
+	rep, err := rig.Owners(0, owneragent.Request{Command: "owners"})
 	if err != nil {
 		return c, err
 	}
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -194,7 +194,7 @@
 			default:
 			}
 			id := fmt.Sprintf("host%03d", i%200)
-			if rep, err := rig.Owners(3+i%2, owneragent.Request{Do: "suspend", A: id}); err == nil && strings.HasPrefix(rep.Answer, "done") {
+			if rep, err := rig.Owners(3+i%2, owneragent.Request{Command: "suspend", Argument: id}); err == nil && strings.HasPrefix(rep.Answer, "done") {
 				done = append(done, id)
 				s.answered.Add(1)
 			}
@@ -223,7 +223,7 @@
 	var list owneragent.Reply
 	var err error
 	if _, ok := Until(ownersWait, func() bool {
-		list, err = rig.Owners(4, owneragent.Request{Do: "list"})
+		list, err = rig.Owners(4, owneragent.Request{Command: "list"})
 		return err == nil && strings.HasPrefix(list.Answer, "out for the fleet")
 	}); !ok {
 		return nil, fmt.Errorf("no list: %v %v", list, err)
@@ -233,7 +233,7 @@
 
 // voterState is what a voter says of its store, and its phase in the group.
 func voterState(rig *Rig, voter int) (string, error) {
-	rep, err := rig.Owners(voter, owneragent.Request{Do: "status"})
+	rep, err := rig.Owners(voter, owneragent.Request{Command: "status"})
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -64,7 +64,7 @@
 // votersBack returns whether the first so many processes answer, and with stores know a leader as members.
 func (r *Rig) votersBack(voters int, disks bool) bool {
 	for v := range voters {
-		rep, err := r.Owners(v, owneragent.Request{Do: "status"})
+		rep, err := r.Owners(v, owneragent.Request{Command: "status"})
 		if err != nil || disks && (rep.Group == nil || rep.Group.Phase != "member" || rep.Group.Leader == "") {
 			return false
 		}
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -35,9 +35,9 @@
 // request is the call as it is sent: a list is of all hosts.
 func (c operatorCall) request() owneragent.Request {
 	if c.kind == listCall {
-		return owneragent.Request{Do: string(c.kind)}
+		return owneragent.Request{Command: string(c.kind)}
 	}
-	return owneragent.Request{Do: string(c.kind), A: c.host}
+	return owneragent.Request{Command: string(c.kind), Argument: c.host}
 }
 
 // What is known of a call's effect, beside a list's true or false.
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -164,7 +164,7 @@
 
 // beStopped has one job stop the process between its look and its sending; the other jobs sleep wherever they are.
 func (l *lateOwner) beStopped() error {
-	if _, err := l.rig.Owners(l.process, owneragent.Request{Do: "late", A: l.jobs[0]}); err != nil {
+	if _, err := l.rig.Owners(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
 		return err
 	}
 	time.Sleep(lateFor)
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -43,7 +43,7 @@
 		if slices.Contains(but, i) {
 			continue
 		}
-		rep, err := r.Owners(i, owneragent.Request{Do: "owners"})
+		rep, err := r.Owners(i, owneragent.Request{Command: "owners"})
 		if err != nil {
 			return nil, err.Error()
 		}
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -23,7 +23,7 @@
 
 // ruleDecision is one decision by a version of the rules.
 type ruleDecision struct {
-	at      time.Time
+	time      time.Time
 	version int
 }
 
@@ -48,8 +48,8 @@
 	o.decisions = len(decisions)
 	newer := firstByNewer(first)
 	for _, d := range decisions {
-		if n := newer[d.version]; !n.IsZero() && d.at.After(n) {
-			o.overlapTimes = append(o.overlapTimes, d.at.Sub(n))
+		if n := newer[d.version]; !n.IsZero() && d.time.After(n) {
+			o.overlapTimes = append(o.overlapTimes, d.time.Sub(n))
 		}
 	}
 }
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -71,7 +71,7 @@
 
 // query asks the coordinator by way of a process.
 func (g *rulesRig) query(i int, body []byte) string {
-	rep, err := g.Owners(i, owneragent.Request{Do: "rules", Rules: body})
+	rep, err := g.Owners(i, owneragent.Request{Command: "rules", Rules: body})
 	if err != nil {
 		return "unknown: " + err.Error()
 	}
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -90,11 +90,11 @@
 		s.fail(c.Seed, plan, err)
 	}
 	s.run.Effects += r.Effects
-	s.run.Refused += r.Refused
+	s.run.Rejected += r.Rejected
 	s.run.Starts += r.Starts
-	s.run.Notes += r.Notes
-	s.run.Leads += r.Leads
-	s.run.Unsure += r.Unsure
+	s.run.Checkpoints += r.Checkpoints
+	s.run.Elections += r.Elections
+	s.run.UncertainElections += r.UncertainElections
 	s.run.Gaps = append(s.run.Gaps, r.Gaps...)
 }
 
@@ -116,7 +116,7 @@
 func (s *simSum) print(o *simOptions, took time.Duration) {
 	slices.Sort(s.run.Gaps)
 	fmt.Fprintf(s.out, "%d plans from %d on in %v: %d failed; %d effects taken, %d old ones refused, %d beginnings, %d notes kept, %d leads, %d of them unsure\n",
-		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.Effects, s.run.Refused, s.run.Starts, s.run.Notes, s.run.Leads, s.run.Unsure)
+		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.Effects, s.run.Rejected, s.run.Starts, s.run.Checkpoints, s.run.Elections, s.run.UncertainElections)
 	if n := len(s.run.Gaps); n > 0 {
 		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, s.run.Gaps[n/2]/simulation.Ms, s.run.Gaps[n*99/100]/simulation.Ms)
 	}
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -15,7 +15,7 @@
 // NewAuthority makes one that is valid for a day.
 func NewAuthority(name string) (*Authority, error) {
 	now := time.Now()
-	p, err := certs.Issue(nil, certs.Spec{Name: name, CA: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour)})
+	p, err := certs.Issue(nil, certs.Spec{Name: name, Authority: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour)})
 	return &Authority{p}, err
 }
 
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -63,10 +63,10 @@
 // Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
 // any stretch of peakOver.
 func Count(l *Log, window, warmUp, peakOver time.Duration) *Fleet {
-	c := &counter{fleet: &Fleet{Began: l.Events[0].At}, windowLength: window, warmUp: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
+	c := &counter{fleet: &Fleet{Began: l.Events[0].Time}, windowLength: window, warmUp: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
 		coldSentAt: map[string][]time.Time{}, established: map[string]map[string]connection{}, groupOf: map[string]string{}}
 	for _, e := range l.Events {
-		c.advance(e.At)
+		c.advance(e.Time)
 		c.take(e)
 	}
 	c.closeWindow()
@@ -154,9 +154,9 @@
 	c.fleet.Sent++
 	h := c.host(e.Field["host"])
 	h.Sent++
-	if !h.Since.IsZero() && e.At.Sub(h.Since) < c.warmUp {
+	if !h.Since.IsZero() && e.Time.Sub(h.Since) < c.warmUp {
 		h.ColdSent++
-		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.At)
+		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.Time)
 	}
 }
 
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -18,7 +18,7 @@
 
 // Event is one line of one proxy's log.
 type Event struct {
-	At    time.Time
+	Time  time.Time
 	Proxy string
 	Name  string
 	Field map[string]string
@@ -62,7 +62,7 @@
 	if len(l.Events) == 0 {
 		return nil, fmt.Errorf("%s: none of %d lines is of croftlock's log", dir, l.Skipped)
 	}
-	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].At.Before(l.Events[j].At) })
+	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].Time.Before(l.Events[j].Time) })
 	return l, nil
 }
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return Event{}, false
 	}
-	e := Event{At: when, Field: map[string]string{}}
+	e := Event{Time: when, Field: map[string]string{}}
 	for rest := strings.TrimSpace(line[at+1:]); rest != ""; {
 		key, value, found := strings.Cut(rest, "=")
 		if !found || key == "" || strings.ContainsAny(key, " \"") {
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -114,7 +114,7 @@
 	f.Add(`1.5 2026/12/01 10:00:00.000000 event=x`)
 	f.Add(" event=")
 	f.Fuzz(func(t *testing.T, line string) {
-		if e, ok := parse(line); ok && (e.Name == "" || e.At.IsZero()) {
+		if e, ok := parse(line); ok && (e.Name == "" || e.Time.IsZero()) {
 			t.Errorf("%q: %+v", line, e)
 		}
 	})
@@ -125,7 +125,7 @@
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
 	say := func(s float64, event string, kv ...string) {
-		e := Event{At: at.Add(time.Duration(s * float64(time.Second))), Proxy: "n0", Name: event, Field: map[string]string{}}
+		e := Event{Time: at.Add(time.Duration(s * float64(time.Second))), Proxy: "n0", Name: event, Field: map[string]string{}}
 		for i := 0; i < len(kv); i += 2 {
 			e.Field[kv[i]] = kv[i+1]
 		}
@@ -147,7 +147,7 @@
 	say(10.1, "request_received", "request", "1")
 	say(10.1, "request_rejected", "request", "1")
 	say(60.1, "attempt_ended", "request", "4", "host", "b", "status", "ok", "up", "true")
-	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].At.Before(l.Events[j].At) })
+	sort.SliceStable(l.Events, func(i, j int) bool { return l.Events[i].Time.Before(l.Events[j].Time) })
 	got := CountLoss(&l, 250*time.Millisecond)
 	for _, c := range []struct {
 		what      string
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -78,14 +78,14 @@
 func CountLoss(l *Log, objective time.Duration) *Loss {
 	c := &lossCounter{loss: &Loss{}, objective: objective, clients: map[string]*client{}, hosts: map[string]*HostLoss{}, weight: map[string]float64{},
 		slowUntil: map[string]time.Time{}}
-	next := l.Events[0].At.Add(sampleEvery)
+	next := l.Events[0].Time.Add(sampleEvery)
 	for _, e := range l.Events {
-		for ; e.At.After(next); next = next.Add(sampleEvery) {
+		for ; e.Time.After(next); next = next.Add(sampleEvery) {
 			c.sample(next)
 		}
 		c.take(e)
 	}
-	samples := max(1, l.Events[len(l.Events)-1].At.Sub(l.Events[0].At)/sampleEvery)
+	samples := max(1, l.Events[len(l.Events)-1].Time.Sub(l.Events[0].Time)/sampleEvery)
 	c.finish(float64(samples))
 	return c.loss
 }
@@ -100,7 +100,7 @@
 // take notes what an event changes.
 func (c *lossCounter) take(e Event) {
 	request, host := e.Field["request"], e.Field["host"]
-	set := func(state clientState, host string) { c.clients[request] = &client{state, host, e.At} }
+	set := func(state clientState, host string) { c.clients[request] = &client{state, host, e.Time} }
 	switch e.Name {
 	case "host_updated":
 		c.host(host)
@@ -125,7 +125,7 @@
 		}
 	case "load_reported":
 		if ms, ok := reportedDelay(e); ok && ms >= float64(c.objective.Milliseconds()) {
-			c.slowUntil[host] = e.At.Add(delayReportLife)
+			c.slowUntil[host] = e.Time.Add(delayReportLife)
 		}
 	}
 }
