--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -10,8 +10,8 @@
 
 // Parts are what is left of a connection that is let go of without being ended, for another process to go on with.
 type Parts struct {
-	FD   int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be let go of
-	Input   []byte `json:"In"`   // came in and was not consumed
+	FD     int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be let go of
+	Input  []byte `json:"In"`   // came in and was not consumed
 	Unsent []byte `json:"Rest"` // of the line that is partly written
 }
 
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -23,7 +23,7 @@
 
 // ruleDecision is one decision by a version of the rules.
 type ruleDecision struct {
-	time      time.Time
+	time    time.Time
 	version int
 }
 
