--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -24,8 +24,8 @@
 
 // output is where a new certificate and its key go.
 type output struct {
-	cert, key, password, kind, life string
-	force                           bool
+	cert, key, password, kind, lifetime string
+	force                               bool
 }
 
 func (o *output) flags(cmd *cobra.Command, name, life string) {
@@ -34,14 +34,14 @@
 	f.StringVar(&o.key, "key", name+".key", "file of the key, written with mode 0600")
 	f.StringVar(&o.password, "password-file", "", "encrypt the key with the first line of this file")
 	f.StringVar(&o.kind, "kind", "ec", "kind of key: "+strings.Join(certs.KeyKinds[:len(certs.KeyKinds)-1], ", "))
-	f.StringVar(&o.life, "life", life, "how long it is valid, such as 90d")
+	f.StringVar(&o.lifetime, "life", life, "how long it is valid, such as 90d")
 	f.BoolVar(&o.force, "force", false, "replace files that exist")
 }
 
 func (o *output) issue(issuer *certs.Pair, spec certs.Spec) (*certs.Pair, error) {
-	life, ok := settings.ParseDuration(o.life)
+	life, ok := settings.ParseDuration(o.lifetime)
 	if !ok || life <= 0 {
-		return nil, fmt.Errorf("--life %q, expected a time with its unit, such as 90d", o.life)
+		return nil, fmt.Errorf("--life %q, expected a time with its unit, such as 90d", o.lifetime)
 	}
 	if o.kind == "rsa1024" {
 		return nil, errors.New("a key of kind rsa1024 is too weak")
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := owneragent.Ask(socket, q)
+	r, err := owneragent.SendRequest(socket, q)
 	if err != nil {
 		return fmt.Errorf("%s: %w", socket, err)
 	}
@@ -140,7 +140,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := memberagent.Ask(socket)
+			r, err := memberagent.RequestReport(socket)
 			if err != nil {
 				return fmt.Errorf("%s: %w", socket, err)
 			}
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -162,7 +162,7 @@
 	}
 	for i := range 4 {
 		if _, ok := experiment.Until(40*time.Second, func() bool {
-			rep, err := memberagent.Ask(socket(i))
+			rep, err := memberagent.RequestReport(socket(i))
 			alive := 0
 			for _, m := range rep.Members {
 				if m.State == membership.Alive.String() && m.HeardMS >= 0 {
@@ -171,7 +171,7 @@
 			}
 			return err == nil && alive == 3 && rep.Quorum
 		}); !ok {
-			rep, err := memberagent.Ask(socket(i))
+			rep, err := memberagent.RequestReport(socket(i))
 			t.Errorf("n%d has not found all others: %+v, %v", i, rep, err)
 		}
 	}
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// leaveFleet gives the fleet's jobs back, and then tells the others that this process ends in order.
-func (p *process) leaveFleet() {
+// announceLeave gives the fleet's jobs back, and then tells the others that this process ends in order.
+func (p *process) announceLeave() {
 	p.fleet.owners.Leave(func() { p.fleet.members.Leave() })
 }
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -217,7 +217,7 @@
 // shutDown ends the process in order. It may be called on any goroutine.
 func (p *process) shutDown() {
 	p.loop.Post(func() {
-		p.leaveFleet()
+		p.announceLeave()
 		p.core.Shutdown(p.loop.Stop)
 	})
 }
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -173,7 +173,7 @@
 	}
 	p.core.SetHandedOver(true)
 	slog.Info("hot_restart_handed_over", "sessions", p.core.Sessions())
-	p.tellSessions()
+	p.reportSessions()
 }
 
 // takeBack has an old process serve again: the new one has ended after it took over, and whoever waits in the queue is this one's again.
@@ -185,11 +185,11 @@
 	slog.Warn("hot_restart_taken_back", "sessions", p.core.Sessions())
 }
 
-// tellSessions tells the new process, again and again, how many descriptors are still held here.
-func (p *process) tellSessions() {
+// reportSessions tells the new process, again and again, how many descriptors are still held here.
+func (p *process) reportSessions() {
 	if p.restart.partner != nil && p.restart.isOld {
 		p.restart.partner.Sessions(p.core.Sessions())
-		p.loop.After(sessionsInterval, p.tellSessions)
+		p.loop.After(sessionsInterval, p.reportSessions)
 	}
 }
 
--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -33,7 +33,7 @@
 		if h.state == Ready {
 			age := b.ageGroup(h)
 			load[age] += h.load
-			capacity[age] += h.weight * b.warmCapacityShare(h)
+			capacity[age] += h.weight * b.fullCapacityShare(h)
 		}
 	}
 	if capacity[newer] == 0 {
@@ -50,5 +50,5 @@
 // excludedByAge reports whether a host is not of the age group that is looked among. A warming one counts as
 // either, since it has its own budget.
 func (b *Balancer) excludedByAge(h *host, among ageGroup) bool {
-	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.warmCapacityShare(h) >= 1)
+	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.fullCapacityShare(h) >= 1)
 }
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -76,7 +76,7 @@
 			break
 		}
 		near := o.zone == h.zone || p.sparse && o.zone%zoneSets == h.zone%zoneSets
-		if near && b.warmCapacityShare(o) >= 1 && !b.excludedByAge(o, p.among) {
+		if near && b.fullCapacityShare(o) >= 1 && !b.excludedByAge(o, p.among) {
 			place++
 		}
 	}
@@ -91,7 +91,7 @@
 	for _, i := range b.rendezvousOrder(group) {
 		l := &loads[i]
 		l.groupHomedElsewhere = min(1, homes)
-		if l.load < homeMaxLoad && b.warmCapacityShare(b.hosts[i]) >= 1 {
+		if l.load < homeMaxLoad && b.fullCapacityShare(b.hosts[i]) >= 1 {
 			homes++
 		}
 	}
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -98,12 +98,12 @@
 		}
 	}
 	if c.misses++; c.misses >= maxMisses {
-		c.askNext(now)
+		c.tryNextCoordinator(now)
 	}
 }
 
-// askNext gives up the current coordinator for the next one, or for a pause after the last.
-func (c *Client) askNext(now Time) {
+// tryNextCoordinator gives up the current coordinator for the next one, or for a pause after the last.
+func (c *Client) tryNextCoordinator(now Time) {
 	c.misses, c.synced = 0, false
 	if c.current++; c.current == len(c.coordinators) {
 		c.pause(now)
@@ -123,8 +123,8 @@
 	return p
 }
 
-// CoordinatorHeard notes a sign of life of a coordinator. sync: it has to be sent all that is held here.
-func (c *Client) CoordinatorHeard(from int, epoch byte) (sync bool) {
+// CoordinatorSeen records a message of a coordinator. sync: it has to be sent all the connections of this balancer.
+func (c *Client) CoordinatorSeen(from int, epoch byte) (sync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
 		return false
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -90,13 +90,13 @@
 	if got := d.coordinators; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("coordinators %v", got)
 	}
-	if !d.CoordinatorHeard(0, 5) || d.CoordinatorHeard(0, 5) || !d.CoordinatorHeard(0, 6) || !d.Synced(1) {
+	if !d.CoordinatorSeen(0, 5) || d.CoordinatorSeen(0, 5) || !d.CoordinatorSeen(0, 6) || !d.Synced(1) {
 		t.Error("a coordinator has to be told once, and again when it has begun anew")
 	}
 	now := Time(1e9)
 	miss := func() { d.TimedOut(now, "r") }
 	miss()
-	d.CoordinatorHeard(0, 6)
+	d.CoordinatorSeen(0, 6)
 	miss()
 	if d.Coordinator(now) != 0 {
 		t.Error("one miss between answers moves on")
@@ -105,7 +105,7 @@
 	if d.Coordinator(now) != 37 || d.Synced(now) {
 		t.Errorf("after two misses %d is asked", d.Coordinator(now))
 	}
-	if d.CoordinatorHeard(150, 1) {
+	if d.CoordinatorSeen(150, 1) {
 		t.Error("a later coordinator than the one that is asked has to be told")
 	}
 	if k := d.NextPoll(now + pollInterval); k != 0 {
@@ -114,7 +114,7 @@
 	if d.NextPoll(now+pollInterval+1) >= 0 {
 		t.Error("looked again at once")
 	}
-	if !d.CoordinatorHeard(0, 6) || d.Coordinator(now) != 0 {
+	if !d.CoordinatorSeen(0, 6) || d.Coordinator(now) != 0 {
 		t.Error("the first one is back and not asked")
 	}
 	for range 2 * maxCoordinators {
@@ -134,7 +134,7 @@
 		}
 		off = next
 	}
-	if d.CoordinatorHeard(0, 6); d.Coordinator(off-1) != 0 {
+	if d.CoordinatorSeen(0, 6); d.Coordinator(off-1) != 0 {
 		t.Error("not asked though it is heard")
 	}
 	if n := len(NewClient(2).coordinators); n != 2 {
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -43,7 +43,7 @@
 					}
 				}
 			case 8:
-				digest.Add("heard %t", client.CoordinatorHeard(peer, byte(rng.Intn(3))))
+				digest.Add("heard %t", client.CoordinatorSeen(peer, byte(rng.Intn(3))))
 			default:
 				digest.Add("look %d", client.NextPoll(now))
 			}
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -59,7 +59,7 @@
 	if h.ejection.consecutiveFailures > 0 && b.now < h.ejection.until {
 		return false
 	}
-	return b.warmCapacityShare(h) >= 1 || b.slowStartBudgetLeft(h)
+	return b.fullCapacityShare(h) >= 1 || b.slowStartBudgetLeft(h)
 }
 
 // meanLedgerLoad is what all balancers hold, for the capacity of the fleet.
@@ -69,7 +69,7 @@
 		if h.state == Ready {
 			connections, groups, _ := b.ledger.placements.Load(uint32(h.hash), 0)
 			load += connections + firstOfGroupCost*float64(groups)
-			capacity += h.weight * b.warmCapacityShare(h)
+			capacity += h.weight * b.fullCapacityShare(h)
 		}
 	}
 	return load / max(capacity, 1e-9)
@@ -77,7 +77,7 @@
 
 // assignCost is how full a host would be with a request, and what speaks against it in the same unit.
 func (b *Balancer) assignCost(h *host, q ledger.Query, full float64) float64 {
-	warm := b.warmCapacityShare(h)
+	warm := b.fullCapacityShare(h)
 	load, groups, holds := b.ledger.placements.Load(uint32(h.hash), q.Group)
 	load += firstOfGroupCost*float64(groups) + float64(q.Units)/ledger.UnitsPerConnection
 	cost, newGroup := load/(h.weight*warm), 0.0
@@ -102,7 +102,7 @@
 	window := float64(b.cfg.SlowStartOverloadWindow)
 	n := b.slowStartShare(h) * rate * window / 1e9
 	// The capacity as it was when the window began.
-	warm, warmed := b.warmCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
+	warm, warmed := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
 	n *= max(b.cfg.SlowStartFloor, warm-warmed) / warm
 	granted := b.ledger.placements.GrantsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
 	return float64(granted+1) <= assignSlowStartShare*(n+3*math.Sqrt(n)+3)
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -29,7 +29,7 @@
 		b.syncLedger()
 	}
 	if coordinator := l.client.NextPoll(b.now); coordinator == b.cfg.Instance {
-		b.coordinatorHeard(coordinator, l.epoch)
+		b.coordinatorSeen(coordinator, l.epoch)
 	} else if coordinator >= 0 {
 		b.effects.SendToPeer(coordinator, ledger.Poll{}.Append(nil))
 	}
@@ -55,10 +55,10 @@
 		reply.Epoch = b.ledger.epoch
 		b.effects.SendToPeer(from, reply.Append(nil))
 	case ledger.Reply:
-		b.coordinatorHeard(from, m.Epoch)
+		b.coordinatorSeen(from, m.Epoch)
 		b.ledgerReplyReceived(from, m)
 	case ledger.Announcement:
-		b.coordinatorHeard(from, m.Epoch)
+		b.coordinatorSeen(from, m.Epoch)
 	case ledger.Poll:
 		b.effects.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
 	case ledger.Sync:
@@ -79,16 +79,16 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// coordinatorHeard plans to tell all that is held here to a coordinator that does not know it: after a random
+// coordinatorSeen plans to send all connections of this balancer to a coordinator that does not know them: after a random
 // wait, since all balancers hear of it together.
-func (b *Balancer) coordinatorHeard(from int, epoch byte) {
-	if b.ledgerUsable() && b.ledger.client.CoordinatorHeard(from, epoch) {
+func (b *Balancer) coordinatorSeen(from int, epoch byte) {
+	if b.ledgerUsable() && b.ledger.client.CoordinatorSeen(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
 		b.effects.Report(LedgerPolled{Coordinator: from})
 	}
 }
 
-// syncLedger tells the coordinator all that is held here.
+// syncLedger sends the coordinator all connections of this balancer.
 func (b *Balancer) syncLedger() {
 	coordinator := b.ledger.client.Coordinator(b.now)
 	b.ledger.syncDue = b.now + Time(syncInterval*(0.5+b.rng.Float64()))
@@ -97,7 +97,7 @@
 	}
 	var entries ledger.Entries
 	for _, h := range b.hosts {
-		entries = b.appendHeld(entries, h)
+		entries = b.appendConnections(entries, h)
 	}
 	n := min(len(entries), ledger.MaxEntries)
 	b.sendToCoordinator(coordinator, ledger.Sync{Entries: entries[:n]})
@@ -107,9 +107,9 @@
 	}
 }
 
-// appendHeld appends what this balancer holds at a host, group by group in the order of their first
+// appendConnections appends this balancer's connections at a host, group by group in the order of their first
 // connections.
-func (b *Balancer) appendHeld(entries ledger.Entries, h *host) ledger.Entries {
+func (b *Balancer) appendConnections(entries ledger.Entries, h *host) ledger.Entries {
 	var groups []uint32
 	units := map[uint32]int{}
 	for _, r := range h.connections {
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -74,7 +74,7 @@
 	for i := range candidates {
 		c := &candidates[i]
 		h := c.host
-		if b.warmCapacityShare(h) < 1 {
+		if b.fullCapacityShare(h) < 1 {
 			// A warming host's turn comes with its budget. In the rotation all new hosts would stand at the
 			// same place at every balancer, and wait there for half a round of many sparse rotations.
 			h.deficit = furthest
@@ -105,7 +105,7 @@
 	for i, h := range b.hosts {
 		allowed, byLottery := b.mayPlaceOn(h, p)
 		if !allowed || !p.fallback && !b.available(h, p.request) ||
-			p.request.shedUnlessWarmingHost && b.warmCapacityShare(h) >= 1 {
+			p.request.shedUnlessWarmingHost && b.fullCapacityShare(h) >= 1 {
 			continue
 		}
 		c := candidate{host: h, drawnByLottery: byLottery}
@@ -140,7 +140,7 @@
 		b.outsideDedupScope(h, p.request) {
 		return false, false
 	}
-	if b.warmCapacityShare(h) >= 1 {
+	if b.fullCapacityShare(h) >= 1 {
 		return true, false
 	}
 	return b.slowStartAllows(h, p.request, p.turns)
@@ -154,7 +154,7 @@
 		far := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
 		w *= far + (1-far)*b.shedding.crossZoneShare
 	}
-	if warm := b.warmCapacityShare(h); warm < 1 {
+	if warm := b.fullCapacityShare(h); warm < 1 {
 		w *= min(1, slowStartSafety*b.cfg.SlowStartOverloadFactor*warm)
 	}
 	if b.hostsReportLoad() {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -23,8 +23,8 @@
 	filledAt Time
 }
 
-// warmCapacityShare is the part of its capacity that a host surely has by now, 0 to 1.
-func (b *Balancer) warmCapacityShare(h *host) float64 {
+// fullCapacityShare is the part of its capacity that a host surely has by now, 0 to 1.
+func (b *Balancer) fullCapacityShare(h *host) float64 {
 	duration := b.cfg.SlowStartDuration
 	if h.startedAt == 0 || duration <= 0 || b.now >= h.startedAt+duration {
 		return 1
@@ -35,7 +35,7 @@
 
 // slowStartShare is the part of all fresh connections that a warming host may get.
 func (b *Balancer) slowStartShare(h *host) float64 {
-	return slowStartSafety * b.cfg.SlowStartOverloadFactor * b.warmCapacityShare(h) * h.weight /
+	return slowStartSafety * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
 		max(b.traffic.fleetWeight, h.weight)
 }
 
@@ -88,7 +88,7 @@
 // spendSlowStartTokens takes the turns of an attempt from a warming host's budget. One that came by lottery
 // costs none.
 func (b *Balancer) spendSlowStartTokens(h *host, turns float64) {
-	if b.warmCapacityShare(h) < 1 && h.slowStart.tokens >= 1 {
+	if b.fullCapacityShare(h) < 1 && h.slowStart.tokens >= 1 {
 		h.slowStart.tokens -= turns
 	}
 }
@@ -140,7 +140,7 @@
 	}
 	warming, place := 0, 0
 	for _, i := range b.rendezvousOrder(r.Group) {
-		if o := b.hosts[i]; o.zone == h.zone && b.warmCapacityShare(o) < 1 {
+		if o := b.hosts[i]; o.zone == h.zone && b.fullCapacityShare(o) < 1 {
 			warming++
 			if o == h {
 				place = warming
--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -15,14 +15,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Policy is what the operator wants.
+// Policy is the operator's settings of migrations before certificates end.
 type Policy struct {
-	Move   bool          // false: connections are kept whatever ends
-	Before time.Duration // how long before the end moving begins
-	Share  float64       // of the standing connections, moved in a minute at most
+	MigrationEnabled bool          // false: no connection is migrated
+	Before           time.Duration // how long before the end migrations begin
+	Share            float64       // of the established connections, migrated a minute at most
 }
 
-// Conn is a standing connection.
+// Conn is an established connection.
 type Conn struct {
 	ID   string
 	Ends time.Time // of what it rests on; zero: never
@@ -45,7 +45,7 @@
 // Plan gives the connections to move now, the longest due first. now is monotonic, in nanoseconds; wall is what
 // certificates are compared with; standing are all connections that stand.
 func (p *Planner) Plan(now int64, wall time.Time, standing []Conn) []string {
-	if !p.policy.Move || len(standing) == 0 {
+	if !p.policy.MigrationEnabled || len(standing) == 0 {
 		return nil
 	}
 	perSecond := p.policy.Share * float64(len(standing)) / 60
--- a/internal/dataplane/certexpiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -53,7 +53,7 @@
 
 // All connections of a host end together: with time enough all are moved before the end, spread, within the share.
 func TestMovedBeforeTheEnd(t *testing.T) {
-	p := New(Policy{Move: true, Before: 20 * time.Minute, Share: 0.2})
+	p := New(Policy{MigrationEnabled: true, Before: 20 * time.Minute, Share: 0.2})
 	moved := play(p, fleet(400, start.Add(30*time.Minute)), 1900, running)
 	first, last := 1<<30, 0
 	for _, s := range moved {
@@ -69,7 +69,7 @@
 
 // A clock that steps a year ahead makes everything due at once. No more than the share may go, and none once it is back.
 func TestClockStep(t *testing.T) {
-	p := New(Policy{Move: true, Before: 10 * time.Minute, Share: 0.05})
+	p := New(Policy{MigrationEnabled: true, Before: 10 * time.Minute, Share: 0.05})
 	moved := play(p, fleet(1000, start.Add(100*24*time.Hour)), 400, func(s int) time.Time {
 		if s >= 100 && s < 220 {
 			return running(s).AddDate(1, 0, 0)
@@ -91,11 +91,11 @@
 		t.Errorf("moved %v although they are kept", moved)
 	}
 	// One in a hundred a minute of three: each still gets its turn, late.
-	moved := play(New(Policy{Move: true, Before: time.Minute, Share: 0.01}), fleet(3, start.Add(time.Minute)), 20000, running)
+	moved := play(New(Policy{MigrationEnabled: true, Before: time.Minute, Share: 0.01}), fleet(3, start.Add(time.Minute)), 20000, running)
 	if len(moved) != 3 {
 		t.Errorf("moved %v", moved)
 	}
-	if moved := play(New(Policy{Move: true, Before: time.Minute, Share: 1}), []Conn{{ID: "plain"}}, 10, running); len(moved) > 0 {
+	if moved := play(New(Policy{MigrationEnabled: true, Before: time.Minute, Share: 1}), []Conn{{ID: "plain"}}, 10, running); len(moved) > 0 {
 		t.Error("a connection that rests on nothing was moved")
 	}
 }
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -19,9 +19,9 @@
 	// discovery is one service for all proxies and works through calls in turn: 80 proxies that each call every 4 s are
 	// 20 calls a second, more than it gets through, and then each call waits and some fail. So the fleet together makes
 	// four a second, up to the longest wait that is sound for one.
-	minWatchHold      = 4 * time.Second
-	maxWatchHold      = 20 * time.Second
-	watchHoldPerProxy = 250 * time.Millisecond
+	minWatchTimeout      = 4 * time.Second
+	maxWatchTimeout      = 20 * time.Second
+	watchTimeoutPerProxy = 250 * time.Millisecond
 	// watchAnswerTimeout is how long past its wait a watch's call may take. Discovery works through calls in turn and gives up
 	// on one after 2 s; waiting that long would let the moment pass at which its news counts as told.
 	watchAnswerTimeout = 1200 * time.Millisecond
@@ -39,7 +39,7 @@
 	// nobody anything, and whatever it has counts as told, also in the moment in which it is back from a silence that a
 	// watch has not survived. So a call that has died unseen is given up and made anew within the 250 ms that the rules
 	// leave for what is told.
-	agentHold          = 100 * time.Millisecond
+	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
 )
@@ -51,7 +51,7 @@
 	dialer        *netio.Dialer
 	address       string
 	notify        func(proxy.Change)
-	watchHold     time.Duration // how long discovery may keep a watch waiting
+	watchTimeout  time.Duration // how long discovery may keep a watch waiting
 	answerTimeout time.Duration // how long past that an answer may come
 	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
 
@@ -79,15 +79,15 @@
 
 // NewClient makes a client. It asks for nothing until it is told to.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
-	hold := min(maxWatchHold, max(minWatchHold, time.Duration(o.Sharing)*watchHoldPerProxy))
-	return &Client{loop: l, dialer: d, address: o.Address, watchHold: hold, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
+	hold := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.Sharing)*watchTimeoutPerProxy))
+	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: hold, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on and without being asked:
 // the module asks only where lists come to those who ask. A call that fails is made again at once, and is no failure told: the
 // agent is silent while discovery is, and the list held stays the best there is.
 func (c *Client) Follow() {
-	c.followsAgent, c.watchHold, c.answerTimeout = true, agentHold, agentAnswerTimeout
+	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
 }
 
@@ -137,7 +137,7 @@
 
 // callWatch makes the watch's next call. The watch goes on only if that comes within 200 ms of the last answer.
 func (c *Client) callWatch() {
-	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchHold.Milliseconds()), c.watchHold+c.answerTimeout
+	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
 		target, within = hostsPath, c.fullListTimeout()
 	}
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -154,10 +154,10 @@
 	}{{0, 4 * time.Second}, {1, 4 * time.Second}, {3, 4 * time.Second}, {16, 4 * time.Second}, {40, 10 * time.Second},
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
 		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", Sharing: c.sharing})
-		if k.watchHold != c.want {
-			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchHold, c.want)
+		if k.watchTimeout != c.want {
+			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchTimeout, c.want)
 		}
-		if k.watchHold+watchAnswerTimeout >= k.watchHold+2*time.Second {
+		if k.watchTimeout+watchAnswerTimeout >= k.watchTimeout+2*time.Second {
 			t.Errorf("%d proxies: a silent call outlives the moment at which its news counts as told", c.sharing)
 		}
 	}
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -83,7 +83,7 @@
 	s := scripted(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	silent := <-s.calls
-	s.pass(minWatchHold + watchAnswerTimeout)
+	s.pass(minWatchTimeout + watchAnswerTimeout)
 	again := <-s.calls
 	if silent.target != again.target || silent.conn == again.conn {
 		t.Errorf("called %s, then %s (same connection: %t)", silent.target, again.target, silent.conn == again.conn)
@@ -95,7 +95,7 @@
 	// Silence twice in a row is a failure; the module decides when to ask again.
 	for range 2 {
 		<-s.calls
-		s.pass(minWatchHold + watchAnswerTimeout)
+		s.pass(minWatchTimeout + watchAnswerTimeout)
 	}
 	if ch := <-s.told; ch.Kind != balancer.ListFailed || len(s.calls) > 0 {
 		t.Errorf("told %+v, %d calls more", ch, len(s.calls))
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -107,9 +107,9 @@
 	return 1
 }
 
-// Ask puts a handshake with host in the queue; id is the caller's and new. resumed tells that a session is at hand.
+// Enqueue puts a handshake with a host in the queue; id is the caller's and new. resumed: a session is available.
 // The deadline is the moment by which it must be done. A refusal is final.
-func (b *Budget) Ask(now int64, id uint64, name string, resumed bool, deadline int64) Refusal {
+func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) Refusal {
 	if b.limits.Queue > 0 && len(b.waiting) >= b.limits.Queue {
 		return QueueFull
 	}
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -40,7 +40,7 @@
 	b := New(l, 0)
 	refused := 0
 	for id := range uint64(500) {
-		if b.Ask(0, id, fmt.Sprint("s", id%3), false, 1000*ms) != None {
+		if b.Enqueue(0, id, fmt.Sprint("s", id%3), false, 1000*ms) != None {
 			refused++
 		}
 	}
@@ -62,14 +62,14 @@
 func TestSilentHostHoldsUpNobody(t *testing.T) {
 	b := New(Limits{CPU: 1, AtOnce: 8, HostAtOnce: 2, Burst: time.Second}, 0)
 	for id := range uint64(100) {
-		b.Ask(0, id, "silent", false, 5000*ms)
+		b.Enqueue(0, id, "silent", false, 5000*ms)
 	}
 	begin, _, _ := b.Next(0)
 	if len(begin) != 2 {
 		t.Fatalf("%d began with one host", len(begin))
 	}
 	for id := uint64(100); id < 110; id++ {
-		if b.Ask(ms, id, "sound", false, 5000*ms) != None {
+		if b.Enqueue(ms, id, "sound", false, 5000*ms) != None {
 			t.Fatal("refused because of another host")
 		}
 	}
@@ -91,9 +91,9 @@
 func TestTurns(t *testing.T) {
 	b := New(Limits{Rate: 10, Burst: 100 * time.Millisecond, AtOnce: 100}, 0)
 	for id := range uint64(50) {
-		b.Ask(0, id, "popular", false, 100_000*ms)
+		b.Enqueue(0, id, "popular", false, 100_000*ms)
 	}
-	b.Ask(0, 50, "rare", false, 100_000*ms)
+	b.Enqueue(0, 50, "rare", false, 100_000*ms)
 	var order []uint64
 	drive(b, 0, 500*ms, 0, ms, func(id uint64, _ int64) { order = append(order, id) })
 	if len(order) < 2 || order[1] != 50 {
@@ -106,7 +106,7 @@
 	begun := func(turnedOut bool) (n int) {
 		b := New(Limits{HostRate: 100, Burst: 10 * time.Millisecond, ResumedFactor: 0.25}, 0)
 		for id := range uint64(1000) {
-			b.Ask(0, id, "s", true, 1e15)
+			b.Enqueue(0, id, "s", true, 1e15)
 		}
 		for now := int64(0); now < 1000*ms; now += ms {
 			begin, _, _ := b.Next(now)
@@ -125,7 +125,7 @@
 func TestClockSteps(t *testing.T) {
 	b := New(Limits{CPU: 0.1, Rate: 10, HostRate: 10, Burst: 100 * time.Millisecond}, 1000*ms)
 	for id := range uint64(20) {
-		b.Ask(1000*ms, id, "s", false, math.MaxInt64)
+		b.Enqueue(1000*ms, id, "s", false, math.MaxInt64)
 	}
 	b.Next(1000 * ms)
 	b.Next(-1 << 60)
@@ -166,8 +166,8 @@
 				deadline[next] = now + rapid.Int64Range(0, 800*ms).Draw(t, "within")
 				resumed[next] = rapid.Bool().Draw(t, "resumed")
 				state[next] = "waiting"
-				r := b.Ask(now, next, host[next], resumed[next], deadline[next])
-				if r2 := twin.Ask(now, next, host[next], resumed[next], deadline[next]); r2 != r {
+				r := b.Enqueue(now, next, host[next], resumed[next], deadline[next])
+				if r2 := twin.Enqueue(now, next, host[next], resumed[next], deadline[next]); r2 != r {
 					t.Fatalf("answers differ: %v, %v", r, r2)
 				}
 				if r != None {
--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -82,7 +82,7 @@
 		c.Close()
 		return
 	}
-	h, err := d.askLoop(m.listen)
+	h, err := d.welcomeOnLoop(m.listen)
 	if err != nil {
 		send(c, rejection{reason: err.Error()})
 		c.Close()
@@ -109,8 +109,8 @@
 	return m, ok
 }
 
-// askLoop calls welcome on the loop and waits for its result.
-func (d *Endpoint) askLoop(listen string) (*Handoff, error) {
+// welcomeOnLoop calls welcome on the loop and waits for its result.
+func (d *Endpoint) welcomeOnLoop(listen string) (*Handoff, error) {
 	type answer struct {
 		handoff *Handoff
 		err     error
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -139,7 +139,7 @@
 		if m.snapshot != nil {
 			ev.ListChanged(m.snapshot)
 		}
-	case sessionsHeld:
+	case sessionCount:
 		ev.Sessions(max(0, m.sessions))
 	case connection:
 		ev.ConnectionReceived(m.HandedOverConnection)
@@ -181,7 +181,7 @@
 func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
 // Sessions tells how many downstreams this process holds.
-func (p *Partner) Sessions(n int) { p.send(sessionsHeld{sessions: n}) }
+func (p *Partner) Sessions(n int) { p.send(sessionCount{sessions: n}) }
 
 // Close ends the connection to the partner; Gone follows.
 func (p *Partner) Close() {
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -123,7 +123,7 @@
 		d.request.EndedHere()
 	}
 	if d.accepted {
-		return moveLine
+		return migrateLine
 	}
 	return errLine
 }
@@ -175,8 +175,8 @@
 	d.Reject(d.front.core.RetryAdvice())
 }
 
-// makeRoom ends a newcomer for the sake of the next.
-func (d *downstream) makeRoom() {
+// evict ends a connection without a request to free its place for the next.
+func (d *downstream) evict() {
 	d.idleTimer.Stop()
 	d.logIdleEnd("makes_room")
 	switch {
@@ -213,10 +213,10 @@
 func (d *downstream) Fail() { d.finishWith(errLine) }
 
 // Migrate tells the client to open its connection anew.
-func (d *downstream) Migrate() { d.finishWith(moveLine) }
+func (d *downstream) Migrate() { d.finishWith(migrateLine) }
 
 // MigrationLine is what Migrate says.
-func (d *downstream) MigrationLine() []byte { return moveLine }
+func (d *downstream) MigrationLine() []byte { return migrateLine }
 
 // Release lets go of the client's connection without ending it.
 func (d *downstream) Release(done func(netio.Parts)) {
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -51,7 +51,7 @@
 	d := &downstream{front: f, conn: c}
 	c.WhenGone(d.descriptorFreed)
 	if f.idleClients.Len() >= f.maxIdleClients {
-		f.idleClients.Front().Value.(*downstream).makeRoom()
+		f.idleClients.Front().Value.(*downstream).evict()
 	}
 	d.idleEntry = f.idleClients.PushBack(d)
 	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineLate)
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -57,7 +57,7 @@
 		q.end(balancer.Cancelled) // its address has changed, or it is asked twice
 		q = nil
 	}
-	if p.denied || q == nil && !p.makeRoom() {
+	if p.denied || q == nil && !p.evictIdle() {
 		p.loop.Post(func() { done(balancer.TooLate, nil) })
 		return
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// makeRoom closes the connection that was used least lately, if it must; it tells whether there is room for one more.
-func (p *HealthChecks) makeRoom() bool {
+// evictIdle closes the least recently used connection if it must, and reports whether there is room for one more.
+func (p *HealthChecks) evictIdle() bool {
 	if len(p.byHost) < p.maxConnections {
 		return true
 	}
@@ -118,7 +118,7 @@
 	if line == nil {
 		return
 	}
-	first, rest := cutWord(line)
+	first, rest := cutField(line)
 	c.Consume(len(line))
 	switch first {
 	case "PONG":
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -40,8 +40,8 @@
 // trimLineEnd is a line without its CRLF.
 func trimLineEnd(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
 
-// cutWord splits off the first word of a line.
-func cutWord(line []byte) (string, string) {
+// cutField splits off the first field of a line.
+func cutField(line []byte) (string, string) {
 	first, rest, _ := strings.Cut(string(trimLineEnd(line)), " ")
 	return first, rest
 }
@@ -123,7 +123,7 @@
 	case "g":
 		o.Group, ok = value, isID(value)
 	case "at":
-		o.PinnedHost, ok = value, isName(value)
+		o.StickyHost, ok = value, isName(value)
 	case "r":
 		o.Retry, ok = true, value == "1"
 	case "again":
@@ -163,7 +163,7 @@
 // ParseHost reads a line of an upstream host.
 func ParseHost(line []byte) proxy.Message {
 	m := proxy.Message{Text: line}
-	first, rest := cutWord(line)
+	first, rest := cutField(line)
 	switch first {
 	case "UP":
 		m.Kind = proxy.Accepted
@@ -185,9 +185,9 @@
 
 // The lines that a proxy says in its own name.
 var (
-	pongLine = []byte("PONG\r\n")
-	errLine  = []byte("ERR\r\n")
-	moveLine = []byte("MOVE\r\n")
+	pongLine    = []byte("PONG\r\n")
+	errLine     = []byte("ERR\r\n")
+	migrateLine = []byte("MOVE\r\n")
 )
 
 // busyLine is a refusal. Advice below a millisecond is still advice.
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -67,7 +67,7 @@
 		}
 		m := ParseHost(line)
 		if len(u.reportFields) > 0 && (m.Kind == proxy.OverCapacity || m.Kind == proxy.Failed || m.Kind == proxy.Finished) {
-			_, rest := cutWord(line)
+			_, rest := cutField(line)
 			m.Report = ParseReport(strings.TrimSpace(rest), u.reportFields)
 		}
 		if m.Kind == proxy.Accepted && u.stage < netio.Up {
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -21,13 +21,13 @@
 // Len is how many bytes the buffer holds.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Room is how many bytes it can still take before its limit.
-func (b *Buffer) Room() int { return max(0, b.limit-b.Len()) }
+// Available is how many bytes it can still take before its limit.
+func (b *Buffer) Available() int { return max(0, b.limit-b.Len()) }
 
 // Reserve gives n bytes of space behind the content, or fewer where the limit is near. Extend keeps what was
 // written there.
 func (b *Buffer) Reserve(n int) []byte {
-	n = min(n, b.Room())
+	n = min(n, b.Available())
 	if n == 0 {
 		return nil
 	}
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -26,7 +26,7 @@
 		c.detached(np)
 		return nil
 	}
-	kept := c.socket.fd >= 0 && c.keepDescriptor()
+	kept := c.socket.fd >= 0 && c.rescueDescriptor()
 	if c.socket.fd >= 0 && !kept {
 		cause = c.endCause()
 		c.socket.fd = -1 // the number is another's from here on
@@ -63,12 +63,12 @@
 	return nil
 }
 
-// errPollerLetGo is why netpoll gave a connection up that stands: it says no more than that.
-var errPollerLetGo = errors.New("the poller could not take the socket, or not read from it")
+// errPollerDropped is the reason for a connection that netpoll dropped although it is established: netpoll gives no other.
+var errPollerDropped = errors.New("the poller could not take the socket, or not read from it")
 
-// keepDescriptor tells whether netpoll closes a connection that neither side has ended: the kernel had no memory for watching its socket, say. The socket
+// rescueDescriptor reports whether netpoll closes a connection that neither side has ended: the kernel had no memory for watching its socket, say. The socket
 // then lives on under another number, which it notes. socket.mu is held.
-func (c *Conn) keepDescriptor() bool {
+func (c *Conn) rescueDescriptor() bool {
 	const tcpEstablished = 1
 	if c.socket.closing {
 		return false
@@ -110,7 +110,7 @@
 		c.input.Append(tail)
 		c.deliver()
 	}
-	c.watchAgain(errPollerLetGo)
+	c.watchAgain(errPollerDropped)
 }
 
 // closeSocket closes the socket, whoever holds it.
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -13,25 +13,26 @@
 	// Take gives it bytes of the socket's; p is the caller's again afterwards. False: more than it holds.
 	Take(p []byte) bool
 	// Open writes what can be read into p. 0 without an error: more bytes must come first. io.EOF: the peer ended in
-	// order. An error that NeverStood means that the peer refused the connection before it took anything from it.
+	// order. An error whose RefusedUnread is true means that
+	// the peer refused the connection before it read anything of it.
 	Open(p []byte) (int, error)
 	// Seal sends p.
 	Seal(p []byte) error
 	// End tells the peer that nothing more comes.
 	End()
-	// Holds is how many bytes it holds.
-	Holds() int
+	// Buffered is how many bytes it holds.
+	Buffered() int
 }
 
-// neverStood is what an error of a layer's may tell.
-type neverStood interface{ NeverStood() bool }
+// refusedUnread is implemented by errors of a layer that may mean a refusal before anything was read.
+type refusedUnread interface{ RefusedUnread() bool }
 
 const (
 	// layerReadSize is how much of the buffer is set aside for what a layer opens at once. It leaves an idle connection's
 	// buffer at its smallest.
 	layerReadSize = minBufferSize / 2
-	// maxUnsent is how much may wait for the peer of what a layer has to say by itself. A peer that makes it talk and
-	// does not listen is given up.
+	// maxUnsent is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more
+	// and does not read is ended.
 	maxUnsent = 64 << 10
 )
 
@@ -40,15 +41,15 @@
 	errPeerNotReading = errors.New("the peer makes the layer talk and does not listen")
 )
 
-// Socket is one that stands, for Adopt.
+// Socket is an established connection's, for Adopt.
 type Socket struct {
 	FD         int // the connection's from here on
 	Layer      Layer
 	InputLimit int // bytes of input at which reading pauses
 }
 
-// Adopt makes a connection of a socket that stands, behind its layer, and gives it to done and then to h. It is called on the
-// loop. Should the socket be of no use, h hears of its end.
+// Adopt makes a connection of an established socket, behind its layer, and gives it to done and then to h. It is called on
+// the loop. If the socket can't be used, h is told that the connection ended.
 //
 // It begins as a connection whose reading is paused: netpoll reads from the moment it has the socket, as fast as the peer
 // sends, and what came before the callbacks were in place ended connections for more input than the limit.
@@ -69,7 +70,7 @@
 // Layer is what stands between the socket and the handler; nil: nothing, or no longer.
 func (c *Conn) Layer() Layer { return c.layer }
 
-// readSealed gives the layer what came, and the handler what it makes of it.
+// readSealed gives the layer what came, and the handler what the layer opens.
 func (c *Conn) readSealed(p []byte, most int) {
 	if !c.layer.Take(p) {
 		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
@@ -110,11 +111,11 @@
 }
 
 func layerError(err error) *Error {
-	var never neverStood
+	var unread refusedUnread
 	switch {
 	case errors.Is(err, io.EOF):
 		return &Error{Stage: Up, Cause: Ended}
-	case errors.As(err, &never) && never.NeverStood():
+	case errors.As(err, &unread) && unread.RefusedUnread():
 		return &Error{Stage: Connecting, Cause: Refused, Detail: err}
 	}
 	return &Error{Stage: Up, Cause: Broke, Detail: err}
@@ -143,7 +144,7 @@
 	})
 }
 
-// endLayer has the layer tell the peer of the end, and lets go of it.
+// endLayer has the layer tell the peer of the end, and drops it.
 func (c *Conn) endLayer() {
 	if l := c.layer; l != nil {
 		c.guard(l.End)
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -10,7 +10,7 @@
 
 // startExpiryMigrations begins to migrate connections before a certificate that they rest on ends, where the operators want it.
 func (c *Core) startExpiryMigrations() {
-	if !c.opt.Expiry.Move {
+	if !c.opt.Expiry.MigrationEnabled {
 		return
 	}
 	c.expiry = certexpiry.New(c.opt.Expiry)
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -24,7 +24,7 @@
 		w := newHarness(t)
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
 		if move {
-			w.core.opt.Expiry = certexpiry.Policy{Move: true, Before: 30 * time.Second, Share: 1}
+			w.core.opt.Expiry = certexpiry.Policy{MigrationEnabled: true, Before: 30 * time.Second, Share: 1}
 			w.core.expiry = certexpiry.New(w.core.opt.Expiry)
 			w.loop.After(certexpiry.Every, w.core.migrateExpiring)
 		}
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -53,7 +53,7 @@
 	case r.isOpen():
 		r.endOpen(err.Cause)
 	case !r.answered():
-		r.leaveUnanswered()
+		r.becomeAbandoned()
 	}
 }
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// leaveUnanswered ends a request whose client has left before its answer: nothing is owed, but its attempt must not go on for nobody.
-func (r *Request) leaveUnanswered() {
+// becomeAbandoned ends a request whose client has left before its answer: nothing is owed, but its attempt must not go on for nobody.
+func (r *Request) becomeAbandoned() {
 	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
 	r.becomeClosed()
 	r.notifyClientLeft()
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -11,8 +11,8 @@
 	Hosts   []HostEntry
 }
 
-// isWhole tells whether the change names all hosts that there are.
-func (ch *Change) isWhole() bool {
+// isFullList reports whether the change names all hosts that there are.
+func (ch *Change) isFullList() bool {
 	return ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached
 }
 
@@ -31,7 +31,7 @@
 	}
 	entries := c.updateHosts(&ch)
 	for _, p := range c.pools.byName {
-		if p == c.pools.main || ch.isWhole() || len(entries[p]) > 0 {
+		if p == c.pools.main || ch.isFullList() || len(entries[p]) > 0 {
 			c.notify(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, ch.Kind, ch.Version, entries[p]) })
 		}
 	}
@@ -55,7 +55,7 @@
 		}
 		entries[h.pool], named[e.ID] = append(entries[h.pool], h.effectiveEntry()), true
 	}
-	if ch.isWhole() {
+	if ch.isFullList() {
 		c.hosts.removeUnlisted(named)
 	}
 	return entries
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -11,7 +11,7 @@
 	Returned             bool          // it comes back after a break or a migration
 	Wait                 time.Duration // how long it waits for its answer
 	HasWait              bool          // it said so; else its class's deadline holds
-	PinnedHost           string        // the upstream host at which it is open already; "" for a new one
+	StickyHost           string        // the upstream host at which it is open already; "" for a new one
 }
 
 // RequestLine is the client's opening in its own protocol, to be handed to an upstream host.
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -35,7 +35,7 @@
 	}
 	verdict := c.judge(o.Tenant, o.Class, &q)
 	var in *pool
-	if o.PinnedHost == "" {
+	if o.StickyHost == "" {
 		if in = c.placement(&verdict); verdict.Refused {
 			c.rejectOpening(d, q.Class, metrics.Rejected, verdict.Advice)
 			return nil
@@ -45,8 +45,8 @@
 	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: c.loop.Now() + int64(wait)}
 	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
-	if o.PinnedHost != "" {
-		r.adopt(o.PinnedHost)
+	if o.StickyHost != "" {
+		r.adopt(o.StickyHost)
 		return r
 	}
 	if tracing() {
@@ -104,7 +104,7 @@
 // which it is open may wait for longer.
 func (c *Core) answerTime(o *Opening, class int) time.Duration {
 	longest := time.Duration(c.opt.Settings.Classes[class].Deadline)
-	if !o.HasWait || o.Wait > longest && o.PinnedHost == "" {
+	if !o.HasWait || o.Wait > longest && o.StickyHost == "" {
 		return longest
 	}
 	return o.Wait
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -62,7 +62,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &poolHarness{harness: &harness{now: 1e18}, test: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{}}
 		w.loop = netio.NewLoopAt(func() int64 { return w.now })
-		w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, KeepAfterLapse: true}
+		w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
 		for i, id := range []string{"A", "B", "C", "D"} {
 			w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
 		}
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -97,7 +97,7 @@
 	w := newHarness(t)
 	_, u := w.serve("r")
 	c := &fakeQuota{held: map[string]int{}}
-	gate := &rules.Enforcer{Now: func() int64 { return w.now }, KeepAfterLapse: true}
+	gate := &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
 	w.core.SetQuota(c)
 	w.core.SetRules(gate)
 	if c.held["a"] != 0 {
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -29,7 +29,7 @@
 	d := &pendingDial{link: k, requestID: k.lastID, host: t, inputLimit: limit, deadline: k.loop.Now() + int64(within), handler: h, done: done}
 	p, f := k.peer(t)
 	if f == nil {
-		if r := k.budget.Ask(k.loop.Now(), d.requestID, t.ID, p.resumable(), d.deadline); r != handshake.None {
+		if r := k.budget.Enqueue(k.loop.Now(), d.requestID, t.ID, p.resumable(), d.deadline); r != handshake.None {
 			f = budgetFailure(r)
 		}
 	}
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -32,8 +32,8 @@
 		c.write("M 1\r\n")
 		c.read("GOT M 1\r\n")
 		b.on(func() {
-			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Holds() != 0 || time.Until(l.Expires()) < 50*time.Minute {
-				t.Errorf("connection %d: resumed %t, holds %d, ends %v", i, l.resumed, l.Holds(), l.Expires())
+			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
+				t.Errorf("connection %d: resumed %t, holds %d, ends %v", i, l.resumed, l.Buffered(), l.Expires())
 			}
 			c.c.Close()
 		})
@@ -116,7 +116,7 @@
 	taking := false
 	most := 0
 	c := b.dialEating(l.Addr().String(), 5*time.Second, func(n *netio.Conn) {
-		most = max(most, len(n.Input())+n.Layer().Holds())
+		most = max(most, len(n.Input())+n.Layer().Buffered())
 		if taking {
 			k := min(3000, len(n.Input()))
 			got = append(got, n.Input()[:k]...)
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -73,7 +73,7 @@
 		f.Enum("on-expiry", "what becomes of standing connections when a certificate ends", &o.OnExpiry, "keep", "move")
 		f.Duration("move-before", "how long before the end moving begins", &o.Expiry.Before, time.Second, 30*24*time.Hour)
 		f.Percent("move-share", "connections moved in a minute at most", &o.Expiry.Share, 0.001, 1)
-		o.Expiry.Move = o.OnExpiry == "move"
+		o.Expiry.MigrationEnabled = o.OnExpiry == "move"
 		f.Group("handshakes", "what handshakes may take", func(f *settings.Form) {
 			h := &o.Handshakes
 			f.Percent("cpu", "part of one core", &h.CPU, 0.01, 1)
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -18,17 +18,17 @@
 // handshakeReadSize is how much is read at once while hands are shaken.
 const handshakeReadSize = 4 << 10
 
-// session is a standing connection's record layer. crypto/tls does the work; instead of a socket it has the wire below,
-// which says "not now" where a socket would block. crypto/tls keeps what it has read of a record and takes it up again.
+// session is an established connection's record layer. crypto/tls does the work; instead of a socket it has a sealedSocket,
+// which returns a temporary error where a socket would block. crypto/tls keeps what it has read of a record and continues.
 // After the handshake everything happens on the loop.
 type session struct {
-	socket         *sealedSocket
-	tlsConn        *tls.Conn
-	resumed        bool
-	certificateEnd time.Time                   // of the first certificate that it rests on
-	dataReceived   bool                        // application data has come
-	mayHoldMore    bool                        // crypto/tls may hold plain text that the last call of Open had no room for
-	onFailure      func(f *Failure, late bool) // told once of an end that is not in order; nil: nobody is
+	socket          *sealedSocket
+	tlsConn         *tls.Conn
+	resumed         bool
+	certificateEnd  time.Time                   // of the first certificate that it rests on
+	dataReceived    bool                        // application data has come
+	mayHaveBuffered bool                        // crypto/tls may hold plain text that the last call of Open had no room for
+	onFailure       func(f *Failure, late bool) // called once at an end that is not in order; may be nil
 }
 
 var _ netio.Layer = (*session)(nil)
@@ -44,12 +44,12 @@
 
 // Open gives what can be decrypted now.
 func (s *session) Open(p []byte) (int, error) {
-	if !s.mayHoldMore && !s.socket.hasWholeRecord() {
+	if !s.mayHaveBuffered && !s.socket.hasWholeRecord() {
 		return 0, nil // crypto/tls could only say so itself, at the price of an error for every line
 	}
 	n, err := s.tlsConn.Read(p)
 	s.dataReceived = s.dataReceived || n > 0
-	s.mayHoldMore = n == len(p)
+	s.mayHaveBuffered = n == len(p)
 	if errors.Is(err, errWouldBlock) {
 		return n, nil
 	}
@@ -76,8 +76,8 @@
 // Unwrap gives the failure.
 func (l *lateRefusal) Unwrap() error { return l.Failure }
 
-// NeverStood says that the host has read nothing of this connection.
-func (l *lateRefusal) NeverStood() bool { return true }
+// RefusedUnread is true: the host has read nothing of this connection.
+func (l *lateRefusal) RefusedUnread() bool { return true }
 
 // Seal encrypts and sends.
 func (s *session) Seal(p []byte) error {
@@ -88,10 +88,10 @@
 // End tells the host that nothing more comes.
 func (s *session) End() { s.tlsConn.CloseWrite() }
 
-// Holds is how many sealed bytes wait.
-func (s *session) Holds() int { return s.socket.sealed.Len() }
+// Buffered is how many sealed bytes wait.
+func (s *session) Buffered() int { return s.socket.sealed.Len() }
 
-// errWouldBlock is what a socket that must not block says. crypto/tls goes on after errors that are temporary.
+// errWouldBlock is the error of a socket that must not block. crypto/tls continues after errors that are temporary.
 var errWouldBlock error = wouldBlock{}
 
 type wouldBlock struct{}
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -43,23 +43,23 @@
 	// maxMachineBytes bounds one machine's state in a snapshot.
 	maxMachineBytes = 150 << 10
 
-	defaultTickInterval       = Time(1e8) // 100 ms
-	defaultHeartbeatTicks     = 2
-	defaultElectionTicks      = 8
-	defaultSnapshotEvery      = 512
-	defaultKeepBehindSnapshot = 128
+	defaultTickInterval    = Time(1e8) // 100 ms
+	defaultHeartbeatTicks  = 2
+	defaultElectionTicks   = 8
+	defaultSnapshotEvery   = 512
+	defaultTrailingEntries = 128
 )
 
 // Config is what a process is configured with.
 type Config struct {
-	Group, Name        string
-	InitialVoters      []string // voters at the group's first start, by name, 1 to 9; the same list everywhere
-	Seed               uint64
-	TickInterval       Time // between two calls of Tick; 0: 100 ms
-	HeartbeatTicks     int  // between two heartbeats of a leader; 0: 2
-	ElectionTicks      int  // a leader unheard for so long, and up to twice as long at random, is lost; 0: 8
-	SnapshotEvery      int  // commands after which a snapshot is taken; 0: 512
-	KeepBehindSnapshot int  // commands kept behind a snapshot, for replicas that lag; 0: 128
+	Group, Name     string
+	InitialVoters   []string // voters at the group's first start, by name, 1 to 9; the same list everywhere
+	Seed            uint64
+	TickInterval    Time // between two calls of Tick; 0: 100 ms
+	HeartbeatTicks  int  // between two heartbeats of a leader; 0: 2
+	ElectionTicks   int  // a leader unheard for so long, and up to twice as long at random, is lost; 0: 8
+	SnapshotEvery   int  // commands after which a snapshot is taken; 0: 512
+	TrailingEntries int  // commands kept behind a snapshot, for replicas that lag; 0: 128
 }
 
 // withDefaults checks a configuration and fills in what was left out.
@@ -71,7 +71,7 @@
 	setDefault(&cfg.HeartbeatTicks, defaultHeartbeatTicks)
 	setDefault(&cfg.ElectionTicks, defaultElectionTicks)
 	setDefault(&cfg.SnapshotEvery, defaultSnapshotEvery)
-	setDefault(&cfg.KeepBehindSnapshot, defaultKeepBehindSnapshot)
+	setDefault(&cfg.TrailingEntries, defaultTrailingEntries)
 	return cfg, nil
 }
 
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -96,7 +96,7 @@
 		g.names = append(g.names, name)
 	}
 	reg := &recorder{}
-	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, KeepBehindSnapshot: 5}, g.disks[name], map[byte]Machine{1: reg}, testEffects{g, name})
+	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, TrailingEntries: 5}, g.disks[name], map[byte]Machine{1: reg}, testEffects{g, name})
 	if err == nil {
 		g.cores[name], g.machines[name] = c, reg
 	}
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -123,7 +123,7 @@
 	}
 	c.applied.snapshotIndex = c.applied.index
 	first, _ := c.storage.FirstIndex()
-	kept := uint64(c.cfg.KeepBehindSnapshot)
+	kept := uint64(c.cfg.TrailingEntries)
 	if upTo := c.applied.index - kept; c.applied.index > kept && upTo > first {
 		if err := c.storage.Compact(upTo); err != nil {
 			panic(err)
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -132,7 +132,7 @@
 
 // FuzzReceive: no datagram makes a Transport panic or exceed its bounds.
 func FuzzReceive(f *testing.F) {
-	f.Add([]byte{DatagramPrefix, kindWhole, 1})
+	f.Add([]byte{DatagramPrefix, kindSingle, 1})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 1, 0, 2, 9})
 	f.Add([]byte{DatagramPrefix, kindAck, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -7,16 +7,16 @@
 
 // The kinds of datagram, as the second byte.
 const (
-	kindWhole = 0 // a message that fits one datagram
-	kindPiece = 1 // a part of a longer one
-	kindAck   = 2 // which pieces have arrived
+	kindSingle = 0 // a message that fits one datagram
+	kindPiece  = 1 // a part of a longer one
+	kindAck    = 2 // which pieces have arrived
 )
 
 // Lengths in bytes of what precedes the data.
 const (
-	wholeHeader = 1 + 1
-	pieceHeader = 1 + 1 + 4 + 4 + 2 + 2
-	ackHeader   = 1 + 1 + 4 + 4
+	singleHeader = 1 + 1
+	pieceHeader  = 1 + 1 + 4 + 4 + 2 + 2
+	ackHeader    = 1 + 1 + 4 + 4
 )
 
 // messageID tells long messages apart.
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -15,8 +15,8 @@
 
 // Send sends a message to a peer; the error is ErrMessageTooLong.
 func (b *Transport) Send(now Time, to uint32, data []byte) error {
-	if len(data) <= b.pieceBytes+pieceHeader-wholeHeader {
-		b.buffer = append(b.buffer[:0], DatagramPrefix, kindWhole)
+	if len(data) <= b.pieceBytes+pieceHeader-singleHeader {
+		b.buffer = append(b.buffer[:0], DatagramPrefix, kindSingle)
 		b.effects.Datagram(to, append(b.buffer, data...))
 		return nil
 	}
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -109,12 +109,12 @@
 
 // handle acts on a datagram; false: it is malformed.
 func (b *Transport) handle(now Time, from uint32, data []byte) bool {
-	if len(data) < wholeHeader || data[0] != DatagramPrefix {
+	if len(data) < singleHeader || data[0] != DatagramPrefix {
 		return false
 	}
 	switch data[1] {
-	case kindWhole:
-		b.effects.Message(from, data[wholeHeader:])
+	case kindSingle:
+		b.effects.Message(from, data[singleHeader:])
 		return true
 	case kindPiece:
 		p, ok := decodePiece(data)
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -4,8 +4,8 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxPermitsAsked bounds the permits of one question.
-const maxPermitsAsked = 64
+// maxPermitsPerQuery bounds the permits of one query.
+const maxPermitsPerQuery = 64
 
 // MigrationPacer is a proxy's own part of the rate of migrations: when it may migrate a client.
 type MigrationPacer struct {
@@ -14,13 +14,13 @@
 	// SendQuery asks the owner for permits; ReplyReceived brings the answer under the tag. nil: there is no owner.
 	SendQuery func(tag uint64, body []byte)
 
-	lastTag  uint64
-	asked    map[uint64]Time // questions without an answer, by tag
-	permits  []permits
-	ownShare float64 // tokens of this proxy's share, without an owner
-	filledAt Time
-	heard    bool // an owner has answered
-	heardAt  Time
+	lastTag        uint64
+	pendingQueries map[uint64]Time // when queries without a reply were sent, by tag
+	permits        []permits
+	ownShare       float64 // tokens of this proxy's share, without an owner
+	filledAt       Time
+	ownerReplied   bool // an owner has answered
+	ownerRepliedAt Time
 }
 
 // permits are those of one answer.
@@ -34,7 +34,7 @@
 	allowed := p.usePermits(now, want)
 	allowed += p.useOwnShare(now, want-allowed)
 	if allowed < want {
-		p.ask(now, want-allowed)
+		p.queryOwner(now, want-allowed)
 	}
 	return allowed
 }
@@ -60,10 +60,10 @@
 
 // useOwnShare lets one client go where no owner answers: each proxy then keeps to its share of the rate, and saves one of it at most.
 func (p *MigrationPacer) useOwnShare(now Time, want int) (used int) {
-	if p.heard && now-p.heardAt <= silentAfter {
+	if p.ownerReplied && now-p.ownerRepliedAt <= silentAfter {
 		p.ownShare = 0
 	} else {
-		since := max(p.filledAt, p.heardAt)
+		since := max(p.filledAt, p.ownerRepliedAt)
 		p.ownShare = min(1, p.ownShare+p.Rate/float64(max(1, p.FleetSize))*float64(now-since)/float64(sec))
 		if want > 0 && p.ownShare >= 1 {
 			p.ownShare--
@@ -74,35 +74,35 @@
 	return used
 }
 
-// ask sends one question at a time.
-func (p *MigrationPacer) ask(now Time, want int) {
-	for tag, at := range p.asked {
+// queryOwner sends one query at a time.
+func (p *MigrationPacer) queryOwner(now Time, want int) {
+	for tag, at := range p.pendingQueries {
 		if now-at > permitLifetime {
-			delete(p.asked, tag)
+			delete(p.pendingQueries, tag)
 		}
 	}
-	if len(p.asked) > 0 || p.SendQuery == nil {
+	if len(p.pendingQueries) > 0 || p.SendQuery == nil {
 		return
 	}
-	if p.asked == nil {
-		p.asked = map[uint64]Time{}
+	if p.pendingQueries == nil {
+		p.pendingQueries = map[uint64]Time{}
 	}
 	p.lastTag++
-	p.asked[p.lastTag] = now
+	p.pendingQueries[p.lastTag] = now
 	var w encoding.Writer
-	p.SendQuery(p.lastTag, w.Uint(uint64(min(want, maxPermitsAsked))).Data)
+	p.SendQuery(p.lastTag, w.Uint(uint64(min(want, maxPermitsPerQuery))).Data)
 }
 
 // ReplyReceived takes permits. Their lifetime counts from the question, so that the owner may count it from its answer.
 func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
-	askedAt, asked := p.asked[tag]
+	askedAt, asked := p.pendingQueries[tag]
 	r := encoding.Reader{Data: body}
 	count := r.Uint()
 	if !asked || r.Err() != nil || now >= askedAt+permitLifetime {
 		return
 	}
-	delete(p.asked, tag)
-	p.heard, p.heardAt = true, now
+	delete(p.pendingQueries, tag)
+	p.ownerReplied, p.ownerRepliedAt = true, now
 	if count > 0 {
 		p.permits = append(p.permits, permits{count, askedAt + permitLifetime})
 	}
--- a/internal/fleet/jobs/migrationpermits.go
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -20,7 +20,7 @@
 	beginsAt         Time
 	bucket           Bucket
 	checkpointNumber uint64
-	askedAt          map[uint32]Time // last, by peer
+	lastQueryAt      map[uint32]Time // last, by peer
 }
 
 // Start waits for a permit's lifetime: until then an earlier owner's permits, and each proxy's own share, may be in use.
@@ -28,7 +28,7 @@
 	m.owner, m.checkpointNumber = o, checkpointNumber
 	m.beginsAt = now + permitLifetime
 	m.bucket = Bucket{FilledAt: m.beginsAt}
-	m.askedAt = map[uint32]Time{}
+	m.lastQueryAt = map[uint32]Time{}
 	return nil
 }
 
@@ -46,8 +46,8 @@
 	if m.owner == nil || r.Err() != nil || now < m.beginsAt {
 		return
 	}
-	m.bucket.Fill(now, m.Rate, m.FleetSize, SilentMembers(now, m.FleetSize, m.askedAt, silentAfter))
-	m.askedAt[from] = now
+	m.bucket.Fill(now, m.Rate, m.FleetSize, SilentMembers(now, m.FleetSize, m.lastQueryAt, silentAfter))
+	m.lastQueryAt[from] = now
 	var w encoding.Writer
 	m.owner.Reply(from, tag, w.Uint(m.bucket.Take(want)).Data)
 }
--- a/internal/fleet/memberagent/channels.go
+++ b/internal/fleet/memberagent/channels.go
@@ -11,10 +11,10 @@
 	s.channels[channel] = receive
 }
 
-// Room is how many bytes of an attached package's a datagram can carry.
-func (s *Agent) Room() int { return s.transport.payloadRoom() }
+// MaxPayload is how many bytes of an attached package's a datagram can carry.
+func (s *Agent) MaxPayload() int { return s.transport.maxPayload() }
 
-// Carry sends an attached package's data to a member, at most Room bytes; they may be lost, and are where its address is not known.
+// Carry sends an attached package's data to a member, at most MaxPayload bytes; they may be lost, and are where its address is not known.
 func (s *Agent) Carry(peer uint32, channel byte, data []byte) {
 	if !s.closed {
 		s.core.Carry(s.loop.Now(), peer, channel, data)
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -13,8 +13,8 @@
 const (
 	// reportTimeout bounds how long the loop may take for a report, and the client to read it.
 	reportTimeout = 2 * time.Second
-	// askTimeout bounds how long Ask waits for the whole report.
-	askTimeout = 5 * time.Second
+	// requestTimeout bounds how long RequestReport waits for the whole report.
+	requestTimeout = 5 * time.Second
 	// inUseTimeout is how long ListenUnix waits for another process to accept on the socket.
 	inUseTimeout = time.Second
 )
@@ -74,15 +74,15 @@
 	return l, nil
 }
 
-// Ask reads the report of a running proxy.
-func Ask(socket string) (Report, error) {
+// RequestReport reads the report of a running proxy.
+func RequestReport(socket string) (Report, error) {
 	var r Report
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), reportTimeout)
 	if err != nil {
 		return r, err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(askTimeout))
+	c.SetDeadline(time.Now().Add(requestTimeout))
 	err = json.NewDecoder(c).Decode(&r)
 	return r, err
 }
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -50,10 +50,10 @@
 	slog.Warn("membership_datagram_rejected", "peer", from, "reason", err)
 }
 
-// payloadRoom is how many bytes of another package's a datagram can carry.
-func (t *transport) payloadRoom() int {
+// maxPayload is how many bytes of another package's a datagram can carry.
+func (t *transport) maxPayload() int {
 	if t.seal == nil {
-		return membership.PayloadRoom(0)
+		return membership.MaxPayload(0)
 	}
-	return membership.PayloadRoom(membership.SealLength)
+	return membership.MaxPayload(membership.SealLength)
 }
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -66,7 +66,7 @@
 		if i := c.antiEntropy.nextEntry % entries; i < len(c.members.ids) {
 			id = c.members.ids[i]
 		}
-		if !c.writeNews(d, id) {
+		if !c.writeUpdate(d, id) {
 			return false
 		}
 		c.antiEntropy.nextEntry++
--- a/internal/fleet/membership/carry_test.go
+++ b/internal/fleet/membership/carry_test.go
@@ -39,7 +39,7 @@
 		one.Tick(now, now)
 		two.Tick(now, now)
 	}
-	whole := bytes.Repeat([]byte("x"), PayloadRoom(0))
+	whole := bytes.Repeat([]byte("x"), MaxPayload(0))
 	for _, data := range [][]byte{[]byte("one"), whole, append(whole, 'x'), {}} {
 		one.Carry(2*sec, ID("b"), 7, data)
 	}
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Carry sends another package's data to a member whose address is known: at most PayloadRoom bytes, once, and they may be lost. The
+// Carry sends another package's data to a member whose address is known: at most MaxPayload bytes, once, and they may be lost. The
 // channel says whose data it is.
 func (c *Core) Carry(now Time, to uint32, channel byte, data []byte) {
 	c.now = max(c.now, now)
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -34,7 +34,7 @@
 	d.unheard([]uint32{1, 2, 3})
 	d.viewRequest()
 	d.name("other")
-	for d.news(MemberNews{ID: 8, State: Suspect, Incarnation: NewIncarnation(3) + 1, Age: 1200}) {
+	for d.update(MemberUpdate{ID: 8, State: Suspect, Incarnation: NewIncarnation(3) + 1, Age: 1200}) {
 	}
 	return d.bytes()
 }
@@ -107,7 +107,7 @@
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagram)
 	d.unheard([]uint32{1, 2})
-	for d.news(MemberNews{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
+	for d.update(MemberUpdate{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
 	c.Receive(1, 1, d.bytes())
 	if n := testing.AllocsPerRun(100, func() { c.Receive(2, 1, d.bytes()) }); n > 0 {
@@ -119,7 +119,7 @@
 	c, _ := newTestCore(b, "me")
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagram)
-	for d.news(MemberNews{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
+	for d.update(MemberUpdate{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -51,7 +51,7 @@
 		return nil, false
 	}
 	first := part(b[:n])
-	if first.kind() == partNews && State(first[5]) > Gone {
+	if first.kind() == partUpdate && State(first[5]) > Gone {
 		return nil, false
 	}
 	*p = b[n:]
@@ -65,8 +65,8 @@
 		return sequenceLength
 	case partPingRequest, partIndirectAck:
 		return relayedLength
-	case partNews:
-		return newsLength
+	case partUpdate:
+		return updateLength
 	case partViewRequest:
 		return viewRequestLength
 	case partRejected:
@@ -111,8 +111,8 @@
 	return relayed{sequence: binary.BigEndian.Uint32(p[1:]), target: binary.BigEndian.Uint32(p[5:])}
 }
 
-func decodeNews(p part) MemberNews {
-	return MemberNews{
+func decodeUpdate(p part) MemberUpdate {
+	return MemberUpdate{
 		ID:          binary.BigEndian.Uint32(p[1:]),
 		State:       State(p[5]),
 		Incarnation: Incarnation(binary.BigEndian.Uint64(p[6:])),
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -24,7 +24,7 @@
 	partAck         partKind = 2  // sequence: the answer to a probe
 	partPingRequest partKind = 3  // sequence, target: probe the target on the sender's behalf
 	partIndirectAck partKind = 4  // sequence, target: the target has answered
-	partNews        partKind = 5  // news of one member
+	partUpdate      partKind = 5  // news of one member
 	partUnheard     partKind = 6  // the members that the sender does not hear
 	partViewRequest partKind = 7  // send the whole view
 	partName        partKind = 8  // the sender's name, of which its id is the hash
@@ -38,7 +38,7 @@
 	headerLength        = 1 + 4 + 4 + 8 + 4
 	sequenceLength      = 1 + 4
 	relayedLength       = 1 + 4 + 4
-	newsLength          = 1 + 4 + 1 + 8 + 2
+	updateLength        = 1 + 4 + 1 + 8 + 2
 	unheardHeaderLength = 2
 	nameHeaderLength    = 2
 	viewRequestLength   = 1
@@ -50,8 +50,8 @@
 // maxUnheardListed bounds how many members a datagram lists as unheard.
 const maxUnheardListed = 8
 
-// PayloadRoom is how many bytes of another package's a datagram can carry, with an overhead in bytes that the caller adds.
-func PayloadRoom(overhead int) int {
+// MaxPayload is how many bytes of another package's a datagram can carry, with an overhead in bytes that the caller adds.
+func MaxPayload(overhead int) int {
 	return MaxDatagram - overhead - headerLength - carriedHeaderLength
 }
 
@@ -81,8 +81,8 @@
 	return "for a reason that is not known here"
 }
 
-// MemberNews is what one member says of another, or of itself.
-type MemberNews struct {
+// MemberUpdate is one member's state as another member, or itself, gossips it.
+type MemberUpdate struct {
 	ID          uint32
 	State       State
 	Incarnation Incarnation
@@ -145,11 +145,11 @@
 	binary.BigEndian.PutUint32(p[5:], r.target)
 }
 
-func (d *datagram) news(n MemberNews) bool {
-	if !d.fits(newsLength) {
+func (d *datagram) update(n MemberUpdate) bool {
+	if !d.fits(updateLength) {
 		return false
 	}
-	p := d.part(partNews, newsLength)
+	p := d.part(partUpdate, updateLength)
 	binary.BigEndian.PutUint32(p[1:], n.ID)
 	p[5] = byte(n.State)
 	binary.BigEndian.PutUint64(p[6:], uint64(n.Incarnation))
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -45,23 +45,23 @@
 // spread has the next datagrams carry what is known of a member.
 func (c *Core) spread(id uint32) { c.gossip.spread(id, len(c.members.ids)) }
 
-// newsOf is what this process knows of a member now.
-func (c *Core) newsOf(id uint32) MemberNews {
+// updateFor is what this process knows of a member now.
+func (c *Core) updateFor(id uint32) MemberUpdate {
 	if id == c.selfID {
 		s := Alive
 		if c.hasLeft {
 			s = Left
 		}
-		return MemberNews{ID: id, State: s, Incarnation: c.incarnation}
+		return MemberUpdate{ID: id, State: s, Incarnation: c.incarnation}
 	}
 	m := c.members.get(id)
 	age := min((c.now-m.HeardByAny)/ms, math.MaxUint16)
-	return MemberNews{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
+	return MemberUpdate{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
 }
 
-// writeNews writes what is known of a member, with its address where addresses are learnt, and reports whether there was room.
-func (c *Core) writeNews(d *datagram, id uint32) bool {
-	if !d.news(c.newsOf(id)) {
+// writeUpdate writes what is known of a member, with its address where addresses are learnt, and reports whether there was room.
+func (c *Core) writeUpdate(d *datagram, id uint32) bool {
+	if !d.update(c.updateFor(id)) {
 		return false
 	}
 	m := c.members.get(id)
@@ -83,7 +83,7 @@
 	if d.fits(unheardHeaderLength + 4*maxUnheardListed) {
 		d.unheard(c.members.unheard())
 	}
-	c.gossip.drain(func(id uint32) bool { return c.writeNews(d, id) })
+	c.gossip.drain(func(id uint32) bool { return c.writeUpdate(d, id) })
 	c.transmit(slot, d)
 }
 
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -11,8 +11,8 @@
 		c.handlePingRequest(slot, decodeRelayed(p))
 	case partIndirectAck:
 		c.handleIndirectAck(decodeRelayed(p))
-	case partNews:
-		c.handleNews(decodeNews(p))
+	case partUpdate:
+		c.handleUpdate(decodeUpdate(p))
 	case partUnheard:
 		from.Unheard = decodeUnheard(p, from.Unheard[:0])
 		from.UnheardAt = c.now
@@ -60,7 +60,7 @@
 		return
 	}
 	if m := c.members.get(r.target); m != nil {
-		c.handleHeardByOther(m, c.now)
+		c.handleIndirectContact(m, c.now)
 	}
 }
 
@@ -85,8 +85,8 @@
 	}
 }
 
-// handleHeard records that this process has heard a member.
-func (c *Core) handleHeard(m *member, slot int, incarnation Incarnation) {
+// handleContact records that this process has heard a member.
+func (c *Core) handleContact(m *member, slot int, incarnation Incarnation) {
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
 	if m.State.ended() && !newer {
@@ -103,8 +103,8 @@
 	c.markAlive(m, "heard")
 }
 
-// handleHeardByOther records that another has heard a member at a time.
-func (c *Core) handleHeardByOther(m *member, at Time) {
+// handleIndirectContact records that another has heard a member at a time.
+func (c *Core) handleIndirectContact(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
 	if fresh && (m.State == Suspect || m.State == Unreachable || m.State == Joining) {
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -117,7 +117,7 @@
 func (c *Core) handleOldIncarnation(slot int, sender uint32) {
 	c.counts.OldIncarnation++
 	d := c.newDatagram()
-	d.news(c.newsOf(sender))
+	d.update(c.updateFor(sender))
 	c.transmit(slot, d)
 }
 
@@ -131,7 +131,7 @@
 	if isNew {
 		m = c.members.add(h.sender, c.now)
 	}
-	c.handleHeard(m, slot, h.incarnation)
+	c.handleContact(m, slot, h.incarnation)
 	c.antiEntropy.compared(h.digest == c.Digest(), c.now)
 	reason := ""
 	for len(all) > 0 {
--- a/internal/fleet/membership/news.go
+++ b/internal/fleet/membership/update.go
@@ -3,10 +3,10 @@
 // refutationMargin is by how much this process must have heard a member later than its accuser did, to contradict: ages are rounded.
 const refutationMargin = 50 * ms
 
-// handleNews handles what one member says of another, or of this process.
-func (c *Core) handleNews(n MemberNews) {
+// handleUpdate handles what one member gossips of another, or of this process.
+func (c *Core) handleUpdate(n MemberUpdate) {
 	if n.ID == c.selfID {
-		c.handleNewsOfSelf(n)
+		c.handleSelfUpdate(n)
 		return
 	}
 	m := c.members.get(n.ID)
@@ -33,12 +33,12 @@
 	case n.State == Gone:
 		c.handleGivenUp(m)
 	case n.State != Joining:
-		c.handleNewsOfLiving(m, n, newer)
+		c.handleLivingUpdate(m, n, newer)
 	}
 }
 
-// handleNewsOfSelf refutes what others wrongly say of this process, and moves past a newer incarnation that they have seen.
-func (c *Core) handleNewsOfSelf(n MemberNews) {
+// handleSelfUpdate refutes what others wrongly gossip of this process, and goes beyond a newer incarnation that they know.
+func (c *Core) handleSelfUpdate(n MemberUpdate) {
 	accused := n.State == Suspect || n.State == Unreachable || n.State == Gone || n.State == Left && !c.hasLeft
 	if n.Incarnation > c.incarnation || n.Incarnation == c.incarnation && accused {
 		c.refute(n.Incarnation)
@@ -53,8 +53,8 @@
 	c.spread(m.ID)
 }
 
-// handleNewsOfLiving is for news of a member as alive, suspect or unreachable.
-func (c *Core) handleNewsOfLiving(m *member, n MemberNews, newer bool) {
+// handleLivingUpdate is for a member that is alive, suspect or unreachable.
+func (c *Core) handleLivingUpdate(m *member, n MemberUpdate, newer bool) {
 	heardAt := c.now - Time(n.Age)*ms
 	if newer && m.State.ended() {
 		c.setState(m, Alive, "a newer life is told")
@@ -64,7 +64,7 @@
 	if newer && n.State == Alive {
 		c.spread(m.ID)
 	}
-	c.handleHeardByOther(m, heardAt)
+	c.handleIndirectContact(m, heardAt)
 	if m.State == Joining && c.isolation.mayAccuse(c.now) {
 		c.suspectUnseen(m, n.State)
 	}
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -16,7 +16,7 @@
 var adminCommands = map[string]func(a *Agent, q Request) Reply{
 	"owners":  (*Agent).adminReport,
 	"status":  (*Agent).adminReport,
-	"move":    (*Agent).adminMove,
+	"move":    (*Agent).adminMoveJob,
 	"suspend": (*Agent).adminSuspendedHosts,
 	"resume":  (*Agent).adminSuspendedHosts,
 	"list":    (*Agent).adminSuspendedHosts,
@@ -83,8 +83,8 @@
 	return Reply{Answer: a.rules.enforcer.Explain(*q.Explain)}
 }
 
-func (a *Agent) adminMove(q Request) Reply {
-	answer, failed := a.askOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
+func (a *Agent) adminMoveJob(q Request) Reply {
+	answer, failed := a.queryOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
 	switch {
 	case failed != nil:
 		return *failed
@@ -99,7 +99,7 @@
 	if q.Command == "list" {
 		command = jobs.ListCommand()
 	}
-	answer, failed := a.askOwner(func(tag uint64) {
+	answer, failed := a.queryOwner(func(tag uint64) {
 		if a.jobs.byName[hostsJob] == nil {
 			a.queries.answerOperator(tag, "refused: (owners (hosts on)) is not set")
 			return
@@ -116,7 +116,7 @@
 // over, may lose it, and asking twice is as asking once.
 func (a *Agent) adminRules(q Request) Reply {
 	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, q.Rules) }
-	answer, failed := a.askOwner(func(tag uint64) {
+	answer, failed := a.queryOwner(func(tag uint64) {
 		switch {
 		case a.rules.enforcer == nil:
 			a.queries.answerOperator(tag, rulesOff)
@@ -132,13 +132,13 @@
 	return Reply{Answer: rules.DecodeReply(answer)}
 }
 
-// askOwner sends a question by send and waits for its answer; where there is none, failed says why. retry sends it again until it is
+// queryOwner sends a query by send and waits for its reply; where there is none, failed says why. retry sends it again until it is
 // answered; nil: it is sent once.
-func (a *Agent) askOwner(send, retry func(tag uint64)) (answer string, failed *Reply) {
+func (a *Agent) queryOwner(send, retry func(tag uint64)) (answer string, failed *Reply) {
 	answers := make(chan string, 1)
 	var tag uint64
 	if !a.onWorker(func() {
-		tag = a.queries.askOperator(answers)
+		tag = a.queries.registerOperator(answers)
 		send(tag)
 	}) {
 		return "", &replyBusy
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -77,8 +77,8 @@
 	json.NewEncoder(c).Encode(s.handle(q))
 }
 
-// Ask asks a running proxy at its socket.
-func Ask(socket string, q Request) (Reply, error) {
+// SendRequest asks a running proxy at its socket.
+func SendRequest(socket string, q Request) (Reply, error) {
 	var r Reply
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
 	if err != nil {
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -66,7 +66,7 @@
 	now := time.Now()
 	a := &Agent{options: o, name: name, incarnation: uint64(now.UnixMilli()), startedAt: now, loop: l, members: m,
 		worker: newWorker(), fence: &ownership.Fence{Forget: PlantedFault == "forget"}}
-	a.transport = fragment.New(m.Room(), uint32(a.incarnation), transportEffects{a})
+	a.transport = fragment.New(m.MaxPayload(), uint32(a.incarnation), transportEffects{a})
 	a.queries = newQueries(a)
 	a.replica = newReplica(o, name, ownership.NewTable(), groupEffects{a})
 	a.jobs = newJobRunner(a)
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -223,11 +223,11 @@
 		}
 	}
 	eventually(t, "a host is not taken out", func() bool {
-		r, err := Ask(path, Request{Command: "suspend", Argument: "s1"})
+		r, err := SendRequest(path, Request{Command: "suspend", Argument: "s1"})
 		return err == nil && r.Answer == "done at all 1"
 	})
 	eventually(t, "the list does not tell", func() bool {
-		r, err := Ask(path, Request{Command: "list"})
+		r, err := SendRequest(path, Request{Command: "list"})
 		return err == nil && r.Answer == "out for the fleet: s1"
 	})
 }
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -6,8 +6,8 @@
 	rate := float64(a.options.MigrationRate)
 	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, FleetSize: fleetSize})
 	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, FleetSize: fleetSize}
-	permits := a.queries.newAsker(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
-	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.ask(permits, migrationsJob, tag, body) }
+	permits := a.queries.newSource(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
+	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(permits, migrationsJob, tag, body) }
 }
 
 // RequestMigrations asks how many of so many clients may be migrated now; then is called on the loop with the number, or at once where
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -1,19 +1,19 @@
 package owneragent
 
-// keptQueries is how many later queries are sent before one of an asker's is given up.
-const keptQueries = 64
+// maxPendingQueries is how many later queries are sent before one without a reply is dropped.
+const maxPendingQueries = 64
 
-// queries are the questions to owners of jobs that wait for an answer. Each asker numbers its own; on the way a query has a tag of this process.
+// queries are those to owners of jobs that wait for a reply. Each source has its own tags; on the wire a query has a tag of this process.
 type queries struct {
 	agent     *Agent
 	lastTag   uint64
-	askers    []*asker
-	operators map[uint64]chan<- string // operators' questions, by tag; each channel takes one answer without waiting
+	sources   []*querySource
+	operators map[uint64]chan<- string // operators' queries, by tag; each channel takes one reply without blocking
 }
 
-// asker is a part of the agent that asks owners.
-type asker struct {
-	tags    map[uint64]uint64 // the asker's own tag, by the process's
+// querySource is a part of the agent that sends queries to owners.
+type querySource struct {
+	tags    map[uint64]uint64 // the source's own tag, by the process's
 	deliver func(tag uint64, body []byte)
 }
 
@@ -26,19 +26,19 @@
 	return q.lastTag
 }
 
-// newAsker adds an asker, before the worker starts.
-func (q *queries) newAsker(deliver func(tag uint64, body []byte)) *asker {
-	k := &asker{tags: map[uint64]uint64{}, deliver: deliver}
-	q.askers = append(q.askers, k)
+// newSource adds a source, before the worker starts.
+func (q *queries) newSource(deliver func(tag uint64, body []byte)) *querySource {
+	k := &querySource{tags: map[uint64]uint64{}, deliver: deliver}
+	q.sources = append(q.sources, k)
 	return k
 }
 
-// ask sends a query of an asker to the owner of a job.
-func (q *queries) ask(k *asker, job string, ownTag uint64, body []byte) {
+// send sends a query of a source to the owner of a job.
+func (q *queries) send(k *querySource, job string, ownTag uint64, body []byte) {
 	tag := q.nextTag()
 	k.tags[tag] = ownTag
 	for t := range k.tags {
-		if t+keptQueries < tag {
+		if t+maxPendingQueries < tag {
 			delete(k.tags, t)
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 func (q *queries) replyReceived(tag uint64, body []byte) {
-	for _, k := range q.askers {
+	for _, k := range q.sources {
 		if ownTag, asked := k.tags[tag]; asked {
 			delete(k.tags, tag)
 			k.deliver(ownTag, body)
@@ -56,8 +56,8 @@
 	q.answerOperator(tag, string(body))
 }
 
-// askOperator notes an operator's question, and gives its tag.
-func (q *queries) askOperator(answer chan<- string) uint64 {
+// registerOperator adds an operator's query, and returns its tag.
+func (q *queries) registerOperator(answer chan<- string) uint64 {
 	tag := q.nextTag()
 	q.operators[tag] = answer
 	return tag
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -34,9 +34,9 @@
 		return
 	}
 	client := &quota.Client{Now: a.now, GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits, Accounts: enforcer.Limited}
-	replies := a.queries.newAsker(client.ReplyReceived)
+	replies := a.queries.newSource(client.ReplyReceived)
 	client.SendQuery = func(shard int, tag uint64, body []byte) {
-		a.worker.post(func() { a.queries.ask(replies, issuerJob(shard), tag, body) })
+		a.worker.post(func() { a.queries.send(replies, issuerJob(shard), tag, body) })
 	}
 	a.quota.client = client
 	for shard := range quota.Shards {
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -55,10 +55,10 @@
 		return
 	}
 	within := int64(o.AgreeWithin)
-	enforcer := &rules.Enforcer{Now: a.now, KeepAfterLapse: o.WhenCut == "keep", LapsedAdvice: o.AgreeWithin}
+	enforcer := &rules.Enforcer{Now: a.now, GraceAfterLapse: o.WhenCut == "keep", LapsedAdvice: o.AgreeWithin}
 	member := &rules.Member{AgreeWithin: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
-	replies := a.queries.newAsker(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
-	member.SendQuery = func(tag uint64, body []byte) { a.queries.ask(replies, rulesJob, tag, body) }
+	replies := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
+	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(replies, rulesJob, tag, body) }
 	if PlantedFault == "lapse" {
 		member.AgreeWithin *= lapseFaultFactor
 	}
--- a/internal/fleet/ownership/placement.go
+++ b/internal/fleet/ownership/placement.go
@@ -21,8 +21,8 @@
 
 // A job that has an owner stays where it is unless its place has been worse for a while: a link that flaps must not move jobs to and fro.
 const (
-	handoverHoldDown  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to reach
-	rebalanceHoldDown = 10 * sec // since the last change, before a job moves to even out the load
+	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to reach
+	minRebalanceInterval = 10 * sec // since the last change, before a job moves to even out the load
 )
 
 // rendezvousScore is a process's rank for a job (rendezvous hashing), the same at every coordinator.
@@ -96,22 +96,22 @@
 }
 
 func (a *assignment) handover(owned []JobRecord) (Placement, bool) {
-	if p, ok := a.leaveUnfitOwner(owned); ok {
+	if p, ok := a.replaceUnfitOwner(owned); ok {
 		return p, true
 	}
 	return a.evenOut(owned)
 }
 
-func (a *assignment) leaveUnfitOwner(owned []JobRecord) (Placement, bool) {
+func (a *assignment) replaceUnfitOwner(owned []JobRecord) (Placement, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
-		if owner == nil || a.now-a.changedAt(row.Job) < handoverHoldDown {
+		if owner == nil || a.now-a.changedAt(row.Job) < minHandoverInterval {
 			continue
 		}
 		if owner.Able && owner.UnreachableFrom == 0 {
 			continue
 		}
-		to := a.best(row.Job, row.Owner, handoverHoldDown)
+		to := a.best(row.Job, row.Owner, minHandoverInterval)
 		if to != nil && (!owner.Able || to.UnreachableFrom < owner.UnreachableFrom) {
 			return handoverTo(row.Job, to, "its owner is leaving, starved or hard to hear"), true
 		}
@@ -122,10 +122,10 @@
 func (a *assignment) evenOut(owned []JobRecord) (Placement, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
-		if owner == nil || a.now-a.changedAt(row.Job) < rebalanceHoldDown {
+		if owner == nil || a.now-a.changedAt(row.Job) < minRebalanceInterval {
 			continue
 		}
-		to := a.best(row.Job, row.Owner, rebalanceHoldDown)
+		to := a.best(row.Job, row.Owner, minRebalanceInterval)
 		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnreachableFrom <= owner.UnreachableFrom {
 			return handoverTo(row.Job, to, "its owner has more than others"), true
 		}
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -18,14 +18,14 @@
 	grants      map[uint64]map[uint32]bool // voters that accepted, by round
 }
 
-// keptRounds is how many earlier rounds may still be answered.
-const keptRounds = 8
+// maxPendingRounds is how many earlier rounds may still be answered.
+const maxPendingRounds = 8
 
 func (r *leaseRounds) begin(now Time) uint64 {
 	r.last++
 	r.requestedAt[r.last], r.grants[r.last] = now, map[uint32]bool{}
 	for round := range r.requestedAt {
-		if round+keptRounds < r.last {
+		if round+maxPendingRounds < r.last {
 			delete(r.requestedAt, round)
 			delete(r.grants, round)
 		}
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -97,7 +97,7 @@
 	machines := map[byte]consensus.Machine{ownership.Machine: p.table}
 	seed := r.rng.Uint64()
 	if r.cfg.Disks {
-		cfg := consensus.Config{Group: "sim", Name: p.name, InitialVoters: r.voterNames(), Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, KeepBehindSnapshot: 10}
+		cfg := consensus.Config{Group: "sim", Name: p.name, InitialVoters: r.voterNames(), Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, TrailingEntries: 10}
 		if c, err := consensus.Open(cfg, p.disk, machines, groupEffects{r, p}); err == nil {
 			p.raft, p.group = c, c
 		}
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -17,11 +17,11 @@
 	FleetSize     int  // proxies of the fleet: one that is not heard of keeps to one part of so many
 	Limits        Limits
 
-	owner      jobs.Owner // nil: this process does not own the job
-	grantsFrom Time       // until then grants of an earlier issuer may hold
-	sequence   uint64
-	lastAsked  map[uint32]Time // by peer
-	accounts   map[string]*issuedAccount
+	owner         jobs.Owner // nil: this process does not own the job
+	grantsFrom    Time       // until then grants of an earlier issuer may hold
+	sequence      uint64
+	lastRequestAt map[uint32]Time // by peer
+	accounts      map[string]*issuedAccount
 }
 
 var _ jobs.Job = (*Issuer)(nil)
@@ -58,7 +58,7 @@
 // Start begins with nothing to grant.
 func (s *Issuer) Start(now Time, o jobs.Owner, _, sequence uint64, _ []byte) error {
 	s.owner, s.sequence, s.grantsFrom = o, sequence, now+silentAfterLifetimes*s.GrantLifetime
-	s.lastAsked, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
+	s.lastRequestAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
 
@@ -92,8 +92,8 @@
 // unassigned is how many more connections may be open: a proxy that is not heard of holds what it was granted last, or its share, whichever is more.
 func (s *Issuer) unassigned(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
-	left := limit - max(0, s.FleetSize-len(s.lastAsked))*share
-	for peer, at := range s.lastAsked {
+	left := limit - max(0, s.FleetSize-len(s.lastRequestAt))*share
+	for peer, at := range s.lastRequestAt {
 		n := a.maxOpenAt(now, peer)
 		if now-at >= silentAfterLifetimes*s.GrantLifetime {
 			n = max(n, share)
@@ -110,7 +110,7 @@
 	if s.owner == nil || err != nil {
 		return
 	}
-	s.lastAsked[from] = now
+	s.lastRequestAt[from] = now
 	grants := make([]grant, 0, len(demands))
 	for _, d := range demands {
 		grants = append(grants, s.grant(now, from, d))
@@ -123,7 +123,7 @@
 	g := grant{account: d.account, maxOpen: d.open}
 	if now >= s.grantsFrom {
 		if limit.Rate > 0 {
-			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastAsked, silentAfterLifetimes*s.GrantLifetime))
+			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastRequestAt, silentAfterLifetimes*s.GrantLifetime))
 			g.permits = a.permits.Take(d.permits)
 		}
 		if limit.Connections > 0 {
@@ -154,9 +154,9 @@
 	for _, m := range s.owner.Members() {
 		present[m.Peer] = true
 	}
-	for peer, at := range s.lastAsked {
+	for peer, at := range s.lastRequestAt {
 		if !present[peer] && now-at > forgottenAfterLifetimes*s.GrantLifetime {
-			delete(s.lastAsked, peer)
+			delete(s.lastRequestAt, peer)
 			for _, a := range s.accounts {
 				delete(a.places, peer)
 			}
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -17,9 +17,9 @@
 
 // Enforcer judges requests by the version that this process acts by: one value and one deadline, read without a lock.
 type Enforcer struct {
-	Now            func() Time
-	KeepAfterLapse bool          // once the lease has lapsed requests are judged by the last version, which others may have replaced; else they are refused
-	LapsedAdvice   time.Duration // Retry-After of requests that a lapsed lease refuses
+	Now             func() Time
+	GraceAfterLapse bool          // once the lease has lapsed requests are judged by the last version, which others may have replaced; else they are refused
+	LapsedAdvice    time.Duration // Retry-After of requests that a lapsed lease refuses
 	// Clock is the time of day for routes that hold for a part of it; nil: time.Now.
 	Clock func() time.Time
 
@@ -117,7 +117,7 @@
 	switch {
 	case a == nil:
 		return "this process acts by no version yet"
-	case v.Lapsed && !e.KeepAfterLapse:
+	case v.Lapsed && !e.GraceAfterLapse:
 		return fmt.Sprintf("its right to act by version %d has lapsed: refused", v.Version)
 	}
 	s := fmt.Sprintf("version %d", v.Version)
@@ -150,8 +150,8 @@
 	if a != nil && e.Now() < a.leaseEnd {
 		return a, Verdict{Version: a.version.Number}
 	}
-	v := Verdict{Lapsed: true, Refused: !e.KeepAfterLapse}
-	if !e.KeepAfterLapse {
+	v := Verdict{Lapsed: true, Refused: !e.GraceAfterLapse}
+	if !e.GraceAfterLapse {
 		v.Advice = e.LapsedAdvice
 	}
 	if a != nil {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -69,7 +69,7 @@
 // Keep goes on by the last version, and says that it stands outside the promise.
 func TestKeepAfterLapseReportsTheLapse(t *testing.T) {
 	g := newGroup(t, 2)
-	g.members[2].Enforcer.KeepAfterLapse = true
+	g.members[2].Enforcer.GraceAfterLapse = true
 	g.put(&Version{HostsOut: []string{"h"}}, 0)
 	g.run(200 * ms)
 	g.cut[2] = true
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -13,7 +13,7 @@
 // Transport is how datagrams get to the other members.
 type Transport interface {
 	Carry(peer uint32, whose byte, data []byte)
-	Room() int        // bytes of one datagram
+	MaxPayload() int  // bytes of one datagram
 	Others() []uint32 // members that may be alive
 }
 
@@ -121,7 +121,7 @@
 
 // send sends watermarks to some peers, as many as a bounded number of datagrams holds.
 func (l *Link) send(watermarks []Watermark, peers ...uint32) {
-	datagrams := gossip{watermarks}.encode(l.source, l.Transport.Room())
+	datagrams := gossip{watermarks}.encode(l.source, l.Transport.MaxPayload())
 	for _, peer := range peers {
 		for _, data := range datagrams[:min(len(datagrams), maxDatagrams)] {
 			l.Transport.Carry(peer, CarrierID, data)
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -63,7 +63,7 @@
 	cut bool
 }
 
-func (t *faultyTransport) Room() int { return 200 }
+func (t *faultyTransport) MaxPayload() int { return 200 }
 func (t *faultyTransport) Others() (out []uint32) {
 	for i := range t.w.links {
 		if i != t.me {
@@ -76,7 +76,7 @@
 func (t *faultyTransport) Carry(peer uint32, whose byte, data []byte) {
 	w := t.w
 	w.sent++
-	if t.cut || w.transports[peer].cut || w.rng.Float64() < w.loss || whose != CarrierID || len(data) > t.Room() {
+	if t.cut || w.transports[peer].cut || w.rng.Float64() < w.loss || whose != CarrierID || len(data) > t.MaxPayload() {
 		return
 	}
 	w.After(time.Duration(1+w.rng.IntN(40))*time.Millisecond, func() { w.links[peer].Receive(uint32(t.me), data) })
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -21,24 +21,24 @@
 	return Watermark{host, o.startedAt, o.revision, o.state, Lifetime}
 }
 
-// heardWatermark is another proxy's watermark.
-type heardWatermark struct {
+// receivedWatermark is another proxy's watermark.
+type receivedWatermark struct {
 	Watermark
 	until Time
-	since Time // when the host's first watermark that holds was heard
+	since Time // when the host's first valid watermark was received
 }
 
 // Registry is what one proxy knows: its own list, and what others' newer ones say.
 type Registry struct {
 	revision int64 // of the own list; under 0: there is none
 	own      map[string]ownHost
-	heard    map[string]heardWatermark
+	received map[string]receivedWatermark
 	gossiped map[string]int64 // up to which revision others have gossiped about a host lately
 }
 
 // NewRegistry knows nothing.
 func NewRegistry() *Registry {
-	return &Registry{revision: noRevision, own: map[string]ownHost{}, heard: map[string]heardWatermark{}, gossiped: map[string]int64{}}
+	return &Registry{revision: noRevision, own: map[string]ownHost{}, received: map[string]receivedWatermark{}, gossiped: map[string]int64{}}
 }
 
 // Revision is the own list's; under 0: there is none.
@@ -47,7 +47,7 @@
 // Reset is for a list that comes from another service from now on: its revisions can't be compared with those before. It gives the hosts that had
 // watermarks.
 func (r *Registry) Reset() (hosts []string) {
-	hosts = slices.Sorted(maps.Keys(r.heard))
+	hosts = slices.Sorted(maps.Keys(r.received))
 	*r = *NewRegistry()
 	return hosts
 }
@@ -79,9 +79,9 @@
 // watermarks: they hold as another proxy's do.
 func (r *Registry) supersedeList(now Time, revision int64) (changed []string) {
 	for host, o := range r.own {
-		w, known := r.heard[host]
+		w, known := r.received[host]
 		if o.state != Up && o.revision > revision && !(known && w.Revision >= o.revision) {
-			r.heard[host] = heardWatermark{o.watermark(host), now + Lifetime, now}
+			r.received[host] = receivedWatermark{o.watermark(host), now + Lifetime, now}
 			changed = append(changed, host)
 		}
 	}
@@ -98,7 +98,7 @@
 	for host, o := range r.own {
 		if complete && !named[host] && o.state != Gone {
 			news = r.updateHost(now, revision, ListedHost{host, o.startedAt, Gone}, news)
-		} else if o.state == Gone && now-o.since > goneKeptFor {
+		} else if o.state == Gone && now-o.since > goneRetention {
 			delete(r.own, host)
 		}
 	}
@@ -123,9 +123,9 @@
 
 // dropOutdated drops watermarks of lists that are no newer than the own one.
 func (r *Registry) dropOutdated() (hosts []string) {
-	for host, w := range r.heard {
+	for host, w := range r.received {
 		if w.Revision <= r.revision {
-			delete(r.heard, host)
+			delete(r.received, host)
 			hosts = append(hosts, host)
 		}
 	}
@@ -147,38 +147,38 @@
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
-	old, had := r.heard[w.Host]
+	old, had := r.received[w.Host]
 	had = had && now < old.until
 	switch {
 	case had && old.Revision > w.Revision:
 		return false
 	case had && old.Revision == w.Revision && old.StartedAt == w.StartedAt:
 		old.until = max(old.until, until)
-		r.heard[w.Host] = old
+		r.received[w.Host] = old
 		return false
-	case !had && len(r.heard) >= maxWatermarks:
+	case !had && len(r.received) >= maxWatermarks:
 		return false
 	}
-	heard := heardWatermark{w, until, now}
+	heard := receivedWatermark{w, until, now}
 	if had {
 		heard.since = old.since
 	}
 	wasOut := r.Out(now, w.Host, r.own[w.Host].startedAt)
-	r.heard[w.Host] = heard
+	r.received[w.Host] = heard
 	return r.Out(now, w.Host, r.own[w.Host].startedAt) != wasOut
 }
 
 // Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list.
 func (r *Registry) Out(now Time, host string, startedAt int64) bool {
-	w, heard := r.heard[host]
+	w, heard := r.received[host]
 	return heard && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
 }
 
 // Expire drops watermarks that hold no longer, and names their hosts.
 func (r *Registry) Expire(now Time) (changed []string) {
-	for host, w := range r.heard {
+	for host, w := range r.received {
 		if now >= w.until {
-			delete(r.heard, host)
+			delete(r.received, host)
 			changed = append(changed, host)
 		}
 	}
@@ -188,7 +188,7 @@
 
 // BehindSince is since when others have had a newer list than this one, as far as that keeps a host out here; 0: they have not.
 func (r *Registry) BehindSince(now Time) (since Time) {
-	for host, w := range r.heard {
+	for host, w := range r.received {
 		o, listed := r.own[host]
 		if listed && o.state == Up && r.Out(now, host, o.startedAt) && (since == 0 || w.since < since) {
 			since = w.since
@@ -202,11 +202,11 @@
 func (r *Registry) NewerThan(now Time, revision int64) []Watermark {
 	var all []Watermark
 	for host, o := range r.own {
-		if o.state != Up && o.revision > revision && (o.state == Draining || now-o.since <= goneKeptFor) {
+		if o.state != Up && o.revision > revision && (o.state == Draining || now-o.since <= goneRetention) {
 			all = append(all, o.watermark(host))
 		}
 	}
-	for _, heard := range r.heard {
+	for _, heard := range r.received {
 		if heard.Revision > revision && now < heard.until {
 			w := heard.Watermark
 			w.ValidFor = heard.until - now
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -153,8 +153,8 @@
 		b.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
 		b.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
 	}
-	if len(b.heard) > maxWatermarks || len(b.gossiped) > maxWatermarks || len(b.own) > maxWatermarks {
-		t.Error(len(b.heard), len(b.gossiped), len(b.own))
+	if len(b.received) > maxWatermarks || len(b.gossiped) > maxWatermarks || len(b.own) > maxWatermarks {
+		t.Error(len(b.received), len(b.gossiped), len(b.own))
 	}
 }
 
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -35,7 +35,7 @@
 
 const (
 	maxWatermarks = 4096
-	goneKeptFor   = 2 * Lifetime // for which a host that has left the own list is still gossiped
+	goneRetention = 2 * Lifetime // for which a host that has left the own list is still gossiped
 )
 
 // Watermark is what a list says of one host that is to get nothing new.
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -18,7 +18,7 @@
 
 // The kinds of node.
 const (
-	Word    Kind = iota // bare: on, 250ms, x25519
+	Atom    Kind = iota // bare: on, 250ms, x25519
 	Text                // quoted
 	List                // (...)
 	Comment             // ; to the end of the line, preserved by Print
@@ -56,7 +56,7 @@
 		switch item.Kind {
 		case Comment:
 			continue
-		case Word:
+		case Atom:
 			return item.Text
 		}
 		break
@@ -67,7 +67,7 @@
 // describe is how a fault names what it found.
 func (n *Node) describe() string {
 	switch n.Kind {
-	case Word:
+	case Atom:
 		return fmt.Sprintf("%q", clip(n.Text))
 	case Text:
 		return fmt.Sprintf("the text %q", clip(n.Text))
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -128,7 +128,7 @@
 	case '"':
 		p.text(n)
 	default:
-		p.word(n)
+		p.atom(n)
 	}
 	return true
 }
@@ -144,19 +144,19 @@
 	}
 }
 
-func (p *parser) word(n *Node) {
+func (p *parser) atom(n *Node) {
 	var b strings.Builder
-	for p.rest != "" && !endsWord(p.peek()) {
+	for p.rest != "" && !endsAtom(p.peek()) {
 		c := p.next()
 		if unicode.IsControl(c) {
 			p.faults.Add(n.Pos, "a control character in a word, expected printable text")
 		}
 		b.WriteRune(c)
 	}
-	n.Kind, n.Text = Word, b.String()
+	n.Kind, n.Text = Atom, b.String()
 }
 
-func endsWord(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
+func endsAtom(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
 
 // text reads a quoted text.
 func (p *parser) text(n *Node) {
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -46,7 +46,7 @@
 // printHead writes the items of a list that stay on its first line, and gives their number: up to two words, and a comment beside them, which a
 // closing bracket can't follow.
 func printHead(b *strings.Builder, items []*Node) (head int) {
-	for head < len(items) && head < 2 && items[head].Kind == Word {
+	for head < len(items) && head < 2 && items[head].Kind == Atom {
 		if head > 0 {
 			b.WriteByte(' ')
 		}
@@ -63,7 +63,7 @@
 // flatten writes a node on one line; a comment can't stand inside one.
 func flatten(n *Node) (string, bool) {
 	switch n.Kind {
-	case Word, Comment:
+	case Atom, Comment:
 		return n.Text, true
 	case Text:
 		return Quote(n.Text), true
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -39,7 +39,7 @@
 
 // processBounds holds times in nanoseconds.
 type processBounds struct {
-	MayTell        bool  `json:"may_tell"`
+	MayAnnounce    bool  `json:"may_tell"`
 	MaxAttempts    int   `json:"try_limit"`
 	ConnectTimeout int64 `json:"connect_timeout"`
 	RetryAfter     bool  `json:"retry_after"`
@@ -48,7 +48,7 @@
 
 // processContract is what the platform expects of the process.
 type processContract struct {
-	MustAskIn int64 `json:"must_ask_in"` // nanoseconds
+	MustQueryIn int64 `json:"must_ask_in"` // nanoseconds
 }
 
 // processClass is a class of requests.
@@ -130,9 +130,9 @@
 		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.Known, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
 		Limits: processLimits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.Sockets},
 		Settings: processSettings{Number: s.Tier.Number, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: lists,
-			Bounds: processBounds{MayTell: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.Connect), RetryAfter: true,
+			Bounds: processBounds{MayAnnounce: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.Connect), RetryAfter: true,
 				MaxRetryAfter: int64(time.Second)},
-			Contract: processContract{MustAskIn: int64(10 * time.Second)},
+			Contract: processContract{MustQueryIn: int64(10 * time.Second)},
 			Classes:  s.classes()},
 	}
 }
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -45,12 +45,12 @@
 	all := max(l.All(), 1e-9)
 	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, "+
 		"waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
-		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Refused/all, 100*l.Moved/all)
+		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Refused/all, 100*l.Migrated/all)
 	fmt.Fprintf(to, "most that a host holds over the mean, for its weight: median %.2f, worst %.2f\n", l.Spread, l.SpreadWorst)
 	t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nhost\tstood s\tcrowded s\tslow s\tbroke\tshare, mean\tmost\t")
 	for _, h := range l.Hosts[:min(10, len(l.Hosts))] {
-		fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t\n", h.Name, h.Stood, h.Crowded, h.Slow, h.Broken, h.Share, h.ShareOf)
+		fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t\n", h.Name, h.Connected, h.Crowded, h.Slow, h.Broken, h.Share, h.ShareOf)
 	}
 	return t.Flush()
 }
@@ -63,12 +63,12 @@
 	fmt.Fprintln(t, "s\tasked\tagain\tsent\tstood\trefused\tbad\tlost\topen\tplaces\tstarted\tdiscovery failed\t")
 	for _, w := range f.Windows {
 		var bad []string
-		for status, n := range w.Bad {
+		for status, n := range w.Failed {
 			bad = append(bad, fmt.Sprintf("%s %d", status, n))
 		}
 		sort.Strings(bad)
-		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Asked, w.Returned, w.Sent,
-			w.Stood, w.Refused, strings.Join(bad, ", "), w.Lost, w.Open, w.Places, w.Started, w.DiscoveryFailed)
+		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Requests, w.Returned, w.Sent,
+			w.Established, w.Refused, strings.Join(bad, ", "), w.Broken, w.Open, w.Places, w.Started, w.DiscoveryFailed)
 	}
 	fmt.Fprintln(t, "\nhost\tzone\tweight\tsent\tcold sent\tcold peak\topen\tslowest ms\t\t\t\t\t")
 	for _, h := range f.Hosts {
@@ -78,6 +78,6 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(to, "\nattempts a request %.2f\n", float64(f.Sent)/float64(max(1, f.Asked)))
+	_, err := fmt.Fprintf(to, "\nattempts a request %.2f\n", float64(f.Sent)/float64(max(1, f.Requests)))
 	return err
 }
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -91,7 +91,7 @@
 		Long:    "Asks over the Unix socket that the operators' file names: (membership (socket \"/run/croftlock/members.sock\")).",
 		Example: "  croftlock-experiment members /run/croftlock/members.sock --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := memberagent.Ask(args[0])
+			rep, err := memberagent.RequestReport(args[0])
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -195,11 +195,11 @@
 }
 
 // Ask asks a process for its view of the members.
-func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.Ask(r.socket(i)) }
+func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.RequestReport(r.socket(i)) }
 
 // Owners asks a process about the fleet's owners.
 func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
-	return owneragent.Ask(filepath.Join(r.Dir(i), "owners.sock"), q)
+	return owneragent.SendRequest(filepath.Join(r.Dir(i), "owners.sock"), q)
 }
 
 // Close kills all processes and ends the mesh.
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -9,13 +9,13 @@
 // Window is what all proxies did in one stretch of time.
 type Window struct {
 	From            time.Duration  // since the first event
-	Asked           int            // requests that came
+	Requests        int            // requests that came
 	Returned        int            // of them, from clients that came again
 	Sent            int            // attempts that the decision module placed
-	Stood           int            // connections that were established
+	Established     int            // connections that were established
 	Refused         int            // requests rejected
-	Bad             map[string]int // attempts that were not established, by status
-	Lost            int            // established connections that broke
+	Failed          map[string]int // attempts that were not established, by status
+	Broken          int            // established connections that broke
 	Open            int            // established connections at its end
 	Places          int            // at its end, pairs of host and group
 	Started         int            // processes that became ready
@@ -37,11 +37,11 @@
 
 // Fleet is the whole count.
 type Fleet struct {
-	Began   time.Time
-	Windows []*Window
-	Hosts   []*Host // by name
-	Asked   int
-	Sent    int
+	Began    time.Time
+	Windows  []*Window
+	Hosts    []*Host // by name
+	Requests int
+	Sent     int
 }
 
 // connection is where an established connection stands.
@@ -52,7 +52,7 @@
 	fleet        *Fleet
 	window       *Window
 	windowLength time.Duration
-	warmUp       time.Duration
+	warmUpPeriod time.Duration
 	hosts        map[string]*Host
 	coldSentAt   map[string][]time.Time           // by host
 	established  map[string]map[string]connection // by proxy and request
@@ -63,7 +63,7 @@
 // Count goes through a log in windows of the given length. A host is cold for warmUp after its start, and its peak is the most attempts in
 // any stretch of peakOver.
 func Count(l *Log, window, warmUp, peakOver time.Duration) *Fleet {
-	c := &counter{fleet: &Fleet{Began: l.Events[0].Time}, windowLength: window, warmUp: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
+	c := &counter{fleet: &Fleet{Began: l.Events[0].Time}, windowLength: window, warmUpPeriod: warmUp, peakOver: peakOver, hosts: map[string]*Host{},
 		coldSentAt: map[string][]time.Time{}, established: map[string]map[string]connection{}, groupOf: map[string]string{}}
 	for _, e := range l.Events {
 		c.advance(e.Time)
@@ -92,7 +92,7 @@
 			from = c.window.From + c.windowLength
 			c.closeWindow()
 		}
-		c.window = &Window{From: from, Bad: map[string]int{}}
+		c.window = &Window{From: from, Failed: map[string]int{}}
 		c.fleet.Windows = append(c.fleet.Windows, c.window)
 	}
 }
@@ -138,8 +138,8 @@
 }
 
 func (c *counter) requestReceived(e Event) {
-	c.window.Asked++
-	c.fleet.Asked++
+	c.window.Requests++
+	c.fleet.Requests++
 	c.groupOf[e.Field["request"]] = e.Field["group"]
 	if e.Field["returned"] == "true" || e.Field["repeat"] == "true" {
 		c.window.Returned++
@@ -154,14 +154,14 @@
 	c.fleet.Sent++
 	h := c.host(e.Field["host"])
 	h.Sent++
-	if !h.Since.IsZero() && e.Time.Sub(h.Since) < c.warmUp {
+	if !h.Since.IsZero() && e.Time.Sub(h.Since) < c.warmUpPeriod {
 		h.ColdSent++
 		c.coldSentAt[h.Name] = append(c.coldSentAt[h.Name], e.Time)
 	}
 }
 
 func (c *counter) requestEstablished(e Event) {
-	c.window.Stood++
+	c.window.Established++
 	if c.established[e.Proxy] == nil {
 		c.established[e.Proxy] = map[string]connection{}
 	}
@@ -172,9 +172,9 @@
 func (c *counter) attemptEnded(e Event) {
 	delete(c.established[e.Proxy], e.Field["request"])
 	if e.Field["up"] != "true" {
-		c.window.Bad[e.Field["status"]]++
+		c.window.Failed[e.Field["status"]]++
 	} else if e.Field["status"] == "reset" {
-		c.window.Lost++
+		c.window.Broken++
 	}
 }
 
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -64,7 +64,7 @@
 		t.Fatalf("%d windows", len(f.Windows))
 	}
 	w := f.Windows[0]
-	if w.Asked != 2 || w.Returned != 1 || w.Sent != 4 || w.Stood != 2 || w.Refused != 3 || w.Bad["connect_failed"] != 2 ||
+	if w.Requests != 2 || w.Returned != 1 || w.Sent != 4 || w.Established != 2 || w.Refused != 3 || w.Failed["connect_failed"] != 2 ||
 		w.Open != 2 || w.Places != 1 || w.Started != 2 || w.Listed != 2 {
 		t.Errorf("%+v", w)
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := Count(l, time.Hour, time.Second, time.Second).Windows[0]; w.Open != 0 || w.Lost != 1 {
+	if w := Count(l, time.Hour, time.Second, time.Second).Windows[0]; w.Open != 0 || w.Broken != 1 {
 		t.Errorf("%+v", w)
 	}
 }
@@ -152,7 +152,7 @@
 	for _, c := range []struct {
 		what      string
 		got, want float64
-	}{{"waiting", got.Waiting, 4}, {"crowded", got.Crowded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"moved", got.Moved, 10}, {"refused", got.Refused, 10},
+	}{{"waiting", got.Waiting, 4}, {"crowded", got.Crowded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"moved", got.Migrated, 10}, {"refused", got.Refused, 10},
 		{"good", got.Good, 3*5.5 + 57.5}} {
 		if c.got < c.want-0.8 || c.got > c.want+0.8 {
 			t.Errorf("%s: %.2f s, want %.2f", c.what, c.got, c.want)
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -13,7 +13,7 @@
 	Crowded, Slow float64
 	// Not connected: before the answer, after a connection was broken, after a rejection, after a migration; each until the client came again,
 	// MaxAway at most.
-	Waiting, Broken, Refused, Moved float64
+	Waiting, Broken, Refused, Migrated float64
 	// Spread is the most that a host held over the mean, for its weight: the median over the samples, and the worst.
 	Spread, SpreadWorst float64
 	Hosts               []HostLoss // those that lost most first
@@ -21,22 +21,22 @@
 
 // HostLoss is a host's part.
 type HostLoss struct {
-	Name                 string
-	Stood, Crowded, Slow float64 // seconds of connections
-	Broken               float64 // connections that broke
-	Share, ShareOf       float64 // the mean and the most of its load over the fleet's mean, for its weight
+	Name                     string
+	Connected, Crowded, Slow float64 // seconds of connections
+	Broken                   float64 // connections that broke
+	Share, ShareOf           float64 // the mean and the most of its load over the fleet's mean, for its weight
 }
 
 // All is every second.
 func (l *Loss) All() float64 {
-	return l.Good + l.Crowded + l.Slow + l.Waiting + l.Broken + l.Refused + l.Moved
+	return l.Good + l.Crowded + l.Slow + l.Waiting + l.Broken + l.Refused + l.Migrated
 }
 
 const (
 	// MaxAway bounds what a client that does not come again is counted for.
 	MaxAway = 10 * time.Second
 	// delayReportLife is how long a reported delay counts.
-	delayReportLife = 1500 * time.Millisecond
+	delayReportLifetime = 1500 * time.Millisecond
 	// crowdedShare is how much over its share a host has to hold for its slowness to be its load's.
 	crowdedShare = 1.25
 	// sampleEvery is the time that one sample stands for.
@@ -125,7 +125,7 @@
 		}
 	case "load_reported":
 		if ms, ok := reportedDelay(e); ok && ms >= float64(c.objective.Milliseconds()) {
-			c.slowUntil[host] = e.Time.Add(delayReportLife)
+			c.slowUntil[host] = e.Time.Add(delayReportLifetime)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 	case clientRejected:
 		c.loss.Refused += seconds
 	case clientMigrated:
-		c.loss.Moved += seconds
+		c.loss.Migrated += seconds
 	case clientConnected:
 		h := c.host(client.host)
-		h.Stood += seconds
+		h.Connected += seconds
 		switch {
 		case !now.Before(c.slowUntil[client.host]):
 			c.loss.Good += seconds
