--- a/cmd/croftlock-voter/main.go
+++ b/cmd/croftlock-voter/main.go
@@ -1,5 +1,5 @@
-// Command croftlock-voter is croftlock with replicas that store their votes on a disk: (owners (dir ...)). It is a program of its own since
-// the library for that store slows each start by some milliseconds.
+// Command croftlock-voter is croftlock with replicas that store their votes on a disk: (owners (dir ...)). It is a program of its own to
+// keep the library of that store out of croftlock.
 package main
 
 import (
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -29,8 +29,8 @@
 	shutDown func()
 }
 
-// run acts on signals until stopped is closed. It never waits: SIGTERM begins to count when it is sent, also behind a SIGHUP whose files come
-// from a disk that hangs.
+// run acts on signals until stopped is closed. It never blocks, so that a SIGTERM behind a SIGHUP whose files come from a disk that hangs
+// is acted on at once.
 func (h *signalHandler) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
--- a/internal/balancer/decay/counter.go
+++ b/internal/balancer/decay/counter.go
@@ -1,4 +1,4 @@
-// Package decay has a sum of events that fades exponentially.
+// Package decay is an exponentially decaying counter of events.
 package decay
 
 import "math"
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -5,7 +5,7 @@
 // host is an upstream host as one balancer knows it. Each rule has its state in a part of its own.
 type host struct {
 	hostID     string
-	hash       uint64 // of id
+	hash       uint64 // of hostID
 	zone, cell int
 	weight     float64 // above 0
 	startedAt  Time    // its latest start; 0: long past
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -79,8 +79,8 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// coordinatorSeen plans to send all connections of this balancer to a coordinator that does not know them: after a random
-// wait, since all balancers hear of it together.
+// coordinatorSeen plans to send all connections of this balancer to a coordinator that does not know them:
+// after a random wait, since all balancers see it together.
 func (b *Balancer) coordinatorSeen(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.CoordinatorSeen(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -12,9 +12,8 @@
 // minRateWindow is the shortest time over which arrivals are counted, in seconds.
 const minRateWindow = 2
 
-// traffic estimates how many connections come: fresh ones, and those that come back together as a wave. One
-// balancer of many sees a request in half a minute, and of a wave one or none; where it has seen little, the
-// estimates lean on what the quotas let expect.
+// traffic estimates how many connections come: fresh ones, and those that come back together as a wave. Where
+// one balancer of many sees little traffic, the estimates lean on what the quotas let expect.
 type traffic struct {
 	instances      float64
 	memory         Time // longest time over which rates are counted
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -13,32 +13,27 @@
 
 const (
 	hostsPath = "/discovery/hosts"
-	// minWatchHold and longHold bound how long discovery may keep a watch waiting, and holdEach is the part of it that each
-	// proxy of the tier adds. News counts as told 2 s past the end of the wait, so a call that has gone silent is given up,
-	// and made anew, before that; and the shorter the wait, the sooner a watch that has died unseen is replaced. But
-	// discovery is one service for all proxies and works through calls in turn: 80 proxies that each call every 4 s are
-	// 20 calls a second, more than it gets through, and then each call waits and some fail. So the fleet together makes
-	// four a second, up to the longest wait that is sound for one.
+	// minWatchTimeout and maxWatchTimeout bound how long discovery may keep a watch waiting; watchTimeoutPerProxy is what each
+	// proxy of the tier adds to it, so that all proxies together make at most four calls a second. The shorter the wait, the
+	// sooner a watch whose connection has died is replaced.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
-	// watchAnswerTimeout is how long past its wait a watch's call may take. Discovery works through calls in turn and gives up
-	// on one after 2 s; waiting that long would let the moment pass at which its news counts as told.
+	// watchAnswerTimeout is how long past its wait a watch's call may take. It is shorter than the 2 s after which a list counts
+	// as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
-	// fullListTimeout is how long a call for the whole list may take, which waits for nothing but its turn. Discovery itself ends one that has
-	// waited 2 s; who gives it up sooner and asks again leaves it the work of both, and a service that is slow for a moment stays slow for
-	// as long as all its callers do so.
+	// fullListTimeout is how long a call for the whole list may take. It is longer than discovery's own limit of 2 s: a call that is
+	// given up and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
 	connectTimeout  = time.Second
 	inputLimit      = maxHead + 2*maxBody
-	// redirectSettleTime is how long after a redirect the client itself asks a new address again, and askAgain how soon: what
-	// that address has to tell counts as told 4 s after the redirect, and the module's own pause may be longer.
+	// redirectSettleTime is how long after a redirect the client itself retries a new address, at redirectRetryPause: the list of
+	// that address is due 4 s after the redirect, and the pause of the decision module may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
-	// agentHold, agentWithin and agentAgain are for an agent on this machine, to which lists are pushed. Calls on it cost
-	// nobody anything, and whatever it has counts as told, also in the moment in which it is back from a silence that a
-	// watch has not survived. So a call that has died unseen is given up and made anew within the 250 ms that the rules
-	// leave for what is told.
+	// The next three are for an agent on this machine, to which lists are pushed. Calls on it are cheap, and a list counts as
+	// received from the moment at which the agent has it. So a call that has died is given up and repeated within the 250 ms
+	// that the contract grants between receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
@@ -55,8 +50,8 @@
 	answerTimeout time.Duration // how long past that an answer may come
 	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
 
-	revision       int64 // of the list as held, in the numbering of the service at addr; under 0: none is held of it
-	redirectedAt   int64 // when addr last changed, until it has answered; 0: it has
+	revision       int64 // of the list as held, in the numbering of the service at address; under 0: there is none of it
+	redirectedAt   int64 // when address last changed, until it has answered; 0: it has
 	retry          *netio.Timer
 	watching       bool  // the watch goes on
 	firstAnswerDue bool  // its first answer is awaited, which is told even if it is empty
--- a/internal/dataplane/handshake/bucket.go
+++ b/internal/dataplane/handshake/bucket.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// bucket saves what is not used, up to most.
-type bucket struct {
-	have, most, perSecond float64
-	filledAt              int64
+// tokenBucket is filled evenly and saves what is not used, up to its capacity. perSecond 0: it limits nothing.
+type tokenBucket struct {
+	tokens, capacity, perSecond float64
+	filledAt                    int64 // nanoseconds
 }
 
-func newBucket(perSecond float64, burst time.Duration, least float64, now int64) bucket {
+func newBucket(perSecond float64, burst time.Duration, least float64, now int64) tokenBucket {
 	most := math.Max(perSecond*burst.Seconds(), least)
-	return bucket{have: most, most: most, perSecond: perSecond, filledAt: now}
+	return tokenBucket{tokens: most, capacity: most, perSecond: perSecond, filledAt: now}
 }
 
-// refill brings a bucket up to now. A clock that steps back brings nothing and takes nothing.
-func (b *bucket) refill(now int64) {
+// refill fills a bucket up to now. A clock that steps back fills and takes nothing.
+func (b *tokenBucket) refill(now int64) {
 	if now > b.filledAt {
-		b.have = math.Min(b.most, b.have+float64(now-b.filledAt)/1e9*b.perSecond)
+		b.tokens = math.Min(b.capacity, b.tokens+float64(now-b.filledAt)/1e9*b.perSecond)
 	}
 	b.filledAt = now
 }
 
 // until is how long, in nanoseconds, the bucket takes to hold n; 0: it does.
-func (b *bucket) until(n float64) float64 {
-	if b.perSecond <= 0 || b.have >= n {
+func (b *tokenBucket) until(n float64) float64 {
+	if b.perSecond <= 0 || b.tokens >= n {
 		return 0
 	}
-	return (n - b.have) / b.perSecond * 1e9
+	return (n - b.tokens) / b.perSecond * 1e9
 }
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -1,10 +1,10 @@
 // Package handshake decides which TLS handshakes may begin, and when. It does no I/O and reads no clock: time comes with
 // every call, in nanoseconds, and the same calls give the same answers.
 //
-// A handshake costs a part of a millisecond of CPU, hundreds of times what a line costs, and a drain brings hundreds of
-// them at once. The budget bounds what they take from standing connections (a share of a core), what strikes one host
-// (full handshakes a second), and how many are out. Hosts take turns, so that one which is slow or popular holds up
-// nobody else's. What can't be done before its limit is refused at once: whoever asked has time left to go elsewhere.
+// A handshake costs far more CPU than a relayed line, and a drain brings many at once. The budget bounds the CPU that they
+// take from established connections (a share of a core), the full handshakes a second of one host and of all, and how many
+// are in flight. Hosts take turns, so that a slow or popular one delays no other. A handshake that can't be done before its
+// deadline is refused at once, while the caller still has time for another host.
 package handshake
 
 import (
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// Limits are what the operator grants. A zero means no limit of that kind.
+// Limits are the operator's. A zero means no limit of that kind.
 type Limits struct {
 	CPU           float64       // part of one core
 	Rate          float64       // full handshakes a second, all hosts together
 	HostRate      float64       // full handshakes a second with one host
-	AtOnce        int           // handshakes out
-	HostAtOnce    int           // handshakes out with one host
+	AtOnce        int           // handshakes in flight
+	HostAtOnce    int           // handshakes in flight with one host
 	Burst         time.Duration // how long unused budget is saved
 	Queue         int           // requests that wait
 	ResumedFactor float64       // what a resumed handshake counts against the rates; a full one counts 1
@@ -33,53 +33,52 @@
 		Queue: 4096, ResumedFactor: 0.5}
 }
 
-// The refusals.
+// The reasons of a refusal.
 const (
 	None      Refusal = iota
-	NoTime            // its turn would come too late
+	NoTime            // it could not be done before its deadline
 	QueueFull         // too many wait
 )
 
-// What a handshake is taken to cost before any has been measured.
+// Estimates of one handshake, in nanoseconds.
 const (
-	firstCPU  = float64(700 * time.Microsecond)
-	firstTook = float64(3 * time.Millisecond)
-	// learn is the weight of a new measurement.
-	learn = 0.1
-	// mostCPU and mostTook bound a single measurement: the clock stands still while the machine does.
-	mostCPU  = float64(20 * time.Millisecond)
-	mostTook = float64(500 * time.Millisecond)
+	initialCPU      = float64(700 * time.Microsecond)
+	initialDuration = float64(3 * time.Millisecond) // until there are samples
+	// costGain is the weight of a new sample in the means.
+	costGain = 0.1
+	// maxCPUSample and maxDurationSample bound one sample: a suspended machine must not spoil the means.
+	maxCPUSample      = float64(20 * time.Millisecond)
+	maxDurationSample = float64(500 * time.Millisecond)
 )
 
-// Budget is the state.
+// Budget decides when each requested handshake may begin.
 type Budget struct {
-	limits  Limits
-	cpu     bucket // nanoseconds of CPU
-	rate    bucket // full handshakes
-	hosts   map[string]*host
-	ring    []*host // hosts with something waiting, in the order of their turns
-	waiting map[uint64]*entry
-	out     map[uint64]*entry
-	// What handshakes were seen to cost, in nanoseconds, by kind: full, resumed.
-	cost [2]float64
-	took float64
+	limits       Limits
+	cpu          tokenBucket // nanoseconds of CPU
+	rate         tokenBucket // full handshakes
+	hosts        map[string]*host
+	rotation     []*host // hosts with requests that wait, in the order of their turns
+	waiting      map[uint64]*request
+	inFlight     map[uint64]*request
+	meanCPU      [2]float64 // nanoseconds of one handshake, by kind: full, resumed
+	meanDuration float64    // nanoseconds from a handshake's beginning to its end
 }
 
 type host struct {
-	name  string
-	rate  bucket
-	queue []*entry
-	out   int
-	turn  bool // it stands in the ring
+	name       string
+	rate       tokenBucket
+	queue      []*request
+	inFlight   int
+	inRotation bool // it is in Budget.rotation
 }
 
-type entry struct {
-	requestID uint64
-	host      *host
-	resumed   bool
-	deadline  int64
-	cost      float64 // what was charged
-	began     int64
+type request struct {
+	requestID  uint64
+	host       *host
+	resumed    bool
+	deadline   int64
+	chargedCPU float64 // nanoseconds taken from Budget.cpu when it began
+	beganAt    int64
 }
 
 // New makes a budget.
@@ -87,9 +86,9 @@
 	if l.ResumedFactor <= 0 {
 		l.ResumedFactor = 1
 	}
-	return &Budget{limits: l, hosts: map[string]*host{}, waiting: map[uint64]*entry{}, out: map[uint64]*entry{},
+	return &Budget{limits: l, hosts: map[string]*host{}, waiting: map[uint64]*request{}, inFlight: map[uint64]*request{},
 		cpu: newBucket(l.CPU*1e9, l.Burst, 1, now), rate: newBucket(l.Rate, l.Burst, 1, now),
-		cost: [2]float64{firstCPU, firstCPU}, took: firstTook}
+		meanCPU: [2]float64{initialCPU, initialCPU}, meanDuration: initialDuration}
 }
 
 func kind(resumed bool) int {
@@ -115,31 +114,31 @@
 	}
 	h := b.hosts[name]
 	if h == nil {
-		b.forget(now)
+		b.dropIdleHosts(now)
 		h = &host{name: name, rate: newBucket(b.limits.HostRate, b.limits.Burst, 1, now)}
 		b.hosts[name] = h
 	}
 	b.refill(now)
 	h.rate.refill(now)
-	if float64(now)+b.wait(h, resumed)+b.took > float64(deadline) {
-		b.settle(h)
+	if float64(now)+b.queueDelay(h, resumed)+b.meanDuration > float64(deadline) {
+		b.removeIfIdle(h)
 		return NoTime
 	}
-	e := &entry{requestID: id, host: h, resumed: resumed, deadline: deadline}
+	e := &request{requestID: id, host: h, resumed: resumed, deadline: deadline}
 	b.waiting[id] = e
 	h.queue = append(h.queue, e)
-	if !h.turn {
-		h.turn = true
-		b.ring = append(b.ring, h)
+	if !h.inRotation {
+		h.inRotation = true
+		b.rotation = append(b.rotation, h)
 	}
 	return None
 }
 
-// forget drops the hosts that are as good as new. It runs only when there is a new one.
-func (b *Budget) forget(now int64) {
+// dropIdleHosts drops the hosts whose state equals that of a new one. It runs only when a host is added, and so bounds the map.
+func (b *Budget) dropIdleHosts(now int64) {
 	for name, h := range b.hosts {
 		h.rate.refill(now)
-		if len(h.queue) == 0 && h.out == 0 && (h.rate.perSecond <= 0 || h.rate.have >= h.rate.most) {
+		if len(h.queue) == 0 && h.inFlight == 0 && (h.rate.perSecond <= 0 || h.rate.tokens >= h.rate.capacity) {
 			delete(b.hosts, name)
 		}
 	}
@@ -150,18 +149,18 @@
 	b.rate.refill(now)
 }
 
-// wait estimates how long a new request for h stands in the queue: what its host lets through before it, and what all
-// hosts, taking turns, do before it.
-func (b *Budget) wait(h *host, resumed bool) float64 {
+// queueDelay estimates how long, in nanoseconds, a new request for h waits: for the requests of its own host before it, and for
+// those of all hosts, which take turns.
+func (b *Budget) queueDelay(h *host, resumed bool) float64 {
 	own, all, cpu := 0.0, 0.0, 0.0
 	for _, e := range h.queue {
 		own += b.weight(e.resumed)
 	}
 	place := len(h.queue)
-	for _, o := range b.ring {
+	for _, o := range b.rotation {
 		for i := 0; i < len(o.queue) && (o == h || i <= place); i++ {
 			all += b.weight(o.queue[i].resumed)
-			cpu += b.cost[kind(o.queue[i].resumed)]
+			cpu += b.meanCPU[kind(o.queue[i].resumed)]
 		}
 	}
 	all += b.weight(resumed)
@@ -169,7 +168,7 @@
 	return math.Max(longest, b.cpu.until(cpu))
 }
 
-// Drop forgets a request that waits. One that has begun must be ended by Done.
+// Drop removes a request that waits. One that has begun must be ended by Done.
 func (b *Budget) Drop(id uint64) {
 	e := b.waiting[id]
 	if e == nil {
@@ -179,7 +178,7 @@
 	b.unqueue(e)
 }
 
-func (b *Budget) unqueue(e *entry) {
+func (b *Budget) unqueue(e *request) {
 	q := e.host.queue
 	for i := range q {
 		if q[i] == e {
@@ -189,34 +188,34 @@
 			break
 		}
 	}
-	b.settle(e.host)
+	b.removeIfIdle(e.host)
 }
 
-// settle takes a host without work out of the ring.
-func (b *Budget) settle(h *host) {
-	if len(h.queue) > 0 || !h.turn {
+// removeIfIdle takes a host without requests that wait out of the rotation.
+func (b *Budget) removeIfIdle(h *host) {
+	if len(h.queue) > 0 || !h.inRotation {
 		return
 	}
-	h.turn = false
-	for i := range b.ring {
-		if b.ring[i] == h {
-			b.ring = append(b.ring[:i], b.ring[i+1:]...)
+	h.inRotation = false
+	for i := range b.rotation {
+		if b.rotation[i] == h {
+			b.rotation = append(b.rotation[:i], b.rotation[i+1:]...)
 			return
 		}
 	}
 }
 
-// Waiting is how many requests wait, Out how many are out.
+// Waiting is how many requests wait.
 func (b *Budget) Waiting() int { return len(b.waiting) }
 
-// Out is how many handshakes have begun and not ended.
-func (b *Budget) Out() int { return len(b.out) }
+// InFlight is how many handshakes have begun and not ended.
+func (b *Budget) InFlight() int { return len(b.inFlight) }
 
-// Describe writes the state for people: the same state gives the same text.
+// Describe writes the state as text: the same state gives the same text.
 func (b *Budget) Describe() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.out),
-		b.cpu.have/1e3, b.cost[0]/1e3, b.cost[1]/1e3, b.took/1e3)
+	fmt.Fprintf(&s, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
+		b.cpu.tokens/1e3, b.meanCPU[0]/1e3, b.meanCPU[1]/1e3, b.meanDuration/1e3)
 	names := make([]string, 0, len(b.hosts))
 	for n := range b.hosts {
 		names = append(names, n)
@@ -224,7 +223,7 @@
 	sort.Strings(names)
 	for _, n := range names {
 		h := b.hosts[n]
-		fmt.Fprintf(&s, "\n  %s waiting=%d out=%d tokens=%.2f", n, len(h.queue), h.out, h.rate.have)
+		fmt.Fprintf(&s, "\n  %s waiting=%d out=%d tokens=%.2f", n, len(h.queue), h.inFlight, h.rate.tokens)
 	}
 	return s.String()
 }
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -46,7 +46,7 @@
 	}
 	n, last := 0, int64(0)
 	late := drive(b, 0, 2000*ms, time.Millisecond, 2*ms, func(id uint64, at int64) { n, last = n+1, at })
-	if n+refused+len(late) != 500 || b.Waiting()+b.Out() != 0 {
+	if n+refused+len(late) != 500 || b.Waiting()+b.InFlight() != 0 {
 		t.Errorf("%d began, %d refused, %d late of 500; %s", n, refused, len(late), b.Describe())
 	}
 	// 0.3 s of CPU a second, 1 ms each, 30 ms saved, one overdrawn, and what was charged at the first estimate.
@@ -240,7 +240,7 @@
 				waiting++
 			}
 		}
-		if waiting != b.Waiting() || len(out) != b.Out() {
+		if waiting != b.Waiting() || len(out) != b.InFlight() {
 			t.Fatalf("%d wait, %d out: %s", waiting, len(out), b.Describe())
 		}
 	})
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Next gives the requests that begin now, in order, those for which it has become too late, and how long after now to
-// come again; 0: only when something is asked or done.
+// Next returns the requests that begin now, in order, those that are too late, and after how long to call it again; 0: only after
+// Enqueue or Done.
 func (b *Budget) Next(now int64) (begin, late []uint64, again time.Duration) {
 	b.refill(now)
 	wake := math.Inf(1)
 	for {
-		e, wait := b.pick(now, &late)
-		if e == nil {
+		r, wait := b.beginNext(now, &late)
+		if r == nil {
 			wake = math.Min(wake, wait)
 			break
 		}
-		begin = append(begin, e.requestID)
+		begin = append(begin, r.requestID)
 	}
 	if math.IsInf(wake, 1) {
 		return begin, late, 0
@@ -24,60 +24,77 @@
 	return begin, late, time.Duration(math.Max(wake, float64(100*time.Microsecond)))
 }
 
-// pick begins the next request, or tells how long nothing can.
-func (b *Budget) pick(now int64, late *[]uint64) (*entry, float64) {
-	wake := math.Inf(1)
-	for turns := len(b.ring); turns > 0 && len(b.ring) > 0; turns-- {
-		h := b.ring[0]
-		for len(h.queue) > 0 && float64(h.queue[0].deadline) < float64(now)+b.took/2 {
-			e := h.queue[0]
-			*late = append(*late, e.requestID)
-			delete(b.waiting, e.requestID)
-			b.unqueue(e)
-		}
+// beginNext begins the next request that may, of the first host in the rotation that has one. Where none may, the request is nil
+// and wake is how long, in nanoseconds, until that can change.
+func (b *Budget) beginNext(now int64, late *[]uint64) (next *request, wake float64) {
+	wake = math.Inf(1)
+	for turns := len(b.rotation); turns > 0 && len(b.rotation) > 0; turns-- {
+		h := b.rotation[0]
+		b.dropLate(now, h, late)
 		if len(h.queue) == 0 {
-			continue // settle took it out of the ring
+			continue // removeIfIdle took it out of the rotation
 		}
-		e := h.queue[0]
+		r := h.queue[0]
 		h.rate.refill(now)
-		w := b.weight(e.resumed)
-		blocked := math.Max(h.rate.until(math.Min(w, h.rate.most)), b.rate.until(math.Min(w, b.rate.most)))
-		// The last of the CPU may be overdrawn by one handshake: what it really costs is known only afterwards.
-		if b.cpu.perSecond > 0 && b.cpu.have <= 0 {
-			blocked = math.Max(blocked, b.cpu.until(1))
-		}
-		if b.limits.AtOnce > 0 && len(b.out) >= b.limits.AtOnce {
-			return nil, b.expiry(now) // Done will come
+		delay := b.tokenDelay(h, r)
+		if b.limits.AtOnce > 0 && len(b.inFlight) >= b.limits.AtOnce {
+			return nil, b.untilFirstDeadline(now) // Done will come
 		}
-		full := b.limits.HostAtOnce > 0 && h.out >= b.limits.HostAtOnce
-		b.ring = append(b.ring[1:], h)
-		if full {
-			wake = math.Min(wake, float64(e.deadline-now))
-			continue
+		b.rotation = append(b.rotation[1:], h)
+		untilDeadline := float64(r.deadline - now)
+		switch {
+		case b.limits.HostAtOnce > 0 && h.inFlight >= b.limits.HostAtOnce:
+			wake = math.Min(wake, untilDeadline)
+		case delay > 0:
+			wake = math.Min(wake, math.Min(delay, untilDeadline))
+		default:
+			b.begin(now, r)
+			return r, 0
 		}
-		if blocked > 0 {
-			wake = math.Min(wake, math.Min(blocked, float64(e.deadline-now)))
-			continue
-		}
-		h.queue[0] = nil
-		h.queue = h.queue[1:]
-		delete(b.waiting, e.requestID)
-		b.out[e.requestID] = e
-		h.out++
-		h.rate.have -= w
-		b.rate.have -= w
-		e.cost, e.began = b.cost[kind(e.resumed)], now
-		b.cpu.have -= e.cost
-		b.settle(h)
-		return e, 0
 	}
 	return nil, wake
 }
 
-// expiry is how long until the first of those that wait is too late.
-func (b *Budget) expiry(now int64) float64 {
+// dropLate drops the first requests of a host that can't be done before their deadlines any more.
+func (b *Budget) dropLate(now int64, h *host, late *[]uint64) {
+	for len(h.queue) > 0 && float64(h.queue[0].deadline) < float64(now)+b.meanDuration/2 {
+		r := h.queue[0]
+		*late = append(*late, r.requestID)
+		delete(b.waiting, r.requestID)
+		b.unqueue(r)
+	}
+}
+
+// tokenDelay is how long, in nanoseconds, a request has to wait for tokens; 0: there are enough.
+func (b *Budget) tokenDelay(h *host, r *request) float64 {
+	w := b.weight(r.resumed)
+	delay := math.Max(h.rate.until(math.Min(w, h.rate.capacity)), b.rate.until(math.Min(w, b.rate.capacity)))
+	// The last of the CPU may be overdrawn by one handshake: what it really costs is known only afterwards.
+	if b.cpu.perSecond > 0 && b.cpu.tokens <= 0 {
+		delay = math.Max(delay, b.cpu.until(1))
+	}
+	return delay
+}
+
+// begin takes the first request of its host from the queue and charges for it.
+func (b *Budget) begin(now int64, r *request) {
+	h, w := r.host, b.weight(r.resumed)
+	h.queue[0] = nil
+	h.queue = h.queue[1:]
+	delete(b.waiting, r.requestID)
+	b.inFlight[r.requestID] = r
+	h.inFlight++
+	h.rate.tokens -= w
+	b.rate.tokens -= w
+	r.chargedCPU, r.beganAt = b.meanCPU[kind(r.resumed)], now
+	b.cpu.tokens -= r.chargedCPU
+	b.removeIfIdle(h)
+}
+
+// untilFirstDeadline is how long, in nanoseconds, until the first deadline of those that wait.
+func (b *Budget) untilFirstDeadline(now int64) float64 {
 	first := math.Inf(1)
-	for _, h := range b.ring {
+	for _, h := range b.rotation {
 		if len(h.queue) > 0 {
 			first = math.Min(first, float64(h.queue[0].deadline-now))
 		}
@@ -86,26 +103,26 @@
 }
 
 // Done ends a handshake that has begun: whether a session was in fact resumed, the CPU it took on this side, and whether
-// it succeeded. One that was taken for a resumed one and was not is charged as the full one it was.
+// it succeeded. One that was expected to resume a session and did not is charged as a full one.
 func (b *Budget) Done(now int64, id uint64, resumed bool, cpu time.Duration, ok bool) {
-	e := b.out[id]
+	e := b.inFlight[id]
 	if e == nil {
 		return
 	}
-	delete(b.out, id)
-	e.host.out--
+	delete(b.inFlight, id)
+	e.host.inFlight--
 	b.refill(now)
 	e.host.rate.refill(now)
-	spent := math.Min(math.Max(float64(cpu), 0), mostCPU)
-	b.cpu.have = math.Min(b.cpu.most, b.cpu.have+e.cost-spent)
+	spent := math.Min(math.Max(float64(cpu), 0), maxCPUSample)
+	b.cpu.tokens = math.Min(b.cpu.capacity, b.cpu.tokens+e.chargedCPU-spent)
 	if more := b.weight(resumed) - b.weight(e.resumed); more != 0 {
-		e.host.rate.have = math.Min(e.host.rate.most, e.host.rate.have-more)
-		b.rate.have = math.Min(b.rate.most, b.rate.have-more)
+		e.host.rate.tokens = math.Min(e.host.rate.capacity, e.host.rate.tokens-more)
+		b.rate.tokens = math.Min(b.rate.capacity, b.rate.tokens-more)
 	}
 	if ok {
 		k := kind(resumed)
-		b.cost[k] += learn * (spent - b.cost[k])
-		b.took += learn * (math.Min(math.Max(float64(now-e.began), 0), mostTook) - b.took)
+		b.meanCPU[k] += costGain * (spent - b.meanCPU[k])
+		b.meanDuration += costGain * (math.Min(math.Max(float64(now-e.beganAt), 0), maxDurationSample) - b.meanDuration)
 	}
-	b.settle(e.host)
+	b.removeIfIdle(e.host)
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// LastWords is what a client is told whose connection ends for a fault of this side's: its request has failed, or its connection is to be
+// FinalMessage is what a client is told whose connection ends for a fault of this side's: its request has failed, or its connection is to be
 // opened anew.
-func (d *downstream) LastWords() []byte {
+func (d *downstream) FinalMessage() []byte {
 	if d.request != nil {
 		d.request.EndedHere()
 	}
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -162,10 +162,10 @@
 	return Ended
 }
 
-// LastWords is a handler whose peer is owed a word where this side ends the connection for a fault or a limit of its own.
-type LastWords interface {
-	// LastWords is called right before the end, on the loop; Closed follows.
-	LastWords() []byte
+// FinalMessager is a Handler that sends its peer a last message where this side ends the connection for a fault or a limit of its own.
+type FinalMessager interface {
+	// FinalMessage is called right before the end, on the loop; Closed follows.
+	FinalMessage() []byte
 }
 
 // fail closes the connection and tells the handler why.
@@ -174,8 +174,8 @@
 		return
 	}
 	held := c.input
-	if w, ok := c.handler.(LastWords); ok && err.Cause == Dropped {
-		c.FinishWith(w.LastWords())
+	if w, ok := c.handler.(FinalMessager); ok && err.Cause == Dropped {
+		c.FinishWith(w.FinalMessage())
 	} else {
 		c.Close()
 	}
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -7,8 +7,9 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// shutdownRetryAfter is the Retry-After for clients that come while this proxy shuts down: by then the front sends them elsewhere.
-const shutdownRetryAfter = 500 * time.Millisecond
+// defaultRetryAfter is the Retry-After where nothing says when there is capacity again. It is long enough for the front to send the clients
+// of a proxy that shuts down elsewhere.
+const defaultRetryAfter = 500 * time.Millisecond
 
 // admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
 // break connections that are open already.
@@ -50,7 +51,7 @@
 func (c *Core) SetSessionsElsewhere(n int) { c.admission.sessionsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
-func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(shutdownRetryAfter) }
+func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
 // boundedRetryAfter bounds a Retry-After by the settings; 0 where clients read none.
 func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -36,7 +36,7 @@
 	for len(d.events) > 0 {
 		next := d.events[0]
 		d.events = d.events[1:]
-		guard(next.about, func() { next.handle(d.now(), next.module) })
+		recoverRequest(next.about, func() { next.handle(d.now(), next.module) })
 		d.carryOutEffects(next.about)
 	}
 	d.events, d.effects = nil, nil
@@ -47,15 +47,15 @@
 	for len(d.effects) > 0 {
 		effect := d.effects[0]
 		d.effects = d.effects[1:]
-		guard(about, effect)
+		recoverRequest(about, effect)
 	}
 }
 
 // addEffect notes an effect, to be carried out when the module has returned.
 func (d *decisionLoop) addEffect(effect func()) { d.effects = append(d.effects, effect) }
 
-// guard confines a panic to the request that it happened for, which still gets its one answer.
-func guard(about *Request, f func()) {
+// recoverRequest confines a panic to the request that it happened for, which still gets its one answer.
+func recoverRequest(about *Request, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "core", "reason", p, "stack", string(debug.Stack()))
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -16,8 +16,7 @@
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
 	// AttemptEstablished brings a host's acceptance.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
-	// AttemptEnded brings the end of an attempt, or of its open connection. closed: the request is over; else the balancer decides on.
-	// load is in the settings' order of fields, nil where none came.
+	// AttemptEnded brings the end of an attempt, or of its open connection.
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
 	// ClientLeft says that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
@@ -31,7 +30,7 @@
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired brings the token of effect Schedule.
 	TimerFired(now balancer.Time, token string)
-	// Ejected tells whether a host gets nothing because it is an outlier.
+	// Ejected reports whether a host gets no attempts because its set-ups failed.
 	Ejected(now balancer.Time, id string) bool
 	// Snapshot is what the balancer knows of its hosts; with yield it gives up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -10,11 +10,8 @@
 
 // Hosts report a connection's load and their message delay in the same form, a figure in a LOAD line, with nothing to tell them apart.
 // A load is in microseconds of work a second. A delay is in milliseconds; it comes once a second, on one connection of each proxy, while
-// messages are slow, with a last one once they are not. A delay taken for a load hides the host's trouble and makes the busiest connection
-// seem idle; a load taken for a delay moves clients off a sound host.
-//
-// The constants below tell the two apart by size and rhythm. They stand for the loads and delays of one deployment, and are to be taken
-// from the settings some day.
+// messages are slow, with a last one once they are not. A delay taken for a load hides a slow host and makes the busiest connection
+// seem idle; a load taken for a delay migrates clients off a sound host. The constants below tell the two apart by size and rhythm.
 const (
 	minPlausibleLoad      = 500  // µs/s; below this, a load figure is read as a delay in milliseconds
 	minPlausibleFirstLoad = 1500 // µs/s; the same for the first figure of a connection, which is likelier to be a delay
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -36,7 +36,7 @@
 			c.fleet.quota.Release(account) // its client has left meanwhile
 		default:
 			r.quotaAccount = account
-			guard(r, proceed)
+			recoverRequest(r, proceed)
 		}
 	})
 }
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -10,6 +10,7 @@
 
 // What happens from SIGTERM to the end of the process, in order; times are those of shutdownSchedule:
 //
+//  0. The process gives its jobs back and leaves the fleet, beside the rest (process.announceLeave in package node).
 //  1. Core.Shutdown: Core.Open rejects requests that still come, with a Retry-After.
 //  2. Where another process of this proxy has taken over, open connections are handed over (shutdown.step, Core.handOver).
 //  3. From migrateFrom to migrateBy open connections are migrated, evenly spread (shutdown.migrateDue), and idle ones without a request
@@ -50,7 +51,7 @@
 	idleStepsToEnd = 2
 )
 
-// shutdownSchedule says when a process that shuts down does what, in nanoseconds since its SIGTERM.
+// shutdownSchedule says when a process that shuts down does what, in nanoseconds since Core.Shutdown, which follows its SIGTERM at once.
 type shutdownSchedule struct {
 	migrateFrom int64 // from here on open connections are migrated, and idle ones ended
 	migrateBy   int64 // by here all have been migrated, and later ones migrate at once
@@ -187,7 +188,7 @@
 			continue
 		}
 		slog.Warn("answered_before_kill", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
-		guard(r, func() { r.answerNow(s.core.RetryAdvice()) })
+		recoverRequest(r, func() { r.answerNow(s.core.RetryAdvice()) })
 	}
 	s.core.monitor.Close()
 	open, _ := s.core.countRequests()
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -158,7 +158,7 @@
 	}
 	sort.Strings(failed)
 	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.cpu.Milliseconds(), "waiting", k.budget.Waiting(),
-		"out", k.budget.Out(), "sessions", k.cache.len(), "epoch", k.material.Epoch, "failed", strings.Join(failed, ","))
+		"out", k.budget.InFlight(), "sessions", k.cache.len(), "epoch", k.material.Epoch, "failed", strings.Join(failed, ","))
 	k.counts = counts{failed: map[Reason]int{}}
 }
 
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -219,7 +219,7 @@
 	})
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := 0
-		b.on(func() { left = b.link.budget.Out() + b.link.budget.Waiting() + len(b.link.dials) })
+		b.on(func() { left = b.link.budget.InFlight() + b.link.budget.Waiting() + len(b.link.dials) })
 		if left == 0 {
 			break
 		}
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -27,7 +27,7 @@
 // Effect carries out what a job's owner has sent.
 func (c coreEffects) Effect(job string, token ownership.FencingToken, body []byte) {
 	c.agent.counts.Taken++
-	c.agent.jobs.guard(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
+	c.agent.jobs.recoverJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
 
 // EffectAcknowledged passes a receiver's verdict to the job.
@@ -35,13 +35,13 @@
 	if v == ownership.Stale {
 		slog.Warn("stale_owner", "job", job, "token", token.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
 	}
-	c.agent.jobs.guardOwned(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
+	c.agent.jobs.recoverOwnedJob(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
 
 // CheckpointStored passes the result to the job.
 func (c coreEffects) CheckpointStored(job string, token, checkpointNumber uint64, stored bool) {
 	if c.agent.jobs.owned[job] == token {
-		c.agent.jobs.guard(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
+		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
 	}
 }
 
@@ -49,7 +49,7 @@
 func (c coreEffects) QueryReceived(peer uint32, job string, tag uint64, body []byte) {
 	token, owns := c.agent.jobs.owned[job]
 	if owns && c.agent.core.Holds(c.agent.now(), job, token) {
-		c.agent.jobs.guard(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
+		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
 	}
 }
 
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -42,7 +42,7 @@
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
 		if token, owns := r.owned[name]; owns && r.agent.core.Holds(now, name, token) {
-			r.guard(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
+			r.recoverJob(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
 		}
 	}
 }
@@ -69,12 +69,12 @@
 func (r *jobRunner) stop(name string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte) {
 	delete(r.owned, name)
 	slog.Info("job_released", "job", name, "token", token, "reason", reason)
-	r.guard(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
+	r.recoverJob(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
 	return checkpointNumber, checkpoint
 }
 
-// guard runs a job's code. One that panics while it is owned under token is released; 0: it is not owned.
-func (r *jobRunner) guard(name string, token uint64, f func(j jobs.Job)) {
+// recoverJob runs a job's code. One that panics while it is owned under token is released; 0: it is not owned.
+func (r *jobRunner) recoverJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.agent.counts.Panics++
@@ -89,10 +89,10 @@
 	}
 }
 
-// guardOwned is guard for a job that is owned here; another is not run.
-func (r *jobRunner) guardOwned(name string, f func(j jobs.Job)) {
+// recoverOwnedJob is recoverJob for a job that is owned here; another is not run.
+func (r *jobRunner) recoverOwnedJob(name string, f func(j jobs.Job)) {
 	if token, owns := r.owned[name]; owns {
-		r.guard(name, token, f)
+		r.recoverJob(name, token, f)
 	}
 }
 
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// minDrillIntervalMS bounds Options.Each from below.
+// minDrillIntervalMS bounds Options.DrillIntervalMS from below.
 const minDrillIntervalMS = 20
 
 // Options are the section (owners ...).
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -169,7 +169,7 @@
 	if c.participant.leaseEnded() {
 		return true
 	}
-	return len(c.participant.held) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
+	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
 }
 
 // JobFailed releases a job that ended by a fault of its own.
@@ -183,7 +183,7 @@
 // are for that.
 func (c *Core) Holds(now Time, job string, token uint64) bool {
 	c.advance(now)
-	return c.participant.holds(job, token)
+	return c.participant.ownsUnder(job, token)
 }
 
 // Leader is the peer that this process takes for the coordinator; 0: none.
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -8,8 +8,8 @@
 // failedReason begins the reason of a job that ended by a fault of its own; the coordinator delays its next grant.
 const failedReason = "failed: "
 
-// heldLease is a job that this process owns, or has released while the coordinator may not know it yet.
-type heldLease struct {
+// heldJob is a job that this process owns, or has released while the coordinator may not know it yet.
+type heldJob struct {
 	token            uint64
 	released         bool
 	reason           string // of the release
@@ -23,32 +23,32 @@
 type participant struct {
 	*environment
 	lease        processLease
-	held         map[string]*heldLease // by job
-	epoch        uint64                // of the last coordinator that was followed
-	listSequence uint64                // of the last job list in that epoch
+	jobs         map[string]*heldJob // by job
+	epoch        uint64              // of the last coordinator that was followed
+	listSequence uint64              // of the last job list in that epoch
 	able         bool
 	leaving      bool
 }
 
 func newParticipant(env *environment) *participant {
-	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, held: map[string]*heldLease{}, able: true}
+	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*heldJob{}, able: true}
 }
 
 func (p *participant) tick() {
-	if !p.leaving || len(p.held) > 0 {
+	if !p.leaving || len(p.jobs) > 0 {
 		p.renewLease()
 	}
-	for _, job := range p.heldNames() {
-		if h := p.held[job]; h.released && p.now-h.reportedAt >= releaseRepeatInterval {
+	for _, job := range p.jobNames() {
+		if h := p.jobs[job]; h.released && p.now-h.reportedAt >= releaseRepeatInterval {
 			p.reportRelease(job, h)
 		}
 	}
 }
 
 // heldNames is in order, so that a run can be replayed.
-func (p *participant) heldNames() []string {
-	names := make([]string, 0, len(p.held))
-	for name := range p.held {
+func (p *participant) jobNames() []string {
+	names := make([]string, 0, len(p.jobs))
+	for name := range p.jobs {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -57,7 +57,7 @@
 
 func (p *participant) ownedJobs() map[string]uint64 {
 	tokens := map[string]uint64{}
-	for job, h := range p.held {
+	for job, h := range p.jobs {
 		if !h.released {
 			tokens[job] = h.token
 		}
@@ -67,12 +67,12 @@
 
 // owns reports whether this process may act as a job's owner now.
 func (p *participant) owns(job string) bool {
-	h := p.held[job]
+	h := p.jobs[job]
 	return h != nil && !h.released && !p.leaseEnded()
 }
 
-func (p *participant) holds(job string, token uint64) bool {
-	return p.owns(job) && p.held[job].token == token
+func (p *participant) ownsUnder(job string, token uint64) bool {
+	return p.owns(job) && p.jobs[job].token == token
 }
 
 // mayBeAssigned reports whether this process should be given jobs. One whose lease ended without a renewal may receive nothing: it would not learn of
@@ -87,27 +87,27 @@
 }
 
 func (p *participant) releaseAll(reason string) {
-	for _, job := range p.heldNames() {
-		if h := p.held[job]; !h.released {
+	for _, job := range p.jobNames() {
+		if h := p.jobs[job]; !h.released {
 			p.release(job, h, reason)
 		}
 	}
 }
 
 func (p *participant) jobFailed(job string, token uint64, reason string) {
-	if h := p.held[job]; h != nil && h.token == token && !h.released {
+	if h := p.jobs[job]; h != nil && h.token == token && !h.released {
 		p.release(job, h, failedReason+reason)
 	}
 }
 
 // release stops a job here. The coordinator is notified, with the checkpoint, until it has taken the job back.
-func (p *participant) release(job string, h *heldLease, reason string) {
+func (p *participant) release(job string, h *heldJob, reason string) {
 	h.released, h.reason = true, reason
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
 	p.reportRelease(job, h)
 }
 
-func (p *participant) reportRelease(job string, h *heldLease) {
+func (p *participant) reportRelease(job string, h *heldJob) {
 	h.reportedAt = p.now
 	if p.lease.leader == 0 {
 		return
@@ -132,7 +132,7 @@
 	p.epoch, p.listSequence, p.lease.leader = m.epoch, m.sequence, from
 	p.dropUnlisted(m.jobs)
 	for _, j := range m.jobs {
-		if p.held[j.job] == nil && !p.acquire(j) {
+		if p.jobs[j.job] == nil && !p.acquire(j) {
 			p.listSequence = m.sequence - 1 // as if not received, so that the list is sent again
 		}
 	}
@@ -144,8 +144,8 @@
 	for _, j := range jobs {
 		listed[j.job] = j
 	}
-	for _, job := range p.heldNames() {
-		h := p.held[job]
+	for _, job := range p.jobNames() {
+		h := p.jobs[job]
 		j, ok := listed[job]
 		switch {
 		case ok && j.token == h.token:
@@ -154,9 +154,9 @@
 			}
 		case !h.released:
 			p.effects.Stop(job, h.token, "the coordinator has given it to another")
-			delete(p.held, job)
+			delete(p.jobs, job)
 		default:
-			delete(p.held, job) // the coordinator has taken it back
+			delete(p.jobs, job) // the coordinator has taken it back
 		}
 	}
 }
@@ -164,8 +164,8 @@
 // acquire begins a listed job, or releases it at once where it must not begin here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
-		h := &heldLease{token: j.token, released: true, reason: "not begun: it is to be handed over, or this process is leaving"}
-		p.held[j.job] = h
+		h := &heldJob{token: j.token, released: true, reason: "not begun: it is to be handed over, or this process is leaving"}
+		p.jobs[j.job] = h
 		p.reportRelease(j.job, h)
 		return true
 	}
@@ -173,8 +173,8 @@
 	if p.leaseEnded() {
 		return false
 	}
-	h := &heldLease{token: j.token}
-	p.held[j.job] = h
+	h := &heldJob{token: j.token}
+	p.jobs[j.job] = h
 	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
 		h.released, h.reason, h.checkpointNumber = true, failedReason+err.Error(), 0
 		p.reportRelease(j.job, h)
@@ -183,13 +183,13 @@
 }
 
 func (p *participant) handleCheckpointResult(m checkpointResult) {
-	if h := p.held[m.job]; h != nil && h.token == m.token {
+	if h := p.jobs[m.job]; h != nil && h.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
 	}
 }
 
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
-	if h := p.held[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
+	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
 		// Fencing: the receiver remembers a later owner, so this one stops, and the next token is to be above that.
 		h.higherToken = m.highest.Token
 		p.release(m.job, h, "a receiver has seen a later token")
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,7 +1,7 @@
 package rules
 
-// A lease is counted from before it was asked for, on the asker's monotonic clock, less a margin for clocks that run apart: one in a hundred
-// each. The coordinator counts from when it was asked, and as much more.
+// clockDriftDivisor: one fiftieth of a lease covers the drift between two clocks, 1 % each. The member counts its lease from before it
+// sent the request, on its monotonic clock, and less this margin; the coordinator from when the request came, and this margin more.
 const clockDriftDivisor = 50
 
 // LeaseEnd is when a lease that was asked for at a time ends at the member that acts by it.
