--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -94,16 +94,16 @@
 }
 
 // open opens the link that the section asks for.
-func (s *Agent) open(o Options, ownSlot int, on Platform) (err error) {
-	t := &s.transport
+func (a *Agent) open(o Options, ownSlot int, on Platform) (err error) {
+	t := &a.transport
 	switch {
 	case o.usesPlatform():
 		t.link, t.shared = on.Link, true
 		return nil
 	case t.learnsAddresses:
-		t.link, err = peers.OpenAny(s.loop, o.Listen, s.receiveFrom)
+		t.link, err = peers.OpenAny(a.loop, o.Listen, a.receiveFrom)
 	default:
-		t.link, err = peers.Open(s.loop, peers.Addresses{Listen: o.Listen, Peers: o.Peers}, ownSlot, -1, s.receive)
+		t.link, err = peers.Open(a.loop, peers.Addresses{Listen: o.Listen, Peers: o.Peers}, ownSlot, -1, a.receive)
 	}
 	if err == nil {
 		t.link.StartReceiving()
@@ -111,80 +111,80 @@
 	return err
 }
 
-func (s *Agent) tick() {
-	if s.closed {
+func (a *Agent) tick() {
+	if a.closed {
 		return
 	}
-	s.core.Tick(s.loop.Now(), time.Now().UnixNano())
-	s.loop.After(tickInterval, s.tick)
+	a.core.Tick(a.loop.Now(), time.Now().UnixNano())
+	a.loop.After(tickInterval, a.tick)
 }
 
 // ReceiveShared handles a datagram of the platform's link, if it is membership's, and says whether it was. A nil Agent handles none.
-func (s *Agent) ReceiveShared(from int, data []byte) bool {
-	if s == nil || !s.transport.shared || !membership.IsMembershipDatagram(data) {
+func (a *Agent) ReceiveShared(from int, data []byte) bool {
+	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
 	}
-	s.receive(from, data)
+	a.receive(from, data)
 	return true
 }
 
-func (s *Agent) receive(from int, data []byte) {
-	if data, ok := s.unseal(from, data); ok {
-		if err := s.core.Receive(s.loop.Now(), from, data); err != nil {
-			s.transport.noteRejection(from, err)
+func (a *Agent) receive(from int, data []byte) {
+	if data, ok := a.unseal(from, data); ok {
+		if err := a.core.Receive(a.loop.Now(), from, data); err != nil {
+			a.transport.noteRejection(from, err)
 		}
 	}
 }
 
-func (s *Agent) receiveFrom(from netip.AddrPort, data []byte) {
-	if data, ok := s.unseal(from, data); ok {
-		if err := s.core.ReceiveFrom(s.loop.Now(), from, data); err != nil {
-			s.transport.noteRejection(from, err)
+func (a *Agent) receiveFrom(from netip.AddrPort, data []byte) {
+	if data, ok := a.unseal(from, data); ok {
+		if err := a.core.ReceiveFrom(a.loop.Now(), from, data); err != nil {
+			a.transport.noteRejection(from, err)
 		}
 	}
 }
 
-func (s *Agent) unseal(from any, data []byte) ([]byte, bool) {
-	if s.closed {
+func (a *Agent) unseal(from any, data []byte) ([]byte, bool) {
+	if a.closed {
 		return nil, false
 	}
-	return s.transport.unseal(from, data)
+	return a.transport.unseal(from, data)
 }
 
 // Send implements membership.Effects.
-func (s *Agent) Send(slot int, data []byte) {
-	data = s.transport.sealed(data)
-	if s.transport.learnsAddresses {
-		s.transport.link.SendTo(s.core.Address(slot), data)
+func (a *Agent) Send(slot int, data []byte) {
+	data = a.transport.sealed(data)
+	if a.transport.learnsAddresses {
+		a.transport.link.SendTo(a.core.Address(slot), data)
 		return
 	}
-	s.transport.link.SendToPeer(slot, data)
+	a.transport.link.SendToPeer(slot, data)
 }
 
 // Changed implements membership.Effects.
-func (s *Agent) Changed(c membership.Change) {
+func (a *Agent) Changed(c membership.Change) {
 	slog.Info("member_changed", "id", formatID(c.ID), "name", c.Name, "from", c.OldState, "to", c.NewState, "life", c.Incarnation.Start(),
 		"version", c.Version, "reason", c.Reason)
 }
 
 // Leave announces to the others that this process shuts down in order, and ends. A nil Agent does nothing.
-func (s *Agent) Leave() {
-	if s != nil && !s.closed {
-		s.core.Leave(s.loop.Now())
-		s.Yield()
+func (a *Agent) Leave() {
+	if a != nil && !a.closed {
+		a.core.Leave(a.loop.Now())
+		a.Yield()
 	}
 }
 
 // Yield ends without an announcement: another process continues as this member. A nil Agent does nothing.
-func (s *Agent) Yield() {
-	if s == nil || s.closed {
+func (a *Agent) Yield() {
+	if a == nil || a.closed {
 		return
 	}
-	s.closed = true
-	if !s.transport.shared {
-		s.transport.link.Close()
+	a.closed = true
+	if !a.transport.shared {
+		a.transport.link.Close()
 	}
-	if s.reportSocket != nil {
-		s.reportSocket.Close()
+	if a.reportSocket != nil {
+		a.reportSocket.Close()
 	}
 }
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -43,18 +43,18 @@
 	return t.Flush()
 }
 
-func (s *Agent) report() Report {
-	now := s.loop.Now()
+func (a *Agent) report() Report {
+	now := a.loop.Now()
 	r := Report{
-		Name:        s.name,
-		Version:     s.core.Version(),
-		Digest:      formatID(s.core.Digest()),
-		Quorum:      s.core.Quorum(),
-		Incarnation: s.core.Incarnation().Start(),
-		Counts:      s.counts(),
+		Name:        a.name,
+		Version:     a.core.Version(),
+		Digest:      formatID(a.core.Digest()),
+		Quorum:      a.core.Quorum(),
+		Incarnation: a.core.Incarnation().Start(),
+		Counts:      a.counts(),
 	}
-	view := s.core.View()
-	names := s.memberNames(view)
+	view := a.core.View()
+	names := a.memberNames(view)
 	for _, m := range view {
 		r.Members = append(r.Members, reportMember(m, now, names))
 	}
@@ -62,8 +62,8 @@
 }
 
 // memberNames are the names that are known, by id.
-func (s *Agent) memberNames(view []membership.Member) map[uint32]string {
-	names := map[uint32]string{membership.ID(s.name): s.name}
+func (a *Agent) memberNames(view []membership.Member) map[uint32]string {
+	names := map[uint32]string{membership.ID(a.name): a.name}
 	for _, m := range view {
 		if m.Name != "" {
 			names[m.ID] = m.Name
@@ -102,8 +102,8 @@
 }
 
 // counts are what was sent and received, under the names that operators know.
-func (s *Agent) counts() map[string]int {
-	n := s.core.Counts()
+func (a *Agent) counts() map[string]int {
+	n := a.core.Counts()
 	return map[string]int{
 		"sent":          n.Sent,
 		"bytes":         n.Bytes,
@@ -115,7 +115,7 @@
 		"clashes":       n.Clashes,
 		"pauses":        n.Pauses,
 		"refutations":   n.Refutations,
-		"unsealed":      s.transport.unsealed,
-		"strangers":     int(s.transport.link.Dropped()),
+		"unsealed":      a.transport.unsealed,
+		"strangers":     int(a.transport.link.Dropped()),
 	}
 }
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -26,28 +26,28 @@
 func (e *SocketInUseError) Error() string { return fmt.Sprintf("socket %s is in use", e.Path) }
 
 // serveReports answers each connection to the Unix socket with one report. It runs beside the loop, which makes the report.
-func (s *Agent) serveReports(path string) error {
+func (a *Agent) serveReports(path string) error {
 	l, err := ListenUnix(path)
 	if err != nil {
 		return err
 	}
-	s.reportSocket = l
+	a.reportSocket = l
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.sendReport(c)
+			a.sendReport(c)
 		}
 	}()
 	return nil
 }
 
-func (s *Agent) sendReport(c net.Conn) {
+func (a *Agent) sendReport(c net.Conn) {
 	defer c.Close()
 	reports := make(chan Report, 1)
-	s.loop.Post(func() { reports <- s.report() })
+	a.loop.Post(func() { reports <- a.report() })
 	c.SetDeadline(time.Now().Add(reportTimeout))
 	select {
 	case r := <-reports:
--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -12,16 +12,16 @@
 }
 
 // View is the members as this process sees them, itself left out.
-func (s *Agent) View() []ViewMember {
+func (a *Agent) View() []ViewMember {
 	var out []ViewMember
-	for _, m := range s.core.View() {
+	for _, m := range a.core.View() {
 		out = append(out, ViewMember{m.Name, m.ID, m.State.String(), uint64(m.Incarnation), m.Unheard})
 	}
 	return out
 }
 
 // FleetSize is how many members the fleet is intended to have.
-func (s *Agent) FleetSize() int { return s.core.FleetSize() }
+func (a *Agent) FleetSize() int { return a.core.FleetSize() }
 
 // formatID is a member's id as the log and reports show it.
 func formatID(id uint32) string { return fmt.Sprintf("%08x", id) }
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -37,19 +37,19 @@
 
 // authorize says who proposes a change, and whether a grant of v allows it. It is asked when the change comes and again when a version is made of
 // it: a grant that was revoked in between allows nothing. The operators propose at their own socket, unsigned.
-func (k *Coordinator) authorize(c *Change, v *Version) (proposer string, err error) {
-	if len(c.Key) == 0 {
+func (c *Coordinator) authorize(change *Change, v *Version) (proposer string, err error) {
+	if len(change.Key) == 0 {
 		return "operators", nil
 	}
-	if len(c.Key) != ed25519.PublicKeySize || !ed25519.Verify(c.Key, c.signedBytes(), c.Sig) {
+	if len(change.Key) != ed25519.PublicKeySize || !ed25519.Verify(change.Key, change.signedBytes(), change.Sig) {
 		return "somebody", errBadSignature
 	}
-	if len(c.ID) < minSignedIDBytes {
+	if len(change.ID) < minSignedIDBytes {
 		return "somebody", errShortID
 	}
-	a, g, err := v.grantFor(c, k.wallMillis()/1000)
+	a, g, err := v.grantFor(change, c.wallMillis()/1000)
 	if err != nil {
-		return fmt.Sprintf("key %x", c.Key[:4]), err
+		return fmt.Sprintf("key %x", change.Key[:4]), err
 	}
 	return a.Name + ":" + g.Label, nil
 }
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -24,46 +24,46 @@
 }
 
 // encodeCheckpoint encodes a state of the coordinator; a nil staged version: none.
-func (k *Coordinator) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
-	c := checkpoint{Active: k.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
+func (c *Coordinator) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
+	stored := checkpoint{Active: c.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
 	if staged != nil {
-		c.Staged = k.versions.transfers.encode(staged, nil)
+		stored.Staged = c.versions.transfers.encode(staged, nil)
 	}
-	return c.encode()
+	return stored.encode()
 }
 
 // restore goes on from a checkpoint; an empty one is version 0.
-func (k *Coordinator) restore(data []byte) error {
-	k.versions.setActive(&Version{})
+func (c *Coordinator) restore(data []byte) error {
+	c.versions.setActive(&Version{})
 	if len(data) == 0 {
 		return nil
 	}
-	c, err := k.decodeCheckpoint(data)
+	stored, err := c.decodeCheckpoint(data)
 	if err != nil {
 		return fmt.Errorf("rules: what the keeper before left: %w", err)
 	}
-	k.audit.restore(c.AuditLog, k.versions.active.Number)
-	k.versions.history = c.History
+	c.audit.restore(stored.AuditLog, c.versions.active.Number)
+	c.versions.history = stored.History
 	return nil
 }
 
-func (k *Coordinator) decodeCheckpoint(data []byte) (c checkpoint, err error) {
-	if err := unmarshal(data, &c); err != nil {
-		return c, err
+func (c *Coordinator) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
+	if err := unmarshal(data, &stored); err != nil {
+		return stored, err
 	}
-	if len(c.Active) > 0 {
-		v, err := decodeVersion(c.Active, onlyBase(nil))
+	if len(stored.Active) > 0 {
+		v, err := decodeVersion(stored.Active, onlyBase(nil))
 		if err != nil {
-			return c, err
+			return stored, err
 		}
-		k.versions.setActive(v)
+		c.versions.setActive(v)
 	}
-	if len(c.Staged) > 0 {
-		v, err := decodeVersion(c.Staged, onlyBase(nil))
+	if len(stored.Staged) > 0 {
+		v, err := decodeVersion(stored.Staged, onlyBase(nil))
 		if err != nil {
-			return c, err
+			return stored, err
 		}
-		k.versions.stage(v, k.versions.stagedAt)
+		c.versions.stage(v, c.versions.stagedAt)
 	}
-	return c, nil
+	return stored, nil
 }
--- a/internal/fleet/rules/coordinator.go
+++ b/internal/fleet/rules/coordinator.go
@@ -30,55 +30,55 @@
 var _ jobs.Job = (*Coordinator)(nil)
 
 // Start goes on from the checkpoint that the coordinator before has left; an error says that it can't be read.
-func (k *Coordinator) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
-	k.owner = o
-	k.versions = versionStore{stagedAt: now}
-	k.leases = newLeaseTable(now, k.AgreeWithin)
-	k.proposals = proposalQueue{}
-	k.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
-	k.audit = auditLog{}
-	k.pending = pendingTransition{sequence: sequence}
-	return k.restore(left)
+func (c *Coordinator) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
+	c.owner = o
+	c.versions = versionStore{stagedAt: now}
+	c.leases = newLeaseTable(now, c.AgreeWithin)
+	c.proposals = proposalQueue{}
+	c.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
+	c.audit = auditLog{}
+	c.pending = pendingTransition{sequence: sequence}
+	return c.restore(left)
 }
 
 // Stop ends the coordinator's part. Whoever waits for an answer gets none: the outcome is not known.
-func (k *Coordinator) Stop() (sequence uint64, left []byte) {
-	left = k.encodeCheckpoint(k.versions.active, k.versions.staged, k.audit.staged, k.versions.history)
-	k.owner = nil
-	k.pending.sequence++
-	return k.pending.sequence, left
+func (c *Coordinator) Stop() (sequence uint64, left []byte) {
+	left = c.encodeCheckpoint(c.versions.active, c.versions.staged, c.audit.staged, c.versions.history)
+	c.owner = nil
+	c.pending.sequence++
+	return c.pending.sequence, left
 }
 
 // Step activates the staged version once nobody can act by another without having it, or abandons it; without one it stages what is proposed.
-func (k *Coordinator) Step(now Time) {
-	if k.owner == nil {
+func (c *Coordinator) Step(now Time) {
+	if c.owner == nil {
 		return
 	}
-	k.abortLate(now)
-	if k.pending.next != nil {
+	c.abortLate(now)
+	if c.pending.next != nil {
 		return
 	}
-	if k.versions.staged == nil {
-		k.stageProposals(now)
+	if c.versions.staged == nil {
+		c.stageProposals(now)
 		return
 	}
-	r := k.leases.readiness(k.versions.stagedHash, now)
+	r := c.leases.readiness(c.versions.stagedHash, now)
 	switch {
 	case r.faultReason != "":
-		k.abandon(now, fmt.Sprintf("refused: %s: %s", k.memberName(r.faultyPeer), r.faultReason))
-	case !r.all && now-k.versions.stagedAt > stagingLeases*k.AgreeWithin:
-		k.abandon(now, "refused: not everyone that holds a right has it ready")
-	case r.all && now >= k.leases.unknownUntil:
-		k.activate(now)
+		c.abandon(now, fmt.Sprintf("refused: %s: %s", c.memberName(r.faultyPeer), r.faultReason))
+	case !r.all && now-c.versions.stagedAt > stagingLeases*c.AgreeWithin:
+		c.abandon(now, "refused: not everyone that holds a right has it ready")
+	case r.all && now >= c.leases.unknownUntil:
+		c.activate(now)
 	}
 }
 
 // QueryReceived answers a query.
-func (k *Coordinator) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
-	if k.owner == nil || len(body) == 0 {
+func (c *Coordinator) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	if c.owner == nil || len(body) == 0 {
 		return
 	}
-	reply := func(text string) { k.owner.Reply(from, tag, []byte(text)) }
+	reply := func(text string) { c.owner.Reply(from, tag, []byte(text)) }
 	q, err := decodeQuery(body)
 	if err != nil {
 		if !errors.Is(err, errMalformedLease) {
@@ -88,25 +88,25 @@
 	}
 	switch q := q.(type) {
 	case *leaseQuery:
-		r := k.grantLease(now, from, q)
-		k.owner.Reply(from, tag, r.encode())
-		k.Step(now)
+		r := c.grantLease(now, from, q)
+		c.owner.Reply(from, tag, r.encode())
+		c.Step(now)
 	case proposalQuery:
-		k.propose(now, q.change, reply)
+		c.propose(now, q.change, reply)
 	case activeQuery:
-		reply(k.overview(now))
+		reply(c.overview(now))
 	case statusQuery:
-		reply(string(compress([]byte(k.status(now)))))
+		reply(string(compress([]byte(c.status(now)))))
 	case historyQuery:
-		reply(k.audit.text(q.about))
+		reply(c.audit.text(q.about))
 	case versionQuery:
-		reply(k.versionText(q.number))
+		reply(c.versionText(q.number))
 	}
 }
 
 // grantLease records what a member has, and grants it the lease to act by the active version.
-func (k *Coordinator) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
-	m, v := k.leases.member(from), &k.versions
+func (c *Coordinator) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
+	m, v := c.leases.member(from), &c.versions
 	m.ready, m.fault = Hash{}, ""
 	if v.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(v.stagedHash[:]) {
 		m.fault = q.Fault
@@ -126,32 +126,32 @@
 		}
 		r.Staged = v.transfers.encode(v.staged, base)
 	}
-	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, k.AgreeWithin)
+	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, c.AgreeWithin)
 	return r
 }
 
 // notifyMembers has every member ask for its lease at once.
-func (k *Coordinator) notifyMembers() {
-	for _, m := range k.owner.Members() {
+func (c *Coordinator) notifyMembers() {
+	for _, m := range c.owner.Members() {
 		if m.Present {
-			k.owner.SendEffect(m.Peer, k.pending.sequence, []byte{1})
+			c.owner.SendEffect(m.Peer, c.pending.sequence, []byte{1})
 		}
 	}
 }
 
 // EffectAcknowledged does nothing: a member that was notified asks by itself.
-func (k *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
+func (c *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
 // ApplyEffect is the receiver's part of the job.
-func (k *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
-	if k.Notified != nil {
-		k.Notified(now)
+func (c *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
+	if c.Notified != nil {
+		c.Notified(now)
 	}
 }
 
-func (k *Coordinator) wallMillis() int64 {
-	if k.Wall == nil {
+func (c *Coordinator) wallMillis() int64 {
+	if c.Wall == nil {
 		return 0
 	}
-	return k.Wall()
+	return c.Wall()
 }
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -69,53 +69,53 @@
 }
 
 // propose takes a change. What is wrong with it by itself is answered at once, and takes nobody's time but the coordinator's.
-func (k *Coordinator) propose(now Time, c *Change, reply func(string)) {
-	if k.isRetry(now, c, reply) {
+func (c *Coordinator) propose(now Time, change *Change, reply func(string)) {
+	if c.isRetry(now, change, reply) {
 		return
 	}
-	if !k.limiter.allow(now, c, k.versions.active) {
-		reply(fmt.Sprintf("refused: more changes of %s a minute than it may have, ask again in some seconds", c.subject()))
+	if !c.limiter.allow(now, change, c.versions.active) {
+		reply(fmt.Sprintf("refused: more changes of %s a minute than it may have, ask again in some seconds", change.subject()))
 		return
 	}
 	reject := func(proposer, reason string) {
-		k.audit.reject(c, proposer, reason)
+		c.audit.reject(change, proposer, reason)
 		reply("refused: " + reason)
 	}
-	if k.proposals.bySubject(c.subject()) != nil {
-		reject("", fmt.Sprintf("another change of %s is on its way, ask again", c.subject()))
+	if c.proposals.bySubject(change.subject()) != nil {
+		reject("", fmt.Sprintf("another change of %s is on its way, ask again", change.subject()))
 		return
 	}
-	proposer, err := k.authorize(c, k.versions.active)
+	proposer, err := c.authorize(change, c.versions.active)
 	if err != nil {
 		reject(proposer, err.Error())
 		return
 	}
-	v, err := k.versions.active.Apply(c, k.versions.byNumber)
+	v, err := c.versions.active.Apply(change, c.versions.byNumber)
 	switch {
 	case err != nil:
 		reject(proposer, err.Error())
-	case k.versions.staged == nil && equalIgnoringNumbers(v, k.versions.active):
-		reply(k.summary(now)) // it holds already
-	case len(k.proposals.waiting) >= maxWaitingProposals:
+	case c.versions.staged == nil && equalIgnoringNumbers(v, c.versions.active):
+		reply(c.summary(now)) // it holds already
+	case len(c.proposals.waiting) >= maxWaitingProposals:
 		reply("refused: too many changes are on their way, ask again")
 	default:
-		k.proposals.waiting = append(k.proposals.waiting, &proposal{Change: c, proposer: proposer, reply: reply, alone: c.Kind == KindRollback})
-		k.Step(now)
+		c.proposals.waiting = append(c.proposals.waiting, &proposal{Change: change, proposer: proposer, reply: reply, alone: change.Kind == KindRollback})
+		c.Step(now)
 	}
 }
 
 // isRetry handles a change that was proposed before: whoever has heard no answer asks again, which is applied once and costs no tokens.
-func (k *Coordinator) isRetry(now Time, c *Change, reply func(string)) bool {
-	if p := k.proposals.byID(c.ID); p != nil {
+func (c *Coordinator) isRetry(now Time, change *Change, reply func(string)) bool {
+	if p := c.proposals.byID(change.ID); p != nil {
 		p.reply = reply
 		return true
 	}
-	if e := findEntry(k.audit.active, c.ID); e != nil && (k.versions.staged == nil || !k.versions.active.transitional()) {
-		reply(k.summaryOfChange(now, e))
+	if e := findEntry(c.audit.active, change.ID); e != nil && (c.versions.staged == nil || !c.versions.active.transitional()) {
+		reply(c.summaryOfChange(now, e))
 		return true
 	}
-	if k.versions.staged != nil && findEntry(k.audit.staged, c.ID) != nil { // staged by a coordinator before this one
-		k.proposals.staged = append(k.proposals.staged, &proposal{Change: c, reply: reply})
+	if c.versions.staged != nil && findEntry(c.audit.staged, change.ID) != nil { // staged by a coordinator before this one
+		c.proposals.staged = append(c.proposals.staged, &proposal{Change: change, reply: reply})
 		return true
 	}
 	return false
@@ -123,40 +123,40 @@
 
 // stageProposals makes one version of all changes that wait, so that one customer's change waits for nobody else's. After a transitional version
 // of a coordinator before this one it stages what follows that.
-func (k *Coordinator) stageProposals(now Time) {
-	if k.versions.active.transitional() {
-		k.stageReassigned(now, nil)
+func (c *Coordinator) stageProposals(now Time) {
+	if c.versions.active.transitional() {
+		c.stageReassigned(now, nil)
 		return
 	}
-	for len(k.proposals.waiting) > 0 {
-		s := k.applyRound(now, k.proposals.nextRound())
+	for len(c.proposals.waiting) > 0 {
+		s := c.applyRound(now, c.proposals.nextRound())
 		if len(s.proposals) == 0 {
 			continue
 		}
-		if reassigns(k.versions.active, s.version) {
-			s.version.Directory.Previous = ownersFrame(k.versions.active)
+		if reassigns(c.versions.active, s.version) {
+			s.version.Directory.Previous = ownersFrame(c.versions.active)
 		}
 		if err := s.version.finish(); err != nil {
 			replyAll(s.proposals, "refused: "+err.Error())
 			return
 		}
-		k.stage(s)
+		c.stage(s)
 		return
 	}
 }
 
 // applyRound applies each proposal that is still allowed: what was revoked since it came, or changed by another, is rejected.
-func (k *Coordinator) applyRound(now Time, round []*proposal) *staging {
-	s := &staging{startedAt: now, version: k.versions.active.next(), audit: k.audit.active}
+func (c *Coordinator) applyRound(now Time, round []*proposal) *staging {
+	s := &staging{startedAt: now, version: c.versions.active.next(), audit: c.audit.active}
 	for _, p := range round {
-		proposer, err := k.authorize(p.Change, s.version)
+		proposer, err := c.authorize(p.Change, s.version)
 		next := s.version.next()
 		next.Number = s.version.Number
 		if err == nil {
-			err = next.apply(k.versions.active, p.Change, k.versions.byNumber)
+			err = next.apply(c.versions.active, p.Change, c.versions.byNumber)
 		}
 		if err != nil {
-			k.audit.reject(p.Change, p.proposer, err.Error())
+			c.audit.reject(p.Change, p.proposer, err.Error())
 			p.reply("refused: " + err.Error())
 			continue
 		}
@@ -164,7 +164,7 @@
 			next.Directory = &namespace.Directory{}
 		}
 		s.version, s.proposals = next, append(s.proposals, p)
-		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: p.ID, Who: proposer, What: p.subject(), Wall: k.wallMillis()})
+		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: p.ID, Who: proposer, What: p.subject(), Wall: c.wallMillis()})
 	}
 	return s
 }
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -16,33 +16,33 @@
 }
 
 // begin has the group store a state, and the transition to it wait for that.
-func (k *Coordinator) begin(now Time, state []byte, t transition) {
-	k.pending.sequence++
-	k.pending.next, k.pending.startedAt = t, now
-	if err := k.owner.StoreCheckpoint(k.pending.sequence, state); err != nil {
-		k.pending.next = nil
-		t.abort(k)
+func (c *Coordinator) begin(now Time, state []byte, t transition) {
+	c.pending.sequence++
+	c.pending.next, c.pending.startedAt = t, now
+	if err := c.owner.StoreCheckpoint(c.pending.sequence, state); err != nil {
+		c.pending.next = nil
+		t.abort(c)
 	}
 }
 
 // CheckpointStored commits or aborts the pending transition.
-func (k *Coordinator) CheckpointStored(now Time, sequence uint64, stored bool) {
-	if t := k.pending.next; t != nil && sequence == k.pending.sequence {
-		k.pending.next = nil
+func (c *Coordinator) CheckpointStored(now Time, sequence uint64, stored bool) {
+	if t := c.pending.next; t != nil && sequence == c.pending.sequence {
+		c.pending.next = nil
 		if stored {
-			t.commit(k)
+			t.commit(c)
 		} else {
-			t.abort(k)
+			t.abort(c)
 		}
 	}
-	k.Step(now)
+	c.Step(now)
 }
 
 // abortLate aborts a transition that the group has not answered for: the answer may be lost.
-func (k *Coordinator) abortLate(now Time) {
-	if t := k.pending.next; t != nil && now-k.pending.startedAt > k.AgreeWithin {
-		k.pending.next = nil
-		t.abort(k)
+func (c *Coordinator) abortLate(now Time) {
+	if t := c.pending.next; t != nil && now-c.pending.startedAt > c.AgreeWithin {
+		c.pending.next = nil
+		t.abort(c)
 	}
 }
 
@@ -54,9 +54,9 @@
 	proposals []*proposal
 }
 
-func (k *Coordinator) stage(s *staging) {
-	k.proposals.staged = s.proposals
-	k.begin(s.startedAt, k.encodeCheckpoint(k.versions.active, s.version, s.audit, k.versions.history), s)
+func (c *Coordinator) stage(s *staging) {
+	c.proposals.staged = s.proposals
+	c.begin(s.startedAt, c.encodeCheckpoint(c.versions.active, s.version, s.audit, c.versions.history), s)
 }
 
 func (s *staging) commit(k *Coordinator) {
@@ -77,9 +77,9 @@
 	history   [][]byte
 }
 
-func (k *Coordinator) activate(now Time) {
-	a := &activation{now, k.versions.historyAfter(k.versions.staged)}
-	k.begin(now, k.encodeCheckpoint(k.versions.staged, nil, k.audit.staged, a.history), a)
+func (c *Coordinator) activate(now Time) {
+	a := &activation{now, c.versions.historyAfter(c.versions.staged)}
+	c.begin(now, c.encodeCheckpoint(c.versions.staged, nil, c.audit.staged, a.history), a)
 }
 
 func (a *activation) commit(k *Coordinator) {
@@ -103,10 +103,10 @@
 func (a *activation) abort(*Coordinator) {}
 
 // stageReassigned follows a transitional version, by which nobody uses what was reassigned, with one that gives it to its new owner.
-func (k *Coordinator) stageReassigned(now Time, proposals []*proposal) {
-	v := k.versions.active.next()
+func (c *Coordinator) stageReassigned(now Time, proposals []*proposal) {
+	v := c.versions.active.next()
 	if err := v.finish(); err == nil {
-		k.stage(&staging{now, v, k.audit.active, proposals})
+		c.stage(&staging{now, v, c.audit.active, proposals})
 	}
 }
 
@@ -116,9 +116,9 @@
 	reason    string
 }
 
-func (k *Coordinator) abandon(now Time, reason string) {
-	state := k.encodeCheckpoint(k.versions.active, nil, k.audit.active, k.versions.history)
-	k.begin(now, state, &abandonment{k.proposals.staged, reason})
+func (c *Coordinator) abandon(now Time, reason string) {
+	state := c.encodeCheckpoint(c.versions.active, nil, c.audit.active, c.versions.history)
+	c.begin(now, state, &abandonment{c.proposals.staged, reason})
 }
 
 // commit rejects a single proposal; of several each is tried once more by itself, so that one that can't be used holds up no other.
