--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -209,11 +209,6 @@
 
 func addressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// redirect has discovery be another service. It may be called on any goroutine.
-func (p *process) redirect(discovery string) {
-	p.loop.Post(func() { p.discovery.Redirect(discovery) })
-}
-
 // shutDown ends the process in order. It may be called on any goroutine.
 func (p *process) shutDown() {
 	p.loop.Post(func() {
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -76,8 +76,8 @@
 }
 
 // HostSuspended applies a suspension, or its end, that the other process was told.
-func (e partnerEvents) HostSuspended(id string, out bool) {
-	e.core.HostSuspendedElsewhere(id, out)
+func (e partnerEvents) HostSuspended(id string, suspended bool) {
+	e.core.HostSuspendedElsewhere(id, suspended)
 	if e.restart.phase == serving {
 		e.save(nil)
 	}
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/proxy"
 )
 
@@ -20,9 +19,9 @@
 func (p *process) save(done func()) { p.restart.store.Save(p.snapshot(false), done) }
 
 // HostSuspended stores a host's suspension, or its end, and passes it on. done is called once, also where the disk hangs.
-func (p *process) HostSuspended(id string, out bool, done func()) {
+func (p *process) HostSuspended(id string, suspended bool, done func()) {
 	if p.restart.partner != nil {
-		p.restart.partner.HostSuspended(id, out)
+		p.restart.partner.HostSuspended(id, suspended)
 	}
 	if p.restart.phase != serving {
 		done() // the file is the other process's, and it has been told
@@ -68,16 +67,3 @@
 func (p *process) Accepts() bool {
 	return p.restart.partner != nil && p.restart.isOld && p.restart.phase == handedOver
 }
-
-// listReceived applies a watch event, and takes a list for the sign that discovery speaks to this process.
-func (p *process) listReceived(ch proxy.Change) {
-	p.core.ListReceived(ch)
-	if ch.Kind == balancer.ListFailed {
-		return
-	}
-	p.becomeTakingOver()
-	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 { // also before it has taken over: this one may be gone by then
-		s := p.snapshot(false)
-		p.restart.partner.ListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
-	}
-}
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -53,17 +53,38 @@
 	Load      []float64 // the host's load report, if one came
 }
 
-// AttemptEnded takes how an attempt ended.
+// AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is placed
+// again.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
 	r := b.requests[result.RequestID]
 	if r == nil || !r.attemptInFlight || result.Attempt != r.attempts-1 {
 		return
 	}
+	wasEstablished := r.established
+	b.recordAttemptEnd(r, result)
+	if result.Closed || r.closed || wasEstablished {
+		delete(b.requests, r.ID)
+		if !result.Closed && !r.closed {
+			// The end of a connection closes its request; where its answer is still owed, it is given.
+			r.closed = true
+			b.effects.Fail(r.ID)
+		}
+		return
+	}
+	if result.Status == TooLate {
+		b.reject(r)
+		return
+	}
+	b.place(r)
+}
+
+// recordAttemptEnd updates what is known of the request, its host and the fleet's traffic.
+func (b *Balancer) recordAttemptEnd(r *request, result AttemptResult) {
 	h, wasEstablished := r.host, r.established
 	b.loadReported(h, result.Load)
 	if wasEstablished && result.Status == OK {
-		b.traffic.connectionEnded(now, b.costs.turns(r.cost))
+		b.traffic.connectionEnded(b.now, b.costs.turns(r.cost))
 	}
 	b.connectionEnded(r)
 	r.attemptInFlight = false
@@ -80,23 +101,9 @@
 		// dropped clients come straight back to it.
 		b.messagesDelayed(h, 1)
 	}
-	if result.Closed || r.closed || wasEstablished {
-		delete(b.requests, r.ID)
-		if !result.Closed && !r.closed {
-			// The end of a connection closes its request; without word of it, answer.
-			r.closed = true
-			b.effects.Fail(r.ID)
-		}
-		return
-	}
-	if result.Status == TooLate {
-		b.reject(r)
-		return
-	}
-	b.place(r)
 }
 
-// setupEnded takes in how an attempt without a connection ended.
+// setupEnded updates the rules' state after an attempt without a connection.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -54,7 +54,7 @@
 	redirectedAt   int64 // when address last changed, until it has answered; 0: it has
 	retry          *netio.Timer
 	watching       bool  // the watch goes on
-	firstAnswerDue bool  // its first answer is awaited, which is told even if it is empty
+	firstAnswerDue bool  // its first answer is awaited, which is passed on even if it is empty
 	watch          *call // the call under way
 	// reopened: the watch has been opened anew since it fell silent, and nothing has come since.
 	reopened    bool
@@ -72,15 +72,15 @@
 	Notify   func(proxy.Change)
 }
 
-// NewClient makes a client. It asks for nothing until it is told to.
+// NewClient makes a client. It calls discovery only once Follow, WatchList or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
 	hold := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.Sharing)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: hold, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
-// Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on and without being asked:
-// the module asks only where lists come to those who ask. A call that fails is made again at once, and is no failure told: the
-// agent is silent while discovery is, and the list held stays the best there is.
+// Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
+// not ask for it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the list held
+// stays the best there is.
 func (c *Client) Follow() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
@@ -107,10 +107,9 @@
 	c.callWatch()
 }
 
-// Redirect has the client ask another address from now on. What is under way at the old one is dropped without a word:
-// that it ends its connections is no failure of the new one's. The versions of two services need not be comparable, and a
-// watch from a version that the new one has not come to would hear nothing; so the whole list is asked for first. That
-// happens at once, also while the module waits before it asks again.
+// Redirect has the client call another address from now on. Calls under way at the old one are dropped and not reported as
+// failures of the new one. The versions of two services need not be comparable, and a watch from a version that the new one has
+// not reached would get no answer; so the whole list is fetched first, at once, also while the decision module backs off.
 func (c *Client) Redirect(addr string) {
 	if addr == c.address {
 		return
@@ -143,27 +142,11 @@
 		} else {
 			c.silentCalls = 0
 		}
-		if err != nil && (c.followsAgent || c.redirectedAt > 0 && c.loop.Now()-c.redirectedAt < int64(redirectSettleTime)) {
-			c.logFailure(err)
-			pause := redirectRetryPause
-			if c.followsAgent {
-				pause = agentRetryPause
-			}
-			c.retry = c.loop.After(pause, c.callWatch)
-			return
-		}
-		if errors.Is(err, errSilent) && !c.reopened {
-			c.logFailure(err)
-			c.reopen()
-			return
-		}
-		c.reopened = false
 		if err != nil {
-			// The module decides when to ask again; it backs off.
-			c.watching = false
-			c.reportFailure(err)
+			c.watchFailed(err)
 			return
 		}
+		c.reopened = false
 		c.callWatch()
 		if c.firstAnswerDue || len(ch.Hosts) > 0 || ch.Kind == balancer.ListFull {
 			c.firstAnswerDue = false
@@ -172,6 +155,28 @@
 	})
 }
 
+// watchFailed repeats a failed call of the watch where this client decides when, or ends the watch and reports the failure.
+func (c *Client) watchFailed(err error) {
+	switch {
+	case c.followsAgent:
+		c.retryWatch(agentRetryPause, err)
+	case c.redirectedAt > 0 && c.loop.Now()-c.redirectedAt < int64(redirectSettleTime):
+		c.retryWatch(redirectRetryPause, err)
+	case errors.Is(err, errSilent) && !c.reopened:
+		c.logFailure(err)
+		c.reopen()
+	default:
+		c.reopened = false
+		c.watching = false // the decision module asks again, with a backoff
+		c.reportFailure(err)
+	}
+}
+
+func (c *Client) retryWatch(pause time.Duration, err error) {
+	c.logFailure(err)
+	c.retry = c.loop.After(pause, c.callWatch)
+}
+
 // fullListTimeout is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
 // large that it does not come in time, the next call has twice as long.
 func (c *Client) fullListTimeout() time.Duration {
@@ -181,9 +186,9 @@
 	return min(fullListTimeout, c.answerTimeout<<min(c.silentCalls, 6))
 }
 
-// reopen opens a watch that has fallen silent anew, at once: what it has missed counts as told soon, while the module's own
-// pause grows with the fleet. The calls of a fleet fall silent each at its own time, so discovery is not asked by all together.
-// A connection at rest may be as dead as the one that was used. Should the new call fail too, the module is told.
+// reopen repeats the call of a silent watch at once, since the decision module's pause grows with the fleet, while the list is
+// due soon. The watches of a fleet fall silent at different times, so that their calls do not come together. The idle connection
+// may be as dead as the one that was used. A second failure is reported.
 func (c *Client) reopen() {
 	c.reopened = true
 	c.closeIdle()
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -19,7 +19,7 @@
 	// TakenOver brings what the partner knew as it stopped accepting clients; s may be nil.
 	TakenOver(s *proxy.Snapshot)
 	// HostSuspended brings a host's suspension or its end.
-	HostSuspended(id string, out bool)
+	HostSuspended(id string, suspended bool)
 	// ListChanged brings an endpoint list that the partner has received since.
 	ListChanged(s *proxy.Snapshot)
 	// Sessions brings how many downstreams the partner holds.
@@ -175,7 +175,9 @@
 func (p *Partner) TakeOver() { p.send(takeOver{}) }
 
 // HostSuspended passes a host's suspension, or its end, on.
-func (p *Partner) HostSuspended(id string, out bool) { p.send(hostSuspended{hostID: id, out: out}) }
+func (p *Partner) HostSuspended(id string, suspended bool) {
+	p.send(hostSuspended{hostID: id, out: suspended})
+}
 
 // ListChanged passes on what discovery has told of hosts: the two processes are one proxy, and what one knows the other must know.
 func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -12,7 +12,7 @@
 // Successor is notified of what must outlive this process.
 type Successor interface {
 	// HostSuspended brings a suspension or its end; done is called on the loop once it is stored, or cannot be.
-	HostSuspended(id string, out bool, done func())
+	HostSuspended(id string, suspended bool, done func())
 	// ListChanged says that the endpoint list has changed.
 	ListChanged()
 	// HandOver hands an open connection to the next process; migrationLine is for its client should that fail. done is called on the
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -8,36 +8,36 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// Suspend has nothing more go to a host from now on (out), or ends that; twice is as once. done hears, on the loop, whether any list has
+// Suspend has nothing more go to a host from now on (suspended), or ends that; twice is as once. done hears, on the loop, whether any list has
 // ever named the host.
-func (c *Core) Suspend(id string, out bool, done func(known bool)) {
+func (c *Core) Suspend(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
 		done(false)
 		return
 	}
-	c.applySuspension(id, out)
+	c.applySuspension(id, suspended)
 	if c.handover.successor == nil {
 		done(true)
 		return
 	}
 	// It holds here from now on; done waits until it would survive this process. The other process is notified also where nothing
 	// changed here: the call before may have gone to the one that knew less.
-	c.handover.successor.HostSuspended(id, out, func() { done(true) })
+	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
 }
 
 // HostSuspendedElsewhere applies a suspension, or its end, that the other process of this proxy was told.
-func (c *Core) HostSuspendedElsewhere(id string, out bool) { c.applySuspension(id, out) }
+func (c *Core) HostSuspendedElsewhere(id string, suspended bool) { c.applySuspension(id, suspended) }
 
 // applySuspension has a host's suspension, or its end, take effect.
-func (c *Core) applySuspension(id string, out bool) {
+func (c *Core) applySuspension(id string, suspended bool) {
 	s := c.hosts.suspensions
 	before, was := s.Suspension(id), s.Suspended(id)
-	if !s.Set(id, out, c.loop.Now()) {
+	if !s.Set(id, suspended, c.loop.Now()) {
 		return
 	}
-	slog.Info("host_suspended", "host", id, "out", out)
+	slog.Info("host_suspended", "host", id, "out", suspended)
 	if s.Suspended(id) != was {
-		c.suspensionChanged(id, out, before)
+		c.suspensionChanged(id, suspended, before)
 	}
 }
 
@@ -49,26 +49,26 @@
 		before[id] = s.Suspension(id)
 	}
 	for _, id := range s.SetFleet(ids, c.loop.Now()) {
-		out := s.Suspended(id)
-		slog.Info("host_suspended", "host", id, "out", out, "fleet", true)
-		c.suspensionChanged(id, out, before[id])
+		suspended := s.Suspended(id)
+		slog.Info("host_suspended", "host", id, "out", suspended, "fleet", true)
+		c.suspensionChanged(id, suspended, before[id])
 	}
 }
 
 // suspensionChanged treats a host as suspended, or as back. ended is the suspension that a host comes back from.
-func (c *Core) suspensionChanged(id string, out bool, ended maintenance.Suspension) {
+func (c *Core) suspensionChanged(id string, suspended bool, ended maintenance.Suspension) {
 	h := c.hosts.byID[id]
 	if h == nil || h.listed.State == balancer.Removed {
 		return // it takes effect with the next list that names the host
 	}
 	h.state = c.hosts.effectiveState(h.listed)
 	e := h.effectiveEntry()
-	if !out {
+	if !suspended {
 		e.StartedAt = c.startAfterSuspension(h, ended, e.StartedAt)
 	}
 	c.maintenanceChanged(h.pool, e)
 	c.clearUnusableHosts()
-	if out {
+	if suspended {
 		for r := range h.established {
 			c.migrateOffHost(h, r)
 		}
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -23,7 +23,7 @@
 	Metrics() []byte
 	// Suspend has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
 	// with false at once where no list has ever named the host.
-	Suspend(id string, out bool, done func(known bool))
+	Suspend(id string, suspended bool, done func(known bool))
 }
 
 // Server takes operators' calls. It belongs to the event loop.
