--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -53,8 +53,8 @@
 	Load      []float64 // the host's load report, if one came
 }
 
-// AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is placed
-// again.
+// AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is
+// placed again.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
 	r := b.requests[result.RequestID]
