--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// partnerEvents hears the other process. What a former partner still sends counts for nothing.
+// partnerEvents handles the messages of the other process. Those of a former partner that would change the phase or the list are ignored
+// (isCurrent); suspensions and connections are taken whoever sends them.
 type partnerEvents struct {
 	*process
 	partner *hotrestart.Partner
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -27,8 +27,8 @@
 	evidence     setupEvidence
 }
 
-// newEjection derives the durations that the settings leave open. A first ejection outlasts every request
-// that saw the failure, so that none meets it twice.
+// newEjection derives the durations that the settings leave open. Before jitter, which may halve it, the
+// first ejection is as long as the longest deadline.
 func newEjection(cfg *Config) (ejection, error) {
 	longestDeadline := Time(0)
 	for _, c := range cfg.Classes {
@@ -113,8 +113,9 @@
 	h.deficit = min(h.deficit, 0) // no turns are owed for the time of the ejection
 }
 
-// hostFailed ejects a host that failed an attempt sent at sentAt: for the initial period, doubled by each
-// consecutive failure up to the cap. proven is false for a timeout, which may be no fault of the host's.
+// hostFailed ejects a host that failed an attempt sent at sentAt: for a random half to whole of period, which
+// consecutive failures double, unless most of the zone fails. proven is false for a timeout, which may be no
+// fault of the host's.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// HostState is what discovery says of a host.
+// HostState says what a placement may do with a host: by discovery, by an operator's suspension, or by
+// another proxy's watermark, which reads as Draining.
 type HostState int
 
 // The states of a host.
@@ -144,7 +145,7 @@
 	h := b.byID[e.ID]
 	if h == nil {
 		h = &host{hostID: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
-		h.slowStart = tokenBucket{tokens: b.slowStartStagger(h), filledAt: b.now}
+		h.slowStart = slowStartBudget{tokens: b.slowStartStagger(h), filledAt: b.now}
 		// A place of its own in the rotation, no later than most.
 		h.deficit = 0.5 - h.slowStart.tokens
 		b.add(h)
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -10,7 +10,7 @@
 	weight     float64 // above 0
 	startedAt  Time    // its latest start; 0: long past
 	state      HostState
-	listed     bool // in the list that is being read
+	listed     bool // named by the last whole list, or by a change since
 
 	connections []*request // open ones that this balancer placed
 	load        float64    // of these, in the unit of Request.ExpectedLoad
@@ -20,13 +20,14 @@
 	fullUntil   Time // it has said that it is full
 	errors      errorScore
 	messages    messageDelay
-	slowStart   tokenBucket
+	slowStart   slowStartBudget
 	reported    loadestimate.Host
 	healthCheck healthCheckState
 }
 
-// restarted forgets what was held against the process before: else a host that came back would be shunned for
-// the rest of the old one's ejection.
+// restarted forgets the failures of the process before: else a host that came back would stay ejected for the
+// rest of that time. It ends an ejection without reporting HostReadmitted, and is also called as an operator's
+// suspension ends.
 func (h *host) restarted(now, startedAt Time, tokens float64) {
 	h.startedAt = startedAt
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
@@ -34,7 +35,7 @@
 	h.messages.delay = 0
 	h.reported.Reset()
 	h.fullUntil = 0
-	h.slowStart = tokenBucket{tokens: tokens, filledAt: now}
+	h.slowStart = slowStartBudget{tokens: tokens, filledAt: now}
 	h.deficit = min(h.deficit, 0)
 }
 
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -4,7 +4,7 @@
 //
 //  1. admission: a known class, an ID of its own                      admit
 //  2. traffic: what its kind tells of the rate of requests             traffic.arrived
-//  3. load shedding: rejected while hosts are stalled                  shed
+//  3. load shedding: marked, for a warming host or rejection in 9      shed
 //  4. attempts and time left for one                                   place
 //  5. idempotency: may it run twice                                    retryForbidden
 //  6. retry storm: its attempt is delayed                              waitsForRetryStorm
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -4,7 +4,7 @@
 const queueInterval = 20e6
 
 // requestQueue holds requests for a moment: a warming fleet, or one that is still unknown, may serve them
-// soon.
+// soon. Requests that a retry storm delays, or that wait for the ledger's reply, are in it too.
 type requestQueue struct {
 	waiting  []*request
 	timerSet bool
@@ -13,7 +13,7 @@
 // queueEntry is a request's place in the queue.
 type queueEntry struct {
 	queued    bool
-	rejectAt  Time // 0: not set. In time for its client to come back while that still helps
+	rejectAt  Time // half of the time left when it was first queued, for the client to retry in; 0: not set
 	notBefore Time // no attempt before; 0: at once
 }
 
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -18,7 +18,7 @@
 )
 
 // tokenBucket is the budget of a warming host at one balancer, in mean connections.
-type tokenBucket struct {
+type slowStartBudget struct {
 	tokens   float64
 	filledAt Time
 }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -91,7 +91,7 @@
 	h.errors = errorScore{score: min(1, k.Ill), updatedAt: k.IllAt}
 	h.messages.delay, h.messages.observedAt = k.Delay, k.DelayAt
 	h.fullUntil = k.Passed
-	h.slowStart = tokenBucket{tokens: max(0, k.Tokens), filledAt: max(k.TokensAt, k.Since)}
+	h.slowStart = slowStartBudget{tokens: max(0, k.Tokens), filledAt: max(k.TokensAt, k.Since)}
 }
 
 func inPast(now Time, times ...Time) bool {
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -128,15 +128,16 @@
 	}
 }
 
-// acceptAnswer makes an answer's version the one held. Of two calls that are out at once the older answer may come last: it tells nothing
-// then, or it would undo what is held. A service that begins its versions anew answers a call made from the version held.
+// acceptAnswer makes an answer's version the one held, and returns the change to apply.
 func (c *Client) acceptAnswer(q *call, ch proxy.Change) proxy.Change {
 	c.redirectedAt = 0
 	switch {
 	case ch.Version < c.revision && q.fromRevision != c.revision:
+		// An older answer, overtaken by that of another call: it must not undo what is held.
 		return proxy.Change{Kind: balancer.ListDelta, Version: c.revision}
 	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
-		c.revision = noRevision // a difference from a version of another numbering: the whole list is asked for next
+		// The service numbers its versions anew, and sent a difference only: the whole list is fetched next.
+		c.revision = noRevision
 	default:
 		c.revision = ch.Version
 	}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -58,8 +58,8 @@
 	watch          *call // the call under way
 	// reopened: the watch has been opened anew since it fell silent, and nothing has come since.
 	reopened    bool
-	silentCalls int // calls of the watch in a row that got no answer
-	fetch       *call
+	silentCalls int         // calls of the watch in a row that got no answer
+	fetch       *call       // the call for the whole list under way; nil: none
 	idle        *netio.Conn // a connection whose last response is complete
 	lastFailure string
 }
@@ -72,10 +72,10 @@
 	Notify   func(proxy.Change)
 }
 
-// NewClient makes a client. It calls discovery only once Follow, WatchList or FetchList is called.
+// NewClient makes a client. It calls discovery only once Follow, WatchList, Redirect or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
-	hold := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.Sharing)*watchTimeoutPerProxy))
-	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: hold, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
+	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.Sharing)*watchTimeoutPerProxy))
+	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
@@ -107,7 +107,7 @@
 	c.callWatch()
 }
 
-// Redirect has the client call another address from now on. Calls under way at the old one are dropped and not reported as
+// Redirect has the client call another address from now on, and begins the watch there. Calls under way at the old one are dropped and not reported as
 // failures of the new one. The versions of two services need not be comparable, and a watch from a version that the new one has
 // not reached would get no answer; so the whole list is fetched first, at once, also while the decision module backs off.
 func (c *Client) Redirect(addr string) {
@@ -133,7 +133,7 @@
 func (c *Client) callWatch() {
 	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
-		target, within = hostsPath, c.fullListTimeout()
+		target, within = hostsPath, c.fullListWait()
 	}
 	c.watch = c.startCall(target, within, func(ch proxy.Change, err error) {
 		c.watch = nil
@@ -177,9 +177,9 @@
 	c.retry = c.loop.After(pause, c.callWatch)
 }
 
-// fullListTimeout is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
+// fullListWait is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
 // large that it does not come in time, the next call has twice as long.
-func (c *Client) fullListTimeout() time.Duration {
+func (c *Client) fullListWait() time.Duration {
 	if !c.followsAgent {
 		return fullListTimeout
 	}
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -4,7 +4,8 @@
 // A handshake costs far more CPU than a relayed line, and a drain brings many at once. The budget bounds the CPU that they
 // take from established connections (a share of a core), the full handshakes a second of one host and of all, and how many
 // are in flight. Hosts take turns, so that a slow or popular one delays no other. A handshake that can't be done before its
-// deadline is refused at once, while the caller still has time for another host.
+// deadline is refused by Enqueue at once, while the caller still has time for another host, or given up by Next if it becomes
+// too late while it waits.
 package handshake
 
 import (
@@ -44,8 +45,8 @@
 const (
 	initialCPU      = float64(700 * time.Microsecond)
 	initialDuration = float64(3 * time.Millisecond) // until there are samples
-	// costGain is the weight of a new sample in the means.
-	costGain = 0.1
+	// meanGain is the weight of a new sample in the means, without a unit.
+	meanGain = 0.1
 	// maxCPUSample and maxDurationSample bound one sample: a suspended machine must not spoil the means.
 	maxCPUSample      = float64(20 * time.Millisecond)
 	maxDurationSample = float64(500 * time.Millisecond)
@@ -124,9 +125,9 @@
 		b.removeIfIdle(h)
 		return NoTime
 	}
-	e := &request{requestID: id, host: h, resumed: resumed, deadline: deadline}
-	b.waiting[id] = e
-	h.queue = append(h.queue, e)
+	r := &request{requestID: id, host: h, resumed: resumed, deadline: deadline}
+	b.waiting[id] = r
+	h.queue = append(h.queue, r)
 	if !h.inRotation {
 		h.inRotation = true
 		b.rotation = append(b.rotation, h)
@@ -170,25 +171,25 @@
 
 // Drop removes a request that waits. One that has begun must be ended by Done.
 func (b *Budget) Drop(id uint64) {
-	e := b.waiting[id]
-	if e == nil {
+	r := b.waiting[id]
+	if r == nil {
 		return
 	}
 	delete(b.waiting, id)
-	b.unqueue(e)
+	b.unqueue(r)
 }
 
-func (b *Budget) unqueue(e *request) {
-	q := e.host.queue
+func (b *Budget) unqueue(r *request) {
+	q := r.host.queue
 	for i := range q {
-		if q[i] == e {
+		if q[i] == r {
 			copy(q[i:], q[i+1:])
 			q[len(q)-1] = nil
-			e.host.queue = q[:len(q)-1]
+			r.host.queue = q[:len(q)-1]
 			break
 		}
 	}
-	b.removeIfIdle(e.host)
+	b.removeIfIdle(r.host)
 }
 
 // removeIfIdle takes a host without requests that wait out of the rotation.
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -105,24 +105,24 @@
 // Done ends a handshake that has begun: whether a session was in fact resumed, the CPU it took on this side, and whether
 // it succeeded. One that was expected to resume a session and did not is charged as a full one.
 func (b *Budget) Done(now int64, id uint64, resumed bool, cpu time.Duration, ok bool) {
-	e := b.inFlight[id]
-	if e == nil {
+	r := b.inFlight[id]
+	if r == nil {
 		return
 	}
 	delete(b.inFlight, id)
-	e.host.inFlight--
+	r.host.inFlight--
 	b.refill(now)
-	e.host.rate.refill(now)
+	r.host.rate.refill(now)
 	spent := math.Min(math.Max(float64(cpu), 0), maxCPUSample)
-	b.cpu.tokens = math.Min(b.cpu.capacity, b.cpu.tokens+e.chargedCPU-spent)
-	if more := b.weight(resumed) - b.weight(e.resumed); more != 0 {
-		e.host.rate.tokens = math.Min(e.host.rate.capacity, e.host.rate.tokens-more)
+	b.cpu.tokens = math.Min(b.cpu.capacity, b.cpu.tokens+r.chargedCPU-spent)
+	if more := b.weight(resumed) - b.weight(r.resumed); more != 0 {
+		r.host.rate.tokens = math.Min(r.host.rate.capacity, r.host.rate.tokens-more)
 		b.rate.tokens = math.Min(b.rate.capacity, b.rate.tokens-more)
 	}
 	if ok {
 		k := kind(resumed)
-		b.meanCPU[k] += costGain * (spent - b.meanCPU[k])
-		b.meanDuration += costGain * (math.Min(math.Max(float64(now-e.beganAt), 0), maxDurationSample) - b.meanDuration)
+		b.meanCPU[k] += meanGain * (spent - b.meanCPU[k])
+		b.meanDuration += meanGain * (math.Min(math.Max(float64(now-r.beganAt), 0), maxDurationSample) - b.meanDuration)
 	}
-	b.removeIfIdle(e.host)
+	b.removeIfIdle(r.host)
 }
--- a/internal/dataplane/handshake/refusal.go
+++ b/internal/dataplane/handshake/refusal.go
@@ -1,6 +1,6 @@
 package handshake
 
-// Refusal is why a handshake may not begin.
+// Refusal is why Enqueue took no handshake; None: it took it.
 type Refusal int
 
 var refusals = [...]string{"none", "no time left in the handshake budget", "too many handshakes wait"}
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -29,7 +29,8 @@
 	healthChecks                           int
 }
 
-// logCountsIfDue logs what was done once in countsInterval.
+// logCountsIfDue logs what was done once in countsInterval. Of its keys, refused are rejected requests, rejected are invalid ones, and
+// turned_away those rejected for want of descriptors.
 func (c *Core) logCountsIfDue(now int64) {
 	if now-c.counters.loggedAt < int64(countsInterval) {
 		return
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -1,5 +1,6 @@
 // Package jobs owns what the fleet does once and not at each proxy: the hosts that operators have suspended everywhere, and the rate at which
-// all proxies together migrate clients. Each job has an owner's part and a receiver's. They do no I/O and read no clock.
+// all proxies together migrate clients; Drill is for tests of the fleet's owners. rules.Coordinator and quota.Issuer are jobs too. Each job has an
+// owner's part and a receiver's. They do no I/O and read no clock.
 package jobs
 
 import (
@@ -19,7 +20,7 @@
 	Name        string
 	Peer        uint32
 	Incarnation uint64
-	Present     bool // alive, or not known not to be
+	Present     bool // alive, suspect or joining
 }
 
 // Owner is what a job can do while it is owned. It is valid from Job.Start to Job.Stop.
@@ -31,14 +32,15 @@
 	StoreCheckpoint(number uint64, checkpoint []byte) error
 	// Reply answers a query.
 	Reply(to uint32, tag uint64, body []byte)
-	// Members are the processes of the fleet that have not left it.
+	// Members are the processes of the fleet, known by name, that have neither left it nor are gone.
 	Members() []Member
 }
 
 // Job is one job at one process. ApplyEffect is the receiver's part, at every process; the others are the owner's part, from Start to Stop. Calls
 // never overlap. A panic releases the job.
 type Job interface {
-	// Start takes over from the last owner's checkpoint. An error releases the job.
+	// Start continues from the last owner's checkpoint. That owner has released the job, or its lease has surely ended; its effects that are
+	// still under way are rejected by the receivers' fences. An error releases the job.
 	Start(now Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error
 	// Step is called about every 100 ms.
 	Step(now Time)
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -23,14 +23,14 @@
 	// Apply carries the list out at this process; nil: it is not.
 	Apply func(hosts []string)
 
-	owner        Owner
-	token        uint64
-	number       uint64 // of hosts, as a checkpoint and as an effect
-	storedNumber uint64 // up to which the group has stored
-	hosts        hostList
-	acknowledged map[receiver]uint64 // number of the list that a receiver has
-	sentAt       map[receiver]Time
-	waiting      []*waitingCommand
+	owner            Owner
+	token            uint64
+	listNumber       uint64 // of the present list; rises with each command, and numbers checkpoints and effects
+	storedListNumber uint64 // the highest list number that the group has stored
+	hosts            hostList
+	acknowledged     map[receiver]uint64 // number of the list that a receiver has
+	sentAt           map[receiver]Time
+	waiting          []*waitingCommand
 }
 
 // receiver is one process: a later one of the same member has nothing of its list.
@@ -56,7 +56,7 @@
 		return err
 	}
 	h.owner, h.token, h.hosts = o, token, hosts
-	h.number, h.storedNumber = checkpointNumber, checkpointNumber
+	h.listNumber, h.storedListNumber = checkpointNumber, checkpointNumber
 	h.acknowledged, h.sentAt, h.waiting = map[receiver]uint64{}, map[receiver]Time{}, nil
 	return nil
 }
@@ -64,8 +64,8 @@
 // Stop passes on the list.
 func (h *SuspendedHosts) Stop() (uint64, []byte) {
 	h.owner = nil
-	h.number++
-	return h.number, h.hosts.encode()
+	h.listNumber++
+	return h.listNumber, h.hosts.encode()
 }
 
 // QueryReceived takes an operator's command. It is stored, and sent, also where it changes nothing: the answer says where it holds, and a list is
@@ -85,8 +85,8 @@
 		return
 	}
 	h.hosts = hosts
-	h.number++
-	w := &waitingCommand{from: from, tag: tag, number: h.number, deadline: now + commandTimeout}
+	h.listNumber++
+	w := &waitingCommand{from: from, tag: tag, number: h.listNumber, deadline: now + commandTimeout}
 	if command.kind == commandList {
 		w.list = "out for the fleet: " + strings.Join(h.hosts, " ")
 	}
@@ -95,7 +95,7 @@
 }
 
 func (h *SuspendedHosts) store() {
-	if err := h.owner.StoreCheckpoint(h.number, h.hosts.encode()); err != nil {
+	if err := h.owner.StoreCheckpoint(h.listNumber, h.hosts.encode()); err != nil {
 		h.answerAll()
 	}
 }
@@ -105,7 +105,7 @@
 	if h.owner == nil || !stored {
 		return
 	}
-	h.storedNumber = max(h.storedNumber, checkpointNumber)
+	h.storedListNumber = max(h.storedListNumber, checkpointNumber)
 	for _, w := range h.waiting {
 		w.stored = w.stored || w.number <= checkpointNumber
 	}
@@ -115,21 +115,21 @@
 
 // send sends the list to those that are not known to have it. While a newer one is being stored it waits for that.
 func (h *SuspendedHosts) send(now Time) {
-	if h.storedNumber == 0 || h.storedNumber != h.number {
+	if h.storedListNumber == 0 || h.storedListNumber != h.listNumber {
 		return
 	}
 	for _, m := range h.owner.Members() {
 		to := receiver{m.Peer, m.Incarnation}
-		if m.Present && h.acknowledged[to] < h.number && h.sendDue(to, now) {
+		if m.Present && h.acknowledged[to] < h.listNumber && h.sendDue(to, now) {
 			h.sentAt[to] = now
-			h.owner.SendEffect(m.Peer, h.number, h.hosts.encode())
+			h.owner.SendEffect(m.Peer, h.listNumber, h.hosts.encode())
 		}
 	}
 }
 
 // sendDue bounds how often a list is repeated. One that is just new is sent at once to who had the last one.
 func (h *SuspendedHosts) sendDue(to receiver, now Time) bool {
-	return now-h.sentAt[to] >= resendInterval || h.sentAt[to] == 0 || h.acknowledged[to]+1 == h.number
+	return now-h.sentAt[to] >= resendInterval || h.sentAt[to] == 0 || h.acknowledged[to]+1 == h.listNumber
 }
 
 // Step sends again to those that lag, and answers commands whose time is up.
@@ -142,7 +142,7 @@
 }
 
 func (h *SuspendedHosts) storeOverdue(now Time) bool {
-	if h.storedNumber == h.number || len(h.waiting) == 0 {
+	if h.storedListNumber == h.listNumber || len(h.waiting) == 0 {
 		return false
 	}
 	last := h.waiting[len(h.waiting)-1]
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -26,7 +26,7 @@
 // Config is what a process is configured with.
 type Config struct {
 	Name, Fleet string
-	Incarnation Incarnation // of this process; a successor that takes over the name's work continues with the same one
+	Incarnation Incarnation // of this process, made from its start; a successor under the same name joins with a newer one
 	Slots       int         // addresses at which members may be, by number
 	OwnSlot     int         // the own one among them; -1: none
 	// Seeds are the addresses of some members, in place of Slots and OwnSlot, where members come and go: the others' are learnt.
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// adminCommands are what operators may ask, by Request.Do.
+// adminCommands are what operators may ask, by Request.Command.
 var adminCommands = map[string]func(a *Agent, q Request) Reply{
 	"owners":  (*Agent).adminReport,
 	"status":  (*Agent).adminReport,
@@ -29,8 +29,8 @@
 }
 
 const (
-	// rulesRetryInterval is how soon a question about rules without an answer is repeated.
-	rulesRetryInterval = 200 * time.Millisecond
+	// queryRetryInterval is how soon a query about rules without a reply is repeated.
+	queryRetryInterval = 200 * time.Millisecond
 
 	rulesOff = "refused: (owners (rules on)) is not set"
 )
@@ -143,7 +143,7 @@
 	}) {
 		return "", &replyBusy
 	}
-	ticker := time.NewTicker(rulesRetryInterval)
+	ticker := time.NewTicker(queryRetryInterval)
 	defer ticker.Stop()
 	timeout := time.After(requestTimeout)
 	for {
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -98,7 +98,7 @@
 	}
 	a.addRules()
 	a.addQuota(fleetSize)
-	for name, job := range more {
+	for name, job := range testJobs {
 		a.jobs.add(name, job)
 	}
 }
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -161,8 +161,8 @@
 // TestJobsThatPanic: they are begun again after longer and longer times, and two hundred others are not touched.
 func TestJobsThatPanic(t *testing.T) {
 	first, second := &panickingJob{atStart: true}, &panickingJob{}
-	more = map[string]jobs.Job{"breaks-at-start": first, "breaks-later": second}
-	defer func() { more = nil }()
+	testJobs = map[string]jobs.Job{"breaks-at-start": first, "breaks-later": second}
+	defer func() { testJobs = nil }()
 	began := time.Now()
 	s, _ := startAlone(t, Options{Drills: 200, Dir: t.TempDir()})
 	report := func() (r Reply) {
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -15,7 +15,8 @@
 	left    bool
 }
 
-// Leave releases all jobs and the lead, and calls done on the loop once others have them or a short time has passed.
+// Leave releases all jobs and the lead, and calls done on the loop once others have them or leaveTimeout has passed. Yield only stops this
+// process's part.
 func (a *Agent) Leave(done func()) {
 	if a == nil || a.departure.left {
 		done()
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -92,5 +92,5 @@
 // program sets it.
 var PlantedFault string
 
-// more are jobs that tests add.
-var more map[string]jobs.Job
+// testJobs are jobs that tests add.
+var testJobs map[string]jobs.Job
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -53,12 +53,12 @@
 }
 
 // UpdateList takes the own list, complete or as a change. news is what it says for the first time of hosts that get nothing new, except in a first
-// list, which everybody has from discovery. changed names hosts for which a watermark holds no longer, or holds now.
+// list, or a complete one that is older than the last: everybody has these from discovery. changed names hosts for which a watermark holds no longer, or holds now.
 func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (news []Watermark, changed []string) {
 	if !complete && revision < r.revision {
 		return nil, nil // a change of a list that is older than the one here
 	}
-	first := r.revision < 0 || revision < r.revision
+	unannounced := r.revision < 0 || revision < r.revision
 	if revision < r.revision {
 		changed = r.supersedeList(now, revision)
 	}
@@ -69,7 +69,7 @@
 	r.revision = revision
 	changed = append(changed, r.dropOutdated()...)
 	slices.Sort(changed)
-	if first {
+	if unannounced {
 		news = nil
 	}
 	return news, changed
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -1,6 +1,6 @@
 // Package watermark owns the gossip among proxies about upstream hosts that drain or are gone. A proxy whose own endpoint list
 // lags places nothing at a host of which another's newer list says so. A watermark only ever takes a host out; none makes a host usable.
-// The Registry decides, without I/O and with time passed in; the Link sends and receives the datagrams.
+// In the operators' file it is the section (floors ...). The Registry decides, without I/O and with time passed in; the Link sends and receives the datagrams.
 package watermark
 
 // Time is nanoseconds on the caller's monotonic clock.
