--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -5,7 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"text/tabwriter"
 
@@ -160,11 +161,7 @@
 	if r.Jobs == nil {
 		fmt.Fprintln(w, "this proxy is no voter, and knows its own jobs alone")
 		fmt.Fprintln(t, "JOB\tTOKEN")
-		names := make([]string, 0, len(r.Owned))
-		for n := range r.Owned {
-			names = append(names, n)
-		}
-		sort.Strings(names)
+		names := slices.Sorted(maps.Keys(r.Owned))
 		for _, n := range names {
 			fmt.Fprintf(t, "%s\t%d\n", n, r.Owned[n])
 		}
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -1,8 +1,6 @@
 package command
 
 import (
-	"crypto/ed25519"
-	"encoding/base64"
 	"errors"
 	"fmt"
 	"io"
@@ -15,8 +13,6 @@
 	"croftlock/internal/fleet/namespace"
 	"croftlock/internal/fleet/owneragent"
 	"croftlock/internal/fleet/rules"
-	"croftlock/internal/operations/certs"
-	"croftlock/internal/operations/settings"
 )
 
 // rulesCommand holds the commands about the rules that all proxies agree on.
@@ -61,63 +57,6 @@
 		}}
 }
 
-// changeCommand has c ask for a change, which change gives from the argument and the version that it is made against.
-func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
-	var against uint64
-	var key string
-	c.Args = cobra.ExactArgs(1)
-	c.RunE = func(cmd *cobra.Command, args []string) error {
-		ch, err := change(args[0], against)
-		if err != nil {
-			return err
-		}
-		if err := sign(ch, key); err != nil {
-			return err
-		}
-		return f.query(cmd, rules.EncodeProposal(ch))
-	}
-	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
-	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
-	return c
-}
-
-func (f *fleetClient) putCommand() *cobra.Command {
-	return f.changeCommand(&cobra.Command{Use: "put FILE", Short: "Propose the operators' rules, whole, or an account's namespace, or an account below another",
-		Long: "FILE holds one section: (rules …), (namespace …) or (account …). The answer says at how many proxies it is active and whose right has lapsed; refused,\n" +
-			"with the reason; or unknown, where nobody can say: the same once more is as once.",
-		Example: "  croftlock rules put rules.sexp --against 4\n  croftlock rules put routes.sexp --against 7 --key acme.key"},
-		func(path string, against uint64) (*rules.Change, error) {
-			what, err := readChange(path)
-			if err != nil {
-				return nil, err
-			}
-			switch v := what.(type) {
-			case *namespace.Namespace:
-				return rules.ChangeNamespace(v, against, nil), nil
-			case *namespace.Account:
-				return rules.ChangeAccountTo(v, against, nil), nil
-			default:
-				return rules.ChangeOperators(v.(*rules.Version), against, nil), nil
-			}
-		})
-}
-
-// readChange reads the one section of a file that a change is written in.
-func readChange(path string) (any, error) {
-	file, err := settings.Schema{rules.Section(), namespace.Section(), namespace.AccountSection()}.Load(path)
-	if err != nil {
-		return nil, err
-	}
-	var found []string
-	for _, n := range file.Root.Values() {
-		found = append(found, n.Name())
-	}
-	if len(found) != 1 {
-		return nil, fmt.Errorf("%s has %d sections, expected one: (rules …), (namespace …) or (account …)", path, len(found))
-	}
-	return file.Value(found[0]), nil
-}
-
 func checkRulesCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Args: cobra.ExactArgs(1), Short: "Say what is wrong with a file of rules, a namespace or an account, without asking anybody", Example: "  croftlock rules check rules.sexp",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -129,23 +68,6 @@
 		}}
 }
 
-func (f *fleetClient) dropCommand() *cobra.Command {
-	return f.changeCommand(&cobra.Command{Use: "drop ACCOUNT", Short: "Propose the end of an account below another, with all below it and their namespaces",
-		Example: "  croftlock rules drop acme/web --against 9"},
-		func(account string, against uint64) (*rules.Change, error) {
-			return rules.RemoveAccount(account, against, nil), nil
-		})
-}
-
-func (f *fleetClient) rollbackCommand() *cobra.Command {
-	return f.changeCommand(&cobra.Command{Use: "rollback VERSION", Short: "Propose everything as an earlier version had it, as a new version",
-		Example: "  croftlock rules rollback 6 --against 9"},
-		func(version string, against uint64) (*rules.Change, error) {
-			to, err := strconv.ParseUint(version, 10, 64)
-			return rules.RollBackTo(to, against, nil), err
-		})
-}
-
 // diffCommand compares what two versions say, line by line.
 func (f *fleetClient) diffCommand() *cobra.Command {
 	return &cobra.Command{Use: "diff VERSION VERSION", Args: cobra.ExactArgs(2), Short: "Tell what one version says and another does not (0: the active one)", Example: "  croftlock rules diff 6 0",
@@ -213,41 +135,3 @@
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
 }
-
-// grantKey reads the key of a grant.
-func grantKey(path string) (ed25519.PrivateKey, error) {
-	k, err := certs.LoadKey(path, "")
-	if err != nil {
-		return nil, err
-	}
-	key, ok := k.(ed25519.PrivateKey)
-	if !ok {
-		return nil, fmt.Errorf("%s: a key of type %T, expected Ed25519", path, k)
-	}
-	return key, nil
-}
-
-// sign signs a change where a key is named. Each such change has an id of its own.
-func sign(c *rules.Change, path string) error {
-	if path == "" {
-		return nil
-	}
-	key, err := grantKey(path)
-	if err != nil {
-		return err
-	}
-	c.SetID()
-	c.Sign(key)
-	return nil
-}
-
-func keyCommand() *cobra.Command {
-	return &cobra.Command{Use: "key FILE", Args: cobra.ExactArgs(1), Short: "Print the public half of an Ed25519 key as a grant names it", Example: "  croftlock rules key acme.key",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			key, err := grantKey(args[0])
-			if err == nil {
-				fmt.Fprintln(cmd.OutOrStdout(), base64.StdEncoding.EncodeToString(key.Public().(ed25519.PublicKey)))
-			}
-			return err
-		}}
-}
--- a/internal/balancer/costs.go
+++ b/internal/balancer/costs.go
@@ -14,7 +14,7 @@
 
 // connectionCosts estimates the load that connections bring, in the unit of Request.ExpectedLoad.
 type connectionCosts struct {
-	mean    float64 // 0: nothing was seen
+	mean    float64 // 0: there is no connection yet
 	byClass []float64
 }
 
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -17,7 +17,7 @@
 type hostEjection struct {
 	consecutiveFailures int
 	until               Time
-	failedAt            Time // when the last counted failure was seen
+	failedAt            Time // of the last counted failure
 	trials              int  // attempts in flight while consecutiveFailures is above 0
 }
 
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -80,8 +80,8 @@
 }
 
 // attemptTimeout is how long an attempt may take of the time that is left: what set-ups took, longer by the
-// time since one was seen, and the latency objective at least; half of what is left where that is less or
-// too little was seen. It is all that is left where no further attempt would fit, since what is given up has
+// time since the last one, and the latency objective at least; half of what is left where that is less or
+// there were too few. It is all that is left where no further attempt would fit, since what is given up has
 // still taken the store's time.
 func (b *Balancer) attemptTimeout(r *request, left Time) Time {
 	timeout := max(float64(b.cfg.Classes[r.Class].LatencyObjective), b.setups.Bound())
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -17,7 +17,7 @@
 	lotteryFarShare   = 0.75 // factor for a host of another zone; those of the own get as much more
 )
 
-// tokenBucket is the budget of a warming host at one balancer, in mean connections.
+// slowStartBudget is the budget of a warming host at one balancer, in mean connections.
 type slowStartBudget struct {
 	tokens   float64
 	filledAt Time
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -10,8 +10,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 )
@@ -217,12 +218,7 @@
 	var s strings.Builder
 	fmt.Fprintf(&s, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
 		b.cpu.tokens/1e3, b.meanCPU[0]/1e3, b.meanCPU[1]/1e3, b.meanDuration/1e3)
-	names := make([]string, 0, len(b.hosts))
-	for n := range b.hosts {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	for _, n := range names {
+	for _, n := range slices.Sorted(maps.Keys(b.hosts)) {
 		h := b.hosts[n]
 		fmt.Fprintf(&s, "\n  %s waiting=%d out=%d tokens=%.2f", n, len(h.queue), h.inFlight, h.rate.tokens)
 	}
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"maps"
 	"math/rand/v2"
 	"slices"
 )
@@ -115,11 +116,4 @@
 }
 
 // sequences lists the outstanding probes in the order in which they were sent.
-func (p *prober) sequences() []uint32 {
-	s := make([]uint32, 0, len(p.outstanding))
-	for sequence := range p.outstanding {
-		s = append(s, sequence)
-	}
-	slices.Sort(s)
-	return s
-}
+func (p *prober) sequences() []uint32 { return slices.Sorted(maps.Keys(p.outstanding)) }
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -1,6 +1,9 @@
 package ownership
 
-import "sort"
+import (
+	"maps"
+	"slices"
+)
 
 // releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
 const releaseRepeatInterval = 100 * ms
@@ -45,15 +48,8 @@
 	}
 }
 
-// heldNames is in order, so that a run can be replayed.
-func (p *participant) jobNames() []string {
-	names := make([]string, 0, len(p.jobs))
-	for name := range p.jobs {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
+// jobNames is in order, so that a run can be replayed.
+func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 func (p *participant) ownedJobs() map[string]uint64 {
 	tokens := map[string]uint64{}
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 
 	"croftlock/internal/fleet/consensus"
 	"croftlock/internal/fleet/ownership"
@@ -169,14 +170,7 @@
 	}
 }
 
-func (p *process) jobNames() []string {
-	names := make([]string, 0, len(p.jobs))
-	for name := range p.jobs {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
+func (p *process) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 // nextEffect is what follows a check that this process owns a job: an effect at all receivers, and now and then a checkpoint.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
--- a/internal/operations/balancerconfig/decode_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/balancer"
 )
 
-// TestQuotasAreMadeExactAgain: quotas a second are told as whole numbers, so that a fleet that bears 3 a second may read 2,
-// and all cold budgets of thin traffic follow from them.
+// TestRateQuotasAreRestored: quotas a second come as whole numbers, so that a fleet that bears 3 a second may read 2, and all
+// slow-start budgets of sparse traffic follow from them.
 func TestRateQuotasAreRestored(t *testing.T) {
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
 	for _, fleet := range []float64{60, 137, 239, 1200} {
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -35,7 +35,7 @@
 const (
 	// MaxAway bounds what a client that does not come again is counted for.
 	MaxAway = 10 * time.Second
-	// delayReportLife is how long a reported delay counts.
+	// delayReportLifetime is how long a reported delay counts.
 	delayReportLifetime = 1500 * time.Millisecond
 	// crowdedShare is how much over its share a host has to hold for its slowness to be its load's.
 	crowdedShare = 1.25
