--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/placejobs.go
@@ -1,6 +1,9 @@
 package ownership
 
-import "sort"
+import (
+	"maps"
+	"slices"
+)
 
 const (
 	// sessionGatherTime is the wait before the first grant of an epoch: processes arrive one after the other, and the first would get all.
@@ -50,7 +53,8 @@
 
 func (h *handovers) due(now Time) bool { return now-h.begunAt >= handoverInterval }
 
-// placeJobs registers new jobs, takes jobs from owners that are lost, and grants what is free.
+// placeJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
+// proposal is applied before propose returns, and that calls placeJobs again: each job is looked at anew before it is proposed.
 func (c *coordinator) placeJobs() {
 	candidates := c.candidates()
 	c.registerNewJobs(candidates.offered)
@@ -64,12 +68,15 @@
 	changedAt := func(job string) Time { return c.changedAt[job] }
 	for _, p := range Assign(c.now, jobs.free, jobs.owned, changedAt, candidates.list) {
 		if p.Handover {
-			if c.handovers.due(c.now) { // asked again: a grant may have been applied meanwhile, and jobs placed
+			if c.handovers.due(c.now) {
 				c.handovers.begunAt = c.now
 				c.beginHandover(p)
 			}
 			continue
 		}
+		if !c.mayBeGranted(c.table.Job(p.Job)) {
+			continue
+		}
 		p = c.preferHandover(p)
 		if reason := jobs.lostOwner[p.Job]; reason != "" {
 			p.Reason = reason
@@ -117,16 +124,11 @@
 }
 
 func (c *coordinator) registerNewJobs(offered map[string]bool) {
-	var fresh []string
-	for job := range offered {
+	for _, job := range slices.Sorted(maps.Keys(offered)) {
 		if c.table.Job(job) == nil && !c.proposals.busy(job) {
-			fresh = append(fresh, job)
+			c.propose(registerCommand{job: job, changedAt: c.cfg.Wall()}, proposal{job: job, exclusive: true})
 		}
 	}
-	sort.Strings(fresh)
-	for _, job := range fresh {
-		c.propose(registerCommand{job: job, changedAt: c.cfg.Wall()}, proposal{job: job, exclusive: true})
-	}
 }
 
 // classifiedJobs are the jobs without a proposal under way.
@@ -152,13 +154,19 @@
 			}
 			jobs.lostOwner[row.Job] = "its owner " + row.Owner + " was lost"
 		}
-		if !c.backoff.blocked(row.Job, c.now) {
+		if c.mayBeGranted(row) {
 			jobs.free = append(jobs.free, row.Job)
 		}
 	}
 	return jobs
 }
 
+// mayBeGranted reports whether a job has no owner that may be alive, no proposal under way, and did not fail a short time ago.
+func (c *coordinator) mayBeGranted(row *JobRecord) bool {
+	owned := row.Owner != "" && c.ownerMayBeAlive(row)
+	return !owned && !c.proposals.busy(row.Job) && !c.backoff.blocked(row.Job, c.now)
+}
+
 // ownerMayBeAlive keeps the coordinator's part of the lease: an owner is given up only once its lease has surely ended, be it one that an
 // earlier coordinator granted.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
--- /dev/null
+++ b/internal/fleet/ownership/placejobs_test.go
@@ -0,0 +1,79 @@
+package ownership
+
+import (
+	"fmt"
+	"testing"
+
+	"croftlock/internal/fleet/group"
+)
+
+// soleVoter is a group of one voter, which applies a command before Propose returns. A command proposed meanwhile waits for the first.
+type soleVoter struct {
+	core          *Core
+	table         *Table
+	queue         []func()
+	applying      bool
+	grants        map[string]int // by job
+	registrations map[string]int // by job
+}
+
+func (g *soleVoter) Propose(now Time, _ byte, tag uint64, encoded []byte) error {
+	cmd, err := decodeCommand(encoded)
+	if err != nil {
+		return err
+	}
+	switch c := cmd.(type) {
+	case grantCommand:
+		g.grants[c.job]++
+	case registerCommand:
+		g.registrations[c.job]++
+	}
+	g.queue = append(g.queue, func() { g.core.Applied(now, tag, g.table.Apply(encoded)) })
+	if g.applying {
+		return nil
+	}
+	g.applying = true
+	for len(g.queue) > 0 {
+		next := g.queue[0]
+		g.queue = g.queue[1:]
+		next()
+	}
+	g.applying = false
+	return nil
+}
+
+func (g *soleVoter) Confirm(now Time, tag uint64) error {
+	g.core.Confirmed(now, tag)
+	return nil
+}
+
+func (g *soleVoter) Tick(Time)                          {}
+func (g *soleVoter) Receive(Time, uint32, []byte) error { return nil }
+func (g *soleVoter) Leading() (uint64, bool)            { return 1, true }
+func (g *soleVoter) Leader() uint32                     { return group.Peer("a") }
+func (g *soleVoter) Yield(Time)                         {}
+
+// TestJobsArePlacedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
+func TestJobsArePlacedOnce(t *testing.T) {
+	var jobs []string
+	for i := range 20 {
+		jobs = append(jobs, fmt.Sprintf("job%02d", i))
+	}
+	g := &soleVoter{table: NewTable(), grants: map[string]int{}, registrations: map[string]int{}}
+	core, err := New(Config{Name: "a", Incarnation: 1, Voters: []string{"a"}, Jobs: jobs}, g, g.table, &Fence{}, discardEffects{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.core = core
+	for now := Time(1); now < 4*sec; now += 100 * ms {
+		core.Tick(now)
+	}
+	if held := core.HeldJobs(); len(held) != len(jobs) {
+		t.Errorf("%d of %d jobs are owned", len(held), len(jobs))
+	}
+	for _, job := range jobs {
+		if g.registrations[job] != 1 || g.grants[job] != 1 {
+			t.Errorf("%s was registered %d and granted %d times", job, g.registrations[job], g.grants[job])
+		}
+	}
+}
