--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -49,8 +49,8 @@
 	if !p.fleet.memberOptions.Enabled || p.restart.phase == handedOver {
 		return
 	}
-	p.fleet.owners.Yield()
-	p.fleet.members.Yield()
+	p.fleet.owners.Stop()
+	p.fleet.members.Stop()
 	members, err := p.startMembers()
 	if err != nil {
 		slog.Warn("membership_delayed", "reason", err)
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -99,7 +99,7 @@
 func (p *process) makeCore(tls upstreamtls.Options) (sessions int, err error) {
 	cfg := p.cfg
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
-	opt := proxy.Options{Settings: cfg.Settings, Sessions: cfg.MaxSessions(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
 	open := lineproto.PlainTCP(p.dialer)
 	if p.link, err = newUpstreamTLS(p.loop, tls, &opt); err != nil {
 		return 0, err
@@ -115,7 +115,7 @@
 	if n := cfg.MaxHealthChecks(); n > 0 {
 		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, open, cfg.ReportFields, n))
 	}
-	return opt.Sessions, nil
+	return opt.MaxDownstreams, nil
 }
 
 // findPredecessor asks the process that serves, or reads what one before has stored. old is nil where none serves; handoff never is.
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -87,10 +87,10 @@
 // ConnectionReceived goes on with an open connection of the old process's.
 func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// Sessions counts the old process's downstreams with this one's, and its descriptors that are nobody's in particular.
-func (e partnerEvents) Sessions(n int) {
+// DownstreamCount counts the old process's downstreams with this one's, and its descriptors that are nobody's in particular.
+func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
-		e.core.SetSessionsElsewhere(n + e.cfg.HotRestartDescriptors()/2)
+		e.core.SetDownstreamsElsewhere(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
@@ -104,7 +104,7 @@
 	debug.SetMemoryLimit(e.cfg.MemoryLimit())
 	slog.Info("hot_restart_partner_gone", "older", r.isOld)
 	if !r.isOld {
-		e.core.SetSessionsElsewhere(0)
+		e.core.SetDownstreamsElsewhere(0)
 		e.becomeServing()
 		return
 	}
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -18,7 +18,7 @@
 	settings := balancer.Config{Instances: 1, Tick: 1e6, MaxAttempts: 5, Classes: []balancer.Class{{Name: "c", LatencyObjective: 1e9, Deadline: 2e9}}, SlowStartDuration: 1e9, SlowStartOverloadWindow: 1e9,
 		SlowStartOverloadFactor: 2, SlowStartFloor: 0.2, PollInterval: 1e10, ConnectTimeout: 1e8}
 	l := netio.NewLoop()
-	core := proxy.New(l, nil, proxy.Options{Sessions: 1, Settings: settings})
+	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
 	r := &process{loop: l, core: core, discovery: cluster.NewClient(l, nil, cluster.Options{Address: "127.0.0.1:2", Sharing: 1, Revision: 7})}
 	known := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{host("a", balancer.Ready), host("b", balancer.Ready)}}
 	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.discovery, known); err != nil {
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -114,7 +114,7 @@
 	if p.peers != nil {
 		h.Datagram = p.peers.Fd()
 	}
-	slog.Info("hot_restart_requested", "sessions", p.core.Sessions())
+	slog.Info("hot_restart_requested", "sessions", p.core.Downstreams())
 	return h, nil
 }
 
@@ -166,14 +166,14 @@
 // becomeHandedOver has an old process accept no more clients.
 func (p *process) becomeHandedOver() {
 	p.restart.phase = handedOver
-	p.fleet.owners.Leave(func() { p.fleet.members.Yield() })
+	p.fleet.owners.Leave(func() { p.fleet.members.Stop() })
 	p.front.Stop()
 	if p.peers != nil {
 		p.peers.StopReceiving()
 	}
 	p.core.SetHandedOver(true)
-	slog.Info("hot_restart_handed_over", "sessions", p.core.Sessions())
-	p.reportSessions()
+	slog.Info("hot_restart_handed_over", "sessions", p.core.Downstreams())
+	p.reportDownstreams()
 }
 
 // takeBack has an old process serve again: the new one has ended after it took over, and whoever waits in the queue is this one's again.
@@ -182,14 +182,14 @@
 	p.core.RestoreBalancer(p.restart.givenAway) // the slow-start budgets that were given up, among others
 	p.mustServe()
 	p.rejoinFleet()
-	slog.Warn("hot_restart_taken_back", "sessions", p.core.Sessions())
+	slog.Warn("hot_restart_taken_back", "sessions", p.core.Downstreams())
 }
 
-// reportSessions tells the new process, again and again, how many descriptors are still held here.
-func (p *process) reportSessions() {
+// reportDownstreams tells the new process, again and again, how many descriptors are still held here.
+func (p *process) reportDownstreams() {
 	if p.restart.partner != nil && p.restart.isOld {
-		p.restart.partner.Sessions(p.core.Sessions())
-		p.loop.After(sessionsInterval, p.reportSessions)
+		p.restart.partner.SendDownstreamCount(p.core.Downstreams())
+		p.loop.After(sessionsInterval, p.reportDownstreams)
 	}
 }
 
--- a/internal/app/node/upstreamtls.go
+++ b/internal/app/node/upstreamtls.go
@@ -24,7 +24,7 @@
 	}
 	opt.Expiry = o.Expiry
 	// Each handshake under way holds a descriptor, and one more while its socket changes hands.
-	opt.Sessions = max(1, opt.Sessions-o.Handshakes.AtOnce)
+	opt.MaxDownstreams = max(1, opt.MaxDownstreams-o.Handshakes.AtOnce)
 	link := upstreamtls.New(loop, m, opt.Wall)
 	link.Run()
 	slog.Info("tls_on", "epoch", m.Epoch, "min_version", o.MinVersion, "key_exchange", strings.Join(o.KeyExchange, ","),
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -105,13 +105,15 @@
 
 func (m listChanged) envelope() envelope { return envelope{Kind: kindList, Snapshot: m.snapshot} }
 
-// sessionCount, from old to new, is how many downstreams the sender still has.
-type sessionCount struct {
+// downstreamCount, from old to new, is how many downstreams the sender still has.
+type downstreamCount struct {
 	noDescriptors
 	sessions int
 }
 
-func (m sessionCount) envelope() envelope { return envelope{Kind: kindSessions, Sessions: m.sessions} }
+func (m downstreamCount) envelope() envelope {
+	return envelope{Kind: kindSessions, Sessions: m.sessions}
+}
 
 // connection, from old to new, is an open connection, with two sockets: the client's and the host's.
 type connection struct{ *proxy.HandedOverConnection }
@@ -157,7 +159,7 @@
 	case kindList:
 		return listChanged{snapshot: e.Snapshot}
 	case kindSessions:
-		return sessionCount{sessions: e.Sessions}
+		return downstreamCount{sessions: e.Sessions}
 	}
 	return unexpected{kind: e.Kind}
 }
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -22,8 +22,8 @@
 	HostSuspended(id string, suspended bool)
 	// ListChanged brings an endpoint list that the partner has received since.
 	ListChanged(s *proxy.Snapshot)
-	// Sessions brings how many downstreams the partner holds.
-	Sessions(n int)
+	// DownstreamCount brings how many downstreams the partner holds.
+	DownstreamCount(n int)
 	// ConnectionReceived brings an open connection; its sockets are the receiver's.
 	ConnectionReceived(s *proxy.HandedOverConnection)
 	// Gone says that the partner has ended.
@@ -139,8 +139,8 @@
 		if m.snapshot != nil {
 			ev.ListChanged(m.snapshot)
 		}
-	case sessionCount:
-		ev.Sessions(max(0, m.sessions))
+	case downstreamCount:
+		ev.DownstreamCount(max(0, m.sessions))
 	case connection:
 		ev.ConnectionReceived(m.HandedOverConnection)
 	default:
@@ -182,8 +182,8 @@
 // ListChanged passes on what discovery has told of hosts: the two processes are one proxy, and what one knows the other must know.
 func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
-// Sessions tells how many downstreams this process holds.
-func (p *Partner) Sessions(n int) { p.send(sessionCount{sessions: n}) }
+// SendDownstreamCount tells how many downstreams this process holds.
+func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{sessions: n}) }
 
 // Close ends the connection to the partner; Gone follows.
 func (p *Partner) Close() {
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -51,7 +51,7 @@
 		takenOver{snapshot: fullState()},
 		hostSuspended{hostID: "b", out: true},
 		listChanged{snapshot: fullState()},
-		sessionCount{sessions: 12},
+		downstreamCount{sessions: 12},
 		connection{fullConnection()},
 	}
 	var lines []byte
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -140,7 +140,7 @@
 func (d *downstream) descriptorFreed() {
 	if d.admitted {
 		d.admitted = false
-		d.front.core.SessionEnded()
+		d.front.core.DownstreamEnded()
 	}
 	if d.idleEntry != nil {
 		d.front.idleClients.Remove(d.idleEntry)
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -63,7 +63,7 @@
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	core := proxy.New(l, nil, proxy.Options{Sessions: sessions, Settings: balancer.Config{SendsRetryAfter: true,
+	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: sessions, Settings: balancer.Config{SendsRetryAfter: true,
 		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
 	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.Change{})
 	on, err := netio.Bind("127.0.0.1:0", true)
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -31,7 +31,7 @@
 // release gives the capacity of one downstream back.
 func (a *admission) release() { a.sessions-- }
 
-// Admit asks for capacity for one more downstream's request of a class. SessionEnded gives it back.
+// Admit asks for capacity for one more downstream's request of a class. DownstreamEnded gives it back.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
@@ -41,14 +41,14 @@
 	return false
 }
 
-// SessionEnded gives the capacity of an admitted downstream back.
-func (c *Core) SessionEnded() { c.admission.release() }
+// DownstreamEnded gives the capacity of an admitted downstream back.
+func (c *Core) DownstreamEnded() { c.admission.release() }
 
-// Sessions is how many downstreams this process holds.
-func (c *Core) Sessions() int { return c.admission.sessions }
+// Downstreams is how many downstreams this process holds.
+func (c *Core) Downstreams() int { return c.admission.sessions }
 
-// SetSessionsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
-func (c *Core) SetSessionsElsewhere(n int) { c.admission.sessionsElsewhere = n }
+// SetDownstreamsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
+func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.sessionsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -96,7 +96,7 @@
 	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
-	w.core = New(w.loop, w, Options{Sessions: 5000, Settings: cfg})
+	w.core = New(w.loop, w, Options{MaxDownstreams: 5000, Settings: cfg})
 	ch := Change{Kind: balancer.ListFull}
 	for i := range 6 {
 		id := fmt.Sprintf("h%d", i)
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -16,8 +16,8 @@
 
 // Options configure a core.
 type Options struct {
-	Settings balancer.Config
-	Sessions int // how many downstreams this proxy holds at most
+	Settings       balancer.Config
+	MaxDownstreams int // how many downstreams this proxy holds at most
 	// DelayInLoad: hosts report both a connection's load and their message delay, in the same form.
 	DelayInLoad bool
 	// Expiry says what becomes of connections that rest on a certificate when it ends.
@@ -84,7 +84,7 @@
 			clock:       startClock{now: l.Now, wall: opt.Wall},
 		},
 		pools:      poolTable{byName: map[string]*pool{}},
-		admission:  admission{limit: opt.Sessions},
+		admission:  admission{limit: opt.MaxDownstreams},
 		migrations: migrationPacer{loop: l},
 		monitor:    invariant.NewMonitor(logBroken),
 		counters:   counters{metrics: metrics.New(classNames(opt.Settings.Classes))},
@@ -112,7 +112,7 @@
 		return err
 	}
 	c.ListReceived(known)
-	c.loop.After(sessionCheckInterval, c.monitorSessions)
+	c.loop.After(sessionCheckInterval, c.monitorEstablished)
 	c.startExpiryMigrations()
 	return nil
 }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -108,7 +108,7 @@
 	w.expect()
 	w.pass(1700 * time.Millisecond)
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
-	w.core.SessionEnded()
+	w.core.DownstreamEnded()
 	w.pass(100 * time.Millisecond)
 	if !left {
 		t.Fatal("it does not end")
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -26,7 +26,7 @@
 func newHarness(t *testing.T) *harness {
 	w := &harness{test: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.core = New(w.loop, w, Options{Sessions: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
+	w.core = New(w.loop, w, Options{MaxDownstreams: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
 		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
 		Tenants: []balancer.Tenant{{Name: "t"}}}})
 	up := func(id string) HostEntry {
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -61,9 +61,9 @@
 	return true
 }
 
-// monitorSessions looks for hosts that have fallen silent, and reports slow ones to the decision module.
-func (c *Core) monitorSessions() {
-	c.loop.After(sessionCheckInterval, c.monitorSessions)
+// monitorEstablished looks for hosts that have fallen silent, and reports slow ones to the decision module.
+func (c *Core) monitorEstablished() {
+	c.loop.After(sessionCheckInterval, c.monitorEstablished)
 	now := c.loop.Now()
 	c.logCountsIfDue(now)
 	for _, h := range c.hosts.byID {
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -68,7 +68,7 @@
 		}
 		cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9,
 			EjectionInitial: -1, EjectionMax: -1, Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6, Idempotency: balancer.NotIdempotent}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
-		w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
+		w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
 		ch := Change{Kind: balancer.ListFull}
 		for _, id := range []string{"A", "B", "C", "D"} {
 			ch.Hosts = append(ch.Hosts, w.hosts[id])
@@ -164,7 +164,7 @@
 		gate := &rules.Enforcer{Now: func() int64 { return w.now }}
 		cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 			Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, Idempotency: effect, DedupWindow: 9e9}}, Tenants: []balancer.Tenant{{Name: "t"}}}
-		w.core = New(w.loop, w, Options{Sessions: 10, Settings: cfg})
+		w.core = New(w.loop, w, Options{MaxDownstreams: 10, Settings: cfg})
 		host := func(id, kind string) HostEntry {
 			return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: kind}}
 		}
@@ -192,7 +192,7 @@
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }}
 	balancers := 0
-	w.core = New(w.loop, w, Options{Sessions: 10, Settings: balancer.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t1"}}}})
+	w.core = New(w.loop, w, Options{MaxDownstreams: 10, Settings: balancer.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t1"}}}})
 	w.onEvent = func(e string) {
 		if e == "request r" {
 			w.effects.StartAttempt("r", "A", 0)
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -93,7 +93,7 @@
 	if left {
 		t.Fatal("it does not wait for its client to hang up")
 	}
-	w.core.SessionEnded()
+	w.core.DownstreamEnded()
 	w.pass(200 * time.Millisecond)
 	if !left {
 		t.Error("it does not end")
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -50,7 +50,7 @@
 	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2,
 		SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
-	w.core = New(w.loop, w, Options{Sessions: 1000, Settings: cfg})
+	w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
 	if k != nil {
 		w.core.Inherit(k)
 	}
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -34,11 +34,11 @@
 	}
 }
 
-func TestYield(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	g := newGroup(t, 9, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
-	old.Yield(g.now)
+	old.TransferLeadership(g.now)
 	if _, ok := old.Leading(); ok {
 		t.Error("leads after it yielded")
 	}
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Yield transfers leadership to the voter that is most up to date, if this process leads.
-func (c *Core) Yield(now Time) {
+// TransferLeadership hands leadership to the voter that is most up to date, if this process leads.
+func (c *Core) TransferLeadership(now Time) {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
 		return
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -1,5 +1,5 @@
 // Package jobs owns what the fleet does once and not at each proxy: the hosts that operators have suspended everywhere, and the rate at which
-// all proxies together migrate clients; Drill is for tests of the fleet's owners. rules.Coordinator and quota.Issuer are jobs too. Each job has an
+// all proxies together migrate clients; Drill is for tests of the fleet's owners. rules.Publisher and quota.Issuer are jobs too. Each job has an
 // owner's part and a receiver's. They do no I/O and read no clock.
 package jobs
 
--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -61,7 +61,7 @@
 	}
 	if o.Socket != "" {
 		if err := s.serveReports(o.Socket); err != nil {
-			s.Yield()
+			s.Stop()
 			return nil, fmt.Errorf("membership: %w", err)
 		}
 	}
@@ -171,12 +171,12 @@
 func (a *Agent) Leave() {
 	if a != nil && !a.closed {
 		a.core.Leave(a.loop.Now())
-		a.Yield()
+		a.Stop()
 	}
 }
 
-// Yield ends without an announcement: another process continues as this member. A nil Agent does nothing.
-func (a *Agent) Yield() {
+// Stop ends without an announcement: another process continues as this member. A nil Agent does nothing.
+func (a *Agent) Stop() {
 	if a == nil || a.closed {
 		return
 	}
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -120,7 +120,7 @@
 	}
 	t.Cleanup(func() {
 		done := make(chan struct{})
-		l.Post(func() { x.agent.Yield(); close(done) })
+		l.Post(func() { x.agent.Stop(); close(done) })
 		<-done
 	})
 	return x.agent, l
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -15,7 +15,7 @@
 	left    bool
 }
 
-// Leave releases all jobs and the lead, and calls done on the loop once others have them or leaveTimeout has passed. Yield only stops this
+// Leave releases all jobs and the lead, and calls done on the loop once others have them or leaveTimeout has passed. Stop only stops this
 // process's part.
 func (a *Agent) Leave(done func()) {
 	if a == nil || a.departure.left {
@@ -40,7 +40,7 @@
 		return
 	}
 	a.departure.left = true
-	a.Yield()
+	a.Stop()
 	for _, done := range a.departure.waiting {
 		done()
 	}
@@ -49,7 +49,7 @@
 // awaitRelease works on until the coordinator has the jobs back, on the worker.
 func (a *Agent) awaitRelease() {
 	if a.core.HasLeft() {
-		a.core.Yield(a.now())
+		a.core.TransferLeadership(a.now())
 		time.Sleep(leavePollInterval) // for the loop to send what has just been posted to it
 		a.loop.Post(a.finishLeaving)
 		return
@@ -63,8 +63,8 @@
 	a.worker.post(a.awaitRelease)
 }
 
-// Yield ends this process's part, and lets go of the store.
-func (a *Agent) Yield() {
+// Stop ends this process's part, and lets go of the store.
+func (a *Agent) Stop() {
 	if a == nil || a.worker.stopping() {
 		return
 	}
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -63,7 +63,7 @@
 		member.AgreeWithin *= lapseFaultFactor
 	}
 	a.rules.enforcer, a.rules.member = enforcer, member
-	a.jobs.add(rulesJob, &rules.Coordinator{AgreeWithin: within, Notified: member.Notified, Wall: func() int64 { return time.Now().UnixMilli() }})
+	a.jobs.add(rulesJob, &rules.Publisher{AgreeWithin: within, Notified: member.Notified, Wall: func() int64 { return time.Now().UnixMilli() }})
 }
 
 // Enforcer is what requests are judged by; nil: there are no such rules.
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -141,10 +141,10 @@
 	c.coordinator.stepDown()
 }
 
-// Yield gives up the lead of the group.
-func (c *Core) Yield(now Time) {
+// TransferLeadership gives up the lead of the group.
+func (c *Core) TransferLeadership(now Time) {
 	if c.group != nil {
-		c.group.Yield(now)
+		c.group.TransferLeadership(now)
 	}
 }
 
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -65,6 +65,6 @@
 	Propose(now Time, machine byte, tag uint64, cmd []byte) error
 	// Confirm asks the voters whether this process still leads; Core.Confirmed is called with the tag if so.
 	Confirm(now Time, tag uint64) error
-	// Yield gives up the lead.
-	Yield(now Time)
+	// TransferLeadership gives up the lead.
+	TransferLeadership(now Time)
 }
--- a/internal/fleet/ownership/placejobs_test.go
+++ b/internal/fleet/ownership/placejobs_test.go
@@ -51,7 +51,7 @@
 func (g *soleVoter) Receive(Time, uint32, []byte) error { return nil }
 func (g *soleVoter) Leading() (uint64, bool)            { return 1, true }
 func (g *soleVoter) Leader() uint32                     { return group.Peer("a") }
-func (g *soleVoter) Yield(Time)                         {}
+func (g *soleVoter) TransferLeadership(Time)            {}
 
 // TestJobsArePlacedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
 func TestJobsArePlacedOnce(t *testing.T) {
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// Yield gives up the lead, and stands for no election for two leases.
-func (q *Quorum) Yield(now Time) {
+// TransferLeadership gives up the lead, and stands for no election for two leases.
+func (q *Quorum) TransferLeadership(now Time) {
 	q.now = max(q.now, now)
 	q.candidate.yieldedUntil = q.now + 2*q.cfg.Lease
 	epoch := q.leader.epoch
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -25,7 +25,7 @@
 	case faultLeave:
 		if r.awake(p) {
 			p.core.Leave(r.localTime(p), "leaving")
-			p.core.Yield(r.localTime(p))
+			p.core.TransferLeadership(r.localTime(p))
 		}
 	case faultFull:
 		p.disk.Fail = errDiskFull
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -37,7 +37,7 @@
 
 // authorize says who proposes a change, and whether a grant of v allows it. It is asked when the change comes and again when a version is made of
 // it: a grant that was revoked in between allows nothing. The operators propose at their own socket, unsigned.
-func (c *Coordinator) authorize(change *Change, v *Version) (proposer string, err error) {
+func (c *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
 	if len(change.Key) == 0 {
 		return "operators", nil
 	}
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -24,7 +24,7 @@
 }
 
 // encodeCheckpoint encodes a state of the coordinator; a nil staged version: none.
-func (c *Coordinator) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
+func (c *Publisher) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
 	stored := checkpoint{Active: c.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
 	if staged != nil {
 		stored.Staged = c.versions.transfers.encode(staged, nil)
@@ -33,7 +33,7 @@
 }
 
 // restore goes on from a checkpoint; an empty one is version 0.
-func (c *Coordinator) restore(data []byte) error {
+func (c *Publisher) restore(data []byte) error {
 	c.versions.setActive(&Version{})
 	if len(data) == 0 {
 		return nil
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (c *Coordinator) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
+func (c *Publisher) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
 	if err := unmarshal(data, &stored); err != nil {
 		return stored, err
 	}
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -18,7 +18,7 @@
 type group struct {
 	t                  *testing.T
 	now                Time
-	coordinator        *Coordinator
+	coordinator        *Publisher
 	members            map[uint32]*Member
 	clockRate          map[uint32]float64
 	cut                map[uint32]bool // neither reaches the coordinator nor hears it
@@ -103,7 +103,7 @@
 
 // restartCoordinator begins a new coordinator with what the last one has left with the group.
 func (g *group) restartCoordinator() {
-	g.coordinator, g.pendingCheckpoints = &Coordinator{AgreeWithin: within}, nil
+	g.coordinator, g.pendingCheckpoints = &Publisher{AgreeWithin: within}, nil
 	if err := g.coordinator.Start(g.now, g, 1, 1, g.checkpoint); err != nil {
 		g.t.Fatal(err)
 	}
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -69,7 +69,7 @@
 }
 
 // propose takes a change. What is wrong with it by itself is answered at once, and takes nobody's time but the coordinator's.
-func (c *Coordinator) propose(now Time, change *Change, reply func(string)) {
+func (c *Publisher) propose(now Time, change *Change, reply func(string)) {
 	if c.isRetry(now, change, reply) {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // isRetry handles a change that was proposed before: whoever has heard no answer asks again, which is applied once and costs no tokens.
-func (c *Coordinator) isRetry(now Time, change *Change, reply func(string)) bool {
+func (c *Publisher) isRetry(now Time, change *Change, reply func(string)) bool {
 	if p := c.proposals.byID(change.ID); p != nil {
 		p.reply = reply
 		return true
@@ -123,7 +123,7 @@
 
 // stageProposals makes one version of all changes that wait, so that one customer's change waits for nobody else's. After a transitional version
 // of a coordinator before this one it stages what follows that.
-func (c *Coordinator) stageProposals(now Time) {
+func (c *Publisher) stageProposals(now Time) {
 	if c.versions.active.transitional() {
 		c.stageReassigned(now, nil)
 		return
@@ -146,7 +146,7 @@
 }
 
 // applyRound applies each proposal that is still allowed: what was revoked since it came, or changed by another, is rejected.
-func (c *Coordinator) applyRound(now Time, round []*proposal) *staging {
+func (c *Publisher) applyRound(now Time, round []*proposal) *staging {
 	s := &staging{startedAt: now, version: c.versions.active.next(), audit: c.audit.active}
 	for _, p := range round {
 		proposer, err := c.authorize(p.Change, s.version)
--- a/internal/fleet/rules/coordinator.go
+++ b/internal/fleet/rules/publisher.go
@@ -11,9 +11,9 @@
 // stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned.
 const stagingLeases = 3
 
-// Coordinator is the owner's part: it orders the versions and grants the lease to act by the active one. A newer version becomes active once
+// Publisher is the owner's part: it orders the versions and grants the lease to act by the active one. A newer version becomes active once
 // every lease holder has it compiled, or that lease has ended, so that no two versions are acted by side by side. It belongs to one goroutine.
-type Coordinator struct {
+type Publisher struct {
 	AgreeWithin Time           // duration of a lease
 	Notified    func(now Time) // the receiver's part: there is something new; nil: nothing is done
 	Wall        func() int64   // Unix milliseconds; nil: 0
@@ -27,10 +27,10 @@
 	pending   pendingTransition
 }
 
-var _ jobs.Job = (*Coordinator)(nil)
+var _ jobs.Job = (*Publisher)(nil)
 
 // Start goes on from the checkpoint that the coordinator before has left; an error says that it can't be read.
-func (c *Coordinator) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
+func (c *Publisher) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
 	c.owner = o
 	c.versions = versionStore{stagedAt: now}
 	c.leases = newLeaseTable(now, c.AgreeWithin)
@@ -42,7 +42,7 @@
 }
 
 // Stop ends the coordinator's part. Whoever waits for an answer gets none: the outcome is not known.
-func (c *Coordinator) Stop() (sequence uint64, left []byte) {
+func (c *Publisher) Stop() (sequence uint64, left []byte) {
 	left = c.encodeCheckpoint(c.versions.active, c.versions.staged, c.audit.staged, c.versions.history)
 	c.owner = nil
 	c.pending.sequence++
@@ -50,7 +50,7 @@
 }
 
 // Step activates the staged version once nobody can act by another without having it, or abandons it; without one it stages what is proposed.
-func (c *Coordinator) Step(now Time) {
+func (c *Publisher) Step(now Time) {
 	if c.owner == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // QueryReceived answers a query.
-func (c *Coordinator) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+func (c *Publisher) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if c.owner == nil || len(body) == 0 {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // grantLease records what a member has, and grants it the lease to act by the active version.
-func (c *Coordinator) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
+func (c *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
 	m, v := c.leases.member(from), &c.versions
 	m.ready, m.fault = Hash{}, ""
 	if v.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(v.stagedHash[:]) {
@@ -131,7 +131,7 @@
 }
 
 // notifyMembers has every member ask for its lease at once.
-func (c *Coordinator) notifyMembers() {
+func (c *Publisher) notifyMembers() {
 	for _, m := range c.owner.Members() {
 		if m.Present {
 			c.owner.SendEffect(m.Peer, c.pending.sequence, []byte{1})
@@ -140,16 +140,16 @@
 }
 
 // EffectAcknowledged does nothing: a member that was notified asks by itself.
-func (c *Coordinator) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
+func (c *Publisher) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
 // ApplyEffect is the receiver's part of the job.
-func (c *Coordinator) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
+func (c *Publisher) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
 	if c.Notified != nil {
 		c.Notified(now)
 	}
 }
 
-func (c *Coordinator) wallMillis() int64 {
+func (c *Publisher) wallMillis() int64 {
 	if c.Wall == nil {
 		return 0
 	}
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -212,7 +212,7 @@
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
 			t.Fatalf("%x is read as %x", data, v.Encode())
 		}
-		g := &Coordinator{AgreeWithin: within}
+		g := &Publisher{AgreeWithin: within}
 		if g.Start(1, &group{t: t}, 1, 1, data) == nil && len(data) > 0 {
 			g.QueryReceived(2, 0, 1, append([]byte{queryPropose}, data...))
 		}
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -10,7 +10,7 @@
 )
 
 // summary says at how many members the active version is, and at which it is not.
-func (c *Coordinator) summary(now Time) string {
+func (c *Publisher) summary(now Time) string {
 	holders, all := 0, 0
 	var lapsed []string
 	for _, m := range c.owner.Members() {
@@ -30,7 +30,7 @@
 }
 
 // summaryOfChange answers for a change that was made.
-func (c *Coordinator) summaryOfChange(now Time, e *AuditEntry) string {
+func (c *Publisher) summaryOfChange(now Time, e *AuditEntry) string {
 	s := c.summary(now)
 	if e.Number < c.versions.active.Number {
 		s += fmt.Sprintf("; this change was made as version %d", e.Number)
@@ -39,7 +39,7 @@
 }
 
 // overview is the summary, and what is to follow the active version.
-func (c *Coordinator) overview(now Time) string {
+func (c *Publisher) overview(now Time) string {
 	s := c.summary(now)
 	if c.versions.staged != nil {
 		s += fmt.Sprintf("; version %d is on its way", c.versions.staged.Number)
@@ -51,7 +51,7 @@
 }
 
 // versionText is a version as a file has it; 0: the active one.
-func (c *Coordinator) versionText(number uint64) string {
+func (c *Publisher) versionText(number uint64) string {
 	if number == 0 {
 		number = c.versions.active.Number
 	}
@@ -64,14 +64,14 @@
 
 // status is what operators need while a version does not become active: what the coordinator waits for, who holds which lease and for how long,
 // and who has the staged version ready or why not.
-func (c *Coordinator) status(now Time) string {
+func (c *Publisher) status(now Time) string {
 	var b strings.Builder
 	c.writeProgress(&b, now)
 	c.writeMembers(&b, now)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func (c *Coordinator) writeProgress(w io.Writer, now Time) {
+func (c *Publisher) writeProgress(w io.Writer, now Time) {
 	v := &c.versions
 	fmt.Fprintf(w, "version %d is active, %d entries; %d earlier ones are kept\n", v.active.Number, v.active.Entries(), len(v.history))
 	if now < c.leases.unknownUntil {
@@ -91,7 +91,7 @@
 	}
 }
 
-func (c *Coordinator) writeMembers(w io.Writer, now Time) {
+func (c *Publisher) writeMembers(w io.Writer, now Time) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "process\tacts by\tfor\tnext version")
 	for _, m := range c.owner.Members() {
@@ -107,7 +107,7 @@
 }
 
 // stagedStateAt says what a member has reported of the staged version.
-func (c *Coordinator) stagedStateAt(peer uint32) string {
+func (c *Publisher) stagedStateAt(peer uint32) string {
 	if c.versions.staged == nil {
 		return "-"
 	}
@@ -123,7 +123,7 @@
 	return "not ready"
 }
 
-func (c *Coordinator) memberName(peer uint32) string {
+func (c *Publisher) memberName(peer uint32) string {
 	for _, m := range c.owner.Members() {
 		if m.Peer == peer {
 			return m.Name
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -3,9 +3,9 @@
 // A transition is a change of the coordinator's state that takes effect once the group has stored the new state: nobody acts by what a next
 // coordinator would not know.
 type transition interface {
-	commit(k *Coordinator)
+	commit(k *Publisher)
 	// abort leaves the state as it was: the group has not confirmed that it stores the new one.
-	abort(k *Coordinator)
+	abort(k *Publisher)
 }
 
 // pendingTransition is the transition that the group is storing.
@@ -16,7 +16,7 @@
 }
 
 // begin has the group store a state, and the transition to it wait for that.
-func (c *Coordinator) begin(now Time, state []byte, t transition) {
+func (c *Publisher) begin(now Time, state []byte, t transition) {
 	c.pending.sequence++
 	c.pending.next, c.pending.startedAt = t, now
 	if err := c.owner.StoreCheckpoint(c.pending.sequence, state); err != nil {
@@ -26,7 +26,7 @@
 }
 
 // CheckpointStored commits or aborts the pending transition.
-func (c *Coordinator) CheckpointStored(now Time, sequence uint64, stored bool) {
+func (c *Publisher) CheckpointStored(now Time, sequence uint64, stored bool) {
 	if t := c.pending.next; t != nil && sequence == c.pending.sequence {
 		c.pending.next = nil
 		if stored {
@@ -39,7 +39,7 @@
 }
 
 // abortLate aborts a transition that the group has not answered for: the answer may be lost.
-func (c *Coordinator) abortLate(now Time) {
+func (c *Publisher) abortLate(now Time) {
 	if t := c.pending.next; t != nil && now-c.pending.startedAt > c.AgreeWithin {
 		c.pending.next = nil
 		t.abort(c)
@@ -54,19 +54,19 @@
 	proposals []*proposal
 }
 
-func (c *Coordinator) stage(s *staging) {
+func (c *Publisher) stage(s *staging) {
 	c.proposals.staged = s.proposals
 	c.begin(s.startedAt, c.encodeCheckpoint(c.versions.active, s.version, s.audit, c.versions.history), s)
 }
 
-func (s *staging) commit(k *Coordinator) {
+func (s *staging) commit(k *Publisher) {
 	k.versions.stage(s.version, s.startedAt)
 	k.audit.staged = s.audit
 	k.leases.clearFaults()
 	k.notifyMembers()
 }
 
-func (s *staging) abort(k *Coordinator) {
+func (s *staging) abort(k *Publisher) {
 	k.proposals.staged = nil
 	replyAll(s.proposals, "unknown: the group has not said whether it keeps it; show tells")
 }
@@ -77,12 +77,12 @@
 	history   [][]byte
 }
 
-func (c *Coordinator) activate(now Time) {
+func (c *Publisher) activate(now Time) {
 	a := &activation{now, c.versions.historyAfter(c.versions.staged)}
 	c.begin(now, c.encodeCheckpoint(c.versions.staged, nil, c.audit.staged, a.history), a)
 }
 
-func (a *activation) commit(k *Coordinator) {
+func (a *activation) commit(k *Publisher) {
 	proposals := k.proposals.staged
 	k.versions.activate(a.history)
 	k.audit.active = k.audit.staged
@@ -100,10 +100,10 @@
 }
 
 // abort does nothing: the same state is stored at a later step.
-func (a *activation) abort(*Coordinator) {}
+func (a *activation) abort(*Publisher) {}
 
 // stageReassigned follows a transitional version, by which nobody uses what was reassigned, with one that gives it to its new owner.
-func (c *Coordinator) stageReassigned(now Time, proposals []*proposal) {
+func (c *Publisher) stageReassigned(now Time, proposals []*proposal) {
 	v := c.versions.active.next()
 	if err := v.finish(); err == nil {
 		c.stage(&staging{now, v, c.audit.active, proposals})
@@ -116,13 +116,13 @@
 	reason    string
 }
 
-func (c *Coordinator) abandon(now Time, reason string) {
+func (c *Publisher) abandon(now Time, reason string) {
 	state := c.encodeCheckpoint(c.versions.active, nil, c.audit.active, c.versions.history)
 	c.begin(now, state, &abandonment{c.proposals.staged, reason})
 }
 
 // commit rejects a single proposal; of several each is tried once more by itself, so that one that can't be used holds up no other.
-func (a *abandonment) commit(k *Coordinator) {
+func (a *abandonment) commit(k *Publisher) {
 	k.versions.staged, k.proposals.staged, k.audit.staged = nil, nil, k.audit.active
 	if len(a.proposals) > 1 {
 		k.proposals.retryAlone(a.proposals)
@@ -136,4 +136,4 @@
 }
 
 // abort does nothing: Step abandons the version again.
-func (a *abandonment) abort(*Coordinator) {}
+func (a *abandonment) abort(*Publisher) {}
--- a/internal/operations/platform/config_test.go
+++ b/internal/operations/platform/config_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.1:9" || c.CachedList.Version != 7 || c.Seed != -1 || !c.DelayInLoad || c.MaxThreads() != 1 ||
-		2*c.MaxSessions()+c.MaxIdleClients()+c.MaxDials() > 1024-reservedDescriptors || 3*c.MaxSessions() < 1024 || c.MemoryLimit() >= 192<<20 {
+		2*c.MaxDownstreams()+c.MaxIdleClients()+c.MaxDials() > 1024-reservedDescriptors || 3*c.MaxDownstreams() < 1024 || c.MemoryLimit() >= 192<<20 {
 		t.Errorf("%+v", c)
 	}
 	for _, change := range [][2]string{{"{", ""}, {"127.0.0.1:2", "nowhere"}, {`"seed":"ffffffffffffffff"`, `"seed":"x"`},
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -6,7 +6,7 @@
 	defaultIdleClients  = 1024
 	defaultAdminCallers = 32
 	defaultHealthChecks = 256
-	defaultSessions     = 1 << 20
+	defaultDownstreams  = 1 << 20
 	defaultMemoryLimit  = 1 << 40 // bytes
 )
 
@@ -60,11 +60,11 @@
 	return max(4, c.Limits.Sockets/16)
 }
 
-// MaxSessions is how many clients with a request fit the limit on descriptors: each may need one more, to its upstream
+// MaxDownstreams is how many clients with a request fit the limit on descriptors: each may need one more, to its upstream
 // host.
-func (c *Config) MaxSessions() int {
+func (c *Config) MaxDownstreams() int {
 	if c.Limits.Sockets <= 0 {
-		return defaultSessions
+		return defaultDownstreams
 	}
 	return max(1, (c.Limits.Sockets-reservedDescriptors-c.MaxDials()-c.MaxIdleClients()-c.MaxAdminCallers()-c.MaxHealthChecks())/2)
 }
