--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -16,9 +16,9 @@
 type HostReadmitted struct{ Host string }
 
 // LedgerPolled says that a balancer keeps the placement ledger and is asked from now on.
-type LedgerPolled struct{ Coordinator int }
+type LedgerPolled struct{ LedgerServer int }
 
-// LedgerUnreachable says that no coordinator answers: requests are placed by what this balancer sees alone.
+// LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
 type LedgerUnreachable struct{}
 
 func (HostEjected) isEvent()       {}
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -1,13 +1,13 @@
 package ledger
 
 const (
-	maxCoordinators = 8    // balancers that count, of which one is asked
-	maxMisses       = 2    // queries in a row without a reply, after which the next coordinator is asked
-	maxPending      = 256  // queries that are remembered
-	initialPause    = 3e9  // how long nobody is asked once no coordinator replied, in nanoseconds
-	maxPauseDouble  = 4    // doublings of it: where no one can be heard hardly any request waits
-	pollInterval    = 2e9  // how often an earlier coordinator is polled, in nanoseconds
-	pendingTimeout  = 10e9 // after which a reply counts for nothing, in nanoseconds
+	maxServers     = 8    // balancers that count, of which one is asked
+	maxMisses      = 2    // queries in a row without a reply, after which the next ledger server is asked
+	maxPending     = 256  // queries that are remembered
+	initialPause   = 3e9  // how long nobody is asked once no ledger server replied, in nanoseconds
+	maxPauseDouble = 4    // doublings of it: where no one can be heard hardly any request waits
+	pollInterval   = 2e9  // how often an earlier ledger server is polled, in nanoseconds
+	pendingTimeout = 10e9 // after which a reply counts for nothing, in nanoseconds
 )
 
 // PendingQuery is a query without a reply yet.
@@ -19,37 +19,37 @@
 	Abandoned bool // its request waits no longer
 }
 
-// Client is the asking side: which coordinator is asked, and which queries are pending. The coordinators are
-// in one order for all balancers; the first of them that replies is asked.
+// Client is the asking side: which ledger server is asked, and which queries are pending. The ledger servers
+// are in one order for all balancers; the first of them that replies is asked.
 type Client struct {
-	coordinators []int // balancers
-	current      int   // index of the one that is asked
-	misses       int   // in a row
-	pausedUntil  Time  // nobody is asked before
-	pauses       int   // in a row
-	polledAt     Time
-	synced       bool // the current one has replied, and is sent all that is held here
-	epoch        byte // of the current one
-	sequence     uint16
-	pending      map[uint16]*PendingQuery
+	servers     []int // balancers
+	current     int   // index of the one that is asked
+	misses      int   // in a row
+	pausedUntil Time  // nobody is asked before
+	pauses      int   // in a row
+	polledAt    Time
+	synced      bool // the current one has replied, and is sent all that is held here
+	epoch       byte // of the current one
+	sequence    uint16
+	pending     map[uint16]*PendingQuery
 }
 
-// NewClient makes the client of one of so many balancers. The coordinators are spread over the balancers'
+// NewClient makes the client of one of so many balancers. The ledger servers are spread over the balancers'
 // numbers, which may follow zones.
 func NewClient(balancers int) *Client {
 	c := &Client{pending: map[uint16]*PendingQuery{}}
-	n := min(balancers, maxCoordinators)
+	n := min(balancers, maxServers)
 	for i := range n {
-		c.coordinators = append(c.coordinators, i*balancers/n)
+		c.servers = append(c.servers, i*balancers/n)
 	}
 	return c
 }
 
-// IsCoordinator reports whether a balancer is one of the coordinators.
-func (c *Client) IsCoordinator(balancer int) bool { return c.index(balancer) >= 0 }
+// IsServer reports whether a balancer is one of the ledger servers.
+func (c *Client) IsServer(balancer int) bool { return c.index(balancer) >= 0 }
 
 func (c *Client) index(balancer int) int {
-	for i, k := range c.coordinators {
+	for i, k := range c.servers {
 		if k == balancer {
 			return i
 		}
@@ -57,15 +57,15 @@
 	return -1
 }
 
-// Coordinator is the balancer that is asked now; -1: none.
-func (c *Client) Coordinator(now Time) int {
+// Server is the balancer that is asked now; -1: none.
+func (c *Client) Server(now Time) int {
 	if now < c.pausedUntil {
 		return -1
 	}
-	return c.coordinators[c.current]
+	return c.servers[c.current]
 }
 
-// Synced reports whether the coordinator was sent all that is held here, so that changes are worth sending.
+// Synced reports whether the ledger server was sent all that is held here, so that changes are worth sending.
 func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
@@ -98,19 +98,19 @@
 		}
 	}
 	if c.misses++; c.misses >= maxMisses {
-		c.tryNextCoordinator(now)
+		c.tryNextServer(now)
 	}
 }
 
-// tryNextCoordinator gives up the current coordinator for the next one, or for a pause after the last.
-func (c *Client) tryNextCoordinator(now Time) {
+// tryNextServer gives up the current ledger server for the next one, or for a pause after the last.
+func (c *Client) tryNextServer(now Time) {
 	c.misses, c.synced = 0, false
-	if c.current++; c.current == len(c.coordinators) {
+	if c.current++; c.current == len(c.servers) {
 		c.pause(now)
 	}
 }
 
-// pause asks nobody for a time that doubles with each pause in a row, and then the first coordinator.
+// pause asks nobody for a time that doubles with each pause in a row, and then the first ledger server.
 func (c *Client) pause(now Time) {
 	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
 	c.pauses++
@@ -123,8 +123,9 @@
 	return p
 }
 
-// CoordinatorSeen records a message of a coordinator. sync: it has to be sent all the connections of this balancer.
-func (c *Client) CoordinatorSeen(from int, epoch byte) (sync bool) {
+// ServerSeen records a message of a ledger server. sync: it has to be sent all the connections of this
+// balancer.
+func (c *Client) ServerSeen(from int, epoch byte) (sync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
 		return false
@@ -134,21 +135,21 @@
 	return sync
 }
 
-// follow asks a coordinator, by its index, from now on.
+// follow asks a ledger server, by its index, from now on.
 func (c *Client) follow(i int, epoch byte) {
 	c.current, c.epoch = i, epoch
 	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
 	c.synced = true
 }
 
-// NextPoll gives the coordinator to poll now: one before the current one, which may be back; -1: none.
+// NextPoll gives the ledger server to poll now: one before the current one, which may be back; -1: none.
 func (c *Client) NextPoll(now Time) int {
 	if c.current == 0 && now >= c.pausedUntil && c.synced || now-c.polledAt < pollInterval {
 		return -1
 	}
 	c.polledAt = now
 	if c.current == 0 {
-		return c.coordinators[0]
+		return c.servers[0]
 	}
-	return c.coordinators[int(uint64(now/pollInterval)%uint64(c.current))]
+	return c.servers[int(uint64(now/pollInterval)%uint64(c.current))]
 }
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// However balancers tell, are lost and begin anew: a host holds the sum of what each was last known to hold, and nothing is under 0.
+// However balancers tell, are lost and begin anew: a host holds the sum of what each was last known to hold,
+// and nothing is under 0.
 func TestPlacementsAreTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := NewPlacements()
@@ -84,29 +85,30 @@
 	}
 }
 
-// The first coordinator that answers is asked: past the misses the next one, after all nobody for a while, and an earlier one as soon as it is back.
-func TestWhichCoordinatorIsAsked(t *testing.T) {
+// The first ledger server that answers is asked: past the misses the next one, after all nobody for a while,
+// and an earlier one as soon as it is back.
+func TestWhichServerIsAsked(t *testing.T) {
 	d := NewClient(300)
-	if got := d.coordinators; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
-		t.Fatalf("coordinators %v", got)
+	if got := d.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
+		t.Fatalf("ledger servers %v", got)
 	}
-	if !d.CoordinatorSeen(0, 5) || d.CoordinatorSeen(0, 5) || !d.CoordinatorSeen(0, 6) || !d.Synced(1) {
-		t.Error("a coordinator has to be told once, and again when it has begun anew")
+	if !d.ServerSeen(0, 5) || d.ServerSeen(0, 5) || !d.ServerSeen(0, 6) || !d.Synced(1) {
+		t.Error("a ledger server has to be told once, and again when it has begun anew")
 	}
 	now := Time(1e9)
 	miss := func() { d.TimedOut(now, "r") }
 	miss()
-	d.CoordinatorSeen(0, 6)
+	d.ServerSeen(0, 6)
 	miss()
-	if d.Coordinator(now) != 0 {
+	if d.Server(now) != 0 {
 		t.Error("one miss between answers moves on")
 	}
 	miss()
-	if d.Coordinator(now) != 37 || d.Synced(now) {
-		t.Errorf("after two misses %d is asked", d.Coordinator(now))
+	if d.Server(now) != 37 || d.Synced(now) {
+		t.Errorf("after two misses %d is asked", d.Server(now))
 	}
-	if d.CoordinatorSeen(150, 1) {
-		t.Error("a later coordinator than the one that is asked has to be told")
+	if d.ServerSeen(150, 1) {
+		t.Error("a later ledger server than the one that is asked has to be told")
 	}
 	if k := d.NextPoll(now + pollInterval); k != 0 {
 		t.Errorf("looked for %d", k)
@@ -114,31 +116,31 @@
 	if d.NextPoll(now+pollInterval+1) >= 0 {
 		t.Error("looked again at once")
 	}
-	if !d.CoordinatorSeen(0, 6) || d.Coordinator(now) != 0 {
+	if !d.ServerSeen(0, 6) || d.Server(now) != 0 {
 		t.Error("the first one is back and not asked")
 	}
-	for range 2 * maxCoordinators {
+	for range 2 * maxServers {
 		miss()
 	}
-	if d.Coordinator(now) >= 0 || d.Coordinator(now+initialPause) != 0 {
-		t.Errorf("after all have missed %d is asked, later %d", d.Coordinator(now), d.Coordinator(now+initialPause))
+	if d.Server(now) >= 0 || d.Server(now+initialPause) != 0 {
+		t.Errorf("after all have missed %d is asked, later %d", d.Server(now), d.Server(now+initialPause))
 	}
 	off := now + initialPause
 	for i := range 6 {
-		for range 2 * maxCoordinators {
+		for range 2 * maxServers {
 			d.TimedOut(off, "r")
 		}
 		next := off + 2*initialPause<<min(i, maxPauseDouble-1)
-		if d.Coordinator(next-1) >= 0 || d.Coordinator(next) != 0 {
+		if d.Server(next-1) >= 0 || d.Server(next) != 0 {
 			t.Errorf("initialPause %d does not end after %g s", i+2, float64(next-off)/1e9)
 		}
 		off = next
 	}
-	if d.CoordinatorSeen(0, 6); d.Coordinator(off-1) != 0 {
+	if d.ServerSeen(0, 6); d.Server(off-1) != 0 {
 		t.Error("not asked though it is heard")
 	}
-	if n := len(NewClient(2).coordinators); n != 2 {
-		t.Errorf("%d coordinators of two balancers", n)
+	if n := len(NewClient(2).servers); n != 2 {
+		t.Errorf("%d ledger servers of two balancers", n)
 	}
 }
 
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -41,7 +41,7 @@
 	Append(data []byte) []byte
 }
 
-// Query asks the coordinator for a host.
+// Query asks the ledger server for a host.
 type Query struct {
 	Seq   uint16
 	Zone  int    // of the asking balancer, 0 to 127
@@ -52,7 +52,7 @@
 
 // Reply names the host for a query.
 type Reply struct {
-	Epoch byte // of the coordinator
+	Epoch byte // of the ledger server
 	Seq   uint16
 	Host  uint32 // 32 bits of the hash of its ID; 0: none
 }
@@ -69,7 +69,7 @@
 // Sync is all that its sender holds; further Entries may follow in messages of their own.
 type Sync struct{ Entries Entries }
 
-// Announcement says that its sender is a coordinator. Another epoch: it has forgotten all.
+// Announcement says that its sender is a ledger server. Another epoch: it has forgotten all.
 type Announcement struct{ Epoch byte }
 
 // Poll asks for an Announcement.
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -1,5 +1,5 @@
-// Package ledger is the placement ledger: one balancer, the coordinator, counts the connections of a fleet in
-// which each balancer sees only a few requests, and is asked for a host. The package owns what is counted
+// Package ledger is the placement ledger: one balancer, the ledger server, counts the connections of a fleet
+// in which each balancer sees only a few requests, and is asked for a host. The package owns what is counted
 // (Placements), the messages by which balancers ask and report, and the choice of whom to ask (Client). Which
 // host a request gets is decided in package balancer. There is no I/O and no clock here. What is counted may
 // be late, torn or lost at any time, and nobody waits for it for long.
@@ -30,7 +30,7 @@
 	grants       []Time // ascending
 }
 
-// Placements is what the balancers of a fleet hold at its hosts, as they reported it to the coordinator.
+// Placements is what the balancers of a fleet hold at its hosts, as they reported it to the ledger server.
 type Placements struct {
 	hosts map[uint32]*hostPlacements
 	peers map[int]map[hostGroup]int // units, by who reported them
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same events give the same counts and the same choice of whom to ask as when they were recorded.
+// TestRecordedDecisions: the same events give the same counts and the same choice of whom to ask as when they
+// were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	var lines strings.Builder
@@ -43,12 +44,12 @@
 					}
 				}
 			case 8:
-				digest.Add("heard %t", client.CoordinatorSeen(peer, byte(rng.Intn(3))))
+				digest.Add("heard %t", client.ServerSeen(peer, byte(rng.Intn(3))))
 			default:
 				digest.Add("look %d", client.NextPoll(now))
 			}
 			load, groups, holds := placements.Load(server, group)
-			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, placements.GrantsSince(server, now-2e9), client.Coordinator(now), client.Synced(now), client.IsCoordinator(peer))
+			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, placements.GrantsSince(server, now-2e9), client.Server(now), client.Synced(now), client.IsServer(peer))
 		}
 		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, peers, digest)
 	}
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// freshRequestWindow is the time constant with which the coordinator counts fresh requests, in
+	// freshRequestWindow is the time constant with which the ledger server counts fresh requests, in
 	// nanoseconds.
 	freshRequestWindow = 1e10
 	// assignLoadSlack is the load over the mean at which a host counts as full, and assignOverfull by how
@@ -21,12 +21,12 @@
 	// that delays messages by the shortest latency objective.
 	assignFarCost   = 2.0
 	assignStallCost = 10.0
-	// assignSlowStartShare is the part of what a warming host may get by chance that the coordinator gives
+	// assignSlowStartShare is the part of what a warming host may get by chance that the ledger server gives
 	// out; the rest is for requests that had no reply.
 	assignSlowStartShare = 0.75
 )
 
-// assign is the coordinator's choice for a request of any balancer: the host that is least full with it,
+// assign is the ledger server's choice for a request of any balancer: the host that is least full with it,
 // where a host that does not hold its group yet pays for that. A warming one takes what its budget leaves,
 // which is counted here for all. nil: no host.
 func (b *Balancer) assign(from int, q ledger.Query) *host {
@@ -51,7 +51,7 @@
 	return best
 }
 
-// assignable reports whether the coordinator may assign a host: what it knows itself counts for all.
+// assignable reports whether the ledger server may assign a host: what it knows itself counts for all.
 func (b *Balancer) assignable(h *host) bool {
 	if h.state != Ready || b.now < h.fullUntil {
 		return false
@@ -93,7 +93,7 @@
 }
 
 // slowStartBudgetLeft reports whether a warming host's budget bears one more request: of n that the settings
-// allow in the overload window, n + 3 √n + 3 may come by chance. The coordinator gives out a part of that,
+// allow in the overload window, n + 3 √n + 3 may come by chance. The ledger server gives out a part of that,
 // counted exactly.
 func (b *Balancer) slowStartBudgetLeft(h *host) bool {
 	fresh := &b.ledger.freshRequests
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// TestLedgerKeepsSlowStartBudgetInSum: with the ledger, the warming hosts' budget is given out exactly: close to what is allowed, never over it, also with a wave that
-// comes again and all balancers new.
+// TestLedgerKeepsSlowStartBudgetInSum: with the ledger, the warming hosts' budget is given out exactly: close
+// to what is allowed, never over it, also with a wave that comes again and all balancers new.
 func TestLedgerKeepsSlowStartBudgetInSum(t *testing.T) {
 	for _, c := range []struct {
 		n    int
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// ledgerReplyTimeout is how long a request waits for the coordinator, in nanoseconds. A request with less
-	// than minTimeouts of it left does not ask.
+	// ledgerReplyTimeout is how long a request waits for the ledger server, in nanoseconds. A request with
+	// less than minTimeouts of it left does not ask.
 	ledgerReplyTimeout = 150e6
 	minTimeouts        = 8
 )
 
-// placementLedger is this balancer's side of the ledger, as client and as coordinator. No balancer sees alone
-// how full hosts are, nor how large a group is. Where balancers may send messages, one that counts for all is
-// asked for a host; without its reply each places by what it sees.
+// placementLedger is this balancer's side of the ledger, as client and as ledger server. No balancer sees
+// alone how full hosts are, nor how large a group is. Where balancers may send messages, one that counts for
+// all is asked for a host; without its reply each places by what it sees.
 type placementLedger struct {
 	client        *ledger.Client
-	placements    *ledger.Placements // where this balancer coordinates
-	freshRequests decay.Counter      // of all balancers, where this one coordinates
-	announced     bool               // this process has an epoch, and was announced if it coordinates
+	placements    *ledger.Placements // where this balancer is a ledger server
+	freshRequests decay.Counter      // of all balancers, where this one is a ledger server
+	announced     bool               // this process has an epoch, and was announced if it is a ledger server
 	epoch         byte               // of this process
-	syncDue       Time               // when the coordinator is told all that is held here
+	syncDue       Time               // when the ledger server is told all that is held here
 }
 
-// ledgerQuery is a request's query to the coordinator.
+// ledgerQuery is a request's query to the ledger server.
 type ledgerQuery struct {
 	sent     bool
 	awaiting bool // the reply
@@ -49,19 +49,19 @@
 	return r.ledger.units
 }
 
-// queryLedger asks the coordinator for a host, once for the first attempt of a request of a group, and tells
-// whether the request waits for the reply.
+// queryLedger asks the ledger server for a host, once for the first attempt of a request of a group, and
+// tells whether the request waits for the reply.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
-	coordinator := b.ledger.client.Coordinator(b.now)
+	server := b.ledger.client.Server(b.now)
 	if r.ledger.sent || r.attempts > 0 || r.shedUnlessWarmingHost || r.Group == "" ||
-		!b.ledgerUsable() || coordinator < 0 {
+		!b.ledgerUsable() || server < 0 {
 		return false
 	}
 	r.ledger.sent = true
 	q := ledger.Query{Zone: b.zone, Retry: r.isRetry(), Units: b.ledgerUnits(r),
 		Group: ledger.GroupID(stableHash(r.Group))}
-	if coordinator == b.cfg.Instance {
-		r.ledger.assigned, r.ledger.replied = b.assign(coordinator, q), true
+	if server == b.cfg.Instance {
+		r.ledger.assigned, r.ledger.replied = b.assign(server, q), true
 		return false
 	}
 	if r.deadline-b.now < minTimeouts*ledgerReplyTimeout {
@@ -69,13 +69,13 @@
 	}
 	q.Seq = b.ledger.client.Register(
 		ledger.PendingQuery{Request: r.ID, Group: q.Group, Units: q.Units, SentAt: b.now})
-	b.effects.SendToPeer(coordinator, q.Append(nil))
+	b.effects.SendToPeer(server, q.Append(nil))
 	r.ledger.awaiting, r.wait.notBefore = true, b.now+ledgerReplyTimeout
 	b.enqueue(r)
 	return true
 }
 
-// assignedHost is the host that the coordinator named for the first attempt, if it may be used.
+// assignedHost is the host that the ledger server named for the first attempt, if it may be used.
 func (b *Balancer) assignedHost(r *request) *host {
 	h := r.ledger.assigned
 	if h == nil || r.attempts > 0 || h.state != Ready || !b.available(h, r) {
@@ -108,12 +108,12 @@
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
 	r.ledger.awaiting, r.wait.notBefore = false, 0
 	b.ledger.client.TimedOut(b.now, r.ID)
-	if b.ledger.client.Coordinator(b.now) < 0 {
+	if b.ledger.client.Server(b.now) < 0 {
 		b.effects.Report(LedgerUnreachable{})
 	}
 }
 
-// reconcileLedger corrects the coordinator's count where a request's connection is not at the host that was
+// reconcileLedger corrects the ledger server's count where a request's connection is not at the host that was
 // assigned; h is nil where there is no connection.
 func (b *Balancer) reconcileLedger(r *request, h *host) {
 	assigned := r.ledger.assigned
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -141,8 +141,8 @@
 	return most, len(held)
 }
 
-// TestLedgerBalancesWhatNoBalancerSees: with a connection or two at each balancer those of a large group all go to the first host of its order; who is asked
-// sees all of them.
+// TestLedgerBalancesWhatNoBalancerSees: with a connection or two at each balancer those of a large group all
+// go to the first host of its order; who is asked sees all of them.
 func TestLedgerBalancesWhatNoBalancerSees(t *testing.T) {
 	var most [2]float64
 	var places [2]int
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestWithoutCoordinator: its coordinator is gone, and a fifth of all messages is lost. Nobody waits for long, the next one is asked, and what the first one knew
-// comes back to it once it is there again.
-func TestWithoutCoordinator(t *testing.T) {
+// TestWithoutLedgerServer: its ledger server is gone, and a fifth of all messages is lost. Nobody waits for
+// long, the next one is asked, and what the first one knew comes back to it once it is there again.
+func TestWithoutLedgerServer(t *testing.T) {
 	x := newTier(t, 40, 20, true)
 	x.loss = 0.2
 	x.flow(10*sec, 8, 15, false)
@@ -170,12 +170,12 @@
 	x.flow(8*sec, 8, 15, false)
 	moved := 0
 	for me, f := range x.all {
-		if !x.dead[me] && f.b.ledger.client.Coordinator(x.now) != 0 {
+		if !x.dead[me] && f.b.ledger.client.Server(x.now) != 0 {
 			moved++
 		}
 	}
 	if moved < 10 {
-		t.Errorf("%d of 39 balancers ask another coordinator", moved)
+		t.Errorf("%d of 39 balancers ask another ledger server", moved)
 	}
 	for id, at := range x.asked {
 		if x.now-at > 3*ledgerReplyTimeout {
@@ -192,7 +192,7 @@
 	x.flow(12*sec, 8, 15, false)
 	back := 0
 	for _, f := range x.all {
-		if f.b.ledger.client.Coordinator(x.now) == 0 {
+		if f.b.ledger.client.Server(x.now) == 0 {
 			back++
 		}
 	}
@@ -201,8 +201,8 @@
 		n, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
 		known += n
 	}
-	t.Logf("%d went on to another coordinator, %d came back; the ledger has %.0f of %d connections", moved, back, known, len(x.open))
+	t.Logf("%d went on to another ledger server, %d came back; the ledger has %.0f of %d connections", moved, back, known, len(x.open))
 	if back < 38 || math.Abs(known-float64(len(x.open))) > 0.25*float64(len(x.open)) {
-		t.Errorf("%d of 40 ask the first coordinator, whose book has %.0f of %d connections", back, known, len(x.open))
+		t.Errorf("%d of 40 ask the first ledger server, whose book has %.0f of %d connections", back, known, len(x.open))
 	}
 }
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -3,7 +3,7 @@
 import "croftlock/internal/balancer/ledger"
 
 const (
-	// syncSpread is the time over which all balancers tell a coordinator that begins what they hold, and
+	// syncSpread is the time over which all balancers tell a ledger server that begins what they hold, and
 	// syncInterval the mean time after which each does so again, in nanoseconds. It corrects what was lost.
 	syncSpread   = 1e9
 	syncInterval = 8e9
@@ -11,9 +11,9 @@
 	epochUnit = 1e8
 )
 
-// maintainLedger announces once that this balancer coordinates, tells the coordinator all that is held here
-// when that is due, and polls one that may be back. Where there is no ledger nothing is sent and nothing
-// drawn.
+// maintainLedger announces once that this balancer is a ledger server, tells the ledger server all that is
+// held here when that is due, and polls one that may be back. Where there is no ledger nothing is sent and
+// nothing drawn.
 func (b *Balancer) maintainLedger() {
 	if !b.ledgerUsable() {
 		return
@@ -21,17 +21,17 @@
 	l := &b.ledger
 	if !l.announced {
 		l.announced, l.epoch = true, byte(b.now/epochUnit)
-		if l.client.IsCoordinator(b.cfg.Instance) {
+		if l.client.IsServer(b.cfg.Instance) {
 			b.effects.SendToPeer(-1, ledger.Announcement{Epoch: l.epoch}.Append(nil))
 		}
 	}
 	if b.now >= l.syncDue && l.client.Synced(b.now) {
 		b.syncLedger()
 	}
-	if coordinator := l.client.NextPoll(b.now); coordinator == b.cfg.Instance {
-		b.coordinatorSeen(coordinator, l.epoch)
-	} else if coordinator >= 0 {
-		b.effects.SendToPeer(coordinator, ledger.Poll{}.Append(nil))
+	if server := l.client.NextPoll(b.now); server == b.cfg.Instance {
+		b.ledgerServerSeen(server, l.epoch)
+	} else if server >= 0 {
+		b.effects.SendToPeer(server, ledger.Poll{}.Append(nil))
 	}
 }
 
@@ -55,10 +55,10 @@
 		reply.Epoch = b.ledger.epoch
 		b.effects.SendToPeer(from, reply.Append(nil))
 	case ledger.Reply:
-		b.coordinatorSeen(from, m.Epoch)
+		b.ledgerServerSeen(from, m.Epoch)
 		b.ledgerReplyReceived(from, m)
 	case ledger.Announcement:
-		b.coordinatorSeen(from, m.Epoch)
+		b.ledgerServerSeen(from, m.Epoch)
 	case ledger.Poll:
 		b.effects.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
 	case ledger.Sync:
@@ -79,20 +79,20 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// coordinatorSeen plans to send all connections of this balancer to a coordinator that does not know them:
+// ledgerServerSeen plans to send all connections of this balancer to a ledger server that does not know them:
 // after a random wait, since all balancers see it together.
-func (b *Balancer) coordinatorSeen(from int, epoch byte) {
-	if b.ledgerUsable() && b.ledger.client.CoordinatorSeen(from, epoch) {
+func (b *Balancer) ledgerServerSeen(from int, epoch byte) {
+	if b.ledgerUsable() && b.ledger.client.ServerSeen(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
-		b.effects.Report(LedgerPolled{Coordinator: from})
+		b.effects.Report(LedgerPolled{LedgerServer: from})
 	}
 }
 
-// syncLedger sends the coordinator all connections of this balancer.
+// syncLedger sends the ledger server all connections of this balancer.
 func (b *Balancer) syncLedger() {
-	coordinator := b.ledger.client.Coordinator(b.now)
+	server := b.ledger.client.Server(b.now)
 	b.ledger.syncDue = b.now + Time(syncInterval*(0.5+b.rng.Float64()))
-	if coordinator < 0 {
+	if server < 0 {
 		return
 	}
 	var entries ledger.Entries
@@ -100,10 +100,10 @@
 		entries = b.appendConnections(entries, h)
 	}
 	n := min(len(entries), ledger.MaxEntries)
-	b.sendToCoordinator(coordinator, ledger.Sync{Entries: entries[:n]})
+	b.sendToLedgerServer(server, ledger.Sync{Entries: entries[:n]})
 	for entries = entries[n:]; len(entries) > 0; entries = entries[n:] {
 		n = min(len(entries), ledger.MaxEntries)
-		b.sendToCoordinator(coordinator, entries[:n])
+		b.sendToLedgerServer(server, entries[:n])
 	}
 }
 
@@ -131,26 +131,26 @@
 	return entries
 }
 
-// reportPlacement tells the coordinator that a host holds a connection more (1), or less (-1).
+// reportPlacement tells the ledger server that a host holds a connection more (1), or less (-1).
 func (b *Balancer) reportPlacement(h *host, r *request, sign int) {
-	coordinator := b.ledger.client.Coordinator(b.now)
-	if r.Group == "" || coordinator < 0 || !b.ledgerUsable() {
+	server := b.ledger.client.Server(b.now)
+	if r.Group == "" || server < 0 || !b.ledgerUsable() {
 		return
 	}
 	group := ledger.GroupID(stableHash(r.Group))
 	entry := ledger.Entry{Host: uint32(h.hash), Group: group, Units: sign * b.ledgerUnits(r)}
-	if coordinator == b.cfg.Instance {
-		b.countPlacement(coordinator, entry)
+	if server == b.cfg.Instance {
+		b.countPlacement(server, entry)
 		return
 	}
-	b.effects.SendToPeer(coordinator, entry.Append(nil))
+	b.effects.SendToPeer(server, entry.Append(nil))
 }
 
-// sendToCoordinator sends a message, or handles it where this balancer coordinates.
-func (b *Balancer) sendToCoordinator(coordinator int, m ledger.Message) {
-	if coordinator == b.cfg.Instance {
-		b.handleLedger(coordinator, m)
+// sendToLedgerServer sends a message, or handles it where this balancer is that server.
+func (b *Balancer) sendToLedgerServer(server int, m ledger.Message) {
+	if server == b.cfg.Instance {
+		b.handleLedger(server, m)
 		return
 	}
-	b.effects.SendToPeer(coordinator, m.Append(nil))
+	b.effects.SendToPeer(server, m.Append(nil))
 }
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// ledgerConnections is how many connections the first coordinator counts.
+// ledgerConnections is how many connections the first ledger server counts.
 func (x *peerNetwork) ledgerConnections() (n float64) {
 	for _, s := range x.all[0].b.hosts {
 		held, _, _ := x.all[0].b.ledger.placements.Load(uint32(s.hash), 0)
@@ -29,15 +29,15 @@
 	}
 }
 
-// TestLedgerThroughFaults: whatever happens to coordinators and messages, no request waits for more than two replies that do not come, and
-// soon after the fault the ledger has all connections again.
+// TestLedgerThroughFaults: whatever happens to ledger servers and messages, no request waits for more than
+// two replies that do not come, and soon after the fault the ledger has all connections again.
 func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(x *peerNetwork)
-		soon  bool // all tell a coordinator that begins anew at once
+		soon  bool // all tell a ledger server that begins anew at once
 	}{
-		{"the coordinator sleeps for 5 s and wakes up", func(x *peerNetwork) {
+		{"the ledger server sleeps for 5 s and wakes up", func(x *peerNetwork) {
 			x.dead[0] = true
 			x.flow(5*sec, 8, 60, false)
 			x.dead[0] = false
@@ -49,9 +49,9 @@
 			x.flow(sec, 8, 60, true)
 			x.restart(t, 0, 28)
 		}, true},
-		{"all coordinators are killed, one after the other", func(x *peerNetwork) {
+		{"all ledger servers are killed, one after the other", func(x *peerNetwork) {
 			for me := range x.all {
-				if x.all[0].b.ledger.client.IsCoordinator(me) {
+				if x.all[0].b.ledger.client.IsServer(me) {
 					x.dead[me] = true
 					x.flow(sec/2, 8, 60, false)
 					x.restart(t, me, me+1)
@@ -104,12 +104,12 @@
 		waited()
 		back := 0
 		for _, f := range x.all {
-			if f.b.ledger.client.Coordinator(x.now) == 0 {
+			if f.b.ledger.client.Server(x.now) == 0 {
 				back++
 			}
 		}
 		if d := math.Abs(x.ledgerConnections() - float64(len(x.open))); back < 38 || d > 0.08*float64(len(x.open))+2 {
-			t.Errorf("%s: 15 s later %d of 40 ask the first coordinator, whose book has %.0f of %d connections", c.name, back, x.ledgerConnections(), len(x.open))
+			t.Errorf("%s: 15 s later %d of 40 ask the first ledger server, whose book has %.0f of %d connections", c.name, back, x.ledgerConnections(), len(x.open))
 		}
 	}
 }
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -8,8 +8,8 @@
 //  4. attempts and time left for one                                   place
 //  5. idempotency: may it run twice                                    retryForbidden
 //  6. retry storm: its attempt is delayed                              waitsForRetryStorm
-//  7. placement ledger: the coordinator is asked for a host            queryLedger
-//  8. the coordinator's host, or the pick of the rotation              assignedHost, pick
+//  7. placement ledger: the ledger server is asked for a host          queryLedger
+//  8. the ledger server's host, or the pick of the rotation            assignedHost, pick
 //  9. no host: it waits in the queue, or is rejected                   enqueue, reject
 //  10. attempt: its timeout, and the warming host's budget             startAttempt
 //
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -65,7 +65,7 @@
 // at once. What is lost so is given out by lottery.
 func (b *Balancer) slowStartAllows(h *host, r *request, turns float64) (allowed, byLottery bool) {
 	if r.ledger.replied && r.attempts == 0 {
-		return false, false // the coordinator has counted what is left
+		return false, false // the ledger server has counted what is left
 	}
 	bucket := &h.slowStart
 	rate := b.slowStartRate(h) / 1e9
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -90,7 +90,7 @@
 	case balancer.HostReadmitted:
 		slog.Info("host_readmitted", "host", x.Host)
 	case balancer.LedgerPolled:
-		slog.Info("ledger_polled", "coordinator", x.Coordinator)
+		slog.Info("ledger_polled", "ledger_server", x.LedgerServer)
 	case balancer.LedgerUnreachable:
 		slog.Info("ledger_unreachable")
 	}
--- a/internal/testbed/simulator/effects.go
+++ b/internal/testbed/simulator/effects.go
@@ -77,7 +77,7 @@
 	case balancer.HostReadmitted:
 		return "server " + e.Host + " accepts again, back in the pool"
 	case balancer.LedgerPolled:
-		return fmt.Sprintf("the book of balancer %d is asked", e.Coordinator)
+		return fmt.Sprintf("the book of balancer %d is asked", e.LedgerServer)
 	case balancer.LedgerUnreachable:
 		return "no book answers, on its own"
 	}
