--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -1,6 +1,7 @@
 package balancer
 
-// newerFor is for how many slow starts a host counts as one that has started lately.
+// newerFor is for how many slow starts a host counts as one that has started lately: it takes longer to fill
+// than to warm up.
 const newerFor = 4
 
 // ageGroup is the hosts that have started lately, or those before them.
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -3,9 +3,10 @@
 import "math"
 
 const (
-	// ejectionCap is the longest ejection over the first, where the settings give neither.
+	// ejectionCap is the longest ejection over the first, where the settings give neither: three doublings.
+	// A longer one would outlast the fault.
 	ejectionCap = 8.0
-	// sharedFaultShare is the part of the evidence that has to fail for the fault to be nobody's own.
+	// sharedFaultShare is the part of the evidence that has to fail for the fault to be no single host's.
 	sharedFaultShare = 0.5
 	// minTimeoutEvidence is how many set-ups have to have ended of late to tell whose fault a timeout is.
 	minTimeoutEvidence = 4
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -3,9 +3,9 @@
 // Event is a fact that a Balancer reports for the log: one of the types of this file.
 type Event interface{ isEvent() }
 
-// HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the first
-// failure in a row; later ones lengthen the ejection without a report. Where no other host is available it may
-// still be picked.
+// HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the
+// first failure in a row; later ones lengthen the ejection without a report. Where no other host is available
+// it may still be picked.
 type HostEjected struct {
 	Host                string
 	Ejection            Time // how long, in nanoseconds
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -10,13 +10,13 @@
 	// firstOfGroupCost is what the first connection of a group costs a host on top, in mean connections.
 	firstOfGroupCost = 3.0
 	// rankedHosts is how many hosts of a group's order cost more than the one before, and
-	// rankedHostsSparse how many where traffic is sparse.
+	// rankedHostsSparse how many where traffic is sparse: there the order has to do what loads do elsewhere.
 	rankedHosts       = 2.0
 	rankedHostsSparse = 8.0
 	// awayFromHomeCost is the factor on firstOfGroupCost of a host that is not the group's home, where hosts
-	// report their loads.
+	// report their loads: these keep the balance, so that the order may weigh more.
 	awayFromHomeCost = 8.0
-	// homeMaxLoad is the load up to which a host is to hold the groups whose home it is.
+	// homeMaxLoad is the reported load from which a host is no group's home any more; 1 is full.
 	homeMaxLoad = 0.9
 	// maxGroupOrders bounds the memory for orders of groups.
 	maxGroupOrders = 256
@@ -84,8 +84,7 @@
 }
 
 // markGroupHomes marks each host but for the group's home: the first one in the group's order that is warm
-// and not full. Reported loads keep the balance, so that the order may weigh more than where there are none.
-// loads are those of all hosts, in their order.
+// and not full. loads are those of all hosts, in their order.
 func (b *Balancer) markGroupHomes(group string, loads []reportedLoad) {
 	homes := 0.0
 	for _, i := range b.rendezvousOrder(group) {
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -26,8 +26,8 @@
 }
 
 // restarted forgets the failures of the process before: else a host that came back would stay ejected for the
-// rest of that time. It ends an ejection without reporting HostReadmitted, and is also called as an operator's
-// suspension ends.
+// rest of that time. It ends an ejection without reporting HostReadmitted, and is also called as an
+// operator's suspension ends.
 func (h *host) restarted(now, startedAt Time, tokens float64) {
 	h.startedAt = startedAt
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -7,7 +7,7 @@
 
 const (
 	// ledgerReplyTimeout is how long a request waits for the ledger server, in nanoseconds. A request with
-	// less than minTimeouts of it left does not ask.
+	// less than minTimeouts of it left does not ask: a wait in vain must cost it little.
 	ledgerReplyTimeout = 150e6
 	minTimeouts        = 8
 )
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -11,14 +11,15 @@
 	healthCheckBudget = 0.005
 	// minHealthCheckRate is for how many requests a second hosts are checked at least.
 	minHealthCheckRate = 0.2
-	// quotaCapacityShare is the part of the fleet's capacity to which all quotas add up.
+	// quotaCapacityShare is the part of the fleet's capacity to which the tenants' quotas add up.
 	quotaCapacityShare = 0.8
 	// Load from which connections are migrated off a host, the load to which, and the mean load of the fleet
 	// above which none are, since no host has spare capacity.
 	migrateAboveLoad   = 0.98
 	migrateToLoad      = 0.8
 	migrateMaxMeanLoad = 0.8
-	// maxMigratedShare is the part of a balancer's connections that one report migrates at most.
+	// maxMigratedShare is the part of a balancer's connections at a host that one report migrates at most;
+	// the next report shows what that did.
 	maxMigratedShare = 0.1
 )
 
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -17,19 +17,43 @@
 // AttemptStatus is how an attempt ended.
 type AttemptStatus int
 
-// The outcomes of an attempt.
+// The outcomes of an attempt, and for each the causes for which packages proxy and lineproto give it.
+// setupEnded has what follows from each.
 const (
+	// OK: the host ended an open connection as finished (upstreamRequest.finalStatus), or answered a health
+	// check.
 	OK AttemptStatus = iota
+	// Error: the host answered with an error, or with a line that is no answer: upstreamRequest.FromUpstream.
 	Error
+	// Full: the host takes nothing new now, which is no failure of it. The attempt has not run.
+	//   - It answered that it is over capacity: upstreamRequest.FromUpstream.
+	//   - It began to drain, or was removed or suspended, before the attempt: Request.attemptBlocked.
+	//   - It did so, or changed pools, before the request's line was written: host.stopUnsentAttempts.
+	//   - The fleet's rules have changed and exclude the host for this request: Core.startAttempt.
 	Full
+	// Timeout: no answer came in the time that Effects.StartAttempt gave (upstreamRequest.beginAttempt), or
+	// the request's deadline had passed before the attempt began (Request.attemptBlocked).
 	Timeout
+	// ConnectFailed: the connection broke before the request's line was written whole, so that the attempt
+	// has not run (statusBeforeAnswer).
 	ConnectFailed
+	// Reset: the connection broke after that (statusBeforeAnswer, upstreamRequest.finalStatus), or the host
+	// left lines of its client unanswered for too long (Core.checkUnanswered).
 	Reset
+	// Cancelled: the proxy, the client or a migration ended the attempt or the connection.
 	Cancelled
+	// TooLate: the request may not, or need not, be attempted any more. The attempt has not run, nothing
+	// speaks against its host, and AttemptEnded gives the final answer where one is owed.
+	//   - All attempts are used up, or the core does not know the host: Core.startAttempt.
+	//   - Another invariant forbids the attempt: Request.attemptBlocked.
+	//   - The dedup window ended before the request's line was written: upstreamRequest.limitRetry.
+	//   - The fleet's rules now reject the request: Core.startAttempt. It has its answer.
+	//   - The fleet's rules now place it in another pool, whose balancer takes it over: Core.placeInPool.
+	//   - Of a health check, which was not made: Core.checkHost, HealthChecks.Check.
 	TooLate
 )
 
-// String names an outcome as the log writes it.
+// String names an outcome as the log writes it; TooLate is "moot" there.
 func (s AttemptStatus) String() string {
 	if s < OK || s > TooLate {
 		return "unknown"
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -4,14 +4,18 @@
 
 const (
 	// tieBreakSlack is by how many turns a tie-break may run ahead of the rotation, and
-	// reportedLoadSlack the factor on it where hosts report how loaded they are.
+	// reportedLoadSlack the factor on it where hosts report how loaded they are: then loads keep the balance,
+	// which is all that even turns are for.
 	tieBreakSlack     = 1.0
 	reportedLoadSlack = 24.0
-	// crossZoneBias is how fast the price of a crossing takes turns from other zones.
+	// crossZoneBias is how strongly Prices.CrossZone takes turns from other zones: they get 1 / (1 + bias *
+	// price) of their own.
 	crossZoneBias = 100.0
-	// minHealth is the part of its turns that a host which still accepts keeps, so that healing is noticed.
+	// minHealth is the part of its turns that a failing or loaded host keeps: without any, nothing would show
+	// that it is well again.
 	minHealth = 0.02
-	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full.
+	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full. It is above 1, so
+	// that a full fleet still has an order.
 	noTurnsLoad = 1.1
 	// zoneSets is how many sets of zones have hosts of their own for a group where traffic is sparse.
 	zoneSets = 2
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -9,12 +9,12 @@
 	maxShedShare = 0.9
 	// shedGain is by how much the shed share grows a second while all open load is stalled, shedRelease by
 	// how much it shrinks a second while little is, and shedDecay the part of it that is lost a second on top
-	// while no host is stalled.
+	// while no host is stalled: what a pause of one host began must not leave the others idle.
 	shedGain    = 1.0
 	shedRelease = 0.05
 	shedDecay   = 0.5
-	// assumedConnections is for how many mean connections the state of all hosts counts beside those placed
-	// here.
+	// assumedConnections is how many mean connections are added, spread over all hosts, to those placed here:
+	// else one connection on a stalled host would count as an overload of the fleet.
 	assumedConnections = 4.0
 	// demandFade is the time constant of the demand, in seconds.
 	demandFade = 10
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -10,7 +10,7 @@
 // capacity in proportion.
 const slowStartSafety = 2.5
 
-// Parts of a warming host's budget that are given out by lottery.
+// Parts of a warming host's budget that are given out by lottery. Not all is: the draws vary.
 const (
 	lotteryFreshShare = 0.85 // to fresh requests
 	lotteryRetryShare = 0.5  // to retries, which come together
