--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -42,7 +42,7 @@
 				es = append(es, ListedHost{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, StartedAt: at})
 				es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining})
 			}
-			f.b.ListReceived(f.now, ListDelta, 2, es)
+			f.b.ListReceived(f.now, ListDelta, es)
 			f.run(10 * sec) // longer than a slow start
 		}
 		young := func(server string) bool { return server[0] == 't' }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -15,13 +15,13 @@
 
 func TestDrainStopsAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(2)...)
-	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
+	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
 	for i := 0; i < 6; i++ {
 		if f.serve(fmt.Sprint(i)) == "s00" {
 			t.Fatal("sent to a draining host")
 		}
 	}
-	f.b.ListReceived(f.now, ListFull, 3, []ListedHost{{ID: "s00", Zone: "a", Weight: 1}})
+	f.b.ListReceived(f.now, ListFull, []ListedHost{{ID: "s00", Zone: "a", Weight: 1}})
 	if got := f.serve("z"); got != "s00" {
 		t.Fatalf("a host missing from a full list was used: %s", got)
 	}
@@ -91,7 +91,7 @@
 		if f.now-before > cfg.PollInterval*3/4 {
 			t.Fatalf("did not ask for %d ms", (f.now-before)/ms)
 		}
-		f.b.ListReceived(f.now, ListFailed, 0, nil)
+		f.b.ListReceived(f.now, ListFailed, nil)
 	}
 }
 
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -31,7 +31,7 @@
 			es := fleet(n)
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				f.b.ListReceived(f.now, ListFull, int64(i), es)
+				f.b.ListReceived(f.now, ListFull, es)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 			for i := range b.N {
 				f.now += ms
 				f.trace = f.trace[:0]
-				f.b.HealthCheckEnded(f.now, f.b.hosts[i%n].hostID, OK, ms, []float64{0.5 + float64(i%100)/1e4, 0})
+				f.b.HealthCheckEnded(f.now, f.b.hosts[i%n].hostID, OK, []float64{0.5 + float64(i%100)/1e4, 0})
 			}
 		})
 	}
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -12,7 +12,7 @@
 			f.run(within)
 			for range 20 {
 				asked, failed := len(f.watches), f.now
-				f.b.ListReceived(f.now, ListFailed, 0, nil)
+				f.b.ListReceived(f.now, ListFailed, nil)
 				f.run(6 * sec)
 				if len(f.watches) == asked || f.watches[asked]-failed > 5*sec {
 					t.Fatalf("asked within %d s, %d proxies: not asked again in 5 s", within/sec, peers)
@@ -31,7 +31,7 @@
 	f.run(cfg.PollInterval)
 	for range 12 {
 		asked, failed := len(f.watches), f.now
-		f.b.ListReceived(f.now, ListFailed, 0, nil)
+		f.b.ListReceived(f.now, ListFailed, nil)
 		f.run(2 * sec)
 		if len(f.watches) == asked || f.watches[asked]-failed > 3*sec/2 {
 			t.Fatalf("not asked again within 1.5 s of a failure")
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -104,7 +104,7 @@
 	f := start(t, settings(), fleet(3)...)
 	s := f.b.byID["s01"]
 	f.failConnect(s)
-	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s01", Zone: "a", Weight: 1, StartedAt: f.now}})
+	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s01", Zone: "a", Weight: 1, StartedAt: f.now}})
 	if s.ejection.consecutiveFailures != 0 || s.ejection.until != 0 {
 		t.Fatal("a restarted host stays shunned for its predecessor's failures")
 	}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -99,9 +99,8 @@
 	return suspended
 }
 
-// ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions, which
-// therefore decide nothing here.
-func (b *Balancer) ListReceived(now Time, kind ListChange, _ int64, entries []ListedHost) {
+// ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions.
+func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
 	b.tick(now)
 	if kind == ListFailed {
 		b.discovery.failed()
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		panic(err)
 	}
-	b.ListReceived(0, balancer.ListFull, 1, []balancer.ListedHost{
+	b.ListReceived(0, balancer.ListFull, []balancer.ListedHost{
 		{ID: "10.0.0.1:9000", Zone: "east", Weight: 1},
 		{ID: "10.0.0.2:9000", Zone: "east", Weight: 1},
 	})
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	f.b = b
-	b.ListReceived(f.now, ListCached, 1, servers)
+	b.ListReceived(f.now, ListCached, servers)
 	return f
 }
 
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -30,7 +30,7 @@
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
 		if now == downFrom { // all watches end
 			for _, f := range all {
-				f.b.ListReceived(now, ListFailed, 0, nil)
+				f.b.ListReceived(now, ListFailed, nil)
 			}
 		}
 		for _, f := range all {
@@ -41,7 +41,7 @@
 					calls = append(calls, now)
 				}
 				if down(now) {
-					f.b.ListReceived(now, ListFailed, 0, nil)
+					f.b.ListReceived(now, ListFailed, nil)
 				} else {
 					queue = append(queue, call{f, now})
 				}
@@ -50,10 +50,10 @@
 		for len(queue) > 0 && !down(now) {
 			c := queue[0]
 			if now-c.at >= patience {
-				c.f.b.ListReceived(now, ListFailed, 0, nil)
+				c.f.b.ListReceived(now, ListFailed, nil)
 			} else if free <= now {
 				free = now + each
-				c.f.b.ListReceived(now, ListDelta, 1, nil)
+				c.f.b.ListReceived(now, ListDelta, nil)
 				if now >= upAt {
 					told[c.f] = now
 				}
@@ -106,7 +106,7 @@
 				f.run(now - f.now)
 				for ; heard[f] < len(due) && due[heard[f]].at+late[f] <= now; heard[f]++ {
 					e := due[heard[f]].e
-					f.b.ListReceived(now, ListDelta, int64(heard[f]+2), []ListedHost{e})
+					f.b.ListReceived(now, ListDelta, []ListedHost{e})
 					if e.State == Draining {
 						told[f][e.ID] = now
 					}
@@ -152,7 +152,7 @@
 			for _, id := range gone {
 				back = append(back, ListedHost{ID: id, Zone: "a", Weight: 1, StartedAt: f.now - sec})
 			}
-			f.b.ListReceived(f.now, ListDelta, 2, back)
+			f.b.ListReceived(f.now, ListDelta, back)
 		}
 		var at []Time
 		for now := 106 * sec; now < 108*sec; now += 50 * ms {
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -91,7 +91,7 @@
 	took := map[string]map[string]int{}
 	f := manyBalancers(t, 80, 1)[0]
 	for _, id := range []string{"s01", "s02", "s03", "s04"} {
-		f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: id, Zone: "a", Weight: 1, StartedAt: f.now}})
+		f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: id, Zone: "a", Weight: 1, StartedAt: f.now}})
 		took[id] = map[string]int{}
 	}
 	total := 0
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -24,7 +24,7 @@
 			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: up})
 		}
 		for _, f := range x.all {
-			f.b.ListReceived(f.now, ListDelta, 2, es)
+			f.b.ListReceived(f.now, ListDelta, es)
 		}
 		x.grants = map[string][]Time{}
 		rate := 10.0
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -69,8 +69,8 @@
 }
 
 // HealthCheckEnded takes the result of a health check. One that fails says nothing of the host's load, and
-// what was known fades. How long it took decides nothing.
-func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
+// what was known fades.
+func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, load []float64) {
 	b.tick(now)
 	if h := b.byID[id]; h != nil {
 		h.healthCheck.inFlight = false
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -17,7 +17,7 @@
 // reportLoads has every host report a load.
 func (f *fake) reportLoads(x func(i int) float64) {
 	for i, s := range f.b.hosts {
-		f.b.HealthCheckEnded(f.now, s.hostID, OK, ms, []float64{x(i), 0})
+		f.b.HealthCheckEnded(f.now, s.hostID, OK, []float64{x(i), 0})
 	}
 	f.b.updateFleetLoad()
 }
@@ -42,7 +42,7 @@
 	if f.healthChecks("s00") != 1 || f.healthChecks("s01")+f.healthChecks("s02") != 0 {
 		t.Errorf("%d to a ready one that never answers, %d and %d to ones that take nothing", f.healthChecks("s00"), f.healthChecks("s01"), f.healthChecks("s02"))
 	}
-	f.b.HealthCheckEnded(f.now, "s00", Timeout, ms, nil)
+	f.b.HealthCheckEnded(f.now, "s00", Timeout, nil)
 	f.run(5 * sec)
 	if f.healthChecks("s00") != 2 {
 		t.Error("a probe that failed ends probing")
@@ -73,7 +73,7 @@
 			f.establish(id)
 			f.run(sec / Time(rate))
 			for _, s := range f.b.hosts {
-				f.b.HealthCheckEnded(f.now, s.hostID, OK, ms, []float64{0.5, 0})
+				f.b.HealthCheckEnded(f.now, s.hostID, OK, []float64{0.5, 0})
 			}
 		}
 		return f.healthChecks("s")
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -94,7 +94,7 @@
 			s := f.b.hosts[rng.Intn(len(f.b.hosts))]
 			e := ListedHost{ID: s.hostID, Zone: "a", Weight: 1, State: HostState(rng.Intn(2)), StartedAt: f.now * Time(rng.Intn(2))}
 			drained[s.hostID] = e.State == Draining
-			f.b.ListReceived(f.now, ListDelta, int64(step), []ListedHost{e})
+			f.b.ListReceived(f.now, ListDelta, []ListedHost{e})
 		}
 		check()
 	}
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -14,7 +14,7 @@
 		f.serve(fmt.Sprint("w", i))
 		f.now += 50 * ms
 	}
-	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
+	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
 	from := len(f.attemptsStarted)
 	for i := 0; i < 400; i++ { // a wave of returning clients, all in one second
 		f.b.RequestArrived(f.now, Request{ID: fmt.Sprint("v", i), Returned: true, Remaining: 2 * sec})
@@ -69,7 +69,7 @@
 			f.serve(fmt.Sprint("w", i))
 			f.now += sec / 2
 		}
-		f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
+		f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
 		f.now += 4 * sec // nobody comes, then all at once
 		all = append(all, f)
 	}
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -82,7 +82,7 @@
 			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: at})
 		}
 		f.now = max(f.now, at)
-		f.b.ListReceived(f.now, ListDelta, 2, es)
+		f.b.ListReceived(f.now, ListDelta, es)
 	}
 	for up = at; at < up+9*sec; at += step() {
 		later = append(later, at)
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -19,8 +19,8 @@
 		var at, later []Time
 		for _, f := range all {
 			f.b.byID["s03"].ejection.consecutiveFailures, f.b.byID["s03"].ejection.until = 3, up+100*sec
-			f.b.ListReceived(up-5*sec, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
-			f.b.ListReceived(up, ListMaintenance, 0, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
+			f.b.ListReceived(up-5*sec, ListMaintenance, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
+			f.b.ListReceived(up, ListMaintenance, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 			f.now = up
 		}
 		for i := 0; i < 30; i++ {
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -80,7 +80,7 @@
 			if i%2 == 0 { // half of them have just been restarted
 				all[i] = restarted[i]
 			}
-			all[i].b.ListReceived(up, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
+			all[i].b.ListReceived(up, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 			all[i].now = up
 		}
 		sent := replay(all, rng, later, false, "s03")
@@ -110,7 +110,7 @@
 		all := manyBalancers(t, 80, seed)
 		up := 110 * sec
 		for _, f := range all {
-			f.b.ListReceived(up, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up},
+			f.b.ListReceived(up, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up},
 				{ID: "s04", Zone: "a", Weight: 1, State: Draining}, {ID: "s05", Zone: "a", Weight: 1, State: Draining}})
 			f.now = up
 		}
@@ -185,7 +185,7 @@
 func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	up := f.now - 8*sec
-	f.b.ListReceived(f.now, ListDelta, 2, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
+	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
 	cold, warm := 0, 0
 	for i := 0; i < 3000; i++ {
 		f.b.shedding.share = 1 // what rank draws is below
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -16,14 +16,14 @@
 // refuser is a module that refuses what it is asked.
 type refuser struct{ fx balancer.Effects }
 
-func (m refuser) RequestArrived(_ balancer.Time, q balancer.Request)                          { m.fx.Reject(q.ID, 7e6) }
-func (refuser) ConnectionAdopted(balancer.Time, balancer.Request, string)                     {}
-func (refuser) AttemptEstablished(balancer.Time, string, int, balancer.Time)                  {}
-func (refuser) ClientLeft(balancer.Time, string)                                              {}
-func (refuser) Observe(balancer.Time, string, int, balancer.Observation, float64)             {}
-func (refuser) ListReceived(balancer.Time, balancer.ListChange, int64, []balancer.ListedHost) {}
-func (refuser) TimerFired(balancer.Time, string)                                              {}
-func (refuser) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, balancer.Time, []float64) {
+func (m refuser) RequestArrived(_ balancer.Time, q balancer.Request)                   { m.fx.Reject(q.ID, 7e6) }
+func (refuser) ConnectionAdopted(balancer.Time, balancer.Request, string)              {}
+func (refuser) AttemptEstablished(balancer.Time, string, int, balancer.Time)           {}
+func (refuser) ClientLeft(balancer.Time, string)                                       {}
+func (refuser) Observe(balancer.Time, string, int, balancer.Observation, float64)      {}
+func (refuser) ListReceived(balancer.Time, balancer.ListChange, []balancer.ListedHost) {}
+func (refuser) TimerFired(balancer.Time, string)                                       {}
+func (refuser) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, []float64) {
 }
 func (refuser) PeerMessageReceived(balancer.Time, int, []byte)     {}
 func (refuser) Snapshot(bool) balancer.Snapshot                    { return balancer.Snapshot{} }
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -32,7 +32,7 @@
 	entries := c.updateHosts(&ch)
 	for _, p := range c.pools.byName {
 		if p == c.pools.main || ch.isFullList() || len(entries[p]) > 0 {
-			c.notify(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, ch.Kind, ch.Version, entries[p]) })
+			c.notify(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, ch.Kind, entries[p]) })
 		}
 	}
 	c.clearUnusableHosts()
@@ -81,6 +81,6 @@
 // maintenanceChanged has the balancer of a host's pool see the host as the entries say, one after the other.
 func (c *Core) maintenanceChanged(p *pool, entries ...balancer.ListedHost) {
 	c.notify(nil, p, func(now balancer.Time, m Balancer) {
-		m.ListReceived(now, balancer.ListMaintenance, 0, entries)
+		m.ListReceived(now, balancer.ListMaintenance, entries)
 	})
 }
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -168,11 +168,11 @@
 	m.event("observe %s %d %g", id, k, v)
 }
 
-func (m *fakeBalancer) ListReceived(_ balancer.Time, k balancer.ListChange, _ int64, e []balancer.ListedHost) {
+func (m *fakeBalancer) ListReceived(_ balancer.Time, k balancer.ListChange, e []balancer.ListedHost) {
 	m.event("list %d %d", k, len(e))
 }
 
-func (m *fakeBalancer) HealthCheckEnded(_ balancer.Time, id string, s balancer.AttemptStatus, _ balancer.Time, load []float64) {
+func (m *fakeBalancer) HealthCheckEnded(_ balancer.Time, id string, s balancer.AttemptStatus, load []float64) {
 	m.event("checked %s %s %v", id, s, load)
 }
 
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -28,5 +28,5 @@
 	if tracing() {
 		slog.Debug("health_checked", "host", id, "status", status.String(), "load", load, "ms", (c.loop.Now()-began)/1e6)
 	}
-	c.notify(nil, p, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, id, status, now-began, load) })
+	c.notify(nil, p, func(now balancer.Time, m Balancer) { m.HealthCheckEnded(now, id, status, load) })
 }
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -21,11 +21,11 @@
 	// ClientLeft says that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
 	// HealthCheckEnded brings the result of effect HealthCheck.
-	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, elapsed balancer.Time, load []float64)
+	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, load []float64)
 	// Observe brings the load (µs/s) of an open connection, or the latency (ms) of messages on it.
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
 	// ListReceived brings the endpoint list, or a change of it.
-	ListReceived(now balancer.Time, kind balancer.ListChange, version int64, entries []balancer.ListedHost)
+	ListReceived(now balancer.Time, kind balancer.ListChange, entries []balancer.ListedHost)
 	// PeerMessageReceived brings a message of another proxy's.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired brings the token of effect Schedule.
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -37,7 +37,7 @@
 	if to != nil {
 		here, known := h.effectiveEntry(), h.lastSnapshot
 		c.notify(nil, to, func(now balancer.Time, m Balancer) {
-			m.ListReceived(now, balancer.ListMaintenance, 0, []balancer.ListedHost{here})
+			m.ListReceived(now, balancer.ListMaintenance, []balancer.ListedHost{here})
 			if known != nil {
 				m.Restore(now, balancer.Snapshot{Servers: []balancer.HostSnapshot{*known}})
 			}
--- a/internal/testbed/simulator/decode.go
+++ b/internal/testbed/simulator/decode.go
@@ -80,7 +80,7 @@
 	if !ok {
 		return nil, fmt.Errorf("message Membership with form %q, which is unknown", m.Change)
 	}
-	e := listReceived{change: change, version: m.Version}
+	e := listReceived{change: change}
 	if change == balancer.ListFailed {
 		return e, nil
 	}
@@ -99,7 +99,7 @@
 		return nil, fmt.Errorf("%s with ending %q, which is unknown", m.Type, m.Status)
 	}
 	if m.Type == typeHealthCheck {
-		return healthCheckEnded{host: m.Host, status: status, elapsed: m.Elapsed, load: m.Load}, nil
+		return healthCheckEnded{host: m.Host, status: status, load: m.Load}, nil
 	}
 	return attemptEnded{request: m.RequestID, attempt: m.Attempt, status: status, elapsed: m.Elapsed,
 		closed: m.Closed, load: m.Load}, nil
--- a/internal/testbed/simulator/event.go
+++ b/internal/testbed/simulator/event.go
@@ -9,9 +9,8 @@
 
 type (
 	listReceived struct {
-		change  balancer.ListChange
-		version int64
-		hosts   []balancer.ListedHost
+		change balancer.ListChange
+		hosts  []balancer.ListedHost
 	}
 	requestArrived    struct{ request balancer.Request }
 	connectionAdopted struct {
@@ -20,10 +19,9 @@
 	}
 	clientLeft       struct{ request string }
 	healthCheckEnded struct {
-		host    string
-		status  balancer.AttemptStatus
-		elapsed balancer.Time
-		load    []float64
+		host   string
+		status balancer.AttemptStatus
+		load   []float64
 	}
 	timerFired struct{ token string }
 	observed   struct {
@@ -52,7 +50,7 @@
 )
 
 func (e listReceived) deliver(b *balancer.Balancer, now balancer.Time) {
-	b.ListReceived(now, e.change, e.version, e.hosts)
+	b.ListReceived(now, e.change, e.hosts)
 }
 
 func (e requestArrived) deliver(b *balancer.Balancer, now balancer.Time) {
@@ -66,7 +64,7 @@
 func (e clientLeft) deliver(b *balancer.Balancer, now balancer.Time) { b.ClientLeft(now, e.request) }
 
 func (e healthCheckEnded) deliver(b *balancer.Balancer, now balancer.Time) {
-	b.HealthCheckEnded(now, e.host, e.status, e.elapsed, e.load)
+	b.HealthCheckEnded(now, e.host, e.status, e.load)
 }
 
 func (e timerFired) deliver(b *balancer.Balancer, now balancer.Time) { b.TimerFired(now, e.token) }
--- a/internal/testbed/simulator/message.go
+++ b/internal/testbed/simulator/message.go
@@ -62,7 +62,7 @@
 	Sheet     *int            `json:"sheet"`
 	Hosts     []sheetHost     `json:"elements"`
 	Change    string          `json:"form"`
-	Version   int64           `json:"gen"`
+	Version   int64           `json:"gen"` // of the list; decides nothing, but has to be a number
 	Peer      int             `json:"origin_peer"`
 	Contents  string          `json:"contents"` // base64
 }
