--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -50,7 +50,8 @@
 }
 
 // queryLedger asks the ledger server for a host, once for the first attempt of a request of a group, and
-// tells whether the request waits for the reply.
+// reports whether the request waits for the reply. A balancer that is the ledger server itself waits for
+// none.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
 	server := b.ledger.client.Server(b.now)
 	if r.ledger.sent || r.attempts > 0 || r.shedUnlessWarmingHost || r.Group == "" ||
@@ -104,7 +105,7 @@
 	b.place(r)
 }
 
-// ledgerQueryTimedOut goes on without the reply.
+// ledgerQueryTimedOut ends a request's wait for the reply; the caller places it without one.
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
 	r.ledger.awaiting, r.wait.notBefore = false, 0
 	b.ledger.client.TimedOut(b.now, r.ID)
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -54,7 +54,7 @@
 }
 
 // AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is
-// placed again.
+// placed again: after an attempt without a connection it is, unless it is closed or the attempt was TooLate.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
 	r := b.requests[result.RequestID]
@@ -103,7 +103,8 @@
 	}
 }
 
-// setupEnded updates the rules' state after an attempt without a connection.
+// setupEnded updates the rules' state after an attempt without a connection. Cancelled and TooLate change
+// nothing here.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
@@ -114,7 +115,7 @@
 		b.hostFailed(h, r.sentAt, true)
 	case Timeout:
 		b.setups.ExpectCompletion(b.now + elapsed)
-		// The time it would have taken lies beyond; else a slow store would never be waited for.
+		// It would have taken longer. Without this sample timeouts would never grow to what set-ups take.
 		b.setups.Sample(b.now, float64(elapsed)*1.5)
 		b.hostFailed(h, r.sentAt, false)
 	case Reset:
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -1,19 +1,32 @@
 package balancer
 
-// The rules that an arriving request meets, in this order, and the function that holds each:
+// The rules that a request meets, in this order, what may come of each, and the function that holds it:
 //
-//  1. admission: a known class, an ID of its own                      admit
-//  2. traffic: what its kind tells of the rate of requests             traffic.arrived
-//  3. load shedding: marked, for a warming host or rejection in 9      shed
-//  4. attempts and time left for one                                   place
-//  5. idempotency: may it run twice                                    retryForbidden
-//  6. retry storm: its attempt is delayed                              waitsForRetryStorm
-//  7. placement ledger: the ledger server is asked for a host          queryLedger
-//  8. the ledger server's host, or the pick of the rotation            assignedHost, pick
-//  9. no host: it waits in the queue, or is rejected                   enqueue, reject
-//  10. attempt: its timeout, and the warming host's budget             startAttempt
+//  1. admission: an ID in use or an unknown class is ignored              admit
+//  2. traffic: it counts for the rates of arrivals                        traffic.arrived
+//  3. load shedding: marked, only a warming host's budget may serve it    shed
+//  4. all attempts used, or too little time left: rejected                place
+//  5. idempotency: it may have run and must not run twice: rejected       retryForbidden
+//  6. retry storm: its attempt is delayed in the queue                    waitsForRetryStorm
+//  7. placement ledger: queued until the ledger server names a host       queryLedger
+//  8. the ledger server's host, else the pick of the rotation             assignedHost, pick
+//  9. a host: the attempt starts, with a timeout                          startAttempt
+//  10. no host: rejected if marked in 3, or if operators have suspended
+//     all hosts that could serve; else queued                             place
 //
-// The end of an attempt brings it back to 4, and so does the queue.
+// pick leaves out the hosts that are draining, removed or suspended, those that would not discard a repeat
+// (outsideDedupScope), and warming ones whose budget is spent (slowStartAllows). It prefers hosts that are
+// neither ejected nor full and that the request has not tried (available).
+//
+// Afterwards a request comes back to 4, or is rejected:
+//
+//   - An attempt has ended without a connection (AttemptEnded); after TooLate it is rejected. The end of an
+//     established connection closes its request: it is never retried.
+//   - The queue is looked through (drainQueue): every queueInterval, and after each endpoint list. A request
+//     is rejected there after half of the time that it had left when it was first queued.
+//   - The ledger server has replied (ledgerReplyReceived).
+//
+// reject answers that a retry is harmless, or with a failure where it is not (clientRetryUnsafe).
 
 // RequestArrived takes a client's request: from here on it is owed one final answer.
 func (b *Balancer) RequestArrived(now Time, q Request) {
@@ -24,7 +37,7 @@
 	}
 	r.deadline = now + q.Remaining
 	r.similarPerSecond = b.traffic.arrived(now, r.isRetry(), len(b.hosts))
-	b.shedding.demandByClass[r.Class] += r.cost
+	b.shedding.demandByClass[r.Class] += r.cost // shed compares it with the demand, so that it counts first
 	r.shedUnlessWarmingHost = b.shed(r)
 	b.place(r)
 }
@@ -56,9 +69,10 @@
 	return r
 }
 
-// place starts a request's next attempt, or queues it, or gives its final answer.
+// place starts a request's next attempt, or queues it, or gives its final answer: rules 4 to 10.
 func (b *Balancer) place(r *request) {
-	// Two ticks are kept, so that the answer comes within the deadline.
+	// Two ticks are kept, so that the answer comes within the deadline. A set-up that would not complete in
+	// what is left would only lengthen the queue that all set-ups share.
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.setups.QueueDelay(b.now) || b.retryForbidden(r) {
 		b.reject(r)
@@ -102,7 +116,7 @@
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
-// reject gives the final answer of a request that is not served.
+// reject gives the final answer of a request that is not served. It is kept until its attempt has ended.
 func (b *Balancer) reject(r *request) {
 	r.closed = true
 	b.reconcileLedger(r, nil)
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -3,8 +3,8 @@
 // queueInterval is how often the queue is looked through, in nanoseconds.
 const queueInterval = 20e6
 
-// requestQueue holds requests for a moment: a warming fleet, or one that is still unknown, may serve them
-// soon. Requests that a retry storm delays, or that wait for the ledger's reply, are in it too.
+// requestQueue holds the requests that have no host now, since a warming fleet, or one that is still unknown,
+// may serve them soon; those that a retry storm delays; and those that wait for the ledger server's reply.
 type requestQueue struct {
 	waiting  []*request
 	timerSet bool
@@ -13,11 +13,11 @@
 // queueEntry is a request's place in the queue.
 type queueEntry struct {
 	queued    bool
-	rejectAt  Time // half of the time left when it was first queued, for the client to retry in; 0: not set
+	rejectAt  Time // leaves half of the time for the client to retry in; 0: not queued since the last attempt
 	notBefore Time // no attempt before; 0: at once
 }
 
-// enqueue has a request wait.
+// enqueue has a request wait for drainQueue, once more if it has waited before.
 func (b *Balancer) enqueue(r *request) {
 	if !r.wait.queued {
 		r.wait.queued = true
@@ -32,7 +32,8 @@
 	}
 }
 
-// drainQueue places the requests whose time has come. Those that have to wait on are queued anew.
+// drainQueue places the requests whose time has come, and rejects those that have waited too long. Those that
+// have to wait on are queued anew, in their order.
 func (b *Balancer) drainQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
@@ -41,7 +42,7 @@
 	b.queue.waiting = nil
 	for _, r := range waiting {
 		if r.closed || !r.wait.queued {
-			continue
+			continue // answered, or placed when the ledger server replied
 		}
 		r.wait.queued = false
 		switch {
@@ -50,7 +51,7 @@
 		case b.now < r.wait.notBefore:
 			b.enqueue(r)
 		default:
-			if r.ledger.awaiting {
+			if r.ledger.awaiting { // notBefore was the reply's timeout
 				b.ledgerQueryTimedOut(r)
 			}
 			b.place(r)
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -79,10 +79,10 @@
 	return Time(objective * float64(1+r.attempts) * (0.5 + b.rng.Float64()))
 }
 
-// attemptTimeout is how long an attempt may take of the time that is left: what set-ups took, longer by the
-// time since the last one, and the latency objective at least; half of what is left where that is less or
-// there were too few. It is all that is left where no further attempt would fit, since what is given up has
-// still taken the store's time.
+// attemptTimeout is how long an attempt may take of the time that is left: the bound of recent set-up times,
+// or the latency objective if that is longer, plus the time since the last set-up. Half of what is left, if
+// that is less or too few set-ups were seen, so that another attempt fits. All that is left where none would,
+// or most attempts fail: one that is given up keeps its place in the queue that all set-ups share.
 func (b *Balancer) attemptTimeout(r *request, left Time) Time {
 	timeout := max(float64(b.cfg.Classes[r.Class].LatencyObjective), b.setups.Bound())
 	if r.attempts+1 >= b.cfg.MaxAttempts || timeout*2 > float64(left) ||
