--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -8,22 +8,17 @@
 	"unicode/utf8"
 )
 
-const (
-	ms  = Time(1e6)
-	sec = Time(1e9)
-)
-
-func TestDrainStopsAtOnce(t *testing.T) {
+func TestNothingGoesToDrainingOrRemovedHosts(t *testing.T) {
 	f := start(t, settings(), fleet(2)...)
-	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s00", Zone: "a", Weight: 1, State: Draining}})
-	for i := 0; i < 6; i++ {
+	f.listChanged(listed("s00", Draining))
+	for i := range 6 {
 		if f.serve(fmt.Sprint(i)) == "s00" {
-			t.Fatal("sent to a draining host")
+			t.Fatal("an attempt at a draining host")
 		}
 	}
-	f.b.ListReceived(f.now, ListFull, []ListedHost{{ID: "s00", Zone: "a", Weight: 1}})
+	f.b.ListReceived(f.now, ListFull, []ListedHost{listed("s00", Ready)})
 	if got := f.serve("z"); got != "s00" {
-		t.Fatalf("a host missing from a full list was used: %s", got)
+		t.Fatalf("an attempt at %s, which the full list does not name", got)
 	}
 }
 
@@ -32,10 +27,10 @@
 	f.request("r")
 	f.run(3 * sec)
 	if f.answers["r"] != 1 || f.failed["r"] {
-		t.Fatalf("want one rejection, got %v", f.trace)
+		t.Fatalf("expected one rejection: %v", f.trace)
 	}
 	if f.rejected["r"] == 0 {
-		t.Fatal("rejected without advice when to come back")
+		t.Fatal("rejected without a Retry-After")
 	}
 }
 
@@ -44,37 +39,38 @@
 	cfg.Classes[0].Idempotency = NotIdempotent
 	f := start(t, cfg, fleet(4)...)
 	f.request("a")
-	f.end("a", ConnectFailed) // proves that it never ran
+	f.end("a", ConnectFailed) // proves that it has not run
 	if len(f.attemptsStarted) != 2 {
-		t.Fatal("no further attempt though it had not run")
+		t.Fatal("no retry of a request that has not run")
 	}
 	f.end("a", Timeout)
 	if len(f.attemptsStarted) != 2 || !f.failed["a"] || f.answers["a"] != 1 {
-		t.Fatalf("a request that may have run and is not idempotent must fail, once: %v", f.trace)
+		t.Fatalf("a request that is not idempotent and may have run has to fail, once: %v", f.trace)
 	}
 }
 
 func TestKeyedRetryStaysInDedupScopeAndWindow(t *testing.T) {
 	cfg := settings()
-	cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = IdempotentWithKey, ScopeZone, sec
-	es := fleet(6)
-	for i := range es {
-		es[i].Zone = []string{"a", "b"}[i%2]
+	class := &cfg.Classes[0]
+	class.Idempotency, class.DedupScope, class.DedupWindow = IdempotentWithKey, ScopeZone, sec
+	hosts := fleet(6)
+	for i := range hosts {
+		hosts[i].Zone = []string{"a", "b"}[i%2]
 	}
-	f := start(t, cfg, es...)
+	f := start(t, cfg, hosts...)
 	f.request("r")
 	zone := f.b.byID[f.last().host].zone
-	for i := 0; i < 2; i++ {
+	for range 2 {
 		f.end("r", Error)
 		if f.b.byID[f.last().host].zone != zone {
-			t.Fatal("a keyed retry left its group")
+			t.Fatal("a retry with an idempotency key outside its dedup scope")
 		}
 	}
 	f.now += 2 * sec
 	n := len(f.attemptsStarted)
 	f.end("r", Error)
 	if len(f.attemptsStarted) != n || !f.failed["r"] {
-		t.Fatal("a keyed retry went out after its window, or was rejected outside group all")
+		t.Fatal("retried after its dedup window, or rejected though not all hosts discard repeats of its key")
 	}
 }
 
@@ -82,19 +78,20 @@
 	cfg := settings()
 	cfg.PollsDiscovery = true
 	f := start(t, cfg, fleet(3)...)
-	for i := 0; i < 12; i++ {
+	for range 12 {
 		n := len(f.watches)
 		before := f.now
 		for len(f.watches) == n && f.now < before+20*sec {
 			f.run(50 * ms)
 		}
 		if f.now-before > cfg.PollInterval*3/4 {
-			t.Fatalf("did not ask for %d ms", (f.now-before)/ms)
+			t.Fatalf("no poll of discovery for %d ms", (f.now-before)/ms)
 		}
 		f.b.ListReceived(f.now, ListFailed, nil)
 	}
 }
 
+// TestModuleSize: the files that deploy/balancer.toml lists as policy are short, and so are their lines.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -102,7 +99,7 @@
 	}
 	_, list, _ := strings.Cut(string(deploy), "policy = [")
 	list, _, _ = strings.Cut(list, "]")
-	const most = 250 // as for every file of the project; the limit on all of them together has been lifted by the operators
+	const maxLines, maxColumns = 250, 110 // the first as for every file of the project
 	for _, name := range strings.Split(list, ",") {
 		data, err := os.ReadFile("../../" + strings.Trim(name, "\" "))
 		if err != nil {
@@ -113,23 +110,23 @@
 			if strings.TrimSpace(text) != "" {
 				lines++
 			}
-			if n := utf8.RuneCountInString(text); n > 110 {
+			if n := utf8.RuneCountInString(text); n > maxColumns {
 				t.Errorf("%s: a line of %d columns: %s", name, n, text)
 			}
 		}
-		if lines < 10 || lines > most {
-			t.Errorf("%s: %d lines, %d at most", name, lines, most)
+		if lines < 10 || lines > maxLines {
+			t.Errorf("%s: %d lines, %d at most", name, lines, maxLines)
 		}
 	}
 }
 
 func TestUnusableSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"no class":    func(c *Config) { c.Classes = nil },
-		"no peers":    func(c *Config) { c.Instances = 0 },
-		"no attempts": func(c *Config) { c.MaxAttempts = 0 },
-		"no deadline": func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cap < init":  func(c *Config) { c.EjectionInitial, c.EjectionMax = 10, 5 },
+		"no class":                     func(c *Config) { c.Classes = nil },
+		"no instances":                 func(c *Config) { c.Instances = 0 },
+		"no attempts":                  func(c *Config) { c.MaxAttempts = 0 },
+		"no deadline":                  func(c *Config) { c.Classes[0].Deadline = 0 },
+		"longest ejection < first one": func(c *Config) { c.EjectionInitial, c.EjectionMax = 10, 5 },
 	} {
 		cfg := settings()
 		spoil(&cfg)
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -5,6 +5,10 @@
 	"testing"
 )
 
+func benchRequest(id, group string) Request {
+	return Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec}
+}
+
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -14,7 +18,7 @@
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				id := fmt.Sprint(i)
-				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint("g", i%8), Remaining: 2 * sec})
+				f.b.RequestArrived(f.now, benchRequest(id, fmt.Sprint("g", i%8)))
 				f.establish(id)
 				f.end(id, OK)
 				f.now += 50 * ms
@@ -28,10 +32,10 @@
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := start(b, settings(), fleet(n)...)
-			es := fleet(n)
+			hosts := fleet(n)
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				f.b.ListReceived(f.now, ListFull, es)
+				f.b.ListReceived(f.now, ListFull, hosts)
 			}
 		})
 	}
@@ -39,7 +43,7 @@
 
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		f := startReporting(&testing.T{}, settings(), fleet(n)...)
+		f := startReporting(b, settings(), fleet(n)...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
@@ -53,7 +57,7 @@
 
 func BenchmarkPlacementByLoad(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
-		f := startReporting(&testing.T{}, settings(), fleet(n)...)
+		f := startReporting(b, settings(), fleet(n)...)
 		f.reportLoads(func(i int) float64 { return 0.4 + float64(i%10)/50 })
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -61,7 +65,7 @@
 				f.now += ms
 				f.trace, f.attemptsStarted = f.trace[:0], f.attemptsStarted[:0]
 				id := fmt.Sprint("r", i)
-				f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: fmt.Sprint(i % 8), Remaining: 2 * sec})
+				f.b.RequestArrived(f.now, benchRequest(id, fmt.Sprint(i%8)))
 				f.establish(id)
 				f.end(id, OK)
 			}
--- a/internal/balancer/decay/counter_test.go
+++ b/internal/balancer/decay/counter_test.go
@@ -10,10 +10,10 @@
 	c.Add(0, 1e9, 4)
 	c.Add(1e9, 1e9, 2)
 	if want := 4/math.E + 2; math.Abs(c.Sum-want) > 1e-6 {
-		t.Errorf("%g, expected %g", c.Sum, want)
+		t.Errorf("a sum of %g, expected %g", c.Sum, want)
 	}
 	c.Add(2e9, 0, 0) // a time constant of 0 forgets all
 	if c.Sum != 0 {
-		t.Errorf("%g is left", c.Sum)
+		t.Errorf("a sum of %g after a time constant of 0", c.Sum)
 	}
 }
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -5,31 +5,40 @@
 	"testing"
 )
 
+const (
+	ms  = Time(1e6)
+	sec = Time(1e9)
+)
+
+// attemptStart is one call of Effects.StartAttempt.
 type attemptStart struct {
 	request, host string
 	timeout       Time
 	at            Time
 }
 
-// fake records the actions of one balancer and lets a test answer them.
+// fake stands in for the proxy core of one balancer: it records the effects, and a test calls the events. The
+// maps are by the request's ID.
 type fake struct {
 	t               testing.TB
 	b               *Balancer
 	now             Time
 	attemptsStarted []attemptStart
-	attempts        map[string]int
+	attempts        map[string]int // started
 	inFlight        map[string]bool
-	answers         map[string]int
-	rejected        map[string]Time
+	answers         map[string]int  // final ones
+	rejected        map[string]Time // the Retry-After
 	failed          map[string]bool
-	migrations      []string
-	cancelled       []string
-	watches         []Time
+	migrations      []string // requests
+	cancelled       []string // requests
+	watches         []Time   // when the endpoint list was subscribed to
 	timers          []timer
 	peerMessages    [][]byte
-	trace           []string
+	healthChecked   []string // hosts
+	trace           []string // all effects
 }
 
+// timer is one call of Effects.Schedule.
 type timer struct {
 	at    Time
 	token string
@@ -37,64 +46,82 @@
 
 func (f *fake) record(format string, a ...any) { f.trace = append(f.trace, fmt.Sprintf(format, a...)) }
 
-func (f *fake) StartAttempt(r, s string, t Time) {
-	if f.inFlight[r] {
-		f.t.Errorf("two attempts of %s out at once", r)
+func (f *fake) StartAttempt(request, host string, timeout Time) {
+	if f.inFlight[request] {
+		f.t.Errorf("%s: two attempts in flight at once", request)
 	}
-	if f.answers[r] > 0 {
-		f.t.Errorf("%s sent after its final answer", r)
+	if f.answers[request] > 0 {
+		f.t.Errorf("%s: an attempt after its final answer", request)
 	}
-	f.inFlight[r] = true
-	f.attempts[r]++
-	f.attemptsStarted = append(f.attemptsStarted, attemptStart{r, s, t, f.now})
-	f.record("%d send %s %s %d", f.now, r, s, t)
+	f.inFlight[request] = true
+	f.attempts[request]++
+	f.attemptsStarted = append(f.attemptsStarted, attemptStart{request, host, timeout, f.now})
+	f.record("%d start_attempt %s %s %d", f.now, request, host, timeout)
 }
 
-func (f *fake) Reject(r string, after Time) {
-	f.rejected[r] = after
-	f.answers[r]++
-	f.record("%d refuse %s %d", f.now, r, after)
+func (f *fake) Reject(request string, retryAfter Time) {
+	f.rejected[request] = retryAfter
+	f.answers[request]++
+	f.record("%d reject %s %d", f.now, request, retryAfter)
 }
 
-func (f *fake) Fail(r string) { f.failed[r] = true; f.answers[r]++; f.record("%d fail %s", f.now, r) }
+func (f *fake) Fail(request string) {
+	f.failed[request] = true
+	f.answers[request]++
+	f.record("%d fail %s", f.now, request)
+}
 
-func (f *fake) CancelAttempt(r string, n int) {
-	f.cancelled = append(f.cancelled, r)
-	f.record("cancel %s %d", r, n)
+func (f *fake) CancelAttempt(request string, attempt int) {
+	f.cancelled = append(f.cancelled, request)
+	f.record("cancel_attempt %s %d", request, attempt)
 }
 
-func (f *fake) Migrate(r string) {
-	f.migrations = append(f.migrations, r)
-	f.record("%d move %s", f.now, r)
+func (f *fake) Migrate(request string) {
+	f.migrations = append(f.migrations, request)
+	f.record("%d migrate %s", f.now, request)
 }
 
-func (f *fake) HealthCheck(s string) { f.record("probe %s", s) }
+func (f *fake) HealthCheck(host string) {
+	f.healthChecked = append(f.healthChecked, host)
+	f.record("health_check %s", host)
+}
 
-func (f *fake) SendToPeer(p int, d []byte) {
-	f.peerMessages = append(f.peerMessages, d)
-	f.record("tell %d %x", p, d)
+func (f *fake) SendToPeer(peer int, data []byte) {
+	f.peerMessages = append(f.peerMessages, data)
+	f.record("send_to_peer %d %x", peer, data)
 }
 
-func (f *fake) WatchList(on bool) { f.watches = append(f.watches, f.now); f.record("watch %v", on) }
+func (f *fake) WatchList(on bool) {
+	f.watches = append(f.watches, f.now)
+	f.record("watch_list %v", on)
+}
 
-func (f *fake) FetchList() { f.record("fetch") }
+func (f *fake) FetchList() { f.record("fetch_list") }
 
-func (f *fake) Schedule(d Time, token string) {
-	f.timers = append(f.timers, timer{f.now + d, token})
-	f.record("after %d %s", d, token)
+func (f *fake) Schedule(delay Time, token string) {
+	f.timers = append(f.timers, timer{f.now + delay, token})
+	f.record("schedule %d %s", delay, token)
 }
 
 func (f *fake) Report(e Event) { f.record("report %T %+v", e, e) }
 
+// settings are one balancer's, with one class.
 func settings() Config {
 	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
-		Classes:     []Class{{Name: "x", LatencyObjective: 300 * ms, Deadline: 2 * sec, MessageLatencyObjective: 100 * ms}},
+		Classes:     []Class{classWith(300*ms, 2*sec, 100*ms)},
 		MaxAttempts: 4, ConnectTimeout: 200 * ms, MaxRetryAfter: sec, SendsRetryAfter: true, MayCancel: true,
-		SlowStartFloor: 0.2, SlowStartDuration: 10 * sec, SlowStartOverloadFactor: 3, SlowStartOverloadWindow: sec, PollInterval: 10 * sec, PassThrough: true,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * sec, SlowStartOverloadFactor: 3,
+		SlowStartOverloadWindow: sec, PollInterval: 10 * sec, PassThrough: true,
 		EjectionInitial: -1, EjectionMax: -1}
 }
 
-func start(t testing.TB, cfg Config, servers ...ListedHost) *fake {
+func classWith(objective, deadline, messageObjective Time) Class {
+	return Class{Name: "x", LatencyObjective: objective, Deadline: deadline,
+		MessageLatencyObjective: messageObjective}
+}
+
+// start makes a balancer that has a cached endpoint list, at 100 s.
+func start(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
 	t.Helper()
 	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, inFlight: map[string]bool{},
 		answers: map[string]int{}, rejected: map[string]Time{}, failed: map[string]bool{}}
@@ -103,18 +130,36 @@
 		t.Fatal(err)
 	}
 	f.b = b
-	b.ListReceived(f.now, ListCached, servers)
+	b.ListReceived(f.now, ListCached, hosts)
 	return f
 }
 
+// listed is a host of zone a in an endpoint list, long started.
+func listed(id string, state HostState) ListedHost {
+	return ListedHost{ID: id, Zone: "a", Weight: 1, State: state}
+}
+
+// warming is a ready host that started at a time.
+func warming(id string, startedAt Time) ListedHost {
+	h := listed(id, Ready)
+	h.StartedAt = startedAt
+	return h
+}
+
+func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
+
+// fleet is n ready hosts, hostID(0) and on.
 func fleet(n int) []ListedHost {
-	var es []ListedHost
-	for i := 0; i < n; i++ {
-		es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1})
+	var hosts []ListedHost
+	for i := range n {
+		hosts = append(hosts, listed(hostID(i), Ready))
 	}
-	return es
+	return hosts
 }
 
+// listChanged brings the balancer a change of its endpoint list.
+func (f *fake) listChanged(hosts ...ListedHost) { f.b.ListReceived(f.now, ListDelta, hosts) }
+
 // run advances the clock, firing timers in order.
 func (f *fake) run(d Time) {
 	end := f.now + d
@@ -136,35 +181,54 @@
 	f.now = end
 }
 
+// request has a request arrive, of no tenant and with 2 s left.
 func (f *fake) request(id string) {
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
 // failConnect is one failed connect to a host.
-func (f *fake) failConnect(s *host) {
+func (f *fake) failConnect(h *host) {
 	f.b.tick(f.now)
-	f.b.hostFailed(s, f.now, true)
+	f.b.hostFailed(h, f.now, true)
 }
 
+// last is the newest attempt.
 func (f *fake) last() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
 
+// establish has the newest attempt of a request set up its connection, after 10 ms.
 func (f *fake) establish(id string) {
 	f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 }
 
-func (f *fake) end(id string, s AttemptStatus) {
+// end has the newest attempt of a request, or its connection, end. OK closes the request.
+func (f *fake) end(id string, status AttemptStatus) {
 	f.inFlight[id] = false
-	if s == OK {
+	if status == OK {
 		f.answers[id]++
 	}
-	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: s, Elapsed: 10 * ms, Closed: s == OK})
+	f.attemptEnded(id, status, status == OK)
+}
+
+func (f *fake) attemptEnded(id string, status AttemptStatus, closed bool) {
+	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: status,
+		Elapsed: 10 * ms, Closed: closed})
 }
 
-// serve sends one request, lets it stand and end, and returns its host.
+// serve has a request arrive, its connection be established and end, and returns its host.
 func (f *fake) serve(id string) string {
 	f.request(id)
-	s := f.last().host
+	host := f.last().host
 	f.establish(id)
 	f.end(id, OK)
-	return s
+	return host
+}
+
+// attemptsAt counts the attempts at a host, from an index of attemptsStarted on.
+func (f *fake) attemptsAt(host string, from int) (n int) {
+	for _, a := range f.attemptsStarted[from:] {
+		if a.host == host {
+			n++
+		}
+	}
+	return n
 }
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,56 +6,56 @@
 	"testing"
 )
 
-// TestDiscoveryDownForAll: eighty balancers on a discovery that gets through fourteen calls a second and is down for four
-// seconds. They must not all call at once when it fails, nor stay away when it is back.
+// TestDiscoveryDownForAll: eighty balancers on a discovery that answers fourteen polls a second and is down
+// for four seconds. They must not all poll at once when it fails, nor stay away when it is back.
 func TestDiscoveryDownForAll(t *testing.T) {
-	const peers, each, patience, downFrom, upAt = 80, sec / 14, 2 * sec, 106 * sec, 110 * sec
-	type call struct {
+	const instances, pollTime, pollTimeout, downFrom, upAt = 80, sec / 14, 2 * sec, 106 * sec, 110 * sec
+	type poll struct {
 		f  *fake
 		at Time
 	}
-	var queue []call // worked through in turn; what has waited too long fails
-	var calls []Time // while it is down or after
-	free := Time(0)
-	var all []*fake
-	told := map[*fake]Time{}
-	for me := 0; me < peers; me++ {
+	var queue []poll // answered one after the other; those that have waited too long fail
+	var polls []Time // while it is down and afterwards
+	busyUntil := Time(0)
+	var balancers []*fake
+	answeredAt := map[*fake]Time{} // after the outage
+	for instance := range instances {
 		cfg := settings()
-		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = me, peers, true, []string{"a"}
+		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = instance, instances, true, []string{"a"}
 		f := start(t, cfg, fleet(3)...)
-		f.b.rng = rand.New(rand.NewSource(int64(me) + 7))
-		all = append(all, f)
+		f.b.rng = rand.New(rand.NewSource(int64(instance) + 7))
+		balancers = append(balancers, f)
 	}
 	down := func(now Time) bool { return now >= downFrom && now < upAt }
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
 		if now == downFrom { // all watches end
-			for _, f := range all {
+			for _, f := range balancers {
 				f.b.ListReceived(now, ListFailed, nil)
 			}
 		}
-		for _, f := range all {
+		for _, f := range balancers {
 			n := len(f.watches)
 			f.run(now - f.now)
 			for range f.watches[n:] {
 				if now >= downFrom {
-					calls = append(calls, now)
+					polls = append(polls, now)
 				}
 				if down(now) {
 					f.b.ListReceived(now, ListFailed, nil)
 				} else {
-					queue = append(queue, call{f, now})
+					queue = append(queue, poll{f, now})
 				}
 			}
 		}
 		for len(queue) > 0 && !down(now) {
-			c := queue[0]
-			if now-c.at >= patience {
-				c.f.b.ListReceived(now, ListFailed, nil)
-			} else if free <= now {
-				free = now + each
-				c.f.b.ListReceived(now, ListDelta, nil)
+			p := queue[0]
+			if now-p.at >= pollTimeout {
+				p.f.b.ListReceived(now, ListFailed, nil)
+			} else if busyUntil <= now {
+				busyUntil = now + pollTime
+				p.f.b.ListReceived(now, ListDelta, nil)
 				if now >= upAt {
-					told[c.f] = now
+					answeredAt[p.f] = now
 				}
 			} else {
 				break
@@ -63,66 +63,69 @@
 			queue = queue[1:]
 		}
 	}
-	most := within(calls, sec)
+	most := mostWithin(polls, sec)
 	if most > 60 {
-		t.Errorf("%d calls within a second on a discovery that gets through 14", most)
+		t.Errorf("%d polls within a second of a discovery that answers 14", most)
 	}
 	last := Time(0)
-	for _, at := range told {
+	for _, at := range answeredAt {
 		last = max(last, at)
 	}
-	if len(told) < peers || last > upAt+9*sec {
-		t.Errorf("%d of %d told, the last %.1f s after it was back", len(told), peers, float64(last-upAt)/1e9)
+	sinceUp := float64(last-upAt) / 1e9
+	if len(answeredAt) < instances || last > upAt+9*sec {
+		t.Errorf("%d of %d answered, the last %.1f s after it was back", len(answeredAt), instances, sinceUp)
 	}
-	t.Logf("at most %d calls a second, the last of %d told after %.1f s", most, len(told), float64(last-upAt)/1e9)
+	t.Logf("at most %d polls a second, the last of %d answered after %.1f s", most, len(answeredAt), sinceUp)
 }
 
-// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer is notified at a moment of its own;
-// nothing goes to a draining host later than the grace after that, whatever comes back meanwhile.
+// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer receives the changes at
+// a moment of its own; nothing goes to a draining host later than the grace after that, whoever comes back
+// meanwhile.
 func TestRollingReplacement(t *testing.T) {
+	type change struct {
+		at   Time
+		host ListedHost
+	}
+	var changes []change
+	for i := range 7 {
+		at := 101*sec + Time(i)*sec
+		changes = append(changes, change{at, listed(hostID(i), Draining)},
+			change{at + sec/2, warming(fmt.Sprintf("t%02d", i), at)})
+	}
 	for seed := int64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewSource(seed))
-		all := manyBalancers(t, 80, seed)
-		type news struct {
-			at Time
-			e  ListedHost
-		}
-		told := map[*fake]map[string]Time{}
-		var due []news
-		for i := 0; i < 7; i++ {
-			at := 101*sec + Time(i)*sec
-			due = append(due, news{at, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining}},
-				news{at + sec/2, ListedHost{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, StartedAt: at}})
-		}
-		heard := map[*fake]int{}
-		late := map[*fake]Time{}
-		for _, f := range all {
-			told[f] = map[string]Time{}
-			late[f] = Time(rng.Int63n(int64(200 * ms)))
+		balancers := manyBalancers(t, 80, seed)
+		drainReceived := map[*fake]map[string]Time{}
+		received := map[*fake]int{} // changes
+		delay := map[*fake]Time{}
+		for _, f := range balancers {
+			drainReceived[f] = map[string]Time{}
+			delay[f] = Time(rng.Int63n(int64(200 * ms)))
 		}
 		n := 0
 		for now := 101 * sec; now < 112*sec; now += 20 * ms {
-			for _, f := range all {
+			for _, f := range balancers {
 				f.run(now - f.now)
-				for ; heard[f] < len(due) && due[heard[f]].at+late[f] <= now; heard[f]++ {
-					e := due[heard[f]].e
-					f.b.ListReceived(now, ListDelta, []ListedHost{e})
-					if e.State == Draining {
-						told[f][e.ID] = now
+				for ; received[f] < len(changes) && changes[received[f]].at+delay[f] <= now; received[f]++ {
+					h := changes[received[f]].host
+					f.b.ListReceived(now, ListDelta, []ListedHost{h})
+					if h.State == Draining {
+						drainReceived[f][h.ID] = now
 					}
 				}
 			}
-			f, id := all[rng.Intn(len(all))], fmt.Sprintf("%d-%d", seed, n)
+			f, id := balancers[rng.Intn(len(balancers))], fmt.Sprintf("%d-%d", seed, n)
 			n++
-			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4), Returned: n%2 == 0, Remaining: 4800 * ms})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4),
+				Returned: n%2 == 0, Remaining: 4800 * ms})
 			if f.inFlight[id] {
 				f.establish(id)
 			}
 		}
-		for _, f := range all {
-			for _, s := range f.attemptsStarted {
-				if at, ok := told[f][s.host]; ok && s.at > at+250*ms {
-					t.Errorf("seed %d: %s got a connection %d ms after its drain was told", seed, s.host, (s.at-at)/ms)
+		for _, f := range balancers {
+			for _, a := range f.attemptsStarted {
+				if at, ok := drainReceived[f][a.host]; ok && a.at > at+250*ms {
+					t.Errorf("seed %d: an attempt at %s %d ms after its drain", seed, a.host, (a.at-at)/ms)
 				}
 			}
 		}
@@ -132,50 +135,45 @@
 	}
 }
 
-// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty balancers, whose failed
-// connects have run out at different times, not all send there at once.
+// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty
+// balancers, half of which had ejected each of them, not all use them at once.
 func TestZoneReturnsWarming(t *testing.T) {
 	mean := 0.0
 	const seeds = 10
 	for seed := int64(1); seed <= seeds; seed++ {
 		rng := rand.New(rand.NewSource(seed))
-		all := manyBalancers(t, 80, seed)
-		gone := []string{"s00", "s03", "s06", "s09"}
-		for _, f := range all {
-			for _, id := range gone {
+		balancers := manyBalancers(t, 80, seed)
+		returning := []string{"s00", "s03", "s06", "s09"}
+		for _, f := range balancers {
+			for _, id := range returning {
 				if rng.Intn(2) == 0 {
 					f.failConnect(f.b.byID[id])
 				}
 			}
 			f.now = 106 * sec
-			var back []ListedHost
-			for _, id := range gone {
-				back = append(back, ListedHost{ID: id, Zone: "a", Weight: 1, StartedAt: f.now - sec})
+			var changes []ListedHost
+			for _, id := range returning {
+				changes = append(changes, warming(id, f.now-sec))
 			}
-			f.b.ListReceived(f.now, ListDelta, back)
-		}
-		var at []Time
-		for now := 106 * sec; now < 108*sec; now += 50 * ms {
-			at = append(at, now)
-		}
-		for _, f := range all {
+			f.listChanged(changes...)
 			f.attemptsStarted = nil
 		}
-		replay(all, rng, at, true, "s00")
-		cold := map[string]int{}
-		for _, f := range all {
-			for _, s := range f.attemptsStarted {
-				cold[s.host]++
+		replay(balancers, rng, evenly(40, 106*sec, 50*ms), true, "s00")
+		attempts := map[string]int{}
+		for _, f := range balancers {
+			for _, a := range f.attemptsStarted {
+				attempts[a.host]++
 			}
 		}
-		for _, id := range gone {
-			mean += float64(cold[id]) / seeds / float64(len(gone))
-			if cold[id] > 6 {
-				t.Errorf("seed %d: %d connections in 2 s to %s, back for a second", seed, cold[id], id)
+		for _, id := range returning {
+			mean += float64(attempts[id]) / seeds / float64(len(returning))
+			if attempts[id] > 6 {
+				t.Errorf("seed %d: %d connections in 2 s to %s, back for a second", seed, attempts[id], id)
 			}
 		}
 	}
-	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of what the hosts bear.
+	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of the hosts'
+	// capacity.
 	if mean > 0.9 {
 		t.Errorf("%.2f connections in 2 s to a warming host that bears 0.9", mean)
 	}
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -5,13 +5,14 @@
 	"testing"
 )
 
-// A group's connections keep to the first host of its order, the same at every balancer, until that is full.
+// TestGroupsKeepToTheirHome: a group's connections keep to the first host of its order, the same at every
+// balancer, until that is full.
 func TestGroupsKeepToTheirHome(t *testing.T) {
 	homes := map[string]bool{}
 	var f *fake
-	for me := range 3 {
+	for instance := range 3 {
 		cfg := settings()
-		cfg.Instance, cfg.Instances = me, 3
+		cfg.Instance, cfg.Instances = instance, 3
 		f = startReporting(t, cfg, fleet(8)...)
 		f.reportLoads(func(int) float64 { return 0.5 })
 		for i := range 8 {
@@ -22,7 +23,7 @@
 		}
 	}
 	if len(homes) != 1 {
-		t.Errorf("24 connections of a group, placed by three balancers, stand on %d hosts", len(homes))
+		t.Errorf("24 connections of a group, placed by three balancers, are at %d hosts", len(homes))
 	}
 	f.now += 2 * sec
 	f.reportLoads(func(i int) float64 {
@@ -33,12 +34,12 @@
 	})
 	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
 	if homes[f.last().host] {
-		t.Error("a group's home that is full gets more of it")
+		t.Error("another connection of the group goes to its home, which is full")
 	}
 }
 
-// A class whose load is unknown at first counts as any other; once hosts tell it, it counts for what it is, in turns and in
-// what is held to be placed.
+// TestClassOfUnknownLoad: a class whose load is unknown at first counts as any other; once hosts report the
+// load of its connections, they count for that in the rotation.
 func TestClassOfUnknownLoad(t *testing.T) {
 	cfg := settings()
 	heavy := cfg.Classes[0]
@@ -47,7 +48,7 @@
 	f := startReporting(t, cfg, fleet(4)...)
 	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.expect(&Request{Class: class})) }
 	if turns(0) != 1 || turns(1) != 1 {
-		t.Errorf("%.2f and %.2f turns before anything is known", turns(0), turns(1))
+		t.Errorf("%.2f and %.2f turns before any load is known", turns(0), turns(1))
 	}
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
@@ -56,6 +57,6 @@
 		f.b.Observe(f.now, id, 0, ObservedLoad, 1000+float64(i%2)*5000)
 	}
 	if x := turns(1) / turns(0); x < 4 || x > 8 {
-		t.Errorf("a connection six times as heavy counts for %.2f", x)
+		t.Errorf("a connection of six times the load counts for %.2f", x)
 	}
 }
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -7,19 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-// However balancers tell, are lost and begin anew: a host holds the sum of what each was last known to hold,
-// and nothing is under 0.
+// TestPlacementsAreTheSum: whatever balancers report and whenever they restart, a host holds the sum of what
+// each was last known to hold, and no count is below 0.
 func TestPlacementsAreTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := NewPlacements()
 		type key struct {
-			peer          int
-			server, group uint32
+			peer        int
+			host, group uint32
 		}
 		model := map[key]int{}
 		for range rapid.IntRange(0, 80).Draw(rt, "steps") {
-			k := key{rapid.IntRange(0, 3).Draw(rt, "peer"), rapid.Uint32Range(1, 3).Draw(rt, "server"), rapid.Uint32Range(1, 3).Draw(rt, "group")}
-			if rapid.IntRange(0, 9).Draw(rt, "what") == 0 {
+			k := key{peer: rapid.IntRange(0, 3).Draw(rt, "peer"),
+				host:  rapid.Uint32Range(1, 3).Draw(rt, "host"),
+				group: rapid.Uint32Range(1, 3).Draw(rt, "group")}
+			if rapid.IntRange(0, 9).Draw(rt, "action") == 0 {
 				p.Forget(k.peer)
 				for x := range model {
 					if x.peer == k.peer {
@@ -29,28 +31,31 @@
 				continue
 			}
 			n := rapid.IntRange(-127, 127).Draw(rt, "units")
-			p.Add(k.peer, k.server, k.group, n)
+			p.Add(k.peer, k.host, k.group, n)
 			model[k] = max(0, model[k]+n)
 		}
-		for s := uint32(1); s <= 3; s++ {
+		for host := uint32(1); host <= 3; host++ {
 			units, groups := 0, map[uint32]int{}
 			for k, n := range model {
-				if k.server == s && n > 0 {
+				if k.host == host && n > 0 {
 					units += n
 					groups[k.group] += n
 				}
 			}
-			for g := uint32(1); g <= 3; g++ {
-				load, n, holds := p.Load(s, g)
-				if load != float64(units)/UnitsPerConnection || n != len(groups) || holds != (groups[g] > 0) {
-					rt.Fatalf("host %d: %g of %d groups, group %d %t; expected %g of %d, %t", s, load, n, g, holds, float64(units)/UnitsPerConnection, len(groups), groups[g] > 0)
+			connections := float64(units) / UnitsPerConnection
+			for group := uint32(1); group <= 3; group++ {
+				load, n, holds := p.Load(host, group)
+				if load != connections || n != len(groups) || holds != (groups[group] > 0) {
+					rt.Fatalf("host %d: %g connections of %d groups, group %d %t; expected %g of %d, %t",
+						host, load, n, group, holds, connections, len(groups), groups[group] > 0)
 				}
 			}
 		}
 	})
 }
 
-// What one balancer tells without end fills no memory, and leaves the others' counts as they are.
+// TestPlacementsAreBounded: what one balancer reports without end fills no memory, and leaves the others'
+// counts as they are.
 func TestPlacementsAreBounded(t *testing.T) {
 	p := NewPlacements()
 	p.Add(1, 1, 1, 8)
@@ -62,7 +67,7 @@
 	}
 	p.Forget(2)
 	if load, groups, _ := p.Load(1, 1); load != 1 || groups != 1 {
-		t.Errorf("%g of %d groups", load, groups)
+		t.Errorf("%g connections of %d groups, expected 1 of 1", load, groups)
 	}
 	for i := range uint32(3 * maxHosts) {
 		p.Add(3, i, 1, 8)
@@ -80,83 +85,90 @@
 	}
 	for since, want := range map[Time]int{0: 4, 20: 3, 25: 2, 41: 0} {
 		if n := p.GrantsSince(7, since); n != want {
-			t.Errorf("since %d: %d, expected %d", since, n, want)
+			t.Errorf("%d grants since %d, expected %d", n, since, want)
 		}
 	}
 }
 
-// The first ledger server that answers is asked: past the misses the next one, after all nobody for a while,
-// and an earlier one as soon as it is back.
+// TestWhichServerIsAsked: the first ledger server that replies is asked: after misses the next one, after
+// misses of all of them none for a while, and an earlier one as soon as it is back.
 func TestWhichServerIsAsked(t *testing.T) {
-	d := NewClient(300)
-	if got := d.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
+	c := NewClient(300)
+	if got := c.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("ledger servers %v", got)
 	}
-	if !d.ServerSeen(0, 5) || d.ServerSeen(0, 5) || !d.ServerSeen(0, 6) || !d.Synced(1) {
-		t.Error("a ledger server has to be told once, and again when it has begun anew")
+	if !c.ServerSeen(0, 5) || c.ServerSeen(0, 5) || !c.ServerSeen(0, 6) || !c.Synced(1) {
+		t.Error("a ledger server is not sent all connections once, and again after a restart")
 	}
 	now := Time(1e9)
-	miss := func() { d.TimedOut(now, "r") }
+	miss := func() { c.TimedOut(now, "r") }
 	miss()
-	d.ServerSeen(0, 6)
+	c.ServerSeen(0, 6)
 	miss()
-	if d.Server(now) != 0 {
-		t.Error("one miss between answers moves on")
+	if c.Server(now) != 0 {
+		t.Error("another ledger server is asked after one miss between replies")
 	}
 	miss()
-	if d.Server(now) != 37 || d.Synced(now) {
-		t.Errorf("after two misses %d is asked", d.Server(now))
+	if c.Server(now) != 37 || c.Synced(now) {
+		t.Errorf("after two misses %d is asked, synced %t", c.Server(now), c.Synced(now))
 	}
-	if d.ServerSeen(150, 1) {
-		t.Error("a later ledger server than the one that is asked has to be told")
+	if c.ServerSeen(150, 1) {
+		t.Error("a later ledger server than the one that is asked is to be sent all connections")
 	}
-	if k := d.NextPoll(now + pollInterval); k != 0 {
-		t.Errorf("looked for %d", k)
+	if server := c.NextPoll(now + pollInterval); server != 0 {
+		t.Errorf("%d is polled", server)
 	}
-	if d.NextPoll(now+pollInterval+1) >= 0 {
-		t.Error("looked again at once")
+	if c.NextPoll(now+pollInterval+1) >= 0 {
+		t.Error("polled again at once")
 	}
-	if !d.ServerSeen(0, 6) || d.Server(now) != 0 {
-		t.Error("the first one is back and not asked")
+	if !c.ServerSeen(0, 6) || c.Server(now) != 0 {
+		t.Error("the first ledger server is back and not asked")
 	}
 	for range 2 * maxServers {
 		miss()
 	}
-	if d.Server(now) >= 0 || d.Server(now+initialPause) != 0 {
-		t.Errorf("after all have missed %d is asked, later %d", d.Server(now), d.Server(now+initialPause))
+	if c.Server(now) >= 0 || c.Server(now+initialPause) != 0 {
+		t.Errorf("after misses of all %d is asked, after the pause %d",
+			c.Server(now), c.Server(now+initialPause))
 	}
-	off := now + initialPause
+	checkPausesDouble(t, c, now+initialPause)
+	if n := len(NewClient(2).servers); n != 2 {
+		t.Errorf("%d ledger servers of two balancers", n)
+	}
+}
+
+// checkPausesDouble checks the pauses after the first one of a client, whose first pause ends at a time: each
+// is twice as long as the one before, up to a bound, and a message of a ledger server ends it.
+func checkPausesDouble(t *testing.T, c *Client, pauseEnd Time) {
+	t.Helper()
 	for i := range 6 {
 		for range 2 * maxServers {
-			d.TimedOut(off, "r")
+			c.TimedOut(pauseEnd, "r")
 		}
-		next := off + 2*initialPause<<min(i, maxPauseDouble-1)
-		if d.Server(next-1) >= 0 || d.Server(next) != 0 {
-			t.Errorf("initialPause %d does not end after %g s", i+2, float64(next-off)/1e9)
+		next := pauseEnd + 2*initialPause<<min(i, maxPauseDouble-1)
+		if c.Server(next-1) >= 0 || c.Server(next) != 0 {
+			t.Errorf("pause %d does not end after %g s", i+2, float64(next-pauseEnd)/1e9)
 		}
-		off = next
-	}
-	if d.ServerSeen(0, 6); d.Server(off-1) != 0 {
-		t.Error("not asked though it is heard")
+		pauseEnd = next
 	}
-	if n := len(NewClient(2).servers); n != 2 {
-		t.Errorf("%d ledger servers of two balancers", n)
+	if c.ServerSeen(0, 6); c.Server(pauseEnd-1) != 0 {
+		t.Error("a ledger server is not asked though a message of it came")
 	}
 }
 
 func TestPendingQueriesAreBounded(t *testing.T) {
-	d := NewClient(9)
-	first := d.Register(PendingQuery{Request: "a", SentAt: 0})
+	c := NewClient(9)
+	first := c.Register(PendingQuery{Request: "a", SentAt: 0})
 	for i := range 10 * maxPending {
-		d.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
+		c.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
 	}
-	if len(d.pending) > maxPending || d.Take(first) != nil {
-		t.Errorf("%d asks kept", len(d.pending))
+	if len(c.pending) > maxPending || c.Take(first) != nil {
+		t.Errorf("%d queries are pending", len(c.pending))
 	}
-	s := d.Register(PendingQuery{Request: "c", SentAt: 1})
-	d.TimedOut(1, "c")
-	if o := d.Take(s); o == nil || !o.Abandoned || d.Take(s) != nil {
-		t.Errorf("%+v", o)
+	sequence := c.Register(PendingQuery{Request: "c", SentAt: 1})
+	c.TimedOut(1, "c")
+	if q := c.Take(sequence); q == nil || !q.Abandoned || c.Take(sequence) != nil {
+		t.Errorf("taken %+v, expected an abandoned query, once", q)
 	}
 }
 
@@ -174,7 +186,7 @@
 		}
 		back := m.Append(nil)
 		if !bytes.Equal(back, data) {
-			t.Fatalf("%x is read as %x", data, back)
+			t.Fatalf("%x is encoded again as %x", data, back)
 		}
 	})
 }
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -11,62 +11,70 @@
 )
 
 // TestRecordedDecisions: the same events give the same counts and the same choice of whom to ask as when they
-// were recorded.
+// were recorded. The texts of digests and samples are part of the golden files and keep earlier words.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	var lines strings.Builder
 	for seed := range int64(sequences) {
 		rng, digest := rand.New(rand.NewSource(seed)), golden.NewDigest()
-		peers := []int{1, 3, 20, 300}[seed%4]
-		client, placements := NewClient(peers), NewPlacements()
+		instances := []int{1, 3, 20, 300}[seed%4]
+		client, placements := NewClient(instances), NewPlacements()
 		now := Time(1e9)
-		var asked []uint16
+		var sent []uint16 // sequence numbers of queries
 		for range eventsPerSequence {
 			now += Time(rng.Intn(4e8))
-			peer, server, group := rng.Intn(peers), uint32(rng.Intn(12)), uint32(rng.Intn(6))
+			peer, host, group := rng.Intn(instances), uint32(rng.Intn(12)), uint32(rng.Intn(6))
 			switch rng.Intn(10) {
 			case 0, 1, 2:
-				placements.Add(peer, server, group, rng.Intn(255)-127)
+				placements.Add(peer, host, group, rng.Intn(255)-127)
 			case 3:
 				if rng.Intn(10) == 0 {
 					placements.Forget(peer)
 				}
 			case 4:
-				placements.RecordGrant(server, now)
+				placements.RecordGrant(host, now)
 			case 5:
-				asked = append(asked, client.Register(PendingQuery{Request: fmt.Sprint("r", rng.Intn(40)), Group: group, Units: 8, SentAt: now}))
+				request := fmt.Sprint("r", rng.Intn(40))
+				query := PendingQuery{Request: request, Group: group, Units: 8, SentAt: now}
+				sent = append(sent, client.Register(query))
 			case 6:
 				client.TimedOut(now, fmt.Sprint("r", rng.Intn(40)))
 			case 7:
-				if len(asked) > 0 {
-					if out := client.Take(asked[rng.Intn(len(asked))]); out != nil {
-						digest.Add("answered %s %d %d %d %t", out.Request, out.Group, out.Units, out.SentAt, out.Abandoned)
-					}
+				if len(sent) == 0 {
+					break
+				}
+				if q := client.Take(sent[rng.Intn(len(sent))]); q != nil {
+					digest.Add("answered %s %d %d %d %t", q.Request, q.Group, q.Units, q.SentAt, q.Abandoned)
 				}
 			case 8:
 				digest.Add("heard %t", client.ServerSeen(peer, byte(rng.Intn(3))))
 			default:
 				digest.Add("look %d", client.NextPoll(now))
 			}
-			load, groups, holds := placements.Load(server, group)
-			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds, placements.GrantsSince(server, now-2e9), client.Server(now), client.Synced(now), client.IsServer(peer))
+			load, groups, holds := placements.Load(host, group)
+			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds,
+				placements.GrantsSince(host, now-2e9), client.Server(now), client.Synced(now),
+				client.IsServer(peer))
 		}
-		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, peers, digest)
+		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, instances, digest)
 	}
 	golden.Check(t, "decisions.golden", []byte(lines.String()))
 }
 
-// TestRecordedMessages: each message has the bytes that it had, and is written again as it was read.
+// TestRecordedMessages: each message has the bytes that were recorded, and is encoded again as it was
+// decoded.
 func TestRecordedMessages(t *testing.T) {
 	samples := golden.NewSamples(4)
 	for _, m := range []struct {
 		kind string
 		data []byte
 	}{
-		{"ask", Query{Seq: 513, Zone: 3, Retry: true, Units: 8, Group: GroupID(0x123456789abcdef0)}.Append(nil)},
+		{"ask", Query{Seq: 513, Zone: 3, Retry: true, Units: 8,
+			Group: GroupID(0x123456789abcdef0)}.Append(nil)},
 		{"ask", Query{Seq: 1, Zone: 127, Units: 127, Group: 0xffffff}.Append(nil)},
 		{"answer", Reply{Seq: 7, Epoch: 9, Host: 0xdeadbeef}.Append(nil)},
-		{"entries", Entry{Host: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(Entry{Host: 1, Group: 2, Units: 127}.Append(nil))},
+		{"entries", Entry{Host: 0xdeadbeef, Group: 0x123456, Units: -127}.Append(
+			Entry{Host: 1, Group: 2, Units: 127}.Append(nil))},
 		{"all", Entry{Host: 4, Group: 5, Units: 6}.Append(Sync{}.Append(nil))},
 		{"here", Announcement{Epoch: 3}.Append(nil)},
 		{"look", Poll{}.Append(nil)},
@@ -76,7 +84,7 @@
 		if err != nil {
 			t.Errorf("%s: %x: %v", m.kind, m.data, err)
 		} else if again := read.Append(nil); !bytes.Equal(again, m.data) {
-			t.Errorf("%s: %x is written again as %x", m.kind, m.data, again)
+			t.Errorf("%s: %x is encoded again as %x", m.kind, m.data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", samples.Bytes())
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -2,67 +2,74 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 )
 
 // startReporting starts a balancer whose hosts report their load to health checks.
-func startReporting(t *testing.T, cfg Config, servers ...ListedHost) *fake {
+func startReporting(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
+	t.Helper()
 	cfg.MayHealthCheck, cfg.LoadField, cfg.QueueField = true, 0, 1
 	cfg.Prices.HealthCheck = 0.0016
-	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 10, ConnectionQuota: 80 * float64(len(servers))}}
-	return start(t, cfg, servers...)
+	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 10, ConnectionQuota: 80 * float64(len(hosts))}}
+	return start(t, cfg, hosts...)
 }
 
 // reportLoads has every host report a load.
-func (f *fake) reportLoads(x func(i int) float64) {
-	for i, s := range f.b.hosts {
-		f.b.HealthCheckEnded(f.now, s.hostID, OK, []float64{x(i), 0})
+func (f *fake) reportLoads(load func(i int) float64) {
+	for i, h := range f.b.hosts {
+		f.b.HealthCheckEnded(f.now, h.hostID, OK, []float64{load(i), 0})
 	}
 	f.b.updateFleetLoad()
 }
 
-func (f *fake) healthChecks(id string) (n int) {
-	for _, s := range f.trace {
-		if strings.HasPrefix(s, "probe "+id) {
+// healthChecks counts the health checks of a host.
+func (f *fake) healthChecks(host string) (n int) {
+	for _, h := range f.healthChecked {
+		if h == host {
 			n++
 		}
 	}
 	return n
 }
 
-// Health checks go to hosts that take new connections, one at a time to each, and nowhere where the settings forbid them
-// or reports tell no load.
+// TestWhichHostsAreHealthChecked: hosts that take new connections are, one check at a time for each.
 func TestWhichHostsAreHealthChecked(t *testing.T) {
-	es := fleet(3)
-	es[1].State, es[2].State = Draining, Suspended
-	f := startReporting(t, settings(), es...)
+	hosts := fleet(3)
+	hosts[1].State, hosts[2].State = Draining, Suspended
+	f := startReporting(t, settings(), hosts...)
 	f.request("r")
 	f.run(5 * sec)
-	if f.healthChecks("s00") != 1 || f.healthChecks("s01")+f.healthChecks("s02") != 0 {
-		t.Errorf("%d to a ready one that never answers, %d and %d to ones that take nothing", f.healthChecks("s00"), f.healthChecks("s01"), f.healthChecks("s02"))
+	if n := f.healthChecks("s00"); n != 1 {
+		t.Errorf("%d health checks of a ready host that never answers, expected 1", n)
+	}
+	if draining, suspended := f.healthChecks("s01"), f.healthChecks("s02"); draining+suspended != 0 {
+		t.Errorf("%d health checks of a draining host, %d of a suspended one", draining, suspended)
 	}
 	f.b.HealthCheckEnded(f.now, "s00", Timeout, nil)
 	f.run(5 * sec)
 	if f.healthChecks("s00") != 2 {
-		t.Error("a probe that failed ends probing")
+		t.Error("no health check after one that failed")
 	}
-	for what, spoil := range map[string]func(*Config){
+}
+
+// TestNoHealthChecksWithoutUse: none are made where the settings forbid them or reports hold no load.
+func TestNoHealthChecksWithoutUse(t *testing.T) {
+	for name, spoil := range map[string]func(*Config){
 		"forbidden":  func(c *Config) { c.MayHealthCheck = false },
 		"no reports": func(c *Config) { c.MayHealthCheck, c.LoadField = true, -1 },
 	} {
 		cfg := settings()
 		spoil(&cfg)
-		g := start(t, cfg, fleet(3)...)
-		g.request("r")
-		g.run(10 * sec)
-		if g.healthChecks("s") > 0 {
-			t.Errorf("%s: %d probes", what, g.healthChecks("s"))
+		f := start(t, cfg, fleet(3)...)
+		f.request("r")
+		f.run(10 * sec)
+		if n := len(f.healthChecked); n > 0 {
+			t.Errorf("%s: %d health checks", name, n)
 		}
 	}
 }
 
-// Health checks are paced by their price: with little to place, each costs more than its report is worth.
+// TestHealthChecksArePacedByPrice: with few requests to place, a check costs more than its report is worth.
 func TestHealthChecksArePacedByPrice(t *testing.T) {
 	count := func(rate int, price float64) int {
 		f := startReporting(t, settings(), fleet(10)...)
@@ -72,20 +79,21 @@
 			f.request(id)
 			f.establish(id)
 			f.run(sec / Time(rate))
-			for _, s := range f.b.hosts {
-				f.b.HealthCheckEnded(f.now, s.hostID, OK, []float64{0.5, 0})
+			for _, h := range f.b.hosts {
+				f.b.HealthCheckEnded(f.now, h.hostID, OK, []float64{0.5, 0})
 			}
 		}
-		return f.healthChecks("s")
+		return len(f.healthChecked)
 	}
-	busy, quiet, dear := count(20, 0.0016), count(2, 0.0016), count(2, 0.016)
-	if busy < 3*quiet/2 || quiet < 2*dear {
-		t.Errorf("%d probes with 20 requests a second, %d with 2, %d where one costs ten times as much", busy, quiet, dear)
+	busy, quiet, expensive := count(20, 0.0016), count(2, 0.0016), count(2, 0.016)
+	if busy < 3*quiet/2 || quiet < 2*expensive {
+		t.Errorf("%d health checks with 20 requests a second, %d with 2, %d at ten times the price",
+			busy, quiet, expensive)
 	}
 }
 
-// A host slowed nine times still answers health checks: its reports take its turns away, and clients are migrated off it
-// while others have spare capacity.
+// TestConnectionsMigrateFromFullHost: a slowed host still answers health checks. Its reports take its turns
+// away, and clients are migrated off it while other hosts have spare capacity.
 func TestConnectionsMigrateFromFullHost(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.4 })
@@ -94,7 +102,6 @@
 		f.request(id)
 		f.establish(id)
 	}
-	bad := f.b.byID["s02"]
 	before := len(f.attemptsStarted)
 	f.now += 3 * sec
 	for range 20 {
@@ -109,17 +116,15 @@
 		f.request(id)
 		f.establish(id)
 	}
-	for _, s := range f.attemptsStarted[before:] {
-		if s.host == bad.hostID {
-			t.Error("a new connection goes to a host that tells three times what it can do")
-		}
+	if n := f.attemptsAt("s02", before); n > 0 {
+		t.Errorf("%d attempts at a host that reports three times the load that it can carry", n)
 	}
 	if len(f.migrations) == 0 {
-		t.Error("nobody is moved off it")
+		t.Error("no connection is migrated off it")
 	}
 }
 
-// With the whole fleet full, migrations help nobody.
+// TestNoMigrationsInFullFleet: there they help nobody.
 func TestNoMigrationsInFullFleet(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	for i := range 50 {
@@ -131,12 +136,12 @@
 		f.reportLoads(func(int) float64 { return 1.2 + float64(k)/1000 })
 	}
 	if len(f.migrations) > 0 {
-		t.Errorf("%d moved", len(f.migrations))
+		t.Errorf("%d migrations", len(f.migrations))
 	}
 }
 
-// After a restart a balancer holds nothing of what its hosts carry: that must not make each connection that it places
-// look like a load that fills one.
+// TestRestartedBalancerKnowsFullLoad: a restarted balancer holds none of the connections that its hosts
+// carry. The first one that it places must not look like a load that fills a host.
 func TestRestartedBalancerKnowsFullLoad(t *testing.T) {
 	cfg := settings()
 	cfg.Instances = 3
@@ -150,41 +155,43 @@
 		f.reportLoads(func(int) float64 { return 0.6 + float64(i)/1e4 })
 	}
 	if x := f.b.currentLoad(f.b.byID[f.last().host]); x > 0.7 {
-		t.Errorf("%.2f: one connection of some 500 filled a host at 0.6", x)
+		t.Errorf("load %.2f: one connection of some 500 filled a host at 0.6", x)
 	}
 	if len(f.migrations) > 0 {
-		t.Error("and is moved off it again")
+		t.Error("the connection is migrated again")
 	}
 }
 
-// Weights that fall as a host fills come late and alike to all: a host that looks empty by them must not draw every
-// balancer, where its load is reported.
+// TestReportedLoadOutweighsWeights: weights that fall as a host fills come late, and alike to all balancers.
+// A host that looks empty by them must not get all requests where its load is reported.
 func TestReportedLoadOutweighsWeights(t *testing.T) {
-	to := map[string]int{}
-	for me := range 3 {
+	attempts := 0
+	for instance := range 3 {
 		cfg := settings()
-		cfg.Instance, cfg.Instances = me, 3
-		es := fleet(6)
-		es[0].Weight = 5
-		f := startReporting(t, cfg, es...)
+		cfg.Instance, cfg.Instances = instance, 3
+		hosts := fleet(6)
+		hosts[0].Weight = 5
+		f := startReporting(t, cfg, hosts...)
 		f.reportLoads(func(i int) float64 { return 0.6 })
 		for i := range 20 {
 			id := fmt.Sprint("r", i)
 			f.request(id)
 			f.establish(id)
-			to[f.last().host]++
 		}
+		attempts += f.attemptsAt("s00", 0)
 	}
-	if to["s00"] > 20 {
-		t.Errorf("%d of 60 to the host that looks empty by its weight, at the same load as five others", to["s00"])
+	if attempts > 20 {
+		t.Errorf("%d of 60 to the host of the largest weight, at the same load as five others", attempts)
 	}
 }
 
-// Every mixture of what settings allow: each request gets its one answer, no health check or message is sent that may not be.
-func TestWhateverSettingsAllow(t *testing.T) {
+// TestEachCombinationOfSettings: each request gets its one answer, and health checks are made and messages
+// sent only where the settings allow them.
+func TestEachCombinationOfSettings(t *testing.T) {
 	for bits := range 16 {
 		cfg := settings()
-		cfg.Instances, cfg.MayHealthCheck, cfg.MayGossip, cfg.LoadField = 1+2*(bits&1), bits&2 > 0, bits&4 > 0, 0
+		cfg.Instances, cfg.LoadField = 1+2*(bits&1), 0
+		cfg.MayHealthCheck, cfg.MayGossip = bits&2 > 0, bits&4 > 0
 		if bits&8 > 0 {
 			cfg.LoadField = -1
 		}
@@ -194,7 +201,7 @@
 			f.request(id)
 			if f.inFlight[id] {
 				f.establish(id)
-				f.b.Observe(f.now, id, 0, ObservedLatency, 500) // all stalled: something to tell
+				f.b.Observe(f.now, id, 0, ObservedLatency, 500) // all hosts stall
 			}
 			f.run(200 * ms)
 		}
@@ -202,14 +209,14 @@
 		for i := range 60 {
 			id := fmt.Sprint("r", i)
 			if !f.inFlight[id] && f.answers[id] != 1 {
-				t.Errorf("settings %04b: %s has %d answers and no attempt", bits, id, f.answers[id])
+				t.Errorf("settings %04b: %s has %d answers and no attempt in flight", bits, id, f.answers[id])
 			}
 		}
-		if f.healthChecks("s") > 0 != (cfg.MayHealthCheck && cfg.LoadField >= 0) {
-			t.Errorf("settings %04b: %d probes", bits, f.healthChecks("s"))
+		if n := len(f.healthChecked); n > 0 != (cfg.MayHealthCheck && cfg.LoadField >= 0) {
+			t.Errorf("settings %04b: %d health checks", bits, n)
 		}
 		if len(f.peerMessages) > 0 != (cfg.MayGossip && cfg.Instances > 1) {
-			t.Errorf("settings %04b: %d messages", bits, len(f.peerMessages))
+			t.Errorf("settings %04b: %d messages to peers", bits, len(f.peerMessages))
 		}
 	}
 }
--- a/internal/balancer/parts_test.go
+++ b/internal/balancer/parts_test.go
@@ -19,7 +19,7 @@
 	} {
 		d := discoveryPoller{failures: c.failures}
 		if got := Time(d.pause(c.interval, c.instances)); got != c.want {
-			t.Errorf("%+v: %d ms", c, got/ms)
+			t.Errorf("%+v: a pause of %d ms", c, got/ms)
 		}
 	}
 }
@@ -38,12 +38,12 @@
 	}
 	s = retryStorm{longestObjective: sec, attempts: 10}
 	if s.suspected(30 * sec) {
-		t.Error("suspected long after")
+		t.Error("suspected 30 s after the attempts")
 	}
 	s.failedWithError(30*sec, 1)
 	s.failedWithError(30*sec, 1)
 	if !s.consecutiveEarlyErrors(31*sec) || s.consecutiveEarlyErrors(32*sec) {
-		t.Error("two early errors count for two windows")
+		t.Error("early errors do not count for two of the longest objectives, or for longer")
 	}
 }
 
@@ -51,14 +51,14 @@
 	e := setupEvidence{longestObjective: sec}
 	for i, want := range []bool{false, false, false, true} {
 		if e.addTimeout(0) != want {
-			t.Errorf("timeout %d: shared %t", i+1, !want)
+			t.Errorf("timeout %d: shared %t, expected %t", i+1, !want, want)
 		}
 	}
 	for range 6 {
 		e.addSuccess(0)
 	}
 	if e.addTimeout(0) != false || e.addTimeout(20*sec) {
-		t.Error("shared though most set-ups succeed, or long after")
+		t.Error("shared though most set-ups succeed, or 20 s after")
 	}
 }
 
@@ -84,7 +84,7 @@
 func TestConnectionCosts(t *testing.T) {
 	c := connectionCosts{byClass: make([]float64, 2)}
 	if c.expect(&Request{}) != 1 || c.turns(5) != 1 {
-		t.Error("knows a cost before any was seen")
+		t.Error("a cost is known before any was seen")
 	}
 	c.learn(0, 100)
 	for _, q := range []struct {
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -7,133 +7,176 @@
 	"testing"
 )
 
-// play feeds a random but legal sequence of events and checks the rules on the actions: one final answer for each
-// request before its deadline, never two attempts out, nothing to a draining host, no repeat of an unsafe effect.
-func play(t *testing.T, seed int64, effect Idempotency) []string {
+// randomRun is a balancer under random but legal events. It checks the rules that hold for all effects: one
+// final answer for each request before its deadline, one attempt in flight at a time, nothing to a draining
+// host, and no retry that could run a request twice.
+type randomRun struct {
+	*fake
+	rng         *rand.Rand
+	seed        int64
+	idempotency Idempotency
+	ids         []string
+	draining    map[string]bool // hosts
+	deadline    map[string]Time
+	established map[string]bool
+	mayHaveRun  map[string]bool
+	checked     int // of attemptsStarted
+}
+
+// play brings a random sequence of events and returns the effects.
+func play(t *testing.T, seed int64, idempotency Idempotency) []string {
+	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	cfg := settings()
 	cfg.Instance, cfg.Instances, cfg.PollsDiscovery = int(seed)%5, 5, seed%2 == 0
-	cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = effect, DedupScope(seed%3), 3*sec
-	f := start(t, cfg, fleet(5+rng.Intn(10))...)
-	drained := map[string]bool{}
-	deadline := map[string]Time{}
-	up := map[string]bool{}
-	ran := map[string]bool{}
-	answered := func(id string) bool { return f.answers[id] > 0 }
-	checked := 0
-	check := func() {
-		for ; checked < len(f.attemptsStarted); checked++ {
-			x := f.attemptsStarted[checked]
-			if drained[x.host] {
-				t.Fatalf("seed %d: sent to %s, which drains", seed, x.host)
-			}
-			if x.timeout <= 0 || x.at+x.timeout > deadline[x.request] {
-				t.Fatalf("seed %d: %s has a time-out past its deadline", seed, x.request)
-			}
-			if effect == NotIdempotent && ran[x.request] {
-				t.Fatalf("seed %d: unsafe %s sent again after it may have run", seed, x.request)
-			}
-		}
+	class := &cfg.Classes[0]
+	class.Idempotency, class.DedupScope, class.DedupWindow = idempotency, DedupScope(seed%3), 3*sec
+	r := &randomRun{fake: start(t, cfg, fleet(5+rng.Intn(10))...), rng: rng, seed: seed,
+		idempotency: idempotency, draining: map[string]bool{}, deadline: map[string]Time{},
+		established: map[string]bool{}, mayHaveRun: map[string]bool{}}
+	for range 1500 {
+		r.run(Time(rng.Intn(30)) * ms)
+		r.checkAttempts()
+		r.endOverdueAttempts()
+		r.step()
+		r.checkAttempts()
+	}
+	for range 500 {
+		r.run(20 * ms)
+		r.checkAttempts()
+		r.endOverdueAttempts()
 	}
-	finish := func(id string, s AttemptStatus) {
-		f.inFlight[id] = false
-		wasUp := up[id]
-		delete(up, id)
-		if !s.ProvesNotRun() {
-			ran[id] = true
+	r.checkAnswers()
+	return r.trace
+}
+
+func (r *randomRun) answered(id string) bool { return r.answers[id] > 0 }
+
+// checkAttempts checks the attempts that were started since its last call.
+func (r *randomRun) checkAttempts() {
+	r.t.Helper()
+	for ; r.checked < len(r.attemptsStarted); r.checked++ {
+		a := r.attemptsStarted[r.checked]
+		if r.draining[a.host] {
+			r.t.Fatalf("seed %d: an attempt at %s, which is draining", r.seed, a.host)
+		}
+		if a.timeout <= 0 || a.at+a.timeout > r.deadline[a.request] {
+			r.t.Fatalf("seed %d: an attempt of %s has a timeout past its deadline", r.seed, a.request)
 		}
-		closed := wasUp || s == OK || answered(id)
-		if closed && !answered(id) {
-			f.answers[id]++
+		if r.idempotency == NotIdempotent && r.mayHaveRun[a.request] {
+			r.t.Fatalf("seed %d: %s is not idempotent, may have run and is retried", r.seed, a.request)
 		}
-		f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: s, Elapsed: 10 * ms, Closed: closed})
 	}
-	n := 0
-	ids := []string{}
-	for step := 0; step < 1500; step++ {
-		f.run(Time(rng.Intn(30)) * ms)
-		check()
-		// an attempt that has used up its time ends now
-		for _, x := range f.attemptsStarted {
-			if f.inFlight[x.request] && !up[x.request] && f.last().at <= f.now && sentLast(f, x) && x.at+x.timeout <= f.now {
-				finish(x.request, Timeout)
-				check()
-			}
+}
+
+// checkAnswers checks the final answers, once all events are over.
+func (r *randomRun) checkAnswers() {
+	r.t.Helper()
+	for _, id := range r.ids {
+		if r.answers[id] != 1 && !r.established[id] {
+			r.t.Fatalf("seed %d: %s has %d final answers", r.seed, id, r.answers[id])
 		}
-		switch k := rng.Intn(10); {
-		case k < 4:
-			id := fmt.Sprint("r", n)
-			n++
-			ids = append(ids, id)
-			left := Time(100+rng.Intn(1900)) * ms
-			deadline[id] = f.now + left
-			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: left, Retry: rng.Intn(5) == 0,
-				MidFlow: rng.Intn(5) == 0, ExpectedLoad: float64(rng.Intn(3)) * 1e6, Key: fmt.Sprint("k", rng.Intn(50))})
-		case k < 8 && len(ids) > 0:
-			id := ids[rng.Intn(len(ids))]
-			switch {
-			case !f.inFlight[id]:
-			case up[id]:
-				finish(id, []AttemptStatus{OK, Reset, Cancelled}[rng.Intn(3)])
-			case rng.Intn(2) == 0 && !answered(id):
-				up[id] = true
-				f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
-				if rng.Intn(2) == 0 {
-					f.b.Observe(f.now, id, f.attempts[id]-1, Observation(1+rng.Intn(2)), rng.Float64()*1000)
-				}
-			default:
-				finish(id, []AttemptStatus{Error, Full, Timeout, ConnectFailed, Reset}[rng.Intn(5)])
-			}
-		case k == 8 && len(ids) > 0:
-			id := ids[rng.Intn(len(ids))]
-			if !answered(id) && !up[id] {
-				f.answers[id]++ // the client has gone: nothing more is owed or allowed
-				f.b.ClientLeft(f.now, id)
+		if r.idempotency == NotIdempotent && r.mayHaveRun[id] && r.answers[id] == 1 {
+			if _, rejected := r.rejected[id]; rejected {
+				r.t.Fatalf("seed %d: %s is not idempotent, may have run and is rejected", r.seed, id)
 			}
-		default:
-			s := f.b.hosts[rng.Intn(len(f.b.hosts))]
-			e := ListedHost{ID: s.hostID, Zone: "a", Weight: 1, State: HostState(rng.Intn(2)), StartedAt: f.now * Time(rng.Intn(2))}
-			drained[s.hostID] = e.State == Draining
-			f.b.ListReceived(f.now, ListDelta, []ListedHost{e})
 		}
-		check()
 	}
-	for end := 0; end < 500; end++ {
-		f.run(20 * ms)
-		check()
-		for _, x := range f.attemptsStarted {
-			if f.inFlight[x.request] && !up[x.request] && sentLast(f, x) && x.at+x.timeout <= f.now {
-				finish(x.request, Timeout)
-			}
+}
+
+// finish ends an attempt, or its connection.
+func (r *randomRun) finish(id string, status AttemptStatus) {
+	r.inFlight[id] = false
+	wasEstablished := r.established[id]
+	delete(r.established, id)
+	if !status.ProvesNotRun() {
+		r.mayHaveRun[id] = true
+	}
+	closed := wasEstablished || status == OK || r.answered(id)
+	if closed && !r.answered(id) {
+		r.answers[id]++
+	}
+	r.attemptEnded(id, status, closed)
+}
+
+// endOverdueAttempts ends the attempts that have used up their time.
+func (r *randomRun) endOverdueAttempts() {
+	for _, a := range r.attemptsStarted {
+		if r.inFlight[a.request] && !r.established[a.request] && r.isNewest(a) && a.at+a.timeout <= r.now {
+			r.finish(a.request, Timeout)
+			r.checkAttempts()
 		}
 	}
-	for _, id := range ids {
-		if f.answers[id] != 1 && !up[id] {
-			t.Fatalf("seed %d: %s has %d final answers", seed, id, f.answers[id])
+}
+
+// isNewest reports whether an attempt is the newest one of its request.
+func (r *randomRun) isNewest(a attemptStart) bool {
+	for i := len(r.attemptsStarted) - 1; i >= 0; i-- {
+		if r.attemptsStarted[i].request == a.request {
+			return r.attemptsStarted[i] == a
 		}
-		if effect == NotIdempotent && ran[id] && f.answers[id] == 1 {
-			if _, refused := f.rejected[id]; refused {
-				t.Fatalf("seed %d: unsafe %s rejected though it may have run", seed, id)
-			}
+	}
+	return false
+}
+
+// step brings one random event.
+func (r *randomRun) step() {
+	switch k := r.rng.Intn(10); {
+	case k < 4:
+		r.arrive()
+	case k < 8 && len(r.ids) > 0:
+		r.progress(r.ids[r.rng.Intn(len(r.ids))])
+	case k == 8 && len(r.ids) > 0:
+		id := r.ids[r.rng.Intn(len(r.ids))]
+		if !r.answered(id) && !r.established[id] {
+			r.answers[id]++ // the client has left: no answer is owed or allowed
+			r.b.ClientLeft(r.now, id)
 		}
+	default:
+		r.changeHost()
 	}
-	return f.trace
 }
 
-// sentLast tells whether x is the newest attempt of its request.
-func sentLast(f *fake, x attemptStart) bool {
-	for i := len(f.attemptsStarted) - 1; i >= 0; i-- {
-		if f.attemptsStarted[i].request == x.request {
-			return f.attemptsStarted[i] == x
+func (r *randomRun) arrive() {
+	id := fmt.Sprint("r", len(r.ids))
+	r.ids = append(r.ids, id)
+	left := Time(100+r.rng.Intn(1900)) * ms
+	r.deadline[id] = r.now + left
+	r.b.RequestArrived(r.now, Request{ID: id, Tenant: -1, Remaining: left, Retry: r.rng.Intn(5) == 0,
+		MidFlow: r.rng.Intn(5) == 0, ExpectedLoad: float64(r.rng.Intn(3)) * 1e6,
+		Key: fmt.Sprint("k", r.rng.Intn(50))})
+}
+
+// progress moves a request on whose attempt is in flight.
+func (r *randomRun) progress(id string) {
+	switch {
+	case !r.inFlight[id]:
+	case r.established[id]:
+		r.finish(id, []AttemptStatus{OK, Reset, Cancelled}[r.rng.Intn(3)])
+	case r.rng.Intn(2) == 0 && !r.answered(id):
+		r.established[id] = true
+		r.establish(id)
+		if r.rng.Intn(2) == 0 {
+			kind := Observation(1 + r.rng.Intn(2))
+			r.b.Observe(r.now, id, r.attempts[id]-1, kind, r.rng.Float64()*1000)
 		}
+	default:
+		r.finish(id, []AttemptStatus{Error, Full, Timeout, ConnectFailed, Reset}[r.rng.Intn(5)])
 	}
-	return false
+}
+
+// changeHost has a host drain, come back or start anew.
+func (r *randomRun) changeHost() {
+	h := listed(r.b.hosts[r.rng.Intn(len(r.b.hosts))].hostID, HostState(r.rng.Intn(2)))
+	h.StartedAt = r.now * Time(r.rng.Intn(2))
+	r.draining[h.ID] = h.State == Draining
+	r.listChanged(h)
 }
 
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := int64(0); seed < 12; seed++ {
-		for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
-			play(t, seed, effect)
+		for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
+			play(t, seed, idempotency)
 		}
 	}
 }
@@ -142,7 +185,7 @@
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := play(t, seed, Idempotent), play(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
-			t.Fatalf("seed %d: the same events brought other actions", seed)
+			t.Fatalf("seed %d: the same events brought other effects", seed)
 		}
 	}
 }
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -5,16 +5,17 @@
 	"testing"
 )
 
-// What all set-ups wait for alike, a store that hosts share: how long its queue is, and what follows.
+// What follows from set-ups that wait in one queue, that of a store which all hosts share.
 
-// A process that has seen no set-up timed out at the aim, and its calls took the store's time for nobody.
-func TestUnknownSetUpTimesAreWaitedFor(t *testing.T) {
+// TestFirstAttemptsHaveLongTimeouts: a process that has seen few set-ups gives an attempt half of its time,
+// since one that is given up keeps its place in the queue. Later ones are bounded by what set-ups took.
+func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
 	if got := f.last().timeout; got < 990*ms {
-		t.Fatalf("the first attempt of a new process is given up after %d ms of 2,000", got/ms)
+		t.Fatalf("the first attempt of a new process has a timeout of %d ms of 2,000", got/ms)
 	}
-	for i := 0; i < 8; i++ {
+	for i := range 8 {
 		f.now += 100 * ms
 		id := fmt.Sprint(i)
 		f.request(id)
@@ -23,17 +24,18 @@
 	}
 	f.request("b")
 	if got := f.last().timeout; got > 600*ms {
-		t.Fatalf("set-ups take 20 ms, and a silent host is waited for %d ms", got/ms)
+		t.Fatalf("set-ups take 20 ms, and the timeout is %d ms", got/ms)
 	}
-	f.now += 500 * ms // since then a queue may have grown as long as that
+	f.now += 500 * ms // since the last set-up the queue may have grown as long as that
 	f.request("c")
 	if got := f.last().timeout; got < 500*ms {
-		t.Fatalf("800 ms without a word, and an attempt is given up after %d ms", got/ms)
+		t.Fatalf("500 ms after the last set-up the timeout is %d ms", got/ms)
 	}
 }
 
-// A call that can't end in time takes its place in the store's queue all the same.
-func TestWhatCannotBeEstablishedInTimeIsRejectedAtOnce(t *testing.T) {
+// TestHopelessRequestsAreRejectedAtOnce: an attempt that cannot be established in time would only lengthen
+// the queue.
+func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for _, id := range []string{"a", "b"} {
 		f.request(id)
@@ -49,25 +51,26 @@
 	n := len(f.attemptsStarted)
 	f.request("c")
 	if len(f.attemptsStarted) != n || f.answers["c"] != 1 {
-		t.Fatalf("sent though set-ups take 1.5 s and more of its 2 s: %v", f.trace)
+		t.Fatalf("not rejected at once though the last two set-ups took as long as it has: %v", f.trace)
 	}
 	if f.rejected["c"] == 0 {
-		t.Fatal("rejected without advice: its client is back at once")
+		t.Fatal("rejected without a Retry-After")
 	}
-	f.now += 2500 * ms // by then it may be gone
+	f.now += 2500 * ms // by then the queue may be gone
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatal("still rejected 2.5 s after")
+		t.Fatal("still rejected 2.5 s later")
 	}
 }
 
-// A full store answers with errors at once; each further attempt was made within milliseconds.
+// TestAttemptWaitsAfterTwoEarlyErrors: a full store answers with errors at once, so that retries would be
+// made within milliseconds.
 func TestAttemptWaitsAfterTwoEarlyErrors(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
 	f.end("a", Error)
 	if !f.inFlight["a"] {
-		t.Fatal("one error: another host is tried at once")
+		t.Fatal("no retry at once after one error")
 	}
 	f.establish("a")
 	for _, id := range []string{"b", "c"} {
@@ -75,16 +78,16 @@
 		f.end(id, Error)
 	}
 	if f.inFlight["c"] {
-		t.Fatal("a third attempt at once, though whoever is asked turns away")
+		t.Fatal("an attempt at once after two early errors in a row")
 	}
 	n := len(f.attemptsStarted)
 	f.run(sec)
 	if len(f.attemptsStarted) == n || f.answers["c"] != 0 {
-		t.Fatalf("neither sent nor owed an answer after a second: %v", f.trace)
+		t.Fatalf("no attempt within a second, or answered already: %v", f.trace)
 	}
 	f.establish("c")
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatal("sends wait though the last one stands")
+		t.Fatal("an attempt is delayed though the last one was established")
 	}
 }
--- a/internal/balancer/rendezvous/rendezvous_test.go
+++ b/internal/balancer/rendezvous/rendezvous_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// TestHashStays: proxies of different versions compare hashes.
-func TestHashStays(t *testing.T) {
+// TestHashIsStable: proxies of different versions compare hashes.
+func TestHashIsStable(t *testing.T) {
 	for name, want := range map[string]uint64{"": 0x4f43b61ebe0f3fa7, "s01": 0x6e2594086aa949df} {
 		if got := Hash(name); got != want {
-			t.Errorf("%q: %#x, expected %#x", name, got, want)
+			t.Errorf("hash of %q is %#x, expected %#x", name, got, want)
 		}
 	}
 }
 
-// TestWeights: a host of three times the weight is first three times as often.
-func TestWeights(t *testing.T) {
+// TestScoreFollowsWeights: a host of three times the weight is first three times as often.
+func TestScoreFollowsWeights(t *testing.T) {
 	const keys = 20000
 	first := 0
 	for i := range keys {
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -7,62 +7,61 @@
 
 func TestRotationIsEvenAndInterleaved(t *testing.T) {
 	f := start(t, settings(), fleet(7)...)
-	for round := 0; round < 5; round++ {
-		seen := map[string]int{}
-		for i := 0; i < 7; i++ {
-			seen[f.serve(fmt.Sprintf("r%d-%d", round, i))]++
+	for round := range 5 {
+		attempts := map[string]int{}
+		for i := range 7 {
+			attempts[f.serve(fmt.Sprintf("r%d-%d", round, i))]++
 		}
-		if len(seen) != 7 {
-			t.Fatalf("round %d reached %d of 7 hosts: %v", round, len(seen), seen)
+		if len(attempts) != 7 {
+			t.Fatalf("round %d reached %d of 7 hosts: %v", round, len(attempts), attempts)
 		}
 	}
 }
 
 func TestRotationFollowsWeights(t *testing.T) {
-	es := fleet(3)
-	es[1].Weight = 3
-	f := start(t, settings(), es...)
-	n := map[string]int{}
-	for i := 0; i < 500; i++ {
-		n[f.serve(fmt.Sprint(i))]++
+	hosts := fleet(3)
+	hosts[1].Weight = 3
+	f := start(t, settings(), hosts...)
+	for i := range 500 {
+		f.serve(fmt.Sprint(i))
 	}
-	if n["s01"] < 290 || n["s01"] > 310 {
-		t.Fatalf("weight 3 of 5 got %d of 500 turns: %v", n["s01"], n)
+	if n := f.attemptsAt("s01", 0); n < 290 || n > 310 {
+		t.Fatalf("a host of weight 3 of 5 got %d of 500 turns", n)
 	}
 }
 
 func TestBalancersStartApart(t *testing.T) {
-	seen := map[string]bool{}
-	for me := 0; me < 8; me++ {
+	first := map[string]bool{}
+	for instance := range 8 {
 		cfg := settings()
-		cfg.Instance, cfg.Instances = me, 8
+		cfg.Instance, cfg.Instances = instance, 8
 		f := start(t, cfg, fleet(8)...)
-		seen[f.serve("r")] = true
+		first[f.serve("r")] = true
 	}
-	if len(seen) != 8 {
-		t.Fatalf("8 balancers began at %d of 8 hosts", len(seen))
+	if len(first) != 8 {
+		t.Fatalf("8 balancers begin at %d of 8 hosts", len(first))
 	}
 }
 
 func TestSparseBalancersSpreadOverUnequalHosts(t *testing.T) {
-	es := fleet(20)
-	for i := range es {
-		es[i].Weight = 1 + float64(i%4)/10
+	hosts := fleet(20)
+	for i := range hosts {
+		hosts[i].Weight = 1 + float64(i%4)/10
 	}
-	n := map[string]int{}
-	for me := 0; me < 10; me++ {
+	connections := map[string]int{}
+	for instance := range 10 {
 		cfg := settings()
-		cfg.Instance, cfg.Instances = me, 10
-		f := start(t, cfg, es...)
-		for k := 0; k < 4; k++ {
+		cfg.Instance, cfg.Instances = instance, 10
+		f := start(t, cfg, hosts...)
+		for k := range 4 {
 			f.request(fmt.Sprint(k))
 			f.establish(fmt.Sprint(k))
-			n[f.last().host]++
+			connections[f.last().host]++
 		}
 	}
-	for s, k := range n {
-		if k > 4 {
-			t.Fatalf("ten balancers with four connections each put %d on %s, 2 would be even", k, s)
+	for host, n := range connections {
+		if n > 4 {
+			t.Fatalf("ten balancers with four connections each put %d on %s, 2 would be even", n, host)
 		}
 	}
 }
@@ -70,14 +69,14 @@
 func TestTurnsCrossZonesWhileOwnZoneStalls(t *testing.T) {
 	cfg := settings()
 	cfg.Prices.CrossZone = 0.1
-	es := fleet(8)
-	for i := range es {
-		es[i].Zone = []string{"a", "b"}[i%2]
+	hosts := fleet(8)
+	for i := range hosts {
+		hosts[i].Zone = []string{"a", "b"}[i%2]
 	}
-	f := start(t, cfg, es...)
-	far := func(prefix string) int {
-		n := 0
-		for i := 0; i < 40; i++ {
+	f := start(t, cfg, hosts...)
+	// crossings places 40 requests and counts those at hosts of the other zone.
+	crossings := func(prefix string) (n int) {
+		for i := range 40 {
 			f.request(fmt.Sprint(prefix, i))
 			f.establish(fmt.Sprint(prefix, i))
 			if f.b.byID[f.last().host].zone != f.b.zone {
@@ -86,9 +85,9 @@
 		}
 		return n
 	}
-	before := far("a")
-	for i := 0; i < 10; i++ {
-		for k := 0; k < 40; k++ {
+	before := crossings("a")
+	for range 10 {
+		for k := range 40 {
 			if id := fmt.Sprint("a", k); f.b.requests[id].host.zone == f.b.zone {
 				f.b.Observe(f.now, id, 0, ObservedLatency, 150)
 			}
@@ -96,7 +95,7 @@
 		f.run(sec)
 	}
 	f.b.shedding.share = 0
-	if after := far("b"); before > 10 || after <= before {
+	if after := crossings("b"); before > 10 || after <= before {
 		t.Fatalf("%d of 40 crossed before the own zone stalled, %d after", before, after)
 	}
 }
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -8,89 +8,74 @@
 func TestWarmingHostGetsItsBudgetOnly(t *testing.T) {
 	cfg := settings()
 	cfg.Instances = 4
-	es := fleet(10)
-	f := start(t, cfg, es...)
-	for i := 0; i < 400; i++ { // 20 a second, 2 a host and second
+	f := start(t, cfg, fleet(10)...)
+	for i := range 400 { // 20 a second, 2 a second at each host
 		f.serve(fmt.Sprint("w", i))
 		f.now += 50 * ms
 	}
-	f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
+	f.listChanged(warming("s03", f.now))
 	from := len(f.attemptsStarted)
-	for i := 0; i < 400; i++ { // a wave of returning clients, all in one second
+	for i := range 400 { // a wave of returning clients, all in one second
 		f.b.RequestArrived(f.now, Request{ID: fmt.Sprint("v", i), Returned: true, Remaining: 2 * sec})
 		f.establish(fmt.Sprint("v", i))
 		f.now += sec / 400
 	}
-	n := 0
-	for _, x := range f.attemptsStarted[from:] {
-		if x.host == "s03" {
-			n++
-		}
-	}
-	if limit := slowStartSafety * 3 * 0.3 * 2; float64(n) > limit+1 {
-		t.Fatalf("%d connections in a second to a warming host that bears %.1f from here", n, limit)
+	n, budget := f.attemptsAt("s03", from), slowStartSafety*3*0.3*2
+	if float64(n) > budget+1 {
+		t.Fatalf("%d connections in a second to a warming host, its budget here is %.1f", n, budget)
 	}
 }
 
 func TestWholeFleetWarmingQueuesAndRejects(t *testing.T) {
-	es := fleet(4)
-	for i := range es {
-		es[i].StartedAt = 100 * sec
+	hosts := fleet(4)
+	for i := range hosts {
+		hosts[i].StartedAt = 100 * sec
 	}
-	f := start(t, settings(), es...)
-	for i := 0; i < 100; i++ {
+	f := start(t, settings(), hosts...)
+	for i := range 100 {
 		f.request(fmt.Sprint(i))
 	}
-	if len(f.attemptsStarted) > 4*3 {
-		t.Fatalf("%d sent at once to 4 warming hosts", len(f.attemptsStarted))
+	if n := len(f.attemptsStarted); n > 4*3 {
+		t.Fatalf("%d attempts at once at 4 warming hosts", n)
 	}
-	n := len(f.attemptsStarted)
 	f.run(3 * sec)
-	if len(f.attemptsStarted) < n {
-		t.Fatal("impossible")
-	}
-	for i := 0; i < 100; i++ {
+	for i := range 100 {
 		id := fmt.Sprint(i)
-		if f.attempts[id] == 0 && f.answers[id] != 1 {
-			t.Fatalf("request %s held without an answer", id)
+		if f.attempts[id] == 0 && (f.answers[id] != 1 || f.rejected[id] == 0) {
+			t.Fatalf("request %s has neither an attempt nor a rejection with Retry-After", id)
 		}
 	}
 }
 
-// Many balancers with little traffic each: their unused slow start budget must not lie in wait for a wave.
+// TestSlowStartTokensOfSparseBalancersExpire: of many balancers with little traffic each, a wave must not get
+// the budget that was unused before.
 func TestSlowStartTokensOfSparseBalancersExpire(t *testing.T) {
-	const peers = 60
-	var all []*fake
-	for me := 0; me < peers; me++ {
+	const instances = 60
+	n := 0
+	for instance := range instances {
 		cfg := settings()
-		cfg.Instance, cfg.Instances = me, peers
+		cfg.Instance, cfg.Instances = instance, instances
 		f := start(t, cfg, fleet(10)...)
-		for i := 0; i < 60; i++ { // one connection each 0.5 s and balancer: 12 a second and host in all
+		for i := range 60 { // one connection each 0.5 s at each balancer: 12 a second at each host
 			f.serve(fmt.Sprint("w", i))
 			f.now += sec / 2
 		}
-		f.b.ListReceived(f.now, ListDelta, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: f.now}})
-		f.now += 4 * sec // nobody comes, then all at once
-		all = append(all, f)
-	}
-	n := 0
-	for _, f := range all {
+		f.listChanged(warming("s03", f.now))
+		f.now += 4 * sec // without requests, and then many at once
 		from := len(f.attemptsStarted)
-		for i := 0; i < 10; i++ {
-			f.b.RequestArrived(f.now, Request{ID: fmt.Sprint("v", i), Tenant: -1, Returned: true, Remaining: 2 * sec})
-			f.establish(fmt.Sprint("v", i))
-		}
-		for _, x := range f.attemptsStarted[from:] {
-			if x.host == "s03" {
-				n++
-			}
+		for i := range 10 {
+			id := fmt.Sprint("v", i)
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Returned: true, Remaining: 2 * sec})
+			f.establish(id)
 		}
+		n += f.attemptsAt("s03", from)
 	}
-	warmth := 0.2 + 0.8*4/10
-	if limit := slowStartSafety * 3 * warmth * 12; float64(n) > limit {
-		t.Fatalf("a wave brought %d connections at once to a warming host that bears %.0f in a second", n, limit)
+	capacityShare := 0.2 + 0.8*4/10
+	if budget := slowStartSafety * 3 * capacityShare * 12; float64(n) > budget {
+		t.Fatalf("a wave brought %d connections at once to a warming host that bears %.0f in a second",
+			n, budget)
 	}
 	if n == 0 {
-		t.Fatal("a warming host got nothing")
+		t.Fatal("no connection to a warming host")
 	}
 }
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -6,125 +6,133 @@
 	"testing"
 )
 
-// Fleets whose settings name no tenants, so that no quota says how many connections come: what each balancer makes of the
-// little that it sees.
+// Fleets whose settings name no tenants, so that no quota says how many connections come: what each balancer
+// makes of the little that it sees.
 
-// manyWithoutQuotas are n balancers without quotas, part of them just started, before a fleet of 80 hosts.
+const (
+	unquotedHosts = 80
+	warmingHosts  = 30   // of these have just started
+	unquotedFlow  = 40.0 // requests a second
+)
+
+// manyWithoutQuotas are n balancers without quotas, with unquotedHosts hosts.
 func manyWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
-	all := manyBalancers(t, n, seed)
-	for me := range all {
-		cfg := all[me].b.cfg
-		cfg.Tenants, cfg.SlowStartDuration, cfg.SlowStartOverloadWindow, cfg.SlowStartOverloadFactor, cfg.SlowStartFloor = nil, 9*sec, sec, 3, 0.31
-		all[me] = start(t, cfg, fleet(80)...)
-		all[me].b.rng = rand.New(rand.NewSource(seed*1000 + int64(me)))
+	balancers := manyBalancers(t, n, seed)
+	for instance, f := range balancers {
+		cfg := f.b.cfg
+		cfg.Tenants = nil
+		cfg.SlowStartFloor, cfg.SlowStartDuration = 0.31, 9*sec
+		cfg.SlowStartOverloadFactor, cfg.SlowStartOverloadWindow = 3, sec
+		balancers[instance] = start(t, cfg, fleet(unquotedHosts)...)
+		balancers[instance].b.rng = rand.New(rand.NewSource(seed*1000 + int64(instance)))
 	}
-	return all
+	return balancers
 }
 
-// Without quotas the lottery goes by what is seen and held: a warming host has to get its part from processes too that have just
-// started.
+// TestWarmingHostsAreUsedWithoutQuotas: without quotas the lottery goes by the requests that a balancer has
+// seen and the connections that it holds. A warming host has to get its part from restarted balancers too.
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
-	const cold, flow = warmingHosts, unquotedFlow
 	for _, c := range []struct {
-		n   int
-		new float64
+		balancers int
+		restarted float64 // share of them
 	}{{1, 0}, {3, 0}, {30, 0.5}, {300, 0}, {300, 0.5}, {300, 1}} {
-		_, sent, later := startWarming(t, c.n, c.new, 1)
+		_, attempts, arrivals := startWarming(t, c.balancers, c.restarted, 1)
 		total, most := 0, 0
-		for _, at := range sent {
-			total, most = total+len(at), max(most, within(at, sec))
+		for _, at := range attempts {
+			total, most = total+len(at), max(most, mostWithin(at, sec))
 		}
-		// What the settings allow each: three times its warmth of what a host bears, here 2.5 times the mean flow.
+		// The settings allow each of them three times its share of the capacity of a host, here 2.5 times the
+		// mean flow.
 		allowed := 0.0
 		for s := 0.0; s < 9; s++ {
-			allowed += cold * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * flow / 80
+			allowed += warmingHosts * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * unquotedFlow / unquotedHosts
 		}
-		t.Logf("%3d balancers, %3.0f%% new: %d of %d to warming hosts, allowed %.0f; most in a second to one %d",
-			c.n, 100*c.new, total, len(later), allowed, most)
-		if fair := float64(len(later)) * cold / 80; float64(total) < fair/3 {
-			t.Errorf("%d balancers, %.0f%% new: %d connections to the warming hosts, %.0f would be their part", c.n, 100*c.new, total, fair)
+		name := fmt.Sprintf("%d balancers, %.0f%% restarted", c.balancers, 100*c.restarted)
+		t.Logf("%s: %d of %d requests to warming hosts, allowed %.0f; at one at most %d in a second",
+			name, total, len(arrivals), allowed, most)
+		if even := float64(len(arrivals)) * warmingHosts / unquotedHosts; float64(total) < even/3 {
+			t.Errorf("%s: %d connections to the warming hosts, %.0f would be even", name, total, even)
 		}
-		// 600 connections are open, 7.5 at a host: at least 0.83 a second fill it within its slow start, and a full one holds 2.5 times
-		// as many. Three times that at its first capacity is 1.9: chance may bring three times the root of it and three more.
+		// 600 connections are open, 7.5 at a host: at least 0.83 a second fill it within its slow start, and
+		// a full one holds 2.5 times as many. Three times that at its first capacity is 1.9: three times the
+		// root of it and three more may come by chance.
 		if most > 9 {
-			t.Errorf("%d balancers, %.0f%% new: %d connections within a second at one warming host", c.n, 100*c.new, most)
+			t.Errorf("%s: %d connections within a second at one warming host", name, most)
 		}
 	}
 }
 
-const (
-	warmingHosts = 30   // of 80 have just started
-	unquotedFlow = 40.0 // requests a second
-)
-
-// startWarming has hosts start under balancers, a part of which are new as well. It returns when each of these hosts was sent something in
-// its slow start, and when requests came.
-func startWarming(t *testing.T, n int, restarted float64, seed int64) (up Time, sent map[string][]Time, later []Time) {
+// startWarming has hosts start while balancers serve, a part of which have restarted as well. It returns when
+// the hosts started, when each of them got attempts in its slow start, and when requests arrived in that
+// time.
+func startWarming(t *testing.T, n int, restarted float64, seed int64) (
+	up Time, attempts map[string][]Time, arrivals []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
-	all, young := manyWithoutQuotas(t, n, seed), manyWithoutQuotas(t, n, seed+1)
+	balancers, restartedOnes := manyWithoutQuotas(t, n, seed), manyWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
-	step := func() Time { return Time(rng.ExpFloat64() / unquotedFlow * 1e9) }
+	pause := func() Time { return Time(rng.ExpFloat64() / unquotedFlow * 1e9) }
 	var before []Time
-	for ; at < 130*sec; at += step() {
+	for ; at < 130*sec; at += pause() {
 		before = append(before, at)
 	}
-	replayEnds(all, rng, before)
-	for i := range all {
+	replayEnds(balancers, rng, before)
+	for i := range balancers {
 		if rng.Float64() < restarted {
-			all[i] = young[i]
+			balancers[i] = restartedOnes[i]
 		}
 	}
-	for _, f := range all {
-		var es []ListedHost
-		for i := 0; i < warmingHosts; i++ {
-			es = append(es, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, StartedAt: at})
-		}
+	var changes []ListedHost
+	for i := range warmingHosts {
+		changes = append(changes, warming(hostID(i), at))
+	}
+	for _, f := range balancers {
 		f.now = max(f.now, at)
-		f.b.ListReceived(f.now, ListDelta, es)
+		f.listChanged(changes...)
 	}
-	for up = at; at < up+9*sec; at += step() {
-		later = append(later, at)
+	for up = at; at < up+9*sec; at += pause() {
+		arrivals = append(arrivals, at)
 	}
-	sent = map[string][]Time{}
-	for i, now := range later {
-		f := all[rng.Intn(len(all))]
+	attempts = map[string][]Time{}
+	for i, now := range arrivals {
+		f := balancers[rng.Intn(len(balancers))]
 		f.run(now - f.now)
 		id, from := fmt.Sprintf("l-%d", i), len(f.attemptsStarted)
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
-		for _, s := range f.attemptsStarted[from:] {
-			f.establish(s.request)
-			if s.host < fmt.Sprintf("s%02d", warmingHosts) {
-				sent[s.host] = append(sent[s.host], now)
+		for _, a := range f.attemptsStarted[from:] {
+			f.establish(a.request)
+			if a.host < hostID(warmingHosts) {
+				attempts[a.host] = append(attempts[a.host], now)
 			}
 		}
 	}
-	return up, sent, later
+	return up, attempts, arrivals
 }
 
-// replayEnds gives requests at moments to balancers by chance; each stands at once and ends by itself 15 s later.
-func replayEnds(all []*fake, rng *rand.Rand, at []Time) {
-	type open struct {
+// replayEnds has requests arrive at given times at balancers drawn at random. Each is established at once,
+// and its connection ends by itself 15 s later.
+func replayEnds(balancers []*fake, rng *rand.Rand, at []Time) {
+	type connection struct {
 		f     *fake
 		id    string
 		until Time
 	}
-	var up []open
+	var open []connection
 	for i, now := range at {
-		for len(up) > 0 && up[0].until <= now {
-			o := up[0]
-			up = up[1:]
-			o.f.run(o.until - o.f.now)
-			o.f.end(o.id, OK)
+		for len(open) > 0 && open[0].until <= now {
+			c := open[0]
+			open = open[1:]
+			c.f.run(c.until - c.f.now)
+			c.f.end(c.id, OK)
 		}
-		f := all[rng.Intn(len(all))]
+		f := balancers[rng.Intn(len(balancers))]
 		f.run(now - f.now)
 		id := fmt.Sprintf("e-%d", i)
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		if f.inFlight[id] {
 			f.establish(id)
-			up = append(up, open{f, id, now + 15*sec})
+			open = append(open, connection{f, id, now + 15*sec})
 		}
 	}
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,84 +7,91 @@
 	"testing"
 )
 
-// A host out by hand comes back warming, called back at eighty balancers in one moment, and a wave follows: what they send it
-// together is what a wave may bring to a warming host, and its old ejection does not keep it empty.
-func TestHostAcceptingAgainIsNotFlooded(t *testing.T) {
+// TestResumedHostIsNotFlooded: eighty balancers see the end of a host's suspension at one moment, and a wave
+// follows. The host is warming and gets no more of it than its budget; its earlier ejection does not keep it
+// empty.
+func TestResumedHostIsNotFlooded(t *testing.T) {
 	const seeds = 100
-	total, fresh := 0, 0
-	for seed := int64(1); seed <= seeds; seed++ {
-		rng := rand.New(rand.NewSource(seed))
-		all := manyBalancers(t, 80, seed)
-		up := 110 * sec
-		var at, later []Time
-		for _, f := range all {
-			f.b.byID["s03"].ejection.consecutiveFailures, f.b.byID["s03"].ejection.until = 3, up+100*sec
-			f.b.ListReceived(up-5*sec, ListMaintenance, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, State: Suspended}})
-			f.b.ListReceived(up, ListMaintenance, []ListedHost{{ID: "s03", Zone: "a", Weight: 1, StartedAt: up}})
-			f.now = up
-		}
-		for i := 0; i < 30; i++ {
-			at = append(at, up+sec+Time(i)*40*ms)
-		}
-		if n := len(replay(all, rng, at, true, "s03")); n > 4 {
-			t.Errorf("seed %d: a wave of 30 brought %d connections to it", seed, n)
-		} else {
-			total += n
-		}
-		for i := 0; i < 48; i++ {
-			later = append(later, up+3*sec+Time(i)*400*ms)
-		}
-		fresh += len(replay(all, rng, later, false, "s03"))
-	}
-	if mean := float64(total) / seeds; mean > 0.68 {
-		t.Errorf("waves bring %.2f connections to a host that bears 0.68", mean)
+	up, fresh := 110*sec, 0
+	mean := replayWaves(t, seeds, up, func(f *fake) {
+		e := &f.b.byID["s03"].ejection
+		e.consecutiveFailures, e.until = 3, up+100*sec
+		f.b.ListReceived(up-5*sec, ListMaintenance, []ListedHost{listed("s03", Suspended)})
+		f.b.ListReceived(up, ListMaintenance, []ListedHost{warming("s03", up)})
+	}, func(balancers []*fake, rng *rand.Rand) {
+		fresh += len(replay(balancers, rng, evenly(48, up+3*sec, 400*ms), false, "s03"))
+	})
+	if mean > waveBudget {
+		t.Errorf("a wave brings %.2f connections in the mean to a host that bears %.2f", mean, waveBudget)
 	}
 	if fresh < seeds {
-		t.Errorf("%d connections in %d times 20 s: it is shunned", fresh, seeds)
+		t.Errorf("%d connections in %d times 20 s: too few for a host that is not ejected", fresh, seeds)
 	}
 }
 
-// What a balancer knows passes from process to process, its slow start budget once; what a broken file could hold is passed over.
+// snapshotHosts are a host and a warming one.
+func snapshotHosts() []ListedHost {
+	return []ListedHost{listed("s00", Ready), warming("s01", 99*sec)}
+}
+
+// snapshotSource is a balancer that has ejected s00 and has 3 tokens of s01's slow start budget.
+func snapshotSource(t *testing.T) *fake {
+	t.Helper()
+	f := start(t, settings(), snapshotHosts()...)
+	e := &f.b.byID["s00"].ejection
+	e.consecutiveFailures, e.until, e.failedAt = 2, f.now+sec, f.now
+	f.b.byID["s01"].slowStart.tokens = 3
+	f.b.costs.mean = 7
+	return f
+}
+
+// TestSnapshotAndRestore: a snapshot passes what a balancer knows on to the next process, and its slow start
+// budgets to one of the two.
 func TestSnapshotAndRestore(t *testing.T) {
-	cold := []ListedHost{{ID: "s00", Zone: "a", Weight: 1}, {ID: "s01", Zone: "a", Weight: 1, StartedAt: 99 * sec}}
-	old := start(t, settings(), cold...)
-	old.b.byID["s00"].ejection.consecutiveFailures, old.b.byID["s00"].ejection.until, old.b.byID["s00"].ejection.failedAt = 2, old.now+sec, old.now
-	old.b.byID["s01"].slowStart.tokens = 3
-	old.b.costs.mean = 7
-	m := old.b.Snapshot(true)
-	if old.b.byID["s01"].slowStart.tokens >= 0 {
-		t.Error("a budget that was given away is still there")
+	source := snapshotSource(t)
+	snapshot := source.b.Snapshot(true)
+	if source.b.byID["s01"].slowStart.tokens >= 0 {
+		t.Error("a budget that was yielded is still there")
 	}
-	if again := old.b.Snapshot(false); again.Servers[1].Tokens != 0 {
-		t.Error("what is left of it is no number that a file can hold")
+	if again := source.b.Snapshot(false); again.Servers[1].Tokens != 0 {
+		t.Error("a yielded budget is not 0 in a snapshot")
 	}
-	young := start(t, settings(), cold...)
-	young.b.Restore(young.now, m)
-	if s := young.b.byID["s00"]; !young.b.Ejected(young.now, "s00") || s.ejection.consecutiveFailures != 2 || young.b.byID["s01"].slowStart.tokens != 3 || young.b.costs.mean != 7 {
-		t.Errorf("it recalls %+v", s)
+	next := start(t, settings(), snapshotHosts()...)
+	next.b.Restore(next.now, snapshot)
+	h := next.b.byID["s00"]
+	if !next.b.Ejected(next.now, "s00") || h.ejection.consecutiveFailures != 2 ||
+		next.b.byID["s01"].slowStart.tokens != 3 || next.b.costs.mean != 7 {
+		t.Errorf("restored %+v", h)
 	}
-	if young.b.Ejected(young.now+2*sec, "s00") {
-		t.Error("a ejection does not end")
+	if next.b.Ejected(next.now+2*sec, "s00") {
+		t.Error("a restored ejection does not end")
 	}
-	// One that gave its budgets away and goes on takes them back.
-	old.b.Restore(old.now, m)
-	if old.b.byID["s01"].slowStart.tokens != 3 {
-		t.Error("the budget is lost")
+	// A process that yielded its budgets and goes on, since no other has taken over, takes them back.
+	source.b.Restore(source.now, snapshot)
+	if source.b.byID["s01"].slowStart.tokens != 3 {
+		t.Error("a yielded budget is lost")
 	}
+}
+
+func TestRestoreIgnoresImplausibleHosts(t *testing.T) {
+	snapshot := snapshotSource(t).b.Snapshot(true)
 	for name, spoil := range map[string]func(s *HostSnapshot){
-		"restarted since": func(s *HostSnapshot) { s.Since = 50 * sec }, "for ever": func(s *HostSnapshot) { s.Until = math.MaxInt64 },
-		"from the future": func(s *HostSnapshot) { s.FailedAt = math.MaxInt64 }, "no number": func(s *HostSnapshot) { s.Ill = math.NaN() },
-		"no count": func(s *HostSnapshot) { s.Fails = -1 }, "unknown": func(s *HostSnapshot) { s.ID = "x" },
-		"endless": func(s *HostSnapshot) { s.Tokens = math.Inf(1) },
+		"restarted since":      func(s *HostSnapshot) { s.Since = 50 * sec },
+		"ejected for ever":     func(s *HostSnapshot) { s.Until = math.MaxInt64 },
+		"failed in the future": func(s *HostSnapshot) { s.FailedAt = math.MaxInt64 },
+		"no number":            func(s *HostSnapshot) { s.Ill = math.NaN() },
+		"negative count":       func(s *HostSnapshot) { s.Fails = -1 },
+		"unknown host":         func(s *HostSnapshot) { s.ID = "x" },
+		"infinite budget":      func(s *HostSnapshot) { s.Tokens = math.Inf(1) },
 	} {
-		f := start(t, settings(), cold...)
+		f := start(t, settings(), snapshotHosts()...)
 		want := *f.b.byID["s00"]
-		bad := m
-		bad.Servers = append([]HostSnapshot(nil), m.Servers[:1]...)
+		bad := snapshot
+		bad.Servers = append([]HostSnapshot(nil), snapshot.Servers[:1]...)
 		spoil(&bad.Servers[0])
 		f.b.Restore(f.now, bad)
 		if got := *f.b.byID["s00"]; !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: restored", name)
 		}
 	}
 }
--- a/internal/balancer/stallgossip/message_test.go
+++ b/internal/balancer/stallgossip/message_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedMessages: a message has the bytes that it had when they were recorded.
+// TestRecordedMessages: a message has the bytes that were recorded.
 func TestRecordedMessages(t *testing.T) {
 	samples := golden.NewSamples(4)
 	samples.Add("slow", Append(nil, Record{Host: 0xdeadbeef, Delay: 3.25}))
@@ -18,7 +18,7 @@
 
 func TestFullMessage(t *testing.T) {
 	var message []byte
-	for i := 0; i < 100; i++ {
+	for i := range 100 {
 		message = Append(message, Record{Host: uint32(i), Delay: float64(i)})
 	}
 	if len(message) > 256 {
@@ -32,6 +32,6 @@
 		n++
 	})
 	if n != maxRecords {
-		t.Errorf("%d records", n)
+		t.Errorf("%d records in a full message, expected %d", n, maxRecords)
 	}
 }
