--- a/internal/testbed/simulator/adapter_test.go
+++ b/internal/testbed/simulator/adapter_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	var r struct{ Outbox []action }
 	if err := json.Unmarshal(out, &r); err != nil {
-		t.Fatalf("reply is no JSON: %v: %s", err, out)
+		t.Fatalf("the reply is no JSON: %v: %s", err, out)
 	}
 	return r.Outbox
 }
@@ -49,14 +49,14 @@
 }
 
 func TestRequestStartsAttempt(t *testing.T) {
-	h := NewAdapter(balancer.New)
-	out, err := h.Batch(line(initMsg, sheet, members, inbound("q")))
+	a := NewAdapter(balancer.New)
+	out, err := a.Batch(line(initMsg, sheet, members, inbound("q")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	sends := of(actions(t, out), "Dispatch")
 	if len(sends) != 1 || sends[0]["server"] != "S" || sends[0]["request_id"] != "q" || sends[0]["balancer"] != "B" {
-		t.Fatalf("want one Dispatch of q to S: %s", out)
+		t.Fatalf("expected one Dispatch of q to S: %s", out)
 	}
 }
 
@@ -68,37 +68,37 @@
 }
 
 func TestSheetReplacedWithinBatch(t *testing.T) {
-	h := NewAdapter(balancer.New)
+	a := NewAdapter(balancer.New)
 	again := strings.Replace(sheet, `"server":"S"`, `"server":"T"`, 1)
-	out, err := h.Batch(line(initMsg, sheet, members, again,
+	out, err := a.Batch(line(initMsg, sheet, members, again,
 		strings.Replace(members, "restored", "replace", 1), inbound("q")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := of(actions(t, out), "Dispatch"); len(s) != 1 || s[0]["server"] != "T" {
-		t.Fatalf("the newer sheet did not count: %s", out)
+		t.Fatalf("the attempt is not at the host of the newer sheet: %s", out)
 	}
 }
 
-func TestExitAndRestartWithinABatch(t *testing.T) {
-	h := NewAdapter(balancer.New)
+func TestExitAndRestartWithinBatch(t *testing.T) {
+	a := NewAdapter(balancer.New)
 	exit := `{"event_type":"Exit","balancer":"B"}`
-	out, err := h.Batch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
+	out, err := a.Batch(line(initMsg, sheet, members, inbound("q"), exit, initMsg, members, inbound("p"),
 		`{"event_type":"Response","balancer":"B","request_id":"q","seq_no":0,"server":"S","ending":"INTERNAL"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := of(actions(t, out), "Dispatch"); len(s) != 2 {
-		t.Fatalf("an old life's outcome acted on the new: %s", out)
+		t.Fatalf("the end of an attempt of the instance before acted on the new one: %s", out)
 	}
 }
 
 func TestUnknownNamesAreIgnored(t *testing.T) {
-	h := NewAdapter(balancer.New)
-	if _, err := h.Batch(line(initMsg, sheet, members)); err != nil {
+	a := NewAdapter(balancer.New)
+	if _, err := a.Batch(line(initMsg, sheet, members)); err != nil {
 		t.Fatal(err)
 	}
-	out, err := h.Batch(line(
+	out, err := a.Batch(line(
 		`{"event_type":"ClientLeft","balancer":"B","request_id":"nobody"}`,
 		`{"event_type":"Response","balancer":"B","request_id":"nobody","server":"nowhere","ending":"OK"}`,
 		`{"event_type":"Streaming","balancer":"B","request_id":"nobody","server":"S"}`,
@@ -129,25 +129,25 @@
 	} {
 		out, err := NewAdapter(balancer.New).Batch(msgs)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || out != nil {
-			t.Errorf("want an error with %q and no reply, got %v, %s", want, err, out)
+			t.Errorf("expected an error with %q and no reply, got %v, %s", want, err, out)
 		}
 	}
 }
 
 func TestPanicIsReported(t *testing.T) {
-	h := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
-	out, err := h.Batch(line(initMsg, sheet, members))
+	a := NewAdapter(func(balancer.Config, int64, balancer.Effects) (*balancer.Balancer, error) { return nil, nil })
+	out, err := a.Batch(line(initMsg, sheet, members))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if b := of(actions(t, out), "Bug"); len(b) != 1 || b[0]["balancer"] != "B" {
-		t.Fatalf("want one Bug: %s", out)
+		t.Fatalf("expected one Bug of B: %s", out)
 	}
 }
 
 func TestInstancesDoNotMix(t *testing.T) {
 	run := func(others bool) string {
-		h := NewAdapter(balancer.New)
+		a := NewAdapter(balancer.New)
 		got := ""
 		for i := 0; i < 30; i++ {
 			msgs := []string{}
@@ -162,13 +162,13 @@
 					}
 				}
 			}
-			out, err := h.Batch(line(msgs...))
+			out, err := a.Batch(line(msgs...))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, a := range actions(t, out) {
-				if a["balancer"] == "B" {
-					text, _ := json.Marshal(a)
+			for _, action := range actions(t, out) {
+				if action["balancer"] == "B" {
+					text, _ := json.Marshal(action)
 					got += string(text) + "\n"
 				}
 			}
@@ -176,6 +176,6 @@
 		return got
 	}
 	if alone, together := run(false), run(true); alone != together || alone == "" {
-		t.Fatalf("another instance in the process changed the actions:\n%s\n%s", alone, together)
+		t.Fatalf("actions of B alone, and with another instance in the process:\n%s\n%s", alone, together)
 	}
 }
--- a/internal/testbed/simulator/decisions_test.go
+++ b/internal/testbed/simulator/decisions_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// The recorded decisions: generated sequences of events, and the actions that the decision module gives to them. They are played over
-// the simulator's wire, whose names do not change when the code's do.
+// The recorded decisions: generated sequences of events, and the actions with which the decision module answers them. They are played
+// over the simulator's wire, whose names do not change when the code's do.
 
 const (
 	sequences         = 210
@@ -22,29 +22,29 @@
 	second            = int64(1e9)
 )
 
-// outcomes are the endings that an attempt may have before its connection stands.
+// outcomes are the endings that an attempt may have before its connection is established.
 var outcomes = []string{"INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED"}
 
 // sequence plays one generated sequence.
 type sequence struct {
-	seed      int64
-	rng       *rand.Rand
-	adapter   *Adapter
-	now       int64
-	events    int
-	balancers []string
-	config    map[string]json.RawMessage
-	servers   []sheetHost
-	sheets    int
-	gen       int64
-	due       []dueEvent
-	dueSeq    int
-	requests  []*liveRequest
-	byID      map[string]*liveRequest
-	nextID    int
-	grouped   bool
-	probed    bool
-	digest    *golden.Digest
+	seed         int64
+	rng          *rand.Rand
+	adapter      *Adapter
+	now          int64
+	events       int
+	balancers    []string
+	config       map[string]json.RawMessage
+	hosts        []sheetHost
+	sheets       int
+	listVersion  int64
+	due          []dueEvent
+	dueSeq       int
+	requests     []*liveRequest
+	byID         map[string]*liveRequest
+	nextID       int
+	grouped      bool
+	healthChecks bool
+	digest       *golden.Digest
 }
 
 // dueEvent is an event that follows from an action after a delay.
@@ -56,10 +56,10 @@
 
 // liveRequest is what a client and a host know of a request.
 type liveRequest struct {
-	balancer, id, server string
-	attempt              int
-	out, up, closed      bool
-	sentAt, allowFor     int64
+	balancer, id, host            string
+	attempt                       int
+	inFlight, established, closed bool
+	startedAt, timeout            int64
 }
 
 func newSequence(seed int64) *sequence {
@@ -70,24 +70,24 @@
 		s.balancers = append(s.balancers, fmt.Sprintf("B%d", i))
 	}
 	for i := range 3 + s.rng.Intn(12) {
-		s.servers = append(s.servers, sheetHost{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
+		s.hosts = append(s.hosts, sheetHost{State: "healthy", Zone: string(rune('a' + i%3)), Weight: 1 + float64(i%4)/2,
 			ID: fmt.Sprintf("s%02d", i), Kind: "k", Cell: i % 2})
 	}
 	for i, b := range s.balancers {
 		s.config[b] = s.settings(i, instances)
-		s.begin(b)
+		s.startBalancer(b)
 	}
 	return s
 }
 
 // settings draws one of the shapes that the deployments' settings have: with and without messages between balancers, health checks,
-// tenants, groups, mid-flow connections, and each effect of a repeat.
-func (s *sequence) settings(me, instances int) json.RawMessage {
+// tenants, groups, mid-flow connections, and each kind of idempotency.
+func (s *sequence) settings(instance, instances int) json.RawMessage {
 	bit := func(n uint) bool { return s.seed>>n&1 == 1 }
-	s.grouped, s.probed = bit(1), s.seed%5 < 2
-	peers := instances
+	s.grouped, s.healthChecks = bit(1), s.seed%5 < 2
+	total := instances
 	if s.seed%7 == 0 {
-		peers = 80
+		total = 80 // most of them are not simulated
 	}
 	semantics := []string{"read_like", "idempotency_key", "non_idempotent"}
 	lanes := []map[string]any{}
@@ -96,10 +96,10 @@
 			"semantics": semantics[(int(s.seed)+i)%3], "dedup_scope": []string{"all", "zone", "cell"}[(int(s.seed)/3+i)%3], "key_ttl": 3 * second,
 			"gain": 1 + float64(i)*2, "late_worth": 0.1})
 	}
-	c := map[string]any{"me": me, "peers_total": peers, "my_zone": string(rune('a' + me%3)), "zones": []string{"a", "b", "c"}, "step": 5 * millisecond, "lanes": lanes,
+	c := map[string]any{"me": instance, "peers_total": total, "my_zone": string(rune('a' + instance%3)), "zones": []string{"a", "b", "c"}, "step": 5 * millisecond, "lanes": lanes,
 		"discovery": []string{"automatic", "subscribe"}[s.seed/2%2],
 		"bounds": map[string]any{"cancelling": bit(2), "connect_timeout": 200 * millisecond, "idle_close": 10 * second, "max_retry_after": second, "may_tell": bit(0),
-			"probes": s.probed, "retry_after": !bit(3), "try_limit": 3 + s.seed%3},
+			"probes": s.healthChecks, "retry_after": !bit(3), "try_limit": 3 + s.seed%3},
 		"contract": map[string]any{"answer_slack": 20 * millisecond, "cold_from": 0.2, "drain_grace": 250 * millisecond, "fall": second, "fall_multiple": 2 + float64(s.seed%3),
 			"must_ask_in": (10 + 5*(s.seed%3)) * second, "warm_up": (5 + 5*(s.seed%4)) * second},
 		"tariffs": map[string]any{"cross_zone": 0.1 * float64(s.seed%3), "probe": 0.0016, "peer": 0.0001, "moves": 0.01}}
@@ -116,7 +116,7 @@
 		c["worth_by"] = "work"
 	}
 	c["extra"] = extra
-	if s.probed {
+	if s.healthChecks {
 		c["report"] = map[string]any{"how": "probe", "fields": []string{"x0", "queue"}}
 	} else {
 		c["report"] = map[string]any{"how": "none"}
@@ -137,20 +137,20 @@
 	return data
 }
 
-// begin starts a balancer with the list that it last had.
-func (s *sequence) begin(name string) {
-	sheet := s.sheet(s.servers)
-	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.gen), "config": s.config[name]}, sheet,
-		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.gen, "sheet": s.sheets})
+// startBalancer starts a balancer with the list that it last had.
+func (s *sequence) startBalancer(name string) {
+	sheet := s.sheet(s.hosts)
+	s.deliver(map[string]any{"event_type": "Init", "balancer": name, "salt": s.seed*100 + int64(s.listVersion), "config": s.config[name]}, sheet,
+		map[string]any{"event_type": "Membership", "balancer": name, "form": "restored", "gen": s.listVersion, "sheet": s.sheets})
 }
 
-// sheet names a list of servers for the events that follow.
-func (s *sequence) sheet(servers []sheetHost) map[string]any {
+// sheet names a list of hosts for the events that follow.
+func (s *sequence) sheet(hosts []sheetHost) map[string]any {
 	s.sheets++
-	return map[string]any{"event_type": "Directory", "sheet": s.sheets, "elements": servers}
+	return map[string]any{"event_type": "Directory", "sheet": s.sheets, "elements": hosts}
 }
 
-// deliver gives a batch of events to the host and follows its actions.
+// deliver gives a batch of events to the adapter and follows its actions.
 func (s *sequence) deliver(events ...map[string]any) {
 	reply, err := s.adapter.Batch(s.marshal(map[string]any{"time": s.now, "msgs": events}))
 	s.events += len(events)
--- a/internal/testbed/simulator/instances_test.go
+++ b/internal/testbed/simulator/instances_test.go
@@ -7,23 +7,23 @@
 	"croftlock/internal/balancer"
 )
 
-// serverChanges has a server drain, go, come back or start anew, and some balancers hear of it.
-func (s *sequence) serverChanges() {
-	i := s.rng.Intn(len(s.servers))
-	e := &s.servers[i]
+// hostChanges has a host drain, be removed, come back or restart, and brings it to some balancers.
+func (s *sequence) hostChanges() {
+	i := s.rng.Intn(len(s.hosts))
+	e := &s.hosts[i]
 	e.State = []string{"healthy", "healthy", "healthy", "cordoned", "deregistered"}[s.rng.Intn(5)]
 	if e.State == "healthy" && s.rng.Intn(2) == 0 {
 		e.StartedAt = s.now
 	}
 	if s.rng.Intn(6) == 0 {
-		s.servers = append(s.servers, sheetHost{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, StartedAt: s.now, ID: fmt.Sprintf("n%d", s.dueSeq), Kind: "k"})
+		s.hosts = append(s.hosts, sheetHost{State: "healthy", Zone: string(rune('a' + s.rng.Intn(4))), Weight: 1, StartedAt: s.now, ID: fmt.Sprintf("n%d", s.dueSeq), Kind: "k"})
 	}
-	s.gen++
+	s.listVersion++
 	for _, b := range s.balancers {
 		if s.rng.Intn(4) == 0 {
 			continue
 		}
-		s.deliver(s.sheet([]sheetHost{s.servers[i], s.servers[len(s.servers)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.gen, "sheet": s.sheets})
+		s.deliver(s.sheet([]sheetHost{s.hosts[i], s.hosts[len(s.hosts)-1]}), map[string]any{"event_type": "Membership", "balancer": b, "form": "update", "gen": s.listVersion, "sheet": s.sheets})
 	}
 }
 
@@ -37,9 +37,9 @@
 	s.follow(reply)
 }
 
-// suspend has an operator take a server out, or call it back.
+// suspend has an operator suspend a host, or end its suspension.
 func (s *sequence) suspend(name string) {
-	e := s.servers[s.rng.Intn(len(s.servers))]
+	e := s.hosts[s.rng.Intn(len(s.hosts))]
 	entry := balancer.ListedHost{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight, StartedAt: e.StartedAt}
 	if s.rng.Intn(2) == 0 {
 		entry.State = balancer.Suspended
@@ -49,14 +49,14 @@
 	})
 }
 
-// restart ends a name with its connections, and begins it anew.
+// restart ends a balancer with its connections, and starts it anew.
 func (s *sequence) restart(name string) {
 	s.forget(name)
 	s.deliver(map[string]any{"event_type": "Exit", "balancer": name})
-	s.begin(name)
+	s.startBalancer(name)
 }
 
-// forget drops what was under way at a name that has ended.
+// forget drops the events and requests of a balancer that has ended.
 func (s *sequence) forget(name string) {
 	var due []dueEvent
 	for _, d := range s.due {
@@ -74,26 +74,26 @@
 	s.requests = requests
 }
 
-// hotStart has another process of the name take over, with what the one before knew and its open connections.
-func (s *sequence) hotStart(name string) {
-	memory := s.adapter.instances[name].balancer.Snapshot(true)
-	kept, err := json.Marshal(memory)
+// hotRestart has another process of a balancer take over, with its snapshot and its open connections.
+func (s *sequence) hotRestart(name string) {
+	snapshot := s.adapter.instances[name].balancer.Snapshot(true)
+	stored, err := json.Marshal(snapshot)
 	if err != nil {
 		s.fail("%v", err)
 	}
-	s.digest.Add("%s", kept)
-	var standing []*liveRequest
+	s.digest.Add("%s", stored)
+	var open []*liveRequest
 	for _, r := range s.requests {
-		if r.balancer == name && r.up {
-			standing = append(standing, r)
+		if r.balancer == name && r.established {
+			open = append(open, r)
 		}
 	}
 	s.restart(name)
-	s.direct(name, func(b *balancer.Balancer) { b.Restore(s.now, memory) })
-	for _, r := range standing {
+	s.direct(name, func(b *balancer.Balancer) { b.Restore(s.now, snapshot) })
+	for _, r := range open {
 		again, e := s.newRequest("Adopted", name, 0)
-		again.attempt, again.out, again.up, again.server, again.sentAt = 0, true, true, r.server, r.sentAt
-		e["server"] = r.server
+		again.attempt, again.inFlight, again.established, again.host, again.startedAt = 0, true, true, r.host, r.startedAt
+		e["server"] = r.host
 		s.deliver(e)
 	}
 }
--- a/internal/testbed/simulator/replies_test.go
+++ b/internal/testbed/simulator/replies_test.go
@@ -1,20 +1,18 @@
 package simulator
 
-import (
-	"encoding/json"
-)
+import "encoding/json"
 
 // reported is one action of a reply, with the fields of all kinds.
 type reported struct {
 	Type     string `json:"event_type"`
 	Balancer string `json:"balancer"`
 	Request  string `json:"request_id"`
-	Server   string `json:"server"`
-	AllowFor int64  `json:"allow_for"`
+	Host     string `json:"server"`
+	Timeout  int64  `json:"allow_for"`
 	After    int64  `json:"after"`
-	Ref      string `json:"ref"`
+	Token    string `json:"ref"`
 	Contents string `json:"contents"`
-	Dst      *int   `json:"dst"`
+	Peer     *int   `json:"dst"`
 }
 
 // follow does what clients, hosts, discovery and the network do upon the actions of a reply.
@@ -36,24 +34,24 @@
 	case "Bug":
 		s.fail("the decision module panicked")
 	case "Dispatch":
-		if request == nil || request.out || request.closed {
-			s.fail("%s sent out of turn", a.Request)
+		if request == nil || request.inFlight || request.closed {
+			s.fail("an attempt of %s, which has one in flight or is closed", a.Request)
 		}
 		request.attempt++
-		request.out, request.server, request.sentAt, request.allowFor = true, a.Server, s.now, a.AllowFor
+		request.inFlight, request.host, request.startedAt, request.timeout = true, a.Host, s.now, a.Timeout
 	case "Deny", "Surrender":
 		if request != nil {
 			request.closed = true
 		}
 	case "Revoke", "GoAway":
-		if request != nil && request.out {
+		if request != nil && request.inFlight {
 			s.later(s.delay(50*millisecond), map[string]any{"event_type": "end", "request": request, "ending": "CANCELLED", "attempt": request.attempt})
 			if a.Type == "GoAway" {
 				s.later(s.delay(300*millisecond), map[string]any{"event_type": "return", "balancer": request.balancer})
 			}
 		}
 	case "Defer":
-		s.later(a.After, map[string]any{"event_type": "Fired", "balancer": a.Balancer, "ref": a.Ref})
+		s.later(a.After, map[string]any{"event_type": "Fired", "balancer": a.Balancer, "ref": a.Token})
 	case "MemoTo":
 		s.send(a)
 	case "Subscribe", "ReadList":
@@ -63,12 +61,12 @@
 		if s.rng.Intn(8) == 0 {
 			ending = "DEADLINE_EXCEEDED"
 		}
-		s.later(s.delay(40*millisecond), map[string]any{"event_type": "HealthResult", "balancer": a.Balancer, "server": a.Server, "ending": ending, "elapsed": millisecond,
+		s.later(s.delay(40*millisecond), map[string]any{"event_type": "HealthResult", "balancer": a.Balancer, "server": a.Host, "ending": ending, "elapsed": millisecond,
 			"gauge": []float64{s.rng.Float64() * 1.3, s.rng.Float64() / 4}})
 	}
 }
 
-// send carries a message between balancers, of which one in ten is lost.
+// send carries a message to other balancers; one in ten is lost.
 func (s *sequence) send(a reported) {
 	from := 0
 	for i, b := range s.balancers {
@@ -77,14 +75,14 @@
 		}
 	}
 	for i, b := range s.balancers {
-		if i == from || a.Dst != nil && *a.Dst != i || s.rng.Intn(10) == 0 {
+		if i == from || a.Peer != nil && *a.Peer != i || s.rng.Intn(10) == 0 {
 			continue
 		}
 		s.later(s.delay(20*millisecond), map[string]any{"event_type": "Memo", "balancer": b, "origin_peer": from, "contents": a.Contents})
 	}
 }
 
-// advance lets time pass, and brings the events that fall due.
+// advance lets time pass, and brings the events that are due.
 func (s *sequence) advance(by int64) {
 	end := s.now + by
 	for len(s.due) > 0 && s.due[0].at <= end && s.events < eventsPerSequence {
@@ -94,13 +92,13 @@
 		s.arrive(d.event)
 	}
 	s.now = end
-	s.timeOut()
+	s.endOverdueAttempts()
 }
 
 func (s *sequence) arrive(event map[string]any) {
 	switch event["event_type"] {
 	case "end":
-		if r := event["request"].(*liveRequest); r.out && r.attempt == event["attempt"].(int) {
+		if r := event["request"].(*liveRequest); r.inFlight && r.attempt == event["attempt"].(int) {
 			s.end(r, event["ending"].(string))
 		}
 	case "return":
@@ -110,28 +108,28 @@
 			s.deliver(map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "unavailable"})
 			return
 		}
-		s.gen++
-		s.deliver(s.sheet(s.servers), map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "replace", "gen": s.gen, "sheet": s.sheets})
+		s.listVersion++
+		s.deliver(s.sheet(s.hosts), map[string]any{"event_type": "Membership", "balancer": event["balancer"], "form": "replace", "gen": s.listVersion, "sheet": s.sheets})
 	default:
 		s.deliver(event)
 	}
 }
 
-// timeOut ends the attempts that have used up their time.
-func (s *sequence) timeOut() {
+// endOverdueAttempts ends the attempts that have used up their time.
+func (s *sequence) endOverdueAttempts() {
 	for _, r := range s.requests {
-		if r.out && !r.up && r.allowFor > 0 && s.now >= r.sentAt+r.allowFor {
+		if r.inFlight && !r.established && r.timeout > 0 && s.now >= r.startedAt+r.timeout {
 			s.end(r, "DEADLINE_EXCEEDED")
 		}
 	}
 }
 
-// end tells how an attempt ended.
+// end ends an attempt, or its connection.
 func (s *sequence) end(r *liveRequest, ending string) {
-	wasUp := r.up
-	r.out, r.up = false, false
-	closed := r.closed || wasUp || ending == "OK" || ending == "CANCELLED"
+	wasEstablished := r.established
+	r.inFlight, r.established = false, false
+	closed := r.closed || wasEstablished || ending == "OK" || ending == "CANCELLED"
 	r.closed = closed
-	s.deliver(map[string]any{"event_type": "Response", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.server, "ending": ending,
-		"elapsed": s.now - r.sentAt, "no_more": closed, "gauge": []float64{s.rng.Float64(), s.rng.Float64() / 4}})
+	s.deliver(map[string]any{"event_type": "Response", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.host, "ending": ending,
+		"elapsed": s.now - r.startedAt, "no_more": closed, "gauge": []float64{s.rng.Float64(), s.rng.Float64() / 4}})
 }
--- a/internal/testbed/simulator/requests_test.go
+++ b/internal/testbed/simulator/requests_test.go
@@ -49,47 +49,47 @@
 	case draw < 84:
 		s.clientLeaves()
 	case draw < 93:
-		s.serverChanges()
+		s.hostChanges()
 	case draw < 95:
 		r, e := s.newRequest("Adopted", s.balancer(), 0)
-		r.attempt, r.out, r.up, r.server, r.sentAt = 0, true, true, s.servers[s.rng.Intn(len(s.servers))].ID, s.now
-		e["server"] = r.server
+		r.attempt, r.inFlight, r.established, r.host, r.startedAt = 0, true, true, s.hosts[s.rng.Intn(len(s.hosts))].ID, s.now
+		e["server"] = r.host
 		s.deliver(e)
 	case draw < 97:
 		s.suspend(s.balancer())
 	case draw < 98:
 		s.deliver(map[string]any{"event_type": "Memo", "balancer": s.balancer(), "origin_peer": 0, "contents": base64.StdEncoding.EncodeToString([]byte{byte(s.rng.Intn(20)), 2, 3, 4, 5, 6})})
 	case draw < 99:
-		s.hotStart(s.balancer())
+		s.hotRestart(s.balancer())
 	default:
 		s.restart(s.balancer())
 	}
 }
 
-// progress moves on the attempt of a request that is out.
+// progress moves on an attempt that is in flight, or its connection.
 func (s *sequence) progress() {
-	var out []*liveRequest
+	var inFlight []*liveRequest
 	for _, r := range s.requests {
-		if r.out {
-			out = append(out, r)
+		if r.inFlight {
+			inFlight = append(inFlight, r)
 		}
 	}
-	if len(out) == 0 {
+	if len(inFlight) == 0 {
 		return
 	}
-	r := out[s.rng.Intn(len(out))]
+	r := inFlight[s.rng.Intn(len(inFlight))]
 	switch {
-	case r.up && s.rng.Intn(2) == 0:
+	case r.established && s.rng.Intn(2) == 0:
 		e := map[string]any{"event_type": "Notice", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "sort": 1 + s.rng.Intn(2), "level": s.rng.Float64() * 400}
 		if e["sort"] == 1 {
 			e["level"] = s.rng.Float64() * 3000
 		}
 		s.deliver(e)
-	case r.up:
+	case r.established:
 		s.end(r, []string{"OK", "OK", "ABORTED", "CANCELLED"}[s.rng.Intn(4)])
 	case s.rng.Intn(5) < 3 && !r.closed:
-		r.up = true
-		s.deliver(map[string]any{"event_type": "Streaming", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.server, "elapsed": s.now - r.sentAt})
+		r.established = true
+		s.deliver(map[string]any{"event_type": "Streaming", "balancer": r.balancer, "request_id": r.id, "seq_no": r.attempt, "server": r.host, "elapsed": s.now - r.startedAt})
 	default:
 		s.end(r, outcomes[s.rng.Intn(len(outcomes))])
 	}
@@ -98,7 +98,7 @@
 func (s *sequence) clientLeaves() {
 	var waiting []*liveRequest
 	for _, r := range s.requests {
-		if !r.closed && !r.up {
+		if !r.closed && !r.established {
 			waiting = append(waiting, r)
 		}
 	}
