--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -21,10 +21,10 @@
 	return older
 }
 
-// preferredAgeGroup tells among which hosts a request is placed first: the newer ones if they hold less than
-// their part of what this balancer placed, else the older ones. Where traffic is sparse its loads tell
-// nothing of one host, but something of all of an age: each balancer keeps to the part by chance, so that all
-// together do.
+// preferredAgeGroup is the hosts among which a request is placed first: the newer ones if they hold less than
+// their part of what this balancer placed, else the older ones. Where traffic is sparse this balancer's loads
+// say nothing of a single host, but something of an age group: each balancer keeps to the part by chance, so
+// that all together do.
 func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
@@ -48,7 +48,7 @@
 	return older
 }
 
-// excludedByAge reports whether a host is not of the age group that is looked among. A warming one counts as
+// excludedByAge reports whether a host is not of the age group that is picked from. A warming one counts as
 // either, since it has its own budget.
 func (b *Balancer) excludedByAge(h *host, among ageGroup) bool {
 	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.fullCapacityShare(h) >= 1)
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -16,8 +16,8 @@
 
 // discoveryPoller is the state of the subscription to discovery.
 type discoveryPoller struct {
-	watching bool // a subscription stands
-	polling  bool // a subscription was asked for and is not answered
+	watching bool // subscribed to changes of the endpoint list
+	polling  bool // a subscription was asked for, and no list or failure has come yet
 	failures int  // in a row
 }
 
@@ -26,7 +26,7 @@
 	d.failures++
 }
 
-// answered notes a list from discovery.
+// answered notes a list from discovery. Without a poll under way it changes nothing.
 func (d *discoveryPoller) answered() {
 	if d.polling {
 		d.polling, d.watching, d.failures = false, true, 0
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -8,7 +8,7 @@
 	ejectionCap = 8.0
 	// sharedFaultShare is the part of the evidence that has to fail for the fault to be no single host's.
 	sharedFaultShare = 0.5
-	// minTimeoutEvidence is how many set-ups have to have ended of late to tell whose fault a timeout is.
+	// minTimeoutEvidence is how many set-ups must have ended of late before a timeout may count as shared.
 	minTimeoutEvidence = 4
 	// evidenceMemory is the time constant with which set-ups fade, in longest latency objectives.
 	evidenceMemory = 2
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// allHostsSuspended reports whether operators have suspended every host that could serve, so that waiting
-// helps nobody.
+// allHostsSuspended reports whether operators have suspended every host that could serve, so that no request
+// should wait for one.
 func (l *endpointList) allHostsSuspended() bool {
 	suspended := false
 	for _, h := range l.hosts {
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -49,9 +49,9 @@
 }
 
 // groupPlacementCost is what a host pays for a group that it does not hold yet, in the unit of host.load.
-// Where other balancers put a group's connections is unknown here, but all keep to the group's rendezvous
-// order, so that few hosts pay for it and not each of them. Where traffic is sparse that order is all there
-// is to go by: it is one for a set of zones, goes further, and a slow host stands later in it.
+// Where other balancers placed a group's connections is unknown here, but all keep to the group's rendezvous
+// order, so that few hosts pay for it instead of all. Where traffic is sparse there is nothing else to go by:
+// the order is one for a set of zones, covers more hosts, and has slow hosts later.
 func (b *Balancer) groupPlacementCost(p *pick, c *candidate) float64 {
 	group, h := p.request.Group, c.host
 	if group == "" {
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -10,7 +10,7 @@
 	weight     float64 // above 0
 	startedAt  Time    // its latest start; 0: long past
 	state      HostState
-	listed     bool // named by the last whole list, or by a change since
+	listed     bool // named by the last full list, or by a change since
 
 	connections []*request // open ones that this balancer placed
 	load        float64    // of these, in the unit of Request.ExpectedLoad
@@ -52,7 +52,7 @@
 	}
 }
 
-// connectionEnded takes it back, where it was open.
+// connectionEnded undoes connectionEstablished, where the connection was open.
 func (b *Balancer) connectionEnded(r *request) {
 	if !r.established {
 		return
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -4,8 +4,8 @@
 	maxServers     = 8    // balancers that count, of which one is asked
 	maxMisses      = 2    // queries in a row without a reply, after which the next ledger server is asked
 	maxPending     = 256  // queries that are remembered
-	initialPause   = 3e9  // how long nobody is asked once no ledger server replied, in nanoseconds
-	maxPauseDouble = 4    // doublings of it: where no one can be heard hardly any request waits
+	initialPause   = 3e9  // the first pause without queries once no ledger server replied, in nanoseconds
+	maxPauseDouble = 4    // doublings of it: where no messages arrive hardly any request waits
 	pollInterval   = 2e9  // how often an earlier ledger server is polled, in nanoseconds
 	pendingTimeout = 10e9 // after which a reply counts for nothing, in nanoseconds
 )
@@ -25,10 +25,10 @@
 	servers     []int // balancers
 	current     int   // index of the one that is asked
 	misses      int   // in a row
-	pausedUntil Time  // nobody is asked before
+	pausedUntil Time  // no queries before
 	pauses      int   // in a row
 	polledAt    Time
-	synced      bool // the current one has replied, and is sent all that is held here
+	synced      bool // the current one has replied, and is sent all connections held here
 	epoch       byte // of the current one
 	sequence    uint16
 	pending     map[uint16]*PendingQuery
@@ -65,7 +65,8 @@
 	return c.servers[c.current]
 }
 
-// Synced reports whether the ledger server was sent all that is held here, so that changes are worth sending.
+// Synced reports whether the ledger server was sent all connections held here, so that changes are worth
+// sending.
 func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
@@ -110,7 +111,8 @@
 	}
 }
 
-// pause asks nobody for a time that doubles with each pause in a row, and then the first ledger server.
+// pause stops queries for a time that doubles with each pause in a row; then the first ledger server is
+// asked.
 func (c *Client) pause(now Time) {
 	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
 	c.pauses++
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -2,7 +2,7 @@
 // in which each balancer sees only a few requests, and is asked for a host. The package owns what is counted
 // (Placements), the messages by which balancers ask and report, and the choice of whom to ask (Client). Which
 // host a request gets is decided in package balancer. There is no I/O and no clock here. What is counted may
-// be late, torn or lost at any time, and nobody waits for it for long.
+// be late, torn or lost at any time, and no request waits for it for long.
 package ledger
 
 import "slices"
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -13,15 +13,15 @@
 )
 
 // placementLedger is this balancer's side of the ledger, as client and as ledger server. No balancer sees
-// alone how full hosts are, nor how large a group is. Where balancers may send messages, one that counts for
-// all is asked for a host; without its reply each places by what it sees.
+// alone how full hosts are, nor how large a group is. Where balancers may send messages, they ask the one
+// that counts for all for a host; without its reply each places by what it sees itself.
 type placementLedger struct {
 	client        *ledger.Client
 	placements    *ledger.Placements // where this balancer is a ledger server
 	freshRequests decay.Counter      // of all balancers, where this one is a ledger server
 	announced     bool               // this process has an epoch, and was announced if it is a ledger server
 	epoch         byte               // of this process
-	syncDue       Time               // when the ledger server is told all that is held here
+	syncDue       Time               // when the ledger server is sent all connections held here
 }
 
 // ledgerQuery is a request's query to the ledger server.
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -3,17 +3,18 @@
 import "croftlock/internal/balancer/ledger"
 
 const (
-	// syncSpread is the time over which all balancers tell a ledger server that begins what they hold, and
-	// syncInterval the mean time after which each does so again, in nanoseconds. It corrects what was lost.
+	// syncSpread is the time over which all balancers send their connections to a new ledger server, and
+	// syncInterval the mean time after which each does so again, in nanoseconds, to correct for lost
+	// messages.
 	syncSpread   = 1e9
 	syncInterval = 8e9
 	// epochUnit makes an epoch from the time of the process's start, in nanoseconds.
 	epochUnit = 1e8
 )
 
-// maintainLedger announces once that this balancer is a ledger server, tells the ledger server all that is
-// held here when that is due, and polls one that may be back. Where there is no ledger nothing is sent and
-// nothing drawn.
+// maintainLedger announces once that this balancer is a ledger server, sends the one that is asked all
+// connections held here when that is due, and polls an earlier one that may be back. Where there is no ledger
+// nothing is sent and no random number drawn.
 func (b *Balancer) maintainLedger() {
 	if !b.ledgerUsable() {
 		return
@@ -131,7 +132,7 @@
 	return entries
 }
 
-// reportPlacement tells the ledger server that a host holds a connection more (1), or less (-1).
+// reportPlacement reports to the ledger server that a host holds a connection more (1), or less (-1).
 func (b *Balancer) reportPlacement(h *host, r *request, sign int) {
 	server := b.ledger.client.Server(b.now)
 	if r.Group == "" || server < 0 || !b.ledgerUsable() {
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// healthCheckTimer is how often it is looked which hosts are due for a health check, in nanoseconds, and
-	// minHealthCheckInterval how often one host is checked at most.
+	// healthCheckTimer is the time between two searches for hosts that are due for a health check, and
+	// minHealthCheckInterval the shortest time between two checks of one host, in nanoseconds.
 	healthCheckTimer       = 2.5e8
 	minHealthCheckInterval = 5e8
 	// healthCheckBudget is what health checks may cost, as part of what the requests are worth.
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -26,7 +26,7 @@
 	return h.errors.faded(b.now, b.ejection.initial)
 }
 
-// AttemptEstablished tells that an attempt, counted from 0, has set up its connection in the time elapsed.
+// AttemptEstablished notes that an attempt, counted from 0, has set up its connection in the time elapsed.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.tick(now)
 	r := b.requests[id]
@@ -129,7 +129,7 @@
 	}
 }
 
-// ClientLeft tells that a client has left: no answer is owed.
+// ClientLeft closes a request whose client has left: no answer is owed any more.
 func (b *Balancer) ClientLeft(now Time, id string) {
 	b.tick(now)
 	r := b.requests[id]
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -22,8 +22,8 @@
 //
 //   - An attempt has ended without a connection (AttemptEnded); after TooLate it is rejected. The end of an
 //     established connection closes its request: it is never retried.
-//   - The queue is looked through (drainQueue): every queueInterval, and after each endpoint list. A request
-//     is rejected there after half of the time that it had left when it was first queued.
+//   - The queue is drained (drainQueue): every queueInterval, and after each endpoint list. A request is
+//     rejected there after half of the time that it had left when it was first queued.
 //   - The ledger server has replied (ledgerReplyReceived).
 //
 // reject answers that a retry is harmless, or with a failure where it is not (clientRetryUnsafe).
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -1,6 +1,6 @@
 package balancer
 
-// queueInterval is how often the queue is looked through, in nanoseconds.
+// queueInterval is the time between two calls of drainQueue while requests wait, in nanoseconds.
 const queueInterval = 20e6
 
 // requestQueue holds the requests that have no host now, since a warming fleet, or one that is still unknown,
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -79,8 +79,8 @@
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
-			// A warming host's turn comes with its budget. In the rotation all new hosts would stand at the
-			// same place at every balancer, and wait there for half a round of many sparse rotations.
+			// A warming host's turn comes with its budget. By their deficits all new hosts would have the
+			// same place at every balancer, and wait for half a round of many sparse rotations.
 			h.deficit = furthest
 		}
 		reach, size := b.tieBreakReach(p, c, widest)
--- a/internal/balancer/setuptime/setuptime.go
+++ b/internal/balancer/setuptime/setuptime.go
@@ -10,7 +10,7 @@
 	mean, deviation float64 // nanoseconds
 	samples         int
 	sampledAt       int64
-	// When a set-up begun now would complete, as the last two tell.
+	// When a set-up begun now would complete, by each of the last two.
 	completesAt [2]int64
 }
 
@@ -26,13 +26,13 @@
 	e.deviation += (math.Abs(difference) - e.deviation) / 4
 }
 
-// ExpectCompletion notes when a set-up begun now would complete, as far as one that has just ended tells.
+// ExpectCompletion notes when a set-up begun now would complete, by one that has just ended.
 func (e *Estimator) ExpectCompletion(at int64) {
 	e.completesAt[0], e.completesAt[1] = e.completesAt[1], at
 }
 
 // QueueDelay is how long a set-up takes now at least, in nanoseconds: a queue that all share shrinks by a
-// second in a second at most. Two set-ups have to tell it, since one may be the fault of its host alone.
+// second in a second at most. Two set-ups have to show it, since one may be the fault of its host alone.
 func (e *Estimator) QueueDelay(now int64) int64 {
 	return max(0, min(e.completesAt[0], e.completesAt[1])-now)
 }
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -39,8 +39,8 @@
 		max(b.traffic.fleetWeight, h.weight)
 }
 
-// slowStartRate is what this balancer may send to a warming host a second, in mean connections. Each balancer
-// keeps to its own part, and so all keep to the whole.
+// slowStartRate is how many mean connections a second this balancer may place at a warming host. Each
+// balancer keeps to its own part, so that all together keep to the host's budget.
 func (b *Balancer) slowStartRate(h *host) float64 {
 	t := &b.traffic
 	t.fade(b.now)
@@ -76,7 +76,7 @@
 		bucket.tokens = math.Mod(bucket.tokens, capacity)
 	}
 	if turns > max(2, rate*float64(b.cfg.Instances)*window) {
-		return false, false // too large for the host, whoever sends it
+		return false, false // too large for the host, whichever balancer places it
 	}
 	if bucket.tokens >= 1 {
 		return true, false
@@ -94,9 +94,9 @@
 }
 
 // drawnByLottery gives a request a chance at a warming host, such that the requests of all balancers together
-// use the part of its budget that is lost where nobody comes for it. With a request in half a minute at each
-// of many balancers that is nearly all of it. The draw belongs to request and host, so that asking again does
-// not draw again.
+// use the part of its budget that is lost at balancers without requests. With a request in half a minute at
+// each of many balancers that is nearly all of it. The draw belongs to request and host, so that a second
+// call does not draw again.
 func (b *Balancer) drawnByLottery(h *host, r *request) bool {
 	if r.similarPerSecond <= 0 {
 		return false
@@ -111,8 +111,8 @@
 	unused := math.Exp(-(t.fresh/t.window(b.now) + t.retries.Sum/seconds) * seconds)
 	rate := b.slowStartRate(h)
 	if t.expectedRate <= 0 {
-		// No quotas tell how many come: fresh ones as seen here, and at least as many as fill the host within
-		// its slow start as others of its size are.
+		// Without quotas: fresh requests as seen here, and at least as many as give the host, within its slow
+		// start, as many connections as others of its size hold.
 		held := float64(b.establishedConnections) * 1e9 / float64(b.cfg.SlowStartDuration)
 		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), held)
 	}
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -11,12 +11,12 @@
 	slowMessageDelay = 0.33
 	// stalledMessageDelay is from when a host counts as stalled, in shortest latency objectives.
 	stalledMessageDelay = 1
-	// gossipInterval is how often one host's stall is told to all balancers at most, in nanoseconds, and
-	// gossipSpread the time within which one of those that see it does.
+	// gossipInterval is the shortest time between two messages about one host's stall, and gossipSpread the
+	// time within which one of the balancers that see it sends one, in nanoseconds.
 	gossipInterval = 2e9
 	gossipSpread   = 6e8
 	// delayValidFor is how long an observed delay counts in full, and delayFade the time constant from then
-	// on, in nanoseconds. Observations come once a second while there is something to tell.
+	// on, in nanoseconds. Observations come once a second while messages are slow.
 	delayValidFor = 1.5e9
 	delayFade     = 1e9
 	// stallMigrationShare is the chance that a mean connection is migrated from a stalled host, at each
@@ -28,8 +28,8 @@
 type messageDelay struct {
 	delay         float64 // the last one observed or received, in shortest latency objectives
 	observedAt    Time
-	gossipedAt    Time // when some balancer last told of it
-	gossipPending bool // to be told, unless another balancer does before
+	gossipedAt    Time // when this or another balancer last gossiped of it
+	gossipPending bool // to be gossiped of, unless another balancer does before
 }
 
 // shortestMessageObjective is the smallest message latency objective in milliseconds; 0: there is none.
@@ -102,7 +102,7 @@
 	}
 }
 
-// scheduleGossip plans to tell of a stalled host, after a random wait in which another balancer may.
+// scheduleGossip plans to gossip of a stalled host, after a random wait in which another balancer may.
 func (b *Balancer) scheduleGossip(h *host) {
 	if b.cfg.MayGossip && b.cfg.Instances > 1 && !h.messages.gossipPending &&
 		b.now-h.messages.gossipedAt >= gossipInterval {
@@ -111,7 +111,7 @@
 	}
 }
 
-// gossipStalls tells all balancers of the hosts that are stalled as seen here, unless another one has.
+// gossipStalls notifies all balancers of the hosts that are stalled as seen here, unless another one has.
 func (b *Balancer) gossipStalls() {
 	var message []byte
 	for _, h := range b.hosts {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -6,14 +6,14 @@
 	"croftlock/internal/balancer/decay"
 )
 
-// usualQuotaShare is the part of the tenants' quotas that is asked for, where too little was seen to tell.
+// usualQuotaShare is the part of the tenants' quotas that is used on a usual day.
 const usualQuotaShare = 0.4
 
 // minRateWindow is the shortest time over which arrivals are counted, in seconds.
 const minRateWindow = 2
 
 // traffic estimates how many connections come: fresh ones, and those that come back together as a wave. Where
-// one balancer of many sees little traffic, the estimates lean on what the quotas let expect.
+// one balancer of many sees little traffic, the estimates rely on the quotas.
 type traffic struct {
 	instances      float64
 	memory         Time // longest time over which rates are counted
