--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -110,6 +110,21 @@
 	if kind == ListDelta || kind == ListFull {
 		b.discovery.answered()
 	}
+	b.updateHosts(kind, entries)
+	clear(b.groups)
+	if !b.received && len(b.hosts) > 0 {
+		b.received = true
+		b.spreadRotation()
+	}
+	if b.hostsReportLoad() {
+		b.updateFleetLoad()
+	}
+	b.updateFleetWeight()
+	b.drainQueue()
+}
+
+// updateHosts takes in the entries of a list, and marks as removed the hosts that a full list does not name.
+func (b *Balancer) updateHosts(kind ListChange, entries []ListedHost) {
 	if kind == ListFull || kind == ListCached {
 		for _, h := range b.hosts {
 			h.listed = false
@@ -127,16 +142,6 @@
 	if added {
 		b.sortByID()
 	}
-	clear(b.groups)
-	if !b.received && len(b.hosts) > 0 {
-		b.received = true
-		b.spreadRotation()
-	}
-	if b.hostsReportLoad() {
-		b.updateFleetLoad()
-	}
-	b.updateFleetWeight()
-	b.drainQueue()
 }
 
 // updateHost takes in what a list says of a host, and reports whether it is a new one.
