--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -53,10 +53,11 @@
 		status   AttemptStatus
 		disabled bool
 		failures int
+		avoided  bool // by the requests that follow
 	}{
-		{"a failed connect ejects", ConnectFailed, false, 1},
-		{"a full host is passed over without ejection", Full, false, 0},
-		{"settings of 0 disable ejection", ConnectFailed, true, 0},
+		{"a failed connect ejects", ConnectFailed, false, 1, true},
+		{"a full host is passed over without ejection", Full, false, 0, true},
+		{"settings of 0 disable ejection", ConnectFailed, true, 0, false},
 	} {
 		cfg := settings()
 		if c.disabled {
@@ -72,6 +73,13 @@
 		if got := f.b.byID[first].ejection.consecutiveFailures; got != c.failures {
 			t.Errorf("%s: %d failures counted, expected %d", c.name, got, c.failures)
 		}
+		from := len(f.attemptsStarted)
+		for i := range 8 {
+			f.serve(fmt.Sprint("w", i))
+		}
+		if n := f.attemptsAt(first, from); (n == 0) != c.avoided {
+			t.Errorf("%s: %d of the next 8 attempts are at that host", c.name, n)
+		}
 	}
 }
 
