--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,19 +6,65 @@
 	"testing"
 )
 
-// TestDiscoveryDownForAll: eighty balancers on a discovery that answers fourteen polls a second and is down
-// for four seconds. They must not all poll at once when it fails, nor stay away when it is back.
-func TestDiscoveryDownForAll(t *testing.T) {
-	const instances, pollTime, pollTimeout, downFrom, upAt = 80, sec / 14, 2 * sec, 106 * sec, 110 * sec
-	type poll struct {
-		f  *fake
-		at Time
+// slowDiscovery answers fourteen polls a second, one after the other, and is down for four seconds.
+type slowDiscovery struct {
+	queue      []poll
+	busyUntil  Time
+	polls      []Time         // while it is down and afterwards
+	answeredAt map[*fake]Time // after the outage
+}
+
+type poll struct {
+	f  *fake
+	at Time
+}
+
+const (
+	pollTime      = sec / 14
+	pollTimeout   = 2 * sec // of polls that wait in the queue
+	discoveryDown = 106 * sec
+	discoveryUp   = 110 * sec
+)
+
+func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
+
+// polled takes a balancer's poll.
+func (d *slowDiscovery) polled(now Time, f *fake) {
+	if now >= discoveryDown {
+		d.polls = append(d.polls, now)
+	}
+	if d.down(now) {
+		f.b.ListReceived(now, ListFailed, nil)
+	} else {
+		d.queue = append(d.queue, poll{f, now})
+	}
+}
+
+// answer works through the queue.
+func (d *slowDiscovery) answer(now Time) {
+	for len(d.queue) > 0 && !d.down(now) {
+		p := d.queue[0]
+		if now-p.at >= pollTimeout {
+			p.f.b.ListReceived(now, ListFailed, nil)
+		} else if d.busyUntil <= now {
+			d.busyUntil = now + pollTime
+			p.f.b.ListReceived(now, ListDelta, nil)
+			if now >= discoveryUp {
+				d.answeredAt[p.f] = now
+			}
+		} else {
+			return
+		}
+		d.queue = d.queue[1:]
 	}
-	var queue []poll // answered one after the other; those that have waited too long fail
-	var polls []Time // while it is down and afterwards
-	busyUntil := Time(0)
+}
+
+// TestDiscoveryDownForAll: eighty balancers must not all poll at once when discovery fails, nor stay away
+// when it is back.
+func TestDiscoveryDownForAll(t *testing.T) {
+	const instances = 80
+	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
 	var balancers []*fake
-	answeredAt := map[*fake]Time{} // after the outage
 	for instance := range instances {
 		cfg := settings()
 		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = instance, instances, true, []string{"a"}
@@ -26,9 +72,8 @@
 		f.b.rng = rand.New(rand.NewSource(int64(instance) + 7))
 		balancers = append(balancers, f)
 	}
-	down := func(now Time) bool { return now >= downFrom && now < upAt }
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
-		if now == downFrom { // all watches end
+		if now == discoveryDown { // all watches end
 			for _, f := range balancers {
 				f.b.ListReceived(now, ListFailed, nil)
 			}
@@ -37,45 +82,24 @@
 			n := len(f.watches)
 			f.run(now - f.now)
 			for range f.watches[n:] {
-				if now >= downFrom {
-					polls = append(polls, now)
-				}
-				if down(now) {
-					f.b.ListReceived(now, ListFailed, nil)
-				} else {
-					queue = append(queue, poll{f, now})
-				}
-			}
-		}
-		for len(queue) > 0 && !down(now) {
-			p := queue[0]
-			if now-p.at >= pollTimeout {
-				p.f.b.ListReceived(now, ListFailed, nil)
-			} else if busyUntil <= now {
-				busyUntil = now + pollTime
-				p.f.b.ListReceived(now, ListDelta, nil)
-				if now >= upAt {
-					answeredAt[p.f] = now
-				}
-			} else {
-				break
+				discovery.polled(now, f)
 			}
-			queue = queue[1:]
 		}
+		discovery.answer(now)
 	}
-	most := mostWithin(polls, sec)
+	most := mostWithin(discovery.polls, sec)
 	if most > 60 {
 		t.Errorf("%d polls within a second of a discovery that answers 14", most)
 	}
 	last := Time(0)
-	for _, at := range answeredAt {
+	for _, at := range discovery.answeredAt {
 		last = max(last, at)
 	}
-	sinceUp := float64(last-upAt) / 1e9
-	if len(answeredAt) < instances || last > upAt+9*sec {
-		t.Errorf("%d of %d answered, the last %.1f s after it was back", len(answeredAt), instances, sinceUp)
+	answered, sinceUp := len(discovery.answeredAt), float64(last-discoveryUp)/1e9
+	if answered < instances || last > discoveryUp+9*sec {
+		t.Errorf("%d of %d answered, the last %.1f s after it was back", answered, instances, sinceUp)
 	}
-	t.Logf("at most %d polls a second, the last of %d answered after %.1f s", most, len(answeredAt), sinceUp)
+	t.Logf("at most %d polls a second, the last of %d answered after %.1f s", most, answered, sinceUp)
 }
 
 // TestRollingReplacement: hosts are replaced within seven seconds, and each balancer receives the changes at
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -6,59 +6,62 @@
 	"croftlock/internal/balancer/ledger"
 )
 
+// ledgerFaults are what may happen to ledger servers and messages.
+var ledgerFaults = []struct {
+	name  string
+	fault func(t *testing.T, x *peerNetwork)
+	soon  bool // all tell a restarted ledger server at once what they hold
+}{
+	{"the ledger server is paused for 5 s", func(t *testing.T, x *peerNetwork) {
+		x.dead[0] = true
+		x.flow(5*sec, 8, 60, false)
+		x.dead[0] = false
+	}, false},
+	{"seven in ten are killed at once", func(t *testing.T, x *peerNetwork) {
+		for instance := range 28 {
+			x.dead[instance] = true
+		}
+		x.flow(sec, 8, 60, true)
+		x.restart(t, 0, 28)
+	}, true},
+	{"all ledger servers are killed, one after the other", func(t *testing.T, x *peerNetwork) {
+		for instance := range x.balancers {
+			if x.balancers[0].b.ledger.client.IsServer(instance) {
+				x.dead[instance] = true
+				x.flow(sec/2, 8, 60, false)
+				x.restart(t, instance, instance+1)
+			}
+		}
+		x.dead[0] = true
+		x.restart(t, 0, 1)
+	}, true},
+	{"all messages are lost for 8 s", func(t *testing.T, x *peerNetwork) {
+		x.lossRate = 1
+		x.flow(8*sec, 8, 60, false)
+		x.lossRate = 0
+	}, false},
+	{"half of all messages are lost", func(t *testing.T, x *peerNetwork) {
+		x.lossRate = 0.5
+		x.flow(8*sec, 8, 60, false)
+		x.lossRate = 0
+	}, false},
+	{"changes are lost, and all other messages arrive", func(t *testing.T, x *peerNetwork) {
+		x.lostKind = ledger.Entry{Host: 1}.Append(nil)[0]
+		x.flow(8*sec, 8, 8, false)
+		x.lostKind = 0
+	}, false},
+	{"200 requests at the same moment", func(t *testing.T, x *peerNetwork) {
+		x.flow(20*ms, 10_000, 60, true)
+	}, false},
+}
+
 // TestLedgerThroughFaults: whatever happens to ledger servers and messages, no request waits for more than
 // two replies that do not come, and soon after the fault the ledger has all connections again.
 func TestLedgerThroughFaults(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		fault func(x *peerNetwork)
-		soon  bool // all tell a restarted ledger server at once what they hold
-	}{
-		{"the ledger server is paused for 5 s", func(x *peerNetwork) {
-			x.dead[0] = true
-			x.flow(5*sec, 8, 60, false)
-			x.dead[0] = false
-		}, false},
-		{"seven in ten are killed at once", func(x *peerNetwork) {
-			for instance := range 28 {
-				x.dead[instance] = true
-			}
-			x.flow(sec, 8, 60, true)
-			x.restart(t, 0, 28)
-		}, true},
-		{"all ledger servers are killed, one after the other", func(x *peerNetwork) {
-			for instance := range x.balancers {
-				if x.balancers[0].b.ledger.client.IsServer(instance) {
-					x.dead[instance] = true
-					x.flow(sec/2, 8, 60, false)
-					x.restart(t, instance, instance+1)
-				}
-			}
-			x.dead[0] = true
-			x.restart(t, 0, 1)
-		}, true},
-		{"all messages are lost for 8 s", func(x *peerNetwork) {
-			x.lossRate = 1
-			x.flow(8*sec, 8, 60, false)
-			x.lossRate = 0
-		}, false},
-		{"half of all messages are lost", func(x *peerNetwork) {
-			x.lossRate = 0.5
-			x.flow(8*sec, 8, 60, false)
-			x.lossRate = 0
-		}, false},
-		{"changes are lost, and all other messages arrive", func(x *peerNetwork) {
-			x.lostKind = ledger.Entry{Host: 1}.Append(nil)[0]
-			x.flow(8*sec, 8, 8, false)
-			x.lostKind = 0
-		}, false},
-		{"200 requests at the same moment", func(x *peerNetwork) {
-			x.flow(20*ms, 10_000, 60, true)
-		}, false},
-	} {
+	for _, c := range ledgerFaults {
 		x := newPeerNetwork(t, 40, 20, true)
 		x.flow(8*sec, 8, 60, false)
-		c.fault(x)
+		c.fault(t, x)
 		for id := range x.waiting {
 			if x.instanceOf[id] < 28 {
 				delete(x.waiting, id) // its balancer may have been killed
