--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// allHostsSuspended reports whether operators have suspended every host that could serve, so that waiting
-// helps nobody.
+// allHostsSuspended reports whether operators have suspended every host that could serve, so that no request
+// should wait for one.
 func (l *endpointList) allHostsSuspended() bool {
 	suspended := false
 	for _, h := range l.hosts {
@@ -99,9 +99,8 @@
 	return suspended
 }
 
-// ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions, which
-// therefore decide nothing here.
-func (b *Balancer) ListReceived(now Time, kind ListChange, _ int64, entries []ListedHost) {
+// ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions.
+func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
 	b.tick(now)
 	if kind == ListFailed {
 		b.discovery.failed()
@@ -111,6 +110,21 @@
 	if kind == ListDelta || kind == ListFull {
 		b.discovery.answered()
 	}
+	b.updateHosts(kind, entries)
+	clear(b.groups)
+	if !b.received && len(b.hosts) > 0 {
+		b.received = true
+		b.spreadRotation()
+	}
+	if b.hostsReportLoad() {
+		b.updateFleetLoad()
+	}
+	b.updateFleetWeight()
+	b.drainQueue()
+}
+
+// updateHosts takes in the entries of a list, and marks as removed the hosts that a full list does not name.
+func (b *Balancer) updateHosts(kind ListChange, entries []ListedHost) {
 	if kind == ListFull || kind == ListCached {
 		for _, h := range b.hosts {
 			h.listed = false
@@ -128,16 +142,6 @@
 	if added {
 		b.sortByID()
 	}
-	clear(b.groups)
-	if !b.received && len(b.hosts) > 0 {
-		b.received = true
-		b.spreadRotation()
-	}
-	if b.hostsReportLoad() {
-		b.updateFleetLoad()
-	}
-	b.updateFleetWeight()
-	b.drainQueue()
 }
 
 // updateHost takes in what a list says of a host, and reports whether it is a new one.
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -3,9 +3,9 @@
 // Event is a fact that a Balancer reports for the log: one of the types of this file.
 type Event interface{ isEvent() }
 
-// HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the first
-// failure in a row; later ones lengthen the ejection without a report. Where no other host is available it may
-// still be picked.
+// HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the
+// first failure in a row; later ones lengthen the ejection without a report. Where no other host is available
+// it may still be picked.
 type HostEjected struct {
 	Host                string
 	Ejection            Time // how long, in nanoseconds
@@ -16,9 +16,9 @@
 type HostReadmitted struct{ Host string }
 
 // LedgerPolled says that a balancer keeps the placement ledger and is asked from now on.
-type LedgerPolled struct{ Coordinator int }
+type LedgerPolled struct{ LedgerServer int }
 
-// LedgerUnreachable says that no coordinator answers: requests are placed by what this balancer sees alone.
+// LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
 type LedgerUnreachable struct{}
 
 func (HostEjected) isEvent()       {}
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,123 +6,150 @@
 	"testing"
 )
 
-// TestDiscoveryDownForAll: eighty balancers on a discovery that gets through fourteen calls a second and is down for four
-// seconds. They must not all call at once when it fails, nor stay away when it is back.
-func TestDiscoveryDownForAll(t *testing.T) {
-	const peers, each, patience, downFrom, upAt = 80, sec / 14, 2 * sec, 106 * sec, 110 * sec
-	type call struct {
-		f  *fake
-		at Time
+// slowDiscovery answers fourteen polls a second, one after the other, and is down for four seconds.
+type slowDiscovery struct {
+	queue      []poll
+	busyUntil  Time
+	polls      []Time         // while it is down and afterwards
+	answeredAt map[*fake]Time // after the outage
+}
+
+type poll struct {
+	f  *fake
+	at Time
+}
+
+const (
+	pollTime      = sec / 14
+	pollTimeout   = 2 * sec // of polls that wait in the queue
+	discoveryDown = 106 * sec
+	discoveryUp   = 110 * sec
+)
+
+func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
+
+// polled takes a balancer's poll.
+func (d *slowDiscovery) polled(now Time, f *fake) {
+	if now >= discoveryDown {
+		d.polls = append(d.polls, now)
+	}
+	if d.down(now) {
+		f.b.ListReceived(now, ListFailed, nil)
+	} else {
+		d.queue = append(d.queue, poll{f, now})
+	}
+}
+
+// answer works through the queue.
+func (d *slowDiscovery) answer(now Time) {
+	for len(d.queue) > 0 && !d.down(now) {
+		p := d.queue[0]
+		if now-p.at >= pollTimeout {
+			p.f.b.ListReceived(now, ListFailed, nil)
+		} else if d.busyUntil <= now {
+			d.busyUntil = now + pollTime
+			p.f.b.ListReceived(now, ListDelta, nil)
+			if now >= discoveryUp {
+				d.answeredAt[p.f] = now
+			}
+		} else {
+			return
+		}
+		d.queue = d.queue[1:]
 	}
-	var queue []call // worked through in turn; what has waited too long fails
-	var calls []Time // while it is down or after
-	free := Time(0)
-	var all []*fake
-	told := map[*fake]Time{}
-	for me := 0; me < peers; me++ {
+}
+
+// TestDiscoveryDownForAll: eighty balancers must not all poll at once when discovery fails, nor stay away
+// when it is back.
+func TestDiscoveryDownForAll(t *testing.T) {
+	const instances = 80
+	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
+	var balancers []*fake
+	for instance := range instances {
 		cfg := settings()
-		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = me, peers, true, []string{"a"}
+		cfg.Instance, cfg.Instances, cfg.PollsDiscovery, cfg.Zones = instance, instances, true, []string{"a"}
 		f := start(t, cfg, fleet(3)...)
-		f.b.rng = rand.New(rand.NewSource(int64(me) + 7))
-		all = append(all, f)
+		f.b.rng = rand.New(rand.NewSource(int64(instance) + 7))
+		balancers = append(balancers, f)
 	}
-	down := func(now Time) bool { return now >= downFrom && now < upAt }
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
-		if now == downFrom { // all watches end
-			for _, f := range all {
-				f.b.ListReceived(now, ListFailed, 0, nil)
+		if now == discoveryDown { // all watches end
+			for _, f := range balancers {
+				f.b.ListReceived(now, ListFailed, nil)
 			}
 		}
-		for _, f := range all {
+		for _, f := range balancers {
 			n := len(f.watches)
 			f.run(now - f.now)
 			for range f.watches[n:] {
-				if now >= downFrom {
-					calls = append(calls, now)
-				}
-				if down(now) {
-					f.b.ListReceived(now, ListFailed, 0, nil)
-				} else {
-					queue = append(queue, call{f, now})
-				}
-			}
-		}
-		for len(queue) > 0 && !down(now) {
-			c := queue[0]
-			if now-c.at >= patience {
-				c.f.b.ListReceived(now, ListFailed, 0, nil)
-			} else if free <= now {
-				free = now + each
-				c.f.b.ListReceived(now, ListDelta, 1, nil)
-				if now >= upAt {
-					told[c.f] = now
-				}
-			} else {
-				break
+				discovery.polled(now, f)
 			}
-			queue = queue[1:]
 		}
+		discovery.answer(now)
 	}
-	most := within(calls, sec)
+	most := mostWithin(discovery.polls, sec)
 	if most > 60 {
-		t.Errorf("%d calls within a second on a discovery that gets through 14", most)
+		t.Errorf("%d polls within a second of a discovery that answers 14", most)
 	}
 	last := Time(0)
-	for _, at := range told {
+	for _, at := range discovery.answeredAt {
 		last = max(last, at)
 	}
-	if len(told) < peers || last > upAt+9*sec {
-		t.Errorf("%d of %d told, the last %.1f s after it was back", len(told), peers, float64(last-upAt)/1e9)
+	answered, sinceUp := len(discovery.answeredAt), float64(last-discoveryUp)/1e9
+	if answered < instances || last > discoveryUp+9*sec {
+		t.Errorf("%d of %d answered, the last %.1f s after it was back", answered, instances, sinceUp)
 	}
-	t.Logf("at most %d calls a second, the last of %d told after %.1f s", most, len(told), float64(last-upAt)/1e9)
+	t.Logf("at most %d polls a second, the last of %d answered after %.1f s", most, answered, sinceUp)
 }
 
-// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer is notified at a moment of its own;
-// nothing goes to a draining host later than the grace after that, whatever comes back meanwhile.
+// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer receives the changes at
+// a moment of its own; nothing goes to a draining host later than the grace after that, whoever comes back
+// meanwhile.
 func TestRollingReplacement(t *testing.T) {
+	type change struct {
+		at   Time
+		host ListedHost
+	}
+	var changes []change
+	for i := range 7 {
+		at := 101*sec + Time(i)*sec
+		changes = append(changes, change{at, listed(hostID(i), Draining)},
+			change{at + sec/2, warming(fmt.Sprintf("t%02d", i), at)})
+	}
 	for seed := int64(1); seed <= 5; seed++ {
 		rng := rand.New(rand.NewSource(seed))
-		all := manyBalancers(t, 80, seed)
-		type news struct {
-			at Time
-			e  ListedHost
-		}
-		told := map[*fake]map[string]Time{}
-		var due []news
-		for i := 0; i < 7; i++ {
-			at := 101*sec + Time(i)*sec
-			due = append(due, news{at, ListedHost{ID: fmt.Sprintf("s%02d", i), Zone: "a", Weight: 1, State: Draining}},
-				news{at + sec/2, ListedHost{ID: fmt.Sprintf("t%02d", i), Zone: "a", Weight: 1, StartedAt: at}})
-		}
-		heard := map[*fake]int{}
-		late := map[*fake]Time{}
-		for _, f := range all {
-			told[f] = map[string]Time{}
-			late[f] = Time(rng.Int63n(int64(200 * ms)))
+		balancers := manyBalancers(t, 80, seed)
+		drainReceived := map[*fake]map[string]Time{}
+		received := map[*fake]int{} // changes
+		delay := map[*fake]Time{}
+		for _, f := range balancers {
+			drainReceived[f] = map[string]Time{}
+			delay[f] = Time(rng.Int63n(int64(200 * ms)))
 		}
 		n := 0
 		for now := 101 * sec; now < 112*sec; now += 20 * ms {
-			for _, f := range all {
+			for _, f := range balancers {
 				f.run(now - f.now)
-				for ; heard[f] < len(due) && due[heard[f]].at+late[f] <= now; heard[f]++ {
-					e := due[heard[f]].e
-					f.b.ListReceived(now, ListDelta, int64(heard[f]+2), []ListedHost{e})
-					if e.State == Draining {
-						told[f][e.ID] = now
+				for ; received[f] < len(changes) && changes[received[f]].at+delay[f] <= now; received[f]++ {
+					h := changes[received[f]].host
+					f.b.ListReceived(now, ListDelta, []ListedHost{h})
+					if h.State == Draining {
+						drainReceived[f][h.ID] = now
 					}
 				}
 			}
-			f, id := all[rng.Intn(len(all))], fmt.Sprintf("%d-%d", seed, n)
+			f, id := balancers[rng.Intn(len(balancers))], fmt.Sprintf("%d-%d", seed, n)
 			n++
-			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4), Returned: n%2 == 0, Remaining: 4800 * ms})
+			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: fmt.Sprint("g", n%4),
+				Returned: n%2 == 0, Remaining: 4800 * ms})
 			if f.inFlight[id] {
 				f.establish(id)
 			}
 		}
-		for _, f := range all {
-			for _, s := range f.attemptsStarted {
-				if at, ok := told[f][s.host]; ok && s.at > at+250*ms {
-					t.Errorf("seed %d: %s got a connection %d ms after its drain was told", seed, s.host, (s.at-at)/ms)
+		for _, f := range balancers {
+			for _, a := range f.attemptsStarted {
+				if at, ok := drainReceived[f][a.host]; ok && a.at > at+250*ms {
+					t.Errorf("seed %d: an attempt at %s %d ms after its drain", seed, a.host, (a.at-at)/ms)
 				}
 			}
 		}
@@ -132,50 +159,45 @@
 	}
 }
 
-// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty balancers, whose failed
-// connects have run out at different times, not all send there at once.
+// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty
+// balancers, half of which had ejected each of them, not all use them at once.
 func TestZoneReturnsWarming(t *testing.T) {
 	mean := 0.0
 	const seeds = 10
 	for seed := int64(1); seed <= seeds; seed++ {
 		rng := rand.New(rand.NewSource(seed))
-		all := manyBalancers(t, 80, seed)
-		gone := []string{"s00", "s03", "s06", "s09"}
-		for _, f := range all {
-			for _, id := range gone {
+		balancers := manyBalancers(t, 80, seed)
+		returning := []string{"s00", "s03", "s06", "s09"}
+		for _, f := range balancers {
+			for _, id := range returning {
 				if rng.Intn(2) == 0 {
 					f.failConnect(f.b.byID[id])
 				}
 			}
 			f.now = 106 * sec
-			var back []ListedHost
-			for _, id := range gone {
-				back = append(back, ListedHost{ID: id, Zone: "a", Weight: 1, StartedAt: f.now - sec})
+			var changes []ListedHost
+			for _, id := range returning {
+				changes = append(changes, warming(id, f.now-sec))
 			}
-			f.b.ListReceived(f.now, ListDelta, 2, back)
-		}
-		var at []Time
-		for now := 106 * sec; now < 108*sec; now += 50 * ms {
-			at = append(at, now)
-		}
-		for _, f := range all {
+			f.listChanged(changes...)
 			f.attemptsStarted = nil
 		}
-		replay(all, rng, at, true, "s00")
-		cold := map[string]int{}
-		for _, f := range all {
-			for _, s := range f.attemptsStarted {
-				cold[s.host]++
+		replay(balancers, rng, evenly(40, 106*sec, 50*ms), true, "s00")
+		attempts := map[string]int{}
+		for _, f := range balancers {
+			for _, a := range f.attemptsStarted {
+				attempts[a.host]++
 			}
 		}
-		for _, id := range gone {
-			mean += float64(cold[id]) / seeds / float64(len(gone))
-			if cold[id] > 6 {
-				t.Errorf("seed %d: %d connections in 2 s to %s, back for a second", seed, cold[id], id)
+		for _, id := range returning {
+			mean += float64(attempts[id]) / seeds / float64(len(returning))
+			if attempts[id] > 6 {
+				t.Errorf("seed %d: %d connections in 2 s to %s, back for a second", seed, attempts[id], id)
 			}
 		}
 	}
-	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of what the hosts bear.
+	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of the hosts'
+	// capacity.
 	if mean > 0.9 {
 		t.Errorf("%.2f connections in 2 s to a warming host that bears 0.9", mean)
 	}
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -3,22 +3,23 @@
 import "math"
 
 const (
-	// healthCheckTimer is how often it is looked which hosts are due for a health check, in nanoseconds, and
-	// minHealthCheckInterval how often one host is checked at most.
+	// healthCheckTimer is the time between two searches for hosts that are due for a health check, and
+	// minHealthCheckInterval the shortest time between two checks of one host, in nanoseconds.
 	healthCheckTimer       = 2.5e8
 	minHealthCheckInterval = 5e8
 	// healthCheckBudget is what health checks may cost, as part of what the requests are worth.
 	healthCheckBudget = 0.005
 	// minHealthCheckRate is for how many requests a second hosts are checked at least.
 	minHealthCheckRate = 0.2
-	// quotaCapacityShare is the part of the fleet's capacity to which all quotas add up.
+	// quotaCapacityShare is the part of the fleet's capacity to which the tenants' quotas add up.
 	quotaCapacityShare = 0.8
 	// Load from which connections are migrated off a host, the load to which, and the mean load of the fleet
 	// above which none are, since no host has spare capacity.
 	migrateAboveLoad   = 0.98
 	migrateToLoad      = 0.8
 	migrateMaxMeanLoad = 0.8
-	// maxMigratedShare is the part of a balancer's connections that one report migrates at most.
+	// maxMigratedShare is the part of a balancer's connections at a host that one report migrates at most;
+	// the next report shows what that did.
 	maxMigratedShare = 0.1
 )
 
@@ -68,8 +69,8 @@
 }
 
 // HealthCheckEnded takes the result of a health check. One that fails says nothing of the host's load, and
-// what was known fades. How long it took decides nothing.
-func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, elapsed Time, load []float64) {
+// what was known fades.
+func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, load []float64) {
 	b.tick(now)
 	if h := b.byID[id]; h != nil {
 		h.healthCheck.inFlight = false
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -4,14 +4,18 @@
 
 const (
 	// tieBreakSlack is by how many turns a tie-break may run ahead of the rotation, and
-	// reportedLoadSlack the factor on it where hosts report how loaded they are.
+	// reportedLoadSlack the factor on it where hosts report how loaded they are: then loads keep the balance,
+	// which is all that even turns are for.
 	tieBreakSlack     = 1.0
 	reportedLoadSlack = 24.0
-	// crossZoneBias is how fast the price of a crossing takes turns from other zones.
+	// crossZoneBias is how strongly Prices.CrossZone takes turns from other zones: they get 1 / (1 + bias *
+	// price) of their own.
 	crossZoneBias = 100.0
-	// minHealth is the part of its turns that a host which still accepts keeps, so that healing is noticed.
+	// minHealth is the part of its turns that a failing or loaded host keeps: without any, nothing would show
+	// that it is well again.
 	minHealth = 0.02
-	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full.
+	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full. It is above 1, so
+	// that a full fleet still has an order.
 	noTurnsLoad = 1.1
 	// zoneSets is how many sets of zones have hosts of their own for a group where traffic is sparse.
 	zoneSets = 2
@@ -75,8 +79,8 @@
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
-			// A warming host's turn comes with its budget. In the rotation all new hosts would stand at the
-			// same place at every balancer, and wait there for half a round of many sparse rotations.
+			// A warming host's turn comes with its budget. By their deficits all new hosts would have the
+			// same place at every balancer, and wait for half a round of many sparse rotations.
 			h.deficit = furthest
 		}
 		reach, size := b.tieBreakReach(p, c, widest)
