--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -64,7 +64,7 @@
 
 // start puts the process together. Accepting clients comes last: a client, or the front's PING, must find the proxy ready.
 func (p *process) start(file *settings.File) error {
-	sessions, err := p.makeCore(tlsOptions(file))
+	maxDownstreams, err := p.makeCore(tlsOptions(file))
 	if err != nil {
 		return err
 	}
@@ -91,12 +91,12 @@
 	} else if err := p.serve(); err != nil {
 		return fmt.Errorf("listen: %v", err)
 	}
-	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "sessions", sessions)
+	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "max_downstreams", maxDownstreams)
 	return nil
 }
 
-// makeCore makes the core and its ways to upstream hosts. sessions is how many downstreams it holds at most.
-func (p *process) makeCore(tls upstreamtls.Options) (sessions int, err error) {
+// makeCore makes the core and its ways to upstream hosts. maxDownstreams is how many it holds at most.
+func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -18,8 +18,8 @@
 	ownListWait = 2500 * time.Millisecond
 	// takenOverWait is how long it then waits for the old one's last snapshot.
 	takenOverWait = 700 * time.Millisecond
-	// sessionsInterval is how often an old process tells how many downstreams it holds.
-	sessionsInterval = 250 * time.Millisecond
+	// downstreamReportInterval is how often an old process tells how many downstreams it holds.
+	downstreamReportInterval = 250 * time.Millisecond
 )
 
 var (
@@ -114,7 +114,7 @@
 	if p.peers != nil {
 		h.Datagram = p.peers.Fd()
 	}
-	slog.Info("hot_restart_requested", "sessions", p.core.Downstreams())
+	slog.Info("hot_restart_requested", "downstreams", p.core.Downstreams())
 	return h, nil
 }
 
@@ -172,7 +172,7 @@
 		p.peers.StopReceiving()
 	}
 	p.core.SetHandedOver(true)
-	slog.Info("hot_restart_handed_over", "sessions", p.core.Downstreams())
+	slog.Info("hot_restart_handed_over", "downstreams", p.core.Downstreams())
 	p.reportDownstreams()
 }
 
@@ -182,14 +182,14 @@
 	p.core.RestoreBalancer(p.restart.givenAway) // the slow-start budgets that were given up, among others
 	p.mustServe()
 	p.rejoinFleet()
-	slog.Warn("hot_restart_taken_back", "sessions", p.core.Downstreams())
+	slog.Warn("hot_restart_taken_back", "downstreams", p.core.Downstreams())
 }
 
 // reportDownstreams tells the new process, again and again, how many descriptors are still held here.
 func (p *process) reportDownstreams() {
 	if p.restart.partner != nil && p.restart.isOld {
 		p.restart.partner.SendDownstreamCount(p.core.Downstreams())
-		p.loop.After(sessionsInterval, p.reportDownstreams)
+		p.loop.After(downstreamReportInterval, p.reportDownstreams)
 	}
 }
 
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -14,28 +14,28 @@
 
 // envelope is the form of all messages on the wire. Each kind uses some of the fields.
 type envelope struct {
-	Kind       string                      `json:"Kind"`
-	Listen     string                      `json:"Listen,omitempty"`
-	Snapshot   *proxy.Snapshot             `json:"Kept,omitempty"`
-	Datagram   bool                        `json:"Datagram,omitempty"`
-	ID         string                      `json:"ID,omitempty"`
-	Out        bool                        `json:"Out,omitempty"`
-	Sessions   int                         `json:"Sessions,omitempty"`
-	Connection *proxy.HandedOverConnection `json:"Standing,omitempty"`
-	Reason     string                      `json:"Reason,omitempty"`
+	Kind        string                      `json:"Kind"`
+	Listen      string                      `json:"Listen,omitempty"`
+	Snapshot    *proxy.Snapshot             `json:"Kept,omitempty"`
+	Datagram    bool                        `json:"Datagram,omitempty"`
+	ID          string                      `json:"ID,omitempty"`
+	Out         bool                        `json:"Out,omitempty"`
+	Downstreams int                         `json:"Sessions,omitempty"`
+	Connection  *proxy.HandedOverConnection `json:"Standing,omitempty"`
+	Reason      string                      `json:"Reason,omitempty"`
 }
 
 // The kinds of message on the wire.
 const (
-	kindRequest    = "ask"
-	kindWelcome    = "welcome"
-	kindRejection  = "no"
-	kindTakeOver   = "take"
-	kindTakenOver  = "taken"
-	kindSuspended  = "byhand"
-	kindList       = "listed"
-	kindSessions   = "sessions"
-	kindConnection = "standing"
+	kindRequest     = "ask"
+	kindWelcome     = "welcome"
+	kindRejection   = "no"
+	kindTakeOver    = "take"
+	kindTakenOver   = "taken"
+	kindSuspended   = "byhand"
+	kindList        = "listed"
+	kindDownstreams = "sessions"
+	kindConnection  = "standing"
 )
 
 // noDescriptors is embedded by messages that go alone.
@@ -108,11 +108,11 @@
 // downstreamCount, from old to new, is how many downstreams the sender still has.
 type downstreamCount struct {
 	noDescriptors
-	sessions int
+	count int
 }
 
 func (m downstreamCount) envelope() envelope {
-	return envelope{Kind: kindSessions, Sessions: m.sessions}
+	return envelope{Kind: kindDownstreams, Downstreams: m.count}
 }
 
 // connection, from old to new, is an open connection, with two sockets: the client's and the host's.
@@ -158,8 +158,8 @@
 		return hostSuspended{hostID: e.ID, out: e.Out}
 	case kindList:
 		return listChanged{snapshot: e.Snapshot}
-	case kindSessions:
-		return downstreamCount{sessions: e.Sessions}
+	case kindDownstreams:
+		return downstreamCount{count: e.Downstreams}
 	}
 	return unexpected{kind: e.Kind}
 }
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -140,7 +140,7 @@
 			ev.ListChanged(m.snapshot)
 		}
 	case downstreamCount:
-		ev.DownstreamCount(max(0, m.sessions))
+		ev.DownstreamCount(max(0, m.count))
 	case connection:
 		ev.ConnectionReceived(m.HandedOverConnection)
 	default:
@@ -183,7 +183,7 @@
 func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
 // SendDownstreamCount tells how many downstreams this process holds.
-func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{sessions: n}) }
+func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{count: n}) }
 
 // Close ends the connection to the partner; Gone follows.
 func (p *Partner) Close() {
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -24,7 +24,7 @@
 func (s *recordedEvents) TakenOver(k *proxy.Snapshot)       { s.events <- "taken " + k.Discovery }
 func (s *recordedEvents) HostSuspended(id string, out bool) { s.events <- "byhand " + id }
 func (s *recordedEvents) ListChanged(k *proxy.Snapshot)     { s.events <- "listed " + k.Discovery }
-func (s *recordedEvents) DownstreamCount(n int)             { s.events <- "sessions" }
+func (s *recordedEvents) DownstreamCount(n int)             { s.events <- "downstreams" }
 func (s *recordedEvents) ConnectionReceived(k *proxy.HandedOverConnection) {
 	s.events <- "standing " + k.Host
 	k.Downstream.Discard([]byte("x"))
@@ -94,7 +94,7 @@
 	p.HostSuspended("b", false)
 	old.expect(t, "byhand b")
 	of.SendDownstreamCount(3)
-	young.expect(t, "sessions")
+	young.expect(t, "downstreams")
 	of.ListChanged(sample())
 	young.expect(t, "listed 127.0.0.1:1")
 	// A client that waits in the queue when the old process ends its listener gets to the new one.
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -51,7 +51,7 @@
 		takenOver{snapshot: fullState()},
 		hostSuspended{hostID: "b", out: true},
 		listChanged{snapshot: fullState()},
-		downstreamCount{sessions: 12},
+		downstreamCount{count: 12},
 		connection{fullConnection()},
 	}
 	var lines []byte
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -33,9 +33,9 @@
 
 // front serves clients with room for two that have no request and none for requests beyond the given number. pass
 // moves its clock.
-func front(t *testing.T, sessions int) (dial func() net.Conn, pass func(time.Duration)) {
+func front(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
-	r := newFrontRig(t, sessions, func(fx balancer.Effects) proxy.Balancer { return refuser{fx} })
+	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return refuser{fx} })
 	return r.dial, r.pass
 }
 
@@ -55,7 +55,7 @@
 	<-done
 }
 
-func newFrontRig(t *testing.T, sessions int, module func(balancer.Effects) proxy.Balancer) *frontRig {
+func newFrontRig(t *testing.T, maxDownstreams int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
 	now.Store(1e18)
@@ -63,7 +63,7 @@
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: sessions, Settings: balancer.Config{SendsRetryAfter: true,
+	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: maxDownstreams, Settings: balancer.Config{SendsRetryAfter: true,
 		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
 	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.Change{})
 	on, err := netio.Bind("127.0.0.1:0", true)
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -14,22 +14,22 @@
 // admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
 // break connections that are open already.
 type admission struct {
-	limit             int // downstreams, of this process and the other one together
-	sessions          int // downstreams of this process
-	sessionsElsewhere int // downstreams of the other process of this proxy
+	limit                int // downstreams, of this process and the other one together
+	downstreams          int // downstreams of this process
+	downstreamsElsewhere int // downstreams of the other process of this proxy
 }
 
 // acquire takes capacity for one downstream; false: there is none.
 func (a *admission) acquire() bool {
-	if a.sessions+a.sessionsElsewhere >= a.limit {
+	if a.downstreams+a.downstreamsElsewhere >= a.limit {
 		return false
 	}
-	a.sessions++
+	a.downstreams++
 	return true
 }
 
 // release gives the capacity of one downstream back.
-func (a *admission) release() { a.sessions-- }
+func (a *admission) release() { a.downstreams-- }
 
 // Admit asks for capacity for one more downstream's request of a class. DownstreamEnded gives it back.
 func (c *Core) Admit(class string) bool {
@@ -45,10 +45,10 @@
 func (c *Core) DownstreamEnded() { c.admission.release() }
 
 // Downstreams is how many downstreams this process holds.
-func (c *Core) Downstreams() int { return c.admission.sessions }
+func (c *Core) Downstreams() int { return c.admission.downstreams }
 
 // SetDownstreamsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
-func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.sessionsElsewhere = n }
+func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.downstreamsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	c.ListReceived(known)
-	c.loop.After(sessionCheckInterval, c.monitorEstablished)
+	c.loop.After(monitorInterval, c.monitorEstablished)
 	c.startExpiryMigrations()
 	return nil
 }
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -41,7 +41,7 @@
 		return // a proxy that did nothing logs nothing
 	}
 	open, pending := c.countRequests()
-	slog.Info("counts", "open", open, "pending", pending, "connections", c.admission.sessions, "opened", n.opened,
+	slog.Info("counts", "open", open, "pending", pending, "connections", c.admission.downstreams, "opened", n.opened,
 		"served", n.served, "refused", n.rejected, "failed", n.failed, "rejected", n.invalid, "moved", n.migrated,
 		"lost", n.lost, "turned_away", n.overCapacity, "expiring", n.expiring, "handed", n.handedOver, "resumed", n.resumed,
 		"told", n.peerMessagesSent, "heard", n.peerMessagesReceived, "probed", n.healthChecks)
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -128,7 +128,7 @@
 	r.attempt = a
 	h.established[r] = struct{}{}
 	c.requests[r.attributes.ID] = r
-	c.admission.sessions++ // whatever the limit: the connection is open
+	c.admission.downstreams++ // whatever the limit: the connection is open
 	c.counters.resumed++
 	c.notify(nil, r.pool, a.reportAdopted)
 	if c.hosts.suspensions.Suspended(h.hostID) {
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// sessionCheckInterval is how often open connections are checked for silent and slow hosts.
-	sessionCheckInterval = 250 * time.Millisecond
+	// monitorInterval is how often open connections are checked for silent and slow hosts.
+	monitorInterval = 250 * time.Millisecond
 	// hostSilenceTimeout is how long a client's line may go unanswered before its host counts as silent. Clients send every 2 s and a
 	// silent host must be left within 7 s, so the first unanswered line is at most 2 s late.
 	hostSilenceTimeout = 4500 * time.Millisecond
@@ -63,7 +63,7 @@
 
 // monitorEstablished looks for hosts that have fallen silent, and reports slow ones to the decision module.
 func (c *Core) monitorEstablished() {
-	c.loop.After(sessionCheckInterval, c.monitorEstablished)
+	c.loop.After(monitorInterval, c.monitorEstablished)
 	now := c.loop.Now()
 	c.logCountsIfDue(now)
 	for _, h := range c.hosts.byID {
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -158,7 +158,7 @@
 
 // isIdle tells whether enough steps in a row have found nothing left.
 func (s *shutdown) isIdle(left int, passed int64) bool {
-	if passed > s.schedule.migrateFrom && left == 0 && s.core.admission.sessions == 0 {
+	if passed > s.schedule.migrateFrom && left == 0 && s.core.admission.downstreams == 0 {
 		s.idleSteps++
 	} else {
 		s.idleSteps = 0
@@ -209,7 +209,7 @@
 		r.record.Dropped()
 	}
 	broken, blocked := c.monitor.Counts.Sum()
-	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", c.admission.sessions, "handing", c.handover.inFlight, "broken", broken, "held_back", blocked)
+	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", c.admission.downstreams, "handing", c.handover.inFlight, "broken", broken, "held_back", blocked)
 	s.done()
 	s.done = nil
 }
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -137,7 +137,7 @@
 	}
 	w.upstreams[0].sent()
 	w.events = nil
-	w.core.admission.sessions = 2
+	w.core.admission.downstreams = 2
 	left := false
 	w.core.Shutdown(func() { left = true })
 	w.pass(3200 * time.Millisecond)
