--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -96,7 +96,7 @@
 	}
 	var ch proxy.Change
 	if err == nil && r.status != 200 {
-		err = fmt.Errorf("status %d", r.status)
+		err = fmt.Errorf("%w %d", errBadStatus, r.status)
 	}
 	if err == nil {
 		ch, err = Parse(r.body)
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -222,7 +222,7 @@
 func (c *Client) logFailure(err error) {
 	if c.lastFailure != err.Error() {
 		c.lastFailure = err.Error()
-		slog.Warn("discovery_failed", "reason", err)
+		slog.Warn("discovery_failed", "reason", reasonOf(err), "detail", err)
 	}
 }
 
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -148,8 +148,16 @@
 	}
 }
 
+// idleEndReason is why a connection without a request ends, as the log names it.
+type idleEndReason string
+
+const (
+	idleTooLong    idleEndReason = "idle"
+	evictedForNext idleEndReason = "evicted"
+)
+
 // logIdleEnd logs why a connection without a request ends.
-func (d *downstream) logIdleEnd(reason string) {
+func (d *downstream) logIdleEnd(reason idleEndReason) {
 	if logging.DebugEnabled() {
 		slog.Debug("idle_client_closed", "reason", reason, "bytes", len(d.conn.Input()), "pinged", d.pinged)
 	}
@@ -167,7 +175,7 @@
 // endIdle ends a connection on which nothing has been said. A request may be on its way in this very moment, so the client is
 // told to come again: a close alone would leave that request without an answer.
 func (d *downstream) endIdle() {
-	d.logIdleEnd("rested")
+	d.logIdleEnd(idleTooLong)
 	if d.pinged {
 		d.finish() // the front's own
 		return
@@ -178,7 +186,7 @@
 // evict ends a connection without a request to free its place for the next.
 func (d *downstream) evict() {
 	d.idleTimer.Stop()
-	d.logIdleEnd("makes_room")
+	d.logIdleEnd(evictedForNext)
 	switch {
 	case d.conn.Over():
 	case len(d.conn.Input()) > 0:
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -4,7 +4,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -17,10 +16,10 @@
 
 // What can be wrong with a line.
 var (
-	ErrTooLong          = errors.New("line over 4 KiB")
-	ErrMalformed        = errors.New("malformed line")
-	errFirstLineLate    = errors.New("first line not whole in time")
-	errSentBeforeAnswer = errors.New("much sent before the answer, which a client has to wait for")
+	ErrTooLong          error = &proxy.InvalidRequestError{Reason: proxy.LineTooLong}
+	ErrMalformed        error = &proxy.InvalidRequestError{Reason: proxy.MalformedLine}
+	errFirstLineLate    error = &proxy.InvalidRequestError{Reason: proxy.FirstLineLate}
+	errSentBeforeAnswer error = &proxy.InvalidRequestError{Reason: proxy.SentBeforeAnswer}
 )
 
 // Cut finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -51,5 +51,13 @@
 	return fmt.Sprintf("%s while %s", e.Cause, e.Stage)
 }
 
+// Text is what the system or the parser said; "" where neither said anything.
+func (e *Error) Text() string {
+	if e.Detail == nil {
+		return ""
+	}
+	return e.Detail.Error()
+}
+
 // Unwrap gives what the system said.
 func (e *Error) Unwrap() error { return e.Detail }
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"log/slog"
 	"time"
 
 	"croftlock/internal/operations/metrics"
@@ -60,11 +59,3 @@
 	}
 	return min(after, max(0, time.Duration(c.opt.Settings.MaxRetryAfter)))
 }
-
-// InvalidRequest counts what a client sent that is no request, and logs the first of a log interval.
-func (c *Core) InvalidRequest(err error) {
-	c.counters.invalid++
-	if c.counters.invalid == 1 {
-		slog.Warn("invalid_request", "reason", err)
-	}
-}
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -18,15 +18,15 @@
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
-		slog.Warn("adoption_failed", "host", hostID, "reason", "not in the list")
-		r.fail(metrics.Failed)
+		slog.Warn("adoption_failed", "host", hostID, "reason", hostNotListed)
+		r.fail(metrics.Failed, hostNotListed)
 		return
 	}
 	r.adopted, r.pool = true, h.pool
 	r.record.Resumed, r.record.MaxAttempts = true, math.MaxInt
 	if rule := r.record.CheckAttempt(r.core.loop.Now(), h.invariantHost()); rule != invariant.None {
 		r.attemptBlocked(rule, h)
-		r.fail(metrics.Failed)
+		r.fail(metrics.Failed, blockedByInvariant)
 		return
 	}
 	r.beginAttempt(h, 0, r.deadline)
@@ -47,6 +47,6 @@
 		})
 		return
 	}
-	slog.Warn("adoption_failed", "host", a.host.hostID, "status", int(status))
-	r.fail(metrics.Failed)
+	slog.Warn("adoption_failed", "host", a.host.hostID, "reason", adoptionAttemptEnded, "status", status)
+	r.fail(metrics.Failed, adoptionAttemptEnded)
 }
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -13,16 +13,16 @@
 const overdueGrace = 15 * time.Millisecond
 
 // rejectOrFail is the final answer of a request that gets no further attempt: a rejection, where that is true.
-func (r *Request) rejectOrFail(after time.Duration) {
+func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
-		r.fail(metrics.Failed)
+		r.fail(metrics.Failed, reason)
 		return
 	}
-	r.reject(after)
+	r.reject(after, reason)
 }
 
 // reject is the final answer that says that a retry is harmless.
-func (r *Request) reject(after time.Duration) {
+func (r *Request) reject(after time.Duration, reason localReplyReason) {
 	if r.answered() {
 		return
 	}
@@ -30,14 +30,14 @@
 	r.record.Rejected(r.core.loop.Now())
 	r.core.counters.metrics.Ended(r.attributes.Class, metrics.Rejected)
 	if tracing() {
-		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
+		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(func() { r.downstream.Reject(after) })
 }
 
 // fail is the final answer that promises nothing. how is the metric that it counts for.
-func (r *Request) fail(how metrics.End) {
+func (r *Request) fail(how metrics.End, reason localReplyReason) {
 	if r.answered() {
 		return
 	}
@@ -45,7 +45,8 @@
 	r.record.Failed(r.core.loop.Now())
 	r.core.counters.metrics.Ended(r.attributes.Class, how)
 	if tracing() {
-		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-r.core.loop.Now())/1e6)
+		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "state", r.stageName(),
+			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(r.downstream.Fail)
 }
@@ -72,13 +73,13 @@
 		return
 	}
 	slog.Error("balancer_unresponsive", "request", r.attributes.ID, "attempts", r.attempts)
-	r.fail(metrics.Unanswered)
+	r.fail(metrics.Unanswered, balancerUnresponsive)
 	r.notifyClientLeft()
 }
 
-// answerNow gives a request its answer at once, whatever is under way for it, and has the balancer forget it.
+// answerNow gives a request its answer at once as the process shuts down, whatever is under way for it, and has the balancer forget it.
 func (r *Request) answerNow(after time.Duration) {
-	r.rejectOrFail(after)
+	r.rejectOrFail(after, processShutsDown)
 	r.notifyClientLeft()
 }
 
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -53,7 +53,7 @@
 	verdict, found := c.recheckRules(r, h)
 	switch found {
 	case rulesReject:
-		r.rejectOrFail(verdict.Advice)
+		r.rejectOrFail(verdict.Advice, forbiddenByRules)
 		r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	case rulesOtherPool:
 		c.placeInPool(r, number, c.choosePool(verdict.Pools))
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -32,7 +32,7 @@
 		c.migrations.submit(func() bool { return c.migrateIfOpen(id, r) })
 	}
 	if len(due) > 0 {
-		slog.Info("expiring_migrated", "connections", len(due), "standing", len(open), "first_ends", firstEnd.UTC().Format(time.RFC3339))
+		slog.Info("expiring_migrated", "connections", len(due), "open", len(open), "first_ends", firstEnd.UTC().Format(time.RFC3339))
 	}
 }
 
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -29,8 +29,8 @@
 	healthChecks                           int
 }
 
-// logCountsIfDue logs what was done once in countsInterval. Of its keys, refused are rejected requests, rejected are invalid ones, and
-// turned_away those rejected for want of descriptors.
+// logCountsIfDue logs what was done once in countsInterval. Of its keys, rejected are requests, and over_capacity are downstreams for which
+// there are no descriptors; invalid_requests are in neither.
 func (c *Core) logCountsIfDue(now int64) {
 	if now-c.counters.loggedAt < int64(countsInterval) {
 		return
@@ -41,13 +41,13 @@
 		return // a proxy that did nothing logs nothing
 	}
 	open, pending := c.countRequests()
-	slog.Info("counts", "open", open, "pending", pending, "connections", c.admission.downstreams, "opened", n.opened,
-		"served", n.served, "refused", n.rejected, "failed", n.failed, "rejected", n.invalid, "moved", n.migrated,
-		"lost", n.lost, "turned_away", n.overCapacity, "expiring", n.expiring, "handed", n.handedOver, "resumed", n.resumed,
-		"told", n.peerMessagesSent, "heard", n.peerMessagesReceived, "probed", n.healthChecks)
+	slog.Info("counts", "open", open, "pending", pending, "downstreams", c.admission.downstreams, "opened", n.opened,
+		"served", n.served, "rejected", n.rejected, "failed", n.failed, "invalid_requests", n.invalid, "migrated", n.migrated,
+		"lost", n.lost, "over_capacity", n.overCapacity, "expiring", n.expiring, "handed_over", n.handedOver, "resumed", n.resumed,
+		"peer_messages_sent", n.peerMessagesSent, "peer_messages_received", n.peerMessagesReceived, "health_checks", n.healthChecks)
 	c.counters.activity = activity{}
 	if broken, blocked := c.monitor.Counts.Sum(); broken+blocked > 0 {
-		slog.Warn("invariant_counts", "broken", broken, "held_back", blocked)
+		slog.Warn("invariant_counts", "broken", broken, "blocked", blocked)
 	}
 }
 
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -43,7 +43,8 @@
 // DownstreamEnded says that the client has left, or was cut off.
 func (r *Request) DownstreamEnded(err *netio.Error) {
 	if tracing() {
-		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err)
+		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err.Cause,
+			"detail", err.Text())
 	}
 	if err.Cause == netio.Dropped {
 		r.record.Dropped() // this side ended it
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -26,7 +26,7 @@
 func (e *effects) Reject(id string, after balancer.Time) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
-			r.rejectOrFail(time.Duration(after))
+			r.rejectOrFail(time.Duration(after), decidedByBalancer)
 		}
 	})
 }
@@ -35,7 +35,7 @@
 func (e *effects) Fail(id string) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
-			r.fail(metrics.Failed)
+			r.fail(metrics.Failed, decidedByBalancer)
 		}
 	})
 }
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"log/slog"
 
 	"croftlock/internal/balancer"
@@ -42,6 +43,15 @@
 	return e
 }
 
+// hostStateName is a state's name in the log.
+func hostStateName(s balancer.HostState) string {
+	names := [...]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Removed: "removed", balancer.Suspended: "suspended"}
+	if s < 0 || int(s) >= len(names) {
+		return fmt.Sprintf("HostState(%d)", int(s))
+	}
+	return names[s]
+}
+
 // target is what a Connector needs to know of it.
 func (h *host) target() Target { return Target{h.hostID, h.zone, h.address} }
 
@@ -92,7 +102,7 @@
 		h, isNew = t.add(e.ID), true
 	}
 	if tracing() && (h.state != e.State || h.listed.StartedAt != e.StartedAt || h.address == "") {
-		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
+		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", hostStateName(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
 	}
 	t.suspensions.HostListed(e.ID)
 	if h.address == "" || e.StartedAt != h.listed.StartedAt {
--- /dev/null
+++ b/internal/dataplane/proxy/localreply.go
@@ -0,0 +1,29 @@
+package proxy
+
+import "fmt"
+
+// localReplyReason is why a request is rejected or fails, for the log.
+type localReplyReason int
+
+const (
+	decidedByBalancer    localReplyReason = iota // by the decision module
+	processShutsDown                             // the process stops
+	forbiddenByRules                             // the fleet's rules reject it
+	noUsableHost                                 // no pool that it may use has a host that takes anything new
+	quotaExceeded                                // its account's quota over the fleet is used up
+	retryUnsafe                                  // it may have run, and is not idempotent
+	hostNotListed                                // the host at which it is open is not in the endpoint list
+	blockedByInvariant                           // a rule forbids the attempt at the host at which it is open
+	adoptionAttemptEnded                         // the attempt at the host at which it is open has ended
+	balancerUnresponsive                         // the decision module did not answer, or panicked
+)
+
+// String is the reason's name in the log.
+func (r localReplyReason) String() string {
+	names := [...]string{"balancer", "shutting_down", "rules", "no_usable_host", "quota_exceeded", "retry_unsafe", "host_not_listed", "invariant", "attempt_ended",
+		"balancer_unresponsive"}
+	if r < 0 || int(r) >= len(names) {
+		return fmt.Sprintf("localReplyReason(%d)", int(r))
+	}
+	return names[r]
+}
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -1,8 +1,6 @@
 package proxy
 
 import (
-	"errors"
-	"fmt"
 	"log/slog"
 	"time"
 
@@ -12,13 +10,6 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// What is wrong with a client's opening.
-var (
-	errUnknownClass  = errors.New("class is not in the settings")
-	errUnknownTenant = errors.New("tenant is not in the settings")
-	errIDInUse       = errors.New("request ID is in use")
-)
-
 // Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
 func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
 	c.counters.opened++
@@ -30,14 +21,15 @@
 	}
 	q := c.attributesOf(o)
 	if c.shuttingDown {
-		c.rejectOpening(d, q.Class, metrics.ShuttingDown, c.RetryAdvice())
+		c.rejectOpening(d, &q, metrics.ShuttingDown, processShutsDown, c.RetryAdvice())
 		return nil
 	}
 	verdict := c.judge(o.Tenant, o.Class, &q)
 	var in *pool
 	if o.StickyHost == "" {
-		if in = c.placement(&verdict); verdict.Refused {
-			c.rejectOpening(d, q.Class, metrics.Rejected, verdict.Advice)
+		var reason localReplyReason
+		if in, reason = c.placement(&verdict); verdict.Refused {
+			c.rejectOpening(d, &q, metrics.Rejected, reason, verdict.Advice)
 			return nil
 		}
 	}
@@ -65,11 +57,11 @@
 	_, tenantKnown := c.names.tenants[o.Tenant]
 	switch {
 	case !classKnown:
-		return fmt.Errorf("%w: %q", errUnknownClass, o.Class)
+		return &InvalidRequestError{UnknownClass, o.Class}
 	case !tenantKnown && len(c.names.tenants) > 0:
-		return fmt.Errorf("%w: %q", errUnknownTenant, o.Tenant)
+		return &InvalidRequestError{UnknownTenant, o.Tenant}
 	case c.requests[o.ID] != nil:
-		return fmt.Errorf("%w: %q", errIDInUse, o.ID)
+		return &InvalidRequestError{IDInUse, o.ID}
 	}
 	return nil
 }
@@ -85,19 +77,23 @@
 }
 
 // rejectOpening rejects a client that no request is made for.
-func (c *Core) rejectOpening(d Downstream, class int, how metrics.End, after time.Duration) {
+func (c *Core) rejectOpening(d Downstream, q *balancer.Request, how metrics.End, reason localReplyReason, after time.Duration) {
 	c.counters.rejected++
-	c.counters.metrics.Ended(class, how)
+	c.counters.metrics.Ended(q.Class, how)
+	if tracing() {
+		slog.Debug("request_rejected", "request", q.ID, "attempts", 0, "reason", reason, "after_ms", after.Milliseconds())
+	}
 	d.Reject(after)
 }
 
 // placement is the first pool that a request may use and that has a usable host; where there is none the verdict becomes a rejection.
-func (c *Core) placement(v *rules.Verdict) *pool {
-	in := c.choosePool(v.Pools)
+// reason is that of a rejection.
+func (c *Core) placement(v *rules.Verdict) (in *pool, reason localReplyReason) {
+	in, reason = c.choosePool(v.Pools), forbiddenByRules
 	if in == nil && !v.Refused {
-		v.Refused, v.Advice = true, c.RetryAdvice()
+		v.Refused, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
 	}
-	return in
+	return in, reason
 }
 
 // answerTime is how long a client waits for its answer: as it says, at most its class's deadline. A client that comes back to the host at
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -31,7 +31,7 @@
 			if tracing() {
 				slog.Debug("quota_exceeded", "request", r.attributes.ID, "account", account, "of", over)
 			}
-			r.reject(c.boundedRetryAfter(advice))
+			r.reject(c.boundedRetryAfter(advice), quotaExceeded)
 		case r.answered():
 			c.fleet.quota.Release(account) // its client has left meanwhile
 		default:
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -88,11 +88,11 @@
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	if to == nil {
-		r.rejectOrFail(c.RetryAdvice())
+		r.rejectOrFail(c.RetryAdvice(), noUsableHost)
 		return
 	}
 	if !r.record.MayPlaceAnew() {
-		r.fail(metrics.Failed)
+		r.fail(metrics.Failed, retryUnsafe)
 		return
 	}
 	r.pool, r.attemptsInEarlierPools = to, r.attempts
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -89,7 +89,7 @@
 			r.record.LineWritten(w.now, w.now, invariant.Host{})
 			r.record.AttemptEnded(false)
 		}
-		r.rejectOrFail(0)
+		r.rejectOrFail(0, decidedByBalancer)
 		w.expect(c.want)
 	}
 }
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -209,7 +209,8 @@
 		r.record.Dropped()
 	}
 	broken, blocked := c.monitor.Counts.Sum()
-	slog.Info("shutdown_summary", "open", open, "pending", pending, "connections", c.admission.downstreams, "handing", c.handover.inFlight, "broken", broken, "held_back", blocked)
+	slog.Info("shutdown_summary", "open", open, "pending", pending, "downstreams", c.admission.downstreams, "handovers", c.handover.inFlight,
+		"invariants_broken", broken, "invariants_blocked", blocked)
 	s.done()
 	s.done = nil
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -123,7 +123,8 @@
 		a.request.core.counters.lost++
 	}
 	if tracing() {
-		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.hostID, "status", status.String(), "reason", err)
+		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.hostID, "status", status, "stage", err.Stage, "reason", err.Cause,
+			"detail", err.Text())
 	}
 	a.request.record.Released()
 	a.request.downstream.End(err.Cause)
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -157,8 +157,8 @@
 		failed = append(failed, fmt.Sprintf("%s:%d", r, n))
 	}
 	sort.Strings(failed)
-	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.cpu.Milliseconds(), "waiting", k.budget.Waiting(),
-		"out", k.budget.InFlight(), "sessions", k.cache.len(), "epoch", k.material.Epoch, "failed", strings.Join(failed, ","))
+	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.cpu.Milliseconds(), "queued", k.budget.Waiting(),
+		"in_flight", k.budget.InFlight(), "sessions", k.cache.len(), "epoch", k.material.Epoch, "failed", strings.Join(failed, ","))
 	k.counts = counts{failed: map[Reason]int{}}
 }
 
--- /dev/null
+++ b/internal/testbed/fleetlog/fieldnames_test.go
@@ -0,0 +1,44 @@
+package fleetlog
+
+import (
+	"maps"
+	"testing"
+)
+
+// TestEarlierFieldNames: a line of an earlier version reads as the same line of this one.
+func TestEarlierFieldNames(t *testing.T) {
+	for _, c := range []struct{ what, earlier, current string }{
+		{"counts",
+			"counts open=1 pending=2 connections=3 opened=4 served=5 refused=6 failed=7 rejected=8 moved=9 lost=10 turned_away=11 expiring=12 handed=13 resumed=14 told=15 heard=16 probed=17",
+			"counts open=1 pending=2 downstreams=3 opened=4 served=5 rejected=6 failed=7 invalid_requests=8 migrated=9 lost=10 over_capacity=11 expiring=12 handed_over=13 resumed=14 peer_messages_sent=15 peer_messages_received=16 health_checks=17"},
+		{"the summary of a stop", "left open=1 pending=2 connections=3 handing=4 broken=5 held_back=6",
+			"shutdown_summary open=1 pending=2 downstreams=3 handovers=4 invariants_broken=5 invariants_blocked=6"},
+		{"invariants", "invariants broken=1 held_back=2", "invariant_counts broken=1 blocked=2"},
+		{"handshakes", "tls_counts full=1 waiting=2 out=3 sessions=4", "tls_counts full=1 queued=2 in_flight=3 sessions=4"},
+		{"certificates that end", "moved_expiring connections=1 standing=2", "expiring_migrated connections=1 open=2"},
+		{"the start", "ready hosts=1 sessions=2", "ready hosts=1 max_downstreams=2"},
+		{"a hot restart asked for", "handover_asked sessions=2", "hot_restart_requested downstreams=2"},
+		{"a hot restart done", "handed_over sessions=2", "hot_restart_handed_over downstreams=2"},
+		{"a hot restart undone", "taken_back sessions=2", "hot_restart_taken_back downstreams=2"},
+		{"a ready host", "host host=a state=0", "host_updated host=a state=ready"},
+		{"a draining host", "host host=a state=1", "host_updated host=a state=draining"},
+		{"a removed host", "host host=a state=2", "host_updated host=a state=removed"},
+		{"a suspended host", "host host=a state=3", "host_updated host=a state=suspended"},
+		{"another event's field", "attempt request=q moved=1 rejected=2 state=0", "attempt_started request=q moved=1 rejected=2 state=0"},
+	} {
+		const at = "2026/01/02 03:04:05.000006 event="
+		earlier, ok := parse(at + c.earlier)
+		current, ok2 := parse(at + c.current)
+		if !ok || !ok2 || earlier.Name != current.Name || !maps.Equal(earlier.Field, current.Field) {
+			t.Errorf("%s: the earlier line is read as %+v, this version's as %+v", c.what, earlier, current)
+		}
+	}
+}
+
+// TestCurrentFieldNames: what a line of this version says is not taken for the earlier field of the same name.
+func TestCurrentFieldNames(t *testing.T) {
+	e, ok := parse("2026/01/02 03:04:05.000006 event=counts rejected=6 invalid_requests=8")
+	if want := map[string]string{"rejected": "6", "invalid_requests": "8"}; !ok || !maps.Equal(e.Field, want) {
+		t.Errorf("read as %v, want %v", e.Field, want)
+	}
+}
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -127,5 +127,6 @@
 			e.Field[key] = value
 		}
 	}
+	e.Field = currentFields(e.Name, e.Field)
 	return e, e.Name != ""
 }
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -132,7 +132,7 @@
 		l.Events = append(l.Events, e)
 	}
 	for _, h := range []string{"a", "b", "c"} {
-		say(0, "host_updated", "host", h, "weight", "1", "state", "0")
+		say(0, "host_updated", "host", h, "weight", "1", "state", "ready")
 	}
 	for _, r := range []string{"1", "2", "3", "4"} {
 		say(0.1, "request_received", "request", r)
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestEarlierNames: logs of earlier versions are read by the names that events have now.
-func TestEarlierNames(t *testing.T) {
+// TestEarlierEventNames: logs of earlier versions are read by the names that events have now.
+func TestEarlierEventNames(t *testing.T) {
 	for line, want := range map[string]string{
 		"2026/01/02 03:04:05.000006 event=asked request=q":            "request_received",
 		"2026/01/02 03:04:05.000006 event=request_received request=q": "request_received",
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -133,7 +133,7 @@
 // usableWeight is a listed host's weight; 0 where it takes nothing new: what it held is to go elsewhere.
 func usableWeight(e Event) float64 {
 	weight, err := strconv.ParseFloat(e.Field["weight"], 64)
-	if err != nil || e.Field["state"] != "0" {
+	if err != nil || e.Field["state"] != "ready" {
 		return 0
 	}
 	return weight
