--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"log/slog"
 	"sync"
@@ -51,7 +52,7 @@
 	level.UnmarshalText([]byte(o.Level)) // an unknown one stays info
 	var h slog.Handler = &textHandler{writer: w, level: level, mutex: &sync.Mutex{}}
 	if o.Format == "json" {
-		h = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: nameEvent})
+		h = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr})
 	}
 	if o.Repeat <= 0 {
 		return h
@@ -59,10 +60,16 @@
 	return &repeatHandler{next: h, limiter: newRepeatLimiter(o.Repeat, o.Window)}
 }
 
-// nameEvent gives a record's message the key event.
-func nameEvent(groups []string, a slog.Attr) slog.Attr {
+// replaceAttr gives a record's message the key event, and values that have a name that name, as in text: JSON alone would write the
+// number behind it.
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.MessageKey {
 		a.Key = "event"
 	}
+	if a.Value.Kind() == slog.KindAny {
+		if named, ok := a.Value.Any().(fmt.Stringer); ok {
+			a.Value = slog.StringValue(named.String())
+		}
+	}
 	return a
 }
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -28,12 +28,13 @@
 
 func TestJSON(t *testing.T) {
 	var b bytes.Buffer
-	slog.New(New(&b, Options{Format: "json"})).Info("ready", "hosts", 3)
+	slog.New(New(&b, Options{Format: "json"})).Info("ready", "hosts", 3, "day", time.Monday)
 	var got struct {
 		Event string
 		Hosts int
+		Day   string
 	}
-	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.Event != "ready" || got.Hosts != 3 {
+	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.Event != "ready" || got.Hosts != 3 || got.Day != "Monday" {
 		t.Errorf("%s: %v", b.String(), err)
 	}
 }
