--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -27,8 +27,8 @@
 	ruleCount
 )
 
-var ruleNames = [ruleCount]string{"none", "over", "one_attempt", "attempt_limit", "in_time", "host_takes_none", "no_repeat", "repeat_scope", "repeat_window",
-	"refusal_harmless", "one_answer", "answer_in_time", "no_silent_end", "taken_in_service"}
+var ruleNames = [ruleCount]string{"none", "request_over", "single_attempt", "attempt_limit", "before_deadline", "host_accepts_new", "no_unsafe_retry",
+	"retry_within_scope", "retry_within_window", "rejection_is_safe", "single_answer", "answer_in_time", "no_silent_end", "nothing_after_shutdown"}
 
 // String is the rule's name in the log.
 func (r Rule) String() string { return ruleNames[r] }
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -72,10 +72,10 @@
 // class is the settings' entry for the request's class.
 func (r *Request) class() *balancer.Class { return &r.core.opt.Settings.Classes[r.attributes.Class] }
 
-// stageName is how far the attempt under way has come, for the log.
+// stageName is how far the attempt under way has come, for the log; before one begins the request waits in the decision module.
 func (r *Request) stageName() string {
 	if r.attempt == nil {
-		return "held"
+		return "no_attempt"
 	}
 	return r.attempt.conn.Stage().String()
 }
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -18,25 +18,25 @@
 
 // The reasons. Those of the second group are faults of the proxy's own: they strike all hosts at once.
 const (
-	Unreachable   Reason = "unreachable"    // no TCP connection
-	TimedOut      Reason = "timeout"        // not done in time
-	NoBudget      Reason = "no_budget"      // the handshake budget has no room in time
-	NotTLS        Reason = "not_tls"        // the host speaks something else
-	OldVersion    Reason = "old_version"    // no version that both speak
-	NoCertificate Reason = "no_certificate" // none was shown
-	SelfSigned    Reason = "self_signed"    // signed by itself, and not trusted
-	UnknownCA     Reason = "unknown_ca"     // signed by nobody trusted
-	WrongName     Reason = "wrong_name"     // for another host
-	Expired       Reason = "expired"        // no longer valid
-	NotYetValid   Reason = "not_yet_valid"  // the clocks differ, or it was put in place too soon
-	WrongUsage    Reason = "wrong_usage"    // not for servers
-	Revoked       Reason = "revoked"        // taken back
-	WeakKey       Reason = "weak_key"       // key or signature too weak
-	TooLarge      Reason = "too_large"      // a handshake message beyond the limit
-	BrokenOff     Reason = "broken_off"     // the host ended or reset the connection
-	Protocol      Reason = "protocol"       // what it sent makes no sense, or does not verify
-	NoName        Reason = "no_name"        // the options have no name to expect of it
-	RefusedByHost Reason = "turned_down"    // the host refused this side's certificate or wishes
+	Unreachable    Reason = "unreachable"      // no TCP connection
+	TimedOut       Reason = "timeout"          // not done in time
+	NoBudget       Reason = "no_budget"        // the handshake budget has no room in time
+	NotTLS         Reason = "not_tls"          // the host speaks something else
+	OldVersion     Reason = "old_version"      // no version that both speak
+	NoCertificate  Reason = "no_certificate"   // none was shown
+	SelfSigned     Reason = "self_signed"      // signed by itself, and not trusted
+	UnknownCA      Reason = "unknown_ca"       // signed by nobody trusted
+	WrongName      Reason = "wrong_name"       // for another host
+	Expired        Reason = "expired"          // no longer valid
+	NotYetValid    Reason = "not_yet_valid"    // the clocks differ, or it was put in place too soon
+	WrongUsage     Reason = "wrong_usage"      // not for servers
+	Revoked        Reason = "revoked"          // taken back
+	WeakKey        Reason = "weak_key"         // key or signature too weak
+	TooLarge       Reason = "too_large"        // a handshake message beyond the limit
+	BrokenOff      Reason = "broken_off"       // the host ended or reset the connection
+	Protocol       Reason = "protocol"         // what it sent makes no sense, or does not verify
+	NoName         Reason = "no_name"          // the options have no name to expect of it
+	RejectedByHost Reason = "rejected_by_host" // the host refused this side's certificate or wishes
 
 	OwnExpired Reason = "own_certificate_expired"
 	OwnTrust   Reason = "own_trust_unusable" // the bundle or a revocation list
@@ -107,7 +107,7 @@
 	case alert && code == alertUnrecognizedName:
 		f.Reason, f.Step = NoCertificate, "certificate"
 	case alert && refusalAlerts[code]:
-		f.Reason = RefusedByHost
+		f.Reason = RejectedByHost
 	case errors.As(err, &verify):
 		f.Reason, f.Step = UnknownCA, "certificate"
 	case errors.As(err, &header):
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -40,7 +40,7 @@
 				within = 100 * time.Millisecond
 			}
 			c := b.dial(bad.Addr(), within)
-			late := f.Reason == string(RefusedByHost) // TLS 1.3: known only after this side's end of the handshake
+			late := f.Reason == string(RejectedByHost) // TLS 1.3: known only after this side's end of the handshake
 			if f.SoundHandshake || late {
 				if c.err != nil {
 					t.Fatal(c.err)
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -57,7 +57,7 @@
 		return n, err
 	}
 	f := classify(err, true)
-	late := f.Reason == RefusedByHost && !s.dataReceived
+	late := f.Reason == RejectedByHost && !s.dataReceived
 	if late {
 		err = &lateRefusal{f}
 	}
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -80,7 +80,7 @@
 		{Kind: "no-certificate", Reason: "no_certificate", Config: func(*Pki) (*tls.Config, error) {
 			return &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}, nil
 		}},
-		{Kind: "wants-a-certificate", Reason: "turned_down", Config: changed(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
+		{Kind: "wants-a-certificate", Reason: "rejected_by_host", Config: changed(sound, func(c *tls.Config) { c.ClientAuth = tls.RequireAnyClientCert })},
 		{Kind: "chain-of-1mb", Reason: "too_large", Config: longChain},
 		{Kind: "plain-text", Reason: "not_tls", Raw: func(c net.Conn, _ *tls.Config) {
 			c.Read(make([]byte, 1))
