--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -1,7 +1,6 @@
 package lineproto
 
 import (
-	"container/list"
 	"net"
 	"time"
 
@@ -10,35 +9,32 @@
 )
 
 const (
-	// firstLineTimeout is how long after connecting a downstream's first line may take, whole: a client that sends it in
-	// pieces gets no more time for each. Who does not send one is owed its end within 3 s.
+	// firstLineTimeout is how long after connecting a client's first line may take to be complete, in however many pieces. The protocol
+	// wants a client without one ended within 3 s.
 	firstLineTimeout = 2500 * time.Millisecond
 	// pingIdleTimeout is how long a connection that has asked PING may stay: the front may keep one.
 	pingIdleTimeout = 30 * time.Second
 )
 
-// inputLimit is how much a connection may have sent that nobody has taken before it is read no further: some lines of
-// the longest kind.
+// inputLimit is how much unread input a connection may hold before it is read no further: some lines of the longest kind.
 const inputLimit = 4 * MaxLine
 
-// Front takes in clients. It turns their lines into the core's terms.
+// Front accepts clients. It turns their lines into the core's terms.
 type Front struct {
 	loop *netio.Loop
 	core *proxy.Core
-	// idleClients are the connections that hold a descriptor and no request: those without a first line yet, and those
-	// that have been turned away and not hung up. They have room of their own, else hundreds of clients that say
-	// nothing would turn away the ones that do; and the one that has been there longest makes room for the next.
-	idleClients    list.List
-	maxIdleClients int
-	listener       *netio.Listener
+	// idleClients are the connections that hold a descriptor and no request: those without a first line yet, and those that have been
+	// rejected and have not hung up.
+	idleClients *netio.BoundedConns[*downstream]
+	listener    *netio.Listener
 }
 
 // Addr is where it listens.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// NewFront is for clients of the line protocol who come to a listener, with room for so many that have no request.
-func NewFront(l *netio.Loop, core *proxy.Core, on *netio.Listener, room int) *Front {
-	return &Front{loop: l, core: core, maxIdleClients: room, listener: on}
+// NewFront is for clients of the line protocol who come to a listener, with capacity for maxIdle that have no request.
+func NewFront(l *netio.Loop, core *proxy.Core, on *netio.Listener, maxIdle int) *Front {
+	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: on}
 }
 
 // Stop leaves clients that come from now on to another process that holds the listener.
@@ -50,21 +46,16 @@
 func (f *Front) accept(c *netio.Conn) netio.Handler {
 	d := &downstream{front: f, conn: c}
 	c.WhenGone(d.descriptorFreed)
-	if f.idleClients.Len() >= f.maxIdleClients {
-		f.idleClients.Front().Value.(*downstream).evict()
-	}
-	d.idleEntry = f.idleClients.PushBack(d)
+	d.idleEntry = f.idleClients.Add(d)
 	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineLate)
 	return d
 }
 
-// EndIdle ends the connections that rest without having sent anything, with half also those on which a first line has begun to come, and
-// tells how many without a request are left.
-func (f *Front) EndIdle(half bool) int {
-	for e := f.idleClients.Front(); e != nil; {
-		d := e.Value.(*downstream)
-		e = e.Next() // a connection that ends leaves the list
-		if !d.conn.Over() && (half || len(d.conn.Input()) == 0) {
+// EndIdle ends the connections that have not sent anything, with partial also those on which part of a first line has come, and gives how
+// many without a request are left.
+func (f *Front) EndIdle(partial bool) int {
+	for d := range f.idleClients.All() {
+		if !d.conn.Over() && (partial || len(d.conn.Input()) == 0) {
 			d.endIdle()
 		}
 	}
--- /dev/null
+++ b/internal/dataplane/netio/bounded_test.go
@@ -0,0 +1,32 @@
+package netio
+
+import (
+	"container/list"
+	"slices"
+	"testing"
+)
+
+// TestBoundedConns: beyond the capacity the connection that was touched longest ago is evicted for the next.
+func TestBoundedConns(t *testing.T) {
+	elements := map[string]*list.Element{}
+	var evicted []string
+	var conns *BoundedConns[string]
+	conns = NewBoundedConns(2, func(c string) {
+		evicted = append(evicted, c)
+		conns.Remove(elements[c])
+	})
+	for _, c := range []string{"a", "b"} {
+		elements[c] = conns.Add(c)
+	}
+	conns.Touch(elements["a"])
+	elements["c"] = conns.Add("c")
+	if got := slices.Collect(conns.All()); !slices.Equal(evicted, []string{"b"}) || !slices.Equal(got, []string{"a", "c"}) {
+		t.Errorf("evicted %v, left %v; expected b, then a and c", evicted, got)
+	}
+	for c := range conns.All() {
+		conns.Remove(elements[c])
+	}
+	if conns.Len() != 0 {
+		t.Errorf("%d are left after each was removed", conns.Len())
+	}
+}
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -27,7 +27,7 @@
 		return
 	}
 	if c.element != nil {
-		c.server.callers.MoveToBack(c.element)
+		c.server.callers.Touch(c.element)
 	}
 	r, expectsContinue, fault := parse(conn.Input())
 	switch {
@@ -70,7 +70,7 @@
 	c.reply(response{status: http.StatusRequestTimeout})
 }
 
-// evict makes room for the next caller.
+// evict ends the call to free its place for the next one.
 func (c *caller) evict() {
 	if !c.conn.Over() && len(c.conn.Input()) > 0 {
 		c.timedOut()
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -3,7 +3,6 @@
 package admin
 
 import (
-	"container/list"
 	"net"
 	"time"
 
@@ -28,18 +27,15 @@
 
 // Server takes operators' calls. It belongs to the event loop.
 type Server struct {
-	loop  *netio.Loop
-	proxy Proxy
-	// callers are the connections, the one that has been quiet longest first. They have a capacity of their own, so that
-	// hundreds that say nothing take no descriptor that a client needs, and the longest quiet is closed for the next.
-	callers  list.List
-	capacity int
-	addr     net.Addr
+	loop    *netio.Loop
+	proxy   Proxy
+	callers *netio.BoundedConns[*caller]
+	addr    net.Addr
 }
 
 // Listen serves calls on addr, of at most capacity callers at a time.
 func Listen(l *netio.Loop, proxy Proxy, addr string, capacity int) (*Server, error) {
-	s := &Server{loop: l, proxy: proxy, capacity: capacity}
+	s := &Server{loop: l, proxy: proxy, callers: netio.NewBoundedConns(capacity, (*caller).evict)}
 	var err error
 	s.addr, err = netio.Listen(l, addr, maxInputBytes, s.accept)
 	return s, err
@@ -51,10 +47,7 @@
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
 	c := &caller{server: s, conn: conn}
 	conn.WhenGone(c.gone)
-	if s.callers.Len() >= s.capacity {
-		s.callers.Front().Value.(*caller).evict()
-	}
-	c.element = s.callers.PushBack(c)
+	c.element = s.callers.Add(c)
 	c.timeout = s.loop.After(callTimeout, c.timedOut)
 	return c
 }
