--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -17,9 +17,9 @@
 	*harness
 	rng          *rand.Rand
 	leftAt       map[string]int64 // when a client has left
-	attempts     int              // attempts
-	linesWritten int              // first lines
-	quotaHeld    int              // held
+	attempts     int
+	linesWritten int // first lines written
+	quotaHeld    int // connections that count against quota
 }
 
 // Start checks that no attempt begins for a client that has left, and draws what becomes of it.
@@ -91,8 +91,8 @@
 
 // newLeavingClients has half of the clients wait for quota, and all for another proxy's answer, which never comes.
 func newLeavingClients(t *testing.T) *leavingClients {
-	w := &leavingClients{harness: &harness{test: t, now: 1e18}, rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
-	w.loop = netio.NewLoopAt(func() int64 { return w.now })
+	t.Helper()
+	w := &leavingClients{harness: newClock(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
 	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
@@ -106,10 +106,10 @@
 		t.Fatal(err)
 	}
 	w.core.SetPeers(deafPeers{})
-	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActByForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
+	enforcer := &rules.Enforcer{Now: func() int64 { return w.now }}
+	rules.ActByForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
 	w.core.SetQuota(w)
-	w.core.SetRules(gate)
+	w.core.SetRules(enforcer)
 	return w
 }
 
@@ -170,7 +170,7 @@
 	}
 	for id, r := range w.core.requests {
 		if !r.answered() || r.attempt == nil {
-			t.Errorf("%s is still there", id)
+			t.Errorf("%s is still held", id)
 		}
 	}
 }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -30,7 +30,7 @@
 	w.open("p")
 	w.expect("request p", "fail p", "left p")
 	if len(w.core.requests) != 0 {
-		t.Fatal("requests are left")
+		t.Fatal("requests are left in the table")
 	}
 }
 
@@ -74,7 +74,7 @@
 	a.State = balancer.Draining
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
-	w.effects.StartAttempt("q", "A", 0) // the rule holds should the balancer err
+	w.effects.StartAttempt("q", "A", 0) // the rule holds whatever the balancer wants
 	w.core.decisions.submit(nil, nil, func(int64, Balancer) {})
 	w.expect("ended q 1 2 false")
 }
@@ -99,9 +99,8 @@
 	w := newHarness(t)
 	w.serve("q")
 	w.core.Admit("c")
-	left := false
-	w.core.Shutdown(func() { left = true })
-	w.core.Shutdown(func() { t.Error("a second signal ends it by itself") })
+	ended := w.shutDown()
+	w.core.Shutdown(func() { t.Error("a second signal has a shutdown of its own") })
 	w.open("new")
 	w.expect("reject new 500")
 	w.pass(400 * time.Millisecond)
@@ -110,8 +109,8 @@
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
 	w.core.DownstreamEnded()
 	w.pass(100 * time.Millisecond)
-	if !left {
-		t.Fatal("it does not end")
+	if !*ended {
+		t.Fatal("the shutdown has not ended")
 	}
 }
 
@@ -133,42 +132,42 @@
 // A suspended host gets nothing more: dials end, later lists change nothing, and what has reached it goes on.
 func TestSuspendedHost(t *testing.T) {
 	w := newHarness(t)
-	_, standing := w.serve("r0")
+	_, open := w.serve("r0")
 	w.onEvent = func(e string) {
 		switch e {
 		case "request r1":
 			w.effects.StartAttempt("r1", "A", 0)
 		case "ended r1 0 2 false":
-			w.effects.StartAttempt("r1", "A", 0) // a balancer that errs
+			w.effects.StartAttempt("r1", "A", 0) // a balancer at fault
 		case "ended r1 1 2 false":
 			w.effects.Reject("r1", 0)
 		}
 	}
 	w.open("r1")
 	w.events = nil
-	told := ""
-	w.core.Suspend("Z", true, func(known bool) { told += fmt.Sprint(known, " ") })
-	w.core.Suspend("A", true, func(known bool) { told += fmt.Sprint(known, " ") })
-	w.core.Suspend("A", true, func(known bool) { told += fmt.Sprint(known) })
-	if told != "false true true" {
-		t.Errorf("told %s", told)
+	known := ""
+	w.core.Suspend("Z", true, func(k bool) { known += fmt.Sprint(k, " ") })
+	w.core.Suspend("A", true, func(k bool) { known += fmt.Sprint(k, " ") })
+	w.core.Suspend("A", true, func(k bool) { known += fmt.Sprint(k) })
+	if known != "false true true" {
+		t.Errorf("Z, A and A again are known: %s", known)
 	}
 	w.expect("list 4 1", "end up dropped", "ended r1 0 2 false", "ended r1 1 2 false", "reject r1 0")
-	standing.events.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
+	open.events.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
 	w.expect()
 	e := HostEntry{Address: "elsewhere", ListedHost: balancer.ListedHost{ID: "A"}}
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Suspended {
-		t.Errorf("listed anew it has state %d", h.state)
+		t.Errorf("listed again it is %s", hostStateName(h.state))
 	}
 	if got := string(w.core.Metrics()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
-		t.Errorf("figures %s", got)
+		t.Errorf("metrics %s", got)
 	}
 	w.pass(time.Second)
 	w.expect("list 0 1", "migrate r0", "end up ended", "ended r0 0 6 true")
 	w.core.Suspend("A", false, func(bool) {})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Ready {
-		t.Errorf("called back it has state %d", h.state)
+		t.Errorf("resumed it is %s", hostStateName(h.state))
 	}
 }
 
@@ -200,7 +199,7 @@
 	w.core.admission.limit = 0
 	w.core.Admit("c")
 	w.core.shuttingDown = true
-	w.open("leaving")
+	w.open("shutting down")
 	want := "replies.c.success=1\nreplies.c.overload=2\nreplies.c.error=4\ndispatches=2\nconcurrent=1\ntargets=2\ntargets_disabled=0\n"
 	if got := string(w.core.Metrics()); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"pgregory.net/rapid"
+
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
 )
@@ -23,9 +25,17 @@
 	ejected   string             // a host that the balancer has ejected
 }
 
-func newHarness(t *testing.T) *harness {
+// newClock is a harness without a core. t may be nil for one that expects nothing.
+func newClock(t *testing.T) *harness {
 	w := &harness{test: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
+	return w
+}
+
+// newHarness is a core with one class and one tenant whose hosts A and B are ready.
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	w := newClock(t)
 	w.core = New(w.loop, w, Options{MaxDownstreams: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
 		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
 		Tenants: []balancer.Tenant{{Name: "t"}}}})
@@ -66,6 +76,13 @@
 	return w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: time.Second, HasWait: true}, nil)
 }
 
+// shutDown begins a shutdown, and gives whether it has ended.
+func (w *harness) shutDown() (ended *bool) {
+	ended = new(bool)
+	w.core.Shutdown(func() { *ended = true })
+	return ended
+}
+
 // serve has host A accept a request.
 func (w *harness) serve(id string) (*Request, *fakeUpstream) {
 	w.onEvent = func(e string) {
@@ -105,6 +122,21 @@
 	}
 }
 
+// endAsDrawn has the host read the first line and then reject it, accept it, or reset the connection at a stage.
+func (u *fakeUpstream) endAsDrawn(t *rapid.T, stage netio.Stage) (reset bool) {
+	u.sent()
+	switch rapid.IntRange(0, 2).Draw(t, "end") {
+	case 0:
+		u.events.FromUpstream(Message{Kind: OverCapacity})
+	case 1:
+		u.events.FromUpstream(Message{Kind: Accepted})
+	case 2:
+		u.events.UpstreamEnded(&netio.Error{Stage: stage})
+		return true
+	}
+	return false
+}
+
 func (u *fakeUpstream) Pass(m Message) bool { return !u.takesNothing }
 
 func (u *fakeUpstream) Pump() { u.harness.note("pump up") }
--- a/internal/dataplane/proxy/hosts_test.go
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -13,7 +13,7 @@
 func (b belowWatermark) Listed(Change) []string              { return nil }
 func (b belowWatermark) Out(id string, _ balancer.Time) bool { return id == string(b) }
 
-// Discovery's word comes first, then a suspension, then other proxies' lists.
+// What discovery says counts first, then a suspension, then other proxies' lists.
 func TestEffectiveState(t *testing.T) {
 	table := hostTable{byID: map[string]*host{}, suspensions: maintenance.New(), watermarks: belowWatermark("w")}
 	for _, id := range []string{"s", "w"} {
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -17,11 +17,11 @@
 			before := w.core.hosts.byID["A"].startedAt
 			w.pass(time.Second)
 			startedAt := w.now - int64(300*time.Millisecond)
-			told := startedAt
+			listed := startedAt
 			if everywhere {
-				told += int64(step)
+				listed += int64(step)
 			}
-			e := HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", StartedAt: told}}
+			e := HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", StartedAt: listed}}
 			w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 			got := w.core.hosts.byID["A"].startedAt
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// A delay in the form of a load is told from the loads before and after it.
+// A delay in the form of a load is recognised by the loads before and after it.
 func TestDelayReportedAsLoad(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
-	tell := func(x float64) { u.events.FromUpstream(Message{Kind: LoadReported, Load: x}) }
+	report := func(x float64) { u.events.FromUpstream(Message{Kind: LoadReported, Load: x}) }
 	for _, x := range []float64{1800, 60000, 65, 1100, 2900, 4100, 3000, 1500, 20} {
-		tell(x)
+		report(x)
 		w.pass(time.Second)
 	}
 	w.pass(time.Second)
-	tell(3800)
+	report(3800)
 	w.expect("observe q 1 1800", "observe q 1 60000", "observe q 2 65", "observe q 2 1100", "observe q 2 2900", "observe q 2 4100",
 		"observe q 2 3000", "observe q 2 1500", "observe q 2 20", "observe q 1 3800")
 }
@@ -48,36 +48,36 @@
 		w.pass(1200 * time.Millisecond)
 	}
 	w.expect("observe q 1 2674", "observe q 1 2506", "observe q 2 216", "observe q 2 21", "observe q 1 2475", "observe q 1 1937")
-	_, u = w.serve("p") // its host said nothing at first
+	_, u = w.serve("p") // its host reported nothing at first
 	u.events.FromUpstream(Message{Kind: LoadReported, Load: 62})
 	u.events.FromUpstream(Message{Kind: LoadReported, Load: 56})
 	w.expect("observe p 2 62", "observe p 2 56")
 }
 
 // Where a host's own load is known, small figures stay loads while it has capacity. Delays, which come on a steady second, are recognised with the
-// second one, and the load that the first one was taken for is put right.
+// second one, and the load that the first one was taken for is corrected.
 func TestKnownHostLoadTellsDelays(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
 	h := w.core.hosts.byID["A"]
-	tell := func(loaded float64, x ...float64) {
+	report := func(loaded float64, x ...float64) {
 		for _, x := range x {
 			h.checkedLoad, h.checkedAt = loaded, w.now
 			u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
 			w.pass(time.Second)
 		}
 	}
-	tell(0.4, 1167.7)
+	report(0.4, 1167.7)
 	w.pass(300 * time.Millisecond)
-	tell(0.4, 20710)
+	report(0.4, 20710)
 	w.pass(300 * time.Millisecond)
-	tell(0.4, 390.4)
+	report(0.4, 390.4)
 	w.pass(300 * time.Millisecond)
-	tell(0.4, 22000)
+	report(0.4, 22000)
 	w.expect("observe q 1 1167.7", "observe q 1 20710", "observe q 1 390.4", "observe q 1 22000")
-	tell(0.7, 77.7, 415.9, 60)
+	report(0.7, 77.7, 415.9, 60)
 	w.expect("observe q 1 77.7", "observe q 1 22000", "observe q 2 415.9", "observe q 2 60")
 	w.pass(5 * time.Second)
-	tell(1.1, 120)
+	report(1.1, 120)
 	w.expect("observe q 2 120")
 }
--- /dev/null
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -0,0 +1,143 @@
+package proxy
+
+import (
+	"fmt"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"croftlock/internal/balancer"
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/namespace"
+	"croftlock/internal/fleet/rules"
+)
+
+// poolHarness is a core with the real balancer, hosts of two kinds, and rules that a test changes.
+type poolHarness struct {
+	*harness
+	test     *rapid.T
+	enforcer *rules.Enforcer
+	hosts    map[string]HostEntry
+	owner    map[string]string // pool by host, as the rules have it now
+	pools    map[string]string // by tenant
+	tenant   map[string]string // by request
+	starts   map[string]int
+	kind     string // of the hosts in pool p
+	version  uint64
+}
+
+// Start is where the checks are: an attempt goes to a host of its tenant's pool alone.
+func (w *poolHarness) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
+	id := ev.(*upstreamRequest).request.attributes.ID
+	w.starts[id]++
+	if got, want := w.owner[to.ID], w.pools[w.tenant[id]]; got != want {
+		w.test.Fatalf("%s of tenant %s goes to %s of pool %q, expected one of %q", id, w.tenant[id], to.ID, got, want)
+	}
+	return w.harness.Start(to, first, until, within, ev)
+}
+
+// rule has the core act by a version of the rules. kind is which kind of host pool p has; t1 is the tenant of p, t2 has the rest. With moving
+// all hosts are between two pools.
+func (w *poolHarness) rule(number uint64, kind string, moving bool) {
+	b := &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}, Pools: []string{"p"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{kind}}}}
+	if moving {
+		b.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
+	}
+	rules.ActByForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
+	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
+	for id, h := range w.hosts {
+		w.owner[id] = namespace.Main
+		if h.Kind == kind {
+			w.owner[id] = "p"
+		}
+		if moving {
+			w.owner[id] = ""
+		}
+	}
+}
+
+// newPoolHarness is a core by version 1 of the rules, with four hosts of two kinds.
+func newPoolHarness(t *rapid.T) *poolHarness {
+	w := &poolHarness{harness: newClock(nil), test: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{},
+		kind: "m1", version: 1}
+	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
+	for i, id := range []string{"A", "B", "C", "D"} {
+		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
+	}
+	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9,
+		EjectionInitial: -1, EjectionMax: -1, Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6, Idempotency: balancer.NotIdempotent}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
+	w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, w.list()); err != nil {
+		t.Fatal(err)
+	}
+	w.rule(w.version, w.kind, false)
+	w.core.SetRules(w.enforcer)
+	return w
+}
+
+// list is the whole endpoint list.
+func (w *poolHarness) list() Change {
+	return Change{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"], w.hosts["B"], w.hosts["C"], w.hosts["D"]}}
+}
+
+// swapPools gives pool p the hosts of the other kind, by way of a version in which they are between two pools.
+func (w *poolHarness) swapPools(t *rapid.T) {
+	w.kind = map[string]string{"m1": "m2", "m2": "m1"}[w.kind]
+	w.version += 2
+	w.rule(w.version-1, w.kind, true)
+	if rapid.Bool().Draw(t, "between") {
+		w.core.ReassignPools()
+	}
+	w.pass(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
+	w.rule(w.version, w.kind, false)
+	if rapid.Bool().Draw(t, "at once") { // else requests come before the hosts are put into their pools
+		w.core.ReassignPools()
+	}
+}
+
+// endAttempt ends one of the last two attempts.
+func (w *poolHarness) endAttempt(t *rapid.T) {
+	if len(w.upstreams) == 0 {
+		return
+	}
+	u := w.upstreams[rapid.IntRange(max(0, len(w.upstreams)-2), len(w.upstreams)-1).Draw(t, "attempt")]
+	a := u.events.(*upstreamRequest)
+	before := w.starts[a.request.attributes.ID]
+	// After a reset it may have run, and must not run twice.
+	if reset := u.endAsDrawn(t, netio.Sent); reset && !a.established && w.starts[a.request.attributes.ID] > before {
+		t.Fatalf("%s may have run and is retried", a.request.attributes.ID)
+	}
+}
+
+// checkOpen counts the open connections, each of which the balancer of its host's pool has to know.
+func (w *poolHarness) checkOpen(t *rapid.T) (open int) {
+	for id, r := range w.core.requests {
+		a := r.attempt
+		if a == nil || !a.established {
+			continue
+		}
+		open++
+		if r.pool != a.host.pool || a.host.pool.name != w.owner[a.host.hostID] {
+			t.Fatalf("%s is open at %s of pool %q and is known to %v", id, a.host.hostID, w.owner[a.host.hostID], r.pool)
+		}
+	}
+	return open
+}
+
+// checkAnswers looks for one answer to each request.
+func (w *poolHarness) checkAnswers(t *rapid.T) {
+	answers := map[string]int{}
+	for _, s := range w.events {
+		var id string
+		for _, f := range []string{"accept %s", "reject %s", "fail %s"} {
+			if n, _ := fmt.Sscanf(s, f, &id); n == 1 {
+				answers[id]++
+			}
+		}
+	}
+	for id := range w.tenant {
+		if answers[id] != 1 {
+			t.Fatalf("%s has %d answers: %v", id, answers[id], w.events)
+		}
+	}
+}
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -11,6 +11,7 @@
 
 // keyed opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is reset after 300 ms, and the second one begins at once.
 func keyed(t *testing.T) *harness {
+	t.Helper()
 	w := newHarness(t)
 	c := &w.core.opt.Settings.Classes[0]
 	c.Idempotency, c.DedupWindow = balancer.IdempotentWithKey, int64(500*time.Millisecond)
@@ -32,7 +33,7 @@
 	return w
 }
 
-// A retry whose connection comes up slowly is not written after the dedup window.
+// A retry whose connection is established late is not written after the dedup window.
 func TestRetryIsWrittenWithinItsWindowOrNotAtAll(t *testing.T) {
 	w := keyed(t)
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700")
@@ -42,16 +43,16 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// The connection stands in the moment in which the time is up, before the timer has been looked at.
-func TestRetryWhoseConnectionStandsTooLate(t *testing.T) {
+// The connection is established in the moment in which the window ends, before its timer runs.
+func TestRetryWhoseConnectionIsEstablishedTooLate(t *testing.T) {
 	w := keyed(t)
 	if !w.upstreams[1].events.MaySend() {
-		t.Fatal("a repeat in time was held back")
+		t.Fatal("a retry within its window is blocked")
 	}
 	w.events = nil
 	w.now += int64(200 * time.Millisecond)
 	if w.upstreams[1].events.MaySend() {
-		t.Fatal("a repeat was let through after its time")
+		t.Fatal("a retry after its window is not blocked")
 	}
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
@@ -68,10 +69,10 @@
 // A rejection says that a retry is harmless. A request that may have run is not rejected where it must not run twice.
 func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	for _, c := range []struct {
-		effect balancer.Idempotency
-		scope  balancer.DedupScope
-		ran    bool
-		want   string
+		idempotency balancer.Idempotency
+		scope       balancer.DedupScope
+		ran         bool
+		want        string
 	}{
 		{balancer.Idempotent, balancer.ScopeAll, true, "reject q 0"},
 		{balancer.IdempotentWithKey, balancer.ScopeAll, true, "reject q 0"},
@@ -81,7 +82,7 @@
 	} {
 		w := newHarness(t)
 		k := &w.core.opt.Settings.Classes[0]
-		k.Idempotency, k.DedupScope = c.effect, c.scope
+		k.Idempotency, k.DedupScope = c.idempotency, c.scope
 		r := w.open("q")
 		w.events = nil
 		if c.ran {
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -12,6 +12,7 @@
 
 // sending opens a request whose balancer places it at A, and then to B should that attempt prove not to have run.
 func sending(t *testing.T) *harness {
+	t.Helper()
 	w := newHarness(t)
 	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
 	w.onEvent = func(e string) {
@@ -27,12 +28,11 @@
 	return w
 }
 
-// A host's acceptance that comes during a shutdown, when the clients before it have been migrated, is passed on, and that client is
-// migrated like the others.
+// A host's acceptance that comes during a shutdown, after earlier clients have been migrated, is passed on, and that client is migrated
+// like the others.
 func TestAcceptedDuringShutdown(t *testing.T) {
 	w := sending(t)
-	left := false
-	w.core.Shutdown(func() { left = true })
+	ended := w.shutDown()
 	if !w.core.migrations.unpaced {
 		t.Error("clients of a process that shuts down wait for permits")
 	}
@@ -42,8 +42,8 @@
 	w.expect("accept q", "established q 0")
 	w.pass(1500 * time.Millisecond)
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
-	if !left {
-		t.Error("it does not end")
+	if !*ended {
+		t.Error("the shutdown has not ended")
 	}
 }
 
@@ -51,14 +51,13 @@
 func TestListDuringShutdown(t *testing.T) {
 	w := newHarness(t)
 	w.serve("q")
-	left := false
-	w.core.Shutdown(func() { left = true })
+	ended := w.shutDown()
 	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
 	w.expect("list 1 1")
 	w.pass(2100 * time.Millisecond)
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
-	if !left {
-		t.Error("it does not end")
+	if !*ended {
+		t.Error("the shutdown has not ended")
 	}
 }
 
@@ -76,27 +75,26 @@
 	w.expect("end up ended", "ended q 0 5 false")
 }
 
-// A process that was suspended accepts who waits in the listener's queue before it finds that nothing is left.
+// A process that was suspended accepts the connections in the listener's queue before it finds that nothing is left.
 func TestListenerQueueIsAcceptedBeforeTheEnd(t *testing.T) {
 	w := newHarness(t)
-	left := false
-	w.core.Shutdown(func() { left = true })
+	ended := w.shutDown()
 	w.now += int64(600 * time.Millisecond) // nothing runs meanwhile
 	w.loop.RunPending()
-	if left {
-		t.Fatal("it ends in its first step")
+	if *ended {
+		t.Fatal("the shutdown has ended in its first step")
 	}
-	w.core.Admit("c") // the queue is looked at now
+	w.core.Admit("c") // from the queue
 	w.open("late")
 	w.expect("reject late 500")
 	w.pass(300 * time.Millisecond)
-	if left {
-		t.Fatal("it does not wait for its client to hang up")
+	if *ended {
+		t.Fatal("the shutdown has ended before its client hung up")
 	}
 	w.core.DownstreamEnded()
 	w.pass(200 * time.Millisecond)
-	if !left {
-		t.Error("it does not end")
+	if !*ended {
+		t.Error("the shutdown has not ended")
 	}
 }
 
@@ -105,11 +103,11 @@
 	for _, deadline := range []time.Duration{0, time.Millisecond, 100, 400, 1000, 2000, 2999, 3000, 4800, 60000} {
 		deadline *= time.Millisecond
 		kill := min(deadline, 3*time.Second) + 700*time.Millisecond
-		for _, handed := range []bool{false, true} {
-			s := newShutdownSchedule(int64(deadline), handed)
+		for _, handedOver := range []bool{false, true} {
+			s := newShutdownSchedule(int64(deadline), handedOver)
 			if s.migrateFrom < 0 || s.migrateFrom >= s.migrateBy || s.migrateBy > s.answerBy || s.answerBy >= s.exitBy ||
 				s.exitBy > int64(kill-2*invariant.MaxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
-				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handed, s, kill)
+				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handedOver, s, kill)
 			}
 			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
 				if due := s.due(100, passed); due < before || passed >= s.migrateBy && due != 100 {
@@ -132,29 +130,28 @@
 			w.effects.StartAttempt("q", "A", 0)
 		}
 	}
-	for _, id := range []string{"q", "held"} {
+	for _, id := range []string{"q", "queued"} {
 		w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: 4800 * time.Millisecond, HasWait: true}, nil)
 	}
 	w.upstreams[0].sent()
 	w.events = nil
 	w.core.admission.downstreams = 2
-	left := false
-	w.core.Shutdown(func() { left = true })
+	ended := w.shutDown()
 	w.pass(3200 * time.Millisecond)
 	w.expect()
 	w.pass(60 * time.Millisecond)
 	seen := strings.Join(w.events, "; ")
-	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject held 500; left held"} {
+	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject queued 500; left queued"} {
 		if !strings.Contains(seen, want) {
 			t.Errorf("got %s, want %s in it", seen, want)
 		}
 	}
 	w.pass(100 * time.Millisecond)
-	if left {
-		t.Fatal("it has not waited for its clients to hang up")
+	if *ended {
+		t.Fatal("the shutdown has ended before its clients hung up")
 	}
 	w.pass(50 * time.Millisecond)
-	if !left {
-		t.Error("it does not end before SIGKILL")
+	if !*ended {
+		t.Error("the shutdown has not ended before SIGKILL")
 	}
 }
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -64,60 +64,64 @@
 	}
 }
 
+// suspend suspends a host or calls it back. From the call on nothing new starts there, and from the call that brings it back what waits may:
+// the model knows before the core acts.
+func (w *suspensionHarness) suspend(t *rapid.T, id string, suspended bool) {
+	w.suspended[id] = suspended
+	known := false
+	w.core.Suspend(id, suspended, func(k bool) { known = k })
+	if !known {
+		t.Fatalf("%s is not known", id)
+	}
+}
+
+// update has the endpoint list change in one host.
+func (w *suspensionHarness) update(t *rapid.T, id string) {
+	h := w.hosts[id]
+	h.State = rapid.SampledFrom([]balancer.HostState{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
+	h.Address = rapid.SampledFrom([]string{"here", "there"}).Draw(t, "endpoint")
+	h.ListedHost.ID, h.Weight = id, 1
+	if rapid.Bool().Draw(t, "restarted") {
+		h.StartedAt = w.now
+	}
+	if h.State == balancer.Removed {
+		delete(w.hosts, id)
+	} else {
+		w.hosts[id] = h
+	}
+	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
+}
+
+// newSuspensionHarness is a core that knows some hosts. t may be nil where no host is suspended that gets a request.
+func newSuspensionHarness(t *rapid.T, hosts ...string) *suspensionHarness {
+	w := &suspensionHarness{harness: newClock(nil), test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
+	for _, id := range hosts {
+		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
+	}
+	w.begin(nil)
+	return w
+}
+
 // However calls, lists, ends of attempts, restarts and time come together: a suspended host gets nothing.
 func TestNothingToSuspendedHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &suspensionHarness{harness: &harness{now: 1e18}, test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
-		w.loop = netio.NewLoopAt(func() int64 { return w.now })
-		for _, id := range []string{"A", "B", "C"} {
-			w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
-		}
-		w.begin(nil)
-		n := 0
+		w := newSuspensionHarness(t, "A", "B", "C")
+		requests := 0
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"A", "B", "C"}).Draw(t, "host")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
-				out := rapid.Bool().Draw(t, "out")
-				// From the call on nothing new starts, and from the call that brings it back what waits may: the model knows
-				// before the core acts.
-				w.suspended[id] = out
-				known := false
-				w.core.Suspend(id, out, func(k bool) { known = k })
-				if !known {
-					t.Fatalf("%s is not known", id)
-				}
+				w.suspend(t, id, rapid.Bool().Draw(t, "out"))
 			case 2:
-				h := w.hosts[id]
-				h.State = rapid.SampledFrom([]balancer.HostState{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
-				h.Address = rapid.SampledFrom([]string{"here", "there"}).Draw(t, "endpoint")
-				h.ListedHost.ID, h.Weight = id, 1
-				if rapid.Bool().Draw(t, "restarted") {
-					h.StartedAt = w.now
-				}
-				if h.State == balancer.Removed {
-					delete(w.hosts, id)
-				} else {
-					w.hosts[id] = h
-				}
-				w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
+				w.update(t, id)
 			case 3:
 				w.core.ListReceived(w.list())
 			case 4, 5:
-				n++
-				w.open(fmt.Sprint(n))
+				requests++
+				w.open(fmt.Sprint(requests))
 			case 6:
 				if len(w.upstreams) > 0 {
-					u := w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")]
-					u.sent()
-					switch rapid.IntRange(0, 2).Draw(t, "end") {
-					case 0:
-						u.events.FromUpstream(Message{Kind: OverCapacity})
-					case 1:
-						u.events.FromUpstream(Message{Kind: Accepted})
-					case 2:
-						u.events.UpstreamEnded(&netio.Error{Stage: netio.Connecting})
-					}
+					w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")].endAsDrawn(t, netio.Connecting)
 				}
 			case 7:
 				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
@@ -132,10 +136,7 @@
 
 // With every host suspended the answer comes at once.
 func TestAllHostsSuspended(t *testing.T) {
-	w := &suspensionHarness{harness: &harness{test: t, now: 1e18}, test: nil, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
-	w.loop = netio.NewLoopAt(func() int64 { return w.now })
-	w.hosts["A"] = HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", Weight: 1}}
-	w.begin(nil)
+	w := newSuspensionHarness(nil, "A")
 	w.core.Suspend("A", true, func(bool) {})
 	w.open("r1")
 	if len(w.events) != 1 || w.events[0][:9] != "reject r1" {
