--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -6,12 +6,13 @@
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/dataplane/proxy"
 	"croftlock/internal/testbed/fake"
 )
 
-// TestFollowsAnAgent: an agent to which lists are pushed is asked though the module asks for nothing, its silence is no
-// failure told, and what it has when it speaks again is heard although the watch that was under way has died.
+// TestFollowsAnAgent: an agent to which lists are pushed is watched though the decision module asks for nothing, its silence is not reported as
+// a failure, and what it has when it answers again arrives although the watch that was under way has died.
 func TestFollowsAnAgent(t *testing.T) {
 	d, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: "127.0.0.1:1"}, fake.Entry{UID: "s2", Endpoint: "127.0.0.1:2"})
 	if err != nil {
@@ -19,21 +20,17 @@
 	}
 	t.Cleanup(d.Close)
 	l := netio.NewLoop()
-	if err := netio.Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	t.Cleanup(l.Stop)
-	told := make(chan proxy.Change, 64)
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.Change) { told <- ch }})
+	netiotest.Run(t, l)
+	changes := make(chan proxy.Change, 64)
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.Change) { changes <- ch }})
 	l.Post(c.Follow)
-	hears := func(what, uid string, state balancer.HostState) {
+	expect := func(what, uid string, state balancer.HostState) {
 		t.Helper()
 		for limit := time.After(5 * time.Second); ; {
 			select {
-			case ch := <-told:
+			case ch := <-changes:
 				if ch.Kind == balancer.ListFailed {
-					t.Fatalf("%s: a failure is told", what)
+					t.Fatalf("%s: a failure is reported", what)
 				}
 				for _, h := range ch.Hosts {
 					if h.ID == uid && h.State == state {
@@ -41,13 +38,13 @@
 					}
 				}
 			case <-limit:
-				t.Fatalf("%s: %s is not heard of", what, uid)
+				t.Fatalf("%s: no change of %s arrives", what, uid)
 			}
 		}
 	}
-	hears("at the start", "s2", balancer.Ready)
+	expect("at the start", "s2", balancer.Ready)
 	d.SetState("s1", "draining")
-	hears("while it speaks", "s1", balancer.Draining)
+	expect("while it answers", "s1", balancer.Draining)
 	d.SetSilent(true)
 	d.SetState("s2", "draining")
 	before := d.Calls()
@@ -57,5 +54,5 @@
 		}
 	}
 	d.SetSilent(false)
-	hears("after a silence", "s2", balancer.Draining)
+	expect("after a silence", "s2", balancer.Draining)
 }
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -11,6 +11,7 @@
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/dataplane/proxy"
 )
 
@@ -62,11 +63,11 @@
 	}
 	for _, s := range seeds[4:] {
 		if r, err := parseResponse([]byte(s), true); err == nil && s != "HTTP/1.1 200\r\n\r\n" {
-			t.Errorf("%q gave %+v", s, r)
+			t.Errorf("%q gives %+v", s, r)
 		}
 	}
 	if _, err := parseResponse([]byte("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", maxHead)), false); err == nil {
-		t.Error("an endless head is waited for")
+		t.Error("an endless head is not an error")
 	}
 }
 
@@ -84,49 +85,48 @@
 	for _, bad := range []string{"", "[]", `{"all":true}`, `{"rev":1,"targets":[{"uid":"s","endpoint":"x","state":"odd"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","state":"up"}]}`, `{"rev":1,"targets":[{"endpoint":"x","state":"up"}]}`} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%s is taken", bad)
+			t.Errorf("%s is accepted", bad)
 		}
 	}
 }
 
-// After a redirect the new service is asked at once and for everything, since its versions are its own; that the old one
-// hangs up then, and that the new one fails at first, is no failure told.
-func TestRedirect(t *testing.T) {
-	calls := make(chan string, 16)
-	serve := func(name string, answers ...string) string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { ln.Close() })
-		go func() {
-			for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
-				t.Cleanup(func() { c.Close() })
-				in := bufio.NewScanner(c)
-				for in.Scan() && strings.HasPrefix(in.Text(), "GET ") {
-					calls <- name + " " + strings.Fields(in.Text())[1]
-					for in.Scan() && in.Text() != "" {
-					}
-					if len(answers) == 0 {
-						continue // the watch waits
-					}
-					fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answers[0][:3], len(answers[0])-4,
-						answers[0][4:])
-					answers = answers[1:]
+// discoveryWithAnswers is a service that gives its answers in order, each a status and a body, and leaves later calls waiting. calls gets its
+// name with the target of each call.
+func discoveryWithAnswers(t *testing.T, calls chan<- string, name string, answers ...string) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
+			t.Cleanup(func() { c.Close() })
+			in := bufio.NewScanner(c)
+			for in.Scan() && strings.HasPrefix(in.Text(), "GET ") {
+				calls <- name + " " + strings.Fields(in.Text())[1]
+				for in.Scan() && in.Text() != "" {
 				}
+				if len(answers) == 0 {
+					continue // the watch waits
+				}
+				fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answers[0][:3], len(answers[0])-4, answers[0][4:])
+				answers = answers[1:]
 			}
-		}()
-		return ln.Addr().String()
-	}
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// After a redirect the new service is called at once and for the whole list, since its versions are its own; that the old one hangs up then,
+// and that the new one fails at first, is not reported as a failure.
+func TestRedirect(t *testing.T) {
+	calls := make(chan string, 16)
 	l := netio.NewLoop()
-	if err := netio.Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	t.Cleanup(l.Stop)
-	told := make(chan proxy.Change, 16)
-	old := serve("old")
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.Change) { told <- ch }})
+	netiotest.Run(t, l)
+	changes := make(chan proxy.Change, 16)
+	old := discoveryWithAnswers(t, calls, "old")
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.Change) { changes <- ch }})
 	l.Post(func() { c.WatchList(true) })
 	expect := func(want string) {
 		t.Helper()
@@ -135,18 +135,17 @@
 		}
 	}
 	expect("old /discovery/hosts?from=90&hold_ms=4000")
-	addr := serve("new", "503 ", `200 {"rev":3,"all":true,"targets":[]}`)
+	addr := discoveryWithAnswers(t, calls, "new", "503 ", `200 {"rev":3,"all":true,"targets":[]}`)
 	l.Post(func() { c.Redirect(addr); c.WatchList(true) })
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts?from=3&hold_ms=4000")
-	if ch := <-told; ch.Kind != balancer.ListFull || ch.Version != 3 || len(told) > 0 {
-		t.Errorf("told %+v and %d more", ch, len(told))
+	if ch := <-changes; ch.Kind != balancer.ListFull || ch.Version != 3 || len(changes) > 0 {
+		t.Errorf("the client notifies of %+v and %d more", ch, len(changes))
 	}
 }
 
-// TestWatchesWaitLongerInALargerFleet: eighty proxies that each call every four seconds are twenty calls a second on a
-// service that works through fourteen; the fleet together makes about four, and one proxy waits no longer than it ever did.
+// TestWatchesWaitLongerInALargerFleet: the calls of all proxies together stay at four a second, so that discovery can answer them.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		sharing int
@@ -158,13 +157,13 @@
 			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchTimeout, c.want)
 		}
 		if k.watchTimeout+watchAnswerTimeout >= k.watchTimeout+2*time.Second {
-			t.Errorf("%d proxies: a silent call outlives the moment at which its news counts as told", c.sharing)
+			t.Errorf("%d proxies: a silent call lasts beyond the moment from which its list counts as received late", c.sharing)
 		}
 	}
 }
 
-// thousand is a whole list of n hosts as discovery writes it.
-func thousand(n int) []byte {
+// fullList is a list of n hosts as discovery writes it.
+func fullList(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"rev":7,"all":true,"targets":[`)
 	for i := 0; i < n; i++ {
@@ -181,7 +180,7 @@
 // TestListOfAThousand: a large list costs a few allocations a host, and nothing that grows faster than the list.
 func TestListOfAThousand(t *testing.T) {
 	cost := func(n int) float64 {
-		data := thousand(n)
+		data := fullList(n)
 		return testing.AllocsPerRun(5, func() {
 			ch, err := Parse(data)
 			if err != nil || len(ch.Hosts) != n {
@@ -197,7 +196,7 @@
 
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
-		data := thousand(n)
+		data := fullList(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; i < b.N; i++ {
--- /dev/null
+++ b/internal/dataplane/handshake/properties_test.go
@@ -0,0 +1,183 @@
+package handshake
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// handshakeState is what became of a handshake.
+type handshakeState string
+
+const (
+	waiting  handshakeState = "waiting"
+	inFlight handshakeState = "in_flight"
+	done     handshakeState = "done"
+	rejected handshakeState = "rejected"
+	dropped  handshakeState = "dropped"
+	late     handshakeState = "late"
+)
+
+// modelled is one handshake as the model knows it.
+type modelled struct {
+	state    handshakeState
+	host     string
+	deadline int64
+	resumed  bool
+}
+
+// model checks a budget against what is known of each handshake, and against a twin that gets the same calls.
+type model struct {
+	t            *rapid.T
+	limits       Limits
+	budget, twin *Budget
+	now          int64
+	last         uint64 // the last ID
+	handshakes   map[uint64]*modelled
+	inFlight     []uint64
+	weight       float64 // of all that has begun, against the rates
+	hostWeight   map[string]float64
+}
+
+func newModel(t *rapid.T) *model {
+	l := Limits{CPU: rapid.Float64Range(0.05, 1).Draw(t, "cpu"), Rate: rapid.Float64Range(5, 500).Draw(t, "rate"),
+		HostRate: rapid.Float64Range(2, 200).Draw(t, "hostRate"), AtOnce: rapid.IntRange(1, 20).Draw(t, "atOnce"),
+		HostAtOnce: rapid.IntRange(1, 8).Draw(t, "hostAtOnce"), Burst: 50 * time.Millisecond, Queue: 60,
+		ResumedFactor: 0.5}
+	return &model{t: t, limits: l, budget: New(l, 0), twin: New(l, 0), handshakes: map[uint64]*modelled{}, hostWeight: map[string]float64{}}
+}
+
+// end ends a handshake, which has to wait, or be in flight where it is done.
+func (m *model) end(id uint64, how handshakeState) {
+	h := m.handshakes[id]
+	if h == nil || h.state != waiting && !(how == done && h.state == inFlight) {
+		m.t.Fatalf("%d ended as %s after %+v", id, how, h)
+	}
+	h.state = how
+}
+
+func (m *model) enqueue() {
+	m.last++
+	h := &modelled{state: waiting, host: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(m.t, "host"))}
+	h.deadline = m.now + rapid.Int64Range(0, 800*ms).Draw(m.t, "within")
+	h.resumed = rapid.Bool().Draw(m.t, "resumed")
+	m.handshakes[m.last] = h
+	r := m.budget.Enqueue(m.now, m.last, h.host, h.resumed, h.deadline)
+	if r2 := m.twin.Enqueue(m.now, m.last, h.host, h.resumed, h.deadline); r2 != r {
+		m.t.Fatalf("answers differ: %v, %v", r, r2)
+	}
+	if r != None {
+		m.end(m.last, rejected)
+	}
+}
+
+func (m *model) finish() {
+	if len(m.inFlight) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(m.t, "which")
+	id := m.inFlight[i]
+	m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
+	cpu := time.Duration(rapid.Int64Range(0, 2*ms).Draw(m.t, "took"))
+	m.budget.Done(m.now, id, m.handshakes[id].resumed, cpu, true)
+	m.twin.Done(m.now, id, m.handshakes[id].resumed, cpu, true)
+	m.end(id, done)
+}
+
+func (m *model) drop() {
+	id := uint64(rapid.Int64Range(0, int64(m.last)).Draw(m.t, "drop"))
+	m.budget.Drop(id)
+	m.twin.Drop(id)
+	if h := m.handshakes[id]; h != nil && h.state == waiting {
+		m.end(id, dropped)
+	}
+}
+
+// begin begins what may begin.
+func (m *model) begin() {
+	begin, tooLate, _ := m.budget.Next(m.now)
+	begin2, tooLate2, _ := m.twin.Next(m.now)
+	if fmt.Sprint(begin, tooLate) != fmt.Sprint(begin2, tooLate2) || m.budget.Describe() != m.twin.Describe() {
+		m.t.Fatalf("the same calls gave %v %v and %v %v", begin, tooLate, begin2, tooLate2)
+	}
+	for _, id := range tooLate {
+		m.end(id, late)
+	}
+	for _, id := range begin {
+		h := m.handshakes[id]
+		if h.state != waiting || h.deadline < m.now {
+			m.t.Fatalf("%d began at %d: %+v", id, m.now, h)
+		}
+		h.state = inFlight
+		m.inFlight = append(m.inFlight, id)
+		weight := 1.0
+		if h.resumed {
+			weight = 0.5
+		}
+		m.weight += weight
+		m.hostWeight[h.host] += weight
+	}
+}
+
+// checkLimits looks for a limit that was passed by more than its burst and one.
+func (m *model) checkLimits() {
+	if len(m.inFlight) > m.limits.AtOnce {
+		m.t.Fatalf("%d in flight of %d", len(m.inFlight), m.limits.AtOnce)
+	}
+	byHost := map[string]int{}
+	for _, id := range m.inFlight {
+		byHost[m.handshakes[id].host]++
+	}
+	for host, n := range byHost {
+		if n > m.limits.HostAtOnce {
+			m.t.Fatalf("%d of %d in flight with %s", n, m.limits.HostAtOnce, host)
+		}
+	}
+	span := float64(m.now) / 1e9
+	if most := m.limits.Rate*span + math.Max(1, m.limits.Rate*0.05); m.weight > most+1e-6 {
+		m.t.Fatalf("%v handshakes in %v s of %v a second", m.weight, span, m.limits.Rate)
+	}
+	for host, weight := range m.hostWeight {
+		if most := m.limits.HostRate*span + math.Max(1, m.limits.HostRate*0.05); weight > most+1e-6 {
+			m.t.Fatalf("%v handshakes with %s in %v s of %v a second", weight, host, span, m.limits.HostRate)
+		}
+	}
+}
+
+// checkCounts compares what the budget says of itself.
+func (m *model) checkCounts() {
+	queued := 0
+	for _, h := range m.handshakes {
+		if h.state == waiting {
+			queued++
+		}
+	}
+	if queued != m.budget.Waiting() || len(m.inFlight) != m.budget.InFlight() {
+		m.t.Fatalf("%d wait, %d are in flight: %s", queued, len(m.inFlight), m.budget.Describe())
+	}
+}
+
+// Whatever is asked and however long it takes: over any span no limit is passed by more than its burst and one, every
+// request ends in one way, nothing begins past its deadline, and the same calls give the same answers.
+func TestProperties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			m.now += rapid.Int64Range(0, 20*ms).Draw(t, "dt")
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			case 0, 1:
+				m.enqueue()
+			case 2:
+				m.finish()
+			case 3:
+				m.drop()
+			}
+			m.begin()
+			m.checkLimits()
+		}
+		m.checkCounts()
+	})
+}
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -20,26 +20,51 @@
 	snapshot *proxy.Snapshot
 }
 
-func (s *recordedEvents) TakeOver() *proxy.Snapshot         { s.events <- "take"; return s.snapshot }
-func (s *recordedEvents) TakenOver(k *proxy.Snapshot)       { s.events <- "taken " + k.Discovery }
-func (s *recordedEvents) HostSuspended(id string, out bool) { s.events <- "byhand " + id }
-func (s *recordedEvents) ListChanged(k *proxy.Snapshot)     { s.events <- "listed " + k.Discovery }
+func (s *recordedEvents) TakeOver() *proxy.Snapshot         { s.events <- "take over"; return s.snapshot }
+func (s *recordedEvents) TakenOver(k *proxy.Snapshot)       { s.events <- "taken over " + k.Discovery }
+func (s *recordedEvents) HostSuspended(id string, out bool) { s.events <- "suspended " + id }
+func (s *recordedEvents) ListChanged(k *proxy.Snapshot)     { s.events <- "list " + k.Discovery }
 func (s *recordedEvents) DownstreamCount(n int)             { s.events <- "downstreams" }
 func (s *recordedEvents) ConnectionReceived(k *proxy.HandedOverConnection) {
-	s.events <- "standing " + k.Host
+	s.events <- "connection " + k.Host
 	k.Downstream.Discard([]byte("x"))
 	k.Upstream.Discard(nil)
 }
 func (s *recordedEvents) Gone() { s.events <- "gone" }
+
+// expect waits for the next event.
 func (s *recordedEvents) expect(t *testing.T, w string) {
 	t.Helper()
 	select {
 	case got := <-s.events:
 		if got != w {
-			t.Fatalf("told %q, want %q", got, w)
+			t.Fatalf("notified of %q, want %q", got, w)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not told %q", w)
+		t.Fatalf("not notified of %q", w)
+	}
+}
+
+// queuedClientIsAccepted has a client wait in the queue of a listener that the old process then closes: it gets to the new one, which has the
+// listener's descriptor.
+func queuedClientIsAccepted(t *testing.T, descriptor int, old net.Listener, oldFile *os.File) {
+	t.Helper()
+	c, err := net.Dial("tcp", old.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	oldFile.Close()
+	old.Close()
+	file := os.NewFile(uintptr(descriptor), "")
+	listener, err := net.FileListener(file)
+	file.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	if got, err := listener.Accept(); err != nil || got.RemoteAddr().String() != c.LocalAddr().String() {
+		t.Fatalf("accepted %v, %v; expected the client %v", got, err, c.LocalAddr())
 	}
 }
 
@@ -53,17 +78,17 @@
 	go l.Run()
 	t.Cleanup(l.Stop)
 	if p, h, err := RequestHandover(dir, "x:1", 10); p != nil || h != nil || err != nil {
-		t.Fatalf("with nobody there: %v %v %v", p, h, err)
+		t.Fatalf("without a process that serves: %v %v %v", p, h, err)
 	}
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	file, _ := first.(*net.TCPListener).File()
-	old, young := &recordedEvents{events: make(chan string, 9), snapshot: sample()}, &recordedEvents{events: make(chan string, 9)}
+	old, fresh := &recordedEvents{events: make(chan string, 9), snapshot: sample()}, &recordedEvents{events: make(chan string, 9)}
 	partners := make(chan *Partner, 1)
 	busy := false
-	door, err := Offer(l, dir, func(listen string) (*Handoff, error) {
+	endpoint, err := Offer(l, dir, func(listen string) (*Handoff, error) {
 		if busy || listen != "x:1" {
 			return nil, errors.New("not now")
 		}
@@ -73,49 +98,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close()
+	defer endpoint.Close()
 	if _, _, err := RequestHandover(dir, "y:1", 10); !errors.Is(err, ErrBusy) {
 		t.Errorf("for another address: %v", err)
 	}
-	p, h, err := RequestHandover(dir, "x:1", 10)
+	toOld, h, err := RequestHandover(dir, "x:1", 10)
 	if err != nil || !reflect.DeepEqual(h.Snapshot, sample()) || h.Datagram >= 0 {
 		t.Fatalf("%v %+v", err, h)
 	}
 	if _, _, err := RequestHandover(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
-		t.Errorf("a third: %v", err)
-	}
-	p.Run(l, young)
-	of := <-partners
-	p.TakeOver()
-	old.expect(t, "take")
-	young.expect(t, "taken 127.0.0.1:1")
-	of.HostSuspended("a", true)
-	young.expect(t, "byhand a")
-	p.HostSuspended("b", false)
-	old.expect(t, "byhand b")
-	of.SendDownstreamCount(3)
-	young.expect(t, "downstreams")
-	of.ListChanged(sample())
-	young.expect(t, "listed 127.0.0.1:1")
-	// A client that waits in the queue when the old process ends its listener gets to the new one.
-	c, err := net.Dial("tcp", first.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	file.Close()
-	first.Close()
-	mine := os.NewFile(uintptr(h.Listener), "")
-	second, err := net.FileListener(mine)
-	mine.Close()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer second.Close()
-	if got, err := second.Accept(); err != nil || got.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Fatalf("%v, %v", got, err)
+		t.Errorf("a third process: %v", err)
 	}
-	of.Close()
-	young.expect(t, "gone")
+	toOld.Run(l, fresh)
+	toFresh := <-partners
+	toOld.TakeOver()
+	old.expect(t, "take over")
+	fresh.expect(t, "taken over 127.0.0.1:1")
+	toFresh.HostSuspended("a", true)
+	fresh.expect(t, "suspended a")
+	toOld.HostSuspended("b", false)
+	old.expect(t, "suspended b")
+	toFresh.SendDownstreamCount(3)
+	fresh.expect(t, "downstreams")
+	toFresh.ListChanged(sample())
+	fresh.expect(t, "list 127.0.0.1:1")
+	queuedClientIsAccepted(t, h.Listener, first, file)
+	toFresh.Close()
+	fresh.expect(t, "gone")
 	old.expect(t, "gone")
 }
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -16,6 +16,7 @@
 	"croftlock/internal/operations/maintenance"
 )
 
+// sample is a snapshot with something in each field.
 func sample() *proxy.Snapshot {
 	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
@@ -26,7 +27,7 @@
 func TestStateFile(t *testing.T) {
 	dir, now := t.TempDir(), int64(10)
 	if k, err := Read(dir, now); k != nil || err != nil {
-		t.Fatalf("nothing kept gave %v, %v", k, err)
+		t.Fatalf("an empty folder gives %v, %v", k, err)
 	}
 	if _, err := writeState(dir, sample()); err != nil {
 		t.Fatal(err)
@@ -52,7 +53,7 @@
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
 		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
@@ -65,8 +66,8 @@
 	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
 }
 
-// A state that could not be written is retried, as the call that it is for has been answered. A folder that is missing for a while stands for a
-// full disk; a half-written file of a process that was killed is removed.
+// A write that fails is retried, since the call that it is for has been answered. A folder that is missing for a while stands for a full disk;
+// a half-written file of a process that was killed is removed.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	l := netio.NewLoop()
@@ -89,7 +90,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("kept %+v, %v", k, err)
+			t.Fatalf("stored %+v, %v", k, err)
 		}
 	}
 	half := filepath.Join(dir, "."+stateFile+".123")
@@ -98,7 +99,7 @@
 	}
 	NewStore(l, dir)
 	if _, err := os.Stat(half); !os.IsNotExist(err) {
-		t.Error("a half-written file stays")
+		t.Error("a half-written file is left")
 	}
 }
 
@@ -121,7 +122,7 @@
 		}
 		k.Rebase(now, true)
 		if since, until := now-k.Suspended[0].Since, k.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
-			t.Errorf("%s: out for %v, shunned for %v more", name, time.Duration(since), time.Duration(until))
+			t.Errorf("%s: suspended for %v, ejected for %v more", name, time.Duration(since), time.Duration(until))
 		}
 	}
 	old := &proxy.Snapshot{Suspended: sample().Suspended} // of a version that did not say when
@@ -139,13 +140,13 @@
 	if _, err := writeState(dir, first); err != nil {
 		t.Fatal(err)
 	}
-	rev := func(want int64) {
+	expectRevision := func(want int64) {
 		t.Helper()
 		if k, err := Read(dir, 10); err != nil || k == nil || k.Revision != want {
-			t.Fatalf("read %+v, %v; want version %d", k, err, want)
+			t.Fatalf("read %+v, %v; want revision %d", k, err, want)
 		}
 	}
-	rev(7)
+	expectRevision(7)
 	data, err := encodeState(second)
 	if err != nil {
 		t.Fatal(err)
@@ -154,9 +155,9 @@
 	if err := overwrite(spare, data); err != nil {
 		t.Fatal(err)
 	}
-	rev(8)
+	expectRevision(8)
 	if info, err := os.Stat(spare); err != nil || info.Size() < minSpareSize {
-		t.Errorf("%v, %v: written over it has lost its room", info, err)
+		t.Errorf("%v, %v: overwritten it has lost its size", info, err)
 	}
 	if err := overwrite(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
 		t.Fatal(err)
@@ -164,7 +165,7 @@
 	if err := overwrite(spare, []byte("croftlock-state 1 99 0")); err != nil {
 		t.Fatal(err)
 	}
-	rev(7)
+	expectRevision(7)
 	// A folder in which the state file cannot be replaced takes the state all the same.
 	second.WrittenAt, second.Revision = 9, 9
 	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
@@ -173,14 +174,14 @@
 	if err := os.MkdirAll(filepath.Join(dir, stateFile, "in the way"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if kept, err := writeState(dir, second); !kept || err == nil {
-		t.Errorf("kept %t, %v", kept, err)
+	if readable, err := writeState(dir, second); !readable || err == nil {
+		t.Errorf("readable %t, %v", readable, err)
 	}
 	os.RemoveAll(filepath.Join(dir, stateFile))
-	rev(9)
+	expectRevision(9)
 }
 
-// A process that closes the connection before it has answered may be able to hand over when it is asked again: that is an error, and not ErrBusy.
+// A process that closes the connection before it has answered may hand over when it is asked again: that is an error, and not ErrBusy.
 func TestBrokenOffAnswerIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -11,6 +11,7 @@
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/dataplane/proxy"
 )
 
@@ -67,11 +68,7 @@
 		}
 	}()
 	l := netio.NewLoop()
-	if err := netio.Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	netiotest.Run(t, l)
 	p := NewHealthChecks(l, PlainTCP(netio.NewDialer(l, 4)), []string{"x0", "pending"}, 1)
 	results := make(chan string, 8)
 	probe := func(host string) {
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/dataplane/proxy"
 )
 
@@ -37,11 +38,7 @@
 		}
 		return syscall.Write(fd, p)
 	})
-	if err := netio.Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	netiotest.Run(t, l)
 	o, err := ParseOpen([]byte(opening))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -28,8 +28,7 @@
 	return l
 }
 
-// A kernel that is short of buffers for a moment was taken for a broken connection that takes everything: the line was never sent, counted as
-// written, and its request waited for an answer until its time was up.
+// A kernel that is short of buffers for a moment breaks no connection: the line is sent again.
 func TestALineOutlivesAKernelShortOfBuffers(t *testing.T) {
 	for _, err := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
 		_, addr, _ := serveOn(t, failing(err, 3), func(c *Conn) { c.FinishWith([]byte("a line\r\n")) })
@@ -41,8 +40,8 @@
 	}
 }
 
-// A host accepted and reset its connection 3 ms later, while the kernel took no bytes for the client: the reset that was passed on took the
-// acceptance with it, which was the client's answer.
+// A host accepts and then resets its connection, while the kernel takes no bytes for the client: the reset that is passed on must not overtake
+// the acceptance, which is the client's answer.
 func TestAResetComesBehindTheAnswer(t *testing.T) {
 	_, addr, _ := serveOn(t, failing(syscall.ENOBUFS, 3), func(c *Conn) {
 		c.Write([]byte("UP x\r\n"))
@@ -56,21 +55,10 @@
 	}
 }
 
-// The loop stops accepting while the poller waits for it with a connection in its hand: each waited for the other, and a process that handed over stood
-// still.
-func TestStoppingWhileAConnectionIsTaken(t *testing.T) {
-	l := NewLoop()
-	if err := Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	n, err := Bind("127.0.0.1:0", false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := Serve(l, n, 1024, func(c *Conn) Handler {
-		c.FinishWith([]byte("here\r\n"))
-		return discardingHandler{}
-	}); err != nil {
+// The loop stops accepting while the poller waits for it with a connection that it has accepted: neither may wait for the other for ever.
+func TestStoppingWhileAConnectionIsAccepted(t *testing.T) {
+	l, n := attachedLoop(t), bound(t)
+	if err := Serve(l, n, 1024, greet); err != nil {
 		t.Fatal(err)
 	}
 	c := dial(t, n.Addr().String()) // nothing runs the loop yet, so the poller waits for it
@@ -102,7 +90,7 @@
 }
 
 // A write that fails for good ends its connection, and the line counts as not written.
-func TestAWriteThatFailsIsTold(t *testing.T) {
+func TestAWriteThatFailsIsReported(t *testing.T) {
 	for _, err := range []error{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		written := make(chan bool, 1)
 		_, addr, ends := serveOn(t, failing(err, 1), func(c *Conn) {
@@ -117,25 +105,24 @@
 		select {
 		case e := <-ends:
 			if e.Cause != Broke || e.Detail != err {
-				t.Errorf("%v: told %v", err, e)
+				t.Errorf("%v: the handler gets %v", err, e)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%v: the handler hears nothing", err)
+			t.Fatalf("%v: the handler is not notified", err)
 		}
 	}
 }
 
-// netpoll gives up a connection that stands where the kernel has no memory for watching it, or for a read: nobody was told, and the client's request
-// went without an answer. The connection goes on, with what had come in.
-func TestAConnectionOutlivesNetpollsHoldOnIt(t *testing.T) {
+// netpoll gives up an open connection where the kernel has no memory for watching it, or for a read. The connection goes on, with what had come in.
+func TestAConnectionOutlivesNetpollGivingItUp(t *testing.T) {
 	for _, times := range []int{1, 3} {
-		letGo := 0
+		givenUp := 0
 		_, addr, _ := serve(t, func(c *Conn) {
 			if in := string(c.Input()); len(in) < 8 || in[len(in)-1] != '.' {
 				return
 			}
-			if letGo < times {
-				letGo++
+			if givenUp < times {
+				givenUp++
 				c.transport.Close() // as netpoll does by itself
 				return
 			}
@@ -149,38 +136,38 @@
 			c.Write([]byte("."))
 		}
 		if got, err := io.ReadAll(c); err != nil || len(got) < len("half of a line.") || string(got[:15]) != "half of a line." {
-			t.Errorf("let go of %d times: got %q, %v", times, got, err)
+			t.Errorf("given up %d times: got %q, %v", times, got, err)
 		}
 	}
 }
 
-// A machine without descriptors or ports for a moment had its sound hosts shunned for seconds, one connect each. A host that refuses is told at once.
-func TestAConnectOutlivesAMachineShortOfThings(t *testing.T) {
+// A machine without descriptors or ports for a moment is no fault of a host: the connect is retried. A host that refuses is reported at once.
+func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
 	d := NewDialer(l, 1)
 	real := d.dial
 	for _, c := range []struct {
-		err    error
-		stands bool
+		err         error
+		established bool
 	}{{syscall.ENFILE, true}, {syscall.EADDRNOTAVAIL, true}, {syscall.ENOBUFS, true}, {syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false}} {
-		tries := 0
+		attempts := 0
 		d.dial = func(network, addr string, timeout time.Duration) (netpoll.Connection, error) {
-			if tries++; tries <= 3 {
+			if attempts++; attempts <= 3 {
 				return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", c.err)}
 			}
 			return real(network, addr, timeout)
 		}
-		stood := make(chan bool)
+		established := make(chan bool)
 		l.Post(func() {
-			d.Dial(addr, 10*time.Second, 1024, discardingHandler{}, func(c *Conn, err *Error) { stood <- err == nil })
+			d.Dial(addr, 10*time.Second, 1024, discardingHandler{}, func(c *Conn, err *Error) { established <- err == nil })
 		})
-		if got := <-stood; got != c.stands || c.stands && tries != 4 || !c.stands && tries != 1 {
-			t.Errorf("%v: stands %t after %d tries", c.err, got, tries)
+		if got := <-established; got != c.established || c.established && attempts != 4 || !c.established && attempts != 1 {
+			t.Errorf("%v: established %t after %d attempts", c.err, got, attempts)
 		}
 	}
 }
 
-// flaky is a listener's queue whose accept fails in one way after the other.
+// flaky is a listener whose accept fails in one way after the other.
 type flaky struct {
 	netpoll.Listener
 	errs []error
@@ -197,22 +184,10 @@
 
 // Accepting goes on whatever one accept says, and at once where there is a descriptor again.
 func TestAcceptingOutlivesItsErrors(t *testing.T) {
-	l := NewLoop()
-	if err := Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	go l.Run()
-	t.Cleanup(l.Stop)
-	n, err := Bind("127.0.0.1:0", false)
-	if err != nil {
-		t.Fatal(err)
-	}
+	l, n := runningLoop(t), bound(t)
 	n.Listener = &flaky{Listener: n.Listener, errs: []error{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.EPERM,
 		syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE}}
-	if err := Serve(l, n, 1024, func(c *Conn) Handler {
-		c.FinishWith([]byte("here\r\n"))
-		return discardingHandler{}
-	}); err != nil {
+	if err := Serve(l, n, 1024, greet); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -9,8 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that reads slowly has an unfinished line in the way of its last one, which was dropped: a client was cut off without
-// being told to move.
+// A peer that reads slowly gets its last line behind one that is not written whole yet: a client is not cut off without its migration line.
 func TestLastLineBehindAnUnfinishedOne(t *testing.T) {
 	line := append(bytes.Repeat([]byte("x"), 4094), "\r\n"...)
 	finished := make(chan struct{})
@@ -30,7 +29,7 @@
 	}
 }
 
-// What nobody goes on with still ends with whole lines, where its socket takes them; what somebody else goes on with is left to them.
+// A connection that nobody resumes still ends with whole lines, where its socket takes them; one that somebody else resumes is left alone.
 func TestPartsAreDiscardedWithTheirRest(t *testing.T) {
 	for _, c := range []struct{ last, want string }{{"MOVE\r\n", "of a line\r\nMOVE\r\n"}, {"", ""}} {
 		pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// peer is a handler that tells the test what happens; every call comes on the loop.
+// peer is a handler that passes on what happens; every call comes on the loop.
 type peer struct {
 	data   func(c *Conn)
 	closed chan *Error
@@ -19,12 +19,48 @@
 func (p *peer) Writable(c *Conn)           { p.data(c) }
 func (p *peer) Closed(c *Conn, err *Error) { p.closed <- err }
 
+// attachedLoop is a loop with its sockets that nothing runs yet.
+func attachedLoop(t *testing.T) *Loop {
+	t.Helper()
+	l := NewLoop()
+	if err := Attach(l); err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// runningLoop runs a loop with its sockets until the test ends.
+func runningLoop(t *testing.T) *Loop {
+	t.Helper()
+	l := attachedLoop(t)
+	go l.Run()
+	t.Cleanup(l.Stop)
+	return l
+}
+
+// bound is a listener on a free port.
+func bound(t *testing.T) *Listener {
+	t.Helper()
+	n, err := Bind("127.0.0.1:0", false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return n
+}
+
+// greet answers each connection with a line and finishes it.
+func greet(c *Conn) Handler {
+	c.FinishWith([]byte("here\r\n"))
+	return discardingHandler{}
+}
+
 // serve listens on a running loop; connections are handled by data.
 func serve(t *testing.T, data func(c *Conn)) (*Loop, string, chan *Error) {
 	t.Helper()
 	return serveOn(t, NewLoop(), data)
 }
 
+// serveOn is serve on a loop of the test's.
 func serveOn(t *testing.T, l *Loop, data func(c *Conn)) (*Loop, string, chan *Error) {
 	t.Helper()
 	if err := Attach(l); err != nil {
@@ -50,7 +86,7 @@
 	return c.(*net.TCPConn)
 }
 
-// A client that sends and does not read must be stopped, not stored, and must lose nothing when it reads at last.
+// A client that sends and does not read is stopped and not buffered without limit, and loses nothing when it reads at last.
 func TestBackPressure(t *testing.T) {
 	stopped := make(chan struct{}, 1000)
 	most := 0
@@ -80,11 +116,11 @@
 		t.Errorf("ended by %v", err)
 	}
 	if most > 4096+inputOvershoot {
-		t.Fatalf("%d bytes were held", most)
+		t.Fatalf("%d bytes were buffered", most)
 	}
 }
 
-// netpoll tells an end and a reset alike, but they are passed on in kind.
+// netpoll reports an end and a reset alike; they are passed on as what they are.
 func TestHowPeersEnd(t *testing.T) {
 	_, addr, closed := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	for _, want := range []Cause{Ended, Broke} {
@@ -115,7 +151,7 @@
 	}
 	good.Write([]byte("g"))
 	if _, err := io.ReadFull(good, make([]byte, 1)); err != nil {
-		t.Fatal("another connection suffered:", err)
+		t.Fatal("another connection ended:", err)
 	}
 }
 
@@ -131,7 +167,7 @@
 	results := make(chan string, 8)
 	back := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
 	l.Post(func() {
-		d.Dial(addr, time.Minute, 4096, back, func(*Conn, *Error) { results <- "dropped, yet told" }).Drop()
+		d.Dial(addr, time.Minute, 4096, back, func(*Conn, *Error) { results <- "dropped, yet notified" }).Drop()
 		d.Dial(refusing, time.Minute, 4096, back, func(c *Conn, err *Error) {
 			results <- err.Error()[:len("refused while connecting")]
 			d.Dial(addr, time.Minute, 4096, back, func(c *Conn, err *Error) { c.Write([]byte("hello")) })
@@ -144,7 +180,7 @@
 	}
 }
 
-// Dials to one address must not use up the dialers while it does not answer.
+// Dials to an address that does not answer leave dialers to the others.
 func TestVanishedHostLeavesDialers(t *testing.T) {
 	d := &Dialer{loop: NewLoop(), busy: map[string]int{"vanished": 1}, share: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
@@ -189,7 +225,7 @@
 				want = append(want, p[:b.Append(p)]...)
 			}
 			if !bytes.Equal(b.Bytes(), want) || len(want) > 2000 || cap(b.data) > 2000 {
-				t.Fatalf("holds %d bytes in %d, want %d", b.Len(), cap(b.data), len(want))
+				t.Fatalf("buffers %d bytes in %d, want %d", b.Len(), cap(b.data), len(want))
 			}
 		}
 	})
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -8,50 +8,54 @@
 	"time"
 )
 
-// A connection that is let go of and taken up again, over and over while bytes go both ways, loses none and changes none.
-func TestReleaseLosesNothing(t *testing.T) {
-	var l *Loop
-	var h *peer
-	count := 0
-	echo := func(c *Conn) {
-		for len(c.Input()) > 0 && c.Write(c.Input()[:min(512, len(c.Input()))]) {
-			c.Consume(min(512, len(c.Input())))
-		}
+// echo sends back what has come, as far as the peer takes it.
+func echo(c *Conn) {
+	for len(c.Input()) > 0 && c.Write(c.Input()[:min(512, len(c.Input()))]) {
+		c.Consume(min(512, len(c.Input())))
 	}
-	over := make(chan Parts, 1)
-	l = NewLoop()
-	if err := Attach(l); err != nil {
-		t.Fatal(err)
-	}
-	h = &peer{closed: make(chan *Error, 8)}
-	var again func(c *Conn)
-	again = func(c *Conn) {
-		l.After(time.Millisecond, func() {
-			c.Release(func(p Parts) {
-				if p.FD < 0 {
-					over <- p
-					return
-				}
-				count++
-				if err := Resume(l, p, 4096, h, func(c *Conn) {
-					again(c)
-					l.Post(func() { echo(c) })
-				}); err != nil {
-					t.Error(err)
-				}
+}
+
+// releasedConn is a connection that is released and resumed over and over, until it ends.
+type releasedConn struct {
+	t        *testing.T
+	loop     *Loop
+	handler  *peer
+	released int
+	over     chan Parts // its last parts
+}
+
+// releaseSoon releases the connection in a moment, and resumes it.
+func (r *releasedConn) releaseSoon(c *Conn) {
+	r.loop.After(time.Millisecond, func() {
+		c.Release(func(p Parts) {
+			if p.FD < 0 {
+				r.over <- p
+				return
+			}
+			r.released++
+			err := Resume(r.loop, p, 4096, r.handler, func(c *Conn) {
+				r.releaseSoon(c)
+				r.loop.Post(func() { echo(c) })
 			})
+			if err != nil {
+				r.t.Error(err)
+			}
 		})
-	}
-	h.data = echo
-	addr, err := Listen(l, "127.0.0.1:0", 4096, func(c *Conn) Handler {
-		again(c)
-		return h
+	})
+}
+
+// A connection that is released and resumed over and over while bytes go both ways loses none and changes none.
+func TestReleaseLosesNothing(t *testing.T) {
+	r := &releasedConn{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan Parts, 1)}
+	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
+		r.releaseSoon(c)
+		return r.handler
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	go r.loop.Run()
+	t.Cleanup(r.loop.Stop)
 	// As much is under way as a connection may hold, and no more: who sends without end may be cut off meanwhile.
 	sent, got := make([]byte, 16<<10), make([]byte, 16<<10)
 	rng := rand.New(rand.NewSource(2))
@@ -66,25 +70,22 @@
 		}
 	}
 	select {
-	case err := <-h.closed:
-		t.Errorf("it ended by itself: %v", err)
+	case err := <-r.handler.closed:
+		t.Errorf("the connection ended: %v", err)
 	default:
 	}
 	c.Close()
-	if p := <-over; p.FD >= 0 {
-		t.Error("a connection that has ended gave its parts")
+	if p := <-r.over; p.FD >= 0 {
+		t.Error("a connection that has ended gives its parts")
 	}
-	if count == 0 {
-		t.Error("it was never let go of")
+	if r.released == 0 {
+		t.Error("it was never released")
 	}
 }
 
 // Accepting stops at once and begins again; what came meanwhile waits in the queue.
 func TestListenerStopsAndGoesOn(t *testing.T) {
-	l := NewLoop()
-	if err := Attach(l); err != nil {
-		t.Fatal(err)
-	}
+	l := attachedLoop(t)
 	n, err := Bind("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
@@ -106,9 +107,9 @@
 		dial(t, n.Addr().String())
 		<-came
 		n.Stop()
-		dial(t, n.Addr().String()) // it waits
+		dial(t, n.Addr().String()) // waits in the queue
 		if round%2 == 0 {
-			time.Sleep(time.Millisecond) // netpoll has let go by now, or not
+			time.Sleep(time.Millisecond) // netpoll has stopped by now, or not
 		}
 		l.Post(serve)
 		<-came
