--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -11,68 +11,70 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// holder is a module that keeps what it is asked, and tells which clients have left.
-type holder struct {
-	refuser
-	asked, gone chan string
+// queueingBalancer answers no request, and passes on which came and whose client has left.
+type queueingBalancer struct {
+	rejectingBalancer
+	arrived, left chan string
 }
 
-func newHolder() *holder { return &holder{asked: make(chan string, 8), gone: make(chan string, 8)} }
+func newQueueingBalancer() *queueingBalancer {
+	return &queueingBalancer{arrived: make(chan string, 8), left: make(chan string, 8)}
+}
 
-func (m *holder) RequestArrived(_ balancer.Time, q balancer.Request) { m.asked <- q.ID }
-func (m *holder) ClientLeft(_ balancer.Time, id string)              { m.gone <- id }
+func (m *queueingBalancer) RequestArrived(_ balancer.Time, q balancer.Request) { m.arrived <- q.ID }
+func (m *queueingBalancer) ClientLeft(_ balancer.Time, id string)              { m.left <- id }
 
 const idOfOpening = "9b1f03aa5c7e2d41"
 
-// A client that sends much before its answer fills what may wait for it, is read no further, and could leave without anybody seeing
-// its end behind that: attempts went on for it.
+// A client that sends much before its answer fills its buffer and is read no further, so that its end behind that would not be seen: its
+// request ends at once, else attempts would go on for it.
 func TestMuchSentBeforeTheAnswer(t *testing.T) {
-	m := newHolder()
+	m := newQueueingBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	much := strings.Repeat("M\r\n", inputLimit/3+1)
 
 	along := r.dial()
 	io.WriteString(along, opening+much)
 	expect(t, along, "ERR\r\n")
-	if asked, gone := <-m.asked, <-m.gone; asked != gone {
-		t.Errorf("asked for %q, and %q has left", asked, gone)
+	if arrived, left := <-m.arrived, <-m.left; arrived != left {
+		t.Errorf("%q arrived, and the client of %q has left", arrived, left)
 	}
 
 	later := r.dial()
 	io.WriteString(later, opening)
-	<-m.asked
+	<-m.arrived
 	io.WriteString(later, much)
 	expect(t, later, "ERR\r\n")
-	if id := <-m.gone; id != idOfOpening {
-		t.Errorf("%q has left", id)
+	if id := <-m.left; id != idOfOpening {
+		t.Errorf("the client of %q has left, want %q", id, idOfOpening)
 	}
 }
 
-// A connection that rests is closed in the moment in which its client sends a request: that request needs an answer all the same.
-func TestARestingClientIsToldToComeAgain(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newHolder() })
-	resting := r.dial()
+// An idle connection is closed in the moment in which its client sends a request: that request needs an answer all the same.
+func TestIdleClientIsRejected(t *testing.T) {
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
+	idle := r.dial()
 	ask(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
 	r.do(func() { r.front.EndIdle(false) })
-	io.WriteString(resting, opening) // it has not read yet that it has been dismissed
-	expect(t, resting, "BUSY 500\r\n")
+	io.WriteString(idle, opening) // it has not read yet that it is rejected
+	expect(t, idle, "BUSY 500\r\n")
 }
 
-// A process that leaves and carries nothing else ended half a second after its signal, whatever was on its way to it.
-func TestLeavingWaitsForAFirstLineThatIsHalfRead(t *testing.T) {
-	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newHolder() })
+// A shutdown with nothing else left waits for a first line that has come in part.
+func TestShutdownWaitsForAFirstLine(t *testing.T) {
+	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	half, pinging := r.dial(), r.dial()
 	io.WriteString(half, opening[:20])
 	ask(t, pinging, "PING\r\n", "PONG\r\n")
-	left := make(chan struct{})
-	r.do(func() { r.core.Shutdown(func() { close(left) }) })
+	ended := make(chan struct{})
+	r.do(func() { r.core.Shutdown(func() { close(ended) }) })
 	for range 20 {
 		r.pass(50 * time.Millisecond)
 		r.do(func() {})
 	}
 	select {
-	case <-left:
-		t.Fatal("it has left a request behind")
+	case <-ended:
+		t.Fatal("it has ended before a request was answered")
 	default:
 	}
 	expect(t, pinging, "")
@@ -83,22 +85,22 @@
 	for {
 		r.pass(50 * time.Millisecond)
 		select {
-		case <-left:
+		case <-ended:
 			return
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// A client that ends its side has left: from here the two can't be told apart, and nothing may begin for one that has.
+// A client that ends its side counts as one that has left, since from here the two look alike.
 func TestAHalfClosedClientHasLeft(t *testing.T) {
-	m := newHolder()
+	m := newQueueingBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	c := r.dial()
 	io.WriteString(c, opening)
-	asked := <-m.asked
+	arrived := <-m.arrived
 	c.(*net.TCPConn).CloseWrite()
-	if gone := <-m.gone; gone != asked {
-		t.Errorf("asked for %q, and %q has left", asked, gone)
+	if left := <-m.left; left != arrived {
+		t.Errorf("%q arrived, and the client of %q has left", arrived, left)
 	}
 }
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -13,29 +13,31 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// refuser is a module that refuses what it is asked.
-type refuser struct{ fx balancer.Effects }
+// rejectingBalancer rejects every request.
+type rejectingBalancer struct{ fx balancer.Effects }
 
-func (m refuser) RequestArrived(_ balancer.Time, q balancer.Request)                          { m.fx.Reject(q.ID, 7e6) }
-func (refuser) ConnectionAdopted(balancer.Time, balancer.Request, string)                     {}
-func (refuser) AttemptEstablished(balancer.Time, string, int, balancer.Time)                  {}
-func (refuser) ClientLeft(balancer.Time, string)                                              {}
-func (refuser) Observe(balancer.Time, string, int, balancer.Observation, float64)             {}
-func (refuser) ListReceived(balancer.Time, balancer.ListChange, int64, []balancer.ListedHost) {}
-func (refuser) TimerFired(balancer.Time, string)                                              {}
-func (refuser) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, balancer.Time, []float64) {
+func (m rejectingBalancer) RequestArrived(_ balancer.Time, q balancer.Request) {
+	m.fx.Reject(q.ID, 7e6)
 }
-func (refuser) PeerMessageReceived(balancer.Time, int, []byte)     {}
-func (refuser) Snapshot(bool) balancer.Snapshot                    { return balancer.Snapshot{} }
-func (refuser) Restore(balancer.Time, balancer.Snapshot)           {}
-func (refuser) Ejected(balancer.Time, string) bool                 { return false }
-func (refuser) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
+func (rejectingBalancer) ConnectionAdopted(balancer.Time, balancer.Request, string)         {}
+func (rejectingBalancer) AttemptEstablished(balancer.Time, string, int, balancer.Time)      {}
+func (rejectingBalancer) ClientLeft(balancer.Time, string)                                  {}
+func (rejectingBalancer) Observe(balancer.Time, string, int, balancer.Observation, float64) {}
+func (rejectingBalancer) ListReceived(balancer.Time, balancer.ListChange, int64, []balancer.ListedHost) {
+}
+func (rejectingBalancer) TimerFired(balancer.Time, string) {}
+func (rejectingBalancer) HealthCheckEnded(balancer.Time, string, balancer.AttemptStatus, balancer.Time, []float64) {
+}
+func (rejectingBalancer) PeerMessageReceived(balancer.Time, int, []byte)     {}
+func (rejectingBalancer) Snapshot(bool) balancer.Snapshot                    { return balancer.Snapshot{} }
+func (rejectingBalancer) Restore(balancer.Time, balancer.Snapshot)           {}
+func (rejectingBalancer) Ejected(balancer.Time, string) bool                 { return false }
+func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
-// front serves clients with room for two that have no request and none for requests beyond the given number. pass
-// moves its clock.
+// front serves clients, with capacity for two without a request and for so many with one. pass moves its clock.
 func front(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
-	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return refuser{fx} })
+	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
 	return r.dial, r.pass
 }
 
@@ -55,6 +57,7 @@
 	<-done
 }
 
+// newFrontRig starts a front with the decision module that a test gives.
 func newFrontRig(t *testing.T, maxDownstreams int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
@@ -101,6 +104,7 @@
 	}
 }
 
+// ask sends something and reads the answer, where one is wanted.
 func ask(t *testing.T, c net.Conn, send, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -113,8 +117,8 @@
 
 const opening = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,t=t,d=2000\r\n"
 
-// Hundreds that say nothing took the room of those with a request, which waited 14 s to get in.
-func TestSilentClientsMakeRoom(t *testing.T) {
+// Clients that send nothing take no capacity of those with a request.
+func TestSilentClientsAreEvicted(t *testing.T) {
 	dial, _ := front(t, 2)
 	silent, half := dial(), dial()
 	ask(t, half, "PING\r\nOP", "PONG\r\n")
@@ -127,7 +131,7 @@
 	ask(t, next, opening, "BUSY 7\r\n")
 }
 
-// A client gets so long for its first line however it cuts it; a PING gives it more.
+// A client has the same time for its first line in however many pieces; a PING gives it more.
 func TestFirstLineInTime(t *testing.T) {
 	dial, pass := front(t, 1)
 	silent := dial()
@@ -146,7 +150,7 @@
 	expect(t, fresh, "BUSY 500\r\n")
 }
 
-// A close with bytes unread is a reset, and that took the answer with it.
+// A close with bytes unread is a reset, which must not overtake the answer.
 func TestAnswerBeforeTheEnd(t *testing.T) {
 	dial, _ := front(t, 1)
 	c := dial()
@@ -156,8 +160,8 @@
 	expect(t, c, "ERR\r\n")
 }
 
-// The same holds for a client that there is no room for, which is told when to come back.
-func TestNoRoom(t *testing.T) {
+// The same holds for a client beyond the capacity, which gets a Retry-After.
+func TestOverCapacity(t *testing.T) {
 	dial, _ := front(t, 0)
 	c := dial()
 	io.WriteString(c, opening+strings.Repeat("M\r\n", 50000))
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -45,82 +45,104 @@
 	})
 }
 
-// Probes against a host that says what the test has it say, in two pieces where it can be cut.
-func TestProbes(t *testing.T) {
-	said, asked := make(chan string, 8), make(chan net.Conn, 64)
+// checkRig is a host that answers health checks as the test has it, and a checker with capacity for one connection.
+type checkRig struct {
+	t       *testing.T
+	loop    *netio.Loop
+	checks  *HealthChecks
+	address string
+	answers chan string   // of the host, in order; each is sent in two pieces
+	asked   chan net.Conn // the connection of each health check that the host has read
+	results chan string
+}
+
+func newCheckRig(t *testing.T) *checkRig {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
+	r := &checkRig{t: t, loop: netio.NewLoop(), address: ln.Addr().String(), answers: make(chan string, 8), asked: make(chan net.Conn, 64), results: make(chan string, 8)}
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
-			go func() {
-				for in := bufio.NewScanner(c); in.Scan() && in.Text() == "STATS"; {
-					asked <- c
-					answer := <-said
-					fmt.Fprint(c, answer[:len(answer)/2])
-					time.Sleep(5 * time.Millisecond)
-					fmt.Fprint(c, answer[len(answer)/2:])
-				}
-				c.Close()
-			}()
+			go r.serve(c)
 		}
 	}()
-	l := netio.NewLoop()
-	netiotest.Run(t, l)
-	p := NewHealthChecks(l, PlainTCP(netio.NewDialer(l, 4)), []string{"x0", "pending"}, 1)
-	results := make(chan string, 8)
-	probe := func(host string) {
-		l.Post(func() {
-			p.Check(proxy.Target{ID: host, Address: ln.Addr().String()}, func(s balancer.AttemptStatus, load []float64) { results <- fmt.Sprint(s, load) })
-		})
+	netiotest.Run(t, r.loop)
+	r.checks = NewHealthChecks(r.loop, PlainTCP(netio.NewDialer(r.loop, 4)), []string{"x0", "pending"}, 1)
+	return r
+}
+
+// serve is the host's side of a connection.
+func (r *checkRig) serve(c net.Conn) {
+	for in := bufio.NewScanner(c); in.Scan() && in.Text() == "STATS"; {
+		r.asked <- c
+		answer := <-r.answers
+		fmt.Fprint(c, answer[:len(answer)/2])
+		time.Sleep(5 * time.Millisecond)
+		fmt.Fprint(c, answer[len(answer)/2:])
 	}
-	expect := func(want string) {
-		t.Helper()
-		select {
-		case got := <-results:
-			if got != want {
-				t.Fatalf("%s, want %s", got, want)
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatalf("no result, want %s", want)
+	c.Close()
+}
+
+// check begins a health check of a host, at the one address that there is.
+func (r *checkRig) check(host string) {
+	r.loop.Post(func() {
+		r.checks.Check(proxy.Target{ID: host, Address: r.address}, func(s balancer.AttemptStatus, load []float64) { r.results <- fmt.Sprint(s, load) })
+	})
+}
+
+// expect waits for the next result.
+func (r *checkRig) expect(want string) {
+	r.t.Helper()
+	select {
+	case got := <-r.results:
+		if got != want {
+			r.t.Fatalf("%s, want %s", got, want)
 		}
+	case <-time.After(20 * time.Second):
+		r.t.Fatalf("no result, want %s", want)
 	}
-	said <- "PONG x0=0.5,queue=2\r\n"
-	probe("s1")
-	expect("ok [0.5 2]")
-	said <- "ERR x0=0.75,queue=0\r\n"
-	probe("s1")
-	expect("error [0.75 0]")
-	if first, second := <-asked, <-asked; first != second {
-		t.Error("two connections for two probes of one host")
+}
+
+// Health checks of hosts that answer, answer late, break off, and refuse.
+func TestHealthChecks(t *testing.T) {
+	r := newCheckRig(t)
+	r.answers <- "PONG x0=0.5,queue=2\r\n"
+	r.check("s1")
+	r.expect("ok [0.5 2]")
+	r.answers <- "ERR x0=0.75,queue=0\r\n"
+	r.check("s1")
+	r.expect("error [0.75 0]")
+	if first, second := <-r.asked, <-r.asked; first != second {
+		t.Error("two connections for two health checks of one host")
 	}
-	probe("s2") // there is room for one connection: the first one's goes; this one is never answered
-	expect("timeout []")
-	<-asked
-	probe("s3")
-	(<-asked).Close()
-	expect("reset []")
-	probe("s4")
-	probe("s5") // the one connection is in use
-	expect("moot []")
-	l.Post(func() { p.Forget("s4") })
-	expect("cancelled []")
+	r.check("s2") // the first host's connection ends, since there is capacity for one; this one is never answered
+	r.expect("timeout []")
+	<-r.asked
+	r.check("s3")
+	(<-r.asked).Close()
+	r.expect("reset []")
+	r.check("s4")
+	r.check("s5") // the one connection is in use
+	r.expect("moot []")
+	r.loop.Post(func() { r.checks.Forget("s4") })
+	r.expect("cancelled []")
 	for range 3 {
-		said <- strings.Repeat("x", 10) + "\r\n" // the answers that nobody waits for any more
+		r.answers <- strings.Repeat("x", 10) + "\r\n" // the answers that nobody waits for any more
 	}
-	said <- "NO\r\n"
+	r.answers <- "NO\r\n"
 	for range 2 {
-		probe("s6")
+		r.check("s6")
 		time.Sleep(20 * time.Millisecond)
 	}
-	for done := false; !done; {
+	for denied := false; !denied; {
 		select {
-		case got := <-results:
-			done = got == "moot []"
+		case got := <-r.results:
+			denied = got == "moot []"
 		default:
-			probe("s6")
+			r.check("s6")
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FuzzCut feeds lines in random cuts: what comes out must not depend on them, and no input may panic or be kept past
+// FuzzCut feeds lines in random cuts: what comes out must not depend on them, and no input may panic or be buffered past
 // the longest line.
 func FuzzCut(f *testing.F) {
 	for i, s := range []string{"PING\r\n", "OPEN a b c=x,d=20\r\nM 1 x\r\nM 2 y\r\n", "\r\n\r\n", "x\ny\r\n", "\n", "a\rb\r\n",
@@ -24,34 +24,34 @@
 			n := 1 + rng.Intn(len(rest))
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
-		got, held, err := cutAll(pieces)
+		got, buffered, err := cutAll(pieces)
 		if err != wholeErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(whole, nil)) || len(got) != len(whole) {
 			t.Fatalf("in pieces %q %v, whole %q %v", got, err, whole, wholeErr)
 		}
-		if held >= MaxLine {
-			t.Fatalf("%d bytes held without an error", held)
+		if buffered >= MaxLine {
+			t.Fatalf("%d bytes buffered without an error", buffered)
 		}
 	})
 }
 
-// cutAll cuts what the pieces bring, and tells the most that was left waiting for more.
-func cutAll(pieces [][]byte) (lines [][]byte, held int, err error) {
+// cutAll cuts the pieces into lines; buffered is the most that was left for more to come.
+func cutAll(pieces [][]byte) (lines [][]byte, buffered int, err error) {
 	var in []byte
 	for _, p := range pieces {
 		in = append(in, p...)
 		for {
 			l, err := Cut(in)
 			if err != nil {
-				return lines, held, err
+				return lines, buffered, err
 			}
 			if l == nil {
 				break
 			}
 			lines, in = append(lines, bytes.Clone(l)), in[len(l):]
 		}
-		held = max(held, len(in))
+		buffered = max(buffered, len(in))
 	}
-	return lines, held, nil
+	return lines, buffered, nil
 }
 
 const head = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
@@ -64,7 +64,7 @@
 	head + "d=1.5", head + "d=99999999999", head + "r=2", head + "r=", head + "again=yes", head + "g=q", head + "h=NaN",
 	head + "h=-1", head + "h=0x1p4", head + "new=z", head + "new=Inf", head + "c=x,c=x", "HELLO", ""}
 
-// A host that can't read a line says SYNTAX, which is held against the proxy: what is not the protocol's form ends here.
+// A host that can't read a line says SYNTAX, which is the proxy's fault: what is not the protocol's form is rejected here.
 func TestOpenForm(t *testing.T) {
 	for _, s := range readable {
 		if _, err := ParseOpen([]byte(s + "\r\n")); err != nil {
@@ -73,7 +73,7 @@
 	}
 	for _, s := range unreadable {
 		if _, err := ParseOpen([]byte(s + "\r\n")); err == nil {
-			t.Errorf("%q is taken", s)
+			t.Errorf("%q is accepted", s)
 		}
 	}
 }
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -12,17 +12,17 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// unheard takes what an attempt tells.
-type unheard struct{}
+// noEvents takes what an upstream connection notifies of.
+type noEvents struct{}
 
-func (unheard) MaySend() bool                     { return true }
-func (unheard) UpstreamSent()                     {}
-func (unheard) FromUpstream(m proxy.Message) bool { return true }
-func (unheard) UpstreamReady()                    {}
-func (unheard) UpstreamEnded(err *netio.Error)    {}
+func (noEvents) MaySend() bool                     { return true }
+func (noEvents) UpstreamSent()                     {}
+func (noEvents) FromUpstream(m proxy.Message) bool { return true }
+func (noEvents) UpstreamReady()                    {}
+func (noEvents) UpstreamEnded(err *netio.Error)    {}
 
-// An attempt whose line waited for a kernel short of buffers was given up, counted as one that has not run, and its line went out all the same.
-func TestALineThatIsGivenUpDoesNotGoOut(t *testing.T) {
+// An attempt whose line waits for a kernel short of buffers is ended, and counts as one that has not run: its line must not go out afterwards.
+func TestLineOfAnEndedAttemptIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 	defer ln.Close()
 	l := netio.NewLoop()
 	tried := make(chan bool, 64)
-	short := true // of buffers, until the attempt has been given up; it is the loop's
+	short := true // of buffers, until the attempt has ended; it is the loop's
 	l.SetSend(func(fd int, p []byte) (int, error) {
 		if short {
 			tried <- true
@@ -45,7 +45,7 @@
 	}
 	l.Post(func() {
 		hosts := NewConnector(l, PlainTCP(netio.NewDialer(l, 1)), nil)
-		u := hosts.Start(proxy.Target{Address: ln.Addr().String()}, o, l.Now()+int64(time.Minute), 10*time.Second, unheard{})
+		u := hosts.Start(proxy.Target{Address: ln.Addr().String()}, o, l.Now()+int64(time.Minute), 10*time.Second, noEvents{})
 		go func() {
 			<-tried
 			l.Post(func() {
