--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -27,6 +27,7 @@
 	skew atomic.Int64 // what the wall clock is ahead by
 }
 
+// newBench starts a link; change alters its options before that.
 func newBench(t *testing.T, change func(b *bench)) *bench {
 	t.Helper()
 	pki, err := fake.NewPki(name)
@@ -56,6 +57,7 @@
 	return b
 }
 
+// file writes a file into the folder.
 func (b *bench) file(file string, data []byte) string {
 	b.t.Helper()
 	path := filepath.Join(b.dir, file)
@@ -79,12 +81,12 @@
 	err    *netio.Error
 	data   chan []byte
 	closed chan *netio.Error
-	eat    func(c *netio.Conn)
+	handle func(c *netio.Conn) // reads what has come; nil: all of it goes to data
 }
 
 func (c *conn) Data(n *netio.Conn) {
-	if c.eat != nil {
-		c.eat(n)
+	if c.handle != nil {
+		c.handle(n)
 		return
 	}
 	c.data <- bytes.Clone(n.Input())
@@ -92,18 +94,31 @@
 }
 
 func (c *conn) Writable(n *netio.Conn) {
-	if c.eat != nil {
-		c.eat(n)
+	if c.handle != nil {
+		c.handle(n)
 	}
 }
 
 func (c *conn) Closed(_ *netio.Conn, err *netio.Error) { c.closed <- err }
 
 // dial opens a connection and waits for what becomes of it.
-func (b *bench) dial(addr string, within time.Duration) *conn { return b.dialEating(addr, within, nil) }
+func (b *bench) dial(addr string, within time.Duration) *conn { return b.dialWith(addr, within, nil) }
 
-func (b *bench) dialEating(addr string, within time.Duration, eat func(*netio.Conn)) *conn {
-	c := &conn{b: b, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), eat: eat}
+// open opens a connection on which the server has accepted a request.
+func (b *bench) open(addr string) *conn {
+	b.t.Helper()
+	c := b.dial(addr, 5*time.Second)
+	if c.err != nil {
+		b.t.Fatal(c.err)
+	}
+	c.write(open)
+	c.read(up)
+	return c
+}
+
+// dialWith is dial for a connection whose input handle reads.
+func (b *bench) dialWith(addr string, within time.Duration, handle func(*netio.Conn)) *conn {
+	c := &conn{b: b, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), handle: handle}
 	done := make(chan struct{})
 	b.loop.Post(func() {
 		b.link.Dial(Host{"s1", "a", addr}, within, 4096, c, func(n *netio.Conn, err *netio.Error) {
@@ -115,10 +130,12 @@
 	return c
 }
 
+// write sends text.
 func (c *conn) write(text string) {
 	c.b.on(func() { c.c.Write([]byte(text)) })
 }
 
+// read waits for exactly that text.
 func (c *conn) read(want string) {
 	c.b.t.Helper()
 	got := ""
@@ -151,11 +168,12 @@
 	case err := <-c.closed:
 		return err
 	case <-time.After(20 * time.Second):
-		c.b.t.Fatal("it does not end")
+		c.b.t.Fatal("the connection does not end")
 		return nil
 	}
 }
 
+// reason is why there is no connection; "": there is one, or it failed for another cause than TLS.
 func (c *conn) reason() Reason {
 	var f *Failure
 	if c.err == nil || !errors.As(c.err, &f) {
@@ -164,7 +182,7 @@
 	return f.Reason
 }
 
-// server is a catalogue server that shows what the pki has for it.
+// server is a catalogue server with a certificate for its name.
 func (b *bench) server(config *tls.Config) *fake.Server {
 	b.t.Helper()
 	if config == nil {
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -14,8 +14,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Every fault ends as a connection that never stood, with its reason, and no byte of a request reaches the server; where
-// the handshake is sound the connection breaks afterwards.
+// Every fault ends as a connection that was never established, with its reason, and no byte of a request reaches the server; where the
+// handshake is sound the connection breaks afterwards.
 func TestFaults(t *testing.T) {
 	for _, f := range fake.Faults() {
 		t.Run(f.Kind, func(t *testing.T) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A TLS 1.2 server is spoken to where the operator says so, and a URI name is held to the letter.
+// A TLS 1.2 server is used where the operators allow it, and a URI name has to match to the letter.
 func TestOldVersionAndURI(t *testing.T) {
 	b := newBench(t, func(b *bench) { b.opt.MinVersion, b.opt.Pattern, b.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
 	for uri, want := range map[string]Reason{"spiffe://valley/a/s1": "", "spiffe://valley/a/s10": WrongName} {
@@ -76,7 +76,7 @@
 	}
 }
 
-// The clock: certificates are read by it, sessions too; a step to and fro heals by itself.
+// Certificates and sessions are valid by the wall clock; a step that is undone leaves nothing behind.
 func TestClockSteps(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.server(nil)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Faults of the proxy's own are told apart, before any host is troubled.
+// Faults of the proxy's own files are told from those of hosts, before any host is connected to.
 func TestOwnFaults(t *testing.T) {
 	b := newBench(t, func(b *bench) {
 		if _, err := b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whatever is wrong with the files is told, all of it, and nothing secret with it.
+// All that is wrong with the files is in the error, and nothing secret.
 func TestFilesThatCannotBeUsed(t *testing.T) {
 	b := newBench(t, nil)
 	pair, _ := b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy"})
@@ -136,17 +136,17 @@
 		change func(o *Options)
 		want   string
 	}{
-		"no such file":       {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
-		"half a bundle":      {func(o *Options) { o.Trust = []string{b.file("half", fake.HalfPEM(b.pki.Trusted.Root.Cert))} }, "half written"},
-		"empty bundle":       {func(o *Options) { o.Trust = []string{b.file("empty", nil)} }, "no certificate in it"},
-		"a leaf for trust":   {func(o *Options) { o.Trust = []string{b.file("leaf", leaf.PEM())} }, "no authority's"},
-		"key in the bundle":  {func(o *Options) { o.Trust = []string{b.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
-		"another's key":      {func(o *Options) { o.Key = b.file("other.key", leafKey) }, "does not belong"},
-		"a server's pair":    {func(o *Options) { o.Certificate, o.Key = b.file("s.pem", leaf.PEM()), b.file("s.key", leafKey) }, "not for clients"},
-		"encrypted, no word": {func(o *Options) { o.Key = b.file("c.key", crypted) }, "no password file"},
-		"wrong word":         {func(o *Options) { o.Key, o.Password = b.file("c.key", crypted), b.file("word", []byte("wrong")) }, "no private key"},
-		"foreign list":       {func(o *Options) { o.CRLs = []string{b.file("f.crl", foreign)} }, "none of the trusted"},
-		"no list":            {func(o *Options) { o.CRLs = []string{b.file("n.crl", []byte("x"))} }, "revocation list 1"},
+		"no such file":           {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
+		"half a bundle":          {func(o *Options) { o.Trust = []string{b.file("half", fake.HalfPEM(b.pki.Trusted.Root.Cert))} }, "half written"},
+		"empty bundle":           {func(o *Options) { o.Trust = []string{b.file("empty", nil)} }, "no certificate in it"},
+		"a leaf for trust":       {func(o *Options) { o.Trust = []string{b.file("leaf", leaf.PEM())} }, "no authority's"},
+		"key in the bundle":      {func(o *Options) { o.Trust = []string{b.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
+		"another's key":          {func(o *Options) { o.Key = b.file("other.key", leafKey) }, "does not belong"},
+		"a server's pair":        {func(o *Options) { o.Certificate, o.Key = b.file("s.pem", leaf.PEM()), b.file("s.key", leafKey) }, "not for clients"},
+		"encrypted, no password": {func(o *Options) { o.Key = b.file("c.key", crypted) }, "no password file"},
+		"wrong password":         {func(o *Options) { o.Key, o.Password = b.file("c.key", crypted), b.file("word", []byte("wrong")) }, "no private key"},
+		"foreign list":           {func(o *Options) { o.CRLs = []string{b.file("f.crl", foreign)} }, "none of the trusted"},
+		"no list":                {func(o *Options) { o.CRLs = []string{b.file("n.crl", []byte("x"))} }, "revocation list 1"},
 	} {
 		o := good
 		x.change(&o)
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -1,14 +1,9 @@
 package upstreamtls
 
 import (
-	"bytes"
 	"crypto/tls"
-	"fmt"
 	"io"
-	"math/rand"
 	"net"
-	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -23,17 +18,12 @@
 	b := newBench(t, nil)
 	s := b.server(nil)
 	for i := range 3 {
-		c := b.dial(s.Addr(), 5*time.Second)
-		if c.err != nil {
-			t.Fatal(c.err)
-		}
-		c.write(open)
-		c.read(up)
+		c := b.open(s.Addr())
 		c.write("M 1\r\n")
 		c.read("GOT M 1\r\n")
 		b.on(func() {
 			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
-				t.Errorf("connection %d: resumed %t, holds %d, ends %v", i, l.resumed, l.Buffered(), l.Expires())
+				t.Errorf("connection %d: resumed %t, buffers %d, ends %v", i, l.resumed, l.Buffered(), l.Expires())
 			}
 			c.c.Close()
 		})
@@ -43,13 +33,13 @@
 	}
 }
 
-// The end of the layer is the peer's; the end of the socket alone can be anybody's.
+// The layer's own end can only come from the peer; the end of the socket alone can come from anybody.
 func TestEnds(t *testing.T) {
 	b := newBench(t, nil)
 	config, _ := b.pki.Trusted.ForServer(name)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
-	ways := make(chan func(raw net.Conn, s *tls.Conn), 1)
+	endings := make(chan func(raw net.Conn, s *tls.Conn), 1)
 	go func() {
 		for {
 			raw, err := l.Accept()
@@ -58,7 +48,7 @@
 			}
 			s := tls.Server(raw, config)
 			io.ReadFull(s, make([]byte, len(open)))
-			(<-ways)(raw, s)
+			(<-endings)(raw, s)
 		}
 	}()
 	for _, w := range []struct {
@@ -73,7 +63,7 @@
 			raw.Write([]byte("\x17\x03\x03\x00\x20 this is no record of this connection"))
 		}, netio.Broke, ""},
 	} {
-		ways <- w.how
+		endings <- w.how
 		c := b.dial(l.Addr().String(), 5*time.Second)
 		if c.err != nil {
 			t.Fatal(c.err)
@@ -86,115 +76,7 @@
 	}
 }
 
-// More lines than the client takes must wait at the server, not in the memory, sealed or opened.
-func TestBackPressureBehindTLS(t *testing.T) {
-	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
-	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
-	defer l.Close()
-	sent := make([]byte, 8<<20)
-	rand.New(rand.NewSource(1)).Read(sent)
-	var wrote atomic.Int64
-	go func() {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
-		c.(*tls.Conn).NetConn().(*net.TCPConn).SetWriteBuffer(16 << 10) // else the kernel takes megabytes by itself
-		for p := sent; len(p) > 0; {
-			n := min(len(p), 1000+len(p)%20000)
-			m, err := c.Write(p[:n])
-			wrote.Add(int64(m))
-			if err != nil {
-				return
-			}
-			p = p[n:]
-		}
-		c.Close()
-	}()
-	var got []byte
-	taking := false
-	most := 0
-	c := b.dialEating(l.Addr().String(), 5*time.Second, func(n *netio.Conn) {
-		most = max(most, len(n.Input())+n.Layer().Buffered())
-		if taking {
-			k := min(3000, len(n.Input()))
-			got = append(got, n.Input()[:k]...)
-			n.Consume(k)
-		}
-	})
-	if c.err != nil {
-		t.Fatal(c.err)
-	}
-	last := int64(-1)
-	for last != wrote.Load() { // it stands still once everything is full
-		last = wrote.Load()
-		time.Sleep(150 * time.Millisecond)
-	}
-	if last > 1<<20 {
-		t.Errorf("%d bytes were taken from a server whose lines nobody wants", last)
-	}
-	var step func()
-	step = func() {
-		if !c.c.Over() {
-			c.eat(c.c)
-			b.loop.Post(step)
-		}
-	}
-	b.loop.Post(func() { taking = true; step() })
-	if err := c.ended(); err.Cause != netio.Ended {
-		t.Errorf("ended by %v", err)
-	}
-	b.on(func() {
-		if !bytes.Equal(got, sent[:len(got)]) || len(sent)-len(got) > 8192 {
-			t.Errorf("%d of %d bytes came, equal as far: %t", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
-		}
-		if most > 4096+maxSealedBytes+8*kernelBuffer {
-			t.Errorf("%d bytes were held", most)
-		}
-	})
-}
-
-// Lines to a server that reads nothing wait in a bounded place, and come whole and in order once it reads.
-func TestSlowServer(t *testing.T) {
-	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
-	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
-	defer l.Close()
-	read := make(chan struct{})
-	all := make(chan string, 1)
-	go func() {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
-		c.(*tls.Conn).Handshake()
-		<-read
-		text, _ := io.ReadAll(c)
-		all <- string(text)
-	}()
-	c := b.dial(l.Addr().String(), 5*time.Second)
-	var want strings.Builder
-	refused := false
-	b.on(func() {
-		for i := 0; !refused && i < 100000; i++ {
-			line := fmt.Sprintf("%05d %s\r\n", i, strings.Repeat("x", 1000))
-			if refused = !c.c.Write([]byte(line)); !refused {
-				want.WriteString(line)
-			}
-		}
-	})
-	if !refused || want.Len() > 8<<20 {
-		t.Errorf("%d bytes went to a server that reads nothing", want.Len())
-	}
-	close(read)
-	b.on(func() { c.c.Close() })
-	if got := <-all; got != want.String() {
-		t.Errorf("%d of %d bytes came", len(got), want.Len())
-	}
-}
-
-// A drop while the handshake is out leaves nothing behind, and done is not called.
+// A drop while the handshake is in flight leaves nothing behind, and done is not called.
 func TestDrop(t *testing.T) {
 	b := newBench(t, nil)
 	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
@@ -224,12 +106,12 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d are left", left)
+			t.Fatalf("%d handshakes are left", left)
 		}
 	}
 }
 
-// What the budget has no room for fails at once, not when its time is up.
+// What the budget has no capacity for fails at once, not when its time is up.
 func TestNoBudget(t *testing.T) {
 	b := newBench(t, func(b *bench) {
 		b.opt.Handshakes = handshake.Limits{HostRate: 1, AtOnce: 2, Burst: time.Millisecond, Queue: 100}
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Replacements as they happen: whole, in place and half written, in the wrong order. What can't be used changes nothing
-// and is told once; what can is in use at the next look.
+// Files are replaced at once, in place, half written, and in the wrong order. What can't be used changes nothing and is logged once; what
+// can is in use from the next poll on.
 func TestWatcher(t *testing.T) {
 	b := newBench(t, func(b *bench) {
 		b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy"})
@@ -25,60 +25,55 @@
 		t.Fatal(err)
 	}
 	w := watcher{current: m, options: b.opt, signature: signature(b.opt.Files())}
-	look := func(want bool) *Material {
+	poll := func(want bool) *Material {
 		t.Helper()
 		next := w.poll(false, time.Now())
 		if (next != nil) != want {
-			t.Fatalf("taken: %t, want %t; told %q", next != nil, want, w.lastFault)
+			t.Fatalf("new material: %t, want %t; the last fault is %q", next != nil, want, w.lastFault)
 		}
 		return next
 	}
-	look(false)
+	poll(false)
 	// In place, and read while half of it is there.
 	whole := append(certs.Bundle(b.pki.Trusted.Root.Cert), certs.Bundle(b.pki.Other.Root.Cert)...)
 	os.WriteFile(b.opt.Trust[0], whole[:len(whole)-100], 0o644)
-	look(false)
+	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
-		t.Errorf("told %q", w.lastFault)
+		t.Errorf("the last fault is %q", w.lastFault)
 	}
 	os.WriteFile(b.opt.Trust[0], whole, 0o644)
-	if next := look(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
+	if next := poll(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
 		t.Errorf("%d authorities, epoch %d", next.authorities, next.Epoch)
 	}
-	look(false)
+	poll(false)
 	// A certificate whose key comes later.
 	pair, _ := b.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
 	certs.ReplaceFile(b.opt.Certificate, pair.PEM(), 0o644)
-	look(false)
+	poll(false)
 	key, _ := pair.KeyPEM(nil)
 	certs.ReplaceFile(b.opt.Key, key, 0o600)
-	if next := look(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
+	if next := poll(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
 	// The same content under a new inode is no replacement.
 	certs.ReplaceFile(b.opt.Key, key, 0o600)
-	look(false)
+	poll(false)
 	os.Remove(b.opt.Key)
-	look(false)
+	poll(false)
 	certs.ReplaceFile(b.opt.Key, key, 0o600)
-	look(false)
+	poll(false)
 }
 
-// A ticket made under an old trust bundle, or for another name, is never taken up.
+// A session of an old trust bundle, or of another name, is never resumed.
 func TestReuseEndsWithItsEpoch(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.server(nil)
 	resumed := func() bool {
 		t.Helper()
-		c := b.dial(s.Addr(), 5*time.Second)
-		if c.err != nil {
-			t.Fatal(c.err)
-		}
-		c.write(open)
-		c.read(up)
-		was := false
-		b.on(func() { was = c.c.Layer().(*session).resumed; c.c.Close() })
-		return was
+		c := b.open(s.Addr())
+		reused := false
+		b.on(func() { reused = c.c.Layer().(*session).resumed; c.c.Close() })
+		return reused
 	}
 	if resumed() || !resumed() {
 		t.Fatal("sessions are not reused")
@@ -90,10 +85,10 @@
 	}
 	b.on(func() { b.link.Use(m) })
 	if resumed() {
-		t.Error("a session of the old epoch was taken up")
+		t.Error("a session of the old epoch was resumed")
 	}
 	if !resumed() {
-		t.Error("no session of the new epoch was taken up")
+		t.Error("no session of the new epoch was resumed")
 	}
 	o := b.opt
 	o.Names = map[string]string{"s1": "s2.test"}
@@ -106,13 +101,11 @@
 	}
 }
 
-// Trust that no longer holds the host's authority ends reuse and new connections, and leaves standing ones alone.
+// A trust bundle without the host's authority ends resumption and new connections, and leaves open ones alone.
 func TestTrustWithdrawn(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.server(nil)
-	c := b.dial(s.Addr(), 5*time.Second)
-	c.write(open)
-	c.read(up)
+	c := b.open(s.Addr())
 	fake.SaveTrust(b.dir, b.pki.Other)
 	m, err := Load(b.opt, 2)
 	if err != nil {
@@ -126,7 +119,7 @@
 	c.read("GOT M\r\n")
 }
 
-// A server that has new ticket keys, or none of the old ones, costs a full handshake and nothing else.
+// A server with new ticket keys, and none of the old ones, costs a full handshake and nothing else.
 func TestTicketKeysChanged(t *testing.T) {
 	b := newBench(t, nil)
 	config, _ := b.pki.Trusted.ForServer(name)
@@ -139,12 +132,7 @@
 			config.SetSessionTicketKeys([][32]byte{{2}})
 			s.Secure(config)
 		}
-		c := b.dial(s.Addr(), 5*time.Second)
-		if c.err != nil {
-			t.Fatal(c.err)
-		}
-		c.write(open)
-		c.read(up)
+		c := b.open(s.Addr())
 		b.on(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
 		if last.DidResume != (i == 1 || i == 3) {
 			t.Errorf("connection %d: resumed %t", i, last.DidResume)
@@ -152,6 +140,7 @@
 	}
 }
 
+// The cache drops the session used longest ago, and what has ended.
 func TestCacheIsBounded(t *testing.T) {
 	c := newSessionCache(2)
 	now := time.Now()
@@ -160,25 +149,23 @@
 		c.put(key(uid), &tls.ClientSessionState{}, now.Add(time.Hour))
 	}
 	if c.len() != 2 || c.get(key("b"), now) != nil || c.get(key("a"), now) == nil {
-		t.Error("not the one used longest ago was forgotten")
+		t.Error("another one than that used longest ago was dropped")
 	}
 	if c.get(key("a"), now.Add(2*time.Hour)) != nil || c.len() != 1 {
 		t.Error("a session outlived its certificate")
 	}
 	c.put(key("c"), nil, now)
 	if c.len() != 0 {
-		t.Error("a session that the host took back is kept")
+		t.Error("a session that the host withdrew is still cached")
 	}
 }
 
-// A certificate that ends while its connection stands ends neither the connection nor its lines; that is the policy's to
-// say, which is asked by what Expires tells.
+// A certificate that ends while its connection is open ends neither the connection nor its lines: whether it migrates is for the policy to
+// say, by what Expires gives.
 func TestExpiresInMidConnection(t *testing.T) {
 	b := newBench(t, nil)
 	s := b.server(nil)
-	c := b.dial(s.Addr(), 5*time.Second)
-	c.write(open)
-	c.read(up)
+	c := b.open(s.Addr())
 	b.skew.Store(int64(2 * time.Hour))
 	c.write("M\r\n")
 	c.read("GOT M\r\n")
@@ -187,6 +174,7 @@
 	}
 }
 
+// FuzzRevocationLists: bytes give lists or an error, never a panic.
 func FuzzRevocationLists(f *testing.F) {
 	pki, err := fake.NewPki(name)
 	if err != nil {
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// proxy is what the calls are about: it knows server a, and is asked on the loop.
+// proxy is what the calls are about: it knows host a/b, and is called on the loop.
 type proxy struct{ calls []string }
 
 func (p *proxy) Serves() bool    { return true }
@@ -78,7 +78,7 @@
 	}
 }
 
-// answer sends a call in one piece or byte by byte, and gives the status line, Allow and the body.
+// answer sends a call in one piece or, cut, byte by byte, and gives the status line, Allow and the body.
 func answer(t *testing.T, c net.Conn, call string, cut bool) string {
 	t.Helper()
 	if cut {
@@ -101,6 +101,7 @@
 	return strings.TrimPrefix(status, "HTTP/1.1 ") + " " + strings.TrimSpace(body)
 }
 
+// Each call gets its answer, in one piece or byte by byte.
 func TestCalls(t *testing.T) {
 	dial := serve(t, 4)
 	for _, x := range [][2]string{
@@ -130,7 +131,7 @@
 	}
 }
 
-// A caller that wants leave for its body gets it, once.
+// A caller that waits for 100 Continue before its body gets it, once.
 func TestExpectContinue(t *testing.T) {
 	c := serve(t, 1)()
 	io.WriteString(c, "POST /v1/catalogue-servers/a%2Fb/suspend HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -143,25 +144,25 @@
 	}
 }
 
-// Two hundred half callers stay; a whole call among them is answered all the same, and the half ones hear 408 or an end.
+// Two hundred callers stay whose calls are incomplete; a complete call among them is answered all the same, and the others get 408 or an end.
 func TestIncompleteCallsDelayNobody(t *testing.T) {
 	dial := serve(t, 4)
-	var half []net.Conn
+	var incomplete []net.Conn
 	for i := range 200 {
 		c := dial()
 		if i%2 == 0 {
 			io.WriteString(c, "GET /v1/readyz HTTP/1.1\r\nHo")
 		}
-		half = append(half, c)
+		incomplete = append(incomplete, c)
 		if i%10 == 9 {
 			if got := answer(t, dial(), seeds[0], false); got != "200 OK ready" {
-				t.Fatalf("after %d half callers: %q", i+1, got)
+				t.Fatalf("after %d incomplete callers: %q", i+1, got)
 			}
 		}
 	}
-	for _, c := range half {
+	for _, c := range incomplete {
 		if data, _ := io.ReadAll(c); len(data) > 0 && !strings.HasPrefix(string(data), "HTTP/1.1 408 ") {
-			t.Fatalf("half a call got %q", data)
+			t.Fatalf("an incomplete call got %q", data)
 		}
 	}
 }
--- a/internal/operations/balancerconfig/decode_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -7,20 +7,20 @@
 	"croftlock/internal/balancer"
 )
 
-// TestRateQuotasAreRestored: quotas a second come as whole numbers, so that a fleet that bears 3 a second may read 2, and all
-// slow-start budgets of sparse traffic follow from them.
+// TestRateQuotasAreRestored: quotas a second come rounded to whole numbers, which is coarse for a small fleet, and slow-start budgets of sparse
+// traffic follow from them.
 func TestRateQuotasAreRestored(t *testing.T) {
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
 	for _, fleet := range []float64{60, 137, 239, 1200} {
-		for _, life := range []float64{24, 37, 51} {
+		for _, connectionSeconds := range []float64{24, 37, 51} {
 			var ts []balancer.Tenant
-			told := 0.0
+			rounded := 0.0
 			for _, s := range shares {
 				n := math.Round(fleet * s)
-				ts = append(ts, balancer.Tenant{ConnectionQuota: n, RateQuota: math.Round(fleet * s / life)})
-				told += ts[len(ts)-1].RateQuota
+				ts = append(ts, balancer.Tenant{ConnectionQuota: n, RateQuota: math.Round(fleet * s / connectionSeconds)})
+				rounded += ts[len(ts)-1].RateQuota
 			}
-			if told == 0 {
+			if rounded == 0 {
 				continue
 			}
 			restoreRateQuotas(ts)
@@ -28,8 +28,8 @@
 			for _, x := range ts {
 				sum += x.RateQuota
 			}
-			if want := fleet / life; sum < want/1.5 || sum > want*1.5 {
-				t.Errorf("%v connections that live %v s: %.2f a second, told %.0f, made %.2f", fleet, life, want, told, sum)
+			if want := fleet / connectionSeconds; sum < want/1.5 || sum > want*1.5 {
+				t.Errorf("%v connections of %v s: %.2f a second, rounded to %.0f, restored to %.2f", fleet, connectionSeconds, want, rounded, sum)
 			}
 		}
 	}
@@ -39,14 +39,14 @@
 		restoreRateQuotas(odd)
 		for i := range odd {
 			if odd[i] != before[i] {
-				t.Errorf("%+v made of %+v", odd[i], before[i])
+				t.Errorf("%+v restored from %+v", odd[i], before[i])
 			}
 		}
 	}
 }
 
-// Settings of a later day hold fields that are not known here, and reports of more than is read: they are passed over, and what is
-// known is found wherever it stands.
+// Settings of a later version hold fields that are not known here, and reports of more than is read: these are ignored, and what is known is
+// found wherever it stands.
 func TestUnknownSettingsAreIgnored(t *testing.T) {
 	c, err := Decode([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
 		"goal":{"worst_class":0.3,"other":1},"report":{"how":"probe","fields":["x1","x0","odd","pending"],"since":2},
@@ -56,6 +56,6 @@
 	}
 	c, err = Decode([]byte(`{"report":{"how":"none","fields":["x0"]},"lanes":[]}`))
 	if err != nil || c.LoadField != -1 {
-		t.Errorf("reports that nobody gives are expected: %d, %v", c.LoadField, err)
+		t.Errorf("reports that no host gives are expected: %d, %v", c.LoadField, err)
 	}
 }
--- a/internal/operations/certs/certs_test.go
+++ b/internal/operations/certs/certs_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// pair issues a certificate that is valid now.
 func pair(t testing.TB, issuer *Pair, spec Spec) *Pair {
 	t.Helper()
 	now := time.Now()
@@ -20,7 +21,7 @@
 	return p
 }
 
-// Every kind of key is written and read back, and what is too weak is told.
+// Every kind of key is written and read back, and one that is too weak is found so.
 func TestKeys(t *testing.T) {
 	for _, kind := range KeyKinds {
 		p := pair(t, nil, Spec{Name: kind, Key: kind, Server: true, Hosts: []string{"a.test", "10.0.0.1", "spiffe://x/y"}})
@@ -47,23 +48,24 @@
 	}
 }
 
-// A chain through an authority in between verifies, and goes into the file whole.
+// A chain through an intermediate authority verifies, and all of it goes into the file.
 func TestChain(t *testing.T) {
 	root := pair(t, nil, Spec{Name: "root", Authority: true})
-	between := pair(t, root, Spec{Name: "between", Authority: true})
-	leaf := pair(t, between, Spec{Name: "leaf", Server: true, Hosts: []string{"a.test"}})
+	intermediate := pair(t, root, Spec{Name: "intermediate", Authority: true})
+	leaf := pair(t, intermediate, Spec{Name: "leaf", Server: true, Hosts: []string{"a.test"}})
 	all, err := ParseBundle("x", leaf.PEM())
 	if err != nil || len(all) != 2 {
 		t.Fatal(len(all), err)
 	}
-	roots, middle := x509.NewCertPool(), x509.NewCertPool()
+	roots, intermediates := x509.NewCertPool(), x509.NewCertPool()
 	roots.AddCert(root.Cert)
-	middle.AddCert(all[1])
-	if _, err := leaf.Cert.Verify(x509.VerifyOptions{Roots: roots, Intermediates: middle, DNSName: "a.test"}); err != nil {
+	intermediates.AddCert(all[1])
+	if _, err := leaf.Cert.Verify(x509.VerifyOptions{Roots: roots, Intermediates: intermediates, DNSName: "a.test"}); err != nil {
 		t.Error(err)
 	}
 }
 
+// FuzzBundle: bytes give certificates or an error, never a panic.
 func FuzzBundle(f *testing.F) {
 	p := pair(f, nil, Spec{Name: "root", Authority: true})
 	f.Add(p.PEM())
--- a/internal/operations/logging/nonblocking_test.go
+++ b/internal/operations/logging/nonblocking_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A reader of the log that stops reading stopped the proxy with its next lines: every request waited for the pipe.
+// A reader of the log that stops reading does not stop the proxy: lines are dropped, and counted.
 func TestUnreadLogDelaysNobody(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
--- a/internal/operations/maintenance/registry_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -11,7 +11,7 @@
 // Whatever the order of calls and lists: a suspension holds from its first call to one that resumes.
 func TestSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, out, listed := New(), map[string]bool{}, map[string]bool{}
+		b, suspended, listed := New(), map[string]bool{}, map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
@@ -19,24 +19,24 @@
 				b.HostListed(id)
 				listed[id] = true
 			case 1:
-				if listed[id] && b.Set(id, true, 5) == out[id] {
+				if listed[id] && b.Set(id, true, 5) == suspended[id] {
 					t.Fatal("a first suspension changes something, a second nothing")
 				}
-				out[id] = out[id] || listed[id]
+				suspended[id] = suspended[id] || listed[id]
 			case 2:
-				if b.Set(id, false, 5) != out[id] {
+				if b.Set(id, false, 5) != suspended[id] {
 					t.Fatal("one call to resume ends any number of suspensions")
 				}
-				out[id] = false
+				suspended[id] = false
 			}
-			if b.Suspended(id) != out[id] || b.Known(id) != listed[id] {
-				t.Fatalf("%s: out %t known %t, want %t %t", id, b.Suspended(id), b.Known(id), out[id], listed[id])
+			if b.Suspended(id) != suspended[id] || b.Known(id) != listed[id] {
+				t.Fatalf("%s: suspended %t known %t, want %t %t", id, b.Suspended(id), b.Known(id), suspended[id], listed[id])
 			}
 		}
 	})
 }
 
-// A fleet that is replaced for months must not fill the memory, and a suspension must still be found.
+// Hosts that come and go for months do not fill the memory, and a suspension among them is still found.
 func TestKnownIsBounded(t *testing.T) {
 	b := New()
 	b.HostListed("first")
@@ -52,14 +52,14 @@
 	}
 }
 
-// A host that comes back with no start listed since its suspension is taken for cold.
+// A host that comes back with no start listed since its suspension counts as just started.
 func TestStartAfterSuspension(t *testing.T) {
 	for _, x := range []struct {
 		listed, start int64
 		guess         bool
 	}{{0, 90, true}, {49, 90, true}, {50, 50, false}, {80, 80, false}} {
 		if start, guess := (Suspension{"a", 50}).StartAfter(x.listed, 90); start != x.start || guess != x.guess {
-			t.Errorf("listed %d: start %d, a guess %t", x.listed, start, guess)
+			t.Errorf("listed %d: start %d, guessed %t", x.listed, start, guess)
 		}
 	}
 }
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedText: the figures have the names and the order that they had.
+// TestRecordedText: metrics keep their names and their order.
 func TestRecordedText(t *testing.T) {
 	table := New([]string{"session", "batch"})
 	for e := range ends {
--- a/internal/operations/platform/config_test.go
+++ b/internal/operations/platform/config_test.go
@@ -10,7 +10,7 @@
 "settings":{"peers_total":1,"bounds":{"try_limit":5},"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like"}],
 "extra":{"tells_load":true,"tells_delay":true}}}`
 
-// A configuration that can't be used is told in one line; one that can keeps within the limits it gives.
+// A configuration that can't be used gives an error of one line; one that can keeps within the limits it gives.
 func TestConfig(t *testing.T) {
 	env := func(name string) string { return map[string]string{"NODE_LISTEN": "127.0.0.1:9"}[name] }
 	c, err := Parse([]byte(usable), env)
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// All that is wrong is told at once, each with its place and what is expected.
+// All faults are reported at once, each with its place and what is expected.
 func TestFaults(t *testing.T) {
 	_, err := schema.Read("a.sexp", []byte(`; a comment
 (sample (number 11) (paus 1s)
@@ -86,20 +86,20 @@
 		`a.sexp:8:11: a text is not closed, expected "`,
 	}
 	got := strings.Split(err.Error(), "\n")
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, g := range got {
-		told[g] = true
+		reported[g] = true
 	}
 	for _, w := range want {
 		if w == want[13] {
 			continue // how near team is to sample matters to nobody
 		}
-		if !told[w] {
-			t.Errorf("not told: %s", w)
+		if !reported[w] {
+			t.Errorf("not reported: %s", w)
 		}
 	}
 	if len(got) > len(want) {
-		t.Errorf("told:\n%s", err)
+		t.Errorf("reported:\n%s", err)
 	}
 }
 
