--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -1,10 +1,9 @@
-// Package certexpiry decides which standing connections are moved because a certificate they rest on ends. It does no I/O
-// and reads no clock: the pace follows the time that is passed in, the certificates the wall clock that is passed in, and
-// the same calls give the same answers.
+// Package certexpiry decides which open connections migrate because one of their certificates ends. It does no I/O and reads no clock: the
+// pace follows the time that is passed in, the certificates the wall clock that is passed in, and the same calls give the same answers.
 //
-// A certificate is shared by all connections to a host, or by all connections there are, so all of them come due
-// together. They are spread over the time before the end, and never more than a stated share is moved in a minute, even
-// where that means that some are moved late, or that the clock has stepped past every end at once.
+// A certificate is shared by all connections to a host, or by all connections there are, so all of them come due together. Their migrations
+// are spread over the time before the end, and never more than a stated share migrates in a minute, even where some are then late, or where
+// the clock has stepped past every end at once.
 package certexpiry
 
 import (
@@ -25,38 +24,38 @@
 // Conn is an established connection.
 type Conn struct {
 	ID   string
-	Ends time.Time // of what it rests on; zero: never
+	Ends time.Time // of its first certificate; zero: it has none
 }
 
-// Planner keeps the pace.
+// Planner keeps the pace of migrations.
 type Planner struct {
 	policy  Policy
-	last    int64 // when it was last asked, in nanoseconds
+	last    int64 // when Plan was last called, in nanoseconds
 	started bool
-	may     float64 // connections that may be moved now
+	permits float64 // connections that may migrate now
 }
 
 // New makes a planner.
 func New(p Policy) *Planner { return &Planner{policy: p} }
 
-// Every is how often to ask.
+// Every is how often to call Plan.
 const Every = time.Second
 
-// Plan gives the connections to move now, the longest due first. now is monotonic, in nanoseconds; wall is what
-// certificates are compared with; standing are all connections that stand.
-func (p *Planner) Plan(now int64, wall time.Time, standing []Conn) []string {
-	if !p.policy.MigrationEnabled || len(standing) == 0 {
+// Plan gives the connections to migrate now, the longest due first. now is monotonic, in nanoseconds; certificates are compared with wall;
+// open are all open connections.
+func (p *Planner) Plan(now int64, wall time.Time, open []Conn) []string {
+	if !p.policy.MigrationEnabled || len(open) == 0 {
 		return nil
 	}
-	perSecond := p.policy.Share * float64(len(standing)) / 60
+	perSecond := p.policy.Share * float64(len(open)) / 60
 	passed := 0.0
 	if p.started && now > p.last {
 		passed = float64(now-p.last) / 1e9
 	}
 	p.started, p.last = true, now
-	// Saved up is at most what comes in a few seconds, and never less than one: a small share of few is still somebody.
-	p.may = math.Min(p.may+perSecond*passed, math.Max(1, 2*perSecond*Every.Seconds()))
-	if p.may < 1 {
+	// Permits are saved for a few seconds at most, and at least one is: a small share of a few connections still gets its turn.
+	p.permits = math.Min(p.permits+perSecond*passed, math.Max(1, 2*perSecond*Every.Seconds()))
+	if p.permits < 1 {
 		return nil
 	}
 	type due struct {
@@ -64,7 +63,7 @@
 		at time.Time
 	}
 	var list []due
-	for _, c := range standing {
+	for _, c := range open {
 		if c.Ends.IsZero() {
 			continue
 		}
@@ -80,16 +79,16 @@
 	})
 	var out []string
 	for _, d := range list {
-		if p.may < 1 {
+		if p.permits < 1 {
 			break
 		}
-		p.may--
+		p.permits--
 		out = append(out, d.id)
 	}
 	return out
 }
 
-// moment is when a connection is due: each at its own place in the first nine tenths of the time before the end.
+// moment is when a connection is due: by its ID, somewhere in the first nine tenths of the time before the end.
 func (p *Planner) moment(c Conn) time.Time {
 	place := float64(xxhash.Sum64String(c.ID)>>11) / (1 << 53)
 	return c.Ends.Add(-p.policy.Before + time.Duration(0.9*place*float64(p.policy.Before)))
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -4,8 +4,8 @@
 // A handshake costs far more CPU than a relayed line, and a drain brings many at once. The budget bounds the CPU that they
 // take from established connections (a share of a core), the full handshakes a second of one host and of all, and how many
 // are in flight. Hosts take turns, so that a slow or popular one delays no other. A handshake that can't be done before its
-// deadline is refused by Enqueue at once, while the caller still has time for another host, or given up by Next if it becomes
-// too late while it waits.
+// deadline is rejected by Enqueue at once, while the caller still has time for another host, or dropped by Next if it becomes too late
+// while it waits.
 package handshake
 
 import (
@@ -35,7 +35,7 @@
 		Queue: 4096, ResumedFactor: 0.5}
 }
 
-// The reasons of a refusal.
+// The reasons.
 const (
 	None      Refusal = iota
 	NoTime            // it could not be done before its deadline
@@ -109,7 +109,7 @@
 }
 
 // Enqueue puts a handshake with a host in the queue; id is the caller's and new. resumed: a session is available.
-// The deadline is the moment by which it must be done. A refusal is final.
+// The deadline is the moment by which it must be done. A rejection is final.
 func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) Refusal {
 	if b.limits.Queue > 0 && len(b.waiting) >= b.limits.Queue {
 		return QueueFull
--- a/internal/dataplane/handshake/refusal.go
+++ b/internal/dataplane/handshake/refusal.go
@@ -1,9 +1,9 @@
 package handshake
 
-// Refusal is why Enqueue took no handshake; None: it took it.
+// Refusal is why Enqueue rejected a handshake; None: it is queued.
 type Refusal int
 
 var refusals = [...]string{"none", "no time left in the handshake budget", "too many handshakes wait"}
 
-// String names a refusal as the log writes it.
+// String says it in the detail of a TLS failure.
 func (r Refusal) String() string { return refusals[r] }
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -7,8 +7,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// Opener opens a connection to an upstream host within the time given, and calls done on the loop, once, unless what it
-// gives back is called first.
+// Opener opens a connection to an upstream host within the time given, and calls done on the loop, once, unless drop is called first.
 type Opener func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 	done func(*netio.Conn, *netio.Error)) (drop func())
 
@@ -24,10 +23,10 @@
 type Connector struct {
 	loop   *netio.Loop
 	open   Opener
-	fields []string // of the load reports that answers end with; none: they hold none
+	fields []string // of the load reports that answers end with; none: they have none
 }
 
-// NewConnector uses the given way to connect, and reads load reports of the given fields behind hosts' answers.
+// NewConnector opens connections by open, and reads load reports of the given fields behind hosts' answers.
 func NewConnector(l *netio.Loop, open Opener, fields []string) *Connector {
 	return &Connector{loop: l, open: open, fields: fields}
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -16,10 +16,10 @@
 	conn      *netio.Conn
 	request   *proxy.Request
 	idleTimer *netio.Timer
-	idleEntry *list.Element // among the newcomers; nil once it has a request
-	admitted  bool          // the core has given it room
-	accepted  bool
-	pinged    bool // it has asked PING
+	idleEntry *list.Element // in front.idleClients; nil once it has a request
+	admitted  bool          // the core counts it
+	accepted  bool          // a host has accepted its request
+	pinged    bool          // it has sent PING
 }
 
 var _ proxy.Downstream = (*downstream)(nil)
@@ -43,7 +43,7 @@
 	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
 }
 
-// readRequestLine reads lines up to the one that opens a request, and tells whether it has come.
+// readRequestLine reads lines up to the one that opens a request; false: that has not come, or the connection ends.
 func (d *downstream) readRequestLine() bool {
 	for !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
@@ -57,7 +57,7 @@
 		if string(trimLineEnd(line)) == "PING" {
 			d.conn.Consume(len(line))
 			d.pinged = true
-			// A proxy that is on its way out must not be taken in by the front.
+			// No PONG from a process that shuts down: the front must send no clients here.
 			d.idleTimer.Stop()
 			d.idleTimer = d.front.loop.After(pingIdleTimeout, d.firstLineLate)
 			if !d.front.core.Ready() || !d.conn.Write(pongLine) {
@@ -86,13 +86,13 @@
 	return false
 }
 
-// rejectInvalid answers what is no request: a failure, nothing upstream.
+// rejectInvalid answers what is not a request with a failure.
 func (d *downstream) rejectInvalid(err error) {
 	d.front.core.InvalidRequest(err)
 	d.Fail()
 }
 
-// Pump hands the client's lines on, as far as the other side takes them.
+// Pump relays the client's lines, as far as the host takes them.
 func (d *downstream) Pump() {
 	for d.accepted && !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
@@ -116,8 +116,8 @@
 	}
 }
 
-// FinalMessage is what a client is told whose connection ends for a fault of this side's: its request has failed, or its connection is to be
-// opened anew.
+// FinalMessage is the last line to a client whose connection ends for a fault of this side's: its request has failed, or it is to open its
+// connection anew.
 func (d *downstream) FinalMessage() []byte {
 	if d.request != nil {
 		d.request.EndedHere()
@@ -136,7 +136,7 @@
 	}
 }
 
-// descriptorFreed gives back the room of a connection that holds no descriptor any more.
+// descriptorFreed gives back the capacity of a connection that holds no descriptor any more.
 func (d *downstream) descriptorFreed() {
 	if d.admitted {
 		d.admitted = false
@@ -163,7 +163,7 @@
 	}
 }
 
-// firstLineLate ends a connection whose first line has not come in time: what began as a line gets an answer.
+// firstLineLate ends a connection whose first line is not complete in time; one that has begun gets an answer.
 func (d *downstream) firstLineLate() {
 	if len(d.conn.Input()) > 0 {
 		d.rejectInvalid(errFirstLineLate)
@@ -172,18 +172,18 @@
 	d.endIdle()
 }
 
-// endIdle ends a connection on which nothing has been said. A request may be on its way in this very moment, so the client is
-// told to come again: a close alone would leave that request without an answer.
+// endIdle ends a connection on which nothing has come. A request may be on its way in this very moment, so the client is rejected: a close
+// alone would leave that request without an answer.
 func (d *downstream) endIdle() {
 	d.logIdleEnd(idleTooLong)
 	if d.pinged {
-		d.finish() // the front's own
+		d.finish() // the front's own connection
 		return
 	}
 	d.Reject(d.front.core.RetryAdvice())
 }
 
-// evict ends a connection without a request to free its place for the next.
+// evict ends a connection without a request at once, to free its place for the next.
 func (d *downstream) evict() {
 	d.idleTimer.Stop()
 	d.logIdleEnd(evictedForNext)
@@ -198,40 +198,42 @@
 	d.descriptorFreed()
 }
 
+// finish ends the connection after what has been written.
 func (d *downstream) finish() {
 	d.idleTimer.Stop()
 	d.conn.Finish()
 }
 
-// Accept passes the host's own acceptance on.
-func (d *downstream) Accept(receipt proxy.Message) {
-	d.conn.Write(receipt.Text)
+// Accept relays the host's acceptance.
+func (d *downstream) Accept(acceptance proxy.Message) {
+	d.conn.Write(acceptance.Text)
 	d.accepted = true
 	// What the client sent along with its first line waits in the buffer.
 	d.front.loop.Post(d.Pump)
 }
 
-// Pass hands on a line of the host's; false: not now.
+// Pass relays a line of the host's; false: not now.
 func (d *downstream) Pass(m proxy.Message) bool { return d.conn.Write(m.Text) }
 
-// Reject tells the client to come again, and when.
+// Reject answers that the client may retry, and when.
 func (d *downstream) Reject(after time.Duration) { d.finishWith(busyLine(after)) }
 
-// Fail tells the client that its request failed.
+// Fail answers that the request has failed.
 func (d *downstream) Fail() { d.finishWith(errLine) }
 
-// Migrate tells the client to open its connection anew.
+// Migrate has the client open its connection anew.
 func (d *downstream) Migrate() { d.finishWith(migrateLine) }
 
-// MigrationLine is what Migrate says.
+// MigrationLine is the line that Migrate sends.
 func (d *downstream) MigrationLine() []byte { return migrateLine }
 
-// Release lets go of the client's connection without ending it.
+// Release gives the client's connection away without ending it.
 func (d *downstream) Release(done func(netio.Parts)) {
 	d.idleTimer.Stop()
 	d.conn.Release(done)
 }
 
+// finishWith ends the connection after a last line.
 func (d *downstream) finishWith(p []byte) {
 	d.idleTimer.Stop()
 	d.conn.FinishWith(p)
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -12,7 +12,7 @@
 	// firstLineTimeout is how long after connecting a client's first line may take to be complete, in however many pieces. The protocol
 	// wants a client without one ended within 3 s.
 	firstLineTimeout = 2500 * time.Millisecond
-	// pingIdleTimeout is how long a connection that has asked PING may stay: the front may keep one.
+	// pingIdleTimeout is how long a connection that has sent PING may stay idle: the front may keep one.
 	pingIdleTimeout = 30 * time.Second
 )
 
@@ -37,10 +37,10 @@
 	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: on}
 }
 
-// Stop leaves clients that come from now on to another process that holds the listener.
+// Stop accepts no more clients; they wait for another process that holds the listener.
 func (f *Front) Stop() { f.listener.Stop() }
 
-// Serve takes clients, after Stop again.
+// Serve accepts clients, also after Stop.
 func (f *Front) Serve() error { return netio.Serve(f.loop, f.listener, inputLimit, f.accept) }
 
 func (f *Front) accept(c *netio.Conn) netio.Handler {
@@ -80,7 +80,7 @@
 		u.finish(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
 		return
 	}
-	// What was read and not passed on waits in both buffers.
+	// What was read and not relayed waits in both buffers.
 	f.loop.Post(d.Pump)
 	f.loop.Post(u.Pump)
 }
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -11,50 +11,49 @@
 )
 
 const (
-	// checkTimeout is how long a probe's answer may take, connecting included. One that is later tells of a moment that
-	// is past.
+	// checkTimeout is how long a health check may take, connecting included. A later answer says nothing of the present load.
 	checkTimeout = 250 * time.Millisecond
-	// checkIdleTimeout is how long a connection stays open for the next probe of its host: each new one costs the host a
-	// handshake, some twenty times the work of a probe.
+	// checkIdleTimeout is how long a connection stays open for the next health check of its host: a new connection costs the host far more
+	// than a health check.
 	checkIdleTimeout = 10 * time.Second
 )
 
 var statsLine = []byte("STATS\r\n")
 
-// HealthChecks asks upstream hosts how loaded they are, over a connection to each that stays open as long as probes go on, and over
-// so many at most.
+// HealthChecks asks upstream hosts how loaded they are, over one connection to each that stays open between health checks. The connections
+// are bounded in number.
 type HealthChecks struct {
 	loop           *netio.Loop
 	open           Opener
 	fields         []string // of a load report, as the settings name them
 	maxConnections int
-	byHost         map[string]*hostCheck // by host
-	denied         bool                  // a host has said NO: probes are not allowed after all
+	byHost         map[string]*hostCheck
+	denied         bool // a host has answered NO: there are no more health checks
 }
 
-// NewHealthChecks asks by at most so many connections at a time.
-func NewHealthChecks(l *netio.Loop, open Opener, fields []string, room int) *HealthChecks {
-	return &HealthChecks{loop: l, open: open, fields: fields, maxConnections: room, byHost: map[string]*hostCheck{}}
+// NewHealthChecks uses at most maxConnections at a time.
+func NewHealthChecks(l *netio.Loop, open Opener, fields []string, maxConnections int) *HealthChecks {
+	return &HealthChecks{loop: l, open: open, fields: fields, maxConnections: maxConnections, byHost: map[string]*hostCheck{}}
 }
 
-// hostCheck is the connection to one host that is probed.
+// hostCheck is the connection for one host's health checks.
 type hostCheck struct {
 	checks     *HealthChecks
 	host       proxy.Target
-	cancelDial func() // gives the connection up while it opens
+	cancelDial func() // while the connection opens
 	conn       *netio.Conn
-	done       func(status balancer.AttemptStatus, load []float64) // nil: no probe is out
+	done       func(status balancer.AttemptStatus, load []float64) // nil: no health check is in flight
 	timer      *netio.Timer
 	usedAt     int64
 }
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
-// Check asks a host, and calls done on the loop, once, whatever becomes of it.
+// Check asks a host how loaded it is, and calls done on the loop, once, whatever becomes of it.
 func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := p.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
-		q.end(balancer.Cancelled) // its address has changed, or it is asked twice
+		q.end(balancer.Cancelled) // its address has changed, or a health check is in flight
 		q = nil
 	}
 	if p.denied || q == nil && !p.evictIdle() {
@@ -83,14 +82,14 @@
 	})
 }
 
-// Forget ends what goes on with a host that is to be left alone.
+// Forget ends the health check of a host, and its connection.
 func (p *HealthChecks) Forget(host string) {
 	if q := p.byHost[host]; q != nil {
 		q.end(balancer.Cancelled)
 	}
 }
 
-// evictIdle closes the least recently used connection if it must, and reports whether there is room for one more.
+// evictIdle closes the least recently used idle connection if there are as many as may be; false: all are in use.
 func (p *HealthChecks) evictIdle() bool {
 	if len(p.byHost) < p.maxConnections {
 		return true
@@ -112,7 +111,7 @@
 func (q *hostCheck) Data(c *netio.Conn) {
 	line, err := Cut(c.Input())
 	if err != nil || line != nil && q.done == nil {
-		q.end(balancer.Error) // it says what nobody asked
+		q.end(balancer.Error) // not a line, or not asked for
 		return
 	}
 	if line == nil {
@@ -136,7 +135,7 @@
 	}
 }
 
-// answer ends a probe; its connection waits for the next.
+// answer ends a health check; its connection stays for the next.
 func (q *hostCheck) answer(s balancer.AttemptStatus, load []float64) {
 	done := q.done
 	q.done = nil
@@ -145,7 +144,7 @@
 	done(s, load)
 }
 
-// end closes the connection, and ends the probe that is out on it.
+// end closes the connection, and ends the health check that is in flight on it.
 func (q *hostCheck) end(s balancer.AttemptStatus) {
 	if q.checks.byHost[q.host.ID] == q {
 		delete(q.checks.byHost, q.host.ID)
@@ -164,7 +163,7 @@
 	}
 }
 
-// Writable is nothing to a probe: what it writes is one short line.
+// Writable does nothing: a health check writes one short line.
 func (q *hostCheck) Writable(*netio.Conn) {}
 
 // Closed comes when the host ends the connection.
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -14,7 +14,7 @@
 // MaxLine is the longest line there is, its CRLF included.
 const MaxLine = 4096
 
-// What can be wrong with a line.
+// What can be wrong with a client's lines.
 var (
 	ErrTooLong          error = &proxy.InvalidRequestError{Reason: proxy.LineTooLong}
 	ErrMalformed        error = &proxy.InvalidRequestError{Reason: proxy.MalformedLine}
@@ -49,11 +49,11 @@
 type Open struct {
 	proxy.Opening
 	line               []byte // as it came, CRLF included
-	waitStart, waitEnd int    // where the value of d stands in it; to is 0 where there is none
+	waitStart, waitEnd int    // where the value of d is in it; waitEnd is 0 where there is none
 }
 
-// ParseOpen reads a client's first line. It copies what it keeps. What it takes must be what a host can read: a host that
-// finds a line unreadable says so, and the fault is then this proxy's. So the form is the protocol's to the letter.
+// ParseOpen reads a client's first line. It copies what it keeps. The form has to be the protocol's to the letter: the line goes on to a host,
+// and one that a host cannot read is this proxy's fault.
 func ParseOpen(line []byte) (*Open, error) {
 	o := &Open{line: bytes.Clone(line)}
 	s := string(trimLineEnd(line))
@@ -98,7 +98,7 @@
 	return s != ""
 }
 
-// parseNumber reads a decimal figure. ParseFloat alone takes words and other bases as well.
+// parseNumber reads a decimal number. ParseFloat alone accepts words and other bases as well.
 func parseNumber(s string) (float64, error) {
 	if s == "" || strings.Trim(s, "0123456789.+-eE") != "" {
 		return 0, ErrMalformed
@@ -110,8 +110,8 @@
 	return x, nil
 }
 
-// set takes one named value; at is where it stands in the line. Names that mean nothing here pass if they hold a figure:
-// the protocol allows more of these, and the upstream host gets the line as it is.
+// set reads one named value; at is where it is in the line. Names that are unknown here are ignored where their value is a number: the
+// protocol allows more of these, and the upstream host gets the line as it is.
 func (o *Open) set(name, value string, at int) error {
 	ok := true
 	switch name {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// WithWait is the line for an upstream host: as the client sent it, but with d telling how long this proxy waits.
+// WithWait is the line for an upstream host: as the client sent it, with how long this proxy waits as d.
 func (o *Open) WithWait(wait time.Duration) []byte {
 	ms := strconv.AppendInt(nil, max(1, wait.Milliseconds()), 10)
 	out := make([]byte, 0, len(o.line)+len(ms)+3)
@@ -182,14 +182,14 @@
 	return m
 }
 
-// The lines that a proxy says in its own name.
+// The lines of local replies.
 var (
 	pongLine    = []byte("PONG\r\n")
 	errLine     = []byte("ERR\r\n")
 	migrateLine = []byte("MOVE\r\n")
 )
 
-// busyLine is a refusal. Advice below a millisecond is still advice.
+// busyLine is a rejection, with the Retry-After rounded up to milliseconds.
 func busyLine(after time.Duration) []byte {
 	if after <= 0 {
 		return []byte("BUSY\r\n")
--- a/internal/dataplane/lineproto/report.go
+++ b/internal/dataplane/lineproto/report.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// wireNames are the names by which the settings know what a report calls otherwise.
+// wireNames are the names in reports of fields that have another name in the settings.
 var wireNames = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util", "svc_ms": "latency_ms",
 	"served_ps": "qps", "failed_ps": "eps"}
 
-// ParseReport reads a load report, name=figure,name=figure, into the order of the fields that the settings name. What it lacks
-// is NaN; names that the settings lack are passed over; nil where nothing is told or it can't be read.
+// ParseReport reads a load report, name=figure,name=figure, into the order of the fields that the settings name. A field that it lacks is
+// NaN; names that the settings lack are ignored; nil where it has no field of the settings or can't be read.
 func ParseReport(s string, fields []string) []float64 {
 	if s == "" || len(fields) == 0 {
 		return nil
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -15,15 +15,16 @@
 	requestLine  proxy.RequestLine
 	reportFields []string // of a load report behind an answer
 	waitUntil    int64
-	cancelDial   func() // gives the connection up while it opens
+	cancelDial   func() // while the connection opens
 	conn         *netio.Conn
 	stage        netio.Stage
-	hostEnded    *netio.Error // the host is gone; its last lines may still wait for the client
+	hostEnded    *netio.Error // the host has ended; its last lines may still wait for the client
 	finished     bool
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
 
+// connected goes on once the connection is established, or is not.
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
 	u.cancelDial = nil
 	if err != nil {
@@ -42,6 +43,7 @@
 	}
 }
 
+// sent says that the request line's last byte is written.
 func (u *upstream) sent() {
 	u.stage = netio.Sent
 	u.events.UpstreamSent()
@@ -50,7 +52,7 @@
 // Data takes what the host sent.
 func (u *upstream) Data(c *netio.Conn) { u.Pump() }
 
-// Pump hands the host's lines on, as far as the other side takes them.
+// Pump relays the host's lines, as far as the client takes them.
 func (u *upstream) Pump() {
 	for !u.finished && u.conn != nil {
 		line, err := Cut(u.conn.Input())
@@ -80,7 +82,7 @@
 	}
 }
 
-// Writable says that the host takes bytes again: the request line has gone out whole, or a line of the client's may follow.
+// Writable says that the host takes bytes again: the request line is written completely, or a line of the client's may follow.
 func (u *upstream) Writable(c *netio.Conn) {
 	if u.stage == netio.Sending {
 		u.sent()
@@ -91,12 +93,13 @@
 
 // Closed says that the host's connection is over.
 func (u *upstream) Closed(c *netio.Conn, err *netio.Error) {
-	// The connection knows that it stood; how far the request on it had come is known here.
-	// Its layer may know that it never stood: then the host has read nothing, whatever was written.
+	// The connection knows that it was established; how far the request on it had come is known here. Its layer may know that it never was:
+	// then the host has read nothing, whatever was written.
 	u.hostEnded = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
-	u.Pump() // a slow client still gets what the host said before it ended
+	u.Pump() // a slow client still gets the lines from before the end
 }
 
+// finish notifies of the end, once.
 func (u *upstream) finish(err *netio.Error) {
 	if !u.finished {
 		u.finished = true
@@ -104,7 +107,7 @@
 	}
 }
 
-// Release lets go of the host's connection without ending it. What a host that has ended said last is not left behind.
+// Release gives the host's connection away without ending it. One that the host has ended stays, for its last lines.
 func (u *upstream) Release(done func(netio.Parts)) {
 	u.finished = true
 	if u.conn == nil || u.hostEnded != nil {
@@ -114,10 +117,10 @@
 	u.conn.Release(done)
 }
 
-// Pass hands on a line of the client's; false: not now.
+// Pass relays a line of the client's; false: not now.
 func (u *upstream) Pass(m proxy.Message) bool { return u.conn.Write(m.Text) }
 
-// Expires is when what the connection rests on ends; the zero time where it rests on nothing.
+// Expires is when the connection's first certificate ends; the zero time where it has none.
 func (u *upstream) Expires() time.Time {
 	if u.conn != nil {
 		if l, ok := u.conn.Layer().(proxy.Expiring); ok {
@@ -130,7 +133,7 @@
 // Stage is how far the request has come.
 func (u *upstream) Stage() netio.Stage { return u.stage }
 
-// End gives the request up, or ends the connection as the client's ended. Nothing more is told.
+// End ends the attempt, or the connection as the client's ended. No event follows.
 func (u *upstream) End(cause netio.Cause) {
 	u.finished = true
 	if u.cancelDial != nil {
