--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -26,7 +26,7 @@
 func (e *pollerEnvironment) whilePollerParked(f func()) {
 	e.gate.openForBarrier()
 	e.barrier.wait(func() {
-		e.gate.shut() // before the poller goes on, or what it reads first would not be held back
+		e.gate.shut() // before the poller goes on, or it would not wait with what it reads first
 		e.gate.pollerParked.Store(true)
 		defer e.gate.pollerParked.Store(false)
 		f()
@@ -69,8 +69,8 @@
 	pollerStartPause = 20 * time.Millisecond
 )
 
-// startPoller has netpoll open its poller. netpoll does that when it is first used, on whatever goroutine, and panics there if the kernel has nothing
-// for it at that moment.
+// startPoller has netpoll open its poller. netpoll would do that when it is first used, on any goroutine, and panics where the kernel has no
+// resources for it.
 func startPoller(c netpoll.Config) (err error) {
 	for range maxPollerStarts {
 		if err = netpoll.Configure(c); err == nil {
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// netpollLog brings netpoll's own complaints into the form of this program's log.
+// netpollLog writes netpoll's own messages to this program's log.
 type netpollLog struct{}
 
-// Write takes one complaint.
+// Write logs one message.
 func (netpollLog) Write(p []byte) (int, error) {
 	if !bytes.Contains(p, []byte(errStopped.Error())) {
 		slog.Error("netpoll", "text", string(bytes.TrimSpace(p)))
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -1,11 +1,11 @@
 package netio
 
-// minBufferSize is the room a buffer begins with; most connections never need more.
+// minBufferSize is the size, in bytes, that a buffer begins with; most connections never need more.
 const minBufferSize = 1024
 
-// Buffer holds what a connection has received and nobody has taken yet. It grows as it needs up to a limit, moves
-// its content to the front instead of growing where that makes room, and lets its memory go once it is empty and has
-// grown: thousands of idle connections must not each keep the size of their busiest moment.
+// Buffer holds what a connection has received and nobody has consumed yet. It grows up to a limit, moves its content to the front where that
+// is enough, and frees its memory once it is empty and has grown: thousands of idle connections must not each keep the size of their busiest
+// moment.
 type Buffer struct {
 	data  []byte
 	start int
@@ -24,24 +24,23 @@
 // Available is how many bytes it can still take before its limit.
 func (b *Buffer) Available() int { return max(0, b.limit-b.Len()) }
 
-// Reserve gives n bytes of space behind the content, or fewer where the limit is near. Extend keeps what was
-// written there.
+// Reserve gives n bytes of space behind the content, or fewer where the limit is near. Extend makes what is written there content.
 func (b *Buffer) Reserve(n int) []byte {
 	n = min(n, b.Available())
 	if n == 0 {
 		return nil
 	}
 	if cap(b.data)-len(b.data) < n {
-		held := b.Len()
-		if cap(b.data)-held >= n {
-			copy(b.data[:held], b.data[b.start:])
-			b.data = b.data[:held]
+		length := b.Len()
+		if cap(b.data)-length >= n {
+			copy(b.data[:length], b.data[b.start:])
+			b.data = b.data[:length]
 		} else {
 			size := max(minBufferSize, cap(b.data))
-			for size < held+n {
+			for size < length+n {
 				size *= 2
 			}
-			grown := make([]byte, held, min(size, max(b.limit, minBufferSize)))
+			grown := make([]byte, length, min(size, max(b.limit, minBufferSize)))
 			copy(grown, b.data[b.start:])
 			b.data = grown
 		}
@@ -53,7 +52,7 @@
 // Extend adds the first n bytes of the last Reserve to the content.
 func (b *Buffer) Extend(n int) { b.data = b.data[:len(b.data)+n] }
 
-// Append copies p behind the content and tells how much of it found room.
+// Append copies p behind the content, and gives how much of it fitted in.
 func (b *Buffer) Append(p []byte) int {
 	n := copy(b.Reserve(len(p)), p)
 	if n > 0 {
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -19,30 +19,29 @@
 	// Writable says that a peer which had stopped taking bytes takes them again.
 	Writable(c *Conn)
 	// Closed says that the connection is over for a reason that did not come from this side. It is the last call.
-	// It tells of a panic of the handler's own as well.
+	// It comes after a panic of the handler's own as well.
 	Closed(c *Conn, err *Error)
 }
 
-// inputOvershoot is how much netpoll may have read beyond a connection's limit before it is stopped: what one read brings,
-// and some that come while it lets go of the socket.
+// inputOvershoot is how much netpoll may have read beyond a connection's limit before it is stopped: what one read brings, and what comes
+// while it releases the socket.
 const inputOvershoot = 8 * kernelBuffer
 
-// kernelBuffer is what the kernel is asked to hold for a connection in each direction; it takes that twice. Lines are
-// short, and the megabytes that it would allow by itself are not counted anywhere until they are missing. It bounds what
-// netpoll reads at once, too, and so the size that its own buffer for the connection grows to.
+// kernelBuffer is the size that the kernel is asked to buffer for a connection in each direction; it takes that twice. Lines are short, and
+// the megabytes that it would buffer by itself count against the machine's memory. It also bounds what netpoll reads at once, and so the
+// size of netpoll's own buffer for the connection.
 const kernelBuffer = 16 << 10
 
-// Conn is one connection. It has one buffer, for what has come in; what goes out is handed to the kernel at once,
-// and of a line that the kernel takes only in part the rest is kept until it takes that too. Until then Write
-// refuses, so the source leaves its own bytes where they are, and a connection whose input nobody takes is not read
-// any further: that is the back-pressure.
+// Conn is one connection. It has one buffer, for what has come in; what goes out is written to the kernel at once, and of a line that the
+// kernel takes only in part the rest is buffered until it takes that too. Until then Write accepts nothing, so the source leaves its bytes in
+// its own input, and a connection whose input nobody consumes is not read any further: that is the back-pressure.
 type Conn struct {
 	loop            *Loop
 	handler         Handler
 	transport       netpoll.Connection
 	input           Buffer
 	layer           Layer // between the socket and the input; nil: none
-	layerHasMore    bool  // the layer may hold more than the input had room for
+	layerHasMore    bool  // the layer may hold more than fitted into the input
 	inputLimit      int   // bytes of input at which reading pauses
 	paused          bool  // netpoll does not watch it
 	refillScheduled bool
@@ -50,9 +49,9 @@
 	output          unsentOutput
 	over            bool // Closed was called, or this side closed
 	ending          endingState
-	// onDescriptorFree is told once the descriptor is free.
+	// onDescriptorFree is called once the descriptor is free.
 	onDescriptorFree func()
-	// onReleased gets the parts of a connection that is let go of; nil: nobody has asked for them.
+	// onReleased gets the parts of a connection that is released; nil: it is not.
 	onReleased func(Parts)
 	socket     socketState
 }
@@ -62,12 +61,12 @@
 	unsent     []byte
 	retry      *Timer
 	retryPause time.Duration
-	giveUpAt   int64 // when a peer that takes nothing is given up
+	giveUpAt   int64 // when a peer that takes nothing is dropped
 }
 
 // endingState is how a connection ends that this side has closed.
 type endingState struct {
-	unsentUntil    int64 // when the rest of a line that is still partly written is given up
+	unsentUntil    int64 // until when the rest of a partly written line may still go out
 	abort          bool  // Abort was called
 	finishing      bool  // Finish was called
 	discardedBytes int   // what came in after that
@@ -80,10 +79,10 @@
 	mu        sync.Mutex
 	fd        int
 	detaching bool // netpoll's close callback means a pause, not the end
-	closing   bool // it means that this side has closed the connection
+	closing   bool // this side has closed the connection
 }
 
-// newConn wraps a connection of netpoll's that stands. Reading pauses while its input is at the limit.
+// newConn wraps an established connection of netpoll's. Reading pauses while its input is at the limit.
 func newConn(l *Loop, np netpoll.Connection, limit int) *Conn {
 	c := &Conn{loop: l, transport: np, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: -1}}
 	if d, ok := np.(netpoll.Conn); ok {
@@ -93,12 +92,12 @@
 	return c
 }
 
-// newPausedConn wraps a socket that stands and that netpoll does not watch yet; resume has it watched.
+// newPausedConn wraps an established socket that netpoll does not watch yet; resume has it watched.
 func newPausedConn(l *Loop, fd, limit int, h Handler) *Conn {
 	return &Conn{loop: l, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: fd}, paused: true, handler: h}
 }
 
-// sizeBuffers bounds what the kernel holds for the connection.
+// sizeBuffers bounds what the kernel buffers for the connection.
 func (c *Conn) sizeBuffers() {
 	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
 	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
@@ -144,8 +143,7 @@
 // Over tells whether the connection has ended, from either side.
 func (c *Conn) Over() bool { return c.over }
 
-// guard stops a panic at the connection it came from, and tells the handler so that a request waiting on it still
-// gets its answer.
+// guard confines a panic to the connection that it came from, and ends that, so that a request waiting on it still gets its answer.
 func (c *Conn) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -8,9 +8,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Dialer opens connections. netpoll's dial blocks its caller until the peer answers or time runs out, so a fixed
-// set of dialers does the waiting. No address may keep more than a quarter of them: a host that has vanished takes
-// the whole time limit for each dial, and must not hold up the dials to all others.
+// Dialer opens connections. netpoll's dial blocks its caller until the peer answers or time runs out, so a fixed set of goroutines waits for
+// them. No address may use more than a quarter of these: a host that has vanished takes all of its time limit for each dial, and must not
+// delay the dials to others.
 type Dialer struct {
 	loop *Loop
 
@@ -20,10 +20,10 @@
 	busy    map[string]int
 	share   int
 
-	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests put another in its place
+	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests replace it
 }
 
-// dialRetryPause is the pause before a connect is made again that this machine had nothing for.
+// dialRetryPause is the pause before a connect is retried for which this machine had no resources.
 const dialRetryPause = 5 * time.Millisecond
 
 // Dial is one connection being opened.
@@ -63,14 +63,14 @@
 	return q
 }
 
-// Drop gives the dial up; done is not called any more. A nil Dial is none.
+// Drop ends the dial; done is not called any more. A nil Dial is none.
 func (q *Dial) Drop() {
 	if q != nil {
 		q.settle()
 	}
 }
 
-// settle makes sure that a dial ends once, and tells whether this was the time.
+// settle ends a dial; false: it had ended already.
 func (q *Dial) settle() bool {
 	q.expiry.Stop()
 	q.dialer.mu.Lock()
@@ -104,7 +104,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for {
-		kept := d.waiting[:0]
+		left := d.waiting[:0]
 		var found *Dial
 		for _, q := range d.waiting {
 			switch {
@@ -112,11 +112,11 @@
 			case found == nil && d.busy[q.addr] < d.share:
 				found = q
 			default:
-				kept = append(kept, q)
+				left = append(left, q)
 			}
 		}
-		clear(d.waiting[len(kept):])
-		d.waiting = kept
+		clear(d.waiting[len(left):])
+		d.waiting = left
 		if found != nil {
 			d.busy[found.addr]++
 			return found
@@ -125,8 +125,8 @@
 	}
 }
 
-// connect makes the connection within the dial's time. What this machine has no descriptor, port or memory for says nothing of the host, and is tried
-// again: told as the host's failure it has a sound one shunned for seconds.
+// connect makes the connection within the dial's time. A connect for which this machine has no descriptor, port or memory is no fault of the
+// host, which must not be ejected for it, and is retried.
 func (d *Dialer) connect(q *Dial) (np netpoll.Connection, err error) {
 	err = errors.New("no time left")
 	for {
@@ -156,7 +156,7 @@
 		d.ready.Signal()
 		d.loop.Post(func() {
 			if fault != nil {
-				// netpoll's words for a refusal and for a time-out vary with the moment; the clock does not.
+				// netpoll's errors do not tell a refusal from a time-out; the clock does.
 				cause := Refused
 				if d.loop.Now() >= q.deadline {
 					cause = Expired
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerTimeout is how long a closed connection may still take to deliver its last line, and to hang up after that.
+// lingerTimeout is how long after its end a connection may take to deliver its last line, and its peer to hang up.
 const lingerTimeout = time.Second
 
-// maxLingerInput is how much may come in meanwhile. Who sends more than that after its answer is not reading it.
+// maxLingerInput is how much, in bytes, may come in meanwhile: a peer that sends more is not reading.
 const maxLingerInput = 1 << 20
 
-// closed is netpoll's word that the connection is closed. It may come on a goroutine of netpoll's.
+// closed is netpoll's callback for a closed connection. It may come on a goroutine of netpoll's.
 func (c *Conn) closed(np netpoll.Connection) error {
 	environment.gate.releasePoller()
 	cause := Ended
@@ -26,8 +26,8 @@
 		c.detached(np)
 		return nil
 	}
-	kept := c.socket.fd >= 0 && c.rescueDescriptor()
-	if c.socket.fd >= 0 && !kept {
+	rescued := c.socket.fd >= 0 && c.rescueDescriptor()
+	if c.socket.fd >= 0 && !rescued {
 		cause = c.endCause()
 		c.socket.fd = -1 // the number is another's from here on
 	}
@@ -38,7 +38,7 @@
 		tail = make([]byte, n)
 		np.Read(tail)
 	}
-	if kept {
+	if rescued {
 		c.loop.Post(func() { c.watchAfterLoss(tail) })
 		return nil
 	}
@@ -51,7 +51,7 @@
 		case c.layer != nil:
 			c.readSealed(tail, c.inputLimit+inputOvershoot)
 			if cause == Ended {
-				// Whoever can end the socket can cut off what the peer said last; only the layer's end is the peer's.
+				// Anybody can end the socket; only the layer's own end comes from the peer.
 				c.fail(&Error{Stage: Up, Cause: Broke, Detail: errTruncated})
 			}
 		case len(tail) > 0:
@@ -66,8 +66,8 @@
 // errPollerDropped is the reason for a connection that netpoll dropped although it is established: netpoll gives no other.
 var errPollerDropped = errors.New("the poller could not take the socket, or not read from it")
 
-// rescueDescriptor reports whether netpoll closes a connection that neither side has ended: the kernel had no memory for watching its socket, say. The socket
-// then lives on under another number, which it notes. socket.mu is held.
+// rescueDescriptor reports whether netpoll closes a connection that neither side has ended, such as where the kernel had no memory for
+// watching its socket. It then keeps the socket open under another descriptor. The caller holds socket.mu.
 func (c *Conn) rescueDescriptor() bool {
 	const tcpEstablished = 1
 	if c.socket.closing {
@@ -94,7 +94,7 @@
 	return second
 }
 
-// watchAfterLoss has netpoll watch a socket again that it has let go of. tail came in before that.
+// watchAfterLoss has netpoll watch a socket again that it has dropped. tail came in before that.
 func (c *Conn) watchAfterLoss(tail []byte) {
 	c.paused = true
 	if c.over && !c.ending.finishing {
@@ -113,7 +113,7 @@
 	c.watchAgain(errPollerDropped)
 }
 
-// closeSocket closes the socket, whoever holds it.
+// closeSocket closes the socket, whether netpoll watches it or not.
 func (c *Conn) closeSocket() {
 	c.ending.linger.Stop()
 	c.ending.finishing = false
@@ -143,7 +143,7 @@
 // WhenGone has f called once the connection holds no descriptor any more, which may be some time after its end.
 func (c *Conn) WhenGone(f func()) { c.onDescriptorFree = f }
 
-// descriptorFreed tells whoever waits for the descriptor.
+// descriptorFreed calls what WhenGone has set, once.
 func (c *Conn) descriptorFreed() {
 	c.ending.linger.Stop()
 	if f := c.onDescriptorFree; f != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// endCause asks the kernel whether the peer ended in order: netpoll reports a reset as an end. socket.mu is held.
+// endCause asks the kernel whether the peer ended in order: netpoll reports a reset as an end. The caller holds socket.mu.
 func (c *Conn) endCause() Cause {
 	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
@@ -168,18 +168,18 @@
 	FinalMessage() []byte
 }
 
-// fail closes the connection and tells the handler why.
+// fail closes the connection and notifies the handler.
 func (c *Conn) fail(err *Error) {
 	if c.over {
 		return
 	}
-	held := c.input
+	input := c.input
 	if w, ok := c.handler.(FinalMessager); ok && err.Cause == Dropped {
 		c.FinishWith(w.FinalMessage())
 	} else {
 		c.Close()
 	}
-	c.input = held // the handler may still want what came before the end
+	c.input = input // the handler may still read what came before the end
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "close", "reason", p, "stack", string(debug.Stack()))
@@ -198,14 +198,13 @@
 	c.over, c.input = true, Buffer{}
 	if len(c.output.unsent) > 0 {
 		c.ending.unsentUntil = c.loop.Now() + int64(lingerTimeout)
-		return // retryUnsent closes: a line must not end in its middle because its reader is slow
+		return // retryUnsent closes: a line must not be cut off because its reader is slow
 	}
 	c.closeSocket()
 }
 
-// Finish ends the connection after its last line. Close would reset it wherever the peer has sent what nobody has read,
-// and a reset can take the line with it. So only this side ends; what still comes is thrown away until the peer has hung
-// up, or has had its time.
+// Finish ends the connection after its last line. Close would reset it wherever the peer has sent what nobody has read, and a reset can
+// overtake the line. So only this side ends; what still comes is discarded until the peer hangs up, or for lingerTimeout.
 func (c *Conn) Finish() {
 	if c.over {
 		return
@@ -245,6 +244,6 @@
 	if c.over {
 		return
 	}
-	c.layer, c.ending.abort = nil, true // a layer has nothing to say at a reset
+	c.layer, c.ending.abort = nil, true // a layer sends nothing at a reset
 	c.Close()
 }
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -8,15 +8,15 @@
 
 // The stages, in order.
 const (
-	Connecting Stage = iota // the connection does not stand yet
-	Sending                 // it stands, the first line is not wholly written
+	Connecting Stage = iota // the connection is not established yet
+	Sending                 // it is established, the first line is not completely written
 	Sent                    // the first line's last byte is written
 	Up                      // the peer has accepted
 )
 
 var stageNames = [...]string{"connecting", "sending", "sent", "up"}
 
-// String names a stage as the log writes it.
+// String is the stage's name in the log.
 func (s Stage) String() string { return stageNames[s] }
 
 // Cause is why a connection is over.
@@ -26,14 +26,14 @@
 const (
 	Ended   Cause = iota // the peer ended its side in order
 	Broke                // the connection was reset, or the machine says it is dead
-	Refused              // it never stood
-	Expired              // it did not stand in time
-	Dropped              // this side gave it up: a limit, a fault, a change of mind
+	Refused              // it was never established
+	Expired              // it was not established in time
+	Dropped              // this side ended it: a limit, a fault, or no more use for it
 )
 
 var causeNames = [...]string{"ended", "broke", "refused", "expired", "dropped"}
 
-// String names a cause as the log writes it.
+// String is the cause's name in the log.
 func (c Cause) String() string { return causeNames[c] }
 
 // Error is the end of a connection, with how far it had come.
@@ -43,7 +43,7 @@
 	Detail error // what the system or the parser said; may be nil
 }
 
-// Error says how far the connection had come, why it ended, and what the system said.
+// Error is why the connection ended, how far it had come, and what the system said.
 func (e *Error) Error() string {
 	if e.Detail != nil {
 		return fmt.Sprintf("%s while %s: %v", e.Cause, e.Stage, e.Detail)
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// Layer stands between a socket and the handler of its connection: it opens what the peer has sealed and seals what goes
-// out. It is driven on the loop, never blocks and holds a bounded number of bytes.
+// Layer is between a socket and the handler of its connection: it decrypts what comes in and encrypts what goes out. It is driven on the
+// loop, never blocks and buffers a bounded number of bytes.
 type Layer interface {
-	// Attach names what the layer sends by. From here on the connection drives it.
+	// Attach gives the layer its way to send. From here on the connection drives it.
 	Attach(send func(p []byte))
-	// Take gives it bytes of the socket's; p is the caller's again afterwards. False: more than it holds.
+	// Take gives it bytes of the socket's; p is the caller's again afterwards. False: more than it buffers.
 	Take(p []byte) bool
 	// Open writes what can be read into p. 0 without an error: more bytes must come first. io.EOF: the peer ended in
 	// order. An error whose RefusedUnread is true means that
@@ -18,27 +18,26 @@
 	Open(p []byte) (int, error)
 	// Seal sends p.
 	Seal(p []byte) error
-	// End tells the peer that nothing more comes.
+	// End sends the peer the layer's own end.
 	End()
-	// Buffered is how many bytes it holds.
+	// Buffered is how many bytes it buffers.
 	Buffered() int
 }
 
-// refusedUnread is implemented by errors of a layer that may mean a refusal before anything was read.
+// refusedUnread is implemented by errors that may mean that the peer refused the connection before it read anything.
 type refusedUnread interface{ RefusedUnread() bool }
 
 const (
-	// layerReadSize is how much of the buffer is set aside for what a layer opens at once. It leaves an idle connection's
-	// buffer at its smallest.
+	// layerReadSize is how much a layer may give at once: less than the smallest buffer, which an idle connection keeps.
 	layerReadSize = minBufferSize / 2
-	// maxUnsent is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more
-	// and does not read is ended.
+	// maxUnsent is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more without
+	// reading is ended.
 	maxUnsent = 64 << 10
 )
 
 var (
 	errTruncated      = errors.New("the connection ended without the layer's own end")
-	errPeerNotReading = errors.New("the peer makes the layer talk and does not listen")
+	errPeerNotReading = errors.New("the peer causes output of the layer and does not read it")
 )
 
 // Socket is an established connection's, for Adopt.
@@ -49,10 +48,10 @@
 }
 
 // Adopt makes a connection of an established socket, behind its layer, and gives it to done and then to h. It is called on
-// the loop. If the socket can't be used, h is told that the connection ended.
+// the loop. If the socket can't be used, h is notified that the connection ended.
 //
-// It begins as a connection whose reading is paused: netpoll reads from the moment it has the socket, as fast as the peer
-// sends, and what came before the callbacks were in place ended connections for more input than the limit.
+// Reading is paused at first: netpoll reads from the moment it has the socket, as fast as the peer sends, and more than the limit could come
+// before the callbacks are in place.
 func Adopt(l *Loop, s Socket, h Handler, done func(*Conn)) {
 	c := newPausedConn(l, s.FD, s.InputLimit, h)
 	c.layer = s.Layer
@@ -67,10 +66,10 @@
 	}
 }
 
-// Layer is what stands between the socket and the handler; nil: nothing, or no longer.
+// Layer is what is between the socket and the handler; nil: nothing, or no longer.
 func (c *Conn) Layer() Layer { return c.layer }
 
-// readSealed gives the layer what came, and the handler what the layer opens.
+// readSealed gives the layer what came, and the handler what the layer has decrypted.
 func (c *Conn) readSealed(p []byte, most int) {
 	if !c.layer.Take(p) {
 		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
@@ -79,7 +78,7 @@
 	c.readLayer(most)
 }
 
-// readLayer has the layer fill the input up to most, and the handler look at it.
+// readLayer has the layer fill the input up to most bytes, and the handler read it.
 func (c *Conn) readLayer(most int) {
 	c.guard(func() {
 		for !c.over {
@@ -98,6 +97,7 @@
 	})
 }
 
+// readLayerOnce has the layer fill the input up to most bytes; fresh: some have come.
 func (c *Conn) readLayerOnce(most int) (fresh bool, err error) {
 	for c.input.Len() < most {
 		n, err := c.layer.Open(c.input.Reserve(layerReadSize))
@@ -110,6 +110,7 @@
 	return fresh, nil
 }
 
+// layerError is the end of a connection whose layer gives an error.
 func layerError(err error) *Error {
 	var unread refusedUnread
 	switch {
@@ -121,7 +122,7 @@
 	return &Error{Stage: Up, Cause: Broke, Detail: err}
 }
 
-// refill brings more input to a connection that is paused and has room again: first what its layer holds.
+// refill brings more input to a paused connection whose input has been consumed: first what its layer buffers.
 func (c *Conn) refill() {
 	if c.layer == nil || !c.layerHasMore {
 		c.resume()
@@ -144,7 +145,7 @@
 	})
 }
 
-// endLayer has the layer tell the peer of the end, and drops it.
+// endLayer has the layer send its own end, and drops it.
 func (c *Conn) endLayer() {
 	if l := c.layer; l != nil {
 		c.guard(l.End)
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -15,29 +15,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener is a listening socket, which may be another process's too: both then take from one queue, and what waits in it
-// outlives either.
+// Listener is a listening socket, which may be another process's too: both then accept from one queue, which outlives either.
 type Listener struct {
 	netpoll.Listener
 	addr net.Addr
 
 	mu       sync.Mutex
 	stopped  bool
-	detached bool          // netpoll has been told to let go
-	ended    chan struct{} // closed once it has; nil before the first Serve
+	detached bool          // netpoll has been told to stop
+	ended    chan struct{} // closed once netpoll has stopped; nil before the first Serve
 	take     func(fd int)  // takes over the descriptor of a connection, on the poller
 }
 
 // errStopped ends netpoll's accepting. netpoll looks for the word "closed"; the socket stays open.
-var errStopped = errors.New("accepting is closed here, by order")
+var errStopped = errors.New("accepting is closed")
 
-// acceptRetryPause is the pause before the queue is looked at again when the kernel had no descriptor or no memory for a connection: netpoll would
-// come back at once for as long as that lasts.
+// acceptRetryPause is the pause after an accept for which the kernel had no descriptor or no memory: netpoll would retry without one.
 const acceptRetryPause = 5 * time.Millisecond
 
-// Accept takes one connection from the queue, unless accepting has been stopped, and gives netpoll none: what netpoll registers itself it closes
-// without a word should the kernel have no memory for that. Nor is netpoll told of errors. Those of a client are over with it; where descriptors run
-// out it would let go of the queue, take it up again beside the poller, up to a second late, or never.
+// Accept accepts one connection, unless accepting has been stopped, and gives netpoll none: a connection that netpoll registers itself it closes
+// without notice where the kernel has no memory for that. Nor does netpoll get errors: where descriptors run out it would stop watching the
+// queue, and resume late or never.
 func (n *Listener) Accept() (net.Conn, error) {
 	n.mu.Lock()
 	if n.stopped {
@@ -61,7 +59,7 @@
 	return nil, nil
 }
 
-// isResourceShortage tells whether this machine is out of something, which it may stay for a while.
+// isResourceShortage tells whether an error means that this machine is out of some resource.
 func isResourceShortage(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 		syscall.EINTR} {
@@ -72,7 +70,7 @@
 	return false
 }
 
-// Stop leaves what comes from now on to whoever else holds the socket.
+// Stop ends accepting; connections wait for whoever else has the socket.
 func (n *Listener) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +82,7 @@
 
 // Bind listens on addr and accepts nothing yet. Where it is shared, another process of the same user may listen there as well.
 func Bind(addr string, shared bool) (*Listener, error) {
-	// Accepted sockets take the size over; set later, what the kernel has offered the client by then stays.
+	// Accepted sockets inherit the size; set later it would not change the window that the client has been offered.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
@@ -140,7 +138,7 @@
 func Serve(l *Loop, n *Listener, limit int, accept func(c *Conn) Handler) error {
 	n.mu.Lock()
 	n.stopped = false
-	// Accepting waits for the loop, so that it can make room for each.
+	// Accepting waits for the loop, which may have to evict another connection first.
 	n.take = func(fd int) { environment.gate.runOnLoop(l, func() { accepted(l, fd, limit, accept) }) }
 	serving, before := n.ended != nil && !n.detached, n.ended
 	if !serving {
@@ -149,7 +147,7 @@
 	ended := n.ended
 	n.mu.Unlock()
 	if serving {
-		return nil // netpoll has not come to let go
+		return nil // netpoll has not stopped yet
 	}
 	go func() {
 		if before != nil {
@@ -161,8 +159,8 @@
 	return nil
 }
 
-// serve has netpoll watch the queue until accepting is stopped. It ends the process where that can't be had: a proxy that takes nobody must not
-// stay.
+// serve has netpoll watch the queue until accepting is stopped. It ends the process where that fails for good: a proxy that accepts nobody must
+// not go on.
 func (n *Listener) serve() {
 	for range maxListenerFailures {
 		err := watchListener(n)
@@ -199,14 +197,14 @@
 	})
 }
 
-// discardingHandler is the handler of a connection that was not taken.
+// discardingHandler is the handler of a connection that has no other.
 type discardingHandler struct{}
 
-// Data takes nothing.
+// Data does nothing.
 func (discardingHandler) Data(*Conn) {}
 
-// Writable has nothing to write.
+// Writable does nothing.
 func (discardingHandler) Writable(*Conn) {}
 
-// Closed has nobody to tell.
+// Closed does nothing.
 func (discardingHandler) Closed(*Conn, *Error) {}
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -1,6 +1,5 @@
-// Package netio puts netpoll's connections behind one owner: a loop that runs every callback, every timer and every
-// posted task one after the other. What it serves needs no locks of its own, and a slow or silent peer costs it a
-// table entry, never a goroutine.
+// Package netio puts netpoll's connections behind one owner: a loop that runs every callback, every timer and every posted task one after the
+// other. What runs on it needs no locks, and a slow or silent peer costs a table entry and no goroutine.
 package netio
 
 import (
@@ -24,10 +23,10 @@
 	order  uint64
 
 	clock   func() int64
-	sendmsg func(fd int, p []byte) (int, error) // the system call; tests put another in its place
+	sendmsg func(fd int, p []byte) (int, error) // the system call; tests replace it
 }
 
-// Wall is the system's clock, which may be set at any time. Tests of several processes put another in its place.
+// Wall is the system's clock, which may be set at any time. Tests of several processes replace it.
 var Wall = time.Now
 
 // NewLoop makes a loop. Its clock is Unix time as it is now plus what passes on the monotonic clock, so that a step of
@@ -43,7 +42,7 @@
 	return &Loop{wake: make(chan struct{}, 1), ended: make(chan struct{}), clock: clock, sendmsg: sendmsg}
 }
 
-// SetSend puts another system call in the place of the one that writes to sockets, for tests of what fails. It is called before Run.
+// SetSend replaces the system call that writes to sockets, for tests of its failures. It is called before Run.
 func (l *Loop) SetSend(send func(fd int, p []byte) (int, error)) { l.sendmsg = send }
 
 // Now is the loop's time in nanoseconds since 1970.
@@ -83,8 +82,7 @@
 	}
 }
 
-// RunPending serves what is queued or due, and what that queues, without waiting. It tells how long the next timer has
-// to wait.
+// RunPending serves what is queued or due, and what that queues, without waiting. It gives how long until the next timer is due.
 func (l *Loop) RunPending() time.Duration {
 	for !l.stopped {
 		l.mu.Lock()
@@ -94,7 +92,7 @@
 		for i, f := range tasks {
 			tasks[i] = nil
 			l.guard(f)
-			l.fire() // a long queue must not hold up what is due
+			l.fire() // a long queue must not delay what is due
 		}
 		l.spare = tasks[:0]
 		if wait := l.fire(); len(tasks) == 0 {
@@ -104,8 +102,7 @@
 	return 0
 }
 
-// guard keeps a panic from ending the process: the connections guard their own callbacks and answer for them, so
-// what reaches this point belongs to no connection.
+// guard keeps a panic from ending the process. Connections guard their own callbacks, so what reaches this point belongs to none.
 func (l *Loop) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -115,7 +112,7 @@
 	f()
 }
 
-// fire runs the timers that are due and tells how long the next one has to wait.
+// fire runs the timers that are due, and gives how long until the next one is.
 func (l *Loop) fire() time.Duration {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
@@ -162,7 +159,7 @@
 	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].order < h[j].order
 }
 
-// Swap keeps the timers' places true.
+// Swap keeps the timers' indexes.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -5,13 +5,11 @@
 	"sync/atomic"
 )
 
-// loopGate keeps netpoll's poller in step with the loop: the poller hands over what it has read or accepted and goes on
-// once the loop has looked at it.
+// loopGate makes netpoll's poller wait for the loop: the poller passes on what it has read or accepted, and goes on once the loop has handled it.
 //
-// It exists because netpoll reads and accepts as fast as peers send, whatever the loop does meanwhile. Some clients
-// that send without end then fill the memory before the loop has seen their first line, and hundreds that connect at
-// once use up the descriptors before the loop can turn one away. Held back, the bytes stay in the kernel, whose
-// buffers are small, and the connections in the listener's backlog.
+// netpoll alone reads and accepts as fast as peers send. A few clients that send without end would fill the memory before the loop has read
+// their first line, and hundreds that connect at once would use up the descriptors before the loop can evict one. With the gate the bytes stay
+// in the kernel, whose buffers are small, and the connections in the listener's queue.
 type loopGate struct {
 	pollerParked atomic.Bool // the poller is parked, so it is the loop that calls: it must not wait for itself
 
@@ -45,8 +43,8 @@
 	}
 }
 
-// releasePoller lets the poller go on. netpoll spins until its poller is done with a connection before it lets go of it, so
-// this must come before the loop gives a connection back; once more than needed is harmless.
+// releasePoller lets the poller go on. netpoll releases a connection only once its poller is done with it, so this must come before the loop
+// gives a connection back; once more than needed is harmless.
 func (g *loopGate) releasePoller() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +61,7 @@
 	g.mu.Unlock()
 }
 
-// shut holds the poller back again.
+// shut makes the poller wait again.
 func (g *loopGate) shut() {
 	g.mu.Lock()
 	g.open = make(chan struct{})
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -13,11 +13,10 @@
 
 // pollerBarrier makes the loop wait until netpoll's poller has finished what it is doing.
 //
-// It exists for the sake of pausing a connection and taking it up again. netpoll reads whatever a socket holds for as long as it watches it,
-// so the only way to stop reading is to take the socket away from it; and what the poller reads at that very moment
-// would be lost with netpoll's buffer. netpoll calls a listener's Accept on the poller, between two sockets, so a
-// listener that stands on an eventfd tells when the poller has come to it: by then it is done with all it had found
-// before the eventfd was written.
+// Pausing a connection and resuming it needs that. netpoll reads a socket for as long as it watches it, so reading is stopped by taking the
+// socket away from it; and what the poller reads at that very moment would be lost with netpoll's buffer. netpoll calls a listener's Accept on
+// the poller, between two sockets, so a listener on an eventfd shows when the poller has reached it: by then it is done with all that it had
+// found before the eventfd was written.
 type pollerBarrier struct {
 	eventFD int
 	reached chan struct{}
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// read takes over what netpoll holds. netpoll calls it on the loop.
+// read takes what netpoll has read. netpoll calls it on the loop.
 func (c *Conn) read() {
 	for c.transport.Reader().Len() > 0 {
 		n := c.transport.Reader().Len()
@@ -28,7 +28,7 @@
 	c.transport.Reader().Release()
 }
 
-// readSome takes over up to n bytes; false: netpoll has none after all.
+// readSome takes up to n bytes; false: netpoll has none after all.
 func (c *Conn) readSome(n int) bool {
 	if c.layer != nil {
 		p, err := c.transport.Reader().Next(n)
@@ -58,8 +58,7 @@
 	}
 }
 
-// pauseReading takes the socket away from netpoll; what comes from here on stays in the kernel, and in the end with
-// the sender. It is called from inside a callback of netpoll's, which completes the detaching when it returns.
+// pauseReading takes the socket away from netpoll; what comes from here on stays in the kernel's buffer, and then at the sender. It is called from inside a callback of netpoll's, which completes the detaching when it returns.
 func (c *Conn) pauseReading() bool {
 	d, ok := c.transport.(interface{ Detach() error })
 	if !ok {
@@ -82,7 +81,7 @@
 	fd, ready := c.socket.fd, !c.socket.detaching
 	c.socket.mu.Unlock()
 	if !ready || fd < 0 || c.onReleased != nil {
-		return // netpoll has not let go yet, and closed comes here again; or somebody else takes the socket
+		return // netpoll has not released it yet, and closed calls this again; or the connection is being released
 	}
 	c.paused = false
 	if err := c.handToPoller(fd); err != nil {
@@ -93,8 +92,8 @@
 	c.pollerRefusals = 0
 }
 
-// handToPoller has netpoll watch the socket. netpoll closes what it can't take, so the socket has another number meanwhile, where there is one
-// to be had.
+// handToPoller has netpoll watch the socket. netpoll closes a socket that it can't watch, so this one has a second descriptor meanwhile, where
+// there is one.
 func (c *Conn) handToPoller(fd int) (err error) {
 	spare := duplicateDescriptor(fd)
 	environment.whilePollerParked(func() {
@@ -122,6 +121,7 @@
 	watchRetryPause  = 25 * time.Millisecond
 )
 
+// watchAgain has netpoll watch the socket after a pause; too many failures end the connection.
 func (c *Conn) watchAgain(err error) {
 	c.pollerRefusals++
 	slog.Warn("watch_failed", "times", c.pollerRefusals, "reason", err)
@@ -139,13 +139,14 @@
 	})
 }
 
+// deliver has the handler read the input.
 func (c *Conn) deliver() {
 	if !c.over && c.onReleased == nil {
 		c.guard(func() { c.handler.Data(c) })
 	}
 }
 
-// detached is netpoll's word that a pause has begun. It comes on the loop, where the pause was asked for.
+// detached is netpoll's callback once a pause has begun. It comes on the loop, where the pause was asked for.
 func (c *Conn) detached(np netpoll.Connection) {
 	environment.whilePollerParked(func() {})
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
@@ -165,7 +166,7 @@
 		got, _ := np.Read(space)
 		c.input.Extend(got)
 	}
-	// netpoll lets go of the socket only after this callback, so all that follows waits for the loop's next turn.
+	// netpoll releases the socket only after this callback, so all that follows waits for the loop's next turn.
 	c.loop.Post(func() {
 		c.socket.mu.Lock()
 		c.socket.detaching = false
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Parts are what is left of a connection that is let go of without being ended, for another process to go on with.
+// Parts are what another process needs to resume a connection that was released.
 type Parts struct {
-	FD     int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be let go of
+	FD     int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be released
 	Input  []byte `json:"In"`   // came in and was not consumed
 	Unsent []byte `json:"Rest"` // of the line that is partly written
 }
 
-// Release lets go of a connection that stands, without ending it, and gives its parts to done, on the loop, later. From here
-// on its handler hears nothing of it. A connection with a layer can't be released: what the layer knows stays here.
+// Release gives an open connection away without ending it; done gets its parts, on the loop, later. From here on its handler is not notified of
+// anything. A connection with a layer can't be released, since the layer's state stays here.
 func (c *Conn) Release(done func(Parts)) {
 	if c.over || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(Parts{FD: -1}) })
@@ -31,11 +31,11 @@
 	ready := !c.socket.detaching
 	c.socket.mu.Unlock()
 	if ready {
-		c.loop.Post(c.giveParts) // else it comes once netpoll has let go
+		c.loop.Post(c.giveParts) // else detached does it, once netpoll has released the socket
 	}
 }
 
-// releaseFailed tells that a connection has ended before it could be let go of.
+// releaseFailed gives no parts for a connection that has ended before it was released.
 func (c *Conn) releaseFailed() {
 	if done := c.onReleased; done != nil {
 		c.onReleased = nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// giveParts gives the parts away.
+// giveParts calls what waits for the parts.
 func (c *Conn) giveParts() {
 	done := c.onReleased
 	if done == nil {
@@ -65,15 +65,14 @@
 	done(p)
 }
 
-// Resume makes a connection of what another one was let go of as, and gives it to done and then to h. It is called on the
-// loop. The socket is the connection's from here on, also where there is an error. It begins as one whose reading is paused:
-// netpoll would read as fast as the peer sends until the callbacks are in place, and a connection whose input nobody has taken
-// must not grow with each process it comes to.
+// Resume makes a connection of the parts of a released one, and gives it to done and then to h. It is called on the loop. The socket is the
+// connection's from here on, also where there is an error. Reading is paused at first: netpoll would read as fast as the peer sends until the
+// callbacks are in place, and a connection whose input nobody consumes must not grow with each process that resumes it.
 func Resume(l *Loop, p Parts, limit int, h Handler, done func(*Conn)) error {
 	c := newPausedConn(l, p.FD, limit, h)
 	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsent {
 		unix.Close(p.FD)
-		return errors.New("more left over than a connection may have")
+		return errors.New("more unread or unsent than a connection may have")
 	}
 	c.guard(func() { done(c) })
 	if !c.over && len(p.Unsent) > 0 {
@@ -85,16 +84,16 @@
 	return nil
 }
 
-// Discard gives this process's hold on the socket up. Where nobody else goes on with it there is a last line to say: the rest of a
-// line that is partly written and the last one go out, as far as the kernel takes them at once.
+// Discard closes this process's descriptor of the socket. Where nobody resumes the connection, last is its last line: it goes out behind the
+// rest of a partly written one, as far as the kernel takes them at once.
 func (p Parts) Discard(last []byte) {
 	if p.FD < 0 {
 		return
 	}
 	if len(last) > 0 {
-		words := append(bytes.Clone(p.Unsent), last...)
-		if n, err := sendSome(sendmsg, p.FD, words); n < len(words) {
-			slog.Warn("migration_line_lost", "bytes", len(words)-n, "reason", err)
+		lines := append(bytes.Clone(p.Unsent), last...)
+		if n, err := sendSome(sendmsg, p.FD, lines); n < len(lines) {
+			slog.Warn("migration_line_lost", "bytes", len(lines)-n, "reason", err)
 		}
 	}
 	unix.Close(p.FD)
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -8,21 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// How long to wait before a peer that takes no bytes is offered them again.
+// The backoff before the rest of a line is written again.
 const (
 	firstRetry = 2 * time.Millisecond
 	lastRetry  = 64 * time.Millisecond
 )
 
-// writeStallTimeout is how long a peer may take nothing before its connection is given up: what waits for it holds memory, and
-// somebody else's descriptor too.
+// writeStallTimeout is how long a peer may take nothing before its connection is ended: it costs memory, and a descriptor on the other side of
+// the proxy too.
 const writeStallTimeout = 10 * time.Second
 
-// Write hands one line to the kernel. It tells false, and takes nothing, while the rest of an earlier one waits;
-// Writable says when to come again.
+// Write writes one line to the kernel. False: it accepts nothing while the rest of an earlier line waits; Handler.Writable follows.
 func (c *Conn) Write(p []byte) bool {
 	if c.over {
-		return true // its end is on the way to the handler, or came from it
+		return true // the handler has ended it, or is about to be notified of its end
 	}
 	if len(c.output.unsent) > 0 {
 		return false
@@ -40,7 +39,7 @@
 	}
 }
 
-// writeToSocket hands bytes to the kernel and keeps what it does not take.
+// writeToSocket writes bytes to the kernel and buffers what it does not take.
 func (c *Conn) writeToSocket(p []byte) {
 	if len(c.output.unsent) > 0 {
 		if len(c.output.unsent)+len(p) > maxUnsent {
@@ -64,9 +63,8 @@
 // Blocked tells whether the rest of a line waits for the peer.
 func (c *Conn) Blocked() bool { return len(c.output.unsent) > 0 }
 
-// retryUnsent offers the peer the rest of a line again. netpoll's own Flush would block the loop until a slow reader has
-// taken everything, and its poller watches for writing only inside that call; so the offer is renewed by a timer,
-// more and more seldom.
+// retryUnsent writes the rest of a line again, by a timer with a backoff: netpoll's own Flush would block the loop until a slow reader has taken
+// everything, and its poller watches for writing only inside that call.
 func (c *Conn) retryUnsent() {
 	n, err := c.send(c.output.unsent)
 	c.output.unsent = c.output.unsent[:copy(c.output.unsent, c.output.unsent[n:])]
@@ -75,7 +73,7 @@
 		c.writeFailed(err)
 	case len(c.output.unsent) > 0 && !c.over && c.loop.Now() > c.output.giveUpAt:
 		c.output.unsent = nil
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errors.New("peer takes nothing")})
+		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errors.New("the peer reads nothing")})
 	case len(c.output.unsent) > 0 && !(c.over && c.loop.Now() > c.ending.unsentUntil):
 		c.output.retryPause = min(2*c.output.retryPause, lastRetry)
 		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
@@ -94,9 +92,9 @@
 	return unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 }
 
-// send gives the kernel what it takes right now, and tells how much that was. A kernel that is short of memory or of buffers takes nothing for
-// the moment. Any other error means that the connection is broken, and that nothing of what was not taken is on its way. A connection whose
-// socket is closed already takes everything: its end is on the way to the handler.
+// send writes what the kernel takes right now, and gives how much that was. A kernel that is short of memory or of buffers takes nothing for the
+// moment. Any other error means that the connection is broken. A connection whose socket is closed takes everything: its handler is about to be
+// notified of its end.
 func (c *Conn) send(p []byte) (done int, err error) {
 	c.socket.mu.Lock()
 	defer c.socket.mu.Unlock()
@@ -123,8 +121,8 @@
 	return len(p), nil
 }
 
-// writeFailed ends a connection on which a write has failed. Until its handler hears of that the line counts as not written whole. netpoll may tell
-// of the end as well, or may not: the error that a write meets is gone from the socket.
+// writeFailed ends a connection on which a write has failed. Until its handler is notified the line counts as not completely written. netpoll may
+// not notice: the error that a write returns is gone from the socket.
 func (c *Conn) writeFailed(err error) {
 	c.loop.Post(func() {
 		c.output.retry.Stop()
