--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -13,7 +13,7 @@
 // acceptRetryDelay is the pause after a failed accept: the process may be out of descriptors.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Endpoint is where the next process asks.
+// Endpoint is where the next process asks for the handover.
 type Endpoint struct {
 	listener *net.UnixListener
 	loop     *netio.Loop
@@ -21,9 +21,9 @@
 	come     func(*Partner)
 }
 
-// Offer takes over the place in dir where the next process asks. welcome is called on the loop when one does, with the address that clients
-// use at it; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the partner.
-// Close ends the offer.
+// Offer listens in dir for the next process's request to hand over. welcome is called on the loop when it comes, with the address that clients
+// use at that process; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the
+// partner. Close ends the offer.
 func Offer(l *netio.Loop, dir string, welcome func(listen string) (*Handoff, error), come func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -97,7 +97,7 @@
 	return envelope{Kind: kindSuspended, ID: m.hostID, Out: m.out}
 }
 
-// listChanged, from old to new, is the endpoint list as discovery has told it since.
+// listChanged, from old to new, is an endpoint list that has come since.
 type listChanged struct {
 	noDescriptors
 	snapshot *proxy.Snapshot // may be nil
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// maxQueuedMessages bounds the messages that the other process has not taken yet; they are few and short.
+// maxQueuedMessages bounds the messages that the other process has not read yet; they are few and short.
 const maxQueuedMessages = 256
 
 // Events is what a Partner notifies, on the loop.
@@ -51,7 +51,7 @@
 	done          func()
 }
 
-// finish gives up this process's part of the connection. Where the handover failed, the client is told to come again.
+// finish closes this process's descriptors of the connection. Where the handover failed, its client is migrated.
 func (h *handover) finish(failed bool) {
 	if failed {
 		h.connection.Downstream.Discard(h.migrationLine)
@@ -149,7 +149,7 @@
 	}
 }
 
-// send queues a message. It never waits: a partner that takes nothing is given up.
+// send queues a message. It never waits: the connection to a partner that reads nothing is ended.
 func (p *Partner) send(m message) {
 	select {
 	case p.queue <- outgoing{message: m}:
@@ -171,7 +171,7 @@
 	}
 }
 
-// TakeOver tells the old process that this one accepts clients from here on.
+// TakeOver notifies the old process that this one accepts clients from here on.
 func (p *Partner) TakeOver() { p.send(takeOver{}) }
 
 // HostSuspended passes a host's suspension, or its end, on.
@@ -179,10 +179,10 @@
 	p.send(hostSuspended{hostID: id, out: suspended})
 }
 
-// ListChanged passes on what discovery has told of hosts: the two processes are one proxy, and what one knows the other must know.
+// ListChanged passes the endpoint list on: the two processes are one proxy, and what one knows the other must know.
 func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
-// SendDownstreamCount tells how many downstreams this process holds.
+// SendDownstreamCount sends how many downstreams this process holds.
 func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{count: n}) }
 
 // Close ends the connection to the partner; Gone follows.
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -63,7 +63,7 @@
 		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHead, head, stateMagic)
 	}
 	if length >= 0 && length < len(body) && body[length] == 0 {
-		body = body[:length] // a spare file is larger than what it holds
+		body = body[:length] // a spare file is larger than its content
 	}
 	if got := crc32.ChecksumIEEE(body); length != len(body) || sum != got {
 		return nil, fmt.Errorf("%w: %d bytes with %08x, expected %d with %08x", errStateChecksum, len(body), got, length, sum)
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// spareFile takes the state where the disk has no capacity for another file: it is reserved while the disk has, and is overwritten in
+	// spareFile takes the state where the disk has no space for another file: it is reserved while there is space, and is overwritten in
 	// place. A kill in the middle of that leaves a torn spare, and the state file as it was.
 	spareFile = stateFile + ".spare"
 	// minSpareSize is the size, in bytes, of a spare file before any state is known.
@@ -41,8 +41,8 @@
 	return true, err
 }
 
-// replaceFile puts a whole new file into the place of the old one. A file that could not be synced is still readable for the next process,
-// which reads what the kernel holds.
+// replaceFile replaces a file by a complete new one. A file that could not be synced is still readable for the next process, from the kernel's
+// cache.
 func replaceFile(path string, data []byte) (readable bool, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
@@ -63,7 +63,7 @@
 	return true, syncErr
 }
 
-// reserveSpare has the spare file be as large as the next states may be, while the disk has the capacity.
+// reserveSpare has the spare file be as large as the next states may be, while the disk has the space.
 func reserveSpare(dir string, size int) {
 	path := filepath.Join(dir, spareFile)
 	size = max(size, minSpareSize)
--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// sessionKey is what a session may be reused for: the same host, under the same name, with nothing replaced since.
+// sessionKey is what a session may be resumed for: the same host, under the same name, in the same epoch of the files.
 type sessionKey struct {
 	uid   string
 	name  Name
 	epoch uint64
 }
 
-// sessionCache keeps the last session of each host, and forgets the one that was used longest ago. Workers and the loop use it.
+// sessionCache caches the last session of each host, and drops the one used longest ago. Workers and the loop use it.
 type sessionCache struct {
 	mu          sync.Mutex
 	maxSessions int
 	items       map[sessionKey]*list.Element
-	order       list.List // of *kept, the last used first
+	order       list.List // of *cachedSession, the last used first
 }
 
 type cachedSession struct {
@@ -41,7 +41,7 @@
 	}
 	k := e.Value.(*cachedSession)
 	if now.After(k.validUntil) {
-		// Its certificate has run out; the host may have a new one by now, which a resumed handshake would not show.
+		// Its certificate has ended; the host may have a new one by now, which a resumed handshake would not show.
 		c.remove(e)
 		return nil
 	}
@@ -69,7 +69,7 @@
 	delete(c.items, e.Value.(*cachedSession).key)
 }
 
-// keepOnly forgets the sessions of other epochs.
+// keepOnly drops the sessions of other epochs.
 func (c *sessionCache) keepOnly(epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -18,7 +18,7 @@
 	handler    netio.Handler
 	done       func(*netio.Conn, *netio.Error)
 	expiry     *netio.Timer
-	job        *handshakeJob // once it is out
+	job        *handshakeJob // once it is in flight; nil: it is queued
 	ended      bool
 }
 
@@ -43,12 +43,12 @@
 	return d.drop
 }
 
-// budgetFailure is what the budget's refusal means to whoever dials.
+// budgetFailure is the failure of a dial that the handshake budget rejects.
 func budgetFailure(r handshake.Refusal) *Failure {
 	return &Failure{Reason: NoBudget, Step: "queue", Err: errors.New(r.String())}
 }
 
-// timedOut is the end of the time.
+// timedOut ends a dial that has taken too long.
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
 		d.link.budget.Drop(d.requestID)
@@ -59,7 +59,7 @@
 	d.fail(&Failure{Reason: TimedOut, Step: "finish"})
 }
 
-// drop gives the dial up; done is not called any more.
+// drop ends the dial; done is not called any more.
 func (d *pendingDial) drop() {
 	if !d.end() {
 		return
@@ -71,7 +71,7 @@
 	d.job.abort()
 }
 
-// end makes sure that a dial ends once, and tells whether this was the time.
+// end ends a dial; false: it had ended already.
 func (d *pendingDial) end() bool {
 	was := d.ended
 	d.ended = true
@@ -80,6 +80,7 @@
 	return !was
 }
 
+// fail ends a dial with a failure.
 func (d *pendingDial) fail(f *Failure) {
 	if !d.end() {
 		return
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -13,14 +13,14 @@
 	"syscall"
 )
 
-// Reason is why there is no connection. Each is one word in the log.
+// Reason is why there is no connection.
 type Reason string
 
 // The reasons. Those of the second group are faults of the proxy's own: they strike all hosts at once.
 const (
 	Unreachable    Reason = "unreachable"      // no TCP connection
 	TimedOut       Reason = "timeout"          // not done in time
-	NoBudget       Reason = "no_budget"        // the handshake budget has no room in time
+	NoBudget       Reason = "no_budget"        // the handshake budget has no capacity in time
 	NotTLS         Reason = "not_tls"          // the host speaks something else
 	OldVersion     Reason = "old_version"      // no version that both speak
 	NoCertificate  Reason = "no_certificate"   // none was shown
@@ -30,19 +30,19 @@
 	Expired        Reason = "expired"          // no longer valid
 	NotYetValid    Reason = "not_yet_valid"    // the clocks differ, or it was put in place too soon
 	WrongUsage     Reason = "wrong_usage"      // not for servers
-	Revoked        Reason = "revoked"          // taken back
+	Revoked        Reason = "revoked"          // revoked by its authority
 	WeakKey        Reason = "weak_key"         // key or signature too weak
 	TooLarge       Reason = "too_large"        // a handshake message beyond the limit
 	BrokenOff      Reason = "broken_off"       // the host ended or reset the connection
 	Protocol       Reason = "protocol"         // what it sent makes no sense, or does not verify
 	NoName         Reason = "no_name"          // the options have no name to expect of it
-	RejectedByHost Reason = "rejected_by_host" // the host refused this side's certificate or wishes
+	RejectedByHost Reason = "rejected_by_host" // the host rejected this side's certificate or parameters
 
 	OwnExpired Reason = "own_certificate_expired"
 	OwnTrust   Reason = "own_trust_unusable" // the bundle or a revocation list
 )
 
-// Own tells whether the proxy itself is at fault.
+// Own tells whether the proxy's own files are at fault.
 func (r Reason) Own() bool { return r == OwnExpired || r == OwnTrust }
 
 // Failure is a handshake that did not come about.
@@ -52,7 +52,7 @@
 	Err    error  // what the system or the library said; may be nil
 }
 
-// Error says the reason, the step and what the library said.
+// Error is the reason, the step and the error behind it.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return fmt.Sprintf("%s at %s", f.Reason, f.Step)
@@ -60,16 +60,16 @@
 	return fmt.Sprintf("%s at %s: %v", f.Reason, f.Step, f.Err)
 }
 
-// Unwrap gives what the system said.
+// Unwrap gives the error behind it.
 func (f *Failure) Unwrap() error { return f.Err }
 
 func newFailure(r Reason, format string, args ...any) *Failure {
 	return &Failure{Reason: r, Step: "certificate", Err: fmt.Errorf(format, args...)}
 }
 
-// Alerts by which a peer says that it will not have this side: RFC 8446, 6.2. None of them can come from a peer that has
-// read application data, since that takes a handshake it has accepted.
-var refusalAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
+// rejectionAlerts are the alerts by which a peer rejects this side: RFC 8446, 6.2. None of them can come from a peer that has read application
+// data, since that takes a handshake it has accepted.
+var rejectionAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 
 const (
 	alertVersion          = 70
@@ -87,7 +87,7 @@
 	return 0, false
 }
 
-// classify finds the reason in what crypto/tls says. heard tells whether anything had come from the peer.
+// classify finds the reason in an error of crypto/tls. heard: something had come from the peer.
 func classify(err error, heard bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -106,7 +106,7 @@
 		f.Reason = OldVersion
 	case alert && code == alertUnrecognizedName:
 		f.Reason, f.Step = NoCertificate, "certificate"
-	case alert && refusalAlerts[code]:
+	case alert && rejectionAlerts[code]:
 		f.Reason = RejectedByHost
 	case errors.As(err, &verify):
 		f.Reason, f.Step = UnknownCA, "certificate"
@@ -131,7 +131,7 @@
 	return f
 }
 
-// certificateFault finds the reason in what the verification says.
+// certificateFault finds the reason in an error of the verification. early: a certificate is not valid yet.
 func certificateFault(err error, leaf *x509.Certificate, early bool) *Failure {
 	f := &Failure{Reason: UnknownCA, Step: "certificate", Err: err}
 	var invalid x509.CertificateInvalidError
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -15,7 +15,7 @@
 // Host is an upstream host to connect to.
 type Host struct{ ID, Zone, Address string }
 
-// kernelBuffer is what the kernel is asked to hold for a connection, as netio does.
+// kernelBuffer is the size, in bytes, that the kernel is asked to buffer for a connection, as netio does.
 const kernelBuffer = 16 << 10
 
 // Link opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
@@ -26,10 +26,10 @@
 	budget       *handshake.Budget
 	cache        *sessionCache
 	peers        map[string]*tlsPeer
-	dials        map[uint64]*pendingDial // that wait or are out
+	dials        map[uint64]*pendingDial // queued and in flight
 	lastID       uint64
 	jobs         chan *handshakeJob
-	computeToken chan struct{} // to compute; see wire
+	computeToken chan struct{} // held by the worker that computes; see sealedSocket
 	budgetTimer  *netio.Timer
 	counts       counts
 	reloads      chan reload // to the watcher
@@ -42,10 +42,10 @@
 	failed        map[Reason]int
 }
 
-// maxPeers bounds the hosts that are remembered.
+// maxPeers bounds the hosts whose configuration is cached.
 const maxPeers = 4096
 
-// New makes a link with its workers. m was loaded from the options it holds.
+// New makes a link with its workers, by the options that m was loaded from.
 func New(l *netio.Loop, m *Material, wall func() time.Time) *Link {
 	k := &Link{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
 		cache: newSessionCache(m.options.Sessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
@@ -58,7 +58,7 @@
 	return k
 }
 
-// peer gives how a host is spoken to now, or why it can't be.
+// peer is how to connect to a host now, or why that is not possible.
 func (k *Link) peer(t Host) (*tlsPeer, *Failure) {
 	m := k.material
 	if f := m.OwnFault(k.wallClock()); f != nil {
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-// beginAllowed begins what may begin.
+// beginAllowed begins the handshakes that the budget allows.
 func (k *Link) beginAllowed() {
 	begin, late, again := k.budget.Next(k.loop.Now())
 	for _, id := range late {
@@ -101,9 +101,9 @@
 	}
 }
 
-// startHandshake hands a dial to a worker. There are as many workers as may be out, so the channel takes it at once.
+// startHandshake gives a dial to a worker. There are as many workers as handshakes may be in flight, so the channel takes it at once.
 func (k *Link) startHandshake(d *pendingDial) {
-	// What is right for the host may have changed while it waited.
+	// The files, or the name that the host must have, may have changed while it was queued.
 	p, f := k.peer(d.host)
 	if f != nil {
 		k.loop.Post(func() { d.fail(f) })
@@ -114,7 +114,7 @@
 	k.jobs <- d.job
 }
 
-// logFailure logs a failure. One of the proxy's own is told apart: it strikes every host, and no host can mend it.
+// logFailure logs a failure. One of the proxy's own files is an event of its own, since it concerns every host.
 func (k *Link) logFailure(host string, f *Failure) {
 	k.counts.failed[f.Reason]++
 	text := ""
@@ -128,7 +128,7 @@
 	slog.Warn("tls_failed", "host", host, "reason", string(f.Reason), "step", f.Step, "detail", text)
 }
 
-// logBrokenSession logs what ended a connection that this side thought to stand.
+// logBrokenSession logs why an established connection broke. late: the host had rejected the handshake.
 func (k *Link) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
 		k.logFailure(host, f)
@@ -137,15 +137,16 @@
 	slog.Warn("tls_broken", "host", host, "reason", string(f.Reason), "detail", f.Err.Error())
 }
 
-// Run begins what goes on for as long as the proxy runs: the watch on the files, and the counts in the log.
+// Run starts the watch of the files, and the counts in the log.
 func (k *Link) Run() {
 	go k.watch(k.material)
 	k.loop.After(countEvery, k.logCounts)
 }
 
+// countEvery is how often the log sums up.
 const countEvery = 10 * time.Second
 
-// logCounts writes what was done since the last time.
+// logCounts logs what was done since the last time.
 func (k *Link) logCounts() {
 	k.loop.After(countEvery, k.logCounts)
 	c := k.counts
@@ -162,7 +163,7 @@
 	k.counts = counts{failed: map[Reason]int{}}
 }
 
-// Use takes new material: what stands goes on, what comes is judged by it.
+// Use has new connections follow new material; open ones go on.
 func (k *Link) Use(m *Material) {
 	k.material = m
 	clear(k.peers)
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -15,11 +15,11 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Material is what was read from the files, whole and consistent. It never changes; a replacement is another one, of a
-// higher epoch, and nothing verified or resumed under one epoch counts in another.
+// Material is the content of the files, complete and consistent. It never changes; a replacement is another Material of a higher epoch, and what
+// was verified or cached in one epoch does not count in another.
 type Material struct {
 	Epoch          uint64
-	Ends           time.Time // when the first of it that all connections need runs out: the own certificate, a revocation list
+	Ends           time.Time // when the first part that all connections need ends: the own certificate, a revocation list
 	digest         [sha256.Size]byte
 	options        Options
 	roots          *x509.CertPool
@@ -47,10 +47,10 @@
 	chain [sha256.Size]byte
 }
 
-// validity is the time within which a verification holds: the signatures do not change, the clock does.
+// validity is the time within which a verification is valid.
 type validity struct{ from, until time.Time }
 
-// maxVerified bounds what is remembered; a host shows one chain, or two in a rotation.
+// maxVerified bounds the verified chains that are cached; a host shows one, or two in a rotation.
 const maxVerified = 1024
 
 // Load reads all files. It gives all that is wrong with them, in one error.
@@ -92,7 +92,7 @@
 	return data
 }
 
-// loadBundle takes the authorities of a file.
+// loadBundle loads the authorities of a file.
 func (l *loader) loadBundle(path string) {
 	data := l.read(path)
 	if data == nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// loadRevocations takes the revocation lists of a file.
+// loadRevocations loads the revocation lists of a file.
 func (l *loader) loadRevocations(path string) {
 	data := l.read(path)
 	if data == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// loadCertificate takes the proxy's own certificate and key.
+// loadCertificate loads the proxy's own certificate and key.
 func (l *loader) loadCertificate(o Options) {
 	l.read(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.Password)
@@ -155,7 +155,7 @@
 	m.noteEnd(m.certificateEnd)
 }
 
-// noteEnd takes in when something runs out that all connections need.
+// noteEnd notes the end of something that all connections need.
 func (m *Material) noteEnd(t time.Time) {
 	if m.Ends.IsZero() || t.Before(m.Ends) {
 		m.Ends = t
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -1,10 +1,10 @@
 // Package upstreamtls is TLS from the proxy to its upstream hosts. It owns the files (trust, revocation, the client's pair)
-// and their replacement, what a host's certificate must be, the sessions kept for reuse, the handshakes, and the record
+// and their replacement, what a host's certificate must be, the cached sessions, the handshakes, and the record
 // layer that netio drives on the loop. When a handshake may begin is decided by the package handshake.
 //
-// Handshakes run on a fixed set of workers beside the loop, on blocking sockets; what stands afterwards is driven on the
-// loop and has no goroutine. There is no way from here to a connection in plain text: whatever goes wrong ends as a
-// connection that never stood, before a byte of any request was written.
+// Handshakes run on a fixed set of workers beside the loop, on blocking sockets; an established connection is driven on the loop and has no
+// goroutine. There is no fallback to plain text: whatever goes wrong ends as a connection that was never established, before a byte of any
+// request was written.
 package upstreamtls
 
 import (
@@ -44,7 +44,7 @@
 var keyExchanges = map[string]tls.CurveID{"x25519mlkem768": tls.X25519MLKEM768, "x25519": tls.X25519, "p256": tls.CurveP256,
 	"p384": tls.CurveP384}
 
-// Section is the operators' say.
+// Section is the section of the settings file.
 func Section() settings.Section {
 	return settings.Section{Name: "tls", Doc: "TLS to upstream hosts", Bind: func(f *settings.Form) any {
 		o := Defaults()
@@ -102,11 +102,11 @@
 	}}
 }
 
-// isUsablePattern tells whether a pattern has known places only, and one that tells hosts apart.
+// isUsablePattern tells whether a pattern has known placeholders only, and one that differs between hosts.
 func isUsablePattern(s string) bool {
-	apart := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
+	distinct := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
 	rest := strings.NewReplacer("{uid}", "", "{zone}", "", "{host}", "").Replace(s)
-	return apart && !strings.ContainsAny(rest, "{} \t")
+	return distinct && !strings.ContainsAny(rest, "{} \t")
 }
 
 // Files are all files that the options name.
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tlsPeer is how one host is spoken to under one epoch. It is made once and shared by all handshakes with the host.
+// tlsPeer is how to connect to one host in one epoch. It is made once and shared by all handshakes with the host.
 type tlsPeer struct {
 	key             sessionKey
 	material        *Material
@@ -28,7 +28,7 @@
 		VerifyConnection:   p.verify,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			if m.certificate == nil {
-				return &tls.Certificate{}, nil // the host says whether it can do without
+				return &tls.Certificate{}, nil // the host decides whether it needs one
 			}
 			return m.certificate, nil
 		},
@@ -53,6 +53,7 @@
 	return p
 }
 
+// verify judges the host's certificates, in every handshake.
 func (p *tlsPeer) verify(cs tls.ConnectionState) error {
 	until, err := p.material.Verify(cs.PeerCertificates, p.key.name, p.wall())
 	if err == nil {
@@ -68,17 +69,17 @@
 	return s, s != nil
 }
 
-// Put keeps a session that the host has offered.
+// Put caches a session that the host has offered.
 func (p *tlsPeer) Put(_ string, s *tls.ClientSessionState) {
 	p.cache.put(p.key, s, time.Unix(0, p.chainValidUntil.Load()))
 }
 
-// resumable tells whether there is a session to take up.
+// resumable tells whether there is a session to resume.
 func (p *tlsPeer) resumable() bool {
 	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wall()) != nil
 }
 
-// ends is when the first certificate that a new connection rests on ends.
+// ends is when the first certificate of either side of a new connection ends.
 func (p *tlsPeer) ends() time.Time {
 	t := time.Unix(0, p.chainValidUntil.Load())
 	if p.material.certificate != nil {
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -11,11 +11,11 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// maxSealedBytes bounds the sealed bytes of a connection that nobody has opened: what netpoll reads at once, while its input is
-// at the limit. One record beyond that is crypto/tls's own (16 KiB and some).
+// maxSealedBytes bounds the bytes of a connection that are not decrypted yet: what netpoll reads at once while the input is at its limit.
+// crypto/tls buffers one record more.
 const maxSealedBytes = 128 << 10
 
-// handshakeReadSize is how much is read at once while hands are shaken.
+// handshakeReadSize is how much, in bytes, is read at once during the handshake.
 const handshakeReadSize = 4 << 10
 
 // session is an established connection's record layer. crypto/tls does the work; instead of a socket it has a sealedSocket,
@@ -25,27 +25,27 @@
 	socket          *sealedSocket
 	tlsConn         *tls.Conn
 	resumed         bool
-	certificateEnd  time.Time                   // of the first certificate that it rests on
+	certificateEnd  time.Time                   // the first end of a certificate of either side
 	dataReceived    bool                        // application data has come
-	mayHaveBuffered bool                        // crypto/tls may hold plain text that the last call of Open had no room for
+	mayHaveBuffered bool                        // crypto/tls may have decrypted more than the last call of Open took
 	onFailure       func(f *Failure, late bool) // called once at an end that is not in order; may be nil
 }
 
 var _ netio.Layer = (*session)(nil)
 
-// Expires is when the first certificate that the connection rests on ends.
+// Expires is when the first certificate of either side ends.
 func (s *session) Expires() time.Time { return s.certificateEnd }
 
-// Attach names what the session sends by once its handshake is done.
+// Attach gives the session its way to send once its handshake is done.
 func (s *session) Attach(send func(p []byte)) { s.socket.attach(send) }
 
-// Take keeps bytes of the socket's until they are opened; false: more than it may hold.
+// Take buffers bytes of the socket's until they are decrypted; false: more than it may buffer.
 func (s *session) Take(p []byte) bool { return s.socket.sealed.Append(p) == len(p) }
 
 // Open gives what can be decrypted now.
 func (s *session) Open(p []byte) (int, error) {
 	if !s.mayHaveBuffered && !s.socket.hasWholeRecord() {
-		return 0, nil // crypto/tls could only say so itself, at the price of an error for every line
+		return 0, nil // crypto/tls would allocate an error for that, for every line
 	}
 	n, err := s.tlsConn.Read(p)
 	s.dataReceived = s.dataReceived || n > 0
@@ -59,7 +59,7 @@
 	f := classify(err, true)
 	late := f.Reason == RejectedByHost && !s.dataReceived
 	if late {
-		err = &lateRefusal{f}
+		err = &lateRejection{f}
 	}
 	if s.onFailure != nil {
 		s.onFailure(f, late)
@@ -68,16 +68,16 @@
 	return n, err
 }
 
-// lateRefusal is a handshake that the host turned down after this side had finished it. In TLS 1.3 a client is done
-// before the server has seen its certificate, and may have sent its request by then. The server reads no request of a
-// connection whose handshake it refuses, so nothing can have acted on it.
-type lateRefusal struct{ *Failure }
+// lateRejection is a handshake that the host rejected after this side had finished it. In TLS 1.3 a client is done before the server has seen
+// its certificate, and may have sent its request by then. The server reads no request of a connection whose handshake it rejects, so it cannot
+// have acted on it.
+type lateRejection struct{ *Failure }
 
 // Unwrap gives the failure.
-func (l *lateRefusal) Unwrap() error { return l.Failure }
+func (l *lateRejection) Unwrap() error { return l.Failure }
 
 // RefusedUnread is true: the host has read nothing of this connection.
-func (l *lateRefusal) RefusedUnread() bool { return true }
+func (l *lateRejection) RefusedUnread() bool { return true }
 
 // Seal encrypts and sends.
 func (s *session) Seal(p []byte) error {
@@ -85,10 +85,10 @@
 	return err
 }
 
-// End tells the host that nothing more comes.
+// End sends TLS's own end.
 func (s *session) End() { s.tlsConn.CloseWrite() }
 
-// Buffered is how many sealed bytes wait.
+// Buffered is how many bytes are not decrypted yet.
 func (s *session) Buffered() int { return s.socket.sealed.Len() }
 
 // errWouldBlock is the error of a socket that must not block. crypto/tls continues after errors that are temporary.
@@ -123,8 +123,8 @@
 // A record begins with its type, a version and the length of what follows.
 const recordHeaderLength = 5
 
-// recordBytes is how much crypto/tls may have next: it is given no more than one record at a time, so that it never holds a
-// part of the next one, and how much there is to open can be told from here.
+// recordBytes is how much crypto/tls may read next: no more than one record at a time, so that it never buffers part of the next one and what is
+// left to decrypt is known here.
 func (w *sealedSocket) recordBytes() int {
 	if w.recordRemaining > 0 {
 		return w.recordRemaining
@@ -135,9 +135,10 @@
 	return recordHeaderLength
 }
 
-// hasWholeRecord tells whether a whole record, or all that is left of one, has come.
+// hasWholeRecord tells whether a complete record, or all that is left of one, has come.
 func (w *sealedSocket) hasWholeRecord() bool { return w.sealed.Len() >= w.recordBytes() }
 
+// attach has the socket send by send, and read nothing but what is appended to sealed.
 func (w *sealedSocket) attach(send func(p []byte)) { w.handshakeConn, w.send = nil, send }
 
 // Read gives crypto/tls at most the rest of one record.
@@ -175,15 +176,15 @@
 	return len(p), nil
 }
 
-// acquireToken takes the turn to compute, of which there is one: a worker whose answer has come waits for the others, so that
-// the loop, when it wakes, has one piece of a handshake before it in Go's queue and not as many as are out.
+// acquireToken waits for the one token to compute, so that the loop, when it wakes, has one piece of a handshake before it in Go's run queue and
+// not as many as are in flight.
 func (w *sealedSocket) acquireToken() {
 	w.computeToken <- struct{}{}
 	w.hasToken = true
 	w.computingSince = time.Now()
 }
 
-// releaseToken gives the turn back, and lets the loop go first.
+// releaseToken gives the token back, and lets the loop run first.
 func (w *sealedSocket) releaseToken() {
 	if !w.hasToken {
 		return
@@ -194,7 +195,7 @@
 	runtime.Gosched()
 }
 
-// Close is part of net.Conn; crypto/tls asks for none of what follows but the address, for a cache key that is not used.
+// Close is part of net.Conn. Of what follows crypto/tls uses the address alone, for a cache key that is not used.
 func (w *sealedSocket) Close() error { return nil }
 
 // LocalAddr is part of net.Conn.
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/operations/certs"
 )
 
-// OwnFault tells what of the proxy's own is wrong now, before any host is asked.
+// OwnFault is what is wrong with the proxy's own files now; nil: nothing.
 func (m *Material) OwnFault(now time.Time) *Failure {
 	if m.authorities == 0 {
 		return &Failure{Reason: OwnTrust, Step: "queue", Err: errors.New("no authority is trusted")}
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Verify tells whether a host that shows these certificates is the one of that name, and until when. The chain's
-// signatures are verified once for each epoch, name and chain; times count every time.
+// Verify tells until when a host that shows these certificates counts as the one of that name; an error: it does not. A chain's signatures are
+// verified once for each epoch and name; its times every time.
 func (m *Material) Verify(shown []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(shown) == 0 {
 		return time.Time{}, newFailure(NoCertificate, "the host showed none")
@@ -52,22 +52,23 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.verified) >= maxVerified {
-		clear(m.verified) // they are verified again; that costs time, not safety
+		clear(m.verified) // they are verified again
 	}
 	m.verified[key] = s
 	return s.until, nil
 }
 
+// verify verifies a chain without the cache.
 func (m *Material) verify(shown []*x509.Certificate, name Name, now time.Time) (validity, error) {
 	leaf := shown[0]
 	if w := certs.Weakness(leaf); w != "" {
 		return validity{}, newFailure(WeakKey, "%s: %s", leaf.Subject, w)
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range shown[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	chains, err := leaf.Verify(x509.VerifyOptions{Roots: m.roots, Intermediates: between, CurrentTime: now,
+	chains, err := leaf.Verify(x509.VerifyOptions{Roots: m.roots, Intermediates: intermediates, CurrentTime: now,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}})
 	if err != nil {
 		early := false
@@ -82,7 +83,7 @@
 	if err := hasName(leaf, name); err != nil {
 		return validity{}, err
 	}
-	// Any chain that holds will do; the reason told is that of the last.
+	// One valid chain is enough; without one the reason is that of the last.
 	for _, chain := range chains {
 		var s validity
 		if s, err = m.judge(chain); err == nil {
@@ -92,6 +93,7 @@
 	return validity{}, err
 }
 
+// hasName gives an error where a certificate is not for a name.
 func hasName(leaf *x509.Certificate, name Name) error {
 	if !name.URI {
 		if err := leaf.VerifyHostname(name.Text); err != nil {
@@ -107,7 +109,7 @@
 	return newFailure(WrongName, "certificate for the URIs %v, expected %s", leaf.URIs, name.Text)
 }
 
-// judge looks at a chain whose signatures hold.
+// judge looks at a chain whose signatures are valid: its times, keys and revocations.
 func (m *Material) judge(chain []*x509.Certificate) (validity, error) {
 	s := validity{chain[0].NotBefore, chain[0].NotAfter}
 	for i, c := range chain {
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// filePollInterval is how often the files are looked at: a replacement is to be in use within 2 s.
+	// filePollInterval is how often the files are polled: a replacement has to be in use within 2 s.
 	filePollInterval = 500 * time.Millisecond
 	// rereadAfterChange is how long after a change the files are read again whether or not they seem to have changed: two writes
 	// in one tick of the file system's clock look like one.
 	rereadAfterChange = 3 * time.Second
 )
 
-// reload asks the watcher to look now, with other options if there are any.
+// reload asks the watcher to poll now, with other options if there are any.
 type reload struct{ options *Options }
 
 // Reload has the files read again at once, by the options given or, for nil, by those in use. Whether hosts are reached
@@ -30,14 +30,13 @@
 		default:
 		}
 		select {
-		case <-k.reloads: // it was not looked at yet; the newer one counts
+		case <-k.reloads: // the newer one replaces it
 		default:
 		}
 	}
 }
 
-// watch looks at the files for as long as the program runs. It is the only one to read them after the start, beside the
-// loop.
+// watch polls the files for as long as the program runs, beside the loop.
 func (k *Link) watch(m *Material) {
 	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
@@ -65,10 +64,10 @@
 	options   Options
 	signature string
 	changed   time.Time
-	lastFault string // the fault that was last told
+	lastFault string // the fault that was last logged; "": there is none
 }
 
-// poll gives new material where the files hold some; nil: what is in use stays.
+// poll gives new material where the files have changed and can be used; nil: what is in use stays.
 func (w *watcher) poll(force bool, wall time.Time) *Material {
 	now := time.Now()
 	if s := signature(w.options.Files()); s != w.signature {
@@ -94,7 +93,7 @@
 	return m
 }
 
-// describeTime tells a moment with what is left to it.
+// describeTime is a moment with the time left until it.
 func describeTime(t, now time.Time) string {
 	if t.IsZero() {
 		return "no_end"
@@ -102,10 +101,10 @@
 	return fmt.Sprintf("%s,%s_left", t.UTC().Format(time.RFC3339), t.Sub(now).Round(time.Second))
 }
 
-// sameOptions tells whether two sets of options treat the same files alike.
+// sameOptions tells whether two sets of options are equal.
 func sameOptions(a, b Options) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// signature tells the files' versions apart without reading them.
+// signature differs between versions of the files; it does not read them.
 func signature(files []string) string {
 	var b strings.Builder
 	for _, f := range files {
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// run connects and shakes hands. It gives a socket that is in nobody's hands.
-func (j *handshakeJob) run(turn chan struct{}) (s *session, fd int, spent time.Duration, f *Failure) {
-	w := &sealedSocket{computeToken: turn, sealed: netio.NewBuffer(maxSealedBytes)}
+// run connects and does the handshake. It gives the session and its socket, which nothing else watches.
+func (j *handshakeJob) run(computeToken chan struct{}) (s *session, fd int, spent time.Duration, f *Failure) {
+	w := &sealedSocket{computeToken: computeToken, sealed: netio.NewBuffer(maxSealedBytes)}
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "handshake", "reason", p, "stack", string(debug.Stack()))
@@ -69,7 +69,7 @@
 		case !time.Now().Before(j.until):
 			f.Reason = TimedOut
 		case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.ENOTCONN):
-			f.Reason = BrokenOff // it was there, and gone before the connect returned
+			f.Reason = BrokenOff // reset before the connect returned
 		}
 		return nil, -1, 0, f
 	}
@@ -97,7 +97,7 @@
 	return s, fd, 0, nil
 }
 
-// detachSocket takes the socket out of the hands of Go's own poller.
+// detachSocket gives a descriptor of the socket that Go's own poller does not watch.
 func detachSocket(c *net.TCPConn) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -110,20 +110,20 @@
 	return fd, err
 }
 
-// handshakeEnded takes a worker's result.
+// handshakeEnded handles a worker's result.
 func (k *Link) handshakeEnded(j *handshakeJob, s *session, fd int, spent time.Duration, f *Failure) {
 	k.counts.cpu += spent
 	k.budget.Done(k.loop.Now(), j.requestID, s != nil && s.resumed, spent, f == nil)
 	d := k.dials[j.requestID]
 	switch {
 	case d == nil && f == nil:
-		unix.Close(fd) // given up meanwhile: nothing was sent on it
+		unix.Close(fd) // dropped meanwhile: nothing was sent on it
 	case d == nil:
 	case f != nil:
 		d.fail(f)
 	case j.peer.material != k.material && !k.stillTrusted(j.peer, s):
 		unix.Close(fd)
-		d.fail(newFailure(UnknownCA, "trust was replaced during the handshake, and does not hold the host's certificate any more"))
+		d.fail(newFailure(UnknownCA, "the trust bundle was replaced during the handshake, and the host's certificate is not valid by the new one"))
 	default:
 		if s.resumed {
 			k.counts.resumed++
@@ -137,7 +137,7 @@
 	k.beginAllowed()
 }
 
-// stillTrusted tells whether what was verified under an epoch that ended during the handshake holds under the new one.
+// stillTrusted tells whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
 func (k *Link) stillTrusted(p *tlsPeer, s *session) bool {
 	_, err := k.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, k.wallClock())
 	return err == nil
