--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -15,13 +15,13 @@
 // errSilent is the end of a call that has not been answered in time.
 var errSilent = errors.New("no answer")
 
-// noRevision is the version held where no list of the service's is.
+// noRevision is the version where the client has no list of the service.
 const noRevision = -1
 
-// call is one request on its way.
+// call is one request to discovery.
 type call struct {
 	client       *Client
-	fromRevision int64 // the version held as it began
+	fromRevision int64 // the client's as the call began
 	startedAt    int64
 	target       string
 	dial         *netio.Dial
@@ -62,7 +62,7 @@
 	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.address + "\r\nAccept: application/json\r\n\r\n"))
 }
 
-// Data looks whether the response is complete.
+// Data handles the response once it is complete.
 func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
 func (q *call) parse(ended bool) {
@@ -72,13 +72,13 @@
 	}
 }
 
-// Writable is nothing to a call: its request is one short write.
+// Writable does nothing: a call's request is one short write.
 func (q *call) Writable(*netio.Conn) {}
 
 // Closed comes when discovery ends the connection, which may complete a response.
 func (q *call) Closed(c *netio.Conn, err *netio.Error) {
 	if q.reused && len(c.Input()) == 0 {
-		// It was closed for being idle before this call reached it: that is no failure of discovery's.
+		// The idle connection was closed before this call reached it, which is no failure: the call is made on a new one.
 		q.reused = false
 		q.connect()
 		return
@@ -128,15 +128,15 @@
 	}
 }
 
-// acceptAnswer makes an answer's version the one held, and returns the change to apply.
+// acceptAnswer takes over an answer's version, and gives the change to apply.
 func (c *Client) acceptAnswer(q *call, ch proxy.Change) proxy.Change {
 	c.redirectedAt = 0
 	switch {
 	case ch.Version < c.revision && q.fromRevision != c.revision:
-		// An older answer, overtaken by that of another call: it must not undo what is held.
+		// An older answer, overtaken by that of another call: it must not undo the newer list.
 		return proxy.Change{Kind: balancer.ListDelta, Version: c.revision}
 	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
-		// The service numbers its versions anew, and sent a difference only: the whole list is fetched next.
+		// The service numbers its versions anew, and has sent a change only: the whole list is fetched next.
 		c.revision = noRevision
 	default:
 		c.revision = ch.Version
@@ -157,7 +157,7 @@
 // idleHandler handles a connection that waits for the next call.
 type idleHandler struct{ client *Client }
 
-// Data ends the connection: nothing was asked, so nothing can be meant.
+// Data ends the connection: there is no call that it could answer.
 func (u idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -23,7 +23,7 @@
 	// as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
 	// fullListTimeout is how long a call for the whole list may take. It is longer than discovery's own limit of 2 s: a call that is
-	// given up and repeated sooner would add to the load of a slow discovery.
+	// ended and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
 	connectTimeout  = time.Second
 	inputLimit      = maxHead + 2*maxBody
@@ -32,15 +32,15 @@
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
 	// The next three are for an agent on this machine, to which lists are pushed. Calls on it are cheap, and a list counts as
-	// received from the moment at which the agent has it. So a call that has died is given up and repeated within the 250 ms
+	// received from the moment at which the agent has it. So a call whose connection has died is ended and repeated within the 250 ms
 	// that the contract grants between receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
 )
 
-// Client keeps a watch while it is wanted, one call after the other on one connection, and fetches the whole list
-// when asked. All its methods belong to the loop.
+// Client watches the endpoint list while it is asked to, one call after the other on one connection, and fetches the whole list when asked. All
+// its methods belong to the loop.
 type Client struct {
 	loop          *netio.Loop
 	dialer        *netio.Dialer
@@ -50,13 +50,13 @@
 	answerTimeout time.Duration // how long past that an answer may come
 	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
 
-	revision       int64 // of the list as held, in the numbering of the service at address; under 0: there is none of it
+	revision       int64 // of the client's list, as the service at address numbers it; under 0: it has none
 	redirectedAt   int64 // when address last changed, until it has answered; 0: it has
 	retry          *netio.Timer
 	watching       bool  // the watch goes on
 	firstAnswerDue bool  // its first answer is awaited, which is passed on even if it is empty
 	watch          *call // the call under way
-	// reopened: the watch has been opened anew since it fell silent, and nothing has come since.
+	// reopened: the watch was opened anew after it had fallen silent, and has had no answer since.
 	reopened    bool
 	silentCalls int         // calls of the watch in a row that got no answer
 	fetch       *call       // the call for the whole list under way; nil: none
@@ -68,7 +68,7 @@
 type Options struct {
 	Address  string // of discovery
 	Sharing  int    // how many proxies share it
-	Revision int64  // of the list that is held
+	Revision int64  // of the list that the client has
 	Notify   func(proxy.Change)
 }
 
@@ -79,14 +79,14 @@
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
-// not ask for it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the list held
-// stays the best there is.
+// not ask for it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the client's
+// list is the latest that there is.
 func (c *Client) Follow() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
 }
 
-// Source is who gives the list, and the version held of it; under 0: none.
+// Source is the address of the service, and the version of the client's list; under 0: it has none.
 func (c *Client) Source() (addr string, rev int64) { return c.address, c.revision }
 
 // WatchList begins or ends the watch. Asked for again while it goes on, it changes nothing.
@@ -107,9 +107,9 @@
 	c.callWatch()
 }
 
-// Redirect has the client call another address from now on, and begins the watch there. Calls under way at the old one are dropped and not reported as
-// failures of the new one. The versions of two services need not be comparable, and a watch from a version that the new one has
-// not reached would get no answer; so the whole list is fetched first, at once, also while the decision module backs off.
+// Redirect has the client call another address from now on, and begins the watch there. Calls in flight at the old one are dropped and not
+// reported as failures. The versions of two services need not be comparable, and a watch from a version that the new one has not reached would
+// get no answer; so the whole list is fetched first, at once, also while the decision module backs off.
 func (c *Client) Redirect(addr string) {
 	if addr == c.address {
 		return
@@ -129,7 +129,7 @@
 	c.callWatch()
 }
 
-// callWatch makes the watch's next call. The watch goes on only if that comes within 200 ms of the last answer.
+// callWatch makes the watch's next call. Discovery ends a watch whose next call does not come within 200 ms of the last answer.
 func (c *Client) callWatch() {
 	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
@@ -172,6 +172,7 @@
 	}
 }
 
+// retryWatch repeats a failed call of the watch after a pause.
 func (c *Client) retryWatch(pause time.Duration, err error) {
 	c.logFailure(err)
 	c.retry = c.loop.After(pause, c.callWatch)
@@ -195,7 +196,7 @@
 	c.callWatch()
 }
 
-// closeIdle ends the connection at rest, so that the next call is made on a new one.
+// closeIdle ends the idle connection, so that the next call is made on a new one.
 func (c *Client) closeIdle() {
 	if c.idle != nil {
 		c.idle.Close()
@@ -226,6 +227,7 @@
 	}
 }
 
+// reportFailure logs a failed call, and notifies the decision module.
 func (c *Client) reportFailure(err error) {
 	c.logFailure(err)
 	c.notify(proxy.Change{Kind: balancer.ListFailed})
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -72,6 +72,7 @@
 	chunked bool
 }
 
+// parseHead reads the lines before the body.
 func parseHead(text string) (responseHead, error) {
 	lines := strings.Split(text, "\r\n")
 	h := responseHead{size: -1}
@@ -148,13 +149,14 @@
 	return nil, nil
 }
 
-// startsLikeStatus lets nothing pile up that can't become a response.
+// startsLikeStatus tells whether the input can become a response.
 func startsLikeStatus(in []byte) bool {
 	const want = "HTTP/1."
 	n := min(len(in), len(want))
 	return string(in[:n]) == want[:n]
 }
 
+// statusLine reads the first line; last: the connection carries no further response.
 func statusLine(l string) (status int, last bool, err error) {
 	if len(l) < 12 || !strings.HasPrefix(l, "HTTP/1.") || l[7] != '0' && l[7] != '1' || l[8] != ' ' ||
 		len(l) > 12 && l[12] != ' ' {
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -23,7 +23,7 @@
 	return r.Monitor.countBlocked(r.checkSend(now, h))
 }
 
-// checkSend applies the rules on sending to a host, which hold for the start of an attempt as for the write of its line.
+// checkSend applies the rules on sending to a host, for the start of an attempt and again for the write of its line.
 func (r *Request) checkSend(now int64, h Host) Rule {
 	switch {
 	case r.isOver():
@@ -83,8 +83,8 @@
 // MayHaveRun tells whether an attempt may have run: one that has ended, or the one in flight.
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun || r.attemptInFlight && r.lineWritten }
 
-// MayReject tells whether a rejection would be true. It promises that a retry by the client, at any host, is harmless: for a request
-// that may have run that holds only where a second run has no effect, or where all hosts discard it.
+// MayReject tells whether the request may be rejected. A rejection promises that a retry by the client, at any host, is harmless: for a request
+// that may have run that is true only where a second run has no effect, or where all hosts discard it.
 func (r *Request) MayReject() bool {
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
--- a/internal/dataplane/invariant/monitor.go
+++ b/internal/dataplane/invariant/monitor.go
@@ -24,7 +24,7 @@
 // NewMonitor makes a Monitor. report is called for each action that broke a rule, with the request's ID.
 func NewMonitor(report func(r Rule, id string)) *Monitor { return &Monitor{report: report} }
 
-// Close says that the process has answered all that it holds: nothing begins from here on.
+// Close says that the process, which shuts down, has answered all requests: nothing begins from here on.
 func (m *Monitor) Close() { m.closed = true }
 
 // countBlocked counts an action that a rule forbids, and gives the rule back.
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -59,7 +59,7 @@
 	client          clientState
 	attemptsBegun   int
 	attemptInFlight bool
-	lineWritten     bool  // that attempt's first line is written whole
+	lineWritten     bool  // that attempt's first line is written completely
 	mayHaveRun      bool  // an attempt that has ended may have run
 	firstRunAt      int64 // start of the first attempt that may have run, from which hosts reckon their dedup window; 0: none
 	firstRunHost    Host  // its host
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -23,7 +23,7 @@
 	SingleAnswer              // a request has one answer
 	AnswerInTime              // the answer comes within the deadline
 	NoSilentEnd               // no request ends without an answer, and no open connection without a line to its client
-	NothingAfterShutdown      // nothing is admitted or begun once a process has answered all that it holds
+	NothingAfterShutdown      // nothing is admitted or begun once a process that shuts down has answered all requests
 	ruleCount
 )
 
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -43,10 +43,10 @@
 // DownstreamEnded gives the capacity of an admitted downstream back.
 func (c *Core) DownstreamEnded() { c.admission.release() }
 
-// Downstreams is how many downstreams this process holds.
+// Downstreams is how many downstreams this process has.
 func (c *Core) Downstreams() int { return c.admission.downstreams }
 
-// SetDownstreamsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
+// SetDownstreamsElsewhere says how many downstreams the other process of this proxy has: they share the descriptors.
 func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.downstreamsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// adoptionRetryDelay is the pause before a host that holds a connection from before is tried again.
+// adoptionRetryDelay is the pause before the next attempt to restore a connection from before the start.
 const adoptionRetryDelay = 200 * time.Millisecond
 
 // adopt restores a connection that was open at a host before this proxy's start. The balancer is notified once it is established: it
@@ -32,7 +32,7 @@
 	r.beginAttempt(h, 0, r.deadline)
 }
 
-// adoptionEnded tries an adoption that failed again, as long as its host has not seen it and its client waits.
+// adoptionEnded retries an adoption that failed, as long as its host has not acted on it and its client waits.
 func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	if r.answered() {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -12,7 +12,7 @@
 // overdueGrace is how long past a request's deadline the balancer's own answer is waited for: within the slack that the platform leaves.
 const overdueGrace = 15 * time.Millisecond
 
-// rejectOrFail is the final answer of a request that gets no further attempt: a rejection, where that is true.
+// rejectOrFail is the final answer of a request that gets no further attempt: a rejection where a retry by the client is harmless.
 func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
 		r.fail(metrics.Failed, reason)
@@ -51,7 +51,7 @@
 	r.answer(r.downstream.Fail)
 }
 
-// answer gives the client its one answer, and ends an attempt that is under way all the same.
+// answer gives the client its one answer, and ends an attempt that is in flight.
 func (r *Request) answer(write func()) {
 	r.becomeClosed()
 	write()
@@ -67,7 +67,7 @@
 	r.removeIfDone()
 }
 
-// failUnresponsive answers for a balancer that has not, in time or at all.
+// failUnresponsive fails a request that the balancer has not answered, in time or at all.
 func (r *Request) failUnresponsive() {
 	if r.answered() {
 		return
@@ -77,7 +77,7 @@
 	r.notifyClientLeft()
 }
 
-// answerNow gives a request its answer at once as the process shuts down, whatever is under way for it, and has the balancer forget it.
+// answerNow gives a request its answer at once as the process shuts down, also where an attempt is in flight, and has the balancer forget it.
 func (r *Request) answerNow(after time.Duration) {
 	r.rejectOrFail(after, processShutsDown)
 	r.notifyClientLeft()
@@ -98,7 +98,7 @@
 	}
 }
 
-// migrate sends the client of an open connection away politely. status is what the balancer learns of its end.
+// migrate has the client of an open connection open it anew elsewhere. status is what the balancer is notified of.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -45,7 +45,7 @@
 		r.notifyNotBegun(number, balancer.TooLate, r.answered)
 		return
 	}
-	// The balancer knows the rules as well; this holds should it ever not.
+	// The balancer goes by the rules as well; this is the check of it.
 	if rule := r.record.CheckAttempt(now, h.invariantHost()); rule != invariant.None {
 		r.notifyNotBegun(number, r.attemptBlocked(rule, h), r.answered)
 		return
@@ -116,8 +116,7 @@
 	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(left, 1)), a)
 }
 
-// lineUnsent tells whether the attempt's line is not written whole yet, so that its host cannot have acted on it. Part of it may be on its
-// way, or wait for a kernel that takes nothing.
+// lineUnsent tells whether the attempt's line is not completely written yet, so that its host cannot have acted on it.
 func (a *upstreamRequest) lineUnsent() bool { return a.conn.Stage() < netio.Sent }
 
 // detach takes the attempt off its host and its request; the connection is the caller's to end. False: it was off already.
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/dataplane/certexpiry"
 )
 
-// startExpiryMigrations begins to migrate connections before a certificate that they rest on ends, where the operators want it.
+// startExpiryMigrations begins to migrate connections before one of their certificates ends, where the operators want it.
 func (c *Core) startExpiryMigrations() {
 	if !c.opt.Expiry.MigrationEnabled {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// certificateEnds lists the open connections with the end of what they rest on, and the first of these ends; zero: there is none.
+// certificateEnds lists the open connections with the end of their first certificate, and the first of these ends; zero: there is none.
 func (c *Core) certificateEnds() (open []certexpiry.Conn, first time.Time) {
 	open = make([]certexpiry.Conn, 0, len(c.requests))
 	for id, r := range c.requests {
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -17,10 +17,10 @@
 // Options configure a core.
 type Options struct {
 	Settings       balancer.Config
-	MaxDownstreams int // how many downstreams this proxy holds at most
+	MaxDownstreams int // of this proxy at a time
 	// DelayInLoad: hosts report both a connection's load and their message delay, in the same form.
 	DelayInLoad bool
-	// Expiry says what becomes of connections that rest on a certificate when it ends.
+	// Expiry says which connections migrate before a certificate ends.
 	Expiry certexpiry.Policy
 	// Wall is the system's clock, by which certificates and starts of hosts are read.
 	Wall func() time.Time
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// EndedHere says that this side ends the client's connection for a fault, and has told the client so. DownstreamEnded follows.
+// EndedHere says that this side ends the client's connection for a fault, with a last line to the client. DownstreamEnded follows.
 func (r *Request) EndedHere() {
 	switch {
 	case r.isOpen():
@@ -40,7 +40,7 @@
 	}
 }
 
-// DownstreamEnded says that the client has left, or was cut off.
+// DownstreamEnded says that the client has left, or that its connection has broken.
 func (r *Request) DownstreamEnded(err *netio.Error) {
 	if tracing() {
 		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err.Cause,
@@ -67,7 +67,7 @@
 	}
 }
 
-// becomeAbandoned ends a request whose client has left before its answer: nothing is owed, but its attempt must not go on for nobody.
+// becomeAbandoned ends a request whose client has left before its answer, with the attempt in flight.
 func (r *Request) becomeAbandoned() {
 	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
 	r.becomeClosed()
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// HealthCheck asks a host how loaded it is.
+// HealthCheck begins a health check of a host.
 func (e *effects) HealthCheck(host string) {
 	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, host) })
 }
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -12,7 +12,7 @@
 // fleetRules is what all proxies of the fleet agree on.
 type fleetRules struct {
 	enforcer *rules.Enforcer // nil: no rules
-	quota    Quota           // nil: no limits that hold over the fleet
+	quota    Quota           // nil: no limits over the fleet
 }
 
 // SetRules gives the core the rules on which the fleet agrees. It is called before clients come.
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -35,7 +35,7 @@
 // SetHandedOver says that the other process of this proxy accepts clients from now on, or, with false, that this one does.
 func (c *Core) SetHandedOver(over bool) { c.handover.handedOver = over }
 
-// HandedOverConnection is an open connection as one process of a proxy hands it to the next.
+// HandedOverConnection is an open connection as one process of a proxy hands it over to the next.
 type HandedOverConnection struct {
 	Request         balancer.Request `json:"Request"`
 	Class           string           `json:"Class"` // names, since numbers are of one process's settings
@@ -63,7 +63,7 @@
 		return
 	}
 	s := a.describe()
-	// From here on nothing more is relayed; an end that fails meanwhile gives no parts.
+	// From here on nothing more is relayed; an end that breaks meanwhile gives no parts.
 	a.detach()
 	c.handover.inFlight++
 	up.Release(func(p netio.Parts) {
@@ -86,7 +86,7 @@
 	return s
 }
 
-// released passes a connection on whose ends this process has given up, or ends what is left of it.
+// released hands a connection over whose two ends are released, or ends what is left of it.
 func (c *Core) released(a *upstreamRequest, s *HandedOverConnection) {
 	r := a.request
 	r.record.Released()
@@ -100,7 +100,7 @@
 	a.notifyEnded(balancer.Cancelled)
 }
 
-// endReleased ends a connection one end of which has failed, which ends the other; a client that is left is migrated.
+// endReleased ends a connection one end of which has broken; a client that is still there is migrated.
 func (c *Core) endReleased(a *upstreamRequest, s *HandedOverConnection) {
 	down := a.request.downstream
 	a.conn.End(netio.Ended)
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -21,7 +21,7 @@
 	pool      *pool               // nil: it is between two pools, and gets nothing new
 
 	established map[*Request]struct{}         // its open connections
-	pending     map[*upstreamRequest]struct{} // attempts under way
+	pending     map[*upstreamRequest]struct{} // attempts in flight
 
 	latency     messageLatency
 	loadFigures loadClassifier
@@ -127,7 +127,7 @@
 	return e.State
 }
 
-// removeUnlisted marks as removed all hosts that a whole list does not name.
+// removeUnlisted marks as removed all hosts that a full list does not name.
 func (t *hostTable) removeUnlisted(named map[string]bool) {
 	for id, h := range t.byID {
 		if !named[id] {
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -10,18 +10,18 @@
 // minClockOffset is how far, in nanoseconds, the system's clock must be from this process's own to count as having been set.
 const minClockOffset = minClockStep
 
-// startClock reads the starts of hosts, which discovery tells in the system's time, on this process's clock. That one goes on from
-// where the system's stood as the process began.
+// startClock converts the starts of hosts, which discovery gives in the system's time, to this process's clock, which began at the system's time
+// and is not set.
 type startClock struct {
 	now  func() balancer.Time
-	wall func() time.Time // nil: the system's clock is taken for the process's
+	wall func() time.Time // nil: the process's clock counts as the system's
 }
 
 // hostStart is when a host started, on this process's clock.
 //
-// A system's clock that has been set since tells starts that lie before or after what they mean by as much, and a cold host that is
-// taken for a warm one is overloaded. Where the clock was set here, it may have been set at the host too or not: of the two moments
-// that a start can mean the later one counts that is not in the future. One that is in the future by either has started just now.
+// Where the system's clock has been set since, starts are off by as much, and a warming host that counts as warm is overloaded. Where the clock
+// was set here, it may have been set at the host too or not: of the two moments that a start can mean the later one counts that is not in the
+// future. A start that is in the future by both is now.
 func (k startClock) hostStart(listed balancer.Time) balancer.Time {
 	now := k.now()
 	if listed == 0 {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -51,12 +51,12 @@
 
 // Downstream is a client's connection. Accept, Reject and Fail are answers: a request gets one.
 type Downstream interface {
-	Accept(receipt Message)
+	Accept(acceptance Message)
 	Reject(after time.Duration) // a local reply: a retry is harmless
 	Fail()                      // a local reply that promises nothing
 	Pass(m Message) bool        // false: not now, DownstreamReady follows
 	Pump()                      // offer again what the core did not take
-	Migrate()                   // end it politely; the client comes again
+	Migrate()                   // end it; its client opens it anew
 	MigrationLine() []byte      // what Migrate writes
 	End(cause netio.Cause)      // end it as the other side ended
 }
@@ -71,17 +71,17 @@
 
 // UpstreamEvents is what an Upstream notifies the core of.
 type UpstreamEvents interface {
-	// MaySend is asked right before the first line is written. False: it must not be, and the attempt has been ended.
+	// MaySend is called right before the first line is written. False: it must not be, and the attempt has been ended.
 	MaySend() bool
-	UpstreamSent()               // the first line is written whole: from here on the host may act on it
-	FromUpstream(m Message) bool // false: not taken, Pump will ask for it again
+	UpstreamSent()               // the first line is written completely: from here on the host may act on it
+	FromUpstream(m Message) bool // false: not now, Upstream.Pump follows
 	UpstreamReady()
 	UpstreamEnded(err *netio.Error)
 }
 
-// Expiring is an Upstream that rests on something that ends, such as a certificate.
+// Expiring is an Upstream whose connection uses certificates.
 type Expiring interface {
-	Expires() time.Time // zero: never
+	Expires() time.Time // the first end of one; zero: it uses none
 }
 
 // Target is an upstream host as a Connector needs to know it.
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -1,4 +1,4 @@
-// Package proxy is the core between clients and upstream hosts. It owns each request on both sides, keeps the rules that hold whatever
+// Package proxy is the core between clients and upstream hosts. It owns each request on both sides, applies the rules that hold whatever
 // the protocol, and is the only caller of the decision module. What a client or an upstream host speaks is known to the packages that
 // implement the interfaces in interfaces.go.
 //
@@ -6,7 +6,7 @@
 //
 // # The rules that a request meets
 //
-// In order, from its first line to its answer; each stands in the function named.
+// In order, from its first line to its answer, each with its function.
 //
 //  1. Core.Admit: capacity, in descriptors, of the two processes of this proxy together. None left: rejected.
 //  2. Core.validate: its class and tenant are in the settings and its ID is not in use. Else it fails.
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -11,7 +11,7 @@
 // Hosts report a connection's load and their message delay in the same form, a figure in a LOAD line, with nothing to tell them apart.
 // A load is in microseconds of work a second. A delay is in milliseconds; it comes once a second, on one connection of each proxy, while
 // messages are slow, with a last one once they are not. A delay taken for a load hides a slow host and makes the busiest connection
-// seem idle; a load taken for a delay migrates clients off a sound host. The constants below tell the two apart by size and rhythm.
+// seem idle; a load taken for a delay migrates clients off a healthy host. The constants below tell the two apart by size and rhythm.
 const (
 	minPlausibleLoad      = 500  // µs/s; below this, a load figure is read as a delay in milliseconds
 	minPlausibleFirstLoad = 1500 // µs/s; the same for the first figure of a connection, which is likelier to be a delay
@@ -72,7 +72,7 @@
 }
 
 // isDelayGivenLoad is isDelay for a host whose load over capacity is known: with capacity left no message waits, however small a
-// connection's load is. A first delay that is taken for a load is put right by the next one, a second later.
+// connection's load is. A first delay that is taken for a load is corrected by the next one, a second later.
 func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, on *upstreamRequest, hostLoad float64) bool {
 	steady := d.isSteady(now, steadyToleranceWithLoad)
 	return figure < maxPlausibleDelay && (steady && (d.candidateOn == on || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
@@ -122,7 +122,7 @@
 	return a.host.loadFigures.isDelay(now, figure, a.load)
 }
 
-// correctLoad puts a connection's load right after a delay was found. previousWasDelay: what was taken for its load was the first delay.
+// correctLoad corrects a connection's load after a delay was found. previousWasDelay: what was taken for its load was the first delay.
 func (a *upstreamRequest) correctLoad(previousWasDelay bool) {
 	if previousWasDelay && a.previousLoad > 0 {
 		a.load = a.previousLoad
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Pacer tells how many clients may be migrated now, where a fleet goes by one pace. then is called on the loop.
+// Pacer gives permits to migrate clients, where a fleet has one pace. then is called on the loop, with how many there are now.
 type Pacer interface {
 	RequestMigrations(want int, then func(n int))
 }
@@ -28,8 +28,7 @@
 	requested bool          // permits are asked for, and not answered yet
 }
 
-// submit migrates a client in its turn. migrate tells whether there was still a connection to migrate; if not, its permit goes to the
-// next one.
+// submit migrates a client in its turn. migrate gives false where there is no connection any more; its permit then goes to the next one.
 func (p *migrationPacer) submit(migrate func() bool) {
 	if p.pacer == nil || p.unpaced || len(p.pending) >= maxPendingMigrations {
 		migrate()
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// Open takes a client's request, and owes it one answer from here on. It gives nil where that is given already.
+// Open accepts a client's request, which gets one answer from here on. It gives nil where it has got that already.
 func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
 	c.counters.opened++
 	if err := c.validate(o); err != nil {
@@ -50,8 +50,8 @@
 	return r
 }
 
-// validate tells what is wrong with an opening. Without a class there is no deadline and no rule to serve it by, an ID that is in use
-// belongs to another's request, and what the settings do not name no host can read.
+// validate gives an error for an opening that cannot be served: without a class there is no deadline and no idempotency, an ID that is in use is
+// another request's, and a tenant that the settings do not name is unknown to the hosts.
 func (c *Core) validate(o *Opening) error {
 	_, classKnown := c.names.classes[o.Class]
 	_, tenantKnown := c.names.tenants[o.Tenant]
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Quota keeps accounts to limits that hold over all proxies together. then is called on the loop: over names the limit that is used up,
-// "" where the account has room, and advice is its Retry-After.
+// Quota keeps accounts to limits over all proxies together. then is called on the loop: over names the limit that is used up,
+// "" where there is quota left, and advice is its Retry-After.
 type Quota interface {
 	IsLimited(account string) bool
 	Acquire(account string, spread float64, then func(over string, advice time.Duration))
@@ -15,7 +15,7 @@
 	Release(account string)
 }
 
-// SetQuota gives the core the limits that hold over the fleet. It is called before clients come.
+// SetQuota gives the core the limits over the fleet. It is called before clients come.
 func (c *Core) SetQuota(q Quota) { c.fleet.quota = q }
 
 // acquireQuota goes on with a request once its account has quota for one more connection; where it has none the request is rejected.
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -48,10 +48,10 @@
 	adopted                bool             // open at a host before this proxy's start
 	attempts               int              // begun so far, in all pools
 	attemptsInEarlierPools int              // begun before its pool's balancer was asked
-	attempt                *upstreamRequest // the attempt under way, and once it is established the connection; nil: none
+	attempt                *upstreamRequest // the attempt in flight, and once it is established the connection; nil: none
 }
 
-// answered tells whether nothing is owed to the client any more: it has its answer, or has left.
+// answered tells whether the client has its answer, or has left.
 func (r *Request) answered() bool { return r.phase != awaitingAnswer }
 
 // isOpen tells whether its connection is open at a host.
@@ -72,7 +72,7 @@
 // class is the settings' entry for the request's class.
 func (r *Request) class() *balancer.Class { return &r.core.opt.Settings.Classes[r.attributes.Class] }
 
-// stageName is how far the attempt under way has come, for the log; before one begins the request waits in the decision module.
+// stageName is how far the attempt in flight has come, for the log; before one begins the request waits in the decision module.
 func (r *Request) stageName() string {
 	if r.attempt == nil {
 		return "no_attempt"
@@ -92,7 +92,7 @@
 	})
 }
 
-// removeIfDone closes a request, and drops it once it has nothing under way any more.
+// removeIfDone closes a request, and drops it once it has no attempt any more.
 func (r *Request) removeIfDone() {
 	r.becomeClosed()
 	if r.attempt == nil && r.core.requests[r.attributes.ID] == r {
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -16,9 +16,9 @@
 //  3. From migrateFrom to migrateBy open connections are migrated, evenly spread (shutdown.migrateDue), and idle ones without a request
 //     are ended. Requests under way go on.
 //  4. Once nothing is left for idleStepsToEnd steps the process ends (shutdown.end).
-//  5. At answerBy each request that still waits gets its answer, whoever is left is migrated, and nothing begins any more
+//  5. At answerBy each request that still waits gets its answer, all clients that are left are migrated, and nothing begins any more
 //     (shutdown.answerAll).
-//  6. At exitBy the process ends, whoever has not hung up by then.
+//  6. At exitBy the process ends, also with clients that have not hung up.
 
 // What the platform grants a process between SIGTERM and SIGKILL: the longest deadline of any class, of which at most
 // maxGrantedDeadline counts, and killGrace more.
@@ -34,11 +34,11 @@
 	// migrationSpan is the time over which clients are migrated, so that they do not all arrive elsewhere at once.
 	migrationSpan = 1500 * time.Millisecond
 	// handoverSpan is the same where another process of this proxy takes them in again: it is alone with them, and warming hosts accept
-	// only so many a second. What is left until the end is for clients to hang up.
+	// only so many a second. In the time that is left clients hang up.
 	handoverSpan = 2500 * time.Millisecond
 	// answerMargin is how long before SIGKILL each request has to have its answer and each open connection its migration: the process
 	// may be suspended once as it takes the signal and once as it answers, and clients have to hang up. It leaves each request that was
-	// accepted before SIGTERM its deadline, where that counts whole.
+	// accepted before SIGTERM its deadline, up to maxGrantedDeadline.
 	answerMargin = 3 * invariant.MaxSuspension
 	// exitMargin is how long before SIGKILL the process ends.
 	exitMargin = 2 * invariant.MaxSuspension
@@ -117,7 +117,7 @@
 	c.shuttingDown, c.migrations.unpaced = true, true
 	schedule := newShutdownSchedule(c.longestDeadline(), c.handover.handedOver)
 	s := &shutdown{core: c, schedule: schedule, began: c.loop.Now(), done: done}
-	// The last two moments are kept to the millisecond, whatever the steps between them.
+	// The last two moments have timers of their own, to the millisecond.
 	c.loop.After(time.Duration(schedule.answerBy), s.answerAll)
 	c.loop.After(time.Duration(schedule.exitBy), s.end)
 	s.step()
@@ -177,7 +177,7 @@
 	s.migrated += max(0, n)
 }
 
-// answerAll gives each request that still waits its answer, and migrates whoever is left: the process is about to be killed.
+// answerAll gives each request that still waits its answer, and migrates the clients that are left: the process is about to be killed.
 func (s *shutdown) answerAll() {
 	if s.done == nil {
 		return
@@ -198,7 +198,7 @@
 	}
 }
 
-// end is the last step. Whoever has had no answer, or no migration line, gets none any more.
+// end is the last step. Clients without an answer or a migration line get none any more.
 func (s *shutdown) end() {
 	if s.done == nil {
 		return
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -25,12 +25,12 @@
 	Discovery  string                   `json:"Discovery"` // address of who gave the list; revisions of another service mean nothing
 	Revision   int64                    `json:"Rev"`
 	Hosts      []HostEntry              `json:"Hosts"`
-	Suspended  []maintenance.Suspension `json:"Out"`   // the hosts that this proxy was told to suspend
+	Suspended  []maintenance.Suspension `json:"Out"`   // the hosts that are suspended at this proxy
 	KnownHosts []string                 `json:"Known"` // every host that a call may name
 	Balancer   balancer.Snapshot        `json:"Memory"`
 }
 
-// What a Snapshot may hold at most; one with more was not written by this program.
+// Bounds of a Snapshot; one beyond them was not written by this program.
 const (
 	maxHosts    = 4096
 	maxIDLength = 256 // bytes
@@ -50,7 +50,7 @@
 		s.shift(by)
 	}
 	for i := range s.Suspended {
-		s.Suspended[i].Since = min(s.Suspended[i].Since, now) // a suspension holds whatever its time says
+		s.Suspended[i].Since = min(s.Suspended[i].Since, now) // a suspension is in force whatever its time says
 	}
 }
 
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// isPlausible tells whether an endpoint list can have held the entry.
+// isPlausible tells whether the entry can have been in an endpoint list.
 func (e *HostEntry) isPlausible() bool {
 	return e.ID != "" && len(e.ID) <= maxIDLength && len(e.Address) <= maxIDLength &&
 		e.State >= balancer.Ready && e.State <= balancer.Removed &&
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// Suspend has nothing more go to a host from now on (suspended), or ends that; twice is as once. done hears, on the loop, whether any list has
+// Suspend has nothing more go to a host from now on (suspended), or ends that; calls are idempotent. done gets, on the loop, whether any list has
 // ever named the host.
 func (c *Core) Suspend(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
@@ -20,12 +20,12 @@
 		done(true)
 		return
 	}
-	// It holds here from now on; done waits until it would survive this process. The other process is notified also where nothing
-	// changed here: the call before may have gone to the one that knew less.
+	// It is in force here from now on; done waits until it would survive this process. The other process is notified also where nothing
+	// changed here: an earlier call may have reached only one of the two.
 	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
 }
 
-// HostSuspendedElsewhere applies a suspension, or its end, that the other process of this proxy was told.
+// HostSuspendedElsewhere applies a suspension, or its end, of the other process of this proxy.
 func (c *Core) HostSuspendedElsewhere(id string, suspended bool) { c.applySuspension(id, suspended) }
 
 // applySuspension has a host's suspension, or its end, take effect.
@@ -88,7 +88,7 @@
 // confirmStart replaces the guessed start of a host that came back by what discovery says.
 func (c *Core) confirmStart(h *host, guess balancer.Time) {
 	if c.hosts.byID[h.hostID] != h || h.state != balancer.Ready || h.startedAt >= guess {
-		return // it is suspended again, or removed; or discovery has told its start since, and the balancer knows
+		return // it is suspended again, or removed; or discovery has named its start since, and the balancer knows
 	}
 	away := h.effectiveEntry()
 	away.State = balancer.Suspended
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -40,7 +40,7 @@
 }
 
 // parse looks for a complete request at the start of in. It gives nil while more is to come; expectsContinue then tells that the
-// caller waits for leave to send its body. It looks at the whole input each time, so that the outcome can't depend on how
+// caller waits for 100 Continue before its body. It looks at the whole input each time, so that the outcome can't depend on how
 // the input was cut; the input is bounded.
 func parse(in []byte) (r *request, expectsContinue bool, f fault) {
 	for bytes.HasPrefix(in, []byte("\r\n")) {
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -11,7 +11,7 @@
 
 const (
 	callTimeout   = 2 * time.Second               // from connecting to the end of the request
-	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // holds the longest request, with the framing of chunks
+	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // the longest request, with the framing of chunks
 )
 
 // Proxy is what the calls are about.
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -26,7 +26,7 @@
 	Chain []*x509.Certificate // those above it, without the root
 }
 
-// Spec says what a certificate is to hold.
+// Spec is the content of a certificate.
 type Spec struct {
 	Name      string   // common name
 	Hosts     []string // DNS names, addresses and URIs
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -135,7 +135,7 @@
 	return ReadFile(path)
 }
 
-// LoadKey reads a private key. passwordFile is needed where it is encrypted. Errors never hold anything of the key's.
+// LoadKey reads a private key. passwordFile is needed where it is encrypted. Errors never contain anything of the key.
 func LoadKey(path, passwordFile string) (crypto.Signer, error) {
 	data, err := ReadSecret(path)
 	if err != nil {
--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -42,8 +42,8 @@
 	}}
 }
 
-// DebugEnabled reports whether the log takes lines of the debug level. It is asked before a line is put together: lines that nobody reads cost CPU
-// on every request.
+// DebugEnabled reports whether the log takes lines of the debug level. It is called before a line is put together, which would cost CPU on every
+// request.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
 // New makes a handler that writes to w.
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -11,8 +11,8 @@
 // maxLineBytes is what a pipe takes at once where it takes anything; a longer line is cut.
 const maxLineBytes = 4096
 
-// NonBlockingWriter writes lines to a file or a pipe, and leaves out those that would have to wait: whoever reads the log may stop reading, and nobody's
-// request may wait for that. What was left out is counted, and reported before the next line that is written.
+// NonBlockingWriter writes lines to a file or a pipe, and drops those that would have to wait: the reader of the log may stop reading, and no
+// request may wait for that. Dropped lines are counted, and reported before the next line that is written.
 type NonBlockingWriter struct {
 	mutex      sync.Mutex
 	file       *os.File
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -1,5 +1,5 @@
-// Package maintenance owns which upstream hosts the operators have suspended, and how a host is taken that comes back. It has no
-// I/O and no clock of its own: suspensions are by host id, hold until they are called back, and outlive the host's place in the list.
+// Package maintenance owns which upstream hosts the operators have suspended, and when a host that is resumed counts as started. It has no I/O
+// and no clock of its own. Suspensions are by host ID, last until they are ended by a call, and outlive the host's entry in the list.
 package maintenance
 
 import (
@@ -63,8 +63,8 @@
 	return true
 }
 
-// SetFleet takes the list of hosts that are suspended for the whole fleet, and gives those of which that changes whether they are suspended. A host
-// is while either says so: a call at this proxy does not resume it for the fleet.
+// SetFleet replaces the list of hosts that are suspended for the whole fleet, and gives the hosts whose suspension begins or ends by that. A host
+// is suspended while either list has it: a call at this proxy does not resume it for the fleet.
 func (r *Registry) SetFleet(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
--- a/internal/operations/maintenance/suspension.go
+++ b/internal/operations/maintenance/suspension.go
@@ -14,9 +14,9 @@
 	Since int64  `json:"Since"` // when the first call came, Unix nanoseconds
 }
 
-// StartAfter is when a host that comes back now is taken to have started, and whether that is a guess, which ends after
-// StartUncertainty. listed is its latest start as discovery says. Hosts are suspended to be restarted; one of which discovery has
-// named no start since then may have come back cold, and is taken to be until discovery would have named it.
+// StartAfter is when a host that is resumed now counts as started, and whether that is a guess, which ends after StartUncertainty. listed is its
+// latest start as discovery says. Hosts are suspended to be restarted; one of which discovery has named no start since may be warming up, and
+// counts as such until discovery would have named it.
 func (s Suspension) StartAfter(listed, now int64) (start int64, guess bool) {
 	if listed >= s.Since {
 		return listed, false
@@ -31,8 +31,8 @@
 	migrationSlots = 1000
 )
 
-// MigrationDelay is how long after its host's suspension a connection migrates: spread evenly by its request's id, over all proxies together however
-// few each of them holds.
+// MigrationDelay is how long after its host's suspension a connection migrates: spread evenly by its request's ID, over all proxies together however
+// few each of them has.
 func MigrationDelay(request string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(request))
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -12,7 +12,7 @@
 const (
 	Established    End = iota // a host's acceptance was forwarded
 	Adopted                   // the same, for a connection that was open at its host before
-	Rejected                  // the decision module rejected it
+	Rejected                  // rejected by the decision module, the fleet's rules or a quota, or for want of a usable host
 	OverCapacity              // rejected for want of descriptors
 	ShuttingDown              // rejected because the proxy shuts down
 	Failed                    // the decision module failed it, or a connection from before could not be restored
@@ -33,8 +33,8 @@
 	uncounted counter = -1
 )
 
-// counterOf is each end's counter. First lines that name no class of the settings are of no class and so not counted; clients that
-// have left are owed no answer, and are not counted either.
+// counterOf is each end's counter. First lines that name no class of the settings are of no class and so not counted; nor are clients that
+// have left before their answer.
 var counterOf = [ends]counter{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
 	Failed: failure, Unanswered: failure, InvalidRequest: failure, ClientLeft: uncounted}
 
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -1,6 +1,6 @@
 package platform
 
-// What is allowed where the limit on descriptors is not known.
+// Defaults where the platform gives no limit.
 const (
 	defaultDials        = 32
 	defaultIdleClients  = 1024
@@ -18,11 +18,10 @@
 // private $TMPDIR count against the limit too.
 const memoryShare = 0.7
 
-// HotRestartDescriptors is how many descriptors a second process of this proxy may hold that are not its clients'.
+// HotRestartDescriptors is how many descriptors a second process of this proxy needs beside those of its clients.
 func (c *Config) HotRestartDescriptors() int { return reservedDescriptors + c.MaxAdminCallers() }
 
-// MaxDials is how many connections may be opening at a time. Each may hold a descriptor for a request that has given its
-// dial up.
+// MaxDials is how many connections may be opening at a time. Each may use a descriptor for a request that has dropped its dial.
 func (c *Config) MaxDials() int {
 	if c.Limits.Sockets <= 0 {
 		return defaultDials
--- a/internal/operations/platform/reload.go
+++ b/internal/operations/platform/reload.go
@@ -2,9 +2,8 @@
 
 import "reflect"
 
-// Reload reads the file again, for a process that runs on old. The file's discovery wins here: the environment
-// still holds the one from the start. later names what differs but takes effect at the next start only: the address
-// listened on, the limits and the decision module's configuration bind what is already open.
+// Reload reads the file again, for a process that runs on old. The file's discovery counts here, not that of the environment, which is from the
+// start. later names what differs but takes effect at the next start only.
 func Reload(env func(string) string, old *Config) (c *Config, later []string, err error) {
 	c, err = Load(func(name string) string {
 		if name == "NODE_DISCOVERY" {
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Form is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
-// that takes it; what the variable held before is the default. After the last field, whatever else the section has
+// that takes it; the variable's earlier value is the default. After the last field, whatever else the section has
 // is unknown.
 type Form struct {
 	node   *Node // nil: the file does not have the section
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -1,5 +1,5 @@
 // Package settings reads the operators' settings file: S-expressions, typed and validated. It owns the form of the file, its
-// faults and its printing; what a section may hold is known to the package that registers it (see Schema).
+// faults and its printing; what a section may contain is known to the package that registers it (see Schema).
 package settings
 
 import "fmt"
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -60,7 +60,7 @@
 	return head
 }
 
-// flatten writes a node on one line; a comment can't stand inside one.
+// flatten writes a node on one line, which can't contain a comment.
 func flatten(n *Node) (string, bool) {
 	switch n.Kind {
 	case Atom, Comment:
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -13,7 +13,7 @@
 type Section struct {
 	Name string
 	Doc  string
-	// Bind declares the section's fields on f and gives the value that holds them. For a file without the section the
+	// Bind declares the section's fields on f and gives the value that has them. For a file without the section the
 	// form is empty, and the value is the default.
 	Bind func(f *Form) any
 }
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -45,7 +45,7 @@
 	all := max(l.All(), 1e-9)
 	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, "+
 		"waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
-		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Refused/all, 100*l.Migrated/all)
+		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Rejected/all, 100*l.Migrated/all)
 	fmt.Fprintf(to, "most that a host holds over the mean, for its weight: median %.2f, worst %.2f\n", l.Spread, l.SpreadWorst)
 	t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\nhost\tstood s\tcrowded s\tslow s\tbroke\tshare, mean\tmost\t")
@@ -68,7 +68,7 @@
 		}
 		sort.Strings(bad)
 		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Requests, w.Returned, w.Sent,
-			w.Established, w.Refused, strings.Join(bad, ", "), w.Broken, w.Open, w.Places, w.Started, w.DiscoveryFailed)
+			w.Established, w.Rejected, strings.Join(bad, ", "), w.Broken, w.Open, w.Places, w.Started, w.DiscoveryFailed)
 	}
 	fmt.Fprintln(t, "\nhost\tzone\tweight\tsent\tcold sent\tcold peak\topen\tslowest ms\t\t\t\t\t")
 	for _, h := range f.Hosts {
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -13,7 +13,7 @@
 	Returned        int            // of them, from clients that came again
 	Sent            int            // attempts that the decision module placed
 	Established     int            // connections that were established
-	Refused         int            // requests rejected
+	Rejected        int            // requests
 	Failed          map[string]int // attempts that were not established, by status
 	Broken          int            // established connections that broke
 	Open            int            // established connections at its end
@@ -35,7 +35,7 @@
 	SlowestMS  float64   // longest message delay reported, milliseconds
 }
 
-// Fleet is the whole count.
+// Fleet is the counts of all proxies.
 type Fleet struct {
 	Began    time.Time
 	Windows  []*Window
@@ -44,7 +44,7 @@
 	Sent     int
 }
 
-// connection is where an established connection stands.
+// connection is the host of an established connection, and its group.
 type connection struct{ host, group string }
 
 // counter goes through the events of all proxies.
@@ -83,7 +83,7 @@
 	return h
 }
 
-// advance begins the windows up to the one that holds a time.
+// advance begins the windows up to that of a time.
 func (c *counter) advance(to time.Time) {
 	passed := to.Sub(c.fleet.Began)
 	for c.window == nil || passed >= c.window.From+c.windowLength {
@@ -114,7 +114,7 @@
 	switch e.Name {
 	case "ready":
 		c.window.Started++
-		c.established[e.Proxy] = map[string]connection{} // a new process holds nothing
+		c.established[e.Proxy] = map[string]connection{} // a new process has no connections
 	case "request_received":
 		c.requestReceived(e)
 	case "attempt_started":
@@ -124,7 +124,7 @@
 	case "attempt_ended":
 		c.attemptEnded(e)
 	case "request_rejected":
-		c.window.Refused++
+		c.window.Rejected++
 	case "discovery_failed":
 		c.window.DiscoveryFailed++
 	case "host_updated":
@@ -148,7 +148,7 @@
 
 func (c *counter) attemptStarted(e Event) {
 	if _, placed := c.groupOf[e.Field["request"]]; !placed {
-		return // back to the host that held it before the start: nobody chose that
+		return // restored at its host from before the start, which is no placement
 	}
 	c.window.Sent++
 	c.fleet.Sent++
--- a/internal/testbed/fleetlog/fleetlog.go
+++ b/internal/testbed/fleetlog/fleetlog.go
@@ -1,6 +1,5 @@
-// Package fleetlog counts over the logs of many proxies on one time axis: what one proxy does that is harmless alone and
-// harmful when all do it shows in no single log. It owns the reading of croftlock's own log lines (level debug for all
-// there is to count) and the counts; who prints them is not known here.
+// Package fleetlog counts over the logs of many proxies on one time axis: what is harmless in one proxy and harmful when all do it shows in no
+// single log. It owns the reading of croftlock's log lines, also of earlier versions, and the counts. Most events are at level debug.
 package fleetlog
 
 import (
@@ -24,8 +23,8 @@
 	Field map[string]string
 }
 
-// longest bounds a line: a longer one is no line of ours.
-const longest = 64 << 10
+// maxLine is the longest line that is read, in bytes; a longer one is not of croftlock's log.
+const maxLine = 64 << 10
 
 // Log is what was read of a folder.
 type Log struct {
@@ -67,7 +66,7 @@
 }
 
 func (l *Log) read(from io.Reader, proxy string) error {
-	r := bufio.NewReaderSize(from, longest)
+	r := bufio.NewReaderSize(from, maxLine)
 	for {
 		line, err := r.ReadSlice('\n')
 		whole := err == nil
@@ -77,7 +76,7 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		// A last line without its end was cut off with its proxy, and half a figure would be a wrong one.
+		// A last line without its end was cut off with its proxy, and a number in it may be incomplete.
 		if !whole {
 			if len(line) > 0 {
 				l.Skipped++
@@ -94,7 +93,7 @@
 	}
 }
 
-// parse reads a line: date, time, event=NAME, key=value... Others may have put a word of their own before the date.
+// parse reads a line: date, time, event=NAME, key=value... Another program may have written something before the date.
 func parse(line string) (Event, bool) {
 	at := strings.Index(line, " event=")
 	const stamp = "2006/01/02 15:04:05.000000"
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/logging"
 )
 
-// write makes a log with the program's own handler, as it would be on disk.
+// write makes a log with the program's own handler, and tail behind it.
 func write(t *testing.T, dir, name string, events func(say func(event string, kv ...any)), tail string) {
 	t.Helper()
 	var b bytes.Buffer
@@ -44,11 +44,11 @@
 			say("refused", "request", "other")
 		}, "0.1 2026/12/01 10:00:00.000000 event=attempt_started request=torn host=s")
 	}
-	// What another program wrote, an odd line and an endless one are skipped; a word before the date is not ours to mind.
-	odd := "a stranger's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
+	// Lines of another program, malformed ones and one that is too long are skipped; something before the date is not.
+	odd := "another program's line\n2026/12/01 10:00 event=request_received\nx event=y\n" +
 		time.Now().UTC().Format("12.5 2006/01/02 15:04:05.000000") + " event=request_rejected request=\"a b\" after_ms=3\n" +
 		time.Now().UTC().Format("2006/01/02 15:04:05.000000") + " event=attempt_started host=\"torn\n" +
-		string(bytes.Repeat([]byte("z"), 3*longest)) + "\n"
+		string(bytes.Repeat([]byte("z"), 3*maxLine)) + "\n"
 	if err := os.WriteFile(filepath.Join(dir, "n2.log"), []byte(odd), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		t.Fatalf("%d windows", len(f.Windows))
 	}
 	w := f.Windows[0]
-	if w.Requests != 2 || w.Returned != 1 || w.Sent != 4 || w.Established != 2 || w.Refused != 3 || w.Failed["connect_failed"] != 2 ||
+	if w.Requests != 2 || w.Returned != 1 || w.Sent != 4 || w.Established != 2 || w.Rejected != 3 || w.Failed["connect_failed"] != 2 ||
 		w.Open != 2 || w.Places != 1 || w.Started != 2 || w.Listed != 2 {
 		t.Errorf("%+v", w)
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestRestartHoldsNothing: a proxy that begins again has lost what it held.
-func TestRestartHoldsNothing(t *testing.T) {
+// TestRestartedProxyHasNoConnections: a process that becomes ready has no connections, whatever the one before it had.
+func TestRestartedProxyHasNoConnections(t *testing.T) {
 	dir := t.TempDir()
 	write(t, dir, "n0.log", func(say func(string, ...any)) {
 		say("ready")
@@ -101,7 +101,7 @@
 
 func TestFoldersThatCannotBeRead(t *testing.T) {
 	empty, foreign := t.TempDir(), t.TempDir()
-	os.WriteFile(filepath.Join(foreign, "x.log"), []byte("nothing of ours\n"), 0o600)
+	os.WriteFile(filepath.Join(foreign, "x.log"), []byte("not of croftlock\n"), 0o600)
 	for _, dir := range []string{empty, foreign, filepath.Join(empty, "missing")} {
 		if _, err := ReadDir(dir); err == nil {
 			t.Errorf("%s read", dir)
@@ -120,7 +120,7 @@
 	})
 }
 
-// TestCountLoss: each second counts once, under what kept it from being a good one.
+// TestCountLoss: each second of a client counts once, as good or under why it is not.
 func TestCountLoss(t *testing.T) {
 	at := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	var l Log
@@ -152,7 +152,7 @@
 	for _, c := range []struct {
 		what      string
 		got, want float64
-	}{{"waiting", got.Waiting, 4}, {"crowded", got.Crowded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"moved", got.Migrated, 10}, {"refused", got.Refused, 10},
+	}{{"waiting", got.Waiting, 4}, {"crowded", got.Crowded, 4.5}, {"slow", got.Slow, 1.5}, {"broken", got.Broken, 2}, {"migrated", got.Migrated, 10}, {"rejected", got.Rejected, 10},
 		{"good", got.Good, 3*5.5 + 57.5}} {
 		if c.got < c.want-0.8 || c.got > c.want+0.8 {
 			t.Errorf("%s: %.2f s, want %.2f", c.what, c.got, c.want)
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -9,12 +9,12 @@
 // Loss is what became of the seconds that clients wanted to be connected, over all proxies, in seconds.
 type Loss struct {
 	Good float64
-	// Connected to a host that made messages wait: one that held more than its share, and one that did not.
+	// Connected to a host where messages took long: one with more connections than its share, and one without.
 	Crowded, Slow float64
 	// Not connected: before the answer, after a connection was broken, after a rejection, after a migration; each until the client came again,
 	// MaxAway at most.
-	Waiting, Broken, Refused, Migrated float64
-	// Spread is the most that a host held over the mean, for its weight: the median over the samples, and the worst.
+	Waiting, Broken, Rejected, Migrated float64
+	// Spread is the most connections of a host over the mean, for its weight: the median over the samples, and the worst.
 	Spread, SpreadWorst float64
 	Hosts               []HostLoss // those that lost most first
 }
@@ -29,7 +29,7 @@
 
 // All is every second.
 func (l *Loss) All() float64 {
-	return l.Good + l.Crowded + l.Slow + l.Waiting + l.Broken + l.Refused + l.Migrated
+	return l.Good + l.Crowded + l.Slow + l.Waiting + l.Broken + l.Rejected + l.Migrated
 }
 
 const (
@@ -37,23 +37,23 @@
 	MaxAway = 10 * time.Second
 	// delayReportLifetime is how long a reported delay counts.
 	delayReportLifetime = 1500 * time.Millisecond
-	// crowdedShare is how much over its share a host has to hold for its slowness to be its load's.
+	// crowdedShare is how many times its share of connections a host has to have for its slowness to count as load.
 	crowdedShare = 1.25
-	// sampleEvery is the time that one sample stands for.
+	// sampleEvery is the time that one sample counts for.
 	sampleEvery = 250 * time.Millisecond
 	// minSpreadConnections is how many connections there have to be for their spread to say something.
 	minSpreadConnections = 20
 )
 
-// clientState is how a client that wants a connection stands.
+// clientState is what a client that wants a connection has.
 type clientState int
 
 const (
 	clientWaiting clientState = iota // for its answer
 	clientConnected
 	clientBroken   // its connection broke
-	clientRejected // it was told to come again
-	clientMigrated // it was sent away
+	clientRejected // it was rejected, and may retry
+	clientMigrated // it was migrated, and is to come again
 )
 
 // client is one request's client since its last change.
@@ -130,7 +130,7 @@
 	}
 }
 
-// usableWeight is a listed host's weight; 0 where it takes nothing new: what it held is to go elsewhere.
+// usableWeight is a listed host's weight; 0 where it takes nothing new, since its connections are to go elsewhere.
 func usableWeight(e Event) float64 {
 	weight, err := strconv.ParseFloat(e.Field["weight"], 64)
 	if err != nil || e.Field["state"] != "ready" {
@@ -195,7 +195,7 @@
 	case clientBroken:
 		c.loss.Broken += seconds
 	case clientRejected:
-		c.loss.Refused += seconds
+		c.loss.Rejected += seconds
 	case clientMigrated:
 		c.loss.Migrated += seconds
 	case clientConnected:
