--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -18,7 +18,7 @@
 	packages []string
 }{
 	{"primitives", []string{"fleet/encoding", "operations/certs", "operations/logging", "operations/settings", "testbed/fleetlog", "testbed/golden"}},
-	{"sockets", []string{"dataplane/netio"}},
+	{"sockets", []string{"dataplane/netio", "dataplane/netio/netiotest"}},
 	{"decisions", []string{"balancer", "balancer/decay", "balancer/ledger", "balancer/loadestimate", "balancer/rendezvous", "balancer/setuptime", "balancer/stallgossip", "dataplane/certexpiry", "dataplane/handshake", "dataplane/invariant", "fleet/consensus", "fleet/fragment",
 		"fleet/group", "fleet/jobs", "fleet/membership", "fleet/namespace", "fleet/ownership", "fleet/quota", "fleet/rules", "fleet/watermark", "operations/balancerconfig",
 		"operations/maintenance", "operations/metrics"}},
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -90,15 +90,22 @@
 	}
 }
 
-// discoveryWithAnswers is a service that gives its answers in order, each a status and a body, and leaves later calls waiting. calls gets its
-// name with the target of each call.
-func discoveryWithAnswers(t *testing.T, calls chan<- string, name string, answers ...string) (addr string) {
+// listen listens on a free port until the test ends.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// discoveryWithAnswers is a service that gives its answers in order, each a status and a body, and leaves later calls waiting. calls gets its
+// name with the target of each call.
+func discoveryWithAnswers(t *testing.T, calls chan<- string, name string, answers ...string) (addr string) {
+	t.Helper()
+	ln := listen(t)
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
 			t.Cleanup(func() { c.Close() })
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -53,11 +53,7 @@
 	t.Helper()
 	s := &script{calls: make(chan receivedCall, 64), changes: make(chan proxy.Change, 64)}
 	s.now.Store(1e18)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
+	ln := listen(t)
 	go func() {
 		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
 			t.Cleanup(func() { conn.Close() })
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -83,6 +83,15 @@
 	return ended
 }
 
+// expectMigratedAndEnded looks for the migration of the client of request q, and the end of the shutdown.
+func (w *harness) expectMigratedAndEnded(ended *bool) {
+	w.test.Helper()
+	w.expect("migrate q", "end up ended", "ended q 0 6 true")
+	if !*ended {
+		w.test.Error("the shutdown has not ended")
+	}
+}
+
 // serve has host A accept a request.
 func (w *harness) serve(id string) (*Request, *fakeUpstream) {
 	w.onEvent = func(e string) {
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -41,10 +41,7 @@
 	w.upstreams[0].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.expect("accept q", "established q 0")
 	w.pass(1500 * time.Millisecond)
-	w.expect("migrate q", "end up ended", "ended q 0 6 true")
-	if !*ended {
-		t.Error("the shutdown has not ended")
-	}
+	w.expectMigratedAndEnded(ended)
 }
 
 // A list that comes during a shutdown changes nothing: the clients are migrated, and nothing new begins.
@@ -55,10 +52,7 @@
 	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
 	w.expect("list 1 1")
 	w.pass(2100 * time.Millisecond)
-	w.expect("migrate q", "end up ended", "ended q 0 6 true")
-	if !*ended {
-		t.Error("the shutdown has not ended")
-	}
+	w.expectMigratedAndEnded(ended)
 }
 
 // A connection that breaks before the first line's last byte is written has not reached its host: the request may go elsewhere, also one
