--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -68,7 +68,7 @@
 	}
 	if a.Value.Kind() == slog.KindAny {
 		if named, ok := a.Value.Any().(fmt.Stringer); ok {
-			a.Value = slog.StringValue(named.String())
+			a.Value = slog.StringValue(fmt.Sprint(named)) // which a nil pointer with a String method survives
 		}
 	}
 	return a
