--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"log/slog"
 	"time"
 
 	"croftlock/internal/operations/metrics"
@@ -14,22 +13,22 @@
 // admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
 // break connections that are open already.
 type admission struct {
-	limit             int // downstreams, of this process and the other one together
-	sessions          int // downstreams of this process
-	sessionsElsewhere int // downstreams of the other process of this proxy
+	limit                int // downstreams, of this process and the other one together
+	downstreams          int // downstreams of this process
+	downstreamsElsewhere int // downstreams of the other process of this proxy
 }
 
 // acquire takes capacity for one downstream; false: there is none.
 func (a *admission) acquire() bool {
-	if a.sessions+a.sessionsElsewhere >= a.limit {
+	if a.downstreams+a.downstreamsElsewhere >= a.limit {
 		return false
 	}
-	a.sessions++
+	a.downstreams++
 	return true
 }
 
 // release gives the capacity of one downstream back.
-func (a *admission) release() { a.sessions-- }
+func (a *admission) release() { a.downstreams-- }
 
 // Admit asks for capacity for one more downstream's request of a class. DownstreamEnded gives it back.
 func (c *Core) Admit(class string) bool {
@@ -44,11 +43,11 @@
 // DownstreamEnded gives the capacity of an admitted downstream back.
 func (c *Core) DownstreamEnded() { c.admission.release() }
 
-// Downstreams is how many downstreams this process holds.
-func (c *Core) Downstreams() int { return c.admission.sessions }
+// Downstreams is how many downstreams this process has.
+func (c *Core) Downstreams() int { return c.admission.downstreams }
 
-// SetDownstreamsElsewhere says how many downstreams the other process of this proxy holds: they share the descriptors.
-func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.sessionsElsewhere = n }
+// SetDownstreamsElsewhere says how many downstreams the other process of this proxy has: they share the descriptors.
+func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.downstreamsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
@@ -60,11 +59,3 @@
 	}
 	return min(after, max(0, time.Duration(c.opt.Settings.MaxRetryAfter)))
 }
-
-// InvalidRequest counts what a client sent that is no request, and logs the first of a log interval.
-func (c *Core) InvalidRequest(err error) {
-	c.counters.invalid++
-	if c.counters.invalid == 1 {
-		slog.Warn("invalid_request", "reason", err)
-	}
-}
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// adoptionRetryDelay is the pause before a host that holds a connection from before is tried again.
+// adoptionRetryDelay is the pause before the next attempt to restore a connection from before the start.
 const adoptionRetryDelay = 200 * time.Millisecond
 
 // adopt restores a connection that was open at a host before this proxy's start. The balancer is notified once it is established: it
@@ -18,21 +18,21 @@
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
-		slog.Warn("adoption_failed", "host", hostID, "reason", "not in the list")
-		r.fail(metrics.Failed)
+		slog.Warn("adoption_failed", "host", hostID, "reason", hostNotListed)
+		r.fail(metrics.Failed, hostNotListed)
 		return
 	}
 	r.adopted, r.pool = true, h.pool
 	r.record.Resumed, r.record.MaxAttempts = true, math.MaxInt
 	if rule := r.record.CheckAttempt(r.core.loop.Now(), h.invariantHost()); rule != invariant.None {
 		r.attemptBlocked(rule, h)
-		r.fail(metrics.Failed)
+		r.fail(metrics.Failed, blockedByInvariant)
 		return
 	}
 	r.beginAttempt(h, 0, r.deadline)
 }
 
-// adoptionEnded tries an adoption that failed again, as long as its host has not seen it and its client waits.
+// adoptionEnded retries an adoption that failed, as long as its host has not acted on it and its client waits.
 func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	if r.answered() {
@@ -47,6 +47,6 @@
 		})
 		return
 	}
-	slog.Warn("adoption_failed", "host", a.host.hostID, "status", int(status))
-	r.fail(metrics.Failed)
+	slog.Warn("adoption_failed", "host", a.host.hostID, "reason", adoptionAttemptEnded, "status", status)
+	r.fail(metrics.Failed, adoptionAttemptEnded)
 }
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -12,17 +12,17 @@
 // overdueGrace is how long past a request's deadline the balancer's own answer is waited for: within the slack that the platform leaves.
 const overdueGrace = 15 * time.Millisecond
 
-// rejectOrFail is the final answer of a request that gets no further attempt: a rejection, where that is true.
-func (r *Request) rejectOrFail(after time.Duration) {
+// rejectOrFail is the final answer of a request that gets no further attempt: a rejection where a retry by the client is harmless.
+func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
-		r.fail(metrics.Failed)
+		r.fail(metrics.Failed, reason)
 		return
 	}
-	r.reject(after)
+	r.reject(after, reason)
 }
 
 // reject is the final answer that says that a retry is harmless.
-func (r *Request) reject(after time.Duration) {
+func (r *Request) reject(after time.Duration, reason localReplyReason) {
 	if r.answered() {
 		return
 	}
@@ -30,14 +30,14 @@
 	r.record.Rejected(r.core.loop.Now())
 	r.core.counters.metrics.Ended(r.attributes.Class, metrics.Rejected)
 	if tracing() {
-		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "after_ms", after.Milliseconds(),
+		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(func() { r.downstream.Reject(after) })
 }
 
 // fail is the final answer that promises nothing. how is the metric that it counts for.
-func (r *Request) fail(how metrics.End) {
+func (r *Request) fail(how metrics.End, reason localReplyReason) {
 	if r.answered() {
 		return
 	}
@@ -45,12 +45,13 @@
 	r.record.Failed(r.core.loop.Now())
 	r.core.counters.metrics.Ended(r.attributes.Class, how)
 	if tracing() {
-		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-r.core.loop.Now())/1e6)
+		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "state", r.stageName(),
+			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
 	}
 	r.answer(r.downstream.Fail)
 }
 
-// answer gives the client its one answer, and ends an attempt that is under way all the same.
+// answer gives the client its one answer, and ends an attempt that is in flight.
 func (r *Request) answer(write func()) {
 	r.becomeClosed()
 	write()
@@ -66,19 +67,19 @@
 	r.removeIfDone()
 }
 
-// failUnresponsive answers for a balancer that has not, in time or at all.
+// failUnresponsive fails a request that the balancer has not answered, in time or at all.
 func (r *Request) failUnresponsive() {
 	if r.answered() {
 		return
 	}
 	slog.Error("balancer_unresponsive", "request", r.attributes.ID, "attempts", r.attempts)
-	r.fail(metrics.Unanswered)
+	r.fail(metrics.Unanswered, balancerUnresponsive)
 	r.notifyClientLeft()
 }
 
-// answerNow gives a request its answer at once, whatever is under way for it, and has the balancer forget it.
+// answerNow gives a request its answer at once as the process shuts down, also where an attempt is in flight, and has the balancer forget it.
 func (r *Request) answerNow(after time.Duration) {
-	r.rejectOrFail(after)
+	r.rejectOrFail(after, processShutsDown)
 	r.notifyClientLeft()
 }
 
@@ -97,7 +98,7 @@
 	}
 }
 
-// migrate sends the client of an open connection away politely. status is what the balancer learns of its end.
+// migrate has the client of an open connection open it anew elsewhere. status is what the balancer is notified of.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/dataplane/certexpiry"
 )
 
-// startExpiryMigrations begins to migrate connections before a certificate that they rest on ends, where the operators want it.
+// startExpiryMigrations begins to migrate connections before one of their certificates ends, where the operators want it.
 func (c *Core) startExpiryMigrations() {
 	if !c.opt.Expiry.MigrationEnabled {
 		return
@@ -32,11 +32,11 @@
 		c.migrations.submit(func() bool { return c.migrateIfOpen(id, r) })
 	}
 	if len(due) > 0 {
-		slog.Info("expiring_migrated", "connections", len(due), "standing", len(open), "first_ends", firstEnd.UTC().Format(time.RFC3339))
+		slog.Info("expiring_migrated", "connections", len(due), "open", len(open), "first_ends", firstEnd.UTC().Format(time.RFC3339))
 	}
 }
 
-// certificateEnds lists the open connections with the end of what they rest on, and the first of these ends; zero: there is none.
+// certificateEnds lists the open connections with the end of their first certificate, and the first of these ends; zero: there is none.
 func (c *Core) certificateEnds() (open []certexpiry.Conn, first time.Time) {
 	open = make([]certexpiry.Conn, 0, len(c.requests))
 	for id, r := range c.requests {
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"log/slog"
 
 	"croftlock/internal/balancer"
@@ -20,7 +21,7 @@
 	pool      *pool               // nil: it is between two pools, and gets nothing new
 
 	established map[*Request]struct{}         // its open connections
-	pending     map[*upstreamRequest]struct{} // attempts under way
+	pending     map[*upstreamRequest]struct{} // attempts in flight
 
 	latency     messageLatency
 	loadFigures loadClassifier
@@ -42,6 +43,15 @@
 	return e
 }
 
+// hostStateName is a state's name in the log.
+func hostStateName(s balancer.HostState) string {
+	names := [...]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Removed: "removed", balancer.Suspended: "suspended"}
+	if s < 0 || int(s) >= len(names) {
+		return fmt.Sprintf("HostState(%d)", int(s))
+	}
+	return names[s]
+}
+
 // target is what a Connector needs to know of it.
 func (h *host) target() Target { return Target{h.hostID, h.zone, h.address} }
 
@@ -92,7 +102,7 @@
 		h, isNew = t.add(e.ID), true
 	}
 	if tracing() && (h.state != e.State || h.listed.StartedAt != e.StartedAt || h.address == "") {
-		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", int(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
+		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", hostStateName(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
 	}
 	t.suspensions.HostListed(e.ID)
 	if h.address == "" || e.StartedAt != h.listed.StartedAt {
@@ -117,7 +127,7 @@
 	return e.State
 }
 
-// removeUnlisted marks as removed all hosts that a whole list does not name.
+// removeUnlisted marks as removed all hosts that a full list does not name.
 func (t *hostTable) removeUnlisted(named map[string]bool) {
 	for id, h := range t.byID {
 		if !named[id] {
