--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -148,7 +148,7 @@
 	r.record.AttemptEnded(status.ProvesNotRun())
 	if tracing() {
 		slog.Debug("attempt_ended", "request", r.attributes.ID, "number", a.number, "host", a.host.hostID, "status", status.String(),
-			"up", a.established, "ms", elapsed/1e6)
+			"established", a.established, "ms", elapsed/1e6)
 	}
 	if r.adopted && !a.established {
 		a.adoptionEnded(status)
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -32,7 +32,7 @@
 		if len(v.Pools) > 0 {
 			pool = v.Pools[0]
 		}
-		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "refused", v.Refused,
+		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Refused,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
 	v.Advice = c.boundedRetryAfter(v.Advice)
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -42,7 +42,7 @@
 		return r
 	}
 	if tracing() {
-		slog.Debug("request_received", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "repeat", o.Retry, "returned", o.Returned,
+		slog.Debug("request_received", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "retry", o.Retry, "returned", o.Returned,
 			"ms", wait.Milliseconds())
 	}
 	r.overdueTimer = c.loop.After(wait+overdueGrace, r.failUnresponsive)
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -35,7 +35,7 @@
 	if !s.Set(id, suspended, c.loop.Now()) {
 		return
 	}
-	slog.Info("host_suspended", "host", id, "out", suspended)
+	slog.Info("host_suspended", "host", id, "suspended", suspended)
 	if s.Suspended(id) != was {
 		c.suspensionChanged(id, suspended, before)
 	}
@@ -50,7 +50,7 @@
 	}
 	for _, id := range s.SetFleet(ids, c.loop.Now()) {
 		suspended := s.Suspended(id)
-		slog.Info("host_suspended", "host", id, "out", suspended, "fleet", true)
+		slog.Info("host_suspended", "host", id, "suspended", suspended, "fleet", true)
 		c.suspensionChanged(id, suspended, before[id])
 	}
 }
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		h.state = c.hosts.effectiveState(h.listed)
-		slog.Info("watermark_applied", "host", id, "out", h.state != balancer.Ready)
+		slog.Info("watermark_applied", "host", id, "state", hostStateName(h.state))
 		c.maintenanceChanged(h.pool, h.effectiveEntry())
 	}
 	c.clearUnusableHosts()
--- a/internal/testbed/fleetlog/count.go
+++ b/internal/testbed/fleetlog/count.go
@@ -141,7 +141,7 @@
 	c.window.Requests++
 	c.fleet.Requests++
 	c.groupOf[e.Field["request"]] = e.Field["group"]
-	if e.Field["returned"] == "true" || e.Field["repeat"] == "true" {
+	if e.Field["returned"] == "true" || e.Field["retry"] == "true" {
 		c.window.Returned++
 	}
 }
@@ -171,7 +171,7 @@
 
 func (c *counter) attemptEnded(e Event) {
 	delete(c.established[e.Proxy], e.Field["request"])
-	if e.Field["up"] != "true" {
+	if e.Field["established"] != "true" {
 		c.window.Failed[e.Field["status"]]++
 	} else if e.Field["status"] == "reset" {
 		c.window.Broken++
--- a/internal/testbed/fleetlog/loss.go
+++ b/internal/testbed/fleetlog/loss.go
@@ -114,7 +114,7 @@
 		set(clientRejected, "")
 	case "attempt_ended":
 		switch {
-		case e.Field["up"] != "true":
+		case e.Field["established"] != "true":
 		case e.Field["status"] == "ok":
 			delete(c.clients, request)
 		case e.Field["status"] == "reset":
