--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -15,14 +15,14 @@
 	auditHashBytes  = 16
 )
 
-// AuditEntry is one change that was made. It is never rewritten: its hash is over the one before, so that one that is missing or altered shows.
+// AuditEntry is one change that was made. Its hash covers the hash of the entry before, so that a missing or altered entry shows.
 type AuditEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64   // of the version that it made
 	ID     []byte
 	Who    string // "operators", or the account and label of the grant
-	What   string
-	Wall   int64 // Unix milliseconds, at the coordinator
+	What   string // the subject
+	Wall   int64  // Unix milliseconds, at the publisher
 	Hash   []byte
 }
 
@@ -33,7 +33,7 @@
 	return h[:auditHashBytes]
 }
 
-// appendEntry adds a change to a log of which others may hold a slice.
+// appendEntry adds a change to a copy of the log, since others may hold slices of it.
 func appendEntry(entries []AuditEntry, e AuditEntry) []AuditEntry {
 	var before []byte
 	if n := len(entries); n > 0 {
@@ -70,8 +70,8 @@
 	rejected []string     // in memory alone, so that rejections push no change out of the log
 }
 
-// restore takes the log of a checkpoint, which holds the staged version's changes already. A broken log is dropped, and that is on record: the
-// rules go on without it.
+// restore takes the log of a checkpoint, which holds the staged version's changes already. A log whose chain is broken is dropped, and that is
+// recorded in its place: the rules do not depend on it.
 func (l *auditLog) restore(entries []AuditEntry, active uint64) {
 	if err := CheckAuditLog(entries); err != nil {
 		l.rejected, entries = append(l.rejected, err.Error()), nil
@@ -89,7 +89,7 @@
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text is the log for people, narrowed to a subject; "": to none.
+// text is the log for administrators, narrowed to a subject; "": the whole log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -37,7 +37,7 @@
 
 // authorize says who proposes a change, and whether a grant of v allows it. It is asked when the change comes and again when a version is made of
 // it: a grant that was revoked in between allows nothing. The operators propose at their own socket, unsigned.
-func (c *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
+func (p *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
 	if len(change.Key) == 0 {
 		return "operators", nil
 	}
@@ -47,7 +47,7 @@
 	if len(change.ID) < minSignedIDBytes {
 		return "somebody", errShortID
 	}
-	a, g, err := v.grantFor(change, c.wallMillis()/1000)
+	a, g, err := v.grantFor(change, p.wallMillis()/1000)
 	if err != nil {
 		return fmt.Sprintf("key %x", change.Key[:4]), err
 	}
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -29,7 +29,7 @@
 	return &namespace.Namespace{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
-func (g *group) change(c *Change) { g.coordinator.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
+func (g *group) change(c *Change) { g.publisher.QueryReceived(g.now, 0, 1, EncodeProposal(c)) }
 
 func (g *group) signed(c *Change, by byte) {
 	c.SetID()
@@ -76,14 +76,14 @@
 	if !strings.HasPrefix(g.last(), "active: version") {
 		t.Fatalf("asked twice: %q", g.last())
 	}
-	if h := g.coordinator.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
+	if h := g.publisher.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
 		t.Errorf("history\n%s", h)
 	}
 }
 
 func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
 	g := startWithPools(t, 3)
-	g.coordinator.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
+	g.publisher.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
 	team := &namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}
 	for want, c := range map[string]*Change{
 		"which has ended":                             ChangeNamespace(to("acme", 0, "a"), 2, []byte("id-clerk")),
@@ -142,7 +142,7 @@
 	if len(g.answers) > n {
 		t.Fatalf("answered at once: %q", g.last())
 	}
-	g.coordinator.proposals.waiting = append([]*proposal{{Change: ChangeOperators(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, g.coordinator.proposals.waiting...)
+	g.publisher.proposals.waiting = append([]*proposal{{Change: ChangeOperators(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, g.publisher.proposals.waiting...)
 	g.run(4 * within)
 	if got := strings.Join(g.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
 		t.Errorf("answers\n%s", got)
@@ -188,8 +188,8 @@
 		big.Routes = append(big.Routes, namespace.Route{Name: fmt.Sprint("x", i), Prefix: fmt.Sprint(i), Pool: "a"})
 	}
 	n := len(g.answers)
-	g.coordinator.proposals.waiting = nil
-	g.coordinator.leases.unknownUntil = g.now + 100*ms
+	g.publisher.proposals.waiting = nil
+	g.publisher.leases.unknownUntil = g.now + 100*ms
 	g.change(&Change{ID: []byte("first-one"), Kind: KindOperators, Against: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.HostsOut = []string{"h"}; return v.Encode() }()})
 	g.change(ChangeNamespace(big, 2, nil))
 	g.change(ChangeNamespace(to("other", 0, "b"), 2, nil))
@@ -209,19 +209,19 @@
 	g.run(within)
 	g.change(RollBackTo(2, 3, nil))
 	g.run(within)
-	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.coordinator.versions.active.Number != 4 || len(g.coordinator.versions.active.Directory.Namespaces) != 0 {
-		t.Fatalf("%q: %+v", g.last(), g.coordinator.versions.active.Directory)
+	if !strings.HasPrefix(g.last(), "active: version 4 at") || g.publisher.versions.active.Number != 4 || len(g.publisher.versions.active.Directory.Namespaces) != 0 {
+		t.Fatalf("%q: %+v", g.last(), g.publisher.versions.active.Directory)
 	}
 	g.change(RollBackTo(77, 4, nil))
 	if g.last() != "refused: version 77 is not kept any more" {
 		t.Fatalf("%q", g.last())
 	}
-	g.restartCoordinator() // the past is what the group keeps
-	if g.coordinator.versions.byNumber(3) == nil || len(g.coordinator.audit.active) < 3 || CheckAuditLog(g.coordinator.audit.active) != nil {
-		t.Fatalf("a new coordinator has version 3: %t, and %d changes", g.coordinator.versions.byNumber(3) != nil, len(g.coordinator.audit.active))
+	g.restartPublisher() // the past is what the group keeps
+	if g.publisher.versions.byNumber(3) == nil || len(g.publisher.audit.active) < 3 || CheckAuditLog(g.publisher.audit.active) != nil {
+		t.Fatalf("a new publisher has version 3: %t, and %d changes", g.publisher.versions.byNumber(3) != nil, len(g.publisher.audit.active))
 	}
-	g.coordinator.audit.active[1].Who = "somebody"
-	if CheckAuditLog(g.coordinator.audit.active) == nil {
+	g.publisher.audit.active[1].Who = "somebody"
+	if CheckAuditLog(g.publisher.audit.active) == nil {
 		t.Fatal("an altered trail is found sound")
 	}
 }
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-const maxCheckpointBytes = 31 << 10 // a job may leave 32 KiB
+const maxCheckpointBytes = 31 << 10 // below the 32 KiB that a job may leave
 
-// checkpoint is what the group stores of the rules: what one coordinator leaves to the next.
+// checkpoint is what the group stores of the rules: one publisher leaves it, the next continues from it.
 type checkpoint struct {
 	_        struct{} `cbor:",toarray"`
 	Active   []byte   // a version, encoded for transfer
@@ -23,31 +23,31 @@
 	}
 }
 
-// encodeCheckpoint encodes a state of the coordinator; a nil staged version: none.
-func (c *Publisher) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
-	stored := checkpoint{Active: c.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
+// encodeCheckpoint encodes a state of the publisher; a nil staged version: none.
+func (p *Publisher) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
+	stored := checkpoint{Active: p.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
 	if staged != nil {
-		stored.Staged = c.versions.transfers.encode(staged, nil)
+		stored.Staged = p.versions.transfers.encode(staged, nil)
 	}
 	return stored.encode()
 }
 
-// restore goes on from a checkpoint; an empty one is version 0.
-func (c *Publisher) restore(data []byte) error {
-	c.versions.setActive(&Version{})
+// restore continues from a checkpoint; an empty one is version 0.
+func (p *Publisher) restore(data []byte) error {
+	p.versions.setActive(&Version{})
 	if len(data) == 0 {
 		return nil
 	}
-	stored, err := c.decodeCheckpoint(data)
+	stored, err := p.decodeCheckpoint(data)
 	if err != nil {
 		return fmt.Errorf("rules: what the keeper before left: %w", err)
 	}
-	c.audit.restore(stored.AuditLog, c.versions.active.Number)
-	c.versions.history = stored.History
+	p.audit.restore(stored.AuditLog, p.versions.active.Number)
+	p.versions.history = stored.History
 	return nil
 }
 
-func (c *Publisher) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
+func (p *Publisher) decodeCheckpoint(data []byte) (stored checkpoint, err error) {
 	if err := unmarshal(data, &stored); err != nil {
 		return stored, err
 	}
@@ -56,14 +56,14 @@
 		if err != nil {
 			return stored, err
 		}
-		c.versions.setActive(v)
+		p.versions.setActive(v)
 	}
 	if len(stored.Staged) > 0 {
 		v, err := decodeVersion(stored.Staged, onlyBase(nil))
 		if err != nil {
 			return stored, err
 		}
-		c.versions.stage(v, c.versions.stagedAt)
+		p.versions.stage(v, p.versions.stagedAt)
 	}
 	return stored, nil
 }
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -71,7 +71,7 @@
 		t.Error(err)
 	}
 	g := newGroup(t, 1)
-	g.coordinator.QueryReceived(g.now, 0, 1, append([]byte{queryPropose}, bomb...))
+	g.publisher.QueryReceived(g.now, 0, 1, append([]byte{queryPropose}, bomb...))
 	if !strings.HasPrefix(g.last(), "refused") {
 		t.Error(g.last())
 	}
@@ -81,7 +81,7 @@
 }
 
 // A large version and changes of it among members, one of which is late and one of which has lost what it had: all act by the same, earlier
-// versions are read back through their differences, and a new coordinator goes on from what was left.
+// versions are read back through their differences, and a new publisher goes on from what was left.
 func TestLargeVersionsAmongMembers(t *testing.T) {
 	g := newGroup(t, 4)
 	v := large(75)
@@ -105,8 +105,8 @@
 		g.cut[3] = i == 30 // misses a version, and more than one after it
 		g.run(3 * within)
 		g.cut[3] = false
-		against = g.coordinator.versions.active.Number
-		text[against] = g.coordinator.versions.active.String()
+		against = g.publisher.versions.active.Number
+		text[against] = g.publisher.versions.active.String()
 	}
 	g.members[2].versions = map[Hash]*compiledVersion{} // what it says that it has it has not
 	g.change(ChangeNamespace(to("customer0003", 0, namespace.Main), against, []byte("last")))
@@ -115,16 +115,16 @@
 		t.Fatal(g.last())
 	}
 	for i := uint32(1); i <= 4; i++ {
-		if n, left := g.members[i].Enforcer.ActiveVersion(); n != g.coordinator.versions.active.Number || left <= 0 {
-			t.Errorf("member %d acts by %d, %d is active", i, n, g.coordinator.versions.active.Number)
+		if n, left := g.members[i].Enforcer.ActiveVersion(); n != g.publisher.versions.active.Number || left <= 0 {
+			t.Errorf("member %d acts by %d, %d is active", i, n, g.publisher.versions.active.Number)
 		}
 	}
-	t.Logf("%d entries, %d bytes, %d kept by the group with %d versions before it", g.coordinator.versions.active.Entries(), len(g.coordinator.versions.active.Encode()), len(g.checkpoint), len(g.coordinator.versions.history))
+	t.Logf("%d entries, %d bytes, %d kept by the group with %d versions before it", g.publisher.versions.active.Entries(), len(g.publisher.versions.active.Encode()), len(g.checkpoint), len(g.publisher.versions.history))
 	g.run(within)
-	g.restartCoordinator()
+	g.restartPublisher()
 	read := 0
 	for number, want := range text {
-		if old := g.coordinator.versions.byNumber(number); old != nil {
+		if old := g.publisher.versions.byNumber(number); old != nil {
 			if read++; old.String() != want {
 				t.Errorf("version %d is not as it was", number)
 			}
@@ -133,9 +133,9 @@
 	if read < 4 {
 		t.Errorf("%d of %d versions can be read back", read, len(text))
 	}
-	g.change(RollBackTo(against, g.coordinator.versions.active.Number, nil))
+	g.change(RollBackTo(against, g.publisher.versions.active.Number, nil))
 	g.run(4 * within)
-	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.coordinator.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
+	if !strings.HasPrefix(g.last(), "active: version ") || !bytes.Equal(marshal(g.publisher.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("back:", g.last())
 	}
 	if o := g.overlap(); o > within {
@@ -146,8 +146,8 @@
 // A version on the way from one to the next is nothing to go back to: the one before it is kept as what is different from the next.
 func TestHistoryOverATransitionalVersion(t *testing.T) {
 	g := startWithPools(t, 2)
-	first := g.coordinator.versions.active.Number
-	want := g.coordinator.versions.active.String()
+	first := g.publisher.versions.active.Number
+	want := g.publisher.versions.active.String()
 	v := twoCustomers()
 	v.Directory.Accounts[1].Tenants = []string{"t2", "t3"}
 	v.Directory.Accounts[0].Tenants = []string{"t1"}
@@ -157,21 +157,21 @@
 	c, n := ChangeOperators(v, first, []byte("with a step")), len(g.answers)
 	g.change(c)
 	for range 100 {
-		if g.run(20 * ms); g.coordinator.versions.active.Directory.Previous != nil {
+		if g.run(20 * ms); g.publisher.versions.active.Directory.Previous != nil {
 			break
 		}
 	}
-	if g.change(c); g.coordinator.versions.active.Directory.Previous == nil || len(g.answers) > n {
+	if g.change(c); g.publisher.versions.active.Directory.Previous == nil || len(g.answers) > n {
 		t.Errorf("asked again between: %q", g.answers[n:])
 	}
 	g.run(4 * within)
 	if got := g.answers[n:]; len(got) != 1 || !strings.HasPrefix(got[0], fmt.Sprintf("active: version %d at", first+2)) {
 		t.Fatalf("%q", got)
 	}
-	if old := g.coordinator.versions.byNumber(first); old == nil || old.String() != want {
+	if old := g.publisher.versions.byNumber(first); old == nil || old.String() != want {
 		t.Error("the version before is not as it was")
 	}
-	if g.coordinator.versions.byNumber(first+1) != nil {
+	if g.publisher.versions.byNumber(first+1) != nil {
 		t.Error("the step between can be gone back to")
 	}
 }
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -28,13 +28,13 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "what") {
 			case 0, 1:
 				n++
-				g.put(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, g.coordinator.versions.active.Number)
+				g.put(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, g.publisher.versions.active.Number)
 			case 2:
 				g.cut[who] = !g.cut[who]
 			case 3:
 				g.deaf[who] = !g.deaf[who]
 			case 4:
-				g.restartCoordinator()
+				g.restartPublisher()
 			case 5:
 				g.checkpointsFail = !g.checkpointsFail
 			case 6:
@@ -60,8 +60,8 @@
 			last[a.who] = a.number
 		}
 		for i := uint32(1); i <= 4; i++ {
-			if v := g.members[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.coordinator.versions.active.Number {
-				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.coordinator.versions.active.Number)
+			if v := g.members[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.publisher.versions.active.Number {
+				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.publisher.versions.active.Number)
 			}
 		}
 	})
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -14,14 +14,14 @@
 	within = 1000 * ms
 )
 
-// group is a coordinator and members whose messages a test may delay or lose; each has a clock of its own speed.
+// group is a publisher and members whose messages a test may delay or lose; each has a clock of its own speed.
 type group struct {
 	t                  *testing.T
 	now                Time
-	coordinator        *Publisher
+	publisher          *Publisher
 	members            map[uint32]*Member
 	clockRate          map[uint32]float64
-	cut                map[uint32]bool // neither reaches the coordinator nor hears it
+	cut                map[uint32]bool // neither reaches the publisher nor hears it
 	deaf               map[uint32]bool // hears no replies
 	checkpointsFail    bool
 	answers            []string // to administrators
@@ -53,7 +53,7 @@
 		return errors.New("no lead")
 	}
 	g.recorder.add("note", left)
-	g.pendingCheckpoints = append(g.pendingCheckpoints, func() { g.checkpoint = left; g.coordinator.CheckpointStored(g.now, number, true) })
+	g.pendingCheckpoints = append(g.pendingCheckpoints, func() { g.checkpoint = left; g.publisher.CheckpointStored(g.now, number, true) })
 	return nil
 }
 
@@ -86,14 +86,14 @@
 func newGroup(t *testing.T, n uint32) *group {
 	t.Helper()
 	g := &group{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, cut: map[uint32]bool{}, deaf: map[uint32]bool{}}
-	g.restartCoordinator()
+	g.restartPublisher()
 	for i := uint32(1); i <= n; i++ {
 		g.clockRate[i] = 1
 		enforcer := &Enforcer{Now: func() Time { return g.clock(i) }, LapsedAdvice: time.Second}
 		g.members[i] = &Member{AgreeWithin: within, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
 			g.recorder.add("ask", body)
 			if !g.cut[i] {
-				g.coordinator.QueryReceived(g.now, i, tag, body)
+				g.publisher.QueryReceived(g.now, i, tag, body)
 			}
 		}}
 	}
@@ -101,10 +101,10 @@
 	return g
 }
 
-// restartCoordinator begins a new coordinator with what the last one has left with the group.
-func (g *group) restartCoordinator() {
-	g.coordinator, g.pendingCheckpoints = &Publisher{AgreeWithin: within}, nil
-	if err := g.coordinator.Start(g.now, g, 1, 1, g.checkpoint); err != nil {
+// restartPublisher begins a new publisher with what the last one has left with the group.
+func (g *group) restartPublisher() {
+	g.publisher, g.pendingCheckpoints = &Publisher{AgreeWithin: within}, nil
+	if err := g.publisher.Start(g.now, g, 1, 1, g.checkpoint); err != nil {
 		g.t.Fatal(err)
 	}
 }
@@ -116,7 +116,7 @@
 		for _, f := range pending {
 			f()
 		}
-		g.coordinator.Step(g.now)
+		g.publisher.Step(g.now)
 		for i := uint32(1); i <= uint32(len(g.members)); i++ {
 			g.members[i].Step(g.clock(i))
 			v := g.members[i].Enforcer.Judge(anyAsk)
@@ -126,7 +126,7 @@
 }
 
 func (g *group) put(v *Version, against uint64) {
-	g.coordinator.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
+	g.publisher.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
 }
 
 func (g *group) last() string {
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,30 +1,33 @@
 package rules
 
-// clockDriftDivisor: one fiftieth of a lease covers the drift between two clocks, 1 % each. The member counts its lease from before it
-// sent the request, on its monotonic clock, and less this margin; the coordinator from when the request came, and this margin more.
+// clockDriftDivisor: a fiftieth of a lease covers two clocks that drift by 1 % each. The member counts its lease from before it sent the request
+// and ends it a margin early; the publisher counts from when the request arrived and ends it a margin late. So a lease that the publisher takes for
+// ended has ended at the member too, whatever the delay of the messages.
 const clockDriftDivisor = 50
 
-// LeaseEnd is when a lease that was asked for at a time ends at the member that acts by it.
-func LeaseEnd(askedAt, duration Time) Time { return askedAt + duration - duration/clockDriftDivisor }
+// LeaseEnd is when a lease that was requested at a time ends at the member that holds it.
+func LeaseEnd(requestedAt, duration Time) Time {
+	return requestedAt + duration - duration/clockDriftDivisor
+}
 
-// LeaseSurelyEnded is when the coordinator that granted it may take a lease for ended.
-func LeaseSurelyEnded(heardAt, duration Time) Time {
-	return heardAt + duration + duration/clockDriftDivisor
+// LeaseSurelyEnded is when the publisher may take a lease for ended whose request arrived at a time.
+func LeaseSurelyEnded(receivedAt, duration Time) Time {
+	return receivedAt + duration + duration/clockDriftDivisor
 }
 
-// memberState is what the coordinator knows of a member.
+// memberState is what the publisher knows of a member.
 type memberState struct {
-	leaseNumber uint64 // of the version that it may act by
+	leaseNumber uint64 // number of the version that it may act by
 	leaseEnd    Time   // 0: none was granted
 	ready       Hash   // of the newest version that it has compiled
-	fault       string // why it can't use the staged version; "": none is known
+	fault       string // why it can't use the staged version; "": it has reported none
 }
 
 func (m *memberState) holdsLease(now Time) bool { return m.leaseEnd > now }
 
-// leaseTable is who may act by which version until when.
+// leaseTable is which member may act by which version until when. Members are known by their peer id.
 type leaseTable struct {
-	unknownUntil Time // until then members may hold leases of an earlier coordinator, which are not in the table
+	unknownUntil Time // until then leases of an earlier publisher, which are not in the table, may be held
 	members      map[uint32]*memberState
 }
 
@@ -32,7 +35,7 @@
 	return leaseTable{unknownUntil: LeaseSurelyEnded(now, duration), members: map[uint32]*memberState{}}
 }
 
-// member is a peer's state, which may be changed.
+// member is a member's state, which the caller may change; it is added where there is none.
 func (t *leaseTable) member(peer uint32) *memberState {
 	m := t.members[peer]
 	if m == nil {
@@ -42,7 +45,7 @@
 	return m
 }
 
-// holder is a peer's state if it may act by a version now; nil: it may not.
+// holder is a member's state if it holds a lease now; nil: it holds none.
 func (t *leaseTable) holder(peer uint32, now Time) *memberState {
 	if m := t.members[peer]; m != nil && m.holdsLease(now) {
 		return m
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// queriesPerLease is how often a member asks within a lease: several queries may be lost before the lease ends.
+// queriesPerLease is how many queries a member sends within a lease: several may be lost before the lease ends.
 const queriesPerLease = 6
 
-// Member is a process's own part: it renews its lease, and holds the staged version ready. It belongs to one goroutine.
+// Member is the part that every process has: it renews its lease and compiles the staged version. It belongs to one goroutine, while its Enforcer
+// may be read by any.
 type Member struct {
 	AgreeWithin Time // duration of a lease
-	MaxEntries  int  // entries of a version that this process takes; 0: any number
+	MaxEntries  int  // entries of a version that this process accepts; 0: any number
 	Enforcer    *Enforcer
-	// SendQuery sends a query to the coordinator; its answer comes to ReplyReceived under the tag.
+	// SendQuery sends a query to the publisher; its answer comes to ReplyReceived under the tag.
 	SendQuery func(tag uint64, body []byte)
 	// VersionChanged is called when the version that this process acts by changes; nil: nothing is.
 	VersionChanged func(number uint64, hash Hash)
@@ -67,7 +68,7 @@
 	}
 }
 
-// Notified takes the coordinator's notice that there is something new, and asks for it at once.
+// Notified takes the publisher's notice that there is something new, and requests it at once.
 func (m *Member) Notified(now Time) { m.requestLease(now) }
 
 func (m *Member) requestLease(now Time) {
@@ -86,9 +87,10 @@
 	m.SendQuery(tag, q.encode())
 }
 
-// ReplyReceived takes a lease, and the versions that came with it. The lease counts from when it was asked for.
+// ReplyReceived takes a lease, and the versions that came with it. The lease counts from when it was requested, so that a late reply does not
+// prolong it.
 func (m *Member) ReplyReceived(now Time, tag uint64, body []byte) {
-	askedAt, pending := m.queries.sentAt[tag]
+	requestedAt, pending := m.queries.sentAt[tag]
 	if !pending {
 		return
 	}
@@ -102,15 +104,16 @@
 	if len(r.Hash) == len(Hash{}) {
 		h := Hash(r.Hash)
 		if v := m.versions[h]; v != nil && v.version.Number == r.Number {
-			m.actBy(h, v, LeaseEnd(askedAt, m.AgreeWithin))
+			m.actBy(h, v, LeaseEnd(requestedAt, m.AgreeWithin))
 		}
 	}
 	if stagedReported {
-		m.requestLease(now) // the others wait for its being ready
+		m.requestLease(now) // the version becomes active only once the publisher knows that this member is ready
 	}
 }
 
-// actBy acts by a version until its lease ends. An answer that is late, and so says nothing that still holds, changes nothing.
+// actBy acts by a version until its lease ends. A late reply, with an older version or an earlier end, changes nothing: a member never goes back
+// to an older version.
 func (m *Member) actBy(h Hash, v *compiledVersion, leaseEnd Time) {
 	old := m.Enforcer.active.Load()
 	if old != nil && (old.version.Number > v.version.Number || old.version.Number == v.version.Number && old.leaseEnd >= leaseEnd) {
@@ -131,15 +134,15 @@
 	}
 }
 
-// receiveVersion compiles a version, and reports whether there is something to report to the coordinator: that it is ready, or can't be used
-// here and so is to become active nowhere.
+// receiveVersion compiles a version, and says whether the publisher is to be notified at once: the version is ready, or it can't be used here and
+// must become active nowhere.
 func (m *Member) receiveVersion(data []byte) (report bool) {
 	if len(data) == 0 {
 		return false
 	}
 	v, err := decodeVersion(data, m.versionByHash)
 	if errors.Is(err, errMissingBase) {
-		m.ready = versionID{} // the answer to the next query has it complete
+		m.ready = versionID{} // so that the reply to the next query has it complete
 		return true
 	}
 	if err == nil && m.MaxEntries > 0 && v.Entries() > m.MaxEntries {
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// queryKind is the first byte of a query to the coordinator.
+// queryKind is the first byte of a query to the publisher.
 type queryKind = byte
 
 const (
@@ -17,9 +17,8 @@
 	queryStatus  queryKind = 't'
 )
 
-// maxProposalBytes bounds a change: a version and what is around it.
 const (
-	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4
+	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4 // a change holds a version and more
 	maxChangeIDBytes = 16
 )
 
@@ -28,12 +27,12 @@
 	errUnknownQuery    = errors.New("a question that is not known here")
 	errMalformedChange = errors.New("a change that can't be read")
 	errMalformedNumber = errors.New("a number that can't be read")
-	errMalformedLease  = errors.New("a lease query that can't be read") // gets no answer: a member asks again
+	errMalformedLease  = errors.New("a lease query that can't be read") // gets no answer: the member sends the next one soon
 )
 
-// A query to the coordinator, decoded.
+// A query to the publisher, decoded.
 type (
-	// leaseQuery is a member's request for its lease, with what it has.
+	// leaseQuery is a member's request for its lease, and says what the member has.
 	leaseQuery struct {
 		_             struct{} `cbor:",toarray"`
 		ActiveNumber  uint64   // of the version that it acts by; 0: none
@@ -49,13 +48,13 @@
 	versionQuery  struct{ number uint64 } // 0: the active one
 )
 
-// leaseReply is the coordinator's answer to a leaseQuery.
+// leaseReply is the publisher's answer to a leaseQuery.
 type leaseReply struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64   // of the version that the member may act by
 	Hash   []byte
-	Active []byte // that version, where the member has it not
-	Staged []byte // the next one, where the member has it not
+	Active []byte // that version, where the member lacks it
+	Staged []byte // the staged version, where the member lacks it
 }
 
 func (q *leaseQuery) encode() []byte { return append([]byte{queryLease}, marshal(q)...) }
@@ -105,7 +104,7 @@
 	return c, nil
 }
 
-// IsQuestion reports whether administrators may send a query; members alone ask for leases.
+// IsQuestion reports whether administrators may send a query: all but the request for a lease, which is for members alone.
 func IsQuestion(body []byte) bool {
 	if len(body) == 0 {
 		return false
@@ -117,7 +116,7 @@
 	return false
 }
 
-// DecodeReply gives an answer as text; long ones come compressed.
+// DecodeReply gives a reply to an administrator as text; long ones come compressed.
 func DecodeReply(answer string) string {
 	if answer == "" || answer[0] != formCompressed {
 		return answer
@@ -135,7 +134,7 @@
 	return append([]byte{queryPropose}, compress(marshal(c))...)
 }
 
-// SetID gives a change that has no ID one made of its content, so that a retry is recognised.
+// SetID gives a change without an ID the hash of its content as one, so that a retry is recognised.
 func (c *Change) SetID() {
 	if len(c.ID) == 0 {
 		h := sha256.Sum256(marshal(c))
@@ -143,14 +142,14 @@
 	}
 }
 
-// QueryActive asks which version is active, and at how many processes.
+// QueryActive is the query for the active version's number, and at how many processes it is.
 func QueryActive() []byte { return []byte{queryActive} }
 
-// QueryStatus asks who may act by which version, and what the coordinator waits for.
+// QueryStatus is the query for who holds which lease, and what the publisher waits for.
 func QueryStatus() []byte { return []byte{queryStatus} }
 
-// QueryHistory asks for the audit log; about narrows it to one subject, "" to none.
+// QueryHistory is the query for the audit log; about narrows it to one subject, "": the whole log.
 func QueryHistory(about string) []byte { return append([]byte{queryHistory}, about...) }
 
-// QueryVersion asks for a version's text; 0: the active one's.
+// QueryVersion is the query for a version's text; 0: the active one's.
 func QueryVersion(number uint64) []byte { return append([]byte{queryVersion}, marshal(number)...) }
--- a/internal/fleet/rules/parts_test.go
+++ b/internal/fleet/rules/parts_test.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// Between the two ends of a lease lie clocks that run apart: the coordinator's comes later even if the member's clock is the slower one.
-func TestCoordinatorCountsALeaseLonger(t *testing.T) {
-	member, coordinator := LeaseEnd(0, within), LeaseSurelyEnded(0, within)
-	if float64(member)/0.99 >= float64(coordinator)/1.01 {
-		t.Errorf("a member's lease of %d ends after the coordinator's %d", member, coordinator)
+// Between the two ends of a lease lie clocks that run apart: the publisher's comes later even if the member's clock is the slower one.
+func TestPublisherCountsALeaseLonger(t *testing.T) {
+	member, publisher := LeaseEnd(0, within), LeaseSurelyEnded(0, within)
+	if float64(member)/0.99 >= float64(publisher)/1.01 {
+		t.Errorf("a member's lease of %d ends after the publisher's %d", member, publisher)
 	}
 }
 
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// maxWaitingProposals bounds what the coordinator holds for answers.
+// maxWaitingProposals bounds the proposals that are held until their version is active.
 const maxWaitingProposals = 64
 
 // proposal is a change and who waits for its answer.
@@ -68,103 +68,104 @@
 	q.waiting = append(proposals, q.waiting...)
 }
 
-// propose takes a change. What is wrong with it by itself is answered at once, and takes nobody's time but the coordinator's.
-func (c *Publisher) propose(now Time, change *Change, reply func(string)) {
-	if c.isRetry(now, change, reply) {
+// propose takes a change. One that is invalid by itself is rejected at once and enters no round, so that it delays nobody else's.
+func (p *Publisher) propose(now Time, change *Change, reply func(string)) {
+	if p.isRetry(now, change, reply) {
 		return
 	}
-	if !c.limiter.allow(now, change, c.versions.active) {
+	if !p.limiter.allow(now, change, p.versions.active) {
 		reply(fmt.Sprintf("refused: more changes of %s a minute than it may have, ask again in some seconds", change.subject()))
 		return
 	}
 	reject := func(proposer, reason string) {
-		c.audit.reject(change, proposer, reason)
+		p.audit.reject(change, proposer, reason)
 		reply("refused: " + reason)
 	}
-	if c.proposals.bySubject(change.subject()) != nil {
+	if p.proposals.bySubject(change.subject()) != nil {
 		reject("", fmt.Sprintf("another change of %s is on its way, ask again", change.subject()))
 		return
 	}
-	proposer, err := c.authorize(change, c.versions.active)
+	proposer, err := p.authorize(change, p.versions.active)
 	if err != nil {
 		reject(proposer, err.Error())
 		return
 	}
-	v, err := c.versions.active.Apply(change, c.versions.byNumber)
+	v, err := p.versions.active.Apply(change, p.versions.byNumber)
 	switch {
 	case err != nil:
 		reject(proposer, err.Error())
-	case c.versions.staged == nil && equalIgnoringNumbers(v, c.versions.active):
-		reply(c.summary(now)) // it holds already
-	case len(c.proposals.waiting) >= maxWaitingProposals:
+	case p.versions.staged == nil && equalIgnoringNumbers(v, p.versions.active):
+		reply(p.summary(now)) // it holds already
+	case len(p.proposals.waiting) >= maxWaitingProposals:
 		reply("refused: too many changes are on their way, ask again")
 	default:
-		c.proposals.waiting = append(c.proposals.waiting, &proposal{Change: change, proposer: proposer, reply: reply, alone: change.Kind == KindRollback})
-		c.Step(now)
+		p.proposals.waiting = append(p.proposals.waiting, &proposal{Change: change, proposer: proposer, reply: reply, alone: change.Kind == KindRollback})
+		p.Step(now)
 	}
 }
 
-// isRetry handles a change that was proposed before: whoever has heard no answer asks again, which is applied once and costs no tokens.
-func (c *Publisher) isRetry(now Time, change *Change, reply func(string)) bool {
-	if p := c.proposals.byID(change.ID); p != nil {
-		p.reply = reply
+// isRetry handles a change that was proposed before, as by an administrator who got no answer: it is applied once, and takes no tokens.
+func (p *Publisher) isRetry(now Time, change *Change, reply func(string)) bool {
+	if proposal := p.proposals.byID(change.ID); proposal != nil {
+		proposal.reply = reply
 		return true
 	}
-	if e := findEntry(c.audit.active, change.ID); e != nil && (c.versions.staged == nil || !c.versions.active.transitional()) {
-		reply(c.summaryOfChange(now, e))
+	if e := findEntry(p.audit.active, change.ID); e != nil && (p.versions.staged == nil || !p.versions.active.transitional()) {
+		reply(p.summaryOfChange(now, e))
 		return true
 	}
-	if c.versions.staged != nil && findEntry(c.audit.staged, change.ID) != nil { // staged by a coordinator before this one
-		c.proposals.staged = append(c.proposals.staged, &proposal{Change: change, reply: reply})
+	if p.versions.staged != nil && findEntry(p.audit.staged, change.ID) != nil { // staged by the previous publisher
+		p.proposals.staged = append(p.proposals.staged, &proposal{Change: change, reply: reply})
 		return true
 	}
 	return false
 }
 
-// stageProposals makes one version of all changes that wait, so that one customer's change waits for nobody else's. After a transitional version
-// of a coordinator before this one it stages what follows that.
-func (c *Publisher) stageProposals(now Time) {
-	if c.versions.active.transitional() {
-		c.stageReassigned(now, nil)
+// stageProposals makes one version of all proposals that wait, so that one customer's change waits for nobody else's. Where the previous publisher
+// has left a transitional version active, the version that completes it comes first.
+func (p *Publisher) stageProposals(now Time) {
+	if p.versions.active.transitional() {
+		p.stageReassigned(now, nil)
 		return
 	}
-	for len(c.proposals.waiting) > 0 {
-		s := c.applyRound(now, c.proposals.nextRound())
+	for len(p.proposals.waiting) > 0 {
+		s := p.applyRound(now, p.proposals.nextRound())
 		if len(s.proposals) == 0 {
 			continue
 		}
-		if reassigns(c.versions.active, s.version) {
-			s.version.Directory.Previous = ownersFrame(c.versions.active)
+		if reassigns(p.versions.active, s.version) {
+			s.version.Directory.Previous = ownersFrame(p.versions.active)
 		}
 		if err := s.version.finish(); err != nil {
 			replyAll(s.proposals, "refused: "+err.Error())
 			return
 		}
-		c.stage(s)
+		p.stage(s)
 		return
 	}
 }
 
-// applyRound applies each proposal that is still allowed: what was revoked since it came, or changed by another, is rejected.
-func (c *Publisher) applyRound(now Time, round []*proposal) *staging {
-	s := &staging{startedAt: now, version: c.versions.active.next(), audit: c.audit.active}
-	for _, p := range round {
-		proposer, err := c.authorize(p.Change, s.version)
+// applyRound applies each proposal that is still allowed. It is authorized again on the version as the round has made it so far: a grant that was
+// revoked, or a subject that was changed, since the proposal arrived rejects it.
+func (p *Publisher) applyRound(now Time, round []*proposal) *staging {
+	s := &staging{startedAt: now, version: p.versions.active.next(), audit: p.audit.active}
+	for _, proposal := range round {
+		proposer, err := p.authorize(proposal.Change, s.version)
 		next := s.version.next()
 		next.Number = s.version.Number
 		if err == nil {
-			err = next.apply(c.versions.active, p.Change, c.versions.byNumber)
+			err = next.apply(p.versions.active, proposal.Change, p.versions.byNumber)
 		}
 		if err != nil {
-			c.audit.reject(p.Change, p.proposer, err.Error())
-			p.reply("refused: " + err.Error())
+			p.audit.reject(proposal.Change, proposal.proposer, err.Error())
+			proposal.reply("refused: " + err.Error())
 			continue
 		}
 		if next.Directory == nil {
 			next.Directory = &namespace.Directory{}
 		}
-		s.version, s.proposals = next, append(s.proposals, p)
-		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: p.ID, Who: proposer, What: p.subject(), Wall: c.wallMillis()})
+		s.version, s.proposals = next, append(s.proposals, proposal)
+		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: proposal.ID, Who: proposer, What: proposal.subject(), Wall: p.wallMillis()})
 	}
 	return s
 }
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -11,11 +11,12 @@
 // stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned.
 const stagingLeases = 3
 
-// Publisher is the owner's part: it orders the versions and grants the lease to act by the active one. A newer version becomes active once
-// every lease holder has it compiled, or that lease has ended, so that no two versions are acted by side by side. It belongs to one goroutine.
+// Publisher is the part of the process that owns the rules' job: it orders the versions and grants the leases to act by the active one. A newer
+// version becomes active once each lease holder has compiled it or its lease has ended. So two versions are in use side by side for AgreeWithin at
+// most. It belongs to one goroutine.
 type Publisher struct {
-	AgreeWithin Time           // duration of a lease
-	Notified    func(now Time) // the receiver's part: there is something new; nil: nothing is done
+	AgreeWithin Time           // duration of a lease, the same at every process
+	Notified    func(now Time) // at every process: the publisher has something new; nil: nothing is called
 	Wall        func() int64   // Unix milliseconds; nil: 0
 
 	owner     jobs.Owner // nil: this process does not own the job
@@ -29,56 +30,57 @@
 
 var _ jobs.Job = (*Publisher)(nil)
 
-// Start goes on from the checkpoint that the coordinator before has left; an error says that it can't be read.
-func (c *Publisher) Start(now Time, o jobs.Owner, _, sequence uint64, left []byte) error {
-	c.owner = o
-	c.versions = versionStore{stagedAt: now}
-	c.leases = newLeaseTable(now, c.AgreeWithin)
-	c.proposals = proposalQueue{}
-	c.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
-	c.audit = auditLog{}
-	c.pending = pendingTransition{sequence: sequence}
-	return c.restore(left)
+// Start continues from the previous publisher's checkpoint; an error says that it can't be decoded. It knows none of the leases that this one
+// granted, so nothing becomes active until all of them have ended.
+func (p *Publisher) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, checkpoint []byte) error {
+	p.owner = o
+	p.versions = versionStore{stagedAt: now}
+	p.leases = newLeaseTable(now, p.AgreeWithin)
+	p.proposals = proposalQueue{}
+	p.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
+	p.audit = auditLog{}
+	p.pending = pendingTransition{checkpointNumber: checkpointNumber}
+	return p.restore(checkpoint)
 }
 
-// Stop ends the coordinator's part. Whoever waits for an answer gets none: the outcome is not known.
-func (c *Publisher) Stop() (sequence uint64, left []byte) {
-	left = c.encodeCheckpoint(c.versions.active, c.versions.staged, c.audit.staged, c.versions.history)
-	c.owner = nil
-	c.pending.sequence++
-	return c.pending.sequence, left
+// Stop ends the publisher's part. Pending proposals get no answer, since their outcome is not known; the next publisher answers a retry.
+func (p *Publisher) Stop() (checkpointNumber uint64, checkpoint []byte) {
+	checkpoint = p.encodeCheckpoint(p.versions.active, p.versions.staged, p.audit.staged, p.versions.history)
+	p.owner = nil
+	p.pending.checkpointNumber++
+	return p.pending.checkpointNumber, checkpoint
 }
 
-// Step activates the staged version once nobody can act by another without having it, or abandons it; without one it stages what is proposed.
-func (c *Publisher) Step(now Time) {
-	if c.owner == nil {
+// Step activates the staged version once every lease holder has compiled it, or abandons it; where none is staged it stages what is proposed.
+func (p *Publisher) Step(now Time) {
+	if p.owner == nil {
 		return
 	}
-	c.abortLate(now)
-	if c.pending.next != nil {
+	p.abortLate(now)
+	if p.pending.next != nil {
 		return
 	}
-	if c.versions.staged == nil {
-		c.stageProposals(now)
+	if p.versions.staged == nil {
+		p.stageProposals(now)
 		return
 	}
-	r := c.leases.readiness(c.versions.stagedHash, now)
-	switch {
+	r := p.leases.readiness(p.versions.stagedHash, now)
+	switch { // the texts are answers to administrators, and fixed
 	case r.faultReason != "":
-		c.abandon(now, fmt.Sprintf("refused: %s: %s", c.memberName(r.faultyPeer), r.faultReason))
-	case !r.all && now-c.versions.stagedAt > stagingLeases*c.AgreeWithin:
-		c.abandon(now, "refused: not everyone that holds a right has it ready")
-	case r.all && now >= c.leases.unknownUntil:
-		c.activate(now)
+		p.abandon(now, fmt.Sprintf("refused: %s: %s", p.memberName(r.faultyPeer), r.faultReason))
+	case !r.all && now-p.versions.stagedAt > stagingLeases*p.AgreeWithin:
+		p.abandon(now, "refused: not everyone that holds a right has it ready")
+	case r.all && now >= p.leases.unknownUntil:
+		p.activate(now)
 	}
 }
 
 // QueryReceived answers a query.
-func (c *Publisher) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
-	if c.owner == nil || len(body) == 0 {
+func (p *Publisher) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
+	if p.owner == nil || len(body) == 0 {
 		return
 	}
-	reply := func(text string) { c.owner.Reply(from, tag, []byte(text)) }
+	reply := func(text string) { p.owner.Reply(from, tag, []byte(text)) }
 	q, err := decodeQuery(body)
 	if err != nil {
 		if !errors.Is(err, errMalformedLease) {
@@ -88,25 +90,26 @@
 	}
 	switch q := q.(type) {
 	case *leaseQuery:
-		r := c.grantLease(now, from, q)
-		c.owner.Reply(from, tag, r.encode())
-		c.Step(now)
+		r := p.grantLease(now, from, q)
+		p.owner.Reply(from, tag, r.encode())
+		p.Step(now)
 	case proposalQuery:
-		c.propose(now, q.change, reply)
+		p.propose(now, q.change, reply)
 	case activeQuery:
-		reply(c.overview(now))
+		reply(p.overview(now))
 	case statusQuery:
-		reply(string(compress([]byte(c.status(now)))))
+		reply(string(compress([]byte(p.status(now)))))
 	case historyQuery:
-		reply(c.audit.text(q.about))
+		reply(p.audit.text(q.about))
 	case versionQuery:
-		reply(c.versionText(q.number))
+		reply(p.versionText(q.number))
 	}
 }
 
-// grantLease records what a member has, and grants it the lease to act by the active version.
-func (c *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
-	m, v := c.leases.member(from), &c.versions
+// grantLease records what a member has compiled, and grants it the lease to act by the active version. The reply holds each version that the
+// member lacks.
+func (p *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
+	m, v := p.leases.member(from), &p.versions
 	m.ready, m.fault = Hash{}, ""
 	if v.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(v.stagedHash[:]) {
 		m.fault = q.Fault
@@ -126,32 +129,32 @@
 		}
 		r.Staged = v.transfers.encode(v.staged, base)
 	}
-	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, c.AgreeWithin)
+	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, p.AgreeWithin)
 	return r
 }
 
-// notifyMembers has every member ask for its lease at once.
-func (c *Publisher) notifyMembers() {
-	for _, m := range c.owner.Members() {
+// notifyMembers has every member request its lease now and not only at its next turn.
+func (p *Publisher) notifyMembers() {
+	for _, m := range p.owner.Members() {
 		if m.Present {
-			c.owner.SendEffect(m.Peer, c.pending.sequence, []byte{1})
+			p.owner.SendEffect(m.Peer, p.pending.checkpointNumber, []byte{1})
 		}
 	}
 }
 
-// EffectAcknowledged does nothing: a member that was notified asks by itself.
-func (c *Publisher) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
+// EffectAcknowledged does nothing: a notified member sends a query, and one that missed the notice sends its next one in time.
+func (p *Publisher) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// ApplyEffect is the receiver's part of the job.
-func (c *Publisher) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
-	if c.Notified != nil {
-		c.Notified(now)
+// ApplyEffect is the receiver's part, at every process.
+func (p *Publisher) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
+	if p.Notified != nil {
+		p.Notified(now)
 	}
 }
 
-func (c *Publisher) wallMillis() int64 {
-	if c.Wall == nil {
+func (p *Publisher) wallMillis() int64 {
+	if p.Wall == nil {
 		return 0
 	}
-	return c.Wall()
+	return p.Wall()
 }
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -4,7 +4,7 @@
 
 const (
 	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count: an account that sends bad ones
-	// without end must not take the coordinator's time from others.
+	// without end must not take the publisher's time from others.
 	defaultChangesPerMinute = 600
 	burstDivisor            = 6 // a bucket holds ten seconds' worth of changes
 	maxBuckets              = 4 * MaxEntries
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recorder notes all that passes between a coordinator, its members and the group that keeps its state.
+// recorder notes all that passes between a publisher, its members and the group that keeps its state.
 type recorder struct {
 	digest  *golden.Digest
 	samples *golden.Samples
@@ -55,7 +55,7 @@
 	member := 1 + uint32(rng.Intn(len(g.members)))
 	switch rng.Intn(12) {
 	case 0, 1, 2:
-		against := g.coordinator.versions.active.Number
+		against := g.publisher.versions.active.Number
 		if rng.Intn(6) == 0 {
 			against = uint64(rng.Intn(int(against) + 2))
 		}
@@ -66,7 +66,7 @@
 		g.change(c)
 	case 3:
 		questions := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
-		g.coordinator.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
+		g.publisher.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
 	case 4:
 		g.cut[member] = !g.cut[member]
 	case 5:
@@ -75,7 +75,7 @@
 		g.checkpointsFail = rng.Intn(3) == 0
 	case 7:
 		if rng.Intn(3) == 0 {
-			g.restartCoordinator()
+			g.restartPublisher()
 		}
 	default:
 		g.cut[member], g.deaf[member] = false, false
@@ -104,7 +104,7 @@
 				g.recorder.digest.Add("%d %d %+v", g.now, i, v)
 			}
 		}
-		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.members), g.coordinator.versions.active.Number, g.recorder.digest)
+		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.members), g.publisher.versions.active.Number, g.recorder.digest)
 	}
 	const sampled = 4
 	for seed := range int64(sampled) {
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -103,24 +103,24 @@
 	}
 }
 
-// A new coordinator knows of no leases: it makes nothing active before those that its predecessor may have given have ended, and
+// A new publisher knows of no leases: it makes nothing active before those that its predecessor may have given have ended, and
 // what the group keeps is not lost.
-func TestCoordinatorLostBetweenReadyAndActive(t *testing.T) {
+func TestPublisherLostBetweenReadyAndActive(t *testing.T) {
 	g := newGroup(t, 3)
 	g.cut[3] = true
 	g.put(refuseAll, 0)
 	g.run(200 * ms) // kept, and on its way: the one cut off may hold a lease
-	g.restartCoordinator()
+	g.restartPublisher()
 	began := g.now
-	for g.now < began+3*within && g.overlap() == 0 && !strings.Contains(g.coordinator.overview(g.now), "version 1 at") {
+	for g.now < began+3*within && g.overlap() == 0 && !strings.Contains(g.publisher.overview(g.now), "version 1 at") {
 		g.run(20 * ms)
 	}
 	if n, _ := g.members[1].Enforcer.ActiveVersion(); n == 1 && g.now-began < within {
-		t.Fatalf("active %d ms after a new coordinator began, and the one cut off may act still", (g.now-began)/ms)
+		t.Fatalf("active %d ms after a new publisher began, and the one cut off may act still", (g.now-began)/ms)
 	}
 	g.run(3 * within)
 	if n, _ := g.members[1].Enforcer.ActiveVersion(); n != 1 {
-		t.Fatalf("what was kept is lost: %d is acted by; %s", n, g.coordinator.overview(g.now))
+		t.Fatalf("what was kept is lost: %d is acted by; %s", n, g.publisher.overview(g.now))
 	}
 	if o := g.overlap(); o > within {
 		t.Fatalf("two versions side by side for %d ms", o/ms)
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// summary says at how many members the active version is, and at which it is not.
-func (c *Publisher) summary(now Time) string {
+// summary says how many members hold a lease to act by the active version, and names those that do not.
+func (p *Publisher) summary(now Time) string {
 	holders, all := 0, 0
 	var lapsed []string
-	for _, m := range c.owner.Members() {
+	for _, m := range p.owner.Members() {
 		all++
-		if c.leases.holder(m.Peer, now) != nil {
+		if p.leases.holder(m.Peer, now) != nil {
 			holders++
 		} else {
 			lapsed = append(lapsed, m.Name)
 		}
 	}
 	sort.Strings(lapsed)
-	s := fmt.Sprintf("active: version %d at %d of %d", c.versions.active.Number, holders, all)
+	s := fmt.Sprintf("active: version %d at %d of %d", p.versions.active.Number, holders, all)
 	if len(lapsed) > 0 {
 		s += "; lapsed: " + strings.Join(lapsed, " ")
 	}
@@ -30,101 +30,101 @@
 }
 
 // summaryOfChange answers for a change that was made.
-func (c *Publisher) summaryOfChange(now Time, e *AuditEntry) string {
-	s := c.summary(now)
-	if e.Number < c.versions.active.Number {
+func (p *Publisher) summaryOfChange(now Time, e *AuditEntry) string {
+	s := p.summary(now)
+	if e.Number < p.versions.active.Number {
 		s += fmt.Sprintf("; this change was made as version %d", e.Number)
 	}
 	return s
 }
 
 // overview is the summary, and what is to follow the active version.
-func (c *Publisher) overview(now Time) string {
-	s := c.summary(now)
-	if c.versions.staged != nil {
-		s += fmt.Sprintf("; version %d is on its way", c.versions.staged.Number)
+func (p *Publisher) overview(now Time) string {
+	s := p.summary(now)
+	if p.versions.staged != nil {
+		s += fmt.Sprintf("; version %d is on its way", p.versions.staged.Number)
 	}
-	if n := len(c.proposals.waiting); n > 0 {
+	if n := len(p.proposals.waiting); n > 0 {
 		s += fmt.Sprintf("; %d changes wait", n)
 	}
 	return s
 }
 
 // versionText is a version as a file has it; 0: the active one.
-func (c *Publisher) versionText(number uint64) string {
+func (p *Publisher) versionText(number uint64) string {
 	if number == 0 {
-		number = c.versions.active.Number
+		number = p.versions.active.Number
 	}
-	v := c.versions.byNumber(number)
+	v := p.versions.byNumber(number)
 	if v == nil {
 		return fmt.Sprintf("refused: version %d is not kept any more", number)
 	}
 	return string(compress([]byte(v.String())))
 }
 
-// status is what operators need while a version does not become active: what the coordinator waits for, who holds which lease and for how long,
-// and who has the staged version ready or why not.
-func (c *Publisher) status(now Time) string {
+// status says why a version does not become active: what the publisher waits for, who holds which lease and for how long, and who has the staged
+// version ready or why not. Its texts keep the words that operators know: a right is a lease, a keeper the publisher.
+func (p *Publisher) status(now Time) string {
 	var b strings.Builder
-	c.writeProgress(&b, now)
-	c.writeMembers(&b, now)
+	p.writeProgress(&b, now)
+	p.writeMembers(&b, now)
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func (c *Publisher) writeProgress(w io.Writer, now Time) {
-	v := &c.versions
+func (p *Publisher) writeProgress(w io.Writer, now Time) {
+	v := &p.versions
 	fmt.Fprintf(w, "version %d is active, %d entries; %d earlier ones are kept\n", v.active.Number, v.active.Entries(), len(v.history))
-	if now < c.leases.unknownUntil {
-		fmt.Fprintf(w, "an earlier keeper's rights may be held for %v more: until then nothing becomes active\n", roundedToMillis(c.leases.unknownUntil-now))
+	if now < p.leases.unknownUntil {
+		fmt.Fprintf(w, "an earlier keeper's rights may be held for %v more: until then nothing becomes active\n", roundedToMillis(p.leases.unknownUntil-now))
 	}
 	if v.staged != nil {
 		fmt.Fprintf(w, "version %d is on its way for %v\n", v.staged.Number, roundedToMillis(now-v.stagedAt))
 	}
-	if c.pending.next != nil {
-		fmt.Fprintf(w, "the group was asked %v ago to keep a version, and has not said so\n", roundedToMillis(now-c.pending.startedAt))
+	if p.pending.next != nil {
+		fmt.Fprintf(w, "the group was asked %v ago to keep a version, and has not said so\n", roundedToMillis(now-p.pending.startedAt))
 	}
-	for _, p := range c.proposals.staged {
-		fmt.Fprintf(w, "on its way: a change of %s by %s\n", p.subject(), p.proposer)
+	for _, proposal := range p.proposals.staged {
+		fmt.Fprintf(w, "on its way: a change of %s by %s\n", proposal.subject(), proposal.proposer)
 	}
-	for _, p := range c.proposals.waiting {
-		fmt.Fprintf(w, "waits: a change of %s by %s\n", p.subject(), p.proposer)
+	for _, proposal := range p.proposals.waiting {
+		fmt.Fprintf(w, "waits: a change of %s by %s\n", proposal.subject(), proposal.proposer)
 	}
 }
 
-func (c *Publisher) writeMembers(w io.Writer, now Time) {
+func (p *Publisher) writeMembers(w io.Writer, now Time) {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "process\tacts by\tfor\tnext version")
-	for _, m := range c.owner.Members() {
+	for _, m := range p.owner.Members() {
 		number, remaining := "none", "-"
-		if holder := c.leases.holder(m.Peer, now); holder != nil {
+		if holder := p.leases.holder(m.Peer, now); holder != nil {
 			number, remaining = fmt.Sprint(holder.leaseNumber), roundedToMillis(holder.leaseEnd-now).String()
 		} else if !m.Present {
 			number = "none: not there"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Name, number, remaining, c.stagedStateAt(m.Peer))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", m.Name, number, remaining, p.stagedStateAt(m.Peer))
 	}
 	t.Flush()
 }
 
-// stagedStateAt says what a member has reported of the staged version.
-func (c *Publisher) stagedStateAt(peer uint32) string {
-	if c.versions.staged == nil {
+// stagedStateAt says what a member, by its peer id, has reported of the staged version.
+func (p *Publisher) stagedStateAt(peer uint32) string {
+	if p.versions.staged == nil {
 		return "-"
 	}
-	m := c.leases.members[peer]
+	m := p.leases.members[peer]
 	switch {
 	case m == nil:
 		return "not ready"
 	case m.fault != "":
 		return "can't be used: " + m.fault
-	case m.ready == c.versions.stagedHash:
+	case m.ready == p.versions.stagedHash:
 		return "ready"
 	}
 	return "not ready"
 }
 
-func (c *Publisher) memberName(peer uint32) string {
-	for _, m := range c.owner.Members() {
+func (p *Publisher) memberName(peer uint32) string {
+	for _, m := range p.owner.Members() {
 		if m.Peer == peer {
 			return m.Name
 		}
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -9,7 +9,7 @@
 func TestStatus(t *testing.T) {
 	g := newGroup(t, 3)
 	status := func() string {
-		g.coordinator.QueryReceived(g.now, 0, 9, QueryStatus())
+		g.publisher.QueryReceived(g.now, 0, 9, QueryStatus())
 		return DecodeReply(g.last())
 	}
 	says := func(words ...string) {
@@ -32,7 +32,7 @@
 	g.run(within)
 	g.members[2].MaxEntries = 1
 	g.cut[3] = true // holds it up, so that what the other says is still there
-	g.coordinator.versions.staged = nil
+	g.publisher.versions.staged = nil
 	g.put(&Version{HostsOut: []string{"a", "b"}}, 1)
 	g.run(60 * ms)
 	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(g.answers, "\n"), "refused: b: rules: 2 entries") {
--- a/internal/fleet/rules/transfer_test.go
+++ b/internal/fleet/rules/transfer_test.go
@@ -67,11 +67,11 @@
 		g.put(&Version{HostsOut: []string{string(rune('a' + n%26))}}, n)
 		g.run(100 * ms)
 	}
-	if g.coordinator.versions.active.Number != 2000 {
-		t.Fatalf("version %d is active: %s", g.coordinator.versions.active.Number, g.last())
+	if g.publisher.versions.active.Number != 2000 {
+		t.Fatalf("version %d is active: %s", g.publisher.versions.active.Number, g.last())
 	}
-	g.coordinator.versions.active.Number, g.coordinator.versions.active.OperatorsNumber = 10_000, 10_000 // as if 8,000 more had come
-	g.coordinator.versions.activeHash, g.coordinator.versions.transfers = g.coordinator.versions.active.Hash(), nil
+	g.publisher.versions.active.Number, g.publisher.versions.active.OperatorsNumber = 10_000, 10_000 // as if 8,000 more had come
+	g.publisher.versions.activeHash, g.publisher.versions.transfers = g.publisher.versions.active.Hash(), nil
 	g.observations = nil
 	g.cut[3] = false
 	g.run(2 * within)
@@ -83,23 +83,23 @@
 			t.Fatalf("acted by %d on its way", a.number)
 		}
 	}
-	if len(g.coordinator.versions.history) > maxHistory || len(g.coordinator.audit.active) > maxAuditEntries || len(g.checkpoint) > maxCheckpointBytes {
-		t.Errorf("%d versions, %d changes, %d bytes are kept", len(g.coordinator.versions.history), len(g.coordinator.audit.active), len(g.checkpoint))
+	if len(g.publisher.versions.history) > maxHistory || len(g.publisher.audit.active) > maxAuditEntries || len(g.checkpoint) > maxCheckpointBytes {
+		t.Errorf("%d versions, %d changes, %d bytes are kept", len(g.publisher.versions.history), len(g.publisher.audit.active), len(g.checkpoint))
 	}
 }
 
-// A change whose coordinator ends with it on its way is asked for once more at the next one: it hears that it is active, and not that it was made against
+// A change whose publisher ends with it on its way is asked for once more at the next one: it hears that it is active, and not that it was made against
 // something older. Asking again costs nothing of what may be asked for.
-func TestRetryAtAnotherCoordinator(t *testing.T) {
+func TestRetryAtAnotherPublisher(t *testing.T) {
 	g := startWithPools(t, 3)
 	g.cut[3] = true // holds it up
 	c := ChangeNamespace(to("acme", 0, "a"), 2, []byte("once-and-again"))
 	g.signed(c, 1)
 	g.run(100 * ms)
-	if g.coordinator.versions.staged == nil {
+	if g.publisher.versions.staged == nil {
 		t.Fatal("it is not on its way:", g.last())
 	}
-	g.restartCoordinator()
+	g.restartPublisher()
 	n := len(g.answers)
 	for range 3 * defaultChangesPerMinute {
 		g.change(c)
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -1,7 +1,7 @@
 package rules
 
-// A transition is a change of the coordinator's state that takes effect once the group has stored the new state: nobody acts by what a next
-// coordinator would not know.
+// A transition is a change of the publisher's state that takes effect once the group has stored the new state: nobody acts by a version that the
+// next publisher would not know.
 type transition interface {
 	commit(k *Publisher)
 	// abort leaves the state as it was: the group has not confirmed that it stores the new one.
@@ -10,39 +10,39 @@
 
 // pendingTransition is the transition that the group is storing.
 type pendingTransition struct {
-	sequence  uint64 // of the last checkpoint
-	next      transition
-	startedAt Time
-}
-
-// begin has the group store a state, and the transition to it wait for that.
-func (c *Publisher) begin(now Time, state []byte, t transition) {
-	c.pending.sequence++
-	c.pending.next, c.pending.startedAt = t, now
-	if err := c.owner.StoreCheckpoint(c.pending.sequence, state); err != nil {
-		c.pending.next = nil
-		t.abort(c)
+	checkpointNumber uint64 // of the last checkpoint
+	next             transition
+	startedAt        Time
+}
+
+// begin has the group store a state; the transition to it waits for the confirmation.
+func (p *Publisher) begin(now Time, state []byte, t transition) {
+	p.pending.checkpointNumber++
+	p.pending.next, p.pending.startedAt = t, now
+	if err := p.owner.StoreCheckpoint(p.pending.checkpointNumber, state); err != nil {
+		p.pending.next = nil
+		t.abort(p)
 	}
 }
 
 // CheckpointStored commits or aborts the pending transition.
-func (c *Publisher) CheckpointStored(now Time, sequence uint64, stored bool) {
-	if t := c.pending.next; t != nil && sequence == c.pending.sequence {
-		c.pending.next = nil
+func (p *Publisher) CheckpointStored(now Time, checkpointNumber uint64, stored bool) {
+	if t := p.pending.next; t != nil && checkpointNumber == p.pending.checkpointNumber {
+		p.pending.next = nil
 		if stored {
-			t.commit(c)
+			t.commit(p)
 		} else {
-			t.abort(c)
+			t.abort(p)
 		}
 	}
-	c.Step(now)
+	p.Step(now)
 }
 
-// abortLate aborts a transition that the group has not answered for: the answer may be lost.
-func (c *Publisher) abortLate(now Time) {
-	if t := c.pending.next; t != nil && now-c.pending.startedAt > c.AgreeWithin {
-		c.pending.next = nil
-		t.abort(c)
+// abortLate aborts a transition that the group has not confirmed in time: the answer may be lost.
+func (p *Publisher) abortLate(now Time) {
+	if t := p.pending.next; t != nil && now-p.pending.startedAt > p.AgreeWithin {
+		p.pending.next = nil
+		t.abort(p)
 	}
 }
 
@@ -54,20 +54,20 @@
 	proposals []*proposal
 }
 
-func (c *Publisher) stage(s *staging) {
-	c.proposals.staged = s.proposals
-	c.begin(s.startedAt, c.encodeCheckpoint(c.versions.active, s.version, s.audit, c.versions.history), s)
+func (p *Publisher) stage(s *staging) {
+	p.proposals.staged = s.proposals
+	p.begin(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
 }
 
-func (s *staging) commit(k *Publisher) {
-	k.versions.stage(s.version, s.startedAt)
-	k.audit.staged = s.audit
-	k.leases.clearFaults()
-	k.notifyMembers()
+func (s *staging) commit(p *Publisher) {
+	p.versions.stage(s.version, s.startedAt)
+	p.audit.staged = s.audit
+	p.leases.clearFaults()
+	p.notifyMembers()
 }
 
-func (s *staging) abort(k *Publisher) {
-	k.proposals.staged = nil
+func (s *staging) abort(p *Publisher) {
+	p.proposals.staged = nil
 	replyAll(s.proposals, "unknown: the group has not said whether it keeps it; show tells")
 }
 
@@ -77,24 +77,24 @@
 	history   [][]byte
 }
 
-func (c *Publisher) activate(now Time) {
-	a := &activation{now, c.versions.historyAfter(c.versions.staged)}
-	c.begin(now, c.encodeCheckpoint(c.versions.staged, nil, c.audit.staged, a.history), a)
+func (p *Publisher) activate(now Time) {
+	a := &activation{now, p.versions.historyAfter(p.versions.staged)}
+	p.begin(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
 }
 
-func (a *activation) commit(k *Publisher) {
-	proposals := k.proposals.staged
-	k.versions.activate(a.history)
-	k.audit.active = k.audit.staged
-	k.proposals.staged = nil
-	transitional := k.versions.active.transitional()
+func (a *activation) commit(p *Publisher) {
+	proposals := p.proposals.staged
+	p.versions.activate(a.history)
+	p.audit.active = p.audit.staged
+	p.proposals.staged = nil
+	transitional := p.versions.active.transitional()
 	if transitional {
-		k.stageReassigned(a.startedAt, proposals)
+		p.stageReassigned(a.startedAt, proposals)
 	}
-	k.notifyMembers()
+	p.notifyMembers()
 	if !transitional {
-		for _, p := range proposals {
-			p.reply(k.summary(a.startedAt))
+		for _, proposal := range proposals {
+			proposal.reply(p.summary(a.startedAt))
 		}
 	}
 }
@@ -102,11 +102,11 @@
 // abort does nothing: the same state is stored at a later step.
 func (a *activation) abort(*Publisher) {}
 
-// stageReassigned follows a transitional version, by which nobody uses what was reassigned, with one that gives it to its new owner.
-func (c *Publisher) stageReassigned(now Time, proposals []*proposal) {
-	v := c.versions.active.next()
+// stageReassigned stages what follows a transitional version: by that one nobody uses what is reassigned, by this one its new owner does.
+func (p *Publisher) stageReassigned(now Time, proposals []*proposal) {
+	v := p.versions.active.next()
 	if err := v.finish(); err == nil {
-		c.stage(&staging{now, v, c.audit.active, proposals})
+		p.stage(&staging{now, v, p.audit.active, proposals})
 	}
 }
 
@@ -116,22 +116,22 @@
 	reason    string
 }
 
-func (c *Publisher) abandon(now Time, reason string) {
-	state := c.encodeCheckpoint(c.versions.active, nil, c.audit.active, c.versions.history)
-	c.begin(now, state, &abandonment{c.proposals.staged, reason})
+func (p *Publisher) abandon(now Time, reason string) {
+	state := p.encodeCheckpoint(p.versions.active, nil, p.audit.active, p.versions.history)
+	p.begin(now, state, &abandonment{p.proposals.staged, reason})
 }
 
-// commit rejects a single proposal; of several each is tried once more by itself, so that one that can't be used holds up no other.
-func (a *abandonment) commit(k *Publisher) {
-	k.versions.staged, k.proposals.staged, k.audit.staged = nil, nil, k.audit.active
+// commit rejects a single proposal; several are retried one by one, so that one that can't be used holds up no other.
+func (a *abandonment) commit(p *Publisher) {
+	p.versions.staged, p.proposals.staged, p.audit.staged = nil, nil, p.audit.active
 	if len(a.proposals) > 1 {
-		k.proposals.retryAlone(a.proposals)
+		p.proposals.retryAlone(a.proposals)
 		return
 	}
-	for _, p := range a.proposals {
-		p.alone = false
-		k.audit.reject(p.Change, p.proposer, a.reason)
-		p.reply(a.reason)
+	for _, proposal := range a.proposals {
+		proposal.alone = false
+		p.audit.reject(proposal.Change, proposal.proposer, a.reason)
+		proposal.reply(a.reason)
 	}
 }
 
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -1,5 +1,5 @@
 // Package rules owns the rules on which all proxies agree: immutable versions of them, the lease by which a process may act by one, and the
-// coordinator's and the members' parts. It does no I/O and reads no clock; what is decided here are plain functions over values.
+// publisher's and the members' parts. It does no I/O and reads no clock; what is decided here are plain functions over values.
 package rules
 
 import (
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -3,7 +3,7 @@
 // maxHistory bounds how many earlier versions can be rolled back to.
 const maxHistory = 64
 
-// versionStore is the coordinator's versions: the active one, the staged one that is to follow it, and those before.
+// versionStore is the publisher's versions: the active one, the staged one that is to follow it, and the earlier ones.
 type versionStore struct {
 	active     *Version
 	activeHash Hash
