--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -66,7 +66,7 @@
 
 // startMembers starts membership, with an incarnation that begins now.
 func (p *process) startMembers() (*memberagent.Agent, error) {
-	platform := memberagent.Platform{Link: p.peers, PeerCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
+	platform := memberagent.Platform{Link: p.peers, ProxyCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
 	return memberagent.Start(p.loop, p.fleet.memberOptions, p.cfg.Name, time.Now(), platform)
 }
 
--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -1,5 +1,6 @@
 // Package memberagent runs membership in a process: it owns the socket, the timer on the event loop, the seal over datagrams, the log and
-// report for operators, and the section of the settings file. What is known of the other members is membership's.
+// report for operators, and the section of the settings file. What is known of the other members is membership's, and so are the words member,
+// slot and address. Peer stands here only where operators know it: for the section's list of addresses, and for a slot in reports.
 package memberagent
 
 import (
@@ -16,7 +17,7 @@
 	"croftlock/internal/fleet/peers"
 )
 
-// tickInterval is how often membership gets a turn.
+// tickInterval is how often membership gets a turn; it takes a gap of several probe intervals for a pause of the process.
 const tickInterval = 50 * time.Millisecond
 
 // Agent is one process's membership at work. It belongs to the event loop: all its methods are called there.
@@ -30,11 +31,12 @@
 	closed       bool
 }
 
-// Platform is the platform's own link between its proxies, for a section without addresses; whoever reads from it calls ReceiveShared.
+// Platform is the platform's own link between its proxies, for a section without addresses. Its reader passes datagrams to ReceiveShared. A
+// proxy's number on the link is its slot.
 type Platform struct {
-	Link      *peers.Link // nil: there is none
-	PeerCount int
-	OwnNumber int // among the peers
+	Link       *peers.Link // nil: there is none
+	ProxyCount int
+	OwnNumber  int // of this process among the proxies
 }
 
 // Start begins. started is when this process began, which its incarnation says. The error is of the section's files or addresses.
@@ -50,7 +52,7 @@
 	if seal != nil {
 		cfg.Overhead = membership.SealLength
 	} else {
-		slog.Warn("membership_unsealed", "reason", "no keys: whoever reaches the address can speak for a member")
+		slog.Warn("membership_unsealed", "reason", "no_keys") // whoever reaches the address can speak for any member
 	}
 	s := &Agent{loop: l, name: name, transport: transport{seal: seal, learnsAddresses: len(cfg.Seeds) > 0}, channels: channels{}}
 	if s.core, err = membership.New(cfg, s); err != nil {
@@ -89,7 +91,7 @@
 	if on.Link == nil {
 		return cfg, errors.New("membership: no peers, and the platform has none or forbids messages between them")
 	}
-	cfg.Slots, cfg.OwnSlot = on.PeerCount, on.OwnNumber
+	cfg.Slots, cfg.OwnSlot = on.ProxyCount, on.OwnNumber
 	return cfg, nil
 }
 
@@ -120,31 +122,31 @@
 }
 
 // ReceiveShared handles a datagram of the platform's link, if it is membership's, and says whether it was. A nil Agent handles none.
-func (a *Agent) ReceiveShared(from int, data []byte) bool {
+func (a *Agent) ReceiveShared(slot int, data []byte) bool {
 	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
 	}
-	a.receive(from, data)
+	a.receive(slot, data)
 	return true
 }
 
-func (a *Agent) receive(from int, data []byte) {
-	if data, ok := a.unseal(from, data); ok {
-		if err := a.core.Receive(a.loop.Now(), from, data); err != nil {
-			a.transport.noteRejection(from, err)
+func (a *Agent) receive(slot int, data []byte) {
+	if data, ok := a.unseal(slotField(slot), data); ok {
+		if err := a.core.Receive(a.loop.Now(), slot, data); err != nil {
+			a.transport.noteRejection(slotField(slot), err)
 		}
 	}
 }
 
 func (a *Agent) receiveFrom(from netip.AddrPort, data []byte) {
-	if data, ok := a.unseal(from, data); ok {
+	if data, ok := a.unseal(addressField(from), data); ok {
 		if err := a.core.ReceiveFrom(a.loop.Now(), from, data); err != nil {
-			a.transport.noteRejection(from, err)
+			a.transport.noteRejection(addressField(from), err)
 		}
 	}
 }
 
-func (a *Agent) unseal(from any, data []byte) ([]byte, bool) {
+func (a *Agent) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if a.closed {
 		return nil, false
 	}
@@ -163,8 +165,8 @@
 
 // Changed implements membership.Effects.
 func (a *Agent) Changed(c membership.Change) {
-	slog.Info("member_changed", "id", formatID(c.ID), "name", c.Name, "from", c.OldState, "to", c.NewState, "life", c.Incarnation.Start(),
-		"version", c.Version, "reason", c.Reason)
+	slog.Info("member_changed", "id", formatID(c.ID), "name", c.Name, "from", c.OldState.String(), "to", c.NewState.String(),
+		"reason", c.Reason.String(), "incarnation_start_ms", c.Incarnation.Start(), "view_version", c.Version)
 }
 
 // Leave announces to the others that this process shuts down in order, and ends. A nil Agent does nothing.
--- /dev/null
+++ b/internal/fleet/memberagent/rejection.go
@@ -0,0 +1,58 @@
+package memberagent
+
+import (
+	"errors"
+	"log/slog"
+	"net/netip"
+
+	"croftlock/internal/fleet/membership"
+)
+
+// rejectionReason is why a datagram was rejected, as the log has it.
+type rejectionReason string
+
+const (
+	reasonMalformed    rejectionReason = "malformed"
+	reasonOtherVersion rejectionReason = "other_version"
+	reasonOtherFleet   rejectionReason = "other_fleet"
+	reasonUnknownKey   rejectionReason = "unknown_key"
+	reasonReplayed     rejectionReason = "replayed"
+	reasonOwnName      rejectionReason = "own_name"           // the sender uses this process's name
+	reasonNameInUse    rejectionReason = "name_in_use"        // the sender uses the name of another live member
+	reasonRejectedUs   rejectionReason = "rejected_by_member" // the sender does not admit this process
+	reasonUnknown      rejectionReason = "unknown"
+)
+
+var reasonOfError = map[error]rejectionReason{
+	membership.ErrMalformed: reasonMalformed,
+	membership.ErrVersion:   reasonOtherVersion,
+	membership.ErrFleet:     reasonOtherFleet,
+	membership.ErrSeal:      reasonUnknownKey,
+	membership.ErrReplay:    reasonReplayed,
+}
+
+// logRejected logs a datagram that came from a slot or an address.
+func logRejected(from slog.Attr, err error) {
+	slog.Warn("membership_datagram_rejected", append([]any{from}, rejectionFields(err)...)...)
+}
+
+func rejectionFields(err error) []any {
+	var inUse *membership.NameInUseError
+	var rejected *membership.RejectedError
+	switch {
+	case errors.As(err, &rejected):
+		return []any{"reason", reasonRejectedUs, "member", formatID(rejected.Member), "member_reason", rejected.Reason.String()}
+	case errors.As(err, &inUse) && inUse.Name != "":
+		return []any{"reason", reasonOwnName, "member", formatID(inUse.Sender)}
+	case errors.As(err, &inUse):
+		return []any{"reason", reasonNameInUse, "member", formatID(inUse.Sender)}
+	}
+	if reason, known := reasonOfError[err]; known {
+		return []any{"reason", reason}
+	}
+	return []any{"reason", reasonUnknown}
+}
+
+func slotField(slot int) slog.Attr { return slog.Int("slot", slot) }
+
+func addressField(address netip.AddrPort) slog.Attr { return slog.String("address", address.String()) }
--- /dev/null
+++ b/internal/fleet/memberagent/rejection_test.go
@@ -0,0 +1,34 @@
+package memberagent
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"testing"
+
+	"croftlock/internal/fleet/membership"
+)
+
+func TestRejectionFieldsNameTheReason(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want string
+	}{
+		{membership.ErrMalformed, "[reason malformed]"},
+		{membership.ErrVersion, "[reason other_version]"},
+		{membership.ErrFleet, "[reason other_fleet]"},
+		{membership.ErrSeal, "[reason unknown_key]"},
+		{membership.ErrReplay, "[reason replayed]"},
+		{&membership.NameInUseError{Name: "n1", Sender: 0xab}, "[reason own_name member 000000ab]"},
+		{&membership.NameInUseError{Sender: 0xab}, "[reason name_in_use member 000000ab]"},
+		{&membership.RejectedError{Member: 0xab, Reason: 2}, "[reason rejected_by_member member 000000ab member_reason name_in_use]"},
+		{errors.New("another"), "[reason unknown]"},
+	} {
+		if got := fmt.Sprint(rejectionFields(c.err)); got != c.want {
+			t.Errorf("%v is logged as %s, expected %s", c.err, got, c.want)
+		}
+	}
+	if got := slotField(3); !got.Equal(slog.Int("slot", 3)) {
+		t.Errorf("a slot is logged as %s", got)
+	}
+}
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -115,7 +115,7 @@
 		"clashes":       n.Clashes,
 		"pauses":        n.Pauses,
 		"refutations":   n.Refutations,
-		"unsealed":      a.transport.unsealed,
+		"unsealed":      a.transport.sealFailures,
 		"strangers":     int(a.transport.link.Dropped()),
 	}
 }
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -7,14 +7,14 @@
 	"croftlock/internal/fleet/peers"
 )
 
-// transport is the way to the other members: a link, and the seal over its datagrams.
+// transport sends to the other members and receives from them: a link, and the seal over its datagrams.
 type transport struct {
 	link            *peers.Link
 	shared          bool             // the link is the platform's, and the decision module's too
 	learnsAddresses bool             // members come and go
 	seal            *membership.Seal // nil: datagrams are not sealed
-	unsealed        int              // datagrams under an unknown key, or replayed
-	rejected        int              // those that membership rejected
+	sealFailures    int              // datagrams under an unknown key, or replayed
+	rejected        int              // datagrams that membership rejected
 }
 
 func (t *transport) sealed(data []byte) []byte {
@@ -24,8 +24,8 @@
 	return t.seal.Seal(data)
 }
 
-// unseal takes a datagram out of its seal. The first that fails is logged, and the others are counted.
-func (t *transport) unseal(from any, data []byte) ([]byte, bool) {
+// unseal takes a datagram out of its seal. Only the first failure is logged, as anybody can cause any number; all are counted.
+func (t *transport) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if t.seal == nil {
 		return data, true
 	}
@@ -33,23 +33,19 @@
 	if err == nil {
 		return data, true
 	}
-	if t.unsealed++; t.unsealed == 1 {
+	if t.sealFailures++; t.sealFailures == 1 {
 		logRejected(from, err)
 	}
 	return nil, false
 }
 
-// noteRejection logs the first datagram that membership rejected, and counts the others.
-func (t *transport) noteRejection(from any, err error) {
+// noteRejection logs the first datagram that membership rejected, and counts all.
+func (t *transport) noteRejection(from slog.Attr, err error) {
 	if t.rejected++; t.rejected == 1 {
 		logRejected(from, err)
 	}
 }
 
-func logRejected(from any, err error) {
-	slog.Warn("membership_datagram_rejected", "peer", from, "reason", err)
-}
-
 // maxPayload is how many bytes of another package's a datagram can carry.
 func (t *transport) maxPayload() int {
 	if t.seal == nil {
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -8,9 +8,10 @@
 // maxSlots bounds how many addresses are learnt.
 const maxSlots = 4096
 
-// addressBook says which member is at which slot. Slots are fixed by the configuration, or, with seeds, numbered as addresses are learnt.
+// addressBook says which member is at which slot. Slots are fixed by the configuration, or, with seeds, numbered as addresses are learnt: the
+// seeds have the first numbers.
 type addressBook struct {
-	memberAt  []uint32         // by slot; 0: not known
+	memberAt  []uint32         // member id by slot; 0: not known
 	addresses []netip.AddrPort // by slot; empty where slots are fixed
 	seeds     int
 }
@@ -24,7 +25,7 @@
 
 func (b *addressBook) valid(slot int) bool { return slot >= 0 && slot < len(b.memberAt) }
 
-// assign notes that a member is at a slot.
+// assign records that a member is at a slot.
 func (b *addressBook) assign(m *member, slot int) {
 	m.Slot = slot
 	b.memberAt[slot] = m.ID
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -1,15 +1,15 @@
 package membership
 
 const (
-	// differentFor is how long views may differ before a whole view is requested: gossip removes most differences by itself.
+	// differentFor is how long views may differ before a complete view is requested: gossip removes most differences by itself.
 	differentFor = sec
-	// viewRequestInterval is the least time between two requests for a whole view.
+	// viewRequestInterval is the least time between two requests for a complete view.
 	viewRequestInterval = sec
 	// viewPages is how many datagrams answer one request.
 	viewPages = 4
 )
 
-// antiEntropy repairs differences between views that gossip has missed: digests are compared, and whole views are requested.
+// antiEntropy repairs differences between views that gossip has missed: digests are compared, and complete views are requested.
 type antiEntropy struct {
 	differentSince Time // 0: the last digest received is this process's
 	lastRequest    Time
@@ -25,7 +25,7 @@
 	}
 }
 
-// requestDue reports whether it is time to ask for a whole view, and counts that as done.
+// requestDue reports whether it is time to request a complete view, and counts that as done.
 func (a *antiEntropy) requestDue(now Time) bool {
 	if a.differentSince == 0 || now-a.differentSince <= differentFor || now-a.lastRequest <= viewRequestInterval {
 		return false
@@ -34,7 +34,7 @@
 	return true
 }
 
-// requestView asks some living member for its whole view.
+// requestView requests the complete view of one alive member, drawn at random.
 func (c *Core) requestView() {
 	for slot, id := range c.addresses.memberAt {
 		if m := c.members.get(id); id != 0 && m.State == Alive && c.rng.IntN(2) == 0 {
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -5,13 +5,13 @@
 	"net/netip"
 )
 
-// Effects is what a process can do.
+// Effects is what Core has its caller do.
 type Effects interface {
-	Send(slot int, datagram []byte) // valid during the call only
+	Send(slot int, datagram []byte) // the datagram is valid during the call only
 	Changed(c Change)
 }
 
-// Carrier is what Effects may implement besides: it receives what another package's counterpart has sent with Core.Carry.
+// Carrier is what Effects may implement besides: it receives the data that another process has sent with Core.Carry.
 type Carrier interface {
 	CarriedData(from uint32, channel byte, data []byte) // data is valid during the call only
 }
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// Tick must be called every 50 ms or so; wall is the wall clock, in nanoseconds. A gap shows that the process slept.
+// Tick must be called every 50 ms or so; wall is the wall clock, in Unix nanoseconds. A gap between two calls shows that the process slept.
 func (c *Core) Tick(now, wall Time) {
 	c.now = now
 	if !c.isolation.started {
@@ -92,16 +92,16 @@
 		if m := c.members.get(id); m.State.countsAlive() {
 			m.HeardByAny += gap
 			c.members.setUnanswered(m, 0)
-			c.markAlive(m, "this process slept")
+			c.markAlive(m, reasonOwnPause)
 		}
 	}
-	// What others have concluded meanwhile is refuted before it is received.
+	// A newer incarnation refutes what others have concluded meanwhile, before this process has even heard of it.
 	c.incarnation++
 	c.spread(c.selfID)
 	c.prober.nextProbe = c.now
 }
 
-// Leave announces to some members that this process shuts down in order; from then on it probes nobody.
+// Leave announces the graceful shutdown of this process to some members, whose gossip spreads it; from then on it probes nobody.
 func (c *Core) Leave(now Time) {
 	const announcements = 4 * indirectProbes
 	c.now = max(c.now, now)
@@ -138,7 +138,7 @@
 // Address is the address of a slot, where addresses are learnt.
 func (c *Core) Address(slot int) netip.AddrPort { return c.addresses.addresses[slot] }
 
-// SlotOf is where a member is, by its id; below 0 where that is not known.
+// SlotOf is a member's slot, by its id; below 0 where that is not known.
 func (c *Core) SlotOf(id uint32) int {
 	if m := c.members.get(id); m != nil {
 		return m.Slot
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -130,7 +130,7 @@
 
 func decodeName(p part) []byte { return p[nameHeaderLength:] }
 
-func decodeRejection(p part) rejection { return rejection(p[1]) }
+func decodeRejection(p part) Rejection { return Rejection(p[1]) }
 
 func decodeAddress(p part) memberAddress {
 	ip := netip.AddrFrom4([4]byte(p[5:9]))
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -2,14 +2,14 @@
 
 import "math/bits"
 
-// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: it has to reach those that have
-// heard the suspect, and the refutation has to come back.
+// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: gossip needs O(log n) rounds to reach
+// those that have heard the suspect, and as many for their refutation.
 const suspicionStep = 250 * ms
 
-// minSuspicion is how long a member stays suspect at least in a view of a size.
+// minSuspicion is the least time that a member stays suspect in a view of a size.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
-// probeNext probes the next member in turn.
+// probeNext probes the next slot in turn, also one at which no member is known: that is how members find each other.
 func (c *Core) probeNext() {
 	for range c.prober.slots {
 		slot := c.prober.nextSlot()
@@ -45,7 +45,7 @@
 	c.send(m.Slot, d)
 }
 
-// expireProbes acts on the outstanding probes that took too long.
+// expireProbes acts on the outstanding probes that took too long: first others are asked to probe the target, then it is suspected.
 func (c *Core) expireProbes() {
 	for _, sequence := range c.prober.sequences() {
 		p := c.prober.outstanding[sequence]
@@ -99,7 +99,7 @@
 	}
 	unheard := c.now - m.HeardByAny
 	if unheard > c.cfg.ProbeTimeout && m.suspectedAt == 0 && m.State == Alive && c.isolation.mayAccuse(c.now) {
-		c.markSuspect(m, "did not answer, directly or through others")
+		c.markSuspect(m, reasonNoAnswer)
 		c.spread(m.ID)
 	}
 	if c.now-c.isolation.lastHeard > 2*c.cfg.ProbeInterval {
@@ -107,7 +107,7 @@
 	}
 }
 
-// reviewTroubled draws the conclusions that time brings about suspect and unreachable members.
+// reviewTroubled moves suspect and unreachable members to their next state once their time has passed.
 func (c *Core) reviewTroubled() {
 	if !c.Quorum() {
 		c.isolation.lastMinority = c.now
@@ -129,14 +129,14 @@
 	unheard := c.now - m.HeardByAny
 	switch {
 	case unheard < c.cfg.ProbeInterval:
-		c.markAlive(m, "heard again")
+		c.markAlive(m, reasonHeardAgain)
 	case unheard <= c.prober.health.extend(c.cfg.UnreachableAfter) || c.now-m.suspectedAt <= minSuspicion(len(c.members.ids)):
-		// It still has time to refute the suspicion.
+		// it still has time to refute the suspicion
 	case c.isolation.hearsNothing(c.now):
-		// Not spread: others need not believe the one that may be cut off itself.
-		c.markUnreachable(m, "nothing at all is heard: this process may be cut off")
+		// Not spread: the others must not follow a process that may be the one cut off.
+		c.markUnreachable(m, reasonIsolated)
 	default:
-		c.markUnreachable(m, "nobody has heard it")
+		c.markUnreachable(m, reasonHeardByNobody)
 		c.spread(m.ID)
 	}
 }
@@ -144,28 +144,28 @@
 // reviewUnreachable gives a member up once a majority has been without it for long: a minority must not, as it may be the side cut off.
 func (c *Core) reviewUnreachable(m *member) {
 	if c.now-max(m.stateSince, c.isolation.lastMinority) > c.cfg.GoneAfter {
-		c.markGone(m, "unreachable for long, to a majority of the base")
+		c.markGone(m, reasonUnreachableTooLong)
 		c.spread(m.ID)
 	}
 }
 
 // markAlive ends a suspicion.
-func (c *Core) markAlive(m *member, reason string) {
+func (c *Core) markAlive(m *member, reason ChangeReason) {
 	m.suspectedAt = 0
 	c.setState(m, Alive, reason)
 }
 
 // markSuspect begins a suspicion, which the member may refute for minSuspicion.
-func (c *Core) markSuspect(m *member, reason string) {
+func (c *Core) markSuspect(m *member, reason ChangeReason) {
 	m.suspectedAt = c.now
 	c.setState(m, Suspect, reason)
 }
 
-func (c *Core) markUnreachable(m *member, reason string) { c.setState(m, Unreachable, reason) }
+func (c *Core) markUnreachable(m *member, reason ChangeReason) { c.setState(m, Unreachable, reason) }
 
-func (c *Core) markGone(m *member, reason string) { c.setState(m, Gone, reason) }
+func (c *Core) markGone(m *member, reason ChangeReason) { c.setState(m, Gone, reason) }
 
-func (c *Core) markLeft(m *member) { c.setState(m, Left, "said so") }
+func (c *Core) markLeft(m *member) { c.setState(m, Left, reasonAnnouncedShutdown) }
 
 // refute answers an accusation of this process with an incarnation newer than the accused one.
 func (c *Core) refute(accused Incarnation) {
@@ -175,7 +175,7 @@
 }
 
 // setState changes a member's state and reports it.
-func (c *Core) setState(m *member, to State, reason string) {
+func (c *Core) setState(m *member, to State, reason ChangeReason) {
 	from := m.State
 	if from == to {
 		return
@@ -190,6 +190,6 @@
 		return
 	}
 	if restarted := c.members.setIncarnation(m, to); restarted {
-		c.effects.Changed(Change{m.Name, m.ID, m.State, m.State, to, c.members.version, "a new life"})
+		c.effects.Changed(Change{m.Name, m.ID, m.State, m.State, to, c.members.version, reasonRestarted})
 	}
 }
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -8,10 +8,14 @@
 //
 //   - memberTable: the view, its counts, digest and version
 //   - prober: the order of probes, those outstanding, and the local health multiplier
-//   - gossipQueue: the news that still has to spread
-//   - antiEntropy: when to ask for a whole view, and which page of the own one is sent next
+//   - gossipQueue: the updates that still have to spread
+//   - antiEntropy: when to request a complete view, and which page of the own one is sent next
 //   - addressBook: which member is at which slot, and the learnt addresses
 //   - isolation: whether this process itself slept or is cut off
 //
-// The view is advice. No one's safety may rest on it: a member that sleeps or is cut off does not know that others have given it up.
+// A member is a process of the fleet, known by its id, the hash of its name. A slot is the number of an address at which a member may be: fixed
+// by the configuration, or given out as addresses are learnt; who is at a slot may change. An update is what one member gossips of another.
+// Heard means that a datagram of a member has arrived, here or at another that says so.
+//
+// The view is advice. No safety property may rest on it: a member that sleeps or is cut off does not know that others have given it up.
 package membership
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -24,9 +24,9 @@
 	partAck         partKind = 2  // sequence: the answer to a probe
 	partPingRequest partKind = 3  // sequence, target: probe the target on the sender's behalf
 	partIndirectAck partKind = 4  // sequence, target: the target has answered
-	partUpdate      partKind = 5  // news of one member
+	partUpdate      partKind = 5  // what the sender knows of one member
 	partUnheard     partKind = 6  // the members that the sender does not hear
-	partViewRequest partKind = 7  // send the whole view
+	partViewRequest partKind = 7  // send the complete view
 	partName        partKind = 8  // the sender's name, of which its id is the hash
 	partRejected    partKind = 9  // why the receiver is not admitted
 	partAddress     partKind = 10 // a member's address, where addresses are learnt
@@ -62,16 +62,27 @@
 	ErrFleet     = errors.New("datagram of another fleet")
 )
 
-// rejection is why a process is not admitted.
-type rejection byte
+// Rejection is why a process is not admitted, as datagrams carry it.
+type Rejection byte
 
 const (
-	rejectedFleet rejection = 1
-	rejectedName  rejection = 2
+	rejectedFleet Rejection = 1
+	rejectedName  Rejection = 2
 )
 
-// String is the reason as operators read it at the process that is rejected.
-func (r rejection) String() string {
+// String is the reason as the log has it.
+func (r Rejection) String() string {
+	switch r {
+	case rejectedFleet:
+		return "other_fleet"
+	case rejectedName:
+		return "name_in_use"
+	}
+	return "unknown"
+}
+
+// sentence is the reason as an error of the rejected process says it.
+func (r Rejection) sentence() string {
 	switch r {
 	case rejectedFleet:
 		return "it is of another fleet"
@@ -145,15 +156,15 @@
 	binary.BigEndian.PutUint32(p[5:], r.target)
 }
 
-func (d *datagram) update(n MemberUpdate) bool {
+func (d *datagram) update(u MemberUpdate) bool {
 	if !d.fits(updateLength) {
 		return false
 	}
 	p := d.part(partUpdate, updateLength)
-	binary.BigEndian.PutUint32(p[1:], n.ID)
-	p[5] = byte(n.State)
-	binary.BigEndian.PutUint64(p[6:], uint64(n.Incarnation))
-	binary.BigEndian.PutUint16(p[14:], n.Age)
+	binary.BigEndian.PutUint32(p[1:], u.ID)
+	p[5] = byte(u.State)
+	binary.BigEndian.PutUint64(p[6:], uint64(u.Incarnation))
+	binary.BigEndian.PutUint16(p[14:], u.Age)
 	return true
 }
 
@@ -190,7 +201,7 @@
 	binary.BigEndian.PutUint16(p[9:], a.Port())
 }
 
-func (d *datagram) rejected(why rejection) {
+func (d *datagram) rejected(why Rejection) {
 	d.part(partRejected, rejectedLength)[1] = byte(why)
 }
 
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// gossipItem is a member of which news is still being spread.
+// gossipItem is a member about which updates still have to be sent.
 type gossipItem struct {
 	member    uint32
 	sendsLeft int
 }
 
-// gossipQueue is the news that goes out on the next datagrams, the least spread first.
+// gossipQueue is the updates that go out on the next datagrams, the least often sent first.
 type gossipQueue struct{ items []gossipItem }
 
-// spread has news of a member sent as often as it takes to reach a fleet of a size: logarithmic, as epidemics are.
+// spread has a member's update sent as often as it takes to reach a fleet of a size: epidemic broadcast needs O(log n) sends a process.
 func (q *gossipQueue) spread(id uint32, members int) {
 	sends := 3 * int(math.Ceil(math.Log2(float64(members+2))))
 	for i := range q.items {
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -34,7 +34,7 @@
 	d := c.newDatagram()
 	d.ack(sequence)
 	if from.Name == "" {
-		d.name(c.cfg.Name) // it is new here, and so is this process there
+		d.name(c.cfg.Name) // neither knows the other's name yet
 	}
 	c.send(slot, d)
 }
@@ -90,7 +90,7 @@
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
 	if m.State.ended() && !newer {
-		// It must learn that it was given up; it refutes that by a newer incarnation.
+		// The member must learn that it was given up: it refutes that by a newer incarnation.
 		if m.State == Gone {
 			c.spread(m.ID)
 		}
@@ -100,7 +100,7 @@
 	c.addresses.assign(m, slot)
 	c.members.setUnanswered(m, 0)
 	m.HeardHere, m.HeardByAny = c.now, c.now
-	c.markAlive(m, "heard")
+	c.markAlive(m, reasonHeard)
 }
 
 // handleIndirectContact records that another has heard a member at a time.
@@ -108,6 +108,6 @@
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
 	if fresh && (m.State == Suspect || m.State == Unreachable || m.State == Joining) {
-		c.markAlive(m, "another has heard it")
+		c.markAlive(m, reasonHeardByOther)
 	}
 }
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -3,7 +3,7 @@
 const (
 	// isolatedAfter is how long nothing at all may arrive before a process assumes that it is the one cut off.
 	isolatedAfter = sec
-	// noAccusationsFor is how long a process that slept probes before it accuses anybody.
+	// noAccusationsFor is how long a process that slept probes before it may suspect others.
 	noAccusationsFor = 1500 * ms
 	// pauseIntervals is how many probe intervals a gap between two calls lasts at least to be a pause of this process.
 	pauseIntervals = 4
@@ -15,11 +15,11 @@
 	lastTick         Time
 	lastWall         Time // the wall clock at lastTick
 	lastHeard        Time // when any datagram last arrived
-	lastMinority     Time // when this process last saw no majority: it gives nobody up at the moment at which it is back
+	lastMinority     Time // when this process last saw no majority: GoneAfter counts from there, so that a healed minority gives nobody up at once
 	noAccusingBefore Time
 }
 
-// start begins the clock at the first call.
+// start sets the clock at the first tick.
 func (i *isolation) start(now, wall Time) {
 	i.started, i.lastTick, i.lastWall, i.lastHeard = true, now, wall, now
 }
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -26,21 +26,21 @@
 // extend lengthens a timeout, by half of it a step.
 func (h localHealth) extend(d Time) Time { return d + d*Time(h)/2 }
 
-// probe is one that is outstanding.
+// probe is an outstanding one.
 type probe struct {
 	target   uint32
 	sentAt   Time
-	indirect bool // others were asked to probe the target
-	relay    *relay
+	indirect bool   // others were asked to probe the target
+	relay    *relay // nil: an own probe
 }
 
-// relay is on whose behalf a probe was sent.
+// relay is for whom a probe is sent on another's behalf.
 type relay struct {
-	slot     int // of the one who asked
+	slot     int // of the member that requested it
 	sequence uint32
 }
 
-// prober says whom to probe next, and which probes are outstanding.
+// prober says which slot to probe next, and which probes are outstanding.
 type prober struct {
 	rng          *rand.Rand
 	slots        []int // in the order in which they are probed, shuffled for each round
@@ -88,7 +88,7 @@
 	return p.lastSequence
 }
 
-// begin records a probe; behalf is nil for one of the own.
+// begin records a probe; behalf is nil for an own one.
 func (p *prober) begin(target uint32, now Time, behalf *relay) (sequence uint32) {
 	sequence = p.nextSequence()
 	p.outstanding[sequence] = &probe{target: target, sentAt: now, relay: behalf}
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// rejectionInterval is the least time between two rejections that are sent, so that nobody can have this process send without end.
+// rejectionInterval is the least time between two rejections that are sent: whoever sends unusable datagrams must not cause as many in return.
 const rejectionInterval = sec
 
-// NameInUseError is of a datagram whose sender uses the name of another live process: the receiver's own, or another member's.
+// NameInUseError rejects a datagram whose sender uses the name of another live process: the receiver's own, or another member's.
 type NameInUseError struct {
 	Name   string // the receiver's own; "": another member's
 	Sender uint32
@@ -25,12 +25,12 @@
 // RejectedError says that a member does not admit this process.
 type RejectedError struct {
 	Member uint32 // who rejected this process
-	Reason string // as operators read it
+	Reason Rejection
 }
 
 // Error says who rejected this process, and why.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason)
+	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason.sentence())
 }
 
 // ReceiveFrom is Receive where addresses are learnt: an address is learnt once a well-formed datagram of this fleet came from it.
@@ -83,7 +83,7 @@
 	return c.handleDatagram(slot, h, all)
 }
 
-// rejectUndecoded counts a datagram that cannot be used.
+// rejectUndecoded counts a datagram that cannot be decoded, and notifies the sender if it is of another fleet.
 func (c *Core) rejectUndecoded(slot int, h header, err error) {
 	switch err {
 	case ErrVersion:
@@ -96,7 +96,7 @@
 	}
 }
 
-// handleOwnName is for a datagram under this process's name: its own, where its address is among the seeds, or another process's.
+// handleOwnName handles a datagram under this process's name: its own, where its address is among the seeds, or another process's.
 func (c *Core) handleOwnName(slot int, h header) error {
 	if c.addresses.learns() && h.incarnation.Start() == c.incarnation.Start() {
 		c.prober.removeSlot(slot)
@@ -133,11 +133,11 @@
 	}
 	c.handleContact(m, slot, h.incarnation)
 	c.antiEntropy.compared(h.digest == c.Digest(), c.now)
-	reason := ""
+	var rejected error
 	for len(all) > 0 {
 		p, _ := all.next()
 		if p.kind() == partRejected {
-			reason = decodeRejection(p).String()
+			rejected = &RejectedError{Member: h.sender, Reason: decodeRejection(p)}
 		} else {
 			c.handlePart(m, slot, p)
 		}
@@ -145,14 +145,11 @@
 	if isNew && c.addresses.learns() {
 		c.spread(h.sender) // the others may not know its address
 	}
-	if reason != "" {
-		return &RejectedError{Member: h.sender, Reason: reason}
-	}
-	return nil
+	return rejected
 }
 
-// reject tells a process why it is not admitted, in the name of a fleet.
-func (c *Core) reject(slot int, fleet uint32, why rejection) {
+// reject notifies a process why it is not admitted. The header names the receiver's fleet, or it would reject the datagram.
+func (c *Core) reject(slot int, fleet uint32, why Rejection) {
 	if !c.addresses.valid(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
 		return
 	}
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -39,7 +39,7 @@
 func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
 
 // Start is the part that distinguishes processes: the start in Unix milliseconds.
-func (l Incarnation) Start() uint64 { return uint64(l) >> 16 }
+func (i Incarnation) Start() uint64 { return uint64(i) >> 16 }
 
 // ID names a member in datagrams: its name, hashed.
 func ID(name string) uint32 {
@@ -54,13 +54,15 @@
 	ID                 uint32
 	OldState, NewState State
 	Incarnation        Incarnation
-	Version            uint64
-	Reason             string
+	Version            uint64 // of the view, after the change
+	Reason             ChangeReason
 }
 
-// Counts are what a process has sent and received.
+// Counts are what a process has sent and received, and how often it was paused or refuted an accusation.
 type Counts struct {
-	Sent, Bytes, Heard                           int
-	Malformed, OtherVersion, OtherFleet          int
-	OldIncarnation, Clashes, Pauses, Refutations int
+	Sent, Bytes, Heard                  int // datagrams sent, their bytes, datagrams accepted
+	Malformed, OtherVersion, OtherFleet int // datagrams rejected
+	OldIncarnation                      int // datagrams of a process that a newer one has replaced
+	Clashes                             int // datagrams under a name that another live process has
+	Pauses, Refutations                 int
 }
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -11,8 +11,8 @@
 	Incarnation Incarnation
 	HeardHere   Time     // when this process last heard it; 0: never
 	HeardByAny  Time     // when anybody last heard it
-	Unheard     []uint32 // members that it says it does not hear
-	UnheardAt   Time     // when it said so
+	Unheard     []uint32 // members that it reports not to hear
+	UnheardAt   Time     // when it last reported them
 }
 
 // member is a member with what failure detection needs besides.
@@ -23,8 +23,8 @@
 	stateSince      Time
 }
 
-// digest is a member's part of the view's digest. A suspect still counts as alive, and an incarnation's counter does not matter. Who has
-// left or is gone has no part: a process that joined later need not know of it.
+// digest is a member's part of the view's digest. What may differ for long between correct views has no part: whether a member is suspect, an
+// incarnation's counter, and members that have ended, of which a process that joined later need not know.
 func (m *member) digest() uint32 {
 	s := m.State
 	switch s {
@@ -40,8 +40,8 @@
 	return uint32(x ^ x>>29)
 }
 
-// memberTable is one process's view of the others. Its counts and digest are updated with each change, since a large fleet cannot be
-// iterated over for each datagram.
+// memberTable is one process's view of the others. Its counts and digest are updated with each change: each datagram needs them, and iterating
+// over a large fleet for each would cost too much.
 type memberTable struct {
 	byID       map[uint32]*member
 	ids        []uint32 // sorted: no decision may follow the order of a map
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -1,101 +1,101 @@
 package membership
 
-// refutationMargin is by how much this process must have heard a member later than its accuser did, to contradict: ages are rounded.
+// refutationMargin is by how much later than its accuser this process must have heard a member, to contradict: ages are rounded and travel.
 const refutationMargin = 50 * ms
 
 // handleUpdate handles what one member gossips of another, or of this process.
-func (c *Core) handleUpdate(n MemberUpdate) {
-	if n.ID == c.selfID {
-		c.handleSelfUpdate(n)
+func (c *Core) handleUpdate(u MemberUpdate) {
+	if u.ID == c.selfID {
+		c.handleSelfUpdate(u)
 		return
 	}
-	m := c.members.get(n.ID)
+	m := c.members.get(u.ID)
 	if m == nil {
-		if n.State.ended() || n.State == Joining {
-			return // nothing is lost by not knowing such a member
+		if u.State.ended() || u.State == Joining {
+			return // an ended member, or one that nobody has heard, need not become known by gossip
 		}
-		m = c.members.add(n.ID, c.now)
+		m = c.members.add(u.ID, c.now)
 	}
-	if n.Incarnation < m.Incarnation && !c.cfg.IgnoreIncarnation {
+	if u.Incarnation < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		return
 	}
-	newer := n.Incarnation > m.Incarnation
-	c.raiseIncarnation(m, n.Incarnation)
+	newer := u.Incarnation > m.Incarnation
+	c.raiseIncarnation(m, u.Incarnation)
 	ended := m.State.ended()
 	switch {
-	case n.State == Left:
+	case u.State == Left:
 		if !ended || newer {
 			c.markLeft(m)
 			c.spread(m.ID)
 		}
 	case ended && !newer && !c.cfg.IgnoreIncarnation:
 		// Only a newer incarnation brings a member back.
-	case n.State == Gone:
+	case u.State == Gone:
 		c.handleGivenUp(m)
-	case n.State != Joining:
-		c.handleLivingUpdate(m, n, newer)
+	case u.State != Joining:
+		c.handleLivingUpdate(m, u, newer)
 	}
 }
 
-// handleSelfUpdate refutes what others wrongly gossip of this process, and goes beyond a newer incarnation that they know.
-func (c *Core) handleSelfUpdate(n MemberUpdate) {
-	accused := n.State == Suspect || n.State == Unreachable || n.State == Gone || n.State == Left && !c.hasLeft
-	if n.Incarnation > c.incarnation || n.Incarnation == c.incarnation && accused {
-		c.refute(n.Incarnation)
+// handleSelfUpdate refutes an accusation of this process. An incarnation newer than its own, as after its clock was set back, is exceeded too.
+func (c *Core) handleSelfUpdate(u MemberUpdate) {
+	accused := u.State == Suspect || u.State == Unreachable || u.State == Gone || u.State == Left && !c.hasLeft
+	if u.Incarnation > c.incarnation || u.Incarnation == c.incarnation && accused {
+		c.refute(u.Incarnation)
 	}
 }
 
-// handleGivenUp agrees that a member is gone, or contradicts by what is known here.
+// handleGivenUp agrees that a member is gone unless it was heard here lately. Either way what is known here spreads, as a contradiction or not.
 func (c *Core) handleGivenUp(m *member) {
 	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.mayAccuse(c.now) {
-		c.markGone(m, "others say so, and nobody here has heard it")
+		c.markGone(m, reasonGoneToOthers)
 	}
 	c.spread(m.ID)
 }
 
 // handleLivingUpdate is for a member that is alive, suspect or unreachable.
-func (c *Core) handleLivingUpdate(m *member, n MemberUpdate, newer bool) {
-	heardAt := c.now - Time(n.Age)*ms
+func (c *Core) handleLivingUpdate(m *member, u MemberUpdate, newer bool) {
+	heardAt := c.now - Time(u.Age)*ms
 	if newer && m.State.ended() {
-		c.setState(m, Alive, "a newer life is told")
+		c.setState(m, Alive, reasonNewerIncarnation)
 		m.HeardByAny = heardAt
 		c.spread(m.ID)
 	}
-	if newer && n.State == Alive {
+	if newer && u.State == Alive {
 		c.spread(m.ID)
 	}
 	c.handleIndirectContact(m, heardAt)
 	if m.State == Joining && c.isolation.mayAccuse(c.now) {
-		c.suspectUnseen(m, n.State)
+		c.suspectUnseen(m, u.State)
 	}
-	if n.State != Alive {
-		c.handleAccusation(m, n.State, heardAt)
+	if u.State != Alive {
+		c.handleAccusation(m, u.State, heardAt)
 	}
 }
 
-// suspectUnseen doubts a member that is known by gossip alone and that nobody has heard lately: it is not about to join.
-func (c *Core) suspectUnseen(m *member, said State) {
-	if said == Unreachable {
+// suspectUnseen suspects a member that is known by gossip alone and that nobody has heard lately: it is not about to join.
+func (c *Core) suspectUnseen(m *member, reported State) {
+	if reported == Unreachable {
 		m.suspectedAt = c.now
-		c.markUnreachable(m, "others say so, and it was never heard here")
+		c.markUnreachable(m, reasonUnreachableNeverHeard)
 	} else {
-		c.markSuspect(m, "others have not heard it of late, and it was never heard here")
+		c.markSuspect(m, reasonNotHeardLately)
 	}
 }
 
 // handleAccusation contradicts a suspicion where the member was heard since; otherwise it suspects too and probes for itself.
-func (c *Core) handleAccusation(m *member, said State, heardAt Time) {
+func (c *Core) handleAccusation(m *member, reported State, heardAt Time) {
 	unheard := c.now - m.HeardByAny
 	mayAccuse := c.isolation.mayAccuse(c.now)
 	if unheard < c.cfg.UnreachableAfter && m.HeardByAny > heardAt+refutationMargin {
 		c.spread(m.ID)
 	} else if m.State == Alive && mayAccuse && unheard > c.cfg.ProbeTimeout {
-		c.markSuspect(m, "others say that it does not answer")
+		c.markSuspect(m, reasonSuspectedByOthers)
 		c.spread(m.ID)
 		c.probeNow(m)
 	}
-	if said == Unreachable && m.State == Suspect && unheard > c.cfg.UnreachableAfter && mayAccuse {
-		c.markUnreachable(m, "nobody has heard it, others say so too")
+	if reported == Unreachable && m.State == Suspect && unheard > c.cfg.UnreachableAfter && mayAccuse {
+		c.markUnreachable(m, reasonUnreachableToOthers)
 		c.spread(m.ID)
 	}
 }
