--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,5 +1,6 @@
 // Package peers carries short messages between the proxies of a tier as UDP datagrams: the decision module's, and membership's. It owns the
-// socket and decides whose datagrams are received; what they mean is their reader's.
+// socket and decides whose datagrams are received; what they mean is their reader's business. A peer is another proxy, known by its number in
+// the configured list.
 //
 // Datagrams do not run on netpoll, which serves streams only: one goroutine reads them and posts them to the event loop.
 package peers
@@ -26,15 +27,23 @@
 	All    string   // reaches every proxy of the tier; "": there is none
 }
 
+// invalidReason is why a message is not sent, as the log has it.
+type invalidReason string
+
+const (
+	reasonUnknownPeer invalidReason = "unknown_peer"
+	reasonLength      invalidReason = "length" // empty, or over MaxDatagram
+)
+
 // Link sends and receives datagrams. Sending belongs to the event loop.
 type Link struct {
-	conn      *net.UDPConn
-	peers     []netip.AddrPort // by number
-	broadcast netip.AddrPort   // reaches all; invalid: there is none
-	ownNumber int              // among the peers; -1: not numbered
-	readLoop  func()
-	dropped   atomic.Int64
-	sendError bool // one was logged
+	conn       *net.UDPConn
+	peers      []netip.AddrPort // by number
+	broadcast  netip.AddrPort   // reaches all; invalid: there is none
+	ownNumber  int              // among the peers; -1: not numbered
+	readLoop   func()
+	dropped    atomic.Int64
+	sendFailed bool // and that was logged
 }
 
 // Open listens, or uses the socket fd that another process has handed over where that is not below 0. receive is called on the loop with
@@ -95,7 +104,7 @@
 	return address, nil
 }
 
-// bind opens a socket, or takes over fd where that is not below 0.
+// bind opens a socket, or uses fd, handed over in a hot restart, where that is not below 0.
 func bind(own netip.AddrPort, fd int) (*net.UDPConn, error) {
 	if fd < 0 {
 		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
@@ -120,10 +129,10 @@
 	go k.readLoop()
 }
 
-// StopReceiving leaves what arrives to another process that holds the socket.
+// StopReceiving leaves what arrives to the other process that holds the socket, during a hot restart.
 func (k *Link) StopReceiving() { k.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// Fd is the socket, to be handed to another process; it stays the link's. Below 0: it is closed.
+// Fd is the socket's descriptor, to be handed to another process; the link keeps it. Below 0: the socket is closed.
 func (k *Link) Fd() int {
 	fd := -1
 	if raw, err := k.conn.SyscallConn(); err == nil {
@@ -141,7 +150,7 @@
 	case peer >= 0 && peer < len(k.peers):
 		k.send(k.peers[peer], data)
 	case peer >= 0:
-		slog.Error("peer_message_invalid", "peer", peer, "peers", len(k.peers))
+		slog.Error("peer_message_invalid", "reason", reasonUnknownPeer, "peer", peer, "peer_count", len(k.peers))
 	case k.broadcast.IsValid():
 		k.send(k.broadcast, data)
 	default:
@@ -160,24 +169,24 @@
 	}
 }
 
-// validLength logs a datagram that the platform does not allow: it is a fault of the caller's.
+// validLength logs a datagram that the platform does not allow: that is a fault of the caller.
 func validLength(data []byte) bool {
 	if len(data) > 0 && len(data) <= MaxDatagram {
 		return true
 	}
-	slog.Error("peer_message_invalid", "bytes", len(data), "most", MaxDatagram)
+	slog.Error("peer_message_invalid", "reason", reasonLength, "bytes", len(data), "max_bytes", MaxDatagram)
 	return false
 }
 
-// send logs the first error only.
+// send logs the first error only: one that lasts would be logged with each datagram.
 func (k *Link) send(to netip.AddrPort, data []byte) {
-	if _, err := k.conn.WriteToUDPAddrPort(data, to); err != nil && !k.sendError {
-		k.sendError = true
-		slog.Warn("peer_failed", "to", to.String(), "reason", err)
+	if _, err := k.conn.WriteToUDPAddrPort(data, to); err != nil && !k.sendFailed {
+		k.sendFailed = true
+		slog.Warn("peer_failed", "address", to.String(), "reason", err)
 	}
 }
 
-// Dropped counts the datagrams received but not handled: of unknown senders, too long, or more than the loop kept up with.
+// Dropped counts the datagrams that were received and not handled: of an unknown sender, too long, or while too many waited for the loop.
 func (k *Link) Dropped() int64 { return k.dropped.Load() }
 
 // Close closes the socket.
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxWaiting bounds the datagrams that wait for the loop: what a busy loop is late for is out of date.
+	// maxWaiting bounds the datagrams that wait for the loop: what waits for long is out of date, and must not delay what comes after.
 	maxWaiting = 64
 	// readRetryDelay is the pause after a read that failed, as the kernel may stay short of memory.
 	readRetryDelay = time.Millisecond
@@ -23,7 +23,7 @@
 type handler func(data []byte)
 
 // read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
-// the link is closed or told to stop.
+// the link is closed or StopReceiving was called.
 func (k *Link) read(l *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
 	buffer := make([]byte, MaxDatagram+1) // one more, so that a datagram that is too long shows
@@ -33,7 +33,7 @@
 			return
 		}
 		if err != nil {
-			// ECONNREFUSED is of an earlier datagram of this process's that met a closed port: it says nothing of the next read.
+			// ECONNREFUSED reports that an earlier datagram of this process met a closed port: the next read may succeed at once.
 			if !errors.Is(err, syscall.ECONNREFUSED) {
 				time.Sleep(readRetryDelay)
 			}
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -19,11 +19,11 @@
 	maxValidity  = uint64(Lifetime / validityUnit)
 )
 
-var errMalformed = errors.New("floors: a datagram that can't be read")
+var errMalformed = errors.New("watermark: malformed datagram")
 
 // message is one datagram: a gossip or a query.
 type message struct {
-	source uint32 // whose numbering the revisions are of
+	source uint32 // of the lists: revisions are comparable within one source only
 	body   any
 }
 
@@ -31,7 +31,7 @@
 	// gossip is watermarks that the sender knows.
 	gossip struct{ watermarks []Watermark }
 	// query asks for what is newer than a revision.
-	query struct{ revision int64 } // under 0: the sender has no list
+	query struct{ revision int64 } // below 0: the sender has no list
 )
 
 func newWriter(kind uint64, source uint32) *encoding.Writer {
@@ -43,16 +43,16 @@
 	return newWriter(kindQuery, source).Uint(uint64(max(noRevision, q.revision) + 1)).Data
 }
 
-// encode writes watermarks into as few datagrams of at most room bytes as they need. One that fits in none is left out.
-func (g gossip) encode(source uint32, room int) (datagrams [][]byte) {
+// encode writes watermarks into as few datagrams of at most maxBytes as they need. One that fits in none is left out.
+func (g gossip) encode(source uint32, maxBytes int) (datagrams [][]byte) {
 	head := newWriter(kindGossip, source).Data
 	data := head
 	for _, w := range g.watermarks {
 		entry := encodeWatermark(w)
-		if len(w.Host) > maxHostBytes || len(head)+len(entry) > room {
+		if len(w.Host) > maxHostBytes || len(head)+len(entry) > maxBytes {
 			continue
 		}
-		if len(data)+len(entry) > room {
+		if len(data)+len(entry) > maxBytes {
 			datagrams = append(datagrams, data)
 			data = head
 		}
@@ -64,12 +64,13 @@
 	return datagrams
 }
 
-func encodeWatermark(m Watermark) []byte {
-	var w encoding.Writer
-	return w.Uint(uint64(m.State)).Text(m.Host).Uint(uint64(max(0, m.StartedAt))).Uint(uint64(m.Revision)).Uint(uint64(max(0, m.ValidFor) / validityUnit)).Data
+func encodeWatermark(w Watermark) []byte {
+	var out encoding.Writer
+	return out.Uint(uint64(w.State)).Text(w.Host).Uint(uint64(max(0, w.StartedAt))).Uint(uint64(w.Revision)).
+		Uint(uint64(max(0, w.ValidFor) / validityUnit)).Data
 }
 
-// decode reads a datagram; one that is malformed in part says nothing at all.
+// decode reads a datagram; one that is malformed in part is rejected as a whole.
 func decode(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind, source := r.Uint(), r.Uint()
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// CarrierID marks this package's data among what members carry for one another.
+// CarrierID is this package's channel among those that membership carries.
 const CarrierID = 'f'
 
-// Transport is how datagrams get to the other members.
+// Transport carries datagrams to the other members, which are known by their ids.
 type Transport interface {
-	Carry(peer uint32, whose byte, data []byte)
+	Carry(member uint32, channel byte, data []byte)
 	MaxPayload() int  // bytes of one datagram
 	Others() []uint32 // members that may be alive
 }
@@ -24,15 +24,16 @@
 }
 
 const (
-	// maxGossipDelay is the time within which one of those that hear of a change from discovery sends it to all others: whoever draws the shortest delay. The
-	// others then need not.
+	// maxGossipDelay bounds the random delay before a proxy gossips a change of its list. Of all that have it from discovery the one with the shortest
+	// delay sends it; the others find that it was sent, and need not.
 	maxGossipDelay = 100 * time.Millisecond
-	// Each member asks one other now and then what it may have missed; a fleet of n asks fifty times a second in all at the most.
+	// Each member queries one other now and then for what it may have missed. The interval grows with the fleet, so that all together send fifty
+	// queries a second at most.
 	minQueryInterval       = time.Second
 	queryIntervalPerMember = 20 * time.Millisecond
 	updateInterval         = minQueryInterval / 4
-	forwardTo              = 3 // others that hear of something new from each that hears it
-	maxDatagrams           = 16
+	forwardTo              = 3  // others to which a member forwards a watermark that is new to it
+	maxDatagrams           = 16 // to a member at a time
 	maxRefetchBackoff      = 30 * time.Second
 )
 
@@ -41,10 +42,10 @@
 	Transport    Transport
 	Clock        Clock
 	Rand         *rand.Rand
-	Source       func() uint32 // whose numbering the own list has now
-	RefetchAfter time.Duration // a list that is behind for so long is fetched from discovery anew
+	Source       func() uint32 // of the own list now: revisions are comparable within one source only
+	RefetchAfter time.Duration // for how long the list may be behind before it is fetched from discovery anew
 	RefetchList  func()
-	Changed      func(ids []string) // called with hosts that are out now, or no longer
+	Changed      func(hosts []string) // called with hosts that are out now, or no longer
 
 	registry    *Registry
 	source      uint32
@@ -54,20 +55,20 @@
 	closed      bool
 }
 
-// pendingGossip is what is sent to all others after a short delay, unless another member has sent it.
+// pendingGossip is what is sent to all others after a random delay, unless another member has sent it by then.
 type pendingGossip struct {
 	watermarks []Watermark
 	scheduled  bool
 }
 
-func (p *pendingGossip) add(news []Watermark) {
-	p.watermarks = append(p.watermarks, news...)
+func (p *pendingGossip) add(fresh []Watermark) {
+	p.watermarks = append(p.watermarks, fresh...)
 	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
 }
 
 // refetchBackoff says when a list that stays behind is fetched anew.
 type refetchBackoff struct {
-	lastAt Time // 0: not since the list was last up to date
+	lastAt Time // of the last fetch; 0: none since the list was last up to date
 	wait   time.Duration
 }
 
@@ -77,26 +78,27 @@
 
 func (b *refetchBackoff) fetched(now Time) { b.lastAt, b.wait = now, min(2*b.wait, maxRefetchBackoff) }
 
-// Run begins; it must be called once.
+// Run starts the link; it must be called once.
 func (l *Link) Run() {
 	l.registry, l.source, l.refetch = NewRegistry(), l.Source(), refetchBackoff{wait: l.RefetchAfter}
 	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval)))
 	l.periodicUpdate()
 }
 
-// Close ends it.
+// Close ends the link: it sends and receives nothing more.
 func (l *Link) Close() { l.closed = true }
 
-// List takes the own list, complete or as a change, and names hosts that are out now, or no longer.
+// List takes the own endpoint list, complete or as a change, and names hosts that are out now, or no longer. A list of another source drops all
+// that is known: revisions are comparable within one source only.
 func (l *Link) List(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
 		l.source, l.pending.watermarks, changed = s, nil, l.registry.Reset()
 	}
-	news, ended := l.registry.UpdateList(l.Clock.Now(), revision, complete, hosts)
+	fresh, ended := l.registry.UpdateList(l.Clock.Now(), revision, complete, hosts)
 	if l.registry.BehindSince(l.Clock.Now()) == 0 {
 		l.refetch = refetchBackoff{wait: l.RefetchAfter}
 	}
-	l.pending.add(news)
+	l.pending.add(fresh)
 	if len(l.pending.watermarks) > 0 && !l.pending.scheduled {
 		l.pending.scheduled = true
 		l.Clock.After(time.Duration(l.Rand.Int64N(int64(maxGossipDelay))), l.gossipPending)
@@ -109,32 +111,32 @@
 	return l.registry.Out(l.Clock.Now(), host, startedAt)
 }
 
-// gossipPending sends all others what no other member has sent meanwhile.
+// gossipPending sends to all others what no other member has sent meanwhile.
 func (l *Link) gossipPending() {
-	news := slices.DeleteFunc(l.pending.watermarks, l.registry.wasGossiped)
+	unsent := slices.DeleteFunc(l.pending.watermarks, l.registry.wasGossiped)
 	l.pending = pendingGossip{}
-	if l.closed || len(news) == 0 {
+	if l.closed || len(unsent) == 0 {
 		return
 	}
-	l.send(news, l.Transport.Others()...)
+	l.send(unsent, l.Transport.Others()...)
 }
 
-// send sends watermarks to some peers, as many as a bounded number of datagrams holds.
-func (l *Link) send(watermarks []Watermark, peers ...uint32) {
+// send sends watermarks to some members, as many as maxDatagrams hold.
+func (l *Link) send(watermarks []Watermark, members ...uint32) {
 	datagrams := gossip{watermarks}.encode(l.source, l.Transport.MaxPayload())
-	for _, peer := range peers {
+	for _, member := range members {
 		for _, data := range datagrams[:min(len(datagrams), maxDatagrams)] {
-			l.Transport.Carry(peer, CarrierID, data)
+			l.Transport.Carry(member, CarrierID, data)
 		}
 	}
 }
 
-func (l *Link) query(now Time, peer uint32) {
+func (l *Link) query(now Time, member uint32) {
 	l.lastQueryAt = now
-	l.Transport.Carry(peer, CarrierID, query{l.registry.Revision()}.encode(l.source))
+	l.Transport.Carry(member, CarrierID, query{l.registry.Revision()}.encode(l.source))
 }
 
-// Receive takes a datagram. One that is malformed, or of another numbering, with which nothing can be compared, is ignored.
+// Receive takes a datagram of another member. One that is malformed, or whose revisions are of another source and so not comparable, is ignored.
 func (l *Link) Receive(from uint32, data []byte) {
 	m, err := decode(data)
 	if err != nil || l.closed || m.source != l.source {
@@ -155,7 +157,7 @@
 	l.notifyChanged(changed)
 }
 
-// handleQuery answers, and asks in turn if the peer has a newer list.
+// handleQuery answers, and queries in turn a member that has a newer list.
 func (l *Link) handleQuery(from uint32, q query) {
 	now, own := l.Clock.Now(), l.registry.Revision()
 	l.send(l.registry.NewerThan(now, q.revision), from)
@@ -164,19 +166,19 @@
 	}
 }
 
-// forward passes on what is new here to a few others by chance: so what was lost on its way to some comes to nearly all.
+// forward sends what is new here to a few others, drawn at random: so it reaches nearly all, also those to which the sender's datagram was lost.
 func (l *Link) forward(watermarks []Watermark, changed []string) {
 	others := l.Transport.Others()
-	news := slices.DeleteFunc(slices.Clone(watermarks), func(w Watermark) bool { return !slices.Contains(changed, w.Host) })
-	if len(news) == 0 || len(others) == 0 {
+	fresh := slices.DeleteFunc(slices.Clone(watermarks), func(w Watermark) bool { return !slices.Contains(changed, w.Host) })
+	if len(fresh) == 0 || len(others) == 0 {
 		return
 	}
 	for range forwardTo {
-		l.send(news, others[l.Rand.IntN(len(others))])
+		l.send(fresh, others[l.Rand.IntN(len(others))])
 	}
 }
 
-// periodicUpdate asks one other what was missed, drops what has lapsed, and has the list fetched anew where it stays behind.
+// periodicUpdate drops watermarks that have expired, queries one other member, and has the list fetched anew where it stays behind.
 func (l *Link) periodicUpdate() {
 	if l.closed {
 		return
@@ -184,22 +186,30 @@
 	l.Clock.After(updateInterval, l.periodicUpdate)
 	now := l.Clock.Now()
 	l.notifyChanged(l.registry.Expire(now))
+	l.queryOneOther(now)
+	l.refetchIfBehind(now)
+}
+
+func (l *Link) queryOneOther(now Time) {
 	others := l.Transport.Others()
 	interval := max(minQueryInterval, time.Duration(len(others))*queryIntervalPerMember)
 	if len(others) > 0 && now-l.lastQueryAt >= Time(interval) {
 		l.query(now, others[l.Rand.IntN(len(others))])
 	}
+}
+
+func (l *Link) refetchIfBehind(now Time) {
 	since := l.registry.BehindSince(now)
 	if since == 0 || !l.refetch.due(now, since) {
 		return
 	}
-	slog.Info("list_behind", "rev", l.registry.Revision(), "for_ms", (now-since)/1e6)
+	slog.Info("list_behind", "rev", l.registry.Revision(), "behind_ms", (now-since)/1e6)
 	l.refetch.fetched(now)
 	l.RefetchList()
 }
 
-func (l *Link) notifyChanged(ids []string) {
-	if len(ids) > 0 && !l.closed {
-		l.Changed(ids)
+func (l *Link) notifyChanged(hosts []string) {
+	if len(hosts) > 0 && !l.closed {
+		l.Changed(hosts)
 	}
 }
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -9,31 +9,32 @@
 // noRevision is the revision where there is no list.
 const noRevision = -1
 
-// ownHost is what the own list says of a host.
+// ownHost is what the own endpoint list says of a host.
 type ownHost struct {
 	startedAt int64
 	state     State
 	revision  int64 // of the list that brought this state
-	since     Time
+	since     Time  // when this state was received
 }
 
 func (o ownHost) watermark(host string) Watermark {
 	return Watermark{host, o.startedAt, o.revision, o.state, Lifetime}
 }
 
-// receivedWatermark is another proxy's watermark.
+// receivedWatermark is a watermark from another proxy.
 type receivedWatermark struct {
 	Watermark
-	until Time
-	since Time // when the host's first valid watermark was received
+	until Time // when it expires
+	since Time // when the first was received of those that have kept the host out without a gap
 }
 
-// Registry is what one proxy knows: its own list, and what others' newer ones say.
+// Registry is what one proxy knows: its own list, and what others' newer ones say. A host is out here only by a watermark whose revision is newer
+// than the own list's, so a proxy with the newest list is never overruled.
 type Registry struct {
 	revision int64 // of the own list; under 0: there is none
 	own      map[string]ownHost
 	received map[string]receivedWatermark
-	gossiped map[string]int64 // up to which revision others have gossiped about a host lately
+	gossiped map[string]int64 // by host: the newest revision that others have gossiped lately
 }
 
 // NewRegistry knows nothing.
@@ -44,39 +45,40 @@
 // Revision is the own list's; under 0: there is none.
 func (r *Registry) Revision() int64 { return r.revision }
 
-// Reset is for a list that comes from another service from now on: its revisions can't be compared with those before. It gives the hosts that had
-// watermarks.
+// Reset forgets everything, for a list that comes from another source from now on: its revisions can't be compared with those before. It gives the
+// hosts that had watermarks.
 func (r *Registry) Reset() (hosts []string) {
 	hosts = slices.Sorted(maps.Keys(r.received))
 	*r = *NewRegistry()
 	return hosts
 }
 
-// UpdateList takes the own list, complete or as a change. news is what it says for the first time of hosts that get nothing new, except in a first
-// list, or a complete one that is older than the last: everybody has these from discovery. changed names hosts for which a watermark holds no longer, or holds now.
-func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (news []Watermark, changed []string) {
+// UpdateList takes the own list, complete or as a change. fresh is the watermarks that it says for the first time; a first list, or a complete one
+// that is older than the last, has none, since the others have the same from discovery. changed names hosts for which a watermark holds no longer,
+// or holds now.
+func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (fresh []Watermark, changed []string) {
 	if !complete && revision < r.revision {
-		return nil, nil // a change of a list that is older than the one here
+		return nil, nil // a change of an older list
 	}
-	unannounced := r.revision < 0 || revision < r.revision
+	firstOrOlder := r.revision < 0 || revision < r.revision
 	if revision < r.revision {
 		changed = r.supersedeList(now, revision)
 	}
 	for _, h := range hosts {
-		news = r.updateHost(now, revision, h, news)
+		fresh = r.updateHost(now, revision, h, fresh)
 	}
-	news = r.updateUnnamed(now, revision, complete, hosts, news)
+	fresh = r.updateUnnamed(now, revision, complete, hosts, fresh)
 	r.revision = revision
 	changed = append(changed, r.dropOutdated()...)
 	slices.Sort(changed)
-	if unannounced {
-		news = nil
+	if firstOrOlder {
+		fresh = nil
 	}
-	return news, changed
+	return fresh, changed
 }
 
-// supersedeList drops the own list for a complete one that is older, as an agent may push it after an outage. That does not revoke the newer one's
-// watermarks: they hold as another proxy's do.
+// supersedeList drops the own list for a complete one that is older, as an agent may push after an outage. What the newer one has said of hosts
+// that drain or are gone is not revoked: it holds as another proxy's watermarks do.
 func (r *Registry) supersedeList(now Time, revision int64) (changed []string) {
 	for host, o := range r.own {
 		w, known := r.received[host]
@@ -89,36 +91,36 @@
 	return changed
 }
 
-// updateUnnamed takes hosts that a complete list does not name for gone, and forgets those that have been gone for long.
-func (r *Registry) updateUnnamed(now Time, revision int64, complete bool, hosts []ListedHost, news []Watermark) []Watermark {
+// updateUnnamed marks hosts gone that a complete list does not name, and forgets those that have been gone for goneRetention.
+func (r *Registry) updateUnnamed(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
 	named := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		named[h.Host] = true
 	}
 	for host, o := range r.own {
 		if complete && !named[host] && o.state != Gone {
-			news = r.updateHost(now, revision, ListedHost{host, o.startedAt, Gone}, news)
+			fresh = r.updateHost(now, revision, ListedHost{host, o.startedAt, Gone}, fresh)
 		} else if o.state == Gone && now-o.since > goneRetention {
 			delete(r.own, host)
 		}
 	}
-	return news
+	return fresh
 }
 
-func (r *Registry) updateHost(now Time, revision int64, h ListedHost, news []Watermark) []Watermark {
+func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
 	o, had := r.own[h.Host]
 	if had && o.state == h.State && o.startedAt == h.StartedAt {
-		return news
+		return fresh
 	}
 	if !had && len(r.own) >= maxWatermarks {
-		return news
+		return fresh
 	}
 	o = ownHost{h.StartedAt, h.State, revision, now}
 	r.own[h.Host] = o
 	if h.State == Up || !had && h.State == Gone {
-		return news
+		return fresh
 	}
-	return append(news, o.watermark(h.Host))
+	return append(fresh, o.watermark(h.Host))
 }
 
 // dropOutdated drops watermarks of lists that are no newer than the own one.
@@ -132,7 +134,7 @@
 	return hosts
 }
 
-// Merge takes another proxy's watermarks. changed names the hosts that are out now and were not.
+// Merge takes another proxy's watermarks. changed names the hosts for which Out has changed.
 func (r *Registry) Merge(now Time, all []Watermark) (changed []string) {
 	for _, w := range all {
 		if r.merge(now, w) {
@@ -143,7 +145,7 @@
 }
 
 func (r *Registry) merge(now Time, w Watermark) (changed bool) {
-	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or it says nothing
+	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or the watermark has no effect
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
@@ -159,22 +161,23 @@
 	case !had && len(r.received) >= maxWatermarks:
 		return false
 	}
-	heard := receivedWatermark{w, until, now}
+	next := receivedWatermark{w, until, now}
 	if had {
-		heard.since = old.since
+		next.since = old.since
 	}
 	wasOut := r.Out(now, w.Host, r.own[w.Host].startedAt)
-	r.received[w.Host] = heard
+	r.received[w.Host] = next
 	return r.Out(now, w.Host, r.own[w.Host].startedAt) != wasOut
 }
 
-// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list.
+// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has started anew since
+// is not meant.
 func (r *Registry) Out(now Time, host string, startedAt int64) bool {
-	w, heard := r.received[host]
-	return heard && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
+	w, received := r.received[host]
+	return received && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
 }
 
-// Expire drops watermarks that hold no longer, and names their hosts.
+// Expire drops watermarks whose time has passed, and names their hosts.
 func (r *Registry) Expire(now Time) (changed []string) {
 	for host, w := range r.received {
 		if now >= w.until {
@@ -186,7 +189,7 @@
 	return changed
 }
 
-// BehindSince is since when others have had a newer list than this one, as far as that keeps a host out here; 0: they have not.
+// BehindSince is since when the own list has called a host usable that a newer list keeps out here; 0: there is none.
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
 		o, listed := r.own[host]
@@ -197,8 +200,8 @@
 	return since
 }
 
-// NewerThan is all that is known of hosts that get nothing new by lists newer than a revision, sorted by revision: by the own list, and by others' for
-// as long as their watermarks still hold, so that no echo makes one hold longer.
+// NewerThan is all watermarks of lists newer than a revision, sorted by revision: the own list's with a full lifetime, and those received with what
+// is left of theirs. So no watermark is prolonged by being passed around.
 func (r *Registry) NewerThan(now Time, revision int64) []Watermark {
 	var all []Watermark
 	for host, o := range r.own {
@@ -206,10 +209,10 @@
 			all = append(all, o.watermark(host))
 		}
 	}
-	for _, heard := range r.received {
-		if heard.Revision > revision && now < heard.until {
-			w := heard.Watermark
-			w.ValidFor = heard.until - now
+	for _, received := range r.received {
+		if received.Revision > revision && now < received.until {
+			w := received.Watermark
+			w.ValidFor = received.until - now
 			all = append(all, w)
 		}
 	}
@@ -219,11 +222,11 @@
 	return all
 }
 
-// recordGossip records what others have sent, so that it need not be sent once more.
+// recordGossip records what others have sent, so that this proxy need not send it too.
 func (r *Registry) recordGossip(all []Watermark) {
 	for _, w := range all {
 		if len(r.gossiped) >= maxWatermarks {
-			clear(r.gossiped) // costs messages, and nothing else
+			clear(r.gossiped) // costs duplicate messages, and nothing else
 		}
 		r.gossiped[w.Host] = max(r.gossiped[w.Host], w.Revision)
 	}
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -9,8 +9,8 @@
 // Options are the section (floors …).
 type Options struct {
 	Enabled      bool          // default off
-	Source       string        // whose numbering discovery's lists have; "": its address
-	RefetchAfter time.Duration // a list that is behind for so long is fetched anew; default 2 s
+	Source       string        // names the source of discovery's lists, within which revisions are comparable; "": its address
+	RefetchAfter time.Duration // for how long a list may be behind before it is fetched anew; default 2 s
 }
 
 // Section is what operators write.
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -1,6 +1,7 @@
-// Package watermark owns the gossip among proxies about upstream hosts that drain or are gone. A proxy whose own endpoint list
-// lags places nothing at a host of which another's newer list says so. A watermark only ever takes a host out; none makes a host usable.
-// In the operators' file it is the section (floors ...). The Registry decides, without I/O and with time passed in; the Link sends and receives the datagrams.
+// Package watermark owns the gossip among proxies about upstream hosts that drain or are gone. A watermark is what one proxy's endpoint list says
+// of a host, with the list's revision: a proxy whose own list is older places nothing new at that host. A watermark only takes a host out; none
+// makes a host usable. In the operators' file the section is (floors ...). Registry decides, without I/O and with time passed in; Link sends and
+// receives the datagrams.
 package watermark
 
 // Time is nanoseconds on the caller's monotonic clock.
@@ -29,25 +30,25 @@
 	return "unknown"
 }
 
-// Lifetime is how long a watermark holds after the list that it is from was last known to say so. Without it one that was wrong, or of a numbering
-// that began anew, would keep a host out for good.
+// Lifetime is how long a watermark holds after its list was last known to say so. Without it a wrong one, or one of a source whose revisions
+// began anew, would keep a host out for good.
 const Lifetime = Time(30e9)
 
 const (
-	maxWatermarks = 4096
-	goneRetention = 2 * Lifetime // for which a host that has left the own list is still gossiped
+	maxWatermarks = 4096         // bounds each table of hosts here
+	goneRetention = 2 * Lifetime // for how long a host that has left the own list is still gossiped as gone
 )
 
-// Watermark is what a list says of one host that is to get nothing new.
+// Watermark says that one host is to get nothing new.
 type Watermark struct {
 	Host      string
-	StartedAt int64 // when the host last started, Unix milliseconds: a later start is not meant
+	StartedAt int64 // Unix milliseconds of the start that is meant: a host that has started since is not
 	Revision  int64 // of the list that first had it so
 	State     State
-	ValidFor  Time // for which it holds still
+	ValidFor  Time // how much longer it holds
 }
 
-// ListedHost is one host of the own list.
+// ListedHost is one host of the own endpoint list.
 type ListedHost struct {
 	Host      string
 	StartedAt int64 // Unix milliseconds
