--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -107,7 +107,7 @@
 	}
 	w.core.SetPeers(deafPeers{})
 	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActByForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
+	rules.SetActiveVersionForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
 	w.core.SetQuota(w)
 	w.core.SetRules(gate)
 	return w
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -42,7 +42,7 @@
 	if moving != nil {
 		b.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
-	rules.ActByForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
+	rules.SetActiveVersionForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
 	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
 	for id, h := range w.hosts {
 		w.owner[id] = namespace.Main
@@ -171,11 +171,11 @@
 		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
 			t.Fatal(err)
 		}
-		rules.ActByForTest(gate, &rules.Version{Number: 1}, w.now+1e12)
+		rules.SetActiveVersionForTest(gate, &rules.Version{Number: 1}, w.now+1e12)
 		w.core.SetRules(gate)
 		w.open("r")
 		w.upstreams[0].sent()
-		rules.ActByForTest(gate, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
+		rules.SetActiveVersionForTest(gate, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
 		w.core.ReassignPools()
 		w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.events = nil
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -36,7 +36,7 @@
 	w := newHarness(t)
 	c := &fakeQuota{held: map[string]int{}}
 	gate := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActByForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	rules.SetActiveVersionForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.SetQuota(c)
 	w.core.SetRules(gate)
 	w.onEvent = func(e string) {
@@ -103,7 +103,7 @@
 	if c.held["a"] != 0 {
 		t.Fatal("counted before there are accounts")
 	}
-	rules.ActByForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	rules.SetActiveVersionForTest(gate, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.ReassignPools()
 	w.core.ReassignPools()
 	if c.held["a"] != 1 {
--- a/internal/fleet/encoding/encoding.go
+++ b/internal/fleet/encoding/encoding.go
@@ -8,8 +8,8 @@
 	"errors"
 )
 
-// ErrTorn is of a record that ends early, or that holds a length beyond its field's bound.
-var ErrTorn = errors.New("encoding: the record is torn")
+// ErrMalformed is of a record that ends early, or that holds a length beyond its field's bound.
+var ErrMalformed = errors.New("encoding: the record is torn")
 
 // Writer appends fields to Data; its methods return it, so that calls can be chained.
 type Writer struct{ Data []byte }
@@ -42,10 +42,10 @@
 	return w
 }
 
-// Reader reads fields from the front of Data. After the first error all fields are zero.
+// Reader reads fields from the front of Data. After the first error all fields are zero, so that a caller need check Err only once, at the end.
 type Reader struct {
-	Data []byte // what is not read yet
-	torn bool
+	Data      []byte // what is not read yet
+	malformed bool
 }
 
 // Uint reads a number.
@@ -77,8 +77,8 @@
 // Text reads a string of at most maxBytes.
 func (r *Reader) Text(maxBytes int) string { return string(r.Bytes(maxBytes)) }
 
-// Count reads how many records follow, at most maxCount. Each has at least a byte, so that a count cannot make a caller allocate more than
-// the data's length.
+// Count reads how many records follow, at most maxCount. Each has at least a byte: a count beyond the data's length is malformed, so that no
+// datagram makes a caller allocate more than it has bytes.
 func (r *Reader) Count(maxCount int) int {
 	n := r.Uint()
 	if n > uint64(maxCount) || n > uint64(len(r.Data)) {
@@ -88,12 +88,12 @@
 	return int(n)
 }
 
-// Err is ErrTorn if a field could not be read; nil: all could.
+// Err is ErrMalformed if a field could not be read; nil: all could.
 func (r *Reader) Err() error {
-	if r.torn {
-		return ErrTorn
+	if r.malformed {
+		return ErrMalformed
 	}
 	return nil
 }
 
-func (r *Reader) fail() { r.torn, r.Data = true, nil }
+func (r *Reader) fail() { r.malformed, r.Data = true, nil }
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -12,10 +12,10 @@
 
 var errUnknownChange = errors.New("a kind of change that is not known here")
 
-// versionByNumber gives an earlier version, or the active one; nil: it is in the history no longer.
+// versionByNumber gives an earlier version, or the active one; nil: the history no longer has it.
 type versionByNumber func(number uint64) *Version
 
-// next is a copy with the following number, to which changes may be applied; nothing of v is changed through it.
+// next is a copy with the following number, to which changes may be applied without changing v.
 func (v *Version) next() *Version {
 	n := *v
 	n.Number++
@@ -34,8 +34,8 @@
 	return v.Check()
 }
 
-// Apply gives the version after a change. The complete version is checked, so that no order of changes evades an account's limits. history
-// serves KindRollback.
+// Apply gives the version after a change. The complete version is checked, so that no order of changes evades an account's limits. history is
+// for KindRollback.
 func (v *Version) Apply(c *Change, history versionByNumber) (*Version, error) {
 	n := v.next()
 	return n, n.apply(v, c, history)
@@ -76,11 +76,11 @@
 	directory, old := proposed.namespaces(), *v.Directory
 	v.Directory.Pools = directory.Pools
 	v.Directory.Accounts = mergeAccounts(directory.Accounts, old.Accounts, v.Number)
-	v.Directory.Namespaces, err = mergeSpaces(directory.Namespaces, old.Namespaces, v.Directory.Accounts, v.Number)
+	v.Directory.Namespaces, err = mergeNamespaces(directory.Namespaces, old.Namespaces, v.Directory.Accounts, v.Number)
 	return err
 }
 
-// mergeAccounts gives the operators' accounts, with the numbers of those that stay as they are, and what customers have made below them.
+// mergeAccounts gives the operators' accounts, an unchanged one with its earlier number, and the accounts that customers have made below them.
 func mergeAccounts(proposed, old []namespace.Account, number uint64) (accounts []namespace.Account) {
 	for _, a := range proposed {
 		a.Number = number
@@ -100,8 +100,8 @@
 	return accounts
 }
 
-// mergeSpaces gives the operators' own namespace, and those of accounts that still exist.
-func mergeSpaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
+// mergeNamespaces gives the operators' own namespace, and those of accounts that still exist.
+func mergeNamespaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
 	for _, s := range proposed {
 		if s.Account != "" {
 			return spaces, fmt.Errorf("the namespace of account %s is changed by itself", s.Account)
@@ -121,12 +121,12 @@
 	return slices.BinarySearchFunc(all, name, func(a namespace.Account, name string) int { return cmp.Compare(a.Name, name) })
 }
 
-func findSpace(all []namespace.Namespace, account string) (int, bool) {
+func findNamespace(all []namespace.Namespace, account string) (int, bool) {
 	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
-// without gives the entries less the one at i, where it exists, and the number of the version that changed that one last. It
-// changes all, which is a copy of the next version's own.
+// without removes the entry at i, where it exists, and gives the number of the version that changed that entry last. It overwrites all, which
+// must be a slice that next has copied.
 func without[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
 	if !exists {
 		return all, 0
@@ -146,7 +146,7 @@
 	if err := namespace.CheckNamespace(&s); err != nil {
 		return err
 	}
-	i, exists := findSpace(v.Directory.Namespaces, c.Part)
+	i, exists := findNamespace(v.Directory.Namespaces, c.Part)
 	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.Number })
 	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
 		return err
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// setNumber numbers a version and all parts of it.
+// setNumber gives a version and all its parts a number: after a rollback every part counts as changed, so that no older change applies to it.
 func (v *Version) setNumber(number uint64) {
 	v.Number, v.OperatorsNumber = number, number
 	for i := range v.Directory.Namespaces {
@@ -218,7 +218,7 @@
 	}
 }
 
-// equalIgnoringNumbers reports whether two versions differ in numbers at most.
+// equalIgnoringNumbers reports whether two versions differ at most in numbers.
 func equalIgnoringNumbers(a, b *Version) bool {
 	x, y := a.next(), b.next()
 	x.setNumber(0)
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -9,10 +9,10 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// signatureDomain keeps a signature over a change from being one over anything else.
+// signatureDomain begins the signed bytes, so that a signature over something else under the same key is never valid for a change.
 const signatureDomain = "croftlock rules change\x00"
 
-// minSignedIDBytes keeps IDs of signed changes from meeting by chance.
+// minSignedIDBytes makes it unlikely that two signed changes have one ID by chance: the second would count as a retry of the first.
 const minSignedIDBytes = 8
 
 var (
@@ -22,7 +22,7 @@
 	errMalformedAccount = errors.New("and the account can't be read")
 )
 
-// signedBytes is what a signature is over: all of the change but the signature itself.
+// signedBytes is what a signature covers: all of the change but the signature itself.
 func (c *Change) signedBytes() []byte {
 	unsigned := *c
 	unsigned.Sig = nil
@@ -35,8 +35,8 @@
 	c.Sig = ed25519.Sign(key, c.signedBytes())
 }
 
-// authorize says who proposes a change, and whether a grant of v allows it. It is asked when the change comes and again when a version is made of
-// it: a grant that was revoked in between allows nothing. The operators propose at their own socket, unsigned.
+// authorize names the proposer of a change, and returns an error unless a grant of v allows it. It is called when the change arrives and again when
+// a version is made of it: a grant that was revoked in between allows nothing. Operators propose unsigned, at their own socket.
 func (p *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
 	if len(change.Key) == 0 {
 		return "operators", nil
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("kind_%d", uint8(k))
 }
 
-// Change is what an administrator proposes. It is made against a version: its subject must not have changed since that one.
+// Change is what an administrator proposes. It is a compare-and-set: its subject must not have changed since the version that it was made against.
 type Change struct {
 	_       struct{} `cbor:",toarray"`
 	ID      []byte   // a retry with the same ID is applied once
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// refusalKey is a tenant and a class; "" stands for all.
+// refusalKey is a tenant and a class; "" matches all.
 type refusalKey struct{ tenant, class string }
 
 // compiledVersion is a version in the form in which requests are judged.
@@ -42,7 +42,7 @@
 func (c *compiledVersion) compileNamespaces(directory *namespace.Directory) {
 	var err error
 	if c.namespaces, err = namespace.Compile(directory); err != nil {
-		panic(err) // Check has compiled it
+		panic(err) // Check has compiled the same directory
 	}
 	c.limits = map[string]quota.Limit{}
 	for _, a := range directory.Accounts { // sorted by name
@@ -52,7 +52,7 @@
 	}
 }
 
-// refuses reports whether the operators refuse a request, and after which time its client may come again: the most specific refusal decides.
+// refuses reports whether the operators refuse a request, and its Retry-After; of several refusals that match the most specific decides.
 func (c *compiledVersion) refuses(tenant, class string) (refused bool, advice time.Duration) {
 	for _, k := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
 		if ms, found := c.refusalAdvice[k]; found {
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -8,15 +8,15 @@
 	"io"
 )
 
-// The first byte of a transfer form. An encoded version begins with a CBOR map, so that neither can be one's first byte.
+// The first byte of a compressed version and of a delta. An uncompressed one begins with a CBOR map, whose first byte is never one of these.
 const (
 	formCompressed = 1
 	formDelta      = 2
 )
 
 const (
-	uncompressedUpTo = 4 << 10 // bytes sent as they are encoded, which earlier builds read
-	noDeltaUpTo      = 1 << 10 // bytes sent complete: a delta would save little
+	uncompressedUpTo = 4 << 10 // bytes that are sent uncompressed, which earlier builds can decode
+	noDeltaUpTo      = 1 << 10 // bytes that are sent complete: a delta would save little
 	maxReplyBytes    = 8 * maxEncodedBytes
 )
 
@@ -53,7 +53,7 @@
 	return b.Bytes()
 }
 
-// inflate bounds the output: a few bytes can expand to very many.
+// inflate bounds the output, since a few bytes can expand to very many.
 func inflate(data []byte, limit int64) ([]byte, error) {
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), limit+1))
 	switch {
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// run is consecutive elements of a version: either Count of the base's from From on, or one that the base has not.
+// run is consecutive elements of a version: either Count of the base's from From on, or a single one, Own, that the base lacks.
 type run[T any] struct {
 	_     struct{} `cbor:",toarray"`
 	From  uint32
@@ -23,15 +23,15 @@
 	ResultHash []byte
 	Head       []byte // the version without accounts and namespaces, encoded
 	Accounts   []run[namespace.Account]
-	Spaces     []run[namespace.Namespace]
+	Namespaces []run[namespace.Namespace]
 }
 
 func (d *delta) valid() bool {
 	return len(d.BaseHash) == len(Hash{}) && len(d.ResultHash) == len(Hash{})
 }
 
-func accountName(a *namespace.Account) string { return a.Name }
-func spaceName(s *namespace.Namespace) string { return s.Account }
+func accountName(a *namespace.Account) string        { return a.Name }
+func namespaceAccount(s *namespace.Namespace) string { return s.Account }
 
 func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
 	at := map[string]uint32{}
@@ -84,11 +84,11 @@
 		ResultHash: hash[:],
 		Head:       marshal(head),
 		Accounts:   toRuns(directory.Accounts, baseDirectory.Accounts, accountName),
-		Spaces:     toRuns(directory.Namespaces, baseDirectory.Namespaces, spaceName),
+		Namespaces: toRuns(directory.Namespaces, baseDirectory.Namespaces, namespaceAccount),
 	}
 }
 
-// apply gives the version that a delta describes. It is not checked.
+// apply gives the version that a delta describes. The caller checks it and its hash.
 func (d *delta) apply(base *Version) (*Version, error) {
 	v, baseDirectory := &Version{}, base.namespaces()
 	if unmarshal(d.Head, v) != nil {
@@ -99,7 +99,7 @@
 	if directory.Accounts, err = fromRuns(d.Accounts, baseDirectory.Accounts); err != nil {
 		return nil, err
 	}
-	if directory.Namespaces, err = fromRuns(d.Spaces, baseDirectory.Namespaces); err != nil {
+	if directory.Namespaces, err = fromRuns(d.Namespaces, baseDirectory.Namespaces); err != nil {
 		return nil, err
 	}
 	if v.Directory != nil || len(directory.Accounts)+len(directory.Namespaces) > 0 {
@@ -108,7 +108,7 @@
 	return v, nil
 }
 
-// encodeFor gives a version in the shortest form that a receiver with base reads; a nil base: it is not known what the receiver has.
+// encodeFor encodes a version in the shortest form that a receiver with base can decode; a nil base: the receiver may have nothing.
 func (v *Version) encodeFor(base *Version) []byte {
 	data := compress(v.Encode())
 	if base == nil || len(data) <= noDeltaUpTo {
@@ -120,13 +120,13 @@
 	return data
 }
 
-// errMissingBase says that a delta's base is not here: the version has to come complete.
+// errMissingBase says that the receiver lacks a delta's base: the version has to be sent complete.
 var errMissingBase = errors.New("rules: the version that a difference is from is not here")
 
-// versionByHash gives a version that is here; nil: it is not.
+// versionByHash gives a version that the receiver has; nil: it has none with that hash.
 type versionByHash func(Hash) *Version
 
-// onlyBase knows one version; nil: none.
+// onlyBase is for a receiver that has one version, or with nil none.
 func onlyBase(v *Version) versionByHash {
 	return func(h Hash) *Version {
 		if v != nil && v.Hash() == h {
@@ -174,7 +174,8 @@
 	return v, nil
 }
 
-// transferredHash is the hash by which the sender knows a version, also where it can't be decoded.
+// transferredHash is the hash by which the publisher knows a version that was sent, also where it can't be decoded: a member reports the fault
+// under it.
 func transferredHash(data []byte) Hash {
 	if data[0] == formDelta {
 		var d delta
--- a/internal/fleet/rules/encoding.go
+++ b/internal/fleet/rules/encoding.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encodingMode builds the library's tables at the first use: a start without rules pays nothing for them.
+// encodingMode builds the library's tables at the first use: a process without rules does not pay for them.
 var encodingMode = sync.OnceValue(func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -15,7 +15,7 @@
 	return m
 })
 
-// decodingMode bounds what a peer's bytes may make this process allocate.
+// decodingMode bounds what bytes from another process can make this one allocate.
 var decodingMode = sync.OnceValue(func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -9,35 +9,36 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// leasedVersion is the version that a process acts by, and until when it may.
+// leasedVersion is the version that a process acts by, and when its lease ends.
 type leasedVersion struct {
 	*compiledVersion
 	leaseEnd Time
 }
 
-// Enforcer judges requests by the version that this process acts by: one value and one deadline, read without a lock.
+// Enforcer judges requests by the version that this process acts by: one value with its lease's end, swapped and read as one atomic pointer, so
+// that a request is never judged by one version under another's lease.
 type Enforcer struct {
 	Now             func() Time
-	GraceAfterLapse bool          // once the lease has lapsed requests are judged by the last version, which others may have replaced; else they are refused
-	LapsedAdvice    time.Duration // Retry-After of requests that a lapsed lease refuses
-	// Clock is the time of day for routes that hold for a part of it; nil: time.Now.
+	GraceAfterLapse bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are refused
+	LapsedAdvice    time.Duration // Retry-After of requests that are refused since the lease has ended
+	// Clock is the time of day, for routes with a window; nil: time.Now.
 	Clock func() time.Time
 
-	active atomic.Pointer[leasedVersion] // nil: there was none yet
+	active atomic.Pointer[leasedVersion] // nil: no version yet
 }
 
 // Verdict is the answer to one request, or about one host.
 type Verdict struct {
 	Refused bool
 	Advice  time.Duration // Retry-After; 0: none
-	Version uint64        // by which it was given; 0: by none
+	Version uint64        // by which it was judged; 0: by none
 	Lapsed  bool          // the lease had ended
 	Account string        // whose the request is; "": the operators'
 	Route   string        // the route that decided, with its scope; "": none
 	Pools   []string      // in the order in which they are to be tried; nil: there are no pools
 }
 
-// Judge says whether a request may be placed, and where.
+// Judge says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
 func (e *Enforcer) Judge(q namespace.Request) (v Verdict) {
 	a, v := e.current()
 	if a == nil || v.Refused {
@@ -65,7 +66,7 @@
 	return 60*t.Hour() + t.Minute()
 }
 
-// Limits are an account's, by the version that this process acts by or acted by last.
+// Limits are an account's, by the active version or the last one.
 func (e *Enforcer) Limits(account string) quota.Limit {
 	if a := e.active.Load(); a != nil {
 		return a.limits[account]
@@ -95,7 +96,7 @@
 	return false
 }
 
-// Account is a tenant's by the version that this process acts by, or acted by last; "": the operators'.
+// Account is a tenant's, by the active version or the last one; "": the operators'.
 func (e *Enforcer) Account(tenant string) string {
 	if a := e.active.Load(); a != nil && a.namespaces != nil {
 		return a.namespaces.Account(tenant)
@@ -103,7 +104,7 @@
 	return ""
 }
 
-// Pool is the pool that a host is in; "": it is reassigned just now and in none. Without pools all hosts are in namespace.Main.
+// Pool is the pool that a host is in; "": in none, while it is reassigned. Without pools all hosts are in namespace.Main.
 func (e *Enforcer) Pool(host, kind, zone string) string {
 	if a := e.active.Load(); a != nil && a.namespaces != nil {
 		return a.namespaces.Pool(host, kind, zone)
@@ -111,7 +112,7 @@
 	return namespace.Main
 }
 
-// Explain says, for people, what becomes of a request by the version that this process acts by, and why.
+// Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the words that operators know.
 func (e *Enforcer) Explain(q namespace.Request) string {
 	a, v := e.current()
 	switch {
@@ -134,7 +135,7 @@
 	return s + "\n" + a.namespaces.Explain(q)
 }
 
-// Usable says whether a host may get something new.
+// Usable says whether a host may get new requests.
 func (e *Enforcer) Usable(host string) bool {
 	a, v := e.current()
 	if a == nil || v.Refused {
@@ -144,7 +145,7 @@
 	return !out
 }
 
-// current gives the version to judge by, nil for none, and the verdict so far: refused where the lease has lapsed.
+// current gives the version to judge by, nil for none, and the verdict so far: refused if the lease has ended, unless GraceAfterLapse is set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
 	a := e.active.Load()
 	if a != nil && e.Now() < a.leaseEnd {
@@ -160,7 +161,7 @@
 	return a, v
 }
 
-// ActiveVersion is the version by which this process acts, and for how much longer it may, in nanoseconds.
+// ActiveVersion is the number of the version that this process acts by, and how much longer its lease lasts, in nanoseconds.
 func (e *Enforcer) ActiveVersion() (number uint64, remaining Time) {
 	if a := e.active.Load(); a != nil {
 		return a.version.Number, max(0, a.leaseEnd-e.Now())
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// String writes a version as a settings file has it, an entry a line, so that two of them can be compared line by line. Accounts below others
-// and their namespaces have sections of their own.
+// String writes a version as a settings file has it, one entry a line, so that two versions can be compared by lines. Accounts below others and
+// customers' namespaces are sections of their own.
 func (v *Version) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		if reassigns(p.versions.active, s.version) {
-			s.version.Directory.Previous = ownersFrame(p.versions.active)
+			s.version.Directory.Previous = ownerAssignment(p.versions.active)
 		}
 		if err := s.version.finish(); err != nil {
 			replyAll(s.proposals, "refused: "+err.Error())
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -3,21 +3,21 @@
 import "croftlock/internal/fleet/namespace"
 
 const (
-	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count: an account that sends bad ones
-	// without end must not take the publisher's time from others.
+	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count too: an account that sends invalid ones without
+	// end must not take the publisher's time from others.
 	defaultChangesPerMinute = 600
-	burstDivisor            = 6 // a bucket holds ten seconds' worth of changes
-	maxBuckets              = 4 * MaxEntries
+	burstDivisor            = 6              // a bucket holds ten seconds' worth of changes
+	maxBuckets              = 4 * MaxEntries // bounds memory where keys are made up
 	nanosPerMinute          = 6e10
 )
 
-// tokenBucket is how many changes may still be proposed.
+// tokenBucket holds a token for each change that may be proposed now.
 type tokenBucket struct {
 	tokens   float64
 	filledAt Time
 }
 
-// take fills the bucket for the time that has passed, and takes a token if there is one.
+// take refills the bucket for the time that has passed, and takes a token if there is one.
 func (b *tokenBucket) take(now Time, perMinute float64) bool {
 	b.tokens = min(max(1, perMinute/burstDivisor), b.tokens+float64(now-b.filledAt)/nanosPerMinute*perMinute)
 	b.filledAt = now
@@ -28,7 +28,7 @@
 	return true
 }
 
-// rateLimiter has a bucket for each key and account, so that nobody spends another's tokens.
+// rateLimiter has a bucket for each pair of key and account, so that nobody spends another's tokens.
 type rateLimiter struct{ buckets map[string]*tokenBucket }
 
 func (l *rateLimiter) allow(now Time, c *Change, active *Version) bool {
@@ -37,7 +37,7 @@
 	b := l.buckets[id]
 	if b == nil {
 		if len(l.buckets) >= maxBuckets {
-			clear(l.buckets)
+			clear(l.buckets) // all start with full buckets again
 		}
 		b = &tokenBucket{tokens: max(1, perMinute/burstDivisor), filledAt: now}
 		l.buckets[id] = b
--- a/internal/fleet/rules/transfer.go
+++ b/internal/fleet/rules/reassignment.go
@@ -6,8 +6,8 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// reassigns reports whether a host or a tenant gets another owner between two versions. If so a transitional version comes between them, by which
-// nobody uses what is reassigned.
+// reassigns reports whether a host or a tenant gets another owner between two versions. If so a transitional version becomes active between them, by
+// which nobody uses what is reassigned: two versions may be in use side by side for a lease's time, and must not give one host to two owners.
 func reassigns(old, next *Version) bool {
 	before, after := tenantOwners(old), tenantOwners(next)
 	if len(before) != len(after) || !bytes.Equal(marshal(old.namespaces().Pools), marshal(next.namespaces().Pools)) {
@@ -21,7 +21,7 @@
 	return false
 }
 
-// tenantOwners gives each tenant's account: the deepest, since accounts are sorted by name and a child comes after its parent.
+// tenantOwners gives each tenant's account, which is the deepest that names it: accounts are sorted by name, so a child overwrites its parent.
 func tenantOwners(v *Version) map[string]string {
 	owners := map[string]string{}
 	for _, a := range v.namespaces().Accounts {
@@ -32,15 +32,15 @@
 	return owners
 }
 
-// ownersFrame is what a transitional version needs of the one before: whose each host and tenant was.
-func ownersFrame(v *Version) *namespace.Assignment {
+// ownerAssignment is what a transitional version needs of the one before: who owned each host and tenant.
+func ownerAssignment(v *Version) *namespace.Assignment {
 	directory := v.namespaces()
-	f := &namespace.Assignment{Pools: directory.Pools}
+	previous := &namespace.Assignment{Pools: directory.Pools}
 	for _, a := range directory.Accounts {
-		f.Accounts = append(f.Accounts, namespace.Account{Name: a.Name, Tenants: a.Tenants})
+		previous.Accounts = append(previous.Accounts, namespace.Account{Name: a.Name, Tenants: a.Tenants})
 	}
-	return f
+	return previous
 }
 
-// transitional reports whether a version is a step between two others, while something is reassigned.
+// transitional reports whether a version is an intermediate step while something is reassigned.
 func (v *Version) transitional() bool { return v.namespaces().Previous != nil }
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Section is what operators write: (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST), each as often as wanted; pools and accounts; and the
-// operators' own guards, routes and defaults.
+// Section declares the operators' part of a version: (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST), any number of each; pools and
+// accounts; and the operators' own guards, routes and defaults.
 func Section() settings.Section {
 	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.Form) any { return bindVersion(f) }}
 }
@@ -40,7 +40,7 @@
 	return r
 }
 
-// bindOperatorsNamespaces gives nil where nothing of it is written.
+// bindOperatorsNamespaces gives nil where the file has no pool, account or route.
 func bindOperatorsNamespaces(f *settings.Form) *namespace.Directory {
 	directory, own := &namespace.Directory{}, namespace.Namespace{}
 	namespace.BindPoolsAndAccounts(f, directory)
--- a/internal/fleet/rules/testing.go
+++ b/internal/fleet/rules/testing.go
@@ -1,6 +1,7 @@
 package rules
 
-// ActByForTest has an enforcer act by a version until a time, as a member with its lease does. It is for tests of what uses an enforcer.
-func ActByForTest(e *Enforcer, v *Version, until Time) {
-	e.active.Store(&leasedVersion{compileVersion(v), until})
+// SetActiveVersionForTest gives an enforcer a version and a lease that ends at a time, as Member does with a publisher's reply. The tests of
+// internal/dataplane/proxy use it: they have an enforcer, and no fleet.
+func SetActiveVersionForTest(e *Enforcer, v *Version, leaseEnd Time) {
+	e.active.Store(&leasedVersion{compileVersion(v), leaseEnd})
 }
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -1,5 +1,9 @@
-// Package rules owns the rules on which all proxies agree: immutable versions of them, the lease by which a process may act by one, and the
-// publisher's and the members' parts. It does no I/O and reads no clock; what is decided here are plain functions over values.
+// Package rules owns the rules on which all proxies agree: immutable versions of them, the lease without which no process may act by one, and the
+// parts of the publisher and of the members. It does no I/O and reads no clock, so that tests play it with clocks that drift.
+//
+// The publisher is the process that owns the rules' job; a member is any process of the fleet, the publisher's own included. A version is staged
+// when the group has stored it and members compile it, and active when the publisher grants leases to act by it. Promised: once any process acts by
+// a version, none acts by an older one for longer than a lease lasts.
 package rules
 
 import (
@@ -24,7 +28,7 @@
 	maxAdviceMillis = 60_000
 )
 
-// Refusal says that new requests get no placement. An empty tenant or class stands for all.
+// Refusal says that new requests get no placement. An empty tenant or class matches all.
 type Refusal struct {
 	Tenant string `cbor:"1,keyasint,omitempty"`
 	Class  string `cbor:"2,keyasint,omitempty"`
@@ -39,8 +43,8 @@
 type Version struct {
 	Number   uint64    `cbor:"1,keyasint"`
 	Refusals []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
-	HostsOut []string  `cbor:"3,keyasint,omitempty"` // hosts that get nothing new, sorted
-	// Root is the number of the version that changed the operators' own part last; each namespace and account has its own such number.
+	HostsOut []string  `cbor:"3,keyasint,omitempty"` // hosts that get no new requests, sorted
+	// OperatorsNumber is of the version that last changed the operators' own part; each namespace and account has such a number of its own.
 	OperatorsNumber uint64               `cbor:"4,keyasint,omitempty"`
 	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // pools, accounts, namespaces; nil: there are none
 }
@@ -83,7 +87,7 @@
 	return v, nil
 }
 
-// Check returns the first fault of a version, naming the entry.
+// Check returns the first fault of a version, and names the entry.
 func (v *Version) Check() error {
 	if n := v.Entries(); n > MaxEntries {
 		return fmt.Errorf("rules: %d entries, %d are possible", n, MaxEntries)
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -10,7 +10,7 @@
 	staged     *Version // nil: none
 	stagedHash Hash
 	stagedAt   Time
-	history    [][]byte // earlier versions, the newest last, each as its delta from the one after it
+	history    [][]byte // earlier versions, the newest last, each as a delta whose base is the one after it
 	transfers  transferCache
 }
 
@@ -26,7 +26,7 @@
 	s.staged, s.history = nil, history
 }
 
-// byNumber gives an earlier version, or the active one; nil: it is in the history no longer.
+// byNumber gives an earlier version, or the active one; nil: the history no longer has it. It decodes the deltas back from the active version.
 func (s *versionStore) byNumber(number uint64) *Version {
 	if number == s.active.Number {
 		return s.active
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// historyAfter is the history once next is active.
+// historyAfter is the history as it is once next is active.
 func (s *versionStore) historyAfter(next *Version) [][]byte {
 	history := s.history[:len(s.history):len(s.history)]
 	if !s.active.transitional() {
@@ -55,7 +55,7 @@
 	}
 	before, err := decodeVersion(history[n-1], onlyBase(s.active))
 	if err != nil {
-		return nil // none before it can be read either
+		return nil // nor can those before it be decoded, of which it is the base
 	}
 	return append(history[:n-1:n-1], before.encodeFor(next))
 }
@@ -63,7 +63,7 @@
 // transferKey is a version and the base of its delta; nil: it is sent complete.
 type transferKey struct{ version, base *Version }
 
-// transferCache encodes a version once for all members that ask for it and for the checkpoint.
+// transferCache holds encoded versions: one encoding serves all members and the checkpoint.
 type transferCache map[transferKey][]byte
 
 const maxTransfers = 4 // the active version and the staged one, each complete and as a delta
