--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// What a request is over.
+// The limit that a request is over, as commands and the log name it.
 const (
 	OverRate        = "rate"
 	OverConnections = "standing"
 )
 
 const (
-	maxWait             = 100 * Time(time.Millisecond) // of a request for a grant
-	urgentQueryInterval = 20 * Time(time.Millisecond)  // between two queries to a shard that can't wait for the next step
-	maxWaiting          = 1024                         // requests
+	maxWait             = 100 * Time(time.Millisecond) // that a request waits for a grant
+	urgentQueryInterval = 20 * Time(time.Millisecond)  // between two queries to a shard outside Step
+	maxWaiting          = 1024                         // requests that wait at a time
 )
 
-// Client is a proxy's own part: what it may use now. It may be used by several goroutines.
+// Client is a proxy's own part: what it may use now. Several goroutines may use it.
 type Client struct {
 	Now           func() Time
 	GrantLifetime Time
-	FleetSize     int // proxies, over which a limit is shared while no issuer is heard
+	FleetSize     int // proxies: while no issuer is heard, each uses an equal part of a limit
 	Limits        Limits
 	// SendQuery sends a query to a shard's issuer; its answer comes to ReplyReceived under the tag.
 	SendQuery func(shard int, tag uint64, body []byte)
@@ -38,15 +38,15 @@
 
 // shardState is what a client knows of a shard's issuer.
 type shardState struct {
-	urgentQueryFrom Time // until then no urgent query is sent
+	urgentQueryFrom Time // an urgent query before then is dropped
 	grantsUntil     Time // when the last of its grants lapses
 }
 
 // waitingRequest is a request that waits for a grant.
 type waitingRequest struct {
 	account string
-	spread  float64 // of the advice, 0 to 1
-	until   Time
+	spread  float64 // 0 to 1, spreads the Retry-After of several requests
+	until   Time    // when it is rejected
 	done    func(over string, advice time.Duration)
 }
 
@@ -62,15 +62,16 @@
 	return u
 }
 
-// shareFrom is when this proxy uses its own share of an account: some time after the issuer has begun to reserve that, however late its grants are.
+// shareFrom is when this proxy begins to use its own share of an account: after the issuer has begun to reserve that for it, however late the last
+// grant arrived.
 func (c *Client) shareFrom(account string) Time {
 	return c.shards[Shard(account)].grantsUntil + silentAfterLifetimes*c.GrantLifetime
 }
 
 func (c *Client) onOwnShare(now Time, account string) bool { return now >= c.shareFrom(account) }
 
-// Acquire asks for one more connection of an account. done hears of what there is no capacity, "" if there is, and when to come again, spread by spread (0 to
-// 1). Where only a permit that the issuer may have is missing the issuer is asked at once, and done hears once the answer has come, 100 ms later at the most.
+// Acquire reserves one more connection of an account. done is called with the limit that the request is over, "" for none, and the Retry-After, which
+// spread (0 to 1) varies. Where the issuer may have more to grant it is queried at once, and done is called with its reply, or after maxWait.
 func (c *Client) Acquire(account string, spread float64, done func(over string, advice time.Duration)) {
 	over, advice, waits := c.acquireOrWait(account, spread, done)
 	if !waits {
@@ -95,14 +96,15 @@
 	return over, advice, waits
 }
 
-// RetryWaiting lets requests that wait try again, and rejects those that have waited long enough. It is called with each answer and now and then.
+// RetryWaiting retries the requests that wait for a grant, and rejects those that have waited for maxWait. It is called with each reply and
+// periodically.
 func (c *Client) RetryWaiting() {
 	for _, o := range c.retryWaiting() {
 		o.done(o.over, o.advice)
 	}
 }
 
-// outcome is a request that waits no longer.
+// outcome is a request that no longer waits.
 type outcome struct {
 	waitingRequest
 	over   string
@@ -126,7 +128,7 @@
 	return outcomes
 }
 
-// tryAcquire uses what one more connection needs, of the account and each above it, or says of what there is none.
+// tryAcquire uses what one more connection needs, of the account and of each above it, or names the limit that is used up and uses nothing.
 func (c *Client) tryAcquire(now Time, account string, spread float64) (over string, advice time.Duration) {
 	accounts := withAncestors(account)
 	for _, a := range accounts {
@@ -148,7 +150,8 @@
 	return "", 0
 }
 
-// hasPermit reports whether a new connection has a permit: the issuer's while it is heard, else one of the own share.
+// hasPermit reports whether there is a permit for a new connection: one of the issuer's while it is heard, else one of the own share. The share's
+// bucket stays empty until then, so that no permits are saved up beside the issuer's.
 func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
 	if !c.onOwnShare(now, account) {
 		u.share.empty(now)
@@ -164,10 +167,10 @@
 		u.share.tokens--
 		return
 	}
-	u.permits[0].count-- // hasPermit has left no batch that is empty or has lapsed
+	u.permits[0].count-- // hasPermit has dropped empty and lapsed batches
 }
 
-// maxOpen is how many connections may be open here.
+// maxOpen is how many connections of an account may be open here.
 func (c *Client) maxOpen(now Time, account string, u *accountUsage, limit int) int {
 	if !c.onOwnShare(now, account) && now < u.maxOpenUntil {
 		return u.maxOpen
@@ -175,7 +178,7 @@
 	return limit / max(1, c.FleetSize)
 }
 
-// CountExisting counts a connection that is open already, whatever the limits.
+// CountExisting counts a connection that is open already, as one taken over in a hot restart, whatever the limits.
 func (c *Client) CountExisting(account string) { c.addOpen(account, 1) }
 
 // Release counts the end of a connection.
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,41 +6,43 @@
 )
 
 const (
-	silentAfterLifetimes    = 2 // a proxy that has not asked for so many grant lifetimes uses its own share
-	forgottenAfterLifetimes = 4 // one that has left the fleet has ended by then
-	maxIdleAccounts         = 4 * maxAccountsPerMessage
+	silentAfterLifetimes    = 2                         // grant lifetimes after its last query from which a proxy's share is reserved for it
+	forgottenAfterLifetimes = 4                         // grant lifetimes after which a proxy that has left the fleet has surely ended
+	maxIdleAccounts         = 4 * maxAccountsPerMessage // accounts kept before those without limits are dropped
 )
 
-// Issuer is the owner's part of one shard. What it has granted is in memory alone: its successor waits until all of that has lapsed.
+// Issuer is the owner's part of one shard. Its grants are in memory alone: its successor waits until all of them have lapsed.
 type Issuer struct {
-	GrantLifetime Time // how long a grant holds
-	FleetSize     int  // proxies of the fleet: one that is not heard of keeps to one part of so many
+	GrantLifetime Time // from the reply here, from the query at the proxy: a grant lapses there first
+	FleetSize     int  // proxies of the fleet: a share is the limit divided by it
 	Limits        Limits
 
-	owner         jobs.Owner // nil: this process does not own the job
-	grantsFrom    Time       // until then grants of an earlier issuer may hold
-	sequence      uint64
-	lastRequestAt map[uint32]Time // by peer
-	accounts      map[string]*issuedAccount
+	owner            jobs.Owner // nil: this process does not own the job
+	grantsFrom       Time       // until then grants of an earlier issuer may be valid, and nothing is granted
+	checkpointNumber uint64
+	lastRequestAt    map[uint32]Time // by proxy
+	accounts         map[string]*issuedAccount
 }
 
 var _ jobs.Job = (*Issuer)(nil)
 
 // issuedAccount is what is granted of one account.
 type issuedAccount struct {
-	permits jobs.Bucket
-	places  map[uint32][]placeGrant // by peer
+	permits     jobs.Bucket                  // refills at the account's rate
+	connections map[uint32][]connectionGrant // by proxy, the oldest first
 }
 
-// placeGrant is how many connections a proxy may have open until the grant lapses: a grant that is lost does not revoke the one before.
-type placeGrant struct {
+// connectionGrant is how many connections a proxy may have open until the grant lapses. Earlier grants count until they lapse: the reply with a
+// newer, smaller one may be lost.
+type connectionGrant struct {
 	maxOpen int
 	until   Time
 }
 
-// maxOpenAt is the most that a proxy may have open now; the last grant counts for as long as nothing newer is known.
-func (a *issuedAccount) maxOpenAt(now Time, peer uint32) int {
-	all := a.places[peer]
+// maxOpenAt is the most that a proxy may have open now, by any grant that is valid. The last grant counts even after it has lapsed: connections that
+// were opened by it may be open still.
+func (a *issuedAccount) maxOpenAt(now Time, proxy uint32) int {
+	all := a.connections[proxy]
 	if len(all) == 0 {
 		return 0
 	}
@@ -51,22 +53,22 @@
 			valid, most = append(valid, g), max(most, g.maxOpen)
 		}
 	}
-	a.places[peer] = valid
+	a.connections[proxy] = valid
 	return most
 }
 
-// Start begins with nothing to grant.
-func (s *Issuer) Start(now Time, o jobs.Owner, _, sequence uint64, _ []byte) error {
-	s.owner, s.sequence, s.grantsFrom = o, sequence, now+silentAfterLifetimes*s.GrantLifetime
+// Start begins an issuer that grants nothing until its predecessor's grants have lapsed.
+func (s *Issuer) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
+	s.owner, s.checkpointNumber, s.grantsFrom = o, checkpointNumber, now+silentAfterLifetimes*s.GrantLifetime
 	s.lastRequestAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
 
-// Stop ends the owner's part. It leaves nothing to its successor.
-func (s *Issuer) Stop() (sequence uint64, left []byte) {
+// Stop ends the owner's part. It leaves its successor an empty checkpoint.
+func (s *Issuer) Stop() (checkpointNumber uint64, checkpoint []byte) {
 	s.owner = nil
-	s.sequence++
-	return s.sequence, nil
+	s.checkpointNumber++
+	return s.checkpointNumber, nil
 }
 
 func (s *Issuer) account(now Time, name string) *issuedAccount {
@@ -76,7 +78,7 @@
 	if len(s.accounts) >= maxIdleAccounts {
 		s.forgetUnlimited()
 	}
-	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.grantsFrom)}, places: map[uint32][]placeGrant{}}
+	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.grantsFrom)}, connections: map[uint32][]connectionGrant{}}
 	s.accounts[name] = a
 	return a
 }
@@ -89,22 +91,23 @@
 	}
 }
 
-// unassigned is how many more connections may be open: a proxy that is not heard of holds what it was granted last, or its share, whichever is more.
+// unassigned is how many more connections may be granted. A proxy that never asked has its share reserved; one that has fallen silent its last grant
+// or its share, whichever is more, since it uses its share from then on.
 func (s *Issuer) unassigned(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
-	left := limit - max(0, s.FleetSize-len(s.lastRequestAt))*share
-	for peer, at := range s.lastRequestAt {
-		n := a.maxOpenAt(now, peer)
+	unassigned := limit - max(0, s.FleetSize-len(s.lastRequestAt))*share
+	for proxy, at := range s.lastRequestAt {
+		n := a.maxOpenAt(now, proxy)
 		if now-at >= silentAfterLifetimes*s.GrantLifetime {
 			n = max(n, share)
 		}
-		left -= n
+		unassigned -= n
 	}
-	return left
+	return unassigned
 }
 
-// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided by itself: a proxy needs a permit and a place of every one
-// above, too.
+// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided by itself: a parent's limit holds since a
+// connection needs a permit of every account above it, too, and counts as open there.
 func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	demands, err := decodeDemands(body)
 	if s.owner == nil || err != nil {
@@ -127,25 +130,25 @@
 			g.permits = a.permits.Take(d.permits)
 		}
 		if limit.Connections > 0 {
-			capacity := s.unassigned(now, a, limit.Connections) + a.maxOpenAt(now, from) // its earlier grant is its own already
-			g.maxOpen = grantedPlaces(d, capacity, limit.Connections)
+			capacity := s.unassigned(now, a, limit.Connections) + a.maxOpenAt(now, from) // what it was granted before is its own already
+			g.maxOpen = grantedConnections(d, capacity, limit.Connections)
 		}
 	}
-	a.places[from] = append(a.places[from], placeGrant{int(g.maxOpen), now + s.GrantLifetime})
+	a.connections[from] = append(a.connections[from], connectionGrant{int(g.maxOpen), now + s.GrantLifetime})
 	return g
 }
 
-// grantedPlaces is how many connections a proxy may have open where it may take up capacity. Where the limit was cut below what is open, each proxy
-// comes down in step, by taking nothing in place of what ends.
-func grantedPlaces(d demand, capacity, limit int) uint64 {
+// grantedConnections is how many connections a proxy may have open where it may use up to capacity. Where the limit was cut below what is open, every
+// proxy's grant shrinks in proportion to what it has open: nothing is closed, and no connection that ends is replaced.
+func grantedConnections(d demand, capacity, limit int) uint64 {
 	open := int(d.open)
 	if capacity < open {
 		return uint64(open * limit / max(1, limit+open-capacity))
 	}
-	return min(d.open+d.places, uint64(capacity))
+	return min(d.open+d.additional, uint64(capacity))
 }
 
-// Step forgets proxies that have left the fleet for good: their connections are closed.
+// Step forgets proxies that have left the fleet for so long that their connections are surely closed.
 func (s *Issuer) Step(now Time) {
 	if s.owner == nil {
 		return
@@ -154,11 +157,11 @@
 	for _, m := range s.owner.Members() {
 		present[m.Peer] = true
 	}
-	for peer, at := range s.lastRequestAt {
-		if !present[peer] && now-at > forgottenAfterLifetimes*s.GrantLifetime {
-			delete(s.lastRequestAt, peer)
+	for proxy, at := range s.lastRequestAt {
+		if !present[proxy] && now-at > forgottenAfterLifetimes*s.GrantLifetime {
+			delete(s.lastRequestAt, proxy)
 			for _, a := range s.accounts {
-				delete(a.places, peer)
+				delete(a.connections, proxy)
 			}
 		}
 	}
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -8,15 +8,15 @@
 
 const (
 	maxAccountsPerMessage = 512
-	maxAccountBytes       = 400
+	maxAccountBytes       = 400 // five names of 64 bytes, and more
 )
 
-// demand is what a proxy says of one account.
+// demand is what a proxy reports of one account.
 type demand struct {
-	account string
-	permits uint64 // new connections that it expects
-	open    uint64 // connections that are open
-	places  uint64 // further open connections that it expects
+	account    string
+	permits    uint64 // new connections that it expects
+	open       uint64 // connections that are open
+	additional uint64 // further open connections that it expects
 }
 
 // grant is what a proxy may use of one account until the grant's lifetime ends.
@@ -30,7 +30,7 @@
 	var w encoding.Writer
 	w.Uint(uint64(len(demands)))
 	for _, d := range demands {
-		w.Text(d.account).Uint(d.permits).Uint(d.open).Uint(d.places)
+		w.Text(d.account).Uint(d.permits).Uint(d.open).Uint(d.additional)
 	}
 	return w.Data
 }
@@ -38,12 +38,12 @@
 func decodeDemands(data []byte) (demands []demand, err error) {
 	r := encoding.Reader{Data: data}
 	for n := r.Count(maxAccountsPerMessage); n > 0; n-- {
-		demands = append(demands, demand{account: r.Text(maxAccountBytes), permits: readCount(&r), open: readCount(&r), places: readCount(&r)})
+		demands = append(demands, demand{account: r.Text(maxAccountBytes), permits: readCount(&r), open: readCount(&r), additional: readCount(&r)})
 	}
 	return demands, r.Err()
 }
 
-// encodeGrants writes grants in the form of demands, the number of open connections being 0.
+// encodeGrants writes grants in the form of demands, with 0 for the open connections and maxOpen in place of additional.
 func encodeGrants(grants []grant) []byte {
 	var w encoding.Writer
 	w.Uint(uint64(len(grants)))
@@ -57,10 +57,10 @@
 	lines, err := decodeDemands(data)
 	grants := make([]grant, len(lines))
 	for i, l := range lines {
-		grants[i] = grant{account: l.account, permits: l.permits, maxOpen: l.places}
+		grants[i] = grant{account: l.account, permits: l.permits, maxOpen: l.additional}
 	}
 	return grants, err
 }
 
-// readCount reads a number as far as an int holds it everywhere.
+// readCount reads a number and caps it, so that sums of counts fit an int on every platform.
 func readCount(r *encoding.Reader) uint64 { return min(r.Uint(), math.MaxInt32) }
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Step asks each shard for what is demanded of its accounts here, some times in a grant's lifetime. A proxy without demand says so: nothing is then
-// reserved for it.
+// Step queries each shard's issuer with the demand for its accounts here. It is called several times in a grant's lifetime. A proxy without demand
+// sends that: nothing is then reserved for it.
 func (c *Client) Step() {
 	for shard := range Shards {
 		c.query(shard, false)
@@ -11,7 +11,7 @@
 	c.RetryWaiting()
 }
 
-// query asks a shard's issuer; an urgent query is dropped where another was sent just before.
+// query queries a shard's issuer; an urgent query is dropped where another was sent just before.
 func (c *Client) query(shard int, urgent bool) {
 	if tag, demands := c.startQuery(shard, urgent); len(demands) > 0 {
 		c.SendQuery(shard, tag, encodeDemands(demands))
@@ -52,7 +52,7 @@
 	}
 }
 
-// forgetUnlimited drops accounts that only an earlier version of the rules has limited.
+// forgetUnlimited drops accounts that the active version no longer limits, unless connections of theirs are open.
 func (c *Client) forgetUnlimited(accounts []string) {
 	for a, u := range c.usage {
 		if _, limited := slices.BinarySearch(accounts, a); !limited && u.open == 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// ReplyReceived takes what was granted. It lapses counted from when it was asked for.
+// ReplyReceived takes grants. Their lifetime counts from when the query was sent, so that a late reply prolongs nothing.
 func (c *Client) ReplyReceived(tag uint64, body []byte) {
 	c.receiveGrants(tag, body)
 	c.RetryWaiting()
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -181,7 +181,7 @@
 		{"the limit was cut: all come down in step", 10, 5, 0, 10, 5},
 		{"no limit is left", 10, 5, -10, 0, 0},
 	} {
-		if got := grantedPlaces(demand{open: c.open, places: c.demanded}, c.capacity, c.limit); got != c.want {
+		if got := grantedConnections(demand{open: c.open, additional: c.demanded}, c.capacity, c.limit); got != c.want {
 			t.Errorf("%s: %d, expected %d", c.name, got, c.want)
 		}
 	}
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -12,8 +12,8 @@
 	demandHalvedAt Time
 }
 
-// permitBatch is the permits of one grant. Each lapses by itself: a later grant does not prolong an earlier one, else what nobody used for a while would
-// come on top of what the issuer has granted since.
+// permitBatch is the permits of one grant. Each lapses by itself: if a later grant prolonged it, unused permits would add up to more than the
+// account's rate.
 type permitBatch struct {
 	count int
 	until Time
@@ -31,7 +31,7 @@
 	return n
 }
 
-// addDemand counts a request; what came before is halved once in a grant's lifetime.
+// addDemand counts a request; the count is halved once in a grant's lifetime, so that it follows recent demand.
 func (u *accountUsage) addDemand(now, lifetime Time) {
 	if now-u.demandHalvedAt > lifetime {
 		u.recentDemand, u.demandHalvedAt = u.recentDemand/2, now
@@ -39,7 +39,7 @@
 	u.recentDemand++
 }
 
-// demand is what a proxy asks the issuer for.
+// demand is what the next query says of an account.
 func (u *accountUsage) demand(now, lifetime Time, account string, limit Limit) demand {
 	if now-u.demandHalvedAt > 2*lifetime {
 		u.recentDemand = 0
@@ -49,12 +49,12 @@
 		d.permits = uint64(u.recentDemand)
 	}
 	if limit.Connections > 0 {
-		d.places = uint64(u.recentDemand)
+		d.additional = uint64(u.recentDemand)
 	}
 	return d
 }
 
-// receive takes a grant. An older one that a newer has overtaken changes no places.
+// receive takes a grant. One that a newer grant has overtaken does not change the number of open connections.
 func (u *accountUsage) receive(g grant, until Time) {
 	if g.permits > 0 {
 		u.permits = append(u.permits, permitBatch{int(g.permits), until})
@@ -64,7 +64,7 @@
 	}
 }
 
-// shareBucket fills at this proxy's fair share of a rate while it hears no issuer. It holds one permit: none is saved.
+// shareBucket refills at this proxy's fair share of a rate while it hears no issuer. It holds one permit at most, so that none are saved up.
 type shareBucket struct {
 	tokens   float64
 	filledAt Time
