--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -51,7 +51,7 @@
 	whole("the faults that nobody dies of")
 
 	// A one-sided cut is a fact about a link.
-	r.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Peer: 2}})
+	r.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
 	named := func() bool {
 		rep, err := r.Ask(0)
 		for _, m := range rep.Members {
@@ -61,7 +61,7 @@
 		}
 		return false
 	}
-	plan = []simulation.Fault{{Kind: "one-way", StartMS: 0, DurationMS: 4000, Process: 1, Peer: 2}}
+	plan = []simulation.Fault{{Kind: "one-way", StartMS: 0, DurationMS: 4000, Process: 1, Destination: 2}}
 	done := make(chan error, 1)
 	go func() { done <- r.Play(plan) }()
 	if _, ok := experiment.Until(patience, func() bool { return named() || len(done) > 0 }); !ok || !named() && len(done) > 0 {
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -19,7 +19,7 @@
 	ackHeader    = 1 + 1 + 4 + 4
 )
 
-// messageID tells long messages apart.
+// messageID identifies a long message among those of one sender.
 type messageID struct{ incarnation, sequence uint32 }
 
 // piece is one part of a long message.
@@ -76,7 +76,7 @@
 	return ack{message, data[ackHeader:]}, true
 }
 
-// bitmap has a bit for each piece, the lowest of each byte first.
+// bitmap has a bit for each piece, the lowest bit of each byte first.
 type bitmap []byte
 
 func newBitmap(received []bool) bitmap {
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// add places a piece; false: it does not fit the earlier ones.
+// add stores a piece; false: it does not fit the earlier ones.
 func (m *incoming) add(p piece) bool {
 	if len(m.received) != p.count || !p.last() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
@@ -49,7 +49,7 @@
 	m := p.find(part.message)
 	if m == nil {
 		if part.last() {
-			return true // the length of the others is not known yet; it is sent again
+			return true // the length of the others is not known yet; this piece will be retransmitted
 		}
 		if part.count*len(part.body) > MaxMessage+len(part.body) {
 			return false
@@ -91,7 +91,7 @@
 	p.incoming = append(p.incoming, m)
 }
 
-// complete remembers a complete message by its id alone.
+// complete remembers a complete message by its id, so that retransmitted pieces are acknowledged and the message is not delivered twice.
 func (p *peerState) complete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
@@ -101,7 +101,7 @@
 	}
 }
 
-// sendAck tells a sender which pieces have arrived; nil: all. What does not fit is sent once more than necessary.
+// sendAck notifies a sender which pieces have arrived; nil: all. Pieces whose bits do not fit the datagram are retransmitted needlessly.
 func (b *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
 	b.buffer = ack{id, bits[:min(len(bits), b.pieceBytes)]}.append(b.buffer[:0])
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -8,7 +8,7 @@
 	data     []byte
 	acked    []bool // by piece
 	unacked  int
-	next     int // the piece after the last one sent, counted on over all rounds
+	next     int // counts pieces over all rounds of sending; modulo the number of pieces it is the next one
 	sentAt   Time
 	giveUpAt Time
 }
@@ -24,7 +24,7 @@
 		return ErrMessageTooLong
 	}
 	p := b.peer(to)
-	if len(p.outgoing) >= maxOutgoing { // newer messages matter more
+	if len(p.outgoing) >= maxOutgoing { // the oldest is the one most likely to be out of date
 		p.outgoing = p.outgoing[1:]
 		b.GivenUp++
 	}
@@ -60,10 +60,10 @@
 	}
 }
 
-// handleAck notes which pieces have arrived.
+// handleAck records which pieces have arrived.
 func (b *Transport) handleAck(now Time, from uint32, a ack) {
 	if a.message.incarnation != b.incarnation {
-		return // of an earlier process's message
+		return // for a message of an earlier process at this address
 	}
 	p := b.peer(from)
 	i := slices.IndexFunc(p.outgoing, func(o *outgoing) bool { return o.sequence == a.message.sequence })
@@ -71,15 +71,15 @@
 		return
 	}
 	o := p.outgoing[i]
-	o.note(a.bitmap)
+	o.acknowledge(a.bitmap)
 	if len(a.bitmap) == 0 || o.unacked == 0 {
 		p.outgoing = append(p.outgoing[:i:i], p.outgoing[i+1:]...)
 	} else if o.next < 2*len(o.acked) {
-		b.sendBurst(now, from, o) // the first round goes as fast as it is acknowledged
+		b.sendBurst(now, from, o) // the first round is paced by acks; retransmissions are by Tick
 	}
 }
 
-func (o *outgoing) note(received bitmap) {
+func (o *outgoing) acknowledge(received bitmap) {
 	for i := range o.acked {
 		if !o.acked[i] && received.has(i) {
 			o.acked[i] = true
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -11,7 +11,7 @@
 const (
 	// MaxMessage bounds a message, in bytes.
 	MaxMessage = 200 << 10
-	// GiveUpAfter is how long an unacknowledged message is sent again.
+	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
 	minPieceBytes  = 16
@@ -28,13 +28,13 @@
 	ErrMessageTooLong = errors.New("fragment: message over 200 KiB")
 )
 
-// Effects is what a Transport can do. What is passed is valid during the call only.
+// Effects is what a Transport has its user do. Data are valid during the call only.
 type Effects interface {
 	Datagram(peer uint32, data []byte)
 	Message(peer uint32, data []byte)
 }
 
-// peerState is what is under way with a peer.
+// peerState is the messages in flight to and from a peer.
 type peerState struct {
 	outgoing  []*outgoing // the oldest first
 	incoming  []*incoming // the oldest first
@@ -47,11 +47,11 @@
 	GivenUp   int // long messages
 
 	effects      Effects
-	incarnation  uint32 // tells this process's messages from an earlier one's
+	incarnation  uint32 // distinguishes this process's messages from those of an earlier one
 	lastSequence uint32
 	pieceBytes   int // of a message in one datagram
 	peers        map[uint32]*peerState
-	peerIDs      []uint32 // sorted: what is sent does not follow the order of a map
+	peerIDs      []uint32 // sorted: the order of sending must not follow that of a map, or runs could not be replayed
 	buffer       []byte
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// peer is what is under way with a peer, a new state where there is none yet.
+// peer is a peer's state, a new one where there is none yet.
 func (b *Transport) peer(id uint32) *peerState {
 	p := b.peers[id]
 	if p == nil {
@@ -79,7 +79,7 @@
 	return p
 }
 
-// Tick must be called every 20 to 100 ms: it sends again what is not acknowledged.
+// Tick must be called every 20 to 100 ms: it retransmits what is not acknowledged.
 func (b *Transport) Tick(now Time) {
 	for _, id := range b.peerIDs {
 		p := b.peers[id]
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -24,7 +24,7 @@
 // Options are the section (membership …) of the settings file.
 type Options struct {
 	Enabled   bool     // whether this process takes part; default: no
-	Fleet     string   // the fleet's name, by which others' datagrams are told apart; default: croftlock
+	Fleet     string   // the fleet's name; datagrams of another fleet are rejected; default: croftlock
 	Listen    string   // own address for datagrams; "": the platform's link is used
 	Peers     []string // every member's address as reached from here, the own included
 	Seeds     []string // addresses of some members, in place of Peers, where members come and go
@@ -58,7 +58,7 @@
 	f.Path("socket", "Unix socket at which operators ask who is there", &o.Socket)
 }
 
-// checkTogether reports settings that do not go together.
+// checkTogether reports settings that contradict each other.
 func (o *Options) checkTogether(f *settings.Form) {
 	if len(o.Seeds) > 0 && (len(o.Peers) > 0 || o.Listen == "") {
 		f.Fault("seeds", "seeds go with listen and without peers")
@@ -76,7 +76,7 @@
 	return err == nil
 }
 
-// parseAddresses reads a list of addresses; false: one is malformed or stands twice, or there is none.
+// parseAddresses reads a list of addresses; false: one is malformed or repeated, or there is none.
 func parseAddresses(to *[]string) func(s string) bool {
 	return func(s string) bool {
 		for _, address := range strings.Fields(s) {
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Report is a process's view as operators see it.
+// Report is a process's view as operators see it. Their names for fields stay: life is the incarnation, peer the slot.
 type Report struct {
 	Name        string         `json:"name"`
 	Version     uint64         `json:"version"`
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// ListenUnix opens a Unix socket for operators that only its owner may use. What a process that ended left of it is removed; the error is a
-// *SocketInUseError where another process listens on it.
+// ListenUnix opens a Unix socket for operators that only its owner may use. A socket file that an ended process has left is replaced; the error is
+// a *SocketInUseError where another process listens on it.
 func ListenUnix(path string) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, inUseTimeout); err == nil {
 		c.Close()
--- a/internal/fleet/membership/carry_test.go
+++ b/internal/fleet/membership/carry_test.go
@@ -7,13 +7,13 @@
 
 // pipe is one end of two, whose datagrams go to the other.
 type pipe struct {
-	peer     *Core
+	other    *Core
 	now      Time
 	received [][]byte
 	sender   uint32
 }
 
-func (p *pipe) Send(_ int, data []byte) { p.peer.Receive(p.now, 0, bytes.Clone(data)) }
+func (p *pipe) Send(_ int, data []byte) { p.other.Receive(p.now, 0, bytes.Clone(data)) }
 func (p *pipe) Changed(Change)          {}
 func (p *pipe) CarriedData(from uint32, channel byte, data []byte) {
 	if channel == 7 {
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.peer, b.peer = two, one
+	a.other, b.other = two, one
 	one.Carry(0, ID("b"), 7, []byte("too early")) // its address is not known
 	for now := Time(1); now < 2*sec; now += 50 * ms {
 		a.now, b.now = now, now
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// heartbeatInterval is how often the alternatives send a heartbeat, and heartbeatBytes its length.
+	// heartbeatInterval is between two heartbeats of a process, and heartbeatBytes the length of one.
 	heartbeatInterval = 500 * Ms
 	heartbeatBytes    = 40
 	// maxLinks bounds how many links are simulated: all are alike.
@@ -54,7 +54,7 @@
 	return alarm
 }
 
-// Heartbeats is the alternative of heartbeats from all to all, with a phi-accrual detector at each (Hayashibara): phi 8 over a window of
+// Heartbeats models the alternative of heartbeats from all to all, with a phi-accrual failure detector at each (Hayashibara): phi 8 over a window of
 // 100 intervals.
 func Heartbeats(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 13))
@@ -94,8 +94,8 @@
 	observerVoteFor = 100 * Ms
 )
 
-// Observers is the alternative of fixed observers for each member and a vote of all on each change of the view (Rapid): ten observers
-// probe each second, and nine of them must have missed three answers in a row.
+// Observers models the alternative of fixed observers for each member and a vote of all on each change of the view (Rapid): ten observers probe
+// once a second, and nine of them must have missed three answers in a row.
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 17))
 	observers := min(observersEach, n-1)
@@ -106,7 +106,7 @@
 	for range members {
 		alarms += observerAlarms(r, lost, observers, int(duration/observerProbe))
 	}
-	// The slowest of the observers that are needed, and a vote that goes from all to all once.
+	// The slowest of the observers that are needed, and one round of votes from all to all.
 	var delays []Time
 	for range observerDeaths {
 		at := make([]float64, observers)
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -6,15 +6,15 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// violate notes the first violated invariant.
+// violate records the first violated invariant, which ends the run.
 func (f *Fleet) violate(format string, a ...any) {
 	if f.Violation == "" {
 		f.Violation = fmt.Sprintf("at %d ms: ", f.now/Ms) + fmt.Sprintf(format, a...)
 	}
 }
 
-// check checks the invariants that show at one process: its version never falls, no member goes back to an earlier process, and nobody
-// is gone whom all others hear.
+// check checks the invariants of one process's view: its version never falls, no member goes back to an earlier incarnation's process, and no
+// member is gone that all others hear.
 func (n *Node) check() {
 	f := n.fleet
 	if f.SkipChecks {
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkChange checks that a process accuses nobody right after it was paused for a second or more.
+// checkChange checks that a process suspects nobody within a second after a pause of more than a second: its own silence proves nothing.
 func (n *Node) checkChange(c membership.Change) {
 	accuses := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
 	if accuses && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
@@ -44,7 +44,7 @@
 	}
 }
 
-// heardByAll says whether all processes that act, a member aside, have heard the member's process within a second.
+// heardByAll says whether all other processes that run have heard a member's process within the last second.
 func (f *Fleet) heardByAll(member membership.Member) bool {
 	others := 0
 	for i, o := range f.Nodes {
@@ -74,7 +74,7 @@
 	return membership.Joining
 }
 
-// Disagreement says whose view is wrong, or which views differ; "": every process that runs sees every other as it is.
+// Disagreement names a process whose view is wrong, or two whose views differ; "": every running process sees every other as it is.
 func (f *Fleet) Disagreement() string {
 	digest, first := uint32(0), -1
 	for i, n := range f.Nodes {
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -7,11 +7,11 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Cost is what a way to detect failures costs, and how well it detects.
+// Cost is what a failure detector costs, and how well it detects.
 type Cost struct {
-	Messages, Bytes float64 // a second an instance
+	Messages, Bytes float64 // per second and process
 	Known           Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
-	FalseAlarms     float64 // an hour in the whole fleet: a living member that somebody sees as unreachable
+	FalseAlarms     float64 // per hour in the whole fleet: a living member that some process sees as unreachable
 }
 
 // observation collects what the processes of a run conclude.
@@ -21,7 +21,7 @@
 	knows  map[int]Time // by process: how long after the death it saw the victim as unreachable
 }
 
-// Measure runs this package's own way: n processes, at a loss, for a time in which nothing happens, and then one death.
+// Measure runs package membership: n processes that lose a part of all datagrams, for a duration without a fault, and then one death.
 func Measure(n int, loss float64, duration Time, seed uint64) Cost {
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
@@ -56,7 +56,7 @@
 	return c
 }
 
-// knownAfter is when 99 in 100 of the survivors knew of a death; -1: fewer did.
+// knownAfter is the time by which 99 in 100 of the survivors knew of a death; -1: fewer did.
 func knownAfter(knows map[int]Time, survivors int) Time {
 	var delays []Time
 	for _, t := range knows {
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -14,7 +14,7 @@
 // Time is nanoseconds since the run began.
 type Time = int64
 
-// Units of Time, and the step of a run.
+// Units of Time, and the interval of a process's turns.
 const (
 	Ms  = Time(1e6)
 	Sec = Time(1e9)
@@ -44,9 +44,9 @@
 	Jitter      Time    // at most so much more: a later datagram may overtake an earlier one
 	CutLinks    map[link]bool
 	OnChange    func(at int, c membership.Change)
-	Sent        func(from, slot int, datagram []byte) // is called with each datagram before the network has it; nil: not called
-	SkipChecks  bool                                  // no invariant is checked: for large fleets, where that is most of the work
-	Seeds       int                                   // above 0: processes know the addresses of so many, and learn the others'
+	Sent        func(from, slot int, datagram []byte) // is called with each datagram before faults of the network apply; nil: not called
+	SkipChecks  bool                                  // no invariant is checked: in large fleets that is most of the work
+	Seeds       int                                   // above 0: each process knows the addresses of the first so many, and learns the others'
 	Violation   string                                // the first violated invariant
 
 	now       Time
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -73,7 +73,7 @@
 			{Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 3}, {Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 4}}, 0, all, 50},
 		{"a fifth of all lost", nil, 0.2, all, 120},
 		{"two fifths of all lost", nil, 0.4, all, 120},
-		{"a one-sided cut", []Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 30000, Process: 1, Peer: 2}}, 0, all, 60},
+		{"a one-sided cut", []Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 30000, Process: 1, Destination: 2}}, 0, all, 60},
 		{"one that is deaf", []Fault{{Kind: "deaf", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
 		{"one that is mute", []Fault{{Kind: "mute", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
 		{"a cut that comes again", []Fault{{Kind: "cut", StartMS: 5000, DurationMS: 2500, Process: 1}, {Kind: "cut", StartMS: 10000, DurationMS: 2500, Process: 1},
@@ -139,7 +139,7 @@
 // TestReachNamesTheLink: with a one-way cut whoever does not hear lists the other as unheard, and all stay alive.
 func TestReachNamesTheLink(t *testing.T) {
 	f := New(5, 3, membership.Config{})
-	f.Apply([]Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 60000, Process: 1, Peer: 2}})
+	f.Apply([]Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 60000, Process: 1, Destination: 2}})
 	f.Run(8 * Sec)
 	for _, m := range f.Nodes[0].Core.View() {
 		if m.ID == membership.ID("n2") && (len(m.Unheard) != 1 || m.Unheard[0] != membership.ID("n1")) {
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -16,8 +16,8 @@
 	Paused   bool
 	Deaf     bool // receives nothing
 	Mute     bool // what it sends is lost
-	Slow     bool // it gets each second turn only
-	WallStep Time // by which its wall clock is off
+	Slow     bool // it gets every second turn only
+	WallStep Time // by how much its wall clock is off
 	Sends    int
 
 	fleet     *Fleet
@@ -51,7 +51,8 @@
 	}
 }
 
-// takeTurn gives the process a turn, and then what waited for it. With the planted fault of unnoticed pauses, what waited comes first.
+// takeTurn gives the process a turn, and then the datagrams that waited for it. With the planted fault IgnorePause the datagrams come before the
+// tick.
 func (n *Node) takeTurn() {
 	inbox := n.inbox
 	n.inbox = nil
@@ -64,7 +65,7 @@
 	n.check()
 }
 
-// Send is the network: membership.Effects.
+// Send implements membership.Effects: it is the network.
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
 	n.Sends++
@@ -107,7 +108,7 @@
 	}
 }
 
-// Changed is membership.Effects'.
+// Changed implements membership.Effects.
 func (n *Node) Changed(c membership.Change) {
 	n.checkChange(c)
 	if n.fleet.OnChange != nil {
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -10,17 +10,17 @@
 
 // Fault is one line of a plan: something that happens to a process, a link or the network, for a time.
 type Fault struct {
-	Kind       string  // see IsFault
-	StartMS    Time    // in milliseconds
-	DurationMS Time    // in milliseconds
-	Process    int     // to which it happens
-	Peer       int     // at the other end, for faults of a link
-	Amount     float64 // loss, duplication: the probability; step: 0.2 is none, each 0.1 more is 30 s ahead
+	Kind        string  // see IsFault
+	StartMS     Time    // in milliseconds
+	DurationMS  Time    // in milliseconds
+	Process     int     // to which it happens
+	Destination int     // the process at the other end, for faults of a link
+	Amount      float64 // loss, duplication: the probability; step: 0.2 is none, each 0.1 more is 30 s ahead
 }
 
 // String is the fault as an S-expression, as plan files hold it.
 func (p Fault) String() string {
-	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", p.Kind, p.StartMS, p.DurationMS, p.Process, p.Peer, p.Amount)
+	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", p.Kind, p.StartMS, p.DurationMS, p.Process, p.Destination, p.Amount)
 }
 
 // The kinds of fault, as plan files name them. Processes:
@@ -35,18 +35,18 @@
 	faultStep    = "step"    // its wall clock is off
 )
 
-// Links, the network, and what only real processes can have: forged datagrams, since theirs are sealed, and a full disk.
+// Faults of links and of the network, and two that only real processes can have: garbage in place of sealed datagrams, and a full disk.
 const (
 	faultCut         = "cut"     // a process is cut off from all others
-	faultOneWay      = "one-way" // nothing arrives from Process at Peer
+	faultOneWay      = "one-way" // nothing arrives from Process at Destination
 	faultLoss        = "loss"
 	faultDuplication = "twice"
-	faultDelay       = "slow" // jitter of 100 ms
+	faultDelay       = "slow" // datagrams have a jitter of 100 ms
 	faultGarbage     = "garbage"
 	faultFullDisk    = "full"
 )
 
-// simulatedFaults are those that RandomPlan draws from; their order is part of what a seed means.
+// simulatedFaults are those that RandomPlan draws from. A seed stands for the same plan as long as their order stays.
 var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
 	faultDuplication, faultStep, faultSlow, faultDelay}
 
@@ -61,12 +61,12 @@
 	plan := make([]Fault, 1+r.IntN(6))
 	for i := range plan {
 		plan[i] = Fault{
-			Kind:       simulatedFaults[r.IntN(len(simulatedFaults))],
-			StartMS:    3000 + r.Int64N(15000),
-			DurationMS: 100 + r.Int64N(8000),
-			Process:    r.IntN(n),
-			Peer:       r.IntN(n),
-			Amount:     0.05 + 0.35*r.Float64(),
+			Kind:        simulatedFaults[r.IntN(len(simulatedFaults))],
+			StartMS:     3000 + r.Int64N(15000),
+			DurationMS:  100 + r.Int64N(8000),
+			Process:     r.IntN(n),
+			Destination: r.IntN(n),
+			Amount:      0.05 + 0.35*r.Float64(),
 		}
 	}
 	return plan
@@ -100,7 +100,7 @@
 	case faultCut:
 		return func() { f.cutOff(p.Process, true) }, func() { f.cutOff(p.Process, false) }
 	case faultOneWay:
-		return func() { f.cutLink(p.Process, p.Peer, true) }, func() { f.cutLink(p.Process, p.Peer, false) }
+		return func() { f.cutLink(p.Process, p.Destination, true) }, func() { f.cutLink(p.Process, p.Destination, false) }
 	case faultDeaf:
 		return during(&n.Deaf)
 	case faultMute:
@@ -139,7 +139,7 @@
 	}
 }
 
-// SettleTime is how long after the last fault all views agree at the latest.
+// SettleTime is within which all views agree after the last fault.
 const SettleTime = 20 * Sec
 
 // Play runs a random plan and returns the violated invariant, or the views that do not agree in time; "": neither.
@@ -153,7 +153,7 @@
 		return plan, f.Violation
 	}
 	if 2*f.running() <= n {
-		return plan, "" // without a majority nobody is given up for good, and views rest on what each process heard last
+		return plan, "" // without a majority nobody is gone, and each view keeps what its process heard last
 	}
 	return plan, f.Disagreement()
 }
--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// assignment is who has what: hosts to pools, tenants to accounts, and each account's limits.
+// assignment is the compiled form of Assignment: the pool of each host, the account of each tenant, and each account's limits.
 type assignment struct {
 	poolOfHost, poolOfPrefix, poolOfKind, poolOfZone map[string]string
 
 	prefixLengths   []int // of poolOfPrefix, longest first
 	pools           map[string]bool
-	accounts        map[string]*Account // with what the parent has filled in
+	accounts        map[string]*Account // empty settings filled in from the parent
 	accountOfTenant map[string]string
 	reserved        map[string]reservations // by parent
 }
 
-// reservations is what the children of an account have reserved in sum.
+// reservations is the sum that the children of an account have reserved.
 type reservations struct{ rate, connections uint64 }
 
 func compileAssignment(pools []Pool, accounts []Account) (*assignment, error) {
@@ -82,7 +82,8 @@
 	slices.Reverse(a.prefixLengths)
 }
 
-// addAccount adds an account whose parent is added already, and holds it to what the parent has: a child narrows, and never widens.
+// addAccount adds an account whose parent was added before, and rejects it if it has more than the parent in any respect: so customers who may
+// delegate can never give away more than they have.
 func (a *assignment) addAccount(account Account) error {
 	parts := strings.Split(account.Name, "/")
 	if len(parts) > MaxDepth || slices.ContainsFunc(parts, func(s string) bool { return !validName(s) }) {
@@ -108,7 +109,7 @@
 	return &Fault{Account: a.Name, Text: fmt.Sprintf(format, args...)}
 }
 
-// narrowTenants gives a child tenants of its parent's, and a top account such as nobody has.
+// narrowTenants takes a child's tenants from its parent, and requires that nobody else has a top account's.
 func (a *assignment) narrowTenants(account, parent *Account) error {
 	for _, t := range account.Tenants {
 		owner, owned := a.accountOfTenant[t]
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -14,7 +14,7 @@
 	accounts map[string]*compiledAccount
 }
 
-// compiledAccount is an account with the namespaces that hold for it, the operators' first.
+// compiledAccount is an account with the namespaces that apply to it, the operators' first.
 type compiledAccount struct {
 	name         string
 	hash         uint64
@@ -84,7 +84,7 @@
 	return a
 }
 
-// CheckNamespace returns the fault of a namespace taken by itself; whether its account may have what it names shows in a directory.
+// CheckNamespace returns the fault of a namespace by itself. Whether its account may use the pools and classes that it names is checked by Compile.
 func CheckNamespace(s *Namespace) error {
 	_, err := (&assignment{}).compileNamespace(s)
 	return err
@@ -122,7 +122,7 @@
 	return c, nil
 }
 
-// checkRoute says what is wrong with a route, "" for nothing, and adds its name to those that are taken.
+// checkRoute says what is invalid in a route, "" for nothing, and adds its name to those that are taken.
 func (a *assignment) checkRoute(owner *Account, r *Route, names map[string]bool) string {
 	if names[r.Name] {
 		return "its name is taken"
@@ -134,7 +134,7 @@
 	return a.checkPermitted(owner, r)
 }
 
-// checkPermitted says what a route names that its account does not have.
+// checkPermitted says which pool or class of a route its account may not use; "": none.
 func (a *assignment) checkPermitted(owner *Account, r *Route) string {
 	if owner == nil || r.Refuse {
 		return ""
@@ -153,7 +153,7 @@
 	return ""
 }
 
-// checkReachable returns the fault of a route that one of an earlier list keeps all requests from.
+// checkReachable returns the fault of a route that no request can reach, since a route of an earlier list fits whatever it fits.
 func (c *compiledNamespace) checkReachable() error {
 	for _, lists := range []struct{ earlier, later *routeIndex }{{&c.guards, &c.routes}, {&c.guards, &c.defaults}, {&c.routes, &c.defaults}} {
 		for i := range lists.later.routes {
--- a/internal/fleet/namespace/explain.go
+++ b/internal/fleet/namespace/explain.go
@@ -8,8 +8,8 @@
 // maxNearMatches bounds how many other routes Explain names.
 const maxNearMatches = 8
 
-// Explain says what becomes of a request and why: its account, the route that decides, and those that fit or nearly fit. It looks at every route
-// that holds for the account and is for people, not for each request.
+// Explain says what becomes of a request and why: its account, the route that decides, and those that fit or nearly fit. It tests every route that
+// applies to the account: it is for operators' questions, not for each request.
 func (c *Compiled) Explain(q Request) string {
 	var b strings.Builder
 	v := c.Judge(q)
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// routeIndex finds the routes of one list by their conditions. Its cost follows the number of condition sets, not that of routes.
+// routeIndex finds the routes of one list by their conditions. A search costs one map lookup for each condition set, however many routes there are.
 type routeIndex struct {
 	conditionSets []conditionSet // most specific first
 	firstByKey    map[matchKey]int32
@@ -38,7 +38,7 @@
 	return conditionSet{group: k.group != "", class: k.class != "", zone: k.zone != "", prefixBytes: uint8(len(k.prefix))}
 }
 
-// project gives the part of a request's key that routes with these conditions compare; ok: it has all of it.
+// project gives the part of a request's key that routes with these conditions compare; ok: the request has all of these attributes.
 func (s conditionSet) project(k matchKey) (part matchKey, ok bool) {
 	if s.group {
 		if part.group = k.group; k.group == "" {
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// checkSameKey returns the fault among routes with the same key: two that are equally specific, or one that shares leave nothing.
+// checkSameKey returns the fault among routes with the same key: two that may fit one request and are equally specific, or one that no request
+// reaches, since shares of others add up to everything.
 func checkSameKey(account string, same []compiledRoute) error {
 	shares := 0
 	for i := range same {
@@ -143,7 +144,7 @@
 		for j := i + 1; j < len(same) && same[j].secondarySpecificity() == a.secondarySpecificity(); j++ {
 			b := same[j].Route
 			if a.hasShare() && !a.hasWindow() && sharesDisjoint(a, b) {
-				break // sorted by where they begin: those after b are disjoint too
+				break // sorted by ShareFrom: those after b are disjoint too
 			}
 			if a.overlaps(b) {
 				return &Fault{account, b.Name, fmt.Sprintf("it fits the same requests as %s, and neither is more specific", a.Name)}
@@ -188,7 +189,7 @@
 	return x.firstMatch(k, func(r *compiledRoute) bool { return r.fitsShareAndTime(share, minute) })
 }
 
-// covering gives a route that takes all that fits r; nil: none does alone.
+// covering gives a route that fits whatever r fits; nil: no single route does.
 func (x *routeIndex) covering(r *compiledRoute) *compiledRoute {
 	return x.firstMatch(r.key, func(o *compiledRoute) bool {
 		coversShare := !o.hasShare() || r.hasShare() && o.ShareFrom <= r.ShareFrom && r.ShareTo <= o.ShareTo
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is a request as the rules see it.
+// Request is the attributes of a request by which routes are chosen.
 type Request struct {
 	Tenant string `json:"Tenant"`
 	Class  string `json:"Class"`
@@ -19,24 +19,24 @@
 
 func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
 
-// classesRoute is named as the route where the account's classes have refused a request.
+// classesRoute stands for a route in the verdict where the account may not use the request's class.
 const classesRoute = "classes"
 
-// Verdict is what becomes of a request. It shares memory with the compiled directory and is not to be changed.
+// Verdict is what becomes of a request. It shares memory with the compiled directory and must not be changed.
 type Verdict struct {
 	Account      string
 	RouteAccount string // the account whose route decided
 	Route        string // "": none fits, and the account's first pool takes it
 	Refused      bool
-	Reassigned   bool // refused since its tenant changes accounts just now
+	Reassigned   bool // refused while its tenant is reassigned to another account
 	Advice       time.Duration
 	Pools        []string // in the order in which they are to be tried
 }
 
-// reassignedAdvice is the Retry-After while a tenant or a host is reassigned: that takes a few round trips, or a lease's time.
+// reassignedAdvice is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
 const reassignedAdvice = 500 * time.Millisecond
 
-// Judge finds the account first, then the route among those that hold for that account alone.
+// Judge finds the account first, and then the route among those that apply to that account.
 func (c *Compiled) Judge(q Request) Verdict {
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
@@ -54,7 +54,7 @@
 	return v
 }
 
-// find gives the route that decides: a guard of the account or one above it, a route of its own, a default, the nearest account's first.
+// find gives the route that decides: a guard, the operators' first; else a route of the account's own; else a default, the account's own first.
 func (a *compiledAccount) find(q *Request) *compiledRoute {
 	k, share := q.matchKey(), a.share(q.Key)
 	for _, s := range a.chain {
@@ -75,15 +75,16 @@
 	return a.defaultRoute
 }
 
-// shareHashFactor spreads hashes that differ in few bits: 2^64 divided by the golden ratio.
+// shareHashFactor is 2^64 divided by the golden ratio (Fibonacci hashing): it spreads hashes that differ in few bits.
 const shareHashFactor = 0x9e3779b97f4a7c15
 
-// share is a flow's place among all of the account's, from 0 to WholeShare, the same at every proxy and in every version.
+// share is a flow's position among all of the account's, from 0 up to WholeShare, the same at every proxy and in every version, so that a flow does
+// not change pools when a version does.
 func (a *compiledAccount) share(key string) uint16 {
 	return uint16((xxhash.Sum64String(key) ^ a.hash) * shareHashFactor >> 32 * WholeShare >> 32)
 }
 
-// Pool is the one pool that a host is in; "": it is reassigned just now and gets nothing new.
+// Pool is the one pool that a host is in; "": it is being reassigned, and gets no new requests.
 func (c *Compiled) Pool(host, kind, zone string) string {
 	p := c.current.pool(host, kind, zone)
 	if c.previous != nil && c.previous.pool(host, kind, zone) != p {
@@ -92,7 +93,7 @@
 	return p
 }
 
-// Limits are an account's, with what its parents fill in; nil: there is no such account.
+// Limits are an account's settings, empty ones filled in from its parents; nil: there is no such account.
 func (c *Compiled) Limits(account string) *Account { return c.current.accounts[account] }
 
 // Account is a tenant's; "": the operators'.
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -1,6 +1,7 @@
 // Package namespace owns where customers' requests may go: accounts, the pools that the hosts are split into, and each account's
-// namespace of routes. A request's account is found first, by its tenant, and only that account's chain is looked at, so that no
-// customer's rules reach another's requests. It does no I/O and reads no clock; a compiled directory is one immutable value.
+// namespace of routes. A request's account is found first, by its tenant, and only the routes of that account's chain are searched: its own and
+// those of the accounts above it, up to the operators. So no customer's routes reach another's requests. The package does no I/O and reads no
+// clock; a compiled directory is one immutable value.
 package namespace
 
 import (
@@ -8,16 +9,16 @@
 	"strings"
 )
 
-// Main is the pool of all hosts that no pool takes, and where requests go that no route sends elsewhere.
+// Main is the pool of all hosts that no other pool has, and the one that accounts use which name no pools.
 const Main = "main"
 
 // Bounds of a directory.
 const (
-	MaxDepth         = 5  // accounts under one another
-	MaxPrefixBytes   = 16 // of a key that a route may look at
-	MaxConditionSets = 16 // sets of conditions in one list of routes: they bound what a decision costs
+	MaxDepth         = 5  // levels of accounts
+	MaxPrefixBytes   = 16 // of a key, that a route may compare
+	MaxConditionSets = 16 // different sets of conditions in one list of routes: a decision looks up each
 	maxFallbacks     = 3  // pools of a route
-	maxNameBytes     = 64 // of an account's name for each part
+	maxNameBytes     = 64 // of a name; of an account's, for each part between slashes
 	maxAdviceMillis  = 60_000
 )
 
@@ -31,19 +32,19 @@
 	Pools      []Pool      `cbor:"1,keyasint,omitempty"` // by name
 	Accounts   []Account   `cbor:"2,keyasint,omitempty"` // by name: a parent stands before its children
 	Namespaces []Namespace `cbor:"3,keyasint,omitempty"` // by account; "" is the operators' own
-	// Previous is the assignment before, while something is reassigned: a host or a tenant that is given to another gets nothing until nobody acts
-	// by the version before.
+	// Previous is the earlier assignment, while something is reassigned: a host or a tenant that changes owners gets no new requests until no process
+	// acts by the version before.
 	Previous *Assignment `cbor:"4,keyasint,omitempty"`
 }
 
-// Assignment is the part of a directory that says whose each host and tenant is.
+// Assignment is the part of a directory that says who owns each host and tenant.
 type Assignment struct {
 	Pools    []Pool    `cbor:"1,keyasint,omitempty"`
 	Accounts []Account `cbor:"2,keyasint,omitempty"`
 }
 
-// Pool is hosts, chosen by what discovery says of them. A host's own name goes before the longest prefix of it, that before its kind, that before
-// its zone. Two pools never name the same, so each host is in exactly one.
+// Pool is hosts, chosen by their attributes in discovery. A host's name takes precedence over the longest prefix of it, that over its kind, that
+// over its zone. No two pools name the same, so each host is in exactly one.
 type Pool struct {
 	Name     string   `cbor:"1,keyasint"`
 	Hosts    []string `cbor:"2,keyasint,omitempty"`
@@ -52,11 +53,11 @@
 	Zones    []string `cbor:"5,keyasint,omitempty"`
 }
 
-// Account is a customer or one of its teams: "acme", "acme/web". What a list leaves empty is as the parent has it.
+// Account is a customer or one of its teams: "acme", "acme/web". An empty list means the parent's.
 type Account struct {
 	Name        string   `cbor:"1,keyasint"`
 	Tenants     []string `cbor:"2,keyasint,omitempty"`  // a request belongs to the deepest account that names its tenant
-	Pools       []string `cbor:"3,keyasint,omitempty"`  // it may use; the first takes what no route sends elsewhere
+	Pools       []string `cbor:"3,keyasint,omitempty"`  // it may use; the first gets the requests that no route fits
 	Classes     []string `cbor:"4,keyasint,omitempty"`  // it may use
 	Rate        Limit    `cbor:"5,keyasint,omitempty"`  // new connections a second, over the whole fleet
 	Connections Limit    `cbor:"6,keyasint,omitempty"`  // open connections, over the whole fleet
@@ -66,7 +67,8 @@
 	Number      uint64   `cbor:"10,keyasint,omitempty"` // of the version that changed it last
 }
 
-// Limit is a bound of an account and a part of it that is reserved. What is reserved for children is never more than what is for their parent, and none may have more than it.
+// Limit is a bound of an account and the part of it that is reserved. All children together reserve no more than their parent has reserved, and no
+// child's bound is above its parent's.
 type Limit struct {
 	Max      uint32 `cbor:"1,keyasint,omitempty"` // 0: as the parent has it
 	Reserved uint32 `cbor:"2,keyasint,omitempty"`
@@ -80,8 +82,8 @@
 	Until int64  `cbor:"4,keyasint,omitempty"` // Unix seconds; 0: without an end
 }
 
-// Namespace is an account's namespace. Guards hold for the account and all below it and come first; routes are the account's own; defaults hold
-// like guards and come last.
+// Namespace is an account's routes. Guards apply to the account and all below it, before their own; routes to the account alone; defaults to the
+// account and all below it, after their own.
 type Namespace struct {
 	Account  string  `cbor:"1,keyasint"`
 	Number   uint64  `cbor:"2,keyasint"` // of the version that changed it last
@@ -90,7 +92,7 @@
 	Defaults []Route `cbor:"5,keyasint,omitempty"`
 }
 
-// Fault is what is wrong with a directory, and where.
+// Fault is what is invalid in a directory, and where.
 type Fault struct {
 	Account string // "": the operators'
 	Route   string // "": it is the account's or a pool's
@@ -127,7 +129,7 @@
 	return top == "" || account == top || strings.HasPrefix(account, top+"/")
 }
 
-// validName reports whether a name can be written in a file, a log and a path.
+// validName reports whether a name can be written in a file, a log and a path without quotes.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Route says what becomes of the requests that fit all its conditions; an empty one fits all. Of several that fit the most specific counts:
-// a group before a key's prefix, the longer prefix first, then class, zone, window, share.
+// Route says what becomes of the requests that fit all its conditions; an empty condition fits all. Of several routes that fit, the most specific
+// decides: a group before a key's prefix, a longer prefix before a shorter one, then class, zone, window, share.
 type Route struct {
 	Name   string `cbor:"1,keyasint"`
 	Group  string `cbor:"2,keyasint,omitempty"`
@@ -28,7 +28,7 @@
 	Advice    uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a refused request in milliseconds; 0: none
 }
 
-// check says what is wrong with a route by itself; "": nothing.
+// check says what is invalid in a route by itself; "": nothing.
 func (r *Route) check() string {
 	switch {
 	case !validName(r.Name):
@@ -96,7 +96,7 @@
 	return names
 }
 
-// Describe writes what a route does, for people.
+// Describe writes what a route does, for operators.
 func (r *Route) Describe() string {
 	var conditions []string
 	for _, c := range []struct{ name, value string }{{"group", r.Group}, {"key", r.Prefix}, {"class", r.Class}, {"zone", r.Zone}} {
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -106,7 +106,7 @@
 	case "cut":
 		return func(from, to int) bool { return from == f.Process || to == f.Process }, cut
 	case "one-way":
-		return func(from, to int) bool { return from == f.Process && to == f.Peer }, cut
+		return func(from, to int) bool { return from == f.Process && to == f.Destination }, cut
 	case "deaf":
 		return func(_, to int) bool { return to == f.Process }, cut
 	case "mute":
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -43,7 +43,7 @@
 			return f, err
 		}
 	}
-	if f.Process >= processes || f.Peer >= processes || f.Amount > 1 {
+	if f.Process >= processes || f.Destination >= processes || f.Amount > 1 {
 		return f, fmt.Errorf("a process under %d and a part up to 1 are possible", processes)
 	}
 	return f, nil
@@ -70,7 +70,7 @@
 	case "a":
 		f.Process = int(number)
 	case "b":
-		f.Peer = int(number)
+		f.Destination = int(number)
 	case "part":
 		f.Amount = number
 	default:
--- a/internal/testbed/experiment/rigplan_test.go
+++ b/internal/testbed/experiment/rigplan_test.go
@@ -50,7 +50,7 @@
 		{"mute", true, false, true, false},
 		{"loss", true, true, true, true},
 	} {
-		which, change := linkEffect(simulation.Fault{Kind: c.kind, Process: victim, Peer: peer})
+		which, change := linkEffect(simulation.Fault{Kind: c.kind, Process: victim, Destination: peer})
 		if change == nil {
 			t.Fatalf("%s has no effect", c.kind)
 		}
