--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -7,61 +7,54 @@
 	"pgregory.net/rapid"
 )
 
-// However cuts, deafness, late answers, lost coordinators, a group without a lead and changes come together, with clocks a hundredth apart: no two
-// versions side by side for longer than stated, numbers only rise at each process, and once all is well everyone agrees again.
+// Drawn sequences of cuts, lost and late replies, new publishers, a group that stores nothing, and changes, with clocks that drift by 1 %: no two
+// versions are in use side by side for longer than a lease, no member goes back to an older version, and after the faults all act by the active one.
 func TestOverlapUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		g := newGroup(t, 4)
+		fleet := newTestFleet(t, 4)
 		for i := uint32(1); i <= 4; i++ {
-			g.clockRate[i] = rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(rt, "rate")
-		}
-		release := func() {
-			held := g.delayedReplies
-			g.delayedReplies, g.delayReplies = nil, false
-			for _, f := range held {
-				f()
-			}
+			fleet.clockRate[i] = rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(rt, "rate")
 		}
 		n := uint64(0)
 		for range rapid.IntRange(3, 25).Draw(rt, "steps") {
-			who := rapid.Uint32Range(1, 4).Draw(rt, "who")
+			member := rapid.Uint32Range(1, 4).Draw(rt, "who")
 			switch rapid.IntRange(0, 7).Draw(rt, "what") {
 			case 0, 1:
 				n++
-				g.put(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, g.publisher.versions.active.Number)
+				fleet.proposeOperators(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, fleet.publisher.versions.active.Number)
 			case 2:
-				g.cut[who] = !g.cut[who]
+				fleet.isolated[member] = !fleet.isolated[member]
 			case 3:
-				g.deaf[who] = !g.deaf[who]
+				fleet.losesReplies[member] = !fleet.losesReplies[member]
 			case 4:
-				g.restartPublisher()
+				fleet.restartPublisher()
 			case 5:
-				g.checkpointsFail = !g.checkpointsFail
+				fleet.checkpointsFail = !fleet.checkpointsFail
 			case 6:
-				g.delayReplies = true
+				fleet.delayReplies = true
 			case 7:
-				release()
+				fleet.release()
 			}
-			g.run(Time(rapid.IntRange(1, 120).Draw(rt, "time")) * 20 * ms)
+			fleet.run(Time(rapid.IntRange(1, 120).Draw(rt, "time")) * 20 * ms)
 		}
-		clear(g.cut)
-		clear(g.deaf)
-		g.checkpointsFail = false
-		release()
-		g.run(6 * within)
-		if o := g.overlap(); o > within {
-			rt.Fatalf("two versions side by side for %d ms", o/ms)
+		clear(fleet.isolated)
+		clear(fleet.losesReplies)
+		fleet.checkpointsFail = false
+		fleet.release()
+		fleet.run(6 * leaseDuration)
+		if o := fleet.longestOverlap(); o > leaseDuration {
+			rt.Fatalf("two versions in use side by side for %d ms", o/ms)
 		}
 		last := map[uint32]uint64{}
-		for _, a := range g.observations {
-			if a.number < last[a.who] {
-				rt.Fatalf("%d went back from version %d to %d", a.who, last[a.who], a.number)
+		for _, o := range fleet.observations {
+			if o.number < last[o.member] {
+				rt.Fatalf("member %d went back from version %d to %d", o.member, last[o.member], o.number)
 			}
-			last[a.who] = a.number
+			last[o.member] = o.number
 		}
 		for i := uint32(1); i <= 4; i++ {
-			if v := g.members[i].Enforcer.Judge(anyAsk); v.Lapsed || v.Version != g.publisher.versions.active.Number {
-				rt.Fatalf("%d acts by version %d (lapsed %t), %d is active, though all is well", i, v.Version, v.Lapsed, g.publisher.versions.active.Number)
+			if v := fleet.members[i].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != fleet.publisher.versions.active.Number {
+				rt.Fatalf("member %d acts by version %d (lapsed %t), %d is active, after all faults have ended", i, v.Version, v.Lapsed, fleet.publisher.versions.active.Number)
 			}
 		}
 	})
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"strings"
 	"testing"
 	"time"
 
@@ -10,153 +11,185 @@
 )
 
 const (
-	ms     = Time(1e6)
-	within = 1000 * ms
+	ms            = Time(1e6)
+	leaseDuration = 1000 * ms
 )
 
-// group is a publisher and members whose messages a test may delay or lose; each has a clock of its own speed.
-type group struct {
+// testFleet is a publisher and members in virtual time. A test may delay or lose their messages, and each member's clock has a rate of its own.
+type testFleet struct {
 	t                  *testing.T
 	now                Time
 	publisher          *Publisher
 	members            map[uint32]*Member
 	clockRate          map[uint32]float64
-	cut                map[uint32]bool // neither reaches the publisher nor hears it
-	deaf               map[uint32]bool // hears no replies
-	checkpointsFail    bool
-	answers            []string // to administrators
+	isolated           map[uint32]bool // by member: its messages are lost in both directions
+	losesReplies       map[uint32]bool // by member: the publisher's replies to it are lost
+	checkpointsFail    bool            // the group stores nothing
+	answers            []string        // to administrators
 	pendingCheckpoints []func()
-	checkpoint         []byte // the last one stored
+	checkpoint         []byte // the last one that the group has stored
 	observations       []observation
 	delayedReplies     []func()
-	delayReplies       bool // until release
+	delayReplies       bool // replies to members are kept in delayedReplies
 	recorder           *recorder
 }
 
-// observation is by which version a member acts at a time.
+// observation is the version that a member acts by at a time.
 type observation struct {
 	at     Time
-	who    uint32
+	member uint32
 	number uint64
 	lapsed bool
 }
 
-func (g *group) SendEffect(to uint32, _ uint64, body []byte) {
-	g.recorder.add("do", body)
-	if !g.cut[to] {
-		g.members[to].Notified(g.clock(to))
+func (fleet *testFleet) SendEffect(to uint32, _ uint64, body []byte) {
+	fleet.recorder.add("do", body)
+	if !fleet.isolated[to] {
+		fleet.members[to].Notified(fleet.clock(to))
 	}
 }
 
-func (g *group) StoreCheckpoint(number uint64, left []byte) error {
-	if g.checkpointsFail {
-		return errors.New("no lead")
+func (fleet *testFleet) StoreCheckpoint(number uint64, checkpoint []byte) error {
+	if fleet.checkpointsFail {
+		return errors.New("the lease of the job has ended")
 	}
-	g.recorder.add("note", left)
-	g.pendingCheckpoints = append(g.pendingCheckpoints, func() { g.checkpoint = left; g.publisher.CheckpointStored(g.now, number, true) })
+	fleet.recorder.add("note", checkpoint)
+	fleet.pendingCheckpoints = append(fleet.pendingCheckpoints, func() {
+		fleet.checkpoint = checkpoint
+		fleet.publisher.CheckpointStored(fleet.now, number, true)
+	})
 	return nil
 }
 
-func (g *group) Reply(to uint32, tag uint64, body []byte) {
-	g.recorder.add("answer", body)
+func (fleet *testFleet) Reply(to uint32, tag uint64, body []byte) {
+	fleet.recorder.add("answer", body)
 	if to == 0 {
-		g.answers = append(g.answers, string(body))
+		fleet.answers = append(fleet.answers, string(body))
 		return
 	}
-	if g.cut[to] || g.deaf[to] {
+	if fleet.isolated[to] || fleet.losesReplies[to] {
 		return
 	}
-	deliver := func() { g.members[to].ReplyReceived(g.clock(to), tag, body) }
-	if g.delayReplies {
-		g.delayedReplies = append(g.delayedReplies, deliver)
+	deliver := func() { fleet.members[to].ReplyReceived(fleet.clock(to), tag, body) }
+	if fleet.delayReplies {
+		fleet.delayedReplies = append(fleet.delayedReplies, deliver)
 		return
 	}
 	deliver()
 }
 
-func (g *group) Members() (all []jobs.Member) {
-	for i := uint32(1); i <= uint32(len(g.members)); i++ {
-		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Present: !g.cut[i]})
+func (fleet *testFleet) Members() (all []jobs.Member) {
+	for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
+		all = append(all, jobs.Member{Name: string(rune('a' + i - 1)), Peer: i, Present: !fleet.isolated[i]})
 	}
 	return all
 }
 
-func (g *group) clock(i uint32) Time { return 5e15 + Time(float64(g.now)*g.clockRate[i]) }
+func (fleet *testFleet) clock(i uint32) Time {
+	return 5e15 + Time(float64(fleet.now)*fleet.clockRate[i])
+}
 
-func newGroup(t *testing.T, n uint32) *group {
+func newTestFleet(t *testing.T, n uint32) *testFleet {
 	t.Helper()
-	g := &group{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, cut: map[uint32]bool{}, deaf: map[uint32]bool{}}
-	g.restartPublisher()
+	fleet := &testFleet{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, isolated: map[uint32]bool{}, losesReplies: map[uint32]bool{}}
+	fleet.restartPublisher()
 	for i := uint32(1); i <= n; i++ {
-		g.clockRate[i] = 1
-		enforcer := &Enforcer{Now: func() Time { return g.clock(i) }, LapsedAdvice: time.Second}
-		g.members[i] = &Member{AgreeWithin: within, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
-			g.recorder.add("ask", body)
-			if !g.cut[i] {
-				g.publisher.QueryReceived(g.now, i, tag, body)
+		fleet.clockRate[i] = 1
+		enforcer := &Enforcer{Now: func() Time { return fleet.clock(i) }, LapsedAdvice: time.Second}
+		fleet.members[i] = &Member{AgreeWithin: leaseDuration, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
+			fleet.recorder.add("ask", body)
+			if !fleet.isolated[i] {
+				fleet.publisher.QueryReceived(fleet.now, i, tag, body)
 			}
 		}}
 	}
-	g.run(2 * within)
-	return g
+	fleet.run(2 * leaseDuration)
+	return fleet
 }
 
-// restartPublisher begins a new publisher with what the last one has left with the group.
-func (g *group) restartPublisher() {
-	g.publisher, g.pendingCheckpoints = &Publisher{AgreeWithin: within}, nil
-	if err := g.publisher.Start(g.now, g, 1, 1, g.checkpoint); err != nil {
-		g.t.Fatal(err)
+// restartPublisher replaces the publisher by one that continues from the last checkpoint.
+func (fleet *testFleet) restartPublisher() {
+	fleet.publisher, fleet.pendingCheckpoints = &Publisher{AgreeWithin: leaseDuration}, nil
+	if err := fleet.publisher.Start(fleet.now, fleet, 1, 1, fleet.checkpoint); err != nil {
+		fleet.t.Fatal(err)
 	}
 }
 
-func (g *group) run(d Time) {
-	for end := g.now + d; g.now < end; g.now += 20 * ms {
-		pending := g.pendingCheckpoints
-		g.pendingCheckpoints = nil
-		for _, f := range pending {
-			f()
+// release delivers the delayed replies.
+func (fleet *testFleet) release() {
+	delayed := fleet.delayedReplies
+	fleet.delayedReplies, fleet.delayReplies = nil, false
+	for _, deliver := range delayed {
+		deliver()
+	}
+}
+
+// run advances time in steps of 20 ms, and observes each member at each step.
+func (fleet *testFleet) run(d Time) {
+	for end := fleet.now + d; fleet.now < end; fleet.now += 20 * ms {
+		pending := fleet.pendingCheckpoints
+		fleet.pendingCheckpoints = nil
+		for _, confirm := range pending {
+			confirm()
 		}
-		g.publisher.Step(g.now)
-		for i := uint32(1); i <= uint32(len(g.members)); i++ {
-			g.members[i].Step(g.clock(i))
-			v := g.members[i].Enforcer.Judge(anyAsk)
-			g.observations = append(g.observations, observation{g.now, i, v.Version, v.Lapsed})
+		fleet.publisher.Step(fleet.now)
+		for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
+			fleet.members[i].Step(fleet.clock(i))
+			v := fleet.members[i].Enforcer.Judge(anyRequest)
+			fleet.observations = append(fleet.observations, observation{fleet.now, i, v.Version, v.Lapsed})
 		}
 	}
 }
 
-func (g *group) put(v *Version, against uint64) {
-	g.publisher.QueryReceived(g.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
+func (fleet *testFleet) proposeOperators(v *Version, against uint64) {
+	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
 }
 
-func (g *group) last() string {
-	if len(g.answers) == 0 {
+// lastAnswer is the last one to an administrator.
+func (fleet *testFleet) lastAnswer() string {
+	if len(fleet.answers) == 0 {
 		return ""
 	}
-	return g.answers[len(g.answers)-1]
+	return fleet.answers[len(fleet.answers)-1]
+}
+
+// expectAnswer checks how the last answer to an administrator begins.
+func (fleet *testFleet) expectAnswer(prefix string) {
+	fleet.t.Helper()
+	if !strings.HasPrefix(fleet.lastAnswer(), prefix) {
+		fleet.t.Fatalf("the last answer is %q, expected %q", fleet.lastAnswer(), prefix)
+	}
+}
+
+// expectOverlapWithin checks the promise: no two versions are in use side by side for longer than a bound.
+func (fleet *testFleet) expectOverlapWithin(bound Time) {
+	fleet.t.Helper()
+	if o := fleet.longestOverlap(); o > bound {
+		fleet.t.Errorf("two versions in use side by side for %d ms, expected %d ms at most", o/ms, bound/ms)
+	}
 }
 
-// overlap is the longest time after the first act by a newer version at which somebody acted by an older one.
-func (g *group) overlap() (most Time) {
-	first := map[uint64]Time{}
+// longestOverlap is the longest time for which two versions were in use side by side: from the first use of a newer one to the last of an older one.
+func (fleet *testFleet) longestOverlap() (longest Time) {
+	firstUse := map[uint64]Time{}
 	newest := uint64(0)
-	for _, a := range g.observations {
-		if a.lapsed {
+	for _, o := range fleet.observations {
+		if o.lapsed {
 			continue
 		}
-		if _, seen := first[a.number]; !seen {
-			first[a.number] = a.at
+		if _, seen := firstUse[o.number]; !seen {
+			firstUse[o.number] = o.at
 		}
-		newest = max(newest, a.number)
-		for n := a.number + 1; n <= newest; n++ {
-			if at, seen := first[n]; seen {
-				most = max(most, a.at-at)
+		newest = max(newest, o.number)
+		for n := o.number + 1; n <= newest; n++ {
+			if at, seen := firstUse[n]; seen {
+				longest = max(longest, o.at-at)
 			}
 		}
 	}
-	return most
+	return longest
 }
 
-var anyAsk = namespace.Request{Tenant: "t", Class: "c"}
+var anyRequest = namespace.Request{Tenant: "t", Class: "c"}
 
 var refuseAll = &Version{Refusals: []Refusal{{Advice: 500}}}
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -9,26 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever administrators ask for in whatever order, at every version each host is in one pool, each tenant in one account, and no child has more
-// than its parent; and what a version says can be read back from its text.
+// Whatever administrators propose in whatever order: in every version each tenant is in one account, no child has more than its parent, and a
+// version decodes to the same text.
 func TestInvariantsHoldInAnyOrderOfChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := &Version{}
-		taken := 0
+		applied := 0
 		for range 12 {
 			name := rapid.SampledFrom([]string{"acme", "acme/web", "acme/web/x", "other", "other/y"}).Draw(rt, "name")
 			limit := func() namespace.Limit {
 				return namespace.Limit{Max: rapid.Uint32Range(0, 9).Draw(rt, "most"), Reserved: rapid.Uint32Range(0, 5).Draw(rt, "reserved")}
 			}
-			some := func(of ...string) (out []string) {
+			subset := func(of ...string) (drawn []string) {
 				for _, s := range of {
 					if rapid.Bool().Draw(rt, s) {
-						out = append(out, s)
+						drawn = append(drawn, s)
 					}
 				}
-				return out
+				return drawn
 			}
-			a := namespace.Account{Name: name, Tenants: some("t1", "t2", "t3"), Pools: some("a", "b"), Rate: limit(), Connections: limit()}
+			a := namespace.Account{Name: name, Tenants: subset("t1", "t2", "t3"), Pools: subset("a", "b"), Rate: limit(), Connections: limit()}
 			var c *Change
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
@@ -39,40 +39,40 @@
 			case 2:
 				c = RemoveAccount(name, v.Number, nil)
 			default:
-				c = ChangeNamespace(to(name, 0, "a"), v.Number, nil)
+				c = ChangeNamespace(namespaceTo(name, 0, "a"), v.Number, nil)
 			}
 			n, err := v.Apply(c, func(uint64) *Version { return nil })
 			if err != nil {
 				continue
 			}
-			taken++
+			applied++
 			v = n
 			if back, err := Decode(v.Encode()); err != nil || back.String() != v.String() {
-				rt.Fatalf("read back: %v", err)
+				rt.Fatalf("an encoded version is not decoded as it was: %v", err)
 			}
 			if v.Directory == nil {
 				continue
 			}
-			holder, sum := map[string]string{}, map[string]uint32{}
+			owner, reserved := map[string]string{}, map[string]uint32{}
 			compiled, err := namespace.Compile(v.Directory)
 			if err != nil {
 				rt.Fatal(err)
 			}
 			for _, a := range v.Directory.Accounts {
-				up := namespace.Parent(a.Name)
-				for _, x := range a.Tenants {
-					if h, held := holder[x]; held && h != up {
-						rt.Fatalf("tenant %s is %s's and %s's", x, h, a.Name)
+				parent := namespace.Parent(a.Name)
+				for _, tenant := range a.Tenants {
+					if other, owned := owner[tenant]; owned && other != parent {
+						rt.Fatalf("tenant %s belongs to %s and to %s", tenant, other, a.Name)
 					}
-					holder[x] = a.Name
+					owner[tenant] = a.Name
 				}
-				p, q := compiled.Limits(a.Name), compiled.Limits(up)
-				if sum[up] += a.Rate.Reserved; up != "" && (sum[up] > q.Rate.Reserved || q.Rate.Max > 0 && (p.Rate.Max > q.Rate.Max || p.Rate.Max == 0)) {
-					rt.Fatalf("%s has %+v, and %s %+v", a.Name, p.Rate, up, q.Rate)
+				own, above := compiled.Limits(a.Name).Rate, compiled.Limits(parent).Rate
+				if reserved[parent] += a.Rate.Reserved; parent != "" && (reserved[parent] > above.Reserved || above.Max > 0 && (own.Max > above.Max || own.Max == 0)) {
+					rt.Fatalf("%s has %+v, and its parent %s has %+v", a.Name, own, parent, above)
 				}
 			}
 		}
-		if taken == 0 {
+		if applied == 0 {
 			rt.Skip("no change could be made")
 		}
 	})
--- a/internal/fleet/rules/parts_test.go
+++ b/internal/fleet/rules/parts_test.go
@@ -8,7 +8,7 @@
 	limiter := rateLimiter{buckets: map[string]*tokenBucket{}}
 	v := twoCustomers()
 	v.Directory.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
-	acme := &Change{Part: "acme", Key: public(1)}
+	acme := &Change{Part: "acme", Key: publicKey(1)}
 	allowed := func(now Time, c *Change) (n int) {
 		for range 1000 {
 			if limiter.allow(now, c, v) {
@@ -25,9 +25,9 @@
 	}{
 		{"the burst", 0, acme, 10},
 		{"one second later", 1000 * ms, acme, 1},
-		{"after an hour", 3600 * 1000 * ms, acme, 10},
-		{"an account below", 3600 * 1000 * ms, &Change{Part: "acme/web", Key: public(1)}, 10},
-		{"another account", 3600 * 1000 * ms, &Change{Part: "other", Key: public(1)}, defaultChangesPerMinute / burstDivisor},
+		{"a full bucket after an hour", 3600 * 1000 * ms, acme, 10},
+		{"an account below", 3600 * 1000 * ms, &Change{Part: "acme/web", Key: publicKey(1)}, 10},
+		{"another account", 3600 * 1000 * ms, &Change{Part: "other", Key: publicKey(1)}, defaultChangesPerMinute / burstDivisor},
 	} {
 		if got := allowed(step.at, step.change); got != step.want {
 			t.Errorf("%s: %d changes allowed, expected %d", step.name, got, step.want)
@@ -49,7 +49,7 @@
 		{"faulty", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, fault: "too large"}}, readiness{faultyPeer: 1, faultReason: "too large"}},
 		{"faulty, and its lease has ended", []memberState{{leaseEnd: 5, fault: "too large"}}, readiness{all: true}},
 	} {
-		table := newLeaseTable(0, within)
+		table := newLeaseTable(0, leaseDuration)
 		for i := range c.members {
 			*table.member(uint32(i)) = c.members[i]
 		}
@@ -59,11 +59,11 @@
 	}
 }
 
-// Between the two ends of a lease lie clocks that run apart: the publisher's comes later even if the member's clock is the slower one.
+// The publisher's end of a lease comes after the member's, even if the member's clock runs 1 % slow and the publisher's 1 % fast.
 func TestPublisherCountsALeaseLonger(t *testing.T) {
-	member, publisher := LeaseEnd(0, within), LeaseSurelyEnded(0, within)
+	member, publisher := LeaseEnd(0, leaseDuration), LeaseSurelyEnded(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
-		t.Errorf("a member's lease of %d ends after the publisher's %d", member, publisher)
+		t.Errorf("the member's lease ends at %d, after the publisher's end at %d", member, publisher)
 	}
 }
 
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recorder notes all that passes between a publisher, its members and the group that keeps its state.
+// recorder records all messages between a publisher, its members and the group that stores its checkpoints.
 type recorder struct {
 	digest  *golden.Digest
 	samples *golden.Samples
@@ -26,7 +26,7 @@
 	}
 }
 
-// randomChange is a change as some administrator may ask for it; many are refused.
+// randomChange is a change as some administrator may propose it; many are rejected.
 func randomChange(rng *rand.Rand, against uint64) *Change {
 	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
 	pools := []string{"a", "b", namespace.Main}
@@ -37,7 +37,7 @@
 	case 1:
 		return ChangeOperators(&Version{Refusals: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
 	case 2, 3:
-		return ChangeNamespace(to(account, 0, pools[rng.Intn(3)]), against, id)
+		return ChangeNamespace(namespaceTo(account, 0, pools[rng.Intn(3)]), against, id)
 	case 4:
 		return ChangeAccountTo(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
 	case 5:
@@ -45,66 +45,66 @@
 	case 6:
 		return RollBackTo(uint64(rng.Intn(int(against)+2)), against, id)
 	}
-	moved := twoCustomers()
-	moved.Directory.Pools[0].Kinds, moved.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
-	return ChangeOperators(moved, against, id)
+	reassigned := twoCustomers()
+	reassigned.Directory.Pools[0].Kinds, reassigned.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
+	return ChangeOperators(reassigned, against, id)
 }
 
-// randomStep does one thing to the group: a change, a question, a fault or its end.
-func randomStep(g *group, rng *rand.Rand) {
-	member := 1 + uint32(rng.Intn(len(g.members)))
+// randomStep does one thing to the fleet: a change, a query, a fault or its end.
+func randomStep(fleet *testFleet, rng *rand.Rand) {
+	member := 1 + uint32(rng.Intn(len(fleet.members)))
 	switch rng.Intn(12) {
 	case 0, 1, 2:
-		against := g.publisher.versions.active.Number
+		against := fleet.publisher.versions.active.Number
 		if rng.Intn(6) == 0 {
 			against = uint64(rng.Intn(int(against) + 2))
 		}
 		c := randomChange(rng, against)
 		if rng.Intn(3) > 0 {
-			c.Sign(key(byte(1 + rng.Intn(3))))
+			c.Sign(privateKey(byte(1 + rng.Intn(3))))
 		}
-		g.change(c)
+		fleet.propose(c)
 	case 3:
-		questions := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
-		g.publisher.QueryReceived(g.now, 0, 2, questions[rng.Intn(len(questions))])
+		queries := [][]byte{QueryActive(), QueryStatus(), QueryHistory(""), QueryHistory("acme"), QueryVersion(0), QueryVersion(uint64(rng.Intn(9)))}
+		fleet.publisher.QueryReceived(fleet.now, 0, 2, queries[rng.Intn(len(queries))])
 	case 4:
-		g.cut[member] = !g.cut[member]
+		fleet.isolated[member] = !fleet.isolated[member]
 	case 5:
-		g.deaf[member] = !g.deaf[member]
+		fleet.losesReplies[member] = !fleet.losesReplies[member]
 	case 6:
-		g.checkpointsFail = rng.Intn(3) == 0
+		fleet.checkpointsFail = rng.Intn(3) == 0
 	case 7:
 		if rng.Intn(3) == 0 {
-			g.restartPublisher()
+			fleet.restartPublisher()
 		}
 	default:
-		g.cut[member], g.deaf[member] = false, false
+		fleet.isolated[member], fleet.losesReplies[member] = false, false
 	}
 }
 
-// TestRecordedDecisions: the same changes, questions and faults give the same messages, answers and kept states as when they were recorded.
+// TestRecordedDecisions: the same changes, queries and faults give the same messages, answers and checkpoints as when they were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	lines := make([]string, sequences)
 	samples := golden.NewSamples(3)
 	play := func(seed int64, samples *golden.Samples) {
 		rng := rand.New(rand.NewSource(seed))
-		g := newGroup(t, 2+uint32(seed%4))
-		g.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
+		fleet := newTestFleet(t, 2+uint32(seed%4))
+		fleet.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
 		if seed%2 == 0 {
-			g.put(twoCustomers(), 0)
+			fleet.proposeOperators(twoCustomers(), 0)
 		}
 		for events := 0; events < eventsPerSequence; {
-			randomStep(g, rng)
+			randomStep(fleet, rng)
 			steps := 1 + rng.Intn(3)
-			g.run(20 * ms * Time(steps))
-			events += 1 + steps*len(g.members)
-			for i := uint32(1); i <= uint32(len(g.members)); i++ {
-				v := g.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
-				g.recorder.digest.Add("%d %d %+v", g.now, i, v)
+			fleet.run(20 * ms * Time(steps))
+			events += 1 + steps*len(fleet.members)
+			for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
+				v := fleet.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
+				fleet.recorder.digest.Add("%d %d %+v", fleet.now, i, v)
 			}
 		}
-		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(g.members), g.publisher.versions.active.Number, g.recorder.digest)
+		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(fleet.members), fleet.publisher.versions.active.Number, fleet.recorder.digest)
 	}
 	const sampled = 4
 	for seed := range int64(sampled) {
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -5,40 +5,40 @@
 	"testing"
 )
 
-// What operators see while a change waits for one that is cut off, while one can't use it, and once all is well.
+// What operators see while a change waits for a member that is cut off, once it is active, and while a member can't use it.
 func TestStatus(t *testing.T) {
-	g := newGroup(t, 3)
+	fleet := newTestFleet(t, 3)
 	status := func() string {
-		g.publisher.QueryReceived(g.now, 0, 9, QueryStatus())
-		return DecodeReply(g.last())
+		fleet.publisher.QueryReceived(fleet.now, 0, 9, QueryStatus())
+		return DecodeReply(fleet.lastAnswer())
 	}
-	says := func(words ...string) {
+	expect := func(texts ...string) {
 		t.Helper()
 		got := status()
-		for _, w := range words {
-			if !strings.Contains(got, w) {
-				t.Errorf("expected %q in\n%s", w, got)
+		for _, text := range texts {
+			if !strings.Contains(got, text) {
+				t.Errorf("expected %q in\n%s", text, got)
 			}
 		}
 	}
-	says("version 0 is active, 0 entries", "a        0        ", "-")
-	g.cut[3] = true
-	g.put(refuseAll, 0)
-	g.run(200 * ms)
-	says("version 1 is on its way for", "on its way: a change of rules by operators", "not ready", "ready")
-	g.run(2 * within)
-	says("version 1 is active, 1 entries; 1 earlier", "c        none: not there  -")
-	g.cut[3] = false
-	g.run(within)
-	g.members[2].MaxEntries = 1
-	g.cut[3] = true // holds it up, so that what the other says is still there
-	g.publisher.versions.staged = nil
-	g.put(&Version{HostsOut: []string{"a", "b"}}, 1)
-	g.run(60 * ms)
-	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(g.answers, "\n"), "refused: b: rules: 2 entries") {
+	expect("version 0 is active, 0 entries", "a        0        ", "-")
+	fleet.isolated[3] = true
+	fleet.proposeOperators(refuseAll, 0)
+	fleet.run(200 * ms)
+	expect("version 1 is on its way for", "on its way: a change of rules by operators", "not ready", "ready")
+	fleet.run(2 * leaseDuration)
+	expect("version 1 is active, 1 entries; 1 earlier", "c        none: not there  -")
+	fleet.isolated[3] = false
+	fleet.run(leaseDuration)
+	fleet.members[2].MaxEntries = 1
+	fleet.isolated[3] = true // delays the abandonment, so that the fault is still shown
+	fleet.publisher.versions.staged = nil
+	fleet.proposeOperators(&Version{HostsOut: []string{"a", "b"}}, 1)
+	fleet.run(60 * ms)
+	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(fleet.answers, "\n"), "refused: b: rules: 2 entries") {
 		t.Error(got)
 	}
 	if !IsQuestion(QueryStatus()) || !strings.HasPrefix(DecodeReply("refused: x"), "refused") {
-		t.Error("administrators may ask it")
+		t.Error("administrators may not send the query, or its answer changes as it is decoded")
 	}
 }
