--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -15,30 +15,30 @@
 	grantLifetime = 500 * ms
 )
 
-// fleet is proxies that open connections of accounts, and one issuer a shard at a time.
-type fleet struct {
+// testFleet is proxies that open connections of accounts, and one issuer for each shard, in virtual time.
+type testFleet struct {
 	now         Time
 	limits      map[string]Limit
 	clients     []*Client
 	issuers     [Shards]*Issuer
-	cut         map[int]bool // hears no issuer
-	inFlight    []func()     // messages, and connections that are to end
+	isolated    map[int]bool // by proxy: its messages to and from issuers are lost
+	inFlight    []func()     // deliveries of messages, and ends of connections, for the next step
 	rng         *rand.Rand
-	loss        float64
-	acquiredAt  map[string][]Time
-	open        map[string]int
+	loss        float64           // probability that a message is lost
+	acquiredAt  map[string][]Time // by account
+	open        map[string]int    // connections by account
 	rejected    int
 	waiting     int // requests
 	longestWait Time
-	noIssuer    bool
+	noIssuer    bool // no issuer runs
 
 	recorded *golden.Digest // nil: nothing is recorded
 	samples  *golden.Samples
 }
 
-// issuerOwner is what the issuer of a shard can do.
+// issuerOwner is a shard's jobs.Owner.
 type issuerOwner struct {
-	f     *fleet
+	f     *testFleet
 	shard int
 }
 
@@ -54,34 +54,42 @@
 func (s issuerOwner) Reply(to uint32, tag uint64, body []byte) {
 	f := s.f
 	f.record("answer", body)
-	if f.cut[int(to)] || f.rng.Float64() < f.loss {
+	if f.isolated[int(to)] || f.rng.Float64() < f.loss {
 		return
 	}
 	f.inFlight = append(f.inFlight, func() { f.clients[to].ReplyReceived(tag, body) })
 }
 
-func newFleet(n int, seed uint64, limits map[string]Limit) *fleet {
-	f := &fleet{now: 100 * sec, limits: limits, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
-	of := func(a string) Limit { return f.limits[a] }
+func newTestFleet(n int, seed uint64, limits map[string]Limit) *testFleet {
+	f := &testFleet{now: 100 * sec, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	for i := range n {
-		f.clients = append(f.clients, &Client{Now: func() Time { return f.now }, GrantLifetime: grantLifetime, FleetSize: n, Limits: of, Accounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) }, SendQuery: func(shard int, tag uint64, body []byte) {
-			f.record("ask", body)
-			if f.cut[i] || f.noIssuer || f.rng.Float64() < f.loss {
-				return
-			}
-			f.inFlight = append(f.inFlight, func() {
-				if !f.noIssuer {
-					f.issuers[shard].QueryReceived(f.now, uint32(i), tag, body)
-				}
-			})
-		}})
+		f.clients = append(f.clients, &Client{
+			Now:           func() Time { return f.now },
+			GrantLifetime: grantLifetime,
+			FleetSize:     n,
+			Limits:        func(account string) Limit { return f.limits[account] },
+			Accounts:      func() []string { return slices.Sorted(maps.Keys(f.limits)) },
+			SendQuery:     func(shard int, tag uint64, body []byte) { f.sendQuery(i, shard, tag, body) },
+		})
 	}
 	f.restartIssuers()
 	return f
 }
 
-// record notes a message between a proxy and the owner.
-func (f *fleet) record(kind string, body []byte) {
+func (f *testFleet) sendQuery(proxy, shard int, tag uint64, body []byte) {
+	f.record("ask", body)
+	if f.isolated[proxy] || f.noIssuer || f.rng.Float64() < f.loss {
+		return
+	}
+	f.inFlight = append(f.inFlight, func() {
+		if !f.noIssuer {
+			f.issuers[shard].QueryReceived(f.now, uint32(proxy), tag, body)
+		}
+	})
+}
+
+// record records a message between a proxy and an issuer.
+func (f *testFleet) record(kind string, body []byte) {
 	if f.recorded == nil {
 		return
 	}
@@ -91,42 +99,28 @@
 	}
 }
 
-// restartIssuers begins issuers that know nothing of earlier grants.
-func (f *fleet) restartIssuers() {
+// restartIssuers replaces all issuers by new ones, which know nothing of earlier grants.
+func (f *testFleet) restartIssuers() {
 	for s := range f.issuers {
 		f.issuers[s] = &Issuer{GrantLifetime: grantLifetime, FleetSize: len(f.clients), Limits: func(a string) Limit { return f.limits[a] }}
 		f.issuers[s].Start(f.now, issuerOwner{f, s}, 1, 1, nil)
 	}
 }
 
-// run lets time go on; want gives how many connections of an account a proxy is asked for in a step of 10 ms, and life how long each stays.
-func (f *fleet) run(d Time, account string, want func(proxy int) float64, life Time) {
+// run advances time in steps of 10 ms. In each step demand gives how many connections of an account a proxy is asked to open; each lasts for a
+// lifetime.
+func (f *testFleet) run(d Time, account string, demand func(proxy int) float64, lifetime Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
-		messages := f.inFlight
+		due := f.inFlight
 		f.inFlight = nil
-		for _, g := range messages {
-			g()
+		for _, deliver := range due {
+			deliver()
 		}
 		for i, p := range f.clients {
-			for n := want(i); n > 0; n-- {
-				if f.rng.Float64() >= n {
-					continue
+			for n := demand(i); n > 0; n-- {
+				if f.rng.Float64() < n {
+					f.acquire(i, account, lifetime)
 				}
-				asked := f.now
-				f.waiting++
-				p.Acquire(account, 0.5, func(over string, _ time.Duration) {
-					f.waiting--
-					f.longestWait = max(f.longestWait, f.now-asked)
-					if over != "" {
-						f.rejected++
-						return
-					}
-					for _, a := range withAncestors(account) {
-						f.acquiredAt[a] = append(f.acquiredAt[a], f.now)
-						f.open[a]++
-					}
-					f.ends(i, account, f.now+life)
-				})
 			}
 			p.RetryWaiting()
 			if f.now%(grantLifetime/3/(10*ms)*(10*ms)) == 0 {
@@ -141,23 +135,42 @@
 	}
 }
 
-// ends has a connection end at a time.
-func (f *fleet) ends(i int, account string, at Time) {
-	var try func()
-	try = func() {
+// endConnectionAt ends a connection at a time.
+func (f *testFleet) endConnectionAt(proxy int, account string, at Time) {
+	var endIfDue func()
+	endIfDue = func() {
 		if f.now < at {
-			f.inFlight = append(f.inFlight, try)
+			f.inFlight = append(f.inFlight, endIfDue)
 			return
 		}
-		f.clients[i].Release(account)
+		f.clients[proxy].Release(account)
 		for _, a := range withAncestors(account) {
 			f.open[a]--
 		}
 	}
-	f.inFlight = append(f.inFlight, try)
+	f.inFlight = append(f.inFlight, endIfDue)
+}
+
+// acquire has a proxy open a connection, which ends after a lifetime.
+func (f *testFleet) acquire(proxy int, account string, lifetime Time) {
+	requestedAt := f.now
+	f.waiting++
+	f.clients[proxy].Acquire(account, 0.5, func(over string, _ time.Duration) {
+		f.waiting--
+		f.longestWait = max(f.longestWait, f.now-requestedAt)
+		if over != "" {
+			f.rejected++
+			return
+		}
+		for _, a := range withAncestors(account) {
+			f.acquiredAt[a] = append(f.acquiredAt[a], f.now)
+			f.open[a]++
+		}
+		f.endConnectionAt(proxy, account, f.now+lifetime)
+	})
 }
 
-// maxPerSecond gives the most acquired within any second.
+// maxPerSecond is the most connections that were acquired within any second.
 func maxPerSecond(at []Time) (n int) {
 	for i, j := 0, 0; i < len(at); i++ {
 		for at[i]-at[j] >= sec {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -8,30 +8,30 @@
 )
 
 func TestDemandIsFollowed(t *testing.T) {
-	f := newFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
+	f := newTestFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
 	skewed := func(i int) float64 { return []float64{2, 0.02, 0, 0, 0}[i] }
 	f.run(5*sec, "a", skewed, 100*ms)
 	f.acquiredAt = map[string][]Time{}
 	f.run(10*sec, "a", skewed, 100*ms)
 	n := len(f.acquiredAt["a"])
-	t.Logf("%d of 400 taken, nearly all at one of five proxies; %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
+	t.Logf("%d of 400 connections acquired, nearly all at one of five proxies; %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
 	if n < 360 || maxPerSecond(f.acquiredAt["a"]) > 52 {
-		t.Errorf("%d of 400, %d in a second", n, maxPerSecond(f.acquiredAt["a"]))
+		t.Errorf("%d of 400 connections acquired, %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
 	}
 	if f.longestWait > maxWait+20*ms || f.waiting > 20 {
-		t.Errorf("one waited %d ms; %d wait still", f.longestWait/ms, f.waiting)
+		t.Errorf("a request waited for %d ms; %d are still waiting", f.longestWait/ms, f.waiting)
 	}
 	even := func(i int) float64 { return []float64{2, 0.02, 0.02, 0.02, 0.02}[i] }
 	f.run(3*sec, "a", even, 100*ms)
 	f.acquiredAt = map[string][]Time{}
 	f.run(10*sec, "a", even, 100*ms)
 	if n := len(f.acquiredAt["a"]); n < 360 {
-		t.Errorf("%d of 400 taken with all asking", n)
+		t.Errorf("%d of 400 connections acquired with demand at all proxies", n)
 	}
 }
 
-func TestWithoutAnOwnerEachHasItsShare(t *testing.T) {
-	f := newFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
+func TestWithoutAnIssuerEachUsesItsShare(t *testing.T) {
+	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
 	f.run(5*sec, "a", all, sec)
 	f.noIssuer = true
@@ -39,93 +39,98 @@
 	f.acquiredAt = map[string][]Time{}
 	f.run(10*sec, "a", all, sec)
 	if n := len(f.acquiredAt["a"]); n < 450 || n > 510 {
-		t.Errorf("%d taken in 10 s without an owner, 500 are the shares", n)
+		t.Errorf("%d connections acquired in 10 s without an issuer, the shares are 500", n)
 	}
 	f.noIssuer = false
 	f.restartIssuers()
 	f.run(10*sec, "a", all, sec)
 	if n := maxPerSecond(f.acquiredAt["a"]); n > 50+13+50/5 {
-		t.Errorf("%d in a second over the change of owners", n)
+		t.Errorf("%d connections acquired in a second over the change of issuers", n)
 	}
 }
 
-// A parent's limit holds over its children, also as it is cut by half in the middle of a burst.
-func TestAParentsLimitHolds(t *testing.T) {
-	f := newFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
+// A parent's limit bounds its children together, also after it is halved in the middle of a burst.
+func TestParentsLimitHolds(t *testing.T) {
+	f := newTestFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
 	for range 20 {
 		f.run(200*ms, "p/x", func(int) float64 { return 0.5 }, 2*sec)
 		f.run(200*ms, "p/y", func(int) float64 { return 0.5 }, 2*sec)
 	}
 	if n := maxPerSecond(f.acquiredAt["p"]); n > 40+10+8 || f.open["p"] > 60 {
-		t.Errorf("%d in a second, %d open", n, f.open["p"])
+		t.Errorf("%d connections acquired in a second, %d open", n, f.open["p"])
 	}
 	f.limits["p"] = Limit{Rate: 20, Connections: 30}
-	f.run(2*sec, "p/x", func(int) float64 { return 0.5 }, 2*sec) // what was handed out lapses, and what is open ends
+	f.run(2*sec, "p/x", func(int) float64 { return 0.5 }, 2*sec) // grants lapse, and open connections end
 	f.acquiredAt = map[string][]Time{}
-	over := 0
+	timesOver := 0
 	for range 40 {
 		f.run(100*ms, "p/x", func(int) float64 { return 0.5 }, 2*sec)
 		if f.now > 0 && f.open["p"] > 30 {
-			over++
+			timesOver++
 		}
 	}
-	if n := maxPerSecond(f.acquiredAt["p"]); n > 20+5+10 || over > 12 {
-		t.Errorf("cut by half: %d in a second; over 30 open in %d of 40 looks", n, over)
+	if n := maxPerSecond(f.acquiredAt["p"]); n > 20+5+10 || timesOver > 12 {
+		t.Errorf("after the limit was halved: %d acquired in a second; more than 30 open at %d of 40 times", n, timesOver)
 	}
 }
 
-// Whatever is cut off, lost and restarted: in no second more than the limit, what is saved, the shares of those that are alone and what was handed out
-// in one grantLifetime; and never more open than the limit while owners stay.
+// Drawn sequences of cuts, lost messages and new issuers: in no second are more connections acquired than the limit, the bucket's burst, the grants
+// of one lifetime and a share's permit at each proxy add up to; and never are more open than the limit while the issuers stay.
 func TestTheSumIsBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		const rate, standing, n = 40, 50, 5
-		f := newFleet(n, rapid.Uint64().Draw(rt, "seed"), map[string]Limit{"a": {Rate: rate, Connections: standing}})
+		const rate, connections, n = 40, 50, 5
+		f := newTestFleet(n, rapid.Uint64().Draw(rt, "seed"), map[string]Limit{"a": {Rate: rate, Connections: connections}})
 		f.loss = rapid.SampledFrom([]float64{0, 0.2}).Draw(rt, "loss")
-		changed := false
+		issuersChanged := false
 		for range rapid.IntRange(3, 12).Draw(rt, "steps") {
 			switch i := rapid.IntRange(0, n-1).Draw(rt, "proxy"); rapid.IntRange(0, 4).Draw(rt, "what") {
 			case 0, 1:
-				f.cut[i] = !f.cut[i]
+				f.isolated[i] = !f.isolated[i]
 			case 2:
 				f.restartIssuers()
-				changed = true
+				issuersChanged = true
 			case 3:
 				f.noIssuer = !f.noIssuer
 				if !f.noIssuer {
 					f.restartIssuers()
-					changed = true
+					issuersChanged = true
 				}
 			}
 			f.run(Time(rapid.IntRange(100, 2500).Draw(rt, "time"))*ms, "a", func(int) float64 { return rapid.SampledFrom([]float64{0, 0.3, 2}).Draw(rt, "want") }, Time(rapid.IntRange(100, 3000).Draw(rt, "life"))*ms)
-			if f.open["a"] > standing && !changed {
-				rt.Fatalf("%d open, %d are the limit", f.open["a"], standing)
+			if f.open["a"] > connections && !issuersChanged {
+				rt.Fatalf("%d connections open, the limit is %d", f.open["a"], connections)
 			}
-			if f.open["a"] > 2*standing {
-				rt.Fatalf("%d open over changes of owners, %d are the limit", f.open["a"], standing)
+			if f.open["a"] > 2*connections {
+				rt.Fatalf("%d connections open over changes of issuers, the limit is %d", f.open["a"], connections)
 			}
 		}
 		if m := maxPerSecond(f.acquiredAt["a"]); m > rate+rate/4+rate/2+n {
-			rt.Fatalf("%d within a second, the limit is %d", m, rate)
+			rt.Fatalf("%d connections acquired within a second, the limit is %d", m, rate)
 		}
 	})
 }
 
-// What an answer gave lapses by itself: the next one does not lengthen its life, and one that was overtaken says nothing of places.
-func TestAnAnswerLapsesByItself(t *testing.T) {
+// Each grant lapses by itself: the next one does not prolong it, and one that was overtaken does not change the number of open connections.
+func TestGrantsLapseIndependently(t *testing.T) {
 	now := Time(0)
 	var tags []uint64
-	p := &Client{Now: func() Time { return now }, GrantLifetime: grantLifetime, FleetSize: 5, Accounts: func() []string { return []string{"a"} },
-		Limits: func(string) Limit { return Limit{Rate: 40, Connections: 50} }, SendQuery: func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) }}
-	asks := func() (tag uint64) {
+	p := &Client{
+		Now:           func() Time { return now },
+		GrantLifetime: grantLifetime,
+		FleetSize:     5,
+		Accounts:      func() []string { return []string{"a"} },
+		Limits:        func(string) Limit { return Limit{Rate: 40, Connections: 50} },
+		SendQuery:     func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) },
+	}
+	sendQuery := func() (tag uint64) {
 		tags = nil
 		p.query(Shard("a"), false)
 		return tags[0]
 	}
-	took := func() (n int) {
+	acquireAll := func() (n int) {
 		for {
-			over := "waits"
 			p.mutex.Lock()
-			over, _ = p.tryAcquire(now, "a", 0)
+			over, _ := p.tryAcquire(now, "a", 0)
 			p.mutex.Unlock()
 			if over != "" {
 				return n
@@ -133,28 +138,28 @@
 			n++
 		}
 	}
-	first := asks()
+	first := sendQuery()
 	p.receiveGrants(first, encodeGrants([]grant{{"a", 8, 50}}))
 	now += grantLifetime / 2
-	p.receiveGrants(asks(), encodeGrants([]grant{{"a", 3, 50}}))
-	now += grantLifetime/2 + ms // the first eight have lapsed: their owner has handed out others since
-	if n := took(); n != 3 {
-		t.Errorf("%d permits, 3 are left", n)
+	p.receiveGrants(sendQuery(), encodeGrants([]grant{{"a", 3, 50}}))
+	now += grantLifetime/2 + ms // the first eight permits have lapsed: the issuer may have granted others since
+	if n := acquireAll(); n != 3 {
+		t.Errorf("%d permits are valid, expected 3", n)
 	}
-	older := asks()
+	older := sendQuery()
 	now += 10 * ms
-	newer := asks()
+	newer := sendQuery()
 	p.receiveGrants(newer, encodeGrants([]grant{{"a", 0, 4}}))
 	p.receiveGrants(older, encodeGrants([]grant{{"a", 9, 50}}))
-	if n := took(); n != 1 {
-		t.Errorf("%d more are open, 1 more of 4 places is left", n)
+	if n := acquireAll(); n != 1 {
+		t.Errorf("%d more connections were opened, expected 1 up to the limit of 4", n)
 	}
 }
 
 func FuzzAsked(f *testing.F) {
 	f.Add(encodeDemands([]demand{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		x := newFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
+		x := newTestFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
 		x.now += 10 * grantLifetime
 		x.issuers[0].QueryReceived(x.now, 1, 1, data)
 		x.clients[0].Acquire("a", 0, func(string, time.Duration) {})
@@ -162,7 +167,7 @@
 		x.clients[0].ReplyReceived(1, data)
 		x.clients[0].Acquire("nobody's", 0, func(over string, _ time.Duration) {
 			if over != "" {
-				t.Fatalf("an account without limits: %s", over)
+				t.Fatalf("an account without limits is over its %s", over)
 			}
 		})
 	})
@@ -178,8 +183,8 @@
 		{"as demanded", 3, 2, 10, 20, 5},
 		{"as far as there is capacity", 3, 9, 10, 20, 10},
 		{"nothing demanded", 3, 0, 10, 20, 3},
-		{"the limit was cut: all come down in step", 10, 5, 0, 10, 5},
-		{"no limit is left", 10, 5, -10, 0, 0},
+		{"the limit was cut: grants shrink in proportion", 10, 5, 0, 10, 5},
+		{"the limit is 0", 10, 5, -10, 0, 0},
 	} {
 		if got := grantedConnections(demand{open: c.open, additional: c.demanded}, c.capacity, c.limit); got != c.want {
 			t.Errorf("%s: %d, expected %d", c.name, got, c.want)
--- a/internal/fleet/quota/recorded_test.go
+++ b/internal/fleet/quota/recorded_test.go
@@ -8,13 +8,13 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same demand and the same faults give the same questions, answers and permits as when they were recorded.
+// TestRecordedDecisions: the same demand and the same faults give the same queries, replies and connections as when they were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences = 200
 	var lines strings.Builder
 	samples := golden.NewSamples(8)
 	for seed := range uint64(sequences) {
-		f := newFleet(3+int(seed%3), seed, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 25}, "p/y": {Connections: 20 + int(seed%20)}, "q": {Rate: 9, Connections: 5}})
+		f := newTestFleet(3+int(seed%3), seed, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 25}, "p/y": {Connections: 20 + int(seed%20)}, "q": {Rate: 9, Connections: 5}})
 		f.loss = float64(seed%5) / 20
 		f.recorded = golden.NewDigest()
 		if seed < 4 {
@@ -30,7 +30,7 @@
 				f.restartIssuers()
 			case 2:
 				proxy := f.rng.IntN(len(f.clients))
-				f.cut[proxy] = !f.cut[proxy]
+				f.isolated[proxy] = !f.isolated[proxy]
 			case 3:
 				f.clients[f.rng.IntN(len(f.clients))].CountExisting(account)
 			}
