--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// wire is two ends with a bad link between them.
-type wire struct {
+// lossyLink is two ends with a bad link between them.
+type lossyLink struct {
 	rng      *rand.Rand
 	loss     float64
 	ends     [2]*Transport
 	queue    []queuedDatagram
 	received [2][][]byte
-	longest  int
+	longestDatagram  int
 }
 
 type queuedDatagram struct {
@@ -22,13 +22,13 @@
 }
 
 type testEnd struct {
-	wire  *wire
+	wire  *lossyLink
 	index int
 }
 
 func (e testEnd) Datagram(_ uint32, data []byte) {
 	w := e.wire
-	w.longest = max(w.longest, len(data))
+	w.longestDatagram = max(w.longestDatagram, len(data))
 	for range 1 + w.rng.IntN(2) { // some are duplicated
 		if w.rng.Float64() >= w.loss {
 			w.queue = append(w.queue, queuedDatagram{1 - e.index, append([]byte(nil), data...)})
@@ -40,15 +40,15 @@
 	e.wire.received[e.index] = append(e.wire.received[e.index], append([]byte(nil), data...))
 }
 
-func newWire(seed uint64, loss float64) *wire {
-	w := &wire{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
+func newLossyLink(seed uint64, loss float64) *lossyLink {
+	w := &lossyLink{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss}
 	for i := range w.ends {
 		w.ends[i] = New(240, uint32(seed)+uint32(i), testEnd{w, i})
 	}
 	return w
 }
 
-func (w *wire) run(from, to Time) {
+func (w *lossyLink) run(from, to Time) {
 	for now := from; now < to; now += 1e7 {
 		q := w.queue
 		w.queue = nil
@@ -65,7 +65,7 @@
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
 		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessage} {
-			w := newWire(seed, 0.2)
+			w := newLossyLink(seed, 0.2)
 			data := make([]byte, size)
 			for i := range data {
 				data[i] = byte(w.rng.Uint32())
@@ -82,8 +82,8 @@
 					t.Fatalf("seed %d, %d bytes: arrived incomplete", seed, size)
 				}
 			}
-			if w.longest > 240 {
-				t.Fatalf("a datagram of %d bytes", w.longest)
+			if w.longestDatagram > 240 {
+				t.Fatalf("a datagram of %d bytes", w.longestDatagram)
 			}
 			if size == MaxMessage && seed > 2 {
 				break
@@ -94,7 +94,7 @@
 
 // TestBounds: messages for a peer that acknowledges nothing, and messages that stay incomplete, take bounded memory.
 func TestBounds(t *testing.T) {
-	w := newWire(1, 1)
+	w := newLossyLink(1, 1)
 	for range 100 {
 		w.ends[0].Send(0, 1, make([]byte, 10000))
 	}
@@ -119,7 +119,7 @@
 
 // TestRestartedSender: a new process's first message is not taken for the earlier one's.
 func TestRestartedSender(t *testing.T) {
-	w := newWire(1, 0)
+	w := newLossyLink(1, 0)
 	w.ends[0].Send(0, 1, bytes.Repeat([]byte("a"), 1000))
 	w.run(0, 1e9)
 	w.ends[0] = New(240, 99, testEnd{w, 0})
@@ -137,7 +137,7 @@
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 1, 0, 2, 9})
 	f.Add([]byte{DatagramPrefix, kindAck, 0, 0, 0, 1, 0, 0, 0, 1, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		w := newWire(1, 0)
+		w := newLossyLink(1, 0)
 		w.ends[0].Send(0, 1, make([]byte, 2000))
 		b := w.ends[0]
 		for cut := range 2 {
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func drawSpace(rt *rapid.T, account string) Namespace {
+func drawNamespace(rt *rapid.T, account string) Namespace {
 	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
 		some := func(of ...string) string { return rapid.SampledFrom(of).Draw(rt, "x") }
@@ -88,7 +88,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		b := &Directory{Accounts: customers.Accounts, Pools: customers.Pools}
 		for _, a := range []string{"", "acme", "acme/web", "other"} {
-			b.Namespaces = append(b.Namespaces, drawSpace(rt, a))
+			b.Namespaces = append(b.Namespaces, drawNamespace(rt, a))
 		}
 		drawn++
 		c, err := Compile(b)
@@ -98,7 +98,7 @@
 		fit++
 		other := *b
 		other.Namespaces = slices.Clone(b.Namespaces)
-		other.Namespaces[3] = drawSpace(rt, "other")
+		other.Namespaces[3] = drawNamespace(rt, "other")
 		d, err := Compile(&other)
 		for range 20 {
 			q := drawRequest(rt)
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// world is members with clocks of one time, and faults between them.
-type world struct {
+// testFleet is members in virtual time, with one clock, and faults between them.
+type testFleet struct {
 	now        Time
 	due        eventQueue
 	rng        *rand.Rand
@@ -20,17 +20,18 @@
 	refetches  []int
 }
 
+// event is a call at a time; sequence orders those at the same time.
 type event struct {
-	at Time
-	n  int
-	f  func()
+	at       Time
+	sequence int
+	run      func()
 }
 
 type eventQueue []event
 
 func (t eventQueue) Len() int { return len(t) }
 func (t eventQueue) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].n < t[j].n
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *eventQueue) Push(x any)   { *t = append(*t, x.(event)) }
@@ -40,63 +41,72 @@
 	return x
 }
 
-func (w *world) Now() Time { return w.now }
-func (w *world) After(d time.Duration, f func()) {
-	heap.Push(&w.due, event{w.now + Time(d), w.sent + len(w.due), f})
+func (f *testFleet) Now() Time { return f.now }
+func (f *testFleet) After(d time.Duration, run func()) {
+	heap.Push(&f.due, event{f.now + Time(d), f.sent + len(f.due), run})
 }
 
-func (w *world) run(d Time) {
-	for end := w.now + d; ; {
-		if len(w.due) == 0 || w.due[0].at > end {
-			w.now = end
+func (f *testFleet) run(d Time) {
+	for end := f.now + d; ; {
+		if len(f.due) == 0 || f.due[0].at > end {
+			f.now = end
 			return
 		}
-		x := heap.Pop(&w.due).(event)
-		w.now = max(w.now, x.at)
-		x.f()
+		next := heap.Pop(&f.due).(event)
+		f.now = max(f.now, next.at)
+		next.run()
 	}
 }
 
 type faultyTransport struct {
-	w   *world
-	me  int
-	cut bool
+	fleet    *testFleet
+	member   int
+	isolated bool
 }
 
 func (t *faultyTransport) MaxPayload() int { return 200 }
 func (t *faultyTransport) Others() (out []uint32) {
-	for i := range t.w.links {
-		if i != t.me {
+	for i := range t.fleet.links {
+		if i != t.member {
 			out = append(out, uint32(i))
 		}
 	}
 	return out
 }
 
-func (t *faultyTransport) Carry(peer uint32, whose byte, data []byte) {
-	w := t.w
-	w.sent++
-	if t.cut || w.transports[peer].cut || w.rng.Float64() < w.loss || whose != CarrierID || len(data) > t.MaxPayload() {
+func (t *faultyTransport) Carry(member uint32, channel byte, data []byte) {
+	f := t.fleet
+	f.sent++
+	if t.isolated || f.transports[member].isolated || f.rng.Float64() < f.loss || channel != CarrierID || len(data) > t.MaxPayload() {
 		return
 	}
-	w.After(time.Duration(1+w.rng.IntN(40))*time.Millisecond, func() { w.links[peer].Receive(uint32(t.me), data) })
+	f.After(time.Duration(1+f.rng.IntN(40))*time.Millisecond, func() { f.links[member].Receive(uint32(t.member), data) })
 }
 
-func newWorld(n int, seed uint64) *world {
-	w := &world{now: 100 * sec, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
+func newTestFleet(n int, seed uint64) *testFleet {
+	f := &testFleet{now: 100 * sec, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
 	for i := range n {
-		w.transports = append(w.transports, &faultyTransport{w: w, me: i})
-		w.links = append(w.links, &Link{Transport: w.transports[i], Clock: w, Rand: rand.New(rand.NewPCG(seed, uint64(i))), RefetchAfter: 2 * time.Second, Source: func() uint32 { return 1 }, RefetchList: func() { w.refetches[i]++ }, Changed: func([]string) {}})
-	}
-	for _, l := range w.links {
+		f.transports = append(f.transports, &faultyTransport{fleet: f, member: i})
+		f.links = append(f.links, &Link{
+			Transport:    f.transports[i],
+			Clock:        f,
+			Rand:         rand.New(rand.NewPCG(seed, uint64(i))),
+			RefetchAfter: 2 * time.Second,
+			Source:       func() uint32 { return 1 },
+			RefetchList:  func() { f.refetches[i]++ },
+			Changed:      func([]string) {},
+		})
+	}
+	for _, l := range f.links {
 		l.Run()
 		l.List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	}
-	return w
+	return f
 }
 
-func (w *world) out(host string) (n int) {
-	for _, l := range w.links {
+// countOut is how many members place nothing new at a host.
+func (f *testFleet) countOut(host string) (n int) {
+	for _, l := range f.links {
 		if l.Out(host, 1) {
 			n++
 		}
@@ -104,92 +114,93 @@
 	return n
 }
 
-// One alone hears of a change: all others go by it, also with a third of all datagrams lost, and whoever was cut off soon after it is back.
+// One member alone has a change from discovery: it reaches all others, also with a third of all datagrams lost, and a member that was cut off once
+// it is back.
 func TestGossipReachesAll(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
-		w := newWorld(n, uint64(n))
-		w.loss = 0.33
-		w.transports[n-1].cut = true
-		w.run(2 * sec)
-		w.links[0].List(6, false, []ListedHost{{"a", 1, Draining}})
-		w.run(200 * 1e6)
-		soon := w.out("a")
+		f := newTestFleet(n, uint64(n))
+		f.loss = 0.33
+		f.transports[n-1].isolated = true
+		f.run(2 * sec)
+		f.links[0].List(6, false, []ListedHost{{"a", 1, Draining}})
+		f.run(200 * 1e6)
+		soon := f.countOut("a")
 		if soon < (n-2)*9/10 || soon > n-2 {
-			t.Errorf("%d members: %d know within 200 ms, with a third of what is sent lost", n, soon)
+			t.Errorf("%d members: %d know within 200 ms, with a third of all datagrams lost", n, soon)
 		}
-		w.run(25 * sec) // some rounds of asking
-		if got := w.out("a"); got < (n-2)*99/100 {
+		f.run(25 * sec) // some rounds of queries
+		if got := f.countOut("a"); got < (n-2)*99/100 {
 			t.Errorf("%d members: %d know in the end", n, got)
 		}
-		t.Logf("%d members, a third of all lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, w.out("a"), n-2, w.sent)
-		w.transports[n-1].cut, w.loss = false, 0
-		w.links[0].List(7, false, []ListedHost{{"b", 1, Gone}})
-		w.run(200 * 1e6)
-		if got := w.out("b"); got != n-1 {
+		t.Logf("%d members, a third of all datagrams lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, f.countOut("a"), n-2, f.sent)
+		f.transports[n-1].isolated, f.loss = false, 0
+		f.links[0].List(7, false, []ListedHost{{"b", 1, Gone}})
+		f.run(200 * 1e6)
+		if got := f.countOut("b"); got != n-1 {
 			t.Errorf("%d members: %d know of b", n, got)
 		}
 	}
 }
 
-// All hear of the same change within moments, as is usual: one or a few tell, and the rest keep silent.
+// All members have the same change from discovery within 20 ms, as is usual: one or a few gossip it, and the others need not.
 func TestFewGossipWhatAllHear(t *testing.T) {
 	const n = 300
-	w := newWorld(n, 9)
-	w.run(2 * sec)
-	before := w.sent
-	for _, l := range w.links {
-		w.After(time.Duration(w.rng.IntN(20))*time.Millisecond, func() { l.List(6, false, []ListedHost{{"a", 1, Draining}}) })
-	}
-	w.run(sec / 2)
-	if told := w.sent - before; told > n*n/3 {
-		t.Errorf("%d datagrams", told)
+	f := newTestFleet(n, 9)
+	f.run(2 * sec)
+	before := f.sent
+	for _, l := range f.links {
+		f.After(time.Duration(f.rng.IntN(20))*time.Millisecond, func() { l.List(6, false, []ListedHost{{"a", 1, Draining}}) })
+	}
+	f.run(sec / 2)
+	if sent := f.sent - before; sent > n*n/3 {
+		t.Errorf("%d datagrams, expected %d at most", sent, n*n/3)
 	} else {
-		t.Logf("%d datagrams where %d would tell all", told, n*(n-1))
+		t.Logf("%d datagrams; if all gossiped, %d", sent, n*(n-1))
 	}
-	if w.out("a") > 0 {
-		t.Error("a floor under a list that is as new")
+	if f.countOut("a") > 0 {
+		t.Error("a host is out by a watermark that is no newer than the own list")
 	}
 }
 
-// A proxy that stays behind asks discovery anew, and less and less often while that does not help; one whose list catches up asks no more.
+// A proxy that stays behind refetches its list, with a backoff while that does not help, and stops once its list has caught up.
 func TestListThatIsBehindIsRefetched(t *testing.T) {
-	w := newWorld(3, 5)
-	w.links[0].List(6, false, []ListedHost{{"a", 1, Gone}})
-	w.run(60 * sec)
-	if w.refetches[0] > 0 || w.refetches[1] < 3 || w.refetches[1] > 6 {
-		t.Errorf("asked anew: %v", w.refetches)
-	}
-	w.links[1].List(6, false, []ListedHost{{"a", 1, Gone}})
-	w.links[2].List(6, true, []ListedHost{{"b", 1, Up}})
-	was := fmt.Sprint(w.refetches)
-	w.run(60 * sec)
-	if got := fmt.Sprint(w.refetches); got != was || w.out("a") > 0 {
-		t.Errorf("asked anew: %s, %s before; %d hold a out", got, was, w.out("a"))
+	f := newTestFleet(3, 5)
+	f.links[0].List(6, false, []ListedHost{{"a", 1, Gone}})
+	f.run(60 * sec)
+	if f.refetches[0] > 0 || f.refetches[1] < 3 || f.refetches[1] > 6 {
+		t.Errorf("refetches by member: %v", f.refetches)
+	}
+	f.links[1].List(6, false, []ListedHost{{"a", 1, Gone}})
+	f.links[2].List(6, true, []ListedHost{{"b", 1, Up}})
+	before := fmt.Sprint(f.refetches)
+	f.run(60 * sec)
+	if got := fmt.Sprint(f.refetches); got != before || f.countOut("a") > 0 {
+		t.Errorf("refetches by member: %s, %s before; %d members have host a out", got, before, f.countOut("a"))
 	}
 }
 
-// An agent that pushes an old list after an outage does not unsay what it has said; whose numbers are another's say nothing.
+// An agent that pushes an old list after an outage does not revoke what the newer one said; revisions of another source have no effect.
 func TestOldListRevokesNothing(t *testing.T) {
-	w := newWorld(2, 6)
-	w.transports[0].cut = true
-	w.links[0].List(8, false, []ListedHost{{"a", 1, Draining}})
-	if ids := w.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !w.links[0].Out("a", 1) || w.links[0].Out("b", 1) {
-		t.Error("a drained by list 8, and list 5 came after", ids)
+	f := newTestFleet(2, 6)
+	f.transports[0].isolated = true
+	f.links[0].List(8, false, []ListedHost{{"a", 1, Draining}})
+	if ids := f.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Out("a", 1) || f.links[0].Out("b", 1) {
+		t.Error("list 8 has drained a, and the older list 5 has revoked that:", ids)
 	}
-	if w.links[0].Out("a", 2) {
-		t.Error("it has started anew")
+	if f.links[0].Out("a", 2) {
+		t.Error("a watermark holds for a host that has started since")
 	}
-	w.run(Lifetime)
-	if w.links[0].Out("a", 1) {
-		t.Error("the numbering may have begun anew: it has lapsed")
+	f.run(Lifetime)
+	if f.links[0].Out("a", 1) {
+		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have begun anew")
 	}
-	w.transports[0].cut = false
-	w.links[0].List(9, false, []ListedHost{{"b", 1, Gone}})
+	f.transports[0].isolated = false
+	f.links[0].List(9, false, []ListedHost{{"b", 1, Gone}})
 	source := uint32(2)
-	w.links[1].Source = func() uint32 { return source }
-	w.links[1].List(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
-	w.run(5 * sec)
-	if w.links[1].Out("b", 1) {
-		t.Error("revisions of two services are not comparable")
+	f.links[1].Source = func() uint32 { return source }
+	f.links[1].List(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
+	f.run(5 * sec)
+	if f.links[1].Out("b", 1) {
+		t.Error("revisions of two sources were compared")
 	}
 }
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -10,79 +10,79 @@
 
 const sec = Time(1e9)
 
-func has(all []string, id string) bool { return slices.Contains(all, id) }
+func contains(all []string, id string) bool { return slices.Contains(all, id) }
 
 func TestNewerListTakesAHostOut(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
-	if c := b.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || b.Out(sec, "a", 100) {
-		t.Error("a list that is no newer takes nothing out")
+	r := NewRegistry()
+	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
+	if c := r.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Out(sec, "a", 100) {
+		t.Error("a watermark of a list that is no newer takes a host out")
 	}
-	if c := b.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !has(c, "a") || !b.Out(sec, "a", 100) || b.Out(sec, "b", 100) {
-		t.Error("a newer one takes its host out, and no other", c)
+	if c := r.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Out(sec, "a", 100) || r.Out(sec, "b", 100) {
+		t.Error("a watermark of a newer list does not take out its host alone:", c)
 	}
-	if b.Out(sec, "a", 101) {
-		t.Error("a process that started later is not meant")
+	if r.Out(sec, "a", 101) {
+		t.Error("a host that has started since is out")
 	}
-	if b.BehindSince(3*sec) != sec {
-		t.Error("behind since", b.BehindSince(3*sec))
+	if r.BehindSince(3*sec) != sec {
+		t.Errorf("behind since %d, expected %d", r.BehindSince(3*sec), sec)
 	}
-	if _, c := b.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !b.Out(4*sec, "a", 100) {
-		t.Error("an own list that is older still changes nothing")
+	if _, c := r.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Out(4*sec, "a", 100) {
+		t.Error("an own list that is still older revokes a watermark")
 	}
-	if _, c := b.UpdateList(5*sec, 7, false, nil); !has(c, "a") || b.Out(5*sec, "a", 100) || b.BehindSince(5*sec) != 0 {
-		t.Error("an own list as new has the last word")
+	if _, c := r.UpdateList(5*sec, 7, false, nil); !contains(c, "a") || r.Out(5*sec, "a", 100) || r.BehindSince(5*sec) != 0 {
+		t.Error("an own list that is as new does not revoke a watermark")
 	}
 }
 
 func TestWatermarkExpires(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
-	b.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
-	if c := b.Expire(9 * sec); len(c) > 0 || !b.Out(9*sec, "a", 100) {
-		t.Error("it holds still")
-	}
-	// An echo of it has less left, and does not make it hold longer.
-	x := NewRegistry()
-	x.Merge(4*sec, b.NewerThan(4*sec, 0))
-	b.Merge(8*sec, x.NewerThan(8*sec, 0))
-	if c := b.Expire(10 * sec); !has(c, "a") || b.Out(10*sec, "a", 100) {
-		t.Error("it has lapsed")
+	r := NewRegistry()
+	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
+	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
+	if c := r.Expire(9 * sec); len(c) > 0 || !r.Out(9*sec, "a", 100) {
+		t.Error("it has expired too early")
+	}
+	// Passed to another proxy and back it has less time left, and is not prolonged.
+	other := NewRegistry()
+	other.Merge(4*sec, r.NewerThan(4*sec, 0))
+	r.Merge(8*sec, other.NewerThan(8*sec, 0))
+	if c := r.Expire(10 * sec); !contains(c, "a") || r.Out(10*sec, "a", 100) {
+		t.Error("it has not expired")
 	}
 }
 
-// What a whole list no longer names is gone; what the first one says surprises nobody; what has come back is told of no more.
-func TestNews(t *testing.T) {
-	b := NewRegistry()
-	if news, _ := b.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(news) > 0 {
-		t.Error(news)
+// A host that a complete list no longer names is gone; a first list has nothing to gossip; a host that is back has no watermark.
+func TestFreshWatermarks(t *testing.T) {
+	r := NewRegistry()
+	if fresh, _ := r.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(fresh) > 0 {
+		t.Error("a first list is gossiped:", fresh)
 	}
-	news, _ := b.UpdateList(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
-	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(news, want) {
-		t.Error(news)
+	fresh, _ := r.UpdateList(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
+	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(fresh, want) {
+		t.Errorf("fresh watermarks are %v, expected %v", fresh, want)
 	}
-	if got, want := b.NewerThan(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
-		t.Error(got)
+	if got, want := r.NewerThan(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
+		t.Errorf("watermarks are %v, expected %v", got, want)
 	}
-	b.UpdateList(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
-	if got := b.NewerThan(2*sec, 0); len(got) > 0 {
-		t.Error("both are back:", got)
+	r.UpdateList(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
+	if got := r.NewerThan(2*sec, 0); len(got) > 0 {
+		t.Error("hosts that are back have watermarks:", got)
 	}
-	if news, _ := b.UpdateList(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(news) > 0 || len(b.NewerThan(3*sec, 0)) > 0 {
-		t.Error("a change of an older list is none")
+	if fresh, _ := r.UpdateList(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(fresh) > 0 || len(r.NewerThan(3*sec, 0)) > 0 {
+		t.Error("a change of an older list has an effect")
 	}
 }
 
-// Whatever is told, lost and repeated: a host is out only if a list newer than the own one stated so of this start of it, within Life; and
-// with the own list as new as any it is out by no word.
+// Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
+// Lifetime; a proxy with the newest list has no host out.
 func TestOutOnlyByANewerList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		type fact struct {
+		type statement struct {
 			host      string
 			startedAt int64
 			rev       int64
 		}
-		stated := map[fact]Time{} // when a list last stated so
+		stated := map[statement]Time{} // when a list last had a host so
 		registries := []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}
 		truth, rev, now := map[string]ListedHost{"a": {"a", 1, Up}, "b": {"b", 1, Up}, "c": {"c", 1, Up}}, int64(1), Time(0)
 		hosts := func() (all []ListedHost) {
@@ -93,8 +93,8 @@
 			}
 			return all
 		}
-		for _, b := range registries {
-			b.UpdateList(now, rev, true, hosts())
+		for _, r := range registries {
+			r.UpdateList(now, rev, true, hosts())
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
@@ -114,29 +114,29 @@
 				to := rapid.IntRange(0, 2).Draw(rt, "to")
 				registries[to].Merge(now, registries[i].NewerThan(now, registries[to].Revision()))
 			case 3:
-				for _, b := range registries {
-					b.Expire(now)
+				for _, r := range registries {
+					r.Expire(now)
 				}
 			}
-			for _, b := range registries {
-				for id, o := range b.own {
+			for _, r := range registries {
+				for id, o := range r.own {
 					if o.state != Up {
-						stated[fact{id, o.startedAt, o.revision}] = now // it can be told of at any time until the list changes
+						stated[statement{id, o.startedAt, o.revision}] = now // the registry may gossip it until its list changes
 					}
 				}
 			}
-			for k, b := range registries {
+			for k, r := range registries {
 				for _, id := range []string{"a", "b", "c"} {
-					startedAt := b.own[id].startedAt
-					if !b.Out(now, id, startedAt) {
+					startedAt := r.own[id].startedAt
+					if !r.Out(now, id, startedAt) {
 						continue
 					}
-					right := false
+					stillStated := false
 					for f, at := range stated {
-						right = right || f.host == id && f.startedAt >= startedAt && f.rev > b.Revision() && now-at < Lifetime
+						stillStated = stillStated || f.host == id && f.startedAt >= startedAt && f.rev > r.Revision() && now-at < Lifetime
 					}
-					if !right || b.Revision() == rev {
-						rt.Fatalf("at %d host %s is out at list %d of %d by no newer list's word", k, id, b.Revision(), rev)
+					if !stillStated || r.Revision() == rev {
+						rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", k, r.Revision(), rev, id)
 					}
 				}
 			}
@@ -145,16 +145,16 @@
 }
 
 func TestRegistryIsBounded(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 1, true, nil)
+	r := NewRegistry()
+	r.UpdateList(0, 1, true, nil)
 	for i := range 2 * maxWatermarks {
 		id := string([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
-		b.Merge(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
-		b.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
-		b.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
+		r.Merge(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
+		r.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
+		r.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
 	}
-	if len(b.received) > maxWatermarks || len(b.gossiped) > maxWatermarks || len(b.own) > maxWatermarks {
-		t.Error(len(b.received), len(b.gossiped), len(b.own))
+	if len(r.received) > maxWatermarks || len(r.gossiped) > maxWatermarks || len(r.own) > maxWatermarks {
+		t.Errorf("%d received, %d gossiped, %d own hosts, expected %d each at most", len(r.received), len(r.gossiped), len(r.own), maxWatermarks)
 	}
 }
 
@@ -177,11 +177,11 @@
 		got = append(got, m.body.(gossip).watermarks...)
 	}
 	if !slices.Equal(got, all) {
-		t.Error("what comes is not what went")
+		t.Error("watermarks are decoded otherwise than they were encoded")
 	}
 	asked := query{noRevision}
 	if m, err := decode(asked.encode(9)); err != nil || m.body != asked || m.source != 9 {
-		t.Error(m, err)
+		t.Errorf("a query is decoded as %v, %v", m, err)
 	}
 }
 
@@ -200,9 +200,9 @@
 				t.Fatalf("%v %v %v", m, again, err)
 			}
 		}
-		b := NewRegistry()
-		b.UpdateList(0, 1, true, []ListedHost{{"s-1", 1, Up}})
-		b.Merge(0, g.watermarks)
-		b.Expire(Lifetime)
+		r := NewRegistry()
+		r.UpdateList(0, 1, true, []ListedHost{{"s-1", 1, Up}})
+		r.Merge(0, g.watermarks)
+		r.Expire(Lifetime)
 	})
 }
