--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recordingEnd notes the datagrams of one end and carries them to the other.
+// recordingEnd records the datagrams and messages of one end.
 type recordingEnd struct {
 	samples  *golden.Samples
 	queue    [][]byte
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(far.received) != 2 || string(far.received[0]) != "short" || !bytes.Equal(far.received[1], long) {
-		t.Errorf("%d messages arrived", len(far.received))
+		t.Errorf("%d messages delivered, expected both as they were sent", len(far.received))
 	}
 	golden.Check(t, "datagrams.golden", samples.Bytes())
 }
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -44,10 +44,10 @@
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
 		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
-		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the longer list of conditions
-		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // before the operators' default
+		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the more specific route
+		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // takes precedence over the operators' default
 		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", Main},                                 //
-		{Request{Tenant: "t3", Key: "abc"}, "other", "", Main},                                                 // another's routes do not reach it
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", Main},                                                 // another customer's routes do not reach it
 		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
 		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", Main},                                   //
 		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
@@ -73,7 +73,7 @@
 	}
 }
 
-// A share is the same flows in every version, and about as many as it says.
+// A share is the same flows in every version, and about the stated part of them.
 func TestSharesAreStable(t *testing.T) {
 	c := compiled(t, customers)
 	more := *customers
@@ -91,7 +91,7 @@
 		}
 	}
 	if n < 4800 || n > 5200 {
-		t.Fatalf("half of 10,000 flows are %d", n)
+		t.Fatalf("a share of 50%% has %d of 10,000 flows", n)
 	}
 }
 
@@ -135,22 +135,22 @@
 		}()...),
 	} {
 		if _, err := Compile(b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, expected %q", err, want)
+			t.Errorf("the error is %v, expected %q", err, want)
 		}
 	}
 }
 
-// A host and a tenant that change hands get nothing until nobody acts by the version before.
+// A host and a tenant that are reassigned get no new requests while the directory has the previous assignment.
 func TestReassignedGetsNothing(t *testing.T) {
 	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
 		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
 	c := compiled(t, b)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
-		t.Errorf("pools %q and %q", p, q)
+		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
 	}
-	for tenant, moving := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
-		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != moving || v.Refused != moving {
-			t.Errorf("%s: %+v", tenant, v)
+	for tenant, reassigned := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
+		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Refused != reassigned {
+			t.Errorf("tenant %s: %+v", tenant, v)
 		}
 	}
 }
@@ -176,8 +176,8 @@
 			directory.Namespaces[0].Routes = append(directory.Namespaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: Main})
 		}
 		c := compiled(b, directory)
-		for who, tenant := range map[string]string{"own": "b", "beside": "s"} {
-			b.Run(fmt.Sprintf("%s/%d", who, n), func(b *testing.B) {
+		for whose, tenant := range map[string]string{"own": "b", "beside": "s"} {
+			b.Run(fmt.Sprintf("%s/%d", whose, n), func(b *testing.B) {
 				b.ReportAllocs()
 				q := Request{Tenant: tenant, Class: "c", Key: "0000000500000000"}
 				for range b.N {
@@ -207,7 +207,7 @@
 		if c, err := Compile(b); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
 			if v := c.Judge(q); !v.Refused && len(v.Pools) == 0 {
-				t.Fatalf("%q: neither refused nor a pool", text)
+				t.Fatalf("%q: a request is neither refused nor has a pool", text)
 			}
 			c.Explain(q)
 		}
