--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -40,10 +40,10 @@
 }
 
 // handlePiece adds a piece to its message and delivers that once it is complete; false: the piece is malformed.
-func (b *Transport) handlePiece(from uint32, part piece) bool {
-	p := b.peer(from)
+func (t *Transport) handlePiece(from uint32, part piece) bool {
+	p := t.peer(from)
 	if slices.Contains(p.completed, part.message) {
-		b.sendAck(from, part.message, nil)
+		t.sendAck(from, part.message, nil)
 		return true
 	}
 	m := p.find(part.message)
@@ -63,13 +63,13 @@
 	if m.missing > 0 {
 		if m.sinceAck >= piecesPerBurst/2 || part.last() {
 			m.sinceAck = 0
-			b.sendAck(from, m.message, m.received)
+			t.sendAck(from, m.message, m.received)
 		}
 		return true
 	}
 	p.complete(m)
-	b.sendAck(from, m.message, nil)
-	b.effects.Message(from, m.data)
+	t.sendAck(from, m.message, nil)
+	t.effects.Message(from, m.data)
 	return true
 }
 
@@ -102,8 +102,8 @@
 }
 
 // sendAck notifies a sender which pieces have arrived; nil: all. Pieces whose bits do not fit the datagram are retransmitted needlessly.
-func (b *Transport) sendAck(to uint32, id messageID, received []bool) {
+func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
-	b.buffer = ack{id, bits[:min(len(bits), b.pieceBytes)]}.append(b.buffer[:0])
-	b.effects.Datagram(to, b.buffer)
+	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
+	t.effects.Datagram(to, t.buffer)
 }
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -14,36 +14,36 @@
 }
 
 // Send sends a message to a peer; the error is ErrMessageTooLong.
-func (b *Transport) Send(now Time, to uint32, data []byte) error {
-	if len(data) <= b.pieceBytes+pieceHeader-singleHeader {
-		b.buffer = append(b.buffer[:0], DatagramPrefix, kindSingle)
-		b.effects.Datagram(to, append(b.buffer, data...))
+func (t *Transport) Send(now Time, to uint32, data []byte) error {
+	if len(data) <= t.pieceBytes+pieceHeader-singleHeader {
+		t.buffer = append(t.buffer[:0], DatagramPrefix, kindSingle)
+		t.effects.Datagram(to, append(t.buffer, data...))
 		return nil
 	}
 	if len(data) > MaxMessage {
 		return ErrMessageTooLong
 	}
-	p := b.peer(to)
+	p := t.peer(to)
 	if len(p.outgoing) >= maxOutgoing { // the oldest is the one most likely to be out of date
 		p.outgoing = p.outgoing[1:]
-		b.GivenUp++
+		t.GivenUp++
 	}
-	b.lastSequence++
-	pieces := (len(data) + b.pieceBytes - 1) / b.pieceBytes
+	t.lastSequence++
+	pieces := (len(data) + t.pieceBytes - 1) / t.pieceBytes
 	o := &outgoing{
-		sequence: b.lastSequence,
+		sequence: t.lastSequence,
 		data:     slices.Clone(data),
 		acked:    make([]bool, pieces),
 		unacked:  pieces,
 		giveUpAt: now + GiveUpAfter,
 	}
 	p.outgoing = append(p.outgoing, o)
-	b.sendBurst(now, to, o)
+	t.sendBurst(now, to, o)
 	return nil
 }
 
 // sendBurst sends the next pieces that are not acknowledged.
-func (b *Transport) sendBurst(now Time, to uint32, o *outgoing) {
+func (t *Transport) sendBurst(now Time, to uint32, o *outgoing) {
 	o.sentAt = now
 	count := len(o.acked)
 	for sent, visited := 0, 0; sent < piecesPerBurst && visited < count; visited++ {
@@ -53,19 +53,19 @@
 			continue
 		}
 		sent++
-		body := o.data[i*b.pieceBytes : min(len(o.data), (i+1)*b.pieceBytes)]
-		part := piece{messageID{b.incarnation, o.sequence}, i, count, body}
-		b.buffer = part.append(b.buffer[:0])
-		b.effects.Datagram(to, b.buffer)
+		body := o.data[i*t.pieceBytes : min(len(o.data), (i+1)*t.pieceBytes)]
+		part := piece{messageID{t.incarnation, o.sequence}, i, count, body}
+		t.buffer = part.append(t.buffer[:0])
+		t.effects.Datagram(to, t.buffer)
 	}
 }
 
 // handleAck records which pieces have arrived.
-func (b *Transport) handleAck(now Time, from uint32, a ack) {
-	if a.message.incarnation != b.incarnation {
+func (t *Transport) handleAck(now Time, from uint32, a ack) {
+	if a.message.incarnation != t.incarnation {
 		return // for a message of an earlier process at this address
 	}
-	p := b.peer(from)
+	p := t.peer(from)
 	i := slices.IndexFunc(p.outgoing, func(o *outgoing) bool { return o.sequence == a.message.sequence })
 	if i < 0 {
 		return
@@ -75,7 +75,7 @@
 	if len(a.bitmap) == 0 || o.unacked == 0 {
 		p.outgoing = append(p.outgoing[:i:i], p.outgoing[i+1:]...)
 	} else if o.next < 2*len(o.acked) {
-		b.sendBurst(now, from, o) // the first round is paced by acks; retransmissions are by Tick
+		t.sendBurst(now, from, o) // the first round is paced by acks; retransmissions are by Tick
 	}
 }
 
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -66,32 +66,32 @@
 }
 
 // peer is a peer's state, a new one where there is none yet.
-func (b *Transport) peer(id uint32) *peerState {
-	p := b.peers[id]
+func (t *Transport) peer(id uint32) *peerState {
+	p := t.peers[id]
 	if p == nil {
 		p = &peerState{}
-		b.peers[id] = p
-		i := sort.Search(len(b.peerIDs), func(i int) bool { return b.peerIDs[i] >= id })
-		b.peerIDs = append(b.peerIDs, 0)
-		copy(b.peerIDs[i+1:], b.peerIDs[i:])
-		b.peerIDs[i] = id
+		t.peers[id] = p
+		i := sort.Search(len(t.peerIDs), func(i int) bool { return t.peerIDs[i] >= id })
+		t.peerIDs = append(t.peerIDs, 0)
+		copy(t.peerIDs[i+1:], t.peerIDs[i:])
+		t.peerIDs[i] = id
 	}
 	return p
 }
 
 // Tick must be called every 20 to 100 ms: it retransmits what is not acknowledged.
-func (b *Transport) Tick(now Time) {
-	for _, id := range b.peerIDs {
-		p := b.peers[id]
+func (t *Transport) Tick(now Time) {
+	for _, id := range t.peerIDs {
+		p := t.peers[id]
 		remaining := p.outgoing[:0]
 		for _, o := range p.outgoing {
 			if now >= o.giveUpAt {
-				b.GivenUp++
+				t.GivenUp++
 				continue
 			}
 			remaining = append(remaining, o)
 			if now-o.sentAt >= burstInterval {
-				b.sendBurst(now, id, o)
+				t.sendBurst(now, id, o)
 			}
 		}
 		p.outgoing = remaining
@@ -99,30 +99,30 @@
 }
 
 // Receive handles a datagram of a peer; the error is ErrMalformed.
-func (b *Transport) Receive(now Time, from uint32, data []byte) error {
-	if !b.handle(now, from, data) {
-		b.Malformed++
+func (t *Transport) Receive(now Time, from uint32, data []byte) error {
+	if !t.handle(now, from, data) {
+		t.Malformed++
 		return ErrMalformed
 	}
 	return nil
 }
 
 // handle acts on a datagram; false: it is malformed.
-func (b *Transport) handle(now Time, from uint32, data []byte) bool {
+func (t *Transport) handle(now Time, from uint32, data []byte) bool {
 	if len(data) < singleHeader || data[0] != DatagramPrefix {
 		return false
 	}
 	switch data[1] {
 	case kindSingle:
-		b.effects.Message(from, data[singleHeader:])
+		t.effects.Message(from, data[singleHeader:])
 		return true
 	case kindPiece:
 		p, ok := decodePiece(data)
-		return ok && b.handlePiece(from, p)
+		return ok && t.handlePiece(from, p)
 	case kindAck:
 		a, ok := decodeAck(data)
 		if ok {
-			b.handleAck(now, from, a)
+			t.handleAck(now, from, a)
 		}
 		return ok
 	}
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -48,52 +48,52 @@
 
 // Open listens, or uses the socket fd that another process has handed over where that is not below 0. receive is called on the loop with
 // each datagram of a known peer and that peer's number, once StartReceiving was called.
-func Open(l *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
-	k := &Link{ownNumber: ownNumber}
+func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
+	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
 	for i, text := range a.Peers {
 		peer, err := parseAddress(fmt.Sprintf("peer %d", i), text)
 		if err != nil {
 			return nil, err
 		}
-		k.peers = append(k.peers, peer)
+		l.peers = append(l.peers, peer)
 		numbers[peer] = i
 	}
 	own, err := parseAddress("peer_listen", a.Listen)
 	if err == nil && a.All != "" {
-		k.broadcast, err = parseAddress("peers_all", a.All)
+		l.broadcast, err = parseAddress("peers_all", a.All)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if k.conn, err = bind(own, fd); err != nil {
+	if l.conn, err = bind(own, fd); err != nil {
 		return nil, err
 	}
-	k.readLoop = func() {
-		k.read(l, func(from netip.AddrPort) (handler, bool) {
+	l.readLoop = func() {
+		l.read(loop, func(from netip.AddrPort) (handler, bool) {
 			number, known := numbers[from]
-			return func(data []byte) { receive(number, data) }, known && number != k.ownNumber
+			return func(data []byte) { receive(number, data) }, known && number != l.ownNumber
 		})
 	}
-	return k, nil
+	return l, nil
 }
 
 // OpenAny listens for datagrams from anywhere, where members come and go: receive decides whose it accepts.
-func OpenAny(l *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
+func OpenAny(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{ownNumber: -1}
-	if k.conn, err = bind(own, -1); err != nil {
+	l := &Link{ownNumber: -1}
+	if l.conn, err = bind(own, -1); err != nil {
 		return nil, err
 	}
-	k.readLoop = func() {
-		k.read(l, func(from netip.AddrPort) (handler, bool) {
+	l.readLoop = func() {
+		l.read(loop, func(from netip.AddrPort) (handler, bool) {
 			return func(data []byte) { receive(from, data) }, true
 		})
 	}
-	return k, nil
+	return l, nil
 }
 
 func parseAddress(name, text string) (netip.AddrPort, error) {
@@ -124,48 +124,48 @@
 }
 
 // StartReceiving begins to receive. Datagrams can be sent in any case.
-func (k *Link) StartReceiving() {
-	k.conn.SetReadDeadline(time.Time{})
-	go k.readLoop()
+func (l *Link) StartReceiving() {
+	l.conn.SetReadDeadline(time.Time{})
+	go l.readLoop()
 }
 
 // StopReceiving leaves what arrives to the other process that holds the socket, during a hot restart.
-func (k *Link) StopReceiving() { k.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (l *Link) StopReceiving() { l.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // Fd is the socket's descriptor, to be handed to another process; the link keeps it. Below 0: the socket is closed.
-func (k *Link) Fd() int {
+func (l *Link) Fd() int {
 	fd := -1
-	if raw, err := k.conn.SyscallConn(); err == nil {
+	if raw, err := l.conn.SyscallConn(); err == nil {
 		raw.Control(func(p uintptr) { fd = int(p) })
 	}
 	return fd
 }
 
 // SendToPeer sends a datagram to a peer by its number, or to all others with a number below 0. It may be lost without notice.
-func (k *Link) SendToPeer(peer int, data []byte) {
+func (l *Link) SendToPeer(peer int, data []byte) {
 	if !validLength(data) {
 		return
 	}
 	switch {
-	case peer >= 0 && peer < len(k.peers):
-		k.send(k.peers[peer], data)
+	case peer >= 0 && peer < len(l.peers):
+		l.send(l.peers[peer], data)
 	case peer >= 0:
-		slog.Error("peer_message_invalid", "reason", reasonUnknownPeer, "peer", peer, "peer_count", len(k.peers))
-	case k.broadcast.IsValid():
-		k.send(k.broadcast, data)
+		slog.Error("peer_message_invalid", "reason", reasonUnknownPeer, "peer", peer, "peer_count", len(l.peers))
+	case l.broadcast.IsValid():
+		l.send(l.broadcast, data)
 	default:
-		for i, to := range k.peers {
-			if i != k.ownNumber {
-				k.send(to, data)
+		for i, to := range l.peers {
+			if i != l.ownNumber {
+				l.send(to, data)
 			}
 		}
 	}
 }
 
 // SendTo sends a datagram to an address. It may be lost without notice.
-func (k *Link) SendTo(to netip.AddrPort, data []byte) {
+func (l *Link) SendTo(to netip.AddrPort, data []byte) {
 	if validLength(data) {
-		k.send(to, data)
+		l.send(to, data)
 	}
 }
 
@@ -179,15 +179,15 @@
 }
 
 // send logs the first error only: one that lasts would be logged with each datagram.
-func (k *Link) send(to netip.AddrPort, data []byte) {
-	if _, err := k.conn.WriteToUDPAddrPort(data, to); err != nil && !k.sendFailed {
-		k.sendFailed = true
+func (l *Link) send(to netip.AddrPort, data []byte) {
+	if _, err := l.conn.WriteToUDPAddrPort(data, to); err != nil && !l.sendFailed {
+		l.sendFailed = true
 		slog.Warn("peer_failed", "address", to.String(), "reason", err)
 	}
 }
 
 // Dropped counts the datagrams that were received and not handled: of an unknown sender, too long, or while too many waited for the loop.
-func (k *Link) Dropped() int64 { return k.dropped.Load() }
+func (l *Link) Dropped() int64 { return l.dropped.Load() }
 
 // Close closes the socket.
-func (k *Link) Close() { k.conn.Close() }
+func (l *Link) Close() { l.conn.Close() }
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -34,15 +34,15 @@
 		t.Cleanup(loop.Stop)
 		ch := make(chan received, 1000)
 		channels = append(channels, ch)
-		k, err := Open(loop, Addresses{Listen: addrs[i], Peers: addrs}, i, -1, func(from int, data []byte) {
+		link, err := Open(loop, Addresses{Listen: addrs[i], Peers: addrs}, i, -1, func(from int, data []byte) {
 			ch <- received{from, data}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(k.Close)
-		k.StartReceiving()
-		links = append(links, k)
+		t.Cleanup(link.Close)
+		link.StartReceiving()
+		links = append(links, link)
 	}
 	return links, channels
 }
@@ -104,8 +104,8 @@
 func TestInvalidAddresses(t *testing.T) {
 	for _, a := range []Addresses{{Listen: ""}, {Listen: "x:1"}, {Listen: "127.0.0.1:0", Peers: []string{"y"}},
 		{Listen: "127.0.0.1:0", All: "z"}} {
-		if k, err := Open(netio.NewLoop(), a, 0, -1, nil); err == nil {
-			k.Close()
+		if link, err := Open(netio.NewLoop(), a, 0, -1, nil); err == nil {
+			link.Close()
 			t.Errorf("%+v is accepted", a)
 		}
 	}
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -24,11 +24,11 @@
 
 // read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
 // the link is closed or StopReceiving was called.
-func (k *Link) read(l *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
+func (l *Link) read(loop *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
 	buffer := make([]byte, MaxDatagram+1) // one more, so that a datagram that is too long shows
 	for {
-		n, from, err := k.conn.ReadFromUDPAddrPort(buffer)
+		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
@@ -41,12 +41,12 @@
 		}
 		handle, known := handlerOf(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if !known || n > MaxDatagram || waiting.Load() >= maxWaiting {
-			k.dropped.Add(1)
+			l.dropped.Add(1)
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
 		waiting.Add(1)
-		l.Post(func() {
+		loop.Post(func() {
 			waiting.Add(-1)
 			handle(data)
 		})
