--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -39,13 +39,13 @@
 	OwnNumber  int // of this process among the proxies
 }
 
-// Start begins. started is when this process began, which its incarnation says. The error is of the section's files or addresses.
-func Start(l *netio.Loop, o Options, name string, started time.Time, on Platform) (*Agent, error) {
+// Start begins. started is when this process began, which its incarnation says. The error is of the section'a files or addresses.
+func Start(loop *netio.Loop, o Options, name string, started time.Time, platform Platform) (*Agent, error) {
 	seal, err := o.seal()
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := coreConfig(o, name, started, on)
+	cfg, err := coreConfig(o, name, started, platform)
 	if err != nil {
 		return nil, err
 	}
@@ -54,25 +54,25 @@
 	} else {
 		slog.Warn("membership_unsealed", "reason", "no_keys") // whoever reaches the address can speak for any member
 	}
-	s := &Agent{loop: l, name: name, transport: transport{seal: seal, learnsAddresses: len(cfg.Seeds) > 0}, channels: channels{}}
-	if s.core, err = membership.New(cfg, s); err != nil {
+	a := &Agent{loop: loop, name: name, transport: transport{seal: seal, learnsAddresses: len(cfg.Seeds) > 0}, channels: channels{}}
+	if a.core, err = membership.New(cfg, a); err != nil {
 		return nil, err
 	}
-	if err := s.open(o, cfg.OwnSlot, on); err != nil {
+	if err := a.open(o, cfg.OwnSlot, platform); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	if o.Socket != "" {
-		if err := s.serveReports(o.Socket); err != nil {
-			s.Stop()
+		if err := a.serveReports(o.Socket); err != nil {
+			a.Stop()
 			return nil, fmt.Errorf("membership: %w", err)
 		}
 	}
-	l.Post(s.tick)
-	return s, nil
+	loop.Post(a.tick)
+	return a, nil
 }
 
 // coreConfig is membership's configuration: its members are the section's seeds or peers, or else the platform's proxies.
-func coreConfig(o Options, name string, started time.Time, on Platform) (membership.Config, error) {
+func coreConfig(o Options, name string, started time.Time, platform Platform) (membership.Config, error) {
 	cfg := membership.Config{
 		Name:        name,
 		Fleet:       o.Fleet,
@@ -88,19 +88,19 @@
 	if !o.usesPlatform() {
 		return cfg, nil
 	}
-	if on.Link == nil {
+	if platform.Link == nil {
 		return cfg, errors.New("membership: no peers, and the platform has none or forbids messages between them")
 	}
-	cfg.Slots, cfg.OwnSlot = on.ProxyCount, on.OwnNumber
+	cfg.Slots, cfg.OwnSlot = platform.ProxyCount, platform.OwnNumber
 	return cfg, nil
 }
 
-// open opens the link that the section asks for.
-func (a *Agent) open(o Options, ownSlot int, on Platform) (err error) {
+// open opens a link of its own, or uses the platform's where the section has no addresses.
+func (a *Agent) open(o Options, ownSlot int, platform Platform) (err error) {
 	t := &a.transport
 	switch {
 	case o.usesPlatform():
-		t.link, t.shared = on.Link, true
+		t.link, t.shared = platform.Link, true
 		return nil
 	case t.learnsAddresses:
 		t.link, err = peers.OpenAny(a.loop, o.Listen, a.receiveFrom)
@@ -121,7 +121,7 @@
 	a.loop.After(tickInterval, a.tick)
 }
 
-// ReceiveShared handles a datagram of the platform's link, if it is membership's, and says whether it was. A nil Agent handles none.
+// ReceiveShared handles a datagram of the platform's link if it is membership's, and reports whether it was. A nil Agent handles none.
 func (a *Agent) ReceiveShared(slot int, data []byte) bool {
 	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
@@ -169,7 +169,7 @@
 		"reason", c.Reason.String(), "incarnation_start_ms", c.Incarnation.Start(), "view_version", c.Version)
 }
 
-// Leave announces to the others that this process shuts down in order, and ends. A nil Agent does nothing.
+// Leave announces a graceful shutdown to the others, and stops. A nil Agent does nothing.
 func (a *Agent) Leave() {
 	if a != nil && !a.closed {
 		a.core.Leave(a.loop.Now())
@@ -177,7 +177,7 @@
 	}
 }
 
-// Stop ends without an announcement: another process continues as this member. A nil Agent does nothing.
+// Stop ends without an announcement, as in a hot restart: another process continues as this member. A nil Agent does nothing.
 func (a *Agent) Stop() {
 	if a == nil || a.closed {
 		return
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Section is a namespace as its administrators write it: (account NAME), and (guard LABEL …), (route LABEL …), (default LABEL …) as often as wanted.
+// Section declares a namespace as its administrators write it: (account NAME), and any number of (guard LABEL …), (route LABEL …), (default LABEL …).
 func Section() settings.Section {
 	return settings.Section{Name: "namespace", Doc: "an account's routes", Bind: func(f *settings.Form) any {
 		s := &Namespace{}
@@ -25,7 +25,7 @@
 	}}
 }
 
-// AccountSection is an account below another as its administrators write it.
+// AccountSection declares an account below another as its administrators write it.
 func AccountSection() settings.Section {
 	return settings.Section{Name: "account", Doc: "an account below one's own", Bind: func(f *settings.Form) any {
 		name := ""
@@ -37,7 +37,7 @@
 
 func notEmpty(s string) bool { return s != "" }
 
-// BindRoutes declares the three lists of a namespace, and reports what is wrong among its routes.
+// BindRoutes declares the three lists of routes of a namespace, and reports a fault at the route that has it.
 func BindRoutes(f *settings.Form, s *Namespace) {
 	forms := map[string]*settings.Form{}
 	for _, list := range []struct {
@@ -92,7 +92,7 @@
 	f.Text("end", "up to what time of day", "a time as 06:00", &clock, parseMinute(&r.WindowEnd))
 }
 
-// parseMinute reads a time of day as the minute of it.
+// parseMinute reads a time of day, as 22:00, into minutes since midnight.
 func parseMinute(to *uint16) func(string) bool {
 	return func(s string) bool {
 		t, err := time.Parse("15:04", s)
@@ -101,7 +101,7 @@
 	}
 }
 
-// BindPoolsAndAccounts declares pools and accounts.
+// BindPoolsAndAccounts declares pools and accounts, and sorts them as a Directory has them.
 func BindPoolsAndAccounts(f *settings.Form, d *Directory) {
 	f.Each("pool", "a part of the hosts; those that no pool takes are the pool main", func(name string, f *settings.Form) {
 		d.Pools = append(d.Pools, bindPool(name, f))
@@ -165,7 +165,7 @@
 	*to = uint32(n)
 }
 
-// bindNames declares some names in one text, sorted but for pools, whose order says which is the first.
+// bindNames declares a list of names in one text. They are sorted, except pools, whose first has a meaning.
 func bindNames(f *settings.Form, name, doc string, to *[]string) {
 	f.Text(name, doc, "names with spaces between", new(string), func(s string) bool {
 		*to = strings.Fields(s)
