--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -44,6 +44,11 @@
 	}
 }
 
+// oneFault is a fault of one process, with times in milliseconds.
+func oneFault(kind string, start, duration Time, process int) Fault {
+	return Fault{Kind: kind, StartMS: start, DurationMS: duration, Process: process}
+}
+
 // TestHardCases runs each case by itself: no invariant is violated, no running process is gone to another, and views agree at the end.
 func TestHardCases(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4}
@@ -54,25 +59,25 @@
 		stays []int // processes that nobody may see as gone
 		until Time  // end of the run, in seconds
 	}{
-		{"a pause of 0.2 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 200, Process: 1}}, 0, all, 15},
-		{"a pause of 2 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 2000, Process: 1}}, 0, all, 15},
-		{"a pause of 10 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 10000, Process: 1}}, 0, all, 30},
-		{"a pause of 60 s", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 60000, Process: 1}}, 0, []int{0, 2, 3, 4}, 90},
-		{"all but one paused", []Fault{{Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 1}, {Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 2},
-			{Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 3}, {Kind: "pause", StartMS: 5000, DurationMS: 20000, Process: 4}}, 0, all, 50},
+		{"a pause of 0.2 s", []Fault{oneFault(faultPause, 5000, 200, 1)}, 0, all, 15},
+		{"a pause of 2 s", []Fault{oneFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
+		{"a pause of 10 s", []Fault{oneFault(faultPause, 5000, 10000, 1)}, 0, all, 30},
+		{"a pause of 60 s", []Fault{oneFault(faultPause, 5000, 60000, 1)}, 0, []int{0, 2, 3, 4}, 90},
+		{"all but one paused", []Fault{oneFault(faultPause, 5000, 20000, 1), oneFault(faultPause, 5000, 20000, 2),
+			oneFault(faultPause, 5000, 20000, 3), oneFault(faultPause, 5000, 20000, 4)}, 0, all, 50},
 		{"a fifth of all datagrams lost", nil, 0.2, all, 120},
 		{"two fifths of all datagrams lost", nil, 0.4, all, 120},
-		{"a one-way cut", []Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 30000, Process: 1, Destination: 2}}, 0, all, 60},
-		{"one that receives nothing", []Fault{{Kind: "deaf", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
-		{"one that sends nothing", []Fault{{Kind: "mute", StartMS: 5000, DurationMS: 30000, Process: 1}}, 0, []int{0, 2, 3, 4}, 60},
-		{"a repeated cut", []Fault{{Kind: "cut", StartMS: 5000, DurationMS: 2500, Process: 1}, {Kind: "cut", StartMS: 10000, DurationMS: 2500, Process: 1},
-			{Kind: "cut", StartMS: 15000, DurationMS: 2500, Process: 1}, {Kind: "cut", StartMS: 20000, DurationMS: 2500, Process: 1}}, 0, all, 50},
-		{"a quick restart", []Fault{{Kind: "restart", StartMS: 5000, DurationMS: 100, Process: 1}}, 0, all, 15},
-		{"all restarted within 2 s", []Fault{{Kind: "restart", StartMS: 5000, DurationMS: 500, Process: 0}, {Kind: "restart", StartMS: 5300, DurationMS: 500, Process: 1},
-			{Kind: "restart", StartMS: 5600, DurationMS: 500, Process: 2}, {Kind: "restart", StartMS: 6000, DurationMS: 500, Process: 3}, {Kind: "restart", StartMS: 6400, DurationMS: 500, Process: 4}}, 0, all, 20},
-		{"a wall clock a minute ahead, and set back", []Fault{{Kind: "step", StartMS: 5000, DurationMS: 10000, Process: 1, Amount: 0.4}, {Kind: "step", StartMS: 20000, DurationMS: 5000, Process: 1, Amount: 0}}, 0, all, 40},
-		{"one with every second turn only", []Fault{{Kind: "lame", StartMS: 3000, DurationMS: 40000, Process: 1}}, 0, all, 60},
-		{"datagrams late, duplicated and out of order", []Fault{{Kind: "slow", StartMS: 3000, DurationMS: 30000}, {Kind: "twice", StartMS: 3000, DurationMS: 30000, Amount: 0.4}}, 0, all, 50},
+		{"a one-way cut", []Fault{{Kind: faultOneWay, StartMS: 5000, DurationMS: 30000, Process: 1, Destination: 2}}, 0, all, 60},
+		{"one that receives nothing", []Fault{oneFault(faultDeaf, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"one that sends nothing", []Fault{oneFault(faultMute, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"a repeated cut", []Fault{oneFault(faultCut, 5000, 2500, 1), oneFault(faultCut, 10000, 2500, 1),
+			oneFault(faultCut, 15000, 2500, 1), oneFault(faultCut, 20000, 2500, 1)}, 0, all, 50},
+		{"a quick restart", []Fault{oneFault(faultRestart, 5000, 100, 1)}, 0, all, 15},
+		{"all restarted within 2 s", []Fault{oneFault(faultRestart, 5000, 500, 0), oneFault(faultRestart, 5300, 500, 1),
+			oneFault(faultRestart, 5600, 500, 2), oneFault(faultRestart, 6000, 500, 3), oneFault(faultRestart, 6400, 500, 4)}, 0, all, 20},
+		{"a wall clock a minute ahead, and set back", []Fault{{Kind: faultStep, StartMS: 5000, DurationMS: 10000, Process: 1, Amount: 0.4}, {Kind: faultStep, StartMS: 20000, DurationMS: 5000, Process: 1, Amount: 0}}, 0, all, 40},
+		{"one with every second turn only", []Fault{oneFault(faultSlow, 3000, 40000, 1)}, 0, all, 60},
+		{"datagrams late, duplicated and out of order", []Fault{{Kind: faultDelay, StartMS: 3000, DurationMS: 30000}, {Kind: faultDuplication, StartMS: 3000, DurationMS: 30000, Amount: 0.4}}, 0, all, 50},
 	} {
 		for seed := range uint64(5) {
 			f := New(5, seed, membership.Config{})
@@ -139,7 +144,7 @@
 // TestUnheardNamesTheLink: with a one-way cut the process that does not hear the other lists it as unheard, and all stay alive.
 func TestUnheardNamesTheLink(t *testing.T) {
 	f := New(5, 3, membership.Config{})
-	f.Apply([]Fault{{Kind: "one-way", StartMS: 5000, DurationMS: 60000, Process: 1, Destination: 2}})
+	f.Apply([]Fault{{Kind: faultOneWay, StartMS: 5000, DurationMS: 60000, Process: 1, Destination: 2}})
 	f.Run(8 * Sec)
 	for _, m := range f.Nodes[0].Core.View() {
 		if m.ID == membership.ID("n2") && (len(m.Unheard) != 1 || m.Unheard[0] != membership.ID("n1")) {
@@ -200,7 +205,7 @@
 	}
 	var plan []Fault
 	for i := range 7 {
-		plan = append(plan, Fault{Kind: "restart", StartMS: 5000 + 2000*int64(i), DurationMS: 800, Process: i})
+		plan = append(plan, Fault{Kind: faultRestart, StartMS: 5000 + 2000*int64(i), DurationMS: 800, Process: i})
 	}
 	endMS := f.Apply(plan)
 	f.Run(endMS*Ms + 5*Sec)
@@ -226,7 +231,7 @@
 		if why := f.Disagreement(); why != "" {
 			t.Errorf("seed %d, after one process started and one shut down: %s", seed, why)
 		}
-		f.Apply([]Fault{{Kind: "restart", StartMS: 16000, DurationMS: 500, Process: 0}, {Kind: "restart", StartMS: 16000, DurationMS: 800, Process: 1}})
+		f.Apply([]Fault{oneFault(faultRestart, 16000, 500, 0), oneFault(faultRestart, 16000, 800, 1)})
 		f.Run(30 * Sec)
 		if why := f.Disagreement(); why != "" || f.Violation != "" {
 			t.Errorf("seed %d, after both seeds were restarted: %s %s", seed, why, f.Violation)
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -73,74 +73,107 @@
 	}
 }
 
-// Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
-// Lifetime; a proxy with the newest list has no host out.
-func TestOutOnlyByANewerList(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		type statement struct {
-			host      string
-			startedAt int64
-			rev       int64
+// statement is that a list has a host out.
+type statement struct {
+	host      string
+	startedAt int64
+	revision  int64
+}
+
+// gossipModel is three registries that get discovery's list, and one another's watermarks, at drawn times.
+type gossipModel struct {
+	now        Time
+	revision   int64 // of discovery's list
+	hosts      map[string]ListedHost
+	registries []*Registry
+	lastStated map[statement]Time // when a registry's list last had a host out
+}
+
+var modelHosts = []string{"a", "b", "c"}
+
+func newGossipModel() *gossipModel {
+	m := &gossipModel{revision: 1, hosts: map[string]ListedHost{}, registries: []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}, lastStated: map[statement]Time{}}
+	for _, host := range modelHosts {
+		m.hosts[host] = ListedHost{host, 1, Up}
+	}
+	for _, r := range m.registries {
+		r.UpdateList(m.now, m.revision, true, m.list())
+	}
+	return m
+}
+
+// list is discovery's list: hosts that are gone are not in it.
+func (m *gossipModel) list() (all []ListedHost) {
+	for _, host := range modelHosts {
+		if h := m.hosts[host]; h.State != Gone {
+			all = append(all, h)
 		}
-		stated := map[statement]Time{} // when a list last had a host so
-		registries := []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}
-		truth, rev, now := map[string]ListedHost{"a": {"a", 1, Up}, "b": {"b", 1, Up}, "c": {"c", 1, Up}}, int64(1), Time(0)
-		hosts := func() (all []ListedHost) {
-			for _, id := range []string{"a", "b", "c"} {
-				if h := truth[id]; h.State != Gone {
-					all = append(all, h)
-				}
-			}
-			return all
+	}
+	return all
+}
+
+// step draws one event: a change of discovery's list, its delivery, gossip between two registries, or a check for expired watermarks.
+func (m *gossipModel) step(rt *rapid.T) {
+	m.now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
+	from := m.registries[rapid.IntRange(0, 2).Draw(rt, "from")]
+	switch rapid.IntRange(0, 3).Draw(rt, "event") {
+	case 0:
+		m.revision++
+		host := rapid.SampledFrom(modelHosts).Draw(rt, "host")
+		h := m.hosts[host]
+		if h.State = State(rapid.IntRange(0, 2).Draw(rt, "state")); h.State == Up {
+			h.StartedAt++
 		}
-		for _, r := range registries {
-			r.UpdateList(now, rev, true, hosts())
+		m.hosts[host] = h
+	case 1:
+		from.UpdateList(m.now, m.revision, true, m.list())
+	case 2:
+		to := m.registries[rapid.IntRange(0, 2).Draw(rt, "to")]
+		to.Merge(m.now, from.NewerThan(m.now, to.Revision()))
+	case 3:
+		for _, r := range m.registries {
+			r.Expire(m.now)
 		}
-		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
-			i := rapid.IntRange(0, 2).Draw(rt, "at")
-			switch rapid.IntRange(0, 3).Draw(rt, "what") {
-			case 0:
-				rev++
-				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "host")
-				h := truth[id]
-				if h.State = State(rapid.IntRange(0, 2).Draw(rt, "state")); h.State == Up {
-					h.StartedAt++
-				}
-				truth[id] = h
-			case 1:
-				registries[i].UpdateList(now, rev, true, hosts())
-			case 2:
-				to := rapid.IntRange(0, 2).Draw(rt, "to")
-				registries[to].Merge(now, registries[i].NewerThan(now, registries[to].Revision()))
-			case 3:
-				for _, r := range registries {
-					r.Expire(now)
-				}
-			}
-			for _, r := range registries {
-				for id, o := range r.own {
-					if o.state != Up {
-						stated[statement{id, o.startedAt, o.revision}] = now // the registry may gossip it until its list changes
-					}
-				}
+	}
+	for _, r := range m.registries {
+		for host, o := range r.own {
+			if o.state != Up {
+				m.lastStated[statement{host, o.startedAt, o.revision}] = m.now // the registry may gossip it until its list changes
 			}
-			for k, r := range registries {
-				for _, id := range []string{"a", "b", "c"} {
-					startedAt := r.own[id].startedAt
-					if !r.Out(now, id, startedAt) {
-						continue
-					}
-					stillStated := false
-					for f, at := range stated {
-						stillStated = stillStated || f.host == id && f.startedAt >= startedAt && f.rev > r.Revision() && now-at < Lifetime
-					}
-					if !stillStated || r.Revision() == rev {
-						rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", k, r.Revision(), rev, id)
-					}
-				}
+		}
+	}
+}
+
+// check checks that each host that is out somewhere is out by a list that is newer than the registry's own, within Lifetime.
+func (m *gossipModel) check(rt *rapid.T) {
+	for i, r := range m.registries {
+		for _, host := range modelHosts {
+			startedAt := r.own[host].startedAt
+			if r.Out(m.now, host, startedAt) && (!m.statedByNewer(r, host, startedAt) || r.Revision() == m.revision) {
+				rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", i, r.Revision(), m.revision, host)
 			}
 		}
+	}
+}
+
+func (m *gossipModel) statedByNewer(r *Registry, host string, startedAt int64) bool {
+	for s, at := range m.lastStated {
+		if s.host == host && s.startedAt >= startedAt && s.revision > r.Revision() && m.now-at < Lifetime {
+			return true
+		}
+	}
+	return false
+}
+
+// Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
+// Lifetime; a proxy with the newest list has no host out.
+func TestOutOnlyByANewerList(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		m := newGossipModel()
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			m.step(rt)
+			m.check(rt)
+		}
 	})
 }
 
