--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -23,6 +23,18 @@
 	fault       string // why it can't use the staged version; "": it has reported none
 }
 
+// recordReport records what a member's query says of the versions that it has compiled, or can't use. A fault counts for the staged version only:
+// one of an earlier version may be reported late.
+func (m *memberState) recordReport(q *leaseQuery, versions *versionStore) {
+	m.ready, m.fault = Hash{}, ""
+	if versions.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(versions.stagedHash[:]) {
+		m.fault = q.Fault
+	}
+	if len(q.ReadyHash) == len(Hash{}) {
+		m.ready = Hash(q.ReadyHash)
+	}
+}
+
 func (m *memberState) holdsLease(now Time) bool { return m.leaseEnd > now }
 
 // leaseTable is which member may act by which version until when. Members are known by their peer id.
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -106,30 +106,14 @@
 	}
 }
 
-// grantLease records what a member has compiled, and grants it the lease to act by the active version. The reply holds each version that the
-// member lacks.
+// grantLease grants a member the lease to act by the active version, and sends it the versions that it lacks.
 func (p *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
 	m, v := p.leases.member(from), &p.versions
-	m.ready, m.fault = Hash{}, ""
-	if v.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(v.stagedHash[:]) {
-		m.fault = q.Fault
-	}
-	if len(q.ReadyHash) == len(Hash{}) {
-		m.ready = Hash(q.ReadyHash)
-	}
+	m.recordReport(q, v)
+	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, p.AgreeWithin)
 	activeHash := v.activeHash
 	r := leaseReply{Number: v.active.Number, Hash: activeHash[:]}
-	if q.ActiveNumber != v.active.Number && m.ready != activeHash || q.ActiveNumber == 0 && q.ReadyNumber == 0 {
-		r.Active = v.transfers.encode(v.active, nil)
-	}
-	if v.staged != nil && m.ready != v.stagedHash && m.fault == "" {
-		base := v.active
-		if m.ready != activeHash {
-			base = nil
-		}
-		r.Staged = v.transfers.encode(v.staged, base)
-	}
-	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, p.AgreeWithin)
+	r.Active, r.Staged = v.missingAt(m, q)
 	return r
 }
 
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -26,6 +26,24 @@
 	s.staged, s.history = nil, history
 }
 
+// missingAt encodes the versions that a member lacks after its query; nil: it lacks none. Without any version it gets the active one even where that
+// is version 0.
+func (s *versionStore) missingAt(m *memberState, q *leaseQuery) (active, staged []byte) {
+	hasActive := q.ActiveNumber == s.active.Number || m.ready == s.activeHash
+	hasNone := q.ActiveNumber == 0 && q.ReadyNumber == 0
+	if !hasActive || hasNone {
+		active = s.transfers.encode(s.active, nil)
+	}
+	if s.staged == nil || m.ready == s.stagedHash || m.fault != "" {
+		return active, nil
+	}
+	base := s.active
+	if m.ready != s.activeHash {
+		base = nil // the member may lack the active version, from which the delta would be
+	}
+	return active, s.transfers.encode(s.staged, base)
+}
+
 // byNumber gives an earlier version, or the active one; nil: the history no longer has it. It decodes the deltas back from the active version.
 func (s *versionStore) byNumber(number uint64) *Version {
 	if number == s.active.Number {
