--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -7,8 +7,8 @@
 	Name        string // "": not known yet
 	ID          uint32
 	State       string
-	Incarnation uint64   // its incarnation
-	Unheard     []uint32 // members that it says it does not hear
+	Incarnation uint64
+	Unheard     []uint32 // members that it reports not to hear
 }
 
 // View is the members as this process sees them, itself left out.
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -40,15 +40,15 @@
 
 // Judge says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
 func (e *Enforcer) Judge(q namespace.Request) (v Verdict) {
-	a, v := e.current()
-	if a == nil || v.Refused {
+	active, v := e.current()
+	if active == nil || v.Refused {
 		return v
 	}
-	if v.Refused, v.Advice = a.refuses(q.Tenant, q.Class); v.Refused || a.namespaces == nil {
+	if v.Refused, v.Advice = active.refuses(q.Tenant, q.Class); v.Refused || active.namespaces == nil {
 		return v
 	}
 	q.Minute = e.minuteOfDay()
-	routed := a.namespaces.Judge(q)
+	routed := active.namespaces.Judge(q)
 	v.Refused, v.Advice, v.Account, v.Pools = routed.Refused, routed.Advice, routed.Account, routed.Pools
 	if routed.Route != "" {
 		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
@@ -68,28 +68,28 @@
 
 // Limits are an account's, by the active version or the last one.
 func (e *Enforcer) Limits(account string) quota.Limit {
-	if a := e.active.Load(); a != nil {
-		return a.limits[account]
+	if active := e.active.Load(); active != nil {
+		return active.limits[account]
 	}
 	return quota.Limit{}
 }
 
 // Limited names the accounts that have limits, sorted.
 func (e *Enforcer) Limited() []string {
-	if a := e.active.Load(); a != nil {
-		return a.limitedAccounts
+	if active := e.active.Load(); active != nil {
+		return active.limitedAccounts
 	}
 	return nil
 }
 
 // IsLimited reports whether an account, or one above it, has limits.
 func (e *Enforcer) IsLimited(account string) bool {
-	a := e.active.Load()
-	if a == nil || len(a.limits) == 0 {
+	active := e.active.Load()
+	if active == nil || len(active.limits) == 0 {
 		return false
 	}
 	for ; account != ""; account = namespace.Parent(account) {
-		if _, has := a.limits[account]; has {
+		if _, has := active.limits[account]; has {
 			return true
 		}
 	}
@@ -98,25 +98,25 @@
 
 // Account is a tenant's, by the active version or the last one; "": the operators'.
 func (e *Enforcer) Account(tenant string) string {
-	if a := e.active.Load(); a != nil && a.namespaces != nil {
-		return a.namespaces.Account(tenant)
+	if active := e.active.Load(); active != nil && active.namespaces != nil {
+		return active.namespaces.Account(tenant)
 	}
 	return ""
 }
 
 // Pool is the pool that a host is in; "": in none, while it is reassigned. Without pools all hosts are in namespace.Main.
 func (e *Enforcer) Pool(host, kind, zone string) string {
-	if a := e.active.Load(); a != nil && a.namespaces != nil {
-		return a.namespaces.Pool(host, kind, zone)
+	if active := e.active.Load(); active != nil && active.namespaces != nil {
+		return active.namespaces.Pool(host, kind, zone)
 	}
 	return namespace.Main
 }
 
 // Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the words that operators know.
 func (e *Enforcer) Explain(q namespace.Request) string {
-	a, v := e.current()
+	active, v := e.current()
 	switch {
-	case a == nil:
+	case active == nil:
 		return "this process acts by no version yet"
 	case v.Lapsed && !e.GraceAfterLapse:
 		return fmt.Sprintf("its right to act by version %d has lapsed: refused", v.Version)
@@ -125,46 +125,46 @@
 	if v.Lapsed {
 		s += ", the last one known"
 	}
-	if refused, _ := a.refuses(q.Tenant, q.Class); refused {
+	if refused, _ := active.refuses(q.Tenant, q.Class); refused {
 		return s + "\nrefused by the operators, for its tenant and class"
 	}
-	if a.namespaces == nil {
+	if active.namespaces == nil {
 		return s + "\nthere are no accounts and no pools: it may go to any host"
 	}
 	q.Minute = e.minuteOfDay()
-	return s + "\n" + a.namespaces.Explain(q)
+	return s + "\n" + active.namespaces.Explain(q)
 }
 
 // Usable says whether a host may get new requests.
 func (e *Enforcer) Usable(host string) bool {
-	a, v := e.current()
-	if a == nil || v.Refused {
+	active, v := e.current()
+	if active == nil || v.Refused {
 		return !v.Refused
 	}
-	_, out := a.hostsOut[host]
+	_, out := active.hostsOut[host]
 	return !out
 }
 
 // current gives the version to judge by, nil for none, and the verdict so far: refused if the lease has ended, unless GraceAfterLapse is set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
-	a := e.active.Load()
-	if a != nil && e.Now() < a.leaseEnd {
-		return a, Verdict{Version: a.version.Number}
+	active := e.active.Load()
+	if active != nil && e.Now() < active.leaseEnd {
+		return active, Verdict{Version: active.version.Number}
 	}
 	v := Verdict{Lapsed: true, Refused: !e.GraceAfterLapse}
 	if !e.GraceAfterLapse {
 		v.Advice = e.LapsedAdvice
 	}
-	if a != nil {
-		v.Version = a.version.Number
+	if active != nil {
+		v.Version = active.version.Number
 	}
-	return a, v
+	return active, v
 }
 
 // ActiveVersion is the number of the version that this process acts by, and how much longer its lease lasts, in nanoseconds.
 func (e *Enforcer) ActiveVersion() (number uint64, remaining Time) {
-	if a := e.active.Load(); a != nil {
-		return a.version.Number, max(0, a.leaseEnd-e.Now())
+	if active := e.active.Load(); active != nil {
+		return active.version.Number, max(0, active.leaseEnd-e.Now())
 	}
 	return 0, 0
 }
