--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -43,7 +43,7 @@
 	if moving {
 		b.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
-	rules.ActByForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
+	rules.SetActiveVersionForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
 	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
 	for id, h := range w.hosts {
 		w.owner[id] = namespace.Main
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -64,11 +64,11 @@
 		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
 			t.Fatal(err)
 		}
-		rules.ActByForTest(enforcer, &rules.Version{Number: 1}, w.now+1e12)
+		rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1}, w.now+1e12)
 		w.core.SetRules(enforcer)
 		w.open("r")
 		w.upstreams[0].sent()
-		rules.ActByForTest(enforcer, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
+		rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
 		w.core.ReassignPools()
 		w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.events = nil
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -38,7 +38,7 @@
 	w := newHarness(t)
 	quota := &fakeQuota{inUse: map[string]int{}}
 	enforcer := &rules.Enforcer{Now: func() int64 { return w.now }}
-	rules.ActByForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.SetQuota(quota)
 	w.core.SetRules(enforcer)
 	w.onEvent = func(e string) {
@@ -105,7 +105,7 @@
 	if quota.inUse["a"] != 0 {
 		t.Fatal("counted before there are accounts")
 	}
-	rules.ActByForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
+	rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.ReassignPools()
 	w.core.ReassignPools()
 	if quota.inUse["a"] != 1 {
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// add places a piece; false: it does not fit the earlier ones.
+// add stores a piece; false: it does not fit the earlier ones.
 func (m *incoming) add(p piece) bool {
 	if len(m.received) != p.count || !p.last() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
@@ -40,16 +40,16 @@
 }
 
 // handlePiece adds a piece to its message and delivers that once it is complete; false: the piece is malformed.
-func (b *Transport) handlePiece(from uint32, part piece) bool {
-	p := b.peer(from)
+func (t *Transport) handlePiece(from uint32, part piece) bool {
+	p := t.peer(from)
 	if slices.Contains(p.completed, part.message) {
-		b.sendAck(from, part.message, nil)
+		t.sendAck(from, part.message, nil)
 		return true
 	}
 	m := p.find(part.message)
 	if m == nil {
 		if part.last() {
-			return true // the length of the others is not known yet; it is sent again
+			return true // the length of the others is not known yet; this piece will be retransmitted
 		}
 		if part.count*len(part.body) > MaxMessage+len(part.body) {
 			return false
@@ -63,13 +63,13 @@
 	if m.missing > 0 {
 		if m.sinceAck >= piecesPerBurst/2 || part.last() {
 			m.sinceAck = 0
-			b.sendAck(from, m.message, m.received)
+			t.sendAck(from, m.message, m.received)
 		}
 		return true
 	}
 	p.complete(m)
-	b.sendAck(from, m.message, nil)
-	b.effects.Message(from, m.data)
+	t.sendAck(from, m.message, nil)
+	t.effects.Message(from, m.data)
 	return true
 }
 
@@ -91,7 +91,7 @@
 	p.incoming = append(p.incoming, m)
 }
 
-// complete remembers a complete message by its id alone.
+// complete remembers a complete message by its id, so that retransmitted pieces are acknowledged and the message is not delivered twice.
 func (p *peerState) complete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
@@ -101,9 +101,9 @@
 	}
 }
 
-// sendAck tells a sender which pieces have arrived; nil: all. What does not fit is sent once more than necessary.
-func (b *Transport) sendAck(to uint32, id messageID, received []bool) {
+// sendAck notifies a sender which pieces have arrived; nil: all. Pieces whose bits do not fit the datagram are retransmitted needlessly.
+func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
-	b.buffer = ack{id, bits[:min(len(bits), b.pieceBytes)]}.append(b.buffer[:0])
-	b.effects.Datagram(to, b.buffer)
+	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
+	t.effects.Datagram(to, t.buffer)
 }
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -11,7 +11,7 @@
 const (
 	// MaxMessage bounds a message, in bytes.
 	MaxMessage = 200 << 10
-	// GiveUpAfter is how long an unacknowledged message is sent again.
+	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
 	minPieceBytes  = 16
@@ -28,13 +28,13 @@
 	ErrMessageTooLong = errors.New("fragment: message over 200 KiB")
 )
 
-// Effects is what a Transport can do. What is passed is valid during the call only.
+// Effects is what a Transport has its user do. Data are valid during the call only.
 type Effects interface {
 	Datagram(peer uint32, data []byte)
 	Message(peer uint32, data []byte)
 }
 
-// peerState is what is under way with a peer.
+// peerState is the messages in flight to and from a peer.
 type peerState struct {
 	outgoing  []*outgoing // the oldest first
 	incoming  []*incoming // the oldest first
@@ -47,11 +47,11 @@
 	GivenUp   int // long messages
 
 	effects      Effects
-	incarnation  uint32 // tells this process's messages from an earlier one's
+	incarnation  uint32 // distinguishes this process's messages from those of an earlier one
 	lastSequence uint32
 	pieceBytes   int // of a message in one datagram
 	peers        map[uint32]*peerState
-	peerIDs      []uint32 // sorted: what is sent does not follow the order of a map
+	peerIDs      []uint32 // sorted: the order of sending must not follow that of a map, or runs could not be replayed
 	buffer       []byte
 }
 
@@ -65,33 +65,33 @@
 	}
 }
 
-// peer is what is under way with a peer, a new state where there is none yet.
-func (b *Transport) peer(id uint32) *peerState {
-	p := b.peers[id]
+// peer is a peer's state, a new one where there is none yet.
+func (t *Transport) peer(id uint32) *peerState {
+	p := t.peers[id]
 	if p == nil {
 		p = &peerState{}
-		b.peers[id] = p
-		i := sort.Search(len(b.peerIDs), func(i int) bool { return b.peerIDs[i] >= id })
-		b.peerIDs = append(b.peerIDs, 0)
-		copy(b.peerIDs[i+1:], b.peerIDs[i:])
-		b.peerIDs[i] = id
+		t.peers[id] = p
+		i := sort.Search(len(t.peerIDs), func(i int) bool { return t.peerIDs[i] >= id })
+		t.peerIDs = append(t.peerIDs, 0)
+		copy(t.peerIDs[i+1:], t.peerIDs[i:])
+		t.peerIDs[i] = id
 	}
 	return p
 }
 
-// Tick must be called every 20 to 100 ms: it sends again what is not acknowledged.
-func (b *Transport) Tick(now Time) {
-	for _, id := range b.peerIDs {
-		p := b.peers[id]
+// Tick must be called every 20 to 100 ms: it retransmits what is not acknowledged.
+func (t *Transport) Tick(now Time) {
+	for _, id := range t.peerIDs {
+		p := t.peers[id]
 		remaining := p.outgoing[:0]
 		for _, o := range p.outgoing {
 			if now >= o.giveUpAt {
-				b.GivenUp++
+				t.GivenUp++
 				continue
 			}
 			remaining = append(remaining, o)
 			if now-o.sentAt >= burstInterval {
-				b.sendBurst(now, id, o)
+				t.sendBurst(now, id, o)
 			}
 		}
 		p.outgoing = remaining
@@ -99,30 +99,30 @@
 }
 
 // Receive handles a datagram of a peer; the error is ErrMalformed.
-func (b *Transport) Receive(now Time, from uint32, data []byte) error {
-	if !b.handle(now, from, data) {
-		b.Malformed++
+func (t *Transport) Receive(now Time, from uint32, data []byte) error {
+	if !t.handle(now, from, data) {
+		t.Malformed++
 		return ErrMalformed
 	}
 	return nil
 }
 
 // handle acts on a datagram; false: it is malformed.
-func (b *Transport) handle(now Time, from uint32, data []byte) bool {
+func (t *Transport) handle(now Time, from uint32, data []byte) bool {
 	if len(data) < singleHeader || data[0] != DatagramPrefix {
 		return false
 	}
 	switch data[1] {
 	case kindSingle:
-		b.effects.Message(from, data[singleHeader:])
+		t.effects.Message(from, data[singleHeader:])
 		return true
 	case kindPiece:
 		p, ok := decodePiece(data)
-		return ok && b.handlePiece(from, p)
+		return ok && t.handlePiece(from, p)
 	case kindAck:
 		a, ok := decodeAck(data)
 		if ok {
-			b.handleAck(now, from, a)
+			t.handleAck(now, from, a)
 		}
 		return ok
 	}
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Report is a process's view as operators see it.
+// Report is a process's view as operators see it. Their names for fields stay: life is the incarnation, peer the slot.
 type Report struct {
 	Name        string         `json:"name"`
 	Version     uint64         `json:"version"`
@@ -115,7 +115,7 @@
 		"clashes":       n.Clashes,
 		"pauses":        n.Pauses,
 		"refutations":   n.Refutations,
-		"unsealed":      a.transport.unsealed,
+		"unsealed":      a.transport.sealFailures,
 		"strangers":     int(a.transport.link.Dropped()),
 	}
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,5 +1,6 @@
 // Package peers carries short messages between the proxies of a tier as UDP datagrams: the decision module's, and membership's. It owns the
-// socket and decides whose datagrams are received; what they mean is their reader's.
+// socket and decides whose datagrams are received; what they mean is their reader's business. A peer is another proxy, known by its number in
+// the configured list.
 //
 // Datagrams do not run on netpoll, which serves streams only: one goroutine reads them and posts them to the event loop.
 package peers
@@ -26,65 +27,73 @@
 	All    string   // reaches every proxy of the tier; "": there is none
 }
 
+// invalidReason is why a message is not sent, as the log has it.
+type invalidReason string
+
+const (
+	reasonUnknownPeer invalidReason = "unknown_peer"
+	reasonLength      invalidReason = "length" // empty, or over MaxDatagram
+)
+
 // Link sends and receives datagrams. Sending belongs to the event loop.
 type Link struct {
-	conn      *net.UDPConn
-	peers     []netip.AddrPort // by number
-	broadcast netip.AddrPort   // reaches all; invalid: there is none
-	ownNumber int              // among the peers; -1: not numbered
-	readLoop  func()
-	dropped   atomic.Int64
-	sendError bool // one was logged
+	conn       *net.UDPConn
+	peers      []netip.AddrPort // by number
+	broadcast  netip.AddrPort   // reaches all; invalid: there is none
+	ownNumber  int              // among the peers; -1: not numbered
+	readLoop   func()
+	dropped    atomic.Int64
+	sendFailed bool // and that was logged
 }
 
 // Open listens, or uses the socket fd that another process has handed over where that is not below 0. receive is called on the loop with
 // each datagram of a known peer and that peer's number, once StartReceiving was called.
-func Open(l *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
-	k := &Link{ownNumber: ownNumber}
+func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
+	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
 	for i, text := range a.Peers {
 		peer, err := parseAddress(fmt.Sprintf("peer %d", i), text)
 		if err != nil {
 			return nil, err
 		}
-		k.peers = append(k.peers, peer)
+		l.peers = append(l.peers, peer)
 		numbers[peer] = i
 	}
 	own, err := parseAddress("peer_listen", a.Listen)
 	if err == nil && a.All != "" {
-		k.broadcast, err = parseAddress("peers_all", a.All)
+		l.broadcast, err = parseAddress("peers_all", a.All)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if k.conn, err = bind(own, fd); err != nil {
+	if l.conn, err = bind(own, fd); err != nil {
 		return nil, err
 	}
-	k.readLoop = func() {
-		k.read(l, func(from netip.AddrPort) (handler, bool) {
+	l.readLoop = func() {
+		l.read(loop, func(from netip.AddrPort) (handler, bool) {
 			number, known := numbers[from]
-			return func(data []byte) { receive(number, data) }, known && number != k.ownNumber
+			return func(data []byte) { receive(number, data) }, known && number != l.ownNumber
 		})
 	}
-	return k, nil
+	return l, nil
 }
 
 // OpenAny listens for datagrams from anywhere, where members come and go: receive decides whose it accepts.
-func OpenAny(l *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
+func OpenAny(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{ownNumber: -1}
-	if k.conn, err = bind(own, -1); err != nil {
+	l := &Link{ownNumber: -1}
+	if l.conn, err = bind(own, -1); err != nil {
 		return nil, err
 	}
-	k.readLoop = func() {
-		k.read(l, func(from netip.AddrPort) (handler, bool) {
+	l.readLoop = func() {
+		l.read(loop, func(from netip.AddrPort) (handler, bool) {
 			return func(data []byte) { receive(from, data) }, true
 		})
 	}
-	return k, nil
+	return l, nil
 }
 
 func parseAddress(name, text string) (netip.AddrPort, error) {
@@ -95,7 +104,7 @@
 	return address, nil
 }
 
-// bind opens a socket, or takes over fd where that is not below 0.
+// bind opens a socket, or uses fd, handed over in a hot restart, where that is not below 0.
 func bind(own netip.AddrPort, fd int) (*net.UDPConn, error) {
 	if fd < 0 {
 		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
@@ -115,70 +124,70 @@
 }
 
 // StartReceiving begins to receive. Datagrams can be sent in any case.
-func (k *Link) StartReceiving() {
-	k.conn.SetReadDeadline(time.Time{})
-	go k.readLoop()
+func (l *Link) StartReceiving() {
+	l.conn.SetReadDeadline(time.Time{})
+	go l.readLoop()
 }
 
-// StopReceiving leaves what arrives to another process that holds the socket.
-func (k *Link) StopReceiving() { k.conn.SetReadDeadline(time.Unix(1, 0)) }
+// StopReceiving leaves what arrives to the other process that holds the socket, during a hot restart.
+func (l *Link) StopReceiving() { l.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// Fd is the socket, to be handed to another process; it stays the link's. Below 0: it is closed.
-func (k *Link) Fd() int {
+// Fd is the socket's descriptor, to be handed to another process; the link keeps it. Below 0: the socket is closed.
+func (l *Link) Fd() int {
 	fd := -1
-	if raw, err := k.conn.SyscallConn(); err == nil {
+	if raw, err := l.conn.SyscallConn(); err == nil {
 		raw.Control(func(p uintptr) { fd = int(p) })
 	}
 	return fd
 }
 
 // SendToPeer sends a datagram to a peer by its number, or to all others with a number below 0. It may be lost without notice.
-func (k *Link) SendToPeer(peer int, data []byte) {
+func (l *Link) SendToPeer(peer int, data []byte) {
 	if !validLength(data) {
 		return
 	}
 	switch {
-	case peer >= 0 && peer < len(k.peers):
-		k.send(k.peers[peer], data)
+	case peer >= 0 && peer < len(l.peers):
+		l.send(l.peers[peer], data)
 	case peer >= 0:
-		slog.Error("peer_message_invalid", "peer", peer, "peers", len(k.peers))
-	case k.broadcast.IsValid():
-		k.send(k.broadcast, data)
+		slog.Error("peer_message_invalid", "reason", reasonUnknownPeer, "peer", peer, "peer_count", len(l.peers))
+	case l.broadcast.IsValid():
+		l.send(l.broadcast, data)
 	default:
-		for i, to := range k.peers {
-			if i != k.ownNumber {
-				k.send(to, data)
+		for i, to := range l.peers {
+			if i != l.ownNumber {
+				l.send(to, data)
 			}
 		}
 	}
 }
 
 // SendTo sends a datagram to an address. It may be lost without notice.
-func (k *Link) SendTo(to netip.AddrPort, data []byte) {
+func (l *Link) SendTo(to netip.AddrPort, data []byte) {
 	if validLength(data) {
-		k.send(to, data)
+		l.send(to, data)
 	}
 }
 
-// validLength logs a datagram that the platform does not allow: it is a fault of the caller's.
+// validLength logs a datagram that the platform does not allow: that is a fault of the caller.
 func validLength(data []byte) bool {
 	if len(data) > 0 && len(data) <= MaxDatagram {
 		return true
 	}
-	slog.Error("peer_message_invalid", "bytes", len(data), "most", MaxDatagram)
+	slog.Error("peer_message_invalid", "reason", reasonLength, "bytes", len(data), "max_bytes", MaxDatagram)
 	return false
 }
 
-// send logs the first error only.
-func (k *Link) send(to netip.AddrPort, data []byte) {
-	if _, err := k.conn.WriteToUDPAddrPort(data, to); err != nil && !k.sendError {
-		k.sendError = true
-		slog.Warn("peer_failed", "to", to.String(), "reason", err)
+// send logs the first error only: one that lasts would be logged with each datagram.
+func (l *Link) send(to netip.AddrPort, data []byte) {
+	if _, err := l.conn.WriteToUDPAddrPort(data, to); err != nil && !l.sendFailed {
+		l.sendFailed = true
+		slog.Warn("peer_failed", "address", to.String(), "reason", err)
 	}
 }
 
-// Dropped counts the datagrams received but not handled: of unknown senders, too long, or more than the loop kept up with.
-func (k *Link) Dropped() int64 { return k.dropped.Load() }
+// Dropped counts the datagrams that were received and not handled: of an unknown sender, too long, or while too many waited for the loop.
+func (l *Link) Dropped() int64 { return l.dropped.Load() }
 
 // Close closes the socket.
-func (k *Link) Close() { k.conn.Close() }
+func (l *Link) Close() { l.conn.Close() }
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxWaiting bounds the datagrams that wait for the loop: what a busy loop is late for is out of date.
+	// maxWaiting bounds the datagrams that wait for the loop: what waits for long is out of date, and must not delay what comes after.
 	maxWaiting = 64
 	// readRetryDelay is the pause after a read that failed, as the kernel may stay short of memory.
 	readRetryDelay = time.Millisecond
@@ -23,17 +23,17 @@
 type handler func(data []byte)
 
 // read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
-// the link is closed or told to stop.
-func (k *Link) read(l *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
+// the link is closed or StopReceiving was called.
+func (l *Link) read(loop *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
 	buffer := make([]byte, MaxDatagram+1) // one more, so that a datagram that is too long shows
 	for {
-		n, from, err := k.conn.ReadFromUDPAddrPort(buffer)
+		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		if err != nil {
-			// ECONNREFUSED is of an earlier datagram of this process's that met a closed port: it says nothing of the next read.
+			// ECONNREFUSED reports that an earlier datagram of this process met a closed port: the next read may succeed at once.
 			if !errors.Is(err, syscall.ECONNREFUSED) {
 				time.Sleep(readRetryDelay)
 			}
@@ -41,12 +41,12 @@
 		}
 		handle, known := handlerOf(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if !known || n > MaxDatagram || waiting.Load() >= maxWaiting {
-			k.dropped.Add(1)
+			l.dropped.Add(1)
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
 		waiting.Add(1)
-		l.Post(func() {
+		loop.Post(func() {
 			waiting.Add(-1)
 			handle(data)
 		})
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -10,151 +10,184 @@
 
 const sec = Time(1e9)
 
-func has(all []string, id string) bool { return slices.Contains(all, id) }
+func contains(all []string, id string) bool { return slices.Contains(all, id) }
 
 func TestNewerListTakesAHostOut(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
-	if c := b.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || b.Out(sec, "a", 100) {
-		t.Error("a list that is no newer takes nothing out")
+	r := NewRegistry()
+	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
+	if c := r.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Out(sec, "a", 100) {
+		t.Error("a watermark of a list that is no newer takes a host out")
 	}
-	if c := b.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !has(c, "a") || !b.Out(sec, "a", 100) || b.Out(sec, "b", 100) {
-		t.Error("a newer one takes its host out, and no other", c)
+	if c := r.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Out(sec, "a", 100) || r.Out(sec, "b", 100) {
+		t.Error("a watermark of a newer list does not take out its host alone:", c)
 	}
-	if b.Out(sec, "a", 101) {
-		t.Error("a process that started later is not meant")
+	if r.Out(sec, "a", 101) {
+		t.Error("a host that has started since is out")
 	}
-	if b.BehindSince(3*sec) != sec {
-		t.Error("behind since", b.BehindSince(3*sec))
+	if r.BehindSince(3*sec) != sec {
+		t.Errorf("behind since %d, expected %d", r.BehindSince(3*sec), sec)
 	}
-	if _, c := b.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !b.Out(4*sec, "a", 100) {
-		t.Error("an own list that is older still changes nothing")
+	if _, c := r.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Out(4*sec, "a", 100) {
+		t.Error("an own list that is still older revokes a watermark")
 	}
-	if _, c := b.UpdateList(5*sec, 7, false, nil); !has(c, "a") || b.Out(5*sec, "a", 100) || b.BehindSince(5*sec) != 0 {
-		t.Error("an own list as new has the last word")
+	if _, c := r.UpdateList(5*sec, 7, false, nil); !contains(c, "a") || r.Out(5*sec, "a", 100) || r.BehindSince(5*sec) != 0 {
+		t.Error("an own list that is as new does not revoke a watermark")
 	}
 }
 
 func TestWatermarkExpires(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
-	b.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
-	if c := b.Expire(9 * sec); len(c) > 0 || !b.Out(9*sec, "a", 100) {
-		t.Error("it holds still")
-	}
-	// An echo of it has less left, and does not make it hold longer.
-	x := NewRegistry()
-	x.Merge(4*sec, b.NewerThan(4*sec, 0))
-	b.Merge(8*sec, x.NewerThan(8*sec, 0))
-	if c := b.Expire(10 * sec); !has(c, "a") || b.Out(10*sec, "a", 100) {
-		t.Error("it has lapsed")
+	r := NewRegistry()
+	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
+	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
+	if c := r.Expire(9 * sec); len(c) > 0 || !r.Out(9*sec, "a", 100) {
+		t.Error("it has expired too early")
+	}
+	// Passed to another proxy and back it has less time left, and is not prolonged.
+	other := NewRegistry()
+	other.Merge(4*sec, r.NewerThan(4*sec, 0))
+	r.Merge(8*sec, other.NewerThan(8*sec, 0))
+	if c := r.Expire(10 * sec); !contains(c, "a") || r.Out(10*sec, "a", 100) {
+		t.Error("it has not expired")
 	}
 }
 
-// What a whole list no longer names is gone; what the first one says surprises nobody; what has come back is told of no more.
-func TestNews(t *testing.T) {
-	b := NewRegistry()
-	if news, _ := b.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(news) > 0 {
-		t.Error(news)
+// A host that a complete list no longer names is gone; a first list has nothing to gossip; a host that is back has no watermark.
+func TestFreshWatermarks(t *testing.T) {
+	r := NewRegistry()
+	if fresh, _ := r.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(fresh) > 0 {
+		t.Error("a first list is gossiped:", fresh)
 	}
-	news, _ := b.UpdateList(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
-	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(news, want) {
-		t.Error(news)
+	fresh, _ := r.UpdateList(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
+	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(fresh, want) {
+		t.Errorf("fresh watermarks are %v, expected %v", fresh, want)
 	}
-	if got, want := b.NewerThan(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
-		t.Error(got)
+	if got, want := r.NewerThan(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
+		t.Errorf("watermarks are %v, expected %v", got, want)
 	}
-	b.UpdateList(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
-	if got := b.NewerThan(2*sec, 0); len(got) > 0 {
-		t.Error("both are back:", got)
+	r.UpdateList(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
+	if got := r.NewerThan(2*sec, 0); len(got) > 0 {
+		t.Error("hosts that are back have watermarks:", got)
 	}
-	if news, _ := b.UpdateList(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(news) > 0 || len(b.NewerThan(3*sec, 0)) > 0 {
-		t.Error("a change of an older list is none")
+	if fresh, _ := r.UpdateList(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(fresh) > 0 || len(r.NewerThan(3*sec, 0)) > 0 {
+		t.Error("a change of an older list has an effect")
 	}
 }
 
-// Whatever is told, lost and repeated: a host is out only if a list newer than the own one stated so of this start of it, within Life; and
-// with the own list as new as any it is out by no word.
-func TestOutOnlyByANewerList(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		type fact struct {
-			host      string
-			startedAt int64
-			rev       int64
+// statement is that a list has a host out.
+type statement struct {
+	host      string
+	startedAt int64
+	revision  int64
+}
+
+// gossipModel is three registries that get discovery's list, and one another's watermarks, at drawn times.
+type gossipModel struct {
+	now        Time
+	revision   int64 // of discovery's list
+	hosts      map[string]ListedHost
+	registries []*Registry
+	lastStated map[statement]Time // when a registry's list last had a host out
+}
+
+var modelHosts = []string{"a", "b", "c"}
+
+func newGossipModel() *gossipModel {
+	m := &gossipModel{revision: 1, hosts: map[string]ListedHost{}, registries: []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}, lastStated: map[statement]Time{}}
+	for _, host := range modelHosts {
+		m.hosts[host] = ListedHost{host, 1, Up}
+	}
+	for _, r := range m.registries {
+		r.UpdateList(m.now, m.revision, true, m.list())
+	}
+	return m
+}
+
+// list is discovery's list: hosts that are gone are not in it.
+func (m *gossipModel) list() (all []ListedHost) {
+	for _, host := range modelHosts {
+		if h := m.hosts[host]; h.State != Gone {
+			all = append(all, h)
 		}
-		stated := map[fact]Time{} // when a list last stated so
-		registries := []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}
-		truth, rev, now := map[string]ListedHost{"a": {"a", 1, Up}, "b": {"b", 1, Up}, "c": {"c", 1, Up}}, int64(1), Time(0)
-		hosts := func() (all []ListedHost) {
-			for _, id := range []string{"a", "b", "c"} {
-				if h := truth[id]; h.State != Gone {
-					all = append(all, h)
-				}
-			}
-			return all
+	}
+	return all
+}
+
+// step draws one event: a change of discovery's list, its delivery, gossip between two registries, or a check for expired watermarks.
+func (m *gossipModel) step(rt *rapid.T) {
+	m.now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
+	from := m.registries[rapid.IntRange(0, 2).Draw(rt, "from")]
+	switch rapid.IntRange(0, 3).Draw(rt, "event") {
+	case 0:
+		m.revision++
+		host := rapid.SampledFrom(modelHosts).Draw(rt, "host")
+		h := m.hosts[host]
+		if h.State = State(rapid.IntRange(0, 2).Draw(rt, "state")); h.State == Up {
+			h.StartedAt++
 		}
-		for _, b := range registries {
-			b.UpdateList(now, rev, true, hosts())
+		m.hosts[host] = h
+	case 1:
+		from.UpdateList(m.now, m.revision, true, m.list())
+	case 2:
+		to := m.registries[rapid.IntRange(0, 2).Draw(rt, "to")]
+		to.Merge(m.now, from.NewerThan(m.now, to.Revision()))
+	case 3:
+		for _, r := range m.registries {
+			r.Expire(m.now)
 		}
-		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
-			i := rapid.IntRange(0, 2).Draw(rt, "at")
-			switch rapid.IntRange(0, 3).Draw(rt, "what") {
-			case 0:
-				rev++
-				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "host")
-				h := truth[id]
-				if h.State = State(rapid.IntRange(0, 2).Draw(rt, "state")); h.State == Up {
-					h.StartedAt++
-				}
-				truth[id] = h
-			case 1:
-				registries[i].UpdateList(now, rev, true, hosts())
-			case 2:
-				to := rapid.IntRange(0, 2).Draw(rt, "to")
-				registries[to].Merge(now, registries[i].NewerThan(now, registries[to].Revision()))
-			case 3:
-				for _, b := range registries {
-					b.Expire(now)
-				}
-			}
-			for _, b := range registries {
-				for id, o := range b.own {
-					if o.state != Up {
-						stated[fact{id, o.startedAt, o.revision}] = now // it can be told of at any time until the list changes
-					}
-				}
+	}
+	for _, r := range m.registries {
+		for host, o := range r.own {
+			if o.state != Up {
+				m.lastStated[statement{host, o.startedAt, o.revision}] = m.now // the registry may gossip it until its list changes
 			}
-			for k, b := range registries {
-				for _, id := range []string{"a", "b", "c"} {
-					startedAt := b.own[id].startedAt
-					if !b.Out(now, id, startedAt) {
-						continue
-					}
-					right := false
-					for f, at := range stated {
-						right = right || f.host == id && f.startedAt >= startedAt && f.rev > b.Revision() && now-at < Lifetime
-					}
-					if !right || b.Revision() == rev {
-						rt.Fatalf("at %d host %s is out at list %d of %d by no newer list's word", k, id, b.Revision(), rev)
-					}
-				}
+		}
+	}
+}
+
+// check checks that each host that is out somewhere is out by a list that is newer than the registry's own, within Lifetime.
+func (m *gossipModel) check(rt *rapid.T) {
+	for i, r := range m.registries {
+		for _, host := range modelHosts {
+			startedAt := r.own[host].startedAt
+			if r.Out(m.now, host, startedAt) && (!m.statedByNewer(r, host, startedAt) || r.Revision() == m.revision) {
+				rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", i, r.Revision(), m.revision, host)
 			}
 		}
+	}
+}
+
+func (m *gossipModel) statedByNewer(r *Registry, host string, startedAt int64) bool {
+	for s, at := range m.lastStated {
+		if s.host == host && s.startedAt >= startedAt && s.revision > r.Revision() && m.now-at < Lifetime {
+			return true
+		}
+	}
+	return false
+}
+
+// Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
+// Lifetime; a proxy with the newest list has no host out.
+func TestOutOnlyByANewerList(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		m := newGossipModel()
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			m.step(rt)
+			m.check(rt)
+		}
 	})
 }
 
 func TestRegistryIsBounded(t *testing.T) {
-	b := NewRegistry()
-	b.UpdateList(0, 1, true, nil)
+	r := NewRegistry()
+	r.UpdateList(0, 1, true, nil)
 	for i := range 2 * maxWatermarks {
 		id := string([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
-		b.Merge(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
-		b.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
-		b.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
+		r.Merge(0, []Watermark{{id, 1, 5, Gone, Lifetime}})
+		r.recordGossip([]Watermark{{id, 1, 5, Gone, Lifetime}})
+		r.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
 	}
-	if len(b.received) > maxWatermarks || len(b.gossiped) > maxWatermarks || len(b.own) > maxWatermarks {
-		t.Error(len(b.received), len(b.gossiped), len(b.own))
+	if len(r.received) > maxWatermarks || len(r.gossiped) > maxWatermarks || len(r.own) > maxWatermarks {
+		t.Errorf("%d received, %d gossiped, %d own hosts, expected %d each at most", len(r.received), len(r.gossiped), len(r.own), maxWatermarks)
 	}
 }
 
@@ -177,11 +210,11 @@
 		got = append(got, m.body.(gossip).watermarks...)
 	}
 	if !slices.Equal(got, all) {
-		t.Error("what comes is not what went")
+		t.Error("watermarks are decoded otherwise than they were encoded")
 	}
 	asked := query{noRevision}
 	if m, err := decode(asked.encode(9)); err != nil || m.body != asked || m.source != 9 {
-		t.Error(m, err)
+		t.Errorf("a query is decoded as %v, %v", m, err)
 	}
 }
 
@@ -200,9 +233,9 @@
 				t.Fatalf("%v %v %v", m, again, err)
 			}
 		}
-		b := NewRegistry()
-		b.UpdateList(0, 1, true, []ListedHost{{"s-1", 1, Up}})
-		b.Merge(0, g.watermarks)
-		b.Expire(Lifetime)
+		r := NewRegistry()
+		r.UpdateList(0, 1, true, []ListedHost{{"s-1", 1, Up}})
+		r.Merge(0, g.watermarks)
+		r.Expire(Lifetime)
 	})
 }
