--- a/internal/fleet/ownership/placement.go
+++ b/internal/fleet/ownership/assign.go
@@ -12,14 +12,14 @@
 	Offers          func(job string) bool
 }
 
-// Placement is one decision: a job for a process.
-type Placement struct {
+// Assignment is one decision of Assign: a job for a process.
+type Assignment struct {
 	Job, Member, Reason string
 	Incarnation         uint64
 	Handover            bool // the present owner is to release the job first
 }
 
-// A job that has an owner stays where it is unless its place has been worse for a while: a link that flaps must not move jobs to and fro.
+// A job that has an owner is handed over only after its owner has been the worse one for a while: a link that flaps must not move jobs to and fro.
 const (
 	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to reach
 	minRebalanceInterval = 10 * sec // since the last change, before a job moves to even out the load
@@ -37,8 +37,8 @@
 	return x ^ x>>29
 }
 
-// assignment is the state of one call of Assign.
-type assignment struct {
+// assigner is one call of Assign.
+type assigner struct {
 	now        Time
 	changedAt  func(job string) Time
 	candidates []Candidate
@@ -46,31 +46,31 @@
 	load       map[string]int // jobs by process
 }
 
-// Assign places all free jobs, and asks for one handover at most. free are jobs without an owner, in order; owned are the others, and
+// Assign gives each free job an owner, and asks for one handover at most. free are jobs without an owner, in order; owned are the others, and
 // changedAt gives when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
-func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Placement {
-	a := assignment{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
+func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Assignment {
+	a := assigner{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
 	for i := range candidates {
 		a.byName[candidates[i].Name] = &candidates[i]
 	}
 	for _, row := range owned {
 		a.load[row.Owner]++
 	}
-	var placements []Placement
+	var assignments []Assignment
 	for _, job := range free {
 		if to := a.best(job, "", 0); to != nil {
 			a.load[to.Name]++
-			placements = append(placements, Placement{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
+			assignments = append(assignments, Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
 		}
 	}
 	if handover, ok := a.handover(owned); ok {
-		placements = append(placements, handover)
+		assignments = append(assignments, handover)
 	}
-	return placements
+	return assignments
 }
 
 // best is the best able candidate that offers a job, other than except, stable for a time; nil: there is none.
-func (a *assignment) best(job, except string, stableFor Time) *Candidate {
+func (a *assigner) best(job, except string, stableFor Time) *Candidate {
 	var best *Candidate
 	for i := range a.candidates {
 		c := &a.candidates[i]
@@ -85,7 +85,7 @@
 }
 
 // better orders by reachability, then by load, then by rank.
-func (a *assignment) better(job string, c, than *Candidate) bool {
+func (a *assigner) better(job string, c, than *Candidate) bool {
 	if c.UnreachableFrom != than.UnreachableFrom {
 		return c.UnreachableFrom < than.UnreachableFrom
 	}
@@ -95,14 +95,14 @@
 	return rendezvousScore(job, c.Name) > rendezvousScore(job, than.Name)
 }
 
-func (a *assignment) handover(owned []JobRecord) (Placement, bool) {
+func (a *assigner) handover(owned []JobRecord) (Assignment, bool) {
 	if p, ok := a.replaceUnfitOwner(owned); ok {
 		return p, true
 	}
 	return a.evenOut(owned)
 }
 
-func (a *assignment) replaceUnfitOwner(owned []JobRecord) (Placement, bool) {
+func (a *assigner) replaceUnfitOwner(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
 		if owner == nil || a.now-a.changedAt(row.Job) < minHandoverInterval {
@@ -116,10 +116,10 @@
 			return handoverTo(row.Job, to, "its owner is leaving, starved or hard to hear"), true
 		}
 	}
-	return Placement{}, false
+	return Assignment{}, false
 }
 
-func (a *assignment) evenOut(owned []JobRecord) (Placement, bool) {
+func (a *assigner) evenOut(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
 		if owner == nil || a.now-a.changedAt(row.Job) < minRebalanceInterval {
@@ -130,9 +130,9 @@
 			return handoverTo(row.Job, to, "its owner has more than others"), true
 		}
 	}
-	return Placement{}, false
+	return Assignment{}, false
 }
 
-func handoverTo(job string, to *Candidate, reason string) Placement {
-	return Placement{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
+func handoverTo(job string, to *Candidate, reason string) Assignment {
+	return Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
 }
--- a/internal/fleet/ownership/placement_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -9,7 +9,7 @@
 func offersAll(string) bool  { return true }
 func offersNone(string) bool { return false }
 
-const placementTestTime = 100 * sec
+const assignTestTime = 100 * sec
 
 func stableCandidates() (candidates []Candidate) {
 	for i, name := range []string{"a", "b", "c"} {
@@ -26,8 +26,8 @@
 		jobs = append(jobs, fmt.Sprint("job", i))
 	}
 	load := map[string]int{}
-	for _, p := range Assign(placementTestTime, jobs, nil, changedLongAgo, stableCandidates()) {
-		load[p.Member]++
+	for _, a := range Assign(assignTestTime, jobs, nil, changedLongAgo, stableCandidates()) {
+		load[a.Member]++
 	}
 	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
 		t.Errorf("200 jobs are spread %v", load)
@@ -49,7 +49,7 @@
 	} {
 		candidates := stableCandidates()
 		c.change(candidates)
-		got := Assign(placementTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
+		got := Assign(assignTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
 		switch {
 		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].Member != c.want || !got[0].Handover):
 			t.Errorf("%s: %+v", c.name, got)
@@ -59,11 +59,11 @@
 
 func TestRebalance(t *testing.T) {
 	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
-	if got := Assign(placementTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
+	if got := Assign(assignTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
 		t.Errorf("two at one and none at another: %+v", got)
 	}
-	changedJustNow := func(string) Time { return placementTestTime - 2*sec }
-	if got := Assign(placementTestTime, nil, slices.Clone(owned), changedJustNow, stableCandidates()); len(got) != 0 {
+	changedJustNow := func(string) Time { return assignTestTime - 2*sec }
+	if got := Assign(assignTestTime, nil, slices.Clone(owned), changedJustNow, stableCandidates()); len(got) != 0 {
 		t.Errorf("a job that has just moved moves again: %+v", got)
 	}
 }
--- a/internal/fleet/ownership/placejobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -40,9 +40,9 @@
 	return f != nil && now < f.blockedUntil
 }
 
-// handovers are the placements for which the present owner is to release the job first.
+// handovers are the assignments for which the present owner is to release the job first.
 type handovers struct {
-	byJob   map[string]Placement
+	byJob   map[string]Assignment
 	begunAt Time // the last that Assign asked for
 }
 
@@ -53,9 +53,9 @@
 
 func (h *handovers) due(now Time) bool { return now-h.begunAt >= handoverInterval }
 
-// placeJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
-// proposal is applied before propose returns, and that calls placeJobs again: each job is looked at anew before it is proposed.
-func (c *coordinator) placeJobs() {
+// assignJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
+// proposal is applied before propose returns, and that calls assignJobs again: each job is looked at anew before it is proposed.
+func (c *coordinator) assignJobs() {
 	candidates := c.candidates()
 	c.registerNewJobs(candidates.offered)
 	jobs := c.classifyJobs()
@@ -66,22 +66,22 @@
 		return
 	}
 	changedAt := func(job string) Time { return c.changedAt[job] }
-	for _, p := range Assign(c.now, jobs.free, jobs.owned, changedAt, candidates.list) {
-		if p.Handover {
+	for _, a := range Assign(c.now, jobs.free, jobs.owned, changedAt, candidates.list) {
+		if a.Handover {
 			if c.handovers.due(c.now) {
 				c.handovers.begunAt = c.now
-				c.beginHandover(p)
+				c.beginHandover(a)
 			}
 			continue
 		}
-		if !c.mayBeGranted(c.table.Job(p.Job)) {
+		if !c.mayBeGranted(c.table.Job(a.Job)) {
 			continue
 		}
-		p = c.preferHandover(p)
-		if reason := jobs.lostOwner[p.Job]; reason != "" {
-			p.Reason = reason
+		a = c.preferHandover(a)
+		if reason := jobs.lostOwner[a.Job]; reason != "" {
+			a.Reason = reason
 		}
-		c.grant(p)
+		c.grant(a)
 	}
 }
 
@@ -173,23 +173,23 @@
 	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.leaseSurelyEnded(c.leadsSince)
 }
 
-// preferHandover places a job that was released for a handover at the process that it was meant for, if that is still fit.
-func (c *coordinator) preferHandover(p Placement) Placement {
-	h, ok := c.handovers.byJob[p.Job]
+// preferHandover gives a job that was released for a handover to the process that it was meant for, if that is still fit.
+func (c *coordinator) preferHandover(a Assignment) Assignment {
+	h, ok := c.handovers.byJob[a.Job]
 	if !ok {
-		return p
+		return a
 	}
-	delete(c.handovers.byJob, p.Job)
-	if s := c.sessions.latest(h.Member); s != nil && s.offers[p.Job] && s.able {
-		p.Member, p.Incarnation, p.Reason = h.Member, s.incarnation, h.Reason
+	delete(c.handovers.byJob, a.Job)
+	if s := c.sessions.latest(h.Member); s != nil && s.offers[a.Job] && s.able {
+		a.Member, a.Incarnation, a.Reason = h.Member, s.incarnation, h.Reason
 	}
-	return p
+	return a
 }
 
 // beginHandover asks the owner to release a job.
-func (c *coordinator) beginHandover(p Placement) {
-	c.handovers.byJob[p.Job] = p
-	row := c.table.Job(p.Job)
+func (c *coordinator) beginHandover(a Assignment) {
+	c.handovers.byJob[a.Job] = a
+	row := c.table.Job(a.Job)
 	if row == nil {
 		return
 	}
@@ -199,8 +199,8 @@
 }
 
 // grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
-func (c *coordinator) grant(p Placement) {
-	token := max(c.table.Job(p.Job).Token+1, c.epoch<<tokensPerEpochBits)
-	cmd := grantCommand{job: p.Job, token: token, changedAt: c.cfg.Wall(), owner: p.Member, incarnation: p.Incarnation, reason: p.Reason}
-	c.propose(cmd, proposal{job: p.Job, exclusive: true})
+func (c *coordinator) grant(a Assignment) {
+	token := max(c.table.Job(a.Job).Token+1, c.epoch<<tokensPerEpochBits)
+	cmd := grantCommand{job: a.Job, token: token, changedAt: c.cfg.Wall(), owner: a.Member, incarnation: a.Incarnation, reason: a.Reason}
+	c.propose(cmd, proposal{job: a.Job, exclusive: true})
 }
--- a/internal/fleet/ownership/placejobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -53,8 +53,8 @@
 func (g *soleVoter) Leader() uint32                     { return group.Peer("a") }
 func (g *soleVoter) TransferLeadership(Time)            {}
 
-// TestJobsArePlacedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
-func TestJobsArePlacedOnce(t *testing.T) {
+// TestJobsAreAssignedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
+func TestJobsAreAssignedOnce(t *testing.T) {
 	var jobs []string
 	for i := range 20 {
 		jobs = append(jobs, fmt.Sprintf("job%02d", i))
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -13,7 +13,7 @@
 	listSettleTime = 50 * ms
 )
 
-// coordinator is the role of the process that leads the group: it grants leases and places jobs. It never leads in two epochs at a time;
+// coordinator is the role of the process that leads the group: it grants leases and assigns jobs. It never leads in two epochs at a time;
 // what it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
@@ -47,7 +47,7 @@
 	c.proposals.byTag, c.proposals.inFlight = map[uint64]proposal{}, map[string]uint64{}
 	c.confirmation.waiting, c.confirmation.byTag = nil, map[uint64][]leaseClaim{}
 	c.backoff = failureBackoff{}
-	c.handovers.byJob = map[string]Placement{}
+	c.handovers.byJob = map[string]Assignment{}
 	c.changedAt = map[string]Time{}
 }
 
@@ -85,7 +85,7 @@
 		c.waitForCertainty()
 		return
 	}
-	c.placeJobs()
+	c.assignJobs()
 	c.sendJobLists()
 }
 
@@ -158,7 +158,7 @@
 	case row.Owner == to:
 		return fmt.Sprintf("%s owns %s already", to, job)
 	}
-	c.beginHandover(Placement{Job: job, Member: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
+	c.beginHandover(Assignment{Job: job, Member: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
 	c.sendJobLists()
 	return ""
 }
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -7,7 +7,7 @@
 //   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects lower ones, so a stale owner changes nothing.
 //
 // The jobs, their owners and tokens form a Table, replicated by a Group of voters: with disks (package consensus) or from memory (Quorum). The
-// process that leads the group is the coordinator: it tracks members by their lease requests and places jobs on them.
+// process that leads the group is the coordinator: it tracks members by their lease requests and assigns jobs to them.
 //
 // Core is one process's part, Quorum one voter's. Both are state machines: no I/O, no clock, no goroutine. The caller passes the time and
 // the messages in, and Effects carry results out, so that a run can be replayed. docs/design-ownership.md describes the protocol.
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -88,7 +88,7 @@
 		return
 	}
 	if c.leads() && c.now >= c.leadsSince+sessionGatherTime && !c.table.uncertain {
-		c.placeJobs() // what was released is granted again at once
+		c.assignJobs() // what was released is granted again at once
 	}
 	c.sendJobLists()
 }
