--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -6,16 +6,6 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Kinds of commands, as replicated and stored.
-const (
-	kindGrant      = 1
-	kindRelease    = 2
-	kindCheckpoint = 3
-	kindRaiseToken = 4
-	kindRegister   = 5
-	kindConfirm    = 6
-)
-
 // maxRaisedToken leaves room above a token that a receiver reports.
 const maxRaisedToken = 1 << 62
 
@@ -69,9 +59,9 @@
 type confirmCommand struct{}
 
 // commandHeader begins every command: kind, job, token, wall clock.
-func commandHeader(kind uint64, job string, token uint64, at int64) *encoding.Writer {
+func commandHeader(kind commandKind, job string, token uint64, at int64) *encoding.Writer {
 	var w encoding.Writer
-	return w.Uint(kind).Text(job).Uint(token).Uint(uint64(at))
+	return w.Uint(uint64(kind)).Text(job).Uint(token).Uint(uint64(at))
 }
 
 func (c registerCommand) encode() []byte {
@@ -98,7 +88,7 @@
 
 func decodeCommand(data []byte) (cmd tableCommand, err error) {
 	r := encoding.Reader{Data: data}
-	kind, job, token, at := r.Uint(), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
+	kind, job, token, at := commandKind(r.Uint()), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
 	switch kind {
 	case kindRegister:
 		cmd = registerCommand{job: job, changedAt: at}
@@ -113,10 +103,10 @@
 	case kindConfirm:
 		cmd = confirmCommand{}
 	default:
-		return nil, fmt.Errorf("ownership: unknown command kind %d", kind)
+		return nil, fmt.Errorf("ownership: unknown command %v", kind)
 	}
 	if err := r.Err(); err != nil {
-		return nil, fmt.Errorf("ownership: command kind %d: %w", kind, err)
+		return nil, fmt.Errorf("ownership: command %v: %w", kind, err)
 	}
 	return cmd, nil
 }
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -16,7 +16,7 @@
 // decodeMessage decodes one message. Byte strings in it are parts of data, not copies.
 func decodeMessage(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
-	kind := r.Uint()
+	kind := messageKind(r.Uint())
 	var m message
 	switch kind {
 	case kindLeaseRequest:
@@ -48,7 +48,7 @@
 	case kindQueryReply:
 		m = queryReply{tag: r.Uint(), body: r.Bytes(maxBodyBytes)}
 	default:
-		return nil, fmt.Errorf("%w: %d", ErrUnknownMessage, kind)
+		return nil, fmt.Errorf("%w: %v", ErrUnknownMessage, kind)
 	}
 	if err := r.Err(); err != nil {
 		return nil, malformed(kind, err)
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -142,7 +142,7 @@
 			return false
 		}
 		r := encoding.Reader{Data: p.data}
-		kind, _, ballot := r.Uint(), r.Text(maxNameBytes), r.Uint()
+		kind, _, ballot := quorumMessageKind(r.Uint()), r.Text(maxNameBytes), r.Uint()
 		q := w.voters[p.to]
 		switch kind {
 		case kindPrepareReply:
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -49,7 +49,7 @@
 			c.Tick(now)
 			c.Receive(now, group.Peer("b"), data)
 			q.Receive(now, group.Peer("b"), data)
-			q.Receive(now, group.Peer("b"), append([]byte{kindLeaseProposal, 1, 'g'}, data...))
+			q.Receive(now, group.Peer("b"), append([]byte{byte(kindLeaseProposal), 1, 'g'}, data...))
 		}
 		if _, ok := c.group.Leading(); ok && c.Holds(now, "j", 1) {
 			t.Error("one peer's word makes an owner")
@@ -62,7 +62,7 @@
 	a.Apply(registerCommand{job: "j", changedAt: 1}.encode())
 	a.Apply(grantCommand{job: "j", token: 3, changedAt: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
 	f.Add(a.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("left")}.encode())
-	f.Add([]byte{1, 0, 0, 200, 1}, []byte{kindGrant, 1, 'j'})
+	f.Add([]byte{1, 0, 0, 200, 1}, []byte{byte(kindGrant), 1, 'j'})
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
 		b := NewTable()
 		if b.Restore(snapshot) != nil && len(b.Jobs()) > 0 {
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -1,28 +1,6 @@
 package ownership
 
-import (
-	"fmt"
-
-	"croftlock/internal/fleet/encoding"
-)
-
-// Kinds of messages between Cores, as sent.
-const (
-	kindLeaseRequest     = 1
-	kindLeaseGranted     = 2
-	kindLeaderRedirect   = 3
-	kindJobOffer         = 4
-	kindJobList          = 5
-	kindJobReleased      = 6
-	kindStoreCheckpoint  = 7
-	kindCheckpointResult = 8
-	kindEffect           = 9
-	kindEffectAck        = 10
-	kindMoveRequest      = 11
-	kindMoveReply        = 12
-	kindQuery            = 13
-	kindQueryReply       = 14
-)
+import "fmt"
 
 // message is one message between Cores. decodeMessage is the inverse of encode.
 type message interface{ encode() []byte }
@@ -142,23 +120,19 @@
 }
 
 func (m leaseRequest) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseRequest).Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.able).Uint(m.epoch).Uint(m.listSequence).Data
+	return kindLeaseRequest.begin().Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.able).Uint(m.epoch).Uint(m.listSequence).Data
 }
 
 func (m leaseGranted) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseGranted).Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.wantsOffer).Data
+	return kindLeaseGranted.begin().Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.wantsOffer).Data
 }
 
 func (m leaderRedirect) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaderRedirect).Uint(uint64(m.leader)).Data
+	return kindLeaderRedirect.begin().Uint(uint64(m.leader)).Data
 }
 
 func (m jobOffer) encode() []byte {
-	var w encoding.Writer
-	w.Uint(kindJobOffer).Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
+	w := kindJobOffer.begin().Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
 	for _, job := range m.jobs {
 		w.Text(job)
 	}
@@ -166,8 +140,7 @@
 }
 
 func (m jobList) encode() []byte {
-	var w encoding.Writer
-	w.Uint(kindJobList).Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
+	w := kindJobList.begin().Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
 	for _, j := range m.jobs {
 		w.Text(j.job).Uint(j.token).Uint(j.checkpointNumber).Bool(j.handover).Bytes(j.checkpoint)
 	}
@@ -175,53 +148,44 @@
 }
 
 func (m jobReleased) encode() []byte {
-	var w encoding.Writer
-	w.Uint(kindJobReleased).Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.able)
+	w := kindJobReleased.begin().Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.able)
 	return w.Text(m.job).Uint(m.token).Uint(m.higherToken).Uint(m.checkpointNumber).Bytes(m.checkpoint).Text(m.reason).Data
 }
 
 func (m storeCheckpoint) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindStoreCheckpoint).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
+	return kindStoreCheckpoint.begin().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
 }
 
 func (m checkpointResult) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindCheckpointResult).Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
+	return kindCheckpointResult.begin().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
 }
 
 func (m effectMessage) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindEffect).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
+	return kindEffect.begin().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
 }
 
 func (m effectAck) encode() []byte {
-	var w encoding.Writer
-	w.Uint(kindEffectAck).Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
+	w := kindEffectAck.begin().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
 	return w.Uint(uint64(m.verdict)).Uint(m.highest.Token).Uint(m.highest.Sequence).Data
 }
 
 func (m moveRequest) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindMoveRequest).Text(m.job).Text(m.member).Uint(m.tag).Data
+	return kindMoveRequest.begin().Text(m.job).Text(m.member).Uint(m.tag).Data
 }
 
 func (m moveReply) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindMoveReply).Uint(m.tag).Text(m.refusal).Data
+	return kindMoveReply.begin().Uint(m.tag).Text(m.refusal).Data
 }
 
 func (m queryMessage) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindQuery).Text(m.job).Uint(m.tag).Uint(uint64(m.asker)).Bytes(m.body).Data
+	return kindQuery.begin().Text(m.job).Uint(m.tag).Uint(uint64(m.asker)).Bytes(m.body).Data
 }
 
 func (m queryReply) encode() []byte {
-	var w encoding.Writer
-	return w.Uint(kindQueryReply).Uint(m.tag).Bytes(m.body).Data
+	return kindQueryReply.begin().Uint(m.tag).Bytes(m.body).Data
 }
 
 // malformed names the message at fault.
-func malformed(kind uint64, cause error) error {
-	return fmt.Errorf("%w: kind %d: %w", ErrMalformedMessage, kind, cause)
+func malformed(kind fmt.Stringer, cause error) error {
+	return fmt.Errorf("%w: %v: %w", ErrMalformedMessage, kind, cause)
 }
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -95,6 +95,32 @@
 	}
 }
 
+// TestKindNames: each kind has a name of its own, and one of a later version its number.
+func TestKindNames(t *testing.T) {
+	names := map[string]bool{}
+	for kind := kindLeaseRequest; kind <= kindQueryReply; kind++ {
+		names["message "+kind.String()] = messageKindNames[kind] != ""
+	}
+	for kind := kindPrepare; kind <= kindLeaseRejected; kind++ {
+		names["quorum message "+kind.String()] = quorumMessageKindNames[kind] != ""
+	}
+	for kind := kindGrant; kind <= kindConfirm; kind++ {
+		names["command "+kind.String()] = commandKindNames[kind] != ""
+	}
+	const kinds = 14 + 10 + 6
+	if len(names) != kinds {
+		t.Errorf("%d names for %d kinds: %v", len(names), kinds, names)
+	}
+	for name, known := range names {
+		if !known {
+			t.Errorf("%s has no name", name)
+		}
+	}
+	if got := messageKind(99).String(); got != "kind_99" {
+		t.Errorf("kind 99 is called %q", got)
+	}
+}
+
 // TestFailureBackoff: a job that fails waits twice as long each time, up to a bound, and from the start again after a quiet time.
 func TestFailureBackoff(t *testing.T) {
 	b, now := failureBackoff{}, 100*sec
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -6,20 +6,6 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Kinds of messages between voters, as sent.
-const (
-	kindPrepare            = 1
-	kindPrepareReply       = 2
-	kindLeaseProposal      = 3
-	kindLeaseAccepted      = 4
-	kindStateRequest       = 5
-	kindStateTransfer      = 6
-	kindAppendEntries      = 7
-	kindAppendAcknowledged = 8
-	kindLeaseYielded       = 9
-	kindLeaseRejected      = 10
-)
-
 // maxSnapshotBytes bounds the state of one machine, and of all together.
 const maxSnapshotBytes = 1 << 18
 
@@ -79,63 +65,53 @@
 type appendAcknowledged struct{ position logPosition }
 
 func (m prepareRequest) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindPrepare).Text(groupName).Uint(m.ballot).Data
+	return kindPrepare.begin(groupName).Uint(m.ballot).Data
 }
 
 func (m prepareReply) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindPrepareReply).Text(groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindPrepareReply.begin(groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseProposal) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseProposal).Text(groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
+	return kindLeaseProposal.begin(groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
 }
 
 func (m leaseAccepted) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseAccepted).Text(groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindLeaseAccepted.begin(groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseRejected) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseRejected).Text(groupName).Uint(m.epoch).Uint(m.promised).Data
+	return kindLeaseRejected.begin(groupName).Uint(m.epoch).Uint(m.promised).Data
 }
 
 func (m leaseYielded) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindLeaseYielded).Text(groupName).Uint(m.epoch).Data
+	return kindLeaseYielded.begin(groupName).Uint(m.epoch).Data
 }
 
 func (m stateRequest) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindStateRequest).Text(groupName).Uint(m.ballot).Data
+	return kindStateRequest.begin(groupName).Uint(m.ballot).Data
 }
 
 func (m stateTransfer) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindStateTransfer).Text(groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
+	return kindStateTransfer.begin(groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
 }
 
 func (m appendEntries) encode(groupName string) []byte {
-	var w encoding.Writer
-	w.Uint(kindAppendEntries).Text(groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
+	w := kindAppendEntries.begin(groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
 	for _, e := range m.entries {
-		e.encode(&w)
+		e.encode(w)
 	}
 	return w.Data
 }
 
 func (m appendAcknowledged) encode(groupName string) []byte {
-	var w encoding.Writer
-	return w.Uint(kindAppendAcknowledged).Text(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindAppendAcknowledged.begin(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 // decodeQuorumMessage decodes one message, and the name of the group that it is for. Byte strings in it are parts of data, not copies.
 func decodeQuorumMessage(data []byte) (groupName string, m quorumMessage, err error) {
 	r := encoding.Reader{Data: data}
-	kind := r.Uint()
+	kind := quorumMessageKind(r.Uint())
 	groupName = r.Text(maxNameBytes)
 	switch kind {
 	case kindPrepare:
@@ -159,7 +135,7 @@
 	case kindAppendAcknowledged:
 		m = appendAcknowledged{position: decodePosition(&r)}
 	default:
-		return "", nil, fmt.Errorf("%w: %d between voters", ErrUnknownMessage, kind)
+		return "", nil, fmt.Errorf("%w: %v between voters", ErrUnknownMessage, kind)
 	}
 	if err := r.Err(); err != nil {
 		return "", nil, malformed(kind, err)
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -21,7 +21,7 @@
 			token, number := uint64(rapid.IntRange(0, 6).Draw(t, "token")), uint64(rapid.IntRange(0, 4).Draw(t, "number"))
 			left := []byte(fmt.Sprint("left ", number))
 			var cmd []byte
-			kind := rapid.IntRange(1, 5).Draw(t, "kind")
+			kind := commandKind(rapid.IntRange(1, 5).Draw(t, "kind"))
 			switch kind {
 			case kindGrant:
 				cmd = grantCommand{job: job, token: token, changedAt: 1, owner: "p", incarnation: 3, reason: "why"}.encode()
