--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"fmt"
 	"os"
 
 	"croftlock/internal/app/command"
@@ -15,8 +16,19 @@
 func main() {
 	soak.BehindShim()
 	owneragent.OpenVoter = replica.Open
-	if owneragent.PlantedFault = os.Getenv(experiment.PlantedEnv); owneragent.PlantedFault != "" {
-		os.Exit(command.Run(os.Args[1:], os.Getenv)) // the program itself, with a fault that an experiment has to find
+	if fault := os.Getenv(experiment.PlantedEnv); fault != "" {
+		os.Exit(runWithFault(fault))
 	}
 	os.Exit(experiment.Main(os.Args[1:], soak.Command()))
 }
+
+// runWithFault runs the program itself, with a fault that an experiment has to find.
+func runWithFault(name string) (status int) {
+	faults, err := owneragent.ParseFaultInjection(name)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "croftlock-experiment:", err)
+		return 1
+	}
+	owneragent.Faults = faults
+	return command.Run(os.Args[1:], os.Getenv)
+}
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -65,7 +65,7 @@
 	}
 	now := time.Now()
 	a := &Agent{options: o, name: name, incarnation: uint64(now.UnixMilli()), startedAt: now, loop: l, members: m,
-		worker: newWorker(), fence: &ownership.Fence{Forget: PlantedFault == "forget"}}
+		worker: newWorker(), fence: &ownership.Fence{Faults: Faults.Ownership}}
 	a.transport = fragment.New(m.MaxPayload(), uint32(a.incarnation), transportEffects{a})
 	a.queries = newQueries(a)
 	a.replica = newReplica(o, name, ownership.NewTable(), groupEffects{a})
@@ -161,7 +161,8 @@
 		a.core.SetGroup(a.replica.group)
 		return
 	}
-	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Wall: func() int64 { return time.Now().UnixMilli() }}
+	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Faults: Faults.Ownership,
+		Wall: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
 		panic(err) // Options.Check lets no such configuration pass
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -88,9 +88,5 @@
 	return nil
 }
 
-// PlantedFault names a fault that experiments put in, to show that they find it: forget (the fence), lapse (of rules). No file and no argument of the
-// program sets it.
-var PlantedFault string
-
 // testJobs are jobs that tests add.
 var testJobs map[string]jobs.Job
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -79,7 +79,8 @@
 }
 
 func (r *replica) openQuorum(seed uint64, machines map[byte]group.Machine) {
-	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, Clock: time.Now().UnixMilli()/10 - epochZero}
+	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, Clock: time.Now().UnixMilli()/10 - epochZero,
+		Faults: Faults.Ownership}
 	q, err := ownership.NewQuorum(cfg, machines, r.effects)
 	if err != nil {
 		r.failure = err.Error()
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -25,7 +25,7 @@
 	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.MaxEntries, 1, rules.MaxEntries)
 }
 
-// lapseFaultFactor is how much longer a planted fault lets rules hold.
+// lapseFaultFactor is how much longer rules hold with FaultInjection.ExtendRulesLease.
 const lapseFaultFactor = 10
 
 // ruleAgreement is this process's part in the agreement on rules. Where the section has them off it is empty.
@@ -59,7 +59,7 @@
 	member := &rules.Member{AgreeWithin: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
 	replies := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
 	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(replies, rulesJob, tag, body) }
-	if PlantedFault == "lapse" {
+	if Faults.ExtendRulesLease {
 		member.AgreeWithin *= lapseFaultFactor
 	}
 	a.rules.enforcer, a.rules.member = enforcer, member
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -15,8 +15,7 @@
 	Jobs        []string     // that this process can own
 	Lease       Time         // how long an owner continues without the coordinator; default 2 s
 	Wall        func() int64 // wall clock, Unix milliseconds; default always 0
-	// FromAnswer is a fault for experiments: a lease is counted from its answer, not from its request.
-	FromAnswer bool
+	Faults      FaultInjection
 }
 
 const defaultLease = 2 * sec
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -35,7 +35,7 @@
 	s.worlds = append(s.worlds, c)
 }
 
-func (w *world) next(f faults) []*world {
+func (w *world) next(f FaultInjection) []*world {
 	s := &successors{from: w}
 	for i, e := range w.inFlight {
 		s.add(func(c *world) {
@@ -55,7 +55,7 @@
 	return s.worlds
 }
 
-func (w *world) addClockAndStart(s *successors, i int, f faults) {
+func (w *world) addClockAndStart(s *successors, i int, f FaultInjection) {
 	if w.skews > 0 {
 		s.add(func(c *world) {
 			c.skews--
@@ -144,9 +144,9 @@
 }
 
 // explore visits worlds, each once, in an order drawn alike each time; up to a limit.
-func explore(start world, f faults, limit int) (e exploration) {
+func explore(start world, f FaultInjection, limit int) (e exploration) {
 	w := &start
-	w.fence = &Fence{Forget: f.forget}
+	w.fence = &Fence{Faults: f}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range w.voters {
 		w.voters[i] = w.newVoter(i, 0, f)
@@ -190,13 +190,13 @@
 	for i, c := range []struct {
 		name  string
 		start world
-		fault faults
+		fault FaultInjection
 	}{
-		{"a voter that has started does not abstain", world{elections: 2, restarts: 1, steps: 1}, faults{eager: true}},
-		{"a lease counted from its answer", world{elections: 2, steps: 3, skews: 1}, faults{fromAnswer: true}},
-		{"a receiver forgets its fence", world{elections: 2, steps: 3, effects: 2}, faults{forget: true}},
+		{"a voter that has started does not abstain", world{elections: 2, restarts: 1, steps: 1}, FaultInjection{SkipAbstention: true}},
+		{"a lease counted from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{LeaseFromAnswer: true}},
+		{"a receiver forgets its fence", world{elections: 2, steps: 3, effects: 2}, FaultInjection{ForgetTokens: true}},
 	} {
-		e := explore(c.start, faults{}, limit)
+		e := explore(c.start, FaultInjection{}, limit)
 		t.Logf("as it is: %d worlds visited, all of them: %t", e.visited, e.complete)
 		if e.violation != "" {
 			t.Errorf("%s, without the fault: %s", c.name, e.violation)
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -36,9 +36,6 @@
 	violation                                            string
 }
 
-// faults are planted in the program.
-type faults struct{ eager, fromAnswer, forget bool }
-
 // worldEffects put what a voter sends on its way.
 type worldEffects struct {
 	w  *world
@@ -57,8 +54,8 @@
 func (worldEffects) Confirmed(uint64)             {}
 func (worldEffects) LogEvent(string, ...any)      {}
 
-func (w *world) newVoter(i int, now Time, f faults) *Quorum {
-	cfg := QuorumConfig{Group: "g", Name: voterNames[i], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Eager: f.eager, FromAnswer: f.fromAnswer}
+func (w *world) newVoter(i int, now Time, f FaultInjection) *Quorum {
+	cfg := QuorumConfig{Group: "g", Name: voterNames[i], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Faults: f}
 	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, i})
 	if err != nil {
 		panic(err)
@@ -71,7 +68,7 @@
 func (w *world) clone() *world {
 	c := *w
 	c.inFlight = slices.Clone(w.inFlight)
-	c.fence = &Fence{last: maps.Clone(w.fence.last), Forget: w.fence.Forget}
+	c.fence = &Fence{last: maps.Clone(w.fence.last), Faults: w.fence.Faults}
 	for i, q := range w.voters {
 		n := *q
 		n.effects = worldEffects{&c, i}
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -33,9 +33,9 @@
 
 // Fence is what a receiver remembers of each job: the latest effect it accepted. It makes a stale owner harmless.
 type Fence struct {
+	Faults FaultInjection
+
 	last map[string]FencingToken
-	// Forget is a fault for experiments: nothing is remembered.
-	Forget bool
 }
 
 // Check decides on an effect, and remembers it if it is accepted; it returns the latest effect seen as well. An effect holds the
@@ -46,7 +46,7 @@
 	}
 	last, known := f.last[job]
 	switch {
-	case f.Forget:
+	case f.Faults.ForgetTokens:
 	case token.Token < last.Token:
 		return Stale, last
 	case token.Token == last.Token && token.Sequence <= last.Sequence:
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -69,7 +69,7 @@
 		return
 	}
 	delete(l.outstanding, m.sequence)
-	if p.cfg.FromAnswer {
+	if p.cfg.Faults.LeaseFromAnswer {
 		requestedAt = p.now
 	}
 	if m.epoch > p.epoch {
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -42,8 +42,7 @@
 	Lease  Time // of the lead; default 1.5 s; the same everywhere
 	Seed   uint64
 	Clock  int64 // wall clock at the start, hundredths of a second: the first epoch is above it
-	// Faults for experiments: a voter that has just started does not abstain; a lease is counted from its answer, not from its request.
-	Eager, FromAnswer bool
+	Faults FaultInjection
 }
 
 const (
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -162,7 +162,7 @@
 // leaseEnd counts the lease from before it was requested, and shorter by the drift of clocks: it ends here before it ends at any voter.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
-	if q.cfg.FromAnswer {
+	if q.cfg.Faults.LeaseFromAnswer {
 		requestedAt = q.now
 	}
 	return requestedAt + shortened(q.cfg.Lease)
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -16,7 +16,7 @@
 
 // abstains reports whether an earlier process of this voter may have granted a lease that lasts, which this one does not know.
 func (q *Quorum) abstains() bool {
-	return q.startedAt < 0 || !q.cfg.Eager && q.now < q.startedAt+lengthened(q.cfg.Lease)
+	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+lengthened(q.cfg.Lease)
 }
 
 func (q *Quorum) handlePrepare(from uint32, m prepareRequest) {
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -62,7 +62,7 @@
 	p.core, p.group, p.raft = nil, nil, nil
 	p.clockZero = r.rng.Int64N(1000 * Sec)
 	p.table, p.jobs, p.accepted = ownership.NewTable(), map[string]*job{}, map[string]ownership.FencingToken{}
-	p.fence = &ownership.Fence{Forget: r.cfg.Forget}
+	p.fence = &ownership.Fence{Faults: r.cfg.ProgramFaults}
 	if p.index < r.cfg.Voters {
 		r.openGroup(p)
 	}
@@ -71,7 +71,7 @@
 		Incarnation: p.incarnation,
 		Voters:      r.voterNames(),
 		Wall:        func() int64 { return (r.now + p.wallOffset) / Ms },
-		FromAnswer:  r.cfg.FromAnswer,
+		Faults:      r.cfg.ProgramFaults,
 	}
 	for j := range r.cfg.Jobs {
 		cfg.Jobs = append(cfg.Jobs, jobName(j))
@@ -105,7 +105,7 @@
 		return
 	}
 	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, Clock: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
-		Eager: r.cfg.Eager, FromAnswer: r.cfg.FromAnswer}
+		Faults: r.cfg.ProgramFaults}
 	q, err := ownership.NewQuorum(cfg, machines, groupEffects{r, p})
 	if err != nil {
 		panic(err)
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -11,6 +11,7 @@
 	"strings"
 
 	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/ownership"
 )
 
 // Time is virtual nanoseconds.
@@ -38,8 +39,9 @@
 	Seed                    uint64
 	FaultPeriod             Time // the period in which faults begin; default 30 s
 	Calm                    bool // no faults at all
-	// Faults of the program that checks have to find: a sync of the disk is skipped; see ownership.QuorumConfig and ownership.Fence for the others.
-	SkipSync, Eager, FromAnswer, Forget bool
+	// Faults of the program, which the checks have to find: injected ones, and a disk that loses with a crash what it has acknowledged.
+	ProgramFaults ownership.FaultInjection
+	SkipSync      bool
 }
 
 // ErrBroken is returned where a check has failed.
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -94,9 +94,9 @@
 		first int
 	}{
 		{"a sync skipped", func(c *Config) { c.Disks, c.SkipSync = true, true }, 1},
-		{"a voter that has started does not abstain", func(c *Config) { c.Disks, c.Eager = false, true }, 425},
-		{"a lease counted from its answer", func(c *Config) { c.FromAnswer = true }, 118},
-		{"a receiver forgets its fence", func(c *Config) { c.Forget = true }, 1},
+		{"a voter that has started does not abstain", func(c *Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true }, 425},
+		{"a lease counted from its answer", func(c *Config) { c.ProgramFaults.LeaseFromAnswer = true }, 118},
+		{"a receiver forgets its fence", func(c *Config) { c.ProgramFaults.ForgetTokens = true }, 1},
 	} {
 		o := play(envInt("OWNERS_FIRST", c.first), 1000, func(s uint64) Config {
 			x := config(s)
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -126,7 +126,7 @@
 var plants = map[string]func(c *simulation.Config){
 	"":            func(*simulation.Config) {},
 	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
-	"eager":       func(c *simulation.Config) { c.Disks, c.Eager = false, true },
-	"from-answer": func(c *simulation.Config) { c.FromAnswer = true },
-	"forget":      func(c *simulation.Config) { c.Forget = true },
+	"eager":       func(c *simulation.Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true },
+	"from-answer": func(c *simulation.Config) { c.ProgramFaults.LeaseFromAnswer = true },
+	"forget":      func(c *simulation.Config) { c.ProgramFaults.ForgetTokens = true },
 }
