--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -60,13 +60,3 @@
 
 // Last is the latest effect accepted of a job.
 func (f *Fence) Last(job string) FencingToken { return f.last[job] }
-
-// Raise raises what is remembered, as a receiver with a durable fence does at its start.
-func (f *Fence) Raise(job string, token FencingToken) {
-	if f.last == nil {
-		f.last = map[string]FencingToken{}
-	}
-	if f.last[job].Before(token) {
-		f.last[job] = token
-	}
-}
