--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -81,7 +81,7 @@
 	}
 	if c.identity.Stale {
 		c.phase = Stale
-		c.effects.LogEvent("replica_stale", "reason", c.reason())
+		c.effects.LogEvent("replica_stale", "reason", staleRecorded.String())
 		return nil
 	}
 	if c.identity.ID == 0 {
@@ -146,13 +146,13 @@
 }
 
 // becomeStale ends this process's part until an operator replaces it. It is stored first, as whoever found it may forget.
-func (c *Core) becomeStale(foundBy uint32) {
+func (c *Core) becomeStale(foundBy uint32, cause staleCause) {
 	c.identity.Stale = true
 	if !c.checkStored(c.store.SaveIdentity(c.identity)) {
 		return
 	}
 	c.phase = Stale
-	c.effects.LogEvent("replica_stale", "reason", c.reason(), "by", fmt.Sprintf("%08x", foundBy))
+	c.effects.LogEvent("replica_stale", "reason", cause.String(), "by", fmt.Sprintf("%08x", foundBy))
 }
 
 // becomeBroken ends this process's part after a failure.
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -58,6 +58,9 @@
 	if p, _ := g.cores["b"].Phase(); p != NotMember {
 		t.Fatalf("phase %v", p)
 	}
+	if event := "b replica_not_member [reason group_exists]"; !slices.Contains(g.events, event) {
+		t.Errorf("no event %q among %q", event, g.events)
+	}
 	g.propose("two")
 	do := func(what string, f func(c *Core, tag uint64) error) {
 		t.Helper()
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -12,8 +12,6 @@
 	waitForOthers = Time(1e9) // 1 s
 )
 
-const staleReason = "its store is older than what others have had from this voter: a file was put back; move it away and have the voter replaced"
-
 // evidence is what this process has received from another replica: what the other must have on its disk.
 type evidence struct {
 	term              uint64
@@ -148,8 +146,8 @@
 	if c.phase != Starting {
 		return nil
 	}
-	if m.replica != 0 && c.storeIsOlder(m) {
-		c.becomeStale(from)
+	if cause := c.staleCause(m); m.replica != 0 && cause != storeCurrent {
+		c.becomeStale(from, cause)
 		return nil
 	}
 	if (m.remembers || m.replica == 0) && slices.Contains(c.otherVoters(), from) {
@@ -159,27 +157,36 @@
 	return nil
 }
 
-// storeIsOlder says whether another process has received what the own store does not hold: a later start, term or part of the log.
-func (c *Core) storeIsOlder(m welcome) bool {
+// staleCause says what another process has received that the own store does not hold.
+func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
-	otherStart := m.start.Starts > c.identity.Starts || m.start.Starts == c.identity.Starts && m.start.Incarnation != c.incarnation
-	return otherStart || m.received.term > c.recovered.HardState.Term || m.received.logIndex > lastIndex && lastTerm <= m.received.logTerm
+	switch {
+	case m.start.Starts > c.identity.Starts, m.start.Starts == c.identity.Starts && m.start.Incarnation != c.incarnation:
+		return laterStart
+	case m.received.term > c.recovered.HardState.Term:
+		return laterTerm
+	case m.received.logIndex > lastIndex && lastTerm <= m.received.logTerm:
+		return longerLog
+	}
+	return storeCurrent
 }
 
 // tryStart ends a start once enough of the others have answered.
 func (c *Core) tryStart() {
 	others, answers := c.otherVoters(), c.joining.answers
-	groupExists := false
+	hasGroup := false
 	for _, p := range others {
-		groupExists = groupExists || answers[p]
+		hasGroup = hasGroup || answers[p]
 	}
 	switch {
 	case c.identity.ID != 0:
 		if c.enoughAnswers(len(others)) {
 			c.startRaft()
 		}
-	case !slices.Contains(c.cfg.InitialVoters, c.cfg.Name) || groupExists:
-		c.startAsNewReplica()
+	case hasGroup:
+		c.startAsNewReplica(groupExists)
+	case !slices.Contains(c.cfg.InitialVoters, c.cfg.Name):
+		c.startAsNewReplica(notInitialVoter)
 	case len(answers) == len(others):
 		c.bootstrap()
 	}
@@ -198,11 +205,11 @@
 
 // startAsNewReplica takes a new identity. Either this process never was of the group, or it was and lost its disk: it may have voted, and
 // must not be that voter again.
-func (c *Core) startAsNewReplica() {
+func (c *Core) startAsNewReplica(reason notMemberReason) {
 	nonce := c.rng.Uint32() | 1
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
 	if c.checkStored(c.store.SaveIdentity(c.identity)) {
-		c.effects.LogEvent("replica_not_member", "reason", "there is a group already, and this process is not of it, or lost its store: it waits to be added")
+		c.effects.LogEvent("replica_not_member", "reason", reason.String())
 		c.startRaft()
 	}
 }
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestStoreIsOlder: each thing that another process has received and the own store does not hold shows.
-func TestStoreIsOlder(t *testing.T) {
+// TestStaleCause: each thing that another process has received and the own store does not hold shows.
+func TestStaleCause(t *testing.T) {
 	c := &Core{identity: Identity{ID: 1, Starts: 4}, incarnation: 11}
 	c.recovered.HardState.Term = 5
 	c.recovered.Entries = []raftpb.Entry{{Index: 20, Term: 5}}
@@ -71,18 +71,18 @@
 	for _, x := range []struct {
 		name string
 		m    welcome
-		want bool
+		want staleCause
 	}{
-		{"the same", welcome{start: own, received: evidence{5, 5, 20}}, false},
-		{"less", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, false},
-		{"a later start", welcome{start: StartRecord{5, 11}}, true},
-		{"the same start of another process", welcome{start: StartRecord{4, 12}}, true},
-		{"a later term", welcome{start: own, received: evidence{6, 0, 0}}, true},
-		{"more of the log", welcome{start: own, received: evidence{5, 5, 21}}, true},
-		{"more of a log that was overwritten", welcome{start: own, received: evidence{5, 4, 21}}, false},
+		{"the same", welcome{start: own, received: evidence{5, 5, 20}}, storeCurrent},
+		{"less", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, storeCurrent},
+		{"a later start", welcome{start: StartRecord{5, 11}}, laterStart},
+		{"the same start of another process", welcome{start: StartRecord{4, 12}}, laterStart},
+		{"a later term", welcome{start: own, received: evidence{6, 0, 0}}, laterTerm},
+		{"more of the log", welcome{start: own, received: evidence{5, 5, 21}}, longerLog},
+		{"more of a log that was overwritten", welcome{start: own, received: evidence{5, 4, 21}}, storeCurrent},
 	} {
-		if got := c.storeIsOlder(x.m); got != x.want {
-			t.Errorf("%s: %t", x.name, got)
+		if got := c.staleCause(x.m); got != x.want {
+			t.Errorf("%s: got %v, want %v", x.name, got, x.want)
 		}
 	}
 }
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -20,7 +20,7 @@
 }
 
 // Stop ends a job.
-func (c coreEffects) Stop(job string, token uint64, reason string) (uint64, []byte) {
+func (c coreEffects) Stop(job string, token uint64, reason ownership.ReleaseReason) (uint64, []byte) {
 	return c.agent.jobs.stop(job, token, reason)
 }
 
@@ -33,7 +33,7 @@
 // EffectAcknowledged passes a receiver's verdict to the job.
 func (c coreEffects) EffectAcknowledged(peer uint32, job string, token ownership.FencingToken, v ownership.Verdict, highest ownership.FencingToken) {
 	if v == ownership.Stale {
-		slog.Warn("stale_owner", "job", job, "token", token.Token, "seen", highest.Token, "by", fmt.Sprintf("%08x", peer))
+		slog.Warn("stale_owner", "job", job, "token", token.Token, "highest_token", highest.Token, "receiver", fmt.Sprintf("%08x", peer))
 	}
 	c.agent.jobs.recoverOwnedJob(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -66,9 +66,9 @@
 	return nil
 }
 
-func (r *jobRunner) stop(name string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte) {
+func (r *jobRunner) stop(name string, token uint64, reason ownership.ReleaseReason) (checkpointNumber uint64, checkpoint []byte) {
 	delete(r.owned, name)
-	slog.Info("job_released", "job", name, "token", token, "reason", reason)
+	slog.Info("job_released", "job", name, "token", token, "reason", reason.String())
 	r.recoverJob(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
 	return checkpointNumber, checkpoint
 }
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -14,9 +14,10 @@
 
 // Assignment is one decision of Assign: a job for a process.
 type Assignment struct {
-	Job, Member, Reason string
-	Incarnation         uint64
-	Handover            bool // the present owner is to release the job first
+	Job, Member string
+	Incarnation uint64
+	Handover    bool   // the present owner is to release the job first
+	Reason      string // text, stored with the grant
 }
 
 // A job that has an owner is handed over only after its owner has been the worse one for a while: a link that flaps must not move jobs to and fro.
@@ -60,7 +61,7 @@
 	for _, job := range free {
 		if to := a.best(job, "", 0); to != nil {
 			a.load[to.Name]++
-			assignments = append(assignments, Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: "free, and it has the fewest"})
+			assignments = append(assignments, Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: textFree})
 		}
 	}
 	if handover, ok := a.handover(owned); ok {
@@ -113,7 +114,7 @@
 		}
 		to := a.best(row.Job, row.Owner, minHandoverInterval)
 		if to != nil && (!owner.Able || to.UnreachableFrom < owner.UnreachableFrom) {
-			return handoverTo(row.Job, to, "its owner is leaving, starved or hard to hear"), true
+			return handoverTo(row.Job, to, textOwnerUnfit), true
 		}
 	}
 	return Assignment{}, false
@@ -127,12 +128,12 @@
 		}
 		to := a.best(row.Job, row.Owner, minRebalanceInterval)
 		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnreachableFrom <= owner.UnreachableFrom {
-			return handoverTo(row.Job, to, "its owner has more than others"), true
+			return handoverTo(row.Job, to, textRebalanced), true
 		}
 	}
 	return Assignment{}, false
 }
 
-func handoverTo(job string, to *Candidate, reason string) Assignment {
-	return Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: reason}
+func handoverTo(job string, to *Candidate, text string) Assignment {
+	return Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Handover: true, Reason: text}
 }
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -1,6 +1,7 @@
 package ownership
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 )
@@ -152,7 +153,7 @@
 			if jobs.lostOwner == nil {
 				jobs.lostOwner = map[string]string{}
 			}
-			jobs.lostOwner[row.Job] = "its owner " + row.Owner + " was lost"
+			jobs.lostOwner[row.Job] = fmt.Sprintf(ownerLostPattern, row.Owner)
 		}
 		if c.mayBeGranted(row) {
 			jobs.free = append(jobs.free, row.Job)
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -115,7 +115,7 @@
 	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
 		return false
 	}
-	t.add(&JobRecord{Job: c.job, ChangedAt: c.changedAt, Reason: "made known"})
+	t.add(&JobRecord{Job: c.job, ChangedAt: c.changedAt, Reason: textRegistered})
 	return true
 }
 
@@ -161,7 +161,7 @@
 		return false
 	}
 	row.Token = c.token
-	row.clearOwner("a receiver has seen a later token")
+	row.clearOwner(textLaterTokenSeen)
 	return true
 }
 
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -121,7 +121,7 @@
 		c.propose(raiseTokenCommand{job: m.job, token: m.higherToken}, proposal{job: m.job, exclusive: true})
 		return
 	}
-	if len(m.reason) > len(failedReason) && m.reason[:len(failedReason)] == failedReason {
+	if isFailure(m.reason) {
 		c.backoff.recordFailure(m.job, c.now)
 	}
 	release := releaseCommand{job: m.job, token: m.token, changedAt: c.cfg.Wall(), checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint, reason: m.reason}
@@ -158,7 +158,7 @@
 	case row.Owner == to:
 		return fmt.Sprintf("%s owns %s already", to, job)
 	}
-	c.beginHandover(Assignment{Job: job, Member: to, Incarnation: s.incarnation, Handover: true, Reason: "moved by an operator"})
+	c.beginHandover(Assignment{Job: job, Member: to, Incarnation: s.incarnation, Handover: true, Reason: textMoved})
 	c.sendJobLists()
 	return ""
 }
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -43,7 +43,7 @@
 	// Start begins a job under a token, from the last checkpoint. A job that can't start gives an error and is released.
 	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
 	// Stop ends a job before it returns. It gives the checkpoint for the next owner, under a number above the last one stored.
-	Stop(job string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte)
+	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
 	// Effect carries out an effect that the fence has accepted.
 	Effect(job string, token FencingToken, body []byte)
 	// EffectAcknowledged passes a receiver's verdict to the owner of the job.
@@ -155,11 +155,11 @@
 	c.coordinator.unreachableFrom = unreachableFrom
 }
 
-// Leave releases all jobs, and takes none any more.
-func (c *Core) Leave(now Time, reason string) {
+// Leave releases all jobs, and takes none any more. text is stored as the reason.
+func (c *Core) Leave(now Time, text string) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.participant.leave(reason)
+	c.participant.leave(text)
 }
 
 // HasLeft reports whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
@@ -171,11 +171,11 @@
 	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
 }
 
-// JobFailed releases a job that ended by a fault of its own.
-func (c *Core) JobFailed(now Time, job string, token uint64, reason string) {
+// JobFailed releases a job that ended by a fault of its own. cause is stored.
+func (c *Core) JobFailed(now Time, job string, token uint64, cause string) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.participant.jobFailed(job, token, reason)
+	c.participant.jobFailed(job, token, cause)
 }
 
 // Holds reports whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -11,7 +11,7 @@
 
 func (discardEffects) Send(uint32, []byte)                                                    {}
 func (discardEffects) Start(string, uint64, uint64, []byte) error                             { return nil }
-func (discardEffects) Stop(string, uint64, string) (uint64, []byte)                           { return 0, nil }
+func (discardEffects) Stop(string, uint64, ReleaseReason) (uint64, []byte)                    { return 0, nil }
 func (discardEffects) Effect(string, FencingToken, []byte)                                    {}
 func (discardEffects) EffectAcknowledged(uint32, string, FencingToken, Verdict, FencingToken) {}
 func (discardEffects) CheckpointStored(string, uint64, uint64, bool)                          {}
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -16,7 +16,7 @@
 // stopAtLeaseEnd keeps the owner's part of the lease: all jobs stop before the coordinator may grant them again.
 func (p *participant) stopAtLeaseEnd() {
 	if p.leaseEnded() {
-		p.releaseAll("the lease ended")
+		p.releaseAll(LeaseEnded, textLeaseEnded)
 	}
 }
 
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -20,7 +20,7 @@
 		leaderRedirect{leader: 1 << 31},
 		jobOffer{sender: testSender, jobs: []string{"j", "k"}},
 		jobList{incarnation: 7, epoch: 2, sequence: 5, jobs: []listedJob{{"j", 9, 4, true, []byte("left")}, {"k", 10, 0, false, []byte{}}}},
-		jobReleased{testSender, true, "j", 9, 11, 4, []byte("left"), failedReason + "why"},
+		jobReleased{testSender, true, "j", 9, 11, 4, []byte("left"), failedPrefix + "why"},
 		storeCheckpoint{"j", 9, 4, []byte("left")},
 		checkpointResult{"j", 9, 4, true},
 		effectMessage{"j", testToken, []byte("body")},
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -8,14 +8,11 @@
 // releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
 const releaseRepeatInterval = 100 * ms
 
-// failedReason begins the reason of a job that ended by a fault of its own; the coordinator delays its next grant.
-const failedReason = "failed: "
-
 // heldJob is a job that this process owns, or has released while the coordinator may not know it yet.
 type heldJob struct {
 	token            uint64
 	released         bool
-	reason           string // of the release
+	text             string // of the release
 	higherToken      uint64 // that a receiver reported; 0: none
 	checkpointNumber uint64
 	checkpoint       []byte
@@ -77,28 +74,28 @@
 	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
 
-func (p *participant) leave(reason string) {
+func (p *participant) leave(text string) {
 	p.leaving = true
-	p.releaseAll(reason)
+	p.releaseAll(ProcessLeaving, text)
 }
 
-func (p *participant) releaseAll(reason string) {
+func (p *participant) releaseAll(reason ReleaseReason, text string) {
 	for _, job := range p.jobNames() {
 		if h := p.jobs[job]; !h.released {
-			p.release(job, h, reason)
+			p.release(job, h, reason, text)
 		}
 	}
 }
 
-func (p *participant) jobFailed(job string, token uint64, reason string) {
+func (p *participant) jobFailed(job string, token uint64, cause string) {
 	if h := p.jobs[job]; h != nil && h.token == token && !h.released {
-		p.release(job, h, failedReason+reason)
+		p.release(job, h, JobFailed, failedPrefix+cause)
 	}
 }
 
-// release stops a job here. The coordinator is notified, with the checkpoint, until it has taken the job back.
-func (p *participant) release(job string, h *heldJob, reason string) {
-	h.released, h.reason = true, reason
+// release stops a job here. The coordinator is notified, with the checkpoint and the text, until it has taken the job back.
+func (p *participant) release(job string, h *heldJob, reason ReleaseReason, text string) {
+	h.released, h.text = true, text
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
 	p.reportRelease(job, h)
 }
@@ -116,7 +113,7 @@
 		higherToken:      h.higherToken,
 		checkpointNumber: h.checkpointNumber,
 		checkpoint:       h.checkpoint,
-		reason:           h.reason,
+		reason:           h.text,
 	}.encode())
 }
 
@@ -146,10 +143,10 @@
 		switch {
 		case ok && j.token == h.token:
 			if j.handover && !h.released {
-				p.release(job, h, "it is to be handed over")
+				p.release(job, h, HandedOver, textHandedOver)
 			}
 		case !h.released:
-			p.effects.Stop(job, h.token, "the coordinator has given it to another")
+			p.effects.Stop(job, h.token, AssignedToOther)
 			delete(p.jobs, job)
 		default:
 			delete(p.jobs, job) // the coordinator has taken it back
@@ -160,7 +157,7 @@
 // acquire begins a listed job, or releases it at once where it must not begin here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
-		h := &heldJob{token: j.token, released: true, reason: "not begun: it is to be handed over, or this process is leaving"}
+		h := &heldJob{token: j.token, released: true, text: textNotBegun}
 		p.jobs[j.job] = h
 		p.reportRelease(j.job, h)
 		return true
@@ -172,7 +169,7 @@
 	h := &heldJob{token: j.token}
 	p.jobs[j.job] = h
 	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
-		h.released, h.reason, h.checkpointNumber = true, failedReason+err.Error(), 0
+		h.released, h.text, h.checkpointNumber = true, failedPrefix+err.Error(), 0
 		p.reportRelease(j.job, h)
 	}
 	return true
@@ -188,7 +185,7 @@
 	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
 		// Fencing: the receiver remembers a later owner, so this one stops, and the next token is to be above that.
 		h.higherToken = m.highest.Token
-		p.release(m.job, h, "a receiver has seen a later token")
+		p.release(m.job, h, LaterTokenSeen, textLaterTokenSeen)
 	}
 	p.effects.EffectAcknowledged(from, m.job, m.token, m.verdict, m.highest)
 }
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -35,7 +35,7 @@
 	if event == "leader_elected" || event == "quorum_leader_elected" {
 		g.run.Elections++
 	}
-	if event == "quorum_leader_elected" && args[3] == false {
+	if event == "quorum_leader_elected" && eventField(args, "state_complete") == false {
 		// The quorum says itself that what was stored may be gone.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
@@ -43,6 +43,16 @@
 	Trace(g.run.now, g.process.name, event, args)
 }
 
+// eventField is the value of a field of an event; nil: it has none.
+func eventField(args []any, name string) any {
+	for i := 0; i+1 < len(args); i += 2 {
+		if args[i] == name {
+			return args[i+1]
+		}
+	}
+	return nil
+}
+
 // coreEffects are a Core's effects on its process.
 type coreEffects struct {
 	run     *Run
@@ -62,7 +72,7 @@
 }
 
 // Stop ends a job, with a checkpoint.
-func (c coreEffects) Stop(name string, token uint64, reason string) (uint64, []byte) {
+func (c coreEffects) Stop(name string, token uint64, reason ownership.ReleaseReason) (uint64, []byte) {
 	Trace(c.run.now, c.process.name, "stop", []any{name, token, reason})
 	j := c.process.jobs[name]
 	delete(c.process.jobs, name)
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (r *JobRecord) clearOwner(reason string) { r.Owner, r.Incarnation, r.Reason = "", 0, reason }
+func (r *JobRecord) clearOwner(text string) { r.Owner, r.Incarnation, r.Reason = "", 0, text }
 
 // Table is the jobs, as a state machine of the group.
 type Table struct {
@@ -68,7 +68,7 @@
 	t.uncertain = true
 	t.Version++
 	for _, name := range t.names {
-		t.rows[name].clearOwner("the voters lost their memory")
+		t.rows[name].clearOwner(textMemoryLost)
 	}
 }
 
