--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"os"
-	"runtime"
 	"strconv"
 	"sync"
 	"testing"
+
+	"croftlock/internal/testbed/golden"
 )
 
+// envInt is a number in the environment, for longer runs by hand.
 func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -15,99 +17,92 @@
 	return fallback
 }
 
-func config(seed uint64) Config {
+// fleetConfig alternates between voters with disks and without, and between 3 and 5 of them.
+func fleetConfig(seed uint64) Config {
 	return Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 }
 
-// outcome is what came of many plans.
+// outcome is the sum over many plans. It is safe for concurrent use.
 type outcome struct {
-	effects, refused int
-	failure          error // the first; nil: none
-	plan             []Fault
+	mu                               sync.Mutex
+	acceptedEffects, rejectedEffects int
+	failure                          error   // of the first plan that failed; nil: none did
+	failedPlan                       []Fault // its faults
 }
 
 func (o *outcome) add(r *Run, plan []Fault, err error) {
-	o.effects, o.refused = o.effects+r.Effects, o.refused+r.Rejected
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.acceptedEffects += r.Effects
+	o.rejectedEffects += r.Rejected
 	if err != nil && o.failure == nil {
-		o.failure, o.plan = err, plan
+		o.failure, o.failedPlan = err, plan
 	}
 }
 
-func (o *outcome) logPlan(t *testing.T) {
+func (o *outcome) failed() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.failure != nil
+}
+
+func (o *outcome) logFailedPlan(t *testing.T) {
 	t.Helper()
-	for _, f := range o.plan {
+	for _, f := range o.failedPlan {
 		t.Log(f)
 	}
 }
 
-// play plays seeds on all processors, up to the first failure.
-func play(first, n int, config func(seed uint64) Config) (o outcome) {
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	seeds := make(chan uint64)
-	for range runtime.GOMAXPROCS(0) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for seed := range seeds {
-				r := New(config(seed))
-				plan := r.Faults()
-				err := r.Play()
-				mu.Lock()
-				o.add(r, plan, err)
-				mu.Unlock()
-			}
-		}()
-	}
-	failed := func() bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return o.failure != nil
-	}
-	for seed := first; seed < first+n && !failed(); seed++ {
-		seeds <- uint64(seed)
-	}
-	close(seeds)
-	wg.Wait()
+// play plays n seeds from first on, on all processors, up to the first failure.
+func play(first, n int, config func(seed uint64) Config) *outcome {
+	o := &outcome{}
+	golden.InParallel(first, first+n, func(seed int) {
+		if o.failed() {
+			return
+		}
+		r := New(config(uint64(seed)))
+		plan := r.Faults()
+		o.add(r, plan, r.Play())
+	})
 	return o
 }
 
-// TestPlans: OWNERS_SEEDS plans of faults from OWNERS_FIRST on, each checked at every step.
+// TestPlans plays OWNERS_SEEDS plans of faults from OWNERS_FIRST on, each checked at every step.
 func TestPlans(t *testing.T) {
-	o := play(envInt("OWNERS_FIRST", 1), envInt("OWNERS_SEEDS", 40), config)
+	o := play(envInt("OWNERS_FIRST", 1), envInt("OWNERS_SEEDS", 40), fleetConfig)
 	if o.failure != nil {
 		t.Error(o.failure)
-		o.logPlan(t)
+		o.logFailedPlan(t)
 	}
-	if o.effects < 1000 || o.refused == 0 {
-		t.Errorf("%d effects taken and %d refused show nothing", o.effects, o.refused)
+	if o.acceptedEffects < 1000 || o.rejectedEffects == 0 {
+		t.Errorf("%d effects accepted and %d rejected as stale: too few to show anything", o.acceptedEffects, o.rejectedEffects)
 	}
-	t.Logf("%d effects taken, %d refused", o.effects, o.refused)
+	t.Logf("%d effects accepted, %d rejected as stale", o.acceptedEffects, o.rejectedEffects)
 }
 
-// TestPlantedFaults: each fault that was put in is found. By hand all plans from the first on are played; here those that lie just before one that
-// finds it.
+// TestPlantedFaults: the checks find each injected fault within 1,000 plans. firstSeed lies just before a plan that finds it, which keeps the test
+// short; with OWNERS_FIRST=1 all plans are played.
 func TestPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		plant func(c *Config)
-		first int
+		name      string
+		inject    func(c *Config)
+		firstSeed int
 	}{
-		{"a sync skipped", func(c *Config) { c.Disks, c.SkipSync = true, true }, 1},
-		{"a voter that has started does not abstain", func(c *Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true }, 425},
-		{"a lease counted from its answer", func(c *Config) { c.ProgramFaults.LeaseFromAnswer = true }, 118},
-		{"a receiver forgets its fence", func(c *Config) { c.ProgramFaults.ForgetTokens = true }, 1},
+		{"the disk skips a sync", func(c *Config) { c.Disks, c.SkipSync = true, true }, 1},
+		{"a voter that has just started does not abstain", func(c *Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true }, 425},
+		{"a lease counts from its answer", func(c *Config) { c.ProgramFaults.LeaseFromAnswer = true }, 118},
+		{"a receiver forgets its fencing tokens", func(c *Config) { c.ProgramFaults.ForgetTokens = true }, 1},
 	} {
-		o := play(envInt("OWNERS_FIRST", c.first), 1000, func(s uint64) Config {
-			x := config(s)
-			c.plant(&x)
-			return x
+		o := play(envInt("OWNERS_FIRST", c.firstSeed), 1000, func(seed uint64) Config {
+			cfg := fleetConfig(seed)
+			c.inject(&cfg)
+			return cfg
 		})
 		if o.failure == nil {
 			t.Errorf("%s: not found in 1,000 plans", c.name)
 			continue
 		}
 		t.Logf("%s: %v", c.name, o.failure)
-		o.logPlan(t)
+		o.logFailedPlan(t)
 	}
 }
