--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxReported = 5
-	// settledWithin bounds the time without an owner at the end of calm time.
+	maxViolations = 5 // that are reported
+	// settledWithin bounds how long a job may have been without an owner at the end of the run.
 	settledWithin = 2 * Sec
 )
 
@@ -19,10 +19,10 @@
 	token uint64
 }
 
-// checks are what is known of a run, to judge what follows.
+// checks remember what has happened in a run, and the violations found.
 type checks struct {
-	broken       []string
-	ownerOf      map[grant]string  // process and incarnation
+	violations   []string
+	ownerOf      map[grant]string  // process and incarnation that started the job
 	highestToken map[string]uint64 // that a job was started under
 	stored       map[string]uint64 // highest checkpoint number that was reported as stored
 	ownedAt      map[string]Time   // last time that a job had an owner
@@ -32,35 +32,35 @@
 	return &checks{ownerOf: map[grant]string{}, highestToken: map[string]uint64{}, stored: map[string]uint64{}, ownedAt: map[string]Time{}}
 }
 
-func (c *checks) hold() bool { return len(c.broken) == 0 }
+func (c *checks) hold() bool { return len(c.violations) == 0 }
 
 func (r *Run) fail(format string, args ...any) {
-	if len(r.checks.broken) < maxReported {
-		r.checks.broken = append(r.checks.broken, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
+	if len(r.checks.violations) < maxViolations {
+		r.checks.violations = append(r.checks.violations, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
 	}
 }
 
-// checkStart is what must hold where a job begins: one owner a token, rising tokens, and no checkpoint lost.
+// checkStart checks what must hold where a job starts: one owner for each token, rising tokens, no checkpoint lost.
 func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
 	if other, taken := c.ownerOf[grant{name, token}]; taken && other != owner {
-		r.fail("token %d of %s was %s's and is %s's", token, name, other, owner)
+		r.fail("fencing token %d of %s is used by %s and by %s", token, name, other, owner)
 	}
 	c.ownerOf[grant{name, token}] = owner
 	if token <= c.highestToken[name] {
-		r.fail("%s begins %s with token %d, after %d", owner, name, token, c.highestToken[name])
+		r.fail("%s starts %s under token %d, after token %d", owner, name, token, c.highestToken[name])
 	}
 	c.highestToken[name] = max(c.highestToken[name], token)
 	if number < c.stored[name] {
-		r.fail("%s begins %s from checkpoint %d, %d was surely stored", owner, name, number, c.stored[name])
+		r.fail("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, number, c.stored[name])
 	}
 	if number > 0 && string(checkpoint) != string(checkpointOf(number)) {
-		r.fail("%s begins %s with %q under number %d", owner, name, checkpoint, number)
+		r.fail("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, number)
 	}
 }
 
-// checkOwners is what must hold at every step: of the processes that are awake one leads, and one owns each job.
+// checkOwners checks what must hold at every step: of the processes that are awake at most one leads, and at most one owns each job.
 func (r *Run) checkOwners() {
 	owners, leader := map[string]string{}, ""
 	for _, p := range r.processes {
@@ -83,10 +83,10 @@
 			owners[name] = p.name
 		}
 	}
-	r.noteGaps(owners)
+	r.recordGaps(owners)
 }
 
-// leads reports whether a voter leads by its lease. With disks two may believe so: there each command is confirmed.
+// leads reports whether a voter without a disk leads by its lease. With disks two may believe that they lead: there the group confirms each lease.
 func (r *Run) leads(p *process) bool {
 	if r.cfg.Disks || p.group == nil {
 		return false
@@ -95,7 +95,8 @@
 	return ok && r.localTime(p) < p.group.(*ownership.Quorum).LeaseEnd()
 }
 
-func (r *Run) noteGaps(owners map[string]string) {
+// recordGaps records how long each job was without an owner.
+func (r *Run) recordGaps(owners map[string]string) {
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
 		if owners[name] == "" {
@@ -108,7 +109,7 @@
 	}
 }
 
-// checkSettled is what must hold at the end: each job has an owner, unless a majority of the disks is lost, which takes operators.
+// checkSettled checks what must hold at the end: each job has an owner, unless a majority of the disks is lost: only operators can repair that.
 func (r *Run) checkSettled() {
 	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
 		return
@@ -121,6 +122,7 @@
 	}
 }
 
+// lostVoters counts the voters with disks that take no part.
 func (r *Run) lostVoters() (lost int) {
 	for _, p := range r.processes {
 		if p.raft != nil {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -4,7 +4,7 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Trace is called with each event; for looking into a run.
+// Trace is called with each event, to look into a run by hand.
 var Trace = func(now Time, name, event string, args []any) {}
 
 // groupEffects are a voter's effects on its process.
@@ -36,7 +36,7 @@
 		g.run.Elections++
 	}
 	if event == "quorum_leader_elected" && eventField(args, "state_complete") == false {
-		// The quorum says itself that what was stored may be gone.
+		// The quorum reports that checkpoints may be lost: no later start is held to them.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
 	}
@@ -62,7 +62,7 @@
 // Send gives a message to the network.
 func (c coreEffects) Send(peer uint32, msg []byte) { c.run.send(c.process, peer, false, msg) }
 
-// Start begins a job.
+// Start checks the grant, and starts a job.
 func (c coreEffects) Start(name string, token, number uint64, checkpoint []byte) error {
 	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
 	c.run.checkStart(c.process, name, token, number, checkpoint)
@@ -71,13 +71,13 @@
 	return nil
 }
 
-// Stop ends a job, with a checkpoint.
+// Stop ends a job, and gives its checkpoint.
 func (c coreEffects) Stop(name string, token uint64, reason ownership.ReleaseReason) (uint64, []byte) {
 	Trace(c.run.now, c.process.name, "stop", []any{name, token, reason})
 	j := c.process.jobs[name]
 	delete(c.process.jobs, name)
 	if j == nil || j.token != token {
-		c.run.fail("%s stops %s with token %d, which it did not begin", c.process.name, name, token)
+		c.run.fail("%s stops %s under token %d, which it had not started", c.process.name, name, token)
 		return 0, nil
 	}
 	j.number++
@@ -87,7 +87,7 @@
 // Effect checks the order of what the fence has accepted.
 func (c coreEffects) Effect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
-		c.run.fail("%s takes %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
+		c.run.fail("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
 	}
 	c.process.accepted[name] = token
 	c.run.Effects++
@@ -100,7 +100,7 @@
 	}
 }
 
-// CheckpointStored notes what no later owner may miss.
+// CheckpointStored records what no later owner may miss.
 func (c coreEffects) CheckpointStored(name string, token, number uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
 		c.run.checks.stored[name] = max(c.run.checks.stored[name], number)
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -7,7 +7,7 @@
 // losesDiskAbove is the Part above which a process that is killed loses its disk.
 const losesDiskAbove = 0.35
 
-// clockStep turns a Part into a step of the wall clock, by an hour either way at most.
+// clockStep turns a Part into a step of the wall clock, by at most an hour either way.
 func clockStep(part float64) Time { return Time((part - maxPart/2) * 5 * 3600 * float64(Sec)) }
 
 func (r *Run) begin(f Fault) {
@@ -61,7 +61,7 @@
 		r.restart(p)
 	case faultCopyBack:
 		r.putDiskBack(p)
-	case faultPause, faultHeldBack, faultClock: // end by themselves, or never
+	case faultPause, faultHeldBack, faultClock: // these end by their time, or last
 	case faultLoss:
 		r.network.loss = 0
 	default:
@@ -69,7 +69,8 @@
 	}
 }
 
-// pause has a process sleep right after its jobs have looked at their lease.
+// pause has a process sleep right after its jobs have checked their lease. On waking it sends the effects that it checked for: this is what
+// fencing is for.
 func (r *Run) pause(p *process, d Time) {
 	if !r.awake(p) {
 		return
@@ -98,7 +99,7 @@
 	r.start(p)
 }
 
-// mayDamageDisk reports whether a voter's disk may be lost or put back: the group promises nothing where more than a minority is damaged.
+// mayDamageDisk reports whether a voter's disk may be lost or replaced by an old copy. No more than a minority is: beyond that the group guarantees nothing.
 func (r *Run) mayDamageDisk(voter int) bool {
 	if !r.cfg.Disks || voter >= r.cfg.Voters {
 		return false
@@ -110,7 +111,7 @@
 	return true
 }
 
-// cut adds to the cuts of the links that a fault hits, or takes them away.
+// cut adds one cut (by = 1) to each link that a fault hits, or takes it away (by = -1).
 func (n *network) cut(f Fault, by int) {
 	for from := range n.cuts {
 		for to := range n.cuts {
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -9,11 +9,11 @@
 
 // Delays of a message; with loss some are late by more.
 const (
-	minDelay       = Ms
-	delaySpread    = 4 * Ms
-	lateOneIn      = 5
-	lateBySpread   = 300 * Ms
-	copiesOfDouble = 2
+	minDelay        = Ms
+	delaySpread     = 4 * Ms
+	lateOneIn       = 5 // with loss, one message in so many is late
+	lateBySpread    = 300 * Ms
+	duplicateCopies = 2
 )
 
 // envelope is a message on its way.
@@ -31,7 +31,7 @@
 	inFlight  []envelope
 	sequence  int
 	cuts      [][]int // how many faults cut the link from one process to another
-	loss      float64 // probability that a message is lost, and that it is doubled
+	loss      float64 // probability that a message is lost, and that it is duplicated
 	heldUntil []Time  // messages of a process arrive no sooner
 }
 
@@ -43,6 +43,7 @@
 	return n
 }
 
+// send puts a message on its way, unless the link is cut or loses it.
 func (r *Run) send(p *process, peer uint32, group bool, message []byte) {
 	n := r.network
 	to, known := n.peers[peer]
@@ -56,7 +57,7 @@
 	}
 	copies := 1
 	if n.loss > 0 && r.rng.Float64() < n.loss {
-		copies = copiesOfDouble
+		copies = duplicateCopies
 	}
 	for range copies {
 		if r.rng.Float64() < n.loss {
@@ -68,6 +69,7 @@
 	}
 }
 
+// arrival draws when a message that is sent now arrives.
 func (r *Run) arrival() Time {
 	at := r.now + minDelay + r.rng.Int64N(delaySpread)
 	if r.network.loss > 0 && r.rng.IntN(lateOneIn) == 0 {
@@ -76,7 +78,7 @@
 	return at
 }
 
-// deliverDue delivers what has arrived, in order. What is sent meanwhile arrives later.
+// deliverDue delivers the messages that are due, in order. What their receivers send is delivered in a later step.
 func (r *Run) deliverDue() {
 	n := r.network
 	due := n.inFlight[:0:0]
@@ -97,6 +99,7 @@
 	}
 }
 
+// deliver gives a message to its receiver. A paused one has it queued, as by its socket.
 func (r *Run) deliver(e envelope) {
 	p := r.processes[e.receiver]
 	if !p.running {
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -20,22 +20,22 @@
 	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Part)
 }
 
-// Kinds of faults: what they do to Process, and OtherProcess where it is named.
+// Kinds of faults: what happens to Process, and to OtherProcess where it is named.
 const (
-	faultPause     = "pause"      // sleeps
-	faultKill      = "kill"       // dies, now and then with its disk
-	faultAllKilled = "all-killed" // all processes die
+	faultPause     = "pause"      // is paused
+	faultKill      = "kill"       // is killed, now and then with the loss of its disk
+	faultAllKilled = "all-killed" // all processes are killed
 	faultCut       = "cut"        // all its links are cut
 	faultOneWay    = "one-way"    // the link to OtherProcess is cut
 	faultDeaf      = "deaf"       // receives nothing
 	faultMute      = "mute"       // sends nothing that arrives
-	faultHalves    = "halves"     // the fleet falls in two
-	faultLoss      = "loss"       // messages are lost, doubled and late
-	faultHeldBack  = "held-back"  // its messages arrive at the end
+	faultHalves    = "halves"     // the fleet is partitioned in two
+	faultLoss      = "loss"       // messages are lost, duplicated and late
+	faultHeldBack  = "held-back"  // its messages arrive when the fault ends
 	faultFull      = "full"       // its disk is full
-	faultCopyBack  = "copy-back"  // its disk is copied, and put back at the end
-	faultClock     = "clock"      // its wall clock is set
-	faultLeave     = "leave"      // ends in order
+	faultCopyBack  = "copy-back"  // its disk is copied, and replaced by that copy when the fault ends
+	faultClock     = "clock"      // its wall clock is stepped
+	faultLeave     = "leave"      // shuts down gracefully
 )
 
 // Kinds are the faults that a plan may hold, in the order in which they are drawn.
@@ -51,7 +51,7 @@
 	longTimes = 4
 )
 
-// Plan draws faults, in the order of their begin.
+// Plan draws faults, in the order in which they begin.
 func Plan(rng *rand.Rand, c Config) (plan []Fault) {
 	n := 1 + rng.IntN(maxFaults)
 	for range n {
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -14,7 +14,7 @@
 	index int
 	name  string
 
-	// What outlives an incarnation.
+	// Across incarnations.
 	disk       *consensus.MemoryStore
 	diskCopy   *consensus.StoredState // to be put back later; nil: none
 	clockRate  float64                // of the monotonic clock
@@ -34,12 +34,12 @@
 	jobs        map[string]*job
 	accepted    map[string]ownership.FencingToken // last effect of each job, as the checks see it
 
-	// What waits for a paused process.
-	queue        []envelope
-	checkedSends []func() // it has looked at its lease, and sends once it wakes
+	// For when a paused process wakes.
+	queue        []envelope // received meanwhile
+	checkedSends []func()   // effects for which it had checked its lease before the pause
 }
 
-// job is one that a process owns, by Start and Stop.
+// job is one that a process owns, from Start to Stop.
 type job struct {
 	token, number uint64
 	stepAt        Time // local
@@ -93,7 +93,7 @@
 	return names
 }
 
-// openGroup makes a voter's group. One whose disk can't be opened has none.
+// openGroup opens a voter's group. A voter whose disk can't be opened has none.
 func (r *Run) openGroup(p *process) {
 	machines := map[byte]consensus.Machine{ownership.Machine: p.table}
 	seed := r.rng.Uint64()
@@ -113,6 +113,7 @@
 	p.group = q
 }
 
+// kill ends a process without notice. What its disk has not synced is lost.
 func (r *Run) kill(p *process, loseDisk bool) {
 	if !p.running {
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// wake lets a process first send what it had checked before it slept, and then read.
+// wake has a process first send the effects that it had checked its lease for, and then read its messages.
 func (r *Run) wake(p *process) {
 	p.pausedUntil = 0
 	for _, send := range p.checkedSends {
@@ -157,6 +158,7 @@
 	}
 }
 
+// tick gives the Core its turn, and then each job whose lease lasts.
 func (r *Run) tick(p *process) {
 	now := r.localTime(p)
 	p.core.Tick(now)
@@ -172,7 +174,8 @@
 
 func (p *process) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
-// nextEffect is what follows a check that this process owns a job: an effect at all receivers, and now and then a checkpoint.
+// nextEffect is what a job does after its process has checked that it owns it: an effect for all receivers, and every checkpointEvery steps a
+// checkpoint.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
 	j.number++
 	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.incarnation
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -8,24 +8,24 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recordedPlans are half with voters that have disks (consensus on raft) and half with voters that have none (the quorum in memory).
+// Of recordedPlans half have voters with disks (package consensus) and half voters without (ownership.Quorum).
 const recordedPlans = 200
 
-// record plays one plan and gives a line for it.
+// record plays one plan and gives its line of the golden file. samples takes messages of it; nil: none.
 func record(seed uint64, samples *golden.Samples) string {
-	c := config(seed)
-	c.FaultPeriod = 5 * Sec
-	r, digest := New(c), golden.NewDigest()
-	kept := "memory"
-	if c.Disks {
-		kept = "disk"
+	cfg := fleetConfig(seed)
+	cfg.FaultPeriod = 5 * Sec
+	r, digest := New(cfg), golden.NewDigest()
+	stateIn := "memory"
+	if cfg.Disks {
+		stateIn = "disk"
 	}
 	r.sent = func(from int, peer uint32, group bool, message []byte) {
 		digest.Add("%d %d to %08x, group %t: %x", r.now, from, peer, group, message)
 		if samples != nil && len(message) > 0 {
 			kind := fmt.Sprintf("owners-%d", message[0])
 			if group {
-				kind = fmt.Sprintf("group-%s-%d", kept, message[0])
+				kind = fmt.Sprintf("group-%s-%d", stateIn, message[0])
 			}
 			samples.Add(kind, message)
 		}
@@ -34,7 +34,8 @@
 	for _, p := range r.processes {
 		digest.Add("%x", p.table.Snapshot())
 	}
-	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, c.Voters, kept, r.Effects, r.Rejected, r.Starts, r.Checkpoints, err == nil, digest)
+	// The keys are those of the golden file.
+	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.Effects, r.Rejected, r.Starts, r.Checkpoints, err == nil, digest)
 }
 
 // TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -1,6 +1,6 @@
-// Package simulation plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that sleep and
-// die, links that lose, repeat, delay and cut, disks that fail and clocks that drift. It owns the plans of faults and the checks of what must
-// hold at every step. The same seed plays the same run.
+// Package simulation plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that pause and
+// die, links that lose, duplicate, delay and cut messages, disks that fail and clocks that drift. It owns the plans of faults and the checks of
+// what must hold at every step. The same seed plays the same run.
 package simulation
 
 import (
@@ -26,7 +26,7 @@
 const (
 	stepInterval = 10 * Ms
 	tickInterval = 50 * Ms // between two ticks of one process, true time
-	// calmTime is played after the last fault, in which every job has to find an owner.
+	// calmTime is played after the last fault; by its end every job must have an owner.
 	calmTime = 40 * Sec
 
 	defaultFaultPeriod = 30 * Sec
@@ -44,20 +44,20 @@
 	SkipSync      bool
 }
 
-// ErrBroken is returned where a check has failed.
-var ErrBroken = errors.New("a check failed")
+// ErrCheckFailed is returned where a check has failed.
+var ErrCheckFailed = errors.New("a check failed")
 
-// Stats are what happened in a run: checks say nothing of a run in which nothing happens.
+// Stats are what happened in a run. Checks that hold mean nothing where nothing happened.
 type Stats struct {
-	Effects            int // accepted by receivers
-	Rejected           int // stale, as reported to owners
-	Starts             int // of jobs
-	Checkpoints        int // checkpoints stored
-	Elections          int // elections of a leader of the group
-	UncertainElections int // those after which the table may lack something
-	Gaps               []Time
-	Sent               int // messages
-	Bytes              int // of them
+	Effects            int    // accepted by receivers
+	Rejected           int    // stale, as reported to owners
+	Starts             int    // of jobs
+	Checkpoints        int    // checkpoints stored
+	Elections          int    // elections of a leader of the group
+	UncertainElections int    // those after which the table may lack something
+	Gaps               []Time // times without an owner, of all jobs
+	Sent               int    // messages
+	Bytes              int    // of them
 }
 
 // Run is one fleet.
@@ -73,11 +73,11 @@
 	active    []Fault
 	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
 	damagedDisks map[int]bool
-	// sent is called with each message before the network has it; nil: it is not.
+	// sent is called with each message, also with those that are lost; nil: it is not.
 	sent func(from int, peer uint32, group bool, message []byte)
 }
 
-// New makes a fleet.
+// New makes a fleet and starts its processes.
 func New(c Config) *Run {
 	if c.FaultPeriod <= 0 {
 		c.FaultPeriod = defaultFaultPeriod
@@ -108,10 +108,10 @@
 	return &consensus.MemoryStore{SkipSync: r.cfg.SkipSync}
 }
 
-// Faults is the plan, as far as it has not begun.
+// Faults is the plan, without the faults that have begun.
 func (r *Run) Faults() []Fault { return slices.Clone(r.plan) }
 
-// Play runs the faults, then calm time, and gives what the checks found.
+// Play plays the faults and then calm time. The error is ErrCheckFailed, with the violations.
 func (r *Run) Play() error {
 	for end := r.end(); r.now < end && r.checks.hold(); r.now += stepInterval {
 		r.beginFaults()
@@ -127,7 +127,7 @@
 	}
 	if !r.checks.hold() {
 		return fmt.Errorf("%w: seed %d, %d processes, %d voters, disks %t: %s",
-			ErrBroken, r.cfg.Seed, r.cfg.Processes, r.cfg.Voters, r.cfg.Disks, strings.Join(r.checks.broken, "; "))
+			ErrCheckFailed, r.cfg.Seed, r.cfg.Processes, r.cfg.Voters, r.cfg.Disks, strings.Join(r.checks.violations, "; "))
 	}
 	return nil
 }
