--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -30,7 +30,7 @@
 		load[a.Member]++
 	}
 	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
-		t.Errorf("200 jobs are spread %v", load)
+		t.Errorf("200 jobs are spread as %v, want 66 or more at each", load)
 	}
 }
 
@@ -38,21 +38,21 @@
 	for _, c := range []struct {
 		name   string
 		change func(c []Candidate)
-		want   string // whoever gets the job that a owns; "": it stays
+		want   string // to whom the job that a owns is handed over; "": it stays
 	}{
-		{"all is well", func(c []Candidate) {}, ""},
+		{"all are fit", func(c []Candidate) {}, ""},
 		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnreachableFrom = 1 }, "b"},
-		{"its owner is hard to hear", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom = 2, 1 }, "c"},
-		{"the others have just come back", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
-		{"the others are as hard to hear", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom, c[2].UnreachableFrom = 1, 1, 1 }, ""},
-		{"nobody else can do it", func(c []Candidate) { c[0].Able = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
+		{"its owner is unreachable from some", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom = 2, 1 }, "c"},
+		{"the others have not been fit for long", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
+		{"the others are unreachable from as many", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom, c[2].UnreachableFrom = 1, 1, 1 }, ""},
+		{"no other offers the job", func(c []Candidate) { c[0].Able = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
 	} {
 		candidates := stableCandidates()
 		c.change(candidates)
 		got := Assign(assignTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
 		switch {
 		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].Member != c.want || !got[0].Handover):
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: got %+v, want a handover to %q", c.name, got, c.want)
 		}
 	}
 }
@@ -60,10 +60,10 @@
 func TestRebalance(t *testing.T) {
 	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
 	if got := Assign(assignTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
-		t.Errorf("two at one and none at another: %+v", got)
+		t.Errorf("a owns two jobs and c none: got %+v, want a handover to c", got)
 	}
 	changedJustNow := func(string) Time { return assignTestTime - 2*sec }
 	if got := Assign(assignTestTime, nil, slices.Clone(owned), changedJustNow, stableCandidates()); len(got) != 0 {
-		t.Errorf("a job that has just moved moves again: %+v", got)
+		t.Errorf("a job that changed its owner just now is handed over again: %+v", got)
 	}
 }
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/fleet/group"
 )
 
-// soleVoter is a group of one voter, which applies a command before Propose returns. A command proposed meanwhile waits for the first.
+// soleVoter is a group of one voter, which applies a command before Propose returns. A command that is proposed from within is applied after it.
 type soleVoter struct {
 	core          *Core
 	table         *Table
@@ -69,7 +69,7 @@
 		core.Tick(now)
 	}
 	if held := core.HeldJobs(); len(held) != len(jobs) {
-		t.Errorf("%d of %d jobs are owned", len(held), len(jobs))
+		t.Errorf("%d of %d jobs have an owner", len(held), len(jobs))
 	}
 	for _, job := range jobs {
 		if g.registrations[job] != 1 || g.grants[job] != 1 {
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -11,92 +11,94 @@
 	"croftlock/internal/fleet/group"
 )
 
-// The exploration plays every order in which a bounded number of messages, losses, starts and steps of clocks can fall, of three voters of
-// which two would lead, and a receiver that either sends effects to. It is this package's own code that it plays. A message that is
-// never delivered is lost, so losing needs no step of its own.
+// The exploration visits the states that this package's own code can reach with a bounded number of elections, renewals, restarts, clock steps
+// and effects, in every order. There are three voters, two of which are candidates, and a receiver of their effects. A message that is never
+// delivered is lost, so loss needs no step of its own.
 
 const (
 	quorumLease = 1500 * ms
-	stepBy      = quorumLease / 3
-	skewBy      = quorumLease / 120 // what a clock of one in a hundred gains in a lease, and some
+	clockStep   = quorumLease / 3   // of all clocks at a time
+	clockSkew   = quorumLease / 120 // of one clock: about what it drifts in a lease, at 1%
 )
 
-// successors are all worlds that can follow.
+// successors are the worlds that one step leads to.
 type successors struct {
 	worlds []*world
 	from   *world
 }
 
 // add plays one step in a copy of the world.
-func (s *successors) add(step func(c *world)) {
-	c := s.from.clone()
-	step(c)
-	c.check()
-	s.worlds = append(s.worlds, c)
+func (s *successors) add(step func(next *world)) {
+	next := s.from.clone()
+	step(next)
+	next.check()
+	s.worlds = append(s.worlds, next)
 }
 
-func (w *world) next(f FaultInjection) []*world {
+// successors plays each step that is possible in this world.
+func (w *world) successors(f FaultInjection) []*world {
 	s := &successors{from: w}
-	for i, e := range w.inFlight {
-		s.add(func(c *world) {
-			c.inFlight = slices.Delete(c.inFlight, i, i+1)
-			c.deliver(e)
+	for i, p := range w.inFlight {
+		s.add(func(next *world) {
+			next.inFlight = slices.Delete(next.inFlight, i, i+1)
+			next.deliver(p)
 		})
 	}
 	if w.steps > 0 {
 		s.add((*world).stepClocks)
 	}
-	for i := range w.voters {
-		w.addClockAndStart(s, i, f)
+	for voter := range w.voters {
+		w.addSkewAndRestart(s, voter, f)
 	}
-	for i := range candidates {
-		w.addCandidateSteps(s, i)
+	for voter := range candidates {
+		w.addCandidateSteps(s, voter)
 	}
 	return s.worlds
 }
 
-func (w *world) addClockAndStart(s *successors, i int, f FaultInjection) {
+func (w *world) addSkewAndRestart(s *successors, voter int, f FaultInjection) {
 	if w.skews > 0 {
-		s.add(func(c *world) {
-			c.skews--
-			c.voters[i].now += skewBy
+		s.add(func(next *world) {
+			next.skews--
+			next.voters[voter].now += clockSkew
 		})
 	}
 	if w.restarts > 0 {
-		s.add(func(c *world) {
-			c.restarts--
-			c.voters[i] = c.newVoter(i, c.voters[i].now, f)
+		s.add(func(next *world) {
+			next.restarts--
+			next.voters[voter] = next.newVoter(voter, next.voters[voter].now, f)
 		})
 	}
 }
 
-func (w *world) addCandidateSteps(s *successors, i int) {
-	q := w.voters[i]
+func (w *world) addCandidateSteps(s *successors, voter int) {
+	q := w.voters[voter]
 	leads := q.leads() && q.now < q.leader.leaseEnd
 	if w.elections > 0 && !q.leads() && !q.abstains() && q.now >= q.voter.grantEnd {
-		s.add(func(c *world) {
-			c.elections--
-			c.voters[i].becomeCandidate()
+		s.add(func(next *world) {
+			next.elections--
+			next.voters[voter].becomeCandidate()
 		})
 	}
 	if w.renewals > 0 && leads {
-		s.add(func(c *world) {
-			c.renewals--
-			c.voters[i].requestLease()
+		s.add(func(next *world) {
+			next.renewals--
+			next.voters[voter].requestLease()
 		})
 	}
 	if w.effects > 0 && leads {
-		s.add(func(c *world) { // it has looked at its lease; when what it sends arrives is anybody's guess
-			c.effects--
-			c.inFlight = append(c.inFlight, packet{from: i, to: receiverNumber, epoch: c.voters[i].leader.epoch})
+		s.add(func(next *world) { // it has checked its lease; the effect may arrive at any later time
+			next.effects--
+			next.inFlight = append(next.inFlight, packet{from: voter, to: receiverNumber, epoch: next.voters[voter].leader.epoch})
 		})
 	}
 }
 
+// stepClocks lets time pass for all voters alike.
 func (w *world) stepClocks() {
 	w.steps--
 	for _, q := range w.voters {
-		q.now += stepBy
+		q.now += clockStep
 		if q.leads() && q.now >= q.leader.leaseEnd {
 			q.becomeFollower()
 		}
@@ -112,18 +114,18 @@
 		q.Receive(q.now, group.Peer(voterNames[p.from]), p.data)
 		return
 	}
-	if v, _ := w.fence.Check("j", FencingToken{p.epoch, 1}); v != Accepted {
+	if verdict, _ := w.fence.Check("j", FencingToken{p.epoch, 1}); verdict != Accepted {
 		return
 	}
 	if p.epoch < w.highestEpoch {
-		w.violation = fmt.Sprintf("an effect of %d is taken after one of %d", p.epoch, w.highestEpoch)
+		w.violation = fmt.Sprintf("an effect of epoch %d is accepted after one of epoch %d", p.epoch, w.highestEpoch)
 	}
 	w.highestEpoch = max(w.highestEpoch, p.epoch)
 }
 
-// check is what must hold in every world: at most one voter leads.
+// check checks what must hold in every world: at most one voter leads.
 func (w *world) check() {
-	w.trim()
+	w.dropIgnored()
 	leader := -1
 	for i, q := range w.voters {
 		if !q.leads() || q.now >= q.leader.leaseEnd {
@@ -139,22 +141,22 @@
 // exploration is the outcome of explore.
 type exploration struct {
 	visited   int
-	complete  bool   // all worlds that there are
+	complete  bool   // all reachable worlds were visited
 	violation string // "": none
 }
 
-// explore visits worlds, each once, in an order drawn alike each time; up to a limit.
+// explore visits up to limit worlds, each once, in an order that is random but the same in each run.
 func explore(start world, f FaultInjection, limit int) (e exploration) {
 	w := &start
 	w.fence = &Fence{Faults: f}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for i := range w.voters {
-		w.voters[i] = w.newVoter(i, 0, f)
+	for voter := range w.voters {
+		w.voters[voter] = w.newVoter(voter, 0, f)
 	}
 	for _, q := range w.voters {
 		q.now += 20 * quorumLease // the fleet has been up for that long
 	}
-	seen := map[uint64]bool{w.key(): true}
+	known := map[uint64]bool{w.key(): true}
 	queue := []*world{w}
 	for len(queue) > 0 {
 		i := rng.IntN(len(queue))
@@ -164,14 +166,14 @@
 		if e.visited >= limit {
 			return e
 		}
-		for _, n := range w.next(f) {
-			if n.violation != "" {
-				e.violation = n.violation
+		for _, next := range w.successors(f) {
+			if next.violation != "" {
+				e.violation = next.violation
 				return e
 			}
-			if k := n.key(); !seen[k] {
-				seen[k] = true
-				queue = append(queue, n)
+			if key := next.key(); !known[key] {
+				known[key] = true
+				queue = append(queue, next)
 			}
 		}
 	}
@@ -179,30 +181,44 @@
 	return e
 }
 
-// TestExploration: EXPLORE_STATES bounds each; 0: all there are.
+// exploreLimit bounds the worlds visited without a fault; set says whether EXPLORE_STATES gives it, where 0 stands for all.
+func exploreLimit(t *testing.T) (limit int, set bool) {
+	t.Helper()
+	const byDefault, all = 3000, 1 << 40
+	text := os.Getenv("EXPLORE_STATES")
+	if text == "" {
+		return byDefault, false
+	}
+	limit, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatalf("EXPLORE_STATES: %v", err)
+	}
+	if limit == 0 {
+		limit = all
+	}
+	return limit, true
+}
+
+// TestExploration: no reachable world violates a property, and with a fault injected one does.
 func TestExploration(t *testing.T) {
-	limit := 3000
-	if s := os.Getenv("EXPLORE_STATES"); s != "" {
-		if limit, _ = strconv.Atoi(s); limit == 0 {
-			limit = 1 << 40
-		}
-	}
-	for i, c := range []struct {
+	limit, byHand := exploreLimit(t)
+	for _, c := range []struct {
 		name  string
 		start world
 		fault FaultInjection
+		slow  bool // to find the fault takes many worlds: only with EXPLORE_STATES
 	}{
-		{"a voter that has started does not abstain", world{elections: 2, restarts: 1, steps: 1}, FaultInjection{SkipAbstention: true}},
-		{"a lease counted from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{LeaseFromAnswer: true}},
-		{"a receiver forgets its fence", world{elections: 2, steps: 3, effects: 2}, FaultInjection{ForgetTokens: true}},
+		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, steps: 1}, FaultInjection{SkipAbstention: true}, false},
+		{"a lease counts from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{LeaseFromAnswer: true}, true},
+		{"a receiver forgets its fencing tokens", world{elections: 2, steps: 3, effects: 2}, FaultInjection{ForgetTokens: true}, true},
 	} {
 		e := explore(c.start, FaultInjection{}, limit)
-		t.Logf("as it is: %d worlds visited, all of them: %t", e.visited, e.complete)
+		t.Logf("without a fault: %d worlds visited, all of them: %t", e.visited, e.complete)
 		if e.violation != "" {
-			t.Errorf("%s, without the fault: %s", c.name, e.violation)
+			t.Errorf("%s: violated without the fault: %s", c.name, e.violation)
 		}
-		if i > 0 && os.Getenv("EXPLORE_STATES") == "" {
-			continue // many worlds: by hand
+		if c.slow && !byHand {
+			continue
 		}
 		e = explore(c.start, c.fault, 1<<20)
 		t.Logf("%s: %q after %d worlds", c.name, e.violation, e.visited)
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -14,38 +14,39 @@
 var voterNames = []string{"a", "b", "c"}
 
 const (
-	candidates     = 2 // the first voters, which stand for election
-	receiverNumber = 3 // in place of a voter's
+	candidates     = 2 // how many voters, from the first one on, may become candidates
+	receiverNumber = 3 // the receiver's, after those of the voters
 )
 
 // packet is a message between voters, or an effect for the receiver.
 type packet struct {
 	from, to int
-	data     []byte
-	epoch    uint64
+	data     []byte // of a message
+	epoch    uint64 // of an effect
 }
 
-// world is one state of three voters, a receiver and all that is on its way.
+// world is one state of three voters, a receiver and the packets in flight.
 type world struct {
-	voters   [3]*Quorum
-	inFlight []packet
-	// What may happen still.
+	voters       [3]*Quorum
+	inFlight     []packet
+	fence        *Fence
+	highestEpoch uint64 // of an effect that the receiver has accepted
+	violation    string // "": none
+
+	// How often each step may still happen.
 	elections, renewals, restarts, steps, skews, effects int
-	highestEpoch                                         uint64 // of an effect that the receiver has accepted
-	fence                                                *Fence
-	violation                                            string
 }
 
-// worldEffects put what a voter sends on its way.
+// worldEffects puts what a voter sends in flight.
 type worldEffects struct {
-	w  *world
-	me int
+	world *world
+	voter int
 }
 
-func (x worldEffects) Send(peer uint32, msg []byte) {
-	for i, name := range voterNames {
+func (e worldEffects) Send(peer uint32, msg []byte) {
+	for to, name := range voterNames {
 		if group.Peer(name) == peer {
-			x.w.inFlight = append(x.w.inFlight, packet{from: x.me, to: i, data: slices.Clone(msg)})
+			e.world.inFlight = append(e.world.inFlight, packet{from: e.voter, to: to, data: slices.Clone(msg)})
 		}
 	}
 }
@@ -54,9 +55,9 @@
 func (worldEffects) Confirmed(uint64)             {}
 func (worldEffects) LogEvent(string, ...any)      {}
 
-func (w *world) newVoter(i int, now Time, f FaultInjection) *Quorum {
-	cfg := QuorumConfig{Group: "g", Name: voterNames[i], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Faults: f}
-	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, i})
+func (w *world) newVoter(voter int, now Time, f FaultInjection) *Quorum {
+	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Faults: f}
+	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, voter})
 	if err != nil {
 		panic(err)
 	}
@@ -64,7 +65,7 @@
 	return q
 }
 
-// clone copies a world: what one order does must not touch another.
+// clone copies a world, so that steps from one copy do not change another.
 func (w *world) clone() *world {
 	c := *w
 	c.inFlight = slices.Clone(w.inFlight)
@@ -84,22 +85,22 @@
 	return &c
 }
 
-// hasher gathers what a world is.
+// hasher gathers the numbers that make up a world.
 type hasher struct{ data []byte }
 
-func (h *hasher) put(vs ...uint64) {
-	for _, v := range vs {
-		h.data = binary.AppendUvarint(h.data, v)
+func (h *hasher) put(numbers ...uint64) {
+	for _, n := range numbers {
+		h.data = binary.AppendUvarint(h.data, n)
 	}
 }
 
-// key is what a world is, for whatever can follow from it.
+// key is the same for worlds from which the same can follow.
 func (w *world) key() uint64 {
 	var h hasher
 	for _, q := range w.voters {
 		h.putVoter(q)
 	}
-	sum := uint64(0) // in any order
+	sum := uint64(0) // the order of packets in flight makes no difference
 	for _, p := range w.inFlight {
 		sum += xxhash.Sum64(append([]byte{byte(p.from), byte(p.to), byte(p.epoch), byte(p.epoch >> 8), byte(p.epoch >> 16), byte(p.epoch >> 24)}, p.data...))
 	}
@@ -132,8 +133,8 @@
 	}
 }
 
-// trim drops what can't matter any more: answers to what is not asked.
-func (w *world) trim() {
+// dropIgnored drops the packets that their receivers would ignore, which would only multiply the worlds.
+func (w *world) dropIgnored() {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(p packet) bool {
 		if p.to == receiverNumber || len(p.data) == 0 {
 			return false
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -19,17 +19,24 @@
 		{FencingToken{6, 0}, Accepted},
 		{FencingToken{5, 9}, Stale},
 	} {
-		if v, last := f.Check("j", c.token); v != c.want || v != Accepted && last.Before(c.token) {
-			t.Errorf("%v is %v, seen %v", c.token, v, last)
+		if verdict, highest := f.Check("j", c.token); verdict != c.want || verdict != Accepted && highest.Before(c.token) {
+			t.Errorf("%v: got %v after %v, want %v", c.token, verdict, highest, c.want)
 		}
 	}
 	if last := f.Last("j"); last != (FencingToken{6, 0}) {
 		t.Errorf("%v is remembered after {6 0}: an earlier token replaced a later one", last)
 	}
-	for i := range MaxJobs + 5 {
-		f.Check(fmt.Sprint("job ", i), FencingToken{1, 1})
+}
+
+// TestFenceBound: an effect of a job that can't be remembered is rejected, since a stale one of it could not be told apart later.
+func TestFenceBound(t *testing.T) {
+	var f Fence
+	for i := range MaxJobs {
+		if verdict, _ := f.Check(fmt.Sprint("job ", i), FencingToken{1, 1}); verdict != Accepted {
+			t.Fatalf("job %d: %v", i, verdict)
+		}
 	}
-	if v, _ := f.Check("one more", FencingToken{1, 1}); v != Stale {
-		t.Error("an effect is accepted that can't be remembered")
+	if verdict, _ := f.Check("one more", FencingToken{1, 1}); verdict != Stale {
+		t.Errorf("beyond %d jobs an effect is %v", MaxJobs, verdict)
 	}
 }
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/group"
 )
 
-// discardEffects are effects of a Core and of a group that lead nowhere.
+// discardEffects discards the effects of a Core and of a group.
 type discardEffects struct{}
 
 func (discardEffects) Send(uint32, []byte)                                                    {}
@@ -35,11 +35,11 @@
 	return c, q
 }
 
-// FuzzMessages: whatever comes from a peer, nothing ends, and what is torn changes no token.
+// FuzzMessages: no message of a single peer ends the process or makes an owner of it.
 func FuzzMessages(f *testing.F) {
-	for k := range byte(15) {
-		f.Add([]byte{k, 1, 'a', 1, 'j', 1, 1, 0, 0, 1, 2, 3})
-		f.Add([]byte{k, 1, 'g', 1, 1, 1, 1, 1, 1})
+	for kind := range byte(15) {
+		f.Add([]byte{kind, 1, 'a', 1, 'j', 1, 1, 0, 0, 1, 2, 3})
+		f.Add([]byte{kind, 1, 'g', 1, 1, 1, 1, 1, 1})
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, q := newVoterCore(t)
@@ -52,25 +52,25 @@
 			q.Receive(now, group.Peer("b"), append([]byte{byte(kindLeaseProposal), 1, 'g'}, data...))
 		}
 		if _, ok := c.group.Leading(); ok && c.Holds(now, "j", 1) {
-			t.Error("one peer's word makes an owner")
+			t.Error("messages of one peer made this process an owner")
 		}
 	})
 }
 
+// FuzzTable: a snapshot that can't be read leaves the table empty, and whatever a table holds can be restored from its snapshot.
 func FuzzTable(f *testing.F) {
-	a := NewTable()
-	a.Apply(registerCommand{job: "j", changedAt: 1}.encode())
-	a.Apply(grantCommand{job: "j", token: 3, changedAt: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
-	f.Add(a.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("left")}.encode())
+	seed := NewTable()
+	seed.Apply(registerCommand{job: "j", changedAt: 1}.encode())
+	seed.Apply(grantCommand{job: "j", token: 3, changedAt: 4, owner: "p", incarnation: 2, reason: "why"}.encode())
+	f.Add(seed.Snapshot(), checkpointCommand{job: "j", token: 3, checkpointNumber: 1, checkpoint: []byte("checkpoint")}.encode())
 	f.Add([]byte{1, 0, 0, 200, 1}, []byte{byte(kindGrant), 1, 'j'})
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
-		b := NewTable()
-		if b.Restore(snapshot) != nil && len(b.Jobs()) > 0 {
-			t.Error("a torn snapshot leaves rows")
+		table := NewTable()
+		if table.Restore(snapshot) != nil && len(table.Jobs()) > 0 {
+			t.Error("a snapshot that can't be read left rows")
 		}
-		b.Apply(cmd)
-		c := NewTable()
-		if err := c.Restore(b.Snapshot()); err != nil {
+		table.Apply(cmd)
+		if err := NewTable().Restore(table.Snapshot()); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -12,16 +12,16 @@
 	testToken  = FencingToken{Token: 3 << tokensPerEpochBits, Sequence: 300}
 )
 
-// TestMessageRoundTrip: each message decodes to what was encoded, and no part of one decodes.
+// TestMessageRoundTrip: each message decodes to what was encoded, and a truncated one is malformed.
 func TestMessageRoundTrip(t *testing.T) {
 	for _, m := range []message{
 		leaseRequest{sender: testSender, sequence: 300, able: true, epoch: 2, listSequence: 5},
 		leaseGranted{sequence: 300, incarnation: 7, epoch: 2, wantsOffer: true},
 		leaderRedirect{leader: 1 << 31},
 		jobOffer{sender: testSender, jobs: []string{"j", "k"}},
-		jobList{incarnation: 7, epoch: 2, sequence: 5, jobs: []listedJob{{"j", 9, 4, true, []byte("left")}, {"k", 10, 0, false, []byte{}}}},
-		jobReleased{testSender, true, "j", 9, 11, 4, []byte("left"), failedPrefix + "why"},
-		storeCheckpoint{"j", 9, 4, []byte("left")},
+		jobList{incarnation: 7, epoch: 2, sequence: 5, jobs: []listedJob{{"j", 9, 4, true, []byte("checkpoint")}, {"k", 10, 0, false, []byte{}}}},
+		jobReleased{testSender, true, "j", 9, 11, 4, []byte("checkpoint"), failedPrefix + "why"},
+		storeCheckpoint{"j", 9, 4, []byte("checkpoint")},
 		checkpointResult{"j", 9, 4, true},
 		effectMessage{"j", testToken, []byte("body")},
 		effectAck{"j", testToken, Stale, FencingToken{4 << tokensPerEpochBits, 1}},
@@ -35,13 +35,13 @@
 		}
 		for n := 1; n < len(data); n++ {
 			if got, err := decodeMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
-				t.Errorf("%d of %d bytes of %T decode to %#v, %v", n, len(data), m, got, err)
+				t.Errorf("%T truncated to %d of %d bytes: got %#v, %v", m, n, len(data), got, err)
 			}
 		}
 	}
 }
 
-// TestQueryKeepsItsBytes: the coordinator forwards a query as it came.
+// TestQueryKeepsItsBytes: a decoded query holds the bytes received, which the coordinator forwards.
 func TestQueryKeepsItsBytes(t *testing.T) {
 	data := queryMessage{job: "j", tag: 12, asker: 8, body: []byte("body")}.encode()
 	got, err := decodeMessage(data)
@@ -59,8 +59,8 @@
 	}{
 		{"no incarnation", leaseRequest{sender: processID{"a", 0}}.encode(), errNoIncarnation},
 		{"no job", effectMessage{}.encode(), errNoJob},
-		{"verdict", effectAck{job: "j", verdict: Stale + 1}.encode(), errUnknownVerdict},
-		{"kind", []byte{99}, ErrUnknownMessage},
+		{"unknown verdict", effectAck{job: "j", verdict: Stale + 1}.encode(), errUnknownVerdict},
+		{"unknown kind", []byte{99}, ErrUnknownMessage},
 	} {
 		if _, err := decodeMessage(c.data); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestQuorumMessageRoundTrip: the same of the messages between voters.
+// TestQuorumMessageRoundTrip is TestMessageRoundTrip for the messages between voters.
 func TestQuorumMessageRoundTrip(t *testing.T) {
 	position := logPosition{epoch: 300, version: 9}
 	for _, m := range []quorumMessage{
@@ -89,7 +89,7 @@
 		}
 		for n := 1; n < len(data); n++ {
 			if _, got, err := decodeQuorumMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
-				t.Errorf("%d of %d bytes of %T decode to %#v, %v", n, len(data), m, got, err)
+				t.Errorf("%T truncated to %d of %d bytes: got %#v, %v", m, n, len(data), got, err)
 			}
 		}
 	}
@@ -121,35 +121,35 @@
 	}
 }
 
-// TestFailureBackoff: a job that fails waits twice as long each time, up to a bound, and from the start again after a quiet time.
+// TestFailureBackoff: the backoff of a job that fails doubles up to its bound, and starts anew once the job has not failed for a while.
 func TestFailureBackoff(t *testing.T) {
-	b, now := failureBackoff{}, 100*sec
+	backoff, now := failureBackoff{}, 100*sec
 	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
-		b.recordFailure("j", now)
-		if !b.blocked("j", now+want-1) || b.blocked("j", now+want) || b.blocked("k", now) {
-			t.Errorf("failure %d does not block for %d s", i+1, want/sec)
+		backoff.recordFailure("j", now)
+		if !backoff.blocked("j", now+want-1) || backoff.blocked("j", now+want) || backoff.blocked("k", now) {
+			t.Errorf("failure %d: the backoff is not %d s", i+1, want/sec)
 		}
 		now += want
 	}
 	now += backoffMax + 1
-	if b.recordFailure("j", now); b.blocked("j", now+sec) {
-		t.Error("a quiet time is not forgiven")
+	if backoff.recordFailure("j", now); backoff.blocked("j", now+sec) {
+		t.Error("the backoff did not start anew")
 	}
 }
 
-// TestLogBatches: a message takes entries up to its bound, and one at least.
+// TestLogBatches: a batch holds entries up to its bound in bytes, and at least one.
 func TestLogBatches(t *testing.T) {
-	var l replicatedLog
-	l.reset(300, 1)
+	var log replicatedLog
+	log.reset(300, 1)
 	for _, size := range []int{5000, 2000, 1000, 2000} {
-		l.append(Machine, 1, make([]byte, size))
+		log.append(Machine, 1, make([]byte, size))
 	}
 	for _, c := range []struct {
 		after uint64
 		want  string
 	}{{0, "[1]"}, {1, "[2 3]"}, {2, "[3 4]"}, {3, "[4]"}, {4, "[]"}} {
 		versions := []uint64{}
-		for _, e := range l.batchAfter(c.after) {
+		for _, e := range log.batchAfter(c.after) {
 			versions = append(versions, e.version)
 		}
 		if fmt.Sprint(versions) != c.want {
@@ -157,10 +157,10 @@
 		}
 	}
 	for range maxUncommitted {
-		l.append(Machine, 1, nil)
+		log.append(Machine, 1, nil)
 	}
-	if !l.full() || l.holdsAfter(3) || !l.holdsAfter(4) {
-		t.Errorf("full %t, first entry %d", l.full(), l.entries[0].version)
+	if !log.full() || log.holdsAfter(3) || !log.holdsAfter(4) {
+		t.Errorf("full %t, first entry %d", log.full(), log.entries[0].version)
 	}
 }
 
--- a/internal/fleet/ownership/recorded_test.go
+++ b/internal/fleet/ownership/recorded_test.go
@@ -13,39 +13,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cores, voters := 0, 0
+	ofCores, ofVoters := 0, 0
 	for line := range strings.Lines(string(recorded)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		data, err := hex.DecodeString(digits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again []byte
+		var encoded []byte
 		switch {
 		case strings.HasPrefix(kind, "owners-"):
-			cores++
+			ofCores++
 			m, err := decodeMessage(data)
 			if err != nil {
 				t.Errorf("%s: %v", line, err)
 				continue
 			}
-			again = m.encode()
+			encoded = m.encode()
 		case strings.HasPrefix(kind, "group-memory-"):
-			voters++
+			ofVoters++
 			name, m, err := decodeQuorumMessage(data)
 			if err != nil {
 				t.Errorf("%s: %v", line, err)
 				continue
 			}
-			again = m.encode(name)
-		default: // of raft
+			encoded = m.encode(name)
+		default: // a message of the raft library
 			continue
 		}
-		if string(again) != string(data) {
-			t.Errorf("%s becomes %x", line, again)
+		if string(encoded) != string(data) {
+			t.Errorf("%s is encoded to %x", line, encoded)
 		}
 	}
-	if cores == 0 || voters == 0 {
-		t.Errorf("%d messages of cores and %d of voters show nothing", cores, voters)
+	if ofCores == 0 || ofVoters == 0 {
+		t.Errorf("%d messages of Cores and %d of voters: too few to show anything", ofCores, ofVoters)
 	}
 }
