--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 
 	"go.etcd.io/raft/v3"
+
+	"croftlock/internal/fleet/group"
 )
 
 // lateTicks is by how many ticks a call of Tick may be late before the process counts as having slept.
@@ -26,7 +28,7 @@
 
 	joining       joining
 	configuration configuration
-	machines      stateMachines
+	machines      group.Machines
 	applied       appliedLog
 	election      electionTimer
 	leadership    leadership
@@ -61,7 +63,7 @@
 		recovered:     stored,
 		joining:       newJoining(stored.StartRecords),
 		configuration: newConfiguration(),
-		machines:      newStateMachines(machines),
+		machines:      group.NewMachines(machines),
 		election:      electionTimer{rng: rng, shortest: cfg.electionTimeout()},
 	}
 	if err := c.recover(); err != nil {
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -7,7 +7,7 @@
 //   - Core: drives raft's Ready loop: durable first, then sent, then applied
 //   - joining: the exchange of hello and welcome that decides at each start whether this process may vote
 //   - configuration: who is of the group
-//   - stateMachines and appliedLog: what has been applied, and snapshots of it
+//   - appliedLog: what the state machines have applied, and snapshots of it
 //   - electionTimer: when a leader counts as lost
 //
 // Safety rests on three properties. A process votes and acknowledges only what its Store has made durable. One whose Store fails stops at
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -204,7 +204,7 @@
 	if err != nil {
 		return
 	}
-	if m := c.machines.byKind[p.machine]; m != nil {
+	if m := c.machines.Get(p.machine); m != nil {
 		c.effects.Applied(p.machine, p.tag, m.Apply(p.command))
 	}
 }
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
@@ -12,11 +10,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-const (
-	snapshotVersion = 1
-	// maxMachines is how many kinds a byte can name.
-	maxMachines = 256
-)
+const snapshotVersion = 1
 
 // appliedLog is how far the log has been applied.
 type appliedLog struct {
@@ -28,39 +22,6 @@
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
 
-// stateMachines are those that apply the commands, by the kind that a command names.
-type stateMachines struct {
-	byKind map[byte]Machine
-	kinds  []byte // sorted, so that equal states have equal snapshots
-}
-
-func newStateMachines(byKind map[byte]Machine) stateMachines {
-	return stateMachines{byKind: byKind, kinds: slices.Sorted(maps.Keys(byKind))}
-}
-
-func (s *stateMachines) encode(w *encoding.Writer) {
-	w.Uint(uint64(len(s.kinds)))
-	for _, kind := range s.kinds {
-		w.Uint(uint64(kind)).Bytes(s.byKind[kind].Snapshot())
-	}
-}
-
-// restore reads every machine's state; a kind that is not known here is skipped.
-func (s *stateMachines) restore(r *encoding.Reader) error {
-	for n := r.Count(maxMachines); n > 0; n-- {
-		kind, data := byte(r.Uint()), r.Bytes(maxMachineBytes)
-		if r.Err() != nil {
-			return nil // the caller reports it
-		}
-		if m := s.byKind[kind]; m != nil {
-			if err := m.Restore(data); err != nil {
-				return fmt.Errorf("consensus: machine %d: %w", kind, err)
-			}
-		}
-	}
-	return nil
-}
-
 // currentSnapshots gives the raft library snapshots as of now: an earlier one does not know of a member that was added since, which would
 // refuse it.
 type currentSnapshots struct {
@@ -86,7 +47,7 @@
 	var w encoding.Writer
 	w.Uint(snapshotVersion)
 	c.configuration.encodeNames(&w)
-	c.machines.encode(&w)
+	c.machines.EncodeSnapshots(&w)
 	return w.Data
 }
 
@@ -97,8 +58,8 @@
 		return fmt.Errorf("consensus: a snapshot of version %d, only 1 is known", v)
 	}
 	names := decodeNames(&r)
-	if err := c.machines.restore(&r); err != nil {
-		return err
+	if err := c.machines.RestoreSnapshots(&r, maxMachineBytes); err != nil {
+		return fmt.Errorf("consensus: %w", err)
 	}
 	if err := r.Err(); err != nil {
 		return fmt.Errorf("consensus: snapshot: %w", err)
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -20,7 +20,7 @@
 type Quorum struct {
 	cfg       QuorumConfig
 	effects   group.Effects
-	machines  machineSet
+	machines  group.Machines
 	rng       *rand.Rand
 	self      uint32 // peer
 	now       Time
@@ -63,7 +63,7 @@
 	return &Quorum{
 		cfg:           cfg,
 		effects:       effects,
-		machines:      newMachineSet(machines),
+		machines:      group.NewMachines(machines),
 		rng:           rand.New(rand.NewPCG(cfg.Seed, 5)),
 		self:          peerOf(cfg.Name),
 		startedAt:     -1,
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -20,7 +20,7 @@
 	q.log.reset(epoch, q.self)
 	q.effects.LogEvent("quorum_leader_elected", "epoch", epoch, "state_complete", q.candidate.stateComplete)
 	if !q.candidate.stateComplete {
-		q.machines.markUncertain()
+		markUncertain(q.machines)
 	}
 	for _, name := range q.cfg.Voters {
 		if peer := peerOf(name); peer != q.self {
@@ -48,7 +48,7 @@
 
 func (q *Quorum) sendState(to uint32) {
 	epoch := q.leader.epoch
-	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: q.machines.snapshot()})
+	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: encodeState(q.machines)})
 }
 
 // sendEntries sends a voter entries after a version, as many as one message takes. One that is lost is made good by the next.
@@ -87,7 +87,7 @@
 		q.log.committed++
 		// An effect may propose more, and have it committed: nothing of this pass is used after it.
 		if e, ok := q.log.entry(q.log.committed); ok {
-			q.effects.Applied(e.machine, e.tag, q.machines.apply(e))
+			q.effects.Applied(e.machine, e.tag, q.machines.Get(e.machine).Apply(e.command))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	if _, ok := q.Leading(); !ok {
 		return group.ErrNotLeader
 	}
-	if q.log.full() || !q.machines.has(machine) {
+	if q.log.full() || q.machines.Get(machine) == nil {
 		return group.ErrBusy
 	}
 	q.log.acknowledged[q.self] = q.log.append(machine, tag, cmd)
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -53,7 +53,7 @@
 }
 
 func (q *Quorum) handleStateRequest(from uint32, m stateRequest) {
-	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: q.machines.snapshot()})
+	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
 
 // follows reports whether this voter takes an epoch's commands from a process: only while what it granted lasts. A candidate that it promised
@@ -65,7 +65,7 @@
 // handleStateTransfer takes the state that this voter asked for as a candidate, or that its leader sends.
 func (q *Quorum) handleStateTransfer(from uint32, m stateTransfer) {
 	if m.term == q.candidate.ballot && q.candidate.stateFrom == from && m.term != 0 {
-		if q.machines.restore(m.snapshot) {
+		if restoreState(q.machines, m.snapshot) {
 			q.log.position = m.position
 			q.requestLease()
 		}
@@ -74,7 +74,7 @@
 	if !q.follows(from, m.term) || m.position.epoch != m.term || !q.log.position.before(m.position) {
 		return
 	}
-	if q.machines.restore(m.snapshot) {
+	if restoreState(q.machines, m.snapshot) {
 		q.log.position = m.position
 		q.acknowledge(from)
 	}
@@ -86,8 +86,8 @@
 		return
 	}
 	for _, e := range m.entries {
-		if e.version == q.log.position.version+1 && q.machines.has(e.machine) {
-			q.effects.Applied(e.machine, e.tag, q.machines.apply(e))
+		if machine := q.machines.Get(e.machine); e.version == q.log.position.version+1 && machine != nil {
+			q.effects.Applied(e.machine, e.tag, machine.Apply(e.command))
 			q.log.position.version = e.version
 		}
 	}
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -1,8 +1,6 @@
 package ownership
 
 import (
-	"sort"
-
 	"croftlock/internal/fleet/encoding"
 	"croftlock/internal/fleet/group"
 )
@@ -12,7 +10,6 @@
 	maxUncommitted = 64
 	// maxBatchBytes bounds the entries of one message, beyond the first.
 	maxBatchBytes = 4096
-	maxMachines   = 256
 )
 
 // logPosition is a place in the order of all commands: versions start at 0 in each epoch.
@@ -93,55 +90,26 @@
 	return batch
 }
 
-// machineSet is the state machines that the log drives.
-type machineSet struct {
-	byKind map[byte]group.Machine
-	kinds  []byte // sorted
-}
+// uncertainMachine is a machine that has to know when its state may lack what was committed.
+type uncertainMachine interface{ MarkUncertain() }
 
-func newMachineSet(machines map[byte]group.Machine) machineSet {
-	s := machineSet{byKind: machines}
-	for kind := range machines {
-		s.kinds = append(s.kinds, kind)
-	}
-	sort.Slice(s.kinds, func(i, j int) bool { return s.kinds[i] < s.kinds[j] })
-	return s
+func markUncertain(machines group.Machines) {
+	machines.Each(func(m group.Machine) {
+		if m, ok := m.(uncertainMachine); ok {
+			m.MarkUncertain()
+		}
+	})
 }
 
-func (s machineSet) has(kind byte) bool { return s.byKind[kind] != nil }
-
-func (s machineSet) apply(e logEntry) []byte { return s.byKind[e.machine].Apply(e.command) }
-
-func (s machineSet) snapshot() []byte {
+// encodeState encodes the state of all machines.
+func encodeState(machines group.Machines) []byte {
 	var w encoding.Writer
-	w.Uint(uint64(len(s.kinds)))
-	for _, kind := range s.kinds {
-		w.Uint(uint64(kind)).Bytes(s.byKind[kind].Snapshot())
-	}
+	machines.EncodeSnapshots(&w)
 	return w.Data
 }
 
-func (s machineSet) restore(snapshot []byte) bool {
-	r := encoding.Reader{Data: snapshot}
-	for n := r.Count(maxMachines); n > 0; n-- {
-		kind, state := byte(r.Uint()), r.Bytes(maxSnapshotBytes)
-		if r.Err() != nil {
-			return false
-		}
-		if m := s.byKind[kind]; m != nil && m.Restore(state) != nil {
-			return false
-		}
-	}
-	return r.Err() == nil
-}
-
-// uncertainMachine is a machine that has to know when its state may lack what was committed.
-type uncertainMachine interface{ MarkUncertain() }
-
-func (s machineSet) markUncertain() {
-	for _, kind := range s.kinds {
-		if m, ok := s.byKind[kind].(uncertainMachine); ok {
-			m.MarkUncertain()
-		}
-	}
+// restoreState reports whether all machines could be restored from an encoded state.
+func restoreState(machines group.Machines, state []byte) bool {
+	r := encoding.Reader{Data: state}
+	return machines.RestoreSnapshots(&r, maxSnapshotBytes) == nil && r.Err() == nil
 }
