--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -26,7 +26,7 @@
 	minRebalanceInterval = 10 * sec // since the last change, before a job moves to even out the load
 )
 
-// rendezvousScore is a process's rank for a job (rendezvous hashing), the same at every coordinator.
+// rendezvousScore ranks a process for a job (rendezvous hashing), alike at every coordinator.
 func rendezvousScore(job, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(job))
@@ -70,7 +70,7 @@
 	return assignments
 }
 
-// best is the best able candidate that offers a job, other than except, stable for a time; nil: there is none.
+// best is the best candidate for a job: able, not except, and stable for stableFor; nil: there is none.
 func (a *assigner) best(job, except string, stableFor Time) *Candidate {
 	var best *Candidate
 	for i := range a.candidates {
@@ -85,7 +85,7 @@
 	return best
 }
 
-// better orders by reachability, then by load, then by rank.
+// better orders by reachability, then by load, then by rendezvousScore.
 func (a *assigner) better(job string, c, than *Candidate) bool {
 	if c.UnreachableFrom != than.UnreachableFrom {
 		return c.UnreachableFrom < than.UnreachableFrom
@@ -96,13 +96,15 @@
 	return rendezvousScore(job, c.Name) > rendezvousScore(job, than.Name)
 }
 
+// handover gives the handover that is most needed: an owner that is unfit or hard to reach comes before uneven load.
 func (a *assigner) handover(owned []JobRecord) (Assignment, bool) {
 	if p, ok := a.replaceUnfitOwner(owned); ok {
 		return p, true
 	}
-	return a.evenOut(owned)
+	return a.rebalance(owned)
 }
 
+// replaceUnfitOwner finds a job whose owner is not able or unreachable from some members, and a better candidate for it.
 func (a *assigner) replaceUnfitOwner(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
@@ -120,7 +122,8 @@
 	return Assignment{}, false
 }
 
-func (a *assigner) evenOut(owned []JobRecord) (Assignment, bool) {
+// rebalance finds a job whose owner has at least two jobs more than another candidate that is no harder to reach.
+func (a *assigner) rebalance(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
 		if owner == nil || a.now-a.changedAt(row.Job) < minRebalanceInterval {
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// sessionGatherTime is the wait before the first grant of an epoch: processes arrive one after the other, and the first would get all.
+	// sessionGatherTime is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
 	sessionGatherTime = 200 * ms
-	// handoverInterval bounds how often a handover that is not needed at once begins.
+	// handoverInterval is the least time between two handovers that Assign asks for. Those of operators do not wait.
 	handoverInterval = sec
 
 	backoffBase       = sec
@@ -17,13 +17,13 @@
 	backoffMaxDoubles = 6
 )
 
-// jobFailures are the failures of one job.
+// jobFailures are the recent failures of one job.
 type jobFailures struct {
 	count        int
 	blockedUntil Time
 }
 
-// failureBackoff delays the grant of jobs that fail, twice as long each time.
+// failureBackoff delays the grant of jobs that fail, twice as long each time. A job that has not failed for backoffMax starts anew.
 type failureBackoff map[string]*jobFailures
 
 func (b failureBackoff) recordFailure(job string, now Time) {
@@ -57,13 +57,11 @@
 // assignJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
 // proposal is applied before propose returns, and that calls assignJobs again: each job is looked at anew before it is proposed.
 func (c *coordinator) assignJobs() {
+	c.expireSessions()
 	candidates := c.candidates()
 	c.registerNewJobs(candidates.offered)
 	jobs := c.classifyJobs()
-	if !c.handovers.due(c.now) && len(jobs.free) == 0 {
-		return
-	}
-	if c.now < c.leadsSince+c.gatherTime() {
+	if len(jobs.free) == 0 && !c.handovers.due(c.now) || c.now < c.leadsSince+c.gatherTime() {
 		return
 	}
 	changedAt := func(job string) Time { return c.changedAt[job] }
@@ -86,7 +84,7 @@
 	}
 }
 
-// gatherTime is longer for a fleet that starts for the first time.
+// gatherTime is how long no job is granted in a new epoch: longer in a fleet that starts for the first time, since all its sessions are new.
 func (c *coordinator) gatherTime() Time {
 	if c.emptyAtStart {
 		return c.cfg.Lease / 2
@@ -100,20 +98,25 @@
 	offered map[string]bool
 }
 
-// candidates ends the sessions whose lease has surely ended, and gives the others whose requests arrive.
-func (c *coordinator) candidates() candidateSet {
-	set := candidateSet{offered: map[string]bool{}}
+// expireSessions ends the sessions whose lease has surely ended: the jobs of their processes may be granted to others.
+func (c *coordinator) expireSessions() {
 	for _, s := range c.sessions.ordered() {
 		if c.now >= c.leaseSurelyEnded(s.renewedAt) {
 			c.effects.LogEvent("session_expired", "member", s.name)
 			delete(c.sessions, s.processID)
-			continue
 		}
+	}
+}
+
+// candidates gives the processes that offer jobs and whose lease requests arrive.
+func (c *coordinator) candidates() candidateSet {
+	set := candidateSet{offered: map[string]bool{}}
+	for _, s := range c.sessions.ordered() {
 		if n := len(set.list); n > 0 && set.list[n-1].Name == s.name {
-			set.list = set.list[:n-1] // an earlier process of the same name keeps what it has until it releases it
+			set.list = set.list[:n-1] // an earlier process of the same name: it gets no more jobs
 		}
 		if s.offers == nil || c.now-s.renewedAt > c.cfg.Lease*2/3 {
-			continue // what it can do is not known yet, or it may be lost
+			continue // its jobs are not known yet, or it may be lost
 		}
 		for job := range s.offers {
 			set.offered[job] = true
@@ -124,6 +127,7 @@
 	return set
 }
 
+// registerNewJobs adds the jobs that are offered and not in the table.
 func (c *coordinator) registerNewJobs(offered map[string]bool) {
 	for _, job := range slices.Sorted(maps.Keys(offered)) {
 		if c.table.Job(job) == nil && !c.proposals.busy(job) {
@@ -136,7 +140,7 @@
 type classifiedJobs struct {
 	free      []string
 	owned     []JobRecord
-	lostOwner map[string]string // reason for the grant of a job whose owner is lost
+	lostOwner map[string]string // by job whose owner is lost: the text for its grant
 }
 
 func (c *coordinator) classifyJobs() classifiedJobs {
@@ -162,14 +166,14 @@
 	return jobs
 }
 
-// mayBeGranted reports whether a job has no owner that may be alive, no proposal under way, and did not fail a short time ago.
+// mayBeGranted reports whether a job has no owner that may be alive, no proposal under way and no backoff.
 func (c *coordinator) mayBeGranted(row *JobRecord) bool {
 	owned := row.Owner != "" && c.ownerMayBeAlive(row)
 	return !owned && !c.proposals.busy(row.Job) && !c.backoff.blocked(row.Job, c.now)
 }
 
-// ownerMayBeAlive keeps the coordinator's part of the lease: an owner is given up only once its lease has surely ended, be it one that an
-// earlier coordinator granted.
+// ownerMayBeAlive keeps the coordinator's part of the lease property: an owner counts as lost only once its lease has surely ended, also one
+// that an earlier coordinator granted.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
 	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.leaseSurelyEnded(c.leadsSince)
 }
@@ -187,7 +191,7 @@
 	return a
 }
 
-// beginHandover asks the owner to release a job.
+// beginHandover asks the owner to release a job, by its job list.
 func (c *coordinator) beginHandover(a Assignment) {
 	c.handovers.byJob[a.Job] = a
 	row := c.table.Job(a.Job)
@@ -195,7 +199,7 @@
 		return
 	}
 	if s := c.sessions[processID{row.Owner, row.Incarnation}]; s != nil {
-		s.notifiedVersion = 0 // its list is sent at once
+		s.notifiedVersion = 0 // the list is to be sent at once
 	}
 }
 
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxRaisedToken leaves room above a token that a receiver reports.
+// maxRaisedToken bounds a token that a receiver reports, so that later ones can still rise above it.
 const maxRaisedToken = 1 << 62
 
 // tableCommand is a change of the table. apply reports whether it was accepted; one that is rejected changes nothing.
@@ -119,7 +119,7 @@
 	return true
 }
 
-// apply requires a rising token: what an earlier owner sends is stale from here on.
+// apply requires a rising token. Fencing: whatever an earlier owner sends is stale from here on.
 func (c grantCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -5,11 +5,11 @@
 const (
 	// reviewInterval is how often the coordinator looks at all jobs.
 	reviewInterval = 20 * ms
-	// confirmInterval bounds how often the voters are asked whether this process still leads: once for all requests of the time.
+	// confirmInterval is the time between two rounds in which voters confirm the leader. A round serves all lease requests since the last one.
 	confirmInterval = 200 * ms
-	// listRepeatInterval is the time before a job list is repeated to a process that seems not to have it.
+	// listRepeatInterval is the time until a list is sent again to a process that seems not to have it.
 	listRepeatInterval = 200 * ms
-	// listSettleTime is the time that a process has to take a list before a release is read as a sign that it does not have it.
+	// listSettleTime is how long after a list was sent a release of a job that is not on it is not yet a sign that the list was lost.
 	listSettleTime = 50 * ms
 )
 
@@ -40,7 +40,7 @@
 
 func (c *coordinator) leads() bool { return c.epoch != 0 }
 
-// dropEpochState drops all that was learned in an epoch. Tags, the times of the last confirmation, review and handover go on.
+// dropEpochState drops all that was learned in an epoch. Tags, and the times of the last confirmation, review and handover, are kept.
 func (c *coordinator) dropEpochState() {
 	c.listSequence = 0
 	c.sessions = sessions{}
@@ -51,8 +51,7 @@
 	c.changedAt = map[string]Time{}
 }
 
-// becomeCoordinator begins an epoch. What an earlier coordinator knew is not known here, so no owner is given up before a lease that it may
-// have granted has ended.
+// becomeCoordinator begins an epoch. The leases that an earlier coordinator granted are not known here: see ownerMayBeAlive.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
 	c.epoch, c.leadsSince, c.emptyAtStart = epoch, c.now, c.table.Version == 0
 	c.dropEpochState()
@@ -62,7 +61,7 @@
 	c.effects.LogEvent("coordinator_elected", "epoch", epoch)
 }
 
-// stepDown ends the epoch. Results of proposals that are under way are still passed on.
+// stepDown ends the epoch. Results of proposals under way are still passed on to those that asked.
 func (c *coordinator) stepDown() { c.epoch = 0 }
 
 func (c *coordinator) tick() {
@@ -89,7 +88,7 @@
 	c.sendJobLists()
 }
 
-// waitForCertainty ends the table's uncertainty once every lease has ended that commands unknown here may have led to.
+// waitForCertainty ends the table's uncertainty once every lease has ended that a lost command may have led to.
 func (c *coordinator) waitForCertainty() {
 	if c.now >= c.leaseSurelyEnded(c.leadsSince) {
 		c.propose(confirmCommand{}, proposal{})
@@ -102,22 +101,22 @@
 	return grantedAt + lengthened(c.cfg.Lease)
 }
 
-// handleJobReleased takes a job back. Before its last proposal is decided a release is ignored: it is repeated.
+// handleJobReleased takes a job back. While a proposal on the job is under way the release is ignored, since the process repeats it.
 func (c *coordinator) handleJobReleased(m jobReleased) {
 	s := c.sessions[m.sender]
 	if s != nil && !m.able {
-		s.able = false // else it would be granted again what it has just released
+		s.able = false // its lease request, which says so too, may come later: until then it would be granted the job again
 	}
 	row := c.table.Job(m.job)
 	if !c.leads() || row == nil || c.proposals.busy(m.job) {
 		return
 	}
 	if row.Owner != m.sender.name || row.Incarnation != m.sender.incarnation || row.Token != m.token {
-		c.remindOfList(s)
+		c.resendList(s)
 		return
 	}
 	if m.higherToken > row.Token {
-		// The row's token changes by this, and with it the list: the process sees that it owns the job no more.
+		// Fencing: the next grant must be above what a receiver has seen. The list changes with the token, so the process drops the job.
 		c.propose(raiseTokenCommand{job: m.job, token: m.higherToken}, proposal{job: m.job, exclusive: true})
 		return
 	}
@@ -128,14 +127,15 @@
 	c.propose(release, proposal{job: m.job, exclusive: true})
 }
 
-// remindOfList sends the list again to a process that releases what is not its own any more.
-func (c *coordinator) remindOfList(s *session) {
+// resendList sends the list again to a process that releases a job that it does not own any more.
+func (c *coordinator) resendList(s *session) {
 	if s != nil && c.now-s.notifiedAt > listSettleTime {
 		s.notifiedVersion = 0
 		c.sendJobList(s)
 	}
 }
 
+// handleStoreCheckpoint has a checkpoint replicated. Whether its sender is the owner is decided where the command is applied.
 func (c *coordinator) handleStoreCheckpoint(from uint32, m storeCheckpoint) {
 	if !c.leads() {
 		return
@@ -143,7 +143,7 @@
 	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
-// moveJob carries out an operator's wish for a handover, and gives the refusal; "": it is accepted.
+// moveJob begins a handover that an operator asks for. refusal is sent to the operator; "": it is accepted.
 func (c *coordinator) moveJob(job, to string) (refusal string) {
 	row, s := c.table.Job(job), c.sessions.latest(to)
 	switch {
@@ -163,6 +163,7 @@
 	return ""
 }
 
+// forwardQuery sends a query on to the job's owner, if that is another process.
 func (c *coordinator) forwardQuery(m queryMessage) {
 	row := c.table.Job(m.job)
 	if c.leads() && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
@@ -176,7 +177,8 @@
 	}
 }
 
-// sendJobList sends a process the list of what it is to own, where that has changed since the last list, or the process seems not to have it.
+// sendJobList sends a process the list of the jobs that it is to own, if the table has changed since the last list or the process seems not to
+// have that list.
 func (c *coordinator) sendJobList(s *session) {
 	current := c.table.Version + 1
 	if s.notifiedVersion == current && (!s.behind || c.now-s.notifiedAt < listRepeatInterval) {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -57,13 +57,13 @@
 	LogEvent(event string, args ...any)
 }
 
-// processID distinguishes two processes of one name: both may run for a moment.
+// processID tells apart two processes of one name: during a replacement both run for a moment.
 type processID struct {
 	name        string
 	incarnation uint64
 }
 
-// environment is what the roles of one process share.
+// environment is what the participant and the coordinator of one process share.
 type environment struct {
 	cfg     Config
 	effects Effects
@@ -108,7 +108,7 @@
 
 func peerOf(name string) uint32 { return group.Peer(name) }
 
-// Tick is to be called every 50 to 100 ms, and before a job acts: the end of a lease is noticed here.
+// Tick is to be called every 50 to 100 ms. The end of the lease stops all jobs here.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -134,7 +134,7 @@
 	c.coordinator.leadershipConfirmed(tag)
 }
 
-// SetGroup replaces the group, or takes it away: a voter whose store has failed is none until it is opened again. The table stays.
+// SetGroup replaces the group; nil: this process is no voter, as while its store has failed. The table stays.
 func (c *Core) SetGroup(g Group) {
 	c.group = g
 	c.coordinator.stepDown()
@@ -163,7 +163,7 @@
 }
 
 // HasLeft reports whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
-// its proposals as well: a job that it has granted without notifying the new owner would be idle until the next coordinator.
+// its proposals as well: a job that it has granted without notifying the new owner would have none until the next coordinator's first list.
 func (c *Core) HasLeft() bool {
 	if c.participant.leaseEnded() {
 		return true
@@ -178,8 +178,8 @@
 	c.participant.jobFailed(job, token, cause)
 }
 
-// Holds reports whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
-// are for that.
+// Holds reports whether this process may act as a job's owner under a token now. Lease alone: the process may be paused right after the call,
+// and then only the receivers' fences reject what it sends.
 func (c *Core) Holds(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -31,15 +31,15 @@
 	return "unknown"
 }
 
-// Fence is what a receiver remembers of each job: the latest effect it accepted. It makes a stale owner harmless.
+// Fence is what a receiver remembers of each job: the fencing token of the latest effect that it accepted. It makes a stale owner harmless.
 type Fence struct {
 	Faults FaultInjection
 
 	last map[string]FencingToken
 }
 
-// Check decides on an effect, and remembers it if it is accepted; it returns the latest effect seen as well. An effect holds the
-// whole of what it is to bring about, so an earlier one of the same token has nothing to add to a later one.
+// Check decides on an effect, and remembers its token if it is accepted; it returns the token of the latest effect accepted as well. An effect
+// replaces earlier ones of its job, so one that arrives after a later one is not needed.
 func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
@@ -52,7 +52,7 @@
 	case token.Token == last.Token && token.Sequence <= last.Sequence:
 		return Duplicate, last
 	case !known && len(f.last) >= MaxJobs:
-		return Stale, last // what can't be remembered could not be fenced later
+		return Stale, last // a job that can't be remembered could not be fenced later
 	}
 	f.last[job] = token
 	return Accepted, token
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -2,25 +2,25 @@
 
 // processLease is the lease of a process, under which it holds all its jobs, and the search for the coordinator that grants it.
 type processLease struct {
-	end         Time   // as this process counts it; 0: it never had one
-	leader      uint32 // taken for the coordinator; 0: unknown
-	heardAt     Time   // the coordinator, last
-	requestedAt Time   // last; 0: at once
-	sequence    uint64 // of the last request
-	outstanding map[uint64]Time
-	nextVoter   int // to be asked next where no coordinator is known
+	end         Time            // as this process counts it; 0: it never had one
+	leader      uint32          // taken for the coordinator; 0: unknown
+	heardAt     Time            // when the coordinator last granted a lease
+	requestedAt Time            // when a lease was last requested; 0: it is to be requested at once
+	sequence    uint64          // of the last request
+	outstanding map[uint64]Time // when each request without an answer was sent, by sequence
+	nextVoter   int             // to be asked next where no coordinator is known
 }
 
 func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
 
-// stopAtLeaseEnd keeps the owner's part of the lease: all jobs stop before the coordinator may grant them again.
+// stopAtLeaseEnd keeps the owner's part of the lease property: all jobs stop before the coordinator may grant them again.
 func (p *participant) stopAtLeaseEnd() {
 	if p.leaseEnded() {
 		p.releaseAll(LeaseEnded, textLeaseEnded)
 	}
 }
 
-// renewLease asks the coordinator for another lease four times in each.
+// renewLease requests a lease four times in the length of one, and eight times once the coordinator is overdue.
 func (p *participant) renewLease() {
 	l := &p.lease
 	interval := p.cfg.Lease / 4
@@ -44,7 +44,7 @@
 	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
 }
 
-// findCoordinator asks the own group first, and then one voter after the other: a voter that does not lead says who does.
+// findCoordinator takes the leader that the own group knows, or else the next voter: one that does not lead redirects to the leader.
 func (p *participant) findCoordinator() {
 	l := &p.lease
 	l.leader = 0
@@ -57,7 +57,7 @@
 	}
 }
 
-// handleLeaseGranted counts the lease from before its request, and shorter by the drift of clocks: it ends here before it ends at the
+// handleLeaseGranted takes a lease. It counts from its request, and shorter by the drift of clocks: so it ends here before it ends at the
 // coordinator, however long the answer took.
 func (p *participant) handleLeaseGranted(from uint32, m leaseGranted) {
 	if m.incarnation != p.cfg.Incarnation {
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -8,7 +8,7 @@
 // releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
 const releaseRepeatInterval = 100 * ms
 
-// heldJob is a job that this process owns, or has released while the coordinator may not know it yet.
+// heldJob is a job that this process owns, or has released without the coordinator having confirmed it.
 type heldJob struct {
 	token            uint64
 	released         bool
@@ -45,7 +45,7 @@
 	}
 }
 
-// jobNames is in order, so that a run can be replayed.
+// jobNames is sorted, so that a run can be replayed.
 func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 func (p *participant) ownedJobs() map[string]uint64 {
@@ -68,8 +68,8 @@
 	return p.owns(job) && p.jobs[job].token == token
 }
 
-// mayBeAssigned reports whether this process should be given jobs. One whose lease ended without a renewal may receive nothing: it would not learn of
-// a job either, though its requests arrive.
+// mayBeAssigned reports whether this process should be given jobs. One whose lease has ended may be cut off in one direction: its requests arrive,
+// but it would not learn of a job that it is granted.
 func (p *participant) mayBeAssigned() bool {
 	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// release stops a job here. The coordinator is notified, with the checkpoint and the text, until it has taken the job back.
+// release stops a job here, and then notifies the coordinator, with the checkpoint and the text, until its list no longer holds the job.
 func (p *participant) release(job string, h *heldJob, reason ReleaseReason, text string) {
 	h.released, h.text = true, text
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
@@ -117,7 +117,8 @@
 	}.encode())
 }
 
-// handleJobList takes the list of what this process is to own. Lists that are overtaken, or for an earlier process of this name, change nothing.
+// handleJobList follows the list of the jobs that this process is to own. A list older than the last one, or for an earlier process of this
+// name, changes nothing.
 func (p *participant) handleJobList(from uint32, m jobList) {
 	if m.incarnation != p.cfg.Incarnation || m.epoch < p.epoch || m.epoch == p.epoch && m.sequence <= p.listSequence {
 		return
@@ -126,12 +127,12 @@
 	p.dropUnlisted(m.jobs)
 	for _, j := range m.jobs {
 		if p.jobs[j.job] == nil && !p.acquire(j) {
-			p.listSequence = m.sequence - 1 // as if not received, so that the list is sent again
+			p.listSequence = m.sequence - 1 // the next lease request shows that the list was not taken, and it is sent again
 		}
 	}
 }
 
-// dropUnlisted stops what the list no longer holds under the same token, and releases what is to be handed over.
+// dropUnlisted stops the jobs that the list no longer holds under the same token, and releases those that are to be handed over.
 func (p *participant) dropUnlisted(jobs []listedJob) {
 	listed := map[string]listedJob{}
 	for _, j := range jobs {
@@ -149,12 +150,12 @@
 			p.effects.Stop(job, h.token, AssignedToOther)
 			delete(p.jobs, job)
 		default:
-			delete(p.jobs, job) // the coordinator has taken it back
+			delete(p.jobs, job) // released before, and now taken back
 		}
 	}
 }
 
-// acquire begins a listed job, or releases it at once where it must not begin here. It gives false where the job has to wait for a lease.
+// acquire starts a listed job, or releases it at once where it must not start here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
 		h := &heldJob{token: j.token, released: true, text: textNotBegun}
@@ -162,7 +163,7 @@
 		p.reportRelease(j.job, h)
 		return true
 	}
-	// Lease: without one nothing begins.
+	// Lease: without one no job starts.
 	if p.leaseEnded() {
 		return false
 	}
@@ -175,15 +176,17 @@
 	return true
 }
 
+// handleCheckpointResult passes the result on, unless the job has changed its owner since.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if h := p.jobs[m.job]; h != nil && h.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
 	}
 }
 
+// handleEffectAck passes a receiver's verdict on. A stale one stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
-		// Fencing: the receiver remembers a later owner, so this one stops, and the next token is to be above that.
+		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release tells the coordinator that owner's token.
 		h.higherToken = m.highest.Token
 		p.release(m.job, h, LaterTokenSeen, textLaterTokenSeen)
 	}
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -1,15 +1,17 @@
 package ownership
 
+// proposalTimeout is how long the group has to report that a command was applied.
 const proposalTimeout = 2 * sec
 
 // proposal is a command under way in the group.
 type proposal struct {
 	job        string
-	exclusive  bool // no other exclusive proposal of the job meanwhile
+	exclusive  bool // changes the owner: one at a time for each job
 	expiresAt  Time
-	checkpoint *checkpointRequest // to be answered; nil: none
+	checkpoint *checkpointRequest // to be answered once the command is applied; nil: none
 }
 
+// checkpointRequest is an owner's request to store a checkpoint.
 type checkpointRequest struct {
 	peer          uint32
 	token, number uint64
@@ -48,7 +50,7 @@
 	return p, wasExclusive, true
 }
 
-// expire gives up what the group has not reported in time: whether it was applied is seen in the table.
+// expire drops proposals that the group has not reported in time. Whether they were applied shows in the table.
 func (ps *proposals) expire(now Time) {
 	for tag, p := range ps.byTag {
 		if now >= p.expiresAt {
@@ -57,7 +59,7 @@
 	}
 }
 
-// nextTag differs between processes and incarnations: the group reports the tags of all of them.
+// nextTag is different for each process and incarnation: the group reports the tags of all processes here.
 func (c *coordinator) nextTag() uint64 {
 	c.proposals.lastTag++
 	return c.cfg.Incarnation<<24 ^ c.proposals.lastTag
@@ -88,7 +90,7 @@
 		return
 	}
 	if c.leads() && c.now >= c.leadsSince+sessionGatherTime && !c.table.uncertain {
-		c.assignJobs() // what was released is granted again at once
+		c.assignJobs() // a job that was released is granted again at once
 	}
 	c.sendJobLists()
 }
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -7,16 +7,17 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Quorum is a Group of voters without disks, after PaxosLease: a fixed set of voters grants a candidate the lead for a time, from memory. A
-// voter that has just started does not know what it granted before; it abstains until every lease that it could have granted has ended.
+// Quorum is a Group of voters without disks, after PaxosLease: a fixed set of voters grants a candidate the lead for a time, and keeps what it
+// granted in memory. A voter that has just started does not know what it granted before; it abstains until every lease that it could have
+// granted has ended.
 //
 // It guarantees:
 //   - No two lead at a time, as long as clocks drift apart by no more than clockDriftDivisor allows.
 //   - Epochs, and fencing tokens with them, rise while one voter of each majority remembers.
 //   - What was committed survives as long as no majority loses its memory at a time.
 //
-// After a start of all voters at once epochs rise if no clock was set back by more than the fleet was up. If one was, receivers' fences
-// reject the job's effects, and its next token is taken from what they remember.
+// After a start of all voters at once epochs still rise, unless a clock was set back by more than the fleet had been up. Then receivers' fences
+// reject the effects of a job until its token is raised above what they remember.
 type Quorum struct {
 	cfg       QuorumConfig
 	effects   group.Effects
@@ -41,7 +42,7 @@
 	Voters []string
 	Lease  Time // of the lead; default 1.5 s; the same everywhere
 	Seed   uint64
-	Clock  int64 // wall clock at the start, hundredths of a second: the first epoch is above it
+	Clock  int64 // wall clock at the start, hundredths of a second; the first epoch is above it
 	Faults FaultInjection
 }
 
@@ -99,6 +100,7 @@
 	return q.ballotCounter<<ballotVoterBits | q.voterNumber()
 }
 
+// observeBallot keeps the next own ballot above all ballots seen.
 func (q *Quorum) observeBallot(ballot uint64) {
 	q.ballotCounter = max(q.ballotCounter, ballot>>ballotVoterBits)
 }
@@ -183,7 +185,7 @@
 	}
 }
 
-// Leading reports whether this process leads: not after its lease, whatever it received.
+// Leading reports whether this process leads, and in which epoch. Lease: not after its end, also before Tick has noticed that.
 func (q *Quorum) Leading() (epoch uint64, ok bool) {
 	return q.leader.epoch, q.leads() && q.now < q.leader.leaseEnd && q.stateIsReplicated()
 }
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -7,11 +7,11 @@
 	promises      map[uint32]prepareReply // by voter
 	stateFrom     uint32                  // voter whose state the epoch begins with; 0: not chosen yet
 	stateComplete bool                    // that state surely holds all that was committed
-	nextAt        Time
-	yieldedUntil  Time
+	nextAt        Time                    // no election here before
+	yieldedUntil  Time                    // no election here before, since this voter gave up the lead
 }
 
-// leaseRounds are the proposals of this voter for a lease. A lease counts from the request of the round that a majority has accepted.
+// leaseRounds are the rounds in which this voter has proposed its lease. A lease counts from the request of the round that a majority accepted.
 type leaseRounds struct {
 	last        uint64
 	requestedAt map[uint64]Time
@@ -33,6 +33,7 @@
 	return r.last
 }
 
+// tickCandidate continues the election under way here, or begins one once no lease lasts.
 func (q *Quorum) tickCandidate() {
 	c := &q.candidate
 	switch {
@@ -45,7 +46,7 @@
 	}
 }
 
-// delayCandidacy waits for a random time, so that two candidates do not go on hindering each other.
+// delayCandidacy draws a random delay, so that two candidates do not keep each other from being elected.
 func (q *Quorum) delayCandidacy() {
 	q.candidate.nextAt = q.now + q.cfg.Lease/16 + Time(q.rng.Int64N(int64(q.cfg.Lease/4)))
 }
@@ -71,7 +72,8 @@
 	q.chooseState()
 }
 
-// chooseState goes on once a majority has promised: the epoch begins with the latest state among theirs.
+// chooseState continues the election once a majority has promised: the epoch begins with the latest state of theirs, which this voter requests
+// if it is another's.
 func (q *Quorum) chooseState() {
 	promised, withState := 0, 0
 	latest, latestAt := q.log.position, uint32(0)
@@ -101,9 +103,9 @@
 	q.send(latestAt, stateRequest{ballot: q.candidate.ballot})
 }
 
-// mayBeginIncomplete decides where the promises come from no majority with state. A majority knew what was committed, but voters that lost
-// their memory since do not count towards one that surely holds it. So the others are waited for, and only then does an epoch begin that may
-// lack something; its machines are marked (Table.MarkUncertain).
+// mayBeginIncomplete decides where no majority has promised that still has state. A majority held all that was committed, but voters that have
+// lost their memory since do not count as part of it. So the others are waited for; only after that does an epoch begin that may lack committed
+// commands, and its machines are marked (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
@@ -128,13 +130,14 @@
 	switch {
 	case m.epoch == 0:
 	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
-		// Another was a candidate while this voter was cut off. The lease is renewed under a higher ballot, or this voter's grant would be lost.
+		// Another voter was a candidate while this one was cut off from the rejecting voter. A higher ballot wins its grant back.
 		q.leader.ballot = q.nextBallot()
 	case m.epoch == q.candidate.ballot:
 		q.abandonElection()
 	}
 }
 
+// handleLeaseAccepted counts the voters that have accepted a round. A majority elects this voter, or extends its lease.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
 	elected := m.epoch == q.leader.epoch
 	if m.epoch == 0 || m.epoch != q.candidate.ballot && !elected || q.rounds.grants[m.round] == nil {
@@ -142,7 +145,7 @@
 	}
 	q.rounds.grants[m.round][from] = true
 	if elected {
-		q.noteFollower(from, m)
+		q.trackFollower(from, m)
 	}
 	if !q.isMajority(len(q.rounds.grants[m.round])) {
 		return
@@ -159,7 +162,7 @@
 	}
 }
 
-// leaseEnd counts the lease from before it was requested, and shorter by the drift of clocks: it ends here before it ends at any voter.
+// leaseEnd is when the lease of a round ends here. Counted from the request, and shorter by the drift of clocks: before it ends at any voter.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
 	if q.cfg.Faults.LeaseFromAnswer {
@@ -168,8 +171,8 @@
 	return requestedAt + shortened(q.cfg.Lease)
 }
 
-// noteFollower notes how far a voter's state is, or sends it the state of this epoch.
-func (q *Quorum) noteFollower(from uint32, m leaseAccepted) {
+// trackFollower records how far a voter's state is, or sends it the state of this epoch.
+func (q *Quorum) trackFollower(from uint32, m leaseAccepted) {
 	if m.position.epoch == m.epoch {
 		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
 	} else if from != q.self {
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -12,7 +12,7 @@
 
 func (q *Quorum) leads() bool { return q.leader.epoch != 0 }
 
-// becomeLeader begins an epoch with the state chosen in the election. Voters get that state whole.
+// becomeLeader begins an epoch with the state chosen in the election, and sends it to all voters.
 func (q *Quorum) becomeLeader(leaseEnd Time) {
 	epoch := q.candidate.ballot
 	q.leader.epoch, q.leader.ballot, q.leader.leaseEnd = epoch, epoch, leaseEnd
@@ -29,13 +29,13 @@
 	}
 }
 
-// becomeFollower ends the lead. What was not committed is forgotten: it was not applied here.
+// becomeFollower ends the lead. Entries that are not committed are dropped; they were not applied here.
 func (q *Quorum) becomeFollower() {
 	q.log.position = q.appliedPosition()
 	q.leader.epoch, q.candidate.ballot, q.log.entries = 0, 0, nil
 }
 
-// appliedPosition is how far the machines are. A leader applies what is committed only: what it grants must not be lost with it.
+// appliedPosition is how far the machines are. A leader applies only committed entries: a job that it grants must not be lost with it.
 func (q *Quorum) appliedPosition() logPosition {
 	if q.leads() {
 		return logPosition{q.leader.epoch, q.log.committed}
@@ -43,7 +43,8 @@
 	return q.log.position
 }
 
-// stateIsReplicated reports whether a majority has the state that the epoch begins with. Before, what this process grants could be lost with it.
+// stateIsReplicated reports whether a majority has the state that the epoch begins with. Before that this voter must not act as the leader, since
+// what it grants could be lost with it.
 func (q *Quorum) stateIsReplicated() bool { return q.isMajority(len(q.log.acknowledged)) }
 
 func (q *Quorum) sendState(to uint32) {
@@ -51,7 +52,7 @@
 	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: encodeState(q.machines)})
 }
 
-// sendEntries sends a voter entries after a version, as many as one message takes. One that is lost is made good by the next.
+// sendEntries sends a voter the entries after a version, as many as one message takes. resendEntries repeats those that are lost.
 func (q *Quorum) sendEntries(to uint32, after uint64) {
 	q.send(to, appendEntries{epoch: q.leader.epoch, entries: q.log.batchAfter(after)})
 }
@@ -78,20 +79,21 @@
 	}
 }
 
-// commit applies, in order, the entries that a majority has.
+// commit applies the entries that a majority has, in order.
 func (q *Quorum) commit() {
 	for len(q.log.entries) > 0 && q.log.committed < q.log.position.version {
 		if !q.isMajority(q.votersPast(q.log.committed)) {
 			return
 		}
 		q.log.committed++
-		// An effect may propose more, and have it committed: nothing of this pass is used after it.
+		// Applied may propose another command, and that may call commit: each pass of the loop reads the log anew.
 		if e, ok := q.log.entry(q.log.committed); ok {
 			q.effects.Applied(e.machine, e.tag, q.machines.Get(e.machine).Apply(e.command))
 		}
 	}
 }
 
+// votersPast counts the voters that have an entry beyond a version.
 func (q *Quorum) votersPast(version uint64) (n int) {
 	for _, name := range q.cfg.Voters {
 		if acknowledged, known := q.log.acknowledged[peerOf(name)]; known && acknowledged > version {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// Confirm needs no round of messages: while the lease lasts no other voter leads.
+// Confirm needs no round of messages: while this voter's lease lasts no other leads.
 func (q *Quorum) Confirm(now Time, tag uint64) error {
 	q.now = max(q.now, now)
 	if _, ok := q.Leading(); !ok {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// TransferLeadership gives up the lead, and stands for no election for two leases.
+// TransferLeadership gives up the lead, and is no candidate for two leases.
 func (q *Quorum) TransferLeadership(now Time) {
 	q.now = max(q.now, now)
 	q.candidate.yieldedUntil = q.now + 2*q.cfg.Lease
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -1,6 +1,6 @@
 package ownership
 
-// voterState is what a voter has promised and granted. It is kept in memory only: see Quorum.abstains.
+// voterState is what a voter has promised and granted, in memory only: see Quorum.abstains.
 type voterState struct {
 	promised uint64 // highest ballot
 	grantee  uint32 // peer that the lead was granted to last
@@ -8,17 +8,17 @@
 	grantEnd Time   // as this voter counts it
 }
 
-// mayGrantTo reports whether no other's lease lasts. A voter grants the lead to one at a time, so what a majority has granted to one no other
-// can have.
+// mayGrantTo reports whether no other's lease lasts here. A voter grants the lead to one at a time, so no two can have it from a majority.
 func (v *voterState) mayGrantTo(candidate uint32, now Time) bool {
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains reports whether an earlier process of this voter may have granted a lease that lasts, which this one does not know.
+// abstains reports whether an earlier process of this voter may have granted a lease that still lasts: this process does not know of it.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+lengthened(q.cfg.Lease)
 }
 
+// handlePrepare promises to accept no ballot below this one, unless the lease of another lasts here.
 func (q *Quorum) handlePrepare(from uint32, m prepareRequest) {
 	if q.abstains() || m.ballot <= q.voter.promised {
 		return
@@ -31,6 +31,7 @@
 	q.send(from, prepareReply{ballot: m.ballot, promised: promised, position: q.appliedPosition()})
 }
 
+// handleLeaseProposal grants the lead, unless a higher ballot was promised or the lease of another lasts.
 func (q *Quorum) handleLeaseProposal(from uint32, m leaseProposal) {
 	if q.abstains() {
 		return
@@ -46,6 +47,7 @@
 	q.send(from, leaseAccepted{epoch: m.epoch, round: m.round, position: q.log.position})
 }
 
+// handleLeaseYielded ends the lease that was granted: others may be elected at once.
 func (q *Quorum) handleLeaseYielded(from uint32, m leaseYielded) {
 	if from == q.voter.grantee && m.epoch == q.voter.epoch {
 		q.voter.grantEnd = q.now
@@ -56,8 +58,8 @@
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
 
-// follows reports whether this voter takes an epoch's commands from a process: only while what it granted lasts. A candidate that it promised
-// a ballot since would begin without them.
+// follows reports whether this voter takes an epoch's commands from a process: only while the lease lasts that it granted. Afterwards it may have
+// promised a ballot to a candidate, whose epoch would begin without these commands.
 func (q *Quorum) follows(from uint32, epoch uint64) bool {
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
 }
@@ -80,7 +82,7 @@
 	}
 }
 
-// handleAppendEntries applies what follows on this voter's state. A gap waits for the leader to send again.
+// handleAppendEntries applies the entries that continue this voter's state. Those after a gap are sent again by the leader.
 func (q *Quorum) handleAppendEntries(from uint32, m appendEntries) {
 	if !q.follows(from, m.epoch) || q.log.position.epoch != m.epoch {
 		return
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -39,12 +39,12 @@
 	return logEntry{version: r.Uint(), tag: r.Uint(), machine: byte(r.Uint()), command: r.Bytes(maxBodyBytes)}
 }
 
-// replicatedLog is how far this voter's state is and, at a leader, the last entries of its epoch with what voters have of them.
+// replicatedLog is how far this voter's state is and, at a leader, the last entries of its epoch and how far each voter has them.
 type replicatedLog struct {
 	position     logPosition // of the last entry here; a follower has applied it, a leader what is committed
 	committed    uint64      // version up to which a majority has all
 	entries      []logEntry
-	acknowledged map[uint32]uint64 // version by voter; those that have the state of the epoch
+	acknowledged map[uint32]uint64 // version that each voter has, for those with the state of the epoch
 }
 
 // reset begins an epoch at its leader.
@@ -73,12 +73,12 @@
 	return logEntry{}, false
 }
 
-// holdsAfter reports whether no entry after a version has been dropped.
+// holdsAfter reports whether the log still has all entries after a version.
 func (l *replicatedLog) holdsAfter(version uint64) bool {
 	return len(l.entries) > 0 && l.entries[0].version <= version+1
 }
 
-// batchAfter gives entries after a version, as many as one message takes and one at least.
+// batchAfter gives the entries after a version, as many as one message takes and at least one.
 func (l *replicatedLog) batchAfter(version uint64) (batch []logEntry) {
 	var encoded encoding.Writer
 	for _, e := range l.entries {
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// StoreCheckpoint asks for a checkpoint of a job to be stored. Effects.CheckpointStored reports the result; without a report it is unknown.
+// StoreCheckpoint asks for a checkpoint of a job to be stored. Effects.CheckpointStored reports the result; without a report the checkpoint may
+// or may not be stored.
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -16,14 +17,14 @@
 	return nil
 }
 
-// SendEffect sends an effect of a job to a receiver, which may be this process. The caller has asked Holds just before.
+// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller has called Holds just before.
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.send(to, effectMessage{job: job, token: token, body: body}.encode())
 }
 
-// Query asks the owner of a job, by way of the coordinator. It may be lost; Effects.ReplyReceived brings the answer.
+// Query sends a query to the owner of a job, by way of the coordinator. It may be lost. Effects.ReplyReceived gets the reply.
 func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -43,7 +44,7 @@
 	c.send(to, queryReply{tag: tag, body: body}.encode())
 }
 
-// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived brings the refusal, empty where it is accepted.
+// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived gets the refusal, empty where it is accepted.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -19,7 +19,7 @@
 // sessions are the processes that have asked for a lease in the epoch.
 type sessions map[processID]*session
 
-// ordered gives them by name, and of one name by the begin of the session.
+// ordered gives them by name, and those of one name by when they began.
 func (ss sessions) ordered() []*session {
 	out := make([]*session, 0, len(ss))
 	for _, s := range ss {
@@ -49,7 +49,7 @@
 	return last
 }
 
-// handleLeaseRequest notes the request. The lease is granted once the voters have confirmed that this process leads.
+// handleLeaseRequest queues the request until the voters have confirmed that this process leads.
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
 		if c.group != nil {
@@ -70,6 +70,7 @@
 	c.confirmation.waiting = append(c.confirmation.waiting, leaseClaim{processID: m.sender, sequence: m.sequence, claimedAt: c.now})
 }
 
+// handleJobOffer learns which jobs a process can own.
 func (c *coordinator) handleJobOffer(m jobOffer) {
 	s := c.sessions[m.sender]
 	if s == nil {
@@ -96,6 +97,7 @@
 	askedAt Time
 }
 
+// expire drops rounds that voters have not confirmed in time. Their processes ask again.
 func (l *leadershipConfirmation) expire(now, timeout Time) {
 	for tag, claims := range l.byTag {
 		if now-claims[0].claimedAt > timeout {
@@ -104,8 +106,8 @@
 	}
 }
 
-// confirmLeadership begins a round. Lease: only a confirmed leader grants one, or a deposed coordinator could keep owners alive that its
-// successor has replaced.
+// confirmLeadership begins a round. Lease: only a confirmed leader grants one; a deposed coordinator that does not know it could renew leases
+// whose jobs its successor has granted to others.
 func (c *coordinator) confirmLeadership() {
 	l := &c.confirmation
 	if len(l.waiting) == 0 || c.now-l.askedAt < confirmInterval {
@@ -115,7 +117,7 @@
 	claims := l.waiting
 	l.waiting = nil
 	if c.table.uncertain {
-		return // owners are to stop: their jobs may be missing from the table
+		return // no lease is renewed: its holder's jobs may be missing from the table
 	}
 	tag := c.nextTag()
 	l.byTag[tag] = claims
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -17,7 +17,7 @@
 	return c.step(from, m)
 }
 
-// deliverToSelf takes the messages that this process has sent itself, once the current step is done.
+// deliverToSelf handles the messages that this process has sent to itself, once the current step is done.
 func (c *Core) deliverToSelf() {
 	if c.delivering {
 		return
@@ -33,21 +33,15 @@
 
 // step hands a message to the role that it is for.
 func (c *Core) step(from uint32, m message) error {
+	if sender, named := senderOf(m); named && peerOf(sender.name) != from {
+		return fmt.Errorf("%w: %q from peer %08x", ErrForeignSender, sender.name, from)
+	}
 	switch m := m.(type) {
 	case leaseRequest:
-		if peerOf(m.sender.name) != from {
-			return foreignSender(m.sender, from)
-		}
 		c.coordinator.handleLeaseRequest(from, m)
 	case jobOffer:
-		if peerOf(m.sender.name) != from {
-			return foreignSender(m.sender, from)
-		}
 		c.coordinator.handleJobOffer(m)
 	case jobReleased:
-		if peerOf(m.sender.name) != from {
-			return foreignSender(m.sender, from)
-		}
 		c.coordinator.handleJobReleased(m)
 	case storeCheckpoint:
 		c.coordinator.handleStoreCheckpoint(from, m)
@@ -75,11 +69,20 @@
 	return nil
 }
 
-func foreignSender(sender processID, from uint32) error {
-	return fmt.Errorf("%w: %q from peer %08x", ErrForeignSender, sender.name, from)
+// senderOf gives the process that a message names as its sender, if it names one.
+func senderOf(m message) (sender processID, named bool) {
+	switch m := m.(type) {
+	case leaseRequest:
+		return m.sender, true
+	case jobOffer:
+		return m.sender, true
+	case jobReleased:
+		return m.sender, true
+	}
+	return processID{}, false
 }
 
-// handleEffect is the receiver's part. Fencing: only what the fence accepts is carried out.
+// handleEffect is the receiver's part. Fencing: only an effect that the fence accepts is carried out.
 func (c *Core) handleEffect(from uint32, m effectMessage) {
 	verdict, highest := c.fence.Check(m.job, m.token)
 	switch verdict {
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -22,11 +22,12 @@
 	Owner            string // member name; "": none
 	Incarnation      uint64 // of the owner's process
 	CheckpointNumber uint64 // of Checkpoint; only rises
-	Checkpoint       []byte // what its owners pass on to the next one
+	Checkpoint       []byte // for the next owner
 	ChangedAt        int64  // wall clock of the last change, Unix milliseconds
-	Reason           string // of the last change
+	Reason           string // text of the last change: see reasons.go
 }
 
+// storeCheckpoint stores a checkpoint, unless a later one is stored already.
 func (r *JobRecord) storeCheckpoint(number uint64, checkpoint []byte) bool {
 	if number <= r.CheckpointNumber {
 		return false
@@ -62,8 +63,8 @@
 	return rows
 }
 
-// MarkUncertain says that later commands may be missing from the table. All owners are cleared, and the coordinator grants nothing
-// until every lease that the lost commands may have led to has ended.
+// MarkUncertain says that committed commands may be missing from the table. All owners are cleared, and the coordinator grants nothing until
+// every lease has ended that a lost command may have led to.
 func (t *Table) MarkUncertain() {
 	t.uncertain = true
 	t.Version++
@@ -126,7 +127,7 @@
 	}
 }
 
-// Restore replaces the table by a snapshot. A torn one, or one of another version, changes nothing.
+// Restore replaces the table by a snapshot. A truncated one, or one of another version, changes nothing.
 func (t *Table) Restore(snapshot []byte) error {
 	r := encoding.Reader{Data: snapshot}
 	if v := r.Uint(); v != tableVersion {
