--- /dev/null
+++ b/internal/fleet/owneragent/harness_test.go
@@ -0,0 +1,103 @@
+package owneragent
+
+import (
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/fleet/consensus"
+	"croftlock/internal/fleet/consensus/disk"
+	"croftlock/internal/fleet/group"
+	"croftlock/internal/fleet/memberagent"
+)
+
+// testVoter stands for package replica's, which can't be used here: it is built on this package.
+type testVoter struct{ *consensus.Core }
+
+func (v testVoter) Stopped() *group.StoreError {
+	if err := v.Failure(); err != nil {
+		return &group.StoreError{Err: err}
+	}
+	return nil
+}
+
+func openTestVoter(o VoterOptions) (Voter, *group.StoreError) {
+	store, err := disk.Open(filepath.Join(o.Dir, "voter.db"), o.MaxBytes)
+	if err != nil {
+		return nil, &group.StoreError{Err: err}
+	}
+	core, err := consensus.Open(consensus.Config{Group: o.Group, Name: o.Name, InitialVoters: o.Voters, Seed: o.Seed}, store, o.Machines, o.Effects)
+	if err != nil {
+		return nil, &group.StoreError{Err: err}
+	}
+	return testVoter{core}, nil
+}
+
+func TestMain(m *testing.M) {
+	OpenVoter = openTestVoter
+	os.Exit(m.Run())
+}
+
+// freeAddress gives an address of UDP that nobody listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	return conn.LocalAddr().String()
+}
+
+// startAlone starts one process, the only voter of its group.
+func startAlone(t *testing.T, o Options) *Agent {
+	t.Helper()
+	addr := freeAddress(t)
+	loop := netio.NewLoop()
+	go loop.Run()
+	t.Cleanup(loop.Stop)
+	var agent *Agent
+	started := make(chan error, 1)
+	loop.Post(func() {
+		memberOptions := memberagent.Options{Enabled: true, Fleet: "f", Listen: addr, Peers: []string{addr}}
+		members, err := memberagent.Start(loop, memberOptions, "a", time.Now(), memberagent.Platform{})
+		if err != nil {
+			started <- err
+			return
+		}
+		o.Enabled, o.Group, o.Voters, o.MaxStoreKB = true, "g", []string{"a"}, 8192
+		agent, err = Start(loop, o, "a", members, func([]string) {})
+		started <- err
+	})
+	if err := <-started; err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		done := make(chan struct{})
+		loop.Post(func() { agent.Stop(); close(done) })
+		<-done
+	})
+	return agent
+}
+
+// reportOf gives the agent's report, as operators get it.
+func reportOf(t *testing.T, a *Agent) (r Reply) {
+	t.Helper()
+	if !a.onWorker(func() { a.report(&r) }) {
+		t.Log("the worker is busy: no report")
+	}
+	return r
+}
+
+// eventually waits for a condition; timedOut says what is wrong if it does not come to hold.
+func eventually(t *testing.T, timedOut string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal(timedOut)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/owneragent/options_test.go
@@ -0,0 +1,57 @@
+package owneragent
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/operations/settings"
+)
+
+// TestSection: an invalid section names what is wrong, as does one that refers to what is not there.
+func TestSection(t *testing.T) {
+	schema := settings.Schema{memberagent.Section(), Section()}
+	path := filepath.Join(t.TempDir(), "f.sexp")
+	for text, want := range map[string]string{
+		`(owners (on on))`:                                       "no voters",
+		`(owners (on on) (voters "a a"))`:                        "names",
+		`(owners (on on) (voters "a b c d e f g h"))`:            "names",
+		`(owners (on on) (voters "a") (most_kb 12))`:             "most_kb",
+		`(owners (on on) (voters "a") (pace -1))`:                "pace",
+		`(owners (on on) (voters "a") (something 1))`:            "something",
+		`(owners (on on) (voters "a b c") (hosts on) (drill 3))`: "",
+	} {
+		os.WriteFile(path, []byte(text), 0o600)
+		if _, err := schema.Load(path); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: got %v, want %q", text, err, want)
+		}
+	}
+	on := memberagent.Options{Enabled: true}
+	for _, c := range []struct {
+		name    string
+		options Options
+		members memberagent.Options
+		want    string // part of the error; "": none
+	}{
+		{"off", Options{}, memberagent.Options{}, ""},
+		{"without membership", Options{Enabled: true}, memberagent.Options{}, "need membership"},
+		{"no such folder", Options{Enabled: true, Dir: "/nowhere/at/all"}, on, "dir"},
+		{"a file for a folder", Options{Enabled: true, Dir: path}, on, "no folder"},
+		{"a folder", Options{Enabled: true, Dir: filepath.Dir(path)}, on, ""},
+	} {
+		if err := c.options.Check(c.members); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
+		}
+	}
+}
+
+// TestProgramWithoutVoters: a program without voters on disk rejects a file with dir, and names the program that has them.
+func TestProgramWithoutVoters(t *testing.T) {
+	OpenVoter = nil
+	defer func() { OpenVoter = openTestVoter }()
+	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{Enabled: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
+		t.Error(err)
+	}
+}
--- a/internal/fleet/owneragent/recorded_test.go
+++ b/internal/fleet/owneragent/recorded_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedReplies: what operators' commands ask and are answered at the socket has the bytes that it had.
+// TestRecordedReplies: requests and replies at the admin socket have the recorded bytes.
 func TestRecordedReplies(t *testing.T) {
 	var lines bytes.Buffer
 	for _, v := range []any{
--- a/internal/fleet/owneragent/worker_test.go
+++ b/internal/fleet/owneragent/worker_test.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
+// TestWorker: the worker opens, serves calls, ticks, and closes once it is stopped.
 func TestWorker(t *testing.T) {
 	w := newWorker()
 	opened, closed, ticked := false, false, make(chan struct{}, inboxSize)
 	go w.run(func() { opened = true }, func() { ticked <- struct{}{} }, func() { closed = true })
 	ran := false
 	if !w.call(func() { ran = true }, 10*time.Second) || !ran || !opened {
-		t.Error("a call does not run")
+		t.Error("a call did not run, or before the worker was opened")
 	}
 	<-ticked
 	w.stop()
 	w.stop()
 	if !closed || !w.stopping() || w.call(func() {}, 10*time.Second) {
-		t.Error("a stopped worker works on")
+		t.Error("a stopped worker was not closed, or runs a call")
 	}
 }
 
-// TestBusyWorker: calls end in time, what does not fit the inbox is dropped, and stop does not wait for ever.
+// TestBusyWorker: behind a function that hangs calls time out, functions beyond the inbox are dropped, and stop does not wait for it.
 func TestBusyWorker(t *testing.T) {
 	w := newWorker()
-	hangs, release := make(chan struct{}), make(chan struct{})
+	hanging, release := make(chan struct{}), make(chan struct{})
 	go w.run(func() {}, func() {}, func() {})
-	w.post(func() { close(hangs); <-release })
-	<-hangs
+	w.post(func() { close(hanging); <-release })
+	<-hanging
 	if w.call(func() {}, 10*time.Millisecond) {
-		t.Error("a call behind one that hangs ends")
+		t.Error("a call behind a function that hangs is reported as done")
 	}
 	for range 2 * inboxSize {
 		w.post(func() {})
 	}
 	if len(w.inbox) != inboxSize {
-		t.Errorf("%d in the inbox, its size is %d", len(w.inbox), inboxSize)
+		t.Errorf("%d functions in the inbox, want %d", len(w.inbox), inboxSize)
 	}
 	w.stop()
 	close(release)
