--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -8,26 +8,26 @@
 // drillCheckpointEvery is how many numbers lie between two checkpoints of a drill.
 const drillCheckpointEvery = 10
 
-// Drill is a job that only sends every proxy a number: with it operators try the fleet's owners before anything rests on them.
+// Drill is a job that only sends a rising number to every proxy. Operators use it to try the fleet's owners before anything depends on them.
 type Drill struct {
 	Interval Time // between two numbers
 	// Received is called with each effect at this process; nil: it is not.
 	Received func(token ownership.FencingToken)
-	// Late, once set, is called in the next step after the look at the lease and before the effects are sent: whatever happens in between,
-	// receivers have to reject what comes late.
-	Late func()
+	// BeforeSend, if set, is called once, between the check of the lease and the sending of the next effects. Whatever it does, receivers have to
+	// reject effects that come after a later owner's.
+	BeforeSend func()
 
 	owner  Owner
 	number uint64
 	sentAt Time
 }
 
-// uncheckedSender is an Owner that sends an effect without another look at the lease.
+// uncheckedSender is an Owner that can send an effect without checking the lease again.
 type uncheckedSender interface {
 	SendEffectUnchecked(to uint32, number uint64, body []byte)
 }
 
-// Start goes on from the last number.
+// Start continues from the last number.
 func (d *Drill) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
 	d.owner, d.number, d.sentAt = o, checkpointNumber, now
 	return nil
@@ -40,7 +40,7 @@
 	}
 	d.sentAt = now
 	d.number++
-	send := d.beLate()
+	send := d.callBeforeSend()
 	for _, m := range d.owner.Members() {
 		send(m.Peer, d.number, nil)
 	}
@@ -49,18 +49,18 @@
 	}
 }
 
-// beLate calls Late, once, and gives what to send with.
-func (d *Drill) beLate() (send func(to uint32, number uint64, body []byte)) {
+// callBeforeSend calls BeforeSend, if it is set, and gives the function to send with.
+func (d *Drill) callBeforeSend() (send func(to uint32, number uint64, body []byte)) {
 	send = d.owner.SendEffect
-	if d.Late == nil {
+	if d.BeforeSend == nil {
 		return send
 	}
 	if u, ok := d.owner.(uncheckedSender); ok {
 		send = u.SendEffectUnchecked
 	}
-	late := d.Late
-	d.Late = nil
-	late()
+	beforeSend := d.BeforeSend
+	d.BeforeSend = nil
+	beforeSend()
 	return send
 }
 
@@ -69,14 +69,14 @@
 	return w.Uint(d.number).Data
 }
 
-// Stop ends the owner's part.
+// Stop ends the owner's part. The checkpoint is a number above all that were sent.
 func (d *Drill) Stop() (uint64, []byte) {
 	d.owner = nil
 	d.number++
 	return d.number, d.checkpoint()
 }
 
-// QueryReceived does nothing: a drill is not asked.
+// QueryReceived does nothing: a drill takes no queries.
 func (d *Drill) QueryReceived(Time, uint32, uint64, []byte) {}
 
 // EffectAcknowledged does nothing.
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// adminCommands are what operators may ask, by Request.Command.
+// adminCommands are the requests that operators may make, by Request.Command.
 var adminCommands = map[string]func(a *Agent, q Request) Reply{
 	"owners":  (*Agent).adminReport,
 	"status":  (*Agent).adminReport,
@@ -29,13 +29,13 @@
 }
 
 const (
-	// queryRetryInterval is how soon a query about rules without a reply is repeated.
+	// queryRetryInterval is the time after which a query about rules without a reply is sent again.
 	queryRetryInterval = 200 * time.Millisecond
 
 	rulesOff = "refused: (owners (rules on)) is not set"
 )
 
-// Replies to requests that could not be carried out, or may not have been.
+// Replies to requests that were not carried out, or of which that is not known. Their bytes are recorded.
 var (
 	replyBusy    = Reply{Error: "this proxy is too busy, or its disk hangs: ask again"}
 	replyUnknown = Reply{Error: "unknown: no owner has answered; what was asked may or may not have been done. Ask again: twice is as once"}
@@ -49,7 +49,7 @@
 	return command(a, q)
 }
 
-// onWorker has f run on the worker, and waits; false: it did not end in time.
+// onWorker runs f on the worker and waits for it; false: it has not returned in time.
 func (a *Agent) onWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
 
 func (a *Agent) adminReport(Request) (r Reply) {
@@ -59,8 +59,8 @@
 	return r
 }
 
-// adminDelayDrill has a drill stop its own process in its next turn: after the look at its lease, before it sends. A SIGSTOP from outside can't
-// be placed there.
+// adminDelayDrill has a drill stop its own process (SIGSTOP) at its next step, between the check of its lease and the sending of its effects. From
+// outside a signal can't be timed so. Fencing has to reject what it sends once it is continued.
 func (a *Agent) adminDelayDrill(q Request) (r Reply) {
 	if !a.onWorker(func() {
 		drill, ok := a.jobs.byName[q.Argument].(*jobs.Drill)
@@ -68,7 +68,7 @@
 			r.Error = "only an owner of a drill can be late"
 			return
 		}
-		drill.Late = func() { syscall.Kill(os.Getpid(), syscall.SIGSTOP) }
+		drill.BeforeSend = func() { syscall.Kill(os.Getpid(), syscall.SIGSTOP) }
 		r.Answer = "its next turn is a late one"
 	}) {
 		return replyBusy
@@ -83,6 +83,7 @@
 	return Reply{Answer: a.rules.enforcer.Explain(*q.Explain)}
 }
 
+// adminMoveJob asks the coordinator to hand a job over. An answer that is not empty is its refusal.
 func (a *Agent) adminMoveJob(q Request) Reply {
 	answer, failed := a.queryOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
 	switch {
@@ -94,6 +95,7 @@
 	return Reply{Answer: "its owner is asked for it"}
 }
 
+// adminSuspendedHosts passes suspend, resume and list on to the owner of the hosts' job.
 func (a *Agent) adminSuspendedHosts(q Request) Reply {
 	command := jobs.SuspendCommand(q.Command == "suspend", q.Argument)
 	if q.Command == "list" {
@@ -112,8 +114,8 @@
 	return Reply{Answer: answer}
 }
 
-// adminRules brings a question to the coordinator of rules. It is repeated until it is answered: an owner that ends, or one that is just taking
-// over, may lose it, and asking twice is as asking once.
+// adminRules sends a query to the publisher of rules, again and again until it is answered: an owner that ends or is just starting may lose it.
+// The publisher treats a repeated query as the first one.
 func (a *Agent) adminRules(q Request) Reply {
 	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, q.Rules) }
 	answer, failed := a.queryOwner(func(tag uint64) {
@@ -132,8 +134,8 @@
 	return Reply{Answer: rules.DecodeReply(answer)}
 }
 
-// queryOwner sends a query by send and waits for its reply; where there is none, failed says why. retry sends it again until it is
-// answered; nil: it is sent once.
+// queryOwner sends a query by send and waits for the reply; failed is the answer to the operator where there is none. retry, if not nil, sends
+// the query again each queryRetryInterval.
 func (a *Agent) queryOwner(send, retry func(tag uint64)) (answer string, failed *Reply) {
 	answers := make(chan string, 1)
 	var tag uint64
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -16,7 +16,7 @@
 	Argument       string `json:"a,omitempty"` // its first argument
 	SecondArgument string `json:"b,omitempty"` // its second
 
-	Rules   []byte             `json:"rules,omitempty"`   // a question to the coordinator of rules
+	Rules   []byte             `json:"rules,omitempty"`   // a query to the publisher of rules
 	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
 }
 
@@ -26,14 +26,14 @@
 	// replyMargin is what a connection has beyond it, to write the reply.
 	replyMargin   = time.Second
 	dialTimeout   = 2 * time.Second
-	maxConcurrent = 8
+	maxConcurrent = 8 // connections
 )
 
-// adminSocket serves operators at a Unix socket. Its goroutines end with the listener, and with the deadlines of their connections.
+// adminSocket serves operators at a Unix socket. The accepting goroutine ends with the listener, those of connections with their deadlines.
 type adminSocket struct {
 	listener net.Listener
 	handle   func(Request) Reply
-	slots    chan struct{} // one a connection
+	slots    chan struct{} // holds one value for each connection
 }
 
 // listenAdmin serves at a Unix socket that only the user of this process may use.
@@ -49,7 +49,7 @@
 
 func (s *adminSocket) close() { s.listener.Close() }
 
-// accept closes connections beyond the bound at once.
+// accept serves each connection; those beyond maxConcurrent are closed at once.
 func (s *adminSocket) accept() {
 	for {
 		c, err := s.listener.Accept()
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -16,7 +16,7 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Agent is one process's part. Its exported methods belong to the event loop; of the fields those under "worker" belong to the worker.
+// Agent is one process's part. Its exported methods are called on the event loop. The fields under "worker" are used on the worker only.
 type Agent struct {
 	options     Options
 	name        string
@@ -42,10 +42,10 @@
 	counts          Counts
 }
 
-// Counts are what a process has done and met.
+// Counts are what has happened in a process since its start.
 type Counts struct {
 	Taken     int `json:"Taken"`     // effects accepted here
-	Again     int `json:"Again"`     // always 0; kept for those who read the JSON
+	Again     int `json:"Again"`     // always 0; the JSON of earlier versions has it
 	Refused   int `json:"Refused"`   // stale effects rejected here
 	Sent      int `json:"Sent"`      // effects of jobs owned here
 	Panics    int `json:"Panics"`    // of jobs
@@ -58,7 +58,7 @@
 // viewInterval is how often the worker learns who is in the fleet.
 const viewInterval = 250 * time.Millisecond
 
-// Start begins. applySuspended carries out, on the loop, which hosts are suspended for the whole fleet.
+// Start starts the agent. applySuspended is called on the loop with the hosts that are suspended for the whole fleet, at each change.
 func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, applySuspended func(hosts []string)) (*Agent, error) {
 	if m == nil {
 		return nil, ErrMembershipOff
@@ -103,7 +103,7 @@
 	}
 }
 
-// now is the worker's monotonic clock, above 0.
+// now is the monotonic clock that decisions go by; above 0.
 func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
 
 // refreshView passes the members of the fleet to the worker, from the loop, until the worker stops.
@@ -121,7 +121,7 @@
 	return m.Name == "" || m.State == "left" || m.State == "gone"
 }
 
-// presentMembers are those that have not left, with this process at the end.
+// presentMembers are the members that have not left, and this process, at the end.
 func (a *Agent) presentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
 	for _, m := range view {
 		if !departed(m) {
@@ -132,7 +132,7 @@
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// unheardMembers counts, by name, how many members can't hear a member.
+// unheardMembers counts, for each member, by how many others it is not heard.
 func (a *Agent) unheardMembers(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
@@ -154,7 +154,7 @@
 	return unheard
 }
 
-// openGroup opens the group, on the worker: it may wait for a disk.
+// openGroup opens the group, and makes the Core at the first time. It runs on the worker, since it may wait for a disk.
 func (a *Agent) openGroup() {
 	a.replica.open()
 	if a.core != nil {
@@ -170,7 +170,7 @@
 	a.core = core
 }
 
-// tick is the worker's turn.
+// tick runs on the worker each tickInterval.
 func (a *Agent) tick() {
 	now := a.now()
 	if a.replica.closeIfStopped() {
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -24,7 +24,7 @@
 	return c.agent.jobs.stop(job, token, reason)
 }
 
-// Effect carries out what a job's owner has sent.
+// Effect passes an effect of a job's owner to the receiver's part here.
 func (c coreEffects) Effect(job string, token ownership.FencingToken, body []byte) {
 	c.agent.counts.Taken++
 	c.agent.jobs.recoverJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
@@ -38,7 +38,7 @@
 	c.agent.jobs.recoverOwnedJob(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
 
-// CheckpointStored passes the result to the job.
+// CheckpointStored passes the result to the job, if it is still owned under that token.
 func (c coreEffects) CheckpointStored(job string, token, checkpointNumber uint64, stored bool) {
 	if c.agent.jobs.owned[job] == token {
 		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
@@ -53,7 +53,7 @@
 	}
 }
 
-// ReplyReceived passes an answer to the asker.
+// ReplyReceived passes a reply to whoever sent the query.
 func (c coreEffects) ReplyReceived(tag uint64, body []byte) { c.agent.queries.replyReceived(tag, body) }
 
 // LogEvent counts stale effects and logs them as warnings, other events at level info.
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// step gives each job that is owned here its turn.
+// step gives each job that is owned here its turn. Lease: the check comes before each one, since the one before may have taken long.
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
 		if token, owns := r.owned[name]; owns && r.agent.core.Holds(now, name, token) {
@@ -73,7 +73,7 @@
 	return checkpointNumber, checkpoint
 }
 
-// recoverJob runs a job's code. One that panics while it is owned under token is released; 0: it is not owned.
+// recoverJob runs a job's code. A panic is logged, and releases the job if it is owned under token; token 0: the code is not an owner's.
 func (r *jobRunner) recoverJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// recoverOwnedJob is recoverJob for a job that is owned here; another is not run.
+// recoverOwnedJob is recoverJob for the owner's code of a job: it is not run where the job is not owned.
 func (r *jobRunner) recoverOwnedJob(name string, f func(j jobs.Job)) {
 	if token, owns := r.owned[name]; owns {
 		r.recoverJob(name, token, f)
@@ -119,7 +119,7 @@
 	o.SendEffectUnchecked(to, number, body)
 }
 
-// SendEffectUnchecked is SendEffect without another look at the lease: drills show by it that receivers reject a stale owner.
+// SendEffectUnchecked is SendEffect without the check of the lease: with it drills show that receivers reject a stale owner.
 func (o jobOwner) SendEffectUnchecked(to uint32, number uint64, body []byte) {
 	o.agent.core.SendEffect(o.agent.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
 }
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// leaveTimeout bounds the wait of a process that ends for the coordinator to have its jobs back.
+	// leaveTimeout bounds how long a process that shuts down waits until the coordinator has taken its jobs back.
 	leaveTimeout = 200 * time.Millisecond
-	// leavePollInterval is how often the wait looks while nothing arrives.
+	// leavePollInterval is the time between two checks while no message arrives.
 	leavePollInterval = 5 * time.Millisecond
 )
 
-// departure is the way out of the fleet. It belongs to the loop.
+// departure is the state of leaving the fleet. It belongs to the loop.
 type departure struct {
 	waiting []func() // to be called once this process has left; nil: it is not leaving
 	left    bool
 }
 
-// Leave releases all jobs and the lead, and calls done on the loop once others have them or leaveTimeout has passed. Stop only stops this
-// process's part.
+// Leave releases all jobs and the lead, then stops the agent and calls done on the loop: once the coordinator has taken the jobs back, or after
+// leaveTimeout. Stop stops without releasing anything.
 func (a *Agent) Leave(done func()) {
 	if a == nil || a.departure.left {
 		done()
 		return
 	}
-	// A process that has handed over is ended next, and must not cut off what it is about to say: all wait for the first.
+	// A process that hands over calls Leave, and again as it shuts down. The second call must not end the first one's release: both wait for it.
 	first := a.departure.waiting == nil
 	a.departure.waiting = append(a.departure.waiting, done)
 	if !first {
@@ -46,11 +46,11 @@
 	}
 }
 
-// awaitRelease works on until the coordinator has the jobs back, on the worker.
+// awaitRelease runs the worker's functions until the coordinator has taken the jobs back. It runs on the worker.
 func (a *Agent) awaitRelease() {
 	if a.core.HasLeft() {
 		a.core.TransferLeadership(a.now())
-		time.Sleep(leavePollInterval) // for the loop to send what has just been posted to it
+		time.Sleep(leavePollInterval) // the loop has to send the messages that were just posted to it
 		a.loop.Post(a.finishLeaving)
 		return
 	}
@@ -63,7 +63,7 @@
 	a.worker.post(a.awaitRelease)
 }
 
-// Stop ends this process's part, and lets go of the store.
+// Stop stops the agent and closes the store.
 func (a *Agent) Stop() {
 	if a == nil || a.worker.stopping() {
 		return
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -10,8 +10,8 @@
 	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(permits, migrationsJob, tag, body) }
 }
 
-// RequestMigrations asks how many of so many clients may be migrated now; then is called on the loop with the number, or at once where
-// migrations are not paced.
+// RequestMigrations asks how many of want clients may be migrated now. then is called with the number on the loop; at once where migrations are
+// not paced.
 func (a *Agent) RequestMigrations(want int, then func(allowed int)) {
 	if a == nil || a.migrationPacer == nil {
 		then(want)
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -20,7 +20,7 @@
 	Enabled         bool
 	Group           string   // name of the group of voters; messages of others are rejected; default croftlock
 	Voters          []string // names of those that vote, the same list everywhere
-	Dir             string   // folder of a voter's store; "": voters go by memory
+	Dir             string   // folder of a voter's store; "": voters keep their state in memory
 	MaxStoreKB      int      // bound of that store, KiB; default 8192
 	SuspendHosts    bool     // hosts can be suspended for the whole fleet
 	MigrationRate   int      // migrations a second over the whole fleet; 0: not paced
--- a/internal/fleet/owneragent/options_test.go
+++ b/internal/fleet/owneragent/options_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// TestSection: an invalid section names what is wrong, as does one that refers to what is not there.
+// TestSection: the error of an invalid section names what is wrong.
 func TestSection(t *testing.T) {
 	schema := settings.Schema{memberagent.Section(), Section()}
 	path := filepath.Join(t.TempDir(), "f.sexp")
@@ -28,6 +28,15 @@
 			t.Errorf("%s: got %v, want %q", text, err, want)
 		}
 	}
+}
+
+// TestCheck: the error of a section that refers to something missing names it.
+func TestCheck(t *testing.T) {
+	folder := t.TempDir()
+	file := filepath.Join(folder, "file")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	on := memberagent.Options{Enabled: true}
 	for _, c := range []struct {
 		name    string
@@ -38,8 +47,8 @@
 		{"off", Options{}, memberagent.Options{}, ""},
 		{"without membership", Options{Enabled: true}, memberagent.Options{}, "need membership"},
 		{"no such folder", Options{Enabled: true, Dir: "/nowhere/at/all"}, on, "dir"},
-		{"a file for a folder", Options{Enabled: true, Dir: path}, on, "no folder"},
-		{"a folder", Options{Enabled: true, Dir: filepath.Dir(path)}, on, ""},
+		{"a file for a folder", Options{Enabled: true, Dir: file}, on, "no folder"},
+		{"a folder", Options{Enabled: true, Dir: folder}, on, ""},
 	} {
 		if err := c.options.Check(c.members); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -3,7 +3,7 @@
 // maxPendingQueries is how many later queries are sent before one without a reply is dropped.
 const maxPendingQueries = 64
 
-// queries are those to owners of jobs that wait for a reply. Each source has its own tags; on the wire a query has a tag of this process.
+// queries are the queries to owners of jobs that wait for a reply. Each source counts its own tags; on the wire a query has a tag of this process.
 type queries struct {
 	agent     *Agent
 	lastTag   uint64
@@ -28,28 +28,29 @@
 
 // newSource adds a source, before the worker starts.
 func (q *queries) newSource(deliver func(tag uint64, body []byte)) *querySource {
-	k := &querySource{tags: map[uint64]uint64{}, deliver: deliver}
-	q.sources = append(q.sources, k)
-	return k
+	source := &querySource{tags: map[uint64]uint64{}, deliver: deliver}
+	q.sources = append(q.sources, source)
+	return source
 }
 
 // send sends a query of a source to the owner of a job.
-func (q *queries) send(k *querySource, job string, ownTag uint64, body []byte) {
+func (q *queries) send(source *querySource, job string, ownTag uint64, body []byte) {
 	tag := q.nextTag()
-	k.tags[tag] = ownTag
-	for t := range k.tags {
-		if t+maxPendingQueries < tag {
-			delete(k.tags, t)
+	source.tags[tag] = ownTag
+	for earlier := range source.tags {
+		if earlier+maxPendingQueries < tag {
+			delete(source.tags, earlier)
 		}
 	}
 	q.agent.core.Query(q.agent.now(), job, tag, body)
 }
 
+// replyReceived gives a reply to the source or operator that waits for it. One that nobody waits for is dropped.
 func (q *queries) replyReceived(tag uint64, body []byte) {
-	for _, k := range q.sources {
-		if ownTag, asked := k.tags[tag]; asked {
-			delete(k.tags, tag)
-			k.deliver(ownTag, body)
+	for _, source := range q.sources {
+		if ownTag, pending := source.tags[tag]; pending {
+			delete(source.tags, tag)
+			source.deliver(ownTag, body)
 			return
 		}
 	}
@@ -64,9 +65,9 @@
 }
 
 func (q *queries) answerOperator(tag uint64, answer string) {
-	if ch := q.operators[tag]; ch != nil {
+	if waiting := q.operators[tag]; waiting != nil {
 		delete(q.operators, tag)
-		ch <- answer
+		waiting <- answer
 	}
 }
 
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// grantLifetime is how long what an issuer hands out holds.
+	// grantLifetime is how long what an issuer grants may be used.
 	grantLifetime = time.Second
-	// acquireTimeout is a little longer than a request waits for an issuer's answer.
+	// acquireTimeout is a little longer than a request waits for an issuer's reply.
 	acquireTimeout = 110 * time.Millisecond
 )
 
-// quotaSharing is this process's part in limits of accounts over the whole fleet. Without agreed rules there are none.
+// quotaSharing is this process's part in the limits of accounts over the whole fleet. They come with the rules: without rules it is off.
 type quotaSharing struct {
 	client    *quota.Client // nil: off
 	steppedAt int64
@@ -49,7 +49,7 @@
 // IsLimited reports whether an account has limits over the fleet.
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
-// Acquire asks for one more connection of an account; then is called on the loop.
+// Acquire asks for one more connection of an account. then is called on the loop with the limit that is exceeded, if any, and a Retry-After.
 func (a *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
 	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // ends the wait of those that no issuer has answered
 	a.quota.client.Acquire(account, spread, func(over string, advice time.Duration) {
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// storeRetryDelay is the time until a store that had no room is opened again.
+	// storeRetryDelay is the time until a store that failed for want of room is opened again.
 	storeRetryDelay = 5 * time.Second
-	// storeInUseDelay is the same for a store that another process has open: the one that this process replaces.
+	// storeInUseDelay is the same for a store that another process has open: usually the one that this process replaces.
 	storeInUseDelay = 200 * time.Millisecond
 
 	// epochZero is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave room for tokens.
@@ -46,7 +46,7 @@
 // OpenVoter opens a voter with a disk; nil in a program that has none. It is set once, before anything is started.
 var OpenVoter func(VoterOptions) (Voter, *group.StoreError)
 
-// ErrNoVoters is returned where a program without a store of votes is to keep some.
+// ErrNoVoters is returned where the section has a dir and this program is built without voters on disk.
 var ErrNoVoters = errors.New("this program keeps no votes on a disk: croftlock-voter does; or leave dir out, and voters go by memory")
 
 // replica is this process's part of the replicated group, with its store and the retry of its opening. Processes that do not vote have no group.
@@ -59,13 +59,14 @@
 	group   ownership.Group // nil: none
 	voter   Voter           // the same, where it has a disk; nil: it has none
 	failure string          // why the store can't be used; "": it can
-	retryAt time.Time       // zero: not before a restart
+	retryAt time.Time       // when it is opened again; zero: not before a restart
 }
 
 func newReplica(o Options, name string, table *ownership.Table, effects group.Effects) *replica {
 	return &replica{options: o, name: name, table: table, effects: effects}
 }
 
+// open opens this process's part of the group, if it is a voter.
 func (r *replica) open() {
 	r.group, r.voter, r.failure = nil, nil, ""
 	seed := uint64(time.Now().UnixNano())
@@ -103,7 +104,7 @@
 	r.group, r.voter = v, v
 }
 
-// closeIfStopped gives up a voter that can't go on, and reports whether it did.
+// closeIfStopped closes a voter that can't go on, and reports whether it did.
 func (r *replica) closeIfStopped() bool {
 	if r.voter == nil {
 		return false
@@ -124,7 +125,7 @@
 	}
 }
 
-// fail notes why there is no voter. A store without room, or in use, is retried; any other waits for a restart.
+// fail records why there is no voter. A store without room, or in use, is opened again later; after any other failure only by a restart.
 func (r *replica) fail(err *group.StoreError) {
 	r.failure = err.Error()
 	if err.InUse {
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -12,9 +12,9 @@
 // Rules is the part of the section (owners ...) on rules that the fleet agrees on.
 type Rules struct {
 	Enabled     bool
-	AgreeWithin time.Duration // once any proxy acts on a newer rule, none acts on one that it contradicts for longer; default 3 s
+	AgreeWithin time.Duration // bound on how long two proxies act by rules that contradict each other; default 3 s
 	WhenCut     string        // what a proxy does whose lease has lapsed: refuse (default) or keep
-	MaxEntries  int           // entries that this proxy takes
+	MaxEntries  int           // of a version that this proxy accepts
 }
 
 func (r *Rules) bind(f *settings.Form) {
@@ -28,7 +28,7 @@
 // lapseFaultFactor is how much longer rules hold with FaultInjection.ExtendRulesLease.
 const lapseFaultFactor = 10
 
-// ruleAgreement is this process's part in the agreement on rules. Where the section has them off it is empty.
+// ruleAgreement is this process's part in the agreement on rules; the zero value where the section has them off.
 type ruleAgreement struct {
 	enforcer  *rules.Enforcer // nil: off
 	member    *rules.Member
@@ -48,7 +48,7 @@
 	}
 }
 
-// addRules makes the enforcer, the member and the coordinator's job, before the worker starts.
+// addRules makes the enforcer, the member and the publisher's job, before the worker starts.
 func (a *Agent) addRules() {
 	o := a.options.Rules
 	if !o.Enabled {
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -6,10 +6,10 @@
 	"log/slog"
 )
 
-// carrierID says to membership whose data a datagram carries.
+// carrierID marks, for membership, the datagrams whose data is for this package.
 const carrierID = 1
 
-// The first byte of a message says whom it is for.
+// Addressees: the first byte of a message.
 const (
 	forGroup = 1
 	forCore  = 2
@@ -32,7 +32,7 @@
 	}
 }
 
-// receiveMessage passes a whole message on.
+// receiveMessage passes a complete message on.
 func (a *Agent) receiveMessage(peer uint32, data []byte) error {
 	switch data[0] {
 	case forGroup:
@@ -55,7 +55,7 @@
 	t.agent.loop.Post(func() { t.agent.members.Carry(peer, carrierID, copied) })
 }
 
-// Message takes a whole message; the first that is rejected is logged.
+// Message takes a complete message; the first that is rejected is logged.
 func (t transportEffects) Message(peer uint32, data []byte) {
 	if len(data) == 0 {
 		return
--- a/internal/fleet/owneragent/worker.go
+++ b/internal/fleet/owneragent/worker.go
@@ -8,7 +8,7 @@
 const (
 	tickInterval = 100 * time.Millisecond
 	inboxSize    = 256
-	// stopTimeout bounds the wait for a worker whose disk hangs: it must not hold the process.
+	// stopTimeout bounds the wait for a worker whose disk hangs, which must not keep the process from ending.
 	stopTimeout = 300 * time.Millisecond
 )
 
@@ -24,7 +24,7 @@
 	return &worker{inbox: make(chan func(), inboxSize), quit: make(chan struct{}), done: make(chan struct{})}
 }
 
-// run opens, and then ticks and empties the inbox until stop.
+// run calls open, and then tick each tickInterval and the functions of the inbox, until stop; closeAll comes last.
 func (w *worker) run(open, tick, closeAll func()) {
 	defer close(w.done)
 	open()
@@ -43,7 +43,7 @@
 	}
 }
 
-// post has f run on the worker. Where the inbox is full it is dropped, as a datagram may be.
+// post queues f for the worker. With a full inbox f is dropped: senders cope with loss, as of datagrams.
 func (w *worker) post(f func()) {
 	select {
 	case w.inbox <- f:
@@ -51,7 +51,7 @@
 	}
 }
 
-// call has f run on the worker and waits for its end; false: it took too long, and f may still run, or the worker has stopped.
+// call runs f on the worker and waits for it; false: it took too long, and f may run later, or the worker has stopped.
 func (w *worker) call(f func(), timeout time.Duration) bool {
 	finished := make(chan struct{})
 	select {
@@ -71,7 +71,7 @@
 	}
 }
 
-// runNext runs one function of the inbox, from within another; false: none came in time. It must be called on the worker.
+// runNext runs one function of the inbox from within another one, on the worker; false: none came in time.
 func (w *worker) runNext(timeout time.Duration) bool {
 	select {
 	case <-w.quit:
@@ -93,7 +93,7 @@
 	}
 }
 
-// stop ends the worker, once, and waits for it for a short time.
+// stop stops the worker and waits for it, but no longer than stopTimeout.
 func (w *worker) stop() {
 	w.stopOnce.Do(func() {
 		close(w.quit)
