--- a/internal/fleet/jobs/fakegroup_test.go
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -8,18 +8,18 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// fakeGroup is what SuspendedHosts meets: receivers with fences, and a group that stores checkpoints.
+// fakeGroup is the Owner of a SuspendedHosts: receivers with fences, and a group that stores checkpoints.
 type fakeGroup struct {
 	now     Time
 	members []Member
 	fences  map[uint32]*ownership.Fence
 	applied map[uint32][]string // list by receiver
-	deaf    map[uint32]bool     // receivers that hear nothing
+	cutOff  map[uint32]bool     // receivers that no effect reaches
 	answers map[uint64]string   // by tag
 
 	job    *SuspendedHosts
 	token  uint64
-	silent bool // the group does not answer
+	silent bool // the group does not reply
 
 	checkpoint       []byte
 	checkpointNumber uint64
@@ -27,7 +27,7 @@
 }
 
 func newFakeGroup(n int) *fakeGroup {
-	g := &fakeGroup{fences: map[uint32]*ownership.Fence{}, applied: map[uint32][]string{}, deaf: map[uint32]bool{}, answers: map[uint64]string{}}
+	g := &fakeGroup{fences: map[uint32]*ownership.Fence{}, applied: map[uint32][]string{}, cutOff: map[uint32]bool{}, answers: map[uint64]string{}}
 	for i := range n {
 		peer := uint32(i + 1)
 		g.members = append(g.members, Member{Name: fmt.Sprintf("n%d", i), Peer: peer, Incarnation: 1, Present: true})
@@ -37,7 +37,7 @@
 	return g
 }
 
-// newOwner has another owner take over the checkpoint.
+// newOwner starts another owner from the stored checkpoint.
 func (g *fakeGroup) newOwner() error {
 	g.token++
 	g.job = &SuspendedHosts{}
@@ -48,8 +48,9 @@
 	g.send(g.job, g.token, to, number, body)
 }
 
+// send delivers an effect of an owner, which may be a stale one, to a receiver.
 func (g *fakeGroup) send(from *SuspendedHosts, token uint64, to uint32, number uint64, body []byte) {
-	if g.deaf[to] {
+	if g.cutOff[to] {
 		return
 	}
 	t := ownership.FencingToken{Token: token, Sequence: number}
@@ -75,10 +76,12 @@
 func (g *fakeGroup) Reply(_ uint32, tag uint64, body []byte) { g.answers[tag] = string(body) }
 func (g *fakeGroup) Members() []Member                       { return g.members }
 
-func (g *fakeGroup) ask(tag uint64, command []byte) {
-	g.job.QueryReceived(g.now, 9, tag, command)
+// command sends an operator's command to the owner.
+func (g *fakeGroup) command(tag uint64, encoded []byte) {
+	g.job.QueryReceived(g.now, 9, tag, encoded)
 }
 
+// wait lets time pass for the owner.
 func (g *fakeGroup) wait(d Time) {
 	for end := g.now + d; g.now < end; g.now += 50 * ms {
 		g.job.Step(g.now)
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -7,23 +7,23 @@
 // maxPermitsPerQuery bounds the permits of one query.
 const maxPermitsPerQuery = 64
 
-// MigrationPacer is a proxy's own part of the rate of migrations: when it may migrate a client.
+// MigrationPacer is each proxy's part in the rate of migrations: when it may migrate a client.
 type MigrationPacer struct {
 	Rate      float64 // migrations a second, over the whole fleet
 	FleetSize int     // proxies that the fleet is meant to have
-	// SendQuery asks the owner for permits; ReplyReceived brings the answer under the tag. nil: there is no owner.
+	// SendQuery asks the owner for permits; ReplyReceived gets the reply under the tag. nil: there is no owner.
 	SendQuery func(tag uint64, body []byte)
 
 	lastTag        uint64
 	pendingQueries map[uint64]Time // when queries without a reply were sent, by tag
 	permits        []permits
-	ownShare       float64 // tokens of this proxy's share, without an owner
-	filledAt       Time
-	ownerReplied   bool // an owner has answered
-	ownerRepliedAt Time
+	ownShare       float64 // migrations that are due of this proxy's share of the rate, while no owner replies
+	filledAt       Time    // when ownShare was last brought up to date
+	ownerReplied   bool    // an owner has replied once
+	ownerRepliedAt Time    // last
 }
 
-// permits are those of one answer.
+// permits are those of one reply.
 type permits struct {
 	count     uint64
 	expiresAt Time
@@ -39,26 +39,28 @@
 	return allowed
 }
 
+// usePermits uses permits that have not expired.
 func (p *MigrationPacer) usePermits(now Time, want int) (used int) {
-	left := p.permits[:0]
-	for _, x := range p.permits {
-		if now >= x.expiresAt {
+	unused := p.permits[:0]
+	for _, batch := range p.permits {
+		if now >= batch.expiresAt {
 			continue
 		}
 		if used < want {
-			n := min(x.count, uint64(want-used))
+			n := min(batch.count, uint64(want-used))
 			used += int(n)
-			x.count -= n
+			batch.count -= n
 		}
-		if x.count > 0 {
-			left = append(left, x)
+		if batch.count > 0 {
+			unused = append(unused, batch)
 		}
 	}
-	p.permits = left
+	p.permits = unused
 	return used
 }
 
-// useOwnShare lets one client go where no owner answers: each proxy then keeps to its share of the rate, and saves one of it at most.
+// useOwnShare allows at most one migration where no owner replies: each proxy then keeps to its
+// share of the rate, and saves up one migration at most.
 func (p *MigrationPacer) useOwnShare(now Time, want int) (used int) {
 	if p.ownerReplied && now-p.ownerRepliedAt <= silentAfter {
 		p.ownShare = 0
@@ -74,7 +76,7 @@
 	return used
 }
 
-// queryOwner sends one query at a time.
+// queryOwner asks for permits; there is one query at a time, until its permits would have expired.
 func (p *MigrationPacer) queryOwner(now Time, want int) {
 	for tag, at := range p.pendingQueries {
 		if now-at > permitLifetime {
@@ -93,7 +95,7 @@
 	p.SendQuery(p.lastTag, w.Uint(uint64(min(want, maxPermitsPerQuery))).Data)
 }
 
-// ReplyReceived takes permits. Their lifetime counts from the question, so that the owner may count it from its answer.
+// ReplyReceived takes permits. Their lifetime counts from the query, so that here they expire before they do by the owner's count.
 func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
 	askedAt, asked := p.pendingQueries[tag]
 	r := encoding.Reader{Data: body}
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -11,19 +11,19 @@
 	fleetRate    = 40.0 // migrations a second
 )
 
-// delayed is a message on its way.
+// delayed is a message in flight.
 type delayed struct {
 	at      Time
 	deliver func(now Time)
 }
 
-// pacedFleet is proxies that migrate clients as fast as they may, over a network that loses and delays.
+// pacedFleet is proxies that migrate clients as fast as they are allowed to, over a network that loses and delays messages.
 type pacedFleet struct {
 	rng      *rand.Rand
 	now      Time
 	pacers   [pacedProxies]*MigrationPacer
-	cut      [pacedProxies]bool
-	owner    *MigrationPermits // nil: none
+	cut      [pacedProxies]bool // no query of this proxy arrives
+	owner    *MigrationPermits  // nil: none
 	replies  replyFunc
 	inFlight []delayed
 	migrated []Time
@@ -57,7 +57,7 @@
 	f.owner.QueryReceived(now, uint32(proxy), tag, body)
 }
 
-// step changes the owner and the links now and then, delivers what is due, and migrates.
+// step now and then replaces the owner or cuts a link, delivers the messages that are due, and migrates.
 func (f *pacedFleet) step() {
 	if f.rng.IntN(150) == 0 {
 		if f.owner = nil; f.rng.IntN(2) == 0 {
@@ -69,11 +69,11 @@
 		i := f.rng.IntN(pacedProxies)
 		f.cut[i] = !f.cut[i]
 	}
-	for k := 0; k < len(f.inFlight); k++ {
-		if d := f.inFlight[k]; d.at <= f.now {
-			f.inFlight = slices.Delete(f.inFlight, k, k+1)
-			k--
-			d.deliver(f.now)
+	for i := 0; i < len(f.inFlight); i++ {
+		if message := f.inFlight[i]; message.at <= f.now {
+			f.inFlight = slices.Delete(f.inFlight, i, i+1)
+			i--
+			message.deliver(f.now)
 		}
 	}
 	for i := range f.pacers {
@@ -83,7 +83,7 @@
 	}
 }
 
-// mostIn is the most migrations in any period so long.
+// mostIn is the most migrations in any period of a length.
 func (f *pacedFleet) mostIn(period Time) (most int) {
 	for i, j := 0, 0; i < len(f.migrated); i++ {
 		for f.migrated[i]-f.migrated[j] > period {
@@ -94,8 +94,8 @@
 	return most
 }
 
-// TestRateIsKept: through owners that come and go, lost answers and permits that are kept back, all proxies together migrate no more clients than
-// the rate lets, and what an owner handed out in a permit's lifetime before.
+// TestRateIsKept: with owners that change, lost replies and permits that are used late, all proxies together migrate no more clients than the
+// rate allows, and the permits that an owner granted in one lifetime before.
 func TestRateIsKept(t *testing.T) {
 	for seed := range uint64(60) {
 		f := newPacedFleet(seed)
@@ -104,10 +104,10 @@
 		}
 		bound := 2*fleetRate + fleetRate*float64(permitLifetime)/float64(sec) + fleetRate/4 + pacedProxies
 		if n := f.mostIn(2 * sec); float64(n) > bound {
-			t.Fatalf("seed %d: %d in two seconds, at a rate of %.0f a second", seed, n, fleetRate)
+			t.Fatalf("seed %d: %d migrations in two seconds, want at most %.0f", seed, n, bound)
 		}
 		if len(f.migrated) < 60*int(fleetRate)/4 {
-			t.Fatalf("seed %d: %d in a minute: hardly any", seed, len(f.migrated))
+			t.Fatalf("seed %d: %d migrations in a minute, want a quarter of the rate or more", seed, len(f.migrated))
 		}
 	}
 }
@@ -123,14 +123,14 @@
 
 func (r *replyFunc) Members() []Member { return nil }
 
-// TestRateWithoutOwner: without an owner a proxy keeps to its share.
+// TestRateWithoutOwner: without an owner a proxy keeps to its share of the rate.
 func TestRateWithoutOwner(t *testing.T) {
 	p := &MigrationPacer{Rate: 10, FleetSize: 5}
-	n := 0
+	migrations := 0
 	for now := Time(1); now < 10*sec; now += 20 * ms {
-		n += p.Allow(now, 3)
+		migrations += p.Allow(now, 3)
 	}
-	if n < 18 || n > 21 {
-		t.Errorf("%d in ten seconds, its share is 20", n)
+	if migrations < 18 || migrations > 21 {
+		t.Errorf("%d migrations in ten seconds, its share is 20", migrations)
 	}
 }
--- a/internal/fleet/jobs/migrationpermits.go
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -5,29 +5,30 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// permitLifetime is how long a permit may be used, from when it was asked for.
+// permitLifetime is how long a permit may be used, from the query for it.
 const permitLifetime = sec
 
-// silentAfter is when a proxy that has not asked, or an owner that has not answered, counts as silent.
+// silentAfter is the time after which a proxy that has sent no query, or an owner that has not replied, counts as silent.
 const silentAfter = 2 * permitLifetime
 
-// MigrationPermits is the owner's part of the rate of migrations: it hands out permits from one bucket. It has no checkpoint, since permits lapse.
+// MigrationPermits is the owner's part in the rate of migrations: it grants permits from one token bucket. Its checkpoint is empty, since permits
+// expire.
 type MigrationPermits struct {
 	Rate      float64 // migrations a second, over the whole fleet
 	FleetSize int     // proxies that the fleet is meant to have
 
 	owner            Owner
-	beginsAt         Time
+	grantsFrom       Time // no permit is granted before
 	bucket           Bucket
 	checkpointNumber uint64
-	lastQueryAt      map[uint32]Time // last, by peer
+	lastQueryAt      map[uint32]Time // by peer
 }
 
 // Start waits for a permit's lifetime: until then an earlier owner's permits, and each proxy's own share, may be in use.
 func (m *MigrationPermits) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
 	m.owner, m.checkpointNumber = o, checkpointNumber
-	m.beginsAt = now + permitLifetime
-	m.bucket = Bucket{FilledAt: m.beginsAt}
+	m.grantsFrom = now + permitLifetime
+	m.bucket = Bucket{FilledAt: m.grantsFrom}
 	m.lastQueryAt = map[uint32]Time{}
 	return nil
 }
@@ -39,11 +40,11 @@
 	return m.checkpointNumber, nil
 }
 
-// QueryReceived hands out permits. Without an answer a proxy keeps to its own share.
+// QueryReceived grants permits. A proxy without a reply keeps to its own share.
 func (m *MigrationPermits) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	r := encoding.Reader{Data: body}
 	want := r.Uint()
-	if m.owner == nil || r.Err() != nil || now < m.beginsAt {
+	if m.owner == nil || r.Err() != nil || now < m.grantsFrom {
 		return
 	}
 	m.bucket.Fill(now, m.Rate, m.FleetSize, SilentMembers(now, m.FleetSize, m.lastQueryAt, silentAfter))
@@ -52,7 +53,7 @@
 	m.owner.Reply(from, tag, w.Uint(m.bucket.Take(want)).Data)
 }
 
-// Step does nothing: permits are answers.
+// Step does nothing: permits are replies to queries.
 func (m *MigrationPermits) Step(Time) {}
 
 // EffectAcknowledged does nothing: there are no effects.
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -20,7 +20,7 @@
 	errInvalidHostList = errors.New("jobs: the list of suspended hosts is torn or unsorted")
 )
 
-// commandKind is what an operator asks of SuspendedHosts.
+// commandKind is a kind of command to SuspendedHosts.
 type commandKind uint64
 
 // The kinds, as sent.
@@ -65,7 +65,7 @@
 // hostList is the suspended hosts, sorted.
 type hostList []string
 
-// with gives the list after a command, and whether it has room for it.
+// with gives the list after a command; false: the command would exceed MaxHosts.
 func (l hostList) with(c hostCommand) (hostList, bool) {
 	at, listed := slices.BinarySearch(l, c.host)
 	switch {
@@ -89,7 +89,7 @@
 	return w.Data
 }
 
-// decodeHostList takes no data for an empty list.
+// decodeHostList decodes a list; no data is an empty one.
 func decodeHostList(data []byte) (hostList, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// commandTimeout is how long a command's answer waits for the receivers.
+	// commandTimeout is how long the answer to a command waits for the receivers.
 	commandTimeout = 2 * sec
-	// storeRetryAfter is the time, from a command on, after which each step stores its list again.
+	// storeRetryAfter is the time after a command from which on each step stores the list again, until the group has reported it.
 	storeRetryAfter = 300 * ms
 	// resendInterval is the time until a list is sent again to a member that has not acknowledged it.
 	resendInterval = 500 * ms
 )
 
-// SuspendedHosts is the job of hosts that operators suspend for the whole fleet. Its owner orders the commands; each effect is the whole list, so
-// that a late one has nothing to undo. A list is carried out only once the group has stored it.
+// SuspendedHosts is the job of the hosts that operators suspend for the whole fleet. Its owner orders the commands. Each effect is the complete
+// list, so that one that arrives late is superseded and not needed. A list is sent only once the group has stored it: a later owner has it then.
 type SuspendedHosts struct {
-	// Apply carries the list out at this process; nil: it is not.
+	// Apply applies the list at this process; nil: it is not applied.
 	Apply func(hosts []string)
 
 	owner            Owner
@@ -29,27 +29,27 @@
 	storedListNumber uint64 // the highest list number that the group has stored
 	hosts            hostList
 	acknowledged     map[receiver]uint64 // number of the list that a receiver has
-	sentAt           map[receiver]Time
+	sentAt           map[receiver]Time   // when the list was last sent
 	waiting          []*waitingCommand
 }
 
-// receiver is one process: a later one of the same member has nothing of its list.
+// receiver is one process: after a restart a member is another receiver, which has no list.
 type receiver struct {
 	peer        uint32
 	incarnation uint64
 }
 
-// waitingCommand is a command without an answer.
+// waitingCommand is a command that is not answered yet.
 type waitingCommand struct {
 	from     uint32
 	tag      uint64
 	number   uint64 // of the list that holds it
 	deadline Time
-	stored   bool
-	list     string // the answer to a list, given once it is stored; "": another command
+	stored   bool   // the group has stored that list
+	list     string // the answer to commandList; "": another command
 }
 
-// Start takes over the list.
+// Start takes the list over from the checkpoint.
 func (h *SuspendedHosts) Start(_ Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error {
 	hosts, err := decodeHostList(checkpoint)
 	if err != nil {
@@ -61,15 +61,15 @@
 	return nil
 }
 
-// Stop passes on the list.
+// Stop ends the owner's part. The checkpoint is the list.
 func (h *SuspendedHosts) Stop() (uint64, []byte) {
 	h.owner = nil
 	h.listNumber++
 	return h.listNumber, h.hosts.encode()
 }
 
-// QueryReceived takes an operator's command. It is stored, and sent, also where it changes nothing: the answer says where it holds, and a list is
-// that of an owner which the group still accepts.
+// QueryReceived takes an operator's command. The list is stored and sent also where the command changes nothing: the answer says which proxies
+// have it, and a list that the group has stored is surely not a stale owner's.
 func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if h.owner == nil {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// CheckpointStored goes on once the group has stored a list. One that it rejected is a stale owner's, which is about to be stopped.
+// CheckpointStored sends the list once the group has stored it. A rejected one is a stale owner's, which is about to be stopped.
 func (h *SuspendedHosts) CheckpointStored(now Time, checkpointNumber uint64, stored bool) {
 	if h.owner == nil || !stored {
 		return
@@ -113,7 +113,7 @@
 	h.answer(now)
 }
 
-// send sends the list to those that are not known to have it. While a newer one is being stored it waits for that.
+// send sends the list to the receivers that have not acknowledged it. While a newer list is being stored nothing is sent.
 func (h *SuspendedHosts) send(now Time) {
 	if h.storedListNumber == 0 || h.storedListNumber != h.listNumber {
 		return
@@ -127,20 +127,21 @@
 	}
 }
 
-// sendDue bounds how often a list is repeated. One that is just new is sent at once to who had the last one.
+// sendDue bounds how often a list is repeated. A new one is sent at once to a receiver that has the one before.
 func (h *SuspendedHosts) sendDue(to receiver, now Time) bool {
 	return now-h.sentAt[to] >= resendInterval || h.sentAt[to] == 0 || h.acknowledged[to]+1 == h.listNumber
 }
 
-// Step sends again to those that lag, and answers commands whose time is up.
+// Step stores and sends again what may be lost, and answers commands whose time is up.
 func (h *SuspendedHosts) Step(now Time) {
 	if h.storeOverdue(now) {
-		h.store() // it may have been lost
+		h.store() // the first request may have been lost
 	}
 	h.send(now)
 	h.answer(now)
 }
 
+// storeOverdue reports whether the group should have reported the list by now.
 func (h *SuspendedHosts) storeOverdue(now Time) bool {
 	if h.storedListNumber == h.listNumber || len(h.waiting) == 0 {
 		return false
@@ -149,7 +150,7 @@
 	return now-last.deadline > storeRetryAfter-commandTimeout
 }
 
-// EffectAcknowledged notes that a receiver has a list.
+// EffectAcknowledged records that a receiver has a list.
 func (h *SuspendedHosts) EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict) {
 	if h.owner == nil || token.Token != h.token || v == ownership.Stale {
 		return
@@ -163,16 +164,17 @@
 	h.answer(now)
 }
 
-// answer answers the commands that every member has, and those whose time is up.
+// answer answers the commands that every member has applied, and those whose time is up.
 func (h *SuspendedHosts) answer(now Time) {
 	h.answerWhere(func(w *waitingCommand) bool { return now >= w.deadline })
 }
 
-// answerAll answers all commands: the lease has ended, and their result will not be known here.
+// answerAll answers all commands: the lease has ended, and this owner will not learn their result.
 func (h *SuspendedHosts) answerAll() {
 	h.answerWhere(func(*waitingCommand) bool { return true })
 }
 
+// answerWhere answers the commands that are done, and those that are due with what is known of them. The texts are recorded.
 func (h *SuspendedHosts) answerWhere(due func(w *waitingCommand) bool) {
 	waiting := h.waiting[:0]
 	for _, w := range h.waiting {
@@ -209,7 +211,7 @@
 	return total, names
 }
 
-// ApplyEffect carries a list out here. One that can't be decoded changes nothing.
+// ApplyEffect applies a list here. One that can't be decoded changes nothing.
 func (h *SuspendedHosts) ApplyEffect(_ Time, _ ownership.FencingToken, body []byte) {
 	if hosts, err := decodeHostList(body); err == nil && h.Apply != nil {
 		h.Apply(hosts)
--- a/internal/fleet/jobs/suspendedhosts_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -9,88 +9,126 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-func TestHostsAnswers(t *testing.T) {
+// TestAnswerWaitsForReceivers: the answer to a command says which members have the list, and a member that was cut off gets it later.
+func TestAnswerWaitsForReceivers(t *testing.T) {
 	g := newFakeGroup(3)
-	g.ask(1, SuspendCommand(true, "s1"))
+	g.command(1, SuspendCommand(true, "s1"))
 	if g.answers[1] != "done at all 3" || !slices.Equal(g.applied[3], []string{"s1"}) {
-		t.Errorf("%q, %v", g.answers[1], g.applied)
+		t.Errorf("%q, applied %v", g.answers[1], g.applied)
 	}
-	g.deaf[2] = true
-	g.ask(2, SuspendCommand(true, "s2"))
-	if a, answered := g.answers[2]; answered {
-		t.Errorf("%q before n1 has had its time", a)
+	g.cutOff[2] = true
+	g.command(2, SuspendCommand(true, "s2"))
+	if answer, answered := g.answers[2]; answered {
+		t.Errorf("answered %q before the timeout for n1", answer)
 	}
 	g.wait(3 * sec)
 	if want := "done at 2 of 3; it holds, and follows at: n1"; g.answers[2] != want {
 		t.Errorf("%q, want %q", g.answers[2], want)
 	}
-	g.deaf[2] = false
+	g.cutOff[2] = false
 	g.wait(sec)
 	if !slices.Equal(g.applied[2], []string{"s1", "s2"}) {
-		t.Errorf("n1 does not catch up: %v", g.applied[2])
+		t.Errorf("n1 has %v after its link is back, want s1 and s2", g.applied[2])
 	}
-	// A new incarnation has none of it, and is sent the list.
+}
+
+// TestRestartedMemberGetsTheList: a new incarnation of a member has no list, and is sent it.
+func TestRestartedMemberGetsTheList(t *testing.T) {
+	g := newFakeGroup(3)
+	g.command(1, SuspendCommand(true, "s1"))
+	g.command(2, SuspendCommand(true, "s2"))
 	g.members[0].Incarnation, g.applied[1], g.fences[1] = 2, nil, &ownership.Fence{}
 	g.wait(sec)
 	if !slices.Equal(g.applied[1], []string{"s1", "s2"}) {
-		t.Errorf("one that started anew has %v", g.applied[1])
+		t.Errorf("the restarted member has %v, want s1 and s2", g.applied[1])
 	}
+}
+
+// TestListIsStoredFirst: a list that the group has not stored is applied nowhere, and the answer says that the result is unknown.
+func TestListIsStoredFirst(t *testing.T) {
+	g := newFakeGroup(3)
+	g.command(1, SuspendCommand(true, "s1"))
 	g.silent = true
-	g.ask(3, SuspendCommand(false, "s1"))
+	g.command(2, SuspendCommand(false, "s1"))
 	g.wait(3 * sec)
-	if !strings.HasPrefix(g.answers[3], "unknown") || slices.Equal(g.applied[1], []string{"s2"}) {
-		t.Errorf("without the group: %q, and carried out %v", g.answers[3], g.applied[1])
+	if !strings.HasPrefix(g.answers[2], "unknown") {
+		t.Errorf("answered %q", g.answers[2])
 	}
-	for tag, body := range map[uint64][]byte{4: SuspendCommand(true, ""), 5: {9, 9}, 6: nil, 7: SuspendCommand(true, strings.Repeat("x", maxHostIDBytes+1))} {
-		if g.ask(tag, body); !strings.HasPrefix(g.answers[tag], "refused") {
-			t.Errorf("%x: %q", body, g.answers[tag])
+	for peer, hosts := range g.applied {
+		if !slices.Equal(hosts, []string{"s1"}) {
+			t.Errorf("receiver %d applied %v, which is not stored", peer, hosts)
 		}
 	}
-	g.silent = false
-	for i := range MaxHosts + 5 {
-		g.ask(uint64(100+i), SuspendCommand(true, fmt.Sprintf("more%03d", i)))
+}
+
+func TestInvalidCommandsAreRefused(t *testing.T) {
+	g := newFakeGroup(1)
+	for i, c := range []struct {
+		name string
+		body []byte
+	}{
+		{"no host", SuspendCommand(true, "")},
+		{"unknown kind", []byte{9, 9}},
+		{"empty", nil},
+		{"host too long", SuspendCommand(true, strings.Repeat("x", maxHostIDBytes+1))},
+	} {
+		tag := uint64(i + 1)
+		if g.command(tag, c.body); !strings.HasPrefix(g.answers[tag], "refused") {
+			t.Errorf("%s: answered %q", c.name, g.answers[tag])
+		}
 	}
-	if a := g.answers[uint64(100+MaxHosts+4)]; !strings.HasPrefix(a, "refused") {
-		t.Errorf("beyond the bound: %q", a)
+}
+
+// TestHostsBound: MaxHosts hosts can be suspended, and no more.
+func TestHostsBound(t *testing.T) {
+	g := newFakeGroup(1)
+	for i := range MaxHosts + 1 {
+		tag := uint64(i + 1)
+		g.command(tag, SuspendCommand(true, fmt.Sprintf("host%03d", i)))
+		if refused := strings.HasPrefix(g.answers[tag], "refused"); refused != (i == MaxHosts) {
+			t.Errorf("host %d: answered %q", i, g.answers[tag])
+		}
 	}
 }
 
-// TestEndedLeaseAnswersAll: an owner whose lease has ended does not let operators wait.
+// TestEndedLeaseAnswersAll: an owner whose lease has ended answers all commands at once.
 func TestEndedLeaseAnswersAll(t *testing.T) {
 	g := newFakeGroup(2)
-	g.deaf[2] = true
-	g.ask(1, SuspendCommand(true, "s1"))
+	g.cutOff[2] = true
+	g.command(1, SuspendCommand(true, "s1"))
 	g.leaseEnded = true
-	g.ask(2, ListCommand())
+	g.command(2, ListCommand())
 	if !strings.HasPrefix(g.answers[1], "done at 1 of 2") || !strings.HasPrefix(g.answers[2], "unknown") {
 		t.Errorf("%q, %q", g.answers[1], g.answers[2])
 	}
 }
 
-// TestLateSuspendUndoesNothing: what an earlier owner sends late does not suspend a host that a later one resumed.
+// TestLateSuspendUndoesNothing: an effect that an earlier owner sends late does not suspend a host that a later owner resumed.
 func TestLateSuspendUndoesNothing(t *testing.T) {
 	g := newFakeGroup(3)
-	g.ask(1, SuspendCommand(true, "s1"))
-	old, oldToken, list := g.job, g.token, g.job.hosts.encode()
+	g.command(1, SuspendCommand(true, "s1"))
+	staleJob, staleToken, staleList := g.job, g.token, g.job.hosts.encode()
 	if err := g.newOwner(); err != nil {
 		t.Fatal(err)
 	}
-	g.ask(2, SuspendCommand(false, "s1"))
+	g.command(2, SuspendCommand(false, "s1"))
 	for peer := range g.fences {
-		g.send(old, oldToken, peer, 99, list)
+		g.send(staleJob, staleToken, peer, 99, staleList)
 	}
 	if len(g.applied[1])+len(g.applied[2])+len(g.applied[3]) > 0 || g.answers[2] != "done at all 3" {
-		t.Errorf("%v, %q", g.applied, g.answers[2])
+		t.Errorf("applied %v, answered %q; want empty lists at all 3", g.applied, g.answers[2])
 	}
 }
 
-func TestTornListIsRefused(t *testing.T) {
+// TestUnsortedListIsRejected: an owner does not start from a checkpoint that is no valid list.
+func TestUnsortedListIsRejected(t *testing.T) {
 	h := &SuspendedHosts{}
 	if err := h.Start(0, newFakeGroup(1), 1, 1, []byte{2, 1, 'b', 1, 'a'}); err == nil {
-		t.Error("a list out of order is taken over")
+		t.Error("started from an unsorted list")
 	}
 }
 
+// FuzzAsked: each command gets an answer, and no list beyond the bound is applied.
 func FuzzAsked(f *testing.F) {
 	f.Add(SuspendCommand(true, "s1"), []byte{1, 1, 'a'})
 	f.Add(ListCommand(), []byte{})
@@ -99,11 +137,11 @@
 		g.job.QueryReceived(1, 9, 1, command)
 		g.wait(3 * sec)
 		if _, answered := g.answers[1]; !answered {
-			t.Error("a command without an answer")
+			t.Error("the command is not answered")
 		}
 		h := &SuspendedHosts{Apply: func(hosts []string) {
 			if len(hosts) > MaxHosts {
-				t.Errorf("%d hosts are carried out", len(hosts))
+				t.Errorf("a list of %d hosts is applied", len(hosts))
 			}
 		}}
 		h.ApplyEffect(1, ownership.FencingToken{}, list)
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -1,15 +1,16 @@
 package jobs
 
-// Bucket is a token bucket: what an owner may hand out of a rate.
+// Bucket is a token bucket: what an owner may grant of a rate.
 type Bucket struct {
 	Tokens   float64
-	FilledAt Time // last; nothing is added for the time before
+	FilledAt Time // of the last Fill; nothing is added for the time before
 }
 
-// bucketDepthDivisor divides a rate: a bucket saves what comes in a quarter of a second, and one token at least.
+// bucketDepthDivisor bounds a bucket to what its rate gives in a quarter of a second, and to at least one token.
 const bucketDepthDivisor = 4
 
-// Fill adds what has become due at a rate, in tokens a second. silent of fleetSize proxies go by their own share of the rate, which is kept back.
+// Fill adds the tokens that are due at a rate, in tokens a second. silent of fleetSize proxies use their own share of the rate, which is not
+// granted.
 func (b *Bucket) Fill(now Time, rate float64, fleetSize, silent int) {
 	if now <= b.FilledAt {
 		return
@@ -19,14 +20,14 @@
 	b.FilledAt = now
 }
 
-// Take takes whole tokens, as many as wanted and there.
+// Take takes as many whole tokens as are wanted and available.
 func (b *Bucket) Take(want uint64) uint64 {
 	n := uint64(max(0, min(float64(want), b.Tokens)))
 	b.Tokens -= float64(n)
 	return n
 }
 
-// SilentMembers is how many of fleetSize proxies go by their own share: all but those that asked within a time.
+// SilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
 func SilentMembers(now Time, fleetSize int, askedAt map[uint32]Time, within Time) int {
 	n := fleetSize
 	for _, at := range askedAt {
