--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -11,7 +11,7 @@
 // promotionLag is how many commands a learner may lag behind and still be promoted.
 const promotionLag = 64
 
-// Add takes a process that has asked for it into the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
+// Add adds a process that has asked for it to the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
 	id, asks := c.joining.applicants[name]
 	if !asks {
@@ -23,7 +23,8 @@
 	return c.proposeChange(now, tag, name, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 }
 
-// Promote makes a learner a voter, once it has caught up. An earlier identity of the same process loses its vote in the same step.
+// Promote makes a learner a voter, once it has caught up. An earlier identity of the same process, which lost its disk, loses its vote in the
+// same change: the number of voters stays.
 func (c *Core) Promote(now Time, tag uint64, name string) error {
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
@@ -44,7 +45,7 @@
 	return c.proposeChange(now, tag, name, changes...)
 }
 
-// Remove takes a process out of the group. It fails where the other voters that answer are no majority.
+// Remove removes a process from the group. It fails where the remaining voters that are active would be no majority.
 func (c *Core) Remove(now Time, tag uint64, name string) error {
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
@@ -64,7 +65,7 @@
 	return c.proposeChange(now, tag, name, changes...)
 }
 
-// identitiesOf are those among ids that a process has.
+// identitiesOf are the identities among ids that belong to a process.
 func (c *Core) identitiesOf(name string, ids []uint64) (own []uint64) {
 	for _, id := range ids {
 		if c.configuration.names[id] == name {
@@ -74,7 +75,7 @@
 	return own
 }
 
-// caughtUp says whether a learner is active and has nearly all of the log.
+// caughtUp reports whether a learner is active and has nearly all of the log.
 func (c *Core) caughtUp(id uint64) (enough bool) {
 	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) {
 		if p == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
@@ -84,7 +85,7 @@
 	return enough
 }
 
-// votersWithout counts the voters but for one process, and those of them that answer.
+// votersWithout counts the voters other than one process, and those of them that are active.
 func (c *Core) votersWithout(name string) (remaining, active int) {
 	recent := map[uint64]bool{c.identity.ID: true}
 	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) { recent[p] = recent[p] || pr.RecentActive })
@@ -100,6 +101,7 @@
 	return remaining, active
 }
 
+// proposeChange proposes a change of the configuration, one at a time.
 func (c *Core) proposeChange(now Time, tag uint64, name string, changes ...raftpb.ConfChangeSingle) error {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	// Bounds on what the raft library has in flight to each replica, and on what waits to be agreed on.
+	// Bounds on what the raft library has in flight to each replica, and on uncommitted entries.
 	maxMessageBytes     = 2048
 	maxInflightMessages = 16
 	maxUncommittedBytes = 1 << 20
@@ -57,12 +57,12 @@
 	Seed            uint64
 	TickInterval    Time // between two calls of Tick; 0: 100 ms
 	HeartbeatTicks  int  // between two heartbeats of a leader; 0: 2
-	ElectionTicks   int  // a leader unheard for so long, and up to twice as long at random, is lost; 0: 8
+	ElectionTicks   int  // a leader that is not heard for this to twice this, drawn at random, counts as lost; 0: 8
 	SnapshotEvery   int  // commands after which a snapshot is taken; 0: 512
 	TrailingEntries int  // commands kept behind a snapshot, for replicas that lag; 0: 128
 }
 
-// withDefaults checks a configuration and fills in what was left out.
+// withDefaults checks a configuration and sets the defaults.
 func (cfg Config) withDefaults() (Config, error) {
 	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || len(cfg.InitialVoters) == 0 || len(cfg.InitialVoters) > maxInitialVoters {
 		return cfg, fmt.Errorf("consensus: a name of 1 to %d bytes and 1 to 9 first voters are possible, not %q and %d", maxNameBytes, cfg.Name, len(cfg.InitialVoters))
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -12,7 +12,7 @@
 // maxMembers bounds how many members a snapshot may name.
 const maxMembers = 64
 
-// configuration is who is of the group.
+// configuration is the members of the group.
 type configuration struct {
 	names    map[uint64]string // of members, voters and learners, by identity
 	state    raftpb.ConfState
@@ -21,7 +21,7 @@
 
 func newConfiguration() configuration { return configuration{names: map[uint64]string{}} }
 
-// formed says whether this process knows a group that was bootstrapped.
+// formed reports whether this process knows a group that was bootstrapped.
 func (g *configuration) formed() bool { return len(g.state.Voters) > 0 }
 
 func (g *configuration) contains(id uint64) bool {
@@ -29,12 +29,12 @@
 	return member
 }
 
-// isInitialMember says whether an identity is an initial voter's first one and still of the group.
+// isInitialMember reports whether an identity is the first one of an initial voter, and still a member.
 func (g *configuration) isInitialMember(id uint64) bool { return isInitial(id) && g.contains(id) }
 
 func (g *configuration) isVoter(id uint64) bool { return slices.Contains(g.state.Voters, id) }
 
-// bootstrap begins with the initial voters.
+// bootstrap makes the initial voters the members.
 func (g *configuration) bootstrap(voters []string) {
 	for _, name := range voters {
 		id := VoterID(name, 0)
@@ -44,7 +44,7 @@
 	slices.Sort(g.state.Voters)
 }
 
-// apply applies a change that was agreed on, with the state that follows from it.
+// apply applies a committed change, with the state that the raft library derives from it.
 func (g *configuration) apply(state raftpb.ConfState, changes []raftpb.ConfChangeSingle, name string) {
 	g.state = state
 	for _, change := range changes {
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -6,68 +6,68 @@
 	"testing"
 )
 
+// TestAgreementThroughLossAndRestarts: with loss and restarts all members apply the same commands, each at least once and in order.
 func TestAgreementThroughLossAndRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		g := newGroup(t, seed, "a", "b", "c")
 		g.loss = 0.2
 		for i := range 60 {
 			if i%7 == 3 {
-				n := g.names[g.rng.IntN(3)]
-				g.kill(n)
+				name := g.names[g.rng.IntN(3)]
+				g.kill(name)
 				g.run(g.rng.Int64N(2e9))
-				if err := g.start(n); err != nil {
-					t.Fatal(err)
-				}
+				g.mustStart(name)
 			}
 			g.propose(fmt.Sprint("command ", i))
 		}
 		g.loss = 0
 		g.checkEqual()
-		last := -1
-		for i := range 60 { // each at least once, in order
-			next := slices.Index(g.machines["a"].log, fmt.Sprint("command ", i))
-			if next <= last {
-				t.Fatalf("seed %d: command %d at %d after %d", seed, i, next, last)
+		previous := -1
+		for i := range 60 {
+			at := slices.Index(g.machines["a"].log, fmt.Sprint("command ", i))
+			if at <= previous {
+				t.Fatalf("seed %d: command %d is applied at %d, the one before at %d", seed, i, at, previous)
 			}
-			last = next
+			previous = at
 		}
 	}
 }
 
+// TestLeadershipTransfer: a leader that hands over stops leading at once, and another leads within half a second.
 func TestLeadershipTransfer(t *testing.T) {
 	g := newGroup(t, 9, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
 	old.TransferLeadership(g.now)
 	if _, ok := old.Leading(); ok {
-		t.Error("leads after it yielded")
+		t.Error("the old leader still leads")
 	}
 	began := g.now
 	next := g.leader()
 	if next == old || g.now-began > 5e8 {
-		t.Errorf("the next leader after %d ms", (g.now-began)/1e6)
+		t.Errorf("the same leader: %t; elected after %d ms, want at most 500", next == old, (g.now-began)/1e6)
 	}
 }
 
-// TestDeposedLeaderConfirmsNothing: a leader that is cut off may still believe that it leads, but nobody confirms it.
+// TestDeposedLeaderConfirmsNothing: a leader that is cut off may still believe that it leads, but no voter confirms it, and it commits nothing.
 func TestDeposedLeaderConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 10, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
 	g.isCut = func(from, to string) bool { return from == old.cfg.Name || to == old.cfg.Name }
-	tag, cmd := g.tag(), g.tag()
-	old.Confirm(g.now, tag)
-	old.Propose(g.now, 1, cmd, []byte("lost"))
+	confirm, command := g.tag(), g.tag()
+	old.Confirm(g.now, confirm)
+	old.Propose(g.now, 1, command, []byte("lost"))
 	g.run(5e9)
-	if g.confirmed[tag] || g.applied[cmd] {
-		t.Error("a leader without a majority was confirmed")
+	if g.confirmed[confirm] || g.applied[command] {
+		t.Errorf("without a majority: confirmed %t, command applied %t", g.confirmed[confirm], g.applied[command])
 	}
 	if _, ok := old.Leading(); ok {
-		t.Error("leads after 5 s without a majority")
+		t.Error("the old leader still leads after 5 s without a majority")
 	}
 }
 
-// FuzzReceive: no message of a peer ends a replica.
+// FuzzReceive: no message of a peer ends the process.
 func FuzzReceive(f *testing.F) {
 	g := newGroup(f, 12, "a", "b", "c")
 	g.isCut = func(from, to string) bool { return to != "a" }
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/group"
 )
 
-// lateTicks is by how many ticks a call of Tick may be late before the process counts as having slept.
+// lateTicks is by how many ticks a call of Tick may be late before the process counts as having been paused.
 const lateTicks = 4
 
 // Core is one process's part. It is not safe for concurrent use.
@@ -24,7 +24,7 @@
 	failure     error // of Broken
 	identity    Identity
 	incarnation uint64      // of this start
-	recovered   StoredState // what the store held at the start; its entries go to storage once raft runs
+	recovered   StoredState // what the store held at the start; raft takes its entries once it runs
 
 	joining       joining
 	configuration configuration
@@ -75,7 +75,7 @@
 // recover restores the stored snapshot and counts this start.
 func (c *Core) recover() error {
 	if c.identity.ID == 0 {
-		c.recovered = StoredState{} // a bootstrap that was not completed begins anew
+		c.recovered = StoredState{} // a bootstrap that was not completed starts anew
 	} else if !raft.IsEmptySnap(c.recovered.Snapshot) {
 		if err := c.restoreSnapshot(c.recovered.Snapshot); err != nil {
 			return err
@@ -118,7 +118,7 @@
 	c.processReady()
 }
 
-// tickLeader counts the time that a leader slept, too: it must not go on as if none had passed.
+// tickLeader counts the time that a leader was paused, too, so that it steps down if it did not hear a majority for an election timeout.
 func (c *Core) tickLeader(late Time) {
 	ticks := max(1, min(late/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
@@ -130,7 +130,7 @@
 func (c *Core) tickFollower(late Time) {
 	c.node.TickQuiesced()
 	if late > lateTicks*c.cfg.TickInterval {
-		c.election.reset(c.now) // this process slept: what it did not hear meanwhile proves nothing
+		c.election.reset(c.now) // this process was paused: that it did not hear the leader shows nothing
 	}
 	if c.election.expired(c.now) && c.configuration.isVoter(c.identity.ID) {
 		c.election.reset(c.now)
@@ -147,7 +147,7 @@
 	return c.store.Close()
 }
 
-// becomeStale ends this process's part until an operator replaces it. It is stored first, as whoever found it may forget.
+// becomeStale ends this process's part until an operator replaces it. That is stored, since the process that found it may lose its memory.
 func (c *Core) becomeStale(foundBy uint32, cause staleCause) {
 	c.identity.Stale = true
 	if !c.checkStored(c.store.SaveIdentity(c.identity)) {
@@ -166,7 +166,7 @@
 	c.effects.LogEvent("replica_broken", "reason", c.reason())
 }
 
-// checkStored reports whether a call of the store succeeded; this replica stops where it did not.
+// checkStored reports whether a call of the store succeeded. Fail-stop: this replica stops where it did not.
 func (c *Core) checkStored(err error) bool {
 	if err != nil {
 		c.becomeBroken(err)
@@ -174,8 +174,8 @@
 	return err == nil
 }
 
-// guard turns what the raft library finds impossible into a failure of this replica: its store or a message was damaged in a way that no
-// checksum found, and to go on could do harm.
+// guard turns a panic of the raft library into a failure of this replica. The library panics at an impossible state: the store or a message was
+// damaged in a way that no checksum found, and it is not safe to continue.
 func (c *Core) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -185,7 +185,7 @@
 	f()
 }
 
-// updatePhase follows whether this process is of the group.
+// updatePhase makes this process Member or NotMember after a change of the configuration.
 func (c *Core) updatePhase() {
 	if c.phase != Member && c.phase != NotMember {
 		return
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -7,95 +7,97 @@
 	"testing"
 )
 
-// TestRestoredOldFile: a replica whose file is an older copy takes no part, whether the copy is from an earlier start or from the last one.
+// TestRestoredOldFile: a replica whose file is an older copy takes no part, also after all have restarted and no process remembers what it has
+// received from it.
 func TestRestoredOldFile(t *testing.T) {
-	for _, sameStart := range []bool{false, true} {
-		g := newGroup(t, 5, "a", "b", "c")
-		g.propose("yesterday")
-		g.run(1e9)
-		old := g.disks["b"].Copy()
-		if !sameStart {
+	for _, c := range []struct {
+		name               string
+		startsAfterTheCopy bool
+	}{{"a copy from an earlier start", true}, {"a copy from the last start", false}} {
+		t.Run(c.name, func(t *testing.T) {
+			g := newGroup(t, 5, "a", "b", "c")
+			g.propose("before the copy")
+			g.run(1e9)
+			oldCopy := g.disks["b"].Copy()
+			if c.startsAfterTheCopy {
+				g.kill("b")
+				g.mustStart("b")
+				g.run(3e9)
+			}
+			g.propose("after the copy")
+			g.run(1e9)
 			g.kill("b")
-			g.start("b")
-			g.run(3e9)
-		}
-		g.propose("today")
-		g.run(1e9)
-		g.kill("b")
-		g.disks["b"].PutBack(old)
-		if err := g.start("b"); err != nil {
-			t.Fatal(err)
-		}
-		g.run(5e9)
-		if p, why := g.cores["b"].Phase(); p != Stale || !strings.Contains(why, "put back") {
-			t.Errorf("same start %v: phase %v, %q", sameStart, p, why)
-		}
-		g.propose("without it")
-		// Also after all have started anew, and no process remembers what it received.
-		for _, n := range []string{"a", "b", "c"} {
-			g.kill(n)
-		}
-		for _, n := range []string{"a", "b", "c"} {
-			g.start(n)
+			g.disks["b"].PutBack(oldCopy)
+			g.mustStart("b")
+			g.run(5e9)
+			g.checkPhase("b", Stale)
+			if _, reason := g.cores["b"].Phase(); !strings.Contains(reason, "put back") {
+				t.Errorf("reason %q does not say that a file was put back", reason)
+			}
+			g.propose("without b")
+			for _, name := range g.initial {
+				g.kill(name)
+			}
+			for _, name := range g.initial {
+				g.mustStart(name)
+			}
+			g.run(5e9)
+			g.checkPhase("b", Stale)
+		})
+	}
+}
+
+// change has the leader change the group, and waits until the change is applied.
+func (g *testGroup) change(name string, propose func(leader *Core, tag uint64) error) {
+	g.t.Helper()
+	for range 20 {
+		tag := g.tag()
+		err := propose(g.leader(), tag)
+		if g.run(1e9); g.applied[tag] {
+			return
 		}
-		g.run(5e9)
-		if p, _ := g.cores["b"].Phase(); p != Stale {
-			t.Errorf("same start %v: phase %v after all started anew", sameStart, p)
+		g.t.Logf("%s: %v", name, err)
+	}
+	g.t.Fatalf("%s is not applied", name)
+}
+
+// countVotes counts the members that vote.
+func countVotes(s Status) (votes int) {
+	for _, m := range s.Members {
+		if m.Votes {
+			votes++
 		}
 	}
+	return votes
 }
 
-// TestLostDisk: a replica that lost its disk is added under another identity, and gets its vote.
+// TestLostDisk: a replica that lost its disk is added under another identity, and gets the vote of the earlier one.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 6, "a", "b", "c")
 	g.propose("one")
 	g.kill("b")
 	g.disks["b"] = &MemoryStore{}
-	if err := g.start("b"); err != nil {
-		t.Fatal(err)
-	}
+	g.mustStart("b")
 	g.run(3e9)
-	if p, _ := g.cores["b"].Phase(); p != NotMember {
-		t.Fatalf("phase %v", p)
-	}
+	g.checkPhase("b", NotMember)
 	if event := "b replica_not_member [reason group_exists]"; !slices.Contains(g.events, event) {
 		t.Errorf("no event %q among %q", event, g.events)
 	}
 	g.propose("two")
-	do := func(what string, f func(c *Core, tag uint64) error) {
-		t.Helper()
-		for range 20 {
-			tag := g.tag()
-			err := f(g.leader(), tag)
-			g.run(1e9)
-			if g.applied[tag] {
-				return
-			}
-			t.Log(what, err)
-		}
-		t.Fatalf("%s: not done", what)
-	}
 	if err := g.leader().Add(g.now, 1, "x"); err == nil {
 		t.Error("a process that never asked is added")
 	}
-	do("add", func(c *Core, tag uint64) error { return c.Add(g.now, tag, "b") })
-	do("promote", func(c *Core, tag uint64) error { return c.Promote(g.now, tag, "b") })
+	g.change("add", func(leader *Core, tag uint64) error { return leader.Add(g.now, tag, "b") })
+	g.change("promote", func(leader *Core, tag uint64) error { return leader.Promote(g.now, tag, "b") })
 	g.propose("three")
 	g.checkEqual()
-	s := g.leader().Status()
-	votes := 0
-	for _, m := range s.Members {
-		if m.Votes {
-			votes++
-		}
+	if s := g.leader().Status(); countVotes(s) != 3 || !slices.Equal(g.machines["b"].log, g.machines["a"].log) {
+		t.Errorf("%d voters, want 3; %+v", countVotes(s), s)
 	}
-	if votes != 3 || !slices.Equal(g.machines["b"].log, g.machines["a"].log) {
-		t.Errorf("%d voters; %+v", votes, s)
-	}
-	// Its vote counts: with another one gone the group still has a majority.
-	for _, n := range []string{"a", "c"} {
-		if g.leader() != g.cores[n] {
-			g.kill(n)
+	// Its vote counts: without a or c the group still has a majority.
+	for _, name := range []string{"a", "c"} {
+		if g.leader() != g.cores[name] {
+			g.kill(name)
 			break
 		}
 	}
@@ -109,44 +111,40 @@
 func TestNoSecondBootstrap(t *testing.T) {
 	g := newGroup(t, 7, "a", "b", "c")
 	g.propose("one")
-	for _, n := range []string{"a", "b"} {
-		g.kill(n)
-		g.disks[n] = &MemoryStore{}
-		g.start(n)
+	for _, name := range []string{"a", "b"} {
+		g.kill(name)
+		g.disks[name] = &MemoryStore{}
+		g.mustStart(name)
 	}
 	g.run(10e9)
-	for _, n := range []string{"a", "b"} {
-		if p, _ := g.cores[n].Phase(); p != NotMember {
-			t.Errorf("%s: %v", n, p)
-		}
-	}
+	g.checkPhase("a", NotMember)
+	g.checkPhase("b", NotMember)
 }
 
-// TestFailedStore: a replica whose store fails reports it, stops, and acknowledges nothing; the others go on, and it recovers from its disk.
+// TestFailedStore: a replica whose store fails reports it, stops and acknowledges nothing. The others continue, and it recovers from its disk.
 func TestFailedStore(t *testing.T) {
 	g := newGroup(t, 8, "a", "b", "c")
 	g.propose("one")
-	lead := g.leader()
-	name := lead.cfg.Name
+	failed := g.leader()
+	name := failed.cfg.Name
 	g.disks[name].Fail = errors.New("no space")
 	g.propose("two")
-	if p, why := lead.Phase(); p != Broken || !strings.Contains(why, "no space") {
-		t.Errorf("phase %v, %q", p, why)
+	g.checkPhase(name, Broken)
+	if _, reason := failed.Phase(); !strings.Contains(reason, "no space") {
+		t.Errorf("reason %q does not name the error of the store", reason)
 	}
-	if _, ok := lead.Leading(); ok {
-		t.Error("a broken voter leads")
+	if _, ok := failed.Leading(); ok {
+		t.Error("a broken replica leads")
 	}
-	if err := lead.Propose(g.now, 1, 1, nil); err != ErrNotLeader {
-		t.Error(err)
+	if err := failed.Propose(g.now, 1, 1, nil); err != ErrNotLeader {
+		t.Errorf("a broken replica takes a proposal: got %v, want %v", err, ErrNotLeader)
 	}
 	g.disks[name].Fail = nil
 	g.kill(name)
-	g.start(name)
+	g.mustStart(name)
 	g.propose("three")
 	g.checkEqual()
-	if p, _ := g.cores[name].Phase(); p != Member {
-		t.Errorf("phase %v after its return", p)
-	}
+	g.checkPhase(name, Member)
 }
 
 // TestStoreOfAnotherProcess: the store of another process is rejected with an error that names both.
@@ -155,6 +153,6 @@
 	g.run(2e9)
 	_, err := Open(Config{Group: "g", Name: "b", InitialVoters: []string{"b"}}, g.disks["a"], nil, testEffects{g, "b"})
 	if err == nil || !strings.Contains(err.Error(), "store is of a in group g") {
-		t.Error(err)
+		t.Errorf("got %v", err)
 	}
 }
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -13,7 +13,7 @@
 
 const maxNameBytes = 64
 
-// extent is how much a file holds.
+// extent is how much a file holds: see putExtent.
 type extent struct {
 	lastIndex uint64 // of the log; 0: it is empty
 	starts    uint64 // other replicas' starts
@@ -30,9 +30,9 @@
 	return r.Err()
 }
 
-// Load reads all that is stored; the error is ErrUnreadable where that does not fit together. After an error nothing more is saved.
+// Load reads all that is stored; the error is ErrUnreadable where that is inconsistent. After an error every call that saves fails.
 func (s *Store) Load() (out consensus.StoredState, err error) {
-	// bbolt's own check runs where a fault cannot be recovered from. All that is stored is read here, and each record is checked.
+	// bbolt's own check is not used: it runs in a goroutine in which a fault ends the process. Here all records are read and checked.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -78,6 +78,7 @@
 	return l.loadRecord(keySnapshot, l.state.Snapshot.Unmarshal)
 }
 
+// loadRecord reads a record. A file that is complete must have it.
 func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
 	sealed := l.meta.Get(key)
 	if sealed == nil && l.complete {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// loadLog reads the entries and keeps those behind the snapshot.
+// loadLog reads the entries, and keeps those after the snapshot.
 func (l *loader) loadLog(b *bbolt.Bucket) error {
 	next := uint64(0) // the index expected; 0: any
 	err := b.ForEach(func(key, sealed []byte) error {
@@ -151,7 +152,7 @@
 	return l.checkLog(next)
 }
 
-// checkLog checks that the log ends where the file says, and that it continues the snapshot.
+// checkLog checks that the log ends where the extent says, and that it continues the snapshot.
 func (l *loader) checkLog(next uint64) error {
 	snapshotIndex, lastIndex := l.state.Snapshot.Metadata.Index, l.extent.lastIndex
 	if next > 0 && next-1 != lastIndex || next == 0 && lastIndex > snapshotIndex {
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -18,10 +18,9 @@
 // lockTimeout is how long Open waits for another process to close the file.
 const lockTimeout = 20 * time.Millisecond
 
-// Open opens a file, or creates it. maxBytes bounds its size. Errors are ErrInUse, ErrUnreadable or what the system says, as an
-// *fs.PathError.
+// Open opens a file, or creates it. maxBytes bounds its size. Errors are ErrInUse, ErrUnreadable or an *fs.PathError of the system.
 func Open(path string, maxBytes int64) (s *Store, err error) {
-	// A file that is shorter than its header says faults when its pages are touched; that must be an error here, not end the process.
+	// In a file that is shorter than its header says, access to a page faults. That must be an error here, and not end the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -37,7 +36,7 @@
 	}
 	s = &Store{database: db, path: path, maxBytes: maxBytes}
 	if err = db.Update(createBuckets); err == nil {
-		err = syncDir(filepath.Dir(path)) // otherwise a new file's name may be lost, and its votes with it
+		err = syncDir(filepath.Dir(path)) // or a crash may lose the name of a new file, and its votes with it
 	}
 	if err != nil {
 		db.Close()
@@ -55,7 +54,7 @@
 	return nil
 }
 
-// unreadable keeps what the system says about a file, and makes everything else an ErrUnreadable.
+// unreadable returns an error of the system as it is, and makes any other an ErrUnreadable.
 func unreadable(path string, err error) error {
 	var system *fs.PathError
 	if errors.As(err, &system) {
@@ -73,11 +72,11 @@
 	return d.Sync()
 }
 
-// recoverable are the system's errors after which a file is as it was before: there was no room, or no permission to write.
+// recoverable are the system's errors after which a file is unchanged: there was no room, or no permission to write.
 var recoverable = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
-// Recoverable says whether the same process may open a store again that failed. After any other failure, first of all of a sync, what the
-// system shows of the file may not be what is on the disk.
+// Recoverable reports whether the same process may open a store again after an error. After other errors, above all of a sync, what the system
+// shows of the file may differ from what is on the disk.
 func Recoverable(err error) bool {
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrInUse) {
 		return true
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -11,12 +11,12 @@
 
 const checksumBytes = 8
 
-// sealRecord puts a checksum before a record. The key is part of it, so that no record passes for another.
+// sealRecord puts a checksum before a record. It covers the key, so that no record is taken for another.
 func sealRecord(key, data []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, checksum(key, data)), data...)
 }
 
-// openRecord checks a stored record and copies what is in it; the error is ErrUnreadable.
+// openRecord checks the checksum of a stored record, and copies its data; the error is ErrUnreadable.
 func openRecord(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumBytes || binary.BigEndian.Uint64(sealed) != checksum(key, sealed[checksumBytes:]) {
 		return nil, fmt.Errorf("%w: the record %q does not fit its sum", ErrUnreadable, key)
@@ -39,7 +39,7 @@
 
 func put(b *bbolt.Bucket, key, data []byte) error { return b.Put(key, sealRecord(key, data)) }
 
-// marshaler is what raftpb's types are.
+// marshaler is the encoding of the types of raftpb.
 type marshaler interface{ Marshal() ([]byte, error) }
 
 func putMarshaled(b *bbolt.Bucket, key []byte, record marshaler) error {
@@ -50,7 +50,7 @@
 	return put(b, key, data)
 }
 
-// deleteFrom deletes the numbered records from one on.
+// deleteFrom deletes the numbered records from first on.
 func deleteFrom(c *bbolt.Cursor, first uint64) error {
 	for k, _ := c.Seek(numberKey(first)); k != nil; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// deleteUpTo deletes the numbered records up to one.
+// deleteUpTo deletes the numbered records up to last.
 func deleteUpTo(c *bbolt.Cursor, last uint64) error {
 	for k, _ := c.First(); k != nil && keyNumber(k) <= last; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -1,6 +1,6 @@
-// Package disk stores a replica's log, votes and snapshots in one bbolt file. It owns the file's format and bound, and what becomes of a file
-// that is truncated, damaged, full or another's. Each call that saves is one transaction, synced before it returns. Every record carries a
-// checksum: one that does not match is rejected, never used.
+// Package disk stores a replica's log, votes and snapshots in one bbolt file. It owns the file's format and bound, and the handling of files that
+// are truncated, damaged, full or of another replica. Each call that saves is one transaction, synced before it returns. Every record carries a
+// checksum; a record that does not match it is never used.
 package disk
 
 import (
@@ -31,7 +31,7 @@
 
 // Errors of a store.
 var (
-	ErrUnreadable = errors.New("disk: the store is unreadable")                // the file is there but cannot be trusted
+	ErrUnreadable = errors.New("disk: the store is unreadable")                // the file exists, but its content can't be trusted
 	ErrInUse      = errors.New("disk: the store is in use by another process") // another process has the file open
 	ErrFull       = errors.New("disk: the store has reached its bound")        // of Open's maxBytes
 )
@@ -41,10 +41,10 @@
 	database *bbolt.DB
 	path     string
 	maxBytes int64
-	failed   error // after it every call that saves fails
+	failed   error // of the first call that failed; every later call that saves fails with it
 }
 
-// update runs a transaction.
+// update runs a transaction. A page that can't be read (a fault of the memory map) becomes an error.
 func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
 	if s.failed != nil {
 		return s.failed
@@ -70,7 +70,8 @@
 	})
 }
 
-// putExtent records how much the file holds: a page that was replaced by one with fewer records would still match all its checksums.
+// putExtent records how much the file holds. Without it a page that was replaced by an older one with fewer records would not be noticed: all
+// records left would match their checksums.
 func putExtent(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot} {
@@ -91,7 +92,7 @@
 	return put(meta, keyExtent, e.encode())
 }
 
-// SaveIdentity stores who the store belongs to.
+// SaveIdentity stores to which replica the store belongs.
 func (s *Store) SaveIdentity(id consensus.Identity) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
@@ -128,7 +129,7 @@
 	})
 }
 
-// saveSnapshot stores a snapshot. A log that ends before it is dropped: what follows would not continue it.
+// saveSnapshot stores a snapshot. A log that ends before it is dropped, since later entries would leave a gap.
 func saveSnapshot(tx *bbolt.Tx, snap raftpb.Snapshot) error {
 	if err := putMarshaled(tx.Bucket(bucketMeta), keySnapshot, &snap); err != nil {
 		return err
--- a/internal/fleet/consensus/election.go
+++ b/internal/fleet/consensus/election.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// electionTimer says when the leader counts as lost. The raft library draws its timeouts from a source that cannot be seeded, so they are
-// drawn here and its own timer is kept quiescent.
+// electionTimer decides when the leader counts as lost. The raft library draws its timeouts from a source that can't be seeded, so they are drawn
+// here, and the library's own timer does not run at followers (TickQuiesced).
 type electionTimer struct {
 	rng      *rand.Rand
 	shortest Time
-	since    Time // the leader was last heard, or a vote was given
+	since    Time // when the leader was last heard, or this process last voted
 	timeout  Time
 }
 
-// reset begins the timeout anew.
+// reset restarts the timer, with a new timeout.
 func (e *electionTimer) reset(now Time) {
 	e.since = now
 	e.timeout = e.shortest + Time(e.rng.Int64N(int64(e.shortest)))
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// recorder is a machine that keeps all commands.
+// recorder is a machine whose state is all commands, in order.
 type recorder struct{ log []string }
 
 func (r *recorder) Apply(cmd []byte) []byte {
@@ -27,67 +27,81 @@
 }
 
 func (r *recorder) Restore(data []byte) error {
-	rd := encoding.Reader{Data: data}
+	reader := encoding.Reader{Data: data}
 	r.log = nil
-	for n := rd.Count(1 << 20); n > 0; n-- {
-		r.log = append(r.log, rd.Text(1<<16))
+	for n := reader.Count(1 << 20); n > 0; n-- {
+		r.log = append(r.log, reader.Text(1<<16))
 	}
-	return rd.Err()
+	return reader.Err()
 }
 
+// queuedMessage is a message in flight.
 type queuedMessage struct {
 	sender, receiver uint32
 	data             []byte
 	due              Time
 }
 
-// testGroup is some replicas in virtual time.
+// testGroup is replicas in virtual time, on a network that loses and cuts.
 type testGroup struct {
 	t         testing.TB
 	rng       *rand.Rand
 	now       Time
-	names     []string
-	initial   []string
+	names     []string // of all processes that were started
+	initial   []string // voters
 	cores     map[string]*Core
 	machines  map[string]*recorder
 	disks     map[string]*MemoryStore
-	applied   map[uint64]bool
-	confirmed map[uint64]bool
+	applied   map[uint64]bool // by tag
+	confirmed map[uint64]bool // by tag
 	queue     []queuedMessage
-	loss      float64
+	loss      float64 // probability that a message is lost
 	isCut     func(from, to string) bool
 	lastTag   uint64
 	events    []string
 }
 
+// newGroup starts the initial voters.
 func newGroup(t testing.TB, seed uint64, voters ...string) *testGroup {
+	t.Helper()
 	g := &testGroup{t: t, rng: rand.New(rand.NewPCG(seed, 9)), initial: voters, cores: map[string]*Core{}, machines: map[string]*recorder{}, disks: map[string]*MemoryStore{},
 		applied: map[uint64]bool{}, confirmed: map[uint64]bool{}, isCut: func(string, string) bool { return false }}
-	for _, n := range voters {
-		g.start(n)
+	for _, name := range voters {
+		g.mustStart(name)
 	}
 	return g
 }
 
+// testEffects are the effects of one process.
 type testEffects struct {
 	group *testGroup
 	name  string
 }
 
-func (s testEffects) Send(peer uint32, msg []byte) {
-	for _, n := range s.group.names {
-		if PeerID(n) == peer && s.group.rng.Float64() >= s.group.loss && !s.group.isCut(s.name, n) {
-			s.group.queue = append(s.group.queue, queuedMessage{PeerID(s.name), peer, slices.Clone(msg), s.group.now + 1e6 + s.group.rng.Int64N(5e6)})
+func (e testEffects) Send(peer uint32, msg []byte) {
+	g := e.group
+	for _, name := range g.names {
+		if PeerID(name) == peer && g.rng.Float64() >= g.loss && !g.isCut(e.name, name) {
+			due := g.now + 1e6 + g.rng.Int64N(5e6)
+			g.queue = append(g.queue, queuedMessage{sender: PeerID(e.name), receiver: peer, data: slices.Clone(msg), due: due})
 		}
 	}
 }
 
-func (s testEffects) Applied(_ byte, tag uint64, _ []byte) { s.group.applied[tag] = true }
+func (e testEffects) Applied(_ byte, tag uint64, _ []byte) { e.group.applied[tag] = true }
 
-func (s testEffects) Confirmed(tag uint64) { s.group.confirmed[tag] = true }
+func (e testEffects) Confirmed(tag uint64) { e.group.confirmed[tag] = true }
 
-func (s testEffects) LogEvent(event string, args ...any) {
-	s.group.events = append(s.group.events, fmt.Sprint(s.name, " ", event, " ", args))
+func (e testEffects) LogEvent(event string, args ...any) {
+	e.group.events = append(e.group.events, fmt.Sprint(e.name, " ", event, " ", args))
+}
+
+// mustStart starts a process, from its disk if it has one.
+func (g *testGroup) mustStart(name string) {
+	g.t.Helper()
+	if err := g.start(name); err != nil {
+		g.t.Fatalf("start of %s: %v", name, err)
+	}
 }
 
 func (g *testGroup) start(name string) error {
@@ -95,35 +109,38 @@
 		g.disks[name] = &MemoryStore{}
 		g.names = append(g.names, name)
 	}
-	reg := &recorder{}
-	c, err := Open(Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, TrailingEntries: 5}, g.disks[name], map[byte]Machine{1: reg}, testEffects{g, name})
+	machine := &recorder{}
+	cfg := Config{Group: "g", Name: name, InitialVoters: g.initial, Seed: g.rng.Uint64(), SnapshotEvery: 20, TrailingEntries: 5}
+	c, err := Open(cfg, g.disks[name], map[byte]Machine{1: machine}, testEffects{g, name})
 	if err == nil {
-		g.cores[name], g.machines[name] = c, reg
+		g.cores[name], g.machines[name] = c, machine
 	}
 	return err
 }
 
+// kill ends a process without notice.
 func (g *testGroup) kill(name string) {
 	g.disks[name].Crash()
 	delete(g.cores, name)
 }
 
+// run lets time pass: messages are delivered, and processes tick.
 func (g *testGroup) run(d Time) {
 	for end := g.now + d; g.now < end; g.now += 1e7 {
 		for i := 0; i < len(g.queue); i++ {
 			if m := g.queue[i]; m.due <= g.now {
 				g.queue = slices.Delete(g.queue, i, i+1)
 				i--
-				for _, n := range g.names {
-					if c := g.cores[n]; c != nil && PeerID(n) == m.receiver {
+				for _, name := range g.names {
+					if c := g.cores[name]; c != nil && PeerID(name) == m.receiver {
 						c.Receive(g.now, m.sender, m.data)
 					}
 				}
 			}
 		}
 		if g.now%1e8 == 0 {
-			for _, n := range g.names {
-				if c := g.cores[n]; c != nil {
+			for _, name := range g.names {
+				if c := g.cores[name]; c != nil {
 					c.Tick(g.now)
 				}
 			}
@@ -131,12 +148,12 @@
 	}
 }
 
-// leader waits for one that is confirmed.
+// leader waits for a leader that the voters confirm.
 func (g *testGroup) leader() *Core {
 	g.t.Helper()
 	for range 200 {
-		for _, n := range g.names {
-			if c := g.cores[n]; c != nil {
+		for _, name := range g.names {
+			if c := g.cores[name]; c != nil {
 				if _, ok := c.Leading(); ok {
 					tag := g.tag()
 					c.Confirm(g.now, tag)
@@ -149,13 +166,13 @@
 		}
 		g.run(1e8)
 	}
-	g.t.Fatalf("no leader after 20 s; %v", g.events)
+	g.t.Fatalf("no confirmed leader after 20 s; events: %v", g.events)
 	return nil
 }
 
 func (g *testGroup) tag() uint64 { g.lastTag++; return g.lastTag }
 
-// propose has a command agreed on, by whichever process leads.
+// propose has a command committed, by whichever process leads.
 func (g *testGroup) propose(text string) {
 	g.t.Helper()
 	for range 50 {
@@ -168,20 +185,29 @@
 			}
 		}
 	}
-	g.t.Fatalf("%q is not agreed on", text)
+	g.t.Fatalf("command %q is not committed", text)
 }
 
+// checkEqual checks that all members have applied the same commands.
 func (g *testGroup) checkEqual() {
 	g.t.Helper()
 	g.run(3e9)
 	var first []string
-	for _, n := range g.names {
-		if c := g.cores[n]; c != nil && c.phase == Member {
+	for _, name := range g.names {
+		if c := g.cores[name]; c != nil && c.phase == Member {
 			if first == nil {
-				first = g.machines[n].log
-			} else if !slices.Equal(first, g.machines[n].log) {
-				g.t.Fatalf("%s has %q, another %q", n, g.machines[n].log, first)
+				first = g.machines[name].log
+			} else if !slices.Equal(first, g.machines[name].log) {
+				g.t.Fatalf("%s has applied %q, another member %q", name, g.machines[name].log, first)
 			}
 		}
 	}
 }
+
+// checkPhase checks the phase of a running process.
+func (g *testGroup) checkPhase(name string, want Phase) {
+	g.t.Helper()
+	if phase, reason := g.cores[name].Phase(); phase != want {
+		g.t.Errorf("%s is %v (%q), want %v", name, phase, reason, want)
+	}
+}
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -12,20 +12,20 @@
 	waitForOthers = Time(1e9) // 1 s
 )
 
-// evidence is what this process has received from another replica: what the other must have on its disk.
+// evidence is what this process has received from another replica, and the other therefore must have on its disk.
 type evidence struct {
 	term              uint64
-	logTerm, logIndex uint64 // up to which it must have the log
+	logTerm, logIndex uint64 // the last log entry that it must have
 }
 
-// joining is what a start has heard from the others, and what this process knows of them for theirs.
+// joining is what this process has heard from others for its own start, and what it knows of them for theirs.
 type joining struct {
 	startedAt    Time                   // below 0: no tick yet
 	lastHello    Time                   // 0: none
-	answers      map[uint32]bool        // by peer that remembers: whether it knows a group
+	answers      map[uint32]bool        // by peer whose answer counts: whether it knows a group
 	startRecords map[uint64]StartRecord // stored, by replica
 	received     map[uint64]evidence    // since this process started, by replica
-	applicants   map[string]uint64      // identities of processes that ask to be added, by name
+	applicants   map[string]uint64      // identities of the processes that ask to be added, by name
 }
 
 func newJoining(stored map[uint64]StartRecord) joining {
@@ -35,14 +35,14 @@
 	return joining{startedAt: -1, answers: map[uint32]bool{}, startRecords: stored, received: map[uint64]evidence{}, applicants: map[string]uint64{}}
 }
 
-// begin notes the first tick.
+// begin records the first tick.
 func (j *joining) begin(now Time) {
 	if j.startedAt < 0 {
 		j.startedAt = now
 	}
 }
 
-// restart forgets the answers, as this process has got an identity that they do not know.
+// restart drops the answers: they do not refer to the identity that this process has now.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
@@ -56,7 +56,7 @@
 	return true
 }
 
-// noteMessage records what a replica's message proves that it has stored. Pre-votes prove nothing: their term is not stored.
+// noteMessage records what a message proves its sender to have stored. Pre-votes prove nothing: their term is not stored.
 func (j *joining) noteMessage(m *raftpb.Message) {
 	if m.Type == raftpb.MsgPreVote || m.Type == raftpb.MsgPreVoteResp {
 		return
@@ -72,7 +72,7 @@
 	j.received[m.From] = e
 }
 
-// otherVoters are the peers that a start asks: all voters but this one.
+// otherVoters are the peers that a start asks: all voters other than this process.
 func (c *Core) otherVoters() (peers []uint32) {
 	self := PeerID(c.cfg.Name)
 	add := func(p uint32) {
@@ -99,13 +99,13 @@
 	}
 }
 
-// handleHello answers a process that starts with what is known of it.
+// handleHello answers a starting process with what is known of it.
 func (c *Core) handleHello(from uint32, h hello) error {
 	if h.group != c.cfg.Group || PeerID(h.name) != from || h.replica != 0 && peerOf(h.replica) != from {
 		return ErrHello
 	}
 	if c.phase == Broken || c.phase == Stale {
-		return nil // what this process remembers cannot be stored, or is old
+		return nil // what this process knows can't be stored, or is out of date
 	}
 	replica := h.replica
 	if replica == 0 {
@@ -113,7 +113,7 @@
 	}
 	start := c.joining.startRecords[replica]
 	if h.replica != 0 && h.starts > start.Starts {
-		// Stored before it is answered: the answer lets the other one vote.
+		// Durability: stored before it is answered, since the answer lets the other process vote.
 		start = StartRecord{h.starts, h.incarnation}
 		if !c.checkStored(c.store.SaveStartRecord(h.replica, start)) {
 			return nil
@@ -124,7 +124,7 @@
 		c.joining.applicants[h.name] = h.replica
 	}
 	received := c.joining.received[replica]
-	// A group that has never heard of an initial voter does not prevent that one from bootstrapping the same group.
+	// An initial voter that nobody has ever seen completes the bootstrap of the group that it is configured with.
 	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
 		group:     c.cfg.Group,
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// handleWelcome handles what another process knows of this one.
+// handleWelcome handles the answer to a hello.
 func (c *Core) handleWelcome(from uint32, m welcome) error {
 	if m.group != c.cfg.Group || m.replica != c.identity.ID {
 		return ErrWelcome
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// staleCause says what another process has received that the own store does not hold.
+// staleCause reports what another process has received that the own store does not hold.
 func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
 	switch {
@@ -171,7 +171,7 @@
 	return storeCurrent
 }
 
-// tryStart ends a start once enough of the others have answered.
+// tryStart completes the start once enough of the others have answered.
 func (c *Core) tryStart() {
 	others, answers := c.otherVoters(), c.joining.answers
 	hasGroup := false
@@ -192,19 +192,19 @@
 	}
 }
 
-// enoughAnswers says whether a majority of the voters, this one counted, has noted this start: a later start with an older file then meets
-// one of them.
+// enoughAnswers reports whether a majority of the voters, with this one, has recorded this start. Staleness: a later start with an older file then
+// meets one of them.
 func (c *Core) enoughAnswers(others int) bool {
 	enough := (others + 1) / 2
 	if c.identity.Starts == 1 && isInitial(c.identity.ID) {
-		enough = others // so that an initial voter that loses its disk later meets nobody who does not know it
+		enough = others // so that all others know an initial voter, and none lets it bootstrap again after it lost its disk
 	}
 	answers := len(c.joining.answers)
 	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= waitForOthers)
 }
 
-// startAsNewReplica takes a new identity. Either this process never was of the group, or it was and lost its disk: it may have voted, and
-// must not be that voter again.
+// startAsNewReplica takes a new identity. Either this process never was a member, or it was and lost its disk: then it may have voted, and must
+// not vote again as that member.
 func (c *Core) startAsNewReplica(reason notMemberReason) {
 	nonce := c.rng.Uint32() | 1
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
@@ -214,7 +214,7 @@
 	}
 }
 
-// bootstrap begins the group. All initial voters have answered and none knows a group, so that all come to the same beginning.
+// bootstrap forms the group. All initial voters have answered and none knows a group, so all of them begin with the same state.
 func (c *Core) bootstrap() {
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, 0), Starts: 1}
 	c.configuration.bootstrap(c.cfg.InitialVoters)
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -6,14 +6,14 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// leadership is what this process has reported of its own leading.
+// leadership is what this process has reported of its own lead.
 type leadership struct {
 	reportedTerm uint64 // in which it leads; 0: it does not
-	yieldsUntil  Time   // until then it does not act as leader, as it has handed over
+	yieldsUntil  Time   // until then it does not act as the leader: it has handed the lead over
 }
 
-// Leading says whether this process leads and has applied all that earlier leaders agreed on, and in which term. It may have been deposed
-// without knowing yet: what must not rest on a deposed leader calls Confirm first.
+// Leading reports whether this process leads and has applied all that earlier leaders committed, and in which term. It may have been deposed
+// without knowing it: whoever relies on the lead calls Confirm first.
 func (c *Core) Leading() (term uint64, ok bool) {
 	if c.node == nil || c.phase != Member {
 		return 0, false
@@ -22,7 +22,7 @@
 	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.yieldsUntil
 }
 
-// Leader is the peer that leads, as far as this process knows; 0: nobody.
+// Leader is the peer that leads, as far as this process knows; 0: none.
 func (c *Core) Leader() uint32 {
 	if c.node == nil {
 		return 0
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Propose has a command agreed on. Effects.Applied reports, with the tag, that it was; a leader that is deposed may never hear. Errors are
-// ErrCommandTooLong, ErrNotLeader and ErrBusy.
+// Propose proposes a command. Effects.Applied is called with the tag once it is applied; a leader that is deposed meanwhile may never learn
+// whether it was. Errors are ErrCommandTooLong, ErrNotLeader and ErrBusy.
 func (c *Core) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
 	c.now = max(c.now, now)
 	if len(cmd) > maxCommandBytes {
@@ -69,13 +69,13 @@
 		return
 	}
 	if successor := c.mostUpToDate(); successor != 0 {
-		c.leadership.yieldsUntil = c.now + c.cfg.electionTimeout() // as long as the library tries
+		c.leadership.yieldsUntil = c.now + c.cfg.electionTimeout() // as long as the library attempts the transfer
 		c.guard(func() { c.node.TransferLeader(successor) })
 		c.processReady()
 	}
 }
 
-// mostUpToDate is the active voter, this process aside, that has most of the log; 0: none is active.
+// mostUpToDate is the active voter other than this process that has most of the log; 0: none is active.
 func (c *Core) mostUpToDate() (best uint64) {
 	match := uint64(0)
 	c.node.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -9,8 +9,8 @@
 // progress is what a leader knows of another replica's log.
 type progress = tracker.Progress
 
-// panicLogger is the raft library's log. What the library finds impossible becomes a panic, which Core.guard recovers; this package reports
-// the rest as events of its own.
+// panicLogger is the raft library's logger. Fatal errors become panics, which Core.guard recovers; the rest is discarded, since this package logs
+// events of its own.
 type panicLogger struct{}
 
 // Debug discards its arguments.
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -9,20 +9,20 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// ErrClosed is of a MemoryStore that crashed or was closed.
+// ErrClosed is the error of a MemoryStore that crashed or was closed.
 var ErrClosed = errors.New("memory: closed")
 
-// MemoryStore is a Store for tests and for runs in virtual time; it simulates crashes, failures and files restored from a backup.
+// MemoryStore is a Store for tests and simulations: it simulates crashes, failures and files restored from a backup.
 type MemoryStore struct {
-	SkipSync bool  // a planted fault: what is saved is lost with a crash
-	Fail     error // of each call from now on; nil: none
+	SkipSync bool  // an injected fault: a crash loses what was saved; breaks durability
+	Fail     error // of each call that saves, and of Load, from now on; nil: none
 
 	stored StoredState
-	synced *StoredState // what was last synced, while syncs are skipped
+	synced *StoredState // what a crash leaves, with SkipSync; nil: stored
 	closed bool
 }
 
-// entriesAfter is the part of a log behind an index.
+// entriesAfter is the part of a log after an index.
 func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	n := 0
 	for n < len(entries) && entries[n].Index <= index {
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -12,30 +12,30 @@
 // The kinds of message, as their first number.
 const (
 	kindRaft    = 1 // a message of the raft library
-	kindHello   = 2 // a process that starts asks what is known of it
+	kindHello   = 2 // a starting process asks what is known of it
 	kindWelcome = 3 // the answer to a hello
 )
 
 // Errors of Receive.
 var (
-	ErrHello       = errors.New("consensus: a start of another group, or torn")
-	ErrWelcome     = errors.New("consensus: an answer for another start, or torn")
-	ErrRaftMessage = errors.New("consensus: a message of another group, or torn")
-	ErrMessageKind = errors.New("consensus: a message of no known kind")
+	ErrHello       = errors.New("consensus: hello of another group or malformed")
+	ErrWelcome     = errors.New("consensus: welcome for another start or malformed")
+	ErrRaftMessage = errors.New("consensus: raft message of another group or malformed")
+	ErrMessageKind = errors.New("consensus: unknown message kind")
 )
 
-// MisroutedError is of a raft message that is not from whom it says, or not for this replica.
+// MisroutedError is the error of a raft message that names another sender than it came from, or another receiver than this replica.
 type MisroutedError struct {
 	Sender, Receiver uint64 // as the message says
-	Peer             uint32 // who sent it
+	Peer             uint32 // it came from
 }
 
 // Error names all three.
 func (e *MisroutedError) Error() string {
-	return fmt.Sprintf("consensus: a message from %x to %x, sent by %08x", e.Sender, e.Receiver, e.Peer)
+	return fmt.Sprintf("consensus: raft message from %x to %x came from peer %08x", e.Sender, e.Receiver, e.Peer)
 }
 
-// hello is what a process that starts says of itself.
+// hello is what a starting process sends of itself.
 type hello struct {
 	group, name string
 	replica     uint64 // its identity; 0: it has no identity yet
@@ -57,12 +57,12 @@
 	return h, nil
 }
 
-// welcome is what another process knows of one that starts.
+// welcome is what another process knows of a starting one.
 type welcome struct {
 	group     string
 	replica   uint64 // of the process that starts, as its hello had it
-	hasGroup  bool   // the sender knows a group of which the process was, or is not, a member: it must not bootstrap one
-	remembers bool   // the sender has a memory of its own, so what it does not know did not happen
+	hasGroup  bool   // the sender knows a group that the process must not bootstrap again
+	remembers bool   // the sender has a store of its own: what it does not know has not happened
 	start     StartRecord
 	received  evidence
 }
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// kindAndBody cuts the kind off a message, as Receive does.
+// kindAndBody reads the kind of a message, as Receive does.
 func kindAndBody(t *testing.T, data []byte) (kind uint64, body encoding.Reader) {
 	t.Helper()
 	r := encoding.Reader{Data: data}
@@ -17,6 +17,7 @@
 	return kind, r
 }
 
+// TestMessagesRoundTrip: each message decodes to what was encoded.
 func TestMessagesRoundTrip(t *testing.T) {
 	h := hello{group: "g", name: "a", replica: 1 << 40, starts: 300, incarnation: 1 << 63}
 	kind, body := kindAndBody(t, h.encode())
@@ -46,6 +47,7 @@
 	}
 }
 
+// TestTruncatedMessagesAreRejected: no truncated message decodes.
 func TestTruncatedMessagesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		data   []byte
@@ -68,21 +70,21 @@
 	c.recovered.HardState.Term = 5
 	c.recovered.Entries = []raftpb.Entry{{Index: 20, Term: 5}}
 	own := StartRecord{Starts: 4, Incarnation: 11}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name string
 		m    welcome
 		want staleCause
 	}{
-		{"the same", welcome{start: own, received: evidence{5, 5, 20}}, storeCurrent},
-		{"less", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, storeCurrent},
+		{"the same start and log", welcome{start: own, received: evidence{5, 5, 20}}, storeCurrent},
+		{"an earlier start and less of the log", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, storeCurrent},
 		{"a later start", welcome{start: StartRecord{5, 11}}, laterStart},
 		{"the same start of another process", welcome{start: StartRecord{4, 12}}, laterStart},
 		{"a later term", welcome{start: own, received: evidence{6, 0, 0}}, laterTerm},
 		{"more of the log", welcome{start: own, received: evidence{5, 5, 21}}, longerLog},
 		{"more of a log that was overwritten", welcome{start: own, received: evidence{5, 4, 21}}, storeCurrent},
 	} {
-		if got := c.staleCause(x.m); got != x.want {
-			t.Errorf("%s: got %v, want %v", x.name, got, x.want)
+		if got := c.staleCause(test.m); got != test.want {
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/fleet/consensus/phase.go
+++ b/internal/fleet/consensus/phase.go
@@ -1,18 +1,18 @@
 package consensus
 
-// Phase is how far a process takes part.
+// Phase says whether a process takes part in the group.
 type Phase uint8
 
 // The phases.
 const (
 	Starting  Phase = iota // asks the others what they know of it
-	NotMember              // not of the group, or not yet
+	NotMember              // of no group, or not yet a member
 	Member                 // takes part
-	Stale                  // its store is older than what others have received from it: it must be replaced
+	Stale                  // its store is older than what others have received from it: an operator must replace it
 	Broken                 // its store failed
 )
 
 var phaseNames = [...]string{"starting", "outside", "member", "stale", "broken"}
 
-// String is the phase's name as operators read it.
+// String is the phase as the log and operators' commands have it; the bytes of earlier versions.
 func (p Phase) String() string { return phaseNames[p] }
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -48,7 +48,7 @@
 	}
 	c.guard(func() {
 		c.node.Step(m)
-		if c.deservesTime(&m) {
+		if c.delaysElection(&m) {
 			c.election.reset(c.now)
 		}
 	})
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// deservesTime says whether a message that was just handled puts off this process's own candidacy: it is of the leader, or of a candidate
-// that got this process's vote.
-func (c *Core) deservesTime(m *raftpb.Message) bool {
+// delaysElection reports whether a message that was just handled restarts the election timer: it is from the leader, or from the candidate that
+// got this process's vote.
+func (c *Core) delaysElection(m *raftpb.Message) bool {
 	status := c.node.BasicStatus()
 	switch m.Type {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
@@ -69,7 +69,7 @@
 	return false
 }
 
-// startRaft begins to take part, with what the store held.
+// startRaft starts the raft library with what the store held.
 func (c *Core) startRaft() {
 	c.storage = raft.NewMemoryStorage()
 	if !raft.IsEmptySnap(c.recovered.Snapshot) {
@@ -98,7 +98,7 @@
 // processReady carries out what the raft library has decided.
 func (c *Core) processReady() {
 	if c.processing {
-		return // an effect has asked for more: the loop that runs goes on with it
+		return // called from an effect: the loop that is running continues with what it caused
 	}
 	c.processing = true
 	defer func() { c.processing = false }()
@@ -121,7 +121,7 @@
 	})
 }
 
-// persist makes durable what must not be forgotten, before any message speaks of it; false: the store failed.
+// persist stores what must not be lost. Durability: before any message that depends on it is sent. false: the store failed.
 func (c *Core) persist(rd *raft.Ready) bool {
 	if len(rd.Entries) > 0 || !raft.IsEmptyHardState(rd.HardState) || !raft.IsEmptySnap(rd.Snapshot) {
 		if !c.checkStored(c.store.Save(rd.HardState, rd.Entries, rd.Snapshot)) {
@@ -169,7 +169,7 @@
 	}
 	c.effects.Send(peerOf(m.To), data)
 	if m.Type == raftpb.MsgSnap {
-		// A snapshot that does not arrive is sent again; the library must not wait for a report meanwhile.
+		// A snapshot that is lost is sent again. Without this report the library would send that replica nothing else.
 		c.node.ReportSnapshot(m.To, raft.SnapshotFinish)
 	}
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-// applyCommand gives a command to its machine. An empty entry is a new leader's, and a machine that is not known here is skipped.
+// applyCommand applies a command to its machine. A new leader's first entry is empty; a machine that is not known here is skipped.
 func (c *Core) applyCommand(data []byte) {
 	if len(data) == 0 {
 		return
@@ -209,7 +209,7 @@
 	}
 }
 
-// applyChange applies a change of the configuration. One without changes only leaves a joint configuration.
+// applyChange applies a committed change of the configuration. One without changes ends a joint configuration.
 func (c *Core) applyChange(change raftpb.ConfChangeV2) {
 	context := decodeChangeContext(change.Context)
 	c.configuration.apply(*c.node.ApplyConfChange(change), change.Changes, context.name)
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -22,8 +22,8 @@
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
 
-// currentSnapshots gives the raft library snapshots as of now: an earlier one does not know of a member that was added since, which would
-// refuse it.
+// currentSnapshots gives the raft library snapshots of the present state. An older one would not name a member that was added since, and that
+// member would reject it.
 type currentSnapshots struct {
 	*raft.MemoryStorage
 	core *Core
@@ -51,7 +51,7 @@
 	return w.Data
 }
 
-// restoreSnapshot puts a snapshot in place of all that was applied.
+// restoreSnapshot replaces all that was applied by a snapshot.
 func (c *Core) restoreSnapshot(snap raftpb.Snapshot) error {
 	r := encoding.Reader{Data: snap.Data}
 	if v := r.Uint(); v != snapshotVersion {
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// compact stores a snapshot once enough commands have been applied since the last one, and drops the entries well behind it.
+// compact stores a snapshot once enough commands were applied since the last one, and drops the entries that are further behind it than
+// Config.TrailingEntries.
 func (c *Core) compact() {
 	if c.applied.index-c.applied.snapshotIndex < uint64(c.cfg.SnapshotEvery) {
 		return
@@ -84,8 +85,8 @@
 	}
 	c.applied.snapshotIndex = c.applied.index
 	first, _ := c.storage.FirstIndex()
-	kept := uint64(c.cfg.TrailingEntries)
-	if upTo := c.applied.index - kept; c.applied.index > kept && upTo > first {
+	trailing := uint64(c.cfg.TrailingEntries)
+	if upTo := c.applied.index - trailing; c.applied.index > trailing && upTo > first {
 		if err := c.storage.Compact(upTo); err != nil {
 			panic(err)
 		}
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -45,10 +45,10 @@
 
 func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Phase is how far this process takes part, and why not further.
+// Phase says whether this process takes part, and if not for what reason.
 func (c *Core) Phase() (Phase, string) { return c.phase, c.reason() }
 
-// reason is why this process takes no part any more.
+// reason is why this process takes no part any more, as operators' commands show it; "": it does, or may yet.
 func (c *Core) reason() string {
 	switch c.phase {
 	case Stale:
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// Failure is what broke this replica; nil: nothing.
+// Failure is the error that broke this replica; nil: none.
 func (c *Core) Failure() error { return c.failure }
 
 // Applied is the index of the last command applied here.
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -9,16 +9,17 @@
 // PeerID names a process in messages.
 func PeerID(name string) uint32 { return group.Peer(name) }
 
-// VoterID is a replica's identity in raft: a process that lost its disk is not the replica that it was, and comes back under another nonce.
-// The initial voters have nonce 0.
+// VoterID is a replica's identity in raft. A process that lost its disk is another replica: it comes back with another nonce. The initial voters
+// have nonce 0.
 func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
 func peerOf(id uint64) uint32 { return uint32(id) }
 
-// isInitial says whether an identity is the first one of an initial voter.
+// isInitial reports whether an identity is the first one of an initial voter.
 func isInitial(id uint64) bool { return id>>32 == 0 }
 
-// Store stores what a replica must not forget. What returned without error is durable. After an error only Close may be called.
+// Store stores what a replica must not lose. What a call has saved is durable once it returns without an error. After an error only Close may be
+// called.
 type Store interface {
 	Load() (StoredState, error)
 	SaveIdentity(Identity) error
@@ -36,7 +37,7 @@
 	Group, Name string
 	ID          uint64 // 0: none yet
 	Starts      uint64 // how often the process was started with this store
-	Stale       bool   // the store was found to be older than what others have received; stored, as those others may forget
+	Stale       bool   // the store was found to be older than what others have received; stored, since those others may lose their memory
 }
 
 // StartRecord is the last start of another replica that this process knows of.
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -1,5 +1,5 @@
-// Package group defines the replicated group for those who build on it: the machines that it drives, its effects, errors and status. It depends on
-// no implementation, so that a program without voters on disk does not link the library that those need, nor pay for its start.
+// Package group defines what a replicated group is to its users: the machines that it drives, its effects, errors and status. It depends on no
+// implementation, so that a program without voters on disk does not link the raft library, which would cost time at each start.
 package group
 
 import (
@@ -24,10 +24,10 @@
 	Restore(data []byte) error
 }
 
-// Effects is what a voter has done by its process. Byte strings passed are valid during the call only.
+// Effects is what a voter has its process do. Byte strings passed are valid during the call only.
 type Effects interface {
 	Send(peer uint32, msg []byte)
-	// Applied reports a command that was applied, with the tag under which it was proposed here or at another process.
+	// Applied reports a command that was applied, with the tag under which this process or another one proposed it.
 	Applied(machine byte, tag uint64, result []byte)
 	// Confirmed reports that this process still led after Confirm was called with the tag.
 	Confirmed(tag uint64)
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica opens a replica with a disk for the owner agent: consensus on a bbolt file. It is a package of its own so that programs
-// without replicas need not contain the two.
+// Package replica opens a replica with a disk for the owner agent: package consensus on a bbolt file. It is a package of its own so that a program
+// without replicas does not link raft and bbolt.
 package replica
 
 import (
@@ -20,7 +20,7 @@
 // replica is consensus as the owner agent uses it.
 type replica struct{ *consensus.Core }
 
-// Stopped is why the replica takes part no more; nil: it does.
+// Stopped is the error for which the replica has stopped; nil: it has not.
 func (r replica) Stopped() *group.StoreError {
 	if phase, _ := r.Phase(); phase == consensus.Broken {
 		return storeError(r.Failure())
@@ -32,7 +32,7 @@
 	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), Retryable: disk.Recoverable(err)}
 }
 
-// Open opens the replica whose store is in a folder.
+// Open opens the replica whose store is in VoterOptions.Dir.
 func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
 	store, err := disk.Open(filepath.Join(o.Dir, fileName), o.MaxBytes)
 	if err != nil {
