--- a/internal/fleet/consensus/disk/recorded_test.go
+++ b/internal/fleet/consensus/disk/recorded_test.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedStore: a file that was written by an earlier version is opened, read, and written to.
+// TestRecordedStore: a file that an earlier version wrote can be opened, read and written to.
 func TestRecordedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	want := fill(t, path)
@@ -22,23 +22,18 @@
 		}
 		golden.Check(t, "voter.bbolt", data)
 	}
-	old := filepath.Join(t.TempDir(), "recorded")
-	if err := os.WriteFile(old, golden.Read(t, "voter.bbolt"), 0o600); err != nil {
+	recorded := filepath.Join(t.TempDir(), "recorded")
+	if err := os.WriteFile(recorded, golden.Read(t, "voter.bbolt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(old, 1<<20)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	got, err := s.Load()
-	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("read %+v, %v", got, err)
+	s := mustOpen(t, recorded)
+	if got := mustLoad(t, s); !reflect.DeepEqual(got, want) {
+		t.Fatalf("loaded %+v, want %+v", got, want)
 	}
 	if err := s.Save(raftpb.HardState{Term: 3, Vote: 7, Commit: 9}, entries(10, 2, 3), raftpb.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
-	if got, err = s.Load(); err != nil || len(got.Entries) != len(want.Entries)+2 || got.HardState.Term != 3 {
-		t.Errorf("after a write: %+v, %v", got, err)
+	if got := mustLoad(t, s); len(got.Entries) != len(want.Entries)+2 || got.HardState.Term != 3 {
+		t.Errorf("loaded %+v after a write", got)
 	}
 }
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"syscall"
 	"testing"
 
@@ -16,16 +17,40 @@
 	"croftlock/internal/fleet/consensus"
 )
 
-func entries(from, n int, term uint64) (out []raftpb.Entry) {
+const testMaxBytes = 1 << 20
+
+// entries makes n entries of a term, by index from first on.
+func entries(first, n int, term uint64) (out []raftpb.Entry) {
 	for i := range n {
-		out = append(out, raftpb.Entry{Index: uint64(from + i), Term: term, Data: []byte(fmt.Sprint("command ", from+i))})
+		out = append(out, raftpb.Entry{Index: uint64(first + i), Term: term, Data: []byte(fmt.Sprint("command ", first+i))})
 	}
 	return out
 }
 
+// mustOpen opens a store, which is closed at the end of the test.
+func mustOpen(t testing.TB, path string) *Store {
+	t.Helper()
+	s, err := Open(path, testMaxBytes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close() })
+	return s
+}
+
+func mustLoad(t testing.TB, s *Store) consensus.StoredState {
+	t.Helper()
+	state, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// fill saves something of each kind in a new file, and gives what is to be loaded from it.
 func fill(t testing.TB, path string) consensus.StoredState {
 	t.Helper()
-	s, err := Open(path, 1<<20)
+	s, err := Open(path, testMaxBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,124 +67,142 @@
 	must(s.Save(raftpb.HardState{}, entries(8, 2, 2), raftpb.Snapshot{})) // replaces 8 to 10
 	must(s.Save(raftpb.HardState{}, nil, raftpb.Snapshot{Data: []byte("state"), Metadata: raftpb.SnapshotMetadata{Index: 4, Term: 1}}))
 	must(s.Compact(2))
-	out, err := s.Load()
-	must(err)
-	return out
+	return mustLoad(t, s)
 }
 
-// TestStoresWhatIsSaved: a file opened again holds what was saved, and one in use is not opened twice.
+// TestStoresWhatIsSaved: a file that is opened again holds what was saved, and one in use is not opened twice.
 func TestStoresWhatIsSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fill(t, path)
-	s, err := Open(path, 1<<20)
-	if err != nil {
-		t.Fatal(err)
+	s := mustOpen(t, path)
+	got := mustLoad(t, s)
+	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
+	if got.ID != 7 || got.Starts != 3 || got.HardState.Vote != 9 || string(got.Snapshot.Data) != "state" || got.StartRecords[9].Starts != 2 {
+		t.Errorf("loaded %+v", got)
 	}
-	defer s.Close()
-	got, err := s.Load()
-	if err != nil {
-		t.Fatal(err)
+	if !reflect.DeepEqual(got.Entries, want) {
+		t.Errorf("loaded the entries %v, want %v", got.Entries, want)
 	}
-	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
-	if got.ID != 7 || got.Starts != 3 || got.HardState.Vote != 9 || string(got.Snapshot.Data) != "state" || got.StartRecords[9].Starts != 2 || !reflect.DeepEqual(got.Entries, want) {
-		t.Errorf("%+v", got)
+	if _, err := Open(path, testMaxBytes); !errors.Is(err, ErrInUse) || !Recoverable(err) {
+		t.Errorf("a store in use: got %v, want %v", err, ErrInUse)
 	}
-	if _, err := Open(path, 1<<20); !errors.Is(err, ErrInUse) || !Recoverable(err) {
-		t.Error("a store in use:", err)
+}
+
+// TestSnapshotBeyondTheLog: a snapshot of another replica that is beyond the whole log replaces it.
+func TestSnapshotBeyondTheLog(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "voter")
+	fill(t, path)
+	s := mustOpen(t, path)
+	snapshot := raftpb.Snapshot{Data: []byte("later"), Metadata: raftpb.SnapshotMetadata{Index: 50, Term: 3}}
+	if err := s.Save(raftpb.HardState{}, nil, snapshot); err != nil {
+		t.Fatal(err)
+	}
+	if got := mustLoad(t, s); len(got.Entries) != 0 || got.Snapshot.Metadata.Index != 50 {
+		t.Errorf("loaded %+v, want the snapshot at 50 and no entries", got)
 	}
-	// A snapshot of another replica, beyond all that is here, replaces the log.
-	s.Save(raftpb.HardState{}, nil, raftpb.Snapshot{Data: []byte("later"), Metadata: raftpb.SnapshotMetadata{Index: 50, Term: 3}})
-	if got, err = s.Load(); err != nil || len(got.Entries) != 0 || got.Snapshot.Metadata.Index != 50 {
-		t.Errorf("%+v %v", got, err)
+}
+
+// damage returns a copy of a file's data with a kind of damage that n chooses: flipped bytes, truncation, or a page replaced by another.
+func damage(rng *rand.Rand, data []byte, n int) []byte {
+	const kinds, pageBytes = 3, 4096
+	damaged := slices.Clone(data)
+	switch n % kinds {
+	case 0:
+		for range 1 + rng.IntN(4) {
+			damaged[rng.IntN(len(damaged))] ^= byte(1 + rng.IntN(255))
+		}
+	case 1:
+		damaged = damaged[:rng.IntN(len(damaged))]
+	case 2:
+		from, to := pageBytes*rng.IntN(len(data)/pageBytes), pageBytes*rng.IntN(len(data)/pageBytes)
+		copy(damaged[to:to+pageBytes], data[from:from+pageBytes])
 	}
+	return damaged
 }
 
 // TestDamagedFiles: a file with flipped bytes, a truncated one or one with a stale page is rejected or gives what was stored, never
 // something else, and does not end the process.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
-	good := filepath.Join(dir, "good")
-	want := fill(t, good)
-	data, err := os.ReadFile(good)
+	intact := filepath.Join(dir, "intact")
+	want := fill(t, intact)
+	data, err := os.ReadFile(intact)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	rejected := 0
 	for i := range 300 {
-		bad := append([]byte(nil), data...)
-		switch i % 3 {
-		case 0:
-			for range 1 + rng.IntN(4) {
-				bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
-			}
-		case 1:
-			bad = bad[:rng.IntN(len(bad))]
-		case 2:
-			from, to := 4096*rng.IntN(len(bad)/4096), 4096*rng.IntN(len(bad)/4096)
-			copy(bad[to:to+4096], data[from:from+4096])
-		}
-		path := filepath.Join(dir, fmt.Sprint("bad", i))
-		if err := os.WriteFile(path, bad, 0o600); err != nil {
+		path := filepath.Join(dir, fmt.Sprint("damaged", i))
+		if err := os.WriteFile(path, damage(rng, data, i), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := Open(path, 1<<20)
+		s, err := Open(path, testMaxBytes)
 		if err != nil {
 			rejected++
 			continue
 		}
 		got, err := s.Load()
-		if err != nil {
+		switch {
+		case err != nil:
 			rejected++
 			if Recoverable(err) {
-				t.Errorf("%d: %v counts as recoverable", i, err)
+				t.Errorf("file %d: %v counts as recoverable", i, err)
 			}
-		} else if !reflect.DeepEqual(got, want) && got.ID != 0 {
-			t.Errorf("%d: gives %+v", i, got)
+		case !reflect.DeepEqual(got, want) && got.ID != 0:
+			t.Errorf("file %d: loaded %+v", i, got)
 		}
 		s.Close()
 	}
 	if rejected < 60 {
-		t.Errorf("%d of 300 rejected: the damage does not reach what is read", rejected)
+		t.Errorf("%d of 300 files rejected, want 60 or more: the damage does not reach what is read", rejected)
 	}
 }
 
-// TestFullDisk: on a full disk a call that saves fails and saves nothing, and with room again the file opens as it was.
+// limitFileSize limits the size of files that this process writes, in place of a disk without room. It returns a function that ends that.
+func limitFileSize(t *testing.T, bytes uint64) (restore func()) {
+	t.Helper()
+	var before unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &before); err != nil {
+		t.Fatal(err)
+	}
+	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: before.Max}); err != nil {
+		t.Fatal(err)
+	}
+	return func() {
+		if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &before); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// TestFullDisk: on a full disk a call that saves fails, as do all after it, and with room again the file opens with what was saved before.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
-	s, err := Open(path, 1<<20)
-	if err != nil {
+	s := mustOpen(t, path)
+	if err := s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Starts: 1}); err != nil {
 		t.Fatal(err)
 	}
-	s.SaveIdentity(consensus.Identity{Group: "g", Name: "a", ID: 7, Starts: 1})
 	if err := s.Save(raftpb.HardState{Term: 1}, entries(1, 5, 1), raftpb.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
-	// A limit on the size of files stands for a disk without room.
-	var was unix.Rlimit
-	unix.Getrlimit(unix.RLIMIT_FSIZE, &was)
-	unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: was.Max})
-	err = s.Save(raftpb.HardState{Term: 2}, entries(6, 5, 2), raftpb.Snapshot{})
-	again := s.Save(raftpb.HardState{Term: 2}, nil, raftpb.Snapshot{})
-	unix.Setrlimit(unix.RLIMIT_FSIZE, &was)
-	if err == nil || !Recoverable(err) {
-		t.Fatalf("no room: %v", err)
+	restore := limitFileSize(t, 4096)
+	full := s.Save(raftpb.HardState{Term: 2}, entries(6, 5, 2), raftpb.Snapshot{})
+	afterwards := s.Save(raftpb.HardState{Term: 2}, nil, raftpb.Snapshot{})
+	restore()
+	if full == nil || !Recoverable(full) {
+		t.Fatalf("without room: got %v, want a recoverable error", full)
 	}
-	if again == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
-		t.Error("a store that failed saves more")
+	if afterwards == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
+		t.Error("a store that failed saves again")
 	}
 	s.Close()
-	if s, err = Open(path, 1<<20); err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	got, err := s.Load()
-	if err != nil || got.HardState.Term != 1 || len(got.Entries) != 5 {
-		t.Errorf("%+v %v", got, err)
+	if got := mustLoad(t, mustOpen(t, path)); got.HardState.Term != 1 || len(got.Entries) != 5 {
+		t.Errorf("loaded %+v, want term 1 and 5 entries", got)
 	}
 }
 
-// TestBound: the store's own bound holds.
+// TestBound: a store that has reached its bound saves no more.
 func TestBound(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "voter"), 200<<10)
 	if err != nil {
@@ -170,19 +213,26 @@
 		err = s.Save(raftpb.HardState{Term: 1}, entries(i, 50, 1), raftpb.Snapshot{})
 	}
 	if !errors.Is(err, ErrFull) || s.Size() > 600<<10 {
-		t.Errorf("%v at %d bytes", err, s.Size())
+		t.Errorf("got %v at %d bytes, want %v", err, s.Size(), ErrFull)
 	}
 }
 
 // TestRecoverable: the same process may retry only after a failure that left the file as it was.
 func TestRecoverable(t *testing.T) {
 	for _, c := range []struct {
+		name        string
 		err         error
 		recoverable bool
-	}{{&os.PathError{Op: "write", Err: syscall.ENOSPC}, true}, {&os.PathError{Op: "write", Err: syscall.EIO}, false}, {syscall.EIO, false},
-		{syscall.ENOSPC, false}, {&os.PathError{Op: "sync", Err: syscall.ENOSPC}, false}, {&os.PathError{Op: "open", Err: syscall.EROFS}, true}} {
-		if Recoverable(fmt.Errorf("store: %w", c.err)) != c.recoverable {
-			t.Errorf("%v: recoverable %v", c.err, !c.recoverable)
+	}{
+		{"no room to write", &os.PathError{Op: "write", Err: syscall.ENOSPC}, true},
+		{"read-only file system", &os.PathError{Op: "open", Err: syscall.EROFS}, true},
+		{"I/O error", &os.PathError{Op: "write", Err: syscall.EIO}, false},
+		{"no room at a sync", &os.PathError{Op: "sync", Err: syscall.ENOSPC}, false},
+		{"I/O error of no known call", syscall.EIO, false},
+		{"no room at no known call", syscall.ENOSPC, false},
+	} {
+		if got := Recoverable(fmt.Errorf("store: %w", c.err)); got != c.recoverable {
+			t.Errorf("%s: got %t, want %t", c.name, got, c.recoverable)
 		}
 	}
 }
