--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -6,6 +6,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"croftlock/internal/dataplane/netio"
@@ -13,6 +14,7 @@
 	"croftlock/internal/fleet/group"
 	"croftlock/internal/fleet/jobs"
 	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/membership"
 	"croftlock/internal/fleet/ownership"
 )
 
@@ -117,15 +119,21 @@
 	a.loop.After(viewInterval, a.refreshView)
 }
 
+// isInState reports whether a member is in one of some states, as membership names them.
+func isInState(m memberagent.ViewMember, states ...membership.State) bool {
+	return slices.ContainsFunc(states, func(s membership.State) bool { return m.State == s.String() })
+}
+
+// departed reports whether a member is not known by name yet, or has left the fleet.
 func departed(m memberagent.ViewMember) bool {
-	return m.Name == "" || m.State == "left" || m.State == "gone"
+	return m.Name == "" || isInState(m, membership.Left, membership.Gone)
 }
 
 // presentMembers are the members that have not left, and this process, at the end.
 func (a *Agent) presentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
 	for _, m := range view {
 		if !departed(m) {
-			present := m.State == "alive" || m.State == "suspect" || m.State == "joining"
+			present := isInState(m, membership.Alive, membership.Suspect, membership.Joining)
 			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Incarnation, Present: present})
 		}
 	}
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -8,7 +8,7 @@
 
 // Fault is one in a plan.
 type Fault struct {
-	Kind               string
+	Kind               FaultKind
 	BeginsAt, Duration Time
 	Process            int     // that it hits
 	OtherProcess       int     // at the other end of a link, or of a half of the fleet
@@ -20,26 +20,28 @@
 	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Part)
 }
 
-// Kinds of faults: what happens to Process, and to OtherProcess where it is named.
+// FaultKind is what happens to Process, and to OtherProcess where the kind names it.
+type FaultKind string
+
 const (
-	faultPause     = "pause"      // is paused
-	faultKill      = "kill"       // is killed, now and then with the loss of its disk
-	faultAllKilled = "all-killed" // all processes are killed
-	faultCut       = "cut"        // all its links are cut
-	faultOneWay    = "one-way"    // the link to OtherProcess is cut
-	faultDeaf      = "deaf"       // receives nothing
-	faultMute      = "mute"       // sends nothing that arrives
-	faultHalves    = "halves"     // the fleet is partitioned in two
-	faultLoss      = "loss"       // messages are lost, duplicated and late
-	faultHeldBack  = "held-back"  // its messages arrive when the fault ends
-	faultFull      = "full"       // its disk is full
-	faultCopyBack  = "copy-back"  // its disk is copied, and replaced by that copy when the fault ends
-	faultClock     = "clock"      // its wall clock is stepped
-	faultLeave     = "leave"      // shuts down gracefully
+	faultPause     FaultKind = "pause"      // is paused
+	faultKill      FaultKind = "kill"       // is killed, now and then with the loss of its disk
+	faultAllKilled FaultKind = "all-killed" // all processes are killed
+	faultCut       FaultKind = "cut"        // all its links are cut
+	faultOneWay    FaultKind = "one-way"    // the link to OtherProcess is cut
+	faultDeaf      FaultKind = "deaf"       // receives nothing
+	faultMute      FaultKind = "mute"       // sends nothing that arrives
+	faultHalves    FaultKind = "halves"     // the fleet is partitioned in two
+	faultLoss      FaultKind = "loss"       // messages are lost, duplicated and late
+	faultHeldBack  FaultKind = "held-back"  // its messages arrive when the fault ends
+	faultFull      FaultKind = "full"       // its disk is full
+	faultCopyBack  FaultKind = "copy-back"  // its disk is copied, and replaced by that copy when the fault ends
+	faultClock     FaultKind = "clock"      // its wall clock is stepped
+	faultLeave     FaultKind = "leave"      // shuts down gracefully
 )
 
 // Kinds are the faults that a plan may hold, in the order in which they are drawn.
-var Kinds = []string{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
+var Kinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
 	maxFaults      = 6
