--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -6,6 +6,9 @@
 	"croftlock/internal/fleet/encoding"
 )
 
+// EventLeaderElected is the event of a process that becomes the leader.
+const EventLeaderElected = "leader_elected"
+
 // leadership is what this process has reported of its own lead.
 type leadership struct {
 	reportedTerm uint64 // in which it leads; 0: it does not
@@ -99,6 +102,6 @@
 	if c.leadership.reportedTerm != status.Term {
 		c.leadership.reportedTerm = status.Term
 		c.configuration.changing = false
-		c.effects.LogEvent("leader_elected", "term", status.Term)
+		c.effects.LogEvent(EventLeaderElected, "term", status.Term)
 	}
 }
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -58,7 +58,7 @@
 
 // LogEvent counts stale effects and logs them as warnings, other events at level info.
 func (c coreEffects) LogEvent(event string, args ...any) {
-	if event == "stale_effect_rejected" {
+	if event == ownership.EventStaleEffectRejected {
 		c.agent.counts.Refused++
 		slog.Warn(event, args...)
 		return
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -41,6 +41,13 @@
 // lengthened is a duration as the grantor of a lease counts it.
 func lengthened(d Time) Time { return d + d/clockDriftDivisor }
 
+// Events and fields that others than the log act on.
+const (
+	EventStaleEffectRejected = "stale_effect_rejected"
+	EventQuorumLeaderElected = "quorum_leader_elected"
+	FieldStateComplete       = "state_complete" // of EventQuorumLeaderElected: false where committed commands may be missing
+)
+
 // Errors of messages, commands and calls. Returned errors wrap them.
 var (
 	ErrMalformedMessage   = errors.New("ownership: malformed message")
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -18,7 +18,7 @@
 	q.leader.epoch, q.leader.ballot, q.leader.leaseEnd = epoch, epoch, leaseEnd
 	q.candidate.ballot = 0
 	q.log.reset(epoch, q.self)
-	q.effects.LogEvent("quorum_leader_elected", "epoch", epoch, "state_complete", q.candidate.stateComplete)
+	q.effects.LogEvent(EventQuorumLeaderElected, "epoch", epoch, FieldStateComplete, q.candidate.stateComplete)
 	if !q.candidate.stateComplete {
 		markUncertain(q.machines)
 	}
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"croftlock/internal/fleet/consensus"
 	"croftlock/internal/fleet/ownership"
 )
 
@@ -32,10 +33,10 @@
 
 // LogEvent counts elections.
 func (g groupEffects) LogEvent(event string, args ...any) {
-	if event == "leader_elected" || event == "quorum_leader_elected" {
+	if event == consensus.EventLeaderElected || event == ownership.EventQuorumLeaderElected {
 		g.run.Elections++
 	}
-	if event == "quorum_leader_elected" && eventField(args, "state_complete") == false {
+	if event == ownership.EventQuorumLeaderElected && eventField(args, ownership.FieldStateComplete) == false {
 		// The quorum reports that checkpoints may be lost: no later start is held to them.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -89,7 +89,7 @@
 	case Accepted:
 		c.effects.Effect(m.job, m.token, m.body)
 	case Stale:
-		c.effects.LogEvent("stale_effect_rejected", "job", m.job, "token", m.token.Token, "highest_token", highest.Token, "sender", fmt.Sprintf("%08x", from))
+		c.effects.LogEvent(EventStaleEffectRejected, "job", m.job, "token", m.token.Token, "highest_token", highest.Token, "sender", fmt.Sprintf("%08x", from))
 	}
 	c.send(from, effectAck{job: m.job, token: m.token, verdict: verdict, highest: highest}.encode())
 }
