--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -6,6 +6,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"croftlock/internal/dataplane/netio"
@@ -13,10 +14,11 @@
 	"croftlock/internal/fleet/group"
 	"croftlock/internal/fleet/jobs"
 	"croftlock/internal/fleet/memberagent"
+	"croftlock/internal/fleet/membership"
 	"croftlock/internal/fleet/ownership"
 )
 
-// Agent is one process's part. Its exported methods belong to the event loop; of the fields those under "worker" belong to the worker.
+// Agent is one process's part. Its exported methods are called on the event loop. The fields under "worker" are used on the worker only.
 type Agent struct {
 	options     Options
 	name        string
@@ -42,10 +44,10 @@
 	counts          Counts
 }
 
-// Counts are what a process has done and met.
+// Counts are what has happened in a process since its start.
 type Counts struct {
 	Taken     int `json:"Taken"`     // effects accepted here
-	Again     int `json:"Again"`     // always 0; kept for those who read the JSON
+	Again     int `json:"Again"`     // always 0; the JSON of earlier versions has it
 	Refused   int `json:"Refused"`   // stale effects rejected here
 	Sent      int `json:"Sent"`      // effects of jobs owned here
 	Panics    int `json:"Panics"`    // of jobs
@@ -58,14 +60,14 @@
 // viewInterval is how often the worker learns who is in the fleet.
 const viewInterval = 250 * time.Millisecond
 
-// Start begins. applySuspended carries out, on the loop, which hosts are suspended for the whole fleet.
+// Start starts the agent. applySuspended is called on the loop with the hosts that are suspended for the whole fleet, at each change.
 func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, applySuspended func(hosts []string)) (*Agent, error) {
 	if m == nil {
 		return nil, ErrMembershipOff
 	}
 	now := time.Now()
 	a := &Agent{options: o, name: name, incarnation: uint64(now.UnixMilli()), startedAt: now, loop: l, members: m,
-		worker: newWorker(), fence: &ownership.Fence{Forget: PlantedFault == "forget"}}
+		worker: newWorker(), fence: &ownership.Fence{Faults: Faults.Ownership}}
 	a.transport = fragment.New(m.MaxPayload(), uint32(a.incarnation), transportEffects{a})
 	a.queries = newQueries(a)
 	a.replica = newReplica(o, name, ownership.NewTable(), groupEffects{a})
@@ -103,7 +105,7 @@
 	}
 }
 
-// now is the worker's monotonic clock, above 0.
+// now is the monotonic clock that decisions go by; above 0.
 func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
 
 // refreshView passes the members of the fleet to the worker, from the loop, until the worker stops.
@@ -117,22 +119,28 @@
 	a.loop.After(viewInterval, a.refreshView)
 }
 
+// isInState reports whether a member is in one of some states, as membership names them.
+func isInState(m memberagent.ViewMember, states ...membership.State) bool {
+	return slices.ContainsFunc(states, func(s membership.State) bool { return m.State == s.String() })
+}
+
+// departed reports whether a member is not known by name yet, or has left the fleet.
 func departed(m memberagent.ViewMember) bool {
-	return m.Name == "" || m.State == "left" || m.State == "gone"
+	return m.Name == "" || isInState(m, membership.Left, membership.Gone)
 }
 
-// presentMembers are those that have not left, with this process at the end.
+// presentMembers are the members that have not left, and this process, at the end.
 func (a *Agent) presentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
 	for _, m := range view {
 		if !departed(m) {
-			present := m.State == "alive" || m.State == "suspect" || m.State == "joining"
+			present := isInState(m, membership.Alive, membership.Suspect, membership.Joining)
 			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Incarnation, Present: present})
 		}
 	}
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// unheardMembers counts, by name, how many members can't hear a member.
+// unheardMembers counts, for each member, by how many others it is not heard.
 func (a *Agent) unheardMembers(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
@@ -154,14 +162,15 @@
 	return unheard
 }
 
-// openGroup opens the group, on the worker: it may wait for a disk.
+// openGroup opens the group, and makes the Core at the first time. It runs on the worker, since it may wait for a disk.
 func (a *Agent) openGroup() {
 	a.replica.open()
 	if a.core != nil {
 		a.core.SetGroup(a.replica.group)
 		return
 	}
-	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Wall: func() int64 { return time.Now().UnixMilli() }}
+	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Faults: Faults.Ownership,
+		Wall: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
 		panic(err) // Options.Check lets no such configuration pass
@@ -169,7 +178,7 @@
 	a.core = core
 }
 
-// tick is the worker's turn.
+// tick runs on the worker each tickInterval.
 func (a *Agent) tick() {
 	now := a.now()
 	if a.replica.closeIfStopped() {
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -20,7 +20,7 @@
 	Enabled         bool
 	Group           string   // name of the group of voters; messages of others are rejected; default croftlock
 	Voters          []string // names of those that vote, the same list everywhere
-	Dir             string   // folder of a voter's store; "": voters go by memory
+	Dir             string   // folder of a voter's store; "": voters keep their state in memory
 	MaxStoreKB      int      // bound of that store, KiB; default 8192
 	SuspendHosts    bool     // hosts can be suspended for the whole fleet
 	MigrationRate   int      // migrations a second over the whole fleet; 0: not paced
@@ -88,9 +88,5 @@
 	return nil
 }
 
-// PlantedFault names a fault that experiments put in, to show that they find it: forget (the fence), lapse (of rules). No file and no argument of the
-// program sets it.
-var PlantedFault string
-
 // testJobs are jobs that tests add.
 var testJobs map[string]jobs.Job
--- /dev/null
+++ b/internal/fleet/ownership/assign_test.go
@@ -0,0 +1,69 @@
+package ownership
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+func offersAll(string) bool  { return true }
+func offersNone(string) bool { return false }
+
+const assignTestTime = 100 * sec
+
+func stableCandidates() (candidates []Candidate) {
+	for i, name := range []string{"a", "b", "c"} {
+		candidates = append(candidates, Candidate{Name: name, Incarnation: uint64(i + 1), Able: true, StableFor: 60 * sec, Offers: offersAll})
+	}
+	return candidates
+}
+
+func changedLongAgo(string) Time { return 0 }
+
+func TestFreeJobsAreSpread(t *testing.T) {
+	var jobs []string
+	for i := range 200 {
+		jobs = append(jobs, fmt.Sprint("job", i))
+	}
+	load := map[string]int{}
+	for _, a := range Assign(assignTestTime, jobs, nil, changedLongAgo, stableCandidates()) {
+		load[a.Member]++
+	}
+	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
+		t.Errorf("200 jobs are spread as %v, want 66 or more at each", load)
+	}
+}
+
+func TestHandover(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(c []Candidate)
+		want   string // to whom the job that a owns is handed over; "": it stays
+	}{
+		{"all are fit", func(c []Candidate) {}, ""},
+		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnreachableFrom = 1 }, "b"},
+		{"its owner is unreachable from some", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom = 2, 1 }, "c"},
+		{"the others have not been fit for long", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
+		{"the others are unreachable from as many", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom, c[2].UnreachableFrom = 1, 1, 1 }, ""},
+		{"no other offers the job", func(c []Candidate) { c[0].Able = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
+	} {
+		candidates := stableCandidates()
+		c.change(candidates)
+		got := Assign(assignTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
+		switch {
+		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].Member != c.want || !got[0].Handover):
+			t.Errorf("%s: got %+v, want a handover to %q", c.name, got, c.want)
+		}
+	}
+}
+
+func TestRebalance(t *testing.T) {
+	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
+	if got := Assign(assignTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
+		t.Errorf("a owns two jobs and c none: got %+v, want a handover to c", got)
+	}
+	changedJustNow := func(string) Time { return assignTestTime - 2*sec }
+	if got := Assign(assignTestTime, nil, slices.Clone(owned), changedJustNow, stableCandidates()); len(got) != 0 {
+		t.Errorf("a job that changed its owner just now is handed over again: %+v", got)
+	}
+}
--- a/internal/fleet/ownership/placejobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/fleet/group"
 )
 
-// soleVoter is a group of one voter, which applies a command before Propose returns. A command proposed meanwhile waits for the first.
+// soleVoter is a group of one voter, which applies a command before Propose returns. A command that is proposed from within is applied after it.
 type soleVoter struct {
 	core          *Core
 	table         *Table
@@ -53,8 +53,8 @@
 func (g *soleVoter) Leader() uint32                     { return group.Peer("a") }
 func (g *soleVoter) TransferLeadership(Time)            {}
 
-// TestJobsArePlacedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
-func TestJobsArePlacedOnce(t *testing.T) {
+// TestJobsAreAssignedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
+func TestJobsAreAssignedOnce(t *testing.T) {
 	var jobs []string
 	for i := range 20 {
 		jobs = append(jobs, fmt.Sprintf("job%02d", i))
@@ -69,7 +69,7 @@
 		core.Tick(now)
 	}
 	if held := core.HeldJobs(); len(held) != len(jobs) {
-		t.Errorf("%d of %d jobs are owned", len(held), len(jobs))
+		t.Errorf("%d of %d jobs have an owner", len(held), len(jobs))
 	}
 	for _, job := range jobs {
 		if g.registrations[job] != 1 || g.grants[job] != 1 {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -15,8 +15,7 @@
 	Jobs        []string     // that this process can own
 	Lease       Time         // how long an owner continues without the coordinator; default 2 s
 	Wall        func() int64 // wall clock, Unix milliseconds; default always 0
-	// FromAnswer is a fault for experiments: a lease is counted from its answer, not from its request.
-	FromAnswer bool
+	Faults      FaultInjection
 }
 
 const defaultLease = 2 * sec
@@ -44,7 +43,7 @@
 	// Start begins a job under a token, from the last checkpoint. A job that can't start gives an error and is released.
 	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
 	// Stop ends a job before it returns. It gives the checkpoint for the next owner, under a number above the last one stored.
-	Stop(job string, token uint64, reason string) (checkpointNumber uint64, checkpoint []byte)
+	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
 	// Effect carries out an effect that the fence has accepted.
 	Effect(job string, token FencingToken, body []byte)
 	// EffectAcknowledged passes a receiver's verdict to the owner of the job.
@@ -58,13 +57,13 @@
 	LogEvent(event string, args ...any)
 }
 
-// processID distinguishes two processes of one name: both may run for a moment.
+// processID tells apart two processes of one name: during a replacement both run for a moment.
 type processID struct {
 	name        string
 	incarnation uint64
 }
 
-// environment is what the roles of one process share.
+// environment is what the participant and the coordinator of one process share.
 type environment struct {
 	cfg     Config
 	effects Effects
@@ -109,7 +108,7 @@
 
 func peerOf(name string) uint32 { return group.Peer(name) }
 
-// Tick is to be called every 50 to 100 ms, and before a job acts: the end of a lease is noticed here.
+// Tick is to be called every 50 to 100 ms. The end of the lease stops all jobs here.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -135,7 +134,7 @@
 	c.coordinator.leadershipConfirmed(tag)
 }
 
-// SetGroup replaces the group, or takes it away: a voter whose store has failed is none until it is opened again. The table stays.
+// SetGroup replaces the group; nil: this process is no voter, as while its store has failed. The table stays.
 func (c *Core) SetGroup(g Group) {
 	c.group = g
 	c.coordinator.stepDown()
@@ -156,15 +155,15 @@
 	c.coordinator.unreachableFrom = unreachableFrom
 }
 
-// Leave releases all jobs, and takes none any more.
-func (c *Core) Leave(now Time, reason string) {
+// Leave releases all jobs, and takes none any more. text is stored as the reason.
+func (c *Core) Leave(now Time, text string) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.participant.leave(reason)
+	c.participant.leave(text)
 }
 
 // HasLeft reports whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
-// its proposals as well: a job that it has granted without notifying the new owner would be idle until the next coordinator.
+// its proposals as well: a job that it has granted without notifying the new owner would have none until the next coordinator's first list.
 func (c *Core) HasLeft() bool {
 	if c.participant.leaseEnded() {
 		return true
@@ -172,15 +171,15 @@
 	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
 }
 
-// JobFailed releases a job that ended by a fault of its own.
-func (c *Core) JobFailed(now Time, job string, token uint64, reason string) {
+// JobFailed releases a job that ended by a fault of its own. cause is stored.
+func (c *Core) JobFailed(now Time, job string, token uint64, cause string) {
 	c.advance(now)
 	defer c.deliverToSelf()
-	c.participant.jobFailed(job, token, reason)
+	c.participant.jobFailed(job, token, cause)
 }
 
-// Holds reports whether this process may act as a job's owner under a token now. It may sleep right after the call: the fences of the receivers
-// are for that.
+// Holds reports whether this process may act as a job's owner under a token now. Lease alone: the process may be paused right after the call,
+// and then only the receivers' fences reject what it sends.
 func (c *Core) Holds(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -31,28 +31,28 @@
 	return "unknown"
 }
 
-// Fence is what a receiver remembers of each job: the latest effect it accepted. It makes a stale owner harmless.
+// Fence is what a receiver remembers of each job: the fencing token of the latest effect that it accepted. It makes a stale owner harmless.
 type Fence struct {
+	Faults FaultInjection
+
 	last map[string]FencingToken
-	// Forget is a fault for experiments: nothing is remembered.
-	Forget bool
 }
 
-// Check decides on an effect, and remembers it if it is accepted; it returns the latest effect seen as well. An effect holds the
-// whole of what it is to bring about, so an earlier one of the same token has nothing to add to a later one.
+// Check decides on an effect, and remembers its token if it is accepted; it returns the token of the latest effect accepted as well. An effect
+// replaces earlier ones of its job, so one that arrives after a later one is not needed.
 func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
 	}
 	last, known := f.last[job]
 	switch {
-	case f.Forget:
+	case f.Faults.ForgetTokens:
 	case token.Token < last.Token:
 		return Stale, last
 	case token.Token == last.Token && token.Sequence <= last.Sequence:
 		return Duplicate, last
 	case !known && len(f.last) >= MaxJobs:
-		return Stale, last // what can't be remembered could not be fenced later
+		return Stale, last // a job that can't be remembered could not be fenced later
 	}
 	f.last[job] = token
 	return Accepted, token
@@ -60,13 +60,3 @@
 
 // Last is the latest effect accepted of a job.
 func (f *Fence) Last(job string) FencingToken { return f.last[job] }
-
-// Raise raises what is remembered, as a receiver with a durable fence does at its start.
-func (f *Fence) Raise(job string, token FencingToken) {
-	if f.last == nil {
-		f.last = map[string]FencingToken{}
-	}
-	if f.last[job].Before(token) {
-		f.last[job] = token
-	}
-}
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -8,14 +8,11 @@
 // releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
 const releaseRepeatInterval = 100 * ms
 
-// failedReason begins the reason of a job that ended by a fault of its own; the coordinator delays its next grant.
-const failedReason = "failed: "
-
-// heldJob is a job that this process owns, or has released while the coordinator may not know it yet.
+// heldJob is a job that this process owns, or has released without the coordinator having confirmed it.
 type heldJob struct {
 	token            uint64
 	released         bool
-	reason           string // of the release
+	text             string // of the release
 	higherToken      uint64 // that a receiver reported; 0: none
 	checkpointNumber uint64
 	checkpoint       []byte
@@ -48,7 +45,7 @@
 	}
 }
 
-// jobNames is in order, so that a run can be replayed.
+// jobNames is sorted, so that a run can be replayed.
 func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 func (p *participant) ownedJobs() map[string]uint64 {
@@ -71,34 +68,34 @@
 	return p.owns(job) && p.jobs[job].token == token
 }
 
-// mayBeAssigned reports whether this process should be given jobs. One whose lease ended without a renewal may receive nothing: it would not learn of
-// a job either, though its requests arrive.
+// mayBeAssigned reports whether this process should be given jobs. One whose lease has ended may be cut off in one direction: its requests arrive,
+// but it would not learn of a job that it is granted.
 func (p *participant) mayBeAssigned() bool {
 	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
 
-func (p *participant) leave(reason string) {
+func (p *participant) leave(text string) {
 	p.leaving = true
-	p.releaseAll(reason)
+	p.releaseAll(ProcessLeaving, text)
 }
 
-func (p *participant) releaseAll(reason string) {
+func (p *participant) releaseAll(reason ReleaseReason, text string) {
 	for _, job := range p.jobNames() {
 		if h := p.jobs[job]; !h.released {
-			p.release(job, h, reason)
+			p.release(job, h, reason, text)
 		}
 	}
 }
 
-func (p *participant) jobFailed(job string, token uint64, reason string) {
+func (p *participant) jobFailed(job string, token uint64, cause string) {
 	if h := p.jobs[job]; h != nil && h.token == token && !h.released {
-		p.release(job, h, failedReason+reason)
+		p.release(job, h, JobFailed, failedPrefix+cause)
 	}
 }
 
-// release stops a job here. The coordinator is notified, with the checkpoint, until it has taken the job back.
-func (p *participant) release(job string, h *heldJob, reason string) {
-	h.released, h.reason = true, reason
+// release stops a job here, and then notifies the coordinator, with the checkpoint and the text, until its list no longer holds the job.
+func (p *participant) release(job string, h *heldJob, reason ReleaseReason, text string) {
+	h.released, h.text = true, text
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
 	p.reportRelease(job, h)
 }
@@ -116,11 +113,12 @@
 		higherToken:      h.higherToken,
 		checkpointNumber: h.checkpointNumber,
 		checkpoint:       h.checkpoint,
-		reason:           h.reason,
+		reason:           h.text,
 	}.encode())
 }
 
-// handleJobList takes the list of what this process is to own. Lists that are overtaken, or for an earlier process of this name, change nothing.
+// handleJobList follows the list of the jobs that this process is to own. A list older than the last one, or for an earlier process of this
+// name, changes nothing.
 func (p *participant) handleJobList(from uint32, m jobList) {
 	if m.incarnation != p.cfg.Incarnation || m.epoch < p.epoch || m.epoch == p.epoch && m.sequence <= p.listSequence {
 		return
@@ -129,12 +127,12 @@
 	p.dropUnlisted(m.jobs)
 	for _, j := range m.jobs {
 		if p.jobs[j.job] == nil && !p.acquire(j) {
-			p.listSequence = m.sequence - 1 // as if not received, so that the list is sent again
+			p.listSequence = m.sequence - 1 // the next lease request shows that the list was not taken, and it is sent again
 		}
 	}
 }
 
-// dropUnlisted stops what the list no longer holds under the same token, and releases what is to be handed over.
+// dropUnlisted stops the jobs that the list no longer holds under the same token, and releases those that are to be handed over.
 func (p *participant) dropUnlisted(jobs []listedJob) {
 	listed := map[string]listedJob{}
 	for _, j := range jobs {
@@ -146,49 +144,51 @@
 		switch {
 		case ok && j.token == h.token:
 			if j.handover && !h.released {
-				p.release(job, h, "it is to be handed over")
+				p.release(job, h, HandedOver, textHandedOver)
 			}
 		case !h.released:
-			p.effects.Stop(job, h.token, "the coordinator has given it to another")
+			p.effects.Stop(job, h.token, AssignedToOther)
 			delete(p.jobs, job)
 		default:
-			delete(p.jobs, job) // the coordinator has taken it back
+			delete(p.jobs, job) // released before, and now taken back
 		}
 	}
 }
 
-// acquire begins a listed job, or releases it at once where it must not begin here. It gives false where the job has to wait for a lease.
+// acquire starts a listed job, or releases it at once where it must not start here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
-		h := &heldJob{token: j.token, released: true, reason: "not begun: it is to be handed over, or this process is leaving"}
+		h := &heldJob{token: j.token, released: true, text: textNotBegun}
 		p.jobs[j.job] = h
 		p.reportRelease(j.job, h)
 		return true
 	}
-	// Lease: without one nothing begins.
+	// Lease: without one no job starts.
 	if p.leaseEnded() {
 		return false
 	}
 	h := &heldJob{token: j.token}
 	p.jobs[j.job] = h
 	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
-		h.released, h.reason, h.checkpointNumber = true, failedReason+err.Error(), 0
+		h.released, h.text, h.checkpointNumber = true, failedPrefix+err.Error(), 0
 		p.reportRelease(j.job, h)
 	}
 	return true
 }
 
+// handleCheckpointResult passes the result on, unless the job has changed its owner since.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if h := p.jobs[m.job]; h != nil && h.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
 	}
 }
 
+// handleEffectAck passes a receiver's verdict on. A stale one stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
-		// Fencing: the receiver remembers a later owner, so this one stops, and the next token is to be above that.
+		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release tells the coordinator that owner's token.
 		h.higherToken = m.highest.Token
-		p.release(m.job, h, "a receiver has seen a later token")
+		p.release(m.job, h, LaterTokenSeen, textLaterTokenSeen)
 	}
 	p.effects.EffectAcknowledged(from, m.job, m.token, m.verdict, m.highest)
 }
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -1,10 +1,11 @@
 package simulation
 
 import (
+	"croftlock/internal/fleet/consensus"
 	"croftlock/internal/fleet/ownership"
 )
 
-// Trace is called with each event; for looking into a run.
+// Trace is called with each event, to look into a run by hand.
 var Trace = func(now Time, name, event string, args []any) {}
 
 // groupEffects are a voter's effects on its process.
@@ -32,17 +33,27 @@
 
 // LogEvent counts elections.
 func (g groupEffects) LogEvent(event string, args ...any) {
-	if event == "leader_elected" || event == "quorum_leader_elected" {
+	if event == consensus.EventLeaderElected || event == ownership.EventQuorumLeaderElected {
 		g.run.Elections++
 	}
-	if event == "quorum_leader_elected" && args[3] == false {
-		// The quorum says itself that what was stored may be gone.
+	if event == ownership.EventQuorumLeaderElected && eventField(args, ownership.FieldStateComplete) == false {
+		// The quorum reports that checkpoints may be lost: no later start is held to them.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
 	}
 	Trace(g.run.now, g.process.name, event, args)
 }
 
+// eventField is the value of a field of an event; nil: it has none.
+func eventField(args []any, name string) any {
+	for i := 0; i+1 < len(args); i += 2 {
+		if args[i] == name {
+			return args[i+1]
+		}
+	}
+	return nil
+}
+
 // coreEffects are a Core's effects on its process.
 type coreEffects struct {
 	run     *Run
@@ -52,7 +63,7 @@
 // Send gives a message to the network.
 func (c coreEffects) Send(peer uint32, msg []byte) { c.run.send(c.process, peer, false, msg) }
 
-// Start begins a job.
+// Start checks the grant, and starts a job.
 func (c coreEffects) Start(name string, token, number uint64, checkpoint []byte) error {
 	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
 	c.run.checkStart(c.process, name, token, number, checkpoint)
@@ -61,13 +72,13 @@
 	return nil
 }
 
-// Stop ends a job, with a checkpoint.
-func (c coreEffects) Stop(name string, token uint64, reason string) (uint64, []byte) {
+// Stop ends a job, and gives its checkpoint.
+func (c coreEffects) Stop(name string, token uint64, reason ownership.ReleaseReason) (uint64, []byte) {
 	Trace(c.run.now, c.process.name, "stop", []any{name, token, reason})
 	j := c.process.jobs[name]
 	delete(c.process.jobs, name)
 	if j == nil || j.token != token {
-		c.run.fail("%s stops %s with token %d, which it did not begin", c.process.name, name, token)
+		c.run.fail("%s stops %s under token %d, which it had not started", c.process.name, name, token)
 		return 0, nil
 	}
 	j.number++
@@ -77,7 +88,7 @@
 // Effect checks the order of what the fence has accepted.
 func (c coreEffects) Effect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
-		c.run.fail("%s takes %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
+		c.run.fail("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
 	}
 	c.process.accepted[name] = token
 	c.run.Effects++
@@ -90,7 +101,7 @@
 	}
 }
 
-// CheckpointStored notes what no later owner may miss.
+// CheckpointStored records what no later owner may miss.
 func (c coreEffects) CheckpointStored(name string, token, number uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
 		c.run.checks.stored[name] = max(c.run.checks.stored[name], number)
