--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -8,25 +8,25 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// playClients has clients come to a proxy, whatever becomes of the earlier ones, until the given time.
+// playClients starts clients of a proxy at the rate, without waiting for the earlier ones, until the given time.
 func (f *Fleet) playClients(n *Node, until time.Time, rng *rand.Rand) {
 	defer f.workers.Done()
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(rng.ExpFloat64() / f.options.Rate * 1e9))
-		l := n.Current()
-		if l == nil || l.stoppedFor(frontNoticeDelay) {
-			continue // the front sends nobody there
+		process := n.Current()
+		if process == nil || process.stoppedFor(frontNoticeDelay) {
+			continue // the front sends no clients there
 		}
 		f.workers.Add(1)
 		kind, seed := clientKind(rng.IntN(clientKinds)), rng.Uint64()
 		go func() {
 			defer f.workers.Done()
-			f.playClient(n, l, kind, rand.New(rand.NewPCG(seed, 1)))
+			f.playClient(process, kind, rand.New(rand.NewPCG(seed, 1)))
 		}()
 	}
 }
 
-// frontNoticeDelay is how long after its SIGTERM a process still gets new connections.
+// frontNoticeDelay is how long after its SIGTERM the front still sends a process new connections.
 const frontNoticeDelay = 350 * time.Millisecond
 
 // stoppedFor returns whether the process got SIGTERM longer ago than d, or has ended.
@@ -36,55 +36,55 @@
 	return !p.stoppedAt.IsZero() && time.Since(p.stoppedAt) > d || !p.killedAt.IsZero() || !p.endedAt.IsZero()
 }
 
-// clientKind is what sets a client apart; most are ordinary.
+// clientKind is how a client behaves.
 type clientKind int
 
-// The kinds, each with one chance in clientKinds; the others are ordinary.
+// The kinds, each with one chance in clientKinds; the other clients have none of these faults.
 const (
-	malformedClient clientKind = iota // sends what is no request
-	restingClient                     // waits before its first line
-	piecewiseClient                   // sends its first line in two pieces
-	hastyClient                       // gives up early
+	malformedClient clientKind = iota // sends no valid request
+	delayedClient                     // waits before its request
+	piecewiseClient                   // sends its request line in two parts
+	impatientClient                   // closes its connection early
 	clientKinds     = 20
 )
 
-// playClient is one client, of a drawn kind.
-func (f *Fleet) playClient(n *Node, l *incarnation, kind clientKind, rng *rand.Rand) {
+// playClient plays one client.
+func (f *Fleet) playClient(process *incarnation, kind clientKind, rng *rand.Rand) {
 	class := f.classes[rng.IntN(len(f.classes))]
-	r := drawRequest(class, rng)
+	request, proxy := drawRequest(class, rng), process.node.setup.Listen
 	if kind == malformedClient {
-		playMalformed(n.setup.Listen, rng)
+		playMalformed(proxy, rng)
 		return
 	}
-	s, err := Dial(n.setup.Listen, r)
+	c, err := Dial(proxy, request)
 	if err != nil {
-		return // nobody accepts there now
+		return // no process accepts there now
 	}
 	switch kind {
-	case restingClient:
+	case delayedClient:
 		time.Sleep(time.Duration(rng.IntN(2400)) * time.Millisecond)
 	case piecewiseClient:
-		s.InPieces = true
+		c.InPieces = true
 	}
-	if s.Ask() != nil {
-		s.Leave()
+	if c.SendRequest() != nil {
+		c.Close()
 		return
 	}
 	f.mu.Lock()
-	f.sessions = append(f.sessions, &clientRequest{Session: s, incarnation: l, class: class})
+	f.requests = append(f.requests, &clientRequest{ClientConnection: c, process: process, class: class})
 	f.mu.Unlock()
-	stay := r.Wait + time.Duration(500+rng.IntN(5000))*time.Millisecond
-	if kind == hastyClient {
-		stay = time.Duration(rng.Int64N(int64(r.Wait) + 1))
+	stay := request.Wait + time.Duration(500+rng.IntN(5000))*time.Millisecond
+	if kind == impatientClient {
+		stay = time.Duration(rng.Int64N(int64(request.Wait) + 1))
 	}
 	select {
-	case <-s.Ended():
+	case <-c.Ended():
 	case <-time.After(stay):
-		s.Leave()
+		c.Close()
 	}
 }
 
-// drawRequest draws a request of a class; for one in five little time is left.
+// drawRequest draws a request of a class; one in five has less than the class's deadline left.
 func drawRequest(class experiment.Class, rng *rand.Rand) Request {
 	wait := class.Deadline
 	if rng.IntN(5) == 0 {
@@ -94,7 +94,7 @@
 	return Request{Class: class.Name, Wait: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
 }
 
-// playMalformed sends what is no request: half of one, and stays; junk; or much at once, and goes.
+// playMalformed sends no valid request: half of a line, then nothing; another protocol; or a long run of zero bytes.
 func playMalformed(addr string, rng *rand.Rand) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -9,13 +9,13 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// clockEnv says to a process how its clock is off: at its start, when it is set, and by how much it is off from then on, as durations.
+// clockEnv gives a process its clockBend, as three durations.
 const clockEnv = "CROFTLOCK_SOAK_CLOCK"
 
-// clockOffsets are what the system's clock may be set by.
+// clockOffsets are the offsets that clocks are drawn from.
 var clockOffsets = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
-// drawClock draws how a process's clock goes.
+// drawClock draws a process's clockBend, as its environment has it.
 func (f *Fleet) drawClock() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,14 +25,14 @@
 	return fmt.Sprintf("%s=%v %v %v", clockEnv, before, setAfter, after)
 }
 
-// clockBend is how a process's idea of the system's clock is off.
+// clockBend is by how much a process's wall clock is off.
 type clockBend struct {
-	before   time.Duration // from the start on
-	setAfter time.Duration // since the start, when the clock is set
-	after    time.Duration // from then on
+	before   time.Duration // offset until the clock is set
+	setAfter time.Duration // from the start until the clock is set
+	after    time.Duration // offset from then on
 }
 
-// decodeClockBend reads the value of clockEnv; nil: there is none.
+// decodeClockBend decodes the value of clockEnv; nil: there is none.
 func decodeClockBend(value string) (*clockBend, error) {
 	words := strings.Fields(value)
 	if len(words) != 3 {
@@ -48,7 +48,7 @@
 	return &bend, nil
 }
 
-// BendClock has this process's idea of the system's clock go as the soak that started it says; else it does nothing. It is to be called first.
+// BendClock sets this process's wall clock off as clockEnv says; without one it does nothing. Call it first in main.
 func BendClock() {
 	bend, err := decodeClockBend(os.Getenv(clockEnv))
 	if err != nil {
@@ -58,10 +58,10 @@
 	if bend == nil {
 		return
 	}
-	began := time.Now()
+	started := time.Now()
 	netio.Wall = func() time.Time {
 		offset := bend.before
-		if time.Since(began) > bend.setAfter {
+		if time.Since(started) > bend.setAfter {
 			offset = bend.after
 		}
 		return time.Now().Add(offset).Round(0)
--- a/internal/testbed/experiment/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Command is croftlock-experiment's soak: plays of many seeds, one after the other; its status is 1 where a rule was broken.
+// Command is croftlock-experiment's soak: plays of many seeds, one after the other. Its exit status is 1 if a rule was broken.
 func Command() *cobra.Command {
 	var opt Options
 	var seeds uint64
@@ -31,15 +31,15 @@
 	c.Flags().StringVar(&opt.Logs, "logs", "", "a folder for the processes' logs at debug level")
 	c.Flags().StringVar(&program, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	c.RunE = func(*cobra.Command, []string) error {
-		broken := 0
+		violations := 0
 		for first := opt.Seed; opt.Seed < first+seeds; opt.Seed++ {
 			n, err := playOne(program, opt)
 			if err != nil {
 				return err
 			}
-			broken += n
+			violations += n
 		}
-		if broken > 0 {
+		if violations > 0 {
 			return errors.New("rules were broken")
 		}
 		return nil
@@ -47,8 +47,8 @@
 	return c
 }
 
-// playOne plays one seed and prints what it showed.
-func playOne(program string, opt Options) (broken int, err error) {
+// playOne plays one seed and prints its result. violations also counts errors of the play itself.
+func playOne(program string, opt Options) (violations int, err error) {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return 0, err
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// MaxCountedDeadline is the most that a class's deadline counts for in the time between SIGTERM and SIGKILL.
+// MaxCountedDeadline bounds a class's deadline as it counts for the time between SIGTERM and SIGKILL.
 const MaxCountedDeadline = 3 * time.Second
 
 // KillAfter is the earliest moment after SIGTERM at which a process may get SIGKILL.
@@ -20,49 +20,49 @@
 	return min(longest, MaxCountedDeadline) + 700*time.Millisecond
 }
 
-// Options say what is played.
+// Options are a play's size and faults.
 type Options struct {
 	Seed       uint64
 	Proxies    int
 	Hosts      int
 	Length     time.Duration
 	Rate       float64 // requests a second at each proxy
-	Faults     int     // drawn for the whole time, beside those of every play
+	Faults     int     // drawn over the whole time
 	FailCalls  bool    // system calls fail too
-	BendClocks bool    // the system's clock is set while processes run and between them; the program must be one that BendClock was called in
+	BendClocks bool    // the system's clock is set while processes run and between them; the program must call BendClock
 	Logs       string  // a folder for the processes' logs at debug level; "": none
 }
 
-// Fleet is the proxies of one play with all that is around them.
+// Fleet is the proxies of one play with their hosts, discoveries and clients.
 type Fleet struct {
-	options Options
-	env     *experiment.Env
-	rng     *rand.Rand // draws the deadlines
-	clocks  *rand.Rand // draws how clocks go; protected by mu
-	record  *Record
-	classes []experiment.Class
-	shims   []*Shim // by proxy; none: system calls are left alone
-	nodes   []*Node
-	stalls  *stallMeter
-	workers sync.WaitGroup // clients and faults
+	options    Options
+	env        *experiment.Env
+	rng        *rand.Rand // draws the deadlines
+	clocks     *rand.Rand // draws the clocks' offsets; protected by mu
+	record     *Record
+	classes    []experiment.Class
+	shims      []*Shim // by proxy; none: no system calls fail
+	nodes      []*Node
+	stallMeter *stallMeter
+	workers    sync.WaitGroup // clients and faults
 
 	mu       sync.Mutex // protects what follows
 	hosts    []*Host
-	sessions []*clientRequest
+	requests []*clientRequest
 	errors   []error // of the play itself
 }
 
 // fleetCount counts this process's fleets: each has addresses of its own.
 var fleetCount int
 
-// NewFleet starts hosts, discoveries and proxies. All of them have addresses of this process's own, so that no port can be taken by another.
+// NewFleet starts hosts, discoveries and proxies, all at addresses that no other process uses.
 func NewFleet(env *experiment.Env, opt Options) (*Fleet, error) {
 	fleetCount++
-	f := &Fleet{options: opt, env: env, record: NewRecord(), stalls: newStallMeter(),
+	f := &Fleet{options: opt, env: env, record: NewRecord(), stallMeter: newStallMeter(),
 		rng: rand.New(rand.NewPCG(opt.Seed, 38)), clocks: rand.New(rand.NewPCG(opt.Seed, 39))}
 	f.classes = drawClasses(f.rng)
 	for i := range opt.Hosts {
-		h, err := NewHost(fmt.Sprintf("s-%d", i), zone(i), f.address(2, i), f.record)
+		h, err := NewHost(fmt.Sprintf("s-%d", i), zone(i), f.address(hostAddress, i), f.record)
 		if err != nil {
 			return nil, err
 		}
@@ -87,10 +87,16 @@
 	}
 }
 
-// zone spreads things over three zones.
+// zone is the zone of host i: the hosts are spread over three.
 func zone(i int) string { return []string{"a", "b", "c"}[i%3] }
 
-// address is one of this play's own: loopback addresses that this process alone uses.
+// The kinds of addresses: each has a range of its own.
+const (
+	proxyAddress = 1
+	hostAddress  = 2
+)
+
+// address is a loopback address that only this play uses.
 func (f *Fleet) address(kind, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", experiment.OwnNetwork(), fleetCount%100, kind*80+i%80, experiment.OwnPort()+i/80)
 }
@@ -113,7 +119,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(1, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, Sockets: 1024,
+	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(proxyAddress, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, Sockets: 1024,
 		Connect: 250 * time.Millisecond, Tmp: dir}
 	if f.options.Logs != "" {
 		n.setup.Settings = filepath.Join(f.env.Dir, "debug.sexp")
@@ -128,7 +134,7 @@
 	return n.start()
 }
 
-// newDiscovery starts a proxy's discovery k, which notes what it writes to the proxy.
+// newDiscovery starts a proxy's discovery k, which records each list that it writes to the proxy.
 func (f *Fleet) newDiscovery(n *Node, k int) (*fake.Discovery, error) {
 	d, err := fake.NewDiscovery()
 	if err != nil {
@@ -137,10 +143,10 @@
 	for _, h := range f.hosts {
 		d.Set(h.Entry("up"))
 	}
-	d.OnWritten(func(l fake.List) {
-		n.mergeList(l)
+	d.OnWritten(func(list fake.List) {
+		n.mergeList(list)
 		if running := n.running(); len(running) > 0 {
-			n.recordList(running, l, fmt.Sprintf("discovery %d, version %d, whole %t", k, l.Rev, l.All))
+			n.recordList(running, list, fmt.Sprintf("discovery %d, revision %d, complete %t", k, list.Rev, list.All))
 		}
 	})
 	return d, nil
@@ -157,14 +163,14 @@
 	return f.shims[number].Launch(f.env, s)
 }
 
-// Hosts are those that there have been.
+// Hosts are all hosts of the play.
 func (f *Fleet) Hosts() []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Host(nil), f.hosts...)
 }
 
-// setState has every discovery list a host in a state.
+// setState changes a host's state in the lists of all discoveries.
 func (f *Fleet) setState(h *Host, state string) {
 	for _, n := range f.nodes {
 		for _, d := range n.discovery {
@@ -173,7 +179,7 @@
 	}
 }
 
-// recordError notes an error of the play itself; nil is none.
+// recordError records an error of the play itself, if there is one.
 func (f *Fleet) recordError(err error) {
 	if err != nil {
 		f.mu.Lock()
@@ -182,12 +188,12 @@
 	}
 }
 
-// Close ends all of it.
+// Close ends all processes and fakes.
 func (f *Fleet) Close() {
 	for _, n := range f.nodes {
-		for _, l := range n.incarnations {
-			if l.proc != nil {
-				l.proc.Kill()
+		for _, process := range n.incarnations {
+			if process.proc != nil {
+				process.proc.Kill()
 			}
 		}
 		for _, d := range n.discovery {
@@ -198,7 +204,7 @@
 		s.Close()
 	}
 	for _, h := range f.Hosts() {
-		h.Down()
+		h.Crash()
 	}
-	f.stalls.stop()
+	f.stallMeter.stop()
 }
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -12,35 +12,35 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Host is an upstream host that can be broken in the ways that the platform breaks them. It records what it received of each request.
+// Host is an upstream host with the faults that the platform injects. It records each attempt that it receives.
 type Host struct {
 	UID    string
 	Zone   string
 	addr   string
 	record *Record
 
-	hangs  atomic.Bool  // it reads and says nothing
-	resets atomic.Bool  // it resets a connection as soon as it has a first line
-	errs   atomic.Bool  // it answers ERR
+	hangs  atomic.Bool  // it reads and does not answer
+	resets atomic.Bool  // it resets each connection on its request line
+	fails  atomic.Bool  // it answers ERR
 	drains atomic.Bool  // it rejects new requests
-	slow   atomic.Int64 // nanoseconds that an acceptance takes
+	slow   atomic.Int64 // delay of an acceptance, nanoseconds
 	booted atomic.Int64 // its start, Unix milliseconds; 0: unknown
 
-	claimed atomic.Bool // a fault that lists it anew is under way
+	claimed atomic.Bool // a fault that changes its state in the lists is in progress
 
 	mu       sync.Mutex
 	listener net.Listener
-	conns    map[net.Conn]*arrival
+	conns    map[net.Conn]*hostAttempt
 }
 
 // NewHost serves at an address that no other process uses.
 func NewHost(uid, zone, addr string, r *Record) (*Host, error) {
-	h := &Host{UID: uid, Zone: zone, addr: addr, record: r, conns: map[net.Conn]*arrival{}}
-	return h, h.Up()
+	h := &Host{UID: uid, Zone: zone, addr: addr, record: r, conns: map[net.Conn]*hostAttempt{}}
+	return h, h.Listen()
 }
 
-// Up begins to accept, anew after Down.
-func (h *Host) Up() error {
+// Listen accepts connections, again after a Crash.
+func (h *Host) Listen() error {
 	l, err := net.Listen("tcp", h.addr)
 	if err != nil {
 		return err
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// Down refuses connections from now on and resets those that stand, as a process that dies does.
-func (h *Host) Down() {
+// Crash stops accepting and resets all connections, as the death of a process does.
+func (h *Host) Crash() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.listener.Close()
@@ -63,22 +63,22 @@
 	}
 }
 
-// Restart is Down and Up again, with another start.
+// Restart crashes the host and starts it anew after a while.
 func (h *Host) Restart(down time.Duration) error {
-	h.Down()
+	h.Crash()
 	time.Sleep(down)
 	h.hangs.Store(false)
 	h.booted.Store(time.Now().UnixMilli())
-	return h.Up()
+	return h.Listen()
 }
 
-// Entry is how an endpoint list has it.
+// Entry is the host in an endpoint list.
 func (h *Host) Entry(state string) fake.Entry {
 	return fake.Entry{UID: h.UID, Endpoint: h.addr, Zone: h.Zone, Model: "type-a", State: state, Weight: 1, BootMS: h.booted.Load()}
 }
 
-// SendAway has all its clients migrated, as a draining server does.
-func (h *Host) SendAway() {
+// MigrateClients migrates all its clients, as a draining host does.
+func (h *Host) MigrateClients() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c, a := range h.conns {
@@ -91,13 +91,13 @@
 	}
 }
 
-// ResetSome resets a part of the connections that stand, with requests that have begun among them.
-func (h *Host) ResetSome(part int) {
+// ResetSome resets one in nth of the open connections, with or without an answer.
+func (h *Host) ResetSome(nth int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	i := 0
 	for c, a := range h.conns {
-		if i++; i%part == 0 {
+		if i++; i%nth == 0 {
 			a.recordEnd(hostSide)
 			fake.Reset(c)
 		}
@@ -114,7 +114,7 @@
 	}
 }
 
-// serve takes one connection from its first line to its end. It goes on reading whatever it says, so that it sees when the proxy gives it up.
+// serve handles one connection from its request line to its end. It reads all the time, to see at once when the proxy closes the connection.
 func (h *Host) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReaderSize(c, 512)
@@ -123,7 +123,7 @@
 	if err != nil || len(words) < 3 {
 		return
 	}
-	a := h.record.recordArrival(words[1], h.UID)
+	a := h.record.recordAttempt(words[1], h.UID)
 	h.mu.Lock()
 	h.conns[c] = a
 	h.mu.Unlock()
@@ -145,8 +145,8 @@
 	}
 }
 
-// readLines passes lines on until the proxy ends the connection, and notes that.
-func readLines(in *bufio.Reader, a *arrival, lines chan<- string) {
+// readLines forwards lines until the proxy ends the connection, and records that.
+func readLines(in *bufio.Reader, a *hostAttempt, lines chan<- string) {
 	defer close(lines)
 	for {
 		line, err := in.ReadString('\n')
@@ -159,7 +159,7 @@
 }
 
 // answer answers a request, and returns whether the connection goes on.
-func (h *Host) answer(c net.Conn, a *arrival, lines <-chan string) bool {
+func (h *Host) answer(c net.Conn, a *hostAttempt, lines <-chan string) bool {
 	switch {
 	case h.drains.Load():
 		a.recordAnswer(Rejected)
@@ -169,14 +169,14 @@
 		a.recordEnd(hostSide)
 		fake.Reset(c)
 		return false
-	case h.errs.Load():
+	case h.fails.Load():
 		a.recordAnswer(Failed)
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
 	if wait := time.Duration(h.slow.Load()); wait > 0 {
 		select {
-		case <-lines: // the proxy has given it up, or sends what it should not yet
+		case <-lines: // the proxy has closed the connection, or sends a line too early
 			return false
 		case <-time.After(wait):
 		}
--- a/internal/testbed/experiment/soak/incarnation.go
+++ b/internal/testbed/experiment/soak/incarnation.go
@@ -21,15 +21,15 @@
 
 	mu            sync.Mutex
 	stoppedAt     time.Time // SIGTERM; zero: none
-	killedAt      time.Time // SIGKILL without a SIGTERM whose time had passed; zero: none
-	endedAt       time.Time // its end; zero: it runs
-	killedAtLimit bool      // it had to be killed at the end of its time
+	killedAt      time.Time // SIGKILL as a fault; zero: none
+	endedAt       time.Time // zero: it runs
+	killedAtLimit bool      // SIGKILL, since it did not end in time after SIGTERM
 	err           error
-	pausedTotal   time.Duration
-	successor     *incarnation // the process that took over from it while it served; nil: none
+	pausedTotal   time.Duration // by SIGSTOP
+	successor     *incarnation  // that took over by a hot restart; nil: none
 }
 
-// latestSuccessor is the last process of those that took over one from the other.
+// latestSuccessor is the last in the chain of hot restarts that begins here.
 func (p *incarnation) latestSuccessor() *incarnation {
 	p.mu.Lock()
 	next := p.successor
@@ -52,30 +52,30 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "process %s", p.name)
 	for _, e := range []struct {
-		what string
-		at   time.Time
+		event string
+		at    time.Time
 	}{{"SIGTERM", p.stoppedAt}, {"SIGKILL", p.killedAt}, {"ended", p.endedAt}} {
 		if !e.at.IsZero() {
-			fmt.Fprintf(&b, " %s %s", e.what, p.sinceStart(e.at))
+			fmt.Fprintf(&b, " %s %s", e.event, p.sinceStart(e.at))
 		}
 	}
 	if p.killedAtLimit {
-		b.WriteString(", killed at the end of its time")
+		b.WriteString(", killed at its time limit")
 	}
 	return b.String()
 }
 
-// pausedFor is for how long it was stopped, in sum.
+// pausedFor is the sum of its pauses.
 func (p *incarnation) pausedFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pausedTotal
 }
 
-// wasKilled returns whether it was killed as by a crash, or one that took over from it was.
+// wasKilled returns whether a fault killed it, or one of its successors.
 func (p *incarnation) wasKilled() bool { return p.wasKilledBefore(time.Now()) }
 
-// wasKilledBefore is wasKilled at a moment.
+// wasKilledBefore returns whether that had happened by a moment.
 func (p *incarnation) wasKilledBefore(t time.Time) bool {
 	p.mu.Lock()
 	killed, next := !p.killedAt.IsZero() && p.killedAt.Before(t), p.successor
@@ -90,29 +90,29 @@
 	return !p.endedAt.IsZero()
 }
 
-// isStopping returns whether it got a signal to end.
+// isStopping returns whether it was sent SIGTERM or SIGKILL.
 func (p *incarnation) isStopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stoppedAt.IsZero() || !p.killedAt.IsZero()
 }
 
-// exitError is how it ended, if it has.
-func (p *incarnation) exitError() (err error, over bool) {
+// exitError is its exit status, once it has ended.
+func (p *incarnation) exitError() (err error, ended bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err, !p.endedAt.IsZero()
 }
 
-// recordEnd notes how the process ended.
-func (p *incarnation) recordEnd(forced bool) {
+// recordEnd records the end of the process.
+func (p *incarnation) recordEnd(killedAtLimit bool) {
 	err := p.proc.Err()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endedAt, p.killedAtLimit, p.err = time.Now(), forced, err
+	p.endedAt, p.killedAtLimit, p.err = time.Now(), killedAtLimit, err
 }
 
-// kill ends it at once, as a crash does.
+// kill ends it by SIGKILL, as a crash does.
 func (p *incarnation) kill() {
 	p.mu.Lock()
 	p.killedAt = time.Now()
@@ -121,7 +121,7 @@
 	p.recordEnd(false)
 }
 
-// stop sends SIGTERM and, when the platform's shortest time is over, SIGKILL.
+// stop sends SIGTERM and, as early as the platform may, SIGKILL; slack is added for stalls of this machine.
 func (p *incarnation) stop(longest, slack time.Duration) {
 	p.mu.Lock()
 	p.stoppedAt = time.Now()
@@ -136,7 +136,7 @@
 	}
 }
 
-// pause has it not run for a while.
+// pause stops it for a while.
 func (p *incarnation) pause(d time.Duration) {
 	p.mu.Lock()
 	p.pausedTotal += d
@@ -146,7 +146,7 @@
 	p.proc.Signal(syscall.SIGCONT)
 }
 
-// rewriteConfig is where a process's configuration stands, for a new one to be written there.
+// rewriteConfig changes one value in the process's configuration file.
 func (p *incarnation) rewriteConfig(name, value string) error {
 	path := p.proc.ConfigPath()
 	data, err := os.ReadFile(path)
@@ -157,6 +157,7 @@
 	return os.WriteFile(path, []byte(strings.Replace(string(data), old, fmt.Sprintf("%q:%q", name, value), 1)), 0o600)
 }
 
+// between is the text after the first from, up to the next to.
 func between(s, from, to string) string {
 	_, rest, _ := strings.Cut(s, from)
 	value, _, _ := strings.Cut(rest, to)
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -14,28 +14,28 @@
 	number          int
 	fleet           *Fleet
 	setup           experiment.Setup
-	discovery       [2]*fake.Discovery // the one that is asked, and the one that a new configuration names
-	activeDiscovery int                // which of them
+	discovery       [2]*fake.Discovery // the configuration names one; a reconfiguration changes to the other
+	activeDiscovery int                // index of the one that the configuration names
 
 	mu           sync.Mutex
 	current      *incarnation
 	incarnations []*incarnation
 	suspensions  []*suspension
 
-	knownEntries  map[string]fake.Entry
+	knownEntries  map[string]fake.Entry // as last written to the proxy, by the host's ID
 	knownRevision int64
-	suspending    map[string]bool // hosts that an operator suspends or resumes just now
-	claimed       bool            // a fault that starts or ends a process is under way
+	suspending    map[string]bool // hosts between an operator's suspension and its end
+	claimed       bool            // a fault that starts or ends a process is in progress
 }
 
-// Current is the process that runs; nil: none does.
+// Current is the process that was started last and got ready; nil: none yet.
 func (n *Node) Current() *incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current
 }
 
-// claim keeps two faults from starting or ending the same proxy's process at once.
+// claim returns whether the caller may start or end the proxy's process: one fault at a time may, until its release.
 func (n *Node) claim() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +51,7 @@
 	n.claimed = false
 }
 
-// start starts a process. Its list is the last that was written to the proxy; its address was its predecessor's.
+// start starts a process. Its list is the last that was written to the proxy, and its address its predecessor's.
 func (n *Node) start() error {
 	setup := n.setup
 	setup.Discovery, setup.Known = n.discovery[n.activeDiscovery].Addr(), n.lastKnownList()
@@ -62,20 +62,20 @@
 		}
 		setup.Admin = admin
 	}
-	l := &incarnation{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.incarnations)), startedAt: time.Now()}
-	n.recordList([]*incarnation{l}, setup.Known, "its configuration")
+	process := &incarnation{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.incarnations)), startedAt: time.Now()}
+	n.recordList([]*incarnation{process}, setup.Known, "its configuration")
 	n.mu.Lock()
-	n.incarnations = append(n.incarnations, l) // it asks discovery before it is ready
+	n.incarnations = append(n.incarnations, process) // before it is ready: lists are written to it from its first call on
 	n.mu.Unlock()
 	var err error
-	if l.proc, err = n.fleet.launch(setup, n.number); err != nil {
-		l.mu.Lock()
-		l.endedAt = time.Now()
-		l.mu.Unlock()
-		return fmt.Errorf("%s: %w", l.name, err)
+	if process.proc, err = n.fleet.launch(setup, n.number); err != nil {
+		process.mu.Lock()
+		process.endedAt = time.Now()
+		process.mu.Unlock()
+		return fmt.Errorf("%s: %w", process.name, err)
 	}
 	n.mu.Lock()
-	n.current = l
+	n.current = process
 	n.mu.Unlock()
 	return nil
 }
@@ -88,57 +88,57 @@
 		n.knownEntries = map[string]fake.Entry{}
 	}
 	n.knownRevision = list.Rev
-	for _, e := range list.Targets {
-		if e.State == "removed" {
-			delete(n.knownEntries, e.UID)
+	for _, entry := range list.Targets {
+		if entry.State == "removed" {
+			delete(n.knownEntries, entry.UID)
 			continue
 		}
-		n.knownEntries[e.UID] = e
+		n.knownEntries[entry.UID] = entry
 	}
 }
 
-// lastKnownList is the list as it was last written to the proxy, which may be old.
+// lastKnownList is the list as it was last written to the proxy, which may be outdated.
 func (n *Node) lastKnownList() fake.List {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := fake.List{Rev: n.knownRevision, All: true}
-	for _, e := range n.knownEntries {
-		l.Targets = append(l.Targets, e)
+	list := fake.List{Rev: n.knownRevision, All: true}
+	for _, entry := range n.knownEntries {
+		list.Targets = append(list.Targets, entry)
 	}
-	return l
+	return list
 }
 
-// running are the processes of the proxy that have not ended: two while one takes over from the other. They are one proxy: a list
-// written to one counts as written to both.
-func (n *Node) running() (out []*incarnation) {
+// running are the proxy's processes that have not ended: two during a hot restart. They are one proxy: a list written to one counts as
+// written to both.
+func (n *Node) running() (processes []*incarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.incarnations {
-		if !l.hasEnded() {
-			out = append(out, l)
+	for _, process := range n.incarnations {
+		if !process.hasEnded() {
+			processes = append(processes, process)
 		}
 	}
-	return out
+	return processes
 }
 
-// recordList notes what a list that was written says of hosts.
-func (n *Node) recordList(running []*incarnation, list fake.List, by string) {
-	for _, l := range running {
-		n.recordListFor(l, list, by)
+// recordList records, for each of the processes, a list that was written to the proxy.
+func (n *Node) recordList(processes []*incarnation, list fake.List, source string) {
+	for _, process := range processes {
+		n.recordListFor(process, list, source)
 	}
 }
 
-// recordListFor records a list for one process; a host that a whole list leaves out is removed.
-func (n *Node) recordListFor(l *incarnation, list fake.List, by string) {
-	at, named := time.Now(), map[string]bool{}
-	for _, e := range list.Targets {
-		named[e.UID] = true
-		n.fleet.record.recordNotice(l, e.UID, e.State, by, at)
+// recordListFor records a list for one process; a host that is missing from a complete list is removed.
+func (n *Node) recordListFor(process *incarnation, list fake.List, source string) {
+	writtenAt, named := time.Now(), map[string]bool{}
+	for _, entry := range list.Targets {
+		named[entry.UID] = true
+		n.fleet.record.recordNotice(process, entry.UID, stateNotice{writtenAt, entry.State, source})
 	}
 	if list.All {
-		for _, h := range n.fleet.Hosts() {
-			if !named[h.UID] {
-				n.fleet.record.recordNotice(l, h.UID, "removed", by, at)
+		for _, host := range n.fleet.Hosts() {
+			if !named[host.UID] {
+				n.fleet.record.recordNotice(process, host.UID, stateNotice{writtenAt, "removed", source})
 			}
 		}
 	}
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -8,31 +8,57 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Violation is one action against a rule, with what is known of it.
+// Violation is one action against a rule, with the evidence.
 type Violation struct {
-	Rule, Detail string
+	Rule   Rule
+	Detail string
 }
 
 // String is the rule and the detail.
-func (v Violation) String() string { return v.Rule + ": " + v.Detail }
+func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
+
+// Rule is what a proxy must not do, as violations name it.
+type Rule string
+
+// The rules.
+const (
+	UnansweredInTime    Rule = "unanswered_in_time"   // a request gets its answer while its client waits
+	ServedByNoHost      Rule = "served_by_no_host"    // a client is served only by a host
+	ConnectionCut       Rule = "connection_cut"       // an established connection ends by its client, its host or MOVE
+	ConnectionAbandoned Rule = "connection_abandoned" // a process that ends has ended its connections
+	AttemptAfterClose   Rule = "attempt_after_close"  // no attempt begins for a client that has closed its connection
+	SuspendedHostUsed   Rule = "suspended_host_used"  // a host that operators have suspended gets nothing new
+	ExcludedHostUsed    Rule = "excluded_host_used"   // a host that drains or is removed gets nothing new
+	ConcurrentAttempts  Rule = "concurrent_attempts"  // a request is at one host at a time
+	DuplicateExecution  Rule = "duplicate_execution"  // a request that is not idempotent runs once
+	RejectedAfterRun    Rule = "rejected_after_run"   // a request that is not idempotent is rejected only if no host may have run it
+	OwnCheckFailed      Rule = "own_check_failed"     // the process logs neither a broken invariant nor a panic
+	ExitStatus          Rule = "exit_status"          // the process ends without an error
+	NotEndedInTime      Rule = "not_ended_in_time"    // the process ends between SIGTERM and SIGKILL
+)
 
 // clientRequest is one client's request at one process of a proxy.
 type clientRequest struct {
-	*Session
-	incarnation *incarnation
-	class       experiment.Class
+	*ClientConnection
+	process *incarnation
+	class   experiment.Class
 }
 
-// The times that the rules grant, and a stalled proxy.
+// String identifies the request in violations.
+func (r *clientRequest) String() string {
+	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Wait, r.process.name, r.process.sinceStart(r.Outcome().Sent))
+}
+
+// The times that the rules allow, and those that a stalled proxy adds.
 const (
-	lostAfter       = 500 * time.Millisecond // past the client's wait an answer is lost, and not just late
-	drainGrace      = 300 * time.Millisecond // from a list that excludes a host until it gets nothing new
-	clientLeftGrace = 100 * time.Millisecond // from the client's end until no attempt may begin
-	proxyDelay      = 150 * time.Millisecond // that a stalled proxy may add
-	orderSlack      = 100 * time.Millisecond // between two goroutines that note what happened
+	answerGrace      = 500 * time.Millisecond // past the client's wait an answer is lost, and not just late
+	drainGrace       = 300 * time.Millisecond // from a list that excludes a host until it gets nothing new
+	clientCloseGrace = 100 * time.Millisecond // from the client's end until no attempt may begin
+	proxyDelay       = 150 * time.Millisecond // that a stalled proxy may add
+	orderSlack       = 100 * time.Millisecond // between two goroutines that record events
 )
 
-// oracle judges what has happened. slack is the longest stall of this machine itself.
+// oracle checks the rules against the record. slack is the longest stall of this machine itself.
 type oracle struct {
 	record     *Record
 	slack      time.Duration
@@ -40,116 +66,118 @@
 }
 
 // violate adds a violation of a rule.
-func (o *oracle) violate(rule, format string, args ...any) {
+func (o *oracle) violate(rule Rule, format string, args ...any) {
 	o.violations = append(o.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// checkRequest looks at one request.
-func (o *oracle) checkRequest(a *clientRequest) {
-	out, arrivals := a.Outcome(), o.record.arrivalsOf(a.ID)
-	who := fmt.Sprintf("%s %s d=%v at %s, sent %s", a.ID, a.class.Name, a.Request.Wait, a.incarnation.name, a.incarnation.sinceStart(out.Sent))
-	if !out.Sent.IsZero() {
-		o.checkAnswer(a, out, who)
-		o.checkEnd(a, out, arrivals, who)
+// checkRequest checks one request, its attempts and its connection.
+func (o *oracle) checkRequest(r *clientRequest) {
+	outcome, attempts := r.Outcome(), o.record.attemptsOf(r.ID)
+	if !outcome.Sent.IsZero() {
+		o.checkAnswer(r, outcome)
+		o.checkEnd(r, outcome, attempts)
 	}
-	o.checkAttempts(a, arrivals, who)
-	for _, x := range arrivals {
-		o.checkArrival(a, out, x, who)
+	o.checkAttemptOrder(r, attempts)
+	for _, attempt := range attempts {
+		o.checkAttemptAllowed(r, outcome, attempt)
 	}
-	if out.Answer == Rejected && a.class.Effect == experiment.Unsafe {
-		for _, x := range arrivals {
-			if said, _, _ := x.snapshot(); said != Rejected {
-				o.violate("refusal_harmful", "%s: refused, and %s has it whole and said %q", who, x.host, said)
+	if outcome.Answer == Rejected && r.class.Effect == experiment.Unsafe {
+		for _, attempt := range attempts {
+			if answer := attempt.current().answer; answer != Rejected {
+				o.violate(RejectedAfterRun, "%s: rejected, and %s has received it and answered %q", r, attempt.host, answer)
 			}
 		}
 	}
 }
 
-// checkArrival looks whether one attempt might begin at that host then.
-func (o *oracle) checkArrival(a *clientRequest, out Outcome, x *arrival, who string) {
-	sinceLeft := x.receivedAt.Sub(out.EndedAt)
-	if out.End == ClientLeft && out.Answer == Unanswered && sinceLeft > clientLeftGrace+proxyDelay+o.slack {
-		o.violate("begun_after_left", "%s: at %s %v after its client left", who, x.host, sinceLeft)
+// checkAttemptAllowed checks whether an attempt might begin at that host at that moment.
+func (o *oracle) checkAttemptAllowed(r *clientRequest, outcome Outcome, attempt *hostAttempt) {
+	sinceClose := attempt.receivedAt.Sub(outcome.EndedAt)
+	if outcome.End == ClientClosed && outcome.Answer == Unanswered && sinceClose > clientCloseGrace+proxyDelay+o.slack {
+		o.violate(AttemptAfterClose, "%s: at %s %v after its client closed the connection", r, attempt.host, sinceClose)
 	}
-	from, suspended := a.incarnation.node.suspendedSince(x.host, x.receivedAt)
-	if late := x.receivedAt.Sub(from); suspended && late > suspensionGrace+proxyDelay+o.slack {
-		o.violate("ban", "%s: at %s %v after its operators took it out; %s", who, x.host, late, a.incarnation)
+	from, suspended := r.process.node.suspendedSince(attempt.host, attempt.receivedAt)
+	if late := attempt.receivedAt.Sub(from); suspended && late > suspensionGrace+proxyDelay+o.slack {
+		o.violate(SuspendedHostUsed, "%s: at %s %v after operators suspended it; %s", r, attempt.host, late, r.process)
 	}
-	notice, excluded := o.record.excludedSince(a.incarnation.latestSuccessor(), x.host, x.receivedAt)
-	if late := x.receivedAt.Sub(notice.writtenAt); excluded && late > drainGrace+proxyDelay+o.slack {
-		o.violate("drain", "%s: at %s %v after its proxy was told that it is %s by %s; %s", who, x.host, late, notice.state, notice.list, a.incarnation)
+	notice, excluded := o.record.excludedSince(r.process.latestSuccessor(), attempt.host, attempt.receivedAt)
+	if late := attempt.receivedAt.Sub(notice.writtenAt); excluded && late > drainGrace+proxyDelay+o.slack {
+		o.violate(ExcludedHostUsed, "%s: at %s %v after its proxy was sent state %s by %s; %s", r, attempt.host, late, notice.state, notice.source, r.process)
 	}
 }
 
-// checkAnswer looks whether the request has its answer in time. A process that was killed outright answers nothing any more.
-func (o *oracle) checkAnswer(a *clientRequest, out Outcome, who string) {
-	due := out.Sent.Add(a.Request.Wait + lostAfter + o.slack + a.incarnation.pausedFor())
+// checkAnswer checks whether the request has its answer in time. A process that was killed outright answers nothing any more.
+func (o *oracle) checkAnswer(r *clientRequest, outcome Outcome) {
+	due := outcome.Sent.Add(r.Request.Wait + answerGrace + o.slack + r.process.pausedFor())
 	switch {
-	case out.Answer != Unanswered:
-		if out.AnsweredAt.After(due) {
-			o.violate("lost", "%s: answered %v after it was sent", who, out.AnsweredAt.Sub(out.Sent))
+	case outcome.Answer != Unanswered:
+		if outcome.AnsweredAt.After(due) {
+			o.violate(UnansweredInTime, "%s: answered %v after it was sent", r, outcome.AnsweredAt.Sub(outcome.Sent))
 		}
-	case out.End == ClientLeft, a.incarnation.wasKilledBefore(due):
-	case out.End == Open && time.Now().Before(due):
+	case outcome.End == ClientClosed, r.process.wasKilledBefore(due):
+	case outcome.End == Open && time.Now().Before(due):
 	default:
-		o.violate("lost", "%s: no answer, connection %q %v after; %s", who, out.End, out.EndedAt.Sub(out.Sent), a.incarnation)
+		o.violate(UnansweredInTime, "%s: no answer, connection %q %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
 	}
 }
 
-// checkEnd looks how an open connection ended: its client leaves, its host ends it, or the proxy moves it.
-func (o *oracle) checkEnd(a *clientRequest, out Outcome, arrivals []*arrival, who string) {
-	if out.Answer != Served || a.incarnation.wasKilled() {
+// checkEnd checks how an established connection ended: by its client, by its host, or migrated by the proxy.
+func (o *oracle) checkEnd(r *clientRequest, outcome Outcome, attempts []*hostAttempt) {
+	if outcome.Answer != Served || r.process.wasKilled() {
 		return
 	}
-	switch out.End {
+	switch outcome.End {
 	case Open:
-		if a.incarnation.latestSuccessor().hasEnded() {
-			o.violate("held", "%s: still held when its process ended; %s", who, a.incarnation.latestSuccessor())
+		if r.process.latestSuccessor().hasEnded() {
+			o.violate(ConnectionAbandoned, "%s: still open when its process ended; %s", r, r.process.latestSuccessor())
 		}
 	case Closed, Reset:
-		if len(arrivals) == 0 {
-			o.violate("invented", "%s: served by no host", who)
+		if len(attempts) == 0 {
+			o.violate(ServedByNoHost, "%s", r)
 			return
 		}
-		if _, by, _ := arrivals[len(arrivals)-1].snapshot(); by != hostSide {
-			o.violate("cut", "%s: %s without MOVE %v after; %s", who, out.End, out.EndedAt.Sub(out.Sent), a.incarnation)
+		if attempts[len(attempts)-1].current().endedBy != hostSide {
+			o.violate(ConnectionCut, "%s: %s without MOVE %v after; %s", r, outcome.End, outcome.EndedAt.Sub(outcome.Sent), r.process)
 		}
 	}
 }
 
-// checkAttempts looks at a request that was sent more than once.
-func (o *oracle) checkAttempts(a *clientRequest, arrivals []*arrival, who string) {
-	var ran *arrival
-	for i, x := range arrivals {
+// checkAttemptOrder checks a request with more than one attempt: one at a time, and no second execution where that does harm.
+func (o *oracle) checkAttemptOrder(r *clientRequest, attempts []*hostAttempt) {
+	var executed *hostAttempt // the first that its host may have executed
+	for i, attempt := range attempts {
 		if i > 0 {
-			before := arrivals[i-1]
-			if _, by, at := before.snapshot(); by == "" || at.Sub(x.receivedAt) > orderSlack+o.slack {
-				o.violate("two_at_once", "%s: at %s while %s has it", who, x.host, before.host)
+			previous := attempts[i-1]
+			if state := previous.current(); state.endedBy == "" || state.endedAt.Sub(attempt.receivedAt) > orderSlack+o.slack {
+				o.violate(ConcurrentAttempts, "%s: at %s while it is at %s", r, attempt.host, previous.host)
 			}
 		}
-		if ran != nil {
-			apart := x.receivedAt.Sub(ran.receivedAt)
-			if a.class.Effect == experiment.Unsafe || a.class.Effect == experiment.Keyed && apart > a.class.Window+orderSlack+proxyDelay+o.slack {
-				o.violate("duplicate", "%s: at %s %v after %s", who, x.host, apart, ran.host)
+		if executed != nil {
+			apart := attempt.receivedAt.Sub(executed.receivedAt)
+			if r.class.Effect == experiment.Unsafe || r.class.Effect == experiment.Keyed && apart > r.class.Window+orderSlack+proxyDelay+o.slack {
+				o.violate(DuplicateExecution, "%s: at %s %v after %s", r, attempt.host, apart, executed.host)
 			}
 		}
-		if said, _, _ := x.snapshot(); said != Rejected && ran == nil {
-			ran = x
+		if executed == nil && attempt.current().answer != Rejected {
+			executed = attempt
 		}
 	}
 }
 
-// checkProcess looks at what a process logged of itself and how it ended.
-func (o *oracle) checkProcess(l *incarnation) {
-	for _, line := range l.proc.Log("") {
+// checkProcess checks a process's log and how it ended.
+func (o *oracle) checkProcess(p *incarnation) {
+	for _, line := range p.proc.Log("") {
 		if strings.Contains(line, "event=invariant_broken") || strings.Contains(line, "event=panic") {
-			o.violate("own_check", "%s: %s", l.name, line[:min(len(line), 300)])
+			o.violate(OwnCheckFailed, "%s: %s", p.name, line[:min(len(line), 300)])
 		}
 	}
-	if l.wasKilled() {
+	if p.killedAtLimit {
+		o.violate(NotEndedInTime, "%s did not end by itself; %s", p.name, p)
+	}
+	if p.wasKilled() {
 		return
 	}
-	if err, over := l.exitError(); over && err != nil {
-		o.violate("crash", "%s: %v; %s", l.name, err, l)
+	if err, ended := p.exitError(); ended && err != nil {
+		o.violate(ExitStatus, "%s: %v; %s", p.name, err, p)
 	}
 }
--- a/internal/testbed/experiment/soak/record.go
+++ b/internal/testbed/experiment/soak/record.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Record is what happened to each request, from both sides of the proxies.
+// Record is what the hosts received of each request, and the endpoint lists that each process was sent.
 type Record struct {
 	mu       sync.Mutex
-	arrivals map[string][]*arrival       // by the request's id, in the order in which they came
-	notices  map[noticeKey][]stateNotice // what lists written to each process say of a host, in order
+	attempts map[string][]*hostAttempt   // by the request's ID, in the order of their arrival
+	notices  map[noticeKey][]stateNotice // in the order of the lists
 }
 
 // stateNotice is a host's state in a list that was written to a process.
 type stateNotice struct {
 	writtenAt time.Time
 	state     string
-	list      string // the list
+	source    string // of the list
 }
 
 // noticeKey is a host as one process of a proxy sees it.
 type noticeKey struct {
-	incarnation *incarnation
-	host        string
+	process *incarnation
+	host    string
 }
 
-// NewRecord makes an empty one.
+// NewRecord makes an empty record.
 func NewRecord() *Record {
-	return &Record{arrivals: map[string][]*arrival{}, notices: map[noticeKey][]stateNotice{}}
+	return &Record{attempts: map[string][]*hostAttempt{}, notices: map[noticeKey][]stateNotice{}}
 }
 
-// side is who ended an attempt.
+// side is one end of a connection between proxy and host.
 type side string
 
 const (
@@ -38,86 +38,89 @@
 	proxySide side = "proxy"
 )
 
-// arrival is one attempt as its host received it: the whole first line.
-type arrival struct {
+// hostAttempt is one attempt as its host received it, with the request line complete.
+type hostAttempt struct {
 	requestID, host string
 	receivedAt      time.Time
 
-	mu      sync.Mutex
+	mu    sync.Mutex
+	state attemptState
+}
+
+// attemptState is what has become of an attempt so far.
+type attemptState struct {
 	answer  Answer // of the host
-	endedBy side   // "": it stands
+	endedBy side   // "": it has not ended
 	endedAt time.Time
 }
 
-// recordArrival adds an attempt that a host received.
-func (r *Record) recordArrival(id, host string) *arrival {
-	a := &arrival{requestID: id, host: host, receivedAt: time.Now()}
+// recordAttempt adds an attempt that a host received.
+func (r *Record) recordAttempt(requestID, host string) *hostAttempt {
+	a := &hostAttempt{requestID: requestID, host: host, receivedAt: time.Now()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrivals[id] = append(r.arrivals[id], a)
+	r.attempts[requestID] = append(r.attempts[requestID], a)
 	return a
 }
 
-// arrivalsOf are the attempts of one request, in the order in which they came.
-func (r *Record) arrivalsOf(id string) []*arrival {
+// attemptsOf returns the attempts of one request, in the order of their arrival.
+func (r *Record) attemptsOf(requestID string) []*hostAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*arrival(nil), r.arrivals[id]...)
+	return append([]*hostAttempt(nil), r.attempts[requestID]...)
 }
 
-// recordNotice notes that a list with a host's state was written to a proxy.
-func (r *Record) recordNotice(l *incarnation, host, state, by string, at time.Time) {
-	k := noticeKey{l, host}
+// recordNotice records that a list with a host's state was written to a process. Only a change of state is kept.
+func (r *Record) recordNotice(process *incarnation, host string, notice stateNotice) {
+	key := noticeKey{process, host}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if all := r.notices[k]; len(all) == 0 || all[len(all)-1].state != state {
-		r.notices[k] = append(all, stateNotice{at, state, by})
+	if all := r.notices[key]; len(all) == 0 || all[len(all)-1].state != notice.state {
+		r.notices[key] = append(all, notice)
 	}
 }
 
-// excludedSince is the notice since which a process had a host as draining or removed, if that still held at a moment.
-func (r *Record) excludedSince(l *incarnation, host string, at time.Time) (since stateNotice, out bool) {
+// excludedSince returns the notice since which a process must not use a host, if the host was draining or removed for it at a moment.
+func (r *Record) excludedSince(process *incarnation, host string, at time.Time) (since stateNotice, excluded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, t := range r.notices[noticeKey{l, host}] {
+	for _, notice := range r.notices[noticeKey{process, host}] {
 		switch {
-		case !t.writtenAt.Before(at):
-			return since, out
-		case t.state == "up":
-			out = false
-		case !out:
-			since, out = t, true
+		case !notice.writtenAt.Before(at):
+			return since, excluded
+		case notice.state == "up":
+			excluded = false
+		case !excluded:
+			since, excluded = notice, true
 		}
 	}
-	return since, out
+	return since, excluded
 }
 
-// recordAnswer notes what the host answered.
-func (a *arrival) recordAnswer(what Answer) {
+// recordAnswer records the host's answer.
+func (a *hostAttempt) recordAnswer(answer Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.answer = what
+	a.state.answer = answer
 }
 
 // served returns whether the host accepted the request.
-func (a *arrival) served() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.answer == Served
+func (a *hostAttempt) served() bool {
+	return a.current().answer == Served
 }
 
-// recordEnd notes the first end.
-func (a *arrival) recordEnd(by side) {
+// recordEnd records the attempt's end; the first end counts.
+func (a *hostAttempt) recordEnd(by side) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.endedBy == "" {
-		a.endedBy, a.endedAt = by, time.Now()
+	if a.state.endedBy == "" {
+		a.state.endedBy, a.state.endedAt = by, time.Now()
 	}
 }
 
-// snapshot is what is known of the attempt so far.
-func (a *arrival) snapshot() (answer Answer, endedBy side, endedAt time.Time) {
+// current returns the attempt's state so far.
+func (a *hostAttempt) current() attemptState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.answer, a.endedBy, a.endedAt
+	return a.state
 }
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -13,7 +13,7 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// Result is what one play showed.
+// Result is the outcome of one play.
 type Result struct {
 	Seed            uint64
 	LongestDeadline time.Duration
@@ -22,12 +22,12 @@
 	Answers         map[Answer]int
 	Ends            map[End]int
 	Stopped         int           // processes that got SIGTERM
-	Forced          int           // of these, killed at the end of their time
-	FailedCalls     int           // system calls that were made to fail
-	Stall           time.Duration // the longest for which this machine kept a process from running
+	Forced          int           // of these, those that needed SIGKILL
+	FailedCalls     int           // injected failures of system calls
+	Stall           time.Duration // the longest time for which this machine did not run this process
 	Violations      []Violation
 	Errors          []error
-	Faults          []string // what was played, with when
+	Faults          []string // with the time of each
 }
 
 // String is one line of name=value.
@@ -36,7 +36,7 @@
 		r.Seed, r.LongestDeadline, r.Processes, r.Requests, r.Answers, r.Ends, r.Stopped, r.Forced, r.FailedCalls, r.Stall.Round(time.Millisecond), len(r.Violations), len(r.Errors))
 }
 
-// Play runs a fleet under faults that overlap, and judges what was seen. The error says that the fleet did not start.
+// Play runs a fleet under overlapping faults and checks the rules. An error says that the fleet did not start.
 func Play(env *experiment.Env, opt Options) (*Result, error) {
 	f, err := NewFleet(env, opt)
 	if f != nil {
@@ -48,21 +48,21 @@
 	r := &Result{Seed: opt.Seed, LongestDeadline: f.longestDeadline(), Answers: map[Answer]int{}, Ends: map[End]int{}}
 	f.playAll(r)
 	f.stopAll()
-	f.judge(r)
+	f.check(r)
 	return r, nil
 }
 
-// playAll has clients come and faults happen for the play's time, and waits for their end.
+// playAll runs clients and faults for the play's time, and waits for their end.
 func (f *Fleet) playAll(r *Result) {
 	var mu sync.Mutex
-	note := func(s string) {
+	recordFault := func(fault string) {
 		mu.Lock()
 		defer mu.Unlock()
-		r.Faults = append(r.Faults, s)
+		r.Faults = append(r.Faults, fault)
 	}
 	until := time.Now().Add(f.options.Length)
 	f.workers.Add(1 + len(f.nodes))
-	go f.playFaults(until, rand.New(rand.NewPCG(f.options.Seed, 4)), note)
+	go f.playFaults(until, rand.New(rand.NewPCG(f.options.Seed, 4)), recordFault)
 	for i, n := range f.nodes {
 		go f.playClients(n, until, rand.New(rand.NewPCG(f.options.Seed, uint64(100+i))))
 	}
@@ -76,24 +76,24 @@
 	f.workers.Wait()
 }
 
-// stopAll ends all processes in order, at once.
+// stopAll shuts all processes down, at the same time.
 func (f *Fleet) stopAll() {
-	var all sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, n := range f.nodes {
-		if l := n.Current(); l != nil && !l.hasEnded() {
-			all.Add(1)
+		if process := n.Current(); process != nil && !process.hasEnded() {
+			stops.Add(1)
 			go func() {
-				defer all.Done()
-				l.stop(f.longestDeadline(), f.stalls.value())
+				defer stops.Done()
+				process.stop(f.longestDeadline(), f.stallMeter.value())
 			}()
 		}
 	}
-	all.Wait()
-	time.Sleep(lostAfter) // what was written is on its way
+	stops.Wait()
+	time.Sleep(answerGrace) // until lines that the processes have written arrive
 }
 
-// keepLogs writes what each process has logged, and what was played.
-func (f *Fleet) keepLogs(r *Result) error {
+// saveLogs saves each process's log, and the faults that were played.
+func (f *Fleet) saveLogs(r *Result) error {
 	dir := filepath.Join(f.options.Logs, fmt.Sprint("seed", r.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -102,12 +102,12 @@
 		return os.WriteFile(filepath.Join(dir, name), []byte(strings.Join(lines, "\n")+"\n"), 0o644)
 	}
 	for _, n := range f.nodes {
-		for _, l := range n.incarnations {
-			if l.proc == nil {
+		for _, process := range n.incarnations {
+			if process.proc == nil {
 				continue
 			}
-			head := fmt.Sprintf("%s began %s", l, l.startedAt.UTC().Format("15:04:05.000000"))
-			if err := write(l.name+".log", append([]string{head}, l.proc.Log("")...)); err != nil {
+			head := fmt.Sprintf("%s started %s", process, process.startedAt.UTC().Format("15:04:05.000000"))
+			if err := write(process.name+".log", append([]string{head}, process.proc.Log("")...)); err != nil {
 				return err
 			}
 		}
@@ -115,23 +115,24 @@
 	return write("faults", r.Faults)
 }
 
-// judge puts what was seen before the oracle.
-func (f *Fleet) judge(r *Result) {
-	r.Stall = f.stalls.value()
+// check has the oracle check all requests and processes, and adds up the result.
+func (f *Fleet) check(r *Result) {
+	r.Stall = f.stallMeter.value()
 	o := &oracle{record: f.record, slack: r.Stall}
 	f.mu.Lock()
-	sessions, errs := f.sessions, f.errors
+	requests, errs := f.requests, f.errors
 	f.mu.Unlock()
-	for _, a := range sessions {
-		o.checkRequest(a)
-		out := a.Outcome()
-		r.Answers[out.Answer]++
-		r.Ends[out.End]++
+	for _, request := range requests {
+		o.checkRequest(request)
+		outcome := request.Outcome()
+		r.Answers[outcome.Answer]++
+		r.Ends[outcome.End]++
 	}
 	for _, n := range f.nodes {
-		for _, l := range n.incarnations {
-			if l.proc != nil { // one that did not start is among the errors
-				o.judgeProcess(l, r)
+		for _, process := range n.incarnations {
+			if process.proc != nil { // a failed start is among the errors
+				r.countProcess(process)
+				o.checkProcess(process)
 			}
 		}
 	}
@@ -140,20 +141,18 @@
 	}
 	sort.Strings(r.Faults)
 	if f.options.Logs != "" {
-		f.recordError(f.keepLogs(r))
+		f.recordError(f.saveLogs(r))
 	}
-	r.Requests, r.Violations, r.Errors = len(sessions), o.violations, errs
+	r.Requests, r.Violations, r.Errors = len(requests), o.violations, errs
 }
 
-// judgeProcess counts a process and looks how it ended.
-func (o *oracle) judgeProcess(l *incarnation, r *Result) {
+// countProcess adds a process that was started.
+func (r *Result) countProcess(p *incarnation) {
 	r.Processes++
-	if !l.stoppedAt.IsZero() {
+	if !p.stoppedAt.IsZero() {
 		r.Stopped++
 	}
-	if l.killedAtLimit {
+	if p.killedAtLimit {
 		r.Forced++
-		o.violate("kill", "%s did not end by itself; %s", l.name, l)
 	}
-	o.checkProcess(l)
 }
--- a/internal/testbed/experiment/soak/seccomp.go
+++ b/internal/testbed/experiment/soak/seccomp.go
@@ -28,20 +28,20 @@
 	flags     uint32
 }
 
-// The requests on a notification descriptor, and the flag that lets a call go on.
+// The requests on a notification descriptor, and the flag that lets the kernel make the call.
 const (
 	notifyReceive  = 0xc0502100
 	notifySend     = 0xc0182101
 	notifyContinue = 1
 )
 
-// pollMS is how often the shim looks whether it has ended, in milliseconds.
+// pollMS is how soon the shim notices its Close, in milliseconds.
 const pollMS = 100
 
-// lockThread keeps the calling goroutine on its thread: a filter is the thread's that sets it.
+// lockThread keeps the calling goroutine on its thread: a filter belongs to the thread that installs it.
 func lockThread() { runtime.LockOSThread() }
 
-// serve answers on a notification descriptor until its process has ended, or the shim has.
+// serve answers the notifications of a process until it has ended, or the shim is closed.
 func (s *Shim) serve(fd int, ready *atomic.Bool) {
 	for {
 		select {
@@ -55,13 +55,13 @@
 		case err == unix.EINTR || n == 0 && err == nil:
 			continue
 		case err != nil || poll[0].Revents&unix.POLLIN == 0:
-			return // no process is left
+			return // the process has ended
 		}
 		s.answer(fd, ready.Load())
 	}
 }
 
-// answer answers one notification: the call goes on, or fails.
+// answer answers one notification: the kernel makes the call, or it fails.
 func (s *Shim) answer(fd int, ready bool) {
 	var q notification
 	if ioctl(fd, notifyReceive, unsafe.Pointer(&q)) != 0 {
@@ -77,7 +77,7 @@
 	ioctl(fd, notifySend, unsafe.Pointer(&v))
 }
 
-// ioctl is the system call, made again when it is interrupted.
+// ioctl is the system call, repeated when it is interrupted.
 func ioctl(fd int, request uintptr, arg unsafe.Pointer) syscall.Errno {
 	for {
 		_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(fd), request, uintptr(arg))
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -16,19 +16,19 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// shimEnv names the program that a process is to become once its system calls are looked at.
+// shimEnv names the program that a process executes behind the system call filter.
 const shimEnv = "CROFTLOCK_SOAK_SHIM"
 
-// Shim looks at some system calls of a proxy's processes and has some of them fail, as the kernel documents that they may. It uses a seccomp
-// filter with user notification on these processes alone, which needs no rights.
+// Shim makes some system calls of a proxy's processes fail with errors that the kernel documents. It uses a seccomp filter with user
+// notification on these processes alone, which needs no privileges.
 type Shim struct {
-	failed atomic.Int64  // calls that were made to fail
-	ended  chan struct{} // closed at its end
+	failed atomic.Int64  // injected failures
+	ended  chan struct{} // closed by Close
 
 	mu        sync.Mutex // protects what follows
 	rng       *rand.Rand
 	armed     bool
-	failShare float64 // of the calls, while it is armed
+	failShare float64 // part of the calls that fail while armed
 }
 
 // NewShim makes one for the processes of one proxy.
@@ -36,7 +36,7 @@
 	return &Shim{rng: rand.New(rand.NewPCG(seed, 5)), ended: make(chan struct{})}
 }
 
-// errnos are what each call may fail with, and leave everything as it was.
+// errnos are the errors that are injected, by system call. Each leaves the process's state as it was.
 var errnos = map[int32][]syscall.Errno{
 	unix.SYS_ACCEPT:    {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
 	unix.SYS_ACCEPT4:   {unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EINTR, unix.EPROTO},
@@ -49,10 +49,10 @@
 	unix.SYS_RENAMEAT:  {unix.EIO, unix.ENOSPC},
 }
 
-// proxyFlags are those of the proxy's own writes; the standard library's, which also hand descriptors over, are left alone.
+// proxyFlags mark the proxy's own writes; the standard library's, which also hand descriptors over, never fail.
 const proxyFlags = unix.MSG_NOSIGNAL | unix.MSG_DONTWAIT
 
-// filter is the program that has the kernel ask about the calls in errnos.
+// filter is the seccomp program that sends a notification for each call in errnos.
 func filter() []unix.SockFilter {
 	const nr, flags = 0, 16 + 2*8 // offsets in struct seccomp_data: the call, and the low half of its third argument
 	load := func(at uint32) unix.SockFilter {
@@ -71,7 +71,7 @@
 	return append(p, equal(unix.SYS_SENDMSG, 3), load(flags), equal(proxyFlags, 1), ret(unix.SECCOMP_RET_USER_NOTIF), ret(unix.SECCOMP_RET_ALLOW))
 }
 
-// BehindShim makes this process the program that it was started for, if it was started by a shim; else it does nothing. It is to be called first.
+// BehindShim executes the program that a shim started this process for; without a shim it does nothing. Call it first in main.
 func BehindShim() {
 	program := os.Getenv(shimEnv)
 	if program == "" {
@@ -84,7 +84,7 @@
 	}
 }
 
-// execBehindFilter sets the filter, hands its descriptor over and executes the program in this process's place.
+// execBehindFilter installs the filter, sends its notification descriptor to the shim, and executes the program.
 func execBehindFilter(program string) error {
 	lockThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
@@ -104,10 +104,10 @@
 	return syscall.Exec(program, os.Args, os.Environ())
 }
 
-// shimFD is where the process that is to be looked at sends the descriptor by which that is done.
+// shimFD is the socket on which a process sends the shim its notification descriptor.
 const shimFD = 3
 
-// Launch starts a process behind the shim. Its calls are left alone until it is ready: Go's own runtime ends a process whose first epoll_ctl fails.
+// Launch starts a process behind the shim. No call fails before it is ready: Go's runtime ends a process whose first epoll_ctl fails.
 func (s *Shim) Launch(e *experiment.Env, p experiment.Setup) (*experiment.Process, error) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return proc, err
 }
 
-// answerFor answers the kernel's questions about one process until it has ended.
+// answerFor receives a process's notification descriptor and serves it until the process has ended.
 func (s *Shim) answerFor(from *os.File, ready *atomic.Bool) {
 	c, err := net.FileConn(from)
 	from.Close()
@@ -153,38 +153,38 @@
 	s.serve(fds[0], ready)
 }
 
-// FailCalls has calls fail for a while, again and again, until the given time.
+// FailCalls alternates times without failures and times with them, until the given time.
 func (s *Shim) FailCalls(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
-		quiet, busy, part := randomSpan(s.rng, 200, 3000), randomSpan(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
+		quiet, failing, share := randomSpan(s.rng, 200, 3000), randomSpan(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
 		s.mu.Unlock()
 		time.Sleep(quiet)
-		s.arm(true, part)
-		time.Sleep(busy)
+		s.arm(true, share)
+		time.Sleep(failing)
 		s.arm(false, 0)
 	}
 }
 
-// arm has a share of calls fail from now on, or none.
-func (s *Shim) arm(on bool, part float64) {
+// arm makes a share of the calls fail from now on, or none.
+func (s *Shim) arm(on bool, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed, s.failShare = on, part
+	s.armed, s.failShare = on, share
 }
 
-// Failed is how many calls were made to fail.
+// Failed is the number of injected failures.
 func (s *Shim) Failed() int { return int(s.failed.Load()) }
 
-// Close ends it; its processes must have ended.
+// Close ends the shim; its processes must have ended.
 func (s *Shim) Close() { close(s.ended) }
 
-// drawError draws what a call fails with; 0: it goes on.
-func (s *Shim) drawError(call int32, second uint64) syscall.Errno {
+// drawError draws the error of a call; 0: it does not fail. secondArgument is the call's.
+func (s *Shim) drawError(call int32, secondArgument uint64) syscall.Errno {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := errnos[call]
-	if !s.armed || len(all) == 0 || s.rng.Float64() >= s.failShare || call == unix.SYS_EPOLL_CTL && second != unix.EPOLL_CTL_ADD {
+	if !s.armed || len(all) == 0 || s.rng.Float64() >= s.failShare || call == unix.SYS_EPOLL_CTL && secondArgument != unix.EPOLL_CTL_ADD {
 		return 0
 	}
 	s.failed.Add(1)
--- a/internal/testbed/experiment/soak/soak_test.go
+++ b/internal/testbed/experiment/soak/soak_test.go
@@ -9,15 +9,15 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// environment is what every process of a play is started with.
+// environment runs the test's own binary as the program.
 func environment(t *testing.T) *experiment.Env {
 	t.Helper()
 	t.Setenv(asProgram, "1")
-	t.Setenv("GORACE", "atexit_sleep_ms=0") // a program with the race detector else takes a second more to end, by that alone
+	t.Setenv("GORACE", "atexit_sleep_ms=0") // else the race detector delays each exit by a second
 	return &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
 }
 
-// Ten processes under faults that overlap, for a short time: no rule is broken, by what clients and hosts saw and by the processes' own count.
+// TestSoak: ten proxies under overlapping faults for a short time break no rule, by what clients and hosts saw and by the processes' own logs.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		r, err := Play(environment(t), Options{Seed: seed, Proxies: 10, Hosts: 8, Length: 10 * time.Second, Rate: 6, Faults: 40, FailCalls: seed%2 == 0, BendClocks: true})
@@ -35,7 +35,7 @@
 			t.Fatal(strings.Join(r.Faults, "\n"))
 		}
 		if r.Stopped < 10 || r.Answers[Served] < 100 {
-			t.Errorf("a play in which little happened: %v", r)
+			t.Errorf("too little load: %d processes stopped, %d requests served; want 10 and 100 or more: %v", r.Stopped, r.Answers[Served], r)
 		}
 	}
 }
--- a/internal/testbed/experiment/soak/stallmeter.go
+++ b/internal/testbed/experiment/soak/stallmeter.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// stallMeter measures for how long this machine keeps a process from running.
+// stallMeter measures the longest time for which this machine does not run this process.
 type stallMeter struct {
 	mu      sync.Mutex
 	longest time.Duration
 	end     chan struct{}
 }
 
-// newStallMeter begins to measure; stop ends it.
+// newStallMeter starts measuring, until stop.
 func newStallMeter() *stallMeter {
 	m := &stallMeter{end: make(chan struct{})}
 	go func() {
-		const step = 5 * time.Millisecond // between two looks at the clock
+		const step = 5 * time.Millisecond // between two readings of the clock
 		for last := time.Now(); ; {
 			select {
 			case <-m.end:
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -1,7 +1,6 @@
 package soak
 
 import (
-	"fmt"
 	"os"
 	"strings"
 	"syscall"
@@ -13,7 +12,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// asProgram has the test's own binary run as the program.
+// asProgram is the variable by which the test's own binary runs as the program.
 const asProgram = "CROFTLOCK_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -25,32 +24,24 @@
 	os.Exit(m.Run())
 }
 
-// stopping is one proxy with hosts that can hang.
-type stopping struct {
+// shutdownTest is one proxy whose hosts can hang, and its clients.
+type shutdownTest struct {
 	proxy    *experiment.Process
 	hosts    []*fake.Server
-	deadline time.Duration
+	deadline time.Duration // of requests
 }
 
-func newStopping(t *testing.T, deadline time.Duration) *stopping {
+func newShutdownTest(t *testing.T, deadline time.Duration) *shutdownTest {
 	t.Helper()
-	s := &stopping{deadline: deadline}
-	d, err := fake.NewDiscovery()
+	hosts, err := fake.NewHosts("a", "s0", "s1", "s2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	for i := range 3 {
-		h, err := fake.NewServer(fmt.Sprint("s", i), "a", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(h.Close)
-		s.hosts = append(s.hosts, h)
-		d.Set(h.Entry())
-	}
+	t.Cleanup(hosts.Close)
+	s := &shutdownTest{deadline: deadline, hosts: hosts.Servers}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Deadline: deadline, Env: []string{asProgram + "=1"}})
+	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: hosts.Discovery.Addr(), Known: hosts.Discovery.List(), Deadline: deadline,
+		Env: []string{asProgram + "=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,98 +49,106 @@
 	return s
 }
 
-// start begins sessions, each with so much time and a line every 100 ms once it is served.
-func (s *stopping) start(t *testing.T, n int) (all []*Session) {
+// request sends n requests, each on a connection of its own, which sends a line every 100 ms once it is served.
+func (s *shutdownTest) request(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
 	for range n {
-		c, err := Start(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline, Interval: 100 * time.Millisecond})
+		c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline, Interval: 100 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(c.Leave)
-		all = append(all, c)
+		t.Cleanup(c.Close)
+		connections = append(connections, c)
 	}
-	return all
+	return connections
 }
 
-// stand begins sessions until so many have been served; some may be refused on the way.
-func (s *stopping) stand(t *testing.T, n int) (all []*Session) {
+// establish sends requests until n are served; some may be rejected before.
+func (s *shutdownTest) establish(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
 	_, ok := experiment.Until(20*time.Second, func() bool {
-		c := s.start(t, 1)[0]
+		c := s.request(t, 1)[0]
 		experiment.Until(s.deadline+time.Second, func() bool { return c.Outcome().Answer != Unanswered })
 		if c.Outcome().Answer == Served {
-			all = append(all, c)
+			connections = append(connections, c)
 		}
-		return len(all) == n
+		return len(connections) == n
 	})
 	if !ok {
-		t.Fatalf("%d of %d connections stand", len(all), n)
+		t.Fatalf("%d connections are established, want %d", len(connections), n)
 	}
-	return all
+	return connections
 }
 
-// Hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then each request has its answer, each open
-// connection has been migrated, and nothing is in flight any more.
+// requestWhileFrontSends sends requests for as long as the front still sends new clients to a proxy that is shutting down.
+func (s *shutdownTest) requestWhileFrontSends(t *testing.T, terminatedAt time.Time) (connections []*ClientConnection) {
+	t.Helper()
+	for time.Since(terminatedAt) < 300*time.Millisecond {
+		if c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline}); err == nil {
+			connections = append(connections, c)
+			t.Cleanup(c.Close)
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	return connections
+}
+
+// TestNothingIsHeldAtTheEarliestKill: the hosts hang, clients go on sending, and SIGKILL comes as early as the platform may send it. By then
+// each request has its answer, each established connection has been migrated, and the process has ended.
 func TestNothingIsHeldAtTheEarliestKill(t *testing.T) {
 	for _, deadline := range []time.Duration{100, 400, 1000, 2000, 3000, 4800, 9000} {
 		deadline *= time.Millisecond
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newStopping(t, deadline)
-			standing := s.stand(t, 60)
+			s := newShutdownTest(t, deadline)
+			established := s.establish(t, 60)
 			for _, h := range s.hosts {
 				h.Slow.Store(int64(time.Minute))
 			}
-			asked := s.start(t, 40)
+			waiting := s.request(t, 40)
 			time.Sleep(50 * time.Millisecond)
-			held := newStallMeter()
-			began := time.Now()
+			stalls := newStallMeter()
+			terminatedAt := time.Now()
 			s.proxy.Signal(syscall.SIGTERM)
-			for time.Since(began) < 300*time.Millisecond { // the front has not noticed yet
-				if c, err := Start(s.proxy.Addr, Request{Class: "lab", Wait: deadline}); err == nil {
-					asked = append(asked, c)
-					t.Cleanup(c.Leave)
-				}
-				time.Sleep(20 * time.Millisecond)
-			}
-			// SIGKILL comes no sooner than the platform says, and later by as much as this machine held everything up.
-			time.Sleep(time.Until(began.Add(KillAfter(deadline))))
-			held.stop()
-			time.Sleep(held.value())
+			waiting = append(waiting, s.requestWhileFrontSends(t, terminatedAt)...)
+			// SIGKILL comes no sooner than the platform says, and later by the longest stall of this machine.
+			time.Sleep(time.Until(terminatedAt.Add(KillAfter(deadline))))
+			stalls.stop()
+			time.Sleep(stalls.value())
 			s.proxy.Kill()
-			check(t, s, standing, asked)
+			s.check(t, established, waiting)
 		})
 	}
 }
 
-// check reports what the process left behind.
-func check(t *testing.T, s *stopping, standing, asked []*Session) {
+// check reports connections that were not migrated, requests without an answer, and a process that did not end by itself.
+func (s *shutdownTest) check(t *testing.T, established, waiting []*ClientConnection) {
 	t.Helper()
-	lost, unanswered := map[End]int{}, 0
-	for _, c := range standing {
-		select {
-		case <-c.Ended():
-		case <-time.After(2 * time.Second): // what the process had written is on its way
-		}
-		if o := c.Outcome(); o.End != Migrated {
-			lost[o.End]++
+	notMigrated, unanswered := map[End]int{}, 0
+	for _, c := range established {
+		if outcome := c.finalOutcome(); outcome.End != Migrated {
+			notMigrated[outcome.End]++
 		}
 	}
-	for _, c := range asked {
-		select {
-		case <-c.Ended():
-		case <-time.After(2 * time.Second):
-		}
-		if o := c.Outcome(); !o.Sent.IsZero() && o.Answer == Unanswered {
+	for _, c := range waiting {
+		if outcome := c.finalOutcome(); !outcome.Sent.IsZero() && outcome.Answer == Unanswered {
 			unanswered++
 		}
 	}
-	if len(lost) > 0 || unanswered > 0 {
-		t.Errorf("of %d open connections not moved: %v; of %d requests without an answer: %d; log:\n%s", len(standing), lost, len(asked), unanswered,
-			strings.Join(s.proxy.Log("event="), "\n"))
+	if len(notMigrated) > 0 || unanswered > 0 {
+		t.Errorf("of %d established connections not migrated, by their end: %v; of %d requests without an answer: %d; log:\n%s", len(established),
+			notMigrated, len(waiting), unanswered, strings.Join(s.proxy.Log("event="), "\n"))
 	}
-	if ended := s.proxy.Log("event=stopped"); len(ended) == 0 {
-		t.Errorf("it did not end by itself")
+	if stopped := s.proxy.Log("event=stopped"); len(stopped) == 0 {
+		t.Errorf("the process did not end by itself")
+	}
+}
+
+// finalOutcome waits until the lines that an ended process has written have arrived.
+func (c *ClientConnection) finalOutcome() Outcome {
+	select {
+	case <-c.Ended():
+	case <-time.After(2 * time.Second):
 	}
+	return c.Outcome()
 }
--- a/internal/testbed/experiment/soak/suspensions.go
+++ b/internal/testbed/experiment/soak/suspensions.go
@@ -7,44 +7,43 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// suspension is a time in which a proxy may send nothing to a host: from its answer to an operator's call to the call that ends it.
+// suspension is a span of time in which a proxy must not use a host: from the answer to an operator's call until the call that ends it.
 type suspension struct {
 	host        string
 	from, until time.Time // until is zero while it holds
 }
 
-// suspensionGrace is how long after a call, or its answer, its effect may take: the platform counts a suspension from the answer, or from 1 s after the
-// call.
+// suspensionGrace is how long the effect of a suspension may take: the platform counts it from the answer, or from 1 s after the call.
 const suspensionGrace = time.Second
 
-// suspend has an operator suspend a host at a proxy and resume it later, whatever becomes of the proxy's process meanwhile.
+// suspend plays an operator who suspends a host at a proxy and resumes it later, also where the proxy's process ends meanwhile.
 func (f *Fleet) suspend(rng *rand.Rand) {
-	n, h := f.node(rng), f.host(rng)
+	n, h := f.randomNode(rng), f.randomHost(rng)
 	if !n.claimSuspension(h.UID) {
-		return // each suspension is ended by whoever made it
+		return // whoever suspends a host also resumes it
 	}
 	defer n.releaseSuspension(h.UID)
 	if !n.callOperator(h.UID, "suspend") {
 		return
 	}
-	b := &suspension{host: h.UID, from: time.Now()}
+	s := &suspension{host: h.UID, from: time.Now()}
 	n.mu.Lock()
-	n.suspensions = append(n.suspensions, b)
+	n.suspensions = append(n.suspensions, s)
 	n.mu.Unlock()
 	time.Sleep(randomSpan(rng, 500, 6000))
 	n.mu.Lock()
-	b.until = time.Now()
+	s.until = time.Now()
 	n.mu.Unlock()
-	const attempts, pause = 100, 100 * time.Millisecond
+	const attempts, retryInterval = 100, 100 * time.Millisecond // the next process may still be starting
 	for range attempts {
 		if n.callOperator(h.UID, "resume") {
 			return
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
 }
 
-// claimSuspension sees to it that only one operator at a time suspends a host at a proxy.
+// claimSuspension returns whether the caller may suspend a host at a proxy: one operator at a time may, until its release.
 func (n *Node) claimSuspension(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,23 +61,23 @@
 	delete(n.suspending, host)
 }
 
-// callOperator makes an operator's call at the process that runs, and returns whether it succeeded.
-func (n *Node) callOperator(host, word string) bool {
-	l := n.Current()
-	if l == nil || l.isStopping() {
+// callOperator makes an operator's call at the current process, and returns whether it succeeded.
+func (n *Node) callOperator(host, action string) bool {
+	process := n.Current()
+	if process == nil || process.isStopping() {
 		return false
 	}
-	status, _, _, err := experiment.Call(l.admin, "POST", "/v1/catalogue-servers/"+host+"/"+word)
+	status, _, _, err := experiment.Call(process.admin, "POST", "/v1/catalogue-servers/"+host+"/"+action)
 	return err == nil && status == 200
 }
 
-// suspendedSince is since when a host was suspended at a proxy, at some moment.
-func (n *Node) suspendedSince(host string, at time.Time) (since time.Time, is bool) {
+// suspendedSince returns since when a host was suspended at a proxy, if it was at a moment.
+func (n *Node) suspendedSince(host string, at time.Time) (since time.Time, suspended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, b := range n.suspensions {
-		if b.host == host && at.After(b.from) && (b.until.IsZero() || at.Before(b.until)) {
-			return b.from, true
+	for _, s := range n.suspensions {
+		if s.host == host && at.After(s.from) && (s.until.IsZero() || at.Before(s.until)) {
+			return s.from, true
 		}
 	}
 	return since, false
