--- a/internal/app/command/book_test.go
+++ b/internal/app/command/book_test.go
@@ -98,7 +98,7 @@
 // fullest gives the most connections at one host.
 func (b *bookTier) fullest() (most int) {
 	for _, s := range b.hosts {
-		most = max(most, s.Standing())
+		most = max(most, s.Established())
 	}
 	return most
 }
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -94,7 +94,7 @@
 	// A connection of acme's at a2 stands through all that follows.
 	var standing *fake.Client
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		before := hosts["a2"].Standing()
+		before := hosts["a2"].Established()
 		c, _, _ := fake.Open(r.Procs[0].Addr, "lab", "t=t1", time.Second)
 		if c == nil {
 			return false
@@ -103,7 +103,7 @@
 		if !strings.Contains(out, "account acme") || !strings.Contains(out, "pool a") {
 			t.Errorf("explained: %q", out)
 		}
-		if hosts["a2"].Standing() > before {
+		if hosts["a2"].Established() > before {
 			standing = c
 			return true
 		}
@@ -138,7 +138,7 @@
 	r.Cut(4, false)
 	stands(t, r, 0, 5, 5)
 	time.Sleep(300 * time.Millisecond)
-	if _, moved, err := standing.Ask("still there", time.Second); moved || err != nil {
+	if _, moved, err := standing.Exchange("still there", time.Second); moved || err != nil {
 		t.Errorf("the connection that stood at a2: moved=%t %v", moved, err)
 	}
 	quit.Store(true)
--- a/internal/app/command/ops_test.go
+++ b/internal/app/command/ops_test.go
@@ -73,7 +73,7 @@
 	}
 	says := func(c *fake.Client, text string) {
 		t.Helper()
-		if _, moved, err := c.Ask(text, 10*time.Second); moved || err != nil {
+		if _, moved, err := c.Exchange(text, 10*time.Second); moved || err != nil {
 			t.Fatalf("a client that stands: moved %t, %v", moved, err)
 		}
 	}
--- a/internal/app/command/pushed_test.go
+++ b/internal/app/command/pushed_test.go
@@ -60,11 +60,11 @@
 			t.Fatal("the agent is not asked")
 		}
 	}
-	before, _ := servers["s0"].Opened()
+	before, _ := servers["s0"].Requests()
 	for range 6 {
 		open()
 	}
-	if after, _ := servers["s0"].Opened(); before == 0 || after > before {
+	if after, _ := servers["s0"].Requests(); before == 0 || after > before {
 		t.Errorf("%d connections to a host before it drained, and %d after the proxy was told", before, after-before)
 	}
 }
--- a/internal/app/command/relay_test.go
+++ b/internal/app/command/relay_test.go
@@ -41,7 +41,7 @@
 	before := process.CPU()
 	b.ResetTimer()
 	for i := range b.N {
-		if _, moved, err := client.Ask(strconv.Itoa(i), 5*time.Second); err != nil || moved {
+		if _, moved, err := client.Exchange(strconv.Itoa(i), 5*time.Second); err != nil || moved {
 			b.Fatalf("line %d: moved %t, %v", i, moved, err)
 		}
 	}
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -20,7 +20,7 @@
 // leaves in order.
 func TestServesByTLS(t *testing.T) {
 	dir := t.TempDir()
-	pki, err := fake.NewPki("s1.test")
+	pki, err := fake.NewPKI("s1.test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,13 +32,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shown := fake.TLS(pair)
-	sound, err := fake.NewServer("s1", "a", fake.Config(func() *tls.Certificate { return shown }, pki.Trusted.Pool))
+	shown := fake.TLSCertificate(pair)
+	sound, err := fake.NewServer("s1", "a", fake.ServerTLSConfig(func() *tls.Certificate { return shown }, pki.Trusted.Pool))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer sound.Close()
-	wrong, _ := pki.Trusted.ForServer("cat3.example.org")
+	wrong, _ := pki.Trusted.NewServerTLSConfig("cat3.example.org")
 	other, err := fake.NewServer("s2", "a", wrong)
 	if err != nil {
 		t.Fatal(err)
@@ -71,13 +71,13 @@
 		if err != nil || a.Kind != "UP" || !strings.HasPrefix(a.Text, "UP s1-") {
 			t.Fatalf("client %d: %v %v", i, a, err)
 		}
-		if _, _, err := c.Ask(fmt.Sprint("M ", i), 10*time.Second); err != nil {
+		if _, _, err := c.Exchange(fmt.Sprint("M ", i), 10*time.Second); err != nil {
 			t.Fatal(err)
 		}
 		standing = c
 	}
 	await("event=tls_failed host=s2 reason=wrong_name")
-	if n, _ := other.Opened(); n > 0 {
+	if n, _ := other.Requests(); n > 0 {
 		t.Errorf("%d requests reached the server with the wrong name", n)
 	}
 	os.WriteFile(trust, fake.HalfPEM(pki.Trusted.Root.Cert), 0o644)
@@ -88,7 +88,7 @@
 	os.WriteFile(file, []byte("(tls"), 0o644)
 	p.Signal(syscall.SIGHUP)
 	await("event=settings_failed")
-	if _, _, err := standing.Ask("M", 10*time.Second); err != nil {
+	if _, _, err := standing.Exchange("M", 10*time.Second); err != nil {
 		t.Errorf("a standing connection after all that: %v", err)
 	}
 	if c, a, err := fake.Open(p.Addr, "lab", "", 10*time.Second); c == nil {
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -20,7 +20,7 @@
 type bench struct {
 	t    *testing.T
 	dir  string
-	pki  *fake.Pki
+	pki  *fake.PKI
 	opt  Options
 	loop *netio.Loop
 	link *Link
@@ -29,7 +29,7 @@
 
 func newBench(t *testing.T, change func(b *bench)) *bench {
 	t.Helper()
-	pki, err := fake.NewPki(name)
+	pki, err := fake.NewPKI(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	b.t.Helper()
 	if config == nil {
 		var err error
-		if config, err = b.pki.Trusted.ForServer(name); err != nil {
+		if config, err = b.pki.Trusted.NewServerTLSConfig(name); err != nil {
 			b.t.Fatal(err)
 		}
 	}
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -64,7 +64,7 @@
 func TestOldVersionAndURI(t *testing.T) {
 	b := newBench(t, func(b *bench) { b.opt.MinVersion, b.opt.Pattern, b.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
 	for uri, want := range map[string]Reason{"spiffe://valley/a/s1": "", "spiffe://valley/a/s10": WrongName} {
-		config, err := b.pki.Trusted.ForServer(uri)
+		config, err := b.pki.Trusted.NewServerTLSConfig(uri)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -46,7 +46,7 @@
 // The end of the layer is the peer's; the end of the socket alone can be anybody's.
 func TestEnds(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	ways := make(chan func(raw net.Conn, s *tls.Conn), 1)
@@ -89,7 +89,7 @@
 // More lines than the client takes must wait at the server, not in the memory, sealed or opened.
 func TestBackPressureBehindTLS(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
 	defer l.Close()
 	sent := make([]byte, 8<<20)
@@ -158,7 +158,7 @@
 // Lines to a server that reads nothing wait in a bounded place, and come whole and in order once it reads.
 func TestSlowServer(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
 	defer l.Close()
 	read := make(chan struct{})
@@ -197,7 +197,7 @@
 // A drop while the handshake is out leaves nothing behind, and done is not called.
 func TestDrop(t *testing.T) {
 	b := newBench(t, nil)
-	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
+	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -129,7 +129,7 @@
 // A server that has new ticket keys, or none of the old ones, costs a full handshake and nothing else.
 func TestTicketKeysChanged(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	config.SetSessionTicketKeys([][32]byte{{1}})
 	s := b.server(config)
 	var last tls.ConnectionState
@@ -137,7 +137,7 @@
 		if change {
 			config = config.Clone()
 			config.SetSessionTicketKeys([][32]byte{{2}})
-			s.Secure(config)
+			s.SetTLS(config)
 		}
 		c := b.dial(s.Addr(), 5*time.Second)
 		if c.err != nil {
@@ -188,7 +188,7 @@
 }
 
 func FuzzRevocationLists(f *testing.F) {
-	pki, err := fake.NewPki(name)
+	pki, err := fake.NewPKI(name)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -33,9 +33,9 @@
 	standing := 0
 	r.Columns("servers", "server", "opened", "standing")
 	for _, s := range u.servers {
-		all, _ := s.Opened()
-		r.Row("servers", s.UID, all, s.Standing())
-		standing += s.Standing()
+		all, _ := s.Requests()
+		r.Row("servers", s.UID, all, s.Established())
+		standing += s.Established()
 	}
 	lines := c.between(r.Began, time.Now())
 	c.end()
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -187,7 +187,7 @@
 // suspendAndResume suspends the first host, has lists and a replacement say otherwise, and resumes it.
 func (s *proxySite) suspendAndResume() (o suspension, err error) {
 	host, path := s.upstreams.servers[0], "/v1/catalogue-servers/"+s.upstreams.servers[0].UID
-	opened := func() int { n, _ := host.Opened(); return n }
+	opened := func() int { n, _ := host.Requests(); return n }
 	before := opened()
 	if status, body, _, err := Call(s.admin, "POST", path+"/suspend"); err != nil || status != 200 {
 		return o, fmt.Errorf("suspend: %d %s %v", status, body, err)
@@ -196,7 +196,7 @@
 	atLimit := opened()
 	s.upstreams.discovery.Set(host.Entry()) // a list that says anew that it is up
 	time.Sleep(time.Second)
-	o.standing = host.Standing()
+	o.standing = host.Established()
 	if _, _, err := s.replace(); err != nil {
 		return o, err
 	}
--- a/internal/testbed/experiment/opsfigures.go
+++ b/internal/testbed/experiment/opsfigures.go
@@ -47,7 +47,7 @@
 			fmt.Fprint(c, "GET /v1/metrics HT")
 			half = append(half, c)
 		}
-		s.upstreams.servers[1].Fault.Store(i%50 < 10)
+		s.upstreams.servers[1].Failing.Store(i%50 < 10)
 		s.upstreams.servers[2].Busy.Store(i%40 < 20)
 		status, _, t, err := Call(s.admin, "GET", "/v1/metrics")
 		if err != nil || status != 200 {
@@ -77,7 +77,7 @@
 func (s *proxySite) compareMetrics(r *Report, metrics map[string]int) (worst int) {
 	opened := 0
 	for _, server := range s.upstreams.servers {
-		n, _ := server.Opened()
+		n, _ := server.Requests()
 		opened += n
 	}
 	all := func(kind string) int { return s.fresh.count(kind) + s.standing.answers.count(kind) }
@@ -149,7 +149,7 @@
 	defer c.Close()
 	before = p.CPU()
 	for range lines {
-		if _, _, err := c.Ask("x", opsTimeout); err != nil {
+		if _, _, err := c.Exchange("x", opsTimeout); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -103,7 +103,7 @@
 			s := newShutdownTest(t, deadline)
 			established := s.establish(t, 60)
 			for _, h := range s.hosts {
-				h.Slow.Store(int64(time.Minute))
+				h.AnswerDelay.Store(int64(time.Minute))
 			}
 			waiting := s.request(t, 40)
 			time.Sleep(50 * time.Millisecond)
--- a/internal/testbed/experiment/standingclients.go
+++ b/internal/testbed/experiment/standingclients.go
@@ -117,13 +117,13 @@
 func (c *standingClients) exchangeLine(client *fake.Client) (x exchange, moved bool, err error) {
 	x.sentAt = time.Now()
 	if c.awaitMoves {
-		line, err := client.Wait(c.interval)
+		line, err := client.ReadLine(c.interval)
 		if moved = err == nil && line == "MOVE"; moved || c.stopping.Load() {
 			return x, moved, err
 		}
 		x.sentAt = time.Now()
 	}
-	x.took, moved, err = client.Ask("M "+client.ID, exchangeTimeout)
+	x.took, moved, err = client.Exchange("M "+client.ID, exchangeTimeout)
 	return x, moved, err
 }
 
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -37,8 +37,8 @@
 	}
 	nobody := func(net.Conn, *tls.Config) {}
 	return append(cases,
-		badCase{fake.Fault{Kind: string(ownExpired), Raw: nobody}, ownExpired, "own_certificate_expired"},
-		badCase{fake.Fault{Kind: string(ownRevocationStale), Raw: nobody}, ownRevocationStale, "own_trust_unusable"})
+		badCase{fake.Fault{Kind: string(ownExpired), Serve: nobody}, ownExpired, "own_certificate_expired"},
+		badCase{fake.Fault{Kind: string(ownRevocationStale), Serve: nobody}, ownRevocationStale, "own_trust_unusable"})
 }
 
 // badOutcome is what came of a case.
@@ -108,7 +108,7 @@
 
 // play has a proxy of its own meet the server.
 func (c *badCase) play(e *Env) (o badOutcome, err error) {
-	pki, err := fake.NewPki("s1.lab")
+	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
 		return o, err
 	}
@@ -153,7 +153,7 @@
 }
 
 // settings writes the proxy's files, with their fault if the case has one, and gives the path of its settings file.
-func (c *badCase) settings(e *Env, pki *fake.Pki) (string, error) {
+func (c *badCase) settings(e *Env, pki *fake.PKI) (string, error) {
 	dir, err := os.MkdirTemp(e.Dir, "bad")
 	if err != nil {
 		return "", err
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -160,7 +160,7 @@
 	if v.secure {
 		config := f.config(0)
 		config.ClientAuth = tls.NoClientCert // the relay has no certificate
-		f.servers[0].Secure(config)
+		f.servers[0].SetTLS(config)
 		args = append(args, "--trust", filepath.Join(f.dir, "trust.pem"))
 	}
 	return start(f.dir, exec.Command(e.Self, args...), nil, readyLine)
@@ -216,7 +216,7 @@
 
 func sendLines(c *fake.Client, n int) error {
 	for range n {
-		if _, moved, err := c.Ask("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || moved {
+		if _, moved, err := c.Exchange("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || moved {
 			return fmt.Errorf("line: %v", err)
 		}
 	}
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -16,11 +16,11 @@
 
 // handshakeParts measures each side of a handshake apart, without a network: what a side computes between two waits.
 func handshakeParts(r *Report) error {
-	pki, err := fake.NewPki("s1.lab")
+	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
 		return err
 	}
-	server, err := pki.Trusted.ForServer("s1.lab")
+	server, err := pki.Trusted.NewServerTLSConfig("s1.lab")
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 }
 
 // verification is what looking at a chain takes by itself: Go's, and again once this proxy remembers it.
-func verification(r *Report, pki *fake.Pki) error {
+func verification(r *Report, pki *fake.PKI) error {
 	leaf, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.lab"}})
 	if err != nil {
 		return err
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -80,7 +80,7 @@
 	if client == nil {
 		return
 	}
-	if _, _, err := client.Ask("M", 5*time.Second); err != nil {
+	if _, _, err := client.Exchange("M", 5*time.Second); err != nil {
 		t.standing.recordLoss("new connection: %v", err)
 	}
 	client.Close()
@@ -117,7 +117,7 @@
 		if err := t.upstreams.renew(i, by); err != nil {
 			return err
 		}
-		t.upstreams.servers[i].Secure(t.upstreams.config(i))
+		t.upstreams.servers[i].SetTLS(t.upstreams.config(i))
 	}
 	return nil
 }
@@ -172,8 +172,8 @@
 func (t *rotation) report(r *Report, late int) {
 	stood, serials := 0, map[string]int{}
 	for _, s := range t.upstreams.servers {
-		stood += s.Standing()
-		for serial, n := range s.Clients() {
+		stood += s.Established()
+		for serial, n := range s.ClientCertificates() {
 			serials[serial] += n
 		}
 	}
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -189,7 +189,7 @@
 func (s *storm) awaitPlaced(began time.Time) time.Duration {
 	for time.Since(began) < 2*placedWithin {
 		time.Sleep(10 * time.Millisecond)
-		if s.upstreams.servers[1].Standing()+s.upstreams.servers[2].Standing() >= calmClients+stormClients {
+		if s.upstreams.servers[1].Established()+s.upstreams.servers[2].Established() >= calmClients+stormClients {
 			return time.Since(began)
 		}
 	}
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -14,7 +14,7 @@
 	f.served, f.unanswered, f.late = a.count("UP"), a.count("NONE"), a.late
 	f.lost = append(append([]string{}, s.staying.lost...), s.movedAway.lost...)
 	for _, server := range s.upstreams.servers[1:] {
-		_, twice := server.Opened()
+		_, twice := server.Requests()
 		f.ranTwice += twice
 	}
 	f.withinBudget = true
--- a/internal/testbed/experiment/upstreams.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -17,7 +17,7 @@
 // upstreams are fake hosts, with their discovery and the files that a proxy needs to reach them by TLS.
 type upstreams struct {
 	dir          string // of the proxy's files
-	pki          *fake.Pki
+	pki          *fake.PKI
 	servers      []*fake.Server
 	certificates []atomic.Pointer[tls.Certificate] // of each server
 	discovery    *fake.Discovery
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	u := &upstreams{dir: dir, certificates: make([]atomic.Pointer[tls.Certificate], n)}
-	if u.pki, err = fake.NewPki("s1.lab"); err != nil {
+	if u.pki, err = fake.NewPKI("s1.lab"); err != nil {
 		return nil, err
 	}
 	if _, err = fake.SaveTrust(dir, u.pki.Trusted); err != nil {
@@ -66,14 +66,14 @@
 func (u *upstreams) config(i int) *tls.Config {
 	pool := u.pki.Trusted.Pool()
 	pool.AddCert(u.pki.Other.Root.Cert)
-	return fake.Config(func() *tls.Certificate { return u.certificates[i].Load() }, func() *x509.CertPool { return pool })
+	return fake.ServerTLSConfig(func() *tls.Certificate { return u.certificates[i].Load() }, func() *x509.CertPool { return pool })
 }
 
 // renew gives server i a new certificate by an authority.
 func (u *upstreams) renew(i int, by *fake.Authority) error {
 	p, err := by.Issue(certs.Spec{Hosts: []string{fmt.Sprintf("s%d.lab", i+1)}})
 	if err == nil {
-		u.certificates[i].Store(fake.TLS(p))
+		u.certificates[i].Store(fake.TLSCertificate(p))
 	}
 	return err
 }
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -9,24 +9,24 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Authority signs what tests need.
+// Authority is a certificate authority.
 type Authority struct{ Root *certs.Pair }
 
-// NewAuthority makes one that is valid for a day.
+// NewAuthority makes an authority that is valid for a day.
 func NewAuthority(name string) (*Authority, error) {
 	now := time.Now()
 	p, err := certs.Issue(nil, certs.Spec{Name: name, Authority: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour)})
 	return &Authority{p}, err
 }
 
-// Pool trusts this authority alone.
+// Pool is a pool of this authority alone.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.Root.Cert)
 	return p
 }
 
-// Issue fills in what spec leaves open: an hour to either side of now, for servers.
+// Issue issues a certificate. Defaults of spec: valid from an hour ago for two hours, for servers.
 func (a *Authority) Issue(spec certs.Spec) (*certs.Pair, error) {
 	now := time.Now()
 	if spec.NotBefore.IsZero() {
@@ -44,8 +44,8 @@
 	return certs.Issue(a.Root, spec)
 }
 
-// TLS is a pair as crypto/tls takes it.
-func TLS(p *certs.Pair) *tls.Certificate {
+// TLSCertificate is a pair in the form of crypto/tls.
+func TLSCertificate(p *certs.Pair) *tls.Certificate {
 	c := &tls.Certificate{PrivateKey: p.Key, Leaf: p.Cert, Certificate: [][]byte{p.Cert.Raw}}
 	for _, r := range p.Chain {
 		c.Certificate = append(c.Certificate, r.Raw)
@@ -53,8 +53,9 @@
 	return c
 }
 
-// Config is a server's side of TLS that shows the certificate that get gives, and asks clients for a certificate where there is a pool.
-func Config(get func() *tls.Certificate, clients func() *x509.CertPool) *tls.Config {
+// ServerTLSConfig is a server's side of TLS with the certificate that get returns at each handshake. With clients, it requires a client
+// certificate that the pool verifies.
+func ServerTLSConfig(get func() *tls.Certificate, clients func() *x509.CertPool) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return get(), nil }}
 	if clients != nil {
@@ -70,17 +71,17 @@
 	return c
 }
 
-// ForServer is the side of TLS of a server that goes by these names.
-func (a *Authority) ForServer(names ...string) (*tls.Config, error) {
+// NewServerTLSConfig is a server's side of TLS, with a new certificate for these names.
+func (a *Authority) NewServerTLSConfig(names ...string) (*tls.Config, error) {
 	p, err := a.Issue(certs.Spec{Hosts: names})
 	if err != nil {
 		return nil, err
 	}
-	c := TLS(p)
-	return Config(func() *tls.Certificate { return c }, nil), nil
+	c := TLSCertificate(p)
+	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// SaveTrust writes a bundle of authorities into dir and gives its path.
+// SaveTrust writes a bundle of authorities into dir and returns its path.
 func SaveTrust(dir string, all ...*Authority) (string, error) {
 	var bundle []*x509.Certificate
 	for _, a := range all {
@@ -90,7 +91,7 @@
 	return path, certs.ReplaceFile(path, certs.Bundle(bundle...), 0o644)
 }
 
-// SaveClient writes a new client's pair into dir.
+// SaveClient issues a client's certificate and writes it into dir with its key.
 func (a *Authority) SaveClient(dir string, spec certs.Spec) (*certs.Pair, error) {
 	spec.Client = true
 	p, err := a.Issue(spec)
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Client is one connection of a line client's.
+// Client is a client's connection to a proxy.
 type Client struct {
 	ID     string
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// NewID makes an id that no other has.
+// NewID makes a random ID, as requests and groups have it.
 func NewID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// Answer is what a client got for its first line.
+// Answer is the proxy's answer to a request.
 type Answer struct {
-	Kind string // UP, BUSY, ERR, or NONE where none came in time
-	Text string
-	Took time.Duration
+	Kind string        // UP, BUSY, ERR, or NONE where none came in time
+	Text string        // the whole line
+	Took time.Duration // from the request
 }
 
-// Open connects to a proxy and asks for a connection; extra is added to its first line, such as "at=s1". It waits for an
-// answer as long as the client would, and a second longer, so that an answer that is late shows as one.
+// Open connects to a proxy and sends a request; extra is added to the request line, such as "at=s1". It waits for the answer a second
+// longer than the client would, so that a late answer can be told from a missing one. The client is nil unless the answer is UP.
 func Open(proxy, class, extra string, wait time.Duration) (*Client, Answer, error) {
 	conn, err := net.DialTimeout("tcp", proxy, 5*time.Second)
 	if err != nil {
@@ -59,8 +59,8 @@
 	return c, a, nil
 }
 
-// Ask sends a line and waits for the one that answers it. moved says that the answer was MOVE.
-func (c *Client) Ask(text string, within time.Duration) (took time.Duration, moved bool, err error) {
+// Exchange sends a line and waits for its answer. migrated says that the answer was MOVE.
+func (c *Client) Exchange(text string, within time.Duration) (took time.Duration, migrated bool, err error) {
 	began := time.Now()
 	c.conn.SetDeadline(began.Add(within))
 	if _, err = fmt.Fprint(c.conn, text+"\r\n"); err != nil {
@@ -79,12 +79,12 @@
 	return time.Since(began), false, nil
 }
 
-// Wait waits for a line that nobody asked for.
-func (c *Client) Wait(within time.Duration) (string, error) {
+// ReadLine waits for a line.
+func (c *Client) ReadLine(within time.Duration) (string, error) {
 	c.conn.SetReadDeadline(time.Now().Add(within))
 	line, err := c.reader.ReadString('\n')
 	return strings.TrimSpace(line), err
 }
 
-// Close ends it.
+// Close closes the connection.
 func (c *Client) Close() { c.conn.Close() }
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -1,6 +1,6 @@
-// Package fake holds what a proxy meets outside, for tests and for croftlock-experiment: discovery, catalogue servers, clients, and
-// servers with faults in their TLS. All is scriptable, made from the platform's protocol and the public specifications,
-// and on loopback only. Nothing of it runs in a proxy.
+// Package fake holds stand-ins of what a proxy talks to, for tests and for croftlock-experiment: discovery, upstream hosts, hosts with
+// faults in their TLS, clients, and the network between proxies. They are written from the platform's protocol and the public
+// specifications, and run on loopback only, never in a proxy.
 package fake
 
 import (
@@ -25,7 +25,7 @@
 // List is an endpoint list, or the changes of one, as discovery answers.
 type List struct {
 	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"` // the whole list; else what has changed
+	All     bool    `json:"all"` // the complete list; else changes
 	Targets []Entry `json:"targets"`
 }
 
@@ -36,17 +36,17 @@
 
 	mu         sync.Mutex // protects what follows
 	rev        int64
-	hosts      []Entry          // in the order they came
-	changedAt  map[string]int64 // the version in which each last changed, by its id
+	hosts      []Entry          // in the order in which they were added
+	changedAt  map[string]int64 // revision of the last change, by the host's ID
 	nextChange chan struct{}    // closed at the next change
 	down       bool
-	silenceEnd chan struct{} // not nil: calls wait for its close, and then get no answer
+	silenceEnd chan struct{} // not nil: calls wait for its close, and then fail without an answer
 	delay      time.Duration // of every answer
-	calls      int
+	calls      int           // received so far
 	onWritten  func(List)
 }
 
-// OnWritten has f called, on any goroutine, with each list once it is written: from then on the caller counts as notified.
+// OnWritten calls f, on any goroutine, with each list that was written: from then on the proxy counts as notified.
 func (d *Discovery) OnWritten(f func(List)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,13 +66,13 @@
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends it.
+// Close ends the service.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Set adds or changes entries; state removed takes one out. Watches hear of it at once.
+// Set adds or changes entries; the state removed removes one. Watches are answered at once.
 func (d *Discovery) Set(entries ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,21 +99,21 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetState changes one entry's state.
+// SetState changes one host's state.
 func (d *Discovery) SetState(uid, state string) {
 	d.mu.Lock()
-	var e Entry
-	for _, x := range d.hosts {
-		if x.UID == uid {
-			e = x
+	var entry Entry
+	for _, e := range d.hosts {
+		if e.UID == uid {
+			entry = e
 		}
 	}
 	d.mu.Unlock()
-	e.State = state
-	d.Set(e)
+	entry.State = state
+	d.Set(entry)
 }
 
-// SetDown makes every call fail, or not.
+// SetDown makes every call fail with 503, or ends that.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,8 +122,8 @@
 	d.nextChange = make(chan struct{})
 }
 
-// SetSilent makes it say nothing, as an agent does while discovery is down: calls wait, those under way too, and when it speaks
-// again it ends them without an answer.
+// SetSilent stops answers, as an agent does while discovery is down: calls wait, also those that watch already, and fail without an
+// answer when the silence ends.
 func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,41 +135,44 @@
 	}
 }
 
-// currentSilence is the end of the silence, nil where there is none.
+// currentSilence is closed when the silence ends; nil: there is none.
 func (d *Discovery) currentSilence() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.silenceEnd
 }
 
-// SetDelay makes every answer late.
+// SetDelay delays every answer.
 func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = by
 }
 
-// Calls is how many calls there were.
+// Calls is the number of calls received.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// List is the whole list as it stands.
+// List is the complete list as it is now.
 func (d *Discovery) List() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(-1)
+	return d.listSince(completeList)
 }
 
-// since gives what is newer than a version; the whole list for one under 0. mu is held.
-func (d *Discovery) since(rev int64) List {
-	l := List{Rev: d.rev, All: rev < 0, Targets: []Entry{}}
+// completeList stands, like any number under 0, for the revision in a query for the complete list.
+const completeList = -1
+
+// listSince is what has changed since a revision, or the complete list. mu is held.
+func (d *Discovery) listSince(rev int64) List {
+	list := List{Rev: d.rev, All: rev < 0, Targets: []Entry{}}
 	for _, e := range d.hosts {
-		if rev < 0 && e.State != "removed" || rev >= 0 && d.changedAt[e.UID] > rev {
-			l.Targets = append(l.Targets, e)
+		if list.All && e.State != "removed" || !list.All && d.changedAt[e.UID] > rev {
+			list.Targets = append(list.Targets, e)
 		}
 	}
-	return l
+	return list
 }
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Link is what becomes of datagrams on their way from one process to another.
+// Link is the state of the network from one process to another.
 type Link struct {
 	Cut        bool
-	Loss       float64 // part that is lost
+	Loss       float64 // part of the datagrams that is lost
 	Duplicated float64 // part that arrives twice
 	Corrupted  float64 // part that has a byte changed
 	Delay      time.Duration
-	Jitter     time.Duration // up to so much more: what is sent later may come sooner
+	Jitter     time.Duration // random delay of up to this, by which datagrams change their order
 }
 
-// Mesh carries datagrams between processes, with a socket for every ordered pair: each process is given addresses of its own for
-// the others, so that whatever is between any two of them can be broken in one direction. It needs no privileges.
+// Mesh forwards datagrams between processes, with a socket for every ordered pair: each process has its own addresses for the others, so
+// that each link has its own faults in each direction. It needs no privileges.
 type Mesh struct {
 	ownAddrs   []netip.AddrPort
 	sockets    [][]*net.UDPConn // by sender and receiver
@@ -33,10 +33,10 @@
 	rng   *rand.Rand
 }
 
-// meshCount counts those of this process.
+// meshCount counts this process's meshes.
 var meshCount atomic.Uint32
 
-// NewMesh makes one for n processes; seed draws its random faults.
+// NewMesh makes a mesh for n processes; seed is that of its random faults.
 func NewMesh(n int, seed uint64) (*Mesh, error) {
 	m := &Mesh{ownAddrs: ownAddrs(n), sockets: make([][]*net.UDPConn, n), links: make([][]Link, n), rng: rand.New(rand.NewPCG(seed, 3))}
 	loopback := net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -64,8 +64,8 @@
 	return m, nil
 }
 
-// ownAddrs are the processes' own addresses, at a loopback address of this mesh's alone: a port that is found free and let go again would be
-// given to another mesh's socket before its process has it.
+// ownAddrs are the addresses that the processes listen on, at a loopback address that only this mesh uses: another socket could take a
+// port of 127.0.0.1 before its process listens there.
 func ownAddrs(n int) []netip.AddrPort {
 	addrs := make([]netip.AddrPort, n)
 	k := meshCount.Add(1)
@@ -76,10 +76,10 @@
 	return addrs
 }
 
-// Own is the address at which a process is to listen.
+// Own is the address that a process listens on.
 func (m *Mesh) Own(i int) string { return m.ownAddrs[i].String() }
 
-// Peers is every process's address as a process is to use it, its own included.
+// Peers are the addresses by which a process reaches each process, itself included.
 func (m *Mesh) Peers(i int) []string {
 	out := make([]string, len(m.ownAddrs))
 	for j := range out {
@@ -97,10 +97,10 @@
 	change(&m.links[from][to])
 }
 
-// maxDatagram is more than processes send in one datagram, in bytes.
+// maxDatagram exceeds every datagram of the processes, in bytes.
 const maxDatagram = 2048
 
-// forward takes what one process sends to another, and sends it on from the address by which the other knows the one.
+// forward forwards datagrams from one process to another, with the source address by which the receiver knows the sender.
 func (m *Mesh) forward(from, to int) {
 	defer m.forwarders.Done()
 	in, buf := m.sockets[from][to], make([]byte, maxDatagram)
@@ -116,7 +116,7 @@
 	}
 }
 
-// send sends a datagram on, as the link has it: lost, duplicated, corrupted or late.
+// send forwards a datagram with the link's faults.
 func (m *Mesh) send(from, to int, datagram []byte) {
 	out, addr := m.sockets[to][from], net.UDPAddrFromAddrPort(m.ownAddrs[to])
 	m.mu.Lock()
@@ -163,7 +163,7 @@
 	return err
 }
 
-// Close ends it.
+// Close ends the forwarding.
 func (m *Mesh) Close() {
 	for _, row := range m.sockets {
 		for _, c := range row {
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -10,17 +10,17 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Pki is what faults of TLS are made from: an authority that is trusted, one that is not, and a revoked certificate.
-type Pki struct {
+// PKI is a trusted authority, one that is not trusted, and a revoked certificate.
+type PKI struct {
 	Trusted *Authority
 	Other   *Authority
-	Name    string // that the proxy expects
+	Name    string // of the server, as the proxy expects it
 	Revoked *certs.Pair
 }
 
-// NewPki makes one, with a certificate that is to be revoked.
-func NewPki(name string) (*Pki, error) {
-	p := &Pki{Name: name}
+// NewPKI makes a PKI for a server's name.
+func NewPKI(name string) (*PKI, error) {
+	p := &PKI{Name: name}
 	var err, err2, err3 error
 	p.Trusted, err = NewAuthority("trusted")
 	p.Other, err2 = NewAuthority("other")
@@ -32,16 +32,16 @@
 }
 
 // CRL is the revocation list that names the revoked certificate, valid until the time given.
-func (p *Pki) CRL(until time.Time) ([]byte, error) {
+func (p *PKI) CRL(until time.Time) ([]byte, error) {
 	return certs.Revoke(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
 }
 
-// ForeignCRL is a revocation list that nobody trusted has signed.
-func ForeignCRL(p *Pki) ([]byte, error) {
+// ForeignCRL is a revocation list that the untrusted authority has signed.
+func ForeignCRL(p *PKI) ([]byte, error) {
 	return certs.Revoke(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
 }
 
-// HalfPEM is a bundle as one sees it while it is being written.
+// HalfPEM is the first half of a bundle, as a reader sees it while it is being written.
 func HalfPEM(c *x509.Certificate) []byte {
 	whole := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 	return whole[:len(whole)/2]
--- a/internal/testbed/fake/server.go
+++ b/internal/testbed/fake/server.go
@@ -3,36 +3,34 @@
 import (
 	"crypto/tls"
 	"fmt"
-	"net"
-	"sync"
+	"maps"
 	"sync/atomic"
 	"time"
 )
 
-// Server is an upstream host. It answers a client's first line with UP and each further line with a line.
+// Server is an upstream host. It answers a request with UP and each further line with a line.
 type Server struct {
+	tcpServer
 	UID  string
 	Zone string
 
 	// Scripted faults; set them before or while it runs.
-	Busy   atomic.Bool  // rejects every request with BUSY
-	Fault  atomic.Bool  // answers every request with ERR
-	Silent atomic.Bool  // answers no line of standing connections
-	Slow   atomic.Int64 // nanoseconds that an answer to a first line takes
+	Busy        atomic.Bool  // rejects every request with BUSY
+	Failing     atomic.Bool  // answers every request with ERR
+	Silent      atomic.Bool  // answers no line of established connections
+	AnswerDelay atomic.Int64 // of the answer to a request, nanoseconds
 
-	listener net.Listener
 	secure   bool // behind TLS
 	tls      atomic.Pointer[tls.Config]
 	draining atomic.Bool // migrates its clients and rejects others
 
-	mu            sync.Mutex        // protects what follows
-	conns         map[net.Conn]bool // true: its client has its UP
+	// Protected by tcpServer's mutex.
 	handshakes    []Handshake
-	requests      map[string]int // requests by id: 2 means that one ran twice
-	clientSerials map[string]int // clients' certificates, by serial
+	requests      map[string]int // by the request's ID: 2 means that one ran twice
+	clientSerials map[string]int // by the serial number of the clients' certificates
 }
 
-// Handshake is a handshake that was completed.
+// Handshake is a completed TLS handshake.
 type Handshake struct {
 	CompletedAt time.Time
 	Resumed     bool
@@ -40,45 +38,26 @@
 
 // NewServer serves on a loopback address, behind TLS where there is a configuration.
 func NewServer(uid, zone string, config *tls.Config) (*Server, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	s := &Server{UID: uid, Zone: zone, listener: l, secure: config != nil, conns: map[net.Conn]bool{}, requests: map[string]int{},
-		clientSerials: map[string]int{}}
+	s := &Server{UID: uid, Zone: zone, secure: config != nil, requests: map[string]int{}, clientSerials: map[string]int{}}
 	s.tls.Store(config)
-	go s.accept()
-	return s, nil
+	return s, s.listen(s.serve)
 }
 
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.listener.Addr().String() }
-
-// Entry is how an endpoint list has it.
+// Entry is the host in an endpoint list.
 func (s *Server) Entry() Entry {
 	return Entry{UID: s.UID, Endpoint: s.Addr(), Zone: s.Zone, Model: "type-a"}
 }
 
-// Secure changes the configuration of TLS for new connections.
-func (s *Server) Secure(config *tls.Config) { s.tls.Store(config) }
-
-// Close ends it and its connections.
-func (s *Server) Close() {
-	s.listener.Close()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Close()
-	}
-}
+// SetTLS changes the configuration of TLS for new connections.
+func (s *Server) SetTLS(config *tls.Config) { s.tls.Store(config) }
 
-// Drain has all its clients migrate at once and rejects those who come.
+// Drain migrates all its clients at once, and rejects requests from then on.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, up := range s.conns {
-		if up {
+	for c, established := range s.conns {
+		if established {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			fmt.Fprint(c, "MOVE\r\n")
 			c.Close()
@@ -86,45 +65,41 @@
 	}
 }
 
-// Standing is how many connections have their UP.
-func (s *Server) Standing() (n int) {
+// Established is the number of connections whose request has been answered with UP.
+func (s *Server) Established() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, up := range s.conns {
-		if up {
+	for _, established := range s.conns {
+		if established {
 			n++
 		}
 	}
 	return n
 }
 
-// Handshakes are those completed so far.
+// Handshakes are the TLS handshakes completed so far.
 func (s *Server) Handshakes() []Handshake {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Handshake(nil), s.handshakes...)
 }
 
-// Opened is how many requests came, and how many ids came more than once.
-func (s *Server) Opened() (all, twice int) {
+// Requests is the number of requests received, and the number of IDs among them that came more than once.
+func (s *Server) Requests() (total, repeated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.requests {
-		all += n
+		total += n
 		if n > 1 {
-			twice++
+			repeated++
 		}
 	}
-	return all, twice
+	return total, repeated
 }
 
-// Clients are the serial numbers of the certificates that clients have shown, with how often.
-func (s *Server) Clients() map[string]int {
+// ClientCertificates counts handshakes by the serial number of the certificate that the client presented.
+func (s *Server) ClientCertificates() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]int{}
-	for k, n := range s.clientSerials {
-		out[k] = n
-	}
-	return out
+	return maps.Clone(s.clientSerials)
 }
--- a/internal/testbed/fake/serverconn.go
+++ b/internal/testbed/fake/serverconn.go
@@ -10,16 +10,6 @@
 	"time"
 )
 
-func (s *Server) accept() {
-	for {
-		c, err := s.listener.Accept()
-		if err != nil {
-			return
-		}
-		go s.serve(c)
-	}
-}
-
 // serve answers one connection from its handshake to its end.
 func (s *Server) serve(c net.Conn) {
 	if s.secure {
@@ -30,13 +20,8 @@
 		}
 		c = secured
 	}
-	s.setUp(c, false)
-	defer func() {
-		s.mu.Lock()
-		delete(s.conns, c)
-		s.mu.Unlock()
-		c.Close()
-	}()
+	s.hold(c, false)
+	defer s.drop(c)
 	in := bufio.NewReaderSize(c, 512)
 	id, err := readRequest(in)
 	if err == errNoRequest {
@@ -53,7 +38,7 @@
 // handshakeTimeout is how long a client may take for its side of a handshake.
 const handshakeTimeout = 10 * time.Second
 
-// handshake completes the server's side of TLS, and notes it.
+// handshake completes the server's side of TLS, and records it.
 func (s *Server) handshake(c net.Conn) (net.Conn, error) {
 	t := tls.Server(c, s.tls.Load())
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -71,17 +56,10 @@
 	return t, nil
 }
 
-// setUp notes a connection, and whether its client has its UP.
-func (s *Server) setUp(c net.Conn, up bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.conns[c] = up
-}
-
-// errNoRequest says that a first line is no request.
-var errNoRequest = errors.New("the first line is no request")
+// errNoRequest says that a first line is not a valid request.
+var errNoRequest = errors.New("the first line is not a valid request")
 
-// readRequest reads a request's line and gives its id.
+// readRequest reads a request line and returns its ID.
 func readRequest(in *bufio.Reader) (id string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -96,7 +74,7 @@
 
 // answer answers a request, and returns whether its connection goes on.
 func (s *Server) answer(c net.Conn, id string) bool {
-	time.Sleep(time.Duration(s.Slow.Load()))
+	time.Sleep(time.Duration(s.AnswerDelay.Load()))
 	s.mu.Lock()
 	s.requests[id]++
 	s.mu.Unlock()
@@ -104,11 +82,11 @@
 	case s.Busy.Load() || s.draining.Load():
 		fmt.Fprint(c, "BUSY\r\n")
 		return false
-	case s.Fault.Load():
+	case s.Failing.Load():
 		fmt.Fprint(c, "ERR\r\n")
 		return false
 	}
-	s.setUp(c, true)
+	s.hold(c, true)
 	fmt.Fprintf(c, "UP %s-%s\r\n", s.UID, id)
 	return true
 }
--- a/internal/testbed/fake/tlsrecords.go
+++ b/internal/testbed/fake/tlsrecords.go
@@ -15,23 +15,23 @@
 	"sync"
 )
 
-// crypto/tls sends neither key updates nor requests to renegotiate, so these are written by hand, from RFC 8446 and RFC
-// 5246, under the keys that the handshake came to.
+// crypto/tls sends neither key updates nor requests to renegotiate. These are encoded here after RFC 8446 and RFC 5246, under the
+// handshake's keys.
 
-// keyLog takes a key log: NSS's form, a label, the client's random and the secret a line.
+// keyLog keeps a key log in NSS's format: lines of a label, the client's random and the secret.
 type keyLog struct {
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// Write takes what crypto/tls logs.
+// Write appends what crypto/tls logs.
 func (k *keyLog) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.log.Write(p)
 }
 
-// find is the last secret of a label, with the client's random.
+// find returns the last secret with a label, and the client's random.
 func (k *keyLog) find(label string) (random, secret []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -44,7 +44,7 @@
 	return random, secret
 }
 
-// newSealer is AES-128 in Galois mode.
+// newSealer is AES-128-GCM.
 func newSealer(key []byte) cipher.AEAD {
 	block, err := aes.NewCipher(key)
 	if err != nil {
@@ -86,7 +86,7 @@
 		if _, err := c.Write(append(head, newSealer(key).Seal(nil, nonce, inner, head)...)); err != nil {
 			return
 		}
-		secret = expandLabel(secret, "traffic upd", 32) // with it the sequence begins again
+		secret = expandLabel(secret, "traffic upd", 32) // a new key, whose sequence numbers begin at 0
 	}
 }
 
@@ -113,7 +113,7 @@
 	c.Write(append(record, sealed...))
 }
 
-// firstFlight keeps the first bytes that are written.
+// firstFlight keeps the first bytes that are written, which hold the server's random.
 type firstFlight struct {
 	net.Conn
 	first []byte
--- a/internal/testbed/fake/watch.go
+++ b/internal/testbed/fake/watch.go
@@ -13,17 +13,17 @@
 // maxHoldMS is the longest watch that a caller may ask for, in milliseconds.
 const maxHoldMS = 60000
 
-// watchQuery is what a caller asks for: changes since a version, for which it waits.
+// watchQuery is a query for the complete list, or a watch on the changes since a revision.
 type watchQuery struct {
-	from   int64 // a version; under 0: the whole list
-	holdMS int64 // how long to wait for a change; 0: not at all
+	from   int64 // revision; under 0: the complete list
+	holdMS int64 // how long to wait for a change, milliseconds; 0: not at all
 }
 
-// errBadQuery says that a query is none.
+// errBadQuery says that a query is invalid.
 var errBadQuery = errors.New("bad query")
 
 func decodeQuery(q url.Values) (w watchQuery, err error) {
-	w.from = -1
+	w.from = completeList
 	if !q.Has("from") {
 		return w, nil
 	}
@@ -55,19 +55,19 @@
 	}
 	q, err := decodeQuery(r.URL.Query())
 	if err != nil {
-		http.Error(w, fmt.Sprint("what? ", r.URL.RawQuery), http.StatusBadRequest)
+		http.Error(w, fmt.Sprint("invalid query: ", r.URL.RawQuery), http.StatusBadRequest)
 		return
 	}
 	d.watch(w, r, q)
 }
 
-// watch answers with the first list that the query asks for, or with what there is once its time is over.
+// watch answers once there is a change after the query's revision, or else when its time is over, with no changes.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, q watchQuery) {
 	end := time.NewTimer(time.Duration(q.holdMS) * time.Millisecond)
 	defer end.Stop()
 	for over := q.holdMS == 0; ; {
 		d.mu.Lock()
-		l, nextChange, down := d.since(q.from), d.nextChange, d.down
+		list, nextChange, down := d.listSince(q.from), d.nextChange, d.down
 		d.mu.Unlock()
 		if silence := d.currentSilence(); silence != nil {
 			<-silence
@@ -77,8 +77,8 @@
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if q.from < 0 || l.Rev > q.from || over {
-			d.write(w, r, l)
+		if q.from < 0 || list.Rev > q.from || over {
+			d.write(w, r, list)
 			return
 		}
 		select {
@@ -91,11 +91,11 @@
 	}
 }
 
-// write answers with a list, and says so where somebody wants to know and the caller is still there.
-func (d *Discovery) write(w http.ResponseWriter, r *http.Request, l List) {
-	data, err := json.Marshal(l)
+// write answers with a list, and reports it to onWritten unless the caller has closed the connection.
+func (d *Discovery) write(w http.ResponseWriter, r *http.Request, list List) {
+	data, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // a list has a form in JSON
+		panic(err) // a List can always be encoded
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
@@ -105,6 +105,6 @@
 	onWritten := d.onWritten
 	d.mu.Unlock()
 	if onWritten != nil && r.Context().Err() == nil {
-		onWritten(l)
+		onWritten(list)
 	}
 }
--- a/internal/testbed/fake/watch_test.go
+++ b/internal/testbed/fake/watch_test.go
@@ -26,7 +26,7 @@
 		}
 		got, err := decodeQuery(values)
 		if (err != nil) != c.bad || err == nil && got != c.want {
-			t.Errorf("%q: %+v, %v", c.query, got, err)
+			t.Errorf("query %q is decoded as %+v, error %v; want %+v, error %t", c.query, got, err, c.want, c.bad)
 		}
 	}
 }
