--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// addrsGiven counts the addresses that were given out.
+// addrsGiven counts the addresses that FreeAddr has returned.
 var addrsGiven atomic.Uint32
 
-// What the addresses of one process are made of: a loopback network of its own, in which it counts.
+// Each process takes its addresses from a loopback network of its own.
 const (
 	ownNetworks     = 250   // second numbers of loopback addresses, by process id
 	ownPorts        = 20000 // ports, by process id, for processes of the same network
@@ -24,15 +24,15 @@
 // OwnNetwork is the second number of this process's own loopback addresses.
 func OwnNetwork() int { return 1 + os.Getpid()%ownNetworks }
 
-// FreeAddr is an address that nothing listens on and that nothing else is given: a port of 127.0.0.1 that was free a moment ago can be any
-// connection's by the time it is listened on.
+// FreeAddr is an address that no process listens on and no other call returns. A free port of 127.0.0.1 would not do: a connection may
+// take it before the process listens on it.
 func FreeAddr() (string, error) {
 	for range maxAddrAttempts {
 		k := int(addrsGiven.Add(1))
 		addr := fmt.Sprintf("127.%d.%d.%d:%d", OwnNetwork(), 100+k/ownNetworks%150, 1+k%ownNetworks, OwnPort())
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			continue // a process before this one with the same number has left it behind
+			continue // in use by an earlier process with the same number
 		}
 		l.Close()
 		return addr, nil
--- a/internal/testbed/experiment/addr_test.go
+++ b/internal/testbed/experiment/addr_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// No connection can take an address that was given out before its process listens there, although many ports are taken in between.
+// TestAFreeAddressStaysFree: no connection takes an address between FreeAddr and its listener, although many ports are taken.
 func TestAFreeAddressStaysFree(t *testing.T) {
-	var given []string
-	seen := map[string]bool{}
+	var addrs []string
+	returned := map[string]bool{}
 	for range 50 {
-		a, err := FreeAddr()
-		if err != nil || seen[a] {
-			t.Fatalf("%s again, or %v", a, err)
+		addr, err := FreeAddr()
+		if err != nil || returned[addr] {
+			t.Fatalf("address %s, returned before: %t; error %v", addr, returned[addr], err)
 		}
-		seen[a], given = true, append(given, a)
+		returned[addr], addrs = true, append(addrs, addr)
 	}
 	for range 200 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,12 +27,12 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if seen[l.Addr().String()] || seen[c.LocalAddr().String()] {
-			t.Fatalf("%s was given out", l.Addr())
+		if returned[l.Addr().String()] || returned[c.LocalAddr().String()] {
+			t.Fatalf("a connection from %s to %s uses an address that FreeAddr returned", c.LocalAddr(), l.Addr())
 		}
 	}
-	for _, a := range given {
-		l, err := net.Listen("tcp", a)
+	for _, addr := range addrs {
+		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// experiment is one that can be run by its name.
+// experiment is an experiment that can be run by its name.
 type experiment struct {
 	name, short string
 	run         func(e *Env, r *Report) error
@@ -20,23 +20,23 @@
 var experiments = []experiment{
 	{"tls-cost", "what TLS to servers costs: handshakes, lines, memory; about 90 s", tlsCost},
 	{"tls-rotation", "six replacements of certificates under load; 35 s", tlsRotation},
-	{"tls-storm", "500 clients of a drained server need handshakes elsewhere at once; 25 s", tlsStorm},
-	{"ops-upgrade", "20 replacements of the process under load, and its death at each step; 60 s", opsUpgrade},
-	{"ops-hand", "hosts out by hand through list changes and replacements; 45 s", opsHand},
-	{"ops-figures", "figures against what the peers counted, operators' calls under load, CPU; 45 s", opsFigures},
+	{"tls-storm", "500 clients of a drained server reconnect with handshakes at once; 25 s", tlsStorm},
+	{"ops-upgrade", "20 hot restarts under load, and a death at each step of one; 60 s", opsUpgrade},
+	{"ops-hand", "a suspended host, through list changes and hot restarts; 45 s", opsSuspend},
+	{"ops-figures", "metrics against the counts of clients and hosts, operators' calls under load, CPU; 45 s", opsMetrics},
 	{"member-kill", "one, and a third, of 5 and 15 processes killed, 20 turns; 5 min", memberKill},
-	{"member-pause", "a process that sleeps for up to 10 s; 40 s", memberPause},
+	{"member-pause", "a process paused for up to 10 s; 40 s", memberPause},
 	{"member-loss", "a fifth of all datagrams lost for 5 minutes, then a death; 5.5 min", memberLoss},
-	{"member-cut", "cuts in one direction, one deaf, one mute, two cut off; 60 s", memberCut},
-	{"member-cost", "what knowing who is there costs, in virtual time, beside the ways not taken; 60 s", memberCost},
-	{"owner-late", "owners that wake up late, are held back, or cut off in one direction; 4 min", ownerLate},
-	{"owner-chaos", "a fault every 2 s for two minutes, clients and operators throughout; 4.5 min", ownerChaos},
-	{"owner-disk", "each fault of a disk at each voter; 5 min", ownerDisk},
-	{"owner-handover", "jobs of processes that end in order or are replaced; 90 s", ownerHandover},
-	{"owner-cost", "what owners cost, 3 and 5 voters, with disks and without; 5 min", ownerCost},
+	{"member-cut", "links cut in one direction, and two processes cut off; 60 s", memberCut},
+	{"member-cost", "cost of failure detectors, in virtual time; 60 s", memberCost},
+	{"owner-late", "owners that act late: paused, delayed, or cut off in one direction; 4 min", ownerLate},
+	{"owner-chaos", "a fault every 2 s for two minutes, under clients and operators; 4.5 min", ownerChaos},
+	{"owner-disk", "each disk fault at each replica; 5 min", ownerDisk},
+	{"owner-handover", "jobs of processes that shut down or are replaced; 90 s", ownerHandover},
+	{"owner-cost", "cost of owners, 3 and 5 replicas, with disks and without; 5 min", ownerCost},
 	{"rules-agree", "a change each 200 ms, 500 placements a second, a fault every 2 s; 5 min", rulesAgree},
-	{"rules-cut", "a change beside each cut, pause and loss of a process; 5 min", rulesCut},
-	{"tls-bad", "every bad server, its outcome and reason; 20 s", tlsBad},
+	{"rules-cut", "a change beside each cut, pause and death of a process; 5 min", rulesCut},
+	{"tls-bad", "every faulty server, its outcome and reason; 20 s", tlsBad},
 }
 
 // program is the command line's state.
@@ -48,7 +48,7 @@
 	boundsOK bool   // no bound was missed so far
 }
 
-// Main is croftlock-experiment's command line, with more commands than those of this package; it gives the exit status.
+// Main is croftlock-experiment's command line, with the commands of this package and more; it returns the exit status.
 func Main(args []string, more ...*cobra.Command) int {
 	self, _ := os.Executable()
 	p := &program{self: self, boundsOK: true}
@@ -101,7 +101,7 @@
 		RunE: func(*cobra.Command, []string) error { return p.run(experiment{name: "demo", run: demo}) }}
 }
 
-// relayCommand is for the experiments themselves, which run it as a process.
+// relayCommand is run by the experiments, as a process.
 func relayCommand() *cobra.Command {
 	var o relayOptions
 	c := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return o.run() }}
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// run runs an experiment, prints its report and saves it where that is asked for.
+// run runs an experiment, prints its report and saves it if a folder is given.
 func (p *program) run(x experiment) error {
-	r, err := x.carryOut(&Env{Croftlock: p.proxy, Earlier: p.earlier, Self: p.self})
+	r, err := x.runInOwnFolder(&Env{Croftlock: p.proxy, Earlier: p.earlier, Self: p.self})
 	if err != nil {
 		return err
 	}
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// carryOut runs the experiment in a folder of its own, which e is given.
-func (x experiment) carryOut(e *Env) (*Report, error) {
+// runInOwnFolder runs the experiment with a folder of its own in e.Dir.
+func (x experiment) runInOwnFolder(e *Env) (*Report, error) {
 	if _, err := os.Stat(e.Croftlock); err != nil {
 		return nil, fmt.Errorf("the program to run: %v; --croftlock names it", err)
 	}
@@ -156,8 +156,7 @@
 	return r, err
 }
 
-// cleanUpOnInterrupt has an interruption leave neither files nor processes, and gives what ends that. Processes die with this one's
-// pipe, or by the signal of the terminal, which they get too.
+// cleanUpOnInterrupt removes files and processes on SIGINT and SIGTERM, until end is called.
 func cleanUpOnInterrupt(dir string) (end func()) {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -20,7 +20,7 @@
 	Settings   processSettings `json:"settings"`
 }
 
-// processLimits are what the platform allows the process.
+// processLimits are the resources that the platform grants the process.
 type processLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -46,7 +46,7 @@
 	MaxRetryAfter  int64 `json:"max_retry_after"`
 }
 
-// processContract is what the platform expects of the process.
+// processContract is what the platform requires of the process.
 type processContract struct {
 	MustQueryIn int64 `json:"must_ask_in"` // nanoseconds
 }
@@ -69,7 +69,7 @@
 	Window   time.Duration // for Keyed: the dedup window
 }
 
-// Effect is what a repeated request may do, as the settings name it.
+// Effect is the effect of a repeated request, as the settings name it.
 type Effect string
 
 // The effects that a class can have.
@@ -97,13 +97,13 @@
 	return out
 }
 
-// The platform's names for how lists come.
+// The platform's names for the ways in which lists reach a proxy.
 const (
-	listsAsked  = "subscribe"
-	listsPushed = "automatic"
+	discoveryPolled = "subscribe"
+	discoveryPushed = "automatic"
 )
 
-// setDefaults fills in what an experiment leaves out.
+// setDefaults sets what an experiment leaves unset.
 func (s *Setup) setDefaults() {
 	setIfZero(&s.Cores, 1)
 	setIfZero(&s.Sockets, 4096)
@@ -120,11 +120,11 @@
 	}
 }
 
-// config is the configuration file that a process is started with.
+// config is the process's configuration file.
 func (s *Setup) config() processConfig {
-	lists := listsAsked
+	lists := discoveryPolled
 	if s.Pushed {
-		lists = listsPushed
+		lists = discoveryPushed
 	}
 	return processConfig{
 		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.Known, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// demo is the shortest way to see the program at work: one proxy, three hosts of which one drains, and clients.
+// demo shows the program at work: one proxy, three hosts of which one drains, and clients.
 func demo(e *Env, r *Report) error {
 	u, err := newUpstreams(e, 3, false)
 	if err != nil {
@@ -17,34 +17,34 @@
 	if err != nil {
 		return err
 	}
-	e.Logf("proxy on %s, discovery on %s, servers on %s %s %s", p.Addr, u.discovery.Addr(), u.servers[0].Addr(),
+	e.Logf("proxy on %s, discovery on %s, hosts on %s %s %s", p.Addr, u.discovery.Addr(), u.servers[0].Addr(),
 		u.servers[1].Addr(), u.servers[2].Addr())
-	c := &standingClients{answers: newAnswerCounts(), interval: 200 * time.Millisecond}
+	c := &persistentClients{answers: newAnswerCounts(), interval: 200 * time.Millisecond}
 	const clients = 60
 	if err := c.connect(p.Addr, clients, "", 2*time.Second); err != nil {
 		return err
 	}
-	e.Logf("60 clients are served; one of the servers drains")
+	e.Logf("%d clients are served; host s1 drains", clients)
 	time.Sleep(1500 * time.Millisecond)
 	u.discovery.SetState("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	u.servers[0].Drain()
 	time.Sleep(2 * time.Second)
-	standing := 0
-	r.Columns("servers", "server", "opened", "standing")
+	established := 0
+	r.Columns("hosts", "host", "requests", "established")
 	for _, s := range u.servers {
 		all, _ := s.Requests()
-		r.Row("servers", s.UID, all, s.Established())
-		standing += s.Established()
+		r.Row("hosts", s.UID, all, s.Established())
+		established += s.Established()
 	}
-	lines := c.between(r.Began, time.Now())
-	c.end()
+	lines := c.latenciesBetween(r.Began, time.Now())
+	c.stop()
 	err = p.Stop()
-	r.Check(err == nil, "the proxy ended in order on SIGTERM", fmt.Sprint(err))
-	r.Check(standing == clients, "all clients are standing after the drain", standing)
+	r.Check(err == nil, "the proxy shut down on SIGTERM without an error", fmt.Sprint(err))
+	r.Check(established == clients, "all clients are connected after the drain", established)
 	r.Check(len(c.lost) == 0, "no connection was lost", strings.Join(c.lost, "; "))
 	r.Set("clients", clients)
-	r.Set("moved", c.moved)
+	r.Set("migrated", c.migrations)
 	r.Set("lines", len(lines))
 	r.Set("line_ms_median", lines.median())
 	return nil
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -13,34 +13,34 @@
 	"github.com/spf13/cobra"
 )
 
-// fleetCommand counts over a folder of logs.
+// fleetCommand analyses a folder of logs.
 func fleetCommand() *cobra.Command {
 	var window, warm, fall, objective time.Duration
 	c := &cobra.Command{Use: "fleet LOGDIR", Short: "Count over the logs of many proxies, on one time axis",
 		Long: "Reads each *.log in a folder as the log of one proxy, written with (log (level debug) (repeat 0)), and counts\n" +
-			"what all of them did together: by stretches of time, and by server.",
+			"what all of them did together: by time window, and by server.",
 		Example: "  croftlock-experiment fleet logs --window 2s", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if window <= 0 || fall <= 0 {
 				return fmt.Errorf("--window and --fall have to be above zero")
 			}
-			l, err := fleetlog.ReadDir(args[0])
+			logs, err := fleetlog.ReadDir(args[0])
 			if err != nil {
 				return err
 			}
-			if err := printFleet(cmd.OutOrStdout(), l, fleetlog.Count(l, window, warm, fall)); err != nil {
+			if err := printFleet(cmd.OutOrStdout(), logs, fleetlog.Count(logs, window, warm, fall)); err != nil {
 				return err
 			}
-			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(l, objective))
+			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(logs, objective))
 		}}
-	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a stretch")
+	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a time window")
 	c.Flags().DurationVar(&warm, "warm", 23*time.Second, "how long a server counts as cold after its start")
-	c.Flags().DurationVar(&fall, "fall", 2*time.Second, "window over which the most sends to a cold server are told")
+	c.Flags().DurationVar(&fall, "fall", 2*time.Second, "window for the largest number of attempts at a cold server")
 	c.Flags().DurationVar(&objective, "aim", 250*time.Millisecond, "how long messages may take")
 	return c
 }
 
-// printLoss prints where the seconds went that clients wanted to be connected.
+// printLoss prints the causes for which clients were not connected, or to slow hosts.
 func printLoss(to io.Writer, l *fleetlog.Loss) error {
 	all := max(l.All(), 1e-9)
 	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, "+
@@ -55,7 +55,7 @@
 	return t.Flush()
 }
 
-// printFleet prints what all proxies did, by stretches of time and by host.
+// printFleet prints what all proxies did, by time window and by host.
 func printFleet(to io.Writer, l *fleetlog.Log, f *fleetlog.Fleet) error {
 	fmt.Fprintf(to, "%d proxies, %d events, %d lines skipped, from %s\n\n", l.Proxies, len(l.Events), l.Skipped,
 		f.Began.Format(time.RFC3339))
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -10,54 +10,54 @@
 // lateAfter is by how much an answer may exceed the client's wait before it counts as late.
 const lateAfter = 50 * time.Millisecond
 
-// answerCounts counts what clients got.
+// answerCounts counts the answers to requests.
 type answerCounts struct {
 	mu           sync.Mutex
 	byKind       map[string]int
 	milliseconds samples // to the answer
-	late         int     // answers after the client's wait
+	late         int     // answers after the client's deadline
 }
 
 func newAnswerCounts() *answerCounts { return &answerCounts{byKind: map[string]int{}} }
 
-// add counts an answer to a client that waits so long.
-func (t *answerCounts) add(a fake.Answer, wait time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.byKind[a.Kind]++
+// add counts the answer to a request with a deadline.
+func (c *answerCounts) add(a fake.Answer, wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byKind[a.Kind]++
 	if a.Kind != "NONE" {
-		t.milliseconds = append(t.milliseconds, float64(a.Took)/1e6)
+		c.milliseconds = append(c.milliseconds, float64(a.Took)/1e6)
 	}
 	if a.Took > wait+lateAfter {
-		t.late++
+		c.late++
 	}
 }
 
-// reset forgets what was counted.
-func (t *answerCounts) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.byKind, t.milliseconds, t.late = map[string]int{}, nil, 0
+// reset sets all counts to 0.
+func (c *answerCounts) reset() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byKind, c.milliseconds, c.late = map[string]int{}, nil, 0
 }
 
-// count is how many answers of one kind were counted.
-func (t *answerCounts) count(kind string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.byKind[kind]
+// count is the number of answers of one kind.
+func (c *answerCounts) count(kind string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byKind[kind]
 }
 
-// total is how many answers were counted, of any kind.
-func (t *answerCounts) total() (all int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, n := range t.byKind {
-		all += n
+// total is the number of answers of all kinds.
+func (c *answerCounts) total() (total int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, n := range c.byKind {
+		total += n
 	}
-	return all
+	return total
 }
 
-// openLoop opens connections at a fixed rate, whatever becomes of the earlier ones, and has each do something.
+// openLoop calls do at a fixed rate, without waiting for the earlier calls, and returns once all have ended.
 func openLoop(rate float64, length time.Duration, do func(i int)) {
 	var all sync.WaitGroup
 	began := time.Now()
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -10,13 +10,13 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// killTurns is how often each kind of death is played.
+// killTurns is how often each number of deaths is played.
 const killTurns = 20
 
-// memberKill kills one, and a third, among 5 and 15 processes.
+// memberKill kills one, and a third, of 5 and of 15 processes.
 func memberKill(e *Env, r *Report) error {
-	const table = "from SIGKILL until all survivors hold the killed for unreachable or gone"
-	r.Columns(table, "processes", "killed", "turns", "median", "p99", "back as a new life, median")
+	const table = "from SIGKILL until all survivors have the killed as unreachable or gone"
+	r.Columns(table, "processes", "killed", "turns", "median", "p99", "alive as new incarnations, median")
 	for _, n := range []int{5, 15} {
 		rig, err := NewRig(e, n, 1, sealKey)
 		if err != nil {
@@ -24,7 +24,7 @@
 		}
 		defer rig.Close()
 		for _, kill := range []int{1, n / 3} {
-			known, back, err := rig.killTurns(kill)
+			known, back, err := rig.killRepeatedly(kill)
 			if err != nil {
 				return err
 			}
@@ -37,13 +37,13 @@
 	return nil
 }
 
-// killTurns kills so many processes again and again, others each time, and gives, sorted, how long the survivors took to know, and
-// all to see one another alive again.
-func (r *Rig) killTurns(kill int) (known, back []time.Duration, err error) {
+// killRepeatedly kills a number of processes again and again, others each time, and returns, sorted, how long the survivors took to know,
+// and all to see one another alive again.
+func (r *Rig) killRepeatedly(kill int) (known, back []time.Duration, err error) {
 	n := len(r.Procs)
 	for turn := range killTurns {
 		if _, ok := r.AllAlive(30 * time.Second); !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not whole after 30 s", n, turn)
+			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive after 30 s", n, turn)
 		}
 		var dead, alive []int
 		for i := range n {
@@ -66,7 +66,7 @@
 		}
 		took, ok := r.AllAlive(30 * time.Second)
 		if !ok {
-			return nil, nil, fmt.Errorf("%d processes, turn %d: not whole 30 s after the restart", n, turn)
+			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive 30 s after the restart", n, turn)
 		}
 		back = append(back, took)
 	}
@@ -75,7 +75,7 @@
 	return known, back, nil
 }
 
-// killAndAwait kills processes, and gives how long it takes until each other one knows.
+// killAndAwait kills processes, and returns how long it takes until all others know.
 func (r *Rig) killAndAwait(dead, alive []int) (took time.Duration, err error) {
 	for _, i := range dead {
 		r.Procs[i].cmd.Process.Kill()
@@ -83,9 +83,9 @@
 	for _, i := range dead {
 		t, ok := r.AllSee(20*time.Second, alive, i, "unreachable", "gone")
 		if !ok {
-			return 0, fmt.Errorf("n%d is not missed after 20 s", i)
+			return 0, fmt.Errorf("the death of n%d is not known after 20 s", i)
 		}
-		took += t // one after the other: together the whole wait
+		took += t // the waits follow one another
 	}
 	return took, nil
 }
@@ -93,56 +93,56 @@
 // sealKey seals the datagrams of rigs.
 const sealKey = "0123456789abcdef0123456789abcdef"
 
-// memberPause stops one of five for times under 2 s, and for 10 s.
+// memberPause pauses one of five processes for times under 2 s, and for 10 s.
 func memberPause(e *Env, r *Report) error {
 	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	const table, sleeper = "a process that sleeps", 1
+	const table, paused = "a paused process", 1
 	others := []int{0, 2, 3, 4}
-	r.Columns(table, "pause", "held for unreachable by", "alive again to all after", "the sleeper accuses")
+	r.Columns(table, "pause", "unreachable at processes", "alive at all after", "accusations by the paused one")
 	for _, pause := range []time.Duration{200 * time.Millisecond, time.Second, 1900 * time.Millisecond, 10 * time.Second} {
 		if _, ok := rig.AllAlive(30 * time.Second); !ok {
-			return fmt.Errorf("not whole before a pause of %v", pause)
+			return fmt.Errorf("not all alive before a pause of %v", pause)
 		}
-		givenUpBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(sleeper)
-		rig.Procs[sleeper].Signal(syscall.SIGSTOP)
+		givenUpBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
+		rig.Procs[paused].Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
-		rig.Procs[sleeper].Signal(syscall.SIGCONT)
-		back, ok := rig.AllSee(20*time.Second, others, sleeper, "alive")
+		rig.Procs[paused].Signal(syscall.SIGCONT)
+		back, ok := rig.AllSee(20*time.Second, others, paused, "alive")
 		if !ok {
-			return fmt.Errorf("not alive to all 20 s after a pause of %v", pause)
+			return fmt.Errorf("not alive at all 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
-		givenUp, accused := rig.logLines("to=unreachable", others...)-givenUpBefore, rig.accusations(sleeper)-accusedBefore
+		givenUp, accused := rig.logLines("to=unreachable", others...)-givenUpBefore, rig.accusations(paused)-accusedBefore
 		r.Row(table, pause, givenUp, back, accused)
 		if pause < 2*time.Second {
-			r.Check(givenUp == 0, fmt.Sprintf("a pause of %v removes nobody", pause), givenUp)
+			r.Check(givenUp == 0, fmt.Sprintf("a pause of %v removes no member", pause), givenUp)
 		} else {
 			r.Check(givenUp == 4, "a pause of 10 s is noticed by all", givenUp)
 		}
 		r.Check(back < time.Second, fmt.Sprintf("%v: refuted within 1 s", pause), back)
-		r.Check(accused == 0, fmt.Sprintf("%v: the sleeper accuses nobody", pause), accused)
+		r.Check(accused == 0, fmt.Sprintf("%v: the paused process accuses no other", pause), accused)
 	}
 	return nil
 }
 
-// logLines counts the lines of some processes' logs that hold what.
-func (r *Rig) logLines(what string, of ...int) (n int) {
-	for _, i := range of {
-		n += len(r.Procs[i].Log(what))
+// logLines counts the lines with a text in some processes' logs.
+func (r *Rig) logLines(text string, processes ...int) (n int) {
+	for _, i := range processes {
+		n += len(r.Procs[i].Log(text))
 	}
 	return n
 }
 
-// accusations are how often a process suspected others or gave them up.
+// accusations is how often a process suspected others or had them as unreachable.
 func (r *Rig) accusations(i int) int {
 	return r.logLines("to=suspect", i) + r.logLines("to=unreachable", i)
 }
 
-// memberLoss loses a fifth of all datagrams for five minutes, then one process dies.
+// memberLoss plays a loss of a fifth of all datagrams for five minutes, then the death of one process.
 func memberLoss(e *Env, r *Report) error {
 	const lasts = 5 * time.Minute
 	rig, err := NewRig(e, 5, 1, sealKey)
@@ -151,7 +151,7 @@
 	}
 	defer rig.Close()
 	if _, ok := rig.AllAlive(30 * time.Second); !ok {
-		return errors.New("not whole after 30 s")
+		return errors.New("not all alive after 30 s")
 	}
 	rig.setLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
 	time.Sleep(lasts)
@@ -164,7 +164,7 @@
 	took, ok := rig.AllSee(20*time.Second, []int{0, 1, 3, 4}, 2, "unreachable", "gone")
 	r.Set("unreachable", unreachable)
 	r.Set("detected", took)
-	r.Check(gone == 0, fmt.Sprintf("nobody called gone in %v at a loss of 20%%", lasts), gone)
+	r.Check(gone == 0, fmt.Sprintf("no member gone in %v at a loss of 20%%", lasts), gone)
 	r.Check(ok && took < 5*time.Second, "a death is known to all within 5 s", took)
 	return nil
 }
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -4,9 +4,7 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"runtime"
 	"slices"
-	"sync"
 	"time"
 
 	"croftlock/internal/fleet/membership/simulation"
@@ -18,7 +16,7 @@
 	measure func(n int, loss float64, lasts simulation.Time, seed uint64) simulation.Cost
 }
 
-// detectors are the program's own way, first, and those beside it.
+// detectors are the program's own failure detector, first, and the alternatives.
 var detectors = []detector{
 	{"suspicion, heard by anybody", simulation.Measure},
 	{"heartbeats to all, phi 8", simulation.Heartbeats},
@@ -31,7 +29,7 @@
 	// Large fleets are simulated once, for a shorter time: each step costs more there.
 	largeFleet      = 300
 	largeFleetLasts = 20 * simulation.Sec
-	// neverKnown stands for a death that not all heard of.
+	// neverKnown stands for a death that not all members learnt of.
 	neverKnown = simulation.Time(1 << 62)
 )
 
@@ -83,14 +81,14 @@
 	return fmt.Sprint(t / simulation.Ms)
 }
 
-// memberCost plays each way to detect failures that was weighed, in virtual time.
+// memberCost simulates the failure detectors in virtual time.
 func memberCost(e *Env, r *Report) error {
-	const table = "a second an instance; time until 99 in 100 know of a death; false alarms an hour in the whole fleet"
-	r.Columns(table, "way", "members", "loss", "messages", "bytes", "known ms (median, worst of 5)", "false alarms")
+	const table = "per second and process; time until 99 in 100 know of a death; false alarms an hour in the fleet"
+	r.Columns(table, "detector", "members", "loss", "messages", "bytes", "known ms (median, max of 5)", "false alarms")
 	runs := detectorRuns()
 	simulateAll(e, runs)
 	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
-	messages := map[int]float64{} // of the program's own way without loss, by members
+	messages := map[int]float64{} // of the program's own detector without loss, by members
 	for _, d := range runs {
 		median, longest := d.knownAfter()
 		r.Row(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
@@ -104,7 +102,7 @@
 		return err
 	}
 	r.Check(cpu < 0.003, "CPU of an idle process of five with membership on, under 0.003 of a core", fmt.Sprintf("%.4f", cpu))
-	r.Check(messages[1000] < 2*messages[3], "messages an instance at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", messages[1000], messages[3]))
+	r.Check(messages[1000] < 2*messages[3], "messages per process at 1,000 members under twice those at 3", fmt.Sprintf("%.1f, %.1f", messages[1000], messages[3]))
 	return nil
 }
 
@@ -120,25 +118,13 @@
 	return runs
 }
 
-// simulateAll plays the runs, as many side by side as there are cores.
+// simulateAll plays the runs, on all cores.
 func simulateAll(e *Env, runs []*detectorRun) {
-	next := make(chan *detectorRun)
-	var busy sync.WaitGroup
-	for range runtime.GOMAXPROCS(0) {
-		busy.Add(1)
-		go func() {
-			defer busy.Done()
-			for d := range next {
-				d.simulate()
-				e.Logf("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
-			}
-		}()
-	}
-	for _, d := range runs {
-		next <- d
-	}
-	close(next)
-	busy.Wait()
+	onAllCores(0, len(runs), func(i int) {
+		d := runs[i]
+		d.simulate()
+		e.Logf("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
+	})
 }
 
 // idleMemberCPU is the part of a core that an idle process of five takes, membership included.
@@ -150,7 +136,7 @@
 	}
 	defer rig.Close()
 	if _, ok := rig.AllAlive(30 * time.Second); !ok {
-		return 0, errors.New("five processes: not whole after 30 s")
+		return 0, errors.New("five processes: not all alive after 30 s")
 	}
 	before := rig.Procs[0].CPU()
 	time.Sleep(span)
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -12,25 +12,25 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// linkCut is a cut among five processes.
+// linkCut is a set of cut links among five processes.
 type linkCut struct {
 	name    string
 	cut     func(from, to int) bool // the links that it cuts
-	lost    []int                   // whom the others may give up
-	namedBy int                     // who is to say that it does not hear another; -1: nobody
+	lost    []int                   // processes that the others may have as unreachable
+	namedBy int                     // the process that has to report the cut link; -1: none
 }
 
 var linkCuts = []linkCut{
 	{"1 to 2", func(from, to int) bool { return from == 1 && to == 2 }, nil, 2},
-	{"1 deaf", func(_, to int) bool { return to == 1 }, nil, 1},
-	{"1 mute", func(from, _ int) bool { return from == 1 }, []int{1}, -1},
+	{"1 inbound", func(_, to int) bool { return to == 1 }, nil, 1},
+	{"1 outbound", func(from, _ int) bool { return from == 1 }, []int{1}, -1},
 	{"0, 1 from 2, 3, 4", func(from, to int) bool { return (from < 2) != (to < 2) }, []int{0, 1}, -1},
 }
 
 // cutLasts is how long each cut lasts.
 const cutLasts = 8 * time.Second
 
-// memberCut cuts links in one direction, makes one deaf and one mute, and cuts two off from three.
+// memberCut cuts one link in one direction, all links to and from a process, and two processes off from three.
 func memberCut(e *Env, r *Report) error {
 	rig, err := NewRig(e, 5, 1, sealKey)
 	if err != nil {
@@ -38,10 +38,10 @@
 	}
 	defer rig.Close()
 	const table = "cuts among five, 8 s each"
-	r.Columns(table, "cut", "held for unreachable, not meant", "link named after", "views alike after healing")
+	r.Columns(table, "cut", "wrongly unreachable", "cut link reported after", "all alive after healing")
 	for _, c := range linkCuts {
 		if _, ok := rig.AllAlive(30 * time.Second); !ok {
-			return fmt.Errorf("%s: not whole before", c.name)
+			return fmt.Errorf("%s: not all alive before", c.name)
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
 		named, wrong, err := c.observe(rig)
@@ -51,28 +51,28 @@
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = false })
 		heal, ok := rig.AllAlive(20 * time.Second)
 		if !ok {
-			return fmt.Errorf("%s: not whole 20 s after healing", c.name)
+			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
 		}
 		r.Row(table, c.name, wrong, named, heal)
-		r.Check(wrong == 0, c.name+": the majority gives nobody up whom it hears", wrong)
-		r.Check(heal < 3*time.Second, c.name+": views alike within 3 s of healing", heal)
+		r.Check(wrong == 0, c.name+": the majority has no process as unreachable that it hears", wrong)
+		r.Check(heal < 3*time.Second, c.name+": all alive within 3 s of healing", heal)
 		if c.namedBy >= 0 {
-			r.Check(named >= 0 && named < 3*time.Second, c.name+": the cut is named within 3 s", named)
+			r.Check(named >= 0 && named < 3*time.Second, c.name+": the cut link is reported within 3 s", named)
 		}
 	}
 	return nil
 }
 
-// observe asks one of the majority again and again while the cut lasts: after what time the cut link is named, -1 for never, and how
-// often a process is given up that may not be.
+// observe polls one process of the majority while the cut lasts. It returns after what time the cut link is reported, -1 for never, and how
+// often a process is unreachable that must not be.
 func (c *linkCut) observe(rig *Rig) (named time.Duration, wrong int, err error) {
 	named = -1
 	for began := time.Now(); time.Since(began) < cutLasts; time.Sleep(50 * time.Millisecond) {
-		rep, err := rig.Ask(3)
+		report, err := rig.Ask(3)
 		if err != nil {
 			return 0, 0, err
 		}
-		for _, m := range rep.Members {
+		for _, m := range report.Members {
 			if m.Slot == c.namedBy && len(m.Unheard) > 0 && named < 0 {
 				named = time.Since(began)
 			}
@@ -84,21 +84,21 @@
 	return named, wrong, nil
 }
 
-// membersCommand asks a running proxy who is there.
+// membersCommand prints a running proxy's view of the members.
 func membersCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{Use: "members SOCKET", Short: "Ask a running proxy which others are there", Args: cobra.ExactArgs(1),
 		Long:    "Asks over the Unix socket that the operators' file names: (membership (socket \"/run/croftlock/members.sock\")).",
 		Example: "  croftlock-experiment members /run/croftlock/members.sock --json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			rep, err := memberagent.RequestReport(args[0])
+			report, err := memberagent.RequestReport(args[0])
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(rep)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(report)
 			}
-			return rep.Print(cmd.OutOrStdout())
+			return report.Print(cmd.OutOrStdout())
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return c
--- a/internal/testbed/experiment/opsfigures.go
+++ b/internal/testbed/experiment/opsmetrics.go
@@ -11,58 +11,58 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// opsFigures compares the metrics with what clients and servers counted, times operators' calls under load with half
-// callers about, and the CPU of a placement and of a line; CROFTLOCK_BEFORE names a program to compare that with.
-func opsFigures(e *Env, r *Report) error {
+// opsMetrics compares the metrics with the counts of clients and hosts, and measures operators' calls under load beside callers that
+// never finish their request, and the CPU of a placement and of a line. CROFTLOCK_BEFORE names a program to compare the CPU with.
+func opsMetrics(e *Env, r *Report) error {
 	s, err := newProxySite(e, 200)
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	took, bad := s.callUnderLoad()
+	took, failed := s.callUnderLoad()
 	close(s.stop)
 	s.load.Wait()
-	s.standing.end()
+	s.persistent.stop()
 	time.Sleep(600 * time.Millisecond)
 	_, body, _, err := Call(s.admin, "GET", "/v1/metrics")
 	if err != nil {
 		return err
 	}
-	worst := s.compareMetrics(r, parseMetrics(body))
-	r.Check(worst == 0, "largest deviation of a figure", worst)
-	r.Check(bad == 0, "calls late or wrong beside 200 half callers", bad)
+	deviation := s.compareMetrics(r, parseMetrics(body))
+	r.Check(deviation == 0, "largest deviation of a metric", deviation)
+	r.Check(failed == 0, "calls that failed beside 200 callers with unfinished requests", failed)
 	r.Check(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
-	r.Set("deviation", worst)
+	r.Set("deviation", deviation)
 	r.Set("call_p99_ms", took.quantile(0.99))
 	r.Set("call_max_ms", took.quantile(1))
 	return s.reportCosts(r)
 }
 
-// callUnderLoad asks for the metrics 200 times while callers that never finish their request add up and servers fail and are busy in
-// turn. It gives the milliseconds of each call, and how many were answered wrongly.
-func (s *proxySite) callUnderLoad() (took samples, bad int) {
-	var half []net.Conn
+// callUnderLoad reads the metrics 200 times while callers that never finish their request add up, and hosts fail and reject in turn. It
+// returns the milliseconds of each call, and how many calls failed.
+func (s *proxySite) callUnderLoad() (took samples, failed int) {
+	var unfinished []net.Conn
 	for i := range 200 {
 		if c, err := net.Dial("tcp", s.admin); err == nil {
 			fmt.Fprint(c, "GET /v1/metrics HT")
-			half = append(half, c)
+			unfinished = append(unfinished, c)
 		}
 		s.upstreams.servers[1].Failing.Store(i%50 < 10)
 		s.upstreams.servers[2].Busy.Store(i%40 < 20)
 		status, _, t, err := Call(s.admin, "GET", "/v1/metrics")
 		if err != nil || status != 200 {
-			bad++
+			failed++
 		}
 		took = append(took, t.Seconds()*1e3)
 		time.Sleep(40 * time.Millisecond)
 	}
-	for _, c := range half {
+	for _, c := range unfinished {
 		c.Close()
 	}
-	return took, bad
+	return took, failed
 }
 
-// parseMetrics reads name=number lines; others are left out.
+// parseMetrics parses lines of name=number; others are ignored.
 func parseMetrics(body string) map[string]int {
 	metrics := map[string]int{}
 	for _, line := range strings.Split(body, "\n") {
@@ -73,40 +73,40 @@
 	return metrics
 }
 
-// compareMetrics holds the metrics against what the peers counted, and gives the largest deviation.
-func (s *proxySite) compareMetrics(r *Report, metrics map[string]int) (worst int) {
-	opened := 0
+// compareMetrics compares the metrics with the counts of clients and hosts, and returns the largest deviation.
+func (s *proxySite) compareMetrics(r *Report, metrics map[string]int) (deviation int) {
+	requests := 0
 	for _, server := range s.upstreams.servers {
 		n, _ := server.Requests()
-		opened += n
+		requests += n
 	}
-	all := func(kind string) int { return s.fresh.count(kind) + s.standing.answers.count(kind) }
-	const title = "figures against peers"
-	r.Columns(title, "figure", "told", "counted by peers", "off by")
+	answers := func(kind string) int { return s.shortLived.count(kind) + s.persistent.answers.count(kind) }
+	const title = "metrics against the counts of clients and hosts"
+	r.Columns(title, "metric", "value", "counted", "deviation")
 	for _, x := range []struct {
 		name    string
 		counted int
-	}{{"replies." + requestClass + ".success", all("UP")}, {"replies." + requestClass + ".overload", all("BUSY")},
-		{"replies." + requestClass + ".error", all("ERR")}, {"dispatches", opened}, {"concurrent", 0}, {"targets", 3}} {
-		got, named := metrics[x.name]
-		if !named {
-			got = -1
+	}{{"replies." + requestClass + ".success", answers("UP")}, {"replies." + requestClass + ".overload", answers("BUSY")},
+		{"replies." + requestClass + ".error", answers("ERR")}, {"dispatches", requests}, {"concurrent", 0}, {"targets", 3}} {
+		value, found := metrics[x.name]
+		if !found {
+			value = -1
 		}
-		off := max(got-x.counted, x.counted-got)
-		worst = max(worst, off)
-		r.Row(title, x.name, got, x.counted, off)
+		off := max(value-x.counted, x.counted-value)
+		deviation = max(deviation, off)
+		r.Row(title, x.name, value, x.counted, off)
 	}
-	return worst
+	return deviation
 }
 
-// reportCosts is the CPU of a placement and of a line there and back, by the program and, in turn, by the one before it.
+// reportCosts measures the CPU of a placement, and of a line and its answer, for the program and, in turn, for the one to compare with.
 func (s *proxySite) reportCosts(r *Report) error {
 	const title, rounds = "CPU, microseconds", 5
 	programs := []string{s.Croftlock}
 	if before := os.Getenv("CROFTLOCK_BEFORE"); before != "" {
 		programs = append(programs, before)
 	}
-	r.Columns(title, "program", "a placement", "a line there and back")
+	r.Columns(title, "program", "a placement", "a line and its answer")
 	placing, passing := make([]samples, len(programs)), make([]samples, len(programs))
 	for range rounds {
 		for i, program := range programs {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// costs measures a program: the microseconds of CPU of a placement, and of a line there and back.
+// costs measures a program: the microseconds of CPU of a placement, and of a line and its answer.
 func (s *proxySite) costs(program string) (placement, line float64, err error) {
 	const placements, lines = 400, 2000
 	with := s.setup
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -9,31 +9,31 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// chaosJobs are the jobs of the rig: twenty drills, and that of the suspended hosts.
+// chaosJobs is the number of jobs of the rig: twenty drills, and that of the suspended hosts.
 const chaosJobs = 21
 
-// ownerChaos has a fault every 2 s for two minutes, with clients placed throughout.
+// ownerChaos plays a fault every 2 s for two minutes, under a constant load of clients.
 func ownerChaos(e *Env, r *Report) error {
 	c := &chaosRun{env: e, report: r, lasts: 120 * time.Second, rate: 200}
 	r.Columns(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
-	if err := c.quiet(); err != nil {
+	if err := c.withoutFaults(); err != nil {
 		return err
 	}
 	return c.withFaults()
 }
 
-const chaosTable = "placement, clients at a rate throughout"
+const chaosTable = "placements at a constant rate of clients"
 
-// chaosRun is the experiment on a rig without faults, then on one with.
+// chaosRun is the experiment: on a rig without faults, then on one with faults.
 type chaosRun struct {
-	env      *Env
-	report   *Report
-	lasts    time.Duration
-	rate     float64 // clients a second
-	quietP99 float64 // milliseconds of a placement without faults
+	env         *Env
+	report      *Report
+	lasts       time.Duration
+	rate        float64 // clients a second
+	baselineP99 float64 // of a placement without faults, milliseconds
 }
 
-// newRig starts five processes of which three vote.
+// newRig starts five processes, three of them replicas.
 func (c *chaosRun) newRig() (*Rig, error) {
 	f, err := newUpstreams(c.env, 3, false)
 	if err != nil {
@@ -50,16 +50,16 @@
 	return rig, nil
 }
 
-// quiet places clients without faults.
-func (c *chaosRun) quiet() error {
+// withoutFaults places clients without faults.
+func (c *chaosRun) withoutFaults() error {
 	rig, err := c.newRig()
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	got := c.placements(rig)
-	c.quietP99 = got.milliseconds.quantile(0.99)
-	c.row("no faults", got)
+	answers := c.placements(rig)
+	c.baselineP99 = answers.milliseconds.quantile(0.99)
+	c.row("no faults", answers)
 	return nil
 }
 
@@ -70,32 +70,32 @@
 		return err
 	}
 	defer rig.Close()
-	h := &operatorHistory{rig: rig, stop: make(chan struct{})}
-	faults := make(chan struct{})
+	h := &operatorHistory{rig: rig, stopping: make(chan struct{})}
+	faultsEnded := make(chan struct{})
 	go func() {
-		defer close(faults)
+		defer close(faultsEnded)
 		h.playFaults(rand.New(rand.NewPCG(11, 11)), c.lasts)
 	}()
 	h.startCallers(3)
-	got := c.placements(rig)
-	<-faults
-	c.row("a fault every 2 s", got)
-	failed, p99 := got.total()-got.count("UP"), got.milliseconds.quantile(0.99)
-	c.report.Check(failed == 0, "no client fails by it", failed)
-	c.report.Check(p99 <= 1.1*c.quietP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.quietP99))
+	answers := c.placements(rig)
+	<-faultsEnded
+	c.row("a fault every 2 s", answers)
+	failed, p99 := answers.total()-answers.count("UP"), answers.milliseconds.quantile(0.99)
+	c.report.Check(failed == 0, "no client fails during the faults", failed)
+	c.report.Check(p99 <= 1.1*c.baselineP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.baselineP99))
 	if _, err := rig.AllOwned(chaosJobs); err != nil {
 		return err
 	}
-	h.end()
+	h.stopCallers()
 	c.check(rig, h)
 	return nil
 }
 
-// placements has clients come at the rate, each for a second. They go to the processes that faults leave alone: the death of a proxy
-// that carries clients is no matter of owners.
+// placements opens connections at the rate, each for a second, at the processes that get no faults: what the death of a proxy does to its
+// own clients has nothing to do with owners.
 func (c *chaosRun) placements(rig *Rig) *answerCounts {
 	const wait = 2 * time.Second
-	got := newAnswerCounts()
+	answers := newAnswerCounts()
 	var next atomic.Int64
 	openLoop(c.rate, c.lasts, func(int) {
 		p := rig.Procs[3+int(next.Add(1))%2]
@@ -103,29 +103,29 @@
 		if err != nil {
 			a.Kind = "NONE"
 		}
-		got.add(a, wait)
+		answers.add(a, wait)
 		if client != nil {
 			time.Sleep(time.Second)
 			client.Close()
 		}
 	})
-	return got
+	return answers
 }
 
-func (c *chaosRun) row(name string, got *answerCounts) {
-	all, up := got.total(), got.count("UP")
-	c.report.Row(chaosTable, name, all, up, all-up, got.milliseconds.quantile(0.5), got.milliseconds.quantile(0.99))
+func (c *chaosRun) row(name string, answers *answerCounts) {
+	total, served := answers.total(), answers.count("UP")
+	c.report.Row(chaosTable, name, total, served, total-served, answers.milliseconds.quantile(0.5), answers.milliseconds.quantile(0.99))
 }
 
-// check holds the logs and the operators' history against what owners promise.
+// check checks the owners' guarantees against the logs and the history of operators' calls.
 func (c *chaosRun) check(rig *Rig, h *operatorHistory) {
 	r := c.report
 	stale, rejected := rig.staleEffects()
-	r.Check(stale == 0, "no effect of an older token is taken after a newer one's", fmt.Sprintf("%d; %d refused", stale, rejected))
+	r.Check(stale == 0, "no effect of an older token is accepted after a newer one's", fmt.Sprintf("%d; %d rejected", stale, rejected))
 	err := rig.CheckTokens()
-	r.Check(err == nil, "each token is one process's", err)
+	r.Check(err == nil, "no token belongs to two processes", err)
 	ok, calls, unknown := h.check()
-	r.Check(ok && calls > 20, "the history of hosts out by hand is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.faultCount))
+	r.Check(ok && calls > 20, "the history of suspended hosts is linearizable", fmt.Sprintf("%d calls, %d of them unknown, %d faults", calls, unknown, h.faultCount))
 	gaps := rig.effectGaps()
 	if n := len(gaps); n > 0 {
 		p99 := gaps[n*99/100]
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -13,10 +13,10 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerCost measures what owners cost: handovers, an idle voter's and a follower's CPU, bytes.
+// ownerCost measures the cost of owners: the time of handovers, and the CPU and bytes of idle replicas and followers.
 func ownerCost(e *Env, r *Report) error {
-	r.Columns(ownerCostTable, "voters", "store", "handover asked for to begun, median ms", "p99 ms", "owner killed to begun, median ms", "worst ms",
-		"CPU of a core: leader", "voter", "follower", "bytes a second, leader", "follower")
+	r.Columns(ownerCostTable, "replicas", "store", "requested move to acquisition, median ms", "p99 ms", "owner killed to acquisition, median ms", "max ms",
+		"CPU of a core: leader", "replica", "follower", "bytes a second, leader", "follower")
 	membership, err := membershipCPU(e)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 }
 
 const (
-	ownerCostTable     = "what owners cost"
+	ownerCostTable     = "cost of owners"
 	ownerCostProcesses = 6
 	ownerCostDrills    = 6 // jobs, beside that of the suspended hosts
 	idleSpan           = 8 * time.Second
@@ -54,13 +54,13 @@
 	}
 	defer idle.Close()
 	if _, ok := idle.AllAlive(ownersWait); !ok {
-		return 0, errors.New("not whole")
+		return 0, errors.New("not all members are alive")
 	}
 	time.Sleep(2 * time.Second)
 	return cpuOf(idle, idleSpan)[4], nil
 }
 
-// ownerGroup is the kind of a group of voters.
+// ownerGroup is a kind of group of replicas.
 type ownerGroup struct {
 	voters int
 	disks  bool
@@ -83,12 +83,12 @@
 	store := storeName(g.disks)
 	r.Row(ownerCostTable, g.voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1),
 		fmt.Sprintf("%.4f", idle.leaderCPU), fmt.Sprintf("%.4f", idle.voterCPU), fmt.Sprintf("%.4f", idle.followerCPU), idle.leaderBytes, idle.followerBytes)
-	r.Check(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d voters, %s: an idle voter costs under 0.005 of a core beside membership", g.voters, store),
+	r.Check(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d replicas, %s: an idle replica costs under 0.005 of a core beside membership", g.voters, store),
 		fmt.Sprintf("%.4f less %.4f", idle.voterCPU, membership))
 	return nil
 }
 
-// handoverTimes are the milliseconds until a job is begun elsewhere: from a request to move it, and from its owner's death.
+// handoverTimes are the milliseconds until another process acquires a job: from a request to move it, and from its owner's death.
 func (g ownerGroup) handoverTimes(e *Env) (moved, killed samples, err error) {
 	rig, err := g.newRig(e, fmt.Sprintf("(drill %d) (hosts on)", ownerCostDrills))
 	if err != nil {
@@ -106,19 +106,19 @@
 	return moved, killed, err
 }
 
-// moveTimes moves jobs from owner to owner, and gives the milliseconds that each took.
+// moveTimes moves jobs from owner to owner, and returns the milliseconds that each move took.
 func moveTimes(rig *Rig, owners map[string]int) (took samples, err error) {
 	for turn := range 40 {
 		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
 		began := time.Now()
-		rep, err := rig.Owners(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
-		if err != nil || rep.Error != "" {
+		reply, err := rig.Owners(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
+		if err != nil || reply.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
 		}
 		if _, ok := Until(10*time.Second, func() bool { return len(rig.acquired(to, job, began)) > 0 }); !ok {
-			return nil, fmt.Errorf("%s is not begun at n%d", job, to)
+			return nil, fmt.Errorf("n%[2]d does not acquire %[1]s", job, to)
 		}
 		took = append(took, float64(rig.acquired(to, job, began)[0].Sub(began))/1e6)
 		owners[job] = to
@@ -127,7 +127,7 @@
 	return took, nil
 }
 
-// killTimes kills owners, and gives the milliseconds until a job of each is begun elsewhere.
+// killTimes kills owners, and returns the milliseconds until another process acquires a job of each.
 func killTimes(rig *Rig) (took samples, err error) {
 	for turn := range 5 {
 		owners, err := rig.AllOwned(ownerCostDrills + 1)
@@ -149,7 +149,7 @@
 	return took, nil
 }
 
-// acquiredByOther returns whether a process other than one acquired a job from a time on.
+// acquiredByOther returns whether a process other than the given one acquired a job since a time.
 func (r *Rig) acquiredByOther(than int, job string, from time.Time) bool {
 	for i := range r.Procs {
 		if i != than && len(r.acquired(i, job, from)) > 0 {
@@ -159,13 +159,13 @@
 	return false
 }
 
-// idleGroup is what a group costs that does nothing: parts of a core, and bytes a second.
+// idleGroup is the cost of an idle group: parts of a core, and bytes a second.
 type idleGroup struct {
 	leaderCPU, voterCPU, followerCPU float64
 	leaderBytes, followerBytes       int
 }
 
-// idleCost measures a group with one job that does nothing, so that only the group and the leases cost.
+// idleCost measures a group with one idle job, where only consensus and leases cost.
 func (g ownerGroup) idleCost(e *Env) (c idleGroup, err error) {
 	rig, err := g.newRig(e, "(hosts on)")
 	if err != nil {
@@ -176,12 +176,12 @@
 		return c, err
 	}
 	time.Sleep(2 * time.Second)
-	rep, err := rig.Owners(0, owneragent.Request{Command: "owners"})
+	reply, err := rig.Owners(0, owneragent.Request{Command: "owners"})
 	if err != nil {
 		return c, err
 	}
 	const follower = ownerCostProcesses - 1
-	leader, _ := strconv.Atoi(strings.TrimPrefix(rep.Leader, "n"))
+	leader, _ := strconv.Atoi(strings.TrimPrefix(reply.Leader, "n"))
 	before := rig.bytesSent()
 	cpu := cpuOf(rig, idleSpan)
 	after := rig.bytesSent()
@@ -190,12 +190,12 @@
 		leaderBytes: perSecond(leader), followerBytes: perSecond(follower)}, nil
 }
 
-// bytesSent are the bytes that each process counts as sent to other members.
+// bytesSent are the bytes that each process has sent to other members, by its own count.
 func (r *Rig) bytesSent() []int {
 	sent := make([]int, len(r.Procs))
 	for i := range r.Procs {
-		rep, _ := r.Ask(i)
-		sent[i] = rep.Counts["bytes"]
+		report, _ := r.Ask(i)
+		sent[i] = report.Counts["bytes"]
 	}
 	return sent
 }
@@ -207,14 +207,14 @@
 		before[i] = p.CPU()
 	}
 	time.Sleep(lasts)
-	out := make([]float64, len(r.Procs))
+	parts := make([]float64, len(r.Procs))
 	for i, p := range r.Procs {
-		out[i] = float64(p.CPU()-before[i]) / float64(lasts)
+		parts[i] = float64(p.CPU()-before[i]) / float64(lasts)
 	}
-	return out
+	return parts
 }
 
-// rawSyncs are the milliseconds that each of 200 writes of 4 KiB with a sync takes, without the program.
+// rawSyncs are the milliseconds of each of 200 writes of 4 KiB with a sync, as a measure of the disk itself.
 func rawSyncs(dir string) (took samples, err error) {
 	f, err := os.Create(filepath.Join(dir, "raw"))
 	if err != nil {
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -14,24 +14,24 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// diskFault is one way in which a voter's store fails.
+// diskFault is a fault of a replica's disk.
 type diskFault struct {
 	name string
-	// damage changes the store's file while its process is down; copied is an older state of it. nil: the disk is full while the process runs.
+	// damage changes the store's file while its process is down; copied is the file at an earlier time. nil: the disk is full for a while.
 	damage func(path string, copied []byte) error
-	phase  string // of the voter, or what its store says, afterwards; "": unreadable or member
+	phase  string // of the replica afterwards, or the state of its store; "": either unreadable or member
 }
 
 var diskFaults = []diskFault{
-	{"no room, then room again", nil, "member"},
+	{"disk full for a while", nil, "member"},
 	{"killed at any moment", func(string, []byte) error { return nil }, "member"},
 	{"flipped bytes", func(path string, _ []byte) error { return flipBytes(path) }, ""},
-	{"torn", func(path string, _ []byte) error { return tear(path) }, "unreadable"},
-	{"an older file put back", func(path string, copied []byte) error { return os.WriteFile(path, copied, 0o600) }, "stale"},
-	{"lost", func(path string, _ []byte) error { return os.Remove(path) }, "outside"},
+	{"truncated", func(path string, _ []byte) error { return truncateByHalf(path) }, "unreadable"},
+	{"file replaced by an older one", func(path string, copied []byte) error { return os.WriteFile(path, copied, 0o600) }, "stale"},
+	{"file lost", func(path string, _ []byte) error { return os.Remove(path) }, "outside"},
 }
 
-// accepts returns whether a voter's state is one that the fault may lead to.
+// accepts returns whether the fault may lead to a replica's state.
 func (f *diskFault) accepts(state string) bool {
 	if f.phase != "" {
 		return strings.Contains(state, f.phase)
@@ -39,20 +39,20 @@
 	return strings.Contains(state, "unreadable") || strings.Contains(state, "member")
 }
 
-// diskOutcome is what came of one fault at one voter.
+// diskOutcome is the outcome of one fault at one replica.
 type diskOutcome struct {
 	answered int    // commands that were answered as done
 	lost     int    // of these, commands without effect afterwards
-	state    string // the voter's afterwards
+	state    string // of the replica, afterwards
 }
 
-// ownerDisk has each fault of a disk happen to each voter during a stream of commands.
+// ownerDisk plays each disk fault at each replica, during a stream of commands.
 func ownerDisk(e *Env, r *Report) error {
-	const table = "faults of disks, each at each of three voters, during a stream of commands"
-	r.Columns(table, "fault", "turns", "commands answered", "lost", "as stated")
+	const table = "disk faults, each at each of three replicas, during a stream of commands"
+	r.Columns(table, "fault", "turns", "commands answered", "lost", "expected state")
 	for _, f := range diskFaults {
 		e.Logf("%s", f.name)
-		outcomes, err := f.atEachVoter(e)
+		outcomes, err := f.atEachReplica(e)
 		if err != nil {
 			return err
 		}
@@ -64,24 +64,24 @@
 			}
 		}
 		r.Row(table, f.name, len(outcomes), answered, lost, len(wrong) == 0)
-		r.Check(lost == 0 && answered > 30, f.name+": nothing that was answered is lost", fmt.Sprintf("%d of %d", lost, answered))
-		r.Check(len(wrong) == 0, f.name+": afterwards as stated", strings.Join(wrong, "; "))
+		r.Check(lost == 0 && answered > 30, f.name+": no answered command is lost", fmt.Sprintf("%d of %d", lost, answered))
+		r.Check(len(wrong) == 0, f.name+": the replica ends in the expected state", strings.Join(wrong, "; "))
 	}
 	return nil
 }
 
-// atEachVoter plays the fault at each of three voters, on rigs side by side.
-func (f *diskFault) atEachVoter(e *Env) (outcomes [3]diskOutcome, err error) {
+// atEachReplica plays the fault at each of three replicas, on rigs in parallel.
+func (f *diskFault) atEachReplica(e *Env) (outcomes [3]diskOutcome, err error) {
 	var errs [3]error
-	var all sync.WaitGroup
+	var plays sync.WaitGroup
 	for voter := range outcomes {
-		all.Add(1)
+		plays.Add(1)
 		go func() {
-			defer all.Done()
+			defer plays.Done()
 			outcomes[voter], errs[voter] = f.play(e, voter)
 		}()
 	}
-	all.Wait()
+	plays.Wait()
 	for voter, err := range errs {
 		if err != nil {
 			return outcomes, fmt.Errorf("%s at n%d: %w", f.name, voter, err)
@@ -90,8 +90,8 @@
 	return outcomes, nil
 }
 
-// tear cuts a file to half its length.
-func tear(path string) error {
+// truncateByHalf truncates a file to half its length.
+func truncateByHalf(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -99,22 +99,22 @@
 	return os.WriteFile(path, data[:len(data)/2], 0o600)
 }
 
-// flipBytes changes bytes all over a file, but not in its first pages, which hold the store's own head.
+// flipBytes changes bytes all over a file, except its first pages, which hold the store's metadata.
 func flipBytes(path string) error {
-	const headBytes = 8192
+	const metadataBytes = 8192
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	for i := range data {
-		if i%97 == 13 && i > headBytes {
+		if i%97 == 13 && i > metadataBytes {
 			data[i] ^= 0x5a
 		}
 	}
 	return os.WriteFile(path, data, 0o600)
 }
 
-// play has a stream of commands go on while a voter's disk fails; afterwards what was answered has to be there.
+// play plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
 func (f *diskFault) play(e *Env, voter int) (o diskOutcome, err error) {
 	rig, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, Sections: ownersFile(3, true, "(hosts on)")})
 	if err != nil {
@@ -124,32 +124,32 @@
 	if _, err := rig.AllOwned(1); err != nil {
 		return o, err
 	}
-	stream := startSuspensions(rig)
+	stream := startSuspensionStream(rig)
 	time.Sleep(time.Second)
 	path := filepath.Join(rig.Dir(voter), "voter.db")
 	copied, err := os.ReadFile(path)
 	if err != nil {
 		return o, err
 	}
-	// Else the copy is none of an older state.
-	if err := stream.awaitMore(10); err != nil {
+	// The store has to change, so that the copy is an older state.
+	if err := stream.awaitAnswers(10); err != nil {
 		return o, err
 	}
-	if err := f.strike(rig, voter, path, copied); err != nil {
+	if err := f.inject(rig, voter, path, copied); err != nil {
 		return o, err
 	}
 	time.Sleep(8 * time.Second)
-	done := stream.end()
+	done := stream.stopStream()
 	if _, err := rig.AllOwned(1); err != nil {
 		return o, err
 	}
-	have, err := suspendedHosts(rig)
+	suspended, err := suspendedHosts(rig)
 	if err != nil {
 		return o, err
 	}
 	o.answered = len(done)
 	for _, id := range done {
-		if !slices.Contains(have, id) {
+		if !slices.Contains(suspended, id) {
 			o.lost++
 		}
 	}
@@ -157,15 +157,15 @@
 	return o, err
 }
 
-// strike has the fault happen, and the voter run again.
-func (f *diskFault) strike(rig *Rig, voter int, path string, copied []byte) error {
+// inject plays the fault, and has the replica run again.
+func (f *diskFault) inject(rig *Rig, voter int, path string, copied []byte) error {
 	if f.damage == nil {
-		full, room := rig.FillDisk(voter)
-		if err := full(); err != nil {
+		fill, free := rig.FillDisk(voter)
+		if err := fill(); err != nil {
 			return err
 		}
 		time.Sleep(3 * time.Second)
-		return room()
+		return free()
 	}
 	rig.Procs[voter].Kill()
 	if err := f.damage(path, copied); err != nil {
@@ -174,16 +174,16 @@
 	return rig.Start(voter)
 }
 
-// suspensions are a stream of commands to suspend hosts, one after the other.
-type suspensions struct {
+// suspensionStream is a stream of commands that suspend hosts, one after the other.
+type suspensionStream struct {
 	stop     chan struct{}
 	finished chan []string // once: the hosts whose suspension was answered as done
 	answered atomic.Int64
 }
 
-// startSuspensions begins a stream by way of the processes that do not vote.
-func startSuspensions(rig *Rig) *suspensions {
-	s := &suspensions{stop: make(chan struct{}), finished: make(chan []string, 1)}
+// startSuspensionStream starts a stream, through the processes that are no replicas.
+func startSuspensionStream(rig *Rig) *suspensionStream {
+	s := &suspensionStream{stop: make(chan struct{}), finished: make(chan []string, 1)}
 	go func() {
 		var done []string
 		for i := 0; ; i++ {
@@ -194,7 +194,7 @@
 			default:
 			}
 			id := fmt.Sprintf("host%03d", i%200)
-			if rep, err := rig.Owners(3+i%2, owneragent.Request{Command: "suspend", Argument: id}); err == nil && strings.HasPrefix(rep.Answer, "done") {
+			if reply, err := rig.Owners(3+i%2, owneragent.Request{Command: "suspend", Argument: id}); err == nil && strings.HasPrefix(reply.Answer, "done") {
 				done = append(done, id)
 				s.answered.Add(1)
 			}
@@ -203,22 +203,22 @@
 	return s
 }
 
-// awaitMore waits until so many more commands are answered.
-func (s *suspensions) awaitMore(n int64) error {
+// awaitAnswers waits until n more commands are answered.
+func (s *suspensionStream) awaitAnswers(n int64) error {
 	before := s.answered.Load()
 	if _, ok := Until(ownersWait, func() bool { return s.answered.Load() >= before+n }); !ok {
-		return errors.New("no command is answered")
+		return errors.New("commands are not answered")
 	}
 	return nil
 }
 
-// end ends the stream and gives the hosts whose suspension was answered as done.
-func (s *suspensions) end() []string {
+// stopStream ends the stream and returns the hosts whose suspension was answered as done.
+func (s *suspensionStream) stopStream() []string {
 	close(s.stop)
 	return <-s.finished
 }
 
-// suspendedHosts are the hosts that the fleet has suspended.
+// suspendedHosts are the hosts that are suspended for the fleet.
 func suspendedHosts(rig *Rig) ([]string, error) {
 	var list owneragent.Reply
 	var err error
@@ -231,7 +231,7 @@
 	return strings.Fields(list.Answer), nil
 }
 
-// voterState is what a voter says of its store, and its phase in the group.
+// voterState is the state of a replica's store, and its phase in the group.
 func voterState(rig *Rig, voter int) (string, error) {
 	rep, err := rig.Owners(voter, owneragent.Request{Command: "status"})
 	if err != nil {
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -9,10 +9,10 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownerHandover ends processes in order, and replaces them, and measures how long their jobs were without an owner.
+// ownerHandover shuts processes down, and replaces them, and measures for how long their jobs had no owner.
 func ownerHandover(e *Env, r *Report) error {
-	const table = "jobs given back and begun elsewhere"
-	r.Columns(table, "how", "voters", "store", "changes", "median ms", "p99 ms", "worst ms")
+	const table = "time without an owner at handovers"
+	r.Columns(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
 	for _, how := range []string{"SIGTERM", "replaced"} {
 		for _, disks := range []bool{true, false} {
 			took, err := handovers(e, how, disks)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// handovers ends or replaces one process after the other, and gives the milliseconds that each job of theirs was without an owner.
+// handovers shuts down or replaces one process after the other, and returns the milliseconds for which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, turns = 20, 8
 	r, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, Sections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
@@ -40,9 +40,9 @@
 		if _, err := r.AllOwned(jobs); err != nil {
 			return nil, err
 		}
-		// One voter at a time, as the operators' page says: the last one has to be back first.
-		if _, ok := Until(ownersWait, func() bool { return r.votersBack(3, disks) }); !ok {
-			return nil, errors.New("the voters are not back")
+		// One replica at a time, as docs/operate-ownership.md says.
+		if _, ok := Until(ownersWait, func() bool { return r.replicasReady(3, disks) }); !ok {
+			return nil, errors.New("the replicas are not ready")
 		}
 		time.Sleep(4 * time.Second)
 		began, old := time.Now(), r.Procs[turn%5]
@@ -56,23 +56,23 @@
 	}
 	slices.Sort(took)
 	if len(took) < 10 {
-		return nil, fmt.Errorf("%d changes are too few", len(took))
+		return nil, fmt.Errorf("%d handovers are too few", len(took))
 	}
 	return took, nil
 }
 
-// votersBack returns whether the first so many processes answer, and with stores know a leader as members.
-func (r *Rig) votersBack(voters int, disks bool) bool {
-	for v := range voters {
-		rep, err := r.Owners(v, owneragent.Request{Command: "status"})
-		if err != nil || disks && (rep.Group == nil || rep.Group.Phase != "member" || rep.Group.Leader == "") {
+// replicasReady returns whether the replicas, which are the first processes, answer, and with disks are members that know a leader.
+func (r *Rig) replicasReady(replicas int, disks bool) bool {
+	for i := range replicas {
+		reply, err := r.Owners(i, owneragent.Request{Command: "status"})
+		if err != nil || disks && (reply.Group == nil || reply.Group.Phase != "member" || reply.Group.Leader == "") {
 			return false
 		}
 	}
 	return true
 }
 
-// handOver ends process i in order and starts it anew, or replaces it as a release does.
+// handOver shuts process i down and starts it again, or replaces it by a hot restart.
 func (r *Rig) handOver(i int, how string) error {
 	if how != "SIGTERM" {
 		return r.Replace(i)
@@ -83,14 +83,14 @@
 	return r.Start(i)
 }
 
-// releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by anybody.
+// releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by any process.
 func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps samples) {
-	for _, l := range by.Log("event=job_released ") {
-		released := logTime(l)
+	for _, line := range by.Log("event=job_released ") {
+		released := logTime(line)
 		if released.Before(since) {
 			continue
 		}
-		if gap := r.untilAcquired(field(l, "job"), released); gap >= 0 {
+		if gap := r.untilAcquired(field(line, "job"), released); gap >= 0 {
 			gaps = append(gaps, float64(gap)/1e6)
 		}
 	}
@@ -103,8 +103,8 @@
 	defer r.mu.Unlock()
 	next := time.Duration(-1)
 	for _, p := range r.all {
-		for _, l := range p.Log("event=job_acquired ") {
-			if d := logTime(l).Sub(from); field(l, "job") == job && d >= 0 && (next < 0 || d < next) {
+		for _, line := range p.Log("event=job_acquired ") {
+			if d := logTime(line).Sub(from); field(line, "job") == job && d >= 0 && (next < 0 || d < next) {
 				next = d
 			}
 		}
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// callKind is what an operator asks for, as the request names it.
+// callKind is the command of an operator's call.
 type callKind string
 
 const (
@@ -26,13 +26,13 @@
 
 var callKinds = []callKind{suspendCall, resumeCall, listCall}
 
-// operatorCall is one operator's call, for the check of the history.
+// operatorCall is an operator's call in the history.
 type operatorCall struct {
 	host string
 	kind callKind
 }
 
-// request is the call as it is sent: a list is of all hosts.
+// request is the call's request; a list is of all hosts.
 func (c operatorCall) request() owneragent.Request {
 	if c.kind == listCall {
 		return owneragent.Request{Command: string(c.kind)}
@@ -40,13 +40,13 @@
 	return owneragent.Request{Command: string(c.kind), Argument: c.host}
 }
 
-// What is known of a call's effect, beside a list's true or false.
+// The outputs of calls in the history, beside a list's true or false.
 const (
 	callDone    = "done"
 	callUnknown = "unknown"
 )
 
-// registerModel is whether a host is out.
+// registerModel is a host's state: whether it is suspended.
 var registerModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -62,17 +62,17 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// operatorHistory is operators' calls against a rig, and faults beside them.
+// operatorHistory is the history of operators' calls on a rig, beside faults.
 type operatorHistory struct {
 	rig        *Rig
-	stop       chan struct{} // closed at the callers' end
+	stopping   chan struct{} // closed at the callers' end
 	callers    sync.WaitGroup
 	mu         sync.Mutex // protects operations
 	operations []porcupine.Operation
 	faultCount int
 }
 
-// startCallers has some operators call until the end.
+// startCallers starts operators, who call until stopCallers.
 func (h *operatorHistory) startCallers(n int) {
 	for client := range n {
 		h.callers.Add(1)
@@ -83,29 +83,29 @@
 	}
 }
 
-// callUntilStopped has one operator call at random times, by way of the processes that do not vote.
+// callUntilStopped plays one operator, who calls at random times, through the processes that are no replicas.
 func (h *operatorHistory) callUntilStopped(client int) {
 	rng := rand.New(rand.NewPCG(uint64(client), 5))
 	for {
 		select {
-		case <-h.stop:
+		case <-h.stopping:
 			return
 		case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
 		}
-		// A host that is no upstream host of anybody's: placement is not to follow from it.
+		// No upstream host has this ID, so that the calls do not change placements.
 		c := operatorCall{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: callKinds[rng.IntN(len(callKinds))]}
-		at := time.Now()
-		rep, err := h.rig.Owners(3+rng.IntN(2), c.request())
-		h.record(client, c, at, rep, err)
+		calledAt := time.Now()
+		reply, err := h.rig.Owners(3+rng.IntN(2), c.request())
+		h.record(client, c, calledAt, reply, err)
 	}
 }
 
-// record adds a call and what is known of its effect.
-func (h *operatorHistory) record(client int, c operatorCall, at time.Time, rep owneragent.Reply, err error) {
-	op := porcupine.Operation{ClientId: client, Input: c, Call: at.UnixNano(), Output: callUnknown, Return: time.Now().UnixNano()}
-	done := err == nil && rep.Error == "" && !strings.HasPrefix(rep.Answer, "unknown") && !strings.HasPrefix(rep.Answer, "refused")
+// record adds a call and its output.
+func (h *operatorHistory) record(client int, c operatorCall, calledAt time.Time, reply owneragent.Reply, err error) {
+	op := porcupine.Operation{ClientId: client, Input: c, Call: calledAt.UnixNano(), Output: callUnknown, Return: time.Now().UnixNano()}
+	done := err == nil && reply.Error == "" && !strings.HasPrefix(reply.Answer, "unknown") && !strings.HasPrefix(reply.Answer, "refused")
 	if done && c.kind == listCall {
-		_, list, _ := strings.Cut(rep.Answer, ": ")
+		_, list, _ := strings.Cut(reply.Answer, ": ")
 		op.Output = fmt.Sprint(slices.Contains(strings.Fields(list), c.host))
 	} else if done {
 		op.Output = callDone
@@ -115,15 +115,15 @@
 	h.operations = append(h.operations, op)
 }
 
-// end ends the callers.
-func (h *operatorHistory) end() {
-	close(h.stop)
+// stopCallers ends the callers.
+func (h *operatorHistory) stopCallers() {
+	close(h.stopping)
 	h.callers.Wait()
 }
 
-// check gives whether the calls can have happened one after the other. One that is unknown may have been done at any time after it was asked, or
+// check returns whether the history is linearizable. A call of unknown outcome may have taken effect at any time after it was made, or
 // never.
-func (h *operatorHistory) check() (ok bool, calls, unknown int) {
+func (h *operatorHistory) check() (linearizable bool, calls, unknown int) {
 	last := time.Now().Add(time.Hour).UnixNano()
 	byHost := map[string][]porcupine.Operation{}
 	for _, op := range h.operations {
@@ -136,17 +136,17 @@
 			op.Return = last
 			last++
 		}
-		op.ClientId = len(byHost[c.host]) // one that is unknown overlaps its client's next
+		op.ClientId = len(byHost[c.host]) // a call of unknown outcome overlaps its client's next one
 		byHost[c.host] = append(byHost[c.host], op)
 	}
-	ok = true
+	linearizable = true
 	for _, ops := range byHost {
-		ok = ok && porcupine.CheckOperations(registerModel, ops)
+		linearizable = linearizable && porcupine.CheckOperations(registerModel, ops)
 	}
-	return ok, len(h.operations), unknown
+	return linearizable, len(h.operations), unknown
 }
 
-// playFaults has a fault every 2 s, at the three voters: a minority at a time.
+// playFaults plays a fault every 2 s, at one of the three replicas at a time, so that a majority remains.
 func (h *operatorHistory) playFaults(rng *rand.Rand, lasts time.Duration) {
 	for end := time.Now().Add(lasts - 4*time.Second); time.Now().Before(end); h.faultCount++ {
 		voter, other := rng.IntN(3), 0
@@ -158,10 +158,10 @@
 	}
 }
 
-// voterFaultLasts is how long each fault of a voter lasts.
+// voterFaultLasts is how long each fault of a replica lasts.
 const voterFaultLasts = 2 * time.Second
 
-// playVoterFault has one of five kinds of fault happen to a voter: it dies, stops, is cut off, cut off from one other, or loses datagrams.
+// playVoterFault plays one of five kinds of fault at a replica: killed, paused, cut off, its link to one other cut, or datagrams lost.
 func (r *Rig) playVoterFault(voter, other, kind int) error {
 	during := func(set func(on bool)) {
 		set(true)
--- /dev/null
+++ b/internal/testbed/experiment/parallel.go
@@ -0,0 +1,26 @@
+package experiment
+
+import (
+	"runtime"
+	"sync"
+)
+
+// onAllCores calls do for each number from first to one below end, in parallel on all cores, and returns once all calls have.
+func onAllCores(first, end int, do func(i int)) {
+	next := make(chan int)
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Add(1)
+		go func() {
+			defer workers.Done()
+			for i := range next {
+				do(i)
+			}
+		}()
+	}
+	for i := first; i < end; i++ {
+		next <- i
+	}
+	close(next)
+	workers.Wait()
+}
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -17,39 +16,39 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Env is what an experiment runs with.
+// Env is the environment of an experiment.
 type Env struct {
 	Croftlock string // path of the program
-	Earlier   string // path of an earlier build: replacements alternate between the two; "": all are of the program
+	Earlier   string // path of an earlier build: hot restarts alternate between the two; "": all run Croftlock
 	Self      string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
-	Dir       string // of its own, for files; removed afterwards
+	Dir       string // for files; removed afterwards
 	Logf      func(format string, args ...any)
 }
 
-// Setup is what a proxy process is started with.
+// Setup is the configuration, settings and environment of a proxy process.
 type Setup struct {
 	Name      string
 	Discovery string        // address
-	Pushed    bool          // discovery is an agent to which lists are pushed
+	Pushed    bool          // lists are pushed, to an agent at the address Discovery
 	Known     fake.List     // the endpoint list that it starts with
 	Settings  string        // path of the settings file; "": none
 	Cores     float64       // part of a core that it may use; default 1
 	Sockets   int           // descriptors that it may hold; default 4096
 	MemoryMB  float64       // memory that it may hold; default 192
-	Connect   time.Duration // limit of a connect; default 250 ms
+	Connect   time.Duration // time limit of a connect; default 250 ms
 	Deadline  time.Duration // of a request; default 2 s
-	Classes   []Class       // none: one class of safe requests with that deadline
-	Args      []string      // more arguments of the command serve
-	Env       []string      // more of its environment, NAME=VALUE
+	Classes   []Class       // none: one class of idempotent requests with that deadline
+	Args      []string      // further arguments of the command serve
+	Env       []string      // further environment, NAME=VALUE
 	Files     []*os.File    // descriptors that it inherits, from 3 on
 	Listen    string        // "": any address
 	Admin     string        // address of the admin interface; "": none
 	Tmp       string        // the platform's private folder; "": as this process has it
-	Program   string        // "": the one that experiments run
+	Program   string        // path; "": Env.Croftlock
 	Tier      Tier
 }
 
-// Tier is where a proxy stands among the other proxies of its tier; none: it has no others.
+// Tier is a proxy's place among the proxies of its tier; the zero value: it is alone.
 type Tier struct {
 	Peers  []string // addresses of all proxies of the tier, itself included
 	Number int      // its own place in Peers
@@ -69,10 +68,10 @@
 	peakMemory int64 // most memory that it ever held, once it has ended
 }
 
-// running are the processes that have not ended.
+// running are the started processes that have not ended.
 var running sync.Map
 
-// killAll ends what an experiment has left behind.
+// killAll kills the processes that an experiment has left running.
 func killAll() {
 	running.Range(func(p, _ any) bool {
 		p.(*Process).cmd.Process.Kill()
@@ -80,7 +79,7 @@
 	})
 }
 
-// requestClass is the one class that experiments use.
+// requestClass is the class of requests of experiments with one class.
 const requestClass = "lab"
 
 // Proxy starts a croftlock process and waits until it is ready.
@@ -113,13 +112,13 @@
 	return start(dir, cmd, append(s.Env, "NODE_CONFIG="+path), readyLine)
 }
 
-// readyMark names the line of a log with which a process says that it is ready; its address stands in the line's field.
+// readyMark identifies the log line of a process that is ready; a field of the line is its address.
 type readyMark struct{ event, field string }
 
-// readyLine is that of the proxy and of the relay.
+// readyLine is the ready line of the proxy and of the relay.
 var readyLine = readyMark{event: "event=ready", field: "listen="}
 
-// address is the address in a line, if it is the ready line.
+// address returns the address in a line, if it is the ready line.
 func (m readyMark) address(line string) (addr string, ready bool) {
 	if _, rest, ok := strings.Cut(line, m.field); ok && strings.Contains(line, m.event) {
 		addr, _, _ = strings.Cut(rest, " ")
@@ -128,10 +127,13 @@
 	return "", false
 }
 
-// startLimit is how long a process may take until it is ready.
+// startLimit is how long a process may take to be ready.
 const startLimit = 10 * time.Second
 
-// start runs a command and waits for the line of its log that says that it is ready.
+// stopLimit is how long a process may take to end after SIGTERM.
+const stopLimit = 10 * time.Second
+
+// start runs a command and waits for its ready line.
 func start(dir string, cmd *exec.Cmd, env []string, mark readyMark) (*Process, error) {
 	p := &Process{cmd: cmd, dir: dir, done: make(chan struct{})}
 	cmd.Env = append(os.Environ(), env...)
@@ -149,14 +151,14 @@
 	case p.Addr = <-ready:
 		return p, nil
 	case <-p.done:
-		return nil, fmt.Errorf("it ended before it was ready: %s", strings.Join(p.Log(""), "; "))
+		return nil, fmt.Errorf("the process ended before it was ready: %s", strings.Join(p.Log(""), "; "))
 	case <-time.After(startLimit):
 		p.Kill()
-		return nil, errors.New("it was not ready after 10 s")
+		return nil, fmt.Errorf("the process was not ready after %v", startLimit)
 	}
 }
 
-// follow reads the process's log until its end, sends its address once it is ready, and notes how it ended.
+// follow reads the process's log until its end, sends its address once it is ready, and records how it ended.
 func (p *Process) follow(out io.Reader, mark readyMark, ready chan<- string) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
@@ -179,58 +181,58 @@
 	close(p.done)
 }
 
-// ConfigPath is where its configuration stands.
+// ConfigPath is the path of its configuration file.
 func (p *Process) ConfigPath() string { return filepath.Join(p.dir, "config.json") }
 
-// Log is every line of the log so far that holds what.
-func (p *Process) Log(what string) []string {
+// Log is every line of the log so far that contains the text.
+func (p *Process) Log(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []string
-	for _, l := range p.log {
-		if strings.Contains(l, what) {
-			out = append(out, l)
+	var lines []string
+	for _, line := range p.log {
+		if strings.Contains(line, text) {
+			lines = append(lines, line)
 		}
 	}
-	return out
+	return lines
 }
 
-// Await waits for a line of the log.
-func (p *Process) Await(what string, within time.Duration) bool {
+// Await waits for a log line that contains the text.
+func (p *Process) Await(text string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if len(p.Log(what)) > 0 {
+		if len(p.Log(text)) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Done is closed once it has ended.
+// Done is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err is how it ended: nil in order.
+// Err waits for the process's end, and is nil if its exit status is 0.
 func (p *Process) Err() error {
 	<-p.done
 	return p.exitErr
 }
 
-// Signal sends one.
+// Signal sends the process a signal.
 func (p *Process) Signal(s os.Signal) { p.cmd.Process.Signal(s) }
 
-// Kill ends it at once.
+// Kill ends the process by SIGKILL.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Stop ends it by SIGTERM; an error says that it did not end in order.
+// Stop ends the process by SIGTERM; an error says that it failed, or did not end in time.
 func (p *Process) Stop() error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return p.exitErr
-	case <-time.After(10 * time.Second):
+	case <-time.After(stopLimit):
 		p.Kill()
-		return errors.New("it was still there 10 s after SIGTERM")
+		return fmt.Errorf("the process had not ended %v after SIGTERM", stopLimit)
 	}
 }
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// isolateCPU gives the process a core of its own and this program the others, so that what fakes compute is not taken for
-// a delay of the proxy's. It returns false, and changes nothing, where there are fewer than three cores.
+// isolateCPU gives the process a core of its own and this program the others, so that the fakes do not delay the process. It returns false,
+// and changes nothing, where there are fewer than three cores.
 func (p *Process) isolateCPU() bool {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 3 {
@@ -40,8 +40,7 @@
 	return true
 }
 
-// CPU is the time that all threads have run, from the scheduler's own count in nanoseconds: the usual one ticks in
-// hundredths of a second.
+// CPU is the time that all threads have run, by the scheduler's count in nanoseconds: that in /proc/PID/stat has hundredths of a second.
 func (p *Process) CPU() time.Duration {
 	total := int64(0)
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
@@ -55,7 +54,7 @@
 	return time.Duration(total)
 }
 
-// Memory is what the process holds in memory, in bytes.
+// Memory is the resident memory of the process, in bytes.
 func (p *Process) Memory() int64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for _, l := range strings.Split(string(data), "\n") {
@@ -67,7 +66,7 @@
 	return 0
 }
 
-// Descriptors is how many the process holds.
+// Descriptors is the number of open file descriptors of the process.
 func (p *Process) Descriptors() int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(list)
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -11,28 +11,28 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// proxySite is one proxy with its fakes, which processes may replace one another at.
+// proxySite is one proxy with its hosts and clients. Processes of the proxy replace one another by hot restarts.
 type proxySite struct {
 	*Env
-	upstreams *upstreams
-	setup     Setup
-	current   *Process // that serves
-	admin     string   // address of its admin interface
-	started   int      // processes that were started
-	standing  *standingClients
-	fresh     *answerCounts  // of the clients that come at a rate
-	load      sync.WaitGroup // the goroutines that have them come
-	stop      chan struct{}  // closed at the load's end
+	upstreams  *upstreams
+	setup      Setup
+	current    *Process // that serves
+	admin      string   // address of its admin interface
+	started    int      // number of processes started
+	persistent *persistentClients
+	shortLived *answerCounts  // of the clients that come at a rate
+	load       sync.WaitGroup // the goroutines that have them come
+	stop       chan struct{}  // closed at the load's end
 }
 
-// newProxySite starts it, with standing clients and fresh ones that come at a rate.
+// newProxySite starts the site, with persistent clients and with short-lived ones at a rate, in connections a second.
 func newProxySite(e *Env, rate float64) (*proxySite, error) {
 	f, err := newUpstreams(e, 3, false)
 	if err != nil {
 		return nil, err
 	}
-	s := &proxySite{Env: e, upstreams: f, fresh: newAnswerCounts(), stop: make(chan struct{}),
-		standing: &standingClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, awaitMoves: true,
+	s := &proxySite{Env: e, upstreams: f, shortLived: newAnswerCounts(), stop: make(chan struct{}),
+		persistent: &persistentClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, awaitMigrations: true,
 			returnAfter: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}}}
 	tmp, err := os.MkdirTemp(e.Dir, "tmp")
 	if err != nil {
@@ -45,15 +45,15 @@
 	if s.current, s.admin, err = s.startProcess(); err != nil {
 		return nil, err
 	}
-	if err := s.standing.connect(s.setup.Listen, opsStanding, "", opsTimeout); err != nil {
+	if err := s.persistent.connect(s.setup.Listen, opsPersistent, "", opsTimeout); err != nil {
 		return nil, err
 	}
 	s.startLoad(rate)
 	return s, nil
 }
 
-// unansweredCount is how many fresh connections ended without an answer.
-func (s *proxySite) unansweredCount() int { return s.fresh.count("NONE") }
+// unanswered is the number of short-lived connections that ended without an answer.
+func (s *proxySite) unanswered() int { return s.shortLived.count("NONE") }
 
 // startProcess starts a process of the proxy, with an admin interface of its own.
 func (s *proxySite) startProcess() (*Process, string, error) {
@@ -88,7 +88,7 @@
 	return resp.StatusCode, string(data), time.Since(began), err
 }
 
-// Ready waits until a process says that it is ready.
+// Ready waits until a process's admin interface reports it ready.
 func Ready(admin string, within time.Duration) error {
 	began := time.Now()
 	for time.Since(began) < within {
@@ -100,25 +100,25 @@
 	return fmt.Errorf("not ready after %v", within)
 }
 
-// startLoad has fresh clients come until close, each for a second.
+// startLoad starts short-lived clients at a rate until close. Each stays for a second.
 func (s *proxySite) startLoad(rate float64) {
 	s.load.Add(1)
 	go func() {
 		defer s.load.Done()
-		var all sync.WaitGroup
-		every := time.NewTicker(time.Duration(1e9 / rate))
-		defer every.Stop()
+		var clients sync.WaitGroup
+		ticker := time.NewTicker(time.Duration(1e9 / rate))
+		defer ticker.Stop()
 		for {
 			select {
 			case <-s.stop:
-				all.Wait()
+				clients.Wait()
 				return
-			case <-every.C:
-				all.Add(1)
+			case <-ticker.C:
+				clients.Add(1)
 				go func() {
-					defer all.Done()
+					defer clients.Done()
 					c, a, _ := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
-					s.fresh.add(a, opsTimeout)
+					s.shortLived.add(a, opsTimeout)
 					if c != nil {
 						time.Sleep(time.Second)
 						c.Close()
@@ -137,12 +137,12 @@
 		close(s.stop)
 	}
 	s.load.Wait()
-	s.standing.end()
+	s.persistent.stop()
 	s.current.Stop()
 	s.upstreams.close()
 }
 
-// replace has a new process take the place of the one that serves, as the platform does it.
+// replace is a hot restart as the platform does it: a new process takes over, and the old one gets SIGTERM once the new one is ready.
 func (s *proxySite) replace() (readyIn, leftIn time.Duration, err error) {
 	started := time.Now()
 	p, admin, err := s.startProcess()
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/dataplane/lineproto"
 )
 
-// relayOptions are those of the program that croftlock's TLS is compared with: a plain relay with two goroutines a
-// connection and crypto/tls as it comes. It decides nothing and checks nothing.
+// relayOptions configure the program that croftlock's TLS is compared with: a relay with two goroutines a connection and crypto/tls, without
+// any decisions or checks.
 type relayOptions struct {
 	upstream string // address of the server
 	trust    string // path of the bundle of authorities; "": TCP without TLS
@@ -61,22 +61,22 @@
 		up.Close()
 		c.Close()
 	}()
-	// The same work as the proxy's: whole lines, and what the host's mean.
-	pass(c, up, func(text []byte) { lineproto.ParseHost(text) })
+	// The same work as the proxy's: complete lines, and the host's are parsed.
+	pass(c, up, func(line []byte) { lineproto.ParseHost(line) })
 }
 
-// pass hands lines on until either side ends.
-func pass(to io.Writer, from io.Reader, look func(text []byte)) {
+// pass forwards lines until either side ends. inspect, if not nil, gets each line first.
+func pass(to io.Writer, from io.Reader, inspect func(line []byte)) {
 	in := bufio.NewReaderSize(from, lineproto.MaxLine)
 	for {
-		text, err := in.ReadSlice('\n')
+		line, err := in.ReadSlice('\n')
 		if err != nil {
 			return
 		}
-		if look != nil {
-			look(text)
+		if inspect != nil {
+			inspect(line)
 		}
-		if _, err := to.Write(text); err != nil {
+		if _, err := to.Write(line); err != nil {
 			return
 		}
 	}
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -1,6 +1,5 @@
-// Package experiment holds experiments: each starts real croftlock processes against fakes on loopback, measures, and holds
-// the result against stated bounds. They take from seconds to a few minutes, bounded in count and time, and stay out of
-// the tests.
+// Package experiment holds experiments: each starts croftlock processes with fakes on loopback, measures, and checks the result against
+// bounds. They take from seconds to a few minutes, and are no part of the tests.
 package experiment
 
 import (
@@ -22,27 +21,27 @@
 	Tables  []Table
 	Values  []Value // of the result line
 	Bounds  []Bound
-	Remarks []string // notes for the reader
+	Remarks []string // printed as notes
 }
 
-// Table is one table.
+// Table is a table of the report.
 type Table struct {
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// Value is one figure of the result line.
+// Value is one value of the result line.
 type Value struct{ Key, Text string }
 
-// Bound is something that must hold.
+// Bound is a condition that the result must meet.
 type Bound struct {
-	What     string // what must hold
+	What     string // the condition
 	Kept     bool   `json:"OK"`
-	Measured string `json:"Got"` // as text
+	Measured string `json:"Got"` // value, as text
 }
 
-// Columns begins the table with the given title; a table that has begun keeps its columns.
+// Columns starts the table with the given title, unless it has been started.
 func (r *Report) Columns(title string, names ...string) {
 	for _, t := range r.Tables {
 		if t.Title == title {
@@ -52,7 +51,7 @@
 	r.Tables = append(r.Tables, Table{Title: title, Head: names})
 }
 
-// Row adds a row to the table with the given title, which Columns has begun.
+// Row adds a row to the table with the given title, which Columns has started.
 func (r *Report) Row(title string, cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -67,7 +66,7 @@
 	panic("no table " + title)
 }
 
-// text is a figure as reports show it.
+// text is a value in the form of reports.
 func text(x any) string {
 	switch v := x.(type) {
 	case float64:
@@ -80,15 +79,15 @@
 	return strings.ReplaceAll(fmt.Sprint(x), "\t", " ")
 }
 
-// Set adds a figure to the result line.
+// Set adds a value to the result line.
 func (r *Report) Set(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
 
-// Check states a bound, whether it was kept, and what was measured.
+// Check adds a bound, whether it was kept, and the measured value.
 func (r *Report) Check(kept bool, what string, measured any) {
 	r.Bounds = append(r.Bounds, Bound{what, kept, text(measured)})
 }
 
-// OK returns whether every bound was kept, and that there were any.
+// OK returns whether there are bounds, and all were kept.
 func (r *Report) OK() bool {
 	for _, b := range r.Bounds {
 		if !b.Kept {
@@ -126,7 +125,7 @@
 	fmt.Fprintln(w, line)
 }
 
-// Save keeps the report in a folder, as JSON.
+// Save writes the report into a folder, as JSON.
 func (r *Report) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/testbed/experiment/report_test.go
+++ b/internal/testbed/experiment/report_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A report's JSON keeps its keys, and its result line one form.
+// TestReportForms: a report's JSON keeps its keys, and its result line its form.
 func TestReportForms(t *testing.T) {
 	r := &Report{Name: "trial"}
 	r.Check(true, "a bound", 3)
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Rig is several processes of the program with faults between them.
+// Rig is several processes of the program, with a network between them that can have faults.
 type Rig struct {
 	Mesh   *fake.Mesh
 	Procs  []*Process // the running process of each name
@@ -25,31 +25,31 @@
 	admin  []string // address of each process's admin interface
 
 	mu  sync.Mutex // protects all
-	all []*Process // every incarnation that was started
+	all []*Process // every incarnation that was started, of every name
 }
 
-// RigOptions are what a rig's processes are like.
+// RigOptions configure a rig's processes.
 type RigOptions struct {
 	Processes int        // number of processes
 	Seed      uint64     // of the mesh's random faults
 	Key       string     // seals the datagrams between the processes; "": they are not sealed
-	Sections  string     // more of the settings file; DIR stands for a folder of each process's own
+	Sections  string     // further sections of the settings file; DIR stands for a folder of each process's own
 	Level     string     // of the log; "": info
-	Upstreams *upstreams // whose hosts they serve; nil: none that answers
-	// Discovery is another way to say which hosts; nil: as Fleet has it.
+	Upstreams *upstreams // hosts with their discovery; nil: Discovery, Discoveries, or none that answers
+	// Discovery is that of all processes.
 	Discovery *fake.Discovery
-	// Discoveries are one for each process, in place of one for all: what each hears can differ.
+	// Discoveries are one for each process, so that their lists can differ.
 	Discoveries []*fake.Discovery
 	Env         []string // added to each process's environment
 }
 
-// NewRig starts n processes that know one another through a mesh; env is added to each one's environment. key, if any, seals the
-// datagrams between them.
+// NewRig starts n processes that reach one another through a mesh; env is added to each one's environment. key seals the datagrams between
+// them; "": they are not sealed.
 func NewRig(e *Env, n int, seed uint64, key string, env ...string) (*Rig, error) {
 	return NewRigWith(e, RigOptions{Processes: n, Seed: seed, Key: key, Env: env})
 }
 
-// NewRigWith starts processes that know one another through a mesh.
+// NewRigWith starts processes that reach one another through a mesh.
 func NewRigWith(e *Env, o RigOptions) (*Rig, error) {
 	if o.Level == "" {
 		o.Level = "info"
@@ -103,7 +103,7 @@
 		Settings: settings, Cores: 0.5, Sockets: 1024, MemoryMB: 64, Env: o.Env}, nil
 }
 
-// writeSettings writes process i's settings file and gives its path.
+// writeSettings writes process i's settings file and returns its path.
 func (r *Rig) writeSettings(i int, o RigOptions) (string, error) {
 	keys := ""
 	if o.Key != "" {
@@ -121,7 +121,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// programFor is the program that processes with these sections need: one with a store also votes. "" is the usual one.
+// programFor is the program for processes with these sections: replicas with a disk need croftlock-voter. "": Env.Croftlock.
 func (e *Env) programFor(sections string) string {
 	if strings.Contains(sections, "(dir ") && filepath.Base(e.Croftlock) == "croftlock" {
 		return e.Croftlock + "-voter"
@@ -129,8 +129,8 @@
 	return ""
 }
 
-// hosts are process i's discovery and the endpoint list that it starts with. Without a discovery both name an address that
-// refuses connections.
+// hosts returns the address of process i's discovery, and the endpoint list that it starts with. Without a discovery both name an address
+// that refuses connections.
 func (o *RigOptions) hosts(i int) (discovery string, known fake.List) {
 	d := o.Discovery
 	if o.Upstreams != nil {
@@ -146,7 +146,7 @@
 	return unused, fake.List{Rev: 1, All: true, Targets: []fake.Entry{{UID: "s0", Endpoint: unused, State: "up", Weight: 1}}}
 }
 
-// Dir is a process's own folder, which outlives it.
+// Dir is the folder of a process and its later incarnations.
 func (r *Rig) Dir(i int) string { return filepath.Join(r.dir, fmt.Sprintf("own%d", i)) }
 
 // Admin is the address of a process's admin interface.
@@ -169,7 +169,7 @@
 	return err
 }
 
-// Replace starts another process in a process's place, as a release does, and ends the one before in order.
+// Replace is a hot restart of process i: a new process takes over, and the old one gets SIGTERM.
 func (r *Rig) Replace(i int) error {
 	old := r.Procs[i]
 	if err := r.Start(i); err != nil {
@@ -181,10 +181,10 @@
 	return old.Stop()
 }
 
-// Suspend has a process's operators suspend its one host, or resume it; that state is saved on its disk.
-func (r *Rig) Suspend(i int, out bool) error {
+// Suspend suspends a process's one host by an operator's call, or resumes it; the process saves that on its disk.
+func (r *Rig) Suspend(i int, suspended bool) error {
 	action := "resume"
-	if out {
+	if suspended {
 		action = "suspend"
 	}
 	status, body, _, err := Call(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+action)
@@ -194,10 +194,10 @@
 	return err
 }
 
-// Ask asks a process for its view of the members.
+// Ask requests a process's view of the members.
 func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.RequestReport(r.socket(i)) }
 
-// Owners asks a process about the fleet's owners.
+// Owners sends a request to a process's owner agent.
 func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
 	return owneragent.SendRequest(filepath.Join(r.Dir(i), "owners.sock"), q)
 }
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -19,7 +19,7 @@
 	run      func() error
 }
 
-// Play has a plan's faults happen to real processes, and returns once the last one has ended.
+// Play plays a plan's faults on the processes, and returns once the last one has ended.
 func (r *Rig) Play(plan []simulation.Fault) error {
 	var steps []planStep
 	for _, f := range plan {
@@ -41,14 +41,14 @@
 	return nil
 }
 
-// effect gives what begins and what ends a fault.
+// effect returns what begins and what ends a fault.
 func (r *Rig) effect(f simulation.Fault) (begin, end func() error, err error) {
 	if begin, end = r.processEffect(f); begin != nil {
 		return begin, end, nil
 	}
 	which, change := linkEffect(f)
 	if change == nil {
-		return nil, nil, fmt.Errorf("%s happens in virtual time only", f.Kind)
+		return nil, nil, fmt.Errorf("fault %s can only be simulated", f.Kind)
 	}
 	set := func(on bool) func() error {
 		return func() error {
@@ -59,7 +59,7 @@
 	return set(true), set(false), nil
 }
 
-// processEffect is a fault of one process; nil for another kind of fault.
+// processEffect is the effect of a fault of one process; nil for another kind of fault.
 func (r *Rig) processEffect(f simulation.Fault) (begin, end func() error) {
 	nothing := func() error { return nil }
 	signal := func(s syscall.Signal) func() error {
@@ -81,18 +81,19 @@
 	return nil, nil
 }
 
-// limitFiles limits the size of files that process i may write, in bytes. It stands for a full disk: each write beyond fails at
-// once. It needs no privileges.
-func (r *Rig) limitFiles(i int, most uint64) func() error {
+// limitFiles limits the size of files that process i may write, in bytes. It stands for a full disk: writes beyond the limit fail. It needs
+// no privileges.
+func (r *Rig) limitFiles(i int, maxBytes uint64) func() error {
 	return func() error {
-		return unix.Prlimit(r.Procs[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+		return unix.Prlimit(r.Procs[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
 // slowJitter is the most by which the fault "slow" delays a datagram.
 const slowJitter = 100 * time.Millisecond
 
-// linkEffect is a fault of links: the links that it touches, and how one changes when it begins and ends. nil for another kind.
+// linkEffect is the effect of a fault of links: the links that it affects, and the change of each at its beginning and end. nil for another
+// kind of fault.
 func linkEffect(f simulation.Fault) (which func(from, to int) bool, change func(l *fake.Link, on bool)) {
 	cut := func(l *fake.Link, on bool) { l.Cut = on }
 	all := func(int, int) bool { return true }
@@ -127,7 +128,7 @@
 	return nil, nil
 }
 
-// setLinks changes those links between two processes that which picks.
+// setLinks changes the links that which selects.
 func (r *Rig) setLinks(which func(from, to int) bool, change func(l *fake.Link)) {
 	for i := range r.Procs {
 		for j := range r.Procs {
@@ -138,12 +139,12 @@
 	}
 }
 
-// Cut cuts a process from all others, in both directions, or heals that.
+// Cut cuts a process off from all others, in both directions, or ends that.
 func (r *Rig) Cut(i int, on bool) {
 	r.setLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
-// FillDisk gives what makes a process's disk full, and what gives it room again.
+// FillDisk returns what makes a process's disk full, and what ends that.
 func (r *Rig) FillDisk(i int) (begin, end func() error) {
 	return r.limitFiles(i, 0), r.limitFiles(i, unix.RLIM_INFINITY)
 }
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/operations/settings"
 )
 
-// ReadPlan reads a plan of faults: S-expressions as simulation.Fault prints them, times in milliseconds. An error names the file and
-// the position at fault.
+// ReadPlan parses a plan of faults: S-expressions as simulation.Fault prints them, times in milliseconds. An error names the file and the
+// position.
 func ReadPlan(name string, data []byte, processes int) ([]simulation.Fault, error) {
 	root, faults := settings.Parse(name, data)
 	if err := faults.Err(); err != nil {
@@ -28,7 +28,7 @@
 	return plan, nil
 }
 
-// readFault reads one line of a plan.
+// readFault parses one line of a plan.
 func readFault(line *settings.Node, processes int) (f simulation.Fault, err error) {
 	words := line.Values()
 	if len(words) == 0 || len(words[0].Values()) > 0 {
@@ -52,7 +52,7 @@
 // maxPlanNumber bounds the numbers of a plan: 1e9 ms are eleven days.
 const maxPlanNumber = 1e9
 
-// readFaultField reads one (NAME NUMBER) into the fault.
+// readFaultField parses one (NAME NUMBER) into the fault.
 func readFaultField(f *simulation.Fault, words []*settings.Node) error {
 	if len(words) != 2 {
 		return errors.New("expected (NAME NUMBER)")
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// PlanText is a plan as ReadPlan reads it.
+// PlanText is a plan in the form that ReadPlan parses.
 func PlanText(plan []simulation.Fault) string {
 	var b bytes.Buffer
 	for _, p := range plan {
--- a/internal/testbed/experiment/rigplan_test.go
+++ b/internal/testbed/experiment/rigplan_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/membership/simulation"
 )
 
-// A plan that is printed reads as the same plan.
+// TestPlanReadsAsPrinted: a printed plan is parsed as the same plan.
 func TestPlanReadsAsPrinted(t *testing.T) {
 	plan := []simulation.Fault{{Kind: "cut", StartMS: 100, DurationMS: 2000, Process: 1}, {Kind: "loss", StartMS: 5, DurationMS: 7, Amount: 0.25}}
 	got, err := ReadPlan("plan", []byte(PlanText(plan)), 3)
@@ -14,11 +14,11 @@
 		t.Fatal(err)
 	}
 	if len(got) != len(plan) || got[0] != plan[0] || got[1] != plan[1] {
-		t.Errorf("%v reads as %v", plan, got)
+		t.Errorf("plan %v is parsed as %v", plan, got)
 	}
 }
 
-// Each error names the file, the line and what is wrong there.
+// TestPlanErrors: each error names the file, the position and the fault.
 func TestPlanErrors(t *testing.T) {
 	for _, c := range []struct{ plan, want string }{
 		{"()", "expected (KIND (at MS) (for MS) (a N) ...)"},
@@ -32,12 +32,12 @@
 	} {
 		_, err := ReadPlan("plan", []byte(c.plan), 3)
 		if err == nil || err.Error() != "plan:{1 1}: "+c.want {
-			t.Errorf("%s: got %v, want plan:{1 1}: %s", c.plan, err, c.want)
+			t.Errorf("plan %s: error %v, want plan:{1 1}: %s", c.plan, err, c.want)
 		}
 	}
 }
 
-// Each fault of links touches the links that its kind says, in their direction.
+// TestLinkEffects: each kind of fault affects its links alone, in their direction.
 func TestLinkEffects(t *testing.T) {
 	const victim, peer, other = 1, 2, 0
 	for _, c := range []struct {
@@ -55,10 +55,10 @@
 			t.Fatalf("%s has no effect", c.kind)
 		}
 		if which(victim, other) != c.out || which(other, victim) != c.in || which(victim, peer) != c.toPeer || which(peer, other) != c.far {
-			t.Errorf("%s touches other links", c.kind)
+			t.Errorf("fault %s affects other links than its own", c.kind)
 		}
 	}
 	if _, change := linkEffect(simulation.Fault{Kind: "kill"}); change != nil {
-		t.Error("a death changes links")
+		t.Error("fault kill changes links")
 	}
 }
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -11,20 +11,20 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// cutOutcome is what came of one fault, played again and again with a change under way each time.
+// cutOutcome is the outcome of one fault, played repeatedly beside changes.
 type cutOutcome struct {
 	played   int
 	active   []time.Duration // until the change was active
 	heals    []time.Duration // from the fault's end until all act by the change
-	unknown  int             // changes that nobody answered
-	rejected int             // changes that the coordinator rejected
+	unknown  int             // changes whose outcome no process knew
+	rejected int             // changes that the publisher rejected
 }
 
-// cutFault is one fault that is played beside changes.
+// cutFault is a fault that is played beside changes.
 type cutFault struct {
 	name  string
 	turns int
-	kind  string // as simulation.Fault has it, or pause or kill, which the turn itself plays
+	kind  string // of simulation.Fault, or pause or kill, which playUntilEnd plays
 	lasts time.Duration
 }
 
@@ -37,20 +37,21 @@
 func cutSuites() []cutSuite {
 	const ms = time.Millisecond
 	return []cutSuite{
-		{"when_cut refuse, votes in memory", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
-			{"cut off in both directions, 1.5 s", 20, "cut", 1500 * ms}, {"hears nothing, 1.5 s", 20, "deaf", 1500 * ms}, {"is not heard, 1.5 s", 20, "mute", 1500 * ms},
-			{"stopped, 1 s", 20, "pause", 1000 * ms}, {"stopped, 10 s", 1, "pause", 10000 * ms}, {"the keeper killed", 8, "kill", 0}}},
+		{"when_cut refuse, replicas without disks", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
+			{"cut off in both directions, 1.5 s", 20, "cut", 1500 * ms}, {"inbound cut, 1.5 s", 20, "deaf", 1500 * ms}, {"outbound cut, 1.5 s", 20, "mute", 1500 * ms},
+			{"paused, 1 s", 20, "pause", 1000 * ms}, {"paused, 10 s", 1, "pause", 10000 * ms}, {"publisher killed", 8, "kill", 0}}},
 		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{
-			{"cut off in both directions, 1.5 s, and keeps", 8, "cut", 1500 * ms}}},
-		{"votes on disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
+			{"cut off in both directions, 1.5 s, rules kept", 8, "cut", 1500 * ms}}},
+		{"replicas with disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
 	}
 }
 
-const rulesCutTable = "a change beside each fault; five processes, three voters, agree_within 1 s"
+const rulesCutTable = "a change beside each fault; five processes, three replicas, agree_within 1 s"
 
-// rulesCut plays each cut, pause and loss of a process beside a change: never over the bound, and all agree again soon after.
+// rulesCut plays each cut, pause and death of a process beside a change, and checks that versions overlap no longer than agree_within and
+// that all agree soon after the fault.
 func rulesCut(e *Env, r *Report) error {
-	r.Columns(rulesCutTable, "fault", "turns", "active after, p50 p99", "no word, refused", "all agree after its end, p50 p99", "side by side, longest", "no answer")
+	r.Columns(rulesCutTable, "fault", "turns", "active after, p50 p99", "unknown, rejected", "all agree after its end, p50 p99", "two versions at once, longest", "no answer")
 	for _, s := range cutSuites() {
 		if err := s.play(e, r); err != nil {
 			return err
@@ -68,103 +69,103 @@
 	defer g.Close()
 	var rows [][]any
 	for _, f := range s.faults {
-		o, err := g.play(f)
+		o, err := g.playFault(f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		rows = append(rows, []any{f.name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals)})
-		if f.kind != "full" { // there it waits for the voters to open their stores again
+		if f.kind != "full" { // there it waits until the replicas reopen their stores
 			r.Check(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
 		}
 	}
-	a := g.end()
-	_, longest := a.overlaps()
+	outcome := g.finish()
+	_, longest := outcome.overlaps()
 	for _, row := range rows {
-		r.Row(rulesCutTable, append(row, longest, a.unanswered)...)
+		r.Row(rulesCutTable, append(row, longest, outcome.unanswered)...)
 	}
-	r.Check(longest <= agreeWithin, s.name+": no act by an older version for longer than agree_within after the first by a newer", longest)
-	r.Check(a.unanswered == 0, s.name+": each request gets an answer", a.unanswered)
-	r.Check(a.lapsedDecisions > 0, s.name+": who has no right acts by none, or says that it has lapsed", a.lapsedDecisions)
+	r.Check(longest <= agreeWithin, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
+	r.Check(outcome.unanswered == 0, s.name+": each request gets an answer", outcome.unanswered)
+	r.Check(outcome.lapsedDecisions > 0, s.name+": a process without a valid lease decides as such", outcome.lapsedDecisions)
 	return nil
 }
 
-// play has a fault happen so many times, each time at another process, with a change put while it lasts.
-func (g *rulesRig) play(f cutFault) (*cutOutcome, error) {
+// playFault plays all turns of a fault.
+func (g *rulesRig) playFault(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
 	for ; o.played < f.turns; o.played++ {
-		if err := g.cutTurn(f, o, rng); err != nil {
+		if err := g.playTurn(f, o, rng); err != nil {
 			return nil, err
 		}
 	}
 	return o, nil
 }
 
-// cutTurn has a fault happen once beside a change, and waits until all act by one version again.
-func (g *rulesRig) cutTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
-	victim, by, err := g.pickVictim(f, o.played, rng)
+// playTurn plays a fault once, at a drawn process, proposes a change while it lasts, and waits until all act by one version again.
+func (g *rulesRig) playTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
+	victim, via, err := g.pickVictim(f, o.played, rng)
 	if err != nil {
 		return err
 	}
-	version, err := g.awaitAgreement(by)
+	version, err := g.awaitAgreement(via)
 	if err != nil {
 		return err
 	}
-	end, err := g.strike(f, victim)
+	end, err := g.inject(f, victim)
 	if err != nil {
 		return err
 	}
 	began, answer := time.Now(), make(chan string, 1)
 	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
 	change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
-	go func() { answer <- g.query(by, change) }()
-	if err := g.sitOut(f, victim, began, rng); err != nil {
+	go func() { answer <- g.query(via, change) }()
+	if err := g.playUntilEnd(f, victim, began, rng); err != nil {
 		return err
 	}
 	if err := end(); err != nil {
 		return err
 	}
-	// Any process may be the one that has lost its way to the coordinator, and then waits for an answer: all are asked.
-	heal, ok := g.awaitAnswer(ownersWait, func(s string) bool { return strings.Contains(s, " at 5 of 5") })
+	// Any process may have lost its connection to the publisher, and then waits for an answer: all are queried.
+	heal, ok := g.awaitAnswer(ownersWait, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
 	if !ok {
-		return fmt.Errorf("all do not act by one version once all is well: %s", g.query(by, rules.QueryActive()))
+		return fmt.Errorf("processes act by different versions after the fault: %s", g.query(via, rules.QueryActive()))
 	}
 	o.heals = append(o.heals, heal)
-	switch got := <-answer; {
-	case strings.HasPrefix(got, "active: "):
+	switch text := <-answer; {
+	case strings.HasPrefix(text, "active: "):
 		o.active = append(o.active, time.Since(began))
-	case strings.HasPrefix(got, "refused: "):
+	case strings.HasPrefix(text, "refused: "):
 		o.rejected++
 		return nil
 	default:
 		o.unknown++
-		if err := g.repeat(by, change); err != nil {
+		if err := g.retryChange(via, change); err != nil {
 			return err
 		}
 	}
-	return g.awaitVersion(by, version+1)
+	return g.awaitVersion(via, version+1)
 }
 
-// pickVictim gives the process that the fault strikes, and another by way of which the change is put.
-func (g *rulesRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, by int, err error) {
+// pickVictim draws the process with the fault, and another one through which the change is proposed.
+func (g *rulesRig) pickVictim(f cutFault, turn int, rng *rand.Rand) (victim, via int, err error) {
 	victim = rng.IntN(5)
 	if f.kind == "kill" {
 		owners, conflict := g.JobOwners()
-		coordinator, is := owners["rules"]
-		if !is {
-			return 0, 0, fmt.Errorf("nobody keeps the rules: %s", conflict)
+		publisher, owned := owners["rules"]
+		if !owned {
+			return 0, 0, fmt.Errorf("the rules' job has no owner: %s", conflict)
 		}
-		victim = coordinator
+		victim = publisher
 	}
-	by = (victim + 1 + rng.IntN(4)) % 5
+	via = (victim + 1 + rng.IntN(4)) % 5
 	if f.kind == "full" {
-		victim, by = turn%3, 3 // a voter, and a process that does not vote
+		victim, via = turn%3, 3 // a replica, and a process that is none
 	}
-	return victim, by, nil
+	return victim, via, nil
 }
 
-// sitOut lets the fault last: stops and deaths happen here.
-func (g *rulesRig) sitOut(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
+// playUntilEnd waits for the fault's end. Pauses and kills are played here.
+func (g *rulesRig) playUntilEnd(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
 		g.pause(victim, f.lasts)
@@ -177,35 +178,35 @@
 	return nil
 }
 
-// repeat puts a change that nobody answered until it is active: twice is as once.
-func (g *rulesRig) repeat(by int, change []byte) error {
-	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.query(by, change), "active: ") }); !ok {
-		return fmt.Errorf("a change that nobody answered can't be made once all is well: %s", g.query(by, change))
+// retryChange retries a change whose outcome is unknown until it is active: a change is idempotent.
+func (g *rulesRig) retryChange(via int, change []byte) error {
+	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
+		return fmt.Errorf("a change of unknown outcome fails after the fault: %s", g.query(via, change))
 	}
 	return nil
 }
 
 // awaitVersion waits until all act by a version.
-func (g *rulesRig) awaitVersion(by int, version uint64) error {
+func (g *rulesRig) awaitVersion(via int, version uint64) error {
 	want := fmt.Sprintf("active: version %d at 5 of 5", version)
-	if _, ok := g.awaitAnswer(ownersWait, func(s string) bool { return strings.HasPrefix(s, want) }); !ok {
-		return fmt.Errorf("all do not act by version %d: %s", version, g.query(by, rules.QueryActive()))
+	if _, ok := g.awaitAnswer(ownersWait, func(answer string) bool { return strings.HasPrefix(answer, want) }); !ok {
+		return fmt.Errorf("not all act by version %d: %s", version, g.query(via, rules.QueryActive()))
 	}
 	return nil
 }
 
-// strike begins a fault at a process, and gives what ends it; stops and deaths are played by the turn itself.
-func (g *rulesRig) strike(f cutFault, i int) (end func() error, err error) {
-	at := []int{i}
+// inject starts a fault at a process, and returns what ends it. Pauses and kills are left to playUntilEnd.
+func (g *rulesRig) inject(f cutFault, i int) (end func() error, err error) {
+	processes := []int{i}
 	switch f.kind {
 	case "pause", "kill":
-		at = nil
+		processes = nil
 	case "full":
-		at = append(at, (i+1)%3)
+		processes = append(processes, (i+1)%3)
 	}
 	var ends []func() error
-	for _, a := range at {
-		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, Process: a})
+	for _, process := range processes {
+		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, Process: process})
 		if err == nil {
 			err = begin()
 		}
@@ -222,15 +223,15 @@
 	}, nil
 }
 
-// awaitAgreement waits until all act by one version, and gives it.
-func (g *rulesRig) awaitAgreement(by int) (at uint64, err error) {
-	got := ""
+// awaitAgreement waits until all act by one version, and returns it.
+func (g *rulesRig) awaitAgreement(via int) (version uint64, err error) {
+	answer := ""
 	if _, ok := Until(ownersWait, func() bool {
-		got = g.query(by, rules.QueryActive())
-		n, _ := fmt.Sscanf(got, "active: version %d at 5 of 5", &at)
+		answer = g.query(via, rules.QueryActive())
+		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1
 	}); !ok {
-		return 0, fmt.Errorf("all do not act by one version: %s", got)
+		return 0, fmt.Errorf("processes act by different versions: %s", answer)
 	}
-	return at, nil
+	return version, nil
 }
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// rulesOutcome is what came of one case: what the clients and operators got, and what the logs say of the decisions.
+// rulesOutcome is the outcome of one case: the answers to clients and operators, and the decisions in the logs.
 type rulesOutcome struct {
 	mu             sync.Mutex // protects what clients and operators add
 	unanswered     int        // clients without an answer
@@ -17,7 +17,7 @@
 	changeTimes    []time.Duration // until a change was active
 
 	decisions       int
-	lapsedDecisions int             // decisions without a lease
+	lapsedDecisions int             // decisions without a valid lease
 	overlapTimes    []time.Duration // for each decision by an older version: how long after the first by a newer one
 }
 
@@ -27,10 +27,10 @@
 	version int
 }
 
-// readLogs takes the decisions from the logs of all incarnations: the checker knows nothing else of the program.
+// readLogs reads the decisions from the logs of all incarnations. The check uses nothing else of the program.
 func (o *rulesOutcome) readLogs(all []*Process) {
 	var decisions []ruleDecision
-	first := map[int]time.Time{} // decision by each version
+	first := map[int]time.Time{} // first decision, by version
 	for _, p := range all {
 		for _, l := range p.Log("event=rules_applied") {
 			if field(l, "lapsed") == "true" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// firstByNewer gives, for each version, the first decision by any newer one; the zero time for the newest.
+// firstByNewer returns, for each version, the time of the first decision by any newer one; the zero time for the newest.
 func firstByNewer(first map[int]time.Time) map[int]time.Time {
 	versions := make([]int, 0, len(first))
 	for v := range first {
@@ -72,7 +72,7 @@
 	return newer
 }
 
-// overlaps are the times for which versions were applied side by side, and the longest.
+// overlaps are the times for which two versions were applied at once, and the longest of them.
 func (o *rulesOutcome) overlaps() (all []time.Duration, longest time.Duration) {
 	if len(o.overlapTimes) > 0 {
 		longest = slices.Max(o.overlapTimes)
@@ -80,7 +80,7 @@
 	return o.overlapTimes, longest.Round(time.Millisecond)
 }
 
-// percentile is the time that a part q of all does not exceed.
+// percentile is the time that a part q of all times does not exceed.
 func percentile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"fmt"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -12,18 +11,18 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// rulesRig is five processes that agree on rules, under placements, and what came of it.
+// rulesRig is five processes that agree on rules, with clients at each, and the outcome.
 type rulesRig struct {
 	*Rig
 	*rulesOutcome
-	down     [5]atomic.Bool // processes that are stopped or dead: clients leave them alone
-	stopping atomic.Bool    // the workers end
+	down     [5]atomic.Bool // processes that are paused or killed: clients do not use them
+	stopping atomic.Bool    // the workers are to end
 	workers  sync.WaitGroup
-	closers  []func()
+	hosts    *fake.Hosts
 }
 
-// newRulesRig starts four hosts, their discovery, the processes and, once these agree, clients at each. planted names a fault that the
-// processes have, which the experiment has to find; "": none.
+// newRulesRig starts four hosts, the processes and, once these agree, clients at each. planted is a fault of the processes that the
+// experiment has to find; "": none.
 func newRulesRig(e *Env, sections, planted string) (g *rulesRig, err error) {
 	g = &rulesRig{rulesOutcome: &rulesOutcome{}}
 	defer func() {
@@ -31,21 +30,10 @@
 			g.Close()
 		}
 	}()
-	var entries []fake.Entry
-	for i := range 4 {
-		s, err := fake.NewServer(fmt.Sprint("s", i), "z", nil)
-		if err != nil {
-			return nil, err
-		}
-		g.closers = append(g.closers, s.Close)
-		entries = append(entries, s.Entry())
-	}
-	d, err := fake.NewDiscovery(entries...)
-	if err != nil {
+	if g.hosts, err = fake.NewHosts("z", "s0", "s1", "s2", "s3"); err != nil {
 		return nil, err
 	}
-	g.closers = append(g.closers, d.Close)
-	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, Level: "debug", Discovery: d, Sections: sections}
+	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, Level: "debug", Discovery: g.hosts.Discovery, Sections: sections}
 	if planted != "" {
 		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=" + planted}
 	}
@@ -69,24 +57,24 @@
 	go func() { defer g.workers.Done(); f() }()
 }
 
-// query asks the coordinator by way of a process.
+// query sends a query to the rules' publisher through process i, and returns the answer or the error.
 func (g *rulesRig) query(i int, body []byte) string {
-	rep, err := g.Owners(i, owneragent.Request{Command: "rules", Rules: body})
+	reply, err := g.Owners(i, owneragent.Request{Command: "rules", Rules: body})
 	if err != nil {
 		return "unknown: " + err.Error()
 	}
-	return rep.Answer + rep.Error
+	return reply.Answer + reply.Error
 }
 
-// awaitAnswer waits until some process answers in such a way which version is active; it returns how long that took, and whether it did in
-// time.
-func (g *rulesRig) awaitAnswer(within time.Duration, is func(answer string) bool) (time.Duration, bool) {
+// awaitAnswer waits until some process's answer about the active version meets a condition; it returns how long that took, and whether it
+// did in time.
+func (g *rulesRig) awaitAnswer(within time.Duration, holds func(answer string) bool) (time.Duration, bool) {
 	began, found := time.Now(), make(chan time.Duration, len(g.Procs))
-	var over atomic.Bool
+	var ended atomic.Bool
 	for i := range g.Procs {
 		go func() {
-			for !over.Load() {
-				if is(g.query(i, rules.QueryActive())) {
+			for !ended.Load() {
+				if holds(g.query(i, rules.QueryActive())) {
 					found <- time.Since(began)
 					return
 				}
@@ -94,7 +82,7 @@
 			}
 		}()
 	}
-	defer over.Store(true)
+	defer ended.Store(true)
 	select {
 	case took := <-found:
 		return took, true
@@ -103,7 +91,7 @@
 	}
 }
 
-// pause stops a process for a time.
+// pause pauses a process for a time.
 func (g *rulesRig) pause(i int, d time.Duration) {
 	g.down[i].Store(true)
 	g.Procs[i].Signal(syscall.SIGSTOP)
@@ -113,7 +101,7 @@
 	g.down[i].Store(false)
 }
 
-// restart kills a process and starts it anew.
+// restart kills a process and starts it again.
 func (g *rulesRig) restart(i int) error {
 	g.down[i].Store(true)
 	defer g.down[i].Store(false)
@@ -121,8 +109,8 @@
 	return g.Start(i)
 }
 
-// end ends the placements and reads all logs.
-func (g *rulesRig) end() *rulesOutcome {
+// finish ends the clients, reads all logs and returns the outcome.
+func (g *rulesRig) finish() *rulesOutcome {
 	g.stopping.Store(true)
 	g.workers.Wait()
 	g.Rig.mu.Lock()
@@ -131,14 +119,14 @@
 	return g.rulesOutcome
 }
 
-// Close ends all of it.
+// Close ends the clients, the processes and the hosts.
 func (g *rulesRig) Close() {
 	g.stopping.Store(true)
 	g.workers.Wait()
 	if g.Rig != nil {
 		g.Rig.Close()
 	}
-	for _, f := range g.closers {
-		f()
+	if g.hosts != nil {
+		g.hosts.Close()
 	}
 }
--- a/internal/testbed/experiment/samples.go
+++ b/internal/testbed/experiment/samples.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// samples are figures of the same kind: repeats, or a sample.
+// samples are repeated measurements of the same value.
 type samples []float64
 
 func (s samples) sorted() samples {
@@ -14,10 +14,10 @@
 	return out
 }
 
-// median is the middle one.
+// median is the value that half of all do not exceed.
 func (s samples) median() float64 { return s.quantile(0.5) }
 
-// quantile is the figure that a part q of all does not exceed.
+// quantile is the value that a part q of all does not exceed.
 func (s samples) quantile(q float64) float64 {
 	if len(s) == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return o[min(len(o)-1, int(q*float64(len(o))))]
 }
 
-// String gives the median with the least and the most.
+// String is the median with the smallest and the largest value.
 func (s samples) String() string {
 	if len(s) == 0 {
 		return "-"
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%.3g (%.3g to %.3g)", s.median(), o[0], o[len(o)-1])
 }
 
-// spread gives the median with the first and last tenth cut off, to so many places.
+// spread is the median with the 10% and 90% quantiles, with a number of decimal places.
 func (s samples) spread(places int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", places, s.median(), places, s.quantile(0.1), places, s.quantile(0.9))
 }
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"runtime"
 	"slices"
 	"sync"
 	"time"
@@ -35,7 +34,7 @@
 	plant        string // in plants: a fault that the simulation has to find
 }
 
-// run plays the plans, as many side by side as there are cores, and prints the sums.
+// run plays the plans, on all cores, and prints the sums.
 func (o *simOptions) run(out io.Writer) error {
 	plant, known := plants[o.plant]
 	if !known {
@@ -43,24 +42,12 @@
 	}
 	began := time.Now()
 	sum := simSum{out: out, show: o.show}
-	next := make(chan uint64)
-	var busy sync.WaitGroup
-	for range runtime.GOMAXPROCS(0) {
-		busy.Add(1)
-		go func() {
-			defer busy.Done()
-			for seed := range next {
-				c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
-				plant(&c)
-				sum.play(c)
-			}
-		}()
-	}
-	for seed := o.first; seed < o.first+o.seeds; seed++ {
-		next <- uint64(seed)
-	}
-	close(next)
-	busy.Wait()
+	onAllCores(o.first, o.first+o.seeds, func(i int) {
+		seed := uint64(i)
+		c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
+		plant(&c)
+		sum.play(c)
+	})
 	sum.print(o, time.Since(began))
 	if sum.failed > 0 {
 		return fmt.Errorf("first found at seed %d", sum.firstFailed)
@@ -68,7 +55,7 @@
 	return nil
 }
 
-// simSum adds up what came of the plans.
+// simSum adds up the plans' results.
 type simSum struct {
 	out  io.Writer
 	show int // failures that are printed
@@ -76,10 +63,10 @@
 	mu          sync.Mutex
 	run         simulation.Run // sums
 	failed      int
-	firstFailed uint64 // least seed that failed
+	firstFailed uint64 // smallest seed that failed
 }
 
-// play plays one plan and adds what came of it.
+// play plays one plan and adds its result.
 func (s *simSum) play(c simulation.Config) {
 	r := simulation.New(c)
 	plan := r.Faults()
@@ -87,7 +74,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.fail(c.Seed, plan, err)
+		s.recordFailure(c.Seed, plan, err)
 	}
 	s.run.Effects += r.Effects
 	s.run.Rejected += r.Rejected
@@ -98,8 +85,8 @@
 	s.run.Gaps = append(s.run.Gaps, r.Gaps...)
 }
 
-// fail notes a plan that failed, and prints the first ones.
-func (s *simSum) fail(seed uint64, plan []simulation.Fault, err error) {
+// recordFailure records a plan that failed, and prints the first ones.
+func (s *simSum) recordFailure(seed uint64, plan []simulation.Fault, err error) {
 	if s.failed == 0 || seed < s.firstFailed {
 		s.firstFailed = seed
 	}
@@ -115,10 +102,10 @@
 // print writes the sums.
 func (s *simSum) print(o *simOptions, took time.Duration) {
 	slices.Sort(s.run.Gaps)
-	fmt.Fprintf(s.out, "%d plans from %d on in %v: %d failed; %d effects taken, %d old ones refused, %d beginnings, %d notes kept, %d leads, %d of them unsure\n",
+	fmt.Fprintf(s.out, "%d plans from seed %d on in %v: %d failed; %d effects accepted, %d stale ones rejected, %d jobs started, %d checkpoints stored, %d elections, %d of them uncertain\n",
 		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.Effects, s.run.Rejected, s.run.Starts, s.run.Checkpoints, s.run.Elections, s.run.UncertainElections)
 	if n := len(s.run.Gaps); n > 0 {
-		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans cut majorities off, too)\n", n, s.run.Gaps[n/2]/simulation.Ms, s.run.Gaps[n*99/100]/simulation.Ms)
+		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans also cut majorities off)\n", n, s.run.Gaps[n/2]/simulation.Ms, s.run.Gaps[n*99/100]/simulation.Ms)
 	}
 }
 
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// badCase is a bad server, or a fault of the proxy's own files, and the reason that the proxy's log has to give.
+// badCase is a faulty server, or a fault of the proxy's own files, and the reason that the proxy has to log.
 type badCase struct {
 	server fake.Fault
 	own    ownFault
@@ -30,45 +30,45 @@
 	ownRevocationStale ownFault = "own-revocation-list-ran-out"
 )
 
-// badCases are all faults of servers, then those of the proxy's own files, with which it may reach nobody.
+// badCases are all faults of servers, then those of the proxy's own files, with which it may connect to no server.
 func badCases() (cases []badCase) {
 	for _, f := range fake.Faults() {
 		cases = append(cases, badCase{f, noOwnFault, f.Reason})
 	}
-	nobody := func(net.Conn, *tls.Config) {}
+	unused := func(net.Conn, *tls.Config) {}
 	return append(cases,
-		badCase{fake.Fault{Kind: string(ownExpired), Serve: nobody}, ownExpired, "own_certificate_expired"},
-		badCase{fake.Fault{Kind: string(ownRevocationStale), Serve: nobody}, ownRevocationStale, "own_trust_unusable"})
+		badCase{fake.Fault{Kind: string(ownExpired), Serve: unused}, ownExpired, "own_certificate_expired"},
+		badCase{fake.Fault{Kind: string(ownRevocationStale), Serve: unused}, ownRevocationStale, "own_trust_unusable"})
 }
 
-// badOutcome is what came of a case.
+// badOutcome is the outcome of a case.
 type badOutcome struct {
 	answer, reason string // the client's answer, and the reason in the log
-	connections    int64  // that the server saw
-	requestBytes   int64  // that the server saw
+	connections    int64  // that the server accepted
+	requestBytes   int64  // that the server could read
 	took           time.Duration
 	err            error
 }
 
-// asStated returns whether the case ended as it has to.
-func (c *badCase) asStated(o badOutcome) bool {
-	reached := o.connections > 0
-	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && reached == (c.own == noOwnFault) && o.reason == c.reason
+// asExpected returns whether the case ended as it has to.
+func (c *badCase) asExpected(o badOutcome) bool {
+	connected := o.connections > 0
+	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && connected == (c.own == noOwnFault) && o.reason == c.reason
 }
 
-// badAtOnce is how many cases are played side by side.
-const badAtOnce = 3
+// badInParallel is how many cases are played in parallel.
+const badInParallel = 3
 
-// tlsBad has a proxy meet every bad server, each in a process of its own, and then faults of its own.
+// tlsBad plays each case with a proxy process of its own.
 func tlsBad(e *Env, r *Report) error {
 	cases := badCases()
 	outcomes := make([]badOutcome, len(cases))
-	turns := make(chan struct{}, badAtOnce)
-	var all sync.WaitGroup
+	turns := make(chan struct{}, badInParallel)
+	var plays sync.WaitGroup
 	for i := range cases {
-		all.Add(1)
+		plays.Add(1)
 		go func() {
-			defer all.Done()
+			defer plays.Done()
 			turns <- struct{}{}
 			defer func() { <-turns }()
 			var err error
@@ -76,20 +76,20 @@
 			outcomes[i].err = err
 		}()
 	}
-	all.Wait()
+	plays.Wait()
 	bytes, bad := int64(0), 0
-	const title = "bad servers; the client waits 2 s, connects may take 0.25 s"
-	r.Columns(title, "server", "client's answer", "after", "reason in the log", "connections", "request bytes seen", "as stated")
+	const title = "faulty servers; the client waits 2 s, connects may take 0.25 s"
+	r.Columns(title, "server", "client's answer", "after", "logged reason", "connections", "readable request bytes", "as expected")
 	for i, o := range outcomes {
-		ok := cases[i].asStated(o)
+		ok := cases[i].asExpected(o)
 		r.Row(title, cases[i].server.Kind, o.answer, o.took, o.reasonText(), o.connections, o.requestBytes, ok)
 		bytes += o.requestBytes
 		if !ok {
 			bad++
 		}
 	}
-	r.Check(bad == 0, "every bad server ends in the stated outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
-	r.Check(bytes == 0, "no byte of a request was seen by any", bytes)
+	r.Check(bad == 0, "every case ends in the expected outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
+	r.Check(bytes == 0, "no server could read a byte of a request", bytes)
 	r.Set("servers", len(cases))
 	r.Set("request_bytes_seen", bytes)
 	return nil
@@ -101,12 +101,12 @@
 	case o.err != nil:
 		return o.err.Error()
 	case o.reason == "":
-		return "(stood, then broke)"
+		return "(established, then broken)"
 	}
 	return o.reason
 }
 
-// play has a proxy of its own meet the server.
+// play sends one request through a proxy to the faulty server.
 func (c *badCase) play(e *Env) (o badOutcome, err error) {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
@@ -136,12 +136,12 @@
 		client.Close()
 	}
 	if c.reason != "" {
-		p.Await(" reason=", 2*time.Second) // the log comes by another way than the answer
+		p.Await(" reason=", 2*time.Second) // the log may arrive after the answer
 	}
 	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Took}, err
 }
 
-// firstReason is the reason of the first failed handshake in a proxy's log, or else of its first fault of its own.
+// firstReason is the reason of the first failed handshake in a proxy's log, or else of the first fault of its own files.
 func firstReason(p *Process) string {
 	lines := append(p.Log("event=tls_failed"), p.Log("event=tls_own_fault")...)
 	if len(lines) == 0 {
@@ -152,7 +152,7 @@
 	return reason
 }
 
-// settings writes the proxy's files, with their fault if the case has one, and gives the path of its settings file.
+// settings writes the proxy's files, with the case's fault if they have one, and returns the path of its settings file.
 func (c *badCase) settings(e *Env, pki *fake.PKI) (string, error) {
 	dir, err := os.MkdirTemp(e.Dir, "bad")
 	if err != nil {
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -10,12 +10,12 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// costVariant is one way to reach a server.
+// costVariant is one way to connect to a server.
 type costVariant struct {
 	name     string
 	secure   bool     // by TLS
 	settings []string // more of the tls section
-	relay    bool     // by the plain relay with goroutines, in place of the proxy
+	relay    bool     // by the relay with goroutines, in place of the proxy
 }
 
 // The variants, by their place in costVariants.
@@ -39,7 +39,7 @@
 	costRelayPlain:     {name: "plain, goroutines", relay: true},
 }
 
-// costSeries are the rounds' figures of one variant.
+// costSeries are the measurements of one variant, by round.
 type costSeries struct{ open, took, line, memory, descriptors samples }
 
 func (s *costSeries) add(c cost) {
@@ -50,7 +50,7 @@
 	s.descriptors = append(s.descriptors, c.descriptors)
 }
 
-// tlsCost measures what TLS to servers costs the proxy: to open a connection, to carry a line, to hold it.
+// tlsCost measures what TLS to servers costs the proxy: a new connection, a line, an idle connection.
 func tlsCost(e *Env, r *Report) error {
 	if err := handshakeParts(r); err != nil {
 		return err
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// reportCosts writes the table, the bounds and the figures; results are by variant.
+// reportCosts writes the table, the bounds and the values; results are by variant.
 func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
-	r.Columns(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line there and back", "KiB an idle connection", "descriptors")
+	r.Columns(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
 	for i, x := range results {
 		r.Row(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
 	}
@@ -93,16 +93,16 @@
 	r.Set("idle_kib", resumed.memory.median())
 }
 
-// cost is what one variant costs.
+// cost is the cost of one variant.
 type cost struct {
 	open        float64 // milliseconds of CPU to open and close a connection
 	took        float64 // milliseconds until a client is served, median
-	line        float64 // microseconds of CPU for a line there and back
+	line        float64 // microseconds of CPU for a line and its answer
 	memory      float64 // KiB an idle connection
 	descriptors float64 // an idle connection
 }
 
-// measure measures the variant on a fresh process.
+// measure measures the variant on a process of its own.
 func (v costVariant) measure(e *Env) (c cost, err error) {
 	f, err := newUpstreams(e, 1, v.secure)
 	if err != nil {
@@ -177,7 +177,7 @@
 
 // openingCost opens and closes connections one after the other: milliseconds of CPU each, and the median until it is served.
 func openingCost(p *Process) (cpu, took float64, err error) {
-	const warmUp, opens = 50, 400 // the first fill caches, sessions and the runtime's own
+	const warmUp, opens = 50, 400 // the first ones fill caches, sessions and the runtime's pools
 	var times samples
 	var before time.Duration
 	for i := range warmUp + opens {
@@ -198,7 +198,7 @@
 	return float64(p.CPU()-before) / 1e6 / opens, times.median(), nil
 }
 
-// lineCost has each client send lines one after the other, all clients at once: microseconds of CPU a line.
+// lineCost has all clients in parallel send lines one after the other: microseconds of CPU a line.
 func lineCost(p *Process, clients []*fake.Client) (float64, error) {
 	const lines = 500
 	errs := make(chan error, len(clients))
@@ -216,7 +216,7 @@
 
 func sendLines(c *fake.Client, n int) error {
 	for range n {
-		if _, moved, err := c.Exchange("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || moved {
+		if _, migrated, err := c.Exchange("MSG 0123456789abcdef 0123456789abcdef", 5*time.Second); err != nil || migrated {
 			return fmt.Errorf("line: %v", err)
 		}
 	}
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// handshakeParts measures each side of a handshake apart, without a network: what a side computes between two waits.
+// handshakeParts measures each side of a handshake by itself: the time that it computes, without its waits for the other side.
 func handshakeParts(r *Report) error {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
@@ -74,7 +74,7 @@
 	return clients, servers, nil
 }
 
-// verification is what looking at a chain takes by itself: Go's, and again once this proxy remembers it.
+// verification measures the verification of a chain: the first time, and from the cache.
 func verification(r *Report, pki *fake.PKI) error {
 	leaf, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.lab"}})
 	if err != nil {
@@ -106,26 +106,26 @@
 		}
 	}
 	r.Row(title, "first in its epoch", first.spread(1))
-	r.Row(title, "remembered", again.spread(1))
+	r.Row(title, "cached", again.spread(1))
 	return nil
 }
 
-// stopwatch is a connection that counts what its owner computes between waits.
+// stopwatch is a connection that measures for how long its owner computes between reads and writes.
 type stopwatch struct {
 	net.Conn
-	mark  time.Time // since when the owner computes
-	spent time.Duration
+	mark  time.Time     // since when the owner computes
+	spent time.Duration // so far
 }
 
 func newStopwatch(c net.Conn) *stopwatch { return &stopwatch{Conn: c, mark: time.Now()} }
 
-// stop counts what was computed since the last wait, and gives the sum in microseconds.
+// stop returns the computing time so far, in microseconds.
 func (w *stopwatch) stop() float64 {
 	w.spent += time.Since(w.mark)
 	return float64(w.spent) / 1e3
 }
 
-// Read reads, and does not count the wait.
+// Read reads, and does not count the time of that.
 func (w *stopwatch) Read(p []byte) (int, error) {
 	w.spent += time.Since(w.mark)
 	n, err := w.Conn.Read(p)
@@ -133,7 +133,7 @@
 	return n, err
 }
 
-// Write writes, and does not count the wait.
+// Write writes, and does not count the time of that.
 func (w *stopwatch) Write(p []byte) (int, error) {
 	w.spent += time.Since(w.mark)
 	n, err := w.Conn.Write(p)
@@ -141,19 +141,19 @@
 	return n, err
 }
 
-// handshakeTime is the microseconds that each side of one handshake computes.
+// handshakeTime is the computing time of each side of one handshake, in microseconds.
 type handshakeTime struct {
 	client, server float64
 	resumed        bool
 }
 
-// serverSide is what came of the server's side.
+// serverSide is the result of the server's side.
 type serverSide struct {
 	microseconds float64
 	err          error
 }
 
-// serveHandshake answers one handshake, and waits for the client's end.
+// serveHandshake completes one handshake, and waits for the client to close the connection.
 func serveHandshake(l net.Listener, config *tls.Config) serverSide {
 	raw, err := l.Accept()
 	if err != nil {
@@ -164,12 +164,12 @@
 	t := tls.Server(w, config)
 	err = t.Handshake()
 	spent := w.stop()
-	io.WriteString(t, "x") // with it the client reads the ticket
+	io.WriteString(t, "x") // has the client read, and thereby process the ticket
 	io.Copy(io.Discard, t)
 	return serverSide{spent, err}
 }
 
-// oneHandshake measures one handshake. The sides never compute at the same time.
+// oneHandshake measures one handshake. The sides compute in turn, never at the same time.
 func oneHandshake(client, server *tls.Config) (h handshakeTime, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -10,26 +10,26 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// rotation is a proxy under load while everything that TLS needs is replaced.
+// rotation is a proxy under load while its TLS files and those of its servers are replaced.
 type rotation struct {
-	upstreams *upstreams
-	proxy     *Process
-	standing  *standingClients
-	fresh     *answerCounts
-	trust     string // path of the proxy's bundle of authorities
+	upstreams  *upstreams
+	proxy      *Process
+	persistent *persistentClients
+	shortLived *answerCounts
+	trust      string // path of the proxy's bundle of authorities
 }
 
 const (
-	rotationStanding  = 400
-	rotationRate      = 200 // new connections a second
-	rotationSpan      = 30 * time.Second
-	rotationWait      = 2 * time.Second
-	rotationStepEvery = 4500 * time.Millisecond
-	takenWithin       = 2 * time.Second // until the proxy has to have taken new files
-	rotationTable     = "replacements"
+	rotationPersistent = 400
+	rotationRate       = 200 // new connections a second
+	rotationSpan       = 30 * time.Second
+	rotationWait       = 2 * time.Second
+	rotationStepEvery  = 4500 * time.Millisecond
+	reloadLimit        = 2 * time.Second // until the proxy uses new files
+	rotationTable      = "replacements"
 )
 
-// tlsRotation replaces everything that can be replaced, while 200 connections a second are opened and 400 stand.
+// tlsRotation replaces all TLS files, one after the other, with 400 persistent connections and 200 new ones a second.
 func tlsRotation(e *Env, r *Report) error {
 	f, err := newUpstreams(e, 4, true)
 	if err != nil {
@@ -45,10 +45,10 @@
 	if err != nil {
 		return err
 	}
-	t := &rotation{upstreams: f, proxy: p, standing: &standingClients{answers: newAnswerCounts(), interval: time.Second}, fresh: newAnswerCounts(),
+	t := &rotation{upstreams: f, proxy: p, persistent: &persistentClients{answers: newAnswerCounts(), interval: time.Second}, shortLived: newAnswerCounts(),
 		trust: filepath.Join(f.dir, "trust.pem")}
-	defer t.standing.end()
-	if err := t.standing.connect(p.Addr, rotationStanding, "", rotationWait); err != nil {
+	defer t.persistent.stop()
+	if err := t.persistent.connect(p.Addr, rotationPersistent, "", rotationWait); err != nil {
 		return err
 	}
 	late, err := t.underLoad(r)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// underLoad makes the replacements while new connections come, and gives how many the proxy took too late.
+// underLoad makes the replacements under load, and returns how many the proxy used too late.
 func (t *rotation) underLoad(r *Report) (late int, err error) {
 	r.Columns(rotationTable, "at", "what", "taken after", "epoch")
 	finished := make(chan error, 1)
@@ -68,40 +68,40 @@
 		late, err = t.replaceAll(r)
 		finished <- err
 	}()
-	openLoop(rotationRate, rotationSpan, func(int) { t.openFresh() })
+	openLoop(rotationRate, rotationSpan, func(int) { t.openShortLived() })
 	err = <-finished
 	return late, err
 }
 
-// openFresh opens a new connection, sends one line and closes it.
-func (t *rotation) openFresh() {
+// openShortLived opens a new connection, sends one line and closes it.
+func (t *rotation) openShortLived() {
 	client, a, _ := fake.Open(t.proxy.Addr, requestClass, "", rotationWait)
-	t.fresh.add(a, rotationWait)
+	t.shortLived.add(a, rotationWait)
 	if client == nil {
 		return
 	}
 	if _, _, err := client.Exchange("M", 5*time.Second); err != nil {
-		t.standing.recordLoss("new connection: %v", err)
+		t.persistent.recordLoss("new connection: %v", err)
 	}
 	client.Close()
 }
 
-// replacement is one thing that is replaced.
+// replacement is one replacement of files.
 type replacement struct {
 	what    string
-	files   bool // the proxy's files, which it takes at once; else the servers' side, which shows at their handshakes
+	files   bool // the proxy's files, which it reloads; else the servers', which show at the next handshakes
 	replace func() error
 }
 
-// replacements are the steps, in order: to a second authority and away from the first.
+// replacements are the steps, in order: add a second authority, then remove the first.
 func (t *rotation) replacements() []replacement {
 	first, second := t.upstreams.pki.Trusted, t.upstreams.pki.Other
 	return []replacement{
 		{"a new client certificate, by renaming", true, func() error { return t.renewClient(first) }},
-		{"a second authority in the bundle, written in place and first by half", true, t.widenTrust},
+		{"a second authority in the bundle, written in place, first a part of it", true, t.widenTrust},
 		{"the servers' certificates, by the second authority, and their ticket keys", false, func() error { return t.renewServers(second) }},
 		{"a client certificate by the second authority, by renaming", true, func() error { return t.renewClient(second) }},
-		{"the first authority out of the bundle, by renaming", true, func() error { return certs.ReplaceFile(t.trust, certs.Bundle(second.Root.Cert), 0o644) }},
+		{"the bundle without the first authority, by renaming", true, func() error { return certs.ReplaceFile(t.trust, certs.Bundle(second.Root.Cert), 0o644) }},
 		{"the servers' certificates once more", false, func() error { return t.renewServers(second) }},
 	}
 }
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// widenTrust writes both authorities in place, and first a part of them that is no sound file.
+// widenTrust writes both authorities in place, and before that a part, which cannot be parsed.
 func (t *rotation) widenTrust() error {
 	both := append(certs.Bundle(t.upstreams.pki.Trusted.Root.Cert), certs.Bundle(t.upstreams.pki.Other.Root.Cert)...)
 	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
@@ -132,7 +132,7 @@
 	return os.WriteFile(t.trust, both, 0o644)
 }
 
-// replaceAll makes the replacements at their times, a row each.
+// replaceAll makes the replacements at their times, and adds a row for each.
 func (t *rotation) replaceAll(r *Report) (late int, err error) {
 	began := time.Now()
 	for i, step := range t.replacements() {
@@ -146,7 +146,7 @@
 		if step.files {
 			took := t.awaitTaken(epoch)
 			taken = took.Round(10 * time.Millisecond).String()
-			if took > takenWithin {
+			if took > reloadLimit {
 				taken += " LATE"
 				late++
 			}
@@ -156,43 +156,43 @@
 	return late, nil
 }
 
-// filesTaken is how often the proxy has taken new files.
+// filesTaken is how often the proxy has reloaded files.
 func (t *rotation) filesTaken() int { return len(t.proxy.Log("event=tls_files_taken")) }
 
-// awaitTaken waits until the proxy has taken files once more, for a second over the bound at most, and gives how long that took.
+// awaitTaken waits until the proxy has reloaded files once more, up to a second beyond the limit, and returns how long that took.
 func (t *rotation) awaitTaken(before int) time.Duration {
 	written := time.Now()
-	for t.filesTaken() == before && time.Since(written) < takenWithin+time.Second {
+	for t.filesTaken() == before && time.Since(written) < reloadLimit+time.Second {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(written)
 }
 
-// report ends the proxy and states the bounds; late is how many replacements were taken too late.
+// report shuts the proxy down and checks the bounds; late is the number of replacements that it used too late.
 func (t *rotation) report(r *Report, late int) {
-	stood, serials := 0, map[string]int{}
+	established, serials := 0, map[string]int{}
 	for _, s := range t.upstreams.servers {
-		stood += s.Established()
+		established += s.Established()
 		for serial, n := range s.ClientCertificates() {
 			serials[serial] += n
 		}
 	}
 	full, resumed := t.upstreams.handshakes()
 	rejected := len(t.proxy.Log("event=tls_files_kept"))
-	c, a := t.standing, t.fresh
+	c, a := t.persistent, t.shortLived
 	r.Columns("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
 	r.Row("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
 	c.stopping.Store(true)
 	ended := t.proxy.Stop()
 	total := int(rotationRate * rotationSpan.Seconds())
 	r.Check(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
-	r.Check(len(c.lost) == 0 && c.moved == 0 && stood >= rotationStanding, "no standing connection is lost or moved",
-		fmt.Sprintf("%d stand, %d lost, %d moved %s", stood, len(c.lost), c.moved, firstLosses(c.lost)))
+	r.Check(len(c.lost) == 0 && c.migrations == 0 && established >= rotationPersistent, "no persistent connection is lost or migrated",
+		fmt.Sprintf("%d established, %d lost, %d migrated %s", established, len(c.lost), c.migrations, firstLosses(c.lost)))
 	r.Check(len(serials) == 3, "the servers saw the three client certificates", len(serials))
-	r.Check(late == 0 && rejected >= 1, "files are taken within 2 s; half a bundle is told and kept out", fmt.Sprintf("%d late, %d told", late, rejected))
+	r.Check(late == 0 && rejected >= 1, "files are used within 2 s; an incomplete bundle is logged and not used", fmt.Sprintf("%d late, %d logged", late, rejected))
 	failed := len(t.proxy.Log("event=tls_failed"))
 	r.Check(failed == 0, "no handshake failed", failed)
-	r.Check(ended == nil, "the proxy ended in order", fmt.Sprint(ended))
+	r.Check(ended == nil, "the proxy shut down without an error", fmt.Sprint(ended))
 	r.Set("opened", total)
 	r.Set("failed", total-a.count("UP"))
 	r.Set("lost", len(c.lost))
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -9,37 +9,36 @@
 )
 
 const (
-	calmClients, stormClients = 300, 500
-	stormWait                 = 4 * time.Second
-	hostRate                  = 200 // full handshakes a second with one host
-	stormBurst                = 50 * time.Millisecond
-	placedWithin              = 8 * time.Second
+	stayingClients, migratingClients = 300, 500
+	stormWait                        = 4 * time.Second
+	hostRate                         = 200 // full handshakes a second with one host
+	stormBurst                       = 50 * time.Millisecond
+	reconnectLimit                   = 8 * time.Second
 )
 
-// stormCase is one way in which the clients of the drained server come again.
+// stormCase is one way in which the clients of the drained server reconnect.
 type stormCase struct {
-	name     string
-	plain    bool             // TCP without TLS
-	settings string           // more of the tls section
-	away     [2]time.Duration // least and most before a client comes again
-	bounds   bool             // the files are replaced in the midst of it, and bounds are held
+	name        string
+	plain       bool             // TCP without TLS
+	settings    string           // more of the tls section
+	returnAfter [2]time.Duration // least and most before a client reconnects
+	bounds      bool             // the files are replaced during the storm, and bounds are checked
 }
 
-// comeAgain is how soon clients come again, as the operators state it.
-var comeAgain = [2]time.Duration{50 * time.Millisecond, 1700 * time.Millisecond}
+// reconnectDelay is the least and the most time before clients reconnect, as the operators state it.
+var reconnectDelay = [2]time.Duration{50 * time.Millisecond, 1700 * time.Millisecond}
 
 var stormCases = []stormCase{
-	{name: "full", settings: " (reuse off)", away: comeAgain, bounds: true},
-	{name: "full, in one moment", settings: " (reuse off)"},
-	{name: "resumed", settings: "(reuse on)", away: comeAgain},
-	{name: "plain TCP", plain: true, away: comeAgain},
-	{name: "plain TCP, in one moment", plain: true},
+	{name: "full", settings: " (reuse off)", returnAfter: reconnectDelay, bounds: true},
+	{name: "full, all at once", settings: " (reuse off)"},
+	{name: "resumed", settings: "(reuse on)", returnAfter: reconnectDelay},
+	{name: "plain TCP", plain: true, returnAfter: reconnectDelay},
+	{name: "plain TCP, all at once", plain: true},
 }
 
-// tlsStorm: 500 clients of one server are sent away at once, while 300 others stand on two servers, all through one proxy
-// on one core. No session is resumed: each of the 500 needs a full handshake. They come again after 50 to 1,700 ms, as the
-// operators say that clients do. Beside it, without bounds: all in one moment, resumed, and the same without any TLS,
-// which shows what the wave costs by itself.
+// tlsStorm migrates 500 clients of one server at once, while 300 others stay on two servers, all through one proxy on one core. No session
+// is resumed: each of the 500 needs a full handshake. They reconnect after 50 to 1,700 ms. Beside it, without bounds: all at once, with
+// resumed sessions, and without TLS, which shows the cost of the reconnects alone.
 func tlsStorm(e *Env, r *Report) error {
 	for _, c := range stormCases {
 		if err := c.play(e, r); err != nil {
@@ -49,31 +48,31 @@
 	return nil
 }
 
-// storm is one case under way.
+// storm is one case in progress.
 type storm struct {
 	stormCase
 	upstreams *upstreams
 	proxy     *Process
-	alone     bool             // the proxy has a core of its own
-	staying   *standingClients // clients of the two servers that stay
-	movedAway *standingClients // clients of the server that drains
+	ownCore   bool               // the proxy has a core of its own
+	staying   *persistentClients // clients of the two servers that stay
+	migrating *persistentClients // clients of the server that drains
 }
 
-// stormFigures is what one storm was measured by.
-type stormFigures struct {
-	calm, wave   samples        // milliseconds of the calm crowd's lines, before and during it
-	earlier      map[string]int // handshakes of each server before it
-	filesTaken   int            // times that the proxy had taken new files before it
-	placed       time.Duration  // until all were placed again; 0: they were not
-	cpu          time.Duration  // of the proxy
-	withinBudget bool           // no host got more handshakes than its budget
+// stormResult is the measurements of one storm.
+type stormResult struct {
+	latenciesBefore, latenciesDuring samples        // milliseconds of the staying clients' lines, before and during the storm
+	handshakesBefore                 map[string]int // handshakes of each server before it
+	filesTaken                       int            // times that the proxy had taken new files before it
+	reconnectedAfter                 time.Duration  // until all were placed again; 0: they were not
+	cpu                              time.Duration  // of the proxy
+	withinBudget                     bool           // no host got more handshakes than its budget
 
-	served, unanswered, late int      // requests of the clients that were sent away
+	served, unanswered, late int      // requests of the migrated clients
 	lost                     []string // connections that ended other than by a migration
-	ranTwice                 int      // requests that a host saw twice
+	repeatedRequests         int      // requests that a server received twice
 }
 
-// play has one storm happen and reports it.
+// play plays one storm and reports it.
 func (c stormCase) play(e *Env, r *Report) error {
 	s, err := c.prepare(e)
 	if err != nil {
@@ -81,22 +80,22 @@
 	}
 	defer s.upstreams.close()
 	defer s.proxy.Kill()
-	defer s.staying.end()
-	defer s.movedAway.end()
-	if err := s.settle(e); err != nil {
+	defer s.staying.stop()
+	defer s.migrating.stop()
+	if err := s.connectClients(e); err != nil {
 		return err
 	}
-	figures, err := s.drain(e)
+	result, err := s.drain(e)
 	if err != nil {
 		return err
 	}
-	s.count(figures)
-	s.tables(r, figures)
+	s.count(result)
+	s.writeTables(r, result)
 	s.staying.stopping.Store(true)
-	s.movedAway.stopping.Store(true)
+	s.migrating.stopping.Store(true)
 	ended := s.proxy.Stop()
 	if c.bounds {
-		s.hold(r, figures, ended)
+		s.checkBounds(r, result, ended)
 	}
 	return nil
 }
@@ -124,36 +123,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return &storm{stormCase: c, upstreams: f, proxy: p, alone: p.isolateCPU(),
-		staying:   &standingClients{answers: newAnswerCounts(), interval: 250 * time.Millisecond},
-		movedAway: &standingClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMoves: true, returnAfter: c.away}}, nil
+	return &storm{stormCase: c, upstreams: f, proxy: p, ownCore: p.isolateCPU(),
+		staying:   &persistentClients{answers: newAnswerCounts(), interval: 250 * time.Millisecond},
+		migrating: &persistentClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMigrations: true, returnAfter: c.returnAfter}}, nil
 }
 
-// settle has all clients connect to the servers that they are to stand on.
-func (s *storm) settle(e *Env) error {
-	e.Logf("%s: %d clients settle on two servers, %d on the third", s.name, calmClients, stormClients)
+// connectClients has all clients connect, each to a given server.
+func (s *storm) connectClients(e *Env) error {
+	e.Logf("%s: %d clients connect to two servers, %d to the third", s.name, stayingClients, migratingClients)
 	for _, group := range []struct {
-		crowd   *standingClients
-		clients int
+		clients *persistentClients
+		number  int
 		server  string
-	}{{s.staying, calmClients / 2, "at=s2"}, {s.staying, calmClients / 2, "at=s3"}, {s.movedAway, stormClients, "at=s1"}} {
-		if err := group.crowd.connect(s.proxy.Addr, group.clients, group.server, 20*time.Second); err != nil {
+	}{{s.staying, stayingClients / 2, "at=s2"}, {s.staying, stayingClients / 2, "at=s3"}, {s.migrating, migratingClients, "at=s1"}} {
+		if err := group.clients.connect(s.proxy.Addr, group.number, group.server, 20*time.Second); err != nil {
 			return fmt.Errorf("before the storm: %v", err)
 		}
 	}
-	s.movedAway.answers.reset()
+	s.migrating.answers.reset()
 	time.Sleep(2 * time.Second)
 	return nil
 }
 
-// drain measures the calm, drains the first server, and measures until all are placed again.
-func (s *storm) drain(e *Env) (*stormFigures, error) {
-	f := &stormFigures{earlier: map[string]int{}}
-	calmFrom := time.Now()
+// drain measures without the storm, drains the first server, and measures until all clients are connected again.
+func (s *storm) drain(e *Env) (*stormResult, error) {
+	f := &stormResult{handshakesBefore: map[string]int{}}
+	beforeFrom := time.Now()
 	time.Sleep(5 * time.Second)
-	calmTo := time.Now()
+	beforeTo := time.Now()
 	for _, server := range s.upstreams.servers {
-		f.earlier[server.UID] = len(server.Handshakes())
+		f.handshakesBefore[server.UID] = len(server.Handshakes())
 	}
 	cpu := s.proxy.CPU()
 	e.Logf("server s1 drains")
@@ -167,15 +166,15 @@
 			return nil, err
 		}
 	}
-	f.placed = s.awaitPlaced(began)
+	f.reconnectedAfter = s.awaitReconnected(began)
 	stormTo := time.Now()
 	f.cpu = s.proxy.CPU() - cpu
 	time.Sleep(time.Second)
-	f.calm, f.wave = s.staying.between(calmFrom, calmTo), s.staying.between(began, stormTo)
+	f.latenciesBefore, f.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(began, stormTo)
 	return f, nil
 }
 
-// replaceFiles has the bundle of authorities grow and the proxy's certificate replaced, in the midst of the storm.
+// replaceFiles extends the bundle of authorities and replaces the proxy's certificate, during the storm.
 func (s *storm) replaceFiles() error {
 	time.Sleep(300 * time.Millisecond)
 	if _, err := fake.SaveTrust(s.upstreams.dir, s.upstreams.pki.Trusted, s.upstreams.pki.Other); err != nil {
@@ -185,11 +184,12 @@
 	return err
 }
 
-// awaitPlaced waits until all clients stand on the two servers that stay, and gives the time since the storm began; 0: they do not.
-func (s *storm) awaitPlaced(began time.Time) time.Duration {
-	for time.Since(began) < 2*placedWithin {
+// awaitReconnected waits until all clients are connected to the two servers that stay, and returns the time since the storm began; 0: they
+// are not.
+func (s *storm) awaitReconnected(began time.Time) time.Duration {
+	for time.Since(began) < 2*reconnectLimit {
 		time.Sleep(10 * time.Millisecond)
-		if s.upstreams.servers[1].Established()+s.upstreams.servers[2].Established() >= calmClients+stormClients {
+		if s.upstreams.servers[1].Established()+s.upstreams.servers[2].Established() >= stayingClients+migratingClients {
 			return time.Since(began)
 		}
 	}
--- a/internal/testbed/experiment/upstreams.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// upstreams are fake hosts, with their discovery and the files that a proxy needs to reach them by TLS.
+// upstreams are fake hosts with their discovery, and the files that a proxy needs to connect to them by TLS.
 type upstreams struct {
 	dir          string // of the proxy's files
 	pki          *fake.PKI
@@ -23,7 +23,7 @@
 	discovery    *fake.Discovery
 }
 
-// newUpstreams makes n servers, behind TLS or plain. They ask for the proxy's certificate.
+// newUpstreams starts n servers, with TLS or without. With TLS they require the proxy's certificate.
 func newUpstreams(e *Env, n int, secure bool) (*upstreams, error) {
 	dir, err := os.MkdirTemp(e.Dir, "fleet")
 	if err != nil {
@@ -62,14 +62,14 @@
 	return u, err
 }
 
-// config is the side of TLS of server i: the certificate it has now, and clients that either authority vouches for.
+// config is the TLS configuration of server i: its current certificate, and client certificates of either authority.
 func (u *upstreams) config(i int) *tls.Config {
 	pool := u.pki.Trusted.Pool()
 	pool.AddCert(u.pki.Other.Root.Cert)
 	return fake.ServerTLSConfig(func() *tls.Certificate { return u.certificates[i].Load() }, func() *x509.CertPool { return pool })
 }
 
-// renew gives server i a new certificate by an authority.
+// renew issues a new certificate for server i.
 func (u *upstreams) renew(i int, by *fake.Authority) error {
 	p, err := by.Issue(certs.Spec{Hosts: []string{fmt.Sprintf("s%d.lab", i+1)}})
 	if err == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// settings writes the operators' file; more is added to the tls section.
+// settings writes a settings file and returns its path; more is added to the tls section.
 func (u *upstreams) settings(more ...string) (string, error) {
 	path := filepath.Join(u.dir, fmt.Sprintf("croftlock%d.sexp", time.Now().UnixNano()))
 	text := `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.lab")) ` +
@@ -93,7 +93,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o644)
 }
 
-// handshakes counts those of all servers.
+// handshakes counts the handshakes of all servers.
 func (u *upstreams) handshakes() (full, resumed int) {
 	for _, s := range u.servers {
 		for _, h := range s.Handshakes() {
