--- a/internal/app/node/discovery.go
+++ b/internal/app/node/discovery.go
@@ -5,20 +5,20 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// listReceived applies a watch event. A list also shows that discovery reaches this process, which a hot restart waits for.
+// listReceived applies a watch event. A new process also waits for its first list before it takes over, and an old one passes its lists on.
 func (p *process) listReceived(ch proxy.Change) {
 	p.core.ListReceived(ch)
 	if ch.Kind == balancer.ListFailed {
 		return
 	}
 	p.becomeTakingOver()
-	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 { // also before it has taken over: this one may be gone by then
+	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 { // at once: this process may have ended before the other one has its own list
 		s := p.snapshot(false)
 		p.restart.partner.ListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
 	}
 }
 
-// redirect follows another discovery service from now on. It may be called on any goroutine.
+// redirect changes to another discovery service. It may be called on any goroutine.
 func (p *process) redirect(discovery string) {
 	p.loop.Post(func() { p.discovery.Redirect(discovery) })
 }
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -13,27 +13,24 @@
 // rejoinInterval is the pause before a process that serves tries to join again.
 const rejoinInterval = 250 * time.Millisecond
 
-// fleet is the process's part in the fleet: what the settings file says, and the agents.
+// fleet is the process's part in the fleet: the options of the settings file, and the agents.
 type fleet struct {
 	memberOptions    memberagent.Options
 	ownerOptions     owneragent.Options
 	watermarkOptions watermark.Options
 
-	members    *memberagent.Agent // nil: off, or another process's still
-	owners     *owneragent.Agent  // the same
-	watermarks *watermark.Link    // the same
+	// nil: off, or not started while another process of this proxy serves.
+	members    *memberagent.Agent
+	owners     *owneragent.Agent
+	watermarks *watermark.Link
 }
 
 func newFleet(file *settings.File) fleet {
 	return fleet{memberOptions: membershipOptions(file), ownerOptions: ownerOptions(file), watermarkOptions: watermarkOptions(file)}
 }
 
-// joinFleet begins to take part in the fleet, where the operators want it. A process that replaces another (not now) does so once it has taken
-// over, in the same place: to the others it is one member with a new incarnation.
-func (p *process) joinFleet(now bool) (err error) {
-	if !now {
-		return nil
-	}
+// joinFleet starts the agents that the settings file enables.
+func (p *process) joinFleet() (err error) {
 	if p.fleet.memberOptions.Enabled {
 		p.fleet.members, err = p.startMembers()
 	}
@@ -44,7 +41,8 @@
 	return p.startOwners()
 }
 
-// rejoinFleet is joinFleet for a process that has come to be the one that serves; the other one may hold the address a moment longer.
+// rejoinFleet is joinFleet for a process that has just taken over, or taken back, from another one: to other proxies it is the same member with
+// a new incarnation. It retries, since the other process may hold the address a moment longer.
 func (p *process) rejoinFleet() {
 	if !p.fleet.memberOptions.Enabled || p.restart.phase == handedOver {
 		return
@@ -64,13 +62,13 @@
 	}
 }
 
-// startMembers starts membership, with an incarnation that begins now.
+// startMembers starts membership, with an incarnation that starts now.
 func (p *process) startMembers() (*memberagent.Agent, error) {
 	platform := memberagent.Platform{Link: p.peers, PeerCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
 	return memberagent.Start(p.loop, p.fleet.memberOptions, p.cfg.Name, time.Now(), platform)
 }
 
-// startOwners begins to take part in the fleet's jobs, where the operators want it. Membership has to be on.
+// startOwners starts the owner agent, if it is enabled, and has the core act by it. Membership has to be on.
 func (p *process) startOwners() error {
 	f := &p.fleet
 	if !f.ownerOptions.Enabled {
@@ -91,7 +89,7 @@
 	return nil
 }
 
-// announceLeave gives the fleet's jobs back, and then tells the others that this process ends in order.
+// announceLeave releases this process's jobs, and then announces its shutdown to the other members.
 func (p *process) announceLeave() {
 	p.fleet.owners.Leave(func() { p.fleet.members.Leave() })
 }
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,5 +1,11 @@
-// Package node wires one proxy together: what the platform and the settings file say, the loop, the core with its decision module, the
-// fronts and the clients, the process before and the one after, and the signals. It decides nothing.
+// Package node wires one proxy together. It makes no decisions on requests.
+//
+// Start (node.go): Run attaches the loop; process.start makes the core (makeCore), gets what a predecessor hands over or has stored
+// (findPredecessor), starts the core with its endpoint list (runCore), opens the sockets to other proxies, clients and operators, and
+// serves: event=ready. A process that takes over from another one accepts clients only after that (beginTakeover).
+//
+// SIGHUP and SIGTERM: signals.go. Hot restart: restart.go has the phases of both processes, predecessor.go what a new process asks for,
+// partner.go the messages of the other process, successor.go what the core asks of either. Membership and the fleet's jobs: fleet.go.
 package node
 
 import (
@@ -25,12 +31,12 @@
 	"croftlock/internal/operations/settings"
 )
 
-// process is one process of a proxy, put together. Its methods run on the loop, or before it runs.
+// process is one process of a proxy. Its methods run on the loop, or before the loop runs, unless they say otherwise.
 type process struct {
 	cfg       *platform.Config
 	loop      *netio.Loop
 	dialer    *netio.Dialer
-	link      *upstreamtls.Link // nil: upstream hosts speak plain TCP
+	link      *upstreamtls.Link // nil: connections to upstream hosts without TLS
 	core      *proxy.Core
 	discovery *cluster.Client
 	listener  *netio.Listener
@@ -40,8 +46,7 @@
 	fleet     fleet
 }
 
-// Run runs the proxy until it has been told to stop and has nothing left to serve. format is that of the log, "" for what the settings file
-// says.
+// Run runs the proxy until it has shut down after a signal. format is that of the log; "": the settings file's.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
 	Logs(file, format)
 	runtime.GOMAXPROCS(cfg.MaxThreads())
@@ -54,17 +59,17 @@
 		return err
 	}
 	stopped := make(chan struct{})
-	h := &signalHandler{cfg: cfg, file: file, format: format, link: p.link, redirect: p.redirect, shutDown: p.shutDown}
-	go h.run(signals, stopped)
+	handler := &signalHandler{cfg: cfg, file: file, format: format, link: p.link, redirect: p.redirect, shutDown: p.shutDown}
+	go handler.run(signals, stopped)
 	p.loop.Run()
 	close(stopped)
 	slog.Info("stopped")
 	return nil
 }
 
-// start puts the process together. Accepting clients comes last: a client, or the front's PING, must find the proxy ready.
+// start makes the process ready. It accepts clients last: a client, or the front's PING, must find the proxy ready.
 func (p *process) start(file *settings.File) error {
-	sessions, err := p.makeCore(tlsOptions(file))
+	maxDownstreams, err := p.makeCore(tlsOptions(file))
 	if err != nil {
 		return err
 	}
@@ -77,8 +82,10 @@
 		return err
 	}
 	p.openPeers(handoff.Datagram)
-	if err := p.joinFleet(old == nil); err != nil {
-		return err
+	if old == nil { // else the old process is the member until this one has taken over
+		if err := p.joinFleet(); err != nil {
+			return err
+		}
 	}
 	if err := p.listen(handoff.Listener); err != nil {
 		return err
@@ -91,21 +98,24 @@
 	} else if err := p.serve(); err != nil {
 		return fmt.Errorf("listen: %v", err)
 	}
-	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "sessions", sessions)
+	slog.Info("ready", "name", p.cfg.Name, "listen", p.front.Addr(), "hosts", len(list.Hosts), "rev", list.Version, "sessions", maxDownstreams)
 	return nil
 }
 
-// makeCore makes the core and its ways to upstream hosts. sessions is how many downstreams it holds at most.
-func (p *process) makeCore(tls upstreamtls.Options) (sessions int, err error) {
+// makeCore makes the core and its connections to upstream hosts. maxDownstreams is how many downstreams it holds at most.
+func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
-	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	open := lineproto.PlainTCP(p.dialer)
-	if p.link, err = newUpstreamTLS(p.loop, tls, &opt); err != nil {
-		return 0, err
-	}
-	if p.link != nil {
+	if tls.Enabled {
+		if p.link, err = newUpstreamTLS(p.loop, tls, opt.Wall); err != nil {
+			return 0, err
+		}
 		open = openByTLS(p.link)
+		opt.Expiry = tls.Expiry
+		// Each handshake in progress holds a descriptor, and one more while its socket changes hands.
+		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.AtOnce)
 	}
 	var reportsInAnswers []string
 	if cfg.ReportsInAnswers {
@@ -118,26 +128,27 @@
 	return opt.MaxDownstreams, nil
 }
 
-// findPredecessor asks the process that serves, or reads what one before has stored. old is nil where none serves; handoff never is.
+// findPredecessor requests a handover from the process that serves, or else reads the state that an earlier one has stored, and gives it to
+// the core. old is nil where no process serves; handoff is never nil.
 func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
-	if p.cfg.Admin != "" { // else nobody can ask whether a new process is ready, so none can take another's place
+	if p.cfg.Admin != "" { // without it the platform cannot ask whether a new process is ready, and never replaces one
 		p.restart.dir = os.Getenv("TMPDIR")
 	}
 	if p.restart.dir != "" {
-		if old, handoff, err = predecessor(p.cfg, p.restart.dir, p.loop.Now()); err != nil {
+		if old, handoff, err = requestOrReadHandoff(p.cfg, p.restart.dir, p.loop.Now()); err != nil {
 			return nil, nil, err
 		}
 		p.restart.store = hotrestart.NewStore(p.loop, p.restart.dir)
 		p.core.SetSuccessor(p)
 	}
 	if handoff == nil {
-		return nil, &hotrestart.Handoff{Snapshot: &proxy.Snapshot{}, Listener: -1, Datagram: -1}, nil
+		return nil, handoffWithoutSockets(&proxy.Snapshot{}), nil
 	}
 	p.core.Inherit(handoff.Snapshot)
 	return old, handoff, nil
 }
 
-// runCore gives the core its decision module, discovery, and the endpoint list to start from.
+// runCore starts the core with its decision module, discovery, and an endpoint list.
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.Change, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
@@ -147,15 +158,15 @@
 		return list, err
 	}
 	if !cfg.Settings.PollsDiscovery {
-		// Lists are pushed to an agent that the platform runs beside the proxy; the decision module asks for none.
+		// Lists are pushed to an agent that the platform runs beside the proxy, and the decision module polls for none.
 		p.discovery.Follow()
 	}
 	p.core.RestoreBalancer(handoff.Snapshot.Balancer)
 	return list, nil
 }
 
-// openPeers opens the way to the other proxies, on a socket that was handed over where datagram is not under 0. Messages help, and a proxy
-// without them serves all the same.
+// openPeers opens the socket for datagrams to the other proxies, or takes the one that was handed over: datagram, unless it is under 0. A
+// proxy serves without that socket, too, so that a failure is only logged.
 func (p *process) openPeers(datagram int) {
 	s := p.cfg.Settings
 	if !s.MayGossip || p.cfg.Peers.Listen == "" || s.Instances <= 1 {
@@ -170,15 +181,15 @@
 	p.peers = link
 }
 
-// peerMessageReceived gives a datagram to membership, or else to the decision module.
+// peerMessageReceived passes a datagram to membership, or else to the decision module.
 func (p *process) peerMessageReceived(from int, data []byte) {
 	if !p.fleet.members.ReceiveShared(from, data) {
 		p.core.PeerMessageReceived(from, data)
 	}
 }
 
-// listen makes the front for clients, on the listening socket that was handed over, or on one of its own: shared, where a new process may come
-// to which this one cannot hand over.
+// listen makes the front for clients, on the listening socket fd that was handed over, or, if fd is under 0, on a new one. The new one shares
+// its address if hot restarts are possible, for a process to which this one cannot hand over.
 func (p *process) listen(fd int) (err error) {
 	if fd >= 0 {
 		p.listener, err = netio.Inherit(fd)
@@ -193,7 +204,7 @@
 	return nil
 }
 
-// listenAdmin makes the admin interface, where the platform names an address for it.
+// listenAdmin makes the admin interface, if the platform names an address for it.
 func (p *process) listenAdmin() error {
 	if p.cfg.Admin == "" {
 		return nil
@@ -209,7 +220,7 @@
 
 func addressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// shutDown ends the process in order. It may be called on any goroutine.
+// shutDown starts the graceful shutdown. It may be called on any goroutine.
 func (p *process) shutDown() {
 	p.loop.Post(func() {
 		p.announceLeave()
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// partnerEvents handles the messages of the other process. Those of a former partner that would change the phase or the list are ignored
-// (isCurrent); suspensions and connections are taken whoever sends them.
+// partnerEvents handles the messages of the other process of a hot restart. Of a former partner only suspensions and connections are taken;
+// messages that would change the phase or the list are ignored (isCurrent).
 type partnerEvents struct {
 	*process
 	partner *hotrestart.Partner
@@ -18,10 +18,10 @@
 
 var _ hotrestart.Events = partnerEvents{}
 
-// isCurrent tells whether the sender is the other process still.
+// isCurrent returns whether the sender is the current partner.
 func (e partnerEvents) isCurrent() bool { return e.restart.partner == e.partner }
 
-// TakeOver accepts no more clients, and says what this process knows.
+// TakeOver has this process, the old one, stop accepting clients, and returns its state.
 func (e partnerEvents) TakeOver() *proxy.Snapshot {
 	if e.isCurrent() && e.restart.isOld {
 		e.becomeHandedOver()
@@ -31,7 +31,7 @@
 	return s
 }
 
-// TakenOver takes over what the old process knew last, and begins to serve.
+// TakenOver has this process, the new one, apply the old one's last state and serve.
 func (e partnerEvents) TakenOver(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.phase != awaitingList && e.restart.phase != takingOver {
 		return
@@ -42,7 +42,7 @@
 	e.becomeServing()
 }
 
-// inherit takes over a snapshot, where it can be used.
+// inherit applies a snapshot, if it is valid.
 func (e partnerEvents) inherit(s *proxy.Snapshot) {
 	s.Rebase(e.loop.Now(), true)
 	if err := s.Check(e.loop.Now()); err != nil {
@@ -54,8 +54,7 @@
 	e.core.RestoreBalancer(s.Balancer)
 }
 
-// ListChanged takes the list of the old process, where it is newer than this one's: the two are one proxy, and this one may not be watching
-// yet.
+// ListChanged applies the old process's list, if it is newer than this one's: the two are one proxy, and this one may not be watching yet.
 func (e partnerEvents) ListChanged(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.isOld {
 		return
@@ -76,7 +75,7 @@
 	}
 }
 
-// HostSuspended applies a suspension, or its end, that the other process was told.
+// HostSuspended applies a suspension, or its end, by an operator's call at the other process.
 func (e partnerEvents) HostSuspended(id string, suspended bool) {
 	e.core.HostSuspendedElsewhere(id, suspended)
 	if e.restart.phase == serving {
@@ -84,17 +83,17 @@
 	}
 }
 
-// ConnectionReceived goes on with an open connection of the old process's.
+// ConnectionReceived resumes a connection that the old process hands over.
 func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// DownstreamCount counts the old process's downstreams with this one's, and its descriptors that are nobody's in particular.
+// DownstreamCount counts the old process's downstreams with this one's, and its other descriptors as downstreams of two descriptors each.
 func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
 		e.core.SetDownstreamsElsewhere(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
-// Gone goes on alone.
+// Gone handles the end of the other process: this one goes on alone, and serves if it did not.
 func (e partnerEvents) Gone() {
 	if !e.isCurrent() {
 		return
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	// startRetryTime is how long a start waits for an address, or for another hot restart to end: a new process has 6 s to be ready.
+	// startRetryTime is how long a start retries where an address is in use or another hot restart is in progress: a new process has 6 s to
+	// be ready.
 	startRetryTime     = 5500 * time.Millisecond
 	startRetryInterval = 100 * time.Millisecond
-	// unclearAnswerTime is how long a process is asked again that does not answer as it should.
-	unclearAnswerTime = 2 * time.Second
-	// maxStateReads is how often a state file is read that the disk does not give, and stateReadInterval how soon again.
+	// invalidAnswerRetryTime is how long a request to a process that answers with an error is retried.
+	invalidAnswerRetryTime = 2 * time.Second
+	// maxStateReads is how often a state file is read while the disk fails, at stateReadInterval.
 	maxStateReads     = 10
 	stateReadInterval = 100 * time.Millisecond
 )
 
-// retryStart tries until it succeeds, for as long as a start may take and the error is one to retry.
-func retryStart[T any](try func() (T, error), retryable func(error) bool) (T, error) {
+// retryStart retries until it succeeds, for as long as a start may take and the error is retryable.
+func retryStart[T any](attempt func() (T, error), retryable func(error) bool) (T, error) {
 	for end := time.Now().Add(startRetryTime); ; time.Sleep(startRetryInterval) {
-		x, err := try()
+		result, err := attempt()
 		if err == nil || !retryable(err) || time.Now().After(end) {
-			return x, err
+			return result, err
 		}
 	}
 }
 
-// predecessor asks the process that serves to hand over, and where there is none reads what one before has stored. Both are nil where there was
-// neither.
-func predecessor(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
-	partner, handoff, err := requestHandover(cfg, dir, now)
+// requestOrReadHandoff requests a handover from the process that serves, or else reads the state that an earlier one has stored. partner is nil
+// where no process hands over, handoff where there is no stored state either. An error ends the start: two processes serve already.
+func requestOrReadHandoff(cfg *platform.Config, dir string, now int64) (partner *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
+	partner, handoff, err = requestHandover(cfg, dir, now)
 	if errors.Is(err, hotrestart.ErrBusy) {
 		return nil, nil, err
 	}
 	if err != nil {
-		slog.Warn("hot_restart_failed", "reason", err) // it serves on beside this one
+		slog.Warn("hot_restart_failed", "reason", err) // the other process goes on serving beside this one
 	}
 	if partner != nil {
 		return partner, handoff, nil
@@ -48,37 +49,42 @@
 	return nil, storedHandoff(dir, now), nil
 }
 
-// requestHandover asks the process that serves, again where it could not answer for the moment: beside it, with a queue of its own, this one
-// would serve, and what waits in the old one's queue as that ends is lost.
+// requestHandover requests a handover from the process that serves, and retries where that one cannot answer for the moment. Without a handover
+// this process would listen on a socket of its own, and the clients in the old one's accept queue would be lost at its end.
 func requestHandover(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
 	type answer struct {
 		partner *hotrestart.Partner
 		handoff *hotrestart.Handoff
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	a, err := retryStart(func() (answer, error) {
 		partner, handoff, err := hotrestart.RequestHandover(dir, cfg.Listen, now)
 		return answer{partner, handoff}, err
 	}, func(err error) bool {
-		return errors.Is(err, hotrestart.ErrBusy) || time.Since(began) < unclearAnswerTime
+		return errors.Is(err, hotrestart.ErrBusy) || time.Since(startedAt) < invalidAnswerRetryTime
 	})
 	return a.partner, a.handoff, err
 }
 
-// storedHandoff is what a process before this one has stored; nil: nothing that can be used.
+// storedHandoff is the state that an earlier process has stored; nil: there is none that can be used.
 func storedHandoff(dir string, now int64) *hotrestart.Handoff {
-	s, err := readState(dir, now)
+	snapshot, err := readState(dir, now)
 	if err != nil {
 		slog.Warn("state_file_ignored", "reason", err)
 		hotrestart.SetAside(dir)
 	}
-	if s == nil {
+	if snapshot == nil {
 		return nil
 	}
-	return &hotrestart.Handoff{Snapshot: s, Listener: -1, Datagram: -1}
+	return handoffWithoutSockets(snapshot)
 }
 
-// readState reads the state file, again where the disk fails for a moment: it holds what operators have said.
+// handoffWithoutSockets is a handoff for a process that opens its own sockets.
+func handoffWithoutSockets(snapshot *proxy.Snapshot) *hotrestart.Handoff {
+	return &hotrestart.Handoff{Snapshot: snapshot, Listener: -1, Datagram: -1}
+}
+
+// readState reads the state file, and retries while the disk fails: the file holds the operators' suspensions.
 func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
 	for range maxStateReads {
 		s, err = hotrestart.Read(dir, now)
@@ -90,7 +96,7 @@
 	return nil, err
 }
 
-// knownList is the endpoint list to start from: the other process's, where it is the same service's and newer than the platform's.
+// knownList is the endpoint list to start from: the other process's if it is of the same service and newer, else the platform's.
 func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.Change {
 	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
 		return cfg.CachedList
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -14,26 +14,30 @@
 )
 
 const (
-	// ownListWait is how long a new process waits for its own list from discovery before it takes over with the one that it was given.
+	// ownListWait is how long a new process waits for its own list from discovery before it takes over with the old one's.
 	ownListWait = 2500 * time.Millisecond
 	// takenOverWait is how long it then waits for the old one's last snapshot.
 	takenOverWait = 700 * time.Millisecond
-	// sessionsInterval is how often an old process tells how many downstreams it holds.
-	sessionsInterval = 250 * time.Millisecond
+	// downstreamReportInterval is how often an old process reports how many downstreams it holds.
+	downstreamReportInterval = 250 * time.Millisecond
 )
 
+// Why a handover is rejected. The texts are sent to the new process.
 var (
 	errHasPartner   = errors.New("two processes are at it")
 	errShuttingDown = errors.New("this one is leaving")
 )
 
-// restartPhase is which process of the proxy accepts clients, as this one knows it.
+// restartPhase says which process of the proxy accepts clients, as this one knows it.
+//
+// A new process goes from awaitingList by takingOver to serving; the old one from serving to handedOver, and back to serving if the new one
+// ends first. The old one gets SIGTERM from the platform once the new one is ready, and hands its connections over as it shuts down.
 type restartPhase int
 
 const (
 	serving      restartPhase = iota // this one
-	awaitingList                     // the old one, until this one has its own list from discovery
-	takingOver                       // this one as soon as the old one has answered
+	awaitingList                     // the old one; this one waits for its own list from discovery
+	takingOver                       // the old one; this one has asked it to stop, and waits for its answer
 	handedOver                       // the new one
 )
 
@@ -52,20 +56,20 @@
 	return fmt.Sprintf("restartPhase(%d)", int(p))
 }
 
-// restart is what a process knows of the one before or after it, and what it stores for the next.
+// restart is the state of a hot restart, and the store for the next process.
 type restart struct {
-	dir       string // the private folder; "": no process can take another's place
-	store     *hotrestart.Store
-	endpoint  *hotrestart.Endpoint
-	listDirty bool // the list has changed since it was stored
+	dir             string // the private folder; "": hot restarts are off
+	store           *hotrestart.Store
+	endpoint        *hotrestart.Endpoint
+	listSavePending bool // the list has changed, and will be stored
 
 	phase     restartPhase
-	partner   *hotrestart.Partner // nil: this is the only process
-	isOld     bool                // the partner is to take this one's place
-	givenAway balancer.Snapshot   // what the partner was given as it took over
+	partner   *hotrestart.Partner // the other process; nil: there is none
+	isOld     bool                // this process is the old one of the two
+	givenAway balancer.Snapshot   // the decision module's state that the partner got as it took over
 }
 
-// serve accepts clients, hears the other proxies, and lets the next process ask.
+// serve accepts clients, receives the other proxies' datagrams, and offers a handover to the next process.
 func (p *process) serve() error {
 	if err := p.front.Serve(); err != nil {
 		return err
@@ -75,12 +79,12 @@
 	}
 	p.core.SetHandedOver(false)
 	if p.restart.dir != "" {
-		p.offer()
+		p.offerHandover()
 	}
 	return nil
 }
 
-// mustServe is serve for a process that has nothing else to do.
+// mustServe is serve in a hot restart. It exits on an error: the process would be of no use.
 func (p *process) mustServe() {
 	if err := p.serve(); err != nil {
 		slog.Error("listener_lost", "addr", p.cfg.Listen, "reason", err)
@@ -88,19 +92,19 @@
 	}
 }
 
-// offer lets the next process ask.
-func (p *process) offer() {
+// offerHandover accepts handover requests of the next process.
+func (p *process) offerHandover() {
 	if p.restart.endpoint != nil {
 		p.restart.endpoint.Close()
 	}
 	var err error
-	p.restart.endpoint, err = hotrestart.Offer(p.loop, p.restart.dir, p.handoffFor, p.newProcessCame)
+	p.restart.endpoint, err = hotrestart.Offer(p.loop, p.restart.dir, p.handoffFor, p.newProcessConnected)
 	if err != nil {
 		slog.Warn("hot_restart_off", "reason", err)
 	}
 }
 
-// handoffFor is what a new process is given that serves at an address, or why it gets nothing.
+// handoffFor is the handoff for a new process that is to serve at an address, or the reason for a rejection.
 func (p *process) handoffFor(listen string) (*hotrestart.Handoff, error) {
 	switch {
 	case p.restart.partner != nil:
@@ -118,30 +122,30 @@
 	return h, nil
 }
 
-// newProcessCame makes this process the old one of two.
-func (p *process) newProcessCame(partner *hotrestart.Partner) {
+// newProcessConnected makes this process the old one of a hot restart.
+func (p *process) newProcessConnected(partner *hotrestart.Partner) {
 	p.restart.isOld = true
 	p.runPartner(partner)
 }
 
-// runPartner begins to hear the other process, with which this one shares the memory.
+// runPartner receives the other process's messages, and leaves it half of the memory.
 func (p *process) runPartner(partner *hotrestart.Partner) {
 	p.restart.partner = partner
 	debug.SetMemoryLimit(p.cfg.MemoryLimit() / 2)
 	partner.Run(p.loop, partnerEvents{p, partner})
 }
 
-// beginTakeover has a new process take over, once it has a list from discovery itself or has waited long enough.
+// beginTakeover has a new process take over once it has its own list from discovery, or after ownListWait.
 func (p *process) beginTakeover(old *hotrestart.Partner) {
 	p.restart.phase = awaitingList
 	p.core.SetHandedOver(true)
 	p.runPartner(old)
 	p.discovery.FetchList()
-	p.discovery.WatchList(true) // the decision module would wait for its turn, and miss a drain that the other process is told of
+	p.discovery.WatchList(true) // at once: the decision module would poll later, and use hosts that drain meanwhile
 	p.loop.After(ownListWait, p.becomeTakingOver)
 }
 
-// becomeTakingOver asks the old process, once, to accept no more clients; until it has answered it does accept them.
+// becomeTakingOver asks the old process to stop accepting clients. The old one accepts them until it answers.
 func (p *process) becomeTakingOver() {
 	if p.restart.phase != awaitingList {
 		return
@@ -151,7 +155,7 @@
 	p.loop.After(takenOverWait, p.becomeServing)
 }
 
-// becomeServing has a new process accept clients.
+// becomeServing has a new process accept clients, on the old one's answer or after takenOverWait.
 func (p *process) becomeServing() {
 	if p.restart.phase != awaitingList && p.restart.phase != takingOver {
 		return
@@ -163,7 +167,7 @@
 	p.save(nil)
 }
 
-// becomeHandedOver has an old process accept no more clients.
+// becomeHandedOver has an old process stop accepting clients.
 func (p *process) becomeHandedOver() {
 	p.restart.phase = handedOver
 	p.fleet.owners.Leave(func() { p.fleet.members.Stop() })
@@ -176,24 +180,24 @@
 	p.reportDownstreams()
 }
 
-// takeBack has an old process serve again: the new one has ended after it took over, and whoever waits in the queue is this one's again.
+// takeBack has an old process serve again after the new one has ended: clients in the accept queue are this one's again.
 func (p *process) takeBack() {
 	p.restart.phase = serving
-	p.core.RestoreBalancer(p.restart.givenAway) // the slow-start budgets that were given up, among others
+	p.core.RestoreBalancer(p.restart.givenAway) // else the slow-start budgets that the new process got would be lost
 	p.mustServe()
 	p.rejoinFleet()
 	slog.Warn("hot_restart_taken_back", "sessions", p.core.Downstreams())
 }
 
-// reportDownstreams tells the new process, again and again, how many descriptors are still held here.
+// reportDownstreams reports to the new process, periodically, how many downstreams are left here: the two share the descriptors.
 func (p *process) reportDownstreams() {
 	if p.restart.partner != nil && p.restart.isOld {
 		p.restart.partner.SendDownstreamCount(p.core.Downstreams())
-		p.loop.After(sessionsInterval, p.reportDownstreams)
+		p.loop.After(downstreamReportInterval, p.reportDownstreams)
 	}
 }
 
-// snapshot is what the next process is to know. With yield, this one gives up its slow-start budgets.
+// snapshot is the state for the next process. With yield, this one gives up its slow-start budgets.
 func (p *process) snapshot(yield bool) *proxy.Snapshot {
 	s := p.core.Snapshot(yield)
 	s.Discovery, s.Revision = p.discovery.Source()
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -31,7 +31,7 @@
 	return f.Value("floors").(watermark.Options)
 }
 
-// Check reads what the settings file refers to and gives what of it cannot be used.
+// Check reads the files that the settings file refers to, and returns what cannot be used.
 func Check(file *settings.File) []error {
 	var faults []error
 	if err := checkTLS(tlsOptions(file)); err != nil {
@@ -50,26 +50,25 @@
 	return faults
 }
 
-// checkTLS loads certificates and keys.
+// checkTLS loads certificates and keys, and checks them.
 func checkTLS(o upstreamtls.Options) error {
 	if !o.Enabled {
 		return nil
 	}
-	m, err := upstreamtls.Load(o, 1)
+	material, err := upstreamtls.Load(o, 1)
 	if err != nil {
 		return err
 	}
-	if fault := m.OwnFault(time.Now()); fault != nil {
+	if fault := material.OwnFault(time.Now()); fault != nil {
 		return fault
 	}
 	return nil
 }
 
-// stderr is where the log goes. Whoever reads it may stop reading.
+// stderr is where the log goes. It does not block where its reader stops reading.
 var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
-// Logs makes the log what the settings file says, in another format where one is given: the command line wins over the file, also once
-// that is read again.
+// Logs configures the log by the settings file. A format of the command line wins over the file's, also after a reload.
 func Logs(file *settings.File, format string) {
 	o := logOptions(file)
 	if format != "" {
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -12,25 +12,25 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Signals takes the signals that a proxy obeys. It comes before anything else: a SIGHUP that nobody takes ends the process.
+// Signals receives the signals that a proxy handles. It is called first: a SIGHUP before that ends the process.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
 
-// signalHandler acts on signals, beside the loop.
+// signalHandler handles signals, on goroutines of its own: SIGHUP reloads the files, SIGTERM and SIGINT start the shutdown.
 type signalHandler struct {
 	cfg      *platform.Config
-	file     *settings.File    // the latest one that could be used; the reloading goroutine's
+	file     *settings.File    // the latest valid one; used by the reloading goroutine alone
 	format   string            // of the log, from the command line
-	link     *upstreamtls.Link // nil: upstream hosts speak plain TCP
+	link     *upstreamtls.Link // nil: connections to upstream hosts without TLS
 	redirect func(discovery string)
 	shutDown func()
 }
 
-// run acts on signals until stopped is closed. It never blocks, so that a SIGTERM behind a SIGHUP whose files come from a disk that hangs
-// is acted on at once.
+// run handles signals until stopped is closed. It never blocks, so that a SIGTERM after a SIGHUP is handled at once, also where the disk with
+// the files hangs.
 func (h *signalHandler) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
@@ -50,22 +50,22 @@
 			}
 			select {
 			case reloads <- struct{}{}:
-			default: // one that has not begun yet will read what is there now
+			default: // a pending reload will read the files as they are now
 			}
 		}
 	}
 }
 
-// reloadEach reads the files again for each reload, until run ends. It has a goroutine of its own, since neither the loop nor run may wait for
-// a disk.
+// reloadEach reloads the files for each request, until run ends. It has a goroutine of its own, since neither the loop nor run may wait for a
+// disk.
 func (h *signalHandler) reloadEach(reloads <-chan struct{}) {
 	for range reloads {
 		h.reload()
 	}
 }
 
-// reload reads the settings file and the platform's configuration again. They are two parties', so a fault in one does not hold up the other;
-// a file that cannot be used changes nothing.
+// reload reads the settings file and the platform's configuration again. The operators write one, the platform the other: an invalid file
+// changes nothing, and does not keep the other from being applied.
 func (h *signalHandler) reload() {
 	h.reloadSettings()
 	if h.link != nil {
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -9,22 +9,23 @@
 const (
 	// saveTimeout is how long an operator's call waits for the disk.
 	saveTimeout = 400 * time.Millisecond
-	// listSaveDelay is how soon a changed list is stored.
+	// listSaveDelay is the delay before a changed list is stored, so that further changes are stored with it.
 	listSaveDelay = time.Second
 )
 
 var _ proxy.Successor = (*process)(nil)
 
-// save stores what the next process is to know; done may be nil.
+// save stores the state for the next process, and then calls done, which may be nil.
 func (p *process) save(done func()) { p.restart.store.Save(p.snapshot(false), done) }
 
-// HostSuspended stores a host's suspension, or its end, and passes it on. done is called once, also where the disk hangs.
+// HostSuspended stores a host's suspension, or its end, and sends it to the other process, if there is one. done is called once, also if the
+// disk hangs.
 func (p *process) HostSuspended(id string, suspended bool, done func()) {
 	if p.restart.partner != nil {
 		p.restart.partner.HostSuspended(id, suspended)
 	}
 	if p.restart.phase != serving {
-		done() // the file is the other process's, and it has been told
+		done() // the other process writes the file, and has been sent the suspension
 		return
 	}
 	called := false
@@ -38,21 +39,21 @@
 	p.save(func() { limit.Stop(); once() })
 }
 
-// ListChanged has a changed list stored, soon.
+// ListChanged stores a changed list after listSaveDelay.
 func (p *process) ListChanged() {
-	if p.restart.listDirty || p.restart.phase != serving {
+	if p.restart.listSavePending || p.restart.phase != serving {
 		return
 	}
-	p.restart.listDirty = true
+	p.restart.listSavePending = true
 	p.loop.After(listSaveDelay, func() {
-		p.restart.listDirty = false
+		p.restart.listSavePending = false
 		if p.restart.phase == serving {
 			p.save(nil)
 		}
 	})
 }
 
-// HandOver hands an open connection to the process that takes over.
+// HandOver hands a connection to the process that has taken over, or closes it with its migration line if there is none.
 func (p *process) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	if !p.Accepts() {
 		s.Downstream.Discard(migrationLine)
@@ -63,7 +64,7 @@
 	p.restart.partner.HandOver(s, migrationLine, func() { p.loop.Post(done) })
 }
 
-// Accepts tells whether there is a process that takes over.
+// Accepts returns whether another process has taken over, and connections can be handed to it.
 func (p *process) Accepts() bool {
 	return p.restart.partner != nil && p.restart.isOld && p.restart.phase == handedOver
 }
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -12,8 +12,7 @@
 	"croftlock/internal/fleet/watermark"
 )
 
-// startWatermarks begins to tell the other members of hosts that drain or are removed, and to go by what they tell, where the operators want
-// it.
+// startWatermarks starts the exchange of watermarks with the other members, if it is enabled, and has the core act by them.
 func (p *process) startWatermarks() {
 	f := &p.fleet
 	if !f.watermarkOptions.Enabled || f.members == nil {
@@ -37,7 +36,7 @@
 	p.core.SetWatermarks(coreWatermarks{f.watermarks}, revision)
 }
 
-// watermarkSource identifies whose revisions the watermarks count: the name in the settings, or else discovery's address.
+// watermarkSource identifies the service whose revisions the watermarks hold: the name in the settings, or else discovery's address.
 func (p *process) watermarkSource() uint32 {
 	name := p.fleet.watermarkOptions.Source
 	if addr, _ := p.discovery.Source(); name == "" {
@@ -52,10 +51,10 @@
 // After calls f on the loop after d.
 func (c loopClock) After(d time.Duration, f func()) { c.Loop.After(d, f) }
 
-// memberTransport is the way between members.
+// memberTransport sends watermarks between members.
 type memberTransport struct{ *memberagent.Agent }
 
-// Others are the members that may be there: one that does not answer may hear all the same.
+// Others are the members that may be alive: a suspect, which does not answer, may still receive.
 func (w memberTransport) Others() (out []uint32) {
 	for _, m := range w.View() {
 		if m.State == "alive" || m.State == "suspect" {
@@ -65,15 +64,15 @@
 	return out
 }
 
-// coreWatermarks is a watermark link as the core knows it. The link's times are in milliseconds, the core's in nanoseconds.
+// coreWatermarks adapts a watermark link to the core. The link's times are in milliseconds, the core's in nanoseconds.
 type coreWatermarks struct{ *watermark.Link }
 
 var _ proxy.Watermarks = coreWatermarks{}
 
-// watermarkStates are the states of hosts as watermarks know them.
+// watermarkStates maps the states of hosts to those of watermarks.
 var watermarkStates = map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
 
-// Listed passes the own list's change on.
+// Listed passes a change of the own list to the watermarks.
 func (w coreWatermarks) Listed(ch proxy.Change) []string {
 	all := make([]watermark.ListedHost, 0, len(ch.Hosts))
 	for _, e := range ch.Hosts {
@@ -82,5 +81,5 @@
 	return w.List(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
 
-// Out tells whether others' newer lists keep a host from getting anything new.
+// Out returns whether others' newer lists exclude a host.
 func (w coreWatermarks) Out(id string, since balancer.Time) bool { return w.Link.Out(id, since/1e6) }
