--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -15,81 +15,95 @@
 	"croftlock/internal/operations/settings"
 )
 
-// certCommands make and look into certificates, for installations without a certificate service of their own.
+// certCommands make and inspect certificates, for installations without a certificate service of their own.
 func certCommands() *cobra.Command {
 	group := &cobra.Command{Use: "certs", Short: "Make and look into certificates"}
-	group.AddCommand(makeCA(), makeIssue(), makeInspect(), makeVerify())
+	group.AddCommand(caCommand(), issueCommand(), inspectCommand(), verifyCommand())
 	return group
 }
 
-// output is where a new certificate and its key go.
-type output struct {
-	cert, key, password, kind, lifetime string
-	force                               bool
+// newCertificate holds the flags of the commands that make a certificate.
+type newCertificate struct {
+	cert, key      string // paths that are written
+	passwordFile   string // path; "": the key is not encrypted
+	kind, lifetime string
+	force          bool // existing files are replaced
 }
 
-func (o *output) flags(cmd *cobra.Command, name, life string) {
+// addFlags adds the flags to a command, with its defaults.
+func (n *newCertificate) addFlags(cmd *cobra.Command, name, lifetime string) {
 	f := cmd.Flags()
-	f.StringVar(&o.cert, "out", name+".pem", "file of the certificate")
-	f.StringVar(&o.key, "key", name+".key", "file of the key, written with mode 0600")
-	f.StringVar(&o.password, "password-file", "", "encrypt the key with the first line of this file")
-	f.StringVar(&o.kind, "kind", "ec", "kind of key: "+strings.Join(certs.KeyKinds[:len(certs.KeyKinds)-1], ", "))
-	f.StringVar(&o.lifetime, "life", life, "how long it is valid, such as 90d")
-	f.BoolVar(&o.force, "force", false, "replace files that exist")
+	f.StringVar(&n.cert, "out", name+".pem", "file of the certificate")
+	f.StringVar(&n.key, "key", name+".key", "file of the key, written with mode 0600")
+	f.StringVar(&n.passwordFile, "password-file", "", "encrypt the key with the first line of this file")
+	f.StringVar(&n.kind, "kind", "ec", "kind of key: "+strings.Join(certs.KeyKinds[:len(certs.KeyKinds)-1], ", "))
+	f.StringVar(&n.lifetime, "life", lifetime, "how long it is valid, such as 90d")
+	f.BoolVar(&n.force, "force", false, "replace files that exist")
 }
 
-func (o *output) issue(issuer *certs.Pair, spec certs.Spec) (*certs.Pair, error) {
-	life, ok := settings.ParseDuration(o.lifetime)
-	if !ok || life <= 0 {
-		return nil, fmt.Errorf("--life %q, expected a time with its unit, such as 90d", o.lifetime)
+// issue makes the certificate and its key, and writes both. issuer is nil for an authority.
+func (n *newCertificate) issue(issuer *certs.Pair, spec certs.Spec) (*certs.Pair, error) {
+	lifetime, ok := settings.ParseDuration(n.lifetime)
+	if !ok || lifetime <= 0 {
+		return nil, fmt.Errorf("--life %q, expected a time with its unit, such as 90d", n.lifetime)
 	}
-	if o.kind == "rsa1024" {
+	if n.kind == "rsa1024" {
 		return nil, errors.New("a key of kind rsa1024 is too weak")
 	}
 	now := time.Now()
-	spec.Key, spec.NotBefore, spec.NotAfter = o.kind, now.Add(-time.Minute), now.Add(life)
+	spec.Key, spec.NotBefore, spec.NotAfter = n.kind, now.Add(-time.Minute), now.Add(lifetime)
 	if issuer != nil && spec.NotAfter.After(issuer.Cert.NotAfter) {
 		return nil, fmt.Errorf("it would outlive its issuer, which ends %s", issuer.Cert.NotAfter.UTC().Format(time.RFC3339))
 	}
-	for _, path := range []string{o.cert, o.key} {
-		if _, err := os.Stat(path); err == nil && !o.force {
+	for _, path := range []string{n.cert, n.key} {
+		if _, err := os.Stat(path); err == nil && !n.force {
 			return nil, fmt.Errorf("%s exists; --force replaces it", path)
 		}
 	}
-	var password []byte
-	if o.password != "" {
-		data, err := certs.ReadFile(o.password)
-		if err != nil {
-			return nil, err
-		}
-		if password = []byte(strings.TrimRight(string(data), "\r\n")); len(password) == 0 {
-			return nil, fmt.Errorf("%s: no password in it", o.password)
-		}
+	password, err := n.password()
+	if err != nil {
+		return nil, err
 	}
-	p, err := certs.Issue(issuer, spec)
+	pair, err := certs.Issue(issuer, spec)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.Save(o.cert, o.key, password)
+	return pair, pair.Save(n.cert, n.key, password)
+}
+
+// password reads the password of the new key; nil: the key is not encrypted.
+func (n *newCertificate) password() ([]byte, error) {
+	if n.passwordFile == "" {
+		return nil, nil
+	}
+	data, err := certs.ReadFile(n.passwordFile)
+	if err != nil {
+		return nil, err
+	}
+	password := []byte(strings.TrimRight(string(data), "\r\n"))
+	if len(password) == 0 {
+		return nil, fmt.Errorf("%s: no password in it", n.passwordFile)
+	}
+	return password, nil
 }
 
-func makeCA() *cobra.Command {
-	var o output
+func caCommand() *cobra.Command {
+	var n newCertificate
 	cmd := &cobra.Command{Use: "ca NAME", Short: "Make a certificate authority", Args: cobra.ExactArgs(1),
 		Example: "  croftlock certs ca 'Valley catalogue CA' --life 1000d --out ca.pem --key ca.key",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := o.issue(nil, certs.Spec{Name: args[0], Authority: true})
+			p, err := n.issue(nil, certs.Spec{Name: args[0], Authority: true})
 			if err == nil {
 				fmt.Fprint(cmd.OutOrStdout(), certs.Describe(p.Cert, time.Now()))
 			}
 			return err
 		}}
-	o.flags(cmd, "ca", "3650d")
+	n.addFlags(cmd, "ca", "3650d")
 	return cmd
 }
 
-func makeIssue() *cobra.Command {
-	var o output
+func issueCommand() *cobra.Command {
+	var n newCertificate
 	var caCert, caKey, caPassword string
 	var spec certs.Spec
 	cmd := &cobra.Command{Use: "issue NAME", Short: "Make a certificate signed by an authority", Args: cobra.ExactArgs(1),
@@ -110,7 +124,7 @@
 				return fmt.Errorf("%s is no authority's certificate", caCert)
 			}
 			spec.Name = args[0]
-			p, err := o.issue(ca, spec)
+			p, err := n.issue(ca, spec)
 			if err == nil {
 				fmt.Fprint(cmd.OutOrStdout(), certs.Describe(p.Cert, time.Now()))
 			}
@@ -123,11 +137,11 @@
 	f.StringSliceVar(&spec.Hosts, "host", nil, "name, address or URI it is for; may be repeated")
 	f.BoolVar(&spec.Server, "server", false, "for servers")
 	f.BoolVar(&spec.Client, "client", false, "for clients")
-	o.flags(cmd, "cert", "90d")
+	n.addFlags(cmd, "cert", "90d")
 	return cmd
 }
 
-func makeInspect() *cobra.Command {
+func inspectCommand() *cobra.Command {
 	return &cobra.Command{Use: "inspect FILE...", Short: "Say what certificates hold", Args: cobra.MinimumNArgs(1),
 		Example: "  croftlock certs inspect ca.pem cat3.pem",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -144,6 +158,7 @@
 		}}
 }
 
+// loadBundle reads the certificates of a PEM file.
 func loadBundle(path string) ([]*x509.Certificate, error) {
 	data, err := certs.ReadFile(path)
 	if err != nil {
@@ -152,7 +167,7 @@
 	return certs.ParseBundle(path, data)
 }
 
-func makeVerify() *cobra.Command {
+func verifyCommand() *cobra.Command {
 	var trust, key, password, name string
 	var lists []string
 	cmd := &cobra.Command{Use: "verify FILE", Short: "Verify a server's certificate as the proxy would",
@@ -163,14 +178,14 @@
 			if err != nil {
 				return err
 			}
-			m, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}, CRLs: lists}, 1)
+			material, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}, CRLs: lists}, 1)
 			if err != nil {
 				return err
 			}
-			if fault := m.OwnFault(time.Now()); fault != nil {
+			if fault := material.OwnFault(time.Now()); fault != nil {
 				return fault
 			}
-			if _, err := m.Verify(chain, upstreamtls.Name{Text: name, URI: strings.Contains(name, "://")}, time.Now()); err != nil {
+			if _, err := material.Verify(chain, upstreamtls.Name{Text: name, URI: strings.Contains(name, "://")}, time.Now()); err != nil {
 				return fmt.Errorf("%s: %v", args[0], err)
 			}
 			if key != "" {
--- a/internal/app/command/command.go
+++ b/internal/app/command/command.go
@@ -1,4 +1,4 @@
-// Package command is croftlock's command line.
+// Package command is croftlock's command line. Names, flags, texts and exit statuses are recorded in testdata.
 package command
 
 import (
@@ -18,7 +18,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// New makes the whole command line. Without a sub-command it serves.
+// New makes the command line. Without a sub-command it serves. env reads the environment.
 func New(env func(string) string) *cobra.Command {
 	c := &commands{env: env}
 	root := &cobra.Command{
@@ -32,10 +32,10 @@
 		SilenceErrors: true,
 		RunE:          c.serve,
 	}
-	root.PersistentFlags().StringVar(&c.path, "settings", env("CROFTLOCK_SETTINGS"),
+	root.PersistentFlags().StringVar(&c.settingsPath, "settings", env("CROFTLOCK_SETTINGS"),
 		"the operators' file; CROFTLOCK_SETTINGS names it too")
 	root.PersistentFlags().Lookup("settings").DefValue = ""
-	root.PersistentFlags().StringVar(&c.format, "log-format", "", "form of the log, text or json; wins over the operators' file")
+	root.PersistentFlags().StringVar(&c.logFormat, "log-format", "", "form of the log, text or json; wins over the operators' file")
 	root.AddCommand(&cobra.Command{Use: "serve", Short: "Run one proxy", Args: cobra.NoArgs, RunE: c.serve,
 		Example: "  NODE_CONFIG=/run/balancer/config.json croftlock serve --settings deploy/croftlock.sexp"})
 	root.AddCommand(&cobra.Command{Use: "check", Args: cobra.NoArgs, RunE: c.check,
@@ -43,12 +43,12 @@
 		Long: "check reads the file that NODE_CONFIG names, if it is set, and the operators' file, and what that refers to.\n" +
 			"It tells every fault as file:line:col: what, expected, and exits with 1 where there is any.",
 		Example: "  croftlock check --settings deploy/croftlock.sexp"})
-	root.AddCommand(c.settings(), certCommands())
-	root.AddCommand(c.fleet()...)
+	root.AddCommand(c.settingsCommand(), certCommands())
+	root.AddCommand(c.fleetCommands()...)
 	return root
 }
 
-// Run runs the command line and gives the exit status.
+// Run runs the command line and returns the exit status.
 func Run(args []string, env func(string) string) int {
 	root := New(env)
 	root.SetArgs(args)
@@ -59,51 +59,52 @@
 	return 0
 }
 
+// commands holds the persistent flags.
 type commands struct {
-	env  func(string) string
-	path string
-	// format is that of the log; "" leaves it to the operators' file.
-	format string
+	env          func(string) string
+	settingsPath string // "": all settings have their defaults
+	logFormat    string // "": the settings file's
 }
 
+// serve runs the proxy until it has shut down.
 func (c *commands) serve(*cobra.Command, []string) error {
-	if c.format != "" && !slices.Contains(logging.Formats, c.format) {
-		return fmt.Errorf("--log-format %q: %s expected", c.format, strings.Join(logging.Formats, " or "))
+	if c.logFormat != "" && !slices.Contains(logging.Formats, c.logFormat) {
+		return fmt.Errorf("--log-format %q: %s expected", c.logFormat, strings.Join(logging.Formats, " or "))
 	}
-	signals := node.Signals()
+	signals := node.Signals() // before the files are read: a SIGHUP would end the process
 	cfg, err := platform.Load(c.env)
 	if err != nil {
 		return err
 	}
-	file, err := node.Schema().Load(c.path)
+	file, err := node.Schema().Load(c.settingsPath)
 	if err != nil {
 		return err
 	}
-	return node.Run(cfg, file, c.format, signals)
+	return node.Run(cfg, file, c.logFormat, signals)
 }
 
-// check exits with 1 where anything is wrong, after telling all of it.
+// check prints every fault of the platform's configuration and of the settings file. It fails if there is any.
 func (c *commands) check(cmd *cobra.Command, _ []string) error {
 	faults := 0
-	tell := func(err error) {
+	report := func(err error) {
 		if err != nil {
 			fmt.Fprintln(cmd.OutOrStdout(), err)
 			faults++
 		}
 	}
-	if c.env("NODE_CONFIG") == "" && c.path == "" {
+	if c.env("NODE_CONFIG") == "" && c.settingsPath == "" {
 		return fmt.Errorf("nothing to check: name the operators' file by --settings, or set NODE_CONFIG")
 	}
 	if c.env("NODE_CONFIG") != "" {
 		_, err := platform.Load(c.env)
-		tell(err)
+		report(err)
 	}
-	if c.path != "" {
-		file, err := node.Schema().Load(c.path)
-		tell(err)
+	if c.settingsPath != "" {
+		file, err := node.Schema().Load(c.settingsPath)
+		report(err)
 		if err == nil {
 			for _, err := range node.Check(file) {
-				tell(err)
+				report(err)
 			}
 		}
 	}
@@ -114,13 +115,13 @@
 	return nil
 }
 
-func (c *commands) settings() *cobra.Command {
+func (c *commands) settingsCommand() *cobra.Command {
 	group := &cobra.Command{Use: "settings", Short: "Look at the operators' file"}
 	group.AddCommand(&cobra.Command{Use: "show", Args: cobra.NoArgs,
 		Short:   "Print every setting with its value, defaults included",
 		Example: "  croftlock settings show --settings deploy/croftlock.sexp",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			file, err := node.Schema().Load(c.path)
+			file, err := node.Schema().Load(c.settingsPath)
 			if err != nil {
 				return err
 			}
@@ -143,6 +144,7 @@
 	return group
 }
 
+// formatFile prints the file in its canonical form, or with write replaces it. A path "-" reads standard input.
 func formatFile(cmd *cobra.Command, path string, write bool) error {
 	var data []byte
 	var err error
@@ -156,7 +158,7 @@
 	}
 	root, faults := settings.Parse(path, data)
 	if err := faults.Err(); err != nil {
-		return err // a file that can't be read is not touched
+		return err // a file that cannot be parsed is not changed
 	}
 	out := settings.Print(root)
 	if !write || path == "-" {
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -17,18 +17,18 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// fleetClient asks a running proxy, over the Unix sockets that the operators' file names.
+// fleetClient sends requests to a running proxy, over the Unix sockets that the settings file names.
 type fleetClient struct {
 	commands *commands
-	socket   string // names the socket in place of the file
+	socket   string // in place of the settings file's; "": that one
 	asJSON   bool
 }
 
-// showReply prints a reply; nil: its answer is printed as it is.
-type showReply func(w io.Writer, r owneragent.Reply) error
+// printReply prints a reply; nil: the answer is printed as text.
+type printReply func(w io.Writer, r owneragent.Reply) error
 
-// fleet are the commands that ask a running proxy about the fleet.
-func (c *commands) fleet() []*cobra.Command {
+// fleetCommands are the commands that ask a running proxy about the fleet.
+func (c *commands) fleetCommands() []*cobra.Command {
 	f := &fleetClient{commands: c}
 	all := []*cobra.Command{f.ownersCommand(), f.groupCommand(), f.fleetCommand(), f.membersCommand(), f.rulesCommand()}
 	for _, command := range all {
@@ -38,12 +38,12 @@
 	return all
 }
 
-// socketOf is the socket of a section: owners or membership.
+// socketOf is the path of the socket of a settings section, owners or membership.
 func (f *fleetClient) socketOf(section string) (string, error) {
 	if f.socket != "" {
 		return f.socket, nil
 	}
-	file, err := node.Schema().Load(f.commands.path)
+	file, err := node.Schema().Load(f.commands.settingsPath)
 	if err != nil {
 		return "", err
 	}
@@ -57,53 +57,55 @@
 	return path, nil
 }
 
-// ask sends a request to the owner agent and prints the reply. An answer that nothing was done is an error.
-func (f *fleetClient) ask(cmd *cobra.Command, q owneragent.Request, show showReply) error {
+// send sends a request to the owner agent and prints the reply. An answer by which the request was not carried out is an error.
+func (f *fleetClient) send(cmd *cobra.Command, request owneragent.Request, show printReply) error {
 	socket, err := f.socketOf("owners")
 	if err != nil {
 		return err
 	}
-	r, err := owneragent.SendRequest(socket, q)
+	reply, err := owneragent.SendRequest(socket, request)
 	if err != nil {
 		return fmt.Errorf("%s: %w", socket, err)
 	}
 	if f.asJSON {
-		return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
+		return json.NewEncoder(cmd.OutOrStdout()).Encode(reply)
 	}
-	if r.Error != "" {
-		return errors.New(r.Error)
+	if reply.Error != "" {
+		return errors.New(reply.Error)
 	}
 	if show != nil {
-		return show(cmd.OutOrStdout(), r)
+		return show(cmd.OutOrStdout(), reply)
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), r.Answer)
-	if strings.HasPrefix(r.Answer, "refused") || strings.HasPrefix(r.Answer, "unknown") {
+	fmt.Fprintln(cmd.OutOrStdout(), reply.Answer)
+	if strings.HasPrefix(reply.Answer, "refused") || strings.HasPrefix(reply.Answer, "unknown") {
 		return errNotDone
 	}
 	return nil
 }
 
-// errNotDone is the end of a command whose request was refused, or whose outcome nobody knows.
+// errNotDone is the error of a command whose request was rejected, or whose outcome is unknown.
 var errNotDone = errors.New("it was not done, or nobody knows")
 
-// withArguments is a command that sends its one or two arguments.
-func (f *fleetClient) withArguments(do string) func(cmd *cobra.Command, args []string) error {
+// withArguments sends a request with the command line's one or two arguments.
+func (f *fleetClient) withArguments(name string) func(cmd *cobra.Command, args []string) error {
 	return func(cmd *cobra.Command, args []string) error {
-		q := owneragent.Request{Command: do}
-		if q.Argument = args[0]; len(args) > 1 {
-			q.SecondArgument = args[1]
+		request := owneragent.Request{Command: name, Argument: args[0]}
+		if len(args) > 1 {
+			request.SecondArgument = args[1]
 		}
-		return f.ask(cmd, q, nil)
+		return f.send(cmd, request, nil)
 	}
 }
 
-// withoutArguments is a command that has none.
-func (f *fleetClient) withoutArguments(do string, show showReply) func(cmd *cobra.Command, args []string) error {
-	return func(cmd *cobra.Command, _ []string) error { return f.ask(cmd, owneragent.Request{Command: do}, show) }
+// withoutArguments sends a request that has none.
+func (f *fleetClient) withoutArguments(name string, show printReply) func(cmd *cobra.Command, args []string) error {
+	return func(cmd *cobra.Command, _ []string) error {
+		return f.send(cmd, owneragent.Request{Command: name}, show)
+	}
 }
 
 func (f *fleetClient) ownersCommand() *cobra.Command {
-	owners := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs", RunE: f.withoutArguments("owners", showOwners),
+	owners := &cobra.Command{Use: "owners", Args: cobra.NoArgs, Short: "Tell who owns which of the fleet's jobs", RunE: f.withoutArguments("owners", printOwners),
 		Example: "  croftlock owners --socket /run/croftlock/owners.sock\n  croftlock owners move hosts proxy-2"}
 	owners.AddCommand(&cobra.Command{Use: "move JOB MEMBER", Args: cobra.ExactArgs(2), Short: "Have a job handed over", RunE: f.withArguments("move"),
 		Example: "  croftlock owners move hosts proxy-2"})
@@ -112,23 +114,23 @@
 
 func (f *fleetClient) groupCommand() *cobra.Command {
 	group := &cobra.Command{Use: "group", Short: "The voters that the owners rest on"}
-	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it", RunE: f.withoutArguments("status", showGroup)})
-	for _, x := range []struct{ use, do, short string }{
+	group.AddCommand(&cobra.Command{Use: "status", Args: cobra.NoArgs, Short: "Tell how the group stands, as this proxy sees it", RunE: f.withoutArguments("status", printGroup)})
+	for _, c := range []struct{ use, name, short string }{
 		{"add NAME", "add", "Take a process in that asks for it, as one that listens"},
 		{"promote NAME", "promote", "Let a member that listens vote, in the place of its earlier self"},
 		{"remove NAME", "remove", "Take a member out"},
 	} {
-		group.AddCommand(&cobra.Command{Use: x.use, Args: cobra.ExactArgs(1), Short: x.short, RunE: f.withArguments(x.do)})
+		group.AddCommand(&cobra.Command{Use: c.use, Args: cobra.ExactArgs(1), Short: c.short, RunE: f.withArguments(c.name)})
 	}
 	return group
 }
 
 func (f *fleetClient) fleetCommand() *cobra.Command {
 	fleet := &cobra.Command{Use: "fleet", Short: "What holds at every proxy"}
-	for _, do := range []string{"suspend", "resume"} {
-		fleet.AddCommand(&cobra.Command{Use: do + " ID", Args: cobra.ExactArgs(1), Short: do + " a host at every proxy", RunE: f.withArguments(do),
+	for _, name := range []string{"suspend", "resume"} {
+		fleet.AddCommand(&cobra.Command{Use: name + " ID", Args: cobra.ExactArgs(1), Short: name + " a host at every proxy", RunE: f.withArguments(name),
 			Long:    "The answer says at how many proxies it is done and which are still missing; refused; or unknown, where nobody can say.",
-			Example: "  croftlock fleet " + do + " catalogue-07"})
+			Example: "  croftlock fleet " + name + " catalogue-07"})
 	}
 	fleet.AddCommand(&cobra.Command{Use: "list", Args: cobra.NoArgs, Short: "Tell which hosts are out for the whole fleet", RunE: f.withoutArguments("list", nil)})
 	return fleet
@@ -141,19 +143,20 @@
 			if err != nil {
 				return err
 			}
-			r, err := memberagent.RequestReport(socket)
+			report, err := memberagent.RequestReport(socket)
 			if err != nil {
 				return fmt.Errorf("%s: %w", socket, err)
 			}
 			if f.asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(r)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(report)
 			}
-			return r.Print(cmd.OutOrStdout())
+			return report.Print(cmd.OutOrStdout())
 		}}
 }
 
-func showOwners(w io.Writer, r owneragent.Reply) error {
-	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, dash(r.Leader), r.LeaseMS)
+// printOwners prints the owners of all jobs, as a replica knows them; another proxy knows its own jobs alone.
+func printOwners(w io.Writer, r owneragent.Reply) error {
+	fmt.Fprintf(w, "%s  coordinator %s  lease left %d ms\n", r.Name, orDash(r.Leader), r.LeaseMS)
 	if r.Store != "" {
 		fmt.Fprintf(w, "its store can't be used: %s\n", r.Store)
 	}
@@ -161,31 +164,31 @@
 	if r.Jobs == nil {
 		fmt.Fprintln(w, "this proxy is no voter, and knows its own jobs alone")
 		fmt.Fprintln(t, "JOB\tTOKEN")
-		names := slices.Sorted(maps.Keys(r.Owned))
-		for _, n := range names {
-			fmt.Fprintf(t, "%s\t%d\n", n, r.Owned[n])
+		for _, job := range slices.Sorted(maps.Keys(r.Owned)) {
+			fmt.Fprintf(t, "%s\t%d\n", job, r.Owned[job])
 		}
 		return t.Flush()
 	}
 	fmt.Fprintln(t, "JOB\tOWNER\tTOKEN\tSINCE\tKEPT BYTES\tWHY")
 	for _, j := range r.Jobs {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%s\n", j.Job, dash(j.Owner), j.Token, j.ChangedAt, j.CheckpointBytes, j.Reason)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%s\n", j.Job, orDash(j.Owner), j.Token, j.ChangedAt, j.CheckpointBytes, j.Reason)
 	}
 	return t.Flush()
 }
 
-func showGroup(w io.Writer, r owneragent.Reply) error {
+// printGroup prints the replicated group as this proxy sees it.
+func printGroup(w io.Writer, r owneragent.Reply) error {
 	if r.Store != "" {
 		fmt.Fprintf(w, "%s: the store can't be used: %s\n", r.Name, r.Store)
 	}
 	if r.Group == nil {
-		fmt.Fprintf(w, "%s: no voter with a disk (%s); coordinator %s\n", r.Name, r.Kind, dash(r.Leader))
+		fmt.Fprintf(w, "%s: no voter with a disk (%s); coordinator %s\n", r.Name, r.Kind, orDash(r.Leader))
 		return nil
 	}
 	g := r.Group
-	fmt.Fprintf(w, "%s: %s %s  boots %d  term %d  leader %s  commit %d  applied %d\n", r.Name, g.Phase, g.Reason, g.Boots, g.Term, dash(g.Leader), g.Commit, g.Applied)
-	for _, n := range g.Waits {
-		fmt.Fprintf(w, "%s asks to be added\n", n)
+	fmt.Fprintf(w, "%s: %s %s  boots %d  term %d  leader %s  commit %d  applied %d\n", r.Name, g.Phase, g.Reason, g.Boots, g.Term, orDash(g.Leader), g.Commit, g.Applied)
+	for _, name := range g.Waits {
+		fmt.Fprintf(w, "%s asks to be added\n", name)
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tID\tVOTES\tMATCH\tANSWERS")
@@ -195,7 +198,8 @@
 	return t.Flush()
 }
 
-func dash(s string) string {
+// orDash stands for what is empty in a table.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// rulesCommand holds the commands about the rules that all proxies agree on.
+// rulesCommand is the group of commands on the rules that all proxies agree on.
 func (f *fleetClient) rulesCommand() *cobra.Command {
 	all := &cobra.Command{Use: "rules", Short: "Rules on which all proxies agree"}
 	all.AddCommand(f.putCommand(), f.dropCommand(), f.rollbackCommand(), f.diffCommand(), f.explainCommand(), checkRulesCommand(), keyCommand(),
@@ -23,9 +23,9 @@
 	return all
 }
 
-// query sends a question to the rules' coordinator.
-func (f *fleetClient) query(cmd *cobra.Command, question []byte) error {
-	return f.ask(cmd, owneragent.Request{Command: "rules", Rules: question}, nil)
+// query sends a query, or a proposal, to the rules' publisher and prints the reply.
+func (f *fleetClient) query(cmd *cobra.Command, message []byte) error {
+	return f.send(cmd, owneragent.Request{Command: "rules", Rules: message}, nil)
 }
 
 func (f *fleetClient) historyCommand() *cobra.Command {
@@ -68,7 +68,7 @@
 		}}
 }
 
-// diffCommand compares what two versions say, line by line.
+// diffCommand compares two versions, line by line.
 func (f *fleetClient) diffCommand() *cobra.Command {
 	return &cobra.Command{Use: "diff VERSION VERSION", Args: cobra.ExactArgs(2), Short: "Tell what one version says and another does not (0: the active one)", Example: "  croftlock rules diff 6 0",
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -79,17 +79,19 @@
 					return err
 				}
 			}
-			return difference(cmd.OutOrStdout(), texts[0], texts[1])
+			printMissing(cmd.OutOrStdout(), "-", texts[0], texts[1])
+			printMissing(cmd.OutOrStdout(), "+", texts[1], texts[0])
+			return nil
 		}}
 }
 
-// versionText asks for what a version says.
+// versionText queries the text of a version.
 func (f *fleetClient) versionText(cmd *cobra.Command, version string) (text string, err error) {
 	n, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
 		return "", err
 	}
-	err = f.ask(cmd, owneragent.Request{Command: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
+	err = f.send(cmd, owneragent.Request{Command: "rules", Rules: rules.QueryVersion(n)}, func(_ io.Writer, r owneragent.Reply) error {
 		text = r.Answer
 		return nil
 	})
@@ -99,26 +101,22 @@
 	return text, err
 }
 
-// difference writes the lines of either text that the other has not; comments are numbers, which differ in any case.
-func difference(w io.Writer, a, b string) error {
-	only := func(mark, x, y string) {
-		has := map[string]int{}
-		for _, l := range strings.Split(y, "\n") {
-			has[l]++
+// printMissing prints, with a mark, the lines of a version's text that another's lacks, each with its section. Comments are left out: they hold
+// numbers that differ between any two versions.
+func printMissing(w io.Writer, mark, text, other string) {
+	left := map[string]int{} // how often each line of other is not matched yet
+	for _, line := range strings.Split(other, "\n") {
+		left[line]++
+	}
+	section := ""
+	for _, line := range strings.Split(text, "\n") {
+		if strings.HasPrefix(line, "(") {
+			section = strings.TrimSuffix(line, ")")
 		}
-		in := ""
-		for _, l := range strings.Split(x, "\n") {
-			if strings.HasPrefix(l, "(") {
-				in = strings.TrimSuffix(l, ")")
-			}
-			if has[l]--; has[l] < 0 && !strings.HasPrefix(l, ";") {
-				fmt.Fprintf(w, "%s %s  ; in %s\n", mark, strings.TrimSpace(l), in)
-			}
+		if left[line]--; left[line] < 0 && !strings.HasPrefix(line, ";") {
+			fmt.Fprintf(w, "%s %s  ; in %s\n", mark, strings.TrimSpace(line), section)
 		}
 	}
-	only("-", a, b)
-	only("+", b, a)
-	return nil
 }
 
 func (f *fleetClient) explainCommand() *cobra.Command {
@@ -126,11 +124,11 @@
 	c := &cobra.Command{Use: "explain 'OPEN …'", Args: cobra.ExactArgs(1), Short: "Say what becomes of a request by the version that this proxy acts by, and why",
 		Example: "  croftlock rules explain 'OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000'",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			o, err := lineproto.ParseOpen([]byte(args[0] + "\r\n"))
+			request, err := lineproto.ParseOpen([]byte(args[0] + "\r\n"))
 			if err != nil {
 				return err
 			}
-			return f.ask(cmd, owneragent.Request{Command: "explain", Explain: &namespace.Request{Tenant: o.Tenant, Class: o.Class, Key: o.Key, Group: o.Group, Zone: zone}}, nil)
+			return f.send(cmd, owneragent.Request{Command: "explain", Explain: &namespace.Request{Tenant: request.Tenant, Class: request.Class, Key: request.Key, Group: request.Group, Zone: zone}}, nil)
 		}}
 	c.Flags().StringVar(&zone, "zone", "", "zone of the proxy that it comes to")
 	return c
--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -14,20 +14,20 @@
 	"croftlock/internal/operations/settings"
 )
 
-// changeCommand has c ask for a change, which change gives from the argument and the version that it is made against.
+// changeCommand has c propose a change, which change makes from the argument and the number of the version that it is made against.
 func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
 	var against uint64
 	var key string
 	c.Args = cobra.ExactArgs(1)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		ch, err := change(args[0], against)
+		proposal, err := change(args[0], against)
 		if err != nil {
 			return err
 		}
-		if err := sign(ch, key); err != nil {
+		if err := sign(proposal, key); err != nil {
 			return err
 		}
-		return f.query(cmd, rules.EncodeProposal(ch))
+		return f.query(cmd, rules.EncodeProposal(proposal))
 	}
 	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
 	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
@@ -40,11 +40,11 @@
 			"with the reason; or unknown, where nobody can say: the same once more is as once.",
 		Example: "  croftlock rules put rules.sexp --against 4\n  croftlock rules put routes.sexp --against 7 --key acme.key"},
 		func(path string, against uint64) (*rules.Change, error) {
-			what, err := readChange(path)
+			section, err := readChange(path)
 			if err != nil {
 				return nil, err
 			}
-			switch v := what.(type) {
+			switch v := section.(type) {
 			case *namespace.Namespace:
 				return rules.ChangeNamespace(v, against, nil), nil
 			case *namespace.Account:
@@ -55,20 +55,20 @@
 		})
 }
 
-// readChange reads the one section of a file that a change is written in.
+// readChange reads the one section of a file with a change.
 func readChange(path string) (any, error) {
 	file, err := settings.Schema{rules.Section(), namespace.Section(), namespace.AccountSection()}.Load(path)
 	if err != nil {
 		return nil, err
 	}
-	var found []string
-	for _, n := range file.Root.Values() {
-		found = append(found, n.Name())
+	var sections []string
+	for _, section := range file.Root.Values() {
+		sections = append(sections, section.Name())
 	}
-	if len(found) != 1 {
-		return nil, fmt.Errorf("%s has %d sections, expected one: (rules …), (namespace …) or (account …)", path, len(found))
+	if len(sections) != 1 {
+		return nil, fmt.Errorf("%s has %d sections, expected one: (rules …), (namespace …) or (account …)", path, len(sections))
 	}
-	return file.Value(found[0]), nil
+	return file.Value(sections[0]), nil
 }
 
 func (f *fleetClient) dropCommand() *cobra.Command {
@@ -88,7 +88,7 @@
 		})
 }
 
-// grantKey reads the key of a grant.
+// grantKey reads the private key of a grant.
 func grantKey(path string) (ed25519.PrivateKey, error) {
 	k, err := certs.LoadKey(path, "")
 	if err != nil {
@@ -101,7 +101,7 @@
 	return key, nil
 }
 
-// sign signs a change where a key is named. Each such change has an id of its own.
+// sign signs a change if a key file is named. A signed change has an ID of its own.
 func sign(c *rules.Change, path string) error {
 	if path == "" {
 		return nil
