--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// keyFile writes an Ed25519 key and gives its path, and the public half as a grant names it.
+// keyFile writes a new Ed25519 key and returns its path, and the public key as a grant names it.
 func keyFile(t *testing.T) (path, public string) {
 	t.Helper()
 	pub, key, err := ed25519.GenerateKey(nil)
@@ -32,46 +32,47 @@
 	return path, base64.StdEncoding.EncodeToString(pub)
 }
 
-// made is one attempt, as a process's log tells of it: whose request, at which host.
-type made struct {
+// attempt is an attempt in a process's log: for which customer, at which host, by which version of the rules.
+type attempt struct {
 	at            time.Time
 	account, host string
 	version       string
 }
 
-var logWord = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
+var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
-// attempts reads who was sent where: the last decision before an attempt is the second look, right before its connection is opened.
-func attempts(t *testing.T, p *experiment.Process) (all []made) {
+// attempts reads the attempts of a process's log. An attempt's account and version are those of the request's last decision before it, which is
+// made right before its connection is opened.
+func attempts(t *testing.T, p *experiment.Process) (all []attempt) {
 	t.Helper()
-	account, version := map[string]string{}, map[string]string{}
-	for _, l := range p.Log("event=") {
-		f := map[string]string{}
-		for _, m := range logWord.FindAllStringSubmatch(l, -1) {
-			f[m[1]] = m[2]
+	account, version := map[string]string{}, map[string]string{} // by request
+	for _, line := range p.Log("event=") {
+		fields := map[string]string{}
+		for _, field := range logField.FindAllStringSubmatch(line, -1) {
+			fields[field[1]] = field[2]
 		}
-		switch {
-		case f["event"] == "rules_applied":
-			account[f["request"]], version[f["request"]] = f["account"], f["version"]
-		case f["event"] == "attempt_started":
-			at := loggedAt(t, l)
-			all = append(all, made{at, account[f["request"]], f["host"], version[f["request"]]})
+		request := fields["request"]
+		switch fields["event"] {
+		case "rules_applied":
+			account[request], version[request] = fields["account"], fields["version"]
+		case "attempt_started":
+			all = append(all, attempt{loggedAt(t, line), account[request], fields["host"], version[request]})
 		}
 	}
 	return all
 }
 
-// handed gives, of the attempts at a host, the last for one account and the first for another.
-func handed(all []made, host, from, to string) (last, first time.Time) {
-	for _, m := range all {
-		if m.host != host {
+// reassignment returns, of the attempts at a host, the time of the last for one account and of the first for another.
+func reassignment(all []attempt, host, from, to string) (last, first time.Time) {
+	for _, a := range all {
+		if a.host != host {
 			continue
 		}
-		if m.account == from && m.at.After(last) {
-			last = m.at
+		if a.account == from && a.at.After(last) {
+			last = a.at
 		}
-		if m.account == to && (first.IsZero() || m.at.Before(first)) {
-			first = m.at
+		if a.account == to && (first.IsZero() || a.at.Before(first)) {
+			first = a.at
 		}
 	}
 	return last, first
--- a/internal/app/command/badlinks_test.go
+++ b/internal/app/command/badlinks_test.go
@@ -10,8 +10,9 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestRulesThroughBadLinks: a fifth of all datagrams lost, as many doubled, all late and out of order. Changes of the operators and of a customer arrive, in
-// their order; no two versions side by side for longer than stated; and an administrator whose key is revoked does nothing with what was signed before.
+// TestRulesThroughBadLinks: a fifth of all datagrams is lost, as many are duplicated, and all are late and reordered. Changes of the operators and of a
+// customer become active in their order, two versions are applied at once no longer than agree_within, and a change that was signed before its grant was
+// revoked is rejected.
 func TestRulesThroughBadLinks(t *testing.T) {
 	t.Parallel()
 	r, _ := customers(t)
@@ -20,22 +21,22 @@
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				r.Mesh.Set(i, j, func(l *fake.Link) { l.Loss, l.Duplicated, l.Jitter = 0.2, 0.2, 40*time.Millisecond })
+				r.Mesh.Set(i, j, func(link *fake.Link) { link.Loss, link.Duplicated, link.Jitter = 0.2, 0.2, 40*time.Millisecond })
 			}
 		}
 	}
 	version := 0
-	change := func(i int, text string, more ...string) {
+	change := func(via int, text string, args ...string) {
 		t.Helper()
-		got := ""
+		answer := ""
 		if _, ok := experiment.Until(2*ownersPatience, func() bool {
-			got = propose(t, r, i, version, text, more...)
-			return strings.Contains(got, "active: version")
+			answer = propose(t, r, via, version, text, args...)
+			return strings.Contains(answer, "active: version")
 		}); !ok {
-			t.Fatalf("against %d: %q", version, got)
+			t.Fatalf("a change against version %d is answered with %q, want an active version", version, answer)
 		}
-		if _, err := fmt.Sscanf(got[strings.Index(got, "active"):], "active: version %d", &version); err != nil {
-			t.Fatalf("%q", got)
+		if _, err := fmt.Sscanf(answer[strings.Index(answer, "active"):], "active: version %d", &version); err != nil {
+			t.Fatalf("no version in the answer %q: %v", answer, err)
 		}
 	}
 	grant := fmt.Sprintf("(grant admin (key %q) (verbs route))", public)
@@ -43,13 +44,13 @@
 	for n := range 2 {
 		change(n, fmt.Sprintf(`(namespace (account acme) (route r%d (class lab) (pool main)))`, n), "--key", key)
 		for i, p := range r.Procs {
-			open(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // a decision by each
+			open(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // has each process log a decision
 		}
 	}
-	before := version
+	beforeRevocation := version
 	change(4, `(rules (account acme (tenants t1)))`)
-	if got := answered(t, r, 1, before, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(got, "refused: no grant of version") {
-		t.Errorf("signed before its grant was revoked: %q", got)
+	if answer := answered(t, r, 1, beforeRevocation, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(answer, "refused: no grant of version") {
+		t.Errorf("a change that was signed before its grant was revoked is answered with %q, want a rejection", answer)
 	}
 	stands(t, r, 2, version, 5)
 	var all [][]decision
@@ -57,6 +58,6 @@
 		all = append(all, decisions(t, p))
 	}
 	if o := overlap(all); o > time.Second {
-		t.Errorf("two versions side by side for %v", o)
+		t.Errorf("two versions were applied at once for %v, want at most 1 s", o)
 	}
 }
--- /dev/null
+++ b/internal/app/command/hotrestart_test.go
@@ -0,0 +1,126 @@
+package command
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
+)
+
+// hotRestartTest is one proxy with hosts s0 and s1, whose processes replace one another at one address.
+type hotRestartTest struct {
+	*testing.T
+	env   *experiment.Env
+	setup experiment.Setup
+}
+
+func newHotRestartTest(t *testing.T) *hotRestartTest {
+	t.Helper()
+	discovery := newHosts(t, "a", "s0", "s1").Discovery
+	listen, err := experiment.FreeAddr()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &hotRestartTest{T: t, env: &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()},
+		setup: experiment.Setup{Name: "n0", Listen: listen, Discovery: discovery.Addr(), Known: discovery.List(), Tmp: t.TempDir(),
+			Deadline: 4800 * time.Millisecond, Env: asProgram}}
+}
+
+// start starts a process with an admin interface of its own.
+func (h *hotRestartTest) start() (p *experiment.Process, admin string, err error) {
+	setup := h.setup
+	if setup.Admin, err = experiment.FreeAddr(); err == nil {
+		p, err = h.env.Proxy(setup)
+	}
+	return p, setup.Admin, err
+}
+
+// startReady starts a process and waits until it is ready.
+func (h *hotRestartTest) startReady() (*experiment.Process, string) {
+	h.Helper()
+	p, admin, err := h.start()
+	if err != nil {
+		h.Fatal(err)
+	}
+	h.Cleanup(p.Kill)
+	if err := experiment.Ready(admin, 20*time.Second); err != nil {
+		h.Fatal(err)
+	}
+	return p, admin
+}
+
+// call calls the admin interface, and returns the body if the status is the wanted one.
+func (h *hotRestartTest) call(admin, method, path string, want int) string {
+	h.Helper()
+	status, body, _, err := experiment.Call(admin, method, path)
+	if status != want {
+		h.Fatalf("%s %s: status %d, want %d; body %s, error %v", method, path, status, want, body, err)
+	}
+	return body
+}
+
+// open opens a connection that has to be served.
+func (h *hotRestartTest) open() *fake.Client {
+	h.Helper()
+	return openClient(h, h.setup.Listen, 4*time.Second)
+}
+
+// checkConnection exchanges a line on a connection, which must not be migrated.
+func (h *hotRestartTest) checkConnection(c *fake.Client, text string) {
+	h.Helper()
+	if _, migrated, err := c.Exchange(text, 10*time.Second); migrated || err != nil {
+		h.Fatalf("a line on the established connection: migrated %t, error %v; want an answer", migrated, err)
+	}
+}
+
+// TestReplacingTheProcess: through hot restarts established connections and suspensions stay, the death of a new process leaves the old one serving,
+// and a third process is rejected while two run.
+func TestReplacingTheProcess(t *testing.T) {
+	h := newHotRestartTest(t)
+	first, admin := h.startReady()
+	h.call(admin, "POST", "/v1/catalogue-servers/s0/suspend", 200)
+	established := h.open() // at s1, since s0 is suspended
+	h.checkConnection(established, "one")
+	h.killSuccessor(first, admin)
+
+	// The next process takes over the established connections and the suspension.
+	serving, admin := h.startReady()
+	if err := first.Stop(); err != nil || len(first.Log("event=stopped")) == 0 {
+		t.Errorf("the old process ended with error %v and %d lines of event=stopped, want none and 1 or more", err, len(first.Log("event=stopped")))
+	}
+	h.checkConnection(established, "two")
+	if body := h.call(admin, "GET", "/v1/metrics", 200); !strings.Contains(body, "targets=2\ntargets_disabled=1\n") ||
+		!strings.Contains(body, "replies.lab.success=0\n") {
+		t.Errorf("metrics of the new process, want targets=2, targets_disabled=1 and replies.lab.success=0:\n%s", body)
+	}
+
+	// The serving process is killed: the next one starts from the stored state.
+	h.call(admin, "POST", "/v1/catalogue-servers/s1/suspend", 200)
+	serving.Kill()
+	_, admin = h.startReady()
+	if _, answer, _ := fake.Open(h.setup.Listen, "lab", "", 4*time.Second); answer.Kind != "BUSY" {
+		t.Errorf("with both hosts suspended a request is answered with %q, want BUSY", answer.Text)
+	}
+	h.call(admin, "POST", "/v1/catalogue-servers/s1/resume", 200)
+	h.open()
+}
+
+// killSuccessor: a new process takes over from the one that serves, a third one is rejected meanwhile, and the new one is killed. The old one serves
+// again.
+func (h *hotRestartTest) killSuccessor(old *experiment.Process, oldAdmin string) {
+	h.Helper()
+	successor, _ := h.startReady()
+	h.call(oldAdmin, "GET", "/v1/readyz", 503) // it has handed over
+	if _, _, err := h.start(); err == nil || !strings.Contains(err.Error(), "another process of this proxy is being replaced") {
+		h.Errorf("the start of a third process fails with %v, want that another process is being replaced", err)
+	}
+	successor.Kill()
+	if !old.Await("event=hot_restart_taken_back", 20*time.Second) {
+		h.Fatal("the old process does not take back within 20 s")
+	}
+	h.call(oldAdmin, "GET", "/v1/readyz", 200)
+	h.open()
+}
--- a/internal/app/command/large_test.go
+++ b/internal/app/command/large_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// TestALargeVersionAmongProcesses: rules of some hundred customers and a thousand routes reach all processes over their datagrams, a change of one route
-// comes to all by its difference while one is cut off, and what is active can be read back at any.
+// TestALargeVersionAmongProcesses: rules of 250 customers and a thousand routes reach all processes by datagrams, a change of one entry becomes active
+// while one process is cut off, and each process can return the active version.
 func TestALargeVersionAmongProcesses(t *testing.T) {
 	t.Parallel()
 	r := ruled(t, "")
 	stands(t, r, 0, 0, 5)
-	text := func(n int) string {
+	rulesText := func(hostsOut int) string {
 		var b strings.Builder
 		b.WriteString("(rules (pool a (prefixes a))\n")
 		for i := range 250 {
@@ -23,28 +23,28 @@
 		for i := range 1000 {
 			fmt.Fprintf(&b, "(route r%04d (group g%04d) (pool main))\n", i, i)
 		}
-		for i := range n {
+		for i := range hostsOut {
 			fmt.Fprintf(&b, "(out host%04d-of-somewhere)\n", i)
 		}
 		return b.String() + ")"
 	}
-	if got := answered(t, r, 1, 0, text(400)); !strings.HasPrefix(got, "0 active: version 2 at") {
-		t.Fatal(got)
+	if answer := answered(t, r, 1, 0, rulesText(400)); !strings.HasPrefix(answer, "0 active: version 2 at") {
+		t.Fatalf("the rules are answered with %q, want active version 2", answer)
 	}
 	stands(t, r, 2, 2, 5)
 	r.Cut(4, true)
 	began := time.Now()
-	if got := answered(t, r, 3, 2, text(401)); !strings.HasPrefix(got, "0 active: version 3 at") {
-		t.Fatal(got)
+	if answer := answered(t, r, 3, 2, rulesText(401)); !strings.HasPrefix(answer, "0 active: version 3 at") {
+		t.Fatalf("a change of one entry is answered with %q, want active version 3", answer)
 	}
-	t.Logf("a change of 1,651 entries with one cut off: %v", time.Since(began).Round(time.Millisecond))
+	t.Logf("a change of 1,651 entries with one process cut off: %v", time.Since(began).Round(time.Millisecond))
 	r.Cut(4, false)
 	stands(t, r, 4, 3, 5)
-	out, code := command(t, "rules", "show", "0", "--socket", filepath.Join(r.Dir(4), "owners.sock"))
-	if code != 0 || !strings.Contains(out, "host0400-of-somewhere") || !strings.Contains(out, "(route \"r0999\"") {
-		t.Errorf("read back: %d bytes, status %d", len(out), code)
+	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(r.Dir(4), "owners.sock"))
+	if status != 0 || !strings.Contains(out, "host0400-of-somewhere") || !strings.Contains(out, "(route \"r0999\"") {
+		t.Errorf("the active version at n4: exit status %d, %d bytes; want 0 and the last host and route", status, len(out))
 	}
-	if got := answered(t, r, 1, 3, text(3000)); !strings.HasPrefix(got, "1 ") || !strings.Contains(got, "entries") {
-		t.Errorf("too many entries: %.200s", got)
+	if answer := answered(t, r, 1, 3, rulesText(3000)); !strings.HasPrefix(answer, "1 ") || !strings.Contains(answer, "entries") {
+		t.Errorf("rules with too many entries are answered with %.200q, want an error that names the entries", answer)
 	}
 }
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -5,8 +5,6 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -47,153 +45,177 @@
 	return r, hosts
 }
 
-// TestNamespacesAmongProcesses: two customers on pools of their own; a host and a tenant change hands while one process is cut off and one sleeps.
-// Nobody is sent to another's host, nothing belongs to two at once, standing connections stay, and a customer's administrator changes its own routes alone.
+// customersTest is five processes with the rules of two customers, acme and other, and clients of both at each.
+type customersTest struct {
+	*testing.T
+	rig       *experiment.Rig
+	hosts     map[string]*fake.Server
+	key       string // path of the key of acme's administrator
+	publicKey string
+	clients   *clientLoop
+}
+
+// change retries a change against a version until the answer contains a text.
+func (c *customersTest) change(via, against int, text, want string, args ...string) {
+	c.Helper()
+	answer := ""
+	if _, ok := experiment.Until(ownersPatience, func() bool {
+		answer = propose(c.T, c.rig, via, against, text, args...)
+		return strings.Contains(answer, want)
+	}); !ok {
+		c.Fatalf("a change against version %d is answered with %q, want %q", against, answer, want)
+	}
+}
+
+// rulesOf are the operators' rules: the hosts of the pools a and b, and the tenants of the customers.
+func (c *customersTest) rulesOf(poolA, poolB, acme, other string) string {
+	return fmt.Sprintf(`(rules (pool a %s) (pool b %s) (account acme (tenants %q) (pools a) (grant admin (key %q) (verbs route))) (account other (tenants %q) (pools b)))`,
+		poolA, poolB, acme, c.publicKey, other)
+}
+
+// TestNamespacesAmongProcesses: two customers have pools of their own; a host and a tenant change from one to the other while one process is cut off
+// and one paused. No request is sent to the other customer's host, no host belongs to two at once, an established connection stays, and a customer's
+// administrator changes its own routes alone.
 func TestNamespacesAmongProcesses(t *testing.T) {
 	t.Parallel()
-	r, hosts := customers(t)
-	stands(t, r, 0, 0, 5)
-	key, public := keyFile(t)
-	change := func(i, against int, text, want string, more ...string) {
-		t.Helper()
-		got := ""
-		if _, ok := experiment.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text, more...); return strings.Contains(got, want) }); !ok {
-			t.Fatalf("against version %d: %q, expected %q", against, got, want)
-		}
-	}
-	book := func(a, b, acme, other string) string {
-		return fmt.Sprintf(`(rules (pool a %s) (pool b %s) (account acme (tenants %q) (pools a) (grant admin (key %q) (verbs route))) (account other (tenants %q) (pools b)))`,
-			a, b, acme, public, other)
-	}
-	change(1, 0, book(`(kinds a)`, `(kinds b)`, "t1 t2", "t3"), "active: version 2 at 5 of 5")
+	c := &customersTest{T: t}
+	c.rig, c.hosts = customers(t)
+	stands(t, c.rig, 0, 0, 5)
+	c.key, c.publicKey = keyFile(t)
+	c.change(1, 0, c.rulesOf(`(kinds a)`, `(kinds b)`, "t1 t2", "t3"), "active: version 2 at 5 of 5")
+	c.clients = startClientLoop(t, c.rig, 15*time.Millisecond, func(n int) string { return fmt.Sprintf("t=t%d", n%3+1) })
+	established := c.connectTo("a2")
+	c.ownNamespaceOnly()
+	c.reassignHostAndTenant()
+	if _, migrated, err := established.Exchange("still there", time.Second); migrated || err != nil {
+		t.Errorf("acme's connection at a2 after the reassignment: migrated %t, error %v", migrated, err)
+	}
+	c.clients.check(t, 0)
+	c.checkAttempts()
+	c.checkHistory()
+}
 
-	// Requests of each tenant at every process all the time.
-	var quit atomic.Bool
-	var unanswered, served atomic.Int64
-	var wg sync.WaitGroup
-	stopped := make([]atomic.Bool, 5)
-	for i := range r.Procs {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for n := 0; !quit.Load(); n++ {
-				if !stopped[i].Load() {
-					c, a, _ := fake.Open(r.Procs[i].Addr, "lab", fmt.Sprintf("t=t%d", n%3+1), 400*time.Millisecond)
-					if c != nil {
-						served.Add(1)
-						c.Close()
-					}
-					if a.Kind == "NONE" && !stopped[i].Load() {
-						unanswered.Add(1)
-					}
-				}
-				time.Sleep(15 * time.Millisecond)
-			}
-		}()
-	}
-	// A connection of acme's at a2 stands through all that follows.
-	var standing *fake.Client
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		before := hosts["a2"].Established()
-		c, _, _ := fake.Open(r.Procs[0].Addr, "lab", "t=t1", time.Second)
-		if c == nil {
+// connectTo opens connections of acme's until one is at a host. It stays open.
+func (c *customersTest) connectTo(host string) (client *fake.Client) {
+	c.Helper()
+	eventually(c, "a connection of acme's is established at "+host, func() bool {
+		before := c.hosts[host].Established()
+		opened, _, _ := fake.Open(c.rig.Procs[0].Addr, "lab", "t=t1", time.Second)
+		if opened == nil {
 			return false
 		}
-		out, _ := command(t, "rules", "explain", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=lab,t=t1", "--socket", filepath.Join(r.Dir(0), "owners.sock"))
+		out, _ := command(c.T, "rules", "explain", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=lab,t=t1", "--socket", c.socket(0))
 		if !strings.Contains(out, "account acme") || !strings.Contains(out, "pool a") {
-			t.Errorf("explained: %q", out)
+			c.Errorf("a request of acme's is explained as %q, want account acme and pool a", out)
 		}
-		if hosts["a2"].Established() > before {
-			standing = c
+		if c.hosts[host].Established() > before {
+			client = opened
 			return true
 		}
-		c.Close()
+		opened.Close()
 		return false
-	}); !ok {
-		t.Fatal("no connection stands at a2")
-	}
+	})
+	return client
+}
 
-	// The customer's own change, and what its key does not cover.
-	change(2, 2, `(namespace (account acme) (route closed (key ff) (refuse on) (advice 200ms)) (route rest (class lab) (pool a)))`, "active: version 3 at 5 of 5", "--key", key)
-	if got := answered(t, r, 3, 3, `(namespace (account other) (route x (pool b)))`, "--key", key); !strings.Contains(got, "refused: by version 3 its grant is acme:admin, which is for acme and below") {
-		t.Errorf("another's namespace: %q", got)
-	}
-	if got := answered(t, r, 3, 3, `(namespace (account acme) (route x (pool b)))`, "--key", key); !strings.Contains(got, "account acme may not use pool b") {
-		t.Errorf("another's pool: %q", got)
+// socket is the path of a process's owner agent.
+func (c *customersTest) socket(i int) string { return filepath.Join(c.rig.Dir(i), "owners.sock") }
+
+// ownNamespaceOnly: acme's key changes acme's namespace, and neither another's namespace nor another's pool.
+func (c *customersTest) ownNamespaceOnly() {
+	c.Helper()
+	c.change(2, 2, `(namespace (account acme) (route closed (key ff) (refuse on) (advice 200ms)) (route rest (class lab) (pool a)))`, "active: version 3 at 5 of 5", "--key", c.key)
+	for _, rejected := range []struct{ change, want string }{
+		{`(namespace (account other) (route x (pool b)))`, "refused: by version 3 its grant is acme:admin, which is for acme and below"},
+		{`(namespace (account acme) (route x (pool b)))`, "account acme may not use pool b"},
+	} {
+		if answer := answered(c.T, c.rig, 3, 3, rejected.change, "--key", c.key); !strings.Contains(answer, rejected.want) {
+			c.Errorf("with acme's key %s is answered with %q, want %q", rejected.change, answer, rejected.want)
+		}
 	}
+}
 
-	// a2 and the tenant t2 change hands, while one process is cut off and another sleeps.
-	r.Cut(4, true)
-	stopped[3].Store(true)
-	r.Procs[3].Signal(syscall.SIGSTOP)
-	moved := make(chan string, 1)
-	go func() {
-		moved <- propose(t, r, 0, 3, book(`(kinds a)`, `(kinds b) (hosts a2)`, "t1", "t2 t3"))
-	}()
+// reassignHostAndTenant: the host a2 and the tenant t2 go to the other customer while n4 is cut off and n3 paused.
+func (c *customersTest) reassignHostAndTenant() {
+	c.Helper()
+	reassigned := c.rulesOf(`(kinds a)`, `(kinds b) (hosts a2)`, "t1", "t2 t3")
+	c.rig.Cut(4, true)
+	c.clients.paused[3].Store(true)
+	c.rig.Procs[3].Signal(syscall.SIGSTOP)
+	answer := make(chan string, 1)
+	go func() { answer <- propose(c.T, c.rig, 0, 3, reassigned) }()
 	time.Sleep(1500 * time.Millisecond)
-	r.Procs[3].Signal(syscall.SIGCONT)
-	stopped[3].Store(false)
-	t.Logf("moved: %q", <-moved)
-	change(0, 3, book(`(kinds a)`, `(kinds b) (hosts a2)`, "t1", "t2 t3"), "active: version 5 at")
-	r.Cut(4, false)
-	stands(t, r, 0, 5, 5)
+	c.rig.Procs[3].Signal(syscall.SIGCONT)
+	c.clients.paused[3].Store(false)
+	c.Logf("the reassignment is answered with %q", <-answer)
+	c.change(0, 3, reassigned, "active: version 5 at")
+	c.rig.Cut(4, false)
+	stands(c.T, c.rig, 0, 5, 5)
 	time.Sleep(300 * time.Millisecond)
-	if _, moved, err := standing.Exchange("still there", time.Second); moved || err != nil {
-		t.Errorf("the connection that stood at a2: moved=%t %v", moved, err)
-	}
-	quit.Store(true)
-	wg.Wait()
+}
 
-	var all []made
-	for _, p := range r.Procs {
-		all = append(all, attempts(t, p)...)
+// checkAttempts checks all processes' logs: attempts at the own customer's hosts alone, and none at a2 for one after the first for the other.
+func (c *customersTest) checkAttempts() {
+	c.Helper()
+	var all []attempt
+	for _, p := range c.rig.Procs {
+		all = append(all, attempts(c.T, p)...)
 	}
 	n := 0
-	for _, m := range all {
-		if m.version < "2" {
-			continue // there were no customers yet
+	for _, a := range all {
+		if a.version < "2" {
+			continue // before the rules with customers
 		}
 		n++
-		if m.account == "acme" && m.host[0] != 'a' || m.account == "other" && m.host[0] != 'b' && m.host != "a2" {
-			t.Errorf("%s was sent to %s by version %s", m.account, m.host, m.version)
+		if a.account == "acme" && a.host[0] != 'a' || a.account == "other" && a.host[0] != 'b' && a.host != "a2" {
+			c.Errorf("by version %s an attempt for %s is at %s", a.version, a.account, a.host)
 		}
 	}
-	last, first := handed(all, "a2", "acme", "other")
+	last, first := reassignment(all, "a2", "acme", "other")
 	if first.IsZero() || !last.Before(first) {
-		t.Errorf("a2: last for acme at %v, first for other at %v", last, first)
-	}
-	t.Logf("%d attempts, %d served; a2 was nobody's for %v", n, served.Load(), first.Sub(last))
-	if n < 100 || unanswered.Load() > 0 {
-		t.Errorf("%d attempts, %d requests without an answer", n, unanswered.Load())
+		c.Errorf("attempts at a2: the last for acme at %v, the first for other at %v", last, first)
 	}
-	out, code := command(t, "rules", "history", "--account", "acme", "--socket", filepath.Join(r.Dir(1), "owners.sock"))
-	if code != 0 || !strings.Contains(out, "acme:admin  namespace acme") {
-		t.Errorf("%d %s", code, out)
+	c.Logf("%d attempts, %d requests served; no attempt at a2 for %v", n, c.clients.served.Load(), first.Sub(last))
+	if n < 100 {
+		c.Errorf("%d attempts, want 100 or more", n)
 	}
-	out, code = command(t, "rules", "diff", "3", "0", "--socket", filepath.Join(r.Dir(1), "owners.sock"))
-	if code != 0 || !strings.Contains(out, `+ (pool "b" (hosts "a2") (kinds "b"))`) {
-		t.Errorf("%d %s", code, out)
+}
+
+// checkHistory checks the audit log of acme, and the difference of two versions.
+func (c *customersTest) checkHistory() {
+	c.Helper()
+	for _, query := range []struct {
+		args []string
+		want string
+	}{
+		{[]string{"rules", "history", "--account", "acme"}, "acme:admin  namespace acme"},
+		{[]string{"rules", "diff", "3", "0"}, `+ (pool "b" (hosts "a2") (kinds "b"))`},
+	} {
+		if out, status := command(c.T, append(query.args, "--socket", c.socket(1))...); status != 0 || !strings.Contains(out, query.want) {
+			c.Errorf("%v: exit status %d, want 0; want %q in\n%s", query.args, status, query.want, out)
+		}
 	}
 }
 
-// TestTheCheckerFindsAHostOfTwo: in attempts where two have a host at once it is found.
-func TestTheCheckerFindsAHostOfTwo(t *testing.T) {
+// TestReassignmentIsFound: attempts at a host for one customer after the first for the other are found.
+func TestReassignmentIsFound(t *testing.T) {
 	at := time.Unix(1000, 0)
-	last, first := handed([]made{{at, "acme", "h", "2"}, {at.Add(time.Second), "other", "h", "4"}, {at.Add(2 * time.Second), "acme", "h", "2"}}, "h", "acme", "other")
+	last, first := reassignment([]attempt{{at, "acme", "h", "2"}, {at.Add(time.Second), "other", "h", "4"}, {at.Add(2 * time.Second), "acme", "h", "2"}}, "h", "acme", "other")
 	if last.Before(first) {
-		t.Fatalf("%v before %v", last, first)
+		t.Fatalf("last attempt for acme at %v, first for other at %v; want the last after the first", last, first)
 	}
 }
 
+// TestTheExampleOfThreeCustomers: the example is valid, and a fault in such a file is reported with its position.
 func TestTheExampleOfThreeCustomers(t *testing.T) {
-	if out, code := command(t, "rules", "check", "../../../deploy/examples/three-customers.sexp"); code != 0 {
-		t.Fatalf("%d %s", code, out)
+	if out, status := command(t, "rules", "check", "../../../deploy/examples/three-customers.sexp"); status != 0 {
+		t.Fatalf("exit status %d, want 0: %s", status, out)
 	}
-	p := filepath.Join(t.TempDir(), "bad.sexp")
-	if err := os.WriteFile(p, []byte("(rules\n  (pool a (kinds m))\n  (route x (pool nowhere)))\n(namespace (account a))"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "bad.sexp")
+	if err := os.WriteFile(invalid, []byte("(rules\n  (pool a (kinds m))\n  (route x (pool nowhere)))\n(namespace (account a))"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, code := command(t, "rules", "check", p); code != 1 || !strings.Contains(out, "bad.sexp:1:1: namespace: operators/x: there is no pool nowhere") {
-		t.Fatalf("%d %s", code, out)
+	if out, status := command(t, "rules", "check", invalid); status != 1 || !strings.Contains(out, "bad.sexp:1:1: namespace: operators/x: there is no pool nowhere") {
+		t.Fatalf("exit status %d, want 1 and the fault's position: %s", status, out)
 	}
 }
--- a/internal/app/command/pushed_test.go
+++ b/internal/app/command/pushed_test.go
@@ -1,40 +1,25 @@
 package command
 
 import (
-	"fmt"
 	"os"
 	"testing"
 	"time"
 
 	"croftlock/internal/testbed/experiment"
-	"croftlock/internal/testbed/fake"
 )
 
-// A proxy whose lists are pushed hears of a drain from the agent on its machine, though nothing in it asks: before, it
-// kept to the list of its start, and sent to hosts that drained or were gone.
+// TestPushedListsAreHeard: a proxy whose lists are pushed watches the agent on its machine and learns that a host drains, though its decision module
+// does not poll discovery.
 func TestPushedListsAreHeard(t *testing.T) {
-	servers := map[string]*fake.Server{}
-	d, err := fake.NewDiscovery()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(d.Close)
-	for i := range 2 {
-		s, err := fake.NewServer(fmt.Sprint("s", i), "a", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(s.Close)
-		servers[fmt.Sprint("s", i)] = s
-		d.Set(s.Entry())
-	}
+	hosts := newHosts(t, "a", "s0", "s1")
+	drained, discovery := hosts.Servers[0], hosts.Discovery
 	admin, err := experiment.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Pushed: true, Known: d.List(), Admin: admin, Tmp: t.TempDir(),
-		Deadline: 4800 * time.Millisecond, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Pushed: true, Known: discovery.List(), Admin: admin, Tmp: t.TempDir(),
+		Deadline: 4800 * time.Millisecond, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,29 +27,22 @@
 	if err := experiment.Ready(admin, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	open := func() {
-		t.Helper()
-		c, a, err := fake.Open(p.Addr, "lab", "", 4*time.Second)
-		if c == nil {
-			t.Fatalf("got %q, %v", a.Text, err)
-		}
-		t.Cleanup(c.Close)
-	}
 	for range 4 {
-		open()
-	}
-	heard := d.Calls()
-	d.SetState("s0", "draining")
-	for end := time.Now().Add(20 * time.Second); d.Calls() < heard+3; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) { // the change has been answered once two more calls have come
-			t.Fatal("the agent is not asked")
+		openClient(t, p.Addr, 4*time.Second)
+	}
+	callsBefore := discovery.Calls()
+	discovery.SetState(drained.UID, "draining")
+	// The watch that is answered with the change is followed by another one.
+	for end := time.Now().Add(20 * time.Second); discovery.Calls() < callsBefore+3; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d calls of discovery 20 s after the change, want 3 or more", discovery.Calls()-callsBefore)
 		}
 	}
-	before, _ := servers["s0"].Requests()
+	before, _ := drained.Requests()
 	for range 6 {
-		open()
+		openClient(t, p.Addr, 4*time.Second)
 	}
-	if after, _ := servers["s0"].Requests(); before == 0 || after > before {
-		t.Errorf("%d connections to a host before it drained, and %d after the proxy was told", before, after-before)
+	if after, _ := drained.Requests(); before == 0 || after > before {
+		t.Errorf("%d requests at a host before it drained, %d after the proxy was notified; want 1 or more, and 0", before, after-before)
 	}
 }
--- a/internal/app/command/recorded_test.go
+++ b/internal/app/command/recorded_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// printed is what a command prints, with its exit status, and without what depends on where the test runs.
+// printed is a command's output with its exit status, without the paths that depend on where the test runs.
 func printed(t *testing.T, args ...string) string {
 	t.Helper()
 	out, status := command(t, args...)
@@ -26,7 +26,7 @@
 	return strings.ReplaceAll(text, "../../../deploy", "../../deploy") // as seen from where it was recorded
 }
 
-// TestRecordedHelp: each command has the name, the flags and the text that it had.
+// TestRecordedHelp: the name, the flags and the texts of each command are as recorded.
 func TestRecordedHelp(t *testing.T) {
 	var all strings.Builder
 	var visit func(c *cobra.Command, path []string)
@@ -40,7 +40,7 @@
 	golden.Check(t, "help.txt", []byte(all.String()))
 }
 
-// TestRecordedSettings: each setting of the examples is checked, shown and formatted as it was.
+// TestRecordedSettings: the output of check, settings show and settings fmt for the examples is as recorded.
 func TestRecordedSettings(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/examples/*.sexp")
 	if err != nil || len(files) == 0 {
@@ -56,7 +56,7 @@
 	golden.Check(t, "settings.txt", []byte(all.String()))
 }
 
-// TestRecordedFaults: what is wrong with a settings file is told as it was.
+// TestRecordedFaults: the faults that check prints for invalid settings files are as recorded.
 func TestRecordedFaults(t *testing.T) {
 	var all strings.Builder
 	for _, text := range []string{"(log", "(log (level loud))", "(nothing)", `(tls (min-version "1.1") (servers perhaps))`, "(membership (on on) (period -1))", "(owners (on on))", "(floors (on on))",
--- a/internal/app/command/relay_test.go
+++ b/internal/app/command/relay_test.go
@@ -10,21 +10,12 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// BenchmarkRelayedLine measures the processor time that a proxy process takes for a line and the host's line that answers it.
-// CROFTLOCK_BENCH names another build to be measured by the same clients, in place of this one.
+// BenchmarkRelayedLine measures the CPU time that a proxy process takes for a line and its answer. CROFTLOCK_BENCH names another build to measure
+// in place of this one.
 func BenchmarkRelayedLine(b *testing.B) {
-	server, err := fake.NewServer("s0", "a", nil)
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer server.Close()
-	discovery, err := fake.NewDiscovery(server.Entry())
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer discovery.Close()
+	discovery := newHosts(b, "a", "s0").Discovery
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: b.TempDir()}
-	setup := experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Known: discovery.List(), Env: []string{"CROFTLOCK_TEST_RUN=1"}}
+	setup := experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Known: discovery.List(), Env: asProgram}
 	if other := os.Getenv("CROFTLOCK_BENCH"); other != "" {
 		setup.Program = other
 	}
@@ -35,14 +26,14 @@
 	defer process.Kill()
 	client, answer, err := fake.Open(process.Addr, "lab", "", 2*time.Second)
 	if err != nil || client == nil {
-		b.Fatalf("opened: %+v, %v", answer, err)
+		b.Fatalf("the request is answered with %+v, error %v; want UP", answer, err)
 	}
 	defer client.Close()
 	before := process.CPU()
 	b.ResetTimer()
 	for i := range b.N {
-		if _, moved, err := client.Exchange(strconv.Itoa(i), 5*time.Second); err != nil || moved {
-			b.Fatalf("line %d: moved %t, %v", i, moved, err)
+		if _, migrated, err := client.Exchange(strconv.Itoa(i), 5*time.Second); err != nil || migrated {
+			b.Fatalf("line %d: migrated %t, error %v", i, migrated, err)
 		}
 	}
 	b.StopTimer()
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -15,104 +15,146 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// The whole program with TLS to its servers: a sound server serves, beside it one with a wrong name that is never sent
-// anything; files that can't be used are kept out on SIGHUP and told; a new authority is taken in without a restart; and it
-// leaves in order.
-func TestServesByTLS(t *testing.T) {
+// tlsTest is a proxy with TLS to two servers: s1 with a valid certificate, s2 with one for another name.
+type tlsTest struct {
+	*testing.T
+	dir       string // of the proxy's files
+	pki       *fake.PKI
+	trust     string // path of the bundle of authorities
+	settings  string // path of the settings file
+	wrongName *fake.Server
+	proxy     *experiment.Process
+}
+
+func newTLSTest(t *testing.T) *tlsTest {
+	t.Helper()
 	dir := t.TempDir()
-	pki, err := fake.NewPKI("s1.test")
-	if err != nil {
+	s := &tlsTest{T: t, dir: dir, settings: filepath.Join(dir, "croftlock.sexp")}
+	var err error
+	if s.pki, err = fake.NewPKI("s1.test"); err != nil {
 		t.Fatal(err)
 	}
-	trust, _ := fake.SaveTrust(dir, pki.Trusted)
-	if _, err := pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy"}); err != nil {
+	if s.trust, err = fake.SaveTrust(dir, s.pki.Trusted); err != nil {
 		t.Fatal(err)
 	}
-	pair, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.test"}})
-	if err != nil {
+	if _, err := s.pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy"}); err != nil {
 		t.Fatal(err)
 	}
-	shown := fake.TLSCertificate(pair)
-	sound, err := fake.NewServer("s1", "a", fake.ServerTLSConfig(func() *tls.Certificate { return shown }, pki.Trusted.Pool))
+	pair, err := s.pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.test"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sound.Close()
-	wrong, _ := pki.Trusted.NewServerTLSConfig("cat3.example.org")
-	other, err := fake.NewServer("s2", "a", wrong)
+	certificate := fake.TLSCertificate(pair)
+	valid := s.newServer("s1", fake.ServerTLSConfig(func() *tls.Certificate { return certificate }, s.pki.Trusted.Pool))
+	otherName, err := s.pki.Trusted.NewServerTLSConfig("cat3.example.org")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	d, err := fake.NewDiscovery(sound.Entry(), other.Entry())
+	s.wrongName = s.newServer("s2", otherName)
+	discovery, err := fake.NewDiscovery(valid.Entry(), s.wrongName.Entry())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	file := filepath.Join(dir, "croftlock.sexp")
-	text := `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.test")))`
-	os.WriteFile(file, []byte(text), 0o644)
+	t.Cleanup(discovery.Close)
+	s.write(s.settings, `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.test")))`)
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
-	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: d.Addr(), Known: d.List(), Settings: file,
-		Connect: 2 * time.Second, Deadline: 10 * time.Second, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Known: discovery.List(), Settings: s.settings,
+		Connect: 2 * time.Second, Deadline: 10 * time.Second, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Kill()
-	await := func(line string) {
-		t.Helper()
-		if !p.Await(line, 20*time.Second) {
-			t.Fatalf("no %s in\n%s", line, strings.Join(p.Log(""), "\n"))
-		}
+	t.Cleanup(s.proxy.Kill)
+	return s
+}
+
+func (s *tlsTest) newServer(uid string, config *tls.Config) *fake.Server {
+	s.Helper()
+	server, err := fake.NewServer(uid, "a", config)
+	if err != nil {
+		s.Fatal(err)
+	}
+	s.Cleanup(server.Close)
+	return server
+}
+
+func (s *tlsTest) write(path, text string) {
+	s.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		s.Fatal(err)
+	}
+}
+
+// await waits for a text in the proxy's log.
+func (s *tlsTest) await(text string) {
+	s.Helper()
+	if !s.proxy.Await(text, 20*time.Second) {
+		s.Fatalf("not logged within 20 s: %s; log:\n%s", text, strings.Join(s.proxy.Log(""), "\n"))
 	}
-	var standing *fake.Client
-	for i := 0; i < 8 || i < 100 && len(p.Log("event=tls_failed")) == 0; i++ { // until the module has tried both
-		c, a, err := fake.Open(p.Addr, "lab", "", 10*time.Second)
-		if err != nil || a.Kind != "UP" || !strings.HasPrefix(a.Text, "UP s1-") {
-			t.Fatalf("client %d: %v %v", i, a, err)
+}
+
+// TestServesByTLS: the server with a valid certificate serves, and the one with the wrong name is sent no request. Files that cannot be used are
+// logged and not used after SIGHUP, a new authority is used without a restart, and the proxy shuts down without an error.
+func TestServesByTLS(t *testing.T) {
+	s := newTLSTest(t)
+	established := s.requestUntilFailure()
+	s.await("event=tls_failed host=s2 reason=wrong_name")
+	if n, _ := s.wrongName.Requests(); n > 0 {
+		t.Errorf("%d requests at the server with the wrong name, want 0", n)
+	}
+	s.write(s.trust, string(fake.HalfPEM(s.pki.Trusted.Root.Cert)))
+	s.proxy.Signal(syscall.SIGHUP)
+	s.await("event=tls_files_kept")
+	if _, err := fake.SaveTrust(s.dir, s.pki.Trusted, s.pki.Other); err != nil {
+		t.Fatal(err)
+	}
+	s.await("event=tls_files_taken epoch=2 authorities=2")
+	s.write(s.settings, "(tls")
+	s.proxy.Signal(syscall.SIGHUP)
+	s.await("event=settings_failed")
+	if _, _, err := established.Exchange("M", 10*time.Second); err != nil {
+		t.Errorf("a line on the established connection after the reloads: %v", err)
+	}
+	if client, answer, err := fake.Open(s.proxy.Addr, "lab", "", 10*time.Second); client == nil {
+		t.Errorf("a request after the reloads is answered with %+v, error %v; want UP", answer, err)
+	}
+	for _, line := range s.proxy.Log("") {
+		if strings.Contains(line, "PRIVATE") || strings.Contains(line, "event=panic") {
+			t.Errorf("a key or a panic in the log: %s", line)
 		}
-		if _, _, err := c.Exchange(fmt.Sprint("M ", i), 10*time.Second); err != nil {
-			t.Fatal(err)
+	}
+	if err := s.proxy.Stop(); err != nil {
+		t.Errorf("the proxy shuts down with %v", err)
+	}
+}
+
+// requestUntilFailure sends requests until the decision module has tried both servers. All have to be served by s1; it returns the last one's
+// connection.
+func (s *tlsTest) requestUntilFailure() (established *fake.Client) {
+	s.Helper()
+	for i := 0; i < 8 || i < 100 && len(s.proxy.Log("event=tls_failed")) == 0; i++ {
+		client, answer, err := fake.Open(s.proxy.Addr, "lab", "", 10*time.Second)
+		if err != nil || answer.Kind != "UP" || !strings.HasPrefix(answer.Text, "UP s1-") {
+			s.Fatalf("request %d is answered with %+v, error %v; want UP by s1", i, answer, err)
 		}
-		standing = c
-	}
-	await("event=tls_failed host=s2 reason=wrong_name")
-	if n, _ := other.Requests(); n > 0 {
-		t.Errorf("%d requests reached the server with the wrong name", n)
-	}
-	os.WriteFile(trust, fake.HalfPEM(pki.Trusted.Root.Cert), 0o644)
-	p.Signal(syscall.SIGHUP)
-	await("event=tls_files_kept")
-	fake.SaveTrust(dir, pki.Trusted, pki.Other)
-	await("event=tls_files_taken epoch=2 authorities=2")
-	os.WriteFile(file, []byte("(tls"), 0o644)
-	p.Signal(syscall.SIGHUP)
-	await("event=settings_failed")
-	if _, _, err := standing.Exchange("M", 10*time.Second); err != nil {
-		t.Errorf("a standing connection after all that: %v", err)
-	}
-	if c, a, err := fake.Open(p.Addr, "lab", "", 10*time.Second); c == nil {
-		t.Errorf("a new one: %v %v", a, err)
-	}
-	for _, l := range p.Log("") {
-		if strings.Contains(l, "PRIVATE") || strings.Contains(l, "event=panic") {
-			t.Error(l)
+		if _, _, err := client.Exchange(fmt.Sprint("M ", i), 10*time.Second); err != nil {
+			s.Fatal(err)
 		}
+		established = client
 	}
-	if err := p.Stop(); err != nil {
-		t.Error(err)
-	}
+	return established
 }
 
-// Files that can't be used end the start with a line that says so.
+// TestNoStartWithoutItsFiles: TLS files that cannot be used end the start, with an error that names the file.
 func TestNoStartWithoutItsFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.sexp")
-	os.WriteFile(file, []byte(`(tls (servers on) (trust "none.pem") (name (pattern "{uid}.x")))`), 0o644)
+	if err := os.WriteFile(file, []byte(`(tls (servers on) (trust "none.pem") (name (pattern "{uid}.x")))`), 0o644); err != nil {
+		t.Fatal(err)
+	}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
 	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
-		Settings: file, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+		Settings: file, Env: asProgram})
 	if err == nil || !strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("got %v", err)
+		t.Errorf("the start fails with %v, want an error that names none.pem", err)
 	}
 }
--- /dev/null
+++ b/internal/app/command/watermarks_test.go
@@ -0,0 +1,168 @@
+package command
+
+import (
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"croftlock/internal/testbed/experiment"
+	"croftlock/internal/testbed/fake"
+)
+
+// watermarkTest is five processes with watermarks, each with a discovery of its own, and clients at each.
+type watermarkTest struct {
+	*testing.T
+	rig     *experiment.Rig
+	entries []fake.Entry // of hosts a, b and c
+	lists   []*fake.Discovery
+	clients *clientLoop
+}
+
+func newWatermarkTest(t *testing.T) *watermarkTest {
+	t.Helper()
+	const processes = 5
+	w := &watermarkTest{T: t, entries: newHosts(t, "z", "a", "b", "c").Entries()}
+	for range processes {
+		d, err := fake.NewDiscovery(w.entries...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(d.Close)
+		w.lists = append(w.lists, d)
+	}
+	rigs <- struct{}{}
+	t.Cleanup(func() { <-rigs })
+	var err error
+	w.rig, err = experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: processes, Seed: 4, Key: sealKey,
+		Level: "debug", Discoveries: w.lists, Sections: `(floors (on on) (source lab) (within 500ms))`, Env: asProgram})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(w.rig.Close)
+	w.at("it sees all others alive", w.seesAll, 0, 1, 2, 3, 4)
+	w.clients = startClientLoop(t, w.rig, 10*time.Millisecond, func(int) string { return "" })
+	return w
+}
+
+// seesAll returns whether a process sees all others alive.
+func (w *watermarkTest) seesAll(i int) bool {
+	report, err := w.rig.Ask(i)
+	alive := 0
+	for _, m := range report.Members {
+		if m.State == "alive" {
+			alive++
+		}
+	}
+	return err == nil && alive >= len(w.rig.Procs)-1
+}
+
+// at waits until a condition holds at each of the processes; what says what it is.
+func (w *watermarkTest) at(what string, holds func(i int) bool, processes ...int) {
+	w.Helper()
+	for _, i := range processes {
+		if _, ok := experiment.Until(ownersPatience, func() bool { return holds(i) }); !ok {
+			w.Fatalf("n%d, not within %v: %s", i, ownersPatience, what)
+		}
+	}
+}
+
+// logged returns the condition that a process has logged an event.
+func (w *watermarkTest) logged(event string) func(i int) bool {
+	return func(i int) bool { return len(w.rig.Procs[i].Log(event)) > 0 }
+}
+
+// attemptsAfter counts a process's attempts at a host after a moment, by its log.
+func (w *watermarkTest) attemptsAfter(i int, host string, after time.Time) (n int) {
+	w.Helper()
+	for _, line := range w.rig.Procs[i].Log("event=attempt_started ") {
+		if strings.Contains(line+" ", " host="+host+" ") && loggedAt(w.T, line).After(after) {
+			n++
+		}
+	}
+	return n
+}
+
+// logDelay is how much later than its decision an attempt may be logged.
+const logDelay = 100 * time.Millisecond
+
+// TestWatermarksAmongProcesses: what one process's list says of a host holds at all processes: at one that was paused, and at one that was cut off
+// once it receives the others' datagrams again. A newer list ends it.
+func TestWatermarksAmongProcesses(t *testing.T) {
+	t.Parallel()
+	w := newWatermarkTest(t)
+	w.at("it has attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", time.Time{}) > 0 }, 0, 1, 2, 3, 4)
+	w.drainOfOneList()
+	w.returnOfDrainedHost()
+	w.removalWithDiscoveryDown()
+	w.clients.check(t, 100)
+	for i, p := range w.rig.Procs {
+		if lines := p.Log("panic"); len(lines) > 0 {
+			t.Errorf("n%d panicked: %s", i, strings.Join(lines, "\n"))
+		}
+	}
+}
+
+// drainOfOneList: only n0's list says that a drains, while n4 is cut off and n3 paused.
+func (w *watermarkTest) drainOfOneList() {
+	w.Helper()
+	applied := w.logged("event=watermark_applied host=a out=true")
+	w.rig.Cut(4, true)
+	w.clients.paused[3].Store(true)
+	w.rig.Procs[3].Signal(syscall.SIGSTOP)
+	w.lists[0].SetState("a", "draining")
+	w.at("it applies the watermark that a drains", applied, 1, 2)
+	w.rig.Procs[3].Signal(syscall.SIGCONT)
+	w.clients.paused[3].Store(false)
+	w.at("after its pause it applies the watermark that a drains", applied, 3)
+	appliedByThree := time.Now().UTC()
+	w.at("it fetches its list again", w.logged("event=list_behind"), 1, 2, 3)
+	// A watermark does not hold where it cannot be sent.
+	w.at("cut off, it goes on with attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
+	w.rig.Cut(4, false)
+	w.at("after the cut it applies the watermark that a drains", applied, 4)
+	appliedByAll := time.Now().UTC()
+	time.Sleep(time.Second)
+	for i := range w.rig.Procs {
+		since := appliedByThree
+		if i == 4 {
+			since = appliedByAll
+		}
+		if n := w.attemptsAfter(i, "a", since.Add(logDelay)); n > 0 {
+			w.Errorf("n%d: %d attempts at a after it applied the watermark", i, n)
+		}
+	}
+}
+
+// returnOfDrainedHost: the other lists catch up, and then list a with a new start. Watermarks exclude it no more.
+func (w *watermarkTest) returnOfDrainedHost() {
+	w.Helper()
+	for _, d := range w.lists[1:] {
+		d.SetState("a", "draining")
+	}
+	restarted := w.entries[0]
+	restarted.BootMS = time.Now().UnixMilli()
+	for _, d := range w.lists {
+		d.Set(restarted)
+	}
+	listedAt := time.Now().UTC()
+	w.at("a is up again and gets attempts", func(i int) bool { return w.attemptsAfter(i, "a", listedAt) > 0 }, 0, 1, 2, 3, 4)
+}
+
+// removalWithDiscoveryDown: n2, whose discovery is down, applies the others' watermark that b is removed.
+func (w *watermarkTest) removalWithDiscoveryDown() {
+	w.Helper()
+	w.lists[2].SetDown(true)
+	for i, d := range w.lists {
+		if i != 2 {
+			d.SetState("b", "removed")
+		}
+	}
+	w.at("it applies the watermark that b is removed", w.logged("event=watermark_applied host=b out=true"), 2)
+	appliedAt := time.Now().UTC()
+	time.Sleep(500 * time.Millisecond)
+	if n := w.attemptsAfter(2, "b", appliedAt.Add(logDelay)); n > 0 {
+		w.Errorf("n2: %d attempts at b after it applied the watermark", n)
+	}
+}
