--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -17,7 +17,7 @@
 	name     string
 	packages []string
 }{
-	{"primitives", []string{"fleet/encoding", "operations/certs", "operations/logging", "operations/settings", "testbed/fleetlog", "testbed/golden"}},
+	{"primitives", []string{"fleet/encoding", "operations/certs", "operations/logging", "operations/settings", "testbed/fleetlog", "testbed/golden", "testbed/parallel"}},
 	{"sockets", []string{"dataplane/netio"}},
 	{"decisions", []string{"balancer", "balancer/decay", "balancer/ledger", "balancer/loadestimate", "balancer/rendezvous", "balancer/setuptime", "balancer/stallgossip", "dataplane/certexpiry", "dataplane/handshake", "dataplane/invariant", "fleet/consensus", "fleet/fragment",
 		"fleet/group", "fleet/jobs", "fleet/membership", "fleet/namespace", "fleet/ownership", "fleet/quota", "fleet/rules", "fleet/watermark", "operations/balancerconfig",
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"croftlock/internal/fleet/membership/simulation"
+	"croftlock/internal/testbed/parallel"
 )
 
 // detector is a way to detect failures, as the simulation measures it.
@@ -120,7 +121,7 @@
 
 // simulateAll plays the runs, on all cores.
 func simulateAll(e *Env, runs []*detectorRun) {
-	onAllCores(0, len(runs), func(i int) {
+	parallel.ForEach(0, len(runs), func(i int) {
 		d := runs[i]
 		d.simulate()
 		e.Logf("%s, %d members, loss %.2f: %+v", detectors[d.detector].name, d.members, d.loss, d.costs[0])
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -10,6 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"croftlock/internal/fleet/ownership/simulation"
+	"croftlock/internal/testbed/parallel"
 )
 
 // simCommand plays the program's own decisions in virtual time.
@@ -42,7 +43,7 @@
 	}
 	began := time.Now()
 	sum := simSum{out: out, show: o.show}
-	onAllCores(o.first, o.first+o.seeds, func(i int) {
+	parallel.ForEach(o.first, o.first+o.seeds, func(i int) {
 		seed := uint64(i)
 		c := simulation.Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 		plant(&c)
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test produced with a file under testdata. Run a test with -update to write its files anew, for a
-// change that means to alter them.
+// Package golden compares a test's output with a file under testdata. Run a test with -update to write its files again, for a change that is
+// meant to alter them.
 package golden
 
 import (
@@ -11,15 +11,16 @@
 	"hash"
 	"os"
 	"path/filepath"
-	"runtime"
+	"slices"
 	"strings"
-	"sync"
 	"testing"
+
+	"croftlock/internal/testbed/parallel"
 )
 
 var update = flag.Bool("update", false, "write the golden files from what the code gives now")
 
-// Check fails the test where got differs from testdata/name, and names the first line that does.
+// Check fails the test if got differs from testdata/name, and names the first line that differs.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Read gives a golden file's bytes.
+// Read returns a golden file's bytes.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -54,9 +55,10 @@
 	return data
 }
 
-// Updating tells whether the test run writes its golden files.
+// Updating returns whether the test run writes its golden files.
 func Updating() bool { return *update }
 
+// lineAt is line i, or says that the file has ended.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -64,13 +66,13 @@
 	return "end of file"
 }
 
-// Digest is a hash over a sequence of records, for sequences that are too long to be kept whole.
+// Digest is a hash over a sequence of records, for sequences that are too long for a golden file.
 type Digest struct {
 	hash    hash.Hash
 	records int
 }
 
-// NewDigest begins a sequence.
+// NewDigest makes the digest of an empty sequence.
 func NewDigest() *Digest { return &Digest{hash: sha256.New()} }
 
 // Add appends one record.
@@ -85,7 +87,7 @@
 	return fmt.Sprintf("records=%d sha256=%s", d.records, hex.EncodeToString(d.hash.Sum(nil)))
 }
 
-// Samples collects the first few messages of each kind, to be kept byte for byte.
+// Samples collects the first few messages of each kind, byte for byte.
 type Samples struct {
 	perKind int
 	kinds   map[string][]string
@@ -97,25 +99,19 @@
 	return &Samples{perKind: perKind, kinds: map[string][]string{}}
 }
 
-// Add takes one message. A message that was taken before is not kept again.
+// Add adds a message, unless its kind is complete or has the same message already.
 func (s *Samples) Add(kind string, message []byte) {
 	seen, known := s.kinds[kind]
 	if !known {
 		s.order = append(s.order, kind)
 	}
 	text := hex.EncodeToString(message)
-	if len(seen) >= s.perKind {
-		return
-	}
-	for _, other := range seen {
-		if other == text {
-			return
-		}
+	if len(seen) < s.perKind && !slices.Contains(seen, text) {
+		s.kinds[kind] = append(seen, text)
 	}
-	s.kinds[kind] = append(seen, text)
 }
 
-// Bytes is a line a message: its kind and its bytes in hexadecimal.
+// Bytes has one line for each message: its kind, and its bytes in hexadecimal.
 func (s *Samples) Bytes() []byte {
 	var out bytes.Buffer
 	for _, kind := range s.order {
@@ -126,22 +122,5 @@
 	return out.Bytes()
 }
 
-// InParallel calls play for each number from first to one below end, on all processors, and returns once all calls have.
-func InParallel(first, end int, play func(i int)) {
-	var workers sync.WaitGroup
-	next := make(chan int)
-	for range runtime.GOMAXPROCS(0) {
-		workers.Add(1)
-		go func() {
-			defer workers.Done()
-			for i := range next {
-				play(i)
-			}
-		}()
-	}
-	for i := first; i < end; i++ {
-		next <- i
-	}
-	close(next)
-	workers.Wait()
-}
+// InParallel plays the recorded sequences from first to one below end, on all cores, and returns once all have been played.
+func InParallel(first, end int, play func(i int)) { parallel.ForEach(first, end, play) }
--- a/internal/testbed/experiment/parallel.go
+++ b/internal/testbed/parallel/parallel.go
@@ -1,12 +1,13 @@
-package experiment
+// Package parallel plays numbered simulations and recorded sequences on all cores, for experiments and tests.
+package parallel
 
 import (
 	"runtime"
 	"sync"
 )
 
-// onAllCores calls do for each number from first to one below end, in parallel on all cores, and returns once all calls have.
-func onAllCores(first, end int, do func(i int)) {
+// ForEach calls do for each number from first to one below end, in parallel on all cores, and returns once all calls have.
+func ForEach(first, end int, do func(i int)) {
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
