--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -29,16 +29,16 @@
 	{"programs", []string{"cmd/croftlock", "cmd/croftlock-experiment", "cmd/croftlock-simulator-adapter", "cmd/croftlock-voter"}},
 }
 
-// decides is the layer whose packages do no I/O.
-const decides = "decisions"
+// decisionLayer is the layer whose packages do no I/O.
+const decisionLayer = "decisions"
 
-// doesIO tells whether a package of the standard library reaches outside the process. net/netip holds values alone.
+// doesIO returns whether a package of the standard library does I/O. net/netip has values alone.
 func doesIO(path string) bool {
 	first, _, _ := strings.Cut(path, "/")
 	return (first == "net" || first == "os") && path != "net/netip"
 }
 
-// importsOf gives the imports of a folder's files that are no tests.
+// importsOf returns the imports of a folder's files, without tests.
 func importsOf(t *testing.T, dir string) (imports []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -61,7 +61,7 @@
 	return imports
 }
 
-// folders are those below the module's root that hold Go files, named as in layers.
+// folders are the folders with Go files below the module's root, named as in layers.
 func folders(t *testing.T, root string) (out []string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// TestLayers: arrows point downward only, every package stands in a layer, and what decides does no I/O.
+// TestLayers: packages import from their own layer and those below, every package is in a layer, and decisions do no I/O.
 func TestLayers(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	level := map[string]int{}
@@ -95,7 +95,7 @@
 	seen := folders(t, root)
 	for p := range level {
 		if !slices.Contains(seen, p) {
-			t.Errorf("%s is in a layer, and there is no such package", p)
+			t.Errorf("layers name the package %s, which does not exist", p)
 		}
 	}
 	for _, p := range seen {
@@ -109,8 +109,8 @@
 			dir = filepath.Join(root, p)
 		}
 		for _, path := range importsOf(t, dir) {
-			if layers[own].name == decides && doesIO(path) {
-				t.Errorf("%s decides, and imports %s", p, path)
+			if layers[own].name == decisionLayer && doesIO(path) {
+				t.Errorf("%s, in the layer of decisions, imports %s", p, path)
 			}
 			local, here := strings.CutPrefix(path, "croftlock/")
 			local = strings.TrimPrefix(local, "internal/")
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGlossary: a newcomer finds each package's concept in the glossary.
+// TestGlossary: docs/glossary.md names each package.
 func TestGlossary(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "glossary.md"))
 	if err != nil {
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -10,43 +10,58 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The two processes of a hot restart are one proxy: until the new one has its own list, it goes by what the old one is told.
-func TestNewProcessTakesTheOldOnesList(t *testing.T) {
-	host := func(id string, state balancer.HostState) proxy.HostEntry {
-		return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
-	}
+// listedHost is a host in an endpoint list.
+func listedHost(id string, state balancer.HostState) proxy.HostEntry {
+	return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
+}
+
+const ownDiscovery = "127.0.0.1:2"
+
+// newProcessWithList makes a process with a list of the hosts a and b, of revision 7 of ownDiscovery.
+func newProcessWithList(t *testing.T) *process {
+	t.Helper()
 	settings := balancer.Config{Instances: 1, Tick: 1e6, MaxAttempts: 5, Classes: []balancer.Class{{Name: "c", LatencyObjective: 1e9, Deadline: 2e9}}, SlowStartDuration: 1e9, SlowStartOverloadWindow: 1e9,
 		SlowStartOverloadFactor: 2, SlowStartFloor: 0.2, PollInterval: 1e10, ConnectTimeout: 1e8}
-	l := netio.NewLoop()
-	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
-	r := &process{loop: l, core: core, discovery: cluster.NewClient(l, nil, cluster.Options{Address: "127.0.0.1:2", Sharing: 1, Revision: 7})}
-	known := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{host("a", balancer.Ready), host("b", balancer.Ready)}}
-	if err := core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }, r.discovery, known); err != nil {
+	loop := netio.NewLoop()
+	core := proxy.New(loop, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
+	p := &process{loop: loop, core: core, discovery: cluster.NewClient(loop, nil, cluster.Options{Address: ownDiscovery, Sharing: 1, Revision: 7})}
+	list := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready), listedHost("b", balancer.Ready)}}
+	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }
+	if err := core.Run(newBalancer, p.discovery, list); err != nil {
 		t.Fatal(err)
 	}
-	state := func() balancer.HostState {
-		for _, h := range core.Snapshot(false).Hosts {
-			if h.ID == "a" {
-				return h.State
-			}
+	return p
+}
+
+// stateOf is a host's state in the process's list.
+func (p *process) stateOf(id string) balancer.HostState {
+	for _, h := range p.core.Snapshot(false).Hosts {
+		if h.ID == id {
+			return h.State
 		}
-		return balancer.Removed
 	}
-	r.restart.partner = &hotrestart.Partner{}
-	old := partnerEvents{r, r.restart.partner}
+	return balancer.Removed
+}
+
+// TestNewProcessTakesTheOldOnesList: until a new process has its own list, it applies newer lists of the same discovery that the old one sends. The old
+// one applies none of the new one's.
+func TestNewProcessTakesTheOldOnesList(t *testing.T) {
+	p := newProcessWithList(t)
+	p.restart.partner = &hotrestart.Partner{}
+	events := partnerEvents{p, p.restart.partner}
 	for _, c := range []struct {
-		from string
-		rev  int64
-		want balancer.HostState
-	}{{"127.0.0.1:3", 9, balancer.Ready}, {"127.0.0.1:2", 7, balancer.Ready}, {"127.0.0.1:2", 8, balancer.Draining}} {
-		old.ListChanged(&proxy.Snapshot{Discovery: c.from, Revision: c.rev, Hosts: []proxy.HostEntry{host("a", balancer.Draining), host("b", balancer.Ready)}})
-		if got := state(); got != c.want {
-			t.Errorf("version %d of %s: state %d, want %d", c.rev, c.from, got, c.want)
+		discovery string
+		revision  int64
+		want      balancer.HostState
+	}{{"127.0.0.1:3", 9, balancer.Ready}, {ownDiscovery, 7, balancer.Ready}, {ownDiscovery, 8, balancer.Draining}} {
+		events.ListChanged(&proxy.Snapshot{Discovery: c.discovery, Revision: c.revision, Hosts: []proxy.HostEntry{listedHost("a", balancer.Draining), listedHost("b", balancer.Ready)}})
+		if got := p.stateOf("a"); got != c.want {
+			t.Errorf("after a list of %s, revision %d, host a has state %d, want %d", c.discovery, c.revision, got, c.want)
 		}
 	}
-	r.restart.isOld = true
-	old.ListChanged(&proxy.Snapshot{Discovery: "127.0.0.1:2", Revision: 9, Hosts: []proxy.HostEntry{host("a", balancer.Ready)}})
-	if state() != balancer.Draining {
-		t.Error("an old process takes the new one's list")
+	p.restart.isOld = true
+	events.ListChanged(&proxy.Snapshot{Discovery: ownDiscovery, Revision: 9, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready)}})
+	if got := p.stateOf("a"); got != balancer.Draining {
+		t.Errorf("after the new process's list, host a has state %d at the old one, want %d", got, balancer.Draining)
 	}
 }
