--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -2,7 +2,8 @@
 //
 // Start (node.go): Run attaches the loop; process.start makes the core (makeCore), gets what a predecessor hands over or has stored
 // (findPredecessor), starts the core with its endpoint list (runCore), opens the sockets to other proxies, clients and operators, and
-// serves: event=ready. A process that takes over from another one accepts clients only after that (beginTakeover).
+// serves. event=ready ends the start. A process that takes over from another one accepts clients, and is ready to /v1/readyz, only after that
+// (beginTakeover).
 //
 // SIGHUP and SIGTERM: signals.go. Hot restart: restart.go has the phases of both processes, predecessor.go what a new process asks for,
 // partner.go the messages of the other process, successor.go what the core asks of either. Membership and the fleet's jobs: fleet.go.
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -14,10 +14,10 @@
 
 // linkCut is a set of cut links among five processes.
 type linkCut struct {
-	name    string
-	cut     func(from, to int) bool // the links that it cuts
-	lost    []int                   // processes that the others may have as unreachable
-	namedBy int                     // the process that has to report the cut link; -1: none
+	name       string
+	cut        func(from, to int) bool // the links that it cuts
+	lost       []int                   // processes that the others may have as unreachable
+	reportedBy int                     // the process that has to report the cut link; -1: none
 }
 
 var linkCuts = []linkCut{
@@ -44,7 +44,7 @@
 			return fmt.Errorf("%s: not all alive before", c.name)
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
-		named, wrong, err := c.observe(rig)
+		seen, err := c.observe(rig)
 		if err != nil {
 			return err
 		}
@@ -53,35 +53,40 @@
 		if !ok {
 			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
 		}
-		r.Row(table, c.name, wrong, named, heal)
-		r.Check(wrong == 0, c.name+": the majority has no process as unreachable that it hears", wrong)
+		r.Row(table, c.name, seen.wronglyLost, seen.reportedAfter, heal)
+		r.Check(seen.wronglyLost == 0, c.name+": the majority has no process as unreachable that it hears", seen.wronglyLost)
 		r.Check(heal < 3*time.Second, c.name+": all alive within 3 s of healing", heal)
-		if c.namedBy >= 0 {
-			r.Check(named >= 0 && named < 3*time.Second, c.name+": the cut link is reported within 3 s", named)
+		if c.reportedBy >= 0 {
+			r.Check(seen.reportedAfter >= 0 && seen.reportedAfter < 3*time.Second, c.name+": the cut link is reported within 3 s", seen.reportedAfter)
 		}
 	}
 	return nil
 }
 
-// observe polls one process of the majority while the cut lasts. It returns after what time the cut link is reported, -1 for never, and how
-// often a process is unreachable that must not be.
-func (c *linkCut) observe(rig *Rig) (named time.Duration, wrong int, err error) {
-	named = -1
+// cutObservation is a process's view of the members during a cut.
+type cutObservation struct {
+	reportedAfter time.Duration // from the cut to the report of the cut link; -1: it was not reported
+	wronglyLost   int           // members that were unreachable or gone and must not be, in all polls
+}
+
+// observe polls one process of the majority while the cut lasts.
+func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
+	seen.reportedAfter = -1
 	for began := time.Now(); time.Since(began) < cutLasts; time.Sleep(50 * time.Millisecond) {
 		report, err := rig.Ask(3)
 		if err != nil {
-			return 0, 0, err
+			return seen, err
 		}
 		for _, m := range report.Members {
-			if m.Slot == c.namedBy && len(m.Unheard) > 0 && named < 0 {
-				named = time.Since(began)
+			if m.Slot == c.reportedBy && len(m.Unheard) > 0 && seen.reportedAfter < 0 {
+				seen.reportedAfter = time.Since(began)
 			}
 			if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.lost, m.Slot) {
-				wrong++
+				seen.wronglyLost++
 			}
 		}
 	}
-	return named, wrong, nil
+	return seen, nil
 }
 
 // membersCommand prints a running proxy's view of the members.
--- a/internal/testbed/experiment/persistentclients.go
+++ b/internal/testbed/experiment/persistentclients.go
@@ -19,10 +19,10 @@
 
 // persistentClients are clients that stay connected. Each sends lines at an interval and waits for the answers.
 type persistentClients struct {
-	answers         *answerCounts    // to their connects
-	interval        time.Duration    // between a client's lines
-	returnAfter     [2]time.Duration // least and most before a migrated client reconnects
-	awaitMigrations bool             // between its lines a client reads, and so notices a migration at once
+	answers         *answerCounts // to their requests
+	interval        time.Duration // between a client's lines
+	returnAfter     delayRange    // before a migrated client reconnects
+	awaitMigrations bool          // between its lines a client reads, and so notices a migration at once
 
 	running  sync.WaitGroup
 	stopping atomic.Bool
@@ -30,7 +30,15 @@
 	mu         sync.Mutex // protects what follows
 	exchanges  []exchange
 	lost       []string // errors of connections that ended other than by a migration
-	migrations int      // migrations
+	migrations int
+}
+
+// delayRange is a range that a delay is drawn from.
+type delayRange struct{ least, most time.Duration }
+
+// draw draws a delay.
+func (d delayRange) draw() time.Duration {
+	return d.least + time.Duration(rand.Float64()*float64(d.most-d.least))
 }
 
 // exchange is one line and its answer.
@@ -51,11 +59,11 @@
 		go func() {
 			defer c.running.Done()
 			turns <- struct{}{}
-			client, a, err := c.openUntilServed(proxy, extra, wait)
+			client, answer, err := c.openUntilServed(proxy, extra, wait)
 			<-turns
 			if client == nil {
 				if err == nil {
-					err = fmt.Errorf("client %d got %s", i, a.Text)
+					err = fmt.Errorf("client %d is answered with %q", i, answer.Text)
 				}
 				errs <- err
 			}
@@ -77,10 +85,10 @@
 // openUntilServed connects, and retries while it is rejected. Rejections count as answers.
 func (c *persistentClients) openUntilServed(proxy, extra string, wait time.Duration) (*fake.Client, fake.Answer, error) {
 	for {
-		client, a, err := fake.Open(proxy, requestClass, extra, wait)
-		c.answers.add(a, wait)
-		if client != nil || err != nil || a.Kind != "BUSY" || c.stopping.Load() {
-			return client, a, err
+		client, answer, err := fake.Open(proxy, requestClass, extra, wait)
+		c.answers.add(answer, wait)
+		if client != nil || err != nil || answer.Kind != "BUSY" || c.stopping.Load() {
+			return client, answer, err
 		}
 		time.Sleep(retryAfterBusy)
 	}
@@ -133,8 +141,7 @@
 	c.mu.Lock()
 	c.migrations++
 	c.mu.Unlock()
-	least, most := c.returnAfter[0], c.returnAfter[1]
-	time.Sleep(least + time.Duration(rand.Float64()*float64(most-least)))
+	time.Sleep(c.returnAfter.draw())
 	client, _, err := c.openUntilServed(proxy, "again=1", wait)
 	if client == nil {
 		c.recordLoss("after a migration: %v", err)
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -33,7 +33,7 @@
 	}
 	s := &proxySite{Env: e, upstreams: f, shortLived: newAnswerCounts(), stop: make(chan struct{}),
 		persistent: &persistentClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, awaitMigrations: true,
-			returnAfter: [2]time.Duration{50 * time.Millisecond, 500 * time.Millisecond}}}
+			returnAfter: delayRange{50 * time.Millisecond, 500 * time.Millisecond}}}
 	tmp, err := os.MkdirTemp(e.Dir, "tmp")
 	if err != nil {
 		return nil, err
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -67,21 +67,21 @@
 		return fmt.Errorf("%s: %w", s.name, err)
 	}
 	defer g.Close()
-	var rows [][]any
+	var outcomes []*cutOutcome
 	for _, f := range s.faults {
 		o, err := g.playFault(f)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
-		rows = append(rows, []any{f.name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals)})
+		outcomes = append(outcomes, o)
 		if f.kind != "full" { // there it waits until the replicas reopen their stores
 			r.Check(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
 		}
 	}
 	outcome := g.finish()
 	_, longest := outcome.overlaps()
-	for _, row := range rows {
-		r.Row(rulesCutTable, append(row, longest, outcome.unanswered)...)
+	for i, o := range outcomes {
+		r.Row(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals), longest, outcome.unanswered)
 	}
 	r.Check(longest <= agreeWithin, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
 	r.Check(outcome.unanswered == 0, s.name+": each request gets an answer", outcome.unanswered)
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -19,14 +19,14 @@
 // stormCase is one way in which the clients of the drained server reconnect.
 type stormCase struct {
 	name        string
-	plain       bool             // TCP without TLS
-	settings    string           // more of the tls section
-	returnAfter [2]time.Duration // least and most before a client reconnects
-	bounds      bool             // the files are replaced during the storm, and bounds are checked
+	plain       bool       // TCP without TLS
+	settings    string     // more of the tls section
+	returnAfter delayRange // before a client reconnects
+	bounds      bool       // the files are replaced during the storm, and bounds are checked
 }
 
-// reconnectDelay is the least and the most time before clients reconnect, as the operators state it.
-var reconnectDelay = [2]time.Duration{50 * time.Millisecond, 1700 * time.Millisecond}
+// reconnectDelay is the time before clients reconnect, as the operators state it.
+var reconnectDelay = delayRange{50 * time.Millisecond, 1700 * time.Millisecond}
 
 var stormCases = []stormCase{
 	{name: "full", settings: " (reuse off)", returnAfter: reconnectDelay, bounds: true},
@@ -62,10 +62,10 @@
 type stormResult struct {
 	latenciesBefore, latenciesDuring samples        // milliseconds of the staying clients' lines, before and during the storm
 	handshakesBefore                 map[string]int // handshakes of each server before it
-	filesTaken                       int            // times that the proxy had taken new files before it
-	reconnectedAfter                 time.Duration  // until all were placed again; 0: they were not
+	filesTaken                       int            // reloads of files before it
+	reconnectedAfter                 time.Duration  // until all were connected again; 0: they were not
 	cpu                              time.Duration  // of the proxy
-	withinBudget                     bool           // no host got more handshakes than its budget
+	withinBudget                     bool           // no server got more handshakes than its budget
 
 	served, unanswered, late int      // requests of the migrated clients
 	lost                     []string // connections that ended other than by a migration
