--- a/internal/app/command/large_test.go
+++ b/internal/app/command/large_test.go
@@ -33,11 +33,11 @@
 	}
 	stands(t, r, 2, 2, 5)
 	r.Cut(4, true)
-	began := time.Now()
+	startedAt := time.Now()
 	if answer := answered(t, r, 3, 2, rulesText(401)); !strings.HasPrefix(answer, "0 active: version 3 at") {
 		t.Fatalf("a change of one entry is answered with %q, want active version 3", answer)
 	}
-	t.Logf("a change of 1,651 entries with one process cut off: %v", time.Since(began).Round(time.Millisecond))
+	t.Logf("a change of 1,651 entries with one process cut off: %v", time.Since(startedAt).Round(time.Millisecond))
 	r.Cut(4, false)
 	stands(t, r, 4, 3, 5)
 	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(r.Dir(4), "owners.sock"))
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -34,8 +34,8 @@
 			return printLoss(cmd.OutOrStdout(), fleetlog.CountLoss(logs, objective))
 		}}
 	c.Flags().DurationVar(&window, "window", 2*time.Second, "length of a time window")
-	c.Flags().DurationVar(&warm, "warm", 23*time.Second, "how long a server counts as cold after its start")
-	c.Flags().DurationVar(&fall, "fall", 2*time.Second, "window for the largest number of attempts at a cold server")
+	c.Flags().DurationVar(&warm, "warm", 23*time.Second, "how long a host is warming up after its start")
+	c.Flags().DurationVar(&fall, "fall", 2*time.Second, "window for the peak of attempts at a warming host")
 	c.Flags().DurationVar(&objective, "aim", 250*time.Millisecond, "how long messages may take")
 	return c
 }
@@ -43,12 +43,12 @@
 // printLoss prints the causes for which clients were not connected, or to slow hosts.
 func printLoss(to io.Writer, l *fleetlog.Loss) error {
 	all := max(l.All(), 1e-9)
-	fmt.Fprintf(to, "\nseconds wanted %.0f: good %.1f%%, on crowded hosts %.1f%%, on slow ones %.1f%%, "+
-		"waiting %.1f%%, after a break %.1f%%, after a refusal %.1f%%, after a move %.1f%%\n",
+	fmt.Fprintf(to, "\nclient seconds %.0f: good %.1f%%, on overloaded hosts %.1f%%, on slow hosts %.1f%%, "+
+		"waiting %.1f%%, after a broken connection %.1f%%, after a rejection %.1f%%, after a migration %.1f%%\n",
 		l.All(), 100*l.Good/all, 100*l.Crowded/all, 100*l.Slow/all, 100*l.Waiting/all, 100*l.Broken/all, 100*l.Refused/all, 100*l.Migrated/all)
-	fmt.Fprintf(to, "most that a host holds over the mean, for its weight: median %.2f, worst %.2f\n", l.Spread, l.SpreadWorst)
+	fmt.Fprintf(to, "largest share of a host over the mean, by weight: median %.2f, max %.2f\n", l.Spread, l.SpreadWorst)
 	t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "\nhost\tstood s\tcrowded s\tslow s\tbroke\tshare, mean\tmost\t")
+	fmt.Fprintln(t, "\nhost\testablished s\toverloaded s\tslow s\tbroken\tshare, mean\tmax\t")
 	for _, h := range l.Hosts[:min(10, len(l.Hosts))] {
 		fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t\n", h.Name, h.Connected, h.Crowded, h.Slow, h.Broken, h.Share, h.ShareOf)
 	}
@@ -60,7 +60,7 @@
 	fmt.Fprintf(to, "%d proxies, %d events, %d lines skipped, from %s\n\n", l.Proxies, len(l.Events), l.Skipped,
 		f.Began.Format(time.RFC3339))
 	t := tabwriter.NewWriter(to, 0, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "s\tasked\tagain\tsent\tstood\trefused\tbad\tlost\topen\tplaces\tstarted\tdiscovery failed\t")
+	fmt.Fprintln(t, "s\trequests\treturned\tattempts\testablished\trejected\tfailed\tbroken\topen\tgroup placements\tstarted\tdiscovery failed\t")
 	for _, w := range f.Windows {
 		var bad []string
 		for status, n := range w.Failed {
@@ -70,7 +70,7 @@
 		fmt.Fprintf(t, "%.0f\t%d\t%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t\n", w.From.Seconds(), w.Requests, w.Returned, w.Sent,
 			w.Established, w.Refused, strings.Join(bad, ", "), w.Broken, w.Open, w.Places, w.Started, w.DiscoveryFailed)
 	}
-	fmt.Fprintln(t, "\nhost\tzone\tweight\tsent\tcold sent\tcold peak\topen\tslowest ms\t\t\t\t\t")
+	fmt.Fprintln(t, "\nhost\tzone\tweight\tattempts\twhile warming up\tpeak of these\topen\tslowest ms\t\t\t\t\t")
 	for _, h := range f.Hosts {
 		fmt.Fprintf(t, "%s\t%s\t%g\t%d\t%d\t%d\t%d\t%.0f\t\t\t\t\t\n", h.Name, h.Zone, h.Weight, h.Sent, h.ColdSent, h.ColdPeak, h.Open,
 			h.SlowestMS)
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -60,13 +60,13 @@
 // openLoop calls do at a fixed rate, without waiting for the earlier calls, and returns once all have ended.
 func openLoop(rate float64, length time.Duration, do func(i int)) {
 	var all sync.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for i := 0; ; i++ {
 		at := time.Duration(float64(i) / rate * 1e9)
 		if at >= length {
 			break
 		}
-		time.Sleep(time.Until(began.Add(at)))
+		time.Sleep(time.Until(startedAt.Add(at)))
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -72,14 +72,14 @@
 // observe polls one process of the majority while the cut lasts.
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
-	for began := time.Now(); time.Since(began) < cutLasts; time.Sleep(50 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < cutLasts; time.Sleep(50 * time.Millisecond) {
 		report, err := rig.Ask(3)
 		if err != nil {
 			return seen, err
 		}
 		for _, m := range report.Members {
 			if m.Slot == c.reportedBy && len(m.Unheard) > 0 && seen.reportedAfter < 0 {
-				seen.reportedAfter = time.Since(began)
+				seen.reportedAfter = time.Since(startedAt)
 			}
 			if (m.State == "unreachable" || m.State == "gone") && !slices.Contains(c.lost, m.Slot) {
 				seen.wronglyLost++
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -205,13 +205,13 @@
 	time.Sleep(2 * time.Second)
 	atEnd := requests()
 	o.sentInNotice, o.sentAfter = atLimit-before, atEnd-atLimit
-	began := time.Now()
+	startedAt := time.Now()
 	if status, _, _, err := Call(s.admin, "POST", path+"/resume"); err != nil || status != 200 {
 		return o, fmt.Errorf("resume: %d %v", status, err)
 	}
-	for time.Since(began) < 5*time.Second && o.firstMS == 0 {
+	for time.Since(startedAt) < 5*time.Second && o.firstMS == 0 {
 		if requests() > atEnd {
-			o.firstMS = time.Since(began).Seconds() * 1e3
+			o.firstMS = time.Since(startedAt).Seconds() * 1e3
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -111,16 +111,16 @@
 	for turn := range 40 {
 		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
-		began := time.Now()
+		startedAt := time.Now()
 		reply, err := rig.Owners(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
 		if err != nil || reply.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
 		}
-		if _, ok := Until(10*time.Second, func() bool { return len(rig.acquired(to, job, began)) > 0 }); !ok {
+		if _, ok := Until(10*time.Second, func() bool { return len(rig.acquired(to, job, startedAt)) > 0 }); !ok {
 			return nil, fmt.Errorf("n%[2]d does not acquire %[1]s", job, to)
 		}
-		took = append(took, float64(rig.acquired(to, job, began)[0].Sub(began))/1e6)
+		took = append(took, float64(rig.acquired(to, job, startedAt)[0].Sub(startedAt))/1e6)
 		owners[job] = to
 	}
 	slices.Sort(took)
@@ -134,13 +134,13 @@
 		if err != nil {
 			return nil, err
 		}
-		job, began := fmt.Sprintf("drill%03d", turn), time.Now()
+		job, startedAt := fmt.Sprintf("drill%03d", turn), time.Now()
 		owner := owners[job]
 		rig.Procs[owner].Kill()
-		if _, ok := Until(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, began) }); !ok {
+		if _, ok := Until(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, startedAt) }); !ok {
 			return nil, fmt.Errorf("%s has no owner 20 s after n%d was killed", job, owner)
 		}
-		took = append(took, float64(time.Since(began))/1e6)
+		took = append(took, float64(time.Since(startedAt))/1e6)
 		if err := rig.Start(owner); err != nil {
 			return nil, err
 		}
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -45,14 +45,14 @@
 			return nil, errors.New("the replicas are not ready")
 		}
 		time.Sleep(4 * time.Second)
-		began, old := time.Now(), r.Procs[turn%5]
+		startedAt, old := time.Now(), r.Procs[turn%5]
 		if err := r.handOver(turn%5, how); err != nil {
 			return nil, err
 		}
 		if _, err := r.AllOwned(jobs); err != nil {
 			return nil, err
 		}
-		took = append(took, r.releaseGaps(old, began)...)
+		took = append(took, r.releaseGaps(old, startedAt)...)
 	}
 	slices.Sort(took)
 	if len(took) < 10 {
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -115,7 +115,7 @@
 	if len(l.jobs) == 0 {
 		return outcome, errors.New("the process that is to be late owns no job")
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := c.inject(l); err != nil {
 		return outcome, err
 	}
@@ -126,7 +126,7 @@
 	if err := r.CheckTokens(); err != nil {
 		return outcome, err
 	}
-	for _, g := range r.gaps(began, l.jobs) {
+	for _, g := range r.gaps(startedAt, l.jobs) {
 		outcome.gaps = append(outcome.gaps, g)
 	}
 	outcome.jobs = len(l.jobs)
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -73,7 +73,7 @@
 
 // Call is one call of the admin interface; a call that takes over 5 s is an error.
 func Call(admin, method, path string) (status int, body string, took time.Duration, err error) {
-	began := time.Now()
+	startedAt := time.Now()
 	req, err := http.NewRequest(method, "http://"+admin+path, nil)
 	if err != nil {
 		return 0, "", 0, err
@@ -81,17 +81,17 @@
 	c := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(req)
 	if err != nil {
-		return 0, "", time.Since(began), err
+		return 0, "", time.Since(startedAt), err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(data), time.Since(began), err
+	return resp.StatusCode, string(data), time.Since(startedAt), err
 }
 
 // Ready waits until a process's admin interface reports it ready.
 func Ready(admin string, within time.Duration) error {
-	began := time.Now()
-	for time.Since(began) < within {
+	startedAt := time.Now()
+	for time.Since(startedAt) < within {
 		if status, _, _, err := Call(admin, "GET", "/v1/readyz"); err == nil && status == 200 {
 			return nil
 		}
@@ -153,8 +153,8 @@
 		return 0, 0, err
 	}
 	readyIn = time.Since(started)
-	old, began := s.current, time.Now()
+	old, startedAt := s.current, time.Now()
 	s.current, s.admin = p, admin
 	err = old.Stop()
-	return readyIn, time.Since(began), err
+	return readyIn, time.Since(startedAt), err
 }
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -31,9 +31,9 @@
 			planStep{time.Duration(f.StartMS+f.DurationMS) * time.Millisecond, end})
 	}
 	slices.SortStableFunc(steps, func(a, b planStep) int { return cmp.Compare(a.startsAt, b.startsAt) })
-	began := time.Now()
+	startedAt := time.Now()
 	for _, s := range steps {
-		time.Sleep(time.Until(began.Add(s.startsAt)))
+		time.Sleep(time.Until(startedAt.Add(s.startsAt)))
 		if err := s.run(); err != nil {
 			return err
 		}
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -155,7 +155,7 @@
 
 // proposeChange proposes change n against a version, through process i, and returns the version that is active afterwards.
 func (g *rulesRig) proposeChange(i, n int, version uint64) uint64 {
-	began := time.Now()
+	startedAt := time.Now()
 	change := rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", n)}}, version, fmt.Appendf(nil, "change%08d", n))
 	answer := g.query(i, rules.EncodeProposal(change))
 	if _, err := fmt.Sscanf(answer, "active: version %d", &version); err != nil {
@@ -165,6 +165,6 @@
 	g.rulesOutcome.mu.Lock()
 	defer g.rulesOutcome.mu.Unlock()
 	g.changesActive++
-	g.changeTimes = append(g.changeTimes, time.Since(began))
+	g.changeTimes = append(g.changeTimes, time.Since(startedAt))
 	return version
 }
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -115,11 +115,11 @@
 	if err != nil {
 		return err
 	}
-	began, answer := time.Now(), make(chan string, 1)
+	startedAt, answer := time.Now(), make(chan string, 1)
 	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
 	change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
 	go func() { answer <- g.query(via, change) }()
-	if err := g.playUntilEnd(f, victim, began, rng); err != nil {
+	if err := g.playUntilEnd(f, victim, startedAt, rng); err != nil {
 		return err
 	}
 	if err := end(); err != nil {
@@ -133,7 +133,7 @@
 	o.heals = append(o.heals, heal)
 	switch text := <-answer; {
 	case strings.HasPrefix(text, "active: "):
-		o.active = append(o.active, time.Since(began))
+		o.active = append(o.active, time.Since(startedAt))
 	case strings.HasPrefix(text, "refused: "):
 		o.rejected++
 		return nil
@@ -165,7 +165,7 @@
 }
 
 // playUntilEnd waits for the fault's end. Pauses and kills are played here.
-func (g *rulesRig) playUntilEnd(f cutFault, victim int, began time.Time, rng *rand.Rand) error {
+func (g *rulesRig) playUntilEnd(f cutFault, victim int, startedAt time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
 		g.pause(victim, f.lasts)
@@ -173,7 +173,7 @@
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 		return g.restart(victim)
 	default:
-		time.Sleep(f.lasts - time.Since(began))
+		time.Sleep(f.lasts - time.Since(startedAt))
 	}
 	return nil
 }
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -69,13 +69,13 @@
 // awaitAnswer waits until some process's answer about the active version meets a condition; it returns how long that took, and whether it
 // did in time.
 func (g *rulesRig) awaitAnswer(within time.Duration, holds func(answer string) bool) (time.Duration, bool) {
-	began, found := time.Now(), make(chan time.Duration, len(g.Procs))
+	startedAt, found := time.Now(), make(chan time.Duration, len(g.Procs))
 	var ended atomic.Bool
 	for i := range g.Procs {
 		go func() {
 			for !ended.Load() {
 				if holds(g.query(i, rules.QueryActive())) {
-					found <- time.Since(began)
+					found <- time.Since(startedAt)
 					return
 				}
 				time.Sleep(20 * time.Millisecond)
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -41,7 +41,7 @@
 	if !known {
 		return fmt.Errorf("no fault %q to plant; skip-sync, eager, from-answer and forget are known", o.plant)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	sum := simSum{out: out, show: o.show}
 	parallel.ForEach(o.first, o.first+o.seeds, func(i int) {
 		seed := uint64(i)
@@ -49,7 +49,7 @@
 		plant(&c)
 		sum.play(c)
 	})
-	sum.print(o, time.Since(began))
+	sum.print(o, time.Since(startedAt))
 	if sum.failed > 0 {
 		return fmt.Errorf("first found at seed %d", sum.firstFailed)
 	}
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -98,11 +98,11 @@
 			return err
 		}
 		for _, s := range []*samples{&first, &again} {
-			began := time.Now()
-			if _, err := m.Verify([]*x509.Certificate{leaf.Cert}, upstreamtls.Name{Text: "s1.lab"}, began); err != nil {
+			startedAt := time.Now()
+			if _, err := m.Verify([]*x509.Certificate{leaf.Cert}, upstreamtls.Name{Text: "s1.lab"}, startedAt); err != nil {
 				return err
 			}
-			*s = append(*s, float64(time.Since(began))/1e3)
+			*s = append(*s, float64(time.Since(startedAt))/1e3)
 		}
 	}
 	r.Row(title, "first in its epoch", first.spread(1))
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -134,9 +134,9 @@
 
 // replaceAll makes the replacements at their times, and adds a row for each.
 func (t *rotation) replaceAll(r *Report) (late int, err error) {
-	began := time.Now()
+	startedAt := time.Now()
 	for i, step := range t.replacements() {
-		time.Sleep(time.Until(began.Add(time.Duration(i)*rotationStepEvery + 2*time.Second)))
+		time.Sleep(time.Until(startedAt.Add(time.Duration(i)*rotationStepEvery + 2*time.Second)))
 		epoch := t.filesTaken()
 		at := time.Now()
 		if err := step.replace(); err != nil {
@@ -151,7 +151,7 @@
 				late++
 			}
 		}
-		r.Row(rotationTable, at.Sub(began), step.what, taken, t.filesTaken()+1)
+		r.Row(rotationTable, at.Sub(startedAt), step.what, taken, t.filesTaken()+1)
 	}
 	return late, nil
 }
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -158,7 +158,7 @@
 	e.Logf("server s1 drains")
 	s.upstreams.discovery.SetState("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
-	began := time.Now()
+	startedAt := time.Now()
 	s.upstreams.servers[0].Drain()
 	f.filesTaken = len(s.proxy.Log("event=tls_files_taken"))
 	if s.bounds {
@@ -166,11 +166,11 @@
 			return nil, err
 		}
 	}
-	f.reconnectedAfter = s.awaitReconnected(began)
+	f.reconnectedAfter = s.awaitReconnected(startedAt)
 	stormTo := time.Now()
 	f.cpu = s.proxy.CPU() - cpu
 	time.Sleep(time.Second)
-	f.latenciesBefore, f.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(began, stormTo)
+	f.latenciesBefore, f.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(startedAt, stormTo)
 	return f, nil
 }
 
@@ -186,11 +186,11 @@
 
 // awaitReconnected waits until all clients are connected to the two servers that stay, and returns the time since the storm began; 0: they
 // are not.
-func (s *storm) awaitReconnected(began time.Time) time.Duration {
-	for time.Since(began) < 2*reconnectLimit {
+func (s *storm) awaitReconnected(startedAt time.Time) time.Duration {
+	for time.Since(startedAt) < 2*reconnectLimit {
 		time.Sleep(10 * time.Millisecond)
 		if s.upstreams.servers[1].Established()+s.upstreams.servers[2].Established() >= stayingClients+migratingClients {
-			return time.Since(began)
+			return time.Since(startedAt)
 		}
 	}
 	return 0
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -38,11 +38,11 @@
 	if extra != "" {
 		line += "," + extra
 	}
-	began := time.Now()
-	conn.SetDeadline(began.Add(wait + time.Second))
+	startedAt := time.Now()
+	conn.SetDeadline(startedAt.Add(wait + time.Second))
 	fmt.Fprint(conn, line+"\r\n")
 	text, err := c.reader.ReadString('\n')
-	a := Answer{Kind: "NONE", Text: strings.TrimSpace(text), Took: time.Since(began)}
+	a := Answer{Kind: "NONE", Text: strings.TrimSpace(text), Took: time.Since(startedAt)}
 	if err != nil {
 		conn.Close()
 		return nil, a, err
@@ -61,8 +61,8 @@
 
 // Exchange sends a line and waits for its answer. migrated says that the answer was MOVE.
 func (c *Client) Exchange(text string, within time.Duration) (took time.Duration, migrated bool, err error) {
-	began := time.Now()
-	c.conn.SetDeadline(began.Add(within))
+	startedAt := time.Now()
+	c.conn.SetDeadline(startedAt.Add(within))
 	if _, err = fmt.Fprint(c.conn, text+"\r\n"); err != nil {
 		return 0, false, err
 	}
@@ -76,7 +76,7 @@
 	if line != "GOT "+text+"\r\n" {
 		return 0, false, fmt.Errorf("sent %q, got %q", text, line)
 	}
-	return time.Since(began), false, nil
+	return time.Since(startedAt), false, nil
 }
 
 // ReadLine waits for a line.
