--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -24,7 +24,7 @@
 
 func (b *bench) floodingServer(size int) *floodingServer {
 	b.t.Helper()
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", config)
 	if err != nil {
 		b.t.Fatal(err)
@@ -111,7 +111,7 @@
 // Lines to a server that reads nothing wait in a bounded buffer, and come complete and in order once it reads.
 func TestSlowServer(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
 	defer l.Close()
 	read := make(chan struct{})
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -36,7 +36,7 @@
 // The layer's own end can only come from the peer; the end of the socket alone can come from anybody.
 func TestEnds(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	endings := make(chan func(raw net.Conn, s *tls.Conn), 1)
@@ -79,7 +79,7 @@
 // A drop while the handshake is in flight leaves nothing behind, and done is not called.
 func TestDrop(t *testing.T) {
 	b := newBench(t, nil)
-	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Raw: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
+	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -122,7 +122,7 @@
 // A server with new ticket keys, and none of the old ones, costs a full handshake and nothing else.
 func TestTicketKeysChanged(t *testing.T) {
 	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.ForServer(name)
+	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
 	config.SetSessionTicketKeys([][32]byte{{1}})
 	s := b.server(config)
 	var last tls.ConnectionState
@@ -130,7 +130,7 @@
 		if change {
 			config = config.Clone()
 			config.SetSessionTicketKeys([][32]byte{{2}})
-			s.Secure(config)
+			s.SetTLS(config)
 		}
 		c := b.open(s.Addr())
 		b.on(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
@@ -176,7 +176,7 @@
 
 // FuzzRevocationLists: bytes give lists or an error, never a panic.
 func FuzzRevocationLists(f *testing.F) {
-	pki, err := fake.NewPki(name)
+	pki, err := fake.NewPKI(name)
 	if err != nil {
 		f.Fatal(err)
 	}
