--- a/internal/app/command/badlinks_test.go
+++ b/internal/app/command/badlinks_test.go
@@ -16,7 +16,7 @@
 func TestRulesThroughBadLinks(t *testing.T) {
 	t.Parallel()
 	r, _ := customers(t)
-	stands(t, r, 0, 0, 5)
+	waitActive(t, r, 0, 0, 5)
 	key, public := keyFile(t)
 	for i := range 5 {
 		for j := range 5 {
@@ -30,7 +30,7 @@
 		t.Helper()
 		answer := ""
 		if _, ok := experiment.Until(2*ownersPatience, func() bool {
-			answer = propose(t, r, via, version, text, args...)
+			answer = putRules(t, r, via, version, text, args...)
 			return strings.Contains(answer, "active: version")
 		}); !ok {
 			t.Fatalf("a change against version %d is answered with %q, want an active version", version, answer)
@@ -44,20 +44,20 @@
 	for n := range 2 {
 		change(n, fmt.Sprintf(`(namespace (account acme) (route r%d (class lab) (pool main)))`, n), "--key", key)
 		for i, p := range r.Procs {
-			open(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // has each process log a decision
+			requestAnswer(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // has each process log a decision
 		}
 	}
 	beforeRevocation := version
 	change(4, `(rules (account acme (tenants t1)))`)
-	if answer := answered(t, r, 1, beforeRevocation, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(answer, "refused: no grant of version") {
+	if answer := putUntilAnswered(t, r, 1, beforeRevocation, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(answer, "refused: no grant of version") {
 		t.Errorf("a change that was signed before its grant was revoked is answered with %q, want a rejection", answer)
 	}
-	stands(t, r, 2, version, 5)
-	var all [][]decision
+	waitActive(t, r, 2, version, 5)
+	var all [][]ruleDecision
 	for _, p := range r.Procs {
-		all = append(all, decisions(t, p))
+		all = append(all, ruleDecisions(t, p))
 	}
-	if o := overlap(all); o > time.Second {
+	if o := longestOverlap(all); o > time.Second {
 		t.Errorf("two versions were applied at once for %v, want at most 1 s", o)
 	}
 }
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -112,11 +112,11 @@
 }
 
 // TestPlacementLedgerAmongProcesses: with the ledger, connections of few groups are spread evenly over the hosts. Without messages, and while the
-// coordinator is killed and starts again, each request is served all the same.
+// ledger server is killed and starts again, each request is served all the same.
 func TestPlacementLedgerAmongProcesses(t *testing.T) {
 	t.Parallel()
 	tier := newLedgerTier(t)
-	time.Sleep(1500 * time.Millisecond) // the proxies find the coordinator within about a second
+	time.Sleep(1500 * time.Millisecond) // the proxies find the ledger server within about a second
 	clients := tier.connect(72, noProxy)
 	withLedger := tier.maxPerHost()
 	tier.disconnect(clients)
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -14,153 +13,191 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// burst is a connection at a moment.
-type burst struct {
+// establishment is the moment at which a connection was established.
+type establishment struct {
 	at   time.Time
-	open int // of the account then, over all processes
+	open int // connections of the tenant then, over all processes
 }
 
-// crowd asks for connections of a tenant at every process, all the time; each that stands stays for a while.
-type crowd struct {
-	mu      sync.Mutex
-	stood   []burst
-	open    int
-	refused int
-	none    int
-	stopped []atomic.Bool
-	quit    atomic.Bool
-	wg      sync.WaitGroup
+// tenantLoad requests connections of a tenant at every process all the time. Each that is established stays open for a while.
+type tenantLoad struct {
+	mu           sync.Mutex
+	established  []establishment
+	open         int
+	rejected     int
+	unanswered   int
+	paused       []atomic.Bool // by process: it is not expected to answer
+	stopping     atomic.Bool
+	workers      sync.WaitGroup
+	openDuration time.Duration // of each connection
 }
 
-func (c *crowd) begin(r *experiment.Rig, tenant string, stay time.Duration, every func(i int) time.Duration) {
-	c.stopped = make([]atomic.Bool, len(r.Procs))
+// startTenantLoad starts the clients; interval is the wait between two requests at a process. The test's end stops them.
+func startTenantLoad(t *testing.T, r *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
+	t.Helper()
+	load := &tenantLoad{paused: make([]atomic.Bool, len(r.Procs)), openDuration: openDuration}
 	for i := range r.Procs {
-		c.wg.Add(1)
+		load.workers.Add(1)
 		go func() {
-			defer c.wg.Done()
-			for !c.quit.Load() {
-				time.Sleep(every(i))
-				if c.stopped[i].Load() {
-					continue
+			defer load.workers.Done()
+			for !load.stopping.Load() {
+				time.Sleep(interval(i))
+				if !load.paused[i].Load() {
+					load.request(r.Procs[i].Addr, tenant, &load.paused[i])
 				}
-				client, a, _ := fake.Open(r.Procs[i].Addr, "lab", "t="+tenant, 400*time.Millisecond)
-				c.mu.Lock()
-				switch {
-				case client != nil:
-					c.open++
-					c.stood = append(c.stood, burst{time.Now(), c.open})
-					time.AfterFunc(stay, func() {
-						c.mu.Lock()
-						c.open--
-						c.mu.Unlock()
-						client.Close()
-					})
-				case a.Kind == "NONE" && !c.stopped[i].Load():
-					c.none++
-				default:
-					c.refused++
-				}
-				c.mu.Unlock()
 			}
 		}()
 	}
+	t.Cleanup(func() {
+		load.stopping.Store(true)
+		load.workers.Wait()
+	})
+	return load
+}
+
+func (l *tenantLoad) request(proxy, tenant string, paused *atomic.Bool) {
+	client, answer, _ := fake.Open(proxy, "lab", "t="+tenant, 400*time.Millisecond)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch {
+	case client != nil:
+		l.open++
+		l.established = append(l.established, establishment{time.Now(), l.open})
+		time.AfterFunc(l.openDuration, func() { l.close(client) })
+	case answer.Kind == "NONE" && !paused.Load():
+		l.unanswered++
+	default:
+		l.rejected++
+	}
+}
+
+func (l *tenantLoad) close(client *fake.Client) {
+	l.mu.Lock()
+	l.open--
+	l.mu.Unlock()
+	client.Close()
+}
+
+// usage is how much of its limits a tenant has used in a time.
+type usage struct {
+	established  int // connections
+	maxPerSecond int // established within one second
+	maxOpen      int // at once
 }
 
-// most gives, since a time, how many stood, the most of them within a second, and the most open at once.
-func (c *crowd) most(since time.Time) (n, second, open int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	j := 0
-	for i, b := range c.stood {
-		if b.at.Before(since) {
-			j = i + 1
+func (l *tenantLoad) usageSince(since time.Time) (u usage) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	first := 0 // of the last second
+	for i, e := range l.established {
+		if e.at.Before(since) {
+			first = i + 1
 			continue
 		}
-		for b.at.Sub(c.stood[j].at) >= time.Second {
-			j++
+		for e.at.Sub(l.established[first].at) >= time.Second {
+			first++
 		}
-		n, second, open = n+1, max(second, i-j+1), max(open, b.open)
+		u = usage{u.established + 1, max(u.maxPerSecond, i-first+1), max(u.maxOpen, e.open)}
+	}
+	return u
+}
+
+// limitBounds are what a tenant may use in a phase of a test.
+type limitBounds struct{ minEstablished, maxPerSecond, maxOpen int }
+
+// checkPhase measures a phase of a test.
+func (l *tenantLoad) checkPhase(t *testing.T, phase string, duration time.Duration, bounds limitBounds) {
+	t.Helper()
+	from := time.Now()
+	time.Sleep(duration)
+	u := l.usageSince(from)
+	t.Logf("%s: %d in %v, %d within a second, %d open", phase, u.established, duration, u.maxPerSecond, u.maxOpen)
+	if u.established < bounds.minEstablished || u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
+		t.Errorf("%s: %+v in %v, want %+v", phase, u, duration, bounds)
 	}
-	return n, second, open
 }
 
 // jobsWithLimits is how many jobs a fleet with agreed rules has: the rules', and one for each shard of the limits.
 const jobsWithLimits = 1 + quota.Shards
 
-// TestLimitsAmongProcesses: a customer at several times its limit, nearly all of it at one of five processes. What it may have is used, and never more than
-// that and what was handed out in one lapse: also as a process is cut off, the owners of the limits are killed, one sleeps, and the limit is cut by half.
+// issuerOtherThan is a process that issues grants of a shard of the limits, preferably not the one given.
+func issuerOtherThan(r *experiment.Rig, process int) int {
+	owners, _ := r.JobOwners()
+	issuer := owners["limits0"]
+	for shard := range quota.Shards {
+		if owner, owned := owners[fmt.Sprintf("limits%d", shard)]; owned && owner != process {
+			issuer = owner
+		}
+	}
+	return issuer
+}
+
+// putLimits makes rules with an account's limits active.
+func putLimits(t *testing.T, r *experiment.Rig, against, rate, connections int, want string) {
+	t.Helper()
+	rules := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, connections)
+	putRulesUntil(t, r, 1, against, rules, want)
+}
+
+// TestLimitsAmongProcesses: a customer at several times its limit, nearly all of it at one of five processes. What it may have is used, and
+// never more than that and what was granted in one lifetime: also while a process is cut off, an issuer is killed or sleeps, and after the
+// limit is cut by half.
 func TestLimitsAmongProcesses(t *testing.T) {
 	t.Parallel()
 	r, _ := customers(t)
-	stands(t, r, 0, 0, 5)
-	const rate, standing = 20, 24
-	put := func(i, against int, rate, standing int, want string) {
-		t.Helper()
-		got := ""
-		text := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, standing)
-		if _, ok := experiment.Until(ownersPatience, func() bool { got = propose(t, r, i, against, text); return strings.Contains(got, want) }); !ok {
-			t.Fatalf("%q, expected %q", got, want)
-		}
-	}
-	put(1, 0, rate, standing, "active: version 2 at 5 of 5")
-	c := &crowd{}
-	c.begin(r, "t1", time.Second, func(i int) time.Duration {
-		if i == 0 {
+	waitActive(t, r, 0, 0, 5)
+	const rate, connections = 20, 24
+	putLimits(t, r, 0, rate, connections, "active: version 2 at 5 of 5")
+	load := startTenantLoad(t, r, "t1", time.Second, func(process int) time.Duration {
+		if process == 0 {
 			return 8 * time.Millisecond
 		}
 		return 150 * time.Millisecond
 	})
-	defer func() { c.quit.Store(true); c.wg.Wait() }()
-	used := func(phase string, last time.Duration, least, second, open int) {
-		t.Helper()
-		from := time.Now()
-		time.Sleep(last)
-		n, s, o := c.most(from)
-		t.Logf("%s: %d in %v, %d within a second, %d open", phase, n, last, s, o)
-		if n < least || s > second || o > open {
-			t.Errorf("%s: %d stood in %v, %d within a second, %d open; expected %d or more, at most %d and %d", phase, n, last, s, o, least, second, open)
-		}
-	}
-	// Handed out in one lapse: as much as the limit once more; saved: a quarter.
+	// Granted in one lifetime: as much as the limit once more; saved in a bucket: a quarter.
+	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
-	used("quiet", 3*time.Second, 5, 2*rate+rate/4, standing)
+	load.checkPhase(t, "no fault", 3*time.Second, limitBounds{5, maxPerSecond, connections})
 	r.Cut(2, true)
-	used("one cut off", 3*time.Second, 1, 2*rate+rate/4, standing)
+	load.checkPhase(t, "one cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
 	r.Cut(2, false)
-	owner, _ := r.JobOwners()
-	k := owner["limits0"]
-	for s := range 4 {
-		if o, has := owner[fmt.Sprintf("limits%d", s)]; has && o != 0 {
-			k = o
-		}
-	}
-	c.stopped[k].Store(true)
-	r.Procs[k].Signal(syscall.SIGSTOP)
+
+	issuer := issuerOtherThan(r, 0)
+	withGrantsOfTwoIssuers := limitBounds{1, maxPerSecond, connections + connections/2}
+	load.paused[issuer].Store(true)
+	r.Procs[issuer].Signal(syscall.SIGSTOP)
 	time.Sleep(1500 * time.Millisecond)
-	r.Procs[k].Signal(syscall.SIGCONT)
-	c.stopped[k].Store(false)
-	used("an owner slept", 3*time.Second, 1, 2*rate+rate/4, standing+standing/2)
-	c.stopped[k].Store(true)
-	killed := time.Now()
-	r.Procs[k].Kill()
-	if err := r.Start(k); err != nil {
+	r.Procs[issuer].Signal(syscall.SIGCONT)
+	load.paused[issuer].Store(false)
+	load.checkPhase(t, "an issuer slept", 3*time.Second, withGrantsOfTwoIssuers)
+	checkKilledIssuer(t, r, load, issuer, withGrantsOfTwoIssuers)
+
+	putLimits(t, r, 2, rate/2, connections/2, "active: version 3 at")
+	time.Sleep(3 * time.Second)
+	load.checkPhase(t, "cut by half", 2*time.Second, limitBounds{1, rate + rate/8 + 1, connections / 2})
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	if load.unanswered > 0 || load.rejected < 10 {
+		t.Errorf("%d requests unanswered, %d rejected; want 0, and 10 or more", load.unanswered, load.rejected)
+	}
+}
+
+// checkKilledIssuer: the bounds hold from the kill on, and connections are established again once the jobs have owners.
+func checkKilledIssuer(t *testing.T, r *experiment.Rig, load *tenantLoad, issuer int, bounds limitBounds) {
+	t.Helper()
+	load.paused[issuer].Store(true)
+	killedAt := time.Now()
+	r.Procs[issuer].Kill()
+	if err := r.Start(issuer); err != nil {
 		t.Fatal(err)
 	}
-	c.stopped[k].Store(false)
+	load.paused[issuer].Store(false)
 	// Until its jobs have another owner, and that has waited for the grants before it to lapse, there may be no connection at all.
 	if _, err := r.AllOwned(jobsWithLimits); err != nil {
 		t.Fatal(err)
 	}
-	used("an owner killed", 4*time.Second, 1, 2*rate+rate/4, standing+standing/2)
-	if _, s, o := c.most(killed); s > 2*rate+rate/4 || o > standing+standing/2 {
-		t.Errorf("since an owner was killed: %d within a second, %d open", s, o)
-	}
-	put(1, 2, rate/2, standing/2, "active: version 3 at")
-	time.Sleep(3 * time.Second)
-	used("cut by half", 2*time.Second, 1, rate+rate/8+1, standing/2)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.none > 0 || c.refused < 10 {
-		t.Errorf("%d without an answer, %d refused", c.none, c.refused)
+	load.checkPhase(t, "an issuer killed", 4*time.Second, bounds)
+	if u := load.usageSince(killedAt); u.maxPerSecond > bounds.maxPerSecond || u.maxOpen > bounds.maxOpen {
+		t.Errorf("since an issuer was killed: %+v, want %+v at most", u, bounds)
 	}
 }
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	r.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
 	reported := func() bool {
-		report, err := r.Ask(0)
+		report, err := r.MemberReport(0)
 		for _, m := range report.Members {
 			if m.Slot == 2 && err == nil && len(m.Unheard) == 1 && m.Name == "n2" && m.Unheard[0] == "n1" {
 				return true
@@ -90,7 +90,7 @@
 // checkForgedDatagrams: forged and replayed datagrams, and those of another version, are rejected and change nothing.
 func checkForgedDatagrams(t *testing.T, r *experiment.Rig) {
 	t.Helper()
-	before, err := r.Ask(0)
+	before, err := r.MemberReport(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,12 +100,12 @@
 		r.Mesh.Inject(1+i%4, 0, datagram)
 	}
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		report, err := r.Ask(0)
+		report, err := r.MemberReport(0)
 		return err == nil && report.Counts["unsealed"] >= 50
 	}); !ok {
 		t.Error("forged datagrams are not counted as rejected")
 	}
-	if after, err := r.Ask(0); err != nil || after.Digest != before.Digest {
+	if after, err := r.MemberReport(0); err != nil || after.Digest != before.Digest {
 		t.Errorf("the view's digest is %v after a flood of forged datagrams, want %v; error %v", after.Digest, before.Digest, err)
 	}
 }
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -60,7 +60,7 @@
 	c.Helper()
 	answer := ""
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		answer = propose(c.T, c.rig, via, against, text, args...)
+		answer = putRules(c.T, c.rig, via, against, text, args...)
 		return strings.Contains(answer, want)
 	}); !ok {
 		c.Fatalf("a change against version %d is answered with %q, want %q", against, answer, want)
@@ -80,7 +80,7 @@
 	t.Parallel()
 	c := &customersTest{T: t}
 	c.rig, c.hosts = customers(t)
-	stands(t, c.rig, 0, 0, 5)
+	waitActive(t, c.rig, 0, 0, 5)
 	c.key, c.publicKey = keyFile(t)
 	c.change(1, 0, c.rulesOf(`(kinds a)`, `(kinds b)`, "t1 t2", "t3"), "active: version 2 at 5 of 5")
 	c.clients = startClientLoop(t, c.rig, 15*time.Millisecond, func(n int) string { return fmt.Sprintf("t=t%d", n%3+1) })
@@ -129,7 +129,7 @@
 		{`(namespace (account other) (route x (pool b)))`, "refused: by version 3 its grant is acme:admin, which is for acme and below"},
 		{`(namespace (account acme) (route x (pool b)))`, "account acme may not use pool b"},
 	} {
-		if answer := answered(c.T, c.rig, 3, 3, rejected.change, "--key", c.key); !strings.Contains(answer, rejected.want) {
+		if answer := putUntilAnswered(c.T, c.rig, 3, 3, rejected.change, "--key", c.key); !strings.Contains(answer, rejected.want) {
 			c.Errorf("with acme's key %s is answered with %q, want %q", rejected.change, answer, rejected.want)
 		}
 	}
@@ -143,14 +143,14 @@
 	c.clients.paused[3].Store(true)
 	c.rig.Procs[3].Signal(syscall.SIGSTOP)
 	answer := make(chan string, 1)
-	go func() { answer <- propose(c.T, c.rig, 0, 3, reassigned) }()
+	go func() { answer <- putRules(c.T, c.rig, 0, 3, reassigned) }()
 	time.Sleep(1500 * time.Millisecond)
 	c.rig.Procs[3].Signal(syscall.SIGCONT)
 	c.clients.paused[3].Store(false)
 	c.Logf("the reassignment is answered with %q", <-answer)
 	c.change(0, 3, reassigned, "active: version 5 at")
 	c.rig.Cut(4, false)
-	stands(c.T, c.rig, 0, 5, 5)
+	waitActive(c.T, c.rig, 0, 5, 5)
 	time.Sleep(300 * time.Millisecond)
 }
 
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -15,11 +15,11 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// rigs bounds how many there are at a time: on two slow cores more of them starve one another.
+// rigs bounds how many rigs run at a time: on two slow cores more of them starve one another.
 var rigs = make(chan struct{}, 2)
 
-// fleetOf starts five processes of which three vote.
-func fleetOf(t *testing.T, disks bool) *experiment.Rig {
+// startOwnersRig starts five processes of which three vote.
+func startOwnersRig(t *testing.T, disks bool) *experiment.Rig {
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
@@ -28,7 +28,7 @@
 		section += ` (dir "DIR")`
 	}
 	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 1,
-		Key: "0123456789abcdef0123456789abcdef", Sections: section + ")", Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+		Key: sealKey, Sections: section + ")", Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,163 +36,157 @@
 	return r
 }
 
+// ownersPatience is how long a fleet may take to recover from a fault.
 const ownersPatience = 40 * time.Second
 
-// owned waits until every job has one owner, which says so itself, and gives it.
-func owned(t *testing.T, r *experiment.Rig, after string, but ...int) map[string]int {
+// ownersRigJobs is how many jobs the fleet of startOwnersRig has: three drills, and the suspended hosts.
+const ownersRigJobs = 4
+
+// waitOwners waits until every job has one owner, as the owners say themselves, and gives them. after says what happened before.
+func waitOwners(t *testing.T, r *experiment.Rig, after string, except ...int) map[string]int {
 	t.Helper()
-	var out map[string]int
-	var last string
+	var owners map[string]int
+	var conflict string
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		out, last = r.JobOwners(but...)
-		return len(out) == 4
+		owners, conflict = r.JobOwners(except...)
+		return len(owners) == ownersRigJobs
 	}); !ok {
 		for i, p := range r.Procs {
 			t.Logf("n%d: %s", i, strings.Join(p.Log("event=replica_"), "\n"))
 		}
-		t.Fatalf("after %s the owners are %v; %s", after, out, last)
+		t.Fatalf("after %s the owners are %v; %s", after, owners, conflict)
 	}
-	return out
+	return owners
 }
 
-// TestOwnersAmongProcesses: of every job there is one owner at a time, and a late one does no harm.
+// TestOwnersAmongProcesses: each job has one owner at a time, and a stale one does no harm.
 func TestOwnersAmongProcesses(t *testing.T) {
 	t.Parallel()
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("disks=%t", disks), func(t *testing.T) {
 			t.Parallel()
-			r := fleetOf(t, disks)
-			who := owned(t, r, "the start")
-
-			// An owner sleeps right after it looked at its lease; another begins; it wakes up and sends.
-			late := who["drill000"]
-			r.Procs[late].Signal(syscall.SIGSTOP)
-			next := owned(t, r, "an owner was stopped", late)
-			if next["drill000"] == late {
-				t.Errorf("n%d owns while it sleeps", late)
-			}
-			r.Procs[late].Signal(syscall.SIGCONT)
-			owned(t, r, "it woke up")
-
-			// The owner in the smaller part of a cut.
-			who = owned(t, r, "the wake-up")
-			a := who["drill001"]
-			if err := r.Play([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: a}}); err != nil {
-				t.Fatal(err)
-			}
-			owned(t, r, "a cut healed")
-
-			// All are killed at once.
-			for i := range r.Procs {
-				r.Procs[i].Kill()
-			}
-			for i := range r.Procs {
-				if err := r.Start(i); err != nil {
-					t.Fatal(err)
-				}
-			}
-			owned(t, r, "all were killed and started again")
-
-			// One that ends in order gives its jobs back.
-			if err := r.Procs[4].Stop(); err != nil {
-				t.Fatal(err)
-			}
-			owned(t, r, "one ended in order", 4)
-			if err := r.CheckTokens(); err != nil {
-				t.Error(err)
-			}
+			checkOwnersThroughFaults(t, startOwnersRig(t, disks))
 		})
 	}
 }
 
-// TestHostsOutForTheFleet: a word at any proxy holds at all, also at one that was cut off or has started since.
-func TestHostsOutForTheFleet(t *testing.T) {
-	t.Parallel()
-	r := fleetOf(t, true)
-	owned(t, r, "the start")
-	say := func(i int, do, id string) string {
-		t.Helper()
-		rep, err := r.Owners(i, owneragent.Request{Command: do, Argument: id})
-		if err != nil {
+func checkOwnersThroughFaults(t *testing.T, r *experiment.Rig) {
+	t.Helper()
+	owners := waitOwners(t, r, "the start")
+
+	// An owner is paused while it holds its lease; another begins; the first goes on.
+	paused := owners["drill000"]
+	r.Procs[paused].Signal(syscall.SIGSTOP)
+	if next := waitOwners(t, r, "an owner was paused", paused); next["drill000"] == paused {
+		t.Errorf("n%d owns drill000 while it is paused", paused)
+	}
+	r.Procs[paused].Signal(syscall.SIGCONT)
+	owners = waitOwners(t, r, "it went on")
+
+	// An owner is in the smaller part of a cut.
+	if err := r.Play([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: owners["drill001"]}}); err != nil {
+		t.Fatal(err)
+	}
+	waitOwners(t, r, "the cut ended")
+
+	for i := range r.Procs {
+		r.Procs[i].Kill()
+	}
+	for i := range r.Procs {
+		if err := r.Start(i); err != nil {
 			t.Fatal(err)
 		}
-		return rep.Answer + rep.Error
 	}
-	until := func(what string, holds func() bool) {
-		t.Helper()
-		if _, ok := experiment.Until(ownersPatience, holds); !ok {
-			t.Fatal(what)
-		}
+	waitOwners(t, r, "all were killed and started again")
+
+	if err := r.Procs[4].Stop(); err != nil {
+		t.Fatal(err)
+	}
+	waitOwners(t, r, "a graceful shutdown of n4", 4)
+	if err := r.CheckTokens(); err != nil {
+		t.Error(err)
 	}
-	outAt := func(i int) bool { // s0 is the one host there is
+}
+
+// ownersCommand is an operator's command at a process, and its answer.
+func ownersCommand(t *testing.T, r *experiment.Rig, i int, name, argument string) string {
+	t.Helper()
+	reply, err := r.Owners(i, owneragent.Request{Command: name, Argument: argument})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return reply.Answer + reply.Error
+}
+
+// TestHostsOutForTheFleet: a suspension at any proxy holds at all, also at one that was cut off or has started since.
+func TestHostsOutForTheFleet(t *testing.T) {
+	t.Parallel()
+	r := startOwnersRig(t, true)
+	waitOwners(t, r, "the start")
+	suspendedAt := func(i int) bool { // s0 is the only host
 		lines := r.Procs[i].Log("event=host_suspended")
 		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], "suspended=true")
 	}
-	until("a host is not taken out everywhere", func() bool { return say(3, "suspend", "s0") == "done at all 5" })
-	for i := range r.Procs { // its log may be a moment behind
-		until(fmt.Sprintf("n%d was said to have it out", i), func() bool { return outAt(i) })
+	eventually(t, "the host is suspended at all", func() bool { return ownersCommand(t, r, 3, "suspend", "s0") == "done at all 5" })
+	for i := range r.Procs { // its log may be written a moment later
+		eventually(t, fmt.Sprintf("n%d logs the suspension", i), func() bool { return suspendedAt(i) })
 	}
-	// One that starts anew hears of it.
+
 	r.Procs[2].Kill()
 	if err := r.Start(2); err != nil {
 		t.Fatal(err)
 	}
-	until("one that started anew does not have the host out", func() bool { return outAt(2) })
-	// One that is cut off does not, and is named; it catches up.
+	eventually(t, "n2, which has started again, has the host suspended", func() bool { return suspendedAt(2) })
+
 	r.Cut(4, true)
-	until("the answer names nobody who is missing", func() bool {
-		a := say(1, "resume", "s0")
-		named := strings.HasPrefix(a, "done at 4 of 5") && strings.HasSuffix(a, "n4")
+	eventually(t, "the answer names n4, which is cut off", func() bool {
+		answer := ownersCommand(t, r, 1, "resume", "s0")
+		named := strings.HasPrefix(answer, "done at 4 of 5") && strings.HasSuffix(answer, "n4")
 		// A member that nobody has heard for 10 s is gone: the fleet is the other four, and the answer counts those.
-		gone := a == "done at all 4" && r.Sees(1, 4) == membership.Gone.String()
+		gone := answer == "done at all 4" && r.Sees(1, 4) == membership.Gone.String()
 		return named || gone
 	})
-	if !outAt(4) {
-		t.Error("n4 has heard while it was cut off")
+	if !suspendedAt(4) {
+		t.Error("n4 has resumed the host while it was cut off")
 	}
 	r.Cut(4, false)
-	until("one that was cut off does not catch up", func() bool { return !outAt(4) })
-	if a := say(0, "suspend", ""); !strings.HasPrefix(a, "refused") {
-		t.Errorf("no host: %q", a)
+	eventually(t, "n4, which was cut off, resumes the host", func() bool { return !suspendedAt(4) })
+	if answer := ownersCommand(t, r, 0, "suspend", ""); !strings.HasPrefix(answer, "refused") {
+		t.Errorf("a suspension without a host is answered with %q, want a rejection", answer)
 	}
 }
 
-// TestVoterWithoutRoom: a voter that can't store stops voting and gives its jobs back; lines go on; it returns by itself.
+// TestVoterWithoutRoom: a voter whose store has no room stops voting and releases its jobs; it serves on, and votes again by itself.
 func TestVoterWithoutRoom(t *testing.T) {
 	t.Parallel()
-	r := fleetOf(t, true)
-	owned(t, r, "the start")
-	full, back := r.FillDisk(0)
-	if err := full(); err != nil {
+	r := startOwnersRig(t, true)
+	waitOwners(t, r, "the start")
+	fill, free := r.FillDisk(0)
+	if err := fill(); err != nil {
 		t.Fatal(err)
 	}
-	broken := func() bool {
-		rep, err := r.Owners(0, owneragent.Request{Command: "status"})
-		return err == nil && rep.Store != ""
-	}
-	if _, ok := experiment.Until(ownersPatience, broken); !ok {
-		t.Fatal("a voter without room does not say so")
-	}
-	owned(t, r, "a voter has no room", 0)
+	eventually(t, "a voter without room reports it", func() bool {
+		reply, err := r.Owners(0, owneragent.Request{Command: "status"})
+		return err == nil && reply.Store != ""
+	})
+	waitOwners(t, r, "a voter had no room", 0)
 	if status, _, _, err := experiment.Call(r.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
-		t.Errorf("it does not answer: %d %v", status, err)
+		t.Errorf("readyz without room: status %d, %v; want 200 or 503", status, err)
 	}
-	if err := back(); err != nil {
+	if err := free(); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(0, owneragent.Request{Command: "status"})
-		return err == nil && rep.Store == "" && rep.Group != nil && rep.Group.Phase == "member"
-	}); !ok {
-		t.Fatal("it does not return by itself")
-	}
+	eventually(t, "the voter is a member again", func() bool {
+		reply, err := r.Owners(0, owneragent.Request{Command: "status"})
+		return err == nil && reply.Store == "" && reply.Group != nil && reply.Group.Phase == "member"
+	})
 }
 
 // TestLostDiskIsReplaced: operators' commands give a voter that lost its disk its vote back, under another identity.
 func TestLostDiskIsReplaced(t *testing.T) {
 	t.Parallel()
-	r := fleetOf(t, true)
-	owned(t, r, "the start")
+	r := startOwnersRig(t, true)
+	waitOwners(t, r, "the start")
 	r.Procs[1].Kill()
 	if err := os.Remove(filepath.Join(r.Dir(1), "voter.db")); err != nil {
 		t.Fatal(err)
@@ -200,43 +194,54 @@
 	if err := r.Start(1); err != nil {
 		t.Fatal(err)
 	}
-	anywhere := func(do string) func() bool {
-		return func() bool {
-			for _, i := range []int{0, 2} {
-				if rep, err := r.Owners(i, owneragent.Request{Command: do, Argument: "n1"}); err == nil && rep.Error == "" {
-					return true
-				}
-			}
-			return false
+	for _, step := range []struct {
+		name string
+		done func() bool
+	}{
+		{"it waits to be added", func() bool { return groupStatus(r, 1).is("outside", 0, 0) }},
+		{"add", func() bool { return anyVoterDoes(r, "add", "n1") }},
+		{"it is a learner", func() bool { return groupStatus(r, 1).is("member", 3, 0) }},
+		{"promote", func() bool { return anyVoterDoes(r, "promote", "n1") }},
+		{"it votes", func() bool { return groupStatus(r, 1).is("member", 3, 3) }},
+	} {
+		if _, ok := experiment.Until(ownersPatience, step.done); !ok {
+			t.Fatalf("%s: not reached; n0 reports %+v", step.name, groupStatus(r, 0))
 		}
 	}
-	phase := func(want string, votes int) func() bool {
-		return func() bool {
-			rep, err := r.Owners(1, owneragent.Request{Command: "status"})
-			if err != nil || rep.Group == nil || rep.Group.Phase != want {
-				return false
-			}
-			n := 0
-			for _, m := range rep.Group.Members {
-				if m.Votes {
-					n++
-				}
-			}
-			return n == votes
+	waitOwners(t, r, "a disk was lost")
+}
+
+// anyVoterDoes has n0 or n2 carry out an operator's command about a member; false: neither does.
+func anyVoterDoes(r *experiment.Rig, command, member string) bool {
+	for _, i := range []int{0, 2} {
+		if reply, err := r.Owners(i, owneragent.Request{Command: command, Argument: member}); err == nil && reply.Error == "" {
+			return true
 		}
 	}
-	for _, s := range []struct {
-		what string
-		done func() bool
-	}{{"it waits to be added", phase("outside", 0)}, {"add", anywhere("add")}, {"it listens", phase("member", 3)}, {"promote", anywhere("promote")},
-		{"it votes", func() bool {
-			rep, err := r.Owners(1, owneragent.Request{Command: "status"})
-			return err == nil && rep.Group != nil && len(rep.Group.Members) == 3 && phase("member", 3)()
-		}}} {
-		if _, ok := experiment.Until(ownersPatience, s.done); !ok {
-			rep, _ := r.Owners(0, owneragent.Request{Command: "status"})
-			t.Fatalf("%s: not reached; n0 says %+v", s.what, rep.Group)
+	return false
+}
+
+// replicaStatus is a process's part in the replicated group, as it reports it; zero: it reports none.
+type replicaStatus struct {
+	phase           string
+	voters, members int
+}
+
+func groupStatus(r *experiment.Rig, i int) (status replicaStatus) {
+	reply, err := r.Owners(i, owneragent.Request{Command: "status"})
+	if err != nil || reply.Group == nil {
+		return status
+	}
+	status.phase, status.members = reply.Group.Phase, len(reply.Group.Members)
+	for _, m := range reply.Group.Members {
+		if m.Votes {
+			status.voters++
 		}
 	}
-	owned(t, r, "a disk was lost")
+	return status
+}
+
+// is compares phase and voters, and members where their number is above 0.
+func (s replicaStatus) is(phase string, voters, members int) bool {
+	return s.phase == phase && s.voters == voters && (members == 0 || s.members == members)
 }
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -17,13 +17,13 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// ruled are five processes that agree on rules within a second; three vote. more goes into the section.
-func ruled(t *testing.T, more string) *experiment.Rig {
+// startRulesRig starts five processes that agree on rules within a second; three vote. extra goes into the settings section.
+func startRulesRig(t *testing.T, extra string) *experiment.Rig {
 	t.Helper()
 	rigs <- struct{}{}
 	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: "0123456789abcdef0123456789abcdef", Level: "debug",
-		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + more + `)`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: sealKey, Level: "debug",
+		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + extra + `)`, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,74 +31,78 @@
 	return r
 }
 
-// decision is a line of a process's log: the checker knows nothing else of the program.
-type decision struct {
+// ruleDecision is a line of a process's log: the checker knows nothing else of the program.
+type ruleDecision struct {
 	at      time.Time
 	version int
 	lapsed  bool
 }
 
 var (
-	ruledAt   = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d+)`)
-	ruledWhat = regexp.MustCompile(`version=(\d+) lapsed=(true|false)`)
+	logTimestamp     = regexp.MustCompile(`(\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d+)`)
+	ruleDecisionLine = regexp.MustCompile(`version=(\d+) lapsed=(true|false)`)
 )
 
 // loggedAt is when a line was written.
 func loggedAt(t *testing.T, line string) time.Time {
 	t.Helper()
-	at, err := time.Parse("2006/01/02 15:04:05.000000", ruledAt.FindString(line))
+	at, err := time.Parse("2006/01/02 15:04:05.000000", logTimestamp.FindString(line))
 	if err != nil {
 		t.Fatalf("a line that the checker can't read: %q", line)
 	}
 	return at
 }
 
-func decisions(t *testing.T, p *experiment.Process) (all []decision) {
+func ruleDecisions(t *testing.T, p *experiment.Process) (all []ruleDecision) {
 	t.Helper()
-	for _, l := range p.Log("event=rules_applied") {
-		what := ruledWhat.FindStringSubmatch(l)
-		if what == nil {
-			t.Fatalf("a line that the checker can't read: %q", l)
+	for _, line := range p.Log("event=rules_applied") {
+		match := ruleDecisionLine.FindStringSubmatch(line)
+		if match == nil {
+			t.Fatalf("a line that the checker can't read: %q", line)
 		}
-		n, _ := strconv.Atoi(what[1])
-		all = append(all, decision{loggedAt(t, l), n, what[2] == "true"})
+		version, _ := strconv.Atoi(match[1])
+		all = append(all, ruleDecision{loggedAt(t, line), version, match[2] == "true"})
 	}
 	return all
 }
 
-// overlap is how long after the first act on a newer version, by anyone, somebody acted on an older one.
-func overlap(all [][]decision) (most time.Duration) {
-	first := map[int]time.Time{}
-	for _, ds := range all {
-		for _, d := range ds {
-			if at, seen := first[d.version]; !d.lapsed && (!seen || d.at.Before(at)) {
-				first[d.version] = d.at
+// longestOverlap is how long after the first decision by a newer version, at any process, one decided by an older version.
+func longestOverlap(byProcess [][]ruleDecision) (longest time.Duration) {
+	var decisions []ruleDecision
+	for _, ofProcess := range byProcess {
+		for _, d := range ofProcess {
+			if !d.lapsed {
+				decisions = append(decisions, d)
 			}
 		}
 	}
-	for _, ds := range all {
-		for _, d := range ds {
-			for v, at := range first {
-				if !d.lapsed && v > d.version && d.at.Sub(at) > most {
-					most = d.at.Sub(at)
-				}
+	firstUse := map[int]time.Time{} // by version
+	for _, d := range decisions {
+		if at, seen := firstUse[d.version]; !seen || d.at.Before(at) {
+			firstUse[d.version] = d.at
+		}
+	}
+	for _, d := range decisions {
+		for version, at := range firstUse {
+			if version > d.version {
+				longest = max(longest, d.at.Sub(at))
 			}
 		}
 	}
-	return most
+	return longest
 }
 
-// stands waits until a process says that a version is active at so many.
-func stands(t *testing.T, r *experiment.Rig, i, version, at int) {
+// waitActive waits until a process says that a version is active at so many.
+func waitActive(t *testing.T, r *experiment.Rig, i, version, at int) {
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
-	got := ""
+	answer := ""
 	if _, ok := experiment.Until(ownersPatience, func() bool {
-		rep, err := r.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
-		got = fmt.Sprint(rep.Answer, rep.Error, err)
-		return strings.HasPrefix(got, want)
+		reply, err := r.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
+		answer = fmt.Sprint(reply.Answer, reply.Error, err)
+		return strings.HasPrefix(answer, want)
 	}); !ok {
-		t.Fatalf("%q, expected %q", got, want)
+		t.Fatalf("n%d says %q, want %q", i, answer, want)
 	}
 }
 
@@ -118,37 +122,52 @@
 	}
 }
 
-// propose puts a change by way of a process, as an administrator does, and gives exit status and answer.
-func propose(t *testing.T, r *experiment.Rig, i, against int, text string, more ...string) string {
-	p := filepath.Join(r.Dir(i), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
-	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
+// putRules puts a change by way of a process, as an administrator does, and gives exit status and output.
+func putRules(t *testing.T, r *experiment.Rig, via, against int, text string, flags ...string) string {
+	t.Helper()
+	path := filepath.Join(r.Dir(via), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Error(err)
 	}
-	out, code := command(t, append([]string{"rules", "put", p, "--against", fmt.Sprint(against), "--socket", filepath.Join(r.Dir(i), "owners.sock")}, more...)...)
-	return fmt.Sprintf("%d %s", code, out)
+	args := []string{"rules", "put", path, "--against", fmt.Sprint(against), "--socket", filepath.Join(r.Dir(via), "owners.sock")}
+	out, status := command(t, append(args, flags...)...)
+	return fmt.Sprintf("%d %s", status, out)
+}
+
+// putRulesUntil is putRules until the answer has a text.
+func putRulesUntil(t *testing.T, r *experiment.Rig, via, against int, text, want string) {
+	t.Helper()
+	answer := ""
+	if _, ok := experiment.Until(ownersPatience, func() bool {
+		answer = putRules(t, r, via, against, text)
+		return strings.Contains(answer, want)
+	}); !ok {
+		t.Fatalf("rules against version %d are answered with %q, want %q", against, answer, want)
+	}
 }
 
-// open asks for a connection and gives the answer; "" where there was none.
-func open(addr, id string) string {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+// requestAnswer sends a request for a connection and gives the answer; "" where there was none.
+func requestAnswer(addr, id string) string {
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(c, "OPEN %s 7f3a9c21e0b4d655 c=lab,d=200\r\n", id)
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	fmt.Fprintf(conn, "OPEN %s 7f3a9c21e0b4d655 c=lab,d=200\r\n", id)
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSpace(line)
 }
 
-// answered is propose until somebody knows: an answer may be lost, or its keeper has just changed. The same once more is as once.
-func answered(t *testing.T, r *experiment.Rig, i, against int, text string, more ...string) (got string) {
+// putUntilAnswered is putRules until the outcome is known: an answer may be lost, or the publisher has just changed. A change that is put
+// twice is made once.
+func putUntilAnswered(t *testing.T, r *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
 	t.Helper()
 	if _, ok := experiment.Until(2*ownersPatience, func() bool {
-		got = propose(t, r, i, against, text, more...)
-		return !strings.Contains(got, "unknown") && !strings.Contains(got, "ask again")
+		answer = putRules(t, r, via, against, text, flags...)
+		return !strings.Contains(answer, "unknown") && !strings.Contains(answer, "ask again")
 	}); !ok {
-		t.Errorf("against version %d nobody has an answer: %q", against, got)
+		t.Errorf("rules against version %d have no outcome: %q", against, answer)
 	}
-	return got
+	return answer
 }
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -48,7 +48,7 @@
 
 // seesAll returns whether a process sees all others alive.
 func (w *watermarkTest) seesAll(i int) bool {
-	report, err := w.rig.Ask(i)
+	report, err := w.rig.MemberReport(i)
 	alive := 0
 	for _, m := range report.Members {
 		if m.State == "alive" {
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -73,7 +73,7 @@
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
 	for startedAt := time.Now(); time.Since(startedAt) < cutLasts; time.Sleep(50 * time.Millisecond) {
-		report, err := rig.Ask(3)
+		report, err := rig.MemberReport(3)
 		if err != nil {
 			return seen, err
 		}
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -194,7 +194,7 @@
 func (r *Rig) bytesSent() []int {
 	sent := make([]int, len(r.Procs))
 	for i := range r.Procs {
-		report, _ := r.Ask(i)
+		report, _ := r.MemberReport(i)
 		sent[i] = report.Counts["bytes"]
 	}
 	return sent
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -194,8 +194,10 @@
 	return err
 }
 
-// Ask requests a process's view of the members.
-func (r *Rig) Ask(i int) (memberagent.Report, error) { return memberagent.RequestReport(r.socket(i)) }
+// MemberReport requests a process's view of the members.
+func (r *Rig) MemberReport(i int) (memberagent.Report, error) {
+	return memberagent.RequestReport(r.socket(i))
+}
 
 // Owners sends a request to a process's owner agent.
 func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -11,20 +11,20 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownersWait is how long a rig may take until all is well again.
+// ownersWait is how long a rig may take to recover from a fault.
 const ownersWait = 40 * time.Second
 
-// ownersFile is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory.
-func ownersFile(voters int, disks bool, more string) string {
+// ownersFile is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory. extra goes into it.
+func ownersFile(voters int, disks bool, extra string) string {
 	names := make([]string, voters)
 	for i := range names {
 		names[i] = fmt.Sprintf("n%d", i)
 	}
-	s := fmt.Sprintf(`(owners (on on) (voters %q) %s (socket "DIR/owners.sock")`, strings.Join(names, " "), more)
+	section := fmt.Sprintf(`(owners (on on) (voters %q) %s (socket "DIR/owners.sock")`, strings.Join(names, " "), extra)
 	if disks {
-		s += ` (dir "DIR")`
+		section += ` (dir "DIR")`
 	}
-	return s + ")"
+	return section + ")"
 }
 
 // storeName names a store in tables.
@@ -35,21 +35,21 @@
 	return "memory"
 }
 
-// JobOwners asks all processes but some which jobs they own, and gives each job's owner. Where two own one job it gives no owners, and
-// says which two.
-func (r *Rig) JobOwners(but ...int) (owners map[string]int, conflict string) {
+// JobOwners queries all processes except some for the jobs that they own, and gives each job's owner. Where two own one job it gives no
+// owners, and says which two.
+func (r *Rig) JobOwners(except ...int) (owners map[string]int, conflict string) {
 	owners = map[string]int{}
 	for i := range r.Procs {
-		if slices.Contains(but, i) {
+		if slices.Contains(except, i) {
 			continue
 		}
-		rep, err := r.Owners(i, owneragent.Request{Command: "owners"})
+		reply, err := r.Owners(i, owneragent.Request{Command: "owners"})
 		if err != nil {
 			return nil, err.Error()
 		}
-		for job := range rep.Owned {
-			if j, two := owners[job]; two {
-				conflict = fmt.Sprintf("n%d and n%d both own %s", j, i, job)
+		for job := range reply.Owned {
+			if other, owned := owners[job]; owned {
+				conflict = fmt.Sprintf("n%d and n%d both own %s", other, i, job)
 			}
 			owners[job] = i
 		}
@@ -60,12 +60,12 @@
 	return owners, ""
 }
 
-// AllOwned waits until so many jobs have one owner each among all processes but some.
-func (r *Rig) AllOwned(jobs int, but ...int) (map[string]int, error) {
+// AllOwned waits until so many jobs have one owner each among all processes except some.
+func (r *Rig) AllOwned(jobs int, except ...int) (map[string]int, error) {
 	var owners map[string]int
 	conflict := ""
 	if _, ok := Until(ownersWait, func() bool {
-		owners, conflict = r.JobOwners(but...)
+		owners, conflict = r.JobOwners(except...)
 		return len(owners) >= jobs
 	}); !ok {
 		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", ownersWait, len(owners), jobs, conflict)
@@ -73,23 +73,23 @@
 	return owners, nil
 }
 
-// CheckTokens looks through the logs of all incarnations: no fencing token of a job may have been begun by two processes.
+// CheckTokens searches the logs of all incarnations: no two processes may have acquired a job under one fencing token.
 func (r *Rig) CheckTokens() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	by := map[string]string{}
+	acquiredBy := map[string]string{} // by job and token
 	for incarnation, p := range r.all {
-		for _, l := range p.Log("event=job_acquired ") {
-			key := field(l, "job") + " " + field(l, "token")
-			me := fmt.Sprintf("life %d, at %s", incarnation, p.Addr)
-			if other, taken := by[key]; taken && other != me {
-				return fmt.Errorf("token %s was begun by %s and by %s", key, other, me)
+		process := fmt.Sprintf("incarnation %d, at %s", incarnation, p.Addr)
+		for _, line := range p.Log("event=job_acquired ") {
+			key := field(line, "job") + " " + field(line, "token")
+			if other, acquired := acquiredBy[key]; acquired && other != process {
+				return fmt.Errorf("token %s was acquired by %s and by %s", key, other, process)
 			}
-			by[key] = me
+			acquiredBy[key] = process
 		}
 	}
-	if len(by) == 0 {
-		return errors.New("no job was ever begun")
+	if len(acquiredBy) == 0 {
+		return errors.New("no job was ever acquired")
 	}
 	return nil
 }
@@ -137,9 +137,9 @@
 	return gaps
 }
 
-// staleEffects counts, in the logs of all incarnations, effects of an older token that were taken after a newer one's, and
+// staleEffects counts, in the logs of all incarnations, effects of an older token that were accepted after a newer one's, and
 // rejections of such effects.
-func (r *Rig) staleEffects() (taken, rejected int) {
+func (r *Rig) staleEffects() (accepted, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.all {
@@ -147,13 +147,13 @@
 		for _, l := range p.Log("event=drill_taken ") {
 			job, token := field(l, "job"), tokenOf(l)
 			if token < newest[job] {
-				taken++
+				accepted++
 			}
 			newest[job] = max(newest[job], token)
 		}
 		rejected += len(p.Log("event=stale_effect_rejected "))
 	}
-	return taken, rejected
+	return accepted, rejected
 }
 
 // tokenOf is the fencing token in a line of a log.
--- a/internal/testbed/experiment/rigview.go
+++ b/internal/testbed/experiment/rigview.go
@@ -7,13 +7,13 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Sees is the state that process i gives process j; "" where i does not answer.
+// Sees is the state of process j in the view of process i; "" where i does not answer.
 func (r *Rig) Sees(i, j int) string {
-	rep, err := r.Ask(i)
+	report, err := r.MemberReport(i)
 	if err != nil {
 		return ""
 	}
-	for _, m := range rep.Members {
+	for _, m := range report.Members {
 		if m.Slot == j {
 			return m.State
 		}
@@ -23,20 +23,20 @@
 
 // Until waits for a condition to hold; it returns how long that took, and whether it held within the time.
 func Until(within time.Duration, holds func() bool) (time.Duration, bool) {
-	began := time.Now()
+	startedAt := time.Now()
 	for !holds() {
-		if time.Since(began) > within {
+		if time.Since(startedAt) > within {
 			return within, false
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(began), true
+	return time.Since(startedAt), true
 }
 
-// AllSee waits until each of the processes in by gives process j one of the states.
-func (r *Rig) AllSee(within time.Duration, by []int, j int, states ...string) (time.Duration, bool) {
+// AllSee waits until process j has one of the states in the view of each other process of observers.
+func (r *Rig) AllSee(within time.Duration, observers []int, j int, states ...string) (time.Duration, bool) {
 	return Until(within, func() bool {
-		for _, i := range by {
+		for _, i := range observers {
 			if i != j && !slices.Contains(states, r.Sees(i, j)) {
 				return false
 			}
