--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -41,7 +41,7 @@
 		return anyAge
 	}
 	total := load[newer] + load[older] + r.cost
-	draw := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that asking again does not draw again
+	draw := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that a retry does not draw again
 	if load[newer]+draw*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
 		return newer
 	}
--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -27,7 +27,7 @@
 // TestNewerHostsAreFilled: hosts that have started lately are empty. Without load reports or a ledger no
 // balancer sees that, holding a connection or two: yet such hosts have to get more than their turns.
 func TestNewerHostsAreFilled(t *testing.T) {
-	const newerHosts, held = 40, 2400
+	const newerHosts, connections = 40, 2400
 	for _, n := range []int{60, 300} {
 		rng := rand.New(rand.NewSource(3))
 		balancers := manyWithoutQuotas(t, n, 1)
@@ -36,7 +36,7 @@
 			f.run(at - f.now)
 		}
 		none := func(string) bool { return false }
-		placeRandomly(balancers, rng, "before", held, none)
+		placeRandomly(balancers, rng, "before", connections, none)
 		for _, f := range balancers {
 			var changes []ListedHost
 			for i := range newerHosts {
@@ -47,16 +47,16 @@
 		}
 		isNewer := func(host string) bool { return host[0] == 't' }
 		// Half of the connections are on the older half of the hosts: as many more make an even load.
-		filled := placeRandomly(balancers, rng, "after", held/2, isNewer)
-		t.Logf("%d balancers: %d of %d to the newer hosts while they are empty", n, filled, held/2)
-		if filled < held/2*7/10 {
-			t.Errorf("%d balancers: %d of %d to the newer hosts, which are empty", n, filled, held/2)
+		filled := placeRandomly(balancers, rng, "after", connections/2, isNewer)
+		t.Logf("%d balancers: %d of %d to the newer hosts while they are empty", n, filled, connections/2)
+		if filled < connections/2*7/10 {
+			t.Errorf("%d balancers: %d of %d to the newer hosts, which are empty", n, filled, connections/2)
 		}
 		// Once they hold their part they get their turns.
-		later := placeRandomly(balancers, rng, "later", held, isNewer)
-		t.Logf("%d balancers: %d of %d to the newer hosts later", n, later, held)
-		if later > held*65/100 || later < held*4/10 {
-			t.Errorf("%d balancers: %d of %d to the newer hosts once they hold their part", n, later, held)
+		later := placeRandomly(balancers, rng, "later", connections, isNewer)
+		t.Logf("%d balancers: %d of %d to the newer hosts later", n, later, connections)
+		if later > connections*65/100 || later < connections*4/10 {
+			t.Errorf("%d balancers: %d of %d to the newer hosts once they hold their part", n, later, connections)
 		}
 	}
 }
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -68,7 +68,7 @@
 	Tenants             []Tenant
 	PriorityByWork      bool    // priority weights count for a unit of work, not for a request
 	OverQuotaWeight     float64 // factor on the priority weight of traffic beyond its tenant's quota
-	PollsDiscovery      bool    // discovery answers only when asked
+	PollsDiscovery      bool    // discovery answers polls only
 
 	MaxAttempts     int  // of one request
 	ConnectTimeout  Time // of one connect
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -17,7 +17,7 @@
 // discoveryPoller is the state of the subscription to discovery.
 type discoveryPoller struct {
 	watching bool // subscribed to changes of the endpoint list
-	polling  bool // a subscription was asked for, and no list or failure has come yet
+	polling  bool // a subscription was requested, and no list or failure has come yet
 	failures int  // in a row
 }
 
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -4,8 +4,8 @@
 type Effects interface {
 	// StartAttempt begins the next attempt of a request at a host.
 	StartAttempt(request, host string, timeout Time)
-	// Reject is a final answer: the request was not done, and a retry is harmless. The client is told to come
-	// back after retryAfter, where that is above 0.
+	// Reject is a final answer: the request was not done, and a retry is harmless. The client gets retryAfter as
+	// its Retry-After, where that is above 0.
 	Reject(request string, retryAfter Time)
 	// Fail is a final answer that promises nothing.
 	Fail(request string)
@@ -13,13 +13,13 @@
 	CancelAttempt(request string, attempt int)
 	// Migrate ends an open connection politely; its client comes back.
 	Migrate(request string)
-	// HealthCheck asks a host for its load.
+	// HealthCheck polls a host for its load.
 	HealthCheck(host string)
 	// SendToPeer sends a message to another balancer, or to all where peer is -1.
 	SendToPeer(peer int, data []byte)
 	// WatchList subscribes to changes of the endpoint list, or ends that.
 	WatchList(on bool)
-	// FetchList asks for the whole endpoint list once.
+	// FetchList fetches the complete endpoint list once.
 	FetchList()
 	// Schedule has TimerFired called with the token after the delay.
 	Schedule(delay Time, token string)
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -91,13 +91,13 @@
 	return h != nil && h.ejection.consecutiveFailures > 0 && b.ejection.initial > 0 && now < h.ejection.until
 }
 
-// available reports whether a host may be picked for a request: not ejected, its trial not taken, not full of
-// late, and not tried by the request.
+// available reports whether a host may be picked for a request: not ejected, its trial not taken, not full
+// lately, and without an attempt of the request.
 func (b *Balancer) available(h *host, r *request) bool {
 	if b.ejection.blocks(b.now, &h.ejection) || b.now < h.fullUntil {
 		return false
 	}
-	for _, t := range r.tried {
+	for _, t := range r.attemptedHosts {
 		if t == h {
 			return false
 		}
@@ -114,9 +114,9 @@
 	h.deficit = min(h.deficit, 0) // no turns are owed for the time of the ejection
 }
 
-// hostFailed ejects a host that failed an attempt sent at sentAt: for a random half to whole of period, which
-// consecutive failures double, unless most of the zone fails. proven is false for a timeout, which may be no
-// fault of the host's.
+// hostFailed ejects a host that failed an attempt sent at sentAt: for a random time of half of period to
+// period, which consecutive failures double, unless most of the zone fails. proven is false for a timeout,
+// which may be no fault of the host's.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -15,7 +15,7 @@
 // HostReadmitted says that an ejected host has accepted a connection, and gets its turns again.
 type HostReadmitted struct{ Host string }
 
-// LedgerPolled says that a balancer keeps the placement ledger and is asked from now on.
+// LedgerPolled says that a balancer keeps the placement ledger and is queried from now on.
 type LedgerPolled struct{ LedgerServer int }
 
 // LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -1,8 +1,8 @@
 package ledger
 
 const (
-	maxServers     = 8    // balancers that count, of which one is asked
-	maxMisses      = 2    // queries in a row without a reply, after which the next ledger server is asked
+	maxServers     = 8    // balancers that count, of which one is queried
+	maxMisses      = 2    // queries in a row without a reply, after which the next ledger server is queried
 	maxPending     = 256  // queries that are remembered
 	initialPause   = 3e9  // the first pause without queries once no ledger server replied, in nanoseconds
 	maxPauseDouble = 4    // doublings of it: where no messages arrive hardly any request waits
@@ -19,16 +19,16 @@
 	Abandoned bool // its request waits no longer
 }
 
-// Client is the asking side: which ledger server is asked, and which queries are pending. The ledger servers
-// are in one order for all balancers; the first of them that replies is asked.
+// Client is the querying side: which ledger server is queried, and which queries are pending. The ledger
+// servers are in one order for all balancers; the first of them that replies is queried.
 type Client struct {
 	servers     []int // balancers
-	current     int   // index of the one that is asked
+	current     int   // index of the one that is queried
 	misses      int   // in a row
 	pausedUntil Time  // no queries before
 	pauses      int   // in a row
 	polledAt    Time
-	synced      bool // the current one has replied, and is sent all connections held here
+	synced      bool // the current one has replied, and is sent all connections of this balancer
 	epoch       byte // of the current one
 	sequence    uint16
 	pending     map[uint16]*PendingQuery
@@ -57,7 +57,7 @@
 	return -1
 }
 
-// Server is the balancer that is asked now; -1: none.
+// Server is the balancer that is queried now; -1: none.
 func (c *Client) Server(now Time) int {
 	if now < c.pausedUntil {
 		return -1
@@ -65,8 +65,8 @@
 	return c.servers[c.current]
 }
 
-// Synced reports whether the ledger server was sent all connections held here, so that changes are worth
-// sending.
+// Synced reports whether the ledger server was sent all connections of this balancer: changes are sent only
+// then.
 func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
@@ -79,7 +79,7 @@
 	return c.sequence
 }
 
-// forgetPending makes room: it drops the queries that have timed out, or all where none has.
+// forgetPending bounds the pending queries: it drops the queries that have timed out, or all where none has.
 func (c *Client) forgetPending(now Time) {
 	for sequence, p := range c.pending {
 		if now-p.SentAt > pendingTimeout {
@@ -112,7 +112,7 @@
 }
 
 // pause stops queries for a time that doubles with each pause in a row; then the first ledger server is
-// asked.
+// queried.
 func (c *Client) pause(now Time) {
 	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
 	c.pauses++
@@ -137,7 +137,7 @@
 	return sync
 }
 
-// follow asks a ledger server, by its index, from now on.
+// follow makes a ledger server, by its index, the current one.
 func (c *Client) follow(i int, epoch byte) {
 	c.current, c.epoch = i, epoch
 	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestWhichServerIsAsked: the first ledger server that replies is asked: after misses the next one, after
+// TestWhichServerIsQueried: the first ledger server that replies is queried: after misses the next one, after
 // misses of all of them none for a while, and an earlier one as soon as it is back.
-func TestWhichServerIsAsked(t *testing.T) {
+func TestWhichServerIsQueried(t *testing.T) {
 	c := NewClient(300)
 	if got := c.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("ledger servers %v", got)
@@ -106,14 +106,14 @@
 	c.ServerSeen(0, 6)
 	miss()
 	if c.Server(now) != 0 {
-		t.Error("another ledger server is asked after one miss between replies")
+		t.Error("another ledger server is queried after one miss between replies")
 	}
 	miss()
 	if c.Server(now) != 37 || c.Synced(now) {
-		t.Errorf("after two misses %d is asked, synced %t", c.Server(now), c.Synced(now))
+		t.Errorf("after two misses %d is queried, synced %t", c.Server(now), c.Synced(now))
 	}
 	if c.ServerSeen(150, 1) {
-		t.Error("a later ledger server than the one that is asked is to be sent all connections")
+		t.Error("a later ledger server than the one that is queried is to be sent all connections")
 	}
 	if server := c.NextPoll(now + pollInterval); server != 0 {
 		t.Errorf("%d is polled", server)
@@ -122,13 +122,13 @@
 		t.Error("polled again at once")
 	}
 	if !c.ServerSeen(0, 6) || c.Server(now) != 0 {
-		t.Error("the first ledger server is back and not asked")
+		t.Error("the first ledger server is back and not queried")
 	}
 	for range 2 * maxServers {
 		miss()
 	}
 	if c.Server(now) >= 0 || c.Server(now+initialPause) != 0 {
-		t.Errorf("after misses of all %d is asked, after the pause %d",
+		t.Errorf("after misses of all %d is queried, after the pause %d",
 			c.Server(now), c.Server(now+initialPause))
 	}
 	checkPausesDouble(t, c, now+initialPause)
@@ -152,7 +152,7 @@
 		pauseEnd = next
 	}
 	if c.ServerSeen(0, 6); c.Server(pauseEnd-1) != 0 {
-		t.Error("a ledger server is not asked though a message of it came")
+		t.Error("a ledger server is not queried though a message of it came")
 	}
 }
 
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -41,10 +41,10 @@
 	Append(data []byte) []byte
 }
 
-// Query asks the ledger server for a host.
+// Query requests a host from the ledger server.
 type Query struct {
 	Seq   uint16
-	Zone  int    // of the asking balancer, 0 to 127
+	Zone  int    // of the querying balancer, 0 to 127
 	Retry bool   // its client may be one of a wave
 	Units int    // load, 1 to MaxUnits
 	Group uint32 // 24 bits
@@ -72,7 +72,7 @@
 // Announcement says that its sender is a ledger server. Another epoch: it has forgotten all.
 type Announcement struct{ Epoch byte }
 
-// Poll asks for an Announcement.
+// Poll requests an Announcement.
 type Poll struct{}
 
 // GroupID is a group's name in messages: 24 bits of its hash.
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -1,8 +1,8 @@
 // Package ledger is the placement ledger: one balancer, the ledger server, counts the connections of a fleet
-// in which each balancer sees only a few requests, and is asked for a host. The package owns what is counted
-// (Placements), the messages by which balancers ask and report, and the choice of whom to ask (Client). Which
-// host a request gets is decided in package balancer. There is no I/O and no clock here. What is counted may
-// be late, torn or lost at any time, and no request waits for it for long.
+// in which each balancer sees only a few requests, and assigns hosts on request. The package owns what is
+// counted (Placements), the messages by which balancers query and report, and the choice of ledger server
+// (Client). Which host a request gets is decided in package balancer. There is no I/O and no clock here. What
+// is counted may be late, incomplete or lost at any time, and no request waits for it for long.
 package ledger
 
 import "slices"
@@ -41,8 +41,8 @@
 	return &Placements{hosts: map[uint32]*hostPlacements{}, peers: map[int]map[hostGroup]int{}}
 }
 
-// at gives what is held at a host. Where there are too many hosts all is forgotten: the balancers report all
-// that they hold again and again.
+// at gives the placements at a host. Where there are too many hosts all is forgotten: the balancers report
+// all their connections periodically.
 func (p *Placements) at(host uint32) *hostPlacements {
 	h := p.hosts[host]
 	if h == nil {
@@ -57,12 +57,12 @@
 }
 
 func (p *Placements) ofPeer(peer int) map[hostGroup]int {
-	held := p.peers[peer]
-	if held == nil {
-		held = map[hostGroup]int{}
-		p.peers[peer] = held
+	unitsOfPeer := p.peers[peer]
+	if unitsOfPeer == nil {
+		unitsOfPeer = map[hostGroup]int{}
+		p.peers[peer] = unitsOfPeer
 	}
-	return held
+	return unitsOfPeer
 }
 
 func (h *hostPlacements) add(group uint32, units int) {
@@ -75,21 +75,21 @@
 // Add adds units to what a balancer holds of a group at a host, or takes them back where they are negative.
 // No count goes below 0, whatever was lost on the way.
 func (p *Placements) Add(peer int, host, group uint32, units int) {
-	held := p.ofPeer(peer)
+	unitsOfPeer := p.ofPeer(peer)
 	k := hostGroup{host, group}
-	units = max(-held[k], units)
-	if units == 0 || units > 0 && held[k] == 0 && len(held) >= maxEntriesPerPeer {
+	units = max(-unitsOfPeer[k], units)
+	if units == 0 || units > 0 && unitsOfPeer[k] == 0 && len(unitsOfPeer) >= maxEntriesPerPeer {
 		return
 	}
 	h := p.at(host)
-	held = p.ofPeer(peer) // at may have forgotten all
-	if held[k] += units; held[k] == 0 {
-		delete(held, k)
+	unitsOfPeer = p.ofPeer(peer) // at may have forgotten all
+	if unitsOfPeer[k] += units; unitsOfPeer[k] == 0 {
+		delete(unitsOfPeer, k)
 	}
 	h.add(group, units)
 }
 
-// Forget drops what a balancer holds: its process has started anew, or it reports all again.
+// Forget drops what a balancer holds: its process has restarted, or it reports all again.
 func (p *Placements) Forget(peer int) {
 	for k, units := range p.peers[peer] {
 		p.at(k.host).add(k.group, -units)
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same events give the same counts and the same choice of whom to ask as when they
-// were recorded. The texts of digests and samples are part of the golden files and keep earlier words.
+// TestRecordedDecisions: the same events give the same counts and the same choice of ledger server as when
+// they were recorded. The texts of digests and samples are part of the golden files and keep earlier terms.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	var lines strings.Builder
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -7,13 +7,13 @@
 
 const (
 	// ledgerReplyTimeout is how long a request waits for the ledger server, in nanoseconds. A request with
-	// less than minTimeouts of it left does not ask: a wait in vain must cost it little.
+	// less than minTimeouts of it left does not query: a wait in vain must cost it little.
 	ledgerReplyTimeout = 150e6
 	minTimeouts        = 8
 )
 
 // placementLedger is this balancer's side of the ledger, as client and as ledger server. No balancer sees
-// alone how full hosts are, nor how large a group is. Where balancers may send messages, they ask the one
+// alone how full hosts are, nor how large a group is. Where balancers may send messages, they query the one
 // that counts for all for a host; without its reply each places by what it sees itself.
 type placementLedger struct {
 	client        *ledger.Client
@@ -21,7 +21,7 @@
 	freshRequests decay.Counter      // of all balancers, where this one is a ledger server
 	announced     bool               // this process has an epoch, and was announced if it is a ledger server
 	epoch         byte               // of this process
-	syncDue       Time               // when the ledger server is sent all connections held here
+	syncDue       Time               // when the ledger server is sent all connections of this balancer
 }
 
 // ledgerQuery is a request's query to the ledger server.
@@ -49,7 +49,7 @@
 	return r.ledger.units
 }
 
-// queryLedger asks the ledger server for a host, once for the first attempt of a request of a group, and
+// queryLedger queries the ledger server for a host, once for the first attempt of a request of a group, and
 // reports whether the request waits for the reply. A balancer that is the ledger server itself waits for
 // none.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestWithoutLedgerServer: the first ledger server is gone, and a fifth of all messages is lost. No request
-// waits for long, the next server is asked, and once the first one is back it learns of all connections
+// TestWithoutLedgerServer: the first ledger server is down, and a fifth of all messages is lost. No request
+// waits for long, the next server is queried, and once the first one is back it learns of all connections
 // again.
 func TestWithoutLedgerServer(t *testing.T) {
 	x := newPeerNetwork(t, 40, 20, true)
@@ -31,23 +31,23 @@
 	x.flow(10*sec, 8, 15, false)
 	x.dead[0] = true
 	x.flow(8*sec, 8, 15, false)
-	askOther := 0
+	queryingOther := 0
 	for instance, f := range x.balancers {
 		if !x.dead[instance] && f.b.ledger.client.Server(x.now) != 0 {
-			askOther++
+			queryingOther++
 		}
 	}
-	if askOther < 10 {
-		t.Errorf("%d of 39 balancers ask another ledger server", askOther)
+	if queryingOther < 10 {
+		t.Errorf("%d of 39 balancers query another ledger server", queryingOther)
 	}
 	x.checkWaiting(t, "without the first ledger server")
 	x.restart(t, 0, 1)
 	x.flow(12*sec, 8, 15, false)
-	askFirst := x.askFirstServer()
-	t.Logf("%d asked another ledger server, %d the first one again; it counts %.0f of %d connections",
-		askOther, askFirst, x.ledgerConnections(), len(x.connections))
-	if askFirst < 38 || x.ledgerError() > 0.25*float64(len(x.connections)) {
-		t.Errorf("%d of 40 ask the first ledger server, which counts %.0f of %d connections",
-			askFirst, x.ledgerConnections(), len(x.connections))
+	queryingFirst := x.queryingFirstServer()
+	t.Logf("%d query another ledger server, %d the first one again; it counts %.0f of %d connections",
+		queryingOther, queryingFirst, x.ledgerConnections(), len(x.connections))
+	if queryingFirst < 38 || x.ledgerError() > 0.25*float64(len(x.connections)) {
+		t.Errorf("%d of 40 query the first ledger server, which counts %.0f of %d connections",
+			queryingFirst, x.ledgerConnections(), len(x.connections))
 	}
 }
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -12,9 +12,9 @@
 	epochUnit = 1e8
 )
 
-// maintainLedger announces once that this balancer is a ledger server, sends the one that is asked all
-// connections held here when that is due, and polls an earlier one that may be back. Where there is no ledger
-// nothing is sent and no random number drawn.
+// maintainLedger announces once that this balancer is a ledger server, sends the current one all
+// connections of this balancer when that is due, and polls an earlier one that may be back. Where there is
+// no ledger nothing is sent and no random number drawn.
 func (b *Balancer) maintainLedger() {
 	if !b.ledgerUsable() {
 		return
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -10,7 +10,7 @@
 var ledgerFaults = []struct {
 	name  string
 	fault func(t *testing.T, x *peerNetwork)
-	soon  bool // all tell a restarted ledger server at once what they hold
+	soon  bool // all report their connections to a restarted ledger server at once
 }{
 	{"the ledger server is paused for 5 s", func(t *testing.T, x *peerNetwork) {
 		x.dead[0] = true
@@ -75,8 +75,8 @@
 		}
 		x.flow(13*sec, 8, 60, false)
 		x.checkWaiting(t, c.name)
-		if n := x.askFirstServer(); n < 38 || x.ledgerError() > 0.08*float64(len(x.connections))+2 {
-			t.Errorf("%s: 15 s later %d of 40 ask the first server, which counts %.0f of %d connections",
+		if n := x.queryingFirstServer(); n < 38 || x.ledgerError() > 0.08*float64(len(x.connections))+2 {
+			t.Errorf("%s: 15 s later %d of 40 query the first server, which counts %.0f of %d connections",
 				c.name, n, x.ledgerConnections(), len(x.connections))
 		}
 	}
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -33,7 +33,7 @@
 	additions       []addition
 }
 
-// Report takes a load report: the load asked for over what the host can do, and how many requests wait there.
+// Report takes a load report: the requested load over the host's capacity, and how many requests wait there.
 // A load that is no finite number above or at 0 is ignored, and such a queue counts as 0. The same figures
 // again are the same sample: it has grown older, not been confirmed.
 func (h *Host) Report(now int64, load, queue float64) {
@@ -51,7 +51,7 @@
 	h.prune()
 }
 
-// Reset forgets all, as the host starts anew.
+// Reset forgets all, as the host has restarted.
 func (h *Host) Reset() { *h = Host{} }
 
 // LastReport is when a report last came; 0: never.
@@ -70,12 +70,12 @@
 
 // prune drops what the last report holds.
 func (h *Host) prune() {
-	held := 0
-	for held < len(h.additions) && h.additions[held].addedAt < h.changedAt-ReportDelay {
-		held++
+	reported := 0
+	for reported < len(h.additions) && h.additions[reported].addedAt < h.changedAt-ReportDelay {
+		reported++
 	}
-	if held > 0 {
-		h.additions = h.additions[:copy(h.additions, h.additions[held:])]
+	if reported > 0 {
+		h.additions = h.additions[:copy(h.additions, h.additions[reported:])]
 	}
 }
 
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -7,7 +7,7 @@
 	// minHealthCheckInterval the shortest time between two checks of one host, in nanoseconds.
 	healthCheckTimer       = 2.5e8
 	minHealthCheckInterval = 5e8
-	// healthCheckBudget is what health checks may cost, as part of what the requests are worth.
+	// healthCheckBudget is what health checks may cost, as part of the value of the requests.
 	healthCheckBudget = 0.005
 	// minHealthCheckRate is for how many requests a second hosts are checked at least.
 	minHealthCheckRate = 0.2
@@ -35,10 +35,10 @@
 	mean float64 // reported load; 1 is full
 }
 
-// hostsReportLoad reports whether hosts can be asked how loaded they are.
+// hostsReportLoad reports whether hosts answer health checks with their load.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
-// startHealthChecks checks each host again once its last report is older than another is worth at its price:
+// startHealthChecks checks each host again once its last report is older than the price of another justifies:
 // the more requests there are to be placed by it, the sooner.
 func (b *Balancer) startHealthChecks() {
 	b.schedule(healthCheckTimer, timerHealthCheck)
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestHealthChecksArePacedByPrice: with few requests to place, a check costs more than its report is worth.
+// TestHealthChecksArePacedByPrice: with few requests to place, a check costs more than its report saves.
 func TestHealthChecksArePacedByPrice(t *testing.T) {
 	count := func(rate int, price float64) int {
 		f := startReporting(t, settings(), fleet(10)...)
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -166,8 +166,8 @@
 	return fullest, len(groups)
 }
 
-// askFirstServer counts the balancers that ask the first ledger server.
-func (x *peerNetwork) askFirstServer() (n int) {
+// queryingFirstServer counts the balancers that query the first ledger server.
+func (x *peerNetwork) queryingFirstServer() (n int) {
 	for _, f := range x.balancers {
 		if f.b.ledger.client.Server(x.now) == 0 {
 			n++
@@ -179,8 +179,8 @@
 // ledgerConnections is how many connections the first ledger server counts.
 func (x *peerNetwork) ledgerConnections() (n float64) {
 	for _, h := range x.balancers[0].b.hosts {
-		held, _, _ := x.balancers[0].b.ledger.placements.Load(uint32(h.hash), 0)
-		n += held
+		connections, _, _ := x.balancers[0].b.ledger.placements.Load(uint32(h.hash), 0)
+		n += connections
 	}
 	return n
 }
@@ -190,7 +190,7 @@
 	return math.Abs(x.ledgerConnections() - float64(len(x.connections)))
 }
 
-// restart has balancers start anew; their connections are lost.
+// restart restarts balancers; their connections are lost.
 func (x *peerNetwork) restart(t *testing.T, from, to int) {
 	t.Helper()
 	for instance := from; instance < to; instance++ {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -16,7 +16,7 @@
 //
 // pick leaves out the hosts that are draining, removed or suspended, those that would not discard a repeat
 // (outsideDedupScope), and warming ones whose budget is spent (slowStartAllows). It prefers hosts that are
-// neither ejected nor full and that the request has not tried (available).
+// neither ejected nor full and that the request has made no attempt at (available).
 //
 // Afterwards a request comes back to 4, or is rejected:
 //
@@ -108,7 +108,7 @@
 	r.attempts++
 	r.attemptInFlight, r.host, r.sentAt = true, h, b.now
 	r.wait.rejectAt, r.wait.notBefore = 0, 0
-	r.tried = append(r.tried, h)
+	r.attemptedHosts = append(r.attemptedHosts, h)
 	if h.ejection.consecutiveFailures > 0 {
 		h.ejection.trials++
 	}
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// changeHost has a host drain, come back or start anew.
+// changeHost has a host drain, come back or restart.
 func (r *randomRun) changeHost() {
 	h := listed(r.b.hosts[r.rng.Intn(len(r.b.hosts))].hostID, HostState(r.rng.Intn(2)))
 	h.StartedAt = r.now * Time(r.rng.Intn(2))
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -33,7 +33,7 @@
 }
 
 // drainQueue places the requests whose time has come, and rejects those that have waited too long. Those that
-// have to wait on are queued anew, in their order.
+// have to wait on are queued again, in their order.
 func (b *Balancer) drainQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -56,7 +56,7 @@
 	if f.rejected["c"] == 0 {
 		t.Fatal("rejected without a Retry-After")
 	}
-	f.now += 2500 * ms // by then the queue may be gone
+	f.now += 2500 * ms // by then the queue may be empty
 	f.request("d")
 	if !f.inFlight["d"] {
 		t.Fatal("still rejected 2.5 s later")
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Request is what a client asks for, or a connection that is already open.
+// Request is a client's request, or a connection that is already open.
 type Request struct {
 	ID           string  `json:"ID"`
 	Class        int     `json:"Class"`    // index in Config.Classes
@@ -34,7 +34,7 @@
 	// Timeout: no answer came in the time that Effects.StartAttempt gave (upstreamRequest.beginAttempt), or
 	// the request's deadline had passed before the attempt began (Request.attemptBlocked).
 	Timeout
-	// ConnectFailed: the connection broke before the request's line was written whole, so that the attempt
+	// ConnectFailed: the connection broke before the request's line was written completely, so that the attempt
 	// has not run (statusBeforeAnswer).
 	ConnectFailed
 	// Reset: the connection broke after that (statusBeforeAnswer, upstreamRequest.finalStatus), or the host
@@ -84,7 +84,7 @@
 	attemptInFlight bool
 	host            *host // of the last attempt
 	sentAt          Time  // of the last attempt
-	tried           []*host
+	attemptedHosts  []*host
 
 	established        bool    // its connection is open
 	connectionIndex    int     // in host.connections
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -59,7 +59,7 @@
 		s.earlyErrors, s.lastEarlyErrorAt = s.earlyErrors+1, now
 	}
 	if attempt > 2 {
-		// It failed at two other hosts too: a client that asks for what no host can do must not look like a
+		// It failed at two other hosts too: a client that requests what no host can do must not look like a
 		// storm and hold up all others.
 		s.discountAttempt()
 	}
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -184,8 +184,8 @@
 	return reach, size
 }
 
-// tieBreakLoad is the load by which candidates within the slack are ordered. It is the load as held, not as
-// it would be with the request: else all balancers begin with the same large hosts.
+// tieBreakLoad is the load by which candidates within the slack are ordered. It is the present load, not that
+// with the request: else all balancers begin with the same large hosts.
 func (b *Balancer) tieBreakLoad(p *pick, c *candidate, size float64) float64 {
 	groupCost := b.groupPlacementCost(p, c)
 	load := (c.host.load + groupCost) / size
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -27,7 +27,7 @@
 	// crossZoneShare is how much of the turns that the price of a crossing takes from other zones they get
 	// back, 0 to 1.
 	crossZoneShare    float64
-	demandByClass     []float64 // load asked for, fading
+	demandByClass     []float64 // requested load, with exponential decay
 	tenantConnections []int     // open connections
 }
 
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -113,8 +113,8 @@
 	if t.expectedRate <= 0 {
 		// Without quotas: fresh requests as seen here, and at least as many as give the host, within its slow
 		// start, as many connections as others of its size hold.
-		held := float64(b.establishedConnections) * 1e9 / float64(b.cfg.SlowStartDuration)
-		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), held)
+		establishedRate := float64(b.establishedConnections) * 1e9 / float64(b.cfg.SlowStartDuration)
+		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), establishedRate)
 	}
 	chance := share * unused * rate * float64(b.cfg.Instances) / r.similarPerSecond
 	const draws = 1 << 20
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// TestFewGossipOfStalledHost: of sixteen balancers that see a host stall, few tell the others, which then
+// TestFewGossipOfStalledHost: of sixteen balancers that see a host stall, few notify the others, which then
 // place elsewhere though they hold no connection there.
 func TestFewGossipOfStalledHost(t *testing.T) {
 	var balancers []*fake
@@ -53,7 +53,7 @@
 		f.establish("r")
 	}
 	if attempts > 3 {
-		t.Errorf("%d of 64 balancers use the host of whose stall they were told", attempts)
+		t.Errorf("%d of 64 balancers use the host of whose stall they were notified", attempts)
 	}
 }
 
