--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestFollowsAnAgent: an agent to which lists are pushed is watched though the decision module asks for nothing, its silence is not reported as
+// TestFollowsAnAgent: an agent to which lists are pushed is watched though the decision module requests nothing, its silence is not reported as
 // a failure, and what it has when it answers again arrives although the watch that was under way has died.
 func TestFollowsAnAgent(t *testing.T) {
 	d, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: "127.0.0.1:1"}, fake.Entry{UID: "s2", Endpoint: "127.0.0.1:2"})
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -136,7 +136,7 @@
 		// An older answer, overtaken by that of another call: it must not undo the newer list.
 		return proxy.Change{Kind: balancer.ListDelta, Version: c.revision}
 	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
-		// The service numbers its versions anew, and has sent a change only: the whole list is fetched next.
+		// The service has restarted its versions, and has sent a change only: the complete list is fetched next.
 		c.revision = noRevision
 	default:
 		c.revision = ch.Version
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -22,7 +22,7 @@
 	// watchAnswerTimeout is how long past its wait a watch's call may take. It is shorter than the 2 s after which a list counts
 	// as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
-	// fullListTimeout is how long a call for the whole list may take. It is longer than discovery's own limit of 2 s: a call that is
+	// fullListTimeout is how long a call for the complete list may take. It is longer than discovery's own limit of 2 s: a call that is
 	// ended and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
 	connectTimeout  = time.Second
@@ -39,8 +39,8 @@
 	agentRetryPause    = 30 * time.Millisecond
 )
 
-// Client watches the endpoint list while it is asked to, one call after the other on one connection, and fetches the whole list when asked. All
-// its methods belong to the loop.
+// Client watches the endpoint list between WatchList's on and off, one call after the other on one connection, and fetches the complete
+// list on FetchList. All its methods belong to the loop.
 type Client struct {
 	loop          *netio.Loop
 	dialer        *netio.Dialer
@@ -56,10 +56,10 @@
 	watching       bool  // the watch goes on
 	firstAnswerDue bool  // its first answer is awaited, which is passed on even if it is empty
 	watch          *call // the call under way
-	// reopened: the watch was opened anew after it had fallen silent, and has had no answer since.
+	// reopened: the watch was reopened after it had fallen silent, and has had no answer since.
 	reopened    bool
 	silentCalls int         // calls of the watch in a row that got no answer
-	fetch       *call       // the call for the whole list under way; nil: none
+	fetch       *call       // the call for the complete list under way; nil: none
 	idle        *netio.Conn // a connection whose last response is complete
 	lastFailure string
 }
@@ -79,7 +79,7 @@
 }
 
 // Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
-// not ask for it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the client's
+// not request it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the client's
 // list is the latest that there is.
 func (c *Client) Follow() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
@@ -89,7 +89,7 @@
 // Source is the address of the service, and the version of the client's list; under 0: it has none.
 func (c *Client) Source() (addr string, rev int64) { return c.address, c.revision }
 
-// WatchList begins or ends the watch. Asked for again while it goes on, it changes nothing.
+// WatchList begins or ends the watch. While the watch goes on, a further begin changes nothing.
 func (c *Client) WatchList(on bool) {
 	if !on {
 		c.watching = false
@@ -109,7 +109,7 @@
 
 // Redirect has the client call another address from now on, and begins the watch there. Calls in flight at the old one are dropped and not
 // reported as failures. The versions of two services need not be comparable, and a watch from a version that the new one has not reached would
-// get no answer; so the whole list is fetched first, at once, also while the decision module backs off.
+// get no answer; so the complete list is fetched first, at once, also while the decision module backs off.
 func (c *Client) Redirect(addr string) {
 	if addr == c.address {
 		return
@@ -122,7 +122,7 @@
 	}
 	if c.fetch != nil {
 		c.fetch.drop()
-		c.fetch = nil // the watch below brings what was asked for
+		c.fetch = nil // the watch below brings the list
 	}
 	c.retry.Stop()
 	c.watching, c.firstAnswerDue = true, true
@@ -167,7 +167,7 @@
 		c.reopen()
 	default:
 		c.reopened = false
-		c.watching = false // the decision module asks again, with a backoff
+		c.watching = false // the decision module requests it again, with a backoff
 		c.reportFailure(err)
 	}
 }
@@ -178,7 +178,7 @@
 	c.retry = c.loop.After(pause, c.callWatch)
 }
 
-// fullListWait is how long a call for the whole list may take. An agent on this machine answers at once, or is silent; where its list is so
+// fullListWait is how long a call for the complete list may take. An agent on this machine answers at once, or is silent; where its list is so
 // large that it does not come in time, the next call has twice as long.
 func (c *Client) fullListWait() time.Duration {
 	if !c.followsAgent {
@@ -204,7 +204,7 @@
 	}
 }
 
-// FetchList asks for the whole list once.
+// FetchList fetches the complete list once.
 func (c *Client) FetchList() {
 	if c.fetch != nil {
 		return
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -25,24 +25,24 @@
 	"SSH-2.0-x\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nbad\r\n\r\n", "",
 }
 
-// FuzzResponse feeds a response byte by byte up to each point: the parse must come out as for the whole, and nothing
+// FuzzResponse feeds a response byte by byte up to each point: the parse must come out as for the complete input, and nothing
 // may panic or wait for more than the limits.
 func FuzzResponse(f *testing.F) {
 	for _, s := range seeds {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, wholeErr := parseResponse(in, true)
-		if whole != nil && (whole.length > len(in) || len(whole.body) > maxBody) {
-			t.Fatalf("takes %d of %d bytes", whole.length, len(in))
+		complete, completeErr := parseResponse(in, true)
+		if complete != nil && (complete.length > len(in) || len(complete.body) > maxBody) {
+			t.Fatalf("takes %d of %d bytes", complete.length, len(in))
 		}
 		for n := range len(in) {
 			r, err := parseResponse(in[:n], false)
-			if r != nil && (whole == nil || r.status != whole.status || r.length != whole.length ||
-				!bytes.Equal(r.body, whole.body)) {
-				t.Fatalf("%d bytes gave %+v, all %+v %v", n, r, whole, wholeErr)
+			if r != nil && (complete == nil || r.status != complete.status || r.length != complete.length ||
+				!bytes.Equal(r.body, complete.body)) {
+				t.Fatalf("%d bytes gave %+v, all %+v %v", n, r, complete, completeErr)
 			}
-			if err != nil && wholeErr == nil {
+			if err != nil && completeErr == nil {
 				t.Fatalf("%d bytes gave %v, all none", n, err)
 			}
 			if r != nil || err != nil {
@@ -125,7 +125,7 @@
 	return ln.Addr().String()
 }
 
-// After a redirect the new service is called at once and for the whole list, since its versions are its own; that the old one hangs up then,
+// After a redirect the new service is called at once and for the complete list, since its versions are its own; that the old one hangs up then,
 // and that the new one fails at first, is not reported as a failure.
 func TestRedirect(t *testing.T) {
 	calls := make(chan string, 16)
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -28,7 +28,7 @@
 }
 
 // parseResponse reads one HTTP/1.1 response. It gives nil while more is to come. ended says that nothing will, which
-// completes a response without a stated length. It looks at the whole input each time, so that the outcome can't
+// completes a response without a stated length. It parses from the start of the input each time, so that the outcome can't
 // depend on how the input was cut; the input is bounded.
 func parseResponse(in []byte, ended bool) (*response, error) {
 	end := bytes.Index(in[:min(len(in), maxHead)], []byte("\r\n\r\n"))
@@ -149,7 +149,7 @@
 	return nil, nil
 }
 
-// startsLikeStatus tells whether the input can become a response.
+// startsLikeStatus reports whether the input can become a response.
 func startsLikeStatus(in []byte) bool {
 	const want = "HTTP/1."
 	n := min(len(in), len(want))
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -59,8 +59,8 @@
 			t.Cleanup(func() { conn.Close() })
 			go func() {
 				for in := bufio.NewScanner(conn); in.Scan(); {
-					if words := strings.Fields(in.Text()); len(words) > 1 && words[0] == "GET" {
-						s.calls <- receivedCall{words[1], conn}
+					if fields := strings.Fields(in.Text()); len(fields) > 1 && fields[0] == "GET" {
+						s.calls <- receivedCall{fields[1], conn}
 					}
 				}
 			}()
@@ -72,9 +72,9 @@
 	return s
 }
 
-// A watch that falls silent is opened anew at once. Reported as a failure it would wait for the decision module's backoff, which grows with
+// A watch that falls silent is reopened at once. Reported as a failure it would wait for the decision module's backoff, which grows with
 // the fleet, and what it missed would come late.
-func TestASilentWatchIsOpenedAnewAtOnce(t *testing.T) {
+func TestASilentWatchIsReopenedAtOnce(t *testing.T) {
 	s := scripted(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	silent := <-s.calls
@@ -118,16 +118,16 @@
 	}
 }
 
-// A service that begins its versions anew is believed; a difference from a version that it never gave is no list to go on from.
+// A service that restarts its versions is believed; a difference from a version that it never gave is no list to go on from.
 func TestAVersionThatGoesBackwards(t *testing.T) {
 	s := scripted(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	(<-s.calls).answer(`{"rev":2,"all":false,"targets":[]}`)
-	whole := <-s.calls
-	if whole.target != hostsPath {
-		t.Fatalf("called %s", whole.target)
+	fullListCall := <-s.calls
+	if fullListCall.target != hostsPath {
+		t.Fatalf("called %s", fullListCall.target)
 	}
-	whole.answer(`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
+	fullListCall.answer(`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
 	<-s.changes // the first answer of a watch is passed on even if it is empty
 	if ch := <-s.changes; ch.Kind != balancer.ListFull || ch.Version != 3 {
 		t.Errorf("the client notifies of %+v", ch)
@@ -137,15 +137,15 @@
 	}
 }
 
-// A new discovery that takes 1.9 s for each call is called once: calls that are given up and made anew would keep it busy with answers that
+// A new discovery that takes 1.9 s for each call is called once: calls that are abandoned and repeated would keep it busy with answers that
 // nobody waits for.
 func TestASlowDiscoveryIsNotCalledAgain(t *testing.T) {
 	s := scripted(t)
 	addr := s.client.address
 	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
-	whole := <-s.calls
+	fullListCall := <-s.calls
 	s.pass(1900 * time.Millisecond)
-	whole.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
+	fullListCall.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
 	if ch := <-s.changes; ch.Kind != balancer.ListFull || ch.Version != 5 {
 		t.Fatalf("the client notifies of %+v", ch)
 	}
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// Whatever is asked and however long it takes: over any span no limit is passed by more than its burst and one, every
+// Whatever is requested and however long it takes: over any span no limit is passed by more than its burst and one, every
 // request ends in one way, nothing begins past its deadline, and the same calls give the same answers.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -13,7 +13,7 @@
 // acceptRetryDelay is the pause after a failed accept: the process may be out of descriptors.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Endpoint is where the next process asks for the handover.
+// Endpoint is where the next process requests the handover.
 type Endpoint struct {
 	listener *net.UnixListener
 	loop     *netio.Loop
@@ -97,7 +97,7 @@
 	d.loop.Post(func() { d.come(p) })
 }
 
-// readRequest reads what a caller asks; false: it is not a request to hand over.
+// readRequest reads a caller's request; false: it is not a request to hand over.
 func readRequest(c *net.UnixConn) (m handoverRequest, ok bool) {
 	c.SetReadDeadline(time.Now().Add(answerTimeout))
 	e, fds, err := receive(c)
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -43,7 +43,7 @@
 
 func (noDescriptors) descriptors() []int { return nil }
 
-// handoverRequest, from new to old, asks to hand over.
+// handoverRequest, from new to old, requests the handover.
 type handoverRequest struct {
 	noDescriptors
 	listen string // the address that clients use at the new process
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -73,7 +73,7 @@
 	go p.readMessages(l, ev)
 }
 
-// writeQueued writes until the partner is gone. What is queued then fails, and connections among it are ended politely.
+// writeQueued writes until the connection to the partner ends. What is queued then fails, and connections among it are ended politely.
 func (p *Partner) writeQueued() {
 	for {
 		select {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// readMessages reads until the partner is gone.
+// readMessages reads until the connection to the partner ends.
 func (p *Partner) readMessages(l *netio.Loop, ev Events) {
 	for {
 		e, fds, err := receive(p.conn)
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -33,8 +33,8 @@
 
 func (h *Handoff) close() { closeAll(welcome{*h}.descriptors()) }
 
-// RequestHandover asks the process that serves at listen, and has its private folder at dir, to hand over. It gives nil without an error
-// where there is none. After an error there may be one that can hand over when it is asked again. now is the loop's time.
+// RequestHandover requests a handover of the process that serves at listen, and has its private folder at dir. It gives nil without an
+// error where there is none. After an error there may be one that can hand over when the request is repeated. now is the loop's time.
 func RequestHandover(dir, listen string, now int64) (*Partner, *Handoff, error) {
 	conn, err := dial(dir)
 	if conn == nil {
@@ -62,7 +62,7 @@
 	return c.(*net.UnixConn), nil
 }
 
-// exchange asks for the handover and reads the answer.
+// exchange requests the handover and reads the answer.
 func exchange(conn *net.UnixConn, listen string, now int64) (*Handoff, error) {
 	conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	if err := send(conn, handoverRequest{listen: listen}); err != nil {
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -35,8 +35,8 @@
 	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
 		t.Fatalf("got %+v, %v", k, err)
 	}
-	whole, _ := os.ReadFile(filepath.Join(dir, stateFile))
-	text := string(whole)
+	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
+	text := string(complete)
 	with := func(change func(k *proxy.Snapshot)) string {
 		k := sample()
 		change(k)
@@ -66,7 +66,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
 }
 
-// A write that fails is retried, since the call that it is for has been answered. A folder that is missing for a while stands for a full disk;
+// A write that fails is retried, since the call that it is for has been answered. A folder that is missing for a while simulates a full disk;
 // a half-written file of a process that was killed is removed.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
@@ -181,7 +181,7 @@
 	expectRevision(9)
 }
 
-// A process that closes the connection before it has answered may hand over when it is asked again: that is an error, and not ErrBusy.
+// A process that closes the connection before it has answered may hand over when the request is repeated: that is an error, and not ErrBusy.
 func TestBrokenOffAnswerIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -28,7 +28,7 @@
 	done []func()
 }
 
-// NewStore stores in dir, for as long as the process lives. What a process that was killed in the middle of a write has left there is
+// NewStore stores in dir for the lifetime of the process. What a process that was killed in the middle of a write has left there is
 // removed.
 func NewStore(l *netio.Loop, dir string) *Store {
 	left, _ := filepath.Glob(filepath.Join(dir, "."+stateFile+".*"))
@@ -74,7 +74,7 @@
 	}
 }
 
-// writeNext writes what waits, and tells whether nothing is left to write.
+// writeNext writes what waits, and reports whether nothing is left to write.
 func (s *Store) writeNext(isRetry bool) bool {
 	snapshot, done := s.take()
 	var err error
--- a/internal/dataplane/hotrestart/transport.go
+++ b/internal/dataplane/hotrestart/transport.go
@@ -27,7 +27,7 @@
 	errEnded          = errors.New("ended")
 )
 
-// send writes a message whole, with its descriptors beside the first byte.
+// send writes a complete message, with its descriptors beside the first byte.
 func send(c *net.UnixConn, m message) error {
 	e := m.envelope()
 	body, err := json.Marshal(&e)
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -53,7 +53,7 @@
 	return None
 }
 
-// sharesDedupMemory tells whether a host discards a retry of what the first host may have run.
+// sharesDedupMemory reports whether a host discards a retry of what the first host may have run.
 func (r *Request) sharesDedupMemory(h Host) bool {
 	switch r.Class.DedupScope {
 	case balancer.ScopeZone:
@@ -80,20 +80,20 @@
 	return r.firstRunAt + r.Class.DedupWindow
 }
 
-// MayHaveRun tells whether an attempt may have run: one that has ended, or the one in flight.
+// MayHaveRun reports whether an attempt may have run: one that has ended, or the one in flight.
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun || r.attemptInFlight && r.lineWritten }
 
-// MayReject tells whether the request may be rejected. A rejection promises that a retry by the client, at any host, is harmless: for a request
+// MayReject reports whether the request may be rejected. A rejection promises that a retry by the client, at any host, is harmless: for a request
 // that may have run that is true only where a second run has no effect, or where all hosts discard it.
 func (r *Request) MayReject() bool {
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// MayPlaceAnew tells whether the request may be placed by an instance of the decision module that knows nothing of its earlier
+// MayPlaceAgain reports whether the request may be placed by an instance of the decision module that knows nothing of its earlier
 // attempts.
-func (r *Request) MayPlaceAnew() bool {
+func (r *Request) MayPlaceAgain() bool {
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
 
-// isOver tells whether nothing may begin any more.
+// isOver reports whether nothing may begin any more.
 func (r *Request) isOver() bool { return r.client != awaitingAnswer }
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -47,7 +47,7 @@
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
 		}
-		if broken, held := m.Counts.Sum(); c.want == None && broken+held > 0 {
+		if broken, blocked := m.Counts.Sum(); c.want == None && broken+blocked > 0 {
 			t.Errorf("%+v: %v", c, m.Counts)
 		}
 	}
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -1,6 +1,6 @@
 // Package invariant holds the rules that no action on a request may break, each in one function.
 //
-// A Request is asked before an action (CheckAttempt, CheckWrite, MayReject, MayPlaceAnew) and says which rule forbids it. It is
+// A Request is queried before an action (CheckAttempt, CheckWrite, MayReject, MayPlaceAgain) and says which rule forbids it. It is
 // notified of each action as it is carried out (AttemptBegan, LineWritten, Accepted, …) and counts those that broke a rule all the
 // same, whatever path they took. The package does no I/O; times are passed in, in nanoseconds of the caller's clock.
 package invariant
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -117,7 +117,7 @@
 }
 
 // FinalMessage is the last line to a client whose connection ends for a fault of this side's: its request has failed, or it is to open its
-// connection anew.
+// connection again.
 func (d *downstream) FinalMessage() []byte {
 	if d.request != nil {
 		d.request.EndedHere()
@@ -221,7 +221,7 @@
 // Fail answers that the request has failed.
 func (d *downstream) Fail() { d.finishWith(errLine) }
 
-// Migrate has the client open its connection anew.
+// Migrate has the client open its connection again.
 func (d *downstream) Migrate() { d.finishWith(migrateLine) }
 
 // MigrationLine is the line that Migrate sends.
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -54,7 +54,7 @@
 func TestIdleClientIsRejected(t *testing.T) {
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	idle := r.dial()
-	ask(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
+	exchange(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
 	r.do(func() { r.front.EndIdle(false) })
 	io.WriteString(idle, opening) // it has not read yet that it is rejected
 	expect(t, idle, "BUSY 500\r\n")
@@ -65,7 +65,7 @@
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	half, pinging := r.dial(), r.dial()
 	io.WriteString(half, opening[:20])
-	ask(t, pinging, "PING\r\n", "PONG\r\n")
+	exchange(t, pinging, "PING\r\n", "PONG\r\n")
 	ended := make(chan struct{})
 	r.do(func() { r.core.Shutdown(func() { close(ended) }) })
 	for range 20 {
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// ask sends something and reads the answer, where one is wanted.
-func ask(t *testing.T, c net.Conn, send, want string) {
+// exchange sends something and reads the answer, where one is wanted.
+func exchange(t *testing.T, c net.Conn, send, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	if io.WriteString(c, send); want != "" {
@@ -121,31 +121,31 @@
 func TestSilentClientsAreEvicted(t *testing.T) {
 	dial, _ := front(t, 2)
 	silent, half := dial(), dial()
-	ask(t, half, "PING\r\nOP", "PONG\r\n")
+	exchange(t, half, "PING\r\nOP", "PONG\r\n")
 	usual := dial()
 	expect(t, silent, "BUSY 500\r\n")
-	ask(t, usual, opening, "BUSY 7\r\n")
+	exchange(t, usual, opening, "BUSY 7\r\n")
 	dial()
 	next := dial()
 	expect(t, half, "ERR\r\n")
-	ask(t, next, opening, "BUSY 7\r\n")
+	exchange(t, next, opening, "BUSY 7\r\n")
 }
 
 // A client has the same time for its first line in however many pieces; a PING gives it more.
 func TestFirstLineInTime(t *testing.T) {
 	dial, pass := front(t, 1)
 	silent := dial()
-	ask(t, silent, "PING\r\n", "PONG\r\n")
+	exchange(t, silent, "PING\r\n", "PONG\r\n")
 	half := dial()
-	ask(t, half, "PING\r\nOPEN 9b", "PONG\r\n")
+	exchange(t, half, "PING\r\nOPEN 9b", "PONG\r\n")
 	pass(firstLineTimeout)
-	ask(t, silent, "PING\r\n", "PONG\r\n")
+	exchange(t, silent, "PING\r\n", "PONG\r\n")
 	pass(pingIdleTimeout - firstLineTimeout)
 	expect(t, half, "ERR\r\n")
 	pass(firstLineTimeout)
 	expect(t, silent, "")
 	fresh := dial()
-	ask(t, dial(), "PING\r\n", "PONG\r\n") // by now the loop has accepted both
+	exchange(t, dial(), "PING\r\n", "PONG\r\n") // by now the loop has accepted both
 	pass(firstLineTimeout)
 	expect(t, fresh, "BUSY 500\r\n")
 }
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -20,7 +20,7 @@
 
 var statsLine = []byte("STATS\r\n")
 
-// HealthChecks asks upstream hosts how loaded they are, over one connection to each that stays open between health checks. The connections
+// HealthChecks polls upstream hosts for their load, over one connection to each that stays open between health checks. The connections
 // are bounded in number.
 type HealthChecks struct {
 	loop           *netio.Loop
@@ -49,7 +49,7 @@
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
-// Check asks a host how loaded it is, and calls done on the loop, once, whatever becomes of it.
+// Check polls a host for its load, and calls done on the loop, once, whatever becomes of it.
 func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := p.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
@@ -111,7 +111,7 @@
 func (q *hostCheck) Data(c *netio.Conn) {
 	line, err := Cut(c.Input())
 	if err != nil || line != nil && q.done == nil {
-		q.end(balancer.Error) // not a line, or not asked for
+		q.end(balancer.Error) // not a line, or unsolicited
 		return
 	}
 	if line == nil {
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -47,13 +47,13 @@
 
 // checkRig is a host that answers health checks as the test has it, and a checker with capacity for one connection.
 type checkRig struct {
-	t       *testing.T
-	loop    *netio.Loop
-	checks  *HealthChecks
-	address string
-	answers chan string   // of the host, in order; each is sent in two pieces
-	asked   chan net.Conn // the connection of each health check that the host has read
-	results chan string
+	t        *testing.T
+	loop     *netio.Loop
+	checks   *HealthChecks
+	address  string
+	answers  chan string   // of the host, in order; each is sent in two pieces
+	received chan net.Conn // the connection of each health check that the host has read
+	results  chan string
 }
 
 func newCheckRig(t *testing.T) *checkRig {
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	r := &checkRig{t: t, loop: netio.NewLoop(), address: ln.Addr().String(), answers: make(chan string, 8), asked: make(chan net.Conn, 64), results: make(chan string, 8)}
+	r := &checkRig{t: t, loop: netio.NewLoop(), address: ln.Addr().String(), answers: make(chan string, 8), received: make(chan net.Conn, 64), results: make(chan string, 8)}
 	go func() {
 		for c, err := ln.Accept(); err == nil; c, err = ln.Accept() {
 			go r.serve(c)
@@ -77,7 +77,7 @@
 // serve is the host's side of a connection.
 func (r *checkRig) serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan() && in.Text() == "STATS"; {
-		r.asked <- c
+		r.received <- c
 		answer := <-r.answers
 		fmt.Fprint(c, answer[:len(answer)/2])
 		time.Sleep(5 * time.Millisecond)
@@ -106,7 +106,7 @@
 	}
 }
 
-// Health checks of hosts that answer, answer late, break off, and refuse.
+// Health checks of hosts that answer, answer late, break off, and refuse the connection.
 func TestHealthChecks(t *testing.T) {
 	r := newCheckRig(t)
 	r.answers <- "PONG x0=0.5,queue=2\r\n"
@@ -115,14 +115,14 @@
 	r.answers <- "ERR x0=0.75,queue=0\r\n"
 	r.check("s1")
 	r.expect("error [0.75 0]")
-	if first, second := <-r.asked, <-r.asked; first != second {
+	if first, second := <-r.received, <-r.received; first != second {
 		t.Error("two connections for two health checks of one host")
 	}
 	r.check("s2") // the first host's connection ends, since there is capacity for one; this one is never answered
 	r.expect("timeout []")
-	<-r.asked
+	<-r.received
 	r.check("s3")
-	(<-r.asked).Close()
+	(<-r.received).Close()
 	r.expect("reset []")
 	r.check("s4")
 	r.check("s5") // the one connection is in use
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -78,7 +78,7 @@
 	return o, nil
 }
 
-// isID tells whether s is an id, a key or a client: 16 hexadecimal digits in lower case.
+// isID reports whether s is an id, a key or a client: 16 hexadecimal digits in lower case.
 func isID(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -88,7 +88,7 @@
 	return len(s) == 16
 }
 
-// isName tells whether s can name a value, or be the name of a class, a tenant or a host.
+// isName reports whether s can name a value, or be the name of a class, a tenant or a host.
 func isName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && !strings.ContainsRune("-_.:", rune(c)) {
@@ -98,7 +98,7 @@
 	return s != ""
 }
 
-// parseNumber reads a decimal number. ParseFloat alone accepts words and other bases as well.
+// parseNumber reads a decimal number. ParseFloat alone accepts names and other bases as well.
 func parseNumber(s string) (float64, error) {
 	if s == "" || strings.Trim(s, "0123456789.+-eE") != "" {
 		return 0, ErrMalformed
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -17,7 +17,7 @@
 	}
 	f.Fuzz(func(t *testing.T, in []byte, seed int64) {
 		in = in[:min(len(in), 4*MaxLine)]
-		whole, _, wholeErr := cutAll([][]byte{in})
+		unsplit, _, unsplitErr := cutAll([][]byte{in})
 		rng := rand.New(rand.NewSource(seed))
 		var pieces [][]byte
 		for rest := in; len(rest) > 0; {
@@ -25,8 +25,8 @@
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
 		got, buffered, err := cutAll(pieces)
-		if err != wholeErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(whole, nil)) || len(got) != len(whole) {
-			t.Fatalf("in pieces %q %v, whole %q %v", got, err, whole, wholeErr)
+		if err != unsplitErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(unsplit, nil)) || len(got) != len(unsplit) {
+			t.Fatalf("in pieces %q %v, unsplit %q %v", got, err, unsplit, unsplitErr)
 		}
 		if buffered >= MaxLine {
 			t.Fatalf("%d bytes buffered without an error", buffered)
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -27,7 +27,7 @@
 // while it releases the socket.
 const inputOvershoot = 8 * kernelBuffer
 
-// kernelBuffer is the size that the kernel is asked to buffer for a connection in each direction; it takes that twice. Lines are short, and
+// kernelBuffer is the size requested from the kernel for a connection's buffer in each direction; it takes that twice. Lines are short, and
 // the megabytes that it would buffer by itself count against the machine's memory. It also bounds what netpoll reads at once, and so the
 // size of netpoll's own buffer for the connection.
 const kernelBuffer = 16 << 10
@@ -121,7 +121,7 @@
 		return nil
 	})
 	if !c.transport.IsActive() {
-		// The peer was gone before the callbacks were in place; closing makes netpoll call the one above.
+		// The peer had disconnected before the callbacks were in place; closing makes netpoll call the one above.
 		c.transport.Close()
 	}
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-// Over tells whether the connection has ended, from either side.
+// Over reports whether the connection has ended, from either side.
 func (c *Conn) Over() bool { return c.over }
 
 // guard confines a panic to the connection that it came from, and ends that, so that a request waiting on it still gets its answer.
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -156,7 +156,7 @@
 		d.ready.Signal()
 		d.loop.Post(func() {
 			if fault != nil {
-				// netpoll's errors do not tell a refusal from a time-out; the clock does.
+				// netpoll's errors do not distinguish a refusal from a time-out; the clock does.
 				cause := Refused
 				if d.loop.Now() >= q.deadline {
 					cause = Expired
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// endCause asks the kernel whether the peer ended in order: netpoll reports a reset as an end. The caller holds socket.mu.
+// endCause queries the kernel for whether the peer ended in order: netpoll reports a reset as an end. The caller holds socket.mu.
 func (c *Conn) endCause() Cause {
 	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// idle tells whether nothing waits for the loop.
+// idle reports whether nothing waits for the loop.
 func (l *Loop) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// A machine without descriptors or ports for a moment is no fault of a host: the connect is retried. A host that refuses is reported at once.
+// A machine without descriptors or ports for a moment is no fault of a host: the connect is retried. A refused connection is reported at once.
 func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
 	d := NewDialer(l, 1)
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that reads slowly gets its last line behind one that is not written whole yet: a client is not cut off without its migration line.
+// A peer that reads slowly gets its last line behind one that is not completely written yet: a client is not cut off without its migration line.
 func TestLastLineBehindAnUnfinishedOne(t *testing.T) {
 	line := append(bytes.Repeat([]byte("x"), 4094), "\r\n"...)
 	finished := make(chan struct{})
@@ -29,7 +29,7 @@
 	}
 }
 
-// A connection that nobody resumes still ends with whole lines, where its socket takes them; one that somebody else resumes is left alone.
+// A connection that nobody resumes still ends with complete lines, where its socket takes them; one that somebody else resumes is left alone.
 func TestPartsAreDiscardedWithTheirRest(t *testing.T) {
 	for _, c := range []struct{ last, want string }{{"MOVE\r\n", "of a line\r\nMOVE\r\n"}, {"", ""}} {
 		pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -22,12 +22,12 @@
 
 	mu       sync.Mutex
 	stopped  bool
-	detached bool          // netpoll has been told to stop
+	detached bool          // netpoll has been stopped
 	ended    chan struct{} // closed once netpoll has stopped; nil before the first Serve
 	take     func(fd int)  // takes over the descriptor of a connection, on the poller
 }
 
-// errStopped ends netpoll's accepting. netpoll looks for the word "closed"; the socket stays open.
+// errStopped ends netpoll's accepting. netpoll looks for "closed" in its text; the socket stays open.
 var errStopped = errors.New("accepting is closed")
 
 // acceptRetryPause is the pause after an accept for which the kernel had no descriptor or no memory: netpoll would retry without one.
@@ -59,7 +59,7 @@
 	return nil, nil
 }
 
-// isResourceShortage tells whether an error means that this machine is out of some resource.
+// isResourceShortage reports whether an error means that this machine is out of some resource.
 func isResourceShortage(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 		syscall.EINTR} {
@@ -174,7 +174,7 @@
 	os.Exit(1)
 }
 
-// watchListener has netpoll watch a listener until that ends, and tells why it did.
+// watchListener has netpoll watch a listener until that ends, and gives the reason.
 func watchListener(l netpoll.Listener) error {
 	events, err := netpoll.NewEventLoop(nil)
 	if err != nil {
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -35,11 +35,11 @@
 	return f, nil
 }
 
-// barrierRetryPause is the pause before netpoll is asked again to watch the barrier. The loop waits meanwhile.
+// barrierRetryPause is the pause before the next attempt to have netpoll watch the barrier. The loop waits meanwhile.
 const barrierRetryPause = 5 * time.Millisecond
 
-// serve has netpoll watch the barrier, for good. Without it the loop would wait for ever as soon as it waits for the poller, so a kernel that has no
-// memory for one more watch is asked again.
+// serve has netpoll watch the barrier, for good. Without it the loop would wait for ever as soon as it waits for the poller, so where the kernel has no
+// memory for one more watch, that is retried.
 func (f *pollerBarrier) serve() {
 	for {
 		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(f)))
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// detached is netpoll's callback once a pause has begun. It comes on the loop, where the pause was asked for.
+// detached is netpoll's callback once a pause has begun. It comes on the loop, where the pause was requested.
 func (c *Conn) detached(np netpoll.Connection) {
 	environment.whilePollerParked(func() {})
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Blocked tells whether the rest of a line waits for the peer.
+// Blocked reports whether the rest of a line waits for the peer.
 func (c *Conn) Blocked() bool { return len(c.output.unsent) > 0 }
 
 // retryUnsent writes the rest of a line again, by a timer with a backoff: netpoll's own Flush would block the loop until a slow reader has taken
@@ -122,7 +122,7 @@
 }
 
 // writeFailed ends a connection on which a write has failed. Until its handler is notified the line counts as not completely written. netpoll may
-// not notice: the error that a write returns is gone from the socket.
+// not notice: the error that a write returns is cleared on the socket.
 func (c *Conn) writeFailed(err error) {
 	c.loop.Post(func() {
 		c.output.retry.Stop()
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -30,7 +30,7 @@
 // release gives the capacity of one downstream back.
 func (a *admission) release() { a.downstreams-- }
 
-// Admit asks for capacity for one more downstream's request of a class. DownstreamEnded gives it back.
+// Admit reserves capacity for one more downstream's request of a class. DownstreamEnded releases it.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// migrate has the client of an open connection open it anew elsewhere. status is what the balancer is notified of.
+// migrate has the client of an open connection open it again elsewhere. status is what the balancer is notified of.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -72,7 +72,7 @@
 	return min(r.deadline, now+timeout)
 }
 
-// notifyNotBegun notifies the balancer of an attempt that was not begun. isClosed tells, once the balancer handles it, whether the request
+// notifyNotBegun notifies the balancer of an attempt that was not begun. isClosed reports, once the balancer handles it, whether the request
 // is over.
 func (r *Request) notifyNotBegun(number int, status balancer.AttemptStatus, isClosed func() bool) {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
@@ -116,7 +116,7 @@
 	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(left, 1)), a)
 }
 
-// lineUnsent tells whether the attempt's line is not completely written yet, so that its host cannot have acted on it.
+// lineUnsent reports whether the attempt's line is not completely written yet, so that its host cannot have acted on it.
 func (a *upstreamRequest) lineUnsent() bool { return a.conn.Stage() < netio.Sent }
 
 // detach takes the attempt off its host and its request; the connection is the caller's to end. False: it was off already.
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -18,7 +18,7 @@
 }
 
 // migrateExpiring migrates the connections whose certificate is about to end, at the planner's pace. Their clients come again by
-// themselves and are placed anew.
+// themselves and are placed again.
 func (c *Core) migrateExpiring() {
 	c.loop.After(certexpiry.Every, c.migrateExpiring)
 	if c.shuttingDown {
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -42,7 +42,7 @@
 }
 
 func (w *leavingClients) checkNotLeft(id, what string) {
-	if at, gone := w.leftAt[id]; gone {
+	if at, leftWhileWaiting := w.leftAt[id]; leftWhileWaiting {
 		w.test.Errorf("%s for %s, whose client left %v before", what, id, time.Duration(w.now-at))
 	}
 }
@@ -105,7 +105,7 @@
 	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
 		t.Fatal(err)
 	}
-	w.core.SetPeers(deafPeers{})
+	w.core.SetPeers(droppingPeers{})
 	enforcer := &rules.Enforcer{Now: func() int64 { return w.now }}
 	rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}}}, w.now+1e13)
 	w.core.SetQuota(w)
@@ -113,10 +113,10 @@
 	return w
 }
 
-// deafPeers are peers that hear nothing.
-type deafPeers struct{}
+// droppingPeers are peers that receive nothing.
+type droppingPeers struct{}
 
-func (deafPeers) SendToPeer(int, []byte) {}
+func (droppingPeers) SendToPeer(int, []byte) {}
 
 // IsLimited, Acquire, CountExisting and Release are quotas over the fleet whose replies take a drawn time.
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
@@ -165,12 +165,12 @@
 	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, gone)
 	for _, what := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
 		if gone[what] < 10 {
-			t.Errorf("%d clients left while they waited for %s: too few to tell", gone[what], what)
+			t.Errorf("%d clients left while they waited for %s: too few for a check", gone[what], what)
 		}
 	}
 	for id, r := range w.core.requests {
 		if !r.answered() || r.attempt == nil {
-			t.Errorf("%s is still held", id)
+			t.Errorf("%s is still in flight", id)
 		}
 	}
 }
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -117,13 +117,13 @@
 	return nil
 }
 
-// Ready tells whether clients may come.
+// Ready reports whether clients may come.
 func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
 
-// Serves tells whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
+// Serves reports whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
 func (c *Core) Serves() bool { return c.Ready() && !c.handover.handedOver }
 
-// SetHealthChecker gives the core its way to ask hosts how loaded they are.
+// SetHealthChecker gives the core its way to poll hosts for their load.
 func (c *Core) SetHealthChecker(h HealthChecker) { c.healthChecker = h }
 
 // SetPeers gives the core its way to the other proxies.
@@ -137,5 +137,5 @@
 	}
 }
 
-// tracing tells whether the log takes each step of each request.
+// tracing reports whether the log takes each step of each request.
 func tracing() bool { return logging.DebugEnabled() }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -87,7 +87,7 @@
 	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
 
-	w = keyed(t)
+	w = openWithKey(t)
 	w.upstreams[1].stage = netio.Sending
 	w.events = nil
 	w.pass(210 * time.Millisecond)
@@ -117,13 +117,13 @@
 // What no host can read goes to none, and no client keeps a request for longer than its class allows.
 func TestInvalidOpenings(t *testing.T) {
 	w := newHarness(t)
-	ask := func(o Opening) { w.core.Open(&fakeDownstream{w, o.ID}, &o, nil) }
-	ask(Opening{ID: "class", Class: "x", Tenant: "t"})
-	ask(Opening{ID: "tenant", Class: "c", Tenant: "x"})
-	ask(Opening{ID: "none", Class: "c"})
+	open := func(o Opening) { w.core.Open(&fakeDownstream{w, o.ID}, &o, nil) }
+	open(Opening{ID: "class", Class: "x", Tenant: "t"})
+	open(Opening{ID: "tenant", Class: "c", Tenant: "x"})
+	open(Opening{ID: "none", Class: "c"})
 	w.expect("fail class", "fail tenant", "fail none")
-	ask(Opening{ID: "long", Class: "c", Tenant: "t", Wait: 500 * time.Hour, HasWait: true})
-	ask(Opening{ID: "long", Class: "c", Tenant: "t"})
+	open(Opening{ID: "long", Class: "c", Tenant: "t", Wait: 500 * time.Hour, HasWait: true})
+	open(Opening{ID: "long", Class: "c", Tenant: "t"})
 	w.expect("request long", "fail long")
 	w.pass(4900 * time.Millisecond)
 	w.expect("fail long", "left long")
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -42,7 +42,7 @@
 	d.events, d.effects = nil, nil
 }
 
-// carryOutEffects carries out what the module asked for while it handled an event.
+// carryOutEffects carries out the module's effects of the event that it handled.
 func (d *decisionLoop) carryOutEffects(about *Request) {
 	for len(d.effects) > 0 {
 		effect := d.effects[0]
--- a/internal/dataplane/proxy/decide_test.go
+++ b/internal/dataplane/proxy/decide_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer"
 )
 
-// Effects come after the event that asked for them, and the events that they cause after all of them; a panic ends one step alone.
+// Effects come after the event that caused them, and the events that they cause after all of them; a panic ends one step alone.
 func TestEffectsFollowTheirEvent(t *testing.T) {
 	d := decisionLoop{now: func() balancer.Time { return 1 }}
 	var done []string
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -68,14 +68,14 @@
 	})
 }
 
-// WatchList begins or ends the watch of the endpoint list, which main's balancer asks for all pools.
+// WatchList begins or ends the watch of the endpoint list, which main's balancer does for all pools.
 func (e *effects) WatchList(on bool) {
 	if e.pool.name == namespace.Main {
 		e.core.decisions.addEffect(func() { e.core.discovery.WatchList(on) })
 	}
 }
 
-// FetchList fetches the whole endpoint list, which main's balancer asks for all pools.
+// FetchList fetches the complete endpoint list, which main's balancer does for all pools.
 func (e *effects) FetchList() {
 	if e.pool.name == namespace.Main {
 		e.core.decisions.addEffect(func() { e.core.discovery.FetchList() })
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -18,7 +18,7 @@
 	// HandOver hands an open connection to the next process; migrationLine is for its client should that fail. done is called on the
 	// loop once the connection has left this process: until then the process must not end.
 	HandOver(s *HandedOverConnection, migrationLine []byte, done func())
-	// Accepts tells whether there is a next process that takes connections now.
+	// Accepts reports whether there is a next process that takes connections now.
 	Accepts() bool
 }
 
--- a/internal/dataplane/proxy/healthcheck.go
+++ b/internal/dataplane/proxy/healthcheck.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/balancer"
 )
 
-// checkHost asks a host how loaded it is, for a pool's balancer. One that takes nothing new, and one that is not known any more, is left
+// checkHost polls a host for its load, for a pool's balancer. One that takes nothing new, and one that is not known any more, is left
 // alone.
 func (c *Core) checkHost(p *pool, id string) {
 	began := c.loop.Now()
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer"
 )
 
-// The system's clock is set while the process runs. A host that starts anew after that counts as cold, whether its own machine's clock was set as
+// The system's clock is set while the process runs. A host that restarts after that counts as warming up, whether its own machine's clock was set as
 // well or not.
 func TestHostStartAfterTheClockWasSet(t *testing.T) {
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -10,7 +10,7 @@
 // Balancer is the part of the decision module that the core calls. It is called from one goroutine, and never from inside one of its
 // effects.
 type Balancer interface {
-	// RequestArrived asks to place a request.
+	// RequestArrived has a request placed.
 	RequestArrived(now balancer.Time, q balancer.Request)
 	// ConnectionAdopted brings an open connection that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
@@ -43,10 +43,10 @@
 	SendToPeer(peer int, data []byte)
 }
 
-// Discovery is what the decision module may ask of discovery.
+// Discovery is what the decision module uses of discovery.
 type Discovery interface {
 	WatchList(on bool) // be notified of changes of the endpoint list
-	FetchList()        // fetch the whole list
+	FetchList()        // fetch the complete list
 }
 
 // Downstream is a client's connection. Accept, Reject and Fail are answers: a request gets one.
@@ -56,7 +56,7 @@
 	Fail()                      // a local reply that promises nothing
 	Pass(m Message) bool        // false: not now, DownstreamReady follows
 	Pump()                      // offer again what the core did not take
-	Migrate()                   // end it; its client opens it anew
+	Migrate()                   // end it; its client opens it again
 	MigrationLine() []byte      // what Migrate writes
 	End(cause netio.Cause)      // end it as the other side ended
 }
@@ -87,9 +87,9 @@
 // Target is an upstream host as a Connector needs to know it.
 type Target struct{ ID, Zone, Address string }
 
-// HealthChecker asks upstream hosts how loaded they are.
+// HealthChecker polls upstream hosts for their load.
 type HealthChecker interface {
-	// Check asks a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
+	// Check polls a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
 	Check(to Target, done func(status balancer.AttemptStatus, load []float64))
 	Forget(host string) // ends the checks of a host that takes nothing new
 }
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -8,10 +8,10 @@
 	"croftlock/internal/balancer"
 )
 
-// Hosts report a connection's load and their message delay in the same form, a figure in a LOAD line, with nothing to tell them apart.
+// Hosts report a connection's load and their message delay in the same form, a figure in a LOAD line, with nothing to distinguish them.
 // A load is in microseconds of work a second. A delay is in milliseconds; it comes once a second, on one connection of each proxy, while
 // messages are slow, with a last one once they are not. A delay taken for a load hides a slow host and makes the busiest connection
-// seem idle; a load taken for a delay migrates clients off a healthy host. The constants below tell the two apart by size and rhythm.
+// seem idle; a load taken for a delay migrates clients off a healthy host. The constants below distinguish the two by size and rhythm.
 const (
 	minPlausibleLoad      = 500  // µs/s; below this, a load figure is read as a delay in milliseconds
 	minPlausibleFirstLoad = 1500 // µs/s; the same for the first figure of a connection, which is likelier to be a delay
@@ -33,7 +33,7 @@
 	steadyToleranceWithLoad = int64(20 * time.Millisecond)
 )
 
-// loadClassifier tells the loads from the delays among the figures that one host reports. Times are in nanoseconds.
+// loadClassifier distinguishes loads from delays among the figures that one host reports. Times are in nanoseconds.
 type loadClassifier struct {
 	delay   float64 // ms, the last figure that was taken for a delay
 	delayAt int64   // when that was; 0: never
@@ -44,17 +44,17 @@
 	candidateOn *upstreamRequest // the connection that it came on
 }
 
-// inDelayRun tells whether the host is reporting its delays.
+// inDelayRun reports whether the host is reporting its delays.
 func (d *loadClassifier) inDelayRun(now int64) bool {
 	return d.delayAt > 0 && now-d.delayAt < delayRunGap
 }
 
-// isSteady tells whether a figure comes delayInterval after the last candidate, which two changes of load hardly do.
+// isSteady reports whether a figure comes delayInterval after the last candidate, which two changes of load hardly do.
 func (d *loadClassifier) isSteady(now, tolerance int64) bool {
 	return d.candidateAt > 0 && max(now-d.candidateAt-delayInterval, d.candidateAt+delayInterval-now) < tolerance
 }
 
-// isDelay tells whether a figure is a delay, at a host whose own load is not known. load is the connection's last one, 0 before the first.
+// isDelay reports whether a figure is a delay, at a host whose own load is not known. load is the connection's last one, 0 before the first.
 //
 // The first figure of a connection is its load, unless it is too small for one: not every host reports the load right after its
 // acceptance. From then on a figure near that of a connection with a small load is a load again.
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestReasonsHaveNames: each reason is one word that the log can be searched for.
+// TestReasonsHaveNames: each reason is one token that the log can be searched for.
 func TestReasonsHaveNames(t *testing.T) {
 	var names []string
 	for r := decidedByBalancer; r <= balancerUnresponsive; r++ {
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -51,7 +51,7 @@
 	return latency
 }
 
-// due tells whether to report a latency: once an interval while it is above the threshold, and once more when it is back under.
+// due reports whether to report a latency: once an interval while it is above the threshold, and once more when it is back under.
 func (l *messageLatency) due(now, latency, threshold int64) bool {
 	slow := latency > threshold
 	if !slow && !l.reportedAsSlow {
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -12,7 +12,7 @@
 }
 
 const (
-	// pacerInterval is the pause before clients that still wait ask for permits again.
+	// pacerInterval is the pause before permits are requested again for clients that still wait.
 	pacerInterval = 100 * time.Millisecond
 	// maxPendingMigrations bounds the clients that wait for a permit; beyond it they migrate at once, as without a pace. A proxy's
 	// descriptors bound their number in any case.
@@ -25,7 +25,7 @@
 	pacer     Pacer         // nil: no pace
 	unpaced   bool          // the process shuts down: nobody waits
 	pending   []func() bool // waiting for a permit
-	requested bool          // permits are asked for, and not answered yet
+	requested bool          // permits are requested, and not answered yet
 }
 
 // submit migrates a client in its turn. migrate gives false where there is no connection any more; its permit then goes to the next one.
@@ -46,7 +46,7 @@
 	p.pacer.RequestMigrations(len(p.pending), p.permitted)
 }
 
-// permitted migrates n clients, and asks again for those that still wait.
+// permitted migrates n clients, and requests permits again for those that still wait.
 func (p *migrationPacer) permitted(n int) {
 	p.requested = false
 	for n > 0 && len(p.pending) > 0 {
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -75,7 +75,7 @@
 	return w
 }
 
-// list is the whole endpoint list.
+// list is the complete endpoint list.
 func (w *poolHarness) list() Change {
 	return Change{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"], w.hosts["B"], w.hosts["C"], w.hosts["D"]}}
 }
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A request that may have run, and must not run twice, is not placed anew in another pool, whose balancer knows nothing of that.
-func TestRequestThatMayHaveRunIsNotPlacedAnew(t *testing.T) {
+// A request that may have run, and must not run twice, is not placed again in another pool, whose balancer knows nothing of that.
+func TestRequestThatMayHaveRunIsNotPlacedAgain(t *testing.T) {
 	for idempotency, want := range map[balancer.Idempotency]string{balancer.IdempotentWithKey: "fail r", balancer.Idempotent: "start at-B"} {
 		w := newClock(t)
 		enforcer := &rules.Enforcer{Now: func() int64 { return w.now }}
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// placeInPool has a request placed anew in another pool: the rules have changed since it came. One that may have run and is not
+// placeInPool has a request placed again in another pool: the rules have changed since it came. One that may have run and is not
 // idempotent fails, since the other pool's balancer knows nothing of its attempts. number is the attempt that was not begun.
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
@@ -91,7 +91,7 @@
 		r.rejectOrFail(c.RetryAdvice(), noUsableHost)
 		return
 	}
-	if !r.record.MayPlaceAnew() {
+	if !r.record.MayPlaceAgain() {
 		r.fail(metrics.Failed, retryUnsafe)
 		return
 	}
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -47,14 +47,14 @@
 	phase                  requestPhase
 	adopted                bool             // open at a host before this proxy's start
 	attempts               int              // begun so far, in all pools
-	attemptsInEarlierPools int              // begun before its pool's balancer was asked
+	attemptsInEarlierPools int              // begun before the request came to its pool's balancer
 	attempt                *upstreamRequest // the attempt in flight, and once it is established the connection; nil: none
 }
 
-// answered tells whether the client has its answer, or has left.
+// answered reports whether the client has its answer, or has left.
 func (r *Request) answered() bool { return r.phase != awaitingAnswer }
 
-// isOpen tells whether its connection is open at a host.
+// isOpen reports whether its connection is open at a host.
 func (r *Request) isOpen() bool { return r.attempt != nil && r.attempt.established }
 
 // becomeEstablished is the host's acceptance.
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaySend tells whether the first line may be written now that the connection is established. Meanwhile its host may have become unusable, and
+// MaySend reports whether the first line may be written now that the connection is established. Meanwhile its host may have become unusable, and
 // the dedup window of a retry may have ended. False: the attempt has been ended.
 func (a *upstreamRequest) MaySend() bool {
 	if a.request.attempt != a {
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// keyed opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is reset after 300 ms, and the second one begins at once.
-func keyed(t *testing.T) *harness {
+// openWithKey opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is reset after 300 ms, and the second one begins at once.
+func openWithKey(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
 	c := &w.core.opt.Settings.Classes[0]
@@ -35,7 +35,7 @@
 
 // A retry whose connection is established late is not written after the dedup window.
 func TestRetryIsWrittenWithinItsWindowOrNotAtAll(t *testing.T) {
-	w := keyed(t)
+	w := openWithKey(t)
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700")
 	w.pass(190 * time.Millisecond)
 	w.expect()
@@ -45,7 +45,7 @@
 
 // The connection is established in the moment in which the window ends, before its timer runs.
 func TestRetryWhoseConnectionIsEstablishedTooLate(t *testing.T) {
-	w := keyed(t)
+	w := openWithKey(t)
 	if !w.upstreams[1].events.MaySend() {
 		t.Fatal("a retry within its window is blocked")
 	}
@@ -59,7 +59,7 @@
 
 // A retry that is written within the window goes on after it.
 func TestRetryThatIsWrittenGoesOn(t *testing.T) {
-	w := keyed(t)
+	w := openWithKey(t)
 	w.upstreams[1].sent()
 	w.pass(400 * time.Millisecond)
 	w.upstreams[1].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -156,7 +156,7 @@
 	c.loop.After(shutdownStepInterval, s.step)
 }
 
-// isIdle tells whether enough steps in a row have found nothing left.
+// isIdle reports whether enough steps in a row have found nothing left.
 func (s *shutdown) isIdle(left int, passed int64) bool {
 	if passed > s.schedule.migrateFrom && left == 0 && s.core.admission.downstreams == 0 {
 		s.idleSteps++
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Whatever the deadlines, the moments of a shutdown come in order and before SIGKILL, and a request whose deadline counts whole has it whole.
+// Whatever the deadlines, the moments of a shutdown come in order and before SIGKILL, and a request whose deadline counts in full has all of it.
 func TestScheduleEndsBeforeTheKill(t *testing.T) {
 	for _, deadline := range []time.Duration{0, time.Millisecond, 100, 400, 1000, 2000, 2999, 3000, 4800, 60000} {
 		deadline *= time.Millisecond
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// isPlausible tells whether the entry can have been in an endpoint list.
+// isPlausible reports whether the entry can have been in an endpoint list.
 func (e *HostEntry) isPlausible() bool {
 	return e.ID != "" && len(e.ID) <= maxIDLength && len(e.Address) <= maxIDLength &&
 		e.State >= balancer.Ready && e.State <= balancer.Removed &&
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// SuspendForFleet applies the whole list of hosts that are suspended for the fleet: one that is not on it any more comes back.
+// SuspendForFleet applies the complete list of hosts that are suspended for the fleet: one that is not on it any more comes back.
 func (c *Core) SuspendForFleet(ids []string) {
 	s := c.hosts.suspensions
 	before := map[string]maintenance.Suspension{}
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -125,7 +125,7 @@
 				}
 			case 7:
 				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
-					w.loop, w.upstreams = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process is gone
+					w.loop, w.upstreams = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process has ended
 					w.begin(k)
 				}
 			}
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -10,7 +10,7 @@
 type Watermarks interface {
 	// Listed receives the own list's change before it takes effect, and names the hosts for which what others say begins or ends to count.
 	Listed(ch Change) []string
-	// Out tells whether a host that is ready in the own list gets nothing new; since is its start in that list.
+	// Out reports whether a host that is ready in the own list gets nothing new; since is its start in that list.
 	Out(id string, since balancer.Time) bool
 }
 
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -42,7 +42,7 @@
 	OwnTrust   Reason = "own_trust_unusable" // the bundle or a revocation list
 )
 
-// Own tells whether the proxy's own files are at fault.
+// Own reports whether the proxy's own files are at fault.
 func (r Reason) Own() bool { return r == OwnExpired || r == OwnTrust }
 
 // Failure is a handshake that did not come about.
@@ -73,7 +73,7 @@
 
 const (
 	alertVersion          = 70
-	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the name asked for
+	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the requested name
 )
 
 // alertOf finds the alert that the peer sent. crypto/tls does not export its type.
@@ -87,14 +87,14 @@
 	return 0, false
 }
 
-// classify finds the reason in an error of crypto/tls. heard: something had come from the peer.
-func classify(err error, heard bool) *Failure {
+// classify finds the reason in an error of crypto/tls. received: something had come from the peer.
+func classify(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
 	}
 	f = &Failure{Reason: Protocol, Step: "hello", Err: err}
-	if heard {
+	if received {
 		f.Step = "finish"
 	}
 	var header tls.RecordHeaderError
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Faults of the proxy's own files are told from those of hosts, before any host is connected to.
+// Faults of the proxy's own files are distinguished from those of hosts, before any host is connected to.
 func TestOwnFaults(t *testing.T) {
 	b := newBench(t, func(b *bench) {
 		if _, err := b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -15,7 +15,7 @@
 // Host is an upstream host to connect to.
 type Host struct{ ID, Zone, Address string }
 
-// kernelBuffer is the size, in bytes, that the kernel is asked to buffer for a connection, as netio does.
+// kernelBuffer is the size, in bytes, of the buffer requested from the kernel for a connection, as netio does.
 const kernelBuffer = 16 << 10
 
 // Link opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -102,7 +102,7 @@
 	}}
 }
 
-// isUsablePattern tells whether a pattern has known placeholders only, and one that differs between hosts.
+// isUsablePattern reports whether a pattern has known placeholders only, and one that differs between hosts.
 func isUsablePattern(s string) bool {
 	distinct := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
 	rest := strings.NewReplacer("{uid}", "", "{zone}", "", "{host}", "").Replace(s)
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -74,7 +74,7 @@
 	p.cache.put(p.key, s, time.Unix(0, p.chainValidUntil.Load()))
 }
 
-// resumable tells whether there is a session to resume.
+// resumable reports whether there is a session to resume.
 func (p *tlsPeer) resumable() bool {
 	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wall()) != nil
 }
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -35,13 +35,13 @@
 	}
 	poll(false)
 	// In place, and read while half of it is there.
-	whole := append(certs.Bundle(b.pki.Trusted.Root.Cert), certs.Bundle(b.pki.Other.Root.Cert)...)
-	os.WriteFile(b.opt.Trust[0], whole[:len(whole)-100], 0o644)
+	bundle := append(certs.Bundle(b.pki.Trusted.Root.Cert), certs.Bundle(b.pki.Other.Root.Cert)...)
+	os.WriteFile(b.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
 	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
 		t.Errorf("the last fault is %q", w.lastFault)
 	}
-	os.WriteFile(b.opt.Trust[0], whole, 0o644)
+	os.WriteFile(b.opt.Trust[0], bundle, 0o644)
 	if next := poll(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
 		t.Errorf("%d authorities, epoch %d", next.authorities, next.Epoch)
 	}
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -135,7 +135,7 @@
 	return recordHeaderLength
 }
 
-// hasWholeRecord tells whether a complete record, or all that is left of one, has come.
+// hasWholeRecord reports whether a complete record, or all that is left of one, has come.
 func (w *sealedSocket) hasWholeRecord() bool { return w.sealed.Len() >= w.recordBytes() }
 
 // attach has the socket send by send, and read nothing but what is appended to sealed.
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// Verify tells until when a host that shows these certificates counts as the one of that name; an error: it does not. A chain's signatures are
+// Verify gives until when a host that shows these certificates counts as the one of that name; an error: it does not. A chain's signatures are
 // verified once for each epoch and name; its times every time.
 func (m *Material) Verify(shown []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(shown) == 0 {
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -17,7 +17,7 @@
 	rereadAfterChange = 3 * time.Second
 )
 
-// reload asks the watcher to poll now, with other options if there are any.
+// reload has the watcher poll now, with other options if there are any.
 type reload struct{ options *Options }
 
 // Reload has the files read again at once, by the options given or, for nil, by those in use. Whether hosts are reached
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("%s,%s_left", t.UTC().Format(time.RFC3339), t.Sub(now).Round(time.Second))
 }
 
-// sameOptions tells whether two sets of options are equal.
+// sameOptions reports whether two sets of options are equal.
 func sameOptions(a, b Options) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
 // signature differs between versions of the files; it does not read them.
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -137,7 +137,7 @@
 	k.beginAllowed()
 }
 
-// stillTrusted tells whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
+// stillTrusted reports whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
 func (k *Link) stillTrusted(p *tlsPeer, s *session) bool {
 	_, err := k.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, k.wallClock())
 	return err == nil
