--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -32,7 +32,7 @@
 		if len(v.Pools) > 0 {
 			pool = v.Pools[0]
 		}
-		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Refused,
+		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Rejected,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
 	v.Advice = c.boundedRetryAfter(v.Advice)
@@ -62,7 +62,7 @@
 	}
 	v = c.judge(r.tenant, r.class().Name, &r.attributes)
 	switch {
-	case v.Refused:
+	case v.Rejected:
 		return v, rulesReject
 	case v.Pools != nil && !slices.Contains(v.Pools, r.pool.name), v.Pools == nil && r.pool != c.pools.main:
 		return v, rulesOtherPool
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -28,7 +28,7 @@
 	var in *pool
 	if o.StickyHost == "" {
 		var reason localReplyReason
-		if in, reason = c.placement(&verdict); verdict.Refused {
+		if in, reason = c.placement(&verdict); verdict.Rejected {
 			c.rejectOpening(d, &q, metrics.Rejected, reason, verdict.Advice)
 			return nil
 		}
@@ -90,8 +90,8 @@
 // reason is that of a rejection.
 func (c *Core) placement(v *rules.Verdict) (in *pool, reason localReplyReason) {
 	in, reason = c.choosePool(v.Pools), forbiddenByRules
-	if in == nil && !v.Refused {
-		v.Refused, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
+	if in == nil && !v.Rejected {
+		v.Rejected, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
 	}
 	return in, reason
 }
--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -11,10 +11,10 @@
 // promotionLag is how many commands a learner may lag behind and still be promoted.
 const promotionLag = 64
 
-// Add adds a process that has asked for it to the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
+// Add adds a process that has applied for it to the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
-	id, asks := c.joining.applicants[name]
-	if !asks {
+	id, isApplicant := c.joining.applicants[name]
+	if !isApplicant {
 		return fmt.Errorf("%s has not asked to be taken in: start it with an empty store and this group's name", name)
 	}
 	if c.configuration.contains(id) {
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -22,7 +22,7 @@
 	StatusMember = group.StatusMember
 )
 
-// Errors of what is asked of a Core.
+// Errors of requests to a Core.
 var (
 	ErrNotLeader      = group.ErrNotLeader
 	ErrCommandTooLong = group.ErrCommandTooLong
@@ -57,7 +57,7 @@
 	Seed            uint64
 	TickInterval    Time // between two calls of Tick; 0: 100 ms
 	HeartbeatTicks  int  // between two heartbeats of a leader; 0: 2
-	ElectionTicks   int  // a leader that is not heard for this to twice this, drawn at random, counts as lost; 0: 8
+	ElectionTicks   int  // a leader without a message for this to twice this, drawn at random, counts as lost; 0: 8
 	SnapshotEvery   int  // commands after which a snapshot is taken; 0: 512
 	TrailingEntries int  // commands kept behind a snapshot, for replicas that lag; 0: 128
 }
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -24,7 +24,7 @@
 	failure     error // of Broken
 	identity    Identity
 	incarnation uint64      // of this start
-	recovered   StoredState // what the store held at the start; raft takes its entries once it runs
+	recovered   StoredState // what the store contained at the start; raft takes its entries once it runs
 
 	joining       joining
 	configuration configuration
@@ -75,7 +75,7 @@
 // recover restores the stored snapshot and counts this start.
 func (c *Core) recover() error {
 	if c.identity.ID == 0 {
-		c.recovered = StoredState{} // a bootstrap that was not completed starts anew
+		c.recovered = StoredState{} // a bootstrap that was not completed starts again
 	} else if !raft.IsEmptySnap(c.recovered.Snapshot) {
 		if err := c.restoreSnapshot(c.recovered.Snapshot); err != nil {
 			return err
@@ -118,7 +118,7 @@
 	c.processReady()
 }
 
-// tickLeader counts the time that a leader was paused, too, so that it steps down if it did not hear a majority for an election timeout.
+// tickLeader counts the time that a leader was paused, too, so that it steps down if no messages of a majority came for an election timeout.
 func (c *Core) tickLeader(late Time) {
 	ticks := max(1, min(late/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
@@ -130,7 +130,7 @@
 func (c *Core) tickFollower(late Time) {
 	c.node.TickQuiesced()
 	if late > lateTicks*c.cfg.TickInterval {
-		c.election.reset(c.now) // this process was paused: that it did not hear the leader shows nothing
+		c.election.reset(c.now) // this process was paused: missing messages of the leader show nothing
 	}
 	if c.election.expired(c.now) && c.configuration.isVoter(c.identity.ID) {
 		c.election.reset(c.now)
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -85,7 +85,7 @@
 	}
 	g.propose("two")
 	if err := g.leader().Add(g.now, 1, "x"); err == nil {
-		t.Error("a process that never asked is added")
+		t.Error("a process that never applied is added")
 	}
 	g.change("add", func(leader *Core, tag uint64) error { return leader.Add(g.now, tag, "b") })
 	g.change("promote", func(leader *Core, tag uint64) error { return leader.Promote(g.now, tag, "b") })
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -72,7 +72,7 @@
 	return d.Sync()
 }
 
-// recoverable are the system's errors after which a file is unchanged: there was no room, or no permission to write.
+// recoverable are the system's errors after which a file is unchanged: there was no space, or no permission to write.
 var recoverable = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
 // Recoverable reports whether the same process may open a store again after an error. After other errors, above all of a sync, what the system
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestSnapshotBeyondTheLog: a snapshot of another replica that is beyond the whole log replaces it.
+// TestSnapshotBeyondTheLog: a snapshot of another replica that is beyond the complete log replaces it.
 func TestSnapshotBeyondTheLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fill(t, path)
@@ -159,7 +159,7 @@
 	}
 }
 
-// limitFileSize limits the size of files that this process writes, in place of a disk without room. It returns a function that ends that.
+// limitFileSize limits the size of files that this process writes, in place of a full disk. It returns a function that ends that.
 func limitFileSize(t *testing.T, bytes uint64) (restore func()) {
 	t.Helper()
 	var before unix.Rlimit
@@ -176,7 +176,7 @@
 	}
 }
 
-// TestFullDisk: on a full disk a call that saves fails, as do all after it, and with room again the file opens with what was saved before.
+// TestFullDisk: on a full disk a call that saves fails, as do all after it, and with free space again the file opens with what was saved before.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	s := mustOpen(t, path)
@@ -191,7 +191,7 @@
 	afterwards := s.Save(raftpb.HardState{Term: 2}, nil, raftpb.Snapshot{})
 	restore()
 	if full == nil || !Recoverable(full) {
-		t.Fatalf("without room: got %v, want a recoverable error", full)
+		t.Fatalf("full disk: got %v, want a recoverable error", full)
 	}
 	if afterwards == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
 		t.Error("a store that failed saves again")
@@ -224,12 +224,12 @@
 		err         error
 		recoverable bool
 	}{
-		{"no room to write", &os.PathError{Op: "write", Err: syscall.ENOSPC}, true},
+		{"no space to write", &os.PathError{Op: "write", Err: syscall.ENOSPC}, true},
 		{"read-only file system", &os.PathError{Op: "open", Err: syscall.EROFS}, true},
 		{"I/O error", &os.PathError{Op: "write", Err: syscall.EIO}, false},
-		{"no room at a sync", &os.PathError{Op: "sync", Err: syscall.ENOSPC}, false},
+		{"no space at a sync", &os.PathError{Op: "sync", Err: syscall.ENOSPC}, false},
 		{"I/O error of no known call", syscall.EIO, false},
-		{"no room at no known call", syscall.ENOSPC, false},
+		{"no space at no known call", syscall.ENOSPC, false},
 	} {
 		if got := Recoverable(fmt.Errorf("store: %w", c.err)); got != c.recoverable {
 			t.Errorf("%s: got %t, want %t", c.name, got, c.recoverable)
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -15,7 +15,7 @@
 //   - Durability: a process votes and acknowledges only what its Store has made durable.
 //   - Fail-stop: one whose Store fails stops at once.
 //   - Staleness: one whose Store is older than what others have received from it (a file restored from a backup) takes no part. At each start
-//     the others are asked.
+//     the others are queried.
 //
 // See docs/design-ownership.md.
 package consensus
--- a/internal/fleet/consensus/election.go
+++ b/internal/fleet/consensus/election.go
@@ -7,7 +7,7 @@
 type electionTimer struct {
 	rng      *rand.Rand
 	shortest Time
-	since    Time // when the leader was last heard, or this process last voted
+	since    Time // when a message of the leader last came, or this process last voted
 	timeout  Time
 }
 
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -18,14 +18,14 @@
 	logTerm, logIndex uint64 // the last log entry that it must have
 }
 
-// joining is what this process has heard from others for its own start, and what it knows of them for theirs.
+// joining is what this process has received from others for its own start, and what it knows of them for theirs.
 type joining struct {
 	startedAt    Time                   // below 0: no tick yet
 	lastHello    Time                   // 0: none
 	answers      map[uint32]bool        // by peer whose answer counts: whether it knows a group
 	startRecords map[uint64]StartRecord // stored, by replica
 	received     map[uint64]evidence    // since this process started, by replica
-	applicants   map[string]uint64      // identities of the processes that ask to be added, by name
+	applicants   map[string]uint64      // identities of the processes that apply to be added, by name
 }
 
 func newJoining(stored map[uint64]StartRecord) joining {
@@ -72,7 +72,7 @@
 	j.received[m.From] = e
 }
 
-// otherVoters are the peers that a start asks: all voters other than this process.
+// otherVoters are the peers that a start queries: all voters other than this process.
 func (c *Core) otherVoters() (peers []uint32) {
 	self := PeerID(c.cfg.Name)
 	add := func(p uint32) {
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -33,7 +33,7 @@
 	return peerOf(c.node.BasicStatus().Lead)
 }
 
-// Confirm asks the voters whether this process still leads; Effects.Confirmed is called with the tag if so, and never if not. The error is
+// Confirm queries the voters whether this process still leads; Effects.Confirmed is called with the tag if so, and never if not. The error is
 // ErrNotLeader.
 func (c *Core) Confirm(now Time, tag uint64) error {
 	c.now = max(c.now, now)
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -12,7 +12,7 @@
 // The kinds of message, as their first number.
 const (
 	kindRaft    = 1 // a message of the raft library
-	kindHello   = 2 // a starting process asks what is known of it
+	kindHello   = 2 // a starting process queries what is known of it
 	kindWelcome = 3 // the answer to a hello
 )
 
--- a/internal/fleet/consensus/phase.go
+++ b/internal/fleet/consensus/phase.go
@@ -5,7 +5,7 @@
 
 // The phases.
 const (
-	Starting  Phase = iota // asks the others what they know of it
+	Starting  Phase = iota // queries the others for what they know of it
 	NotMember              // of no group, or not yet a member
 	Member                 // takes part
 	Stale                  // its store is older than what others have received from it: an operator must replace it
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -69,7 +69,7 @@
 	return false
 }
 
-// startRaft starts the raft library with what the store held.
+// startRaft starts the raft library with what the store contained.
 func (c *Core) startRaft() {
 	c.storage = raft.NewMemoryStorage()
 	if !raft.IsEmptySnap(c.recovered.Snapshot) {
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -18,7 +18,7 @@
 type Machine interface {
 	// Apply carries out a command, and gives its result to the proposer.
 	Apply(cmd []byte) (result []byte)
-	// Snapshot encodes the whole state.
+	// Snapshot encodes the complete state.
 	Snapshot() []byte
 	// Restore replaces the state by a snapshot. An error changes nothing.
 	Restore(data []byte) error
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -9,9 +9,9 @@
 
 // MigrationPacer is each proxy's part in the rate of migrations: when it may migrate a client.
 type MigrationPacer struct {
-	Rate      float64 // migrations a second, over the whole fleet
+	Rate      float64 // migrations a second, fleet-wide
 	FleetSize int     // proxies that the fleet is meant to have
-	// SendQuery asks the owner for permits; ReplyReceived gets the reply under the tag. nil: there is no owner.
+	// SendQuery queries the owner for permits; ReplyReceived gets the reply under the tag. nil: there is no owner.
 	SendQuery func(tag uint64, body []byte)
 
 	lastTag        uint64
@@ -29,7 +29,7 @@
 	expiresAt Time
 }
 
-// Allow reports how many of the wanted migrations may happen now, and asks for permits for the rest.
+// Allow reports how many of the wanted migrations may happen now, and requests permits for the rest.
 func (p *MigrationPacer) Allow(now Time, want int) int {
 	allowed := p.usePermits(now, want)
 	allowed += p.useOwnShare(now, want-allowed)
@@ -76,7 +76,7 @@
 	return used
 }
 
-// queryOwner asks for permits; there is one query at a time, until its permits would have expired.
+// queryOwner requests permits; there is one query at a time, until its permits would have expired.
 func (p *MigrationPacer) queryOwner(now Time, want int) {
 	for tag, at := range p.pendingQueries {
 		if now-at > permitLifetime {
@@ -97,15 +97,15 @@
 
 // ReplyReceived takes permits. Their lifetime counts from the query, so that here they expire before they do by the owner's count.
 func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
-	askedAt, asked := p.pendingQueries[tag]
+	queriedAt, pending := p.pendingQueries[tag]
 	r := encoding.Reader{Data: body}
 	count := r.Uint()
-	if !asked || r.Err() != nil || now >= askedAt+permitLifetime {
+	if !pending || r.Err() != nil || now >= queriedAt+permitLifetime {
 		return
 	}
 	delete(p.pendingQueries, tag)
 	p.ownerReplied, p.ownerRepliedAt = true, now
 	if count > 0 {
-		p.permits = append(p.permits, permits{count, askedAt + permitLifetime})
+		p.permits = append(p.permits, permits{count, queriedAt + permitLifetime})
 	}
 }
--- a/internal/fleet/jobs/migrationpermits.go
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -14,7 +14,7 @@
 // MigrationPermits is the owner's part in the rate of migrations: it grants permits from one token bucket. Its checkpoint is empty, since permits
 // expire.
 type MigrationPermits struct {
-	Rate      float64 // migrations a second, over the whole fleet
+	Rate      float64 // migrations a second, fleet-wide
 	FleetSize int     // proxies that the fleet is meant to have
 
 	owner            Owner
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// MaxHosts bounds how many hosts may be suspended for the whole fleet.
+	// MaxHosts bounds how many hosts may be suspended fleet-wide.
 	MaxHosts = 256
 
 	maxHostIDBytes = 128
@@ -50,7 +50,7 @@
 	return c, nil
 }
 
-// SuspendCommand suspends or resumes a host for the whole fleet.
+// SuspendCommand suspends or resumes a host fleet-wide.
 func SuspendCommand(suspend bool, host string) []byte {
 	kind := commandResume
 	if suspend {
@@ -59,7 +59,7 @@
 	return hostCommand{kind, host}.encode()
 }
 
-// ListCommand asks which hosts are suspended for the whole fleet.
+// ListCommand queries which hosts are suspended fleet-wide.
 func ListCommand() []byte { return hostCommand{kind: commandList}.encode() }
 
 // hostList is the suspended hosts, sorted.
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -17,7 +17,7 @@
 	resendInterval = 500 * ms
 )
 
-// SuspendedHosts is the job of the hosts that operators suspend for the whole fleet. Its owner orders the commands. Each effect is the complete
+// SuspendedHosts is the job of the hosts that operators suspend fleet-wide. Its owner orders the commands. Each effect is the complete
 // list, so that one that arrives late is superseded and not needed. A list is sent only once the group has stored it: a later owner has it then.
 type SuspendedHosts struct {
 	// Apply applies the list at this process; nil: it is not applied.
--- a/internal/fleet/jobs/suspendedhosts_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -85,7 +85,7 @@
 	for i := range MaxHosts + 1 {
 		tag := uint64(i + 1)
 		g.command(tag, SuspendCommand(true, fmt.Sprintf("host%03d", i)))
-		if refused := strings.HasPrefix(g.answers[tag], "refused"); refused != (i == MaxHosts) {
+		if rejected := strings.HasPrefix(g.answers[tag], "refused"); rejected != (i == MaxHosts) {
 			t.Errorf("host %d: answered %q", i, g.answers[tag])
 		}
 	}
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -20,7 +20,7 @@
 	b.FilledAt = now
 }
 
-// Take takes as many whole tokens as are wanted and available.
+// Take takes as many full tokens as are wanted and available.
 func (b *Bucket) Take(want uint64) uint64 {
 	n := uint64(max(0, min(float64(want), b.Tokens)))
 	b.Tokens -= float64(n)
--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -1,6 +1,6 @@
 // Package memberagent runs membership in a process: it owns the socket, the timer on the event loop, the seal over datagrams, the log and
-// report for operators, and the section of the settings file. What is known of the other members is membership's, and so are the words member,
-// slot and address. Peer stands here only where operators know it: for the section's list of addresses, and for a slot in reports.
+// report for operators, and the section of the settings file. What is known of the other members is membership's, and so are the terms member,
+// slot and address. Peer is used here only where operators know it: for the section's list of addresses, and for a slot in reports.
 package memberagent
 
 import (
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -13,7 +13,7 @@
 const (
 	// reportTimeout bounds how long the loop may take for a report, and the client to read it.
 	reportTimeout = 2 * time.Second
-	// requestTimeout bounds how long RequestReport waits for the whole report.
+	// requestTimeout bounds how long RequestReport waits for the complete report.
 	requestTimeout = 5 * time.Second
 	// inUseTimeout is how long ListenUnix waits for another process to accept on the socket.
 	inUseTimeout = time.Second
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -35,7 +35,7 @@
 	Overhead  int // bytes of each datagram that the caller adds, such as a keyed hash; 0 to 64
 
 	ProbeInterval    Time // between two probes; 0: 200 ms
-	ProbeTimeout     Time // for an answer, before others are asked to probe; 0: 150 ms
+	ProbeTimeout     Time // for an answer, before others are requested to probe; 0: 150 ms
 	UnreachableAfter Time // unheard by anybody for so long, a suspect is unreachable; 0: 2.3 s
 	GoneAfter        Time // unreachable for so long, a member is gone; 0: 10 s
 	Seed             uint64
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -45,7 +45,7 @@
 	c.send(m.Slot, d)
 }
 
-// expireProbes acts on the outstanding probes that took too long: first others are asked to probe the target, then it is suspected.
+// expireProbes acts on the outstanding probes that took too long: first others are requested to probe the target, then it is suspected.
 func (c *Core) expireProbes() {
 	for _, sequence := range c.prober.sequences() {
 		p := c.prober.outstanding[sequence]
@@ -74,7 +74,7 @@
 	c.requestIndirectProbes(relayed{sequence: sequence, target: p.target})
 }
 
-// requestIndirectProbes asks some members that are heard, drawn at random, to probe one that did not answer.
+// requestIndirectProbes has some members that are heard, drawn at random, probe one that did not answer.
 func (c *Core) requestIndirectProbes(r relayed) {
 	var able []int
 	for slot, id := range c.addresses.memberAt {
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -27,7 +27,7 @@
 	q.items = append(q.items, gossipItem{id, sends})
 }
 
-// drain offers each item to write, which reports whether it found room, and drops what has been sent often enough.
+// drain offers each item to write, which reports whether the item fitted, and drops what has been sent often enough.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	remaining := q.items[:0]
@@ -59,7 +59,7 @@
 	return MemberUpdate{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
 }
 
-// writeUpdate writes what is known of a member, with its address where addresses are learnt, and reports whether there was room.
+// writeUpdate writes what is known of a member, with its address where addresses are learnt, and reports whether it fitted.
 func (c *Core) writeUpdate(d *datagram, id uint32) bool {
 	if !d.update(c.updateFor(id)) {
 		return false
--- a/internal/fleet/membership/parts_test.go
+++ b/internal/fleet/membership/parts_test.go
@@ -92,7 +92,7 @@
 			q.spread(2, 6)
 		}
 		first := true
-		q.drain(func(id uint32) bool { // room for one
+		q.drain(func(id uint32) bool { // capacity for one
 			if !first {
 				return false
 			}
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -9,7 +9,7 @@
 const (
 	// maxHealth bounds the local health multiplier.
 	maxHealth = 8
-	// indirectProbes is how many others are asked to probe a member that did not answer.
+	// indirectProbes is how many others are requested to probe a member that did not answer.
 	indirectProbes = 3
 	// relayTimeout is how long a probe on behalf of another may take.
 	relayTimeout = 2 * sec
@@ -30,7 +30,7 @@
 type probe struct {
 	target   uint32
 	sentAt   Time
-	indirect bool   // others were asked to probe the target
+	indirect bool   // others were requested to probe the target
 	relay    *relay // nil: an own probe
 }
 
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -10,7 +10,7 @@
 	reasonOwnPause                                  // this process slept: its silence proves nothing
 	reasonNewerIncarnation                          // it had ended, and gossip names a newer incarnation
 	reasonRestarted                                 // another process under the same name
-	reasonNoAnswer                                  // neither to this process nor to those asked to probe it
+	reasonNoAnswer                                  // neither to this process nor to those requested to probe it
 	reasonNotHeardLately                            // others have not heard it lately, and this process never did
 	reasonSuspectedByOthers                         // gossip: it does not answer
 	reasonHeardByNobody                             // within Config.UnreachableAfter
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -11,12 +11,12 @@
 type Cost struct {
 	Messages, Bytes float64 // per second and process
 	Known           Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
-	FalseAlarms     float64 // per hour in the whole fleet: a living member that some process sees as unreachable
+	FalseAlarms     float64 // per hour in the fleet: a living member that some process sees as unreachable
 }
 
 // observation collects what the processes of a run conclude.
 type observation struct {
-	diedAt Time         // 0: the victim lives
+	diedAt Time         // 0: the victim is alive
 	alarms map[int]bool // members that were given up, the dead victim aside
 	knows  map[int]Time // by process: how long after the death it saw the victim as unreachable
 }
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// TestLeftIsNotUnreachable: a graceful shutdown is told apart from a death.
+// TestLeftIsNotUnreachable: a graceful shutdown is distinguished from a death.
 func TestLeftIsNotUnreachable(t *testing.T) {
 	f := New(5, 4, membership.Config{})
 	f.Schedule(5*Sec, func() { f.Leave(1) })
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -46,7 +46,7 @@
 	faultFullDisk    = "full"
 )
 
-// simulatedFaults are those that RandomPlan draws from. A seed stands for the same plan as long as their order stays.
+// simulatedFaults are those that RandomPlan draws from. A seed gives the same plan as long as their order stays.
 var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
 	faultDuplication, faultStep, faultSlow, faultDelay}
 
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -9,7 +9,7 @@
 const (
 	Joining     State = iota // not heard yet
 	Alive                    // heard lately, by this process or by another that says so
-	Suspect                  // answered neither this process nor those asked to probe it, or others say so; it still counts as a member
+	Suspect                  // answered neither this process nor those requested to probe it, or others say so; it still counts as a member
 	Unreachable              // heard by nobody for Config.UnreachableAfter; it may be cut off
 	Left                     // it announced its shutdown
 	Gone                     // unreachable for Config.GoneAfter, in the view of a majority of the fleet
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -19,7 +19,7 @@
 	*Route
 	account string
 	key     matchKey
-	pools   []string // in the order in which they are tried
+	pools   []string // in the order of preference
 	advice  time.Duration
 }
 
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -112,7 +112,7 @@
 			if err != nil || v.Account == "other" {
 				continue
 			}
-			if w := changed.Judge(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Refused != v.Refused {
+			if w := changed.Judge(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Rejected != v.Rejected {
 				rt.Fatalf("%+v: %+v, and after another customer's change %+v", q, v, w)
 			}
 		}
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -19,7 +19,7 @@
 
 func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
 
-// classesRoute stands for a route in the verdict where the account may not use the request's class.
+// classesRoute takes the place of a route in the verdict where the account may not use the request's class.
 const classesRoute = "classes"
 
 // Verdict is what becomes of a request. It shares memory with the compiled directory and must not be changed.
@@ -27,10 +27,10 @@
 	Account      string
 	RouteAccount string // the account whose route decided
 	Route        string // "": none fits, and the account's first pool takes it
-	Refused      bool
-	Reassigned   bool // refused while its tenant is reassigned to another account
+	Rejected     bool
+	Reassigned   bool // rejected while its tenant is reassigned to another account
 	Advice       time.Duration
-	Pools        []string // in the order in which they are to be tried
+	Pools        []string // in the order of preference
 }
 
 // reassignedAdvice is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
@@ -41,15 +41,15 @@
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
 	if c.previous != nil && c.previous.accountOfTenant[q.Tenant] != name {
-		return Verdict{Account: name, Refused: true, Reassigned: true, Advice: reassignedAdvice}
+		return Verdict{Account: name, Rejected: true, Reassigned: true, Advice: reassignedAdvice}
 	}
 	if len(a.settings.Classes) > 0 && !slices.Contains(a.settings.Classes, q.Class) {
-		return Verdict{Account: name, RouteAccount: name, Route: classesRoute, Refused: true}
+		return Verdict{Account: name, RouteAccount: name, Route: classesRoute, Rejected: true}
 	}
 	r := a.find(&q)
 	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, Advice: r.advice}
 	if r.Route != nil {
-		v.Route, v.Refused = r.Name, r.Refuse
+		v.Route, v.Rejected = r.Name, r.Refuse
 	}
 	return v
 }
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -30,7 +30,7 @@
 // Directory is what a version says of pools, accounts and namespaces.
 type Directory struct {
 	Pools      []Pool      `cbor:"1,keyasint,omitempty"` // by name
-	Accounts   []Account   `cbor:"2,keyasint,omitempty"` // by name: a parent stands before its children
+	Accounts   []Account   `cbor:"2,keyasint,omitempty"` // by name: a parent comes before its children
 	Namespaces []Namespace `cbor:"3,keyasint,omitempty"` // by account; "" is the operators' own
 	// Previous is the earlier assignment, while something is reassigned: a host or a tenant that changes owners gets no new requests until no process
 	// acts by the version before.
@@ -59,8 +59,8 @@
 	Tenants     []string `cbor:"2,keyasint,omitempty"`  // a request belongs to the deepest account that names its tenant
 	Pools       []string `cbor:"3,keyasint,omitempty"`  // it may use; the first gets the requests that no route fits
 	Classes     []string `cbor:"4,keyasint,omitempty"`  // it may use
-	Rate        Limit    `cbor:"5,keyasint,omitempty"`  // new connections a second, over the whole fleet
-	Connections Limit    `cbor:"6,keyasint,omitempty"`  // open connections, over the whole fleet
+	Rate        Limit    `cbor:"5,keyasint,omitempty"`  // new connections a second, fleet-wide
+	Connections Limit    `cbor:"6,keyasint,omitempty"`  // open connections, fleet-wide
 	Routes      uint32   `cbor:"7,keyasint,omitempty"`  // of its namespace; 0: as the parent has it
 	Changes     uint32   `cbor:"8,keyasint,omitempty"`  // of its namespace a minute; 0: as the parent has it
 	Grants      []Grant  `cbor:"9,keyasint,omitempty"`  // by label
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -36,7 +36,7 @@
 		q       Request
 		account string
 		route   string
-		pool    string // "": refused
+		pool    string // "": rejected
 	}{
 		{Request{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
 		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", Main},
@@ -57,7 +57,7 @@
 	} {
 		v := c.Judge(x.q)
 		pool := ""
-		if !v.Refused {
+		if !v.Rejected {
 			pool = v.Pools[0]
 		}
 		if v.Account != x.account || v.Route != x.route || pool != x.pool {
@@ -149,7 +149,7 @@
 		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
 	}
 	for tenant, reassigned := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
-		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Refused != reassigned {
+		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Rejected != reassigned {
 			t.Errorf("tenant %s: %+v", tenant, v)
 		}
 	}
@@ -206,8 +206,8 @@
 		b.Namespaces = []Namespace{own}
 		if c, err := Compile(b); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
-			if v := c.Judge(q); !v.Refused && len(v.Pools) == 0 {
-				t.Fatalf("%q: a request is neither refused nor has a pool", text)
+			if v := c.Judge(q); !v.Rejected && len(v.Pools) == 0 {
+				t.Fatalf("%q: a request is neither rejected nor has a pool", text)
 			}
 			c.Explain(q)
 		}
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -25,7 +25,7 @@
 	Pool      string   `cbor:"10,keyasint,omitempty"`
 	Fallbacks []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
 	Refuse    bool     `cbor:"12,keyasint,omitempty"`
-	Advice    uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a refused request in milliseconds; 0: none
+	Advice    uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a rejected request in milliseconds; 0: none
 }
 
 // check says what is invalid in a route by itself; "": nothing.
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -83,7 +83,7 @@
 	return Reply{Answer: a.rules.enforcer.Explain(*q.Explain)}
 }
 
-// adminMoveJob asks the coordinator to hand a job over. An answer that is not empty is its refusal.
+// adminMoveJob requests the coordinator to hand a job over. An answer that is not empty is its refusal.
 func (a *Agent) adminMoveJob(q Request) Reply {
 	answer, failed := a.queryOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
 	switch {
@@ -170,7 +170,7 @@
 
 var errNotVoter = errors.New("this proxy is no voter with a disk: ask one")
 
-// adminChangeVoters asks the group to change who votes.
+// adminChangeVoters requests the group to change who votes.
 func (a *Agent) adminChangeVoters(q Request) Reply {
 	var err error
 	if !a.onWorker(func() { err = a.changeVoters(q.Command, q.Argument) }) {
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// Request is what operators ask at the socket, one a connection.
+// Request is an operator's request at the socket, one a connection.
 type Request struct {
 	Command        string `json:"do"`          // a command: owners, move, status, add, promote, remove, suspend, resume, list, rules, explain, late
 	Argument       string `json:"a,omitempty"` // its first argument
@@ -77,7 +77,7 @@
 	json.NewEncoder(c).Encode(s.handle(q))
 }
 
-// SendRequest asks a running proxy at its socket.
+// SendRequest sends a request to a running proxy at its socket.
 func SendRequest(socket string, q Request) (Reply, error) {
 	var r Reply
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -1,5 +1,5 @@
 // Package owneragent runs the ownership package in a process: it owns the section (owners ...) of the operators' file, the worker goroutine on
-// which the replicated group, its store and the jobs run beside the event loop, their datagrams, and the socket at which operators ask.
+// which the replicated group, its store and the jobs run beside the event loop, their datagrams, and the socket for operators' requests.
 // Decisions are those of packages ownership, consensus, jobs, rules and quota.
 package owneragent
 
@@ -40,7 +40,7 @@
 	migrationPacer  *jobs.MigrationPacer // nil: migrations are not paced
 	rules           ruleAgreement
 	quota           quotaSharing
-	unreachableFrom map[string]int // members that can't hear a member, by its name
+	unreachableFrom map[string]int // members that receive nothing from a member, by its name
 	counts          Counts
 }
 
@@ -60,7 +60,7 @@
 // viewInterval is how often the worker learns who is in the fleet.
 const viewInterval = 250 * time.Millisecond
 
-// Start starts the agent. applySuspended is called on the loop with the hosts that are suspended for the whole fleet, at each change.
+// Start starts the agent. applySuspended is called on the loop with the hosts that are suspended fleet-wide, at each change.
 func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, applySuspended func(hosts []string)) (*Agent, error) {
 	if m == nil {
 		return nil, ErrMembershipOff
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -58,7 +58,7 @@
 	eventually(t, "some drills have no owner", func() bool { return countDrills(reportOf(t, a).Owned) == drills })
 	eventually(t, "a job that panics is not started again", func() bool { return atStart.starts.Load() >= 3 && later.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
-	// The backoff is a second at least, also where a starved process becomes the coordinator anew and does not know the earlier failures.
+	// The backoff is a second at least, also where a starved process becomes the coordinator again and does not know the earlier failures.
 	// Without it the jobs would start at every step, tens of times a second.
 	took := time.Since(began)
 	for name, job := range map[string]*panickingJob{"panics-at-start": atStart, "panics-later": later} {
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/fleet/memberagent"
 )
 
-// testVoter stands for package replica's, which can't be used here: it is built on this package.
+// testVoter takes the place of package replica's, which can't be used here: it is built on this package.
 type testVoter struct{ *consensus.Core }
 
 func (v testVoter) Stopped() *group.StoreError {
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -10,7 +10,7 @@
 	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(permits, migrationsJob, tag, body) }
 }
 
-// RequestMigrations asks how many of want clients may be migrated now. then is called with the number on the loop; at once where migrations are
+// RequestMigrations requests how many of want clients may be migrated now. then is called with the number on the loop; at once where migrations are
 // not paced.
 func (a *Agent) RequestMigrations(want int, then func(allowed int)) {
 	if a == nil || a.migrationPacer == nil {
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -22,8 +22,8 @@
 	Voters          []string // names of those that vote, the same list everywhere
 	Dir             string   // folder of a voter's store; "": voters keep their state in memory
 	MaxStoreKB      int      // bound of that store, KiB; default 8192
-	SuspendHosts    bool     // hosts can be suspended for the whole fleet
-	MigrationRate   int      // migrations a second over the whole fleet; 0: not paced
+	SuspendHosts    bool     // hosts can be suspended fleet-wide
+	MigrationRate   int      // migrations a second fleet-wide; 0: not paced
 	Drills          int      // number of drill jobs
 	DrillIntervalMS int      // time between two numbers of a drill, milliseconds; default 100
 	Socket          string   // Unix socket for operators; "": none
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -14,7 +14,7 @@
 	acquireTimeout = 110 * time.Millisecond
 )
 
-// quotaSharing is this process's part in the limits of accounts over the whole fleet. They come with the rules: without rules it is off.
+// quotaSharing is this process's part in the limits of accounts fleet-wide. They come with the rules: without rules it is off.
 type quotaSharing struct {
 	client    *quota.Client // nil: off
 	steppedAt int64
@@ -49,7 +49,7 @@
 // IsLimited reports whether an account has limits over the fleet.
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
-// Acquire asks for one more connection of an account. then is called on the loop with the limit that is exceeded, if any, and a Retry-After.
+// Acquire requests one more connection of an account. then is called on the loop with the limit that is exceeded, if any, and a Retry-After.
 func (a *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
 	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // ends the wait of those that no issuer has answered
 	a.quota.client.Acquire(account, spread, func(over string, advice time.Duration) {
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// storeRetryDelay is the time until a store that failed for want of room is opened again.
+	// storeRetryDelay is the time until a store that failed for want of space is opened again.
 	storeRetryDelay = 5 * time.Second
 	// storeInUseDelay is the same for a store that another process has open: usually the one that this process replaces.
 	storeInUseDelay = 200 * time.Millisecond
 
-	// epochZero is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave room for tokens.
+	// epochZero is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave bits for tokens.
 	epochZero = 157783680000
 )
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// fail records why there is no voter. A store without room, or in use, is opened again later; after any other failure only by a restart.
+// fail records why there is no voter. A store without free space, or in use, is opened again later; after any other failure only by a restart.
 func (r *replica) fail(err *group.StoreError) {
 	r.failure = err.Error()
 	if err.InUse {
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -7,7 +7,7 @@
 	Name            string
 	Incarnation     uint64
 	Able            bool // not leaving, starved or short of disk
-	UnreachableFrom int  // members that can't hear it; fewer is better
+	UnreachableFrom int  // members that receive nothing from it; fewer is better
 	StableFor       Time // how long it has been able without a break
 	Offers          func(job string) bool
 }
@@ -47,7 +47,7 @@
 	load       map[string]int // jobs by process
 }
 
-// Assign gives each free job an owner, and asks for one handover at most. free are jobs without an owner, in order; owned are the others, and
+// Assign gives each free job an owner, and requests one handover at most. free are jobs without an owner, in order; owned are the others, and
 // changedAt gives when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
 func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Assignment {
 	a := assigner{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -9,7 +9,7 @@
 const (
 	// sessionGatherTime is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
 	sessionGatherTime = 200 * ms
-	// handoverInterval is the least time between two handovers that Assign asks for. Those of operators do not wait.
+	// handoverInterval is the least time between two handovers that Assign requests. Those of operators do not wait.
 	handoverInterval = sec
 
 	backoffBase       = sec
@@ -23,7 +23,7 @@
 	blockedUntil Time
 }
 
-// failureBackoff delays the grant of jobs that fail, twice as long each time. A job that has not failed for backoffMax starts anew.
+// failureBackoff delays the grant of jobs that fail, twice as long each time. A job that has not failed for backoffMax starts again from the shortest.
 type failureBackoff map[string]*jobFailures
 
 func (b failureBackoff) recordFailure(job string, now Time) {
@@ -44,7 +44,7 @@
 // handovers are the assignments for which the present owner is to release the job first.
 type handovers struct {
 	byJob   map[string]Assignment
-	begunAt Time // the last that Assign asked for
+	begunAt Time // the last that Assign requested
 }
 
 func (h *handovers) requested(job string) bool {
@@ -55,7 +55,7 @@
 func (h *handovers) due(now Time) bool { return now-h.begunAt >= handoverInterval }
 
 // assignJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
-// proposal is applied before propose returns, and that calls assignJobs again: each job is looked at anew before it is proposed.
+// proposal is applied before propose returns, and that calls assignJobs again: each job is looked at again before it is proposed.
 func (c *coordinator) assignJobs() {
 	c.expireSessions()
 	candidates := c.candidates()
@@ -191,7 +191,7 @@
 	return a
 }
 
-// beginHandover asks the owner to release a job, by its job list.
+// beginHandover requests the owner to release a job, by its job list.
 func (c *coordinator) beginHandover(a Assignment) {
 	c.handovers.byJob[a.Job] = a
 	row := c.table.Job(a.Job)
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -68,8 +68,8 @@
 	for now := Time(1); now < 4*sec; now += 100 * ms {
 		core.Tick(now)
 	}
-	if held := core.HeldJobs(); len(held) != len(jobs) {
-		t.Errorf("%d of %d jobs have an owner", len(held), len(jobs))
+	if owned := core.HeldJobs(); len(owned) != len(jobs) {
+		t.Errorf("%d of %d jobs have an owner", len(owned), len(jobs))
 	}
 	for _, job := range jobs {
 		if g.registrations[job] != 1 || g.grants[job] != 1 {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -17,11 +17,11 @@
 // what it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
-	unreachableFrom map[string]int // members that can't hear a member, by its name
+	unreachableFrom map[string]int // members that receive nothing from a member, by its name
 
 	epoch        uint64 // 0: this process does not lead
 	leadsSince   Time
-	emptyAtStart bool // the table held nothing when the epoch began
+	emptyAtStart bool // the table was empty when the epoch began
 	sessions     sessions
 	proposals    proposals
 	confirmation leadershipConfirmation
@@ -61,7 +61,7 @@
 	c.effects.LogEvent("coordinator_elected", "epoch", epoch)
 }
 
-// stepDown ends the epoch. Results of proposals under way are still passed on to those that asked.
+// stepDown ends the epoch. Results of proposals under way are still passed on to the requesters.
 func (c *coordinator) stepDown() { c.epoch = 0 }
 
 func (c *coordinator) tick() {
@@ -143,7 +143,7 @@
 	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
-// moveJob begins a handover that an operator asks for. refusal is sent to the operator; "": it is accepted.
+// moveJob begins a handover that an operator requests. refusal is sent to the operator; "": it is accepted.
 func (c *coordinator) moveJob(job, to string) (refusal string) {
 	row, s := c.table.Job(job), c.sessions.latest(to)
 	switch {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -57,7 +57,7 @@
 	LogEvent(event string, args ...any)
 }
 
-// processID tells apart two processes of one name: during a replacement both run for a moment.
+// processID distinguishes two processes of one name: during a replacement both run for a moment.
 type processID struct {
 	name        string
 	incarnation uint64
@@ -150,7 +150,7 @@
 // SetAble sets whether this process is fit to own jobs: not while it is starved or short of disk.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
-// SetUnreachable sets from how many members each member can't be heard. The coordinator keeps jobs away from such members.
+// SetUnreachable sets how many members receive nothing from each member. The coordinator keeps jobs away from such members.
 func (c *Core) SetUnreachable(unreachableFrom map[string]int) {
 	c.coordinator.unreachableFrom = unreachableFrom
 }
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -181,7 +181,7 @@
 	return e
 }
 
-// exploreLimit bounds the worlds visited without a fault; set says whether EXPLORE_STATES gives it, where 0 stands for all.
+// exploreLimit bounds the worlds visited without a fault; set says whether EXPLORE_STATES gives it, where 0 means all.
 func exploreLimit(t *testing.T) (limit int, set bool) {
 	t.Helper()
 	const byDefault, all = 3000, 1 << 40
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestFenceBound: an effect of a job that can't be remembered is rejected, since a stale one of it could not be told apart later.
+// TestFenceBound: an effect of a job that can't be remembered is rejected, since a stale one of it could not be distinguished later.
 func TestFenceBound(t *testing.T) {
 	var f Fence
 	for i := range MaxJobs {
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -8,7 +8,7 @@
 	requestedAt Time            // when a lease was last requested; 0: it is to be requested at once
 	sequence    uint64          // of the last request
 	outstanding map[uint64]Time // when each request without an answer was sent, by sequence
-	nextVoter   int             // to be asked next where no coordinator is known
+	nextVoter   int             // to be queried next where no coordinator is known
 }
 
 func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -5,7 +5,7 @@
 // message is one message between Cores. decodeMessage is the inverse of encode.
 type message interface{ encode() []byte }
 
-// leaseRequest asks the coordinator for a new lease, and shows that the sender is alive.
+// leaseRequest requests a new lease from the coordinator, and shows that the sender is alive.
 type leaseRequest struct {
 	sender       processID
 	sequence     uint64
@@ -17,7 +17,7 @@
 // leaseGranted answers a leaseRequest once the voters have confirmed the coordinator.
 type leaseGranted struct {
 	sequence    uint64 // of the request
-	incarnation uint64 // of the process that asked
+	incarnation uint64 // of the requesting process
 	epoch       uint64
 	wantsOffer  bool // the coordinator does not know the process's jobs
 }
@@ -61,7 +61,7 @@
 	reason           string
 }
 
-// storeCheckpoint asks the coordinator to have a checkpoint replicated.
+// storeCheckpoint requests the coordinator to have a checkpoint replicated.
 type storeCheckpoint struct {
 	job              string
 	token            uint64
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestFailureBackoff: the backoff of a job that fails doubles up to its bound, and starts anew once the job has not failed for a while.
+// TestFailureBackoff: the backoff of a job that fails doubles up to its bound, and starts again from the shortest once the job has not failed for a while.
 func TestFailureBackoff(t *testing.T) {
 	backoff, now := failureBackoff{}, 100*sec
 	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
@@ -133,7 +133,7 @@
 	}
 	now += backoffMax + 1
 	if backoff.recordFailure("j", now); backoff.blocked("j", now+sec) {
-		t.Error("the backoff did not start anew")
+		t.Error("the backoff did not start again from the shortest")
 	}
 }
 
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -70,7 +70,7 @@
 	Leader() uint32
 	// Propose has a command replicated; Core.Applied is called with the tag once it is applied.
 	Propose(now Time, machine byte, tag uint64, cmd []byte) error
-	// Confirm asks the voters whether this process still leads; Core.Confirmed is called with the tag if so.
+	// Confirm queries the voters whether this process still leads; Core.Confirmed is called with the tag if so.
 	Confirm(now Time, tag uint64) error
 	// TransferLeadership gives up the lead.
 	TransferLeadership(now Time)
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -186,7 +186,7 @@
 // handleEffectAck passes a receiver's verdict on. A stale one stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
-		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release tells the coordinator that owner's token.
+		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release carries that owner's token to the coordinator.
 		h.higherToken = m.highest.Token
 		p.release(m.job, h, LaterTokenSeen, textLaterTokenSeen)
 	}
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -103,7 +103,7 @@
 	q.send(latestAt, stateRequest{ballot: q.candidate.ballot})
 }
 
-// mayBeginIncomplete decides where no majority has promised that still has state. A majority held all that was committed, but voters that have
+// mayBeginIncomplete decides where no majority has promised that still has state. A majority stored all that was committed, but voters that have
 // lost their memory since do not count as part of it. So the others are waited for; only after that does an epoch begin that may lack committed
 // commands, and its machines are marked (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
@@ -114,7 +114,7 @@
 	return withoutLeader >= 3*q.cfg.Lease && q.now-q.candidate.startedAt >= q.cfg.Lease/4
 }
 
-// requestLease asks for the lead, or for more of it.
+// requestLease requests the leader's lease, or its renewal.
 func (q *Quorum) requestLease() {
 	round := q.rounds.begin(q.now)
 	ballot, epoch := q.candidate.ballot, q.candidate.ballot
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -86,7 +86,7 @@
 			return
 		}
 		q.log.committed++
-		// Applied may propose another command, and that may call commit: each pass of the loop reads the log anew.
+		// Applied may propose another command, and that may call commit: each pass of the loop reads the log again.
 		if e, ok := q.log.entry(q.log.committed); ok {
 			q.effects.Applied(e.machine, e.tag, q.machines.Get(e.machine).Apply(e.command))
 		}
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -14,7 +14,7 @@
 	encode(groupName string) []byte
 }
 
-// prepareRequest asks voters to promise a ballot: the first phase of an election.
+// prepareRequest requests voters to promise a ballot: the first phase of an election.
 type prepareRequest struct{ ballot uint64 }
 
 // prepareReply answers it.
@@ -24,7 +24,7 @@
 	position logPosition // of the voter's state
 }
 
-// leaseProposal asks voters to accept a lease for an epoch, the first one or a renewal.
+// leaseProposal requests voters to accept a lease for an epoch, the first one or a renewal.
 type leaseProposal struct {
 	ballot, epoch uint64
 	round         uint64 // of the proposer
@@ -36,7 +36,7 @@
 	position     logPosition
 }
 
-// leaseRejected refuses it.
+// leaseRejected rejects it.
 type leaseRejected struct {
 	epoch    uint64
 	promised uint64 // the voter's highest ballot
@@ -45,10 +45,10 @@
 // leaseYielded notifies voters that the leader of an epoch gives up its lease.
 type leaseYielded struct{ epoch uint64 }
 
-// stateRequest asks the voter with the latest state for it.
+// stateRequest requests the state from the voter with the latest one.
 type stateRequest struct{ ballot uint64 }
 
-// stateTransfer is the state of all machines, for a candidate that asked or for a follower that lags.
+// stateTransfer is the state of all machines, for a candidate that requested it or for a follower that lags.
 type stateTransfer struct {
 	term     uint64 // the candidate's ballot, or the leader's epoch
 	position logPosition
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -64,7 +64,7 @@
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
 }
 
-// handleStateTransfer takes the state that this voter asked for as a candidate, or that its leader sends.
+// handleStateTransfer takes the state that this voter requested as a candidate, or that its leader sends.
 func (q *Quorum) handleStateTransfer(from uint32, m stateTransfer) {
 	if m.term == q.candidate.ballot && q.candidate.stateFrom == from && m.term != 0 {
 		if restoreState(q.machines, m.snapshot) {
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -11,7 +11,7 @@
 // The reasons.
 const (
 	LeaseEnded      ReleaseReason = iota // without a renewal in time
-	HandedOver                           // the coordinator has asked for the job, for another process
+	HandedOver                           // the coordinator has requested the job, for another process
 	AssignedToOther                      // the coordinator's list no longer holds the job under this token
 	LaterTokenSeen                       // a receiver has accepted an effect of a later owner
 	JobFailed                            // a fault of the job's own
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// StoreCheckpoint asks for a checkpoint of a job to be stored. Effects.CheckpointStored reports the result; without a report the checkpoint may
+// StoreCheckpoint requests that a checkpoint of a job is stored. Effects.CheckpointStored reports the result; without a report the checkpoint may
 // or may not be stored.
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
@@ -44,7 +44,7 @@
 	c.send(to, queryReply{tag: tag, body: body}.encode())
 }
 
-// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived gets the refusal, empty where it is accepted.
+// MoveJob requests the coordinator to hand a job over to a member. Effects.ReplyReceived gets the refusal, empty where it is accepted.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -16,7 +16,7 @@
 	behind          bool   // its last request shows that it does not have that list
 }
 
-// sessions are the processes that have asked for a lease in the epoch.
+// sessions are the processes that have requested a lease in the epoch.
 type sessions map[processID]*session
 
 // ordered gives them by name, and those of one name by when they began.
@@ -97,7 +97,7 @@
 	askedAt Time
 }
 
-// expire drops rounds that voters have not confirmed in time. Their processes ask again.
+// expire drops rounds that voters have not confirmed in time. Their processes send the request again.
 func (l *leadershipConfirmation) expire(now, timeout Time) {
 	for tag, claims := range l.byTag {
 		if now-claims[0].claimedAt > timeout {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -37,7 +37,7 @@
 		g.run.Elections++
 	}
 	if event == ownership.EventQuorumLeaderElected && eventField(args, ownership.FieldStateComplete) == false {
-		// The quorum reports that checkpoints may be lost: no later start is held to them.
+		// The quorum reports that checkpoints may be lost: no later start is checked against them.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-// QueryReceived does nothing: no job here is asked.
+// QueryReceived does nothing: no job here is queried.
 func (c coreEffects) QueryReceived(uint32, string, uint64, []byte) {}
 
 // ReplyReceived does nothing.
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -99,7 +99,7 @@
 	t.names[i] = r.Job
 }
 
-// Snapshot encodes the whole table.
+// Snapshot encodes the complete table.
 func (t *Table) Snapshot() []byte {
 	var w encoding.Writer
 	w.Uint(tableVersion).Uint(t.Version).Bool(t.uncertain).Uint(uint64(len(t.names)))
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -21,7 +21,7 @@
 type Client struct {
 	Now           func() Time
 	GrantLifetime Time
-	FleetSize     int // proxies: while no issuer is heard, each uses an equal part of a limit
+	FleetSize     int // proxies: while no issuer replies, each uses an equal part of a limit
 	Limits        Limits
 	// SendQuery sends a query to a shard's issuer; its answer comes to ReplyReceived under the tag.
 	SendQuery func(shard int, tag uint64, body []byte)
@@ -150,7 +150,7 @@
 	return "", 0
 }
 
-// hasPermit reports whether there is a permit for a new connection: one of the issuer's while it is heard, else one of the own share. The share's
+// hasPermit reports whether there is a permit for a new connection: one of the issuer's while it replies, else one of the own share. The share's
 // bucket stays empty until then, so that no permits are saved up beside the issuer's.
 func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
 	if !c.onOwnShare(now, account) {
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// run advances time in steps of 10 ms. In each step demand gives how many connections of an account a proxy is asked to open; each lasts for a
+// run advances time in steps of 10 ms. In each step demand gives how many connections of an account are requested of a proxy; each lasts for a
 // lifetime.
 func (f *testFleet) run(d Time, account string, demand func(proxy int) float64, lifetime Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// unassigned is how many more connections may be granted. A proxy that never asked has its share reserved; one that has fallen silent its last grant
+// unassigned is how many more connections may be granted. A proxy that never queried has its share reserved; one that has fallen silent its last grant
 // or its share, whichever is more, since it uses its share from then on.
 func (s *Issuer) unassigned(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -1,10 +1,10 @@
 // Package quota owns how much of an account's limits each proxy may use now. An account's rate of new connections and its number of open ones are
 // limited over all proxies together. The account's issuer, the owner of its shard's job, grants permits (one new connection each) and open
-// connections in small batches that lapse, following demand. A proxy that hears no issuer keeps to its fair share, an equal part of the limit. It
+// connections in small batches that lapse, following demand. A proxy without replies of an issuer keeps to its fair share, an equal part of the limit. It
 // does no I/O and reads no clock.
 //
 // The grants that are valid at one time and the shares in use exceed a limit by no more than docs/design-namespaces.md states. That rests on three
-// waits, in grant lifetimes: the issuer reserves a silent proxy's share from 2 after it last heard the proxy; the proxy uses its share from 2 after
+// waits, in grant lifetimes: the issuer reserves a silent proxy's share from 2 after the proxy's last query; the proxy uses its share from 2 after
 // its last grant has lapsed, which is 3 after it sent the query; and a new issuer, which does not know its predecessor's grants, grants nothing
 // for 2.
 package quota
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// shareBucket refills at this proxy's fair share of a rate while it hears no issuer. It holds one permit at most, so that none are saved up.
+// shareBucket refills at this proxy's fair share of a rate while no issuer replies. It holds one permit at most, so that none are saved up.
 type shareBucket struct {
 	tokens   float64
 	filledAt Time
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -53,7 +53,7 @@
 	return &entries[i]
 }
 
-// CheckAuditLog returns an error at the first entry whose hash does not follow from the one before; what came before the first may be gone.
+// CheckAuditLog returns an error at the first entry whose hash does not follow from the one before; what came before the first may have been dropped.
 func CheckAuditLog(entries []AuditEntry) error {
 	for i := 1; i < len(entries); i++ {
 		if string(entries[i].chainedHash(entries[i-1].Hash)) != string(entries[i].Hash) {
@@ -89,7 +89,7 @@
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text is the log for administrators, narrowed to a subject; "": the whole log.
+// text is the log for administrators, narrowed to a subject; "": the complete log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -118,7 +118,7 @@
 	fleet.proposeSigned(ChangeAccountTo(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, nil), acmeAdmin)
 	fleet.run(2 * leaseDuration)
 	fleet.expectAnswer("active: version")
-	if v := fleet.members[2].Enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Refused {
+	if v := fleet.members[2].Enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Rejected {
 		t.Errorf("a request of the team's tenant: %+v", v)
 	}
 }
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -13,7 +13,7 @@
 	History  [][]byte
 }
 
-// encode drops the oldest versions that there is no room for.
+// encode drops the oldest versions that do not fit.
 func (c *checkpoint) encode() []byte {
 	for {
 		if data := marshal(c); len(data) <= maxCheckpointBytes || len(c.History) == 0 {
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// refuses reports whether the operators refuse a request, and its Retry-After; of several refusals that match the most specific decides.
-func (c *compiledVersion) refuses(tenant, class string) (refused bool, advice time.Duration) {
+// rejects reports whether the operators' refusals reject a request, and its Retry-After; of several refusals that match the most specific decides.
+func (c *compiledVersion) rejects(tenant, class string) (rejected bool, advice time.Duration) {
 	for _, k := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
 		if ms, found := c.refusalAdvice[k]; found {
 			return true, time.Duration(ms) * time.Millisecond
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -19,8 +19,8 @@
 // that a request is never judged by one version under another's lease.
 type Enforcer struct {
 	Now             func() Time
-	GraceAfterLapse bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are refused
-	LapsedAdvice    time.Duration // Retry-After of requests that are refused since the lease has ended
+	GraceAfterLapse bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are rejected
+	LapsedAdvice    time.Duration // Retry-After of requests that are rejected since the lease has ended
 	// Clock is the time of day, for routes with a window; nil: time.Now.
 	Clock func() time.Time
 
@@ -29,27 +29,27 @@
 
 // Verdict is the answer to one request, or about one host.
 type Verdict struct {
-	Refused bool
-	Advice  time.Duration // Retry-After; 0: none
-	Version uint64        // by which it was judged; 0: by none
-	Lapsed  bool          // the lease had ended
-	Account string        // whose the request is; "": the operators'
-	Route   string        // the route that decided, with its scope; "": none
-	Pools   []string      // in the order in which they are to be tried; nil: there are no pools
+	Rejected bool
+	Advice   time.Duration // Retry-After; 0: none
+	Version  uint64        // by which it was judged; 0: by none
+	Lapsed   bool          // the lease had ended
+	Account  string        // whose the request is; "": the operators'
+	Route    string        // the route that decided, with its scope; "": none
+	Pools    []string      // in the order of preference; nil: there are no pools
 }
 
 // Judge says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
 func (e *Enforcer) Judge(q namespace.Request) (v Verdict) {
 	active, v := e.current()
-	if active == nil || v.Refused {
+	if active == nil || v.Rejected {
 		return v
 	}
-	if v.Refused, v.Advice = active.refuses(q.Tenant, q.Class); v.Refused || active.namespaces == nil {
+	if v.Rejected, v.Advice = active.rejects(q.Tenant, q.Class); v.Rejected || active.namespaces == nil {
 		return v
 	}
 	q.Minute = e.minuteOfDay()
 	routed := active.namespaces.Judge(q)
-	v.Refused, v.Advice, v.Account, v.Pools = routed.Refused, routed.Advice, routed.Account, routed.Pools
+	v.Rejected, v.Advice, v.Account, v.Pools = routed.Rejected, routed.Advice, routed.Account, routed.Pools
 	if routed.Route != "" {
 		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
 	}
@@ -112,7 +112,7 @@
 	return namespace.Main
 }
 
-// Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the words that operators know.
+// Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the terms that operators know.
 func (e *Enforcer) Explain(q namespace.Request) string {
 	active, v := e.current()
 	switch {
@@ -125,7 +125,7 @@
 	if v.Lapsed {
 		s += ", the last one known"
 	}
-	if refused, _ := active.refuses(q.Tenant, q.Class); refused {
+	if rejected, _ := active.rejects(q.Tenant, q.Class); rejected {
 		return s + "\nrefused by the operators, for its tenant and class"
 	}
 	if active.namespaces == nil {
@@ -138,20 +138,20 @@
 // Usable says whether a host may get new requests.
 func (e *Enforcer) Usable(host string) bool {
 	active, v := e.current()
-	if active == nil || v.Refused {
-		return !v.Refused
+	if active == nil || v.Rejected {
+		return !v.Rejected
 	}
 	_, out := active.hostsOut[host]
 	return !out
 }
 
-// current gives the version to judge by, nil for none, and the verdict so far: refused if the lease has ended, unless GraceAfterLapse is set.
+// current gives the version to judge by, nil for none, and the verdict so far: rejected if the lease has ended, unless GraceAfterLapse is set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
 	active := e.active.Load()
 	if active != nil && e.Now() < active.leaseEnd {
 		return active, Verdict{Version: active.version.Number}
 	}
-	v := Verdict{Lapsed: true, Refused: !e.GraceAfterLapse}
+	v := Verdict{Lapsed: true, Rejected: !e.GraceAfterLapse}
 	if !e.GraceAfterLapse {
 		v.Advice = e.LapsedAdvice
 	}
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -39,7 +39,7 @@
 
 // leaseTable is which member may act by which version until when. Members are known by their peer id.
 type leaseTable struct {
-	unknownUntil Time // until then leases of an earlier publisher, which are not in the table, may be held
+	unknownUntil Time // until then leases of an earlier publisher, which are not in the table, may be valid
 	members      map[uint32]*memberState
 }
 
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -148,7 +148,7 @@
 // QueryStatus is the query for who holds which lease, and what the publisher waits for.
 func QueryStatus() []byte { return []byte{queryStatus} }
 
-// QueryHistory is the query for the audit log; about narrows it to one subject, "": the whole log.
+// QueryHistory is the query for the audit log; about narrows it to one subject, "": the complete log.
 func QueryHistory(about string) []byte { return append([]byte{queryHistory}, about...) }
 
 // QueryVersion is the query for a version's text; 0: the active one's.
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// maxWaitingProposals bounds the proposals that are held until their version is active.
+// maxWaitingProposals bounds the proposals that are buffered until their version is active.
 const maxWaitingProposals = 64
 
 // proposal is a change and who waits for its answer.
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -6,7 +6,7 @@
 	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count too: an account that sends invalid ones without
 	// end must not take the publisher's time from others.
 	defaultChangesPerMinute = 600
-	burstDivisor            = 6              // a bucket holds ten seconds' worth of changes
+	burstDivisor            = 6              // a bucket holds the changes of ten seconds
 	maxBuckets              = 4 * MaxEntries // bounds memory where keys are made up
 	nanosPerMinute          = 6e10
 )
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -32,7 +32,7 @@
 				continue
 			}
 			u := use{at: fleet.now, pool: enforcer.Pool("h", "m1", "")}
-			if !v.Refused {
+			if !v.Rejected {
 				u.account = v.Account
 			}
 			uses = append(uses, u)
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -101,7 +101,8 @@
 			events += 1 + steps*len(fleet.members)
 			for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
 				v := fleet.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
-				fleet.recorder.digest.Add("%d %d %+v", fleet.now, i, v)
+				fleet.recorder.digest.Add("%d %d {Refused:%t Advice:%v Version:%d Lapsed:%t Account:%s Route:%s Pools:%v}",
+					fleet.now, i, v.Rejected, v.Advice, v.Version, v.Lapsed, v.Account, v.Route, v.Pools)
 			}
 		}
 		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(fleet.members), fleet.publisher.versions.active.Number, fleet.recorder.digest)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -15,7 +15,7 @@
 	fleet.run(200 * ms)
 	fleet.expectAnswer("active: version 1 at 5 of 5")
 	for i, m := range fleet.members {
-		if v := m.Enforcer.Judge(anyRequest); !v.Refused || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
+		if v := m.Enforcer.Judge(anyRequest); !v.Rejected || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
 			t.Errorf("member %d: %+v", i, v)
 		}
 	}
@@ -26,7 +26,7 @@
 	fleet.expectAnswer("refused: it was made against version 0, and 1 is active")
 }
 
-// A member is cut off in both directions, or hears nothing: no newer version is active before its lease has ended, and after that it acts by none.
+// A member is cut off in both directions, or receives nothing: no newer version is active before its lease has ended, and after that it acts by none.
 func TestMemberCutOffActsByNothing(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -47,7 +47,7 @@
 			}
 			fleet.run(3 * leaseDuration)
 			fleet.expectOverlapWithin(leaseDuration)
-			if v := fleet.members[3].Enforcer.Judge(anyRequest); !v.Lapsed || !v.Refused {
+			if v := fleet.members[3].Enforcer.Judge(anyRequest); !v.Lapsed || !v.Rejected {
 				t.Errorf("it acts without a lease: %+v", v)
 			}
 			c.fault(fleet, false)
@@ -71,7 +71,7 @@
 	fleet.run(200 * ms)
 	fleet.isolated[2] = true
 	fleet.run(2 * leaseDuration)
-	if v := fleet.members[2].Enforcer.Judge(anyRequest); v.Refused || !v.Lapsed || v.Version != 1 {
+	if v := fleet.members[2].Enforcer.Judge(anyRequest); v.Rejected || !v.Lapsed || v.Version != 1 {
 		t.Fatalf("%+v", v)
 	}
 	if fleet.members[2].Enforcer.Usable("h") || !fleet.members[2].Enforcer.Usable("i") {
@@ -165,7 +165,7 @@
 	fleet.proposeOperators(refuseAll, 0)
 	fleet.run(3 * leaseDuration)
 	fleet.expectAnswer("unknown")
-	if v := fleet.members[1].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != 0 || v.Refused {
+	if v := fleet.members[1].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != 0 || v.Rejected {
 		t.Fatalf("%+v", v)
 	}
 }
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -63,7 +63,7 @@
 }
 
 // status says why a version does not become active: what the publisher waits for, who holds which lease and for how long, and who has the staged
-// version ready or why not. Its texts keep the words that operators know: a right is a lease, a keeper the publisher.
+// version ready or why not. Its texts keep the terms that operators know: a right is a lease, a keeper the publisher.
 func (p *Publisher) status(now Time) string {
 	var b strings.Builder
 	p.writeProgress(&b, now)
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -30,7 +30,7 @@
 type (
 	// gossip is watermarks that the sender knows.
 	gossip struct{ watermarks []Watermark }
-	// query asks for what is newer than a revision.
+	// query requests what is newer than a revision.
 	query struct{ revision int64 } // below 0: the sender has no list
 )
 
@@ -70,7 +70,7 @@
 		Uint(uint64(max(0, w.ValidFor) / validityUnit)).Data
 }
 
-// decode reads a datagram; one that is malformed in part is rejected as a whole.
+// decode reads a datagram; one that is malformed in part is rejected completely.
 func decode(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind, source := r.Uint(), r.Uint()
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -43,7 +43,7 @@
 	Clock        Clock
 	Rand         *rand.Rand
 	Source       func() uint32 // of the own list now: revisions are comparable within one source only
-	RefetchAfter time.Duration // for how long the list may be behind before it is fetched from discovery anew
+	RefetchAfter time.Duration // for how long the list may be behind before it is fetched from discovery again
 	RefetchList  func()
 	Changed      func(hosts []string) // called with hosts that are out now, or no longer
 
@@ -66,7 +66,7 @@
 	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
 }
 
-// refetchBackoff says when a list that stays behind is fetched anew.
+// refetchBackoff says when a list that stays behind is fetched again.
 type refetchBackoff struct {
 	lastAt Time // of the last fetch; 0: none since the list was last up to date
 	wait   time.Duration
@@ -178,7 +178,7 @@
 	}
 }
 
-// periodicUpdate drops watermarks that have expired, queries one other member, and has the list fetched anew where it stays behind.
+// periodicUpdate drops watermarks that have expired, queries one other member, and has the list fetched again where it stays behind.
 func (l *Link) periodicUpdate() {
 	if l.closed {
 		return
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -192,7 +192,7 @@
 	}
 	f.run(Lifetime)
 	if f.links[0].Out("a", 1) {
-		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have begun anew")
+		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have restarted")
 	}
 	f.transports[0].isolated = false
 	f.links[0].List(9, false, []ListedHost{{"b", 1, Gone}})
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -170,7 +170,7 @@
 	return r.Out(now, w.Host, r.own[w.Host].startedAt) != wasOut
 }
 
-// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has started anew since
+// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has restarted since
 // is not meant.
 func (r *Registry) Out(now Time, host string, startedAt int64) bool {
 	w, received := r.received[host]
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -212,8 +212,8 @@
 	if !slices.Equal(got, all) {
 		t.Error("watermarks are decoded otherwise than they were encoded")
 	}
-	asked := query{noRevision}
-	if m, err := decode(asked.encode(9)); err != nil || m.body != asked || m.source != 9 {
+	want := query{noRevision}
+	if m, err := decode(want.encode(9)); err != nil || m.body != want || m.source != 9 {
 		t.Errorf("a query is decoded as %v, %v", m, err)
 	}
 }
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -10,7 +10,7 @@
 type Options struct {
 	Enabled      bool          // default off
 	Source       string        // names the source of discovery's lists, within which revisions are comparable; "": its address
-	RefetchAfter time.Duration // for how long a list may be behind before it is fetched anew; default 2 s
+	RefetchAfter time.Duration // for how long a list may be behind before it is fetched again; default 2 s
 }
 
 // Section is what operators write.
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -31,7 +31,7 @@
 }
 
 // Lifetime is how long a watermark holds after its list was last known to say so. Without it a wrong one, or one of a source whose revisions
-// began anew, would keep a host out for good.
+// restarted, would keep a host out for good.
 const Lifetime = Time(30e9)
 
 const (
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -63,7 +63,7 @@
 	return true
 }
 
-// SetFleet replaces the list of hosts that are suspended for the whole fleet, and gives the hosts whose suspension begins or ends by that. A host
+// SetFleet replaces the list of hosts that are suspended fleet-wide, and gives the hosts whose suspension begins or ends by that. A host
 // is suspended while either list has it: a call at this proxy does not resume it for the fleet.
 func (r *Registry) SetFleet(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
@@ -90,7 +90,7 @@
 	return changed
 }
 
-// Suspended reports whether a host is suspended, here or for the whole fleet.
+// Suspended reports whether a host is suspended, here or fleet-wide.
 func (r *Registry) Suspended(id string) bool {
 	_, here := r.suspendedHere[id]
 	_, fleet := r.suspendedFleet[id]
