--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -31,11 +31,11 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, _, wholeFault := parse(in)
+		complete, _, completeFault := parse(in)
 		for n := range len(in) {
 			r, _, fault := parse(in[:n])
-			if r != nil && !reflect.DeepEqual(r, whole) || fault != 0 && wholeFault == 0 {
-				t.Fatalf("%d bytes gave %+v %d, all %+v %d", n, r, fault, whole, wholeFault)
+			if r != nil && !reflect.DeepEqual(r, complete) || fault != 0 && completeFault == 0 {
+				t.Fatalf("%d bytes gave %+v %d, all %+v %d", n, r, fault, complete, completeFault)
 			}
 			if r != nil || fault != 0 {
 				return
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -39,8 +39,8 @@
 	expectsContinue bool     // the caller waits for 100 before it sends its body
 }
 
-// parse looks for a complete request at the start of in. It gives nil while more is to come; expectsContinue then tells that the
-// caller waits for 100 Continue before its body. It looks at the whole input each time, so that the outcome can't depend on how
+// parse looks for a complete request at the start of in. It gives nil while more is to come; expectsContinue then reports that the
+// caller waits for 100 Continue before its body. It parses from the start of the input each time, so that the outcome can't depend on how
 // the input was cut; the input is bounded.
 func parse(in []byte) (r *request, expectsContinue bool, f fault) {
 	for bytes.HasPrefix(in, []byte("\r\n")) {
--- a/internal/operations/admin/route.go
+++ b/internal/operations/admin/route.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// route is what a request asks for.
+// route is the target of a request.
 type route int
 
 const (
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -1,5 +1,5 @@
 // Package admin is the admin interface: a listener for the operators' calls, HTTP/1.1 with one call a connection. It owns the
-// callers' connections and what HTTP asks of them; what a call means is the proxy core's.
+// callers' connections and what HTTP requires of them; what a call means is the proxy core's.
 package admin
 
 import (
--- a/internal/operations/balancerconfig/decode_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/balancer"
 )
 
-// TestRateQuotasAreRestored: quotas a second come rounded to whole numbers, which is coarse for a small fleet, and slow-start budgets of sparse
+// TestRateQuotasAreRestored: quotas a second come rounded to integers, which is coarse for a small fleet, and slow-start budgets of sparse
 // traffic follow from them.
 func TestRateQuotasAreRestored(t *testing.T) {
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
@@ -46,7 +46,7 @@
 }
 
 // Settings of a later version hold fields that are not known here, and reports of more than is read: these are ignored, and what is known is
-// found wherever it stands.
+// found at any position.
 func TestUnknownSettingsAreIgnored(t *testing.T) {
 	c, err := Decode([]byte(`{"me":0,"peers_total":2,"new":{"x":[1]},"discovery":"automatic","bounds":{"probes":true,"try_limit":5,"later":1},
 		"goal":{"worst_class":0.3,"other":1},"report":{"how":"probe","fields":["x1","x0","odd","pending"],"since":2},
--- a/internal/operations/balancerconfig/quotas.go
+++ b/internal/operations/balancerconfig/quotas.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/balancer"
 )
 
-// restoreRateQuotas makes the tenants' rate quotas exact again. The settings give them as whole numbers, a
+// restoreRateQuotas makes the tenants' rate quotas exact again. The settings give them as integers, a
 // small tenant's as 0, so that their sum may be off by half. Their connection quotas are larger, and the same
 // lifetime of a connection lies between all of them. Quotas that no one lifetime explains stay as they are.
 func restoreRateQuotas(tenants []balancer.Tenant) {
--- a/internal/operations/balancerconfig/settings.go
+++ b/internal/operations/balancerconfig/settings.go
@@ -35,7 +35,7 @@
 
 type tenant struct {
 	Name         string  `json:"name"`
-	RateQuota    float64 `json:"quota_per_s"` // rounded to a whole number
+	RateQuota    float64 `json:"quota_per_s"` // rounded to an integer
 	ServiceQuota float64 `json:"fraction"`
 }
 
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -61,6 +61,6 @@
 		say(5*time.Second, "c", strings.Repeat("z", i))
 	}
 	if n := len(h.(*repeatHandler).limiter.kinds); n > maxKinds+1 {
-		t.Errorf("%d kinds are held", n)
+		t.Errorf("%d kinds are kept in the table", n)
 	}
 }
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -13,7 +13,7 @@
 // otherKinds is the key of the kinds that share one count; no event has this name.
 const otherKinds = "\x00others"
 
-// kindAttrs are the attributes that tell kinds of one event apart.
+// kindAttrs are the attributes that distinguish kinds of one event.
 var kindAttrs = map[string]bool{"host": true, "reason": true, "where": true, "effect": true, "text": true, "why": true}
 
 // repeatHandler leaves out lines that repeat.
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics owns what the proxy counts for its operators: how each request ended, and the attempts that were written
 // completely. It has no clock and no I/O; the proxy core calls it at the one place where each thing ends or is written, and the
-// admin interface asks for the text.
+// admin interface requests the text.
 package metrics
 
 import "strconv"
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -48,7 +48,7 @@
 	return min(defaultAdminCallers, max(4, c.Limits.Sockets/32))
 }
 
-// MaxHealthChecks is how many connections may be open to ask hosts how loaded they are.
+// MaxHealthChecks is how many connections may be open for health checks of hosts.
 func (c *Config) MaxHealthChecks() int {
 	switch {
 	case !c.Settings.MayHealthCheck || len(c.ReportFields) == 0:
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -100,7 +100,7 @@
 }
 
 // Each declares a list of fields that may occur any number of times; bind is called for each. label is its first value,
-// a word or a text.
+// an atom or a text.
 func (f *Form) Each(name, doc string, bind func(label string, f *Form)) {
 	d := &Field{Name: name, Doc: doc, Want: "a label and fields, any number of times", value: func() string { return "" }}
 	f.fields = append(f.fields, d)
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -29,7 +29,7 @@
 	Kind  Kind
 	Pos   Pos
 	End   Pos     // of the closing bracket of a List
-	Text  string  // of a Word, a Text (unquoted) and a Comment (with its semicolons)
+	Text  string  // of an Atom, a Text (unquoted) and a Comment (with its semicolons)
 	Items []*Node // of a List, comments included
 
 	afterBlankLine bool
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Name is the first word of a list, "" where it does not begin with one.
+// Name is the first atom of a list, "" where it does not begin with one.
 func (n *Node) Name() string {
 	if n.Kind != List {
 		return ""
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -43,7 +43,7 @@
 	b.WriteString(strings.Repeat(" ", indent) + ")")
 }
 
-// printHead writes the items of a list that stay on its first line, and gives their number: up to two words, and a comment beside them, which a
+// printHead writes the items of a list that stay on its first line, and gives their number: up to two atoms, and a comment beside them, which a
 // closing bracket can't follow.
 func printHead(b *strings.Builder, items []*Node) (head int) {
 	for head < len(items) && head < 2 && items[head].Kind == Atom {
--- a/internal/operations/settings/suggest.go
+++ b/internal/operations/settings/suggest.go
@@ -45,10 +45,10 @@
 	return row[len(b)]
 }
 
-// oneOf lists words for people.
-func oneOf(words []string) string {
-	if len(words) == 1 {
-		return words[0]
+// oneOf lists names for a message.
+func oneOf(names []string) string {
+	if len(names) == 1 {
+		return names[0]
 	}
-	return strings.Join(words[:len(words)-1], ", ") + " or " + words[len(words)-1]
+	return strings.Join(names[:len(names)-1], ", ") + " or " + names[len(names)-1]
 }
--- a/internal/operations/settings/units.go
+++ b/internal/operations/settings/units.go
@@ -13,7 +13,7 @@
 	size T
 }
 
-// Largest first; a value is printed in the largest unit that it is a whole number of.
+// Largest first; a value is printed in the largest unit that it is a multiple of.
 var (
 	timeUnits = []unit[time.Duration]{{"d", 24 * time.Hour}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second},
 		{"ms", time.Millisecond}, {"us", time.Microsecond}, {"ns", 1}}
@@ -61,7 +61,7 @@
 	return "0" + units[len(units)-1].name
 }
 
-// parseDecimal reads digits with at most one point. ParseFloat alone takes words, exponents and signs as well.
+// parseDecimal reads digits with at most one point. ParseFloat alone takes names, exponents and signs as well.
 func parseDecimal(s string) (float64, bool) {
 	if s == "" || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
--- a/internal/operations/settings/values.go
+++ b/internal/operations/settings/values.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// list reads a field of several values. read gives a value as it is held, and reports whether it is valid.
+// list reads a field of several values. read gives a value as it is stored, and reports whether it is valid.
 func (f *Form) list(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
 	n, values := f.declare(name, doc, want, func() string {
 		var out []string
@@ -67,7 +67,7 @@
 	})
 }
 
-// Int declares a whole number between least and most.
+// Int declares an integer between least and most.
 func (f *Form) Int(name, doc string, to *int, least, most int) {
 	f.single(name, doc, fmt.Sprintf("a whole number from %d to %d", least, most), func() string { return strconv.Itoa(*to) },
 		func(s string) bool {
@@ -120,17 +120,17 @@
 		})
 }
 
-// Enum declares one of some words.
-func (f *Form) Enum(name, doc string, to *string, words ...string) {
-	f.single(name, doc, oneOf(words), func() string { return *to }, func(s string) bool {
+// Enum declares one of some names.
+func (f *Form) Enum(name, doc string, to *string, names ...string) {
+	f.single(name, doc, oneOf(names), func() string { return *to }, func(s string) bool {
 		*to = s
-		return slices.Contains(words, s)
+		return slices.Contains(names, s)
 	})
 }
 
-// Enums declares a list of some words, in the order of preference, each at most once.
-func (f *Form) Enums(name, doc string, to *[]string, words ...string) {
-	f.list(name, doc, "some of "+oneOf(words), to, func(s string) (string, bool) { return s, slices.Contains(words, s) })
+// Enums declares a list of some names, in the order of preference, each at most once.
+func (f *Form) Enums(name, doc string, to *[]string, names ...string) {
+	f.list(name, doc, "some of "+oneOf(names), to, func(s string) (string, bool) { return s, slices.Contains(names, s) })
 }
 
 // Text declares a text that check accepts; check may be nil.
