--- a/internal/balancer/costs.go
+++ b/internal/balancer/costs.go
@@ -36,7 +36,7 @@
 	return cost
 }
 
-// learn takes in the cost of a connection of a class.
+// learn records the cost of a connection of a class.
 func (c *connectionCosts) learn(class int, cost float64) {
 	if c.byClass[class] == 0 {
 		c.byClass[class] = cost
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -11,7 +11,7 @@
 	Fail(request string)
 	// CancelAttempt stops waiting for an attempt, counted from 0.
 	CancelAttempt(request string, attempt int)
-	// Migrate ends an open connection politely; its client comes back.
+	// Migrate ends an open connection gracefully; its client opens it again.
 	Migrate(request string)
 	// HealthCheck polls a host for its load.
 	HealthCheck(host string)
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -123,7 +123,7 @@
 	b.drainQueue()
 }
 
-// updateHosts takes in the entries of a list, and marks as removed the hosts that a full list does not name.
+// updateHosts applies the entries of a list, and marks as removed the hosts that a full list does not name.
 func (b *Balancer) updateHosts(kind ListChange, entries []ListedHost) {
 	if kind == ListFull || kind == ListCached {
 		for _, h := range b.hosts {
@@ -144,7 +144,7 @@
 	}
 }
 
-// updateHost takes in what a list says of a host, and reports whether it is a new one.
+// updateHost applies what a list says of a host, and reports whether it is a new one.
 func (b *Balancer) updateHost(e *ListedHost) (added bool) {
 	h := b.byID[e.ID]
 	if h == nil {
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// tryNextServer gives up the current ledger server for the next one, or for a pause after the last.
+// tryNextServer abandons the current ledger server for the next one, or for a pause after the last.
 func (c *Client) tryNextServer(now Time) {
 	c.misses, c.synced = 0, false
 	if c.current++; c.current == len(c.servers) {
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -105,7 +105,7 @@
 	return h.reported.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
 }
 
-// updateFleetLoad takes in how loaded the fleet is, and how many mean connections fill one host. The tenants'
+// updateFleetLoad records how loaded the fleet is, and how many mean connections fill one host. The tenants'
 // quotas, in sum, are most of what the fleet can hold; where there are none, all balancers' connections, of
 // which this one holds its part, make up the sum of what the hosts report.
 func (b *Balancer) updateFleetLoad() {
--- a/internal/balancer/setuptime/setuptime.go
+++ b/internal/balancer/setuptime/setuptime.go
@@ -14,7 +14,7 @@
 	completesAt [2]int64
 }
 
-// Sample takes in how long a set-up took, in nanoseconds.
+// Sample records how long a set-up took, in nanoseconds.
 func (e *Estimator) Sample(now int64, took float64) {
 	if e.samples == 0 {
 		e.mean, e.deviation = took, took/2
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -36,7 +36,7 @@
 
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
-// update takes in the load of the own and of the other zones, after dt seconds.
+// update applies the load of the own and of the other zones, after dt seconds.
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
 	// More clients in this zone than its hosts bear: turns go to other zones while those do better.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// messagesDelayed takes in how long messages take at a host, in shortest latency objectives. From a stalled
+// messagesDelayed records how long messages take at a host, in shortest latency objectives. From a stalled
 // one, connections are migrated: each balancer migrates a small part by chance, since all see the same stall,
 // and in proportion to their load: a few heavy connections overfill a host, and migrating these is cheaper
 // than migrating the many light ones.
@@ -137,7 +137,7 @@
 	stallgossip.Decode(data, b.stallReceived)
 }
 
-// stallReceived takes in a stall that another balancer sees. Own observations of late come first.
+// stallReceived records a stall that another balancer sees. Recent observations of its own take precedence.
 func (b *Balancer) stallReceived(r stallgossip.Record) {
 	for _, h := range b.hosts {
 		if uint32(h.hash) != r.Host {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -14,11 +14,11 @@
 type Dialer struct {
 	loop *Loop
 
-	mu      sync.Mutex
-	ready   *sync.Cond
-	waiting []*Dial
-	busy    map[string]int
-	share   int
+	mu            sync.Mutex
+	ready         *sync.Cond
+	waiting       []*Dial
+	busy          map[string]int
+	maxPerAddress int // dials at a time to one address: a vanished one must not use them all
 
 	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests replace it
 }
@@ -40,7 +40,7 @@
 
 // NewDialer starts n dialers.
 func NewDialer(l *Loop, n int) *Dialer {
-	d := &Dialer{loop: l, busy: map[string]int{}, share: max(1, n/4), dial: netpoll.DialConnection}
+	d := &Dialer{loop: l, busy: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
 	d.ready = sync.NewCond(&d.mu)
 	for range n {
 		go d.work()
@@ -109,7 +109,7 @@
 		for _, q := range d.waiting {
 			switch {
 			case q.dropped:
-			case found == nil && d.busy[q.addr] < d.share:
+			case found == nil && d.busy[q.addr] < d.maxPerAddress:
 				found = q
 			default:
 				left = append(left, q)
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -182,7 +182,7 @@
 
 // Dials to an address that does not answer leave dialers to the others.
 func TestVanishedHostLeavesDialers(t *testing.T) {
-	d := &Dialer{loop: NewLoop(), busy: map[string]int{"vanished": 1}, share: 1}
+	d := &Dialer{loop: NewLoop(), busy: map[string]int{"vanished": 1}, maxPerAddress: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
 		d.waiting = append(d.waiting, &Dial{dialer: d, addr: addr})
 	}
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -19,7 +19,7 @@
 	leftAt       map[string]int64 // when a client has left
 	attempts     int
 	linesWritten int // first lines written
-	quotaHeld    int // connections that count against quota
+	quotaInUse   int // connections that count against quota
 }
 
 // Start checks that no attempt begins for a client that has left, and draws what becomes of it.
@@ -121,11 +121,11 @@
 // IsLimited, Acquire, CountExisting and Release are quotas over the fleet whose replies take a drawn time.
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
 func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
-	w.quotaHeld++
+	w.quotaInUse++
 	w.loop.After(w.draw(300*time.Millisecond), func() { then("", 0) })
 }
-func (w *leavingClients) CountExisting(string) { w.quotaHeld++ }
-func (w *leavingClients) Release(string)       { w.quotaHeld-- }
+func (w *leavingClients) CountExisting(string) { w.quotaInUse++ }
+func (w *leavingClients) Release(string)       { w.quotaInUse-- }
 
 // state names what a request waits for.
 func state(r *Request, permitted bool) string {
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -44,7 +44,7 @@
 
 // Open gives what can be decrypted now.
 func (s *session) Open(p []byte) (int, error) {
-	if !s.mayHaveBuffered && !s.socket.hasWholeRecord() {
+	if !s.mayHaveBuffered && !s.socket.hasCompleteRecord() {
 		return 0, nil // crypto/tls would allocate an error for that, for every line
 	}
 	n, err := s.tlsConn.Read(p)
@@ -135,8 +135,8 @@
 	return recordHeaderLength
 }
 
-// hasWholeRecord reports whether a complete record, or all that is left of one, has come.
-func (w *sealedSocket) hasWholeRecord() bool { return w.sealed.Len() >= w.recordBytes() }
+// hasCompleteRecord reports whether a complete record, or all that is left of one, has come.
+func (w *sealedSocket) hasCompleteRecord() bool { return w.sealed.Len() >= w.recordBytes() }
 
 // attach has the socket send by send, and read nothing but what is appended to sealed.
 func (w *sealedSocket) attach(send func(p []byte)) { w.handshakeConn, w.send = nil, send }
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -28,9 +28,9 @@
 }
 
 // SilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
-func SilentMembers(now Time, fleetSize int, askedAt map[uint32]Time, within Time) int {
+func SilentMembers(now Time, fleetSize int, queriedAt map[uint32]Time, within Time) int {
 	n := fleetSize
-	for _, at := range askedAt {
+	for _, at := range queriedAt {
 		if now-at < within {
 			n--
 		}
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// askSocket sends a line to the admin socket, and gives the reply.
-func askSocket(t *testing.T, path, line string) (r Reply) {
+// querySocket sends a line to the admin socket, and gives the reply.
+func querySocket(t *testing.T, path, line string) (r Reply) {
 	t.Helper()
 	conn, err := net.Dial("unix", path)
 	if err != nil {
@@ -108,7 +108,7 @@
 		{`{"do":"add","a":"x"}`, "no voter with a disk"},
 		{`{"do":"move","a":"hosts","b":"x"}`, ""},
 	} {
-		if r := askSocket(t, path, c.request); r.Error == "" || !strings.Contains(r.Error, c.want) {
+		if r := querySocket(t, path, c.request); r.Error == "" || !strings.Contains(r.Error, c.want) {
 			t.Errorf("%s: got %+v, want an error with %q", c.request, r, c.want)
 		}
 	}
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -55,7 +55,7 @@
 			r.Jobs = append(r.Jobs, newJobRow(row))
 		}
 	}
-	r.Owned, r.LeaseMS = a.core.HeldJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
+	r.Owned, r.LeaseMS = a.core.OwnedJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
 	r.HighestTokens = map[string]uint64{}
 	for _, name := range a.jobs.names {
 		if token := a.fence.Last(name); token != (ownership.FencingToken{}) {
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -68,7 +68,7 @@
 	for now := Time(1); now < 4*sec; now += 100 * ms {
 		core.Tick(now)
 	}
-	if owned := core.HeldJobs(); len(owned) != len(jobs) {
+	if owned := core.OwnedJobs(); len(owned) != len(jobs) {
 		t.Errorf("%d of %d jobs have an owner", len(owned), len(jobs))
 	}
 	for _, job := range jobs {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -191,5 +191,5 @@
 // LeaseRemaining is how long this process may go on as an owner.
 func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.participant.lease.end-now) }
 
-// HeldJobs gives the jobs that this process owns, with their tokens.
-func (c *Core) HeldJobs() map[string]uint64 { return c.participant.ownedJobs() }
+// OwnedJobs gives the jobs that this process owns, with their tokens.
+func (c *Core) OwnedJobs() map[string]uint64 { return c.participant.ownedJobs() }
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -4,7 +4,7 @@
 type processLease struct {
 	end         Time            // as this process counts it; 0: it never had one
 	leader      uint32          // taken for the coordinator; 0: unknown
-	heardAt     Time            // when the coordinator last granted a lease
+	lastGrantAt Time            // when the coordinator last granted a lease
 	requestedAt Time            // when a lease was last requested; 0: it is to be requested at once
 	sequence    uint64          // of the last request
 	outstanding map[uint64]Time // when each request without an answer was sent, by sequence
@@ -24,14 +24,14 @@
 func (p *participant) renewLease() {
 	l := &p.lease
 	interval := p.cfg.Lease / 4
-	if p.now-l.heardAt > interval+interval/2 {
+	if p.now-l.lastGrantAt > interval+interval/2 {
 		interval /= 2 // the coordinator may be another by now
 	}
 	if p.now-l.requestedAt < interval && l.requestedAt > 0 {
 		return
 	}
 	l.requestedAt = max(1, p.now)
-	if p.now-l.heardAt > p.cfg.Lease/2 || l.leader == 0 {
+	if p.now-l.lastGrantAt > p.cfg.Lease/2 || l.leader == 0 {
 		p.findCoordinator()
 	}
 	l.sequence++
@@ -51,7 +51,7 @@
 	if p.group != nil {
 		l.leader = p.group.Leader()
 	}
-	if l.leader == 0 || p.now-l.heardAt > p.cfg.Lease {
+	if l.leader == 0 || p.now-l.lastGrantAt > p.cfg.Lease {
 		l.leader = peerOf(p.cfg.Voters[l.nextVoter%len(p.cfg.Voters)])
 		l.nextVoter++
 	}
@@ -75,7 +75,7 @@
 	if m.epoch > p.epoch {
 		p.epoch, p.listSequence = m.epoch, 0
 	}
-	l.leader, l.heardAt = from, p.now
+	l.leader, l.lastGrantAt = from, p.now
 	l.end = max(l.end, requestedAt+shortened(p.cfg.Lease))
 	if m.wantsOffer {
 		p.send(from, jobOffer{sender: p.processID(), jobs: p.cfg.Jobs}.encode())
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -8,8 +8,8 @@
 // releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
 const releaseRepeatInterval = 100 * ms
 
-// heldJob is a job that this process owns, or has released without the coordinator having confirmed it.
-type heldJob struct {
+// ownedJob is a job that this process owns, or has released without the coordinator having confirmed it.
+type ownedJob struct {
 	token            uint64
 	released         bool
 	text             string // of the release
@@ -23,15 +23,15 @@
 type participant struct {
 	*environment
 	lease        processLease
-	jobs         map[string]*heldJob // by job
-	epoch        uint64              // of the last coordinator that was followed
-	listSequence uint64              // of the last job list in that epoch
+	jobs         map[string]*ownedJob // by job
+	epoch        uint64               // of the last coordinator that was followed
+	listSequence uint64               // of the last job list in that epoch
 	able         bool
 	leaving      bool
 }
 
 func newParticipant(env *environment) *participant {
-	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*heldJob{}, able: true}
+	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*ownedJob{}, able: true}
 }
 
 func (p *participant) tick() {
@@ -94,13 +94,13 @@
 }
 
 // release stops a job here, and then notifies the coordinator, with the checkpoint and the text, until its list no longer holds the job.
-func (p *participant) release(job string, h *heldJob, reason ReleaseReason, text string) {
+func (p *participant) release(job string, h *ownedJob, reason ReleaseReason, text string) {
 	h.released, h.text = true, text
 	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
 	p.reportRelease(job, h)
 }
 
-func (p *participant) reportRelease(job string, h *heldJob) {
+func (p *participant) reportRelease(job string, h *ownedJob) {
 	h.reportedAt = p.now
 	if p.lease.leader == 0 {
 		return
@@ -158,7 +158,7 @@
 // acquire starts a listed job, or releases it at once where it must not start here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
-		h := &heldJob{token: j.token, released: true, text: textNotBegun}
+		h := &ownedJob{token: j.token, released: true, text: textNotBegun}
 		p.jobs[j.job] = h
 		p.reportRelease(j.job, h)
 		return true
@@ -167,7 +167,7 @@
 	if p.leaseEnded() {
 		return false
 	}
-	h := &heldJob{token: j.token}
+	h := &ownedJob{token: j.token}
 	p.jobs[j.job] = h
 	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
 		h.released, h.text, h.checkpointNumber = true, failedPrefix+err.Error(), 0
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -92,9 +92,9 @@
 // leadershipConfirmation is the round in which the voters confirm that this process leads. One round serves all requests that came before
 // it, so that the cost does not rise with the fleet.
 type leadershipConfirmation struct {
-	waiting []leaseClaim            // for the next round
-	byTag   map[uint64][]leaseClaim // rounds under way; none is empty
-	askedAt Time
+	waiting     []leaseClaim            // for the next round
+	byTag       map[uint64][]leaseClaim // rounds under way; none is empty
+	requestedAt Time
 }
 
 // expire drops rounds that voters have not confirmed in time. Their processes send the request again.
@@ -110,10 +110,10 @@
 // whose jobs its successor has granted to others.
 func (c *coordinator) confirmLeadership() {
 	l := &c.confirmation
-	if len(l.waiting) == 0 || c.now-l.askedAt < confirmInterval {
+	if len(l.waiting) == 0 || c.now-l.requestedAt < confirmInterval {
 		return
 	}
-	l.askedAt = c.now
+	l.requestedAt = c.now
 	claims := l.waiting
 	l.waiting = nil
 	if c.table.uncertain {
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -37,7 +37,7 @@
 	case faultClock:
 		p.wallOffset += clockStep(f.Part)
 	case faultHeldBack:
-		r.network.heldUntil[f.Process] = r.now + f.Duration
+		r.network.delayedUntil[f.Process] = r.now + f.Duration
 	case faultLoss:
 		r.network.loss = f.Part
 	default:
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -27,16 +27,16 @@
 
 // network is the links between processes.
 type network struct {
-	peers     map[uint32]int
-	inFlight  []envelope
-	sequence  int
-	cuts      [][]int // how many faults cut the link from one process to another
-	loss      float64 // probability that a message is lost, and that it is duplicated
-	heldUntil []Time  // messages of a process arrive no sooner
+	peers        map[uint32]int
+	inFlight     []envelope
+	sequence     int
+	cuts         [][]int // how many faults cut the link from one process to another
+	loss         float64 // probability that a message is lost, and that it is duplicated
+	delayedUntil []Time  // messages of a process arrive no sooner
 }
 
 func newNetwork(processes int) *network {
-	n := &network{peers: map[uint32]int{}, heldUntil: make([]Time, processes)}
+	n := &network{peers: map[uint32]int{}, delayedUntil: make([]Time, processes)}
 	for range processes {
 		n.cuts = append(n.cuts, make([]int, processes))
 	}
@@ -65,7 +65,7 @@
 		}
 		n.sequence++
 		n.inFlight = append(n.inFlight, envelope{sender: p.index, receiver: to, group: group, data: slices.Clone(message),
-			deliverAt: max(r.arrival(), n.heldUntil[p.index]), sequence: n.sequence})
+			deliverAt: max(r.arrival(), n.delayedUntil[p.index]), sequence: n.sequence})
 	}
 }
 
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -55,7 +55,7 @@
 		t.Error("without its base:", err)
 	}
 	// A small version is sent uncompressed, which processes of an earlier build can decode.
-	if data := refuseAll.encodeFor(base); !bytes.Equal(data, refuseAll.Encode()) {
+	if data := rejectAll.encodeFor(base); !bytes.Equal(data, rejectAll.Encode()) {
 		t.Error("a small version is not sent uncompressed")
 	}
 	over := largeVersion(410)
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -192,4 +192,4 @@
 
 var anyRequest = namespace.Request{Tenant: "t", Class: "c"}
 
-var refuseAll = &Version{Refusals: []Refusal{{Advice: 500}}}
+var rejectAll = &Version{Refusals: []Refusal{{Advice: 500}}}
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -11,7 +11,7 @@
 
 func TestVersionBecomesActiveEverywhere(t *testing.T) {
 	fleet := newTestFleet(t, 5)
-	fleet.proposeOperators(refuseAll, 0)
+	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(200 * ms)
 	fleet.expectAnswer("active: version 1 at 5 of 5")
 	for i, m := range fleet.members {
@@ -20,7 +20,7 @@
 		}
 	}
 	fleet.expectOverlapWithin(100 * ms)
-	fleet.proposeOperators(refuseAll, 0) // a retry is applied once
+	fleet.proposeOperators(rejectAll, 0) // a retry is applied once
 	fleet.expectAnswer("active: version 1")
 	fleet.proposeOperators(&Version{HostsOut: []string{"h"}}, 0)
 	fleet.expectAnswer("refused: it was made against version 0, and 1 is active")
@@ -31,7 +31,7 @@
 	for _, c := range []struct {
 		name             string
 		fault            func(fleet *testFleet, on bool)
-		heardByPublisher bool
+		reachesPublisher bool
 	}{
 		{"both directions", func(fleet *testFleet, on bool) { fleet.isolated[3] = on }, false},
 		{"replies to it are lost", func(fleet *testFleet, on bool) { fleet.losesReplies[3] = on }, true},
@@ -40,9 +40,9 @@
 			fleet := newTestFleet(t, 3)
 			c.fault(fleet, true)
 			began := fleet.now
-			fleet.proposeOperators(refuseAll, 0)
+			fleet.proposeOperators(rejectAll, 0)
 			fleet.run(500 * ms)
-			if !c.heardByPublisher && fleet.lastAnswer() != "" {
+			if !c.reachesPublisher && fleet.lastAnswer() != "" {
 				t.Errorf("answered %d ms after the cut, while its lease may be valid: %q", (fleet.now-began)/ms, fleet.lastAnswer())
 			}
 			fleet.run(3 * leaseDuration)
@@ -52,7 +52,7 @@
 			}
 			c.fault(fleet, false)
 			fleet.run(2 * leaseDuration)
-			if c.heardByPublisher {
+			if c.reachesPublisher {
 				return
 			}
 			fleet.expectAnswer("active: version 1 at 2 of 3; lapsed: c")
@@ -101,7 +101,7 @@
 func TestPublisherLostBetweenReadyAndActive(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
-	fleet.proposeOperators(refuseAll, 0)
+	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(200 * ms) // the version is staged: the member that is cut off may hold a lease
 	fleet.restartPublisher()
 	began := fleet.now
@@ -137,7 +137,7 @@
 	fleet.members[3].AgreeWithin = 10 * leaseDuration
 	fleet.run(3 * leaseDuration)
 	fleet.isolated[3] = true
-	fleet.proposeOperators(refuseAll, 0)
+	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(5 * leaseDuration)
 	if o := fleet.longestOverlap(); o <= leaseDuration {
 		t.Fatalf("an overlap of %d ms with a lease ten times too long", o/ms)
@@ -162,7 +162,7 @@
 func TestNothingIsActiveWithoutACheckpoint(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.checkpointsFail = true
-	fleet.proposeOperators(refuseAll, 0)
+	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(3 * leaseDuration)
 	fleet.expectAnswer("unknown")
 	if v := fleet.members[1].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != 0 || v.Rejected {
@@ -189,7 +189,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(refuseAll.Encode())
+	f.Add(rejectAll.Encode())
 	f.Add((&Version{Number: 3, HostsOut: []string{"a", "b"}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -23,7 +23,7 @@
 	}
 	expect("version 0 is active, 0 entries", "a        0        ", "-")
 	fleet.isolated[3] = true
-	fleet.proposeOperators(refuseAll, 0)
+	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(200 * ms)
 	expect("version 1 is on its way for", "on its way: a change of rules by operators", "not ready", "ready")
 	fleet.run(2 * leaseDuration)
