--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -27,7 +27,7 @@
 	// crossZoneShare is how much of the turns that the price of a crossing takes from other zones they get
 	// back, 0 to 1.
 	crossZoneShare    float64
-	demandByClass     []float64 // load asked for, fading
+	demandByClass     []float64 // requested load, with exponential decay
 	tenantConnections []int     // open connections
 }
 
@@ -36,7 +36,7 @@
 
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
-// update takes in the load of the own and of the other zones, after dt seconds.
+// update applies the load of the own and of the other zones, after dt seconds.
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
 	// More clients in this zone than its hosts bear: turns go to other zones while those do better.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -20,7 +20,7 @@
 	b.FilledAt = now
 }
 
-// Take takes as many whole tokens as are wanted and available.
+// Take takes as many full tokens as are wanted and available.
 func (b *Bucket) Take(want uint64) uint64 {
 	n := uint64(max(0, min(float64(want), b.Tokens)))
 	b.Tokens -= float64(n)
@@ -28,9 +28,9 @@
 }
 
 // SilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
-func SilentMembers(now Time, fleetSize int, askedAt map[uint32]Time, within Time) int {
+func SilentMembers(now Time, fleetSize int, queriedAt map[uint32]Time, within Time) int {
 	n := fleetSize
-	for _, at := range askedAt {
+	for _, at := range queriedAt {
 		if now-at < within {
 			n--
 		}
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -58,7 +58,7 @@
 	eventually(t, "some drills have no owner", func() bool { return countDrills(reportOf(t, a).Owned) == drills })
 	eventually(t, "a job that panics is not started again", func() bool { return atStart.starts.Load() >= 3 && later.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
-	// The backoff is a second at least, also where a starved process becomes the coordinator anew and does not know the earlier failures.
+	// The backoff is a second at least, also where a starved process becomes the coordinator again and does not know the earlier failures.
 	// Without it the jobs would start at every step, tens of times a second.
 	took := time.Since(began)
 	for name, job := range map[string]*panickingJob{"panics-at-start": atStart, "panics-later": later} {
@@ -77,8 +77,8 @@
 	}
 }
 
-// askSocket sends a line to the admin socket, and gives the reply.
-func askSocket(t *testing.T, path, line string) (r Reply) {
+// querySocket sends a line to the admin socket, and gives the reply.
+func querySocket(t *testing.T, path, line string) (r Reply) {
 	t.Helper()
 	conn, err := net.Dial("unix", path)
 	if err != nil {
@@ -108,7 +108,7 @@
 		{`{"do":"add","a":"x"}`, "no voter with a disk"},
 		{`{"do":"move","a":"hosts","b":"x"}`, ""},
 	} {
-		if r := askSocket(t, path, c.request); r.Error == "" || !strings.Contains(r.Error, c.want) {
+		if r := querySocket(t, path, c.request); r.Error == "" || !strings.Contains(r.Error, c.want) {
 			t.Errorf("%s: got %+v, want an error with %q", c.request, r, c.want)
 		}
 	}
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -57,7 +57,7 @@
 	LogEvent(event string, args ...any)
 }
 
-// processID tells apart two processes of one name: during a replacement both run for a moment.
+// processID distinguishes two processes of one name: during a replacement both run for a moment.
 type processID struct {
 	name        string
 	incarnation uint64
@@ -150,7 +150,7 @@
 // SetAble sets whether this process is fit to own jobs: not while it is starved or short of disk.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
-// SetUnreachable sets from how many members each member can't be heard. The coordinator keeps jobs away from such members.
+// SetUnreachable sets how many members receive nothing from each member. The coordinator keeps jobs away from such members.
 func (c *Core) SetUnreachable(unreachableFrom map[string]int) {
 	c.coordinator.unreachableFrom = unreachableFrom
 }
@@ -191,5 +191,5 @@
 // LeaseRemaining is how long this process may go on as an owner.
 func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.participant.lease.end-now) }
 
-// HeldJobs gives the jobs that this process owns, with their tokens.
-func (c *Core) HeldJobs() map[string]uint64 { return c.participant.ownedJobs() }
+// OwnedJobs gives the jobs that this process owns, with their tokens.
+func (c *Core) OwnedJobs() map[string]uint64 { return c.participant.ownedJobs() }
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -16,7 +16,7 @@
 	behind          bool   // its last request shows that it does not have that list
 }
 
-// sessions are the processes that have asked for a lease in the epoch.
+// sessions are the processes that have requested a lease in the epoch.
 type sessions map[processID]*session
 
 // ordered gives them by name, and those of one name by when they began.
@@ -92,12 +92,12 @@
 // leadershipConfirmation is the round in which the voters confirm that this process leads. One round serves all requests that came before
 // it, so that the cost does not rise with the fleet.
 type leadershipConfirmation struct {
-	waiting []leaseClaim            // for the next round
-	byTag   map[uint64][]leaseClaim // rounds under way; none is empty
-	askedAt Time
+	waiting     []leaseClaim            // for the next round
+	byTag       map[uint64][]leaseClaim // rounds under way; none is empty
+	requestedAt Time
 }
 
-// expire drops rounds that voters have not confirmed in time. Their processes ask again.
+// expire drops rounds that voters have not confirmed in time. Their processes send the request again.
 func (l *leadershipConfirmation) expire(now, timeout Time) {
 	for tag, claims := range l.byTag {
 		if now-claims[0].claimedAt > timeout {
@@ -110,10 +110,10 @@
 // whose jobs its successor has granted to others.
 func (c *coordinator) confirmLeadership() {
 	l := &c.confirmation
-	if len(l.waiting) == 0 || c.now-l.askedAt < confirmInterval {
+	if len(l.waiting) == 0 || c.now-l.requestedAt < confirmInterval {
 		return
 	}
-	l.askedAt = c.now
+	l.requestedAt = c.now
 	claims := l.waiting
 	l.waiting = nil
 	if c.table.uncertain {
