--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -10,6 +10,7 @@
 
 	"croftlock/internal/balancer"
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/dataplane/proxy"
 )
 
@@ -78,8 +79,7 @@
 	if err = f.Serve(); err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	netiotest.Start(t, l)
 	r := &frontRig{loop: l, core: core, front: f}
 	r.dial = func() net.Conn {
 		c, err := net.Dial("tcp", f.Addr().String())
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -75,8 +75,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the loop waits for a poller that waits for it")
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	start(t, l)
 	if got, err := io.ReadAll(c); string(got) != "here\r\n" {
 		t.Errorf("got %q, %v", got, err)
 	}
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -33,11 +33,24 @@
 func runningLoop(t *testing.T) *Loop {
 	t.Helper()
 	l := attachedLoop(t)
-	go l.Run()
-	t.Cleanup(l.Stop)
+	start(t, l)
 	return l
 }
 
+// start runs a loop until the test ends, and waits for its end then: netpoll has one poller for the process, which two loops must not use.
+func start(t *testing.T, l *Loop) {
+	t.Helper()
+	go l.Run()
+	t.Cleanup(func() {
+		l.Stop()
+		select {
+		case <-l.ended:
+		case <-time.After(20 * time.Second):
+			t.Error("the loop has not ended")
+		}
+	})
+}
+
 // bound is a listener on a free port.
 func bound(t *testing.T) *Listener {
 	t.Helper()
@@ -71,8 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	start(t, l)
 	return l, addr.String(), closed
 }
 
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -54,8 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go r.loop.Run()
-	t.Cleanup(r.loop.Stop)
+	start(t, r.loop)
 	// As much is under way as a connection may hold, and no more: who sends without end may be cut off meanwhile.
 	sent, got := make([]byte, 16<<10), make([]byte, 16<<10)
 	rng := rand.New(rand.NewSource(2))
@@ -100,8 +99,7 @@
 			t.Error(err)
 		}
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	start(t, l)
 	for round := range 20 {
 		l.Post(serve)
 		dial(t, n.Addr().String())
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 	"croftlock/internal/operations/certs"
 	"croftlock/internal/testbed/fake"
 )
@@ -52,8 +53,7 @@
 		t.Fatal(err)
 	}
 	b.link = New(b.loop, m, func() time.Time { return time.Now().Add(time.Duration(b.skew.Load())) })
-	go b.loop.Run()
-	t.Cleanup(b.loop.Stop)
+	netiotest.Start(t, b.loop)
 	return b
 }
 
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"croftlock/internal/dataplane/netio"
+	"croftlock/internal/dataplane/netio/netiotest"
 )
 
 var seeds = []string{
@@ -65,8 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
-	t.Cleanup(l.Stop)
+	netiotest.Start(t, l)
 	return func() net.Conn {
 		c, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
