--- a/internal/fleet/consensus/phase.go
+++ b/internal/fleet/consensus/phase.go
@@ -9,7 +9,7 @@
 	NotMember              // of no group, or not yet a member
 	Member                 // takes part
 	Stale                  // its store is older than what others have received from it: an operator must replace it
-	Broken                 // its store failed
+	Broken                 // its store failed or does not fit together, or the raft library panicked
 )
 
 var phaseNames = [...]string{"starting", "outside", "member", "stale", "broken"}
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -16,8 +16,8 @@
 	// storeInUseDelay is the same for a store that another process has open: usually the one that this process replaces.
 	storeInUseDelay = 200 * time.Millisecond
 
-	// epochZero is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave bits for tokens.
-	epochZero = 157783680000
+	// clockOrigin is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave bits for tokens.
+	clockOrigin = 157783680000
 )
 
 // Voter is a voter with a disk.
@@ -49,7 +49,8 @@
 // ErrNoVoters is returned where the section has a dir and this program is built without voters on disk.
 var ErrNoVoters = errors.New("this program keeps no votes on a disk: croftlock-voter does; or leave dir out, and voters go by memory")
 
-// replica is this process's part of the replicated group, with its store and the retry of its opening. Processes that do not vote have no group.
+// replica is this process's part of the replicated group, with its store and the retry of its opening. A process has a part if it has a dir, also as
+// a learner or while it waits to be added; without one, if it is among the voters.
 type replica struct {
 	options Options
 	name    string
@@ -57,7 +58,7 @@
 	table   *ownership.Table
 
 	group   ownership.Group // nil: none
-	voter   Voter           // the same, where it has a disk; nil: it has none
+	voter   Voter           // the same, where it has a disk, whether it votes or not; nil: it has none
 	failure string          // why the store can't be used; "": it can
 	retryAt time.Time       // when it is opened again; zero: not before a restart
 }
@@ -66,7 +67,7 @@
 	return &replica{options: o, name: name, table: table, effects: effects}
 }
 
-// open opens this process's part of the group, if it is a voter.
+// open opens this process's part of the group: with a dir one on disk, otherwise one in memory if it is among the voters.
 func (r *replica) open() {
 	r.group, r.voter, r.failure = nil, nil, ""
 	seed := uint64(time.Now().UnixNano())
@@ -80,7 +81,7 @@
 }
 
 func (r *replica) openQuorum(seed uint64, machines map[byte]group.Machine) {
-	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, Clock: time.Now().UnixMilli()/10 - epochZero,
+	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, Clock: time.Now().UnixMilli()/10 - clockOrigin,
 		Faults: Faults.Ownership}
 	q, err := ownership.NewQuorum(cfg, machines, r.effects)
 	if err != nil {
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -17,7 +17,7 @@
 
 var errUnknownAddressee = errors.New("owners: message for neither the group nor the core")
 
-// receiveDatagram takes a datagram from membership, on the loop.
+// receiveDatagram takes a datagram from membership, on the loop. Malformed ones are counted, not logged.
 func (a *Agent) receiveDatagram(peer uint32, data []byte) {
 	a.worker.post(func() {
 		if a.transport.Receive(a.now(), peer, data) != nil {
@@ -55,7 +55,8 @@
 	t.agent.loop.Post(func() { t.agent.members.Carry(peer, carrierID, copied) })
 }
 
-// Message takes a complete message; the first that is rejected is logged.
+// Message takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
+// logging, so all may go unlogged.
 func (t transportEffects) Message(peer uint32, data []byte) {
 	if len(data) == 0 {
 		return
--- a/internal/fleet/owneragent/worker.go
+++ b/internal/fleet/owneragent/worker.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// post queues f for the worker. With a full inbox f is dropped: senders cope with loss, as of datagrams.
+// post queues f for the worker. With a full inbox, as while a disk hangs, f is dropped. Most senders repeat, or bound their wait: datagrams, the view,
+// queries about quota and by operators, Leave. Two do not: RequestMigrations, whose then is never called, and OnRulesChanged, whose f stays unset.
 func (w *worker) post(f func()) {
 	select {
 	case w.inbox <- f:
