--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -138,7 +138,7 @@
 	if err.Retryable {
 		r.retryAt = time.Now().Add(storeRetryDelay)
 	}
-	slog.Error("store_failed", "reason", err, "needs_kb", r.options.MaxStoreKB, "retryable", err.Retryable)
+	slog.Error("store_failed", "reason", err, "max_store_kb", r.options.MaxStoreKB, "retryable", err.Retryable)
 }
 
 // retryDue reports, once, that the store is to be opened again.
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -147,7 +147,7 @@
 				p.release(job, h, HandedOver, textHandedOver)
 			}
 		case !h.released:
-			p.effects.Stop(job, h.token, AssignedToOther)
+			p.effects.Stop(job, h.token, NoLongerListed)
 			delete(p.jobs, job)
 		default:
 			delete(p.jobs, job) // released before, and now taken back
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -10,21 +10,21 @@
 
 // The reasons.
 const (
-	LeaseEnded      ReleaseReason = iota // without a renewal in time
-	HandedOver                           // the coordinator has requested the job, for another process
-	AssignedToOther                      // the coordinator's list no longer holds the job under this token
-	LaterTokenSeen                       // a receiver has accepted an effect of a later owner
-	JobFailed                            // a fault of the job's own
-	ProcessLeaving                       // Core.Leave was called
+	LeaseEnded     ReleaseReason = iota // without a renewal in time
+	HandedOver                          // the coordinator has requested the job, for another process
+	NoLongerListed                      // the coordinator's list does not hold the job under this token: it has another owner or token, or none while the table is uncertain
+	LaterTokenSeen                      // a receiver has accepted an effect of a later owner
+	JobFailed                           // a fault of the job's own
+	ProcessLeaving                      // Core.Leave was called
 )
 
 var releaseReasonCodes = [...]string{
-	LeaseEnded:      "lease_ended",
-	HandedOver:      "handed_over",
-	AssignedToOther: "assigned_to_other",
-	LaterTokenSeen:  "later_token_seen",
-	JobFailed:       "job_failed",
-	ProcessLeaving:  "process_leaving",
+	LeaseEnded:     "lease_ended",
+	HandedOver:     "handed_over",
+	NoLongerListed: "no_longer_listed",
+	LaterTokenSeen: "later_token_seen",
+	JobFailed:      "job_failed",
+	ProcessLeaving: "process_leaving",
 }
 
 // String is the code that the log has.
--- a/internal/testbed/fleetlog/fieldnames.go
+++ b/internal/testbed/fleetlog/fieldnames.go
@@ -29,6 +29,7 @@
 	"host_suspended":          {"out", map[string]string{"out": "suspended"}},
 	"invariant_counts":        {"held_back", map[string]string{"held_back": "blocked"}},
 	"tls_counts":              {"out", map[string]string{"out": "in_flight", "waiting": "queued"}},
+	"store_failed":            {"needs_kb", map[string]string{"needs_kb": "max_store_kb", "tried_again": "retryable"}},
 	"expiring_migrated":       {"standing", map[string]string{"standing": "open"}},
 	"ready":                   {"sessions", map[string]string{"sessions": "max_downstreams"}},
 	"hot_restart_requested":   {"sessions", map[string]string{"sessions": "downstreams"}},
@@ -46,6 +47,9 @@
 			fields["state"] = state
 		}
 	}
+	if event == "job_released" && fields["reason"] == "assigned_to_other" {
+		fields["reason"] = "no_longer_listed"
+	}
 	renamed := earlierFields[event]
 	if _, earlier := fields[renamed.marker]; !earlier {
 		return fields
--- a/internal/testbed/fleetlog/fieldnames_test.go
+++ b/internal/testbed/fleetlog/fieldnames_test.go
@@ -28,6 +28,9 @@
 		{"a draining host", "host host=a state=1", "host_updated host=a state=draining"},
 		{"a removed host", "host host=a state=2", "host_updated host=a state=removed"},
 		{"a suspended host", "host host=a state=3", "host_updated host=a state=suspended"},
+		{"a store that failed", "store_failed reason=full needs_kb=8192 tried_again=true", "store_failed reason=full max_store_kb=8192 retryable=true"},
+		{"a store that failed, later", "store_failed reason=full needs_kb=8192 retryable=true", "store_failed reason=full max_store_kb=8192 retryable=true"},
+		{"a released job", "owns_no_more job=hosts token=3 reason=assigned_to_other", "job_released job=hosts token=3 reason=no_longer_listed"},
 		{"another event's field", "attempt request=q moved=1 rejected=2 state=0", "attempt_started request=q moved=1 rejected=2 state=0"},
 	} {
 		const at = "2026/01/02 03:04:05.000006 event="
