--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -89,7 +89,8 @@
 	return best
 }
 
-// reportLeadership logs changes in whether this process leads.
+// reportLeadership logs changes in whether this process leads. A new leader also clears configuration.changing: a snapshot may have skipped the
+// command that ended a change, and the raft library itself drops a change that comes while another is in force.
 func (c *Core) reportLeadership() {
 	status := c.node.BasicStatus()
 	if status.RaftState != raft.StateLeader {
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -36,7 +36,7 @@
 
 	ProbeInterval    Time // between two probes; 0: 200 ms
 	ProbeTimeout     Time // for an answer, before others are requested to probe; 0: 150 ms
-	UnreachableAfter Time // unheard by anybody for so long, a suspect is unreachable; 0: 2.3 s
+	UnreachableAfter Time // unheard by anybody for so long, lengthened by localHealth and not before minSuspicion, a suspect is unreachable; 0: 2.3 s
 	GoneAfter        Time // unreachable for so long, a member is gone; 0: 10 s
 	Seed             uint64
 
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// reviewUnreachable gives a member up once a majority has been without it for long: a minority must not, as it may be the side cut off.
+// reviewUnreachable gives a member up that has been unreachable for long while this process saw a majority alive. No vote is taken: one process
+// decides, and a process in a minority must not, as it may be on the side cut off.
 func (c *Core) reviewUnreachable(m *member) {
 	if c.now-max(m.stateSince, c.isolation.lastMinority) > c.cfg.GoneAfter {
 		c.markGone(m, reasonUnreachableTooLong)
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxHealth bounds the local health multiplier.
+	// maxHealth bounds the local health multiplier, in halves of a timeout: timeouts grow to five times their length.
 	maxHealth = 8
 	// indirectProbes is how many others are requested to probe a member that did not answer.
 	indirectProbes = 3
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -13,12 +13,12 @@
 	reasonNoAnswer                                  // neither to this process nor to those requested to probe it
 	reasonNotHeardLately                            // others have not heard it lately, and this process never did
 	reasonSuspectedByOthers                         // gossip: it does not answer
-	reasonHeardByNobody                             // within Config.UnreachableAfter
+	reasonHeardByNobody                             // within Config.UnreachableAfter, lengthened as localHealth says
 	reasonIsolated                                  // this process hears nothing at all, and may be the one cut off
 	reasonUnreachableNeverHeard                     // gossip: unreachable, and this process never heard it
-	reasonUnreachableToOthers                       // gossip: unreachable, and nobody here has heard it
-	reasonUnreachableTooLong                        // for Config.GoneAfter, to a majority
-	reasonGoneToOthers                              // gossip: gone, and nobody here has heard it
+	reasonUnreachableToOthers                       // gossip: unreachable, and nobody is known to have heard it within Config.UnreachableAfter
+	reasonUnreachableTooLong                        // for Config.GoneAfter, while this process saw a majority alive
+	reasonGoneToOthers                              // gossip: gone, and nobody is known to have heard it within Config.UnreachableAfter
 	reasonAnnouncedShutdown
 )
 
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -12,7 +12,7 @@
 	Suspect                  // answered neither this process nor those requested to probe it, or others say so; it still counts as a member
 	Unreachable              // heard by nobody for Config.UnreachableAfter; it may be cut off
 	Left                     // it announced its shutdown
-	Gone                     // unreachable for Config.GoneAfter, in the view of a majority of the fleet
+	Gone                     // unreachable for Config.GoneAfter at a process that saw a majority of the fleet alive all that time, or at another that says so
 )
 
 var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// handleGivenUp agrees that a member is gone unless it was heard here lately. Either way what is known here spreads, as a contradiction or not.
+// handleGivenUp agrees that a member is gone, unless somebody is known to have heard it lately or this process has just slept. Either
+// way what is known here spreads, as a contradiction or not.
 func (c *Core) handleGivenUp(m *member) {
 	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.mayAccuse(c.now) {
 		c.markGone(m, reasonGoneToOthers)
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -85,7 +85,7 @@
 
 // adminMoveJob requests the coordinator to hand a job over. An answer that is not empty is its refusal.
 func (a *Agent) adminMoveJob(q Request) Reply {
-	answer, failed := a.queryOwner(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
+	answer, failed := a.queryFleet(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
 	switch {
 	case failed != nil:
 		return *failed
@@ -101,7 +101,7 @@
 	if q.Command == "list" {
 		command = jobs.ListCommand()
 	}
-	answer, failed := a.queryOwner(func(tag uint64) {
+	answer, failed := a.queryFleet(func(tag uint64) {
 		if a.jobs.byName[hostsJob] == nil {
 			a.queries.answerOperator(tag, "refused: (owners (hosts on)) is not set")
 			return
@@ -118,7 +118,7 @@
 // The publisher treats a repeated query as the first one.
 func (a *Agent) adminRules(q Request) Reply {
 	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, q.Rules) }
-	answer, failed := a.queryOwner(func(tag uint64) {
+	answer, failed := a.queryFleet(func(tag uint64) {
 		switch {
 		case a.rules.enforcer == nil:
 			a.queries.answerOperator(tag, rulesOff)
@@ -134,9 +134,9 @@
 	return Reply{Answer: rules.DecodeReply(answer)}
 }
 
-// queryOwner sends a query by send and waits for the reply; failed is the answer to the operator where there is none. retry, if not nil, sends
-// the query again each queryRetryInterval.
-func (a *Agent) queryOwner(send, retry func(tag uint64)) (answer string, failed *Reply) {
+// queryFleet sends a query to a job's owner, or a request to the coordinator, by send and waits for the reply; failed is the answer to
+// the operator where there is none. retry, if not nil, sends the query again each queryRetryInterval.
+func (a *Agent) queryFleet(send, retry func(tag uint64)) (answer string, failed *Reply) {
 	answers := make(chan string, 1)
 	var tag uint64
 	if !a.onWorker(func() {
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -173,7 +173,7 @@
 		Wall: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
-		panic(err) // Options.Check lets no such configuration pass
+		panic(err) // can't be: Section checks the voters, membership the name, and the section's bounds allow fewer than ownership.MaxJobs jobs
 	}
 	a.core = core
 }
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -6,7 +6,7 @@
 type Candidate struct {
 	Name            string
 	Incarnation     uint64
-	Able            bool // not leaving, starved or short of disk
+	Able            bool // not leaving, its lease has not ended, and its replica's store can be used
 	UnreachableFrom int  // members that receive nothing from it; fewer is better
 	StableFor       Time // how long it has been able without a break
 	Offers          func(job string) bool
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, whatever its clock: the coordinator counts longer by
-// the drift.
+// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, as long as neither clock is fast or slow by more than 2 %
+// (clockDriftDivisor).
 func (c *coordinator) leaseSurelyEnded(grantedAt Time) Time {
 	return grantedAt + lengthened(c.cfg.Lease)
 }
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// SetAble sets whether this process is fit to own jobs: not while it is starved or short of disk.
+// SetAble sets whether this process is fit to own jobs: not while its replica's store can't be used.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
 // SetUnreachable sets how many members receive nothing from each member. The coordinator keeps jobs away from such members.
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -15,7 +15,7 @@
 const (
 	Accepted  Verdict = iota
 	Duplicate         // this effect or a later one of the same token was accepted before
-	Stale             // a higher token was seen
+	Stale             // a higher token was seen, or the Fence is full and does not know the job
 )
 
 // String names the verdict.
@@ -31,7 +31,8 @@
 	return "unknown"
 }
 
-// Fence is what a receiver remembers of each job: the fencing token of the latest effect that it accepted. It makes a stale owner harmless.
+// Fence is what a receiver remembers of each job: the fencing token of the latest effect that it accepted. It makes
+// effects of a stale owner harmless that come after a later owner's. It is in memory: a process begins with an empty one.
 type Fence struct {
 	Faults FaultInjection
 
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -4,7 +4,9 @@
 //
 //   - Lease: an owner stops by itself before the coordinator counts its lease as ended. The owner counts the lease shorter, the coordinator
 //     longer, by more than clocks can drift apart. This is not enough alone: an owner may sleep between its check and its act.
-//   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects lower ones, so a stale owner changes nothing.
+//   - Fencing: every receiver remembers the highest token of each job (Fence) and rejects effects under lower ones: after a later owner's effect
+//     a stale owner's changes nothing, while the receiver's process runs. A new process begins with an empty Fence. Replies to queries carry
+//     no token: they are safe by the lifetimes that receivers count from the query (leases of rules, grants of quota, permits for migrations).
 //
 // The jobs, their owners and tokens form a Table, replicated by a Group of voters: with disks (package consensus) or from memory (Quorum). The
 // process that leads the group is the coordinator: it tracks members by their lease requests and assigns jobs to them.
@@ -32,7 +34,8 @@
 	MaxJobs = 1000
 )
 
-// clockDriftDivisor: one fiftieth of a lease covers the drift between two clocks.
+// clockDriftDivisor: the holder of a lease counts a fiftieth less and the coordinator a fiftieth more, so that each clock may be fast or slow by 2 %.
+// A voter of a Quorum counts its grant at its full length: there the two clocks may differ by 2 % in sum.
 const clockDriftDivisor = 50
 
 // shortened is a duration as the holder of a lease counts it.
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -12,7 +12,7 @@
 const (
 	LeaseEnded     ReleaseReason = iota // without a renewal in time
 	HandedOver                          // the coordinator has requested the job, for another process
-	NoLongerListed                      // the coordinator's list does not hold the job under this token: it has another owner or token, or none while the table is uncertain
+	NoLongerListed                      // not on the coordinator's list under this token: another owner, a raised token, or an uncertain table
 	LaterTokenSeen                      // a receiver has accepted an effect of a later owner
 	JobFailed                           // a fault of the job's own
 	ProcessLeaving                      // Core.Leave was called
@@ -30,7 +30,7 @@
 // String is the code that the log has.
 func (r ReleaseReason) String() string { return releaseReasonCodes[r] }
 
-// Texts of a job's last change, as stored.
+// Texts of a job's last change, as stored. That of textOwnerUnfit stays though nothing measures whether a process is starved: see Core.SetAble.
 const (
 	textRegistered   = "made known"
 	textFree         = "free, and it has the fewest"
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,8 +1,8 @@
 package rules
 
-// clockDriftDivisor: a fiftieth of a lease covers two clocks that drift by 1 % each. The member counts its lease from before it sent the request
-// and ends it a margin early; the publisher counts from when the request arrived and ends it a margin late. So a lease that the publisher takes for
-// ended has ended at the member too, whatever the delay of the messages.
+// clockDriftDivisor: each side's fiftieth of a lease covers a clock that is fast or slow by 2 %. The member counts its lease from before it sent the
+// request and ends it a margin early; the publisher counts from when the request arrived and ends it a margin late. So a lease that the publisher
+// takes for ended has ended at the member too, whatever the delay of the messages.
 const clockDriftDivisor = 50
 
 // LeaseEnd is when a lease that was requested at a time ends at the member that holds it.
