--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -31,17 +31,17 @@
 	departure   departure
 
 	// worker
-	core            *ownership.Core
-	fence           *ownership.Fence
-	replica         *replica
-	transport       *fragment.Transport
-	jobs            *jobRunner
-	queries         *queries
-	migrationPacer  *jobs.MigrationPacer // nil: migrations are not paced
-	rules           ruleAgreement
-	quota           quotaSharing
-	unreachableFrom map[string]int // members that receive nothing from a member, by its name
-	counts          Counts
+	core           *ownership.Core
+	fence          *ownership.Fence
+	replica        *replica
+	transport      *fragment.Transport
+	jobs           *jobRunner
+	queries        *queries
+	migrationPacer *jobs.MigrationPacer // nil: migrations are not paced
+	rules          ruleAgreement
+	quota          quotaSharing
+	unheardBy      map[string]int // number of members that have not left and do not hear a member, by its name
+	counts         Counts
 }
 
 // Counts are what has happened in a process since its start.
@@ -114,8 +114,8 @@
 		return
 	}
 	view := a.members.View()
-	members, unreachableFrom := a.presentMembers(view), a.unheardMembers(view)
-	a.worker.post(func() { a.jobs.members, a.unreachableFrom = members, unreachableFrom })
+	members, unheardBy := a.presentMembers(view), a.unheardMembers(view)
+	a.worker.post(func() { a.jobs.members, a.unheardBy = members, unheardBy })
 	a.loop.After(viewInterval, a.refreshView)
 }
 
@@ -189,7 +189,7 @@
 		a.replica.logReopened()
 	}
 	a.core.SetAble(a.replica.failure == "")
-	a.core.SetUnreachable(a.unreachableFrom)
+	a.core.SetUnheardBy(a.unheardBy)
 	a.core.Tick(now)
 	a.transport.Tick(now)
 	a.rules.tick(now)
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -4,12 +4,12 @@
 
 // Candidate is a process that could own jobs, as the coordinator sees it.
 type Candidate struct {
-	Name            string
-	Incarnation     uint64
-	Able            bool // not leaving, its lease has not ended, and its replica's store can be used
-	UnreachableFrom int  // members that receive nothing from it; fewer is better
-	StableFor       Time // how long it has been able without a break
-	Offers          func(job string) bool
+	Name        string
+	Incarnation uint64
+	Able        bool // not leaving, its lease has not ended, and its replica's store can be used
+	UnheardBy   int  // number of members that have not left and do not hear it; fewer is better
+	StableFor   Time // how long it has been able without a break
+	Offers      func(job string) bool
 }
 
 // Assignment is one decision of Assign: a job for a process.
@@ -87,8 +87,8 @@
 
 // better orders by reachability, then by load, then by rendezvousScore.
 func (a *assigner) better(job string, c, than *Candidate) bool {
-	if c.UnreachableFrom != than.UnreachableFrom {
-		return c.UnreachableFrom < than.UnreachableFrom
+	if c.UnheardBy != than.UnheardBy {
+		return c.UnheardBy < than.UnheardBy
 	}
 	if a.load[c.Name] != a.load[than.Name] {
 		return a.load[c.Name] < a.load[than.Name]
@@ -104,18 +104,18 @@
 	return a.rebalance(owned)
 }
 
-// replaceUnfitOwner finds a job whose owner is not able or unreachable from some members, and a better candidate for it.
+// replaceUnfitOwner finds a job whose owner is not able or not heard by some members, and a better candidate for it.
 func (a *assigner) replaceUnfitOwner(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
 		if owner == nil || a.now-a.changedAt(row.Job) < minHandoverInterval {
 			continue
 		}
-		if owner.Able && owner.UnreachableFrom == 0 {
+		if owner.Able && owner.UnheardBy == 0 {
 			continue
 		}
 		to := a.best(row.Job, row.Owner, minHandoverInterval)
-		if to != nil && (!owner.Able || to.UnreachableFrom < owner.UnreachableFrom) {
+		if to != nil && (!owner.Able || to.UnheardBy < owner.UnheardBy) {
 			return handoverTo(row.Job, to, textOwnerUnfit), true
 		}
 	}
@@ -130,7 +130,7 @@
 			continue
 		}
 		to := a.best(row.Job, row.Owner, minRebalanceInterval)
-		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnreachableFrom <= owner.UnreachableFrom {
+		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnheardBy <= owner.UnheardBy {
 			return handoverTo(row.Job, to, textRebalanced), true
 		}
 	}
--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -41,10 +41,10 @@
 		want   string // to whom the job that a owns is handed over; "": it stays
 	}{
 		{"all are fit", func(c []Candidate) {}, ""},
-		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnreachableFrom = 1 }, "b"},
-		{"its owner is unreachable from some", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom = 2, 1 }, "c"},
+		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnheardBy = 1 }, "b"},
+		{"its owner is not heard by some", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy = 2, 1 }, "c"},
 		{"the others have not been fit for long", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
-		{"the others are unreachable from as many", func(c []Candidate) { c[0].UnreachableFrom, c[1].UnreachableFrom, c[2].UnreachableFrom = 1, 1, 1 }, ""},
+		{"the others are not heard by as many", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy, c[2].UnheardBy = 1, 1, 1 }, ""},
 		{"no other offers the job", func(c []Candidate) { c[0].Able = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
 	} {
 		candidates := stableCandidates()
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -121,7 +121,7 @@
 		for job := range s.offers {
 			set.offered[job] = true
 		}
-		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Able: s.able, UnreachableFrom: c.unreachableFrom[s.name],
+		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Able: s.able, UnheardBy: c.unheardBy[s.name],
 			StableFor: c.now - s.ableSince, Offers: func(job string) bool { return s.offers[job] }})
 	}
 	return set
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -17,7 +17,7 @@
 // what it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
-	unreachableFrom map[string]int // members that receive nothing from a member, by its name
+	unheardBy map[string]int // number of members that have not left and do not hear a member, by its name
 
 	epoch        uint64 // 0: this process does not lead
 	leadsSince   Time
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -150,9 +150,9 @@
 // SetAble sets whether this process is fit to own jobs: not while its replica's store can't be used.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
-// SetUnreachable sets how many members receive nothing from each member. The coordinator keeps jobs away from such members.
-func (c *Core) SetUnreachable(unreachableFrom map[string]int) {
-	c.coordinator.unreachableFrom = unreachableFrom
+// SetUnheardBy sets by how many members each member is not heard. The coordinator keeps jobs away from such members.
+func (c *Core) SetUnheardBy(unheardBy map[string]int) {
+	c.coordinator.unheardBy = unheardBy
 }
 
 // Leave releases all jobs, and takes none any more. text is stored as the reason.
