--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -11,7 +11,8 @@
 // promotionLag is how many commands a learner may lag behind and still be promoted.
 const promotionLag = 64
 
-// Add adds a process that has applied for it to the group, as a learner, which does not vote. The tag is passed to Effects.Applied.
+// Add adds a process to the group that has applied for it ("asked to be taken in": its hello came), as a learner, which does not vote. The tag
+// is passed to Effects.Applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
 	id, isApplicant := c.joining.applicants[name]
 	if !isApplicant {
@@ -23,8 +24,8 @@
 	return c.proposeChange(now, tag, name, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 }
 
-// Promote makes a learner a voter, once it has caught up. An earlier identity of the same process, which lost its disk, loses its vote in the
-// same change: the number of voters stays.
+// Promote makes a learner ("member that listens") a voter, once it has caught up. An earlier identity of the same process, which lost its disk,
+// loses its vote in the same change: the number of voters stays.
 func (c *Core) Promote(now Time, tag uint64, name string) error {
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/group"
 )
 
-// lateTicks is by how many ticks a call of Tick may be late before the process counts as having been paused.
+// lateTicks is how many tick intervals may pass between two calls of Tick before the process counts as having been paused.
 const lateTicks = 4
 
 // Core is one process's part. It is not safe for concurrent use.
@@ -23,7 +23,7 @@
 	phase       Phase
 	failure     error // of Broken
 	identity    Identity
-	incarnation uint64      // of this start
+	incarnation uint64      // random, drawn at each start; membership's and ownership's are times
 	recovered   StoredState // what the store contained at the start; raft takes its entries once it runs
 
 	joining       joining
@@ -108,28 +108,28 @@
 	if c.node == nil || c.phase == Broken || c.phase == Stale {
 		return
 	}
-	late := c.now - c.lastTick
+	elapsed := c.now - c.lastTick
 	c.lastTick = c.now
 	if c.node.BasicStatus().RaftState == raft.StateLeader {
-		c.tickLeader(late)
+		c.tickLeader(elapsed)
 	} else {
-		c.tickFollower(late)
+		c.tickFollower(elapsed)
 	}
 	c.processReady()
 }
 
 // tickLeader counts the time that a leader was paused, too, so that it steps down if no messages of a majority came for an election timeout.
-func (c *Core) tickLeader(late Time) {
-	ticks := max(1, min(late/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
+func (c *Core) tickLeader(elapsed Time) {
+	ticks := max(1, min(elapsed/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
 		c.node.Tick()
 	}
 }
 
 // tickFollower campaigns once the leader is lost.
-func (c *Core) tickFollower(late Time) {
+func (c *Core) tickFollower(elapsed Time) {
 	c.node.TickQuiesced()
-	if late > lateTicks*c.cfg.TickInterval {
+	if elapsed > lateTicks*c.cfg.TickInterval {
 		c.election.reset(c.now) // this process was paused: missing messages of the leader show nothing
 	}
 	if c.election.expired(c.now) && c.configuration.isVoter(c.identity.ID) {
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -19,8 +19,8 @@
 type Member struct {
 	Name        string
 	Peer        uint32
-	Incarnation uint64
-	Present     bool // alive, suspect or joining
+	Incarnation uint64 // membership's; of this process itself ownership's. It only tells processes apart
+	Present     bool   // alive, suspect or joining
 }
 
 // Owner is what a job can do while it is owned. It is valid from Job.Start to Job.Stop.
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -12,7 +12,7 @@
 	Suspect                  // answered neither this process nor those requested to probe it, or others say so; it still counts as a member
 	Unreachable              // heard by nobody for Config.UnreachableAfter; it may be cut off
 	Left                     // it announced its shutdown
-	Gone                     // unreachable for Config.GoneAfter at a process that saw a majority of the fleet alive all that time, or at another that says so
+	Gone                     // unreachable for Config.GoneAfter at a process that saw a majority alive all that time, or given up by another
 )
 
 var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
@@ -32,7 +32,7 @@
 func (s State) countsAlive() bool { return s == Alive || s == Suspect }
 
 // Incarnation distinguishes the processes that have had a member's name: its start in Unix milliseconds, and a 16-bit counter that only the
-// member itself raises, to refute what others say of it. A larger one is newer.
+// member itself raises, to refute what others say of it. A larger one is newer. Ownership's incarnation is the start alone, consensus's is random.
 type Incarnation uint64
 
 // NewIncarnation is the first one of a process that started at a time in Unix milliseconds.
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -22,7 +22,7 @@
 type Agent struct {
 	options     Options
 	name        string
-	incarnation uint64
+	incarnation uint64 // of ownership and fragments: this process's start in Unix milliseconds, without membership's counter
 	startedAt   time.Time
 	loop        *netio.Loop
 	members     *memberagent.Agent
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -9,6 +9,8 @@
 const (
 	// sessionGatherTime is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
 	sessionGatherTime = 200 * ms
+	// firstGatherDivisor of a lease is that wait where the table is empty: a fleet that starts for the first time, whose processes come one by one.
+	firstGatherDivisor = 2
 	// handoverInterval is the least time between two handovers that Assign requests. Those of operators do not wait.
 	handoverInterval = sec
 
@@ -87,11 +89,14 @@
 // gatherTime is how long no job is granted in a new epoch: longer in a fleet that starts for the first time, since all its sessions are new.
 func (c *coordinator) gatherTime() Time {
 	if c.emptyAtStart {
-		return c.cfg.Lease / 2
+		return c.cfg.Lease / firstGatherDivisor
 	}
 	return sessionGatherTime
 }
 
+// renewalOverdue is how long ago a candidate may have renewed its lease: it requests one each quarter, so a few in a row were lost.
+func renewalOverdue(lease Time) Time { return lease * 2 / 3 }
+
 // candidateSet are the processes that may own jobs, and what any of them offers.
 type candidateSet struct {
 	list    []Candidate
@@ -115,7 +120,7 @@
 		if n := len(set.list); n > 0 && set.list[n-1].Name == s.name {
 			set.list = set.list[:n-1] // an earlier process of the same name: it gets no more jobs
 		}
-		if s.offers == nil || c.now-s.renewedAt > c.cfg.Lease*2/3 {
+		if s.offers == nil || c.now-s.renewedAt > renewalOverdue(c.cfg.Lease) {
 			continue // its jobs are not known yet, or it may be lost
 		}
 		for job := range s.offers {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -10,7 +10,7 @@
 // Config describes a process to its Core.
 type Config struct {
 	Name        string       // member name
-	Incarnation uint64       // of the process, above 0
+	Incarnation uint64       // of the process, above 0; the owner agent passes its start in Unix milliseconds
 	Voters      []string     // names of those that may lead the group
 	Jobs        []string     // that this process can own
 	Lease       Time         // how long an owner continues without the coordinator; default 2 s
@@ -150,7 +150,8 @@
 // SetAble sets whether this process is fit to own jobs: not while its replica's store can't be used.
 func (c *Core) SetAble(able bool) { c.participant.able = able }
 
-// SetUnheardBy sets by how many members each member is not heard. The coordinator keeps jobs away from such members.
+// SetUnheardBy sets by how many members that have not left each member is not heard; this is not the state membership.Unreachable. The
+// coordinator keeps jobs away from members that others do not hear.
 func (c *Core) SetUnheardBy(unheardBy map[string]int) {
 	c.coordinator.unheardBy = unheardBy
 }
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -1,5 +1,20 @@
 package ownership
 
+// Parts of a Quorum's lease, and multiples of it.
+const (
+	// electionTimeoutDivisor: an election that takes longer than this part has failed, and makes way for others.
+	electionTimeoutDivisor = 2
+	// candidacyDelayDivisor and candidacySpreadDivisor are the fixed and the random part of the delay before an election.
+	candidacyDelayDivisor  = 16
+	candidacySpreadDivisor = 4
+	// renewalsPerLease allows several lost rounds before the lease ends.
+	renewalsPerLease = 5
+	// incompleteAfterLeases is how long voters that are not heard are waited for, as only they may have what was committed.
+	incompleteAfterLeases = 3
+	// promisesDivisor is the part for which an election collects promises before it may begin with incomplete state.
+	promisesDivisor = 4
+)
+
 // candidateState is an election under way here, and when the next one may begin.
 type candidateState struct {
 	ballot        uint64 // 0: no election
@@ -37,7 +52,7 @@
 func (q *Quorum) tickCandidate() {
 	c := &q.candidate
 	switch {
-	case c.ballot != 0 && q.now-c.startedAt > q.cfg.Lease/2:
+	case c.ballot != 0 && q.now-c.startedAt > q.cfg.Lease/electionTimeoutDivisor:
 		q.abandonElection()
 	case c.ballot != 0 && c.stateFrom == 0:
 		q.chooseState()
@@ -48,7 +63,7 @@
 
 // delayCandidacy draws a random delay, so that two candidates do not keep each other from being elected.
 func (q *Quorum) delayCandidacy() {
-	q.candidate.nextAt = q.now + q.cfg.Lease/16 + Time(q.rng.Int64N(int64(q.cfg.Lease/4)))
+	q.candidate.nextAt = q.now + q.cfg.Lease/candidacyDelayDivisor + Time(q.rng.Int64N(int64(q.cfg.Lease/candidacySpreadDivisor)))
 }
 
 func (q *Quorum) becomeCandidate() {
@@ -111,7 +126,7 @@
 		return true
 	}
 	withoutLeader := q.now - max(q.voter.grantEnd, q.startedAt+q.cfg.Lease)
-	return withoutLeader >= 3*q.cfg.Lease && q.now-q.candidate.startedAt >= q.cfg.Lease/4
+	return withoutLeader >= incompleteAfterLeases*q.cfg.Lease && q.now-q.candidate.startedAt >= q.cfg.Lease/promisesDivisor
 }
 
 // requestLease requests the leader's lease, or its renewal.
@@ -121,7 +136,7 @@
 	if q.leads() {
 		ballot, epoch = q.leader.ballot, q.leader.epoch
 	}
-	q.leader.renewAt = q.now + q.cfg.Lease/5
+	q.leader.renewAt = q.now + q.cfg.Lease/renewalsPerLease
 	q.broadcast(leaseProposal{ballot: ballot, epoch: epoch, round: round})
 }
 
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -12,7 +12,7 @@
 	maxBatchBytes = 4096
 )
 
-// logPosition is a place in the order of all commands: versions start at 0 in each epoch.
+// logPosition is a place in the order of all commands. version is the index in the epoch's log, from 0 in each epoch; it is not Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
 func (p logPosition) before(other logPosition) bool {
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -10,7 +10,7 @@
 // Machine is the table's number among the group's state machines.
 const Machine = 1
 
-const tableVersion = 1
+const tableFormat = 1
 
 // tokensPerEpochBits: a job's first token in an epoch is the epoch shifted by this, so that tokens rise across epochs.
 const tokensPerEpochBits = 20
@@ -40,7 +40,7 @@
 
 // Table is the jobs, as a state machine of the group.
 type Table struct {
-	// Version rises with each command that changes the ownership of a job.
+	// Version rises with each command that is applied, other than a checkpoint, and with MarkUncertain.
 	Version uint64
 
 	rows      map[string]*JobRecord
@@ -102,7 +102,7 @@
 // Snapshot encodes the complete table.
 func (t *Table) Snapshot() []byte {
 	var w encoding.Writer
-	w.Uint(tableVersion).Uint(t.Version).Bool(t.uncertain).Uint(uint64(len(t.names)))
+	w.Uint(tableFormat).Uint(t.Version).Bool(t.uncertain).Uint(uint64(len(t.names)))
 	for _, name := range t.names {
 		t.rows[name].encode(&w)
 	}
@@ -127,11 +127,11 @@
 	}
 }
 
-// Restore replaces the table by a snapshot. A truncated one, or one of another version, changes nothing.
+// Restore replaces the table by a snapshot. A truncated one, or one in another format, changes nothing.
 func (t *Table) Restore(snapshot []byte) error {
 	r := encoding.Reader{Data: snapshot}
-	if v := r.Uint(); v != tableVersion {
-		return fmt.Errorf("%w: %d, only %d is known", ErrUnsupportedTable, v, tableVersion)
+	if v := r.Uint(); v != tableFormat {
+		return fmt.Errorf("%w: %d, only %d is known", ErrUnsupportedTable, v, tableFormat)
 	}
 	next := NewTable()
 	next.Version, next.uncertain = r.Uint(), r.Bool()
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned.
+// stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned. Only members that renew are
+// waited for, and these send queriesPerLease queries in each: several may be lost while they fetch and compile it.
 const stagingLeases = 3
 
 // Publisher is the part of the process that owns the rules' job: it orders the versions and grants the leases to act by the active one. A newer
