--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -22,7 +22,7 @@
 type Agent struct {
 	options     Options
 	name        string
-	incarnation uint64
+	incarnation uint64 // of ownership and fragments: this process's start in Unix milliseconds, without membership's counter
 	startedAt   time.Time
 	loop        *netio.Loop
 	members     *memberagent.Agent
@@ -31,17 +31,17 @@
 	departure   departure
 
 	// worker
-	core            *ownership.Core
-	fence           *ownership.Fence
-	replica         *replica
-	transport       *fragment.Transport
-	jobs            *jobRunner
-	queries         *queries
-	migrationPacer  *jobs.MigrationPacer // nil: migrations are not paced
-	rules           ruleAgreement
-	quota           quotaSharing
-	unreachableFrom map[string]int // members that receive nothing from a member, by its name
-	counts          Counts
+	core           *ownership.Core
+	fence          *ownership.Fence
+	replica        *replica
+	transport      *fragment.Transport
+	jobs           *jobRunner
+	queries        *queries
+	migrationPacer *jobs.MigrationPacer // nil: migrations are not paced
+	rules          ruleAgreement
+	quota          quotaSharing
+	unheardBy      map[string]int // number of members that have not left and do not hear a member, by its name
+	counts         Counts
 }
 
 // Counts are what has happened in a process since its start.
@@ -114,8 +114,8 @@
 		return
 	}
 	view := a.members.View()
-	members, unreachableFrom := a.presentMembers(view), a.unheardMembers(view)
-	a.worker.post(func() { a.jobs.members, a.unreachableFrom = members, unreachableFrom })
+	members, unheardBy := a.presentMembers(view), a.unheardMembers(view)
+	a.worker.post(func() { a.jobs.members, a.unheardBy = members, unheardBy })
 	a.loop.After(viewInterval, a.refreshView)
 }
 
@@ -173,7 +173,7 @@
 		Wall: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
-		panic(err) // Options.Check lets no such configuration pass
+		panic(err) // can't be: Section checks the voters, membership the name, and the section's bounds allow fewer than ownership.MaxJobs jobs
 	}
 	a.core = core
 }
@@ -189,7 +189,7 @@
 		a.replica.logReopened()
 	}
 	a.core.SetAble(a.replica.failure == "")
-	a.core.SetUnreachable(a.unreachableFrom)
+	a.core.SetUnheardBy(a.unheardBy)
 	a.core.Tick(now)
 	a.transport.Tick(now)
 	a.rules.tick(now)
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -17,7 +17,7 @@
 // what it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
-	unreachableFrom map[string]int // members that receive nothing from a member, by its name
+	unheardBy map[string]int // number of members that have not left and do not hear a member, by its name
 
 	epoch        uint64 // 0: this process does not lead
 	leadsSince   Time
@@ -95,8 +95,8 @@
 	}
 }
 
-// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, whatever its clock: the coordinator counts longer by
-// the drift.
+// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, as long as neither clock is fast or slow by more than 2 %
+// (clockDriftDivisor).
 func (c *coordinator) leaseSurelyEnded(grantedAt Time) Time {
 	return grantedAt + lengthened(c.cfg.Lease)
 }
