--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -33,11 +33,11 @@
 
 // The kinds of list.
 const (
-	ListDelta       ListChange = iota // only what has changed
-	ListFull                          // everything: what is absent is removed
-	ListCached                        // everything, as this balancer last had it; may be old
-	ListFailed                        // a poll of discovery failed or a watch broke; no entries
-	ListMaintenance                   // a change by an operator, not by discovery
+	ListDelta  ListChange = iota // only what has changed
+	ListFull                     // everything: what is absent is removed
+	ListCached                   // everything, as this balancer last had it; may be old
+	ListFailed                   // a poll of discovery failed or a watch broke; no entries
+	ListLocal                    // made in this proxy, not by discovery: suspension, watermark or pool
 )
 
 // endpointList is the hosts that discovery has named since the start.
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if result.Status == TooLate {
-		b.reject(r)
+		b.rejectOrFail(r)
 		return
 	}
 	b.place(r)
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -26,7 +26,8 @@
 //     rejected there after half of the time that it had left when it was first queued.
 //   - The ledger server has replied (ledgerReplyReceived).
 //
-// reject answers that a retry is harmless, or with a failure where it is not (clientRetryUnsafe).
+// "Rejected" stands for rejectOrFail, which answers that a retry is harmless, or with a failure where it is
+// not (clientRetryUnsafe).
 
 // RequestArrived takes a client's request: from here on it is owed one final answer.
 func (b *Balancer) RequestArrived(now Time, q Request) {
@@ -75,7 +76,7 @@
 	// what is left would only lengthen the queue that all set-ups share.
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.setups.QueueDelay(b.now) || b.retryForbidden(r) {
-		b.reject(r)
+		b.rejectOrFail(r)
 		return
 	}
 	if b.waitsForRetryStorm(r) {
@@ -94,7 +95,7 @@
 	case h != nil:
 		b.startAttempt(r, h, left)
 	case r.shedUnlessWarmingHost || b.allHostsSuspended():
-		b.reject(r)
+		b.rejectOrFail(r)
 	default:
 		b.enqueue(r)
 	}
@@ -116,8 +117,9 @@
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
-// reject gives the final answer of a request that is not served. It is kept until its attempt has ended.
-func (b *Balancer) reject(r *request) {
+// rejectOrFail gives the final answer of a request that is not served. It is kept until its attempt has
+// ended.
+func (b *Balancer) rejectOrFail(r *request) {
 	r.closed = true
 	b.reconcileLedger(r, nil)
 	if b.clientRetryUnsafe(r) {
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -47,7 +47,7 @@
 		r.wait.queued = false
 		switch {
 		case b.now >= r.wait.rejectAt:
-			b.reject(r)
+			b.rejectOrFail(r)
 		case b.now < r.wait.notBefore:
 			b.enqueue(r)
 		default:
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -159,7 +159,7 @@
 		w *= far + (1-far)*b.shedding.crossZoneShare
 	}
 	if warm := b.fullCapacityShare(h); warm < 1 {
-		w *= min(1, slowStartSafety*b.cfg.SlowStartOverloadFactor*warm)
+		w *= min(1, slowStartShareFactor*b.cfg.SlowStartOverloadFactor*warm)
 	}
 	if b.hostsReportLoad() {
 		w *= max(minHealth, noTurnsLoad-load)
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -6,9 +6,9 @@
 	"croftlock/internal/balancer/rendezvous"
 )
 
-// slowStartSafety is what a full host takes over what an average one gets: a warming one has as much spare
-// capacity in proportion.
-const slowStartSafety = 2.5
+// slowStartShareFactor is how many times its share by present capacity a warming host may get: a host at full
+// load bears about 2.5 times what an average one gets.
+const slowStartShareFactor = 2.5
 
 // Parts of a warming host's budget that are given out by lottery. Not all is: the draws vary.
 const (
@@ -35,7 +35,7 @@
 
 // slowStartShare is the part of all fresh connections that a warming host may get.
 func (b *Balancer) slowStartShare(h *host) float64 {
-	return slowStartSafety * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
+	return slowStartShareFactor * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
 		max(b.traffic.fleetWeight, h.weight)
 }
 
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -20,7 +20,7 @@
 		f.establish(fmt.Sprint("v", i))
 		f.now += sec / 400
 	}
-	n, budget := f.attemptsAt("s03", from), slowStartSafety*3*0.3*2
+	n, budget := f.attemptsAt("s03", from), slowStartShareFactor*3*0.3*2
 	if float64(n) > budget+1 {
 		t.Fatalf("%d connections in a second to a warming host, its budget here is %.1f", n, budget)
 	}
@@ -71,7 +71,7 @@
 		n += f.attemptsAt("s03", from)
 	}
 	capacityShare := 0.2 + 0.8*4/10
-	if budget := slowStartSafety * 3 * capacityShare * 12; float64(n) > budget {
+	if budget := slowStartShareFactor * 3 * capacityShare * 12; float64(n) > budget {
 		t.Fatalf("a wave brought %d connections at once to a warming host that bears %.0f in a second",
 			n, budget)
 	}
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -16,8 +16,8 @@
 	mean := replayWaves(t, seeds, up, func(f *fake) {
 		e := &f.b.byID["s03"].ejection
 		e.consecutiveFailures, e.until = 3, up+100*sec
-		f.b.ListReceived(up-5*sec, ListMaintenance, []ListedHost{listed("s03", Suspended)})
-		f.b.ListReceived(up, ListMaintenance, []ListedHost{warming("s03", up)})
+		f.b.ListReceived(up-5*sec, ListLocal, []ListedHost{listed("s03", Suspended)})
+		f.b.ListReceived(up, ListLocal, []ListedHost{warming("s03", up)})
 	}, func(balancers []*fake, rng *rand.Rand) {
 		fresh += len(replay(balancers, rng, evenly(48, up+3*sec, 400*ms), false, "s03"))
 	})
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -32,7 +32,7 @@
 		return NothingAfterShutdown
 	case now >= r.Deadline:
 		return BeforeDeadline
-	case h.State != balancer.Ready && !r.Resumed:
+	case h.State != balancer.Ready && !r.Adopted:
 		return HostAcceptsNew
 	}
 	return r.checkRetry(now, h)
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -43,7 +43,7 @@
 		if got := r.CheckAttempt(c.at, c.to); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
-		r.AttemptBegan(c.at+int64(MaxSuspension), c.to)
+		r.AttemptBegan(c.at+int64(MaxPause), c.to)
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
 			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
 		}
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -7,7 +7,7 @@
 		rule = SingleAttempt
 	}
 	if rule == None {
-		rule = r.checkSend(now-int64(MaxSuspension), h)
+		rule = r.checkSend(now-int64(MaxPause), h)
 	}
 	r.Monitor.countBroken(rule, r.ID)
 	r.attemptsBegun++
@@ -20,7 +20,7 @@
 	if !r.attemptInFlight || r.lineWritten {
 		r.Monitor.countBroken(SingleAttempt, r.ID)
 	}
-	r.Monitor.countBroken(r.checkSend(now-int64(MaxSuspension), h), r.ID)
+	r.Monitor.countBroken(r.checkSend(now-int64(MaxPause), h), r.ID)
 	r.lineWritten = true
 	if r.firstRunAt == 0 {
 		r.firstRunAt, r.firstRunHost = begun, h
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -10,9 +10,9 @@
 // answerSlack is how far past its deadline an answer may be, in nanoseconds: an answer later than this counts as none.
 const answerSlack = int64(500 * time.Millisecond)
 
-// MaxSuspension is how long the machine may keep a process from running between a decision and its effect. An action counts as
-// against a deadline or a window only where it comes later than that.
-const MaxSuspension = 150 * time.Millisecond
+// MaxPause is the longest process pause that the rules allow for: the machine may keep a process from running between a decision and its
+// effect. An action counts as against a deadline or a window only where it comes later than that.
+const MaxPause = 150 * time.Millisecond
 
 // Host is what the rules have to know of an upstream host.
 type Host struct {
@@ -54,7 +54,7 @@
 	Class       *balancer.Class
 	Deadline    int64 // ns, on the clock of the times that are passed in
 	MaxAttempts int
-	Resumed     bool // its connection was open at its host before: it goes nowhere else, and a draining host accepts it
+	Adopted     bool // its connection was open at its host before: it goes nowhere else, and a draining host accepts it
 
 	client          clientState
 	attemptsBegun   int
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -38,7 +38,7 @@
 
 // endForClientFault ends a request that has no answer yet for a fault of its client's.
 func (d *downstream) endForClientFault(cause error) {
-	d.rejectInvalid(cause)
+	d.failInvalid(cause)
 	d.request.EndedHere()
 	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
 }
@@ -48,7 +48,7 @@
 	for !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
 		if err != nil {
-			d.rejectInvalid(err)
+			d.failInvalid(err)
 			return false
 		}
 		if line == nil {
@@ -69,7 +69,7 @@
 		o, err := ParseOpen(line)
 		d.conn.Consume(len(line))
 		if err != nil {
-			d.rejectInvalid(err)
+			d.failInvalid(err)
 			return false
 		}
 		d.idleTimer.Stop()
@@ -86,8 +86,8 @@
 	return false
 }
 
-// rejectInvalid answers what is not a request with a failure.
-func (d *downstream) rejectInvalid(err error) {
+// failInvalid answers what is not a request with a failure (ERR).
+func (d *downstream) failInvalid(err error) {
 	d.front.core.InvalidRequest(err)
 	d.Fail()
 }
@@ -166,7 +166,7 @@
 // firstLineLate ends a connection whose first line is not complete in time; one that has begun gets an answer.
 func (d *downstream) firstLineLate() {
 	if len(d.conn.Input()) > 0 {
-		d.rejectInvalid(errFirstLineLate)
+		d.failInvalid(errFirstLineLate)
 		return
 	}
 	d.endIdle()
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -23,7 +23,7 @@
 		return
 	}
 	r.adopted, r.pool = true, h.pool
-	r.record.Resumed, r.record.MaxAttempts = true, math.MaxInt
+	r.record.Adopted, r.record.MaxAttempts = true, math.MaxInt
 	if rule := r.record.CheckAttempt(r.core.loop.Now(), h.invariantHost()); rule != invariant.None {
 		r.attemptBlocked(rule, h)
 		r.fail(metrics.Failed, blockedByInvariant)
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -69,7 +69,7 @@
 		}
 		gauges.Hosts++
 		if c.hosts.suspensions.Suspended(id) || h.pool != nil && h.pool.balancer.Ejected(now, id) {
-			gauges.Ejected++
+			gauges.Disabled++
 		}
 	}
 	return c.counters.metrics.Text(gauges)
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -78,9 +78,10 @@
 	}
 }
 
-// maintenanceChanged has the balancer of a host's pool see the host as the entries say, one after the other.
-func (c *Core) maintenanceChanged(p *pool, entries ...balancer.ListedHost) {
+// localChange has the balancer of a host's pool see the host as the entries say, one after the other: a change by a suspension, a watermark or
+// a transfer between pools.
+func (c *Core) localChange(p *pool, entries ...balancer.ListedHost) {
 	c.notify(nil, p, func(now balancer.Time, m Balancer) {
-		m.ListReceived(now, balancer.ListMaintenance, entries)
+		m.ListReceived(now, balancer.ListLocal, entries)
 	})
 }
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -54,7 +54,7 @@
 	return [...]string{"agree", "reject", "other_pool", "other_host"}[k]
 }
 
-// recheckRules applies the rules again right before an attempt: since the request was judged the process may have been suspended, and
+// recheckRules applies the rules again right before an attempt: since the request was judged the process may have been paused, and
 // the rules may have changed.
 func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, found recheck) {
 	if c.fleet.enforcer == nil || r.adopted {
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -32,12 +32,12 @@
 	away.State = balancer.Removed
 	if from != nil {
 		h.lastSnapshot = snapshotOf(from.balancer, h.hostID)
-		c.maintenanceChanged(from, away)
+		c.localChange(from, away)
 	}
 	if to != nil {
 		here, known := h.effectiveEntry(), h.lastSnapshot
 		c.notify(nil, to, func(now balancer.Time, m Balancer) {
-			m.ListReceived(now, balancer.ListMaintenance, []balancer.ListedHost{here})
+			m.ListReceived(now, balancer.ListLocal, []balancer.ListedHost{here})
 			if known != nil {
 				m.Restore(now, balancer.Snapshot{Servers: []balancer.HostSnapshot{*known}})
 			}
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -37,16 +37,16 @@
 	// only so many a second. In the time that is left clients hang up.
 	handoverSpan = 2500 * time.Millisecond
 	// answerMargin is how long before SIGKILL each request has to have its answer and each open connection its migration: the process
-	// may be suspended once as it takes the signal and once as it answers, and clients have to hang up. It leaves each request that was
+	// may be paused once as it takes the signal and once as it answers, and clients have to hang up. It leaves each request that was
 	// accepted before SIGTERM its deadline, up to maxGrantedDeadline.
-	answerMargin = 3 * invariant.MaxSuspension
+	answerMargin = 3 * invariant.MaxPause
 	// exitMargin is how long before SIGKILL the process ends.
-	exitMargin = 2 * invariant.MaxSuspension
+	exitMargin = 2 * invariant.MaxPause
 	// shutdownStepInterval is how often a shutdown makes progress.
 	shutdownStepInterval = 50 * time.Millisecond
 	// handoversPerStep is how many connections are handed to the other process in one step.
 	handoversPerStep = 16
-	// idleStepsToEnd is how many steps in a row have to find nothing left before the process ends: after a suspension the first step
+	// idleStepsToEnd is how many steps in a row have to find nothing left before the process ends: after a pause of the process the first step
 	// comes before the connections that wait in the listener's queue are accepted, and they end with the process.
 	idleStepsToEnd = 2
 )
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -69,7 +69,7 @@
 	w.expect("end up ended", "ended q 0 5 false")
 }
 
-// A process that was suspended accepts the connections in the listener's queue before it finds that nothing is left.
+// A process that was paused accepts the connections in the listener's queue before it finds that nothing is left.
 func TestListenerQueueIsAcceptedBeforeTheEnd(t *testing.T) {
 	w := newHarness(t)
 	ended := w.shutDown()
@@ -100,7 +100,7 @@
 		for _, handedOver := range []bool{false, true} {
 			s := newShutdownSchedule(int64(deadline), handedOver)
 			if s.migrateFrom < 0 || s.migrateFrom >= s.migrateBy || s.migrateBy > s.answerBy || s.answerBy >= s.exitBy ||
-				s.exitBy > int64(kill-2*invariant.MaxSuspension) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
+				s.exitBy > int64(kill-2*invariant.MaxPause) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
 				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handedOver, s, kill)
 			}
 			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -66,7 +66,7 @@
 	if !suspended {
 		e.StartedAt = c.startAfterSuspension(h, ended, e.StartedAt)
 	}
-	c.maintenanceChanged(h.pool, e)
+	c.localChange(h.pool, e)
 	c.clearUnusableHosts()
 	if suspended {
 		for r := range h.established {
@@ -92,7 +92,7 @@
 	}
 	away := h.effectiveEntry()
 	away.State = balancer.Suspended
-	c.maintenanceChanged(h.pool, away, h.effectiveEntry())
+	c.localChange(h.pool, away, h.effectiveEntry())
 }
 
 // migrateOffHost migrates a client off a suspended host, in its turn. The host is restarted next, which would cut it off.
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -66,7 +66,7 @@
 type Gauges struct {
 	Concurrent int // connections accepted and not yet ended
 	Hosts      int // in the list
-	Ejected    int // of these, suspended by the operators or ejected by the decision module
+	Disabled   int // of these, suspended by the operators or ejected by the decision module
 }
 
 // Text is all metrics, a line each, in an order that never changes.
@@ -86,6 +86,6 @@
 	line(t.dispatched, "dispatches")
 	line(int64(g.Concurrent), "concurrent")
 	line(int64(g.Hosts), "targets")
-	line(int64(g.Ejected), "targets_disabled")
+	line(int64(g.Disabled), "targets_disabled")
 	return out
 }
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -15,5 +15,5 @@
 		}
 	}
 	table.Dispatched()
-	golden.Check(t, "metrics.txt", table.Text(Gauges{Concurrent: 4, Hosts: 5, Ejected: 2}))
+	golden.Check(t, "metrics.txt", table.Text(Gauges{Concurrent: 4, Hosts: 5, Disabled: 2}))
 }
--- a/internal/testbed/simulator/instances_test.go
+++ b/internal/testbed/simulator/instances_test.go
@@ -45,7 +45,7 @@
 		entry.State = balancer.Suspended
 	}
 	s.direct(name, func(b *balancer.Balancer) {
-		b.ListReceived(s.now, balancer.ListMaintenance, []balancer.ListedHost{entry})
+		b.ListReceived(s.now, balancer.ListLocal, []balancer.ListedHost{entry})
 	})
 }
 
