--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -4,8 +4,8 @@
 type Event interface{ isEvent() }
 
 // HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the
-// first failure in a row; later ones lengthen the ejection without a report. Where no other host is available
-// it may still be picked.
+// first failure in a row, and for further ones that do not count since most of the zone fails; those that
+// count lengthen the ejection without a report. Where no other host is available it may still be picked.
 type HostEjected struct {
 	Host                string
 	Ejection            Time // how long, in nanoseconds
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -219,7 +219,7 @@
 	})
 }
 
-// logFailure logs why a call failed, unless the last one failed for the same reason.
+// logFailure logs why a call failed, unless the last one failed with the same text.
 func (c *Client) logFailure(err error) {
 	if c.lastFailure != err.Error() {
 		c.lastFailure = err.Error()
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -28,7 +28,7 @@
 	fields         []string // of a load report, as the settings name them
 	maxConnections int
 	byHost         map[string]*hostCheck
-	denied         bool // a host has answered NO: there are no more health checks
+	denied         bool // one host has answered NO: this process checks no host any more
 }
 
 // NewHealthChecks uses at most maxConnections at a time.
@@ -49,7 +49,7 @@
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
-// Check polls a host for its load, and calls done on the loop, once, whatever becomes of it.
+// Check polls a host for its load, and calls done on the loop, once, whatever becomes of it. Once any host has answered NO it polls none.
 func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := p.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// effects is the core as a pool's balancer sees it. Each effect is only noted here, and carried out once the balancer has returned.
+// effects is the core as a pool's balancer sees it. Effects are only noted here, and carried out once the balancer has returned; Report
+// alone is done at once.
 type effects struct {
 	core *Core
 	pool *pool
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -30,7 +30,8 @@
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired brings the token of effect Schedule.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether a host gets no attempts because its set-ups failed.
+	// Ejected reports whether a host is ejected, since set-ups there failed: until it is due for a trial it gets attempts only where no other host
+	// is available.
 	Ejected(now balancer.Time, id string) bool
 	// Snapshot is what the balancer knows of its hosts; with yield it gives up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -25,7 +25,8 @@
 //  11. Request.rejectOrFail: the final answer of a request that gets no attempt any more is a rejection only where
 //     invariant.Request.MayReject says that a retry by the client is harmless.
 //
-// A request that is open at a host already (Opening.StickyHost) skips 4, 6, 7 and 9: Request.adopt.
+// A request that is open at a host already (Opening.StickyHost) skips 6, 7 and 9, and of 4 only Core.judge runs, whose verdict is logged
+// and ignored: Request.adopt.
 //
 // Open connections end by either side's end, or are migrated: at the decision module's wish (effects.Migrate), off silent hosts
 // (Core.checkUnanswered), at the fleet's pace (migrationPacer) off suspended hosts (Core.migrateOffHost) and before certificates end
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -10,8 +10,8 @@
 const (
 	// monitorInterval is how often open connections are checked for silent and slow hosts.
 	monitorInterval = 250 * time.Millisecond
-	// hostSilenceTimeout is how long a client's line may go unanswered before its host counts as silent. Clients send every 2 s and a
-	// silent host must be left within 7 s, so the first unanswered line is at most 2 s late.
+	// hostSilenceTimeout is how long a client's line may go unanswered before its host counts as silent. A silent
+	// host must be left within 7 s: 2 s until a client's next line + 4.5 s + 0.25 s between checks.
 	hostSilenceTimeout = 4500 * time.Millisecond
 	// maxUnansweredLines bounds how many unanswered lines are remembered for one connection.
 	maxUnansweredLines = 16
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -46,8 +46,8 @@
 
 	phase                  requestPhase
 	adopted                bool             // open at a host before this proxy's start
-	attempts               int              // begun so far, in all pools
-	attemptsInEarlierPools int              // begun before the request came to its pool's balancer
+	attempts               int              // that balancers of all pools started, begun or stopped by a check; 0 if adopted, 1 if handed over
+	attemptsInEarlierPools int              // of these, the ones before the request came to its pool's balancer
 	attempt                *upstreamRequest // the attempt in flight, and once it is established the connection; nil: none
 }
 
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -19,6 +19,9 @@
 //  5. At answerBy each request that still waits gets its answer, all clients that are left are migrated, and nothing begins any more
 //     (shutdown.answerAll).
 //  6. At exitBy the process ends, also with clients that have not hung up.
+//
+// Where the longest deadline is 3 s or more: migrateFrom 0.45 s, migrateBy 1.95 s, answerBy 3.25 s, exitBy 3.4 s, SIGKILL 3.7 s; where another
+// process has taken over, migrateFrom 0 s and migrateBy 2.5 s.
 
 // What the platform grants a process between SIGTERM and SIGKILL: the longest deadline of any class, of which at most
 // maxGrantedDeadline counts, and killGrace more.
