--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -8,6 +8,17 @@
 // a host for a time that doubles with each consecutive failure up to a cap and that a success ends; where no
 // host is left, rotation over all. The order in which a request meets all rules is described in placement.go.
 // docs/design.md says where and why the rules go beyond PIP-425.
+//
+// # Units
+//
+//	load, cost      work a second on a standard core, in nanoseconds, as Request.ExpectedLoad
+//	turns           a cost in mean connections (connectionCosts.turns), 1/8 to 8
+//	unit            the cost of a mean connection (connectionCosts.unit)
+//	ledger units    turns * ledger.UnitsPerConnection, 1 to ledger.MaxUnits
+//	reported load   part of what a host can do; 1 is full (currentLoad, fleetLoad.mean)
+//	weight          a host's capacity in relation to others; 1 where the list gives none
+//	message delay   in shortest message latency objectives of all classes
+//	Time            nanoseconds
 package balancer
 
 import (
@@ -154,8 +165,17 @@
 	}
 }
 
+const (
+	// updatesPerEjection is how many periodic updates there are in the first ejection at most.
+	updatesPerEjection = 8
+	// minUpdateInterval, in nanoseconds, bounds their cost: each walks all hosts.
+	minUpdateInterval = 100e6
+)
+
 // updateInterval is the time between periodic updates.
-func (b *Balancer) updateInterval() Time { return max(b.cfg.Tick, b.ejection.initial/8, 100e6) }
+func (b *Balancer) updateInterval() Time {
+	return max(b.cfg.Tick, b.ejection.initial/updatesPerEjection, minUpdateInterval)
+}
 
 // periodicUpdate keeps what changes without events.
 func (b *Balancer) periodicUpdate() {
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -32,19 +32,19 @@
 	DedupScope              DedupScope
 	DedupWindow             Time // how long hosts discard repeats of a key
 	PriorityWeight          float64
-	LatePriorityWeight      float64
-	MessageLatencyObjective Time // wanted duration of one message on an open connection; 0: unknown
+	LatePriorityWeight      float64 // of a late answer; not used
+	MessageLatencyObjective Time    // wanted duration of one message on an open connection; 0: unknown
 }
 
 // Tenant is one of the customers that share the fleet.
 type Tenant struct {
 	Name            string
 	RateQuota       float64 // requests a second, all balancers together
-	ServiceQuota    float64 // its part of the service
+	ServiceQuota    float64 // its part of the service; not used
 	ConnectionQuota float64 // open connections, all balancers together; 0: none given
 }
 
-// Prices are what the operators deduct for one unit of each kind.
+// Prices are what the operators deduct for one unit of each kind. Only CrossZone and HealthCheck are used.
 type Prices struct {
 	CrossZone   float64
 	Waste       float64
@@ -68,21 +68,23 @@
 	Tenants             []Tenant
 	PriorityByWork      bool    // priority weights count for a unit of work, not for a request
 	OverQuotaWeight     float64 // factor on the priority weight of traffic beyond its tenant's quota
-	PollsDiscovery      bool    // discovery answers polls only
+	// PollsDiscovery: the balancer requests the watch of the endpoint list, and again after a failure (setting
+	// "subscribe"). False: the proxy follows an agent beside it unasked.
+	PollsDiscovery bool
 
 	MaxAttempts     int  // of one request
 	ConnectTimeout  Time // of one connect
-	IdleTimeout     Time // after which idle connections to hosts are closed
+	IdleTimeout     Time // after which idle connections to hosts are closed; not used
 	MaxRetryAfter   Time // longest Retry-After that clients respect
 	SendsRetryAfter bool // clients read Retry-After
 	MayHealthCheck  bool
 	MayGossip       bool // balancers may send each other messages
 	MayCancel       bool // attempts can be cancelled
 
-	AnswerSlack             Time
+	AnswerSlack             Time    // not used
 	SlowStartFloor          float64 // part of its capacity that a host surely has as it starts, 0 to 1
 	SlowStartDuration       Time    // after which it surely has all of it; 0: no slow start
-	DrainGrace              Time
+	DrainGrace              Time    // not used
 	SlowStartOverloadFactor float64 // a warming host fails at more than this multiple of its capacity by then
 	SlowStartOverloadWindow Time    // sent within this time
 	PollInterval            Time    // longest time between two polls of discovery
@@ -90,8 +92,8 @@
 	// Positions of the load and of the queue length in load reports; -1: reports do not hold them.
 	LoadField, QueueField int
 
-	PassThrough  bool // packets pass through, and connections may arrive in mid-flow
-	ParkDuration Time // how long a host keeps a connection whose packets have ceased
+	PassThrough  bool // packets pass through, and connections may arrive in mid-flow; not used
+	ParkDuration Time // how long a host keeps a connection whose packets have ceased; not used
 	Prices       Prices
 
 	// First and longest ejection. Negative: derived from the deadlines. 0: no host is ejected.
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -19,7 +19,7 @@
 	consecutiveFailures int
 	until               Time
 	failedAt            Time // of the last counted failure
-	trials              int  // attempts in flight while consecutiveFailures is above 0
+	trials              int  // approximately: attempts in flight that began after a failure
 }
 
 // ejection is the rule's settings and its evidence of shared faults.
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -15,7 +15,8 @@
 // HostReadmitted says that an ejected host has accepted a connection, and gets its turns again.
 type HostReadmitted struct{ Host string }
 
-// LedgerPolled says that a balancer keeps the placement ledger and is queried from now on.
+// LedgerPolled says that this balancer has had a message of a ledger server that it did not follow before, or
+// that has begun anew, and queries that one from now on.
 type LedgerPolled struct{ LedgerServer int }
 
 // LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -17,7 +17,7 @@
 
 	deficit     float64 // turns owed: the smooth weighted rotation picks the largest
 	ejection    hostEjection
-	fullUntil   Time // it has said that it is full
+	fullUntil   Time // after status Full: it said so, or the proxy stopped an attempt at it
 	errors      errorScore
 	messages    messageDelay
 	slowStart   slowStartBudget
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -28,7 +28,7 @@
 	pausedUntil Time  // no queries before
 	pauses      int   // in a row
 	polledAt    Time
-	synced      bool // the current one has replied, and is sent all connections of this balancer
+	synced      bool // the current one was heard; all connections of this balancer are sent to it after that
 	epoch       byte // of the current one
 	sequence    uint16
 	pending     map[uint16]*PendingQuery
@@ -65,8 +65,8 @@
 	return c.servers[c.current]
 }
 
-// Synced reports whether the ledger server was sent all connections of this balancer: changes are sent only
-// then.
+// Synced reports whether the current ledger server was heard, so that the caller may send it all connections
+// of this balancer. Single changes do not wait for that.
 func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -31,15 +31,15 @@
 
 // fleetLoad is how loaded the hosts are that report it.
 type fleetLoad struct {
-	full float64 // mean connections of this balancer that fill a host; 0: unknown
+	full float64 // mean connections, of all balancers together, that fill a host; 0: unknown
 	mean float64 // reported load; 1 is full
 }
 
 // hostsReportLoad reports whether hosts answer health checks with their load.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
-// startHealthChecks checks each host again once its last report is older than the price of another justifies:
-// the more requests there are to be placed by it, the sooner.
+// startHealthChecks checks each host again once its last check began longer ago than the price of another
+// justifies: the more requests there are to be placed by it, the sooner.
 func (b *Balancer) startHealthChecks() {
 	b.schedule(healthCheckTimer, timerHealthCheck)
 	b.updateFleetLoad()
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -8,6 +8,15 @@
 	errorRelief = 0.5
 )
 
+// Factors on the duration of a set-up, for estimates of the next ones.
+const (
+	// completionFactor: one begun now takes up to half as long again as the last that succeeded.
+	completionFactor = 1.5
+	// timeoutSampleFactor: one that timed out would have taken longer. Without such samples timeouts would
+	// never grow to what set-ups take.
+	timeoutSampleFactor = 1.5
+)
+
 // errorScore is how much a host fails of late: 0 none, 1 always. It fades with the initial ejection as time
 // constant.
 type errorScore struct {
@@ -34,7 +43,7 @@
 		return
 	}
 	b.setups.Sample(now, float64(elapsed))
-	b.setups.ExpectCompletion(now + elapsed*3/2)
+	b.setups.ExpectCompletion(now + Time(float64(elapsed)*completionFactor))
 	b.ejection.evidence.addSuccess(now)
 	b.retryStorm.succeeded()
 	h := r.host
@@ -88,6 +97,7 @@
 	}
 	b.connectionEnded(r)
 	r.attemptInFlight = false
+	// Approximate: also an attempt from before the failure, or an open connection, may end here.
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
@@ -115,8 +125,7 @@
 		b.hostFailed(h, r.sentAt, true)
 	case Timeout:
 		b.setups.ExpectCompletion(b.now + elapsed)
-		// It would have taken longer. Without this sample timeouts would never grow to what set-ups take.
-		b.setups.Sample(b.now, float64(elapsed)*1.5)
+		b.setups.Sample(b.now, float64(elapsed)*timeoutSampleFactor)
 		b.hostFailed(h, r.sentAt, false)
 	case Reset:
 		b.hostFailed(h, r.sentAt, true)
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -11,29 +11,29 @@
 // Snapshot is what a process of a balancer leaves to the next one, beyond the endpoint list: facts with their
 // times, so that they age by the usual rules.
 type Snapshot struct {
-	Started   Time           `json:"Started"`
-	RateAt    Time           `json:"RateAt"`
-	Rate      float64        `json:"Rate"`
-	Fresh     float64        `json:"Fresh"`
-	MeanCost  float64        `json:"MeanCost"`
-	ClassCost []float64      `json:"ClassCost"`
-	Servers   []HostSnapshot `json:"Servers"`
+	Started   Time           `json:"Started"`   // traffic.observedSince
+	RateAt    Time           `json:"RateAt"`    // traffic.fadedAt
+	Rate      float64        `json:"Rate"`      // traffic.endRate
+	Fresh     float64        `json:"Fresh"`     // traffic.fresh
+	MeanCost  float64        `json:"MeanCost"`  // connectionCosts.mean
+	ClassCost []float64      `json:"ClassCost"` // connectionCosts.byClass
+	Servers   []HostSnapshot `json:"Servers"`   // the hosts
 }
 
 // HostSnapshot is what a Snapshot holds of one host.
 type HostSnapshot struct {
 	ID       string  `json:"ID"`
-	Since    Time    `json:"Since"`
-	Fails    int     `json:"Fails"`
-	Until    Time    `json:"Until"`
-	FailedAt Time    `json:"FailedAt"`
-	Ill      float64 `json:"Ill"`
-	Delay    float64 `json:"Delay"`
+	Since    Time    `json:"Since"`    // its latest start
+	Fails    int     `json:"Fails"`    // consecutiveFailures of its ejection
+	Until    Time    `json:"Until"`    // end of its ejection
+	FailedAt Time    `json:"FailedAt"` // the last counted failure
+	Ill      float64 `json:"Ill"`      // error score as of IllAt
+	Delay    float64 `json:"Delay"`    // message delay as of DelayAt
 	IllAt    Time    `json:"IllAt"`
 	DelayAt  Time    `json:"DelayAt"`
 	Tokens   float64 `json:"Tokens"` // of its slow start budget
 	TokensAt Time    `json:"TokensAt"`
-	Passed   Time    `json:"Passed"`
+	Passed   Time    `json:"Passed"` // fullUntil
 }
 
 // Snapshot gives what is known. With yield, what is left of the slow start budgets is given away with it: the
