--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -130,7 +130,7 @@
 }
 
 // findPredecessor requests a handover from the process that serves, or else reads the state that an earlier one has stored, and gives it to
-// the core. old is nil where no process serves; handoff is never nil.
+// the core. old is nil where no process hands over; handoff is never nil unless err is set.
 func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
 	if p.cfg.Admin != "" { // without it the platform cannot ask whether a new process is ready, and never replaces one
 		p.restart.dir = os.Getenv("TMPDIR")
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -34,7 +34,8 @@
 }
 
 // requestOrReadHandoff requests a handover from the process that serves, or else reads the state that an earlier one has stored. partner is nil
-// where no process hands over, handoff where there is no stored state either. An error ends the start: two processes serve already.
+// where no process hands over, handoff where there is no stored state either. An error ends the start: the
+// process that serves rejects a handover, since it has a partner already, is shutting down, or serves another address.
 func requestOrReadHandoff(cfg *platform.Config, dir string, now int64) (partner *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
 	partner, handoff, err = requestHandover(cfg, dir, now)
 	if errors.Is(err, hotrestart.ErrBusy) {
@@ -96,7 +97,8 @@
 	return nil, err
 }
 
-// knownList is the endpoint list to start from: the other process's if it is of the same service and newer, else the platform's.
+// knownList is the endpoint list to start from: the one handed over, or stored by an earlier process, if it is of the same service and newer,
+// else the platform's.
 func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.Change {
 	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
 		return cfg.CachedList
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -155,7 +155,7 @@
 	p.loop.After(takenOverWait, p.becomeServing)
 }
 
-// becomeServing has a new process accept clients, on the old one's answer or after takenOverWait.
+// becomeServing has a new process accept clients: on the old one's answer, after takenOverWait, or when the old one has ended.
 func (p *process) becomeServing() {
 	if p.restart.phase != awaitingList && p.restart.phase != takingOver {
 		return
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -91,8 +91,8 @@
 	return h != nil && h.ejection.consecutiveFailures > 0 && b.ejection.initial > 0 && now < h.ejection.until
 }
 
-// available reports whether a host may be picked for a request: not ejected, its trial not taken, not full
-// lately, and without an attempt of the request.
+// available reports whether a host is preferred for a request: not ejected, its trial not taken, not full
+// lately, and without an attempt of the request. Where none is, pick takes one of the others.
 func (b *Balancer) available(h *host, r *request) bool {
 	if b.ejection.blocks(b.now, &h.ejection) || b.now < h.fullUntil {
 		return false
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -8,7 +8,8 @@
 //  4. all attempts used, or too little time left: rejected                place
 //  5. idempotency: it may have run and must not run twice: rejected       retryForbidden
 //  6. retry storm: its attempt is delayed in the queue                    waitsForRetryStorm
-//  7. placement ledger: queued until the ledger server names a host       queryLedger
+//  7. placement ledger, first attempt of a group's request: queued until
+//     the ledger server replies, or its reply is late                     queryLedger
 //  8. the ledger server's host, else the pick of the rotation             assignedHost, pick
 //  9. a host: the attempt starts, with a timeout                          startAttempt
 //  10. no host: rejected if marked in 3, or if operators have suspended
@@ -23,7 +24,7 @@
 //   - An attempt has ended without a connection (AttemptEnded); after TooLate it is rejected. The end of an
 //     established connection closes its request: it is never retried.
 //   - The queue is drained (drainQueue): every queueInterval, and after each endpoint list. A request is
-//     rejected there after half of the time that it had left when it was first queued.
+//     rejected there after half of the time that it had left when it was first queued since its last attempt.
 //   - The ledger server has replied (ledgerReplyReceived).
 //
 // "Rejected" stands for rejectOrFail, which answers that a retry is harmless, or with a failure where it is
@@ -43,8 +44,9 @@
 	b.place(r)
 }
 
-// ConnectionAdopted takes a connection that is already open at this balancer's start. One to an unknown host
-// is ignored.
+// ConnectionAdopted takes an open connection that this balancer has not placed: from before the process's
+// start, handed over by another process, or at a host that came from another pool. One to an unknown host is
+// ignored.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
 	b.tick(now)
 	h := b.byID[id]
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -25,8 +25,10 @@
 //  11. Request.rejectOrFail: the final answer of a request that gets no attempt any more is a rejection only where
 //     invariant.Request.MayReject says that a retry by the client is harmless.
 //
-// A request that is open at a host already (Opening.StickyHost) skips 6, 7 and 9, and of 4 only Core.judge runs, whose verdict is logged
-// and ignored: Request.adopt.
+// A request that is open at a host already (Opening.StickyHost) goes by Request.adopt. It skips 6, 7 and 9. Of 4 only Core.judge runs, whose
+// verdict is logged and ignored. Of 5 its class does not bound the deadline that it names, and Request.failUnresponsive does not apply. Of 8
+// only CheckAttempt runs, without the limit of attempts; in 8 and 10 its host need not be usable. Where its attempts fail it fails
+// (Request.fail); 11 applies in a shutdown only.
 //
 // Open connections end by either side's end, or are migrated: at the decision module's wish (effects.Migrate), off silent hosts
 // (Core.checkUnanswered), at the fleet's pace (migrationPacer) off suspended hosts (Core.migrateOffHost) and before certificates end
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// Open accepts a client's request, which gets one answer from here on. It gives nil where it has got that already.
+// Open accepts a client's request, which gets one answer from here on. It gives nil where the answer was given
+// without a Request being made; a Request that it gives may have its answer already.
 func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
 	c.counters.opened++
 	if err := c.validate(o); err != nil {
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -9,7 +9,8 @@
 const (
 	// sessionGatherTime is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
 	sessionGatherTime = 200 * ms
-	// firstGatherDivisor of a lease is that wait where the table is empty: a fleet that starts for the first time, whose processes come one by one.
+	// firstGatherDivisor: where the table is empty, that wait is a lease divided by it: a fleet starts for the first time, and its processes come
+	// one by one.
 	firstGatherDivisor = 2
 	// handoverInterval is the least time between two handovers that Assign requests. Those of operators do not wait.
 	handoverInterval = sec
@@ -25,7 +26,8 @@
 	blockedUntil Time
 }
 
-// failureBackoff delays the grant of jobs that fail, twice as long each time. A job that has not failed for backoffMax starts again from the shortest.
+// failureBackoff delays the grant of jobs that fail, twice as long each time, up to backoffMax. A job that has not failed for
+// backoffMax since its last delay ended starts again from the shortest.
 type failureBackoff map[string]*jobFailures
 
 func (b failureBackoff) recordFailure(job string, now Time) {
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -8,7 +8,7 @@
 	requestedAt Time            // when a lease was last requested; 0: it is to be requested at once
 	sequence    uint64          // of the last request
 	outstanding map[uint64]Time // when each request without an answer was sent, by sequence
-	nextVoter   int             // to be queried next where no coordinator is known
+	nextVoter   int             // to be queried next where no coordinator is known, or the known one has granted nothing for a lease
 }
 
 func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
@@ -44,7 +44,8 @@
 	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
 }
 
-// findCoordinator takes the leader that the own group knows, or else the next voter: one that does not lead redirects to the leader.
+// findCoordinator takes the leader that the own group knows, or, where it knows none or no lease was granted for the length of one, the next
+// voter: one that does not lead redirects to the leader.
 func (p *participant) findCoordinator() {
 	l := &p.lease
 	l.leader = 0
