--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -59,12 +59,14 @@
 	for _, n := range []int{10, 100, 1000} {
 		f := startReporting(b, settings(), fleet(n)...)
 		f.reportLoads(func(i int) float64 { return 0.4 + float64(i%10)/50 })
+		requests := 0 // over all calls of the function below: no ID comes twice
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				f.now += ms
 				f.trace, f.attemptsStarted = f.trace[:0], f.attemptsStarted[:0]
-				id := fmt.Sprint("r", i)
+				id := fmt.Sprint("r", requests)
+				requests++
 				f.b.RequestArrived(f.now, benchRequest(id, fmt.Sprint(i%8)))
 				f.establish(id)
 				f.end(id, OK)
