--- a/internal/app/command/hosts_test.go
+++ b/internal/app/command/hosts_test.go
@@ -46,32 +46,57 @@
 	}
 }
 
-// clientLoop opens connections at every process of a rig all the time, and closes each at once.
-type clientLoop struct {
-	served     atomic.Int64
-	unanswered atomic.Int64
-	paused     []atomic.Bool // by process: it is not expected to answer
-	stopping   atomic.Bool
-	workers    sync.WaitGroup
+// processLoop sends requests to every process of a rig all the time.
+type processLoop struct {
+	paused   []atomic.Bool // by process: it is not expected to answer, and gets no requests
+	stopping atomic.Bool
+	workers  sync.WaitGroup
 }
 
-// startClientLoop starts the clients. Each waits for the interval after its request; extra is added to the request line of the nth request.
-func startClientLoop(t *testing.T, r *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
+// start calls request for every process, again and again, with the interval of that process after each call. The test's end stops it.
+func (l *processLoop) start(t *testing.T, r *experiment.Rig, interval func(process int) time.Duration, request func(process, n int)) {
 	t.Helper()
-	loop := &clientLoop{paused: make([]atomic.Bool, len(r.Procs))}
+	l.paused = make([]atomic.Bool, len(r.Procs))
 	for i := range r.Procs {
-		loop.workers.Add(1)
+		l.workers.Add(1)
 		go func() {
-			defer loop.workers.Done()
-			for n := 0; !loop.stopping.Load(); n++ {
-				if !loop.paused[i].Load() {
-					loop.request(r.Procs[i].Addr, extra(n), &loop.paused[i])
+			defer l.workers.Done()
+			for n := 0; !l.stopping.Load(); n++ {
+				if !l.paused[i].Load() {
+					request(i, n)
 				}
-				time.Sleep(interval)
+				time.Sleep(interval(i))
 			}
 		}()
 	}
-	t.Cleanup(loop.stop)
+	t.Cleanup(l.stop)
+}
+
+// stop ends the requests.
+func (l *processLoop) stop() {
+	l.stopping.Store(true)
+	l.workers.Wait()
+}
+
+// always is the same interval at all processes.
+func always(interval time.Duration) func(process int) time.Duration {
+	return func(int) time.Duration { return interval }
+}
+
+// clientLoop opens connections at every process of a rig all the time, and closes each at once.
+type clientLoop struct {
+	processLoop
+	served     atomic.Int64
+	unanswered atomic.Int64
+}
+
+// startClientLoop starts the clients. Each waits for the interval after its request; extra is added to the request line of the nth request.
+func startClientLoop(t *testing.T, r *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
+	t.Helper()
+	loop := &clientLoop{}
+	loop.start(t, r, always(interval), func(process, n int) {
+		loop.request(r.Procs[process].Addr, extra(n), &loop.paused[process])
+	})
 	return loop
 }
 
@@ -87,12 +112,6 @@
 	}
 }
 
-// stop ends the clients.
-func (l *clientLoop) stop() {
-	l.stopping.Store(true)
-	l.workers.Wait()
-}
-
 // check stops the clients and reports unanswered requests, and too few served ones.
 func (l *clientLoop) check(t *testing.T, minServed int64) {
 	t.Helper()
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -21,36 +21,22 @@
 
 // tenantLoad requests connections of a tenant at every process all the time. Each that is established stays open for a while.
 type tenantLoad struct {
-	mu           sync.Mutex
-	established  []establishment
-	open         int
-	rejected     int
-	unanswered   int
-	paused       []atomic.Bool // by process: it is not expected to answer
-	stopping     atomic.Bool
-	workers      sync.WaitGroup
+	processLoop
 	openDuration time.Duration // of each connection
+
+	mu          sync.Mutex
+	established []establishment
+	open        int
+	rejected    int
+	unanswered  int
 }
 
-// startTenantLoad starts the clients; interval is the wait between two requests at a process. The test's end stops them.
+// startTenantLoad starts the clients; interval is the wait between two requests at a process.
 func startTenantLoad(t *testing.T, r *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
 	t.Helper()
-	load := &tenantLoad{paused: make([]atomic.Bool, len(r.Procs)), openDuration: openDuration}
-	for i := range r.Procs {
-		load.workers.Add(1)
-		go func() {
-			defer load.workers.Done()
-			for !load.stopping.Load() {
-				time.Sleep(interval(i))
-				if !load.paused[i].Load() {
-					load.request(r.Procs[i].Addr, tenant, &load.paused[i])
-				}
-			}
-		}()
-	}
-	t.Cleanup(func() {
-		load.stopping.Store(true)
-		load.workers.Wait()
+	load := &tenantLoad{openDuration: openDuration}
+	load.start(t, r, interval, func(process, _ int) {
+		load.request(r.Procs[process].Addr, tenant, &load.paused[process])
 	})
 	return load
 }
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -25,40 +24,22 @@
 
 // rulesLoad sends requests to every process of a rig all the time, and counts those without an answer.
 type rulesLoad struct {
+	processLoop
 	unanswered atomic.Int64
-	paused     []atomic.Bool // by process: it is not expected to answer
-	stopping   atomic.Bool
-	workers    sync.WaitGroup
 }
 
 func startRulesLoad(t *testing.T, r *experiment.Rig) *rulesLoad {
 	t.Helper()
-	load := &rulesLoad{paused: make([]atomic.Bool, len(r.Procs))}
-	for i := range r.Procs {
-		load.workers.Add(1)
-		go func() {
-			defer load.workers.Done()
-			for n := 0; !load.stopping.Load(); n++ {
-				if !load.paused[i].Load() {
-					answer := requestAnswer(r.Procs[i].Addr, fmt.Sprintf("%04x%012x", i, n))
-					if answer == "" && !load.paused[i].Load() {
-						load.unanswered.Add(1)
-					}
-				}
-				time.Sleep(20 * time.Millisecond)
-			}
-		}()
-	}
-	t.Cleanup(load.stop)
+	load := &rulesLoad{}
+	load.start(t, r, always(20*time.Millisecond), func(process, n int) {
+		answer := requestAnswer(r.Procs[process].Addr, fmt.Sprintf("%04x%012x", process, n))
+		if answer == "" && !load.paused[process].Load() {
+			load.unanswered.Add(1)
+		}
+	})
 	return load
 }
 
-// stop ends the clients.
-func (l *rulesLoad) stop() {
-	l.stopping.Store(true)
-	l.workers.Wait()
-}
-
 // rejectAll are rules by which every request is rejected.
 const rejectAll = `(rules (refuse all (advice 300ms)))`
 
