--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -1,8 +1,8 @@
 package balancer
 
-// newerFor is for how many slow starts a host counts as one that has started lately: it takes longer to fill
+// newerDuration is for how many slow starts a host counts as one that has started lately: it takes longer to fill
 // than to warm up.
-const newerFor = 4
+const newerDuration = 4
 
 // ageGroup is the hosts that have started lately, or those before them.
 type ageGroup int
@@ -11,11 +11,11 @@
 	anyAge ageGroup = iota
 	newer
 	older
-	ageGroups // how many values there are
+	numAgeGroups // how many values there are
 )
 
 func (b *Balancer) ageGroup(h *host) ageGroup {
-	if h.startedAt > 0 && b.now < h.startedAt+newerFor*b.cfg.SlowStartDuration {
+	if h.startedAt > 0 && b.now < h.startedAt+newerDuration*b.cfg.SlowStartDuration {
 		return newer
 	}
 	return older
@@ -29,7 +29,7 @@
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
 	}
-	var load, capacity [ageGroups]float64
+	var load, capacity [numAgeGroups]float64
 	for _, h := range b.hosts {
 		if h.state == Ready {
 			age := b.ageGroup(h)
@@ -41,8 +41,8 @@
 		return anyAge
 	}
 	total := load[newer] + load[older] + r.cost
-	draw := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that a retry does not draw again
-	if load[newer]+draw*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
+	fraction := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that a retry does not draw again
+	if load[newer]+fraction*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
 		return newer
 	}
 	return older
@@ -50,6 +50,6 @@
 
 // excludedByAge reports whether a host is not of the age group that is picked from. A warming one counts as
 // either, since it has its own budget.
-func (b *Balancer) excludedByAge(h *host, among ageGroup) bool {
-	return among != anyAge && b.ageGroup(h) != among && (among == newer || b.fullCapacityShare(h) >= 1)
+func (b *Balancer) excludedByAge(h *host, age ageGroup) bool {
+	return age != anyAge && b.ageGroup(h) != age && (age == newer || b.fullCapacityShare(h) >= 1)
 }
--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -30,7 +30,7 @@
 	const newerHosts, connections = 40, 2400
 	for _, n := range []int{60, 300} {
 		rng := rand.New(rand.NewSource(3))
-		balancers := manyWithoutQuotas(t, n, 1)
+		balancers := manyBalancersWithoutQuotas(t, n, 1)
 		at := 100 * sec
 		for _, f := range balancers {
 			f.run(at - f.now)
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// ejectionCap is the longest ejection over the first, where the settings give neither: three doublings.
+	// maxEjectionFactor is the longest ejection over the first, where the settings give neither: three doublings.
 	// A longer one would outlast the fault.
-	ejectionCap = 8.0
+	maxEjectionFactor = 8.0
 	// sharedFaultShare is the part of the evidence that has to fail for the fault to be no single host's.
 	sharedFaultShare = 0.5
 	// minTimeoutEvidence is how many set-ups must have ended of late before a timeout may count as shared.
 	minTimeoutEvidence = 4
-	// evidenceMemory is the time constant with which set-ups fade, in longest latency objectives.
-	evidenceMemory = 2
+	// evidenceTimeConstant is the time constant with which set-ups fade, in longest latency objectives.
+	evidenceTimeConstant = 2
 )
 
 // hostEjection is what the ejection of one host goes by.
@@ -35,7 +35,7 @@
 	for _, c := range cfg.Classes {
 		longestDeadline = max(longestDeadline, c.Deadline)
 	}
-	e := ejection{initial: longestDeadline, max: Time(float64(longestDeadline) * ejectionCap)}
+	e := ejection{initial: longestDeadline, max: Time(float64(longestDeadline) * maxEjectionFactor)}
 	if cfg.EjectionInitial >= 0 {
 		e.initial = cfg.EjectionInitial
 	}
@@ -67,7 +67,7 @@
 }
 
 func (e *setupEvidence) fade(now Time) {
-	f := math.Exp(-float64(now-e.fadedAt) / float64(evidenceMemory*e.longestObjective))
+	f := math.Exp(-float64(now-e.fadedAt) / float64(evidenceTimeConstant*e.longestObjective))
 	e.succeeded, e.timedOut, e.fadedAt = e.succeeded*f, e.timedOut*f, now
 }
 
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestSharedErrorsAreNoReasonToRetryElsewhere: where all hosts answer with errors, retries are delayed.
-func TestSharedErrorsAreNoReasonToRetryElsewhere(t *testing.T) {
+// TestSharedErrorsDelayRetries: where all hosts answer with errors, retries are delayed.
+func TestSharedErrorsDelayRetries(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for i := range 40 { // a store that all hosts share answers with errors
 		id := fmt.Sprint(i)
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -28,8 +28,8 @@
 
 func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
 
-// polled takes a balancer's poll.
-func (d *slowDiscovery) polled(now Time, f *fake) {
+// receivePoll takes a balancer's poll.
+func (d *slowDiscovery) receivePoll(now Time, f *fake) {
 	if now >= discoveryDown {
 		d.polls = append(d.polls, now)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// answer works through the queue.
-func (d *slowDiscovery) answer(now Time) {
+// answerPolls works through the queue.
+func (d *slowDiscovery) answerPolls(now Time) {
 	for len(d.queue) > 0 && !d.down(now) {
 		p := d.queue[0]
 		if now-p.at >= pollTimeout {
@@ -82,12 +82,12 @@
 			n := len(f.watches)
 			f.run(now - f.now)
 			for range f.watches[n:] {
-				discovery.polled(now, f)
+				discovery.receivePoll(now, f)
 			}
 		}
-		discovery.answer(now)
+		discovery.answerPolls(now)
 	}
-	most := mostWithin(discovery.polls, sec)
+	most := maxInWindow(discovery.polls, sec)
 	if most > 60 {
 		t.Errorf("%d polls within a second of a discovery that answers 14", most)
 	}
@@ -182,7 +182,7 @@
 			f.listChanged(changes...)
 			f.attemptsStarted = nil
 		}
-		replay(balancers, rng, evenly(40, 106*sec, 50*ms), true, "s00")
+		replay(balancers, rng, evenlySpacedTimes(40, 106*sec, 50*ms), true, "s00")
 		attempts := map[string]int{}
 		for _, f := range balancers {
 			for _, a := range f.attemptsStarted {
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -57,30 +57,30 @@
 	if group == "" {
 		return 0
 	}
-	for _, o := range h.connections {
-		if o.Group == group {
+	for _, other := range h.connections {
+		if other.Group == group {
 			return 0
 		}
 	}
 	if b.hostsReportLoad() {
 		return awayFromHomeCost * firstOfGroupCost * b.costs.unit() * c.groupHomedElsewhere
 	}
-	place, last := 0.0, rankedHosts
+	rank, maxRank := 0.0, rankedHosts
 	if p.sparse {
-		last = rankedHostsSparse
-		place = min(last, 2*b.currentMessageDelay(h)/slowMessageDelay)
+		maxRank = rankedHostsSparse
+		rank = min(maxRank, 2*b.currentMessageDelay(h)/slowMessageDelay)
 	}
 	for _, i := range b.rendezvousOrder(group) {
-		o := b.hosts[i]
-		if o == h || place >= last {
+		other := b.hosts[i]
+		if other == h || rank >= maxRank {
 			break
 		}
-		near := o.zone == h.zone || p.sparse && o.zone%zoneSets == h.zone%zoneSets
-		if near && b.fullCapacityShare(o) >= 1 && !b.excludedByAge(o, p.among) {
-			place++
+		sameZones := other.zone == h.zone || p.sparse && other.zone%zoneSets == h.zone%zoneSets
+		if sameZones && b.fullCapacityShare(other) >= 1 && !b.excludedByAge(other, p.preferredAge) {
+			rank++
 		}
 	}
-	return firstOfGroupCost * b.costs.unit() * place / 2
+	return firstOfGroupCost * b.costs.unit() * rank / 2
 }
 
 // markGroupHomes marks each host but for the group's home: the first one in the group's order that is warm
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -104,7 +104,7 @@
 				r.Group = fmt.Sprintf("group%d", i%groups)
 			}
 			for _, id := range ids {
-				if f.b.drawnByLottery(f.b.byID[id], r) {
+				if f.b.winsLottery(f.b.byID[id], r) {
 					drawn++
 					groupsAtHosts[r.Group+" at "+id] = true
 				}
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -41,7 +41,7 @@
 			for i, from := range at {
 				// n in two seconds, by a host's part of the flow that the settings allow.
 				n := 2.5 * 3 * (0.2 + 0.8*float64(from-up)/float64(20*sec)) / 20 * 10 * 2
-				most := mostWithin(at[i:min(len(at), i+30)], 2*sec)
+				most := maxInWindow(at[i:min(len(at), i+30)], 2*sec)
 				largest = max(largest, float64(most)/(n+3*math.Sqrt(n)+3))
 			}
 		}
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// errorStep is what one error adds to a host's error score, and errorRelief what a success leaves of it.
+// errorStep is what one error adds to a host's error score, and successErrorFactor what a success leaves of it.
 const (
-	errorStep   = 0.5
-	errorRelief = 0.5
+	errorStep          = 0.5
+	successErrorFactor = 0.5
 )
 
 // Factors on the duration of a set-up, for estimates of the next ones.
@@ -48,7 +48,7 @@
 	b.retryStorm.succeeded()
 	h := r.host
 	b.hostAccepted(h)
-	h.errors.score, h.errors.updatedAt = b.currentErrorScore(h)*errorRelief, now
+	h.errors.score, h.errors.updatedAt = b.currentErrorScore(h)*successErrorFactor, now
 	b.connectionEstablished(r)
 }
 
@@ -109,7 +109,7 @@
 	} else if result.Status == Reset {
 		// A host that drops open connections sheds load or has died; else its turns would go on, and the
 		// dropped clients come straight back to it.
-		b.messagesDelayed(h, 1)
+		b.recordMessageDelay(h, 1)
 	}
 }
 
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -4,7 +4,7 @@
 //
 //  1. admission: an ID in use or an unknown class is ignored              admit
 //  2. traffic: it counts for the rates of arrivals                        traffic.arrived
-//  3. load shedding: marked, only a warming host's budget may serve it    shed
+//  3. load shedding: marked, only a warming host's budget may serve it    shouldShed
 //  4. all attempts used, or too little time left: rejected                place
 //  5. idempotency: it may have run and must not run twice: rejected       retryForbidden
 //  6. retry storm: its attempt is delayed in the queue                    waitsForRetryStorm
@@ -39,8 +39,8 @@
 	}
 	r.deadline = now + q.Remaining
 	r.similarPerSecond = b.traffic.arrived(now, r.isRetry(), len(b.hosts))
-	b.shedding.demandByClass[r.Class] += r.cost // shed compares it with the demand, so that it counts first
-	r.shedUnlessWarmingHost = b.shed(r)
+	b.shedding.demandByClass[r.Class] += r.cost // shouldShed compares it with the demand, so that it counts first
+	r.shedUnlessWarmingHost = b.shouldShed(r)
 	b.place(r)
 }
 
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -23,8 +23,8 @@
 	checked     int // of attemptsStarted
 }
 
-// play brings a random sequence of events and returns the effects.
-func play(t *testing.T, seed int64, idempotency Idempotency) []string {
+// runRandomEvents brings a random sequence of events and returns the effects.
+func runRandomEvents(t *testing.T, seed int64, idempotency Idempotency) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
 	cfg := settings()
@@ -38,7 +38,7 @@
 		r.run(Time(rng.Intn(30)) * ms)
 		r.checkAttempts()
 		r.endOverdueAttempts()
-		r.step()
+		r.randomEvent()
 		r.checkAttempts()
 	}
 	for range 500 {
@@ -84,8 +84,8 @@
 	}
 }
 
-// finish ends an attempt, or its connection.
-func (r *randomRun) finish(id string, status AttemptStatus) {
+// endAttempt ends an attempt, or its connection.
+func (r *randomRun) endAttempt(id string, status AttemptStatus) {
 	r.inFlight[id] = false
 	wasEstablished := r.established[id]
 	delete(r.established, id)
@@ -103,7 +103,7 @@
 func (r *randomRun) endOverdueAttempts() {
 	for _, a := range r.attemptsStarted {
 		if r.inFlight[a.request] && !r.established[a.request] && r.isNewest(a) && a.at+a.timeout <= r.now {
-			r.finish(a.request, Timeout)
+			r.endAttempt(a.request, Timeout)
 			r.checkAttempts()
 		}
 	}
@@ -119,13 +119,13 @@
 	return false
 }
 
-// step brings one random event.
-func (r *randomRun) step() {
+// randomEvent brings one random event.
+func (r *randomRun) randomEvent() {
 	switch k := r.rng.Intn(10); {
 	case k < 4:
 		r.arrive()
 	case k < 8 && len(r.ids) > 0:
-		r.progress(r.ids[r.rng.Intn(len(r.ids))])
+		r.advanceRequest(r.ids[r.rng.Intn(len(r.ids))])
 	case k == 8 && len(r.ids) > 0:
 		id := r.ids[r.rng.Intn(len(r.ids))]
 		if !r.answered(id) && !r.established[id] {
@@ -147,12 +147,12 @@
 		Key: fmt.Sprint("k", r.rng.Intn(50))})
 }
 
-// progress moves a request on whose attempt is in flight.
-func (r *randomRun) progress(id string) {
+// advanceRequest moves a request on whose attempt is in flight.
+func (r *randomRun) advanceRequest(id string) {
 	switch {
 	case !r.inFlight[id]:
 	case r.established[id]:
-		r.finish(id, []AttemptStatus{OK, Reset, Cancelled}[r.rng.Intn(3)])
+		r.endAttempt(id, []AttemptStatus{OK, Reset, Cancelled}[r.rng.Intn(3)])
 	case r.rng.Intn(2) == 0 && !r.answered(id):
 		r.established[id] = true
 		r.establish(id)
@@ -161,7 +161,7 @@
 			r.b.Observe(r.now, id, r.attempts[id]-1, kind, r.rng.Float64()*1000)
 		}
 	default:
-		r.finish(id, []AttemptStatus{Error, Full, Timeout, ConnectFailed, Reset}[r.rng.Intn(5)])
+		r.endAttempt(id, []AttemptStatus{Error, Full, Timeout, ConnectFailed, Reset}[r.rng.Intn(5)])
 	}
 }
 
@@ -176,14 +176,14 @@
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := int64(0); seed < 12; seed++ {
 		for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NotIdempotent} {
-			play(t, seed, idempotency)
+			runRandomEvents(t, seed, idempotency)
 		}
 	}
 }
 
 func TestSameEventsSameEffects(t *testing.T) {
 	for seed := int64(0); seed < 3; seed++ {
-		a, b := play(t, seed, Idempotent), play(t, seed, Idempotent)
+		a, b := runRandomEvents(t, seed, Idempotent), runRandomEvents(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
 			t.Fatalf("seed %d: the same events brought other effects", seed)
 		}
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestHopelessRequestsAreRejectedAtOnce: an attempt that cannot be established in time would only lengthen
+// TestRequestsWithoutEnoughTimeAreRejectedAtOnce: an attempt that cannot be established in time would only lengthen
 // the queue.
-func TestHopelessRequestsAreRejectedAtOnce(t *testing.T) {
+func TestRequestsWithoutEnoughTimeAreRejectedAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for _, id := range []string{"a", "b"} {
 		f.request(id)
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -9,10 +9,10 @@
 	// an attempt gets all the time that is left.
 	stormMargin   = 3
 	timeoutMargin = 2
-	// stormMemory is the time constant with which attempts fade, and earlyErrorMemory how long an early error
+	// stormTimeConstant is the time constant with which attempts fade, and earlyErrorMemory how long an early error
 	// counts, in longest latency objectives.
-	stormMemory      = 8
-	earlyErrorMemory = 2
+	stormTimeConstant = 8
+	earlyErrorWindow  = 2
 )
 
 // retryStorm suspects a retry storm: most attempts of late fail, so that retries add to what makes them fail.
@@ -27,7 +27,7 @@
 
 // suspected fades the counts to now and reports whether new attempts should wait.
 func (s *retryStorm) suspected(now Time) bool {
-	f := math.Exp(-float64(now-s.fadedAt) / float64(stormMemory*s.longestObjective))
+	f := math.Exp(-float64(now-s.fadedAt) / float64(stormTimeConstant*s.longestObjective))
 	s.attempts, s.successes, s.fadedAt = s.attempts*f, s.successes*f, now
 	return s.attemptsExceedSuccesses(stormMargin)
 }
@@ -40,7 +40,7 @@
 // consecutiveEarlyErrors reports whether the first attempts of the last two requests ended in errors, at
 // whichever hosts.
 func (s *retryStorm) consecutiveEarlyErrors(now Time) bool {
-	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < earlyErrorMemory*s.longestObjective
+	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < earlyErrorWindow*s.longestObjective
 }
 
 func (s *retryStorm) attemptStarted() { s.attempts++ }
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -23,19 +23,19 @@
 
 // pick is the choice of a host for one request.
 type pick struct {
-	request  *request
-	turns    float64
-	among    ageGroup
-	fallback bool // hosts that are not available may be picked
-	sparse   bool // sparseTraffic
+	request      *request
+	turns        float64
+	preferredAge ageGroup
+	fallback     bool // hosts that are not available may be picked
+	sparse       bool // sparseTraffic
 }
 
 // candidate is a host in one pick.
 type candidate struct {
 	reportedLoad
-	host           *host
-	weight         float64 // its share of the turns
-	drawnByLottery bool    // a warming host that got this request by lottery
+	host       *host
+	weight     float64 // its share of the turns
+	wonLottery bool    // a warming host that got this request by lottery
 }
 
 // reportedLoad is what load reports mean for a host in one pick; zero where hosts do not report.
@@ -47,12 +47,12 @@
 // pick chooses by smooth weighted rotation over the available hosts, of the preferred age if there is one; if
 // none is available, over all that may take the request. It returns nil where none may.
 func (b *Balancer) pick(r *request) *host {
-	p := pick{request: r, turns: b.costs.turns(r.cost), among: b.preferredAgeGroup(r)}
-	if p.among != anyAge {
+	p := pick{request: r, turns: b.costs.turns(r.cost), preferredAge: b.preferredAgeGroup(r)}
+	if p.preferredAge != anyAge {
 		if h := b.rotate(&p); h != nil {
 			return h
 		}
-		p.among = anyAge
+		p.preferredAge = anyAge
 	}
 	if h := b.rotate(&p); h != nil {
 		return h
@@ -66,30 +66,30 @@
 // the least load for its weight goes first.
 func (b *Balancer) rotate(p *pick) *host {
 	p.sparse = b.sparseTraffic()
-	candidates, total, widest := b.candidates(p)
-	furthest := math.Inf(-1)
+	candidates, total, maxWeight := b.candidates(p)
+	maxDeficit := math.Inf(-1)
 	for i := range candidates {
 		c := &candidates[i]
 		c.host.deficit += p.turns * c.weight / total
-		furthest = max(furthest, c.host.deficit)
+		maxDeficit = max(maxDeficit, c.host.deficit)
 	}
 	var best *host
-	least := math.Inf(1)
+	minLoad := math.Inf(1)
 	for i := range candidates {
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
 			// A warming host's turn comes with its budget. By their deficits all new hosts would have the
 			// same place at every balancer, and wait for half a round of many sparse rotations.
-			h.deficit = furthest
+			h.deficit = maxDeficit
 		}
-		reach, size := b.tieBreakReach(p, c, widest)
-		if h.deficit < furthest-reach {
+		slack, capacity := b.tieBreakParams(p, c, maxWeight)
+		if h.deficit < maxDeficit-slack {
 			continue
 		}
-		load := b.tieBreakLoad(p, c, size)
-		if load < least || load == least && h.deficit > best.deficit {
-			best, least = h, load
+		load := b.tieBreakLoad(p, c, capacity)
+		if load < minLoad || load == minLoad && h.deficit > best.deficit {
+			best, minLoad = h, load
 		}
 	}
 	if best != nil {
@@ -100,29 +100,29 @@
 
 // candidates are the hosts that may be picked, in the order of the rotation, with the sum of their weights
 // and the largest one.
-func (b *Balancer) candidates(p *pick) (pool []candidate, total, widest float64) {
+func (b *Balancer) candidates(p *pick) (eligible []candidate, total, maxWeight float64) {
 	reported := b.hostsReportLoad()
 	if reported {
 		b.readLoads(p.request.Group)
 	}
-	pool = b.candidateBuffer[:0]
+	eligible = b.candidateBuffer[:0]
 	for i, h := range b.hosts {
 		allowed, byLottery := b.mayPlaceOn(h, p)
 		if !allowed || !p.fallback && !b.available(h, p.request) ||
 			p.request.shedUnlessWarmingHost && b.fullCapacityShare(h) >= 1 {
 			continue
 		}
-		c := candidate{host: h, drawnByLottery: byLottery}
+		c := candidate{host: h, wonLottery: byLottery}
 		if reported {
 			c.reportedLoad = b.loadBuffer[i]
 		}
 		c.weight = b.turnWeight(h, c.load)
 		total += c.weight
-		widest = max(widest, c.weight)
-		pool = append(pool, c)
+		maxWeight = max(maxWeight, c.weight)
+		eligible = append(eligible, c)
 	}
-	b.candidateBuffer = pool
-	return pool, total, widest
+	b.candidateBuffer = eligible
+	return eligible, total, maxWeight
 }
 
 // readLoads fills loadBuffer for a pick for a request of a group.
@@ -140,7 +140,7 @@
 // mayPlaceOn holds what no fallback sets aside: drains, hosts that do not discard repeats, and the budget of
 // a warming host.
 func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
-	if h.state != Ready || p.among != anyAge && b.excludedByAge(h, p.among) ||
+	if h.state != Ready || p.preferredAge != anyAge && b.excludedByAge(h, p.preferredAge) ||
 		b.outsideDedupScope(h, p.request) {
 		return false, false
 	}
@@ -155,8 +155,8 @@
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
 	if h.zone != b.zone {
-		far := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
-		w *= far + (1-far)*b.shedding.crossZoneShare
+		crossZoneFactor := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
+		w *= crossZoneFactor + (1-crossZoneFactor)*b.shedding.crossZoneShare
 	}
 	if warm := b.fullCapacityShare(h); warm < 1 {
 		w *= min(1, slowStartShareFactor*b.cfg.SlowStartOverloadFactor*warm)
@@ -165,34 +165,34 @@
 		w *= max(minHealth, noTurnsLoad-load)
 	}
 	health := 1 - b.currentErrorScore(h)
-	if x := b.currentMessageDelay(h) / slowMessageDelay; x > 0 {
-		health /= 1 + x*x
+	if ratio := b.currentMessageDelay(h) / slowMessageDelay; ratio > 0 {
+		health /= 1 + ratio*ratio
 	}
 	return w * max(minHealth, health)
 }
 
-// tieBreakReach is by how many turns a candidate may be behind and still be picked, and the size by which its
+// tieBreakParams is by how many turns a candidate may be behind and still be picked, and the capacity by which its
 // load is divided.
-func (b *Balancer) tieBreakReach(p *pick, c *candidate, widest float64) (reach, size float64) {
-	reach, size = tieBreakSlack*c.weight/widest, c.weight
+func (b *Balancer) tieBreakParams(p *pick, c *candidate, maxWeight float64) (slack, capacity float64) {
+	slack, capacity = tieBreakSlack*c.weight/maxWeight, c.weight
 	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
-		reach, size = 2*tieBreakSlack, c.host.weight
+		slack, capacity = 2*tieBreakSlack, c.host.weight
 	}
 	if b.hostsReportLoad() {
-		reach *= reportedLoadSlack
+		slack *= reportedLoadSlack
 	}
-	return reach, size
+	return slack, capacity
 }
 
 // tieBreakLoad is the load by which candidates within the slack are ordered. It is the present load, not that
 // with the request: else all balancers begin with the same large hosts.
-func (b *Balancer) tieBreakLoad(p *pick, c *candidate, size float64) float64 {
+func (b *Balancer) tieBreakLoad(p *pick, c *candidate, capacity float64) float64 {
 	groupCost := b.groupPlacementCost(p, c)
-	load := (c.host.load + groupCost) / size
+	load := (c.host.load + groupCost) / capacity
 	if b.fleetLoad.full > 0 {
 		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
 	}
-	if c.drawnByLottery {
+	if c.wonLottery {
 		// Before all others, by load and then by the draw.
 		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -7,17 +7,17 @@
 	maxStalledShare = 0.1
 	// maxShedShare is the largest part of the demand that is shed.
 	maxShedShare = 0.9
-	// shedGain is by how much the shed share grows a second while all open load is stalled, shedRelease by
+	// shedGrowthRate is by how much the shed share grows a second while all open load is stalled, shedRelease by
 	// how much it shrinks a second while little is, and shedDecay the part of it that is lost a second on top
 	// while no host is stalled: what a pause of one host began must not leave the others idle.
-	shedGain    = 1.0
-	shedRelease = 0.05
-	shedDecay   = 0.5
+	shedGrowthRate = 1.0
+	shedRelease    = 0.05
+	shedDecay      = 0.5
 	// assumedConnections is how many mean connections are added, spread over all hosts, to those placed here:
 	// else one connection on a stalled host would count as an overload of the fleet.
 	assumedConnections = 4.0
-	// demandFade is the time constant of the demand, in seconds.
-	demandFade = 10
+	// demandTimeConstant is the time constant of the demand, in seconds.
+	demandTimeConstant = 10
 )
 
 // loadShedding rejects a part of the demand while hosts are stalled: hosts with more work than they can do
@@ -40,13 +40,13 @@
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
 	// More clients in this zone than its hosts bear: turns go to other zones while those do better.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
-		s.crossZoneShare = min(1, s.crossZoneShare+shedGain*d*dt)
+		s.crossZoneShare = min(1, s.crossZoneShare+shedGrowthRate*d*dt)
 	} else {
 		s.crossZoneShare = max(0, s.crossZoneShare-shedRelease*dt)
 	}
 	stalled := (own.stalled + other.stalled) / max(1, own.open+other.open)
 	if excess := stalled - maxStalledShare; excess > 0 {
-		s.share = min(maxShedShare, s.share+shedGain*excess*dt)
+		s.share = min(maxShedShare, s.share+shedGrowthRate*excess*dt)
 	} else {
 		// A pause of one host can hold half of a small balancer's load; what is shed for it must not outlast
 		// it by much.
@@ -54,7 +54,7 @@
 		s.share -= s.share * min(1, shedDecay*dt*(1-stalled/maxStalledShare))
 	}
 	for i := range s.demandByClass {
-		s.demandByClass[i] *= math.Exp(-dt / demandFade)
+		s.demandByClass[i] *= math.Exp(-dt / demandTimeConstant)
 	}
 }
 
@@ -78,9 +78,9 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shed reports whether load shedding rejects a request, unless a warming host's budget bears it. It draws
-// from the random numbers only while load is shed.
-func (b *Balancer) shed(r *request) bool {
+// shouldShed reports whether load shedding rejects a request, unless a warming host's budget bears it. It draws
+// from the random numbers only while load is shouldShed.
+func (b *Balancer) shouldShed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
 
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -12,9 +12,9 @@
 
 // Parts of a warming host's budget that are given out by lottery. Not all is: the draws vary.
 const (
-	lotteryFreshShare = 0.85 // to fresh requests
-	lotteryRetryShare = 0.5  // to retries, which come together
-	lotteryFarShare   = 0.75 // factor for a host of another zone; those of the own get as much more
+	lotteryFreshShare      = 0.85 // to fresh requests
+	lotteryRetryShare      = 0.5  // to retries, which come together
+	lotteryOtherZoneFactor = 0.75 // factor for a host of another zone; those of the own get as much more
 )
 
 // slowStartBudget is the budget of a warming host at one balancer, in mean connections.
@@ -81,8 +81,8 @@
 	if bucket.tokens >= 1 {
 		return true, false
 	}
-	drawn := b.drawnByLottery(h, r)
-	return drawn, drawn
+	won := b.winsLottery(h, r)
+	return won, won
 }
 
 // spendSlowStartTokens takes the turns of an attempt from a warming host's budget. One that came by lottery
@@ -93,11 +93,11 @@
 	}
 }
 
-// drawnByLottery gives a request a chance at a warming host, such that the requests of all balancers together
+// winsLottery gives a request a chance at a warming host, such that the requests of all balancers together
 // use the part of its budget that is lost at balancers without requests. With a request in half a minute at
 // each of many balancers that is nearly all of it. The draw belongs to request and host, so that a second
 // call does not draw again.
-func (b *Balancer) drawnByLottery(h *host, r *request) bool {
+func (b *Balancer) winsLottery(h *host, r *request) bool {
 	if r.similarPerSecond <= 0 {
 		return false
 	}
@@ -117,8 +117,8 @@
 		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), establishedRate)
 	}
 	chance := share * unused * rate * float64(b.cfg.Instances) / r.similarPerSecond
-	const draws = 1 << 20
-	return float64(rendezvous.Hash(r.ID+h.hostID)%draws) < chance*draws
+	const resolution = 1 << 20
+	return float64(rendezvous.Hash(r.ID+h.hostID)%resolution) < chance*resolution
 }
 
 // lotteryShare is the part of a warming host's lost budget that requests like this one may use; false: none.
@@ -130,23 +130,23 @@
 	}
 	if len(b.zones) > 1 {
 		if h.zone == b.zone {
-			share *= 2 - lotteryFarShare
+			share *= 2 - lotteryOtherZoneFactor
 		} else {
-			share *= lotteryFarShare
+			share *= lotteryOtherZoneFactor
 		}
 	}
 	if r.Group == "" {
 		return share, true
 	}
-	warming, place := 0, 0
+	warming, position := 0, 0
 	for _, i := range b.rendezvousOrder(r.Group) {
-		if o := b.hosts[i]; o.zone == h.zone && b.fullCapacityShare(o) < 1 {
+		if other := b.hosts[i]; other.zone == h.zone && b.fullCapacityShare(other) < 1 {
 			warming++
-			if o == h {
-				place = warming
+			if other == h {
+				position = warming
 			}
 		}
 	}
-	taking := (warming + 1) / 2
-	return share * (float64(warming) / float64(taking)), place <= taking
+	accepting := (warming + 1) / 2
+	return share * (float64(warming) / float64(accepting)), position <= accepting
 }
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -10,13 +10,13 @@
 // makes of the little that it sees.
 
 const (
-	unquotedHosts = 80
-	warmingHosts  = 30   // of these have just started
-	unquotedFlow  = 40.0 // requests a second
+	noQuotaHosts       = 80
+	warmingHosts       = 30   // of these have just started
+	noQuotaRequestRate = 40.0 // requests a second
 )
 
-// manyWithoutQuotas are n balancers without quotas, with unquotedHosts hosts.
-func manyWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
+// manyBalancersWithoutQuotas are n balancers without quotas, with noQuotaHosts hosts.
+func manyBalancersWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	balancers := manyBalancers(t, n, seed)
 	for instance, f := range balancers {
@@ -24,7 +24,7 @@
 		cfg.Tenants = nil
 		cfg.SlowStartFloor, cfg.SlowStartDuration = 0.31, 9*sec
 		cfg.SlowStartOverloadFactor, cfg.SlowStartOverloadWindow = 3, sec
-		balancers[instance] = start(t, cfg, fleet(unquotedHosts)...)
+		balancers[instance] = start(t, cfg, fleet(noQuotaHosts)...)
 		balancers[instance].b.rng = rand.New(rand.NewSource(seed*1000 + int64(instance)))
 	}
 	return balancers
@@ -40,18 +40,18 @@
 		_, attempts, arrivals := startWarming(t, c.balancers, c.restarted, 1)
 		total, most := 0, 0
 		for _, at := range attempts {
-			total, most = total+len(at), max(most, mostWithin(at, sec))
+			total, most = total+len(at), max(most, maxInWindow(at, sec))
 		}
 		// The settings allow each of them three times its share of the capacity of a host, here 2.5 times the
 		// mean flow.
 		allowed := 0.0
 		for s := 0.0; s < 9; s++ {
-			allowed += warmingHosts * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * unquotedFlow / unquotedHosts
+			allowed += warmingHosts * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * noQuotaRequestRate / noQuotaHosts
 		}
 		name := fmt.Sprintf("%d balancers, %.0f%% restarted", c.balancers, 100*c.restarted)
 		t.Logf("%s: %d of %d requests to warming hosts, allowed %.0f; at one at most %d in a second",
 			name, total, len(arrivals), allowed, most)
-		if even := float64(len(arrivals)) * warmingHosts / unquotedHosts; float64(total) < even/3 {
+		if even := float64(len(arrivals)) * warmingHosts / noQuotaHosts; float64(total) < even/3 {
 			t.Errorf("%s: %d connections to the warming hosts, %.0f would be even", name, total, even)
 		}
 		// 600 connections are open, 7.5 at a host: at least 0.83 a second fill it within its slow start, and
@@ -70,14 +70,14 @@
 	up Time, attempts map[string][]Time, arrivals []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
-	balancers, restartedOnes := manyWithoutQuotas(t, n, seed), manyWithoutQuotas(t, n, seed+1)
+	balancers, restartedOnes := manyBalancersWithoutQuotas(t, n, seed), manyBalancersWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
-	pause := func() Time { return Time(rng.ExpFloat64() / unquotedFlow * 1e9) }
+	pause := func() Time { return Time(rng.ExpFloat64() / noQuotaRequestRate * 1e9) }
 	var before []Time
 	for ; at < 130*sec; at += pause() {
 		before = append(before, at)
 	}
-	replayEnds(balancers, rng, before)
+	replayWithEnds(balancers, rng, before)
 	for i := range balancers {
 		if rng.Float64() < restarted {
 			balancers[i] = restartedOnes[i]
@@ -110,9 +110,9 @@
 	return up, attempts, arrivals
 }
 
-// replayEnds has requests arrive at given times at balancers drawn at random. Each is established at once,
+// replayWithEnds has requests arrive at given times at balancers drawn at random. Each is established at once,
 // and its connection ends by itself 15 s later.
-func replayEnds(balancers []*fake, rng *rand.Rand, at []Time) {
+func replayWithEnds(balancers []*fake, rng *rand.Rand, at []Time) {
 	type connection struct {
 		f     *fake
 		id    string
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// budgetWithChance is how many attempts may come to a warming host, by chance too, in a window in which the
+// budgetWithChanceMargin is how many attempts may come to a warming host, by chance too, in a window in which the
 // settings allow it n.
-func budgetWithChance(n float64) float64 {
+func budgetWithChanceMargin(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -18,15 +18,15 @@
 // of all that the settings allow that was unused.
 func slowStartUse(up Time, attempts map[string][]Time) (largest, unused float64) {
 	const duration, floor, factor = 9.0, 0.31, 3.0
-	const capacity = 2.5 * unquotedFlow / unquotedHosts // of a host, in requests a second
+	const capacity = 2.5 * noQuotaRequestRate / noQuotaHosts // of a host, in requests a second
 	allowed := func(age float64) float64 { return factor * (floor + (1-floor)*age/duration) * capacity }
 	used, all := 0.0, 0.0
 	for _, at := range attempts {
 		used += float64(len(at))
 		for i, from := range at {
 			n := allowed(float64(from-up) / float64(sec))
-			most := mostWithin(at[i:min(len(at), i+40)], sec)
-			largest = max(largest, float64(most)/budgetWithChance(n))
+			most := maxInWindow(at[i:min(len(at), i+40)], sec)
+			largest = max(largest, float64(most)/budgetWithChanceMargin(n))
 		}
 	}
 	for age := 0.5; age < duration; age++ {
@@ -38,9 +38,9 @@
 // slowStartSeeds is how many seeds each fleet is run with.
 const slowStartSeeds = 2
 
-// TestSlowStartInSumOverAllInstances: the budget holds for the sum over all instances, however many there are
+// TestSlowStartBudgetHoldsForAllInstances: the budget holds for the sum over all instances, however many there are
 // and however many of them have just restarted.
-func TestSlowStartInSumOverAllInstances(t *testing.T) {
+func TestSlowStartBudgetHoldsForAllInstances(t *testing.T) {
 	for _, n := range []int{1, 3, 20, 30, 300} {
 		for _, restarted := range []float64{0, 0.25, 0.5, 1} {
 			largest, leastUnused := 0.0, 1.0
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -19,10 +19,10 @@
 		f.b.ListReceived(up-5*sec, ListLocal, []ListedHost{listed("s03", Suspended)})
 		f.b.ListReceived(up, ListLocal, []ListedHost{warming("s03", up)})
 	}, func(balancers []*fake, rng *rand.Rand) {
-		fresh += len(replay(balancers, rng, evenly(48, up+3*sec, 400*ms), false, "s03"))
+		fresh += len(replay(balancers, rng, evenlySpacedTimes(48, up+3*sec, 400*ms), false, "s03"))
 	})
-	if mean > waveBudget {
-		t.Errorf("a wave brings %.2f connections in the mean to a host that bears %.2f", mean, waveBudget)
+	if mean > waveWarmingBudget {
+		t.Errorf("a wave brings %.2f connections in the mean to a host that bears %.2f", mean, waveWarmingBudget)
 	}
 	if fresh < seeds {
 		t.Errorf("%d connections in %d times 20 s: too few for a host that is not ejected", fresh, seeds)
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -44,8 +44,8 @@
 	return attempts
 }
 
-// evenly is n times from a first one on, with equal intervals.
-func evenly(n int, first, interval Time) (at []Time) {
+// evenlySpacedTimes is n times from a first one on, with equal intervals.
+func evenlySpacedTimes(n int, first, interval Time) (at []Time) {
 	for i := range n {
 		at = append(at, first+Time(i)*interval)
 	}
@@ -67,7 +67,7 @@
 			setUp(f)
 			f.now = up
 		}
-		n := len(replay(balancers, rng, evenly(30, up+sec, 40*ms), true, "s03"))
+		n := len(replay(balancers, rng, evenlySpacedTimes(30, up+sec, 40*ms), true, "s03"))
 		if n > 4 {
 			t.Errorf("seed %d: a wave of 30 brought %d connections to a warming host", seed, n)
 		}
@@ -79,8 +79,8 @@
 	return float64(total) / float64(seeds)
 }
 
-// mostWithin is the largest number of times in any window.
-func mostWithin(at []Time, window Time) int {
+// maxInWindow is the largest number of times in any window.
+func maxInWindow(at []Time, window Time) int {
 	most := 0
 	for i := range at {
 		n := 0
@@ -120,7 +120,7 @@
 		attempts := replay(balancers, rng, arrivals, false, "s03")
 		total += len(attempts)
 		// Its budget is 2.1 in two seconds at the end; chance may bring more, but no wave.
-		if n := mostWithin(attempts, 2*sec); n > 6 {
+		if n := maxInWindow(attempts, 2*sec); n > 6 {
 			t.Errorf("seed %d: %d connections within 2 s at a warming host", seed, n)
 		}
 	}
@@ -134,9 +134,9 @@
 	}
 }
 
-// waveBudget is what a warming host of manyBalancers bears of a wave: in the overload window of 2 s four
+// waveWarmingBudget is what a warming host of manyBalancers bears of a wave: in the overload window of 2 s four
 // times 0.19 of 0.45 connections a second.
-const waveBudget = 0.68
+const waveWarmingBudget = 0.68
 
 // TestWaveSparesWarmingHost: the clients of two hosts come back at once, a request or none at each balancer,
 // none of which sees that it is a wave.
@@ -146,9 +146,9 @@
 		f.b.ListReceived(up, ListDelta,
 			[]ListedHost{warming("s03", up), listed("s04", Draining), listed("s05", Draining)})
 	}, nil)
-	if mean > waveBudget {
+	if mean > waveWarmingBudget {
 		t.Fatalf("a wave brings %.2f connections in the mean to a warming host that bears %.2f",
-			mean, waveBudget)
+			mean, waveWarmingBudget)
 	}
 }
 
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -17,8 +17,8 @@
 	gossipSpread   = 6e8
 	// delayValidFor is how long an observed delay counts in full, and delayFade the time constant from then
 	// on, in nanoseconds. Observations come once a second while messages are slow.
-	delayValidFor = 1.5e9
-	delayFade     = 1e9
+	delayValidFor     = 1.5e9
+	delayTimeConstant = 1e9
 	// stallMigrationShare is the chance that a mean connection is migrated from a stalled host, at each
 	// observation.
 	stallMigrationShare = 0.15
@@ -55,7 +55,7 @@
 
 func (m *messageDelay) faded(now Time) float64 {
 	age := max(0, float64(now-m.observedAt)-delayValidFor)
-	return m.delay * math.Exp(-age/delayFade)
+	return m.delay * math.Exp(-age/delayTimeConstant)
 }
 
 // stalled reports whether messages take longer at a host than the shortest latency objective.
@@ -79,16 +79,16 @@
 		}
 	case ObservedLatency:
 		if objective := b.shortestMessageObjective(); objective > 0 {
-			b.messagesDelayed(h, value/objective)
+			b.recordMessageDelay(h, value/objective)
 		}
 	}
 }
 
-// messagesDelayed records how long messages take at a host, in shortest latency objectives. From a stalled
+// recordMessageDelay records how long messages take at a host, in shortest latency objectives. From a stalled
 // one, connections are migrated: each balancer migrates a small part by chance, since all see the same stall,
 // and in proportion to their load: a few heavy connections overfill a host, and migrating these is cheaper
 // than migrating the many light ones.
-func (b *Balancer) messagesDelayed(h *host, delay float64) {
+func (b *Balancer) recordMessageDelay(h *host, delay float64) {
 	h.messages.delay, h.messages.observedAt = delay, b.now
 	if delay < stalledMessageDelay {
 		return
