--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -1,19 +1,20 @@
 package balancer
 
-// newerDuration is for how many slow starts a host counts as one that has started lately: it takes longer to fill
+// newerDuration is how long a host counts as newer after its start, in slow starts. A host takes longer to fill
 // than to warm up.
 const newerDuration = 4
 
-// ageGroup is the hosts that have started lately, or those before them.
+// ageGroup distinguishes the hosts that have started recently from the others.
 type ageGroup int
 
 const (
-	anyAge ageGroup = iota
-	newer
-	older
-	numAgeGroups // how many values there are
+	anyAge       ageGroup = iota // newer and older hosts
+	newer                        // started within newerDuration
+	older                        // started earlier
+	numAgeGroups                 // number of values
 )
 
+// ageGroup returns newer or older.
 func (b *Balancer) ageGroup(h *host) ageGroup {
 	if h.startedAt > 0 && b.now < h.startedAt+newerDuration*b.cfg.SlowStartDuration {
 		return newer
@@ -21,10 +22,11 @@
 	return older
 }
 
-// preferredAgeGroup is the hosts among which a request is placed first: the newer ones if they hold less than
-// their part of what this balancer placed, else the older ones. Where traffic is sparse this balancer's loads
-// say nothing of a single host, but something of an age group: each balancer keeps to the part by chance, so
-// that all together do.
+// preferredAgeGroup returns the age group whose hosts are tried first for a request: newer if the newer hosts
+// hold less than their share of what this balancer has placed, else older. It returns anyAge if hosts report
+// their load, if traffic is not sparse, or if no host is newer. If traffic is sparse, a balancer's own load
+// tells nothing about a single host, but something about an age group: each balancer keeps to the share by
+// random rounding, so that all balancers together keep to it.
 func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
@@ -41,15 +43,15 @@
 		return anyAge
 	}
 	total := load[newer] + load[older] + r.cost
-	fraction := float64(stableHash(r.ID)%1024) / 1024 // of the request, so that a retry does not draw again
+	fraction := float64(stableHash(r.ID)%1024) / 1024 // a retry gets the same value
 	if load[newer]+fraction*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
 		return newer
 	}
 	return older
 }
 
-// excludedByAge reports whether a host is not of the age group that is picked from. A warming one counts as
-// either, since it has its own budget.
+// excludedByAge reports whether a host is not in the given age group. A warming host is in both groups, since
+// it has a budget of its own.
 func (b *Balancer) excludedByAge(h *host, age ageGroup) bool {
 	return age != anyAge && b.ageGroup(h) != age && (age == newer || b.fullCapacityShare(h) >= 1)
 }
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -3,33 +3,34 @@
 import "math"
 
 const (
-	// maxEjectionFactor is the longest ejection over the first, where the settings give neither: three doublings.
-	// A longer one would outlast the fault.
+	// maxEjectionFactor is the default of the longest ejection, in longest deadlines: three doublings of the
+	// default first one. A longer ejection would outlast the fault.
 	maxEjectionFactor = 8.0
-	// sharedFaultShare is the part of the evidence that has to fail for the fault to be no single host's.
+	// sharedFaultShare is the fraction of set-ups, or of a zone's hosts, that has to fail for the fault not to
+	// be attributed to a single host.
 	sharedFaultShare = 0.5
-	// minTimeoutEvidence is how many set-ups must have ended of late before a timeout may count as shared.
+	// minTimeoutEvidence is how many set-ups must have ended recently before a timeout may count as shared.
 	minTimeoutEvidence = 4
 	// evidenceTimeConstant is the time constant with which set-ups fade, in longest latency objectives.
 	evidenceTimeConstant = 2
 )
 
-// hostEjection is what the ejection of one host goes by.
+// hostEjection is the ejection state of one host.
 type hostEjection struct {
 	consecutiveFailures int
-	until               Time
-	failedAt            Time // of the last counted failure
-	trials              int  // approximately: attempts in flight that began after a failure
+	until               Time // end of the ejection
+	failedAt            Time // of the last failure that hostFailed did not ignore
+	trials              int  // approximate number of attempts in flight that began after a failure
 }
 
-// ejection is the rule's settings and its evidence of shared faults.
+// ejection holds the settings of the ejection rule and the evidence of shared faults.
 type ejection struct {
-	initial, max Time // 0: no host is ejected
+	initial, max Time // first and longest ejection; if either is 0, no host is ejected
 	evidence     setupEvidence
 }
 
-// newEjection derives the durations that the settings leave open. Before jitter, which may halve it, the
-// first ejection is as long as the longest deadline.
+// newEjection derives the durations that the settings leave open. By default, the first ejection is as long as
+// the longest deadline, before jitter, which may halve it.
 func newEjection(cfg *Config) (ejection, error) {
 	longestDeadline := Time(0)
 	for _, c := range cfg.Classes {
@@ -49,17 +50,17 @@
 	return e, nil
 }
 
-// period is how long a host is ejected after so many failures in a row, before jitter.
+// period returns how long a host is ejected after a number of consecutive failures, before jitter.
 func (e *ejection) period(failures int) Time {
 	return min(e.max, Time(float64(e.initial)*math.Pow(2, float64(min(failures, 30)-1))))
 }
 
-// blocks reports whether a host is ejected, or its trial is under way.
+// blocks reports whether a host is ejected, or a trial of it is in flight.
 func (e *ejection) blocks(now Time, h *hostEjection) bool {
 	return h.consecutiveFailures > 0 && e.initial > 0 && (now < h.until || h.trials > 0)
 }
 
-// setupEvidence is how the set-ups of late ended, at all hosts.
+// setupEvidence counts how recent set-ups at all hosts ended. The counts fade.
 type setupEvidence struct {
 	longestObjective    Time // the longest latency objective
 	succeeded, timedOut float64
@@ -76,8 +77,8 @@
 	e.succeeded++
 }
 
-// addTimeout counts a timeout, and reports whether most set-ups time out: then the store or the links are
-// slow, and the timeout is no evidence against one host.
+// addTimeout counts a timeout, and reports whether most recent set-ups timed out. In that case the store or the
+// links are slow, and the timeout is no evidence against a single host.
 func (e *setupEvidence) addTimeout(now Time) (shared bool) {
 	e.fade(now)
 	e.timedOut++
@@ -85,14 +86,15 @@
 		e.timedOut >= sharedFaultShare*(e.timedOut+e.succeeded)
 }
 
-// Ejected reports whether a host is ejected and not yet due for its trial.
+// Ejected reports whether a host is ejected and not yet due for a trial. It returns false for an unknown host.
 func (b *Balancer) Ejected(now Time, id string) bool {
 	h := b.byID[id]
 	return h != nil && h.ejection.consecutiveFailures > 0 && b.ejection.initial > 0 && now < h.ejection.until
 }
 
-// available reports whether a host is preferred for a request: not ejected, its trial not taken, not full
-// lately, and without an attempt of the request. Where none is, pick takes one of the others.
+// available reports whether a host is preferred for a request: it is not ejected, no trial of it is in flight,
+// it has not recently been full, and the request has made no attempt at it. If no host is available, pick
+// chooses one of the others.
 func (b *Balancer) available(h *host, r *request) bool {
 	if b.ejection.blocks(b.now, &h.ejection) || b.now < h.fullUntil {
 		return false
@@ -105,18 +107,18 @@
 	return true
 }
 
-// hostAccepted ends an ejection at once.
+// hostAccepted ends the ejection of a host that has accepted a request.
 func (b *Balancer) hostAccepted(h *host) {
 	if h.ejection.consecutiveFailures > 0 {
 		b.effects.Report(HostReadmitted{Host: h.hostID})
 	}
 	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.trials = 0, 0, 0
-	h.deficit = min(h.deficit, 0) // no turns are owed for the time of the ejection
+	h.deficit = min(h.deficit, 0) // turns missed during the ejection are not made up for
 }
 
-// hostFailed ejects a host that failed an attempt sent at sentAt: for a random time of half of period to
-// period, which consecutive failures double, unless most of the zone fails. proven is false for a timeout,
-// which may be no fault of the host's.
+// hostFailed ejects a host that failed an attempt sent at sentAt, for a random time between half of and the full
+// ejection period. Consecutive failures double the period, unless most of the zone fails. proven is false for a
+// timeout, which may not be the host's fault.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
@@ -126,13 +128,13 @@
 	}
 	e := &h.ejection
 	if e.consecutiveFailures > 0 && sentAt < e.failedAt {
-		return // sent before the failure that is already counted
+		return // sent before the last failure, which covers it
 	}
 	if e.consecutiveFailures == 0 || !b.zoneFailing(h.zone) {
 		e.consecutiveFailures++
 	}
 	e.failedAt = b.now
-	// Jitter, else all balancers that saw a shared fault try its hosts at the same moment.
+	// Without jitter, all balancers that saw a shared fault would try its hosts again at the same moment.
 	period := b.ejection.period(e.consecutiveFailures)
 	e.until = b.now + period/2 + Time(b.rng.Float64()*float64(period)/2)
 	if e.consecutiveFailures == 1 {
@@ -141,8 +143,8 @@
 	}
 }
 
-// zoneFailing reports whether most of a zone fails: then the fault is the zone's, and doubling would shun its
-// hosts long after.
+// zoneFailing reports whether at least half of a zone's ready hosts, and more than one, fail. In that case the
+// fault is the zone's, and doubled ejections would exclude its hosts long after its end.
 func (l *endpointList) zoneFailing(zone int) bool {
 	ready, failing := 0, 0
 	for _, h := range l.hosts {
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -1,6 +1,6 @@
 package balancer
 
-// retryForbidden reports whether another attempt could bring a request's effect twice.
+// retryForbidden reports whether another attempt could apply a request's effect twice.
 func (b *Balancer) retryForbidden(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -10,7 +10,8 @@
 		c.Idempotency == IdempotentWithKey && b.now >= r.mayHaveRunAt+c.DedupWindow
 }
 
-// outsideDedupScope reports whether a host would not discard a repeat of a request that may have run.
+// outsideDedupScope reports whether a request may have run and h would not discard a repeat of it, because h is
+// outside the dedup scope of its idempotency key.
 func (b *Balancer) outsideDedupScope(h *host, r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -28,8 +29,8 @@
 	return false
 }
 
-// clientRetryUnsafe reports whether a request may have run and its client's retry could bring the effect
-// twice, so that the client must not learn that a retry is harmless.
+// clientRetryUnsafe reports whether a request may have run and a retry by its client could apply the effect
+// twice, so that the client must not be told that a retry is harmless.
 func (b *Balancer) clientRetryUnsafe(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -2,28 +2,31 @@
 
 import "math"
 
-// errorStep is what one error adds to a host's error score, and successErrorFactor what a success leaves of it.
+// errorStep is what one error adds to a host's error score, and successErrorFactor the fraction of the score
+// that remains after a success.
 const (
 	errorStep          = 0.5
 	successErrorFactor = 0.5
 )
 
-// Factors on the duration of a set-up, for estimates of the next ones.
+// Factors on the duration of a set-up, for estimates of later ones.
 const (
-	// completionFactor: one begun now takes up to half as long again as the last that succeeded.
+	// completionFactor allows for a set-up that starts now and takes half as long again as the last one that
+	// succeeded.
 	completionFactor = 1.5
-	// timeoutSampleFactor: one that timed out would have taken longer. Without such samples timeouts would
-	// never grow to what set-ups take.
+	// timeoutSampleFactor scales the duration of a set-up that timed out, which would have taken longer.
+	// Without such samples, timeouts would never grow to the duration of set-ups.
 	timeoutSampleFactor = 1.5
 )
 
-// errorScore is how much a host fails of late: 0 none, 1 always. It fades with the initial ejection as time
-// constant.
+// errorScore is how often a host has failed recently, from 0 (never) to 1 (always). It fades with the initial
+// ejection as time constant.
 type errorScore struct {
 	score     float64
 	updatedAt Time
 }
 
+// faded returns the score at now.
 func (e *errorScore) faded(now, timeConstant Time) float64 {
 	return e.score * math.Exp(-float64(now-e.updatedAt)/float64(timeConstant+1))
 }
@@ -35,7 +38,8 @@
 	return h.errors.faded(b.now, b.ejection.initial)
 }
 
-// AttemptEstablished notes that an attempt, counted from 0, has set up its connection in the time elapsed.
+// AttemptEstablished records that an attempt, counted from 0, has set up its connection within elapsed
+// nanoseconds. It ignores an attempt that is not the request's newest, or that has ended.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.tick(now)
 	r := b.requests[id]
@@ -52,18 +56,19 @@
 	b.connectionEstablished(r)
 }
 
-// AttemptResult is how an attempt, or the connection that it established, ended.
+// AttemptResult describes how an attempt, or the connection that it established, has ended.
 type AttemptResult struct {
 	RequestID string
-	Attempt   int // of this request, from 0
+	Attempt   int // of this request, counted from 0
 	Status    AttemptStatus
 	Elapsed   Time      // since the attempt began, in nanoseconds
 	Closed    bool      // the request has had its final answer
-	Load      []float64 // the host's load report, if one came
+	Load      []float64 // the host's load report; nil if none came
 }
 
-// AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is
-// placed again: after an attempt without a connection it is, unless it is closed or the attempt was TooLate.
+// AttemptEnded handles the end of an attempt or of its open connection. After an attempt without a connection,
+// the request is placed again, unless it is closed or the status is TooLate. AttemptEnded ignores an attempt
+// that is not the request's newest, or that has ended already.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
 	r := b.requests[result.RequestID]
@@ -75,7 +80,7 @@
 	if result.Closed || r.closed || wasEstablished {
 		delete(b.requests, r.ID)
 		if !result.Closed && !r.closed {
-			// The end of a connection closes its request; where its answer is still owed, it is given.
+			// The end of a connection closes its request, which needs an answer if it has had none.
 			r.closed = true
 			b.effects.Fail(r.ID)
 		}
@@ -88,7 +93,7 @@
 	b.place(r)
 }
 
-// recordAttemptEnd updates what is known of the request, its host and the fleet's traffic.
+// recordAttemptEnd updates the state of the request, its host and the fleet's traffic.
 func (b *Balancer) recordAttemptEnd(r *request, result AttemptResult) {
 	h, wasEstablished := r.host, r.established
 	b.loadReported(h, result.Load)
@@ -97,7 +102,7 @@
 	}
 	b.connectionEnded(r)
 	r.attemptInFlight = false
-	// Approximate: also an attempt from before the failure, or an open connection, may end here.
+	// The count is approximate: an attempt from before the failure, or an open connection, may also end here.
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
@@ -107,14 +112,14 @@
 	if !wasEstablished {
 		b.setupEnded(r, result.Status, result.Elapsed)
 	} else if result.Status == Reset {
-		// A host that drops open connections sheds load or has died; else its turns would go on, and the
-		// dropped clients come straight back to it.
+		// A host that drops open connections sheds load or has died. Without this delay it would keep its
+		// turns, and the dropped clients would come straight back to it.
 		b.recordMessageDelay(h, 1)
 	}
 }
 
-// setupEnded updates the rules' state after an attempt without a connection. Cancelled and TooLate change
-// nothing here.
+// setupEnded updates the state of the rules after an attempt that ended without a connection. Cancelled and
+// TooLate change nothing here.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
@@ -138,7 +143,8 @@
 	}
 }
 
-// ClientLeft closes a request whose client has left: no answer is owed any more.
+// ClientLeft closes a request whose client has left, so that it gets no answer. It cancels an attempt that has
+// set up no connection yet, if Config.MayCancel is set.
 func (b *Balancer) ClientLeft(now Time, id string) {
 	b.tick(now)
 	r := b.requests[id]
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -1,36 +1,44 @@
 package balancer
 
-// The rules that a request meets, in this order, what may come of each, and the function that holds it:
+// A new request passes these rules in this order. The function on the right implements the rule:
 //
-//  1. admission: an ID in use or an unknown class is ignored              admit
-//  2. traffic: it counts for the rates of arrivals                        traffic.arrived
-//  3. load shedding: marked, only a warming host's budget may serve it    shouldShed
-//  4. all attempts used, or too little time left: rejected                place
-//  5. idempotency: it may have run and must not run twice: rejected       retryForbidden
-//  6. retry storm: its attempt is delayed in the queue                    waitsForRetryStorm
-//  7. placement ledger, first attempt of a group's request: queued until
-//     the ledger server replies, or its reply is late                     queryLedger
-//  8. the ledger server's host, else the pick of the rotation             assignedHost, pick
-//  9. a host: the attempt starts, with a timeout                          startAttempt
-//  10. no host: rejected if marked in 3, or if operators have suspended
-//     all hosts that could serve; else queued                             place
+//  1. Admission: a request whose ID is in use or whose class is unknown
+//     is ignored.                                                         admit
+//  2. Traffic: the request is counted in the arrival rates.               traffic.arrived
+//  3. Load shedding: the request may be marked. A marked request may
+//     only be served from the budget of a warming host.                   shouldShed
+//  4. A request that has used all attempts or has too little time left
+//     is rejected.                                                        place
+//  5. Idempotency: a request that may have run and must not run twice
+//     is rejected.                                                        retryForbidden
+//  6. Retry storm: the attempt is delayed in the queue.                   waitsForRetryStorm
+//  7. Placement ledger: the first attempt of a request with a group is
+//     queued until the ledger server replies or its reply times out.      queryLedger
+//  8. The host is the one that the ledger server has assigned, else
+//     the one that the rotation picks.                                    assignedHost, pick
+//  9. If there is a host, the attempt starts, with a timeout.             startAttempt
+//  10. If there is none, the request is rejected if rule 3 has marked it
+//     or operators have suspended all hosts that could serve. Otherwise
+//     it is queued.                                                       place
 //
-// pick leaves out the hosts that are draining, removed or suspended, those that would not discard a repeat
-// (outsideDedupScope), and warming ones whose budget is spent (slowStartAllows). It prefers hosts that are
-// neither ejected nor full and that the request has made no attempt at (available).
+// pick leaves out hosts that are draining, removed or suspended, hosts that would not discard a repeat
+// (outsideDedupScope), and warming hosts whose budget is spent (slowStartAllows). It prefers hosts that are
+// neither ejected nor full and at which the request has made no attempt (available).
 //
-// Afterwards a request comes back to 4, or is rejected:
+// These events return a request to rule 4 or reject it:
 //
-//   - An attempt has ended without a connection (AttemptEnded); after TooLate it is rejected. The end of an
-//     established connection closes its request: it is never retried.
-//   - The queue is drained (drainQueue): every queueInterval, and after each endpoint list. A request is
+//   - An attempt ends without a connection (AttemptEnded). With status TooLate the request is rejected. The
+//     end of an established connection closes its request, which is never retried.
+//   - The queue is drained (drainQueue), every queueInterval and after each endpoint list. A request is
 //     rejected there after half of the time that it had left when it was first queued since its last attempt.
-//   - The ledger server has replied (ledgerReplyReceived).
+//   - The ledger server replies (ledgerReplyReceived).
 //
-// "Rejected" stands for rejectOrFail, which answers that a retry is harmless, or with a failure where it is
-// not (clientRetryUnsafe).
+// "Rejected" means that rejectOrFail is called. It tells the client that a retry is harmless, or reports a
+// failure if a retry is not harmless (clientRetryUnsafe).
 
-// RequestArrived takes a client's request: from here on it is owed one final answer.
+// RequestArrived handles a new request of a client. It ignores the request if its ID is in use or its class
+// is unknown. Any other request gets exactly one final answer, unless its client leaves: Effects.Reject,
+// Effects.Fail, or the one that the caller reports by AttemptResult.Closed.
 func (b *Balancer) RequestArrived(now Time, q Request) {
 	b.tick(now)
 	r := b.admit(q)
@@ -39,14 +47,14 @@
 	}
 	r.deadline = now + q.Remaining
 	r.similarPerSecond = b.traffic.arrived(now, r.isRetry(), len(b.hosts))
-	b.shedding.demandByClass[r.Class] += r.cost // shouldShed compares it with the demand, so that it counts first
+	b.shedding.demandByClass[r.Class] += r.cost // before shouldShed, which ranks r within the demand
 	r.shedUnlessWarmingHost = b.shouldShed(r)
 	b.place(r)
 }
 
-// ConnectionAdopted takes an open connection that this balancer has not placed: from before the process's
-// start, handed over by another process, or at a host that came from another pool. One to an unknown host is
-// ignored.
+// ConnectionAdopted registers an open connection that this balancer has not placed: one that was opened before
+// this process started, was handed over by another process, or is at a host that came from another pool.
+// It ignores a connection to an unknown host.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
 	b.tick(now)
 	h := b.byID[id]
@@ -59,7 +67,8 @@
 	}
 }
 
-// admit begins to keep a request; nil where its ID is in use or its class unknown.
+// admit registers a request. It returns nil if the request's ID is in use or its class is unknown. A tenant
+// that is unknown counts as none.
 func (b *Balancer) admit(q Request) *request {
 	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.cfg.Classes) {
 		return nil
@@ -72,10 +81,10 @@
 	return r
 }
 
-// place starts a request's next attempt, or queues it, or gives its final answer: rules 4 to 10.
+// place applies rules 4 to 10: it starts a request's next attempt, queues the request or rejects it.
 func (b *Balancer) place(r *request) {
-	// Two ticks are kept, so that the answer comes within the deadline. A set-up that would not complete in
-	// what is left would only lengthen the queue that all set-ups share.
+	// Two ticks are reserved, so that the answer comes within the deadline. A set-up that cannot complete in
+	// the remaining time would only lengthen the queue that all set-ups share.
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.setups.QueueDelay(b.now) || b.retryForbidden(r) {
 		b.rejectOrFail(r)
@@ -103,6 +112,8 @@
 	}
 }
 
+// startAttempt starts a request's next attempt at h. left is the time that the attempt may use at most, in
+// nanoseconds.
 func (b *Balancer) startAttempt(r *request, h *host, left Time) {
 	b.retryStorm.attemptStarted()
 	timeout := b.attemptTimeout(r, left)
@@ -119,8 +130,8 @@
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
-// rejectOrFail gives the final answer of a request that is not served. It is kept until its attempt has
-// ended.
+// rejectOrFail gives the final answer to a request that is not served. The request stays registered until its
+// attempt has ended.
 func (b *Balancer) rejectOrFail(r *request) {
 	r.closed = true
 	b.reconcileLedger(r, nil)
@@ -134,8 +145,8 @@
 	}
 }
 
-// retryAfter is when a rejected client should come back; 0: as it likes. It is jittered, else all come back
-// together.
+// retryAfter returns the Retry-After of a rejected request in nanoseconds, with jitter so that clients do not
+// all come back together. It returns 0 if the client may retry at any time.
 func (b *Balancer) retryAfter(r *request) Time {
 	if !b.cfg.SendsRetryAfter {
 		return 0
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -3,21 +3,22 @@
 // queueInterval is the time between two calls of drainQueue while requests wait, in nanoseconds.
 const queueInterval = 20e6
 
-// requestQueue holds the requests that have no host now, since a warming fleet, or one that is still unknown,
-// may serve them soon; those that a retry storm delays; and those that wait for the ledger server's reply.
+// requestQueue holds the requests that wait for a host, since a fleet that is warming up or still unknown may
+// serve them soon; those that are delayed by a retry storm; and those that await the ledger server's reply.
 type requestQueue struct {
 	waiting  []*request
 	timerSet bool
 }
 
-// queueEntry is a request's place in the queue.
+// queueEntry is the queue state of one request.
 type queueEntry struct {
 	queued    bool
-	rejectAt  Time // leaves half of the time for the client to retry in; 0: not queued since the last attempt
-	notBefore Time // no attempt before; 0: at once
+	rejectAt  Time // leaves the client half of the time for a retry; 0 if not queued since the last attempt
+	notBefore Time // earliest time of the next attempt; 0 if it may start at once
 }
 
-// enqueue has a request wait for drainQueue, once more if it has waited before.
+// enqueue adds a request to the queue, unless it is queued already. A request that is queued again before its
+// next attempt keeps its rejectAt.
 func (b *Balancer) enqueue(r *request) {
 	if !r.wait.queued {
 		r.wait.queued = true
@@ -32,8 +33,8 @@
 	}
 }
 
-// drainQueue places the requests whose time has come, and rejects those that have waited too long. Those that
-// have to wait on are queued again, in their order.
+// drainQueue rejects the requests that have waited too long and places those whose delay is over. Requests
+// that have to wait longer are queued again in the same order.
 func (b *Balancer) drainQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
@@ -42,7 +43,7 @@
 	b.queue.waiting = nil
 	for _, r := range waiting {
 		if r.closed || !r.wait.queued {
-			continue // answered, or placed when the ledger server replied
+			continue // already answered, or placed when the ledger server replied
 		}
 		r.wait.queued = false
 		switch {
@@ -51,7 +52,7 @@
 		case b.now < r.wait.notBefore:
 			b.enqueue(r)
 		default:
-			if r.ledger.awaiting { // notBefore was the reply's timeout
+			if r.ledger.awaiting { // notBefore was the timeout of the reply
 				b.ledgerQueryTimedOut(r)
 			}
 			b.place(r)
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -3,49 +3,52 @@
 import "math"
 
 const (
-	// tieBreakSlack is by how many turns a tie-break may run ahead of the rotation, and
-	// reportedLoadSlack the factor on it where hosts report how loaded they are: then loads keep the balance,
-	// which is all that even turns are for.
+	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest one for the candidate
+	// to be picked by its load. reportedLoadSlack is the factor on it if hosts report their load: then
+	// the loads keep the balance, which is the only purpose of even turns.
 	tieBreakSlack     = 1.0
 	reportedLoadSlack = 24.0
-	// crossZoneBias is how strongly Prices.CrossZone takes turns from other zones: they get 1 / (1 + bias *
-	// price) of their own.
+	// crossZoneBias is how strongly Prices.CrossZone takes turns from hosts in other zones: these keep
+	// 1 / (1 + crossZoneBias * price) of their turns.
 	crossZoneBias = 100.0
-	// minHealth is the part of its turns that a failing or loaded host keeps: without any, nothing would show
-	// that it is well again.
+	// minHealth is the fraction of its turns that a failing or loaded host keeps. Without any turns, nothing
+	// would show that it has recovered.
 	minHealth = 0.02
-	// noTurnsLoad is the reported load at which a host gets next to no turns; 1 is full. It is above 1, so
-	// that a full fleet still has an order.
+	// noTurnsLoad is the reported load at which a host gets almost no turns; 1 is full. It is above 1, so that
+	// the weights of full hosts still differ by load.
 	noTurnsLoad = 1.1
-	// zoneSets is how many sets of zones have hosts of their own for a group where traffic is sparse.
+	// zoneSets is the number of sets into which zones are divided if traffic is sparse. In each set, a group
+	// has hosts of its own.
 	zoneSets = 2
 )
 
-// pick is the choice of a host for one request.
+// pick holds the parameters of the choice of a host for one request.
 type pick struct {
 	request      *request
 	turns        float64
-	preferredAge ageGroup
-	fallback     bool // hosts that are not available may be picked
-	sparse       bool // sparseTraffic
+	preferredAge ageGroup // the hosts that may be picked; anyAge for all
+	fallback     bool     // hosts that are not available may be picked
+	sparse       bool     // result of sparseTraffic
 }
 
-// candidate is a host in one pick.
+// candidate is a host that may be picked for a request.
 type candidate struct {
 	reportedLoad
 	host       *host
-	weight     float64 // its share of the turns
-	wonLottery bool    // a warming host that got this request by lottery
+	weight     float64 // its share of the turns, relative to those of the other candidates
+	wonLottery bool    // a warming host whose budget allows this request by lottery only
 }
 
-// reportedLoad is what load reports mean for a host in one pick; zero where hosts do not report.
+// reportedLoad holds the values of a host that follow from load reports. It is zero if hosts do not report
+// their load.
 type reportedLoad struct {
 	load                float64 // 1 is full
-	groupHomedElsewhere float64 // 1: another host is to hold the group; 0: this one
+	groupHomedElsewhere float64 // 1 if the host comes after the home of the request's group, else 0
 }
 
-// pick chooses by smooth weighted rotation over the available hosts, of the preferred age if there is one; if
-// none is available, over all that may take the request. It returns nil where none may.
+// pick chooses a host by smooth weighted rotation over the available hosts, first over those of the preferred
+// age group. If no host is available, it chooses from all that may take the request. It returns nil if there
+// is none.
 func (b *Balancer) pick(r *request) *host {
 	p := pick{request: r, turns: b.costs.turns(r.cost), preferredAge: b.preferredAgeGroup(r)}
 	if p.preferredAge != anyAge {
@@ -61,9 +64,10 @@
 	return b.rotate(&p)
 }
 
-// rotate is one turn of the smooth weighted rotation: each candidate's deficit grows by its share of the
-// turns, and the picked one's shrinks by all of them. Within a slack the order is open: the candidate with
-// the least load for its weight goes first.
+// rotate makes one step of the smooth weighted rotation: each candidate's deficit grows by its share of the
+// request's turns, and the deficit of the picked one shrinks by all of them. Of the candidates whose deficit is
+// within a slack of the largest one, the one with the least load for its weight is picked. rotate returns nil
+// if there is no candidate.
 func (b *Balancer) rotate(p *pick) *host {
 	p.sparse = b.sparseTraffic()
 	candidates, total, maxWeight := b.candidates(p)
@@ -79,8 +83,8 @@
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
-			// A warming host's turn comes with its budget. By their deficits all new hosts would have the
-			// same place at every balancer, and wait for half a round of many sparse rotations.
+			// The budget of a warming host decides when its turn comes. By their deficits, all new hosts would
+			// have the same place at every balancer and wait for half a round in each of many sparse rotations.
 			h.deficit = maxDeficit
 		}
 		slack, capacity := b.tieBreakParams(p, c, maxWeight)
@@ -98,8 +102,8 @@
 	return best
 }
 
-// candidates are the hosts that may be picked, in the order of the rotation, with the sum of their weights
-// and the largest one.
+// candidates returns the hosts that may be picked, in the order of the rotation, the sum of their weights and
+// the largest weight.
 func (b *Balancer) candidates(p *pick) (eligible []candidate, total, maxWeight float64) {
 	reported := b.hostsReportLoad()
 	if reported {
@@ -125,7 +129,8 @@
 	return eligible, total, maxWeight
 }
 
-// readLoads fills loadBuffer for a pick for a request of a group.
+// readLoads fills loadBuffer with the current load of each host. If group is not empty, it marks the hosts
+// that come after the group's home.
 func (b *Balancer) readLoads(group string) {
 	loads := b.loadBuffer[:0]
 	for _, h := range b.hosts {
@@ -137,8 +142,9 @@
 	}
 }
 
-// mayPlaceOn holds what no fallback sets aside: drains, hosts that do not discard repeats, and the budget of
-// a warming host.
+// mayPlaceOn reports whether a host may take the request, and whether a warming host may by lottery only. It
+// checks the preferred age group and the rules that hold in a fallback as well: the host must be ready, it must
+// discard repeats if necessary, and the budget of a warming host must allow the request.
 func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
 	if h.state != Ready || p.preferredAge != anyAge && b.excludedByAge(h, p.preferredAge) ||
 		b.outsideDedupScope(h, p.request) {
@@ -150,8 +156,9 @@
 	return b.slowStartAllows(h, p.request, p.turns)
 }
 
-// turnWeight is a host's share of the turns: the list's weight, less for a crossing that costs, for a warming
-// host, for a loaded one, and for one that fails or delays messages.
+// turnWeight returns a host's share of the turns, relative to those of other hosts. It is the weight from the
+// endpoint list, reduced for a host in another zone if crossing has a price, for a warming host, for a loaded
+// host, and for a host that fails or delays messages.
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
 	if h.zone != b.zone {
@@ -171,8 +178,8 @@
 	return w * max(minHealth, health)
 }
 
-// tieBreakParams is by how many turns a candidate may be behind and still be picked, and the capacity by which its
-// load is divided.
+// tieBreakParams returns by how many turns a candidate's deficit may be below the largest one, and the capacity
+// by which the candidate's load is divided.
 func (b *Balancer) tieBreakParams(p *pick, c *candidate, maxWeight float64) (slack, capacity float64) {
 	slack, capacity = tieBreakSlack*c.weight/maxWeight, c.weight
 	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
@@ -184,8 +191,8 @@
 	return slack, capacity
 }
 
-// tieBreakLoad is the load by which candidates within the slack are ordered. It is the present load, not that
-// with the request: else all balancers begin with the same large hosts.
+// tieBreakLoad returns the load by which candidates within the slack are ordered, least first. The load of the
+// request itself does not change the order: otherwise all balancers would begin with the same large hosts.
 func (b *Balancer) tieBreakLoad(p *pick, c *candidate, capacity float64) float64 {
 	groupCost := b.groupPlacementCost(p, c)
 	load := (c.host.load + groupCost) / capacity
@@ -193,7 +200,7 @@
 		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
 	}
 	if c.wonLottery {
-		// Before all others, by load and then by the draw.
+		// Before all other candidates, ordered by load and then by a hash of the request and the host.
 		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
 	return load
