--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -107,7 +107,7 @@
 	return true
 }
 
-// hostAccepted ends the ejection of a host that has accepted a request.
+// hostAccepted ends the ejection of a host at once, since the host has accepted a request.
 func (b *Balancer) hostAccepted(h *host) {
 	if h.ejection.consecutiveFailures > 0 {
 		b.effects.Report(HostReadmitted{Host: h.hostID})
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -9,8 +9,8 @@
 	// timeoutMargin is how many may be made before an attempt gets all the time that is left.
 	stormMargin   = 3
 	timeoutMargin = 2
-	// stormTimeConstant is the time constant with which attempts fade, and earlyErrorMemory how long an early error
-	// counts, in longest latency objectives.
+	// stormTimeConstant is the time constant with which attempts fade, and earlyErrorWindow how long an early
+	// error counts, both in longest latency objectives.
 	stormTimeConstant = 8
 	earlyErrorWindow  = 2
 )
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -3,42 +3,46 @@
 import "math"
 
 const (
-	// maxStalledShare is the part of the open load that may be on stalled hosts before new work is shed.
+	// maxStalledShare is the fraction of the open load that may be on stalled hosts before new work is shed.
 	maxStalledShare = 0.1
-	// maxShedShare is the largest part of the demand that is shed.
+	// maxShedShare is the largest fraction of the demand that is shed.
 	maxShedShare = 0.9
-	// shedGrowthRate is by how much the shed share grows a second while all open load is stalled, shedRelease by
-	// how much it shrinks a second while little is, and shedDecay the part of it that is lost a second on top
-	// while no host is stalled: what a pause of one host began must not leave the others idle.
+	// shedGrowthRate is by how much the shed share grows per second, multiplied by the excess of the stalled
+	// share over maxStalledShare. shedRelease is by how much it shrinks per second while there is no excess.
+	// shedDecay is the fraction of it that is lost per second in addition while no host is stalled, since
+	// shedding that the pause of one host has started must not leave the others idle.
 	shedGrowthRate = 1.0
 	shedRelease    = 0.05
 	shedDecay      = 0.5
-	// assumedConnections is how many mean connections are added, spread over all hosts, to those placed here:
-	// else one connection on a stalled host would count as an overload of the fleet.
+	// assumedConnections is how many mean connections, spread over all ready hosts, are added to those of this
+	// balancer. Without them, one connection on a stalled host would count as an overload of the fleet.
 	assumedConnections = 4.0
-	// demandTimeConstant is the time constant of the demand, in seconds.
+	// demandTimeConstant is the time constant with which demand decays, in seconds.
 	demandTimeConstant = 10
 )
 
-// loadShedding rejects a part of the demand while hosts are stalled: hosts with more work than they can do
-// answer nobody.
+// loadShedding rejects a fraction of the demand while hosts are stalled, since hosts with more work than they
+// can do answer no client.
 type loadShedding struct {
-	share float64 // part of the demand that is shed, lowest priority weight for its work first
-	// crossZoneShare is how much of the turns that the price of a crossing takes from other zones they get
-	// back, 0 to 1.
+	// share is the fraction of the demand that is shed, lowest priority weight for its work first.
+	share float64
+	// crossZoneShare is the fraction, 0 to 1, of the turns that Prices.CrossZone takes from hosts in other zones
+	// that these hosts get back.
 	crossZoneShare    float64
 	demandByClass     []float64 // requested load, with exponential decay
-	tenantConnections []int     // open connections
+	tenantConnections []int     // open connections by tenant
 }
 
-// zoneLoad is open load, and how much of it is on stalled hosts.
+// zoneLoad is the open load of one or more zones, and the part of it that is on stalled hosts.
 type zoneLoad struct{ open, stalled float64 }
 
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
-// update applies the load of the own and of the other zones, after dt seconds.
+// update adjusts the shares to the loads of the own zone and of the other zones, dt seconds after the last
+// update.
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
-	// More clients in this zone than its hosts bear: turns go to other zones while those do better.
+	// The own zone has more clients than its hosts can serve: turns go to other zones while these are stalled
+	// less.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
 		s.crossZoneShare = min(1, s.crossZoneShare+shedGrowthRate*d*dt)
 	} else {
@@ -48,8 +52,8 @@
 	if excess := stalled - maxStalledShare; excess > 0 {
 		s.share = min(maxShedShare, s.share+shedGrowthRate*excess*dt)
 	} else {
-		// A pause of one host can hold half of a small balancer's load; what is shed for it must not outlast
-		// it by much.
+		// The pause of one host can stall half of the load of a balancer that has little. The shedding that it
+		// causes must not outlast it by much.
 		s.share = max(0, s.share-shedRelease*dt)
 		s.share -= s.share * min(1, shedDecay*dt*(1-stalled/maxStalledShare))
 	}
@@ -58,7 +62,7 @@
 	}
 }
 
-// updateShedding measures the open load for load shedding.
+// updateShedding measures the open load for load shedding. readyWeight is the weight of all ready hosts.
 func (b *Balancer) updateShedding(readyWeight float64) {
 	var own, other zoneLoad
 	for _, h := range b.hosts {
@@ -84,7 +88,8 @@
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
 
-// priorityRank is a request's place, 0 to 1, in the demand ordered by priority weight for its work.
+// priorityRank returns a request's position, 0 to 1, in the demand ordered by priority weight for its work,
+// lowest first. The position is random among demand of the same priority.
 func (b *Balancer) priorityRank(r *request) float64 {
 	density := b.priorityDensity(r.Class)
 	if r.Tenant >= 0 {
@@ -105,7 +110,7 @@
 	return (below + b.rng.Float64()*same) / total
 }
 
-// priorityDensity is a class's priority weight for its work.
+// priorityDensity returns a class's priority weight for its work.
 func (b *Balancer) priorityDensity(class int) float64 {
 	cost := b.costs.byClass[class]
 	if b.cfg.PriorityByWork || cost <= 0 {
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -6,24 +6,26 @@
 	"croftlock/internal/balancer/rendezvous"
 )
 
-// slowStartShareFactor is how many times its share by present capacity a warming host may get: a host at full
-// load bears about 2.5 times what an average one gets.
+// slowStartShareFactor is how many times its share by present capacity a warming host may get. A host at full
+// load serves about 2.5 times what an average host gets.
 const slowStartShareFactor = 2.5
 
-// Parts of a warming host's budget that are given out by lottery. Not all is: the draws vary.
+// Fractions of a warming host's budget that are given out by lottery. They are below 1 because the number of
+// winners varies.
 const (
 	lotteryFreshShare      = 0.85 // to fresh requests
 	lotteryRetryShare      = 0.5  // to retries, which come together
-	lotteryOtherZoneFactor = 0.75 // factor for a host of another zone; those of the own get as much more
+	lotteryOtherZoneFactor = 0.75 // factor for a host in another zone; 2 minus this for one in the own zone
 )
 
-// slowStartBudget is the budget of a warming host at one balancer, in mean connections.
+// slowStartBudget is the token bucket of a warming host at one balancer.
 type slowStartBudget struct {
-	tokens   float64
-	filledAt Time
+	tokens   float64 // mean connections
+	filledAt Time    // when tokens was last updated
 }
 
-// fullCapacityShare is the part of its capacity that a host surely has by now, 0 to 1.
+// fullCapacityShare returns the fraction of its capacity, 0 to 1, that a host is certain to have by now. It
+// returns 1 if the host is not warming.
 func (b *Balancer) fullCapacityShare(h *host) float64 {
 	duration := b.cfg.SlowStartDuration
 	if h.startedAt == 0 || duration <= 0 || b.now >= h.startedAt+duration {
@@ -33,14 +35,14 @@
 	return b.cfg.SlowStartFloor + (1-b.cfg.SlowStartFloor)*age
 }
 
-// slowStartShare is the part of all fresh connections that a warming host may get.
+// slowStartShare returns the fraction of all fresh connections that a warming host may get.
 func (b *Balancer) slowStartShare(h *host) float64 {
 	return slowStartShareFactor * b.cfg.SlowStartOverloadFactor * b.fullCapacityShare(h) * h.weight /
 		max(b.traffic.fleetWeight, h.weight)
 }
 
-// slowStartRate is how many mean connections a second this balancer may place at a warming host. Each
-// balancer keeps to its own part, so that all together keep to the host's budget.
+// slowStartRate returns how many mean connections per second this balancer may place at a warming host. Each
+// balancer keeps to a rate of its own, so that all together keep to the host's budget.
 func (b *Balancer) slowStartRate(h *host) float64 {
 	t := &b.traffic
 	t.fade(b.now)
@@ -52,20 +54,20 @@
 	return b.slowStartShare(h) * rate
 }
 
-// slowStartStagger gives each balancer another fill of a host's first token, 0 to 1: were all alike, all
-// would send their first connection at the same moment.
+// slowStartStagger returns the tokens, 0 to 1, with which a host's budget starts. They differ between balancers:
+// with the same tokens, all would send their first connection at the same moment.
 func (b *Balancer) slowStartStagger(h *host) float64 {
 	_, fill := math.Modf(float64(h.hash%1024)/1024 + float64(b.cfg.Instance)/float64(b.cfg.Instances))
 	return fill
 }
 
-// slowStartAllows reports whether a warming host's budget bears a connection of so many turns now, and
-// whether it does so by lottery only. It fills the host's tokens up to now. Tokens that are not used within
-// the overload window are lost: else many sparse balancers would keep theirs, and a wave would spend them all
-// at once. What is lost so is given out by lottery.
+// slowStartAllows reports whether a warming host's budget allows a connection of so many turns now, and whether
+// it does so by lottery only. It adds the host's tokens up to now. Tokens that are not used within the overload
+// window are lost: otherwise many balancers with little traffic would save theirs, and a wave would spend them
+// all at once. The lost tokens are given out by lottery instead.
 func (b *Balancer) slowStartAllows(h *host, r *request, turns float64) (allowed, byLottery bool) {
 	if r.ledger.replied && r.attempts == 0 {
-		return false, false // the ledger server has counted what is left
+		return false, false // the ledger server has already considered the budget that is left
 	}
 	bucket := &h.slowStart
 	rate := b.slowStartRate(h) / 1e9
@@ -85,18 +87,18 @@
 	return won, won
 }
 
-// spendSlowStartTokens takes the turns of an attempt from a warming host's budget. One that came by lottery
-// costs none.
+// spendSlowStartTokens subtracts the turns of an attempt from a warming host's budget. An attempt that was
+// allowed by lottery costs no tokens.
 func (b *Balancer) spendSlowStartTokens(h *host, turns float64) {
 	if b.fullCapacityShare(h) < 1 && h.slowStart.tokens >= 1 {
 		h.slowStart.tokens -= turns
 	}
 }
 
-// winsLottery gives a request a chance at a warming host, such that the requests of all balancers together
-// use the part of its budget that is lost at balancers without requests. With a request in half a minute at
-// each of many balancers that is nearly all of it. The draw belongs to request and host, so that a second
-// call does not draw again.
+// winsLottery reports whether a request is placed at a warming host by chance. The chance is such that the
+// requests of all balancers together use the part of the host's budget that is lost at balancers without
+// requests. With one request per half a minute at each of many balancers, that is nearly all of it. The result
+// depends on a hash of request and host, so that a second call does not give the request a second chance.
 func (b *Balancer) winsLottery(h *host, r *request) bool {
 	if r.similarPerSecond <= 0 {
 		return false
@@ -107,12 +109,12 @@
 	}
 	t := &b.traffic
 	seconds := float64(b.cfg.SlowStartOverloadWindow) / 1e9
-	// The chance that no request comes to this balancer within the window.
+	// The probability that no request comes to this balancer within the window.
 	unused := math.Exp(-(t.fresh/t.window(b.now) + t.retries.Sum/seconds) * seconds)
 	rate := b.slowStartRate(h)
 	if t.expectedRate <= 0 {
-		// Without quotas: fresh requests as seen here, and at least as many as give the host, within its slow
-		// start, as many connections as others of its size hold.
+		// Without quotas, the rate is that of the fresh requests seen by this balancer, and at least the one that
+		// gives the host, within its slow start, as many connections as other hosts of its size hold.
 		establishedRate := float64(b.establishedConnections) * 1e9 / float64(b.cfg.SlowStartDuration)
 		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), establishedRate)
 	}
@@ -121,8 +123,9 @@
 	return float64(rendezvous.Hash(r.ID+h.hostID)%resolution) < chance*resolution
 }
 
-// lotteryShare is the part of a warming host's lost budget that requests like this one may use; false: none.
-// Half of a zone's warming hosts take a group, since each pays for it and bears little as yet.
+// lotteryShare returns the fraction of a warming host's lost budget that requests like r may use. ok is false if
+// r may not use any. Half of a zone's warming hosts accept a group, since each of them bears the cost of
+// the group and has little capacity yet.
 func (b *Balancer) lotteryShare(h *host, r *request) (share float64, ok bool) {
 	share = lotteryFreshShare
 	if r.isRetry() {
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -19,20 +19,21 @@
 	// on, in nanoseconds. Observations come once a second while messages are slow.
 	delayValidFor     = 1.5e9
 	delayTimeConstant = 1e9
-	// stallMigrationShare is the chance that a mean connection is migrated from a stalled host, at each
-	// observation.
+	// stallMigrationShare is the probability, at each observation, that a mean connection is migrated from a
+	// stalled host.
 	stallMigrationShare = 0.15
 )
 
-// messageDelay is how long messages take at a host.
+// messageDelay is the last known delay of messages at a host.
 type messageDelay struct {
-	delay         float64 // the last one observed or received, in shortest latency objectives
-	observedAt    Time
-	gossipedAt    Time // when this or another balancer last gossiped of it
-	gossipPending bool // to be gossiped of, unless another balancer does before
+	delay         float64 // observed here or received by gossip, in shortest message latency objectives
+	observedAt    Time    // when delay was last set
+	gossipedAt    Time    // when this or another balancer last gossiped about the host
+	gossipPending bool    // this balancer is to gossip about the host, unless another one does so first
 }
 
-// shortestMessageObjective is the smallest message latency objective in milliseconds; 0: there is none.
+// shortestMessageObjective returns the shortest message latency objective of all classes in milliseconds, or 0
+// if no class has one.
 func (b *Balancer) shortestMessageObjective() float64 {
 	shortest := 0.0
 	for i := range b.cfg.Classes {
@@ -44,8 +45,8 @@
 	return shortest
 }
 
-// currentMessageDelay is a host's message delay in shortest latency objectives, fading once no observation
-// comes.
+// currentMessageDelay returns a host's message delay in shortest message latency objectives. It fades if no new
+// observation comes, and is 0 if the last delay was below slowMessageDelay.
 func (b *Balancer) currentMessageDelay(h *host) float64 {
 	if h.messages.delay < slowMessageDelay {
 		return 0
@@ -53,15 +54,17 @@
 	return h.messages.faded(b.now)
 }
 
+// faded returns the delay at now.
 func (m *messageDelay) faded(now Time) float64 {
 	age := max(0, float64(now-m.observedAt)-delayValidFor)
 	return m.delay * math.Exp(-age/delayTimeConstant)
 }
 
-// stalled reports whether messages take longer at a host than the shortest latency objective.
+// stalled reports whether messages at a host take as long as the shortest message latency objective or longer.
 func (b *Balancer) stalled(h *host) bool { return b.currentMessageDelay(h) >= stalledMessageDelay }
 
-// Observe takes an observation of an open connection.
+// Observe handles an observation of an open connection. The unit of value depends on kind. Observe ignores a
+// connection that is not established by the request's newest attempt.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
 	b.tick(now)
 	r := b.requests[id]
@@ -84,10 +87,10 @@
 	}
 }
 
-// recordMessageDelay records how long messages take at a host, in shortest latency objectives. From a stalled
-// one, connections are migrated: each balancer migrates a small part by chance, since all see the same stall,
-// and in proportion to their load: a few heavy connections overfill a host, and migrating these is cheaper
-// than migrating the many light ones.
+// recordMessageDelay records the message delay of a host, in shortest message latency objectives. If the host is
+// stalled, some of its connections are migrated at random. Each balancer migrates a small part, since all see
+// the same stall. The probability is proportional to a connection's load, since a few heavy connections
+// overload a host, and migrating these is cheaper than migrating the many light ones.
 func (b *Balancer) recordMessageDelay(h *host, delay float64) {
 	h.messages.delay, h.messages.observedAt = delay, b.now
 	if delay < stalledMessageDelay {
@@ -102,7 +105,8 @@
 	}
 }
 
-// scheduleGossip plans to gossip of a stalled host, after a random wait in which another balancer may.
+// scheduleGossip schedules gossip about a stalled host after a random delay, in which another balancer may
+// gossip about it first.
 func (b *Balancer) scheduleGossip(h *host) {
 	if b.cfg.MayGossip && b.cfg.Instances > 1 && !h.messages.gossipPending &&
 		b.now-h.messages.gossipedAt >= gossipInterval {
@@ -111,7 +115,8 @@
 	}
 }
 
-// gossipStalls notifies all balancers of the hosts that are stalled as seen here, unless another one has.
+// gossipStalls notifies all balancers of the hosts that this balancer sees as stalled, except those about which
+// a balancer has gossiped within gossipInterval.
 func (b *Balancer) gossipStalls() {
 	var message []byte
 	for _, h := range b.hosts {
@@ -127,8 +132,9 @@
 	}
 }
 
-// PeerMessageReceived takes a message of another balancer: of the placement ledger, or of stalled hosts.
-// Where each balancer holds a connection or two, most would learn of a stalled host only by using it.
+// PeerMessageReceived handles a message from another balancer, about the placement ledger or stalled hosts.
+// Without the latter, balancers that hold one or two connections each would mostly learn of a stalled host only
+// by using it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
 	b.tick(now)
 	if b.ledgerMessageReceived(from, data) {
@@ -137,7 +143,8 @@
 	stallgossip.Decode(data, b.stallReceived)
 }
 
-// stallReceived records a stall that another balancer sees. Recent observations of its own take precedence.
+// stallReceived records a stall that another balancer sees. Recent observations of this balancer's own
+// connections take precedence.
 func (b *Balancer) stallReceived(r stallgossip.Record) {
 	for _, h := range b.hosts {
 		if uint32(h.hash) != r.Host {
