--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// placeRandomly has n requests arrive at balancers drawn at random; each is established and stays open. It
-// counts those at hosts of which counts says so.
-func placeRandomly(balancers []*fake, rng *rand.Rand, name string, n int, counts func(host string) bool) int {
+// placeRandomly sends n requests to random balancers. Each is established and stays open. It returns how many
+// are at hosts for which matches returns true.
+func placeRandomly(balancers []*fake, rng *rand.Rand, name string, n int, matches func(host string) bool) int {
 	counted := 0
 	for i := range n {
 		f := balancers[rng.Intn(len(balancers))]
@@ -16,7 +16,7 @@
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 4800 * ms})
 		for _, a := range f.attemptsStarted[from:] {
 			f.establish(a.request)
-			if counts(a.host) {
+			if matches(a.host) {
 				counted++
 			}
 		}
@@ -24,8 +24,8 @@
 	return counted
 }
 
-// TestNewerHostsAreFilled: hosts that have started lately are empty. Without load reports or a ledger no
-// balancer sees that, holding a connection or two: yet such hosts have to get more than their turns.
+// TestNewerHostsAreFilled checks that newer hosts, which are empty, get more than their turns. Without load
+// reports or a ledger, balancers with few connections each cannot see that a host is empty.
 func TestNewerHostsAreFilled(t *testing.T) {
 	const newerHosts, connections = 40, 2400
 	for _, n := range []int{60, 300} {
@@ -46,17 +46,19 @@
 			f.run(10 * sec) // longer than a slow start
 		}
 		isNewer := func(host string) bool { return host[0] == 't' }
-		// Half of the connections are on the older half of the hosts: as many more make an even load.
+		// The older half of the hosts holds half of the connections. As many more make the load even.
 		filled := placeRandomly(balancers, rng, "after", connections/2, isNewer)
 		t.Logf("%d balancers: %d of %d to the newer hosts while they are empty", n, filled, connections/2)
 		if filled < connections/2*7/10 {
-			t.Errorf("%d balancers: %d of %d to the newer hosts, which are empty", n, filled, connections/2)
+			t.Errorf("%d balancers: %d of %d connections to the newer hosts, which are empty; want at least %d",
+				n, filled, connections/2, connections/2*7/10)
 		}
-		// Once they hold their part they get their turns.
+		// Once the newer hosts hold their share, they get their turns only.
 		later := placeRandomly(balancers, rng, "later", connections, isNewer)
 		t.Logf("%d balancers: %d of %d to the newer hosts later", n, later, connections)
 		if later > connections*65/100 || later < connections*4/10 {
-			t.Errorf("%d balancers: %d of %d to the newer hosts once they hold their part", n, later, connections)
+			t.Errorf("%d balancers: %d of %d connections to the newer hosts once they hold their share, want %d to %d",
+				n, later, connections, connections*4/10, connections*65/100)
 		}
 	}
 }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -19,12 +19,12 @@
 		}
 		for k := range 12 {
 			if f.serve(fmt.Sprintf("q%d-%d", i, k)) == "s00" {
-				t.Fatal("an attempt at an ejected host")
+				t.Fatalf("failure %d: request %d was sent to the ejected host s00", i, k)
 			}
 		}
 		f.now = h.ejection.until
 	}
-	// The ejection is over: one trial at a time, until one is established.
+	// After the ejection, only one trial is in flight at a time until one is established.
 	for i := range 12 {
 		f.request(fmt.Sprint("h", i))
 	}
@@ -36,14 +36,16 @@
 		}
 	}
 	if trials != 1 {
-		t.Fatalf("%d trials at once, expected 1", trials)
+		t.Fatalf("%d trials of s00 in flight at once, want 1", trials)
 	}
 	if h.ejection.consecutiveFailures != 0 || h.ejection.until != 0 {
-		t.Fatal("still ejected after a success")
+		t.Fatalf("after a success: %d consecutive failures, ejected until %d; want 0 and 0",
+			h.ejection.consecutiveFailures, h.ejection.until)
 	}
 	f.failConnect(h)
 	if h.ejection.until-f.now > 10*sec {
-		t.Fatal("the first ejection after a success is longer than the initial one")
+		t.Fatalf("first ejection after a success takes %d ms, want at most the initial 10 s",
+			(h.ejection.until-f.now)/ms)
 	}
 }
 
@@ -56,7 +58,7 @@
 		avoided  bool // by the requests that follow
 	}{
 		{"a failed connect ejects", ConnectFailed, false, 1, true},
-		{"a full host is passed over without ejection", Full, false, 0, true},
+		{"a full host is avoided without ejection", Full, false, 0, true},
 		{"settings of 0 disable ejection", ConnectFailed, true, 0, false},
 	} {
 		cfg := settings()
@@ -68,17 +70,17 @@
 		first := f.last().host
 		f.end("r", c.status)
 		if len(f.attemptsStarted) != 2 || f.last().host == first {
-			t.Errorf("%s: no retry at another host: %v", c.name, f.attemptsStarted)
+			t.Errorf("%s: attempts %v, want one at %s and a retry at another host", c.name, f.attemptsStarted, first)
 		}
 		if got := f.b.byID[first].ejection.consecutiveFailures; got != c.failures {
-			t.Errorf("%s: %d failures counted, expected %d", c.name, got, c.failures)
+			t.Errorf("%s: %d failures of %s counted, want %d", c.name, got, first, c.failures)
 		}
 		from := len(f.attemptsStarted)
 		for i := range 8 {
 			f.serve(fmt.Sprint("w", i))
 		}
 		if n := f.attemptsAt(first, from); (n == 0) != c.avoided {
-			t.Errorf("%s: %d of the next 8 attempts are at that host", c.name, n)
+			t.Errorf("%s: %d of the next 8 attempts are at %s, want it avoided: %t", c.name, n, first, c.avoided)
 		}
 	}
 }
@@ -97,7 +99,7 @@
 		ejectAll()
 	}
 	if len(seen) != 3 || seen["draining"] {
-		t.Fatalf("attempts at %v, expected all three but the draining one", seen)
+		t.Fatalf("attempts at %v, want all hosts except the draining one", seen)
 	}
 }
 
@@ -107,11 +109,13 @@
 	f.failConnect(h)
 	f.listChanged(warming("s01", f.now))
 	if h.ejection.consecutiveFailures != 0 || h.ejection.until != 0 {
-		t.Fatal("a restarted host is still ejected for the failures of the process before")
+		t.Fatalf("after a restart: %d consecutive failures, ejected until %d; want 0 and 0",
+			h.ejection.consecutiveFailures, h.ejection.until)
 	}
 }
 
-// TestSharedErrorsDelayRetries: where all hosts answer with errors, retries are delayed.
+// TestSharedErrorsDelayRetries checks that retries are delayed while all hosts answer with errors, and that the
+// delays end after the errors.
 func TestSharedErrorsDelayRetries(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for i := range 40 { // a store that all hosts share answers with errors
@@ -122,7 +126,7 @@
 		}
 	}
 	if n := len(f.attemptsStarted); n > 12 {
-		t.Fatalf("%d attempts for 40 requests at once, though none was established", n)
+		t.Fatalf("%d attempts for 40 simultaneous requests that all failed, want at most 12", n)
 	}
 	f.run(5 * sec)
 	for i := range 40 {
@@ -136,7 +140,7 @@
 	for i := range 20 {
 		f.serve(fmt.Sprint("w", i))
 	}
-	if len(f.attemptsStarted) != n+20 {
-		t.Fatal("attempts are still delayed a minute after the errors")
+	if got := len(f.attemptsStarted) - n; got != 20 {
+		t.Fatalf("%d attempts started for 20 requests a minute after the errors, want 20", got)
 	}
 }
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGroupsKeepToTheirHome: a group's connections keep to the first host of its order, the same at every
-// balancer, until that is full.
+// TestGroupsKeepToTheirHome checks that all balancers place a group's connections at the first host of its
+// order until that host is full.
 func TestGroupsKeepToTheirHome(t *testing.T) {
 	homes := map[string]bool{}
 	var f *fake
@@ -23,7 +23,7 @@
 		}
 	}
 	if len(homes) != 1 {
-		t.Errorf("24 connections of a group, placed by three balancers, are at %d hosts", len(homes))
+		t.Errorf("three balancers placed 24 connections of a group at %d hosts, want 1: %v", len(homes), homes)
 	}
 	f.now += 2 * sec
 	f.reportLoads(func(i int) float64 {
@@ -34,12 +34,12 @@
 	})
 	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
 	if homes[f.last().host] {
-		t.Error("another connection of the group goes to its home, which is full")
+		t.Errorf("another connection of the group was placed at its home %s, which is full", f.last().host)
 	}
 }
 
-// TestClassOfUnknownLoad: a class whose load is unknown at first counts as any other; once hosts report the
-// load of its connections, they count for that in the rotation.
+// TestClassOfUnknownLoad checks that connections of a class count for one turn while their load is unknown, and
+// for their observed load afterwards.
 func TestClassOfUnknownLoad(t *testing.T) {
 	cfg := settings()
 	heavy := cfg.Classes[0]
@@ -48,7 +48,8 @@
 	f := startReporting(t, cfg, fleet(4)...)
 	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.expect(&Request{Class: class})) }
 	if turns(0) != 1 || turns(1) != 1 {
-		t.Errorf("%.2f and %.2f turns before any load is known", turns(0), turns(1))
+		t.Errorf("before any load is known, the classes count for %.2f and %.2f turns, want 1 and 1",
+			turns(0), turns(1))
 	}
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
@@ -57,6 +58,6 @@
 		f.b.Observe(f.now, id, 0, ObservedLoad, 1000+float64(i%2)*5000)
 	}
 	if x := turns(1) / turns(0); x < 4 || x > 8 {
-		t.Errorf("a connection of six times the load counts for %.2f", x)
+		t.Errorf("a connection of six times the load counts for %.2f times the turns, want 4 to 8", x)
 	}
 }
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestGroupsKeepToFewHosts: a host pays for each group of which it holds a connection. Eighty balancers with
-// two requests each would put every group everywhere, but keep to one order of hosts without a message.
+// TestGroupsKeepToFewHosts checks that 80 balancers with two requests each place a group at few hosts, since each
+// host bears a cost for each group that it holds. They exchange no messages and follow the same order of hosts.
 func TestGroupsKeepToFewHosts(t *testing.T) {
 	groupsAtHosts, connections := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
@@ -31,19 +31,19 @@
 		}
 	}
 	if n := len(groupsAtHosts); n > 32 {
-		t.Errorf("4 groups of 40 connections are at %d hosts of 12 in sum", n)
+		t.Errorf("%d pairs of group and host for 4 groups of 40 connections at 12 hosts, want at most 32", n)
 	}
 	for host, n := range connections {
 		if n > 4*160/12 {
-			t.Errorf("%s holds %d of 160", host, n)
+			t.Errorf("%s holds %d of 160 connections, want at most %d", host, n, 4*160/12)
 		}
 	}
-	t.Logf("4 groups at %d hosts in sum, connections %v", len(groupsAtHosts), connections)
+	t.Logf("%d pairs of group and host for 4 groups, connections by host %v", len(groupsAtHosts), connections)
 }
 
-// TestSparseTrafficAgreesOnHostOfGroup: with less than a connection a host at each balancer, all of them
-// place a group's requests at the same host in all zones of a set, and at the next one while that is slow.
-// With an order for each zone, every host would pay for more groups.
+// TestSparseTrafficAgreesOnHostOfGroup checks that balancers with less than one connection per host place a
+// group's requests at the same host for all zones of a set, and at the next one while that host is slow. With an
+// order for each zone, every host would bear the cost of more groups.
 func TestSparseTrafficAgreesOnHostOfGroup(t *testing.T) {
 	const instances = 60
 	hosts := fleet(11)
@@ -68,7 +68,7 @@
 		}
 		return attempts
 	}
-	const agreeing = 50 // the rotations of a few balancers begin too far from the home
+	const agreeing = 50 // less than instances: the rotations of a few balancers begin too far from the home
 	first, home := homes(""), ""
 	for host, n := range first {
 		if n >= agreeing {
@@ -76,27 +76,28 @@
 		}
 	}
 	if home == "" {
-		t.Fatalf("one group's requests went to %v", first)
+		t.Fatalf("one group's %d requests went to %v, want at least %d at one host", instances, first, agreeing)
 	}
 	next, most := homes(home), 0
 	for _, n := range next {
 		most = max(most, n)
 	}
 	if next[home] > instances-agreeing || most < agreeing {
-		t.Errorf("with %s slow they went to %v", home, next)
+		t.Errorf("with %s slow, the requests went to %v, want at most %d there and at least %d at another host",
+			home, next, instances-agreeing, agreeing)
 	}
 }
 
-// TestWarmingHostsShareGroups: of a group, half of a zone's warming hosts take connections, and all of them
-// together as many as without groups.
+// TestWarmingHostsShareGroups checks that half of a zone's warming hosts accept connections of a group, and that
+// they accept together as many connections as all of them do without groups.
 func TestWarmingHostsShareGroups(t *testing.T) {
 	f := manyBalancers(t, 80, 1)[0]
 	ids := []string{"s01", "s02", "s03", "s04"}
 	for _, id := range ids {
 		f.listChanged(warming(id, f.now))
 	}
-	// draw counts what requests of so many groups draw; of none where groups is 0.
-	draw := func(groups int) (drawn int, groupsAtHosts map[string]bool) {
+	// countWins counts how often requests of so many groups win the lottery. If groups is 0, they have no group.
+	countWins := func(groups int) (wins int, groupsAtHosts map[string]bool) {
 		groupsAtHosts = map[string]bool{}
 		for i := range 40000 {
 			r := &request{Request: Request{ID: fmt.Sprint("q", i)}, similarPerSecond: 20}
@@ -105,19 +106,19 @@
 			}
 			for _, id := range ids {
 				if f.b.winsLottery(f.b.byID[id], r) {
-					drawn++
+					wins++
 					groupsAtHosts[r.Group+" at "+id] = true
 				}
 			}
 		}
-		return drawn, groupsAtHosts
+		return wins, groupsAtHosts
 	}
-	withGroups, groupsAtHosts := draw(4)
+	withGroups, groupsAtHosts := countWins(4)
 	if n := len(groupsAtHosts); n != 8 {
-		t.Errorf("4 groups go to %d of 4 warming hosts in sum, 8 expected: %v", n, groupsAtHosts)
+		t.Errorf("%d pairs of group and warming host for 4 groups at 4 hosts, want 8: %v", n, groupsAtHosts)
 	}
-	without, _ := draw(0)
+	without, _ := countWins(0)
 	if x := float64(withGroups) / float64(without); x < 0.85 || x > 1.15 {
-		t.Errorf("%d drawn with groups, %d without", withGroups, without)
+		t.Errorf("%d lottery wins with groups, %d without, want a ratio of 0.85 to 1.15", withGroups, without)
 	}
 }
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// What follows from set-ups that wait in one queue, that of a store which all hosts share.
+// The tests in this file assume that set-ups wait in one queue, that of a store which all hosts share.
 
-// TestFirstAttemptsHaveLongTimeouts: a process that has seen few set-ups gives an attempt half of its time,
-// since one that is given up keeps its place in the queue. Later ones are bounded by what set-ups took.
+// TestFirstAttemptsHaveLongTimeouts checks that an attempt gets half of its request's time while few set-ups have
+// been seen, since an attempt that is given up keeps its place in the queue. The timeouts of later attempts are
+// derived from the duration of set-ups.
 func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
 	if got := f.last().timeout; got < 990*ms {
-		t.Fatalf("the first attempt of a new process has a timeout of %d ms of 2,000", got/ms)
+		t.Fatalf("first attempt of a new process, with 2000 ms left: timeout %d ms, want at least 990", got/ms)
 	}
 	for i := range 8 {
 		f.now += 100 * ms
@@ -24,17 +25,17 @@
 	}
 	f.request("b")
 	if got := f.last().timeout; got > 600*ms {
-		t.Fatalf("set-ups take 20 ms, and the timeout is %d ms", got/ms)
+		t.Fatalf("timeout after set-ups of 20 ms: %d ms, want at most 600", got/ms)
 	}
-	f.now += 500 * ms // since the last set-up the queue may have grown as long as that
+	f.now += 500 * ms // the queue may have grown by as much since the last set-up
 	f.request("c")
 	if got := f.last().timeout; got < 500*ms {
-		t.Fatalf("500 ms after the last set-up the timeout is %d ms", got/ms)
+		t.Fatalf("timeout 500 ms after the last set-up: %d ms, want at least 500", got/ms)
 	}
 }
 
-// TestRequestsWithoutEnoughTimeAreRejectedAtOnce: an attempt that cannot be established in time would only lengthen
-// the queue.
+// TestRequestsWithoutEnoughTimeAreRejectedAtOnce checks that no attempt starts that cannot be established in
+// time, since it would only lengthen the queue.
 func TestRequestsWithoutEnoughTimeAreRejectedAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for _, id := range []string{"a", "b"} {
@@ -43,34 +44,34 @@
 	slow := func(id string) { f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 1500*ms) }
 	f.now += 900 * ms
 	slow("a")
-	f.request("one") // one slow set-up may be its host's alone
+	f.request("one") // one slow set-up may be the fault of its host alone
 	if !f.inFlight["one"] {
-		t.Fatal("rejected for one slow set-up")
+		t.Fatalf("request was not attempted after one slow set-up: %v", f.trace)
 	}
 	slow("b")
 	n := len(f.attemptsStarted)
 	f.request("c")
 	if len(f.attemptsStarted) != n || f.answers["c"] != 1 {
-		t.Fatalf("not rejected at once though the last two set-ups took as long as it has: %v", f.trace)
+		t.Fatalf("request was not rejected at once after two set-ups that took as long as it has left: %v", f.trace)
 	}
 	if f.rejected["c"] == 0 {
-		t.Fatal("rejected without a Retry-After")
+		t.Fatalf("request was rejected without a Retry-After: %v", f.trace)
 	}
-	f.now += 2500 * ms // by then the queue may be empty
+	f.now += 2500 * ms // the queue may be empty by then
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatal("still rejected 2.5 s later")
+		t.Fatalf("request was not attempted 2.5 s later: %v", f.trace)
 	}
 }
 
-// TestAttemptWaitsAfterTwoEarlyErrors: a full store answers with errors at once, so that retries would be
-// made within milliseconds.
+// TestAttemptWaitsAfterTwoEarlyErrors checks that retries are delayed when a full store answers with errors at
+// once. Without the delay they would be made within milliseconds.
 func TestAttemptWaitsAfterTwoEarlyErrors(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
 	f.end("a", Error)
 	if !f.inFlight["a"] {
-		t.Fatal("no retry at once after one error")
+		t.Fatalf("no retry at once after one error: %v", f.trace)
 	}
 	f.establish("a")
 	for _, id := range []string{"b", "c"} {
@@ -78,16 +79,16 @@
 		f.end(id, Error)
 	}
 	if f.inFlight["c"] {
-		t.Fatal("an attempt at once after two early errors in a row")
+		t.Fatalf("retry at once after two consecutive early errors: %v", f.trace)
 	}
 	n := len(f.attemptsStarted)
 	f.run(sec)
 	if len(f.attemptsStarted) == n || f.answers["c"] != 0 {
-		t.Fatalf("no attempt within a second, or answered already: %v", f.trace)
+		t.Fatalf("no attempt within a second, or request already answered: %v", f.trace)
 	}
 	f.establish("c")
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatal("an attempt is delayed though the last one was established")
+		t.Fatalf("attempt is delayed though the last one was established: %v", f.trace)
 	}
 }
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -13,7 +13,7 @@
 			attempts[f.serve(fmt.Sprintf("r%d-%d", round, i))]++
 		}
 		if len(attempts) != 7 {
-			t.Fatalf("round %d reached %d of 7 hosts: %v", round, len(attempts), attempts)
+			t.Fatalf("round %d reached %d of 7 hosts, want all: %v", round, len(attempts), attempts)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 		f.serve(fmt.Sprint(i))
 	}
 	if n := f.attemptsAt("s01", 0); n < 290 || n > 310 {
-		t.Fatalf("a host of weight 3 of 5 got %d of 500 turns", n)
+		t.Fatalf("a host with weight 3 of 5 got %d of 500 turns, want 290 to 310", n)
 	}
 }
 
@@ -39,7 +39,7 @@
 		first[f.serve("r")] = true
 	}
 	if len(first) != 8 {
-		t.Fatalf("8 balancers begin at %d of 8 hosts", len(first))
+		t.Fatalf("8 balancers begin at %d of 8 hosts, want all: %v", len(first), first)
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	for host, n := range connections {
 		if n > 4 {
-			t.Fatalf("ten balancers with four connections each put %d on %s, 2 would be even", n, host)
+			t.Fatalf("10 balancers with 4 connections each placed %d at %s, want at most 4 (even: 2)", n, host)
 		}
 	}
 }
@@ -96,6 +96,7 @@
 	}
 	f.b.shedding.share = 0
 	if after := crossings("b"); before > 10 || after <= before {
-		t.Fatalf("%d of 40 crossed before the own zone stalled, %d after", before, after)
+		t.Fatalf("%d of 40 connections to the other zone before the own zone stalled, want at most 10; "+
+			"%d after, want more than before", before, after)
 	}
 }
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -82,8 +82,8 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shouldShed reports whether load shedding rejects a request, unless a warming host's budget bears it. It draws
-// from the random numbers only while load is shouldShed.
+// shouldShed reports whether load shedding rejects a request, unless the budget of a warming host allows it. It
+// uses the random number generator only while load is shed.
 func (b *Balancer) shouldShed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -18,7 +18,7 @@
 		arrive(fmt.Sprint("o", i), i%2)
 		f.establish(fmt.Sprint("o", i))
 	}
-	for range 20 { // every host stalls and stays so
+	for range 20 { // every host stalls and remains stalled
 		for k := range 40 {
 			f.b.Observe(f.now, fmt.Sprint("o", k), 0, ObservedLatency, 500)
 		}
@@ -33,13 +33,13 @@
 		}
 	}
 	if shed[0] < 40 || shed[1] >= shed[0] {
-		t.Fatalf("with all hosts stalled, %d of 50 of low and %d of 50 of high priority are rejected",
-			shed[0], shed[1])
+		t.Fatalf("with all hosts stalled, %d of 50 requests of low and %d of 50 of high priority are rejected, "+
+			"want at least 40 of low and fewer of high priority", shed[0], shed[1])
 	}
 	f.run(60 * sec) // without another observation of a stall
 	arrive("later", 0)
 	if f.answers["later"] == 1 {
-		t.Fatal("load is still shed a minute after the last stall")
+		t.Fatalf("request rejected a minute after the last stall, with %.2f of the demand shed", f.b.shedding.share)
 	}
 }
 
@@ -59,7 +59,8 @@
 		f.run(sec)
 	}
 	if len(f.migrations) == 0 {
-		t.Fatalf("none of %d connections migrated off a stalled host in three observations", len(atStalled))
+		t.Fatalf("0 of %d connections migrated from a stalled host in three observations, want some",
+			len(atStalled))
 	}
 	before := len(f.attemptsStarted)
 	for i := range 40 {
@@ -68,22 +69,23 @@
 		f.establish(id)
 	}
 	if n := f.attemptsAt("s02", before); n > 3 {
-		t.Fatalf("a stalled host that accepts still got %d of 40 turns", n)
+		t.Fatalf("a stalled host that accepts connections got %d of 40 turns, want at most 3", n)
 	}
 }
 
-// TestSheddingEndsWithStall: the pause of one host must not bring load shedding that outlasts it by much.
+// TestSheddingEndsWithStall checks that load shedding does not outlast a stall, such as the pause of one host, by
+// much.
 func TestSheddingEndsWithStall(t *testing.T) {
 	f := start(t, settings(), fleet(3)...)
 	f.b.shedding.share = 0.9
 	f.run(6 * sec)
 	if f.b.shedding.share > 0.1 {
-		t.Fatalf("still sheds %.2f of the demand 6 s after the last stall", f.b.shedding.share)
+		t.Fatalf("%.2f of the demand is still shed 6 s after the last stall, want at most 0.1", f.b.shedding.share)
 	}
 }
 
-// TestErrorsOfOneRequestAreNoRetryStorm: one request that every host answers with an error delays no other
-// one.
+// TestErrorsOfOneRequestAreNoRetryStorm checks that one request that every host answers with an error does not
+// delay other requests.
 func TestErrorsOfOneRequestAreNoRetryStorm(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	f.request("bad")
@@ -91,10 +93,10 @@
 		f.end("bad", Error)
 	}
 	if f.attempts["bad"] != 4 || f.answers["bad"] != 1 {
-		t.Fatalf("%d attempts, %d answers", f.attempts["bad"], f.answers["bad"])
+		t.Fatalf("failing request: %d attempts and %d answers, want 4 and 1", f.attempts["bad"], f.answers["bad"])
 	}
 	f.request("usual")
 	if !f.inFlight["usual"] {
-		t.Fatal("another request is delayed for it")
+		t.Fatalf("another request is delayed after the errors of one request: %v", f.trace)
 	}
 }
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// slowMessageDelay halves a host's turns, in shortest latency objectives; below it, a host is well.
+	// slowMessageDelay is the message delay that halves a host's turns, in shortest message latency objectives.
+	// A shorter delay has no effect.
 	slowMessageDelay = 0.33
-	// stalledMessageDelay is from when a host counts as stalled, in shortest latency objectives.
+	// stalledMessageDelay is the message delay from which on a host counts as stalled, in the same unit.
 	stalledMessageDelay = 1
-	// gossipInterval is the shortest time between two messages about one host's stall, and gossipSpread the
-	// time within which one of the balancers that see it sends one, in nanoseconds.
+	// gossipInterval is the shortest time between two messages about the stall of one host, and gossipSpread
+	// the time within which one of the balancers that see the stall sends one, in nanoseconds.
 	gossipInterval = 2e9
 	gossipSpread   = 6e8
-	// delayValidFor is how long an observed delay counts in full, and delayFade the time constant from then
-	// on, in nanoseconds. Observations come once a second while messages are slow.
+	// delayValidFor is how long an observed delay counts in full, and delayTimeConstant the time constant with
+	// which it fades after that, in nanoseconds. Observations come once a second while messages are slow.
 	delayValidFor     = 1.5e9
 	delayTimeConstant = 1e9
 	// stallMigrationShare is the probability, at each observation, that a mean connection is migrated from a
