--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// slowDiscovery answers fourteen polls a second, one after the other, and is down for four seconds.
+// slowDiscovery answers 14 polls per second, one after the other, and is down for 4 s.
 type slowDiscovery struct {
 	queue      []poll
 	busyUntil  Time
-	polls      []Time         // while it is down and afterwards
+	polls      []Time         // when polls came, since the start of the outage
 	answeredAt map[*fake]Time // after the outage
 }
 
+// poll is one poll of the endpoint list by a balancer.
 type poll struct {
 	f  *fake
 	at Time
@@ -28,7 +29,7 @@
 
 func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
 
-// receivePoll takes a balancer's poll.
+// receivePoll queues a balancer's poll, or fails it while discovery is down.
 func (d *slowDiscovery) receivePoll(now Time, f *fake) {
 	if now >= discoveryDown {
 		d.polls = append(d.polls, now)
@@ -40,7 +41,7 @@
 	}
 }
 
-// answerPolls works through the queue.
+// answerPolls answers the polls in the queue that are due, and fails those that have timed out.
 func (d *slowDiscovery) answerPolls(now Time) {
 	for len(d.queue) > 0 && !d.down(now) {
 		p := d.queue[0]
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestDiscoveryDownForAll: eighty balancers must not all poll at once when discovery fails, nor stay away
-// when it is back.
+// TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when discovery fails, and that they
+// poll again soon after it is back.
 func TestDiscoveryDownForAll(t *testing.T) {
 	const instances = 80
 	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
@@ -73,7 +74,7 @@
 		balancers = append(balancers, f)
 	}
 	for now := 100 * sec; now < 130*sec; now += 10 * ms {
-		if now == discoveryDown { // all watches end
+		if now == discoveryDown { // all watches break
 			for _, f := range balancers {
 				f.b.ListReceived(now, ListFailed, nil)
 			}
@@ -89,7 +90,7 @@
 	}
 	most := maxInWindow(discovery.polls, sec)
 	if most > 60 {
-		t.Errorf("%d polls within a second of a discovery that answers 14", most)
+		t.Errorf("%d polls within a second of a discovery that answers 14, want at most 60", most)
 	}
 	last := Time(0)
 	for _, at := range discovery.answeredAt {
@@ -97,14 +98,15 @@
 	}
 	answered, sinceUp := len(discovery.answeredAt), float64(last-discoveryUp)/1e9
 	if answered < instances || last > discoveryUp+9*sec {
-		t.Errorf("%d of %d answered, the last %.1f s after it was back", answered, instances, sinceUp)
+		t.Errorf("discovery answered %d of %d balancers, the last one %.1f s after the outage, want all within 9 s",
+			answered, instances, sinceUp)
 	}
-	t.Logf("at most %d polls a second, the last of %d answered after %.1f s", most, answered, sinceUp)
+	t.Logf("at most %d polls per second, the last of %d answered after %.1f s", most, answered, sinceUp)
 }
 
-// TestRollingReplacement: hosts are replaced within seven seconds, and each balancer receives the changes at
-// a moment of its own; nothing goes to a draining host later than the grace after that, whoever comes back
-// meanwhile.
+// TestRollingReplacement checks that no attempt goes to a draining host more than 250 ms after its balancer has
+// received the drain, while 7 hosts are replaced within 7 s, each balancer receives the changes at a time of its
+// own, and clients return.
 func TestRollingReplacement(t *testing.T) {
 	type change struct {
 		at   Time
@@ -149,18 +151,19 @@
 		for _, f := range balancers {
 			for _, a := range f.attemptsStarted {
 				if at, ok := drainReceived[f][a.host]; ok && a.at > at+250*ms {
-					t.Errorf("seed %d: an attempt at %s %d ms after its drain", seed, a.host, (a.at-at)/ms)
+					t.Errorf("seed %d: attempt at %s %d ms after its drain was received, want at most 250 ms",
+						seed, a.host, (a.at-at)/ms)
 				}
 			}
 		}
 		if n < 500 {
-			t.Fatal("too few requests")
+			t.Fatalf("seed %d: %d requests sent, want at least 500", seed, n)
 		}
 	}
 }
 
-// TestZoneReturnsWarming: four of eleven hosts vanish and come back warming at one moment; of eighty
-// balancers, half of which had ejected each of them, not all use them at once.
+// TestZoneReturnsWarming checks that 80 balancers do not overload four of eleven hosts that vanish and come back
+// warming at the same moment. Each of the hosts is ejected by half of the balancers.
 func TestZoneReturnsWarming(t *testing.T) {
 	mean := 0.0
 	const seeds = 10
@@ -192,14 +195,15 @@
 		for _, id := range returning {
 			mean += float64(attempts[id]) / seeds / float64(len(returning))
 			if attempts[id] > 6 {
-				t.Errorf("seed %d: %d connections in 2 s to %s, back for a second", seed, attempts[id], id)
+				t.Errorf("seed %d: %d connections within 2 s to %s, which came back a second before, want at most 6",
+					seed, attempts[id], id)
 			}
 		}
 	}
-	// Two seconds at four times 0.2 of 0.45 a second are 0.73, and quotas are at most 0.8 or so of the hosts'
-	// capacity.
+	// Four times 0.2 of 0.45 connections per second makes 0.73 in 2 s, and the quotas are about 0.8 of the hosts'
+	// capacity at most.
 	if mean > 0.9 {
-		t.Errorf("%.2f connections in 2 s to a warming host that bears 0.9", mean)
+		t.Errorf("%.2f connections within 2 s to a warming host on average, want at most its budget of 0.9", mean)
 	}
-	t.Logf("%.2f connections in 2 s to a warming host", mean)
+	t.Logf("%.2f connections within 2 s to a warming host on average", mean)
 }
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// randomRun is a balancer under random but legal events. It checks the rules that hold for all effects: one
-// final answer for each request before its deadline, one attempt in flight at a time, nothing to a draining
+// randomRun sends random but legal events to a balancer. It checks the rules that hold for all effects: one
+// final answer to each request before its deadline, one attempt in flight at a time, no attempt at a draining
 // host, and no retry that could run a request twice.
 type randomRun struct {
 	*fake
@@ -20,10 +20,10 @@
 	deadline    map[string]Time
 	established map[string]bool
 	mayHaveRun  map[string]bool
-	checked     int // of attemptsStarted
+	checked     int // how many of attemptsStarted are checked
 }
 
-// runRandomEvents brings a random sequence of events and returns the effects.
+// runRandomEvents sends a random sequence of events to a balancer, checks the effects and returns them.
 func runRandomEvents(t *testing.T, seed int64, idempotency Idempotency) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
@@ -58,13 +58,14 @@
 	for ; r.checked < len(r.attemptsStarted); r.checked++ {
 		a := r.attemptsStarted[r.checked]
 		if r.draining[a.host] {
-			r.t.Fatalf("seed %d: an attempt at %s, which is draining", r.seed, a.host)
+			r.t.Fatalf("seed %d: attempt of %s at host %s, which is draining", r.seed, a.request, a.host)
 		}
 		if a.timeout <= 0 || a.at+a.timeout > r.deadline[a.request] {
-			r.t.Fatalf("seed %d: an attempt of %s has a timeout past its deadline", r.seed, a.request)
+			r.t.Fatalf("seed %d: attempt of %s started at %d with timeout %d, want one above 0 and "+
+				"an end before its deadline %d", r.seed, a.request, a.at, a.timeout, r.deadline[a.request])
 		}
 		if r.idempotency == NotIdempotent && r.mayHaveRun[a.request] {
-			r.t.Fatalf("seed %d: %s is not idempotent, may have run and is retried", r.seed, a.request)
+			r.t.Fatalf("seed %d: request %s is not idempotent and may have run, but is retried", r.seed, a.request)
 		}
 	}
 }
@@ -74,17 +75,17 @@
 	r.t.Helper()
 	for _, id := range r.ids {
 		if r.answers[id] != 1 && !r.established[id] {
-			r.t.Fatalf("seed %d: %s has %d final answers", r.seed, id, r.answers[id])
+			r.t.Fatalf("seed %d: request %s has %d final answers, want 1", r.seed, id, r.answers[id])
 		}
 		if r.idempotency == NotIdempotent && r.mayHaveRun[id] && r.answers[id] == 1 {
 			if _, rejected := r.rejected[id]; rejected {
-				r.t.Fatalf("seed %d: %s is not idempotent, may have run and is rejected", r.seed, id)
+				r.t.Fatalf("seed %d: request %s is not idempotent and may have run, but is rejected", r.seed, id)
 			}
 		}
 	}
 }
 
-// endAttempt ends an attempt, or its connection.
+// endAttempt ends a request's newest attempt, or the connection that it established.
 func (r *randomRun) endAttempt(id string, status AttemptStatus) {
 	r.inFlight[id] = false
 	wasEstablished := r.established[id]
@@ -119,7 +120,7 @@
 	return false
 }
 
-// randomEvent brings one random event.
+// randomEvent sends one random event to the balancer.
 func (r *randomRun) randomEvent() {
 	switch k := r.rng.Intn(10); {
 	case k < 4:
@@ -129,7 +130,7 @@
 	case k == 8 && len(r.ids) > 0:
 		id := r.ids[r.rng.Intn(len(r.ids))]
 		if !r.answered(id) && !r.established[id] {
-			r.answers[id]++ // the client has left: no answer is owed or allowed
+			r.answers[id]++ // the client has left, and an answer is an error from now on
 			r.b.ClientLeft(r.now, id)
 		}
 	default:
@@ -147,7 +148,7 @@
 		Key: fmt.Sprint("k", r.rng.Intn(50))})
 }
 
-// advanceRequest moves a request on whose attempt is in flight.
+// advanceRequest establishes or ends the attempt of a request, if one is in flight.
 func (r *randomRun) advanceRequest(id string) {
 	switch {
 	case !r.inFlight[id]:
@@ -165,7 +166,7 @@
 	}
 }
 
-// changeHost has a host drain, come back or restart.
+// changeHost lists a random host as ready or draining, and sometimes as restarted.
 func (r *randomRun) changeHost() {
 	h := listed(r.b.hosts[r.rng.Intn(len(r.b.hosts))].hostID, HostState(r.rng.Intn(2)))
 	h.StartedAt = r.now * Time(r.rng.Intn(2))
@@ -185,7 +186,7 @@
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := runRandomEvents(t, seed, Idempotent), runRandomEvents(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
-			t.Fatalf("seed %d: the same events brought other effects", seed)
+			t.Fatalf("seed %d: the same events caused different effects", seed)
 		}
 	}
 }
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -9,7 +9,7 @@
 	cfg := settings()
 	cfg.Instances = 4
 	f := start(t, cfg, fleet(10)...)
-	for i := range 400 { // 20 a second, 2 a second at each host
+	for i := range 400 { // 20 per second, 2 per second at each host
 		f.serve(fmt.Sprint("w", i))
 		f.now += 50 * ms
 	}
@@ -22,7 +22,8 @@
 	}
 	n, budget := f.attemptsAt("s03", from), slowStartShareFactor*3*0.3*2
 	if float64(n) > budget+1 {
-		t.Fatalf("%d connections in a second to a warming host, its budget here is %.1f", n, budget)
+		t.Fatalf("%d connections within a second to a warming host, want at most one more than its budget of %.1f",
+			n, budget)
 	}
 }
 
@@ -36,19 +37,20 @@
 		f.request(fmt.Sprint(i))
 	}
 	if n := len(f.attemptsStarted); n > 4*3 {
-		t.Fatalf("%d attempts at once at 4 warming hosts", n)
+		t.Fatalf("%d simultaneous attempts at 4 warming hosts, want at most 12", n)
 	}
 	f.run(3 * sec)
 	for i := range 100 {
 		id := fmt.Sprint(i)
 		if f.attempts[id] == 0 && (f.answers[id] != 1 || f.rejected[id] == 0) {
-			t.Fatalf("request %s has neither an attempt nor a rejection with Retry-After", id)
+			t.Fatalf("request %s: no attempt, %d answers, Retry-After %d; want an attempt, or a rejection with a Retry-After",
+				id, f.answers[id], f.rejected[id])
 		}
 	}
 }
 
-// TestSlowStartTokensOfSparseBalancersExpire: of many balancers with little traffic each, a wave must not get
-// the budget that was unused before.
+// TestSlowStartTokensOfSparseBalancersExpire checks that a wave does not get the budget that many balancers with
+// little traffic have left unused before.
 func TestSlowStartTokensOfSparseBalancersExpire(t *testing.T) {
 	const instances = 60
 	n := 0
@@ -56,12 +58,12 @@
 		cfg := settings()
 		cfg.Instance, cfg.Instances = instance, instances
 		f := start(t, cfg, fleet(10)...)
-		for i := range 60 { // one connection each 0.5 s at each balancer: 12 a second at each host
+		for i := range 60 { // one connection per 0.5 s at each balancer: 12 per second at each host
 			f.serve(fmt.Sprint("w", i))
 			f.now += sec / 2
 		}
 		f.listChanged(warming("s03", f.now))
-		f.now += 4 * sec // without requests, and then many at once
+		f.now += 4 * sec // without requests, before many at once
 		from := len(f.attemptsStarted)
 		for i := range 10 {
 			id := fmt.Sprint("v", i)
@@ -72,10 +74,10 @@
 	}
 	capacityShare := 0.2 + 0.8*4/10
 	if budget := slowStartShareFactor * 3 * capacityShare * 12; float64(n) > budget {
-		t.Fatalf("a wave brought %d connections at once to a warming host that bears %.0f in a second",
+		t.Fatalf("a wave brought %d connections at once to a warming host with a budget of %.0f per second",
 			n, budget)
 	}
 	if n == 0 {
-		t.Fatal("no connection to a warming host")
+		t.Fatal("a wave brought no connection to the warming host s03, want some")
 	}
 }
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// Fleets whose settings name no tenants, so that no quota says how many connections come: what each balancer
-// makes of the little that it sees.
+// The fleets of this file have no tenants and thus no quotas from which to derive the number of connections, so
+// that each balancer estimates it from the few requests that it sees.
 
 const (
 	noQuotaHosts       = 80
-	warmingHosts       = 30   // of these have just started
-	noQuotaRequestRate = 40.0 // requests a second
+	warmingHosts       = 30   // how many of these have just started
+	noQuotaRequestRate = 40.0 // requests per second
 )
 
-// manyBalancersWithoutQuotas are n balancers without quotas, with noQuotaHosts hosts.
+// manyBalancersWithoutQuotas returns n balancers without quotas and with noQuotaHosts hosts.
 func manyBalancersWithoutQuotas(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	balancers := manyBalancers(t, n, seed)
@@ -30,20 +30,21 @@
 	return balancers
 }
 
-// TestWarmingHostsAreUsedWithoutQuotas: without quotas the lottery goes by the requests that a balancer has
-// seen and the connections that it holds. A warming host has to get its part from restarted balancers too.
+// TestWarmingHostsAreUsedWithoutQuotas checks that warming hosts get connections within their budget although
+// there are no quotas. The lottery then depends on the requests that a balancer has seen and the connections that
+// it holds, which are few after a restart of the balancer.
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
-		restarted float64 // share of them
+		restarted float64 // fraction of the balancers
 	}{{1, 0}, {3, 0}, {30, 0.5}, {300, 0}, {300, 0.5}, {300, 1}} {
 		_, attempts, arrivals := startWarming(t, c.balancers, c.restarted, 1)
 		total, most := 0, 0
 		for _, at := range attempts {
 			total, most = total+len(at), max(most, maxInWindow(at, sec))
 		}
-		// The settings allow each of them three times its share of the capacity of a host, here 2.5 times the
-		// mean flow.
+		// The settings allow each warming host three times its share of the capacity of a host, which is 2.5
+		// times the mean request rate here.
 		allowed := 0.0
 		for s := 0.0; s < 9; s++ {
 			allowed += warmingHosts * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * noQuotaRequestRate / noQuotaHosts
@@ -52,20 +53,21 @@
 		t.Logf("%s: %d of %d requests to warming hosts, allowed %.0f; at one at most %d in a second",
 			name, total, len(arrivals), allowed, most)
 		if even := float64(len(arrivals)) * warmingHosts / noQuotaHosts; float64(total) < even/3 {
-			t.Errorf("%s: %d connections to the warming hosts, %.0f would be even", name, total, even)
+			t.Errorf("%s: %d connections to the warming hosts, want at least a third of an even share of %.0f",
+				name, total, even)
 		}
-		// 600 connections are open, 7.5 at a host: at least 0.83 a second fill it within its slow start, and
-		// a full one holds 2.5 times as many. Three times that at its first capacity is 1.9: three times the
-		// root of it and three more may come by chance.
+		// 600 connections are open, 7.5 per host. At least 0.83 per second fill a host within its slow start, and
+		// a full host holds 2.5 times as many. Three times that at the initial capacity is 1.9 per second. Three
+		// times the square root of this and three more may come by chance.
 		if most > 9 {
-			t.Errorf("%s: %d connections within a second at one warming host", name, most)
+			t.Errorf("%s: %d connections within a second at one warming host, want at most 9", name, most)
 		}
 	}
 }
 
-// startWarming has hosts start while balancers serve, a part of which have restarted as well. It returns when
-// the hosts started, when each of them got attempts in its slow start, and when requests arrived in that
-// time.
+// startWarming starts warmingHosts hosts while n balancers serve requests. restarted is the fraction of
+// balancers that have just restarted. It returns when the hosts started, when each of them got attempts during
+// its slow start, and when requests arrived in that time.
 func startWarming(t *testing.T, n int, restarted float64, seed int64) (
 	up Time, attempts map[string][]Time, arrivals []Time) {
 	t.Helper()
@@ -110,8 +112,8 @@
 	return up, attempts, arrivals
 }
 
-// replayWithEnds has requests arrive at given times at balancers drawn at random. Each is established at once,
-// and its connection ends by itself 15 s later.
+// replayWithEnds sends requests at the given times to random balancers. Each is established at once, and its
+// connection ends by itself 15 s later.
 func replayWithEnds(balancers []*fake, rng *rand.Rand, at []Time) {
 	type connection struct {
 		f     *fake
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// budgetWithChanceMargin is how many attempts may come to a warming host, by chance too, in a window in which the
-// settings allow it n.
+// budgetWithChanceMargin returns how many attempts may come to a warming host in a window in which the settings
+// allow n: chance may bring more than n.
 func budgetWithChanceMargin(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -14,11 +14,11 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartUse returns the largest part of its budget that any warming host got in any second, and the part
-// of all that the settings allow that was unused.
+// slowStartUse returns the largest fraction of its budget that any warming host got within any second, and the
+// fraction of the budgets of all warming hosts that was not used. up is when the hosts started.
 func slowStartUse(up Time, attempts map[string][]Time) (largest, unused float64) {
 	const duration, floor, factor = 9.0, 0.31, 3.0
-	const capacity = 2.5 * noQuotaRequestRate / noQuotaHosts // of a host, in requests a second
+	const capacity = 2.5 * noQuotaRequestRate / noQuotaHosts // of a host, in requests per second
 	allowed := func(age float64) float64 { return factor * (floor + (1-floor)*age/duration) * capacity }
 	used, all := 0.0, 0.0
 	for _, at := range attempts {
@@ -35,11 +35,11 @@
 	return largest, 1 - used/all
 }
 
-// slowStartSeeds is how many seeds each fleet is run with.
+// slowStartSeeds is the number of seeds with which each fleet is run.
 const slowStartSeeds = 2
 
-// TestSlowStartBudgetHoldsForAllInstances: the budget holds for the sum over all instances, however many there are
-// and however many of them have just restarted.
+// TestSlowStartBudgetHoldsForAllInstances checks that all instances together keep to a warming host's budget,
+// however many there are and however many of them have just restarted.
 func TestSlowStartBudgetHoldsForAllInstances(t *testing.T) {
 	for _, n := range []int{1, 3, 20, 30, 300} {
 		for _, restarted := range []float64{0, 0.25, 0.5, 1} {
@@ -49,10 +49,10 @@
 				use, unused := slowStartUse(up, attempts)
 				largest, leastUnused = max(largest, use), min(leastUnused, unused)
 			}
-			t.Logf("%3d instances, %3.0f%% restarted: at most %.2f of a host's budget, %.2f of all unused",
+			t.Logf("%3d instances, %3.0f%% restarted: at most %.2f of a host's budget used, %.2f of all unused",
 				n, 100*restarted, largest, leastUnused)
 			if largest > 1 {
-				t.Errorf("%d instances, %.0f%% restarted: %.2f times a warming host's budget",
+				t.Errorf("%d instances, %.0f%% restarted: %.2f times a warming host's budget used, want at most 1",
 					n, 100*restarted, largest)
 			}
 		}
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// manyBalancers are n instances with the settings of a grown fleet: 11 hosts, a fresh connection in half a
-// minute at each balancer.
+// manyBalancers returns n instances with the settings of a large fleet with little traffic: 11 hosts, and one
+// fresh connection per half a minute at each balancer if n is 80.
 func manyBalancers(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	var balancers []*fake
@@ -25,8 +25,8 @@
 	return balancers
 }
 
-// replay has requests arrive at given times at balancers drawn at random; each is established at once. It
-// returns when attempts went to a host.
+// replay sends requests at the given times to random balancers. Each is established at once. It returns when
+// attempts went to host.
 func replay(balancers []*fake, rng *rand.Rand, at []Time, returned bool, host string) []Time {
 	var attempts []Time
 	for i, now := range at {
@@ -44,7 +44,7 @@
 	return attempts
 }
 
-// evenlySpacedTimes is n times from a first one on, with equal intervals.
+// evenlySpacedTimes returns n times from first on, with the given interval.
 func evenlySpacedTimes(n int, first, interval Time) (at []Time) {
 	for i := range n {
 		at = append(at, first+Time(i)*interval)
@@ -52,10 +52,10 @@
 	return at
 }
 
-// replayWaves has, for each of so many seeds, a wave of 30 returning clients arrive at 80 balancers from 1 s
-// after a time on, once setUp has prepared each of them. It fails the test where a wave brings more than 4
-// connections to host s03, and returns how many waves bring there in the mean. after, if any, goes on with
-// the fleet.
+// replayWaves sends a wave of 30 returning clients to 80 balancers for each of a number of seeds. The wave starts
+// 1 s after up, after a call of setUp for each balancer. If after is not nil, it is called with the balancers
+// after each wave. The test fails if a wave brings more than 4 connections to host s03. replayWaves returns
+// the mean number of these connections per wave.
 func replayWaves(t *testing.T, seeds int64, up Time, setUp func(f *fake),
 	after func(balancers []*fake, rng *rand.Rand)) (mean float64) {
 	t.Helper()
@@ -69,7 +69,7 @@
 		}
 		n := len(replay(balancers, rng, evenlySpacedTimes(30, up+sec, 40*ms), true, "s03"))
 		if n > 4 {
-			t.Errorf("seed %d: a wave of 30 brought %d connections to a warming host", seed, n)
+			t.Errorf("seed %d: a wave of 30 brought %d connections to s03, want at most 4", seed, n)
 		}
 		total += n
 		if after != nil {
@@ -79,7 +79,7 @@
 	return float64(total) / float64(seeds)
 }
 
-// maxInWindow is the largest number of times in any window.
+// maxInWindow returns the largest number of times within any window.
 func maxInWindow(at []Time, window Time) int {
 	most := 0
 	for i := range at {
@@ -94,8 +94,8 @@
 	return most
 }
 
-// TestSparseTrafficUsesSlowStartBudget: at 80 balancers with a request each half a minute the tokens of a
-// warming host are lost unused; it has to get its part of the requests all the same.
+// TestSparseTrafficUsesSlowStartBudget checks that a warming host gets its share of the requests although its
+// tokens at 80 balancers, with one request per half a minute each, expire unused.
 func TestSparseTrafficUsesSlowStartBudget(t *testing.T) {
 	const seeds = 20
 	total, bound := 0, 0.0
@@ -119,27 +119,28 @@
 		}
 		attempts := replay(balancers, rng, arrivals, false, "s03")
 		total += len(attempts)
-		// Its budget is 2.1 in two seconds at the end; chance may bring more, but no wave.
+		// The host's budget is 2.1 in 2 s at the end. Chance may bring more, but there is no wave.
 		if n := maxInWindow(attempts, 2*sec); n > 6 {
 			t.Errorf("seed %d: %d connections within 2 s at a warming host", seed, n)
 		}
 	}
-	// Its budget in 10 s: four times its present share of the 5 a second that 11 hosts bear.
+	// The host's budget in 10 s is four times its present share of the 5 connections per second of 11 hosts.
 	for s := 0.0; s < 10; s++ {
 		bound += 4 * (0.14 + 0.86*s/23) * 5.0 / 11
 	}
 	t.Logf("%.1f connections of %.1f in a warming host's first 10 s", float64(total)/seeds, bound)
 	if got := float64(total) / seeds; got < bound/4 || got > bound {
-		t.Fatalf("%.1f connections to a warming host in its first 10 s, its budget is %.1f", got, bound)
+		t.Fatalf("%.1f connections to a warming host in its first 10 s, want %.1f to its budget of %.1f",
+			got, bound/4, bound)
 	}
 }
 
-// waveWarmingBudget is what a warming host of manyBalancers bears of a wave: in the overload window of 2 s four
-// times 0.19 of 0.45 connections a second.
+// waveWarmingBudget is how many connections of a wave fit the budget of a warming host of manyBalancers: in the
+// overload window of 2 s, four times 0.19 of 0.45 connections per second.
 const waveWarmingBudget = 0.68
 
-// TestWaveSparesWarmingHost: the clients of two hosts come back at once, a request or none at each balancer,
-// none of which sees that it is a wave.
+// TestWaveSparesWarmingHost checks that a wave does not exceed the budget of a warming host. The clients of two
+// hosts come back at once, at most about one at each balancer, so that no balancer sees that it is a wave.
 func TestWaveSparesWarmingHost(t *testing.T) {
 	up := 110 * sec
 	mean := replayWaves(t, 30, up, func(f *fake) {
@@ -147,13 +148,13 @@
 			[]ListedHost{warming("s03", up), listed("s04", Draining), listed("s05", Draining)})
 	}, nil)
 	if mean > waveWarmingBudget {
-		t.Fatalf("a wave brings %.2f connections in the mean to a warming host that bears %.2f",
+		t.Fatalf("a wave brings %.2f connections on average to a warming host, want at most its budget of %.2f",
 			mean, waveWarmingBudget)
 	}
 }
 
-// TestWithoutUsableQuotas: without quotas, with one balancer, or with a number outside the fleet, nothing
-// divides by zero and requests are placed.
+// TestWithoutUsableQuotas checks that requests are placed, without a division by zero, if there are no quotas, if
+// there is one balancer, or if the balancer's number is outside the fleet.
 func TestWithoutUsableQuotas(t *testing.T) {
 	for _, c := range []struct {
 		instances, instance int
@@ -172,13 +173,13 @@
 			f.now += 50 * ms
 		}
 		if len(f.attemptsStarted) < 40 {
-			t.Errorf("%+v: %d attempts for 50 requests", c, len(f.attemptsStarted))
+			t.Errorf("%+v: %d attempts for 50 requests, want at least 40", c, len(f.attemptsStarted))
 		}
 	}
 }
 
-// TestOneStalledConnectionShedsLittle: a balancer whose only connection is on a stalled host must not shed
-// most requests while ten hosts are idle, nor go on shedding because some other host is stalled.
+// TestOneStalledConnectionShedsLittle checks that a balancer whose only connection is on a stalled host does not
+// shed most requests while ten hosts are idle, and does not go on shedding because another host is stalled.
 func TestOneStalledConnectionShedsLittle(t *testing.T) {
 	cfg := settings()
 	cfg.Instances, cfg.Zones = 80, []string{"a"}
@@ -190,21 +191,23 @@
 		f.run(sec)
 	}
 	if share := f.b.shedding.share; share > 0.6 {
-		t.Errorf("sheds %.2f of the demand for one stalled connection, with ten of eleven hosts idle", share)
+		t.Errorf("%.2f of the demand shed for one stalled connection with 10 of 11 hosts idle, want at most 0.6",
+			share)
 	}
 	f.b.Observe(f.now, "o", 0, ObservedLatency, 1)
 	f.b.shedding.share = 0.9
-	for range 10 { // a host without connections from here stalls
+	for range 10 { // a host at which this balancer has no connections stalls
 		f.b.PeerMessageReceived(f.now, 1, stallMessage("s05", 3))
 		f.run(sec)
 	}
 	if share := f.b.shedding.share; share > 0.2 {
-		t.Errorf("still sheds %.2f of the demand after 10 s in which one host of eleven was stalled", share)
+		t.Errorf("%.2f of the demand still shed after 10 s with 1 of 11 hosts stalled, want at most 0.2", share)
 	}
 }
 
-// TestShedRequestMayGoToWarmingHost: requests marked by load shedding take part in the lottery, whose chances
-// count them: else warming hosts get a part of their budget just when the others are overloaded.
+// TestShedRequestMayGoToWarmingHost checks that requests marked by load shedding take part in the lottery. Its
+// chances count them: otherwise warming hosts would get only a part of their budget while the others are
+// overloaded.
 func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	f.listChanged(warming("s03", f.now-8*sec))
@@ -216,7 +219,7 @@
 		f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Returned: true, Remaining: 4800 * ms})
 		if len(f.attemptsStarted) == from {
 			if f.answers[id] != 1 {
-				t.Fatalf("%s has neither an attempt nor an answer at once", id)
+				t.Fatalf("request %s: no attempt and %d answers, want one of them at once", id, f.answers[id])
 			}
 			continue
 		}
@@ -230,7 +233,7 @@
 		f.b.hosts[3].slowStart.tokens = 0
 	}
 	if toOthers > 0 || toWarming == 0 || toWarming > 600 {
-		t.Errorf("%d attempts at the warming host, %d at the others", toWarming, toOthers)
+		t.Errorf("%d attempts at the warming host, want 1 to 600; %d at the others, want 0", toWarming, toOthers)
 	}
 	t.Logf("%d of 3000 to the warming host", toWarming)
 }
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -6,8 +6,8 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// TestFewGossipOfStalledHost: of sixteen balancers that see a host stall, few notify the others, which then
-// place elsewhere though they hold no connection there.
+// TestFewGossipOfStalledHost checks that few of 16 balancers that see a host stall notify the others, and that
+// the others then avoid the host although they hold no connection there.
 func TestFewGossipOfStalledHost(t *testing.T) {
 	var balancers []*fake
 	for instance := range 80 {
@@ -39,7 +39,7 @@
 		}
 	}
 	if gossip < 1 || gossip > 4 {
-		t.Errorf("%d messages of 16 balancers that saw the stall", gossip)
+		t.Errorf("16 balancers that saw the stall sent %d messages, want 1 to 4", gossip)
 	}
 	for _, f := range balancers {
 		f.b.PeerMessageReceived(f.now, 0, stallMessage("s01", 8))
@@ -53,7 +53,7 @@
 		f.establish("r")
 	}
 	if attempts > 3 {
-		t.Errorf("%d of 64 balancers use the host of whose stall they were notified", attempts)
+		t.Errorf("%d of 64 balancers use the stalled host after they were notified, want at most 3", attempts)
 	}
 }
 
@@ -63,12 +63,12 @@
 	f.b.Observe(f.now, "o", 0, ObservedLatency, 1000)
 	f.run(5 * sec)
 	if n := len(f.peerMessages); n > 0 {
-		t.Fatalf("%d messages to peers", n)
+		t.Fatalf("%d messages to peers although gossip is forbidden, want none", n)
 	}
 }
 
-// FuzzStallGossip: whatever message arrives, no delay is taken in that a message cannot hold, and requests
-// are placed.
+// FuzzStallGossip checks that no message makes a balancer record a delay that a message cannot hold, or keeps it
+// from placing requests.
 func FuzzStallGossip(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(stallMessage("s01", 3))
@@ -79,17 +79,17 @@
 		x.b.PeerMessageReceived(x.now, 1, data)
 		for _, h := range x.b.hosts {
 			if h.messages.delay < 0 || h.messages.delay > 64 {
-				t.Errorf("%s: a delay of %v", h.hostID, h.messages.delay)
+				t.Errorf("message %x: host %s has a delay of %v, want 0 to 64", data, h.hostID, h.messages.delay)
 			}
 		}
 		x.request("q")
 		if n := len(x.attemptsStarted); n != 1 {
-			t.Errorf("%d attempts for one request: %v", n, x.trace)
+			t.Errorf("message %x: %d attempts for one request, want 1: %v", data, n, x.trace)
 		}
 	})
 }
 
-// stallMessage is the gossip of one stalled host.
+// stallMessage returns a gossip message about one stalled host.
 func stallMessage(host string, delay float64) []byte {
 	return stallgossip.Append(nil, stallgossip.Record{Host: uint32(stableHash(host)), Delay: delay})
 }
