--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -1,7 +1,7 @@
 package balancer
 
-// newerDuration is how long a host counts as newer after its start, in slow starts. A host takes longer to fill
-// than to warm up.
+// newerDuration is how long a host counts as newer after its start, in slow starts. A host takes
+// longer to fill than to warm up.
 const newerDuration = 4
 
 // ageGroup distinguishes the hosts that have started recently from the others.
@@ -22,11 +22,12 @@
 	return older
 }
 
-// preferredAgeGroup returns the age group whose hosts are tried first for a request: newer if the newer hosts
-// hold less than their share of what this balancer has placed, else older. It returns anyAge if hosts report
-// their load, if traffic is not sparse, or if no host is newer. If traffic is sparse, a balancer's own load
-// tells nothing about a single host, but something about an age group: each balancer keeps to the share by
-// random rounding, so that all balancers together keep to it.
+// preferredAgeGroup returns the age group whose hosts are tried first for a request: newer if the
+// newer hosts hold less than their share of what this balancer has placed, else older. It returns
+// anyAge if hosts report their load, if traffic is not sparse, or if no host is newer. If traffic
+// is sparse, a balancer's own load tells nothing about a single host, but something about an age
+// group: each balancer keeps to the share by random rounding, so that all balancers together keep
+// to it.
 func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
@@ -50,8 +51,8 @@
 	return older
 }
 
-// excludedByAge reports whether a host is not in the given age group. A warming host is in both groups, since
-// it has a budget of its own.
+// excludedByAge reports whether a host is not in the given age group. A warming host is in both
+// groups, since it has a budget of its own.
 func (b *Balancer) excludedByAge(h *host, age ageGroup) bool {
 	return age != anyAge && b.ageGroup(h) != age && (age == newer || b.fullCapacityShare(h) >= 1)
 }
--- a/internal/balancer/agegroup_test.go
+++ b/internal/balancer/agegroup_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// placeRandomly sends n requests to random balancers. Each is established and stays open. It returns how many
-// are at hosts for which matches returns true.
+// placeRandomly sends n requests to random balancers. Each is established and stays open. It
+// returns how many are at hosts for which matches returns true.
 func placeRandomly(balancers []*fake, rng *rand.Rand, name string, n int, matches func(host string) bool) int {
 	counted := 0
 	for i := range n {
@@ -24,8 +24,9 @@
 	return counted
 }
 
-// TestNewerHostsAreFilled checks that newer hosts, which are empty, get more than their turns. Without load
-// reports or a ledger, balancers with few connections each cannot see that a host is empty.
+// TestNewerHostsAreFilled checks that newer hosts, which are empty, get more than their turns.
+// Without load reports or a ledger, balancers with few connections each cannot see that a host is
+// empty.
 func TestNewerHostsAreFilled(t *testing.T) {
 	const newerHosts, connections = 40, 2400
 	for _, n := range []int{60, 300} {
@@ -46,7 +47,8 @@
 			f.run(10 * sec) // longer than a slow start
 		}
 		isNewer := func(host string) bool { return host[0] == 't' }
-		// The older half of the hosts holds half of the connections. As many more make the load even.
+		// The older half of the hosts holds half of the connections. As many more make the load
+		// even.
 		filled := placeRandomly(balancers, rng, "after", connections/2, isNewer)
 		t.Logf("%d balancers: %d of %d to the newer hosts while they are empty", n, filled, connections/2)
 		if filled < connections/2*7/10 {
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -3,15 +3,17 @@
 import "math"
 
 const (
-	// maxEjectionFactor is the default of the longest ejection, in longest deadlines: three doublings of the
-	// default first one. A longer ejection would outlast the fault.
+	// maxEjectionFactor is the default of the longest ejection, in longest deadlines: three
+	// doublings of the default first one. A longer ejection would outlast the fault.
 	maxEjectionFactor = 8.0
-	// sharedFaultShare is the fraction of set-ups, or of a zone's hosts, that has to fail for the fault not to
-	// be attributed to a single host.
+	// sharedFaultShare is the fraction of set-ups, or of a zone's hosts, that has to fail for the
+	// fault not to be attributed to a single host.
 	sharedFaultShare = 0.5
-	// minTimeoutEvidence is how many set-ups must have ended recently before a timeout may count as shared.
+	// minTimeoutEvidence is how many set-ups must have ended recently before a timeout may count as
+	// shared.
 	minTimeoutEvidence = 4
-	// evidenceTimeConstant is the time constant with which set-ups fade, in longest latency objectives.
+	// evidenceTimeConstant is the time constant with which set-ups fade, in longest latency
+	// objectives.
 	evidenceTimeConstant = 2
 )
 
@@ -29,8 +31,8 @@
 	evidence     setupEvidence
 }
 
-// newEjection derives the durations that the settings leave open. By default, the first ejection is as long as
-// the longest deadline, before jitter, which may halve it.
+// newEjection derives the durations that the settings leave open. By default, the first ejection is
+// as long as the longest deadline, before jitter, which may halve it.
 func newEjection(cfg *Config) (ejection, error) {
 	longestDeadline := Time(0)
 	for _, c := range cfg.Classes {
@@ -77,8 +79,8 @@
 	e.succeeded++
 }
 
-// addTimeout counts a timeout, and reports whether most recent set-ups timed out. In that case the store or the
-// links are slow, and the timeout is no evidence against a single host.
+// addTimeout counts a timeout, and reports whether most recent set-ups timed out. In that case the
+// store or the links are slow, and the timeout is no evidence against a single host.
 func (e *setupEvidence) addTimeout(now Time) (shared bool) {
 	e.fade(now)
 	e.timedOut++
@@ -86,15 +88,16 @@
 		e.timedOut >= sharedFaultShare*(e.timedOut+e.succeeded)
 }
 
-// Ejected reports whether a host is ejected and not yet due for a trial. It returns false for an unknown host.
+// Ejected reports whether a host is ejected and not yet due for a trial. It returns false for an
+// unknown host.
 func (b *Balancer) Ejected(now Time, id string) bool {
 	h := b.byID[id]
 	return h != nil && h.ejection.consecutiveFailures > 0 && b.ejection.initial > 0 && now < h.ejection.until
 }
 
-// available reports whether a host is preferred for a request: it is not ejected, no trial of it is in flight,
-// it has not recently been full, and the request has made no attempt at it. If no host is available, pick
-// chooses one of the others.
+// available reports whether a host is preferred for a request: it is not ejected, no trial of it is
+// in flight, it has not recently been full, and the request has made no attempt at it. If no host
+// is available, pick chooses one of the others.
 func (b *Balancer) available(h *host, r *request) bool {
 	if b.ejection.blocks(b.now, &h.ejection) || b.now < h.fullUntil {
 		return false
@@ -116,9 +119,9 @@
 	h.deficit = min(h.deficit, 0) // turns missed during the ejection are not made up for
 }
 
-// hostFailed ejects a host that failed an attempt sent at sentAt, for a random time between half of and the full
-// ejection period. Consecutive failures double the period, unless most of the zone fails. proven is false for a
-// timeout, which may not be the host's fault.
+// hostFailed ejects a host that failed an attempt sent at sentAt, for a random time between half of
+// and the full ejection period. Consecutive failures double the period, unless most of the zone
+// fails. proven is false for a timeout, which may not be the host's fault.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
@@ -128,13 +131,14 @@
 	}
 	e := &h.ejection
 	if e.consecutiveFailures > 0 && sentAt < e.failedAt {
-		return // sent before the last failure, which covers it
+		return // sent before the failure that is already counted
 	}
 	if e.consecutiveFailures == 0 || !b.zoneFailing(h.zone) {
 		e.consecutiveFailures++
 	}
 	e.failedAt = b.now
-	// Without jitter, all balancers that saw a shared fault would try its hosts again at the same moment.
+	// Without jitter, all balancers that saw a shared fault would try its hosts again at the same
+	// moment.
 	period := b.ejection.period(e.consecutiveFailures)
 	e.until = b.now + period/2 + Time(b.rng.Float64()*float64(period)/2)
 	if e.consecutiveFailures == 1 {
@@ -143,8 +147,9 @@
 	}
 }
 
-// zoneFailing reports whether at least half of a zone's ready hosts, and more than one, fail. In that case the
-// fault is the zone's, and doubled ejections would exclude its hosts long after its end.
+// zoneFailing reports whether at least half of a zone's ready hosts, and more than one, fail. In
+// that case the fault is the zone's, and doubled ejections would exclude its hosts long after its
+// end.
 func (l *endpointList) zoneFailing(zone int) bool {
 	ready, failing := 0, 0
 	for _, h := range l.hosts {
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestSharedErrorsDelayRetries checks that retries are delayed while all hosts answer with errors, and that the
-// delays end after the errors.
+// TestSharedErrorsDelayRetries checks that retries are delayed while all hosts answer with errors,
+// and that the delays end after the errors.
 func TestSharedErrorsDelayRetries(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for i := range 40 { // a store that all hosts share answers with errors
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when discovery fails, and that they
-// poll again soon after it is back.
+// TestDiscoveryDownForAll checks that 80 balancers do not all poll at once when discovery fails,
+// and that they poll again soon after it is back.
 func TestDiscoveryDownForAll(t *testing.T) {
 	const instances = 80
 	discovery := slowDiscovery{answeredAt: map[*fake]Time{}}
@@ -104,9 +104,9 @@
 	t.Logf("at most %d polls per second, the last of %d answered after %.1f s", most, answered, sinceUp)
 }
 
-// TestRollingReplacement checks that no attempt goes to a draining host more than 250 ms after its balancer has
-// received the drain, while 7 hosts are replaced within 7 s, each balancer receives the changes at a time of its
-// own, and clients return.
+// TestRollingReplacement checks that no attempt goes to a draining host more than 250 ms after its
+// balancer has received the drain, while 7 hosts are replaced within 7 s, each balancer receives
+// the changes at a time of its own, and clients return.
 func TestRollingReplacement(t *testing.T) {
 	type change struct {
 		at   Time
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestZoneReturnsWarming checks that 80 balancers do not overload four of eleven hosts that vanish and come back
-// warming at the same moment. Each of the hosts is ejected by half of the balancers.
+// TestZoneReturnsWarming checks that 80 balancers do not overload four of eleven hosts that vanish
+// and come back warming at the same moment. Each of the hosts is ejected by half of the balancers.
 func TestZoneReturnsWarming(t *testing.T) {
 	mean := 0.0
 	const seeds = 10
@@ -200,8 +200,8 @@
 			}
 		}
 	}
-	// Four times 0.2 of 0.45 connections per second makes 0.73 in 2 s, and the quotas are about 0.8 of the hosts'
-	// capacity at most.
+	// Four times 0.2 of 0.45 connections per second makes 0.73 in 2 s, and the quotas are about 0.8
+	// of the hosts' capacity at most.
 	if mean > 0.9 {
 		t.Errorf("%.2f connections within 2 s to a warming host on average, want at most its budget of 0.9", mean)
 	}
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestGroupsKeepToFewHosts checks that 80 balancers with two requests each place a group at few hosts, since each
-// host bears a cost for each group that it holds. They exchange no messages and follow the same order of hosts.
+// TestGroupsKeepToFewHosts checks that 80 balancers with two requests each place a group at few
+// hosts, since each host bears a cost for each group that it holds. They exchange no messages and
+// follow the same order of hosts.
 func TestGroupsKeepToFewHosts(t *testing.T) {
 	groupsAtHosts, connections := map[string]bool{}, map[string]int{}
 	rng := rand.New(rand.NewSource(5))
@@ -41,9 +42,9 @@
 	t.Logf("%d pairs of group and host for 4 groups, connections by host %v", len(groupsAtHosts), connections)
 }
 
-// TestSparseTrafficAgreesOnHostOfGroup checks that balancers with less than one connection per host place a
-// group's requests at the same host for all zones of a set, and at the next one while that host is slow. With an
-// order for each zone, every host would bear the cost of more groups.
+// TestSparseTrafficAgreesOnHostOfGroup checks that balancers with less than one connection per host
+// place a group's requests at the same host for all zones of a set, and at the next one while that
+// host is slow. With an order for each zone, every host would bear the cost of more groups.
 func TestSparseTrafficAgreesOnHostOfGroup(t *testing.T) {
 	const instances = 60
 	hosts := fleet(11)
@@ -68,7 +69,7 @@
 		}
 		return attempts
 	}
-	const agreeing = 50 // less than instances: the rotations of a few balancers begin too far from the home
+	const agreeing = 50 // the rotations of the other balancers may begin too far from the home
 	first, home := homes(""), ""
 	for host, n := range first {
 		if n >= agreeing {
@@ -88,15 +89,16 @@
 	}
 }
 
-// TestWarmingHostsShareGroups checks that half of a zone's warming hosts accept connections of a group, and that
-// they accept together as many connections as all of them do without groups.
+// TestWarmingHostsShareGroups checks that half of a zone's warming hosts accept connections of a
+// group, and that they accept together as many connections as all of them do without groups.
 func TestWarmingHostsShareGroups(t *testing.T) {
 	f := manyBalancers(t, 80, 1)[0]
 	ids := []string{"s01", "s02", "s03", "s04"}
 	for _, id := range ids {
 		f.listChanged(warming(id, f.now))
 	}
-	// countWins counts how often requests of so many groups win the lottery. If groups is 0, they have no group.
+	// countWins counts how often requests of a number of groups win the lottery. If groups is 0,
+	// they have no group.
 	countWins := func(groups int) (wins int, groupsAtHosts map[string]bool) {
 		groupsAtHosts = map[string]bool{}
 		for i := range 40000 {
--- a/internal/balancer/idempotency.go
+++ b/internal/balancer/idempotency.go
@@ -10,8 +10,8 @@
 		c.Idempotency == IdempotentWithKey && b.now >= r.mayHaveRunAt+c.DedupWindow
 }
 
-// outsideDedupScope reports whether a request may have run and h would not discard a repeat of it, because h is
-// outside the dedup scope of its idempotency key.
+// outsideDedupScope reports whether a request may have run and h would not discard a repeat of it,
+// because h is outside the dedup scope of its idempotency key.
 func (b *Balancer) outsideDedupScope(h *host, r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
@@ -29,8 +29,8 @@
 	return false
 }
 
-// clientRetryUnsafe reports whether a request may have run and a retry by its client could apply the effect
-// twice, so that the client must not be told that a retry is harmless.
+// clientRetryUnsafe reports whether a request may have run and a retry by its client could apply
+// the effect twice, so that the client must not be told that a retry is harmless.
 func (b *Balancer) clientRetryUnsafe(r *request) bool {
 	if r.mayHaveRunOn == nil {
 		return false
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// errorStep is what one error adds to a host's error score, and successErrorFactor the fraction of the score
-// that remains after a success.
+// errorStep is what one error adds to a host's error score, and successErrorFactor the fraction of
+// the score that remains after a success.
 const (
 	errorStep          = 0.5
 	successErrorFactor = 0.5
@@ -11,16 +11,16 @@
 
 // Factors on the duration of a set-up, for estimates of later ones.
 const (
-	// completionFactor allows for a set-up that starts now and takes half as long again as the last one that
-	// succeeded.
+	// completionFactor allows for a set-up that starts now and takes half as long again as the last
+	// one that succeeded.
 	completionFactor = 1.5
-	// timeoutSampleFactor scales the duration of a set-up that timed out, which would have taken longer.
-	// Without such samples, timeouts would never grow to the duration of set-ups.
+	// timeoutSampleFactor scales the duration of a set-up that timed out, which would have taken
+	// longer. Without such samples, timeouts would never grow to the duration of set-ups.
 	timeoutSampleFactor = 1.5
 )
 
-// errorScore is how often a host has failed recently, from 0 (never) to 1 (always). It fades with the initial
-// ejection as time constant.
+// errorScore is how often a host has failed recently, from 0 (never) to 1 (always). It fades with
+// the initial ejection as time constant.
 type errorScore struct {
 	score     float64
 	updatedAt Time
@@ -38,8 +38,9 @@
 	return h.errors.faded(b.now, b.ejection.initial)
 }
 
-// AttemptEstablished records that an attempt, counted from 0, has set up its connection within elapsed
-// nanoseconds. It ignores an attempt that is not the request's newest, or that has ended.
+// AttemptEstablished records that an attempt, counted from 0, has set up its connection within
+// elapsed nanoseconds. It ignores an attempt that is not the request's newest, or that is already
+// established or ended.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.tick(now)
 	r := b.requests[id]
@@ -66,9 +67,9 @@
 	Load      []float64 // the host's load report; nil if none came
 }
 
-// AttemptEnded handles the end of an attempt or of its open connection. After an attempt without a connection,
-// the request is placed again, unless it is closed or the status is TooLate. AttemptEnded ignores an attempt
-// that is not the request's newest, or that has ended already.
+// AttemptEnded handles the end of an attempt or of its open connection. After an attempt without a
+// connection, the request is placed again, unless it is closed or the status is TooLate.
+// AttemptEnded ignores an attempt that is not the request's newest, or that has ended already.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
 	b.tick(now)
 	r := b.requests[result.RequestID]
@@ -102,7 +103,8 @@
 	}
 	b.connectionEnded(r)
 	r.attemptInFlight = false
-	// The count is approximate: an attempt from before the failure, or an open connection, may also end here.
+	// The count is approximate: an attempt from before the failure, or an open connection, may also
+	// end here.
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
@@ -112,14 +114,14 @@
 	if !wasEstablished {
 		b.setupEnded(r, result.Status, result.Elapsed)
 	} else if result.Status == Reset {
-		// A host that drops open connections sheds load or has died. Without this delay it would keep its
-		// turns, and the dropped clients would come straight back to it.
+		// A host that drops open connections sheds load or has died. Without this delay it would
+		// keep its turns, and the dropped clients would come straight back to it.
 		b.recordMessageDelay(h, 1)
 	}
 }
 
-// setupEnded updates the state of the rules after an attempt that ended without a connection. Cancelled and
-// TooLate change nothing here.
+// setupEnded updates the state of the rules after an attempt that ended without a connection.
+// Cancelled and TooLate change nothing here.
 func (b *Balancer) setupEnded(r *request, status AttemptStatus, elapsed Time) {
 	h := r.host
 	switch status {
@@ -143,8 +145,8 @@
 	}
 }
 
-// ClientLeft closes a request whose client has left, so that it gets no answer. It cancels an attempt that has
-// set up no connection yet, if Config.MayCancel is set.
+// ClientLeft closes a request whose client has left, so that it gets no answer. It cancels an
+// attempt that has set up no connection yet, if Config.MayCancel is set.
 func (b *Balancer) ClientLeft(now Time, id string) {
 	b.tick(now)
 	r := b.requests[id]
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -21,24 +21,25 @@
 //     or operators have suspended all hosts that could serve. Otherwise
 //     it is queued.                                                       place
 //
-// pick leaves out hosts that are draining, removed or suspended, hosts that would not discard a repeat
-// (outsideDedupScope), and warming hosts whose budget is spent (slowStartAllows). It prefers hosts that are
-// neither ejected nor full and at which the request has made no attempt (available).
+// pick leaves out hosts that are draining, removed or suspended, hosts that would not discard a
+// repeat (outsideDedupScope), and warming hosts whose budget is spent (slowStartAllows). It prefers
+// hosts that are neither ejected nor full and at which the request has made no attempt (available).
 //
 // These events return a request to rule 4 or reject it:
 //
-//   - An attempt ends without a connection (AttemptEnded). With status TooLate the request is rejected. The
-//     end of an established connection closes its request, which is never retried.
-//   - The queue is drained (drainQueue), every queueInterval and after each endpoint list. A request is
-//     rejected there after half of the time that it had left when it was first queued since its last attempt.
+//   - An attempt ends without a connection (AttemptEnded). With status TooLate the request is
+//     rejected. The end of an established connection closes its request, which is never retried.
+//   - The queue is drained (drainQueue), every queueInterval and after each endpoint list. A request
+//     is rejected there after half of the time that it had left when it was first queued since its
+//     last attempt.
 //   - The ledger server replies (ledgerReplyReceived).
 //
-// "Rejected" means that rejectOrFail is called. It tells the client that a retry is harmless, or reports a
-// failure if a retry is not harmless (clientRetryUnsafe).
+// "Rejected" means that rejectOrFail is called. It tells the client that a retry is harmless, or
+// reports a failure if a retry is not harmless (clientRetryUnsafe).
 
-// RequestArrived handles a new request of a client. It ignores the request if its ID is in use or its class
-// is unknown. Any other request gets exactly one final answer, unless its client leaves: Effects.Reject,
-// Effects.Fail, or the one that the caller reports by AttemptResult.Closed.
+// RequestArrived handles a new request of a client. It ignores the request if its ID is in use or
+// its class is unknown. Any other request gets exactly one final answer, unless its client leaves:
+// Effects.Reject, Effects.Fail, or the one that the caller reports by AttemptResult.Closed.
 func (b *Balancer) RequestArrived(now Time, q Request) {
 	b.tick(now)
 	r := b.admit(q)
@@ -47,14 +48,15 @@
 	}
 	r.deadline = now + q.Remaining
 	r.similarPerSecond = b.traffic.arrived(now, r.isRetry(), len(b.hosts))
-	b.shedding.demandByClass[r.Class] += r.cost // before shouldShed, which ranks r within the demand
+	b.shedding.demandByClass[r.Class] += r.cost // before shouldShed, which ranks r in the demand
 	r.shedUnlessWarmingHost = b.shouldShed(r)
 	b.place(r)
 }
 
-// ConnectionAdopted registers an open connection that this balancer has not placed: one that was opened before
-// this process started, was handed over by another process, or is at a host that came from another pool.
-// It ignores a connection to an unknown host.
+// ConnectionAdopted registers an open connection that this balancer has not placed: one that was
+// opened before this process started, was handed over by another process, or is at a host that came
+// from another pool. It ignores a connection whose host or class is unknown or whose request ID is
+// in use.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
 	b.tick(now)
 	h := b.byID[id]
@@ -67,8 +69,8 @@
 	}
 }
 
-// admit registers a request. It returns nil if the request's ID is in use or its class is unknown. A tenant
-// that is unknown counts as none.
+// admit registers a request. It returns nil if the request's ID is in use or its class is unknown.
+// A tenant that is unknown counts as none.
 func (b *Balancer) admit(q Request) *request {
 	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.cfg.Classes) {
 		return nil
@@ -81,10 +83,10 @@
 	return r
 }
 
-// place applies rules 4 to 10: it starts a request's next attempt, queues the request or rejects it.
+// place applies rules 4 to 10: it starts a request's next attempt, or queues or rejects the request.
 func (b *Balancer) place(r *request) {
-	// Two ticks are reserved, so that the answer comes within the deadline. A set-up that cannot complete in
-	// the remaining time would only lengthen the queue that all set-ups share.
+	// Two ticks are reserved, so that the answer comes within the deadline. A set-up that cannot
+	// complete in the remaining time would only lengthen the queue that all set-ups share.
 	left := r.deadline - b.now - 2*b.cfg.Tick
 	if r.attempts >= b.cfg.MaxAttempts || left <= b.setups.QueueDelay(b.now) || b.retryForbidden(r) {
 		b.rejectOrFail(r)
@@ -112,8 +114,8 @@
 	}
 }
 
-// startAttempt starts a request's next attempt at h. left is the time that the attempt may use at most, in
-// nanoseconds.
+// startAttempt starts a request's next attempt at h. left is the time that the attempt may use at
+// most, in nanoseconds.
 func (b *Balancer) startAttempt(r *request, h *host, left Time) {
 	b.retryStorm.attemptStarted()
 	timeout := b.attemptTimeout(r, left)
@@ -130,8 +132,8 @@
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
-// rejectOrFail gives the final answer to a request that is not served. The request stays registered until its
-// attempt has ended.
+// rejectOrFail gives the final answer to a request that is not served. The request stays registered
+// until its attempt has ended.
 func (b *Balancer) rejectOrFail(r *request) {
 	r.closed = true
 	b.reconcileLedger(r, nil)
@@ -145,8 +147,8 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a rejected request in nanoseconds, with jitter so that clients do not
-// all come back together. It returns 0 if the client may retry at any time.
+// retryAfter returns the Retry-After of a rejected request in nanoseconds, with jitter so that
+// clients do not all come back together. It returns 0 if the client may retry at any time.
 func (b *Balancer) retryAfter(r *request) Time {
 	if !b.cfg.SendsRetryAfter {
 		return 0
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// randomRun sends random but legal events to a balancer. It checks the rules that hold for all effects: one
-// final answer to each request before its deadline, one attempt in flight at a time, no attempt at a draining
-// host, and no retry that could run a request twice.
+// randomRun sends random but legal events to a balancer. It checks the rules that hold for all
+// effects: one final answer to each request before its deadline, one attempt in flight at a time,
+// no attempt at a draining host, and no retry that could run a request twice.
 type randomRun struct {
 	*fake
 	rng         *rand.Rand
@@ -23,7 +23,8 @@
 	checked     int // how many of attemptsStarted are checked
 }
 
-// runRandomEvents sends a random sequence of events to a balancer, checks the effects and returns them.
+// runRandomEvents sends a random sequence of events to a balancer, checks the effects and returns
+// them.
 func runRandomEvents(t *testing.T, seed int64, idempotency Idempotency) []string {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -3,8 +3,9 @@
 // queueInterval is the time between two calls of drainQueue while requests wait, in nanoseconds.
 const queueInterval = 20e6
 
-// requestQueue holds the requests that wait for a host, since a fleet that is warming up or still unknown may
-// serve them soon; those that are delayed by a retry storm; and those that await the ledger server's reply.
+// requestQueue holds the requests that wait for a host, since a fleet that is warming up or still
+// unknown may serve them soon; those that are delayed by a retry storm; and those that await the
+// ledger server's reply.
 type requestQueue struct {
 	waiting  []*request
 	timerSet bool
@@ -13,12 +14,12 @@
 // queueEntry is the queue state of one request.
 type queueEntry struct {
 	queued    bool
-	rejectAt  Time // leaves the client half of the time for a retry; 0 if not queued since the last attempt
+	rejectAt  Time // leaves half of the time for a client's retry; 0 if not queued since the last attempt
 	notBefore Time // earliest time of the next attempt; 0 if it may start at once
 }
 
-// enqueue adds a request to the queue, unless it is queued already. A request that is queued again before its
-// next attempt keeps its rejectAt.
+// enqueue adds a request to the queue, unless it is queued already. A request that is queued again
+// before its next attempt keeps its rejectAt.
 func (b *Balancer) enqueue(r *request) {
 	if !r.wait.queued {
 		r.wait.queued = true
@@ -33,8 +34,8 @@
 	}
 }
 
-// drainQueue rejects the requests that have waited too long and places those whose delay is over. Requests
-// that have to wait longer are queued again in the same order.
+// drainQueue rejects the requests that have waited too long and places those whose delay is over.
+// Requests that have to wait longer are queued again in the same order.
 func (b *Balancer) drainQueue() {
 	if len(b.queue.waiting) == 0 {
 		return
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// The tests in this file assume that set-ups wait in one queue, that of a store which all hosts share.
+// The tests in this file assume that set-ups wait in one queue, that of a store which all hosts
+// share.
 
-// TestFirstAttemptsHaveLongTimeouts checks that an attempt gets half of its request's time while few set-ups have
-// been seen, since an attempt that is given up keeps its place in the queue. The timeouts of later attempts are
-// derived from the duration of set-ups.
+// TestFirstAttemptsHaveLongTimeouts checks that an attempt gets half of its request's time while
+// few set-ups have been seen, since an attempt that is given up keeps its place in the queue. The
+// timeouts of later attempts are derived from the duration of set-ups.
 func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
@@ -34,8 +35,8 @@
 	}
 }
 
-// TestRequestsWithoutEnoughTimeAreRejectedAtOnce checks that no attempt starts that cannot be established in
-// time, since it would only lengthen the queue.
+// TestRequestsWithoutEnoughTimeAreRejectedAtOnce checks that no attempt starts that cannot be
+// established in time, since it would only lengthen the queue.
 func TestRequestsWithoutEnoughTimeAreRejectedAtOnce(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	for _, id := range []string{"a", "b"} {
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestAttemptWaitsAfterTwoEarlyErrors checks that retries are delayed when a full store answers with errors at
-// once. Without the delay they would be made within milliseconds.
+// TestAttemptWaitsAfterTwoEarlyErrors checks that retries are delayed when a full store answers
+// with errors at once. Without the delay they would be made within milliseconds.
 func TestAttemptWaitsAfterTwoEarlyErrors(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest one for the candidate
-	// to be picked by its load. reportedLoadSlack is the factor on it if hosts report their load: then
-	// the loads keep the balance, which is the only purpose of even turns.
+	// tieBreakSlack is by how many turns a candidate's deficit may be below the largest one for the
+	// candidate to be picked by its load. reportedLoadSlack is the factor on it if hosts report
+	// their load: then the loads keep the balance, which is the only purpose of even turns.
 	tieBreakSlack     = 1.0
 	reportedLoadSlack = 24.0
-	// crossZoneBias is how strongly Prices.CrossZone takes turns from hosts in other zones: these keep
-	// 1 / (1 + crossZoneBias * price) of their turns.
+	// crossZoneBias is how strongly Prices.CrossZone takes turns from hosts in other zones: these
+	// keep 1 / (1 + crossZoneBias * price) of their turns.
 	crossZoneBias = 100.0
-	// minHealth is the fraction of its turns that a failing or loaded host keeps. Without any turns, nothing
-	// would show that it has recovered.
+	// minHealth is the fraction of its turns that a failing or loaded host keeps. Without any
+	// turns, nothing would show that it has recovered.
 	minHealth = 0.02
-	// noTurnsLoad is the reported load at which a host gets almost no turns; 1 is full. It is above 1, so that
-	// the weights of full hosts still differ by load.
+	// noTurnsLoad is the reported load at which a host gets almost no turns; 1 is full. It is above
+	// 1, so that the weights of full hosts still differ by load.
 	noTurnsLoad = 1.1
-	// zoneSets is the number of sets into which zones are divided if traffic is sparse. In each set, a group
-	// has hosts of its own.
+	// zoneSets is the number of sets into which zones are divided if traffic is sparse. In each
+	// set, a group has hosts of its own.
 	zoneSets = 2
 )
 
@@ -26,7 +26,7 @@
 type pick struct {
 	request      *request
 	turns        float64
-	preferredAge ageGroup // the hosts that may be picked; anyAge for all
+	preferredAge ageGroup // the hosts that may be picked; anyAge means all
 	fallback     bool     // hosts that are not available may be picked
 	sparse       bool     // result of sparseTraffic
 }
@@ -39,16 +39,16 @@
 	wonLottery bool    // a warming host whose budget allows this request by lottery only
 }
 
-// reportedLoad holds the values of a host that follow from load reports. It is zero if hosts do not report
-// their load.
+// reportedLoad holds the values of a host that follow from load reports. It is zero if hosts do not
+// report their load.
 type reportedLoad struct {
 	load                float64 // 1 is full
 	groupHomedElsewhere float64 // 1 if the host comes after the home of the request's group, else 0
 }
 
-// pick chooses a host by smooth weighted rotation over the available hosts, first over those of the preferred
-// age group. If no host is available, it chooses from all that may take the request. It returns nil if there
-// is none.
+// pick chooses a host by smooth weighted rotation over the available hosts, first over those of the
+// preferred age group. If no host is available, it chooses from all that may take the request. It
+// returns nil if there is none.
 func (b *Balancer) pick(r *request) *host {
 	p := pick{request: r, turns: b.costs.turns(r.cost), preferredAge: b.preferredAgeGroup(r)}
 	if p.preferredAge != anyAge {
@@ -64,10 +64,10 @@
 	return b.rotate(&p)
 }
 
-// rotate makes one step of the smooth weighted rotation: each candidate's deficit grows by its share of the
-// request's turns, and the deficit of the picked one shrinks by all of them. Of the candidates whose deficit is
-// within a slack of the largest one, the one with the least load for its weight is picked. rotate returns nil
-// if there is no candidate.
+// rotate makes one step of the smooth weighted rotation: each candidate's deficit grows by its
+// share of the request's turns, and the deficit of the picked one shrinks by all of them. Of the
+// candidates whose deficit is within a slack of the largest one, the one with the least load for
+// its weight is picked. rotate returns nil if there is no candidate.
 func (b *Balancer) rotate(p *pick) *host {
 	p.sparse = b.sparseTraffic()
 	candidates, total, maxWeight := b.candidates(p)
@@ -83,8 +83,9 @@
 		c := &candidates[i]
 		h := c.host
 		if b.fullCapacityShare(h) < 1 {
-			// The budget of a warming host decides when its turn comes. By their deficits, all new hosts would
-			// have the same place at every balancer and wait for half a round in each of many sparse rotations.
+			// The budget of a warming host decides when its turn comes. By their deficits, all new
+			// hosts would have the same place at every balancer and wait for half a round in each
+			// of many sparse rotations.
 			h.deficit = maxDeficit
 		}
 		slack, capacity := b.tieBreakParams(p, c, maxWeight)
@@ -102,8 +103,8 @@
 	return best
 }
 
-// candidates returns the hosts that may be picked, in the order of the rotation, the sum of their weights and
-// the largest weight.
+// candidates returns the hosts that may be picked, in the order of the rotation, the sum of their
+// weights and the largest weight.
 func (b *Balancer) candidates(p *pick) (eligible []candidate, total, maxWeight float64) {
 	reported := b.hostsReportLoad()
 	if reported {
@@ -129,8 +130,8 @@
 	return eligible, total, maxWeight
 }
 
-// readLoads fills loadBuffer with the current load of each host. If group is not empty, it marks the hosts
-// that come after the group's home.
+// readLoads fills loadBuffer with the current load of each host. If group is not empty, it marks
+// the hosts that come after the group's home.
 func (b *Balancer) readLoads(group string) {
 	loads := b.loadBuffer[:0]
 	for _, h := range b.hosts {
@@ -142,9 +143,10 @@
 	}
 }
 
-// mayPlaceOn reports whether a host may take the request, and whether a warming host may by lottery only. It
-// checks the preferred age group and the rules that hold in a fallback as well: the host must be ready, it must
-// discard repeats if necessary, and the budget of a warming host must allow the request.
+// mayPlaceOn reports whether a host may take the request, and whether a warming host may by lottery
+// only. It checks the preferred age group and the rules that hold in a fallback as well: the host
+// must be ready, it must discard repeats if necessary, and the budget of a warming host must allow
+// the request.
 func (b *Balancer) mayPlaceOn(h *host, p *pick) (allowed, byLottery bool) {
 	if h.state != Ready || p.preferredAge != anyAge && b.excludedByAge(h, p.preferredAge) ||
 		b.outsideDedupScope(h, p.request) {
@@ -156,9 +158,9 @@
 	return b.slowStartAllows(h, p.request, p.turns)
 }
 
-// turnWeight returns a host's share of the turns, relative to those of other hosts. It is the weight from the
-// endpoint list, reduced for a host in another zone if crossing has a price, for a warming host, for a loaded
-// host, and for a host that fails or delays messages.
+// turnWeight returns a host's share of the turns, relative to those of other hosts. It is the
+// weight from the endpoint list, reduced for a host in another zone if crossing has a price, for a
+// warming host, for a loaded host, and for a host that fails or delays messages.
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
 	if h.zone != b.zone {
@@ -178,8 +180,8 @@
 	return w * max(minHealth, health)
 }
 
-// tieBreakParams returns by how many turns a candidate's deficit may be below the largest one, and the capacity
-// by which the candidate's load is divided.
+// tieBreakParams returns by how many turns a candidate's deficit may be below the largest one, and
+// the capacity by which the candidate's load is divided.
 func (b *Balancer) tieBreakParams(p *pick, c *candidate, maxWeight float64) (slack, capacity float64) {
 	slack, capacity = tieBreakSlack*c.weight/maxWeight, c.weight
 	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
@@ -191,8 +193,9 @@
 	return slack, capacity
 }
 
-// tieBreakLoad returns the load by which candidates within the slack are ordered, least first. The load of the
-// request itself does not change the order: otherwise all balancers would begin with the same large hosts.
+// tieBreakLoad returns the load by which candidates within the slack are ordered, least first. The
+// load of the request itself does not change the order: otherwise all balancers would begin with
+// the same large hosts.
 func (b *Balancer) tieBreakLoad(p *pick, c *candidate, capacity float64) float64 {
 	groupCost := b.groupPlacementCost(p, c)
 	load := (c.host.load + groupCost) / capacity
@@ -200,7 +203,8 @@
 		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
 	}
 	if c.wonLottery {
-		// Before all other candidates, ordered by load and then by a hash of the request and the host.
+		// Before all other candidates, ordered by load and then by a hash of the request and the
+		// host.
 		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
 	return load
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -3,46 +3,50 @@
 import "math"
 
 const (
-	// maxStalledShare is the fraction of the open load that may be on stalled hosts before new work is shed.
+	// maxStalledShare is the fraction of the open load that may be on stalled hosts before new work
+	// is shed.
 	maxStalledShare = 0.1
 	// maxShedShare is the largest fraction of the demand that is shed.
 	maxShedShare = 0.9
-	// shedGrowthRate is by how much the shed share grows per second, multiplied by the excess of the stalled
-	// share over maxStalledShare. shedRelease is by how much it shrinks per second while there is no excess.
-	// shedDecay is the fraction of it that is lost per second in addition while no host is stalled, since
-	// shedding that the pause of one host has started must not leave the others idle.
+	// shedGrowthRate is by how much the shed share grows per second, for each unit of the stalled
+	// share above maxStalledShare. shedRelease is by how much it shrinks per second while the
+	// stalled share is lower. shedDecay is the fraction of it that is lost per second in addition
+	// while no host is stalled, since shedding that the pause of one host has started must not
+	// leave the others idle.
 	shedGrowthRate = 1.0
 	shedRelease    = 0.05
 	shedDecay      = 0.5
-	// assumedConnections is how many mean connections, spread over all ready hosts, are added to those of this
-	// balancer. Without them, one connection on a stalled host would count as an overload of the fleet.
+	// assumedConnections is how many mean connections, spread over all ready hosts, are added to
+	// those of this balancer. Without them, one connection on a stalled host would count as an
+	// overload of the fleet.
 	assumedConnections = 4.0
 	// demandTimeConstant is the time constant with which demand decays, in seconds.
 	demandTimeConstant = 10
 )
 
-// loadShedding rejects a fraction of the demand while hosts are stalled, since hosts with more work than they
-// can do answer no client.
+// loadShedding rejects a fraction of the demand while hosts are stalled, since hosts with more work
+// than they can do answer no client.
 type loadShedding struct {
-	// share is the fraction of the demand that is shed, lowest priority weight for its work first.
+	// share is the fraction of the demand that is shed, lowest priority weight per work first.
 	share float64
-	// crossZoneShare is the fraction, 0 to 1, of the turns that Prices.CrossZone takes from hosts in other zones
-	// that these hosts get back.
+	// crossZoneShare is how much of the turns that Prices.CrossZone takes from other zones is given
+	// back to them, 0 to 1.
 	crossZoneShare    float64
 	demandByClass     []float64 // requested load, with exponential decay
 	tenantConnections []int     // open connections by tenant
 }
 
-// zoneLoad is the open load of one or more zones, and the part of it that is on stalled hosts.
+// zoneLoad is the open load of one or more zones, and the part of it that is on stalled hosts, in
+// the unit of Request.ExpectedLoad.
 type zoneLoad struct{ open, stalled float64 }
 
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
-// update adjusts the shares to the loads of the own zone and of the other zones, dt seconds after the last
-// update.
+// update adjusts the shares to the loads of the own zone and of the other zones, dt seconds after
+// the last update.
 func (s *loadShedding) update(own, other zoneLoad, dt float64) {
-	// The own zone has more clients than its hosts can serve: turns go to other zones while these are stalled
-	// less.
+	// The own zone has more clients than its hosts can serve: turns go to other zones while these
+	// are stalled less.
 	if d := own.stalledShare() - other.stalledShare(); d > maxStalledShare {
 		s.crossZoneShare = min(1, s.crossZoneShare+shedGrowthRate*d*dt)
 	} else {
@@ -52,8 +56,8 @@
 	if excess := stalled - maxStalledShare; excess > 0 {
 		s.share = min(maxShedShare, s.share+shedGrowthRate*excess*dt)
 	} else {
-		// The pause of one host can stall half of the load of a balancer that has little. The shedding that it
-		// causes must not outlast it by much.
+		// The pause of one host can stall half of the load of a balancer that has little. The
+		// shedding that it causes must not outlast it by much.
 		s.share = max(0, s.share-shedRelease*dt)
 		s.share -= s.share * min(1, shedDecay*dt*(1-stalled/maxStalledShare))
 	}
@@ -62,7 +66,8 @@
 	}
 }
 
-// updateShedding measures the open load for load shedding. readyWeight is the weight of all ready hosts.
+// updateShedding measures the open load for load shedding. readyWeight is the weight of all ready
+// hosts.
 func (b *Balancer) updateShedding(readyWeight float64) {
 	var own, other zoneLoad
 	for _, h := range b.hosts {
@@ -82,14 +87,14 @@
 	b.shedding.update(own, other, float64(b.updateInterval())/1e9)
 }
 
-// shouldShed reports whether load shedding rejects a request, unless the budget of a warming host allows it. It
-// uses the random number generator only while load is shed.
+// shouldShed reports whether load shedding rejects a request, unless the budget of a warming host
+// allows it. It uses the random number generator only while load is shed.
 func (b *Balancer) shouldShed(r *request) bool {
 	return b.shedding.share > 0 && b.priorityRank(r) < b.shedding.share
 }
 
-// priorityRank returns a request's position, 0 to 1, in the demand ordered by priority weight for its work,
-// lowest first. The position is random among demand of the same priority.
+// priorityRank returns a request's position, 0 to 1, in the demand ordered by priority weight per
+// work, lowest first. The position is random among demand of the same priority.
 func (b *Balancer) priorityRank(r *request) float64 {
 	density := b.priorityDensity(r.Class)
 	if r.Tenant >= 0 {
@@ -110,7 +115,8 @@
 	return (below + b.rng.Float64()*same) / total
 }
 
-// priorityDensity returns a class's priority weight for its work.
+// priorityDensity returns a class's priority weight per work. It returns the weight itself if the
+// weight counts per work already (Config.PriorityByWork) or the work of the class is unknown.
 func (b *Balancer) priorityDensity(class int) float64 {
 	cost := b.costs.byClass[class]
 	if b.cfg.PriorityByWork || cost <= 0 {
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestSheddingEndsWithStall checks that load shedding does not outlast a stall, such as the pause of one host, by
-// much.
+// TestSheddingEndsWithStall checks that load shedding does not outlast a stall, such as the pause
+// of one host, by much.
 func TestSheddingEndsWithStall(t *testing.T) {
 	f := start(t, settings(), fleet(3)...)
 	f.b.shedding.share = 0.9
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestErrorsOfOneRequestAreNoRetryStorm checks that one request that every host answers with an error does not
-// delay other requests.
+// TestErrorsOfOneRequestAreNoRetryStorm checks that one request that every host answers with an
+// error does not delay other requests.
 func TestErrorsOfOneRequestAreNoRetryStorm(t *testing.T) {
 	f := start(t, settings(), fleet(5)...)
 	f.request("bad")
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestSlowStartTokensOfSparseBalancersExpire checks that a wave does not get the budget that many balancers with
-// little traffic have left unused before.
+// TestSlowStartTokensOfSparseBalancersExpire checks that a wave does not get the budget that many
+// balancers with little traffic have left unused before.
 func TestSlowStartTokensOfSparseBalancersExpire(t *testing.T) {
 	const instances = 60
 	n := 0
--- a/internal/balancer/slowstart_noquota_test.go
+++ b/internal/balancer/slowstart_noquota_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The fleets of this file have no tenants and thus no quotas from which to derive the number of connections, so
-// that each balancer estimates it from the few requests that it sees.
+// The fleets of this file have no tenants and thus no quotas from which to derive the number of
+// connections, so that each balancer estimates it from the few requests that it sees.
 
 const (
 	noQuotaHosts       = 80
@@ -30,9 +30,9 @@
 	return balancers
 }
 
-// TestWarmingHostsAreUsedWithoutQuotas checks that warming hosts get connections within their budget although
-// there are no quotas. The lottery then depends on the requests that a balancer has seen and the connections that
-// it holds, which are few after a restart of the balancer.
+// TestWarmingHostsAreUsedWithoutQuotas checks that warming hosts get connections within their
+// budget although there are no quotas. The lottery then depends on the requests that a balancer has
+// seen and the connections that it holds, which are few after a restart of the balancer.
 func TestWarmingHostsAreUsedWithoutQuotas(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
@@ -43,8 +43,8 @@
 		for _, at := range attempts {
 			total, most = total+len(at), max(most, maxInWindow(at, sec))
 		}
-		// The settings allow each warming host three times its share of the capacity of a host, which is 2.5
-		// times the mean request rate here.
+		// The settings allow each warming host three times its share of the capacity of a host,
+		// which is 2.5 times the mean request rate here.
 		allowed := 0.0
 		for s := 0.0; s < 9; s++ {
 			allowed += warmingHosts * 3 * (0.31 + 0.69*(s+0.5)/9) * 2.5 * noQuotaRequestRate / noQuotaHosts
@@ -56,23 +56,24 @@
 			t.Errorf("%s: %d connections to the warming hosts, want at least a third of an even share of %.0f",
 				name, total, even)
 		}
-		// 600 connections are open, 7.5 per host. At least 0.83 per second fill a host within its slow start, and
-		// a full host holds 2.5 times as many. Three times that at the initial capacity is 1.9 per second. Three
-		// times the square root of this and three more may come by chance.
+		// 600 connections are open, 7.5 per host. At least 0.83 per second fill a host within its
+		// slow start, and a full host holds 2.5 times as many. Three times that at the initial
+		// capacity is 1.9 per second. Three times the square root of this and three more may come
+		// by chance.
 		if most > 9 {
 			t.Errorf("%s: %d connections within a second at one warming host, want at most 9", name, most)
 		}
 	}
 }
 
-// startWarming starts warmingHosts hosts while n balancers serve requests. restarted is the fraction of
-// balancers that have just restarted. It returns when the hosts started, when each of them got attempts during
-// its slow start, and when requests arrived in that time.
+// startWarming starts warmingHosts hosts while n balancers serve requests. restarted is the
+// fraction of balancers that have just restarted. It returns when the hosts started, when each of
+// them got attempts during its slow start, and when requests arrived in that time.
 func startWarming(t *testing.T, n int, restarted float64, seed int64) (
 	up Time, attempts map[string][]Time, arrivals []Time) {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed + 6))
-	balancers, restartedOnes := manyBalancersWithoutQuotas(t, n, seed), manyBalancersWithoutQuotas(t, n, seed+1)
+	balancers, restartedBalancers := manyBalancersWithoutQuotas(t, n, seed), manyBalancersWithoutQuotas(t, n, seed+1)
 	at := 100 * sec
 	pause := func() Time { return Time(rng.ExpFloat64() / noQuotaRequestRate * 1e9) }
 	var before []Time
@@ -82,7 +83,7 @@
 	replayWithEnds(balancers, rng, before)
 	for i := range balancers {
 		if rng.Float64() < restarted {
-			balancers[i] = restartedOnes[i]
+			balancers[i] = restartedBalancers[i]
 		}
 	}
 	var changes []ListedHost
@@ -112,8 +113,8 @@
 	return up, attempts, arrivals
 }
 
-// replayWithEnds sends requests at the given times to random balancers. Each is established at once, and its
-// connection ends by itself 15 s later.
+// replayWithEnds sends requests at the given times to random balancers. Each is established at
+// once, and its connection ends by itself 15 s later.
 func replayWithEnds(balancers []*fake, rng *rand.Rand, at []Time) {
 	type connection struct {
 		f     *fake
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// manyBalancers returns n instances with the settings of a large fleet with little traffic: 11 hosts, and one
-// fresh connection per half a minute at each balancer if n is 80.
+// manyBalancers returns n instances with the settings of a large fleet with little traffic: 11
+// hosts, and one fresh connection per half a minute at each balancer if n is 80.
 func manyBalancers(t *testing.T, n int, seed int64) []*fake {
 	t.Helper()
 	var balancers []*fake
@@ -25,8 +25,8 @@
 	return balancers
 }
 
-// replay sends requests at the given times to random balancers. Each is established at once. It returns when
-// attempts went to host.
+// replay sends requests at the given times to random balancers. Each is established at once. It
+// returns when attempts went to host.
 func replay(balancers []*fake, rng *rand.Rand, at []Time, returned bool, host string) []Time {
 	var attempts []Time
 	for i, now := range at {
@@ -52,10 +52,10 @@
 	return at
 }
 
-// replayWaves sends a wave of 30 returning clients to 80 balancers for each of a number of seeds. The wave starts
-// 1 s after up, after a call of setUp for each balancer. If after is not nil, it is called with the balancers
-// after each wave. The test fails if a wave brings more than 4 connections to host s03. replayWaves returns
-// the mean number of these connections per wave.
+// replayWaves sends a wave of 30 returning clients to 80 balancers for each of a number of seeds.
+// The wave starts 1 s after up, after a call of setUp for each balancer. If after is not nil, it is
+// called with the balancers after each wave. The test fails if a wave brings more than 4
+// connections to host s03. replayWaves returns the mean number of these connections per wave.
 func replayWaves(t *testing.T, seeds int64, up Time, setUp func(f *fake),
 	after func(balancers []*fake, rng *rand.Rand)) (mean float64) {
 	t.Helper()
@@ -94,8 +94,8 @@
 	return most
 }
 
-// TestSparseTrafficUsesSlowStartBudget checks that a warming host gets its share of the requests although its
-// tokens at 80 balancers, with one request per half a minute each, expire unused.
+// TestSparseTrafficUsesSlowStartBudget checks that a warming host gets its share of the requests
+// although its tokens at 80 balancers, with one request per half a minute each, expire unused.
 func TestSparseTrafficUsesSlowStartBudget(t *testing.T) {
 	const seeds = 20
 	total, bound := 0, 0.0
@@ -121,10 +121,11 @@
 		total += len(attempts)
 		// The host's budget is 2.1 in 2 s at the end. Chance may bring more, but there is no wave.
 		if n := maxInWindow(attempts, 2*sec); n > 6 {
-			t.Errorf("seed %d: %d connections within 2 s at a warming host", seed, n)
+			t.Errorf("seed %d: %d connections within 2 s at a warming host, want at most 6", seed, n)
 		}
 	}
-	// The host's budget in 10 s is four times its present share of the 5 connections per second of 11 hosts.
+	// The host's budget in 10 s is four times its present share of the 5 connections per second of
+	// 11 hosts.
 	for s := 0.0; s < 10; s++ {
 		bound += 4 * (0.14 + 0.86*s/23) * 5.0 / 11
 	}
@@ -135,12 +136,13 @@
 	}
 }
 
-// waveWarmingBudget is how many connections of a wave fit the budget of a warming host of manyBalancers: in the
-// overload window of 2 s, four times 0.19 of 0.45 connections per second.
+// waveWarmingBudget is how many connections of a wave fit the budget of a warming host of
+// manyBalancers: in the overload window of 2 s, four times 0.19 of 0.45 connections per second.
 const waveWarmingBudget = 0.68
 
-// TestWaveSparesWarmingHost checks that a wave does not exceed the budget of a warming host. The clients of two
-// hosts come back at once, at most about one at each balancer, so that no balancer sees that it is a wave.
+// TestWaveSparesWarmingHost checks that a wave does not exceed the budget of a warming host. The
+// clients of two hosts come back at once, at most about one at each balancer, so that no balancer
+// sees that it is a wave.
 func TestWaveSparesWarmingHost(t *testing.T) {
 	up := 110 * sec
 	mean := replayWaves(t, 30, up, func(f *fake) {
@@ -153,8 +155,8 @@
 	}
 }
 
-// TestWithoutUsableQuotas checks that requests are placed, without a division by zero, if there are no quotas, if
-// there is one balancer, or if the balancer's number is outside the fleet.
+// TestWithoutUsableQuotas checks that requests are placed, without a division by zero, if there are
+// no quotas, if there is one balancer, or if the balancer's number is outside the fleet.
 func TestWithoutUsableQuotas(t *testing.T) {
 	for _, c := range []struct {
 		instances, instance int
@@ -178,8 +180,9 @@
 	}
 }
 
-// TestOneStalledConnectionShedsLittle checks that a balancer whose only connection is on a stalled host does not
-// shed most requests while ten hosts are idle, and does not go on shedding because another host is stalled.
+// TestOneStalledConnectionShedsLittle checks that a balancer whose only connection is on a stalled
+// host does not shed most requests while ten hosts are idle, and does not go on shedding because
+// another host is stalled.
 func TestOneStalledConnectionShedsLittle(t *testing.T) {
 	cfg := settings()
 	cfg.Instances, cfg.Zones = 80, []string{"a"}
@@ -205,9 +208,9 @@
 	}
 }
 
-// TestShedRequestMayGoToWarmingHost checks that requests marked by load shedding take part in the lottery. Its
-// chances count them: otherwise warming hosts would get only a part of their budget while the others are
-// overloaded.
+// TestShedRequestMayGoToWarmingHost checks that requests marked by load shedding take part in the
+// lottery. Its chances count them: otherwise warming hosts would get only a part of their budget
+// while the others are overloaded.
 func TestShedRequestMayGoToWarmingHost(t *testing.T) {
 	f := manyBalancers(t, 80, 3)[0]
 	f.listChanged(warming("s03", f.now-8*sec))
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -7,34 +7,37 @@
 )
 
 const (
-	// slowMessageDelay is the message delay that halves a host's turns, in shortest message latency objectives.
-	// A shorter delay has no effect.
+	// slowMessageDelay is the message delay that halves a host's turns, in shortest message latency
+	// objectives. A shorter delay has no effect.
 	slowMessageDelay = 0.33
-	// stalledMessageDelay is the message delay from which on a host counts as stalled, in the same unit.
+	// stalledMessageDelay is the message delay from which on a host counts as stalled, in the same
+	// unit.
 	stalledMessageDelay = 1
-	// gossipInterval is the shortest time between two messages about the stall of one host, and gossipSpread
-	// the time within which one of the balancers that see the stall sends one, in nanoseconds.
+	// gossipInterval is the shortest time between two messages about the stall of one host, and
+	// gossipSpread the time within which one of the balancers that see the stall sends one, in
+	// nanoseconds.
 	gossipInterval = 2e9
 	gossipSpread   = 6e8
-	// delayValidFor is how long an observed delay counts in full, and delayTimeConstant the time constant with
-	// which it fades after that, in nanoseconds. Observations come once a second while messages are slow.
+	// delayValidFor is how long an observed delay counts in full, and delayTimeConstant the time
+	// constant with which it fades after that, in nanoseconds. Observations come once a second
+	// while messages are slow.
 	delayValidFor     = 1.5e9
 	delayTimeConstant = 1e9
-	// stallMigrationShare is the probability, at each observation, that a mean connection is migrated from a
-	// stalled host.
+	// stallMigrationShare is the probability, at each observation, that a mean connection is
+	// migrated from a stalled host.
 	stallMigrationShare = 0.15
 )
 
 // messageDelay is the last known delay of messages at a host.
 type messageDelay struct {
-	delay         float64 // observed here or received by gossip, in shortest message latency objectives
+	delay         float64 // observed or received by gossip, in shortest message latency objectives
 	observedAt    Time    // when delay was last set
 	gossipedAt    Time    // when this or another balancer last gossiped about the host
-	gossipPending bool    // this balancer is to gossip about the host, unless another one does so first
+	gossipPending bool    // this balancer will gossip about the host unless another one does first
 }
 
-// shortestMessageObjective returns the shortest message latency objective of all classes in milliseconds, or 0
-// if no class has one.
+// shortestMessageObjective returns the shortest message latency objective of all classes in
+// milliseconds, or 0 if no class has one.
 func (b *Balancer) shortestMessageObjective() float64 {
 	shortest := 0.0
 	for i := range b.cfg.Classes {
@@ -46,8 +49,8 @@
 	return shortest
 }
 
-// currentMessageDelay returns a host's message delay in shortest message latency objectives. It fades if no new
-// observation comes, and is 0 if the last delay was below slowMessageDelay.
+// currentMessageDelay returns a host's message delay in shortest message latency objectives. It
+// fades if no new observation comes, and is 0 if the last delay was below slowMessageDelay.
 func (b *Balancer) currentMessageDelay(h *host) float64 {
 	if h.messages.delay < slowMessageDelay {
 		return 0
@@ -61,11 +64,12 @@
 	return m.delay * math.Exp(-age/delayTimeConstant)
 }
 
-// stalled reports whether messages at a host take as long as the shortest message latency objective or longer.
+// stalled reports whether messages at a host take as long as the shortest message latency objective
+// or longer.
 func (b *Balancer) stalled(h *host) bool { return b.currentMessageDelay(h) >= stalledMessageDelay }
 
-// Observe handles an observation of an open connection. The unit of value depends on kind. Observe ignores a
-// connection that is not established by the request's newest attempt.
+// Observe handles an observation of an open connection. The unit of value depends on kind. Observe
+// ignores a connection that is not established by the request's newest attempt.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
 	b.tick(now)
 	r := b.requests[id]
@@ -75,7 +79,7 @@
 	h := r.host
 	switch kind {
 	case ObservedLoad:
-		load := max(0, value) * 1000 // microseconds to nanoseconds of work a second
+		load := max(0, value) * 1000 // microseconds to nanoseconds of work per second
 		h.load += load - r.load
 		r.load = load
 		if r.ExpectedLoad <= 0 {
@@ -88,10 +92,11 @@
 	}
 }
 
-// recordMessageDelay records the message delay of a host, in shortest message latency objectives. If the host is
-// stalled, some of its connections are migrated at random. Each balancer migrates a small part, since all see
-// the same stall. The probability is proportional to a connection's load, since a few heavy connections
-// overload a host, and migrating these is cheaper than migrating the many light ones.
+// recordMessageDelay records the message delay of a host, in shortest message latency objectives.
+// If the host is stalled, some of its connections are migrated at random. Each balancer migrates a
+// small part, since all see the same stall. The probability is proportional to a connection's load,
+// since a few heavy connections overload a host, and migrating these is cheaper than migrating the
+// many light ones.
 func (b *Balancer) recordMessageDelay(h *host, delay float64) {
 	h.messages.delay, h.messages.observedAt = delay, b.now
 	if delay < stalledMessageDelay {
@@ -106,8 +111,8 @@
 	}
 }
 
-// scheduleGossip schedules gossip about a stalled host after a random delay, in which another balancer may
-// gossip about it first.
+// scheduleGossip schedules gossip about a stalled host after a random delay, in which another
+// balancer may gossip about it first.
 func (b *Balancer) scheduleGossip(h *host) {
 	if b.cfg.MayGossip && b.cfg.Instances > 1 && !h.messages.gossipPending &&
 		b.now-h.messages.gossipedAt >= gossipInterval {
@@ -116,8 +121,8 @@
 	}
 }
 
-// gossipStalls notifies all balancers of the hosts that this balancer sees as stalled, except those about which
-// a balancer has gossiped within gossipInterval.
+// gossipStalls notifies all balancers of the hosts that this balancer sees as stalled, except those
+// about which a balancer has gossiped within gossipInterval.
 func (b *Balancer) gossipStalls() {
 	var message []byte
 	for _, h := range b.hosts {
@@ -133,9 +138,9 @@
 	}
 }
 
-// PeerMessageReceived handles a message from another balancer, about the placement ledger or stalled hosts.
-// Without the latter, balancers that hold one or two connections each would mostly learn of a stalled host only
-// by using it.
+// PeerMessageReceived handles a message from another balancer, about the placement ledger or
+// stalled hosts. Without the latter, balancers that hold one or two connections each would mostly
+// learn of a stalled host only by using it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
 	b.tick(now)
 	if b.ledgerMessageReceived(from, data) {
@@ -144,8 +149,8 @@
 	stallgossip.Decode(data, b.stallReceived)
 }
 
-// stallReceived records a stall that another balancer sees. Recent observations of this balancer's own
-// connections take precedence.
+// stallReceived records a stall that another balancer sees. Recent observations of this balancer's
+// own connections take precedence.
 func (b *Balancer) stallReceived(r stallgossip.Record) {
 	for _, h := range b.hosts {
 		if uint32(h.hash) != r.Host {
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -6,8 +6,8 @@
 	"croftlock/internal/balancer/stallgossip"
 )
 
-// TestFewGossipOfStalledHost checks that few of 16 balancers that see a host stall notify the others, and that
-// the others then avoid the host although they hold no connection there.
+// TestFewGossipOfStalledHost checks that few of 16 balancers that see a host stall notify the
+// others, and that the others then avoid the host although they hold no connection there.
 func TestFewGossipOfStalledHost(t *testing.T) {
 	var balancers []*fake
 	for instance := range 80 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// FuzzStallGossip checks that no message makes a balancer record a delay that a message cannot hold, or keeps it
-// from placing requests.
+// FuzzStallGossip checks that no message makes a balancer record a delay that a message cannot
+// hold, or keeps it from placing requests.
 func FuzzStallGossip(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(stallMessage("s01", 3))
