--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -136,7 +136,7 @@
 	period := b.ejection.period(e.consecutiveFailures)
 	e.until = b.now + period/2 + Time(b.rng.Float64()*float64(period)/2)
 	if e.consecutiveFailures == 1 {
-		b.effects.Report(HostEjected{Host: h.hostID, Ejection: e.until - b.now,
+		b.effects.Report(HostEjected{Host: h.hostID, Duration: e.until - b.now,
 			ConsecutiveFailures: e.consecutiveFailures})
 	}
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -8,21 +8,21 @@
 // count lengthen the ejection without a report. Where no other host is available it may still be picked.
 type HostEjected struct {
 	Host                string
-	Ejection            Time // how long, in nanoseconds
+	Duration            Time // how long, in nanoseconds
 	ConsecutiveFailures int
 }
 
 // HostReadmitted says that an ejected host has accepted a connection, and gets its turns again.
 type HostReadmitted struct{ Host string }
 
-// LedgerPolled says that this balancer has had a message of a ledger server that it did not follow before, or
-// that has begun anew, and queries that one from now on.
-type LedgerPolled struct{ LedgerServer int }
+// LedgerServerChanged reports that this balancer now queries LedgerServer: it has received a message from a
+// ledger server that it did not query before, or that has restarted.
+type LedgerServerChanged struct{ LedgerServer int }
 
 // LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
 type LedgerUnreachable struct{}
 
-func (HostEjected) isEvent()       {}
-func (HostReadmitted) isEvent()    {}
-func (LedgerPolled) isEvent()      {}
-func (LedgerUnreachable) isEvent() {}
+func (HostEjected) isEvent()         {}
+func (HostReadmitted) isEvent()      {}
+func (LedgerServerChanged) isEvent() {}
+func (LedgerUnreachable) isEvent()   {}
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -28,7 +28,7 @@
 	pausedUntil Time  // no queries before
 	pauses      int   // in a row
 	polledAt    Time
-	synced      bool // the current one was heard; all connections of this balancer are sent to it after that
+	reachable   bool // the current one was heard; all connections of this balancer are sent to it after that
 	epoch       byte // of the current one
 	sequence    uint16
 	pending     map[uint16]*PendingQuery
@@ -65,9 +65,9 @@
 	return c.servers[c.current]
 }
 
-// Synced reports whether the current ledger server was heard, so that the caller may send it all connections
-// of this balancer. Single changes do not wait for that.
-func (c *Client) Synced(now Time) bool { return c.synced && now >= c.pausedUntil }
+// ServerReachable reports whether the current ledger server has sent a message since it became the current
+// one. Only then does the caller send it all connections of this balancer; single changes do not wait for it.
+func (c *Client) ServerReachable(now Time) bool { return c.reachable && now >= c.pausedUntil }
 
 // Register notes a query that is sent, and gives its sequence number.
 func (c *Client) Register(q PendingQuery) uint16 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TimedOut notes that a request waits no longer for its reply.
-func (c *Client) TimedOut(now Time, request string) {
+// QueryTimedOut notes that a request waits no longer for its reply.
+func (c *Client) QueryTimedOut(now Time, request string) {
 	for _, p := range c.pending {
 		if p.Request == request {
 			p.Abandoned = true
@@ -105,7 +105,7 @@
 
 // tryNextServer abandons the current ledger server for the next one, or for a pause after the last.
 func (c *Client) tryNextServer(now Time) {
-	c.misses, c.synced = 0, false
+	c.misses, c.reachable = 0, false
 	if c.current++; c.current == len(c.servers) {
 		c.pause(now)
 	}
@@ -118,21 +118,21 @@
 	c.pauses++
 }
 
-// Take removes and gives the query of a sequence number; nil: none is pending.
-func (c *Client) Take(sequence uint16) *PendingQuery {
+// RemovePending removes and gives the query of a sequence number; nil: none is pending.
+func (c *Client) RemovePending(sequence uint16) *PendingQuery {
 	p := c.pending[sequence]
 	delete(c.pending, sequence)
 	return p
 }
 
-// ServerSeen records a message of a ledger server. sync: it has to be sent all the connections of this
-// balancer.
-func (c *Client) ServerSeen(from int, epoch byte) (sync bool) {
+// ServerMessageReceived records a message from a ledger server, and reports whether the caller has to send that
+// server all connections of this balancer.
+func (c *Client) ServerMessageReceived(from int, epoch byte) (sync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
 		return false
 	}
-	sync = i != c.current || !c.synced || epoch != c.epoch
+	sync = i != c.current || !c.reachable || epoch != c.epoch
 	c.follow(i, epoch)
 	return sync
 }
@@ -141,12 +141,12 @@
 func (c *Client) follow(i int, epoch byte) {
 	c.current, c.epoch = i, epoch
 	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
-	c.synced = true
+	c.reachable = true
 }
 
-// NextPoll gives the ledger server to poll now: one before the current one, which may be back; -1: none.
-func (c *Client) NextPoll(now Time) int {
-	if c.current == 0 && now >= c.pausedUntil && c.synced || now-c.polledAt < pollInterval {
+// ServerToPoll gives the ledger server to poll now: one before the current one, which may be back; -1: none.
+func (c *Client) ServerToPoll(now Time) int {
+	if c.current == 0 && now >= c.pausedUntil && c.reachable || now-c.polledAt < pollInterval {
 		return -1
 	}
 	c.polledAt = now
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -22,7 +22,7 @@
 				host:  rapid.Uint32Range(1, 3).Draw(rt, "host"),
 				group: rapid.Uint32Range(1, 3).Draw(rt, "group")}
 			if rapid.IntRange(0, 9).Draw(rt, "action") == 0 {
-				p.Forget(k.peer)
+				p.RemovePeer(k.peer)
 				for x := range model {
 					if x.peer == k.peer {
 						delete(model, x)
@@ -65,26 +65,26 @@
 	if n := len(p.peers[2]); n > maxEntriesPerPeer {
 		t.Errorf("%d entries of one balancer", n)
 	}
-	p.Forget(2)
+	p.RemovePeer(2)
 	if load, groups, _ := p.Load(1, 1); load != 1 || groups != 1 {
 		t.Errorf("%g connections of %d groups, expected 1 of 1", load, groups)
 	}
 	for i := range uint32(3 * maxHosts) {
 		p.Add(3, i, 1, 8)
-		p.RecordGrant(5, Time(i))
+		p.RecordAssignment(5, Time(i))
 	}
-	if len(p.hosts) > maxHosts+1 || len(p.at(5).grants) > maxGrantsPerHost {
-		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.at(5).grants))
+	if len(p.hosts) > maxHosts+1 || len(p.at(5).assignments) > maxAssignmentsPerHost {
+		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.at(5).assignments))
 	}
 }
 
 func TestGrantsInAWindow(t *testing.T) {
 	p := NewPlacements()
 	for _, at := range []Time{10, 20, 30, 40} {
-		p.RecordGrant(7, at)
+		p.RecordAssignment(7, at)
 	}
 	for since, want := range map[Time]int{0: 4, 20: 3, 25: 2, 41: 0} {
-		if n := p.GrantsSince(7, since); n != want {
+		if n := p.AssignmentsSince(7, since); n != want {
 			t.Errorf("%d grants since %d, expected %d", n, since, want)
 		}
 	}
@@ -97,31 +97,32 @@
 	if got := c.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
 		t.Fatalf("ledger servers %v", got)
 	}
-	if !c.ServerSeen(0, 5) || c.ServerSeen(0, 5) || !c.ServerSeen(0, 6) || !c.Synced(1) {
+	if !c.ServerMessageReceived(0, 5) || c.ServerMessageReceived(0, 5) ||
+		!c.ServerMessageReceived(0, 6) || !c.ServerReachable(1) {
 		t.Error("a ledger server is not sent all connections once, and again after a restart")
 	}
 	now := Time(1e9)
-	miss := func() { c.TimedOut(now, "r") }
+	miss := func() { c.QueryTimedOut(now, "r") }
 	miss()
-	c.ServerSeen(0, 6)
+	c.ServerMessageReceived(0, 6)
 	miss()
 	if c.Server(now) != 0 {
 		t.Error("another ledger server is queried after one miss between replies")
 	}
 	miss()
-	if c.Server(now) != 37 || c.Synced(now) {
-		t.Errorf("after two misses %d is queried, synced %t", c.Server(now), c.Synced(now))
+	if c.Server(now) != 37 || c.ServerReachable(now) {
+		t.Errorf("after two misses %d is queried, synced %t", c.Server(now), c.ServerReachable(now))
 	}
-	if c.ServerSeen(150, 1) {
+	if c.ServerMessageReceived(150, 1) {
 		t.Error("a later ledger server than the one that is queried is to be sent all connections")
 	}
-	if server := c.NextPoll(now + pollInterval); server != 0 {
+	if server := c.ServerToPoll(now + pollInterval); server != 0 {
 		t.Errorf("%d is polled", server)
 	}
-	if c.NextPoll(now+pollInterval+1) >= 0 {
+	if c.ServerToPoll(now+pollInterval+1) >= 0 {
 		t.Error("polled again at once")
 	}
-	if !c.ServerSeen(0, 6) || c.Server(now) != 0 {
+	if !c.ServerMessageReceived(0, 6) || c.Server(now) != 0 {
 		t.Error("the first ledger server is back and not queried")
 	}
 	for range 2 * maxServers {
@@ -143,7 +144,7 @@
 	t.Helper()
 	for i := range 6 {
 		for range 2 * maxServers {
-			c.TimedOut(pauseEnd, "r")
+			c.QueryTimedOut(pauseEnd, "r")
 		}
 		next := pauseEnd + 2*initialPause<<min(i, maxPauseDouble-1)
 		if c.Server(next-1) >= 0 || c.Server(next) != 0 {
@@ -151,7 +152,7 @@
 		}
 		pauseEnd = next
 	}
-	if c.ServerSeen(0, 6); c.Server(pauseEnd-1) != 0 {
+	if c.ServerMessageReceived(0, 6); c.Server(pauseEnd-1) != 0 {
 		t.Error("a ledger server is not queried though a message of it came")
 	}
 }
@@ -162,12 +163,12 @@
 	for i := range 10 * maxPending {
 		c.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
 	}
-	if len(c.pending) > maxPending || c.Take(first) != nil {
+	if len(c.pending) > maxPending || c.RemovePending(first) != nil {
 		t.Errorf("%d queries are pending", len(c.pending))
 	}
 	sequence := c.Register(PendingQuery{Request: "c", SentAt: 1})
-	c.TimedOut(1, "c")
-	if q := c.Take(sequence); q == nil || !q.Abandoned || c.Take(sequence) != nil {
+	c.QueryTimedOut(1, "c")
+	if q := c.RemovePending(sequence); q == nil || !q.Abandoned || c.RemovePending(sequence) != nil {
 		t.Errorf("taken %+v, expected an abandoned query, once", q)
 	}
 }
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -32,8 +32,8 @@
 	retryBit = 128 // in the byte of the zone
 )
 
-// ErrNoMessage says that data is no message of the ledger, or is torn.
-var ErrNoMessage = errors.New("ledger: no message of the placement ledger")
+// ErrInvalidMessage says that data is no message of the ledger, or is torn.
+var ErrInvalidMessage = errors.New("ledger: no message of the placement ledger")
 
 // Message is a Query, Reply, Entries, Sync, Announcement or Poll.
 type Message interface {
@@ -123,10 +123,10 @@
 
 func group(data []byte) uint32 { return uint32(data[0])<<16 | uint32(data[1])<<8 | uint32(data[2]) }
 
-// Decode reads a message. It returns ErrNoMessage for what is none, or torn.
+// Decode reads a message. It returns ErrInvalidMessage for what is none, or torn.
 func Decode(data []byte) (Message, error) {
 	if len(data) == 0 {
-		return nil, ErrNoMessage
+		return nil, ErrInvalidMessage
 	}
 	switch kind := data[0]; {
 	case kind == kindQuery && len(data) == queryBytes:
@@ -151,13 +151,13 @@
 		}
 		return entries, nil
 	}
-	return nil, ErrNoMessage
+	return nil, ErrInvalidMessage
 }
 
 func decodeQuery(data []byte) (Message, error) {
 	units := int(data[4])
 	if units < 1 || units > MaxUnits {
-		return nil, ErrNoMessage
+		return nil, ErrInvalidMessage
 	}
 	return Query{Seq: binary.BigEndian.Uint16(data[1:]), Zone: int(data[3] &^ retryBit),
 		Retry: data[3]&retryBit != 0, Units: units, Group: group(data[5:])}, nil
@@ -165,13 +165,13 @@
 
 func decodeEntries(data []byte) (Entries, error) {
 	if len(data)%entryBytes != 0 || len(data) > MaxEntries*entryBytes {
-		return nil, ErrNoMessage
+		return nil, ErrInvalidMessage
 	}
 	var entries Entries
 	for ; len(data) > 0; data = data[entryBytes:] {
 		units := int(int8(data[8]))
 		if data[0] != kindEntry || units < -MaxUnits {
-			return nil, ErrNoMessage
+			return nil, ErrInvalidMessage
 		}
 		host := binary.BigEndian.Uint32(data[1:])
 		entries = append(entries, Entry{Host: host, Group: group(data[5:]), Units: units})
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -15,9 +15,9 @@
 
 // Bounds, so that what others report cannot fill the memory.
 const (
-	maxHosts          = 4096
-	maxEntriesPerPeer = 4096
-	maxGrantsPerHost  = 1024
+	maxHosts              = 4096
+	maxEntriesPerPeer     = 4096
+	maxAssignmentsPerHost = 1024
 )
 
 // hostGroup is a group at a host.
@@ -27,7 +27,7 @@
 type hostPlacements struct {
 	units        int
 	unitsByGroup map[uint32]int
-	grants       []Time // ascending
+	assignments  []Time // ascending
 }
 
 // Placements is what the balancers of a fleet hold at its hosts, as they reported it to the ledger server.
@@ -89,8 +89,8 @@
 	h.add(group, units)
 }
 
-// Forget drops what a balancer holds: its process has restarted, or it reports all again.
-func (p *Placements) Forget(peer int) {
+// RemovePeer drops what a balancer holds: its process has restarted, or it reports all again.
+func (p *Placements) RemovePeer(peer int) {
 	for k, units := range p.peers[peer] {
 		p.at(k.host).add(k.group, -units)
 	}
@@ -106,20 +106,20 @@
 	return float64(h.units) / UnitsPerConnection, len(h.unitsByGroup), h.unitsByGroup[group] > 0
 }
 
-// RecordGrant notes that a request was assigned to a host.
-func (p *Placements) RecordGrant(host uint32, now Time) {
+// RecordAssignment notes that a request was assigned to a host.
+func (p *Placements) RecordAssignment(host uint32, now Time) {
 	h := p.at(host)
-	if h.grants = append(h.grants, now); len(h.grants) > maxGrantsPerHost {
-		h.grants = slices.Delete(h.grants, 0, maxGrantsPerHost/2)
+	if h.assignments = append(h.assignments, now); len(h.assignments) > maxAssignmentsPerHost {
+		h.assignments = slices.Delete(h.assignments, 0, maxAssignmentsPerHost/2)
 	}
 }
 
-// GrantsSince is how many requests were assigned to a host since a time.
-func (p *Placements) GrantsSince(host uint32, since Time) int {
+// AssignmentsSince is how many requests were assigned to a host since a time.
+func (p *Placements) AssignmentsSince(host uint32, since Time) int {
 	h := p.hosts[host]
 	if h == nil {
 		return 0
 	}
-	first, _ := slices.BinarySearch(h.grants, since)
-	return len(h.grants) - first
+	first, _ := slices.BinarySearch(h.assignments, since)
+	return len(h.assignments) - first
 }
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -29,31 +29,31 @@
 				placements.Add(peer, host, group, rng.Intn(255)-127)
 			case 3:
 				if rng.Intn(10) == 0 {
-					placements.Forget(peer)
+					placements.RemovePeer(peer)
 				}
 			case 4:
-				placements.RecordGrant(host, now)
+				placements.RecordAssignment(host, now)
 			case 5:
 				request := fmt.Sprint("r", rng.Intn(40))
 				query := PendingQuery{Request: request, Group: group, Units: 8, SentAt: now}
 				sent = append(sent, client.Register(query))
 			case 6:
-				client.TimedOut(now, fmt.Sprint("r", rng.Intn(40)))
+				client.QueryTimedOut(now, fmt.Sprint("r", rng.Intn(40)))
 			case 7:
 				if len(sent) == 0 {
 					break
 				}
-				if q := client.Take(sent[rng.Intn(len(sent))]); q != nil {
+				if q := client.RemovePending(sent[rng.Intn(len(sent))]); q != nil {
 					digest.Add("answered %s %d %d %d %t", q.Request, q.Group, q.Units, q.SentAt, q.Abandoned)
 				}
 			case 8:
-				digest.Add("heard %t", client.ServerSeen(peer, byte(rng.Intn(3))))
+				digest.Add("heard %t", client.ServerMessageReceived(peer, byte(rng.Intn(3))))
 			default:
-				digest.Add("look %d", client.NextPoll(now))
+				digest.Add("look %d", client.ServerToPoll(now))
 			}
 			load, groups, holds := placements.Load(host, group)
 			digest.Add("%d %g %d %t granted %d keeper %d told %t keeps %t", now, load, groups, holds,
-				placements.GrantsSince(host, now-2e9), client.Server(now), client.Synced(now),
+				placements.AssignmentsSince(host, now-2e9), client.Server(now), client.ServerReachable(now),
 				client.IsServer(peer))
 		}
 		fmt.Fprintf(&lines, "seed=%d peers=%d %s\n", seed, instances, digest)
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -46,7 +46,7 @@
 	}
 	if best != nil {
 		b.ledger.placements.Add(from, uint32(best.hash), q.Group, q.Units)
-		b.ledger.placements.RecordGrant(uint32(best.hash), b.now)
+		b.ledger.placements.RecordAssignment(uint32(best.hash), b.now)
 	}
 	return best
 }
@@ -104,6 +104,6 @@
 	// The capacity as it was when the window began.
 	warm, warmed := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
 	n *= max(b.cfg.SlowStartFloor, warm-warmed) / warm
-	granted := b.ledger.placements.GrantsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
+	granted := b.ledger.placements.AssignmentsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
 	return float64(granted+1) <= assignSlowStartShare*(n+3*math.Sqrt(n)+3)
 }
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -88,7 +88,7 @@
 // ledgerReplyReceived goes on with the request that the reply is for. What is assigned and not used is given
 // back.
 func (b *Balancer) ledgerReplyReceived(from int, m ledger.Reply) {
-	query := b.ledger.client.Take(m.Seq)
+	query := b.ledger.client.RemovePending(m.Seq)
 	if query == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 // ledgerQueryTimedOut ends a request's wait for the reply; the caller places it without one.
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
 	r.ledger.awaiting, r.wait.notBefore = false, 0
-	b.ledger.client.TimedOut(b.now, r.ID)
+	b.ledger.client.QueryTimedOut(b.now, r.ID)
 	if b.ledger.client.Server(b.now) < 0 {
 		b.effects.Report(LedgerUnreachable{})
 	}
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -26,10 +26,10 @@
 			b.effects.SendToPeer(-1, ledger.Announcement{Epoch: l.epoch}.Append(nil))
 		}
 	}
-	if b.now >= l.syncDue && l.client.Synced(b.now) {
+	if b.now >= l.syncDue && l.client.ServerReachable(b.now) {
 		b.syncLedger()
 	}
-	if server := l.client.NextPoll(b.now); server == b.cfg.Instance {
+	if server := l.client.ServerToPoll(b.now); server == b.cfg.Instance {
 		b.ledgerServerSeen(server, l.epoch)
 	} else if server >= 0 {
 		b.effects.SendToPeer(server, ledger.Poll{}.Append(nil))
@@ -63,7 +63,7 @@
 	case ledger.Poll:
 		b.effects.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
 	case ledger.Sync:
-		b.ledger.placements.Forget(from)
+		b.ledger.placements.RemovePeer(from)
 		b.countPlacements(from, m.Entries)
 	case ledger.Entries:
 		b.countPlacements(from, m)
@@ -83,9 +83,9 @@
 // ledgerServerSeen plans to send all connections of this balancer to a ledger server that does not know them:
 // after a random wait, since all balancers see it together.
 func (b *Balancer) ledgerServerSeen(from int, epoch byte) {
-	if b.ledgerUsable() && b.ledger.client.ServerSeen(from, epoch) {
+	if b.ledgerUsable() && b.ledger.client.ServerMessageReceived(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
-		b.effects.Report(LedgerPolled{LedgerServer: from})
+		b.effects.Report(LedgerServerChanged{LedgerServer: from})
 	}
 }
 
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -54,8 +54,8 @@
 // Reset forgets all, as the host has restarted.
 func (h *Host) Reset() { *h = Host{} }
 
-// LastReport is when a report last came; 0: never.
-func (h *Host) LastReport() int64 { return h.lastAt }
+// LastReportTime is when a report last came; 0: never.
+func (h *Host) LastReportTime() int64 { return h.lastAt }
 
 // AddLoad notes that this balancer's own load at the host has grown, or shrunk, by so much in the caller's
 // unit.
@@ -95,7 +95,7 @@
 	return max(0, load)
 }
 
-// Known reports whether a report came that is not too old to go by.
-func (h *Host) Known(now int64) bool {
+// HasRecentReport reports whether a report came that is not too old to go by.
+func (h *Host) HasRecentReport(now int64) bool {
 	return h.changedAt > 0 && float64(now-h.changedAt) < staleAfter+fadeTime
 }
--- a/internal/balancer/loadestimate/host_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -43,7 +43,7 @@
 	if last < 0.85 {
 		t.Errorf("load %.3f after half a minute of the same report, in a fleet at 0.9", last)
 	}
-	if h.Known(30 * sec) {
+	if h.HasRecentReport(30 * sec) {
 		t.Error("known after half a minute of the same report")
 	}
 	h.AddLoad(30*sec, 50)
@@ -54,7 +54,7 @@
 
 func TestUnusableReportsAreIgnored(t *testing.T) {
 	var h Host
-	if x := h.Load(sec, 0, 0.4); x != 0.4 || h.Known(sec) {
+	if x := h.Load(sec, 0, 0.4); x != 0.4 || h.HasRecentReport(sec) {
 		t.Errorf("load %.3f of a host of which nothing is known, expected the usual one", x)
 	}
 	h.Report(sec, 0.6, 3)
@@ -65,7 +65,7 @@
 		t.Errorf("load %.3f and queue %.0f after invalid reports, expected 0.6 and 3", x, h.queue)
 	}
 	h.Report(2*sec, 0.5, math.NaN())
-	if h.queue != 0 || h.LastReport() != 2*sec {
+	if h.queue != 0 || h.LastReportTime() != 2*sec {
 		t.Error("a report without a queue is ignored")
 	}
 	for i := range 10 * maxAdditions {
@@ -76,7 +76,7 @@
 		t.Errorf("load %.3f from %d additions: not merged, or some are lost", x, len(h.additions))
 	}
 	h.Reset()
-	if h.Known(4 * sec) {
+	if h.HasRecentReport(4 * sec) {
 		t.Error("known after a restart")
 	}
 }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -46,7 +46,7 @@
 	interval := b.healthCheckInterval()
 	for _, h := range b.hosts {
 		due := interval
-		if h.reported.LastReport() == 0 {
+		if h.reported.LastReportTime() == 0 {
 			due = minHealthCheckInterval // it may begin to report only once it is checked
 		}
 		check := &h.healthCheck
@@ -114,7 +114,7 @@
 		if h.state != Removed {
 			present++
 		}
-		if h.state == Ready && h.reported.Known(b.now) {
+		if h.state == Ready && h.reported.HasRecentReport(b.now) {
 			own += h.load
 			sum += h.reported.Load(b.now, 0, 0)
 			reporting++
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -101,7 +101,7 @@
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
-	if !result.Status.ProvesNotRun() && r.mayHaveRunOn == nil {
+	if !result.Status.DidNotRun() && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunAt = h, r.sentAt
 	}
 	if !wasEstablished {
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -89,7 +89,7 @@
 	r.inFlight[id] = false
 	wasEstablished := r.established[id]
 	delete(r.established, id)
-	if !status.ProvesNotRun() {
+	if !status.DidNotRun() {
 		r.mayHaveRun[id] = true
 	}
 	closed := wasEstablished || status == OK || r.answered(id)
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -61,8 +61,8 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}[s]
 }
 
-// ProvesNotRun reports whether an attempt that ended so surely had no effect.
-func (s AttemptStatus) ProvesNotRun() bool { return s == Full || s == ConnectFailed || s == TooLate }
+// DidNotRun reports whether an attempt that ended so surely had no effect.
+func (s AttemptStatus) DidNotRun() bool { return s == Full || s == ConnectFailed || s == TooLate }
 
 // Observation says what was observed of an open connection.
 type Observation int
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -39,7 +39,7 @@
 		r.removeIfDone()
 		return
 	}
-	if status.ProvesNotRun() && c.loop.Now()+int64(adoptionRetryDelay) < r.deadline {
+	if status.DidNotRun() && c.loop.Now()+int64(adoptionRetryDelay) < r.deadline {
 		c.loop.After(adoptionRetryDelay, func() {
 			if !r.answered() {
 				r.adopt(a.host.hostID)
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -145,7 +145,7 @@
 func (a *upstreamRequest) notifyEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
-	r.record.AttemptEnded(status.ProvesNotRun())
+	r.record.AttemptEnded(status.DidNotRun())
 	if tracing() {
 		slog.Debug("attempt_ended", "request", r.attributes.ID, "number", a.number, "host", a.host.hostID, "status", status.String(),
 			"established", a.established, "ms", elapsed/1e6)
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -87,10 +87,10 @@
 func (e *effects) Report(event balancer.Event) {
 	switch x := event.(type) {
 	case balancer.HostEjected:
-		slog.Info("host_ejected", "host", x.Host, "reason", "connect_failed", "ejection_ms", x.Ejection/1e6, "consecutive", x.ConsecutiveFailures)
+		slog.Info("host_ejected", "host", x.Host, "reason", "connect_failed", "ejection_ms", x.Duration/1e6, "consecutive", x.ConsecutiveFailures)
 	case balancer.HostReadmitted:
 		slog.Info("host_readmitted", "host", x.Host)
-	case balancer.LedgerPolled:
+	case balancer.LedgerServerChanged:
 		slog.Info("ledger_polled", "ledger_server", x.LedgerServer)
 	case balancer.LedgerUnreachable:
 		slog.Info("ledger_unreachable")
--- a/internal/testbed/simulator/effects.go
+++ b/internal/testbed/simulator/effects.go
@@ -73,10 +73,10 @@
 func eventText(e balancer.Event) string {
 	switch e := e.(type) {
 	case balancer.HostEjected:
-		return fmt.Sprintf("server %s fails to connect, quarantined for %d ms", e.Host, e.Ejection/1e6)
+		return fmt.Sprintf("server %s fails to connect, quarantined for %d ms", e.Host, e.Duration/1e6)
 	case balancer.HostReadmitted:
 		return "server " + e.Host + " accepts again, back in the pool"
-	case balancer.LedgerPolled:
+	case balancer.LedgerServerChanged:
 		return fmt.Sprintf("the book of balancer %d is asked", e.LedgerServer)
 	case balancer.LedgerUnreachable:
 		return "no book answers, on its own"
