--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -69,7 +69,7 @@
 
 // New makes a balancer. Its errors name the setting that cannot be used.
 func New(cfg Config, seed int64, fx Effects) (*Balancer, error) {
-	if err := check(&cfg, fx); err != nil {
+	if err := validate(&cfg, fx); err != nil {
 		return nil, err
 	}
 	b := &Balancer{cfg: cfg, effects: fx, rng: rand.New(rand.NewSource(seed)),
@@ -87,7 +87,7 @@
 	return b, nil
 }
 
-func check(cfg *Config, fx Effects) error {
+func validate(cfg *Config, fx Effects) error {
 	switch {
 	case fx == nil:
 		return ErrNoEffects
@@ -132,7 +132,7 @@
 
 // TimerFired brings back a token that was given to Effects.Schedule. Unknown tokens are ignored.
 func (b *Balancer) TimerFired(now Time, token string) {
-	b.tick(now)
+	b.beginEvent(now)
 	switch timerToken(token) {
 	case timerQueue:
 		b.queue.timerSet = false
@@ -148,8 +148,8 @@
 	}
 }
 
-// tick takes the time of an event; the first one starts the timers.
-func (b *Balancer) tick(now Time) {
+// beginEvent takes the time of an event; the first one starts the timers.
+func (b *Balancer) beginEvent(now Time) {
 	b.now = now
 	if b.traffic.observedSince >= 0 {
 		return
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -59,10 +59,10 @@
 	}
 	f := start(t, cfg, hosts...)
 	f.request("r")
-	zone := f.b.byID[f.last().host].zone
+	zone := f.b.byID[f.lastAttempt().host].zone
 	for range 2 {
 		f.end("r", Error)
-		if f.b.byID[f.last().host].zone != zone {
+		if f.b.byID[f.lastAttempt().host].zone != zone {
 			t.Fatal("a retry with an idempotency key outside its dedup scope")
 		}
 	}
--- a/internal/balancer/costs.go
+++ b/internal/balancer/costs.go
@@ -18,8 +18,8 @@
 	byClass []float64
 }
 
-// expect is the load that a request's connection will bring; 1 where nothing is known.
-func (c *connectionCosts) expect(q *Request) float64 {
+// estimate is the load that a request's connection will bring; 1 where nothing is known.
+func (c *connectionCosts) estimate(q *Request) float64 {
 	cost := q.ExpectedLoad
 	if cost <= 0 {
 		cost = c.byClass[q.Class]
@@ -31,13 +31,13 @@
 		return 1
 	}
 	if q.ExpectedLoad > 0 {
-		c.learn(q.Class, cost)
+		c.addSample(q.Class, cost)
 	}
 	return cost
 }
 
-// learn records the cost of a connection of a class.
-func (c *connectionCosts) learn(class int, cost float64) {
+// addSample records the cost of a connection of a class.
+func (c *connectionCosts) addSample(class int, cost float64) {
 	if c.byClass[class] == 0 {
 		c.byClass[class] = cost
 	}
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -26,16 +26,16 @@
 	d.failures++
 }
 
-// answered notes a list from discovery. Without a poll under way it changes nothing.
-func (d *discoveryPoller) answered() {
+// succeeded notes a list from discovery. Without a poll under way it changes nothing.
+func (d *discoveryPoller) succeeded() {
 	if d.polling {
 		d.polling, d.watching, d.failures = false, true, 0
 	}
 }
 
-// pause is the time to the next poll, before jitter, in nanoseconds. It never grows so long that a drain goes
+// delayAfterFailure is the time to the next poll, before jitter, in nanoseconds. It never grows so long that a drain goes
 // unnoticed.
-func (d *discoveryPoller) pause(pollInterval Time, instances int) float64 {
+func (d *discoveryPoller) delayAfterFailure(pollInterval Time, instances int) float64 {
 	limit := min(float64(pollInterval)/2, maxPollPause)
 	backoff := min(maxPollBackoff, limit/8*math.Pow(2, float64(min(d.failures, 8)-1)))
 	return min(limit, max(backoff, pollSpacing*float64(instances)))
@@ -55,6 +55,6 @@
 	if !b.cfg.PollsDiscovery {
 		return
 	}
-	pause := b.discovery.pause(b.cfg.PollInterval, b.cfg.Instances)
+	pause := b.discovery.delayAfterFailure(b.cfg.PollInterval, b.cfg.Instances)
 	b.schedule(Time(pause*(0.25+0.75*b.rng.Float64())), timerDiscovery)
 }
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// failPolls has discovery fail so many times, each time for as long as wait, and checks that it is polled
+// checkPollsAfterFailures has discovery fail so many times, each time for as long as wait, and checks that it is polled
 // again within a time of each failure.
-func failPolls(t *testing.T, cfg Config, failures int, within, wait Time) {
+func checkPollsAfterFailures(t *testing.T, cfg Config, failures int, within, wait Time) {
 	t.Helper()
 	f := start(t, cfg, fleet(3)...)
 	f.run(cfg.PollInterval)
@@ -26,7 +26,7 @@
 		for _, instances := range []int{1, 30, 300} {
 			cfg := settings()
 			cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, interval, instances
-			failPolls(t, cfg, 20, 5*sec, 6*sec)
+			checkPollsAfterFailures(t, cfg, 20, 5*sec, 6*sec)
 		}
 	}
 }
@@ -36,5 +36,5 @@
 func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
-	failPolls(t, cfg, 12, 3*sec/2, 2*sec)
+	checkPollsAfterFailures(t, cfg, 12, 3*sec/2, 2*sec)
 }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -65,9 +65,9 @@
 		}
 		f := start(t, cfg, fleet(4)...)
 		f.request("r")
-		first := f.last().host
+		first := f.lastAttempt().host
 		f.end("r", c.status)
-		if len(f.attemptsStarted) != 2 || f.last().host == first {
+		if len(f.attemptsStarted) != 2 || f.lastAttempt().host == first {
 			t.Errorf("%s: no retry at another host: %v", c.name, f.attemptsStarted)
 		}
 		if got := f.b.byID[first].ejection.consecutiveFailures; got != c.failures {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -42,11 +42,11 @@
 
 // endpointList is the hosts that discovery has named since the start.
 type endpointList struct {
-	hosts    []*host // sorted by ID: the order of the rotation, the same at every balancer
-	byID     map[string]*host
-	zones    map[string]int // index by name
-	zone     int            // own
-	received bool           // a list with hosts has come
+	hosts        []*host // sorted by ID: the order of the rotation, the same at every balancer
+	byID         map[string]*host
+	zones        map[string]int // index by name
+	ownZone      int            // own
+	listReceived bool           // a list with hosts has come
 }
 
 func newEndpointList(cfg *Config) endpointList {
@@ -54,7 +54,7 @@
 	for _, name := range cfg.Zones {
 		l.zoneIndex(name)
 	}
-	l.zone = l.zoneIndex(cfg.Zone)
+	l.ownZone = l.zoneIndex(cfg.Zone)
 	return l
 }
 
@@ -101,19 +101,19 @@
 
 // ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions.
 func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
-	b.tick(now)
+	b.beginEvent(now)
 	if kind == ListFailed {
 		b.discovery.failed()
 		b.schedulePoll()
 		return
 	}
 	if kind == ListDelta || kind == ListFull {
-		b.discovery.answered()
+		b.discovery.succeeded()
 	}
 	b.updateHosts(kind, entries)
 	clear(b.groups)
-	if !b.received && len(b.hosts) > 0 {
-		b.received = true
+	if !b.listReceived && len(b.hosts) > 0 {
+		b.listReceived = true
 		b.spreadRotation()
 	}
 	if b.hostsReportLoad() {
@@ -162,7 +162,7 @@
 		h.weight = 1
 	}
 	if h.state == Ready && e.State != Ready {
-		b.traffic.hostLeft(b.now, h.weight)
+		b.traffic.hostDeparted(b.now, h.weight)
 	}
 	h.state = e.State
 	return added
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -188,12 +188,12 @@
 
 // failConnect is one failed connect to a host.
 func (f *fake) failConnect(h *host) {
-	f.b.tick(f.now)
+	f.b.beginEvent(f.now)
 	f.b.hostFailed(h, f.now, true)
 }
 
-// last is the newest attempt.
-func (f *fake) last() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
+// lastAttempt is the newest attempt.
+func (f *fake) lastAttempt() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
 
 // establish has the newest attempt of a request set up its connection, after 10 ms.
 func (f *fake) establish(id string) {
@@ -217,7 +217,7 @@
 // serve has a request arrive, its connection be established and end, and returns its host.
 func (f *fake) serve(id string) string {
 	f.request(id)
-	host := f.last().host
+	host := f.lastAttempt().host
 	f.establish(id)
 	f.end(id, OK)
 	return host
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -19,7 +19,7 @@
 			id := fmt.Sprint("r", i)
 			f.b.RequestArrived(f.now, Request{ID: id, Tenant: 0, Group: "g", Remaining: 2 * sec})
 			f.establish(id)
-			homes[f.last().host] = true
+			homes[f.lastAttempt().host] = true
 		}
 	}
 	if len(homes) != 1 {
@@ -33,7 +33,7 @@
 		return 0.5
 	})
 	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
-	if homes[f.last().host] {
+	if homes[f.lastAttempt().host] {
 		t.Error("another connection of the group goes to its home, which is full")
 	}
 }
@@ -46,7 +46,7 @@
 	heavy.Name, heavy.PriorityWeight = "heavy", 3
 	cfg.Classes = append(cfg.Classes, heavy)
 	f := startReporting(t, cfg, fleet(4)...)
-	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.expect(&Request{Class: class})) }
+	turns := func(class int) float64 { return f.b.costs.turns(f.b.costs.estimate(&Request{Class: class})) }
 	if turns(0) != 1 || turns(1) != 1 {
 		t.Errorf("%.2f and %.2f turns before any load is known", turns(0), turns(1))
 	}
--- a/internal/balancer/groupplacement_test.go
+++ b/internal/balancer/groupplacement_test.go
@@ -25,8 +25,8 @@
 			id, group := fmt.Sprint(i), fmt.Sprintf("group%d", rng.Intn(4))
 			f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec})
 			f.establish(id)
-			groupsAtHosts[f.last().host+group] = true
-			connections[f.last().host]++
+			groupsAtHosts[f.lastAttempt().host+group] = true
+			connections[f.lastAttempt().host]++
 			f.now += sec
 		}
 	}
@@ -64,7 +64,7 @@
 				h.messages.delay, h.messages.observedAt = 1, f.now
 			}
 			f.b.RequestArrived(f.now, Request{ID: "q", Group: "g", Remaining: 4800 * ms})
-			attempts[f.last().host]++
+			attempts[f.lastAttempt().host]++
 		}
 		return attempts
 	}
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -15,14 +15,14 @@
 	connections []*request // open ones that this balancer placed
 	load        float64    // of these, in the unit of Request.ExpectedLoad
 
-	deficit     float64 // turns owed: the smooth weighted rotation picks the largest
-	ejection    hostEjection
-	fullUntil   Time // after status Full: it said so, or the proxy stopped an attempt at it
-	errors      errorScore
-	messages    messageDelay
-	slowStart   slowStartBudget
-	reported    loadestimate.Host
-	healthCheck healthCheckState
+	deficit      float64 // turns owed: the smooth weighted rotation picks the largest
+	ejection     hostEjection
+	fullUntil    Time // after status Full: it said so, or the proxy stopped an attempt at it
+	errors       errorScore
+	messages     messageDelay
+	slowStart    slowStartBudget
+	loadEstimate loadestimate.Host
+	healthCheck  healthCheckState
 }
 
 // restarted forgets the failures of the process before: else a host that came back would stay ejected for the
@@ -33,7 +33,7 @@
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
 	h.errors.score = 0
 	h.messages.delay = 0
-	h.reported.Reset()
+	h.loadEstimate.Reset()
 	h.fullUntil = 0
 	h.slowStart = slowStartBudget{tokens: tokens, filledAt: now}
 	h.deficit = min(h.deficit, 0)
@@ -65,7 +65,7 @@
 	h.load -= r.load
 	b.establishedConnections--
 	b.reportPlacement(h, r, -1)
-	b.loadAdded(h, -r.load/b.costs.unit())
+	b.addUnreportedLoad(h, -r.load/b.costs.unit())
 	if last == 0 {
 		h.load = 0 // no rounding error stays
 	}
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -1,13 +1,13 @@
 package ledger
 
 const (
-	maxServers     = 8    // balancers that count, of which one is queried
-	maxMisses      = 2    // queries in a row without a reply, after which the next ledger server is queried
-	maxPending     = 256  // queries that are remembered
-	initialPause   = 3e9  // the first pause without queries once no ledger server replied, in nanoseconds
-	maxPauseDouble = 4    // doublings of it: where no messages arrive hardly any request waits
-	pollInterval   = 2e9  // how often an earlier ledger server is polled, in nanoseconds
-	pendingTimeout = 10e9 // after which a reply counts for nothing, in nanoseconds
+	maxServers        = 8    // balancers that count, of which one is queried
+	maxMisses         = 2    // queries in a row without a reply, after which the next ledger server is queried
+	maxPending        = 256  // queries that are remembered
+	initialPause      = 3e9  // the first pause without queries once no ledger server replied, in nanoseconds
+	maxPauseDoublings = 4    // doublings of it: where no messages arrive hardly any request waits
+	pollInterval      = 2e9  // how often an earlier ledger server is polled, in nanoseconds
+	pendingTimeout    = 10e9 // after which a reply counts for nothing, in nanoseconds
 )
 
 // PendingQuery is a query without a reply yet.
@@ -72,15 +72,15 @@
 // Register notes a query that is sent, and gives its sequence number.
 func (c *Client) Register(q PendingQuery) uint16 {
 	if len(c.pending) >= maxPending {
-		c.forgetPending(q.SentAt)
+		c.evictPending(q.SentAt)
 	}
 	c.sequence++
 	c.pending[c.sequence] = &q
 	return c.sequence
 }
 
-// forgetPending bounds the pending queries: it drops the queries that have timed out, or all where none has.
-func (c *Client) forgetPending(now Time) {
+// evictPending bounds the pending queries: it drops the queries that have timed out, or all where none has.
+func (c *Client) evictPending(now Time) {
 	for sequence, p := range c.pending {
 		if now-p.SentAt > pendingTimeout {
 			delete(c.pending, sequence)
@@ -114,7 +114,7 @@
 // pause stops queries for a time that doubles with each pause in a row; then the first ledger server is
 // queried.
 func (c *Client) pause(now Time) {
-	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDouble)
+	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDoublings)
 	c.pauses++
 }
 
@@ -133,12 +133,12 @@
 		return false
 	}
 	sync = i != c.current || !c.reachable || epoch != c.epoch
-	c.follow(i, epoch)
+	c.setCurrent(i, epoch)
 	return sync
 }
 
-// follow makes a ledger server, by its index, the current one.
-func (c *Client) follow(i int, epoch byte) {
+// setCurrent makes a ledger server, by its index, the current one.
+func (c *Client) setCurrent(i int, epoch byte) {
 	c.current, c.epoch = i, epoch
 	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
 	c.reachable = true
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -73,8 +73,8 @@
 		p.Add(3, i, 1, 8)
 		p.RecordAssignment(5, Time(i))
 	}
-	if len(p.hosts) > maxHosts+1 || len(p.at(5).assignments) > maxAssignmentsPerHost {
-		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.at(5).assignments))
+	if len(p.hosts) > maxHosts+1 || len(p.placementsAt(5).assignments) > maxAssignmentsPerHost {
+		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.placementsAt(5).assignments))
 	}
 }
 
@@ -146,7 +146,7 @@
 		for range 2 * maxServers {
 			c.QueryTimedOut(pauseEnd, "r")
 		}
-		next := pauseEnd + 2*initialPause<<min(i, maxPauseDouble-1)
+		next := pauseEnd + 2*initialPause<<min(i, maxPauseDoublings-1)
 		if c.Server(next-1) >= 0 || c.Server(next) != 0 {
 			t.Errorf("pause %d does not end after %g s", i+2, float64(next-pauseEnd)/1e9)
 		}
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -121,7 +121,9 @@
 	return append(data, byte(group>>16), byte(group>>8), byte(group))
 }
 
-func group(data []byte) uint32 { return uint32(data[0])<<16 | uint32(data[1])<<8 | uint32(data[2]) }
+func decodeGroup(data []byte) uint32 {
+	return uint32(data[0])<<16 | uint32(data[1])<<8 | uint32(data[2])
+}
 
 // Decode reads a message. It returns ErrInvalidMessage for what is none, or torn.
 func Decode(data []byte) (Message, error) {
@@ -160,7 +162,7 @@
 		return nil, ErrInvalidMessage
 	}
 	return Query{Seq: binary.BigEndian.Uint16(data[1:]), Zone: int(data[3] &^ retryBit),
-		Retry: data[3]&retryBit != 0, Units: units, Group: group(data[5:])}, nil
+		Retry: data[3]&retryBit != 0, Units: units, Group: decodeGroup(data[5:])}, nil
 }
 
 func decodeEntries(data []byte) (Entries, error) {
@@ -174,7 +176,7 @@
 			return nil, ErrInvalidMessage
 		}
 		host := binary.BigEndian.Uint32(data[1:])
-		entries = append(entries, Entry{Host: host, Group: group(data[5:]), Units: units})
+		entries = append(entries, Entry{Host: host, Group: decodeGroup(data[5:]), Units: units})
 	}
 	return entries, nil
 }
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -41,9 +41,9 @@
 	return &Placements{hosts: map[uint32]*hostPlacements{}, peers: map[int]map[hostGroup]int{}}
 }
 
-// at gives the placements at a host. Where there are too many hosts all is forgotten: the balancers report
+// placementsAt gives the placements placementsAt a host. Where there are too many hosts all is forgotten: the balancers report
 // all their connections periodically.
-func (p *Placements) at(host uint32) *hostPlacements {
+func (p *Placements) placementsAt(host uint32) *hostPlacements {
 	h := p.hosts[host]
 	if h == nil {
 		if len(p.hosts) >= maxHosts {
@@ -56,7 +56,7 @@
 	return h
 }
 
-func (p *Placements) ofPeer(peer int) map[hostGroup]int {
+func (p *Placements) unitsOf(peer int) map[hostGroup]int {
 	unitsOfPeer := p.peers[peer]
 	if unitsOfPeer == nil {
 		unitsOfPeer = map[hostGroup]int{}
@@ -75,14 +75,14 @@
 // Add adds units to what a balancer holds of a group at a host, or takes them back where they are negative.
 // No count goes below 0, whatever was lost on the way.
 func (p *Placements) Add(peer int, host, group uint32, units int) {
-	unitsOfPeer := p.ofPeer(peer)
+	unitsOfPeer := p.unitsOf(peer)
 	k := hostGroup{host, group}
 	units = max(-unitsOfPeer[k], units)
 	if units == 0 || units > 0 && unitsOfPeer[k] == 0 && len(unitsOfPeer) >= maxEntriesPerPeer {
 		return
 	}
-	h := p.at(host)
-	unitsOfPeer = p.ofPeer(peer) // at may have forgotten all
+	h := p.placementsAt(host)
+	unitsOfPeer = p.unitsOf(peer) // at may have forgotten all
 	if unitsOfPeer[k] += units; unitsOfPeer[k] == 0 {
 		delete(unitsOfPeer, k)
 	}
@@ -92,7 +92,7 @@
 // RemovePeer drops what a balancer holds: its process has restarted, or it reports all again.
 func (p *Placements) RemovePeer(peer int) {
 	for k, units := range p.peers[peer] {
-		p.at(k.host).add(k.group, -units)
+		p.placementsAt(k.host).add(k.group, -units)
 	}
 	delete(p.peers, peer)
 }
@@ -108,7 +108,7 @@
 
 // RecordAssignment notes that a request was assigned to a host.
 func (p *Placements) RecordAssignment(host uint32, now Time) {
-	h := p.at(host)
+	h := p.placementsAt(host)
 	if h.assignments = append(h.assignments, now); len(h.assignments) > maxAssignmentsPerHost {
 		h.assignments = slices.Delete(h.assignments, 0, maxAssignmentsPerHost/2)
 	}
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -12,24 +12,24 @@
 	freshRequestWindow = 1e10
 	// assignLoadSlack is the load over the mean at which a host counts as full, and assignOverfull by how
 	// much more it counts as overfull; assignOverfullCost is what each load beyond that costs in addition.
-	assignLoadSlack    = 1.15
-	assignOverfull     = 4.0
-	assignOverfullCost = 10.0
+	assignLoadSlack      = 1.15
+	assignOverfullMargin = 4.0
+	assignOverfullCost   = 10.0
 	// assignNewGroupCost is the price of a group that is new to a host, beyond what it costs the host.
 	assignNewGroupCost = 1.0
-	// assignFarCost is by how many loads a host in another zone counts as fuller, and assignStallCost a host
+	// assignCrossZoneCost is by how many loads a host in another zone counts as fuller, and assignStallCost a host
 	// that delays messages by the shortest latency objective.
-	assignFarCost   = 2.0
-	assignStallCost = 10.0
+	assignCrossZoneCost = 2.0
+	assignStallCost     = 10.0
 	// assignSlowStartShare is the part of what a warming host may get by chance that the ledger server gives
 	// out; the rest is for requests that had no reply.
 	assignSlowStartShare = 0.75
 )
 
-// assign is the ledger server's choice for a request of any balancer: the host that is least full with it,
+// assignHost is the ledger server's choice for a request of any balancer: the host that is least full with it,
 // where a host that does not hold its group yet pays for that. A warming one takes what its budget leaves,
 // which is counted here for all. nil: no host.
-func (b *Balancer) assign(from int, q ledger.Query) *host {
+func (b *Balancer) assignHost(from int, q ledger.Query) *host {
 	if !q.Retry {
 		b.ledger.freshRequests.Add(b.now, freshRequestWindow, 1)
 	}
@@ -85,9 +85,9 @@
 		newGroup = firstOfGroupCost / (h.weight * warm)
 	}
 	cost += newGroup
-	cost += assignNewGroupCost*newGroup + assignOverfullCost*max(0, cost-full-assignOverfull)
+	cost += assignNewGroupCost*newGroup + assignOverfullCost*max(0, cost-full-assignOverfullMargin)
 	if h.zone != q.Zone {
-		cost += assignFarCost
+		cost += assignCrossZoneCost
 	}
 	return cost + assignStallCost*b.currentMessageDelay(h)
 }
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -19,7 +19,7 @@
 		{150, true, 8}, {150, true, 17}, {300, true, 17}, {300, false, 17}, {150, true, 20},
 	} {
 		x := newPeerNetwork(t, c.balancers, 20, true)
-		x.flow(5*sec, 10, 30, false)
+		x.runTraffic(5*sec, 10, 30, false)
 		var warmingHosts []ListedHost
 		up := x.now
 		for i := range c.warming {
@@ -33,7 +33,7 @@
 		if c.wave {
 			rate = 60
 		}
-		x.flow(8*sec, rate, 30, c.wave)
+		x.runTraffic(8*sec, rate, 30, c.wave)
 		total, largest := 0, 0.0
 		for _, h := range warmingHosts {
 			at := x.attempts[h.ID]
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -8,8 +8,8 @@
 const (
 	// ledgerReplyTimeout is how long a request waits for the ledger server, in nanoseconds. A request with
 	// less than minTimeouts of it left does not query: a wait in vain must cost it little.
-	ledgerReplyTimeout = 150e6
-	minTimeouts        = 8
+	ledgerReplyTimeout   = 150e6
+	minReplyTimeoutsLeft = 8
 )
 
 // placementLedger is this balancer's side of the ledger, as client and as ledger server. No balancer sees
@@ -26,11 +26,11 @@
 
 // ledgerQuery is a request's query to the ledger server.
 type ledgerQuery struct {
-	sent     bool
-	awaiting bool // the reply
-	replied  bool
-	assigned *host // by the reply, until the connection is established; nil: none
-	units    int   // load in messages; 0: not computed yet
+	sent          bool
+	awaitingReply bool // the reply
+	replied       bool
+	assigned      *host // by the reply, until the connection is established; nil: none
+	units         int   // load in messages; 0: not computed yet
 }
 
 func newPlacementLedger(cfg *Config) placementLedger {
@@ -59,19 +59,19 @@
 		return false
 	}
 	r.ledger.sent = true
-	q := ledger.Query{Zone: b.zone, Retry: r.isRetry(), Units: b.ledgerUnits(r),
+	q := ledger.Query{Zone: b.ownZone, Retry: r.isRetry(), Units: b.ledgerUnits(r),
 		Group: ledger.GroupID(stableHash(r.Group))}
 	if server == b.cfg.Instance {
-		r.ledger.assigned, r.ledger.replied = b.assign(server, q), true
+		r.ledger.assigned, r.ledger.replied = b.assignHost(server, q), true
 		return false
 	}
-	if r.deadline-b.now < minTimeouts*ledgerReplyTimeout {
+	if r.deadline-b.now < minReplyTimeoutsLeft*ledgerReplyTimeout {
 		return false
 	}
 	q.Seq = b.ledger.client.Register(
 		ledger.PendingQuery{Request: r.ID, Group: q.Group, Units: q.Units, SentAt: b.now})
 	b.effects.SendToPeer(server, q.Append(nil))
-	r.ledger.awaiting, r.wait.notBefore = true, b.now+ledgerReplyTimeout
+	r.ledger.awaitingReply, r.wait.notBefore = true, b.now+ledgerReplyTimeout
 	b.enqueue(r)
 	return true
 }
@@ -93,21 +93,21 @@
 		return
 	}
 	r := b.requests[query.Request]
-	if r == nil || r.closed || !r.ledger.awaiting || query.Abandoned {
+	if r == nil || r.closed || !r.ledger.awaitingReply || query.Abandoned {
 		if m.Host != 0 {
 			back := ledger.Entry{Host: m.Host, Group: query.Group, Units: -query.Units}
 			b.effects.SendToPeer(from, back.Append(nil))
 		}
 		return
 	}
-	r.ledger.assigned, r.ledger.replied, r.ledger.awaiting = b.hostByHash(m.Host), true, false
+	r.ledger.assigned, r.ledger.replied, r.ledger.awaitingReply = b.hostByHash(m.Host), true, false
 	r.wait.queued, r.wait.notBefore = false, 0
 	b.place(r)
 }
 
 // ledgerQueryTimedOut ends a request's wait for the reply; the caller places it without one.
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
-	r.ledger.awaiting, r.wait.notBefore = false, 0
+	r.ledger.awaitingReply, r.wait.notBefore = false, 0
 	b.ledger.client.QueryTimedOut(b.now, r.ID)
 	if b.ledger.client.Server(b.now) < 0 {
 		b.effects.Report(LedgerUnreachable{})
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -9,8 +9,8 @@
 	var groupsAtHosts [2]int
 	for i, withLedger := range []bool{false, true} {
 		x := newPeerNetwork(t, 60, 30, withLedger)
-		x.flow(25*sec, 12, 15, false)
-		fullest[i], groupsAtHosts[i] = x.balance()
+		x.runTraffic(25*sec, 12, 15, false)
+		fullest[i], groupsAtHosts[i] = x.loadBalance()
 		if len(x.waiting) > 3 {
 			t.Errorf("ledger %t: %d requests wait", withLedger, len(x.waiting))
 		}
@@ -28,25 +28,25 @@
 func TestWithoutLedgerServer(t *testing.T) {
 	x := newPeerNetwork(t, 40, 20, true)
 	x.lossRate = 0.2
-	x.flow(10*sec, 8, 15, false)
-	x.dead[0] = true
-	x.flow(8*sec, 8, 15, false)
+	x.runTraffic(10*sec, 8, 15, false)
+	x.down[0] = true
+	x.runTraffic(8*sec, 8, 15, false)
 	queryingOther := 0
 	for instance, f := range x.balancers {
-		if !x.dead[instance] && f.b.ledger.client.Server(x.now) != 0 {
+		if !x.down[instance] && f.b.ledger.client.Server(x.now) != 0 {
 			queryingOther++
 		}
 	}
 	if queryingOther < 10 {
 		t.Errorf("%d of 39 balancers query another ledger server", queryingOther)
 	}
-	x.checkWaiting(t, "without the first ledger server")
+	x.checkNoLongWaits(t, "without the first ledger server")
 	x.restart(t, 0, 1)
-	x.flow(12*sec, 8, 15, false)
-	queryingFirst := x.queryingFirstServer()
+	x.runTraffic(12*sec, 8, 15, false)
+	queryingFirst := x.countQueryingFirstServer()
 	t.Logf("%d query another ledger server, %d the first one again; it counts %.0f of %d connections",
 		queryingOther, queryingFirst, x.ledgerConnections(), len(x.connections))
-	if queryingFirst < 38 || x.ledgerError() > 0.25*float64(len(x.connections)) {
+	if queryingFirst < 38 || x.ledgerCountError() > 0.25*float64(len(x.connections)) {
 		t.Errorf("%d of 40 query the first ledger server, which counts %.0f of %d connections",
 			queryingFirst, x.ledgerConnections(), len(x.connections))
 	}
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -30,7 +30,7 @@
 		b.syncLedger()
 	}
 	if server := l.client.ServerToPoll(b.now); server == b.cfg.Instance {
-		b.ledgerServerSeen(server, l.epoch)
+		b.followLedgerServer(server, l.epoch)
 	} else if server >= 0 {
 		b.effects.SendToPeer(server, ledger.Poll{}.Append(nil))
 	}
@@ -42,24 +42,24 @@
 	if err != nil {
 		return false
 	}
-	b.handleLedger(from, message)
+	b.handleLedgerMessage(from, message)
 	return true
 }
 
-func (b *Balancer) handleLedger(from int, message ledger.Message) {
+func (b *Balancer) handleLedgerMessage(from int, message ledger.Message) {
 	switch m := message.(type) {
 	case ledger.Query:
 		reply := ledger.Reply{Seq: m.Seq}
-		if h := b.assign(from, m); h != nil {
+		if h := b.assignHost(from, m); h != nil {
 			reply.Host = uint32(h.hash)
 		}
 		reply.Epoch = b.ledger.epoch
 		b.effects.SendToPeer(from, reply.Append(nil))
 	case ledger.Reply:
-		b.ledgerServerSeen(from, m.Epoch)
+		b.followLedgerServer(from, m.Epoch)
 		b.ledgerReplyReceived(from, m)
 	case ledger.Announcement:
-		b.ledgerServerSeen(from, m.Epoch)
+		b.followLedgerServer(from, m.Epoch)
 	case ledger.Poll:
 		b.effects.SendToPeer(from, ledger.Announcement{Epoch: b.ledger.epoch}.Append(nil))
 	case ledger.Sync:
@@ -80,9 +80,9 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// ledgerServerSeen plans to send all connections of this balancer to a ledger server that does not know them:
+// followLedgerServer plans to send all connections of this balancer to a ledger server that does not know them:
 // after a random wait, since all balancers see it together.
-func (b *Balancer) ledgerServerSeen(from int, epoch byte) {
+func (b *Balancer) followLedgerServer(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.ServerMessageReceived(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
 		b.effects.Report(LedgerServerChanged{LedgerServer: from})
@@ -150,7 +150,7 @@
 // sendToLedgerServer sends a message, or handles it where this balancer is that server.
 func (b *Balancer) sendToLedgerServer(server int, m ledger.Message) {
 	if server == b.cfg.Instance {
-		b.handleLedger(server, m)
+		b.handleLedgerMessage(server, m)
 		return
 	}
 	b.effects.SendToPeer(server, m.Append(nil))
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -29,7 +29,7 @@
 type Host struct {
 	reported, queue float64
 	changedAt       int64 // when a report last brought another figure; 0: never
-	lastAt          int64 // when a report last came; 0: never
+	reportedAt      int64 // when a report last came; 0: never
 	additions       []addition
 }
 
@@ -43,7 +43,7 @@
 	if !(queue >= 0) {
 		queue = 0
 	}
-	h.lastAt = now
+	h.reportedAt = now
 	if h.changedAt > 0 && load == h.reported && queue == h.queue {
 		return
 	}
@@ -55,7 +55,7 @@
 func (h *Host) Reset() { *h = Host{} }
 
 // LastReportTime is when a report last came; 0: never.
-func (h *Host) LastReportTime() int64 { return h.lastAt }
+func (h *Host) LastReportTime() int64 { return h.reportedAt }
 
 // AddLoad notes that this balancer's own load at the host has grown, or shrunk, by so much in the caller's
 // unit.
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// healthCheckTimer is the time between two searches for hosts that are due for a health check, and
+	// healthCheckScanInterval is the time between two searches for hosts that are due for a health check, and
 	// minHealthCheckInterval the shortest time between two checks of one host, in nanoseconds.
-	healthCheckTimer       = 2.5e8
-	minHealthCheckInterval = 5e8
+	healthCheckScanInterval = 2.5e8
+	minHealthCheckInterval  = 5e8
 	// healthCheckBudget is what health checks may cost, as part of the value of the requests.
 	healthCheckBudget = 0.005
-	// minHealthCheckRate is for how many requests a second hosts are checked at least.
-	minHealthCheckRate = 0.2
+	// minHealthCheckRequestRate is for how many requests a second hosts are checked at least.
+	minHealthCheckRequestRate = 0.2
 	// quotaCapacityShare is the part of the fleet's capacity to which the tenants' quotas add up.
 	quotaCapacityShare = 0.8
 	// Load from which connections are migrated off a host, the load to which, and the mean load of the fleet
@@ -41,12 +41,12 @@
 // startHealthChecks checks each host again once its last check began longer ago than the price of another
 // justifies: the more requests there are to be placed by it, the sooner.
 func (b *Balancer) startHealthChecks() {
-	b.schedule(healthCheckTimer, timerHealthCheck)
+	b.schedule(healthCheckScanInterval, timerHealthCheck)
 	b.updateFleetLoad()
 	interval := b.healthCheckInterval()
 	for _, h := range b.hosts {
 		due := interval
-		if h.reported.LastReportTime() == 0 {
+		if h.loadEstimate.LastReportTime() == 0 {
 			due = minHealthCheckInterval // it may begin to report only once it is checked
 		}
 		check := &h.healthCheck
@@ -63,7 +63,7 @@
 func (b *Balancer) healthCheckInterval() Time {
 	t := &b.traffic
 	t.fade(b.now)
-	rate := max(minHealthCheckRate, t.endRate, t.fresh/t.window(b.now))
+	rate := max(minHealthCheckRequestRate, t.endRate, t.freshRequests/t.window(b.now))
 	price := float64(len(b.hosts)) * b.cfg.Prices.HealthCheck
 	return max(minHealthCheckInterval, Time(1e9*price/(healthCheckBudget*rate)))
 }
@@ -71,7 +71,7 @@
 // HealthCheckEnded takes the result of a health check. One that fails says nothing of the host's load, and
 // what was known fades.
 func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, load []float64) {
-	b.tick(now)
+	b.beginEvent(now)
 	if h := b.byID[id]; h != nil {
 		h.healthCheck.inFlight = false
 		if status == OK {
@@ -90,19 +90,19 @@
 	if j >= 0 && j < len(report) {
 		queue = report[j]
 	}
-	h.reported.Report(b.now, report[i], queue)
-	b.migrateFromFull(h)
+	h.loadEstimate.Report(b.now, report[i], queue)
+	b.migrateFromFullHost(h)
 }
 
-// loadAdded notes load that no report holds yet, in mean connections. The other balancers have the same
+// addUnreportedLoad notes load that no report holds yet, in mean connections. The other balancers have the same
 // reports and place by them too: somewhere between nothing and as much each.
-func (b *Balancer) loadAdded(h *host, turns float64) {
-	h.reported.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
+func (b *Balancer) addUnreportedLoad(h *host, turns float64) {
+	h.loadEstimate.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
 
 // currentLoad is how loaded a host is now; 1 is full.
 func (b *Balancer) currentLoad(h *host) float64 {
-	return h.reported.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
+	return h.loadEstimate.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
 }
 
 // updateFleetLoad records how loaded the fleet is, and how many mean connections fill one host. The tenants'
@@ -114,9 +114,9 @@
 		if h.state != Removed {
 			present++
 		}
-		if h.state == Ready && h.reported.HasRecentReport(b.now) {
+		if h.state == Ready && h.loadEstimate.HasRecentReport(b.now) {
 			own += h.load
-			sum += h.reported.Load(b.now, 0, 0)
+			sum += h.loadEstimate.Load(b.now, 0, 0)
 			reporting++
 		}
 	}
@@ -130,9 +130,9 @@
 	}
 }
 
-// migrateFromFull migrates some connections off a host that has more than it can do, where others have spare
+// migrateFromFullHost migrates some connections off a host that has more than it can do, where others have spare
 // capacity. Each balancer migrates by chance a part of its own, since all get the same report.
-func (b *Balancer) migrateFromFull(h *host) {
+func (b *Balancer) migrateFromFullHost(h *host) {
 	load, mean := b.currentLoad(h), b.fleetLoad.mean
 	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
 		return
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -147,14 +147,14 @@
 	cfg.Instances = 3
 	f := startReporting(t, cfg, fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.6 })
-	f.b.costs.learn(0, 1000)
+	f.b.costs.addSample(0, 1000)
 	f.request("a")
 	f.establish("a")
 	f.now += 250 * ms
 	for i := range 50 {
 		f.reportLoads(func(int) float64 { return 0.6 + float64(i)/1e4 })
 	}
-	if x := f.b.currentLoad(f.b.byID[f.last().host]); x > 0.7 {
+	if x := f.b.currentLoad(f.b.byID[f.lastAttempt().host]); x > 0.7 {
 		t.Errorf("load %.2f: one connection of some 500 filled a host at 0.6", x)
 	}
 	if len(f.migrations) > 0 {
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -37,7 +37,7 @@
 
 // AttemptEstablished notes that an attempt, counted from 0, has set up its connection in the time elapsed.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || !r.attemptInFlight || r.established || attempt != r.attempts-1 {
 		return
@@ -65,7 +65,7 @@
 // AttemptEnded handles the end of an attempt or of its open connection, and decides whether the request is
 // placed again: after an attempt without a connection it is, unless it is closed or the attempt was TooLate.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[result.RequestID]
 	if r == nil || !r.attemptInFlight || result.Attempt != r.attempts-1 {
 		return
@@ -140,7 +140,7 @@
 
 // ClientLeft closes a request whose client has left: no answer is owed any more.
 func (b *Balancer) ClientLeft(now Time, id string) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || r.closed {
 		return
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -17,7 +17,7 @@
 	inFlight        []datagram
 	lossRate        float64
 	lostKind        byte         // a kind of message that is lost
-	dead            map[int]bool // neither send nor receive
+	down            map[int]bool // neither send nor receive
 	bytes           int
 	connections     map[string]*fake // by request: the balancer that placed it
 	connectionOrder []string
@@ -42,7 +42,7 @@
 func (k *networkedFake) SendToPeer(peer int, data []byte) {
 	x := k.network
 	for to := range x.balancers {
-		if to == k.instance || peer >= 0 && to != peer || x.dead[k.instance] || x.dead[to] ||
+		if to == k.instance || peer >= 0 && to != peer || x.down[k.instance] || x.down[to] ||
 			data[0] == x.lostKind || x.rng.Float64() < x.lossRate {
 			continue
 		}
@@ -54,7 +54,7 @@
 
 func newPeerNetwork(t *testing.T, n, hosts int, mayGossip bool) *peerNetwork {
 	t.Helper()
-	x := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, dead: map[int]bool{},
+	x := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, down: map[int]bool{},
 		connections: map[string]*fake{}, waiting: map[string]Time{}, instanceOf: map[string]int{},
 		attempts: map[string][]Time{}}
 	for instance := range n {
@@ -92,12 +92,12 @@
 		for _, m := range messages {
 			if m.at > x.now {
 				x.inFlight = append(x.inFlight, m)
-			} else if f := x.balancers[m.to]; !x.dead[m.to] {
+			} else if f := x.balancers[m.to]; !x.down[m.to] {
 				f.b.PeerMessageReceived(f.now, m.from, m.data)
 			}
 		}
 		for instance, f := range x.balancers {
-			if x.dead[instance] {
+			if x.down[instance] {
 				f.now = x.now
 				continue
 			}
@@ -119,23 +119,23 @@
 	f.attemptsStarted = nil
 }
 
-// group draws one of 20 groups, of which the first has a sixth of the requests.
-func (x *peerNetwork) group() string {
+// randomGroup draws one of 20 groups, of which the first has a sixth of the requests.
+func (x *peerNetwork) randomGroup() string {
 	return fmt.Sprint("g", int(20*math.Pow(x.rng.Float64(), 2)))
 }
 
-// flow has so many requests a second arrive for a time, at balancers drawn at random. Connections last for so
+// runTraffic has so many requests a second arrive for a time, at balancers drawn at random. Connections last for so
 // many seconds in the mean.
-func (x *peerNetwork) flow(d Time, rate, lifetime float64, returned bool) {
+func (x *peerNetwork) runTraffic(d Time, rate, lifetime float64, returned bool) {
 	step := 20 * ms
 	for end := x.now + d; x.now < end; {
 		for n := rate * float64(step) / 1e9; n > 0; n-- {
 			if x.rng.Float64() >= n {
 				continue
 			}
-			if instance := x.rng.Intn(len(x.balancers)); !x.dead[instance] {
+			if instance := x.rng.Intn(len(x.balancers)); !x.down[instance] {
 				id := fmt.Sprintf("%x", x.rng.Int63())
-				x.arrive(instance, Request{ID: id, Tenant: 0, Group: x.group(), Returned: returned,
+				x.arrive(instance, Request{ID: id, Tenant: 0, Group: x.randomGroup(), Returned: returned,
 					Remaining: 4800 * ms})
 			}
 		}
@@ -151,8 +151,8 @@
 	}
 }
 
-// balance is the connections of the fullest host over the mean, and at how many hosts groups are, in sum.
-func (x *peerNetwork) balance() (fullest float64, groupsAtHosts int) {
+// loadBalance is the connections of the fullest host over the mean, and at how many hosts groups are, in sum.
+func (x *peerNetwork) loadBalance() (fullest float64, groupsAtHosts int) {
 	connections, groups := map[string]int{}, map[string]bool{}
 	for id, f := range x.connections {
 		r := f.b.requests[id]
@@ -166,8 +166,8 @@
 	return fullest, len(groups)
 }
 
-// queryingFirstServer counts the balancers that query the first ledger server.
-func (x *peerNetwork) queryingFirstServer() (n int) {
+// countQueryingFirstServer counts the balancers that query the first ledger server.
+func (x *peerNetwork) countQueryingFirstServer() (n int) {
 	for _, f := range x.balancers {
 		if f.b.ledger.client.Server(x.now) == 0 {
 			n++
@@ -185,8 +185,8 @@
 	return n
 }
 
-// ledgerError is by how many connections the first ledger server's count is off.
-func (x *peerNetwork) ledgerError() float64 {
+// ledgerCountError is by how many connections the first ledger server's count is off.
+func (x *peerNetwork) ledgerCountError() float64 {
 	return math.Abs(x.ledgerConnections() - float64(len(x.connections)))
 }
 
@@ -194,7 +194,7 @@
 func (x *peerNetwork) restart(t *testing.T, from, to int) {
 	t.Helper()
 	for instance := from; instance < to; instance++ {
-		x.dead[instance] = false
+		x.down[instance] = false
 		x.balancers[instance] =
 			x.startBalancer(t, instance, len(x.balancers), len(x.balancers[0].b.hosts), true)
 	}
@@ -205,8 +205,8 @@
 	}
 }
 
-// checkWaiting fails the test where a request has waited for longer than the time of three replies.
-func (x *peerNetwork) checkWaiting(t *testing.T, name string) {
+// checkNoLongWaits fails the test where a request has waited for longer than the time of three replies.
+func (x *peerNetwork) checkNoLongWaits(t *testing.T, name string) {
 	t.Helper()
 	for id, at := range x.waiting {
 		if x.now-at > 3*ledgerReplyTimeout {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -32,7 +32,7 @@
 
 // RequestArrived takes a client's request: from here on it is owed one final answer.
 func (b *Balancer) RequestArrived(now Time, q Request) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.admit(q)
 	if r == nil {
 		return
@@ -48,7 +48,7 @@
 // start, handed over by another process, or at a host that came from another pool. One to an unknown host is
 // ignored.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
-	b.tick(now)
+	b.beginEvent(now)
 	h := b.byID[id]
 	if h == nil {
 		return
@@ -67,7 +67,7 @@
 	if q.Tenant < 0 || q.Tenant >= len(b.cfg.Tenants) {
 		q.Tenant = -1
 	}
-	r := &request{Request: q, cost: b.costs.expect(&q)}
+	r := &request{Request: q, cost: b.costs.estimate(&q)}
 	b.requests[q.ID] = r
 	return r
 }
@@ -115,7 +115,7 @@
 	if h.ejection.consecutiveFailures > 0 {
 		h.ejection.trials++
 	}
-	b.loadAdded(h, turns)
+	b.addUnreportedLoad(h, turns)
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -51,7 +51,7 @@
 		case b.now < r.wait.notBefore:
 			b.enqueue(r)
 		default:
-			if r.ledger.awaiting { // notBefore was the reply's timeout
+			if r.ledger.awaitingReply { // notBefore was the reply's timeout
 				b.ledgerQueryTimedOut(r)
 			}
 			b.place(r)
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -12,7 +12,7 @@
 func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
-	if got := f.last().timeout; got < 990*ms {
+	if got := f.lastAttempt().timeout; got < 990*ms {
 		t.Fatalf("the first attempt of a new process has a timeout of %d ms of 2,000", got/ms)
 	}
 	for i := range 8 {
@@ -23,12 +23,12 @@
 		f.establish(id)
 	}
 	f.request("b")
-	if got := f.last().timeout; got > 600*ms {
+	if got := f.lastAttempt().timeout; got > 600*ms {
 		t.Fatalf("set-ups take 20 ms, and the timeout is %d ms", got/ms)
 	}
 	f.now += 500 * ms // since the last set-up the queue may have grown as long as that
 	f.request("c")
-	if got := f.last().timeout; got < 500*ms {
+	if got := f.lastAttempt().timeout; got < 500*ms {
 		t.Fatalf("500 ms after the last set-up the timeout is %d ms", got/ms)
 	}
 }
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -154,7 +154,7 @@
 // host, for a loaded one, and for one that fails or delays messages.
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
-	if h.zone != b.zone {
+	if h.zone != b.ownZone {
 		far := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
 		w *= far + (1-far)*b.shedding.crossZoneShare
 	}
@@ -175,7 +175,7 @@
 // load is divided.
 func (b *Balancer) tieBreakReach(p *pick, c *candidate, widest float64) (reach, size float64) {
 	reach, size = tieBreakSlack*c.weight/widest, c.weight
-	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
+	if p.sparse && c.host.zone%zoneSets == b.ownZone%zoneSets {
 		reach, size = 2*tieBreakSlack, c.host.weight
 	}
 	if b.hostsReportLoad() {
--- a/internal/balancer/rotation_test.go
+++ b/internal/balancer/rotation_test.go
@@ -56,7 +56,7 @@
 		for k := range 4 {
 			f.request(fmt.Sprint(k))
 			f.establish(fmt.Sprint(k))
-			connections[f.last().host]++
+			connections[f.lastAttempt().host]++
 		}
 	}
 	for host, n := range connections {
@@ -79,7 +79,7 @@
 		for i := range 40 {
 			f.request(fmt.Sprint(prefix, i))
 			f.establish(fmt.Sprint(prefix, i))
-			if f.b.byID[f.last().host].zone != f.b.zone {
+			if f.b.byID[f.lastAttempt().host].zone != f.b.ownZone {
 				n++
 			}
 		}
@@ -88,7 +88,7 @@
 	before := crossings("a")
 	for range 10 {
 		for k := range 40 {
-			if id := fmt.Sprint("a", k); f.b.requests[id].host.zone == f.b.zone {
+			if id := fmt.Sprint("a", k); f.b.requests[id].host.zone == f.b.ownZone {
 				f.b.Observe(f.now, id, 0, ObservedLatency, 150)
 			}
 		}
--- a/internal/balancer/parts_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -18,7 +18,7 @@
 		{1, 300, 4 * sec, 2 * sec},   // half the interval
 	} {
 		d := discoveryPoller{failures: c.failures}
-		if got := Time(d.pause(c.interval, c.instances)); got != c.want {
+		if got := Time(d.delayAfterFailure(c.interval, c.instances)); got != c.want {
 			t.Errorf("%+v: a pause of %d ms", c, got/ms)
 		}
 	}
@@ -83,15 +83,15 @@
 
 func TestConnectionCosts(t *testing.T) {
 	c := connectionCosts{byClass: make([]float64, 2)}
-	if c.expect(&Request{}) != 1 || c.turns(5) != 1 {
+	if c.estimate(&Request{}) != 1 || c.turns(5) != 1 {
 		t.Error("a cost is known before any was seen")
 	}
-	c.learn(0, 100)
+	c.addSample(0, 100)
 	for _, q := range []struct {
 		request Request
 		want    float64
 	}{{Request{Class: 0}, 100}, {Request{Class: 1}, 100}, {Request{Class: 1, ExpectedLoad: 200}, 200}} {
-		if got := c.expect(&q.request); got != q.want {
+		if got := c.estimate(&q.request); got != q.want {
 			t.Errorf("%+v: %g, expected %g", q.request, got, q.want)
 		}
 	}
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -63,7 +63,7 @@
 	var own, other zoneLoad
 	for _, h := range b.hosts {
 		zone := &own
-		if h.zone != b.zone {
+		if h.zone != b.ownZone {
 			zone = &other
 		}
 		load := h.load
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -50,7 +50,7 @@
 		id := fmt.Sprint("o", i)
 		f.request(id)
 		f.establish(id)
-		if f.last().host == "s02" {
+		if f.lastAttempt().host == "s02" {
 			atStalled = append(atStalled, id)
 		}
 	}
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -108,13 +108,13 @@
 	t := &b.traffic
 	seconds := float64(b.cfg.SlowStartOverloadWindow) / 1e9
 	// The chance that no request comes to this balancer within the window.
-	unused := math.Exp(-(t.fresh/t.window(b.now) + t.retries.Sum/seconds) * seconds)
+	unused := math.Exp(-(t.freshRequests/t.window(b.now) + t.retries.Sum/seconds) * seconds)
 	rate := b.slowStartRate(h)
 	if t.expectedRate <= 0 {
 		// Without quotas: fresh requests as seen here, and at least as many as give the host, within its slow
 		// start, as many connections as others of its size hold.
 		establishedRate := float64(b.establishedConnections) * 1e9 / float64(b.cfg.SlowStartDuration)
-		rate = b.slowStartShare(h) * max(estimateRate(t.fresh, t.window(b.now), 0), establishedRate)
+		rate = b.slowStartShare(h) * max(estimateRate(t.freshRequests, t.window(b.now), 0), establishedRate)
 	}
 	chance := share * unused * rate * float64(b.cfg.Instances) / r.similarPerSecond
 	const draws = 1 << 20
@@ -129,7 +129,7 @@
 		share = lotteryRetryShare
 	}
 	if len(b.zones) > 1 {
-		if h.zone == b.zone {
+		if h.zone == b.ownZone {
 			share *= 2 - lotteryFarShare
 		} else {
 			share *= lotteryFarShare
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -40,7 +40,7 @@
 // two processes of a hot restart are one balancer and have one budget.
 func (b *Balancer) Snapshot(yield bool) Snapshot {
 	t := &b.traffic
-	s := Snapshot{Started: t.observedSince, RateAt: t.fadedAt, Rate: t.endRate, Fresh: t.fresh,
+	s := Snapshot{Started: t.observedSince, RateAt: t.fadedAt, Rate: t.endRate, Fresh: t.freshRequests,
 		MeanCost: b.costs.mean, ClassCost: append([]float64(nil), b.costs.byClass...)}
 	for _, h := range b.hosts {
 		s.Servers = append(s.Servers, h.snapshot())
@@ -62,27 +62,27 @@
 // Restore takes the snapshot of another process of this balancer, as far as it is about hosts as they are
 // now. What lies in the future or is no plausible number is ignored.
 func (b *Balancer) Restore(now Time, s Snapshot) {
-	b.tick(now)
+	b.beginEvent(now)
 	t := &b.traffic
-	if s.Started > 0 && inPast(now, s.Started, s.RateAt) && plausible(s.Rate, s.Fresh, s.MeanCost) {
-		t.observedSince, t.fadedAt, t.endRate, t.fresh = s.Started, s.RateAt, s.Rate, s.Fresh
-		if s.MeanCost > 0 && len(s.ClassCost) == len(b.costs.byClass) && plausible(s.ClassCost...) {
+	if s.Started > 0 && validTimes(now, s.Started, s.RateAt) && validValues(s.Rate, s.Fresh, s.MeanCost) {
+		t.observedSince, t.fadedAt, t.endRate, t.freshRequests = s.Started, s.RateAt, s.Rate, s.Fresh
+		if s.MeanCost > 0 && len(s.ClassCost) == len(b.costs.byClass) && validValues(s.ClassCost...) {
 			b.costs.mean = s.MeanCost
 			copy(b.costs.byClass, s.ClassCost)
 		}
 	}
 	for i := range s.Servers {
 		k := &s.Servers[i]
-		if h := b.byID[k.ID]; h != nil && h.startedAt == k.Since && b.usable(k) {
+		if h := b.byID[k.ID]; h != nil && h.startedAt == k.Since && b.plausibleHost(k) {
 			h.restore(k)
 		}
 	}
 }
 
-// usable reports whether a host's snapshot can be believed.
-func (b *Balancer) usable(k *HostSnapshot) bool {
-	return k.Fails >= 0 && inPast(b.now, k.FailedAt, k.IllAt, k.DelayAt, k.TokensAt) &&
-		plausible(k.Ill, k.Delay) && !math.IsNaN(k.Tokens) && k.Tokens <= maxRestoredTokens &&
+// plausibleHost reports whether a host's snapshot can be believed.
+func (b *Balancer) plausibleHost(k *HostSnapshot) bool {
+	return k.Fails >= 0 && validTimes(b.now, k.FailedAt, k.IllAt, k.DelayAt, k.TokensAt) &&
+		validValues(k.Ill, k.Delay) && !math.IsNaN(k.Tokens) && k.Tokens <= maxRestoredTokens &&
 		k.Until <= b.now+b.ejection.max && k.Passed <= b.now+b.retryStorm.longestObjective
 }
 
@@ -94,7 +94,7 @@
 	h.slowStart = slowStartBudget{tokens: max(0, k.Tokens), filledAt: max(k.TokensAt, k.Since)}
 }
 
-func inPast(now Time, times ...Time) bool {
+func validTimes(now Time, times ...Time) bool {
 	for _, t := range times {
 		if t < 0 || t > now {
 			return false
@@ -103,7 +103,7 @@
 	return true
 }
 
-func plausible(values ...float64) bool {
+func validValues(values ...float64) bool {
 	for _, v := range values {
 		if math.IsNaN(v) || v < 0 || v > maxRestoredValue {
 			return false
--- a/internal/balancer/sparse_fleet_test.go
+++ b/internal/balancer/sparse_fleet_test.go
@@ -220,7 +220,7 @@
 			}
 			continue
 		}
-		if f.last().host == "s03" {
+		if f.lastAttempt().host == "s03" {
 			toWarming++
 		} else {
 			toOthers++
--- a/internal/balancer/stallgossip/message.go
+++ b/internal/balancer/stallgossip/message.go
@@ -6,7 +6,7 @@
 import "encoding/binary"
 
 const (
-	kindSlow    = 1
+	kindStall   = 1
 	recordBytes = 6
 	maxRecords  = 42 // that a datagram of 256 bytes holds
 )
@@ -22,14 +22,14 @@
 	if len(message)+recordBytes > maxRecords*recordBytes {
 		return message
 	}
-	message = binary.BigEndian.AppendUint32(append(message, kindSlow), r.Host)
+	message = binary.BigEndian.AppendUint32(append(message, kindStall), r.Host)
 	return append(message, byte(min(255, max(0, r.Delay*4))))
 }
 
 // Decode calls handle with each record. A torn record or one of another kind ends it, since the length of the
 // records of later versions is unknown.
 func Decode(message []byte, handle func(Record)) {
-	for ; len(message) >= recordBytes && message[0] == kindSlow; message = message[recordBytes:] {
+	for ; len(message) >= recordBytes && message[0] == kindStall; message = message[recordBytes:] {
 		handle(Record{Host: binary.BigEndian.Uint32(message[1:]), Delay: float64(message[5]) / 4})
 	}
 }
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -63,7 +63,7 @@
 
 // Observe takes an observation of an open connection.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || !r.established || attempt != r.attempts-1 {
 		return
@@ -75,7 +75,7 @@
 		h.load += load - r.load
 		r.load = load
 		if r.ExpectedLoad <= 0 {
-			b.costs.learn(r.Class, max(load, 1))
+			b.costs.addSample(r.Class, max(load, 1))
 		}
 	case ObservedLatency:
 		if objective := b.shortestMessageObjective(); objective > 0 {
@@ -130,7 +130,7 @@
 // PeerMessageReceived takes a message of another balancer: of the placement ledger, or of stalled hosts.
 // Where each balancer holds a connection or two, most would learn of a stalled host only by using it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
-	b.tick(now)
+	b.beginEvent(now)
 	if b.ledgerMessageReceived(from, data) {
 		return
 	}
--- a/internal/balancer/stalls_test.go
+++ b/internal/balancer/stalls_test.go
@@ -47,7 +47,7 @@
 	attempts := 0
 	for _, f := range balancers[16:] {
 		f.request("r")
-		if f.last().host == "s01" {
+		if f.lastAttempt().host == "s01" {
 			attempts++
 		}
 		f.establish("r")
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -16,28 +16,28 @@
 // one balancer of many sees little traffic, the estimates rely on the quotas.
 type traffic struct {
 	instances      float64
-	memory         Time // longest time over which rates are counted
+	maxWindow      Time // longest time over which rates are counted
 	overloadWindow Time // in which a wave counts
 
-	observedSince Time    // the first event; -1: there was none
-	endRate       float64 // connections that end by themselves a second, in mean connections
-	fresh         float64 // first attempts within the rate window
-	fadedAt       Time    // of endRate and fresh
-	retries       decay.Counter
-	leftWeight    decay.Counter // of hosts that have begun to send their clients away
+	observedSince  Time    // the first event; -1: there was none
+	endRate        float64 // connections that end by themselves a second, in mean connections
+	freshRequests  float64 // first attempts within the rate window
+	fadedAt        Time    // of endRate and fresh
+	retries        decay.Counter
+	departedWeight decay.Counter // of hosts that have begun to send their clients away
 
 	expectedRate        float64 // fresh connections a second here, by the quotas; 0: there are none
 	expectedConnections float64 // open connections at all balancers, by the quotas
 
-	fleetWeight   float64
-	fleetWeightAt Time
-	fleetMemory   Time // time constant with which the weight sinks
+	fleetWeight      float64
+	fleetWeightAt    Time
+	fleetWeightDecay Time // time constant with which the weight sinks
 }
 
 func newTraffic(cfg *Config, ejectionInitial Time) traffic {
-	t := traffic{instances: float64(cfg.Instances), memory: max(cfg.SlowStartDuration, ejectionInitial),
+	t := traffic{instances: float64(cfg.Instances), maxWindow: max(cfg.SlowStartDuration, ejectionInitial),
 		overloadWindow: cfg.SlowStartOverloadWindow, observedSince: -1,
-		fleetMemory: 2*cfg.SlowStartDuration + 1}
+		fleetWeightDecay: 2*cfg.SlowStartDuration + 1}
 	for _, tenant := range cfg.Tenants {
 		t.expectedRate += usualQuotaShare * tenant.RateQuota / float64(cfg.Instances)
 		t.expectedConnections += usualQuotaShare * tenant.ConnectionQuota
@@ -47,7 +47,7 @@
 
 // window is the time over which rates are counted, in seconds.
 func (t *traffic) window(now Time) float64 {
-	return min(float64(t.memory)/1e9, max(minRateWindow, float64(now-t.observedSince)/1e9))
+	return min(float64(t.maxWindow)/1e9, max(minRateWindow, float64(now-t.observedSince)/1e9))
 }
 
 // fade ages the rates to now.
@@ -56,7 +56,7 @@
 		return
 	}
 	f := math.Exp(-float64(now-t.fadedAt) / 1e9 / t.window(now))
-	t.endRate, t.fresh, t.fadedAt = t.endRate*f, t.fresh*f, now
+	t.endRate, t.freshRequests, t.fadedAt = t.endRate*f, t.freshRequests*f, now
 }
 
 // connectionEnded counts a connection that ended by itself. In the long run as many end as fresh ones come,
@@ -72,8 +72,8 @@
 	t.fade(now)
 	t.retries.Add(now, t.overloadWindow, 0)
 	if !isRetry {
-		rate := t.instances * estimateRate(t.fresh, t.window(now), t.expectedRate)
-		t.fresh++
+		rate := t.instances * estimateRate(t.freshRequests, t.window(now), t.expectedRate)
+		t.freshRequests++
 		return rate
 	}
 	rate := t.waveRate(now, hosts)
@@ -84,22 +84,22 @@
 // waveRate is how many connections a second a wave brings to all balancers: what one host holds comes back
 // together, or what all draining ones hold.
 func (t *traffic) waveRate(now Time, hosts int) float64 {
-	t.leftWeight.Add(now, 2*t.overloadWindow, 0)
-	part := max(1/float64(max(1, hosts)), t.leftWeight.Sum/max(t.fleetWeight, 1))
+	t.departedWeight.Add(now, 2*t.overloadWindow, 0)
+	part := max(1/float64(max(1, hosts)), t.departedWeight.Sum/max(t.fleetWeight, 1))
 	seconds := float64(t.overloadWindow) / 1e9
 	expected := part * t.expectedConnections / t.instances / seconds
 	return t.instances * estimateRate(t.retries.Sum, seconds, expected)
 }
 
-// hostLeft counts a host that has begun to send its clients away.
-func (t *traffic) hostLeft(now Time, weight float64) {
-	t.leftWeight.Add(now, 2*t.overloadWindow, weight)
+// hostDeparted counts a host that has begun to send its clients away.
+func (t *traffic) hostDeparted(now Time, weight float64) {
+	t.departedWeight.Add(now, 2*t.overloadWindow, weight)
 }
 
 // updateFleetWeight keeps the weight of the fleet to which the rates belong. It sinks slowly, since a fleet
 // that has just lost a zone still sees the ends of connections that all of it bore.
 func (t *traffic) updateFleetWeight(now Time, weight float64) {
-	f := math.Exp(-float64(now-t.fleetWeightAt) / float64(t.fleetMemory))
+	f := math.Exp(-float64(now-t.fleetWeightAt) / float64(t.fleetWeightDecay))
 	t.fleetWeight, t.fleetWeightAt = max(weight, t.fleetWeight*f+weight*(1-f)), now
 }
 
