--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// delayAfterFailure is the time to the next poll, before jitter, in nanoseconds. It never grows so long that a drain goes
-// unnoticed.
+// delayAfterFailure returns the time from a failed poll to the next one, before jitter, in nanoseconds. Its
+// limits keep it short enough for the balancer to learn of a draining host in time.
 func (d *discoveryPoller) delayAfterFailure(pollInterval Time, instances int) float64 {
 	limit := min(float64(pollInterval)/2, maxPollPause)
 	backoff := min(maxPollBackoff, limit/8*math.Pow(2, float64(min(d.failures, 8)-1)))
@@ -55,6 +55,6 @@
 	if !b.cfg.PollsDiscovery {
 		return
 	}
-	pause := b.discovery.delayAfterFailure(b.cfg.PollInterval, b.cfg.Instances)
-	b.schedule(Time(pause*(0.25+0.75*b.rng.Float64())), timerDiscovery)
+	delay := b.discovery.delayAfterFailure(b.cfg.PollInterval, b.cfg.Instances)
+	b.schedule(Time(delay*(0.25+0.75*b.rng.Float64())), timerDiscovery)
 }
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -121,9 +121,7 @@
 	return append(data, byte(group>>16), byte(group>>8), byte(group))
 }
 
-func decodeGroup(data []byte) uint32 {
-	return uint32(data[0])<<16 | uint32(data[1])<<8 | uint32(data[2])
-}
+func decodeGroup(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
 // Decode reads a message. It returns ErrInvalidMessage for what is none, or torn.
 func Decode(data []byte) (Message, error) {
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -17,8 +17,8 @@
 	assignOverfullCost   = 10.0
 	// assignNewGroupCost is the price of a group that is new to a host, beyond what it costs the host.
 	assignNewGroupCost = 1.0
-	// assignCrossZoneCost is by how many loads a host in another zone counts as fuller, and assignStallCost a host
-	// that delays messages by the shortest latency objective.
+	// assignCrossZoneCost is the cost of a host in another zone, and assignStallCost the cost of a host that
+	// delays messages by the shortest latency objective.
 	assignCrossZoneCost = 2.0
 	assignStallCost     = 10.0
 	// assignSlowStartShare is the part of what a warming host may get by chance that the ledger server gives
@@ -26,9 +26,9 @@
 	assignSlowStartShare = 0.75
 )
 
-// assignHost is the ledger server's choice for a request of any balancer: the host that is least full with it,
-// where a host that does not hold its group yet pays for that. A warming one takes what its budget leaves,
-// which is counted here for all. nil: no host.
+// assignHost returns the ledger server's choice for a request of any balancer: the assignable host with the
+// lowest assignCost, or nil if no host is assignable. It records the assignment, so that a warming host's
+// budget is counted for all balancers together.
 func (b *Balancer) assignHost(from int, q ledger.Query) *host {
 	if !q.Retry {
 		b.ledger.freshRequests.Add(b.now, freshRequestWindow, 1)
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -80,8 +80,9 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// followLedgerServer plans to send all connections of this balancer to a ledger server that does not know them:
-// after a random wait, since all balancers see it together.
+// followLedgerServer records a message from a ledger server. If that server does not know this balancer's
+// connections, they are sent to it after a random wait, since all balancers receive its message at the same
+// time.
 func (b *Balancer) followLedgerServer(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.ServerMessageReceived(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -94,8 +94,9 @@
 	b.migrateFromFullHost(h)
 }
 
-// addUnreportedLoad notes load that no report holds yet, in mean connections. The other balancers have the same
-// reports and place by them too: somewhere between nothing and as much each.
+// addUnreportedLoad adds load, in mean connections, that no report of the host includes yet. The other
+// balancers place connections by the same reports, each between none and as much as this one. The factor of
+// the square root of their number accounts for that.
 func (b *Balancer) addUnreportedLoad(h *host, turns float64) {
 	h.loadEstimate.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
@@ -130,8 +131,8 @@
 	}
 }
 
-// migrateFromFullHost migrates some connections off a host that has more than it can do, where others have spare
-// capacity. Each balancer migrates by chance a part of its own, since all get the same report.
+// migrateFromFullHost migrates some connections off an overloaded host if the other hosts have spare capacity.
+// Each balancer migrates a random part of its own connections, since all balancers get the same report.
 func (b *Balancer) migrateFromFullHost(h *host) {
 	load, mean := b.currentLoad(h), b.fleetLoad.mean
 	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
