--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -67,9 +67,9 @@
 		}
 		f := start(t, cfg, fleet(4)...)
 		f.request("r")
-		first := f.last().host
+		first := f.lastAttempt().host
 		f.end("r", c.status)
-		if len(f.attemptsStarted) != 2 || f.last().host == first {
+		if len(f.attemptsStarted) != 2 || f.lastAttempt().host == first {
 			t.Errorf("%s: attempts %v, want one at %s and a retry at another host", c.name, f.attemptsStarted, first)
 		}
 		if got := f.b.byID[first].ejection.consecutiveFailures; got != c.failures {
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -15,9 +15,9 @@
 
 // Bounds, so that what others report cannot fill the memory.
 const (
-	maxHosts          = 4096
-	maxEntriesPerPeer = 4096
-	maxGrantsPerHost  = 1024
+	maxHosts              = 4096
+	maxEntriesPerPeer     = 4096
+	maxAssignmentsPerHost = 1024
 )
 
 // hostGroup is a group at a host.
@@ -27,7 +27,7 @@
 type hostPlacements struct {
 	units        int
 	unitsByGroup map[uint32]int
-	grants       []Time // ascending
+	assignments  []Time // ascending
 }
 
 // Placements is what the balancers of a fleet hold at its hosts, as they reported it to the ledger server.
@@ -41,9 +41,9 @@
 	return &Placements{hosts: map[uint32]*hostPlacements{}, peers: map[int]map[hostGroup]int{}}
 }
 
-// at gives the placements at a host. Where there are too many hosts all is forgotten: the balancers report
+// placementsAt gives the placements placementsAt a host. Where there are too many hosts all is forgotten: the balancers report
 // all their connections periodically.
-func (p *Placements) at(host uint32) *hostPlacements {
+func (p *Placements) placementsAt(host uint32) *hostPlacements {
 	h := p.hosts[host]
 	if h == nil {
 		if len(p.hosts) >= maxHosts {
@@ -56,7 +56,7 @@
 	return h
 }
 
-func (p *Placements) ofPeer(peer int) map[hostGroup]int {
+func (p *Placements) unitsOf(peer int) map[hostGroup]int {
 	unitsOfPeer := p.peers[peer]
 	if unitsOfPeer == nil {
 		unitsOfPeer = map[hostGroup]int{}
@@ -75,24 +75,24 @@
 // Add adds units to what a balancer holds of a group at a host, or takes them back where they are negative.
 // No count goes below 0, whatever was lost on the way.
 func (p *Placements) Add(peer int, host, group uint32, units int) {
-	unitsOfPeer := p.ofPeer(peer)
+	unitsOfPeer := p.unitsOf(peer)
 	k := hostGroup{host, group}
 	units = max(-unitsOfPeer[k], units)
 	if units == 0 || units > 0 && unitsOfPeer[k] == 0 && len(unitsOfPeer) >= maxEntriesPerPeer {
 		return
 	}
-	h := p.at(host)
-	unitsOfPeer = p.ofPeer(peer) // at may have forgotten all
+	h := p.placementsAt(host)
+	unitsOfPeer = p.unitsOf(peer) // at may have forgotten all
 	if unitsOfPeer[k] += units; unitsOfPeer[k] == 0 {
 		delete(unitsOfPeer, k)
 	}
 	h.add(group, units)
 }
 
-// Forget drops what a balancer holds: its process has restarted, or it reports all again.
-func (p *Placements) Forget(peer int) {
+// RemovePeer drops what a balancer holds: its process has restarted, or it reports all again.
+func (p *Placements) RemovePeer(peer int) {
 	for k, units := range p.peers[peer] {
-		p.at(k.host).add(k.group, -units)
+		p.placementsAt(k.host).add(k.group, -units)
 	}
 	delete(p.peers, peer)
 }
@@ -106,20 +106,20 @@
 	return float64(h.units) / UnitsPerConnection, len(h.unitsByGroup), h.unitsByGroup[group] > 0
 }
 
-// RecordGrant notes that a request was assigned to a host.
-func (p *Placements) RecordGrant(host uint32, now Time) {
-	h := p.at(host)
-	if h.grants = append(h.grants, now); len(h.grants) > maxGrantsPerHost {
-		h.grants = slices.Delete(h.grants, 0, maxGrantsPerHost/2)
+// RecordAssignment notes that a request was assigned to a host.
+func (p *Placements) RecordAssignment(host uint32, now Time) {
+	h := p.placementsAt(host)
+	if h.assignments = append(h.assignments, now); len(h.assignments) > maxAssignmentsPerHost {
+		h.assignments = slices.Delete(h.assignments, 0, maxAssignmentsPerHost/2)
 	}
 }
 
-// GrantsSince is how many requests were assigned to a host since a time.
-func (p *Placements) GrantsSince(host uint32, since Time) int {
+// AssignmentsSince is how many requests were assigned to a host since a time.
+func (p *Placements) AssignmentsSince(host uint32, since Time) int {
 	h := p.hosts[host]
 	if h == nil {
 		return 0
 	}
-	first, _ := slices.BinarySearch(h.grants, since)
-	return len(h.grants) - first
+	first, _ := slices.BinarySearch(h.assignments, since)
+	return len(h.assignments) - first
 }
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -29,7 +29,7 @@
 type Host struct {
 	reported, queue float64
 	changedAt       int64 // when a report last brought another figure; 0: never
-	lastAt          int64 // when a report last came; 0: never
+	reportedAt      int64 // when a report last came; 0: never
 	additions       []addition
 }
 
@@ -43,7 +43,7 @@
 	if !(queue >= 0) {
 		queue = 0
 	}
-	h.lastAt = now
+	h.reportedAt = now
 	if h.changedAt > 0 && load == h.reported && queue == h.queue {
 		return
 	}
@@ -54,8 +54,8 @@
 // Reset forgets all, as the host has restarted.
 func (h *Host) Reset() { *h = Host{} }
 
-// LastReport is when a report last came; 0: never.
-func (h *Host) LastReport() int64 { return h.lastAt }
+// LastReportTime is when a report last came; 0: never.
+func (h *Host) LastReportTime() int64 { return h.reportedAt }
 
 // AddLoad notes that this balancer's own load at the host has grown, or shrunk, by so much in the caller's
 // unit.
@@ -95,7 +95,7 @@
 	return max(0, load)
 }
 
-// Known reports whether a report came that is not too old to go by.
-func (h *Host) Known(now int64) bool {
+// HasRecentReport reports whether a report came that is not too old to go by.
+func (h *Host) HasRecentReport(now int64) bool {
 	return h.changedAt > 0 && float64(now-h.changedAt) < staleAfter+fadeTime
 }
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -42,7 +42,7 @@
 // elapsed nanoseconds. It ignores an attempt that is not the request's newest, or that is already
 // established or ended.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || !r.attemptInFlight || r.established || attempt != r.attempts-1 {
 		return
@@ -71,7 +71,7 @@
 // connection, the request is placed again, unless it is closed or the status is TooLate.
 // AttemptEnded ignores an attempt that is not the request's newest, or that has ended already.
 func (b *Balancer) AttemptEnded(now Time, result AttemptResult) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[result.RequestID]
 	if r == nil || !r.attemptInFlight || result.Attempt != r.attempts-1 {
 		return
@@ -108,7 +108,7 @@
 	if h.ejection.trials > 0 {
 		h.ejection.trials--
 	}
-	if !result.Status.ProvesNotRun() && r.mayHaveRunOn == nil {
+	if !result.Status.DidNotRun() && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunAt = h, r.sentAt
 	}
 	if !wasEstablished {
@@ -148,7 +148,7 @@
 // ClientLeft closes a request whose client has left, so that it gets no answer. It cancels an
 // attempt that has set up no connection yet, if Config.MayCancel is set.
 func (b *Balancer) ClientLeft(now Time, id string) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || r.closed {
 		return
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -41,7 +41,7 @@
 // its class is unknown. Any other request gets exactly one final answer, unless its client leaves:
 // Effects.Reject, Effects.Fail, or the one that the caller reports by AttemptResult.Closed.
 func (b *Balancer) RequestArrived(now Time, q Request) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.admit(q)
 	if r == nil {
 		return
@@ -58,7 +58,7 @@
 // from another pool. It ignores a connection whose host or class is unknown or whose request ID is
 // in use.
 func (b *Balancer) ConnectionAdopted(now Time, q Request, id string) {
-	b.tick(now)
+	b.beginEvent(now)
 	h := b.byID[id]
 	if h == nil {
 		return
@@ -78,7 +78,7 @@
 	if q.Tenant < 0 || q.Tenant >= len(b.cfg.Tenants) {
 		q.Tenant = -1
 	}
-	r := &request{Request: q, cost: b.costs.expect(&q)}
+	r := &request{Request: q, cost: b.costs.estimate(&q)}
 	b.requests[q.ID] = r
 	return r
 }
@@ -128,7 +128,7 @@
 	if h.ejection.consecutiveFailures > 0 {
 		h.ejection.trials++
 	}
-	b.loadAdded(h, turns)
+	b.addUnreportedLoad(h, turns)
 	b.effects.StartAttempt(r.ID, h.hostID, timeout)
 }
 
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -53,7 +53,7 @@
 		case b.now < r.wait.notBefore:
 			b.enqueue(r)
 		default:
-			if r.ledger.awaiting { // notBefore was the timeout of the reply
+			if r.ledger.awaitingReply { // notBefore was the timeout of the reply
 				b.ledgerQueryTimedOut(r)
 			}
 			b.place(r)
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -14,7 +14,7 @@
 func TestFirstAttemptsHaveLongTimeouts(t *testing.T) {
 	f := start(t, settings(), fleet(20)...)
 	f.request("a")
-	if got := f.last().timeout; got < 990*ms {
+	if got := f.lastAttempt().timeout; got < 990*ms {
 		t.Fatalf("first attempt of a new process, with 2000 ms left: timeout %d ms, want at least 990", got/ms)
 	}
 	for i := range 8 {
@@ -25,12 +25,12 @@
 		f.establish(id)
 	}
 	f.request("b")
-	if got := f.last().timeout; got > 600*ms {
+	if got := f.lastAttempt().timeout; got > 600*ms {
 		t.Fatalf("timeout after set-ups of 20 ms: %d ms, want at most 600", got/ms)
 	}
 	f.now += 500 * ms // the queue may have grown by as much since the last set-up
 	f.request("c")
-	if got := f.last().timeout; got < 500*ms {
+	if got := f.lastAttempt().timeout; got < 500*ms {
 		t.Fatalf("timeout 500 ms after the last set-up: %d ms, want at least 500", got/ms)
 	}
 }
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -163,7 +163,7 @@
 // warming host, for a loaded host, and for a host that fails or delays messages.
 func (b *Balancer) turnWeight(h *host, load float64) float64 {
 	w := h.weight
-	if h.zone != b.zone {
+	if h.zone != b.ownZone {
 		crossZoneFactor := 1 / (1 + crossZoneBias*b.cfg.Prices.CrossZone)
 		w *= crossZoneFactor + (1-crossZoneFactor)*b.shedding.crossZoneShare
 	}
@@ -184,7 +184,7 @@
 // the capacity by which the candidate's load is divided.
 func (b *Balancer) tieBreakParams(p *pick, c *candidate, maxWeight float64) (slack, capacity float64) {
 	slack, capacity = tieBreakSlack*c.weight/maxWeight, c.weight
-	if p.sparse && c.host.zone%zoneSets == b.zone%zoneSets {
+	if p.sparse && c.host.zone%zoneSets == b.ownZone%zoneSets {
 		slack, capacity = 2*tieBreakSlack, c.host.weight
 	}
 	if b.hostsReportLoad() {
--- a/internal/balancer/stalls.go
+++ b/internal/balancer/stalls.go
@@ -71,7 +71,7 @@
 // Observe handles an observation of an open connection. The unit of value depends on kind. Observe
 // ignores a connection that is not established by the request's newest attempt.
 func (b *Balancer) Observe(now Time, id string, attempt int, kind Observation, value float64) {
-	b.tick(now)
+	b.beginEvent(now)
 	r := b.requests[id]
 	if r == nil || !r.established || attempt != r.attempts-1 {
 		return
@@ -83,7 +83,7 @@
 		h.load += load - r.load
 		r.load = load
 		if r.ExpectedLoad <= 0 {
-			b.costs.learn(r.Class, max(load, 1))
+			b.costs.addSample(r.Class, max(load, 1))
 		}
 	case ObservedLatency:
 		if objective := b.shortestMessageObjective(); objective > 0 {
@@ -142,7 +142,7 @@
 // stalled hosts. Without the latter, balancers that hold one or two connections each would mostly
 // learn of a stalled host only by using it.
 func (b *Balancer) PeerMessageReceived(now Time, from int, data []byte) {
-	b.tick(now)
+	b.beginEvent(now)
 	if b.ledgerMessageReceived(from, data) {
 		return
 	}
