--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -89,7 +89,7 @@
 // DownstreamCount counts the old process's downstreams with this one's, and its other descriptors as downstreams of two descriptors each.
 func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
-		e.core.SetDownstreamsElsewhere(n + e.cfg.HotRestartDescriptors()/2)
+		e.core.SetOtherProcessDownstreams(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
@@ -103,7 +103,7 @@
 	debug.SetMemoryLimit(e.cfg.MemoryLimit())
 	slog.Info("hot_restart_partner_gone", "older", r.isOld)
 	if !r.isOld {
-		e.core.SetDownstreamsElsewhere(0)
+		e.core.SetOtherProcessDownstreams(0)
 		e.becomeServing()
 		return
 	}
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -63,7 +63,7 @@
 		RejectionIsSafe:      func(r *Request) { r.Class.Idempotency = balancer.NotIdempotent; r.Rejected(2 * second) },
 		SingleAnswer:         func(r *Request) { r.Accepted(2 * second); r.Failed(2 * second) },
 		AnswerInTime:         func(r *Request) { r.Failed(r.Deadline + answerSlack + 1) },
-		NoSilentEnd:          func(r *Request) { r.Accepted(2 * second); r.Dropped() },
+		NoSilentEnd:          func(r *Request) { r.Accepted(2 * second); r.ClosedByProxy() },
 		NothingAfterShutdown: func(r *Request) { r.Monitor.Close(); r.AttemptBegan(2*second, h) },
 		HostAcceptsNew: func(r *Request) {
 			r.AttemptBegan(2*second, h)
@@ -78,7 +78,7 @@
 	}
 	r, m := servedOnce(balancer.NotIdempotent, balancer.ScopeAll)
 	r.Failed(2 * second)
-	r.Dropped()
+	r.ClosedByProxy()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
 		t.Errorf("an answered request: %v", m.Counts.Broken)
 	}
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -75,16 +75,16 @@
 // ClientLeft records that the client has ended the connection.
 func (r *Request) ClientLeft() { r.client = clientLeft }
 
-// Released records that the open connection was migrated, handed over, or passed its host's own end on.
-func (r *Request) Released() {
+// ConnectionEnded records that the open connection was migrated, handed over, or passed its host's own end on.
+func (r *Request) ConnectionEnded() {
 	if r.client == established {
 		r.client = answered
 	}
 }
 
-// Dropped records that this side ended the client's connection. The client must have had its answer, and a line about the end if the
+// ClosedByProxy records that this side ended the client's connection. The client must have had its answer, and a line about the end if the
 // connection was open.
-func (r *Request) Dropped() {
+func (r *Request) ClosedByProxy() {
 	if r.client == awaitingAnswer || r.client == established {
 		r.Monitor.countBroken(NoSilentEnd, r.ID)
 	}
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -33,13 +33,13 @@
 		d.endForClientFault(errSentBeforeAnswer)
 		return
 	}
-	d.Pump()
+	d.RelayPending()
 }
 
 // endForClientFault ends a request that has no answer yet for a fault of its client's.
 func (d *downstream) endForClientFault(cause error) {
 	d.failInvalid(cause)
-	d.request.EndedHere()
+	d.request.EndedByProxy()
 	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
 }
 
@@ -88,17 +88,17 @@
 
 // failInvalid answers what is not a request with a failure (ERR).
 func (d *downstream) failInvalid(err error) {
-	d.front.core.InvalidRequest(err)
+	d.front.core.ReportInvalidRequest(err)
 	d.Fail()
 }
 
-// Pump relays the client's lines, as far as the host takes them.
-func (d *downstream) Pump() {
+// RelayPending relays the client's lines, as far as the host takes them.
+func (d *downstream) RelayPending() {
 	for d.accepted && !d.conn.Over() {
 		line, err := Cut(d.conn.Input())
 		if err != nil {
 			d.finish()
-			d.request.EndedHere()
+			d.request.EndedByProxy()
 			d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: err})
 			return
 		}
@@ -120,7 +120,7 @@
 // connection again.
 func (d *downstream) FinalMessage() []byte {
 	if d.request != nil {
-		d.request.EndedHere()
+		d.request.EndedByProxy()
 	}
 	if d.accepted {
 		return migrateLine
@@ -209,11 +209,11 @@
 	d.conn.Write(acceptance.Text)
 	d.accepted = true
 	// What the client sent along with its first line waits in the buffer.
-	d.front.loop.Post(d.Pump)
+	d.front.loop.Post(d.RelayPending)
 }
 
-// Pass relays a line of the host's; false: not now.
-func (d *downstream) Pass(m proxy.Message) bool { return d.conn.Write(m.Text) }
+// Relay relays a line of the host's; false: not now.
+func (d *downstream) Relay(m proxy.Message) bool { return d.conn.Write(m.Text) }
 
 // Reject answers that the client may retry, and when.
 func (d *downstream) Reject(after time.Duration) { d.finishWith(busyLine(after)) }
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -81,6 +81,6 @@
 		return
 	}
 	// What was read and not relayed waits in both buffers.
-	f.loop.Post(d.Pump)
-	f.loop.Post(u.Pump)
+	f.loop.Post(d.RelayPending)
+	f.loop.Post(u.RelayPending)
 }
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -50,10 +50,10 @@
 }
 
 // Data takes what the host sent.
-func (u *upstream) Data(c *netio.Conn) { u.Pump() }
+func (u *upstream) Data(c *netio.Conn) { u.RelayPending() }
 
-// Pump relays the host's lines, as far as the client takes them.
-func (u *upstream) Pump() {
+// RelayPending relays the host's lines, as far as the client takes them.
+func (u *upstream) RelayPending() {
 	for !u.finished && u.conn != nil {
 		line, err := Cut(u.conn.Input())
 		if err != nil {
@@ -96,7 +96,7 @@
 	// The connection knows that it was established; how far the request on it had come is known here. Its layer may know that it never was:
 	// then the host has read nothing, whatever was written.
 	u.hostEnded = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
-	u.Pump() // a slow client still gets the lines from before the end
+	u.RelayPending() // a slow client still gets the lines from before the end
 }
 
 // finish notifies of the end, once.
@@ -117,8 +117,8 @@
 	u.conn.Release(done)
 }
 
-// Pass relays a line of the client's; false: not now.
-func (u *upstream) Pass(m proxy.Message) bool { return u.conn.Write(m.Text) }
+// Relay relays a line of the client's; false: not now.
+func (u *upstream) Relay(m proxy.Message) bool { return u.conn.Write(m.Text) }
 
 // Expires is when the connection's first certificate ends; the zero time where it has none.
 func (u *upstream) Expires() time.Time {
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -46,8 +46,8 @@
 // Downstreams is how many downstreams this process has.
 func (c *Core) Downstreams() int { return c.admission.downstreams }
 
-// SetDownstreamsElsewhere says how many downstreams the other process of this proxy has: they share the descriptors.
-func (c *Core) SetDownstreamsElsewhere(n int) { c.admission.downstreamsElsewhere = n }
+// SetOtherProcessDownstreams says how many downstreams the other process of this proxy has: they share the descriptors.
+func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.downstreamsElsewhere = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -108,7 +108,7 @@
 	if tracing() {
 		slog.Debug("client_migrated", "request", r.attributes.ID, "host", a.host.hostID, "status", status.String(), "leaving", r.core.shuttingDown)
 	}
-	r.record.Released()
+	r.record.ConnectionEnded()
 	r.downstream.Migrate()
 	a.conn.End(netio.Ended)
 	a.notifyEnded(status)
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -120,8 +120,8 @@
 // Ready reports whether clients may come.
 func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
 
-// Serves reports whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
-func (c *Core) Serves() bool { return c.Ready() && !c.handover.handedOver }
+// AcceptsClients reports whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
+func (c *Core) AcceptsClients() bool { return c.Ready() && !c.handover.handedOver }
 
 // SetHealthChecker gives the core its way to poll hosts for their load.
 func (c *Core) SetHealthChecker(h HealthChecker) { c.healthChecker = h }
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -14,7 +14,7 @@
 	if a == nil || !a.established {
 		return false
 	}
-	if !a.conn.Pass(m) {
+	if !a.conn.Relay(m) {
 		return false
 	}
 	if len(a.unansweredSince) < maxUnansweredLines {
@@ -26,15 +26,15 @@
 // DownstreamReady says that the client takes bytes again.
 func (r *Request) DownstreamReady() {
 	if a := r.attempt; a != nil {
-		a.conn.Pump()
+		a.conn.RelayPending()
 	}
 }
 
-// EndedHere says that this side ends the client's connection for a fault, with a last line to the client. DownstreamEnded follows.
-func (r *Request) EndedHere() {
+// EndedByProxy says that this side ends the client's connection for a fault, with a last line to the client. DownstreamEnded follows.
+func (r *Request) EndedByProxy() {
 	switch {
 	case r.isOpen():
-		r.record.Released()
+		r.record.ConnectionEnded()
 	case !r.answered():
 		r.record.Failed(r.core.loop.Now())
 	}
@@ -47,7 +47,7 @@
 			"detail", err.Text())
 	}
 	if err.Cause == netio.Dropped {
-		r.record.Dropped() // this side ended it
+		r.record.ClosedByProxy() // this side ended it
 	}
 	r.record.ClientLeft()
 	switch {
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -89,7 +89,7 @@
 // released hands a connection over whose two ends are released, or ends what is left of it.
 func (c *Core) released(a *upstreamRequest, s *HandedOverConnection) {
 	r := a.request
-	r.record.Released()
+	r.record.ConnectionEnded()
 	if s.Upstream.FD < 0 || s.Downstream.FD < 0 {
 		c.endReleased(a, s)
 		c.handover.inFlight--
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -146,9 +146,9 @@
 	return false
 }
 
-func (u *fakeUpstream) Pass(m Message) bool { return !u.takesNothing }
+func (u *fakeUpstream) Relay(m Message) bool { return !u.takesNothing }
 
-func (u *fakeUpstream) Pump() { u.harness.note("pump up") }
+func (u *fakeUpstream) RelayPending() { u.harness.note("pump up") }
 
 func (u *fakeUpstream) Stage() netio.Stage { return u.stage }
 
@@ -167,11 +167,11 @@
 
 func (d *fakeDownstream) Fail() { d.harness.note("fail %s", d.requestID) }
 
-func (d *fakeDownstream) Pass(Message) bool { return true }
+func (d *fakeDownstream) Relay(Message) bool { return true }
 
 func (d *fakeDownstream) MigrationLine() []byte { return nil }
 
-func (d *fakeDownstream) Pump() { d.harness.note("pump %s", d.requestID) }
+func (d *fakeDownstream) RelayPending() { d.harness.note("pump %s", d.requestID) }
 
 func (d *fakeDownstream) Migrate() { d.harness.note("migrate %s", d.requestID) }
 
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -55,8 +55,8 @@
 	Accept(acceptance Message)
 	Reject(after time.Duration) // a local reply: a retry is harmless
 	Fail()                      // a local reply that promises nothing
-	Pass(m Message) bool        // false: not now, DownstreamReady follows
-	Pump()                      // offer again what the core did not take
+	Relay(m Message) bool       // false: not now, DownstreamReady follows
+	RelayPending()              // offer again what the core did not take
 	Migrate()                   // end it; its client opens it again
 	MigrationLine() []byte      // what Migrate writes
 	End(cause netio.Cause)      // end it as the other side ended
@@ -64,8 +64,8 @@
 
 // Upstream is the connection of one upstream request. After End it notifies nothing more.
 type Upstream interface {
-	Pass(m Message) bool // false: not now, UpstreamReady follows
-	Pump()
+	Relay(m Message) bool // false: not now, UpstreamReady follows
+	RelayPending()
 	Stage() netio.Stage // how far it has come
 	End(cause netio.Cause)
 }
@@ -75,7 +75,7 @@
 	// MaySend is called right before the first line is written. False: it must not be, and the attempt has been ended.
 	MaySend() bool
 	UpstreamSent()               // the first line is written completely: from here on the host may act on it
-	FromUpstream(m Message) bool // false: not now, Upstream.Pump follows
+	FromUpstream(m Message) bool // false: not now, Upstream.RelayPending follows
 	UpstreamReady()
 	UpstreamEnded(err *netio.Error)
 }
--- a/internal/dataplane/proxy/invalid.go
+++ b/internal/dataplane/proxy/invalid.go
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("%s: %q", e.Reason, e.Value)
 }
 
-// InvalidRequest counts what a client sent that is not a request, and logs the first of a log interval.
-func (c *Core) InvalidRequest(err error) {
+// ReportInvalidRequest counts what a client sent that is not a request, and logs the first of a log interval.
+func (c *Core) ReportInvalidRequest(err error) {
 	c.counters.invalid++
 	if c.counters.invalid > 1 {
 		return
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -16,7 +16,7 @@
 	c.counters.opened++
 	if err := c.validate(o); err != nil {
 		c.countEnd(o.Class, metrics.InvalidRequest)
-		c.InvalidRequest(err)
+		c.ReportInvalidRequest(err)
 		d.Fail()
 		return nil
 	}
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -209,7 +209,7 @@
 	c := s.core
 	open, pending := c.countRequests()
 	for _, r := range c.requests {
-		r.record.Dropped()
+		r.record.ClosedByProxy()
 	}
 	broken, blocked := c.monitor.Counts.Sum()
 	slog.Info("shutdown_summary", "open", open, "pending", pending, "downstreams", c.admission.downstreams, "handovers", c.handover.inFlight,
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -85,7 +85,7 @@
 // relay passes a line of an open connection on and notes what it reports. False: the client takes nothing now.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
-	if !r.downstream.Pass(m) {
+	if !r.downstream.Relay(m) {
 		return false
 	}
 	switch m.Kind {
@@ -105,7 +105,7 @@
 // UpstreamReady says that the host takes bytes again.
 func (a *upstreamRequest) UpstreamReady() {
 	if a.request.attempt == a && a.established {
-		a.request.downstream.Pump()
+		a.request.downstream.RelayPending()
 	}
 }
 
@@ -126,7 +126,7 @@
 		slog.Debug("upstream_closed", "request", a.request.attributes.ID, "host", a.host.hostID, "status", status, "stage", err.Stage, "reason", err.Cause,
 			"detail", err.Text())
 	}
-	a.request.record.Released()
+	a.request.record.ConnectionEnded()
 	a.request.downstream.End(err.Cause)
 	a.notifyEnded(status)
 }
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -48,8 +48,8 @@
 // proxy is what the calls are about: it knows host a/b, and is called on the loop.
 type proxy struct{ calls []string }
 
-func (p *proxy) Serves() bool    { return true }
-func (p *proxy) Metrics() []byte { return []byte("concurrent=0\n") }
+func (p *proxy) AcceptsClients() bool { return true }
+func (p *proxy) Metrics() []byte      { return []byte("concurrent=0\n") }
 func (p *proxy) Suspend(id string, out bool, done func(bool)) {
 	p.calls = append(p.calls, fmt.Sprint(id, out))
 	done(id == "a/b")
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -90,7 +90,7 @@
 	}
 	switch route {
 	case routeReady:
-		if c.server.proxy.Serves() {
+		if c.server.proxy.AcceptsClients() {
 			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), headOnly: head})
 			return
 		}
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -16,8 +16,8 @@
 
 // Proxy is what the calls are about.
 type Proxy interface {
-	// Serves reports whether this process serves.
-	Serves() bool
+	// AcceptsClients reports whether this process accepts clients.
+	AcceptsClients() bool
 	// Metrics is the text of all metrics.
 	Metrics() []byte
 	// Suspend has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
