--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -13,14 +13,14 @@
 // admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
 // break connections that are open already.
 type admission struct {
-	limit                int // downstreams, of this process and the other one together
-	downstreams          int // downstreams of this process
-	downstreamsElsewhere int // downstreams of the other process of this proxy
+	limit                   int // downstreams, of this process and the other one together
+	downstreams             int // downstreams of this process
+	otherProcessDownstreams int // downstreams of the other process of this proxy
 }
 
 // acquire takes capacity for one downstream; false: there is none.
 func (a *admission) acquire() bool {
-	if a.downstreams+a.downstreamsElsewhere >= a.limit {
+	if a.downstreams+a.otherProcessDownstreams >= a.limit {
 		return false
 	}
 	a.downstreams++
@@ -47,7 +47,7 @@
 func (c *Core) Downstreams() int { return c.admission.downstreams }
 
 // SetOtherProcessDownstreams says how many downstreams the other process of this proxy has: they share the descriptors.
-func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.downstreamsElsewhere = n }
+func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
 // RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
--- a/internal/dataplane/proxy/admission_test.go
+++ b/internal/dataplane/proxy/admission_test.go
@@ -4,7 +4,7 @@
 
 // The two processes of a proxy share its descriptors.
 func TestAdmissionCountsBothProcesses(t *testing.T) {
-	a := admission{limit: 3, downstreamsElsewhere: 1}
+	a := admission{limit: 3, otherProcessDownstreams: 1}
 	for i, want := range []bool{true, true, false} {
 		if a.acquire() != want {
 			t.Fatalf("downstream %d: expected %t of %+v", i, want, a)
@@ -14,7 +14,7 @@
 	if !a.acquire() {
 		t.Error("capacity that was given back is not there")
 	}
-	a.downstreamsElsewhere = 0
+	a.otherProcessDownstreams = 0
 	if !a.acquire() {
 		t.Error("the other process's capacity is not there after its end")
 	}
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -79,7 +79,7 @@
 
 // answerNow gives a request its answer at once as the process shuts down, also where an attempt is in flight, and has the balancer forget it.
 func (r *Request) answerNow(after time.Duration) {
-	r.rejectOrFail(after, processShutsDown)
+	r.rejectOrFail(after, processShuttingDown)
 	r.notifyClientLeft()
 }
 
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -104,7 +104,7 @@
 		slog.Debug("attempt_started", "request", r.attributes.ID, "number", number, "host", h.hostID, "left_ms", (r.deadline-now)/1e6)
 	}
 	a.timeoutTimer = c.loop.After(time.Duration(deadline-now), func() { a.finish(balancer.Timeout, netio.Ended) })
-	a.limitRetry()
+	a.startRetryWindowTimer()
 	a.dial()
 }
 
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -32,7 +32,7 @@
 		r1.attempt.conn = &expiringUpstream{u1, time.Unix(0, w.now).Add(40 * time.Second)}
 		w.serve("r2")
 		for range 40 {
-			w.pass(time.Second)
+			w.advance(time.Second)
 		}
 		migrated := slices.Contains(w.events, "migrate r1")
 		if migrated != want || slices.Contains(w.events, "migrate r2") {
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -27,8 +27,8 @@
 	id := ev.(*upstreamRequest).request.attributes.ID
 	w.attempts++
 	w.checkNotLeft(id, "an attempt begins")
-	u := &drawnUpstream{fakeUpstream: &fakeUpstream{harness: w.harness, events: ev}, clients: w, requestID: id}
-	took := w.draw(120 * time.Millisecond)
+	u := &randomUpstream{fakeUpstream: &fakeUpstream{harness: w.harness, events: ev}, clients: w, requestID: id}
+	took := w.randomDuration(120 * time.Millisecond)
 	if took >= within || w.rng.Intn(20) == 0 {
 		u.after(min(took, within), func() { ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting, Cause: netio.Refused}) })
 	} else {
@@ -37,7 +37,7 @@
 	return u
 }
 
-func (w *leavingClients) draw(most time.Duration) time.Duration {
+func (w *leavingClients) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int63n(int64(most)))
 }
 
@@ -47,17 +47,17 @@
 	}
 }
 
-// drawnUpstream is an attempt whose course is drawn.
-type drawnUpstream struct {
+// randomUpstream is an attempt whose course is drawn.
+type randomUpstream struct {
 	*fakeUpstream
 	clients   *leavingClients
 	requestID string
 	ended     bool
 }
 
-func (u *drawnUpstream) End(netio.Cause) { u.ended = true }
+func (u *randomUpstream) End(netio.Cause) { u.ended = true }
 
-func (u *drawnUpstream) after(d time.Duration, f func()) {
+func (u *randomUpstream) after(d time.Duration, f func()) {
 	u.harness.loop.After(d, func() {
 		if !u.ended {
 			f()
@@ -66,7 +66,7 @@
 }
 
 // connected is the moment in which the connection has come up.
-func (u *drawnUpstream) connected() {
+func (u *randomUpstream) connected() {
 	if !u.events.MaySend() {
 		return
 	}
@@ -74,7 +74,7 @@
 	u.clients.linesWritten++
 	u.sent()
 	answer := u.clients.rng.Intn(20)
-	u.after(u.clients.draw(250*time.Millisecond), func() {
+	u.after(u.clients.randomDuration(250*time.Millisecond), func() {
 		switch answer {
 		default:
 			u.events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
@@ -92,7 +92,7 @@
 // newLeavingClients has half of the clients wait for quota, and all for another proxy's answer, which never comes.
 func newLeavingClients(t *testing.T) *leavingClients {
 	t.Helper()
-	w := &leavingClients{harness: newClock(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
+	w := &leavingClients{harness: newHarnessWithoutCore(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
 	cfg := balancer.Config{Instances: 3, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, MayGossip: true, MayCancel: true, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9,
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
@@ -122,13 +122,13 @@
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
 func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
 	w.quotaInUse++
-	w.loop.After(w.draw(300*time.Millisecond), func() { then("", 0) })
+	w.loop.After(w.randomDuration(300*time.Millisecond), func() { then("", 0) })
 }
 func (w *leavingClients) CountExisting(string) { w.quotaInUse++ }
 func (w *leavingClients) Release(string)       { w.quotaInUse-- }
 
-// state names what a request waits for.
-func state(r *Request, permitted bool) string {
+// awaitedStep names what a request waits for.
+func awaitedStep(r *Request, permitted bool) string {
 	switch {
 	case r.attempt != nil && r.attempt.lineUnsent():
 		return "a connection"
@@ -151,17 +151,17 @@
 		id := fmt.Sprintf("%016x", n)
 		tenant := []string{"t1", "t2"}[n%2]
 		r := w.core.Open(&fakeDownstream{w.harness, id}, &Opening{ID: id, Class: "c", Tenant: tenant, Wait: 3 * time.Second, HasWait: true}, nil)
-		w.loop.After(w.draw(1500*time.Millisecond), func() {
+		w.loop.After(w.randomDuration(1500*time.Millisecond), func() {
 			if r == nil || r.answered() {
 				return
 			}
-			gone[state(r, tenant == "t2" || r.quotaAccount != "")]++
+			gone[awaitedStep(r, tenant == "t2" || r.quotaAccount != "")]++
 			w.leftAt[id] = w.now
 			r.DownstreamEnded(&netio.Error{Cause: netio.Ended})
 		})
-		w.pass(10 * time.Millisecond)
+		w.advance(10 * time.Millisecond)
 	}
-	w.pass(10 * time.Second)
+	w.advance(10 * time.Second)
 	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, gone)
 	for _, what := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
 		if gone[what] < 10 {
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -86,7 +86,7 @@
 		pools:      poolTable{byName: map[string]*pool{}},
 		admission:  admission{limit: opt.MaxDownstreams},
 		migrations: migrationPacer{loop: l},
-		monitor:    invariant.NewMonitor(logBroken),
+		monitor:    invariant.NewMonitor(logBrokenInvariant),
 		counters:   counters{metrics: metrics.New(classNames(opt.Settings.Classes))},
 	}
 }
@@ -99,7 +99,7 @@
 	return names
 }
 
-func logBroken(r invariant.Rule, id string) {
+func logBrokenInvariant(r invariant.Rule, id string) {
 	slog.Error("invariant_broken", "rule", r, "request", id)
 }
 
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -14,13 +14,13 @@
 func TestOneAnswer(t *testing.T) {
 	w := newHarness(t)
 	w.open("q")
-	w.pass(time.Second)
+	w.advance(time.Second)
 	w.expect("request q")
-	w.pass(50 * time.Millisecond)
+	w.advance(50 * time.Millisecond)
 	w.expect("fail q", "left q")
 	w.effects.Reject("q", 0)
 	w.effects.StartAttempt("q", "A", 0)
-	w.pass(time.Second)
+	w.advance(time.Second)
 	w.expect()
 	w.onEvent = func(e string) {
 		if e == "request p" {
@@ -50,7 +50,7 @@
 	w.open("q")
 	w.expect("request q", "start at-A 300")
 	w.upstreams[0].sent()
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	w.expect("end up ended", "ended q 0 3 false", "start at-B 700")
 	w.upstreams[1].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
 	w.expect("end up ended", "ended q 1 4 false", "reject q 1000")
@@ -90,7 +90,7 @@
 	w = openWithKey(t)
 	w.upstreams[1].stage = netio.Sending
 	w.events = nil
-	w.pass(210 * time.Millisecond)
+	w.advance(210 * time.Millisecond)
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
@@ -103,12 +103,12 @@
 	w.core.Shutdown(func() { t.Error("a second signal has a shutdown of its own") })
 	w.open("new")
 	w.expect("reject new 500")
-	w.pass(400 * time.Millisecond)
+	w.advance(400 * time.Millisecond)
 	w.expect()
-	w.pass(1700 * time.Millisecond)
+	w.advance(1700 * time.Millisecond)
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
 	w.core.DownstreamEnded()
-	w.pass(100 * time.Millisecond)
+	w.advance(100 * time.Millisecond)
 	if !*ended {
 		t.Fatal("the shutdown has not ended")
 	}
@@ -125,7 +125,7 @@
 	open(Opening{ID: "long", Class: "c", Tenant: "t", Wait: 500 * time.Hour, HasWait: true})
 	open(Opening{ID: "long", Class: "c", Tenant: "t"})
 	w.expect("request long", "fail long")
-	w.pass(4900 * time.Millisecond)
+	w.advance(4900 * time.Millisecond)
 	w.expect("fail long", "left long")
 }
 
@@ -163,7 +163,7 @@
 	if got := string(w.core.Metrics()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
 		t.Errorf("metrics %s", got)
 	}
-	w.pass(time.Second)
+	w.advance(time.Second)
 	w.expect("list 0 1", "migrate r0", "end up ended", "ended r0 0 6 true")
 	w.core.Suspend("A", false, func(bool) {})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Ready {
@@ -195,7 +195,7 @@
 	w.open("sent")
 	w.upstreams[len(w.upstreams)-1].events.UpstreamSent()
 	w.onEvent = nil
-	w.pass(2 * time.Second)
+	w.advance(2 * time.Second)
 	w.core.admission.limit = 0
 	w.core.Admit("c")
 	w.core.shuttingDown = true
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -19,9 +19,9 @@
 
 // decisionEvent is an event for the decision module.
 type decisionEvent struct {
-	about  *Request // answered should the module panic; nil: no request
-	module Balancer // the one of a pool
-	handle func(now balancer.Time, m Balancer)
+	request *Request // answered should the module panic; nil: no request
+	module  Balancer // the one of a pool
+	handle  func(now balancer.Time, m Balancer)
 }
 
 // submit has the module handle an event, then carries out its effects, then whatever these caused. Called while an event is handled,
@@ -36,14 +36,14 @@
 	for len(d.events) > 0 {
 		next := d.events[0]
 		d.events = d.events[1:]
-		recoverRequest(next.about, func() { next.handle(d.now(), next.module) })
-		d.carryOutEffects(next.about)
+		recoverRequest(next.request, func() { next.handle(d.now(), next.module) })
+		d.runEffects(next.request)
 	}
 	d.events, d.effects = nil, nil
 }
 
-// carryOutEffects carries out the module's effects of the event that it handled.
-func (d *decisionLoop) carryOutEffects(about *Request) {
+// runEffects carries out the module's effects of the event that it handled.
+func (d *decisionLoop) runEffects(about *Request) {
 	for len(d.effects) > 0 {
 		effect := d.effects[0]
 		d.effects = d.effects[1:]
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -21,8 +21,8 @@
 	c.ReassignPools()
 }
 
-// judge says what the fleet's rules make of a request, and logs by which version it was decided.
-func (c *Core) judge(tenant, class string, q *balancer.Request) (v rules.Verdict) {
+// applyRules says what the fleet's rules make of a request, and logs by which version it was decided.
+func (c *Core) applyRules(tenant, class string, q *balancer.Request) (v rules.Verdict) {
 	if c.fleet.enforcer == nil {
 		return v
 	}
@@ -39,28 +39,28 @@
 	return v
 }
 
-// recheck is what the rules make of an attempt right before it begins.
-type recheck int
+// recheckResult is what the rules make of an attempt right before it begins.
+type recheckResult int
 
 const (
-	rulesAgree     recheck = iota
-	rulesReject            // the request is not placed any more
-	rulesOtherPool         // the request belongs to another pool
-	rulesOtherHost         // the host gets nothing new, or belongs to another pool
+	rulesAgree     recheckResult = iota
+	rulesReject                  // the request is not placed any more
+	rulesOtherPool               // the request belongs to another pool
+	rulesOtherHost               // the host gets nothing new, or belongs to another pool
 )
 
 // String is the finding's name.
-func (k recheck) String() string {
+func (k recheckResult) String() string {
 	return [...]string{"agree", "reject", "other_pool", "other_host"}[k]
 }
 
 // recheckRules applies the rules again right before an attempt: since the request was judged the process may have been paused, and
 // the rules may have changed.
-func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, found recheck) {
+func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, found recheckResult) {
 	if c.fleet.enforcer == nil || r.adopted {
 		return v, rulesAgree
 	}
-	v = c.judge(r.tenant, r.class().Name, &r.attributes)
+	v = c.applyRules(r.tenant, r.class().Name, &r.attributes)
 	switch {
 	case v.Rejected:
 		return v, rulesReject
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -25,8 +25,8 @@
 	ejected   string             // a host that the balancer has ejected
 }
 
-// newClock is a harness without a core. t may be nil for one that expects nothing.
-func newClock(t *testing.T) *harness {
+// newHarnessWithoutCore is a harness without a core. t may be nil for one that expects nothing.
+func newHarnessWithoutCore(t *testing.T) *harness {
 	w := &harness{test: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	return w
@@ -35,7 +35,7 @@
 // newHarness is a core with one class and one tenant whose hosts A and B are ready.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	w := newClock(t)
+	w := newHarnessWithoutCore(t)
 	w.core = New(w.loop, w, Options{MaxDownstreams: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
 		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
 		Tenants: []balancer.Tenant{{Name: "t"}}}})
@@ -51,7 +51,7 @@
 	return w
 }
 
-func (w *harness) note(format string, args ...any) {
+func (w *harness) logEvent(format string, args ...any) {
 	w.events = append(w.events, fmt.Sprintf(format, args...))
 }
 
@@ -64,7 +64,7 @@
 	w.events = nil
 }
 
-func (w *harness) pass(d time.Duration) {
+func (w *harness) advance(d time.Duration) {
 	for end := w.now + int64(d); w.now < end; {
 		w.now = min(end, w.now+int64(10*time.Millisecond))
 		w.loop.RunPending()
@@ -108,17 +108,17 @@
 }
 
 func (w *harness) Start(to Target, _ RequestLine, until int64, _ time.Duration, ev UpstreamEvents) Upstream {
-	w.note("start %s %d", to.Address, (until-w.now)/1e6)
+	w.logEvent("start %s %d", to.Address, (until-w.now)/1e6)
 	u := &fakeUpstream{harness: w, events: ev}
 	w.upstreams = append(w.upstreams, u)
 	return u
 }
 
 type fakeUpstream struct {
-	harness      *harness
-	events       UpstreamEvents
-	stage        netio.Stage
-	takesNothing bool
+	harness  *harness
+	events   UpstreamEvents
+	stage    netio.Stage
+	notReady bool
 }
 
 // sent has the host's machine take the last byte of the first line.
@@ -131,8 +131,8 @@
 	}
 }
 
-// endAsDrawn has the host read the first line and then reject it, accept it, or reset the connection at a stage.
-func (u *fakeUpstream) endAsDrawn(t *rapid.T, stage netio.Stage) (reset bool) {
+// endAtRandom has the host read the first line and then reject it, accept it, or reset the connection at a stage.
+func (u *fakeUpstream) endAtRandom(t *rapid.T, stage netio.Stage) (reset bool) {
 	u.sent()
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
 	case 0:
@@ -146,42 +146,42 @@
 	return false
 }
 
-func (u *fakeUpstream) Relay(m Message) bool { return !u.takesNothing }
+func (u *fakeUpstream) Relay(m Message) bool { return !u.notReady }
 
-func (u *fakeUpstream) RelayPending() { u.harness.note("pump up") }
+func (u *fakeUpstream) RelayPending() { u.harness.logEvent("pump up") }
 
 func (u *fakeUpstream) Stage() netio.Stage { return u.stage }
 
-func (u *fakeUpstream) End(cause netio.Cause) { u.harness.note("end up %s", cause) }
+func (u *fakeUpstream) End(cause netio.Cause) { u.harness.logEvent("end up %s", cause) }
 
 type fakeDownstream struct {
 	harness   *harness
 	requestID string
 }
 
-func (d *fakeDownstream) Accept(Message) { d.harness.note("accept %s", d.requestID) }
+func (d *fakeDownstream) Accept(Message) { d.harness.logEvent("accept %s", d.requestID) }
 
 func (d *fakeDownstream) Reject(after time.Duration) {
-	d.harness.note("reject %s %d", d.requestID, after.Milliseconds())
+	d.harness.logEvent("reject %s %d", d.requestID, after.Milliseconds())
 }
 
-func (d *fakeDownstream) Fail() { d.harness.note("fail %s", d.requestID) }
+func (d *fakeDownstream) Fail() { d.harness.logEvent("fail %s", d.requestID) }
 
 func (d *fakeDownstream) Relay(Message) bool { return true }
 
 func (d *fakeDownstream) MigrationLine() []byte { return nil }
 
-func (d *fakeDownstream) RelayPending() { d.harness.note("pump %s", d.requestID) }
+func (d *fakeDownstream) RelayPending() { d.harness.logEvent("pump %s", d.requestID) }
 
-func (d *fakeDownstream) Migrate() { d.harness.note("migrate %s", d.requestID) }
+func (d *fakeDownstream) Migrate() { d.harness.logEvent("migrate %s", d.requestID) }
 
-func (d *fakeDownstream) End(cause netio.Cause) { d.harness.note("end %s %s", d.requestID, cause) }
+func (d *fakeDownstream) End(cause netio.Cause) { d.harness.logEvent("end %s %s", d.requestID, cause) }
 
 type fakeBalancer harness
 
 func (m *fakeBalancer) event(format string, args ...any) {
 	e := fmt.Sprintf(format, args...)
-	(*harness)(m).note("%s", e)
+	(*harness)(m).logEvent("%s", e)
 	if m.onEvent != nil {
 		m.onEvent(e)
 	}
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -15,7 +15,7 @@
 			w := newHarness(t)
 			w.core.hosts.clock.wall = func() time.Time { return time.Unix(0, w.now+int64(step)) }
 			before := w.core.hosts.byID["A"].startedAt
-			w.pass(time.Second)
+			w.advance(time.Second)
 			startedAt := w.now - int64(300*time.Millisecond)
 			listed := startedAt
 			if everywhere {
@@ -27,7 +27,7 @@
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
 				t.Errorf("set by %v, at the host too %t: %v before now, 300ms expected at most", step, everywhere, time.Duration(w.now-got))
 			}
-			w.pass(time.Second) // listed again, it is the same start
+			w.advance(time.Second) // listed again, it is the same start
 			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts.byID["A"].startedAt != got {
 				t.Errorf("set by %v: the same start is another one a second later", step)
 			}
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -11,21 +11,21 @@
 //  1. Core.Admit: capacity, in descriptors, of the two processes of this proxy together. None left: rejected.
 //  2. Core.validate: its class and tenant are in the settings and its ID is not in use. Else it fails.
 //  3. Core.Open: a process that shuts down rejects it.
-//  4. Core.judge and Core.placement: the fleet's rules reject it, or name its account and the pools it may use; it is rejected where
+//  4. Core.applyRules and Core.choosePlacement: the fleet's rules reject it, or name its account and the pools it may use; it is rejected where
 //     none of these has a usable host.
-//  5. Core.answerTime: its deadline, which its class bounds. An answer that the decision module does not give by then is given by
+//  5. Core.answerTimeout: its deadline, which its class bounds. An answer that the decision module does not give by then is given by
 //     Request.failUnresponsive, overdueGrace later.
 //  6. Core.acquireQuota: its account's quota over all proxies. None left: rejected.
 //  7. Balancer.RequestArrived: the decision module queues, paces, rejects or places it. Its effects arrive in effects.go.
 //  8. Core.startAttempt, for each attempt: the limit of attempts, then invariant.Request.CheckAttempt: nothing past the deadline, to
 //     unusable hosts, or as an unsafe retry.
 //  9. Core.recheckRules: the fleet's rules again, since they may have changed.
-//  10. upstreamRequest.limitRetry and upstreamRequest.MaySend: a retry is written within its dedup window or not at all, and nothing to
+//  10. upstreamRequest.startRetryWindowTimer and upstreamRequest.MaySend: a retry is written within its dedup window or not at all, and nothing to
 //     a host that has become unusable meanwhile (invariant.Request.CheckWrite).
 //  11. Request.rejectOrFail: the final answer of a request that gets no attempt any more is a rejection only where
 //     invariant.Request.MayReject says that a retry by the client is harmless.
 //
-// A request that is open at a host already (Opening.StickyHost) goes by Request.adopt. It skips 6, 7 and 9. Of 4 only Core.judge runs, whose
+// A request that is open at a host already (Opening.StickyHost) goes by Request.adopt. It skips 6, 7 and 9. Of 4 only Core.applyRules runs, whose
 // verdict is logged and ignored. Of 5 its class does not bound the deadline that it names, and Request.failUnresponsive does not apply. Of 8
 // only CheckAttempt runs, without the limit of attempts; in 8 and 10 its host need not be usable. Where its attempts fail it fails
 // (Request.fail); 11 applies in a shutdown only.
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -12,9 +12,9 @@
 	report := func(x float64) { u.events.FromUpstream(Message{Kind: LoadReported, Load: x}) }
 	for _, x := range []float64{1800, 60000, 65, 1100, 2900, 4100, 3000, 1500, 20} {
 		report(x)
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
-	w.pass(time.Second)
+	w.advance(time.Second)
 	report(3800)
 	w.expect("observe q 1 1800", "observe q 1 60000", "observe q 2 65", "observe q 2 1100", "observe q 2 2900", "observe q 2 4100",
 		"observe q 2 3000", "observe q 2 1500", "observe q 2 20", "observe q 1 3800")
@@ -26,15 +26,15 @@
 	_, u := w.serve("q")
 	for _, x := range []float64{679, 1064, 1668} {
 		u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
 	w.expect("observe q 2 679", "observe q 2 1064", "observe q 2 1668")
 	// One that could be a load shows by the steady second that it was none.
-	w.pass(2 * time.Second)
+	w.advance(2 * time.Second)
 	_, u = w.serve("p")
 	for _, x := range []float64{1702, 2318, 2400, 51000} {
 		u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
 	w.expect("observe p 1 1702", "observe p 2 2318", "observe p 2 2400", "observe p 1 51000")
 }
@@ -45,7 +45,7 @@
 	_, u := w.serve("q")
 	for _, x := range []float64{2674, 2506, 216, 21, 2475, 1937} {
 		u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
-		w.pass(1200 * time.Millisecond)
+		w.advance(1200 * time.Millisecond)
 	}
 	w.expect("observe q 1 2674", "observe q 1 2506", "observe q 2 216", "observe q 2 21", "observe q 1 2475", "observe q 1 1937")
 	_, u = w.serve("p") // its host reported nothing at first
@@ -64,20 +64,20 @@
 		for _, x := range x {
 			h.checkedLoad, h.checkedAt = loaded, w.now
 			u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
-			w.pass(time.Second)
+			w.advance(time.Second)
 		}
 	}
 	report(0.4, 1167.7)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	report(0.4, 20710)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	report(0.4, 390.4)
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	report(0.4, 22000)
 	w.expect("observe q 1 1167.7", "observe q 1 20710", "observe q 1 390.4", "observe q 1 22000")
 	report(0.7, 77.7, 415.9, 60)
 	w.expect("observe q 1 77.7", "observe q 1 22000", "observe q 2 415.9", "observe q 2 60")
-	w.pass(5 * time.Second)
+	w.advance(5 * time.Second)
 	report(1.1, 120)
 	w.expect("observe q 2 120")
 }
--- a/internal/dataplane/proxy/localreply.go
+++ b/internal/dataplane/proxy/localreply.go
@@ -7,7 +7,7 @@
 
 const (
 	decidedByBalancer    localReplyReason = iota // by the decision module
-	processShutsDown                             // the process stops
+	processShuttingDown                          // the process stops
 	forbiddenByRules                             // the fleet's rules reject it
 	noUsableHost                                 // no pool that it may use has a host that takes anything new
 	quotaExceeded                                // its account's quota over the fleet is used up
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -44,7 +44,7 @@
 		{"request_failed request=q attempts=0 reason=balancer_unresponsive", func(t *testing.T) {
 			w := newHarness(t)
 			w.open("q")
-			w.pass(2 * time.Second)
+			w.advance(2 * time.Second)
 		}},
 		{"request_rejected request=q attempts=0 reason=shutting_down after_ms=500", func(t *testing.T) {
 			w := newHarness(t)
@@ -52,7 +52,7 @@
 			w.open("q")
 		}},
 		{"request_rejected request=r attempts=0 reason=quota_exceeded after_ms=700", func(t *testing.T) {
-			w, quota := limited(t)
+			w, quota := newQuotaHarness(t)
 			w.open("r")
 			quota.reply("rate", 700*time.Millisecond)
 		}},
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -43,11 +43,11 @@
 		return
 	}
 	p.requested = true
-	p.pacer.RequestMigrations(len(p.pending), p.permitted)
+	p.pacer.RequestMigrations(len(p.pending), p.permitsGranted)
 }
 
-// permitted migrates n clients, and requests permits again for those that still wait.
-func (p *migrationPacer) permitted(n int) {
+// permitsGranted migrates n clients, and requests permits again for those that still wait.
+func (p *migrationPacer) permitsGranted(n int) {
 	p.requested = false
 	for n > 0 && len(p.pending) > 0 {
 		migrate := p.pending[0]
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -22,19 +22,19 @@
 	}
 	q := c.attributesOf(o)
 	if c.shuttingDown {
-		c.rejectOpening(d, &q, metrics.ShuttingDown, processShutsDown, c.RetryAdvice())
+		c.rejectOpening(d, &q, metrics.ShuttingDown, processShuttingDown, c.RetryAdvice())
 		return nil
 	}
-	verdict := c.judge(o.Tenant, o.Class, &q)
+	verdict := c.applyRules(o.Tenant, o.Class, &q)
 	var in *pool
 	if o.StickyHost == "" {
 		var reason localReplyReason
-		if in, reason = c.placement(&verdict); verdict.Rejected {
+		if in, reason = c.choosePlacement(&verdict); verdict.Rejected {
 			c.rejectOpening(d, &q, metrics.Rejected, reason, verdict.Advice)
 			return nil
 		}
 	}
-	wait := c.answerTime(o, q.Class)
+	wait := c.answerTimeout(o, q.Class)
 	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: c.loop.Now() + int64(wait)}
 	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
 	c.requests[o.ID] = r
@@ -87,9 +87,9 @@
 	d.Reject(after)
 }
 
-// placement is the first pool that a request may use and that has a usable host; where there is none the verdict becomes a rejection.
+// choosePlacement is the first pool that a request may use and that has a usable host; where there is none the verdict becomes a rejection.
 // reason is that of a rejection.
-func (c *Core) placement(v *rules.Verdict) (in *pool, reason localReplyReason) {
+func (c *Core) choosePlacement(v *rules.Verdict) (in *pool, reason localReplyReason) {
 	in, reason = c.choosePool(v.Pools), forbiddenByRules
 	if in == nil && !v.Rejected {
 		v.Rejected, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
@@ -97,9 +97,9 @@
 	return in, reason
 }
 
-// answerTime is how long a client waits for its answer: as it says, at most its class's deadline. A client that comes back to the host at
+// answerTimeout is how long a client waits for its answer: as it says, at most its class's deadline. A client that comes back to the host at
 // which it is open may wait for longer.
-func (c *Core) answerTime(o *Opening, class int) time.Duration {
+func (c *Core) answerTimeout(o *Opening, class int) time.Duration {
 	longest := time.Duration(c.opt.Settings.Classes[class].Deadline)
 	if !o.HasWait || o.Wait > longest && o.StickyHost == "" {
 		return longest
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -58,7 +58,7 @@
 
 // newPoolHarness is a core by version 1 of the rules, with four hosts of two kinds.
 func newPoolHarness(t *rapid.T) *poolHarness {
-	w := &poolHarness{harness: newClock(nil), test: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{},
+	w := &poolHarness{harness: newHarnessWithoutCore(nil), test: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{},
 		kind: "m1", version: 1}
 	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
 	for i, id := range []string{"A", "B", "C", "D"} {
@@ -88,7 +88,7 @@
 	if rapid.Bool().Draw(t, "between") {
 		w.core.ReassignPools()
 	}
-	w.pass(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
+	w.advance(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
 	w.rule(w.version, w.kind, false)
 	if rapid.Bool().Draw(t, "at once") { // else requests come before the hosts are put into their pools
 		w.core.ReassignPools()
@@ -104,7 +104,7 @@
 	a := u.events.(*upstreamRequest)
 	before := w.starts[a.request.attributes.ID]
 	// After a reset it may have run, and must not run twice.
-	if reset := u.endAsDrawn(t, netio.Sent); reset && !a.established && w.starts[a.request.attributes.ID] > before {
+	if reset := u.endAtRandom(t, netio.Sent); reset && !a.established && w.starts[a.request.attributes.ID] > before {
 		t.Fatalf("%s may have run and is retried", a.request.attributes.ID)
 	}
 }
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -38,11 +38,11 @@
 					w.upstreams[n-1].sent()
 				}
 			}
-			w.pass(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
+			w.advance(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
 		w.core.ReassignPools()
 		open += w.checkOpen(t)
-		w.pass(6 * time.Second)
+		w.advance(6 * time.Second)
 		w.checkAnswers(t)
 	})
 	if open < 20 || swaps < 20 {
@@ -53,7 +53,7 @@
 // A request that may have run, and must not run twice, is not placed again in another pool, whose balancer knows nothing of that.
 func TestRequestThatMayHaveRunIsNotPlacedAgain(t *testing.T) {
 	for idempotency, want := range map[balancer.Idempotency]string{balancer.IdempotentWithKey: "fail r", balancer.Idempotent: "start at-B"} {
-		w := newClock(t)
+		w := newHarnessWithoutCore(t)
 		enforcer := &rules.Enforcer{Now: func() int64 { return w.now }}
 		cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, ConnectTimeout: 250e6, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 			Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, Idempotency: idempotency, DedupWindow: 9e9}}, Tenants: []balancer.Tenant{{Name: "t"}}}
@@ -81,7 +81,7 @@
 
 // A connection that comes up at a host that has changed pools meanwhile is known to the balancer of its new pool, and to no other.
 func TestConnectionFollowsItsHost(t *testing.T) {
-	w := &poolHarness{harness: newClock(t), hosts: map[string]HostEntry{"A": {ListedHost: balancer.ListedHost{ID: "A", Kind: "m1", Weight: 1}, Address: "at-A"}},
+	w := &poolHarness{harness: newHarnessWithoutCore(t), hosts: map[string]HostEntry{"A": {ListedHost: balancer.ListedHost{ID: "A", Kind: "m1", Weight: 1}, Address: "at-A"}},
 		owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
 	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }}
 	balancers := 0
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -32,8 +32,8 @@
 	then(over, advice)
 }
 
-// limited is a core whose tenant's account has a quota.
-func limited(t *testing.T) (*harness, *fakeQuota) {
+// newQuotaHarness is a core whose tenant's account has a quota.
+func newQuotaHarness(t *testing.T) (*harness, *fakeQuota) {
 	t.Helper()
 	w := newHarness(t)
 	quota := &fakeQuota{inUse: map[string]int{}}
@@ -52,7 +52,7 @@
 
 // A request goes on once its account has quota, and gives back what it counts against at its end, whichever way that comes.
 func TestRequestCountsOnceAgainstQuota(t *testing.T) {
-	w, quota := limited(t)
+	w, quota := newQuotaHarness(t)
 	w.open("r")
 	w.expect()
 	quota.reply("", 0)
@@ -70,7 +70,7 @@
 }
 
 func TestNoQuotaIsRejected(t *testing.T) {
-	w, quota := limited(t)
+	w, quota := newQuotaHarness(t)
 	w.open("r")
 	quota.reply("rate", 700*time.Millisecond)
 	w.expect("reject r 700")
@@ -82,7 +82,7 @@
 // A client that leaves before the reply takes no quota.
 func TestClientThatLeftTakesNoQuota(t *testing.T) {
 	for _, over := range []string{"", "standing"} {
-		w, quota := limited(t)
+		w, quota := newQuotaHarness(t)
 		r := w.open("r")
 		r.DownstreamEnded(&netio.Error{})
 		w.events = nil
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -31,7 +31,7 @@
 	away := h.effectiveEntry()
 	away.State = balancer.Removed
 	if from != nil {
-		h.lastSnapshot = snapshotOf(from.balancer, h.hostID)
+		h.lastSnapshot = hostSnapshot(from.balancer, h.hostID)
 		c.localChange(from, away)
 	}
 	if to != nil {
@@ -45,12 +45,12 @@
 	}
 	h.stopUnsentAttempts(func(a *upstreamRequest) bool { return a.request.pool == from })
 	for r := range h.established {
-		c.followHost(r)
+		c.reassignConnection(r)
 	}
 }
 
-// snapshotOf is what a balancer knows of one host; nil: nothing.
-func snapshotOf(m Balancer, host string) (known *balancer.HostSnapshot) {
+// hostSnapshot is what a balancer knows of one host; nil: nothing.
+func hostSnapshot(m Balancer, host string) (known *balancer.HostSnapshot) {
 	for _, s := range m.Snapshot(false).Servers {
 		if s.ID == host {
 			known = &s
@@ -59,8 +59,8 @@
 	return known
 }
 
-// followHost has an open connection counted by the balancer of the pool that its host is in now.
-func (c *Core) followHost(r *Request) {
+// reassignConnection has an open connection counted by the balancer of the pool that its host is in now.
+func (c *Core) reassignConnection(r *Request) {
 	a, from := r.attempt, r.pool
 	if a == nil || !a.established || a.host.pool == from {
 		return
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// limitRetry ends the attempt when the dedup window ends before its line is written.
-func (a *upstreamRequest) limitRetry() {
+// startRetryWindowTimer ends the attempt when the dedup window ends before its line is written.
+func (a *upstreamRequest) startRetryWindowTimer() {
 	deadline := a.request.record.RetryUntil()
 	if deadline == math.MaxInt64 {
 		return
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -27,7 +27,7 @@
 	}
 	w.open("q")
 	w.upstreams[0].sent()
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	w.events = nil
 	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
 	return w
@@ -37,9 +37,9 @@
 func TestRetryIsWrittenWithinItsWindowOrNotAtAll(t *testing.T) {
 	w := openWithKey(t)
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700")
-	w.pass(190 * time.Millisecond)
+	w.advance(190 * time.Millisecond)
 	w.expect()
-	w.pass(20 * time.Millisecond)
+	w.advance(20 * time.Millisecond)
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
@@ -61,7 +61,7 @@
 func TestRetryThatIsWrittenGoesOn(t *testing.T) {
 	w := openWithKey(t)
 	w.upstreams[1].sent()
-	w.pass(400 * time.Millisecond)
+	w.advance(400 * time.Millisecond)
 	w.upstreams[1].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700", "accept q", "established q 1")
 }
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -36,11 +36,11 @@
 	if !w.core.migrations.unpaced {
 		t.Error("clients of a process that shuts down wait for permits")
 	}
-	w.pass(900 * time.Millisecond)
+	w.advance(900 * time.Millisecond)
 	w.upstreams[0].sent()
 	w.upstreams[0].events.FromUpstream(Message{Kind: Accepted, Text: []byte("UP\r\n")})
 	w.expect("accept q", "established q 0")
-	w.pass(1500 * time.Millisecond)
+	w.advance(1500 * time.Millisecond)
 	w.expectMigratedAndEnded(ended)
 }
 
@@ -51,7 +51,7 @@
 	ended := w.shutDown()
 	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
 	w.expect("list 1 1")
-	w.pass(2100 * time.Millisecond)
+	w.advance(2100 * time.Millisecond)
 	w.expectMigratedAndEnded(ended)
 }
 
@@ -81,12 +81,12 @@
 	w.core.Admit("c") // from the queue
 	w.open("late")
 	w.expect("reject late 500")
-	w.pass(300 * time.Millisecond)
+	w.advance(300 * time.Millisecond)
 	if *ended {
 		t.Fatal("the shutdown has ended before its client hung up")
 	}
 	w.core.DownstreamEnded()
-	w.pass(200 * time.Millisecond)
+	w.advance(200 * time.Millisecond)
 	if !*ended {
 		t.Error("the shutdown has not ended")
 	}
@@ -131,20 +131,20 @@
 	w.events = nil
 	w.core.admission.downstreams = 2
 	ended := w.shutDown()
-	w.pass(3200 * time.Millisecond)
+	w.advance(3200 * time.Millisecond)
 	w.expect()
-	w.pass(60 * time.Millisecond)
+	w.advance(60 * time.Millisecond)
 	seen := strings.Join(w.events, "; ")
 	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject queued 500; left queued"} {
 		if !strings.Contains(seen, want) {
 			t.Errorf("got %s, want %s in it", seen, want)
 		}
 	}
-	w.pass(100 * time.Millisecond)
+	w.advance(100 * time.Millisecond)
 	if *ended {
 		t.Fatal("the shutdown has ended before its clients hung up")
 	}
-	w.pass(50 * time.Millisecond)
+	w.advance(50 * time.Millisecond)
 	if !*ended {
 		t.Error("the shutdown has not ended before SIGKILL")
 	}
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -94,7 +94,7 @@
 
 // newSuspensionHarness is a core that knows some hosts. t may be nil where no host is suspended that gets a request.
 func newSuspensionHarness(t *rapid.T, hosts ...string) *suspensionHarness {
-	w := &suspensionHarness{harness: newClock(nil), test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
+	w := &suspensionHarness{harness: newHarnessWithoutCore(nil), test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
 	for _, id := range hosts {
 		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
 	}
@@ -121,7 +121,7 @@
 				w.open(fmt.Sprint(requests))
 			case 6:
 				if len(w.upstreams) > 0 {
-					w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")].endAsDrawn(t, netio.Connecting)
+					w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")].endAtRandom(t, netio.Connecting)
 				}
 			case 7:
 				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
@@ -129,7 +129,7 @@
 					w.begin(k)
 				}
 			}
-			w.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
+			w.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 		}
 	})
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -62,7 +62,7 @@
 	c.counters.metrics.Ended(r.attributes.Class, how)
 	r.downstream.Accept(m)
 	a.notifyEstablished()
-	c.followHost(r) // its host may have changed pools meanwhile
+	c.reassignConnection(r) // its host may have changed pools meanwhile
 }
 
 // notifyEstablished notifies the balancer of the acceptance.
