--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -79,7 +79,7 @@
 
 // answerNow gives a request its answer at once as the process shuts down, also where an attempt is in flight, and has the balancer forget it.
 func (r *Request) answerNow(after time.Duration) {
-	r.rejectOrFail(after, processShutsDown)
+	r.rejectOrFail(after, processShuttingDown)
 	r.notifyClientLeft()
 }
 
@@ -108,7 +108,7 @@
 	if tracing() {
 		slog.Debug("client_migrated", "request", r.attributes.ID, "host", a.host.hostID, "status", status.String(), "leaving", r.core.shuttingDown)
 	}
-	r.record.Released()
+	r.record.ConnectionEnded()
 	r.downstream.Migrate()
 	a.conn.End(netio.Ended)
 	a.notifyEnded(status)
