--- a/internal/app/node/discovery.go
+++ b/internal/app/node/discovery.go
@@ -6,7 +6,7 @@
 )
 
 // listReceived applies a watch event. A new process also waits for its first list before it takes over, and an old one passes its lists on.
-func (p *process) listReceived(ch proxy.Change) {
+func (p *process) listReceived(ch proxy.WatchEvent) {
 	p.core.ListReceived(ch)
 	if ch.Kind == balancer.ListFailed {
 		return
--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	var err error
-	if f.owners, err = owneragent.Start(p.loop, f.ownerOptions, p.cfg.Name, f.members, p.core.SuspendForFleet); err != nil {
+	if f.owners, err = owneragent.Start(p.loop, f.ownerOptions, p.cfg.Name, f.members, p.core.SetFleetSuspensions); err != nil {
 		return err
 	}
 	if f.owners.Paced() {
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -116,7 +116,7 @@
 		open = openByTLS(p.link)
 		opt.Expiry = tls.Expiry
 		// Each handshake in progress holds a descriptor, and one more while its socket changes hands.
-		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.AtOnce)
+		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.MaxInFlight)
 	}
 	var reportsInAnswers []string
 	if cfg.ReportsInAnswers {
@@ -145,12 +145,12 @@
 	if handoff == nil {
 		return nil, handoffWithoutSockets(&proxy.Snapshot{}), nil
 	}
-	p.core.Inherit(handoff.Snapshot)
+	p.core.RestoreSuspensions(handoff.Snapshot)
 	return old, handoff, nil
 }
 
 // runCore starts the core with its decision module, discovery, and an endpoint list.
-func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.Change, err error) {
+func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.WatchEvent, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
 	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, Sharing: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
@@ -201,7 +201,7 @@
 		return fmt.Errorf("listen: %v", err)
 	}
 	p.front = lineproto.NewFront(p.loop, p.core, p.listener, p.cfg.MaxIdleClients())
-	p.core.SetNewcomers(p.front)
+	p.core.SetIdleDownstreams(p.front)
 	return nil
 }
 
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -50,7 +50,7 @@
 		return
 	}
 	e.takeList(s)
-	e.core.Inherit(s)
+	e.core.RestoreSuspensions(s)
 	e.core.RestoreBalancer(s.Balancer)
 }
 
@@ -71,7 +71,7 @@
 		return
 	}
 	if from, revision := e.discovery.Source(); s.Discovery == from && s.Revision > revision {
-		e.core.ListReceived(proxy.Change{Kind: balancer.ListCached, Version: s.Revision, Hosts: s.Hosts})
+		e.core.ListReceived(proxy.WatchEvent{Kind: balancer.ListCached, Version: s.Revision, Hosts: s.Hosts})
 	}
 }
 
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -25,7 +25,7 @@
 	loop := netio.NewLoop()
 	core := proxy.New(loop, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
 	p := &process{loop: loop, core: core, discovery: cluster.NewClient(loop, nil, cluster.Options{Address: ownDiscovery, Sharing: 1, Revision: 7})}
-	list := proxy.Change{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready), listedHost("b", balancer.Ready)}}
+	list := proxy.WatchEvent{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready), listedHost("b", balancer.Ready)}}
 	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }
 	if err := core.Run(newBalancer, p.discovery, list); err != nil {
 		t.Fatal(err)
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -99,9 +99,9 @@
 
 // knownList is the endpoint list to start from: the one handed over, or stored by an earlier process, if it is of the same service and newer,
 // else the platform's.
-func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.Change {
+func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.WatchEvent {
 	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
 		return cfg.CachedList
 	}
-	return proxy.Change{Kind: cfg.CachedList.Kind, Version: s.Revision, Hosts: s.Hosts}
+	return proxy.WatchEvent{Kind: cfg.CachedList.Kind, Version: s.Revision, Hosts: s.Hosts}
 }
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -55,7 +55,7 @@
 
 // HandOver hands a connection to the process that has taken over, or closes it with its migration line if there is none.
 func (p *process) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
-	if !p.Accepts() {
+	if !p.AcceptsHandovers() {
 		s.Downstream.Discard(migrationLine)
 		s.Upstream.Discard(nil)
 		done()
@@ -64,7 +64,7 @@
 	p.restart.partner.HandOver(s, migrationLine, func() { p.loop.Post(done) })
 }
 
-// Accepts returns whether another process has taken over, and connections can be handed to it.
-func (p *process) Accepts() bool {
+// AcceptsHandovers returns whether another process has taken over, and connections can be handed to it.
+func (p *process) AcceptsHandovers() bool {
 	return p.restart.partner != nil && p.restart.isOld && p.restart.phase == handedOver
 }
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -72,8 +72,8 @@
 // watermarkStates maps the states of hosts to those of watermarks.
 var watermarkStates = map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
 
-// Listed passes a change of the own list to the watermarks.
-func (w coreWatermarks) Listed(ch proxy.Change) []string {
+// ListUpdated passes a change of the own list to the watermarks.
+func (w coreWatermarks) ListUpdated(ch proxy.WatchEvent) []string {
 	all := make([]watermark.ListedHost, 0, len(ch.Hosts))
 	for _, e := range ch.Hosts {
 		all = append(all, watermark.ListedHost{Host: e.ID, StartedAt: e.StartedAt / 1e6, State: watermarkStates[e.State]})
@@ -81,5 +81,5 @@
 	return w.List(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
 
-// Out returns whether others' newer lists exclude a host.
-func (w coreWatermarks) Out(id string, since balancer.Time) bool { return w.Link.Out(id, since/1e6) }
+// Blocks returns whether others' newer lists exclude a host, whose start is in nanoseconds.
+func (w coreWatermarks) Blocks(id string, ns balancer.Time) bool { return w.Link.Blocks(id, ns/1e6) }
--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -16,15 +16,15 @@
 
 // Policy is the operator's settings of migrations before certificates end.
 type Policy struct {
-	MigrationEnabled bool          // false: no connection is migrated
-	Before           time.Duration // how long before the end migrations begin
-	Share            float64       // of the established connections, migrated a minute at most
+	MigrationEnabled  bool          // false: no connection is migrated
+	Before            time.Duration // how long before the end migrations begin
+	MaxSharePerMinute float64       // of the established connections, migrated a minute at most
 }
 
 // Conn is an established connection.
 type Conn struct {
-	ID   string
-	Ends time.Time // of its first certificate; zero: it has none
+	ID       string
+	NotAfter time.Time // of its first certificate; zero: it has none
 }
 
 // Planner keeps the pace of migrations.
@@ -38,8 +38,8 @@
 // New makes a planner.
 func New(p Policy) *Planner { return &Planner{policy: p} }
 
-// Every is how often to call Plan.
-const Every = time.Second
+// PlanInterval is how often to call Plan.
+const PlanInterval = time.Second
 
 // Plan gives the connections to migrate now, the longest due first. now is monotonic, in nanoseconds; certificates are compared with wall;
 // open are all open connections.
@@ -47,14 +47,14 @@
 	if !p.policy.MigrationEnabled || len(open) == 0 {
 		return nil
 	}
-	perSecond := p.policy.Share * float64(len(open)) / 60
+	perSecond := p.policy.MaxSharePerMinute * float64(len(open)) / 60
 	passed := 0.0
 	if p.started && now > p.last {
 		passed = float64(now-p.last) / 1e9
 	}
 	p.started, p.last = true, now
 	// Permits are saved for a few seconds at most, and at least one is: a small share of a few connections still gets its turn.
-	p.permits = math.Min(p.permits+perSecond*passed, math.Max(1, 2*perSecond*Every.Seconds()))
+	p.permits = math.Min(p.permits+perSecond*passed, math.Max(1, 2*perSecond*PlanInterval.Seconds()))
 	if p.permits < 1 {
 		return nil
 	}
@@ -64,7 +64,7 @@
 	}
 	var list []due
 	for _, c := range open {
-		if c.Ends.IsZero() {
+		if c.NotAfter.IsZero() {
 			continue
 		}
 		if at := p.moment(c); !wall.Before(at) {
@@ -91,5 +91,5 @@
 // moment is when a connection is due: by its ID, somewhere in the first nine tenths of the time before the end.
 func (p *Planner) moment(c Conn) time.Time {
 	place := float64(xxhash.Sum64String(c.ID)>>11) / (1 << 53)
-	return c.Ends.Add(-p.policy.Before + time.Duration(0.9*place*float64(p.policy.Before)))
+	return c.NotAfter.Add(-p.policy.Before + time.Duration(0.9*place*float64(p.policy.Before)))
 }
--- a/internal/dataplane/certexpiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -55,7 +55,7 @@
 
 // All connections of a host end together: with time enough all are migrated before the end, spread, within the share.
 func TestMigratedBeforeTheEnd(t *testing.T) {
-	p := New(Policy{MigrationEnabled: true, Before: 20 * time.Minute, Share: 0.2})
+	p := New(Policy{MigrationEnabled: true, Before: 20 * time.Minute, MaxSharePerMinute: 0.2})
 	migrated := play(p, fleet(400, start.Add(30*time.Minute)), 1900, running)
 	first, last := 1<<30, 0
 	for _, s := range migrated {
@@ -71,7 +71,7 @@
 
 // A clock that steps a year ahead makes everything due at once. No more than the share may go, and none once it is back.
 func TestClockStep(t *testing.T) {
-	p := New(Policy{MigrationEnabled: true, Before: 10 * time.Minute, Share: 0.05})
+	p := New(Policy{MigrationEnabled: true, Before: 10 * time.Minute, MaxSharePerMinute: 0.05})
 	migrated := play(p, fleet(1000, start.Add(100*24*time.Hour)), 400, func(s int) time.Time {
 		if s >= 100 && s < 220 {
 			return running(s).AddDate(1, 0, 0)
@@ -90,15 +90,15 @@
 
 // Nothing migrates where migration is off; of a few connections each migrates in the end, and one without a certificate never.
 func TestOffAndFew(t *testing.T) {
-	if migrated := play(New(Policy{Before: time.Hour, Share: 1}), fleet(10, start), 100, running); len(migrated) > 0 {
+	if migrated := play(New(Policy{Before: time.Hour, MaxSharePerMinute: 1}), fleet(10, start), 100, running); len(migrated) > 0 {
 		t.Errorf("migrated %v although migration is off", migrated)
 	}
 	// One in a hundred a minute of three: each still gets its turn, late.
-	migrated := play(New(Policy{MigrationEnabled: true, Before: time.Minute, Share: 0.01}), fleet(3, start.Add(time.Minute)), 20000, running)
+	migrated := play(New(Policy{MigrationEnabled: true, Before: time.Minute, MaxSharePerMinute: 0.01}), fleet(3, start.Add(time.Minute)), 20000, running)
 	if len(migrated) != 3 {
 		t.Errorf("migrated %v", migrated)
 	}
-	if migrated := play(New(Policy{MigrationEnabled: true, Before: time.Minute, Share: 1}), []Conn{{ID: "plain"}}, 10, running); len(migrated) > 0 {
+	if migrated := play(New(Policy{MigrationEnabled: true, Before: time.Minute, MaxSharePerMinute: 1}), []Conn{{ID: "plain"}}, 10, running); len(migrated) > 0 {
 		t.Error("a connection without a certificate was migrated")
 	}
 }
--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -21,8 +21,8 @@
 	t.Cleanup(d.Close)
 	l := netio.NewLoop()
 	netiotest.Run(t, l)
-	changes := make(chan proxy.Change, 64)
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.Change) { changes <- ch }})
+	changes := make(chan proxy.WatchEvent, 64)
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
 	l.Post(c.Follow)
 	expect := func(what, uid string, state balancer.HostState) {
 		t.Helper()
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -28,11 +28,11 @@
 	conn         *netio.Conn
 	timer        *netio.Timer
 	reused       bool
-	done         func(ch proxy.Change, err error)
+	done         func(ch proxy.WatchEvent, err error)
 }
 
 // startCall makes a call, on the connection at rest where there is one.
-func (c *Client) startCall(target string, within time.Duration, done func(proxy.Change, error)) *call {
+func (c *Client) startCall(target string, within time.Duration, done func(proxy.WatchEvent, error)) *call {
 	q := &call{client: c, fromRevision: c.revision, startedAt: c.loop.Now(), target: target, done: done}
 	q.timer = c.loop.After(within, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, within)) })
 	if c.idle != nil && !c.idle.Over() {
@@ -94,7 +94,7 @@
 	if q.done == nil {
 		return
 	}
-	var ch proxy.Change
+	var ch proxy.WatchEvent
 	if err == nil && r.status != 200 {
 		err = fmt.Errorf("%w %d", errBadStatus, r.status)
 	}
@@ -121,7 +121,7 @@
 }
 
 // trace logs how the call ended.
-func (q *call) trace(ch proxy.Change, err error) {
+func (q *call) trace(ch proxy.WatchEvent, err error) {
 	if logging.DebugEnabled() {
 		slog.Debug("discovery_call", "addr", q.client.address, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.startedAt)/1e6,
 			"rev", ch.Version, "hosts", len(ch.Hosts), "err", err)
@@ -129,12 +129,12 @@
 }
 
 // acceptAnswer takes over an answer's version, and gives the change to apply.
-func (c *Client) acceptAnswer(q *call, ch proxy.Change) proxy.Change {
+func (c *Client) acceptAnswer(q *call, ch proxy.WatchEvent) proxy.WatchEvent {
 	c.redirectedAt = 0
 	switch {
 	case ch.Version < c.revision && q.fromRevision != c.revision:
 		// An older answer, overtaken by that of another call: it must not undo the newer list.
-		return proxy.Change{Kind: balancer.ListDelta, Version: c.revision}
+		return proxy.WatchEvent{Kind: balancer.ListDelta, Version: c.revision}
 	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
 		// The service has restarted its versions, and has sent a change only: the complete list is fetched next.
 		c.revision = noRevision
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -45,7 +45,7 @@
 	loop          *netio.Loop
 	dialer        *netio.Dialer
 	address       string
-	notify        func(proxy.Change)
+	notify        func(proxy.WatchEvent)
 	watchTimeout  time.Duration // how long discovery may keep a watch waiting
 	answerTimeout time.Duration // how long past that an answer may come
 	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
@@ -69,7 +69,7 @@
 	Address  string // of discovery
 	Sharing  int    // how many proxies share it
 	Revision int64  // of the list that the client has
-	Notify   func(proxy.Change)
+	Notify   func(proxy.WatchEvent)
 }
 
 // NewClient makes a client. It calls discovery only once Follow, WatchList, Redirect or FetchList is called.
@@ -135,7 +135,7 @@
 	if c.revision < 0 {
 		target, within = hostsPath, c.fullListWait()
 	}
-	c.watch = c.startCall(target, within, func(ch proxy.Change, err error) {
+	c.watch = c.startCall(target, within, func(ch proxy.WatchEvent, err error) {
 		c.watch = nil
 		if errors.Is(err, errSilent) {
 			c.silentCalls++
@@ -209,7 +209,7 @@
 	if c.fetch != nil {
 		return
 	}
-	c.fetch = c.startCall(hostsPath, fullListTimeout, func(ch proxy.Change, err error) {
+	c.fetch = c.startCall(hostsPath, fullListTimeout, func(ch proxy.WatchEvent, err error) {
 		c.fetch = nil
 		if err != nil {
 			c.reportFailure(err)
@@ -230,5 +230,5 @@
 // reportFailure logs a failed call, and notifies the decision module.
 func (c *Client) reportFailure(err error) {
 	c.logFailure(err)
-	c.notify(proxy.Change{Kind: balancer.ListFailed})
+	c.notify(proxy.WatchEvent{Kind: balancer.ListFailed})
 }
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -131,9 +131,9 @@
 	calls := make(chan string, 16)
 	l := netio.NewLoop()
 	netiotest.Run(t, l)
-	changes := make(chan proxy.Change, 16)
+	changes := make(chan proxy.WatchEvent, 16)
 	old := discoveryWithAnswers(t, calls, "old")
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.Change) { changes <- ch }})
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
 	l.Post(func() { c.WatchList(true) })
 	expect := func(want string) {
 		t.Helper()
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -32,25 +32,25 @@
 var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // Parse reads a list or a change of it, as discovery and the configuration's known give it.
-func Parse(data []byte) (proxy.Change, error) {
+func Parse(data []byte) (proxy.WatchEvent, error) {
 	var l list
 	if err := json.Unmarshal(data, &l); err != nil {
-		return proxy.Change{}, fmt.Errorf("list: %v", err)
+		return proxy.WatchEvent{}, fmt.Errorf("list: %v", err)
 	}
 	if l.Rev == nil {
-		return proxy.Change{}, errors.New("list without rev")
+		return proxy.WatchEvent{}, errors.New("list without rev")
 	}
-	ch := proxy.Change{Kind: balancer.ListDelta, Version: *l.Rev}
+	ch := proxy.WatchEvent{Kind: balancer.ListDelta, Version: *l.Rev}
 	if l.All {
 		ch.Kind = balancer.ListFull
 	}
 	for i, e := range l.Targets {
 		state, ok := hostStates[e.State]
 		if !ok {
-			return proxy.Change{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
+			return proxy.WatchEvent{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
 		}
 		if e.UID == "" || e.Endpoint == "" && state != balancer.Removed {
-			return proxy.Change{}, fmt.Errorf("list entry %d: no uid or endpoint", i)
+			return proxy.WatchEvent{}, fmt.Errorf("list entry %d: no uid or endpoint", i)
 		}
 		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Address: e.Endpoint, ListedHost: balancer.ListedHost{ID: e.UID, State: state,
 			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, StartedAt: e.BootMS * 1e6}})
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -28,7 +28,7 @@
 // script is a discovery whose answers the test gives, and a client of it that holds version 40, on a clock that the test moves.
 type script struct {
 	calls   chan receivedCall
-	changes chan proxy.Change
+	changes chan proxy.WatchEvent
 	loop    *netio.Loop
 	client  *Client
 	now     atomic.Int64
@@ -51,7 +51,7 @@
 // scripted starts a scripted discovery and its client.
 func scripted(t *testing.T) *script {
 	t.Helper()
-	s := &script{calls: make(chan receivedCall, 64), changes: make(chan proxy.Change, 64)}
+	s := &script{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
 	s.now.Store(1e18)
 	ln := listen(t)
 	go func() {
@@ -68,7 +68,7 @@
 	}()
 	s.loop = netio.NewLoopAt(s.now.Load)
 	netiotest.Run(t, s.loop)
-	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), Options{Address: ln.Addr().String(), Sharing: 3, Revision: 40, Notify: func(ch proxy.Change) { s.changes <- ch }})
+	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), Options{Address: ln.Addr().String(), Sharing: 3, Revision: 40, Notify: func(ch proxy.WatchEvent) { s.changes <- ch }})
 	return s
 }
 
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -19,27 +19,27 @@
 
 // Limits are the operator's. A zero means no limit of that kind.
 type Limits struct {
-	CPU           float64       // part of one core
-	Rate          float64       // full handshakes a second, all hosts together
-	HostRate      float64       // full handshakes a second with one host
-	AtOnce        int           // handshakes in flight
-	HostAtOnce    int           // handshakes in flight with one host
-	Burst         time.Duration // how long unused budget is saved
-	Queue         int           // requests that wait
-	ResumedFactor float64       // what a resumed handshake counts against the rates; a full one counts 1
+	CPUShare           float64       // part of one core
+	Rate               float64       // full handshakes a second, all hosts together
+	HostRate           float64       // full handshakes a second with one host
+	MaxInFlight        int           // handshakes in flight
+	MaxInFlightPerHost int           // handshakes in flight with one host
+	Burst              time.Duration // how long unused budget is saved
+	MaxQueued          int           // requests that wait
+	ResumedFactor      float64       // what a resumed handshake counts against the rates; a full one counts 1
 }
 
 // Defaults are the limits without a file: a third of a core, and no host gets more than it could do by itself.
 func Defaults() Limits {
-	return Limits{CPU: 0.35, Rate: 600, HostRate: 200, AtOnce: 16, HostAtOnce: 4, Burst: 100 * time.Millisecond,
-		Queue: 4096, ResumedFactor: 0.5}
+	return Limits{CPUShare: 0.35, Rate: 600, HostRate: 200, MaxInFlight: 16, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond,
+		MaxQueued: 4096, ResumedFactor: 0.5}
 }
 
 // The reasons.
 const (
-	None      Refusal = iota
-	NoTime            // it could not be done before its deadline
-	QueueFull         // too many wait
+	NotRejected     RejectReason = iota
+	DeadlineTooSoon              // it could not be done before its deadline
+	QueueFull                    // too many wait
 )
 
 // Estimates of one handshake, in nanoseconds.
@@ -89,7 +89,7 @@
 		l.ResumedFactor = 1
 	}
 	return &Budget{limits: l, hosts: map[string]*host{}, waiting: map[uint64]*request{}, inFlight: map[uint64]*request{},
-		cpu: newBucket(l.CPU*1e9, l.Burst, 1, now), rate: newBucket(l.Rate, l.Burst, 1, now),
+		cpu: newBucket(l.CPUShare*1e9, l.Burst, 1, now), rate: newBucket(l.Rate, l.Burst, 1, now),
 		meanCPU: [2]float64{initialCPU, initialCPU}, meanDuration: initialDuration}
 }
 
@@ -110,8 +110,8 @@
 
 // Enqueue puts a handshake with a host in the queue; id is the caller's and new. resumed: a session is available.
 // The deadline is the moment by which it must be done. A rejection is final.
-func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) Refusal {
-	if b.limits.Queue > 0 && len(b.waiting) >= b.limits.Queue {
+func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) RejectReason {
+	if b.limits.MaxQueued > 0 && len(b.waiting) >= b.limits.MaxQueued {
 		return QueueFull
 	}
 	h := b.hosts[name]
@@ -124,7 +124,7 @@
 	h.rate.refill(now)
 	if float64(now)+b.queueDelay(h, resumed)+b.meanDuration > float64(deadline) {
 		b.removeIfIdle(h)
-		return NoTime
+		return DeadlineTooSoon
 	}
 	r := &request{requestID: id, host: h, resumed: resumed, deadline: deadline}
 	b.waiting[id] = r
@@ -133,7 +133,7 @@
 		h.inRotation = true
 		b.rotation = append(b.rotation, h)
 	}
-	return None
+	return NotRejected
 }
 
 // dropIdleHosts drops the hosts whose state equals that of a new one. It runs only when a host is added, and so bounds the map.
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -33,11 +33,11 @@
 
 // After the drain of one server 500 clients need handshakes at once. What they take is bounded, and each begins in time or is rejected at once.
 func TestStormStaysInBudget(t *testing.T) {
-	l := Limits{CPU: 0.3, Rate: 1000, HostRate: 100, AtOnce: 8, HostAtOnce: 4, Burst: 100 * time.Millisecond, Queue: 1000}
+	l := Limits{CPUShare: 0.3, Rate: 1000, HostRate: 100, MaxInFlight: 8, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond, MaxQueued: 1000}
 	b := New(l, 0)
 	rejected := 0
 	for id := range uint64(500) {
-		if b.Enqueue(0, id, fmt.Sprint("s", id%3), false, 1000*ms) != None {
+		if b.Enqueue(0, id, fmt.Sprint("s", id%3), false, 1000*ms) != NotRejected {
 			rejected++
 		}
 	}
@@ -57,7 +57,7 @@
 
 // A host that answers nothing uses its own part of the budget and no more.
 func TestSilentHostDelaysNoOther(t *testing.T) {
-	b := New(Limits{CPU: 1, AtOnce: 8, HostAtOnce: 2, Burst: time.Second}, 0)
+	b := New(Limits{CPUShare: 1, MaxInFlight: 8, MaxInFlightPerHost: 2, Burst: time.Second}, 0)
 	for id := range uint64(100) {
 		b.Enqueue(0, id, "silent", false, 5000*ms)
 	}
@@ -66,7 +66,7 @@
 		t.Fatalf("%d began with one host", len(begin))
 	}
 	for id := uint64(100); id < 110; id++ {
-		if b.Enqueue(ms, id, "sound", false, 5000*ms) != None {
+		if b.Enqueue(ms, id, "sound", false, 5000*ms) != NotRejected {
 			t.Fatal("rejected because of another host")
 		}
 	}
@@ -87,7 +87,7 @@
 
 // Hosts take turns: one with many handshakes waiting does not keep another's first one waiting.
 func TestTurns(t *testing.T) {
-	b := New(Limits{Rate: 10, Burst: 100 * time.Millisecond, AtOnce: 100}, 0)
+	b := New(Limits{Rate: 10, Burst: 100 * time.Millisecond, MaxInFlight: 100}, 0)
 	for id := range uint64(50) {
 		b.Enqueue(0, id, "popular", false, 100_000*ms)
 	}
@@ -122,7 +122,7 @@
 
 // A step of the clock, either way, gives no budget.
 func TestClockSteps(t *testing.T) {
-	b := New(Limits{CPU: 0.1, Rate: 10, HostRate: 10, Burst: 100 * time.Millisecond}, 1000*ms)
+	b := New(Limits{CPUShare: 0.1, Rate: 10, HostRate: 10, Burst: 100 * time.Millisecond}, 1000*ms)
 	for id := range uint64(20) {
 		b.Enqueue(1000*ms, id, "s", false, math.MaxInt64)
 	}
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -37,13 +37,13 @@
 		r := h.queue[0]
 		h.rate.refill(now)
 		delay := b.tokenDelay(h, r)
-		if b.limits.AtOnce > 0 && len(b.inFlight) >= b.limits.AtOnce {
+		if b.limits.MaxInFlight > 0 && len(b.inFlight) >= b.limits.MaxInFlight {
 			return nil, b.untilFirstDeadline(now) // Done will come
 		}
 		b.rotation = append(b.rotation[1:], h)
 		untilDeadline := float64(r.deadline - now)
 		switch {
-		case b.limits.HostAtOnce > 0 && h.inFlight >= b.limits.HostAtOnce:
+		case b.limits.MaxInFlightPerHost > 0 && h.inFlight >= b.limits.MaxInFlightPerHost:
 			wake = math.Min(wake, untilDeadline)
 		case delay > 0:
 			wake = math.Min(wake, math.Min(delay, untilDeadline))
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -43,9 +43,9 @@
 }
 
 func newModel(t *rapid.T) *model {
-	l := Limits{CPU: rapid.Float64Range(0.05, 1).Draw(t, "cpu"), Rate: rapid.Float64Range(5, 500).Draw(t, "rate"),
-		HostRate: rapid.Float64Range(2, 200).Draw(t, "hostRate"), AtOnce: rapid.IntRange(1, 20).Draw(t, "atOnce"),
-		HostAtOnce: rapid.IntRange(1, 8).Draw(t, "hostAtOnce"), Burst: 50 * time.Millisecond, Queue: 60,
+	l := Limits{CPUShare: rapid.Float64Range(0.05, 1).Draw(t, "cpu"), Rate: rapid.Float64Range(5, 500).Draw(t, "rate"),
+		HostRate: rapid.Float64Range(2, 200).Draw(t, "hostRate"), MaxInFlight: rapid.IntRange(1, 20).Draw(t, "atOnce"),
+		MaxInFlightPerHost: rapid.IntRange(1, 8).Draw(t, "hostAtOnce"), Burst: 50 * time.Millisecond, MaxQueued: 60,
 		ResumedFactor: 0.5}
 	return &model{t: t, limits: l, budget: New(l, 0), twin: New(l, 0), handshakes: map[uint64]*modelled{}, hostWeight: map[string]float64{}}
 }
@@ -69,7 +69,7 @@
 	if r2 := m.twin.Enqueue(m.now, m.last, h.host, h.resumed, h.deadline); r2 != r {
 		m.t.Fatalf("answers differ: %v, %v", r, r2)
 	}
-	if r != None {
+	if r != NotRejected {
 		m.end(m.last, rejected)
 	}
 }
@@ -124,16 +124,16 @@
 
 // checkLimits looks for a limit that was passed by more than its burst and one.
 func (m *model) checkLimits() {
-	if len(m.inFlight) > m.limits.AtOnce {
-		m.t.Fatalf("%d in flight of %d", len(m.inFlight), m.limits.AtOnce)
+	if len(m.inFlight) > m.limits.MaxInFlight {
+		m.t.Fatalf("%d in flight of %d", len(m.inFlight), m.limits.MaxInFlight)
 	}
 	byHost := map[string]int{}
 	for _, id := range m.inFlight {
 		byHost[m.handshakes[id].host]++
 	}
 	for host, n := range byHost {
-		if n > m.limits.HostAtOnce {
-			m.t.Fatalf("%d of %d in flight with %s", n, m.limits.HostAtOnce, host)
+		if n > m.limits.MaxInFlightPerHost {
+			m.t.Fatalf("%d of %d in flight with %s", n, m.limits.MaxInFlightPerHost, host)
 		}
 	}
 	span := float64(m.now) / 1e9
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -69,13 +69,13 @@
 	}
 	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: maxDownstreams, Settings: balancer.Config{SendsRetryAfter: true,
 		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
-	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.Change{})
+	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.WatchEvent{})
 	on, err := netio.Bind("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := NewFront(l, core, on, 2)
-	core.SetNewcomers(f)
+	core.SetIdleDownstreams(f)
 	if err = f.Serve(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -14,13 +14,13 @@
 		return
 	}
 	c.expiry = certexpiry.New(c.opt.Expiry)
-	c.loop.After(certexpiry.Every, c.migrateExpiring)
+	c.loop.After(certexpiry.PlanInterval, c.migrateExpiring)
 }
 
 // migrateExpiring migrates the connections whose certificate is about to end, at the planner's pace. Their clients come again by
 // themselves and are placed again.
 func (c *Core) migrateExpiring() {
-	c.loop.After(certexpiry.Every, c.migrateExpiring)
+	c.loop.After(certexpiry.PlanInterval, c.migrateExpiring)
 	if c.shuttingDown {
 		return // all are being migrated
 	}
@@ -45,10 +45,10 @@
 		}
 		conn := certexpiry.Conn{ID: id}
 		if e, ok := r.attempt.conn.(Expiring); ok {
-			conn.Ends = e.Expires()
+			conn.NotAfter = e.Expires()
 		}
-		if !conn.Ends.IsZero() && (first.IsZero() || conn.Ends.Before(first)) {
-			first = conn.Ends
+		if !conn.NotAfter.IsZero() && (first.IsZero() || conn.NotAfter.Before(first)) {
+			first = conn.NotAfter
 		}
 		open = append(open, conn)
 	}
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -24,9 +24,9 @@
 		w := newHarness(t)
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
 		if want {
-			w.core.opt.Expiry = certexpiry.Policy{MigrationEnabled: true, Before: 30 * time.Second, Share: 1}
+			w.core.opt.Expiry = certexpiry.Policy{MigrationEnabled: true, Before: 30 * time.Second, MaxSharePerMinute: 1}
 			w.core.expiry = certexpiry.New(w.core.opt.Expiry)
-			w.loop.After(certexpiry.Every, w.core.migrateExpiring)
+			w.loop.After(certexpiry.PlanInterval, w.core.migrateExpiring)
 		}
 		r1, u1 := w.serve("r1")
 		r1.attempt.conn = &expiringUpstream{u1, time.Unix(0, w.now).Add(40 * time.Second)}
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -97,7 +97,7 @@
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 	w.core = New(w.loop, w, Options{MaxDownstreams: 5000, Settings: cfg})
-	ch := Change{Kind: balancer.ListFull}
+	ch := WatchEvent{Kind: balancer.ListFull}
 	for i := range 6 {
 		id := fmt.Sprintf("h%d", i)
 		ch.Hosts = append(ch.Hosts, HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}})
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -32,11 +32,11 @@
 	opt   Options
 	names settingsNames
 
-	connector     Connector
-	discovery     Discovery
-	peers         Peers         // nil: there are none, or the settings forbid messages
-	healthChecker HealthChecker // nil: the settings do not permit health checks
-	newcomers     Newcomers     // nil: there are none
+	connector       Connector
+	discovery       Discovery
+	peers           Peers           // nil: there are none, or the settings forbid messages
+	healthChecker   HealthChecker   // nil: the settings do not permit health checks
+	idleDownstreams IdleDownstreams // nil: there are none
 
 	fleet      fleetRules
 	decisions  decisionLoop
@@ -105,7 +105,7 @@
 
 // Run gives the core its discovery, the endpoint list that it starts from, and the decision module: newBalancer makes a balancer with the
 // core's effects, one for each pool.
-func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known Change) (err error) {
+func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
 	if c.pools.main, err = c.pools.create(namespace.Main); err != nil {
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -69,10 +69,10 @@
 	}
 	w.open("q")
 	a := HostEntry{Address: "new", ListedHost: balancer.ListedHost{ID: "A"}}
-	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("request q", "start at-A 1000", "end up dropped", "start new 1000", "list 0 1")
 	a.State = balancer.Draining
-	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
 	w.effects.StartAttempt("q", "A", 0) // the rule holds whatever the balancer wants
 	w.core.decisions.submit(nil, nil, func(int64, Balancer) {})
@@ -84,7 +84,7 @@
 func TestListStopsUnsentLines(t *testing.T) {
 	w := sending(t)
 	w.upstreams[0].stage = netio.Sending
-	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
 
 	w = openWithKey(t)
@@ -146,9 +146,9 @@
 	w.open("r1")
 	w.events = nil
 	known := ""
-	w.core.Suspend("Z", true, func(k bool) { known += fmt.Sprint(k, " ") })
-	w.core.Suspend("A", true, func(k bool) { known += fmt.Sprint(k, " ") })
-	w.core.Suspend("A", true, func(k bool) { known += fmt.Sprint(k) })
+	w.core.SetSuspended("Z", true, func(k bool) { known += fmt.Sprint(k, " ") })
+	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k, " ") })
+	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k) })
 	if known != "false true true" {
 		t.Errorf("Z, A and A again are known: %s", known)
 	}
@@ -156,7 +156,7 @@
 	open.events.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
 	w.expect()
 	e := HostEntry{Address: "elsewhere", ListedHost: balancer.ListedHost{ID: "A"}}
-	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Suspended {
 		t.Errorf("listed again it is %s", hostStateName(h.state))
 	}
@@ -165,7 +165,7 @@
 	}
 	w.pass(time.Second)
 	w.expect("list 0 1", "migrate r0", "end up ended", "ended r0 0 6 true")
-	w.core.Suspend("A", false, func(bool) {})
+	w.core.SetSuspended("A", false, func(bool) {})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Ready {
 		t.Errorf("resumed it is %s", hostStateName(h.state))
 	}
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -4,15 +4,15 @@
 	"croftlock/internal/balancer"
 )
 
-// Change is a watch event: an endpoint list, a change of it, or the failure to get one.
-type Change struct {
+// WatchEvent is a watch event: an endpoint list, a change of it, or the failure to get one.
+type WatchEvent struct {
 	Kind    balancer.ListChange
 	Version int64 // discovery's revision
 	Hosts   []HostEntry
 }
 
 // isFullList reports whether the change names all hosts that there are.
-func (ch *Change) isFullList() bool {
+func (ch *WatchEvent) isFullList() bool {
 	return ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached
 }
 
@@ -24,10 +24,10 @@
 
 // ListReceived applies a watch event. Attempts whose line is not written to a host that drains or is removed stop at once, also those
 // that wait for a dial: nothing new may go there.
-func (c *Core) ListReceived(ch Change) {
+func (c *Core) ListReceived(ch WatchEvent) {
 	var watermarksChanged []string
 	if c.hosts.watermarks != nil && ch.Kind != balancer.ListFailed {
-		watermarksChanged = c.hosts.watermarks.Listed(ch)
+		watermarksChanged = c.hosts.watermarks.ListUpdated(ch)
 	}
 	entries := c.updateHosts(&ch)
 	for _, p := range c.pools.byName {
@@ -43,7 +43,7 @@
 }
 
 // updateHosts applies the entries to the host table, and gives them as each pool's balancer is to see them.
-func (c *Core) updateHosts(ch *Change) map[*pool][]balancer.ListedHost {
+func (c *Core) updateHosts(ch *WatchEvent) map[*pool][]balancer.ListedHost {
 	entries := map[*pool][]balancer.ListedHost{}
 	named := map[string]bool{}
 	for _, e := range ch.Hosts {
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -18,8 +18,8 @@
 	// HandOver hands an open connection to the next process; migrationLine is for its client should that fail. done is called on the
 	// loop once the connection has left this process: until then the process must not end.
 	HandOver(s *HandedOverConnection, migrationLine []byte, done func())
-	// Accepts reports whether there is a next process that takes connections now.
-	Accepts() bool
+	// AcceptsHandovers reports whether there is a next process that takes connections now.
+	AcceptsHandovers() bool
 }
 
 // handover is what the core knows of the process that takes over from this one.
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -43,7 +43,7 @@
 		return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id}}
 	}
 	err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { w.effects = fx; return (*fakeBalancer)(w), nil }, nil,
-		Change{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
+		WatchEvent{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -121,7 +121,7 @@
 		return e.State
 	case t.suspensions.Suspended(e.ID):
 		return balancer.Suspended
-	case t.watermarks != nil && t.watermarks.Out(e.ID, e.StartedAt):
+	case t.watermarks != nil && t.watermarks.Blocks(e.ID, e.StartedAt):
 		return balancer.Draining
 	}
 	return e.State
--- a/internal/dataplane/proxy/hosts_test.go
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -10,8 +10,8 @@
 // belowWatermark keeps one host from getting anything new.
 type belowWatermark string
 
-func (b belowWatermark) Listed(Change) []string              { return nil }
-func (b belowWatermark) Out(id string, _ balancer.Time) bool { return id == string(b) }
+func (b belowWatermark) ListUpdated(WatchEvent) []string        { return nil }
+func (b belowWatermark) Blocks(id string, _ balancer.Time) bool { return id == string(b) }
 
 // What discovery says counts first, then a suspension, then other proxies' lists.
 func TestEffectiveState(t *testing.T) {
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -22,13 +22,13 @@
 				listed += int64(step)
 			}
 			e := HostEntry{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", StartedAt: listed}}
-			w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
+			w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 			got := w.core.hosts.byID["A"].startedAt
 			if got <= before || got > w.now || got < startedAt || !everywhere && step > 0 && got < startedAt {
 				t.Errorf("set by %v, at the host too %t: %v before now, 300ms expected at most", step, everywhere, time.Duration(w.now-got))
 			}
 			w.pass(time.Second) // listed again, it is the same start
-			if w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts.byID["A"].startedAt != got {
+			if w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{e}}); w.core.hosts.byID["A"].startedAt != got {
 				t.Errorf("set by %v: the same start is another one a second later", step)
 			}
 		}
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -64,7 +64,7 @@
 		}},
 		{"host_updated host=A zone=\"\" state=draining", func(t *testing.T) {
 			w := newHarness(t)
-			w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{{ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
+			w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{{ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
 		}},
 	} {
 		log := captureLog(t)
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -76,8 +76,8 @@
 }
 
 // list is the complete endpoint list.
-func (w *poolHarness) list() Change {
-	return Change{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"], w.hosts["B"], w.hosts["C"], w.hosts["D"]}}
+func (w *poolHarness) list() WatchEvent {
+	return WatchEvent{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"], w.hosts["B"], w.hosts["C"], w.hosts["D"]}}
 }
 
 // swapPools gives pool p the hosts of the other kind, by way of a version in which they are between two pools.
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -61,7 +61,7 @@
 		host := func(id, kind string) HostEntry {
 			return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: kind}}
 		}
-		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
+		if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, WatchEvent{Kind: balancer.ListFull, Hosts: []HostEntry{host("A", "m1"), host("C", "m1")}}); err != nil {
 			t.Fatal(err)
 		}
 		rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1}, w.now+1e12)
@@ -70,7 +70,7 @@
 		w.upstreams[0].sent()
 		rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 2, Directory: &namespace.Directory{Pools: []namespace.Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}, Pools: []string{"p"}}}}}, w.now+1e12)
 		w.core.ReassignPools()
-		w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
+		w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{host("B", "m2")}})
 		w.events = nil
 		w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 		if got := strings.Join(w.events, "; "); !strings.Contains(got, want) {
@@ -95,7 +95,7 @@
 		balancers++
 		w.effects = fx
 		return &namedBalancer{(*fakeBalancer)(w.harness), fmt.Sprint("balancer ", balancers)}, nil
-	}, noDiscovery{}, Change{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"]}})
+	}, noDiscovery{}, WatchEvent{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"]}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -88,15 +88,15 @@
 	return int(int64(all) * (passed - s.migrateFrom) / (s.migrateBy - s.migrateFrom))
 }
 
-// Newcomers are the client connections on which no request has come yet.
-type Newcomers interface {
+// IdleDownstreams are the client connections on which no request has come yet.
+type IdleDownstreams interface {
 	// EndIdle ends those that have not sent anything, and gives how many are left. With partial it also ends those on which part of
 	// a request has come.
 	EndIdle(partial bool) int
 }
 
-// SetNewcomers has a shutdown end the connections without a request, and wait for those on which one is coming.
-func (c *Core) SetNewcomers(n Newcomers) { c.newcomers = n }
+// SetIdleDownstreams has a shutdown end the connections without a request, and wait for those on which one is coming.
+func (c *Core) SetIdleDownstreams(n IdleDownstreams) { c.idleDownstreams = n }
 
 // shutdown is the shutdown of a process, from SIGTERM to its end.
 type shutdown struct {
@@ -142,8 +142,8 @@
 	c, passed := s.core, s.core.loop.Now()-s.began
 	open, pending := c.countRequests()
 	withoutRequest := 0
-	if passed > s.schedule.migrateFrom && c.newcomers != nil {
-		withoutRequest = c.newcomers.EndIdle(s.answered)
+	if passed > s.schedule.migrateFrom && c.idleDownstreams != nil {
+		withoutRequest = c.idleDownstreams.EndIdle(s.answered)
 	}
 	left := open + pending + c.handover.inFlight + withoutRequest
 	if s.isIdle(left, passed) {
@@ -151,7 +151,7 @@
 		return
 	}
 	switch {
-	case c.handover.handedOver && open > 0 && c.handover.successor.Accepts() && passed < s.schedule.migrateBy:
+	case c.handover.handedOver && open > 0 && c.handover.successor.AcceptsHandovers() && passed < s.schedule.migrateBy:
 		c.forEachOpen(handoversPerStep, c.handOver)
 	case passed > s.schedule.migrateFrom:
 		s.migrateDue(open, passed)
@@ -196,8 +196,8 @@
 	s.core.monitor.Close()
 	open, _ := s.core.countRequests()
 	s.migrateDue(open, s.schedule.answerBy)
-	if s.core.newcomers != nil {
-		s.core.newcomers.EndIdle(true)
+	if s.core.idleDownstreams != nil {
+		s.core.idleDownstreams.EndIdle(true)
 	}
 }
 
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -49,7 +49,7 @@
 	w := newHarness(t)
 	w.serve("q")
 	ended := w.shutDown()
-	w.core.ListReceived(Change{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListFull, Version: 1, Hosts: []HostEntry{{Address: "at-C", ListedHost: balancer.ListedHost{ID: "C"}}}})
 	w.expect("list 1 1")
 	w.pass(2100 * time.Millisecond)
 	w.expectMigratedAndEnded(ended)
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -122,9 +122,9 @@
 		!math.IsNaN(e.Weight) && e.Weight >= 0 && e.StartedAt >= 0
 }
 
-// Inherit takes over the suspensions, for hosts that a list names later. It comes before Run, and in a takeover once more after it; by then
+// RestoreSuspensions takes over the suspensions, for hosts that a list names later. It comes before Run, and in a takeover once more after it; by then
 // HostSuspendedElsewhere has applied what has changed since.
-func (c *Core) Inherit(s *Snapshot) {
+func (c *Core) RestoreSuspensions(s *Snapshot) {
 	for _, id := range s.KnownHosts {
 		c.hosts.suspensions.HostListed(id)
 	}
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -8,9 +8,9 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// Suspend has nothing more go to a host from now on (suspended), or ends that; calls are idempotent. done gets, on the loop, whether any list has
+// SetSuspended has nothing more go to a host from now on (suspended), or ends that; calls are idempotent. done gets, on the loop, whether any list has
 // ever named the host.
-func (c *Core) Suspend(id string, suspended bool, done func(known bool)) {
+func (c *Core) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
 		done(false)
 		return
@@ -41,8 +41,8 @@
 	}
 }
 
-// SuspendForFleet applies the complete list of hosts that are suspended for the fleet: one that is not on it any more comes back.
-func (c *Core) SuspendForFleet(ids []string) {
+// SetFleetSuspensions applies the complete list of hosts that are suspended for the fleet: one that is not on it any more comes back.
+func (c *Core) SetFleetSuspensions(ids []string) {
 	s := c.hosts.suspensions
 	before := map[string]maintenance.Suspension{}
 	for _, id := range s.IDs() {
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -35,7 +35,7 @@
 	return w.harness.Start(to, first, until, within, ev)
 }
 
-func (w *suspensionHarness) list() (ch Change) {
+func (w *suspensionHarness) list() (ch WatchEvent) {
 	ch.Kind = balancer.ListFull
 	for _, id := range []string{"A", "B", "C"} {
 		if h, ok := w.hosts[id]; ok {
@@ -52,7 +52,7 @@
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 	w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
 	if k != nil {
-		w.core.Inherit(k)
+		w.core.RestoreSuspensions(k)
 	}
 	ch := w.list()
 	ch.Kind = balancer.ListCached
@@ -69,7 +69,7 @@
 func (w *suspensionHarness) suspend(t *rapid.T, id string, suspended bool) {
 	w.suspended[id] = suspended
 	known := false
-	w.core.Suspend(id, suspended, func(k bool) { known = k })
+	w.core.SetSuspended(id, suspended, func(k bool) { known = k })
 	if !known {
 		t.Fatalf("%s is not known", id)
 	}
@@ -89,7 +89,7 @@
 	} else {
 		w.hosts[id] = h
 	}
-	w.core.ListReceived(Change{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
+	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
 }
 
 // newSuspensionHarness is a core that knows some hosts. t may be nil where no host is suspended that gets a request.
@@ -137,7 +137,7 @@
 // With every host suspended the answer comes at once.
 func TestAllHostsSuspended(t *testing.T) {
 	w := newSuspensionHarness(nil, "A")
-	w.core.Suspend("A", true, func(bool) {})
+	w.core.SetSuspended("A", true, func(bool) {})
 	w.open("r1")
 	if len(w.events) != 1 || w.events[0][:9] != "reject r1" {
 		t.Errorf("got %v", w.events)
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -8,10 +8,10 @@
 
 // Watermarks is what other proxies' newer endpoint lists say of hosts that drain or are removed.
 type Watermarks interface {
-	// Listed receives the own list's change before it takes effect, and names the hosts for which what others say begins or ends to count.
-	Listed(ch Change) []string
-	// Out reports whether a host that is ready in the own list gets nothing new; since is its start in that list.
-	Out(id string, since balancer.Time) bool
+	// ListUpdated receives the own list's change before it takes effect, and names the hosts for which what others say begins or ends to count.
+	ListUpdated(ch WatchEvent) []string
+	// Blocks reports whether a host that is ready in the own list gets nothing new; since is its start in that list.
+	Blocks(id string, since balancer.Time) bool
 }
 
 // SetWatermarks has hosts get nothing new of which another proxy's newer list says that they drain or are removed; nil: no more.
@@ -20,11 +20,11 @@
 	if c.hosts.watermarks = w; w == nil || revision < 0 {
 		return
 	}
-	list := Change{Kind: balancer.ListCached, Version: revision}
+	list := WatchEvent{Kind: balancer.ListCached, Version: revision}
 	for _, h := range c.hosts.byID {
 		list.Hosts = append(list.Hosts, HostEntry{ListedHost: h.listed, Address: h.address})
 	}
-	c.WatermarksChanged(w.Listed(list))
+	c.WatermarksChanged(w.ListUpdated(list))
 }
 
 // WatermarksChanged applies the watermarks of some hosts after a change.
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -29,7 +29,7 @@
 	d := &pendingDial{link: k, requestID: k.lastID, host: t, inputLimit: limit, deadline: k.loop.Now() + int64(within), handler: h, done: done}
 	p, f := k.peer(t)
 	if f == nil {
-		if r := k.budget.Enqueue(k.loop.Now(), d.requestID, t.ID, p.resumable(), d.deadline); r != handshake.None {
+		if r := k.budget.Enqueue(k.loop.Now(), d.requestID, t.ID, p.resumable(), d.deadline); r != handshake.NotRejected {
 			f = budgetFailure(r)
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // budgetFailure is the failure of a dial that the handshake budget rejects.
-func budgetFailure(r handshake.Refusal) *Failure {
+func budgetFailure(r handshake.RejectReason) *Failure {
 	return &Failure{Reason: NoBudget, Step: "queue", Err: errors.New(r.String())}
 }
 
@@ -52,7 +52,7 @@
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
 		d.link.budget.Drop(d.requestID)
-		d.fail(budgetFailure(handshake.NoTime))
+		d.fail(budgetFailure(handshake.DeadlineTooSoon))
 		return
 	}
 	d.job.abort()
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -49,10 +49,10 @@
 func New(l *netio.Loop, m *Material, wall func() time.Time) *Link {
 	k := &Link{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
 		cache: newSessionCache(m.options.Sessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
-		jobs: make(chan *handshakeJob, m.options.Handshakes.AtOnce), reloads: make(chan reload, 1),
+		jobs: make(chan *handshakeJob, m.options.Handshakes.MaxInFlight), reloads: make(chan reload, 1),
 		computeToken: make(chan struct{}, 1)}
 	k.counts.failed = map[Reason]int{}
-	for range m.options.Handshakes.AtOnce {
+	for range m.options.Handshakes.MaxInFlight {
 		go k.runWorker()
 	}
 	return k
@@ -88,7 +88,7 @@
 	begin, late, again := k.budget.Next(k.loop.Now())
 	for _, id := range late {
 		if d := k.dials[id]; d != nil {
-			k.loop.Post(func() { d.fail(budgetFailure(handshake.NoTime)) })
+			k.loop.Post(func() { d.fail(budgetFailure(handshake.DeadlineTooSoon)) })
 		}
 	}
 	for _, id := range begin {
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -91,7 +91,7 @@
 				func(*netio.Conn, *netio.Error) { t.Error("done was called") }))
 		}
 	})
-	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(b.opt.Handshakes.HostAtOnce) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(b.opt.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	b.on(func() {
@@ -114,7 +114,7 @@
 // What the budget has no capacity for fails at once, not when its time is up.
 func TestNoBudget(t *testing.T) {
 	b := newBench(t, func(b *bench) {
-		b.opt.Handshakes = handshake.Limits{HostRate: 1, AtOnce: 2, Burst: time.Millisecond, Queue: 100}
+		b.opt.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
 	})
 	s := b.server(nil)
 	if c := b.dial(s.Addr(), 5*time.Second); c.err != nil {
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -36,8 +36,8 @@
 // Defaults are the options without a file: off, and the safer choice wherever there is one.
 func Defaults() Options {
 	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, Reuse: true, Sessions: 256,
-		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, Share: 0.1}, Handshakes: handshake.Defaults()}
-	o.Handshakes.AtOnce = 8
+		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, MaxSharePerMinute: 0.1}, Handshakes: handshake.Defaults()}
+	o.Handshakes.MaxInFlight = 8
 	return o
 }
 
@@ -72,18 +72,18 @@
 		f.Int("sessions", "sessions kept, of all hosts together", &o.Sessions, 1, 100000)
 		f.Enum("on-expiry", "what becomes of standing connections when a certificate ends", &o.OnExpiry, "keep", "move")
 		f.Duration("move-before", "how long before the end moving begins", &o.Expiry.Before, time.Second, 30*24*time.Hour)
-		f.Percent("move-share", "connections moved in a minute at most", &o.Expiry.Share, 0.001, 1)
+		f.Percent("move-share", "connections moved in a minute at most", &o.Expiry.MaxSharePerMinute, 0.001, 1)
 		o.Expiry.MigrationEnabled = o.OnExpiry == "move"
 		f.Group("handshakes", "what handshakes may take", func(f *settings.Form) {
 			h := &o.Handshakes
-			f.Percent("cpu", "part of one core", &h.CPU, 0.01, 1)
+			f.Percent("cpu", "part of one core", &h.CPUShare, 0.01, 1)
 			rate, host := int(h.Rate), int(h.HostRate)
 			f.Int("rate", "full handshakes a second", &rate, 1, 100000)
 			f.Int("host-rate", "full handshakes a second with one host", &host, 1, 100000)
 			h.Rate, h.HostRate = float64(rate), float64(host)
-			f.Int("at-once", "handshakes out; each holds a worker and a descriptor", &h.AtOnce, 1, 128)
-			f.Int("host-at-once", "handshakes out with one host", &h.HostAtOnce, 1, 128)
-			f.Int("queue", "requests that wait", &h.Queue, 1, 100000)
+			f.Int("at-once", "handshakes out; each holds a worker and a descriptor", &h.MaxInFlight, 1, 128)
+			f.Int("host-at-once", "handshakes out with one host", &h.MaxInFlightPerHost, 1, 128)
+			f.Int("queue", "requests that wait", &h.MaxQueued, 1, 100000)
 			f.Duration("burst", "how long unused budget is saved", &h.Burst, time.Millisecond, 10*time.Second)
 		})
 		if o.Enabled && len(o.Trust) == 0 {
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -106,9 +106,9 @@
 	return append(changed, ended...)
 }
 
-// Out reports whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
-func (l *Link) Out(host string, startedAt int64) bool {
-	return l.registry.Out(l.Clock.Now(), host, startedAt)
+// Blocks reports whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
+func (l *Link) Blocks(host string, startedAt int64) bool {
+	return l.registry.Blocks(l.Clock.Now(), host, startedAt)
 }
 
 // gossipPending sends to all others what no other member has sent meanwhile.
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -107,7 +107,7 @@
 // countOut is how many members place nothing new at a host.
 func (f *testFleet) countOut(host string) (n int) {
 	for _, l := range f.links {
-		if l.Out(host, 1) {
+		if l.Blocks(host, 1) {
 			n++
 		}
 	}
@@ -184,14 +184,14 @@
 	f := newTestFleet(2, 6)
 	f.transports[0].isolated = true
 	f.links[0].List(8, false, []ListedHost{{"a", 1, Draining}})
-	if ids := f.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Out("a", 1) || f.links[0].Out("b", 1) {
+	if ids := f.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
 		t.Error("list 8 has drained a, and the older list 5 has revoked that:", ids)
 	}
-	if f.links[0].Out("a", 2) {
+	if f.links[0].Blocks("a", 2) {
 		t.Error("a watermark holds for a host that has started since")
 	}
 	f.run(Lifetime)
-	if f.links[0].Out("a", 1) {
+	if f.links[0].Blocks("a", 1) {
 		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have restarted")
 	}
 	f.transports[0].isolated = false
@@ -200,7 +200,7 @@
 	f.links[1].Source = func() uint32 { return source }
 	f.links[1].List(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	f.run(5 * sec)
-	if f.links[1].Out("b", 1) {
+	if f.links[1].Blocks("b", 1) {
 		t.Error("revisions of two sources were compared")
 	}
 }
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -165,14 +165,14 @@
 	if had {
 		next.since = old.since
 	}
-	wasOut := r.Out(now, w.Host, r.own[w.Host].startedAt)
+	wasOut := r.Blocks(now, w.Host, r.own[w.Host].startedAt)
 	r.received[w.Host] = next
-	return r.Out(now, w.Host, r.own[w.Host].startedAt) != wasOut
+	return r.Blocks(now, w.Host, r.own[w.Host].startedAt) != wasOut
 }
 
-// Out reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has restarted since
+// Blocks reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has restarted since
 // is not meant.
-func (r *Registry) Out(now Time, host string, startedAt int64) bool {
+func (r *Registry) Blocks(now Time, host string, startedAt int64) bool {
 	w, received := r.received[host]
 	return received && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
 }
@@ -193,7 +193,7 @@
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
 		o, listed := r.own[host]
-		if listed && o.state == Up && r.Out(now, host, o.startedAt) && (since == 0 || w.since < since) {
+		if listed && o.state == Up && r.Blocks(now, host, o.startedAt) && (since == 0 || w.since < since) {
 			since = w.since
 		}
 	}
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -15,22 +15,22 @@
 func TestNewerListTakesAHostOut(t *testing.T) {
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
-	if c := r.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Out(sec, "a", 100) {
+	if c := r.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Blocks(sec, "a", 100) {
 		t.Error("a watermark of a list that is no newer takes a host out")
 	}
-	if c := r.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Out(sec, "a", 100) || r.Out(sec, "b", 100) {
+	if c := r.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Blocks(sec, "a", 100) || r.Blocks(sec, "b", 100) {
 		t.Error("a watermark of a newer list does not take out its host alone:", c)
 	}
-	if r.Out(sec, "a", 101) {
+	if r.Blocks(sec, "a", 101) {
 		t.Error("a host that has started since is out")
 	}
 	if r.BehindSince(3*sec) != sec {
 		t.Errorf("behind since %d, expected %d", r.BehindSince(3*sec), sec)
 	}
-	if _, c := r.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Out(4*sec, "a", 100) {
+	if _, c := r.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Blocks(4*sec, "a", 100) {
 		t.Error("an own list that is still older revokes a watermark")
 	}
-	if _, c := r.UpdateList(5*sec, 7, false, nil); !contains(c, "a") || r.Out(5*sec, "a", 100) || r.BehindSince(5*sec) != 0 {
+	if _, c := r.UpdateList(5*sec, 7, false, nil); !contains(c, "a") || r.Blocks(5*sec, "a", 100) || r.BehindSince(5*sec) != 0 {
 		t.Error("an own list that is as new does not revoke a watermark")
 	}
 }
@@ -39,14 +39,14 @@
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
 	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
-	if c := r.Expire(9 * sec); len(c) > 0 || !r.Out(9*sec, "a", 100) {
+	if c := r.Expire(9 * sec); len(c) > 0 || !r.Blocks(9*sec, "a", 100) {
 		t.Error("it has expired too early")
 	}
 	// Passed to another proxy and back it has less time left, and is not prolonged.
 	other := NewRegistry()
 	other.Merge(4*sec, r.NewerThan(4*sec, 0))
 	r.Merge(8*sec, other.NewerThan(8*sec, 0))
-	if c := r.Expire(10 * sec); !contains(c, "a") || r.Out(10*sec, "a", 100) {
+	if c := r.Expire(10 * sec); !contains(c, "a") || r.Blocks(10*sec, "a", 100) {
 		t.Error("it has not expired")
 	}
 }
@@ -149,7 +149,7 @@
 	for i, r := range m.registries {
 		for _, host := range modelHosts {
 			startedAt := r.own[host].startedAt
-			if r.Out(m.now, host, startedAt) && (!m.statedByNewer(r, host, startedAt) || r.Revision() == m.revision) {
+			if r.Blocks(m.now, host, startedAt) && (!m.statedByNewer(r, host, startedAt) || r.Revision() == m.revision) {
 				rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", i, r.Revision(), m.revision, host)
 			}
 		}
--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -50,7 +50,7 @@
 
 func (p *proxy) Serves() bool    { return true }
 func (p *proxy) Metrics() []byte { return []byte("concurrent=0\n") }
-func (p *proxy) Suspend(id string, out bool, done func(bool)) {
+func (p *proxy) SetSuspended(id string, out bool, done func(bool)) {
 	p.calls = append(p.calls, fmt.Sprint(id, out))
 	done(id == "a/b")
 }
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -109,7 +109,7 @@
 	if suspended {
 		verb = "suspend"
 	}
-	c.server.proxy.Suspend(host, suspended, func(known bool) {
+	c.server.proxy.SetSuspended(host, suspended, func(known bool) {
 		if !known {
 			c.reply(response{status: http.StatusNotFound, body: []byte("no list has named this server\n")})
 			return
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -20,9 +20,9 @@
 	Serves() bool
 	// Metrics is the text of all metrics.
 	Metrics() []byte
-	// Suspend has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
+	// SetSuspended has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
 	// with false at once where no list has ever named the host.
-	Suspend(id string, suspended bool, done func(known bool))
+	SetSuspended(id string, suspended bool, done func(known bool))
 }
 
 // Server takes operators' calls. It belongs to the event loop.
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -25,7 +25,7 @@
 	Admin            string // host:port for operators' calls; "": nowhere
 	Seed             int64
 	Limits           Limits
-	CachedList       proxy.Change // the endpoint list that the file has
+	CachedList       proxy.WatchEvent // the endpoint list that the file has
 	Settings         balancer.Config
 	DelayInLoad      bool // hosts report loads and delays
 	Peers            peers.Addresses
