--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -29,10 +29,10 @@
 
 // Planner keeps the pace of migrations.
 type Planner struct {
-	policy  Policy
-	last    int64 // when Plan was last called, in nanoseconds
-	started bool
-	permits float64 // connections that may migrate now
+	policy   Policy
+	lastPlan int64 // when Plan was last called, in nanoseconds
+	started  bool
+	permits  float64 // connections that may migrate now
 }
 
 // New makes a planner.
@@ -48,13 +48,13 @@
 		return nil
 	}
 	perSecond := p.policy.MaxSharePerMinute * float64(len(open)) / 60
-	passed := 0.0
-	if p.started && now > p.last {
-		passed = float64(now-p.last) / 1e9
+	elapsed := 0.0
+	if p.started && now > p.lastPlan {
+		elapsed = float64(now-p.lastPlan) / 1e9
 	}
-	p.started, p.last = true, now
+	p.started, p.lastPlan = true, now
 	// Permits are saved for a few seconds at most, and at least one is: a small share of a few connections still gets its turn.
-	p.permits = math.Min(p.permits+perSecond*passed, math.Max(1, 2*perSecond*PlanInterval.Seconds()))
+	p.permits = math.Min(p.permits+perSecond*elapsed, math.Max(1, 2*perSecond*PlanInterval.Seconds()))
 	if p.permits < 1 {
 		return nil
 	}
@@ -67,7 +67,7 @@
 		if c.NotAfter.IsZero() {
 			continue
 		}
-		if at := p.moment(c); !wall.Before(at) {
+		if at := p.dueAt(c); !wall.Before(at) {
 			list = append(list, due{c.ID, at})
 		}
 	}
@@ -77,19 +77,19 @@
 		}
 		return list[i].id < list[j].id
 	})
-	var out []string
+	var migrating []string
 	for _, d := range list {
 		if p.permits < 1 {
 			break
 		}
 		p.permits--
-		out = append(out, d.id)
+		migrating = append(migrating, d.id)
 	}
-	return out
+	return migrating
 }
 
 // moment is when a connection is due: by its ID, somewhere in the first nine tenths of the time before the end.
-func (p *Planner) moment(c Conn) time.Time {
-	place := float64(xxhash.Sum64String(c.ID)>>11) / (1 << 53)
-	return c.NotAfter.Add(-p.policy.Before + time.Duration(0.9*place*float64(p.policy.Before)))
+func (p *Planner) dueAt(c Conn) time.Time {
+	fraction := float64(xxhash.Sum64String(c.ID)>>11) / (1 << 53)
+	return c.NotAfter.Add(-p.policy.Before + time.Duration(0.9*fraction*float64(p.policy.Before)))
 }
--- a/internal/dataplane/handshake/bucket.go
+++ b/internal/dataplane/handshake/bucket.go
@@ -11,9 +11,9 @@
 	filledAt                    int64 // nanoseconds
 }
 
-func newBucket(perSecond float64, burst time.Duration, least float64, now int64) tokenBucket {
-	most := math.Max(perSecond*burst.Seconds(), least)
-	return tokenBucket{tokens: most, capacity: most, perSecond: perSecond, filledAt: now}
+func newBucket(perSecond float64, burst time.Duration, minCapacity float64, now int64) tokenBucket {
+	size := math.Max(perSecond*burst.Seconds(), minCapacity)
+	return tokenBucket{tokens: size, capacity: size, perSecond: perSecond, filledAt: now}
 }
 
 // refill fills a bucket up to now. A clock that steps back fills and takes nothing.
@@ -25,9 +25,9 @@
 }
 
 // until is how long, in nanoseconds, the bucket takes to hold n; 0: it does.
-func (b *tokenBucket) until(n float64) float64 {
-	if b.perSecond <= 0 || b.tokens >= n {
+func (b *tokenBucket) timeUntil(needed float64) float64 {
+	if b.perSecond <= 0 || b.tokens >= needed {
 		return 0
 	}
-	return (n - b.tokens) / b.perSecond * 1e9
+	return (needed - b.tokens) / b.perSecond * 1e9
 }
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -93,7 +93,7 @@
 		meanCPU: [2]float64{initialCPU, initialCPU}, meanDuration: initialDuration}
 }
 
-func kind(resumed bool) int {
+func costIndex(resumed bool) int {
 	if resumed {
 		return 1
 	}
@@ -154,20 +154,20 @@
 // queueDelay estimates how long, in nanoseconds, a new request for h waits: for the requests of its own host before it, and for
 // those of all hosts, which take turns.
 func (b *Budget) queueDelay(h *host, resumed bool) float64 {
-	own, all, cpu := 0.0, 0.0, 0.0
-	for _, e := range h.queue {
-		own += b.weight(e.resumed)
+	ownTokens, allTokens, cpu := 0.0, 0.0, 0.0
+	for _, queued := range h.queue {
+		ownTokens += b.weight(queued.resumed)
 	}
-	place := len(h.queue)
-	for _, o := range b.rotation {
-		for i := 0; i < len(o.queue) && (o == h || i <= place); i++ {
-			all += b.weight(o.queue[i].resumed)
-			cpu += b.meanCPU[kind(o.queue[i].resumed)]
+	position := len(h.queue)
+	for _, other := range b.rotation {
+		for i := 0; i < len(other.queue) && (other == h || i <= position); i++ {
+			allTokens += b.weight(other.queue[i].resumed)
+			cpu += b.meanCPU[costIndex(other.queue[i].resumed)]
 		}
 	}
-	all += b.weight(resumed)
-	longest := math.Max(h.rate.until(own+b.weight(resumed)), b.rate.until(all))
-	return math.Max(longest, b.cpu.until(cpu))
+	allTokens += b.weight(resumed)
+	longest := math.Max(h.rate.timeUntil(ownTokens+b.weight(resumed)), b.rate.timeUntil(allTokens))
+	return math.Max(longest, b.cpu.timeUntil(cpu))
 }
 
 // Drop removes a request that waits. One that has begun must be ended by Done.
@@ -177,16 +177,16 @@
 		return
 	}
 	delete(b.waiting, id)
-	b.unqueue(r)
+	b.removeFromQueue(r)
 }
 
-func (b *Budget) unqueue(r *request) {
-	q := r.host.queue
-	for i := range q {
-		if q[i] == r {
-			copy(q[i:], q[i+1:])
-			q[len(q)-1] = nil
-			r.host.queue = q[:len(q)-1]
+func (b *Budget) removeFromQueue(r *request) {
+	requests := r.host.queue
+	for i := range requests {
+		if requests[i] == r {
+			copy(requests[i:], requests[i+1:])
+			requests[len(requests)-1] = nil
+			r.host.queue = requests[:len(requests)-1]
 			break
 		}
 	}
@@ -215,12 +215,12 @@
 
 // Describe writes the state as text: the same state gives the same text.
 func (b *Budget) Describe() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
+	var text strings.Builder
+	fmt.Fprintf(&text, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
 		b.cpu.tokens/1e3, b.meanCPU[0]/1e3, b.meanCPU[1]/1e3, b.meanDuration/1e3)
-	for _, n := range slices.Sorted(maps.Keys(b.hosts)) {
-		h := b.hosts[n]
-		fmt.Fprintf(&s, "\n  %s waiting=%d out=%d tokens=%.2f", n, len(h.queue), h.inFlight, h.rate.tokens)
+	for _, name := range slices.Sorted(maps.Keys(b.hosts)) {
+		h := b.hosts[name]
+		fmt.Fprintf(&text, "\n  %s waiting=%d out=%d tokens=%.2f", name, len(h.queue), h.inFlight, h.rate.tokens)
 	}
-	return s.String()
+	return text.String()
 }
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -10,7 +10,7 @@
 const ms = int64(time.Millisecond)
 
 // drive begins all that waits, each handshake taking took and costing cpu, and gives those that were too late; began is called for the others.
-func drive(b *Budget, now, until int64, cpu time.Duration, took int64, began func(id uint64, at int64)) (late []uint64) {
+func runHandshakes(b *Budget, now, until int64, cpu time.Duration, took int64, onBegin func(id uint64, at int64)) (late []uint64) {
 	type end struct {
 		at int64
 		id uint64
@@ -21,10 +21,10 @@
 			b.Done(now, ends[0].id, false, cpu, true)
 			ends = ends[1:]
 		}
-		begin, l, _ := b.Next(now)
-		late = append(late, l...)
+		begin, dropped, _ := b.Next(now)
+		late = append(late, dropped...)
 		for _, id := range begin {
-			began(id, now)
+			onBegin(id, now)
 			ends = append(ends, end{now + took, id})
 		}
 	}
@@ -33,22 +33,22 @@
 
 // After the drain of one server 500 clients need handshakes at once. What they take is bounded, and each begins in time or is rejected at once.
 func TestStormStaysInBudget(t *testing.T) {
-	l := Limits{CPUShare: 0.3, Rate: 1000, HostRate: 100, MaxInFlight: 8, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond, MaxQueued: 1000}
-	b := New(l, 0)
+	limits := Limits{CPUShare: 0.3, Rate: 1000, HostRate: 100, MaxInFlight: 8, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond, MaxQueued: 1000}
+	b := New(limits, 0)
 	rejected := 0
 	for id := range uint64(500) {
 		if b.Enqueue(0, id, fmt.Sprint("s", id%3), false, 1000*ms) != NotRejected {
 			rejected++
 		}
 	}
-	n, last := 0, int64(0)
-	late := drive(b, 0, 2000*ms, time.Millisecond, 2*ms, func(id uint64, at int64) { n, last = n+1, at })
-	if n+rejected+len(late) != 500 || b.Waiting()+b.InFlight() != 0 {
-		t.Errorf("%d began, %d rejected, %d late of 500; %s", n, rejected, len(late), b.Describe())
+	began, last := 0, int64(0)
+	late := runHandshakes(b, 0, 2000*ms, time.Millisecond, 2*ms, func(id uint64, at int64) { began, last = began+1, at })
+	if began+rejected+len(late) != 500 || b.Waiting()+b.InFlight() != 0 {
+		t.Errorf("%d began, %d rejected, %d late of 500; %s", began, rejected, len(late), b.Describe())
 	}
 	// 0.3 s of CPU a second, 1 ms each, 30 ms saved, one overdrawn, and what was charged at the first estimate.
-	if last > 1000*ms || n > 345 || n < 250 {
-		t.Errorf("%d began, the last at %d ms", n, last/ms)
+	if last > 1000*ms || began > 345 || began < 250 {
+		t.Errorf("%d began, the last at %d ms", began, last/ms)
 	}
 	if rejected == 0 {
 		t.Error("what could not begin in time was not rejected at once")
@@ -93,7 +93,7 @@
 	}
 	b.Enqueue(0, 50, "rare", false, 100_000*ms)
 	var order []uint64
-	drive(b, 0, 500*ms, 0, ms, func(id uint64, _ int64) { order = append(order, id) })
+	runHandshakes(b, 0, 500*ms, 0, ms, func(id uint64, _ int64) { order = append(order, id) })
 	if len(order) < 2 || order[1] != 50 {
 		t.Errorf("began in the order %v", order)
 	}
@@ -101,7 +101,7 @@
 
 // A resumed handshake is cheaper against the rates; one that turns out to be full is charged as such.
 func TestResumed(t *testing.T) {
-	begun := func(resumed bool) (n int) {
+	beganInOneSecond := func(resumed bool) (began int) {
 		b := New(Limits{HostRate: 100, Burst: 10 * time.Millisecond, ResumedFactor: 0.25}, 0)
 		for id := range uint64(1000) {
 			b.Enqueue(0, id, "s", true, 1e15)
@@ -109,13 +109,13 @@
 		for now := int64(0); now < 1000*ms; now += ms {
 			begin, _, _ := b.Next(now)
 			for _, id := range begin {
-				n++
+				began++
 				b.Done(now, id, resumed, 0, true)
 			}
 		}
-		return n
+		return began
 	}
-	if resumed, full := begun(true), begun(false); resumed < 395 || resumed > 405 || full < 99 || full > 103 {
+	if resumed, full := beganInOneSecond(true), beganInOneSecond(false); resumed < 395 || resumed > 405 || full < 99 || full > 103 {
 		t.Errorf("%d resumed and %d full ones in a second of 100", resumed, full)
 	}
 }
--- a/internal/dataplane/handshake/next.go
+++ b/internal/dataplane/handshake/next.go
@@ -7,28 +7,28 @@
 
 // Next returns the requests that begin now, in order, those that are too late, and after how long to call it again; 0: only after
 // Enqueue or Done.
-func (b *Budget) Next(now int64) (begin, late []uint64, again time.Duration) {
+func (b *Budget) Next(now int64) (begin, late []uint64, callAgainAfter time.Duration) {
 	b.refill(now)
-	wake := math.Inf(1)
+	wakeAfter := math.Inf(1)
 	for {
 		r, wait := b.beginNext(now, &late)
 		if r == nil {
-			wake = math.Min(wake, wait)
+			wakeAfter = math.Min(wakeAfter, wait)
 			break
 		}
 		begin = append(begin, r.requestID)
 	}
-	if math.IsInf(wake, 1) {
+	if math.IsInf(wakeAfter, 1) {
 		return begin, late, 0
 	}
-	return begin, late, time.Duration(math.Max(wake, float64(100*time.Microsecond)))
+	return begin, late, time.Duration(math.Max(wakeAfter, float64(100*time.Microsecond)))
 }
 
 // beginNext begins the next request that may, of the first host in the rotation that has one. Where none may, the request is nil
 // and wake is how long, in nanoseconds, until that can change.
-func (b *Budget) beginNext(now int64, late *[]uint64) (next *request, wake float64) {
-	wake = math.Inf(1)
-	for turns := len(b.rotation); turns > 0 && len(b.rotation) > 0; turns-- {
+func (b *Budget) beginNext(now int64, late *[]uint64) (next *request, wakeAfter float64) {
+	wakeAfter = math.Inf(1)
+	for hostsLeft := len(b.rotation); hostsLeft > 0 && len(b.rotation) > 0; hostsLeft-- {
 		h := b.rotation[0]
 		b.dropLate(now, h, late)
 		if len(h.queue) == 0 {
@@ -44,15 +44,15 @@
 		untilDeadline := float64(r.deadline - now)
 		switch {
 		case b.limits.MaxInFlightPerHost > 0 && h.inFlight >= b.limits.MaxInFlightPerHost:
-			wake = math.Min(wake, untilDeadline)
+			wakeAfter = math.Min(wakeAfter, untilDeadline)
 		case delay > 0:
-			wake = math.Min(wake, math.Min(delay, untilDeadline))
+			wakeAfter = math.Min(wakeAfter, math.Min(delay, untilDeadline))
 		default:
 			b.begin(now, r)
 			return r, 0
 		}
 	}
-	return nil, wake
+	return nil, wakeAfter
 }
 
 // dropLate drops the first requests of a host that can't be done before their deadlines any more.
@@ -61,32 +61,32 @@
 		r := h.queue[0]
 		*late = append(*late, r.requestID)
 		delete(b.waiting, r.requestID)
-		b.unqueue(r)
+		b.removeFromQueue(r)
 	}
 }
 
 // tokenDelay is how long, in nanoseconds, a request has to wait for tokens; 0: there are enough.
 func (b *Budget) tokenDelay(h *host, r *request) float64 {
-	w := b.weight(r.resumed)
-	delay := math.Max(h.rate.until(math.Min(w, h.rate.capacity)), b.rate.until(math.Min(w, b.rate.capacity)))
+	cost := b.weight(r.resumed)
+	delay := math.Max(h.rate.timeUntil(math.Min(cost, h.rate.capacity)), b.rate.timeUntil(math.Min(cost, b.rate.capacity)))
 	// The last of the CPU may be overdrawn by one handshake: what it really costs is known only afterwards.
 	if b.cpu.perSecond > 0 && b.cpu.tokens <= 0 {
-		delay = math.Max(delay, b.cpu.until(1))
+		delay = math.Max(delay, b.cpu.timeUntil(1))
 	}
 	return delay
 }
 
 // begin takes the first request of its host from the queue and charges for it.
 func (b *Budget) begin(now int64, r *request) {
-	h, w := r.host, b.weight(r.resumed)
+	h, cost := r.host, b.weight(r.resumed)
 	h.queue[0] = nil
 	h.queue = h.queue[1:]
 	delete(b.waiting, r.requestID)
 	b.inFlight[r.requestID] = r
 	h.inFlight++
-	h.rate.tokens -= w
-	b.rate.tokens -= w
-	r.chargedCPU, r.beganAt = b.meanCPU[kind(r.resumed)], now
+	h.rate.tokens -= cost
+	b.rate.tokens -= cost
+	r.chargedCPU, r.beganAt = b.meanCPU[costIndex(r.resumed)], now
 	b.cpu.tokens -= r.chargedCPU
 	b.removeIfIdle(h)
 }
@@ -115,13 +115,13 @@
 	r.host.rate.refill(now)
 	spent := math.Min(math.Max(float64(cpu), 0), maxCPUSample)
 	b.cpu.tokens = math.Min(b.cpu.capacity, b.cpu.tokens+r.chargedCPU-spent)
-	if more := b.weight(resumed) - b.weight(r.resumed); more != 0 {
-		r.host.rate.tokens = math.Min(r.host.rate.capacity, r.host.rate.tokens-more)
-		b.rate.tokens = math.Min(b.rate.capacity, b.rate.tokens-more)
+	if extraWeight := b.weight(resumed) - b.weight(r.resumed); extraWeight != 0 {
+		r.host.rate.tokens = math.Min(r.host.rate.capacity, r.host.rate.tokens-extraWeight)
+		b.rate.tokens = math.Min(b.rate.capacity, b.rate.tokens-extraWeight)
 	}
 	if ok {
-		k := kind(resumed)
-		b.meanCPU[k] += meanGain * (spent - b.meanCPU[k])
+		index := costIndex(resumed)
+		b.meanCPU[index] += meanGain * (spent - b.meanCPU[index])
 		b.meanDuration += meanGain * (math.Min(math.Max(float64(now-r.beganAt), 0), maxDurationSample) - b.meanDuration)
 	}
 	b.removeIfIdle(r.host)
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -22,7 +22,7 @@
 )
 
 // modelled is one handshake as the model knows it.
-type modelled struct {
+type modelHandshake struct {
 	state    handshakeState
 	host     string
 	deadline int64
@@ -36,7 +36,7 @@
 	budget, twin *Budget
 	now          int64
 	last         uint64 // the last ID
-	handshakes   map[uint64]*modelled
+	handshakes   map[uint64]*modelHandshake
 	inFlight     []uint64
 	weight       float64 // of all that has begun, against the rates
 	hostWeight   map[string]float64
@@ -47,7 +47,7 @@
 		HostRate: rapid.Float64Range(2, 200).Draw(t, "hostRate"), MaxInFlight: rapid.IntRange(1, 20).Draw(t, "atOnce"),
 		MaxInFlightPerHost: rapid.IntRange(1, 8).Draw(t, "hostAtOnce"), Burst: 50 * time.Millisecond, MaxQueued: 60,
 		ResumedFactor: 0.5}
-	return &model{t: t, limits: l, budget: New(l, 0), twin: New(l, 0), handshakes: map[uint64]*modelled{}, hostWeight: map[string]float64{}}
+	return &model{t: t, limits: l, budget: New(l, 0), twin: New(l, 0), handshakes: map[uint64]*modelHandshake{}, hostWeight: map[string]float64{}}
 }
 
 // end ends a handshake, which has to wait, or be in flight where it is done.
@@ -61,15 +61,15 @@
 
 func (m *model) enqueue() {
 	m.last++
-	h := &modelled{state: waiting, host: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(m.t, "host"))}
-	h.deadline = m.now + rapid.Int64Range(0, 800*ms).Draw(m.t, "within")
-	h.resumed = rapid.Bool().Draw(m.t, "resumed")
-	m.handshakes[m.last] = h
-	r := m.budget.Enqueue(m.now, m.last, h.host, h.resumed, h.deadline)
-	if r2 := m.twin.Enqueue(m.now, m.last, h.host, h.resumed, h.deadline); r2 != r {
-		m.t.Fatalf("answers differ: %v, %v", r, r2)
+	handshake := &modelHandshake{state: waiting, host: fmt.Sprint("s", rapid.IntRange(0, 3).Draw(m.t, "host"))}
+	handshake.deadline = m.now + rapid.Int64Range(0, 800*ms).Draw(m.t, "within")
+	handshake.resumed = rapid.Bool().Draw(m.t, "resumed")
+	m.handshakes[m.last] = handshake
+	reason := m.budget.Enqueue(m.now, m.last, handshake.host, handshake.resumed, handshake.deadline)
+	if twinReason := m.twin.Enqueue(m.now, m.last, handshake.host, handshake.resumed, handshake.deadline); twinReason != reason {
+		m.t.Fatalf("answers differ: %v, %v", reason, twinReason)
 	}
-	if r != NotRejected {
+	if reason != NotRejected {
 		m.end(m.last, rejected)
 	}
 }
@@ -99,9 +99,9 @@
 // begin begins what may begin.
 func (m *model) begin() {
 	begin, tooLate, _ := m.budget.Next(m.now)
-	begin2, tooLate2, _ := m.twin.Next(m.now)
-	if fmt.Sprint(begin, tooLate) != fmt.Sprint(begin2, tooLate2) || m.budget.Describe() != m.twin.Describe() {
-		m.t.Fatalf("the same calls gave %v %v and %v %v", begin, tooLate, begin2, tooLate2)
+	twinBegin, twinTooLate, _ := m.twin.Next(m.now)
+	if fmt.Sprint(begin, tooLate) != fmt.Sprint(twinBegin, twinTooLate) || m.budget.Describe() != m.twin.Describe() {
+		m.t.Fatalf("the same calls gave %v %v and %v %v", begin, tooLate, twinBegin, twinTooLate)
 	}
 	for _, id := range tooLate {
 		m.end(id, late)
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -44,8 +44,8 @@
 			continue
 		}
 		conn := certexpiry.Conn{ID: id}
-		if e, ok := r.attempt.conn.(Expiring); ok {
-			conn.NotAfter = e.Expires()
+		if expiring, ok := r.attempt.conn.(Expiring); ok {
+			conn.NotAfter = expiring.Expires()
 		}
 		if !conn.NotAfter.IsZero() && (first.IsZero() || conn.NotAfter.Before(first)) {
 			first = conn.NotAfter
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -82,7 +82,7 @@
 // A first line that waits for the kernel is something new as well: it must not go to a host that drains since, nor as a retry after the dedup
 // window.
 func TestListStopsUnsentLines(t *testing.T) {
-	w := sending(t)
+	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
 	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{{Address: "at-A", ListedHost: balancer.ListedHost{ID: "A", State: balancer.Draining}}}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -12,8 +12,8 @@
 }
 
 // isFullList reports whether the change names all hosts that there are.
-func (ch *WatchEvent) isFullList() bool {
-	return ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached
+func (event *WatchEvent) isFullList() bool {
+	return event.Kind == balancer.ListFull || event.Kind == balancer.ListCached
 }
 
 // HostEntry is one upstream host with the address at which this proxy reaches it.
@@ -24,39 +24,39 @@
 
 // ListReceived applies a watch event. Attempts whose line is not written to a host that drains or is removed stop at once, also those
 // that wait for a dial: nothing new may go there.
-func (c *Core) ListReceived(ch WatchEvent) {
+func (c *Core) ListReceived(event WatchEvent) {
 	var watermarksChanged []string
-	if c.hosts.watermarks != nil && ch.Kind != balancer.ListFailed {
-		watermarksChanged = c.hosts.watermarks.ListUpdated(ch)
+	if c.hosts.watermarks != nil && event.Kind != balancer.ListFailed {
+		watermarksChanged = c.hosts.watermarks.ListUpdated(event)
 	}
-	entries := c.updateHosts(&ch)
+	entries := c.updateHosts(&event)
 	for _, p := range c.pools.byName {
-		if p == c.pools.main || ch.isFullList() || len(entries[p]) > 0 {
-			c.notify(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, ch.Kind, entries[p]) })
+		if p == c.pools.main || event.isFullList() || len(entries[p]) > 0 {
+			c.notify(nil, p, func(now balancer.Time, m Balancer) { m.ListReceived(now, event.Kind, entries[p]) })
 		}
 	}
 	c.clearUnusableHosts()
 	c.WatermarksChanged(watermarksChanged)
-	if c.handover.successor != nil && ch.Kind != balancer.ListFailed {
+	if c.handover.successor != nil && event.Kind != balancer.ListFailed {
 		c.handover.successor.ListChanged()
 	}
 }
 
 // updateHosts applies the entries to the host table, and gives them as each pool's balancer is to see them.
-func (c *Core) updateHosts(ch *WatchEvent) map[*pool][]balancer.ListedHost {
+func (c *Core) updateHosts(event *WatchEvent) map[*pool][]balancer.ListedHost {
 	entries := map[*pool][]balancer.ListedHost{}
-	named := map[string]bool{}
-	for _, e := range ch.Hosts {
+	listed := map[string]bool{}
+	for _, e := range event.Hosts {
 		h, isNew := c.hosts.update(e)
-		if to := c.assignedPool(h); isNew {
-			h.pool = to
-		} else if to != h.pool {
-			c.transferHost(h, to) // its kind or zone has changed
+		if assigned := c.assignedPool(h); isNew {
+			h.pool = assigned
+		} else if assigned != h.pool {
+			c.transferHost(h, assigned) // its kind or zone has changed
 		}
-		entries[h.pool], named[e.ID] = append(entries[h.pool], h.effectiveEntry()), true
+		entries[h.pool], listed[e.ID] = append(entries[h.pool], h.effectiveEntry()), true
 	}
-	if ch.isFullList() {
-		c.hosts.removeUnlisted(named)
+	if event.isFullList() {
+		c.hosts.removeUnlisted(listed)
 	}
 	return entries
 }
@@ -80,7 +80,7 @@
 
 // localChange has the balancer of a host's pool see the host as the entries say, one after the other: a change by a suspension, a watermark or
 // a transfer between pools.
-func (c *Core) localChange(p *pool, entries ...balancer.ListedHost) {
+func (c *Core) notifyLocalChange(p *pool, entries ...balancer.ListedHost) {
 	c.notify(nil, p, func(now balancer.Time, m Balancer) {
 		m.ListReceived(now, balancer.ListLocal, entries)
 	})
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -56,13 +56,13 @@
 // handOver begins to hand an open connection over; one that cannot be is migrated.
 func (c *Core) handOver(r *Request) {
 	a := r.attempt
-	down, ok := r.downstream.(Releaser)
-	up, ok2 := a.conn.(Releaser)
-	if !ok || !ok2 {
+	down, downReleasable := r.downstream.(Releaser)
+	up, upReleasable := a.conn.(Releaser)
+	if !downReleasable || !upReleasable {
 		r.migrate(balancer.Cancelled)
 		return
 	}
-	s := a.describe()
+	s := a.describeForHandover()
 	// From here on nothing more is relayed; an end that breaks meanwhile gives no parts.
 	a.detach()
 	c.handover.inFlight++
@@ -70,13 +70,13 @@
 		s.Upstream = p
 		down.Release(func(p netio.Parts) {
 			s.Downstream = p
-			c.released(a, s)
+			c.handOverReleased(a, s)
 		})
 	})
 }
 
 // describe is the connection without its two ends.
-func (a *upstreamRequest) describe() *HandedOverConnection {
+func (a *upstreamRequest) describeForHandover() *HandedOverConnection {
 	r, c := a.request, a.request.core
 	s := &HandedOverConnection{Request: r.attributes, Class: r.class().Name, Host: a.host.hostID, Load: a.load,
 		UnansweredSince: a.unansweredSince, LastKind: a.finalKind}
@@ -87,7 +87,7 @@
 }
 
 // released hands a connection over whose two ends are released, or ends what is left of it.
-func (c *Core) released(a *upstreamRequest, s *HandedOverConnection) {
+func (c *Core) handOverReleased(a *upstreamRequest, s *HandedOverConnection) {
 	r := a.request
 	r.record.Released()
 	if s.Upstream.FD < 0 || s.Downstream.FD < 0 {
@@ -151,17 +151,17 @@
 
 // resumedAttributes is the request with class and tenant as this process's settings number them.
 func (c *Core) resumedAttributes(s *HandedOverConnection) balancer.Request {
-	q := s.Request
-	q.Tenant = -1
+	attributes := s.Request
+	attributes.Tenant = -1
 	if i, known := c.names.tenants[s.Tenant]; known {
-		q.Tenant = i
+		attributes.Tenant = i
 	}
 	class, known := c.names.classes[s.Class]
 	if !known {
 		slog.Warn("resumed_unknown_class", "class", s.Class)
 	}
-	q.Class = class
-	return q
+	attributes.Class = class
+	return attributes
 }
 
 // rebaseUnanswered is when a line was sent, by this process's time: the other one's clock may be another. What lies further back than a
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -73,9 +73,9 @@
 }
 
 // stopUnsentAttempts ends the attempts whose line is not written, where which says so: the host cannot have acted on them.
-func (h *host) stopUnsentAttempts(which func(a *upstreamRequest) bool) {
+func (h *host) stopUnsentAttempts(matches func(a *upstreamRequest) bool) {
 	for a := range h.pending {
-		if a.lineUnsent() && !a.request.adopted && which(a) {
+		if a.lineUnsent() && !a.request.adopted && matches(a) {
 			a.finish(balancer.Full, netio.Dropped)
 		}
 	}
@@ -97,19 +97,19 @@
 }
 
 // update applies one entry of the endpoint list. A host that is new is in no pool yet.
-func (t *hostTable) update(e HostEntry) (h *host, isNew bool) {
-	if h = t.byID[e.ID]; h == nil {
-		h, isNew = t.add(e.ID), true
+func (t *hostTable) update(entry HostEntry) (h *host, isNew bool) {
+	if h = t.byID[entry.ID]; h == nil {
+		h, isNew = t.add(entry.ID), true
 	}
-	if tracing() && (h.state != e.State || h.listed.StartedAt != e.StartedAt || h.address == "") {
-		slog.Debug("host_updated", "host", e.ID, "zone", e.Zone, "state", hostStateName(e.State), "weight", e.Weight, "since_ms", e.StartedAt/1e6)
+	if tracing() && (h.state != entry.State || h.listed.StartedAt != entry.StartedAt || h.address == "") {
+		slog.Debug("host_updated", "host", entry.ID, "zone", entry.Zone, "state", hostStateName(entry.State), "weight", entry.Weight, "since_ms", entry.StartedAt/1e6)
 	}
-	t.suspensions.HostListed(e.ID)
-	if h.address == "" || e.StartedAt != h.listed.StartedAt {
-		h.startedAt = t.clock.hostStart(e.StartedAt)
+	t.suspensions.HostListed(entry.ID)
+	if h.address == "" || entry.StartedAt != h.listed.StartedAt {
+		h.startedAt = t.clock.hostStart(entry.StartedAt)
 	}
-	h.state, h.listed, h.zone = t.effectiveState(e.ListedHost), e.ListedHost, e.Zone
-	h.changeAddress(e.Address)
+	h.state, h.listed, h.zone = t.effectiveState(entry.ListedHost), entry.ListedHost, entry.Zone
+	h.changeAddress(entry.Address)
 	return h, isNew
 }
 
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -22,30 +22,30 @@
 // Where the system's clock has been set since, starts are off by as much, and a warming host that counts as warm is overloaded. Where the clock
 // was set here, it may have been set at the host too or not: of the two moments that a start can mean the later one counts that is not in the
 // future. A start that is in the future by both is now.
-func (k startClock) hostStart(listed balancer.Time) balancer.Time {
-	now := k.now()
+func (c startClock) hostStart(listed balancer.Time) balancer.Time {
+	now := c.now()
 	if listed == 0 {
 		return 0
 	}
-	at := listed
-	if offset := k.offset(now); offset != 0 {
-		if other := listed - offset; other <= now && (other > at || at > now) {
-			at = other
+	startedAt := listed
+	if offset := c.offset(now); offset != 0 {
+		if converted := listed - offset; converted <= now && (converted > startedAt || startedAt > now) {
+			startedAt = converted
 		}
 	}
-	if at > now {
-		slog.Debug("host_start_in_future", "ms", (at-now)/1e6)
+	if startedAt > now {
+		slog.Debug("host_start_in_future", "ms", (startedAt-now)/1e6)
 		return now
 	}
-	return at
+	return startedAt
 }
 
 // offset is by how much the system's clock has been set since the start of this process, in nanoseconds; 0: not at all.
-func (k startClock) offset(now balancer.Time) balancer.Time {
-	if k.wall == nil {
+func (c startClock) offset(now balancer.Time) balancer.Time {
+	if c.wall == nil {
 		return 0
 	}
-	offset := k.wall().UnixNano() - now
+	offset := c.wall().UnixNano() - now
 	if offset > -minClockOffset && offset < minClockOffset {
 		return 0
 	}
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -73,15 +73,15 @@
 
 // isDelayGivenLoad is isDelay for a host whose load over capacity is known: with capacity left no message waits, however small a
 // connection's load is. A first delay that is taken for a load is corrected by the next one, a second later.
-func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, on *upstreamRequest, hostLoad float64) bool {
+func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, conn *upstreamRequest, hostLoad float64) bool {
 	steady := d.isSteady(now, steadyToleranceWithLoad)
-	return figure < maxPlausibleDelay && (steady && (d.candidateOn == on || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
+	return figure < maxPlausibleDelay && (steady && (d.candidateOn == conn || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
 }
 
 // noteCandidate records a figure that may be a delay by its size.
-func (d *loadClassifier) noteCandidate(now int64, figure float64, on *upstreamRequest) {
+func (d *loadClassifier) recordCandidate(now int64, figure float64, conn *upstreamRequest) {
 	if figure < maxPlausibleDelay {
-		d.candidateAt, d.candidateOn, d.candidate = now, on, figure
+		d.candidateAt, d.candidateOn, d.candidate = now, conn, figure
 	}
 }
 
@@ -90,9 +90,9 @@
 	c, d := a.request.core, &a.host.loadFigures
 	now := c.loop.Now()
 	loadKnown := a.host.checkedAt > 0 && now-a.host.checkedAt < checkedLoadValidity
-	delay := c.opt.DelayInLoad && a.classifiedAsDelay(now, figure, loadKnown)
+	delay := c.opt.DelayInLoad && a.isDelayFigure(now, figure, loadKnown)
 	previousWasDelay := delay && loadKnown && d.candidateOn == a && a.load == d.candidate
-	d.noteCandidate(now, figure, a)
+	d.recordCandidate(now, figure, a)
 	if delay {
 		d.delay, d.delayAt = figure, now
 		a.correctLoad(previousWasDelay)
@@ -115,7 +115,7 @@
 	return balancer.ObservedLoad
 }
 
-func (a *upstreamRequest) classifiedAsDelay(now int64, figure float64, loadKnown bool) bool {
+func (a *upstreamRequest) isDelayFigure(now int64, figure float64, loadKnown bool) bool {
 	if loadKnown {
 		return a.host.loadFigures.isDelayGivenLoad(now, figure, a, a.host.checkedLoad)
 	}
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -18,12 +18,12 @@
 	// latencyReportInterval is how often, in nanoseconds, the decision module is notified of a slow host.
 	latencyReportInterval = int64(time.Second)
 	// slowShare: a host is slow when messages take longer than one part in so many of the shortest message latency objective.
-	slowShare = 3
+	slowObjectiveDivisor = 3
 )
 
 // messageLatency is how long messages take at one host, as measured on all its connections from this proxy. Times are in nanoseconds.
 type messageLatency struct {
-	last           int64 // of the last line that was answered
+	lastLatency    int64 // of the last line that was answered
 	lastAt         int64 // when that was
 	oldestSent     int64 // when the oldest line without an answer was sent; 0: none
 	reportedAt     int64
@@ -31,10 +31,10 @@
 }
 
 // answered records a line sent at sent whose answer has come now.
-func (l *messageLatency) answered(now, sent int64) { l.last, l.lastAt = now-sent, now }
+func (l *messageLatency) recordAnswer(now, sent int64) { l.lastLatency, l.lastAt = now-sent, now }
 
 // noteUnanswered records a line that waits for its answer.
-func (l *messageLatency) noteUnanswered(sent int64) {
+func (l *messageLatency) recordUnanswered(sent int64) {
 	if l.oldestSent == 0 || sent < l.oldestSent {
 		l.oldestSent = sent
 	}
@@ -43,7 +43,7 @@
 // current is how long messages take now: the last answer where it is recent, or the wait of the oldest line if that is longer.
 func (l *messageLatency) current(now int64) (latency int64) {
 	if now-l.lastAt < 2*latencyReportInterval {
-		latency = l.last
+		latency = l.lastLatency
 	}
 	if l.oldestSent > 0 {
 		latency = max(latency, now-l.oldestSent)
@@ -52,7 +52,7 @@
 }
 
 // due reports whether to report a latency: once an interval while it is above the threshold, and once more when it is back under.
-func (l *messageLatency) due(now, latency, threshold int64) bool {
+func (l *messageLatency) shouldReport(now, latency, threshold int64) bool {
 	slow := latency > threshold
 	if !slow && !l.reportedAsSlow {
 		return false
@@ -82,7 +82,7 @@
 		}
 		sent := a.unansweredSince[0]
 		if now-sent < int64(hostSilenceTimeout) {
-			h.latency.noteUnanswered(sent)
+			h.latency.recordUnanswered(sent)
 			continue
 		}
 		// The machine has vanished or hangs, and TCP does not say so. The client must not wait for it.
@@ -103,7 +103,7 @@
 		return // the host reports it itself, and knows better
 	}
 	latency := l.current(now)
-	if !l.due(now, latency, objective/slowShare) {
+	if !l.shouldReport(now, latency, objective/slowObjectiveDivisor) {
 		return
 	}
 	for r := range h.established {
@@ -117,9 +117,9 @@
 
 // shortestMessageObjective is the shortest message latency objective of all classes, in nanoseconds; 0: none has one.
 func (c *Core) shortestMessageObjective() (shortest int64) {
-	for _, k := range c.opt.Settings.Classes {
-		if k.MessageLatencyObjective > 0 && (shortest == 0 || k.MessageLatencyObjective < shortest) {
-			shortest = k.MessageLatencyObjective
+	for _, class := range c.opt.Settings.Classes {
+		if class.MessageLatencyObjective > 0 && (shortest == 0 || class.MessageLatencyObjective < shortest) {
+			shortest = class.MessageLatencyObjective
 		}
 	}
 	return shortest
--- a/internal/dataplane/proxy/messagelatency_test.go
+++ b/internal/dataplane/proxy/messagelatency_test.go
@@ -26,20 +26,20 @@
 // A slow host is reported while it is slow and once more when it is not; a line that waits counts as it is.
 func TestMessageLatency(t *testing.T) {
 	const second, threshold = int64(time.Second), int64(50 * time.Millisecond)
-	l := messageLatency{}
-	l.answered(second, second-20e6)
-	if got := l.current(second); got != 20e6 || l.due(second, got, threshold) {
+	latency := messageLatency{}
+	latency.recordAnswer(second, second-20e6)
+	if got := latency.current(second); got != 20e6 || latency.shouldReport(second, got, threshold) {
 		t.Errorf("%d reported: not slow yet", got)
 	}
-	l.noteUnanswered(second)
-	l.noteUnanswered(2 * second)
+	latency.recordUnanswered(second)
+	latency.recordUnanswered(2 * second)
 	for _, now := range []int64{2 * second, 3 * second} {
-		if got := l.current(now); got != now-second || !l.due(now, got, threshold) {
+		if got := latency.current(now); got != now-second || !latency.shouldReport(now, got, threshold) {
 			t.Errorf("%d not reported", got)
 		}
 	}
-	l.oldestSent = 0
-	if got := l.current(4 * second); got != 0 || !l.due(4*second, got, threshold) || l.due(5*second, got, threshold) {
+	latency.oldestSent = 0
+	if got := latency.current(4 * second); got != 0 || !latency.shouldReport(4*second, got, threshold) || latency.shouldReport(5*second, got, threshold) {
 		t.Errorf("%d: expected one report that it is over", got)
 	}
 }
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -15,51 +15,51 @@
 // poolHarness is a core with the real balancer, hosts of two kinds, and rules that a test changes.
 type poolHarness struct {
 	*harness
-	test     *rapid.T
-	enforcer *rules.Enforcer
-	hosts    map[string]HostEntry
-	owner    map[string]string // pool by host, as the rules have it now
-	pools    map[string]string // by tenant
-	tenant   map[string]string // by request
-	starts   map[string]int
-	kind     string // of the hosts in pool p
-	version  uint64
+	test            *rapid.T
+	enforcer        *rules.Enforcer
+	hosts           map[string]HostEntry
+	poolByHost      map[string]string // pool by host, as the rules have it now
+	poolByTenant    map[string]string // by tenant
+	tenantByRequest map[string]string // by request
+	startsByRequest map[string]int
+	poolKind        string // of the hosts in pool p
+	version         uint64
 }
 
 // Start is where the checks are: an attempt goes to a host of its tenant's pool alone.
 func (w *poolHarness) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
 	id := ev.(*upstreamRequest).request.attributes.ID
-	w.starts[id]++
-	if got, want := w.owner[to.ID], w.pools[w.tenant[id]]; got != want {
-		w.test.Fatalf("%s of tenant %s goes to %s of pool %q, expected one of %q", id, w.tenant[id], to.ID, got, want)
+	w.startsByRequest[id]++
+	if got, want := w.poolByHost[to.ID], w.poolByTenant[w.tenantByRequest[id]]; got != want {
+		w.test.Fatalf("%s of tenant %s goes to %s of pool %q, expected one of %q", id, w.tenantByRequest[id], to.ID, got, want)
 	}
 	return w.harness.Start(to, first, until, within, ev)
 }
 
 // rule has the core act by a version of the rules. kind is which kind of host pool p has; t1 is the tenant of p, t2 has the rest. With moving
 // all hosts are between two pools.
-func (w *poolHarness) rule(number uint64, kind string, moving bool) {
-	b := &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}, Pools: []string{"p"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{kind}}}}
+func (w *poolHarness) setRules(number uint64, kind string, moving bool) {
+	directory := &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}, Pools: []string{"p"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{kind}}}}
 	if moving {
-		b.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
+		directory.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
-	rules.SetActiveVersionForTest(w.enforcer, &rules.Version{Number: number, Directory: b}, w.now+1e12)
-	w.pools = map[string]string{"t1": "p", "t2": namespace.Main}
+	rules.SetActiveVersionForTest(w.enforcer, &rules.Version{Number: number, Directory: directory}, w.now+1e12)
+	w.poolByTenant = map[string]string{"t1": "p", "t2": namespace.Main}
 	for id, h := range w.hosts {
-		w.owner[id] = namespace.Main
+		w.poolByHost[id] = namespace.Main
 		if h.Kind == kind {
-			w.owner[id] = "p"
+			w.poolByHost[id] = "p"
 		}
 		if moving {
-			w.owner[id] = ""
+			w.poolByHost[id] = ""
 		}
 	}
 }
 
 // newPoolHarness is a core by version 1 of the rules, with four hosts of two kinds.
 func newPoolHarness(t *rapid.T) *poolHarness {
-	w := &poolHarness{harness: newClock(nil), test: t, hosts: map[string]HostEntry{}, owner: map[string]string{}, tenant: map[string]string{}, starts: map[string]int{},
-		kind: "m1", version: 1}
+	w := &poolHarness{harness: newClock(nil), test: t, hosts: map[string]HostEntry{}, poolByHost: map[string]string{}, tenantByRequest: map[string]string{}, startsByRequest: map[string]int{},
+		poolKind: "m1", version: 1}
 	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
 	for i, id := range []string{"A", "B", "C", "D"} {
 		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
@@ -67,29 +67,29 @@
 	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2, SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9,
 		EjectionInitial: -1, EjectionMax: -1, Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6, Idempotency: balancer.NotIdempotent}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 	w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
-	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, w.list()); err != nil {
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, w.fullList()); err != nil {
 		t.Fatal(err)
 	}
-	w.rule(w.version, w.kind, false)
+	w.setRules(w.version, w.poolKind, false)
 	w.core.SetRules(w.enforcer)
 	return w
 }
 
 // list is the complete endpoint list.
-func (w *poolHarness) list() WatchEvent {
+func (w *poolHarness) fullList() WatchEvent {
 	return WatchEvent{Kind: balancer.ListFull, Hosts: []HostEntry{w.hosts["A"], w.hosts["B"], w.hosts["C"], w.hosts["D"]}}
 }
 
 // swapPools gives pool p the hosts of the other kind, by way of a version in which they are between two pools.
 func (w *poolHarness) swapPools(t *rapid.T) {
-	w.kind = map[string]string{"m1": "m2", "m2": "m1"}[w.kind]
+	w.poolKind = map[string]string{"m1": "m2", "m2": "m1"}[w.poolKind]
 	w.version += 2
-	w.rule(w.version-1, w.kind, true)
+	w.setRules(w.version-1, w.poolKind, true)
 	if rapid.Bool().Draw(t, "between") {
 		w.core.ReassignPools()
 	}
 	w.pass(time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond)
-	w.rule(w.version, w.kind, false)
+	w.setRules(w.version, w.poolKind, false)
 	if rapid.Bool().Draw(t, "at once") { // else requests come before the hosts are put into their pools
 		w.core.ReassignPools()
 	}
@@ -102,23 +102,23 @@
 	}
 	u := w.upstreams[rapid.IntRange(max(0, len(w.upstreams)-2), len(w.upstreams)-1).Draw(t, "attempt")]
 	a := u.events.(*upstreamRequest)
-	before := w.starts[a.request.attributes.ID]
+	before := w.startsByRequest[a.request.attributes.ID]
 	// After a reset it may have run, and must not run twice.
-	if reset := u.endAsDrawn(t, netio.Sent); reset && !a.established && w.starts[a.request.attributes.ID] > before {
+	if reset := u.endAsDrawn(t, netio.Sent); reset && !a.established && w.startsByRequest[a.request.attributes.ID] > before {
 		t.Fatalf("%s may have run and is retried", a.request.attributes.ID)
 	}
 }
 
 // checkOpen counts the open connections, each of which the balancer of its host's pool has to know.
-func (w *poolHarness) checkOpen(t *rapid.T) (open int) {
+func (w *poolHarness) checkOpenConnections(t *rapid.T) (open int) {
 	for id, r := range w.core.requests {
 		a := r.attempt
 		if a == nil || !a.established {
 			continue
 		}
 		open++
-		if r.pool != a.host.pool || a.host.pool.name != w.owner[a.host.hostID] {
-			t.Fatalf("%s is open at %s of pool %q and is known to %v", id, a.host.hostID, w.owner[a.host.hostID], r.pool)
+		if r.pool != a.host.pool || a.host.pool.name != w.poolByHost[a.host.hostID] {
+			t.Fatalf("%s is open at %s of pool %q and is known to %v", id, a.host.hostID, w.poolByHost[a.host.hostID], r.pool)
 		}
 	}
 	return open
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	for id := range w.tenant {
+	for id := range w.tenantByRequest {
 		if answers[id] != 1 {
 			t.Fatalf("%s has %d answers: %v", id, answers[id], w.events)
 		}
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -102,9 +102,9 @@
 
 // notify has a pool's balancer handle an event. about is the request that is answered should the balancer panic; nil: none. What belongs
 // to no pool is handled by nobody.
-func (c *Core) notify(about *Request, p *pool, handle func(now balancer.Time, m Balancer)) {
+func (c *Core) notify(request *Request, p *pool, handle func(now balancer.Time, m Balancer)) {
 	if p == nil || p.removed {
 		return
 	}
-	c.decisions.submit(about, p.balancer, handle)
+	c.decisions.submit(request, p.balancer, handle)
 }
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -17,20 +17,20 @@
 // However versions, lists, ends of attempts and time come together, each request goes to its own pool's hosts alone, gets one answer, and an open
 // connection is known to the balancer of the pool that its host is in.
 func TestEachPoolHasItsOwn(t *testing.T) {
-	open, swaps := 0, 0
+	open, poolSwaps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newPoolHarness(t)
 		for n := range rapid.IntRange(5, 50).Draw(t, "steps") {
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
 			case 0:
 				w.swapPools(t)
-				swaps++
+				poolSwaps++
 			case 1, 2, 3:
 				id := fmt.Sprint(n)
-				w.tenant[id] = rapid.SampledFrom([]string{"t1", "t2"}).Draw(t, "tenant")
-				w.core.Open(&fakeDownstream{w.harness, id}, &Opening{ID: id, Class: "c", Tenant: w.tenant[id], Wait: time.Second, HasWait: true}, nil)
+				w.tenantByRequest[id] = rapid.SampledFrom([]string{"t1", "t2"}).Draw(t, "tenant")
+				w.core.Open(&fakeDownstream{w.harness, id}, &Opening{ID: id, Class: "c", Tenant: w.tenantByRequest[id], Wait: time.Second, HasWait: true}, nil)
 			case 4:
-				w.core.ListReceived(w.list())
+				w.core.ListReceived(w.fullList())
 			case 5, 6:
 				w.endAttempt(t)
 			case 7, 8: // its first line is with the host, which is yet to answer
@@ -41,12 +41,12 @@
 			w.pass(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 		}
 		w.core.ReassignPools()
-		open += w.checkOpen(t)
+		open += w.checkOpenConnections(t)
 		w.pass(6 * time.Second)
 		w.checkAnswers(t)
 	})
-	if open < 20 || swaps < 20 {
-		t.Errorf("%d connections were open at the end and hosts changed pools %d times: too little to show anything", open, swaps)
+	if open < 20 || poolSwaps < 20 {
+		t.Errorf("%d connections were open at the end and hosts changed pools %d times: too little to show anything", open, poolSwaps)
 	}
 }
 
@@ -82,7 +82,7 @@
 // A connection that comes up at a host that has changed pools meanwhile is known to the balancer of its new pool, and to no other.
 func TestConnectionFollowsItsHost(t *testing.T) {
 	w := &poolHarness{harness: newClock(t), hosts: map[string]HostEntry{"A": {ListedHost: balancer.ListedHost{ID: "A", Kind: "m1", Weight: 1}, Address: "at-A"}},
-		owner: map[string]string{}, tenant: map[string]string{"r": "t1"}, starts: map[string]int{}}
+		poolByHost: map[string]string{}, tenantByRequest: map[string]string{"r": "t1"}, startsByRequest: map[string]int{}}
 	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }}
 	balancers := 0
 	w.core = New(w.loop, w, Options{MaxDownstreams: 10, Settings: balancer.Config{MaxAttempts: 5, ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t1"}}}})
@@ -99,11 +99,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.rule(1, "m1", false)
+	w.setRules(1, "m1", false)
 	w.core.SetRules(w.enforcer) // A is in p, whose balancer is the second
 	r := w.core.Open(&fakeDownstream{w.harness, "r"}, &Opening{ID: "r", Class: "c", Tenant: "t1", Wait: time.Second, HasWait: true}, nil)
 	w.upstreams[0].sent()
-	w.rule(3, "m2", false)
+	w.setRules(3, "m2", false)
 	w.core.ReassignPools()
 	w.events = nil
 	w.upstreams[0].events.FromUpstream(Message{Kind: Accepted})
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -32,7 +32,7 @@
 	away.State = balancer.Removed
 	if from != nil {
 		h.lastSnapshot = snapshotOf(from.balancer, h.hostID)
-		c.localChange(from, away)
+		c.notifyLocalChange(from, away)
 	}
 	if to != nil {
 		here, known := h.effectiveEntry(), h.lastSnapshot
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -33,7 +33,7 @@
 const (
 	// frontNoticeDelay is how long after its SIGTERM a proxy still gets new connections; clients migrated before could come straight
 	// back to it.
-	frontNoticeDelay = 450 * time.Millisecond
+	newConnectionWindow = 450 * time.Millisecond
 	// migrationSpan is the time over which clients are migrated, so that they do not all arrive elsewhere at once.
 	migrationSpan = 1500 * time.Millisecond
 	// handoverSpan is the same where another process of this proxy takes them in again: it is alone with them, and warming hosts accept
@@ -71,21 +71,21 @@
 	if handedOver {
 		span = int64(handoverSpan)
 	} else {
-		s.migrateFrom = min(int64(frontNoticeDelay), s.answerBy/2)
+		s.migrateFrom = min(int64(newConnectionWindow), s.answerBy/2)
 	}
 	s.migrateBy = min(s.migrateFrom+span, s.answerBy)
 	return s
 }
 
 // due is how many of all open connections are to have been migrated when so much time has passed.
-func (s shutdownSchedule) due(all int, passed int64) int {
+func (s shutdownSchedule) migrationsDue(total int, elapsed int64) int {
 	switch {
-	case passed >= s.migrateBy:
-		return all
-	case passed <= s.migrateFrom:
+	case elapsed >= s.migrateBy:
+		return total
+	case elapsed <= s.migrateFrom:
 		return 0
 	}
-	return int(int64(all) * (passed - s.migrateFrom) / (s.migrateBy - s.migrateFrom))
+	return int(int64(total) * (elapsed - s.migrateFrom) / (s.migrateBy - s.migrateFrom))
 }
 
 // IdleDownstreams are the client connections on which no request has come yet.
@@ -102,7 +102,7 @@
 type shutdown struct {
 	core      *Core
 	schedule  shutdownSchedule
-	began     int64  // ns of the loop's time
+	startedAt int64  // ns of the loop's time
 	migrated  int    // connections so far
 	total     int    // the most connections that there were to migrate
 	idleSteps int    // steps in a row that found nothing left
@@ -119,7 +119,7 @@
 	}
 	c.shuttingDown, c.migrations.unpaced = true, true
 	schedule := newShutdownSchedule(c.longestDeadline(), c.handover.handedOver)
-	s := &shutdown{core: c, schedule: schedule, began: c.loop.Now(), done: done}
+	s := &shutdown{core: c, schedule: schedule, startedAt: c.loop.Now(), done: done}
 	// The last two moments have timers of their own, to the millisecond.
 	c.loop.After(time.Duration(schedule.answerBy), s.answerAll)
 	c.loop.After(time.Duration(schedule.exitBy), s.end)
@@ -128,8 +128,8 @@
 
 // longestDeadline is that of all classes, in nanoseconds.
 func (c *Core) longestDeadline() (longest int64) {
-	for _, k := range c.opt.Settings.Classes {
-		longest = max(longest, k.Deadline)
+	for _, class := range c.opt.Settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
 	return longest
 }
@@ -139,29 +139,29 @@
 	if s.done == nil {
 		return
 	}
-	c, passed := s.core, s.core.loop.Now()-s.began
+	c, elapsed := s.core, s.core.loop.Now()-s.startedAt
 	open, pending := c.countRequests()
 	withoutRequest := 0
-	if passed > s.schedule.migrateFrom && c.idleDownstreams != nil {
+	if elapsed > s.schedule.migrateFrom && c.idleDownstreams != nil {
 		withoutRequest = c.idleDownstreams.EndIdle(s.answered)
 	}
-	left := open + pending + c.handover.inFlight + withoutRequest
-	if s.isIdle(left, passed) {
+	remaining := open + pending + c.handover.inFlight + withoutRequest
+	if s.isIdle(remaining, elapsed) {
 		s.end()
 		return
 	}
 	switch {
-	case c.handover.handedOver && open > 0 && c.handover.successor.AcceptsHandovers() && passed < s.schedule.migrateBy:
+	case c.handover.handedOver && open > 0 && c.handover.successor.AcceptsHandovers() && elapsed < s.schedule.migrateBy:
 		c.forEachOpen(handoversPerStep, c.handOver)
-	case passed > s.schedule.migrateFrom:
-		s.migrateDue(open, passed)
+	case elapsed > s.schedule.migrateFrom:
+		s.migrateDue(open, elapsed)
 	}
 	c.loop.After(shutdownStepInterval, s.step)
 }
 
 // isIdle reports whether enough steps in a row have found nothing left.
-func (s *shutdown) isIdle(left int, passed int64) bool {
-	if passed > s.schedule.migrateFrom && left == 0 && s.core.admission.downstreams == 0 {
+func (s *shutdown) isIdle(remaining int, elapsed int64) bool {
+	if elapsed > s.schedule.migrateFrom && remaining == 0 && s.core.admission.downstreams == 0 {
 		s.idleSteps++
 	} else {
 		s.idleSteps = 0
@@ -170,14 +170,14 @@
 }
 
 // migrateDue migrates as many clients as are due by now. Those that come up meanwhile count, and after migrateBy all go.
-func (s *shutdown) migrateDue(open int, passed int64) {
+func (s *shutdown) migrateDue(open int, elapsed int64) {
 	s.total = max(s.total, s.migrated+open)
-	n := min(open, s.schedule.due(s.total, passed)-s.migrated)
-	if passed >= s.schedule.migrateBy {
-		n = open
+	count := min(open, s.schedule.migrationsDue(s.total, elapsed)-s.migrated)
+	if elapsed >= s.schedule.migrateBy {
+		count = open
 	}
-	s.core.forEachOpen(n, func(r *Request) { r.migrate(balancer.Cancelled) })
-	s.migrated += max(0, n)
+	s.core.forEachOpen(count, func(r *Request) { r.migrate(balancer.Cancelled) })
+	s.migrated += max(0, count)
 }
 
 // answerAll gives each request that still waits its answer, and migrates the clients that are left: the process is about to be killed.
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -11,7 +11,7 @@
 )
 
 // sending opens a request whose balancer places it at A, and then to B should that attempt prove not to have run.
-func sending(t *testing.T) *harness {
+func newSendingHarness(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
 	w.core.opt.Settings.Classes[0].Idempotency = balancer.NotIdempotent
@@ -31,7 +31,7 @@
 // A host's acceptance that comes during a shutdown, after earlier clients have been migrated, is passed on, and that client is migrated
 // like the others.
 func TestAcceptedDuringShutdown(t *testing.T) {
-	w := sending(t)
+	w := newSendingHarness(t)
 	ended := w.shutDown()
 	if !w.core.migrations.unpaced {
 		t.Error("clients of a process that shuts down wait for permits")
@@ -58,12 +58,12 @@
 // A connection that breaks before the first line's last byte is written has not reached its host: the request may go elsewhere, also one
 // that must not run twice. After that byte it may not.
 func TestBreakBeforeTheLineIsWritten(t *testing.T) {
-	w := sending(t)
+	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
 	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
 	w.expect("end up ended", "ended q 0 4 false", "start at-B 1000")
 
-	w = sending(t)
+	w = newSendingHarness(t)
 	w.upstreams[0].sent()
 	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
 	w.expect("end up ended", "ended q 0 5 false")
@@ -103,11 +103,11 @@
 				s.exitBy > int64(kill-2*invariant.MaxPause) || deadline <= 3*time.Second && s.answerBy < int64(deadline+overdueGrace) {
 				t.Errorf("%v, handed over %t: %+v, SIGKILL after %v", deadline, handedOver, s, kill)
 			}
-			for passed, before := int64(0), 0; passed <= s.exitBy; passed += int64(10 * time.Millisecond) {
-				if due := s.due(100, passed); due < before || passed >= s.migrateBy && due != 100 {
-					t.Fatalf("%v: %d due after %v, %d before", deadline, due, time.Duration(passed), before)
+			for elapsed, before := int64(0), 0; elapsed <= s.exitBy; elapsed += int64(10 * time.Millisecond) {
+				if migrationsDue := s.migrationsDue(100, elapsed); migrationsDue < before || elapsed >= s.migrateBy && migrationsDue != 100 {
+					t.Fatalf("%v: %d due after %v, %d before", deadline, migrationsDue, time.Duration(elapsed), before)
 				} else {
-					before = due
+					before = migrationsDue
 				}
 			}
 		}
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -14,7 +14,7 @@
 // What makes a Snapshot unusable.
 var (
 	errTooManyHosts     = errors.New("snapshot: too many hosts")
-	errHostID           = errors.New("snapshot: host ID of an impossible length")
+	errHostIDLength     = errors.New("snapshot: host ID of an impossible length")
 	errFutureSuspension = errors.New("snapshot: host suspended in the future")
 	errImplausibleHost  = errors.New("snapshot: address, state, weight or start of a host out of range")
 )
@@ -44,10 +44,10 @@
 // them started, and that may have been set in between, by an hour either way. live says that it was written at this moment; of a file it
 // is only known that it is not from the future.
 func (s *Snapshot) Rebase(now int64, live bool) {
-	by := now - s.WrittenAt
-	if s.WrittenAt > 0 && (by < 0 || live) && (by <= -minClockStep || by >= minClockStep) {
-		slog.Warn("clock_stepped", "between", "processes", "ms", by/1e6)
-		s.shift(by)
+	offset := now - s.WrittenAt
+	if s.WrittenAt > 0 && (offset < 0 || live) && (offset <= -minClockStep || offset >= minClockStep) {
+		slog.Warn("clock_stepped", "between", "processes", "ms", offset/1e6)
+		s.shift(offset)
 	}
 	for i := range s.Suspended {
 		s.Suspended[i].Since = min(s.Suspended[i].Since, now) // a suspension is in force whatever its time says
@@ -55,21 +55,21 @@
 }
 
 // shift moves all times by some nanoseconds; 0 stays "never".
-func (s *Snapshot) shift(by int64) {
-	move := func(times ...*int64) {
+func (s *Snapshot) shift(offset int64) {
+	shiftAll := func(times ...*int64) {
 		for _, t := range times {
 			if *t > 0 {
-				*t = max(1, *t+by)
+				*t = max(1, *t+offset)
 			}
 		}
 	}
 	for i := range s.Suspended {
-		move(&s.Suspended[i].Since)
+		shiftAll(&s.Suspended[i].Since)
 	}
-	move(&s.Balancer.Started, &s.Balancer.RateAt)
+	shiftAll(&s.Balancer.Started, &s.Balancer.RateAt)
 	for i := range s.Balancer.Servers {
 		h := &s.Balancer.Servers[i]
-		move(&h.Until, &h.FailedAt, &h.IllAt, &h.DelayAt, &h.TokensAt, &h.Passed)
+		shiftAll(&h.Until, &h.FailedAt, &h.IllAt, &h.DelayAt, &h.TokensAt, &h.Passed)
 	}
 }
 
@@ -78,9 +78,9 @@
 	if len(s.Hosts) > maxHosts || len(s.Suspended) > maxHosts || len(s.KnownHosts) > 2*maxHosts {
 		return fmt.Errorf("%w: %d listed, %d suspended, %d known; at most %d", errTooManyHosts, len(s.Hosts), len(s.Suspended), len(s.KnownHosts), maxHosts)
 	}
-	for _, b := range s.Suspended {
-		if b.Since > now {
-			return fmt.Errorf("%w: %.40q", errFutureSuspension, b.ID)
+	for _, suspension := range s.Suspended {
+		if suspension.Since > now {
+			return fmt.Errorf("%w: %.40q", errFutureSuspension, suspension.ID)
 		}
 	}
 	if err := s.checkIDs(); err != nil {
@@ -98,7 +98,7 @@
 func (s *Snapshot) checkIDs() error {
 	check := func(id string) error {
 		if id == "" || len(id) > maxIDLength {
-			return fmt.Errorf("%w: %d bytes, expected 1 to %d", errHostID, len(id), maxIDLength)
+			return fmt.Errorf("%w: %d bytes, expected 1 to %d", errHostIDLength, len(id), maxIDLength)
 		}
 		return nil
 	}
@@ -107,8 +107,8 @@
 			return err
 		}
 	}
-	for _, b := range s.Suspended {
-		if err := check(b.ID); err != nil {
+	for _, suspension := range s.Suspended {
+		if err := check(suspension.ID); err != nil {
 			return err
 		}
 	}
@@ -128,8 +128,8 @@
 	for _, id := range s.KnownHosts {
 		c.hosts.suspensions.HostListed(id)
 	}
-	for _, b := range s.Suspended {
-		c.hosts.suspensions.Set(b.ID, true, b.Since)
+	for _, suspension := range s.Suspended {
+		c.hosts.suspensions.Set(suspension.ID, true, suspension.Since)
 	}
 }
 
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -31,27 +31,27 @@
 // applySuspension has a host's suspension, or its end, take effect.
 func (c *Core) applySuspension(id string, suspended bool) {
 	s := c.hosts.suspensions
-	before, was := s.Suspension(id), s.Suspended(id)
+	previous, wasSuspended := s.Suspension(id), s.Suspended(id)
 	if !s.Set(id, suspended, c.loop.Now()) {
 		return
 	}
 	slog.Info("host_suspended", "host", id, "suspended", suspended)
-	if s.Suspended(id) != was {
-		c.suspensionChanged(id, suspended, before)
+	if s.Suspended(id) != wasSuspended {
+		c.suspensionChanged(id, suspended, previous)
 	}
 }
 
 // SetFleetSuspensions applies the complete list of hosts that are suspended for the fleet: one that is not on it any more comes back.
 func (c *Core) SetFleetSuspensions(ids []string) {
 	s := c.hosts.suspensions
-	before := map[string]maintenance.Suspension{}
+	previous := map[string]maintenance.Suspension{}
 	for _, id := range s.IDs() {
-		before[id] = s.Suspension(id)
+		previous[id] = s.Suspension(id)
 	}
 	for _, id := range s.SetFleet(ids, c.loop.Now()) {
 		suspended := s.Suspended(id)
 		slog.Info("host_suspended", "host", id, "suspended", suspended, "fleet", true)
-		c.suspensionChanged(id, suspended, before[id])
+		c.suspensionChanged(id, suspended, previous[id])
 	}
 }
 
@@ -66,7 +66,7 @@
 	if !suspended {
 		e.StartedAt = c.startAfterSuspension(h, ended, e.StartedAt)
 	}
-	c.localChange(h.pool, e)
+	c.notifyLocalChange(h.pool, e)
 	c.clearUnusableHosts()
 	if suspended {
 		for r := range h.established {
@@ -78,32 +78,32 @@
 // startAfterSuspension is when a host that comes back is taken to have started. Discovery may not have said so yet; where it is a guess,
 // it is put right once discovery has had its time.
 func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
-	start, guess := ended.StartAfter(listed, c.loop.Now())
-	if guess {
+	start, isGuess := ended.StartAfter(listed, c.loop.Now())
+	if isGuess {
 		c.loop.After(time.Duration(maintenance.StartUncertainty), func() { c.confirmStart(h, start) })
 	}
 	return start
 }
 
 // confirmStart replaces the guessed start of a host that came back by what discovery says.
-func (c *Core) confirmStart(h *host, guess balancer.Time) {
-	if c.hosts.byID[h.hostID] != h || h.state != balancer.Ready || h.startedAt >= guess {
+func (c *Core) confirmStart(h *host, guessedStart balancer.Time) {
+	if c.hosts.byID[h.hostID] != h || h.state != balancer.Ready || h.startedAt >= guessedStart {
 		return // it is suspended again, or removed; or discovery has named its start since, and the balancer knows
 	}
-	away := h.effectiveEntry()
-	away.State = balancer.Suspended
-	c.localChange(h.pool, away, h.effectiveEntry())
+	suspendedEntry := h.effectiveEntry()
+	suspendedEntry.State = balancer.Suspended
+	c.notifyLocalChange(h.pool, suspendedEntry, h.effectiveEntry())
 }
 
 // migrateOffHost migrates a client off a suspended host, in its turn. The host is restarted next, which would cut it off.
 func (c *Core) migrateOffHost(h *host, r *Request) {
 	c.loop.After(maintenance.MigrationDelay(r.attributes.ID), func() {
 		c.migrations.submit(func() bool {
-			_, open := h.established[r]
-			if open = open && c.hosts.suspensions.Suspended(h.hostID); open {
+			_, isOpen := h.established[r]
+			if isOpen = isOpen && c.hosts.suspensions.Suspended(h.hostID); isOpen {
 				r.migrate(balancer.Cancelled)
 			}
-			return open
+			return isOpen
 		})
 	})
 }
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -21,46 +21,46 @@
 // suspensionHarness is a core with the real balancer between fakes.
 type suspensionHarness struct {
 	*harness
-	test      *rapid.T
-	suspended map[string]bool
-	starts    map[string]int // starts by host
-	hosts     map[string]HostEntry
+	test         *rapid.T
+	suspended    map[string]bool
+	startsByHost map[string]int // starts by host
+	hosts        map[string]HostEntry
 }
 
 func (w *suspensionHarness) Start(to Target, first RequestLine, until int64, within time.Duration, ev UpstreamEvents) Upstream {
 	if w.suspended[to.ID] {
 		w.test.Fatalf("%s is suspended and gets a request", to.ID)
 	}
-	w.starts[to.ID]++
+	w.startsByHost[to.ID]++
 	return w.harness.Start(to, first, until, within, ev)
 }
 
-func (w *suspensionHarness) list() (ch WatchEvent) {
-	ch.Kind = balancer.ListFull
+func (w *suspensionHarness) fullList() (event WatchEvent) {
+	event.Kind = balancer.ListFull
 	for _, id := range []string{"A", "B", "C"} {
 		if h, ok := w.hosts[id]; ok {
-			ch.Hosts = append(ch.Hosts, h)
+			event.Hosts = append(event.Hosts, h)
 		}
 	}
-	return ch
+	return event
 }
 
 // begin makes a process of the proxy that knows what the last one left.
-func (w *suspensionHarness) begin(k *Snapshot) {
+func (w *suspensionHarness) startProcess(snapshot *Snapshot) {
 	cfg := balancer.Config{Instances: 1, Tick: 2e6, MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9, ConnectTimeout: 250e6, SlowStartFloor: 0.2,
 		SlowStartDuration: 10e9, SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}
 	w.core = New(w.loop, w, Options{MaxDownstreams: 1000, Settings: cfg})
-	if k != nil {
-		w.core.RestoreSuspensions(k)
+	if snapshot != nil {
+		w.core.RestoreSuspensions(snapshot)
 	}
-	ch := w.list()
-	ch.Kind = balancer.ListCached
-	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	event := w.fullList()
+	event.Kind = balancer.ListCached
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, event); err != nil {
 		w.test.Fatal(err)
 	}
-	if k != nil {
-		w.core.RestoreBalancer(k.Balancer)
+	if snapshot != nil {
+		w.core.RestoreBalancer(snapshot.Balancer)
 	}
 }
 
@@ -69,7 +69,7 @@
 func (w *suspensionHarness) suspend(t *rapid.T, id string, suspended bool) {
 	w.suspended[id] = suspended
 	known := false
-	w.core.SetSuspended(id, suspended, func(k bool) { known = k })
+	w.core.SetSuspended(id, suspended, func(snapshot bool) { known = snapshot })
 	if !known {
 		t.Fatalf("%s is not known", id)
 	}
@@ -94,11 +94,11 @@
 
 // newSuspensionHarness is a core that knows some hosts. t may be nil where no host is suspended that gets a request.
 func newSuspensionHarness(t *rapid.T, hosts ...string) *suspensionHarness {
-	w := &suspensionHarness{harness: newClock(nil), test: t, suspended: map[string]bool{}, starts: map[string]int{}, hosts: map[string]HostEntry{}}
+	w := &suspensionHarness{harness: newClock(nil), test: t, suspended: map[string]bool{}, startsByHost: map[string]int{}, hosts: map[string]HostEntry{}}
 	for _, id := range hosts {
 		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}}
 	}
-	w.begin(nil)
+	w.startProcess(nil)
 	return w
 }
 
@@ -115,7 +115,7 @@
 			case 2:
 				w.update(t, id)
 			case 3:
-				w.core.ListReceived(w.list())
+				w.core.ListReceived(w.fullList())
 			case 4, 5:
 				requests++
 				w.open(fmt.Sprint(requests))
@@ -124,9 +124,9 @@
 					w.upstreams[rapid.IntRange(0, len(w.upstreams)-1).Draw(t, "attempt")].endAsDrawn(t, netio.Connecting)
 				}
 			case 7:
-				if k := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
+				if snapshot := w.core.Snapshot(true); rapid.Bool().Draw(t, "restart") {
 					w.loop, w.upstreams = netio.NewLoopAt(func() int64 { return w.now }), nil // the old process has ended
-					w.begin(k)
+					w.startProcess(snapshot)
 				}
 			}
 			w.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
@@ -146,28 +146,28 @@
 
 // TestSuspendedByFleetOrOwnCall: a host is suspended while either the fleet's list or the proxy's own call says so.
 func TestSuspendedByFleetOrOwnCall(t *testing.T) {
-	b := maintenance.New()
+	registry := maintenance.New()
 	at := time.Now().UnixNano()
 	for i, c := range []struct {
-		do   func() any
-		outA bool
+		change func() any
+		want   bool
 	}{
-		{func() any { return b.SetFleet([]string{"A", "B"}, at) }, true},
-		{func() any { return b.Set("A", true, at+1) }, true},
-		{func() any { return b.SetFleet([]string{"B"}, at+2) }, true},
-		{func() any { return b.Set("A", false, at+3) }, false},
-		{func() any { return b.SetFleet([]string{"A"}, at+4) }, true},
-		{func() any { return b.Set("A", false, at+5) }, true},
-		{func() any { return b.SetFleet(nil, at+6) }, false},
+		{func() any { return registry.SetFleet([]string{"A", "B"}, at) }, true},
+		{func() any { return registry.Set("A", true, at+1) }, true},
+		{func() any { return registry.SetFleet([]string{"B"}, at+2) }, true},
+		{func() any { return registry.Set("A", false, at+3) }, false},
+		{func() any { return registry.SetFleet([]string{"A"}, at+4) }, true},
+		{func() any { return registry.Set("A", false, at+5) }, true},
+		{func() any { return registry.SetFleet(nil, at+6) }, false},
 	} {
-		if c.do(); b.Suspended("A") != c.outA {
-			t.Errorf("step %d: A out %t", i, b.Suspended("A"))
+		if c.change(); registry.Suspended("A") != c.want {
+			t.Errorf("step %d: A out %t", i, registry.Suspended("A"))
 		}
 	}
-	if changed := b.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(b.SetFleet([]string{"A", "B"}, at)) != 0 {
+	if changed := registry.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(registry.SetFleet([]string{"A", "B"}, at)) != 0 {
 		t.Errorf("changed %v", changed)
 	}
-	if len(b.All()) != 0 || b.Suspension("A").Since != at {
-		t.Errorf("%v, %+v", b.All(), b.Suspension("A"))
+	if len(registry.All()) != 0 || registry.Suspension("A").Since != at {
+		t.Errorf("%v, %+v", registry.All(), registry.Suspension("A"))
 	}
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -95,7 +95,7 @@
 		a.loadFigureReceived(m.Load)
 	default:
 		if len(a.unansweredSince) > 0 {
-			a.host.latency.answered(c.loop.Now(), a.unansweredSince[0])
+			a.host.latency.recordAnswer(c.loop.Now(), a.unansweredSince[0])
 			a.unansweredSince = a.unansweredSince[:copy(a.unansweredSince, a.unansweredSince[1:])]
 		}
 	}
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -36,7 +36,7 @@
 		}
 		h.state = c.hosts.effectiveState(h.listed)
 		slog.Info("watermark_applied", "host", id, "state", hostStateName(h.state))
-		c.localChange(h.pool, h.effectiveEntry())
+		c.notifyLocalChange(h.pool, h.effectiveEntry())
 	}
 	c.clearUnusableHosts()
 }
