--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -19,27 +19,27 @@
 
 // Limits are the operator's. A zero means no limit of that kind.
 type Limits struct {
-	CPU           float64       // part of one core
-	Rate          float64       // full handshakes a second, all hosts together
-	HostRate      float64       // full handshakes a second with one host
-	AtOnce        int           // handshakes in flight
-	HostAtOnce    int           // handshakes in flight with one host
-	Burst         time.Duration // how long unused budget is saved
-	Queue         int           // requests that wait
-	ResumedFactor float64       // what a resumed handshake counts against the rates; a full one counts 1
+	CPUShare           float64       // part of one core
+	Rate               float64       // full handshakes a second, all hosts together
+	HostRate           float64       // full handshakes a second with one host
+	MaxInFlight        int           // handshakes in flight
+	MaxInFlightPerHost int           // handshakes in flight with one host
+	Burst              time.Duration // how long unused budget is saved
+	MaxQueued          int           // requests that wait
+	ResumedFactor      float64       // what a resumed handshake counts against the rates; a full one counts 1
 }
 
 // Defaults are the limits without a file: a third of a core, and no host gets more than it could do by itself.
 func Defaults() Limits {
-	return Limits{CPU: 0.35, Rate: 600, HostRate: 200, AtOnce: 16, HostAtOnce: 4, Burst: 100 * time.Millisecond,
-		Queue: 4096, ResumedFactor: 0.5}
+	return Limits{CPUShare: 0.35, Rate: 600, HostRate: 200, MaxInFlight: 16, MaxInFlightPerHost: 4, Burst: 100 * time.Millisecond,
+		MaxQueued: 4096, ResumedFactor: 0.5}
 }
 
 // The reasons.
 const (
-	None      Refusal = iota
-	NoTime            // it could not be done before its deadline
-	QueueFull         // too many wait
+	NotRejected     RejectReason = iota
+	DeadlineTooSoon              // it could not be done before its deadline
+	QueueFull                    // too many wait
 )
 
 // Estimates of one handshake, in nanoseconds.
@@ -89,11 +89,11 @@
 		l.ResumedFactor = 1
 	}
 	return &Budget{limits: l, hosts: map[string]*host{}, waiting: map[uint64]*request{}, inFlight: map[uint64]*request{},
-		cpu: newBucket(l.CPU*1e9, l.Burst, 1, now), rate: newBucket(l.Rate, l.Burst, 1, now),
+		cpu: newBucket(l.CPUShare*1e9, l.Burst, 1, now), rate: newBucket(l.Rate, l.Burst, 1, now),
 		meanCPU: [2]float64{initialCPU, initialCPU}, meanDuration: initialDuration}
 }
 
-func kind(resumed bool) int {
+func costIndex(resumed bool) int {
 	if resumed {
 		return 1
 	}
@@ -110,8 +110,8 @@
 
 // Enqueue puts a handshake with a host in the queue; id is the caller's and new. resumed: a session is available.
 // The deadline is the moment by which it must be done. A rejection is final.
-func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) Refusal {
-	if b.limits.Queue > 0 && len(b.waiting) >= b.limits.Queue {
+func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) RejectReason {
+	if b.limits.MaxQueued > 0 && len(b.waiting) >= b.limits.MaxQueued {
 		return QueueFull
 	}
 	h := b.hosts[name]
@@ -124,7 +124,7 @@
 	h.rate.refill(now)
 	if float64(now)+b.queueDelay(h, resumed)+b.meanDuration > float64(deadline) {
 		b.removeIfIdle(h)
-		return NoTime
+		return DeadlineTooSoon
 	}
 	r := &request{requestID: id, host: h, resumed: resumed, deadline: deadline}
 	b.waiting[id] = r
@@ -133,7 +133,7 @@
 		h.inRotation = true
 		b.rotation = append(b.rotation, h)
 	}
-	return None
+	return NotRejected
 }
 
 // dropIdleHosts drops the hosts whose state equals that of a new one. It runs only when a host is added, and so bounds the map.
@@ -154,20 +154,20 @@
 // queueDelay estimates how long, in nanoseconds, a new request for h waits: for the requests of its own host before it, and for
 // those of all hosts, which take turns.
 func (b *Budget) queueDelay(h *host, resumed bool) float64 {
-	own, all, cpu := 0.0, 0.0, 0.0
-	for _, e := range h.queue {
-		own += b.weight(e.resumed)
+	ownTokens, allTokens, cpu := 0.0, 0.0, 0.0
+	for _, queued := range h.queue {
+		ownTokens += b.weight(queued.resumed)
 	}
-	place := len(h.queue)
-	for _, o := range b.rotation {
-		for i := 0; i < len(o.queue) && (o == h || i <= place); i++ {
-			all += b.weight(o.queue[i].resumed)
-			cpu += b.meanCPU[kind(o.queue[i].resumed)]
+	position := len(h.queue)
+	for _, other := range b.rotation {
+		for i := 0; i < len(other.queue) && (other == h || i <= position); i++ {
+			allTokens += b.weight(other.queue[i].resumed)
+			cpu += b.meanCPU[costIndex(other.queue[i].resumed)]
 		}
 	}
-	all += b.weight(resumed)
-	longest := math.Max(h.rate.until(own+b.weight(resumed)), b.rate.until(all))
-	return math.Max(longest, b.cpu.until(cpu))
+	allTokens += b.weight(resumed)
+	longest := math.Max(h.rate.timeUntil(ownTokens+b.weight(resumed)), b.rate.timeUntil(allTokens))
+	return math.Max(longest, b.cpu.timeUntil(cpu))
 }
 
 // Drop removes a request that waits. One that has begun must be ended by Done.
@@ -177,16 +177,16 @@
 		return
 	}
 	delete(b.waiting, id)
-	b.unqueue(r)
+	b.removeFromQueue(r)
 }
 
-func (b *Budget) unqueue(r *request) {
-	q := r.host.queue
-	for i := range q {
-		if q[i] == r {
-			copy(q[i:], q[i+1:])
-			q[len(q)-1] = nil
-			r.host.queue = q[:len(q)-1]
+func (b *Budget) removeFromQueue(r *request) {
+	requests := r.host.queue
+	for i := range requests {
+		if requests[i] == r {
+			copy(requests[i:], requests[i+1:])
+			requests[len(requests)-1] = nil
+			r.host.queue = requests[:len(requests)-1]
 			break
 		}
 	}
@@ -215,12 +215,12 @@
 
 // Describe writes the state as text: the same state gives the same text.
 func (b *Budget) Describe() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
+	var text strings.Builder
+	fmt.Fprintf(&text, "waiting=%d out=%d cpu_us=%.0f full_us=%.0f resumed_us=%.0f took_us=%.0f", len(b.waiting), len(b.inFlight),
 		b.cpu.tokens/1e3, b.meanCPU[0]/1e3, b.meanCPU[1]/1e3, b.meanDuration/1e3)
-	for _, n := range slices.Sorted(maps.Keys(b.hosts)) {
-		h := b.hosts[n]
-		fmt.Fprintf(&s, "\n  %s waiting=%d out=%d tokens=%.2f", n, len(h.queue), h.inFlight, h.rate.tokens)
+	for _, name := range slices.Sorted(maps.Keys(b.hosts)) {
+		h := b.hosts[name]
+		fmt.Fprintf(&text, "\n  %s waiting=%d out=%d tokens=%.2f", name, len(h.queue), h.inFlight, h.rate.tokens)
 	}
-	return s.String()
+	return text.String()
 }
