--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -170,7 +170,7 @@
 		return
 	}
 	cfg := ownership.Config{Name: a.name, Incarnation: a.incarnation, Voters: a.options.Voters, Jobs: a.jobs.names, Faults: Faults.Ownership,
-		Wall: func() int64 { return time.Now().UnixMilli() }}
+		WallClock: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
 		panic(err) // can't be: Section checks the voters, membership the name, and the section's bounds allow fewer than ownership.MaxJobs jobs
@@ -188,7 +188,7 @@
 		a.openGroup()
 		a.replica.logReopened()
 	}
-	a.core.SetAble(a.replica.failure == "")
+	a.core.SetEligible(a.replica.failure == "")
 	a.core.SetUnheardBy(a.unheardBy)
 	a.core.Tick(now)
 	a.transport.Tick(now)
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -24,8 +24,8 @@
 	return c.agent.jobs.stop(job, token, reason)
 }
 
-// Effect passes an effect of a job's owner to the receiver's part here.
-func (c coreEffects) Effect(job string, token ownership.FencingToken, body []byte) {
+// ApplyEffect passes an effect of a job's owner to the receiver's part here.
+func (c coreEffects) ApplyEffect(job string, token ownership.FencingToken, body []byte) {
 	c.agent.counts.Taken++
 	c.agent.jobs.recoverJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
@@ -48,7 +48,7 @@
 // QueryReceived passes a query to a job, while the lease lasts.
 func (c coreEffects) QueryReceived(peer uint32, job string, tag uint64, body []byte) {
 	token, owns := c.agent.jobs.owned[job]
-	if owns && c.agent.core.Holds(c.agent.now(), job, token) {
+	if owns && c.agent.core.IsOwner(c.agent.now(), job, token) {
 		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
 	}
 }
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -41,7 +41,7 @@
 // step gives each job that is owned here its turn. Lease: the check comes before each one, since the one before may have taken long.
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
-		if token, owns := r.owned[name]; owns && r.agent.core.Holds(now, name, token) {
+		if token, owns := r.owned[name]; owns && r.agent.core.IsOwner(now, name, token) {
 			r.recoverJob(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
 		}
 	}
@@ -112,7 +112,7 @@
 
 // SendEffect sends an effect, unless the lease has ended.
 func (o jobOwner) SendEffect(to uint32, number uint64, body []byte) {
-	if !o.agent.core.Holds(o.agent.now(), o.job, o.token) {
+	if !o.agent.core.IsOwner(o.agent.now(), o.job, o.token) {
 		return
 	}
 	o.agent.counts.Sent++
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -71,7 +71,7 @@
 func (r *replica) open() {
 	r.group, r.voter, r.failure = nil, nil, ""
 	seed := uint64(time.Now().UnixNano())
-	machines := map[byte]group.Machine{ownership.Machine: r.table}
+	machines := map[byte]group.Machine{ownership.MachineNumber: r.table}
 	switch {
 	case r.options.Dir != "":
 		r.openVoter(seed, machines)
@@ -81,7 +81,7 @@
 }
 
 func (r *replica) openQuorum(seed uint64, machines map[byte]group.Machine) {
-	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, Clock: time.Now().UnixMilli()/10 - clockOrigin,
+	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, WallClockAtStart: time.Now().UnixMilli()/10 - clockOrigin,
 		Faults: Faults.Ownership}
 	q, err := ownership.NewQuorum(cfg, machines, r.effects)
 	if err != nil {
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -58,7 +58,7 @@
 	r.Owned, r.LeaseMS = a.core.OwnedJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
 	r.HighestTokens = map[string]uint64{}
 	for _, name := range a.jobs.names {
-		if token := a.fence.Last(name); token != (ownership.FencingToken{}) {
+		if token := a.fence.LastAccepted(name); token != (ownership.FencingToken{}) {
 			r.HighestTokens[name] = token.Token
 		}
 	}
--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -6,9 +6,9 @@
 type Candidate struct {
 	Name        string
 	Incarnation uint64
-	Able        bool // not leaving, its lease has not ended, and its replica's store can be used
+	Eligible    bool // not leaving, its lease has not ended, and its replica's store can be used
 	UnheardBy   int  // number of members that have not left and do not hear it; fewer is better
-	StableFor   Time // how long it has been able without a break
+	EligibleFor Time // how long it has been able without a break
 	Offers      func(job string) bool
 }
 
@@ -75,7 +75,7 @@
 	var best *Candidate
 	for i := range a.candidates {
 		c := &a.candidates[i]
-		if !c.Able || c.Name == except || c.StableFor < stableFor || !c.Offers(job) {
+		if !c.Eligible || c.Name == except || c.EligibleFor < stableFor || !c.Offers(job) {
 			continue
 		}
 		if best == nil || a.better(job, c, best) {
@@ -111,11 +111,11 @@
 		if owner == nil || a.now-a.changedAt(row.Job) < minHandoverInterval {
 			continue
 		}
-		if owner.Able && owner.UnheardBy == 0 {
+		if owner.Eligible && owner.UnheardBy == 0 {
 			continue
 		}
 		to := a.best(row.Job, row.Owner, minHandoverInterval)
-		if to != nil && (!owner.Able || to.UnheardBy < owner.UnheardBy) {
+		if to != nil && (!owner.Eligible || to.UnheardBy < owner.UnheardBy) {
 			return handoverTo(row.Job, to, textOwnerUnfit), true
 		}
 	}
--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -13,7 +13,7 @@
 
 func stableCandidates() (candidates []Candidate) {
 	for i, name := range []string{"a", "b", "c"} {
-		candidates = append(candidates, Candidate{Name: name, Incarnation: uint64(i + 1), Able: true, StableFor: 60 * sec, Offers: offersAll})
+		candidates = append(candidates, Candidate{Name: name, Incarnation: uint64(i + 1), Eligible: true, EligibleFor: 60 * sec, Offers: offersAll})
 	}
 	return candidates
 }
@@ -41,11 +41,11 @@
 		want   string // to whom the job that a owns is handed over; "": it stays
 	}{
 		{"all are fit", func(c []Candidate) {}, ""},
-		{"its owner is not fit", func(c []Candidate) { c[0].Able = false; c[2].UnheardBy = 1 }, "b"},
+		{"its owner is not fit", func(c []Candidate) { c[0].Eligible = false; c[2].UnheardBy = 1 }, "b"},
 		{"its owner is not heard by some", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy = 2, 1 }, "c"},
-		{"the others have not been fit for long", func(c []Candidate) { c[0].Able = false; c[1].StableFor, c[2].StableFor = sec, sec }, ""},
+		{"the others have not been fit for long", func(c []Candidate) { c[0].Eligible = false; c[1].EligibleFor, c[2].EligibleFor = sec, sec }, ""},
 		{"the others are not heard by as many", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy, c[2].UnheardBy = 1, 1, 1 }, ""},
-		{"no other offers the job", func(c []Candidate) { c[0].Able = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
+		{"no other offers the job", func(c []Candidate) { c[0].Eligible = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
 	} {
 		candidates := stableCandidates()
 		c.change(candidates)
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -128,8 +128,8 @@
 		for job := range s.offers {
 			set.offered[job] = true
 		}
-		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Able: s.able, UnheardBy: c.unheardBy[s.name],
-			StableFor: c.now - s.ableSince, Offers: func(job string) bool { return s.offers[job] }})
+		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Eligible: s.able, UnheardBy: c.unheardBy[s.name],
+			EligibleFor: c.now - s.ableSince, Offers: func(job string) bool { return s.offers[job] }})
 	}
 	return set
 }
@@ -138,7 +138,7 @@
 func (c *coordinator) registerNewJobs(offered map[string]bool) {
 	for _, job := range slices.Sorted(maps.Keys(offered)) {
 		if c.table.Job(job) == nil && !c.proposals.busy(job) {
-			c.propose(registerCommand{job: job, changedAt: c.cfg.Wall()}, proposal{job: job, exclusive: true})
+			c.propose(registerCommand{job: job, changedAt: c.cfg.WallClock()}, proposal{job: job, exclusive: true})
 		}
 	}
 }
@@ -213,6 +213,6 @@
 // grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
 func (c *coordinator) grant(a Assignment) {
 	token := max(c.table.Job(a.Job).Token+1, c.epoch<<tokensPerEpochBits)
-	cmd := grantCommand{job: a.Job, token: token, changedAt: c.cfg.Wall(), owner: a.Member, incarnation: a.Incarnation, reason: a.Reason}
+	cmd := grantCommand{job: a.Job, token: token, changedAt: c.cfg.WallClock(), owner: a.Member, incarnation: a.Incarnation, reason: a.Reason}
 	c.propose(cmd, proposal{job: a.Job, exclusive: true})
 }
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -95,9 +95,9 @@
 	case kindGrant:
 		cmd = grantCommand{job: job, token: token, changedAt: at, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
 	case kindRelease:
-		cmd = releaseCommand{job: job, token: token, changedAt: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint), reason: r.Text(maxReasonBytes)}
+		cmd = releaseCommand{job: job, token: token, changedAt: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes), reason: r.Text(maxReasonBytes)}
 	case kindCheckpoint:
-		cmd = checkpointCommand{job: job, token: token, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
+		cmd = checkpointCommand{job: job, token: token, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes)}
 	case kindRaiseToken:
 		cmd = raiseTokenCommand{job: job, token: token}
 	case kindConfirm:
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -123,7 +123,7 @@
 	if isFailure(m.reason) {
 		c.backoff.recordFailure(m.job, c.now)
 	}
-	release := releaseCommand{job: m.job, token: m.token, changedAt: c.cfg.Wall(), checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint, reason: m.reason}
+	release := releaseCommand{job: m.job, token: m.token, changedAt: c.cfg.WallClock(), checkpointNumber: m.checkpointNumber, checkpoint: m.checkpoint, reason: m.reason}
 	c.propose(release, proposal{job: m.job, exclusive: true})
 }
 
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -14,7 +14,7 @@
 	Voters      []string     // names of those that may lead the group
 	Jobs        []string     // that this process can own
 	Lease       Time         // how long an owner continues without the coordinator; default 2 s
-	Wall        func() int64 // wall clock, Unix milliseconds; default always 0
+	WallClock   func() int64 // wall clock, Unix milliseconds; default always 0
 	Faults      FaultInjection
 }
 
@@ -24,8 +24,8 @@
 	if cfg.Lease <= 0 {
 		cfg.Lease = defaultLease
 	}
-	if cfg.Wall == nil {
-		cfg.Wall = func() int64 { return 0 }
+	if cfg.WallClock == nil {
+		cfg.WallClock = func() int64 { return 0 }
 	}
 	return cfg
 }
@@ -44,8 +44,8 @@
 	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
 	// Stop ends a job before it returns. It gives the checkpoint for the next owner, under a number above the last one stored.
 	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
-	// Effect carries out an effect that the fence has accepted.
-	Effect(job string, token FencingToken, body []byte)
+	// ApplyEffect carries out an effect that the fence has accepted.
+	ApplyEffect(job string, token FencingToken, body []byte)
 	// EffectAcknowledged passes a receiver's verdict to the owner of the job.
 	EffectAcknowledged(peer uint32, job string, token FencingToken, v Verdict, highest FencingToken)
 	// CheckpointStored reports to an owner whether a checkpoint was stored or rejected.
@@ -147,8 +147,8 @@
 	}
 }
 
-// SetAble sets whether this process is fit to own jobs: not while its replica's store can't be used.
-func (c *Core) SetAble(able bool) { c.participant.able = able }
+// SetEligible sets whether this process is fit to own jobs: not while its replica's store can't be used.
+func (c *Core) SetEligible(able bool) { c.participant.able = able }
 
 // SetUnheardBy sets by how many members that have not left each member is not heard; this is not the state membership.Unreachable. The
 // coordinator keeps jobs away from members that others do not hear.
@@ -179,9 +179,9 @@
 	c.participant.jobFailed(job, token, cause)
 }
 
-// Holds reports whether this process may act as a job's owner under a token now. Lease alone: the process may be paused right after the call,
+// IsOwner reports whether this process may act as a job's owner under a token now. Lease alone: the process may be paused right after the call,
 // and then only the receivers' fences reject what it sends.
-func (c *Core) Holds(now Time, job string, token uint64) bool {
+func (c *Core) IsOwner(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
 }
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -32,7 +32,7 @@
 	case kindJobReleased:
 		m = decodeJobReleased(&r)
 	case kindStoreCheckpoint:
-		m = storeCheckpoint{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
+		m = storeCheckpoint{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes)}
 	case kindCheckpointResult:
 		m = checkpointResult{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), stored: r.Bool()}
 	case kindEffect:
@@ -99,7 +99,7 @@
 	m := jobList{incarnation: r.Uint(), epoch: r.Uint(), sequence: r.Uint()}
 	for n := r.Count(MaxJobs); n > 0; n-- {
 		m.jobs = append(m.jobs, listedJob{
-			job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), handover: r.Bool(), checkpoint: r.Bytes(MaxCheckpoint)})
+			job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), handover: r.Bool(), checkpoint: r.Bytes(MaxCheckpointBytes)})
 	}
 	return m
 }
@@ -112,7 +112,7 @@
 		token:            r.Uint(),
 		higherToken:      r.Uint(),
 		checkpointNumber: r.Uint(),
-		checkpoint:       r.Bytes(MaxCheckpoint),
+		checkpoint:       r.Bytes(MaxCheckpointBytes),
 		reason:           r.Text(maxReasonBytes),
 	}
 }
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -209,7 +209,7 @@
 		slow  bool // to find the fault takes many worlds: only with EXPLORE_STATES
 	}{
 		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, steps: 1}, FaultInjection{SkipAbstention: true}, false},
-		{"a lease counts from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{LeaseFromAnswer: true}, true},
+		{"a lease counts from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
 		{"a receiver forgets its fencing tokens", world{elections: 2, steps: 3, effects: 2}, FaultInjection{ForgetTokens: true}, true},
 	} {
 		e := explore(c.start, FaultInjection{}, limit)
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -56,7 +56,7 @@
 func (worldEffects) LogEvent(string, ...any)      {}
 
 func (w *world) newVoter(voter int, now Time, f FaultInjection) *Quorum {
-	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, Clock: now / (10 * ms), Faults: f}
+	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, WallClockAtStart: now / (10 * ms), Faults: f}
 	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, voter})
 	if err != nil {
 		panic(err)
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -59,5 +59,5 @@
 	return Accepted, token
 }
 
-// Last is the latest effect accepted of a job.
-func (f *Fence) Last(job string) FencingToken { return f.last[job] }
+// LastAccepted is the latest effect accepted of a job.
+func (f *Fence) LastAccepted(job string) FencingToken { return f.last[job] }
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%v: got %v after %v, want %v", c.token, verdict, highest, c.want)
 		}
 	}
-	if last := f.Last("j"); last != (FencingToken{6, 0}) {
+	if last := f.LastAccepted("j"); last != (FencingToken{6, 0}) {
 		t.Errorf("%v is remembered after {6 0}: an earlier token replaced a later one", last)
 	}
 }
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -12,7 +12,7 @@
 func (discardEffects) Send(uint32, []byte)                                                    {}
 func (discardEffects) Start(string, uint64, uint64, []byte) error                             { return nil }
 func (discardEffects) Stop(string, uint64, ReleaseReason) (uint64, []byte)                    { return 0, nil }
-func (discardEffects) Effect(string, FencingToken, []byte)                                    {}
+func (discardEffects) ApplyEffect(string, FencingToken, []byte)                               {}
 func (discardEffects) EffectAcknowledged(uint32, string, FencingToken, Verdict, FencingToken) {}
 func (discardEffects) CheckpointStored(string, uint64, uint64, bool)                          {}
 func (discardEffects) QueryReceived(uint32, string, uint64, []byte)                           {}
@@ -24,7 +24,7 @@
 func newVoterCore(t testing.TB) (*Core, *Quorum) {
 	t.Helper()
 	table := NewTable()
-	q, err := NewQuorum(QuorumConfig{Group: "g", Name: "a", Voters: []string{"a", "b", "c"}}, map[byte]group.Machine{Machine: table}, discardEffects{})
+	q, err := NewQuorum(QuorumConfig{Group: "g", Name: "a", Voters: []string{"a", "b", "c"}}, map[byte]group.Machine{MachineNumber: table}, discardEffects{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 			q.Receive(now, group.Peer("b"), data)
 			q.Receive(now, group.Peer("b"), append([]byte{byte(kindLeaseProposal), 1, 'g'}, data...))
 		}
-		if _, ok := c.group.Leading(); ok && c.Holds(now, "j", 1) {
+		if _, ok := c.group.Leading(); ok && c.IsOwner(now, "j", 1) {
 			t.Error("messages of one peer made this process an owner")
 		}
 	})
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -70,7 +70,7 @@
 		return
 	}
 	delete(l.outstanding, m.sequence)
-	if p.cfg.Faults.LeaseFromAnswer {
+	if p.cfg.Faults.StartLeaseAtReply {
 		requestedAt = p.now
 	}
 	if m.epoch > p.epoch {
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -80,7 +80,7 @@
 		leaseYielded{epoch: 300},
 		stateRequest{ballot: 300},
 		stateTransfer{term: 300, position: position, snapshot: []byte("state")},
-		appendEntries{epoch: 300, entries: []logEntry{{9, 1, Machine, []byte("cmd")}, {10, 2, Machine, []byte("cmd")}}},
+		appendEntries{epoch: 300, entries: []logEntry{{9, 1, MachineNumber, []byte("cmd")}, {10, 2, MachineNumber, []byte("cmd")}}},
 		appendAcknowledged{position: position},
 	} {
 		data := m.encode("g")
@@ -142,7 +142,7 @@
 	var log replicatedLog
 	log.reset(300, 1)
 	for _, size := range []int{5000, 2000, 1000, 2000} {
-		log.append(Machine, 1, make([]byte, size))
+		log.append(MachineNumber, 1, make([]byte, size))
 	}
 	for _, c := range []struct {
 		after uint64
@@ -157,7 +157,7 @@
 		}
 	}
 	for range maxUncommitted {
-		log.append(Machine, 1, nil)
+		log.append(MachineNumber, 1, nil)
 	}
 	if !log.full() || log.holdsAfter(3) || !log.holdsAfter(4) {
 		t.Errorf("full %t, first entry %d", log.full(), log.entries[0].version)
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -28,8 +28,8 @@
 	maxReasonBytes = 200
 	maxBodyBytes   = 1 << 16
 
-	// MaxCheckpoint bounds the checkpoint of a job, in bytes.
-	MaxCheckpoint = 32 << 10
+	// MaxCheckpointBytes bounds the checkpoint of a job, in bytes.
+	MaxCheckpointBytes = 32 << 10
 	// MaxJobs bounds the jobs of a fleet.
 	MaxJobs = 1000
 )
@@ -55,7 +55,7 @@
 var (
 	ErrMalformedMessage   = errors.New("ownership: malformed message")
 	ErrUnknownMessage     = errors.New("ownership: unknown message kind")
-	ErrForeignSender      = errors.New("ownership: message names another sender than it came from")
+	ErrSenderMismatch     = errors.New("ownership: message names another sender than it came from")
 	ErrNotVoter           = errors.New("ownership: message of another group or not from a voter")
 	ErrNotOwner           = errors.New("ownership: this process does not own the job")
 	ErrCheckpointTooLarge = errors.New("ownership: checkpoint too large")
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -70,7 +70,7 @@
 	p.expiresAt = c.now + proposalTimeout
 	// Added first: where this process is a majority by itself, the command is applied before Propose returns.
 	c.proposals.add(tag, p)
-	if c.group.Propose(c.now, Machine, tag, cmd.encode()) != nil {
+	if c.group.Propose(c.now, MachineNumber, tag, cmd.encode()) != nil {
 		c.proposals.remove(tag)
 	}
 }
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -37,13 +37,13 @@
 
 // QuorumConfig describes a voter.
 type QuorumConfig struct {
-	Group  string // messages of others are rejected
-	Name   string // of this voter
-	Voters []string
-	Lease  Time // of the lead; default 1.5 s; the same everywhere
-	Seed   uint64
-	Clock  int64 // wall clock at the start, hundredths of a second; the first epoch is above it
-	Faults FaultInjection
+	Group            string // messages of others are rejected
+	Name             string // of this voter
+	Voters           []string
+	Lease            Time // of the lead; default 1.5 s; the same everywhere
+	Seed             uint64
+	WallClockAtStart int64 // wall clock at the start, hundredths of a second; the first epoch is above it
+	Faults           FaultInjection
 }
 
 const (
@@ -58,8 +58,8 @@
 	if cfg.Lease <= 0 {
 		cfg.Lease = defaultQuorumLease
 	}
-	if len(cfg.Voters) == 0 || len(cfg.Voters) > maxVoters || cfg.Clock < 0 {
-		return nil, fmt.Errorf("%w: %d voters, expected 1 to %d; clock %d, expected 0 or more", ErrInvalidConfig, len(cfg.Voters), maxVoters, cfg.Clock)
+	if len(cfg.Voters) == 0 || len(cfg.Voters) > maxVoters || cfg.WallClockAtStart < 0 {
+		return nil, fmt.Errorf("%w: %d voters, expected 1 to %d; clock %d, expected 0 or more", ErrInvalidConfig, len(cfg.Voters), maxVoters, cfg.WallClockAtStart)
 	}
 	return &Quorum{
 		cfg:           cfg,
@@ -68,7 +68,7 @@
 		rng:           rand.New(rand.NewPCG(cfg.Seed, 5)),
 		self:          peerOf(cfg.Name),
 		startedAt:     -1,
-		ballotCounter: uint64(cfg.Clock),
+		ballotCounter: uint64(cfg.WallClockAtStart),
 		rounds:        leaseRounds{requestedAt: map[uint64]Time{}, grants: map[uint64]map[uint32]bool{}},
 	}, nil
 }
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -180,7 +180,7 @@
 // leaseEnd is when the lease of a round ends here. Counted from the request, and shorter by the drift of clocks: before it ends at any voter.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
-	if q.cfg.Faults.LeaseFromAnswer {
+	if q.cfg.Faults.StartLeaseAtReply {
 		requestedAt = q.now
 	}
 	return requestedAt + shortened(q.cfg.Lease)
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -30,7 +30,7 @@
 // String is the code that the log has.
 func (r ReleaseReason) String() string { return releaseReasonCodes[r] }
 
-// Texts of a job's last change, as stored. That of textOwnerUnfit stays though nothing measures whether a process is starved: see Core.SetAble.
+// Texts of a job's last change, as stored. That of textOwnerUnfit stays though nothing measures whether a process is starved: see Core.SetEligible.
 const (
 	textRegistered   = "made known"
 	textFree         = "free, and it has the fewest"
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -7,17 +7,17 @@
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
-	if len(checkpoint) > MaxCheckpoint {
-		return fmt.Errorf("%w: job %q, %d bytes, at most %d", ErrCheckpointTooLarge, job, len(checkpoint), MaxCheckpoint)
+	if len(checkpoint) > MaxCheckpointBytes {
+		return fmt.Errorf("%w: job %q, %d bytes, at most %d", ErrCheckpointTooLarge, job, len(checkpoint), MaxCheckpointBytes)
 	}
-	if !c.Holds(now, job, token) {
+	if !c.IsOwner(now, job, token) {
 		return fmt.Errorf("%w: %q under token %d", ErrNotOwner, job, token)
 	}
 	c.send(c.Leader(), storeCheckpoint{job: job, token: token, checkpointNumber: checkpointNumber, checkpoint: checkpoint}.encode())
 	return nil
 }
 
-// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller has called Holds just before.
+// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller has called IsOwner just before.
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -74,7 +74,7 @@
 			leader = p.name
 		}
 		for name, j := range p.jobs {
-			if !p.core.Holds(r.localTime(p), name, j.token) {
+			if !p.core.IsOwner(r.localTime(p), name, j.token) {
 				continue
 			}
 			if other := owners[name]; other != "" {
@@ -103,7 +103,7 @@
 			continue
 		}
 		if at, had := r.checks.ownedAt[name]; had && r.now-at > stepInterval {
-			r.Gaps = append(r.Gaps, r.now-at)
+			r.OwnerGaps = append(r.OwnerGaps, r.now-at)
 		}
 		r.checks.ownedAt[name] = r.now
 	}
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -68,7 +68,7 @@
 	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
 	c.run.checkStart(c.process, name, token, number, checkpoint)
 	c.process.jobs[name] = &job{token: token, number: number, stepAt: c.run.localTime(c.process)}
-	c.run.Starts++
+	c.run.JobStarts++
 	return nil
 }
 
@@ -85,19 +85,19 @@
 	return j.number, checkpointOf(j.number)
 }
 
-// Effect checks the order of what the fence has accepted.
-func (c coreEffects) Effect(name string, token ownership.FencingToken, _ []byte) {
+// ApplyEffect checks the order of what the fence has accepted.
+func (c coreEffects) ApplyEffect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
 		c.run.fail("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
 	}
 	c.process.accepted[name] = token
-	c.run.Effects++
+	c.run.AcceptedEffects++
 }
 
 // EffectAcknowledged counts rejected effects.
 func (c coreEffects) EffectAcknowledged(_ uint32, _ string, _ ownership.FencingToken, v ownership.Verdict, _ ownership.FencingToken) {
 	if v == ownership.Stale {
-		c.run.Rejected++
+		c.run.RejectedEffects++
 	}
 }
 
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -17,7 +17,7 @@
 	case faultPause:
 		r.pause(p, f.Duration)
 	case faultKill:
-		r.kill(p, f.Part > losesDiskAbove && r.mayDamageDisk(f.Process))
+		r.kill(p, f.Amount > losesDiskAbove && r.mayDamageDisk(f.Process))
 	case faultAllKilled:
 		for _, p := range r.processes {
 			r.kill(p, false)
@@ -35,11 +35,11 @@
 			p.diskCopy = &state
 		}
 	case faultClock:
-		p.wallOffset += clockStep(f.Part)
+		p.wallOffset += clockStep(f.Amount)
 	case faultHeldBack:
 		r.network.delayedUntil[f.Process] = r.now + f.Duration
 	case faultLoss:
-		r.network.loss = f.Part
+		r.network.loss = f.Amount
 	default:
 		r.network.cut(f, 1)
 	}
@@ -77,7 +77,7 @@
 	}
 	p.pausedUntil = r.now + d
 	for _, name := range p.jobNames() {
-		if j := p.jobs[name]; p.core.Holds(r.localTime(p), name, j.token) {
+		if j := p.jobs[name]; p.core.IsOwner(r.localTime(p), name, j.token) {
 			p.checkedSends = append(p.checkedSends, r.nextEffect(p, name, j))
 		}
 	}
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -47,8 +47,8 @@
 func (r *Run) send(p *process, peer uint32, group bool, message []byte) {
 	n := r.network
 	to, known := n.peers[peer]
-	r.Sent++
-	r.Bytes += len(message)
+	r.MessagesSent++
+	r.BytesSent += len(message)
 	if r.sent != nil {
 		r.sent(p.index, peer, group, message)
 	}
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -12,12 +12,12 @@
 	BeginsAt, Duration Time
 	Process            int     // that it hits
 	OtherProcess       int     // at the other end of a link, or of a half of the fleet
-	Part               float64 // probability of loss, or how far a clock is set
+	Amount             float64 // probability of loss, or how far a clock is set
 }
 
 // String gives the fault as an S-expression, times in milliseconds.
 func (f Fault) String() string {
-	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Part)
+	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Amount)
 }
 
 // FaultKind is what happens to Process, and to OtherProcess where the kind names it.
@@ -40,8 +40,8 @@
 	faultLeave     FaultKind = "leave"      // shuts down gracefully
 )
 
-// Kinds are the faults that a plan may hold, in the order in which they are drawn.
-var Kinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
+// FaultKinds are the faults that a plan may hold, in the order in which they are drawn.
+var FaultKinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
 	maxFaults      = 6
@@ -65,12 +65,12 @@
 
 func drawFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
-		Kind:         Kinds[rng.IntN(len(Kinds))],
+		Kind:         FaultKinds[rng.IntN(len(FaultKinds))],
 		BeginsAt:     rng.Int64N(c.FaultPeriod),
 		Duration:     minFaultTime + rng.Int64N(faultTimeRange),
 		Process:      rng.IntN(c.Processes),
 		OtherProcess: rng.IntN(c.Processes),
-		Part:         rng.Float64() * maxPart,
+		Amount:       rng.Float64() * maxPart,
 	}
 	needsDisk := f.Kind == faultCopyBack || f.Kind == faultFull
 	if needsDisk && !c.Disks || f.Process == f.OtherProcess {
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -70,7 +70,7 @@
 		Name:        p.name,
 		Incarnation: p.incarnation,
 		Voters:      r.voterNames(),
-		Wall:        func() int64 { return (r.now + p.wallOffset) / Ms },
+		WallClock:   func() int64 { return (r.now + p.wallOffset) / Ms },
 		Faults:      r.cfg.ProgramFaults,
 	}
 	for j := range r.cfg.Jobs {
@@ -95,7 +95,7 @@
 
 // openGroup opens a voter's group. A voter whose disk can't be opened has none.
 func (r *Run) openGroup(p *process) {
-	machines := map[byte]consensus.Machine{ownership.Machine: p.table}
+	machines := map[byte]consensus.Machine{ownership.MachineNumber: p.table}
 	seed := r.rng.Uint64()
 	if r.cfg.Disks {
 		cfg := consensus.Config{Group: "sim", Name: p.name, InitialVoters: r.voterNames(), Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, TrailingEntries: 10}
@@ -104,7 +104,7 @@
 		}
 		return
 	}
-	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, Clock: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
+	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, WallClockAtStart: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
 		Faults: r.cfg.ProgramFaults}
 	q, err := ownership.NewQuorum(cfg, machines, groupEffects{r, p})
 	if err != nil {
@@ -164,7 +164,7 @@
 	p.core.Tick(now)
 	for _, name := range p.jobNames() {
 		j := p.jobs[name]
-		if j == nil || now < j.stepAt || !p.core.Holds(now, name, j.token) {
+		if j == nil || now < j.stepAt || !p.core.IsOwner(now, name, j.token) {
 			continue
 		}
 		j.stepAt = now + jobStepInterval
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -35,7 +35,7 @@
 		digest.Add("%x", p.table.Snapshot())
 	}
 	// The keys are those of the golden file.
-	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.Effects, r.Rejected, r.Starts, r.Checkpoints, err == nil, digest)
+	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.AcceptedEffects, r.RejectedEffects, r.JobStarts, r.Checkpoints, err == nil, digest)
 }
 
 // TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -38,7 +38,7 @@
 	Disks                   bool // voters keep their state on disk (consensus), or else in memory (ownership.Quorum)
 	Seed                    uint64
 	FaultPeriod             Time // the period in which faults begin; default 30 s
-	Calm                    bool // no faults at all
+	NoFaults                bool // no faults at all
 	// Faults of the program, which the checks have to find: injected ones, and a disk that loses with a crash what it has acknowledged.
 	ProgramFaults ownership.FaultInjection
 	SkipSync      bool
@@ -49,15 +49,15 @@
 
 // Stats are what happened in a run. Checks that hold mean nothing where nothing happened.
 type Stats struct {
-	Effects            int    // accepted by receivers
-	Rejected           int    // stale, as reported to owners
-	Starts             int    // of jobs
+	AcceptedEffects    int    // accepted by receivers
+	RejectedEffects    int    // stale, as reported to owners
+	JobStarts          int    // of jobs
 	Checkpoints        int    // checkpoints stored
 	Elections          int    // elections of a leader of the group
 	UncertainElections int    // those after which the table may lack something
-	Gaps               []Time // times without an owner, of all jobs
-	Sent               int    // messages
-	Bytes              int    // of them
+	OwnerGaps          []Time // times without an owner, of all jobs
+	MessagesSent       int    // messages
+	BytesSent          int    // of them
 }
 
 // Run is one fleet.
@@ -95,7 +95,7 @@
 		r.network.peers[consensus.PeerID(p.name)] = i
 		r.processes = append(r.processes, p)
 	}
-	if !c.Calm {
+	if !c.NoFaults {
 		r.plan = Plan(r.rng, c)
 	}
 	for _, p := range r.processes {
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -33,8 +33,8 @@
 func (o *outcome) add(r *Run, plan []Fault, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.acceptedEffects += r.Effects
-	o.rejectedEffects += r.Rejected
+	o.acceptedEffects += r.AcceptedEffects
+	o.rejectedEffects += r.RejectedEffects
 	if err != nil && o.failure == nil {
 		o.failure, o.failedPlan = err, plan
 	}
@@ -90,7 +90,7 @@
 	}{
 		{"the disk skips a sync", func(c *Config) { c.Disks, c.SkipSync = true, true }, 1},
 		{"a voter that has just started does not abstain", func(c *Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true }, 425},
-		{"a lease counts from its answer", func(c *Config) { c.ProgramFaults.LeaseFromAnswer = true }, 118},
+		{"a lease counts from its answer", func(c *Config) { c.ProgramFaults.StartLeaseAtReply = true }, 118},
 		{"a receiver forgets its fencing tokens", func(c *Config) { c.ProgramFaults.ForgetTokens = true }, 1},
 	} {
 		o := play(envInt("OWNERS_FIRST", c.firstSeed), 1000, func(seed uint64) Config {
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -34,7 +34,7 @@
 // step hands a message to the role that it is for.
 func (c *Core) step(from uint32, m message) error {
 	if sender, named := senderOf(m); named && peerOf(sender.name) != from {
-		return fmt.Errorf("%w: %q from peer %08x", ErrForeignSender, sender.name, from)
+		return fmt.Errorf("%w: %q from peer %08x", ErrSenderMismatch, sender.name, from)
 	}
 	switch m := m.(type) {
 	case leaseRequest:
@@ -87,7 +87,7 @@
 	verdict, highest := c.fence.Check(m.job, m.token)
 	switch verdict {
 	case Accepted:
-		c.effects.Effect(m.job, m.token, m.body)
+		c.effects.ApplyEffect(m.job, m.token, m.body)
 	case Stale:
 		c.effects.LogEvent(EventStaleEffectRejected, "job", m.job, "token", m.token.Token, "highest_token", highest.Token, "sender", fmt.Sprintf("%08x", from))
 	}
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Machine is the table's number among the group's state machines.
-const Machine = 1
+// MachineNumber is the table's number among the group's state machines.
+const MachineNumber = 1
 
 const tableFormat = 1
 
@@ -121,7 +121,7 @@
 		Owner:            r.Text(maxNameBytes),
 		Incarnation:      r.Uint(),
 		CheckpointNumber: r.Uint(),
-		Checkpoint:       append([]byte(nil), r.Bytes(MaxCheckpoint)...),
+		Checkpoint:       append([]byte(nil), r.Bytes(MaxCheckpointBytes)...),
 		ChangedAt:        int64(r.Uint()),
 		Reason:           r.Text(maxReasonBytes),
 	}
--- a/internal/testbed/experiment/simowner.go
+++ b/internal/testbed/experiment/simowner.go
@@ -77,13 +77,13 @@
 	if err != nil {
 		s.recordFailure(c.Seed, plan, err)
 	}
-	s.run.Effects += r.Effects
-	s.run.Rejected += r.Rejected
-	s.run.Starts += r.Starts
+	s.run.AcceptedEffects += r.AcceptedEffects
+	s.run.RejectedEffects += r.RejectedEffects
+	s.run.JobStarts += r.JobStarts
 	s.run.Checkpoints += r.Checkpoints
 	s.run.Elections += r.Elections
 	s.run.UncertainElections += r.UncertainElections
-	s.run.Gaps = append(s.run.Gaps, r.Gaps...)
+	s.run.OwnerGaps = append(s.run.OwnerGaps, r.OwnerGaps...)
 }
 
 // recordFailure records a plan that failed, and prints the first ones.
@@ -102,11 +102,11 @@
 
 // print writes the sums.
 func (s *simSum) print(o *simOptions, took time.Duration) {
-	slices.Sort(s.run.Gaps)
+	slices.Sort(s.run.OwnerGaps)
 	fmt.Fprintf(s.out, "%d plans from seed %d on in %v: %d failed; %d effects accepted, %d stale ones rejected, %d jobs started, %d checkpoints stored, %d elections, %d of them uncertain\n",
-		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.Effects, s.run.Rejected, s.run.Starts, s.run.Checkpoints, s.run.Elections, s.run.UncertainElections)
-	if n := len(s.run.Gaps); n > 0 {
-		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans also cut majorities off)\n", n, s.run.Gaps[n/2]/simulation.Ms, s.run.Gaps[n*99/100]/simulation.Ms)
+		o.seeds, o.first, took.Round(time.Second), s.failed, s.run.AcceptedEffects, s.run.RejectedEffects, s.run.JobStarts, s.run.Checkpoints, s.run.Elections, s.run.UncertainElections)
+	if n := len(s.run.OwnerGaps); n > 0 {
+		fmt.Fprintf(s.out, "without an owner, %d times: median %d ms, p99 %d ms (plans also cut majorities off)\n", n, s.run.OwnerGaps[n/2]/simulation.Ms, s.run.OwnerGaps[n*99/100]/simulation.Ms)
 	}
 }
 
@@ -115,6 +115,6 @@
 	"":            func(*simulation.Config) {},
 	"skip-sync":   func(c *simulation.Config) { c.Disks, c.SkipSync = true, true },
 	"eager":       func(c *simulation.Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true },
-	"from-answer": func(c *simulation.Config) { c.ProgramFaults.LeaseFromAnswer = true },
+	"from-answer": func(c *simulation.Config) { c.ProgramFaults.StartLeaseAtReply = true },
 	"forget":      func(c *simulation.Config) { c.ProgramFaults.ForgetTokens = true },
 }
