--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -59,7 +59,7 @@
 	}
 	var assignments []Assignment
 	for _, job := range free {
-		if to := a.best(job, "", 0); to != nil {
+		if to := a.bestCandidate(job, "", 0); to != nil {
 			a.load[to.Name]++
 			assignments = append(assignments, Assignment{Job: job, Member: to.Name, Incarnation: to.Incarnation, Reason: textFree})
 		}
@@ -70,30 +70,30 @@
 	return assignments
 }
 
-// best is the best candidate for a job: able, not except, and stable for stableFor; nil: there is none.
-func (a *assigner) best(job, except string, stableFor Time) *Candidate {
+// bestCandidate is the best candidate for a job: able, not except, and stable for stableFor; nil: there is none.
+func (a *assigner) bestCandidate(job, except string, stableFor Time) *Candidate {
 	var best *Candidate
 	for i := range a.candidates {
-		c := &a.candidates[i]
-		if !c.Eligible || c.Name == except || c.EligibleFor < stableFor || !c.Offers(job) {
+		candidate := &a.candidates[i]
+		if !candidate.Eligible || candidate.Name == except || candidate.EligibleFor < stableFor || !candidate.Offers(job) {
 			continue
 		}
-		if best == nil || a.better(job, c, best) {
-			best = c
+		if best == nil || a.isBetter(job, candidate, best) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// better orders by reachability, then by load, then by rendezvousScore.
-func (a *assigner) better(job string, c, than *Candidate) bool {
-	if c.UnheardBy != than.UnheardBy {
-		return c.UnheardBy < than.UnheardBy
+// isBetter orders by reachability, then by load, then by rendezvousScore.
+func (a *assigner) isBetter(job string, candidate, other *Candidate) bool {
+	if candidate.UnheardBy != other.UnheardBy {
+		return candidate.UnheardBy < other.UnheardBy
 	}
-	if a.load[c.Name] != a.load[than.Name] {
-		return a.load[c.Name] < a.load[than.Name]
+	if a.load[candidate.Name] != a.load[other.Name] {
+		return a.load[candidate.Name] < a.load[other.Name]
 	}
-	return rendezvousScore(job, c.Name) > rendezvousScore(job, than.Name)
+	return rendezvousScore(job, candidate.Name) > rendezvousScore(job, other.Name)
 }
 
 // handover gives the handover that is most needed: an owner that is unfit or hard to reach comes before uneven load.
@@ -114,7 +114,7 @@
 		if owner.Eligible && owner.UnheardBy == 0 {
 			continue
 		}
-		to := a.best(row.Job, row.Owner, minHandoverInterval)
+		to := a.bestCandidate(row.Job, row.Owner, minHandoverInterval)
 		if to != nil && (!owner.Eligible || to.UnheardBy < owner.UnheardBy) {
 			return handoverTo(row.Job, to, textOwnerUnfit), true
 		}
@@ -129,7 +129,7 @@
 		if owner == nil || a.now-a.changedAt(row.Job) < minRebalanceInterval {
 			continue
 		}
-		to := a.best(row.Job, row.Owner, minRebalanceInterval)
+		to := a.bestCandidate(row.Job, row.Owner, minRebalanceInterval)
 		if to != nil && a.load[to.Name]+1 < a.load[row.Owner] && to.UnheardBy <= owner.UnheardBy {
 			return handoverTo(row.Job, to, textRebalanced), true
 		}
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// sessionGatherTime is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
-	sessionGatherTime = 200 * ms
-	// firstGatherDivisor: where the table is empty, that wait is a lease divided by it: a fleet starts for the first time, and its processes come
+	// grantDelay is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
+	grantDelay = 200 * ms
+	// newFleetGrantDelayDivisor: where the table is empty, that wait is a lease divided by it: a fleet starts for the first time, and its processes come
 	// one by one.
-	firstGatherDivisor = 2
+	newFleetGrantDelayDivisor = 2
 	// handoverInterval is the least time between two handovers that Assign requests. Those of operators do not wait.
 	handoverInterval = sec
 
-	backoffBase       = sec
-	backoffMax        = 60 * sec
-	backoffMaxDoubles = 6
+	minBackoff          = sec
+	maxBackoff          = 60 * sec
+	maxBackoffDoublings = 6
 )
 
 // jobFailures are the recent failures of one job.
@@ -32,11 +32,11 @@
 
 func (b failureBackoff) recordFailure(job string, now Time) {
 	f := b[job]
-	if f == nil || now-f.blockedUntil > backoffMax {
+	if f == nil || now-f.blockedUntil > maxBackoff {
 		f = &jobFailures{}
 		b[job] = f
 	}
-	f.blockedUntil = now + min(backoffMax, backoffBase<<min(f.count, backoffMaxDoubles))
+	f.blockedUntil = now + min(maxBackoff, minBackoff<<min(f.count, maxBackoffDoublings))
 	f.count++
 }
 
@@ -47,8 +47,8 @@
 
 // handovers are the assignments for which the present owner is to release the job first.
 type handovers struct {
-	byJob   map[string]Assignment
-	begunAt Time // the last that Assign requested
+	byJob           map[string]Assignment
+	lastRequestedAt Time // the last that Assign requested
 }
 
 func (h *handovers) requested(job string) bool {
@@ -56,7 +56,7 @@
 	return ok
 }
 
-func (h *handovers) due(now Time) bool { return now-h.begunAt >= handoverInterval }
+func (h *handovers) due(now Time) bool { return now-h.lastRequestedAt >= handoverInterval }
 
 // assignJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
 // proposal is applied before propose returns, and that calls assignJobs again: each job is looked at again before it is proposed.
@@ -65,14 +65,14 @@
 	candidates := c.candidates()
 	c.registerNewJobs(candidates.offered)
 	jobs := c.classifyJobs()
-	if len(jobs.free) == 0 && !c.handovers.due(c.now) || c.now < c.leadsSince+c.gatherTime() {
+	if len(jobs.free) == 0 && !c.handovers.due(c.now) || c.now < c.epochStartedAt+c.firstGrantDelay() {
 		return
 	}
 	changedAt := func(job string) Time { return c.changedAt[job] }
 	for _, a := range Assign(c.now, jobs.free, jobs.owned, changedAt, candidates.list) {
 		if a.Handover {
 			if c.handovers.due(c.now) {
-				c.handovers.begunAt = c.now
+				c.handovers.lastRequestedAt = c.now
 				c.beginHandover(a)
 			}
 			continue
@@ -81,23 +81,23 @@
 			continue
 		}
 		a = c.preferHandover(a)
-		if reason := jobs.lostOwner[a.Job]; reason != "" {
+		if reason := jobs.lostOwnerText[a.Job]; reason != "" {
 			a.Reason = reason
 		}
 		c.grant(a)
 	}
 }
 
-// gatherTime is how long no job is granted in a new epoch: longer in a fleet that starts for the first time, since all its sessions are new.
-func (c *coordinator) gatherTime() Time {
-	if c.emptyAtStart {
-		return c.cfg.Lease / firstGatherDivisor
+// firstGrantDelay is how long no job is granted in a new epoch: longer in a fleet that starts for the first time, since all its sessions are new.
+func (c *coordinator) firstGrantDelay() Time {
+	if c.tableEmptyAtStart {
+		return c.cfg.Lease / newFleetGrantDelayDivisor
 	}
-	return sessionGatherTime
+	return grantDelay
 }
 
-// renewalOverdue is how long ago a candidate may have renewed its lease: it requests one each quarter, so a few in a row were lost.
-func renewalOverdue(lease Time) Time { return lease * 2 / 3 }
+// maxRenewalAge is how long ago a candidate may have renewed its lease: it requests one each quarter, so a few in a row were lost.
+func maxRenewalAge(lease Time) Time { return lease * 2 / 3 }
 
 // candidateSet are the processes that may own jobs, and what any of them offers.
 type candidateSet struct {
@@ -107,8 +107,8 @@
 
 // expireSessions ends the sessions whose lease has surely ended: the jobs of their processes may be granted to others.
 func (c *coordinator) expireSessions() {
-	for _, s := range c.sessions.ordered() {
-		if c.now >= c.leaseSurelyEnded(s.renewedAt) {
+	for _, s := range c.sessions.sorted() {
+		if c.now >= c.latestLeaseEnd(s.renewedAt) {
 			c.effects.LogEvent("session_expired", "member", s.name)
 			delete(c.sessions, s.processID)
 		}
@@ -118,18 +118,18 @@
 // candidates gives the processes that offer jobs and whose lease requests arrive.
 func (c *coordinator) candidates() candidateSet {
 	set := candidateSet{offered: map[string]bool{}}
-	for _, s := range c.sessions.ordered() {
+	for _, s := range c.sessions.sorted() {
 		if n := len(set.list); n > 0 && set.list[n-1].Name == s.name {
 			set.list = set.list[:n-1] // an earlier process of the same name: it gets no more jobs
 		}
-		if s.offers == nil || c.now-s.renewedAt > renewalOverdue(c.cfg.Lease) {
+		if s.offers == nil || c.now-s.renewedAt > maxRenewalAge(c.cfg.Lease) {
 			continue // its jobs are not known yet, or it may be lost
 		}
 		for job := range s.offers {
 			set.offered[job] = true
 		}
-		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Eligible: s.able, UnheardBy: c.unheardBy[s.name],
-			EligibleFor: c.now - s.ableSince, Offers: func(job string) bool { return s.offers[job] }})
+		set.list = append(set.list, Candidate{Name: s.name, Incarnation: s.incarnation, Eligible: s.eligible, UnheardBy: c.unheardBy[s.name],
+			EligibleFor: c.now - s.eligibleSince, Offers: func(job string) bool { return s.offers[job] }})
 	}
 	return set
 }
@@ -137,7 +137,7 @@
 // registerNewJobs adds the jobs that are offered and not in the table.
 func (c *coordinator) registerNewJobs(offered map[string]bool) {
 	for _, job := range slices.Sorted(maps.Keys(offered)) {
-		if c.table.Job(job) == nil && !c.proposals.busy(job) {
+		if c.table.Job(job) == nil && !c.proposals.ownerChangePending(job) {
 			c.propose(registerCommand{job: job, changedAt: c.cfg.WallClock()}, proposal{job: job, exclusive: true})
 		}
 	}
@@ -145,15 +145,15 @@
 
 // classifiedJobs are the jobs without a proposal under way.
 type classifiedJobs struct {
-	free      []string
-	owned     []JobRecord
-	lostOwner map[string]string // by job whose owner is lost: the text for its grant
+	free          []string
+	owned         []JobRecord
+	lostOwnerText map[string]string // by job whose owner is lost: the text for its grant
 }
 
 func (c *coordinator) classifyJobs() classifiedJobs {
 	var jobs classifiedJobs
 	for _, row := range c.table.Jobs() {
-		if c.proposals.busy(row.Job) {
+		if c.proposals.ownerChangePending(row.Job) {
 			continue
 		}
 		if row.Owner != "" {
@@ -161,10 +161,10 @@
 				jobs.owned = append(jobs.owned, *row)
 				continue
 			}
-			if jobs.lostOwner == nil {
-				jobs.lostOwner = map[string]string{}
+			if jobs.lostOwnerText == nil {
+				jobs.lostOwnerText = map[string]string{}
 			}
-			jobs.lostOwner[row.Job] = fmt.Sprintf(ownerLostPattern, row.Owner)
+			jobs.lostOwnerText[row.Job] = fmt.Sprintf(ownerLostFormat, row.Owner)
 		}
 		if c.mayBeGranted(row) {
 			jobs.free = append(jobs.free, row.Job)
@@ -176,24 +176,24 @@
 // mayBeGranted reports whether a job has no owner that may be alive, no proposal under way and no backoff.
 func (c *coordinator) mayBeGranted(row *JobRecord) bool {
 	owned := row.Owner != "" && c.ownerMayBeAlive(row)
-	return !owned && !c.proposals.busy(row.Job) && !c.backoff.blocked(row.Job, c.now)
+	return !owned && !c.proposals.ownerChangePending(row.Job) && !c.backoff.blocked(row.Job, c.now)
 }
 
 // ownerMayBeAlive keeps the coordinator's part of the lease property: an owner counts as lost only once its lease has surely ended, also one
 // that an earlier coordinator granted.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
-	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.leaseSurelyEnded(c.leadsSince)
+	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.latestLeaseEnd(c.epochStartedAt)
 }
 
 // preferHandover gives a job that was released for a handover to the process that it was meant for, if that is still fit.
 func (c *coordinator) preferHandover(a Assignment) Assignment {
-	h, ok := c.handovers.byJob[a.Job]
+	handover, ok := c.handovers.byJob[a.Job]
 	if !ok {
 		return a
 	}
 	delete(c.handovers.byJob, a.Job)
-	if s := c.sessions.latest(h.Member); s != nil && s.offers[a.Job] && s.able {
-		a.Member, a.Incarnation, a.Reason = h.Member, s.incarnation, h.Reason
+	if s := c.sessions.latest(handover.Member); s != nil && s.offers[a.Job] && s.eligible {
+		a.Member, a.Incarnation, a.Reason = handover.Member, s.incarnation, handover.Reason
 	}
 	return a
 }
@@ -206,7 +206,7 @@
 		return
 	}
 	if s := c.sessions[processID{row.Owner, row.Incarnation}]; s != nil {
-		s.notifiedVersion = 0 // the list is to be sent at once
+		s.listSentVersion = 0 // the list is to be sent at once
 	}
 }
 
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -59,9 +59,9 @@
 type confirmCommand struct{}
 
 // commandHeader begins every command: kind, job, token, wall clock.
-func commandHeader(kind commandKind, job string, token uint64, at int64) *encoding.Writer {
+func commandHeader(kind commandKind, job string, token uint64, changedAt int64) *encoding.Writer {
 	var w encoding.Writer
-	return w.Uint(uint64(kind)).Text(job).Uint(token).Uint(uint64(at))
+	return w.Uint(uint64(kind)).Text(job).Uint(token).Uint(uint64(changedAt))
 }
 
 func (c registerCommand) encode() []byte {
@@ -88,14 +88,14 @@
 
 func decodeCommand(data []byte) (cmd tableCommand, err error) {
 	r := encoding.Reader{Data: data}
-	kind, job, token, at := commandKind(r.Uint()), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
+	kind, job, token, changedAt := commandKind(r.Uint()), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
 	switch kind {
 	case kindRegister:
-		cmd = registerCommand{job: job, changedAt: at}
+		cmd = registerCommand{job: job, changedAt: changedAt}
 	case kindGrant:
-		cmd = grantCommand{job: job, token: token, changedAt: at, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
+		cmd = grantCommand{job: job, token: token, changedAt: changedAt, owner: r.Text(maxNameBytes), incarnation: r.Uint(), reason: r.Text(maxReasonBytes)}
 	case kindRelease:
-		cmd = releaseCommand{job: job, token: token, changedAt: at, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes), reason: r.Text(maxReasonBytes)}
+		cmd = releaseCommand{job: job, token: token, changedAt: changedAt, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes), reason: r.Text(maxReasonBytes)}
 	case kindCheckpoint:
 		cmd = checkpointCommand{job: job, token: token, checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes)}
 	case kindRaiseToken:
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -19,17 +19,17 @@
 	*environment
 	unheardBy map[string]int // number of members that have not left and do not hear a member, by its name
 
-	epoch        uint64 // 0: this process does not lead
-	leadsSince   Time
-	emptyAtStart bool // the table was empty when the epoch began
-	sessions     sessions
-	proposals    proposals
-	confirmation leadershipConfirmation
-	backoff      failureBackoff
-	handovers    handovers
-	changedAt    map[string]Time // last change of a job's owner, as seen here
-	listSequence uint64
-	reviewedAt   Time
+	epoch             uint64 // 0: this process does not lead
+	epochStartedAt    Time
+	tableEmptyAtStart bool // the table was empty when the epoch began
+	sessions          sessions
+	proposals         proposals
+	confirmation      leadershipConfirmation
+	backoff           failureBackoff
+	handovers         handovers
+	changedAt         map[string]Time // last change of a job's owner, as seen here
+	listSequence      uint64
+	reviewedAt        Time
 }
 
 func newCoordinator(env *environment) *coordinator {
@@ -44,7 +44,7 @@
 func (c *coordinator) dropEpochState() {
 	c.listSequence = 0
 	c.sessions = sessions{}
-	c.proposals.byTag, c.proposals.inFlight = map[uint64]proposal{}, map[string]uint64{}
+	c.proposals.byTag, c.proposals.exclusiveTag = map[uint64]proposal{}, map[string]uint64{}
 	c.confirmation.waiting, c.confirmation.byTag = nil, map[uint64][]leaseClaim{}
 	c.backoff = failureBackoff{}
 	c.handovers.byJob = map[string]Assignment{}
@@ -53,7 +53,7 @@
 
 // becomeCoordinator begins an epoch. The leases that an earlier coordinator granted are not known here: see ownerMayBeAlive.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
-	c.epoch, c.leadsSince, c.emptyAtStart = epoch, c.now, c.table.Version == 0
+	c.epoch, c.epochStartedAt, c.tableEmptyAtStart = epoch, c.now, c.table.Version == 0
 	c.dropEpochState()
 	for _, row := range c.table.Jobs() {
 		c.changedAt[row.Job] = c.now
@@ -81,34 +81,34 @@
 	}
 	c.reviewedAt = c.now
 	if c.table.uncertain {
-		c.waitForCertainty()
+		c.resolveUncertainty()
 		return
 	}
 	c.assignJobs()
 	c.sendJobLists()
 }
 
-// waitForCertainty ends the table's uncertainty once every lease has ended that a lost command may have led to.
-func (c *coordinator) waitForCertainty() {
-	if c.now >= c.leaseSurelyEnded(c.leadsSince) {
+// resolveUncertainty ends the table's uncertainty once every lease has ended that a lost command may have led to.
+func (c *coordinator) resolveUncertainty() {
+	if c.now >= c.latestLeaseEnd(c.epochStartedAt) {
 		c.propose(confirmCommand{}, proposal{})
 	}
 }
 
-// leaseSurelyEnded is when a lease that was granted at a time has ended at its holder, as long as neither clock is fast or slow by more than 2 %
+// latestLeaseEnd is when a lease that was granted at a time has ended at its holder, as long as neither clock is fast or slow by more than 2 %
 // (clockDriftDivisor).
-func (c *coordinator) leaseSurelyEnded(grantedAt Time) Time {
-	return grantedAt + lengthened(c.cfg.Lease)
+func (c *coordinator) latestLeaseEnd(grantedAt Time) Time {
+	return grantedAt + leaseAtGrantor(c.cfg.Lease)
 }
 
 // handleJobReleased takes a job back. While a proposal on the job is under way the release is ignored, since the process repeats it.
 func (c *coordinator) handleJobReleased(m jobReleased) {
 	s := c.sessions[m.sender]
-	if s != nil && !m.able {
-		s.able = false // its lease request, which says so too, may come later: until then it would be granted the job again
+	if s != nil && !m.eligible {
+		s.eligible = false // its lease request, which says so too, may come later: until then it would be granted the job again
 	}
 	row := c.table.Job(m.job)
-	if !c.leads() || row == nil || c.proposals.busy(m.job) {
+	if !c.leads() || row == nil || c.proposals.ownerChangePending(m.job) {
 		return
 	}
 	if row.Owner != m.sender.name || row.Incarnation != m.sender.incarnation || row.Token != m.token {
@@ -129,8 +129,8 @@
 
 // resendList sends the list again to a process that releases a job that it does not own any more.
 func (c *coordinator) resendList(s *session) {
-	if s != nil && c.now-s.notifiedAt > listSettleTime {
-		s.notifiedVersion = 0
+	if s != nil && c.now-s.listSentAt > listSettleTime {
+		s.listSentVersion = 0
 		c.sendJobList(s)
 	}
 }
@@ -151,7 +151,7 @@
 		return "this process does not coordinate any more: ask again"
 	case row == nil:
 		return fmt.Sprintf("there is no job %q", job)
-	case s == nil || !s.able:
+	case s == nil || !s.eligible:
 		return fmt.Sprintf("%s is not there, or not fit to own", to)
 	case !s.offers[job]:
 		return fmt.Sprintf("%s can't do %s", to, job)
@@ -172,7 +172,7 @@
 }
 
 func (c *coordinator) sendJobLists() {
-	for _, s := range c.sessions.ordered() {
+	for _, s := range c.sessions.sorted() {
 		c.sendJobList(s)
 	}
 }
@@ -181,7 +181,7 @@
 // have that list.
 func (c *coordinator) sendJobList(s *session) {
 	current := c.table.Version + 1
-	if s.notifiedVersion == current && (!s.behind || c.now-s.notifiedAt < listRepeatInterval) {
+	if s.listSentVersion == current && (!s.lacksList || c.now-s.listSentAt < listRepeatInterval) {
 		return
 	}
 	c.listSequence++
@@ -192,6 +192,6 @@
 				handover: c.handovers.requested(row.Job), checkpoint: row.Checkpoint})
 		}
 	}
-	s.notifiedVersion, s.notifiedAt, s.listSequence, s.behind = current, c.now, c.listSequence, false
+	s.listSentVersion, s.listSentAt, s.listSequence, s.lacksList = current, c.now, c.listSequence, false
 	c.send(peerOf(s.name), m.encode())
 }
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -148,7 +148,7 @@
 }
 
 // SetEligible sets whether this process is fit to own jobs: not while its replica's store can't be used.
-func (c *Core) SetEligible(able bool) { c.participant.able = able }
+func (c *Core) SetEligible(eligible bool) { c.participant.eligible = eligible }
 
 // SetUnheardBy sets by how many members that have not left each member is not heard; this is not the state membership.Unreachable. The
 // coordinator keeps jobs away from members that others do not hear.
@@ -169,7 +169,7 @@
 	if c.participant.leaseEnded() {
 		return true
 	}
-	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.none())
+	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.empty())
 }
 
 // JobFailed releases a job that ended by a fault of its own. cause is stored.
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -22,7 +22,7 @@
 	case kindLeaseRequest:
 		m = decodeLeaseRequest(&r)
 	case kindLeaseGranted:
-		m = leaseGranted{sequence: r.Uint(), incarnation: r.Uint(), epoch: r.Uint(), wantsOffer: r.Bool()}
+		m = leaseGranted{sequence: r.Uint(), incarnation: r.Uint(), epoch: r.Uint(), requestsOffer: r.Bool()}
 	case kindLeaderRedirect:
 		m = leaderRedirect{leader: uint32(r.Uint())}
 	case kindJobOffer:
@@ -44,7 +44,7 @@
 	case kindMoveReply:
 		m = moveReply{tag: r.Uint(), refusal: r.Text(maxReasonBytes)}
 	case kindQuery:
-		m = queryMessage{job: r.Text(maxNameBytes), tag: r.Uint(), asker: uint32(r.Uint()), body: r.Bytes(maxBodyBytes), encoded: data}
+		m = queryMessage{job: r.Text(maxNameBytes), tag: r.Uint(), requester: uint32(r.Uint()), body: r.Bytes(maxBodyBytes), encoded: data}
 	case kindQueryReply:
 		m = queryReply{tag: r.Uint(), body: r.Bytes(maxBodyBytes)}
 	default:
@@ -84,7 +84,7 @@
 }
 
 func decodeLeaseRequest(r *encoding.Reader) leaseRequest {
-	return leaseRequest{sender: decodeProcessID(r), sequence: r.Uint(), able: r.Bool(), epoch: r.Uint(), listSequence: r.Uint()}
+	return leaseRequest{sender: decodeProcessID(r), sequence: r.Uint(), eligible: r.Bool(), epoch: r.Uint(), listSequence: r.Uint()}
 }
 
 func decodeJobOffer(r *encoding.Reader) jobOffer {
@@ -107,7 +107,7 @@
 func decodeJobReleased(r *encoding.Reader) jobReleased {
 	return jobReleased{
 		sender:           decodeProcessID(r),
-		able:             r.Bool(),
+		eligible:         r.Bool(),
 		job:              r.Text(maxNameBytes),
 		token:            r.Uint(),
 		higherToken:      r.Uint(),
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -44,13 +44,13 @@
 			next.deliver(p)
 		})
 	}
-	if w.steps > 0 {
+	if w.clockSteps > 0 {
 		s.add((*world).stepClocks)
 	}
 	for voter := range w.voters {
 		w.addSkewAndRestart(s, voter, f)
 	}
-	for voter := range candidates {
+	for voter := range candidateCount {
 		w.addCandidateSteps(s, voter)
 	}
 	return s.worlds
@@ -96,13 +96,13 @@
 
 // stepClocks lets time pass for all voters alike.
 func (w *world) stepClocks() {
-	w.steps--
+	w.clockSteps--
 	for _, q := range w.voters {
 		q.now += clockStep
 		if q.leads() && q.now >= q.leader.leaseEnd {
 			q.becomeFollower()
 		}
-		if q.candidate.ballot != 0 && q.candidate.stateFrom == 0 {
+		if q.candidate.ballot != 0 && q.candidate.stateSource == 0 {
 			q.chooseState()
 		}
 	}
@@ -208,9 +208,9 @@
 		fault FaultInjection
 		slow  bool // to find the fault takes many worlds: only with EXPLORE_STATES
 	}{
-		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, steps: 1}, FaultInjection{SkipAbstention: true}, false},
-		{"a lease counts from its answer", world{elections: 2, steps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
-		{"a receiver forgets its fencing tokens", world{elections: 2, steps: 3, effects: 2}, FaultInjection{ForgetTokens: true}, true},
+		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, clockSteps: 1}, FaultInjection{SkipAbstention: true}, false},
+		{"a lease counts from its answer", world{elections: 2, clockSteps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
+		{"a receiver forgets its fencing tokens", world{elections: 2, clockSteps: 3, effects: 2}, FaultInjection{ForgetTokens: true}, true},
 	} {
 		e := explore(c.start, FaultInjection{}, limit)
 		t.Logf("without a fault: %d worlds visited, all of them: %t", e.visited, e.complete)
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -14,7 +14,7 @@
 var voterNames = []string{"a", "b", "c"}
 
 const (
-	candidates     = 2 // how many voters, from the first one on, may become candidates
+	candidateCount = 2 // how many voters, from the first one on, may become candidates
 	receiverNumber = 3 // the receiver's, after those of the voters
 )
 
@@ -34,7 +34,7 @@
 	violation    string // "": none
 
 	// How often each step may still happen.
-	elections, renewals, restarts, steps, skews, effects int
+	elections, renewals, restarts, clockSteps, skews, effects int
 }
 
 // worldEffects puts what a voter sends in flight.
@@ -88,7 +88,7 @@
 // hasher gathers the numbers that make up a world.
 type hasher struct{ data []byte }
 
-func (h *hasher) put(numbers ...uint64) {
+func (h *hasher) append(numbers ...uint64) {
 	for _, n := range numbers {
 		h.data = binary.AppendUvarint(h.data, n)
 	}
@@ -98,36 +98,36 @@
 func (w *world) key() uint64 {
 	var h hasher
 	for _, q := range w.voters {
-		h.putVoter(q)
+		h.appendVoter(q)
 	}
 	sum := uint64(0) // the order of packets in flight makes no difference
 	for _, p := range w.inFlight {
 		sum += xxhash.Sum64(append([]byte{byte(p.from), byte(p.to), byte(p.epoch), byte(p.epoch >> 8), byte(p.epoch >> 16), byte(p.epoch >> 24)}, p.data...))
 	}
-	h.put(sum, uint64(w.elections), uint64(w.renewals), uint64(w.restarts), uint64(w.steps), uint64(w.skews), uint64(w.effects), w.highestEpoch)
+	h.append(sum, uint64(w.elections), uint64(w.renewals), uint64(w.restarts), uint64(w.clockSteps), uint64(w.skews), uint64(w.effects), w.highestEpoch)
 	return xxhash.Sum64(h.data)
 }
 
-func (h *hasher) putVoter(q *Quorum) {
-	h.put(uint64(q.now), uint64(q.startedAt+1))
-	h.put(q.voter.promised, uint64(q.voter.grantee), q.voter.epoch, uint64(q.voter.grantEnd))
-	h.put(q.log.position.epoch, q.log.position.version, q.ballotCounter, q.candidate.ballot, uint64(q.candidate.stateFrom), q.rounds.last)
-	h.put(q.leader.epoch, q.leader.ballot, uint64(q.leader.leaseEnd), uint64(len(q.log.acknowledged)))
+func (h *hasher) appendVoter(q *Quorum) {
+	h.append(uint64(q.now), uint64(q.startedAt+1))
+	h.append(q.voter.promised, uint64(q.voter.grantee), q.voter.epoch, uint64(q.voter.grantEnd))
+	h.append(q.log.position.epoch, q.log.position.version, q.ballotCounter, q.candidate.ballot, uint64(q.candidate.stateSource), q.rounds.last)
+	h.append(q.leader.epoch, q.leader.ballot, uint64(q.leader.leaseEnd), uint64(len(q.log.acknowledged)))
 	for _, name := range voterNames {
 		p, ok := q.candidate.promises[group.Peer(name)]
 		if ok && p.promised {
-			h.put(1)
+			h.append(1)
 		} else if ok {
-			h.put(2)
+			h.append(2)
 		}
-		h.put(p.position.epoch)
+		h.append(p.position.epoch)
 	}
 	for round := range uint64(4) {
 		grants := q.rounds.grants[round]
-		h.put(uint64(q.rounds.requestedAt[round]), uint64(len(grants)))
+		h.append(uint64(q.rounds.requestedAt[round]), uint64(len(grants)))
 		for _, name := range voterNames {
 			if grants[group.Peer(name)] {
-				h.put(round)
+				h.append(round)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 		q := w.voters[p.to]
 		switch kind {
 		case kindPrepareReply:
-			return ballot != q.candidate.ballot || q.candidate.stateFrom != 0
+			return ballot != q.candidate.ballot || q.candidate.stateSource != 0
 		case kindLeaseAccepted, kindLeaseRejected:
 			return ballot != q.candidate.ballot && ballot != q.leader.epoch
 		case kindAppendAcknowledged:
--- a/internal/fleet/ownership/kinds.go
+++ b/internal/fleet/ownership/kinds.go
@@ -48,8 +48,8 @@
 // String names the kind.
 func (k messageKind) String() string { return kindName(messageKindNames, k) }
 
-// begin begins a message.
-func (k messageKind) begin() *encoding.Writer {
+// newWriter begins a message.
+func (k messageKind) newWriter() *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(uint64(k))
 }
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -41,7 +41,7 @@
 		}
 	}
 	l.outstanding[l.sequence] = p.now
-	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, able: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
+	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, eligible: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
 }
 
 // findCoordinator takes the leader that the own group knows, or, where it knows none or no lease was granted for the length of one, the next
@@ -77,8 +77,8 @@
 		p.epoch, p.listSequence = m.epoch, 0
 	}
 	l.leader, l.lastGrantAt = from, p.now
-	l.end = max(l.end, requestedAt+shortened(p.cfg.Lease))
-	if m.wantsOffer {
+	l.end = max(l.end, requestedAt+leaseAtHolder(p.cfg.Lease))
+	if m.requestsOffer {
 		p.send(from, jobOffer{sender: p.processID(), jobs: p.cfg.Jobs}.encode())
 	}
 }
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -9,17 +9,17 @@
 type leaseRequest struct {
 	sender       processID
 	sequence     uint64
-	able         bool   // the sender may be given jobs
+	eligible     bool   // the sender may be given jobs
 	epoch        uint64 // of the last job list it has
 	listSequence uint64 // of that list
 }
 
 // leaseGranted answers a leaseRequest once the voters have confirmed the coordinator.
 type leaseGranted struct {
-	sequence    uint64 // of the request
-	incarnation uint64 // of the requesting process
-	epoch       uint64
-	wantsOffer  bool // the coordinator does not know the process's jobs
+	sequence      uint64 // of the request
+	incarnation   uint64 // of the requesting process
+	epoch         uint64
+	requestsOffer bool // the coordinator does not know the process's jobs
 }
 
 // leaderRedirect answers a leaseRequest at a voter that does not lead.
@@ -52,7 +52,7 @@
 // jobReleased notifies the coordinator that a process has stopped a job; repeated until the job list no longer holds it.
 type jobReleased struct {
 	sender           processID
-	able             bool
+	eligible         bool
 	job              string
 	token            uint64
 	higherToken      uint64 // that a receiver reported; 0: none
@@ -106,11 +106,11 @@
 
 // queryMessage is for the owner of a job, by way of the coordinator.
 type queryMessage struct {
-	job     string
-	tag     uint64
-	asker   uint32
-	body    []byte
-	encoded []byte // as received: forwarded unchanged
+	job       string
+	tag       uint64
+	requester uint32
+	body      []byte
+	encoded   []byte // as received: forwarded unchanged
 }
 
 // queryReply goes straight to the asker.
@@ -120,19 +120,19 @@
 }
 
 func (m leaseRequest) encode() []byte {
-	return kindLeaseRequest.begin().Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.able).Uint(m.epoch).Uint(m.listSequence).Data
+	return kindLeaseRequest.newWriter().Text(m.sender.name).Uint(m.sender.incarnation).Uint(m.sequence).Bool(m.eligible).Uint(m.epoch).Uint(m.listSequence).Data
 }
 
 func (m leaseGranted) encode() []byte {
-	return kindLeaseGranted.begin().Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.wantsOffer).Data
+	return kindLeaseGranted.newWriter().Uint(m.sequence).Uint(m.incarnation).Uint(m.epoch).Bool(m.requestsOffer).Data
 }
 
 func (m leaderRedirect) encode() []byte {
-	return kindLeaderRedirect.begin().Uint(uint64(m.leader)).Data
+	return kindLeaderRedirect.newWriter().Uint(uint64(m.leader)).Data
 }
 
 func (m jobOffer) encode() []byte {
-	w := kindJobOffer.begin().Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
+	w := kindJobOffer.newWriter().Text(m.sender.name).Uint(m.sender.incarnation).Uint(uint64(len(m.jobs)))
 	for _, job := range m.jobs {
 		w.Text(job)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (m jobList) encode() []byte {
-	w := kindJobList.begin().Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
+	w := kindJobList.newWriter().Uint(m.incarnation).Uint(m.epoch).Uint(m.sequence).Uint(uint64(len(m.jobs)))
 	for _, j := range m.jobs {
 		w.Text(j.job).Uint(j.token).Uint(j.checkpointNumber).Bool(j.handover).Bytes(j.checkpoint)
 	}
@@ -148,41 +148,41 @@
 }
 
 func (m jobReleased) encode() []byte {
-	w := kindJobReleased.begin().Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.able)
+	w := kindJobReleased.newWriter().Text(m.sender.name).Uint(m.sender.incarnation).Bool(m.eligible)
 	return w.Text(m.job).Uint(m.token).Uint(m.higherToken).Uint(m.checkpointNumber).Bytes(m.checkpoint).Text(m.reason).Data
 }
 
 func (m storeCheckpoint) encode() []byte {
-	return kindStoreCheckpoint.begin().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
+	return kindStoreCheckpoint.newWriter().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bytes(m.checkpoint).Data
 }
 
 func (m checkpointResult) encode() []byte {
-	return kindCheckpointResult.begin().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
+	return kindCheckpointResult.newWriter().Text(m.job).Uint(m.token).Uint(m.checkpointNumber).Bool(m.stored).Data
 }
 
 func (m effectMessage) encode() []byte {
-	return kindEffect.begin().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
+	return kindEffect.newWriter().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence).Bytes(m.body).Data
 }
 
 func (m effectAck) encode() []byte {
-	w := kindEffectAck.begin().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
+	w := kindEffectAck.newWriter().Text(m.job).Uint(m.token.Token).Uint(m.token.Sequence)
 	return w.Uint(uint64(m.verdict)).Uint(m.highest.Token).Uint(m.highest.Sequence).Data
 }
 
 func (m moveRequest) encode() []byte {
-	return kindMoveRequest.begin().Text(m.job).Text(m.member).Uint(m.tag).Data
+	return kindMoveRequest.newWriter().Text(m.job).Text(m.member).Uint(m.tag).Data
 }
 
 func (m moveReply) encode() []byte {
-	return kindMoveReply.begin().Uint(m.tag).Text(m.refusal).Data
+	return kindMoveReply.newWriter().Uint(m.tag).Text(m.refusal).Data
 }
 
 func (m queryMessage) encode() []byte {
-	return kindQuery.begin().Text(m.job).Uint(m.tag).Uint(uint64(m.asker)).Bytes(m.body).Data
+	return kindQuery.newWriter().Text(m.job).Uint(m.tag).Uint(uint64(m.requester)).Bytes(m.body).Data
 }
 
 func (m queryReply) encode() []byte {
-	return kindQueryReply.begin().Uint(m.tag).Bytes(m.body).Data
+	return kindQueryReply.newWriter().Uint(m.tag).Bytes(m.body).Data
 }
 
 // malformed names the message at fault.
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -15,8 +15,8 @@
 // TestMessageRoundTrip: each message decodes to what was encoded, and a truncated one is malformed.
 func TestMessageRoundTrip(t *testing.T) {
 	for _, m := range []message{
-		leaseRequest{sender: testSender, sequence: 300, able: true, epoch: 2, listSequence: 5},
-		leaseGranted{sequence: 300, incarnation: 7, epoch: 2, wantsOffer: true},
+		leaseRequest{sender: testSender, sequence: 300, eligible: true, epoch: 2, listSequence: 5},
+		leaseGranted{sequence: 300, incarnation: 7, epoch: 2, requestsOffer: true},
 		leaderRedirect{leader: 1 << 31},
 		jobOffer{sender: testSender, jobs: []string{"j", "k"}},
 		jobList{incarnation: 7, epoch: 2, sequence: 5, jobs: []listedJob{{"j", 9, 4, true, []byte("checkpoint")}, {"k", 10, 0, false, []byte{}}}},
@@ -43,9 +43,9 @@
 
 // TestQueryKeepsItsBytes: a decoded query holds the bytes received, which the coordinator forwards.
 func TestQueryKeepsItsBytes(t *testing.T) {
-	data := queryMessage{job: "j", tag: 12, asker: 8, body: []byte("body")}.encode()
+	data := queryMessage{job: "j", tag: 12, requester: 8, body: []byte("body")}.encode()
 	got, err := decodeMessage(data)
-	want := queryMessage{job: "j", tag: 12, asker: 8, body: []byte("body"), encoded: data}
+	want := queryMessage{job: "j", tag: 12, requester: 8, body: []byte("body"), encoded: data}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%#v, %v", got, err)
 	}
@@ -131,7 +131,7 @@
 		}
 		now += want
 	}
-	now += backoffMax + 1
+	now += maxBackoff + 1
 	if backoff.recordFailure("j", now); backoff.blocked("j", now+sec) {
 		t.Error("the backoff did not start again from the shortest")
 	}
@@ -159,7 +159,7 @@
 	for range maxUncommitted {
 		log.append(MachineNumber, 1, nil)
 	}
-	if !log.full() || log.holdsAfter(3) || !log.holdsAfter(4) {
+	if !log.full() || log.hasAllAfter(3) || !log.hasAllAfter(4) {
 		t.Errorf("full %t, first entry %d", log.full(), log.entries[0].version)
 	}
 }
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -38,11 +38,11 @@
 // A voter of a Quorum counts its grant at its full length: there the two clocks may differ by 2 % in sum.
 const clockDriftDivisor = 50
 
-// shortened is a duration as the holder of a lease counts it.
-func shortened(d Time) Time { return d - d/clockDriftDivisor }
+// leaseAtHolder is a duration as the holder of a lease counts it.
+func leaseAtHolder(d Time) Time { return d - d/clockDriftDivisor }
 
-// lengthened is a duration as the grantor of a lease counts it.
-func lengthened(d Time) Time { return d + d/clockDriftDivisor }
+// leaseAtGrantor is a duration as the grantor of a lease counts it.
+func leaseAtGrantor(d Time) Time { return d + d/clockDriftDivisor }
 
 // Events and fields that others than the log act on.
 const (
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -10,13 +10,13 @@
 
 // ownedJob is a job that this process owns, or has released without the coordinator having confirmed it.
 type ownedJob struct {
-	token            uint64
-	released         bool
-	text             string // of the release
-	higherToken      uint64 // that a receiver reported; 0: none
-	checkpointNumber uint64
-	checkpoint       []byte
-	reportedAt       Time // the release, to the coordinator
+	token             uint64
+	released          bool
+	releaseText       string // of the release
+	higherToken       uint64 // that a receiver reported; 0: none
+	checkpointNumber  uint64
+	checkpoint        []byte
+	releaseReportedAt Time // the release, to the coordinator
 }
 
 // participant is the role of a process that may own jobs.
@@ -26,12 +26,12 @@
 	jobs         map[string]*ownedJob // by job
 	epoch        uint64               // of the last coordinator that was followed
 	listSequence uint64               // of the last job list in that epoch
-	able         bool
+	eligible     bool
 	leaving      bool
 }
 
 func newParticipant(env *environment) *participant {
-	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*ownedJob{}, able: true}
+	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*ownedJob{}, eligible: true}
 }
 
 func (p *participant) tick() {
@@ -39,8 +39,8 @@
 		p.renewLease()
 	}
 	for _, job := range p.jobNames() {
-		if h := p.jobs[job]; h.released && p.now-h.reportedAt >= releaseRepeatInterval {
-			p.reportRelease(job, h)
+		if owned := p.jobs[job]; owned.released && p.now-owned.releaseReportedAt >= releaseRepeatInterval {
+			p.reportRelease(job, owned)
 		}
 	}
 }
@@ -50,9 +50,9 @@
 
 func (p *participant) ownedJobs() map[string]uint64 {
 	tokens := map[string]uint64{}
-	for job, h := range p.jobs {
-		if !h.released {
-			tokens[job] = h.token
+	for job, owned := range p.jobs {
+		if !owned.released {
+			tokens[job] = owned.token
 		}
 	}
 	return tokens
@@ -60,8 +60,8 @@
 
 // owns reports whether this process may act as a job's owner now.
 func (p *participant) owns(job string) bool {
-	h := p.jobs[job]
-	return h != nil && !h.released && !p.leaseEnded()
+	owned := p.jobs[job]
+	return owned != nil && !owned.released && !p.leaseEnded()
 }
 
 func (p *participant) ownsUnder(job string, token uint64) bool {
@@ -71,7 +71,7 @@
 // mayBeAssigned reports whether this process should be given jobs. One whose lease has ended may be cut off in one direction: its requests arrive,
 // but it would not learn of a job that it is granted.
 func (p *participant) mayBeAssigned() bool {
-	return p.able && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
+	return p.eligible && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
 
 func (p *participant) leave(text string) {
@@ -81,39 +81,39 @@
 
 func (p *participant) releaseAll(reason ReleaseReason, text string) {
 	for _, job := range p.jobNames() {
-		if h := p.jobs[job]; !h.released {
-			p.release(job, h, reason, text)
+		if owned := p.jobs[job]; !owned.released {
+			p.release(job, owned, reason, text)
 		}
 	}
 }
 
 func (p *participant) jobFailed(job string, token uint64, cause string) {
-	if h := p.jobs[job]; h != nil && h.token == token && !h.released {
-		p.release(job, h, JobFailed, failedPrefix+cause)
+	if owned := p.jobs[job]; owned != nil && owned.token == token && !owned.released {
+		p.release(job, owned, JobFailed, failedPrefix+cause)
 	}
 }
 
 // release stops a job here, and then notifies the coordinator, with the checkpoint and the text, until its list no longer holds the job.
-func (p *participant) release(job string, h *ownedJob, reason ReleaseReason, text string) {
-	h.released, h.text = true, text
-	h.checkpointNumber, h.checkpoint = p.effects.Stop(job, h.token, reason)
-	p.reportRelease(job, h)
+func (p *participant) release(job string, owned *ownedJob, reason ReleaseReason, text string) {
+	owned.released, owned.releaseText = true, text
+	owned.checkpointNumber, owned.checkpoint = p.effects.Stop(job, owned.token, reason)
+	p.reportRelease(job, owned)
 }
 
-func (p *participant) reportRelease(job string, h *ownedJob) {
-	h.reportedAt = p.now
+func (p *participant) reportRelease(job string, owned *ownedJob) {
+	owned.releaseReportedAt = p.now
 	if p.lease.leader == 0 {
 		return
 	}
 	p.send(p.lease.leader, jobReleased{
 		sender:           p.processID(),
-		able:             p.mayBeAssigned(),
+		eligible:         p.mayBeAssigned(),
 		job:              job,
-		token:            h.token,
-		higherToken:      h.higherToken,
-		checkpointNumber: h.checkpointNumber,
-		checkpoint:       h.checkpoint,
-		reason:           h.text,
+		token:            owned.token,
+		higherToken:      owned.higherToken,
+		checkpointNumber: owned.checkpointNumber,
+		checkpoint:       owned.checkpoint,
+		reason:           owned.releaseText,
 	}.encode())
 }
 
@@ -139,15 +139,15 @@
 		listed[j.job] = j
 	}
 	for _, job := range p.jobNames() {
-		h := p.jobs[job]
+		owned := p.jobs[job]
 		j, ok := listed[job]
 		switch {
-		case ok && j.token == h.token:
-			if j.handover && !h.released {
-				p.release(job, h, HandedOver, textHandedOver)
+		case ok && j.token == owned.token:
+			if j.handover && !owned.released {
+				p.release(job, owned, HandedOver, textHandedOver)
 			}
-		case !h.released:
-			p.effects.Stop(job, h.token, NoLongerListed)
+		case !owned.released:
+			p.effects.Stop(job, owned.token, NoLongerListed)
 			delete(p.jobs, job)
 		default:
 			delete(p.jobs, job) // released before, and now taken back
@@ -158,37 +158,37 @@
 // acquire starts a listed job, or releases it at once where it must not start here. It gives false where the job has to wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
-		h := &ownedJob{token: j.token, released: true, text: textNotBegun}
-		p.jobs[j.job] = h
-		p.reportRelease(j.job, h)
+		owned := &ownedJob{token: j.token, released: true, releaseText: textNotBegun}
+		p.jobs[j.job] = owned
+		p.reportRelease(j.job, owned)
 		return true
 	}
 	// Lease: without one no job starts.
 	if p.leaseEnded() {
 		return false
 	}
-	h := &ownedJob{token: j.token}
-	p.jobs[j.job] = h
+	owned := &ownedJob{token: j.token}
+	p.jobs[j.job] = owned
 	if err := p.effects.Start(j.job, j.token, j.checkpointNumber, j.checkpoint); err != nil {
-		h.released, h.text, h.checkpointNumber = true, failedPrefix+err.Error(), 0
-		p.reportRelease(j.job, h)
+		owned.released, owned.releaseText, owned.checkpointNumber = true, failedPrefix+err.Error(), 0
+		p.reportRelease(j.job, owned)
 	}
 	return true
 }
 
 // handleCheckpointResult passes the result on, unless the job has changed its owner since.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
-	if h := p.jobs[m.job]; h != nil && h.token == m.token {
+	if owned := p.jobs[m.job]; owned != nil && owned.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
 	}
 }
 
 // handleEffectAck passes a receiver's verdict on. A stale one stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
-	if h := p.jobs[m.job]; m.verdict == Stale && h != nil && h.token == m.token.Token && !h.released {
+	if owned := p.jobs[m.job]; m.verdict == Stale && owned != nil && owned.token == m.token.Token && !owned.released {
 		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release carries that owner's token to the coordinator.
-		h.higherToken = m.highest.Token
-		p.release(m.job, h, LaterTokenSeen, textLaterTokenSeen)
+		owned.higherToken = m.highest.Token
+		p.release(m.job, owned, LaterTokenSeen, textLaterTokenSeen)
 	}
 	p.effects.EffectAcknowledged(from, m.job, m.token, m.verdict, m.highest)
 }
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -19,20 +19,20 @@
 
 // proposals are the commands under way, by the tag under which the group reports them.
 type proposals struct {
-	lastTag  uint64
-	byTag    map[uint64]proposal
-	inFlight map[string]uint64 // tag of a job's exclusive proposal
+	lastTag      uint64
+	byTag        map[uint64]proposal
+	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal
 }
 
-func (ps *proposals) none() bool { return len(ps.byTag) == 0 }
+func (ps *proposals) empty() bool { return len(ps.byTag) == 0 }
 
-// busy reports whether a job's owner is about to change.
-func (ps *proposals) busy(job string) bool { return ps.inFlight[job] != 0 }
+// ownerChangePending reports whether a job's owner is about to change.
+func (ps *proposals) ownerChangePending(job string) bool { return ps.exclusiveTag[job] != 0 }
 
 func (ps *proposals) add(tag uint64, p proposal) {
 	ps.byTag[tag] = p
 	if p.exclusive && p.job != "" {
-		ps.inFlight[p.job] = tag
+		ps.exclusiveTag[p.job] = tag
 	}
 }
 
@@ -43,8 +43,8 @@
 		return p, false, false
 	}
 	delete(ps.byTag, tag)
-	if ps.inFlight[p.job] == tag {
-		delete(ps.inFlight, p.job)
+	if ps.exclusiveTag[p.job] == tag {
+		delete(ps.exclusiveTag, p.job)
 		wasExclusive = true
 	}
 	return p, wasExclusive, true
@@ -89,7 +89,7 @@
 		c.send(r.peer, checkpointResult{job: p.job, token: r.token, checkpointNumber: r.number, stored: applied}.encode())
 		return
 	}
-	if c.leads() && c.now >= c.leadsSince+sessionGatherTime && !c.table.uncertain {
+	if c.leads() && c.now >= c.epochStartedAt+grantDelay && !c.table.uncertain {
 		c.assignJobs() // a job that was released is granted again at once
 	}
 	c.sendJobLists()
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -17,13 +17,13 @@
 
 // candidateState is an election under way here, and when the next one may begin.
 type candidateState struct {
-	ballot        uint64 // 0: no election
-	startedAt     Time
-	promises      map[uint32]prepareReply // by voter
-	stateFrom     uint32                  // voter whose state the epoch begins with; 0: not chosen yet
-	stateComplete bool                    // that state surely holds all that was committed
-	nextAt        Time                    // no election here before
-	yieldedUntil  Time                    // no election here before, since this voter gave up the lead
+	ballot         uint64 // 0: no election
+	startedAt      Time
+	promises       map[uint32]prepareReply // by voter
+	stateSource    uint32                  // voter whose state the epoch begins with; 0: not chosen yet
+	stateComplete  bool                    // that state surely holds all that was committed
+	nextElectionAt Time                    // no election here before
+	yieldedUntil   Time                    // no election here before, since this voter gave up the lead
 }
 
 // leaseRounds are the rounds in which this voter has proposed its lease. A lease counts from the request of the round that a majority accepted.
@@ -54,22 +54,22 @@
 	switch {
 	case c.ballot != 0 && q.now-c.startedAt > q.cfg.Lease/electionTimeoutDivisor:
 		q.abandonElection()
-	case c.ballot != 0 && c.stateFrom == 0:
+	case c.ballot != 0 && c.stateSource == 0:
 		q.chooseState()
-	case c.ballot == 0 && q.now >= q.voter.grantEnd && q.now >= c.nextAt && q.now >= c.yieldedUntil:
+	case c.ballot == 0 && q.now >= q.voter.grantEnd && q.now >= c.nextElectionAt && q.now >= c.yieldedUntil:
 		q.becomeCandidate()
 	}
 }
 
 // delayCandidacy draws a random delay, so that two candidates do not keep each other from being elected.
 func (q *Quorum) delayCandidacy() {
-	q.candidate.nextAt = q.now + q.cfg.Lease/candidacyDelayDivisor + Time(q.rng.Int64N(int64(q.cfg.Lease/candidacySpreadDivisor)))
+	q.candidate.nextElectionAt = q.now + q.cfg.Lease/candidacyDelayDivisor + Time(q.rng.Int64N(int64(q.cfg.Lease/candidacySpreadDivisor)))
 }
 
 func (q *Quorum) becomeCandidate() {
 	c := &q.candidate
 	c.ballot, c.startedAt = q.nextBallot(), q.now
-	c.promises, c.stateFrom = map[uint32]prepareReply{}, 0
+	c.promises, c.stateSource = map[uint32]prepareReply{}, 0
 	q.broadcast(prepareRequest{ballot: c.ballot})
 }
 
@@ -80,7 +80,7 @@
 
 func (q *Quorum) handlePrepareReply(from uint32, m prepareReply) {
 	c := &q.candidate
-	if m.ballot == 0 || m.ballot != c.ballot || c.stateFrom != 0 {
+	if m.ballot == 0 || m.ballot != c.ballot || c.stateSource != 0 {
 		return
 	}
 	c.promises[from] = m
@@ -91,7 +91,7 @@
 // if it is another's.
 func (q *Quorum) chooseState() {
 	promised, withState := 0, 0
-	latest, latestAt := q.log.position, uint32(0)
+	latest, latestVoter := q.log.position, uint32(0)
 	for _, name := range q.cfg.Voters {
 		p, ok := q.candidate.promises[peerOf(name)]
 		if !ok || !p.promised {
@@ -102,20 +102,20 @@
 			withState++
 		}
 		if latest.before(p.position) {
-			latest, latestAt = p.position, peerOf(name)
+			latest, latestVoter = p.position, peerOf(name)
 		}
 	}
 	q.candidate.stateComplete = q.isMajority(withState)
 	if !q.isMajority(promised) || !q.candidate.stateComplete && !q.mayBeginIncomplete(promised) {
 		return
 	}
-	if latestAt == 0 || latestAt == q.self {
-		q.candidate.stateFrom = q.self
+	if latestVoter == 0 || latestVoter == q.self {
+		q.candidate.stateSource = q.self
 		q.requestLease()
 		return
 	}
-	q.candidate.stateFrom = latestAt
-	q.send(latestAt, stateRequest{ballot: q.candidate.ballot})
+	q.candidate.stateSource = latestVoter
+	q.send(latestVoter, stateRequest{ballot: q.candidate.ballot})
 }
 
 // mayBeginIncomplete decides where no majority has promised that still has state. A majority stored all that was committed, but voters that have
@@ -154,12 +154,12 @@
 
 // handleLeaseAccepted counts the voters that have accepted a round. A majority elects this voter, or extends its lease.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
-	elected := m.epoch == q.leader.epoch
-	if m.epoch == 0 || m.epoch != q.candidate.ballot && !elected || q.rounds.grants[m.round] == nil {
+	isRenewal := m.epoch == q.leader.epoch
+	if m.epoch == 0 || m.epoch != q.candidate.ballot && !isRenewal || q.rounds.grants[m.round] == nil {
 		return
 	}
 	q.rounds.grants[m.round][from] = true
-	if elected {
+	if isRenewal {
 		q.trackFollower(from, m)
 	}
 	if !q.isMajority(len(q.rounds.grants[m.round])) {
@@ -183,7 +183,7 @@
 	if q.cfg.Faults.StartLeaseAtReply {
 		requestedAt = q.now
 	}
-	return requestedAt + shortened(q.cfg.Lease)
+	return requestedAt + leaseAtHolder(q.cfg.Lease)
 }
 
 // trackFollower records how far a voter's state is, or sends it the state of this epoch.
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -64,7 +64,7 @@
 		version, known := q.log.acknowledged[peer]
 		switch {
 		case peer == q.self || known && version >= q.log.position.version:
-		case !known || !q.log.holdsAfter(version):
+		case !known || !q.log.hasAllAfter(version):
 			q.sendState(peer)
 		default:
 			q.sendEntries(peer, version)
@@ -82,7 +82,7 @@
 // commit applies the entries that a majority has, in order.
 func (q *Quorum) commit() {
 	for len(q.log.entries) > 0 && q.log.committed < q.log.position.version {
-		if !q.isMajority(q.votersPast(q.log.committed)) {
+		if !q.isMajority(q.countVotersPast(q.log.committed)) {
 			return
 		}
 		q.log.committed++
@@ -93,8 +93,8 @@
 	}
 }
 
-// votersPast counts the voters that have an entry beyond a version.
-func (q *Quorum) votersPast(version uint64) (n int) {
+// countVotersPast counts the voters that have an entry beyond a version.
+func (q *Quorum) countVotersPast(version uint64) (n int) {
 	for _, name := range q.cfg.Voters {
 		if acknowledged, known := q.log.acknowledged[peerOf(name)]; known && acknowledged > version {
 			n++
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -15,7 +15,7 @@
 
 // abstains reports whether an earlier process of this voter may have granted a lease that still lasts: this process does not know of it.
 func (q *Quorum) abstains() bool {
-	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+lengthened(q.cfg.Lease)
+	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+leaseAtGrantor(q.cfg.Lease)
 }
 
 // handlePrepare promises to accept no ballot below this one, unless the lease of another lasts here.
@@ -66,7 +66,7 @@
 
 // handleStateTransfer takes the state that this voter requested as a candidate, or that its leader sends.
 func (q *Quorum) handleStateTransfer(from uint32, m stateTransfer) {
-	if m.term == q.candidate.ballot && q.candidate.stateFrom == from && m.term != 0 {
+	if m.term == q.candidate.ballot && q.candidate.stateSource == from && m.term != 0 {
 		if restoreState(q.machines, m.snapshot) {
 			q.log.position = m.position
 			q.requestLease()
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -32,13 +32,13 @@
 
 // Texts of a job's last change, as stored. That of textOwnerUnfit stays though nothing measures whether a process is starved: see Core.SetEligible.
 const (
-	textRegistered   = "made known"
-	textFree         = "free, and it has the fewest"
-	textOwnerUnfit   = "its owner is leaving, starved or hard to hear"
-	textRebalanced   = "its owner has more than others"
-	textMoved        = "moved by an operator"
-	textMemoryLost   = "the voters lost their memory"
-	ownerLostPattern = "its owner %s was lost"
+	textRegistered  = "made known"
+	textFree        = "free, and it has the fewest"
+	textOwnerUnfit  = "its owner is leaving, starved or hard to hear"
+	textRebalanced  = "its owner has more than others"
+	textMoved       = "moved by an operator"
+	textMemoryLost  = "the voters lost their memory"
+	ownerLostFormat = "its owner %s was lost"
 )
 
 // Texts of a release, as sent and stored.
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -73,8 +73,8 @@
 	return logEntry{}, false
 }
 
-// holdsAfter reports whether the log still has all entries after a version.
-func (l *replicatedLog) holdsAfter(version uint64) bool {
+// hasAllAfter reports whether the log still has all entries after a version.
+func (l *replicatedLog) hasAllAfter(version uint64) bool {
 	return len(l.entries) > 0 && l.entries[0].version <= version+1
 }
 
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if leader := c.Leader(); leader != 0 {
-		c.send(leader, queryMessage{job: job, tag: tag, asker: c.self, body: body}.encode())
+		c.send(leader, queryMessage{job: job, tag: tag, requester: c.self, body: body}.encode())
 	}
 }
 
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -5,22 +5,22 @@
 // session is what the coordinator knows of a process in its epoch.
 type session struct {
 	processID
-	began           Time
+	startedAt       Time
 	renewedAt       Time // the last confirmed lease was requested no later than this
-	able            bool
-	ableSince       Time            // without a break
+	eligible        bool
+	eligibleSince   Time            // without a break
 	offers          map[string]bool // jobs that it can own; nil: not known
-	notifiedVersion uint64          // of the table, plus one, when its list was sent last; 0: to be sent at once
-	notifiedAt      Time
+	listSentVersion uint64          // of the table, plus one, when its list was sent last; 0: to be sent at once
+	listSentAt      Time
 	listSequence    uint64 // of that list
-	behind          bool   // its last request shows that it does not have that list
+	lacksList       bool   // its last request shows that it does not have that list
 }
 
 // sessions are the processes that have requested a lease in the epoch.
 type sessions map[processID]*session
 
-// ordered gives them by name, and those of one name by when they began.
-func (ss sessions) ordered() []*session {
+// sorted gives them by name, and those of one name by when they began.
+func (ss sessions) sorted() []*session {
 	out := make([]*session, 0, len(ss))
 	for _, s := range ss {
 		out = append(out, s)
@@ -33,15 +33,15 @@
 	if s.name != other.name {
 		return s.name < other.name
 	}
-	if s.began != other.began {
-		return s.began < other.began
+	if s.startedAt != other.startedAt {
+		return s.startedAt < other.startedAt
 	}
 	return s.incarnation < other.incarnation
 }
 
 // latest is the session of a name that began last; nil: none.
 func (ss sessions) latest(name string) (last *session) {
-	for _, s := range ss.ordered() {
+	for _, s := range ss.sorted() {
 		if s.name == name {
 			last = s
 		}
@@ -59,14 +59,14 @@
 	}
 	s := c.sessions[m.sender]
 	if s == nil {
-		s = &session{processID: m.sender, ableSince: c.now, began: c.now, renewedAt: c.now, able: m.able}
+		s = &session{processID: m.sender, eligibleSince: c.now, startedAt: c.now, renewedAt: c.now, eligible: m.eligible}
 		c.sessions[m.sender] = s
 	}
-	if m.able && !s.able {
-		s.ableSince = c.now
+	if m.eligible && !s.eligible {
+		s.eligibleSince = c.now
 	}
-	s.able = m.able
-	s.behind = m.epoch < c.epoch || m.listSequence < s.listSequence
+	s.eligible = m.eligible
+	s.lacksList = m.epoch < c.epoch || m.listSequence < s.listSequence
 	c.confirmation.waiting = append(c.confirmation.waiting, leaseClaim{processID: m.sender, sequence: m.sequence, claimedAt: c.now})
 }
 
@@ -136,7 +136,7 @@
 			continue
 		}
 		s.renewedAt = max(s.renewedAt, claim.claimedAt)
-		c.send(peerOf(claim.name), leaseGranted{sequence: claim.sequence, incarnation: claim.incarnation, epoch: c.epoch, wantsOffer: s.offers == nil}.encode())
+		c.send(peerOf(claim.name), leaseGranted{sequence: claim.sequence, incarnation: claim.incarnation, epoch: c.epoch, requestsOffer: s.offers == nil}.encode())
 		c.sendJobList(s)
 	}
 }
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -9,12 +9,12 @@
 
 const (
 	maxViolations = 5 // that are reported
-	// settledWithin bounds how long a job may have been without an owner at the end of the run.
-	settledWithin = 2 * Sec
+	// maxFinalOwnerGap bounds how long a job may have been without an owner at the end of the run.
+	maxFinalOwnerGap = 2 * Sec
 )
 
-// grant names a grant of a job.
-type grant struct {
+// grantID names a grant of a job.
+type grantID struct {
 	job   string
 	token uint64
 }
@@ -22,19 +22,19 @@
 // checks remember what has happened in a run, and the violations found.
 type checks struct {
 	violations   []string
-	ownerOf      map[grant]string  // process and incarnation that started the job
-	highestToken map[string]uint64 // that a job was started under
-	stored       map[string]uint64 // highest checkpoint number that was reported as stored
-	ownedAt      map[string]Time   // last time that a job had an owner
+	ownerOf      map[grantID]string // process and incarnation that started the job
+	highestToken map[string]uint64  // that a job was started under
+	stored       map[string]uint64  // highest checkpoint number that was reported as stored
+	lastOwnedAt  map[string]Time    // last time that a job had an owner
 }
 
 func newChecks() *checks {
-	return &checks{ownerOf: map[grant]string{}, highestToken: map[string]uint64{}, stored: map[string]uint64{}, ownedAt: map[string]Time{}}
+	return &checks{ownerOf: map[grantID]string{}, highestToken: map[string]uint64{}, stored: map[string]uint64{}, lastOwnedAt: map[string]Time{}}
 }
 
-func (c *checks) hold() bool { return len(c.violations) == 0 }
+func (c *checks) passed() bool { return len(c.violations) == 0 }
 
-func (r *Run) fail(format string, args ...any) {
+func (r *Run) reportViolation(format string, args ...any) {
 	if len(r.checks.violations) < maxViolations {
 		r.checks.violations = append(r.checks.violations, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
 	}
@@ -44,19 +44,19 @@
 func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
-	if other, taken := c.ownerOf[grant{name, token}]; taken && other != owner {
-		r.fail("fencing token %d of %s is used by %s and by %s", token, name, other, owner)
+	if other, taken := c.ownerOf[grantID{name, token}]; taken && other != owner {
+		r.reportViolation("fencing token %d of %s is used by %s and by %s", token, name, other, owner)
 	}
-	c.ownerOf[grant{name, token}] = owner
+	c.ownerOf[grantID{name, token}] = owner
 	if token <= c.highestToken[name] {
-		r.fail("%s starts %s under token %d, after token %d", owner, name, token, c.highestToken[name])
+		r.reportViolation("%s starts %s under token %d, after token %d", owner, name, token, c.highestToken[name])
 	}
 	c.highestToken[name] = max(c.highestToken[name], token)
 	if number < c.stored[name] {
-		r.fail("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, number, c.stored[name])
+		r.reportViolation("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, number, c.stored[name])
 	}
 	if number > 0 && string(checkpoint) != string(checkpointOf(number)) {
-		r.fail("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, number)
+		r.reportViolation("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, number)
 	}
 }
 
@@ -69,7 +69,7 @@
 		}
 		if r.leads(p) {
 			if leader != "" {
-				r.fail("%s and %s both lead", leader, p.name)
+				r.reportViolation("%s and %s both lead", leader, p.name)
 			}
 			leader = p.name
 		}
@@ -78,7 +78,7 @@
 				continue
 			}
 			if other := owners[name]; other != "" {
-				r.fail("%s and %s both own %s", other, p.name, name)
+				r.reportViolation("%s and %s both own %s", other, p.name, name)
 			}
 			owners[name] = p.name
 		}
@@ -102,10 +102,10 @@
 		if owners[name] == "" {
 			continue
 		}
-		if at, had := r.checks.ownedAt[name]; had && r.now-at > stepInterval {
+		if at, had := r.checks.lastOwnedAt[name]; had && r.now-at > stepInterval {
 			r.OwnerGaps = append(r.OwnerGaps, r.now-at)
 		}
-		r.checks.ownedAt[name] = r.now
+		r.checks.lastOwnedAt[name] = r.now
 	}
 }
 
@@ -116,8 +116,8 @@
 	}
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
-		if at, had := r.checks.ownedAt[name]; !had || r.now-at > settledWithin {
-			r.fail("%s has had no owner since %d ms", name, at/Ms)
+		if at, had := r.checks.lastOwnedAt[name]; !had || r.now-at > maxFinalOwnerGap {
+			r.reportViolation("%s has had no owner since %d ms", name, at/Ms)
 		}
 	}
 }
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -67,7 +67,7 @@
 func (c coreEffects) Start(name string, token, number uint64, checkpoint []byte) error {
 	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
 	c.run.checkStart(c.process, name, token, number, checkpoint)
-	c.process.jobs[name] = &job{token: token, number: number, stepAt: c.run.localTime(c.process)}
+	c.process.jobs[name] = &job{token: token, sequence: number, nextStepAt: c.run.localTime(c.process)}
 	c.run.JobStarts++
 	return nil
 }
@@ -78,17 +78,17 @@
 	j := c.process.jobs[name]
 	delete(c.process.jobs, name)
 	if j == nil || j.token != token {
-		c.run.fail("%s stops %s under token %d, which it had not started", c.process.name, name, token)
+		c.run.reportViolation("%s stops %s under token %d, which it had not started", c.process.name, name, token)
 		return 0, nil
 	}
-	j.number++
-	return j.number, checkpointOf(j.number)
+	j.sequence++
+	return j.sequence, checkpointOf(j.sequence)
 }
 
 // ApplyEffect checks the order of what the fence has accepted.
 func (c coreEffects) ApplyEffect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
-		c.run.fail("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
+		c.run.reportViolation("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
 	}
 	c.process.accepted[name] = token
 	c.run.AcceptedEffects++
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -4,20 +4,20 @@
 
 var errDiskFull = errors.New("no space left")
 
-// losesDiskAbove is the Part above which a process that is killed loses its disk.
-const losesDiskAbove = 0.35
+// diskLossThreshold is the Part above which a process that is killed loses its disk.
+const diskLossThreshold = 0.35
 
 // clockStep turns a Part into a step of the wall clock, by at most an hour either way.
-func clockStep(part float64) Time { return Time((part - maxPart/2) * 5 * 3600 * float64(Sec)) }
+func clockStep(part float64) Time { return Time((part - maxAmount/2) * 5 * 3600 * float64(Sec)) }
 
-func (r *Run) begin(f Fault) {
+func (r *Run) beginFault(f Fault) {
 	Trace(r.now, "", "fault", []any{f})
 	p := r.processes[f.Process]
 	switch f.Kind {
 	case faultPause:
 		r.pause(p, f.Duration)
 	case faultKill:
-		r.kill(p, f.Amount > losesDiskAbove && r.mayDamageDisk(f.Process))
+		r.kill(p, f.Amount > diskLossThreshold && r.mayDamageDisk(f.Process))
 	case faultAllKilled:
 		for _, p := range r.processes {
 			r.kill(p, false)
@@ -60,7 +60,7 @@
 		p.disk.Fail = nil
 		r.restart(p)
 	case faultCopyBack:
-		r.putDiskBack(p)
+		r.restoreDiskCopy(p)
 	case faultPause, faultHeldBack, faultClock: // these end by their time, or last
 	case faultLoss:
 		r.network.loss = 0
@@ -89,7 +89,7 @@
 	}
 }
 
-func (r *Run) putDiskBack(p *process) {
+func (r *Run) restoreDiskCopy(p *process) {
 	if p.diskCopy == nil {
 		return
 	}
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -9,11 +9,11 @@
 
 // Delays of a message; with loss some are late by more.
 const (
-	minDelay        = Ms
-	delaySpread     = 4 * Ms
-	lateOneIn       = 5 // with loss, one message in so many is late
-	lateBySpread    = 300 * Ms
-	duplicateCopies = 2
+	minDelay           = Ms
+	delaySpread        = 4 * Ms
+	lateMessageDivisor = 5 // with loss, one message in so many is late
+	extraDelaySpread   = 300 * Ms
+	duplicateCopies    = 2
 )
 
 // envelope is a message on its way.
@@ -49,8 +49,8 @@
 	to, known := n.peers[peer]
 	r.MessagesSent++
 	r.BytesSent += len(message)
-	if r.sent != nil {
-		r.sent(p.index, peer, group, message)
+	if r.onSend != nil {
+		r.onSend(p.index, peer, group, message)
 	}
 	if !known || n.cuts[p.index][to] > 0 {
 		return
@@ -65,15 +65,15 @@
 		}
 		n.sequence++
 		n.inFlight = append(n.inFlight, envelope{sender: p.index, receiver: to, group: group, data: slices.Clone(message),
-			deliverAt: max(r.arrival(), n.delayedUntil[p.index]), sequence: n.sequence})
+			deliverAt: max(r.arrivalTime(), n.delayedUntil[p.index]), sequence: n.sequence})
 	}
 }
 
-// arrival draws when a message that is sent now arrives.
-func (r *Run) arrival() Time {
+// arrivalTime draws when a message that is sent now arrives.
+func (r *Run) arrivalTime() Time {
 	at := r.now + minDelay + r.rng.Int64N(delaySpread)
-	if r.network.loss > 0 && r.rng.IntN(lateOneIn) == 0 {
-		at += r.rng.Int64N(lateBySpread)
+	if r.network.loss > 0 && r.rng.IntN(lateMessageDivisor) == 0 {
+		at += r.rng.Int64N(extraDelaySpread)
 	}
 	return at
 }
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -44,40 +44,40 @@
 var FaultKinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
-	maxFaults      = 6
-	minFaultTime   = 100 * Ms
-	faultTimeRange = 8 * Sec
-	maxPart        = 0.4
-	// longOneIn of the faults last longTimes as long.
-	longOneIn = 6
-	longTimes = 4
+	maxFaults           = 6
+	minFaultDuration    = 100 * Ms
+	faultDurationSpread = 8 * Sec
+	maxAmount           = 0.4
+	// longFaultDivisor of the faults last longTimes as long.
+	longFaultDivisor = 6
+	longFaultFactor  = 4
 )
 
 // Plan draws faults, in the order in which they begin.
 func Plan(rng *rand.Rand, c Config) (plan []Fault) {
 	n := 1 + rng.IntN(maxFaults)
 	for range n {
-		plan = append(plan, drawFault(rng, c))
+		plan = append(plan, randomFault(rng, c))
 	}
 	sort.SliceStable(plan, func(i, j int) bool { return plan[i].BeginsAt < plan[j].BeginsAt })
 	return plan
 }
 
-func drawFault(rng *rand.Rand, c Config) Fault {
+func randomFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
 		Kind:         FaultKinds[rng.IntN(len(FaultKinds))],
 		BeginsAt:     rng.Int64N(c.FaultPeriod),
-		Duration:     minFaultTime + rng.Int64N(faultTimeRange),
+		Duration:     minFaultDuration + rng.Int64N(faultDurationSpread),
 		Process:      rng.IntN(c.Processes),
 		OtherProcess: rng.IntN(c.Processes),
-		Amount:       rng.Float64() * maxPart,
+		Amount:       rng.Float64() * maxAmount,
 	}
 	needsDisk := f.Kind == faultCopyBack || f.Kind == faultFull
 	if needsDisk && !c.Disks || f.Process == f.OtherProcess {
 		f.Kind = faultPause
 	}
-	if rng.IntN(longOneIn) == 0 {
-		f.Duration *= longTimes
+	if rng.IntN(longFaultDivisor) == 0 {
+		f.Duration *= longFaultFactor
 	}
 	return f
 }
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -29,7 +29,7 @@
 	table       *ownership.Table
 	fence       *ownership.Fence
 	clockZero   Time // of the monotonic clock
-	tickAt      Time // true time
+	nextTickAt  Time // true time
 	pausedUntil Time // 0: it runs
 	jobs        map[string]*job
 	accepted    map[string]ownership.FencingToken // last effect of each job, as the checks see it
@@ -41,8 +41,8 @@
 
 // job is one that a process owns, from Start to Stop.
 type job struct {
-	token, number uint64
-	stepAt        Time // local
+	token, sequence uint64
+	nextStepAt      Time // local
 }
 
 const (
@@ -81,7 +81,7 @@
 		panic(err)
 	}
 	p.core = core
-	p.tickAt = r.now + r.rng.Int64N(tickInterval)
+	p.nextTickAt = r.now + r.rng.Int64N(tickInterval)
 }
 
 func jobName(i int) string { return fmt.Sprintf("job%d", i) }
@@ -130,16 +130,16 @@
 	r.start(p)
 }
 
-// run gives a process its turn.
-func (r *Run) run(p *process) {
+// stepProcess gives a process its turn.
+func (r *Run) stepProcess(p *process) {
 	if !r.awake(p) {
 		return
 	}
 	if p.pausedUntil > 0 {
 		r.wake(p)
 	}
-	if r.now >= p.tickAt {
-		p.tickAt = r.now + tickInterval
+	if r.now >= p.nextTickAt {
+		p.nextTickAt = r.now + tickInterval
 		r.tick(p)
 	}
 }
@@ -164,10 +164,10 @@
 	p.core.Tick(now)
 	for _, name := range p.jobNames() {
 		j := p.jobs[name]
-		if j == nil || now < j.stepAt || !p.core.IsOwner(now, name, j.token) {
+		if j == nil || now < j.nextStepAt || !p.core.IsOwner(now, name, j.token) {
 			continue
 		}
-		j.stepAt = now + jobStepInterval
+		j.nextStepAt = now + jobStepInterval
 		r.nextEffect(p, name, j)()
 	}
 }
@@ -177,8 +177,8 @@
 // nextEffect is what a job does after its process has checked that it owns it: an effect for all receivers, and every checkpointEvery steps a
 // checkpoint.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
-	j.number++
-	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.incarnation
+	j.sequence++
+	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.sequence}, p.incarnation
 	return func() {
 		if !p.running || p.incarnation != incarnation {
 			return
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -20,7 +20,7 @@
 	if cfg.Disks {
 		stateIn = "disk"
 	}
-	r.sent = func(from int, peer uint32, group bool, message []byte) {
+	r.onSend = func(from int, peer uint32, group bool, message []byte) {
 		digest.Add("%d %d to %08x, group %t: %x", r.now, from, peer, group, message)
 		if samples != nil && len(message) > 0 {
 			kind := fmt.Sprintf("owners-%d", message[0])
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -26,8 +26,8 @@
 const (
 	stepInterval = 10 * Ms
 	tickInterval = 50 * Ms // between two ticks of one process, true time
-	// calmTime is played after the last fault; by its end every job must have an owner.
-	calmTime = 40 * Sec
+	// faultFreeTime is played after the last fault; by its end every job must have an owner.
+	faultFreeTime = 40 * Sec
 
 	defaultFaultPeriod = 30 * Sec
 )
@@ -73,8 +73,8 @@
 	active    []Fault
 	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
 	damagedDisks map[int]bool
-	// sent is called with each message, also with those that are lost; nil: it is not.
-	sent func(from int, peer uint32, group bool, message []byte)
+	// onSend is called with each message, also with those that are lost; nil: it is not.
+	onSend func(from int, peer uint32, group bool, message []byte)
 }
 
 // New makes a fleet and starts its processes.
@@ -113,29 +113,29 @@
 
 // Play plays the faults and then calm time. The error is ErrCheckFailed, with the violations.
 func (r *Run) Play() error {
-	for end := r.end(); r.now < end && r.checks.hold(); r.now += stepInterval {
+	for end := r.endTime(); r.now < end && r.checks.passed(); r.now += stepInterval {
 		r.beginFaults()
 		r.endFaults()
 		r.deliverDue()
 		for _, p := range r.processes {
-			r.run(p)
+			r.stepProcess(p)
 		}
 		r.checkOwners()
 	}
-	if r.checks.hold() {
+	if r.checks.passed() {
 		r.checkSettled()
 	}
-	if !r.checks.hold() {
+	if !r.checks.passed() {
 		return fmt.Errorf("%w: seed %d, %d processes, %d voters, disks %t: %s",
 			ErrCheckFailed, r.cfg.Seed, r.cfg.Processes, r.cfg.Voters, r.cfg.Disks, strings.Join(r.checks.violations, "; "))
 	}
 	return nil
 }
 
-func (r *Run) end() Time {
-	end := r.cfg.FaultPeriod + calmTime
+func (r *Run) endTime() Time {
+	end := r.cfg.FaultPeriod + faultFreeTime
 	for _, f := range r.plan {
-		end = max(end, f.BeginsAt+f.Duration+calmTime)
+		end = max(end, f.BeginsAt+f.Duration+faultFreeTime)
 	}
 	return end
 }
@@ -144,7 +144,7 @@
 	for len(r.plan) > 0 && r.plan[0].BeginsAt <= r.now {
 		f := r.plan[0]
 		r.plan = r.plan[1:]
-		r.begin(f)
+		r.beginFault(f)
 		r.active = append(r.active, f)
 	}
 }
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -80,9 +80,9 @@
 	t.Logf("%d effects accepted, %d rejected as stale", o.acceptedEffects, o.rejectedEffects)
 }
 
-// TestPlantedFaults: the checks find each injected fault within 1,000 plans. firstSeed lies just before a plan that finds it, which keeps the test
+// TestInjectedFaults: the checks find each injected fault within 1,000 plans. firstSeed lies just before a plan that finds it, which keeps the test
 // short; with OWNERS_FIRST=1 all plans are played.
-func TestPlantedFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		inject    func(c *Config)
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -97,7 +97,7 @@
 // handleQuery answers a query as the owner, or forwards it as the coordinator.
 func (c *Core) handleQuery(m queryMessage) {
 	if c.participant.owns(m.job) {
-		c.effects.QueryReceived(m.asker, m.job, m.tag, m.body)
+		c.effects.QueryReceived(m.requester, m.job, m.tag, m.body)
 		return
 	}
 	c.coordinator.forwardQuery(m)
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// drawnCommand is a random command on a table.
-type drawnCommand struct {
+// randomCommand is a random command on a table.
+type randomCommand struct {
 	kind   commandKind
 	job    string
 	token  uint64
 	number uint64 // of the checkpoint
 }
 
-func drawCommand(t *rapid.T) drawnCommand {
-	return drawnCommand{
+func generateCommand(t *rapid.T) randomCommand {
+	return randomCommand{
 		job:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job"),
 		token:  uint64(rapid.IntRange(0, 6).Draw(t, "token")),
 		number: uint64(rapid.IntRange(0, 4).Draw(t, "number")),
@@ -25,7 +25,7 @@
 	}
 }
 
-func (d drawnCommand) command() tableCommand {
+func (d randomCommand) command() tableCommand {
 	checkpoint := []byte(fmt.Sprint("checkpoint ", d.number))
 	switch d.kind {
 	case kindGrant:
@@ -41,7 +41,7 @@
 }
 
 // isStale reports whether a command must change nothing in a row: its token is below the row's, or a grant does not rise above it.
-func (d drawnCommand) isStale(row JobRecord) bool {
+func (d randomCommand) isStale(row JobRecord) bool {
 	return d.kind != kindRegister && (d.token < row.Token || d.token == row.Token && d.kind == kindGrant)
 }
 
@@ -54,7 +54,7 @@
 }
 
 // checkApplied checks a row after a command.
-func (d drawnCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
+func (d randomCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
 	t.Helper()
 	if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
 		t.Fatalf("%v: token or checkpoint number falls: %+v after %+v", d.kind, after, before)
@@ -85,7 +85,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			d := drawCommand(t)
+			d := generateCommand(t)
 			before := rowCopy(table, d.job)
 			applied := table.Apply(d.command().encode())[0] == resultApplied
 			if table.Job(d.job) == nil {
