--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -22,7 +22,7 @@
 	case kindLeaseRequest:
 		m = decodeLeaseRequest(&r)
 	case kindLeaseGranted:
-		m = leaseGranted{sequence: r.Uint(), incarnation: r.Uint(), epoch: r.Uint(), wantsOffer: r.Bool()}
+		m = leaseGranted{sequence: r.Uint(), incarnation: r.Uint(), epoch: r.Uint(), requestsOffer: r.Bool()}
 	case kindLeaderRedirect:
 		m = leaderRedirect{leader: uint32(r.Uint())}
 	case kindJobOffer:
@@ -32,7 +32,7 @@
 	case kindJobReleased:
 		m = decodeJobReleased(&r)
 	case kindStoreCheckpoint:
-		m = storeCheckpoint{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpoint)}
+		m = storeCheckpoint{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), checkpoint: r.Bytes(MaxCheckpointBytes)}
 	case kindCheckpointResult:
 		m = checkpointResult{job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), stored: r.Bool()}
 	case kindEffect:
@@ -44,7 +44,7 @@
 	case kindMoveReply:
 		m = moveReply{tag: r.Uint(), refusal: r.Text(maxReasonBytes)}
 	case kindQuery:
-		m = queryMessage{job: r.Text(maxNameBytes), tag: r.Uint(), asker: uint32(r.Uint()), body: r.Bytes(maxBodyBytes), encoded: data}
+		m = queryMessage{job: r.Text(maxNameBytes), tag: r.Uint(), requester: uint32(r.Uint()), body: r.Bytes(maxBodyBytes), encoded: data}
 	case kindQueryReply:
 		m = queryReply{tag: r.Uint(), body: r.Bytes(maxBodyBytes)}
 	default:
@@ -84,7 +84,7 @@
 }
 
 func decodeLeaseRequest(r *encoding.Reader) leaseRequest {
-	return leaseRequest{sender: decodeProcessID(r), sequence: r.Uint(), able: r.Bool(), epoch: r.Uint(), listSequence: r.Uint()}
+	return leaseRequest{sender: decodeProcessID(r), sequence: r.Uint(), eligible: r.Bool(), epoch: r.Uint(), listSequence: r.Uint()}
 }
 
 func decodeJobOffer(r *encoding.Reader) jobOffer {
@@ -99,7 +99,7 @@
 	m := jobList{incarnation: r.Uint(), epoch: r.Uint(), sequence: r.Uint()}
 	for n := r.Count(MaxJobs); n > 0; n-- {
 		m.jobs = append(m.jobs, listedJob{
-			job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), handover: r.Bool(), checkpoint: r.Bytes(MaxCheckpoint)})
+			job: r.Text(maxNameBytes), token: r.Uint(), checkpointNumber: r.Uint(), handover: r.Bool(), checkpoint: r.Bytes(MaxCheckpointBytes)})
 	}
 	return m
 }
@@ -107,12 +107,12 @@
 func decodeJobReleased(r *encoding.Reader) jobReleased {
 	return jobReleased{
 		sender:           decodeProcessID(r),
-		able:             r.Bool(),
+		eligible:         r.Bool(),
 		job:              r.Text(maxNameBytes),
 		token:            r.Uint(),
 		higherToken:      r.Uint(),
 		checkpointNumber: r.Uint(),
-		checkpoint:       r.Bytes(MaxCheckpoint),
+		checkpoint:       r.Bytes(MaxCheckpointBytes),
 		reason:           r.Text(maxReasonBytes),
 	}
 }
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -29,7 +29,7 @@
 	table       *ownership.Table
 	fence       *ownership.Fence
 	clockZero   Time // of the monotonic clock
-	tickAt      Time // true time
+	nextTickAt  Time // true time
 	pausedUntil Time // 0: it runs
 	jobs        map[string]*job
 	accepted    map[string]ownership.FencingToken // last effect of each job, as the checks see it
@@ -41,8 +41,8 @@
 
 // job is one that a process owns, from Start to Stop.
 type job struct {
-	token, number uint64
-	stepAt        Time // local
+	token, sequence uint64
+	nextStepAt      Time // local
 }
 
 const (
@@ -70,7 +70,7 @@
 		Name:        p.name,
 		Incarnation: p.incarnation,
 		Voters:      r.voterNames(),
-		Wall:        func() int64 { return (r.now + p.wallOffset) / Ms },
+		WallClock:   func() int64 { return (r.now + p.wallOffset) / Ms },
 		Faults:      r.cfg.ProgramFaults,
 	}
 	for j := range r.cfg.Jobs {
@@ -81,7 +81,7 @@
 		panic(err)
 	}
 	p.core = core
-	p.tickAt = r.now + r.rng.Int64N(tickInterval)
+	p.nextTickAt = r.now + r.rng.Int64N(tickInterval)
 }
 
 func jobName(i int) string { return fmt.Sprintf("job%d", i) }
@@ -95,7 +95,7 @@
 
 // openGroup opens a voter's group. A voter whose disk can't be opened has none.
 func (r *Run) openGroup(p *process) {
-	machines := map[byte]consensus.Machine{ownership.Machine: p.table}
+	machines := map[byte]consensus.Machine{ownership.MachineNumber: p.table}
 	seed := r.rng.Uint64()
 	if r.cfg.Disks {
 		cfg := consensus.Config{Group: "sim", Name: p.name, InitialVoters: r.voterNames(), Seed: seed, ElectionTicks: 6, SnapshotEvery: 40, TrailingEntries: 10}
@@ -104,7 +104,7 @@
 		}
 		return
 	}
-	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, Clock: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
+	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, WallClockAtStart: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
 		Faults: r.cfg.ProgramFaults}
 	q, err := ownership.NewQuorum(cfg, machines, groupEffects{r, p})
 	if err != nil {
@@ -130,16 +130,16 @@
 	r.start(p)
 }
 
-// run gives a process its turn.
-func (r *Run) run(p *process) {
+// stepProcess gives a process its turn.
+func (r *Run) stepProcess(p *process) {
 	if !r.awake(p) {
 		return
 	}
 	if p.pausedUntil > 0 {
 		r.wake(p)
 	}
-	if r.now >= p.tickAt {
-		p.tickAt = r.now + tickInterval
+	if r.now >= p.nextTickAt {
+		p.nextTickAt = r.now + tickInterval
 		r.tick(p)
 	}
 }
@@ -164,10 +164,10 @@
 	p.core.Tick(now)
 	for _, name := range p.jobNames() {
 		j := p.jobs[name]
-		if j == nil || now < j.stepAt || !p.core.Holds(now, name, j.token) {
+		if j == nil || now < j.nextStepAt || !p.core.IsOwner(now, name, j.token) {
 			continue
 		}
-		j.stepAt = now + jobStepInterval
+		j.nextStepAt = now + jobStepInterval
 		r.nextEffect(p, name, j)()
 	}
 }
@@ -177,8 +177,8 @@
 // nextEffect is what a job does after its process has checked that it owns it: an effect for all receivers, and every checkpointEvery steps a
 // checkpoint.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
-	j.number++
-	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.number}, p.incarnation
+	j.sequence++
+	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.sequence}, p.incarnation
 	return func() {
 		if !p.running || p.incarnation != incarnation {
 			return
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -20,7 +20,7 @@
 	if cfg.Disks {
 		stateIn = "disk"
 	}
-	r.sent = func(from int, peer uint32, group bool, message []byte) {
+	r.onSend = func(from int, peer uint32, group bool, message []byte) {
 		digest.Add("%d %d to %08x, group %t: %x", r.now, from, peer, group, message)
 		if samples != nil && len(message) > 0 {
 			kind := fmt.Sprintf("owners-%d", message[0])
@@ -35,7 +35,7 @@
 		digest.Add("%x", p.table.Snapshot())
 	}
 	// The keys are those of the golden file.
-	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.Effects, r.Rejected, r.Starts, r.Checkpoints, err == nil, digest)
+	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.AcceptedEffects, r.RejectedEffects, r.JobStarts, r.Checkpoints, err == nil, digest)
 }
 
 // TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -26,8 +26,8 @@
 const (
 	stepInterval = 10 * Ms
 	tickInterval = 50 * Ms // between two ticks of one process, true time
-	// calmTime is played after the last fault; by its end every job must have an owner.
-	calmTime = 40 * Sec
+	// faultFreeTime is played after the last fault; by its end every job must have an owner.
+	faultFreeTime = 40 * Sec
 
 	defaultFaultPeriod = 30 * Sec
 )
@@ -38,7 +38,7 @@
 	Disks                   bool // voters keep their state on disk (consensus), or else in memory (ownership.Quorum)
 	Seed                    uint64
 	FaultPeriod             Time // the period in which faults begin; default 30 s
-	Calm                    bool // no faults at all
+	NoFaults                bool // no faults at all
 	// Faults of the program, which the checks have to find: injected ones, and a disk that loses with a crash what it has acknowledged.
 	ProgramFaults ownership.FaultInjection
 	SkipSync      bool
@@ -49,15 +49,15 @@
 
 // Stats are what happened in a run. Checks that hold mean nothing where nothing happened.
 type Stats struct {
-	Effects            int    // accepted by receivers
-	Rejected           int    // stale, as reported to owners
-	Starts             int    // of jobs
+	AcceptedEffects    int    // accepted by receivers
+	RejectedEffects    int    // stale, as reported to owners
+	JobStarts          int    // of jobs
 	Checkpoints        int    // checkpoints stored
 	Elections          int    // elections of a leader of the group
 	UncertainElections int    // those after which the table may lack something
-	Gaps               []Time // times without an owner, of all jobs
-	Sent               int    // messages
-	Bytes              int    // of them
+	OwnerGaps          []Time // times without an owner, of all jobs
+	MessagesSent       int    // messages
+	BytesSent          int    // of them
 }
 
 // Run is one fleet.
@@ -73,8 +73,8 @@
 	active    []Fault
 	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
 	damagedDisks map[int]bool
-	// sent is called with each message, also with those that are lost; nil: it is not.
-	sent func(from int, peer uint32, group bool, message []byte)
+	// onSend is called with each message, also with those that are lost; nil: it is not.
+	onSend func(from int, peer uint32, group bool, message []byte)
 }
 
 // New makes a fleet and starts its processes.
@@ -95,7 +95,7 @@
 		r.network.peers[consensus.PeerID(p.name)] = i
 		r.processes = append(r.processes, p)
 	}
-	if !c.Calm {
+	if !c.NoFaults {
 		r.plan = Plan(r.rng, c)
 	}
 	for _, p := range r.processes {
@@ -113,29 +113,29 @@
 
 // Play plays the faults and then calm time. The error is ErrCheckFailed, with the violations.
 func (r *Run) Play() error {
-	for end := r.end(); r.now < end && r.checks.hold(); r.now += stepInterval {
+	for end := r.endTime(); r.now < end && r.checks.passed(); r.now += stepInterval {
 		r.beginFaults()
 		r.endFaults()
 		r.deliverDue()
 		for _, p := range r.processes {
-			r.run(p)
+			r.stepProcess(p)
 		}
 		r.checkOwners()
 	}
-	if r.checks.hold() {
+	if r.checks.passed() {
 		r.checkSettled()
 	}
-	if !r.checks.hold() {
+	if !r.checks.passed() {
 		return fmt.Errorf("%w: seed %d, %d processes, %d voters, disks %t: %s",
 			ErrCheckFailed, r.cfg.Seed, r.cfg.Processes, r.cfg.Voters, r.cfg.Disks, strings.Join(r.checks.violations, "; "))
 	}
 	return nil
 }
 
-func (r *Run) end() Time {
-	end := r.cfg.FaultPeriod + calmTime
+func (r *Run) endTime() Time {
+	end := r.cfg.FaultPeriod + faultFreeTime
 	for _, f := range r.plan {
-		end = max(end, f.BeginsAt+f.Duration+calmTime)
+		end = max(end, f.BeginsAt+f.Duration+faultFreeTime)
 	}
 	return end
 }
@@ -144,7 +144,7 @@
 	for len(r.plan) > 0 && r.plan[0].BeginsAt <= r.now {
 		f := r.plan[0]
 		r.plan = r.plan[1:]
-		r.begin(f)
+		r.beginFault(f)
 		r.active = append(r.active, f)
 	}
 }
