--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -6,7 +6,8 @@
 	"croftlock/internal/balancer"
 )
 
-// CheckAttempt says which rule forbids to begin a further attempt at a host now; None: it may begin.
+// CheckAttempt returns the rule that forbids the request to begin another attempt at h at time now,
+// or None if the attempt may begin. It counts a blocked attempt.
 func (r *Request) CheckAttempt(now int64, h Host) Rule {
 	rule := r.checkSend(now, h)
 	if rule == None {
@@ -18,12 +19,14 @@
 	return r.Monitor.countBlocked(rule)
 }
 
-// CheckWrite says which rule forbids to write the first line of the attempt in flight; None: it may be written.
+// CheckWrite returns the rule that forbids the attempt in flight to write its first line to h at time
+// now, or None if the line may be written. It counts a blocked write.
 func (r *Request) CheckWrite(now int64, h Host) Rule {
 	return r.Monitor.countBlocked(r.checkSend(now, h))
 }
 
-// checkSend applies the rules on sending to a host, for the start of an attempt and again for the write of its line.
+// checkSend applies the rules on sending to a host. They apply when an attempt begins and again when
+// its first line is written.
 func (r *Request) checkSend(now int64, h Host) Rule {
 	switch {
 	case r.isOver():
@@ -38,7 +41,7 @@
 	return r.checkRetry(now, h)
 }
 
-// checkRetry applies the rules on sending a request to a host after an earlier attempt that may have run.
+// checkRetry applies the rules on retrying a request of which an earlier attempt may have run.
 func (r *Request) checkRetry(now int64, h Host) Rule {
 	switch {
 	case !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent:
@@ -53,7 +56,8 @@
 	return None
 }
 
-// sharesDedupMemory reports whether a host discards a retry of what the first host may have run.
+// sharesDedupMemory reports whether h shares its dedup memory with the host of the first attempt that
+// may have run, so that it discards a retry.
 func (r *Request) sharesDedupMemory(h Host) bool {
 	switch r.Class.DedupScope {
 	case balancer.ScopeZone:
@@ -71,8 +75,9 @@
 	return None
 }
 
-// RetryUntil is the time, in nanoseconds, from which on no first line may be written: hosts discard retries with an idempotency key
-// for the dedup window after the first attempt that may have run, and a later one would run twice. math.MaxInt64: no such time.
+// RetryUntil returns the time, in nanoseconds, from which no first line may be written. Hosts discard
+// retries with an idempotency key during the dedup window, which begins with the first attempt that
+// may have run; a later retry would run twice. RetryUntil returns math.MaxInt64 if there is no limit.
 func (r *Request) RetryUntil() int64 {
 	if !r.mayHaveRun || r.Class.Idempotency != balancer.IdempotentWithKey {
 		return math.MaxInt64
@@ -80,20 +85,21 @@
 	return r.firstRunAt + r.Class.DedupWindow
 }
 
-// MayHaveRun reports whether an attempt may have run: one that has ended, or the one in flight.
+// MayHaveRun reports whether an attempt that has ended, or the attempt in flight, may have run.
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun || r.attemptInFlight && r.lineWritten }
 
-// MayReject reports whether the request may be rejected. A rejection promises that a retry by the client, at any host, is harmless: for a request
-// that may have run that is true only where a second run has no effect, or where all hosts discard it.
+// MayReject reports whether the request may be rejected. A rejection promises that a retry by the
+// client, at any host, is harmless. If the request may have run, that is true only if a second run has
+// no effect or all hosts discard it.
 func (r *Request) MayReject() bool {
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// MayPlaceAgain reports whether the request may be placed by an instance of the decision module that knows nothing of its earlier
-// attempts.
+// MayPlaceAgain reports whether the request may be placed by an instance of the decision module that
+// does not know its earlier attempts.
 func (r *Request) MayPlaceAgain() bool {
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
 
-// isOver reports whether nothing may begin any more.
+// isOver reports whether the request has its answer or its client has left, so that nothing may begin.
 func (r *Request) isOver() bool { return r.client != awaitingAnswer }
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -8,10 +8,11 @@
 
 const second = int64(1e9)
 
-// servedOnce is a request of a class that has begun to be served: one attempt may have run at zone a, cell 1.
-func servedOnce(effect balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
+// servedOnce returns a request of which one attempt, begun at second 1, may have run in zone a, cell 1,
+// and its monitor. Its dedup window is 2 s.
+func servedOnce(idempotency balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
-	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: effect, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
+	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: idempotency, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
 	h := Host{Zone: "a", Cell: 1}
 	r.AttemptBegan(1*second, h)
 	r.LineWritten(1*second+1, 1*second, h)
@@ -19,15 +20,15 @@
 	return r, m
 }
 
-// A forbidden attempt is blocked, and counted as broken where it begins all the same.
+// TestRetries checks that a forbidden attempt is blocked, and counted as broken if it begins anyway.
 func TestRetries(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
-		effect balancer.Idempotency
-		scope  balancer.DedupScope
-		at     int64
-		to     Host
-		want   Rule
+		idempotency balancer.Idempotency
+		scope       balancer.DedupScope
+		at          int64
+		to          Host
+		want        Rule
 	}{
 		{balancer.Idempotent, balancer.ScopeAll, 9 * second, far, None},
 		{balancer.Idempotent, balancer.ScopeAll, 10 * second, far, BeforeDeadline},
@@ -39,21 +40,21 @@
 		{balancer.IdempotentWithKey, balancer.ScopeZone, 2 * second, far, RetryWithinScope},
 		{balancer.IdempotentWithKey, balancer.ScopeCell, 2 * second, far, RetryWithinScope},
 	} {
-		r, m := servedOnce(c.effect, c.scope)
+		r, m := servedOnce(c.idempotency, c.scope)
 		if got := r.CheckAttempt(c.at, c.to); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: CheckAttempt = %v, want %v", c, got, c.want)
 		}
 		r.AttemptBegan(c.at+int64(MaxPause), c.to)
 		if m.Counts.Broken[c.want] != 1 && c.want != None {
-			t.Errorf("%+v: carried out all the same, and not counted: %v", c, m.Counts)
+			t.Errorf("%+v: the attempt began anyway: Counts.Broken[%v] = %d, want 1", c, c.want, m.Counts.Broken[c.want])
 		}
 		if broken, blocked := m.Counts.Sum(); c.want == None && broken+blocked > 0 {
-			t.Errorf("%+v: %v", c, m.Counts)
+			t.Errorf("%+v: the attempt is allowed, but counted: %d broken, %d blocked, want 0, 0", c, broken, blocked)
 		}
 	}
 }
 
-// Each rule that an action can break is counted once, by the action that breaks it.
+// TestBrokenRulesAreCounted checks that an action that breaks a rule counts once, for that rule.
 func TestBrokenRulesAreCounted(t *testing.T) {
 	h := Host{Zone: "a", Cell: 1}
 	for rule, f := range map[Rule]func(r *Request){
@@ -73,31 +74,32 @@
 		r, m := servedOnce(balancer.Idempotent, balancer.ScopeAll)
 		f(r)
 		if broken, _ := m.Counts.Sum(); broken != 1 || m.Counts.Broken[rule] != 1 {
-			t.Errorf("%v: %v", rule, m.Counts.Broken)
+			t.Errorf("an action that breaks %v: %d broken, %d of them %v, want 1 and 1 (Broken = %v)", rule, broken, m.Counts.Broken[rule], rule, m.Counts.Broken)
 		}
 	}
 	r, m := servedOnce(balancer.NotIdempotent, balancer.ScopeAll)
 	r.Failed(2 * second)
 	r.ClosedByProxy()
 	if broken, _ := m.Counts.Sum(); broken != 0 {
-		t.Errorf("an answered request: %v", m.Counts.Broken)
+		t.Errorf("closing an answered request: %d broken, want 0 (Broken = %v)", broken, m.Counts.Broken)
 	}
 }
 
-// An attempt that surely has not run leaves a request as it was, and one whose line is written may run while it is in flight.
+// TestAttemptThatHasNotRun checks that an attempt may have run from the write of its line on, and that
+// an attempt known not to have run forbids neither a retry nor a rejection.
 func TestAttemptThatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, MaxAttempts: 3}
 	r.AttemptBegan(1, Host{})
 	if r.MayHaveRun() {
-		t.Error("it runs before it is written")
+		t.Error("MayHaveRun = true before the line is written, want false")
 	}
 	r.LineWritten(2, 1, Host{})
 	if !r.MayHaveRun() || r.MayReject() {
-		t.Error("it can't run though it is written")
+		t.Errorf("after the line is written: MayHaveRun = %t, MayReject = %t, want true, false", r.MayHaveRun(), r.MayReject())
 	}
 	r.AttemptEnded(true)
 	if r.MayHaveRun() || !r.MayReject() || r.CheckAttempt(3, Host{}) != None {
-		t.Error("it has run though its host says that it has not")
+		t.Errorf("after an attempt that has not run: MayHaveRun = %t, MayReject = %t, want false, true, and CheckAttempt = None", r.MayHaveRun(), r.MayReject())
 	}
 }
--- a/internal/dataplane/invariant/monitor.go
+++ b/internal/dataplane/invariant/monitor.go
@@ -1,11 +1,11 @@
 package invariant
 
-// Counts are how often each rule was broken, and how often one blocked an action.
+// Counts holds, per rule, how many actions broke the rule and how many it blocked.
 type Counts struct {
 	Broken, Blocked [ruleCount]int64
 }
 
-// Sum adds up all rules.
+// Sum returns the totals over all rules.
 func (c *Counts) Sum() (broken, blocked int64) {
 	for r := range c.Broken {
 		broken += c.Broken[r]
@@ -14,20 +14,22 @@
 	return broken, blocked
 }
 
-// Monitor counts for one process, and knows whether the process still begins work.
+// Monitor counts the broken rules and blocked actions of one process. It belongs to the event loop.
 type Monitor struct {
 	Counts Counts
-	closed bool
+	closed bool // no work may begin any more; see Close
 	report func(r Rule, id string)
 }
 
-// NewMonitor makes a Monitor. report is called for each action that broke a rule, with the request's ID.
+// NewMonitor returns a Monitor that calls report, with the request's ID, for each action that broke a
+// rule.
 func NewMonitor(report func(r Rule, id string)) *Monitor { return &Monitor{report: report} }
 
-// Close says that the process, which shuts down, has answered all requests: nothing begins from here on.
+// Close records that the process, which is shutting down, has answered all requests. From then on
+// NothingAfterShutdown forbids every attempt.
 func (m *Monitor) Close() { m.closed = true }
 
-// countBlocked counts an action that a rule forbids, and gives the rule back.
+// countBlocked counts an action that r forbids, and returns r. None counts nothing.
 func (m *Monitor) countBlocked(r Rule) Rule {
 	if r != None {
 		m.Counts.Blocked[r]++
@@ -35,7 +37,8 @@
 	return r
 }
 
-// countBroken counts an action that was carried out against a rule.
+// countBroken counts and reports an action that was carried out although r forbids it. None counts
+// nothing.
 func (m *Monitor) countBroken(r Rule, id string) {
 	if r == None {
 		return
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -1,6 +1,6 @@
 package invariant
 
-// AttemptBegan records that an attempt at a host goes out.
+// AttemptBegan records that an attempt at h begins at time now.
 func (r *Request) AttemptBegan(now int64, h Host) {
 	rule := r.checkAttemptLimit()
 	if r.attemptInFlight {
@@ -14,8 +14,8 @@
 	r.attemptInFlight, r.lineWritten = true, false
 }
 
-// LineWritten records that the last byte of the attempt's first line is written: from here on its host may act on it. begun is when
-// the attempt began; h is its host as it is now.
+// LineWritten records that the last byte of the attempt's first line has been written, so that its
+// host may act on it. begun is the time at which the attempt began; h is the host's present state.
 func (r *Request) LineWritten(now, begun int64, h Host) {
 	if !r.attemptInFlight || r.lineWritten {
 		r.Monitor.countBroken(SingleAttempt, r.ID)
@@ -27,8 +27,8 @@
 	}
 }
 
-// AttemptEnded records the end of the attempt, and whether its host says that it has not run. One whose line was not written has not
-// in any case.
+// AttemptEnded records the end of the attempt in flight. notRun reports whether the attempt is known
+// not to have run; an attempt whose first line was not written has not run in any case.
 func (r *Request) AttemptEnded(notRun bool) {
 	r.attemptInFlight = false
 	if r.lineWritten && !notRun {
@@ -39,10 +39,11 @@
 	}
 }
 
-// TakenOver records that another process of this proxy answered it, and hands its open connection over.
+// TakenOver records that another process of this proxy has answered the request and hands its open
+// connection over to this process.
 func (r *Request) TakenOver() { r.client = established }
 
-// Accepted records that the client has its host's acceptance.
+// Accepted records that the host's acceptance is sent to the client.
 func (r *Request) Accepted(now int64) {
 	r.recordAnswer(now)
 	if r.client != clientLeft {
@@ -50,10 +51,10 @@
 	}
 }
 
-// Failed records the answer that promises nothing.
+// Failed records the answer that reports a failure and does not promise that a retry is harmless.
 func (r *Request) Failed(now int64) { r.recordAnswer(now) }
 
-// Rejected records the answer that invites the client to retry.
+// Rejected records the answer that promises that a retry is harmless.
 func (r *Request) Rejected(now int64) {
 	if !r.MayReject() {
 		r.Monitor.countBroken(RejectionIsSafe, r.ID)
@@ -61,6 +62,7 @@
 	r.recordAnswer(now)
 }
 
+// recordAnswer counts an answer that is not the first, or that comes too late.
 func (r *Request) recordAnswer(now int64) {
 	if r.client != awaitingAnswer {
 		r.Monitor.countBroken(SingleAnswer, r.ID)
@@ -75,15 +77,16 @@
 // ClientLeft records that the client has ended the connection.
 func (r *Request) ClientLeft() { r.client = clientLeft }
 
-// ConnectionEnded records that the open connection was migrated, handed over, or passed its host's own end on.
+// ConnectionEnded records that the open connection ended in order: it was migrated or handed over, the
+// proxy sent its client a last line, or the host's end was passed on to the client.
 func (r *Request) ConnectionEnded() {
 	if r.client == established {
 		r.client = answered
 	}
 }
 
-// ClosedByProxy records that this side ended the client's connection. The client must have had its answer, and a line about the end if the
-// connection was open.
+// ClosedByProxy records that the proxy closed the client's connection. By then the client must have
+// its answer and, if the connection was open, a line about its end.
 func (r *Request) ClosedByProxy() {
 	if r.client == awaitingAnswer || r.client == established {
 		r.Monitor.countBroken(NoSilentEnd, r.ID)
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -7,31 +7,33 @@
 	"croftlock/internal/balancer"
 )
 
-// answerSlack is how far past its deadline an answer may be, in nanoseconds: an answer later than this counts as none.
+// answerSlack is how long after its deadline, in nanoseconds, an answer still counts. A later one
+// counts as none.
 const answerSlack = int64(500 * time.Millisecond)
 
-// MaxPause is the longest process pause that the rules allow for: the machine may keep a process from running between a decision and its
-// effect. An action counts as against a deadline or a window only where it comes later than that.
+// MaxPause is the longest pause of the process that the rules allow for, since the machine may suspend
+// the process between a decision and its effect. An action counts as having missed a deadline or a
+// dedup window only if it comes more than MaxPause late.
 const MaxPause = 150 * time.Millisecond
 
-// Host is what the rules have to know of an upstream host.
+// Host holds the properties of an upstream host that the rules depend on.
 type Host struct {
 	State balancer.HostState
 	Zone  string
 	Cell  int
 }
 
-// clientState is what a request's client has had so far.
+// clientState is the state of a request as its client sees it.
 type clientState int
 
 const (
 	awaitingAnswer clientState = iota
-	answered                   // the final answer, or its open connection has ended in order
-	established                // the host's acceptance; the connection is open
-	clientLeft                 // the client has ended the connection, or it was ended on this side
+	answered                   // it has the final answer, or its open connection has ended in order
+	established                // it has the host's acceptance, and the connection is open
+	clientLeft                 // the client or the proxy has closed the connection
 )
 
-// String is the state's name.
+// String returns the state's name.
 func (s clientState) String() string {
 	switch s {
 	case awaitingAnswer:
@@ -46,21 +48,21 @@
 	return fmt.Sprintf("clientState(%d)", int(s))
 }
 
-// Request is one request's record. Its zero value with Monitor, ID, Class, Deadline and MaxAttempts set is a request that was just
-// read.
+// Request records the attempts and answers of one request. A Request with only Monitor, ID, Class,
+// Deadline and MaxAttempts set is one that was just read.
 type Request struct {
 	Monitor     *Monitor
 	ID          string
 	Class       *balancer.Class
-	Deadline    int64 // ns, on the clock of the times that are passed in
+	Deadline    int64 // ns, on the caller's clock
 	MaxAttempts int
-	Adopted     bool // its connection was open at its host before: it goes nowhere else, and a draining host accepts it
+	Adopted     bool // its connection was open at its host before; it goes to no other, and its host need not be ready
 
 	client          clientState
 	attemptsBegun   int
 	attemptInFlight bool
-	lineWritten     bool  // that attempt's first line is written completely
+	lineWritten     bool  // the latest attempt's first line is written completely
 	mayHaveRun      bool  // an attempt that has ended may have run
-	firstRunAt      int64 // start of the first attempt that may have run, from which hosts reckon their dedup window; 0: none
-	firstRunHost    Host  // its host
+	firstRunAt      int64 // ns, start of the first attempt that may have run, where the dedup window begins; 0 if none
+	firstRunHost    Host  // the host of that attempt
 }
