--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -6,19 +6,19 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// defaultRetryAfter is the Retry-After where nothing says when there is capacity again. It is long enough for the front to send the clients
-// of a proxy that shuts down elsewhere.
+// defaultRetryAfter is the Retry-After of a rejection if the time at which capacity returns is unknown.
+// It is long enough for the front to route the clients of a proxy that is shutting down to others.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// admission bounds the downstreams of all processes of this proxy. Each may come to need two descriptors, and running out of them would
-// break connections that are open already.
+// admission limits the downstreams of all processes of this proxy. Each downstream may need two file
+// descriptors, and running out of them would break connections that are already open.
 type admission struct {
-	limit                   int // downstreams, of this process and the other one together
+	limit                   int // downstreams of this process and the other one together
 	downstreams             int // downstreams of this process
 	otherProcessDownstreams int // downstreams of the other process of this proxy
 }
 
-// acquire takes capacity for one downstream; false: there is none.
+// acquire reserves capacity for one downstream, and reports whether there was any.
 func (a *admission) acquire() bool {
 	if a.downstreams+a.otherProcessDownstreams >= a.limit {
 		return false
@@ -27,10 +27,11 @@
 	return true
 }
 
-// release gives the capacity of one downstream back.
+// release returns the capacity of one downstream.
 func (a *admission) release() { a.downstreams-- }
 
-// Admit reserves capacity for one more downstream's request of a class. DownstreamEnded releases it.
+// Admit reserves capacity for one more downstream, and reports whether there was any. DownstreamEnded
+// releases it. class is the class of the downstream's request, for the metrics.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
@@ -40,19 +41,22 @@
 	return false
 }
 
-// DownstreamEnded gives the capacity of an admitted downstream back.
+// DownstreamEnded releases the capacity of an admitted downstream.
 func (c *Core) DownstreamEnded() { c.admission.release() }
 
-// Downstreams is how many downstreams this process has.
+// Downstreams returns how many downstreams this process has.
 func (c *Core) Downstreams() int { return c.admission.downstreams }
 
-// SetOtherProcessDownstreams says how many downstreams the other process of this proxy has: they share the descriptors.
+// SetOtherProcessDownstreams sets how many downstreams the other process of this proxy has. The two
+// processes share the file descriptors.
 func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
-// RetryAdvice is the Retry-After for a client that is rejected for want of capacity or time; 0 where clients read none.
+// RetryAdvice returns the Retry-After for a client that is rejected for lack of capacity or time. It
+// returns 0 if clients read no Retry-After.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
-// boundedRetryAfter bounds a Retry-After by the settings; 0 where clients read none.
+// boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read no
+// Retry-After.
 func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
 	if !c.opt.Settings.SendsRetryAfter {
 		return 0
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -10,11 +10,13 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// adoptionRetryDelay is the pause before the next attempt to restore a connection from before the start.
+// adoptionRetryDelay is the pause between two attempts to restore a connection that was open before
+// the process's start.
 const adoptionRetryDelay = 200 * time.Millisecond
 
-// adopt restores a connection that was open at a host before this proxy's start. The balancer is notified once it is established: it
-// decides nothing here, since the connection belongs to that host.
+// adopt restores a connection that was open at a host before this proxy's start. The balancer is
+// notified once the connection is established. It makes no choice, since the connection belongs to
+// that host.
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
@@ -32,7 +34,8 @@
 	r.beginAttempt(h, 0, r.deadline)
 }
 
-// adoptionEnded retries an adoption that failed, as long as its host has not acted on it and its client waits.
+// adoptionEnded retries a failed adoption if its host cannot have acted on it and its client still
+// waits. Otherwise the request fails.
 func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	if r.answered() {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -9,10 +9,12 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// overdueGrace is how long past a request's deadline the balancer's own answer is waited for: within the slack that the platform leaves.
+// overdueGrace is how long after a request's deadline the core still waits for the balancer's answer.
+// It lies within the slack that the platform allows for answers.
 const overdueGrace = 15 * time.Millisecond
 
-// rejectOrFail is the final answer of a request that gets no further attempt: a rejection where a retry by the client is harmless.
+// rejectOrFail answers a request that gets no further attempt. It rejects the request if a retry by the
+// client is harmless, and fails it otherwise. after is the Retry-After of a rejection.
 func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
 		r.fail(metrics.Failed, reason)
@@ -21,7 +23,8 @@
 	r.reject(after, reason)
 }
 
-// reject is the final answer that says that a retry is harmless.
+// reject answers the client that a retry is harmless, with after as Retry-After. It does nothing if
+// the request has its answer.
 func (r *Request) reject(after time.Duration, reason localReplyReason) {
 	if r.answered() {
 		return
@@ -36,14 +39,15 @@
 	r.answer(func() { r.downstream.Reject(after) })
 }
 
-// fail is the final answer that promises nothing. how is the metric that it counts for.
-func (r *Request) fail(how metrics.End, reason localReplyReason) {
+// fail answers the client that the request has failed, without the promise that a retry is harmless.
+// The failure counts as end in the metrics. It does nothing if the request has its answer.
+func (r *Request) fail(end metrics.End, reason localReplyReason) {
 	if r.answered() {
 		return
 	}
 	r.core.counters.failed++
 	r.record.Failed(r.core.loop.Now())
-	r.core.counters.metrics.Ended(r.attributes.Class, how)
+	r.core.counters.metrics.Ended(r.attributes.Class, end)
 	if tracing() {
 		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "state", r.stageName(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
@@ -51,14 +55,14 @@
 	r.answer(r.downstream.Fail)
 }
 
-// answer gives the client its one answer, and ends an attempt that is in flight.
+// answer closes the request, writes its only answer with write, and ends the attempt in flight, if any.
 func (r *Request) answer(write func()) {
 	r.becomeClosed()
 	write()
 	r.endAttempt()
 }
 
-// endAttempt ends the attempt of a closed request; without one the request is done.
+// endAttempt cancels the attempt of a closed request. A request without an attempt is removed.
 func (r *Request) endAttempt() {
 	if r.attempt != nil {
 		r.attempt.finish(balancer.Cancelled, netio.Ended)
@@ -67,7 +71,7 @@
 	r.removeIfDone()
 }
 
-// failUnresponsive fails a request that the balancer has not answered, in time or at all.
+// failUnresponsive fails a request that the balancer did not answer in time, or that made it panic.
 func (r *Request) failUnresponsive() {
 	if r.answered() {
 		return
@@ -77,13 +81,15 @@
 	r.notifyClientLeft()
 }
 
-// answerNow gives a request its answer at once as the process shuts down, also where an attempt is in flight, and has the balancer forget it.
+// answerNow answers a request at once because the process is shutting down, even if an attempt is in
+// flight, and notifies the balancer that nobody waits for it.
 func (r *Request) answerNow(after time.Duration) {
 	r.rejectOrFail(after, processShuttingDown)
 	r.notifyClientLeft()
 }
 
-// notifyClientLeft notifies the balancer that nobody waits for the request any more.
+// notifyClientLeft notifies the balancer that nobody waits for the request any more. An adopted request
+// is unknown to the balancer until it is established.
 func (r *Request) notifyClientLeft() {
 	if r.adopted {
 		return
@@ -91,14 +97,15 @@
 	r.core.notify(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.attributes.ID) })
 }
 
-// cancel ends an attempt at the balancer's wish.
+// cancel ends an attempt on the balancer's request, unless it is established.
 func (r *Request) cancel(attempt int) {
 	if a := r.attempt; a != nil && a.number == attempt && !a.established {
 		a.finish(balancer.Cancelled, netio.Ended)
 	}
 }
 
-// migrate has the client of an open connection open it again elsewhere. status is what the balancer is notified of.
+// migrate ends an open connection and sends its client the line after which it opens the connection
+// again. The balancer is notified that the connection ended with status.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -9,28 +9,30 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// upstreamRequest is one attempt to serve a request, and once it is established the open connection to the host.
+// upstreamRequest is one attempt to serve a request and, once established, the open connection to the
+// host.
 type upstreamRequest struct {
 	request   *Request
-	number    int // as its pool's balancer counts the request's attempts
+	number    int // of the request's attempts in its pool, from 0
 	host      *host
 	conn      Upstream
-	startedAt int64 // ns
-	deadline  int64 // ns, until when the host's answer is waited for
+	startedAt int64 // ns of the loop's time
+	deadline  int64 // ns of the loop's time, at which the wait for the host's answer ends
 
 	timeoutTimer     *netio.Timer
-	retryWindowTimer *netio.Timer // ends a retry that is not written within the dedup window; nil: no retry, or no such window
+	retryWindowTimer *netio.Timer // ends a retry that is not written within the dedup window; nil if no window limits the attempt
 
 	established     bool
-	finalKind       MessageKind // Finished or MigrateClient once the host has said so
-	loadReport      []float64   // that came with its answer or its end, in the settings' order of fields; nil: none
-	load            float64     // µs/s, as the host last reported it; 0: not known
-	previousLoad    float64     // the one before that
-	unansweredSince []int64     // ns, when the client's lines were sent that no line has come back for
+	finalKind       MessageKind // Finished or MigrateClient once the host has sent that message
+	loadReport      []float64   // from the host's answer or last message, in the settings' order of fields; nil if none came
+	load            float64     // µs/s, as the host last reported it; 0 if unknown
+	previousLoad    float64     // µs/s, the load reported before that
+	unansweredSince []int64     // ns, the times at which the client's lines without a reply were sent
 }
 
-// startAttempt begins an attempt at a host at the wish of a pool's balancer, if no rule forbids it. timeout bounds its answer, in
-// nanoseconds; 0: only the request's deadline does.
+// startAttempt begins an attempt at a host on the request of a pool's balancer, unless a rule forbids
+// it. timeout limits, in nanoseconds, the wait for the host's answer; if it is 0, only the request's
+// deadline does.
 func (c *Core) startAttempt(p *pool, id, hostID string, timeout balancer.Time) {
 	r := c.requests[id]
 	if r == nil || r.pool != p {
@@ -45,7 +47,7 @@
 		r.notifyNotBegun(number, balancer.TooLate, r.answered)
 		return
 	}
-	// The balancer goes by the rules as well; this is the check of it.
+	// The balancer applies these rules too; this check guards against its faults.
 	if rule := r.record.CheckAttempt(now, h.invariantHost()); rule != invariant.None {
 		r.notifyNotBegun(number, r.attemptBlocked(rule, h), r.answered)
 		return
@@ -64,7 +66,8 @@
 	}
 }
 
-// attemptDeadline is until when the answer of an attempt that begins now is waited for.
+// attemptDeadline returns the time at which the wait for the answer to an attempt that begins now ends.
+// A zero timeout means the request's deadline.
 func (r *Request) attemptDeadline(now int64, timeout balancer.Time) int64 {
 	if timeout == 0 {
 		return r.deadline
@@ -72,15 +75,16 @@
 	return min(r.deadline, now+timeout)
 }
 
-// notifyNotBegun notifies the balancer of an attempt that was not begun. isClosed reports, once the balancer handles it, whether the request
-// is over.
+// notifyNotBegun notifies the balancer that an attempt was not begun. It calls isClosed, which reports
+// whether the request is over, when the balancer handles the event.
 func (r *Request) notifyNotBegun(number int, status balancer.AttemptStatus, isClosed func() bool) {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: number, Status: status, Closed: isClosed()})
 	})
 }
 
-// attemptBlocked logs that a rule forbids an attempt, and gives the status with which the attempt ends.
+// attemptBlocked logs that a rule forbids an attempt, and returns the status with which the attempt
+// ends.
 func (r *Request) attemptBlocked(rule invariant.Rule, h *host) balancer.AttemptStatus {
 	slog.Warn("attempt_blocked", "rule", rule, "request", r.attributes.ID, "host", h.hostID)
 	switch rule {
@@ -108,7 +112,7 @@
 	a.dial()
 }
 
-// dial connects to the host's present address, within what is left of the connect timeout.
+// dial connects to the host's present address within the rest of the connect timeout.
 func (a *upstreamRequest) dial() {
 	c := a.request.core
 	now := c.loop.Now()
@@ -116,10 +120,12 @@
 	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(left, 1)), a)
 }
 
-// lineUnsent reports whether the attempt's line is not completely written yet, so that its host cannot have acted on it.
+// lineUnsent reports whether the attempt's first line is not completely written yet, so that its host
+// cannot have acted on it.
 func (a *upstreamRequest) lineUnsent() bool { return a.conn.Stage() < netio.Sent }
 
-// detach takes the attempt off its host and its request; the connection is the caller's to end. False: it was off already.
+// detach stops the attempt's timers and removes it from its host and its request. It reports whether
+// the attempt was still attached. The caller ends the connection.
 func (a *upstreamRequest) detach() bool {
 	if a.request.attempt != a {
 		return false
@@ -132,7 +138,8 @@
 	return true
 }
 
-// finish ends an attempt that is not established, closing its connection before the balancer can begin another.
+// finish ends an attempt that is not established. It closes the connection first, so that the balancer
+// cannot begin another attempt before.
 func (a *upstreamRequest) finish(status balancer.AttemptStatus, cause netio.Cause) {
 	if !a.detach() {
 		return
@@ -141,7 +148,7 @@
 	a.notifyEnded(status)
 }
 
-// notifyEnded notifies the balancer of how the attempt or the open connection ended.
+// notifyEnded notifies the balancer that the attempt or the open connection ended with status.
 func (a *upstreamRequest) notifyEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -17,16 +17,18 @@
 // Options configure a core.
 type Options struct {
 	Settings       balancer.Config
-	MaxDownstreams int // of this proxy at a time
-	// DelayInLoad: hosts report both a connection's load and their message delay, in the same form.
+	MaxDownstreams int // of all processes of this proxy together
+	// DelayInLoad specifies that hosts report a connection's load and their message delay in the same
+	// form, so that the core has to distinguish them.
 	DelayInLoad bool
-	// Expiry says which connections migrate before a certificate ends.
+	// Expiry specifies which connections migrate before a certificate expires.
 	Expiry certexpiry.Policy
-	// Wall is the system's clock, by which certificates and starts of hosts are read.
+	// Wall returns the system's time, in which certificates and the start times of hosts are given.
 	Wall func() time.Time
 }
 
-// Core is one proxy: its parts, and the requests between them.
+// Core is the protocol-independent part of one proxy process. Its methods are called on the event
+// loop, or before the loop runs.
 type Core struct {
 	loop  *netio.Loop
 	opt   Options
@@ -34,9 +36,9 @@
 
 	connector       Connector
 	discovery       Discovery
-	peers           Peers           // nil: there are none, or the settings forbid messages
-	healthChecker   HealthChecker   // nil: the settings do not permit health checks
-	idleDownstreams IdleDownstreams // nil: there are none
+	peers           Peers           // nil if there are none, or the settings forbid messages
+	healthChecker   HealthChecker   // nil if the settings do not permit health checks
+	idleDownstreams IdleDownstreams // may be nil
 
 	fleet      fleetRules
 	decisions  decisionLoop
@@ -45,7 +47,7 @@
 	pools      poolTable
 	admission  admission
 	migrations migrationPacer
-	expiry     *certexpiry.Planner // nil: no connection is migrated for its certificate
+	expiry     *certexpiry.Planner // nil if no connection migrates because of its certificate
 	handover   handover
 	monitor    *invariant.Monitor
 	counters   counters
@@ -53,7 +55,7 @@
 	shuttingDown bool
 }
 
-// settingsNames maps names to their numbers in the settings.
+// settingsNames maps the names of classes and tenants to their indexes in the settings.
 type settingsNames struct {
 	classes, tenants map[string]int
 }
@@ -69,7 +71,7 @@
 	return n
 }
 
-// New makes a core. Run gives it its decision module and discovery.
+// New returns a Core that serves nothing until Run is called.
 func New(l *netio.Loop, connector Connector, opt Options) *Core {
 	return &Core{
 		loop:      l,
@@ -103,8 +105,9 @@
 	slog.Error("invariant_broken", "rule", r, "request", id)
 }
 
-// Run gives the core its discovery, the endpoint list that it starts from, and the decision module: newBalancer makes a balancer with the
-// core's effects, one for each pool.
+// Run starts the core with discovery d and the endpoint list known. newBalancer creates a pool's
+// balancer, which requests its effects from fx; the core calls it once for each pool. Run returns the
+// error of the first call.
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
@@ -117,19 +120,21 @@
 	return nil
 }
 
-// Ready reports whether clients may come.
+// Ready reports whether the core runs and is not shutting down.
 func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
 
-// AcceptsClients reports whether this process accepts clients: it may be shutting down, or the other process of this proxy does.
+// AcceptsClients reports whether this process accepts clients. It does not if it is not ready, or if
+// the other process of this proxy accepts them.
 func (c *Core) AcceptsClients() bool { return c.Ready() && !c.handover.handedOver }
 
-// SetHealthChecker gives the core its way to poll hosts for their load.
+// SetHealthChecker sets the HealthChecker that polls hosts for their load. Without one there are no
+// health checks.
 func (c *Core) SetHealthChecker(h HealthChecker) { c.healthChecker = h }
 
-// SetPeers gives the core its way to the other proxies.
+// SetPeers sets the Peers that carry messages to the other proxies. Without them none are sent.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
-// PeerMessageReceived handles a message from another proxy.
+// PeerMessageReceived passes a message from another proxy to the balancers of all pools.
 func (c *Core) PeerMessageReceived(from int, data []byte) {
 	c.counters.peerMessagesReceived++
 	for _, p := range c.pools.byName {
@@ -137,5 +142,5 @@
 	}
 }
 
-// tracing reports whether the log takes each step of each request.
+// tracing reports whether each step of each request is logged.
 func tracing() bool { return logging.DebugEnabled() }
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -7,9 +7,9 @@
 	"croftlock/internal/balancer"
 )
 
-// decisionLoop serialises the decision module. The module is single-threaded and must not be entered from inside itself, so its
-// effects are noted while it handles an event and are carried out, in order, once it has returned. Events that the effects cause wait
-// until all effects of the event before have been carried out.
+// decisionLoop serialises the calls of the decision module. The module is single-threaded and not
+// reentrant, so its effects are queued while it handles an event and run in order once it has returned.
+// Events that the effects cause wait until all effects of the previous event have run.
 type decisionLoop struct {
 	now     func() balancer.Time
 	running bool
@@ -19,15 +19,16 @@
 
 // decisionEvent is an event for the decision module.
 type decisionEvent struct {
-	request *Request // answered should the module panic; nil: no request
-	module  Balancer // the one of a pool
+	request *Request // gets its answer if the module panics; may be nil
+	module  Balancer // the pool's balancer
 	handle  func(now balancer.Time, m Balancer)
 }
 
-// submit has the module handle an event, then carries out its effects, then whatever these caused. Called while an event is handled,
-// it only queues.
-func (d *decisionLoop) submit(about *Request, module Balancer, handle func(now balancer.Time, m Balancer)) {
-	d.events = append(d.events, decisionEvent{about, module, handle})
+// submit passes an event to the module, runs its effects, and then does the same for the events that
+// they caused. While an event is being handled, submit only queues. If the module or an effect panics,
+// request, which may be nil, is answered.
+func (d *decisionLoop) submit(request *Request, module Balancer, handle func(now balancer.Time, m Balancer)) {
+	d.events = append(d.events, decisionEvent{request, module, handle})
 	if d.running {
 		return
 	}
@@ -42,25 +43,26 @@
 	d.events, d.effects = nil, nil
 }
 
-// runEffects carries out the module's effects of the event that it handled.
-func (d *decisionLoop) runEffects(about *Request) {
+// runEffects runs the queued effects of the event that the module has handled.
+func (d *decisionLoop) runEffects(request *Request) {
 	for len(d.effects) > 0 {
 		effect := d.effects[0]
 		d.effects = d.effects[1:]
-		recoverRequest(about, effect)
+		recoverRequest(request, effect)
 	}
 }
 
-// addEffect notes an effect, to be carried out when the module has returned.
+// addEffect queues an effect, which runs once the module has returned.
 func (d *decisionLoop) addEffect(effect func()) { d.effects = append(d.effects, effect) }
 
-// recoverRequest confines a panic to the request that it happened for, which still gets its one answer.
-func recoverRequest(about *Request, f func()) {
+// recoverRequest calls f and recovers from its panic. The request that f acts on, if it is not nil, then
+// still gets its only answer.
+func recoverRequest(request *Request, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "core", "reason", p, "stack", string(debug.Stack()))
-			if about != nil {
-				about.failUnresponsive()
+			if request != nil {
+				request.failUnresponsive()
 			}
 		}
 	}()
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// FromDownstream relays a client's message to its host; false: not now.
+// FromDownstream relays a client's message to its host. It reports whether the message was accepted; if
+// not, Downstream.RelayPending follows.
 func (r *Request) FromDownstream(m Message) bool {
 	a := r.attempt
 	if a == nil || !a.established {
@@ -23,14 +24,15 @@
 	return true
 }
 
-// DownstreamReady says that the client takes bytes again.
+// DownstreamReady is called when the client's connection accepts messages again.
 func (r *Request) DownstreamReady() {
 	if a := r.attempt; a != nil {
 		a.conn.RelayPending()
 	}
 }
 
-// EndedByProxy says that this side ends the client's connection for a fault, with a last line to the client. DownstreamEnded follows.
+// EndedByProxy is called when the proxy ends the client's connection because of a fault and sends the
+// client a last line. DownstreamEnded follows.
 func (r *Request) EndedByProxy() {
 	switch {
 	case r.isOpen():
@@ -40,14 +42,15 @@
 	}
 }
 
-// DownstreamEnded says that the client has left, or that its connection has broken.
+// DownstreamEnded is called when the client's connection has ended: the client has closed it, it has
+// broken, or the proxy has ended it.
 func (r *Request) DownstreamEnded(err *netio.Error) {
 	if tracing() {
 		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err.Cause,
 			"detail", err.Text())
 	}
 	if err.Cause == netio.Dropped {
-		r.record.ClosedByProxy() // this side ended it
+		r.record.ClosedByProxy()
 	}
 	r.record.ClientLeft()
 	switch {
@@ -58,7 +61,7 @@
 	}
 }
 
-// endOpen ends an open connection to the host as its client ended it.
+// endOpen ends an open connection to the host with the cause with which its client's side ended.
 func (r *Request) endOpen(cause netio.Cause) {
 	a := r.attempt
 	if a.detach() {
@@ -67,7 +70,8 @@
 	}
 }
 
-// becomeAbandoned ends a request whose client has left before its answer, with the attempt in flight.
+// becomeAbandoned closes a request whose client has left before its answer, and ends the attempt in
+// flight, if any.
 func (r *Request) becomeAbandoned() {
 	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
 	r.becomeClosed()
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -9,19 +9,20 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// fleetRules is what all proxies of the fleet agree on.
+// fleetRules holds the rules and limits on which all proxies of the fleet agree.
 type fleetRules struct {
-	enforcer *rules.Enforcer // nil: no rules
-	quota    Quota           // nil: no limits over the fleet
+	enforcer *rules.Enforcer // nil if there are no rules
+	quota    Quota           // nil if there are no limits over the fleet
 }
 
-// SetRules gives the core the rules on which the fleet agrees. It is called before clients come.
+// SetRules sets the rules on which the fleet agrees. It is called before the core accepts clients.
 func (c *Core) SetRules(e *rules.Enforcer) {
 	c.fleet.enforcer = e
 	c.ReassignPools()
 }
 
-// applyRules says what the fleet's rules make of a request, and logs by which version it was decided.
+// applyRules returns the verdict of the fleet's rules on a request, and logs it with the rules version.
+// Without rules it returns the zero Verdict, which rejects nothing.
 func (c *Core) applyRules(tenant, class string, q *balancer.Request) (v rules.Verdict) {
 	if c.fleet.enforcer == nil {
 		return v
@@ -39,24 +40,24 @@
 	return v
 }
 
-// recheckResult is what the rules make of an attempt right before it begins.
+// recheckResult is the outcome of applying the rules again right before an attempt begins.
 type recheckResult int
 
 const (
-	rulesAgree     recheckResult = iota
-	rulesReject                  // the request is not placed any more
-	rulesOtherPool               // the request belongs to another pool
-	rulesOtherHost               // the host gets nothing new, or belongs to another pool
+	rulesAgree     recheckResult = iota // the attempt may begin
+	rulesReject                         // the request may not be placed any more
+	rulesOtherPool                      // the request may not use its pool any more
+	rulesOtherHost                      // the host accepts no new requests, or belongs to another pool
 )
 
-// String is the finding's name.
-func (k recheckResult) String() string {
-	return [...]string{"agree", "reject", "other_pool", "other_host"}[k]
+// String returns the result's name.
+func (result recheckResult) String() string {
+	return [...]string{"agree", "reject", "other_pool", "other_host"}[result]
 }
 
-// recheckRules applies the rules again right before an attempt: since the request was judged the process may have been paused, and
-// the rules may have changed.
-func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, found recheckResult) {
+// recheckRules applies the rules again right before an attempt, since the process may have been paused
+// and the rules may have changed since the request came. Adopted requests are not checked.
+func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, result recheckResult) {
 	if c.fleet.enforcer == nil || r.adopted {
 		return v, rulesAgree
 	}
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -7,96 +7,108 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Balancer is the part of the decision module that the core calls. It is called from one goroutine, and never from inside one of its
-// effects.
+// Balancer is the part of the decision module that the core calls. The core calls it from one
+// goroutine, and never while the Balancer handles another call.
 type Balancer interface {
-	// RequestArrived has a request placed.
+	// RequestArrived places a request: the balancer starts an attempt, queues it or rejects it.
 	RequestArrived(now balancer.Time, q balancer.Request)
-	// ConnectionAdopted brings an open connection that the balancer has not placed.
+	// ConnectionAdopted reports an open connection at host that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
-	// AttemptEstablished brings a host's acceptance.
+	// AttemptEstablished reports that the host has accepted, elapsed nanoseconds after the start.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
-	// AttemptEnded brings the end of an attempt, or of its open connection.
+	// AttemptEnded reports the end of an attempt or of its open connection.
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
-	// ClientLeft says that nobody waits for the request any more.
+	// ClientLeft reports that nobody waits for the request any more.
 	ClientLeft(now balancer.Time, id string)
-	// HealthCheckEnded brings the result of effect HealthCheck.
+	// HealthCheckEnded reports the result of the effect HealthCheck on host id. load is as in
+	// HealthChecker.Check.
 	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, load []float64)
-	// Observe brings the load (µs/s) of an open connection, or the latency (ms) of messages on it.
+	// Observe reports the load (µs/s) of an open connection, or the latency (ms) of messages on it.
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
-	// ListReceived brings the endpoint list, or a change of it.
+	// ListReceived reports the endpoint list or a change of it.
 	ListReceived(now balancer.Time, kind balancer.ListChange, entries []balancer.ListedHost)
-	// PeerMessageReceived brings a message of another proxy's.
+	// PeerMessageReceived reports a message from another proxy.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
-	// TimerFired brings the token of effect Schedule.
+	// TimerFired reports that the delay of the effect Schedule with this token has passed.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether a host is ejected, since set-ups there failed: until it is due for a trial it gets attempts only where no other host
-	// is available.
+	// Ejected reports whether a host is ejected because set-ups failed there. Until its next trial is
+	// due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, id string) bool
-	// Snapshot is what the balancer knows of its hosts; with yield it gives up its slow-start budgets.
+	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up
+	// its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
-	// Restore takes over what another balancer knew.
+	// Restore adds the knowledge in another balancer's snapshot.
 	Restore(now balancer.Time, m balancer.Snapshot)
 }
 
-// Peers carries the decision module's messages to the other proxies.
+// Peers sends the decision module's messages to the other proxies. Messages may be lost.
 type Peers interface {
 	SendToPeer(peer int, data []byte)
 }
 
-// Discovery is what the decision module uses of discovery.
+// Discovery is the part of discovery that the decision module uses.
 type Discovery interface {
-	WatchList(on bool) // be notified of changes of the endpoint list
-	FetchList()        // fetch the complete list
+	WatchList(on bool) // begins or ends watching the endpoint list
+	FetchList()        // fetches the complete endpoint list
 }
 
-// Downstream is a client's connection. Accept, Reject and Fail are answers: a request gets one.
+// Downstream is a client's connection. Accept, Reject and Fail are answers, of which a request gets one.
 type Downstream interface {
-	Accept(acceptance Message)
-	Reject(after time.Duration) // a local reply: a retry is harmless
-	Fail()                      // a local reply that promises nothing
-	Relay(m Message) bool       // false: not now, DownstreamReady follows
-	RelayPending()              // offer again what the core did not take
-	Migrate()                   // end it; its client opens it again
-	MigrationLine() []byte      // what Migrate writes
-	End(cause netio.Cause)      // end it as the other side ended
+	Accept(acceptance Message)  // relays the host's acceptance
+	Reject(after time.Duration) // sends the local reply that a retry is harmless, with its Retry-After; 0 for none
+	Fail()                      // sends the local reply that the request has failed
+	Relay(m Message) bool       // reports whether it accepted m; if not, Request.DownstreamReady follows
+	RelayPending()              // offers the core again the messages that it did not accept
+	Migrate()                   // sends the migration line, after which the client opens the connection again, and ends it
+	MigrationLine() []byte      // returns the line that Migrate sends
+	End(cause netio.Cause)      // ends it with the cause with which the host's side ended
 }
 
-// Upstream is the connection of one upstream request. After End it notifies nothing more.
+// Upstream is the connection of one upstream request. After End it calls no method of its
+// UpstreamEvents.
 type Upstream interface {
-	Relay(m Message) bool // false: not now, UpstreamReady follows
-	RelayPending()
-	Stage() netio.Stage // how far it has come
-	End(cause netio.Cause)
+	Relay(m Message) bool  // reports whether it accepted m; if not, UpstreamReady follows
+	RelayPending()         // offers the core again the messages that it did not accept
+	Stage() netio.Stage    // returns the stage that it has reached
+	End(cause netio.Cause) // closes the connection, or cancels its dial
 }
 
-// UpstreamEvents is what an Upstream notifies the core of.
+// UpstreamEvents receives the events of an Upstream.
 type UpstreamEvents interface {
-	// MaySend is called right before the first line is written. False: it must not be, and the attempt has been ended.
+	// MaySend is called right before the first line is written, and reports whether it may be
+	// written. If not, MaySend has ended the attempt.
 	MaySend() bool
-	UpstreamSent()               // the first line is written completely: from here on the host may act on it
-	FromUpstream(m Message) bool // false: not now, Upstream.RelayPending follows
+	// UpstreamSent is called once the first line is written completely; the host may act on it now.
+	UpstreamSent()
+	// FromUpstream is called with each message of the host, and reports whether the core accepted it.
+	// If not, Upstream.RelayPending follows.
+	FromUpstream(m Message) bool
+	// UpstreamReady is called when the Upstream accepts messages again.
 	UpstreamReady()
+	// UpstreamEnded is called once, when the connection has ended or was not established.
 	UpstreamEnded(err *netio.Error)
 }
 
-// Expiring is an Upstream whose connection uses certificates.
+// Expiring is implemented by an Upstream whose connection may use certificates.
 type Expiring interface {
-	Expires() time.Time // the first end of one; zero: it uses none
+	Expires() time.Time // returns when the first of them expires, or the zero Time if there are none
 }
 
-// Target is an upstream host as a Connector needs to know it.
+// Target identifies an upstream host to a Connector or HealthChecker. Address is where to connect.
 type Target struct{ ID, Zone, Address string }
 
 // HealthChecker polls upstream hosts for their load.
 type HealthChecker interface {
-	// Check polls a host and calls done on the loop, once. load is in the settings' order of fields, nil where none came.
+	// Check polls a host and calls done once, on the event loop. load is in the settings' order of
+	// fields, and nil if the host reported none.
 	Check(to Target, done func(status balancer.AttemptStatus, load []float64))
-	Forget(host string) // ends the checks of a host that takes nothing new
+	// Forget ends the checks of a host that accepts no new requests.
+	Forget(host string)
 }
 
-// Connector opens upstream requests: connect to the target within the time given, send first, and notify ev of what follows. until is
-// the loop's time, in nanoseconds, at which the proxy stops waiting.
+// Connector opens upstream requests.
 type Connector interface {
+	// Start connects to a host within connect, sends first, and notifies ev of what follows. until is
+	// the loop's time, in nanoseconds, at which the proxy stops waiting for the host's answer.
 	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
 }
--- a/internal/dataplane/proxy/invalid.go
+++ b/internal/dataplane/proxy/invalid.go
@@ -6,21 +6,21 @@
 	"log/slog"
 )
 
-// InvalidReason is what is wrong with what a client sent.
+// InvalidReason is the reason why a client's input is invalid.
 type InvalidReason int
 
 // The reasons.
 const (
 	UnknownClass     InvalidReason = iota // the settings do not name the class
-	UnknownTenant                         // nor the tenant
+	UnknownTenant                         // the settings do not name the tenant
 	IDInUse                               // another request has the ID
-	MalformedLine                         // not in the protocol's form
-	LineTooLong                           // longer than any line may be
+	MalformedLine                         // a line does not have the protocol's form
+	LineTooLong                           // a line is longer than the protocol allows
 	FirstLineLate                         // the first line was not complete in time
-	SentBeforeAnswer                      // more came before the answer than is buffered
+	SentBeforeAnswer                      // the client sent more before the answer than the proxy buffers
 )
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r InvalidReason) String() string {
 	names := [...]string{"unknown_class", "unknown_tenant", "id_in_use", "malformed_line", "line_too_long", "first_line_late", "sent_before_answer"}
 	if r < 0 || int(r) >= len(names) {
@@ -29,13 +29,13 @@
 	return names[r]
 }
 
-// InvalidRequestError says why what a client sent is not a request that can be served.
+// InvalidRequestError is the error for client input that is not a valid request.
 type InvalidRequestError struct {
 	Reason InvalidReason
-	Value  string // the class, tenant or ID at fault; "": none
+	Value  string // the class, tenant or ID at fault; may be empty
 }
 
-// Error is the reason, with the value at fault.
+// Error returns the reason and the value at fault, if there is one.
 func (e *InvalidRequestError) Error() string {
 	if e.Value == "" {
 		return e.Reason.String()
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("%s: %q", e.Reason, e.Value)
 }
 
-// ReportInvalidRequest counts what a client sent that is not a request, and logs the first of a log interval.
+// ReportInvalidRequest counts a client's invalid input, and logs the first one in each countsInterval.
 func (c *Core) ReportInvalidRequest(err error) {
 	c.counters.invalid++
 	if c.counters.invalid > 1 {
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -1,36 +1,53 @@
-// Package proxy is the core between clients and upstream hosts. It owns each request on both sides, applies the rules that hold whatever
-// the protocol, and is the only caller of the decision module. What a client or an upstream host speaks is known to the packages that
-// implement the interfaces in interfaces.go.
-//
-// Everything here runs on the loop, one event after the other.
-//
-// # The rules that a request meets
-//
-// In order, from its first line to its answer, each with its function.
-//
-//  1. Core.Admit: capacity, in descriptors, of the two processes of this proxy together. None left: rejected.
-//  2. Core.validate: its class and tenant are in the settings and its ID is not in use. Else it fails.
-//  3. Core.Open: a process that shuts down rejects it.
-//  4. Core.applyRules and Core.choosePlacement: the fleet's rules reject it, or name its account and the pools it may use; it is rejected where
-//     none of these has a usable host.
-//  5. Core.answerTimeout: its deadline, which its class bounds. An answer that the decision module does not give by then is given by
-//     Request.failUnresponsive, overdueGrace later.
-//  6. Core.acquireQuota: its account's quota over all proxies. None left: rejected.
-//  7. Balancer.RequestArrived: the decision module queues, paces, rejects or places it. Its effects arrive in effects.go.
-//  8. Core.startAttempt, for each attempt: the limit of attempts, then invariant.Request.CheckAttempt: nothing past the deadline, to
-//     unusable hosts, or as an unsafe retry.
+// Package proxy is the core between clients and upstream hosts. It owns each request on both sides, applies
+// the rules that hold for every protocol, and is the only caller of the decision module. The packages that
+// implement the interfaces in interfaces.go know the protocols of clients and upstream hosts.
+//
+// All code of this package runs on the event loop, one event after the other.
+//
+// # Checks on a request
+//
+// A request passes these checks in order, from its first line to its answer:
+//
+//  1. Core.Admit: capacity, in file descriptors, of the two processes of this proxy together. If none is
+//     left, the request is rejected.
+//  2. Core.validate: the settings name the class and tenant, and the ID is not in use. Otherwise the
+//     request fails.
+//  3. Core.Open: a process that is shutting down rejects the request.
+//  4. Core.applyRules and Core.choosePlacement: the fleet's rules reject the request, or name its account
+//     and the pools that it may use. If none of these pools has a usable host, the request is rejected.
+//  5. Core.answerTimeout: the request's deadline, which its class limits. If the decision module has not
+//     answered overdueGrace after the deadline, Request.failUnresponsive fails the request.
+//  6. Core.acquireQuota: the account's quota over all proxies. If none is left, the request is rejected.
+//  7. Balancer.RequestArrived: the decision module queues, paces, rejects or places the request. Its
+//     effects arrive in effects.go.
+//  8. Core.startAttempt, for each attempt: the limit of attempts, then invariant.Request.CheckAttempt,
+//     which forbids attempts past the deadline, at unusable hosts, or as an unsafe retry.
 //  9. Core.recheckRules: the fleet's rules again, since they may have changed.
-//  10. upstreamRequest.startRetryWindowTimer and upstreamRequest.MaySend: a retry is written within its dedup window or not at all, and nothing to
-//     a host that has become unusable meanwhile (invariant.Request.CheckWrite).
-//  11. Request.rejectOrFail: the final answer of a request that gets no attempt any more is a rejection only where
-//     invariant.Request.MayReject says that a retry by the client is harmless.
-//
-// A request that is open at a host already (Opening.StickyHost) goes by Request.adopt. It skips 6, 7 and 9. Of 4 only Core.applyRules runs, whose
-// verdict is logged and ignored. Of 5 its class does not bound the deadline that it names, and Request.failUnresponsive does not apply. Of 8
-// only CheckAttempt runs, without the limit of attempts; in 8 and 10 its host need not be usable. Where its attempts fail it fails
-// (Request.fail); 11 applies in a shutdown only.
-//
-// Open connections end by either side's end, or are migrated: at the decision module's wish (effects.Migrate), off silent hosts
-// (Core.checkUnanswered), at the fleet's pace (migrationPacer) off suspended hosts (Core.migrateOffHost) and before certificates end
-// (Core.migrateExpiring), and in a shutdown, which shutdown.go describes.
+//  10. upstreamRequest.startRetryWindowTimer and upstreamRequest.MaySend: a retry is written only within
+//     its dedup window, and nothing is written to a host that has become unusable in the meantime
+//     (invariant.Request.CheckWrite).
+//  11. Request.rejectOrFail: a request that gets no further attempt is rejected only if
+//     invariant.Request.MayReject reports that a retry by the client is harmless. Otherwise it fails.
+//
+// # Adopted requests
+//
+// A request whose connection is open at a host already (Opening.StickyHost) is handled by Request.adopt. The
+// checks differ as follows:
+//
+//   - 4: only Core.applyRules runs; its verdict is logged and ignored.
+//   - 5: the class does not limit the deadline, and Request.failUnresponsive does not apply.
+//   - 6, 7 and 9 are skipped.
+//   - 8: only CheckAttempt runs, without the limit of attempts.
+//   - 8 and 10: the host need not be usable.
+//   - 11: applies only in a shutdown. A request whose attempts fail, fails (Request.fail).
+//
+// # Open connections
+//
+// An open connection ends when either side ends it, or is migrated:
+//
+//   - on the decision module's request (effects.Migrate)
+//   - off a silent host (Core.checkUnanswered)
+//   - off a suspended host (Core.migrateOffHost) or before a certificate expires (Core.migrateExpiring),
+//     both at the fleet's rate (migrationPacer)
+//   - in a shutdown, which shutdown.go describes
 package proxy
--- a/internal/dataplane/proxy/localreply.go
+++ b/internal/dataplane/proxy/localreply.go
@@ -6,19 +6,19 @@
 type localReplyReason int
 
 const (
-	decidedByBalancer    localReplyReason = iota // by the decision module
-	processShuttingDown                          // the process stops
+	decidedByBalancer    localReplyReason = iota // the decision module has decided so
+	processShuttingDown                          // the process is shutting down
 	forbiddenByRules                             // the fleet's rules reject it
-	noUsableHost                                 // no pool that it may use has a host that takes anything new
+	noUsableHost                                 // no pool that it may use has a host that accepts new requests
 	quotaExceeded                                // its account's quota over the fleet is used up
 	retryUnsafe                                  // it may have run, and is not idempotent
 	hostNotListed                                // the host at which it is open is not in the endpoint list
 	blockedByInvariant                           // a rule forbids the attempt at the host at which it is open
-	adoptionAttemptEnded                         // the attempt at the host at which it is open has ended
+	adoptionAttemptEnded                         // the attempt at the host at which it is open has failed
 	balancerUnresponsive                         // the decision module did not answer, or panicked
 )
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r localReplyReason) String() string {
 	names := [...]string{"balancer", "shutting_down", "rules", "no_usable_host", "quota_exceeded", "retry_unsafe", "host_not_listed", "invariant", "attempt_ended",
 		"balancer_unresponsive"}
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// Opening is a client's request.
+// Opening holds what a client sends to open a connection.
 type Opening struct {
-	ID, Key              string // Key is the idempotency key; "": none
+	ID, Key              string // Key is the idempotency key, "" for none
 	Class, Tenant, Group string
-	ExpectedLoad         float64       // in the unit of the settings; 0: none
+	ExpectedLoad         float64       // in the unit of the settings; 0 if not given
 	Retry                bool          // the client marks it as a retry
-	Returned             bool          // it comes back after a break or a migration
-	Wait                 time.Duration // how long it waits for its answer
-	HasWait              bool          // it says so; else its class's deadline counts
-	StickyHost           string        // the upstream host at which it is open already; "" for a new one
+	Returned             bool          // the client opens a connection again after a break or a migration
+	Wait                 time.Duration // how long the client waits for its answer, if HasWait
+	HasWait              bool          // Wait is given; otherwise the class's deadline applies
+	StickyHost           string        // the upstream host at which the connection is open already; "" for a new one
 }
 
-// RequestLine is the client's opening in its own protocol, to be handed to an upstream host.
+// RequestLine is the client's opening in the form in which it is sent to an upstream host.
 type RequestLine interface {
-	// WithWait gives the bytes, with how long this proxy will wait for the host's answer.
+	// WithWait returns the line's bytes, in which wait is how long the proxy waits for the host's answer.
 	WithWait(wait time.Duration) []byte
 }
 
-// MessageKind is what a message means to the core; most mean nothing to it. Its numbers are stored in HandedOverConnection.
+// MessageKind is the meaning of a message to the core. HandedOverConnection stores its numbers, so they
+// must not change.
 type MessageKind int
 
 // The kinds of message.
 const (
-	PlainMessage  MessageKind = iota
-	Accepted                  // the host accepts
-	OverCapacity              // the host rejects the request unseen
-	Failed                    // the host failed
-	Finished                  // the host has served the connection to its end
-	MigrateClient             // the host sends its client away
-	LoadReported              // the host reports the connection's load
+	PlainMessage  MessageKind = iota // the core only relays it
+	Accepted                         // the host accepts the request
+	OverCapacity                     // the host rejects the request without running it
+	Failed                           // the host failed to serve the request
+	Finished                         // the host has served the connection to its end
+	MigrateClient                    // the host asks its client to open the connection again
+	LoadReported                     // the host reports the connection's load or its message delay
 )
 
-// Message is one message that is relayed. Text is relayed as it is, and is valid during the call only.
+// Message is a message between a client and a host. Text is relayed unchanged, and is valid only during
+// the call.
 type Message struct {
 	Kind MessageKind
-	Load float64 // of LoadReported: microseconds of work a second
-	// Report is the load report behind OverCapacity, Failed or Finished, in the settings' order of fields; nil: none.
+	Load float64 // of LoadReported: microseconds of work per second, or milliseconds of message delay
+	// Report is the load report that follows OverCapacity, Failed or Finished, in the settings' order
+	// of fields. It is nil if there is none.
 	Report []float64
 	Text   []byte
 }
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -6,29 +6,33 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Pacer gives permits to migrate clients, where a fleet has one pace. then is called on the loop, with how many there are now.
+// Pacer grants permits to migrate clients, so that the whole fleet keeps to one rate.
 type Pacer interface {
-	RequestMigrations(want int, then func(n int))
+	// RequestMigrations requests want permits, and calls done on the event loop with how many are granted
+	// now.
+	RequestMigrations(want int, done func(n int))
 }
 
 const (
 	// pacerInterval is the pause before permits are requested again for clients that still wait.
 	pacerInterval = 100 * time.Millisecond
-	// maxPendingMigrations bounds the clients that wait for a permit; beyond it they migrate at once, as without a pace. A proxy's
-	// descriptors bound their number in any case.
+	// maxPendingMigrations limits the clients that wait for a permit. Further ones migrate at once, as
+	// without a pacer. A proxy's file descriptors limit their number in any case.
 	maxPendingMigrations = 4096
 )
 
-// migrationPacer migrates clients at the fleet's pace: those of suspended hosts and of connections whose certificate ends.
+// migrationPacer migrates the clients of suspended hosts, and of connections whose certificate is about
+// to expire, at the fleet's rate.
 type migrationPacer struct {
 	loop      *netio.Loop
-	pacer     Pacer         // nil: no pace
-	unpaced   bool          // the process shuts down: nobody waits
-	pending   []func() bool // waiting for a permit
-	requested bool          // permits are requested, and not answered yet
+	pacer     Pacer         // nil if migrations need no permits
+	unpaced   bool          // migrations need no permits any more, since the process is shutting down
+	pending   []func() bool // the migrations that wait for a permit
+	requested bool          // a request for permits has no reply yet
 }
 
-// submit migrates a client in its turn. migrate gives false where there is no connection any more; its permit then goes to the next one.
+// submit calls migrate once a permit is granted, or at once if none is needed. migrate reports whether
+// there still was a connection to migrate; if not, the permit goes to the next client.
 func (p *migrationPacer) submit(migrate func() bool) {
 	if p.pacer == nil || p.unpaced || len(p.pending) >= maxPendingMigrations {
 		migrate()
@@ -38,6 +42,7 @@
 	p.requestPermits()
 }
 
+// requestPermits requests a permit for each pending migration, unless a request is in progress.
 func (p *migrationPacer) requestPermits() {
 	if p.requested || len(p.pending) == 0 {
 		return
@@ -61,6 +66,7 @@
 	}
 }
 
-// SetPacer has clients migrate at the fleet's pace that leave suspended hosts or connections whose certificate ends. Those that migrate
-// because the process shuts down, or because their host does not answer, never wait.
+// SetPacer sets the Pacer for clients of suspended hosts and of connections whose certificate is about
+// to expire. Clients that migrate because the process is shutting down, or because their host does not
+// answer, never wait for a permit.
 func (c *Core) SetPacer(p Pacer) { c.migrations.pacer = p }
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -10,49 +10,51 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// Open accepts a client's request, which gets one answer from here on. It gives nil where the answer was given
-// without a Request being made; a Request that it gives may have its answer already.
-func (c *Core) Open(d Downstream, o *Opening, first RequestLine) *Request {
+// Open handles a client's opening, which gets exactly one answer. It returns nil if it answered the
+// client without creating a Request. A Request that it returns may already have its answer.
+func (c *Core) Open(downstream Downstream, opening *Opening, requestLine RequestLine) *Request {
 	c.counters.opened++
-	if err := c.validate(o); err != nil {
-		c.countEnd(o.Class, metrics.InvalidRequest)
+	if err := c.validate(opening); err != nil {
+		c.countEnd(opening.Class, metrics.InvalidRequest)
 		c.ReportInvalidRequest(err)
-		d.Fail()
+		downstream.Fail()
 		return nil
 	}
-	q := c.attributesOf(o)
+	attributes := c.attributesOf(opening)
 	if c.shuttingDown {
-		c.rejectOpening(d, &q, metrics.ShuttingDown, processShuttingDown, c.RetryAdvice())
+		c.rejectOpening(downstream, &attributes, metrics.ShuttingDown, processShuttingDown, c.RetryAdvice())
 		return nil
 	}
-	verdict := c.applyRules(o.Tenant, o.Class, &q)
-	var in *pool
-	if o.StickyHost == "" {
+	verdict := c.applyRules(opening.Tenant, opening.Class, &attributes)
+	var placedIn *pool
+	if opening.StickyHost == "" {
 		var reason localReplyReason
-		if in, reason = c.choosePlacement(&verdict); verdict.Rejected {
-			c.rejectOpening(d, &q, metrics.Rejected, reason, verdict.Advice)
+		if placedIn, reason = c.choosePlacement(&verdict); verdict.Rejected {
+			c.rejectOpening(downstream, &attributes, metrics.Rejected, reason, verdict.Advice)
 			return nil
 		}
 	}
-	wait := c.answerTimeout(o, q.Class)
-	r := &Request{core: c, downstream: d, requestLine: first, attributes: q, pool: in, tenant: o.Tenant, deadline: c.loop.Now() + int64(wait)}
-	r.record = invariant.Request{Monitor: c.monitor, ID: o.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
-	c.requests[o.ID] = r
-	if o.StickyHost != "" {
-		r.adopt(o.StickyHost)
+	wait := c.answerTimeout(opening, attributes.Class)
+	r := &Request{core: c, downstream: downstream, requestLine: requestLine, attributes: attributes, pool: placedIn, tenant: opening.Tenant,
+		deadline: c.loop.Now() + int64(wait)}
+	r.record = invariant.Request{Monitor: c.monitor, ID: opening.ID, Class: r.class(), Deadline: r.deadline, MaxAttempts: c.opt.Settings.MaxAttempts}
+	c.requests[opening.ID] = r
+	if opening.StickyHost != "" {
+		r.adopt(opening.StickyHost)
 		return r
 	}
 	if tracing() {
-		slog.Debug("request_received", "request", o.ID, "group", o.Group, "tenant", o.Tenant, "retry", o.Retry, "returned", o.Returned,
-			"ms", wait.Milliseconds())
+		slog.Debug("request_received", "request", opening.ID, "group", opening.Group, "tenant", opening.Tenant, "retry", opening.Retry,
+			"returned", opening.Returned, "ms", wait.Milliseconds())
 	}
 	r.overdueTimer = c.loop.After(wait+overdueGrace, r.failUnresponsive)
 	c.acquireQuota(r, verdict.Account, r.requestPlacement)
 	return r
 }
 
-// validate gives an error for an opening that cannot be served: without a class there is no deadline and no idempotency, an ID that is in use is
-// another request's, and a tenant that the settings do not name is unknown to the hosts.
+// validate returns an error if an opening cannot be served. The class determines the deadline and the
+// idempotency, an ID identifies one request, and hosts know no tenant that the settings do not name. If
+// the settings name no tenants, any is valid.
 func (c *Core) validate(o *Opening) error {
 	_, classKnown := c.names.classes[o.Class]
 	_, tenantKnown := c.names.tenants[o.Tenant]
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// attributesOf is what the decision module is to know of a valid opening.
+// attributesOf returns a valid opening in the form that the decision module expects. Tenant is -1 if the
+// settings do not name the tenant.
 func (c *Core) attributesOf(o *Opening) balancer.Request {
 	q := balancer.Request{ID: o.ID, Class: c.names.classes[o.Class], Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad,
 		Retry: o.Retry, Returned: o.Returned}
@@ -77,28 +80,28 @@
 	return q
 }
 
-// rejectOpening rejects a client that no request is made for.
-func (c *Core) rejectOpening(d Downstream, q *balancer.Request, how metrics.End, reason localReplyReason, after time.Duration) {
+// rejectOpening rejects an opening for which no Request exists. after is the Retry-After.
+func (c *Core) rejectOpening(d Downstream, q *balancer.Request, end metrics.End, reason localReplyReason, after time.Duration) {
 	c.counters.rejected++
-	c.counters.metrics.Ended(q.Class, how)
+	c.counters.metrics.Ended(q.Class, end)
 	if tracing() {
 		slog.Debug("request_rejected", "request", q.ID, "attempts", 0, "reason", reason, "after_ms", after.Milliseconds())
 	}
 	d.Reject(after)
 }
 
-// choosePlacement is the first pool that a request may use and that has a usable host; where there is none the verdict becomes a rejection.
-// reason is that of a rejection.
-func (c *Core) choosePlacement(v *rules.Verdict) (in *pool, reason localReplyReason) {
-	in, reason = c.choosePool(v.Pools), forbiddenByRules
-	if in == nil && !v.Rejected {
+// choosePlacement returns the first pool that a request may use and that has a usable host. If there is
+// none, it turns the verdict into a rejection. reason is the reason if the verdict is a rejection.
+func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
+	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
+	if chosen == nil && !v.Rejected {
 		v.Rejected, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
 	}
-	return in, reason
+	return chosen, reason
 }
 
-// answerTimeout is how long a client waits for its answer: as it says, at most its class's deadline. A client that comes back to the host at
-// which it is open may wait for longer.
+// answerTimeout returns how long a client waits for its answer: its own Wait, but at most the deadline of
+// its class. A client that returns to the host at which its connection is open may wait longer.
 func (c *Core) answerTimeout(o *Opening, class int) time.Duration {
 	longest := time.Duration(c.opt.Settings.Classes[class].Deadline)
 	if !o.HasWait || o.Wait > longest && o.StickyHost == "" {
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -6,34 +6,40 @@
 	"time"
 )
 
-// Quota keeps accounts to limits over all proxies together. then is called on the loop: over names the limit that is used up,
-// "" where there is quota left, and advice is its Retry-After.
+// Quota limits the connections of accounts over all proxies together.
 type Quota interface {
+	// IsLimited reports whether an account has limits.
 	IsLimited(account string) bool
-	Acquire(account string, spread float64, then func(over string, advice time.Duration))
+	// Acquire reserves quota for one connection of an account, and calls done on the event loop with the
+	// result. exceeded names the limit that is used up, "" if the quota was reserved; advice is the
+	// Retry-After, which spread (0 to 1) varies.
+	Acquire(account string, spread float64, done func(exceeded string, advice time.Duration))
+	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
+	// Release returns the quota of one connection.
 	Release(account string)
 }
 
-// SetQuota gives the core the limits over the fleet. It is called before clients come.
+// SetQuota sets the limits over the fleet. It is called before the core accepts clients.
 func (c *Core) SetQuota(q Quota) { c.fleet.quota = q }
 
-// acquireQuota goes on with a request once its account has quota for one more connection; where it has none the request is rejected.
+// acquireQuota calls proceed once quota for the request is reserved in its account, and at once if the
+// account is not limited. If no quota is left, it rejects the request.
 func (c *Core) acquireQuota(r *Request, account string, proceed func()) {
 	if c.fleet.quota == nil || account == "" || !c.fleet.quota.IsLimited(account) {
 		proceed()
 		return
 	}
-	c.fleet.quota.Acquire(account, retrySpread(r.attributes.ID), func(over string, advice time.Duration) {
+	c.fleet.quota.Acquire(account, retrySpread(r.attributes.ID), func(exceeded string, advice time.Duration) {
 		switch {
-		case over != "" && r.answered():
-		case over != "":
+		case exceeded != "" && r.answered():
+		case exceeded != "":
 			if tracing() {
-				slog.Debug("quota_exceeded", "request", r.attributes.ID, "account", account, "of", over)
+				slog.Debug("quota_exceeded", "request", r.attributes.ID, "account", account, "of", exceeded)
 			}
 			r.reject(c.boundedRetryAfter(advice), quotaExceeded)
 		case r.answered():
-			c.fleet.quota.Release(account) // its client has left meanwhile
+			c.fleet.quota.Release(account) // the client has left in the meantime
 		default:
 			r.quotaAccount = account
 			recoverRequest(r, proceed)
@@ -41,14 +47,15 @@
 	})
 }
 
-// retrySpread spreads the Retry-After of rejected requests by their IDs, from 0 up to 1.
+// retrySpread returns a number from 0 up to 1, derived from a request's ID, that spreads the Retry-After
+// of rejected requests.
 func retrySpread(id string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return float64(h.Sum32()%1000) / 1000
 }
 
-// releaseQuota gives back what the request counts against.
+// releaseQuota returns the quota that the request holds, if any.
 func (r *Request) releaseQuota() {
 	if r.quotaAccount != "" {
 		r.core.fleet.quota.Release(r.quotaAccount)
@@ -56,8 +63,8 @@
 	}
 }
 
-// countExistingConnections counts open connections against the limits of their accounts: those from before this process's first rules
-// version, or from before their account had limits.
+// countExistingConnections counts those open connections against the limits of their accounts that are
+// not counted yet, because they were opened before this process had rules or their account had limits.
 func (c *Core) countExistingConnections() {
 	if c.fleet.quota == nil {
 		return
@@ -73,7 +80,8 @@
 	}
 }
 
-// tenantName is a request's tenant as its client or, after a hot restart, the settings name it.
+// tenantName returns the tenant that the request's client named. A connection from before a hot restart
+// has only the tenant's index, which the settings translate into a name.
 func (c *Core) tenantName(r *Request) string {
 	if r.tenant == "" && r.attributes.Tenant >= 0 {
 		return c.opt.Settings.Tenants[r.attributes.Tenant].Name
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -7,7 +7,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// ReassignPools puts each host into the pool that it is in by the rules in force, and removes pools that are not used any more.
+// ReassignPools moves each host to the pool that the rules in force assign it to, and removes pools that
+// are not used any more.
 func (c *Core) ReassignPools() {
 	c.countExistingConnections()
 	reassigned := 0
@@ -23,21 +24,22 @@
 	}
 }
 
-// transferHost takes a host from one pool to another with its open connections and what is known of it: ejection and slow-start budget
-// go along, since the host is as it was. Attempts whose line is not written end.
+// transferHost moves a host to another pool, with its open connections. Its ejection and slow-start budget
+// move too, since the host itself has not changed. Attempts whose line is not written end. If to
+// is nil, the host is between two pools, and the snapshot stays with it until the next transfer.
 func (c *Core) transferHost(h *host, to *pool) {
 	from := h.pool
 	h.pool = to
-	away := h.effectiveEntry()
-	away.State = balancer.Removed
+	removed := h.effectiveEntry()
+	removed.State = balancer.Removed
 	if from != nil {
 		h.lastSnapshot = hostSnapshot(from.balancer, h.hostID)
-		c.notifyLocalChange(from, away)
+		c.notifyLocalChange(from, removed)
 	}
 	if to != nil {
-		here, known := h.effectiveEntry(), h.lastSnapshot
+		entry, known := h.effectiveEntry(), h.lastSnapshot
 		c.notify(nil, to, func(now balancer.Time, m Balancer) {
-			m.ListReceived(now, balancer.ListLocal, []balancer.ListedHost{here})
+			m.ListReceived(now, balancer.ListLocal, []balancer.ListedHost{entry})
 			if known != nil {
 				m.Restore(now, balancer.Snapshot{Servers: []balancer.HostSnapshot{*known}})
 			}
@@ -49,7 +51,7 @@
 	}
 }
 
-// hostSnapshot is what a balancer knows of one host; nil: nothing.
+// hostSnapshot returns what a balancer knows of one host, or nil if it does not know the host.
 func hostSnapshot(m Balancer, host string) (known *balancer.HostSnapshot) {
 	for _, s := range m.Snapshot(false).Servers {
 		if s.ID == host {
@@ -59,7 +61,8 @@
 	return known
 }
 
-// reassignConnection has an open connection counted by the balancer of the pool that its host is in now.
+// reassignConnection makes the balancer of the pool that the connection's host is in now count the
+// connection, instead of the balancer that counted it before.
 func (c *Core) reassignConnection(r *Request) {
 	a, from := r.attempt, r.pool
 	if a == nil || !a.established || a.host.pool == from {
@@ -74,7 +77,8 @@
 	c.notify(nil, to, a.reportAdopted)
 }
 
-// reportAdopted notifies a balancer of an open connection that it has not placed, with its load where that is known.
+// reportAdopted notifies a balancer of an open connection that it has not placed, and of its load if that
+// is known.
 func (a *upstreamRequest) reportAdopted(now balancer.Time, m Balancer) {
 	attributes := a.request.attributes
 	m.ConnectionAdopted(now, attributes, a.host.hostID)
@@ -83,8 +87,10 @@
 	}
 }
 
-// placeInPool has a request placed again in another pool: the rules have changed since it came. One that may have run and is not
-// idempotent fails, since the other pool's balancer knows nothing of its attempts. number is the attempt that was not begun.
+// placeInPool places a request again in another pool, since the rules have changed since it came. A
+// request that may have run and is not idempotent fails, since the other pool's balancer does not know its
+// attempts. number is the attempt that was not begun. If to is nil, no pool has a usable host, and the
+// request is rejected or fails.
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	if to == nil {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -8,16 +8,16 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// requestPhase is how far a request has come with its client.
+// requestPhase is the state of a request towards its client.
 type requestPhase int
 
 const (
 	awaitingAnswer requestPhase = iota
 	established                 // its host has accepted it, and the connection is open
-	closed                      // its client has its final answer, has left, or its connection has ended
+	closed                      // its client has the final answer or has left, or its connection has ended
 )
 
-// String is the phase's name.
+// String returns the phase's name.
 func (p requestPhase) String() string {
 	switch p {
 	case awaitingAnswer:
@@ -35,44 +35,45 @@
 	core        *Core
 	downstream  Downstream
 	requestLine RequestLine
-	attributes  balancer.Request // what the decision module knows of it
-	tenant      string           // as its client named it
+	attributes  balancer.Request // the request as the decision module knows it
+	tenant      string           // as the client named it; "" after a hot restart
 	deadline    int64            // ns of the loop's time
 
-	pool         *pool // whose balancer places it, and once it is open the one of its host; nil: its host is between two pools
-	quotaAccount string
+	pool         *pool  // the pool whose balancer places it; once open, its host's pool, nil while the host is between two pools
+	quotaAccount string // the account whose quota it holds; "" if none
 	record       invariant.Request
-	overdueTimer *netio.Timer
+	overdueTimer *netio.Timer // fails the request if the balancer does not answer; nil if adopted or handed over
 
 	phase                  requestPhase
-	adopted                bool             // open at a host before this proxy's start
-	attempts               int              // that balancers of all pools started, begun or stopped by a check; 0 if adopted, 1 if handed over
-	attemptsInEarlierPools int              // of these, the ones before the request came to its pool's balancer
-	attempt                *upstreamRequest // the attempt in flight, and once it is established the connection; nil: none
+	adopted                bool             // its connection was open at a host before this proxy's start
+	attempts               int              // attempts that balancers requested, also those that a check stopped; 0 if adopted, 1 if handed over
+	attemptsInEarlierPools int              // of these, the ones from before it came to its present pool
+	attempt                *upstreamRequest // the attempt in flight or, once established, the open connection; nil if there is none
 }
 
 // answered reports whether the client has its answer, or has left.
 func (r *Request) answered() bool { return r.phase != awaitingAnswer }
 
-// isOpen reports whether its connection is open at a host.
+// isOpen reports whether the request's connection is open at a host.
 func (r *Request) isOpen() bool { return r.attempt != nil && r.attempt.established }
 
-// becomeEstablished is the host's acceptance.
+// becomeEstablished records that the host has accepted the request.
 func (r *Request) becomeEstablished() {
 	r.phase = established
 	r.overdueTimer.Stop()
 }
 
-// becomeClosed is the final answer, the client's departure, or the end of the connection.
+// becomeClosed records that the client has its final answer or has left, or that the connection has ended.
 func (r *Request) becomeClosed() {
 	r.phase = closed
 	r.overdueTimer.Stop()
 }
 
-// class is the settings' entry for the request's class.
+// class returns the settings of the request's class.
 func (r *Request) class() *balancer.Class { return &r.core.opt.Settings.Classes[r.attributes.Class] }
 
-// stageName is how far the attempt in flight has come, for the log; before one begins the request waits in the decision module.
+// stageName returns the stage of the attempt in flight, for the log. Without an attempt, while the request
+// waits for the decision module, it returns "no_attempt".
 func (r *Request) stageName() string {
 	if r.attempt == nil {
 		return "no_attempt"
@@ -80,7 +81,7 @@
 	return r.attempt.conn.Stage().String()
 }
 
-// requestPlacement has the balancer of its pool place it.
+// requestPlacement requests the placement of the request from its pool's balancer.
 func (r *Request) requestPlacement() {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		if r.answered() {
@@ -92,7 +93,7 @@
 	})
 }
 
-// removeIfDone closes a request, and drops it once it has no attempt any more.
+// removeIfDone closes the request, and removes it if it has no attempt any more.
 func (r *Request) removeIfDone() {
 	r.becomeClosed()
 	if r.attempt == nil && r.core.requests[r.attributes.ID] == r {
@@ -101,10 +102,10 @@
 	}
 }
 
-// requestTable holds the requests that are not done, by ID.
+// requestTable holds the requests that are not done yet, by ID.
 type requestTable map[string]*Request
 
-// countRequests counts open connections, and requests without an answer.
+// countRequests returns the number of open connections, and of requests without an answer.
 func (c *Core) countRequests() (open, pending int) {
 	for _, r := range c.requests {
 		switch {
@@ -117,7 +118,7 @@
 	return open, pending
 }
 
-// forEachOpen does something to n requests with an open connection.
+// forEachOpen calls do for at most n requests with an open connection, in no particular order.
 func (c *Core) forEachOpen(n int, do func(r *Request)) {
 	for _, r := range c.requests {
 		if n <= 0 {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -9,8 +9,9 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaySend reports whether the first line may be written now that the connection is established. Meanwhile its host may have become unusable, and
-// the dedup window of a retry may have ended. False: the attempt has been ended.
+// MaySend reports whether the first line may be written, now that the connection is established. In the
+// meantime the host may have become unusable, or the dedup window of a retry may have ended. If MaySend
+// returns false, it has ended the attempt.
 func (a *upstreamRequest) MaySend() bool {
 	if a.request.attempt != a {
 		return false
@@ -22,7 +23,8 @@
 	return true
 }
 
-// startRetryWindowTimer ends the attempt when the dedup window ends before its line is written.
+// startRetryWindowTimer starts a timer that ends the attempt if its line is not written before the dedup
+// window ends.
 func (a *upstreamRequest) startRetryWindowTimer() {
 	deadline := a.request.record.RetryUntil()
 	if deadline == math.MaxInt64 {
@@ -31,7 +33,7 @@
 	c := a.request.core
 	a.retryWindowTimer = c.loop.After(time.Duration(deadline-c.loop.Now()), func() {
 		if a.lineUnsent() {
-			a.finish(balancer.TooLate, netio.Ended) // no fault of the host's
+			a.finish(balancer.TooLate, netio.Ended) // the host is not at fault
 		}
 	})
 }
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -10,14 +10,15 @@
 
 var _ UpstreamEvents = (*upstreamRequest)(nil)
 
-// UpstreamSent says that the last byte of the first line is written.
+// UpstreamSent records that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
 	c := a.request.core
 	c.counters.metrics.Dispatched()
 	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream handles a message of the host's.
+// FromUpstream handles a message from the host: before the acceptance it is the answer, afterwards it is
+// relayed. It reports whether the message was accepted.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
 	r := a.request
 	if r.attempt != a {
@@ -41,7 +42,7 @@
 	return true
 }
 
-// becomeEstablished is the host's acceptance: the client's answer.
+// becomeEstablished handles the host's acceptance, and answers the client with it.
 func (a *upstreamRequest) becomeEstablished(m Message) {
 	r, c := a.request, a.request.core
 	a.established = true
@@ -51,7 +52,7 @@
 	delete(a.host.pending, a)
 	a.host.established[r] = struct{}{}
 	if c.hosts.suspensions.Suspended(a.host.hostID) {
-		c.migrateOffHost(a.host, r) // it was on its way before the suspension
+		c.migrateOffHost(a.host, r) // the attempt began before the suspension
 	}
 	c.counters.served++
 	r.record.Accepted(c.loop.Now())
@@ -62,10 +63,10 @@
 	c.counters.metrics.Ended(r.attributes.Class, how)
 	r.downstream.Accept(m)
 	a.notifyEstablished()
-	c.reassignConnection(r) // its host may have changed pools meanwhile
+	c.reassignConnection(r) // the host may have changed pools in the meantime
 }
 
-// notifyEstablished notifies the balancer of the acceptance.
+// notifyEstablished notifies the balancer that the host has accepted.
 func (a *upstreamRequest) notifyEstablished() {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
@@ -82,7 +83,8 @@
 	})
 }
 
-// relay passes a line of an open connection on and notes what it reports. False: the client takes nothing now.
+// relay relays a host's message on an open connection to the client, and records what it reports. It
+// returns false if the client's connection does not accept messages now.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
 	if !r.downstream.Relay(m) {
@@ -102,14 +104,14 @@
 	return true
 }
 
-// UpstreamReady says that the host takes bytes again.
+// UpstreamReady is called when the host's connection accepts messages again.
 func (a *upstreamRequest) UpstreamReady() {
 	if a.request.attempt == a && a.established {
 		a.request.downstream.RelayPending()
 	}
 }
 
-// UpstreamEnded says that the connection to the host is over, or was never established.
+// UpstreamEnded is called when the connection to the host has ended or was not established.
 func (a *upstreamRequest) UpstreamEnded(err *netio.Error) {
 	if !a.established {
 		a.finish(statusBeforeAnswer(err.Stage), netio.Ended)
@@ -131,8 +133,8 @@
 	a.notifyEnded(status)
 }
 
-// statusBeforeAnswer is how an attempt ended whose connection broke at a stage. Up to the last byte of the first line the host cannot have
-// acted on it.
+// statusBeforeAnswer returns the status of an attempt whose connection broke at a stage before the host's
+// answer. Until the last byte of the first line is written, the host cannot have acted on it.
 func statusBeforeAnswer(stage netio.Stage) balancer.AttemptStatus {
 	if stage < netio.Sent {
 		return balancer.ConnectFailed
@@ -140,7 +142,8 @@
 	return balancer.Reset
 }
 
-// finalStatus is how an open connection ended, by the kind of the host's last message.
+// finalStatus returns the status with which an open connection ended, by the kind of the host's last
+// message.
 func (a *upstreamRequest) finalStatus() balancer.AttemptStatus {
 	switch a.finalKind {
 	case Finished:
