--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -12,42 +12,46 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// leavingClients is a core with the real balancer among hosts that answer late, badly or not at all, and clients that leave at drawn moments.
+// leavingClients is a core with the real balancer, hosts that answer late, badly or not at all, and
+// clients that leave at random times.
 type leavingClients struct {
 	*harness
 	rng          *rand.Rand
-	leftAt       map[string]int64 // when a client has left
+	leftAt       map[string]int64 // ns, by request: when a client left before its answer
 	attempts     int
 	linesWritten int // first lines written
-	quotaInUse   int // connections that count against quota
+	quotaInUse   int // connections that count against the quota
 }
 
-// Start checks that no attempt begins for a client that has left, and draws what becomes of it.
+// Start checks that no attempt begins for a client that has left. The connection is established or
+// refused at random, after a random delay.
 func (w *leavingClients) Start(_ Target, _ RequestLine, _ int64, within time.Duration, ev UpstreamEvents) Upstream {
 	id := ev.(*upstreamRequest).request.attributes.ID
 	w.attempts++
 	w.checkNotLeft(id, "an attempt begins")
 	u := &randomUpstream{fakeUpstream: &fakeUpstream{harness: w.harness, events: ev}, clients: w, requestID: id}
-	took := w.randomDuration(120 * time.Millisecond)
-	if took >= within || w.rng.Intn(20) == 0 {
-		u.after(min(took, within), func() { ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting, Cause: netio.Refused}) })
+	delay := w.randomDuration(120 * time.Millisecond)
+	if delay >= within || w.rng.Intn(20) == 0 {
+		u.after(min(delay, within), func() { ev.UpstreamEnded(&netio.Error{Stage: netio.Connecting, Cause: netio.Refused}) })
 	} else {
-		u.after(took, u.connected)
+		u.after(delay, u.connected)
 	}
 	return u
 }
 
-func (w *leavingClients) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(w.rng.Int63n(int64(most)))
+// randomDuration returns a random duration shorter than limit.
+func (w *leavingClients) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(w.rng.Int63n(int64(limit)))
 }
 
-func (w *leavingClients) checkNotLeft(id, what string) {
+// checkNotLeft checks that the client of request id has not left when an event happens.
+func (w *leavingClients) checkNotLeft(id, event string) {
 	if at, leftWhileWaiting := w.leftAt[id]; leftWhileWaiting {
-		w.test.Errorf("%s for %s, whose client left %v before", what, id, time.Duration(w.now-at))
+		w.test.Errorf("%s for request %s, whose client left %v before", event, id, time.Duration(w.now-at))
 	}
 }
 
-// randomUpstream is an attempt whose course is drawn.
+// randomUpstream is an upstream whose host answers at random.
 type randomUpstream struct {
 	*fakeUpstream
 	clients   *leavingClients
@@ -57,6 +61,7 @@
 
 func (u *randomUpstream) End(netio.Cause) { u.ended = true }
 
+// after calls f after a delay, unless the upstream has ended by then.
 func (u *randomUpstream) after(d time.Duration, f func()) {
 	u.harness.loop.After(d, func() {
 		if !u.ended {
@@ -65,7 +70,8 @@
 	})
 }
 
-// connected is the moment in which the connection has come up.
+// connected is called when the connection is established. It writes the first line, and the host answers
+// at random.
 func (u *randomUpstream) connected() {
 	if !u.events.MaySend() {
 		return
@@ -84,12 +90,13 @@
 			u.events.FromUpstream(Message{Kind: Failed})
 		case 4, 5:
 			u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
-		case 6: // nothing comes
+		case 6: // the host never answers
 		}
 	})
 }
 
-// newLeavingClients has half of the clients wait for quota, and all for another proxy's answer, which never comes.
+// newLeavingClients returns leavingClients among which those of tenant t1, half of all, wait for quota,
+// and all wait for another proxy's answer, which never comes.
 func newLeavingClients(t *testing.T) *leavingClients {
 	t.Helper()
 	w := &leavingClients{harness: newHarnessWithoutCore(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
@@ -113,12 +120,13 @@
 	return w
 }
 
-// droppingPeers are peers that receive nothing.
+// droppingPeers drops all messages to other proxies.
 type droppingPeers struct{}
 
 func (droppingPeers) SendToPeer(int, []byte) {}
 
-// IsLimited, Acquire, CountExisting and Release are quotas over the fleet whose replies take a drawn time.
+// IsLimited, Acquire, CountExisting and Release implement a Quota that limits account a, and replies
+// after a random delay.
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
 func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
 	w.quotaInUse++
@@ -127,14 +135,15 @@
 func (w *leavingClients) CountExisting(string) { w.quotaInUse++ }
 func (w *leavingClients) Release(string)       { w.quotaInUse-- }
 
-// awaitedStep names what a request waits for.
-func awaitedStep(r *Request, permitted bool) string {
+// awaitedStep returns what a request waits for. hasQuota reports whether the request has its quota or
+// needs none.
+func awaitedStep(r *Request, hasQuota bool) string {
 	switch {
 	case r.attempt != nil && r.attempt.lineUnsent():
 		return "a connection"
 	case r.attempt != nil:
 		return "a host's answer"
-	case !permitted:
+	case !hasQuota:
 		return "a permit"
 	case r.attempts > 0:
 		return "a retry"
@@ -142,11 +151,12 @@
 	return "a choice"
 }
 
-// Whatever a request waits for as its client leaves, nothing begins for it any more.
+// TestNothingBeginsForClientsThatLeft checks that no attempt begins and no first line is written for a
+// request whose client has left, whatever the request waited for at that moment.
 func TestNothingBeginsForClientsThatLeft(t *testing.T) {
 	w := newLeavingClients(t)
 	const clients = 4000
-	gone := map[string]int{}
+	leftDuring := map[string]int{}
 	for n := range clients {
 		id := fmt.Sprintf("%016x", n)
 		tenant := []string{"t1", "t2"}[n%2]
@@ -155,22 +165,22 @@
 			if r == nil || r.answered() {
 				return
 			}
-			gone[awaitedStep(r, tenant == "t2" || r.quotaAccount != "")]++
+			leftDuring[awaitedStep(r, tenant == "t2" || r.quotaAccount != "")]++
 			w.leftAt[id] = w.now
 			r.DownstreamEnded(&netio.Error{Cause: netio.Ended})
 		})
 		w.advance(10 * time.Millisecond)
 	}
 	w.advance(10 * time.Second)
-	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, gone)
-	for _, what := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
-		if gone[what] < 10 {
-			t.Errorf("%d clients left while they waited for %s: too few for a check", gone[what], what)
+	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, leftDuring)
+	for _, step := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
+		if leftDuring[step] < 10 {
+			t.Errorf("%d clients left while they waited for %s, want at least 10 for the check", leftDuring[step], step)
 		}
 	}
 	for id, r := range w.core.requests {
 		if !r.answered() || r.attempt == nil {
-			t.Errorf("%s is still in flight", id)
+			t.Errorf("request %s is still in the table: answered %t, attempt in flight %t", id, r.answered(), r.attempt != nil)
 		}
 	}
 }
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// A client gets one answer: by its deadline though the balancer does not answer, and none after that.
+// TestOneAnswer checks that a client gets exactly one answer: soon after its deadline if the balancer does
+// not answer, none after that, and at once if the balancer panics.
 func TestOneAnswer(t *testing.T) {
 	w := newHarness(t)
 	w.open("q")
@@ -30,11 +31,12 @@
 	w.open("p")
 	w.expect("request p", "fail p", "left p")
 	if len(w.core.requests) != 0 {
-		t.Fatal("requests are left in the table")
+		t.Fatalf("%d requests are left in the table, want 0", len(w.core.requests))
 	}
 }
 
-// The old attempt is closed before the next begins, and how far it had come decides the status that the balancer learns.
+// TestAttempts checks that an attempt's connection is closed before the next attempt begins, and that the
+// stage it had reached determines the status reported to the balancer.
 func TestAttempts(t *testing.T) {
 	w := newHarness(t)
 	w.onEvent = func(e string) {
@@ -59,7 +61,8 @@
 	w.expect("end s broke", "ended s 0 5 true")
 }
 
-// Draining and removed hosts get nothing new, and a dial in the queue is something new; a changed address is followed.
+// TestListStopsDials checks that a dial in progress is repeated at a host's changed address, and ends when
+// the host begins to drain.
 func TestListStopsDials(t *testing.T) {
 	w := newHarness(t)
 	w.onEvent = func(e string) {
@@ -74,13 +77,13 @@
 	a.State = balancer.Draining
 	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{a}})
 	w.expect("list 0 1", "end up dropped", "ended q 0 2 false")
-	w.effects.StartAttempt("q", "A", 0) // the rule holds whatever the balancer wants
+	w.effects.StartAttempt("q", "A", 0) // blocked, although the balancer requests it
 	w.core.decisions.submit(nil, nil, func(int64, Balancer) {})
 	w.expect("ended q 1 2 false")
 }
 
-// A first line that waits for the kernel is something new as well: it must not go to a host that drains since, nor as a retry after the dedup
-// window.
+// TestListStopsUnsentLines checks that a first line that the kernel has not accepted yet is not sent to a
+// host that has begun to drain, nor as a retry after the dedup window.
 func TestListStopsUnsentLines(t *testing.T) {
 	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
@@ -94,13 +97,14 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// A proxy that shuts down rejects new requests, migrates open ones once the front sends no more, and is done when all have ended.
+// TestShutdown checks that a proxy that is shutting down rejects new requests, migrates open connections
+// once the front routes no more clients to it, and ends when all have ended.
 func TestShutdown(t *testing.T) {
 	w := newHarness(t)
 	w.serve("q")
 	w.core.Admit("c")
 	ended := w.shutDown()
-	w.core.Shutdown(func() { t.Error("a second signal has a shutdown of its own") })
+	w.core.Shutdown(func() { t.Error("a second Shutdown called its own done function") })
 	w.open("new")
 	w.expect("reject new 500")
 	w.advance(400 * time.Millisecond)
@@ -110,11 +114,12 @@
 	w.core.DownstreamEnded()
 	w.advance(100 * time.Millisecond)
 	if !*ended {
-		t.Fatal("the shutdown has not ended")
+		t.Fatal("the shutdown has not ended 100 ms after the last downstream")
 	}
 }
 
-// What no host can read goes to none, and no client keeps a request for longer than its class allows.
+// TestInvalidOpenings checks that openings with an unknown class or tenant or an ID in use fail, and that
+// a client cannot wait longer than the deadline of its class.
 func TestInvalidOpenings(t *testing.T) {
 	w := newHarness(t)
 	open := func(o Opening) { w.core.Open(&fakeDownstream{w, o.ID}, &o, nil) }
@@ -129,7 +134,8 @@
 	w.expect("fail long", "left long")
 }
 
-// A suspended host gets nothing more: dials end, later lists change nothing, and what has reached it goes on.
+// TestSuspendedHost checks that a suspended host gets no new requests: dials end, and later lists do not
+// make it ready. Its open connections go on until they are migrated.
 func TestSuspendedHost(t *testing.T) {
 	w := newHarness(t)
 	_, open := w.serve("r0")
@@ -138,7 +144,7 @@
 		case "request r1":
 			w.effects.StartAttempt("r1", "A", 0)
 		case "ended r1 0 2 false":
-			w.effects.StartAttempt("r1", "A", 0) // a balancer at fault
+			w.effects.StartAttempt("r1", "A", 0) // as a faulty balancer might
 		case "ended r1 1 2 false":
 			w.effects.Reject("r1", 0)
 		}
@@ -150,7 +156,7 @@
 	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k, " ") })
 	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k) })
 	if known != "false true true" {
-		t.Errorf("Z, A and A again are known: %s", known)
+		t.Errorf("Suspend of Z, A and A again: known = %q, want %q", known, "false true true")
 	}
 	w.expect("list 4 1", "end up dropped", "ended r1 0 2 false", "ended r1 1 2 false", "reject r1 0")
 	open.events.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
@@ -158,20 +164,20 @@
 	e := HostEntry{Address: "elsewhere", ListedHost: balancer.ListedHost{ID: "A"}}
 	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{e}})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Suspended {
-		t.Errorf("listed again it is %s", hostStateName(h.state))
+		t.Errorf("listed again, the suspended host is %s, want suspended", hostStateName(h.state))
 	}
 	if got := string(w.core.Metrics()); !strings.Contains(got, "concurrent=1\ntargets=2\ntargets_disabled=1\n") {
-		t.Errorf("metrics %s", got)
+		t.Errorf("metrics lack concurrent=1, targets=2, targets_disabled=1:\n%s", got)
 	}
 	w.advance(time.Second)
 	w.expect("list 0 1", "migrate r0", "end up ended", "ended r0 0 6 true")
 	w.core.SetSuspended("A", false, func(bool) {})
 	if h := w.core.hosts.byID["A"]; h.state != balancer.Ready {
-		t.Errorf("resumed it is %s", hostStateName(h.state))
+		t.Errorf("resumed, the host is %s, want ready", hostStateName(h.state))
 	}
 }
 
-// Metrics count each end where it happens.
+// TestMetricsOfMixedEnds checks that the metrics count each way in which a request ends.
 func TestMetricsOfMixedEnds(t *testing.T) {
 	w := newHarness(t)
 	w.core.admission.limit = 100
@@ -185,7 +191,7 @@
 	w.open("late") // the balancer never answers
 	gone := w.open("gone")
 	gone.DownstreamEnded(&netio.Error{Cause: netio.Ended})
-	w.open("up") // an id in use
+	w.open("up") // an ID in use
 	w.core.Open(&fakeDownstream{w, "x"}, &Opening{ID: "x", Class: "none", Tenant: "t"}, nil)
 	w.onEvent = func(e string) {
 		if strings.HasPrefix(e, "request") {
@@ -202,6 +208,6 @@
 	w.open("shutting down")
 	want := "replies.c.success=1\nreplies.c.overload=2\nreplies.c.error=4\ndispatches=2\nconcurrent=1\ntargets=2\ntargets_disabled=0\n"
 	if got := string(w.core.Metrics()); got != want {
-		t.Errorf("got\n%swant\n%s", got, want)
+		t.Errorf("Metrics() =\n%swant\n%s", got, want)
 	}
 }
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -12,38 +12,39 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// harness is a core between fakes, on a clock that the test moves. Everything that the core does is noted in events.
+// harness is a core between fakes, on a clock that the test advances. events lists the calls that the core
+// makes to the fakes.
 type harness struct {
 	test      *testing.T
-	now       int64
+	now       int64 // ns
 	loop      *netio.Loop
 	core      *Core
 	effects   balancer.Effects
 	events    []string
 	upstreams []*fakeUpstream
-	onEvent   func(event string) // what the balancer does about an event
-	ejected   string             // a host that the balancer has ejected
+	onEvent   func(event string) // how the balancer handles an event; nil to ignore it
+	ejected   string             // the host that the balancer reports as ejected; "" for none
 }
 
-// newHarnessWithoutCore is a harness without a core. t may be nil for one that expects nothing.
+// newHarnessWithoutCore returns a harness without a core. t may be nil if expect is not called.
 func newHarnessWithoutCore(t *testing.T) *harness {
 	w := &harness{test: t, now: 1e18}
 	w.loop = netio.NewLoopAt(func() int64 { return w.now })
 	return w
 }
 
-// newHarness is a core with one class and one tenant whose hosts A and B are ready.
+// newHarness returns a harness whose core has class c and tenant t, and the ready hosts A and B.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	w := newHarnessWithoutCore(t)
 	w.core = New(w.loop, w, Options{MaxDownstreams: 2, DelayInLoad: true, Settings: balancer.Config{MaxAttempts: 5, SendsRetryAfter: true, MaxRetryAfter: 2e9,
 		ConnectTimeout: 250e6, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6, MessageLatencyObjective: 150e6}},
 		Tenants: []balancer.Tenant{{Name: "t"}}}})
-	up := func(id string) HostEntry {
+	ready := func(id string) HostEntry {
 		return HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id}}
 	}
 	err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { w.effects = fx; return (*fakeBalancer)(w), nil }, nil,
-		WatchEvent{Kind: balancer.ListCached, Hosts: []HostEntry{up("A"), up("B")}})
+		WatchEvent{Kind: balancer.ListCached, Hosts: []HostEntry{ready("A"), ready("B")}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,19 +52,21 @@
 	return w
 }
 
+// logEvent appends to events.
 func (w *harness) logEvent(format string, args ...any) {
 	w.events = append(w.events, fmt.Sprintf(format, args...))
 }
 
-// expect compares what has happened since the last call.
+// expect checks the events since the last call, and clears them.
 func (w *harness) expect(want ...string) {
 	w.test.Helper()
 	if got := strings.Join(w.events, "; "); got != strings.Join(want, "; ") {
-		w.test.Fatalf("\n got %s\nwant %s", got, strings.Join(want, "; "))
+		w.test.Fatalf("events\n got %s\nwant %s", got, strings.Join(want, "; "))
 	}
 	w.events = nil
 }
 
+// advance moves the clock forward in steps of at most 10 ms, and runs what is due after each.
 func (w *harness) advance(d time.Duration) {
 	for end := w.now + int64(d); w.now < end; {
 		w.now = min(end, w.now+int64(10*time.Millisecond))
@@ -71,19 +74,19 @@
 	}
 }
 
-// open sends a request, which the balancer answers as onEvent says.
+// open sends a request of class c and tenant t, whose client waits 1 s for its answer.
 func (w *harness) open(id string) *Request {
 	return w.core.Open(&fakeDownstream{w, id}, &Opening{ID: id, Class: "c", Tenant: "t", Wait: time.Second, HasWait: true}, nil)
 }
 
-// shutDown begins a shutdown, and gives whether it has ended.
+// shutDown begins a shutdown. *ended is set once it has ended.
 func (w *harness) shutDown() (ended *bool) {
 	ended = new(bool)
 	w.core.Shutdown(func() { *ended = true })
 	return ended
 }
 
-// expectMigratedAndEnded looks for the migration of the client of request q, and the end of the shutdown.
+// expectMigratedAndEnded checks that the client of request q has migrated and the shutdown has ended.
 func (w *harness) expectMigratedAndEnded(ended *bool) {
 	w.test.Helper()
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
@@ -92,7 +95,7 @@
 	}
 }
 
-// serve has host A accept a request.
+// serve opens a request that host A accepts.
 func (w *harness) serve(id string) (*Request, *fakeUpstream) {
 	w.onEvent = func(e string) {
 		if e == "request "+id {
@@ -107,6 +110,7 @@
 	return r, u
 }
 
+// Start records an attempt in events and upstreams.
 func (w *harness) Start(to Target, _ RequestLine, until int64, _ time.Duration, ev UpstreamEvents) Upstream {
 	w.logEvent("start %s %d", to.Address, (until-w.now)/1e6)
 	u := &fakeUpstream{harness: w, events: ev}
@@ -114,14 +118,16 @@
 	return u
 }
 
+// fakeUpstream is an Upstream whose events the test causes.
 type fakeUpstream struct {
 	harness  *harness
 	events   UpstreamEvents
 	stage    netio.Stage
-	notReady bool
+	notReady bool // Relay accepts no messages
 }
 
-// sent has the host's machine take the last byte of the first line.
+// sent marks the first line as completely written, and notifies the core if the attempt is still in
+// flight.
 func (u *fakeUpstream) sent() {
 	a, attempt := u.events.(*upstreamRequest)
 	fresh := attempt && a.request.attempt == a && u.stage < netio.Sent
@@ -131,7 +137,8 @@
 	}
 }
 
-// endAtRandom has the host read the first line and then reject it, accept it, or reset the connection at a stage.
+// endAtRandom makes the host read the first line and then, at random, reject it, accept it, or reset the
+// connection at a stage. It reports whether the connection was reset.
 func (u *fakeUpstream) endAtRandom(t *rapid.T, stage netio.Stage) (reset bool) {
 	u.sent()
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
@@ -148,12 +155,13 @@
 
 func (u *fakeUpstream) Relay(m Message) bool { return !u.notReady }
 
-func (u *fakeUpstream) RelayPending() { u.harness.logEvent("pump up") }
+func (u *fakeUpstream) RelayPending() { u.harness.logEvent("relay pending up") }
 
 func (u *fakeUpstream) Stage() netio.Stage { return u.stage }
 
 func (u *fakeUpstream) End(cause netio.Cause) { u.harness.logEvent("end up %s", cause) }
 
+// fakeDownstream is a Downstream that records what the core calls.
 type fakeDownstream struct {
 	harness   *harness
 	requestID string
@@ -171,14 +179,16 @@
 
 func (d *fakeDownstream) MigrationLine() []byte { return nil }
 
-func (d *fakeDownstream) RelayPending() { d.harness.logEvent("pump %s", d.requestID) }
+func (d *fakeDownstream) RelayPending() { d.harness.logEvent("relay pending %s", d.requestID) }
 
 func (d *fakeDownstream) Migrate() { d.harness.logEvent("migrate %s", d.requestID) }
 
 func (d *fakeDownstream) End(cause netio.Cause) { d.harness.logEvent("end %s %s", d.requestID, cause) }
 
+// fakeBalancer is a Balancer that records its events, and handles them with onEvent.
 type fakeBalancer harness
 
+// event records an event and calls onEvent.
 func (m *fakeBalancer) event(format string, args ...any) {
 	e := fmt.Sprintf(format, args...)
 	(*harness)(m).logEvent("%s", e)
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/operations/logging"
 )
 
-// captureLog has the log go to a buffer, with every line, until the test ends.
+// captureLog writes the log, at level debug, to a buffer until the test ends.
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	before := slog.Default()
@@ -22,14 +22,15 @@
 	return b
 }
 
-// TestLocalRepliesLogTheirReason: whoever rejects or fails a request, the log says why.
+// TestLocalRepliesLogTheirReason checks that the log has the reason of each rejected or failed request,
+// and the new state of an updated host.
 func TestLocalRepliesLogTheirReason(t *testing.T) {
-	decide := func(do func(w *harness)) func(t *testing.T) {
+	decide := func(decision func(w *harness)) func(t *testing.T) {
 		return func(t *testing.T) {
 			w := newHarness(t)
 			w.onEvent = func(e string) {
 				if e == "request q" {
-					do(w)
+					decision(w)
 				}
 			}
 			w.open("q")
@@ -70,12 +71,12 @@
 		log := captureLog(t)
 		c.run(t)
 		if !strings.Contains(log.String(), " event="+c.want) {
-			t.Errorf("the log lacks %q:\n%s", c.want, log)
+			t.Errorf("the log lacks the event %q:\n%s", c.want, log)
 		}
 	}
 }
 
-// adoptAt opens a request that was open at a host before the start.
+// adoptAt returns a test that opens a request whose connection was open at a host before the start.
 func adoptAt(host string) func(t *testing.T) {
 	return func(t *testing.T) {
 		w := newHarness(t)
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestReasonsHaveNames: each reason is one token that the log can be searched for.
+// TestReasonsHaveNames checks that the names of reasons and host states are distinct single words, so that
+// the log can be searched for them.
 func TestReasonsHaveNames(t *testing.T) {
 	var names []string
 	for r := decidedByBalancer; r <= balancerUnresponsive; r++ {
@@ -98,7 +100,7 @@
 	seen := map[string]bool{}
 	for _, name := range names {
 		if seen[name] || !regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`).MatchString(name) {
-			t.Errorf("%q is taken, or is not a name", name)
+			t.Errorf("name %q: used before: %t; it must be unique and consist of lower-case words joined by _", name, seen[name])
 		}
 		seen[name] = true
 	}
--- a/internal/dataplane/proxy/migrations_test.go
+++ b/internal/dataplane/proxy/migrations_test.go
@@ -6,50 +6,51 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// fakePacer is a pacer that a test gives permits through.
+// fakePacer is a Pacer whose permits the test grants by calling done.
 type fakePacer struct {
-	wants []int
-	then  func(n int)
+	wants []int // the number requested by each call
+	done  func(n int)
 }
 
-func (p *fakePacer) RequestMigrations(want int, then func(n int)) {
+func (p *fakePacer) RequestMigrations(want int, done func(n int)) {
 	p.wants = append(p.wants, want)
-	p.then = then
+	p.done = done
 }
 
-// TestPacedMigrations: clients migrate as permits come, one that has left by its turn costs none, and a shutdown waits for nobody.
+// TestPacedMigrations checks that clients migrate as permits are granted, that a client that has left uses
+// no permit, and that clients do not wait in a shutdown or beyond maxPendingMigrations.
 func TestPacedMigrations(t *testing.T) {
-	c := &migrationPacer{loop: netio.NewLoop()}
-	migrated, gone := 0, 0
+	pacer := &migrationPacer{loop: netio.NewLoop()}
+	migrated, left := 0, 0
 	migrate := func() bool { migrated++; return true }
-	hasLeft := func() bool { gone++; return false }
-	c.submit(migrate)
+	hasLeft := func() bool { left++; return false }
+	pacer.submit(migrate)
 	if migrated != 1 {
-		t.Fatal("without a pace a client waits")
+		t.Fatalf("without a pacer: %d migrated, want 1", migrated)
 	}
 	p := &fakePacer{}
-	c.pacer = p
+	pacer.pacer = p
 	migrated = 0
 	for _, f := range []func() bool{migrate, hasLeft, migrate, migrate} {
-		c.submit(f)
+		pacer.submit(f)
 	}
 	if migrated != 0 || len(p.wants) != 1 {
-		t.Fatalf("%d migrated before a permit, %d requests for permits", migrated, len(p.wants))
+		t.Fatalf("before a permit: %d migrated, %d requests for permits, want 0, 1", migrated, len(p.wants))
 	}
-	p.then(2)
-	if migrated != 2 || gone != 1 {
-		t.Errorf("with two permits %d migrated, and %d had left", migrated, gone)
+	p.done(2)
+	if migrated != 2 || left != 1 {
+		t.Errorf("with two permits: %d migrated, %d had left, want 2, 1", migrated, left)
 	}
-	c.unpaced = true
-	c.submit(migrate)
+	pacer.unpaced = true
+	pacer.submit(migrate)
 	if migrated != 3 {
-		t.Error("at the process's end a client waits for a permit")
+		t.Errorf("in a shutdown: %d migrated, want 3", migrated)
 	}
-	c.unpaced = false
+	pacer.unpaced = false
 	for range maxPendingMigrations + 10 {
-		c.submit(migrate)
+		pacer.submit(migrate)
 	}
-	if len(c.pending) > maxPendingMigrations {
-		t.Errorf("%d wait, at most %d expected", len(c.pending), maxPendingMigrations)
+	if len(pacer.pending) > maxPendingMigrations {
+		t.Errorf("%d clients wait for a permit, want at most %d", len(pacer.pending), maxPendingMigrations)
 	}
 }
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -9,30 +9,30 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// fakeQuota is a quota whose replies the test gives.
+// fakeQuota is a Quota that limits account a, and whose replies the test sends.
 type fakeQuota struct {
-	inUse map[string]int
-	then  []func(over string, advice time.Duration)
+	inUse   map[string]int                                // connections by account
+	waiting []func(exceeded string, advice time.Duration) // the requests that wait for a reply
 }
 
 func (q *fakeQuota) IsLimited(account string) bool { return account == "a" }
-func (q *fakeQuota) Acquire(_ string, _ float64, then func(string, time.Duration)) {
-	q.then = append(q.then, then)
+func (q *fakeQuota) Acquire(_ string, _ float64, done func(string, time.Duration)) {
+	q.waiting = append(q.waiting, done)
 }
 func (q *fakeQuota) CountExisting(account string) { q.inUse[account]++ }
 func (q *fakeQuota) Release(account string)       { q.inUse[account]-- }
 
-// reply answers the request that has waited longest.
-func (q *fakeQuota) reply(over string, advice time.Duration) {
-	then := q.then[0]
-	q.then = q.then[1:]
-	if over == "" {
+// reply answers the request that has waited longest. exceeded is the limit that is used up, "" for none.
+func (q *fakeQuota) reply(exceeded string, advice time.Duration) {
+	done := q.waiting[0]
+	q.waiting = q.waiting[1:]
+	if exceeded == "" {
 		q.inUse["a"]++
 	}
-	then(over, advice)
+	done(exceeded, advice)
 }
 
-// newQuotaHarness is a core whose tenant's account has a quota.
+// newQuotaHarness returns a harness whose tenant's account, a, has a quota.
 func newQuotaHarness(t *testing.T) (*harness, *fakeQuota) {
 	t.Helper()
 	w := newHarness(t)
@@ -50,7 +50,8 @@
 	return w, quota
 }
 
-// A request goes on once its account has quota, and gives back what it counts against at its end, whichever way that comes.
+// TestRequestCountsOnceAgainstQuota checks that a request is placed once its account has quota, counts once
+// while it is open, and releases its quota at its end.
 func TestRequestCountsOnceAgainstQuota(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
@@ -61,40 +62,43 @@
 	u.sent()
 	u.events.FromUpstream(Message{Kind: Accepted})
 	if quota.inUse["a"] != 1 {
-		t.Fatalf("%d in use while it is open, expected 1", quota.inUse["a"])
+		t.Fatalf("%d connections count while it is open, want 1", quota.inUse["a"])
 	}
 	u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 	if quota.inUse["a"] != 0 {
-		t.Fatalf("%d in use after its end", quota.inUse["a"])
+		t.Fatalf("%d connections count after its end, want 0", quota.inUse["a"])
 	}
 }
 
+// TestNoQuotaIsRejected checks that a request whose account has no quota left is rejected, and counts for
+// nothing.
 func TestNoQuotaIsRejected(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
 	quota.reply("rate", 700*time.Millisecond)
 	w.expect("reject r 700")
 	if quota.inUse["a"] != 0 || len(w.core.requests) > 0 {
-		t.Errorf("%d in use, %d requests left", quota.inUse["a"], len(w.core.requests))
+		t.Errorf("%d connections count, %d requests in the table, want 0, 0", quota.inUse["a"], len(w.core.requests))
 	}
 }
 
-// A client that leaves before the reply takes no quota.
+// TestClientThatLeftTakesNoQuota checks that a client that leaves before the quota's reply holds no quota.
 func TestClientThatLeftTakesNoQuota(t *testing.T) {
-	for _, over := range []string{"", "standing"} {
+	for _, exceeded := range []string{"", "standing"} {
 		w, quota := newQuotaHarness(t)
 		r := w.open("r")
 		r.DownstreamEnded(&netio.Error{})
 		w.events = nil
-		quota.reply(over, time.Second)
+		quota.reply(exceeded, time.Second)
 		w.expect()
 		if quota.inUse["a"] != 0 {
-			t.Errorf("%q: %d in use", over, quota.inUse["a"])
+			t.Errorf("exceeded limit %q: %d connections count, want 0", exceeded, quota.inUse["a"])
 		}
 	}
 }
 
-// A connection that is open when its account comes under limits counts from then on, once.
+// TestOpenConnectionsCountAgainstNewLimits checks that an open connection counts once against limits that
+// its account gets later.
 func TestOpenConnectionsCountAgainstNewLimits(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("r")
@@ -103,16 +107,16 @@
 	w.core.SetQuota(quota)
 	w.core.SetRules(enforcer)
 	if quota.inUse["a"] != 0 {
-		t.Fatal("counted before there are accounts")
+		t.Fatalf("%d connections count before there are accounts, want 0", quota.inUse["a"])
 	}
 	rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.ReassignPools()
 	w.core.ReassignPools()
 	if quota.inUse["a"] != 1 {
-		t.Fatalf("%d in use, expected 1", quota.inUse["a"])
+		t.Fatalf("%d connections count against the new limits, want 1", quota.inUse["a"])
 	}
 	u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 	if quota.inUse["a"] != 0 {
-		t.Fatalf("%d in use after its end", quota.inUse["a"])
+		t.Fatalf("%d connections count after its end, want 0", quota.inUse["a"])
 	}
 }
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -9,12 +9,13 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// openWithKey opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is reset after 300 ms, and the second one begins at once.
+// openWithKey opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is
+// reset after 300 ms, and the second one begins at once.
 func openWithKey(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
-	c := &w.core.opt.Settings.Classes[0]
-	c.Idempotency, c.DedupWindow = balancer.IdempotentWithKey, int64(500*time.Millisecond)
+	class := &w.core.opt.Settings.Classes[0]
+	class.Idempotency, class.DedupWindow = balancer.IdempotentWithKey, int64(500*time.Millisecond)
 	w.onEvent = func(e string) {
 		switch e {
 		case "request q":
@@ -33,7 +34,8 @@
 	return w
 }
 
-// A retry whose connection is established late is not written after the dedup window.
+// TestRetryIsWrittenWithinItsWindowOrNotAtAll checks that a retry whose connection is not established
+// within the dedup window ends with the window.
 func TestRetryIsWrittenWithinItsWindowOrNotAtAll(t *testing.T) {
 	w := openWithKey(t)
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700")
@@ -43,21 +45,23 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// The connection is established in the moment in which the window ends, before its timer runs.
+// TestRetryWhoseConnectionIsEstablishedTooLate checks that MaySend blocks a retry whose connection is
+// established as the dedup window ends, before the window's timer runs.
 func TestRetryWhoseConnectionIsEstablishedTooLate(t *testing.T) {
 	w := openWithKey(t)
 	if !w.upstreams[1].events.MaySend() {
-		t.Fatal("a retry within its window is blocked")
+		t.Fatal("MaySend() = false within the dedup window, want true")
 	}
 	w.events = nil
 	w.now += int64(200 * time.Millisecond)
 	if w.upstreams[1].events.MaySend() {
-		t.Fatal("a retry after its window is not blocked")
+		t.Fatal("MaySend() = true after the dedup window, want false")
 	}
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// A retry that is written within the window goes on after it.
+// TestRetryThatIsWrittenGoesOn checks that a retry that is written within the dedup window may be accepted
+// after it.
 func TestRetryThatIsWrittenGoesOn(t *testing.T) {
 	w := openWithKey(t)
 	w.upstreams[1].sent()
@@ -66,7 +70,8 @@
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700", "accept q", "established q 1")
 }
 
-// A rejection says that a retry is harmless. A request that may have run is not rejected where it must not run twice.
+// TestRequestThatMayHaveRunIsNotRejected checks that a request that may have run is rejected only if a
+// second run is harmless, since a rejection promises that. Otherwise it fails.
 func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	for _, c := range []struct {
 		idempotency balancer.Idempotency
@@ -81,8 +86,8 @@
 		{balancer.NotIdempotent, balancer.ScopeAll, false, "reject q 0"},
 	} {
 		w := newHarness(t)
-		k := &w.core.opt.Settings.Classes[0]
-		k.Idempotency, k.DedupScope = c.idempotency, c.scope
+		class := &w.core.opt.Settings.Classes[0]
+		class.Idempotency, class.DedupScope = c.idempotency, c.scope
 		r := w.open("q")
 		w.events = nil
 		if c.ran {
