--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -19,14 +19,14 @@
 	return r.Monitor.countBlocked(rule)
 }
 
-// CheckWrite returns the rule that forbids the attempt in flight to write its first line to h at time
-// now, or None if the line may be written. It counts a blocked write.
+// CheckWrite returns the rule that forbids the attempt in flight to write its first line to h at
+// time now, or None if the line may be written. It counts a blocked write.
 func (r *Request) CheckWrite(now int64, h Host) Rule {
 	return r.Monitor.countBlocked(r.checkSend(now, h))
 }
 
-// checkSend applies the rules on sending to a host. They apply when an attempt begins and again when
-// its first line is written.
+// checkSend applies the rules on sending to a host. They apply when an attempt begins and again
+// when its first line is written.
 func (r *Request) checkSend(now int64, h Host) Rule {
 	switch {
 	case r.isOver():
@@ -56,8 +56,8 @@
 	return None
 }
 
-// sharesDedupMemory reports whether h shares its dedup memory with the host of the first attempt that
-// may have run, so that it discards a retry.
+// sharesDedupMemory reports whether h shares its dedup memory with the host of the first attempt
+// that may have run, so that it discards a retry.
 func (r *Request) sharesDedupMemory(h Host) bool {
 	switch r.Class.DedupScope {
 	case balancer.ScopeZone:
@@ -75,9 +75,10 @@
 	return None
 }
 
-// RetryUntil returns the time, in nanoseconds, from which no first line may be written. Hosts discard
-// retries with an idempotency key during the dedup window, which begins with the first attempt that
-// may have run; a later retry would run twice. RetryUntil returns math.MaxInt64 if there is no limit.
+// RetryUntil returns the time, in nanoseconds, from which no first line may be written. Hosts
+// discard retries with an idempotency key during the dedup window, which begins with the first
+// attempt that may have run; a later retry would run twice. RetryUntil returns math.MaxInt64 if
+// there is no limit.
 func (r *Request) RetryUntil() int64 {
 	if !r.mayHaveRun || r.Class.Idempotency != balancer.IdempotentWithKey {
 		return math.MaxInt64
@@ -89,17 +90,18 @@
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun || r.attemptInFlight && r.lineWritten }
 
 // MayReject reports whether the request may be rejected. A rejection promises that a retry by the
-// client, at any host, is harmless. If the request may have run, that is true only if a second run has
-// no effect or all hosts discard it.
+// client, at any host, is harmless. If the request may have run, that is true only if a second run
+// has no effect or all hosts discard it.
 func (r *Request) MayReject() bool {
 	return !r.MayHaveRun() || r.Class.Idempotency == balancer.Idempotent || r.Class.Idempotency == balancer.IdempotentWithKey && r.Class.DedupScope == balancer.ScopeAll
 }
 
-// MayPlaceAgain reports whether the request may be placed by an instance of the decision module that
-// does not know its earlier attempts.
+// MayPlaceAgain reports whether the request may be placed by an instance of the decision module
+// that does not know its earlier attempts.
 func (r *Request) MayPlaceAgain() bool {
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
 
-// isOver reports whether the request has its answer or its client has left, so that nothing may begin.
+// isOver reports whether the request has its answer or its client has left, so that nothing may
+// begin.
 func (r *Request) isOver() bool { return r.client != awaitingAnswer }
--- a/internal/dataplane/invariant/invariant_test.go
+++ b/internal/dataplane/invariant/invariant_test.go
@@ -8,8 +8,8 @@
 
 const second = int64(1e9)
 
-// servedOnce returns a request of which one attempt, begun at second 1, may have run in zone a, cell 1,
-// and its monitor. Its dedup window is 2 s.
+// servedOnce returns a request of which one attempt, begun at second 1, may have run in zone a,
+// cell 1, and its monitor. Its dedup window is 2 s.
 func servedOnce(idempotency balancer.Idempotency, scope balancer.DedupScope) (*Request, *Monitor) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, ID: "q", Class: &balancer.Class{Idempotency: idempotency, DedupScope: scope, DedupWindow: 2 * second}, Deadline: 10 * second, MaxAttempts: 3}
@@ -20,7 +20,8 @@
 	return r, m
 }
 
-// TestRetries checks that a forbidden attempt is blocked, and counted as broken if it begins anyway.
+// TestRetries checks that a forbidden attempt is blocked, and counted as broken if it begins
+// anyway.
 func TestRetries(t *testing.T) {
 	near, far := Host{Zone: "a", Cell: 1}, Host{Zone: "b", Cell: 2}
 	for _, c := range []struct {
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestAttemptThatHasNotRun checks that an attempt may have run from the write of its line on, and that
-// an attempt known not to have run forbids neither a retry nor a rejection.
+// TestAttemptThatHasNotRun checks that an attempt may have run from the write of its line on, and
+// that an attempt known not to have run forbids neither a retry nor a rejection.
 func TestAttemptThatHasNotRun(t *testing.T) {
 	m := NewMonitor(func(Rule, string) {})
 	r := &Request{Monitor: m, Class: &balancer.Class{Idempotency: balancer.NotIdempotent}, Deadline: 10 * second, MaxAttempts: 3}
--- a/internal/dataplane/invariant/monitor.go
+++ b/internal/dataplane/invariant/monitor.go
@@ -14,15 +14,16 @@
 	return broken, blocked
 }
 
-// Monitor counts the broken rules and blocked actions of one process. It belongs to the event loop.
+// Monitor counts the broken rules and blocked actions of one process. It is not safe for
+// concurrent use.
 type Monitor struct {
 	Counts Counts
 	closed bool // no work may begin any more; see Close
 	report func(r Rule, id string)
 }
 
-// NewMonitor returns a Monitor that calls report, with the request's ID, for each action that broke a
-// rule.
+// NewMonitor returns a Monitor that calls report, with the request's ID, for each action that broke
+// a rule.
 func NewMonitor(report func(r Rule, id string)) *Monitor { return &Monitor{report: report} }
 
 // Close records that the process, which is shutting down, has answered all requests. From then on
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// AttemptEnded records the end of the attempt in flight. notRun reports whether the attempt is known
-// not to have run; an attempt whose first line was not written has not run in any case.
+// AttemptEnded records the end of the attempt in flight. notRun reports whether the attempt is
+// known not to have run; an attempt whose first line was not written has not run in any case.
 func (r *Request) AttemptEnded(notRun bool) {
 	r.attemptInFlight = false
 	if r.lineWritten && !notRun {
@@ -62,7 +62,7 @@
 	r.recordAnswer(now)
 }
 
-// recordAnswer counts an answer that is not the first, or that comes too late.
+// recordAnswer records an answer. It counts a second answer, and one that comes too late.
 func (r *Request) recordAnswer(now int64) {
 	if r.client != awaitingAnswer {
 		r.Monitor.countBroken(SingleAnswer, r.ID)
@@ -77,8 +77,8 @@
 // ClientLeft records that the client has ended the connection.
 func (r *Request) ClientLeft() { r.client = clientLeft }
 
-// ConnectionEnded records that the open connection ended in order: it was migrated or handed over, the
-// proxy sent its client a last line, or the host's end was passed on to the client.
+// ConnectionEnded records that the open connection ended in order: it was migrated or handed over,
+// the proxy sent its client a last line, or the host's end was passed on to the client.
 func (r *Request) ConnectionEnded() {
 	if r.client == established {
 		r.client = answered
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -11,9 +11,9 @@
 // counts as none.
 const answerSlack = int64(500 * time.Millisecond)
 
-// MaxPause is the longest pause of the process that the rules allow for, since the machine may suspend
-// the process between a decision and its effect. An action counts as having missed a deadline or a
-// dedup window only if it comes more than MaxPause late.
+// MaxPause is the longest pause of the process that the rules allow for, since the machine may
+// suspend the process between a decision and its effect. An action counts as having missed a
+// deadline or a dedup window only if it comes more than MaxPause late.
 const MaxPause = 150 * time.Millisecond
 
 // Host holds the properties of an upstream host that the rules depend on.
@@ -56,13 +56,17 @@
 	Class       *balancer.Class
 	Deadline    int64 // ns, on the caller's clock
 	MaxAttempts int
-	Adopted     bool // its connection was open at its host before; it goes to no other, and its host need not be ready
+	// Adopted marks a request whose connection was open at its host before. It goes to no other
+	// host, and its host need not be ready.
+	Adopted bool
 
 	client          clientState
 	attemptsBegun   int
 	attemptInFlight bool
-	lineWritten     bool  // the latest attempt's first line is written completely
-	mayHaveRun      bool  // an attempt that has ended may have run
-	firstRunAt      int64 // ns, start of the first attempt that may have run, where the dedup window begins; 0 if none
-	firstRunHost    Host  // the host of that attempt
+	lineWritten     bool // the latest attempt's first line is written completely
+	mayHaveRun      bool // an attempt that has ended may have run
+	// firstRunAt is the start, in nanoseconds, of the first attempt that may have run, with which
+	// the dedup window begins. It is 0 if there is none. firstRunHost is the host of that attempt.
+	firstRunAt   int64
+	firstRunHost Host
 }
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -1,13 +1,13 @@
 // Package invariant holds the rules that no action on a request may break.
 //
-// The caller queries a Request before an action (CheckAttempt, CheckWrite, MayReject, MayPlaceAgain)
-// and does not carry out what a rule forbids. It also notifies the Request of each action as it is
-// carried out (AttemptBegan, LineWritten, Accepted, …), so that an action that broke a rule is counted
-// whichever code path led to it. The package does no I/O; callers pass in times, in nanoseconds of
-// their clock.
+// The caller queries a Request before an action (CheckAttempt, CheckWrite, MayReject,
+// MayPlaceAgain) and does not carry out what a rule forbids. It also notifies the Request of each
+// action as it is carried out (AttemptBegan, LineWritten, Accepted, …), so that an action that
+// broke a rule is counted whichever code path led to it. The package does no I/O; callers pass in
+// times, in nanoseconds of their clock.
 package invariant
 
-// Rule is a rule that no action on a request may break.
+// Rule identifies a rule that no action on a request may break.
 type Rule int
 
 // The rules. None stands for no rule.
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -6,12 +6,13 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// defaultRetryAfter is the Retry-After of a rejection if the time at which capacity returns is unknown.
-// It is long enough for the front to route the clients of a proxy that is shutting down to others.
+// defaultRetryAfter is the Retry-After of a rejection if the time at which capacity returns is
+// unknown. It is long enough for the front to route the clients of a proxy that is shutting down to
+// others.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// admission limits the downstreams of all processes of this proxy. Each downstream may need two file
-// descriptors, and running out of them would break connections that are already open.
+// admission limits the downstreams of all processes of this proxy. Each downstream may need two
+// file descriptors, and running out of them would break connections that are already open.
 type admission struct {
 	limit                   int // downstreams of this process and the other one together
 	downstreams             int // downstreams of this process
@@ -27,11 +28,11 @@
 	return true
 }
 
-// release returns the capacity of one downstream.
+// release frees the capacity of one downstream.
 func (a *admission) release() { a.downstreams-- }
 
-// Admit reserves capacity for one more downstream, and reports whether there was any. DownstreamEnded
-// releases it. class is the class of the downstream's request, for the metrics.
+// Admit reserves capacity for one more downstream, and reports whether there was any.
+// DownstreamEnded releases it. class is the class of the downstream's request, for the metrics.
 func (c *Core) Admit(class string) bool {
 	if c.admission.acquire() {
 		return true
@@ -51,12 +52,12 @@
 // processes share the file descriptors.
 func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
-// RetryAdvice returns the Retry-After for a client that is rejected for lack of capacity or time. It
-// returns 0 if clients read no Retry-After.
+// RetryAdvice returns the Retry-After for a client that is rejected for lack of capacity or time.
+// It returns 0 if clients read no Retry-After.
 func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
-// boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read no
-// Retry-After.
+// boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read
+// no Retry-After.
 func (c *Core) boundedRetryAfter(after time.Duration) time.Duration {
 	if !c.opt.Settings.SendsRetryAfter {
 		return 0
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -14,9 +14,9 @@
 // the process's start.
 const adoptionRetryDelay = 200 * time.Millisecond
 
-// adopt restores a connection that was open at a host before this proxy's start. The balancer is
-// notified once the connection is established. It makes no choice, since the connection belongs to
-// that host.
+// adopt restores a connection that was open at a host before this proxy's start. The connection
+// belongs to that host, so the balancer chooses none; it is notified once the connection is
+// established.
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -9,12 +9,12 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// overdueGrace is how long after a request's deadline the core still waits for the balancer's answer.
-// It lies within the slack that the platform allows for answers.
+// overdueGrace is how long after a request's deadline the core still waits for the balancer's
+// answer. It lies within the slack that the platform allows for answers.
 const overdueGrace = 15 * time.Millisecond
 
-// rejectOrFail answers a request that gets no further attempt. It rejects the request if a retry by the
-// client is harmless, and fails it otherwise. after is the Retry-After of a rejection.
+// rejectOrFail answers a request that gets no further attempt. It rejects the request if a retry by
+// the client is harmless, and fails it otherwise. after is the Retry-After of a rejection.
 func (r *Request) rejectOrFail(after time.Duration, reason localReplyReason) {
 	if !r.record.MayReject() {
 		r.fail(metrics.Failed, reason)
@@ -39,8 +39,9 @@
 	r.answer(func() { r.downstream.Reject(after) })
 }
 
-// fail answers the client that the request has failed, without the promise that a retry is harmless.
-// The failure counts as end in the metrics. It does nothing if the request has its answer.
+// fail answers the client that the request has failed, without the promise that a retry is
+// harmless. The failure counts as end in the metrics. It does nothing if the request has its
+// answer.
 func (r *Request) fail(end metrics.End, reason localReplyReason) {
 	if r.answered() {
 		return
@@ -55,7 +56,8 @@
 	r.answer(r.downstream.Fail)
 }
 
-// answer closes the request, writes its only answer with write, and ends the attempt in flight, if any.
+// answer closes the request, writes its only answer with write, and ends the attempt in flight, if
+// any.
 func (r *Request) answer(write func()) {
 	r.becomeClosed()
 	write()
@@ -81,15 +83,15 @@
 	r.notifyClientLeft()
 }
 
-// answerNow answers a request at once because the process is shutting down, even if an attempt is in
-// flight, and notifies the balancer that nobody waits for it.
+// answerNow answers a request at once because the process is shutting down, even if an attempt is
+// in flight, and notifies the balancer that nobody waits for it.
 func (r *Request) answerNow(after time.Duration) {
 	r.rejectOrFail(after, processShuttingDown)
 	r.notifyClientLeft()
 }
 
-// notifyClientLeft notifies the balancer that nobody waits for the request any more. An adopted request
-// is unknown to the balancer until it is established.
+// notifyClientLeft notifies the balancer that nobody waits for the request any more. An adopted
+// request is unknown to the balancer until it is established.
 func (r *Request) notifyClientLeft() {
 	if r.adopted {
 		return
@@ -97,7 +99,7 @@
 	r.core.notify(nil, r.pool, func(now balancer.Time, m Balancer) { m.ClientLeft(now, r.attributes.ID) })
 }
 
-// cancel ends an attempt on the balancer's request, unless it is established.
+// cancel ends the attempt with this number, unless it is established or has ended.
 func (r *Request) cancel(attempt int) {
 	if a := r.attempt; a != nil && a.number == attempt && !a.established {
 		a.finish(balancer.Cancelled, netio.Ended)
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// upstreamRequest is one attempt to serve a request and, once established, the open connection to the
-// host.
+// upstreamRequest is one attempt to serve a request and, once established, the open connection to
+// the host.
 type upstreamRequest struct {
 	request   *Request
 	number    int // of the request's attempts in its pool, from 0
@@ -20,19 +20,19 @@
 	deadline  int64 // ns of the loop's time, at which the wait for the host's answer ends
 
 	timeoutTimer     *netio.Timer
-	retryWindowTimer *netio.Timer // ends a retry that is not written within the dedup window; nil if no window limits the attempt
+	retryWindowTimer *netio.Timer // ends a retry not written within the dedup window; nil without a window
 
 	established     bool
 	finalKind       MessageKind // Finished or MigrateClient once the host has sent that message
-	loadReport      []float64   // from the host's answer or last message, in the settings' order of fields; nil if none came
+	loadReport      []float64   // of the host's answer or last message, in the settings' order of fields; may be nil
 	load            float64     // µs/s, as the host last reported it; 0 if unknown
 	previousLoad    float64     // µs/s, the load reported before that
 	unansweredSince []int64     // ns, the times at which the client's lines without a reply were sent
 }
 
-// startAttempt begins an attempt at a host on the request of a pool's balancer, unless a rule forbids
-// it. timeout limits, in nanoseconds, the wait for the host's answer; if it is 0, only the request's
-// deadline does.
+// startAttempt begins an attempt at the host that a pool's balancer has chosen, unless a rule
+// forbids it. timeout limits, in nanoseconds, the wait for the host's answer; if it is 0, only the
+// request's deadline does.
 func (c *Core) startAttempt(p *pool, id, hostID string, timeout balancer.Time) {
 	r := c.requests[id]
 	if r == nil || r.pool != p {
@@ -52,8 +52,8 @@
 		r.notifyNotBegun(number, r.attemptBlocked(rule, h), r.answered)
 		return
 	}
-	verdict, found := c.recheckRules(r, h)
-	switch found {
+	verdict, result := c.recheckRules(r, h)
+	switch result {
 	case rulesReject:
 		r.rejectOrFail(verdict.Advice, forbiddenByRules)
 		r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
@@ -66,8 +66,8 @@
 	}
 }
 
-// attemptDeadline returns the time at which the wait for the answer to an attempt that begins now ends.
-// A zero timeout means the request's deadline.
+// attemptDeadline returns the time at which the wait for the answer to an attempt that begins now
+// ends. A zero timeout means the request's deadline.
 func (r *Request) attemptDeadline(now int64, timeout balancer.Time) int64 {
 	if timeout == 0 {
 		return r.deadline
@@ -75,8 +75,8 @@
 	return min(r.deadline, now+timeout)
 }
 
-// notifyNotBegun notifies the balancer that an attempt was not begun. It calls isClosed, which reports
-// whether the request is over, when the balancer handles the event.
+// notifyNotBegun notifies the balancer that an attempt was not begun. It calls isClosed, which
+// reports whether the request is over, when the balancer handles the event.
 func (r *Request) notifyNotBegun(number int, status balancer.AttemptStatus, isClosed func() bool) {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: number, Status: status, Closed: isClosed()})
@@ -120,12 +120,12 @@
 	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(left, 1)), a)
 }
 
-// lineUnsent reports whether the attempt's first line is not completely written yet, so that its host
-// cannot have acted on it.
+// lineUnsent reports whether the attempt's first line is not completely written yet, so that its
+// host cannot have acted on it.
 func (a *upstreamRequest) lineUnsent() bool { return a.conn.Stage() < netio.Sent }
 
-// detach stops the attempt's timers and removes it from its host and its request. It reports whether
-// the attempt was still attached. The caller ends the connection.
+// detach stops the attempt's timers and removes it from its host and its request. It reports
+// whether the attempt was still attached. The caller ends the connection.
 func (a *upstreamRequest) detach() bool {
 	if a.request.attempt != a {
 		return false
@@ -138,8 +138,8 @@
 	return true
 }
 
-// finish ends an attempt that is not established. It closes the connection first, so that the balancer
-// cannot begin another attempt before.
+// finish ends an attempt that is not established. It closes the connection before it notifies the
+// balancer, which may then begin another attempt.
 func (a *upstreamRequest) finish(status balancer.AttemptStatus, cause netio.Cause) {
 	if !a.detach() {
 		return
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// connected is called when the connection is established. It writes the first line, and the host answers
-// at random.
+// connected is called when the connection is established. It writes the first line, and the host
+// answers at random.
 func (u *randomUpstream) connected() {
 	if !u.events.MaySend() {
 		return
@@ -95,8 +95,8 @@
 	})
 }
 
-// newLeavingClients returns leavingClients among which those of tenant t1, half of all, wait for quota,
-// and all wait for another proxy's answer, which never comes.
+// newLeavingClients returns leavingClients among which those of tenant t1, half of all, wait for
+// quota, and all wait for another proxy's answer, which never comes.
 func newLeavingClients(t *testing.T) *leavingClients {
 	t.Helper()
 	w := &leavingClients{harness: newHarnessWithoutCore(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
@@ -125,8 +125,8 @@
 
 func (droppingPeers) SendToPeer(int, []byte) {}
 
-// IsLimited, Acquire, CountExisting and Release implement a Quota that limits account a, and replies
-// after a random delay.
+// IsLimited, Acquire, CountExisting and Release implement a Quota that limits account a, and
+// replies after a random delay.
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
 func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
 	w.quotaInUse++
@@ -135,8 +135,8 @@
 func (w *leavingClients) CountExisting(string) { w.quotaInUse++ }
 func (w *leavingClients) Release(string)       { w.quotaInUse-- }
 
-// awaitedStep returns what a request waits for. hasQuota reports whether the request has its quota or
-// needs none.
+// awaitedStep returns what a request waits for. hasQuota reports whether the request has its quota
+// or needs none.
 func awaitedStep(r *Request, hasQuota bool) string {
 	switch {
 	case r.attempt != nil && r.attempt.lineUnsent():
@@ -151,8 +151,8 @@
 	return "a choice"
 }
 
-// TestNothingBeginsForClientsThatLeft checks that no attempt begins and no first line is written for a
-// request whose client has left, whatever the request waited for at that moment.
+// TestNothingBeginsForClientsThatLeft checks that no attempt begins and no first line is written
+// for a request whose client has left, whatever the request waited for at that moment.
 func TestNothingBeginsForClientsThatLeft(t *testing.T) {
 	w := newLeavingClients(t)
 	const clients = 4000
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -14,12 +14,12 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// Options configure a core.
+// Options holds the parameters of a Core.
 type Options struct {
 	Settings       balancer.Config
 	MaxDownstreams int // of all processes of this proxy together
-	// DelayInLoad specifies that hosts report a connection's load and their message delay in the same
-	// form, so that the core has to distinguish them.
+	// DelayInLoad specifies that hosts report a connection's load and their message delay in the
+	// same form, so that the core has to distinguish them.
 	DelayInLoad bool
 	// Expiry specifies which connections migrate before a certificate expires.
 	Expiry certexpiry.Policy
@@ -38,7 +38,7 @@
 	discovery       Discovery
 	peers           Peers           // nil if there are none, or the settings forbid messages
 	healthChecker   HealthChecker   // nil if the settings do not permit health checks
-	idleDownstreams IdleDownstreams // may be nil
+	idleDownstreams IdleDownstreams // nil if there are none
 
 	fleet      fleetRules
 	decisions  decisionLoop
@@ -71,7 +71,7 @@
 	return n
 }
 
-// New returns a Core that serves nothing until Run is called.
+// New returns a Core. Run must be called before it accepts clients.
 func New(l *netio.Loop, connector Connector, opt Options) *Core {
 	return &Core{
 		loop:      l,
@@ -106,8 +106,8 @@
 }
 
 // Run starts the core with discovery d and the endpoint list known. newBalancer creates a pool's
-// balancer, which requests its effects from fx; the core calls it once for each pool. Run returns the
-// error of the first call.
+// balancer, which requests its effects from fx; the core calls it once for each pool. Run returns
+// an error if it cannot create the balancer of the pool main.
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
@@ -123,8 +123,8 @@
 // Ready reports whether the core runs and is not shutting down.
 func (c *Core) Ready() bool { return c.pools.main != nil && !c.shuttingDown }
 
-// AcceptsClients reports whether this process accepts clients. It does not if it is not ready, or if
-// the other process of this proxy accepts them.
+// AcceptsClients reports whether this process accepts clients. It does not if it is not ready, or
+// if the other process of this proxy accepts them.
 func (c *Core) AcceptsClients() bool { return c.Ready() && !c.handover.handedOver }
 
 // SetHealthChecker sets the HealthChecker that polls hosts for their load. Without one there are no
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// TestOneAnswer checks that a client gets exactly one answer: soon after its deadline if the balancer does
-// not answer, none after that, and at once if the balancer panics.
+// TestOneAnswer checks that a client gets exactly one answer: soon after its deadline if the
+// balancer does not answer, none after that, and at once if the balancer panics.
 func TestOneAnswer(t *testing.T) {
 	w := newHarness(t)
 	w.open("q")
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestAttempts checks that an attempt's connection is closed before the next attempt begins, and that the
-// stage it had reached determines the status reported to the balancer.
+// TestAttempts checks that an attempt's connection is closed before the next attempt begins, and
+// that the stage it had reached determines the status reported to the balancer.
 func TestAttempts(t *testing.T) {
 	w := newHarness(t)
 	w.onEvent = func(e string) {
@@ -61,8 +61,8 @@
 	w.expect("end s broke", "ended s 0 5 true")
 }
 
-// TestListStopsDials checks that a dial in progress is repeated at a host's changed address, and ends when
-// the host begins to drain.
+// TestListStopsDials checks that a dial in progress is repeated at a host's changed address, and
+// ends when the host begins to drain.
 func TestListStopsDials(t *testing.T) {
 	w := newHarness(t)
 	w.onEvent = func(e string) {
@@ -82,8 +82,8 @@
 	w.expect("ended q 1 2 false")
 }
 
-// TestListStopsUnsentLines checks that a first line that the kernel has not accepted yet is not sent to a
-// host that has begun to drain, nor as a retry after the dedup window.
+// TestListStopsUnsentLines checks that a first line that the kernel has not accepted yet is not
+// sent to a host that has begun to drain, nor as a retry after the dedup window.
 func TestListStopsUnsentLines(t *testing.T) {
 	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
@@ -97,8 +97,8 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// TestShutdown checks that a proxy that is shutting down rejects new requests, migrates open connections
-// once the front routes no more clients to it, and ends when all have ended.
+// TestShutdown checks that a proxy that is shutting down rejects new requests, migrates open
+// connections once the front routes no more clients to it, and ends when all have ended.
 func TestShutdown(t *testing.T) {
 	w := newHarness(t)
 	w.serve("q")
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestInvalidOpenings checks that openings with an unknown class or tenant or an ID in use fail, and that
-// a client cannot wait longer than the deadline of its class.
+// TestInvalidOpenings checks that openings with an unknown class or tenant or an ID in use fail,
+// and that a client cannot wait longer than the deadline of its class.
 func TestInvalidOpenings(t *testing.T) {
 	w := newHarness(t)
 	open := func(o Opening) { w.core.Open(&fakeDownstream{w, o.ID}, &o, nil) }
@@ -134,8 +134,8 @@
 	w.expect("fail long", "left long")
 }
 
-// TestSuspendedHost checks that a suspended host gets no new requests: dials end, and later lists do not
-// make it ready. Its open connections go on until they are migrated.
+// TestSuspendedHost checks that a suspended host gets no new requests: dials end, and later lists
+// do not make it ready. Its open connections go on until they are migrated.
 func TestSuspendedHost(t *testing.T) {
 	w := newHarness(t)
 	_, open := w.serve("r0")
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -8,8 +8,8 @@
 )
 
 // decisionLoop serialises the calls of the decision module. The module is single-threaded and not
-// reentrant, so its effects are queued while it handles an event and run in order once it has returned.
-// Events that the effects cause wait until all effects of the previous event have run.
+// reentrant, so its effects are queued while it handles an event and run in order once it has
+// returned. Events that the effects cause wait until all effects of the previous event have run.
 type decisionLoop struct {
 	now     func() balancer.Time
 	running bool
@@ -24,9 +24,9 @@
 	handle  func(now balancer.Time, m Balancer)
 }
 
-// submit passes an event to the module, runs its effects, and then does the same for the events that
-// they caused. While an event is being handled, submit only queues. If the module or an effect panics,
-// request, which may be nil, is answered.
+// submit passes an event to the module, runs its effects, and then does the same for the events
+// that they caused. While an event is being handled, submit only queues. If the module or an effect
+// panics, request, which may be nil, is answered.
 func (d *decisionLoop) submit(request *Request, module Balancer, handle func(now balancer.Time, m Balancer)) {
 	d.events = append(d.events, decisionEvent{request, module, handle})
 	if d.running {
@@ -55,8 +55,8 @@
 // addEffect queues an effect, which runs once the module has returned.
 func (d *decisionLoop) addEffect(effect func()) { d.effects = append(d.effects, effect) }
 
-// recoverRequest calls f and recovers from its panic. The request that f acts on, if it is not nil, then
-// still gets its only answer.
+// recoverRequest calls f and recovers from its panic. The request that f acts on, if it is not nil,
+// then still gets its only answer.
 func recoverRequest(request *Request, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/proxy/decide_test.go
+++ b/internal/dataplane/proxy/decide_test.go
@@ -7,8 +7,9 @@
 	"croftlock/internal/balancer"
 )
 
-// TestEffectsFollowTheirEvent checks that effects run after the event that caused them, that events caused
-// by effects follow after all of these, and that a panic ends only the effect in which it happens.
+// TestEffectsFollowTheirEvent checks that effects run after the event that caused them, that events
+// caused by effects follow after all of these, and that a panic ends only the effect in which it
+// happens.
 func TestEffectsFollowTheirEvent(t *testing.T) {
 	d := decisionLoop{now: func() balancer.Time { return 1 }}
 	var steps []string
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// FromDownstream relays a client's message to its host. It reports whether the message was accepted; if
-// not, Downstream.RelayPending follows.
+// FromDownstream relays a client's message to its host. It reports whether it accepted the message;
+// if not, the downstream keeps the message until its RelayPending is called.
 func (r *Request) FromDownstream(m Message) bool {
 	a := r.attempt
 	if a == nil || !a.established {
@@ -31,8 +31,8 @@
 	}
 }
 
-// EndedByProxy is called when the proxy ends the client's connection because of a fault and sends the
-// client a last line. DownstreamEnded follows.
+// EndedByProxy is called when the proxy ends the client's connection because of a fault and sends
+// the client a last line. DownstreamEnded follows.
 func (r *Request) EndedByProxy() {
 	switch {
 	case r.isOpen():
@@ -42,8 +42,8 @@
 	}
 }
 
-// DownstreamEnded is called when the client's connection has ended: the client has closed it, it has
-// broken, or the proxy has ended it.
+// DownstreamEnded is called when the client's connection has ended: the client has closed it, it
+// has broken, or the proxy has ended it.
 func (r *Request) DownstreamEnded(err *netio.Error) {
 	if tracing() {
 		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err.Cause,
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -21,8 +21,8 @@
 	c.ReassignPools()
 }
 
-// applyRules returns the verdict of the fleet's rules on a request, and logs it with the rules version.
-// Without rules it returns the zero Verdict, which rejects nothing.
+// applyRules returns the verdict of the fleet's rules on a request, and logs it with the rules
+// version. Without rules it returns the zero Verdict, which rejects nothing.
 func (c *Core) applyRules(tenant, class string, q *balancer.Request) (v rules.Verdict) {
 	if c.fleet.enforcer == nil {
 		return v
@@ -55,8 +55,8 @@
 	return [...]string{"agree", "reject", "other_pool", "other_host"}[result]
 }
 
-// recheckRules applies the rules again right before an attempt, since the process may have been paused
-// and the rules may have changed since the request came. Adopted requests are not checked.
+// recheckRules applies the rules again right before an attempt, since the process may have been
+// paused and the rules may have changed since the request came. Adopted requests are not checked.
 func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, result recheckResult) {
 	if c.fleet.enforcer == nil || r.adopted {
 		return v, rulesAgree
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// harness is a core between fakes, on a clock that the test advances. events lists the calls that the core
-// makes to the fakes.
+// harness is a core between fakes, on a clock that the test advances. events lists the calls that
+// the core makes to the fakes.
 type harness struct {
 	test      *testing.T
 	now       int64 // ns
@@ -86,7 +86,8 @@
 	return ended
 }
 
-// expectMigratedAndEnded checks that the client of request q has migrated and the shutdown has ended.
+// expectMigratedAndEnded checks that the client of request q has migrated and the shutdown has
+// ended.
 func (w *harness) expectMigratedAndEnded(ended *bool) {
 	w.test.Helper()
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
@@ -137,8 +138,8 @@
 	}
 }
 
-// endAtRandom makes the host read the first line and then, at random, reject it, accept it, or reset the
-// connection at a stage. It reports whether the connection was reset.
+// endAtRandom makes the host read the first line and then, at random, reject it, accept it, or
+// reset the connection at a stage. It reports whether the connection was reset.
 func (u *fakeUpstream) endAtRandom(t *rapid.T, stage netio.Stage) (reset bool) {
 	u.sent()
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -8,13 +8,13 @@
 )
 
 // Balancer is the part of the decision module that the core calls. The core calls it from one
-// goroutine, and never while the Balancer handles another call.
+// goroutine, and never while the Balancer handles another call. Times are in nanoseconds.
 type Balancer interface {
 	// RequestArrived places a request: the balancer starts an attempt, queues it or rejects it.
 	RequestArrived(now balancer.Time, q balancer.Request)
 	// ConnectionAdopted reports an open connection at host that the balancer has not placed.
 	ConnectionAdopted(now balancer.Time, q balancer.Request, host string)
-	// AttemptEstablished reports that the host has accepted, elapsed nanoseconds after the start.
+	// AttemptEstablished reports that the host has accepted, elapsed after the attempt began.
 	AttemptEstablished(now balancer.Time, id string, attempt int, elapsed balancer.Time)
 	// AttemptEnded reports the end of an attempt or of its open connection.
 	AttemptEnded(now balancer.Time, result balancer.AttemptResult)
@@ -31,11 +31,11 @@
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired reports that the delay of the effect Schedule with this token has passed.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether a host is ejected because set-ups failed there. Until its next trial is
-	// due, an ejected host gets attempts only if no other host is available.
+	// Ejected reports whether a host is ejected because set-ups failed there. Until its next trial
+	// is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, id string) bool
-	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives up
-	// its slow-start budgets.
+	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives
+	// up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
 	// Restore adds the knowledge in another balancer's snapshot.
 	Restore(now balancer.Time, m balancer.Snapshot)
@@ -52,14 +52,15 @@
 	FetchList()        // fetches the complete endpoint list
 }
 
-// Downstream is a client's connection. Accept, Reject and Fail are answers, of which a request gets one.
+// Downstream is a client's connection. Accept, Reject and Fail are answers, of which a request gets
+// one.
 type Downstream interface {
 	Accept(acceptance Message)  // relays the host's acceptance
-	Reject(after time.Duration) // sends the local reply that a retry is harmless, with its Retry-After; 0 for none
-	Fail()                      // sends the local reply that the request has failed
+	Reject(after time.Duration) // replies that a retry is harmless; after is the Retry-After, 0 for none
+	Fail()                      // replies that the request has failed
 	Relay(m Message) bool       // reports whether it accepted m; if not, Request.DownstreamReady follows
 	RelayPending()              // offers the core again the messages that it did not accept
-	Migrate()                   // sends the migration line, after which the client opens the connection again, and ends it
+	Migrate()                   // ends it with the line after which the client opens it again
 	MigrationLine() []byte      // returns the line that Migrate sends
 	End(cause netio.Cause)      // ends it with the cause with which the host's side ended
 }
@@ -80,8 +81,8 @@
 	MaySend() bool
 	// UpstreamSent is called once the first line is written completely; the host may act on it now.
 	UpstreamSent()
-	// FromUpstream is called with each message of the host, and reports whether the core accepted it.
-	// If not, Upstream.RelayPending follows.
+	// FromUpstream is called with each message of the host, and reports whether the core accepted
+	// it. If not, the Upstream keeps it until its RelayPending is called.
 	FromUpstream(m Message) bool
 	// UpstreamReady is called when the Upstream accepts messages again.
 	UpstreamReady()
@@ -108,7 +109,7 @@
 
 // Connector opens upstream requests.
 type Connector interface {
-	// Start connects to a host within connect, sends first, and notifies ev of what follows. until is
-	// the loop's time, in nanoseconds, at which the proxy stops waiting for the host's answer.
+	// Start connects to a host within connect, sends first, and notifies ev of what follows. until
+	// is the loop's time, in nanoseconds, at which the proxy stops waiting for the host's answer.
 	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
 }
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -1,6 +1,7 @@
-// Package proxy is the core between clients and upstream hosts. It owns each request on both sides, applies
-// the rules that hold for every protocol, and is the only caller of the decision module. The packages that
-// implement the interfaces in interfaces.go know the protocols of clients and upstream hosts.
+// Package proxy is the core between clients and upstream hosts. It owns each request on both sides,
+// applies the rules that hold for every protocol, and is the only caller of the decision module.
+// The packages that implement the interfaces in interfaces.go know the protocols of clients and
+// upstream hosts.
 //
 // All code of this package runs on the event loop, one event after the other.
 //
@@ -31,21 +32,21 @@
 //
 // # Adopted requests
 //
-// A request whose connection is open at a host already (Opening.StickyHost) is handled by Request.adopt. The
-// checks differ as follows:
+// A request whose connection is open at a host already (Opening.StickyHost) is handled by
+// Request.adopt. The checks differ as follows:
 //
 //   - 4: only Core.applyRules runs; its verdict is logged and ignored.
 //   - 5: the class does not limit the deadline, and Request.failUnresponsive does not apply.
 //   - 6, 7 and 9 are skipped.
 //   - 8: only CheckAttempt runs, without the limit of attempts.
 //   - 8 and 10: the host need not be usable.
-//   - 11: applies only in a shutdown. A request whose attempts fail, fails (Request.fail).
+//   - 11: applies only in a shutdown. If its attempts fail, the request fails (Request.fail).
 //
 // # Open connections
 //
 // An open connection ends when either side ends it, or is migrated:
 //
-//   - on the decision module's request (effects.Migrate)
+//   - as the decision module decides (effects.Migrate)
 //   - off a silent host (Core.checkUnanswered)
 //   - off a suspended host (Core.migrateOffHost) or before a certificate expires (Core.migrateExpiring),
 //     both at the fleet's rate (migrationPacer)
--- a/internal/dataplane/proxy/log_test.go
+++ b/internal/dataplane/proxy/log_test.go
@@ -22,8 +22,8 @@
 	return b
 }
 
-// TestLocalRepliesLogTheirReason checks that the log has the reason of each rejected or failed request,
-// and the new state of an updated host.
+// TestLocalRepliesLogTheirReason checks that the log has the reason of each rejected or failed
+// request, and the new state of an updated host.
 func TestLocalRepliesLogTheirReason(t *testing.T) {
 	decide := func(decision func(w *harness)) func(t *testing.T) {
 		return func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestReasonsHaveNames checks that the names of reasons and host states are distinct single words, so that
-// the log can be searched for them.
+// TestReasonsHaveNames checks that the names of reasons and host states are distinct single words,
+// so that the log can be searched for them.
 func TestReasonsHaveNames(t *testing.T) {
 	var names []string
 	for r := decidedByBalancer; r <= balancerUnresponsive; r++ {
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -16,12 +16,13 @@
 
 // RequestLine is the client's opening in the form in which it is sent to an upstream host.
 type RequestLine interface {
-	// WithWait returns the line's bytes, in which wait is how long the proxy waits for the host's answer.
+	// WithWait returns the line's bytes, in which wait is how long the proxy waits for the host's
+	// answer.
 	WithWait(wait time.Duration) []byte
 }
 
-// MessageKind is the meaning of a message to the core. HandedOverConnection stores its numbers, so they
-// must not change.
+// MessageKind is the meaning of a message to the core. HandedOverConnection stores its numbers, so
+// they must not change.
 type MessageKind int
 
 // The kinds of message.
@@ -35,13 +36,13 @@
 	LoadReported                     // the host reports the connection's load or its message delay
 )
 
-// Message is a message between a client and a host. Text is relayed unchanged, and is valid only during
-// the call.
+// Message is a message between a client and a host. Text is relayed unchanged, and is valid only
+// during the call.
 type Message struct {
 	Kind MessageKind
 	Load float64 // of LoadReported: microseconds of work per second, or milliseconds of message delay
-	// Report is the load report that follows OverCapacity, Failed or Finished, in the settings' order
-	// of fields. It is nil if there is none.
+	// Report is the load report that follows OverCapacity, Failed or Finished, in the settings'
+	// order of fields. It is nil if there is none.
 	Report []float64
 	Text   []byte
 }
--- a/internal/dataplane/proxy/migrations.go
+++ b/internal/dataplane/proxy/migrations.go
@@ -8,21 +8,21 @@
 
 // Pacer grants permits to migrate clients, so that the whole fleet keeps to one rate.
 type Pacer interface {
-	// RequestMigrations requests want permits, and calls done on the event loop with how many are granted
-	// now.
+	// RequestMigrations requests want permits, and calls done on the event loop with how many are
+	// granted now.
 	RequestMigrations(want int, done func(n int))
 }
 
 const (
 	// pacerInterval is the pause before permits are requested again for clients that still wait.
 	pacerInterval = 100 * time.Millisecond
-	// maxPendingMigrations limits the clients that wait for a permit. Further ones migrate at once, as
-	// without a pacer. A proxy's file descriptors limit their number in any case.
+	// maxPendingMigrations limits the clients that wait for a permit. Further ones migrate at once,
+	// as without a pacer. A proxy's file descriptors limit their number in any case.
 	maxPendingMigrations = 4096
 )
 
-// migrationPacer migrates the clients of suspended hosts, and of connections whose certificate is about
-// to expire, at the fleet's rate.
+// migrationPacer migrates the clients of suspended hosts, and of connections whose certificate is
+// about to expire, at the fleet's rate.
 type migrationPacer struct {
 	loop      *netio.Loop
 	pacer     Pacer         // nil if migrations need no permits
@@ -31,8 +31,8 @@
 	requested bool          // a request for permits has no reply yet
 }
 
-// submit calls migrate once a permit is granted, or at once if none is needed. migrate reports whether
-// there still was a connection to migrate; if not, the permit goes to the next client.
+// submit calls migrate once a permit is granted, or at once if none is needed. migrate reports
+// whether there still was a connection to migrate; if not, the permit goes to the next client.
 func (p *migrationPacer) submit(migrate func() bool) {
 	if p.pacer == nil || p.unpaced || len(p.pending) >= maxPendingMigrations {
 		migrate()
@@ -66,7 +66,7 @@
 	}
 }
 
-// SetPacer sets the Pacer for clients of suspended hosts and of connections whose certificate is about
-// to expire. Clients that migrate because the process is shutting down, or because their host does not
-// answer, never wait for a permit.
+// SetPacer sets the Pacer for clients of suspended hosts and of connections whose certificate is
+// about to expire. Clients that migrate because the process is shutting down, or because their host
+// does not answer, never wait for a permit.
 func (c *Core) SetPacer(p Pacer) { c.migrations.pacer = p }
--- a/internal/dataplane/proxy/migrations_test.go
+++ b/internal/dataplane/proxy/migrations_test.go
@@ -17,8 +17,8 @@
 	p.done = done
 }
 
-// TestPacedMigrations checks that clients migrate as permits are granted, that a client that has left uses
-// no permit, and that clients do not wait in a shutdown or beyond maxPendingMigrations.
+// TestPacedMigrations checks that clients migrate as permits are granted, that a client that has
+// left uses no permit, and that clients do not wait in a shutdown or beyond maxPendingMigrations.
 func TestPacedMigrations(t *testing.T) {
 	pacer := &migrationPacer{loop: netio.NewLoop()}
 	migrated, left := 0, 0
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -52,9 +52,9 @@
 	return r
 }
 
-// validate returns an error if an opening cannot be served. The class determines the deadline and the
-// idempotency, an ID identifies one request, and hosts know no tenant that the settings do not name. If
-// the settings name no tenants, any is valid.
+// validate returns an error if an opening cannot be served. The class determines the deadline and
+// the idempotency, an ID identifies one request, and hosts know no tenant that the settings do not
+// name. If the settings name no tenants, any is valid.
 func (c *Core) validate(o *Opening) error {
 	_, classKnown := c.names.classes[o.Class]
 	_, tenantKnown := c.names.tenants[o.Tenant]
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// attributesOf returns a valid opening in the form that the decision module expects. Tenant is -1 if the
-// settings do not name the tenant.
+// attributesOf returns a valid opening in the form that the decision module expects. Tenant is -1
+// if the settings do not name the tenant.
 func (c *Core) attributesOf(o *Opening) balancer.Request {
 	q := balancer.Request{ID: o.ID, Class: c.names.classes[o.Class], Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad,
 		Retry: o.Retry, Returned: o.Returned}
@@ -90,8 +90,9 @@
 	d.Reject(after)
 }
 
-// choosePlacement returns the first pool that a request may use and that has a usable host. If there is
-// none, it turns the verdict into a rejection. reason is the reason if the verdict is a rejection.
+// choosePlacement returns the first pool that a request may use and that has a usable host. If
+// there is none, it turns the verdict into a rejection. reason is the reason if the verdict is a
+// rejection.
 func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
 	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
 	if chosen == nil && !v.Rejected {
@@ -100,8 +101,9 @@
 	return chosen, reason
 }
 
-// answerTimeout returns how long a client waits for its answer: its own Wait, but at most the deadline of
-// its class. A client that returns to the host at which its connection is open may wait longer.
+// answerTimeout returns how long a client waits for its answer: its Wait, or the deadline of its
+// class if it gave no Wait or a longer one. A client that returns to the host at which its
+// connection is open may wait longer.
 func (c *Core) answerTimeout(o *Opening, class int) time.Duration {
 	longest := time.Duration(c.opt.Settings.Classes[class].Deadline)
 	if !o.HasWait || o.Wait > longest && o.StickyHost == "" {
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -10,21 +10,21 @@
 type Quota interface {
 	// IsLimited reports whether an account has limits.
 	IsLimited(account string) bool
-	// Acquire reserves quota for one connection of an account, and calls done on the event loop with the
-	// result. exceeded names the limit that is used up, "" if the quota was reserved; advice is the
-	// Retry-After, which spread (0 to 1) varies.
+	// Acquire reserves quota for one connection of an account, and calls done on the event loop
+	// with the result. exceeded names the limit that is used up, "" if the quota was reserved;
+	// advice is the Retry-After, which spread (0 to 1) varies.
 	Acquire(account string, spread float64, done func(exceeded string, advice time.Duration))
 	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
-	// Release returns the quota of one connection.
+	// Release frees the quota of one connection.
 	Release(account string)
 }
 
 // SetQuota sets the limits over the fleet. It is called before the core accepts clients.
 func (c *Core) SetQuota(q Quota) { c.fleet.quota = q }
 
-// acquireQuota calls proceed once quota for the request is reserved in its account, and at once if the
-// account is not limited. If no quota is left, it rejects the request.
+// acquireQuota calls proceed once quota for the request is reserved in its account, and at once if
+// the account is not limited. If no quota is left, it rejects the request.
 func (c *Core) acquireQuota(r *Request, account string, proceed func()) {
 	if c.fleet.quota == nil || account == "" || !c.fleet.quota.IsLimited(account) {
 		proceed()
@@ -47,7 +47,7 @@
 	})
 }
 
-// retrySpread returns a number from 0 up to 1, derived from a request's ID, that spreads the Retry-After
+// retrySpread returns a number in [0, 1), derived from a request's ID, that spreads the Retry-After
 // of rejected requests.
 func retrySpread(id string) float64 {
 	h := fnv.New32a()
@@ -55,7 +55,7 @@
 	return float64(h.Sum32()%1000) / 1000
 }
 
-// releaseQuota returns the quota that the request holds, if any.
+// releaseQuota frees the quota that the request holds, if any.
 func (r *Request) releaseQuota() {
 	if r.quotaAccount != "" {
 		r.core.fleet.quota.Release(r.quotaAccount)
@@ -63,8 +63,9 @@
 	}
 }
 
-// countExistingConnections counts those open connections against the limits of their accounts that are
-// not counted yet, because they were opened before this process had rules or their account had limits.
+// countExistingConnections counts those open connections against the limits of their accounts that
+// are not counted yet, because they were opened before this process had rules or their account had
+// limits.
 func (c *Core) countExistingConnections() {
 	if c.fleet.quota == nil {
 		return
@@ -80,8 +81,8 @@
 	}
 }
 
-// tenantName returns the tenant that the request's client named. A connection from before a hot restart
-// has only the tenant's index, which the settings translate into a name.
+// tenantName returns the tenant that the request's client named. A connection from before a hot
+// restart has only the tenant's index, which the settings translate into a name.
 func (c *Core) tenantName(r *Request) string {
 	if r.tenant == "" && r.attributes.Tenant >= 0 {
 		return c.opt.Settings.Tenants[r.attributes.Tenant].Name
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -22,7 +22,8 @@
 func (q *fakeQuota) CountExisting(account string) { q.inUse[account]++ }
 func (q *fakeQuota) Release(account string)       { q.inUse[account]-- }
 
-// reply answers the request that has waited longest. exceeded is the limit that is used up, "" for none.
+// reply answers the request that has waited longest. exceeded is the limit that is used up, "" for
+// none.
 func (q *fakeQuota) reply(exceeded string, advice time.Duration) {
 	done := q.waiting[0]
 	q.waiting = q.waiting[1:]
@@ -50,8 +51,8 @@
 	return w, quota
 }
 
-// TestRequestCountsOnceAgainstQuota checks that a request is placed once its account has quota, counts once
-// while it is open, and releases its quota at its end.
+// TestRequestCountsOnceAgainstQuota checks that a request is placed once its account has quota,
+// counts once while it is open, and releases its quota at its end.
 func TestRequestCountsOnceAgainstQuota(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
@@ -70,8 +71,8 @@
 	}
 }
 
-// TestNoQuotaIsRejected checks that a request whose account has no quota left is rejected, and counts for
-// nothing.
+// TestNoQuotaIsRejected checks that a request whose account has no quota left is rejected, and
+// counts for nothing.
 func TestNoQuotaIsRejected(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
@@ -82,7 +83,8 @@
 	}
 }
 
-// TestClientThatLeftTakesNoQuota checks that a client that leaves before the quota's reply holds no quota.
+// TestClientThatLeftTakesNoQuota checks that a client that leaves before the quota's reply holds no
+// quota.
 func TestClientThatLeftTakesNoQuota(t *testing.T) {
 	for _, exceeded := range []string{"", "standing"} {
 		w, quota := newQuotaHarness(t)
@@ -97,8 +99,8 @@
 	}
 }
 
-// TestOpenConnectionsCountAgainstNewLimits checks that an open connection counts once against limits that
-// its account gets later.
+// TestOpenConnectionsCountAgainstNewLimits checks that an open connection counts once against
+// limits that its account gets later.
 func TestOpenConnectionsCountAgainstNewLimits(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("r")
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// ReassignPools moves each host to the pool that the rules in force assign it to, and removes pools that
-// are not used any more.
+// ReassignPools moves each host to the pool that the rules in force assign it to, and removes pools
+// that are not used any more.
 func (c *Core) ReassignPools() {
 	c.countExistingConnections()
 	reassigned := 0
@@ -24,9 +24,9 @@
 	}
 }
 
-// transferHost moves a host to another pool, with its open connections. Its ejection and slow-start budget
-// move too, since the host itself has not changed. Attempts whose line is not written end. If to
-// is nil, the host is between two pools, and the snapshot stays with it until the next transfer.
+// transferHost moves a host to another pool, with its open connections. Its ejection and slow-start
+// budget move too, since the host itself has not changed. Attempts whose line is not written end.
+// If to is nil, the host is between two pools, and keeps the snapshot until the next transfer.
 func (c *Core) transferHost(h *host, to *pool) {
 	from := h.pool
 	h.pool = to
@@ -77,8 +77,8 @@
 	c.notify(nil, to, a.reportAdopted)
 }
 
-// reportAdopted notifies a balancer of an open connection that it has not placed, and of its load if that
-// is known.
+// reportAdopted notifies a balancer of an open connection that it has not placed, and of its load
+// if that is known.
 func (a *upstreamRequest) reportAdopted(now balancer.Time, m Balancer) {
 	attributes := a.request.attributes
 	m.ConnectionAdopted(now, attributes, a.host.hostID)
@@ -88,9 +88,9 @@
 }
 
 // placeInPool places a request again in another pool, since the rules have changed since it came. A
-// request that may have run and is not idempotent fails, since the other pool's balancer does not know its
-// attempts. number is the attempt that was not begun. If to is nil, no pool has a usable host, and the
-// request is rejected or fails.
+// request that may have run and is not idempotent fails, since the other pool's balancer does not
+// know its attempts. number is the attempt that was not begun. If to is nil, no pool has a usable
+// host, and the request is rejected or fails.
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	if to == nil {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// requestPhase is the state of a request towards its client.
+// requestPhase is the state of a request as its client sees it.
 type requestPhase int
 
 const (
@@ -39,16 +39,23 @@
 	tenant      string           // as the client named it; "" after a hot restart
 	deadline    int64            // ns of the loop's time
 
-	pool         *pool  // the pool whose balancer places it; once open, its host's pool, nil while the host is between two pools
-	quotaAccount string // the account whose quota it holds; "" if none
+	// pool is the pool whose balancer places the request and, once the connection is open, the
+	// host's pool. It is nil while the host is between two pools.
+	pool         *pool
+	quotaAccount string // the account whose quota the request holds; "" if none
 	record       invariant.Request
-	overdueTimer *netio.Timer // fails the request if the balancer does not answer; nil if adopted or handed over
-
-	phase                  requestPhase
-	adopted                bool             // its connection was open at a host before this proxy's start
-	attempts               int              // attempts that balancers requested, also those that a check stopped; 0 if adopted, 1 if handed over
-	attemptsInEarlierPools int              // of these, the ones from before it came to its present pool
-	attempt                *upstreamRequest // the attempt in flight or, once established, the open connection; nil if there is none
+	// overdueTimer fails the request if the balancer does not answer. It is nil for adopted
+	// requests and connections that were handed over.
+	overdueTimer *netio.Timer
+
+	phase   requestPhase
+	adopted bool // the connection was open at a host before this proxy's start
+	// attempts counts the attempts that balancers of all pools requested, also those that a check
+	// stopped. It is 0 for an adopted request, and 1 for a connection that was handed over.
+	attempts               int
+	attemptsInEarlierPools int // of attempts, those before the request came to its present pool
+	// attempt is the attempt in flight or, once established, the open connection. It may be nil.
+	attempt *upstreamRequest
 }
 
 // answered reports whether the client has its answer, or has left.
@@ -63,7 +70,8 @@
 	r.overdueTimer.Stop()
 }
 
-// becomeClosed records that the client has its final answer or has left, or that the connection has ended.
+// becomeClosed records that the client has its final answer or has left, or that the connection has
+// ended.
 func (r *Request) becomeClosed() {
 	r.phase = closed
 	r.overdueTimer.Stop()
@@ -72,8 +80,8 @@
 // class returns the settings of the request's class.
 func (r *Request) class() *balancer.Class { return &r.core.opt.Settings.Classes[r.attributes.Class] }
 
-// stageName returns the stage of the attempt in flight, for the log. Without an attempt, while the request
-// waits for the decision module, it returns "no_attempt".
+// stageName returns the stage of the attempt in flight, for the log. Without an attempt, while the
+// request waits for the decision module, it returns "no_attempt".
 func (r *Request) stageName() string {
 	if r.attempt == nil {
 		return "no_attempt"
@@ -81,7 +89,7 @@
 	return r.attempt.conn.Stage().String()
 }
 
-// requestPlacement requests the placement of the request from its pool's balancer.
+// requestPlacement asks the balancer of the request's pool to place the request.
 func (r *Request) requestPlacement() {
 	r.core.notify(r, r.pool, func(now balancer.Time, m Balancer) {
 		if r.answered() {
--- a/internal/dataplane/proxy/retry.go
+++ b/internal/dataplane/proxy/retry.go
@@ -9,9 +9,9 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaySend reports whether the first line may be written, now that the connection is established. In the
-// meantime the host may have become unusable, or the dedup window of a retry may have ended. If MaySend
-// returns false, it has ended the attempt.
+// MaySend reports whether the first line may be written, now that the connection is established. In
+// the meantime the host may have become unusable, or the dedup window of a retry may have ended. If
+// MaySend returns false, it has ended the attempt.
 func (a *upstreamRequest) MaySend() bool {
 	if a.request.attempt != a {
 		return false
@@ -23,8 +23,8 @@
 	return true
 }
 
-// startRetryWindowTimer starts a timer that ends the attempt if its line is not written before the dedup
-// window ends.
+// startRetryWindowTimer starts a timer that ends the attempt if its line is not written before the
+// dedup window ends.
 func (a *upstreamRequest) startRetryWindowTimer() {
 	deadline := a.request.record.RetryUntil()
 	if deadline == math.MaxInt64 {
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// openWithKey opens a request with an idempotency key and a dedup window of 500 ms. Its first attempt is
-// reset after 300 ms, and the second one begins at once.
+// openWithKey opens a request with an idempotency key and a dedup window of 500 ms. Its first
+// attempt is reset after 300 ms, and the second one begins at once.
 func openWithKey(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
@@ -34,8 +34,8 @@
 	return w
 }
 
-// TestRetryIsWrittenWithinItsWindowOrNotAtAll checks that a retry whose connection is not established
-// within the dedup window ends with the window.
+// TestRetryIsWrittenWithinItsWindowOrNotAtAll checks that a retry whose connection is not
+// established within the dedup window ends with the window.
 func TestRetryIsWrittenWithinItsWindowOrNotAtAll(t *testing.T) {
 	w := openWithKey(t)
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700")
@@ -45,8 +45,8 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// TestRetryWhoseConnectionIsEstablishedTooLate checks that MaySend blocks a retry whose connection is
-// established as the dedup window ends, before the window's timer runs.
+// TestRetryWhoseConnectionIsEstablishedTooLate checks that MaySend blocks a retry whose connection
+// is established as the dedup window ends, before the window's timer runs.
 func TestRetryWhoseConnectionIsEstablishedTooLate(t *testing.T) {
 	w := openWithKey(t)
 	if !w.upstreams[1].events.MaySend() {
@@ -60,8 +60,8 @@
 	w.expect("end up ended", "ended q 1 7 false", "reject q 0")
 }
 
-// TestRetryThatIsWrittenGoesOn checks that a retry that is written within the dedup window may be accepted
-// after it.
+// TestRetryThatIsWrittenGoesOn checks that a retry that is written within the dedup window may be
+// accepted after it.
 func TestRetryThatIsWrittenGoesOn(t *testing.T) {
 	w := openWithKey(t)
 	w.upstreams[1].sent()
@@ -70,8 +70,8 @@
 	w.expect("end up ended", "ended q 0 5 false", "start at-B 700", "accept q", "established q 1")
 }
 
-// TestRequestThatMayHaveRunIsNotRejected checks that a request that may have run is rejected only if a
-// second run is harmless, since a rejection promises that. Otherwise it fails.
+// TestRequestThatMayHaveRunIsNotRejected checks that a request that may have run is rejected only
+// if a second run is harmless, since a rejection promises that. Otherwise it fails.
 func TestRequestThatMayHaveRunIsNotRejected(t *testing.T) {
 	for _, c := range []struct {
 		idempotency balancer.Idempotency
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -17,8 +17,9 @@
 	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
-// FromUpstream handles a message from the host: before the acceptance it is the answer, afterwards it is
-// relayed. It reports whether the message was accepted.
+// FromUpstream handles a message from the host: before the acceptance it is the answer, afterwards
+// it is relayed. It reports whether it accepted the message; one for an ended attempt is accepted
+// and dropped.
 func (a *upstreamRequest) FromUpstream(m Message) bool {
 	r := a.request
 	if r.attempt != a {
@@ -56,11 +57,11 @@
 	}
 	c.counters.served++
 	r.record.Accepted(c.loop.Now())
-	how := metrics.Established
+	end := metrics.Established
 	if r.adopted {
-		how = metrics.Adopted
+		end = metrics.Adopted
 	}
-	c.counters.metrics.Ended(r.attributes.Class, how)
+	c.counters.metrics.Ended(r.attributes.Class, end)
 	r.downstream.Accept(m)
 	a.notifyEstablished()
 	c.reassignConnection(r) // the host may have changed pools in the meantime
@@ -83,8 +84,8 @@
 	})
 }
 
-// relay relays a host's message on an open connection to the client, and records what it reports. It
-// returns false if the client's connection does not accept messages now.
+// relay relays a host's message on an open connection to the client, and records what it reports.
+// It returns false if the client's connection does not accept messages now.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
 	if !r.downstream.Relay(m) {
@@ -133,8 +134,9 @@
 	a.notifyEnded(status)
 }
 
-// statusBeforeAnswer returns the status of an attempt whose connection broke at a stage before the host's
-// answer. Until the last byte of the first line is written, the host cannot have acted on it.
+// statusBeforeAnswer returns the status of an attempt whose connection broke at a stage before the
+// host's answer. Until the last byte of the first line is written, the host cannot have acted on
+// it.
 func statusBeforeAnswer(stage netio.Stage) balancer.AttemptStatus {
 	if stage < netio.Sent {
 		return balancer.ConnectFailed
@@ -142,8 +144,8 @@
 	return balancer.Reset
 }
 
-// finalStatus returns the status with which an open connection ended, by the kind of the host's last
-// message.
+// finalStatus returns the status with which an open connection ended, by the kind of the host's
+// last message.
 func (a *upstreamRequest) finalStatus() balancer.AttemptStatus {
 	switch a.finalKind {
 	case Finished:
