--- a/internal/dataplane/certexpiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -92,7 +92,7 @@
 
 // Nothing migrates if migration is off. Each of a few connections migrates eventually, and one
 // without a certificate never does.
-func TestOffAndFew(t *testing.T) {
+func TestMigrationOffAndFewConnections(t *testing.T) {
 	if migrated := simulate(New(Policy{Before: time.Hour, MaxSharePerMinute: 1}), connections(10, start), 100, steadyClock); len(migrated) > 0 {
 		t.Errorf("migrated %v with migration off, want none", migrated)
 	}
--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -92,7 +92,7 @@
 
 // Hosts take turns: a host with many waiting handshakes must not delay the first handshake of
 // another.
-func TestTurns(t *testing.T) {
+func TestHostsTakeTurns(t *testing.T) {
 	b := New(Limits{Rate: 10, Burst: 100 * time.Millisecond, MaxInFlight: 100}, 0)
 	for id := range uint64(50) {
 		b.Enqueue(0, id, "popular", false, 100_000*ms)
@@ -107,7 +107,7 @@
 
 // A resumed handshake counts less against the rates. One that turns out to be full must be charged
 // as a full one.
-func TestResumed(t *testing.T) {
+func TestResumedHandshakeWeight(t *testing.T) {
 	beganInOneSecond := func(resumed bool) (began int) {
 		b := New(Limits{HostRate: 100, Burst: 10 * time.Millisecond, ResumedFactor: 0.25}, 0)
 		for id := range uint64(1000) {
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -168,7 +168,7 @@
 // Random requests, ends and drops at random times. No limit may be exceeded by more than its burst
 // or one handshake, every request must end in one way, none may begin after its deadline, and the
 // same calls must return the same results.
-func TestProperties(t *testing.T) {
+func TestBudgetProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
--- a/internal/dataplane/handshake/rejectreason.go
+++ b/internal/dataplane/handshake/rejectreason.go
@@ -4,7 +4,7 @@
 // the handshake.
 type RejectReason int
 
-var refusals = [...]string{"none", "no time left in the handshake budget", "too many handshakes wait"}
+var rejectReasonTexts = [...]string{"none", "no time left in the handshake budget", "too many handshakes wait"}
 
 // String returns the reason as text for the detail of a TLS failure.
-func (r RejectReason) String() string { return refusals[r] }
+func (r RejectReason) String() string { return rejectReasonTexts[r] }
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -106,7 +106,7 @@
 	e.core.decisions.addEffect(func() { e.core.checkHost(e.pool, host) })
 }
 
-// SendToPeer sends a message to another proxy if the core has a Peers. The message may be lost.
+// SendToPeer sends a message to another proxy if peers are configured. The message may be lost.
 func (e *effects) SendToPeer(peer int, data []byte) {
 	c := e.core
 	c.decisions.addEffect(func() {
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -60,7 +60,7 @@
 // If a host's own load is known, small figures remain loads while it has capacity left. Delays are
 // recognised by the second one, exactly a second after the first, and the load for which the first
 // one was taken is corrected.
-func TestKnownHostLoadTellsDelays(t *testing.T) {
+func TestDelayWithKnownHostLoad(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
 	h := w.core.hosts.byID["A"]
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -32,8 +32,8 @@
 	lastLatency    int64 // latency of the last answered line
 	lastAt         int64 // when its answer came
 	oldestSent     int64 // when the oldest unanswered line was sent; 0 if there is none
-	reportedAt     int64
-	reportedAsSlow bool
+	reportedAt     int64 // when a latency was last reported
+	reportedAsSlow bool  // the last report was of a slow host
 }
 
 // recordAnswer records that a line sent at time sent is answered at time now.
--- a/internal/dataplane/proxy/pools_test.go
+++ b/internal/dataplane/proxy/pools_test.go
@@ -17,7 +17,7 @@
 // Random sequences of rules versions, lists, requests and ends of attempts. Each request must go
 // only to hosts of its tenant's pool and get one answer, and each open connection must belong to
 // the pool of its host.
-func TestEachPoolHasItsOwn(t *testing.T) {
+func TestRequestsStayInTheirPool(t *testing.T) {
 	open, poolSwaps := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newPoolHarness(t)
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -149,8 +149,8 @@
 	return longest
 }
 
-// step ends idle downstreams, and hands over or migrates the connections that are due. It runs
-// until nothing is left.
+// step ends idle downstreams, and hands over or migrates the connections that are due. It
+// reschedules itself until the shutdown has ended.
 func (s *shutdown) step() {
 	if s.done == nil {
 		return
