--- a/internal/dataplane/handshake/budget_test.go
+++ b/internal/dataplane/handshake/budget_test.go
@@ -9,10 +9,10 @@
 
 const ms = int64(time.Millisecond)
 
-// runHandshakes calls Next and Done from now until the given time. Each handshake takes took and
-// costs cpu. It calls onBegin for each handshake that begins, and returns the IDs of those that
-// Next dropped.
-func runHandshakes(b *Budget, now, until int64, cpu time.Duration, took int64, onBegin func(id uint64, at int64)) (late []uint64) {
+// runHandshakes calls Next and Done from now until the given time, in nanoseconds. Each handshake
+// takes the duration, in nanoseconds, and costs cpu. It calls onBegin for each handshake that
+// begins, and returns the IDs of those that Next dropped.
+func runHandshakes(b *Budget, now, until int64, cpu time.Duration, duration int64, onBegin func(id uint64, at int64)) (late []uint64) {
 	type end struct {
 		at int64
 		id uint64
@@ -27,7 +27,7 @@
 		late = append(late, dropped...)
 		for _, id := range begin {
 			onBegin(id, now)
-			ends = append(ends, end{now + took, id})
+			ends = append(ends, end{now + duration, id})
 		}
 	}
 	return late
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -142,12 +142,12 @@
 		}
 	}
 	span := float64(m.now) / 1e9
-	if most := m.limits.Rate*span + math.Max(1, m.limits.Rate*0.05); m.weight > most+1e-6 {
-		m.t.Fatalf("handshakes of weight %v in %v s, want at most %v at %v per second", m.weight, span, most, m.limits.Rate)
+	if maxWeight := m.limits.Rate*span + math.Max(1, m.limits.Rate*0.05); m.weight > maxWeight+1e-6 {
+		m.t.Fatalf("handshakes of weight %v in %v s, want at most %v at %v per second", m.weight, span, maxWeight, m.limits.Rate)
 	}
 	for host, weight := range m.hostWeight {
-		if most := m.limits.HostRate*span + math.Max(1, m.limits.HostRate*0.05); weight > most+1e-6 {
-			m.t.Fatalf("handshakes of weight %v with host %s in %v s, want at most %v at %v per second", weight, host, span, most, m.limits.HostRate)
+		if maxWeight := m.limits.HostRate*span + math.Max(1, m.limits.HostRate*0.05); weight > maxWeight+1e-6 {
+			m.t.Fatalf("handshakes of weight %v with host %s in %v s, want at most %v at %v per second", weight, host, span, maxWeight, m.limits.HostRate)
 		}
 	}
 }
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -20,10 +20,10 @@
 // A connection must be migrated before its certificate expires, and the balancer notified. One
 // without a certificate stays open, and so do all if migration is off.
 func TestMigratedBeforeItsCertificateEnds(t *testing.T) {
-	for _, want := range []bool{true, false} {
+	for _, enabled := range []bool{true, false} {
 		w := newHarness(t)
 		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
-		if want {
+		if enabled {
 			w.core.opt.Expiry = certexpiry.Policy{MigrationEnabled: true, Before: 30 * time.Second, MaxSharePerMinute: 1}
 			w.core.expiry = certexpiry.New(w.core.opt.Expiry)
 			w.loop.After(certexpiry.PlanInterval, w.core.migrateExpiring)
@@ -35,10 +35,10 @@
 			w.advance(time.Second)
 		}
 		migrated := slices.Contains(w.events, "migrate r1")
-		if migrated != want || slices.Contains(w.events, "migrate r2") {
-			t.Errorf("with migration enabled %t, r1 migrated %t, want %t and r2 not migrated; events: %q", want, migrated, want, w.events)
+		if migrated != enabled || slices.Contains(w.events, "migrate r2") {
+			t.Errorf("with migration enabled %t, r1 migrated %t, want %t and r2 not migrated; events: %q", enabled, migrated, enabled, w.events)
 		}
-		if want && !slices.ContainsFunc(w.events, func(s string) bool { return strings.HasPrefix(s, "ended r1 0") }) {
+		if enabled && !slices.ContainsFunc(w.events, func(s string) bool { return strings.HasPrefix(s, "ended r1 0") }) {
 			t.Errorf("the balancer was not notified of the end of r1; events: %q", w.events)
 		}
 	}
--- a/internal/dataplane/proxy/hosts_test.go
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -7,16 +7,16 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// belowWatermark is a Watermarks that blocks the named host.
-type belowWatermark string
+// blockingWatermarks is a Watermarks that blocks the host of this ID.
+type blockingWatermarks string
 
-func (b belowWatermark) ListUpdated(WatchEvent) []string        { return nil }
-func (b belowWatermark) Blocks(id string, _ balancer.Time) bool { return id == string(b) }
+func (b blockingWatermarks) ListUpdated(WatchEvent) []string        { return nil }
+func (b blockingWatermarks) Blocks(id string, _ balancer.Time) bool { return id == string(b) }
 
 // A state other than Ready from discovery takes precedence over a suspension, which takes
 // precedence over a watermark.
 func TestEffectiveState(t *testing.T) {
-	table := hostTable{byID: map[string]*host{}, suspensions: maintenance.New(), watermarks: belowWatermark("w")}
+	table := hostTable{byID: map[string]*host{}, suspensions: maintenance.New(), watermarks: blockingWatermarks("w")}
 	for _, id := range []string{"s", "w"} {
 		table.suspensions.HostListed(id)
 	}
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -64,9 +64,9 @@
 	w := newHarness(t)
 	_, u := w.serve("q")
 	h := w.core.hosts.byID["A"]
-	report := func(loaded float64, x ...float64) {
-		for _, x := range x {
-			h.checkedLoad, h.checkedAt = loaded, w.now
+	report := func(hostLoad float64, figures ...float64) {
+		for _, x := range figures {
+			h.checkedLoad, h.checkedAt = hostLoad, w.now
 			u.events.FromUpstream(Message{Kind: LoadReported, Load: x})
 			w.advance(time.Second)
 		}
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -109,7 +109,7 @@
 
 // SetIdleDownstreams sets the connections without a request, which a shutdown ends. It waits for
 // those that have sent part of a request.
-func (c *Core) SetIdleDownstreams(n IdleDownstreams) { c.idleDownstreams = n }
+func (c *Core) SetIdleDownstreams(d IdleDownstreams) { c.idleDownstreams = d }
 
 // shutdown holds the state of a process's shutdown, from SIGTERM to the end of the process.
 type shutdown struct {
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -45,7 +45,7 @@
 }
 
 // SetFleetSuspensions applies the complete list of hosts that are suspended for the fleet. The
-// suspension of a host that is no longer listed ends.
+// fleet's suspension of a host that is no longer listed ends.
 func (c *Core) SetFleetSuspensions(ids []string) {
 	s := c.hosts.suspensions
 	previous := map[string]maintenance.Suspension{}
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -107,7 +107,7 @@
 
 // Random sequences of suspensions, lists, requests, ends of attempts and process restarts. No
 // attempt may start at a suspended host.
-func TestNothingToSuspendedHosts(t *testing.T) {
+func TestNoAttemptsAtSuspendedHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSuspensionHarness(t, "A", "B", "C")
 		requests := 0
