--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -186,8 +186,8 @@
 		return nil
 	}
 	g := r.Group
-	fmt.Fprintf(w, "%s: %s %s  boots %d  term %d  leader %s  commit %d  applied %d\n", r.Name, g.Phase, g.Reason, g.Boots, g.Term, orDash(g.Leader), g.Commit, g.Applied)
-	for _, name := range g.Waits {
+	fmt.Fprintf(w, "%s: %s %s  boots %d  term %d  leader %s  commit %d  applied %d\n", r.Name, g.Phase, g.Reason, g.Starts, g.Term, orDash(g.Leader), g.Commit, g.Applied)
+	for _, name := range g.Applicants {
 		fmt.Fprintf(w, "%s asks to be added\n", name)
 	}
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -27,7 +27,7 @@
 			g.propose("after the copy")
 			g.run(1e9)
 			g.kill("b")
-			g.disks["b"].PutBack(oldCopy)
+			g.disks["b"].Restore(oldCopy)
 			g.mustStart("b")
 			g.run(5e9)
 			g.checkPhase("b", Stale)
@@ -127,7 +127,7 @@
 	g.propose("one")
 	failed := g.leader()
 	name := failed.cfg.Name
-	g.disks[name].Fail = errors.New("no space")
+	g.disks[name].InjectedErr = errors.New("no space")
 	g.propose("two")
 	g.checkPhase(name, Broken)
 	if _, reason := failed.Phase(); !strings.Contains(reason, "no space") {
@@ -139,7 +139,7 @@
 	if err := failed.Propose(g.now, 1, 1, nil); err != ErrNotLeader {
 		t.Errorf("a broken replica takes a proposal: got %v, want %v", err, ErrNotLeader)
 	}
-	g.disks[name].Fail = nil
+	g.disks[name].InjectedErr = nil
 	g.kill(name)
 	g.mustStart(name)
 	g.propose("three")
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -102,7 +102,7 @@
 // handleHello answers a starting process with what is known of it.
 func (c *Core) handleHello(from uint32, h hello) error {
 	if h.group != c.cfg.Group || PeerID(h.name) != from || h.replica != 0 && peerOf(h.replica) != from {
-		return ErrHello
+		return ErrInvalidHello
 	}
 	if c.phase == Broken || c.phase == Stale {
 		return nil // what this process knows can't be stored, or is out of date
@@ -141,7 +141,7 @@
 // handleWelcome handles the answer to a hello.
 func (c *Core) handleWelcome(from uint32, m welcome) error {
 	if m.group != c.cfg.Group || m.replica != c.identity.ID {
-		return ErrWelcome
+		return ErrInvalidWelcome
 	}
 	if c.phase != Starting {
 		return nil
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -14,8 +14,8 @@
 
 // MemoryStore is a Store for tests and simulations: it simulates crashes, failures and files restored from a backup.
 type MemoryStore struct {
-	SkipSync bool  // an injected fault: a crash loses what was saved; breaks durability
-	Fail     error // of each call that saves, and of Load, from now on; nil: none
+	SkipSync    bool  // an injected fault: a crash loses what was saved; breaks durability
+	InjectedErr error // of each call that saves, and of Load, from now on; nil: none
 
 	stored StoredState
 	synced *StoredState // what a crash leaves, with SkipSync; nil: stored
@@ -45,15 +45,15 @@
 		out.StartRecords = map[uint64]StartRecord{}
 	}
 	out.Entries = entriesAfter(out.Entries, out.Snapshot.Metadata.Index)
-	return out, m.Fail
+	return out, m.InjectedErr
 }
 
 func (m *MemoryStore) write(f func(s *StoredState)) error {
 	if m.closed {
 		return ErrClosed
 	}
-	if m.Fail != nil {
-		return m.Fail
+	if m.InjectedErr != nil {
+		return m.InjectedErr
 	}
 	if m.SkipSync && m.synced == nil {
 		synced := clone(m.stored)
@@ -74,8 +74,8 @@
 // Copy is what a backup of the store would hold.
 func (m *MemoryStore) Copy() StoredState { return clone(m.stored) }
 
-// PutBack restores a copy in place of all that was saved.
-func (m *MemoryStore) PutBack(s StoredState) { m.stored, m.synced = clone(s), nil }
+// Restore restores a copy in place of all that was saved.
+func (m *MemoryStore) Restore(s StoredState) { m.stored, m.synced = clone(s), nil }
 
 // SaveIdentity implements Store.
 func (m *MemoryStore) SaveIdentity(id Identity) error {
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -18,10 +18,10 @@
 
 // Errors of Receive.
 var (
-	ErrHello       = errors.New("consensus: hello of another group or malformed")
-	ErrWelcome     = errors.New("consensus: welcome for another start or malformed")
-	ErrRaftMessage = errors.New("consensus: raft message of another group or malformed")
-	ErrMessageKind = errors.New("consensus: unknown message kind")
+	ErrInvalidHello       = errors.New("consensus: hello of another group or malformed")
+	ErrInvalidWelcome     = errors.New("consensus: welcome for another start or malformed")
+	ErrInvalidRaftMessage = errors.New("consensus: raft message of another group or malformed")
+	ErrUnknownMessageKind = errors.New("consensus: unknown message kind")
 )
 
 // MisroutedError is the error of a raft message that names another sender than it came from, or another receiver than this replica.
@@ -52,7 +52,7 @@
 func decodeHello(r encoding.Reader) (hello, error) {
 	h := hello{group: r.Text(maxNameBytes), name: r.Text(maxNameBytes), replica: r.Uint(), starts: r.Uint(), incarnation: r.Uint()}
 	if r.Err() != nil {
-		return h, ErrHello
+		return h, ErrInvalidHello
 	}
 	return h, nil
 }
@@ -80,7 +80,7 @@
 	m.start = StartRecord{Starts: r.Uint(), Incarnation: r.Uint()}
 	m.received = evidence{term: r.Uint(), logTerm: r.Uint(), logIndex: r.Uint()}
 	if r.Err() != nil {
-		return m, ErrWelcome
+		return m, ErrInvalidWelcome
 	}
 	return m, nil
 }
@@ -98,7 +98,7 @@
 
 func decodeRaft(r encoding.Reader, group string) (m raftpb.Message, err error) {
 	if r.Text(maxNameBytes) != group || r.Err() != nil {
-		return m, ErrRaftMessage
+		return m, ErrInvalidRaftMessage
 	}
 	if err := m.Unmarshal(r.Data); err != nil {
 		return m, fmt.Errorf("consensus: %w", err)
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -38,7 +38,7 @@
 	if got, err := decodeRaft(body, "g"); err != nil || kind != kindRaft || got.Term != 3 {
 		t.Errorf("raft: %d %+v %v", kind, got, err)
 	}
-	if _, err := decodeRaft(body, "other"); err != ErrRaftMessage {
+	if _, err := decodeRaft(body, "other"); err != ErrInvalidRaftMessage {
 		t.Errorf("raft message of another group: %v", err)
 	}
 	p := proposal{tag: 9, machine: 1, command: []byte("x")}
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -34,7 +34,7 @@
 		}
 		return c.handleRaft(from, m)
 	}
-	return ErrMessageKind
+	return ErrUnknownMessageKind
 }
 
 // handleRaft passes a message to the raft library.
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -11,13 +11,13 @@
 // Status is what operators see of this process.
 func (c *Core) Status() Status {
 	s := Status{
-		Phase:   c.phase.String(),
-		Reason:  c.reason(),
-		ID:      formatID(c.identity.ID),
-		Boots:   c.identity.Starts,
-		Applied: c.applied.index,
-		Waits:   []string{},
-		Members: []StatusMember{},
+		Phase:      c.phase.String(),
+		Reason:     c.reason(),
+		ID:         formatID(c.identity.ID),
+		Starts:     c.identity.Starts,
+		Applied:    c.applied.index,
+		Applicants: []string{},
+		Members:    []StatusMember{},
 	}
 	followers := map[uint64]progress{}
 	if c.node != nil {
@@ -27,8 +27,8 @@
 			c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) { followers[id] = pr })
 		}
 	}
-	s.Waits = slices.AppendSeq(s.Waits, maps.Keys(c.joining.applicants))
-	slices.Sort(s.Waits)
+	s.Applicants = slices.AppendSeq(s.Applicants, maps.Keys(c.joining.applicants))
+	slices.Sort(s.Applicants)
 	member := func(id uint64, votes bool) StatusMember {
 		pr := followers[id]
 		active := pr.RecentActive || id == c.identity.ID && pr.Match > 0
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -26,7 +26,7 @@
 	index int
 }
 
-func (e testEnd) Datagram(_ uint32, data []byte) {
+func (e testEnd) SendDatagram(_ uint32, data []byte) {
 	l := e.link
 	l.longestDatagram = max(l.longestDatagram, len(data))
 	for range 1 + l.rng.IntN(2) { // some are duplicated
@@ -36,7 +36,7 @@
 	}
 }
 
-func (e testEnd) Message(_ uint32, data []byte) {
+func (e testEnd) DeliverMessage(_ uint32, data []byte) {
 	e.link.received[e.index] = append(e.link.received[e.index], append([]byte(nil), data...))
 }
 
@@ -64,7 +64,7 @@
 // TestLongMessagesArriveOnce: under loss, duplication and reordering each long message is delivered complete and once.
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
-		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessage} {
+		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessageBytes} {
 			l := newLossyLink(seed, 0.2)
 			data := make([]byte, size)
 			for i := range data {
@@ -85,7 +85,7 @@
 			if l.longestDatagram > 240 {
 				t.Fatalf("a datagram of %d bytes", l.longestDatagram)
 			}
-			if size == MaxMessage && seed > 2 {
+			if size == MaxMessageBytes && seed > 2 {
 				break
 			}
 		}
@@ -101,12 +101,12 @@
 	if n := len(l.ends[0].peers[1].outgoing); n != maxOutgoing {
 		t.Errorf("%d messages wait, want %d", n, maxOutgoing)
 	}
-	if l.ends[0].Send(0, 1, make([]byte, MaxMessage+1)) != ErrMessageTooLong {
+	if l.ends[0].Send(0, 1, make([]byte, MaxMessageBytes+1)) != ErrMessageTooLong {
 		t.Error("a message over the bound is accepted")
 	}
 	l.ends[0].Tick(GiveUpAfter)
-	if n := len(l.ends[0].peers[1].outgoing); n != 0 || l.ends[0].GivenUp != 100 {
-		t.Errorf("after GiveUpAfter %d wait, %d given up", n, l.ends[0].GivenUp)
+	if n := len(l.ends[0].peers[1].outgoing); n != 0 || l.ends[0].AbandonedMessages != 100 {
+		t.Errorf("after GiveUpAfter %d wait, %d given up", n, l.ends[0].AbandonedMessages)
 	}
 	for i := range 100 {
 		d := []byte{DatagramPrefix, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
@@ -146,7 +146,7 @@
 		}
 		for _, p := range b.peers {
 			for _, m := range p.incoming {
-				if len(m.data) > 2*MaxMessage {
+				if len(m.data) > 2*MaxMessageBytes {
 					t.Fatalf("an incomplete message takes %d bytes", len(m.data))
 				}
 			}
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -49,7 +49,7 @@
 		count:   int(binary.BigEndian.Uint16(data[12:])),
 		body:    data[pieceHeader:],
 	}
-	valid := p.index < p.count && p.count >= 2 && p.count*len(p.body) <= 2*MaxMessage
+	valid := p.index < p.count && p.count >= 2 && p.count*len(p.body) <= 2*MaxMessageBytes
 	return p, valid
 }
 
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -51,7 +51,7 @@
 		if part.last() {
 			return true // the length of the others is not known yet; this piece will be retransmitted
 		}
-		if part.count*len(part.body) > MaxMessage+len(part.body) {
+		if part.count*len(part.body) > MaxMessageBytes+len(part.body) {
 			return false
 		}
 		m = newIncoming(part)
@@ -69,7 +69,7 @@
 	}
 	p.complete(m)
 	t.sendAck(from, m.message, nil)
-	t.effects.Message(from, m.data)
+	t.effects.DeliverMessage(from, m.data)
 	return true
 }
 
@@ -105,5 +105,5 @@
 func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
 	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
-	t.effects.Datagram(to, t.buffer)
+	t.effects.SendDatagram(to, t.buffer)
 }
--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -15,12 +15,12 @@
 	received [][]byte
 }
 
-func (e *recordingEnd) Datagram(_ uint32, data []byte) {
+func (e *recordingEnd) SendDatagram(_ uint32, data []byte) {
 	e.samples.Add(fmt.Sprintf("kind-%d", data[1]), data)
 	e.queue = append(e.queue, bytes.Clone(data))
 }
 
-func (e *recordingEnd) Message(_ uint32, data []byte) {
+func (e *recordingEnd) DeliverMessage(_ uint32, data []byte) {
 	e.received = append(e.received, bytes.Clone(data))
 }
 
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -17,16 +17,16 @@
 func (t *Transport) Send(now Time, to uint32, data []byte) error {
 	if len(data) <= t.pieceBytes+pieceHeader-singleHeader {
 		t.buffer = append(t.buffer[:0], DatagramPrefix, kindSingle)
-		t.effects.Datagram(to, append(t.buffer, data...))
+		t.effects.SendDatagram(to, append(t.buffer, data...))
 		return nil
 	}
-	if len(data) > MaxMessage {
+	if len(data) > MaxMessageBytes {
 		return ErrMessageTooLong
 	}
 	p := t.peer(to)
 	if len(p.outgoing) >= maxOutgoing { // the oldest is the one most likely to be out of date
 		p.outgoing = p.outgoing[1:]
-		t.GivenUp++
+		t.AbandonedMessages++
 	}
 	t.lastSequence++
 	pieces := (len(data) + t.pieceBytes - 1) / t.pieceBytes
@@ -56,7 +56,7 @@
 		body := o.data[i*t.pieceBytes : min(len(o.data), (i+1)*t.pieceBytes)]
 		part := piece{messageID{t.incarnation, o.sequence}, i, count, body}
 		t.buffer = part.append(t.buffer[:0])
-		t.effects.Datagram(to, t.buffer)
+		t.effects.SendDatagram(to, t.buffer)
 	}
 }
 
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -9,8 +9,8 @@
 type Time = int64
 
 const (
-	// MaxMessage bounds a message, in bytes.
-	MaxMessage = 200 << 10
+	// MaxMessageBytes bounds a message, in bytes.
+	MaxMessageBytes = 200 << 10
 	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
@@ -30,8 +30,8 @@
 
 // Effects is what a Transport has its user do. Data are valid during the call only.
 type Effects interface {
-	Datagram(peer uint32, data []byte)
-	Message(peer uint32, data []byte)
+	SendDatagram(peer uint32, data []byte)
+	DeliverMessage(peer uint32, data []byte)
 }
 
 // peerState is the messages in flight to and from a peer.
@@ -43,8 +43,8 @@
 
 // Transport is one process's end. It is not safe for concurrent use.
 type Transport struct {
-	Malformed int // datagrams received
-	GivenUp   int // long messages
+	MalformedDatagrams int // datagrams received
+	AbandonedMessages  int // long messages
 
 	effects      Effects
 	incarnation  uint32 // distinguishes this process's messages from those of an earlier one
@@ -86,7 +86,7 @@
 		remaining := p.outgoing[:0]
 		for _, o := range p.outgoing {
 			if now >= o.giveUpAt {
-				t.GivenUp++
+				t.AbandonedMessages++
 				continue
 			}
 			remaining = append(remaining, o)
@@ -101,7 +101,7 @@
 // Receive handles a datagram of a peer; the error is ErrMalformed.
 func (t *Transport) Receive(now Time, from uint32, data []byte) error {
 	if !t.handle(now, from, data) {
-		t.Malformed++
+		t.MalformedDatagrams++
 		return ErrMalformed
 	}
 	return nil
@@ -114,7 +114,7 @@
 	}
 	switch data[1] {
 	case kindSingle:
-		t.effects.Message(from, data[singleHeader:])
+		t.effects.DeliverMessage(from, data[singleHeader:])
 		return true
 	case kindPiece:
 		p, ok := decodePiece(data)
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -43,16 +43,16 @@
 
 // Status is what operators see of a voter.
 type Status struct {
-	Phase   string         `json:"phase"`            // of the voter: see package consensus
-	Reason  string         `json:"reason,omitempty"` // of the phase
-	ID      string         `json:"id"`
-	Boots   uint64         `json:"boots"` // starts on this store
-	Term    uint64         `json:"term"`
-	Leader  string         `json:"leader"` // name; "": none known
-	Commit  uint64         `json:"commit"` // index up to which the log is committed
-	Applied uint64         `json:"applied"`
-	Waits   []string       `json:"asks_to_be_added"` // names
-	Members []StatusMember `json:"members"`
+	Phase      string         `json:"phase"`            // of the voter: see package consensus
+	Reason     string         `json:"reason,omitempty"` // of the phase
+	ID         string         `json:"id"`
+	Starts     uint64         `json:"boots"` // starts on this store
+	Term       uint64         `json:"term"`
+	Leader     string         `json:"leader"` // name; "": none known
+	Commit     uint64         `json:"commit"` // index up to which the log is committed
+	Applied    uint64         `json:"applied"`
+	Applicants []string       `json:"asks_to_be_added"` // names
+	Members    []StatusMember `json:"members"`
 }
 
 // StatusMember is a member of the group. Match and Active are known at the leader.
--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -103,7 +103,7 @@
 		t.link, t.shared = platform.Link, true
 		return nil
 	case t.learnsAddresses:
-		t.link, err = peers.OpenAny(a.loop, o.Listen, a.receiveFrom)
+		t.link, err = peers.OpenForAnySender(a.loop, o.Listen, a.receiveFrom)
 	default:
 		t.link, err = peers.Open(a.loop, peers.Addresses{Listen: o.Listen, Peers: o.Peers}, ownSlot, -1, a.receive)
 	}
--- a/internal/fleet/owneragent/recorded_test.go
+++ b/internal/fleet/owneragent/recorded_test.go
@@ -18,7 +18,7 @@
 		Request{Command: "rules", Rules: []byte("s")},
 		Request{Command: "explain", Explain: &namespace.Request{Tenant: "t", Class: "c", Key: "k", Group: "g", Zone: "z", Minute: 7}},
 		Reply{Error: "e", Answer: "a", Name: "n", Leader: "l", Kind: "disk", Store: "s", Jobs: []JobRow{{"job", "owner", 1, 2, 3, "since", "why"}},
-			Group:  &group.Status{Phase: "member", Reason: "r", ID: "1", Boots: 2, Term: 3, Leader: "l", Commit: 4, Applied: 5, Waits: []string{"w"}, Members: []group.StatusMember{{Name: "m", ID: "1", Votes: true, Match: 2, Active: true}}},
+			Group:  &group.Status{Phase: "member", Reason: "r", ID: "1", Starts: 2, Term: 3, Leader: "l", Commit: 4, Applied: 5, Applicants: []string{"w"}, Members: []group.StatusMember{{Name: "m", ID: "1", Votes: true, Match: 2, Active: true}}},
 			Counts: &Counts{1, 2, 3, 4, 5, 6}, Owned: map[string]uint64{"a": 1}, HighestTokens: map[string]uint64{"b": 2}, LeaseMS: 7},
 	} {
 		if err := json.NewEncoder(&lines).Encode(v); err != nil {
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -49,15 +49,15 @@
 // transportEffects are the effects of the fragmenting transport.
 type transportEffects struct{ agent *Agent }
 
-// Datagram has membership carry a datagram.
-func (t transportEffects) Datagram(peer uint32, data []byte) {
+// SendDatagram has membership carry a datagram.
+func (t transportEffects) SendDatagram(peer uint32, data []byte) {
 	copied := append([]byte(nil), data...)
 	t.agent.loop.Post(func() { t.agent.members.Carry(peer, carrierID, copied) })
 }
 
-// Message takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
+// DeliverMessage takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
 // logging, so all may go unlogged.
-func (t transportEffects) Message(peer uint32, data []byte) {
+func (t transportEffects) DeliverMessage(peer uint32, data []byte) {
 	if len(data) == 0 {
 		return
 	}
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -28,7 +28,7 @@
 			p.core.TransferLeadership(r.localTime(p))
 		}
 	case faultFull:
-		p.disk.Fail = errDiskFull
+		p.disk.InjectedErr = errDiskFull
 	case faultCopyBack:
 		if r.mayDamageDisk(f.Process) {
 			state := p.disk.Copy()
@@ -57,7 +57,7 @@
 	case faultLeave:
 		r.restart(p)
 	case faultFull:
-		p.disk.Fail = nil
+		p.disk.InjectedErr = nil
 		r.restart(p)
 	case faultCopyBack:
 		r.restoreDiskCopy(p)
@@ -94,7 +94,7 @@
 		return
 	}
 	r.kill(p, false)
-	p.disk.PutBack(*p.diskCopy)
+	p.disk.Restore(*p.diskCopy)
 	p.diskCopy = nil
 	r.start(p)
 }
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -17,14 +17,14 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaxDatagram is the longest datagram that the platform allows, in bytes.
-const MaxDatagram = 256
+// MaxDatagramBytes is the longest datagram that the platform allows, in bytes.
+const MaxDatagramBytes = 256
 
 // Addresses are where the proxies of the tier are reached from here.
 type Addresses struct {
-	Listen string   // own
-	Peers  []string // by number, the own included
-	All    string   // reaches every proxy of the tier; "": there is none
+	Listen    string   // own
+	Peers     []string // by number, the own included
+	Broadcast string   // reaches every proxy of the tier; "": there is none
 }
 
 // invalidReason is why a message is not sent, as the log has it.
@@ -60,8 +60,8 @@
 		numbers[peer] = i
 	}
 	own, err := parseAddress("peer_listen", a.Listen)
-	if err == nil && a.All != "" {
-		l.broadcast, err = parseAddress("peers_all", a.All)
+	if err == nil && a.Broadcast != "" {
+		l.broadcast, err = parseAddress("peers_all", a.Broadcast)
 	}
 	if err != nil {
 		return nil, err
@@ -78,8 +78,8 @@
 	return l, nil
 }
 
-// OpenAny listens for datagrams from anywhere, where members come and go: receive decides whose it accepts.
-func OpenAny(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
+// OpenForAnySender listens for datagrams from anywhere, where members come and go: receive decides whose it accepts.
+func OpenForAnySender(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
 		return nil, err
@@ -171,10 +171,10 @@
 
 // validLength logs a datagram that the platform does not allow: that is a fault of the caller.
 func validLength(data []byte) bool {
-	if len(data) > 0 && len(data) <= MaxDatagram {
+	if len(data) > 0 && len(data) <= MaxDatagramBytes {
 		return true
 	}
-	slog.Error("peer_message_invalid", "reason", reasonLength, "bytes", len(data), "max_bytes", MaxDatagram)
+	slog.Error("peer_message_invalid", "reason", reasonLength, "bytes", len(data), "max_bytes", MaxDatagramBytes)
 	return false
 }
 
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -85,25 +85,25 @@
 	}
 	defer c.Close()
 	c.Write([]byte("stranger"))
-	links[1].conn.WriteToUDP(bytes.Repeat([]byte("x"), MaxDatagram+1), to)
+	links[1].conn.WriteToUDP(bytes.Repeat([]byte("x"), MaxDatagramBytes+1), to)
 	for until := time.Now().Add(10 * time.Second); links[0].Dropped() < 2 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	if links[0].Dropped() != 2 || len(channels[0]) > 0 {
 		t.Fatalf("dropped %d of 2, received %d", links[0].Dropped(), len(channels[0]))
 	}
-	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), MaxDatagram+1)) // never sent
+	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), MaxDatagramBytes+1)) // never sent
 	links[1].SendToPeer(7, []byte("nobody"))
 	links[1].SendToPeer(0, nil)
-	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagram))
-	if h := next(t, channels[0]); len(h.data) != MaxDatagram || h.data[0] != 'z' {
+	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagramBytes))
+	if h := next(t, channels[0]); len(h.data) != MaxDatagramBytes || h.data[0] != 'z' {
 		t.Fatalf("received %q", h.data)
 	}
 }
 
 func TestInvalidAddresses(t *testing.T) {
 	for _, a := range []Addresses{{Listen: ""}, {Listen: "x:1"}, {Listen: "127.0.0.1:0", Peers: []string{"y"}},
-		{Listen: "127.0.0.1:0", All: "z"}} {
+		{Listen: "127.0.0.1:0", Broadcast: "z"}} {
 		if link, err := Open(netio.NewLoop(), a, 0, -1, nil); err == nil {
 			link.Close()
 			t.Errorf("%+v is accepted", a)
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -26,7 +26,7 @@
 // the link is closed or StopReceiving was called.
 func (l *Link) read(loop *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
-	buffer := make([]byte, MaxDatagram+1) // one more, so that a datagram that is too long shows
+	buffer := make([]byte, MaxDatagramBytes+1) // one more, so that a datagram that is too long shows
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -40,7 +40,7 @@
 			continue
 		}
 		handle, known := handlerOf(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if !known || n > MaxDatagram || waiting.Load() >= maxWaiting {
+		if !known || n > MaxDatagramBytes || waiting.Load() >= maxWaiting {
 			l.dropped.Add(1)
 			continue
 		}
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, Limits: f.Limits,
-		Peers: peers.Addresses{Listen: f.PeerListen, Peers: f.Peers, All: f.PeersAll}}
+		Peers: peers.Addresses{Listen: f.PeerListen, Peers: f.Peers, Broadcast: f.PeersAll}}
 	c.override(env)
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
