--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -46,11 +46,11 @@
 			}
 			switch v := section.(type) {
 			case *namespace.Namespace:
-				return rules.ChangeNamespace(v, against, nil), nil
+				return rules.NewNamespaceChange(v, against, nil), nil
 			case *namespace.Account:
-				return rules.ChangeAccountTo(v, against, nil), nil
+				return rules.NewAccountChange(v, against, nil), nil
 			default:
-				return rules.ChangeOperators(v.(*rules.Version), against, nil), nil
+				return rules.NewOperatorsChange(v.(*rules.Version), against, nil), nil
 			}
 		})
 }
@@ -75,7 +75,7 @@
 	return f.changeCommand(&cobra.Command{Use: "drop ACCOUNT", Short: "Propose the end of an account below another, with all below it and their namespaces",
 		Example: "  croftlock rules drop acme/web --against 9"},
 		func(account string, against uint64) (*rules.Change, error) {
-			return rules.RemoveAccount(account, against, nil), nil
+			return rules.NewAccountRemoval(account, against, nil), nil
 		})
 }
 
@@ -84,7 +84,7 @@
 		Example: "  croftlock rules rollback 6 --against 9"},
 		func(version string, against uint64) (*rules.Change, error) {
 			to, err := strconv.ParseUint(version, 10, 64)
-			return rules.RollBackTo(to, against, nil), err
+			return rules.NewRollback(to, against, nil), err
 		})
 }
 
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -55,7 +55,7 @@
 	verdict, result := c.recheckRules(r, h)
 	switch result {
 	case rulesReject:
-		r.rejectOrFail(verdict.Advice, forbiddenByRules)
+		r.rejectOrFail(verdict.RetryAfter, forbiddenByRules)
 		r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	case rulesOtherPool:
 		c.placeInPool(r, number, c.choosePool(verdict.Pools))
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -27,7 +27,7 @@
 	if c.fleet.enforcer == nil {
 		return v
 	}
-	v = c.fleet.enforcer.Judge(namespace.Request{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
+	v = c.fleet.enforcer.Evaluate(namespace.Request{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
 	if tracing() {
 		pool := ""
 		if len(v.Pools) > 0 {
@@ -36,7 +36,7 @@
 		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Rejected,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
-	v.Advice = c.boundedRetryAfter(v.Advice)
+	v.RetryAfter = c.boundedRetryAfter(v.RetryAfter)
 	return v
 }
 
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -30,7 +30,7 @@
 	if opening.StickyHost == "" {
 		var reason localReplyReason
 		if placedIn, reason = c.choosePlacement(&verdict); verdict.Rejected {
-			c.rejectOpening(downstream, &attributes, metrics.Rejected, reason, verdict.Advice)
+			c.rejectOpening(downstream, &attributes, metrics.Rejected, reason, verdict.RetryAfter)
 			return nil
 		}
 	}
@@ -96,7 +96,7 @@
 func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
 	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
 	if chosen == nil && !v.Rejected {
-		v.Rejected, v.Advice, reason = true, c.RetryAdvice(), noUsableHost
+		v.Rejected, v.RetryAfter, reason = true, c.RetryAdvice(), noUsableHost
 	}
 	return chosen, reason
 }
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -60,7 +60,7 @@
 func newPoolHarness(t *rapid.T) *poolHarness {
 	w := &poolHarness{harness: newHarnessWithoutCore(nil), test: t, hosts: map[string]HostEntry{}, poolByHost: map[string]string{}, tenantByRequest: map[string]string{}, startsByRequest: map[string]int{},
 		poolKind: "m1", version: 1}
-	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
+	w.enforcer = &rules.Enforcer{Now: func() int64 { return w.now }, KeepLastVersion: true}
 	for i, id := range []string{"A", "B", "C", "D"} {
 		w.hosts[id] = HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1, Kind: []string{"m1", "m2"}[i%2]}}
 	}
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -105,7 +105,7 @@
 	w := newHarness(t)
 	_, u := w.serve("r")
 	quota := &fakeQuota{inUse: map[string]int{}}
-	enforcer := &rules.Enforcer{Now: func() int64 { return w.now }, GraceAfterLapse: true}
+	enforcer := &rules.Enforcer{Now: func() int64 { return w.now }, KeepLastVersion: true}
 	w.core.SetQuota(quota)
 	w.core.SetRules(enforcer)
 	if quota.inUse["a"] != 0 {
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -122,7 +122,7 @@
 		switch {
 		case a.rules.enforcer == nil:
 			a.queries.answerOperator(tag, rulesOff)
-		case !rules.IsQuestion(q.Rules):
+		case !rules.IsAdminQuery(q.Rules):
 			a.queries.answerOperator(tag, "refused: no question that administrators may ask")
 		default:
 			query(tag)
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -55,15 +55,15 @@
 		return
 	}
 	within := int64(o.AgreeWithin)
-	enforcer := &rules.Enforcer{Now: a.now, GraceAfterLapse: o.WhenCut == "keep", LapsedAdvice: o.AgreeWithin}
-	member := &rules.Member{AgreeWithin: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
+	enforcer := &rules.Enforcer{Now: a.now, KeepLastVersion: o.WhenCut == "keep", LapsedRetryAfter: o.AgreeWithin}
+	member := &rules.Member{LeaseDuration: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
 	replies := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
 	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(replies, rulesJob, tag, body) }
 	if Faults.ExtendRulesLease {
-		member.AgreeWithin *= lapseFaultFactor
+		member.LeaseDuration *= lapseFaultFactor
 	}
 	a.rules.enforcer, a.rules.member = enforcer, member
-	a.jobs.add(rulesJob, &rules.Publisher{AgreeWithin: within, Notified: member.Notified, Wall: func() int64 { return time.Now().UnixMilli() }})
+	a.jobs.add(rulesJob, &rules.Publisher{LeaseDuration: within, NotificationReceived: member.NotificationReceived, WallClock: func() int64 { return time.Now().UnixMilli() }})
 }
 
 // Enforcer is what requests are judged by; nil: there are no such rules.
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -65,14 +65,14 @@
 }
 
 func (v *Version) applyOperators(base *Version, c *Change) error {
-	if err := checkBase(c.Against, base.OperatorsNumber, base.Number); err != nil {
+	if err := checkBase(c.BaseVersion, base.OperatorsNumber, base.Number); err != nil {
 		return err
 	}
 	proposed, err := Decode(c.Body)
 	if err != nil {
 		return err
 	}
-	v.Refusals, v.HostsOut, v.OperatorsNumber = proposed.Refusals, proposed.HostsOut, v.Number
+	v.Refusals, v.ExcludedHosts, v.OperatorsNumber = proposed.Refusals, proposed.ExcludedHosts, v.Number
 	directory, old := proposed.namespaces(), *v.Directory
 	v.Directory.Pools = directory.Pools
 	v.Directory.Accounts = mergeAccounts(directory.Accounts, old.Accounts, v.Number)
@@ -140,15 +140,15 @@
 	if err := unmarshal(c.Body, &s); err != nil {
 		return err
 	}
-	if s.Account != c.Part || c.Part == "" {
-		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Part, s.Account)
+	if s.Account != c.Account || c.Account == "" {
+		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Account, s.Account)
 	}
 	if err := namespace.CheckNamespace(&s); err != nil {
 		return err
 	}
-	i, exists := findNamespace(v.Directory.Namespaces, c.Part)
+	i, exists := findNamespace(v.Directory.Namespaces, c.Account)
 	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.Number })
-	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
+	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
 	v.Directory.Namespaces = spaces
@@ -163,12 +163,12 @@
 	if err := unmarshal(c.Body, &a); err != nil {
 		return err
 	}
-	if a.Name != c.Part || namespace.Parent(a.Name) == "" {
-		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Part, a.Name)
+	if a.Name != c.Account || namespace.Parent(a.Name) == "" {
+		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Account, a.Name)
 	}
 	i, exists := findAccount(v.Directory.Accounts, a.Name)
 	accounts, lastChanged := without(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.Number })
-	if err := checkBase(c.Against, lastChanged, base.Number); err != nil {
+	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
 	a.Number = v.Number
@@ -177,21 +177,21 @@
 }
 
 func (v *Version) applyRemoval(base *Version, c *Change) error {
-	i, exists := findAccount(v.Directory.Accounts, c.Part)
-	if !exists || namespace.Parent(c.Part) == "" {
-		return fmt.Errorf("there is no account %s below another", c.Part)
+	i, exists := findAccount(v.Directory.Accounts, c.Account)
+	if !exists || namespace.Parent(c.Account) == "" {
+		return fmt.Errorf("there is no account %s below another", c.Account)
 	}
-	if err := checkBase(c.Against, v.Directory.Accounts[i].Number, base.Number); err != nil {
+	if err := checkBase(c.BaseVersion, v.Directory.Accounts[i].Number, base.Number); err != nil {
 		return err
 	}
-	v.Directory.Accounts = slices.DeleteFunc(v.Directory.Accounts, func(a namespace.Account) bool { return namespace.IsWithin(a.Name, c.Part) })
-	v.Directory.Namespaces = slices.DeleteFunc(v.Directory.Namespaces, func(s namespace.Namespace) bool { return namespace.IsWithin(s.Account, c.Part) })
+	v.Directory.Accounts = slices.DeleteFunc(v.Directory.Accounts, func(a namespace.Account) bool { return namespace.IsWithin(a.Name, c.Account) })
+	v.Directory.Namespaces = slices.DeleteFunc(v.Directory.Namespaces, func(s namespace.Namespace) bool { return namespace.IsWithin(s.Account, c.Account) })
 	return nil
 }
 
 func (v *Version) applyRollback(base *Version, c *Change, history versionByNumber) error {
-	if c.Against != base.Number {
-		return checkBase(c.Against, base.Number, base.Number)
+	if c.BaseVersion != base.Number {
+		return checkBase(c.BaseVersion, base.Number, base.Number)
 	}
 	var number uint64
 	if err := unmarshal(c.Body, &number); err != nil {
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -17,13 +17,13 @@
 
 // AuditEntry is one change that was made. Its hash covers the hash of the entry before, so that a missing or altered entry shows.
 type AuditEntry struct {
-	_      struct{} `cbor:",toarray"`
-	Number uint64   // of the version that it made
-	ID     []byte
-	Who    string // "operators", or the account and label of the grant
-	What   string // the subject
-	Wall   int64  // Unix milliseconds, at the publisher
-	Hash   []byte
+	_          struct{} `cbor:",toarray"`
+	Number     uint64   // of the version that it made
+	ID         []byte
+	Proposer   string // "operators", or the account and label of the grant
+	Subject    string // the subject
+	WallMillis int64  // Unix milliseconds, at the publisher
+	Hash       []byte
 }
 
 // chainedHash is the entry's hash, given the one of the entry before.
@@ -93,10 +93,10 @@
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
-		if about != "" && !strings.Contains(e.What+" ", about+" ") && !strings.Contains(e.What, about+"/") {
+		if about != "" && !strings.Contains(e.Subject+" ", about+" ") && !strings.Contains(e.Subject, about+"/") {
 			continue
 		}
-		fmt.Fprintf(&b, "version %d  %s  %s  %s  id=%x hash=%s\n", e.Number, time.UnixMilli(e.Wall).UTC().Format(time.RFC3339), e.Who, e.What, e.ID,
+		fmt.Fprintf(&b, "version %d  %s  %s  %s  id=%x hash=%s\n", e.Number, time.UnixMilli(e.WallMillis).UTC().Format(time.RFC3339), e.Proposer, e.Subject, e.ID,
 			hex.EncodeToString(e.Hash[:min(4, len(e.Hash))]))
 	}
 	for _, r := range l.rejected {
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -56,17 +56,17 @@
 
 // NoGrantError says that no grant of a version allows a signed change.
 type NoGrantError struct {
-	Version uint64
-	Against uint64 // the version that the change was made against
-	Grant   string // the last grant with the key, and why it does not allow the change; "": the key has none
+	Version     uint64
+	BaseVersion uint64 // the version that the change was made against
+	Grant       string // the last grant with the key, and why it does not allow the change; "": the key has none
 }
 
 // Error names the versions and the grant.
 func (e *NoGrantError) Error() string {
 	if e.Grant == "" {
-		return fmt.Sprintf("no grant of version %d has this key; the change was made against version %d", e.Version, e.Against)
+		return fmt.Sprintf("no grant of version %d has this key; the change was made against version %d", e.Version, e.BaseVersion)
 	}
-	return fmt.Sprintf("by version %d its grant is %s; the change was made against version %d", e.Version, e.Grant, e.Against)
+	return fmt.Sprintf("by version %d its grant is %s; the change was made against version %d", e.Version, e.Grant, e.BaseVersion)
 }
 
 // grantFor finds the grant that allows a change, and its account. unix is the time in seconds.
@@ -91,19 +91,19 @@
 			grant += ", " + err.Error()
 		}
 	}
-	return nil, nil, &NoGrantError{Version: v.Number, Against: c.Against, Grant: grant}
+	return nil, nil, &NoGrantError{Version: v.Number, BaseVersion: c.BaseVersion, Grant: grant}
 }
 
 // checkGrant returns why a grant on account a does not cover a change.
 func (v *Version) checkGrant(a *namespace.Account, g *namespace.Grant, c *Change) error {
 	switch c.Kind {
 	case KindNamespace:
-		if !namespace.IsWithin(c.Part, a.Name) {
+		if !namespace.IsWithin(c.Account, a.Name) {
 			return fmt.Errorf("which is for %s and below", a.Name)
 		}
 		return checkVerb(g, namespace.MayRoute)
 	case KindAccount, KindRemoveAccount:
-		if c.Part == a.Name || !namespace.IsWithin(c.Part, a.Name) {
+		if c.Account == a.Name || !namespace.IsWithin(c.Account, a.Name) {
 			return fmt.Errorf("which is for what is below %s", a.Name)
 		}
 	default:
@@ -116,7 +116,7 @@
 	if unmarshal(c.Body, &next) != nil {
 		return errMalformedAccount
 	}
-	if i, exists := findAccount(v.Directory.Accounts, c.Part); exists && differInLimitsOnly(v.Directory.Accounts[i], next) {
+	if i, exists := findAccount(v.Directory.Accounts, c.Account); exists && differInLimitsOnly(v.Directory.Accounts[i], next) {
 		return checkVerb(g, namespace.MayLimit)
 	}
 	return checkVerb(g, namespace.MayDelegate)
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -37,66 +37,66 @@
 
 // Change is what an administrator proposes. It is a compare-and-set: its subject must not have changed since the version that it was made against.
 type Change struct {
-	_       struct{} `cbor:",toarray"`
-	ID      []byte   // a retry with the same ID is applied once
-	Kind    ChangeKind
-	Part    string // the account that it is about; "" for the operators' part
-	Against uint64 // number of the version that it was made against
-	Body    []byte // the new state, encoded
-	Key     []byte // public key of who signed it; empty: the operators, at their own socket
-	Sig     []byte
+	_           struct{} `cbor:",toarray"`
+	ID          []byte   // a retry with the same ID is applied once
+	Kind        ChangeKind
+	Account     string // the account that it is about; "" for the operators' part
+	BaseVersion uint64 // number of the version that it was made against
+	Body        []byte // the new state, encoded
+	Key         []byte // public key of who signed it; empty: the operators, at their own socket
+	Sig         []byte
 }
 
 // subject names what a change is about, as people read it; two changes of one subject are never pending at once.
 func (c *Change) subject() string {
 	switch c.Kind {
 	case KindNamespace:
-		return "namespace " + c.Part
+		return "namespace " + c.Account
 	case KindAccount, KindRemoveAccount:
-		return "account " + c.Part
+		return "account " + c.Account
 	}
 	return "rules"
 }
 
-// ChangeOperators replaces the operators' part.
-func ChangeOperators(v *Version, against uint64, id []byte) *Change {
+// NewOperatorsChange replaces the operators' part.
+func NewOperatorsChange(v *Version, against uint64, id []byte) *Change {
 	c := *v
 	c.Number = against + 1
-	return &Change{ID: id, Kind: KindOperators, Against: against, Body: c.Encode()}
+	return &Change{ID: id, Kind: KindOperators, BaseVersion: against, Body: c.Encode()}
 }
 
-// ChangeNamespace replaces an account's namespace.
-func ChangeNamespace(s *namespace.Namespace, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindNamespace, Part: s.Account, Against: against, Body: marshal(s)}
+// NewNamespaceChange replaces an account's namespace.
+func NewNamespaceChange(s *namespace.Namespace, against uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindNamespace, Account: s.Account, BaseVersion: against, Body: marshal(s)}
 }
 
-// ChangeAccountTo replaces or adds an account below another.
-func ChangeAccountTo(a *namespace.Account, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindAccount, Part: a.Name, Against: against, Body: marshal(a)}
+// NewAccountChange replaces or adds an account below another.
+func NewAccountChange(a *namespace.Account, against uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindAccount, Account: a.Name, BaseVersion: against, Body: marshal(a)}
 }
 
-// RemoveAccount removes an account and all below it.
-func RemoveAccount(account string, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindRemoveAccount, Part: account, Against: against}
+// NewAccountRemoval removes an account and all below it.
+func NewAccountRemoval(account string, against uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: against}
 }
 
-// RollBackTo restores everything as an earlier version had it.
-func RollBackTo(to, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindRollback, Against: against, Body: marshal(to)}
+// NewRollback restores everything as an earlier version had it.
+func NewRollback(to, against uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindRollback, BaseVersion: against, Body: marshal(to)}
 }
 
 // StaleChangeError says that a change's subject is not as it was in the version that the change was made against.
 type StaleChangeError struct {
-	Against uint64 // the version that it was made against
-	Current uint64 // the version that changed the subject last, or, for one made against a later version, the active one
+	BaseVersion uint64 // the version that it was made against
+	Current     uint64 // the version that changed the subject last, or, for one made against a later version, the active one
 }
 
 // Error names both versions.
 func (e *StaleChangeError) Error() string {
-	if e.Against > e.Current {
-		return fmt.Sprintf("it was made against version %d, which is yet to come", e.Against)
+	if e.BaseVersion > e.Current {
+		return fmt.Sprintf("it was made against version %d, which is yet to come", e.BaseVersion)
 	}
-	return fmt.Sprintf("it was made against version %d, and %d is active", e.Against, e.Current)
+	return fmt.Sprintf("it was made against version %d, and %d is active", e.BaseVersion, e.Current)
 }
 
 // checkBase returns a StaleChangeError where the subject, last changed by one version, is not as a change expects.
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -56,23 +56,23 @@
 	fleet := startWithPools(t, 3)
 	// Concurrent changes: two of one namespace, and one of another.
 	n := len(fleet.answers)
-	fleet.proposeSigned(ChangeNamespace(namespaceTo("acme", 0, "a"), 2, nil), 1)
-	fleet.proposeSigned(ChangeNamespace(namespaceTo("acme", 0, namespace.Main), 2, nil), 2)
-	fleet.propose(ChangeNamespace(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, nil), 1)
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.Main), 2, nil), 2)
+	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
 	fleet.run(leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := fleet.members[1].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
+	if v := fleet.members[1].Enforcer.Evaluate(namespace.Request{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
 		t.Errorf("%+v", v)
 	}
 	// The rejected change was made against a version that the other change has replaced.
-	fleet.proposeSigned(ChangeNamespace(namespaceTo("acme", 0, namespace.Main), 2, []byte("12345678")), 2)
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.Main), 2, []byte("12345678")), 2)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: it was made against version 2, and ")
 	// A retry is applied once, also after another change.
-	fleet.proposeSigned(ChangeNamespace(namespaceTo("acme", 0, "a"), 2, nil), 1)
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, nil), 1)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("active: version")
 	if h := fleet.publisher.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
@@ -83,20 +83,20 @@
 func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
 	const operators, acmeAdmin, acmeClerk, nobody = 0, 1, 2, 9 // keys; the operators sign nothing
 	fleet := startWithPools(t, 3)
-	fleet.publisher.Wall = func() int64 { return 6000_000 } // the clerk's grant has ended
+	fleet.publisher.WallClock = func() int64 { return 6000_000 } // the clerk's grant has ended
 	for _, c := range []struct {
 		want   string
 		signer byte
 		change *Change
 	}{
-		{"which has ended", acmeClerk, ChangeNamespace(namespaceTo("acme", 0, "a"), 2, []byte("id-clerk"))},
-		{"no grant of version 2 has this key", nobody, ChangeNamespace(namespaceTo("acme", 0, "a"), 2, []byte("id-nobody"))},
-		{"which is for acme and below", acmeAdmin, ChangeNamespace(namespaceTo("other", 0, "b"), 2, []byte("id-other"))},
-		{"account acme may not use pool b", acmeAdmin, ChangeNamespace(namespaceTo("acme", 0, "b"), 2, []byte("id-pool-b"))},
-		{"which is for no such change", acmeAdmin, ChangeOperators(&Version{}, 2, []byte("id-rules"))},
-		{"tenant t3 does not belong to account acme", acmeAdmin, ChangeAccountTo(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant"))},
-		{"rate 101 at most, and account acme has 100", acmeAdmin, ChangeAccountTo(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{Max: 101}}, 2, []byte("id-rates"))},
-		{"those at the top are changed with the rules", operators, ChangeAccountTo(&namespace.Account{Name: "top"}, 2, []byte("id-top-op"))},
+		{"which has ended", acmeClerk, NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("id-clerk"))},
+		{"no grant of version 2 has this key", nobody, NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("id-nobody"))},
+		{"which is for acme and below", acmeAdmin, NewNamespaceChange(namespaceTo("other", 0, "b"), 2, []byte("id-other"))},
+		{"account acme may not use pool b", acmeAdmin, NewNamespaceChange(namespaceTo("acme", 0, "b"), 2, []byte("id-pool-b"))},
+		{"which is for no such change", acmeAdmin, NewOperatorsChange(&Version{}, 2, []byte("id-rules"))},
+		{"tenant t3 does not belong to account acme", acmeAdmin, NewAccountChange(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant"))},
+		{"rate 101 at most, and account acme has 100", acmeAdmin, NewAccountChange(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{Max: 101}}, 2, []byte("id-rates"))},
+		{"those at the top are changed with the rules", operators, NewAccountChange(&namespace.Account{Name: "top"}, 2, []byte("id-top-op"))},
 	} {
 		if c.signer == operators {
 			fleet.propose(c.change)
@@ -107,18 +107,18 @@
 			t.Errorf("the answer is %q, expected %q", fleet.lastAnswer(), c.want)
 		}
 	}
-	altered := ChangeAccountTo(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, []byte("id-forged"))
+	altered := NewAccountChange(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, []byte("id-forged"))
 	altered.Sign(privateKey(acmeAdmin))
-	altered.Against = 1
+	altered.BaseVersion = 1
 	fleet.propose(altered)
 	if !strings.Contains(fleet.lastAnswer(), "its signature is not by its key") {
 		t.Errorf("a change that was altered after it was signed: %q", fleet.lastAnswer())
 	}
 	// After all of these a change that the grant covers is made.
-	fleet.proposeSigned(ChangeAccountTo(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, nil), acmeAdmin)
+	fleet.proposeSigned(NewAccountChange(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, nil), acmeAdmin)
 	fleet.run(2 * leaseDuration)
 	fleet.expectAnswer("active: version")
-	if v := fleet.members[2].Enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Rejected {
+	if v := fleet.members[2].Enforcer.Evaluate(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Rejected {
 		t.Errorf("a request of the team's tenant: %+v", v)
 	}
 }
@@ -126,11 +126,11 @@
 // A change that was signed before its grant was revoked, and arrives or is staged after that, does nothing.
 func TestRevokedGrantAllowsNothing(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	c := ChangeNamespace(namespaceTo("acme", 0, "a"), 2, []byte("held-back"))
+	c := NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
 	// It is waiting while the grant is revoked: it is authorized again when a version is made of it.
 	fleet.isolated[3] = true
-	fleet.proposeOperators(&Version{HostsOut: []string{"h"}, Directory: twoCustomers().Directory}, 2) // delays the next round
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}, Directory: twoCustomers().Directory}, 2) // delays the next round
 	fleet.run(60 * ms)
 	revoked := twoCustomers()
 	revoked.Directory.Accounts[0].Grants = revoked.Directory.Accounts[0].Grants[1:]
@@ -139,7 +139,7 @@
 	if len(fleet.answers) > n {
 		t.Fatalf("answered at once: %q", fleet.lastAnswer())
 	}
-	fleet.publisher.proposals.waiting = append([]*proposal{{Change: ChangeOperators(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, fleet.publisher.proposals.waiting...)
+	fleet.publisher.proposals.waiting = append([]*proposal{{Change: NewOperatorsChange(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, fleet.publisher.proposals.waiting...)
 	fleet.run(4 * leaseDuration)
 	if got := strings.Join(fleet.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
 		t.Errorf("answers\n%s", got)
@@ -149,7 +149,7 @@
 	fleet.propose(c)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: no grant of version")
-	if v := fleet.members[1].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"}); v.Route != "" {
+	if v := fleet.members[1].Enforcer.Evaluate(namespace.Request{Tenant: "t1", Class: "c"}); v.Route != "" {
 		t.Errorf("%+v", v)
 	}
 }
@@ -159,12 +159,12 @@
 	fleet := startWithPools(t, 3)
 	rejected := 0
 	for i := range 1000 {
-		fleet.proposeSigned(ChangeNamespace(namespaceTo("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
+		fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
 		if strings.HasPrefix(fleet.lastAnswer(), "refused: ") {
 			rejected++
 		}
 	}
-	fleet.propose(ChangeNamespace(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
 	fleet.run(100 * ms)
 	if rejected != 1000 || !strings.HasPrefix(fleet.lastAnswer(), "active: version 3 at 3 of 3") {
 		t.Fatalf("%d of 1000 rejected, then %q", rejected, fleet.lastAnswer())
@@ -185,29 +185,29 @@
 	n := len(fleet.answers)
 	fleet.publisher.proposals.waiting = nil
 	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms
-	fleet.propose(&Change{ID: []byte("first-one"), Kind: KindOperators, Against: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.HostsOut = []string{"h"}; return v.Encode() }()})
-	fleet.propose(ChangeNamespace(big, 2, nil))
-	fleet.propose(ChangeNamespace(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(&Change{ID: []byte("first-one"), Kind: KindOperators, BaseVersion: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.ExcludedHosts = []string{"h"}; return v.Encode() }()})
+	fleet.propose(NewNamespaceChange(big, 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
 	fleet.run(8 * leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
 		t.Fatalf("answers\n%s", got)
 	}
-	if v := fleet.members[2].Enforcer.Judge(namespace.Request{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
+	if v := fleet.members[2].Enforcer.Evaluate(namespace.Request{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
 		t.Errorf("%+v", v)
 	}
 }
 
 func TestRollbackIsANewVersion(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	fleet.propose(ChangeNamespace(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
 	fleet.run(leaseDuration)
-	fleet.propose(RollBackTo(2, 3, nil))
+	fleet.propose(NewRollback(2, 3, nil))
 	fleet.run(leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version 4 at") || fleet.publisher.versions.active.Number != 4 || len(fleet.publisher.versions.active.Directory.Namespaces) != 0 {
 		t.Fatalf("%q: %+v", fleet.lastAnswer(), fleet.publisher.versions.active.Directory)
 	}
-	fleet.propose(RollBackTo(77, 4, nil))
+	fleet.propose(NewRollback(77, 4, nil))
 	if fleet.lastAnswer() != "refused: version 77 is not kept any more" {
 		t.Fatalf("%q", fleet.lastAnswer())
 	}
@@ -215,7 +215,7 @@
 	if fleet.publisher.versions.byNumber(3) == nil || len(fleet.publisher.audit.active) < 3 || CheckAuditLog(fleet.publisher.audit.active) != nil {
 		t.Fatalf("a new publisher has version 3: %t, and %d changes", fleet.publisher.versions.byNumber(3) != nil, len(fleet.publisher.audit.active))
 	}
-	fleet.publisher.audit.active[1].Who = "somebody"
+	fleet.publisher.audit.active[1].Proposer = "somebody"
 	if CheckAuditLog(fleet.publisher.audit.active) == nil {
 		t.Fatal("an altered audit log passes the check")
 	}
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -25,12 +25,12 @@
 	c := &compiledVersion{
 		version:       v,
 		refusalAdvice: make(map[refusalKey]uint32, len(v.Refusals)),
-		hostsOut:      make(map[string]struct{}, len(v.HostsOut)),
+		hostsOut:      make(map[string]struct{}, len(v.ExcludedHosts)),
 	}
 	for _, r := range v.Refusals {
-		c.refusalAdvice[refusalKey{r.Tenant, r.Class}] = r.Advice
+		c.refusalAdvice[refusalKey{r.Tenant, r.Class}] = r.RetryAfterMillis
 	}
-	for _, h := range v.HostsOut {
+	for _, h := range v.ExcludedHosts {
 		c.hostsOut[h] = struct{}{}
 	}
 	if v.Directory != nil {
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -96,7 +96,7 @@
 	text := map[uint64]string{}
 	for i := 0; i < len(spaces); i += 15 {
 		for j := i; j < i+15; j++ {
-			fleet.propose(ChangeNamespace(&spaces[j], 0, []byte(fmt.Sprint("id", j))))
+			fleet.propose(NewNamespaceChange(&spaces[j], 0, []byte(fmt.Sprint("id", j))))
 		}
 		fleet.isolated[3] = i == 30 // it misses one version
 		fleet.run(3 * leaseDuration)
@@ -105,7 +105,7 @@
 		text[against] = fleet.publisher.versions.active.String()
 	}
 	fleet.members[2].versions = map[Hash]*compiledVersion{} // it reports versions that it has lost
-	fleet.propose(ChangeNamespace(namespaceTo("customer0003", 0, namespace.Main), against, []byte("last")))
+	fleet.propose(NewNamespaceChange(namespaceTo("customer0003", 0, namespace.Main), against, []byte("last")))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !strings.HasSuffix(fleet.lastAnswer(), "at 4 of 4") {
 		t.Fatal(fleet.lastAnswer())
@@ -129,7 +129,7 @@
 	if read < 4 {
 		t.Errorf("%d of %d versions can be decoded", read, len(text))
 	}
-	fleet.propose(RollBackTo(against, fleet.publisher.versions.active.Number, nil))
+	fleet.propose(NewRollback(against, fleet.publisher.versions.active.Number, nil))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !bytes.Equal(marshal(fleet.publisher.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("the rollback has not restored the routes:", fleet.lastAnswer())
@@ -146,9 +146,9 @@
 	v.Directory.Accounts[1].Tenants = []string{"t2", "t3"}
 	v.Directory.Accounts[0].Tenants = []string{"t1"}
 	for i := range 100 { // long enough to be stored as a delta
-		v.HostsOut = append(v.HostsOut, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
+		v.ExcludedHosts = append(v.ExcludedHosts, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
 	}
-	c, n := ChangeOperators(v, first, []byte("with a step")), len(fleet.answers)
+	c, n := NewOperatorsChange(v, first, []byte("with a step")), len(fleet.answers)
 	fleet.propose(c)
 	for range 100 {
 		if fleet.run(20 * ms); fleet.publisher.versions.active.Directory.Previous != nil {
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -18,9 +18,9 @@
 // Enforcer judges requests by the version that this process acts by: one value with its lease's end, swapped and read as one atomic pointer, so
 // that a request is never judged by one version under another's lease.
 type Enforcer struct {
-	Now             func() Time
-	GraceAfterLapse bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are rejected
-	LapsedAdvice    time.Duration // Retry-After of requests that are rejected since the lease has ended
+	Now              func() Time
+	KeepLastVersion  bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are rejected
+	LapsedRetryAfter time.Duration // Retry-After of requests that are rejected since the lease has ended
 	// Clock is the time of day, for routes with a window; nil: time.Now.
 	Clock func() time.Time
 
@@ -29,27 +29,27 @@
 
 // Verdict is the answer to one request, or about one host.
 type Verdict struct {
-	Rejected bool
-	Advice   time.Duration // Retry-After; 0: none
-	Version  uint64        // by which it was judged; 0: by none
-	Lapsed   bool          // the lease had ended
-	Account  string        // whose the request is; "": the operators'
-	Route    string        // the route that decided, with its scope; "": none
-	Pools    []string      // in the order of preference; nil: there are no pools
+	Rejected   bool
+	RetryAfter time.Duration // Retry-After; 0: none
+	Version    uint64        // by which it was judged; 0: by none
+	Lapsed     bool          // the lease had ended
+	Account    string        // whose the request is; "": the operators'
+	Route      string        // the route that decided, with its scope; "": none
+	Pools      []string      // in the order of preference; nil: there are no pools
 }
 
-// Judge says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
-func (e *Enforcer) Judge(q namespace.Request) (v Verdict) {
+// Evaluate says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
+func (e *Enforcer) Evaluate(q namespace.Request) (v Verdict) {
 	active, v := e.current()
 	if active == nil || v.Rejected {
 		return v
 	}
-	if v.Rejected, v.Advice = active.rejects(q.Tenant, q.Class); v.Rejected || active.namespaces == nil {
+	if v.Rejected, v.RetryAfter = active.rejects(q.Tenant, q.Class); v.Rejected || active.namespaces == nil {
 		return v
 	}
 	q.Minute = e.minuteOfDay()
 	routed := active.namespaces.Judge(q)
-	v.Rejected, v.Advice, v.Account, v.Pools = routed.Rejected, routed.Advice, routed.Account, routed.Pools
+	v.Rejected, v.RetryAfter, v.Account, v.Pools = routed.Rejected, routed.Advice, routed.Account, routed.Pools
 	if routed.Route != "" {
 		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
 	}
@@ -74,8 +74,8 @@
 	return quota.Limit{}
 }
 
-// Limited names the accounts that have limits, sorted.
-func (e *Enforcer) Limited() []string {
+// LimitedAccounts names the accounts that have limits, sorted.
+func (e *Enforcer) LimitedAccounts() []string {
 	if active := e.active.Load(); active != nil {
 		return active.limitedAccounts
 	}
@@ -118,7 +118,7 @@
 	switch {
 	case active == nil:
 		return "this process acts by no version yet"
-	case v.Lapsed && !e.GraceAfterLapse:
+	case v.Lapsed && !e.KeepLastVersion:
 		return fmt.Sprintf("its right to act by version %d has lapsed: refused", v.Version)
 	}
 	s := fmt.Sprintf("version %d", v.Version)
@@ -145,15 +145,15 @@
 	return !out
 }
 
-// current gives the version to judge by, nil for none, and the verdict so far: rejected if the lease has ended, unless GraceAfterLapse is set.
+// current gives the version to judge by, nil for none, and the verdict so far: rejected if the lease has ended, unless KeepLastVersion is set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
 	active := e.active.Load()
 	if active != nil && e.Now() < active.leaseEnd {
 		return active, Verdict{Version: active.version.Number}
 	}
-	v := Verdict{Lapsed: true, Rejected: !e.GraceAfterLapse}
-	if !e.GraceAfterLapse {
-		v.Advice = e.LapsedAdvice
+	v := Verdict{Lapsed: true, Rejected: !e.KeepLastVersion}
+	if !e.KeepLastVersion {
+		v.RetryAfter = e.LapsedRetryAfter
 	}
 	if active != nil {
 		v.Version = active.version.Number
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -21,7 +21,7 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "what") {
 			case 0, 1:
 				n++
-				fleet.proposeOperators(&Version{HostsOut: []string{strings.Repeat("h", int(n))}}, fleet.publisher.versions.active.Number)
+				fleet.proposeOperators(&Version{ExcludedHosts: []string{strings.Repeat("h", int(n))}}, fleet.publisher.versions.active.Number)
 			case 2:
 				fleet.isolated[member] = !fleet.isolated[member]
 			case 3:
@@ -53,7 +53,7 @@
 			last[o.member] = o.number
 		}
 		for i := uint32(1); i <= 4; i++ {
-			if v := fleet.members[i].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != fleet.publisher.versions.active.Number {
+			if v := fleet.members[i].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != fleet.publisher.versions.active.Number {
 				rt.Fatalf("member %d acts by version %d (lapsed %t), %d is active, after all faults have ended", i, v.Version, v.Lapsed, fleet.publisher.versions.active.Number)
 			}
 		}
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/group_test.go
@@ -45,7 +45,7 @@
 func (fleet *testFleet) SendEffect(to uint32, _ uint64, body []byte) {
 	fleet.recorder.add("do", body)
 	if !fleet.isolated[to] {
-		fleet.members[to].Notified(fleet.clock(to))
+		fleet.members[to].NotificationReceived(fleet.clock(to))
 	}
 }
 
@@ -95,8 +95,8 @@
 	fleet.restartPublisher()
 	for i := uint32(1); i <= n; i++ {
 		fleet.clockRate[i] = 1
-		enforcer := &Enforcer{Now: func() Time { return fleet.clock(i) }, LapsedAdvice: time.Second}
-		fleet.members[i] = &Member{AgreeWithin: leaseDuration, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
+		enforcer := &Enforcer{Now: func() Time { return fleet.clock(i) }, LapsedRetryAfter: time.Second}
+		fleet.members[i] = &Member{LeaseDuration: leaseDuration, Enforcer: enforcer, SendQuery: func(tag uint64, body []byte) {
 			fleet.recorder.add("ask", body)
 			if !fleet.isolated[i] {
 				fleet.publisher.QueryReceived(fleet.now, i, tag, body)
@@ -109,7 +109,7 @@
 
 // restartPublisher replaces the publisher by one that continues from the last checkpoint.
 func (fleet *testFleet) restartPublisher() {
-	fleet.publisher, fleet.pendingCheckpoints = &Publisher{AgreeWithin: leaseDuration}, nil
+	fleet.publisher, fleet.pendingCheckpoints = &Publisher{LeaseDuration: leaseDuration}, nil
 	if err := fleet.publisher.Start(fleet.now, fleet, 1, 1, fleet.checkpoint); err != nil {
 		fleet.t.Fatal(err)
 	}
@@ -135,14 +135,14 @@
 		fleet.publisher.Step(fleet.now)
 		for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
 			fleet.members[i].Step(fleet.clock(i))
-			v := fleet.members[i].Enforcer.Judge(anyRequest)
+			v := fleet.members[i].Enforcer.Evaluate(anyRequest)
 			fleet.observations = append(fleet.observations, observation{fleet.now, i, v.Version, v.Lapsed})
 		}
 	}
 }
 
 func (fleet *testFleet) proposeOperators(v *Version, against uint64) {
-	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(ChangeOperators(v, against, nil)))
+	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(NewOperatorsChange(v, against, nil)))
 }
 
 // lastAnswer is the last one to an administrator.
@@ -192,4 +192,4 @@
 
 var anyRequest = namespace.Request{Tenant: "t", Class: "c"}
 
-var rejectAll = &Version{Refusals: []Refusal{{Advice: 500}}}
+var rejectAll = &Version{Refusals: []Refusal{{RetryAfterMillis: 500}}}
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -17,13 +17,13 @@
 	case 0:
 		a.Name = strings.Split(name, "/")[0]
 		proposed := &Version{Directory: &namespace.Directory{Pools: twoCustomers().Directory.Pools, Accounts: []namespace.Account{a}}}
-		return ChangeOperators(proposed, against, nil)
+		return NewOperatorsChange(proposed, against, nil)
 	case 1:
-		return ChangeAccountTo(&a, against, nil)
+		return NewAccountChange(&a, against, nil)
 	case 2:
-		return RemoveAccount(name, against, nil)
+		return NewAccountRemoval(name, against, nil)
 	}
-	return ChangeNamespace(namespaceTo(name, 0, "a"), against, nil)
+	return NewNamespaceChange(namespaceTo(name, 0, "a"), against, nil)
 }
 
 func drawAccount(rt *rapid.T, name string) namespace.Account {
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -5,13 +5,13 @@
 // takes for ended has ended at the member too, whatever the delay of the messages.
 const clockDriftDivisor = 50
 
-// LeaseEnd is when a lease that was requested at a time ends at the member that holds it.
-func LeaseEnd(requestedAt, duration Time) Time {
+// MemberLeaseEnd is when a lease that was requested at a time ends at the member that holds it.
+func MemberLeaseEnd(requestedAt, duration Time) Time {
 	return requestedAt + duration - duration/clockDriftDivisor
 }
 
-// LeaseSurelyEnded is when the publisher may take a lease for ended whose request arrived at a time.
-func LeaseSurelyEnded(receivedAt, duration Time) Time {
+// PublisherLeaseEnd is when the publisher may take a lease for ended whose request arrived at a time.
+func PublisherLeaseEnd(receivedAt, duration Time) Time {
 	return receivedAt + duration + duration/clockDriftDivisor
 }
 
@@ -44,7 +44,7 @@
 }
 
 func newLeaseTable(now, duration Time) leaseTable {
-	return leaseTable{unknownUntil: LeaseSurelyEnded(now, duration), members: map[uint32]*memberState{}}
+	return leaseTable{unknownUntil: PublisherLeaseEnd(now, duration), members: map[uint32]*memberState{}}
 }
 
 // member is a member's state, which the caller may change; it is added where there is none.
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -11,9 +11,9 @@
 // Member is the part that every process has: it renews its lease and compiles the staged version. It belongs to one goroutine, while its Enforcer
 // may be read by any.
 type Member struct {
-	AgreeWithin Time // duration of a lease
-	MaxEntries  int  // entries of a version that this process accepts; 0: any number
-	Enforcer    *Enforcer
+	LeaseDuration Time // duration of a lease
+	MaxEntries    int  // entries of a version that this process accepts; 0: any number
+	Enforcer      *Enforcer
 	// SendQuery sends a query to the publisher; its answer comes to ReplyReceived under the tag.
 	SendQuery func(tag uint64, body []byte)
 	// VersionChanged is called when the version that this process acts by changes; nil: nothing is.
@@ -63,19 +63,19 @@
 
 // Step renews the lease once a sixth of its time has passed.
 func (m *Member) Step(now Time) {
-	if now >= m.queries.lastSentAt+m.AgreeWithin/queriesPerLease || m.queries.lastSentAt == 0 {
+	if now >= m.queries.lastSentAt+m.LeaseDuration/queriesPerLease || m.queries.lastSentAt == 0 {
 		m.requestLease(now)
 	}
 }
 
-// Notified takes the publisher's notice that there is something new, and requests it at once.
-func (m *Member) Notified(now Time) { m.requestLease(now) }
+// NotificationReceived takes the publisher's notice that there is something new, and requests it at once.
+func (m *Member) NotificationReceived(now Time) { m.requestLease(now) }
 
 func (m *Member) requestLease(now Time) {
 	if m.versions == nil {
 		m.versions = map[Hash]*compiledVersion{}
 	}
-	tag := m.queries.start(now, m.AgreeWithin)
+	tag := m.queries.start(now, m.LeaseDuration)
 	number, _ := m.Enforcer.ActiveVersion()
 	q := leaseQuery{ActiveNumber: number, ReadyNumber: m.ready.number, Fault: m.fault.reason}
 	if m.ready.number > 0 {
@@ -104,7 +104,7 @@
 	if len(r.Hash) == len(Hash{}) {
 		h := Hash(r.Hash)
 		if v := m.versions[h]; v != nil && v.version.Number == r.Number {
-			m.actBy(h, v, LeaseEnd(requestedAt, m.AgreeWithin))
+			m.actBy(h, v, MemberLeaseEnd(requestedAt, m.LeaseDuration))
 		}
 	}
 	if stagedReported {
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -98,14 +98,14 @@
 func decodeProposal(body []byte) (*Change, error) {
 	c := &Change{}
 	body, err := decompress(body)
-	if err != nil || len(body) > maxProposalBytes || unmarshal(body, c) != nil || len(c.ID) > maxChangeIDBytes || len(c.Part) > 2*maxNameBytes {
+	if err != nil || len(body) > maxProposalBytes || unmarshal(body, c) != nil || len(c.ID) > maxChangeIDBytes || len(c.Account) > 2*maxNameBytes {
 		return nil, errMalformedChange
 	}
 	return c, nil
 }
 
-// IsQuestion reports whether administrators may send a query: all but the request for a lease, which is for members alone.
-func IsQuestion(body []byte) bool {
+// IsAdminQuery reports whether administrators may send a query: all but the request for a lease, which is for members alone.
+func IsAdminQuery(body []byte) bool {
 	if len(body) == 0 {
 		return false
 	}
--- a/internal/fleet/rules/parts_test.go
+++ b/internal/fleet/rules/parts_test.go
@@ -8,7 +8,7 @@
 	limiter := rateLimiter{buckets: map[string]*tokenBucket{}}
 	v := twoCustomers()
 	v.Directory.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
-	acme := &Change{Part: "acme", Key: publicKey(1)}
+	acme := &Change{Account: "acme", Key: publicKey(1)}
 	allowed := func(now Time, c *Change) (n int) {
 		for range 1000 {
 			if limiter.allow(now, c, v) {
@@ -26,8 +26,8 @@
 		{"the burst", 0, acme, 10},
 		{"one second later", 1000 * ms, acme, 1},
 		{"a full bucket after an hour", 3600 * 1000 * ms, acme, 10},
-		{"an account below", 3600 * 1000 * ms, &Change{Part: "acme/web", Key: publicKey(1)}, 10},
-		{"another account", 3600 * 1000 * ms, &Change{Part: "other", Key: publicKey(1)}, defaultChangesPerMinute / burstDivisor},
+		{"an account below", 3600 * 1000 * ms, &Change{Account: "acme/web", Key: publicKey(1)}, 10},
+		{"another account", 3600 * 1000 * ms, &Change{Account: "other", Key: publicKey(1)}, defaultChangesPerMinute / burstDivisor},
 	} {
 		if got := allowed(step.at, step.change); got != step.want {
 			t.Errorf("%s: %d changes allowed, expected %d", step.name, got, step.want)
@@ -61,7 +61,7 @@
 
 // The publisher's end of a lease comes after the member's, even if the member's clock runs 1 % slow and the publisher's 1 % fast.
 func TestPublisherCountsALeaseLonger(t *testing.T) {
-	member, publisher := LeaseEnd(0, leaseDuration), LeaseSurelyEnded(0, leaseDuration)
+	member, publisher := MemberLeaseEnd(0, leaseDuration), PublisherLeaseEnd(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
 		t.Errorf("the member's lease ends at %d, after the publisher's end at %d", member, publisher)
 	}
@@ -105,14 +105,14 @@
 func TestAuditLogRestore(t *testing.T) {
 	var entries []AuditEntry
 	for n := uint64(1); n <= 3; n++ {
-		entries = appendEntry(entries, AuditEntry{Number: n, Who: "operators", What: "rules"})
+		entries = appendEntry(entries, AuditEntry{Number: n, Proposer: "operators", Subject: "rules"})
 	}
 	var log auditLog
 	log.restore(entries, 2)
 	if len(log.active) != 2 || len(log.staged) != 3 {
 		t.Errorf("%d entries up to version 2, %d with the staged one", len(log.active), len(log.staged))
 	}
-	entries[1].Who = "somebody"
+	entries[1].Proposer = "somebody"
 	log = auditLog{}
 	log.restore(entries, 2)
 	if len(log.active) != 0 || len(log.staged) != 0 || len(log.rejected) != 1 {
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -17,9 +17,9 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
 	for i, r := range v.Refusals {
-		fmt.Fprintf(&b, "  (refuse r%d%s%s%s)\n", i+1, formatField("tenant", r.Tenant), formatField("class", r.Class), formatAdvice(r.Advice))
+		fmt.Fprintf(&b, "  (refuse r%d%s%s%s)\n", i+1, formatField("tenant", r.Tenant), formatField("class", r.Class), formatAdvice(r.RetryAfterMillis))
 	}
-	for _, h := range v.HostsOut {
+	for _, h := range v.ExcludedHosts {
 		fmt.Fprintf(&b, "  (out %s)\n", settings.Quote(h))
 	}
 	if v.Directory == nil {
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -165,7 +165,7 @@
 			next.Directory = &namespace.Directory{}
 		}
 		s.version, s.proposals = next, append(s.proposals, proposal)
-		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: proposal.ID, Who: proposer, What: proposal.subject(), Wall: p.wallMillis()})
+		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: proposal.ID, Proposer: proposer, Subject: proposal.subject(), WallMillis: p.wallMillis()})
 	}
 	return s
 }
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -13,12 +13,12 @@
 const stagingLeases = 3
 
 // Publisher is the part of the process that owns the rules' job: it orders the versions and grants the leases to act by the active one. A newer
-// version becomes active once each lease holder has compiled it or its lease has ended. So two versions are in use side by side for AgreeWithin at
+// version becomes active once each lease holder has compiled it or its lease has ended. So two versions are in use side by side for LeaseDuration at
 // most. It belongs to one goroutine.
 type Publisher struct {
-	AgreeWithin Time           // duration of a lease, the same at every process
-	Notified    func(now Time) // at every process: the publisher has something new; nil: nothing is called
-	Wall        func() int64   // Unix milliseconds; nil: 0
+	LeaseDuration        Time           // duration of a lease, the same at every process
+	NotificationReceived func(now Time) // at every process: the publisher has something new; nil: nothing is called
+	WallClock            func() int64   // Unix milliseconds; nil: 0
 
 	owner     jobs.Owner // nil: this process does not own the job
 	versions  versionStore
@@ -36,7 +36,7 @@
 func (p *Publisher) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, checkpoint []byte) error {
 	p.owner = o
 	p.versions = versionStore{stagedAt: now}
-	p.leases = newLeaseTable(now, p.AgreeWithin)
+	p.leases = newLeaseTable(now, p.LeaseDuration)
 	p.proposals = proposalQueue{}
 	p.limiter = rateLimiter{buckets: map[string]*tokenBucket{}}
 	p.audit = auditLog{}
@@ -69,7 +69,7 @@
 	switch { // the texts are answers to administrators, and fixed
 	case r.faultReason != "":
 		p.abandon(now, fmt.Sprintf("refused: %s: %s", p.memberName(r.faultyPeer), r.faultReason))
-	case !r.all && now-p.versions.stagedAt > stagingLeases*p.AgreeWithin:
+	case !r.all && now-p.versions.stagedAt > stagingLeases*p.LeaseDuration:
 		p.abandon(now, "refused: not everyone that holds a right has it ready")
 	case r.all && now >= p.leases.unknownUntil:
 		p.activate(now)
@@ -111,7 +111,7 @@
 func (p *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
 	m, v := p.leases.member(from), &p.versions
 	m.recordReport(q, v)
-	m.leaseNumber, m.leaseEnd = v.active.Number, LeaseSurelyEnded(now, p.AgreeWithin)
+	m.leaseNumber, m.leaseEnd = v.active.Number, PublisherLeaseEnd(now, p.LeaseDuration)
 	activeHash := v.activeHash
 	r := leaseReply{Number: v.active.Number, Hash: activeHash[:]}
 	r.Active, r.Staged = v.missingAt(m, q)
@@ -132,14 +132,14 @@
 
 // ApplyEffect is the receiver's part, at every process.
 func (p *Publisher) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
-	if p.Notified != nil {
-		p.Notified(now)
+	if p.NotificationReceived != nil {
+		p.NotificationReceived(now)
 	}
 }
 
 func (p *Publisher) wallMillis() int64 {
-	if p.Wall == nil {
+	if p.WallClock == nil {
 		return 0
 	}
-	return p.Wall()
+	return p.WallClock()
 }
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -32,8 +32,8 @@
 type rateLimiter struct{ buckets map[string]*tokenBucket }
 
 func (l *rateLimiter) allow(now Time, c *Change, active *Version) bool {
-	perMinute := changesPerMinute(active, c.Part)
-	id := string(c.Key) + c.Part
+	perMinute := changesPerMinute(active, c.Account)
+	id := string(c.Key) + c.Account
 	b := l.buckets[id]
 	if b == nil {
 		if len(l.buckets) >= maxBuckets {
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -27,7 +27,7 @@
 		fleet.run(20 * ms)
 		for i := uint32(1); i <= 4; i++ {
 			enforcer := fleet.members[i].Enforcer
-			v := enforcer.Judge(namespace.Request{Tenant: "t2", Class: "c"})
+			v := enforcer.Evaluate(namespace.Request{Tenant: "t2", Class: "c"})
 			if v.Lapsed {
 				continue
 			}
@@ -65,7 +65,7 @@
 	fleet.isolated[3] = true
 	fleet.run(2 * leaseDuration)
 	for n := range uint64(2000) {
-		fleet.proposeOperators(&Version{HostsOut: []string{string(rune('a' + n%26))}}, n)
+		fleet.proposeOperators(&Version{ExcludedHosts: []string{string(rune('a' + n%26))}}, n)
 		fleet.run(100 * ms)
 	}
 	if fleet.publisher.versions.active.Number != 2000 {
@@ -94,7 +94,7 @@
 func TestRetryAtAnotherPublisher(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.isolated[3] = true // delays its activation
-	c := ChangeNamespace(namespaceTo("acme", 0, "a"), 2, []byte("once-and-again"))
+	c := NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("once-and-again"))
 	fleet.proposeSigned(c, 1)
 	fleet.run(100 * ms)
 	if fleet.publisher.versions.staged == nil {
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -33,21 +33,21 @@
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
-		return ChangeOperators(&Version{HostsOut: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, against, id)
+		return NewOperatorsChange(&Version{ExcludedHosts: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, against, id)
 	case 1:
-		return ChangeOperators(&Version{Refusals: []Refusal{{Advice: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
+		return NewOperatorsChange(&Version{Refusals: []Refusal{{RetryAfterMillis: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
 	case 2, 3:
-		return ChangeNamespace(namespaceTo(account, 0, pools[rng.Intn(3)]), against, id)
+		return NewNamespaceChange(namespaceTo(account, 0, pools[rng.Intn(3)]), against, id)
 	case 4:
-		return ChangeAccountTo(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
+		return NewAccountChange(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
 	case 5:
-		return RemoveAccount(account, against, id)
+		return NewAccountRemoval(account, against, id)
 	case 6:
-		return RollBackTo(uint64(rng.Intn(int(against)+2)), against, id)
+		return NewRollback(uint64(rng.Intn(int(against)+2)), against, id)
 	}
 	reassigned := twoCustomers()
 	reassigned.Directory.Pools[0].Kinds, reassigned.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
-	return ChangeOperators(reassigned, against, id)
+	return NewOperatorsChange(reassigned, against, id)
 }
 
 // randomStep does one thing to the fleet: a change, a query, a fault or its end.
@@ -100,9 +100,9 @@
 			fleet.run(20 * ms * Time(steps))
 			events += 1 + steps*len(fleet.members)
 			for i := uint32(1); i <= uint32(len(fleet.members)); i++ {
-				v := fleet.members[i].Enforcer.Judge(namespace.Request{Tenant: "t1", Class: "c"})
+				v := fleet.members[i].Enforcer.Evaluate(namespace.Request{Tenant: "t1", Class: "c"})
 				fleet.recorder.digest.Add("%d %d {Refused:%t Advice:%v Version:%d Lapsed:%t Account:%s Route:%s Pools:%v}",
-					fleet.now, i, v.Rejected, v.Advice, v.Version, v.Lapsed, v.Account, v.Route, v.Pools)
+					fleet.now, i, v.Rejected, v.RetryAfter, v.Version, v.Lapsed, v.Account, v.Route, v.Pools)
 			}
 		}
 		lines[seed] = fmt.Sprintf("seed=%d members=%d version=%d %s", seed, len(fleet.members), fleet.publisher.versions.active.Number, fleet.recorder.digest)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -15,14 +15,14 @@
 	fleet.run(200 * ms)
 	fleet.expectAnswer("active: version 1 at 5 of 5")
 	for i, m := range fleet.members {
-		if v := m.Enforcer.Judge(anyRequest); !v.Rejected || v.Version != 1 || v.Advice != 500*time.Millisecond || v.Lapsed {
+		if v := m.Enforcer.Evaluate(anyRequest); !v.Rejected || v.Version != 1 || v.RetryAfter != 500*time.Millisecond || v.Lapsed {
 			t.Errorf("member %d: %+v", i, v)
 		}
 	}
 	fleet.expectOverlapWithin(100 * ms)
 	fleet.proposeOperators(rejectAll, 0) // a retry is applied once
 	fleet.expectAnswer("active: version 1")
-	fleet.proposeOperators(&Version{HostsOut: []string{"h"}}, 0)
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}}, 0)
 	fleet.expectAnswer("refused: it was made against version 0, and 1 is active")
 }
 
@@ -47,7 +47,7 @@
 			}
 			fleet.run(3 * leaseDuration)
 			fleet.expectOverlapWithin(leaseDuration)
-			if v := fleet.members[3].Enforcer.Judge(anyRequest); !v.Lapsed || !v.Rejected {
+			if v := fleet.members[3].Enforcer.Evaluate(anyRequest); !v.Lapsed || !v.Rejected {
 				t.Errorf("it acts without a lease: %+v", v)
 			}
 			c.fault(fleet, false)
@@ -56,22 +56,22 @@
 				return
 			}
 			fleet.expectAnswer("active: version 1 at 2 of 3; lapsed: c")
-			if v := fleet.members[3].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != 1 {
+			if v := fleet.members[3].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != 1 {
 				t.Errorf("it has not caught up after the cut: %+v", v)
 			}
 		})
 	}
 }
 
-// With GraceAfterLapse a member without a lease goes on by the last version, and its verdicts say so.
+// With KeepLastVersion a member without a lease goes on by the last version, and its verdicts say so.
 func TestGraceAfterLapseReportsTheLapse(t *testing.T) {
 	fleet := newTestFleet(t, 2)
-	fleet.members[2].Enforcer.GraceAfterLapse = true
-	fleet.proposeOperators(&Version{HostsOut: []string{"h"}}, 0)
+	fleet.members[2].Enforcer.KeepLastVersion = true
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}}, 0)
 	fleet.run(200 * ms)
 	fleet.isolated[2] = true
 	fleet.run(2 * leaseDuration)
-	if v := fleet.members[2].Enforcer.Judge(anyRequest); v.Rejected || !v.Lapsed || v.Version != 1 {
+	if v := fleet.members[2].Enforcer.Evaluate(anyRequest); v.Rejected || !v.Lapsed || v.Version != 1 {
 		t.Fatalf("%+v", v)
 	}
 	if fleet.members[2].Enforcer.Usable("h") || !fleet.members[2].Enforcer.Usable("i") {
@@ -83,7 +83,7 @@
 func TestUnusableVersionIsActiveNowhere(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[2].MaxEntries = 1
-	fleet.proposeOperators(&Version{HostsOut: []string{"g", "h"}}, 0)
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"g", "h"}}, 0)
 	fleet.run(4 * leaseDuration)
 	fleet.expectAnswer("refused: b: rules: 2 entries, this process takes 1")
 	for i, m := range fleet.members {
@@ -91,7 +91,7 @@
 			t.Errorf("member %d acts by version %d", i, n)
 		}
 	}
-	fleet.proposeOperators(&Version{HostsOut: []string{"h"}}, 0)
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}}, 0)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("active: version 1 at 3 of 3")
 }
@@ -126,7 +126,7 @@
 	fleet.isolated[1], fleet.isolated[2] = true, true
 	fleet.run(3 * leaseDuration)
 	fleet.release()
-	if v := fleet.members[1].Enforcer.Judge(anyRequest); !v.Lapsed {
+	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); !v.Lapsed {
 		t.Fatalf("a reply that is %d ms late grants a lease", 3*leaseDuration/ms)
 	}
 }
@@ -134,7 +134,7 @@
 // A planted fault, a member that counts its leases ten times too long, is found by longestOverlap.
 func TestOverlapCheckFindsAnOverlongLease(t *testing.T) {
 	fleet := newTestFleet(t, 3)
-	fleet.members[3].AgreeWithin = 10 * leaseDuration
+	fleet.members[3].LeaseDuration = 10 * leaseDuration
 	fleet.run(3 * leaseDuration)
 	fleet.isolated[3] = true
 	fleet.proposeOperators(rejectAll, 0)
@@ -151,7 +151,7 @@
 	for n := uint64(0); n < 6; n++ {
 		fleet.isolated[3] = n%2 == 0
 		fleet.run(200 * ms)
-		fleet.proposeOperators(&Version{HostsOut: []string{strings.Repeat("h", int(n)+1)}}, n)
+		fleet.proposeOperators(&Version{ExcludedHosts: []string{strings.Repeat("h", int(n)+1)}}, n)
 		fleet.run(3 * leaseDuration)
 		fleet.expectAnswer("active: version ")
 	}
@@ -165,7 +165,7 @@
 	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(3 * leaseDuration)
 	fleet.expectAnswer("unknown")
-	if v := fleet.members[1].Enforcer.Judge(anyRequest); v.Lapsed || v.Version != 0 || v.Rejected {
+	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != 0 || v.Rejected {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -173,9 +173,9 @@
 func TestDecodeRejects(t *testing.T) {
 	for name, v := range map[string]*Version{
 		"repeated":     {Refusals: []Refusal{{Tenant: "a"}, {Tenant: "a"}}},
-		"out of order": {HostsOut: []string{"b", "a"}},
-		"no name":      {HostsOut: []string{""}},
-		"too many":     {HostsOut: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
+		"out of order": {ExcludedHosts: []string{"b", "a"}},
+		"no name":      {ExcludedHosts: []string{""}},
+		"too many":     {ExcludedHosts: func() (s []string) { return strings.Split(strings.Repeat("x,", MaxEntries+1), ",") }()},
 		"long":         {Refusals: []Refusal{{Class: strings.Repeat("c", maxNameBytes+1)}}},
 	} {
 		if _, err := Decode(v.Encode()); err == nil {
@@ -190,12 +190,12 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(rejectAll.Encode())
-	f.Add((&Version{Number: 3, HostsOut: []string{"a", "b"}}).Encode())
+	f.Add((&Version{Number: 3, ExcludedHosts: []string{"a", "b"}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
 			t.Fatalf("%x is read as %x", data, v.Encode())
 		}
-		p := &Publisher{AgreeWithin: leaseDuration}
+		p := &Publisher{LeaseDuration: leaseDuration}
 		if p.Start(1, &testFleet{t: t}, 1, 1, data) == nil && len(data) > 0 {
 			p.QueryReceived(2, 0, 1, append([]byte{queryPropose}, data...))
 		}
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -19,10 +19,10 @@
 	f.Each("refuse", "requests that get no placement, under a label that is the operators' own", func(_ string, f *settings.Form) {
 		v.Refusals = append(v.Refusals, bindRefusal(f))
 	})
-	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.HostsOut = append(v.HostsOut, host) })
+	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.ExcludedHosts = append(v.ExcludedHosts, host) })
 	v.Directory = bindOperatorsNamespaces(f)
 	slices.SortFunc(v.Refusals, compareRefusals)
-	slices.Sort(v.HostsOut)
+	slices.Sort(v.ExcludedHosts)
 	if err := v.Check(); err != nil {
 		f.Fault("", "%v", err)
 	}
@@ -36,7 +36,7 @@
 	f.Text("tenant", "whose; all where it is left out", "a name", &r.Tenant, anyName)
 	f.Text("class", "of which class; all where it is left out", "a name", &r.Class, anyName)
 	f.Duration("advice", "after which its client may come again", &advice, 0, time.Minute)
-	r.Advice = uint32(advice.Milliseconds())
+	r.RetryAfterMillis = uint32(advice.Milliseconds())
 	return r
 }
 
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -33,12 +33,12 @@
 	fleet.members[2].MaxEntries = 1
 	fleet.isolated[3] = true // delays the abandonment, so that the fault is still shown
 	fleet.publisher.versions.staged = nil
-	fleet.proposeOperators(&Version{HostsOut: []string{"a", "b"}}, 1)
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"a", "b"}}, 1)
 	fleet.run(60 * ms)
 	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(fleet.answers, "\n"), "refused: b: rules: 2 entries") {
 		t.Error(got)
 	}
-	if !IsQuestion(QueryStatus()) || !strings.HasPrefix(DecodeReply("refused: x"), "refused") {
+	if !IsAdminQuery(QueryStatus()) || !strings.HasPrefix(DecodeReply("refused: x"), "refused") {
 		t.Error("administrators may not send the query, or its answer changes as it is decoded")
 	}
 }
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -40,7 +40,7 @@
 
 // abortLate aborts a transition that the group has not confirmed in time: the answer may be lost.
 func (p *Publisher) abortLate(now Time) {
-	if t := p.pending.next; t != nil && now-p.pending.startedAt > p.AgreeWithin {
+	if t := p.pending.next; t != nil && now-p.pending.startedAt > p.LeaseDuration {
 		p.pending.next = nil
 		t.abort(p)
 	}
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -30,9 +30,9 @@
 
 // Refusal says that new requests get no placement. An empty tenant or class matches all.
 type Refusal struct {
-	Tenant string `cbor:"1,keyasint,omitempty"`
-	Class  string `cbor:"2,keyasint,omitempty"`
-	Advice uint32 `cbor:"3,keyasint,omitempty"` // Retry-After in milliseconds; 0: none
+	Tenant           string `cbor:"1,keyasint,omitempty"`
+	Class            string `cbor:"2,keyasint,omitempty"`
+	RetryAfterMillis uint32 `cbor:"3,keyasint,omitempty"` // Retry-After in milliseconds; 0: none
 }
 
 func compareRefusals(a, b Refusal) int {
@@ -41,9 +41,9 @@
 
 // Version is one complete state of the rules. It is immutable.
 type Version struct {
-	Number   uint64    `cbor:"1,keyasint"`
-	Refusals []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
-	HostsOut []string  `cbor:"3,keyasint,omitempty"` // hosts that get no new requests, sorted
+	Number        uint64    `cbor:"1,keyasint"`
+	Refusals      []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
+	ExcludedHosts []string  `cbor:"3,keyasint,omitempty"` // hosts that get no new requests, sorted
 	// OperatorsNumber is of the version that last changed the operators' own part; each namespace and account has such a number of its own.
 	OperatorsNumber uint64               `cbor:"4,keyasint,omitempty"`
 	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // pools, accounts, namespaces; nil: there are none
@@ -95,8 +95,8 @@
 	if err := checkRefusals(v.Refusals); err != nil {
 		return err
 	}
-	for i, h := range v.HostsOut {
-		if h == "" || len(h) > maxNameBytes || i > 0 && v.HostsOut[i-1] >= h {
+	for i, h := range v.ExcludedHosts {
+		if h == "" || len(h) > maxNameBytes || i > 0 && v.ExcludedHosts[i-1] >= h {
 			return fmt.Errorf("rules: host %q is without a name, named twice, or out of order", h)
 		}
 	}
@@ -112,7 +112,7 @@
 
 func checkRefusals(refusals []Refusal) error {
 	for i, r := range refusals {
-		if len(r.Tenant) > maxNameBytes || len(r.Class) > maxNameBytes || r.Advice > maxAdviceMillis {
+		if len(r.Tenant) > maxNameBytes || len(r.Class) > maxNameBytes || r.RetryAfterMillis > maxAdviceMillis {
 			return fmt.Errorf("rules: refusal %d is too long, or advises more than a minute", i+1)
 		}
 		if i > 0 && compareRefusals(refusals[i-1], r) >= 0 {
@@ -138,7 +138,7 @@
 
 // Entries counts what a version holds: refusals, hosts, pools, accounts and routes.
 func (v *Version) Entries() int {
-	n := len(v.Refusals) + len(v.HostsOut)
+	n := len(v.Refusals) + len(v.ExcludedHosts)
 	if v.Directory != nil {
 		n += len(v.Directory.Pools) + len(v.Directory.Accounts)
 		for i := range v.Directory.Namespaces {
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -156,7 +156,7 @@
 // proposeChange proposes change n against a version, through process i, and returns the version that is active afterwards.
 func (g *rulesRig) proposeChange(i, n int, version uint64) uint64 {
 	startedAt := time.Now()
-	change := rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", n)}}, version, fmt.Appendf(nil, "change%08d", n))
+	change := rules.NewOperatorsChange(&rules.Version{ExcludedHosts: []string{fmt.Sprint("nobody", n)}}, version, fmt.Appendf(nil, "change%08d", n))
 	answer := g.query(i, rules.EncodeProposal(change))
 	if _, err := fmt.Sscanf(answer, "active: version %d", &version); err != nil {
 		fmt.Sscanf(g.query(i, rules.QueryActive()), "active: version %d", &version)
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -117,7 +117,7 @@
 	}
 	startedAt, answer := time.Now(), make(chan string, 1)
 	id := fmt.Appendf(nil, "%.4s%08d%04d", f.kind, version, o.played)
-	change := rules.EncodeProposal(rules.ChangeOperators(&rules.Version{HostsOut: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
+	change := rules.EncodeProposal(rules.NewOperatorsChange(&rules.Version{ExcludedHosts: []string{fmt.Sprint("nobody", version, f.kind)}}, version, id))
 	go func() { answer <- g.query(via, change) }()
 	if err := g.playUntilEnd(f, victim, startedAt, rng); err != nil {
 		return err
