--- a/internal/fleet/memberagent/channels.go
+++ b/internal/fleet/memberagent/channels.go
@@ -14,16 +14,16 @@
 // MaxPayload is how many bytes of an attached package's a datagram can carry.
 func (a *Agent) MaxPayload() int { return a.transport.maxPayload() }
 
-// Carry sends an attached package's data to a member, at most MaxPayload bytes. They may be lost, and always are where the member's address is
+// SendPayload sends an attached package's data to a member, at most MaxPayload bytes. They may be lost, and always are where the member's address is
 // not known.
-func (a *Agent) Carry(member uint32, channel byte, data []byte) {
+func (a *Agent) SendPayload(member uint32, channel byte, data []byte) {
 	if !a.closed {
-		a.core.Carry(a.loop.Now(), member, channel, data)
+		a.core.SendPayload(a.loop.Now(), member, channel, data)
 	}
 }
 
-// CarriedData implements membership.Carrier.
-func (a *Agent) CarriedData(from uint32, channel byte, data []byte) {
+// PayloadReceived implements membership.PayloadReceiver.
+func (a *Agent) PayloadReceived(from uint32, channel byte, data []byte) {
 	if receive := a.channels[channel]; receive != nil {
 		receive(from, slices.Clone(data))
 	}
--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -24,11 +24,11 @@
 )
 
 var reasonOfError = map[error]rejectionReason{
-	membership.ErrMalformed: reasonMalformed,
-	membership.ErrVersion:   reasonOtherVersion,
-	membership.ErrFleet:     reasonOtherFleet,
-	membership.ErrSeal:      reasonUnknownKey,
-	membership.ErrReplay:    reasonReplayed,
+	membership.ErrMalformed:  reasonMalformed,
+	membership.ErrVersion:    reasonOtherVersion,
+	membership.ErrFleet:      reasonOtherFleet,
+	membership.ErrUnknownKey: reasonUnknownKey,
+	membership.ErrReplay:     reasonReplayed,
 }
 
 // logRejected logs a datagram that came from a slot or an address.
--- a/internal/fleet/memberagent/rejection_test.go
+++ b/internal/fleet/memberagent/rejection_test.go
@@ -17,7 +17,7 @@
 		{membership.ErrMalformed, "[reason malformed]"},
 		{membership.ErrVersion, "[reason other_version]"},
 		{membership.ErrFleet, "[reason other_fleet]"},
-		{membership.ErrSeal, "[reason unknown_key]"},
+		{membership.ErrUnknownKey, "[reason unknown_key]"},
 		{membership.ErrReplay, "[reason replayed]"},
 		{&membership.NameInUseError{Name: "n1", Sender: 0xab}, "[reason own_name member 000000ab]"},
 		{&membership.NameInUseError{Sender: 0xab}, "[reason name_in_use member 000000ab]"},
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -112,7 +112,7 @@
 		"other_version": n.OtherVersion,
 		"other_fleet":   n.OtherFleet,
 		"old_life":      n.OldIncarnation,
-		"clashes":       n.Clashes,
+		"clashes":       n.NameConflicts,
 		"pauses":        n.Pauses,
 		"refutations":   n.Refutations,
 		"unsealed":      a.transport.sealFailures,
--- a/internal/fleet/membership/carry_test.go
+++ b/internal/fleet/membership/carry_test.go
@@ -15,14 +15,14 @@
 
 func (p *pipe) Send(_ int, data []byte) { p.other.Receive(p.now, 0, bytes.Clone(data)) }
 func (p *pipe) Changed(Change)          {}
-func (p *pipe) CarriedData(from uint32, channel byte, data []byte) {
+func (p *pipe) PayloadReceived(from uint32, channel byte, data []byte) {
 	if channel == 7 {
 		p.sender, p.received = from, append(p.received, bytes.Clone(data))
 	}
 }
 
-// TestCarry: another package's data are received unchanged, with their sender's id, if they fit a datagram.
-func TestCarry(t *testing.T) {
+// TestSendPayload: another package's data are received unchanged, with their sender's id, if they fit a datagram.
+func TestSendPayload(t *testing.T) {
 	a, b := &pipe{}, &pipe{}
 	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, a)
 	if err != nil {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	a.other, b.other = two, one
-	one.Carry(0, ID("b"), 7, []byte("too early")) // its address is not known
+	one.SendPayload(0, ID("b"), 7, []byte("too early")) // its address is not known
 	for now := Time(1); now < 2*sec; now += 50 * ms {
 		a.now, b.now = now, now
 		one.Tick(now, now)
@@ -41,10 +41,10 @@
 	}
 	longest := bytes.Repeat([]byte("x"), MaxPayload(0))
 	for _, data := range [][]byte{[]byte("one"), longest, append(longest, 'x'), {}} {
-		one.Carry(2*sec, ID("b"), 7, data)
+		one.SendPayload(2*sec, ID("b"), 7, data)
 	}
-	one.Carry(2*sec, ID("nobody"), 7, []byte("lost"))
-	one.Carry(2*sec, ID("b"), 8, []byte("another's"))
+	one.SendPayload(2*sec, ID("nobody"), 7, []byte("lost"))
+	one.SendPayload(2*sec, ID("b"), 8, []byte("another's"))
 	if len(b.received) != 3 || string(b.received[0]) != "one" || !bytes.Equal(b.received[1], longest) || len(b.received[2]) != 0 || b.sender != ID("a") {
 		t.Errorf("%d data received, the last from %08x, expected 3 from %08x", len(b.received), b.sender, ID("a"))
 	}
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -11,9 +11,9 @@
 	Changed(c Change)
 }
 
-// Carrier is what Effects may implement besides: it receives the data that another process has sent with Core.Carry.
-type Carrier interface {
-	CarriedData(from uint32, channel byte, data []byte) // data is valid during the call only
+// PayloadReceiver is what Effects may implement besides: it receives the data that another process has sent with Core.SendPayload.
+type PayloadReceiver interface {
+	PayloadReceived(from uint32, channel byte, data []byte) // data is valid during the call only
 }
 
 // Core is one process's part. It is not safe for concurrent use.
@@ -116,9 +116,9 @@
 	}
 }
 
-// Carry sends another package's data to a member whose address is known: at most MaxPayload bytes, once, and they may be lost. The
+// SendPayload sends another package's data to a member whose address is known: at most MaxPayload bytes, once, and they may be lost. The
 // channel says whose data it is.
-func (c *Core) Carry(now Time, to uint32, channel byte, data []byte) {
+func (c *Core) SendPayload(now Time, to uint32, channel byte, data []byte) {
 	c.now = max(c.now, now)
 	if slot := c.SlotOf(to); slot >= 0 && !c.hasLeft {
 		if d := c.newDatagram(); d.carried(channel, data) {
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -85,7 +85,7 @@
 		t.Error(err)
 	}
 	d.begin(header{ID("fleet f"), ID("me"), NewIncarnation(1), 0}, MaxDatagram)
-	if err := c.Receive(1, 1, d.bytes()); err == nil || c.Counts().Clashes != 1 {
+	if err := c.Receive(1, 1, d.bytes()); err == nil || c.Counts().NameConflicts != 1 {
 		t.Error("another process under this process's name is admitted")
 	}
 	// Two processes under one name at two slots: the one that is alive stays.
@@ -148,7 +148,7 @@
 			t.Errorf("%s: replayed: %v", name, err)
 		}
 	}
-	if _, err := seal(newKey).Open(first); err != ErrSeal {
+	if _, err := seal(newKey).Open(first); err != ErrUnknownKey {
 		t.Errorf("under another key: %v", err)
 	}
 	for i := range first {
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -19,9 +19,9 @@
 	case partAddress:
 		c.handleAddress(decodeAddress(p))
 	case partCarried:
-		if carrier, ok := c.effects.(Carrier); ok {
+		if carrier, ok := c.effects.(PayloadReceiver); ok {
 			data := decodeCarried(p)
-			carrier.CarriedData(from.ID, data.channel, data.data)
+			carrier.PayloadReceived(from.ID, data.channel, data.data)
 		}
 	case partName:
 		c.handleName(from, decodeName(p))
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -72,7 +72,7 @@
 	}
 	m := c.members.get(h.sender)
 	if m != nil && c.nameInUse(m, slot, h.incarnation, now) {
-		c.counts.Clashes++
+		c.counts.NameConflicts++
 		c.reject(slot, c.fleet, rejectedName)
 		return &NameInUseError{Sender: h.sender}
 	}
@@ -102,7 +102,7 @@
 		c.prober.removeSlot(slot)
 		return nil
 	}
-	c.counts.Clashes++
+	c.counts.NameConflicts++
 	return &NameInUseError{Name: c.cfg.Name, Sender: h.sender}
 }
 
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -20,8 +20,8 @@
 
 // Errors of Seal.Open besides ErrMalformed.
 var (
-	ErrSeal   = errors.New("datagram under an unknown key")
-	ErrReplay = errors.New("datagram that was taken before")
+	ErrUnknownKey = errors.New("datagram under an unknown key")
+	ErrReplay     = errors.New("datagram that was taken before")
 )
 
 // Seal authenticates datagrams by a keyed hash and rejects replays by a sequence number. The first key seals, and any opens: keys are
@@ -70,14 +70,14 @@
 	return append(b, keyedHash(s.hashes[0], b)...)
 }
 
-// Open checks a sealed datagram and returns what is in it; its errors are ErrMalformed, ErrSeal and ErrReplay.
+// Open checks a sealed datagram and returns what is in it; its errors are ErrMalformed, ErrUnknownKey and ErrReplay.
 func (s *Seal) Open(b []byte) ([]byte, error) {
 	if len(b) < headerLength+SealLength || len(b) > MaxDatagram {
 		return nil, ErrMalformed
 	}
 	signed, sum := b[:len(b)-hashBytes], b[len(b)-hashBytes:]
 	if !s.authentic(signed, sum) {
-		return nil, ErrSeal
+		return nil, ErrUnknownKey
 	}
 	data := signed[:len(signed)-sequenceBytes]
 	sender := binary.BigEndian.Uint32(data[5:])
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -78,10 +78,10 @@
 	slices.Sort(delays)
 	messages := float64(n-1) * 1e9 / float64(heartbeatInterval)
 	return Cost{
-		Messages:    messages,
-		Bytes:       messages * heartbeatBytes,
-		Known:       delays[(99*len(delays)-1)/100],
-		FalseAlarms: float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration),
+		Messages:      messages,
+		Bytes:         messages * heartbeatBytes,
+		DetectionTime: delays[(99*len(delays)-1)/100],
+		FalseAlarms:   float64(alarms) / float64(links) * float64(n*(n-1)) * 3600e9 / float64(duration),
 	}
 }
 
@@ -118,10 +118,10 @@
 	}
 	slices.Sort(delays)
 	return Cost{
-		Messages:    2 * float64(observers),
-		Bytes:       2 * float64(observers) * heartbeatBytes,
-		Known:       delays[989],
-		FalseAlarms: float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration),
+		Messages:      2 * float64(observers),
+		Bytes:         2 * float64(observers) * heartbeatBytes,
+		DetectionTime: delays[989],
+		FalseAlarms:   float64(alarms) / float64(members) * float64(n) * 3600e9 / float64(duration),
 	}
 }
 
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -10,7 +10,7 @@
 // Cost is what a failure detector costs, and how well it detects.
 type Cost struct {
 	Messages, Bytes float64 // per second and process
-	Known           Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
+	DetectionTime   Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
 	FalseAlarms     float64 // per hour in the fleet: a living member that some process sees as unreachable
 }
 
@@ -52,7 +52,7 @@
 	seen.diedAt = f.now
 	f.Kill(victim)
 	f.Run(f.now + 15*Sec)
-	c.Known = knownAfter(seen.knows, n-1)
+	c.DetectionTime = knownAfter(seen.knows, n-1)
 	return c
 }
 
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -18,8 +18,8 @@
 const (
 	Ms  = Time(1e6)
 	Sec = Time(1e9)
-	// Turn is how often a process gets a turn.
-	Turn = 50 * Ms
+	// TurnInterval is how often a process gets a turn.
+	TurnInterval = 50 * Ms
 )
 
 const (
@@ -44,7 +44,7 @@
 	Jitter      Time    // at most so much more: a later datagram may overtake an earlier one
 	CutLinks    map[link]bool
 	OnChange    func(at int, c membership.Change)
-	Sent        func(from, slot int, datagram []byte) // is called with each datagram before faults of the network apply; nil: not called
+	OnSend      func(from, slot int, datagram []byte) // is called with each datagram before faults of the network apply; nil: not called
 	SkipChecks  bool                                  // no invariant is checked: in large fleets that is most of the work
 	Seeds       int                                   // above 0: each process knows the addresses of the first so many, and learns the others'
 	Violation   string                                // the first violated invariant
@@ -100,9 +100,9 @@
 		if !n.Paused && !(n.Slow && n.turns%2 == 0) {
 			n.takeTurn()
 		}
-		f.Schedule(f.now+Turn, turn)
+		f.Schedule(f.now+TurnInterval, turn)
 	}
-	f.Schedule(f.now+Time(f.rng.Int64N(int64(Turn))), turn)
+	f.Schedule(f.now+Time(f.rng.Int64N(int64(TurnInterval))), turn)
 }
 
 // config is a process's configuration as it starts now.
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -17,7 +17,7 @@
 	first, _ := strconv.ParseUint(os.Getenv("MEMBERSHIP_FIRST"), 10, 32)
 	failed := 0
 	for seed := first; seed < first+uint64(seeds); seed++ {
-		if plan, violation := Play(seed, membership.Config{}); violation != "" {
+		if plan, violation := RunRandomPlan(seed, membership.Config{}); violation != "" {
 			if failed++; failed <= 5 {
 				t.Errorf("seed %d: %s\n%v", seed, violation, plan)
 			}
@@ -33,7 +33,7 @@
 	for name, planted := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not noticed": {IgnorePause: true}} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
-			if _, violation := Play(seed, planted); violation != "" {
+			if _, violation := RunRandomPlan(seed, planted); violation != "" {
 				t.Logf("%s: seed %d, %s", name, seed, violation)
 				found = true
 			}
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -11,14 +11,14 @@
 
 // Node is one process of the fleet.
 type Node struct {
-	Core     *membership.Core
-	Running  bool
-	Paused   bool
-	Deaf     bool // receives nothing
-	Mute     bool // what it sends is lost
-	Slow     bool // it gets every second turn only
-	WallStep Time // by how much its wall clock is off
-	Sends    int
+	Core      *membership.Core
+	Running   bool
+	Paused    bool
+	Deaf      bool // receives nothing
+	Mute      bool // what it sends is lost
+	Slow      bool // it gets every second turn only
+	WallStep  Time // by how much its wall clock is off
+	SentCount int
 
 	fleet     *Fleet
 	index     int
@@ -68,9 +68,9 @@
 // Send implements membership.Effects: it is the network.
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
-	n.Sends++
-	if f.Sent != nil {
-		f.Sent(n.index, slot, data)
+	n.SentCount++
+	if f.OnSend != nil {
+		f.OnSend(n.index, slot, data)
 	}
 	if f.Seeds > 0 {
 		slot = int(n.Core.Address(slot).Port()) - firstPort
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -10,7 +10,7 @@
 
 // Fault is one line of a plan: something that happens to a process, a link or the network, for a time.
 type Fault struct {
-	Kind        string  // see IsFault
+	Kind        string  // see IsFaultKind
 	StartMS     Time    // in milliseconds
 	DurationMS  Time    // in milliseconds
 	Process     int     // to which it happens
@@ -50,8 +50,8 @@
 var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
 	faultDuplication, faultStep, faultSlow, faultDelay}
 
-// IsFault says whether there is such a kind of fault, in this simulation or for real processes.
-func IsFault(kind string) bool {
+// IsFaultKind says whether there is such a kind of fault, in this simulation or for real processes.
+func IsFaultKind(kind string) bool {
 	return slices.Contains(simulatedFaults, kind) || kind == faultGarbage || kind == faultFullDisk
 }
 
@@ -142,8 +142,8 @@
 // SettleTime is within which all views agree after the last fault.
 const SettleTime = 20 * Sec
 
-// Play runs a random plan and returns the violated invariant, or the views that do not agree in time; "": neither.
-func Play(seed uint64, planted membership.Config) (plan []Fault, violation string) {
+// RunRandomPlan runs a random plan and returns the violated invariant, or the views that do not agree in time; "": neither.
+func RunRandomPlan(seed uint64, planted membership.Config) (plan []Fault, violation string) {
 	n := 3 + int(seed%6)
 	plan = RandomPlan(n, seed)
 	f := New(n, seed, planted)
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -21,7 +21,7 @@
 		if seed%4 == 3 {
 			f.Seeds = 2
 		}
-		f.Sent = func(from, slot int, datagram []byte) {
+		f.OnSend = func(from, slot int, datagram []byte) {
 			digest.Add("%d %d to %d: %x", f.Now(), from, slot, datagram)
 			if samples != nil {
 				samples.Add(fmt.Sprintf("first-part-%d", firstPart(datagram)), datagram)
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -63,6 +63,6 @@
 	Sent, Bytes, Heard                  int // datagrams sent, their bytes, datagrams accepted
 	Malformed, OtherVersion, OtherFleet int // datagrams rejected
 	OldIncarnation                      int // datagrams of a process that a newer one has replaced
-	Clashes                             int // datagrams under a name that another live process has
+	NameConflicts                       int // datagrams under a name that another live process has
 	Pauses, Refutations                 int
 }
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -52,7 +52,7 @@
 // SendDatagram has membership carry a datagram.
 func (t transportEffects) SendDatagram(peer uint32, data []byte) {
 	copied := append([]byte(nil), data...)
-	t.agent.loop.Post(func() { t.agent.members.Carry(peer, carrierID, copied) })
+	t.agent.loop.Post(func() { t.agent.members.SendPayload(peer, carrierID, copied) })
 }
 
 // DeliverMessage takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -12,7 +12,7 @@
 
 // Transport carries datagrams to the other members, which are known by their ids.
 type Transport interface {
-	Carry(member uint32, channel byte, data []byte)
+	SendPayload(member uint32, channel byte, data []byte)
 	MaxPayload() int  // bytes of one datagram
 	Others() []uint32 // members that may be alive
 }
@@ -126,14 +126,14 @@
 	datagrams := gossip{watermarks}.encode(l.source, l.Transport.MaxPayload())
 	for _, member := range members {
 		for _, data := range datagrams[:min(len(datagrams), maxDatagrams)] {
-			l.Transport.Carry(member, CarrierID, data)
+			l.Transport.SendPayload(member, CarrierID, data)
 		}
 	}
 }
 
 func (l *Link) query(now Time, member uint32) {
 	l.lastQueryAt = now
-	l.Transport.Carry(member, CarrierID, query{l.registry.Revision()}.encode(l.source))
+	l.Transport.SendPayload(member, CarrierID, query{l.registry.Revision()}.encode(l.source))
 }
 
 // Receive takes a datagram of another member. One that is malformed, or whose revisions are of another source and so not comparable, is ignored.
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-func (t *faultyTransport) Carry(member uint32, channel byte, data []byte) {
+func (t *faultyTransport) SendPayload(member uint32, channel byte, data []byte) {
 	f := t.fleet
 	f.sent++
 	if t.isolated || f.transports[member].isolated || f.rng.Float64() < f.loss || channel != CarrierID || len(data) > t.MaxPayload() {
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -65,10 +65,10 @@
 func (d *detectorRun) knownAfter() (median, longest simulation.Time) {
 	var known []simulation.Time
 	for _, c := range d.costs {
-		if c.Known < 0 {
-			c.Known = neverKnown
+		if c.DetectionTime < 0 {
+			c.DetectionTime = neverKnown
 		}
-		known = append(known, c.Known)
+		known = append(known, c.DetectionTime)
 	}
 	slices.Sort(known)
 	return known[len(known)/2], known[len(known)-1]
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -35,7 +35,7 @@
 		return f, errors.New("expected (KIND (at MS) (for MS) (a N) ...)")
 	}
 	f.Kind = words[0].Text
-	if !simulation.IsFault(f.Kind) {
+	if !simulation.IsFaultKind(f.Kind) {
 		return f, fmt.Errorf("no fault %q", f.Kind)
 	}
 	for _, field := range words[1:] {
