--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -133,7 +133,7 @@
 func (a *Agent) receive(slot int, data []byte) {
 	if data, ok := a.unseal(slotField(slot), data); ok {
 		if err := a.core.Receive(a.loop.Now(), slot, data); err != nil {
-			a.transport.noteRejection(slotField(slot), err)
+			a.transport.recordRejection(slotField(slot), err)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 func (a *Agent) receiveFrom(from netip.AddrPort, data []byte) {
 	if data, ok := a.unseal(addressField(from), data); ok {
 		if err := a.core.ReceiveFrom(a.loop.Now(), from, data); err != nil {
-			a.transport.noteRejection(addressField(from), err)
+			a.transport.recordRejection(addressField(from), err)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 
 // Send implements membership.Effects.
 func (a *Agent) Send(slot int, data []byte) {
-	data = a.transport.sealed(data)
+	data = a.transport.sealDatagram(data)
 	if a.transport.learnsAddresses {
 		a.transport.link.SendTo(a.core.Address(slot), data)
 		return
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	defaultFleet    = "croftlock"
-	maxFleetName    = 64 // bytes
-	maxFleetSize    = 10000
-	maxKeys         = 2 // while keys are changed
-	formOfAddress   = "an address with a port"
-	formOfAddresses = "addresses with ports"
+	defaultFleet      = "croftlock"
+	maxFleetName      = 64 // bytes
+	maxFleetSize      = 10000
+	maxKeys           = 2 // while keys are changed
+	addressFormat     = "an address with a port"
+	addressListFormat = "addresses with ports"
 )
 
 // Options are the section (membership …) of the settings file.
@@ -41,7 +41,7 @@
 	return settings.Section{Name: "membership", Doc: "which of a fleet's proxies are there", Bind: func(f *settings.Form) any {
 		o := Options{Fleet: defaultFleet}
 		o.bind(f)
-		o.checkTogether(f)
+		o.checkConsistency(f)
 		return o
 	}}
 }
@@ -49,17 +49,17 @@
 func (o *Options) bind(f *settings.Form) {
 	f.Bool("on", "whether proxies tell one another who is there, by datagrams", &o.Enabled)
 	f.Text("fleet", "name of the fleet; others' datagrams are refused", "a name", &o.Fleet, func(s string) bool { return s != "" && len(s) <= maxFleetName })
-	f.Text("listen", "own address for datagrams", formOfAddress, &o.Listen, isAddress)
+	f.Text("listen", "own address for datagrams", addressFormat, &o.Listen, isAddress)
 	var list string
-	f.Text("peers", "addresses of all members, the own included, as reached from here, with spaces between", formOfAddresses, &list, parseAddresses(&o.Peers))
-	f.Text("seeds", "addresses of some members, in place of peers, where members come and go; the others' are learnt", formOfAddresses, &list, parseAddresses(&o.Seeds))
+	f.Text("peers", "addresses of all members, the own included, as reached from here, with spaces between", addressListFormat, &list, parseAddresses(&o.Peers))
+	f.Text("seeds", "addresses of some members, in place of peers, where members come and go; the others' are learnt", addressListFormat, &list, parseAddresses(&o.Seeds))
 	f.Int("base", "members that the fleet is meant to have, for a majority; 0: as many as peers", &o.FleetSize, 0, maxFleetSize)
 	f.Paths("keys", "files with the keys of datagrams, at most two: the first seals, either opens; readable by their owner alone", &o.Keys)
 	f.Path("socket", "Unix socket at which operators ask who is there", &o.Socket)
 }
 
-// checkTogether reports settings that contradict each other.
-func (o *Options) checkTogether(f *settings.Form) {
+// checkConsistency reports settings that contradict each other.
+func (o *Options) checkConsistency(f *settings.Form) {
 	if len(o.Seeds) > 0 && (len(o.Peers) > 0 || o.Listen == "") {
 		f.Fault("seeds", "seeds go with listen and without peers")
 	}
--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -12,15 +12,15 @@
 type rejectionReason string
 
 const (
-	reasonMalformed    rejectionReason = "malformed"
-	reasonOtherVersion rejectionReason = "other_version"
-	reasonOtherFleet   rejectionReason = "other_fleet"
-	reasonUnknownKey   rejectionReason = "unknown_key"
-	reasonReplayed     rejectionReason = "replayed"
-	reasonOwnName      rejectionReason = "own_name"           // the sender uses this process's name
-	reasonNameInUse    rejectionReason = "name_in_use"        // the sender uses the name of another live member
-	reasonRejectedUs   rejectionReason = "rejected_by_member" // the sender does not admit this process
-	reasonUnknown      rejectionReason = "unknown"
+	reasonMalformed        rejectionReason = "malformed"
+	reasonOtherVersion     rejectionReason = "other_version"
+	reasonOtherFleet       rejectionReason = "other_fleet"
+	reasonUnknownKey       rejectionReason = "unknown_key"
+	reasonReplayed         rejectionReason = "replayed"
+	reasonOwnName          rejectionReason = "own_name"           // the sender uses this process's name
+	reasonNameInUse        rejectionReason = "name_in_use"        // the sender uses the name of another live member
+	reasonRejectedByMember rejectionReason = "rejected_by_member" // the sender does not admit this process
+	reasonUnknown          rejectionReason = "unknown"
 )
 
 var reasonOfError = map[error]rejectionReason{
@@ -41,7 +41,7 @@
 	var rejected *membership.RejectedError
 	switch {
 	case errors.As(err, &rejected):
-		return []any{"reason", reasonRejectedUs, "member", formatID(rejected.Member), "member_reason", rejected.Reason.String()}
+		return []any{"reason", reasonRejectedByMember, "member", formatID(rejected.Member), "member_reason", rejected.Reason.String()}
 	case errors.As(err, &inUse) && inUse.Name != "":
 		return []any{"reason", reasonOwnName, "member", formatID(inUse.Sender)}
 	case errors.As(err, &inUse):
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -17,7 +17,7 @@
 	rejected        int              // datagrams that membership rejected
 }
 
-func (t *transport) sealed(data []byte) []byte {
+func (t *transport) sealDatagram(data []byte) []byte {
 	if t.seal == nil {
 		return data
 	}
@@ -39,8 +39,8 @@
 	return nil, false
 }
 
-// noteRejection logs the first datagram that membership rejected, and counts all.
-func (t *transport) noteRejection(from slog.Attr, err error) {
+// recordRejection logs the first datagram that membership rejected, and counts all.
+func (t *transport) recordRejection(from slog.Attr, err error) {
 	if t.rejected++; t.rejected == 1 {
 		logRejected(from, err)
 	}
--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -20,10 +20,10 @@
 	return addressBook{memberAt: make([]uint32, cfg.Slots), addresses: slices.Clone(cfg.Seeds), seeds: len(cfg.Seeds)}
 }
 
-// learns says whether addresses are learnt, since members come and go.
-func (b *addressBook) learns() bool { return len(b.addresses) > 0 }
+// learnsAddresses says whether addresses are learnt, since members come and go.
+func (b *addressBook) learnsAddresses() bool { return len(b.addresses) > 0 }
 
-func (b *addressBook) valid(slot int) bool { return slot >= 0 && slot < len(b.memberAt) }
+func (b *addressBook) validSlot(slot int) bool { return slot >= 0 && slot < len(b.memberAt) }
 
 // assign records that a member is at a slot.
 func (b *addressBook) assign(m *member, slot int) {
@@ -39,21 +39,21 @@
 }
 
 // slotFor is the slot of an address, an added one where there is none yet; below 0 where all slots are in use.
-func (b *addressBook) slotFor(a netip.AddrPort, table *memberTable) (slot int, added bool) {
-	if i := slices.Index(b.addresses, a); i >= 0 {
+func (b *addressBook) slotFor(addr netip.AddrPort, table *memberTable) (slot int, added bool) {
+	if i := slices.Index(b.addresses, addr); i >= 0 {
 		return i, false
 	}
 	for i, id := range b.memberAt {
 		// A member that ended frees its slot, but a seed's stays: seeds are where the parts of a split fleet find each other.
 		if m := table.get(id); i >= b.seeds && m != nil && m.State.ended() {
 			m.Slot = -1
-			b.addresses[i], b.memberAt[i] = a, 0
+			b.addresses[i], b.memberAt[i] = addr, 0
 			return i, false
 		}
 	}
 	if len(b.addresses) >= maxSlots {
 		return -1, false
 	}
-	b.addresses, b.memberAt = append(b.addresses, a), append(b.memberAt, 0)
+	b.addresses, b.memberAt = append(b.addresses, addr), append(b.memberAt, 0)
 	return len(b.addresses) - 1, true
 }
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -1,8 +1,8 @@
 package membership
 
 const (
-	// differentFor is how long views may differ before a complete view is requested: gossip removes most differences by itself.
-	differentFor = sec
+	// viewRequestDelay is how long views may differ before a complete view is requested: gossip removes most differences by itself.
+	viewRequestDelay = sec
 	// viewRequestInterval is the least time between two requests for a complete view.
 	viewRequestInterval = sec
 	// viewPages is how many datagrams answer one request.
@@ -16,8 +16,8 @@
 	nextEntry      int // where the next page of the own view begins
 }
 
-// compared records whether another's digest equals the own one.
-func (a *antiEntropy) compared(equal bool, now Time) {
+// recordComparison records whether another's digest equals the own one.
+func (a *antiEntropy) recordComparison(equal bool, now Time) {
 	if equal {
 		a.differentSince = 0
 	} else if a.differentSince == 0 {
@@ -27,7 +27,7 @@
 
 // requestDue reports whether it is time to request a complete view, and counts that as done.
 func (a *antiEntropy) requestDue(now Time) bool {
-	if a.differentSince == 0 || now-a.differentSince <= differentFor || now-a.lastRequest <= viewRequestInterval {
+	if a.differentSince == 0 || now-a.differentSince <= viewRequestDelay || now-a.lastRequest <= viewRequestInterval {
 		return false
 	}
 	a.lastRequest = now
--- a/internal/fleet/membership/parts_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -18,13 +18,13 @@
 	table.setState(a, Alive, 1)
 	alive := table.digest
 	for _, c := range []struct {
-		to              State
-		alive, troubled int
-		sameDigest      bool
+		to                          State
+		alive, suspectOrUnreachable int
+		sameDigest                  bool
 	}{{Suspect, 1, 1, true}, {Unreachable, 0, 1, false}, {Gone, 0, 0, false}, {Alive, 1, 0, true}} {
 		table.setState(a, c.to, 2)
-		if table.alive != c.alive || table.troubled != c.troubled || (table.digest == alive) != c.sameDigest {
-			t.Errorf("%s: %d alive, %d troubled, digest as when alive: %t", c.to, table.alive, table.troubled, table.digest == alive)
+		if table.alive != c.alive || table.suspectOrUnreachable != c.suspectOrUnreachable || (table.digest == alive) != c.sameDigest {
+			t.Errorf("%s: %d alive, %d troubled, digest as when alive: %t", c.to, table.alive, table.suspectOrUnreachable, table.digest == alive)
 		}
 	}
 	if table.setIncarnation(a, NewIncarnation(1)+1) || !table.setIncarnation(a, NewIncarnation(2)) {
@@ -60,10 +60,10 @@
 func TestProberAcks(t *testing.T) {
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 2, 0)
 	own, relayedProbe := p.begin(7, 1, nil), p.begin(7, 1, &relay{slot: 1, sequence: 9})
-	if p.acked(own, 8) != nil || p.indirectlyAcked(relayedProbe, 7) {
+	if p.completeProbe(own, 8) != nil || p.completeIndirectProbe(relayedProbe, 7) {
 		t.Error("an ack by another member, or an indirect one for a relayed probe, ends a probe")
 	}
-	if !p.indirectlyAcked(own, 7) || p.acked(relayedProbe, 7) == nil || len(p.sequences()) > 0 {
+	if !p.completeIndirectProbe(own, 7) || p.completeProbe(relayedProbe, 7) == nil || len(p.sequences()) > 0 {
 		t.Error("an acked probe is still outstanding")
 	}
 }
@@ -110,7 +110,7 @@
 	var a antiEntropy
 	var due []string
 	for now := sec; now <= 6*sec; now += sec / 2 {
-		a.compared(now < 2*sec || now > 4*sec, now)
+		a.recordComparison(now < 2*sec || now > 4*sec, now)
 		if a.requestDue(now) {
 			due = append(due, fmt.Sprint(now/ms))
 		}
@@ -166,7 +166,7 @@
 	}
 	i.start(sec, 5*sec)
 	gap, paused := i.receive(3*sec, threshold)
-	i.skipPause(3*sec, gap)
+	i.advancePastPause(3*sec, gap)
 	if _, again := i.tick(3*sec, 7*sec, threshold); !paused || again {
 		t.Errorf("a pause was noticed: %t; and once more at the next tick: %t", paused, again)
 	}
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -39,7 +39,7 @@
 }
 
 // New makes a process's part. The error says what of the configuration cannot be used.
-func New(cfg Config, fx Effects) (*Core, error) {
+func New(cfg Config, effects Effects) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(id)))
 	return &Core{
 		cfg:         cfg,
-		effects:     fx,
+		effects:     effects,
 		rng:         rng,
 		selfID:      id,
 		fleet:       ID("fleet " + cfg.Fleet),
@@ -74,22 +74,22 @@
 		c.prober.nextProbe = max(c.prober.nextProbe+c.cfg.ProbeInterval, now-c.cfg.ProbeInterval)
 		c.probeNext()
 	}
-	c.reviewTroubled()
+	c.reviewSuspectOrUnreachable()
 	if c.antiEntropy.requestDue(c.now) {
 		c.requestView()
 	}
 }
 
-func (c *Core) pauseThreshold() Time { return pauseIntervals * c.cfg.ProbeInterval }
+func (c *Core) pauseThreshold() Time { return minPauseIntervals * c.cfg.ProbeInterval }
 
 // resumeAfterPause discounts the time in which this process slept: that it heard nothing then says nothing of the others.
 func (c *Core) resumeAfterPause(gap Time) {
 	c.counts.Pauses++
-	c.isolation.noAccusingBefore = c.now + noAccusationsFor
+	c.isolation.noSuspicionBefore = c.now + noSuspicionAfterPause
 	c.isolation.lastHeard = c.now
 	clear(c.prober.outstanding)
 	for _, id := range c.members.ids {
-		if m := c.members.get(id); m.State.countsAlive() {
+		if m := c.members.get(id); m.State.countsForMajority() {
 			m.HeardByAny += gap
 			c.members.setUnanswered(m, 0)
 			c.markAlive(m, reasonOwnPause)
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -14,7 +14,7 @@
 	for range c.prober.slots {
 		slot := c.prober.nextSlot()
 		id := c.addresses.memberAt[slot]
-		if m := c.members.get(id); m != nil && m.State.ended() && c.rng.IntN(endedProbeOneIn) > 0 {
+		if m := c.members.get(id); m != nil && m.State.ended() && c.rng.IntN(turnsPerEndedProbe) > 0 {
 			continue
 		}
 		var sequence uint32
@@ -38,8 +38,8 @@
 	}
 }
 
-func (c *Core) sendProbe(m *member, behalf *relay) {
-	sequence := c.prober.begin(m.ID, c.now, behalf)
+func (c *Core) sendProbe(m *member, requester *relay) {
+	sequence := c.prober.begin(m.ID, c.now, requester)
 	d := c.newDatagram()
 	d.ping(sequence)
 	c.send(m.Slot, d)
@@ -76,18 +76,18 @@
 
 // requestIndirectProbes has some members that are heard, drawn at random, probe one that did not answer.
 func (c *Core) requestIndirectProbes(r relayed) {
-	var able []int
+	var candidates []int
 	for slot, id := range c.addresses.memberAt {
 		if m := c.members.get(id); id != 0 && id != r.target && m.State == Alive && m.unansweredSince == 0 {
-			able = append(able, slot)
+			candidates = append(candidates, slot)
 		}
 	}
-	for range min(indirectProbes, len(able)) {
-		i := c.rng.IntN(len(able))
+	for range min(indirectProbes, len(candidates)) {
+		i := c.rng.IntN(len(candidates))
 		d := c.newDatagram()
 		d.pingRequest(r)
-		c.send(able[i], d)
-		able = append(able[:i], able[i+1:]...)
+		c.send(candidates[i], d)
+		candidates = append(candidates[:i], candidates[i+1:]...)
 	}
 }
 
@@ -98,7 +98,7 @@
 		return
 	}
 	unheard := c.now - m.HeardByAny
-	if unheard > c.cfg.ProbeTimeout && m.suspectedAt == 0 && m.State == Alive && c.isolation.mayAccuse(c.now) {
+	if unheard > c.cfg.ProbeTimeout && m.suspectedAt == 0 && m.State == Alive && c.isolation.maySuspect(c.now) {
 		c.markSuspect(m, reasonNoAnswer)
 		c.spread(m.ID)
 	}
@@ -107,13 +107,13 @@
 	}
 }
 
-// reviewTroubled moves suspect and unreachable members to their next state once their time has passed.
-func (c *Core) reviewTroubled() {
+// reviewSuspectOrUnreachable moves suspect and unreachable members to their next state once their time has passed.
+func (c *Core) reviewSuspectOrUnreachable() {
 	if !c.Quorum() {
 		c.isolation.lastMinority = c.now
 	}
 	for _, id := range c.members.ids {
-		if c.members.troubled == 0 || !c.isolation.mayAccuse(c.now) {
+		if c.members.suspectOrUnreachable == 0 || !c.isolation.maySuspect(c.now) {
 			return
 		}
 		switch m := c.members.get(id); m.State {
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -81,8 +81,8 @@
 	return "unknown"
 }
 
-// sentence is the reason as an error of the rejected process says it.
-func (r Rejection) sentence() string {
+// description is the reason as an error of the rejected process says it.
+func (r Rejection) description() string {
 	switch r {
 	case rejectedFleet:
 		return "it is of another fleet"
@@ -130,8 +130,8 @@
 
 func (d *datagram) fits(n int) bool { return d.length+n <= d.limit }
 
-// part appends a part's kind and returns the n bytes that the part has in all.
-func (d *datagram) part(kind partKind, n int) []byte {
+// appendPart appends a part's kind and returns the n bytes of the part, its kind included.
+func (d *datagram) appendPart(kind partKind, n int) []byte {
 	p := d.buffer[d.length : d.length+n]
 	p[0] = byte(kind)
 	d.length += n
@@ -139,11 +139,11 @@
 }
 
 func (d *datagram) ping(sequence uint32) {
-	binary.BigEndian.PutUint32(d.part(partPing, sequenceLength)[1:], sequence)
+	binary.BigEndian.PutUint32(d.appendPart(partPing, sequenceLength)[1:], sequence)
 }
 
 func (d *datagram) ack(sequence uint32) {
-	binary.BigEndian.PutUint32(d.part(partAck, sequenceLength)[1:], sequence)
+	binary.BigEndian.PutUint32(d.appendPart(partAck, sequenceLength)[1:], sequence)
 }
 
 func (d *datagram) pingRequest(r relayed) { d.relayed(partPingRequest, r) }
@@ -151,7 +151,7 @@
 func (d *datagram) indirectAck(r relayed) { d.relayed(partIndirectAck, r) }
 
 func (d *datagram) relayed(kind partKind, r relayed) {
-	p := d.part(kind, relayedLength)
+	p := d.appendPart(kind, relayedLength)
 	binary.BigEndian.PutUint32(p[1:], r.sequence)
 	binary.BigEndian.PutUint32(p[5:], r.target)
 }
@@ -160,7 +160,7 @@
 	if !d.fits(updateLength) {
 		return false
 	}
-	p := d.part(partUpdate, updateLength)
+	p := d.appendPart(partUpdate, updateLength)
 	binary.BigEndian.PutUint32(p[1:], u.ID)
 	p[5] = byte(u.State)
 	binary.BigEndian.PutUint64(p[6:], uint64(u.Incarnation))
@@ -174,7 +174,7 @@
 		return
 	}
 	n := min(len(ids), 255, (d.limit-d.length-unheardHeaderLength)/4)
-	p := d.part(partUnheard, unheardHeaderLength+4*n)
+	p := d.appendPart(partUnheard, unheardHeaderLength+4*n)
 	p[1] = byte(n)
 	for i, id := range ids[:n] {
 		binary.BigEndian.PutUint32(p[unheardHeaderLength+4*i:], id)
@@ -183,7 +183,7 @@
 
 func (d *datagram) name(s string) {
 	if d.fits(nameHeaderLength + len(s)) {
-		p := d.part(partName, nameHeaderLength+len(s))
+		p := d.appendPart(partName, nameHeaderLength+len(s))
 		p[1] = byte(len(s))
 		copy(p[nameHeaderLength:], s)
 	}
@@ -194,22 +194,22 @@
 	if !a.Addr().Is4() || !d.fits(addressLength) {
 		return
 	}
-	p := d.part(partAddress, addressLength)
+	p := d.appendPart(partAddress, addressLength)
 	binary.BigEndian.PutUint32(p[1:], id)
 	ip := a.Addr().As4()
 	copy(p[5:], ip[:])
 	binary.BigEndian.PutUint16(p[9:], a.Port())
 }
 
-func (d *datagram) rejected(why Rejection) {
-	d.part(partRejected, rejectedLength)[1] = byte(why)
+func (d *datagram) rejected(reason Rejection) {
+	d.appendPart(partRejected, rejectedLength)[1] = byte(reason)
 }
 
 func (d *datagram) carried(channel byte, data []byte) bool {
 	if !d.fits(carriedHeaderLength+len(data)) || len(data) > 255 {
 		return false
 	}
-	p := d.part(partCarried, carriedHeaderLength+len(data))
+	p := d.appendPart(partCarried, carriedHeaderLength+len(data))
 	p[1], p[2] = channel, byte(len(data))
 	copy(p[carriedHeaderLength:], data)
 	return true
@@ -217,6 +217,6 @@
 
 func (d *datagram) viewRequest() {
 	if d.fits(viewRequestLength) {
-		d.part(partViewRequest, viewRequestLength)
+		d.appendPart(partViewRequest, viewRequestLength)
 	}
 }
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -40,7 +40,7 @@
 }
 
 func (c *Core) handleAck(from *member, sequence uint32) {
-	p := c.prober.acked(sequence, from.ID)
+	p := c.prober.completeProbe(sequence, from.ID)
 	if p == nil || p.relay == nil {
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 func (c *Core) handleIndirectAck(r relayed) {
-	if !c.prober.indirectlyAcked(r.sequence, r.target) {
+	if !c.prober.completeIndirectProbe(r.sequence, r.target) {
 		return
 	}
 	if m := c.members.get(r.target); m != nil {
@@ -67,7 +67,7 @@
 // handleAddress learns where a member is that is known by gossip alone, and probes it.
 func (c *Core) handleAddress(a memberAddress) {
 	m := c.members.get(a.member)
-	if m == nil || m.Slot >= 0 || !c.addresses.learns() || m.State.ended() {
+	if m == nil || m.Slot >= 0 || !c.addresses.learnsAddresses() || m.State.ended() {
 		return
 	}
 	if slot := c.learnSlot(a.address); slot >= 0 {
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -3,20 +3,20 @@
 const (
 	// isolatedAfter is how long nothing at all may arrive before a process assumes that it is the one cut off.
 	isolatedAfter = sec
-	// noAccusationsFor is how long a process that slept probes before it may suspect others.
-	noAccusationsFor = 1500 * ms
-	// pauseIntervals is how many probe intervals a gap between two calls lasts at least to be a pause of this process.
-	pauseIntervals = 4
+	// noSuspicionAfterPause is how long a process that slept probes before it may suspect others.
+	noSuspicionAfterPause = 1500 * ms
+	// minPauseIntervals is how many probe intervals a gap between two calls lasts at least to be a pause of this process.
+	minPauseIntervals = 4
 )
 
 // isolation says how far a process may trust its own silence: whether it slept, hears nothing, or lacks a majority.
 type isolation struct {
-	started          bool
-	lastTick         Time
-	lastWall         Time // the wall clock at lastTick
-	lastHeard        Time // when any datagram last arrived
-	lastMinority     Time // when this process last saw no majority: GoneAfter counts from there, so that a healed minority gives nobody up at once
-	noAccusingBefore Time
+	started           bool
+	lastTick          Time
+	lastWall          Time // the wall clock at lastTick
+	lastHeard         Time // when any datagram last arrived
+	lastMinority      Time // when this process last saw no majority: GoneAfter counts from there, so that a healed minority gives nobody up at once
+	noSuspicionBefore Time
 }
 
 // start sets the clock at the first tick.
@@ -39,13 +39,13 @@
 	return gap, i.started && gap > threshold
 }
 
-// skipPause sets the clock to the end of a pause, so that the next tick does not report it again.
-func (i *isolation) skipPause(now, gap Time) {
+// advancePastPause sets the clock to the end of a pause, so that the next tick does not report it again.
+func (i *isolation) advancePastPause(now, gap Time) {
 	i.lastTick, i.lastWall = now, i.lastWall+gap
 }
 
-// mayAccuse says whether this process has been awake for long enough to suspect others.
-func (i *isolation) mayAccuse(now Time) bool { return now >= i.noAccusingBefore }
+// maySuspect says whether this process has been awake for long enough to suspect others.
+func (i *isolation) maySuspect(now Time) bool { return now >= i.noSuspicionBefore }
 
 // hearsNothing says whether this process may be the one that is cut off.
 func (i *isolation) hearsNothing(now Time) bool { return now-i.lastHeard > isolatedAfter }
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -13,8 +13,8 @@
 	indirectProbes = 3
 	// relayTimeout is how long a probe on behalf of another may take.
 	relayTimeout = 2 * sec
-	// endedProbeOneIn: a member that has ended is probed in one of so many turns, as a restarted process may be at its address.
-	endedProbeOneIn = 8
+	// turnsPerEndedProbe: a member that has ended is probed in one of so many turns, as a restarted process may be at its address.
+	turnsPerEndedProbe = 8
 )
 
 // localHealth is Lifeguard's local health multiplier: 0 is well; the higher, the less a process trusts its own timeouts.
@@ -88,15 +88,15 @@
 	return p.lastSequence
 }
 
-// begin records a probe; behalf is nil for an own one.
-func (p *prober) begin(target uint32, now Time, behalf *relay) (sequence uint32) {
+// begin records a probe; requester is nil for an own one.
+func (p *prober) begin(target uint32, now Time, requester *relay) (sequence uint32) {
 	sequence = p.nextSequence()
-	p.outstanding[sequence] = &probe{target: target, sentAt: now, relay: behalf}
+	p.outstanding[sequence] = &probe{target: target, sentAt: now, relay: requester}
 	return sequence
 }
 
-// acked ends a probe that its target has answered; nil: there is none.
-func (p *prober) acked(sequence, target uint32) *probe {
+// completeProbe ends a probe that its target has answered; nil: there is none.
+func (p *prober) completeProbe(sequence, target uint32) *probe {
 	sent := p.outstanding[sequence]
 	if sent == nil || sent.target != target {
 		return nil
@@ -105,8 +105,8 @@
 	return sent
 }
 
-// indirectlyAcked ends an own probe that its target has answered to another, and reports whether there was one.
-func (p *prober) indirectlyAcked(sequence, target uint32) bool {
+// completeIndirectProbe ends an own probe that its target has answered to another, and reports whether there was one.
+func (p *prober) completeIndirectProbe(sequence, target uint32) bool {
 	sent := p.outstanding[sequence]
 	if sent == nil || sent.target != target || sent.relay != nil {
 		return false
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -22,7 +22,7 @@
 	reasonAnnouncedShutdown
 )
 
-var changeReasons = [...]string{
+var changeReasonNames = [...]string{
 	reasonHeard:                 "heard",
 	reasonHeardByOther:          "heard_by_other",
 	reasonHeardAgain:            "heard_again",
@@ -43,8 +43,8 @@
 
 // String is the reason as the log has it.
 func (r ChangeReason) String() string {
-	if int(r) < len(changeReasons) {
-		return changeReasons[r]
+	if int(r) < len(changeReasonNames) {
+		return changeReasonNames[r]
 	}
 	return "unknown"
 }
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -30,7 +30,7 @@
 
 // Error says who rejected this process, and why.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason.sentence())
+	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason.description())
 }
 
 // ReceiveFrom is Receive where addresses are learnt: an address is learnt once a well-formed datagram of this fleet came from it.
@@ -55,7 +55,7 @@
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
 	if gap, paused := c.isolation.receive(now, c.pauseThreshold()); paused && !c.cfg.IgnorePause {
-		c.isolation.skipPause(now, gap)
+		c.isolation.advancePastPause(now, gap)
 		c.resumeAfterPause(gap)
 	}
 	h, all, err := decodeHeader(data, c.fleet)
@@ -63,7 +63,7 @@
 		c.rejectUndecoded(slot, h, err)
 		return err
 	}
-	if !c.addresses.valid(slot) {
+	if !c.addresses.validSlot(slot) {
 		c.counts.Malformed++
 		return ErrMalformed
 	}
@@ -98,7 +98,7 @@
 
 // handleOwnName handles a datagram under this process's name: its own, where its address is among the seeds, or another process's.
 func (c *Core) handleOwnName(slot int, h header) error {
-	if c.addresses.learns() && h.incarnation.Start() == c.incarnation.Start() {
+	if c.addresses.learnsAddresses() && h.incarnation.Start() == c.incarnation.Start() {
 		c.prober.removeSlot(slot)
 		return nil
 	}
@@ -132,7 +132,7 @@
 		m = c.members.add(h.sender, c.now)
 	}
 	c.handleContact(m, slot, h.incarnation)
-	c.antiEntropy.compared(h.digest == c.Digest(), c.now)
+	c.antiEntropy.recordComparison(h.digest == c.Digest(), c.now)
 	var rejected error
 	for len(all) > 0 {
 		p, _ := all.next()
@@ -142,20 +142,20 @@
 			c.handlePart(m, slot, p)
 		}
 	}
-	if isNew && c.addresses.learns() {
+	if isNew && c.addresses.learnsAddresses() {
 		c.spread(h.sender) // the others may not know its address
 	}
 	return rejected
 }
 
 // reject notifies a process why it is not admitted. The header names the receiver's fleet, or it would reject the datagram.
-func (c *Core) reject(slot int, fleet uint32, why Rejection) {
-	if !c.addresses.valid(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
+func (c *Core) reject(slot int, fleet uint32, reason Rejection) {
+	if !c.addresses.validSlot(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
 		return
 	}
 	c.lastRejection = c.now
 	d := &datagram{}
 	d.begin(header{fleet, c.selfID, c.incarnation, c.Digest()}, MaxDatagram-c.cfg.Overhead)
-	d.rejected(why)
+	d.rejected(reason)
 	c.transmit(slot, d)
 }
--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -14,8 +14,8 @@
 	maxLinks = 2000
 )
 
-// arrivals are the recent intervals between heartbeats on one link, as a phi-accrual failure detector records them.
-type arrivals struct {
+// arrivalHistory are the recent intervals between heartbeats on one link, as a phi-accrual failure detector records them.
+type arrivalHistory struct {
 	last      float64 // in seconds; 0: none
 	intervals []float64
 }
@@ -28,7 +28,7 @@
 )
 
 // suspectAfter is the silence in seconds at which phi reaches 8.
-func (a *arrivals) suspectAfter() float64 {
+func (a *arrivalHistory) suspectAfter() float64 {
 	mean, deviation := 0.0, 0.0
 	for _, interval := range a.intervals {
 		mean += interval
@@ -41,8 +41,8 @@
 	return mean + phi8Deviations*deviation
 }
 
-// arrive records a heartbeat and reports whether the silence before it raised a false alarm.
-func (a *arrivals) arrive(at float64) (alarm bool) {
+// recordArrival records a heartbeat and reports whether the silence before it raised a false alarm.
+func (a *arrivalHistory) recordArrival(at float64) (alarm bool) {
 	alarm = len(a.intervals) >= phiMinIntervals && at-a.last > a.suspectAfter()
 	if a.last > 0 {
 		a.intervals = append(a.intervals, at-a.last)
@@ -62,14 +62,14 @@
 	alarms := 0
 	var delays []Time
 	for range links {
-		var link arrivals
+		var link arrivalHistory
 		now := 0.0
 		for now < float64(duration)/1e9 {
 			now += float64(heartbeatInterval) / 1e9
 			if r.Float64() < loss {
 				continue
 			}
-			if link.arrive(now + 0.002 + 0.002*r.Float64()) {
+			if link.recordArrival(now + 0.002 + 0.002*r.Float64()) {
 				alarms++
 			}
 		}
@@ -86,35 +86,35 @@
 }
 
 const (
-	observersEach   = 10 // of a member
-	observerProbe   = Sec
-	observerMisses  = 3    // probes in a row
-	maxObserved     = 200  // members that are simulated: all are alike
-	observerDeaths  = 1000 // simulated
-	observerVoteFor = 100 * Ms
+	observersPerMember    = 10 // of a member
+	observerProbeInterval = Sec
+	observerMissedProbes  = 3    // probes in a row
+	maxObservedMembers    = 200  // members that are simulated: all are alike
+	simulatedDeaths       = 1000 // simulated
+	observerVoteDuration  = 100 * Ms
 )
 
 // Observers models the alternative of fixed observers for each member and a vote of all on each change of the view (Rapid): ten observers probe
 // once a second, and nine of them must have missed three answers in a row.
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 17))
-	observers := min(observersEach, n-1)
+	observers := min(observersPerMember, n-1)
 	need := max(1, observers-1)
 	lost := 1 - (1-loss)*(1-loss) // there or back
-	members := min(n, maxObserved)
+	members := min(n, maxObservedMembers)
 	alarms := 0
 	for range members {
-		alarms += observerAlarms(r, lost, observers, int(duration/observerProbe))
+		alarms += observerAlarms(r, lost, observers, int(duration/observerProbeInterval))
 	}
 	// The slowest of the observers that are needed, and one round of votes from all to all.
 	var delays []Time
-	for range observerDeaths {
+	for range simulatedDeaths {
 		at := make([]float64, observers)
 		for i := range at {
-			at[i] = r.Float64() + float64(observerMisses)
+			at[i] = r.Float64() + float64(observerMissedProbes)
 		}
 		slices.Sort(at)
-		delays = append(delays, Time(at[need-1]*1e9)+observerVoteFor)
+		delays = append(delays, Time(at[need-1]*1e9)+observerVoteDuration)
 	}
 	slices.Sort(delays)
 	return Cost{
@@ -138,7 +138,7 @@
 			} else {
 				missed[i] = 0
 			}
-			if missed[i] >= observerMisses {
+			if missed[i] >= observerMissedProbes {
 				agreeing++
 			}
 		}
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -6,10 +6,10 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// violate records the first violated invariant, which ends the run.
-func (f *Fleet) violate(format string, a ...any) {
+// recordViolation records the first violated invariant, which ends the run.
+func (f *Fleet) recordViolation(format string, args ...any) {
 	if f.Violation == "" {
-		f.Violation = fmt.Sprintf("at %d ms: ", f.now/Ms) + fmt.Sprintf(format, a...)
+		f.Violation = fmt.Sprintf("at %d ms: ", f.now/Ms) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -21,17 +21,17 @@
 		return
 	}
 	if v := n.Core.Version(); v < n.version {
-		f.violate("n%d: version %d after %d", n.index, v, n.version)
+		f.recordViolation("n%d: version %d after %d", n.index, v, n.version)
 	} else {
 		n.version = v
 	}
 	for _, m := range n.Core.View() {
 		if m.Incarnation.Start() < n.newest[m.ID].Start() {
-			f.violate("n%d: %d went back to an earlier incarnation", n.index, m.ID)
+			f.recordViolation("n%d: %d went back to an earlier incarnation", n.index, m.ID)
 		}
 		n.newest[m.ID] = max(m.Incarnation, n.newest[m.ID])
 		if f.Seeds == 0 && m.State == membership.Gone && m.Slot >= 0 && f.heardByAll(m) {
-			f.violate("n%d: n%d is gone, but all others have heard it within the last second", n.index, m.Slot)
+			f.recordViolation("n%d: n%d is gone, but all others have heard it within the last second", n.index, m.Slot)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 func (n *Node) checkChange(c membership.Change) {
 	accuses := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
 	if accuses && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
-		n.fleet.violate("n%d accuses %d right after it was paused: %s", n.index, c.ID, c.Reason)
+		n.fleet.recordViolation("n%d accuses %d right after it was paused: %s", n.index, c.ID, c.Reason)
 	}
 }
 
@@ -81,7 +81,7 @@
 		if !n.Running {
 			continue
 		}
-		if wrong := f.wrongView(i); wrong != "" {
+		if wrong := f.viewError(i); wrong != "" {
 			return wrong
 		}
 		if d := n.Core.Digest(); first < 0 {
@@ -93,8 +93,8 @@
 	return ""
 }
 
-// wrongView says what is wrong in a process's view; "": nothing.
-func (f *Fleet) wrongView(i int) string {
+// viewError says what is wrong in a process's view; "": nothing.
+func (f *Fleet) viewError(i int) string {
 	for j, o := range f.Nodes {
 		if i == j {
 			continue
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -16,9 +16,9 @@
 
 // observation collects what the processes of a run conclude.
 type observation struct {
-	diedAt Time         // 0: the victim is alive
-	alarms map[int]bool // members that were given up, the dead victim aside
-	knows  map[int]Time // by process: how long after the death it saw the victim as unreachable
+	diedAt        Time         // 0: the victim is alive
+	alarms        map[int]bool // members that were given up, the dead victim aside
+	detectedAfter map[int]Time // by process: how long after the death it saw the victim as unreachable
 }
 
 // Measure runs package membership: n processes that lose a part of all datagrams, for a duration without a fault, and then one death.
@@ -26,15 +26,15 @@
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
 	victim := int(seed) % n
-	seen := observation{alarms: map[int]bool{}, knows: map[int]Time{}}
+	seen := observation{alarms: map[int]bool{}, detectedAfter: map[int]Time{}}
 	f.OnChange = func(at int, c membership.Change) {
 		if c.NewState != membership.Unreachable && c.NewState != membership.Gone {
 			return
 		}
 		if c.ID != membership.ID(Name(victim)) || seen.diedAt == 0 {
 			seen.alarms[int(c.ID)] = true
-		} else if _, known := seen.knows[at]; !known {
-			seen.knows[at] = f.now - seen.diedAt
+		} else if _, known := seen.detectedAfter[at]; !known {
+			seen.detectedAfter[at] = f.now - seen.diedAt
 		}
 	}
 	// A large fleet takes a while to learn of itself.
@@ -52,12 +52,12 @@
 	seen.diedAt = f.now
 	f.Kill(victim)
 	f.Run(f.now + 15*Sec)
-	c.DetectionTime = knownAfter(seen.knows, n-1)
+	c.DetectionTime = detectionTime(seen.detectedAfter, n-1)
 	return c
 }
 
-// knownAfter is the time by which 99 in 100 of the survivors knew of a death; -1: fewer did.
-func knownAfter(knows map[int]Time, survivors int) Time {
+// detectionTime is the time by which 99 in 100 of the survivors knew of a death; -1: fewer did.
+func detectionTime(knows map[int]Time, survivors int) Time {
 	var delays []Time
 	for _, t := range knows {
 		delays = append(delays, t)
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -25,9 +25,9 @@
 const (
 	// wallStart is the wall clock at the beginning, in Unix nanoseconds.
 	wallStart = Time(1.8e18)
-	// usualDelay is a datagram's one-way delay, and usualJitter what may come on top of it.
-	usualDelay  = 2 * Ms
-	usualJitter = 2 * Ms
+	// defaultDelay is a datagram's one-way delay, and usualJitter what may come on top of it.
+	defaultDelay  = 2 * Ms
+	defaultJitter = 2 * Ms
 	// firstPort is the port of process 0, where processes learn addresses.
 	firstPort = 1000
 )
@@ -58,7 +58,7 @@
 
 // New makes a fleet of n, all starting within a second. planted carries planted faults, and durations other than the defaults.
 func New(n int, seed uint64, planted membership.Config) *Fleet {
-	f := &Fleet{Delay: usualDelay, Jitter: usualJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), planted: planted}
+	f := &Fleet{Delay: defaultDelay, Jitter: defaultJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), planted: planted}
 	for i := range n {
 		f.Nodes = append(f.Nodes, &Node{fleet: f, index: i, newest: map[uint32]membership.Incarnation{}})
 		f.Schedule(Time(f.rng.Int64N(int64(Sec))), func() { f.Start(i) })
@@ -72,7 +72,7 @@
 // Schedule has something happen at a time, or now where that has passed.
 func (f *Fleet) Schedule(t Time, run func()) {
 	f.lastEvent++
-	heap.Push(&f.queue, scheduled{max(t, f.now), f.lastEvent, run})
+	heap.Push(&f.queue, scheduledEvent{max(t, f.now), f.lastEvent, run})
 }
 
 // address is a process's, where processes learn addresses.
@@ -149,7 +149,7 @@
 // Run advances to a time, or until an invariant is violated.
 func (f *Fleet) Run(until Time) {
 	for len(f.queue) > 0 && f.queue[0].due <= until && f.Violation == "" {
-		e := heap.Pop(&f.queue).(scheduled)
+		e := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = e.due
 		e.run()
 	}
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -53,11 +53,11 @@
 func TestHardCases(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4}
 	for _, c := range []struct {
-		name  string
-		plan  []Fault
-		loss  float64
-		stays []int // processes that nobody may see as gone
-		until Time  // end of the run, in seconds
+		name      string
+		plan      []Fault
+		loss      float64
+		neverGone []int // processes that nobody may see as gone
+		until     Time  // end of the run, in seconds
 	}{
 		{"a pause of 0.2 s", []Fault{oneFault(faultPause, 5000, 200, 1)}, 0, all, 15},
 		{"a pause of 2 s", []Fault{oneFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
@@ -84,13 +84,13 @@
 			f.Loss = c.loss
 			f.Apply(c.plan)
 			for at := 2 * Sec; at < c.until*Sec; at += Sec / 4 {
-				f.Schedule(at, func() { f.checkNotGone(c.stays) })
+				f.Schedule(at, func() { f.checkNotGone(c.neverGone) })
 			}
 			f.Run(c.until * Sec)
 			if f.Violation != "" {
 				t.Errorf("%s, seed %d: %s", c.name, seed, f.Violation)
-			} else if why := f.Disagreement(); why != "" && c.loss == 0 {
-				t.Errorf("%s, seed %d: %s", c.name, seed, why)
+			} else if disagreement := f.Disagreement(); disagreement != "" && c.loss == 0 {
+				t.Errorf("%s, seed %d: %s", c.name, seed, disagreement)
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 	for i, n := range f.Nodes {
 		for _, j := range processes {
 			if i != j && n.Running && !n.Paused && !n.Deaf && f.StateOf(i, j) == membership.Gone {
-				f.violate("n%d sees n%d as gone", i, j)
+				f.recordViolation("n%d sees n%d as gone", i, j)
 			}
 		}
 	}
@@ -135,8 +135,8 @@
 		}
 		f.Schedule(f.now, cut(false))
 		f.Run(30 * Sec)
-		if why := f.Disagreement(); why != "" || f.Violation != "" {
-			t.Errorf("seed %d, 5 s after healing: %s %s", seed, why, f.Violation)
+		if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" {
+			t.Errorf("seed %d, 5 s after healing: %s %s", seed, disagreement, f.Violation)
 		}
 	}
 }
@@ -209,8 +209,8 @@
 	}
 	endMS := f.Apply(plan)
 	f.Run(endMS*Ms + 5*Sec)
-	if why := f.Disagreement(); why != "" || f.Violation != "" || gone > 0 {
-		t.Errorf("%s %s, members were gone %d times", why, f.Violation, gone)
+	if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" || gone > 0 {
+		t.Errorf("%s %s, members were gone %d times", disagreement, f.Violation, gone)
 	}
 }
 
@@ -222,19 +222,19 @@
 		f.Seeds = 2
 		f.Schedule(Sec, func() { f.Kill(11) })
 		f.Run(10 * Sec)
-		if why := f.Disagreement(); why != "" {
-			t.Errorf("seed %d: %s", seed, why)
+		if disagreement := f.Disagreement(); disagreement != "" {
+			t.Errorf("seed %d: %s", seed, disagreement)
 		}
 		f.Schedule(f.now, func() { f.Start(11) })
 		f.Schedule(f.now, func() { f.Leave(10) })
 		f.Run(15 * Sec)
-		if why := f.Disagreement(); why != "" {
-			t.Errorf("seed %d, after one process started and one shut down: %s", seed, why)
+		if disagreement := f.Disagreement(); disagreement != "" {
+			t.Errorf("seed %d, after one process started and one shut down: %s", seed, disagreement)
 		}
 		f.Apply([]Fault{oneFault(faultRestart, 16000, 500, 0), oneFault(faultRestart, 16000, 800, 1)})
 		f.Run(30 * Sec)
-		if why := f.Disagreement(); why != "" || f.Violation != "" {
-			t.Errorf("seed %d, after both seeds were restarted: %s %s", seed, why, f.Violation)
+		if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" {
+			t.Errorf("seed %d, after both seeds were restarted: %s %s", seed, disagreement, f.Violation)
 		}
 	}
 }
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -76,7 +76,7 @@
 		slot = int(n.Core.Address(slot).Port()) - firstPort
 	}
 	if len(data) > membership.MaxDatagram {
-		f.violate("a datagram of %d bytes", len(data))
+		f.recordViolation("a datagram of %d bytes", len(data))
 		return
 	}
 	if n.Mute {
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -102,25 +102,25 @@
 	case faultOneWay:
 		return func() { f.cutLink(p.Process, p.Destination, true) }, func() { f.cutLink(p.Process, p.Destination, false) }
 	case faultDeaf:
-		return during(&n.Deaf)
+		return setDuringFault(&n.Deaf)
 	case faultMute:
-		return during(&n.Mute)
+		return setDuringFault(&n.Mute)
 	case faultSlow:
-		return during(&n.Slow)
+		return setDuringFault(&n.Slow)
 	case faultLoss:
 		return func() { f.Loss = p.Amount }, func() { f.Loss = 0 }
 	case faultDuplication:
 		return func() { f.Duplication = p.Amount }, func() { f.Duplication = 0 }
 	case faultDelay:
-		return func() { f.Jitter = 100 * Ms }, func() { f.Jitter = usualJitter }
+		return func() { f.Jitter = 100 * Ms }, func() { f.Jitter = defaultJitter }
 	case faultStep:
 		return func() { n.WallStep = Time((p.Amount - 0.2) * 300 * float64(Sec)) }, func() { n.WallStep = 0 }
 	}
 	panic("no such fault: " + p.Kind)
 }
 
-// during sets a flag for as long as a fault lasts.
-func during(flag *bool) (begin, end func()) {
+// setDuringFault sets a flag for as long as a fault lasts.
+func setDuringFault(flag *bool) (begin, end func()) {
 	return func() { *flag = true }, func() { *flag = false }
 }
 
--- a/internal/fleet/membership/simulation/queue.go
+++ b/internal/fleet/membership/simulation/queue.go
@@ -1,14 +1,14 @@
 package simulation
 
-// scheduled is what happens at a time of the run.
-type scheduled struct {
+// scheduledEvent is what happens at a time of the run.
+type scheduledEvent struct {
 	due      Time
 	sequence int // in the order in which it was scheduled: it decides between equal times
 	run      func()
 }
 
 // eventQueue is a heap of scheduled events, for container/heap.
-type eventQueue []scheduled
+type eventQueue []scheduledEvent
 
 // Len is heap.Interface's.
 func (q eventQueue) Len() int { return len(q) }
@@ -22,7 +22,7 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is heap.Interface's.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop is heap.Interface's.
 func (q *eventQueue) Pop() any {
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -28,8 +28,8 @@
 // ended says whether a member in this state takes part no more, unless a newer incarnation shows up.
 func (s State) ended() bool { return s == Left || s == Gone }
 
-// countsAlive says whether a member in this state counts towards a majority.
-func (s State) countsAlive() bool { return s == Alive || s == Suspect }
+// countsForMajority says whether a member in this state counts towards a majority.
+func (s State) countsForMajority() bool { return s == Alive || s == Suspect }
 
 // Incarnation distinguishes the processes that have had a member's name: its start in Unix milliseconds, and a 16-bit counter that only the
 // member itself raises, to refute what others say of it. A larger one is newer. Ownership's incarnation is the start alone, consensus's is random.
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -43,13 +43,13 @@
 // memberTable is one process's view of the others. Its counts and digest are updated with each change: each datagram needs them, and iterating
 // over a large fleet for each would cost too much.
 type memberTable struct {
-	byID       map[uint32]*member
-	ids        []uint32 // sorted: no decision may follow the order of a map
-	version    uint64   // rises with each change that is reported
-	digest     uint32
-	alive      int // alive or suspect
-	troubled   int // suspect or unreachable
-	unanswered int // with an unanswered probe
+	byID                 map[uint32]*member
+	ids                  []uint32 // sorted: no decision may follow the order of a map
+	version              uint64   // rises with each change that is reported
+	digest               uint32
+	alive                int // alive or suspect
+	suspectOrUnreachable int // suspect or unreachable
+	unanswered           int // with an unanswered probe
 }
 
 func newMemberTable() memberTable { return memberTable{byID: map[uint32]*member{}} }
@@ -103,11 +103,11 @@
 }
 
 func (t *memberTable) count(s State, by int) {
-	if s.countsAlive() {
+	if s.countsForMajority() {
 		t.alive += by
 	}
 	if s == Suspect || s == Unreachable {
-		t.troubled += by
+		t.suspectOrUnreachable += by
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	for _, id := range t.ids {
 		m := t.byID[id]
-		if m.State.countsAlive() && m.unansweredSince > 0 && len(ids) < maxUnheardListed {
+		if m.State.countsForMajority() && m.unansweredSince > 0 && len(ids) < maxUnheardListed {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -31,7 +31,7 @@
 	case ended && !newer && !c.cfg.IgnoreIncarnation:
 		// Only a newer incarnation brings a member back.
 	case u.State == Gone:
-		c.handleGivenUp(m)
+		c.handleReportedGone(m)
 	case u.State != Joining:
 		c.handleLivingUpdate(m, u, newer)
 	}
@@ -45,10 +45,10 @@
 	}
 }
 
-// handleGivenUp agrees that a member is gone, unless somebody is known to have heard it lately or this process has just slept. Either
+// handleReportedGone agrees that a member is gone, unless somebody is known to have heard it lately or this process has just slept. Either
 // way what is known here spreads, as a contradiction or not.
-func (c *Core) handleGivenUp(m *member) {
-	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.mayAccuse(c.now) {
+func (c *Core) handleReportedGone(m *member) {
+	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.maySuspect(c.now) {
 		c.markGone(m, reasonGoneToOthers)
 	}
 	c.spread(m.ID)
@@ -66,16 +66,16 @@
 		c.spread(m.ID)
 	}
 	c.handleIndirectContact(m, heardAt)
-	if m.State == Joining && c.isolation.mayAccuse(c.now) {
-		c.suspectUnseen(m, u.State)
+	if m.State == Joining && c.isolation.maySuspect(c.now) {
+		c.suspectNeverHeard(m, u.State)
 	}
 	if u.State != Alive {
-		c.handleAccusation(m, u.State, heardAt)
+		c.handleReportedSuspicion(m, u.State, heardAt)
 	}
 }
 
-// suspectUnseen suspects a member that is known by gossip alone and that nobody has heard lately: it is not about to join.
-func (c *Core) suspectUnseen(m *member, reported State) {
+// suspectNeverHeard suspects a member that is known by gossip alone and that nobody has heard lately: it is not about to join.
+func (c *Core) suspectNeverHeard(m *member, reported State) {
 	if reported == Unreachable {
 		m.suspectedAt = c.now
 		c.markUnreachable(m, reasonUnreachableNeverHeard)
@@ -84,18 +84,18 @@
 	}
 }
 
-// handleAccusation contradicts a suspicion where the member was heard since; otherwise it suspects too and probes for itself.
-func (c *Core) handleAccusation(m *member, reported State, heardAt Time) {
+// handleReportedSuspicion contradicts a suspicion where the member was heard since; otherwise it suspects too and probes for itself.
+func (c *Core) handleReportedSuspicion(m *member, reported State, heardAt Time) {
 	unheard := c.now - m.HeardByAny
-	mayAccuse := c.isolation.mayAccuse(c.now)
+	maySuspect := c.isolation.maySuspect(c.now)
 	if unheard < c.cfg.UnreachableAfter && m.HeardByAny > heardAt+refutationMargin {
 		c.spread(m.ID)
-	} else if m.State == Alive && mayAccuse && unheard > c.cfg.ProbeTimeout {
+	} else if m.State == Alive && maySuspect && unheard > c.cfg.ProbeTimeout {
 		c.markSuspect(m, reasonSuspectedByOthers)
 		c.spread(m.ID)
 		c.probeNow(m)
 	}
-	if reported == Unreachable && m.State == Suspect && unheard > c.cfg.UnreachableAfter && mayAccuse {
+	if reported == Unreachable && m.State == Suspect && unheard > c.cfg.UnreachableAfter && maySuspect {
 		c.markUnreachable(m, reasonUnreachableToOthers)
 		c.spread(m.ID)
 	}
