--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,22 +1,23 @@
-// Package balancer decides where a proxy places long-lived connections, and when to queue, reject, retry or
-// migrate them. It is plain decisions: one Balancer is one proxy's, single-threaded; the caller calls one
-// method an event and carries out the Effects in order. Time comes with each event and randomness from a
-// seed; nothing here reads a clock, starts a goroutine or follows the order of a map, so that the same events
-// give the same effects.
+// Package balancer decides where a proxy places long-lived connections, and when to queue, reject,
+// retry or migrate them. A Balancer makes the decisions of one proxy and is not safe for concurrent
+// use: the caller calls one method per event and carries out the Effects in order. Time comes with
+// each event and random numbers from a seed. Nothing here reads a clock, starts a goroutine or
+// depends on the iteration order of a map, so that the same events give the same effects.
 //
-// The base is PIP-425: smooth weighted rotation over the hosts that are not ejected; a failed connect ejects
-// a host for a time that doubles with each consecutive failure up to a cap and that a success ends; where no
-// host is left, rotation over all. The order in which a request meets all rules is described in placement.go.
-// docs/design.md says where and why the rules go beyond PIP-425.
+// The rules extend PIP-425: smooth weighted rotation over the hosts that are not ejected. A failed
+// connect ejects a host for a time that doubles with each consecutive failure up to a cap, and a
+// success ends the ejection. If no host is left, the rotation covers all of them. placement.go
+// describes the order in which the rules apply to a request; docs/design.md describes where and why
+// they go beyond PIP-425.
 //
 // # Units
 //
-//	load, cost      work a second on a standard core, in nanoseconds, as Request.ExpectedLoad
-//	turns           a cost in mean connections (connectionCosts.turns), 1/8 to 8
-//	unit            the cost of a mean connection (connectionCosts.unit)
+//	load, cost      work per second on a standard core, in nanoseconds, as in Request.ExpectedLoad
+//	turns           cost relative to that of a mean connection (connectionCosts.turns), 1/8 to 8
+//	unit            cost of a mean connection (connectionCosts.unit)
 //	ledger units    turns * ledger.UnitsPerConnection, 1 to ledger.MaxUnits
-//	reported load   part of what a host can do; 1 is full (currentLoad, fleetLoad.mean)
-//	weight          a host's capacity in relation to others; 1 where the list gives none
+//	reported load   fraction of a host's capacity; 1 is full (currentLoad, fleetLoad.mean)
+//	weight          a host's capacity relative to others; 1 if the list gives none
 //	message delay   in shortest message latency objectives of all classes
 //	Time            nanoseconds
 package balancer
@@ -30,18 +31,18 @@
 	"croftlock/internal/balancer/setuptime"
 )
 
-// Balancer is the decisions of one proxy. Each part holds the state of one rule, and its file the rule's
-// functions.
+// Balancer makes the decisions of one proxy. Each of its parts holds the state of one rule, and the
+// part's file holds the rule's functions.
 type Balancer struct {
 	cfg     Config
 	effects Effects
-	rng     *rand.Rand // drawn from in the order of events: another order is another decision
-	now     Time       // of the event under way
+	rng     *rand.Rand // used in the order of events; another order changes the decisions
+	now     Time       // time of the current event
 
-	endpointList // embedded: most rules walk the hosts
+	endpointList // embedded, since most rules iterate over the hosts
 	requests     map[string]*request
 
-	establishedConnections int // that this balancer placed or adopted
+	establishedConnections int // open, placed or adopted by this balancer
 
 	discovery  discoveryPoller
 	ejection   ejection
@@ -55,24 +56,25 @@
 	ledger     placementLedger
 	fleetLoad  fleetLoad
 
-	// Reused by each pick, so that a pick allocates nothing.
+	// Reused by each pick to avoid allocations.
 	candidateBuffer []candidate
 	loadBuffer      []reportedLoad
 }
 
-// Errors of New, for settings that cannot be used.
+// Errors that New returns for missing Effects and for unusable settings.
 var (
-	ErrNoEffects   = errors.New("balancer: no Effects given")
+	ErrNoEffects   = errors.New("balancer: Effects must not be nil")
 	ErrNoClasses   = errors.New("balancer: settings name no class of request")
-	ErrEjectionMax = errors.New("balancer: the longest quarantine is shorter than the first")
+	ErrEjectionMax = errors.New("balancer: the longest ejection is shorter than the first")
 )
 
-// New makes a balancer. Its errors name the setting that cannot be used.
-func New(cfg Config, seed int64, fx Effects) (*Balancer, error) {
-	if err := validate(&cfg, fx); err != nil {
+// New returns a balancer for the given settings. The seed determines its random numbers. It returns
+// an error that names the setting if one is unusable, or ErrNoEffects if effects is nil.
+func New(cfg Config, seed int64, effects Effects) (*Balancer, error) {
+	if err := validate(&cfg, effects); err != nil {
 		return nil, err
 	}
-	b := &Balancer{cfg: cfg, effects: fx, rng: rand.New(rand.NewSource(seed)),
+	b := &Balancer{cfg: cfg, effects: effects, rng: rand.New(rand.NewSource(seed)),
 		endpointList: newEndpointList(&cfg), requests: map[string]*request{},
 		costs: connectionCosts{byClass: make([]float64, len(cfg.Classes))},
 		shedding: loadShedding{demandByClass: make([]float64, len(cfg.Classes)),
@@ -87,20 +89,23 @@
 	return b, nil
 }
 
-func validate(cfg *Config, fx Effects) error {
+// validate returns an error if New cannot use the settings or effects.
+func validate(cfg *Config, effects Effects) error {
 	switch {
-	case fx == nil:
+	case effects == nil:
 		return ErrNoEffects
 	case len(cfg.Classes) == 0:
 		return ErrNoClasses
 	case cfg.Instances < 1 || cfg.Instance < 0:
-		return fmt.Errorf("balancer: balancer %d of %d is not possible", cfg.Instance, cfg.Instances)
+		return fmt.Errorf("balancer: instance %d of %d: need a number of at least 0, and at least 1 instance",
+			cfg.Instance, cfg.Instances)
 	case cfg.MaxAttempts < 1:
-		return fmt.Errorf("balancer: at most %d attempts allows none", cfg.MaxAttempts)
+		return fmt.Errorf("balancer: MaxAttempts is %d, must be at least 1", cfg.MaxAttempts)
 	}
 	for _, c := range cfg.Classes {
 		if c.Deadline <= 0 || c.LatencyObjective <= 0 {
-			return fmt.Errorf("balancer: class %q needs an aim and a deadline above zero", c.Name)
+			return fmt.Errorf("balancer: class %q: latency objective %d ns, deadline %d ns not above 0",
+				c.Name, c.LatencyObjective, c.Deadline)
 		}
 	}
 	return nil
@@ -114,9 +119,11 @@
 	return longest
 }
 
-// timerToken names a timer. The bytes go over the wire with Effects.Schedule and come back with TimerFired.
+// timerToken identifies a timer. Effects.Schedule sends its bytes over the simulator's wire, and
+// TimerFired gets them back.
 type timerToken string
 
+// The tokens, each with the method that its timer calls.
 const (
 	timerQueue       timerToken = "pump"  // drainQueue
 	timerDiscovery   timerToken = "ask"   // pollDiscovery
@@ -125,12 +132,12 @@
 	timerGossip      timerToken = "tell"  // gossipStalls
 )
 
-// schedule sets a timer, no shorter than the tick.
+// schedule sets a timer that fires after delay, or after a tick if that is longer.
 func (b *Balancer) schedule(delay Time, token timerToken) {
 	b.effects.Schedule(max(b.cfg.Tick, delay), string(token))
 }
 
-// TimerFired brings back a token that was given to Effects.Schedule. Unknown tokens are ignored.
+// TimerFired handles a timer that was set with Effects.Schedule. It ignores unknown tokens.
 func (b *Balancer) TimerFired(now Time, token string) {
 	b.beginEvent(now)
 	switch timerToken(token) {
@@ -148,7 +155,7 @@
 	}
 }
 
-// beginEvent takes the time of an event; the first one starts the timers.
+// beginEvent sets the time of the current event. The first event starts the timers.
 func (b *Balancer) beginEvent(now Time) {
 	b.now = now
 	if b.traffic.observedSince >= 0 {
@@ -160,24 +167,25 @@
 		b.schedule(b.cfg.Tick, timerHealthCheck)
 	}
 	if b.cfg.PollsDiscovery {
-		// Spread over the time allowed: discovery does not grow with the number of balancers.
+		// Spread over a quarter of the poll interval, since the capacity of discovery does not grow
+		// with the number of balancers.
 		b.schedule(Time(float64(b.cfg.PollInterval)/4*b.rng.Float64()), timerDiscovery)
 	}
 }
 
 const (
-	// updatesPerEjection is how many periodic updates there are in the first ejection at most.
+	// updatesPerEjection is the largest number of periodic updates during a first ejection.
 	updatesPerEjection = 8
-	// minUpdateInterval, in nanoseconds, bounds their cost: each walks all hosts.
+	// minUpdateInterval, in nanoseconds, limits the cost of updates: each iterates over all hosts.
 	minUpdateInterval = 100e6
 )
 
-// updateInterval is the time between periodic updates.
+// updateInterval returns the time between two periodic updates.
 func (b *Balancer) updateInterval() Time {
 	return max(b.cfg.Tick, b.ejection.initial/updatesPerEjection, minUpdateInterval)
 }
 
-// periodicUpdate keeps what changes without events.
+// periodicUpdate updates the state that changes with time alone, without events.
 func (b *Balancer) periodicUpdate() {
 	b.schedule(b.updateInterval(), timerUpdate)
 	b.maintainLedger()
@@ -185,5 +193,5 @@
 	b.updateShedding(readyWeight)
 }
 
-// stableHash is the hash of a name, the same at every balancer.
+// stableHash returns the hash of a name, which is the same at every balancer.
 func stableHash(name string) uint64 { return rendezvous.Hash(name) }
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -1,50 +1,52 @@
 package balancer
 
-// Time is a moment or a span in nanoseconds, on the clock that the caller passes in with every event.
+// Time is a point in time or a duration, in nanoseconds. Points in time are on the clock that the
+// caller passes in with every event.
 type Time = int64
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency specifies when a request of a class may be repeated.
 type Idempotency int
 
-// The kinds of idempotency.
+// Values of Idempotency.
 const (
-	Idempotent        Idempotency = iota // may be repeated and rejected at will
-	IdempotentWithKey                    // only where hosts discard repeats of its key
-	NotIdempotent                        // only while it is known not to have run
+	Idempotent        Idempotency = iota // may be repeated and rejected at any time
+	IdempotentWithKey                    // may be repeated only at hosts that discard repeats of its key
+	NotIdempotent                        // may be repeated only while it is known not to have run
 )
 
-// DedupScope says which hosts discard repeats of a request with an idempotency key.
+// DedupScope specifies which hosts discard repeats of a request with an idempotency key.
 type DedupScope int
 
-// The scopes of a key.
+// Values of DedupScope.
 const (
-	ScopeAll  DedupScope = iota // every host
-	ScopeZone                   // the hosts of the zone in which it may have run
-	ScopeCell                   // the hosts of that cell
+	ScopeAll  DedupScope = iota // all hosts
+	ScopeZone                   // the hosts of the zone in which the request may have run
+	ScopeCell                   // the hosts of the cell in which the request may have run
 )
 
-// Class is one class of request.
+// Class holds the settings of one class of requests.
 type Class struct {
 	Name                    string
-	LatencyObjective        Time // an answer within this time earns its full priority weight
-	Deadline                Time // how long the client waits, all attempts together
+	LatencyObjective        Time // an answer within this time earns the full priority weight
+	Deadline                Time // how long the client waits, over all attempts
 	Idempotency             Idempotency
 	DedupScope              DedupScope
 	DedupWindow             Time // how long hosts discard repeats of a key
 	PriorityWeight          float64
-	LatePriorityWeight      float64 // of a late answer; not used
-	MessageLatencyObjective Time    // wanted duration of one message on an open connection; 0: unknown
+	LatePriorityWeight      float64 // priority weight of a late answer; not used
+	MessageLatencyObjective Time    // desired duration of one message on an open connection; 0 if unknown
 }
 
-// Tenant is one of the customers that share the fleet.
+// Tenant holds the quotas of one of the customers that share the fleet.
 type Tenant struct {
 	Name            string
-	RateQuota       float64 // requests a second, all balancers together
-	ServiceQuota    float64 // its part of the service; not used
-	ConnectionQuota float64 // open connections, all balancers together; 0: none given
+	RateQuota       float64 // requests per second, all balancers together
+	ServiceQuota    float64 // its share of the service; not used
+	ConnectionQuota float64 // open connections, all balancers together; 0 means no quota
 }
 
-// Prices are what the operators deduct for one unit of each kind. Only CrossZone and HealthCheck are used.
+// Prices holds what the operators deduct per unit of each kind. Only CrossZone and HealthCheck are
+// used.
 type Prices struct {
 	CrossZone   float64
 	Waste       float64
@@ -57,45 +59,48 @@
 	Discovery   float64
 }
 
-// Config is what a balancer is given once, at its start. It is long because it mirrors the settings of the
-// platform one to one; package balancerconfig reads it from them.
+// Config holds the settings of a balancer, which stay the same while it runs. It mirrors the
+// platform's settings one to one; package balancerconfig decodes them.
 type Config struct {
-	Instance, Instances int    // own number, from 0, and how many balancers there are
-	Zone                string // own zone
+	Instance, Instances int    // number of this balancer, from 0, and number of all balancers
+	Zone                string // zone of this balancer
 	Zones               []string
 	Tick                Time // shortest time between two batches of events, and shortest timer
 	Classes             []Class
 	Tenants             []Tenant
-	PriorityByWork      bool    // priority weights count for a unit of work, not for a request
-	OverQuotaWeight     float64 // factor on the priority weight of traffic beyond its tenant's quota
-	// PollsDiscovery: the balancer requests the watch of the endpoint list, and again after a failure (setting
-	// "subscribe"). False: the proxy follows an agent beside it unasked.
+	PriorityByWork      bool    // priority weights apply per unit of work, not per request
+	OverQuotaWeight     float64 // factor on the priority weight of requests beyond their tenant's quota
+	// PollsDiscovery specifies whether the balancer subscribes to the endpoint list, and does so
+	// again after a failure (setting "subscribe"). If it is false, the proxy receives the list from
+	// an agent beside it without a subscription.
 	PollsDiscovery bool
 
-	MaxAttempts     int  // of one request
-	ConnectTimeout  Time // of one connect
+	MaxAttempts     int  // per request
+	ConnectTimeout  Time // per connect
 	IdleTimeout     Time // after which idle connections to hosts are closed; not used
 	MaxRetryAfter   Time // longest Retry-After that clients respect
-	SendsRetryAfter bool // clients read Retry-After
-	MayHealthCheck  bool
-	MayGossip       bool // balancers may send each other messages
-	MayCancel       bool // attempts can be cancelled
+	SendsRetryAfter bool // whether clients read Retry-After
+	MayHealthCheck  bool // whether the balancer may check the health of hosts
+	MayGossip       bool // whether balancers may send each other messages
+	MayCancel       bool // whether attempts can be cancelled
 
 	AnswerSlack             Time    // not used
-	SlowStartFloor          float64 // part of its capacity that a host surely has as it starts, 0 to 1
-	SlowStartDuration       Time    // after which it surely has all of it; 0: no slow start
+	SlowStartFloor          float64 // fraction of its capacity that a host has at least when it starts, 0 to 1
+	SlowStartDuration       Time    // time until a started host has its full capacity; 0 disables slow start
 	DrainGrace              Time    // not used
-	SlowStartOverloadFactor float64 // a warming host fails at more than this multiple of its capacity by then
-	SlowStartOverloadWindow Time    // sent within this time
+	SlowStartOverloadFactor float64 // a warming host fails at more than this multiple of its current capacity
+	SlowStartOverloadWindow Time    // if it is sent within this time
 	PollInterval            Time    // longest time between two polls of discovery
 
-	// Positions of the load and of the queue length in load reports; -1: reports do not hold them.
+	// Positions of the load and of the queue length in load reports; -1 if reports do not contain
+	// them.
 	LoadField, QueueField int
 
-	PassThrough  bool // packets pass through, and connections may arrive in mid-flow; not used
-	ParkDuration Time // how long a host keeps a connection whose packets have ceased; not used
+	PassThrough  bool // packets pass through, and connections may arrive mid-flow; not used
+	ParkDuration Time // how long a host keeps a connection without packets; not used
 	Prices       Prices
 
-	// First and longest ejection. Negative: derived from the deadlines. 0: no host is ejected.
+	// Durations of the first and of the longest ejection. A negative value means that it is derived
+	// from the deadlines; 0 disables ejection.
 	EjectionInitial, EjectionMax Time
 }
--- a/internal/balancer/costs.go
+++ b/internal/balancer/costs.go
@@ -1,24 +1,26 @@
 package balancer
 
-// Gains of the smoothed costs, by sample: a mean over all classes moves more slowly than that of one.
+// Smoothing factors per sample. The mean over all classes changes more slowly than that of one
+// class.
 const (
 	classCostGain = 1.0 / 32
 	meanCostGain  = 1.0 / 64
 )
 
-// Bounds of a connection's turns: one odd expectation must not upset the rotation.
+// Bounds of a connection's turns, so that one implausible expected load cannot upset the rotation.
 const (
 	minTurns = 0.125
 	maxTurns = 8
 )
 
-// connectionCosts estimates the load that connections bring, in the unit of Request.ExpectedLoad.
+// connectionCosts estimates the load of connections, in the unit of Request.ExpectedLoad.
 type connectionCosts struct {
-	mean    float64 // 0: there is no connection yet
-	byClass []float64
+	mean    float64   // 0 until the first sample
+	byClass []float64 // means; 0 until the first sample of the class
 }
 
-// estimate is the load that a request's connection will bring; 1 where nothing is known.
+// estimate returns the load that a request's connection is expected to cause, or 1 if nothing is
+// known. An expected load in the request counts as a sample.
 func (c *connectionCosts) estimate(q *Request) float64 {
 	cost := q.ExpectedLoad
 	if cost <= 0 {
@@ -48,7 +50,8 @@
 	c.mean += (cost - c.mean) * meanCostGain
 }
 
-// turns is a cost in mean connections, as the rotation counts it.
+// turns returns the given cost in mean connections, the unit of the rotation. It returns 1 if the
+// mean is unknown.
 func (c *connectionCosts) turns(cost float64) float64 {
 	if c.mean <= 0 {
 		return 1
@@ -56,5 +59,5 @@
 	return min(maxTurns, max(minTurns, cost/c.mean))
 }
 
-// unit is the cost of a mean connection, 1 at least.
+// unit returns the cost of a mean connection, at least 1.
 func (c *connectionCosts) unit() float64 { return max(1, c.mean) }
--- a/internal/balancer/decay/counter.go
+++ b/internal/balancer/decay/counter.go
@@ -1,18 +1,19 @@
-// Package decay is an exponentially decaying counter of events.
+// Package decay provides an exponentially decaying counter of events.
 package decay
 
 import "math"
 
-// Counter is a sum that loses the factor e in each span of its time constant. The zero value is empty.
+// Counter is a sum that decays by the factor e per time constant. The zero value is an empty
+// counter.
 type Counter struct {
-	Sum   float64 // as of the last call of Add
-	addAt int64   // nanoseconds
+	Sum     float64 // as of the last call of Add
+	addedAt int64   // time of the last call of Add, in nanoseconds
 }
 
-// Add fades the sum up to now and adds n. Times and the time constant are in nanoseconds. Adding 0 only
-// fades.
+// Add applies the decay up to now and then adds n. Times and the time constant are in nanoseconds.
+// If n is 0, it only applies the decay.
 func (c *Counter) Add(now, timeConstant int64, n float64) {
-	// One nanosecond more, so that a time constant of 0 divides nothing by zero.
-	c.Sum = c.Sum*math.Exp(-float64(now-c.addAt)/float64(timeConstant+1)) + n
-	c.addAt = now
+	// The added nanosecond avoids a division by zero for a time constant of 0.
+	c.Sum = c.Sum*math.Exp(-float64(now-c.addedAt)/float64(timeConstant+1)) + n
+	c.addedAt = now
 }
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -1,28 +1,31 @@
 package balancer
 
-// Effects are the actions that a Balancer can take. The caller carries them out in the order of the calls.
+// Effects are the actions that a Balancer can take. The caller carries them out in the order of the
+// calls.
 type Effects interface {
-	// StartAttempt begins the next attempt of a request at a host.
+	// StartAttempt starts the next attempt of a request at a host.
 	StartAttempt(request, host string, timeout Time)
-	// Reject is a final answer: the request was not done, and a retry is harmless. The client gets retryAfter as
-	// its Retry-After, where that is above 0.
+	// Reject gives a request the final answer that it was not served and that a retry is harmless.
+	// If retryAfter is above 0, the client receives it as Retry-After.
 	Reject(request string, retryAfter Time)
-	// Fail is a final answer that promises nothing.
+	// Fail gives a request the final answer that it failed. It does not promise that a retry is
+	// harmless.
 	Fail(request string)
-	// CancelAttempt stops waiting for an attempt, counted from 0.
+	// CancelAttempt stops waiting for an attempt of a request. Attempts are counted from 0.
 	CancelAttempt(request string, attempt int)
-	// Migrate ends an open connection gracefully; its client opens it again.
+	// Migrate ends an open connection gracefully, so that its client opens it again.
 	Migrate(request string)
-	// HealthCheck polls a host for its load.
+	// HealthCheck starts a health check of a host, which also requests its load.
 	HealthCheck(host string)
-	// SendToPeer sends a message to another balancer, or to all where peer is -1.
+	// SendToPeer sends a message to another balancer, or to all others if peer is -1.
 	SendToPeer(peer int, data []byte)
-	// WatchList subscribes to changes of the endpoint list, or ends that.
+	// WatchList subscribes to changes of the endpoint list if on is true, and ends the subscription
+	// otherwise.
 	WatchList(on bool)
 	// FetchList fetches the complete endpoint list once.
 	FetchList()
-	// Schedule has TimerFired called with the token after the delay.
+	// Schedule requests a call of TimerFired with the token after the delay.
 	Schedule(delay Time, token string)
-	// Report gives a fact for the log.
+	// Report passes on an event for the log.
 	Report(e Event)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -5,16 +5,16 @@
 	"sort"
 )
 
-// HostState says what a placement may do with a host: by discovery, by an operator's suspension, or by
-// another proxy's watermark, which reads as Draining.
+// HostState is the state of a host in regard to placement. It is set by discovery, by an operator's
+// suspension, or by another proxy's watermark, which counts as Draining.
 type HostState int
 
-// The states of a host.
+// Values of HostState. Only Ready hosts get new connections.
 const (
 	Ready HostState = iota
 	Draining
 	Removed
-	Suspended // by an operator, whatever discovery says
+	Suspended // by an operator, regardless of discovery
 )
 
 // ListedHost is one host in an endpoint list.
@@ -24,29 +24,29 @@
 	Zone      string    `json:"Zone"`
 	Kind      string    `json:"Kind"`
 	Cell      int       `json:"Cell"`
-	Weight    float64   `json:"Weight"` // capacity in relation to others; 0 counts as 1
-	StartedAt Time      `json:"Since"`  // its latest start; 0: long past
+	Weight    float64   `json:"Weight"` // capacity relative to other hosts; 0 means 1
+	StartedAt Time      `json:"Since"`  // its latest start; 0 if it was long ago
 }
 
-// ListChange says how an endpoint list is to be read.
+// ListChange specifies how an endpoint list is applied.
 type ListChange int
 
-// The kinds of list.
+// Values of ListChange.
 const (
-	ListDelta  ListChange = iota // only what has changed
-	ListFull                     // everything: what is absent is removed
-	ListCached                   // everything, as this balancer last had it; may be old
-	ListFailed                   // a poll of discovery failed or a watch broke; no entries
-	ListLocal                    // made in this proxy, not by discovery: suspension, watermark or pool
+	ListDelta  ListChange = iota // holds only hosts that have changed
+	ListFull                     // holds all hosts; absent ones are removed
+	ListCached                   // holds all hosts as this balancer last knew them; may be outdated
+	ListFailed                   // means that a poll of discovery failed or a watch broke; no entries
+	ListLocal                    // holds changes made in this proxy: by suspension, watermark or pool
 )
 
-// endpointList is the hosts that discovery has named since the start.
+// endpointList holds the hosts that any endpoint list has named since the start.
 type endpointList struct {
-	hosts        []*host // sorted by ID: the order of the rotation, the same at every balancer
+	hosts        []*host // sorted by ID, the order of the rotation at every balancer
 	byID         map[string]*host
-	zones        map[string]int // index by name
-	ownZone      int            // own
-	listReceived bool           // a list with hosts has come
+	zones        map[string]int // indexes by name
+	ownZone      int            // index of this balancer's zone
+	listReceived bool           // whether a list with hosts has arrived
 }
 
 func newEndpointList(cfg *Config) endpointList {
@@ -58,6 +58,7 @@
 	return l
 }
 
+// zoneIndex returns the index of a zone, and adds the zone if it is new.
 func (l *endpointList) zoneIndex(name string) int {
 	z, ok := l.zones[name]
 	if !ok {
@@ -76,7 +77,8 @@
 	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].hostID < l.hosts[j].hostID })
 }
 
-// hostByHash finds the host that a message names by 32 bits of its hash; 0 names none.
+// hostByHash returns the host that a message names by the lower 32 bits of its hash, or nil if the
+// host is unknown or hash is 0.
 func (l *endpointList) hostByHash(hash uint32) *host {
 	for _, h := range l.hosts {
 		if uint32(h.hash) == hash && hash != 0 {
@@ -86,8 +88,8 @@
 	return nil
 }
 
-// allHostsSuspended reports whether operators have suspended every host that could serve, so that no request
-// should wait for one.
+// allHostsSuspended reports whether no host is ready and operators have suspended at least one, so
+// that no request should wait for a host.
 func (l *endpointList) allHostsSuspended() bool {
 	suspended := false
 	for _, h := range l.hosts {
@@ -99,7 +101,7 @@
 	return suspended
 }
 
-// ListReceived takes an endpoint list or a change of it. Lists come in the order of their versions.
+// ListReceived applies an endpoint list. Lists have to arrive in the order of their versions.
 func (b *Balancer) ListReceived(now Time, kind ListChange, entries []ListedHost) {
 	b.beginEvent(now)
 	if kind == ListFailed {
@@ -123,7 +125,8 @@
 	b.drainQueue()
 }
 
-// updateHosts applies the entries of a list, and marks as removed the hosts that a full list does not name.
+// updateHosts applies the entries of a list, and marks the hosts that a complete list does not name
+// as removed.
 func (b *Balancer) updateHosts(kind ListChange, entries []ListedHost) {
 	if kind == ListFull || kind == ListCached {
 		for _, h := range b.hosts {
@@ -144,13 +147,14 @@
 	}
 }
 
-// updateHost applies what a list says of a host, and reports whether it is a new one.
+// updateHost applies an entry of a list, and reports whether its host is new.
 func (b *Balancer) updateHost(e *ListedHost) (added bool) {
 	h := b.byID[e.ID]
 	if h == nil {
 		h = &host{hostID: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
 		h.slowStart = slowStartBudget{tokens: b.slowStartStagger(h), filledAt: b.now}
-		// A place of its own in the rotation, no later than most.
+		// The place of a new host in the rotation differs between balancers and is no later than
+		// most.
 		h.deficit = 0.5 - h.slowStart.tokens
 		b.add(h)
 		added = true
@@ -168,8 +172,9 @@
 	return added
 }
 
-// spreadRotation starts the rotations of the balancers at places spread over the common order, so that many
-// sparse rotations interleave into one even stream instead of all beginning with the same host.
+// spreadRotation starts each balancer's rotation at a different place in the common order. The
+// rotations of balancers with little traffic then interleave evenly instead of all beginning with
+// the same host.
 func (b *Balancer) spreadRotation() {
 	n := float64(len(b.hosts))
 	start := float64(b.cfg.Instance%b.cfg.Instances) / float64(b.cfg.Instances)
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -1,25 +1,28 @@
 package balancer
 
-// Event is a fact that a Balancer reports for the log: one of the types of this file.
+// Event is a fact that a Balancer reports for the log. Its types are those of this file.
 type Event interface{ isEvent() }
 
-// HostEjected says that a host gets nothing for a while, since its set-ups failed. It is reported for the
-// first failure in a row, and for further ones that do not count since most of the zone fails; those that
-// count lengthen the ejection without a report. Where no other host is available it may still be picked.
+// HostEjected reports that a host is ejected because its set-ups failed. It is reported for the
+// first of consecutive failures, and for later ones that do not count because most hosts of the
+// zone fail. Later failures that count lengthen the ejection without a report. If no other host is
+// available, an ejected host may still be picked.
 type HostEjected struct {
 	Host                string
-	Duration            Time // how long, in nanoseconds
+	Duration            Time // in nanoseconds
 	ConsecutiveFailures int
 }
 
-// HostReadmitted says that an ejected host has accepted a connection, and gets its turns again.
+// HostReadmitted reports that an ejected host has accepted a connection and is back in the
+// rotation.
 type HostReadmitted struct{ Host string }
 
-// LedgerServerChanged reports that this balancer now queries LedgerServer: it has received a message from a
-// ledger server that it did not query before, or that has restarted.
+// LedgerServerChanged reports that this balancer queries the given ledger server from now on: it
+// received that server's first message, or the first one after an outage or a restart.
 type LedgerServerChanged struct{ LedgerServer int }
 
-// LedgerUnreachable says that no ledger server answers: requests are placed by what this balancer sees alone.
+// LedgerUnreachable reports that no ledger server replies. The balancer places requests by what it
+// observes itself.
 type LedgerUnreachable struct{}
 
 func (HostEjected) isEvent()         {}
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -2,22 +2,23 @@
 
 import "croftlock/internal/balancer/loadestimate"
 
-// host is an upstream host as one balancer knows it. Each rule has its state in a part of its own.
+// host is the state of an upstream host at one balancer. Each rule keeps its state in a field of
+// its own.
 type host struct {
 	hostID     string
 	hash       uint64 // of hostID
 	zone, cell int
 	weight     float64 // above 0
-	startedAt  Time    // its latest start; 0: long past
+	startedAt  Time    // its latest start; 0 if it was long ago
 	state      HostState
-	listed     bool // named by the last full list, or by a change since
+	listed     bool // whether the last complete list, or a change since then, names it
 
-	connections []*request // open ones that this balancer placed
-	load        float64    // of these, in the unit of Request.ExpectedLoad
+	connections []*request // open ones that this balancer placed or adopted
+	load        float64    // of connections, in the unit of Request.ExpectedLoad
 
-	deficit      float64 // turns owed: the smooth weighted rotation picks the largest
+	deficit      float64 // turns owed; the smooth weighted rotation picks the host with the most
 	ejection     hostEjection
-	fullUntil    Time // after status Full: it said so, or the proxy stopped an attempt at it
+	fullUntil    Time // set on status Full: the host reported it, or the proxy stopped an attempt
 	errors       errorScore
 	messages     messageDelay
 	slowStart    slowStartBudget
@@ -25,9 +26,9 @@
 	healthCheck  healthCheckState
 }
 
-// restarted forgets the failures of the process before: else a host that came back would stay ejected for the
-// rest of that time. It ends an ejection without reporting HostReadmitted, and is also called as an
-// operator's suspension ends.
+// restarted resets the failures and other state of the host's previous process. Otherwise a host
+// that came back would stay ejected for the remaining time. It ends an ejection without reporting
+// HostReadmitted, and is also called when an operator's suspension ends.
 func (h *host) restarted(now, startedAt Time, tokens float64) {
 	h.startedAt = startedAt
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
@@ -39,7 +40,8 @@
 	h.deficit = min(h.deficit, 0)
 }
 
-// connectionEstablished counts a connection that is open at its host.
+// connectionEstablished adds an open connection to the counts of its host, its tenant and the
+// ledger.
 func (b *Balancer) connectionEstablished(r *request) {
 	h := r.host
 	r.established, r.connectionIndex, r.load = true, len(h.connections), r.cost
@@ -52,7 +54,7 @@
 	}
 }
 
-// connectionEnded undoes connectionEstablished, where the connection was open.
+// connectionEnded undoes connectionEstablished. It has no effect if the connection was not open.
 func (b *Balancer) connectionEnded(r *request) {
 	if !r.established {
 		return
@@ -67,7 +69,7 @@
 	b.reportPlacement(h, r, -1)
 	b.addUnreportedLoad(h, -r.load/b.costs.unit())
 	if last == 0 {
-		h.load = 0 // no rounding error stays
+		h.load = 0 // removes rounding errors
 	}
 	r.established = false
 	if r.Tenant >= 0 {
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -1,41 +1,42 @@
 package ledger
 
 const (
-	maxServers        = 8    // balancers that count, of which one is queried
-	maxMisses         = 2    // queries in a row without a reply, after which the next ledger server is queried
-	maxPending        = 256  // queries that are remembered
-	initialPause      = 3e9  // the first pause without queries once no ledger server replied, in nanoseconds
-	maxPauseDoublings = 4    // doublings of it: where no messages arrive hardly any request waits
+	maxServers        = 8    // number of ledger servers, of which one is queried at a time
+	maxMisses         = 2    // consecutive queries without a reply after which the next ledger server is queried
+	maxPending        = 256  // largest number of pending queries
+	initialPause      = 3e9  // first pause without queries after no ledger server replied, in nanoseconds
+	maxPauseDoublings = 4    // doublings of the pause: if no messages arrive, hardly any request waits
 	pollInterval      = 2e9  // how often an earlier ledger server is polled, in nanoseconds
-	pendingTimeout    = 10e9 // after which a reply counts for nothing, in nanoseconds
+	pendingTimeout    = 10e9 // age from which a pending query may be evicted, in nanoseconds
 )
 
-// PendingQuery is a query without a reply yet.
+// PendingQuery is a query that has no reply yet.
 type PendingQuery struct {
 	Request   string
 	Group     uint32
 	Units     int
 	SentAt    Time
-	Abandoned bool // its request waits no longer
+	Abandoned bool // its request no longer waits for the reply
 }
 
-// Client is the querying side: which ledger server is queried, and which queries are pending. The ledger
-// servers are in one order for all balancers; the first of them that replies is queried.
+// Client is the querying side of the ledger: it chooses the ledger server to query and holds the
+// pending queries. All balancers have the ledger servers in the same order, and query the first one
+// that replies.
 type Client struct {
-	servers     []int // balancers
-	current     int   // index of the one that is queried
-	misses      int   // in a row
-	pausedUntil Time  // no queries before
-	pauses      int   // in a row
+	servers     []int // balancers that are ledger servers, in order
+	current     int   // index in servers of the one that is queried
+	misses      int   // consecutive
+	pausedUntil Time  // time before which there are no queries
+	pauses      int   // consecutive
 	polledAt    Time
-	reachable   bool // the current one was heard; all connections of this balancer are sent to it after that
-	epoch       byte // of the current one
+	reachable   bool // whether the current one has sent a message since it became current
+	epoch       byte // epoch of the current one
 	sequence    uint16
 	pending     map[uint16]*PendingQuery
 }
 
-// NewClient makes the client of one of so many balancers. The ledger servers are spread over the balancers'
-// numbers, which may follow zones.
+// NewClient returns the client of one of the given number of balancers. The ledger servers are
+// spread over the balancers' numbers, since neighbouring numbers may belong to one zone.
 func NewClient(balancers int) *Client {
 	c := &Client{pending: map[uint16]*PendingQuery{}}
 	n := min(balancers, maxServers)
@@ -48,6 +49,7 @@
 // IsServer reports whether a balancer is one of the ledger servers.
 func (c *Client) IsServer(balancer int) bool { return c.index(balancer) >= 0 }
 
+// index returns the index of a balancer in servers, or -1 if it is not a ledger server.
 func (c *Client) index(balancer int) int {
 	for i, k := range c.servers {
 		if k == balancer {
@@ -57,7 +59,7 @@
 	return -1
 }
 
-// Server is the balancer that is queried now; -1: none.
+// Server returns the balancer to query now, or -1 during a pause.
 func (c *Client) Server(now Time) int {
 	if now < c.pausedUntil {
 		return -1
@@ -65,11 +67,12 @@
 	return c.servers[c.current]
 }
 
-// ServerReachable reports whether the current ledger server has sent a message since it became the current
-// one. Only then does the caller send it all connections of this balancer; single changes do not wait for it.
+// ServerReachable reports whether the current ledger server has sent a message since it became the
+// current one. Only then does the caller send it all connections of this balancer. Reports of
+// single changes do not wait for that.
 func (c *Client) ServerReachable(now Time) bool { return c.reachable && now >= c.pausedUntil }
 
-// Register notes a query that is sent, and gives its sequence number.
+// Register adds a pending query, and returns its sequence number.
 func (c *Client) Register(q PendingQuery) uint16 {
 	if len(c.pending) >= maxPending {
 		c.evictPending(q.SentAt)
@@ -79,7 +82,8 @@
 	return c.sequence
 }
 
-// evictPending bounds the pending queries: it drops the queries that have timed out, or all where none has.
+// evictPending limits the number of pending queries: it removes those that have timed out, or all
+// if none has.
 func (c *Client) evictPending(now Time) {
 	for sequence, p := range c.pending {
 		if now-p.SentAt > pendingTimeout {
@@ -91,7 +95,8 @@
 	}
 }
 
-// QueryTimedOut notes that a request waits no longer for its reply.
+// QueryTimedOut records that a request no longer waits for its reply. After maxMisses of them in a
+// row, the next ledger server is queried.
 func (c *Client) QueryTimedOut(now Time, request string) {
 	for _, p := range c.pending {
 		if p.Request == request {
@@ -103,7 +108,7 @@
 	}
 }
 
-// tryNextServer abandons the current ledger server for the next one, or for a pause after the last.
+// tryNextServer switches to the next ledger server, or to a pause after the last one.
 func (c *Client) tryNextServer(now Time) {
 	c.misses, c.reachable = 0, false
 	if c.current++; c.current == len(c.servers) {
@@ -111,40 +116,44 @@
 	}
 }
 
-// pause stops queries for a time that doubles with each pause in a row; then the first ledger server is
-// queried.
+// pause stops queries for a time that doubles with each consecutive pause. After it the first
+// ledger server is queried.
 func (c *Client) pause(now Time) {
 	c.current, c.pausedUntil = 0, now+initialPause<<min(c.pauses, maxPauseDoublings)
 	c.pauses++
 }
 
-// RemovePending removes and gives the query of a sequence number; nil: none is pending.
+// RemovePending removes and returns the pending query with a sequence number. It returns nil if
+// there is none.
 func (c *Client) RemovePending(sequence uint16) *PendingQuery {
 	p := c.pending[sequence]
 	delete(c.pending, sequence)
 	return p
 }
 
-// ServerMessageReceived records a message from a ledger server, and reports whether the caller has to send that
-// server all connections of this balancer.
-func (c *Client) ServerMessageReceived(from int, epoch byte) (sync bool) {
+// ServerMessageReceived records a message from a ledger server, and reports whether the caller has
+// to send that server all connections of this balancer. It ignores servers that come after the
+// current one.
+func (c *Client) ServerMessageReceived(from int, epoch byte) (needsSync bool) {
 	i := c.index(from)
 	if i < 0 || i > c.current {
 		return false
 	}
-	sync = i != c.current || !c.reachable || epoch != c.epoch
+	needsSync = i != c.current || !c.reachable || epoch != c.epoch
 	c.setCurrent(i, epoch)
-	return sync
+	return needsSync
 }
 
-// setCurrent makes a ledger server, by its index, the current one.
+// setCurrent makes the ledger server with index i the current one, and ends a pause.
 func (c *Client) setCurrent(i int, epoch byte) {
 	c.current, c.epoch = i, epoch
 	c.misses, c.pausedUntil, c.pauses = 0, 0, 0
 	c.reachable = true
 }
 
-// ServerToPoll gives the ledger server to poll now: one before the current one, which may be back; -1: none.
+// ServerToPoll returns the ledger server to poll now, or -1 if none is due. It polls a server
+// before the current one, which may be available again, or the first one until that sends a
+// message.
 func (c *Client) ServerToPoll(now Time) int {
 	if c.current == 0 && now >= c.pausedUntil && c.reachable || now-c.polledAt < pollInterval {
 		return -1
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// The first byte of a message is its kind; 1 is stallgossip's. Messages are priced by the byte, so that they
-// hold nothing that is not needed.
+// The first byte of a message is its kind. Kind 1 belongs to package stallgossip. Messages are
+// priced by the byte, so that they contain only what is needed.
 const (
 	kindQuery        = 2
 	kindReply        = 3
@@ -23,17 +23,17 @@
 	announcementBytes = 2
 	pollBytes         = 1
 
-	// MaxEntries is how many entries a datagram of 256 bytes holds behind a kind.
+	// MaxEntries is how many entries fit into a datagram of 256 bytes after a kind byte.
 	MaxEntries = 28
 	// MaxUnits is the largest load of a query or an entry, in units.
 	MaxUnits = 127
 
 	maxZone  = 127
-	retryBit = 128 // in the byte of the zone
+	retryBit = 128 // in the byte that holds the zone
 )
 
-// ErrInvalidMessage says that data is no message of the ledger, or is torn.
-var ErrInvalidMessage = errors.New("ledger: no message of the placement ledger")
+// ErrInvalidMessage reports data that is not a message of the ledger, or not a complete one.
+var ErrInvalidMessage = errors.New("ledger: not a complete message of the placement ledger")
 
 // Message is a Query, Reply, Entries, Sync, Announcement or Poll.
 type Message interface {
@@ -45,37 +45,39 @@
 type Query struct {
 	Seq   uint16
 	Zone  int    // of the querying balancer, 0 to 127
-	Retry bool   // its client may be one of a wave
-	Units int    // load, 1 to MaxUnits
+	Retry bool   // the client may be part of a wave
+	Units int    // expected load, 1 to MaxUnits
 	Group uint32 // 24 bits
 }
 
-// Reply names the host for a query.
+// Reply names the host that is assigned to a query.
 type Reply struct {
 	Epoch byte // of the ledger server
 	Seq   uint16
-	Host  uint32 // 32 bits of the hash of its ID; 0: none
+	Host  uint32 // 32 bits of the hash of its ID; 0 if no host is assigned
 }
 
-// Entry is what its sender holds more of a group at a host, or less.
+// Entry is a change of the load that its sender holds of a group at a host.
 type Entry struct {
 	Host, Group uint32
-	Units       int // -MaxUnits to MaxUnits
+	Units       int // change, -MaxUnits to MaxUnits
 }
 
-// Entries are changes of what their sender holds, 1 to MaxEntries.
+// Entries are changes of what their sender holds, from 1 to MaxEntries of them.
 type Entries []Entry
 
-// Sync is all that its sender holds; further Entries may follow in messages of their own.
+// Sync reports everything that its sender holds and replaces what it reported before. Further
+// Entries may follow in separate messages.
 type Sync struct{ Entries Entries }
 
-// Announcement says that its sender is a ledger server. Another epoch: it has forgotten all.
+// Announcement reports that its sender is a ledger server. A new epoch means that the sender has
+// restarted and lost its counts.
 type Announcement struct{ Epoch byte }
 
 // Poll requests an Announcement.
 type Poll struct{}
 
-// GroupID is a group's name in messages: 24 bits of its hash.
+// GroupID returns the ID of a group in messages: 24 bits of its hash.
 func GroupID(hash uint64) uint32 { return uint32(hash) &^ 0xff >> 8 }
 
 // Append implements Message.
@@ -123,7 +125,8 @@
 
 func decodeGroup(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
-// Decode reads a message. It returns ErrInvalidMessage for what is none, or torn.
+// Decode decodes a message. It returns ErrInvalidMessage if data is not a complete message of the
+// ledger.
 func Decode(data []byte) (Message, error) {
 	if len(data) == 0 {
 		return nil, ErrInvalidMessage
--- a/internal/balancer/ledger/placements.go
+++ b/internal/balancer/ledger/placements.go
@@ -1,48 +1,50 @@
-// Package ledger is the placement ledger: one balancer, the ledger server, counts the connections of a fleet
-// in which each balancer sees only a few requests, and assigns hosts on request. The package owns what is
-// counted (Placements), the messages by which balancers query and report, and the choice of ledger server
-// (Client). Which host a request gets is decided in package balancer. There is no I/O and no clock here. What
-// is counted may be late, incomplete or lost at any time, and no request waits for it for long.
+// Package ledger implements the placement ledger. In a fleet in which each balancer observes only a
+// few requests, one balancer, the ledger server, counts the connections of all, and assigns hosts
+// on request. The package holds the counts (Placements), the messages by which balancers query and
+// report, and the choice of the ledger server (Client). Package balancer decides which host a
+// request gets. There is no I/O and no clock here. The counts may be late, incomplete or lost at
+// any time, and no request waits for a reply for long.
 package ledger
 
 import "slices"
 
-// Time is nanoseconds on the caller's clock.
+// Time is a time or a duration in nanoseconds, on the caller's clock.
 type Time = int64
 
-// UnitsPerConnection is how many units of load a mean connection is; messages carry loads in units.
+// UnitsPerConnection is the load of a mean connection in units. Messages carry loads in units.
 const UnitsPerConnection = 8
 
-// Bounds, so that what others report cannot fill the memory.
+// Limits of what is stored, so that reports of other balancers cannot exhaust the memory.
 const (
 	maxHosts              = 4096
 	maxEntriesPerPeer     = 4096
 	maxAssignmentsPerHost = 1024
 )
 
-// hostGroup is a group at a host.
+// hostGroup identifies a group at a host.
 type hostGroup struct{ host, group uint32 }
 
-// hostPlacements is what all balancers hold at a host.
+// hostPlacements is what all balancers hold at one host.
 type hostPlacements struct {
 	units        int
 	unitsByGroup map[uint32]int
-	assignments  []Time // ascending
+	assignments  []Time // times of assignments, ascending
 }
 
-// Placements is what the balancers of a fleet hold at its hosts, as they reported it to the ledger server.
+// Placements counts what the balancers of a fleet hold at its hosts, as they reported it to the
+// ledger server.
 type Placements struct {
 	hosts map[uint32]*hostPlacements
-	peers map[int]map[hostGroup]int // units, by who reported them
+	peers map[int]map[hostGroup]int // units by the balancer that reported them
 }
 
-// NewPlacements makes empty placements.
+// NewPlacements returns empty placements.
 func NewPlacements() *Placements {
 	return &Placements{hosts: map[uint32]*hostPlacements{}, peers: map[int]map[hostGroup]int{}}
 }
 
-// placementsAt gives the placements placementsAt a host. Where there are too many hosts all is forgotten: the balancers report
-// all their connections periodically.
+// placementsAt returns the placements at a host, and adds the host if it is new. If there are too
+// many hosts, it discards all placements: the balancers report all their connections periodically.
 func (p *Placements) placementsAt(host uint32) *hostPlacements {
 	h := p.hosts[host]
 	if h == nil {
@@ -56,6 +58,7 @@
 	return h
 }
 
+// unitsOf returns the units that a balancer holds, and adds the balancer if it is new.
 func (p *Placements) unitsOf(peer int) map[hostGroup]int {
 	unitsOfPeer := p.peers[peer]
 	if unitsOfPeer == nil {
@@ -65,6 +68,7 @@
 	return unitsOfPeer
 }
 
+// add adds units, which may be negative, to a group at the host.
 func (h *hostPlacements) add(group uint32, units int) {
 	h.units += units
 	if h.unitsByGroup[group] += units; h.unitsByGroup[group] <= 0 {
@@ -72,33 +76,36 @@
 	}
 }
 
-// Add adds units to what a balancer holds of a group at a host, or takes them back where they are negative.
-// No count goes below 0, whatever was lost on the way.
+// Add adds units to what a balancer holds of a group at a host; negative units reduce it. No count
+// falls below 0, even if earlier reports were lost. A new entry of a balancer that has
+// maxEntriesPerPeer is ignored.
 func (p *Placements) Add(peer int, host, group uint32, units int) {
 	unitsOfPeer := p.unitsOf(peer)
-	k := hostGroup{host, group}
-	units = max(-unitsOfPeer[k], units)
-	if units == 0 || units > 0 && unitsOfPeer[k] == 0 && len(unitsOfPeer) >= maxEntriesPerPeer {
+	key := hostGroup{host, group}
+	units = max(-unitsOfPeer[key], units)
+	if units == 0 || units > 0 && unitsOfPeer[key] == 0 && len(unitsOfPeer) >= maxEntriesPerPeer {
 		return
 	}
 	h := p.placementsAt(host)
-	unitsOfPeer = p.unitsOf(peer) // at may have forgotten all
-	if unitsOfPeer[k] += units; unitsOfPeer[k] == 0 {
-		delete(unitsOfPeer, k)
+	unitsOfPeer = p.unitsOf(peer) // placementsAt may have discarded all placements
+	if unitsOfPeer[key] += units; unitsOfPeer[key] == 0 {
+		delete(unitsOfPeer, key)
 	}
 	h.add(group, units)
 }
 
-// RemovePeer drops what a balancer holds: its process has restarted, or it reports all again.
+// RemovePeer removes what a balancer holds, because its process has restarted or because it reports
+// everything again.
 func (p *Placements) RemovePeer(peer int) {
-	for k, units := range p.peers[peer] {
-		p.placementsAt(k.host).add(k.group, -units)
+	for key, units := range p.peers[peer] {
+		p.placementsAt(key.host).add(key.group, -units)
 	}
 	delete(p.peers, peer)
 }
 
-// Load is how many mean connections a host holds, of how many groups, and whether of this one.
-func (p *Placements) Load(host, group uint32) (connections float64, groups int, holds bool) {
+// Load returns how many mean connections a host holds and of how many groups, and reports whether
+// it holds the given group.
+func (p *Placements) Load(host, group uint32) (connections float64, groups int, holdsGroup bool) {
 	h := p.hosts[host]
 	if h == nil {
 		return 0, 0, false
@@ -106,7 +113,7 @@
 	return float64(h.units) / UnitsPerConnection, len(h.unitsByGroup), h.unitsByGroup[group] > 0
 }
 
-// RecordAssignment notes that a request was assigned to a host.
+// RecordAssignment records that a request was assigned to a host.
 func (p *Placements) RecordAssignment(host uint32, now Time) {
 	h := p.placementsAt(host)
 	if h.assignments = append(h.assignments, now); len(h.assignments) > maxAssignmentsPerHost {
@@ -114,7 +121,7 @@
 	}
 }
 
-// AssignmentsSince is how many requests were assigned to a host since a time.
+// AssignmentsSince returns how many requests were assigned to a host since a time.
 func (p *Placements) AssignmentsSince(host uint32, since Time) int {
 	h := p.hosts[host]
 	if h == nil {
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// freshRequestWindow is the time constant with which the ledger server counts fresh requests, in
-	// nanoseconds.
+	// freshRequestWindow is the time constant, in nanoseconds, with which the ledger server counts
+	// fresh requests.
 	freshRequestWindow = 1e10
-	// assignLoadSlack is the load over the mean at which a host counts as full, and assignOverfull by how
-	// much more it counts as overfull; assignOverfullCost is what each load beyond that costs in addition.
+	// The loads here are mean connections per unit of weight of a host. A host counts as full at
+	// assignLoadSlack times the mean load, and as overfull at assignOverfullMargin more than that.
+	// assignOverfullCost is the additional cost of each unit of load beyond that.
 	assignLoadSlack      = 1.15
 	assignOverfullMargin = 4.0
 	assignOverfullCost   = 10.0
-	// assignNewGroupCost is the price of a group that is new to a host, beyond what it costs the host.
+	// assignNewGroupCost is the additional cost of a host that does not hold the request's group
+	// yet, as a multiple of the load that a new group causes there.
 	assignNewGroupCost = 1.0
-	// assignCrossZoneCost is the cost of a host in another zone, and assignStallCost the cost of a host that
-	// delays messages by the shortest latency objective.
+	// assignCrossZoneCost is the cost, as a load, of a host in another zone, and assignStallCost
+	// that of a host that delays messages by the shortest latency objective.
 	assignCrossZoneCost = 2.0
 	assignStallCost     = 10.0
-	// assignSlowStartShare is the part of what a warming host may get by chance that the ledger server gives
-	// out; the rest is for requests that had no reply.
+	// assignSlowStartShare is the share of the requests that a warming host may get by chance that
+	// the ledger server assigns. The rest is left for requests that had no reply.
 	assignSlowStartShare = 0.75
 )
 
-// assignHost returns the ledger server's choice for a request of any balancer: the assignable host with the
-// lowest assignCost, or nil if no host is assignable. It records the assignment, so that a warming host's
-// budget is counted for all balancers together.
+// assignHost returns the ledger server's choice for a request of any balancer: the assignable host
+// with the lowest assignCost, or nil if no host is assignable. It records the assignment, so that a
+// warming host's budget is counted for all balancers together.
 func (b *Balancer) assignHost(from int, q ledger.Query) *host {
 	if !q.Retry {
 		b.ledger.freshRequests.Add(b.now, freshRequestWindow, 1)
@@ -51,7 +53,8 @@
 	return best
 }
 
-// assignable reports whether the ledger server may assign a host: what it knows itself counts for all.
+// assignable reports whether the ledger server may assign a host. What the ledger server knows
+// itself of the host applies to the requests of all balancers.
 func (b *Balancer) assignable(h *host) bool {
 	if h.state != Ready || b.now < h.fullUntil {
 		return false
@@ -62,7 +65,8 @@
 	return b.fullCapacityShare(h) >= 1 || b.slowStartBudgetLeft(h)
 }
 
-// meanLedgerLoad is what all balancers hold, for the capacity of the fleet.
+// meanLedgerLoad returns the load that all balancers hold at the ready hosts, relative to the
+// current capacity of these.
 func (b *Balancer) meanLedgerLoad() float64 {
 	load, capacity := 0.0, 0.0
 	for _, h := range b.hosts {
@@ -75,14 +79,16 @@
 	return load / max(capacity, 1e-9)
 }
 
-// assignCost is how full a host would be with a request, and what speaks against it in the same unit.
+// assignCost returns the cost of assigning a request to a host: its load with the request, relative
+// to its current capacity, and the additional costs in the same unit. full is the load at which a
+// host counts as full.
 func (b *Balancer) assignCost(h *host, q ledger.Query, full float64) float64 {
-	warm := b.fullCapacityShare(h)
-	load, groups, holds := b.ledger.placements.Load(uint32(h.hash), q.Group)
+	capacityShare := b.fullCapacityShare(h)
+	load, groups, holdsGroup := b.ledger.placements.Load(uint32(h.hash), q.Group)
 	load += firstOfGroupCost*float64(groups) + float64(q.Units)/ledger.UnitsPerConnection
-	cost, newGroup := load/(h.weight*warm), 0.0
-	if !holds {
-		newGroup = firstOfGroupCost / (h.weight * warm)
+	cost, newGroup := load/(h.weight*capacityShare), 0.0
+	if !holdsGroup {
+		newGroup = firstOfGroupCost / (h.weight * capacityShare)
 	}
 	cost += newGroup
 	cost += assignNewGroupCost*newGroup + assignOverfullCost*max(0, cost-full-assignOverfullMargin)
@@ -92,18 +98,18 @@
 	return cost + assignStallCost*b.currentMessageDelay(h)
 }
 
-// slowStartBudgetLeft reports whether a warming host's budget bears one more request: of n that the settings
-// allow in the overload window, n + 3 √n + 3 may come by chance. The ledger server gives out a part of that,
-// counted exactly.
+// slowStartBudgetLeft reports whether a warming host's budget allows one more request. If the
+// settings allow n requests in the overload window, up to n + 3 √n + 3 may arrive by chance. The
+// ledger server assigns a share of that number, which it counts exactly.
 func (b *Balancer) slowStartBudgetLeft(h *host) bool {
 	fresh := &b.ledger.freshRequests
 	fresh.Add(b.now, freshRequestWindow, 0)
 	rate := max(fresh.Sum/(freshRequestWindow/1e9), b.traffic.expectedRate*float64(b.cfg.Instances))
 	window := float64(b.cfg.SlowStartOverloadWindow)
 	n := b.slowStartShare(h) * rate * window / 1e9
-	// The capacity as it was when the window began.
-	warm, warmed := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
-	n *= max(b.cfg.SlowStartFloor, warm-warmed) / warm
-	granted := b.ledger.placements.AssignmentsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
-	return float64(granted+1) <= assignSlowStartShare*(n+3*math.Sqrt(n)+3)
+	// The capacity at the start of the window.
+	share, gain := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
+	n *= max(b.cfg.SlowStartFloor, share-gain) / share
+	assigned := b.ledger.placements.AssignmentsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
+	return float64(assigned+1) <= assignSlowStartShare*(n+3*math.Sqrt(n)+3)
 }
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	// ledgerReplyTimeout is how long a request waits for the ledger server, in nanoseconds. A request with
-	// less than minTimeouts of it left does not query: a wait in vain must cost it little.
+	// ledgerReplyTimeout is how long a request waits for the ledger server's reply, in nanoseconds.
+	// A request that has less than minReplyTimeoutsLeft times as long until its deadline does not
+	// query, so that a wait without a reply costs it little of its time.
 	ledgerReplyTimeout   = 150e6
 	minReplyTimeoutsLeft = 8
 )
 
-// placementLedger is this balancer's side of the ledger, as client and as ledger server. No balancer sees
-// alone how full hosts are, nor how large a group is. Where balancers may send messages, they query the one
-// that counts for all for a host; without its reply each places by what it sees itself.
+// placementLedger is this balancer's state as a client of the placement ledger and, if it is one,
+// as a ledger server. No balancer alone observes how full hosts are or how large a group is. If
+// balancers may send each other messages, they query the ledger server for a host, which counts for
+// all of them. Without its reply, each places requests by what it observes itself.
 type placementLedger struct {
 	client        *ledger.Client
-	placements    *ledger.Placements // where this balancer is a ledger server
-	freshRequests decay.Counter      // of all balancers, where this one is a ledger server
-	announced     bool               // this process has an epoch, and was announced if it is a ledger server
+	placements    *ledger.Placements // used if this balancer is a ledger server
+	freshRequests decay.Counter      // of all balancers; used if this one is a ledger server
+	announced     bool               // whether epoch is set and, by a ledger server, announced
 	epoch         byte               // of this process
-	syncDue       Time               // when the ledger server is sent all connections of this balancer
+	syncDue       Time               // when to send the ledger server all connections of this balancer
 }
 
-// ledgerQuery is a request's query to the ledger server.
+// ledgerQuery is the state of a request's query to the ledger server.
 type ledgerQuery struct {
 	sent          bool
-	awaitingReply bool // the reply
+	awaitingReply bool
 	replied       bool
-	assigned      *host // by the reply, until the connection is established; nil: none
-	units         int   // load in messages; 0: not computed yet
+	assigned      *host // host in the reply, until the connection is established; nil if none
+	units         int   // load in ledger units; 0 until it is computed
 }
 
 func newPlacementLedger(cfg *Config) placementLedger {
 	return placementLedger{client: ledger.NewClient(cfg.Instances), placements: ledger.NewPlacements()}
 }
 
-// ledgerUsable reports whether other balancers can be reached.
+// ledgerUsable reports whether there are other balancers and messages to them are allowed.
 func (b *Balancer) ledgerUsable() bool { return b.cfg.MayGossip && b.cfg.Instances > 1 }
 
-// ledgerUnits is a connection's load in messages, the same when it is added and when it is taken back.
+// ledgerUnits returns a connection's load in ledger units. It computes the load once, so that the
+// same number is added to the ledger and subtracted later.
 func (b *Balancer) ledgerUnits(r *request) int {
 	if r.ledger.units == 0 {
 		units := int(b.costs.turns(r.cost)*ledger.UnitsPerConnection + 0.5)
@@ -49,9 +52,9 @@
 	return r.ledger.units
 }
 
-// queryLedger queries the ledger server for a host, once for the first attempt of a request of a group, and
-// reports whether the request waits for the reply. A balancer that is the ledger server itself waits for
-// none.
+// queryLedger queries the ledger server for a host, once for the first attempt of a request that
+// belongs to a group, and reports whether the request waits for the reply. If this balancer is the
+// ledger server, it assigns the host at once.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
 	server := b.ledger.client.Server(b.now)
 	if r.ledger.sent || r.attempts > 0 || r.shedUnlessWarmingHost || r.Group == "" ||
@@ -76,7 +79,8 @@
 	return true
 }
 
-// assignedHost is the host that the ledger server named for the first attempt, if it may be used.
+// assignedHost returns the host that the ledger server assigned to the first attempt of a request,
+// or nil if there is none or it is not ready or not available.
 func (b *Balancer) assignedHost(r *request) *host {
 	h := r.ledger.assigned
 	if h == nil || r.attempts > 0 || h.state != Ready || !b.available(h, r) {
@@ -85,8 +89,8 @@
 	return h
 }
 
-// ledgerReplyReceived goes on with the request that the reply is for. What is assigned and not used is given
-// back.
+// ledgerReplyReceived places the request that queried with the host in the reply. If the request no
+// longer waits, it returns the assignment to the ledger server.
 func (b *Balancer) ledgerReplyReceived(from int, m ledger.Reply) {
 	query := b.ledger.client.RemovePending(m.Seq)
 	if query == nil {
@@ -95,8 +99,8 @@
 	r := b.requests[query.Request]
 	if r == nil || r.closed || !r.ledger.awaitingReply || query.Abandoned {
 		if m.Host != 0 {
-			back := ledger.Entry{Host: m.Host, Group: query.Group, Units: -query.Units}
-			b.effects.SendToPeer(from, back.Append(nil))
+			undo := ledger.Entry{Host: m.Host, Group: query.Group, Units: -query.Units}
+			b.effects.SendToPeer(from, undo.Append(nil))
 		}
 		return
 	}
@@ -105,7 +109,8 @@
 	b.place(r)
 }
 
-// ledgerQueryTimedOut ends a request's wait for the reply; the caller places it without one.
+// ledgerQueryTimedOut ends a request's wait for the reply. The caller places the request without
+// one.
 func (b *Balancer) ledgerQueryTimedOut(r *request) {
 	r.ledger.awaitingReply, r.wait.notBefore = false, 0
 	b.ledger.client.QueryTimedOut(b.now, r.ID)
@@ -114,8 +119,8 @@
 	}
 }
 
-// reconcileLedger corrects the ledger server's count where a request's connection is not at the host that was
-// assigned; h is nil where there is no connection.
+// reconcileLedger corrects the ledger server's count if a request's connection is not at the
+// assigned host. h is the host of the connection, or nil if there is none.
 func (b *Balancer) reconcileLedger(r *request, h *host) {
 	assigned := r.ledger.assigned
 	r.ledger.assigned = nil
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -3,18 +3,20 @@
 import "croftlock/internal/balancer/ledger"
 
 const (
-	// syncSpread is the time over which all balancers send their connections to a new ledger server, and
-	// syncInterval the mean time after which each does so again, in nanoseconds, to correct for lost
-	// messages.
+	// syncSpread is the time over which all balancers send their connections to a new ledger
+	// server. syncInterval is the mean time after which each does so again, to correct for lost
+	// messages. Both are in nanoseconds.
 	syncSpread   = 1e9
 	syncInterval = 8e9
-	// epochUnit makes an epoch from the time of the process's start, in nanoseconds.
+	// epochUnit is the unit of an epoch in nanoseconds. An epoch is derived from the time at which
+	// the process starts.
 	epochUnit = 1e8
 )
 
-// maintainLedger announces once that this balancer is a ledger server, sends the current one all
-// connections of this balancer when that is due, and polls an earlier one that may be back. Where there is
-// no ledger nothing is sent and no random number drawn.
+// maintainLedger announces once that this balancer is a ledger server, if it is one. It sends the
+// current ledger server all connections of this balancer when that is due, and polls an earlier
+// ledger server that may be available again. Without a usable ledger it sends nothing and uses no
+// random number.
 func (b *Balancer) maintainLedger() {
 	if !b.ledgerUsable() {
 		return
@@ -36,7 +38,7 @@
 	}
 }
 
-// ledgerMessageReceived handles a message of the ledger; false: it is none.
+// ledgerMessageReceived handles a message of the placement ledger, and reports whether data is one.
 func (b *Balancer) ledgerMessageReceived(from int, data []byte) bool {
 	message, err := ledger.Decode(data)
 	if err != nil {
@@ -80,9 +82,9 @@
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
 
-// followLedgerServer records a message from a ledger server. If that server does not know this balancer's
-// connections, they are sent to it after a random wait, since all balancers receive its message at the same
-// time.
+// followLedgerServer records a message from a ledger server. If that server does not know the
+// connections of this balancer, it is sent them after a random wait, since all balancers receive
+// its message at the same time.
 func (b *Balancer) followLedgerServer(from int, epoch byte) {
 	if b.ledgerUsable() && b.ledger.client.ServerMessageReceived(from, epoch) {
 		b.ledger.syncDue = b.now + Time(syncSpread*b.rng.Float64())
@@ -90,7 +92,7 @@
 	}
 }
 
-// syncLedger sends the ledger server all connections of this balancer.
+// syncLedger sends the ledger server all connections of this balancer, and schedules the next time.
 func (b *Balancer) syncLedger() {
 	server := b.ledger.client.Server(b.now)
 	b.ledger.syncDue = b.now + Time(syncInterval*(0.5+b.rng.Float64()))
@@ -109,8 +111,8 @@
 	}
 }
 
-// appendConnections appends this balancer's connections at a host, group by group in the order of their first
-// connections.
+// appendConnections appends entries for this balancer's connections at a host, one group after the
+// other in the order of their first connections.
 func (b *Balancer) appendConnections(entries ledger.Entries, h *host) ledger.Entries {
 	var groups []uint32
 	units := map[uint32]int{}
@@ -133,7 +135,8 @@
 	return entries
 }
 
-// reportPlacement reports to the ledger server that a host holds a connection more (1), or less (-1).
+// reportPlacement reports to the ledger server that a host holds one connection more if sign is 1,
+// or one less if sign is -1.
 func (b *Balancer) reportPlacement(h *host, r *request, sign int) {
 	server := b.ledger.client.Server(b.now)
 	if r.Group == "" || server < 0 || !b.ledgerUsable() {
@@ -148,7 +151,8 @@
 	b.effects.SendToPeer(server, entry.Append(nil))
 }
 
-// sendToLedgerServer sends a message, or handles it where this balancer is that server.
+// sendToLedgerServer sends a message to the ledger server, or handles it directly if this balancer
+// is that server.
 func (b *Balancer) sendToLedgerServer(server int, m ledger.Message) {
 	if server == b.cfg.Instance {
 		b.handleLedgerMessage(server, m)
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -3,43 +3,47 @@
 import "math"
 
 const (
-	// healthCheckScanInterval is the time between two searches for hosts that are due for a health check, and
-	// minHealthCheckInterval the shortest time between two checks of one host, in nanoseconds.
+	// healthCheckScanInterval is the time between two scans for hosts that are due for a health
+	// check. minHealthCheckInterval is the shortest time between two checks of one host. Both are
+	// in nanoseconds.
 	healthCheckScanInterval = 2.5e8
 	minHealthCheckInterval  = 5e8
-	// healthCheckBudget is what health checks may cost, as part of the value of the requests.
+	// healthCheckBudget is the largest cost of health checks, as a fraction of the value of the
+	// requests.
 	healthCheckBudget = 0.005
-	// minHealthCheckRequestRate is for how many requests a second hosts are checked at least.
+	// minHealthCheckRequestRate is the lowest rate of requests, per second, that determines how
+	// often hosts are checked.
 	minHealthCheckRequestRate = 0.2
-	// quotaCapacityShare is the part of the fleet's capacity to which the tenants' quotas add up.
+	// quotaCapacityShare is the sum of the tenants' quotas as a fraction of the fleet's capacity.
 	quotaCapacityShare = 0.8
-	// Load from which connections are migrated off a host, the load to which, and the mean load of the fleet
-	// above which none are, since no host has spare capacity.
+	// Connections are migrated off a host whose load is at least migrateAboveLoad, to reduce it to
+	// migrateToLoad. None are if the mean load of the fleet is above migrateMaxMeanLoad, since then
+	// no host has spare capacity.
 	migrateAboveLoad   = 0.98
 	migrateToLoad      = 0.8
 	migrateMaxMeanLoad = 0.8
-	// maxMigratedShare is the part of a balancer's connections at a host that one report migrates at most;
-	// the next report shows what that did.
+	// maxMigratedShare is the largest fraction of a balancer's connections at a host that one
+	// report migrates. The next report shows the effect.
 	maxMigratedShare = 0.1
 )
 
-// healthCheckState is the health check of one host.
+// healthCheckState is the state of the health checks of one host.
 type healthCheckState struct {
 	inFlight  bool
-	startedAt Time // a random while earlier than it was, which spreads the next one
+	startedAt Time // start of the last check, less a random time that spreads the next one
 }
 
-// fleetLoad is how loaded the hosts are that report it.
+// fleetLoad is the load of the hosts that report it.
 type fleetLoad struct {
-	full float64 // mean connections, of all balancers together, that fill a host; 0: unknown
-	mean float64 // reported load; 1 is full
+	full float64 // mean connections, of all balancers together, that fill a host; 0 if unknown
+	mean float64 // mean reported load; 1 is full
 }
 
-// hostsReportLoad reports whether hosts answer health checks with their load.
+// hostsReportLoad reports whether health checks are allowed and hosts answer them with their load.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
-// startHealthChecks checks each host again once its last check began longer ago than the price of another
-// justifies: the more requests there are to be placed by it, the sooner.
+// startHealthChecks starts a health check of each available host whose last check began at least
+// healthCheckInterval ago.
 func (b *Balancer) startHealthChecks() {
 	b.schedule(healthCheckScanInterval, timerHealthCheck)
 	b.updateFleetLoad()
@@ -47,11 +51,11 @@
 	for _, h := range b.hosts {
 		due := interval
 		if h.loadEstimate.LastReportTime() == 0 {
-			due = minHealthCheckInterval // it may begin to report only once it is checked
+			due = minHealthCheckInterval // only a check can show that it reports its load
 		}
 		check := &h.healthCheck
 		if h.state == Ready && !check.inFlight && b.now-check.startedAt >= due && b.now >= h.ejection.until {
-			// Jitter, else the checks of all balancers reach a host together.
+			// Without jitter the checks of all balancers would reach a host together.
 			jitter := Time(float64(interval) * 0.2 * b.rng.Float64())
 			check.inFlight, check.startedAt = true, b.now-jitter
 			b.effects.HealthCheck(h.hostID)
@@ -59,7 +63,8 @@
 	}
 }
 
-// healthCheckInterval is how often each host is checked.
+// healthCheckInterval returns the time between two checks of one host that the price of a check
+// justifies: the more requests there are to place by its result, the shorter.
 func (b *Balancer) healthCheckInterval() Time {
 	t := &b.traffic
 	t.fade(b.now)
@@ -68,8 +73,8 @@
 	return max(minHealthCheckInterval, Time(1e9*price/(healthCheckBudget*rate)))
 }
 
-// HealthCheckEnded takes the result of a health check. One that fails says nothing of the host's load, and
-// what was known fades.
+// HealthCheckEnded records the result of a health check. A failed check tells nothing about the
+// host's load, and the earlier reports lose weight with time.
 func (b *Balancer) HealthCheckEnded(now Time, id string, status AttemptStatus, load []float64) {
 	b.beginEvent(now)
 	if h := b.byID[id]; h != nil {
@@ -80,35 +85,36 @@
 	}
 }
 
-// loadReported takes a load report. One without the load field is ignored.
+// loadReported records a load report. It ignores a report without the load field.
 func (b *Balancer) loadReported(h *host, report []float64) {
-	i, j := b.cfg.LoadField, b.cfg.QueueField
-	if i < 0 || i >= len(report) {
+	loadField, queueField := b.cfg.LoadField, b.cfg.QueueField
+	if loadField < 0 || loadField >= len(report) {
 		return
 	}
 	queue := 0.0
-	if j >= 0 && j < len(report) {
-		queue = report[j]
+	if queueField >= 0 && queueField < len(report) {
+		queue = report[queueField]
 	}
-	h.loadEstimate.Report(b.now, report[i], queue)
+	h.loadEstimate.Report(b.now, report[loadField], queue)
 	b.migrateFromFullHost(h)
 }
 
-// addUnreportedLoad adds load, in mean connections, that no report of the host includes yet. The other
-// balancers place connections by the same reports, each between none and as much as this one. The factor of
-// the square root of their number accounts for that.
+// addUnreportedLoad records load, in mean connections, that no report of the host includes yet. The
+// other balancers place requests by the same reports, each between none and as many as this one, so
+// that the load is multiplied by the square root of the number of balancers.
 func (b *Balancer) addUnreportedLoad(h *host, turns float64) {
 	h.loadEstimate.AddLoad(b.now, turns*math.Sqrt(float64(b.cfg.Instances)))
 }
 
-// currentLoad is how loaded a host is now; 1 is full.
+// currentLoad returns the estimated load of a host now; 1 is full.
 func (b *Balancer) currentLoad(h *host) float64 {
 	return h.loadEstimate.Load(b.now, b.fleetLoad.full, b.fleetLoad.mean)
 }
 
-// updateFleetLoad records how loaded the fleet is, and how many mean connections fill one host. The tenants'
-// quotas, in sum, are most of what the fleet can hold; where there are none, all balancers' connections, of
-// which this one holds its part, make up the sum of what the hosts report.
+// updateFleetLoad updates the mean load of the fleet, and the number of mean connections that fill
+// one host. The tenants' quotas together are most of what the fleet can hold. Without quotas the
+// number follows from the sum of the loads that the hosts report: the connections of all balancers,
+// of which this one holds its share, cause that sum.
 func (b *Balancer) updateFleetLoad() {
 	own, sum, reporting, present := 0.0, 0.0, 0.0, 0.0
 	for _, h := range b.hosts {
@@ -131,8 +137,8 @@
 	}
 }
 
-// migrateFromFullHost migrates some connections off an overloaded host if the other hosts have spare capacity.
-// Each balancer migrates a random part of its own connections, since all balancers get the same report.
+// migrateFromFullHost migrates some connections off an overloaded host if other hosts have spare
+// capacity. Each balancer migrates a random part of its own, since all get the same report.
 func (b *Balancer) migrateFromFullHost(h *host) {
 	load, mean := b.currentLoad(h), b.fleetLoad.mean
 	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -4,56 +4,63 @@
 type Request struct {
 	ID           string  `json:"ID"`
 	Class        int     `json:"Class"`    // index in Config.Classes
-	Tenant       int     `json:"Tenant"`   // index in Config.Tenants; -1: none
-	Key          string  `json:"Key"`      // idempotency key; "": none
-	Group        string  `json:"Group"`    // connections that are cheaper on one host; "": none
-	ExpectedLoad float64 `json:"Hint"`     // work a second on a standard core, in nanoseconds; 0: unknown
-	Retry        bool    `json:"Repeat"`   // marked by its client as a retry
-	MidFlow      bool    `json:"MidFlow"`  // packets of a connection that some host already holds
-	Returned     bool    `json:"Returned"` // the client came back after a break or a migration
-	Remaining    Time    `json:"Left"`     // how long the client still waits
+	Tenant       int     `json:"Tenant"`   // index in Config.Tenants; -1 if none
+	Key          string  `json:"Key"`      // idempotency key; "" if none
+	Group        string  `json:"Group"`    // its connections cost less on one host; "" if none
+	ExpectedLoad float64 `json:"Hint"`     // work per second on a standard core, in nanoseconds; 0 if unknown
+	Retry        bool    `json:"Repeat"`   // its client marked it as a retry
+	MidFlow      bool    `json:"MidFlow"`  // packets of a connection that a host already holds
+	Returned     bool    `json:"Returned"` // its client came back after a broken or migrated connection
+	Remaining    Time    `json:"Left"`     // time until the client stops waiting
 }
 
-// AttemptStatus is how an attempt ended.
+// AttemptStatus is the outcome of an attempt.
 type AttemptStatus int
 
-// The outcomes of an attempt, and for each the causes for which packages proxy and lineproto give it.
-// setupEnded has what follows from each.
+// Values of AttemptStatus, with the causes for which packages proxy and lineproto report each.
+// setupEnded implements the consequences.
 const (
-	// OK: the host ended an open connection as finished (upstreamRequest.finalStatus), or answered a health
-	// check.
+	// OK means that the host ended an open connection as finished (upstreamRequest.finalStatus), or
+	// answered a health check.
 	OK AttemptStatus = iota
-	// Error: the host answered with an error, or with a line that is no answer: upstreamRequest.FromUpstream.
+	// Error means that the host answered with an error, or with a line that is no valid answer
+	// (upstreamRequest.FromUpstream).
 	Error
-	// Full: the host takes nothing new now, which is no failure of it. The attempt has not run.
-	//   - It answered that it is over capacity: upstreamRequest.FromUpstream.
+	// Full means that the host accepts nothing new now, which is not a failure. The attempt has not
+	// run.
+	//   - The host answered that it is over capacity: upstreamRequest.FromUpstream.
 	//   - It began to drain, or was removed or suspended, before the attempt: Request.attemptBlocked.
-	//   - It did so, or changed pools, before the request's line was written: host.stopUnsentAttempts.
+	//   - The same happened, or it changed pools, before the request's line was written:
+	//     host.stopUnsentAttempts.
 	//   - The fleet's rules have changed and exclude the host for this request: Core.startAttempt.
 	Full
-	// Timeout: no answer came in the time that Effects.StartAttempt gave (upstreamRequest.beginAttempt), or
-	// the request's deadline had passed before the attempt began (Request.attemptBlocked).
+	// Timeout means that no answer arrived in the time that Effects.StartAttempt specified
+	// (upstreamRequest.beginAttempt), or that the request's deadline had passed before the attempt
+	// began (Request.attemptBlocked).
 	Timeout
-	// ConnectFailed: the connection broke before the request's line was written completely, so that the attempt
-	// has not run (statusBeforeAnswer).
+	// ConnectFailed means that the connection broke before the request's line was written
+	// completely, so that the attempt has not run (statusBeforeAnswer).
 	ConnectFailed
-	// Reset: the connection broke after that (statusBeforeAnswer, upstreamRequest.finalStatus), or the host
-	// left lines of its client unanswered for too long (Core.checkUnanswered).
+	// Reset means that the connection broke after the request's line was written
+	// (statusBeforeAnswer, upstreamRequest.finalStatus), or that the host left lines of its client
+	// unanswered for too long (Core.checkUnanswered).
 	Reset
-	// Cancelled: the proxy, the client or a migration ended the attempt or the connection.
+	// Cancelled means that the proxy, the client or a migration ended the attempt or the
+	// connection.
 	Cancelled
-	// TooLate: the request may not, or need not, be attempted any more. The attempt has not run, nothing
-	// speaks against its host, and AttemptEnded gives the final answer where one is owed.
-	//   - All attempts are used up, or the core does not know the host: Core.startAttempt.
+	// TooLate means that the request may not, or need not, be attempted any more. The attempt has
+	// not run, and the host is not at fault. AttemptEnded gives the request its final answer if it
+	// has none yet.
+	//   - The request has no attempts left, or the core does not know the host: Core.startAttempt.
 	//   - Another invariant forbids the attempt: Request.attemptBlocked.
 	//   - The dedup window ended before the request's line was written: upstreamRequest.limitRetry.
-	//   - The fleet's rules now reject the request: Core.startAttempt. It has its answer.
-	//   - The fleet's rules now place it in another pool, whose balancer takes it over: Core.placeInPool.
-	//   - Of a health check, which was not made: Core.checkHost, HealthChecks.Check.
+	//   - The fleet's rules now reject the request, and it has been answered: Core.startAttempt.
+	//   - The fleet's rules now place it in another pool, whose balancer takes over: Core.placeInPool.
+	//   - A health check was not made: Core.checkHost, HealthChecks.Check.
 	TooLate
 )
 
-// String names an outcome as the log writes it; TooLate is "moot" there.
+// String returns the outcome's name in the log. TooLate is "moot" there.
 func (s AttemptStatus) String() string {
 	if s < OK || s > TooLate {
 		return "unknown"
@@ -61,24 +68,24 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"}[s]
 }
 
-// DidNotRun reports whether an attempt that ended so surely had no effect.
+// DidNotRun reports whether the outcome proves that the attempt had no effect.
 func (s AttemptStatus) DidNotRun() bool { return s == Full || s == ConnectFailed || s == TooLate }
 
-// Observation says what was observed of an open connection.
+// Observation is the kind of a value that was observed on an open connection.
 type Observation int
 
-// The kinds of observation.
+// Values of Observation.
 const (
-	ObservedLoad    Observation = 1 // the connection's load now, microseconds of work a second
-	ObservedLatency Observation = 2 // milliseconds that a message takes at the host now
+	ObservedLoad    Observation = 1 // the connection's current load, in microseconds of work per second
+	ObservedLatency Observation = 2 // how long a message currently takes at the host, in milliseconds
 )
 
-// request is a request from its arrival to the end of its last attempt, or of its connection.
+// request is the state of a request from its arrival to the end of its last attempt or connection.
 type request struct {
 	Request
 	deadline Time
 	cost     float64 // expected load, in the unit of Request.ExpectedLoad
-	closed   bool    // answered; only the end of an attempt is awaited
+	closed   bool    // answered, or its client has left; kept until its attempt ends
 
 	attempts        int
 	attemptInFlight bool
@@ -86,19 +93,19 @@
 	sentAt          Time  // of the last attempt
 	attemptedHosts  []*host
 
-	established        bool    // its connection is open
+	established        bool    // whether its connection is open
 	connectionIndex    int     // in host.connections
-	load               float64 // what it adds to host.load
+	load               float64 // its part of host.load
 	migrationRequested bool
 
-	mayHaveRunOn *host // host of the first attempt that may have run; nil: none has
-	mayHaveRunAt Time
+	mayHaveRunOn *host // host of the first attempt that may have run; nil if none may have
+	mayHaveRunAt Time  // when that attempt was sent
 
 	wait                  queueEntry
 	ledger                ledgerQuery
-	shedUnlessWarmingHost bool    // load shedding rejects it, unless a warming host's budget bears it
-	similarPerSecond      float64 // requests like it, all balancers together
+	shedUnlessWarmingHost bool    // load shedding rejects it unless a warming host's budget allows it
+	similarPerSecond      float64 // rate of similar requests, all balancers together
 }
 
-// isRetry reports whether a request may be one of a wave of clients that come back together.
+// isRetry reports whether a request may be part of a wave of clients that come back together.
 func (r *request) isRetry() bool { return r.Retry || r.Returned }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// Bounds of what Restore believes: a broken file must not upset the decisions.
+// Bounds of the values that Restore accepts, so that a corrupt file cannot upset the decisions.
 const (
 	maxRestoredValue  = 1e15
 	maxRestoredTokens = 1e6
 )
 
-// Snapshot is what a process of a balancer leaves to the next one, beyond the endpoint list: facts with their
-// times, so that they age by the usual rules.
+// Snapshot is the state, besides the endpoint list, that a process of a balancer passes on to the
+// next one. It contains observations with their times, so that they age as usual.
 type Snapshot struct {
 	Started   Time           `json:"Started"`   // traffic.observedSince
 	RateAt    Time           `json:"RateAt"`    // traffic.fadedAt
 	Rate      float64        `json:"Rate"`      // traffic.endRate
-	Fresh     float64        `json:"Fresh"`     // traffic.fresh
+	Fresh     float64        `json:"Fresh"`     // traffic.freshRequests
 	MeanCost  float64        `json:"MeanCost"`  // connectionCosts.mean
 	ClassCost []float64      `json:"ClassCost"` // connectionCosts.byClass
 	Servers   []HostSnapshot `json:"Servers"`   // the hosts
 }
 
-// HostSnapshot is what a Snapshot holds of one host.
+// HostSnapshot is the state of one host in a Snapshot.
 type HostSnapshot struct {
 	ID       string  `json:"ID"`
 	Since    Time    `json:"Since"`    // its latest start
 	Fails    int     `json:"Fails"`    // consecutiveFailures of its ejection
 	Until    Time    `json:"Until"`    // end of its ejection
-	FailedAt Time    `json:"FailedAt"` // the last counted failure
+	FailedAt Time    `json:"FailedAt"` // time of the last counted failure
 	Ill      float64 `json:"Ill"`      // error score as of IllAt
 	Delay    float64 `json:"Delay"`    // message delay as of DelayAt
 	IllAt    Time    `json:"IllAt"`
@@ -36,15 +36,16 @@
 	Passed   Time    `json:"Passed"` // fullUntil
 }
 
-// Snapshot gives what is known. With yield, what is left of the slow start budgets is given away with it: the
-// two processes of a hot restart are one balancer and have one budget.
-func (b *Balancer) Snapshot(yield bool) Snapshot {
+// Snapshot returns the current state. If yieldBudgets is true, what is left of the slow start
+// budgets passes to the snapshot, and this balancer keeps none: the two processes of a hot restart
+// are one balancer with one budget.
+func (b *Balancer) Snapshot(yieldBudgets bool) Snapshot {
 	t := &b.traffic
 	s := Snapshot{Started: t.observedSince, RateAt: t.fadedAt, Rate: t.endRate, Fresh: t.freshRequests,
 		MeanCost: b.costs.mean, ClassCost: append([]float64(nil), b.costs.byClass...)}
 	for _, h := range b.hosts {
 		s.Servers = append(s.Servers, h.snapshot())
-		if yield {
+		if yieldBudgets {
 			h.slowStart.tokens = math.Inf(-1)
 		}
 	}
@@ -59,8 +60,8 @@
 		Tokens: max(0, h.slowStart.tokens), TokensAt: h.slowStart.filledAt, Passed: h.fullUntil}
 }
 
-// Restore takes the snapshot of another process of this balancer, as far as it is about hosts as they are
-// now. What lies in the future or is no plausible number is ignored.
+// Restore applies the snapshot of another process of this balancer. It ignores hosts that are
+// unknown or have restarted since, times in the future, and implausible values.
 func (b *Balancer) Restore(now Time, s Snapshot) {
 	b.beginEvent(now)
 	t := &b.traffic
@@ -72,28 +73,29 @@
 		}
 	}
 	for i := range s.Servers {
-		k := &s.Servers[i]
-		if h := b.byID[k.ID]; h != nil && h.startedAt == k.Since && b.plausibleHost(k) {
-			h.restore(k)
+		saved := &s.Servers[i]
+		if h := b.byID[saved.ID]; h != nil && h.startedAt == saved.Since && b.plausibleHost(saved) {
+			h.restore(saved)
 		}
 	}
 }
 
-// plausibleHost reports whether a host's snapshot can be believed.
-func (b *Balancer) plausibleHost(k *HostSnapshot) bool {
-	return k.Fails >= 0 && validTimes(b.now, k.FailedAt, k.IllAt, k.DelayAt, k.TokensAt) &&
-		validValues(k.Ill, k.Delay) && !math.IsNaN(k.Tokens) && k.Tokens <= maxRestoredTokens &&
-		k.Until <= b.now+b.ejection.max && k.Passed <= b.now+b.retryStorm.longestObjective
+// plausibleHost reports whether the snapshot of a host has plausible values.
+func (b *Balancer) plausibleHost(saved *HostSnapshot) bool {
+	return saved.Fails >= 0 && validTimes(b.now, saved.FailedAt, saved.IllAt, saved.DelayAt, saved.TokensAt) &&
+		validValues(saved.Ill, saved.Delay) && !math.IsNaN(saved.Tokens) && saved.Tokens <= maxRestoredTokens &&
+		saved.Until <= b.now+b.ejection.max && saved.Passed <= b.now+b.retryStorm.longestObjective
 }
 
-func (h *host) restore(k *HostSnapshot) {
-	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.failedAt = k.Fails, k.Until, k.FailedAt
-	h.errors = errorScore{score: min(1, k.Ill), updatedAt: k.IllAt}
-	h.messages.delay, h.messages.observedAt = k.Delay, k.DelayAt
-	h.fullUntil = k.Passed
-	h.slowStart = slowStartBudget{tokens: max(0, k.Tokens), filledAt: max(k.TokensAt, k.Since)}
+func (h *host) restore(saved *HostSnapshot) {
+	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.failedAt = saved.Fails, saved.Until, saved.FailedAt
+	h.errors = errorScore{score: min(1, saved.Ill), updatedAt: saved.IllAt}
+	h.messages.delay, h.messages.observedAt = saved.Delay, saved.DelayAt
+	h.fullUntil = saved.Passed
+	h.slowStart = slowStartBudget{tokens: max(0, saved.Tokens), filledAt: max(saved.TokensAt, saved.Since)}
 }
 
+// validTimes reports whether no time is negative or after now.
 func validTimes(now Time, times ...Time) bool {
 	for _, t := range times {
 		if t < 0 || t > now {
@@ -103,6 +105,7 @@
 	return true
 }
 
+// validValues reports whether all values are numbers from 0 to maxRestoredValue.
 func validValues(values ...float64) bool {
 	for _, v := range values {
 		if math.IsNaN(v) || v < 0 || v > maxRestoredValue {
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -6,32 +6,33 @@
 	"croftlock/internal/balancer/decay"
 )
 
-// usualQuotaShare is the part of the tenants' quotas that is used on a usual day.
+// usualQuotaShare is the fraction of the tenants' quotas that is in use on a usual day.
 const usualQuotaShare = 0.4
 
-// minRateWindow is the shortest time over which arrivals are counted, in seconds.
+// minRateWindow is the shortest time over which rates are measured, in seconds.
 const minRateWindow = 2
 
-// traffic estimates how many connections come: fresh ones, and those that come back together as a wave. Where
-// one balancer of many sees little traffic, the estimates rely on the quotas.
+// traffic estimates the rates of new connections: of fresh ones, and of those that come back
+// together as a wave. If each of many balancers observes little traffic, the estimates rely on the
+// quotas.
 type traffic struct {
 	instances      float64
-	maxWindow      Time // longest time over which rates are counted
-	overloadWindow Time // in which a wave counts
+	maxWindow      Time // longest time over which rates are measured
+	overloadWindow Time // time over which a wave is counted
 
-	observedSince  Time    // the first event; -1: there was none
-	endRate        float64 // connections that end by themselves a second, in mean connections
-	freshRequests  float64 // first attempts within the rate window
-	fadedAt        Time    // of endRate and fresh
+	observedSince  Time    // time of the first event; -1 before it
+	endRate        float64 // connections that end by themselves, in mean connections per second
+	freshRequests  float64 // fading sum of requests that are not retries
+	fadedAt        Time    // time of endRate and freshRequests
 	retries        decay.Counter
-	departedWeight decay.Counter // of hosts that have begun to send their clients away
+	departedWeight decay.Counter // weight of hosts that have begun to send their clients away
 
-	expectedRate        float64 // fresh connections a second here, by the quotas; 0: there are none
-	expectedConnections float64 // open connections at all balancers, by the quotas
+	expectedRate        float64 // fresh connections per second here, by the quotas; 0 without quotas
+	expectedConnections float64 // open connections at all balancers, by the quotas; 0 without quotas
 
 	fleetWeight      float64
 	fleetWeightAt    Time
-	fleetWeightDecay Time // time constant with which the weight sinks
+	fleetWeightDecay Time // time constant with which fleetWeight falls
 }
 
 func newTraffic(cfg *Config, ejectionInitial Time) traffic {
@@ -45,12 +46,12 @@
 	return t
 }
 
-// window is the time over which rates are counted, in seconds.
+// window returns the time over which rates are measured, in seconds.
 func (t *traffic) window(now Time) float64 {
 	return min(float64(t.maxWindow)/1e9, max(minRateWindow, float64(now-t.observedSince)/1e9))
 }
 
-// fade ages the rates to now.
+// fade applies the decay of endRate and freshRequests up to now.
 func (t *traffic) fade(now Time) {
 	if now == t.fadedAt {
 		return
@@ -59,15 +60,16 @@
 	t.endRate, t.freshRequests, t.fadedAt = t.endRate*f, t.freshRequests*f, now
 }
 
-// connectionEnded counts a connection that ended by itself. In the long run as many end as fresh ones come,
-// but no retry counts: clients that come back unmarked would raise the budgets of warming hosts just when
-// these matter.
+// connectionEnded counts a connection that ended by itself. In the long run as many connections end
+// as fresh ones begin. Unlike arrivals, ends do not include retries: clients that come back without
+// marking their requests as retries would raise the budgets of warming hosts just when these
+// budgets matter most.
 func (t *traffic) connectionEnded(now Time, turns float64) {
 	t.fade(now)
 	t.endRate += turns / t.window(now)
 }
 
-// arrived counts a request, and returns how many like it come a second at all balancers.
+// arrived counts a request, and returns the rate per second of similar requests at all balancers.
 func (t *traffic) arrived(now Time, isRetry bool, hosts int) float64 {
 	t.fade(now)
 	t.retries.Add(now, t.overloadWindow, 0)
@@ -81,13 +83,13 @@
 	return rate
 }
 
-// waveRate is how many connections a second a wave brings to all balancers: what one host holds comes back
-// together, or what all draining ones hold.
+// waveRate returns how many connections per second a wave brings to all balancers. It expects that
+// the connections of one host come back together, or those of all draining hosts if these are more.
 func (t *traffic) waveRate(now Time, hosts int) float64 {
 	t.departedWeight.Add(now, 2*t.overloadWindow, 0)
-	part := max(1/float64(max(1, hosts)), t.departedWeight.Sum/max(t.fleetWeight, 1))
+	share := max(1/float64(max(1, hosts)), t.departedWeight.Sum/max(t.fleetWeight, 1))
 	seconds := float64(t.overloadWindow) / 1e9
-	expected := part * t.expectedConnections / t.instances / seconds
+	expected := share * t.expectedConnections / t.instances / seconds
 	return t.instances * estimateRate(t.retries.Sum, seconds, expected)
 }
 
@@ -96,15 +98,15 @@
 	t.departedWeight.Add(now, 2*t.overloadWindow, weight)
 }
 
-// updateFleetWeight keeps the weight of the fleet to which the rates belong. It sinks slowly, since a fleet
-// that has just lost a zone still sees the ends of connections that all of it bore.
+// updateFleetWeight updates the weight of the fleet to which the rates belong. The weight falls
+// slowly: after the loss of a zone, connections still end at the rate of the whole earlier fleet.
 func (t *traffic) updateFleetWeight(now Time, weight float64) {
 	f := math.Exp(-float64(now-t.fleetWeightAt) / float64(t.fleetWeightDecay))
 	t.fleetWeight, t.fleetWeightAt = max(weight, t.fleetWeight*f+weight*(1-f)), now
 }
 
-// estimateRate is the rate a second behind n events in a time, where so many a second were expected before
-// any was seen; expected 0: unknown.
+// estimateRate estimates a rate per second from n events in the given number of seconds and from
+// the rate that was expected before any event. An expected rate of 0 means unknown.
 func estimateRate(n, seconds, expected float64) float64 {
 	if expected <= 0 {
 		return (n + 1) / seconds
@@ -112,7 +114,7 @@
 	return (n + 1) / (seconds + 1/expected)
 }
 
-// updateFleetWeight returns the weight of the ready hosts.
+// updateFleetWeight updates the weight of the fleet, and returns the weight of the ready hosts.
 func (b *Balancer) updateFleetWeight() float64 {
 	total := 0.0
 	for _, h := range b.hosts {
@@ -124,8 +126,8 @@
 	return total
 }
 
-// sparseTraffic reports whether a balancer holds less than one connection a host, by the quotas if there are
-// any: its own turns and loads then say little of the fleet's.
+// sparseTraffic reports whether a balancer holds less than one connection per host, by the quotas
+// if there are any. Its own turns and loads then say little about the fleet.
 func (b *Balancer) sparseTraffic() bool {
 	if b.traffic.expectedConnections > 0 {
 		return b.traffic.expectedConnections < float64(b.cfg.Instances*len(b.hosts))
