--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -104,7 +104,8 @@
 	}
 	for _, c := range cfg.Classes {
 		if c.Deadline <= 0 || c.LatencyObjective <= 0 {
-			return fmt.Errorf("balancer: class %q: latency objective %d ns, deadline %d ns not above 0",
+			return fmt.Errorf(
+				"balancer: class %q has latency objective %d ns and deadline %d ns, both must be positive",
 				c.Name, c.LatencyObjective, c.Deadline)
 		}
 	}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -13,12 +13,12 @@
 	f.listChanged(listed("s00", Draining))
 	for i := range 6 {
 		if f.serve(fmt.Sprint(i)) == "s00" {
-			t.Fatal("an attempt at a draining host")
+			t.Fatalf("request %d went to s00, which is draining", i)
 		}
 	}
 	f.b.ListReceived(f.now, ListFull, []ListedHost{listed("s00", Ready)})
 	if got := f.serve("z"); got != "s00" {
-		t.Fatalf("an attempt at %s, which the full list does not name", got)
+		t.Fatalf("the request went to %s, which the full list does not name, expected s00", got)
 	}
 }
 
@@ -27,7 +27,7 @@
 	f.request("r")
 	f.run(3 * sec)
 	if f.answers["r"] != 1 || f.failed["r"] {
-		t.Fatalf("expected one rejection: %v", f.trace)
+		t.Fatalf("expected one rejection and no other answer, got effects %v", f.trace)
 	}
 	if f.rejected["r"] == 0 {
 		t.Fatal("rejected without a Retry-After")
@@ -41,11 +41,11 @@
 	f.request("a")
 	f.end("a", ConnectFailed) // proves that it has not run
 	if len(f.attemptsStarted) != 2 {
-		t.Fatal("no retry of a request that has not run")
+		t.Fatalf("%d attempts after a failed connect, expected 2", len(f.attemptsStarted))
 	}
 	f.end("a", Timeout)
 	if len(f.attemptsStarted) != 2 || !f.failed["a"] || f.answers["a"] != 1 {
-		t.Fatalf("a request that is not idempotent and may have run has to fail, once: %v", f.trace)
+		t.Fatalf("a request that is not idempotent and may have run must fail once, got effects %v", f.trace)
 	}
 }
 
@@ -85,13 +85,14 @@
 			f.run(50 * ms)
 		}
 		if f.now-before > cfg.PollInterval*3/4 {
-			t.Fatalf("no poll of discovery for %d ms", (f.now-before)/ms)
+			t.Fatalf("no poll of discovery for %d ms after a failure", (f.now-before)/ms)
 		}
 		f.b.ListReceived(f.now, ListFailed, nil)
 	}
 }
 
-// TestModuleSize: the files that deploy/balancer.toml lists as policy are short, and so are their lines.
+// TestModuleSize checks that the files that deploy/balancer.toml lists as policy, and their lines,
+// are short.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -99,7 +100,7 @@
 	}
 	_, list, _ := strings.Cut(string(deploy), "policy = [")
 	list, _, _ = strings.Cut(list, "]")
-	const maxLines, maxColumns = 250, 110 // the first as for every file of the project
+	const maxLines, maxColumns = 250, 110 // maxLines is the limit for every file of the project
 	for _, name := range strings.Split(list, ",") {
 		data, err := os.ReadFile("../../" + strings.Trim(name, "\" "))
 		if err != nil {
@@ -111,17 +112,17 @@
 				lines++
 			}
 			if n := utf8.RuneCountInString(text); n > maxColumns {
-				t.Errorf("%s: a line of %d columns: %s", name, n, text)
+				t.Errorf("%s: a line of %d columns, at most %d allowed: %s", name, n, maxColumns, text)
 			}
 		}
 		if lines < 10 || lines > maxLines {
-			t.Errorf("%s: %d lines, %d at most", name, lines, maxLines)
+			t.Errorf("%s: %d lines that are not blank, expected 10 to %d", name, lines, maxLines)
 		}
 	}
 }
 
 func TestUnusableSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, modify := range map[string]func(*Config){
 		"no class":                     func(c *Config) { c.Classes = nil },
 		"no instances":                 func(c *Config) { c.Instances = 0 },
 		"no attempts":                  func(c *Config) { c.MaxAttempts = 0 },
@@ -129,9 +130,9 @@
 		"longest ejection < first one": func(c *Config) { c.EjectionInitial, c.EjectionMax = 10, 5 },
 	} {
 		cfg := settings()
-		spoil(&cfg)
+		modify(&cfg)
 		if _, err := New(cfg, 1, &fake{}); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: New accepted the settings", name)
 		}
 	}
 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -59,7 +59,7 @@
 	for _, n := range []int{10, 100, 1000} {
 		f := startReporting(b, settings(), fleet(n)...)
 		f.reportLoads(func(i int) float64 { return 0.4 + float64(i%10)/50 })
-		requests := 0 // over all calls of the function below: no ID comes twice
+		requests := 0 // over all calls of the function below, so that no ID is used twice
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// checkPollsAfterFailures has discovery fail so many times, each time for as long as wait, and checks that it is polled
-// again within a time of each failure.
+// checkPollsAfterFailures lets discovery fail the given number of times, waits after each failure,
+// and checks that discovery is polled again within the given time of each.
 func checkPollsAfterFailures(t *testing.T, cfg Config, failures int, within, wait Time) {
 	t.Helper()
 	f := start(t, cfg, fleet(3)...)
@@ -13,14 +13,15 @@
 		f.b.ListReceived(f.now, ListFailed, nil)
 		f.run(wait)
 		if len(f.watches) == polls || f.watches[polls]-failedAt > within {
-			t.Fatalf("%d balancers, a poll every %d s at least: no poll within %d ms of a failure",
+			t.Fatalf("%d balancers with a poll interval of %d s: no poll within %d ms of a failure",
 				cfg.Instances, cfg.PollInterval/sec, within/ms)
 		}
 	}
 }
 
-// TestFailedPollIsRepeatedInTime: a change counts as known 6 s after discovery can be reached again, however
-// long the settings allow between two polls.
+// TestFailedPollIsRepeatedInTime checks that a failed poll is repeated within 5 s, however long the
+// settings allow between two polls: a balancer is expected to know of a change 6 s after discovery
+// is available again.
 func TestFailedPollIsRepeatedInTime(t *testing.T) {
 	for _, interval := range []Time{10 * sec, 20 * sec, 60 * sec} {
 		for _, instances := range []int{1, 30, 300} {
@@ -31,8 +32,9 @@
 	}
 }
 
-// TestSmallFleetHasTimeForSecondPoll: should the first poll after a long outage find discovery back but
-// overloaded, there is time for another one before a change counts as known.
+// TestSmallFleetHasTimeForSecondPoll checks that two polls fit into the time after which a balancer
+// is expected to know of a change. The first poll after a long outage may find discovery
+// overloaded.
 func TestSmallFleetHasTimeForSecondPoll(t *testing.T) {
 	cfg := settings()
 	cfg.PollsDiscovery, cfg.PollInterval, cfg.Instances = true, 10*sec, 6
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/balancer"
 )
 
-// core carries out what the balancer decides; a real one would open connections here.
+// core carries out the balancer's decisions. A real core opens connections here.
 type core struct{}
 
 func (core) StartAttempt(request, host string, timeout balancer.Time) {
@@ -20,7 +20,7 @@
 func (core) SendToPeer(peer int, data []byte)                {}
 func (core) WatchList(on bool)                               {}
 func (core) FetchList()                                      {}
-func (core) Schedule(delay balancer.Time, token string)      {} // calls TimerFired with the token then
+func (core) Schedule(delay balancer.Time, token string)      {} // a real core calls TimerFired after the delay
 func (core) Report(e balancer.Event)                         {}
 
 func Example() {
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -17,24 +17,24 @@
 	at            Time
 }
 
-// fake stands in for the proxy core of one balancer: it records the effects, and a test calls the events. The
-// maps are by the request's ID.
+// fake takes the place of the proxy core of one balancer: it records the effects, and a test calls
+// the events. The maps are keyed by request ID.
 type fake struct {
 	t               testing.TB
 	b               *Balancer
 	now             Time
 	attemptsStarted []attemptStart
-	attempts        map[string]int // started
+	attempts        map[string]int // number of attempts started
 	inFlight        map[string]bool
-	answers         map[string]int  // final ones
-	rejected        map[string]Time // the Retry-After
+	answers         map[string]int  // number of final answers
+	rejected        map[string]Time // Retry-After of the rejection
 	failed          map[string]bool
-	migrations      []string // requests
-	cancelled       []string // requests
+	migrations      []string // request IDs
+	cancelled       []string // request IDs
 	watches         []Time   // when the endpoint list was subscribed to
 	timers          []timer
 	peerMessages    [][]byte
-	healthChecked   []string // hosts
+	healthChecked   []string // host IDs
 	trace           []string // all effects
 }
 
@@ -48,10 +48,10 @@
 
 func (f *fake) StartAttempt(request, host string, timeout Time) {
 	if f.inFlight[request] {
-		f.t.Errorf("%s: two attempts in flight at once", request)
+		f.t.Errorf("%s: an attempt starts while another one is in flight", request)
 	}
 	if f.answers[request] > 0 {
-		f.t.Errorf("%s: an attempt after its final answer", request)
+		f.t.Errorf("%s: an attempt starts after the final answer", request)
 	}
 	f.inFlight[request] = true
 	f.attempts[request]++
@@ -105,7 +105,7 @@
 
 func (f *fake) Report(e Event) { f.record("report %T %+v", e, e) }
 
-// settings are one balancer's, with one class.
+// settings returns the settings of a single balancer with one class.
 func settings() Config {
 	return Config{Instance: 0, Instances: 1, Zone: "a", Zones: []string{"a", "b"}, Tick: 5 * ms,
 		Classes:     []Class{classWith(300*ms, 2*sec, 100*ms)},
@@ -120,7 +120,7 @@
 		MessageLatencyObjective: messageObjective}
 }
 
-// start makes a balancer that has a cached endpoint list, at 100 s.
+// start returns a balancer that has a cached endpoint list, at 100 s.
 func start(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
 	t.Helper()
 	f := &fake{t: t, now: 100 * sec, attempts: map[string]int{}, inFlight: map[string]bool{},
@@ -134,12 +134,12 @@
 	return f
 }
 
-// listed is a host of zone a in an endpoint list, long started.
+// listed returns a host of zone a that started long ago, as an entry of an endpoint list.
 func listed(id string, state HostState) ListedHost {
 	return ListedHost{ID: id, Zone: "a", Weight: 1, State: state}
 }
 
-// warming is a ready host that started at a time.
+// warming returns a ready host that started at startedAt.
 func warming(id string, startedAt Time) ListedHost {
 	h := listed(id, Ready)
 	h.StartedAt = startedAt
@@ -148,7 +148,7 @@
 
 func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
 
-// fleet is n ready hosts, hostID(0) and on.
+// fleet returns n ready hosts, from hostID(0) on.
 func fleet(n int) []ListedHost {
 	var hosts []ListedHost
 	for i := range n {
@@ -157,10 +157,10 @@
 	return hosts
 }
 
-// listChanged brings the balancer a change of its endpoint list.
+// listChanged passes a change of the endpoint list to the balancer.
 func (f *fake) listChanged(hosts ...ListedHost) { f.b.ListReceived(f.now, ListDelta, hosts) }
 
-// run advances the clock, firing timers in order.
+// run advances the clock by d, and fires the timers that are due in order.
 func (f *fake) run(d Time) {
 	end := f.now + d
 	for {
@@ -181,26 +181,26 @@
 	f.now = end
 }
 
-// request has a request arrive, of no tenant and with 2 s left.
+// request makes a request arrive that has no tenant and 2 s left.
 func (f *fake) request(id string) {
 	f.b.RequestArrived(f.now, Request{ID: id, Tenant: -1, Remaining: 2 * sec})
 }
 
-// failConnect is one failed connect to a host.
+// failConnect makes a connect to a host fail.
 func (f *fake) failConnect(h *host) {
 	f.b.beginEvent(f.now)
 	f.b.hostFailed(h, f.now, true)
 }
 
-// lastAttempt is the newest attempt.
+// lastAttempt returns the newest attempt.
 func (f *fake) lastAttempt() attemptStart { return f.attemptsStarted[len(f.attemptsStarted)-1] }
 
-// establish has the newest attempt of a request set up its connection, after 10 ms.
+// establish makes the newest attempt of a request set up its connection, after 10 ms.
 func (f *fake) establish(id string) {
 	f.b.AttemptEstablished(f.now, id, f.attempts[id]-1, 10*ms)
 }
 
-// end has the newest attempt of a request, or its connection, end. OK closes the request.
+// end ends the newest attempt of a request, or its connection. Status OK closes the request.
 func (f *fake) end(id string, status AttemptStatus) {
 	f.inFlight[id] = false
 	if status == OK {
@@ -214,7 +214,7 @@
 		Elapsed: 10 * ms, Closed: closed})
 }
 
-// serve has a request arrive, its connection be established and end, and returns its host.
+// serve makes a request arrive, establishes and ends its connection, and returns its host.
 func (f *fake) serve(id string) string {
 	f.request(id)
 	host := f.lastAttempt().host
@@ -223,7 +223,7 @@
 	return host
 }
 
-// attemptsAt counts the attempts at a host, from an index of attemptsStarted on.
+// attemptsAt counts the attempts at a host, starting with index from of attemptsStarted.
 func (f *fake) attemptsAt(host string, from int) (n int) {
 	for _, a := range f.attemptsStarted[from:] {
 		if a.host == host {
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlacementsAreTheSum: whatever balancers report and whenever they restart, a host holds the sum of what
-// each was last known to hold, and no count is below 0.
+// TestPlacementsAreTheSum checks that a host holds the sum of what each balancer was last known to
+// hold, whatever balancers report and whenever they restart, and that no count falls below 0.
 func TestPlacementsAreTheSum(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := NewPlacements()
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestPlacementsAreBounded: what one balancer reports without end fills no memory, and leaves the others'
-// counts as they are.
+// TestPlacementsAreBounded checks that endless reports of one balancer do not exhaust the memory
+// and leave the counts of the others unchanged.
 func TestPlacementsAreBounded(t *testing.T) {
 	p := NewPlacements()
 	p.Add(1, 1, 1, 8)
@@ -63,7 +63,7 @@
 		p.Add(2, 1, i, 8)
 	}
 	if n := len(p.peers[2]); n > maxEntriesPerPeer {
-		t.Errorf("%d entries of one balancer", n)
+		t.Errorf("%d entries of one balancer, expected at most %d", n, maxEntriesPerPeer)
 	}
 	p.RemovePeer(2)
 	if load, groups, _ := p.Load(1, 1); load != 1 || groups != 1 {
@@ -74,28 +74,30 @@
 		p.RecordAssignment(5, Time(i))
 	}
 	if len(p.hosts) > maxHosts+1 || len(p.placementsAt(5).assignments) > maxAssignmentsPerHost {
-		t.Errorf("%d hosts, %d grants", len(p.hosts), len(p.placementsAt(5).assignments))
+		t.Errorf("%d hosts, and %d assignments to one, expected at most %d and %d",
+			len(p.hosts), len(p.placementsAt(5).assignments), maxHosts+1, maxAssignmentsPerHost)
 	}
 }
 
-func TestGrantsInAWindow(t *testing.T) {
+func TestAssignmentsInWindow(t *testing.T) {
 	p := NewPlacements()
 	for _, at := range []Time{10, 20, 30, 40} {
 		p.RecordAssignment(7, at)
 	}
 	for since, want := range map[Time]int{0: 4, 20: 3, 25: 2, 41: 0} {
 		if n := p.AssignmentsSince(7, since); n != want {
-			t.Errorf("%d grants since %d, expected %d", n, since, want)
+			t.Errorf("%d assignments since %d, expected %d", n, since, want)
 		}
 	}
 }
 
-// TestWhichServerIsQueried: the first ledger server that replies is queried: after misses the next one, after
-// misses of all of them none for a while, and an earlier one as soon as it is back.
+// TestWhichServerIsQueried checks that the first ledger server that replies is queried: after
+// misses the next one, after misses of all of them none for a while, and an earlier one as soon as
+// it is back.
 func TestWhichServerIsQueried(t *testing.T) {
 	c := NewClient(300)
 	if got := c.servers; len(got) != 8 || got[0] != 0 || got[1] != 37 || got[7] != 262 {
-		t.Fatalf("ledger servers %v", got)
+		t.Fatalf("ledger servers of 300 balancers are %v, expected 8 of them: 0, 37 to 262", got)
 	}
 	if !c.ServerMessageReceived(0, 5) || c.ServerMessageReceived(0, 5) ||
 		!c.ServerMessageReceived(0, 6) || !c.ServerReachable(1) {
@@ -111,16 +113,17 @@
 	}
 	miss()
 	if c.Server(now) != 37 || c.ServerReachable(now) {
-		t.Errorf("after two misses %d is queried, synced %t", c.Server(now), c.ServerReachable(now))
+		t.Errorf("after two misses %d is queried, reachable %t, expected 37, false",
+			c.Server(now), c.ServerReachable(now))
 	}
 	if c.ServerMessageReceived(150, 1) {
 		t.Error("a later ledger server than the one that is queried is to be sent all connections")
 	}
 	if server := c.ServerToPoll(now + pollInterval); server != 0 {
-		t.Errorf("%d is polled", server)
+		t.Errorf("ledger server %d is polled, expected 0", server)
 	}
 	if c.ServerToPoll(now+pollInterval+1) >= 0 {
-		t.Error("polled again at once")
+		t.Error("a ledger server is polled again at once")
 	}
 	if !c.ServerMessageReceived(0, 6) || c.Server(now) != 0 {
 		t.Error("the first ledger server is back and not queried")
@@ -129,17 +132,18 @@
 		miss()
 	}
 	if c.Server(now) >= 0 || c.Server(now+initialPause) != 0 {
-		t.Errorf("after misses of all %d is queried, after the pause %d",
+		t.Errorf("after misses of all, %d is queried, after the pause %d, expected -1 and 0",
 			c.Server(now), c.Server(now+initialPause))
 	}
 	checkPausesDouble(t, c, now+initialPause)
 	if n := len(NewClient(2).servers); n != 2 {
-		t.Errorf("%d ledger servers of two balancers", n)
+		t.Errorf("%d ledger servers of two balancers, expected 2", n)
 	}
 }
 
-// checkPausesDouble checks the pauses after the first one of a client, whose first pause ends at a time: each
-// is twice as long as the one before, up to a bound, and a message of a ledger server ends it.
+// checkPausesDouble checks the pauses that follow a client's first one, which ends at pauseEnd:
+// each is twice as long as the one before, up to a limit, and a message from a ledger server ends
+// it.
 func checkPausesDouble(t *testing.T, c *Client, pauseEnd Time) {
 	t.Helper()
 	for i := range 6 {
@@ -153,7 +157,7 @@
 		pauseEnd = next
 	}
 	if c.ServerMessageReceived(0, 6); c.Server(pauseEnd-1) != 0 {
-		t.Error("a ledger server is not queried though a message of it came")
+		t.Error("a message from a ledger server does not end the pause")
 	}
 }
 
@@ -164,12 +168,13 @@
 		c.Register(PendingQuery{Request: "b", SentAt: Time(i) * 1e8})
 	}
 	if len(c.pending) > maxPending || c.RemovePending(first) != nil {
-		t.Errorf("%d queries are pending", len(c.pending))
+		t.Errorf("%d queries are pending, expected at most %d, without the first one",
+			len(c.pending), maxPending)
 	}
 	sequence := c.Register(PendingQuery{Request: "c", SentAt: 1})
 	c.QueryTimedOut(1, "c")
 	if q := c.RemovePending(sequence); q == nil || !q.Abandoned || c.RemovePending(sequence) != nil {
-		t.Errorf("taken %+v, expected an abandoned query, once", q)
+		t.Errorf("RemovePending returned %+v, expected an abandoned query at the first call only", q)
 	}
 }
 
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,8 +10,9 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same events give the same counts and the same choice of ledger server as when
-// they were recorded. The texts of digests and samples are part of the golden files and keep earlier terms.
+// TestRecordedDecisions checks that the same events give the same counts and the same choice of
+// ledger server as in the golden file. The texts of digests and samples are part of the golden
+// files and keep earlier terms.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	var lines strings.Builder
@@ -61,8 +62,8 @@
 	golden.Check(t, "decisions.golden", []byte(lines.String()))
 }
 
-// TestRecordedMessages: each message has the bytes that were recorded, and is encoded again as it was
-// decoded.
+// TestRecordedMessages checks that each message has the bytes of the golden file, and that it is
+// encoded again as it was decoded.
 func TestRecordedMessages(t *testing.T) {
 	samples := golden.NewSamples(4)
 	for _, m := range []struct {
@@ -82,9 +83,9 @@
 		samples.Add(m.kind, m.data)
 		read, err := Decode(m.data)
 		if err != nil {
-			t.Errorf("%s: %x: %v", m.kind, m.data, err)
+			t.Errorf("Decode(%x), message %s: %v", m.data, m.kind, err)
 		} else if again := read.Append(nil); !bytes.Equal(again, m.data) {
-			t.Errorf("%s: %x is encoded again as %x", m.kind, m.data, again)
+			t.Errorf("message %s: %x is encoded again as %x", m.kind, m.data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", samples.Bytes())
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -6,78 +6,79 @@
 	"croftlock/internal/balancer/ledger"
 )
 
-// ledgerFaults are what may happen to ledger servers and messages.
+// ledgerFaults are faults of ledger servers and of messages.
 var ledgerFaults = []struct {
 	name  string
-	fault func(t *testing.T, x *peerNetwork)
-	soon  bool // all report their connections to a restarted ledger server at once
+	fault func(t *testing.T, net *peerNetwork)
+	soon  bool // balancers report their connections to a restarted ledger server at once
 }{
-	{"the ledger server is paused for 5 s", func(t *testing.T, x *peerNetwork) {
-		x.down[0] = true
-		x.runTraffic(5*sec, 8, 60, false)
-		x.down[0] = false
+	{"the ledger server is paused for 5 s", func(t *testing.T, net *peerNetwork) {
+		net.down[0] = true
+		net.runTraffic(5*sec, 8, 60, false)
+		net.down[0] = false
 	}, false},
-	{"seven in ten are killed at once", func(t *testing.T, x *peerNetwork) {
+	{"28 of 40 balancers are killed at once", func(t *testing.T, net *peerNetwork) {
 		for instance := range 28 {
-			x.down[instance] = true
+			net.down[instance] = true
 		}
-		x.runTraffic(sec, 8, 60, true)
-		x.restart(t, 0, 28)
+		net.runTraffic(sec, 8, 60, true)
+		net.restart(t, 0, 28)
 	}, true},
-	{"all ledger servers are killed, one after the other", func(t *testing.T, x *peerNetwork) {
-		for instance := range x.balancers {
-			if x.balancers[0].b.ledger.client.IsServer(instance) {
-				x.down[instance] = true
-				x.runTraffic(sec/2, 8, 60, false)
-				x.restart(t, instance, instance+1)
+	{"all ledger servers are killed one after another", func(t *testing.T, net *peerNetwork) {
+		for instance := range net.balancers {
+			if net.balancers[0].b.ledger.client.IsServer(instance) {
+				net.down[instance] = true
+				net.runTraffic(sec/2, 8, 60, false)
+				net.restart(t, instance, instance+1)
 			}
 		}
-		x.down[0] = true
-		x.restart(t, 0, 1)
+		net.down[0] = true
+		net.restart(t, 0, 1)
 	}, true},
-	{"all messages are lost for 8 s", func(t *testing.T, x *peerNetwork) {
-		x.lossRate = 1
-		x.runTraffic(8*sec, 8, 60, false)
-		x.lossRate = 0
+	{"all messages are lost for 8 s", func(t *testing.T, net *peerNetwork) {
+		net.lossRate = 1
+		net.runTraffic(8*sec, 8, 60, false)
+		net.lossRate = 0
 	}, false},
-	{"half of all messages are lost", func(t *testing.T, x *peerNetwork) {
-		x.lossRate = 0.5
-		x.runTraffic(8*sec, 8, 60, false)
-		x.lossRate = 0
+	{"half of all messages are lost", func(t *testing.T, net *peerNetwork) {
+		net.lossRate = 0.5
+		net.runTraffic(8*sec, 8, 60, false)
+		net.lossRate = 0
 	}, false},
-	{"changes are lost, and all other messages arrive", func(t *testing.T, x *peerNetwork) {
-		x.lostKind = ledger.Entry{Host: 1}.Append(nil)[0]
-		x.runTraffic(8*sec, 8, 8, false)
-		x.lostKind = 0
+	{"only messages with changes are lost", func(t *testing.T, net *peerNetwork) {
+		net.lostKind = ledger.Entry{Host: 1}.Append(nil)[0]
+		net.runTraffic(8*sec, 8, 8, false)
+		net.lostKind = 0
 	}, false},
-	{"200 requests at the same moment", func(t *testing.T, x *peerNetwork) {
-		x.runTraffic(20*ms, 10_000, 60, true)
+	{"200 requests at the same moment", func(t *testing.T, net *peerNetwork) {
+		net.runTraffic(20*ms, 10_000, 60, true)
 	}, false},
 }
 
-// TestLedgerThroughFaults: whatever happens to ledger servers and messages, no request waits for more than
-// two replies that do not come, and soon after the fault the ledger has all connections again.
+// TestLedgerThroughFaults checks that no request waits longer than for two missing replies,
+// whatever happens to ledger servers and messages, and that the ledger has all connections again
+// soon after the fault.
 func TestLedgerThroughFaults(t *testing.T) {
 	for _, c := range ledgerFaults {
-		x := newPeerNetwork(t, 40, 20, true)
-		x.runTraffic(8*sec, 8, 60, false)
-		c.fault(t, x)
-		for id := range x.waiting {
-			if x.instanceOf[id] < 28 {
-				delete(x.waiting, id) // its balancer may have been killed
+		net := newPeerNetwork(t, 40, 20, true)
+		net.runTraffic(8*sec, 8, 60, false)
+		c.fault(t, net)
+		for id := range net.waiting {
+			if net.instanceOf[id] < 28 {
+				delete(net.waiting, id) // its balancer may have been killed
 			}
 		}
-		x.runTraffic(2500*ms, 8, 60, false)
-		x.checkNoLongWaits(t, c.name)
-		if c.soon && x.ledgerCountError() > 0.25*float64(len(x.connections)) {
-			t.Errorf("%s: 2.5 s later the ledger has %.0f of %d connections", c.name, x.ledgerConnections(),
-				len(x.connections))
+		net.runTraffic(2500*ms, 8, 60, false)
+		net.checkNoLongWaits(t, c.name)
+		if c.soon && net.ledgerCountError() > 0.25*float64(len(net.connections)) {
+			t.Errorf("%s: 2.5 s later the ledger has %.0f of %d connections", c.name, net.ledgerConnections(),
+				len(net.connections))
 		}
-		x.runTraffic(13*sec, 8, 60, false)
-		x.checkNoLongWaits(t, c.name)
-		if n := x.countQueryingFirstServer(); n < 38 || x.ledgerCountError() > 0.08*float64(len(x.connections))+2 {
+		net.runTraffic(13*sec, 8, 60, false)
+		net.checkNoLongWaits(t, c.name)
+		if n := net.countQueryingFirstServer(); n < 38 || net.ledgerCountError() > 0.08*float64(len(net.connections))+2 {
 			t.Errorf("%s: 15 s later %d of 40 query the first server, which counts %.0f of %d connections",
-				c.name, n, x.ledgerConnections(), len(x.connections))
+				c.name, n, net.ledgerConnections(), len(net.connections))
 		}
 	}
 }
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// startReporting starts a balancer whose hosts report their load to health checks.
+// startReporting starts a balancer whose hosts report their load in health checks.
 func startReporting(t testing.TB, cfg Config, hosts ...ListedHost) *fake {
 	t.Helper()
 	cfg.MayHealthCheck, cfg.LoadField, cfg.QueueField = true, 0, 1
@@ -14,7 +14,7 @@
 	return start(t, cfg, hosts...)
 }
 
-// reportLoads has every host report a load.
+// reportLoads makes each host report the load that the function returns for its index.
 func (f *fake) reportLoads(load func(i int) float64) {
 	for i, h := range f.b.hosts {
 		f.b.HealthCheckEnded(f.now, h.hostID, OK, []float64{load(i), 0})
@@ -32,7 +32,8 @@
 	return n
 }
 
-// TestWhichHostsAreHealthChecked: hosts that take new connections are, one check at a time for each.
+// TestWhichHostsAreHealthChecked checks that only hosts that accept new connections are health
+// checked, one check at a time for each.
 func TestWhichHostsAreHealthChecked(t *testing.T) {
 	hosts := fleet(3)
 	hosts[1].State, hosts[2].State = Draining, Suspended
@@ -48,28 +49,30 @@
 	f.b.HealthCheckEnded(f.now, "s00", Timeout, nil)
 	f.run(5 * sec)
 	if f.healthChecks("s00") != 2 {
-		t.Error("no health check after one that failed")
+		t.Errorf("%d health checks of s00 after one that failed, expected 2", f.healthChecks("s00"))
 	}
 }
 
-// TestNoHealthChecksWithoutUse: none are made where the settings forbid them or reports hold no load.
+// TestNoHealthChecksWithoutUse checks that no health checks are made if the settings forbid them or
+// reports contain no load.
 func TestNoHealthChecksWithoutUse(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, modify := range map[string]func(*Config){
 		"forbidden":  func(c *Config) { c.MayHealthCheck = false },
 		"no reports": func(c *Config) { c.MayHealthCheck, c.LoadField = true, -1 },
 	} {
 		cfg := settings()
-		spoil(&cfg)
+		modify(&cfg)
 		f := start(t, cfg, fleet(3)...)
 		f.request("r")
 		f.run(10 * sec)
 		if n := len(f.healthChecked); n > 0 {
-			t.Errorf("%s: %d health checks", name, n)
+			t.Errorf("%s: %d health checks, expected none", name, n)
 		}
 	}
 }
 
-// TestHealthChecksArePacedByPrice: with few requests to place, a check costs more than its report saves.
+// TestHealthChecksArePacedByPrice checks that health checks are less frequent if few requests
+// arrive or if checks are expensive: then a check costs more than its report saves.
 func TestHealthChecksArePacedByPrice(t *testing.T) {
 	count := func(rate int, price float64) int {
 		f := startReporting(t, settings(), fleet(10)...)
@@ -92,8 +95,9 @@
 	}
 }
 
-// TestConnectionsMigrateFromFullHost: a slowed host still answers health checks. Its reports take its turns
-// away, and clients are migrated off it while other hosts have spare capacity.
+// TestConnectionsMigrateFromFullHost checks that a slowed host, which still answers health checks,
+// loses its turns by its reports, and that connections migrate off it while other hosts have spare
+// capacity.
 func TestConnectionsMigrateFromFullHost(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	f.reportLoads(func(int) float64 { return 0.4 })
@@ -120,11 +124,12 @@
 		t.Errorf("%d attempts at a host that reports three times the load that it can carry", n)
 	}
 	if len(f.migrations) == 0 {
-		t.Error("no connection is migrated off it")
+		t.Error("no connection migrated off s02, which reports three times the load that it can carry")
 	}
 }
 
-// TestNoMigrationsInFullFleet: there they help nobody.
+// TestNoMigrationsInFullFleet checks that no connection migrates if all hosts are full, since no
+// host could take it.
 func TestNoMigrationsInFullFleet(t *testing.T) {
 	f := startReporting(t, settings(), fleet(5)...)
 	for i := range 50 {
@@ -136,12 +141,13 @@
 		f.reportLoads(func(int) float64 { return 1.2 + float64(k)/1000 })
 	}
 	if len(f.migrations) > 0 {
-		t.Errorf("%d migrations", len(f.migrations))
+		t.Errorf("%d migrations in a fleet of full hosts, expected none", len(f.migrations))
 	}
 }
 
-// TestRestartedBalancerKnowsFullLoad: a restarted balancer holds none of the connections that its hosts
-// carry. The first one that it places must not look like a load that fills a host.
+// TestRestartedBalancerKnowsFullLoad checks the load estimate of a restarted balancer, which holds
+// none of the connections that its hosts carry. The first connection that it places must not count
+// as a load that fills a host.
 func TestRestartedBalancerKnowsFullLoad(t *testing.T) {
 	cfg := settings()
 	cfg.Instances = 3
@@ -154,16 +160,17 @@
 	for i := range 50 {
 		f.reportLoads(func(int) float64 { return 0.6 + float64(i)/1e4 })
 	}
-	if x := f.b.currentLoad(f.b.byID[f.lastAttempt().host]); x > 0.7 {
-		t.Errorf("load %.2f: one connection of some 500 filled a host at 0.6", x)
+	if load := f.b.currentLoad(f.b.byID[f.lastAttempt().host]); load > 0.7 {
+		t.Errorf("load %.2f: one connection of about 500 filled a host at 0.6, expected at most 0.7", load)
 	}
 	if len(f.migrations) > 0 {
-		t.Error("the connection is migrated again")
+		t.Errorf("requests %v migrated, expected none", f.migrations)
 	}
 }
 
-// TestReportedLoadOutweighsWeights: weights that fall as a host fills come late, and alike to all balancers.
-// A host that looks empty by them must not get all requests where its load is reported.
+// TestReportedLoadOutweighsWeights checks that a host whose listed weight makes it look empty does
+// not get all requests if its load is reported. Weights that fall as a host fills come late, and to
+// all balancers alike.
 func TestReportedLoadOutweighsWeights(t *testing.T) {
 	attempts := 0
 	for instance := range 3 {
@@ -181,12 +188,12 @@
 		attempts += f.attemptsAt("s00", 0)
 	}
 	if attempts > 20 {
-		t.Errorf("%d of 60 to the host of the largest weight, at the same load as five others", attempts)
+		t.Errorf("%d of 60 attempts at the host with the largest weight, at the same load as five others", attempts)
 	}
 }
 
-// TestEachCombinationOfSettings: each request gets its one answer, and health checks are made and messages
-// sent only where the settings allow them.
+// TestEachCombinationOfSettings checks that each request gets one final answer, and that health
+// checks are made and messages sent only if the settings allow them.
 func TestEachCombinationOfSettings(t *testing.T) {
 	for bits := range 16 {
 		cfg := settings()
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// peerNetwork is balancers whose messages to one another arrive late or not at all. Each request has its own
-// ID at all of them.
+// peerNetwork connects balancers whose messages to one another arrive late or not at all. Request
+// IDs are unique among all balancers.
 type peerNetwork struct {
 	balancers       []*fake
 	rng             *rand.Rand
 	now             Time
 	inFlight        []datagram
 	lossRate        float64
-	lostKind        byte         // a kind of message that is lost
-	down            map[int]bool // neither send nor receive
+	lostKind        byte         // kind of messages that are lost; 0 for none
+	down            map[int]bool // balancers that neither send nor receive
 	bytes           int
-	connections     map[string]*fake // by request: the balancer that placed it
+	connections     map[string]*fake // balancer that placed it, by request ID
 	connectionOrder []string
-	waiting         map[string]Time   // requests without an attempt yet, and when they arrived
-	instanceOf      map[string]int    // which balancer a request arrived at
-	attempts        map[string][]Time // by host
+	waiting         map[string]Time   // when requests that have no attempt yet arrived
+	instanceOf      map[string]int    // balancer at which a request arrived
+	attempts        map[string][]Time // times of attempts, by host
 }
 
 type datagram struct {
@@ -32,7 +32,7 @@
 	data     []byte
 }
 
-// networkedFake is a balancer's effects with messages that arrive.
+// networkedFake is a fake whose messages to peers are delivered by a peerNetwork.
 type networkedFake struct {
 	*fake
 	network  *peerNetwork
@@ -40,30 +40,30 @@
 }
 
 func (k *networkedFake) SendToPeer(peer int, data []byte) {
-	x := k.network
-	for to := range x.balancers {
-		if to == k.instance || peer >= 0 && to != peer || x.down[k.instance] || x.down[to] ||
-			data[0] == x.lostKind || x.rng.Float64() < x.lossRate {
+	net := k.network
+	for to := range net.balancers {
+		if to == k.instance || peer >= 0 && to != peer || net.down[k.instance] || net.down[to] ||
+			data[0] == net.lostKind || net.rng.Float64() < net.lossRate {
 			continue
 		}
-		x.bytes += len(data)
-		at := x.now + ms + Time(x.rng.Intn(20))*ms
-		x.inFlight = append(x.inFlight, datagram{at, k.instance, to, append([]byte(nil), data...)})
+		net.bytes += len(data)
+		at := net.now + ms + Time(net.rng.Intn(20))*ms
+		net.inFlight = append(net.inFlight, datagram{at, k.instance, to, append([]byte(nil), data...)})
 	}
 }
 
 func newPeerNetwork(t *testing.T, n, hosts int, mayGossip bool) *peerNetwork {
 	t.Helper()
-	x := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, down: map[int]bool{},
+	net := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, down: map[int]bool{},
 		connections: map[string]*fake{}, waiting: map[string]Time{}, instanceOf: map[string]int{},
 		attempts: map[string][]Time{}}
 	for instance := range n {
-		x.balancers = append(x.balancers, x.startBalancer(t, instance, n, hosts, mayGossip))
+		net.balancers = append(net.balancers, net.startBalancer(t, instance, n, hosts, mayGossip))
 	}
-	return x
+	return net
 }
 
-func (x *peerNetwork) startBalancer(t *testing.T, instance, n, hosts int, mayGossip bool) *fake {
+func (net *peerNetwork) startBalancer(t *testing.T, instance, n, hosts int, mayGossip bool) *fake {
 	t.Helper()
 	cfg := settings()
 	cfg.Instance, cfg.Instances, cfg.Zones, cfg.MayGossip = instance, n, []string{"a"}, mayGossip
@@ -72,94 +72,95 @@
 	cfg.Classes = []Class{classWith(800*ms, 4800*ms, 150*ms)}
 	cfg.Tenants = []Tenant{{Name: "t", RateQuota: 20, ServiceQuota: 1, ConnectionQuota: float64(n)}}
 	f := start(t, cfg, fleet(hosts)...)
-	f.b.effects, f.now = &networkedFake{f, x, instance}, x.now
+	f.b.effects, f.now = &networkedFake{f, net, instance}, net.now
 	f.b.rng.Seed(int64(instance) + 77)
 	return f
 }
 
-// arrive has a request arrive at a balancer.
-func (x *peerNetwork) arrive(instance int, q Request) {
-	x.waiting[q.ID], x.instanceOf[q.ID] = x.now, instance
-	f := x.balancers[instance]
+// arrive makes a request arrive at a balancer.
+func (net *peerNetwork) arrive(instance int, q Request) {
+	net.waiting[q.ID], net.instanceOf[q.ID] = net.now, instance
+	f := net.balancers[instance]
 	f.b.RequestArrived(f.now, q)
 }
 
-// run lets time go on, in steps of 5 ms, with the messages that arrive in each.
-func (x *peerNetwork) run(d Time) {
-	for end := x.now + d; x.now < end; x.now += 5 * ms {
-		messages := x.inFlight
-		x.inFlight = nil
+// run advances the time by d in steps of 5 ms, and delivers the messages that arrive in each step.
+func (net *peerNetwork) run(d Time) {
+	for end := net.now + d; net.now < end; net.now += 5 * ms {
+		messages := net.inFlight
+		net.inFlight = nil
 		for _, m := range messages {
-			if m.at > x.now {
-				x.inFlight = append(x.inFlight, m)
-			} else if f := x.balancers[m.to]; !x.down[m.to] {
+			if m.at > net.now {
+				net.inFlight = append(net.inFlight, m)
+			} else if f := net.balancers[m.to]; !net.down[m.to] {
 				f.b.PeerMessageReceived(f.now, m.from, m.data)
 			}
 		}
-		for instance, f := range x.balancers {
-			if x.down[instance] {
-				f.now = x.now
+		for instance, f := range net.balancers {
+			if net.down[instance] {
+				f.now = net.now
 				continue
 			}
-			f.run(x.now - f.now)
-			x.establishAttempts(f)
+			f.run(net.now - f.now)
+			net.establishAttempts(f)
 		}
 	}
 }
 
 // establishAttempts establishes the attempts that a balancer has started since the last call.
-func (x *peerNetwork) establishAttempts(f *fake) {
+func (net *peerNetwork) establishAttempts(f *fake) {
 	for _, a := range f.attemptsStarted {
-		x.attempts[a.host] = append(x.attempts[a.host], x.now)
+		net.attempts[a.host] = append(net.attempts[a.host], net.now)
 		f.establish(a.request)
-		x.connections[a.request] = f
-		x.connectionOrder = append(x.connectionOrder, a.request)
-		delete(x.waiting, a.request)
+		net.connections[a.request] = f
+		net.connectionOrder = append(net.connectionOrder, a.request)
+		delete(net.waiting, a.request)
 	}
 	f.attemptsStarted = nil
 }
 
-// randomGroup draws one of 20 groups, of which the first has a sixth of the requests.
-func (x *peerNetwork) randomGroup() string {
-	return fmt.Sprint("g", int(20*math.Pow(x.rng.Float64(), 2)))
+// randomGroup returns one of 20 groups at random. About 22% of the calls return the first one.
+func (net *peerNetwork) randomGroup() string {
+	return fmt.Sprint("g", int(20*math.Pow(net.rng.Float64(), 2)))
 }
 
-// runTraffic has so many requests a second arrive for a time, at balancers drawn at random. Connections last for so
-// many seconds in the mean.
-func (x *peerNetwork) runTraffic(d Time, rate, lifetime float64, returned bool) {
+// runTraffic makes requests arrive for the time d, at the given rate per second and at random
+// balancers. Connections have the given mean lifetime in seconds.
+func (net *peerNetwork) runTraffic(d Time, rate, lifetime float64, returned bool) {
 	step := 20 * ms
-	for end := x.now + d; x.now < end; {
+	for end := net.now + d; net.now < end; {
 		for n := rate * float64(step) / 1e9; n > 0; n-- {
-			if x.rng.Float64() >= n {
+			if net.rng.Float64() >= n {
 				continue
 			}
-			if instance := x.rng.Intn(len(x.balancers)); !x.down[instance] {
-				id := fmt.Sprintf("%x", x.rng.Int63())
-				x.arrive(instance, Request{ID: id, Tenant: 0, Group: x.randomGroup(), Returned: returned,
+			if instance := net.rng.Intn(len(net.balancers)); !net.down[instance] {
+				id := fmt.Sprintf("%x", net.rng.Int63())
+				net.arrive(instance, Request{ID: id, Tenant: 0, Group: net.randomGroup(), Returned: returned,
 					Remaining: 4800 * ms})
 			}
 		}
-		for _, id := range x.connectionOrder { // not in a map's, which would be another one each time
-			if f := x.connections[id]; f != nil && x.rng.Float64() < float64(step)/1e9/lifetime {
+		for _, id := range net.connectionOrder { // the iteration order of a map would differ in each run
+			if f := net.connections[id]; f != nil && net.rng.Float64() < float64(step)/1e9/lifetime {
 				f.end(id, OK)
-				delete(x.connections, id)
+				delete(net.connections, id)
 			}
 		}
-		x.connectionOrder = slices.DeleteFunc(x.connectionOrder,
-			func(id string) bool { return x.connections[id] == nil })
-		x.run(step)
+		net.connectionOrder = slices.DeleteFunc(net.connectionOrder,
+			func(id string) bool { return net.connections[id] == nil })
+		net.run(step)
 	}
 }
 
-// loadBalance is the connections of the fullest host over the mean, and at how many hosts groups are, in sum.
-func (x *peerNetwork) loadBalance() (fullest float64, groupsAtHosts int) {
+// loadBalance returns the connections of the fullest host as a multiple of the mean, and the number
+// of pairs of a group and a host that holds it.
+func (net *peerNetwork) loadBalance() (fullest float64, groupsAtHosts int) {
 	connections, groups := map[string]int{}, map[string]bool{}
-	for id, f := range x.connections {
+	for id, f := range net.connections {
 		r := f.b.requests[id]
 		connections[r.host.hostID]++
 		groups[r.host.hostID+r.Group] = true
 	}
-	mean := float64(len(x.connections)) / float64(len(x.balancers[0].b.hosts))
+	mean := float64(len(net.connections)) / float64(len(net.balancers[0].b.hosts))
 	for _, n := range connections {
 		fullest = max(fullest, float64(n)/mean)
 	}
@@ -167,50 +168,52 @@
 }
 
 // countQueryingFirstServer counts the balancers that query the first ledger server.
-func (x *peerNetwork) countQueryingFirstServer() (n int) {
-	for _, f := range x.balancers {
-		if f.b.ledger.client.Server(x.now) == 0 {
+func (net *peerNetwork) countQueryingFirstServer() (n int) {
+	for _, f := range net.balancers {
+		if f.b.ledger.client.Server(net.now) == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// ledgerConnections is how many connections the first ledger server counts.
-func (x *peerNetwork) ledgerConnections() (n float64) {
-	for _, h := range x.balancers[0].b.hosts {
-		connections, _, _ := x.balancers[0].b.ledger.placements.Load(uint32(h.hash), 0)
+// ledgerConnections returns how many connections the first ledger server counts.
+func (net *peerNetwork) ledgerConnections() (n float64) {
+	for _, h := range net.balancers[0].b.hosts {
+		connections, _, _ := net.balancers[0].b.ledger.placements.Load(uint32(h.hash), 0)
 		n += connections
 	}
 	return n
 }
 
-// ledgerCountError is by how many connections the first ledger server's count is off.
-func (x *peerNetwork) ledgerCountError() float64 {
-	return math.Abs(x.ledgerConnections() - float64(len(x.connections)))
+// ledgerCountError returns by how many connections the first ledger server's count is wrong.
+func (net *peerNetwork) ledgerCountError() float64 {
+	return math.Abs(net.ledgerConnections() - float64(len(net.connections)))
 }
 
-// restart restarts balancers; their connections are lost.
-func (x *peerNetwork) restart(t *testing.T, from, to int) {
+// restart restarts the balancers from instance from up to, but not including, to. Their connections
+// are lost.
+func (net *peerNetwork) restart(t *testing.T, from, to int) {
 	t.Helper()
 	for instance := from; instance < to; instance++ {
-		x.down[instance] = false
-		x.balancers[instance] =
-			x.startBalancer(t, instance, len(x.balancers), len(x.balancers[0].b.hosts), true)
+		net.down[instance] = false
+		net.balancers[instance] =
+			net.startBalancer(t, instance, len(net.balancers), len(net.balancers[0].b.hosts), true)
 	}
-	for id, f := range x.connections {
-		if f != x.balancers[f.b.cfg.Instance] {
-			delete(x.connections, id)
+	for id, f := range net.connections {
+		if f != net.balancers[f.b.cfg.Instance] {
+			delete(net.connections, id)
 		}
 	}
 }
 
-// checkNoLongWaits fails the test where a request has waited for longer than the time of three replies.
-func (x *peerNetwork) checkNoLongWaits(t *testing.T, name string) {
+// checkNoLongWaits fails the test if a request has waited longer than three reply timeouts.
+func (net *peerNetwork) checkNoLongWaits(t *testing.T, name string) {
 	t.Helper()
-	for id, at := range x.waiting {
-		if x.now-at > 3*ledgerReplyTimeout {
-			t.Errorf("%s: %s has waited for %d ms", name, id, (x.now-at)/ms)
+	for id, at := range net.waiting {
+		if net.now-at > 3*ledgerReplyTimeout {
+			t.Errorf("%s: request %s has waited for %d ms, expected at most %d ms", name, id, (net.now-at)/ms,
+				3*Time(ledgerReplyTimeout)/ms)
 		}
 	}
 }
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPollPause(t *testing.T) {
+func TestDelayAfterFailure(t *testing.T) {
 	for _, c := range []struct {
 		failures, instances int
 		interval            Time
@@ -14,12 +14,13 @@
 		{1, 1, 10 * sec, 625 * ms},   // an eighth of half the interval
 		{3, 1, 10 * sec, 1200 * ms},  // the longest backoff of a small fleet
 		{1, 80, 10 * sec, 4000 * ms}, // spaced for eighty balancers
-		{8, 300, 60 * sec, 5 * sec},  // the longest pause
+		{8, 300, 60 * sec, 5 * sec},  // the longest delay
 		{1, 300, 4 * sec, 2 * sec},   // half the interval
 	} {
 		d := discoveryPoller{failures: c.failures}
 		if got := Time(d.delayAfterFailure(c.interval, c.instances)); got != c.want {
-			t.Errorf("%+v: a pause of %d ms", c, got/ms)
+			t.Errorf("%d failures, %d balancers, poll interval %d s: delay %d ms, expected %d ms",
+				c.failures, c.instances, c.interval/sec, got/ms, c.want/ms)
 		}
 	}
 }
@@ -30,20 +31,20 @@
 		s.attemptStarted()
 	}
 	if !s.suspected(0) {
-		t.Error("not suspected after four attempts without a success")
+		t.Error("no retry storm suspected after four attempts without a success")
 	}
 	s.succeeded()
 	if s.suspected(0) {
-		t.Error("suspected though one of four succeeded")
+		t.Error("a retry storm is suspected though one of four attempts succeeded")
 	}
 	s = retryStorm{longestObjective: sec, attempts: 10}
 	if s.suspected(30 * sec) {
-		t.Error("suspected 30 s after the attempts")
+		t.Error("a retry storm is suspected 30 s after the attempts")
 	}
 	s.failedWithError(30*sec, 1)
 	s.failedWithError(30*sec, 1)
 	if !s.consecutiveEarlyErrors(31*sec) || s.consecutiveEarlyErrors(32*sec) {
-		t.Error("early errors do not count for two of the longest objectives, or for longer")
+		t.Error("early errors do not count for two longest objectives, or count for longer")
 	}
 }
 
@@ -58,7 +59,7 @@
 		e.addSuccess(0)
 	}
 	if e.addTimeout(0) != false || e.addTimeout(20*sec) {
-		t.Error("shared though most set-ups succeed, or 20 s after")
+		t.Error("a timeout counts as shared though most set-ups succeed, or 20 s after all others")
 	}
 }
 
@@ -68,7 +69,8 @@
 		s.update(zoneLoad{open: 10, stalled: 10}, zoneLoad{open: 10}, 0.1)
 	}
 	if s.share != maxShedShare || s.crossZoneShare != 1 {
-		t.Errorf("shed %.2f, cross zone %.2f after 10 s of a stalled zone", s.share, s.crossZoneShare)
+		t.Errorf("shed share %.2f and cross-zone share %.2f after 10 s of a stalled zone, expected %.2f and 1",
+			s.share, s.crossZoneShare, maxShedShare)
 	}
 	if want := math.Exp(-1); math.Abs(s.demandByClass[0]-want) > 1e-9 {
 		t.Errorf("demand %.3f, expected %.3f", s.demandByClass[0], want)
@@ -77,14 +79,15 @@
 		s.update(zoneLoad{open: 10}, zoneLoad{open: 10}, 0.1)
 	}
 	if s.share > 1e-6 || s.crossZoneShare != 0 {
-		t.Errorf("shed %.2f, cross zone %.2f after 30 s without a stall", s.share, s.crossZoneShare)
+		t.Errorf("shed share %.2f and cross-zone share %.2f after 30 s without a stall, expected 0",
+			s.share, s.crossZoneShare)
 	}
 }
 
 func TestConnectionCosts(t *testing.T) {
 	c := connectionCosts{byClass: make([]float64, 2)}
 	if c.estimate(&Request{}) != 1 || c.turns(5) != 1 {
-		t.Error("a cost is known before any was seen")
+		t.Error("a cost is known before the first sample")
 	}
 	c.addSample(0, 100)
 	for _, q := range []struct {
@@ -92,10 +95,11 @@
 		want    float64
 	}{{Request{Class: 0}, 100}, {Request{Class: 1}, 100}, {Request{Class: 1, ExpectedLoad: 200}, 200}} {
 		if got := c.estimate(&q.request); got != q.want {
-			t.Errorf("%+v: %g, expected %g", q.request, got, q.want)
+			t.Errorf("estimate(%+v) = %g, expected %g", q.request, got, q.want)
 		}
 	}
 	if c.turns(1e9) != maxTurns || c.turns(1) != minTurns {
-		t.Error("turns are not bounded")
+		t.Errorf("turns(1e9) = %g and turns(1) = %g, expected %d and %g",
+			c.turns(1e9), c.turns(1), maxTurns, minTurns)
 	}
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,34 +7,35 @@
 	"testing"
 )
 
-// TestResumedHostIsNotFlooded: eighty balancers see the end of a host's suspension at one moment, and a wave
-// follows. The host is warming and gets no more of it than its budget; its earlier ejection does not keep it
-// empty.
+// TestResumedHostIsNotFlooded checks that a host whose suspension ends gets no more of a wave of
+// clients than its slow start budget, though eighty balancers learn of it at the same moment. Its
+// earlier ejection must not keep it empty.
 func TestResumedHostIsNotFlooded(t *testing.T) {
 	const seeds = 100
-	up, fresh := 110*sec, 0
-	mean := replayWaves(t, seeds, up, func(f *fake) {
+	resumedAt, fresh := 110*sec, 0
+	mean := replayWaves(t, seeds, resumedAt, func(f *fake) {
 		e := &f.b.byID["s03"].ejection
-		e.consecutiveFailures, e.until = 3, up+100*sec
-		f.b.ListReceived(up-5*sec, ListLocal, []ListedHost{listed("s03", Suspended)})
-		f.b.ListReceived(up, ListLocal, []ListedHost{warming("s03", up)})
+		e.consecutiveFailures, e.until = 3, resumedAt+100*sec
+		f.b.ListReceived(resumedAt-5*sec, ListLocal, []ListedHost{listed("s03", Suspended)})
+		f.b.ListReceived(resumedAt, ListLocal, []ListedHost{warming("s03", resumedAt)})
 	}, func(balancers []*fake, rng *rand.Rand) {
-		fresh += len(replay(balancers, rng, evenlySpacedTimes(48, up+3*sec, 400*ms), false, "s03"))
+		fresh += len(replay(balancers, rng, evenlySpacedTimes(48, resumedAt+3*sec, 400*ms), false, "s03"))
 	})
 	if mean > waveWarmingBudget {
-		t.Errorf("a wave brings %.2f connections in the mean to a host that bears %.2f", mean, waveWarmingBudget)
+		t.Errorf("a wave brings %.2f connections on average to a host whose budget is %.2f", mean, waveWarmingBudget)
 	}
 	if fresh < seeds {
 		t.Errorf("%d connections in %d times 20 s: too few for a host that is not ejected", fresh, seeds)
 	}
 }
 
-// snapshotHosts are a host and a warming one.
+// snapshotHosts returns a host that started long ago and a warming one.
 func snapshotHosts() []ListedHost {
 	return []ListedHost{listed("s00", Ready), warming("s01", 99*sec)}
 }
 
-// snapshotSource is a balancer that has ejected s00 and has 3 tokens of s01's slow start budget.
+// snapshotSource returns a balancer that has ejected s00 and has 3 tokens of s01's slow start
+// budget.
 func snapshotSource(t *testing.T) *fake {
 	t.Helper()
 	f := start(t, settings(), snapshotHosts()...)
@@ -45,37 +46,38 @@
 	return f
 }
 
-// TestSnapshotAndRestore: a snapshot passes what a balancer knows on to the next process, and its slow start
-// budgets to one of the two.
+// TestSnapshotAndRestore checks that a snapshot passes the state of a balancer on to the next
+// process, and the slow start budgets to only one of the two.
 func TestSnapshotAndRestore(t *testing.T) {
 	source := snapshotSource(t)
 	snapshot := source.b.Snapshot(true)
 	if source.b.byID["s01"].slowStart.tokens >= 0 {
-		t.Error("a budget that was yielded is still there")
+		t.Error("s01 still has the budget that it yielded")
 	}
 	if again := source.b.Snapshot(false); again.Servers[1].Tokens != 0 {
-		t.Error("a yielded budget is not 0 in a snapshot")
+		t.Errorf("a yielded budget is %g in a snapshot, expected 0", again.Servers[1].Tokens)
 	}
 	next := start(t, settings(), snapshotHosts()...)
 	next.b.Restore(next.now, snapshot)
 	h := next.b.byID["s00"]
 	if !next.b.Ejected(next.now, "s00") || h.ejection.consecutiveFailures != 2 ||
 		next.b.byID["s01"].slowStart.tokens != 3 || next.b.costs.mean != 7 {
-		t.Errorf("restored %+v", h)
+		t.Errorf("restored s00 %+v, s01 with %g tokens, mean cost %g, expected 2 failures, 3 and 7",
+			h, next.b.byID["s01"].slowStart.tokens, next.b.costs.mean)
 	}
 	if next.b.Ejected(next.now+2*sec, "s00") {
 		t.Error("a restored ejection does not end")
 	}
-	// A process that yielded its budgets and goes on, since no other has taken over, takes them back.
+	// A process that yielded its budgets and continues, because no other took over, gets them back.
 	source.b.Restore(source.now, snapshot)
 	if source.b.byID["s01"].slowStart.tokens != 3 {
-		t.Error("a yielded budget is lost")
+		t.Error("Restore does not return a yielded budget")
 	}
 }
 
 func TestRestoreIgnoresImplausibleHosts(t *testing.T) {
 	snapshot := snapshotSource(t).b.Snapshot(true)
-	for name, spoil := range map[string]func(s *HostSnapshot){
+	for name, corrupt := range map[string]func(s *HostSnapshot){
 		"restarted since":      func(s *HostSnapshot) { s.Since = 50 * sec },
 		"ejected for ever":     func(s *HostSnapshot) { s.Until = math.MaxInt64 },
 		"failed in the future": func(s *HostSnapshot) { s.FailedAt = math.MaxInt64 },
@@ -88,10 +90,10 @@
 		want := *f.b.byID["s00"]
 		bad := snapshot
 		bad.Servers = append([]HostSnapshot(nil), snapshot.Servers[:1]...)
-		spoil(&bad.Servers[0])
+		corrupt(&bad.Servers[0])
 		f.b.Restore(f.now, bad)
 		if got := *f.b.byID["s00"]; !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: restored", name)
+			t.Errorf("%s: Restore changed the host from %+v to %+v", name, want, got)
 		}
 	}
 }
--- a/internal/balancer/stallgossip/message_test.go
+++ b/internal/balancer/stallgossip/message_test.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedMessages: a message has the bytes that were recorded.
+// TestRecordedMessages checks that messages have the bytes of the golden file.
 func TestRecordedMessages(t *testing.T) {
 	samples := golden.NewSamples(4)
 	samples.Add("slow", Append(nil, Record{Host: 0xdeadbeef, Delay: 3.25}))
@@ -22,16 +22,16 @@
 		message = Append(message, Record{Host: uint32(i), Delay: float64(i)})
 	}
 	if len(message) > 256 {
-		t.Fatalf("%d bytes in a message", len(message))
+		t.Fatalf("a message of %d bytes, expected at most 256", len(message))
 	}
 	n := 0
 	Decode(message, func(r Record) {
 		if r.Host != uint32(n) || r.Delay != min(255.0/4, float64(n)) {
-			t.Errorf("record %d: %+v", n, r)
+			t.Errorf("record %d is %+v, expected host %d and delay %g", n, r, n, min(255.0/4, float64(n)))
 		}
 		n++
 	})
 	if n != maxRecords {
-		t.Errorf("%d records in a full message, expected %d", n, maxRecords)
+		t.Errorf("decoded %d records of a full message, expected %d", n, maxRecords)
 	}
 }
