--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -97,7 +97,7 @@
 	case len(cfg.Classes) == 0:
 		return ErrNoClasses
 	case cfg.Instances < 1 || cfg.Instance < 0:
-		return fmt.Errorf("balancer: instance %d of %d: need a number of at least 0, and at least 1 instance",
+		return fmt.Errorf("balancer: instance %d of %d: number must be at least 0, count at least 1",
 			cfg.Instance, cfg.Instances)
 	case cfg.MaxAttempts < 1:
 		return fmt.Errorf("balancer: MaxAttempts is %d, must be at least 1", cfg.MaxAttempts)
@@ -120,8 +120,8 @@
 	return longest
 }
 
-// timerToken identifies a timer. Effects.Schedule sends its bytes over the simulator's wire, and
-// TimerFired gets them back.
+// timerToken identifies a timer. Its bytes go over the simulator's wire: Effects.Schedule passes
+// them out, and TimerFired gets them back.
 type timerToken string
 
 // The tokens, each with the method that its timer calls.
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// HostState is the state of a host in regard to placement. It is set by discovery, by an operator's
-// suspension, or by another proxy's watermark, which counts as Draining.
+// HostState is the state of a host with regard to placement. It is set by discovery, by an
+// operator's suspension, or by another proxy's watermark, which counts as Draining.
 type HostState int
 
 // Values of HostState. Only Ready hosts get new connections.
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -2,7 +2,7 @@
 
 const (
 	maxServers        = 8    // number of ledger servers, of which one is queried at a time
-	maxMisses         = 2    // consecutive queries without a reply after which the next ledger server is queried
+	maxMisses         = 2    // consecutive queries without a reply before the next ledger server is queried
 	maxPending        = 256  // largest number of pending queries
 	initialPause      = 3e9  // first pause without queries after no ledger server replied, in nanoseconds
 	maxPauseDoublings = 4    // doublings of the pause: if no messages arrive, hardly any request waits
@@ -51,8 +51,8 @@
 
 // index returns the index of a balancer in servers, or -1 if it is not a ledger server.
 func (c *Client) index(balancer int) int {
-	for i, k := range c.servers {
-		if k == balancer {
+	for i, server := range c.servers {
+		if server == balancer {
 			return i
 		}
 	}
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -101,7 +101,7 @@
 	}
 	if !c.ServerMessageReceived(0, 5) || c.ServerMessageReceived(0, 5) ||
 		!c.ServerMessageReceived(0, 6) || !c.ServerReachable(1) {
-		t.Error("a ledger server is not sent all connections once, and again after a restart")
+		t.Error("expected a sync at the first message, none at the second, and one with a new epoch")
 	}
 	now := Time(1e9)
 	miss := func() { c.QueryTimedOut(now, "r") }
@@ -117,7 +117,7 @@
 			c.Server(now), c.ServerReachable(now))
 	}
 	if c.ServerMessageReceived(150, 1) {
-		t.Error("a later ledger server than the one that is queried is to be sent all connections")
+		t.Error("a message from a later ledger server than the current one requests a sync")
 	}
 	if server := c.ServerToPoll(now + pollInterval); server != 0 {
 		t.Errorf("ledger server %d is polled, expected 0", server)
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -53,8 +53,8 @@
 	return best
 }
 
-// assignable reports whether the ledger server may assign a host. What the ledger server knows
-// itself of the host applies to the requests of all balancers.
+// assignable reports whether the ledger server may assign a host. The ledger server's own
+// observations of the host apply to the requests of all balancers.
 func (b *Balancer) assignable(h *host) bool {
 	if h.state != Ready || b.now < h.fullUntil {
 		return false
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -53,7 +53,7 @@
 				c.balancers, largest)
 		}
 		if c.wave && c.balancers > 20 && total < 48 {
-			t.Errorf("%d balancers: %d attempts at warming hosts of 60 requests a second, expected 48",
+			t.Errorf("%d balancers: %d attempts at warming hosts of 60 requests a second, want 48 or more",
 				c.balancers, total)
 		}
 	}
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -15,8 +15,9 @@
 
 // placementLedger is this balancer's state as a client of the placement ledger and, if it is one,
 // as a ledger server. No balancer alone observes how full hosts are or how large a group is. If
-// balancers may send each other messages, they query the ledger server for a host, which counts for
-// all of them. Without its reply, each places requests by what it observes itself.
+// balancers may send each other messages, they query the ledger server, which counts the
+// connections of all of them, for a host. Without its reply, each places requests by what it
+// observes itself.
 type placementLedger struct {
 	client        *ledger.Client
 	placements    *ledger.Placements // used if this balancer is a ledger server
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -19,7 +19,7 @@
 	t.Logf("fullest host %.1f times the mean, %d pairs of group and host; with a ledger %.1f, %d",
 		fullest[0], groupsAtHosts[0], fullest[1], groupsAtHosts[1])
 	if fullest[1] > 0.6*fullest[0] || groupsAtHosts[1] > 2*groupsAtHosts[0] {
-		t.Errorf("the ledger balances too little or spreads groups too far: fullest host %.1f times the mean, "+
+		t.Errorf("too little balance, or groups spread too far: fullest host %.1f times the mean, "+
 			"%d pairs of group and host; without a ledger %.1f, %d",
 			fullest[1], groupsAtHosts[1], fullest[0], groupsAtHosts[0])
 	}
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -11,8 +11,8 @@
 	// healthCheckBudget is the largest cost of health checks, as a fraction of the value of the
 	// requests.
 	healthCheckBudget = 0.005
-	// minHealthCheckRequestRate is the lowest rate of requests, per second, that determines how
-	// often hosts are checked.
+	// minHealthCheckRequestRate is the lowest rate of requests, per second, by which the interval
+	// of health checks is computed.
 	minHealthCheckRequestRate = 0.2
 	// quotaCapacityShare is the sum of the tenants' quotas as a fraction of the fleet's capacity.
 	quotaCapacityShare = 0.8
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("%d health checks of a ready host that never answers, expected 1", n)
 	}
 	if draining, suspended := f.healthChecks("s01"), f.healthChecks("s02"); draining+suspended != 0 {
-		t.Errorf("%d health checks of a draining host, %d of a suspended one", draining, suspended)
+		t.Errorf("%d health checks of a draining host, %d of a suspended one, expected none", draining, suspended)
 	}
 	f.b.HealthCheckEnded(f.now, "s00", Timeout, nil)
 	f.run(5 * sec)
@@ -220,10 +220,12 @@
 			}
 		}
 		if n := len(f.healthChecked); n > 0 != (cfg.MayHealthCheck && cfg.LoadField >= 0) {
-			t.Errorf("settings %04b: %d health checks", bits, n)
+			t.Errorf("settings %04b: %d health checks with MayHealthCheck %t, LoadField %d",
+				bits, n, cfg.MayHealthCheck, cfg.LoadField)
 		}
 		if len(f.peerMessages) > 0 != (cfg.MayGossip && cfg.Instances > 1) {
-			t.Errorf("settings %04b: %d messages to peers", bits, len(f.peerMessages))
+			t.Errorf("settings %04b: %d messages to peers with MayGossip %t, %d balancers",
+				bits, len(f.peerMessages), cfg.MayGossip, cfg.Instances)
 		}
 	}
 }
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -27,7 +27,7 @@
 }
 
 type datagram struct {
-	at       Time
+	at       Time // of arrival
 	from, to int
 	data     []byte
 }
@@ -52,6 +52,7 @@
 	}
 }
 
+// newPeerNetwork returns a network of n balancers, each of which has the given number of hosts.
 func newPeerNetwork(t *testing.T, n, hosts int, mayGossip bool) *peerNetwork {
 	t.Helper()
 	net := &peerNetwork{rng: rand.New(rand.NewSource(5)), now: 100 * sec, down: map[int]bool{},
@@ -63,6 +64,7 @@
 	return net
 }
 
+// startBalancer returns a new balancer that sends its messages through the network.
 func (net *peerNetwork) startBalancer(t *testing.T, instance, n, hosts int, mayGossip bool) *fake {
 	t.Helper()
 	cfg := settings()
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -53,7 +53,8 @@
 	// has none yet.
 	//   - The request has no attempts left, or the core does not know the host: Core.startAttempt.
 	//   - Another invariant forbids the attempt: Request.attemptBlocked.
-	//   - The dedup window ended before the request's line was written: upstreamRequest.limitRetry.
+	//   - The dedup window ended before the request's line was written:
+	//     upstreamRequest.startRetryWindowTimer.
 	//   - The fleet's rules now reject the request, and it has been answered: Core.startAttempt.
 	//   - The fleet's rules now place it in another pool, whose balancer takes over: Core.placeInPool.
 	//   - A health check was not made: Core.checkHost, HealthChecks.Check.
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -44,7 +44,7 @@
 	s.failedWithError(30*sec, 1)
 	s.failedWithError(30*sec, 1)
 	if !s.consecutiveEarlyErrors(31*sec) || s.consecutiveEarlyErrors(32*sec) {
-		t.Error("early errors do not count for two longest objectives, or count for longer")
+		t.Error("early errors do not count for exactly twice the longest objective")
 	}
 }
 
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -20,11 +20,11 @@
 	maxWindow      Time // longest time over which rates are measured
 	overloadWindow Time // time over which a wave is counted
 
-	observedSince  Time    // time of the first event; -1 before it
-	endRate        float64 // connections that end by themselves, in mean connections per second
-	freshRequests  float64 // fading sum of requests that are not retries
-	fadedAt        Time    // time of endRate and freshRequests
-	retries        decay.Counter
+	observedSince  Time          // time of the first event; -1 before it
+	endRate        float64       // connections that end by themselves, in mean connections per second
+	freshRequests  float64       // fading sum of requests that are not retries
+	fadedAt        Time          // time of endRate and freshRequests
+	retries        decay.Counter // over overloadWindow
 	departedWeight decay.Counter // weight of hosts that have begun to send their clients away
 
 	expectedRate        float64 // fresh connections per second here, by the quotas; 0 without quotas
