--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -112,7 +112,7 @@
 		return ErrBusy
 	}
 	var err error
-	c.guard(func() {
+	c.recoverPanic(func() {
 		err = c.node.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes, Context: changeContext{tag, name}.encode()})
 	})
 	c.processReady()
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -55,7 +55,7 @@
 	g.propose("one")
 	old := g.leader()
 	g.isCut = func(from, to string) bool { return from == old.cfg.Name || to == old.cfg.Name }
-	confirm, command := g.tag(), g.tag()
+	confirm, command := g.newTag(), g.newTag()
 	old.Confirm(g.now, confirm)
 	old.Propose(g.now, 1, command, []byte("lost"))
 	g.run(5e9)
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/fleet/group"
 )
 
-// lateTicks is how many tick intervals may pass between two calls of Tick before the process counts as having been paused.
-const lateTicks = 4
+// pauseTicks is how many tick intervals may pass between two calls of Tick before the process counts as having been paused.
+const pauseTicks = 4
 
 // Core is one process's part. It is not safe for concurrent use.
 type Core struct {
@@ -40,7 +40,7 @@
 }
 
 // Open makes a process's part from what its store holds. It fails on a store of another group or another process.
-func Open(cfg Config, store Store, machines map[byte]Machine, fx Effects) (*Core, error) {
+func Open(cfg Config, store Store, machines map[byte]Machine, effects Effects) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(PeerID(cfg.Name))))
 	c := &Core{
 		cfg:           cfg,
-		effects:       fx,
+		effects:       effects,
 		store:         store,
 		rng:           rng,
 		identity:      stored.Identity,
@@ -64,7 +64,7 @@
 		joining:       newJoining(stored.StartRecords),
 		configuration: newConfiguration(),
 		machines:      group.NewMachines(machines),
-		election:      electionTimer{rng: rng, shortest: cfg.electionTimeout()},
+		election:      electionTimer{rng: rng, minTimeout: cfg.electionTimeout()},
 	}
 	if err := c.recover(); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 // Tick must be called every Config.TickInterval.
 func (c *Core) Tick(now Time) {
 	c.now = max(c.now, now)
-	c.joining.begin(c.now)
+	c.joining.recordFirstTick(c.now)
 	if c.phase == Starting || c.phase == NotMember {
 		if c.joining.helloDue(c.now) {
 			c.sendHello()
@@ -129,7 +129,7 @@
 // tickFollower campaigns once the leader is lost.
 func (c *Core) tickFollower(elapsed Time) {
 	c.node.TickQuiesced()
-	if elapsed > lateTicks*c.cfg.TickInterval {
+	if elapsed > pauseTicks*c.cfg.TickInterval {
 		c.election.reset(c.now) // this process was paused: missing messages of the leader show nothing
 	}
 	if c.election.expired(c.now) && c.configuration.isVoter(c.identity.ID) {
@@ -174,9 +174,9 @@
 	return err == nil
 }
 
-// guard turns a panic of the raft library into a failure of this replica. The library panics at an impossible state: the store or a message was
+// recoverPanic turns a panic of the raft library into a failure of this replica. The library panics at an impossible state: the store or a message was
 // damaged in a way that no checksum found, and it is not safe to continue.
-func (c *Core) guard(f func()) {
+func (c *Core) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.becomeBroken(fmt.Errorf("%v", p))
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -51,7 +51,7 @@
 func (g *testGroup) change(name string, propose func(leader *Core, tag uint64) error) {
 	g.t.Helper()
 	for range 20 {
-		tag := g.tag()
+		tag := g.newTag()
 		err := propose(g.leader(), tag)
 		if g.run(1e9); g.applied[tag] {
 			return
@@ -102,7 +102,7 @@
 		}
 	}
 	g.propose("four")
-	if err := g.leader().Remove(g.now, g.tag(), "b"); err == nil {
+	if err := g.leader().Remove(g.now, g.newTag(), "b"); err == nil {
 		t.Error("a voter is removed without whom there is no majority")
 	}
 }
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -13,7 +13,7 @@
 
 const maxNameBytes = 64
 
-// extent is how much a file holds: see putExtent.
+// extent is how much a file holds: see saveExtent.
 type extent struct {
 	lastIndex uint64 // of the log; 0: it is empty
 	starts    uint64 // other replicas' starts
@@ -80,14 +80,14 @@
 
 // loadRecord reads a record. A file that is complete must have it.
 func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
-	sealed := l.meta.Get(key)
-	if sealed == nil && l.complete {
+	stored := l.meta.Get(key)
+	if stored == nil && l.complete {
 		return fmt.Errorf("%w: there is no record %q", ErrUnreadable, key)
 	}
-	if sealed == nil {
+	if stored == nil {
 		return nil
 	}
-	data, err := openRecord(key, sealed)
+	data, err := decodeRecord(key, stored)
 	if err != nil {
 		return err
 	}
@@ -107,8 +107,8 @@
 }
 
 func (l *loader) loadStarts(b *bbolt.Bucket) error {
-	err := b.ForEach(func(key, sealed []byte) error {
-		data, err := openRecord(key, sealed)
+	err := b.ForEach(func(key, stored []byte) error {
+		data, err := decodeRecord(key, stored)
 		if err != nil {
 			return err
 		}
@@ -128,8 +128,8 @@
 // loadLog reads the entries, and keeps those after the snapshot.
 func (l *loader) loadLog(b *bbolt.Bucket) error {
 	next := uint64(0) // the index expected; 0: any
-	err := b.ForEach(func(key, sealed []byte) error {
-		data, err := openRecord(key, sealed)
+	err := b.ForEach(func(key, stored []byte) error {
+		data, err := decodeRecord(key, stored)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -32,7 +32,7 @@
 		return nil, fmt.Errorf("%w: %s", ErrInUse, path)
 	}
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, asUnreadable(path, err)
 	}
 	s = &Store{database: db, path: path, maxBytes: maxBytes}
 	if err = db.Update(createBuckets); err == nil {
@@ -40,7 +40,7 @@
 	}
 	if err != nil {
 		db.Close()
-		return nil, unreadable(path, err)
+		return nil, asUnreadable(path, err)
 	}
 	return s, nil
 }
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// unreadable returns an error of the system as it is, and makes any other an ErrUnreadable.
-func unreadable(path string, err error) error {
+// asUnreadable returns an error of the system as it is, and makes any other an ErrUnreadable.
+func asUnreadable(path string, err error) error {
 	var system *fs.PathError
 	if errors.As(err, &system) {
 		return err
@@ -72,8 +72,8 @@
 	return d.Sync()
 }
 
-// recoverable are the system's errors after which a file is unchanged: there was no space, or no permission to write.
-var recoverable = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
+// recoverableErrors are the system's errors after which a file is unchanged: there was no space, or no permission to write.
+var recoverableErrors = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
 // Recoverable reports whether the same process may open a store again after an error. After other errors, above all of a sync, what the system
 // shows of the file may differ from what is on the disk.
@@ -85,5 +85,5 @@
 	if !errors.As(err, &system) || system.Op == "sync" {
 		return false
 	}
-	return slices.ContainsFunc(recoverable, func(e error) bool { return errors.Is(err, e) })
+	return slices.ContainsFunc(recoverableErrors, func(e error) bool { return errors.Is(err, e) })
 }
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -11,17 +11,17 @@
 
 const checksumBytes = 8
 
-// sealRecord puts a checksum before a record. It covers the key, so that no record is taken for another.
-func sealRecord(key, data []byte) []byte {
+// encodeRecord puts a checksum before a record. It covers the key, so that no record is taken for another.
+func encodeRecord(key, data []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, checksum(key, data)), data...)
 }
 
-// openRecord checks the checksum of a stored record, and copies its data; the error is ErrUnreadable.
-func openRecord(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes || binary.BigEndian.Uint64(sealed) != checksum(key, sealed[checksumBytes:]) {
+// decodeRecord checks the checksum of a stored record, and copies its data; the error is ErrUnreadable.
+func decodeRecord(key, stored []byte) ([]byte, error) {
+	if len(stored) < checksumBytes || binary.BigEndian.Uint64(stored) != checksum(key, stored[checksumBytes:]) {
 		return nil, fmt.Errorf("%w: the record %q does not fit its sum", ErrUnreadable, key)
 	}
-	return slices.Clone(sealed[checksumBytes:]), nil
+	return slices.Clone(stored[checksumBytes:]), nil
 }
 
 func checksum(key, data []byte) uint64 {
@@ -37,7 +37,7 @@
 
 func keyNumber(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
-func put(b *bbolt.Bucket, key, data []byte) error { return b.Put(key, sealRecord(key, data)) }
+func putRecord(b *bbolt.Bucket, key, data []byte) error { return b.Put(key, encodeRecord(key, data)) }
 
 // marshaler is the encoding of the types of raftpb.
 type marshaler interface{ Marshal() ([]byte, error) }
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	return put(b, key, data)
+	return putRecord(b, key, data)
 }
 
 // deleteFrom deletes the numbered records from first on.
--- a/internal/fleet/consensus/disk/recorded_test.go
+++ b/internal/fleet/consensus/disk/recorded_test.go
@@ -14,7 +14,7 @@
 // TestRecordedStore: a file that an earlier version wrote can be opened, read and written to.
 func TestRecordedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
-	want := fill(t, path)
+	want := fillStore(t, path)
 	if golden.Updating() {
 		data, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -66,17 +66,17 @@
 		if err := f(tx); err != nil {
 			return err
 		}
-		return putExtent(tx)
+		return saveExtent(tx)
 	})
 }
 
-// putExtent records how much the file holds. Without it a page that was replaced by an older one with fewer records would not be noticed: all
+// saveExtent records how much the file holds. Without it a page that was replaced by an older one with fewer records would not be noticed: all
 // records left would match their checksums.
-func putExtent(tx *bbolt.Tx) error {
+func saveExtent(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot} {
 		if meta.Get(key) == nil {
-			if err := put(meta, key, nil); err != nil {
+			if err := putRecord(meta, key, nil); err != nil {
 				return err
 			}
 		}
@@ -89,7 +89,7 @@
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
 		e.starts++
 	}
-	return put(meta, keyExtent, e.encode())
+	return putRecord(meta, keyExtent, e.encode())
 }
 
 // SaveIdentity stores to which replica the store belongs.
@@ -97,7 +97,7 @@
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
 		w.Text(id.Group).Text(id.Name).Uint(id.ID).Uint(id.Starts).Bool(id.Stale)
-		return put(tx.Bucket(bucketMeta), keyIdentity, w.Data)
+		return putRecord(tx.Bucket(bucketMeta), keyIdentity, w.Data)
 	})
 }
 
@@ -106,7 +106,7 @@
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
 		w.Uint(start.Starts).Uint(start.Incarnation)
-		return put(tx.Bucket(bucketStarts), numberKey(id), w.Data)
+		return putRecord(tx.Bucket(bucketStarts), numberKey(id), w.Data)
 	})
 }
 
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -47,8 +47,8 @@
 	return state
 }
 
-// fill saves something of each kind in a new file, and gives what is to be loaded from it.
-func fill(t testing.TB, path string) consensus.StoredState {
+// fillStore saves something of each kind in a new file, and gives what is to be loaded from it.
+func fillStore(t testing.TB, path string) consensus.StoredState {
 	t.Helper()
 	s, err := Open(path, testMaxBytes)
 	if err != nil {
@@ -73,7 +73,7 @@
 // TestStoresWhatIsSaved: a file that is opened again holds what was saved, and one in use is not opened twice.
 func TestStoresWhatIsSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
-	fill(t, path)
+	fillStore(t, path)
 	s := mustOpen(t, path)
 	got := mustLoad(t, s)
 	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
@@ -91,7 +91,7 @@
 // TestSnapshotBeyondTheLog: a snapshot of another replica that is beyond the complete log replaces it.
 func TestSnapshotBeyondTheLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
-	fill(t, path)
+	fillStore(t, path)
 	s := mustOpen(t, path)
 	snapshot := raftpb.Snapshot{Data: []byte("later"), Metadata: raftpb.SnapshotMetadata{Index: 50, Term: 3}}
 	if err := s.Save(raftpb.HardState{}, nil, snapshot); err != nil {
@@ -125,7 +125,7 @@
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	intact := filepath.Join(dir, "intact")
-	want := fill(t, intact)
+	want := fillStore(t, intact)
 	data, err := os.ReadFile(intact)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -125,8 +125,8 @@
 }
 
 // run lets time pass: messages are delivered, and processes tick.
-func (g *testGroup) run(d Time) {
-	for end := g.now + d; g.now < end; g.now += 1e7 {
+func (g *testGroup) run(duration Time) {
+	for end := g.now + duration; g.now < end; g.now += 1e7 {
 		for i := 0; i < len(g.queue); i++ {
 			if m := g.queue[i]; m.due <= g.now {
 				g.queue = slices.Delete(g.queue, i, i+1)
@@ -155,7 +155,7 @@
 		for _, name := range g.names {
 			if c := g.cores[name]; c != nil {
 				if _, ok := c.Leading(); ok {
-					tag := g.tag()
+					tag := g.newTag()
 					c.Confirm(g.now, tag)
 					g.run(2e8)
 					if g.confirmed[tag] {
@@ -170,13 +170,13 @@
 	return nil
 }
 
-func (g *testGroup) tag() uint64 { g.lastTag++; return g.lastTag }
+func (g *testGroup) newTag() uint64 { g.lastTag++; return g.lastTag }
 
 // propose has a command committed, by whichever process leads.
 func (g *testGroup) propose(text string) {
 	g.t.Helper()
 	for range 50 {
-		tag := g.tag()
+		tag := g.newTag()
 		if g.leader().Propose(g.now, 1, tag, []byte(text)) == nil {
 			for range 30 {
 				if g.run(1e8); g.applied[tag] {
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -8,12 +8,12 @@
 
 const (
 	helloInterval = Time(2e8) // 200 ms
-	// waitForOthers is how long a start waits for those voters beyond a majority that have not answered.
-	waitForOthers = Time(1e9) // 1 s
+	// otherVotersTimeout is how long a start waits for those voters beyond a majority that have not answered.
+	otherVotersTimeout = Time(1e9) // 1 s
 )
 
-// evidence is what this process has received from another replica, and the other therefore must have on its disk.
-type evidence struct {
+// provenState is what this process has received from another replica, and the other therefore must have on its disk.
+type provenState struct {
 	term              uint64
 	logTerm, logIndex uint64 // the last log entry that it must have
 }
@@ -24,7 +24,7 @@
 	lastHello    Time                   // 0: none
 	answers      map[uint32]bool        // by peer whose answer counts: whether it knows a group
 	startRecords map[uint64]StartRecord // stored, by replica
-	received     map[uint64]evidence    // since this process started, by replica
+	received     map[uint64]provenState // since this process started, by replica
 	applicants   map[string]uint64      // identities of the processes that apply to be added, by name
 }
 
@@ -32,11 +32,11 @@
 	if stored == nil {
 		stored = map[uint64]StartRecord{}
 	}
-	return joining{startedAt: -1, answers: map[uint32]bool{}, startRecords: stored, received: map[uint64]evidence{}, applicants: map[string]uint64{}}
+	return joining{startedAt: -1, answers: map[uint32]bool{}, startRecords: stored, received: map[uint64]provenState{}, applicants: map[string]uint64{}}
 }
 
-// begin records the first tick.
-func (j *joining) begin(now Time) {
+// recordFirstTick records the first tick.
+func (j *joining) recordFirstTick(now Time) {
 	if j.startedAt < 0 {
 		j.startedAt = now
 	}
@@ -56,8 +56,8 @@
 	return true
 }
 
-// noteMessage records what a message proves its sender to have stored. Pre-votes prove nothing: their term is not stored.
-func (j *joining) noteMessage(m *raftpb.Message) {
+// recordReceived records what a message proves its sender to have stored. Pre-votes prove nothing: their term is not stored.
+func (j *joining) recordReceived(m *raftpb.Message) {
 	if m.Type == raftpb.MsgPreVote || m.Type == raftpb.MsgPreVoteResp {
 		return
 	}
@@ -127,12 +127,12 @@
 	// An initial voter that nobody has ever seen completes the bootstrap of the group that it is configured with.
 	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
-		group:     c.cfg.Group,
-		replica:   h.replica,
-		hasGroup:  c.configuration.formed() && everSeen,
-		remembers: c.identity.ID != 0 && c.phase != NotMember,
-		start:     start,
-		received:  received,
+		group:      c.cfg.Group,
+		replica:    h.replica,
+		hasGroup:   c.configuration.formed() && everSeen,
+		hasRecords: c.identity.ID != 0 && c.phase != NotMember,
+		start:      start,
+		received:   received,
 	}
 	c.effects.Send(from, answer.encode())
 	return nil
@@ -150,7 +150,7 @@
 		c.becomeStale(from, cause)
 		return nil
 	}
-	if (m.remembers || m.replica == 0) && slices.Contains(c.otherVoters(), from) {
+	if (m.hasRecords || m.replica == 0) && slices.Contains(c.otherVoters(), from) {
 		c.joining.answers[from] = m.hasGroup
 	}
 	c.tryStart()
@@ -200,7 +200,7 @@
 		enough = others // so that all others know an initial voter, and none lets it bootstrap again after it lost its disk
 	}
 	answers := len(c.joining.answers)
-	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= waitForOthers)
+	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= otherVotersTimeout)
 }
 
 // startAsNewReplica takes a new identity. Either this process never was a member, or it was and lost its disk: then it may have voted, and must
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -11,8 +11,8 @@
 
 // leadership is what this process has reported of its own lead.
 type leadership struct {
-	reportedTerm uint64 // in which it leads; 0: it does not
-	yieldsUntil  Time   // until then it does not act as the leader: it has handed the lead over
+	reportedTerm  uint64 // in which it leads; 0: it does not
+	transferUntil Time   // until then it does not act as the leader: it has handed the lead over
 }
 
 // Leading reports whether this process leads and has applied all that earlier leaders committed, and in which term. It may have been deposed
@@ -22,7 +22,7 @@
 		return 0, false
 	}
 	status := c.node.BasicStatus()
-	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.yieldsUntil
+	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.transferUntil
 }
 
 // Leader is the peer that leads, as far as this process knows; 0: none.
@@ -41,7 +41,7 @@
 		return ErrNotLeader
 	}
 	var w encoding.Writer
-	c.guard(func() { c.node.ReadIndex(w.Uint(tag).Data) })
+	c.recoverPanic(func() { c.node.ReadIndex(w.Uint(tag).Data) })
 	c.processReady()
 	return nil
 }
@@ -57,7 +57,7 @@
 		return ErrNotLeader
 	}
 	var err error
-	c.guard(func() { err = c.node.Propose(proposal{tag, machine, cmd}.encode()) })
+	c.recoverPanic(func() { err = c.node.Propose(proposal{tag, machine, cmd}.encode()) })
 	c.processReady()
 	if err != nil {
 		return ErrBusy
@@ -72,8 +72,8 @@
 		return
 	}
 	if successor := c.mostUpToDate(); successor != 0 {
-		c.leadership.yieldsUntil = c.now + c.cfg.electionTimeout() // as long as the library attempts the transfer
-		c.guard(func() { c.node.TransferLeader(successor) })
+		c.leadership.transferUntil = c.now + c.cfg.electionTimeout() // as long as the library attempts the transfer
+		c.recoverPanic(func() { c.node.TransferLeader(successor) })
 		c.processReady()
 	}
 }
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -9,7 +9,7 @@
 // progress is what a leader knows of another replica's log.
 type progress = tracker.Progress
 
-// panicLogger is the raft library's logger. Fatal errors become panics, which Core.guard recovers; the rest is discarded, since this package logs
+// panicLogger is the raft library's logger. Fatal errors become panics, which Core.recoverPanic recovers; the rest is discarded, since this package logs
 // events of its own.
 type panicLogger struct{}
 
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -31,7 +31,7 @@
 	return entries[n:]
 }
 
-func clone(s StoredState) StoredState {
+func cloneState(s StoredState) StoredState {
 	s.Entries = slices.Clone(s.Entries)
 	s.StartRecords = maps.Clone(s.StartRecords)
 	return s
@@ -40,7 +40,7 @@
 // Load returns what was saved, without the entries that the snapshot covers. It opens a store that crashed or was closed.
 func (m *MemoryStore) Load() (StoredState, error) {
 	m.closed = false
-	out := clone(m.stored)
+	out := cloneState(m.stored)
 	if out.StartRecords == nil {
 		out.StartRecords = map[uint64]StartRecord{}
 	}
@@ -56,7 +56,7 @@
 		return m.InjectedErr
 	}
 	if m.SkipSync && m.synced == nil {
-		synced := clone(m.stored)
+		synced := cloneState(m.stored)
 		m.synced = &synced
 	}
 	f(&m.stored)
@@ -72,10 +72,10 @@
 }
 
 // Copy is what a backup of the store would hold.
-func (m *MemoryStore) Copy() StoredState { return clone(m.stored) }
+func (m *MemoryStore) Copy() StoredState { return cloneState(m.stored) }
 
 // Restore restores a copy in place of all that was saved.
-func (m *MemoryStore) Restore(s StoredState) { m.stored, m.synced = clone(s), nil }
+func (m *MemoryStore) Restore(s StoredState) { m.stored, m.synced = cloneState(s), nil }
 
 // SaveIdentity implements Store.
 func (m *MemoryStore) SaveIdentity(id Identity) error {
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -59,26 +59,26 @@
 
 // welcome is what another process knows of a starting one.
 type welcome struct {
-	group     string
-	replica   uint64 // of the process that starts, as its hello had it
-	hasGroup  bool   // the sender knows a group that the process must not bootstrap again
-	remembers bool   // the sender has a store of its own: what it does not know has not happened
-	start     StartRecord
-	received  evidence
+	group      string
+	replica    uint64 // of the process that starts, as its hello had it
+	hasGroup   bool   // the sender knows a group that the process must not bootstrap again
+	hasRecords bool   // the sender has a store of its own: what it does not know has not happened
+	start      StartRecord
+	received   provenState
 }
 
 func (m welcome) encode() []byte {
 	var w encoding.Writer
-	w.Uint(kindWelcome).Text(m.group).Uint(m.replica).Bool(m.hasGroup).Bool(m.remembers)
+	w.Uint(kindWelcome).Text(m.group).Uint(m.replica).Bool(m.hasGroup).Bool(m.hasRecords)
 	w.Uint(m.start.Starts).Uint(m.start.Incarnation)
 	w.Uint(m.received.term).Uint(m.received.logTerm).Uint(m.received.logIndex)
 	return w.Data
 }
 
 func decodeWelcome(r encoding.Reader) (welcome, error) {
-	m := welcome{group: r.Text(maxNameBytes), replica: r.Uint(), hasGroup: r.Bool(), remembers: r.Bool()}
+	m := welcome{group: r.Text(maxNameBytes), replica: r.Uint(), hasGroup: r.Bool(), hasRecords: r.Bool()}
 	m.start = StartRecord{Starts: r.Uint(), Incarnation: r.Uint()}
-	m.received = evidence{term: r.Uint(), logTerm: r.Uint(), logIndex: r.Uint()}
+	m.received = provenState{term: r.Uint(), logTerm: r.Uint(), logIndex: r.Uint()}
 	if r.Err() != nil {
 		return m, ErrInvalidWelcome
 	}
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -24,7 +24,7 @@
 	if got, err := decodeHello(body); err != nil || kind != kindHello || got != h {
 		t.Errorf("hello: %d %+v %v", kind, got, err)
 	}
-	m := welcome{group: "g", replica: 7, hasGroup: true, start: StartRecord{Starts: 2, Incarnation: 3}, received: evidence{4, 5, 6}}
+	m := welcome{group: "g", replica: 7, hasGroup: true, start: StartRecord{Starts: 2, Incarnation: 3}, received: provenState{4, 5, 6}}
 	kind, body = kindAndBody(t, m.encode())
 	if got, err := decodeWelcome(body); err != nil || kind != kindWelcome || got != m {
 		t.Errorf("welcome: %d %+v %v", kind, got, err)
@@ -75,13 +75,13 @@
 		m    welcome
 		want staleCause
 	}{
-		{"the same start and log", welcome{start: own, received: evidence{5, 5, 20}}, storeCurrent},
-		{"an earlier start and less of the log", welcome{start: StartRecord{3, 9}, received: evidence{4, 4, 10}}, storeCurrent},
+		{"the same start and log", welcome{start: own, received: provenState{5, 5, 20}}, storeCurrent},
+		{"an earlier start and less of the log", welcome{start: StartRecord{3, 9}, received: provenState{4, 4, 10}}, storeCurrent},
 		{"a later start", welcome{start: StartRecord{5, 11}}, laterStart},
 		{"the same start of another process", welcome{start: StartRecord{4, 12}}, laterStart},
-		{"a later term", welcome{start: own, received: evidence{6, 0, 0}}, laterTerm},
-		{"more of the log", welcome{start: own, received: evidence{5, 5, 21}}, longerLog},
-		{"more of a log that was overwritten", welcome{start: own, received: evidence{5, 4, 21}}, storeCurrent},
+		{"a later term", welcome{start: own, received: provenState{6, 0, 0}}, laterTerm},
+		{"more of the log", welcome{start: own, received: provenState{5, 5, 21}}, longerLog},
+		{"more of a log that was overwritten", welcome{start: own, received: provenState{5, 4, 21}}, storeCurrent},
 	} {
 		if got := c.staleCause(test.m); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -42,11 +42,11 @@
 	if peerOf(m.From) != from || m.To != c.identity.ID || raft.IsLocalMsg(m.Type) {
 		return &MisroutedError{Sender: m.From, Receiver: m.To, Peer: from}
 	}
-	c.joining.noteMessage(&m)
+	c.joining.recordReceived(&m)
 	if c.node == nil || c.phase != Member && c.phase != NotMember {
 		return nil
 	}
-	c.guard(func() {
+	c.recoverPanic(func() {
 		c.node.Step(m)
 		if c.delaysElection(&m) {
 			c.election.reset(c.now)
@@ -78,7 +78,7 @@
 	c.storage.SetHardState(c.recovered.HardState)
 	c.storage.Append(c.recovered.Entries)
 	var err error
-	c.guard(func() { c.node, err = raft.NewRawNode(c.raftConfig()) })
+	c.recoverPanic(func() { c.node, err = raft.NewRawNode(c.raftConfig()) })
 	if err != nil {
 		c.becomeBroken(fmt.Errorf("what the store holds does not fit together: %v", err))
 	}
@@ -102,13 +102,13 @@
 	}
 	c.processing = true
 	defer func() { c.processing = false }()
-	c.guard(func() {
+	c.recoverPanic(func() {
 		for c.node != nil && c.node.HasReady() {
 			rd := c.node.Ready()
 			if !c.persist(&rd) {
 				return
 			}
-			c.carryOut(&rd)
+			c.sendAndApply(&rd)
 			if c.node == nil {
 				return
 			}
@@ -143,8 +143,8 @@
 	return true
 }
 
-// carryOut sends messages, applies committed entries and reports confirmed reads.
-func (c *Core) carryOut(rd *raft.Ready) {
+// sendAndApply sends messages, applies committed entries and reports confirmed reads.
+func (c *Core) sendAndApply(rd *raft.Ready) {
 	for i := range rd.Messages {
 		c.sendRaft(&rd.Messages[i])
 	}
--- a/internal/fleet/consensus/reasons.go
+++ b/internal/fleet/consensus/reasons.go
@@ -1,7 +1,7 @@
 package consensus
 
-// staleText is why a stale replica takes no part, as operators' commands show it.
-const staleText = "its store is older than what others have had from this voter: a file was put back; move it away and have the voter replaced"
+// staleReason is why a stale replica takes no part, as operators' commands show it.
+const staleReason = "its store is older than what others have had from this voter: a file was put back; move it away and have the voter replaced"
 
 // staleCause is what shows that a store is older than what others have received from it.
 type staleCause uint8
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -52,7 +52,7 @@
 func (c *Core) reason() string {
 	switch c.phase {
 	case Stale:
-		return staleText
+		return staleReason
 	case Broken:
 		return c.failure.Error()
 	}
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -53,7 +53,7 @@
 	return p, valid
 }
 
-func (p piece) last() bool { return p.index == p.count-1 }
+func (p piece) isLast() bool { return p.index == p.count-1 }
 
 // ack says which pieces of a message have arrived.
 type ack struct {
@@ -89,5 +89,5 @@
 	return b
 }
 
-// has says whether a bit is set; those beyond the end are not.
-func (b bitmap) has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
+// isSet says whether a bit is set; those beyond the end are not.
+func (b bitmap) isSet(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
--- a/internal/fleet/fragment/message_test.go
+++ b/internal/fleet/fragment/message_test.go
@@ -17,11 +17,11 @@
 		t.Errorf("ack: %+v", got)
 	}
 	for i, want := range received {
-		if got.bitmap.has(i) != want {
+		if got.bitmap.isSet(i) != want {
 			t.Errorf("bit %d is %t", i, !want)
 		}
 	}
-	if got.bitmap.has(24) {
+	if got.bitmap.isSet(24) {
 		t.Error("a bit beyond the end is set")
 	}
 }
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -4,12 +4,12 @@
 
 // incoming is a long message of which some pieces have arrived.
 type incoming struct {
-	message    messageID
-	data       []byte
-	received   []bool // by piece
-	missing    int
-	pieceBytes int // of each piece but the last
-	sinceAck   int // pieces that arrived since the last ack, repeated ones included
+	message        messageID
+	data           []byte
+	received       []bool // by piece
+	missing        int
+	pieceBytes     int // of each piece but the last
+	piecesSinceAck int // pieces that arrived since the last ack, repeated ones included
 }
 
 func newIncoming(p piece) *incoming {
@@ -24,18 +24,18 @@
 
 // add stores a piece; false: it does not fit the earlier ones.
 func (m *incoming) add(p piece) bool {
-	if len(m.received) != p.count || !p.last() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
+	if len(m.received) != p.count || !p.isLast() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
 	}
 	if !m.received[p.index] {
 		m.received[p.index] = true
 		m.missing--
 		copy(m.data[p.index*m.pieceBytes:], p.body)
-		if p.last() {
+		if p.isLast() {
 			m.data = m.data[:p.index*m.pieceBytes+len(p.body)]
 		}
 	}
-	m.sinceAck++
+	m.piecesSinceAck++
 	return true
 }
 
@@ -46,35 +46,35 @@
 		t.sendAck(from, part.message, nil)
 		return true
 	}
-	m := p.find(part.message)
+	m := p.findIncoming(part.message)
 	if m == nil {
-		if part.last() {
+		if part.isLast() {
 			return true // the length of the others is not known yet; this piece will be retransmitted
 		}
 		if part.count*len(part.body) > MaxMessageBytes+len(part.body) {
 			return false
 		}
 		m = newIncoming(part)
-		p.begin(m)
+		p.addIncoming(m)
 	}
 	if !m.add(part) {
 		return false
 	}
 	if m.missing > 0 {
-		if m.sinceAck >= piecesPerBurst/2 || part.last() {
-			m.sinceAck = 0
+		if m.piecesSinceAck >= piecesPerBurst/2 || part.isLast() {
+			m.piecesSinceAck = 0
 			t.sendAck(from, m.message, m.received)
 		}
 		return true
 	}
-	p.complete(m)
+	p.markComplete(m)
 	t.sendAck(from, m.message, nil)
 	t.effects.DeliverMessage(from, m.data)
 	return true
 }
 
-// find is an incomplete message; nil: no piece of it has arrived.
-func (p *peerState) find(id messageID) *incoming {
+// findIncoming is an incomplete message; nil: no piece of it has arrived.
+func (p *peerState) findIncoming(id messageID) *incoming {
 	for _, m := range p.incoming {
 		if m.message == id {
 			return m
@@ -83,16 +83,16 @@
 	return nil
 }
 
-// begin adds an incomplete message, in place of the oldest one if there are too many.
-func (p *peerState) begin(m *incoming) {
+// addIncoming adds an incomplete message, in place of the oldest one if there are too many.
+func (p *peerState) addIncoming(m *incoming) {
 	if len(p.incoming) >= maxIncoming {
 		p.incoming = p.incoming[1:]
 	}
 	p.incoming = append(p.incoming, m)
 }
 
-// complete remembers a complete message by its id, so that retransmitted pieces are acknowledged and the message is not delivered twice.
-func (p *peerState) complete(m *incoming) {
+// markComplete remembers a markComplete message by its id, so that retransmitted pieces are acknowledged and the message is not delivered twice.
+func (p *peerState) markComplete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
 	}
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -81,7 +81,7 @@
 
 func (o *outgoing) acknowledge(received bitmap) {
 	for i := range o.acked {
-		if !o.acked[i] && received.has(i) {
+		if !o.acked[i] && received.isSet(i) {
 			o.acked[i] = true
 			o.unacked--
 		}
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -56,9 +56,9 @@
 }
 
 // New makes a transport. maxDatagram is the longest that may be sent, in bytes.
-func New(maxDatagram int, incarnation uint32, fx Effects) *Transport {
+func New(maxDatagram int, incarnation uint32, effects Effects) *Transport {
 	return &Transport{
-		effects:     fx,
+		effects:     effects,
 		incarnation: incarnation,
 		pieceBytes:  max(minPieceBytes, maxDatagram-pieceHeader),
 		peers:       map[uint32]*peerState{},
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -47,7 +47,7 @@
 	return links, channels
 }
 
-func next(t *testing.T, ch chan received) received {
+func receiveNext(t *testing.T, ch chan received) received {
 	t.Helper()
 	select {
 	case r := <-ch:
@@ -61,12 +61,12 @@
 func TestSendToOneAndAll(t *testing.T) {
 	links, channels := openLinks(t, 4)
 	links[1].SendToPeer(3, []byte("one"))
-	if h := next(t, channels[3]); h.from != 1 || string(h.data) != "one" {
+	if h := receiveNext(t, channels[3]); h.from != 1 || string(h.data) != "one" {
 		t.Fatalf("%+v", h)
 	}
 	links[2].SendToPeer(-1, []byte("all"))
 	for _, i := range []int{0, 1, 3} {
-		if h := next(t, channels[i]); h.from != 2 || string(h.data) != "all" {
+		if h := receiveNext(t, channels[i]); h.from != 2 || string(h.data) != "all" {
 			t.Fatalf("%d received %+v", i, h)
 		}
 	}
@@ -96,7 +96,7 @@
 	links[1].SendToPeer(7, []byte("nobody"))
 	links[1].SendToPeer(0, nil)
 	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagramBytes))
-	if h := next(t, channels[0]); len(h.data) != MaxDatagramBytes || h.data[0] != 'z' {
+	if h := receiveNext(t, channels[0]); len(h.data) != MaxDatagramBytes || h.data[0] != 'z' {
 		t.Fatalf("received %q", h.data)
 	}
 }
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -24,7 +24,7 @@
 
 // read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
 // the link is closed or StopReceiving was called.
-func (l *Link) read(loop *netio.Loop, handlerOf func(from netip.AddrPort) (handler, bool)) {
+func (l *Link) read(loop *netio.Loop, handlerFor func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
 	buffer := make([]byte, MaxDatagramBytes+1) // one more, so that a datagram that is too long shows
 	for {
@@ -39,7 +39,7 @@
 			}
 			continue
 		}
-		handle, known := handlerOf(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		handle, known := handlerFor(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if !known || n > MaxDatagramBytes || waiting.Load() >= maxWaiting {
 			l.dropped.Add(1)
 			continue
