--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -2,31 +2,33 @@
 
 import "hash/fnv"
 
-// Candidate is a process that could own jobs, as the coordinator sees it.
+// Candidate is a process that could own jobs, as known to the coordinator.
 type Candidate struct {
 	Name        string
 	Incarnation uint64
-	Eligible    bool // not leaving, its lease has not ended, and its replica's store can be used
-	UnheardBy   int  // number of members that have not left and do not hear it; fewer is better
-	EligibleFor Time // how long it has been able without a break
-	Offers      func(job string) bool
+	Eligible    bool                  // not leaving, its lease has not ended, and its replica's store can be used
+	UnheardBy   int                   // number of members that have not left and do not hear it; lower is better
+	EligibleFor Time                  // how long it has been eligible without interruption
+	Offers      func(job string) bool // reports whether the process can own a job
 }
 
-// Assignment is one decision of Assign: a job for a process.
+// Assignment is a decision to assign a job to a process.
 type Assignment struct {
 	Job, Member string
 	Incarnation uint64
-	Handover    bool   // the present owner is to release the job first
+	Handover    bool   // the present owner must release the job first
 	Reason      string // text, stored with the grant
 }
 
-// A job that has an owner is handed over only after its owner has been the worse one for a while: a link that flaps must not move jobs to and fro.
+// A job is handed over only some time after its owner last changed, and only to a candidate that has been
+// eligible for as long: an unstable link must not move jobs back and forth.
 const (
-	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is unfit or hard to reach
-	minRebalanceInterval = 10 * sec // since the last change, before a job moves to even out the load
+	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is not eligible or hard to reach
+	minRebalanceInterval = 10 * sec // since the last change, before a job moves to balance the load
 )
 
-// rendezvousScore ranks a process for a job (rendezvous hashing), alike at every coordinator.
+// rendezvousScore returns the score of a process for a job by rendezvous hashing. Every coordinator
+// computes the same scores.
 func rendezvousScore(job, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(job))
@@ -38,17 +40,19 @@
 	return x ^ x>>29
 }
 
-// assigner is one call of Assign.
+// assigner is the state of one call of Assign.
 type assigner struct {
 	now        Time
 	changedAt  func(job string) Time
 	candidates []Candidate
 	byName     map[string]*Candidate
-	load       map[string]int // jobs by process
+	load       map[string]int // number of jobs by process name
 }
 
-// Assign gives each free job an owner, and requests one handover at most. free are jobs without an owner, in order; owned are the others, and
-// changedAt gives when a job's owner changed last. Jobs are spread: the process with the fewest goes first.
+// Assign assigns each free job to a candidate and requests at most one handover. free holds the jobs
+// without an owner and owned holds the others, both in the order in which they are considered.
+// changedAt returns when a job's owner last changed. Among equally reachable candidates, Assign prefers
+// the one with the fewest jobs.
 func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Assignment {
 	a := assigner{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
 	for i := range candidates {
@@ -70,12 +74,13 @@
 	return assignments
 }
 
-// bestCandidate is the best candidate for a job: able, not except, and stable for stableFor; nil: there is none.
-func (a *assigner) bestCandidate(job, except string, stableFor Time) *Candidate {
+// bestCandidate returns the best candidate for a job among those that offer it, are not named except
+// and have been eligible for minEligible or longer. It returns nil if there is none.
+func (a *assigner) bestCandidate(job, except string, minEligible Time) *Candidate {
 	var best *Candidate
 	for i := range a.candidates {
 		candidate := &a.candidates[i]
-		if !candidate.Eligible || candidate.Name == except || candidate.EligibleFor < stableFor || !candidate.Offers(job) {
+		if !candidate.Eligible || candidate.Name == except || candidate.EligibleFor < minEligible || !candidate.Offers(job) {
 			continue
 		}
 		if best == nil || a.isBetter(job, candidate, best) {
@@ -85,7 +90,8 @@
 	return best
 }
 
-// isBetter orders by reachability, then by load, then by rendezvousScore.
+// isBetter reports whether candidate is better than other: by reachability, then by load, then by
+// rendezvousScore.
 func (a *assigner) isBetter(job string, candidate, other *Candidate) bool {
 	if candidate.UnheardBy != other.UnheardBy {
 		return candidate.UnheardBy < other.UnheardBy
@@ -96,7 +102,8 @@
 	return rendezvousScore(job, candidate.Name) > rendezvousScore(job, other.Name)
 }
 
-// handover gives the handover that is most needed: an owner that is unfit or hard to reach comes before uneven load.
+// handover returns the most urgent handover, if any: replacing an owner that is not eligible or hard to
+// reach comes before balancing the load.
 func (a *assigner) handover(owned []JobRecord) (Assignment, bool) {
 	if p, ok := a.replaceUnfitOwner(owned); ok {
 		return p, true
@@ -104,7 +111,8 @@
 	return a.rebalance(owned)
 }
 
-// replaceUnfitOwner finds a job whose owner is not able or not heard by some members, and a better candidate for it.
+// replaceUnfitOwner returns a handover of the first job whose owner is not eligible, or not heard by
+// some members, and for which there is a better candidate.
 func (a *assigner) replaceUnfitOwner(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
@@ -122,7 +130,8 @@
 	return Assignment{}, false
 }
 
-// rebalance finds a job whose owner has at least two jobs more than another candidate that is no harder to reach.
+// rebalance returns a handover of the first job whose owner has at least two jobs more than another
+// candidate that is no harder to reach.
 func (a *assigner) rebalance(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -30,7 +30,7 @@
 		load[a.Member]++
 	}
 	if load["a"]+load["b"]+load["c"] != 200 || load["a"] < 66 || load["b"] < 66 || load["c"] < 66 {
-		t.Errorf("200 jobs are spread as %v, want 66 or more at each", load)
+		t.Errorf("200 free jobs were assigned as %v, want 66 or more to each of 3 candidates", load)
 	}
 }
 
@@ -38,13 +38,13 @@
 	for _, c := range []struct {
 		name   string
 		change func(c []Candidate)
-		want   string // to whom the job that a owns is handed over; "": it stays
+		want   string // member to which the job that a owns is handed over; empty if it stays
 	}{
-		{"all are fit", func(c []Candidate) {}, ""},
-		{"its owner is not fit", func(c []Candidate) { c[0].Eligible = false; c[2].UnheardBy = 1 }, "b"},
-		{"its owner is not heard by some", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy = 2, 1 }, "c"},
-		{"the others have not been fit for long", func(c []Candidate) { c[0].Eligible = false; c[1].EligibleFor, c[2].EligibleFor = sec, sec }, ""},
-		{"the others are not heard by as many", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy, c[2].UnheardBy = 1, 1, 1 }, ""},
+		{"all are eligible", func(c []Candidate) {}, ""},
+		{"its owner is not eligible", func(c []Candidate) { c[0].Eligible = false; c[2].UnheardBy = 1 }, "b"},
+		{"its owner is not heard by two members", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy = 2, 1 }, "c"},
+		{"the others have not been eligible for long", func(c []Candidate) { c[0].Eligible = false; c[1].EligibleFor, c[2].EligibleFor = sec, sec }, ""},
+		{"the others are not heard by as many members", func(c []Candidate) { c[0].UnheardBy, c[1].UnheardBy, c[2].UnheardBy = 1, 1, 1 }, ""},
 		{"no other offers the job", func(c []Candidate) { c[0].Eligible = false; c[1].Offers, c[2].Offers = offersNone, offersNone }, ""},
 	} {
 		candidates := stableCandidates()
@@ -52,7 +52,7 @@
 		got := Assign(assignTestTime, nil, []JobRecord{{Job: "j", Owner: "a"}}, changedLongAgo, candidates)
 		switch {
 		case c.want == "" && len(got) > 0, c.want != "" && (len(got) != 1 || got[0].Member != c.want || !got[0].Handover):
-			t.Errorf("%s: got %+v, want a handover to %q", c.name, got, c.want)
+			t.Errorf("%s: Assign returned %+v, want a handover to %q (none if empty)", c.name, got, c.want)
 		}
 	}
 }
@@ -60,10 +60,10 @@
 func TestRebalance(t *testing.T) {
 	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
 	if got := Assign(assignTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
-		t.Errorf("a owns two jobs and c none: got %+v, want a handover to c", got)
+		t.Errorf("a owns two jobs and c none: Assign returned %+v, want a handover to c", got)
 	}
 	changedJustNow := func(string) Time { return assignTestTime - 2*sec }
 	if got := Assign(assignTestTime, nil, slices.Clone(owned), changedJustNow, stableCandidates()); len(got) != 0 {
-		t.Errorf("a job that changed its owner just now is handed over again: %+v", got)
+		t.Errorf("the jobs changed their owners 2 s ago: Assign returned %+v, want no handover", got)
 	}
 }
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// grantDelay is the wait before the first grant of an epoch: sessions begin one after the other, and the first would get all jobs.
+	// grantDelay is the time before the first grant of an epoch. Sessions start one after the other, so
+	// without it the first process would get all jobs.
 	grantDelay = 200 * ms
-	// newFleetGrantDelayDivisor: where the table is empty, that wait is a lease divided by it: a fleet starts for the first time, and its processes come
-	// one by one.
+	// newFleetGrantDelayDivisor is the fraction of a lease that replaces grantDelay if the table is
+	// empty: then the fleet starts for the first time, and its processes start one after the other.
 	newFleetGrantDelayDivisor = 2
-	// handoverInterval is the least time between two handovers that Assign requests. Those of operators do not wait.
+	// handoverInterval is the minimum time between two handovers that Assign requests. Handovers that
+	// operators request do not wait.
 	handoverInterval = sec
 
 	minBackoff          = sec
 	maxBackoff          = 60 * sec
-	maxBackoffDoublings = 6
+	maxBackoffDoublings = 6 // enough to reach maxBackoff
 )
 
-// jobFailures are the recent failures of one job.
+// jobFailures counts the recent failures of one job.
 type jobFailures struct {
 	count        int
 	blockedUntil Time
 }
 
-// failureBackoff delays the grant of jobs that fail, twice as long each time, up to backoffMax. A job that has not failed for
-// backoffMax since its last delay ended starts again from the shortest.
+// failureBackoff delays the grant of jobs that fail, by job name. The delay starts at minBackoff and
+// doubles with each failure up to maxBackoff. It starts again at minBackoff once a job has not failed
+// for maxBackoff after its last delay ended.
 type failureBackoff map[string]*jobFailures
 
 func (b failureBackoff) recordFailure(job string, now Time) {
@@ -45,10 +48,10 @@
 	return f != nil && now < f.blockedUntil
 }
 
-// handovers are the assignments for which the present owner is to release the job first.
+// handovers holds the assignments whose job the present owner must release first.
 type handovers struct {
 	byJob           map[string]Assignment
-	lastRequestedAt Time // the last that Assign requested
+	lastRequestedAt Time // when Assign last requested a handover
 }
 
 func (h *handovers) requested(job string) bool {
@@ -56,10 +59,12 @@
 	return ok
 }
 
+// due reports whether Assign may request another handover.
 func (h *handovers) due(now Time) bool { return now-h.lastRequestedAt >= handoverInterval }
 
-// assignJobs registers new jobs, takes jobs from owners that are lost, and grants what is free. Where this process is a majority by itself, a
-// proposal is applied before propose returns, and that calls assignJobs again: each job is looked at again before it is proposed.
+// assignJobs registers new jobs, grants the jobs that have no owner or whose owner is lost, and begins
+// handovers. If this process is a majority by itself, a proposal is applied before propose returns, and
+// commandApplied calls assignJobs again. So each job is checked again right before it is proposed.
 func (c *coordinator) assignJobs() {
 	c.expireSessions()
 	candidates := c.candidates()
@@ -88,7 +93,8 @@
 	}
 }
 
-// firstGrantDelay is how long no job is granted in a new epoch: longer in a fleet that starts for the first time, since all its sessions are new.
+// firstGrantDelay returns how long no job is granted in a new epoch. It is longer in a fleet that starts
+// for the first time, since all its sessions are new.
 func (c *coordinator) firstGrantDelay() Time {
 	if c.tableEmptyAtStart {
 		return c.cfg.Lease / newFleetGrantDelayDivisor
@@ -96,16 +102,18 @@
 	return grantDelay
 }
 
-// maxRenewalAge is how long ago a candidate may have renewed its lease: it requests one each quarter, so a few in a row were lost.
+// maxRenewalAge returns how long ago a candidate may have renewed its lease. A process requests a lease
+// every quarter of one, so after this time two or more requests in a row were lost.
 func maxRenewalAge(lease Time) Time { return lease * 2 / 3 }
 
-// candidateSet are the processes that may own jobs, and what any of them offers.
+// candidateSet holds the processes that may own jobs, and the jobs that at least one of them offers.
 type candidateSet struct {
 	list    []Candidate
 	offered map[string]bool
 }
 
-// expireSessions ends the sessions whose lease has surely ended: the jobs of their processes may be granted to others.
+// expireSessions deletes the sessions whose lease has ended even by the slowest clock allowed. The jobs
+// of their processes may then be granted to others.
 func (c *coordinator) expireSessions() {
 	for _, s := range c.sessions.sorted() {
 		if c.now >= c.latestLeaseEnd(s.renewedAt) {
@@ -115,15 +123,15 @@
 	}
 }
 
-// candidates gives the processes that offer jobs and whose lease requests arrive.
+// candidates returns the processes that offer jobs and have renewed their lease recently.
 func (c *coordinator) candidates() candidateSet {
 	set := candidateSet{offered: map[string]bool{}}
 	for _, s := range c.sessions.sorted() {
 		if n := len(set.list); n > 0 && set.list[n-1].Name == s.name {
-			set.list = set.list[:n-1] // an earlier process of the same name: it gets no more jobs
+			set.list = set.list[:n-1] // an earlier process of the same name gets no more jobs
 		}
 		if s.offers == nil || c.now-s.renewedAt > maxRenewalAge(c.cfg.Lease) {
-			continue // its jobs are not known yet, or it may be lost
+			continue // the jobs that it offers are not known yet, or it may be lost
 		}
 		for job := range s.offers {
 			set.offered[job] = true
@@ -134,7 +142,7 @@
 	return set
 }
 
-// registerNewJobs adds the jobs that are offered and not in the table.
+// registerNewJobs proposes to add the offered jobs that are not in the table.
 func (c *coordinator) registerNewJobs(offered map[string]bool) {
 	for _, job := range slices.Sorted(maps.Keys(offered)) {
 		if c.table.Job(job) == nil && !c.proposals.ownerChangePending(job) {
@@ -143,11 +151,11 @@
 	}
 }
 
-// classifiedJobs are the jobs without a proposal under way.
+// classifiedJobs holds the jobs without a pending change of owner.
 type classifiedJobs struct {
-	free          []string
-	owned         []JobRecord
-	lostOwnerText map[string]string // by job whose owner is lost: the text for its grant
+	free          []string          // may be granted
+	owned         []JobRecord       // their owner may be alive
+	lostOwnerText map[string]string // reason for the grant of each job whose owner is lost, by job
 }
 
 func (c *coordinator) classifyJobs() classifiedJobs {
@@ -173,19 +181,21 @@
 	return jobs
 }
 
-// mayBeGranted reports whether a job has no owner that may be alive, no proposal under way and no backoff.
+// mayBeGranted reports whether a job has no owner that may be alive, no pending change of owner and no
+// backoff.
 func (c *coordinator) mayBeGranted(row *JobRecord) bool {
 	owned := row.Owner != "" && c.ownerMayBeAlive(row)
 	return !owned && !c.proposals.ownerChangePending(row.Job) && !c.backoff.blocked(row.Job, c.now)
 }
 
-// ownerMayBeAlive keeps the coordinator's part of the lease property: an owner counts as lost only once its lease has surely ended, also one
-// that an earlier coordinator granted.
+// ownerMayBeAlive reports whether the owner of a job may still act. Lease: an owner counts as lost only
+// once its lease must have ended, including a lease that an earlier coordinator granted.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
 	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.latestLeaseEnd(c.epochStartedAt)
 }
 
-// preferHandover gives a job that was released for a handover to the process that it was meant for, if that is still fit.
+// preferHandover redirects the assignment of a job that was released for a handover to the process
+// chosen then, if that process is still eligible and offers the job.
 func (c *coordinator) preferHandover(a Assignment) Assignment {
 	handover, ok := c.handovers.byJob[a.Job]
 	if !ok {
@@ -198,7 +208,7 @@
 	return a
 }
 
-// beginHandover requests the owner to release a job, by its job list.
+// beginHandover asks the owner, through its job list, to release a job.
 func (c *coordinator) beginHandover(a Assignment) {
 	c.handovers.byJob[a.Job] = a
 	row := c.table.Job(a.Job)
@@ -206,11 +216,12 @@
 		return
 	}
 	if s := c.sessions[processID{row.Owner, row.Incarnation}]; s != nil {
-		s.listSentVersion = 0 // the list is to be sent at once
+		s.listSentVersion = 0 // the list must be sent at once
 	}
 }
 
-// grant proposes a job's next token: above all earlier ones, and above those of earlier epochs even where the table lost them.
+// grant proposes to assign a job under its next token. The token is above all earlier ones, including
+// those of earlier epochs that the table may have lost.
 func (c *coordinator) grant(a Assignment) {
 	token := max(c.table.Job(a.Job).Token+1, c.epoch<<tokensPerEpochBits)
 	cmd := grantCommand{job: a.Job, token: token, changedAt: c.cfg.WallClock(), owner: a.Member, incarnation: a.Incarnation, reason: a.Reason}
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -7,7 +7,8 @@
 	"croftlock/internal/fleet/group"
 )
 
-// soleVoter is a group of one voter, which applies a command before Propose returns. A command that is proposed from within is applied after it.
+// soleVoter is a group of one voter, which applies a command before Propose returns. A command that is
+// proposed while another is applied is queued behind it.
 type soleVoter struct {
 	core          *Core
 	table         *Table
@@ -53,7 +54,8 @@
 func (g *soleVoter) Leader() uint32                     { return group.Peer("a") }
 func (g *soleVoter) TransferLeadership(Time)            {}
 
-// TestJobsAreAssignedOnce: where commands are applied before Propose returns, no job is registered or granted twice.
+// TestJobsAreAssignedOnce tests that no job is registered or granted twice when commands are applied
+// before Propose returns, so that assignJobs runs recursively.
 func TestJobsAreAssignedOnce(t *testing.T) {
 	var jobs []string
 	for i := range 20 {
@@ -69,11 +71,11 @@
 		core.Tick(now)
 	}
 	if owned := core.OwnedJobs(); len(owned) != len(jobs) {
-		t.Errorf("%d of %d jobs have an owner", len(owned), len(jobs))
+		t.Errorf("%d jobs have an owner, want all %d", len(owned), len(jobs))
 	}
 	for _, job := range jobs {
 		if g.registrations[job] != 1 || g.grants[job] != 1 {
-			t.Errorf("%s was registered %d and granted %d times", job, g.registrations[job], g.grants[job])
+			t.Errorf("%s was registered %d times and granted %d times, want once each", job, g.registrations[job], g.grants[job])
 		}
 	}
 }
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -6,10 +6,12 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxRaisedToken bounds a token that a receiver reports, so that later ones can still rise above it.
+// maxRaisedToken bounds the token that a receiver may report, so that later tokens can still rise
+// above it.
 const maxRaisedToken = 1 << 62
 
-// tableCommand is a change of the table. apply reports whether it was accepted; one that is rejected changes nothing.
+// tableCommand is a change of the table. apply reports whether the table accepted it; a rejected
+// command changes nothing.
 type tableCommand interface {
 	encode() []byte
 	apply(t *Table) bool
@@ -21,7 +23,7 @@
 	changedAt int64 // wall clock, Unix milliseconds
 }
 
-// grantCommand gives a job to a process under a new token.
+// grantCommand assigns a job to a process under a new token.
 type grantCommand struct {
 	job         string
 	token       uint64
@@ -49,16 +51,17 @@
 	checkpoint       []byte
 }
 
-// raiseTokenCommand follows a receiver that has seen a higher token than the table knows.
+// raiseTokenCommand raises a job's token to a higher one that a receiver has seen.
 type raiseTokenCommand struct {
 	job   string
 	token uint64
 }
 
-// confirmCommand ends the uncertainty that Table.MarkUncertain began.
+// confirmCommand clears the mark that Table.MarkUncertain set.
 type confirmCommand struct{}
 
-// commandHeader begins every command: kind, job, token, wall clock.
+// commandHeader returns a Writer that holds the fields with which every command begins: kind, job,
+// token and wall clock.
 func commandHeader(kind commandKind, job string, token uint64, changedAt int64) *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(uint64(kind)).Text(job).Uint(token).Uint(uint64(changedAt))
@@ -103,10 +106,10 @@
 	case kindConfirm:
 		cmd = confirmCommand{}
 	default:
-		return nil, fmt.Errorf("ownership: unknown command %v", kind)
+		return nil, fmt.Errorf("ownership: unknown command kind: %v", kind)
 	}
 	if err := r.Err(); err != nil {
-		return nil, fmt.Errorf("ownership: command %v: %w", kind, err)
+		return nil, fmt.Errorf("ownership: malformed command: %v: %w", kind, err)
 	}
 	return cmd, nil
 }
@@ -119,7 +122,8 @@
 	return true
 }
 
-// apply requires a rising token. Fencing: whatever an earlier owner sends is stale from here on.
+// apply accepts only a token above the job's last one. Fencing: this makes everything stale that an
+// earlier owner sends from now on.
 func (c grantCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token {
@@ -145,7 +149,7 @@
 	return row != nil && row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
 }
 
-// ownedUnder gives the row of a job that is owned under exactly this token; nil: it is not.
+// ownedUnder returns the row of a job if it is owned under exactly this token, and nil otherwise.
 func (t *Table) ownedUnder(job string, token uint64) *JobRecord {
 	row := t.rows[job]
 	if row == nil || row.Token != token || row.Owner == "" {
@@ -154,7 +158,8 @@
 	return row
 }
 
-// apply clears the owner too: the higher token may have been another's, so no owner continues under it.
+// apply also clears the owner: the higher token may have belonged to another owner, so the present
+// one must not continue under it.
 func (c raiseTokenCommand) apply(t *Table) bool {
 	row := t.rows[c.job]
 	if row == nil || c.token <= row.Token || c.token > maxRaisedToken {
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -3,33 +3,36 @@
 import "fmt"
 
 const (
-	// reviewInterval is how often the coordinator looks at all jobs.
+	// reviewInterval is the minimum time between two reviews of all jobs.
 	reviewInterval = 20 * ms
-	// confirmInterval is the time between two rounds in which voters confirm the leader. A round serves all lease requests since the last one.
+	// confirmInterval is the minimum time between two rounds in which the voters confirm the leader. A
+	// round serves all lease requests since the previous one.
 	confirmInterval = 200 * ms
-	// listRepeatInterval is the time until a list is sent again to a process that seems not to have it.
+	// listRepeatInterval is the time until a list is sent again to a process that seems not to have
+	// received it.
 	listRepeatInterval = 200 * ms
-	// listSettleTime is how long after a list was sent a release of a job that is not on it is not yet a sign that the list was lost.
+	// listSettleTime is the time after sending a list during which the release of a job that is not on
+	// it does not yet show that the list was lost.
 	listSettleTime = 50 * ms
 )
 
-// coordinator is the role of the process that leads the group: it grants leases and assigns jobs. It never leads in two epochs at a time;
-// what it learned in one is dropped at the start of the next.
+// coordinator is the role of the process that leads the group: it grants leases and assigns jobs. It
+// leads in one epoch at a time. What it learned in one is dropped at the start of the next.
 type coordinator struct {
 	*environment
-	unheardBy map[string]int // number of members that have not left and do not hear a member, by its name
+	unheardBy map[string]int // number of members that have not left and do not hear a member, by the member's name
 
-	epoch             uint64 // 0: this process does not lead
+	epoch             uint64 // 0 if this process does not lead
 	epochStartedAt    Time
-	tableEmptyAtStart bool // the table was empty when the epoch began
+	tableEmptyAtStart bool // the table was empty at the start of the epoch
 	sessions          sessions
 	proposals         proposals
 	confirmation      leadershipConfirmation
 	backoff           failureBackoff
 	handovers         handovers
-	changedAt         map[string]Time // last change of a job's owner, as seen here
-	listSequence      uint64
-	reviewedAt        Time
+	changedAt         map[string]Time // when this process last saw a job's owner change
+	listSequence      uint64          // of the last job list sent in the epoch
+	reviewedAt        Time            // last review of all jobs
 }
 
 func newCoordinator(env *environment) *coordinator {
@@ -40,7 +43,8 @@
 
 func (c *coordinator) leads() bool { return c.epoch != 0 }
 
-// dropEpochState drops all that was learned in an epoch. Tags, and the times of the last confirmation, review and handover, are kept.
+// dropEpochState drops everything learned in an epoch, except the last tag and the times of the last
+// confirmation, review and handover.
 func (c *coordinator) dropEpochState() {
 	c.listSequence = 0
 	c.sessions = sessions{}
@@ -51,7 +55,8 @@
 	c.changedAt = map[string]Time{}
 }
 
-// becomeCoordinator begins an epoch. The leases that an earlier coordinator granted are not known here: see ownerMayBeAlive.
+// becomeCoordinator starts an epoch. The leases that an earlier coordinator granted are not known here;
+// see ownerMayBeAlive.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
 	c.epoch, c.epochStartedAt, c.tableEmptyAtStart = epoch, c.now, c.table.Version == 0
 	c.dropEpochState()
@@ -61,7 +66,7 @@
 	c.effects.LogEvent("coordinator_elected", "epoch", epoch)
 }
 
-// stepDown ends the epoch. Results of proposals under way are still passed on to the requesters.
+// stepDown ends the epoch. The results of pending proposals are still sent to their requesters.
 func (c *coordinator) stepDown() { c.epoch = 0 }
 
 func (c *coordinator) tick() {
@@ -88,24 +93,28 @@
 	c.sendJobLists()
 }
 
-// resolveUncertainty ends the table's uncertainty once every lease has ended that a lost command may have led to.
+// resolveUncertainty proposes to clear the table's uncertainty once every lease has ended that a lost
+// command may have led to.
 func (c *coordinator) resolveUncertainty() {
 	if c.now >= c.latestLeaseEnd(c.epochStartedAt) {
 		c.propose(confirmCommand{}, proposal{})
 	}
 }
 
-// latestLeaseEnd is when a lease that was granted at a time has ended at its holder, as long as neither clock is fast or slow by more than 2 %
-// (clockDriftDivisor).
+// latestLeaseEnd returns the time at which a lease granted at grantedAt must have ended at its holder,
+// provided that neither clock is fast or slow by more than 2 % (clockDriftDivisor).
 func (c *coordinator) latestLeaseEnd(grantedAt Time) Time {
 	return grantedAt + leaseAtGrantor(c.cfg.Lease)
 }
 
-// handleJobReleased takes a job back. While a proposal on the job is under way the release is ignored, since the process repeats it.
+// handleJobReleased proposes to release a job. A release is ignored while a change of the job's owner is
+// pending, since the process repeats it.
 func (c *coordinator) handleJobReleased(m jobReleased) {
 	s := c.sessions[m.sender]
 	if s != nil && !m.eligible {
-		s.eligible = false // its lease request, which says so too, may come later: until then it would be granted the job again
+		// The lease request that also reports this may arrive later. Until then the process would be
+		// granted the job again.
+		s.eligible = false
 	}
 	row := c.table.Job(m.job)
 	if !c.leads() || row == nil || c.proposals.ownerChangePending(m.job) {
@@ -116,7 +125,8 @@
 		return
 	}
 	if m.higherToken > row.Token {
-		// Fencing: the next grant must be above what a receiver has seen. The list changes with the token, so the process drops the job.
+		// Fencing: the next grant must be above the token that a receiver has seen. The new token also
+		// changes the job list, so the process drops the job.
 		c.propose(raiseTokenCommand{job: m.job, token: m.higherToken}, proposal{job: m.job, exclusive: true})
 		return
 	}
@@ -127,7 +137,8 @@
 	c.propose(release, proposal{job: m.job, exclusive: true})
 }
 
-// resendList sends the list again to a process that releases a job that it does not own any more.
+// resendList sends the job list again to a process that releases a job that it no longer owns. It does
+// nothing if s is nil.
 func (c *coordinator) resendList(s *session) {
 	if s != nil && c.now-s.listSentAt > listSettleTime {
 		s.listSentVersion = 0
@@ -135,7 +146,8 @@
 	}
 }
 
-// handleStoreCheckpoint has a checkpoint replicated. Whether its sender is the owner is decided where the command is applied.
+// handleStoreCheckpoint proposes to store a checkpoint. checkpointCommand.apply checks that the sender
+// owns the job.
 func (c *coordinator) handleStoreCheckpoint(from uint32, m storeCheckpoint) {
 	if !c.leads() {
 		return
@@ -143,7 +155,8 @@
 	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
-// moveJob begins a handover that an operator requests. refusal is sent to the operator; "": it is accepted.
+// moveJob begins a handover that an operator requests. refusal is the reason for the operator, empty if
+// the request is accepted.
 func (c *coordinator) moveJob(job, to string) (refusal string) {
 	row, s := c.table.Job(job), c.sessions.latest(to)
 	switch {
@@ -163,7 +176,7 @@
 	return ""
 }
 
-// forwardQuery sends a query on to the job's owner, if that is another process.
+// forwardQuery forwards a query to the job's owner if that is another process.
 func (c *coordinator) forwardQuery(m queryMessage) {
 	row := c.table.Job(m.job)
 	if c.leads() && row != nil && row.Owner != "" && row.Owner != c.cfg.Name {
@@ -177,8 +190,8 @@
 	}
 }
 
-// sendJobList sends a process the list of the jobs that it is to own, if the table has changed since the last list or the process seems not to
-// have that list.
+// sendJobList sends a process the list of the jobs that it is to own if the table has changed since the
+// last list, or if the process seems not to have received that list.
 func (c *coordinator) sendJobList(s *session) {
 	current := c.table.Version + 1
 	if s.listSentVersion == current && (!s.lacksList || c.now-s.listSentAt < listRepeatInterval) {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -7,14 +7,14 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Config describes a process to its Core.
+// Config configures a Core.
 type Config struct {
 	Name        string       // member name
-	Incarnation uint64       // of the process, above 0; the owner agent passes its start in Unix milliseconds
-	Voters      []string     // names of those that may lead the group
-	Jobs        []string     // that this process can own
-	Lease       Time         // how long an owner continues without the coordinator; default 2 s
-	WallClock   func() int64 // wall clock, Unix milliseconds; default always 0
+	Incarnation uint64       // of the process, above 0; the owner agent passes its start time in Unix milliseconds
+	Voters      []string     // names of the members that may lead the group
+	Jobs        []string     // jobs that this process can own
+	Lease       Time         // how long an owner continues without the coordinator; default 2 s if not above 0
+	WallClock   func() int64 // returns the wall clock in Unix milliseconds; if nil, it is always 0
 	Faults      FaultInjection
 }
 
@@ -32,53 +32,61 @@
 
 func (cfg Config) validate() error {
 	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
-		return fmt.Errorf("%w: name %q, incarnation %d, %d voters, %d jobs", ErrInvalidConfig, cfg.Name, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs))
+		return fmt.Errorf("%w: name %q, expected 1 to %d bytes; incarnation %d, expected above 0; %d voters, expected 1 or more; %d jobs, expected at most %d",
+			ErrInvalidConfig, cfg.Name, maxNameBytes, cfg.Incarnation, len(cfg.Voters), len(cfg.Jobs), MaxJobs)
 	}
 	return nil
 }
 
-// Effects is what a Core has done by its process. Byte strings passed are valid during the call only.
+// Effects is the interface through which a Core acts on its process. Byte slices passed to its
+// methods are valid only during the call.
 type Effects interface {
+	// Send sends a message to another process.
 	Send(peer uint32, msg []byte)
-	// Start begins a job under a token, from the last checkpoint. A job that can't start gives an error and is released.
+	// Start starts a job under a token, from the last checkpoint. If it returns an error, the job is
+	// released.
 	Start(job string, token, checkpointNumber uint64, checkpoint []byte) error
-	// Stop ends a job before it returns. It gives the checkpoint for the next owner, under a number above the last one stored.
+	// Stop stops a job before it returns. It returns the checkpoint for the next owner, with a
+	// number above that of the last one stored.
 	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
-	// ApplyEffect carries out an effect that the fence has accepted.
+	// ApplyEffect applies an effect that the fence has accepted.
 	ApplyEffect(job string, token FencingToken, body []byte)
-	// EffectAcknowledged passes a receiver's verdict to the owner of the job.
+	// EffectAcknowledged reports a receiver's verdict to the owner of the job.
 	EffectAcknowledged(peer uint32, job string, token FencingToken, v Verdict, highest FencingToken)
 	// CheckpointStored reports to an owner whether a checkpoint was stored or rejected.
 	CheckpointStored(job string, token, checkpointNumber uint64, stored bool)
-	// QueryReceived passes on a query to a job that this process owns.
+	// QueryReceived passes on a query to a job that this process owns. Core.Reply answers it.
 	QueryReceived(peer uint32, job string, tag uint64, body []byte)
-	// ReplyReceived passes on the answer to Core.Query or Core.MoveJob.
+	// ReplyReceived passes on the reply to Core.Query or Core.MoveJob.
 	ReplyReceived(tag uint64, body []byte)
+	// LogEvent logs an event with alternating keys and values.
 	LogEvent(event string, args ...any)
 }
 
-// processID distinguishes two processes of one name: during a replacement both run for a moment.
+// processID identifies a process. The incarnation distinguishes two processes of the same name,
+// which both run for a short time while one replaces the other.
 type processID struct {
 	name        string
 	incarnation uint64
 }
 
-// environment is what the participant and the coordinator of one process share.
+// environment is the state that the participant and the coordinator of one process share.
 type environment struct {
 	cfg     Config
 	effects Effects
-	group   Group // nil: this process is no voter
+	group   Group // nil if this process is not a voter
 	table   *Table
-	self    uint32 // peer
-	now     Time
-	toSelf  [][]byte // messages to this process, delivered after the current step
+	self    uint32   // peer number of this process
+	now     Time     // latest time that the caller has passed in
+	toSelf  [][]byte // messages of this process to itself, delivered after the current step
 }
 
 func (e *environment) advance(now Time) { e.now = max(e.now, now) }
 
 func (e *environment) processID() processID { return processID{e.cfg.Name, e.cfg.Incarnation} }
 
-// send sends an encoded message. One to this process waits for the end of the current step.
+// send sends an encoded message. A message to this process itself is queued until the current step
+// is done.
 func (e *environment) send(peer uint32, data []byte) {
 	if peer == e.self {
 		e.toSelf = append(e.toSelf, slices.Clone(data))
@@ -87,17 +95,19 @@
 	e.effects.Send(peer, data)
 }
 
-// Core is one process's part: a participant that may own jobs, a receiver of effects behind a fence, and the coordinator while the
-// process leads the group. Its methods must not be called concurrently.
+// Core implements ownership in one process: a participant that may own jobs, a receiver of effects
+// behind a fence, and the coordinator while the process leads the group. Its methods must not be
+// called concurrently.
 type Core struct {
 	*environment
 	fence       *Fence
 	participant *participant
 	coordinator *coordinator
-	delivering  bool // messages to this process are being delivered
+	delivering  bool // deliverToSelf is running
 }
 
-// New makes a process's part. table is the one that group replicates.
+// New returns the Core of a process. table is the state machine that group replicates. group is nil
+// if the process is not a voter.
 func New(cfg Config, group Group, table *Table, fence *Fence, effects Effects) (*Core, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -108,7 +118,7 @@
 
 func peerOf(name string) uint32 { return group.Peer(name) }
 
-// Tick is to be called every 50 to 100 ms. The end of the lease stops all jobs here.
+// Tick must be called every 50 to 100 ms. It stops all jobs once the lease has ended.
 func (c *Core) Tick(now Time) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -120,51 +130,57 @@
 	c.participant.tick()
 }
 
-// Applied is the group's report that a proposed command was applied.
+// Applied must be called when the group has applied a proposed command.
 func (c *Core) Applied(now Time, tag uint64, result []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.coordinator.commandApplied(tag, result)
 }
 
-// Confirmed is the group's report that this process still led after Confirm was called.
+// Confirmed must be called when the group has confirmed that this process still led after
+// Group.Confirm was called.
 func (c *Core) Confirmed(now Time, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.coordinator.leadershipConfirmed(tag)
 }
 
-// SetGroup replaces the group; nil: this process is no voter, as while its store has failed. The table stays.
+// SetGroup replaces the group and keeps the table. A nil group means that this process is not a
+// voter, for example while its store has failed.
 func (c *Core) SetGroup(g Group) {
 	c.group = g
 	c.coordinator.stepDown()
 }
 
-// TransferLeadership gives up the lead of the group.
+// TransferLeadership gives up the leadership of the group.
 func (c *Core) TransferLeadership(now Time) {
 	if c.group != nil {
 		c.group.TransferLeadership(now)
 	}
 }
 
-// SetEligible sets whether this process is fit to own jobs: not while its replica's store can't be used.
+// SetEligible sets whether this process may be assigned jobs. It is not eligible while its replica's
+// store can't be used.
 func (c *Core) SetEligible(eligible bool) { c.participant.eligible = eligible }
 
-// SetUnheardBy sets by how many members that have not left each member is not heard; this is not the state membership.Unreachable. The
-// coordinator keeps jobs away from members that others do not hear.
+// SetUnheardBy sets, by member name, the number of members that have not left and do not hear that
+// member. This is not the state membership.Unreachable. The coordinator avoids assigning jobs to
+// members that others do not hear.
 func (c *Core) SetUnheardBy(unheardBy map[string]int) {
 	c.coordinator.unheardBy = unheardBy
 }
 
-// Leave releases all jobs, and takes none any more. text is stored as the reason.
+// Leave releases all jobs and refuses new ones. text is stored in the table as the reason.
 func (c *Core) Leave(now Time, text string) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.participant.leave(text)
 }
 
-// HasLeft reports whether the coordinator has taken back all that Leave released, or the lease has ended. A coordinator that leaves waits for
-// its proposals as well: a job that it has granted without notifying the new owner would have none until the next coordinator's first list.
+// HasLeft reports whether the coordinator has taken back all jobs that Leave released, or the lease
+// has ended. A coordinator that leaves also waits for its proposals: otherwise a job that it has
+// granted, but whose new owner it has not notified, would not run until the next coordinator sends
+// its first list.
 func (c *Core) HasLeft() bool {
 	if c.participant.leaseEnded() {
 		return true
@@ -172,25 +188,27 @@
 	return len(c.participant.jobs) == 0 && (!c.coordinator.leads() || c.coordinator.proposals.empty())
 }
 
-// JobFailed releases a job that ended by a fault of its own. cause is stored.
+// JobFailed releases a job that ended because of its own failure. cause is stored in the table.
 func (c *Core) JobFailed(now Time, job string, token uint64, cause string) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.participant.jobFailed(job, token, cause)
 }
 
-// IsOwner reports whether this process may act as a job's owner under a token now. Lease alone: the process may be paused right after the call,
-// and then only the receivers' fences reject what it sends.
+// IsOwner reports whether this process may act now as the job's owner under a token. It checks only
+// the lease: if the process is paused right after the call, only the receivers' fences reject what
+// it sends.
 func (c *Core) IsOwner(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
 }
 
-// Leader is the peer that this process takes for the coordinator; 0: none.
+// Leader returns the peer that this process believes to be the coordinator, or 0 if it knows none.
 func (c *Core) Leader() uint32 { return c.participant.lease.leader }
 
-// LeaseRemaining is how long this process may go on as an owner.
+// LeaseRemaining returns how long this process may continue to own jobs without a renewal, or 0 if
+// its lease has ended.
 func (c *Core) LeaseRemaining(now Time) Time { return max(0, c.participant.lease.end-now) }
 
-// OwnedJobs gives the jobs that this process owns, with their tokens.
+// OwnedJobs returns the tokens of the jobs that this process owns, by job.
 func (c *Core) OwnedJobs() map[string]uint64 { return c.participant.ownedJobs() }
--- a/internal/fleet/ownership/decode.go
+++ b/internal/fleet/ownership/decode.go
@@ -8,12 +8,12 @@
 )
 
 var (
-	errNoJob          = errors.New("no job")
-	errNoIncarnation  = errors.New("no incarnation")
+	errNoJob          = errors.New("no job name")
+	errNoIncarnation  = errors.New("incarnation 0, expected above 0")
 	errUnknownVerdict = errors.New("unknown verdict")
 )
 
-// decodeMessage decodes one message. Byte strings in it are parts of data, not copies.
+// decodeMessage decodes a message. Byte slices in it refer to data and are not copied.
 func decodeMessage(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind := messageKind(r.Uint())
@@ -56,7 +56,7 @@
 	return m, validate(m)
 }
 
-// validate rejects values that no sender means.
+// validate rejects values that a correct sender never sends.
 func validate(m message) error {
 	switch m := m.(type) {
 	case leaseRequest:
@@ -69,7 +69,7 @@
 		}
 	case effectAck:
 		if m.verdict > Stale {
-			return malformed(kindEffectAck, errUnknownVerdict)
+			return malformed(kindEffectAck, fmt.Errorf("%w: %d, expected at most %d", errUnknownVerdict, uint8(m.verdict), uint8(Stale)))
 		}
 	}
 	return nil
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -11,23 +11,24 @@
 	"croftlock/internal/fleet/group"
 )
 
-// The exploration visits the states that this package's own code can reach with a bounded number of elections, renewals, restarts, clock steps
-// and effects, in every order. There are three voters, two of which are candidates, and a receiver of their effects. A message that is never
-// delivered is lost, so loss needs no step of its own.
+// The exploration is a model check of Quorum and Fence. It visits the states that their code can reach
+// with a bounded number of elections, renewals, restarts, clock steps and effects, in every order. A
+// state is called a world. There are three voters, two of which may be candidates, and a receiver of
+// their effects. A message that is never delivered counts as lost, so losses need no step of their own.
 
 const (
 	quorumLease = 1500 * ms
-	clockStep   = quorumLease / 3   // of all clocks at a time
-	clockSkew   = quorumLease / 120 // of one clock: about what it drifts in a lease, at 1%
+	clockStep   = quorumLease / 3   // by which all clocks advance in one step
+	clockSkew   = quorumLease / 120 // by which one clock advances in one step: about its drift during a lease at 1 %
 )
 
-// successors are the worlds that one step leads to.
+// successors holds the worlds that one step from another world leads to.
 type successors struct {
 	worlds []*world
 	from   *world
 }
 
-// add plays one step in a copy of the world.
+// add applies a step to a copy of the world and checks the result.
 func (s *successors) add(step func(next *world)) {
 	next := s.from.clone()
 	step(next)
@@ -35,7 +36,7 @@
 	s.worlds = append(s.worlds, next)
 }
 
-// successors plays each step that is possible in this world.
+// successors returns the worlds that the possible steps in this world lead to.
 func (w *world) successors(f FaultInjection) []*world {
 	s := &successors{from: w}
 	for i, p := range w.inFlight {
@@ -56,6 +57,7 @@
 	return s.worlds
 }
 
+// addSkewAndRestart adds the steps in which a voter's clock gains and in which it restarts.
 func (w *world) addSkewAndRestart(s *successors, voter int, f FaultInjection) {
 	if w.skews > 0 {
 		s.add(func(next *world) {
@@ -71,6 +73,7 @@
 	}
 }
 
+// addCandidateSteps adds the steps of a voter that may be a candidate or the leader.
 func (w *world) addCandidateSteps(s *successors, voter int) {
 	q := w.voters[voter]
 	leads := q.leads() && q.now < q.leader.leaseEnd
@@ -87,14 +90,14 @@
 		})
 	}
 	if w.effects > 0 && leads {
-		s.add(func(next *world) { // it has checked its lease; the effect may arrive at any later time
+		s.add(func(next *world) { // the leader has checked its lease; the effect may arrive at any later time
 			next.effects--
 			next.inFlight = append(next.inFlight, packet{from: voter, to: receiverNumber, epoch: next.voters[voter].leader.epoch})
 		})
 	}
 }
 
-// stepClocks lets time pass for all voters alike.
+// stepClocks advances the clocks of all voters by the same time.
 func (w *world) stepClocks() {
 	w.clockSteps--
 	for _, q := range w.voters {
@@ -108,6 +111,7 @@
 	}
 }
 
+// deliver delivers a packet to a voter or to the receiver of effects.
 func (w *world) deliver(p packet) {
 	if p.to != receiverNumber {
 		q := w.voters[p.to]
@@ -118,12 +122,12 @@
 		return
 	}
 	if p.epoch < w.highestEpoch {
-		w.violation = fmt.Sprintf("an effect of epoch %d is accepted after one of epoch %d", p.epoch, w.highestEpoch)
+		w.violation = fmt.Sprintf("an effect of epoch %d was accepted after one of epoch %d", p.epoch, w.highestEpoch)
 	}
 	w.highestEpoch = max(w.highestEpoch, p.epoch)
 }
 
-// check checks what must hold in every world: at most one voter leads.
+// check records a violation if more than one voter leads.
 func (w *world) check() {
 	w.dropIgnored()
 	leader := -1
@@ -138,14 +142,15 @@
 	}
 }
 
-// exploration is the outcome of explore.
+// exploration is the result of explore.
 type exploration struct {
-	visited   int
+	visited   int    // number of worlds
 	complete  bool   // all reachable worlds were visited
-	violation string // "": none
+	violation string // empty if there is none
 }
 
-// explore visits up to limit worlds, each once, in an order that is random but the same in each run.
+// explore visits up to limit worlds, each once, and stops at the first violation. The order is random but
+// the same in each run.
 func explore(start world, f FaultInjection, limit int) (e exploration) {
 	w := &start
 	w.fence = &Fence{Faults: f}
@@ -154,7 +159,7 @@
 		w.voters[voter] = w.newVoter(voter, 0, f)
 	}
 	for _, q := range w.voters {
-		q.now += 20 * quorumLease // the fleet has been up for that long
+		q.now += 20 * quorumLease // long after the start, so that no voter abstains
 	}
 	known := map[uint64]bool{w.key(): true}
 	queue := []*world{w}
@@ -181,49 +186,51 @@
 	return e
 }
 
-// exploreLimit bounds the worlds visited without a fault; set says whether EXPLORE_STATES gives it, where 0 means all.
+// exploreLimit returns the maximum number of worlds to visit without a fault, and whether the environment
+// variable EXPLORE_STATES sets it. There 0 means no limit.
 func exploreLimit(t *testing.T) (limit int, set bool) {
 	t.Helper()
-	const byDefault, all = 3000, 1 << 40
+	const defaultLimit, unlimited = 3000, 1 << 40
 	text := os.Getenv("EXPLORE_STATES")
 	if text == "" {
-		return byDefault, false
+		return defaultLimit, false
 	}
 	limit, err := strconv.Atoi(text)
 	if err != nil {
-		t.Fatalf("EXPLORE_STATES: %v", err)
+		t.Fatalf("EXPLORE_STATES=%q: %v", text, err)
 	}
 	if limit == 0 {
-		limit = all
+		limit = unlimited
 	}
 	return limit, true
 }
 
-// TestExploration: no reachable world violates a property, and with a fault injected one does.
+// TestExploration tests that no reachable world violates a property, and that the exploration finds a
+// violation for each injected fault.
 func TestExploration(t *testing.T) {
-	limit, byHand := exploreLimit(t)
+	limit, limitSet := exploreLimit(t)
 	for _, c := range []struct {
 		name  string
 		start world
 		fault FaultInjection
-		slow  bool // to find the fault takes many worlds: only with EXPLORE_STATES
+		slow  bool // the fault is found only after many worlds; injected only if EXPLORE_STATES is set
 	}{
 		{"a voter that has just started does not abstain", world{elections: 2, restarts: 1, clockSteps: 1}, FaultInjection{SkipAbstention: true}, false},
-		{"a lease counts from its answer", world{elections: 2, clockSteps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
+		{"a lease starts at its reply", world{elections: 2, clockSteps: 3, skews: 1}, FaultInjection{StartLeaseAtReply: true}, true},
 		{"a receiver forgets its fencing tokens", world{elections: 2, clockSteps: 3, effects: 2}, FaultInjection{ForgetTokens: true}, true},
 	} {
 		e := explore(c.start, FaultInjection{}, limit)
-		t.Logf("without a fault: %d worlds visited, all of them: %t", e.visited, e.complete)
+		t.Logf("%s: without the fault %d worlds visited, complete: %t", c.name, e.visited, e.complete)
 		if e.violation != "" {
-			t.Errorf("%s: violated without the fault: %s", c.name, e.violation)
+			t.Errorf("%s: violation without the fault: %s", c.name, e.violation)
 		}
-		if c.slow && !byHand {
+		if c.slow && !limitSet {
 			continue
 		}
 		e = explore(c.start, c.fault, 1<<20)
-		t.Logf("%s: %q after %d worlds", c.name, e.violation, e.visited)
+		t.Logf("%s: violation %q after %d worlds", c.name, e.violation, e.visited)
 		if e.violation == "" {
-			t.Errorf("%s: not found", c.name)
+			t.Errorf("%s: no violation found in %d worlds", c.name, e.visited)
 		}
 	}
 }
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -14,30 +14,30 @@
 var voterNames = []string{"a", "b", "c"}
 
 const (
-	candidateCount = 2 // how many voters, from the first one on, may become candidates
-	receiverNumber = 3 // the receiver's, after those of the voters
+	candidateCount = 2 // number of voters, counted from the first, that may become candidates
+	receiverNumber = 3 // number of the receiver of effects, after those of the voters
 )
 
 // packet is a message between voters, or an effect for the receiver.
 type packet struct {
-	from, to int
-	data     []byte // of a message
-	epoch    uint64 // of an effect
+	from, to int    // numbers of voters; to may be receiverNumber
+	data     []byte // the message; nil for an effect
+	epoch    uint64 // of the effect; 0 for a message
 }
 
-// world is one state of three voters, a receiver and the packets in flight.
+// world is a state of the exploration: three voters, a receiver and the packets in flight.
 type world struct {
 	voters       [3]*Quorum
 	inFlight     []packet
 	fence        *Fence
-	highestEpoch uint64 // of an effect that the receiver has accepted
-	violation    string // "": none
+	highestEpoch uint64 // of the effects that the receiver has accepted
+	violation    string // empty if there is none
 
-	// How often each step may still happen.
+	// Number of times that each step may still happen.
 	elections, renewals, restarts, clockSteps, skews, effects int
 }
 
-// worldEffects puts what a voter sends in flight.
+// worldEffects adds the messages that a voter sends to the packets in flight.
 type worldEffects struct {
 	world *world
 	voter int
@@ -55,6 +55,7 @@
 func (worldEffects) Confirmed(uint64)             {}
 func (worldEffects) LogEvent(string, ...any)      {}
 
+// newVoter returns a new process of a voter, which starts at the given time.
 func (w *world) newVoter(voter int, now Time, f FaultInjection) *Quorum {
 	cfg := QuorumConfig{Group: "g", Name: voterNames[voter], Voters: voterNames, Lease: quorumLease, WallClockAtStart: now / (10 * ms), Faults: f}
 	q, err := NewQuorum(cfg, map[byte]group.Machine{}, worldEffects{w, voter})
@@ -65,7 +66,7 @@
 	return q
 }
 
-// clone copies a world, so that steps from one copy do not change another.
+// clone returns a deep copy of a world, so that steps in one copy do not change another.
 func (w *world) clone() *world {
 	c := *w
 	c.inFlight = slices.Clone(w.inFlight)
@@ -85,7 +86,7 @@
 	return &c
 }
 
-// hasher gathers the numbers that make up a world.
+// hasher collects the numbers that identify a world.
 type hasher struct{ data []byte }
 
 func (h *hasher) append(numbers ...uint64) {
@@ -94,13 +95,13 @@
 	}
 }
 
-// key is the same for worlds from which the same can follow.
+// key returns a hash that is the same for worlds with the same possible successors.
 func (w *world) key() uint64 {
 	var h hasher
 	for _, q := range w.voters {
 		h.appendVoter(q)
 	}
-	sum := uint64(0) // the order of packets in flight makes no difference
+	sum := uint64(0) // a sum, since the order of packets in flight makes no difference
 	for _, p := range w.inFlight {
 		sum += xxhash.Sum64(append([]byte{byte(p.from), byte(p.to), byte(p.epoch), byte(p.epoch >> 8), byte(p.epoch >> 16), byte(p.epoch >> 24)}, p.data...))
 	}
@@ -108,6 +109,7 @@
 	return xxhash.Sum64(h.data)
 }
 
+// appendVoter appends the parts of a voter's state that determine its behavior.
 func (h *hasher) appendVoter(q *Quorum) {
 	h.append(uint64(q.now), uint64(q.startedAt+1))
 	h.append(q.voter.promised, uint64(q.voter.grantee), q.voter.epoch, uint64(q.voter.grantEnd))
@@ -133,7 +135,7 @@
 	}
 }
 
-// dropIgnored drops the packets that their receivers would ignore, which would only multiply the worlds.
+// dropIgnored drops the packets that their receivers would ignore: they would only multiply the worlds.
 func (w *world) dropIgnored() {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(p packet) bool {
 		if p.to == receiverNumber || len(p.data) == 0 {
--- a/internal/fleet/ownership/faultinjection.go
+++ b/internal/fleet/ownership/faultinjection.go
@@ -1,14 +1,17 @@
 package ownership
 
-// FaultInjection breaks single properties of this package, to show that the checks of simulations and experiments find it. Only these set it;
-// the zero value breaks nothing.
+// FaultInjection breaks individual properties of this package, to show that the checks of simulations
+// and experiments detect it. Only they set it. The zero value breaks nothing.
 type FaultInjection struct {
-	// SkipAbstention has a voter without a disk grant the lead from its start on. It may have granted it to another just before, so two can
-	// lead at a time: breaks the first guarantee of Quorum.
+	// SkipAbstention makes a voter of a Quorum grant leases as soon as it has started. It may have
+	// granted one to another candidate just before the restart, so two can lead at the same time. This
+	// breaks the first guarantee of Quorum.
 	SkipAbstention bool
-	// StartLeaseAtReply counts a lease from when it was granted and not from its request. It ends at its holder after it ended at the grantor,
-	// by as long as the answer took: breaks the lease property, for owners and for the lead of a Quorum.
+	// StartLeaseAtReply makes the holder count a lease from the arrival of the reply and not from the
+	// request. The lease then ends at the holder later, by as long as the reply took, which can be
+	// after its end at the grantor. This breaks the lease property, for owners and for the leader of a
+	// Quorum.
 	StartLeaseAtReply bool
-	// ForgetTokens has a Fence remember nothing and accept every effect: breaks fencing.
+	// ForgetTokens makes a Fence accept every effect. This breaks fencing.
 	ForgetTokens bool
 }
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -1,24 +1,29 @@
 package ownership
 
-// FencingToken orders the effects of a job: by the owner's token, then by the number that the owner gave the effect.
+// FencingToken orders the effects of a job: first by the owner's token, then by the number that the
+// owner gave the effect.
 type FencingToken struct{ Token, Sequence uint64 }
 
-// Before reports whether t comes before other.
+// Before reports whether t is ordered before other.
 func (t FencingToken) Before(other FencingToken) bool {
 	return t.Token < other.Token || t.Token == other.Token && t.Sequence < other.Sequence
 }
 
-// Verdict is what a receiver decides on an effect.
+// Verdict is a receiver's decision about an effect.
 type Verdict uint8
 
-// The verdicts, as sent in acknowledgements.
+// Verdicts, as sent in acknowledgements. The numbers must not change.
 const (
-	Accepted  Verdict = iota
-	Duplicate         // this effect or a later one of the same token was accepted before
-	Stale             // a higher token was seen, or the Fence is full and does not know the job
+	// Accepted means that the effect is applied.
+	Accepted Verdict = iota
+	// Duplicate means that this effect, or a later one with the same token, was accepted before.
+	Duplicate
+	// Stale means that an effect with a higher token was accepted before, or that the Fence is full
+	// and does not know the job.
+	Stale
 )
 
-// String names the verdict.
+// String returns the verdict's name.
 func (v Verdict) String() string {
 	switch v {
 	case Accepted:
@@ -31,16 +36,18 @@
 	return "unknown"
 }
 
-// Fence is what a receiver remembers of each job: the fencing token of the latest effect that it accepted. It makes
-// effects of a stale owner harmless that come after a later owner's. It is in memory: a process begins with an empty one.
+// Fence records, for each job, the fencing token of the latest effect that a receiver accepted. It
+// rejects effects of a stale owner that arrive after those of a later owner. It is kept in memory, so
+// a process starts with an empty Fence. The zero value is ready to use.
 type Fence struct {
-	Faults FaultInjection
+	Faults FaultInjection // for tests; the zero value injects nothing
 
 	last map[string]FencingToken
 }
 
-// Check decides on an effect, and remembers its token if it is accepted; it returns the token of the latest effect accepted as well. An effect
-// replaces earlier ones of its job, so one that arrives after a later one is not needed.
+// Check decides whether to accept an effect, and records its token if so. It also returns the token of
+// the latest accepted effect of the job. Each effect replaces the earlier ones of its job, so an
+// effect that arrives after a later one is not needed.
 func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
 		f.last = map[string]FencingToken{}
@@ -53,11 +60,12 @@
 	case token.Token == last.Token && token.Sequence <= last.Sequence:
 		return Duplicate, last
 	case !known && len(f.last) >= MaxJobs:
-		return Stale, last // a job that can't be remembered could not be fenced later
+		return Stale, last // without a record of the job, a stale effect could not be rejected later
 	}
 	f.last[job] = token
 	return Accepted, token
 }
 
-// LastAccepted is the latest effect accepted of a job.
+// LastAccepted returns the token of the latest accepted effect of a job, or the zero token if none was
+// accepted.
 func (f *Fence) LastAccepted(job string) FencingToken { return f.last[job] }
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -20,23 +20,24 @@
 		{FencingToken{5, 9}, Stale},
 	} {
 		if verdict, highest := f.Check("j", c.token); verdict != c.want || verdict != Accepted && highest.Before(c.token) {
-			t.Errorf("%v: got %v after %v, want %v", c.token, verdict, highest, c.want)
+			t.Errorf("Check(%q, %v) = %v, %v, want verdict %v and a token not before the checked one unless accepted", "j", c.token, verdict, highest, c.want)
 		}
 	}
 	if last := f.LastAccepted("j"); last != (FencingToken{6, 0}) {
-		t.Errorf("%v is remembered after {6 0}: an earlier token replaced a later one", last)
+		t.Errorf("LastAccepted(%q) = %v, want {6 0}: an earlier token replaced a later one", "j", last)
 	}
 }
 
-// TestFenceBound: an effect of a job that can't be remembered is rejected, since a stale one of it could not be distinguished later.
+// TestFenceBound tests that a full Fence rejects an effect of an unknown job, since it could not
+// recognize a stale effect of that job later.
 func TestFenceBound(t *testing.T) {
 	var f Fence
 	for i := range MaxJobs {
 		if verdict, _ := f.Check(fmt.Sprint("job ", i), FencingToken{1, 1}); verdict != Accepted {
-			t.Fatalf("job %d: %v", i, verdict)
+			t.Fatalf("effect of job %d of %d: verdict %v, want %v", i+1, MaxJobs, verdict, Accepted)
 		}
 	}
 	if verdict, _ := f.Check("one more", FencingToken{1, 1}); verdict != Stale {
-		t.Errorf("beyond %d jobs an effect is %v", MaxJobs, verdict)
+		t.Errorf("effect of a job beyond %d jobs: verdict %v, want %v", MaxJobs, verdict, Stale)
 	}
 }
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -35,7 +35,7 @@
 	return c, q
 }
 
-// FuzzMessages: no message of a single peer ends the process or makes an owner of it.
+// FuzzMessages tests that no message from a single peer makes the process panic or an owner.
 func FuzzMessages(f *testing.F) {
 	for kind := range byte(15) {
 		f.Add([]byte{kind, 1, 'a', 1, 'j', 1, 1, 0, 0, 1, 2, 3})
@@ -52,12 +52,13 @@
 			q.Receive(now, group.Peer("b"), append([]byte{byte(kindLeaseProposal), 1, 'g'}, data...))
 		}
 		if _, ok := c.group.Leading(); ok && c.IsOwner(now, "j", 1) {
-			t.Error("messages of one peer made this process an owner")
+			t.Errorf("message %x from one peer made this process an owner", data)
 		}
 	})
 }
 
-// FuzzTable: a snapshot that can't be read leaves the table empty, and whatever a table holds can be restored from its snapshot.
+// FuzzTable tests that an invalid snapshot leaves the table empty, and that every table can be restored
+// from its own snapshot.
 func FuzzTable(f *testing.F) {
 	seed := NewTable()
 	seed.Apply(registerCommand{job: "j", changedAt: 1}.encode())
@@ -67,11 +68,11 @@
 	f.Fuzz(func(t *testing.T, snapshot, cmd []byte) {
 		table := NewTable()
 		if table.Restore(snapshot) != nil && len(table.Jobs()) > 0 {
-			t.Error("a snapshot that can't be read left rows")
+			t.Errorf("Restore(%x) failed and left %d rows, want none", snapshot, len(table.Jobs()))
 		}
 		table.Apply(cmd)
 		if err := NewTable().Restore(table.Snapshot()); err != nil {
-			t.Error(err)
+			t.Errorf("Restore of the snapshot after command %x: %v", cmd, err)
 		}
 	})
 }
--- a/internal/fleet/ownership/kinds.go
+++ b/internal/fleet/ownership/kinds.go
@@ -6,9 +6,10 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Each message and each command begins with its kind. The numbers are sent and stored, so they never change; errors and logs have the names.
+// Each message and each command begins with its kind. The numbers are sent and stored, so they must
+// never change. Errors and logs use the names.
 
-// messageKind is a kind of message between Cores.
+// messageKind is the kind of a message between Cores.
 type messageKind uint64
 
 const (
@@ -45,16 +46,16 @@
 	kindQueryReply:       "query_reply",
 }
 
-// String names the kind.
+// String returns the kind's name.
 func (k messageKind) String() string { return kindName(messageKindNames, k) }
 
-// newWriter begins a message.
+// newWriter returns a Writer for a message of this kind.
 func (k messageKind) newWriter() *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(uint64(k))
 }
 
-// quorumMessageKind is a kind of message between voters without disks.
+// quorumMessageKind is the kind of a message between voters of a Quorum.
 type quorumMessageKind uint64
 
 const (
@@ -83,16 +84,16 @@
 	kindLeaseRejected:      "lease_rejected",
 }
 
-// String names the kind.
+// String returns the kind's name.
 func (k quorumMessageKind) String() string { return kindName(quorumMessageKindNames, k) }
 
-// begin begins a message to voters of a group.
-func (k quorumMessageKind) begin(groupName string) *encoding.Writer {
+// newWriter returns a Writer for a message of this kind to the voters of a group.
+func (k quorumMessageKind) newWriter(groupName string) *encoding.Writer {
 	var w encoding.Writer
 	return w.Uint(uint64(k)).Text(groupName)
 }
 
-// commandKind is a kind of command on the Table, as replicated and stored.
+// commandKind is the kind of a command on the Table, as replicated and stored.
 type commandKind uint64
 
 const (
@@ -113,9 +114,10 @@
 	kindConfirm:    "confirm",
 }
 
-// String names the kind.
+// String returns the kind's name.
 func (k commandKind) String() string { return kindName(commandKindNames, k) }
 
+// kindName returns the name of a kind, or its number if it is unknown.
 func kindName[K ~uint64](names map[K]string, kind K) string {
 	if name, known := names[kind]; known {
 		return name
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -1,31 +1,34 @@
 package ownership
 
-// processLease is the lease of a process, under which it holds all its jobs, and the search for the coordinator that grants it.
+// processLease is the lease under which a process owns all its jobs, with the state of the search for
+// the coordinator that grants it.
 type processLease struct {
-	end         Time            // as this process counts it; 0: it never had one
-	leader      uint32          // taken for the coordinator; 0: unknown
-	lastGrantAt Time            // when the coordinator last granted a lease
-	requestedAt Time            // when a lease was last requested; 0: it is to be requested at once
+	end         Time            // as this process counts it; 0 if it never had a lease
+	leader      uint32          // peer believed to be the coordinator; 0 if unknown
+	lastGrantAt Time            // when the last grant arrived; 0 if none has
+	requestedAt Time            // when a lease was last requested; 0 if one must be requested at once
 	sequence    uint64          // of the last request
-	outstanding map[uint64]Time // when each request without an answer was sent, by sequence
-	nextVoter   int             // to be queried next where no coordinator is known, or the known one has granted nothing for a lease
+	outstanding map[uint64]Time // when each unanswered request was sent, by sequence
+	nextVoter   int             // index of the voter that findCoordinator tries next
 }
 
 func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
 
-// stopAtLeaseEnd keeps the owner's part of the lease property: all jobs stop before the coordinator may grant them again.
+// stopAtLeaseEnd stops all jobs once the lease has ended. Lease: they stop before the coordinator may
+// grant them again.
 func (p *participant) stopAtLeaseEnd() {
 	if p.leaseEnded() {
 		p.releaseAll(LeaseEnded, textLeaseEnded)
 	}
 }
 
-// renewLease requests a lease four times in the length of one, and eight times once the coordinator is overdue.
+// renewLease requests a lease four times per lease, and eight times per lease while the last grant is
+// overdue.
 func (p *participant) renewLease() {
 	l := &p.lease
 	interval := p.cfg.Lease / 4
 	if p.now-l.lastGrantAt > interval+interval/2 {
-		interval /= 2 // the coordinator may be another by now
+		interval /= 2 // another process may be the coordinator by now
 	}
 	if p.now-l.requestedAt < interval && l.requestedAt > 0 {
 		return
@@ -44,8 +47,9 @@
 	p.send(l.leader, leaseRequest{sender: p.processID(), sequence: l.sequence, eligible: p.mayBeAssigned(), epoch: p.epoch, listSequence: p.listSequence}.encode())
 }
 
-// findCoordinator takes the leader that the own group knows, or, where it knows none or no lease was granted for the length of one, the next
-// voter: one that does not lead redirects to the leader.
+// findCoordinator chooses the peer to request a lease from: the leader that this process's group
+// knows. If it knows none, or if no lease was granted within the length of a lease, it chooses the
+// next voter. A voter that does not lead redirects to the leader.
 func (p *participant) findCoordinator() {
 	l := &p.lease
 	l.leader = 0
@@ -58,8 +62,8 @@
 	}
 }
 
-// handleLeaseGranted takes a lease. It counts from its request, and shorter by the drift of clocks: so it ends here before it ends at the
-// coordinator, however long the answer took.
+// handleLeaseGranted extends the lease. Lease: it counts from the request and is shortened by the
+// clock drift, so it ends here before it ends at the coordinator, however long the reply took.
 func (p *participant) handleLeaseGranted(from uint32, m leaseGranted) {
 	if m.incarnation != p.cfg.Incarnation {
 		return
@@ -83,6 +87,7 @@
 	}
 }
 
+// handleLeaderRedirect makes the next tick request a lease from the leader that a voter names.
 func (p *participant) handleLeaderRedirect(from uint32, m leaderRedirect) {
 	if from == p.lease.leader && m.leader != 0 && m.leader != from {
 		p.lease.leader, p.lease.requestedAt = m.leader, 0
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -2,66 +2,69 @@
 
 import "fmt"
 
-// message is one message between Cores. decodeMessage is the inverse of encode.
+// message is a message between Cores. decodeMessage is the inverse of encode.
 type message interface{ encode() []byte }
 
-// leaseRequest requests a new lease from the coordinator, and shows that the sender is alive.
+// leaseRequest asks the coordinator for a new lease, and shows that the sender is alive.
 type leaseRequest struct {
 	sender       processID
 	sequence     uint64
-	eligible     bool   // the sender may be given jobs
-	epoch        uint64 // of the last job list it has
-	listSequence uint64 // of that list
+	eligible     bool   // the sender may be assigned jobs
+	epoch        uint64 // of the last job list that the sender has
+	listSequence uint64 // of that job list
 }
 
-// leaseGranted answers a leaseRequest once the voters have confirmed the coordinator.
+// leaseGranted is the coordinator's reply to a leaseRequest, once the voters have confirmed that it
+// leads.
 type leaseGranted struct {
 	sequence      uint64 // of the request
 	incarnation   uint64 // of the requesting process
 	epoch         uint64
-	requestsOffer bool // the coordinator does not know the process's jobs
+	requestsOffer bool // the coordinator does not know which jobs the process can own
 }
 
-// leaderRedirect answers a leaseRequest at a voter that does not lead.
+// leaderRedirect is the reply to a leaseRequest from a voter that does not lead.
 type leaderRedirect struct {
-	leader uint32 // 0: unknown
+	leader uint32 // peer; 0 if unknown
 }
 
-// jobOffer says which jobs a process can own.
+// jobOffer tells the coordinator which jobs a process can own.
 type jobOffer struct {
 	sender processID
 	jobs   []string
 }
 
-// jobList is all that a process is to own, from the coordinator.
+// jobList is the coordinator's complete list of the jobs that a process is to own.
 type jobList struct {
-	incarnation uint64 // of the process it is for
+	incarnation uint64 // of the process that it is for
 	epoch       uint64
 	sequence    uint64 // rises within the epoch
 	jobs        []listedJob
 }
 
+// listedJob is a job in a jobList, with the checkpoint to start from.
 type listedJob struct {
 	job              string
 	token            uint64
 	checkpointNumber uint64
-	handover         bool // it is to be released for another process
+	handover         bool // the job is to be released for another process
 	checkpoint       []byte
 }
 
-// jobReleased notifies the coordinator that a process has stopped a job; repeated until the job list no longer holds it.
+// jobReleased notifies the coordinator that a process has stopped a job. The process repeats it until
+// the job list no longer contains the job.
 type jobReleased struct {
 	sender           processID
 	eligible         bool
 	job              string
 	token            uint64
-	higherToken      uint64 // that a receiver reported; 0: none
+	higherToken      uint64 // reported by a receiver; 0 if none was
 	checkpointNumber uint64
 	checkpoint       []byte
 	reason           string
 }
 
-// storeCheckpoint requests the coordinator to have a checkpoint replicated.
+// storeCheckpoint asks the coordinator to store a checkpoint in the replicated table.
 type storeCheckpoint struct {
 	job              string
 	token            uint64
@@ -69,7 +72,7 @@
 	checkpoint       []byte
 }
 
-// checkpointResult answers storeCheckpoint.
+// checkpointResult is the reply to storeCheckpoint.
 type checkpointResult struct {
 	job              string
 	token            uint64
@@ -77,43 +80,43 @@
 	stored           bool
 }
 
-// effectMessage is an owner's effect at a receiver.
+// effectMessage carries an effect from the owner of a job to a receiver.
 type effectMessage struct {
 	job   string
 	token FencingToken
 	body  []byte
 }
 
-// effectAck is the receiver's verdict.
+// effectAck is the receiver's reply to an effectMessage.
 type effectAck struct {
 	job     string
 	token   FencingToken
 	verdict Verdict
-	highest FencingToken // that the receiver has accepted
+	highest FencingToken // the highest that the receiver has accepted
 }
 
-// moveRequest is an operator's wish to hand a job over.
+// moveRequest is an operator's request to hand a job over to a member.
 type moveRequest struct {
 	job, member string
 	tag         uint64
 }
 
-// moveReply answers moveRequest.
+// moveReply is the reply to moveRequest.
 type moveReply struct {
 	tag     uint64
-	refusal string // "": accepted
+	refusal string // why the request is refused; empty if it is accepted
 }
 
-// queryMessage is for the owner of a job, by way of the coordinator.
+// queryMessage is a query to the owner of a job. The coordinator forwards it.
 type queryMessage struct {
 	job       string
 	tag       uint64
 	requester uint32
 	body      []byte
-	encoded   []byte // as received: forwarded unchanged
+	encoded   []byte // the message as received; forwarded unchanged
 }
 
-// queryReply goes straight to the asker.
+// queryReply is the owner's reply to a queryMessage, sent directly to the requester.
 type queryReply struct {
 	tag  uint64
 	body []byte
@@ -185,7 +188,7 @@
 	return kindQueryReply.newWriter().Uint(m.tag).Bytes(m.body).Data
 }
 
-// malformed names the message at fault.
+// malformed returns an error for a message of the given kind that can't be decoded or is invalid.
 func malformed(kind fmt.Stringer, cause error) error {
 	return fmt.Errorf("%w: %v: %w", ErrMalformedMessage, kind, cause)
 }
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -12,7 +12,8 @@
 	testToken  = FencingToken{Token: 3 << tokensPerEpochBits, Sequence: 300}
 )
 
-// TestMessageRoundTrip: each message decodes to what was encoded, and a truncated one is malformed.
+// TestMessageRoundTrip tests that each message decodes to what was encoded, and that every truncated
+// message is malformed.
 func TestMessageRoundTrip(t *testing.T) {
 	for _, m := range []message{
 		leaseRequest{sender: testSender, sequence: 300, eligible: true, epoch: 2, listSequence: 5},
@@ -31,23 +32,24 @@
 	} {
 		data := m.encode()
 		if got, err := decodeMessage(data); err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%#v decodes to %#v, %v", m, got, err)
+			t.Errorf("decodeMessage(%x) = %#v, %v, want %#v", data, got, err, m)
 		}
 		for n := 1; n < len(data); n++ {
 			if got, err := decodeMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
-				t.Errorf("%T truncated to %d of %d bytes: got %#v, %v", m, n, len(data), got, err)
+				t.Errorf("%T truncated to %d of %d bytes: decodeMessage = %#v, %v, want %v", m, n, len(data), got, err, ErrMalformedMessage)
 			}
 		}
 	}
 }
 
-// TestQueryKeepsItsBytes: a decoded query holds the bytes received, which the coordinator forwards.
+// TestQueryKeepsItsBytes tests that a decoded query holds the bytes received, which the coordinator
+// forwards.
 func TestQueryKeepsItsBytes(t *testing.T) {
 	data := queryMessage{job: "j", tag: 12, requester: 8, body: []byte("body")}.encode()
 	got, err := decodeMessage(data)
 	want := queryMessage{job: "j", tag: 12, requester: 8, body: []byte("body"), encoded: data}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%#v, %v", got, err)
+		t.Errorf("decodeMessage(%x) = %#v, %v, want %#v", data, got, err, want)
 	}
 }
 
@@ -63,12 +65,12 @@
 		{"unknown kind", []byte{99}, ErrUnknownMessage},
 	} {
 		if _, err := decodeMessage(c.data); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: decodeMessage(%x) returned error %v, want %v", c.name, c.data, err, c.want)
 		}
 	}
 }
 
-// TestQuorumMessageRoundTrip is TestMessageRoundTrip for the messages between voters.
+// TestQuorumMessageRoundTrip tests the messages between voters like TestMessageRoundTrip.
 func TestQuorumMessageRoundTrip(t *testing.T) {
 	position := logPosition{epoch: 300, version: 9}
 	for _, m := range []quorumMessage{
@@ -85,17 +87,17 @@
 	} {
 		data := m.encode("g")
 		if name, got, err := decodeQuorumMessage(data); err != nil || name != "g" || !reflect.DeepEqual(got, m) {
-			t.Errorf("%#v decodes to %q %#v, %v", m, name, got, err)
+			t.Errorf("decodeQuorumMessage(%x) = %q, %#v, %v, want %q, %#v", data, name, got, err, "g", m)
 		}
 		for n := 1; n < len(data); n++ {
 			if _, got, err := decodeQuorumMessage(data[:n]); !errors.Is(err, ErrMalformedMessage) {
-				t.Errorf("%T truncated to %d of %d bytes: got %#v, %v", m, n, len(data), got, err)
+				t.Errorf("%T truncated to %d of %d bytes: decodeQuorumMessage = %#v, %v, want %v", m, n, len(data), got, err, ErrMalformedMessage)
 			}
 		}
 	}
 }
 
-// TestKindNames: each kind has a name of its own, and one of a later version its number.
+// TestKindNames tests that each kind has a unique name, and that an unknown kind is named by its number.
 func TestKindNames(t *testing.T) {
 	names := map[string]bool{}
 	for kind := kindLeaseRequest; kind <= kindQueryReply; kind++ {
@@ -109,35 +111,38 @@
 	}
 	const kinds = 14 + 10 + 6
 	if len(names) != kinds {
-		t.Errorf("%d names for %d kinds: %v", len(names), kinds, names)
+		t.Errorf("%d kinds have %d distinct names: %v", kinds, len(names), names)
 	}
 	for name, known := range names {
 		if !known {
-			t.Errorf("%s has no name", name)
+			t.Errorf("%s is missing from the names of its kinds", name)
 		}
 	}
 	if got := messageKind(99).String(); got != "kind_99" {
-		t.Errorf("kind 99 is called %q", got)
+		t.Errorf("messageKind(99).String() = %q, want %q", got, "kind_99")
 	}
 }
 
-// TestFailureBackoff: the backoff of a job that fails doubles up to its bound, and starts again from the shortest once the job has not failed for a while.
+// TestFailureBackoff tests that the backoff of a failing job doubles up to its bound, and starts again
+// from the shortest once the job has not failed for maxBackoff.
 func TestFailureBackoff(t *testing.T) {
 	backoff, now := failureBackoff{}, 100*sec
 	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
 		backoff.recordFailure("j", now)
 		if !backoff.blocked("j", now+want-1) || backoff.blocked("j", now+want) || backoff.blocked("k", now) {
-			t.Errorf("failure %d: the backoff is not %d s", i+1, want/sec)
+			t.Errorf("failure %d: want job j, and no other, blocked for %d s; blocked at %d s - 1 ns: %t, at %d s: %t, other job: %t", i+1, want/sec,
+				want/sec, backoff.blocked("j", now+want-1), want/sec, backoff.blocked("j", now+want), backoff.blocked("k", now))
 		}
 		now += want
 	}
 	now += maxBackoff + 1
 	if backoff.recordFailure("j", now); backoff.blocked("j", now+sec) {
-		t.Error("the backoff did not start again from the shortest")
+		t.Errorf("after %d s without a failure the backoff lasts longer than the shortest, %d s", maxBackoff/sec, sec/sec)
 	}
 }
 
-// TestLogBatches: a batch holds entries up to its bound in bytes, and at least one.
+// TestLogBatches tests that a batch holds entries up to its bound in bytes and at least one entry, and
+// that the log drops its oldest entries.
 func TestLogBatches(t *testing.T) {
 	var log replicatedLog
 	log.reset(300, 1)
@@ -153,18 +158,19 @@
 			versions = append(versions, e.version)
 		}
 		if fmt.Sprint(versions) != c.want {
-			t.Errorf("after %d: %v, want %s", c.after, versions, c.want)
+			t.Errorf("batchAfter(%d) returned versions %v, want %s", c.after, versions, c.want)
 		}
 	}
 	for range maxUncommitted {
 		log.append(MachineNumber, 1, nil)
 	}
 	if !log.full() || log.hasAllAfter(3) || !log.hasAllAfter(4) {
-		t.Errorf("full %t, first entry %d", log.full(), log.entries[0].version)
+		t.Errorf("after %d more entries: full %t, want true; first entry %d, want 5", maxUncommitted, log.full(), log.entries[0].version)
 	}
 }
 
-// TestRepliesWithoutBallot: a voter that is no candidate and no leader ignores replies for ballot 0.
+// TestRepliesWithoutBallot tests that a voter that is neither a candidate nor the leader ignores replies
+// for ballot 0.
 func TestRepliesWithoutBallot(t *testing.T) {
 	_, q := newVoterCore(t)
 	q.rounds.begin(0)
@@ -175,7 +181,7 @@
 		appendAcknowledged{},
 	} {
 		if err := q.Receive(1, peerOf("b"), m.encode("g")); err != nil || q.leads() || q.candidate.ballot != 0 || len(q.log.acknowledged) > 0 {
-			t.Errorf("%#v: %v, %+v", m, err, q.candidate)
+			t.Errorf("after %#v: error %v, leads %t, candidate %+v, %d voters acknowledged; want no effect", m, err, q.leads(), q.candidate, len(q.log.acknowledged))
 		}
 	}
 }
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// releaseRepeatInterval is how often a released job is reported until the coordinator's list no longer holds it.
+// releaseRepeatInterval is the time between two reports of a released job. Reports are repeated until
+// the coordinator's list no longer contains the job.
 const releaseRepeatInterval = 100 * ms
 
-// ownedJob is a job that this process owns, or has released without the coordinator having confirmed it.
+// ownedJob is a job that this process owns, or that it has released and the coordinator still lists.
 type ownedJob struct {
 	token             uint64
 	released          bool
-	releaseText       string // of the release
-	higherToken       uint64 // that a receiver reported; 0: none
+	releaseText       string // reason of the release
+	higherToken       uint64 // reported by a receiver; 0 if none was
 	checkpointNumber  uint64
 	checkpoint        []byte
-	releaseReportedAt Time // the release, to the coordinator
+	releaseReportedAt Time // when the release was last reported to the coordinator
 }
 
 // participant is the role of a process that may own jobs.
 type participant struct {
 	*environment
 	lease        processLease
-	jobs         map[string]*ownedJob // by job
-	epoch        uint64               // of the last coordinator that was followed
-	listSequence uint64               // of the last job list in that epoch
-	eligible     bool
-	leaving      bool
+	jobs         map[string]*ownedJob // by job name; includes released jobs
+	epoch        uint64               // of the latest coordinator that sent a lease or a job list
+	listSequence uint64               // of the last job list accepted in that epoch; 0 if none was
+	eligible     bool                 // set by Core.SetEligible
+	leaving      bool                 // Core.Leave was called
 }
 
 func newParticipant(env *environment) *participant {
@@ -45,7 +46,7 @@
 	}
 }
 
-// jobNames is sorted, so that a run can be replayed.
+// jobNames returns the names in p.jobs, sorted so that a run can be replayed.
 func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 func (p *participant) ownedJobs() map[string]uint64 {
@@ -58,7 +59,7 @@
 	return tokens
 }
 
-// owns reports whether this process may act as a job's owner now.
+// owns reports whether this process may act now as the job's owner.
 func (p *participant) owns(job string) bool {
 	owned := p.jobs[job]
 	return owned != nil && !owned.released && !p.leaseEnded()
@@ -68,8 +69,8 @@
 	return p.owns(job) && p.jobs[job].token == token
 }
 
-// mayBeAssigned reports whether this process should be given jobs. One whose lease has ended may be cut off in one direction: its requests arrive,
-// but it would not learn of a job that it is granted.
+// mayBeAssigned reports whether this process should be assigned jobs. A process whose lease has ended
+// may be cut off in one direction: its requests arrive, but it would not learn of a job granted to it.
 func (p *participant) mayBeAssigned() bool {
 	return p.eligible && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
@@ -93,7 +94,8 @@
 	}
 }
 
-// release stops a job here, and then notifies the coordinator, with the checkpoint and the text, until its list no longer holds the job.
+// release stops a job and reports it to the coordinator with the checkpoint and the reason. tick
+// repeats the report until the coordinator's list no longer contains the job.
 func (p *participant) release(job string, owned *ownedJob, reason ReleaseReason, text string) {
 	owned.released, owned.releaseText = true, text
 	owned.checkpointNumber, owned.checkpoint = p.effects.Stop(job, owned.token, reason)
@@ -117,8 +119,8 @@
 	}.encode())
 }
 
-// handleJobList follows the list of the jobs that this process is to own. A list older than the last one, or for an earlier process of this
-// name, changes nothing.
+// handleJobList starts and stops jobs as the coordinator's list requires. A list that is older than the
+// last one, or that is for another process of the same name, changes nothing.
 func (p *participant) handleJobList(from uint32, m jobList) {
 	if m.incarnation != p.cfg.Incarnation || m.epoch < p.epoch || m.epoch == p.epoch && m.sequence <= p.listSequence {
 		return
@@ -127,12 +129,13 @@
 	p.dropUnlisted(m.jobs)
 	for _, j := range m.jobs {
 		if p.jobs[j.job] == nil && !p.acquire(j) {
-			p.listSequence = m.sequence - 1 // the next lease request shows that the list was not taken, and it is sent again
+			p.listSequence = m.sequence - 1 // the next lease request reports the list as missing, so it is sent again
 		}
 	}
 }
 
-// dropUnlisted stops the jobs that the list no longer holds under the same token, and releases those that are to be handed over.
+// dropUnlisted stops the jobs that the list no longer contains under the same token, and releases those
+// that are to be handed over.
 func (p *participant) dropUnlisted(jobs []listedJob) {
 	listed := map[string]listedJob{}
 	for _, j := range jobs {
@@ -150,12 +153,13 @@
 			p.effects.Stop(job, owned.token, NoLongerListed)
 			delete(p.jobs, job)
 		default:
-			delete(p.jobs, job) // released before, and now taken back
+			delete(p.jobs, job) // the coordinator has accepted the release
 		}
 	}
 }
 
-// acquire starts a listed job, or releases it at once where it must not start here. It gives false where the job has to wait for a lease.
+// acquire starts a listed job, or releases it at once if it must not start here. It returns false if
+// the job must wait for a lease.
 func (p *participant) acquire(j listedJob) bool {
 	if j.handover || p.leaving {
 		owned := &ownedJob{token: j.token, released: true, releaseText: textNotBegun}
@@ -163,7 +167,7 @@
 		p.reportRelease(j.job, owned)
 		return true
 	}
-	// Lease: without one no job starts.
+	// Lease: no job starts without one.
 	if p.leaseEnded() {
 		return false
 	}
@@ -176,17 +180,19 @@
 	return true
 }
 
-// handleCheckpointResult passes the result on, unless the job has changed its owner since.
+// handleCheckpointResult passes the result on, unless this process no longer has the job under the same
+// token.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if owned := p.jobs[m.job]; owned != nil && owned.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
 	}
 }
 
-// handleEffectAck passes a receiver's verdict on. A stale one stops the job.
+// handleEffectAck passes a receiver's verdict on. The verdict Stale also stops the job.
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if owned := p.jobs[m.job]; m.verdict == Stale && owned != nil && owned.token == m.token.Token && !owned.released {
-		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release carries that owner's token to the coordinator.
+		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release
+		// reports that owner's token to the coordinator.
 		owned.higherToken = m.highest.Token
 		p.release(m.job, owned, LaterTokenSeen, textLaterTokenSeen)
 	}
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -1,14 +1,14 @@
 package ownership
 
-// proposalTimeout is how long the group has to report that a command was applied.
+// proposalTimeout is the time within which the group must report that a command was applied.
 const proposalTimeout = 2 * sec
 
-// proposal is a command under way in the group.
+// proposal is a command that was proposed to the group and has not been reported as applied.
 type proposal struct {
-	job        string
-	exclusive  bool // changes the owner: one at a time for each job
+	job        string // empty for commands that concern no single job
+	exclusive  bool   // changes the job's owner; at most one such proposal per job at a time
 	expiresAt  Time
-	checkpoint *checkpointRequest // to be answered once the command is applied; nil: none
+	checkpoint *checkpointRequest // answered once the command is applied; nil if there is none
 }
 
 // checkpointRequest is an owner's request to store a checkpoint.
@@ -17,16 +17,16 @@
 	token, number uint64
 }
 
-// proposals are the commands under way, by the tag under which the group reports them.
+// proposals holds the pending proposals by the tag with which the group reports them.
 type proposals struct {
 	lastTag      uint64
 	byTag        map[uint64]proposal
-	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal
+	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal, by job
 }
 
 func (ps *proposals) empty() bool { return len(ps.byTag) == 0 }
 
-// ownerChangePending reports whether a job's owner is about to change.
+// ownerChangePending reports whether a job has a pending exclusive proposal.
 func (ps *proposals) ownerChangePending(job string) bool { return ps.exclusiveTag[job] != 0 }
 
 func (ps *proposals) add(tag uint64, p proposal) {
@@ -36,7 +36,8 @@
 	}
 }
 
-// remove ends a proposal, and reports whether it was the job's exclusive one.
+// remove deletes a proposal and returns it. known reports whether there was one with the tag, and
+// wasExclusive whether it was the job's exclusive one.
 func (ps *proposals) remove(tag uint64) (p proposal, wasExclusive, known bool) {
 	p, known = ps.byTag[tag]
 	if !known {
@@ -50,7 +51,8 @@
 	return p, wasExclusive, true
 }
 
-// expire drops proposals that the group has not reported in time. Whether they were applied shows in the table.
+// expire drops proposals that the group has not reported in time. The table shows whether they were
+// applied.
 func (ps *proposals) expire(now Time) {
 	for tag, p := range ps.byTag {
 		if now >= p.expiresAt {
@@ -59,23 +61,26 @@
 	}
 }
 
-// nextTag is different for each process and incarnation: the group reports the tags of all processes here.
+// nextTag returns the tag of the next proposal or confirmation. It contains the incarnation, since the
+// group reports the tags of all processes to each of them.
 func (c *coordinator) nextTag() uint64 {
 	c.proposals.lastTag++
 	return c.cfg.Incarnation<<24 ^ c.proposals.lastTag
 }
 
+// propose proposes a command to the group. A command that the group rejects at once is dropped.
 func (c *coordinator) propose(cmd tableCommand, p proposal) {
 	tag := c.nextTag()
 	p.expiresAt = c.now + proposalTimeout
-	// Added first: where this process is a majority by itself, the command is applied before Propose returns.
+	// Add the proposal first: if this process is a majority by itself, the command is applied before
+	// Propose returns.
 	c.proposals.add(tag, p)
 	if c.group.Propose(c.now, MachineNumber, tag, cmd.encode()) != nil {
 		c.proposals.remove(tag)
 	}
 }
 
-// commandApplied acts on the result of a proposal of this process.
+// commandApplied handles the result of an applied command. It ignores the tags of other processes.
 func (c *coordinator) commandApplied(tag uint64, result []byte) {
 	p, wasExclusive, known := c.proposals.remove(tag)
 	if !known {
@@ -90,7 +95,7 @@
 		return
 	}
 	if c.leads() && c.now >= c.epochStartedAt+grantDelay && !c.table.uncertain {
-		c.assignJobs() // a job that was released is granted again at once
+		c.assignJobs() // grants a job that was just released without waiting for the next review
 	}
 	c.sendJobLists()
 }
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -7,27 +7,30 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Quorum is a Group of voters without disks, after PaxosLease: a fixed set of voters grants a candidate the lead for a time, and keeps what it
-// granted in memory. A voter that has just started does not know what it granted before; it abstains until every lease that it could have
-// granted has ended.
+// Quorum is one voter of a Group without disks. It is based on PaxosLease: a fixed set of
+// voters grants a candidate the leadership for the length of a lease, and keeps its grants in memory. A
+// voter that has just started does not know what it granted before, so it abstains until every lease
+// that it could have granted has ended.
 //
 // It guarantees:
-//   - No two lead at a time, as long as clocks drift apart by no more than clockDriftDivisor allows.
-//   - Epochs, and fencing tokens with them, rise while one voter of each majority remembers.
-//   - What was committed survives as long as no majority loses its memory at a time.
+//   - No two voters lead at the same time, as long as clocks drift apart by no more than
+//     clockDriftDivisor allows.
+//   - Epochs, and fencing tokens with them, rise as long as one voter of each majority keeps its memory.
+//   - Committed commands survive as long as no majority loses its memory at the same time.
 //
-// After a start of all voters at once epochs still rise, unless a clock was set back by more than the fleet had been up. Then receivers' fences
-// reject the effects of a job until its token is raised above what they remember.
+// If all voters start at once, epochs still rise, unless a clock was set back by more than the time that
+// the fleet had been up. In that case receivers' fences reject the effects of a job until its token is
+// raised above the one that they remember.
 type Quorum struct {
 	cfg       QuorumConfig
 	effects   group.Effects
 	machines  group.Machines
 	rng       *rand.Rand
-	self      uint32 // peer
-	now       Time
-	startedAt Time // -1: before the first Tick
+	self      uint32 // peer number of this voter
+	now       Time   // latest time that the caller has passed in
+	startedAt Time   // time of the first Tick; -1 before it
 
-	ballotCounter uint64 // highest seen
+	ballotCounter uint64 // of the highest ballot seen, without its voter number
 	voter         voterState
 	candidate     candidateState
 	rounds        leaseRounds
@@ -35,25 +38,26 @@
 	log           replicatedLog
 }
 
-// QuorumConfig describes a voter.
+// QuorumConfig configures a Quorum.
 type QuorumConfig struct {
-	Group            string // messages of others are rejected
-	Name             string // of this voter
+	Group            string // name of the group; messages of other groups are rejected
+	Name             string // member name of this voter
 	Voters           []string
-	Lease            Time // of the lead; default 1.5 s; the same everywhere
-	Seed             uint64
-	WallClockAtStart int64 // wall clock at the start, hundredths of a second; the first epoch is above it
+	Lease            Time   // length of the leader's lease; default 1.5 s if not above 0; must be the same at all voters
+	Seed             uint64 // of the random delays before elections
+	WallClockAtStart int64  // in hundredths of a second, not negative; ballots and epochs start above it
 	Faults           FaultInjection
 }
 
 const (
 	defaultQuorumLease = 1500 * ms
 	maxVoters          = 15
-	// ballotVoterBits at the end of a ballot hold the number of its voter: two voters never use one ballot.
+	// ballotVoterBits is the number of low bits of a ballot that hold its voter's number, so that no two
+	// voters use the same ballot.
 	ballotVoterBits = 4
 )
 
-// NewQuorum makes a voter. machines are what it replicates, by number.
+// NewQuorum returns a voter that replicates machines, which are keyed by their numbers.
 func NewQuorum(cfg QuorumConfig, machines map[byte]group.Machine, effects group.Effects) (*Quorum, error) {
 	if cfg.Lease <= 0 {
 		cfg.Lease = defaultQuorumLease
@@ -73,7 +77,7 @@
 	}, nil
 }
 
-// voterNumber is this voter's place among the voters.
+// voterNumber returns this voter's index among the voters, or their number if it is not one of them.
 func (q *Quorum) voterNumber() uint64 {
 	for i, name := range q.cfg.Voters {
 		if name == q.cfg.Name {
@@ -94,13 +98,13 @@
 	return false
 }
 
-// nextBallot is above all ballots seen, and no other voter's.
+// nextBallot returns a ballot of this voter above all ballots seen.
 func (q *Quorum) nextBallot() uint64 {
 	q.ballotCounter++
 	return q.ballotCounter<<ballotVoterBits | q.voterNumber()
 }
 
-// observeBallot keeps the next own ballot above all ballots seen.
+// observeBallot records a ballot, so that the next own ballot is above it.
 func (q *Quorum) observeBallot(ballot uint64) {
 	q.ballotCounter = max(q.ballotCounter, ballot>>ballotVoterBits)
 }
@@ -122,7 +126,7 @@
 	}
 }
 
-// Tick is to be called every 50 to 100 ms.
+// Tick must be called every 50 to 100 ms.
 func (q *Quorum) Tick(now Time) {
 	q.now = max(q.now, now)
 	if q.startedAt < 0 {
@@ -146,7 +150,8 @@
 	}
 }
 
-// Receive takes another voter's message. What can't be decoded changes nothing.
+// Receive handles a message from another voter. A message that can't be decoded, or that is from another
+// group or not from a voter, changes nothing.
 func (q *Quorum) Receive(now Time, from uint32, data []byte) error {
 	q.now = max(q.now, now)
 	groupName, m, err := decodeQuorumMessage(data)
@@ -154,7 +159,7 @@
 		return err
 	}
 	if groupName != q.cfg.Group || !q.isVoter(from) {
-		return fmt.Errorf("%w: group %q, peer %08x", ErrNotVoter, groupName, from)
+		return fmt.Errorf("%w: group %q, expected %q; peer %08x", ErrNotVoter, groupName, q.cfg.Group, from)
 	}
 	q.step(from, m)
 	return nil
@@ -185,12 +190,14 @@
 	}
 }
 
-// Leading reports whether this process leads, and in which epoch. Lease: not after its end, also before Tick has noticed that.
+// Leading reports whether this voter leads, and in which epoch. Lease: it returns false as soon as the
+// lease has ended, even before Tick ends the leadership.
 func (q *Quorum) Leading() (epoch uint64, ok bool) {
 	return q.leader.epoch, q.leads() && q.now < q.leader.leaseEnd && q.stateIsReplicated()
 }
 
-// Leader is the peer that this voter takes for the leader, by the lease that it granted; 0: none.
+// Leader returns the peer that this voter believes to be the leader: itself, or the holder of the lease
+// that it granted last. It returns 0 if there is none.
 func (q *Quorum) Leader() uint32 {
 	if q.leads() {
 		return q.self
@@ -201,5 +208,5 @@
 	return 0
 }
 
-// LeaseEnd is when the lead ends, unless it is renewed.
+// LeaseEnd returns the time at which this voter's leadership ends unless its lease is renewed.
 func (q *Quorum) LeaseEnd() Time { return q.leader.leaseEnd }
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -1,41 +1,48 @@
 package ownership
 
-// Parts of a Quorum's lease, and multiples of it.
+// Times relative to the length of a Quorum's lease: a divisor yields a fraction of it.
 const (
-	// electionTimeoutDivisor: an election that takes longer than this part has failed, and makes way for others.
+	// electionTimeoutDivisor yields the time after which a candidate abandons its election, so that
+	// others can be elected.
 	electionTimeoutDivisor = 2
-	// candidacyDelayDivisor and candidacySpreadDivisor are the fixed and the random part of the delay before an election.
+	// candidacyDelayDivisor and candidacySpreadDivisor yield the fixed part and the maximum random part
+	// of the delay before an election.
 	candidacyDelayDivisor  = 16
 	candidacySpreadDivisor = 4
-	// renewalsPerLease allows several lost rounds before the lease ends.
+	// renewalsPerLease is the number of renewals per lease, so that several rounds may be lost before
+	// the lease ends.
 	renewalsPerLease = 5
-	// incompleteAfterLeases is how long voters that are not heard are waited for, as only they may have what was committed.
+	// incompleteAfterLeases is the number of leases to wait for voters that do not reply, since only
+	// they may have committed commands.
 	incompleteAfterLeases = 3
-	// promisesDivisor is the part for which an election collects promises before it may begin with incomplete state.
+	// promisesDivisor yields the time for which an election collects promises before an epoch may begin
+	// with an incomplete state.
 	promisesDivisor = 4
 )
 
-// candidateState is an election under way here, and when the next one may begin.
+// candidateState holds this voter's present election and the times before which no other may begin.
 type candidateState struct {
-	ballot         uint64 // 0: no election
-	startedAt      Time
-	promises       map[uint32]prepareReply // by voter
-	stateSource    uint32                  // voter whose state the epoch begins with; 0: not chosen yet
-	stateComplete  bool                    // that state surely holds all that was committed
-	nextElectionAt Time                    // no election here before
-	yieldedUntil   Time                    // no election here before, since this voter gave up the lead
+	ballot         uint64                  // of the present election; 0 if there is none
+	startedAt      Time                    // of the present election
+	promises       map[uint32]prepareReply // replies to the prepareRequest, by voter
+	stateSource    uint32                  // voter whose state the epoch begins with; 0 until it is chosen
+	stateComplete  bool                    // the chosen state contains everything that was committed
+	nextElectionAt Time                    // no election begins here before this time
+	yieldedUntil   Time                    // no election begins here before this time, because this voter gave up the leadership
 }
 
-// leaseRounds are the rounds in which this voter has proposed its lease. A lease counts from the request of the round that a majority accepted.
+// leaseRounds holds the rounds in which this voter has proposed its lease. A lease counts from the
+// request of the round that a majority accepted.
 type leaseRounds struct {
-	last        uint64
-	requestedAt map[uint64]Time
+	last        uint64                     // number of the last round
+	requestedAt map[uint64]Time            // by round
 	grants      map[uint64]map[uint32]bool // voters that accepted, by round
 }
 
-// maxPendingRounds is how many earlier rounds may still be answered.
+// maxPendingRounds is the number of rounds before the last one that may still be accepted.
 const maxPendingRounds = 8
 
+// begin starts a round and returns its number.
 func (r *leaseRounds) begin(now Time) uint64 {
 	r.last++
 	r.requestedAt[r.last], r.grants[r.last] = now, map[uint32]bool{}
@@ -48,7 +55,7 @@
 	return r.last
 }
 
-// tickCandidate continues the election under way here, or begins one once no lease lasts.
+// tickCandidate continues this voter's election, or begins one if the lease that it granted has ended.
 func (q *Quorum) tickCandidate() {
 	c := &q.candidate
 	switch {
@@ -61,7 +68,8 @@
 	}
 }
 
-// delayCandidacy draws a random delay, so that two candidates do not keep each other from being elected.
+// delayCandidacy delays the next election by a random time, so that two candidates do not keep each
+// other from being elected.
 func (q *Quorum) delayCandidacy() {
 	q.candidate.nextElectionAt = q.now + q.cfg.Lease/candidacyDelayDivisor + Time(q.rng.Int64N(int64(q.cfg.Lease/candidacySpreadDivisor)))
 }
@@ -87,8 +95,8 @@
 	q.chooseState()
 }
 
-// chooseState continues the election once a majority has promised: the epoch begins with the latest state of theirs, which this voter requests
-// if it is another's.
+// chooseState continues the election once a majority has promised. The epoch begins with the latest state
+// among them, which this voter requests if another voter has it.
 func (q *Quorum) chooseState() {
 	promised, withState := 0, 0
 	latest, latestVoter := q.log.position, uint32(0)
@@ -118,9 +126,10 @@
 	q.send(latestVoter, stateRequest{ballot: q.candidate.ballot})
 }
 
-// mayBeginIncomplete decides where no majority has promised that still has state. A majority stored all that was committed, but voters that have
-// lost their memory since do not count as part of it. So the others are waited for; only after that does an epoch begin that may lack committed
-// commands, and its machines are marked (Table.MarkUncertain).
+// mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state has
+// promised. A majority had everything that was committed, but voters that have lost their memory since do
+// not count. So the candidate waits for the others. Only then does it begin an epoch that may lack
+// committed commands, and marks its machines (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
@@ -129,7 +138,7 @@
 	return withoutLeader >= incompleteAfterLeases*q.cfg.Lease && q.now-q.candidate.startedAt >= q.cfg.Lease/promisesDivisor
 }
 
-// requestLease requests the leader's lease, or its renewal.
+// requestLease proposes the leader's lease, or its renewal, to all voters.
 func (q *Quorum) requestLease() {
 	round := q.rounds.begin(q.now)
 	ballot, epoch := q.candidate.ballot, q.candidate.ballot
@@ -145,14 +154,16 @@
 	switch {
 	case m.epoch == 0:
 	case m.epoch == q.leader.epoch && m.promised > q.leader.ballot:
-		// Another voter was a candidate while this one was cut off from the rejecting voter. A higher ballot wins its grant back.
+		// Another voter was a candidate while this one was cut off from the rejecting voter. A higher
+		// ballot makes the rejecting voter accept renewals again.
 		q.leader.ballot = q.nextBallot()
 	case m.epoch == q.candidate.ballot:
 		q.abandonElection()
 	}
 }
 
-// handleLeaseAccepted counts the voters that have accepted a round. A majority elects this voter, or extends its lease.
+// handleLeaseAccepted counts the voters that have accepted a round. A majority elects this voter or
+// extends its lease.
 func (q *Quorum) handleLeaseAccepted(from uint32, m leaseAccepted) {
 	isRenewal := m.epoch == q.leader.epoch
 	if m.epoch == 0 || m.epoch != q.candidate.ballot && !isRenewal || q.rounds.grants[m.round] == nil {
@@ -177,7 +188,8 @@
 	}
 }
 
-// leaseEnd is when the lease of a round ends here. Counted from the request, and shorter by the drift of clocks: before it ends at any voter.
+// leaseEnd returns when the lease of a round ends here. Lease: it counts from the request and is shortened
+// by the clock drift, so it ends here before it ends at any voter.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
 	if q.cfg.Faults.StartLeaseAtReply {
@@ -186,7 +198,8 @@
 	return requestedAt + leaseAtHolder(q.cfg.Lease)
 }
 
-// trackFollower records how far a voter's state is, or sends it the state of this epoch.
+// trackFollower records the log position of a voter that has the state of this epoch, and sends the state
+// to a voter that lacks it.
 func (q *Quorum) trackFollower(from uint32, m leaseAccepted) {
 	if m.position.epoch == m.epoch {
 		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -2,17 +2,17 @@
 
 import "croftlock/internal/fleet/group"
 
-// leaderState is the lead of this voter.
+// leaderState is the state of this voter as the leader.
 type leaderState struct {
-	epoch    uint64 // the ballot under which it was elected; 0: it does not lead
-	ballot   uint64 // for renewals: above what voters have promised since
+	epoch    uint64 // the ballot with which this voter was elected; 0 if it does not lead
+	ballot   uint64 // for renewals; raised above the ballots that voters have promised since
 	leaseEnd Time
-	renewAt  Time
+	renewAt  Time // when to request the next renewal
 }
 
 func (q *Quorum) leads() bool { return q.leader.epoch != 0 }
 
-// becomeLeader begins an epoch with the state chosen in the election, and sends it to all voters.
+// becomeLeader starts an epoch with the state chosen in the election, and sends that state to all voters.
 func (q *Quorum) becomeLeader(leaseEnd Time) {
 	epoch := q.candidate.ballot
 	q.leader.epoch, q.leader.ballot, q.leader.leaseEnd = epoch, epoch, leaseEnd
@@ -29,13 +29,15 @@
 	}
 }
 
-// becomeFollower ends the lead. Entries that are not committed are dropped; they were not applied here.
+// becomeFollower ends the leadership, if any, and the election. It drops the entries that are not
+// committed, which were not applied here.
 func (q *Quorum) becomeFollower() {
 	q.log.position = q.appliedPosition()
 	q.leader.epoch, q.candidate.ballot, q.log.entries = 0, 0, nil
 }
 
-// appliedPosition is how far the machines are. A leader applies only committed entries: a job that it grants must not be lost with it.
+// appliedPosition returns the log position up to which the machines have applied entries. A leader
+// applies only committed entries, so that a job that it grants is not lost with it.
 func (q *Quorum) appliedPosition() logPosition {
 	if q.leads() {
 		return logPosition{q.leader.epoch, q.log.committed}
@@ -43,8 +45,8 @@
 	return q.log.position
 }
 
-// stateIsReplicated reports whether a majority has the state that the epoch begins with. Before that this voter must not act as the leader, since
-// what it grants could be lost with it.
+// stateIsReplicated reports whether a majority has the state with which the epoch began. Until then this
+// voter must not act as the leader, since what it grants could be lost with it.
 func (q *Quorum) stateIsReplicated() bool { return q.isMajority(len(q.log.acknowledged)) }
 
 func (q *Quorum) sendState(to uint32) {
@@ -52,12 +54,13 @@
 	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: encodeState(q.machines)})
 }
 
-// sendEntries sends a voter the entries after a version, as many as one message takes. resendEntries repeats those that are lost.
+// sendEntries sends a voter the entries after a version, as many as fit in one message. resendEntries
+// repeats those that are lost.
 func (q *Quorum) sendEntries(to uint32, after uint64) {
 	q.send(to, appendEntries{epoch: q.leader.epoch, entries: q.log.batchAfter(after)})
 }
 
-// resendEntries brings voters that lag up to date.
+// resendEntries sends missing entries, or the complete state, to the voters that lag.
 func (q *Quorum) resendEntries() {
 	for _, name := range q.cfg.Voters {
 		peer := peerOf(name)
@@ -79,21 +82,22 @@
 	}
 }
 
-// commit applies the entries that a majority has, in order.
+// commit commits and applies, in order, the entries that a majority has.
 func (q *Quorum) commit() {
 	for len(q.log.entries) > 0 && q.log.committed < q.log.position.version {
 		if !q.isMajority(q.countVotersPast(q.log.committed)) {
 			return
 		}
 		q.log.committed++
-		// Applied may propose another command, and that may call commit: each pass of the loop reads the log again.
+		// Applied may propose another command, which calls commit again, so each iteration reads the log
+		// anew.
 		if e, ok := q.log.entry(q.log.committed); ok {
 			q.effects.Applied(e.machine, e.tag, q.machines.Get(e.machine).Apply(e.command))
 		}
 	}
 }
 
-// countVotersPast counts the voters that have an entry beyond a version.
+// countVotersPast returns the number of voters that have an entry after a version.
 func (q *Quorum) countVotersPast(version uint64) (n int) {
 	for _, name := range q.cfg.Voters {
 		if acknowledged, known := q.log.acknowledged[peerOf(name)]; known && acknowledged > version {
@@ -103,7 +107,9 @@
 	return n
 }
 
-// Propose has a command replicated; Applied reports it under the tag.
+// Propose replicates a command. group.Effects.Applied reports it once it is applied. Propose
+// returns group.ErrNotLeader if this voter does not lead, and group.ErrBusy if too many entries are
+// uncommitted or there is no machine with that number.
 func (q *Quorum) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
 	q.now = max(q.now, now)
 	if _, ok := q.Leading(); !ok {
@@ -123,7 +129,8 @@
 	return nil
 }
 
-// Confirm needs no round of messages: while this voter's lease lasts no other leads.
+// Confirm calls group.Effects.Confirmed at once if this voter leads. It needs no round of messages: while this
+// voter's lease lasts, no other voter leads.
 func (q *Quorum) Confirm(now Time, tag uint64) error {
 	q.now = max(q.now, now)
 	if _, ok := q.Leading(); !ok {
@@ -133,7 +140,7 @@
 	return nil
 }
 
-// TransferLeadership gives up the lead, and is no candidate for two leases.
+// TransferLeadership gives up the leadership, and keeps this voter from being a candidate for two leases.
 func (q *Quorum) TransferLeadership(now Time) {
 	q.now = max(q.now, now)
 	q.candidate.yieldedUntil = q.now + 2*q.cfg.Lease
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -6,98 +6,99 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxSnapshotBytes bounds the state of one machine, and of all together.
+// maxSnapshotBytes bounds the snapshot of each machine, and of all machines together.
 const maxSnapshotBytes = 1 << 18
 
-// quorumMessage is one message between voters of a group. decodeQuorumMessage is the inverse of encode.
+// quorumMessage is a message between voters of a group. decodeQuorumMessage is the inverse of encode.
 type quorumMessage interface {
 	encode(groupName string) []byte
 }
 
-// prepareRequest requests voters to promise a ballot: the first phase of an election.
+// prepareRequest asks voters to promise a ballot. It begins the first phase of an election.
 type prepareRequest struct{ ballot uint64 }
 
-// prepareReply answers it.
+// prepareReply is the reply to prepareRequest.
 type prepareReply struct {
 	ballot   uint64
-	promised bool        // false: another's lease lasts
-	position logPosition // of the voter's state
+	promised bool        // false if the lease of another voter lasts
+	position logPosition // up to which the voter has applied entries
 }
 
-// leaseProposal requests voters to accept a lease for an epoch, the first one or a renewal.
+// leaseProposal asks voters to accept a lease for an epoch, either the first one or a renewal.
 type leaseProposal struct {
 	ballot, epoch uint64
-	round         uint64 // of the proposer
+	round         uint64 // number of the proposer's round
 }
 
-// leaseAccepted grants it.
+// leaseAccepted is the reply to a leaseProposal that the voter accepts.
 type leaseAccepted struct {
 	epoch, round uint64
-	position     logPosition
+	position     logPosition // of the voter's last entry
 }
 
-// leaseRejected rejects it.
+// leaseRejected is the reply to a leaseProposal that the voter rejects.
 type leaseRejected struct {
 	epoch    uint64
-	promised uint64 // the voter's highest ballot
+	promised uint64 // the highest ballot that the voter has promised
 }
 
 // leaseYielded notifies voters that the leader of an epoch gives up its lease.
 type leaseYielded struct{ epoch uint64 }
 
-// stateRequest requests the state from the voter with the latest one.
+// stateRequest asks the voter with the latest state to send it.
 type stateRequest struct{ ballot uint64 }
 
-// stateTransfer is the state of all machines, for a candidate that requested it or for a follower that lags.
+// stateTransfer carries the state of all machines to a candidate that requested it, or to a follower that
+// lags.
 type stateTransfer struct {
 	term     uint64 // the candidate's ballot, or the leader's epoch
 	position logPosition
 	snapshot []byte
 }
 
-// appendEntries are commands of the leader, in order.
+// appendEntries carries entries of the leader's log, in order.
 type appendEntries struct {
 	epoch   uint64
 	entries []logEntry
 }
 
-// appendAcknowledged reports to the leader how far a follower's state is.
+// appendAcknowledged reports to the leader the log position up to which a follower has applied entries.
 type appendAcknowledged struct{ position logPosition }
 
 func (m prepareRequest) encode(groupName string) []byte {
-	return kindPrepare.begin(groupName).Uint(m.ballot).Data
+	return kindPrepare.newWriter(groupName).Uint(m.ballot).Data
 }
 
 func (m prepareReply) encode(groupName string) []byte {
-	return kindPrepareReply.begin(groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindPrepareReply.newWriter(groupName).Uint(m.ballot).Bool(m.promised).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseProposal) encode(groupName string) []byte {
-	return kindLeaseProposal.begin(groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
+	return kindLeaseProposal.newWriter(groupName).Uint(m.ballot).Uint(m.epoch).Uint(m.round).Data
 }
 
 func (m leaseAccepted) encode(groupName string) []byte {
-	return kindLeaseAccepted.begin(groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindLeaseAccepted.newWriter(groupName).Uint(m.epoch).Uint(m.round).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
 func (m leaseRejected) encode(groupName string) []byte {
-	return kindLeaseRejected.begin(groupName).Uint(m.epoch).Uint(m.promised).Data
+	return kindLeaseRejected.newWriter(groupName).Uint(m.epoch).Uint(m.promised).Data
 }
 
 func (m leaseYielded) encode(groupName string) []byte {
-	return kindLeaseYielded.begin(groupName).Uint(m.epoch).Data
+	return kindLeaseYielded.newWriter(groupName).Uint(m.epoch).Data
 }
 
 func (m stateRequest) encode(groupName string) []byte {
-	return kindStateRequest.begin(groupName).Uint(m.ballot).Data
+	return kindStateRequest.newWriter(groupName).Uint(m.ballot).Data
 }
 
 func (m stateTransfer) encode(groupName string) []byte {
-	return kindStateTransfer.begin(groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
+	return kindStateTransfer.newWriter(groupName).Uint(m.term).Uint(m.position.epoch).Uint(m.position.version).Bytes(m.snapshot).Data
 }
 
 func (m appendEntries) encode(groupName string) []byte {
-	w := kindAppendEntries.begin(groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
+	w := kindAppendEntries.newWriter(groupName).Uint(m.epoch).Uint(uint64(len(m.entries)))
 	for _, e := range m.entries {
 		e.encode(w)
 	}
@@ -105,10 +106,11 @@
 }
 
 func (m appendAcknowledged) encode(groupName string) []byte {
-	return kindAppendAcknowledged.begin(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
+	return kindAppendAcknowledged.newWriter(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
-// decodeQuorumMessage decodes one message, and the name of the group that it is for. Byte strings in it are parts of data, not copies.
+// decodeQuorumMessage decodes a message and the name of the group that it is for. Byte slices in it refer
+// to data and are not copied.
 func decodeQuorumMessage(data []byte) (groupName string, m quorumMessage, err error) {
 	r := encoding.Reader{Data: data}
 	kind := quorumMessageKind(r.Uint())
@@ -135,7 +137,7 @@
 	case kindAppendAcknowledged:
 		m = appendAcknowledged{position: decodePosition(&r)}
 	default:
-		return "", nil, fmt.Errorf("%w: %v between voters", ErrUnknownMessage, kind)
+		return "", nil, fmt.Errorf("%w: %v, sent between voters", ErrUnknownMessage, kind)
 	}
 	if err := r.Err(); err != nil {
 		return "", nil, malformed(kind, err)
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -1,24 +1,27 @@
 package ownership
 
-// voterState is what a voter has promised and granted, in memory only: see Quorum.abstains.
+// voterState holds what a voter has promised and granted. It is kept in memory only; see Quorum.abstains.
 type voterState struct {
-	promised uint64 // highest ballot
-	grantee  uint32 // peer that the lead was granted to last
-	epoch    uint64 // that it was granted for
-	grantEnd Time   // as this voter counts it
+	promised uint64 // highest ballot promised
+	grantee  uint32 // peer to which this voter last granted a lease
+	epoch    uint64 // of that lease
+	grantEnd Time   // end of that lease, as this voter counts it
 }
 
-// mayGrantTo reports whether no other's lease lasts here. A voter grants the lead to one at a time, so no two can have it from a majority.
+// mayGrantTo reports whether this voter may grant a lease to a candidate: no lease that it granted to
+// another candidate lasts. So no two candidates can hold leases from a majority at the same time.
 func (v *voterState) mayGrantTo(candidate uint32, now Time) bool {
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains reports whether an earlier process of this voter may have granted a lease that still lasts: this process does not know of it.
+// abstains reports whether an earlier process of this voter may have granted a lease that still lasts and
+// that this process does not know of.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+leaseAtGrantor(q.cfg.Lease)
 }
 
-// handlePrepare promises to accept no ballot below this one, unless the lease of another lasts here.
+// handlePrepare promises to accept no ballot below the requested one, unless the lease of another
+// candidate lasts.
 func (q *Quorum) handlePrepare(from uint32, m prepareRequest) {
 	if q.abstains() || m.ballot <= q.voter.promised {
 		return
@@ -31,7 +34,8 @@
 	q.send(from, prepareReply{ballot: m.ballot, promised: promised, position: q.appliedPosition()})
 }
 
-// handleLeaseProposal grants the lead, unless a higher ballot was promised or the lease of another lasts.
+// handleLeaseProposal grants or renews a lease, unless this voter has promised a higher ballot or the
+// lease of another candidate lasts.
 func (q *Quorum) handleLeaseProposal(from uint32, m leaseProposal) {
 	if q.abstains() {
 		return
@@ -47,7 +51,7 @@
 	q.send(from, leaseAccepted{epoch: m.epoch, round: m.round, position: q.log.position})
 }
 
-// handleLeaseYielded ends the lease that was granted: others may be elected at once.
+// handleLeaseYielded ends the lease that this voter granted, so that others can be elected at once.
 func (q *Quorum) handleLeaseYielded(from uint32, m leaseYielded) {
 	if from == q.voter.grantee && m.epoch == q.voter.epoch {
 		q.voter.grantEnd = q.now
@@ -58,13 +62,15 @@
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
 
-// follows reports whether this voter takes an epoch's commands from a process: only while the lease lasts that it granted. Afterwards it may have
-// promised a ballot to a candidate, whose epoch would begin without these commands.
+// follows reports whether this voter accepts the commands of an epoch from a peer. It does so only while
+// the lease that it granted lasts. Afterwards it may have promised a ballot to a candidate, whose epoch
+// would begin without these commands.
 func (q *Quorum) follows(from uint32, epoch uint64) bool {
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
 }
 
-// handleStateTransfer takes the state that this voter requested as a candidate, or that its leader sends.
+// handleStateTransfer restores the state that this voter requested as a candidate, or that its leader
+// sends.
 func (q *Quorum) handleStateTransfer(from uint32, m stateTransfer) {
 	if m.term == q.candidate.ballot && q.candidate.stateSource == from && m.term != 0 {
 		if restoreState(q.machines, m.snapshot) {
@@ -82,7 +88,8 @@
 	}
 }
 
-// handleAppendEntries applies the entries that continue this voter's state. Those after a gap are sent again by the leader.
+// handleAppendEntries applies the entries that directly follow this voter's log position. The leader sends
+// entries after a gap again.
 func (q *Quorum) handleAppendEntries(from uint32, m appendEntries) {
 	if !q.follows(from, m.epoch) || q.log.position.epoch != m.epoch {
 		return
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -2,20 +2,27 @@
 
 import "strings"
 
-// Two forms of a reason: the log has the code of a ReleaseReason; messages, the table and operators' commands have a text, whose bytes are
-// recorded and never change.
+// A reason has two forms. The log uses the code of a ReleaseReason. Messages, the table and operators'
+// commands use a text, which is stored and recorded and must not change.
 
-// ReleaseReason is why a process stops a job.
+// ReleaseReason is the reason why a process stops a job.
 type ReleaseReason uint8
 
-// The reasons.
+// Reasons why a process stops a job.
 const (
-	LeaseEnded     ReleaseReason = iota // without a renewal in time
-	HandedOver                          // the coordinator has requested the job, for another process
-	NoLongerListed                      // not on the coordinator's list under this token: another owner, a raised token, or an uncertain table
-	LaterTokenSeen                      // a receiver has accepted an effect of a later owner
-	JobFailed                           // a fault of the job's own
-	ProcessLeaving                      // Core.Leave was called
+	// LeaseEnded means that the process's lease was not renewed in time.
+	LeaseEnded ReleaseReason = iota
+	// HandedOver means that the coordinator hands the job over to another process.
+	HandedOver
+	// NoLongerListed means that the coordinator's list does not contain the job under this token: it
+	// has another owner or a raised token, or the table is uncertain.
+	NoLongerListed
+	// LaterTokenSeen means that a receiver has accepted an effect of a later owner.
+	LaterTokenSeen
+	// JobFailed means that the job ended because of its own failure.
+	JobFailed
+	// ProcessLeaving means that Core.Leave was called.
+	ProcessLeaving
 )
 
 var releaseReasonCodes = [...]string{
@@ -27,10 +34,11 @@
 	ProcessLeaving: "process_leaving",
 }
 
-// String is the code that the log has.
+// String returns the reason's code, as used in the log.
 func (r ReleaseReason) String() string { return releaseReasonCodes[r] }
 
-// Texts of a job's last change, as stored. That of textOwnerUnfit stays though nothing measures whether a process is starved: see Core.SetEligible.
+// Texts that the table stores as the reason of a job's last change. The text of textOwnerUnfit mentions
+// "starved" although nothing measures that (see Core.SetEligible): stored texts do not change.
 const (
 	textRegistered  = "made known"
 	textFree        = "free, and it has the fewest"
@@ -41,17 +49,17 @@
 	ownerLostFormat = "its owner %s was lost"
 )
 
-// Texts of a release, as sent and stored.
+// Texts that are sent and stored as the reason of a release.
 const (
 	textLeaseEnded     = "the lease ended"
 	textHandedOver     = "it is to be handed over"
 	textLaterTokenSeen = "a receiver has seen a later token"
 	textNotBegun       = "not begun: it is to be handed over, or this process is leaving"
-	// failedPrefix begins the text of a job that ended by a fault of its own; the coordinator delays its next grant.
+	// failedPrefix begins the text for a job that failed. The coordinator delays the job's next grant.
 	failedPrefix = "failed: "
 )
 
-// isFailure reports whether the text of a release is that of a failed job, with a cause.
+// isFailure reports whether the text of a release is that of a failed job and includes a cause.
 func isFailure(text string) bool {
 	return len(text) > len(failedPrefix) && strings.HasPrefix(text, failedPrefix)
 }
--- a/internal/fleet/ownership/reasons_test.go
+++ b/internal/fleet/ownership/reasons_test.go
@@ -6,7 +6,7 @@
 	reasons := map[string]ReleaseReason{}
 	for r := LeaseEnded; r <= ProcessLeaving; r++ {
 		if other, taken := reasons[r.String()]; taken || r.String() == "" {
-			t.Errorf("reason %d has the code %q, as reason %d", r, r, other)
+			t.Errorf("reason %d has the code %q, want a unique one that is not empty; reason %d may have it too", uint8(r), r, uint8(other))
 		}
 		reasons[r.String()] = r
 	}
@@ -20,7 +20,7 @@
 		"":                         false,
 	} {
 		if got := isFailure(text); got != want {
-			t.Errorf("%q: got %t, want %t", text, got, want)
+			t.Errorf("isFailure(%q) = %t, want %t", text, got, want)
 		}
 	}
 }
--- a/internal/fleet/ownership/recorded_test.go
+++ b/internal/fleet/ownership/recorded_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestRecordedMessagesRoundTrip: messages that package simulation has recorded decode, and encode to the same bytes.
+// TestRecordedMessagesRoundTrip tests that messages recorded by package simulation decode, and encode to
+// the same bytes.
 func TestRecordedMessagesRoundTrip(t *testing.T) {
 	recorded, err := os.ReadFile("simulation/testdata/messages.golden")
 	if err != nil {
@@ -26,7 +27,7 @@
 			ofCores++
 			m, err := decodeMessage(data)
 			if err != nil {
-				t.Errorf("%s: %v", line, err)
+				t.Errorf("decodeMessage of %q: %v", line, err)
 				continue
 			}
 			encoded = m.encode()
@@ -34,18 +35,18 @@
 			ofVoters++
 			name, m, err := decodeQuorumMessage(data)
 			if err != nil {
-				t.Errorf("%s: %v", line, err)
+				t.Errorf("decodeQuorumMessage of %q: %v", line, err)
 				continue
 			}
 			encoded = m.encode(name)
-		default: // a message of the raft library
+		default: // a message between voters with disks, which package consensus encodes
 			continue
 		}
 		if string(encoded) != string(data) {
-			t.Errorf("%s is encoded to %x", line, encoded)
+			t.Errorf("recorded message %q decodes and encodes to %x", line, encoded)
 		}
 	}
 	if ofCores == 0 || ofVoters == 0 {
-		t.Errorf("%d messages of Cores and %d of voters: too few to show anything", ofCores, ofVoters)
+		t.Errorf("%d messages between Cores and %d between voters were checked, want at least one of each", ofCores, ofVoters)
 	}
 }
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// maxUncommitted bounds the entries that wait for a majority.
+	// maxUncommitted is the maximum number of entries that wait for a majority.
 	maxUncommitted = 64
-	// maxBatchBytes bounds the entries of one message, beyond the first.
+	// maxBatchBytes bounds the entries of a message, unless it contains a single entry.
 	maxBatchBytes = 4096
 )
 
-// logPosition is a place in the order of all commands. version is the index in the epoch's log, from 0 in each epoch; it is not Table.Version.
+// logPosition is a position in the order of all commands. version is the index in the epoch's log, which
+// starts from 0 in each epoch; it is not Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
 func (p logPosition) before(other logPosition) bool {
@@ -26,8 +27,8 @@
 // logEntry is a command in the log.
 type logEntry struct {
 	version uint64
-	tag     uint64
-	machine byte
+	tag     uint64 // of the proposer
+	machine byte   // number of the machine that applies the command
 	command []byte
 }
 
@@ -39,15 +40,16 @@
 	return logEntry{version: r.Uint(), tag: r.Uint(), machine: byte(r.Uint()), command: r.Bytes(maxBodyBytes)}
 }
 
-// replicatedLog is how far this voter's state is and, at a leader, the last entries of its epoch and how far each voter has them.
+// replicatedLog holds this voter's position in the log. At a leader, it also holds the last entries of
+// its epoch and the position of each voter.
 type replicatedLog struct {
-	position     logPosition // of the last entry here; a follower has applied it, a leader what is committed
-	committed    uint64      // version up to which a majority has all
-	entries      []logEntry
-	acknowledged map[uint32]uint64 // version that each voter has, for those with the state of the epoch
+	position     logPosition       // of the last entry here; a follower has applied it, a leader only what is committed
+	committed    uint64            // at a leader, the version up to which a majority has all entries
+	entries      []logEntry        // at a leader, the last entries, up to maxUncommitted
+	acknowledged map[uint32]uint64 // at a leader, the version up to which each voter has all entries; only voters with the state of the epoch
 }
 
-// reset begins an epoch at its leader.
+// reset starts an epoch at its leader.
 func (l *replicatedLog) reset(epoch uint64, self uint32) {
 	l.position = logPosition{epoch, 0}
 	l.committed, l.entries, l.acknowledged = 0, nil, map[uint32]uint64{self: 0}
@@ -55,6 +57,8 @@
 
 func (l *replicatedLog) full() bool { return l.position.version-l.committed >= maxUncommitted }
 
+// append adds an entry and returns its version. It drops the oldest entry if there are more than
+// maxUncommitted.
 func (l *replicatedLog) append(machine byte, tag uint64, cmd []byte) (version uint64) {
 	l.position.version++
 	l.entries = append(l.entries, logEntry{version: l.position.version, tag: tag, machine: machine, command: append([]byte(nil), cmd...)})
@@ -73,12 +77,13 @@
 	return logEntry{}, false
 }
 
-// hasAllAfter reports whether the log still has all entries after a version.
+// hasAllAfter reports whether the log still contains all entries after a version.
 func (l *replicatedLog) hasAllAfter(version uint64) bool {
 	return len(l.entries) > 0 && l.entries[0].version <= version+1
 }
 
-// batchAfter gives the entries after a version, as many as one message takes and at least one.
+// batchAfter returns entries after a version: as many as fit in one message, and at least one if there
+// are any.
 func (l *replicatedLog) batchAfter(version uint64) (batch []logEntry) {
 	var encoded encoding.Writer
 	for _, e := range l.entries {
@@ -90,9 +95,10 @@
 	return batch
 }
 
-// uncertainMachine is a machine that has to know when its state may lack what was committed.
+// uncertainMachine is implemented by machines that must know when their state may lack committed commands.
 type uncertainMachine interface{ MarkUncertain() }
 
+// markUncertain marks the machines that implement uncertainMachine.
 func markUncertain(machines group.Machines) {
 	machines.Each(func(m group.Machine) {
 		if m, ok := m.(uncertainMachine); ok {
@@ -101,14 +107,14 @@
 	})
 }
 
-// encodeState encodes the state of all machines.
+// encodeState returns the state of all machines, encoded.
 func encodeState(machines group.Machines) []byte {
 	var w encoding.Writer
 	machines.EncodeSnapshots(&w)
 	return w.Data
 }
 
-// restoreState reports whether all machines could be restored from an encoded state.
+// restoreState restores all machines from an encoded state, and reports whether it succeeded.
 func restoreState(machines group.Machines, state []byte) bool {
 	r := encoding.Reader{Data: state}
 	return machines.RestoreSnapshots(&r, maxSnapshotBytes) == nil && r.Err() == nil
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// StoreCheckpoint requests that a checkpoint of a job is stored. Effects.CheckpointStored reports the result; without a report the checkpoint may
-// or may not be stored.
+// StoreCheckpoint asks the coordinator to store a checkpoint of a job. Effects.CheckpointStored
+// reports the result. If no report arrives, the checkpoint may or may not have been stored.
 func (c *Core) StoreCheckpoint(now Time, job string, token, checkpointNumber uint64, checkpoint []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -17,14 +17,16 @@
 	return nil
 }
 
-// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller has called IsOwner just before.
+// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller must
+// have called IsOwner just before.
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.send(to, effectMessage{job: job, token: token, body: body}.encode())
 }
 
-// Query sends a query to the owner of a job, by way of the coordinator. It may be lost. Effects.ReplyReceived gets the reply.
+// Query sends a query to the owner of a job through the coordinator. Effects.ReplyReceived reports the
+// reply. The query or its reply may be lost.
 func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -37,14 +39,15 @@
 	}
 }
 
-// Reply answers a query.
+// Reply sends the reply to a query that Effects.QueryReceived has passed on.
 func (c *Core) Reply(now Time, to uint32, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.send(to, queryReply{tag: tag, body: body}.encode())
 }
 
-// MoveJob requests the coordinator to hand a job over to a member. Effects.ReplyReceived gets the refusal, empty where it is accepted.
+// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived reports why the
+// request is refused; the text is empty if it is accepted.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -2,24 +2,24 @@
 
 import "sort"
 
-// session is what the coordinator knows of a process in its epoch.
+// session is what the coordinator knows about a process in the present epoch.
 type session struct {
 	processID
 	startedAt       Time
-	renewedAt       Time // the last confirmed lease was requested no later than this
+	renewedAt       Time // arrival of the request for the last granted lease; initially startedAt
 	eligible        bool
-	eligibleSince   Time            // without a break
-	offers          map[string]bool // jobs that it can own; nil: not known
-	listSentVersion uint64          // of the table, plus one, when its list was sent last; 0: to be sent at once
+	eligibleSince   Time            // start of the present uninterrupted time as eligible
+	offers          map[string]bool // jobs that the process can own; nil if not known yet
+	listSentVersion uint64          // Table.Version plus one when the last job list was sent; 0 if a list must be sent at once
 	listSentAt      Time
-	listSequence    uint64 // of that list
-	lacksList       bool   // its last request shows that it does not have that list
+	listSequence    uint64 // of the last job list sent
+	lacksList       bool   // the last lease request shows that the process does not have that list
 }
 
-// sessions are the processes that have requested a lease in the epoch.
+// sessions holds the processes that have requested a lease in the present epoch.
 type sessions map[processID]*session
 
-// sorted gives them by name, and those of one name by when they began.
+// sorted returns the sessions by name, and those of one name by start time.
 func (ss sessions) sorted() []*session {
 	out := make([]*session, 0, len(ss))
 	for _, s := range ss {
@@ -39,7 +39,7 @@
 	return s.incarnation < other.incarnation
 }
 
-// latest is the session of a name that began last; nil: none.
+// latest returns the session of a member that started last, or nil if the member has none.
 func (ss sessions) latest(name string) (last *session) {
 	for _, s := range ss.sorted() {
 		if s.name == name {
@@ -49,7 +49,8 @@
 	return last
 }
 
-// handleLeaseRequest queues the request until the voters have confirmed that this process leads.
+// handleLeaseRequest queues the request until the voters have confirmed that this process leads. A
+// process that does not lead redirects the sender to the leader.
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
 		if c.group != nil {
@@ -70,7 +71,7 @@
 	c.confirmation.waiting = append(c.confirmation.waiting, leaseClaim{processID: m.sender, sequence: m.sequence, claimedAt: c.now})
 }
 
-// handleJobOffer learns which jobs a process can own.
+// handleJobOffer records which jobs a process can own.
 func (c *coordinator) handleJobOffer(m jobOffer) {
 	s := c.sessions[m.sender]
 	if s == nil {
@@ -85,19 +86,20 @@
 // leaseClaim is a lease request that waits for the voters' confirmation.
 type leaseClaim struct {
 	processID
-	sequence  uint64
+	sequence  uint64 // of the request
 	claimedAt Time
 }
 
-// leadershipConfirmation is the round in which the voters confirm that this process leads. One round serves all requests that came before
-// it, so that the cost does not rise with the fleet.
+// leadershipConfirmation holds the rounds in which the voters confirm that this process leads. A
+// round serves all lease requests received before it, so that the cost does not grow with the fleet.
 type leadershipConfirmation struct {
-	waiting     []leaseClaim            // for the next round
-	byTag       map[uint64][]leaseClaim // rounds under way; none is empty
-	requestedAt Time
+	waiting     []leaseClaim            // claims for the next round
+	byTag       map[uint64][]leaseClaim // claims of the rounds in progress; none is empty
+	requestedAt Time                    // start of the last round
 }
 
-// expire drops rounds that voters have not confirmed in time. Their processes send the request again.
+// expire drops rounds that the voters have not confirmed in time. The processes in them send their
+// lease requests again.
 func (l *leadershipConfirmation) expire(now, timeout Time) {
 	for tag, claims := range l.byTag {
 		if now-claims[0].claimedAt > timeout {
@@ -106,8 +108,9 @@
 	}
 }
 
-// confirmLeadership begins a round. Lease: only a confirmed leader grants one; a deposed coordinator that does not know it could renew leases
-// whose jobs its successor has granted to others.
+// confirmLeadership starts a round if claims wait and confirmInterval has passed. Lease: only a
+// confirmed leader grants leases. A coordinator that was replaced without knowing it could otherwise
+// renew the lease of a process whose jobs its successor has granted to others.
 func (c *coordinator) confirmLeadership() {
 	l := &c.confirmation
 	if len(l.waiting) == 0 || c.now-l.requestedAt < confirmInterval {
@@ -117,7 +120,7 @@
 	claims := l.waiting
 	l.waiting = nil
 	if c.table.uncertain {
-		return // no lease is renewed: its holder's jobs may be missing from the table
+		return // no lease is renewed: the table may lack jobs that its holder owns
 	}
 	tag := c.nextTag()
 	l.byTag[tag] = claims
@@ -126,7 +129,7 @@
 	}
 }
 
-// leadershipConfirmed grants the leases that were claimed before the round.
+// leadershipConfirmed grants the leases that were claimed before the round with the given tag.
 func (c *coordinator) leadershipConfirmed(tag uint64) {
 	claims := c.confirmation.byTag[tag]
 	delete(c.confirmation.byTag, tag)
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Receive takes a message of another process's Core. What can't be decoded changes nothing.
+// Receive handles a message from the Core of another process. A message that can't be decoded, or
+// that names a sender other than from, changes nothing.
 func (c *Core) Receive(now Time, from uint32, data []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -17,7 +18,8 @@
 	return c.step(from, m)
 }
 
-// deliverToSelf handles the messages that this process has sent to itself, once the current step is done.
+// deliverToSelf handles the messages that this process has sent to itself. Every exported method
+// that may send such a message calls it when it returns.
 func (c *Core) deliverToSelf() {
 	if c.delivering {
 		return
@@ -31,7 +33,7 @@
 	c.delivering = false
 }
 
-// step hands a message to the role that it is for.
+// step passes a message to the role that handles it.
 func (c *Core) step(from uint32, m message) error {
 	if sender, named := senderOf(m); named && peerOf(sender.name) != from {
 		return fmt.Errorf("%w: %q from peer %08x", ErrSenderMismatch, sender.name, from)
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// senderOf gives the process that a message names as its sender, if it names one.
+// senderOf returns the process that a message names as its sender, and whether it names one.
 func senderOf(m message) (sender processID, named bool) {
 	switch m := m.(type) {
 	case leaseRequest:
@@ -82,7 +84,8 @@
 	return processID{}, false
 }
 
-// handleEffect is the receiver's part. Fencing: only an effect that the fence accepts is carried out.
+// handleEffect handles an effect at its receiver. Fencing: it applies only an effect that the fence
+// accepts.
 func (c *Core) handleEffect(from uint32, m effectMessage) {
 	verdict, highest := c.fence.Check(m.job, m.token)
 	switch verdict {
@@ -94,7 +97,8 @@
 	c.send(from, effectAck{job: m.job, token: m.token, verdict: verdict, highest: highest}.encode())
 }
 
-// handleQuery answers a query as the owner, or forwards it as the coordinator.
+// handleQuery passes a query to the job if this process owns it. Otherwise the coordinator forwards
+// it to the owner.
 func (c *Core) handleQuery(m queryMessage) {
 	if c.participant.owns(m.job) {
 		c.effects.QueryReceived(m.requester, m.job, m.tag, m.body)
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -7,27 +7,30 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// MachineNumber is the table's number among the group's state machines.
+// MachineNumber is the number of the Table among the group's state machines.
 const MachineNumber = 1
 
+// tableFormat is the version of the snapshot's encoding.
 const tableFormat = 1
 
-// tokensPerEpochBits: a job's first token in an epoch is the epoch shifted by this, so that tokens rise across epochs.
+// tokensPerEpochBits is the number of bits by which an epoch is shifted to form a job's first token in
+// it, so that tokens rise from one epoch to the next.
 const tokensPerEpochBits = 20
 
 // JobRecord is a row of the Table.
 type JobRecord struct {
 	Job              string
 	Token            uint64 // of the last grant
-	Owner            string // member name; "": none
+	Owner            string // member name; empty if the job has no owner
 	Incarnation      uint64 // of the owner's process
 	CheckpointNumber uint64 // of Checkpoint; only rises
 	Checkpoint       []byte // for the next owner
 	ChangedAt        int64  // wall clock of the last change, Unix milliseconds
-	Reason           string // text of the last change: see reasons.go
+	Reason           string // text of the last change; see reasons.go
 }
 
-// storeCheckpoint stores a checkpoint, unless a later one is stored already.
+// storeCheckpoint stores a checkpoint, unless the same or a later one is already stored. It reports
+// whether it was stored.
 func (r *JobRecord) storeCheckpoint(number uint64, checkpoint []byte) bool {
 	if number <= r.CheckpointNumber {
 		return false
@@ -38,23 +41,23 @@
 
 func (r *JobRecord) clearOwner(text string) { r.Owner, r.Incarnation, r.Reason = "", 0, text }
 
-// Table is the jobs, as a state machine of the group.
+// Table holds the jobs of the fleet with their owners. It is a state machine of the group.
 type Table struct {
-	// Version rises with each command that is applied, other than a checkpoint, and with MarkUncertain.
+	// Version rises with MarkUncertain and with each accepted command other than a checkpoint.
 	Version uint64
 
 	rows      map[string]*JobRecord
 	names     []string // sorted
-	uncertain bool     // MarkUncertain was called, and no confirmCommand came since
+	uncertain bool     // MarkUncertain was called, and no confirmCommand has been applied since
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty Table.
 func NewTable() *Table { return &Table{rows: map[string]*JobRecord{}} }
 
-// Job gives a job's row; nil: there is none.
+// Job returns a job's row, or nil if the table has no such job. The caller must not change it.
 func (t *Table) Job(job string) *JobRecord { return t.rows[job] }
 
-// Jobs gives all rows, by name.
+// Jobs returns all rows, sorted by job name. The caller must not change them.
 func (t *Table) Jobs() []*JobRecord {
 	rows := make([]*JobRecord, 0, len(t.names))
 	for _, name := range t.names {
@@ -63,8 +66,9 @@
 	return rows
 }
 
-// MarkUncertain says that committed commands may be missing from the table. All owners are cleared, and the coordinator grants nothing until
-// every lease has ended that a lost command may have led to.
+// MarkUncertain records that committed commands may be missing from the table. It clears all owners,
+// and the coordinator grants nothing until every lease has ended that a missing command may have led
+// to.
 func (t *Table) MarkUncertain() {
 	t.uncertain = true
 	t.Version++
@@ -73,13 +77,14 @@
 	}
 }
 
-// Results of a command, as Apply returns them.
+// Results that Apply returns for a command.
 const (
 	resultRejected = 0
 	resultApplied  = 1
 )
 
-// Apply carries out an encoded command. A command with a stale token changes nothing.
+// Apply applies an encoded command and returns its result. A command with a stale token changes
+// nothing.
 func (t *Table) Apply(encoded []byte) []byte {
 	cmd, err := decodeCommand(encoded)
 	if err != nil || !cmd.apply(t) {
@@ -91,6 +96,7 @@
 	return []byte{resultApplied}
 }
 
+// add inserts a row, keeping names sorted.
 func (t *Table) add(r *JobRecord) {
 	t.rows[r.Job] = r
 	i := sort.SearchStrings(t.names, r.Job)
@@ -99,7 +105,7 @@
 	t.names[i] = r.Job
 }
 
-// Snapshot encodes the complete table.
+// Snapshot returns the complete table, encoded.
 func (t *Table) Snapshot() []byte {
 	var w encoding.Writer
 	w.Uint(tableFormat).Uint(t.Version).Bool(t.uncertain).Uint(uint64(len(t.names)))
@@ -127,11 +133,12 @@
 	}
 }
 
-// Restore replaces the table by a snapshot. A truncated one, or one in another format, changes nothing.
+// Restore replaces the table with a snapshot. A snapshot that is truncated or in another format
+// changes nothing.
 func (t *Table) Restore(snapshot []byte) error {
 	r := encoding.Reader{Data: snapshot}
 	if v := r.Uint(); v != tableFormat {
-		return fmt.Errorf("%w: %d, only %d is known", ErrUnsupportedTable, v, tableFormat)
+		return fmt.Errorf("%w: %d, expected %d", ErrUnsupportedTable, v, tableFormat)
 	}
 	next := NewTable()
 	next.Version, next.uncertain = r.Uint(), r.Bool()
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// randomCommand is a random command on a table.
+// randomCommand describes a random command on a table.
 type randomCommand struct {
 	kind   commandKind
 	job    string
@@ -16,6 +16,7 @@
 	number uint64 // of the checkpoint
 }
 
+// generateCommand returns a random command. Only two jobs and few tokens occur, so that commands conflict.
 func generateCommand(t *rapid.T) randomCommand {
 	return randomCommand{
 		job:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job"),
@@ -40,12 +41,13 @@
 	return registerCommand{job: d.job, changedAt: 1}
 }
 
-// isStale reports whether a command must change nothing in a row: its token is below the row's, or a grant does not rise above it.
+// isStale reports whether a command must not change a row: its token is below the row's, or it is a grant
+// whose token is not above the row's.
 func (d randomCommand) isStale(row JobRecord) bool {
 	return d.kind != kindRegister && (d.token < row.Token || d.token == row.Token && d.kind == kindGrant)
 }
 
-// rowCopy is a job's row; the zero value: there is none.
+// rowCopy returns a copy of a job's row, or the zero value if there is none.
 func rowCopy(table *Table, job string) (row JobRecord) {
 	if r := table.Job(job); r != nil {
 		row = *r
@@ -53,34 +55,35 @@
 	return row
 }
 
-// checkApplied checks a row after a command.
+// checkApplied checks a row after the command against the row before it.
 func (d randomCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
 	t.Helper()
 	if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
-		t.Fatalf("%v: token or checkpoint number falls: %+v after %+v", d.kind, after, before)
+		t.Fatalf("%v lowers the token or the checkpoint number: %+v after %+v", d.kind, after, before)
 	}
 	if d.isStale(before) && (applied || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
-		t.Fatalf("%v with stale token %d after %d: %+v", d.kind, d.token, before.Token, after)
+		t.Fatalf("%v with stale token %d, below or at %d: applied %t, row %+v, want unchanged %+v", d.kind, d.token, before.Token, applied, after, before)
 	}
 	if d.kind == kindGrant && applied && (after.Owner != "p" || after.Token != d.token) {
-		t.Fatalf("granted under token %d: %+v", d.token, after)
+		t.Fatalf("granted to %q under token %d: row %+v", "p", d.token, after)
 	}
 }
 
-// checkSnapshot checks that a table restored from a snapshot is the same.
+// checkSnapshot checks that a table restored from a snapshot equals the original.
 func checkSnapshot(t *rapid.T, table *Table) {
 	t.Helper()
 	restored := NewTable()
 	if err := restored.Restore(table.Snapshot()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Restore of the table's own snapshot: %v", err)
 	}
 	sameRow := func(a, b *JobRecord) bool { return fmt.Sprint(*a) == fmt.Sprint(*b) }
 	if !slices.EqualFunc(table.Jobs(), restored.Jobs(), sameRow) || restored.Version != table.Version {
-		t.Fatalf("a snapshot of %+v restores %+v", table.Jobs(), restored.Jobs())
+		t.Fatalf("Restore(%x) yields another table, whose snapshot is %x", table.Snapshot(), restored.Snapshot())
 	}
 }
 
-// TestTable: whatever the commands, a job's token never falls, a stale token changes nothing, and a snapshot restores the table.
+// TestTable tests with random commands that a job's token never falls, that a command with a stale token
+// changes nothing, and that a snapshot restores the table.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
