--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -57,7 +57,7 @@
 	return s.worlds
 }
 
-// addSkewAndRestart adds the steps in which a voter's clock gains and in which it restarts.
+// addSkewAndRestart adds the steps in which a voter's clock runs ahead and in which the voter restarts.
 func (w *world) addSkewAndRestart(s *successors, voter int, f FaultInjection) {
 	if w.skews > 0 {
 		s.add(func(next *world) {
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	maxViolations = 5 // that are reported
-	// maxFinalOwnerGap bounds how long a job may have been without an owner at the end of the run.
+	// maxViolations is the maximum number of violations that a run reports.
+	maxViolations = 5
+	// maxFinalOwnerGap is how long a job may have been without an owner at the end of a run.
 	maxFinalOwnerGap = 2 * Sec
 )
 
-// grantID names a grant of a job.
+// grantID identifies a grant of a job.
 type grantID struct {
 	job   string
 	token uint64
 }
 
-// checks remember what has happened in a run, and the violations found.
+// checks records what the checks need to know of a run, and the violations found.
 type checks struct {
 	violations   []string
-	ownerOf      map[grantID]string // process and incarnation that started the job
-	highestToken map[string]uint64  // that a job was started under
-	stored       map[string]uint64  // highest checkpoint number that was reported as stored
-	lastOwnedAt  map[string]Time    // last time that a job had an owner
+	ownerOf      map[grantID]string // name and incarnation of the process that started the job
+	highestToken map[string]uint64  // highest token under which a job was started, by job
+	stored       map[string]uint64  // highest checkpoint number reported as stored, by job
+	lastOwnedAt  map[string]Time    // last time at which a job had an owner, by job
 }
 
 func newChecks() *checks {
@@ -34,13 +35,15 @@
 
 func (c *checks) passed() bool { return len(c.violations) == 0 }
 
+// reportViolation records a violation, up to maxViolations of them.
 func (r *Run) reportViolation(format string, args ...any) {
 	if len(r.checks.violations) < maxViolations {
 		r.checks.violations = append(r.checks.violations, fmt.Sprintf("at %d ms: ", r.now/Ms)+fmt.Sprintf(format, args...))
 	}
 }
 
-// checkStart checks what must hold where a job starts: one owner for each token, rising tokens, no checkpoint lost.
+// checkStart checks what must hold when a job starts: each token has one owner, tokens rise, and no stored
+// checkpoint is lost.
 func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
@@ -60,7 +63,8 @@
 	}
 }
 
-// checkOwners checks what must hold at every step: of the processes that are awake at most one leads, and at most one owns each job.
+// checkOwners checks what must hold at every step: of the processes that are awake, at most one leads and
+// at most one owns each job.
 func (r *Run) checkOwners() {
 	owners, leader := map[string]string{}, ""
 	for _, p := range r.processes {
@@ -86,7 +90,8 @@
 	r.recordGaps(owners)
 }
 
-// leads reports whether a voter without a disk leads by its lease. With disks two may believe that they lead: there the group confirms each lease.
+// leads reports whether a voter without a disk leads by its lease. Voters with disks are not checked: two of
+// them may believe that they lead, since the group confirms the leader before each grant of a lease.
 func (r *Run) leads(p *process) bool {
 	if r.cfg.Disks || p.group == nil {
 		return false
@@ -95,7 +100,7 @@
 	return ok && r.localTime(p) < p.group.(*ownership.Quorum).LeaseEnd()
 }
 
-// recordGaps records how long each job was without an owner.
+// recordGaps records the periods in which a job had no owner, as they end.
 func (r *Run) recordGaps(owners map[string]string) {
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
@@ -109,7 +114,8 @@
 	}
 }
 
-// checkSettled checks what must hold at the end: each job has an owner, unless a majority of the disks is lost: only operators can repair that.
+// checkSettled checks what must hold at the end of a run: each job has an owner. It checks nothing if no
+// majority of the voters with disks takes part, since only operators can repair that.
 func (r *Run) checkSettled() {
 	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
 		return
@@ -122,7 +128,7 @@
 	}
 }
 
-// lostVoters counts the voters with disks that take no part.
+// lostVoters returns the number of voters with disks that do not take part in the group.
 func (r *Run) lostVoters() (lost int) {
 	for _, p := range r.processes {
 		if p.raft != nil {
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -5,46 +5,46 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Trace is called with each event, to look into a run by hand.
+// Trace is called with each event of a run. It does nothing by default; set it to debug a run.
 var Trace = func(now Time, name, event string, args []any) {}
 
-// groupEffects are a voter's effects on its process.
+// groupEffects implements the effects of a voter on its process.
 type groupEffects struct {
 	run     *Run
 	process *process
 }
 
-// Send gives a message to the network.
+// Send passes a message to the network.
 func (g groupEffects) Send(peer uint32, msg []byte) { g.run.send(g.process, peer, true, msg) }
 
-// Applied passes the report on to the Core.
+// Applied passes the report on to the Core, if it exists yet.
 func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
 	if g.process.core != nil {
 		g.process.core.Applied(g.run.localTime(g.process), tag, result)
 	}
 }
 
-// Confirmed passes the report on to the Core.
+// Confirmed passes the report on to the Core, if it exists yet.
 func (g groupEffects) Confirmed(tag uint64) {
 	if g.process.core != nil {
 		g.process.core.Confirmed(g.run.localTime(g.process), tag)
 	}
 }
 
-// LogEvent counts elections.
+// LogEvent counts elections and traces the event.
 func (g groupEffects) LogEvent(event string, args ...any) {
 	if event == consensus.EventLeaderElected || event == ownership.EventQuorumLeaderElected {
 		g.run.Elections++
 	}
 	if event == ownership.EventQuorumLeaderElected && eventField(args, ownership.FieldStateComplete) == false {
-		// The quorum reports that checkpoints may be lost: no later start is checked against them.
+		// The quorum reports that checkpoints may be lost, so later starts are not checked against them.
 		clear(g.run.checks.stored)
 		g.run.UncertainElections++
 	}
 	Trace(g.run.now, g.process.name, event, args)
 }
 
-// eventField is the value of a field of an event; nil: it has none.
+// eventField returns the value of an event's field, or nil if the event does not have it.
 func eventField(args []any, name string) any {
 	for i := 0; i+1 < len(args); i += 2 {
 		if args[i] == name {
@@ -54,16 +54,16 @@
 	return nil
 }
 
-// coreEffects are a Core's effects on its process.
+// coreEffects implements ownership.Effects for a simulated process.
 type coreEffects struct {
 	run     *Run
 	process *process
 }
 
-// Send gives a message to the network.
+// Send passes a message to the network.
 func (c coreEffects) Send(peer uint32, msg []byte) { c.run.send(c.process, peer, false, msg) }
 
-// Start checks the grant, and starts a job.
+// Start checks the grant and starts the job.
 func (c coreEffects) Start(name string, token, number uint64, checkpoint []byte) error {
 	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
 	c.run.checkStart(c.process, name, token, number, checkpoint)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Stop ends a job, and gives its checkpoint.
+// Stop stops a job and returns its checkpoint.
 func (c coreEffects) Stop(name string, token uint64, reason ownership.ReleaseReason) (uint64, []byte) {
 	Trace(c.run.now, c.process.name, "stop", []any{name, token, reason})
 	j := c.process.jobs[name]
@@ -85,7 +85,7 @@
 	return j.sequence, checkpointOf(j.sequence)
 }
 
-// ApplyEffect checks the order of what the fence has accepted.
+// ApplyEffect checks that the effects that the fence accepts are in order.
 func (c coreEffects) ApplyEffect(name string, token ownership.FencingToken, _ []byte) {
 	if token.Before(c.process.accepted[name]) {
 		c.run.reportViolation("%s accepts effect %v of %s after %v", c.process.name, token, name, c.process.accepted[name])
@@ -94,14 +94,14 @@
 	c.run.AcceptedEffects++
 }
 
-// EffectAcknowledged counts rejected effects.
+// EffectAcknowledged counts the effects rejected as stale.
 func (c coreEffects) EffectAcknowledged(_ uint32, _ string, _ ownership.FencingToken, v ownership.Verdict, _ ownership.FencingToken) {
 	if v == ownership.Stale {
 		c.run.RejectedEffects++
 	}
 }
 
-// CheckpointStored records what no later owner may miss.
+// CheckpointStored records a stored checkpoint, which no later owner may miss.
 func (c coreEffects) CheckpointStored(name string, token, number uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
 		c.run.checks.stored[name] = max(c.run.checks.stored[name], number)
@@ -109,10 +109,10 @@
 	}
 }
 
-// QueryReceived does nothing: no job here is queried.
+// QueryReceived does nothing: the simulation sends no queries.
 func (c coreEffects) QueryReceived(uint32, string, uint64, []byte) {}
 
-// ReplyReceived does nothing.
+// ReplyReceived does nothing: the simulation sends no queries or requests to move jobs.
 func (c coreEffects) ReplyReceived(uint64, []byte) {}
 
 // LogEvent traces the event.
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -4,12 +4,13 @@
 
 var errDiskFull = errors.New("no space left")
 
-// diskLossThreshold is the Part above which a process that is killed loses its disk.
+// diskLossThreshold is the Fault.Amount above which a killed process loses its disk.
 const diskLossThreshold = 0.35
 
-// clockStep turns a Part into a step of the wall clock, by at most an hour either way.
-func clockStep(part float64) Time { return Time((part - maxAmount/2) * 5 * 3600 * float64(Sec)) }
+// clockStep returns the step of the wall clock for a Fault.Amount: at most an hour forwards or backwards.
+func clockStep(amount float64) Time { return Time((amount - maxAmount/2) * 5 * 3600 * float64(Sec)) }
 
+// beginFault applies a fault.
 func (r *Run) beginFault(f Fault) {
 	Trace(r.now, "", "fault", []any{f})
 	p := r.processes[f.Process]
@@ -45,6 +46,7 @@
 	}
 }
 
+// endFault ends a fault, and restarts the processes that it stopped or whose disk it affected.
 func (r *Run) endFault(f Fault) {
 	p := r.processes[f.Process]
 	switch f.Kind {
@@ -61,7 +63,7 @@
 		r.restart(p)
 	case faultCopyBack:
 		r.restoreDiskCopy(p)
-	case faultPause, faultHeldBack, faultClock: // these end by their time, or last
+	case faultPause, faultHeldBack, faultClock: // a pause and held-back messages end by themselves; a clock step lasts
 	case faultLoss:
 		r.network.loss = 0
 	default:
@@ -69,8 +71,8 @@
 	}
 }
 
-// pause has a process sleep right after its jobs have checked their lease. On waking it sends the effects that it checked for: this is what
-// fencing is for.
+// pause pauses a process right after its jobs have checked their lease. When it continues, it sends the
+// effects for which it checked: only fencing protects against these.
 func (r *Run) pause(p *process, d Time) {
 	if !r.awake(p) {
 		return
@@ -89,6 +91,7 @@
 	}
 }
 
+// restoreDiskCopy restarts a process with the copy of its disk that faultCopyBack made, if there is one.
 func (r *Run) restoreDiskCopy(p *process) {
 	if p.diskCopy == nil {
 		return
@@ -99,7 +102,9 @@
 	r.start(p)
 }
 
-// mayDamageDisk reports whether a voter's disk may be lost or replaced by an old copy. No more than a minority is: beyond that the group guarantees nothing.
+// mayDamageDisk reports whether a voter's disk may be lost or replaced by an old copy, and counts it as
+// damaged if so. It allows this for a minority of the voters at most: beyond that the group guarantees
+// nothing.
 func (r *Run) mayDamageDisk(voter int) bool {
 	if !r.cfg.Disks || voter >= r.cfg.Voters {
 		return false
@@ -111,17 +116,18 @@
 	return true
 }
 
-// cut adds one cut (by = 1) to each link that a fault hits, or takes it away (by = -1).
-func (n *network) cut(f Fault, by int) {
+// cut adds delta, which is 1 or -1, to the number of faults that cut each link affected by a fault.
+func (n *network) cut(f Fault, delta int) {
 	for from := range n.cuts {
 		for to := range n.cuts {
 			if from != to && cutsLink(f, from, to) {
-				n.cuts[from][to] += by
+				n.cuts[from][to] += delta
 			}
 		}
 	}
 }
 
+// cutsLink reports whether a fault cuts the link from one process to another.
 func cutsLink(f Fault, from, to int) bool {
 	switch f.Kind {
 	case faultCut:
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -7,32 +7,32 @@
 	"croftlock/internal/fleet/consensus"
 )
 
-// Delays of a message; with loss some are late by more.
+// Delays and copies of a message.
 const (
 	minDelay           = Ms
 	delaySpread        = 4 * Ms
-	lateMessageDivisor = 5 // with loss, one message in so many is late
+	lateMessageDivisor = 5 // while messages are lost, one in this many is delayed by up to extraDelaySpread more
 	extraDelaySpread   = 300 * Ms
 	duplicateCopies    = 2
 )
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
-	sender, receiver int
-	group            bool // between voters of the group, or else between Cores
+	sender, receiver int  // indexes of processes
+	group            bool // the message is between voters of the group; otherwise between Cores
 	data             []byte
 	deliverAt        Time
-	sequence         int
+	sequence         int // orders messages that are due at the same time
 }
 
-// network is the links between processes.
+// network holds the links between processes and the messages in flight.
 type network struct {
-	peers        map[uint32]int
+	peers        map[uint32]int // index of a process by its peer number
 	inFlight     []envelope
-	sequence     int
-	cuts         [][]int // how many faults cut the link from one process to another
+	sequence     int     // of the last envelope
+	cuts         [][]int // number of faults that cut the link, by the indexes of its sender and receiver
 	loss         float64 // probability that a message is lost, and that it is duplicated
-	delayedUntil []Time  // messages of a process arrive no sooner
+	delayedUntil []Time  // earliest arrival of messages, by the index of their sender
 }
 
 func newNetwork(processes int) *network {
@@ -43,7 +43,7 @@
 	return n
 }
 
-// send puts a message on its way, unless the link is cut or loses it.
+// send adds a message to those in flight, unless the link is cut or loses it.
 func (r *Run) send(p *process, peer uint32, group bool, message []byte) {
 	n := r.network
 	to, known := n.peers[peer]
@@ -69,7 +69,7 @@
 	}
 }
 
-// arrivalTime draws when a message that is sent now arrives.
+// arrivalTime returns a random arrival time for a message that is sent now.
 func (r *Run) arrivalTime() Time {
 	at := r.now + minDelay + r.rng.Int64N(delaySpread)
 	if r.network.loss > 0 && r.rng.IntN(lateMessageDivisor) == 0 {
@@ -78,7 +78,8 @@
 	return at
 }
 
-// deliverDue delivers the messages that are due, in order. What their receivers send is delivered in a later step.
+// deliverDue delivers the messages that are due, in the order of their arrival. What the receivers send in
+// response is delivered in a later step.
 func (r *Run) deliverDue() {
 	n := r.network
 	due := n.inFlight[:0:0]
@@ -99,7 +100,8 @@
 	}
 }
 
-// deliver gives a message to its receiver. A paused one has it queued, as by its socket.
+// deliver passes a message to its receiver. If the receiver is paused, the message is queued as in a socket's
+// buffer, which holds maxQueuedWhilePaused messages and drops the rest.
 func (r *Run) deliver(e envelope) {
 	p := r.processes[e.receiver]
 	if !p.running {
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -6,41 +6,43 @@
 	"sort"
 )
 
-// Fault is one in a plan.
+// Fault is a fault in a plan.
 type Fault struct {
 	Kind               FaultKind
 	BeginsAt, Duration Time
-	Process            int     // that it hits
-	OtherProcess       int     // at the other end of a link, or of a half of the fleet
-	Amount             float64 // probability of loss, or how far a clock is set
+	Process            int     // index of the affected process
+	OtherProcess       int     // index of a second process: the receiver for faultOneWay, one of two bounds for faultHalves
+	Amount             float64 // below maxAmount: probability of loss, size of a clock step, or whether a killed process loses its disk (see diskLossThreshold)
 }
 
-// String gives the fault as an S-expression, times in milliseconds.
+// String returns the fault as an S-expression, with times in milliseconds.
 func (f Fault) String() string {
 	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", f.Kind, f.BeginsAt/Ms, f.Duration/Ms, f.Process, f.OtherProcess, f.Amount)
 }
 
-// FaultKind is what happens to Process, and to OtherProcess where the kind names it.
+// FaultKind is the kind of a Fault.
 type FaultKind string
 
+// Kinds of faults. In the comments, "it" is Fault.Process.
 const (
-	faultPause     FaultKind = "pause"      // is paused
-	faultKill      FaultKind = "kill"       // is killed, now and then with the loss of its disk
+	faultPause     FaultKind = "pause"      // it is paused
+	faultKill      FaultKind = "kill"       // it is killed, sometimes with the loss of its disk
 	faultAllKilled FaultKind = "all-killed" // all processes are killed
 	faultCut       FaultKind = "cut"        // all its links are cut
-	faultOneWay    FaultKind = "one-way"    // the link to OtherProcess is cut
-	faultDeaf      FaultKind = "deaf"       // receives nothing
-	faultMute      FaultKind = "mute"       // sends nothing that arrives
-	faultHalves    FaultKind = "halves"     // the fleet is partitioned in two
-	faultLoss      FaultKind = "loss"       // messages are lost, duplicated and late
-	faultHeldBack  FaultKind = "held-back"  // its messages arrive when the fault ends
+	faultOneWay    FaultKind = "one-way"    // its link to OtherProcess is cut in this direction
+	faultDeaf      FaultKind = "deaf"       // it receives nothing
+	faultMute      FaultKind = "mute"       // none of its messages arrive
+	faultHalves    FaultKind = "halves"     // the fleet is split in two, after the lower of Process and OtherProcess
+	faultLoss      FaultKind = "loss"       // messages of all processes are lost, duplicated and delayed
+	faultHeldBack  FaultKind = "held-back"  // its messages arrive only after the fault has ended
 	faultFull      FaultKind = "full"       // its disk is full
-	faultCopyBack  FaultKind = "copy-back"  // its disk is copied, and replaced by that copy when the fault ends
+	faultCopyBack  FaultKind = "copy-back"  // its disk is copied, and replaced with the copy when the fault ends
 	faultClock     FaultKind = "clock"      // its wall clock is stepped
-	faultLeave     FaultKind = "leave"      // shuts down gracefully
+	faultLeave     FaultKind = "leave"      // it shuts down gracefully, and starts again when the fault ends
 )
 
-// FaultKinds are the faults that a plan may hold, in the order in which they are drawn.
+// FaultKinds lists the kinds that a plan may contain. Plan chooses kinds by their index, so the order is
+// part of what a seed determines.
 var FaultKinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
@@ -48,12 +50,12 @@
 	minFaultDuration    = 100 * Ms
 	faultDurationSpread = 8 * Sec
 	maxAmount           = 0.4
-	// longFaultDivisor of the faults last longTimes as long.
+	// One in longFaultDivisor faults lasts longFaultFactor times as long as it otherwise would.
 	longFaultDivisor = 6
 	longFaultFactor  = 4
 )
 
-// Plan draws faults, in the order in which they begin.
+// Plan returns a random plan of faults, in the order in which they begin.
 func Plan(rng *rand.Rand, c Config) (plan []Fault) {
 	n := 1 + rng.IntN(maxFaults)
 	for range n {
@@ -63,6 +65,8 @@
 	return plan
 }
 
+// randomFault returns a random fault. A fault of the disk in a fleet without disks, and a fault whose two
+// processes are the same, becomes a pause.
 func randomFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
 		Kind:         FaultKinds[rng.IntN(len(FaultKinds))],
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -9,53 +9,55 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// process is one member of the fleet through all its incarnations.
+// process is a member of the fleet, through all its incarnations.
 type process struct {
 	index int
 	name  string
 
-	// Across incarnations.
+	// State that lasts across incarnations.
 	disk       *consensus.MemoryStore
-	diskCopy   *consensus.StoredState // to be put back later; nil: none
-	clockRate  float64                // of the monotonic clock
-	wallOffset Time                   // of the wall clock
+	diskCopy   *consensus.StoredState // to be restored when faultCopyBack ends; nil if there is none
+	clockRate  float64                // rate of the monotonic clock relative to virtual time
+	wallOffset Time                   // of the wall clock from virtual time
 
-	// The present incarnation.
+	// State of the present incarnation.
 	incarnation uint64
 	running     bool
 	core        *ownership.Core
-	group       ownership.Group // nil: no voter
-	raft        *consensus.Core // the same, where it has a disk
+	group       ownership.Group // nil if the process is not a voter or could not open its disk
+	raft        *consensus.Core // the same group as a consensus.Core if it has a disk; otherwise nil
 	table       *ownership.Table
 	fence       *ownership.Fence
-	clockZero   Time // of the monotonic clock
-	nextTickAt  Time // true time
-	pausedUntil Time // 0: it runs
-	jobs        map[string]*job
-	accepted    map[string]ownership.FencingToken // last effect of each job, as the checks see it
-
-	// For when a paused process wakes.
-	queue        []envelope // received meanwhile
-	checkedSends []func()   // effects for which it had checked its lease before the pause
+	clockZero   Time                              // reading of the monotonic clock at virtual time 0
+	nextTickAt  Time                              // in virtual time
+	pausedUntil Time                              // in virtual time; 0 if the process was not paused since it last ran
+	jobs        map[string]*job                   // jobs that the process runs, by name
+	accepted    map[string]ownership.FencingToken // last effect applied, by job; kept for the checks
+
+	// What a paused process handles when it continues.
+	queue        []envelope // messages received during the pause
+	checkedSends []func()   // sends of effects for which it checked its lease before the pause
 }
 
-// job is one that a process owns, from Start to Stop.
+// job is a job that a process runs, from Start to Stop.
 type job struct {
-	token, sequence uint64
-	nextStepAt      Time // local
+	token, sequence uint64 // sequence numbers both effects and checkpoints
+	nextStepAt      Time   // by the process's monotonic clock
 }
 
 const (
 	jobStepInterval      = 100 * Ms
-	checkpointEvery      = 3 // steps of a job
+	checkpointEvery      = 3 // steps of a job between two checkpoints
 	maxQueuedWhilePaused = 64
 )
 
+// localTime returns the reading of a process's monotonic clock.
 func (r *Run) localTime(p *process) Time { return p.clockZero + Time(float64(r.now)*p.clockRate) }
 
+// awake reports whether a process is running and not paused.
 func (r *Run) awake(p *process) bool { return p.running && r.now >= p.pausedUntil }
 
-// start begins a new incarnation of a process.
+// start starts a new incarnation of a process.
 func (r *Run) start(p *process) {
 	p.incarnation = uint64(r.now/Ms)<<8 + uint64(p.index) + 1
 	p.running, p.pausedUntil, p.queue, p.checkedSends = true, 0, nil, nil
@@ -93,7 +95,7 @@
 	return names
 }
 
-// openGroup opens a voter's group. A voter whose disk can't be opened has none.
+// openGroup opens a voter's group. A voter whose disk can't be opened has no group.
 func (r *Run) openGroup(p *process) {
 	machines := map[byte]consensus.Machine{ownership.MachineNumber: p.table}
 	seed := r.rng.Uint64()
@@ -113,7 +115,8 @@
 	p.group = q
 }
 
-// kill ends a process without notice. What its disk has not synced is lost.
+// kill stops a process abruptly. Data that its disk has not synced is lost, and the whole disk is lost if
+// loseDisk is set.
 func (r *Run) kill(p *process, loseDisk bool) {
 	if !p.running {
 		return
@@ -130,7 +133,7 @@
 	r.start(p)
 }
 
-// stepProcess gives a process its turn.
+// stepProcess runs a process for one step, unless it is paused or not running.
 func (r *Run) stepProcess(p *process) {
 	if !r.awake(p) {
 		return
@@ -144,7 +147,8 @@
 	}
 }
 
-// wake has a process first send the effects that it had checked its lease for, and then read its messages.
+// wake continues a process after a pause. The process first sends the effects for which it checked its
+// lease before the pause, and then handles its queued messages.
 func (r *Run) wake(p *process) {
 	p.pausedUntil = 0
 	for _, send := range p.checkedSends {
@@ -158,7 +162,7 @@
 	}
 }
 
-// tick gives the Core its turn, and then each job whose lease lasts.
+// tick runs a tick of the Core, and then a step of each job that is due and that the process owns.
 func (r *Run) tick(p *process) {
 	now := r.localTime(p)
 	p.core.Tick(now)
@@ -174,8 +178,9 @@
 
 func (p *process) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
-// nextEffect is what a job does after its process has checked that it owns it: an effect for all receivers, and every checkpointEvery steps a
-// checkpoint.
+// nextEffect returns a function that sends a job's next effect to all processes, and every checkpointEvery
+// effects a checkpoint to the coordinator. The caller has checked that the process owns the job. The
+// function does nothing if the process has been restarted since.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
 	j.sequence++
 	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.sequence}, p.incarnation
@@ -193,5 +198,5 @@
 	}
 }
 
-// checkpointOf is what a job stores under a number.
+// checkpointOf returns the checkpoint that a job stores under a number.
 func checkpointOf(number uint64) []byte { return []byte(fmt.Sprint(number)) }
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -8,10 +8,12 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// Of recordedPlans half have voters with disks (package consensus) and half voters without (ownership.Quorum).
+// recordedPlans is the number of recorded plans. Half of them have voters with disks (package consensus) and
+// half have voters without (ownership.Quorum).
 const recordedPlans = 200
 
-// record plays one plan and gives its line of the golden file. samples takes messages of it; nil: none.
+// record plays a plan and returns its line of the golden file. It adds the messages to samples unless that is
+// nil.
 func record(seed uint64, samples *golden.Samples) string {
 	cfg := fleetConfig(seed)
 	cfg.FaultPeriod = 5 * Sec
@@ -34,11 +36,12 @@
 	for _, p := range r.processes {
 		digest.Add("%x", p.table.Snapshot())
 	}
-	// The keys are those of the golden file.
+	// The keys must stay as they are in the golden file.
 	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.AcceptedEffects, r.RejectedEffects, r.JobStarts, r.Checkpoints, err == nil, digest)
 }
 
-// TestRecordedDecisions: the same plans of faults give the same messages, owners and tables as when they were recorded.
+// TestRecordedDecisions tests that the recorded plans of faults lead to the same messages, owners and tables
+// as when they were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	lines := make([]string, recordedPlans)
 	samples := golden.NewSamples(3)
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -1,6 +1,7 @@
-// Package simulation plays a fleet's owners in virtual time: the program's own ownership, consensus and leases, with processes that pause and
-// die, links that lose, duplicate, delay and cut messages, disks that fail and clocks that drift. It owns the plans of faults and the checks of
-// what must hold at every step. The same seed plays the same run.
+// Package simulation runs a fleet of owners in virtual time. It runs the program's own code for ownership,
+// consensus and leases, with processes that pause and die, links that lose, duplicate, delay and cut
+// messages, disks that fail and clocks that drift. It generates the plans of faults and checks what must
+// hold at every step. A run is determined by its seed.
 package simulation
 
 import (
@@ -14,7 +15,7 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Time is virtual nanoseconds.
+// Time is a point in virtual time or a duration, in nanoseconds.
 type Time = int64
 
 // Units of Time.
@@ -25,42 +26,45 @@
 
 const (
 	stepInterval = 10 * Ms
-	tickInterval = 50 * Ms // between two ticks of one process, true time
-	// faultFreeTime is played after the last fault; by its end every job must have an owner.
+	tickInterval = 50 * Ms // between two ticks of a process, in virtual time
+	// faultFreeTime is how long a run continues after its last fault. By its end every job must have an
+	// owner.
 	faultFreeTime = 40 * Sec
 
 	defaultFaultPeriod = 30 * Sec
 )
 
-// Config describes a run. The first Voters of Processes are the voters.
+// Config configures a run.
 type Config struct {
-	Processes, Voters, Jobs int
-	Disks                   bool // voters keep their state on disk (consensus), or else in memory (ownership.Quorum)
+	Processes, Voters, Jobs int  // numbers of each; the first processes are the voters
+	Disks                   bool // voters keep their state on disk (package consensus); otherwise in memory (ownership.Quorum)
 	Seed                    uint64
-	FaultPeriod             Time // the period in which faults begin; default 30 s
-	NoFaults                bool // no faults at all
-	// Faults of the program, which the checks have to find: injected ones, and a disk that loses with a crash what it has acknowledged.
+	FaultPeriod             Time // the time from the start in which faults begin; default 30 s if not above 0
+	NoFaults                bool // do not plan any faults
+	// ProgramFaults are injected into the program. The checks must detect them.
 	ProgramFaults ownership.FaultInjection
-	SkipSync      bool
+	// SkipSync makes disks lose data in a crash that they have acknowledged as synced. The checks must
+	// detect it.
+	SkipSync bool
 }
 
-// ErrCheckFailed is returned where a check has failed.
+// ErrCheckFailed is returned if a check has failed.
 var ErrCheckFailed = errors.New("a check failed")
 
-// Stats are what happened in a run. Checks that hold mean nothing where nothing happened.
+// Stats counts what happened in a run. The checks of a run in which nothing happened mean nothing.
 type Stats struct {
-	AcceptedEffects    int    // accepted by receivers
-	RejectedEffects    int    // stale, as reported to owners
-	JobStarts          int    // of jobs
+	AcceptedEffects    int    // effects accepted by receivers
+	RejectedEffects    int    // effects rejected as stale, as reported to their owners
+	JobStarts          int    // starts of jobs
 	Checkpoints        int    // checkpoints stored
-	Elections          int    // elections of a leader of the group
-	UncertainElections int    // those after which the table may lack something
-	OwnerGaps          []Time // times without an owner, of all jobs
-	MessagesSent       int    // messages
-	BytesSent          int    // of them
+	Elections          int    // elections of the group's leader
+	UncertainElections int    // elections after which the table may lack committed commands
+	OwnerGaps          []Time // length of each period in which a job had no owner, for all jobs
+	MessagesSent       int    // messages sent, including lost ones
+	BytesSent          int    // total size of these messages
 }
 
-// Run is one fleet.
+// Run is a run of one fleet. Its methods must not be called concurrently.
 type Run struct {
 	Stats
 	cfg       Config
@@ -69,15 +73,15 @@
 	processes []*process
 	network   *network
 	checks    *checks
-	plan      []Fault // still to begin
-	active    []Fault
-	// damagedDisks are the voters whose disk was lost or put back: no more than a minority.
+	plan      []Fault // faults that have not begun, in order
+	active    []Fault // faults that have begun and not ended
+	// damagedDisks holds the voters whose disk was lost or replaced by an old copy: at most a minority.
 	damagedDisks map[int]bool
-	// onSend is called with each message, also with those that are lost; nil: it is not.
+	// onSend is called with each message that is sent, including lost ones. It may be nil.
 	onSend func(from int, peer uint32, group bool, message []byte)
 }
 
-// New makes a fleet and starts its processes.
+// New creates a fleet, plans its faults and starts its processes.
 func New(c Config) *Run {
 	if c.FaultPeriod <= 0 {
 		c.FaultPeriod = defaultFaultPeriod
@@ -108,10 +112,11 @@
 	return &consensus.MemoryStore{SkipSync: r.cfg.SkipSync}
 }
 
-// Faults is the plan, without the faults that have begun.
+// Faults returns the planned faults that have not begun, in order.
 func (r *Run) Faults() []Fault { return slices.Clone(r.plan) }
 
-// Play plays the faults and then calm time. The error is ErrCheckFailed, with the violations.
+// Play runs the fleet through its faults and faultFreeTime. If a check fails, it returns an error that wraps
+// ErrCheckFailed and lists the violations.
 func (r *Run) Play() error {
 	for end := r.endTime(); r.now < end && r.checks.passed(); r.now += stepInterval {
 		r.beginFaults()
@@ -132,6 +137,7 @@
 	return nil
 }
 
+// endTime returns when the run ends: faultFreeTime after the fault period and the last fault.
 func (r *Run) endTime() Time {
 	end := r.cfg.FaultPeriod + faultFreeTime
 	for _, f := range r.plan {
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// envInt is a number in the environment, for longer runs by hand.
+// envInt returns a number from an environment variable, or fallback if it is not set or not a number. The
+// variables allow longer manual runs.
 func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -17,17 +18,18 @@
 	return fallback
 }
 
-// fleetConfig alternates between voters with disks and without, and between 3 and 5 of them.
+// fleetConfig returns the configuration for a seed. Configurations alternate between voters with disks and
+// without, and between 3 and 5 voters.
 func fleetConfig(seed uint64) Config {
 	return Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 }
 
-// outcome is the sum over many plans. It is safe for concurrent use.
+// outcome sums up the results of many plans. It is safe for concurrent use.
 type outcome struct {
 	mu                               sync.Mutex
 	acceptedEffects, rejectedEffects int
-	failure                          error   // of the first plan that failed; nil: none did
-	failedPlan                       []Fault // its faults
+	failure                          error   // of the first plan that failed; nil if none has
+	failedPlan                       []Fault // the faults of that plan
 }
 
 func (o *outcome) add(r *Run, plan []Fault, err error) {
@@ -53,7 +55,7 @@
 	}
 }
 
-// play plays n seeds from first on, on all processors, up to the first failure.
+// play plays the plans of n seeds, starting with first, on all processors. It stops after the first failure.
 func play(first, n int, config func(seed uint64) Config) *outcome {
 	o := &outcome{}
 	golden.InParallel(first, first+n, func(seed int) {
@@ -67,7 +69,8 @@
 	return o
 }
 
-// TestPlans plays OWNERS_SEEDS plans of faults from OWNERS_FIRST on, each checked at every step.
+// TestPlans plays plans of faults, which are checked at every step. The environment variables OWNERS_FIRST and
+// OWNERS_SEEDS set the first seed and the number of plans.
 func TestPlans(t *testing.T) {
 	o := play(envInt("OWNERS_FIRST", 1), envInt("OWNERS_SEEDS", 40), fleetConfig)
 	if o.failure != nil {
@@ -75,13 +78,14 @@
 		o.logFailedPlan(t)
 	}
 	if o.acceptedEffects < 1000 || o.rejectedEffects == 0 {
-		t.Errorf("%d effects accepted and %d rejected as stale: too few to show anything", o.acceptedEffects, o.rejectedEffects)
+		t.Errorf("%d effects accepted and %d rejected as stale, want at least 1000 and 1: too few for the checks to mean anything", o.acceptedEffects, o.rejectedEffects)
 	}
 	t.Logf("%d effects accepted, %d rejected as stale", o.acceptedEffects, o.rejectedEffects)
 }
 
-// TestInjectedFaults: the checks find each injected fault within 1,000 plans. firstSeed lies just before a plan that finds it, which keeps the test
-// short; with OWNERS_FIRST=1 all plans are played.
+// TestInjectedFaults tests that the checks detect each injected fault within 1,000 plans. firstSeed is at or
+// shortly before the seed of a plan that detects it, which keeps the test short. OWNERS_FIRST
+// overrides it; with 1 all plans are played.
 func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -90,7 +94,7 @@
 	}{
 		{"the disk skips a sync", func(c *Config) { c.Disks, c.SkipSync = true, true }, 1},
 		{"a voter that has just started does not abstain", func(c *Config) { c.Disks, c.ProgramFaults.SkipAbstention = false, true }, 425},
-		{"a lease counts from its answer", func(c *Config) { c.ProgramFaults.StartLeaseAtReply = true }, 118},
+		{"a lease starts at its reply", func(c *Config) { c.ProgramFaults.StartLeaseAtReply = true }, 118},
 		{"a receiver forgets its fencing tokens", func(c *Config) { c.ProgramFaults.ForgetTokens = true }, 1},
 	} {
 		o := play(envInt("OWNERS_FIRST", c.firstSeed), 1000, func(seed uint64) Config {
@@ -99,7 +103,7 @@
 			return cfg
 		})
 		if o.failure == nil {
-			t.Errorf("%s: not found in 1,000 plans", c.name)
+			t.Errorf("%s: not detected in 1,000 plans from seed %d on", c.name, envInt("OWNERS_FIRST", c.firstSeed))
 			continue
 		}
 		t.Logf("%s: %v", c.name, o.failure)
