--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -20,8 +20,8 @@
 	Reason      string // text, stored with the grant
 }
 
-// A job is handed over only some time after its owner last changed, and only to a candidate that has been
-// eligible for as long: an unstable link must not move jobs back and forth.
+// A job is handed over only some time after its owner last changed, and only to a candidate that
+// has been eligible for as long: an unstable link must not move jobs back and forth.
 const (
 	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is not eligible or hard to reach
 	minRebalanceInterval = 10 * sec // since the last change, before a job moves to balance the load
@@ -49,10 +49,10 @@
 	load       map[string]int // number of jobs by process name
 }
 
-// Assign assigns each free job to a candidate and requests at most one handover. free holds the jobs
-// without an owner and owned holds the others, both in the order in which they are considered.
-// changedAt returns when a job's owner last changed. Among equally reachable candidates, Assign prefers
-// the one with the fewest jobs.
+// Assign assigns each free job to a candidate and requests at most one handover. free holds the
+// jobs without an owner and owned holds the others, both in the order in which they are considered.
+// changedAt returns when a job's owner last changed. Among equally reachable candidates, Assign
+// prefers the one with the fewest jobs.
 func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Assignment {
 	a := assigner{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
 	for i := range candidates {
@@ -102,8 +102,8 @@
 	return rendezvousScore(job, candidate.Name) > rendezvousScore(job, other.Name)
 }
 
-// handover returns the most urgent handover, if any: replacing an owner that is not eligible or hard to
-// reach comes before balancing the load.
+// handover returns the most urgent handover, if any: replacing an owner that is not eligible or
+// hard to reach comes before balancing the load.
 func (a *assigner) handover(owned []JobRecord) (Assignment, bool) {
 	if p, ok := a.replaceUnfitOwner(owned); ok {
 		return p, true
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -10,8 +10,8 @@
 	// grantDelay is the time before the first grant of an epoch. Sessions start one after the other, so
 	// without it the first process would get all jobs.
 	grantDelay = 200 * ms
-	// newFleetGrantDelayDivisor is the fraction of a lease that replaces grantDelay if the table is
-	// empty: then the fleet starts for the first time, and its processes start one after the other.
+	// newFleetGrantDelayDivisor divides the lease to yield the delay that replaces grantDelay if the
+	// table is empty: then the fleet starts for the first time, and its processes one after the other.
 	newFleetGrantDelayDivisor = 2
 	// handoverInterval is the minimum time between two handovers that Assign requests. Handovers that
 	// operators request do not wait.
@@ -62,9 +62,10 @@
 // due reports whether Assign may request another handover.
 func (h *handovers) due(now Time) bool { return now-h.lastRequestedAt >= handoverInterval }
 
-// assignJobs registers new jobs, grants the jobs that have no owner or whose owner is lost, and begins
-// handovers. If this process is a majority by itself, a proposal is applied before propose returns, and
-// commandApplied calls assignJobs again. So each job is checked again right before it is proposed.
+// assignJobs registers new jobs, grants the jobs that have no owner or whose owner is lost, and
+// begins handovers. If this process is a majority by itself, a proposal is applied before propose
+// returns, and commandApplied calls assignJobs again. So each job is checked again right before it
+// is proposed.
 func (c *coordinator) assignJobs() {
 	c.expireSessions()
 	candidates := c.candidates()
@@ -93,8 +94,8 @@
 	}
 }
 
-// firstGrantDelay returns how long no job is granted in a new epoch. It is longer in a fleet that starts
-// for the first time, since all its sessions are new.
+// firstGrantDelay returns how long no job is granted in a new epoch. It is longer in a fleet that
+// starts for the first time, since all its sessions are new.
 func (c *coordinator) firstGrantDelay() Time {
 	if c.tableEmptyAtStart {
 		return c.cfg.Lease / newFleetGrantDelayDivisor
@@ -102,8 +103,8 @@
 	return grantDelay
 }
 
-// maxRenewalAge returns how long ago a candidate may have renewed its lease. A process requests a lease
-// every quarter of one, so after this time two or more requests in a row were lost.
+// maxRenewalAge returns the maximum time since a candidate renewed its lease. A process requests a
+// lease every quarter of one, so after this time two or more requests in a row were lost.
 func maxRenewalAge(lease Time) Time { return lease * 2 / 3 }
 
 // candidateSet holds the processes that may own jobs, and the jobs that at least one of them offers.
@@ -112,8 +113,8 @@
 	offered map[string]bool
 }
 
-// expireSessions deletes the sessions whose lease has ended even by the slowest clock allowed. The jobs
-// of their processes may then be granted to others.
+// expireSessions deletes the sessions whose lease has ended even by the slowest clock allowed. The
+// jobs of their processes may then be granted to others.
 func (c *coordinator) expireSessions() {
 	for _, s := range c.sessions.sorted() {
 		if c.now >= c.latestLeaseEnd(s.renewedAt) {
@@ -181,15 +182,15 @@
 	return jobs
 }
 
-// mayBeGranted reports whether a job has no owner that may be alive, no pending change of owner and no
-// backoff.
+// mayBeGranted reports whether a job has no owner that may be alive, no pending change of owner and
+// no backoff.
 func (c *coordinator) mayBeGranted(row *JobRecord) bool {
 	owned := row.Owner != "" && c.ownerMayBeAlive(row)
 	return !owned && !c.proposals.ownerChangePending(row.Job) && !c.backoff.blocked(row.Job, c.now)
 }
 
-// ownerMayBeAlive reports whether the owner of a job may still act. Lease: an owner counts as lost only
-// once its lease must have ended, including a lease that an earlier coordinator granted.
+// ownerMayBeAlive reports whether the owner of a job may still act. Lease: an owner counts as lost
+// only once its lease must have ended, including a lease that an earlier coordinator granted.
 func (c *coordinator) ownerMayBeAlive(row *JobRecord) bool {
 	return c.sessions[processID{row.Owner, row.Incarnation}] != nil || c.now < c.latestLeaseEnd(c.epochStartedAt)
 }
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/fleet/group"
 )
 
-// soleVoter is a group of one voter, which applies a command before Propose returns. A command that is
-// proposed while another is applied is queued behind it.
+// soleVoter is a group of one voter, which applies a command before Propose returns. A command that
+// is proposed while another is applied is queued behind it.
 type soleVoter struct {
 	core          *Core
 	table         *Table
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -55,8 +55,8 @@
 	c.changedAt = map[string]Time{}
 }
 
-// becomeCoordinator starts an epoch. The leases that an earlier coordinator granted are not known here;
-// see ownerMayBeAlive.
+// becomeCoordinator starts an epoch. The leases that an earlier coordinator granted are not known
+// here; see ownerMayBeAlive.
 func (c *coordinator) becomeCoordinator(epoch uint64) {
 	c.epoch, c.epochStartedAt, c.tableEmptyAtStart = epoch, c.now, c.table.Version == 0
 	c.dropEpochState()
@@ -101,14 +101,14 @@
 	}
 }
 
-// latestLeaseEnd returns the time at which a lease granted at grantedAt must have ended at its holder,
-// provided that neither clock is fast or slow by more than 2 % (clockDriftDivisor).
+// latestLeaseEnd returns the time at which a lease granted at grantedAt must have ended at its
+// holder, provided that neither clock is fast or slow by more than 2 % (clockDriftDivisor).
 func (c *coordinator) latestLeaseEnd(grantedAt Time) Time {
 	return grantedAt + leaseAtGrantor(c.cfg.Lease)
 }
 
-// handleJobReleased proposes to release a job. A release is ignored while a change of the job's owner is
-// pending, since the process repeats it.
+// handleJobReleased proposes to release a job. A release is ignored while a change of the job's
+// owner is pending, since the process repeats it.
 func (c *coordinator) handleJobReleased(m jobReleased) {
 	s := c.sessions[m.sender]
 	if s != nil && !m.eligible {
@@ -137,8 +137,8 @@
 	c.propose(release, proposal{job: m.job, exclusive: true})
 }
 
-// resendList sends the job list again to a process that releases a job that it no longer owns. It does
-// nothing if s is nil.
+// resendList sends the job list again to a process that releases a job that it no longer owns. It
+// does nothing if s is nil.
 func (c *coordinator) resendList(s *session) {
 	if s != nil && c.now-s.listSentAt > listSettleTime {
 		s.listSentVersion = 0
@@ -146,8 +146,8 @@
 	}
 }
 
-// handleStoreCheckpoint proposes to store a checkpoint. checkpointCommand.apply checks that the sender
-// owns the job.
+// handleStoreCheckpoint proposes to store a checkpoint. checkpointCommand.apply checks that the job
+// is still owned under the token.
 func (c *coordinator) handleStoreCheckpoint(from uint32, m storeCheckpoint) {
 	if !c.leads() {
 		return
@@ -155,8 +155,8 @@
 	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
-// moveJob begins a handover that an operator requests. refusal is the reason for the operator, empty if
-// the request is accepted.
+// moveJob begins a handover that an operator requests. refusal is the reason for the operator,
+// empty if the request is accepted.
 func (c *coordinator) moveJob(job, to string) (refusal string) {
 	row, s := c.table.Job(job), c.sessions.latest(to)
 	switch {
@@ -190,8 +190,8 @@
 	}
 }
 
-// sendJobList sends a process the list of the jobs that it is to own if the table has changed since the
-// last list, or if the process seems not to have received that list.
+// sendJobList sends a process the list of the jobs that it is to own if the table has changed since
+// the last list, or if the process seems not to have received that list.
 func (c *coordinator) sendJobList(s *session) {
 	current := c.table.Version + 1
 	if s.listSentVersion == current && (!s.lacksList || c.now-s.listSentAt < listRepeatInterval) {
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -195,9 +195,9 @@
 	c.participant.jobFailed(job, token, cause)
 }
 
-// IsOwner reports whether this process may act now as the job's owner under a token. It checks only
-// the lease: if the process is paused right after the call, only the receivers' fences reject what
-// it sends.
+// IsOwner reports whether this process may act now as the job's owner under a token. The lease is its
+// only protection: if the process is paused right after the call, only the receivers' fences reject
+// what it sends.
 func (c *Core) IsOwner(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -11,10 +11,11 @@
 	"croftlock/internal/fleet/group"
 )
 
-// The exploration is a model check of Quorum and Fence. It visits the states that their code can reach
-// with a bounded number of elections, renewals, restarts, clock steps and effects, in every order. A
-// state is called a world. There are three voters, two of which may be candidates, and a receiver of
-// their effects. A message that is never delivered counts as lost, so losses need no step of their own.
+// The exploration is a model check of Quorum and Fence. It visits the states that their code can
+// reach with a bounded number of elections, renewals, restarts, clock steps and effects, in every
+// order. A state is called a world. There are three voters, two of which may be candidates, and a
+// receiver of their effects. A message that is never delivered counts as lost, so losses need no
+// step of their own.
 
 const (
 	quorumLease = 1500 * ms
@@ -57,7 +58,8 @@
 	return s.worlds
 }
 
-// addSkewAndRestart adds the steps in which a voter's clock runs ahead and in which the voter restarts.
+// addSkewAndRestart adds the steps in which a voter's clock runs ahead and in which the voter
+// restarts.
 func (w *world) addSkewAndRestart(s *successors, voter int, f FaultInjection) {
 	if w.skews > 0 {
 		s.add(func(next *world) {
@@ -149,8 +151,8 @@
 	violation string // empty if there is none
 }
 
-// explore visits up to limit worlds, each once, and stops at the first violation. The order is random but
-// the same in each run.
+// explore visits up to limit worlds, each once, and stops at the first violation. The order is
+// random but the same in each run.
 func explore(start world, f FaultInjection, limit int) (e exploration) {
 	w := &start
 	w.fence = &Fence{Faults: f}
@@ -186,8 +188,8 @@
 	return e
 }
 
-// exploreLimit returns the maximum number of worlds to visit without a fault, and whether the environment
-// variable EXPLORE_STATES sets it. There 0 means no limit.
+// exploreLimit returns the maximum number of worlds to visit without a fault, and whether the
+// environment variable EXPLORE_STATES sets it. There 0 means no limit.
 func exploreLimit(t *testing.T) (limit int, set bool) {
 	t.Helper()
 	const defaultLimit, unlimited = 3000, 1 << 40
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// dropIgnored drops the packets that their receivers would ignore: they would only multiply the worlds.
+// dropIgnored drops the packets that their receivers would ignore: they would only multiply the
+// worlds.
 func (w *world) dropIgnored() {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(p packet) bool {
 		if p.to == receiverNumber || len(p.data) == 0 {
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -45,8 +45,8 @@
 	last map[string]FencingToken
 }
 
-// Check decides whether to accept an effect, and records its token if so. It also returns the token of
-// the latest accepted effect of the job. Each effect replaces the earlier ones of its job, so an
+// Check decides whether to accept an effect, and records its token if so. It also returns the token
+// of the latest accepted effect of the job. Each effect replaces the earlier ones of its job, so an
 // effect that arrives after a later one is not needed.
 func (f *Fence) Check(job string, token FencingToken) (Verdict, FencingToken) {
 	if f.last == nil {
@@ -66,6 +66,6 @@
 	return Accepted, token
 }
 
-// LastAccepted returns the token of the latest accepted effect of a job, or the zero token if none was
-// accepted.
+// LastAccepted returns the token of the latest accepted effect of a job, or the zero token if none
+// was accepted.
 func (f *Fence) LastAccepted(job string) FencingToken { return f.last[job] }
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -20,7 +20,7 @@
 		{FencingToken{5, 9}, Stale},
 	} {
 		if verdict, highest := f.Check("j", c.token); verdict != c.want || verdict != Accepted && highest.Before(c.token) {
-			t.Errorf("Check(%q, %v) = %v, %v, want verdict %v and a token not before the checked one unless accepted", "j", c.token, verdict, highest, c.want)
+			t.Errorf("Check(%q, %v) = %v, %v, want verdict %v; a rejected token must not be above the latest accepted one", "j", c.token, verdict, highest, c.want)
 		}
 	}
 	if last := f.LastAccepted("j"); last != (FencingToken{6, 0}) {
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// FuzzTable tests that an invalid snapshot leaves the table empty, and that every table can be restored
-// from its own snapshot.
+// FuzzTable tests that an invalid snapshot leaves the table empty, and that every table can be
+// restored from its own snapshot.
 func FuzzTable(f *testing.F) {
 	seed := NewTable()
 	seed.Apply(registerCommand{job: "j", changedAt: 1}.encode())
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// TestKindNames tests that each kind has a unique name, and that an unknown kind is named by its number.
+// TestKindNames tests that each kind has a unique name, and that an unknown kind is named by its
+// number.
 func TestKindNames(t *testing.T) {
 	names := map[string]bool{}
 	for kind := kindLeaseRequest; kind <= kindQueryReply; kind++ {
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestFailureBackoff tests that the backoff of a failing job doubles up to its bound, and starts again
-// from the shortest once the job has not failed for maxBackoff.
+// TestFailureBackoff tests that the backoff of a failing job doubles up to its bound, and starts
+// again from the shortest once the job has not failed for maxBackoff.
 func TestFailureBackoff(t *testing.T) {
 	backoff, now := failureBackoff{}, 100*sec
 	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
@@ -141,8 +142,8 @@
 	}
 }
 
-// TestLogBatches tests that a batch holds entries up to its bound in bytes and at least one entry, and
-// that the log drops its oldest entries.
+// TestLogBatches tests that a batch holds entries up to its bound in bytes and at least one entry,
+// and that the log drops its oldest entries.
 func TestLogBatches(t *testing.T) {
 	var log replicatedLog
 	log.reset(300, 1)
@@ -169,8 +170,8 @@
 	}
 }
 
-// TestRepliesWithoutBallot tests that a voter that is neither a candidate nor the leader ignores replies
-// for ballot 0.
+// TestRepliesWithoutBallot tests that a voter that is neither a candidate nor the leader ignores
+// replies for ballot 0.
 func TestRepliesWithoutBallot(t *testing.T) {
 	_, q := newVoterCore(t)
 	q.rounds.begin(0)
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -69,8 +69,9 @@
 	return p.owns(job) && p.jobs[job].token == token
 }
 
-// mayBeAssigned reports whether this process should be assigned jobs. A process whose lease has ended
-// may be cut off in one direction: its requests arrive, but it would not learn of a job granted to it.
+// mayBeAssigned reports whether this process should be assigned jobs. A process whose lease has
+// ended may be cut off in one direction: its requests arrive, but it would not learn of a job
+// granted to it.
 func (p *participant) mayBeAssigned() bool {
 	return p.eligible && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
@@ -119,8 +120,8 @@
 	}.encode())
 }
 
-// handleJobList starts and stops jobs as the coordinator's list requires. A list that is older than the
-// last one, or that is for another process of the same name, changes nothing.
+// handleJobList starts and stops jobs as the coordinator's list requires. A list that is older than
+// the last one, or that is for another process of the same name, changes nothing.
 func (p *participant) handleJobList(from uint32, m jobList) {
 	if m.incarnation != p.cfg.Incarnation || m.epoch < p.epoch || m.epoch == p.epoch && m.sequence <= p.listSequence {
 		return
@@ -134,8 +135,8 @@
 	}
 }
 
-// dropUnlisted stops the jobs that the list no longer contains under the same token, and releases those
-// that are to be handed over.
+// dropUnlisted stops the jobs that the list no longer contains under the same token, and releases
+// those that are to be handed over.
 func (p *participant) dropUnlisted(jobs []listedJob) {
 	listed := map[string]listedJob{}
 	for _, j := range jobs {
@@ -180,8 +181,8 @@
 	return true
 }
 
-// handleCheckpointResult passes the result on, unless this process no longer has the job under the same
-// token.
+// handleCheckpointResult passes the result on, unless this process no longer has the job under the
+// same token.
 func (p *participant) handleCheckpointResult(m checkpointResult) {
 	if owned := p.jobs[m.job]; owned != nil && owned.token == m.token {
 		p.effects.CheckpointStored(m.job, m.token, m.checkpointNumber, m.stored)
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// nextTag returns the tag of the next proposal or confirmation. It contains the incarnation, since the
-// group reports the tags of all processes to each of them.
+// nextTag returns the tag of the next proposal or confirmation. It contains the incarnation, since
+// the group reports the tags of all processes to each of them.
 func (c *coordinator) nextTag() uint64 {
 	c.proposals.lastTag++
 	return c.cfg.Incarnation<<24 ^ c.proposals.lastTag
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -7,10 +7,10 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Quorum is one voter of a Group without disks. It is based on PaxosLease: a fixed set of
-// voters grants a candidate the leadership for the length of a lease, and keeps its grants in memory. A
-// voter that has just started does not know what it granted before, so it abstains until every lease
-// that it could have granted has ended.
+// Quorum is one voter of a Group without disks. It is based on PaxosLease: a fixed set of voters
+// grants a candidate the leadership for the length of a lease, and keeps its grants in memory. A
+// voter that has just started does not know what it granted before, so it abstains until every
+// lease that it could have granted has ended.
 //
 // It guarantees:
 //   - No two voters lead at the same time, as long as clocks drift apart by no more than
@@ -18,9 +18,9 @@
 //   - Epochs, and fencing tokens with them, rise as long as one voter of each majority keeps its memory.
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
-// If all voters start at once, epochs still rise, unless a clock was set back by more than the time that
-// the fleet had been up. In that case receivers' fences reject the effects of a job until its token is
-// raised above the one that they remember.
+// If all voters start at once, epochs still rise, unless a clock was set back by more than the time
+// that the fleet had been up. In that case receivers' fences reject the effects of a job until its
+// token is raised above the one that they remember.
 type Quorum struct {
 	cfg       QuorumConfig
 	effects   group.Effects
@@ -150,8 +150,8 @@
 	}
 }
 
-// Receive handles a message from another voter. A message that can't be decoded, or that is from another
-// group or not from a voter, changes nothing.
+// Receive handles a message from another voter. A message that can't be decoded, or that is from
+// another group or not from a voter, changes nothing.
 func (q *Quorum) Receive(now Time, from uint32, data []byte) error {
 	q.now = max(q.now, now)
 	groupName, m, err := decodeQuorumMessage(data)
@@ -190,14 +190,14 @@
 	}
 }
 
-// Leading reports whether this voter leads, and in which epoch. Lease: it returns false as soon as the
-// lease has ended, even before Tick ends the leadership.
+// Leading reports whether this voter leads, and in which epoch. Lease: it returns false as soon as
+// the lease has ended, even before Tick ends the leadership.
 func (q *Quorum) Leading() (epoch uint64, ok bool) {
 	return q.leader.epoch, q.leads() && q.now < q.leader.leaseEnd && q.stateIsReplicated()
 }
 
-// Leader returns the peer that this voter believes to be the leader: itself, or the holder of the lease
-// that it granted last. It returns 0 if there is none.
+// Leader returns the peer that this voter believes to be the leader: itself, or the holder of the
+// lease that it granted last. It returns 0 if there is none.
 func (q *Quorum) Leader() uint32 {
 	if q.leads() {
 		return q.self
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -55,7 +55,8 @@
 	return r.last
 }
 
-// tickCandidate continues this voter's election, or begins one if the lease that it granted has ended.
+// tickCandidate continues this voter's election, or begins one if the lease that it granted has
+// ended.
 func (q *Quorum) tickCandidate() {
 	c := &q.candidate
 	switch {
@@ -95,8 +96,8 @@
 	q.chooseState()
 }
 
-// chooseState continues the election once a majority has promised. The epoch begins with the latest state
-// among them, which this voter requests if another voter has it.
+// chooseState continues the election once a majority has promised. The epoch begins with the latest
+// state among them, which this voter requests if another voter has it.
 func (q *Quorum) chooseState() {
 	promised, withState := 0, 0
 	latest, latestVoter := q.log.position, uint32(0)
@@ -126,10 +127,10 @@
 	q.send(latestVoter, stateRequest{ballot: q.candidate.ballot})
 }
 
-// mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state has
-// promised. A majority had everything that was committed, but voters that have lost their memory since do
-// not count. So the candidate waits for the others. Only then does it begin an epoch that may lack
-// committed commands, and marks its machines (Table.MarkUncertain).
+// mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state
+// has promised. A majority had everything that was committed, but voters that have lost their
+// memory since do not count. So the candidate waits for the others. Only then does it begin an
+// epoch that may lack committed commands, and marks its machines (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
@@ -188,8 +189,8 @@
 	}
 }
 
-// leaseEnd returns when the lease of a round ends here. Lease: it counts from the request and is shortened
-// by the clock drift, so it ends here before it ends at any voter.
+// leaseEnd returns when the lease of a round ends here. Lease: it counts from the request and is
+// shortened by the clock drift, so it ends here before it ends at any voter.
 func (q *Quorum) leaseEnd(round uint64) Time {
 	requestedAt := q.rounds.requestedAt[round]
 	if q.cfg.Faults.StartLeaseAtReply {
@@ -198,8 +199,8 @@
 	return requestedAt + leaseAtHolder(q.cfg.Lease)
 }
 
-// trackFollower records the log position of a voter that has the state of this epoch, and sends the state
-// to a voter that lacks it.
+// trackFollower records the log position of a voter that has the state of this epoch, and sends the
+// state to a voter that lacks it.
 func (q *Quorum) trackFollower(from uint32, m leaseAccepted) {
 	if m.position.epoch == m.epoch {
 		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -12,7 +12,8 @@
 
 func (q *Quorum) leads() bool { return q.leader.epoch != 0 }
 
-// becomeLeader starts an epoch with the state chosen in the election, and sends that state to all voters.
+// becomeLeader starts an epoch with the state chosen in the election, and sends that state to all
+// voters.
 func (q *Quorum) becomeLeader(leaseEnd Time) {
 	epoch := q.candidate.ballot
 	q.leader.epoch, q.leader.ballot, q.leader.leaseEnd = epoch, epoch, leaseEnd
@@ -45,8 +46,8 @@
 	return q.log.position
 }
 
-// stateIsReplicated reports whether a majority has the state with which the epoch began. Until then this
-// voter must not act as the leader, since what it grants could be lost with it.
+// stateIsReplicated reports whether a majority has the state with which the epoch began. Until then
+// this voter must not act as the leader, since what it grants could be lost with it.
 func (q *Quorum) stateIsReplicated() bool { return q.isMajority(len(q.log.acknowledged)) }
 
 func (q *Quorum) sendState(to uint32) {
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// Confirm calls group.Effects.Confirmed at once if this voter leads. It needs no round of messages: while this
-// voter's lease lasts, no other voter leads.
+// Confirm calls group.Effects.Confirmed at once if this voter leads. It needs no round of messages:
+// while this voter's lease lasts, no other voter leads.
 func (q *Quorum) Confirm(now Time, tag uint64) error {
 	q.now = max(q.now, now)
 	if _, ok := q.Leading(); !ok {
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// TransferLeadership gives up the leadership, and keeps this voter from being a candidate for two leases.
+// TransferLeadership gives up the leadership, and keeps this voter from being a candidate for two
+// leases.
 func (q *Quorum) TransferLeadership(now Time) {
 	q.now = max(q.now, now)
 	q.candidate.yieldedUntil = q.now + 2*q.cfg.Lease
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -48,8 +48,8 @@
 // stateRequest asks the voter with the latest state to send it.
 type stateRequest struct{ ballot uint64 }
 
-// stateTransfer carries the state of all machines to a candidate that requested it, or to a follower that
-// lags.
+// stateTransfer carries the state of all machines to a candidate that requested it, or to a
+// follower that lags.
 type stateTransfer struct {
 	term     uint64 // the candidate's ballot, or the leader's epoch
 	position logPosition
@@ -62,7 +62,8 @@
 	entries []logEntry
 }
 
-// appendAcknowledged reports to the leader the log position up to which a follower has applied entries.
+// appendAcknowledged reports to the leader the log position up to which a follower has applied
+// entries.
 type appendAcknowledged struct{ position logPosition }
 
 func (m prepareRequest) encode(groupName string) []byte {
@@ -109,8 +110,8 @@
 	return kindAppendAcknowledged.newWriter(groupName).Uint(m.position.epoch).Uint(m.position.version).Data
 }
 
-// decodeQuorumMessage decodes a message and the name of the group that it is for. Byte slices in it refer
-// to data and are not copied.
+// decodeQuorumMessage decodes a message and the name of the group that it is for. Byte slices in it
+// refer to data and are not copied.
 func decodeQuorumMessage(data []byte) (groupName string, m quorumMessage, err error) {
 	r := encoding.Reader{Data: data}
 	kind := quorumMessageKind(r.Uint())
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -1,6 +1,7 @@
 package ownership
 
-// voterState holds what a voter has promised and granted. It is kept in memory only; see Quorum.abstains.
+// voterState holds what a voter has promised and granted. It is kept in memory only; see
+// Quorum.abstains.
 type voterState struct {
 	promised uint64 // highest ballot promised
 	grantee  uint32 // peer to which this voter last granted a lease
@@ -14,8 +15,8 @@
 	return now >= v.grantEnd || v.grantee == candidate
 }
 
-// abstains reports whether an earlier process of this voter may have granted a lease that still lasts and
-// that this process does not know of.
+// abstains reports whether an earlier process of this voter may have granted a lease that still
+// lasts and that this process does not know of.
 func (q *Quorum) abstains() bool {
 	return q.startedAt < 0 || !q.cfg.Faults.SkipAbstention && q.now < q.startedAt+leaseAtGrantor(q.cfg.Lease)
 }
@@ -62,9 +63,9 @@
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
 
-// follows reports whether this voter accepts the commands of an epoch from a peer. It does so only while
-// the lease that it granted lasts. Afterwards it may have promised a ballot to a candidate, whose epoch
-// would begin without these commands.
+// follows reports whether this voter accepts the commands of an epoch from a peer. It does so only
+// while the lease that it granted lasts. Afterwards it may have promised a ballot to a candidate,
+// whose epoch would begin without these commands.
 func (q *Quorum) follows(from uint32, epoch uint64) bool {
 	return from != q.self && from == q.voter.grantee && epoch == q.voter.epoch && q.now < q.voter.grantEnd
 }
@@ -88,8 +89,8 @@
 	}
 }
 
-// handleAppendEntries applies the entries that directly follow this voter's log position. The leader sends
-// entries after a gap again.
+// handleAppendEntries applies the entries that directly follow this voter's log position. The
+// leader sends entries after a gap again.
 func (q *Quorum) handleAppendEntries(from uint32, m appendEntries) {
 	if !q.follows(from, m.epoch) || q.log.position.epoch != m.epoch {
 		return
--- a/internal/fleet/ownership/reasons.go
+++ b/internal/fleet/ownership/reasons.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// A reason has two forms. The log uses the code of a ReleaseReason. Messages, the table and operators'
-// commands use a text, which is stored and recorded and must not change.
+// A reason has two forms. The log uses the code of a ReleaseReason. Messages, the table and
+// operators' commands use a text, which is stored and recorded and must not change.
 
 // ReleaseReason is the reason why a process stops a job.
 type ReleaseReason uint8
@@ -37,8 +37,9 @@
 // String returns the reason's code, as used in the log.
 func (r ReleaseReason) String() string { return releaseReasonCodes[r] }
 
-// Texts that the table stores as the reason of a job's last change. The text of textOwnerUnfit mentions
-// "starved" although nothing measures that (see Core.SetEligible): stored texts do not change.
+// Texts that the table stores as the reason of a job's last change. The text of textOwnerUnfit
+// mentions "starved" although nothing measures that (see Core.SetEligible): stored texts do not
+// change.
 const (
 	textRegistered  = "made known"
 	textFree        = "free, and it has the fewest"
--- a/internal/fleet/ownership/reasons_test.go
+++ b/internal/fleet/ownership/reasons_test.go
@@ -6,7 +6,7 @@
 	reasons := map[string]ReleaseReason{}
 	for r := LeaseEnded; r <= ProcessLeaving; r++ {
 		if other, taken := reasons[r.String()]; taken || r.String() == "" {
-			t.Errorf("reason %d has the code %q, want a unique one that is not empty; reason %d may have it too", uint8(r), r, uint8(other))
+			t.Errorf("reason %d has the code %q, want a unique code that is not empty; reason %d has the same: %t", uint8(r), r, uint8(other), taken)
 		}
 		reasons[r.String()] = r
 	}
--- a/internal/fleet/ownership/recorded_test.go
+++ b/internal/fleet/ownership/recorded_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRecordedMessagesRoundTrip tests that messages recorded by package simulation decode, and encode to
-// the same bytes.
+// TestRecordedMessagesRoundTrip tests that messages recorded by package simulation decode, and
+// encode to the same bytes.
 func TestRecordedMessagesRoundTrip(t *testing.T) {
 	recorded, err := os.ReadFile("simulation/testdata/messages.golden")
 	if err != nil {
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -12,8 +12,8 @@
 	maxBatchBytes = 4096
 )
 
-// logPosition is a position in the order of all commands. version is the index in the epoch's log, which
-// starts from 0 in each epoch; it is not Table.Version.
+// logPosition is a position in the order of all commands. version is the index in the epoch's log,
+// which starts from 0 in each epoch; it is not Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
 func (p logPosition) before(other logPosition) bool {
@@ -40,13 +40,15 @@
 	return logEntry{version: r.Uint(), tag: r.Uint(), machine: byte(r.Uint()), command: r.Bytes(maxBodyBytes)}
 }
 
-// replicatedLog holds this voter's position in the log. At a leader, it also holds the last entries of
-// its epoch and the position of each voter.
+// replicatedLog holds this voter's position in the log. At a leader, it also holds the last entries
+// of its epoch and the position of each voter.
 type replicatedLog struct {
-	position     logPosition       // of the last entry here; a follower has applied it, a leader only what is committed
-	committed    uint64            // at a leader, the version up to which a majority has all entries
-	entries      []logEntry        // at a leader, the last entries, up to maxUncommitted
-	acknowledged map[uint32]uint64 // at a leader, the version up to which each voter has all entries; only voters with the state of the epoch
+	position  logPosition // of the last entry here; a follower has applied it, a leader only what is committed
+	committed uint64      // at a leader, the version up to which a majority has all entries
+	entries   []logEntry  // at a leader, the last entries, up to maxUncommitted
+	// acknowledged is, at a leader, the version up to which each voter has all entries. It contains only
+	// the voters that have the state of the epoch.
+	acknowledged map[uint32]uint64
 }
 
 // reset starts an epoch at its leader.
@@ -82,8 +84,8 @@
 	return len(l.entries) > 0 && l.entries[0].version <= version+1
 }
 
-// batchAfter returns entries after a version: as many as fit in one message, and at least one if there
-// are any.
+// batchAfter returns entries after a version: as many as fit in one message, and at least one if
+// there are any.
 func (l *replicatedLog) batchAfter(version uint64) (batch []logEntry) {
 	var encoded encoding.Writer
 	for _, e := range l.entries {
@@ -95,7 +97,8 @@
 	return batch
 }
 
-// uncertainMachine is implemented by machines that must know when their state may lack committed commands.
+// uncertainMachine is implemented by machines that must know when their state may lack committed
+// commands.
 type uncertainMachine interface{ MarkUncertain() }
 
 // markUncertain marks the machines that implement uncertainMachine.
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -17,16 +17,16 @@
 	return nil
 }
 
-// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller must
-// have called IsOwner just before.
+// SendEffect sends an effect of a job to a receiver, which may be this process. Lease: the caller
+// must have called IsOwner just before.
 func (c *Core) SendEffect(now Time, to uint32, job string, token FencingToken, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.send(to, effectMessage{job: job, token: token, body: body}.encode())
 }
 
-// Query sends a query to the owner of a job through the coordinator. Effects.ReplyReceived reports the
-// reply. The query or its reply may be lost.
+// Query sends a query to the owner of a job through the coordinator. Effects.ReplyReceived reports
+// the reply. The query or its reply may be lost.
 func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkStart checks what must hold when a job starts: each token has one owner, tokens rise, and no stored
-// checkpoint is lost.
+// checkStart checks what must hold when a job starts: each token has one owner, tokens rise, and no
+// stored checkpoint is lost.
 func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkOwners checks what must hold at every step: of the processes that are awake, at most one leads and
-// at most one owns each job.
+// checkOwners checks what must hold at every step: of the processes that are awake, at most one
+// leads and at most one owns each job.
 func (r *Run) checkOwners() {
 	owners, leader := map[string]string{}, ""
 	for _, p := range r.processes {
@@ -90,8 +90,9 @@
 	r.recordGaps(owners)
 }
 
-// leads reports whether a voter without a disk leads by its lease. Voters with disks are not checked: two of
-// them may believe that they lead, since the group confirms the leader before each grant of a lease.
+// leads reports whether a voter without a disk leads by its lease. Voters with disks are not
+// checked: two of them may believe that they lead, since the group confirms the leader before each
+// grant of a lease.
 func (r *Run) leads(p *process) bool {
 	if r.cfg.Disks || p.group == nil {
 		return false
@@ -114,8 +115,8 @@
 	}
 }
 
-// checkSettled checks what must hold at the end of a run: each job has an owner. It checks nothing if no
-// majority of the voters with disks takes part, since only operators can repair that.
+// checkSettled checks what must hold at the end of a run: each job has an owner. It checks nothing
+// if no majority of the voters with disks takes part, since only operators can repair that.
 func (r *Run) checkSettled() {
 	if r.cfg.Disks && 2*(r.cfg.Voters-r.lostVoters()) <= r.cfg.Voters {
 		return
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -7,7 +7,8 @@
 // diskLossThreshold is the Fault.Amount above which a killed process loses its disk.
 const diskLossThreshold = 0.35
 
-// clockStep returns the step of the wall clock for a Fault.Amount: at most an hour forwards or backwards.
+// clockStep returns the step of the wall clock for a Fault.Amount: at most an hour forwards or
+// backwards.
 func clockStep(amount float64) Time { return Time((amount - maxAmount/2) * 5 * 3600 * float64(Sec)) }
 
 // beginFault applies a fault.
@@ -71,8 +72,8 @@
 	}
 }
 
-// pause pauses a process right after its jobs have checked their lease. When it continues, it sends the
-// effects for which it checked: only fencing protects against these.
+// pause pauses a process right after its jobs have checked their lease. When it continues, it sends
+// the effects for which it checked: only fencing protects against these.
 func (r *Run) pause(p *process, d Time) {
 	if !r.awake(p) {
 		return
@@ -91,7 +92,8 @@
 	}
 }
 
-// restoreDiskCopy restarts a process with the copy of its disk that faultCopyBack made, if there is one.
+// restoreDiskCopy restarts a process with the copy of its disk that faultCopyBack made, if there is
+// one.
 func (r *Run) restoreDiskCopy(p *process) {
 	if p.diskCopy == nil {
 		return
@@ -102,9 +104,9 @@
 	r.start(p)
 }
 
-// mayDamageDisk reports whether a voter's disk may be lost or replaced by an old copy, and counts it as
-// damaged if so. It allows this for a minority of the voters at most: beyond that the group guarantees
-// nothing.
+// mayDamageDisk reports whether a voter's disk may be lost or replaced by an old copy, and counts
+// it as damaged if so. It allows this for a minority of the voters at most: beyond that the group
+// guarantees nothing.
 func (r *Run) mayDamageDisk(voter int) bool {
 	if !r.cfg.Disks || voter >= r.cfg.Voters {
 		return false
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -78,8 +78,8 @@
 	return at
 }
 
-// deliverDue delivers the messages that are due, in the order of their arrival. What the receivers send in
-// response is delivered in a later step.
+// deliverDue delivers the messages that are due, in the order of their arrival. What the receivers
+// send in response is delivered in a later step.
 func (r *Run) deliverDue() {
 	n := r.network
 	due := n.inFlight[:0:0]
@@ -100,8 +100,8 @@
 	}
 }
 
-// deliver passes a message to its receiver. If the receiver is paused, the message is queued as in a socket's
-// buffer, which holds maxQueuedWhilePaused messages and drops the rest.
+// deliver passes a message to its receiver. If the receiver is paused, the message is queued as in
+// a socket's buffer, which holds maxQueuedWhilePaused messages and drops the rest.
 func (r *Run) deliver(e envelope) {
 	p := r.processes[e.receiver]
 	if !p.running {
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -10,9 +10,11 @@
 type Fault struct {
 	Kind               FaultKind
 	BeginsAt, Duration Time
-	Process            int     // index of the affected process
-	OtherProcess       int     // index of a second process: the receiver for faultOneWay, one of two bounds for faultHalves
-	Amount             float64 // below maxAmount: probability of loss, size of a clock step, or whether a killed process loses its disk (see diskLossThreshold)
+	Process            int // index of the affected process
+	OtherProcess       int // index of a second process: the receiver for faultOneWay, one of two bounds for faultHalves
+	// Amount is below maxAmount. It is the probability of loss, the input of clockStep, or decides
+	// whether a killed process loses its disk (see diskLossThreshold).
+	Amount float64
 }
 
 // String returns the fault as an S-expression, with times in milliseconds.
@@ -41,8 +43,8 @@
 	faultLeave     FaultKind = "leave"      // it shuts down gracefully, and starts again when the fault ends
 )
 
-// FaultKinds lists the kinds that a plan may contain. Plan chooses kinds by their index, so the order is
-// part of what a seed determines.
+// FaultKinds lists the kinds that a plan may contain. Plan chooses kinds by their index, so the
+// order is part of what a seed determines.
 var FaultKinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
@@ -65,8 +67,8 @@
 	return plan
 }
 
-// randomFault returns a random fault. A fault of the disk in a fleet without disks, and a fault whose two
-// processes are the same, becomes a pause.
+// randomFault returns a random fault. A fault of the disk in a fleet without disks, and a fault
+// whose two processes are the same, becomes a pause.
 func randomFault(rng *rand.Rand, c Config) Fault {
 	f := Fault{
 		Kind:         FaultKinds[rng.IntN(len(FaultKinds))],
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -115,8 +115,8 @@
 	p.group = q
 }
 
-// kill stops a process abruptly. Data that its disk has not synced is lost, and the whole disk is lost if
-// loseDisk is set.
+// kill stops a process abruptly. Data that its disk has not synced is lost, and the whole disk is
+// lost if loseDisk is set.
 func (r *Run) kill(p *process, loseDisk bool) {
 	if !p.running {
 		return
@@ -147,8 +147,8 @@
 	}
 }
 
-// wake continues a process after a pause. The process first sends the effects for which it checked its
-// lease before the pause, and then handles its queued messages.
+// wake continues a process after a pause. The process first sends the effects for which it checked
+// its lease before the pause, and then handles its queued messages.
 func (r *Run) wake(p *process) {
 	p.pausedUntil = 0
 	for _, send := range p.checkedSends {
@@ -178,9 +178,9 @@
 
 func (p *process) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
-// nextEffect returns a function that sends a job's next effect to all processes, and every checkpointEvery
-// effects a checkpoint to the coordinator. The caller has checked that the process owns the job. The
-// function does nothing if the process has been restarted since.
+// nextEffect returns a function that sends a job's next effect to all processes, and every
+// checkpointEvery effects a checkpoint to the coordinator. The caller has checked that the process
+// owns the job. The function does nothing if the process has been restarted since.
 func (r *Run) nextEffect(p *process, name string, j *job) (send func()) {
 	j.sequence++
 	token, incarnation := ownership.FencingToken{Token: j.token, Sequence: j.sequence}, p.incarnation
--- a/internal/fleet/ownership/simulation/recorded_test.go
+++ b/internal/fleet/ownership/simulation/recorded_test.go
@@ -8,12 +8,12 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recordedPlans is the number of recorded plans. Half of them have voters with disks (package consensus) and
-// half have voters without (ownership.Quorum).
+// recordedPlans is the number of recorded plans. Half of them have voters with disks (package
+// consensus) and half have voters without (ownership.Quorum).
 const recordedPlans = 200
 
-// record plays a plan and returns its line of the golden file. It adds the messages to samples unless that is
-// nil.
+// record plays a plan and returns its line of the golden file. It adds the messages to samples
+// unless that is nil.
 func record(seed uint64, samples *golden.Samples) string {
 	cfg := fleetConfig(seed)
 	cfg.FaultPeriod = 5 * Sec
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("seed=%d voters=%d kept=%s effects=%d refused=%d starts=%d notes=%d ok=%t %s", seed, cfg.Voters, stateIn, r.AcceptedEffects, r.RejectedEffects, r.JobStarts, r.Checkpoints, err == nil, digest)
 }
 
-// TestRecordedDecisions tests that the recorded plans of faults lead to the same messages, owners and tables
-// as when they were recorded.
+// TestRecordedDecisions tests that the recorded plans of faults lead to the same messages, owners
+// and tables as when they were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	lines := make([]string, recordedPlans)
 	samples := golden.NewSamples(3)
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -1,7 +1,7 @@
-// Package simulation runs a fleet of owners in virtual time. It runs the program's own code for ownership,
-// consensus and leases, with processes that pause and die, links that lose, duplicate, delay and cut
-// messages, disks that fail and clocks that drift. It generates the plans of faults and checks what must
-// hold at every step. A run is determined by its seed.
+// Package simulation runs a fleet of owners in virtual time. It runs the program's own code for
+// ownership, consensus and leases, with processes that pause and die, links that lose, duplicate,
+// delay and cut messages, disks that fail and clocks that drift. It generates the plans of faults
+// and checks what must hold at every step. A run is determined by its seed.
 package simulation
 
 import (
@@ -115,8 +115,8 @@
 // Faults returns the planned faults that have not begun, in order.
 func (r *Run) Faults() []Fault { return slices.Clone(r.plan) }
 
-// Play runs the fleet through its faults and faultFreeTime. If a check fails, it returns an error that wraps
-// ErrCheckFailed and lists the violations.
+// Play runs the fleet through its faults and faultFreeTime. If a check fails, it returns an error
+// that wraps ErrCheckFailed and lists the violations.
 func (r *Run) Play() error {
 	for end := r.endTime(); r.now < end && r.checks.passed(); r.now += stepInterval {
 		r.beginFaults()
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// envInt returns a number from an environment variable, or fallback if it is not set or not a number. The
-// variables allow longer manual runs.
+// envInt returns a number from an environment variable, or fallback if it is not set or not a
+// number. The variables allow longer manual runs.
 func envInt(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -18,8 +18,8 @@
 	return fallback
 }
 
-// fleetConfig returns the configuration for a seed. Configurations alternate between voters with disks and
-// without, and between 3 and 5 voters.
+// fleetConfig returns the configuration for a seed. Configurations alternate between voters with
+// disks and without, and between 3 and 5 voters.
 func fleetConfig(seed uint64) Config {
 	return Config{Processes: 5, Voters: 3 + 2*int(seed/2%2), Jobs: 3, Disks: seed%2 == 0, Seed: seed}
 }
@@ -51,11 +51,12 @@
 func (o *outcome) logFailedPlan(t *testing.T) {
 	t.Helper()
 	for _, f := range o.failedPlan {
-		t.Log(f)
+		t.Logf("fault in the failed plan: %v", f)
 	}
 }
 
-// play plays the plans of n seeds, starting with first, on all processors. It stops after the first failure.
+// play plays the plans of n seeds, starting with first, on all processors. It stops after the first
+// failure.
 func play(first, n int, config func(seed uint64) Config) *outcome {
 	o := &outcome{}
 	golden.InParallel(first, first+n, func(seed int) {
@@ -69,12 +70,12 @@
 	return o
 }
 
-// TestPlans plays plans of faults, which are checked at every step. The environment variables OWNERS_FIRST and
-// OWNERS_SEEDS set the first seed and the number of plans.
+// TestPlans plays plans of faults, which are checked at every step. The environment variables
+// OWNERS_FIRST and OWNERS_SEEDS set the first seed and the number of plans.
 func TestPlans(t *testing.T) {
 	o := play(envInt("OWNERS_FIRST", 1), envInt("OWNERS_SEEDS", 40), fleetConfig)
 	if o.failure != nil {
-		t.Error(o.failure)
+		t.Errorf("first failed plan: %v", o.failure)
 		o.logFailedPlan(t)
 	}
 	if o.acceptedEffects < 1000 || o.rejectedEffects == 0 {
@@ -83,9 +84,9 @@
 	t.Logf("%d effects accepted, %d rejected as stale", o.acceptedEffects, o.rejectedEffects)
 }
 
-// TestInjectedFaults tests that the checks detect each injected fault within 1,000 plans. firstSeed is at or
-// shortly before the seed of a plan that detects it, which keeps the test short. OWNERS_FIRST
-// overrides it; with 1 all plans are played.
+// TestInjectedFaults tests that the checks detect each injected fault within 1,000 plans. firstSeed
+// is at or shortly before the seed of a plan that detects it, which keeps the test short.
+// OWNERS_FIRST overrides it; with 1 all plans are played.
 func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -13,8 +13,8 @@
 // tableFormat is the version of the snapshot's encoding.
 const tableFormat = 1
 
-// tokensPerEpochBits is the number of bits by which an epoch is shifted to form a job's first token in
-// it, so that tokens rise from one epoch to the next.
+// tokensPerEpochBits is the number of bits by which an epoch is shifted to form a job's first token
+// in it, so that tokens rise from one epoch to the next.
 const tokensPerEpochBits = 20
 
 // JobRecord is a row of the Table.
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -16,7 +16,8 @@
 	number uint64 // of the checkpoint
 }
 
-// generateCommand returns a random command. Only two jobs and few tokens occur, so that commands conflict.
+// generateCommand returns a random command. Only two jobs and few tokens occur, so that commands
+// conflict.
 func generateCommand(t *rapid.T) randomCommand {
 	return randomCommand{
 		job:    rapid.SampledFrom([]string{"a", "b"}).Draw(t, "job"),
@@ -26,25 +27,25 @@
 	}
 }
 
-func (d randomCommand) command() tableCommand {
-	checkpoint := []byte(fmt.Sprint("checkpoint ", d.number))
-	switch d.kind {
+func (c randomCommand) command() tableCommand {
+	checkpoint := []byte(fmt.Sprint("checkpoint ", c.number))
+	switch c.kind {
 	case kindGrant:
-		return grantCommand{job: d.job, token: d.token, changedAt: 1, owner: "p", incarnation: 3, reason: "why"}
+		return grantCommand{job: c.job, token: c.token, changedAt: 1, owner: "p", incarnation: 3, reason: "why"}
 	case kindRelease:
-		return releaseCommand{job: d.job, token: d.token, changedAt: 1, checkpointNumber: d.number, checkpoint: checkpoint, reason: "why"}
+		return releaseCommand{job: c.job, token: c.token, changedAt: 1, checkpointNumber: c.number, checkpoint: checkpoint, reason: "why"}
 	case kindCheckpoint:
-		return checkpointCommand{job: d.job, token: d.token, checkpointNumber: d.number, checkpoint: checkpoint}
+		return checkpointCommand{job: c.job, token: c.token, checkpointNumber: c.number, checkpoint: checkpoint}
 	case kindRaiseToken:
-		return raiseTokenCommand{job: d.job, token: d.token}
+		return raiseTokenCommand{job: c.job, token: c.token}
 	}
-	return registerCommand{job: d.job, changedAt: 1}
+	return registerCommand{job: c.job, changedAt: 1}
 }
 
-// isStale reports whether a command must not change a row: its token is below the row's, or it is a grant
-// whose token is not above the row's.
-func (d randomCommand) isStale(row JobRecord) bool {
-	return d.kind != kindRegister && (d.token < row.Token || d.token == row.Token && d.kind == kindGrant)
+// isStale reports whether a command must not change a row: its token is below the row's, or it is a
+// grant whose token is not above the row's.
+func (c randomCommand) isStale(row JobRecord) bool {
+	return c.kind != kindRegister && (c.token < row.Token || c.token == row.Token && c.kind == kindGrant)
 }
 
 // rowCopy returns a copy of a job's row, or the zero value if there is none.
@@ -56,16 +57,16 @@
 }
 
 // checkApplied checks a row after the command against the row before it.
-func (d randomCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
+func (c randomCommand) checkApplied(t *rapid.T, before, after JobRecord, applied bool) {
 	t.Helper()
 	if after.Token < before.Token || after.CheckpointNumber < before.CheckpointNumber {
-		t.Fatalf("%v lowers the token or the checkpoint number: %+v after %+v", d.kind, after, before)
+		t.Fatalf("%v lowers the token or the checkpoint number: %+v after %+v", c.kind, after, before)
 	}
-	if d.isStale(before) && (applied || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
-		t.Fatalf("%v with stale token %d, below or at %d: applied %t, row %+v, want unchanged %+v", d.kind, d.token, before.Token, applied, after, before)
+	if c.isStale(before) && (applied || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
+		t.Fatalf("%v with stale token %d, below or at %d: applied %t, row %+v, want unchanged %+v", c.kind, c.token, before.Token, applied, after, before)
 	}
-	if d.kind == kindGrant && applied && (after.Owner != "p" || after.Token != d.token) {
-		t.Fatalf("granted to %q under token %d: row %+v", "p", d.token, after)
+	if c.kind == kindGrant && applied && (after.Owner != "p" || after.Token != c.token) {
+		t.Fatalf("granted to %q under token %d: row %+v", "p", c.token, after)
 	}
 }
 
@@ -82,19 +83,19 @@
 	}
 }
 
-// TestTable tests with random commands that a job's token never falls, that a command with a stale token
-// changes nothing, and that a snapshot restores the table.
+// TestTable tests with random commands that a job's token never falls, that a command with a stale
+// token changes nothing, and that a snapshot restores the table.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			d := generateCommand(t)
-			before := rowCopy(table, d.job)
-			applied := table.Apply(d.command().encode())[0] == resultApplied
-			if table.Job(d.job) == nil {
+			c := generateCommand(t)
+			before := rowCopy(table, c.job)
+			applied := table.Apply(c.command().encode())[0] == resultApplied
+			if table.Job(c.job) == nil {
 				continue
 			}
-			d.checkApplied(t, before, rowCopy(table, d.job), applied)
+			c.checkApplied(t, before, rowCopy(table, c.job), applied)
 			checkSnapshot(t, table)
 		}
 	})
