--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -40,7 +40,7 @@
 // rejects effects of a stale owner that arrive after those of a later owner. It is kept in memory, so
 // a process starts with an empty Fence. The zero value is ready to use.
 type Fence struct {
-	Faults FaultInjection // for tests; the zero value injects nothing
+	Faults FaultInjection // set only by simulations and experiments
 
 	last map[string]FencingToken
 }
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// commandApplied handles the result of an applied command. It ignores the tags of other processes.
+// commandApplied handles the result of an applied command. It ignores unknown tags, such as those of
+// other processes.
 func (c *coordinator) commandApplied(tag uint64, result []byte) {
 	p, wasExclusive, known := c.proposals.remove(tag)
 	if !known {
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -91,8 +91,8 @@
 }
 
 // leads reports whether a voter without a disk leads by its lease. Voters with disks are not
-// checked: two of them may believe that they lead, since the group confirms the leader before each
-// grant of a lease.
+// checked: two of them may believe that they lead, which is harmless because the group confirms the
+// leader before each grant of a lease.
 func (r *Run) leads(p *process) bool {
 	if r.cfg.Disks || p.group == nil {
 		return false
