--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -33,7 +33,7 @@
 	if enforcer == nil {
 		return
 	}
-	client := &quota.Client{Now: a.now, GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits, Accounts: enforcer.LimitedAccounts}
+	client := &quota.Client{Now: a.now, GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits, LimitedAccounts: enforcer.LimitedAccounts}
 	replies := a.queries.newSource(client.ReplyReceived)
 	client.SendQuery = func(shard int, tag uint64, body []byte) {
 		a.worker.post(func() { a.queries.send(replies, issuerJob(shard), tag, body) })
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -7,8 +7,8 @@
 
 // The limit that a request is over, as commands and the log name it.
 const (
-	OverRate        = "rate"
-	OverConnections = "standing"
+	RateLimit       = "rate"
+	ConnectionLimit = "standing"
 )
 
 const (
@@ -25,8 +25,8 @@
 	Limits        Limits
 	// SendQuery sends a query to a shard's issuer; its answer comes to ReplyReceived under the tag.
 	SendQuery func(shard int, tag uint64, body []byte)
-	// Accounts are all that have limits, sorted.
-	Accounts func() []string
+	// LimitedAccounts are all that have limits, sorted.
+	LimitedAccounts func() []string
 
 	mutex   sync.Mutex
 	usage   map[string]*accountUsage
@@ -134,10 +134,10 @@
 	for _, a := range accounts {
 		u, limit := c.account(a), c.Limits(a)
 		if limit.Rate > 0 && !c.hasPermit(now, a, u, limit.Rate) {
-			return OverRate, time.Duration(float64(c.GrantLifetime) * (0.5 + spread))
+			return RateLimit, time.Duration(float64(c.GrantLifetime) * (0.5 + spread))
 		}
 		if limit.Connections > 0 && u.open >= c.maxOpen(now, a, u, limit.Connections) {
-			return OverConnections, time.Duration(float64(c.GrantLifetime) * (1 + 2*spread))
+			return ConnectionLimit, time.Duration(float64(c.GrantLifetime) * (1 + 2*spread))
 		}
 	}
 	for _, a := range accounts {
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -64,12 +64,12 @@
 	f := &testFleet{now: 100 * sec, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	for i := range n {
 		f.clients = append(f.clients, &Client{
-			Now:           func() Time { return f.now },
-			GrantLifetime: grantLifetime,
-			FleetSize:     n,
-			Limits:        func(account string) Limit { return f.limits[account] },
-			Accounts:      func() []string { return slices.Sorted(maps.Keys(f.limits)) },
-			SendQuery:     func(shard int, tag uint64, body []byte) { f.sendQuery(i, shard, tag, body) },
+			Now:             func() Time { return f.now },
+			GrantLifetime:   grantLifetime,
+			FleetSize:       n,
+			Limits:          func(account string) Limit { return f.limits[account] },
+			LimitedAccounts: func() []string { return slices.Sorted(maps.Keys(f.limits)) },
+			SendQuery:       func(shard int, tag uint64, body []byte) { f.sendQuery(i, shard, tag, body) },
 		})
 	}
 	f.restartIssuers()
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -25,7 +25,7 @@
 	if urgent && now < s.urgentQueryFrom {
 		return 0, nil
 	}
-	accounts := c.Accounts()
+	accounts := c.LimitedAccounts()
 	c.forgetLapsedQueries(now)
 	c.forgetUnlimited(accounts)
 	for _, a := range accounts {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -115,12 +115,12 @@
 	now := Time(0)
 	var tags []uint64
 	p := &Client{
-		Now:           func() Time { return now },
-		GrantLifetime: grantLifetime,
-		FleetSize:     5,
-		Accounts:      func() []string { return []string{"a"} },
-		Limits:        func(string) Limit { return Limit{Rate: 40, Connections: 50} },
-		SendQuery:     func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) },
+		Now:             func() Time { return now },
+		GrantLifetime:   grantLifetime,
+		FleetSize:       5,
+		LimitedAccounts: func() []string { return []string{"a"} },
+		Limits:          func(string) Limit { return Limit{Rate: 40, Connections: 50} },
+		SendQuery:       func(_ int, tag uint64, _ []byte) { tags = append(tags, tag) },
 	}
 	sendQuery := func() (tag uint64) {
 		tags = nil
