--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -27,11 +27,11 @@
 		Rand:         rand.New(rand.NewPCG(rand.Uint64(), 1)),
 		RefetchAfter: f.watermarkOptions.RefetchAfter,
 		RefetchList:  p.discovery.FetchList,
-		Changed:      p.core.WatermarksChanged,
+		HostsChanged: p.core.WatermarksChanged,
 		Source:       p.watermarkSource,
 	}
 	f.watermarks.Run()
-	f.members.Attach(watermark.CarrierID, f.watermarks.Receive)
+	f.members.Attach(watermark.PayloadChannel, f.watermarks.Receive)
 	_, revision := p.discovery.Source()
 	p.core.SetWatermarks(coreWatermarks{f.watermarks}, revision)
 }
@@ -78,7 +78,7 @@
 	for _, e := range ch.Hosts {
 		all = append(all, watermark.ListedHost{Host: e.ID, StartedAt: e.StartedAt / 1e6, State: watermarkStates[e.State]})
 	}
-	return w.List(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
+	return w.ReceiveList(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
 
 // Blocks returns whether others' newer lists exclude a host, whose start is in nanoseconds.
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// CarrierID is this package's channel among those that membership carries.
-const CarrierID = 'f'
+// PayloadChannel is this package's channel among those that membership carries.
+const PayloadChannel = 'f'
 
 // Transport carries datagrams to the other members, which are known by their ids.
 type Transport interface {
@@ -45,7 +45,7 @@
 	Source       func() uint32 // of the own list now: revisions are comparable within one source only
 	RefetchAfter time.Duration // for how long the list may be behind before it is fetched from discovery again
 	RefetchList  func()
-	Changed      func(hosts []string) // called with hosts that are out now, or no longer
+	HostsChanged func(hosts []string) // called with hosts that are out now, or no longer
 
 	registry    *Registry
 	source      uint32
@@ -88,9 +88,9 @@
 // Close ends the link: it sends and receives nothing more.
 func (l *Link) Close() { l.closed = true }
 
-// List takes the own endpoint list, complete or as a change, and names hosts that are out now, or no longer. A list of another source drops all
+// ReceiveList takes the own endpoint list, complete or as a change, and names hosts that are out now, or no longer. A list of another source drops all
 // that is known: revisions are comparable within one source only.
-func (l *Link) List(revision int64, complete bool, hosts []ListedHost) (changed []string) {
+func (l *Link) ReceiveList(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
 		l.source, l.pending.watermarks, changed = s, nil, l.registry.Reset()
 	}
@@ -126,14 +126,14 @@
 	datagrams := gossip{watermarks}.encode(l.source, l.Transport.MaxPayload())
 	for _, member := range members {
 		for _, data := range datagrams[:min(len(datagrams), maxDatagrams)] {
-			l.Transport.SendPayload(member, CarrierID, data)
+			l.Transport.SendPayload(member, PayloadChannel, data)
 		}
 	}
 }
 
 func (l *Link) query(now Time, member uint32) {
 	l.lastQueryAt = now
-	l.Transport.SendPayload(member, CarrierID, query{l.registry.Revision()}.encode(l.source))
+	l.Transport.SendPayload(member, PayloadChannel, query{l.registry.Revision()}.encode(l.source))
 }
 
 // Receive takes a datagram of another member. One that is malformed, or whose revisions are of another source and so not comparable, is ignored.
@@ -210,6 +210,6 @@
 
 func (l *Link) notifyChanged(hosts []string) {
 	if len(hosts) > 0 && !l.closed {
-		l.Changed(hosts)
+		l.HostsChanged(hosts)
 	}
 }
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -77,7 +77,7 @@
 func (t *faultyTransport) SendPayload(member uint32, channel byte, data []byte) {
 	f := t.fleet
 	f.sent++
-	if t.isolated || f.transports[member].isolated || f.rng.Float64() < f.loss || channel != CarrierID || len(data) > t.MaxPayload() {
+	if t.isolated || f.transports[member].isolated || f.rng.Float64() < f.loss || channel != PayloadChannel || len(data) > t.MaxPayload() {
 		return
 	}
 	f.After(time.Duration(1+f.rng.IntN(40))*time.Millisecond, func() { f.links[member].Receive(uint32(t.member), data) })
@@ -94,12 +94,12 @@
 			RefetchAfter: 2 * time.Second,
 			Source:       func() uint32 { return 1 },
 			RefetchList:  func() { f.refetches[i]++ },
-			Changed:      func([]string) {},
+			HostsChanged: func([]string) {},
 		})
 	}
 	for _, l := range f.links {
 		l.Run()
-		l.List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
+		l.ReceiveList(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	}
 	return f
 }
@@ -122,7 +122,7 @@
 		f.loss = 0.33
 		f.transports[n-1].isolated = true
 		f.run(2 * sec)
-		f.links[0].List(6, false, []ListedHost{{"a", 1, Draining}})
+		f.links[0].ReceiveList(6, false, []ListedHost{{"a", 1, Draining}})
 		f.run(200 * 1e6)
 		soon := f.countOut("a")
 		if soon < (n-2)*9/10 || soon > n-2 {
@@ -134,7 +134,7 @@
 		}
 		t.Logf("%d members, a third of all datagrams lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, f.countOut("a"), n-2, f.sent)
 		f.transports[n-1].isolated, f.loss = false, 0
-		f.links[0].List(7, false, []ListedHost{{"b", 1, Gone}})
+		f.links[0].ReceiveList(7, false, []ListedHost{{"b", 1, Gone}})
 		f.run(200 * 1e6)
 		if got := f.countOut("b"); got != n-1 {
 			t.Errorf("%d members: %d know of b", n, got)
@@ -149,7 +149,7 @@
 	f.run(2 * sec)
 	before := f.sent
 	for _, l := range f.links {
-		f.After(time.Duration(f.rng.IntN(20))*time.Millisecond, func() { l.List(6, false, []ListedHost{{"a", 1, Draining}}) })
+		f.After(time.Duration(f.rng.IntN(20))*time.Millisecond, func() { l.ReceiveList(6, false, []ListedHost{{"a", 1, Draining}}) })
 	}
 	f.run(sec / 2)
 	if sent := f.sent - before; sent > n*n/3 {
@@ -165,13 +165,13 @@
 // A proxy that stays behind refetches its list, with a backoff while that does not help, and stops once its list has caught up.
 func TestListThatIsBehindIsRefetched(t *testing.T) {
 	f := newTestFleet(3, 5)
-	f.links[0].List(6, false, []ListedHost{{"a", 1, Gone}})
+	f.links[0].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
 	f.run(60 * sec)
 	if f.refetches[0] > 0 || f.refetches[1] < 3 || f.refetches[1] > 6 {
 		t.Errorf("refetches by member: %v", f.refetches)
 	}
-	f.links[1].List(6, false, []ListedHost{{"a", 1, Gone}})
-	f.links[2].List(6, true, []ListedHost{{"b", 1, Up}})
+	f.links[1].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
+	f.links[2].ReceiveList(6, true, []ListedHost{{"b", 1, Up}})
 	before := fmt.Sprint(f.refetches)
 	f.run(60 * sec)
 	if got := fmt.Sprint(f.refetches); got != before || f.countOut("a") > 0 {
@@ -183,8 +183,8 @@
 func TestOldListRevokesNothing(t *testing.T) {
 	f := newTestFleet(2, 6)
 	f.transports[0].isolated = true
-	f.links[0].List(8, false, []ListedHost{{"a", 1, Draining}})
-	if ids := f.links[0].List(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
+	f.links[0].ReceiveList(8, false, []ListedHost{{"a", 1, Draining}})
+	if ids := f.links[0].ReceiveList(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
 		t.Error("list 8 has drained a, and the older list 5 has revoked that:", ids)
 	}
 	if f.links[0].Blocks("a", 2) {
@@ -195,10 +195,10 @@
 		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have restarted")
 	}
 	f.transports[0].isolated = false
-	f.links[0].List(9, false, []ListedHost{{"b", 1, Gone}})
+	f.links[0].ReceiveList(9, false, []ListedHost{{"b", 1, Gone}})
 	source := uint32(2)
 	f.links[1].Source = func() uint32 { return source }
-	f.links[1].List(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
+	f.links[1].ReceiveList(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	f.run(5 * sec)
 	if f.links[1].Blocks("b", 1) {
 		t.Error("revisions of two sources were compared")
