--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -111,7 +111,7 @@
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
-	if c.pools.main, err = c.pools.create(namespace.Main); err != nil {
+	if c.pools.main, err = c.pools.create(namespace.MainPool); err != nil {
 		return err
 	}
 	c.ListReceived(known)
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -74,7 +74,7 @@
 // WatchList starts or stops watching the endpoint list. Only the balancer of pool main controls the
 // watch, for all pools.
 func (e *effects) WatchList(on bool) {
-	if e.pool.name == namespace.Main {
+	if e.pool.name == namespace.MainPool {
 		e.core.decisions.addEffect(func() { e.core.discovery.WatchList(on) })
 	}
 }
@@ -82,7 +82,7 @@
 // FetchList fetches the complete endpoint list. Only the balancer of pool main fetches it, for all
 // pools.
 func (e *effects) FetchList() {
-	if e.pool.name == namespace.Main {
+	if e.pool.name == namespace.MainPool {
 		e.core.decisions.addEffect(func() { e.core.discovery.FetchList() })
 	}
 }
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -44,9 +44,9 @@
 		directory.Previous = &namespace.Assignment{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t1"}}}, Pools: []namespace.Pool{{Name: "p", Kinds: []string{map[string]string{"m1": "m2", "m2": "m1"}[kind]}}}}
 	}
 	rules.SetActiveVersionForTest(w.enforcer, &rules.Version{Number: number, Directory: directory}, w.now+1e12)
-	w.poolByTenant = map[string]string{"t1": "p", "t2": namespace.Main}
+	w.poolByTenant = map[string]string{"t1": "p", "t2": namespace.MainPool}
 	for id, h := range w.hosts {
-		w.poolByHost[id] = namespace.Main
+		w.poolByHost[id] = namespace.MainPool
 		if h.Kind == kind {
 			w.poolByHost[id] = "p"
 		}
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -65,7 +65,7 @@
 
 // usedPools returns the names of the pools that have a host or a request, and of main.
 func (c *Core) usedPools() map[string]bool {
-	used := map[string]bool{namespace.Main: true}
+	used := map[string]bool{namespace.MainPool: true}
 	for _, h := range c.hosts.byID {
 		if h.pool != nil {
 			used[h.pool.name] = true
--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -27,24 +27,24 @@
 		poolOfPrefix:    map[string]string{},
 		poolOfKind:      map[string]string{},
 		poolOfZone:      map[string]string{},
-		pools:           map[string]bool{Main: true},
+		pools:           map[string]bool{MainPool: true},
 		accounts:        make(map[string]*Account, len(accounts)+1),
 		accountOfTenant: map[string]string{},
 		reserved:        map[string]reservations{},
 	}
 	for i, p := range pools {
-		if !validName(p.Name) || p.Name == Main || i > 0 && pools[i-1].Name >= p.Name {
-			return nil, &Fault{Text: fmt.Sprintf("pool %q: its name is none, taken, or out of order", p.Name)}
+		if !validName(p.Name) || p.Name == MainPool || i > 0 && pools[i-1].Name >= p.Name {
+			return nil, &ValidationError{Text: fmt.Sprintf("pool %q: its name is none, taken, or out of order", p.Name)}
 		}
 		if err := a.addPool(&p); err != nil {
 			return nil, err
 		}
 	}
 	a.sortPrefixLengths()
-	a.accounts[""] = &Account{Pools: []string{Main}}
+	a.accounts[""] = &Account{Pools: []string{MainPool}}
 	for i := range accounts {
 		if i > 0 && accounts[i-1].Name >= accounts[i].Name {
-			return nil, &Fault{Account: accounts[i].Name, Text: "it stands twice, or out of order"}
+			return nil, &ValidationError{Account: accounts[i].Name, Text: "it stands twice, or out of order"}
 		}
 		if err := a.addAccount(accounts[i]); err != nil {
 			return nil, err
@@ -62,10 +62,10 @@
 	}{{"host", p.Hosts, a.poolOfHost}, {"prefix", p.Prefixes, a.poolOfPrefix}, {"kind", p.Kinds, a.poolOfKind}, {"zone", p.Zones, a.poolOfZone}} {
 		for _, n := range by.names {
 			if n == "" || len(n) > 2*maxNameBytes {
-				return &Fault{Text: fmt.Sprintf("pool %s: %s %q is empty or too long", p.Name, by.what, n)}
+				return &ValidationError{Text: fmt.Sprintf("pool %s: %s %q is empty or too long", p.Name, by.what, n)}
 			}
 			if other, taken := by.pools[n]; taken {
-				return &Fault{Text: fmt.Sprintf("%s %q is in pool %s and in pool %s", by.what, n, other, p.Name)}
+				return &ValidationError{Text: fmt.Sprintf("%s %q is in pool %s and in pool %s", by.what, n, other, p.Name)}
 			}
 			by.pools[n] = p.Name
 		}
@@ -106,7 +106,7 @@
 }
 
 func accountFault(a *Account, format string, args ...any) error {
-	return &Fault{Account: a.Name, Text: fmt.Sprintf(format, args...)}
+	return &ValidationError{Account: a.Name, Text: fmt.Sprintf(format, args...)}
 }
 
 // narrowTenants takes a child's tenants from its parent, and requires that nobody else has a top account's.
@@ -225,5 +225,5 @@
 	if p, found := a.poolOfZone[zone]; found && zone != "" {
 		return p
 	}
-	return Main
+	return MainPool
 }
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -53,7 +53,7 @@
 	for i := range d.Namespaces {
 		s := &d.Namespaces[i]
 		if i > 0 && d.Namespaces[i-1].Account >= s.Account {
-			return nil, &Fault{Account: s.Account, Text: "its namespace stands twice, or out of order"}
+			return nil, &ValidationError{Account: s.Account, Text: "its namespace stands twice, or out of order"}
 		}
 		if namespaces[s.Account], err = current.compileNamespace(s); err != nil {
 			return nil, err
@@ -95,10 +95,10 @@
 	var owner *Account
 	if a.accounts != nil {
 		if owner = a.accounts[s.Account]; owner == nil {
-			return nil, &Fault{Account: s.Account, Text: "it has a namespace, and does not exist"}
+			return nil, &ValidationError{Account: s.Account, Text: "it has a namespace, and does not exist"}
 		}
 		if n := len(s.Guards) + len(s.Routes) + len(s.Defaults); owner.Routes > 0 && n > int(owner.Routes) {
-			return nil, &Fault{Account: s.Account, Text: fmt.Sprintf("%d routes, and it may have %d", n, owner.Routes)}
+			return nil, &ValidationError{Account: s.Account, Text: fmt.Sprintf("%d routes, and it may have %d", n, owner.Routes)}
 		}
 	}
 	c := &compiledNamespace{account: s.Account}
@@ -109,7 +109,7 @@
 	}{{s.Guards, &c.guards}, {s.Routes, &c.routes}, {s.Defaults, &c.defaults}} {
 		for i := range list.routes {
 			if text := a.checkRoute(owner, &list.routes[i], names); text != "" {
-				return nil, &Fault{s.Account, list.routes[i].Name, text}
+				return nil, &ValidationError{s.Account, list.routes[i].Name, text}
 			}
 		}
 		if err := list.index.build(s.Account, list.routes); err != nil {
@@ -159,7 +159,7 @@
 		for i := range lists.later.routes {
 			r := &lists.later.routes[i]
 			if by := lists.earlier.covering(r); by != nil {
-				return &Fault{c.account, r.Name, fmt.Sprintf("nothing reaches it: %s takes all that fits it", by.Name)}
+				return &ValidationError{c.account, r.Name, fmt.Sprintf("nothing reaches it: %s takes all that fits it", by.Name)}
 			}
 		}
 	}
--- a/internal/fleet/namespace/explain.go
+++ b/internal/fleet/namespace/explain.go
@@ -12,7 +12,7 @@
 // applies to the account: it is for operators' questions, not for each request.
 func (c *Compiled) Explain(q Request) string {
 	var b strings.Builder
-	v := c.Judge(q)
+	v := c.Evaluate(q)
 	a := c.accounts[v.Account]
 	if c.explainAccount(&b, q, v); v.Reassigned {
 		return b.String()
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -87,7 +87,7 @@
 }
 
 func compileRoute(account string, r *Route) compiledRoute {
-	c := compiledRoute{Route: r, account: account, key: r.matchKey(), advice: time.Duration(r.Advice) * time.Millisecond}
+	c := compiledRoute{Route: r, account: account, key: r.matchKey(), advice: time.Duration(r.RetryAfterMillis) * time.Millisecond}
 	if !r.Refuse {
 		c.pools = append([]string{r.Pool}, r.Fallbacks...)
 	}
@@ -108,7 +108,7 @@
 		sets[r.key.conditions()] = true
 	}
 	if len(sets) > MaxConditionSets {
-		return &Fault{Account: account, Text: fmt.Sprintf("its routes have %d kinds of condition, %d are possible in one list", len(sets), MaxConditionSets)}
+		return &ValidationError{Account: account, Text: fmt.Sprintf("its routes have %d kinds of condition, %d are possible in one list", len(sets), MaxConditionSets)}
 	}
 	for s := range sets {
 		x.conditionSets = append(x.conditionSets, s)
@@ -139,7 +139,7 @@
 			shares += int(a.ShareTo - a.ShareFrom)
 		}
 		if a.secondarySpecificity() == 0 && shares == WholeShare {
-			return &Fault{account, a.Name, "nothing reaches it: the shares of others are all there is"}
+			return &ValidationError{account, a.Name, "nothing reaches it: the shares of others are all there is"}
 		}
 		for j := i + 1; j < len(same) && same[j].secondarySpecificity() == a.secondarySpecificity(); j++ {
 			b := same[j].Route
@@ -147,7 +147,7 @@
 				break // sorted by ShareFrom: those after b are disjoint too
 			}
 			if a.overlaps(b) {
-				return &Fault{account, b.Name, fmt.Sprintf("it fits the same requests as %s, and neither is more specific", a.Name)}
+				return &ValidationError{account, b.Name, fmt.Sprintf("it fits the same requests as %s, and neither is more specific", a.Name)}
 			}
 		}
 	}
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -11,7 +11,7 @@
 
 // judgeByScan finds the route by testing all of them: the index has to agree with it.
 func judgeByScan(d *Directory, c *Compiled, q Request) string {
-	a := c.accounts[c.Account(q.Tenant)]
+	a := c.accounts[c.AccountOfTenant(q.Tenant)]
 	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
 	mostSpecific := func(routes []Route) (name string) {
 		var highest [6]int
@@ -63,7 +63,7 @@
 	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
 		oneOf := func(values ...string) string { return rapid.SampledFrom(values).Draw(rt, "x") }
-		r := Route{Name: fmt.Sprint("r", i), Group: oneOf("", "", "g", "h"), Prefix: oneOf("", "a", "ab", "b"), Class: oneOf("", "c", "d"), Zone: oneOf("", "", "y"), Pool: Main}
+		r := Route{Name: fmt.Sprint("r", i), Group: oneOf("", "", "g", "h"), Prefix: oneOf("", "a", "ab", "b"), Class: oneOf("", "c", "d"), Zone: oneOf("", "", "y"), Pool: MainPool}
 		switch rapid.IntRange(0, 3).Draw(rt, "extra") {
 		case 0:
 			r.ShareFrom, r.ShareTo = 2500, 7500
@@ -102,7 +102,7 @@
 		changed, err := Compile(&other)
 		for range 20 {
 			q := drawRequest(rt)
-			v := c.Judge(q)
+			v := c.Evaluate(q)
 			if want := judgeByScan(directory, c, q); v.Route != want {
 				rt.Fatalf("%+v: route %q, expected %q", q, v.Route, want)
 			}
@@ -112,7 +112,7 @@
 			if err != nil || v.Account == "other" {
 				continue
 			}
-			if w := changed.Judge(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Rejected != v.Rejected {
+			if w := changed.Evaluate(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Rejected != v.Rejected {
 				rt.Fatalf("%+v: %+v, and after another customer's change %+v", q, v, w)
 			}
 		}
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/judge.go
@@ -29,25 +29,25 @@
 	Route        string // "": none fits, and the account's first pool takes it
 	Rejected     bool
 	Reassigned   bool // rejected while its tenant is reassigned to another account
-	Advice       time.Duration
+	RetryAfter   time.Duration
 	Pools        []string // in the order of preference
 }
 
 // reassignedAdvice is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
 const reassignedAdvice = 500 * time.Millisecond
 
-// Judge finds the account first, and then the route among those that apply to that account.
-func (c *Compiled) Judge(q Request) Verdict {
+// Evaluate finds the account first, and then the route among those that apply to that account.
+func (c *Compiled) Evaluate(q Request) Verdict {
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
 	if c.previous != nil && c.previous.accountOfTenant[q.Tenant] != name {
-		return Verdict{Account: name, Rejected: true, Reassigned: true, Advice: reassignedAdvice}
+		return Verdict{Account: name, Rejected: true, Reassigned: true, RetryAfter: reassignedAdvice}
 	}
 	if len(a.settings.Classes) > 0 && !slices.Contains(a.settings.Classes, q.Class) {
 		return Verdict{Account: name, RouteAccount: name, Route: classesRoute, Rejected: true}
 	}
 	r := a.find(&q)
-	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, Advice: r.advice}
+	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, RetryAfter: r.advice}
 	if r.Route != nil {
 		v.Route, v.Rejected = r.Name, r.Refuse
 	}
@@ -93,8 +93,8 @@
 	return p
 }
 
-// Limits are an account's settings, empty ones filled in from its parents; nil: there is no such account.
-func (c *Compiled) Limits(account string) *Account { return c.current.accounts[account] }
+// AccountSettings are an account's settings, empty ones filled in from its parents; nil: there is no such account.
+func (c *Compiled) AccountSettings(account string) *Account { return c.current.accounts[account] }
 
-// Account is a tenant's; "": the operators'.
-func (c *Compiled) Account(tenant string) string { return c.current.accountOfTenant[tenant] }
+// AccountOfTenant is a tenant's; "": the operators'.
+func (c *Compiled) AccountOfTenant(tenant string) string { return c.current.accountOfTenant[tenant] }
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Main is the pool of all hosts that no other pool has, and the one that accounts use which name no pools.
-const Main = "main"
+// MainPool is the pool of all hosts that no other pool has, and the one that accounts use which name no pools.
+const MainPool = "main"
 
 // Bounds of a directory.
 const (
@@ -55,16 +55,16 @@
 
 // Account is a customer or one of its teams: "acme", "acme/web". An empty list means the parent's.
 type Account struct {
-	Name        string   `cbor:"1,keyasint"`
-	Tenants     []string `cbor:"2,keyasint,omitempty"`  // a request belongs to the deepest account that names its tenant
-	Pools       []string `cbor:"3,keyasint,omitempty"`  // it may use; the first gets the requests that no route fits
-	Classes     []string `cbor:"4,keyasint,omitempty"`  // it may use
-	Rate        Limit    `cbor:"5,keyasint,omitempty"`  // new connections a second, fleet-wide
-	Connections Limit    `cbor:"6,keyasint,omitempty"`  // open connections, fleet-wide
-	Routes      uint32   `cbor:"7,keyasint,omitempty"`  // of its namespace; 0: as the parent has it
-	Changes     uint32   `cbor:"8,keyasint,omitempty"`  // of its namespace a minute; 0: as the parent has it
-	Grants      []Grant  `cbor:"9,keyasint,omitempty"`  // by label
-	Number      uint64   `cbor:"10,keyasint,omitempty"` // of the version that changed it last
+	Name          string   `cbor:"1,keyasint"`
+	Tenants       []string `cbor:"2,keyasint,omitempty"`  // a request belongs to the deepest account that names its tenant
+	Pools         []string `cbor:"3,keyasint,omitempty"`  // it may use; the first gets the requests that no route fits
+	Classes       []string `cbor:"4,keyasint,omitempty"`  // it may use
+	Rate          Limit    `cbor:"5,keyasint,omitempty"`  // new connections a second, fleet-wide
+	Connections   Limit    `cbor:"6,keyasint,omitempty"`  // open connections, fleet-wide
+	Routes        uint32   `cbor:"7,keyasint,omitempty"`  // of its namespace; 0: as the parent has it
+	Changes       uint32   `cbor:"8,keyasint,omitempty"`  // of its namespace a minute; 0: as the parent has it
+	Grants        []Grant  `cbor:"9,keyasint,omitempty"`  // by label
+	VersionNumber uint64   `cbor:"10,keyasint,omitempty"` // of the version that changed it last
 }
 
 // Limit is a bound of an account and the part of it that is reserved. All children together reserve no more than their parent has reserved, and no
@@ -85,22 +85,22 @@
 // Namespace is an account's routes. Guards apply to the account and all below it, before their own; routes to the account alone; defaults to the
 // account and all below it, after their own.
 type Namespace struct {
-	Account  string  `cbor:"1,keyasint"`
-	Number   uint64  `cbor:"2,keyasint"` // of the version that changed it last
-	Guards   []Route `cbor:"3,keyasint,omitempty"`
-	Routes   []Route `cbor:"4,keyasint,omitempty"`
-	Defaults []Route `cbor:"5,keyasint,omitempty"`
+	Account       string  `cbor:"1,keyasint"`
+	VersionNumber uint64  `cbor:"2,keyasint"` // of the version that changed it last
+	Guards        []Route `cbor:"3,keyasint,omitempty"`
+	Routes        []Route `cbor:"4,keyasint,omitempty"`
+	Defaults      []Route `cbor:"5,keyasint,omitempty"`
 }
 
-// Fault is what is invalid in a directory, and where.
-type Fault struct {
+// ValidationError is what is invalid in a directory, and where.
+type ValidationError struct {
 	Account string // "": the operators'
 	Route   string // "": it is the account's or a pool's
 	Text    string
 }
 
 // Error names the place and what is wrong.
-func (f *Fault) Error() string {
+func (f *ValidationError) Error() string {
 	switch {
 	case f.Route != "":
 		return fmt.Sprintf("namespace: %s: %s", QualifiedName(f.Account, f.Route), f.Text)
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -20,13 +20,13 @@
 
 var customers = &Directory{
 	Pools: []Pool{{Name: "fast", Kinds: []string{"m2"}}, {Name: "kept", Hosts: []string{"s-1"}, Prefixes: []string{"s-", "s-9"}}},
-	Accounts: []Account{{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"fast", Main}, Rate: Limit{100, 60}}, {Name: "acme/web", Tenants: []string{"t2"}, Rate: Limit{50, 30}},
+	Accounts: []Account{{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"fast", MainPool}, Rate: Limit{100, 60}}, {Name: "acme/web", Tenants: []string{"t2"}, Rate: Limit{50, 30}},
 		{Name: "other", Tenants: []string{"t3"}}},
 	Namespaces: []Namespace{
-		{Account: "", Guards: []Route{{Name: "closed", Class: "bulk", Refuse: true, Advice: 2000}}, Defaults: []Route{{Name: "rest", Zone: "z9", Pool: "fast"}}},
-		{Account: "acme", Guards: []Route{{Name: "night", WindowBegin: 22 * 60, WindowEnd: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Fallbacks: []string{Main}}},
-			Defaults: []Route{{Name: "last", Pool: Main}}},
-		{Account: "acme/web", Routes: []Route{{Name: "half", ShareTo: 5000, Pool: "fast"}, {Name: "g", Group: "g1", Pool: Main}, {Name: "gab", Group: "g1", Prefix: "ab", Pool: "fast"}}},
+		{Account: "", Guards: []Route{{Name: "closed", Class: "bulk", Refuse: true, RetryAfterMillis: 2000}}, Defaults: []Route{{Name: "rest", Zone: "z9", Pool: "fast"}}},
+		{Account: "acme", Guards: []Route{{Name: "night", WindowBegin: 22 * 60, WindowEnd: 6 * 60, Class: "report", Refuse: true}}, Routes: []Route{{Name: "ab", Prefix: "ab", Pool: "fast", Fallbacks: []string{MainPool}}},
+			Defaults: []Route{{Name: "last", Pool: MainPool}}},
+		{Account: "acme/web", Routes: []Route{{Name: "half", ShareTo: 5000, Pool: "fast"}, {Name: "g", Group: "g1", Pool: MainPool}, {Name: "gab", Group: "g1", Prefix: "ab", Pool: "fast"}}},
 	},
 }
 
@@ -39,23 +39,23 @@
 		pool    string // "": rejected
 	}{
 		{Request{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
-		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", Main},
+		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", MainPool},
 		{Request{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
 		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
 		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the more specific route
 		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // takes precedence over the operators' default
-		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", Main},                                 //
-		{Request{Tenant: "t3", Key: "abc"}, "other", "", Main},                                                 // another customer's routes do not reach it
+		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},                             //
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool},                                             // another customer's routes do not reach it
 		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
-		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", Main},                                   //
+		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},                               //
 		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
-		{Request{Tenant: "acme", Key: "abc"}, "", "", Main},                                                    // an account's name is no tenant
+		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                                // an account's name is no tenant
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window's end
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
 	} {
-		v := c.Judge(x.q)
+		v := c.Evaluate(x.q)
 		pool := ""
 		if !v.Rejected {
 			pool = v.Pools[0]
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, x := range []struct{ id, kind, zone, pool string }{
-		{"s-1", "m2", "", "kept"}, {"s-95", "m2", "", "kept"}, {"x", "m2", "", "fast"}, {"x", "m1", "a", Main}, {"s", "", "", Main},
+		{"s-1", "m2", "", "kept"}, {"s-95", "m2", "", "kept"}, {"x", "m2", "", "fast"}, {"x", "m1", "a", MainPool}, {"s", "", "", MainPool},
 	} {
 		if got := c.Pool(x.id, x.kind, x.zone); got != x.pool {
 			t.Errorf("%s is in %q, expected %q", x.id, got, x.pool)
@@ -77,13 +77,13 @@
 func TestSharesAreStable(t *testing.T) {
 	c := compiled(t, customers)
 	more := *customers
-	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: Main, Prefix: "k"}}})
+	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: MainPool, Prefix: "k"}}})
 	d := compiled(t, &more)
 	n := 0
 	for i := range 10_000 {
 		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
-		v := c.Judge(q)
-		if w := d.Judge(q); w.Route != v.Route {
+		v := c.Evaluate(q)
+		if w := d.Evaluate(q); w.Route != v.Route {
 			t.Fatalf("%s: %q and %q", q.Key, v.Route, w.Route)
 		}
 		if v.Route == "half" {
@@ -99,10 +99,10 @@
 	routes := func(rs ...Route) *Directory {
 		return &Directory{Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Routes: rs}}}
 	}
-	to := func(name string, r Route) Route { r.Name, r.Pool = name, Main; return r }
+	to := func(name string, r Route) Route { r.Name, r.Pool = name, MainPool; return r }
 	for want, b := range map[string]*Directory{
 		"is in pool p and in pool q":             {Pools: []Pool{{Name: "p", Kinds: []string{"m"}}, {Name: "q", Kinds: []string{"m"}}}},
-		"its name is none, taken":                {Pools: []Pool{{Name: Main}}},
+		"its name is none, taken":                {Pools: []Pool{{Name: MainPool}}},
 		"tenant t belongs to account a":          {Accounts: []Account{{Name: "a", Tenants: []string{"t"}}, {Name: "b", Tenants: []string{"t"}}}},
 		"tenant u does not belong to account a":  {Accounts: []Account{{Name: "a", Tenants: []string{"t"}}, {Name: "a/b", Tenants: []string{"u"}}}},
 		"there is no account a above it":         {Accounts: []Account{{Name: "a/b"}}},
@@ -121,7 +121,7 @@
 		"as v, and neither":                      routes(to("v", Route{WindowBegin: 60, WindowEnd: 120}), to("w", Route{WindowBegin: 90, WindowEnd: 180})),
 		"the shares of others are all":           routes(to("x", Route{ShareTo: 4000}), to("y", Route{ShareFrom: 4000, ShareTo: WholeShare}), to("z", Route{})),
 		"its name is taken":                      routes(to("x", Route{Class: "c"}), to("x", Route{})),
-		"in a circle":                            routes(Route{Name: "x", Pool: Main, Fallbacks: []string{Main}}),
+		"in a circle":                            routes(Route{Name: "x", Pool: MainPool, Fallbacks: []string{MainPool}}),
 		"either a pool or refuse":                routes(Route{Name: "x"}),
 		"no pool nowhere":                        routes(Route{Name: "x", Pool: "nowhere"}),
 		"a share that is none":                   routes(to("x", Route{ShareFrom: 5, ShareTo: 5})),
@@ -149,7 +149,7 @@
 		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
 	}
 	for tenant, reassigned := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
-		if v := c.Judge(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Rejected != reassigned {
+		if v := c.Evaluate(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Rejected != reassigned {
 			t.Errorf("tenant %s: %+v", tenant, v)
 		}
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].Advice != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != Main {
+	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].RetryAfterMillis != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != MainPool {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -173,7 +173,7 @@
 	for _, n := range []int{10, 1000, 100_000} {
 		directory := &Directory{Accounts: []Account{{Name: "big", Tenants: []string{"b"}}, {Name: "small", Tenants: []string{"s"}}}, Namespaces: []Namespace{{Account: "big"}, {Account: "small", Routes: customers.Namespaces[1].Routes[:0:0]}}}
 		for i := range n {
-			directory.Namespaces[0].Routes = append(directory.Namespaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: Main})
+			directory.Namespaces[0].Routes = append(directory.Namespaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: MainPool})
 		}
 		c := compiled(b, directory)
 		for whose, tenant := range map[string]string{"own": "b", "beside": "s"} {
@@ -181,7 +181,7 @@
 				b.ReportAllocs()
 				q := Request{Tenant: tenant, Class: "c", Key: "0000000500000000"}
 				for range b.N {
-					c.Judge(q)
+					c.Evaluate(q)
 				}
 			})
 		}
@@ -206,7 +206,7 @@
 		b.Namespaces = []Namespace{own}
 		if c, err := Compile(b); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
-			if v := c.Judge(q); !v.Rejected && len(v.Pools) == 0 {
+			if v := c.Evaluate(q); !v.Rejected && len(v.Pools) == 0 {
 				t.Fatalf("%q: a request is neither rejected nor has a pool", text)
 			}
 			c.Explain(q)
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -22,10 +22,10 @@
 	WindowBegin uint16 `cbor:"8,keyasint,omitempty"` // minutes
 	WindowEnd   uint16 `cbor:"9,keyasint,omitempty"`
 
-	Pool      string   `cbor:"10,keyasint,omitempty"`
-	Fallbacks []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
-	Refuse    bool     `cbor:"12,keyasint,omitempty"`
-	Advice    uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a rejected request in milliseconds; 0: none
+	Pool             string   `cbor:"10,keyasint,omitempty"`
+	Fallbacks        []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
+	Refuse           bool     `cbor:"12,keyasint,omitempty"`
+	RetryAfterMillis uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a rejected request in milliseconds; 0: none
 }
 
 // check says what is invalid in a route by itself; "": nothing.
@@ -43,7 +43,7 @@
 		return "a time of day that is none, or all day"
 	case r.Refuse == (r.Pool != ""):
 		return "it has to name either a pool or refuse"
-	case r.Advice > maxAdviceMillis || r.Advice > 0 && !r.Refuse:
+	case r.RetryAfterMillis > maxAdviceMillis || r.RetryAfterMillis > 0 && !r.Refuse:
 		return "advice of over a minute, or for those who are not refused"
 	case len(r.Fallbacks) > maxFallbacks || len(r.Fallbacks) > 0 && r.Refuse:
 		return fmt.Sprintf("more than %d pools to fall to, or some for those who are refused", maxFallbacks)
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -53,7 +53,7 @@
 			forms[label] = f
 		})
 	}
-	var fault *Fault
+	var fault *ValidationError
 	if errors.As(CheckNamespace(s), &fault) {
 		at := forms[fault.Route]
 		if at == nil {
@@ -74,7 +74,7 @@
 	var advice time.Duration
 	f.Bool("refuse", "whether they are refused", &r.Refuse)
 	f.Duration("advice", "after which a refused client may come again", &advice, 0, time.Minute)
-	r.Advice = uint32(advice.Milliseconds())
+	r.RetryAfterMillis = uint32(advice.Milliseconds())
 	return r
 }
 
--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -83,10 +83,10 @@
 // mergeAccounts gives the operators' accounts, an unchanged one with its earlier number, and the accounts that customers have made below them.
 func mergeAccounts(proposed, old []namespace.Account, number uint64) (accounts []namespace.Account) {
 	for _, a := range proposed {
-		a.Number = number
+		a.VersionNumber = number
 		if i, found := findAccount(old, a.Name); found {
-			if a.Number = old[i].Number; !bytes.Equal(marshal(a), marshal(old[i])) {
-				a.Number = number
+			if a.VersionNumber = old[i].VersionNumber; !bytes.Equal(marshal(a), marshal(old[i])) {
+				a.VersionNumber = number
 			}
 		}
 		accounts = append(accounts, a)
@@ -106,7 +106,7 @@
 		if s.Account != "" {
 			return spaces, fmt.Errorf("the namespace of account %s is changed by itself", s.Account)
 		}
-		s.Number = number
+		s.VersionNumber = number
 		spaces = append(spaces, s)
 	}
 	for _, s := range old {
@@ -147,12 +147,12 @@
 		return err
 	}
 	i, exists := findNamespace(v.Directory.Namespaces, c.Account)
-	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.Number })
+	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.VersionNumber })
 	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
 	v.Directory.Namespaces = spaces
-	if s.Number = v.Number; len(s.Guards)+len(s.Routes)+len(s.Defaults) > 0 {
+	if s.VersionNumber = v.Number; len(s.Guards)+len(s.Routes)+len(s.Defaults) > 0 {
 		v.Directory.Namespaces = slices.Insert(v.Directory.Namespaces, i, s)
 	}
 	return nil
@@ -167,11 +167,11 @@
 		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Account, a.Name)
 	}
 	i, exists := findAccount(v.Directory.Accounts, a.Name)
-	accounts, lastChanged := without(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.Number })
+	accounts, lastChanged := without(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.VersionNumber })
 	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
-	a.Number = v.Number
+	a.VersionNumber = v.Number
 	v.Directory.Accounts = slices.Insert(accounts, i, a)
 	return nil
 }
@@ -181,7 +181,7 @@
 	if !exists || namespace.Parent(c.Account) == "" {
 		return fmt.Errorf("there is no account %s below another", c.Account)
 	}
-	if err := checkBase(c.BaseVersion, v.Directory.Accounts[i].Number, base.Number); err != nil {
+	if err := checkBase(c.BaseVersion, v.Directory.Accounts[i].VersionNumber, base.Number); err != nil {
 		return err
 	}
 	v.Directory.Accounts = slices.DeleteFunc(v.Directory.Accounts, func(a namespace.Account) bool { return namespace.IsWithin(a.Name, c.Account) })
@@ -211,10 +211,10 @@
 func (v *Version) setNumber(number uint64) {
 	v.Number, v.OperatorsNumber = number, number
 	for i := range v.Directory.Namespaces {
-		v.Directory.Namespaces[i].Number = number
+		v.Directory.Namespaces[i].VersionNumber = number
 	}
 	for i := range v.Directory.Accounts {
-		v.Directory.Accounts[i].Number = number
+		v.Directory.Accounts[i].VersionNumber = number
 	}
 }
 
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -131,7 +131,7 @@
 
 func differInLimitsOnly(a, b namespace.Account) bool {
 	for _, x := range []*namespace.Account{&a, &b} {
-		x.Rate, x.Connections, x.Routes, x.Changes, x.Number = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
+		x.Rate, x.Connections, x.Routes, x.Changes, x.VersionNumber = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
 	}
 	return bytes.Equal(marshal(a), marshal(b))
 }
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -21,7 +21,7 @@
 	return &Version{Directory: &namespace.Directory{
 		Pools: []namespace.Pool{{Name: "a", Kinds: []string{"m1"}}, {Name: "b", Kinds: []string{"m2"}}},
 		Accounts: []namespace.Account{
-			{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"a", namespace.Main}, Rate: namespace.Limit{Max: 100, Reserved: 50}, Grants: []namespace.Grant{
+			{Name: "acme", Tenants: []string{"t1", "t2"}, Pools: []string{"a", namespace.MainPool}, Rate: namespace.Limit{Max: 100, Reserved: 50}, Grants: []namespace.Grant{
 				{Label: "admin", Key: publicKey(1), Verbs: namespace.MayRoute | namespace.MayDelegate}, {Label: "clerk", Key: publicKey(2), Verbs: namespace.MayRoute, Until: 5000}}},
 			{Name: "other", Tenants: []string{"t3"}, Pools: []string{"b"}},
 		}}}
@@ -29,7 +29,7 @@
 
 // namespaceTo is an account's namespace with one route, to a pool.
 func namespaceTo(account string, number uint64, pool string) *namespace.Namespace {
-	return &namespace.Namespace{Account: account, Number: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
+	return &namespace.Namespace{Account: account, VersionNumber: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
 func (fleet *testFleet) propose(c *Change) {
@@ -57,7 +57,7 @@
 	// Concurrent changes: two of one namespace, and one of another.
 	n := len(fleet.answers)
 	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, nil), 1)
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.Main), 2, nil), 2)
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.MainPool), 2, nil), 2)
 	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
 	fleet.run(leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
@@ -68,7 +68,7 @@
 		t.Errorf("%+v", v)
 	}
 	// The rejected change was made against a version that the other change has replaced.
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.Main), 2, []byte("12345678")), 2)
+	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.MainPool), 2, []byte("12345678")), 2)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: it was made against version 2, and ")
 	// A retry is applied once, also after another change.
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -14,10 +14,10 @@
 	v := &Version{Number: 7, Directory: &namespace.Directory{}}
 	for i := range customers {
 		name := fmt.Sprintf("customer%04d", i)
-		v.Directory.Accounts = append(v.Directory.Accounts, namespace.Account{Name: name, Number: 5, Tenants: []string{name}, Pools: []string{namespace.Main}})
-		s := namespace.Namespace{Account: name, Number: uint64(i)}
+		v.Directory.Accounts = append(v.Directory.Accounts, namespace.Account{Name: name, VersionNumber: 5, Tenants: []string{name}, Pools: []string{namespace.MainPool}})
+		s := namespace.Namespace{Account: name, VersionNumber: uint64(i)}
 		for r := range 10 {
-			s.Routes = append(s.Routes, namespace.Route{Name: fmt.Sprintf("r%d", r), Prefix: fmt.Sprintf("%02x", r), Pool: namespace.Main})
+			s.Routes = append(s.Routes, namespace.Route{Name: fmt.Sprintf("r%d", r), Prefix: fmt.Sprintf("%02x", r), Pool: namespace.MainPool})
 		}
 		v.Directory.Namespaces = append(v.Directory.Namespaces, s)
 	}
@@ -27,7 +27,7 @@
 // withOneCustomerChanged is the next version, in which one customer has fewer routes and another customer is removed.
 func withOneCustomerChanged(v *Version) *Version {
 	n := v.next()
-	n.Directory.Namespaces[20].Number = n.Number
+	n.Directory.Namespaces[20].VersionNumber = n.Number
 	n.Directory.Namespaces[20].Routes = n.Directory.Namespaces[20].Routes[:4]
 	n.Directory.Namespaces = append(n.Directory.Namespaces[:40:40], n.Directory.Namespaces[41:]...)
 	n.Directory.Accounts = append(n.Directory.Accounts[:40:40], n.Directory.Accounts[41:]...)
@@ -85,7 +85,7 @@
 	v := largeVersion(75)
 	v.Number = 0
 	for i := range v.Directory.Accounts {
-		v.Directory.Accounts[i].Number = 0
+		v.Directory.Accounts[i].VersionNumber = 0
 	}
 	spaces := v.Directory.Namespaces
 	v.Directory.Namespaces = nil
@@ -105,7 +105,7 @@
 		text[against] = fleet.publisher.versions.active.String()
 	}
 	fleet.members[2].versions = map[Hash]*compiledVersion{} // it reports versions that it has lost
-	fleet.propose(NewNamespaceChange(namespaceTo("customer0003", 0, namespace.Main), against, []byte("last")))
+	fleet.propose(NewNamespaceChange(namespaceTo("customer0003", 0, namespace.MainPool), against, []byte("last")))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !strings.HasSuffix(fleet.lastAnswer(), "at 4 of 4") {
 		t.Fatal(fleet.lastAnswer())
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -48,8 +48,8 @@
 		return v
 	}
 	q.Minute = e.minuteOfDay()
-	routed := active.namespaces.Judge(q)
-	v.Rejected, v.RetryAfter, v.Account, v.Pools = routed.Rejected, routed.Advice, routed.Account, routed.Pools
+	routed := active.namespaces.Evaluate(q)
+	v.Rejected, v.RetryAfter, v.Account, v.Pools = routed.Rejected, routed.RetryAfter, routed.Account, routed.Pools
 	if routed.Route != "" {
 		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
 	}
@@ -99,17 +99,17 @@
 // Account is a tenant's, by the active version or the last one; "": the operators'.
 func (e *Enforcer) Account(tenant string) string {
 	if active := e.active.Load(); active != nil && active.namespaces != nil {
-		return active.namespaces.Account(tenant)
+		return active.namespaces.AccountOfTenant(tenant)
 	}
 	return ""
 }
 
-// Pool is the pool that a host is in; "": in none, while it is reassigned. Without pools all hosts are in namespace.Main.
+// Pool is the pool that a host is in; "": in none, while it is reassigned. Without pools all hosts are in namespace.MainPool.
 func (e *Enforcer) Pool(host, kind, zone string) string {
 	if active := e.active.Load(); active != nil && active.namespaces != nil {
 		return active.namespaces.Pool(host, kind, zone)
 	}
-	return namespace.Main
+	return namespace.MainPool
 }
 
 // Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the terms that operators know.
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -59,7 +59,7 @@
 			}
 			owner[tenant] = a.Name
 		}
-		own, above := compiled.Limits(a.Name).Rate, compiled.Limits(parent).Rate
+		own, above := compiled.AccountSettings(a.Name).Rate, compiled.AccountSettings(parent).Rate
 		if reserved[parent] += a.Rate.Reserved; parent != "" && (reserved[parent] > above.Reserved || above.Max > 0 && (own.Max > above.Max || own.Max == 0)) {
 			rt.Fatalf("%s has %+v, and its parent %s has %+v", a.Name, own, parent, above)
 		}
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -54,12 +54,12 @@
 func writeCustomersNamespaces(w io.Writer, directory *namespace.Directory) {
 	for _, a := range directory.Accounts {
 		if namespace.Parent(a.Name) != "" {
-			fmt.Fprintf(w, "; of version %d\n(account (name %s)%s)\n", a.Number, settings.Quote(a.Name), formatAccount(&a))
+			fmt.Fprintf(w, "; of version %d\n(account (name %s)%s)\n", a.VersionNumber, settings.Quote(a.Name), formatAccount(&a))
 		}
 	}
 	for _, s := range directory.Namespaces {
 		if s.Account != "" {
-			fmt.Fprintf(w, "; of version %d\n(namespace (account %s)\n", s.Number, settings.Quote(s.Account))
+			fmt.Fprintf(w, "; of version %d\n(namespace (account %s)\n", s.VersionNumber, settings.Quote(s.Account))
 			writeRoutes(w, &s)
 			io.WriteString(w, ")\n")
 		}
@@ -125,7 +125,7 @@
 		}
 		fmt.Fprintf(w, "%s%s", formatField("pool", r.Pool), formatField("else", r.Fallbacks...))
 		if r.Refuse {
-			fmt.Fprintf(w, " (refuse on)%s", formatAdvice(r.Advice))
+			fmt.Fprintf(w, " (refuse on)%s", formatAdvice(r.RetryAfterMillis))
 		}
 		io.WriteString(w, ")\n")
 	}
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -29,7 +29,7 @@
 // randomChange is a change as some administrator may propose it; many are rejected.
 func randomChange(rng *rand.Rand, against uint64) *Change {
 	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
-	pools := []string{"a", "b", namespace.Main}
+	pools := []string{"a", "b", namespace.MainPool}
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
