--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -124,7 +124,7 @@
 	c := &cobra.Command{Use: "explain 'OPEN …'", Args: cobra.ExactArgs(1), Short: "Say what becomes of a request by the version that this proxy acts by, and why",
 		Example: "  croftlock rules explain 'OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000'",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			request, err := lineproto.ParseOpen([]byte(args[0] + "\r\n"))
+			request, err := lineproto.ParseOpenLine([]byte(args[0] + "\r\n"))
 			if err != nil {
 				return err
 			}
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -106,7 +106,7 @@
 // makeCore makes the core and its connections to upstream hosts. maxDownstreams is how many downstreams it holds at most.
 func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
-	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.Wall() }}
+	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.WallClock() }}
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	open := lineproto.PlainTCP(p.dialer)
 	if tls.Enabled {
@@ -153,14 +153,14 @@
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.WatchEvent, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
-	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, Sharing: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
+	p.discovery = cluster.NewClient(p.loop, p.dialer, cluster.Options{Address: cfg.Discovery, ProxyCount: cfg.Settings.Instances, Revision: list.Version, Notify: p.listReceived})
 	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(cfg.Settings, cfg.Seed, fx) }
 	if err := p.core.Run(newBalancer, p.discovery, list); err != nil {
 		return list, err
 	}
 	if !cfg.Settings.PollsDiscovery {
 		// Lists are pushed to an agent that the platform runs beside the proxy, and the decision module polls for none.
-		p.discovery.Follow()
+		p.discovery.FollowAgent()
 	}
 	p.core.RestoreBalancer(handoff.Snapshot.Balancer)
 	return list, nil
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -24,7 +24,7 @@
 		SlowStartOverloadFactor: 2, SlowStartFloor: 0.2, PollInterval: 1e10, ConnectTimeout: 1e8}
 	loop := netio.NewLoop()
 	core := proxy.New(loop, nil, proxy.Options{MaxDownstreams: 1, Settings: settings})
-	p := &process{loop: loop, core: core, discovery: cluster.NewClient(loop, nil, cluster.Options{Address: ownDiscovery, Sharing: 1, Revision: 7})}
+	p := &process{loop: loop, core: core, discovery: cluster.NewClient(loop, nil, cluster.Options{Address: ownDiscovery, ProxyCount: 1, Revision: 7})}
 	list := proxy.WatchEvent{Kind: balancer.ListCached, Version: 7, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready), listedHost("b", balancer.Ready)}}
 	newBalancer := func(fx balancer.Effects) (proxy.Balancer, error) { return balancer.New(settings, 1, fx) }
 	if err := core.Run(newBalancer, p.discovery, list); err != nil {
--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -22,8 +22,8 @@
 	l := netio.NewLoop()
 	netiotest.Run(t, l)
 	changes := make(chan proxy.WatchEvent, 64)
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), Sharing: 3, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
-	l.Post(c.Follow)
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: d.Addr(), ProxyCount: 3, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
+	l.Post(c.FollowAgent)
 	expect := func(what, uid string, state balancer.HostState) {
 		t.Helper()
 		for limit := time.After(5 * time.Second); ; {
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -35,7 +35,7 @@
 func (c *Client) startCall(target string, within time.Duration, done func(proxy.WatchEvent, error)) *call {
 	q := &call{client: c, fromRevision: c.revision, startedAt: c.loop.Now(), target: target, done: done}
 	q.timer = c.loop.After(within, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, within)) })
-	if c.idle != nil && !c.idle.Over() {
+	if c.idle != nil && !c.idle.Ended() {
 		q.conn, q.reused, c.idle = c.idle, true, nil
 		q.conn.SetHandler(q)
 		q.send()
@@ -99,11 +99,11 @@
 		err = fmt.Errorf("%w %d", errBadStatus, r.status)
 	}
 	if err == nil {
-		ch, err = Parse(r.body)
+		ch, err = ParseList(r.body)
 	}
 	q.trace(ch, err)
 	done := q.done
-	if err == nil && !r.closes && !q.conn.Over() {
+	if err == nil && !r.closes && !q.conn.Ended() {
 		q.conn.Consume(r.length)
 		q.client.idle = q.conn
 		q.conn.SetHandler(idleHandler{q.client})
@@ -148,7 +148,7 @@
 func (q *call) drop() {
 	q.done = nil
 	q.timer.Stop()
-	q.dial.Drop()
+	q.dial.Cancel()
 	if q.conn != nil {
 		q.conn.Close()
 	}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -66,22 +66,22 @@
 
 // Options are what a client begins with.
 type Options struct {
-	Address  string // of discovery
-	Sharing  int    // how many proxies share it
-	Revision int64  // of the list that the client has
-	Notify   func(proxy.WatchEvent)
+	Address    string // of discovery
+	ProxyCount int    // how many proxies share it
+	Revision   int64  // of the list that the client has
+	Notify     func(proxy.WatchEvent)
 }
 
-// NewClient makes a client. It calls discovery only once Follow, WatchList, Redirect or FetchList is called.
+// NewClient makes a client. It calls discovery only once FollowAgent, WatchList, Redirect or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
-	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.Sharing)*watchTimeoutPerProxy))
+	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.ProxyCount)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
-// Follow keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
+// FollowAgent keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
 // not request it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the client's
 // list is the latest that there is.
-func (c *Client) Follow() {
+func (c *Client) FollowAgent() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
 }
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestParse(t *testing.T) {
-	ch, err := Parse([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"1.2.3.4:5","az":"a","model":"m",
+	ch, err := ParseList([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"1.2.3.4:5","az":"a","model":"m",
 		"pod_group":3,"state":"draining","capacity_hint":1.5,"boot_ms":1700000000123,"new":1},
 		{"uid":"t","state":"removed"}]}`))
 	if err != nil || ch.Kind != balancer.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
@@ -84,7 +84,7 @@
 	}
 	for _, bad := range []string{"", "[]", `{"all":true}`, `{"rev":1,"targets":[{"uid":"s","endpoint":"x","state":"odd"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","state":"up"}]}`, `{"rev":1,"targets":[{"endpoint":"x","state":"up"}]}`} {
-		if _, err := Parse([]byte(bad)); err == nil {
+		if _, err := ParseList([]byte(bad)); err == nil {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
@@ -133,7 +133,7 @@
 	netiotest.Run(t, l)
 	changes := make(chan proxy.WatchEvent, 16)
 	old := discoveryWithAnswers(t, calls, "old")
-	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, Sharing: 3, Revision: 90, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
+	c := NewClient(l, netio.NewDialer(l, 4), Options{Address: old, ProxyCount: 3, Revision: 90, Notify: func(ch proxy.WatchEvent) { changes <- ch }})
 	l.Post(func() { c.WatchList(true) })
 	expect := func(want string) {
 		t.Helper()
@@ -159,7 +159,7 @@
 		want    time.Duration
 	}{{0, 4 * time.Second}, {1, 4 * time.Second}, {3, 4 * time.Second}, {16, 4 * time.Second}, {40, 10 * time.Second},
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
-		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", Sharing: c.sharing})
+		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", ProxyCount: c.sharing})
 		if k.watchTimeout != c.want {
 			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchTimeout, c.want)
 		}
@@ -189,7 +189,7 @@
 	cost := func(n int) float64 {
 		data := fullList(n)
 		return testing.AllocsPerRun(5, func() {
-			ch, err := Parse(data)
+			ch, err := ParseList(data)
 			if err != nil || len(ch.Hosts) != n {
 				t.Fatalf("%d hosts, %v", len(ch.Hosts), err)
 			}
@@ -207,7 +207,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; i < b.N; i++ {
-				if _, err := Parse(data); err != nil {
+				if _, err := ParseList(data); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/dataplane/cluster/failure_test.go
+++ b/internal/dataplane/cluster/failure_test.go
@@ -10,7 +10,7 @@
 
 // TestFailureReasons: the log names why a call failed.
 func TestFailureReasons(t *testing.T) {
-	_, listError := Parse([]byte(`{"targets": []}`))
+	_, listError := ParseList([]byte(`{"targets": []}`))
 	_, tooLarge := parseResponse(make([]byte, maxHead+1), false)
 	for _, c := range []struct {
 		err  error
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -31,8 +31,8 @@
 
 var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// Parse reads a list or a change of it, as discovery and the configuration's known give it.
-func Parse(data []byte) (proxy.WatchEvent, error) {
+// ParseList reads a list or a change of it, as discovery and the configuration's known give it.
+func ParseList(data []byte) (proxy.WatchEvent, error) {
 	var l list
 	if err := json.Unmarshal(data, &l); err != nil {
 		return proxy.WatchEvent{}, fmt.Errorf("list: %v", err)
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -68,7 +68,7 @@
 	}()
 	s.loop = netio.NewLoopAt(s.now.Load)
 	netiotest.Run(t, s.loop)
-	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), Options{Address: ln.Addr().String(), Sharing: 3, Revision: 40, Notify: func(ch proxy.WatchEvent) { s.changes <- ch }})
+	s.client = NewClient(s.loop, netio.NewDialer(s.loop, 4), Options{Address: ln.Addr().String(), ProxyCount: 3, Revision: 40, Notify: func(ch proxy.WatchEvent) { s.changes <- ch }})
 	return s
 }
 
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -25,7 +25,7 @@
 func fullConnection() *proxy.HandedOverConnection {
 	return &proxy.HandedOverConnection{Request: balancer.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", ExpectedLoad: 3.5, Retry: true, MidFlow: true, Returned: true, Remaining: 4},
 		Class: "c", Tenant: "t", Host: "h", Load: 5.5, UnansweredSince: []int64{6, 7}, LastKind: proxy.LoadReported,
-		Downstream: netio.Parts{FD: 8, Input: []byte("in"), Unsent: []byte("rest")}, Upstream: netio.Parts{FD: 9, Input: []byte("up"), Unsent: []byte("more")}}
+		Downstream: netio.ReleasedConn{FD: 8, Input: []byte("in"), Unsent: []byte("rest")}, Upstream: netio.ReleasedConn{FD: 9, Input: []byte("up"), Unsent: []byte("more")}}
 }
 
 // TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -15,7 +15,7 @@
 func PlainTCP(d *netio.Dialer) Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
-		return d.Dial(to.Address, within, limit, h, done).Drop
+		return d.Dial(to.Address, within, limit, h, done).Cancel
 	}
 }
 
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -40,13 +40,13 @@
 func (d *downstream) endForClientFault(cause error) {
 	d.failInvalid(cause)
 	d.request.EndedByProxy()
-	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: cause})
+	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.EndedLocally, Detail: cause})
 }
 
 // readRequestLine reads lines up to the one that opens a request; false: that has not come, or the connection ends.
 func (d *downstream) readRequestLine() bool {
-	for !d.conn.Over() {
-		line, err := Cut(d.conn.Input())
+	for !d.conn.Ended() {
+		line, err := CutLine(d.conn.Input())
 		if err != nil {
 			d.failInvalid(err)
 			return false
@@ -66,7 +66,7 @@
 			}
 			continue
 		}
-		o, err := ParseOpen(line)
+		o, err := ParseOpenLine(line)
 		d.conn.Consume(len(line))
 		if err != nil {
 			d.failInvalid(err)
@@ -94,12 +94,12 @@
 
 // RelayPending relays the client's lines, as far as the host takes them.
 func (d *downstream) RelayPending() {
-	for d.accepted && !d.conn.Over() {
-		line, err := Cut(d.conn.Input())
+	for d.accepted && !d.conn.Ended() {
+		line, err := CutLine(d.conn.Input())
 		if err != nil {
 			d.finish()
 			d.request.EndedByProxy()
-			d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Dropped, Detail: err})
+			d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.EndedLocally, Detail: err})
 			return
 		}
 		if line == nil || !d.request.FromDownstream(proxy.Message{Text: line}) {
@@ -188,13 +188,13 @@
 	d.idleTimer.Stop()
 	d.logIdleEnd(evictedForNext)
 	switch {
-	case d.conn.Over():
+	case d.conn.Ended():
 	case len(d.conn.Input()) > 0:
 		d.conn.Write(errLine)
 	case !d.pinged:
 		d.conn.Write(busyLine(d.front.core.RetryAdvice())) // a request may be on its way in this very moment
 	}
-	d.conn.Drop()
+	d.conn.CloseNow()
 	d.descriptorFreed()
 }
 
@@ -228,7 +228,7 @@
 func (d *downstream) MigrationLine() []byte { return migrateLine }
 
 // Release gives the client's connection away without ending it.
-func (d *downstream) Release(done func(netio.Parts)) {
+func (d *downstream) Release(done func(netio.ReleasedConn)) {
 	d.idleTimer.Stop()
 	d.conn.Release(done)
 }
@@ -242,7 +242,7 @@
 // End ends the client's connection as the host's ended.
 func (d *downstream) End(cause netio.Cause) {
 	d.idleTimer.Stop()
-	if cause == netio.Broke {
+	if cause == netio.Broken {
 		d.conn.Abort()
 		return
 	}
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -17,7 +17,7 @@
 )
 
 // inputLimit is how much unread input a connection may hold before it is read no further: some lines of the longest kind.
-const inputLimit = 4 * MaxLine
+const inputLimit = 4 * MaxLineBytes
 
 // Front accepts clients. It turns their lines into the core's terms.
 type Front struct {
@@ -45,7 +45,7 @@
 
 func (f *Front) accept(c *netio.Conn) netio.Handler {
 	d := &downstream{front: f, conn: c}
-	c.WhenGone(d.descriptorFreed)
+	c.OnDescriptorFree(d.descriptorFreed)
 	d.idleEntry = f.idleClients.Add(d)
 	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineLate)
 	return d
@@ -55,7 +55,7 @@
 // many without a request are left.
 func (f *Front) EndIdle(partial bool) int {
 	for d := range f.idleClients.All() {
-		if !d.conn.Over() && (partial || len(d.conn.Input()) == 0) {
+		if !d.conn.Ended() && (partial || len(d.conn.Input()) == 0) {
 			d.endIdle()
 		}
 	}
@@ -69,15 +69,15 @@
 	d.request, u.events = f.core.Resume(s, d, u)
 	if err := netio.Resume(f.loop, s.Downstream, inputLimit, d, func(c *netio.Conn) {
 		d.conn = c
-		c.WhenGone(d.descriptorFreed)
+		c.OnDescriptorFree(d.descriptorFreed)
 	}); err != nil {
 		s.Upstream.Discard(nil)
 		d.descriptorFreed()
-		d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
+		d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
 		return
 	}
 	if err := netio.Resume(f.loop, s.Upstream, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
-		u.finish(&netio.Error{Stage: netio.Up, Cause: netio.Broke, Detail: err})
+		u.finish(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
 		return
 	}
 	// What was read and not relayed waits in both buffers.
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -155,7 +155,7 @@
 	dial, _ := front(t, 1)
 	c := dial()
 	for range 100 {
-		io.WriteString(c, strings.Repeat("x", MaxLine))
+		io.WriteString(c, strings.Repeat("x", MaxLineBytes))
 	}
 	expect(t, c, "ERR\r\n")
 }
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -109,7 +109,7 @@
 
 // Data takes the answer, in whatever pieces it comes.
 func (q *hostCheck) Data(c *netio.Conn) {
-	line, err := Cut(c.Input())
+	line, err := CutLine(c.Input())
 	if err != nil || line != nil && q.done == nil {
 		q.end(balancer.Error) // not a line, or unsolicited
 		return
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// MaxLine is the longest line there is, its CRLF included.
-const MaxLine = 4096
+// MaxLineBytes is the longest line there is, its CRLF included.
+const MaxLineBytes = 4096
 
 // What can be wrong with a client's lines.
 var (
@@ -22,15 +22,15 @@
 	errSentBeforeAnswer error = &proxy.InvalidRequestError{Reason: proxy.SentBeforeAnswer}
 )
 
-// Cut finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
-func Cut(b []byte) ([]byte, error) {
-	i := bytes.IndexByte(b[:min(len(b), MaxLine)], '\n')
+// CutLine finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
+func CutLine(b []byte) ([]byte, error) {
+	i := bytes.IndexByte(b[:min(len(b), MaxLineBytes)], '\n')
 	switch {
 	case i >= 1 && b[i-1] == '\r':
 		return b[:i+1], nil
 	case i >= 0:
 		return nil, ErrMalformed // a lone line feed ends no line of this protocol
-	case len(b) >= MaxLine:
+	case len(b) >= MaxLineBytes:
 		return nil, ErrTooLong
 	}
 	return nil, nil
@@ -45,17 +45,17 @@
 	return first, rest
 }
 
-// Open is a client's first line.
-type Open struct {
+// OpenLine is a client's first line.
+type OpenLine struct {
 	proxy.Opening
 	line               []byte // as it came, CRLF included
 	waitStart, waitEnd int    // where the value of d is in it; waitEnd is 0 where there is none
 }
 
-// ParseOpen reads a client's first line. It copies what it keeps. The form has to be the protocol's to the letter: the line goes on to a host,
+// ParseOpenLine reads a client's first line. It copies what it keeps. The form has to be the protocol's to the letter: the line goes on to a host,
 // and one that a host cannot read is this proxy's fault.
-func ParseOpen(line []byte) (*Open, error) {
-	o := &Open{line: bytes.Clone(line)}
+func ParseOpenLine(line []byte) (*OpenLine, error) {
+	o := &OpenLine{line: bytes.Clone(line)}
 	s := string(trimLineEnd(line))
 	parts := strings.Split(s, " ")
 	if len(parts) != 4 || parts[0] != "OPEN" || !isID(parts[1]) || !isID(parts[2]) {
@@ -112,7 +112,7 @@
 
 // set reads one named value; at is where it is in the line. Names that are unknown here are ignored where their value is a number: the
 // protocol allows more of these, and the upstream host gets the line as it is.
-func (o *Open) set(name, value string, at int) error {
+func (o *OpenLine) set(name, value string, at int) error {
 	ok := true
 	switch name {
 	case "c":
@@ -145,7 +145,7 @@
 }
 
 // WithWait is the line for an upstream host: as the client sent it, with how long this proxy waits as d.
-func (o *Open) WithWait(wait time.Duration) []byte {
+func (o *OpenLine) WithWait(wait time.Duration) []byte {
 	ms := strconv.AppendInt(nil, max(1, wait.Milliseconds()), 10)
 	out := make([]byte, 0, len(o.line)+len(ms)+3)
 	if o.waitEnd > 0 {
@@ -159,8 +159,8 @@
 	return append(out, "\r\n"...)
 }
 
-// ParseHost reads a line of an upstream host.
-func ParseHost(line []byte) proxy.Message {
+// ParseHostLine reads a line of an upstream host.
+func ParseHostLine(line []byte) proxy.Message {
 	m := proxy.Message{Text: line}
 	first, rest := cutField(line)
 	switch first {
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -12,11 +12,11 @@
 // the longest line.
 func FuzzCut(f *testing.F) {
 	for i, s := range []string{"PING\r\n", "OPEN a b c=x,d=20\r\nM 1 x\r\nM 2 y\r\n", "\r\n\r\n", "x\ny\r\n", "\n", "a\rb\r\n",
-		strings.Repeat("z", MaxLine-2) + "\r\n", strings.Repeat("z", MaxLine-1) + "\r\n", strings.Repeat("q", 3*MaxLine)} {
+		strings.Repeat("z", MaxLineBytes-2) + "\r\n", strings.Repeat("z", MaxLineBytes-1) + "\r\n", strings.Repeat("q", 3*MaxLineBytes)} {
 		f.Add([]byte(s), int64(i))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, seed int64) {
-		in = in[:min(len(in), 4*MaxLine)]
+		in = in[:min(len(in), 4*MaxLineBytes)]
 		unsplit, _, unsplitErr := cutAll([][]byte{in})
 		rng := rand.New(rand.NewSource(seed))
 		var pieces [][]byte
@@ -28,7 +28,7 @@
 		if err != unsplitErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(unsplit, nil)) || len(got) != len(unsplit) {
 			t.Fatalf("in pieces %q %v, unsplit %q %v", got, err, unsplit, unsplitErr)
 		}
-		if buffered >= MaxLine {
+		if buffered >= MaxLineBytes {
 			t.Fatalf("%d bytes buffered without an error", buffered)
 		}
 	})
@@ -40,7 +40,7 @@
 	for _, p := range pieces {
 		in = append(in, p...)
 		for {
-			l, err := Cut(in)
+			l, err := CutLine(in)
 			if err != nil {
 				return lines, buffered, err
 			}
@@ -67,12 +67,12 @@
 // A host that can't read a line says SYNTAX, which is the proxy's fault: what is not the protocol's form is rejected here.
 func TestOpenForm(t *testing.T) {
 	for _, s := range readable {
-		if _, err := ParseOpen([]byte(s + "\r\n")); err != nil {
+		if _, err := ParseOpenLine([]byte(s + "\r\n")); err != nil {
 			t.Errorf("%q: %v", s, err)
 		}
 	}
 	for _, s := range unreadable {
-		if _, err := ParseOpen([]byte(s + "\r\n")); err == nil {
+		if _, err := ParseOpenLine([]byte(s + "\r\n")); err == nil {
 			t.Errorf("%q is accepted", s)
 		}
 	}
@@ -84,16 +84,16 @@
 		f.Add([]byte(s + "\r\n"))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		l, err := Cut(in)
+		l, err := CutLine(in)
 		if l == nil || err != nil {
 			return
 		}
-		o, err := ParseOpen(l)
+		o, err := ParseOpenLine(l)
 		if err != nil {
 			return
 		}
 		out := o.WithWait(1234 * time.Millisecond)
-		again, err := ParseOpen(out)
+		again, err := ParseOpenLine(out)
 		if err != nil || again.Wait != 1234*time.Millisecond || !again.HasWait {
 			t.Fatalf("%q became %q: %v", l, out, err)
 		}
@@ -101,13 +101,13 @@
 		if again.Opening != o.Opening {
 			t.Fatalf("%q became %q", l, out)
 		}
-		ParseHost(l)
+		ParseHostLine(l)
 	})
 }
 
 func TestWithWait(t *testing.T) {
 	for in, want := range map[string]string{"c=x,d=2000,new=1": "c=x,d=7,new=1", "c=x": "c=x,d=7"} {
-		o, err := ParseOpen([]byte(head + in + "\r\n"))
+		o, err := ParseOpenLine([]byte(head + in + "\r\n"))
 		if err != nil || string(o.WithWait(7*time.Millisecond)) != head+want+"\r\n" {
 			t.Errorf("%s: %v", in, err)
 		}
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -55,10 +55,10 @@
 // RelayPending relays the host's lines, as far as the client takes them.
 func (u *upstream) RelayPending() {
 	for !u.finished && u.conn != nil {
-		line, err := Cut(u.conn.Input())
+		line, err := CutLine(u.conn.Input())
 		if err != nil {
 			u.conn.Close()
-			u.finish(&netio.Error{Stage: u.stage, Cause: netio.Dropped, Detail: err})
+			u.finish(&netio.Error{Stage: u.stage, Cause: netio.EndedLocally, Detail: err})
 			return
 		}
 		if line == nil {
@@ -67,7 +67,7 @@
 			}
 			return
 		}
-		m := ParseHost(line)
+		m := ParseHostLine(line)
 		if len(u.reportFields) > 0 && (m.Kind == proxy.OverCapacity || m.Kind == proxy.Failed || m.Kind == proxy.Finished) {
 			_, rest := cutField(line)
 			m.Report = ParseReport(strings.TrimSpace(rest), u.reportFields)
@@ -108,10 +108,10 @@
 }
 
 // Release gives the host's connection away without ending it. One that the host has ended stays, for its last lines.
-func (u *upstream) Release(done func(netio.Parts)) {
+func (u *upstream) Release(done func(netio.ReleasedConn)) {
 	u.finished = true
 	if u.conn == nil || u.hostEnded != nil {
-		u.loop.Post(func() { done(netio.Parts{FD: -1}) })
+		u.loop.Post(func() { done(netio.ReleasedConn{FD: -1}) })
 		return
 	}
 	u.conn.Release(done)
@@ -143,8 +143,8 @@
 	switch {
 	case u.conn == nil:
 	case u.stage == netio.Sending:
-		u.conn.Drop() // what is left of the line must not go out: the attempt counts as one that has not run
-	case cause == netio.Broke:
+		u.conn.CloseNow() // what is left of the line must not go out: the attempt counts as one that has not run
+	case cause == netio.Broken:
 		u.conn.Abort()
 	default:
 		u.conn.Close()
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -39,7 +39,7 @@
 		return syscall.Write(fd, p)
 	})
 	netiotest.Run(t, l)
-	o, err := ParseOpen([]byte(opening))
+	o, err := ParseOpenLine([]byte(opening))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -52,7 +52,7 @@
 	// onDescriptorFree is called once the descriptor is free.
 	onDescriptorFree func()
 	// onReleased gets the parts of a connection that is released; nil: it is not.
-	onReleased func(Parts)
+	onReleased func(ReleasedConn)
 	socket     socketState
 }
 
@@ -140,15 +140,15 @@
 	}
 }
 
-// Over reports whether the connection has ended, from either side.
-func (c *Conn) Over() bool { return c.over }
+// Ended reports whether the connection has ended, from either side.
+func (c *Conn) Ended() bool { return c.over }
 
 // guard confines a panic to the connection that it came from, and ends that, so that a request waiting on it still gets its answer.
 func (c *Conn) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "connection", "reason", p, "stack", string(debug.Stack()))
-			c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errors.New("panic")})
+			c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errors.New("panic")})
 		}
 	}()
 	f()
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -54,7 +54,7 @@
 	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(within), handler: h, done: done}
 	// The limit holds on the loop's own clock too: a dial still queued when it passes is over.
 	q.expiry = d.loop.After(within, func() {
-		q.finish(nil, &Error{Stage: Connecting, Cause: Expired})
+		q.finish(nil, &Error{Stage: Connecting, Cause: TimedOut})
 	})
 	d.mu.Lock()
 	d.waiting = append(d.waiting, q)
@@ -63,8 +63,8 @@
 	return q
 }
 
-// Drop ends the dial; done is not called any more. A nil Dial is none.
-func (q *Dial) Drop() {
+// Cancel ends the dial; done is not called any more. A nil Dial is none.
+func (q *Dial) Cancel() {
 	if q != nil {
 		q.settle()
 	}
@@ -94,7 +94,7 @@
 	c := newConn(q.dialer.loop, np, q.limit)
 	c.handler = q.handler
 	c.guard(func() { q.done(c, nil) })
-	if !c.Over() {
+	if !c.Ended() {
 		c.start(q.handler)
 	}
 }
@@ -159,7 +159,7 @@
 				// netpoll's errors do not distinguish a refusal from a time-out; the clock does.
 				cause := Refused
 				if d.loop.Now() >= q.deadline {
-					cause = Expired
+					cause = TimedOut
 				}
 				q.finish(nil, &Error{Stage: Connecting, Cause: cause, Detail: fault})
 				return
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -52,7 +52,7 @@
 			c.readSealed(tail, c.inputLimit+inputOvershoot)
 			if cause == Ended {
 				// Anybody can end the socket; only the layer's own end comes from the peer.
-				c.fail(&Error{Stage: Up, Cause: Broke, Detail: errTruncated})
+				c.fail(&Error{Stage: Up, Cause: Broken, Detail: errTruncated})
 			}
 		case len(tail) > 0:
 			c.input.Append(tail)
@@ -140,10 +140,10 @@
 	}
 }
 
-// WhenGone has f called once the connection holds no descriptor any more, which may be some time after its end.
-func (c *Conn) WhenGone(f func()) { c.onDescriptorFree = f }
+// OnDescriptorFree has f called once the connection holds no descriptor any more, which may be some time after its end.
+func (c *Conn) OnDescriptorFree(f func()) { c.onDescriptorFree = f }
 
-// descriptorFreed calls what WhenGone has set, once.
+// descriptorFreed calls what OnDescriptorFree has set, once.
 func (c *Conn) descriptorFreed() {
 	c.ending.linger.Stop()
 	if f := c.onDescriptorFree; f != nil {
@@ -157,7 +157,7 @@
 	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
 	if err != nil || info.State == tcpClose {
-		return Broke
+		return Broken
 	}
 	return Ended
 }
@@ -174,7 +174,7 @@
 		return
 	}
 	input := c.input
-	if w, ok := c.handler.(FinalMessager); ok && err.Cause == Dropped {
+	if w, ok := c.handler.(FinalMessager); ok && err.Cause == EndedLocally {
 		c.FinishWith(w.FinalMessage())
 	} else {
 		c.Close()
@@ -231,8 +231,8 @@
 	}
 }
 
-// Drop frees the descriptor at once, also of a connection that was finished.
-func (c *Conn) Drop() {
+// CloseNow frees the descriptor at once, also of a connection that was finished.
+func (c *Conn) CloseNow() {
 	c.Close()
 	c.output.retry.Stop()
 	c.output.unsent = nil
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -103,7 +103,7 @@
 		}
 		select {
 		case e := <-ends:
-			if e.Cause != Broke || e.Detail != err {
+			if e.Cause != Broken || e.Detail != err {
 				t.Errorf("%v: the handler gets %v", err, e)
 			}
 		case <-time.After(10 * time.Second):
--- a/internal/dataplane/netio/errors.go
+++ b/internal/dataplane/netio/errors.go
@@ -24,11 +24,11 @@
 
 // The causes.
 const (
-	Ended   Cause = iota // the peer ended its side in order
-	Broke                // the connection was reset, or the machine says it is dead
-	Refused              // it was never established
-	Expired              // it was not established in time
-	Dropped              // this side ended it: a limit, a fault, or no more use for it
+	Ended        Cause = iota // the peer ended its side in order
+	Broken                    // the connection was reset, or the machine says it is dead
+	Refused                   // it was never established
+	TimedOut                  // it was not established in time
+	EndedLocally              // this side ended it: a limit, a fault, or no more use for it
 )
 
 var causeNames = [...]string{"ended", "broke", "refused", "expired", "dropped"}
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		peer := os.NewFile(uintptr(pair[1]), "peer")
-		Parts{FD: pair[0], Unsent: []byte("of a line\r\n")}.Discard([]byte(c.last))
+		ReleasedConn{FD: pair[0], Unsent: []byte("of a line\r\n")}.Discard([]byte(c.last))
 		got, err := io.ReadAll(peer)
 		if err != nil || string(got) != c.want {
 			t.Errorf("last %q: got %q and %v", c.last, got, err)
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -10,10 +10,10 @@
 type Layer interface {
 	// Attach gives the layer its way to send. From here on the connection drives it.
 	Attach(send func(p []byte))
-	// Take gives it bytes of the socket's; p is the caller's again afterwards. False: more than it buffers.
-	Take(p []byte) bool
+	// Receive gives it bytes of the socket's; p is the caller's again afterwards. False: more than it buffers.
+	Receive(p []byte) bool
 	// Open writes what can be read into p. 0 without an error: more bytes must come first. io.EOF: the peer ended in
-	// order. An error whose RefusedUnread is true means that
+	// order. An error whose RefusedBeforeRead is true means that
 	// the peer refused the connection before it read anything of it.
 	Open(p []byte) (int, error)
 	// Seal sends p.
@@ -24,8 +24,8 @@
 	Buffered() int
 }
 
-// refusedUnread is implemented by errors that may mean that the peer refused the connection before it read anything.
-type refusedUnread interface{ RefusedUnread() bool }
+// refusedBeforeRead is implemented by errors that may mean that the peer refused the connection before it read anything.
+type refusedBeforeRead interface{ RefusedBeforeRead() bool }
 
 const (
 	// layerReadSize is how much a layer may give at once: less than the smallest buffer, which an idle connection keeps.
@@ -71,8 +71,8 @@
 
 // readSealed gives the layer what came, and the handler what the layer has decrypted.
 func (c *Conn) readSealed(p []byte, most int) {
-	if !c.layer.Take(p) {
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
+	if !c.layer.Receive(p) {
+		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit})
 		return
 	}
 	c.readLayer(most)
@@ -112,14 +112,14 @@
 
 // layerError is the end of a connection whose layer gives an error.
 func layerError(err error) *Error {
-	var unread refusedUnread
+	var unread refusedBeforeRead
 	switch {
 	case errors.Is(err, io.EOF):
 		return &Error{Stage: Up, Cause: Ended}
-	case errors.As(err, &unread) && unread.RefusedUnread():
+	case errors.As(err, &unread) && unread.RefusedBeforeRead():
 		return &Error{Stage: Connecting, Cause: Refused, Detail: err}
 	}
-	return &Error{Stage: Up, Cause: Broke, Detail: err}
+	return &Error{Stage: Up, Cause: Broken, Detail: err}
 }
 
 // refill brings more input to a paused connection whose input has been consumed: first what its layer buffers.
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -190,7 +190,7 @@
 	c := newPausedConn(l, fd, limit, discardingHandler{})
 	c.sizeBuffers()
 	c.guard(func() {
-		if h := accept(c); !c.Over() {
+		if h := accept(c); !c.Ended() {
 			c.handler = h
 			c.resume()
 		}
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -26,14 +26,14 @@
 	sendmsg func(fd int, p []byte) (int, error) // the system call; tests replace it
 }
 
-// Wall is the system's clock, which may be set at any time. Tests of several processes replace it.
-var Wall = time.Now
+// WallClock is the system's clock, which may be set at any time. Tests of several processes replace it.
+var WallClock = time.Now
 
 // NewLoop makes a loop. Its clock is Unix time as it is now plus what passes on the monotonic clock, so that a step of
 // the system's clock moves no deadline and boot times given in Unix time compare directly.
 func NewLoop() *Loop {
 	began := time.Now()
-	base := Wall().UnixNano()
+	base := WallClock().UnixNano()
 	return NewLoopAt(func() int64 { return base + int64(time.Since(began)) })
 }
 
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -135,11 +135,11 @@
 // netpoll reports an end and a reset alike; they are passed on as what they are.
 func TestHowPeersEnd(t *testing.T) {
 	_, addr, closed := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
-	for _, want := range []Cause{Ended, Broke} {
+	for _, want := range []Cause{Ended, Broken} {
 		c := dial(t, addr)
 		c.Write([]byte("x"))
 		io.ReadFull(c, make([]byte, 1))
-		if want == Broke {
+		if want == Broken {
 			c.SetLinger(0)
 		}
 		c.Close()
@@ -158,7 +158,7 @@
 	})
 	bad, good := dial(t, addr), dial(t, addr)
 	bad.Write([]byte("p"))
-	if err := <-closed; err.Cause != Dropped {
+	if err := <-closed; err.Cause != EndedLocally {
 		t.Fatal(err)
 	}
 	good.Write([]byte("g"))
@@ -179,7 +179,7 @@
 	results := make(chan string, 8)
 	back := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
 	l.Post(func() {
-		d.Dial(addr, time.Minute, 4096, back, func(*Conn, *Error) { results <- "dropped, yet notified" }).Drop()
+		d.Dial(addr, time.Minute, 4096, back, func(*Conn, *Error) { results <- "dropped, yet notified" }).Cancel()
 		d.Dial(refusing, time.Minute, 4096, back, func(c *Conn, err *Error) {
 			results <- err.Error()[:len("refused while connecting")]
 			d.Dial(addr, time.Minute, 4096, back, func(c *Conn, err *Error) { c.Write([]byte("hello")) })
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -40,7 +40,7 @@
 	space := c.input.Reserve(n)
 	if len(space) == 0 {
 		c.transport.Reader().Skip(n)
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit})
+		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit})
 		return true
 	}
 	got, err := c.transport.Read(space)
@@ -129,7 +129,7 @@
 	none := c.socket.fd < 0
 	c.socket.mu.Unlock()
 	if c.pollerRefusals >= maxWatchAttempts || none {
-		c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: err}) })
+		c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: err}) })
 		return
 	}
 	c.loop.After(watchRetryPause, func() {
@@ -152,15 +152,15 @@
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
 		if c.layer != nil {
 			p, _ := np.Reader().Next(n)
-			if !c.layer.Take(p) {
-				c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit}) })
+			if !c.layer.Receive(p) {
+				c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit}) })
 				break
 			}
 			continue
 		}
 		space := c.input.Reserve(n)
 		if len(space) == 0 {
-			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errInputLimit}) })
+			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit}) })
 			break
 		}
 		got, _ := np.Read(space)
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Parts are what another process needs to resume a connection that was released.
-type Parts struct {
+// ReleasedConn are what another process needs to resume a connection that was released.
+type ReleasedConn struct {
 	FD     int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be released
 	Input  []byte `json:"In"`   // came in and was not consumed
 	Unsent []byte `json:"Rest"` // of the line that is partly written
@@ -17,9 +17,9 @@
 
 // Release gives an open connection away without ending it; done gets its parts, on the loop, later. From here on its handler is not notified of
 // anything. A connection with a layer can't be released, since the layer's state stays here.
-func (c *Conn) Release(done func(Parts)) {
+func (c *Conn) Release(done func(ReleasedConn)) {
 	if c.over || c.layer != nil || c.onReleased != nil {
-		c.loop.Post(func() { done(Parts{FD: -1}) })
+		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
 		return
 	}
 	c.onReleased = done
@@ -39,7 +39,7 @@
 func (c *Conn) releaseFailed() {
 	if done := c.onReleased; done != nil {
 		c.onReleased = nil
-		c.loop.Post(func() { done(Parts{FD: -1}) })
+		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
 	}
 }
 
@@ -58,7 +58,7 @@
 		return
 	}
 	c.onReleased = nil
-	p := Parts{FD: fd, Input: bytes.Clone(c.input.Bytes()), Unsent: c.output.unsent}
+	p := ReleasedConn{FD: fd, Input: bytes.Clone(c.input.Bytes()), Unsent: c.output.unsent}
 	c.over, c.input, c.output.unsent = true, Buffer{}, nil
 	c.output.retry.Stop()
 	c.descriptorFreed()
@@ -68,7 +68,7 @@
 // Resume makes a connection of the parts of a released one, and gives it to done and then to h. It is called on the loop. The socket is the
 // connection's from here on, also where there is an error. Reading is paused at first: netpoll would read as fast as the peer sends until the
 // callbacks are in place, and a connection whose input nobody consumes must not grow with each process that resumes it.
-func Resume(l *Loop, p Parts, limit int, h Handler, done func(*Conn)) error {
+func Resume(l *Loop, p ReleasedConn, limit int, h Handler, done func(*Conn)) error {
 	c := newPausedConn(l, p.FD, limit, h)
 	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsent {
 		unix.Close(p.FD)
@@ -86,7 +86,7 @@
 
 // Discard closes this process's descriptor of the socket. Where nobody resumes the connection, last is its last line: it goes out behind the
 // rest of a partly written one, as far as the kernel takes them at once.
-func (p Parts) Discard(last []byte) {
+func (p ReleasedConn) Discard(last []byte) {
 	if p.FD < 0 {
 		return
 	}
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -21,13 +21,13 @@
 	loop     *Loop
 	handler  *peer
 	released int
-	over     chan Parts // its last parts
+	over     chan ReleasedConn // its last parts
 }
 
 // releaseSoon releases the connection in a moment, and resumes it.
 func (r *releasedConn) releaseSoon(c *Conn) {
 	r.loop.After(time.Millisecond, func() {
-		c.Release(func(p Parts) {
+		c.Release(func(p ReleasedConn) {
 			if p.FD < 0 {
 				r.over <- p
 				return
@@ -46,7 +46,7 @@
 
 // A connection that is released and resumed over and over while bytes go both ways loses none and changes none.
 func TestReleaseLosesNothing(t *testing.T) {
-	r := &releasedConn{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan Parts, 1)}
+	r := &releasedConn{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan ReleasedConn, 1)}
 	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
 		r.releaseSoon(c)
 		return r.handler
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -43,7 +43,7 @@
 func (c *Conn) writeToSocket(p []byte) {
 	if len(c.output.unsent) > 0 {
 		if len(c.output.unsent)+len(p) > maxUnsent {
-			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errPeerNotReading}) })
+			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errPeerNotReading}) })
 			return
 		}
 		c.output.unsent = append(c.output.unsent, p...)
@@ -73,7 +73,7 @@
 		c.writeFailed(err)
 	case len(c.output.unsent) > 0 && !c.over && c.loop.Now() > c.output.giveUpAt:
 		c.output.unsent = nil
-		c.fail(&Error{Stage: Up, Cause: Dropped, Detail: errors.New("the peer reads nothing")})
+		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errors.New("the peer reads nothing")})
 	case len(c.output.unsent) > 0 && !(c.over && c.loop.Now() > c.ending.unsentUntil):
 		c.output.retryPause = min(2*c.output.retryPause, lastRetry)
 		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
@@ -131,7 +131,7 @@
 			c.closeSocket()
 			return
 		}
-		c.fail(&Error{Stage: Up, Cause: Broke, Detail: err})
+		c.fail(&Error{Stage: Up, Cause: Broken, Detail: err})
 	})
 }
 
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -89,7 +89,7 @@
 		case 3:
 			u.events.FromUpstream(Message{Kind: Failed})
 		case 4, 5:
-			u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+			u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broken})
 		case 6: // the host never answers
 		}
 	})
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -54,10 +54,10 @@
 	w.upstreams[0].sent()
 	w.advance(300 * time.Millisecond)
 	w.expect("end up ended", "ended q 0 3 false", "start at-B 700")
-	w.upstreams[1].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
+	w.upstreams[1].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broken})
 	w.expect("end up ended", "ended q 1 4 false", "reject q 1000")
 	_, u := w.serve("s")
-	u.events.UpstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broke})
+	u.events.UpstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broken})
 	w.expect("end s broke", "ended s 0 5 true")
 }
 
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -49,7 +49,7 @@
 		slog.Debug("downstream_closed", "request", r.attributes.ID, "answered", r.answered(), "state", r.stageName(), "reason", err.Cause,
 			"detail", err.Text())
 	}
-	if err.Cause == netio.Dropped {
+	if err.Cause == netio.EndedLocally {
 		r.record.ClosedByProxy()
 	}
 	r.record.ClientLeft()
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -42,22 +42,22 @@
 // HandedOverConnection describes an open connection that one process of a proxy hands over to the
 // next.
 type HandedOverConnection struct {
-	Request         balancer.Request `json:"Request"`
-	Class           string           `json:"Class"` // a name, because class numbers depend on the settings of a process
-	Tenant          string           `json:"Tenant"`
-	Host            string           `json:"Host"`
-	Load            float64          `json:"Load"`    // µs of work per second; 0 if unknown
-	UnansweredSince []int64          `json:"Waiting"` // when each unanswered line of the client was sent, in nanoseconds
-	LastKind        MessageKind      `json:"Last"`    // Finished or MigrateClient if the host has sent it
-	Downstream      netio.Parts      `json:"Down"`
-	Upstream        netio.Parts      `json:"Up"`
+	Request         balancer.Request   `json:"Request"`
+	Class           string             `json:"Class"` // a name, because class numbers depend on the settings of a process
+	Tenant          string             `json:"Tenant"`
+	Host            string             `json:"Host"`
+	Load            float64            `json:"Load"`    // µs of work per second; 0 if unknown
+	UnansweredSince []int64            `json:"Waiting"` // when each unanswered line of the client was sent, in nanoseconds
+	LastKind        MessageKind        `json:"Last"`    // Finished or MigrateClient if the host has sent it
+	Downstream      netio.ReleasedConn `json:"Down"`
+	Upstream        netio.ReleasedConn `json:"Up"`
 }
 
 // Releaser is a Downstream or Upstream whose side of a connection can be handed over. Release
 // detaches the socket and calls done with its parts. Their FD is negative if the side could not be
 // released.
 type Releaser interface {
-	Release(done func(netio.Parts))
+	Release(done func(netio.ReleasedConn))
 }
 
 // handOver starts the handover of an open connection. It migrates the client instead if either side
@@ -75,9 +75,9 @@
 	// negative FD.
 	a.detach()
 	c.handover.inFlight++
-	up.Release(func(p netio.Parts) {
+	up.Release(func(p netio.ReleasedConn) {
 		s.Upstream = p
-		down.Release(func(p netio.Parts) {
+		down.Release(func(p netio.ReleasedConn) {
 			s.Downstream = p
 			c.handOverReleased(a, s)
 		})
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -68,7 +68,7 @@
 	h.address = address
 	for a := range h.pending {
 		if a.lineUnsent() {
-			a.conn.End(netio.Dropped)
+			a.conn.End(netio.EndedLocally)
 			a.dial()
 		}
 	}
@@ -79,7 +79,7 @@
 func (h *host) stopUnsentAttempts(matches func(a *upstreamRequest) bool) {
 	for a := range h.pending {
 		if a.lineUnsent() && !a.request.adopted && matches(a) {
-			a.finish(balancer.Full, netio.Dropped)
+			a.finish(balancer.Full, netio.EndedLocally)
 		}
 	}
 }
--- a/internal/dataplane/proxy/retry_test.go
+++ b/internal/dataplane/proxy/retry_test.go
@@ -30,7 +30,7 @@
 	w.upstreams[0].sent()
 	w.advance(300 * time.Millisecond)
 	w.events = nil
-	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broken})
 	return w
 }
 
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -63,12 +63,12 @@
 func TestBreakBeforeTheLineIsWritten(t *testing.T) {
 	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
-	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broke})
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sending, Cause: netio.Broken})
 	w.expect("end up ended", "ended q 0 4 false", "start at-B 1000")
 
 	w = newSendingHarness(t)
 	w.upstreams[0].sent()
-	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broke})
+	w.upstreams[0].events.UpstreamEnded(&netio.Error{Stage: netio.Sent, Cause: netio.Broken})
 	w.expect("end up ended", "ended q 0 5 false")
 }
 
--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -88,7 +88,7 @@
 	}
 	var step func()
 	step = func() {
-		if !c.c.Over() {
+		if !c.c.Ended() {
 			c.handle(c.c)
 			b.loop.Post(step)
 		}
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -88,7 +88,7 @@
 	d.link.logFailure(d.host.ID, f)
 	cause := netio.Refused
 	if f.Reason == TimedOut || f.Reason == NoBudget {
-		cause = netio.Expired
+		cause = netio.TimedOut
 	}
 	d.done(nil, &netio.Error{Stage: netio.Connecting, Cause: cause, Detail: f})
 }
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/link_test.go
@@ -57,11 +57,11 @@
 		last string
 	}{
 		{func(raw net.Conn, s *tls.Conn) { io.WriteString(s, "BYE\r\n"); s.Close() }, netio.Ended, "BYE\r\n"},
-		{func(raw net.Conn, s *tls.Conn) { io.WriteString(s, "BYE\r\n"); raw.Close() }, netio.Broke, "BYE\r\n"},
-		{func(raw net.Conn, s *tls.Conn) { raw.(*net.TCPConn).SetLinger(0); raw.Close() }, netio.Broke, ""},
+		{func(raw net.Conn, s *tls.Conn) { io.WriteString(s, "BYE\r\n"); raw.Close() }, netio.Broken, "BYE\r\n"},
+		{func(raw net.Conn, s *tls.Conn) { raw.(*net.TCPConn).SetLinger(0); raw.Close() }, netio.Broken, ""},
 		{func(raw net.Conn, s *tls.Conn) {
 			raw.Write([]byte("\x17\x03\x03\x00\x20 this is no record of this connection"))
-		}, netio.Broke, ""},
+		}, netio.Broken, ""},
 	} {
 		endings <- w.how
 		c := b.dial(l.Addr().String(), 5*time.Second)
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -39,8 +39,8 @@
 // Attach gives the session its way to send once its handshake is done.
 func (s *session) Attach(send func(p []byte)) { s.socket.attach(send) }
 
-// Take buffers bytes of the socket's until they are decrypted; false: more than it may buffer.
-func (s *session) Take(p []byte) bool { return s.socket.sealed.Append(p) == len(p) }
+// Receive buffers bytes of the socket's until they are decrypted; false: more than it may buffer.
+func (s *session) Receive(p []byte) bool { return s.socket.sealed.Append(p) == len(p) }
 
 // Open gives what can be decrypted now.
 func (s *session) Open(p []byte) (int, error) {
@@ -76,8 +76,8 @@
 // Unwrap gives the failure.
 func (l *lateRejection) Unwrap() error { return l.Failure }
 
-// RefusedUnread is true: the host has read nothing of this connection.
-func (l *lateRejection) RefusedUnread() bool { return true }
+// RefusedBeforeRead is true: the host has read nothing of this connection.
+func (l *lateRejection) RefusedBeforeRead() bool { return true }
 
 // Seal encrypts and sends.
 func (s *session) Seal(p []byte) error {
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -72,11 +72,11 @@
 
 // evict ends the call to free its place for the next one.
 func (c *caller) evict() {
-	if !c.conn.Over() && len(c.conn.Input()) > 0 {
+	if !c.conn.Ended() && len(c.conn.Input()) > 0 {
 		c.timedOut()
 	}
 	c.timeout.Stop()
-	c.conn.Drop()
+	c.conn.CloseNow()
 	c.gone()
 }
 
@@ -120,7 +120,7 @@
 
 // reply sends the one answer of a call.
 func (c *caller) reply(r response) {
-	if c.replied || c.conn.Over() {
+	if c.replied || c.conn.Ended() {
 		return
 	}
 	c.replied = true
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	if len(f.Known) > 0 {
-		if c.CachedList, err = cluster.Parse(f.Known); err != nil {
+		if c.CachedList, err = cluster.ParseList(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -62,12 +62,12 @@
 		c.Close()
 	}()
 	// The same work as the proxy's: complete lines, and the host's are parsed.
-	pass(c, up, func(line []byte) { lineproto.ParseHost(line) })
+	pass(c, up, func(line []byte) { lineproto.ParseHostLine(line) })
 }
 
 // pass forwards lines until either side ends. inspect, if not nil, gets each line first.
 func pass(to io.Writer, from io.Reader, inspect func(line []byte)) {
-	in := bufio.NewReaderSize(from, lineproto.MaxLine)
+	in := bufio.NewReaderSize(from, lineproto.MaxLineBytes)
 	for {
 		line, err := in.ReadSlice('\n')
 		if err != nil {
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -59,7 +59,7 @@
 		return
 	}
 	started := time.Now()
-	netio.Wall = func() time.Time {
+	netio.WallClock = func() time.Time {
 		offset := bend.before
 		if time.Since(started) > bend.setAfter {
 			offset = bend.after
