--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -17,18 +17,18 @@
 
 // next is a copy with the following number, to which changes may be applied without changing v.
 func (v *Version) next() *Version {
-	n := *v
-	n.Number++
-	directory := v.namespaces()
+	next := *v
+	next.Number++
+	directory := v.directoryOrEmpty()
 	directory.Previous = nil
 	directory.Accounts, directory.Namespaces = slices.Clone(directory.Accounts), slices.Clone(directory.Namespaces)
-	n.Directory = &directory
-	return &n
+	next.Directory = &directory
+	return &next
 }
 
-// finish drops an empty directory, and checks the version.
-func (v *Version) finish() error {
-	if b := v.Directory; b != nil && len(b.Pools)+len(b.Accounts)+len(b.Namespaces) == 0 && b.Previous == nil {
+// normalizeAndCheck drops an empty directory, and checks the version.
+func (v *Version) normalizeAndCheck() error {
+	if directory := v.Directory; directory != nil && len(directory.Pools)+len(directory.Accounts)+len(directory.Namespaces) == 0 && directory.Previous == nil {
 		v.Directory = nil
 	}
 	return v.Check()
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	return v.finish()
+	return v.normalizeAndCheck()
 }
 
 func (v *Version) applyOperators(base *Version, c *Change) error {
@@ -73,7 +73,7 @@
 		return err
 	}
 	v.Refusals, v.ExcludedHosts, v.OperatorsNumber = proposed.Refusals, proposed.ExcludedHosts, v.Number
-	directory, old := proposed.namespaces(), *v.Directory
+	directory, old := proposed.directoryOrEmpty(), *v.Directory
 	v.Directory.Pools = directory.Pools
 	v.Directory.Accounts = mergeAccounts(directory.Accounts, old.Accounts, v.Number)
 	v.Directory.Namespaces, err = mergeNamespaces(directory.Namespaces, old.Namespaces, v.Directory.Accounts, v.Number)
@@ -92,8 +92,8 @@
 		accounts = append(accounts, a)
 	}
 	for _, a := range old {
-		i, proposed := findAccount(accounts, a.Name)
-		if _, hasParent := findAccount(accounts, namespace.Parent(a.Name)); !proposed && hasParent {
+		i, isProposed := findAccount(accounts, a.Name)
+		if _, hasParent := findAccount(accounts, namespace.Parent(a.Name)); !isProposed && hasParent {
 			accounts = slices.Insert(accounts, i, a)
 		}
 	}
@@ -125,9 +125,9 @@
 	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
-// without removes the entry at i, where it exists, and gives the number of the version that changed that entry last. It overwrites all, which
+// removeEntry removes the entry at i, where it exists, and gives the number of the version that changed that entry last. It overwrites all, which
 // must be a slice that next has copied.
-func without[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
+func removeEntry[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
 	if !exists {
 		return all, 0
 	}
@@ -136,43 +136,43 @@
 }
 
 func (v *Version) applyNamespace(base *Version, c *Change) error {
-	var s namespace.Namespace
-	if err := unmarshal(c.Body, &s); err != nil {
+	var proposed namespace.Namespace
+	if err := unmarshal(c.Body, &proposed); err != nil {
 		return err
 	}
-	if s.Account != c.Account || c.Account == "" {
-		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Account, s.Account)
+	if proposed.Account != c.Account || c.Account == "" {
+		return fmt.Errorf("a change of namespace %q that holds the one of %q", c.Account, proposed.Account)
 	}
-	if err := namespace.CheckNamespace(&s); err != nil {
+	if err := namespace.CheckNamespace(&proposed); err != nil {
 		return err
 	}
 	i, exists := findNamespace(v.Directory.Namespaces, c.Account)
-	spaces, lastChanged := without(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.VersionNumber })
+	spaces, lastChanged := removeEntry(v.Directory.Namespaces, i, exists, func(s namespace.Namespace) uint64 { return s.VersionNumber })
 	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
 	v.Directory.Namespaces = spaces
-	if s.VersionNumber = v.Number; len(s.Guards)+len(s.Routes)+len(s.Defaults) > 0 {
-		v.Directory.Namespaces = slices.Insert(v.Directory.Namespaces, i, s)
+	if proposed.VersionNumber = v.Number; len(proposed.Guards)+len(proposed.Routes)+len(proposed.Defaults) > 0 {
+		v.Directory.Namespaces = slices.Insert(v.Directory.Namespaces, i, proposed)
 	}
 	return nil
 }
 
 func (v *Version) applyAccount(base *Version, c *Change) error {
-	var a namespace.Account
-	if err := unmarshal(c.Body, &a); err != nil {
+	var proposed namespace.Account
+	if err := unmarshal(c.Body, &proposed); err != nil {
 		return err
 	}
-	if a.Name != c.Account || namespace.Parent(a.Name) == "" {
-		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Account, a.Name)
+	if proposed.Name != c.Account || namespace.Parent(proposed.Name) == "" {
+		return fmt.Errorf("a change of account %q that holds %q; those at the top are changed with the rules", c.Account, proposed.Name)
 	}
-	i, exists := findAccount(v.Directory.Accounts, a.Name)
-	accounts, lastChanged := without(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.VersionNumber })
+	i, exists := findAccount(v.Directory.Accounts, proposed.Name)
+	accounts, lastChanged := removeEntry(v.Directory.Accounts, i, exists, func(a namespace.Account) uint64 { return a.VersionNumber })
 	if err := checkBase(c.BaseVersion, lastChanged, base.Number); err != nil {
 		return err
 	}
-	a.VersionNumber = v.Number
-	v.Directory.Accounts = slices.Insert(accounts, i, a)
+	proposed.VersionNumber = v.Number
+	v.Directory.Accounts = slices.Insert(accounts, i, proposed)
 	return nil
 }
 
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -72,7 +72,7 @@
 // grantFor finds the grant that allows a change, and its account. unix is the time in seconds.
 func (v *Version) grantFor(c *Change, unix int64) (*namespace.Account, *namespace.Grant, error) {
 	var grant string
-	accounts := v.namespaces().Accounts
+	accounts := v.directoryOrEmpty().Accounts
 	for i := range accounts {
 		a := &accounts[i]
 		for j := range a.Grants {
@@ -130,8 +130,8 @@
 }
 
 func differInLimitsOnly(a, b namespace.Account) bool {
-	for _, x := range []*namespace.Account{&a, &b} {
-		x.Rate, x.Connections, x.Routes, x.Changes, x.VersionNumber = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
+	for _, account := range []*namespace.Account{&a, &b} {
+		account.Rate, account.Connections, account.Routes, account.Changes, account.VersionNumber = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
 	}
 	return bytes.Equal(marshal(a), marshal(b))
 }
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -59,30 +59,30 @@
 }
 
 // NewOperatorsChange replaces the operators' part.
-func NewOperatorsChange(v *Version, against uint64, id []byte) *Change {
-	c := *v
-	c.Number = against + 1
-	return &Change{ID: id, Kind: KindOperators, BaseVersion: against, Body: c.Encode()}
+func NewOperatorsChange(v *Version, baseVersion uint64, id []byte) *Change {
+	proposed := *v
+	proposed.Number = baseVersion + 1
+	return &Change{ID: id, Kind: KindOperators, BaseVersion: baseVersion, Body: proposed.Encode()}
 }
 
 // NewNamespaceChange replaces an account's namespace.
-func NewNamespaceChange(s *namespace.Namespace, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindNamespace, Account: s.Account, BaseVersion: against, Body: marshal(s)}
+func NewNamespaceChange(s *namespace.Namespace, baseVersion uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindNamespace, Account: s.Account, BaseVersion: baseVersion, Body: marshal(s)}
 }
 
 // NewAccountChange replaces or adds an account below another.
-func NewAccountChange(a *namespace.Account, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindAccount, Account: a.Name, BaseVersion: against, Body: marshal(a)}
+func NewAccountChange(a *namespace.Account, baseVersion uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindAccount, Account: a.Name, BaseVersion: baseVersion, Body: marshal(a)}
 }
 
 // NewAccountRemoval removes an account and all below it.
-func NewAccountRemoval(account string, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: against}
+func NewAccountRemoval(account string, baseVersion uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: baseVersion}
 }
 
 // NewRollback restores everything as an earlier version had it.
-func NewRollback(to, against uint64, id []byte) *Change {
-	return &Change{ID: id, Kind: KindRollback, BaseVersion: against, Body: marshal(to)}
+func NewRollback(to, baseVersion uint64, id []byte) *Change {
+	return &Change{ID: id, Kind: KindRollback, BaseVersion: baseVersion, Body: marshal(to)}
 }
 
 // StaleChangeError says that a change's subject is not as it was in the version that the change was made against.
@@ -100,12 +100,12 @@
 }
 
 // checkBase returns a StaleChangeError where the subject, last changed by one version, is not as a change expects.
-func checkBase(against, lastChanged, active uint64) error {
-	if against < lastChanged {
-		return &StaleChangeError{against, lastChanged}
+func checkBase(baseVersion, lastChanged, active uint64) error {
+	if baseVersion < lastChanged {
+		return &StaleChangeError{baseVersion, lastChanged}
 	}
-	if against > active {
-		return &StaleChangeError{against, active}
+	if baseVersion > active {
+		return &StaleChangeError{baseVersion, active}
 	}
 	return nil
 }
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -27,8 +27,8 @@
 		}}}
 }
 
-// namespaceTo is an account's namespace with one route, to a pool.
-func namespaceTo(account string, number uint64, pool string) *namespace.Namespace {
+// namespaceRoutingTo is an account's namespace with one route, to a pool.
+func namespaceRoutingTo(account string, number uint64, pool string) *namespace.Namespace {
 	return &namespace.Namespace{Account: account, VersionNumber: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
@@ -56,9 +56,9 @@
 	fleet := startWithPools(t, 3)
 	// Concurrent changes: two of one namespace, and one of another.
 	n := len(fleet.answers)
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, nil), 1)
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.MainPool), 2, nil), 2)
-	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, nil), 1)
+	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, namespace.MainPool), 2, nil), 2)
+	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
@@ -68,11 +68,11 @@
 		t.Errorf("%+v", v)
 	}
 	// The rejected change was made against a version that the other change has replaced.
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, namespace.MainPool), 2, []byte("12345678")), 2)
+	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, namespace.MainPool), 2, []byte("12345678")), 2)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: it was made against version 2, and ")
 	// A retry is applied once, also after another change.
-	fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, nil), 1)
+	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, nil), 1)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("active: version")
 	if h := fleet.publisher.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
@@ -89,10 +89,10 @@
 		signer byte
 		change *Change
 	}{
-		{"which has ended", acmeClerk, NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("id-clerk"))},
-		{"no grant of version 2 has this key", nobody, NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("id-nobody"))},
-		{"which is for acme and below", acmeAdmin, NewNamespaceChange(namespaceTo("other", 0, "b"), 2, []byte("id-other"))},
-		{"account acme may not use pool b", acmeAdmin, NewNamespaceChange(namespaceTo("acme", 0, "b"), 2, []byte("id-pool-b"))},
+		{"which has ended", acmeClerk, NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("id-clerk"))},
+		{"no grant of version 2 has this key", nobody, NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("id-nobody"))},
+		{"which is for acme and below", acmeAdmin, NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, []byte("id-other"))},
+		{"account acme may not use pool b", acmeAdmin, NewNamespaceChange(namespaceRoutingTo("acme", 0, "b"), 2, []byte("id-pool-b"))},
 		{"which is for no such change", acmeAdmin, NewOperatorsChange(&Version{}, 2, []byte("id-rules"))},
 		{"tenant t3 does not belong to account acme", acmeAdmin, NewAccountChange(&namespace.Account{Name: "acme/x", Tenants: []string{"t3"}}, 2, []byte("id-tenant"))},
 		{"rate 101 at most, and account acme has 100", acmeAdmin, NewAccountChange(&namespace.Account{Name: "acme/x", Rate: namespace.Limit{Max: 101}}, 2, []byte("id-rates"))},
@@ -126,7 +126,7 @@
 // A change that was signed before its grant was revoked, and arrives or is staged after that, does nothing.
 func TestRevokedGrantAllowsNothing(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	c := NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("held-back"))
+	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
 	// It is waiting while the grant is revoked: it is authorized again when a version is made of it.
 	fleet.isolated[3] = true
@@ -159,12 +159,12 @@
 	fleet := startWithPools(t, 3)
 	rejected := 0
 	for i := range 1000 {
-		fleet.proposeSigned(NewNamespaceChange(namespaceTo("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
+		fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, "nowhere"), 2, fmt.Appendf(nil, "flood%04d", i)), 1)
 		if strings.HasPrefix(fleet.lastAnswer(), "refused: ") {
 			rejected++
 		}
 	}
-	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(100 * ms)
 	if rejected != 1000 || !strings.HasPrefix(fleet.lastAnswer(), "active: version 3 at 3 of 3") {
 		t.Fatalf("%d of 1000 rejected, then %q", rejected, fleet.lastAnswer())
@@ -178,7 +178,7 @@
 func TestUnusableNamespaceHoldsUpNoOther(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.members[2].MaxEntries = 6
-	big := namespaceTo("acme", 0, "a")
+	big := namespaceRoutingTo("acme", 0, "a")
 	for i := range 9 {
 		big.Routes = append(big.Routes, namespace.Route{Name: fmt.Sprint("x", i), Prefix: fmt.Sprint(i), Pool: "a"})
 	}
@@ -187,7 +187,7 @@
 	fleet.publisher.leases.unknownUntil = fleet.now + 100*ms
 	fleet.propose(&Change{ID: []byte("first-one"), Kind: KindOperators, BaseVersion: 2, Body: func() []byte { v := twoCustomers(); v.Number = 3; v.ExcludedHosts = []string{"h"}; return v.Encode() }()})
 	fleet.propose(NewNamespaceChange(big, 2, nil))
-	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(8 * leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
@@ -200,7 +200,7 @@
 
 func TestRollbackIsANewVersion(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	fleet.propose(NewNamespaceChange(namespaceTo("other", 0, "b"), 2, nil))
+	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(leaseDuration)
 	fleet.propose(NewRollback(2, 3, nil))
 	fleet.run(leaseDuration)
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -12,26 +12,26 @@
 
 // compiledVersion is a version in the form in which requests are judged.
 type compiledVersion struct {
-	version         *Version
-	refusalAdvice   map[refusalKey]uint32 // milliseconds
-	hostsOut        map[string]struct{}
-	namespaces      *namespace.Compiled // nil: one pool, and no routes
-	limits          map[string]quota.Limit
-	limitedAccounts []string // of limits, sorted
+	version                 *Version
+	refusalRetryAfterMillis map[refusalKey]uint32 // milliseconds
+	excludedHosts           map[string]struct{}
+	namespaces              *namespace.Compiled // nil: one pool, and no routes
+	limits                  map[string]quota.Limit
+	limitedAccounts         []string // of limits, sorted
 }
 
 // compileVersion compiles a version that has passed Check.
 func compileVersion(v *Version) *compiledVersion {
 	c := &compiledVersion{
-		version:       v,
-		refusalAdvice: make(map[refusalKey]uint32, len(v.Refusals)),
-		hostsOut:      make(map[string]struct{}, len(v.ExcludedHosts)),
+		version:                 v,
+		refusalRetryAfterMillis: make(map[refusalKey]uint32, len(v.Refusals)),
+		excludedHosts:           make(map[string]struct{}, len(v.ExcludedHosts)),
 	}
 	for _, r := range v.Refusals {
-		c.refusalAdvice[refusalKey{r.Tenant, r.Class}] = r.RetryAfterMillis
+		c.refusalRetryAfterMillis[refusalKey{r.Tenant, r.Class}] = r.RetryAfterMillis
 	}
 	for _, h := range v.ExcludedHosts {
-		c.hostsOut[h] = struct{}{}
+		c.excludedHosts[h] = struct{}{}
 	}
 	if v.Directory != nil {
 		c.compileNamespaces(v.Directory)
@@ -54,8 +54,8 @@
 
 // rejects reports whether the operators' refusals reject a request, and its Retry-After; of several refusals that match the most specific decides.
 func (c *compiledVersion) rejects(tenant, class string) (rejected bool, advice time.Duration) {
-	for _, k := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
-		if ms, found := c.refusalAdvice[k]; found {
+	for _, key := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
+		if ms, found := c.refusalRetryAfterMillis[key]; found {
 			return true, time.Duration(ms) * time.Millisecond
 		}
 	}
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -10,29 +10,29 @@
 
 // The first byte of a compressed version and of a delta. An uncompressed one begins with a CBOR map, whose first byte is never one of these.
 const (
-	formCompressed = 1
-	formDelta      = 2
+	formatCompressed = 1
+	formatDelta      = 2
 )
 
 const (
-	uncompressedUpTo = 4 << 10 // bytes that are sent uncompressed, which earlier builds can decode
-	noDeltaUpTo      = 1 << 10 // bytes that are sent complete: a delta would save little
-	maxReplyBytes    = 8 * maxEncodedBytes
+	maxUncompressedBytes = 4 << 10 // bytes that are sent uncompressed, which earlier builds can decode
+	deltaThresholdBytes  = 1 << 10 // bytes that are sent complete: a delta would save little
+	maxReplyBytes        = 8 * maxEncodedBytes
 )
 
 var errMalformedVersion = errors.New("rules: a version in a form that can't be read")
 
 // compress shortens an encoded version or text where it is long.
 func compress(data []byte) []byte {
-	if len(data) <= uncompressedUpTo {
+	if len(data) <= maxUncompressedBytes {
 		return data
 	}
-	return deflate(formCompressed, data)
+	return deflate(formatCompressed, data)
 }
 
 // decompress reverses compress; data in another form comes back unchanged.
 func decompress(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != formCompressed {
+	if len(data) == 0 || data[0] != formatCompressed {
 		return data, nil
 	}
 	return inflate(data[1:], maxEncodedBytes)
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -10,10 +10,10 @@
 
 // run is consecutive elements of a version: either Count of the base's from From on, or a single one, Own, that the base lacks.
 type run[T any] struct {
-	_     struct{} `cbor:",toarray"`
-	From  uint32
-	Count uint32
-	Own   *T
+	_       struct{} `cbor:",toarray"`
+	From    uint32
+	Count   uint32
+	Element *T
 }
 
 // delta is a version relative to a base that the receiver has: everything but accounts and namespaces, and the runs of these.
@@ -34,17 +34,17 @@
 func namespaceAccount(s *namespace.Namespace) string { return s.Account }
 
 func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
-	at := map[string]uint32{}
+	baseIndex := map[string]uint32{}
 	for i := range base {
-		at[name(&base[i])] = uint32(i)
+		baseIndex[name(&base[i])] = uint32(i)
 	}
 	for i := range all {
-		j, inBase := at[name(&all[i])]
+		j, inBase := baseIndex[name(&all[i])]
 		if !inBase || !bytes.Equal(marshal(all[i]), marshal(base[j])) {
-			runs = append(runs, run[T]{Own: &all[i]})
+			runs = append(runs, run[T]{Element: &all[i]})
 			continue
 		}
-		if n := len(runs); n > 0 && runs[n-1].Own == nil && runs[n-1].From+runs[n-1].Count == j {
+		if n := len(runs); n > 0 && runs[n-1].Element == nil && runs[n-1].From+runs[n-1].Count == j {
 			runs[n-1].Count++
 			continue
 		}
@@ -56,9 +56,9 @@
 func fromRuns[T any](runs []run[T], base []T) (all []T, err error) {
 	for _, r := range runs {
 		switch {
-		case r.Own != nil && r.Count == 0:
-			all = append(all, *r.Own)
-		case r.Own == nil && r.Count > 0 && uint64(r.From)+uint64(r.Count) <= uint64(len(base)):
+		case r.Element != nil && r.Count == 0:
+			all = append(all, *r.Element)
+		case r.Element == nil && r.Count > 0 && uint64(r.From)+uint64(r.Count) <= uint64(len(base)):
 			all = append(all, base[r.From:r.From+r.Count]...)
 		default:
 			return nil, errMalformedVersion
@@ -71,7 +71,7 @@
 }
 
 func newDelta(v, base *Version) delta {
-	directory, baseDirectory := v.namespaces(), base.namespaces()
+	directory, baseDirectory := v.directoryOrEmpty(), base.directoryOrEmpty()
 	baseHash, hash := base.Hash(), v.Hash()
 	head := *v
 	if v.Directory != nil {
@@ -90,11 +90,11 @@
 
 // apply gives the version that a delta describes. The caller checks it and its hash.
 func (d *delta) apply(base *Version) (*Version, error) {
-	v, baseDirectory := &Version{}, base.namespaces()
+	v, baseDirectory := &Version{}, base.directoryOrEmpty()
 	if unmarshal(d.Head, v) != nil {
 		return nil, errMalformedVersion
 	}
-	directory := v.namespaces()
+	directory := v.directoryOrEmpty()
 	var err error
 	if directory.Accounts, err = fromRuns(d.Accounts, baseDirectory.Accounts); err != nil {
 		return nil, err
@@ -111,11 +111,11 @@
 // encodeFor encodes a version in the shortest form that a receiver with base can decode; a nil base: the receiver may have nothing.
 func (v *Version) encodeFor(base *Version) []byte {
 	data := compress(v.Encode())
-	if base == nil || len(data) <= noDeltaUpTo {
+	if base == nil || len(data) <= deltaThresholdBytes {
 		return data
 	}
-	if short := deflate(formDelta, marshal(newDelta(v, base))); len(short) < len(data) {
-		return short
+	if encodedDelta := deflate(formatDelta, marshal(newDelta(v, base))); len(encodedDelta) < len(data) {
+		return encodedDelta
 	}
 	return data
 }
@@ -138,7 +138,7 @@
 
 // decodeVersion reads a version in any transfer form.
 func decodeVersion(data []byte, bases versionByHash) (*Version, error) {
-	if len(data) > 0 && data[0] == formDelta {
+	if len(data) > 0 && data[0] == formatDelta {
 		return decodeDelta(data[1:], bases)
 	}
 	data, err := decompress(data)
@@ -177,7 +177,7 @@
 // transferredHash is the hash by which the publisher knows a version that was sent, also where it can't be decoded: a member reports the fault
 // under it.
 func transferredHash(data []byte) Hash {
-	if data[0] == formDelta {
+	if data[0] == formatDelta {
 		var d delta
 		if data, err := inflate(data[1:], maxEncodedBytes); err == nil && unmarshal(data, &d) == nil && len(d.ResultHash) == len(Hash{}) {
 			return Hash(d.ResultHash)
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -40,40 +40,40 @@
 	if err := next.Check(); err != nil {
 		t.Fatal(err)
 	}
-	complete, short := next.encodeFor(nil), next.encodeFor(base)
-	t.Logf("%d entries: %d bytes, %d compressed, %d as a delta", next.Entries(), len(next.Encode()), len(complete), len(short))
-	if len(complete) > maxStoredBytes || len(short) > 600 {
-		t.Errorf("%d bytes compressed, %d as a delta", len(complete), len(short))
+	complete, encodedDelta := next.encodeFor(nil), next.encodeFor(base)
+	t.Logf("%d entries: %d bytes, %d compressed, %d as a delta", next.Entries(), len(next.Encode()), len(complete), len(encodedDelta))
+	if len(complete) > maxStoredBytes || len(encodedDelta) > 600 {
+		t.Errorf("%d bytes compressed, %d as a delta", len(complete), len(encodedDelta))
 	}
-	for name, data := range map[string][]byte{"complete": complete, "as a delta": short} {
+	for name, data := range map[string][]byte{"complete": complete, "as a delta": encodedDelta} {
 		v, err := decodeVersion(data, onlyBase(base))
 		if err != nil || !bytes.Equal(v.Encode(), next.Encode()) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := decodeVersion(short, onlyBase(nil)); err != errMissingBase {
+	if _, err := decodeVersion(encodedDelta, onlyBase(nil)); err != errMissingBase {
 		t.Error("without its base:", err)
 	}
 	// A small version is sent uncompressed, which processes of an earlier build can decode.
 	if data := rejectAll.encodeFor(base); !bytes.Equal(data, rejectAll.Encode()) {
 		t.Error("a small version is not sent uncompressed")
 	}
-	over := largeVersion(410)
-	if err := over.Check(); err == nil || !strings.Contains(err.Error(), "entries") {
+	tooLarge := largeVersion(410)
+	if err := tooLarge.Check(); err == nil || !strings.Contains(err.Error(), "entries") {
 		t.Error(err)
 	}
 }
 
 // A few bytes that expand to very many are rejected.
 func TestDecompressionIsBounded(t *testing.T) {
-	bomb := deflate(formCompressed, make([]byte, 8*maxEncodedBytes+1))
+	bomb := deflate(formatCompressed, make([]byte, 8*maxEncodedBytes+1))
 	if _, err := decodeVersion(bomb, onlyBase(nil)); err == nil || !strings.Contains(err.Error(), "over") {
 		t.Error(err)
 	}
 	fleet := newTestFleet(t, 1)
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, append([]byte{queryPropose}, bomb...))
 	fleet.expectAnswer("refused")
-	if DecodeReply(string(deflate(formCompressed, make([]byte, 8*maxEncodedBytes+1)))) != "unknown: the answer can't be read" {
+	if DecodeReply(string(deflate(formatCompressed, make([]byte, 8*maxEncodedBytes+1)))) != "unknown: the answer can't be read" {
 		t.Error("a reply beyond its bound is decoded")
 	}
 }
@@ -92,7 +92,7 @@
 	fleet.proposeOperators(v, 0)
 	fleet.run(3 * leaseDuration)
 	fleet.expectAnswer("active: version 2 at 4 of 4")
-	against := uint64(2)
+	baseVersion := uint64(2)
 	text := map[uint64]string{}
 	for i := 0; i < len(spaces); i += 15 {
 		for j := i; j < i+15; j++ {
@@ -101,11 +101,11 @@
 		fleet.isolated[3] = i == 30 // it misses one version
 		fleet.run(3 * leaseDuration)
 		fleet.isolated[3] = false
-		against = fleet.publisher.versions.active.Number
-		text[against] = fleet.publisher.versions.active.String()
+		baseVersion = fleet.publisher.versions.active.Number
+		text[baseVersion] = fleet.publisher.versions.active.String()
 	}
 	fleet.members[2].versions = map[Hash]*compiledVersion{} // it reports versions that it has lost
-	fleet.propose(NewNamespaceChange(namespaceTo("customer0003", 0, namespace.MainPool), against, []byte("last")))
+	fleet.propose(NewNamespaceChange(namespaceRoutingTo("customer0003", 0, namespace.MainPool), baseVersion, []byte("last")))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !strings.HasSuffix(fleet.lastAnswer(), "at 4 of 4") {
 		t.Fatal(fleet.lastAnswer())
@@ -118,18 +118,18 @@
 	t.Logf("%d entries, %d bytes, %d in the checkpoint with %d earlier versions", fleet.publisher.versions.active.Entries(), len(fleet.publisher.versions.active.Encode()), len(fleet.checkpoint), len(fleet.publisher.versions.history))
 	fleet.run(leaseDuration)
 	fleet.restartPublisher()
-	read := 0
+	decoded := 0
 	for number, want := range text {
 		if old := fleet.publisher.versions.byNumber(number); old != nil {
-			if read++; old.String() != want {
+			if decoded++; old.String() != want {
 				t.Errorf("version %d differs from what it was", number)
 			}
 		}
 	}
-	if read < 4 {
-		t.Errorf("%d of %d versions can be decoded", read, len(text))
+	if decoded < 4 {
+		t.Errorf("%d of %d versions can be decoded", decoded, len(text))
 	}
-	fleet.propose(NewRollback(against, fleet.publisher.versions.active.Number, nil))
+	fleet.propose(NewRollback(baseVersion, fleet.publisher.versions.active.Number, nil))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !bytes.Equal(marshal(fleet.publisher.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
 		t.Error("the rollback has not restored the routes:", fleet.lastAnswer())
@@ -184,7 +184,7 @@
 		if len(data) < 1<<16 {
 			h := base.Hash()
 			d := delta{BaseHash: h[:], ResultHash: h[:], Head: data}
-			decodeVersion(deflate(formDelta, marshal(d)), onlyBase(base))
+			decodeVersion(deflate(formatDelta, marshal(d)), onlyBase(base))
 		}
 	})
 }
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -39,21 +39,21 @@
 }
 
 // Evaluate says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
-func (e *Enforcer) Evaluate(q namespace.Request) (v Verdict) {
-	active, v := e.current()
-	if active == nil || v.Rejected {
-		return v
+func (e *Enforcer) Evaluate(request namespace.Request) (verdict Verdict) {
+	active, verdict := e.current()
+	if active == nil || verdict.Rejected {
+		return verdict
 	}
-	if v.Rejected, v.RetryAfter = active.rejects(q.Tenant, q.Class); v.Rejected || active.namespaces == nil {
-		return v
+	if verdict.Rejected, verdict.RetryAfter = active.rejects(request.Tenant, request.Class); verdict.Rejected || active.namespaces == nil {
+		return verdict
 	}
-	q.Minute = e.minuteOfDay()
-	routed := active.namespaces.Evaluate(q)
-	v.Rejected, v.RetryAfter, v.Account, v.Pools = routed.Rejected, routed.RetryAfter, routed.Account, routed.Pools
+	request.Minute = e.minuteOfDay()
+	routed := active.namespaces.Evaluate(request)
+	verdict.Rejected, verdict.RetryAfter, verdict.Account, verdict.Pools = routed.Rejected, routed.RetryAfter, routed.Account, routed.Pools
 	if routed.Route != "" {
-		v.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
+		verdict.Route = namespace.QualifiedName(routed.RouteAccount, routed.Route)
 	}
-	return v
+	return verdict
 }
 
 // minuteOfDay is in UTC.
@@ -113,7 +113,7 @@
 }
 
 // Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the terms that operators know.
-func (e *Enforcer) Explain(q namespace.Request) string {
+func (e *Enforcer) Explain(request namespace.Request) string {
 	active, v := e.current()
 	switch {
 	case active == nil:
@@ -125,14 +125,14 @@
 	if v.Lapsed {
 		s += ", the last one known"
 	}
-	if rejected, _ := active.rejects(q.Tenant, q.Class); rejected {
+	if rejected, _ := active.rejects(request.Tenant, request.Class); rejected {
 		return s + "\nrefused by the operators, for its tenant and class"
 	}
 	if active.namespaces == nil {
 		return s + "\nthere are no accounts and no pools: it may go to any host"
 	}
-	q.Minute = e.minuteOfDay()
-	return s + "\n" + active.namespaces.Explain(q)
+	request.Minute = e.minuteOfDay()
+	return s + "\n" + active.namespaces.Explain(request)
 }
 
 // Usable says whether a host may get new requests.
@@ -141,7 +141,7 @@
 	if active == nil || v.Rejected {
 		return !v.Rejected
 	}
-	_, out := active.hostsOut[host]
+	_, out := active.excludedHosts[host]
 	return !out
 }
 
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -33,14 +33,14 @@
 			case 6:
 				fleet.delayReplies = true
 			case 7:
-				fleet.release()
+				fleet.deliverDelayedReplies()
 			}
 			fleet.run(Time(rapid.IntRange(1, 120).Draw(rt, "time")) * 20 * ms)
 		}
 		clear(fleet.isolated)
 		clear(fleet.losesReplies)
 		fleet.checkpointsFail = false
-		fleet.release()
+		fleet.deliverDelayedReplies()
 		fleet.run(6 * leaseDuration)
 		if o := fleet.longestOverlap(); o > leaseDuration {
 			rt.Fatalf("two versions in use side by side for %d ms", o/ms)
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -9,37 +9,37 @@
 	"pgregory.net/rapid"
 )
 
-// drawChange draws a change of some account, or of its namespace, against a version.
-func drawChange(rt *rapid.T, against uint64) *Change {
+// generateChange draws a change of some account, or of its namespace, against a version.
+func generateChange(rt *rapid.T, baseVersion uint64) *Change {
 	name := rapid.SampledFrom([]string{"acme", "acme/web", "acme/web/x", "other", "other/y"}).Draw(rt, "name")
-	a := drawAccount(rt, name)
+	a := generateAccount(rt, name)
 	switch rapid.IntRange(0, 3).Draw(rt, "change") {
 	case 0:
 		a.Name = strings.Split(name, "/")[0]
 		proposed := &Version{Directory: &namespace.Directory{Pools: twoCustomers().Directory.Pools, Accounts: []namespace.Account{a}}}
-		return NewOperatorsChange(proposed, against, nil)
+		return NewOperatorsChange(proposed, baseVersion, nil)
 	case 1:
-		return NewAccountChange(&a, against, nil)
+		return NewAccountChange(&a, baseVersion, nil)
 	case 2:
-		return NewAccountRemoval(name, against, nil)
+		return NewAccountRemoval(name, baseVersion, nil)
 	}
-	return NewNamespaceChange(namespaceTo(name, 0, "a"), against, nil)
+	return NewNamespaceChange(namespaceRoutingTo(name, 0, "a"), baseVersion, nil)
 }
 
-func drawAccount(rt *rapid.T, name string) namespace.Account {
+func generateAccount(rt *rapid.T, name string) namespace.Account {
 	limit := func() namespace.Limit {
 		if rapid.Bool().Draw(rt, "unlimited") { // else most accounts below others are rejected for their limits
 			return namespace.Limit{}
 		}
 		return namespace.Limit{Max: rapid.Uint32Range(0, 9).Draw(rt, "max"), Reserved: rapid.Uint32Range(0, 5).Draw(rt, "reserved")}
 	}
-	subset := func(of ...string) (drawn []string) {
+	subset := func(of ...string) (chosen []string) {
 		for _, s := range of {
 			if rapid.Bool().Draw(rt, s) {
-				drawn = append(drawn, s)
+				chosen = append(chosen, s)
 			}
 		}
-		return drawn
+		return chosen
 	}
 	return namespace.Account{Name: name, Tenants: subset("t1", "t2", "t3"), Pools: subset("a", "b"), Rate: limit(), Connections: limit()}
 }
@@ -72,7 +72,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		v, applied := &Version{}, 0
 		for range 12 {
-			next, err := v.Apply(drawChange(rt, v.Number), func(uint64) *Version { return nil })
+			next, err := v.Apply(generateChange(rt, v.Number), func(uint64) *Version { return nil })
 			if err != nil {
 				continue
 			}
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -57,8 +57,8 @@
 	return m
 }
 
-// holder is a member's state if it holds a lease now; nil: it holds none.
-func (t *leaseTable) holder(peer uint32, now Time) *memberState {
+// leaseHolder is a member's state if it holds a lease now; nil: it holds none.
+func (t *leaseTable) leaseHolder(peer uint32, now Time) *memberState {
 	if m := t.members[peer]; m != nil && m.holdsLease(now) {
 		return m
 	}
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -102,9 +102,9 @@
 	stagedReported := m.receiveVersion(r.Staged)
 	m.receiveVersion(r.Active)
 	if len(r.Hash) == len(Hash{}) {
-		h := Hash(r.Hash)
-		if v := m.versions[h]; v != nil && v.version.Number == r.Number {
-			m.actBy(h, v, MemberLeaseEnd(requestedAt, m.LeaseDuration))
+		hash := Hash(r.Hash)
+		if v := m.versions[hash]; v != nil && v.version.Number == r.Number {
+			m.applyLease(hash, v, MemberLeaseEnd(requestedAt, m.LeaseDuration))
 		}
 	}
 	if stagedReported {
@@ -112,31 +112,31 @@
 	}
 }
 
-// actBy acts by a version until its lease ends. A late reply, with an older version or an earlier end, changes nothing: a member never goes back
+// applyLease acts by a version until its lease ends. A late reply, with an older version or an earlier end, changes nothing: a member never goes back
 // to an older version.
-func (m *Member) actBy(h Hash, v *compiledVersion, leaseEnd Time) {
+func (m *Member) applyLease(hash Hash, v *compiledVersion, leaseEnd Time) {
 	old := m.Enforcer.active.Load()
 	if old != nil && (old.version.Number > v.version.Number || old.version.Number == v.version.Number && old.leaseEnd >= leaseEnd) {
 		return
 	}
 	m.Enforcer.active.Store(&leasedVersion{v, leaseEnd})
-	if m.active == h {
+	if m.active == hash {
 		return
 	}
-	m.active = h
+	m.active = hash
 	for other := range m.versions {
-		if other != h && other != m.ready.hash {
+		if other != hash && other != m.ready.hash {
 			delete(m.versions, other)
 		}
 	}
 	if m.VersionChanged != nil {
-		m.VersionChanged(v.version.Number, h)
+		m.VersionChanged(v.version.Number, hash)
 	}
 }
 
 // receiveVersion compiles a version, and says whether the publisher is to be notified at once: the version is ready, or it can't be used here and
 // must become active nowhere.
-func (m *Member) receiveVersion(data []byte) (report bool) {
+func (m *Member) receiveVersion(data []byte) (notifyPublisher bool) {
 	if len(data) == 0 {
 		return false
 	}
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -118,7 +118,7 @@
 
 // DecodeReply gives a reply to an administrator as text; long ones come compressed.
 func DecodeReply(answer string) string {
-	if answer == "" || answer[0] != formCompressed {
+	if answer == "" || answer[0] != formatCompressed {
 		return answer
 	}
 	out, err := inflate([]byte(answer[1:]), maxReplyBytes)
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -17,7 +17,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
 	for i, r := range v.Refusals {
-		fmt.Fprintf(&b, "  (refuse r%d%s%s%s)\n", i+1, formatField("tenant", r.Tenant), formatField("class", r.Class), formatAdvice(r.RetryAfterMillis))
+		fmt.Fprintf(&b, "  (refuse r%d%s%s%s)\n", i+1, formatField("tenant", r.Tenant), formatField("class", r.Class), formatRetryAfter(r.RetryAfterMillis))
 	}
 	for _, h := range v.ExcludedHosts {
 		fmt.Fprintf(&b, "  (out %s)\n", settings.Quote(h))
@@ -73,7 +73,7 @@
 	return ""
 }
 
-func formatAdvice(ms uint32) string {
+func formatRetryAfter(ms uint32) string {
 	if ms == 0 {
 		return ""
 	}
@@ -125,7 +125,7 @@
 		}
 		fmt.Fprintf(w, "%s%s", formatField("pool", r.Pool), formatField("else", r.Fallbacks...))
 		if r.Refuse {
-			fmt.Fprintf(w, " (refuse on)%s", formatAdvice(r.RetryAfterMillis))
+			fmt.Fprintf(w, " (refuse on)%s", formatRetryAfter(r.RetryAfterMillis))
 		}
 		io.WriteString(w, ")\n")
 	}
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -70,7 +70,7 @@
 
 // propose takes a change. One that is invalid by itself is rejected at once and enters no round, so that it delays nobody else's.
 func (p *Publisher) propose(now Time, change *Change, reply func(string)) {
-	if p.isRetry(now, change, reply) {
+	if p.handleRetry(now, change, reply) {
 		return
 	}
 	if !p.limiter.allow(now, change, p.versions.active) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// isRetry handles a change that was proposed before, as by an administrator who got no answer: it is applied once, and takes no tokens.
-func (p *Publisher) isRetry(now Time, change *Change, reply func(string)) bool {
+// handleRetry handles a change that was proposed before, as by an administrator who got no answer: it is applied once, and takes no tokens.
+func (p *Publisher) handleRetry(now Time, change *Change, reply func(string)) bool {
 	if proposal := p.proposals.byID(change.ID); proposal != nil {
 		proposal.reply = reply
 		return true
@@ -125,7 +125,7 @@
 // has left a transitional version active, the version that completes it comes first.
 func (p *Publisher) stageProposals(now Time) {
 	if p.versions.active.transitional() {
-		p.stageReassigned(now, nil)
+		p.stageAfterTransitional(now, nil)
 		return
 	}
 	for len(p.proposals.waiting) > 0 {
@@ -136,7 +136,7 @@
 		if reassigns(p.versions.active, s.version) {
 			s.version.Directory.Previous = ownerAssignment(p.versions.active)
 		}
-		if err := s.version.finish(); err != nil {
+		if err := s.version.normalizeAndCheck(); err != nil {
 			replyAll(s.proposals, "refused: "+err.Error())
 			return
 		}
@@ -148,11 +148,11 @@
 // applyRound applies each proposal that is still allowed. It is authorized again on the version as the round has made it so far: a grant that was
 // revoked, or a subject that was changed, since the proposal arrived rejects it.
 func (p *Publisher) applyRound(now Time, round []*proposal) *staging {
-	s := &staging{startedAt: now, version: p.versions.active.next(), audit: p.audit.active}
+	staged := &staging{startedAt: now, version: p.versions.active.next(), audit: p.audit.active}
 	for _, proposal := range round {
-		proposer, err := p.authorize(proposal.Change, s.version)
-		next := s.version.next()
-		next.Number = s.version.Number
+		proposer, err := p.authorize(proposal.Change, staged.version)
+		next := staged.version.next()
+		next.Number = staged.version.Number
 		if err == nil {
 			err = next.apply(p.versions.active, proposal.Change, p.versions.byNumber)
 		}
@@ -164,8 +164,8 @@
 		if next.Directory == nil {
 			next.Directory = &namespace.Directory{}
 		}
-		s.version, s.proposals = next, append(s.proposals, proposal)
-		s.audit = appendEntry(s.audit, AuditEntry{Number: next.Number, ID: proposal.ID, Proposer: proposer, Subject: proposal.subject(), WallMillis: p.wallMillis()})
+		staged.version, staged.proposals = next, append(staged.proposals, proposal)
+		staged.audit = appendEntry(staged.audit, AuditEntry{Number: next.Number, ID: proposal.ID, Proposer: proposer, Subject: proposal.subject(), WallMillis: p.wallMillis()})
 	}
-	return s
+	return staged
 }
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -8,9 +8,9 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// stagingLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned. Only members that renew are
+// stagingTimeoutLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned. Only members that renew are
 // waited for, and these send queriesPerLease queries in each: several may be lost while they fetch and compile it.
-const stagingLeases = 3
+const stagingTimeoutLeases = 3
 
 // Publisher is the part of the process that owns the rules' job: it orders the versions and grants the leases to act by the active one. A newer
 // version becomes active once each lease holder has compiled it or its lease has ended. So two versions are in use side by side for LeaseDuration at
@@ -57,7 +57,7 @@
 	if p.owner == nil {
 		return
 	}
-	p.abortLate(now)
+	p.abortTimedOut(now)
 	if p.pending.next != nil {
 		return
 	}
@@ -69,7 +69,7 @@
 	switch { // the texts are answers to administrators, and fixed
 	case r.faultReason != "":
 		p.abandon(now, fmt.Sprintf("refused: %s: %s", p.memberName(r.faultyPeer), r.faultReason))
-	case !r.all && now-p.versions.stagedAt > stagingLeases*p.LeaseDuration:
+	case !r.all && now-p.versions.stagedAt > stagingTimeoutLeases*p.LeaseDuration:
 		p.abandon(now, "refused: not everyone that holds a right has it ready")
 	case r.all && now >= p.leases.unknownUntil:
 		p.activate(now)
@@ -109,13 +109,13 @@
 
 // grantLease grants a member the lease to act by the active version, and sends it the versions that it lacks.
 func (p *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
-	m, v := p.leases.member(from), &p.versions
-	m.recordReport(q, v)
-	m.leaseNumber, m.leaseEnd = v.active.Number, PublisherLeaseEnd(now, p.LeaseDuration)
-	activeHash := v.activeHash
-	r := leaseReply{Number: v.active.Number, Hash: activeHash[:]}
-	r.Active, r.Staged = v.missingAt(m, q)
-	return r
+	member, versions := p.leases.member(from), &p.versions
+	member.recordReport(q, versions)
+	member.leaseNumber, member.leaseEnd = versions.active.Number, PublisherLeaseEnd(now, p.LeaseDuration)
+	activeHash := versions.activeHash
+	reply := leaseReply{Number: versions.active.Number, Hash: activeHash[:]}
+	reply.Active, reply.Staged = versions.missingVersions(member, q)
+	return reply
 }
 
 // notifyMembers has every member request its lease now and not only at its next turn.
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -17,8 +17,8 @@
 	filledAt Time
 }
 
-// take refills the bucket for the time that has passed, and takes a token if there is one.
-func (b *tokenBucket) take(now Time, perMinute float64) bool {
+// consume refills the bucket for the time that has passed, and takes a token if there is one.
+func (b *tokenBucket) consume(now Time, perMinute float64) bool {
 	b.tokens = min(max(1, perMinute/burstDivisor), b.tokens+float64(now-b.filledAt)/nanosPerMinute*perMinute)
 	b.filledAt = now
 	if b.tokens < 1 {
@@ -33,22 +33,22 @@
 
 func (l *rateLimiter) allow(now Time, c *Change, active *Version) bool {
 	perMinute := changesPerMinute(active, c.Account)
-	id := string(c.Key) + c.Account
-	b := l.buckets[id]
+	key := string(c.Key) + c.Account
+	b := l.buckets[key]
 	if b == nil {
 		if len(l.buckets) >= maxBuckets {
 			clear(l.buckets) // all start with full buckets again
 		}
 		b = &tokenBucket{tokens: max(1, perMinute/burstDivisor), filledAt: now}
-		l.buckets[id] = b
+		l.buckets[key] = b
 	}
-	return b.take(now, perMinute)
+	return b.consume(now, perMinute)
 }
 
 // changesPerMinute is the lowest rate of an account and those above it.
 func changesPerMinute(v *Version, part string) float64 {
 	lowest := float64(defaultChangesPerMinute)
-	for _, a := range v.namespaces().Accounts {
+	for _, a := range v.directoryOrEmpty().Accounts {
 		if a.Changes > 0 && namespace.IsWithin(part, a.Name) {
 			lowest = min(lowest, float64(a.Changes))
 		}
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -94,7 +94,7 @@
 func TestRetryAtAnotherPublisher(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.isolated[3] = true // delays its activation
-	c := NewNamespaceChange(namespaceTo("acme", 0, "a"), 2, []byte("once-and-again"))
+	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("once-and-again"))
 	fleet.proposeSigned(c, 1)
 	fleet.run(100 * ms)
 	if fleet.publisher.versions.staged == nil {
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -27,27 +27,27 @@
 }
 
 // randomChange is a change as some administrator may propose it; many are rejected.
-func randomChange(rng *rand.Rand, against uint64) *Change {
+func randomChange(rng *rand.Rand, baseVersion uint64) *Change {
 	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
 	pools := []string{"a", "b", namespace.MainPool}
 	account := []string{"acme", "other", "acme/web", "acme/web/x"}[rng.Intn(4)]
 	switch rng.Intn(8) {
 	case 0:
-		return NewOperatorsChange(&Version{ExcludedHosts: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, against, id)
+		return NewOperatorsChange(&Version{ExcludedHosts: []string{fmt.Sprintf("h%d", rng.Intn(5))}, Directory: twoCustomers().Directory}, baseVersion, id)
 	case 1:
-		return NewOperatorsChange(&Version{Refusals: []Refusal{{RetryAfterMillis: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, against, id)
+		return NewOperatorsChange(&Version{Refusals: []Refusal{{RetryAfterMillis: uint32(100 + rng.Intn(900))}}, Directory: twoCustomers().Directory}, baseVersion, id)
 	case 2, 3:
-		return NewNamespaceChange(namespaceTo(account, 0, pools[rng.Intn(3)]), against, id)
+		return NewNamespaceChange(namespaceRoutingTo(account, 0, pools[rng.Intn(3)]), baseVersion, id)
 	case 4:
-		return NewAccountChange(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, against, id)
+		return NewAccountChange(&namespace.Account{Name: account, Tenants: []string{fmt.Sprintf("t%d", 1+rng.Intn(3))}, Pools: pools[:rng.Intn(3)]}, baseVersion, id)
 	case 5:
-		return NewAccountRemoval(account, against, id)
+		return NewAccountRemoval(account, baseVersion, id)
 	case 6:
-		return NewRollback(uint64(rng.Intn(int(against)+2)), against, id)
+		return NewRollback(uint64(rng.Intn(int(baseVersion)+2)), baseVersion, id)
 	}
 	reassigned := twoCustomers()
 	reassigned.Directory.Pools[0].Kinds, reassigned.Directory.Pools[1].Kinds = []string{"m2"}, []string{"m1"}
-	return NewOperatorsChange(reassigned, against, id)
+	return NewOperatorsChange(reassigned, baseVersion, id)
 }
 
 // randomStep does one thing to the fleet: a change, a query, a fault or its end.
@@ -55,11 +55,11 @@
 	member := 1 + uint32(rng.Intn(len(fleet.members)))
 	switch rng.Intn(12) {
 	case 0, 1, 2:
-		against := fleet.publisher.versions.active.Number
+		baseVersion := fleet.publisher.versions.active.Number
 		if rng.Intn(6) == 0 {
-			against = uint64(rng.Intn(int(against) + 2))
+			baseVersion = uint64(rng.Intn(int(baseVersion) + 2))
 		}
-		c := randomChange(rng, against)
+		c := randomChange(rng, baseVersion)
 		if rng.Intn(3) > 0 {
 			c.Sign(privateKey(byte(1 + rng.Intn(3))))
 		}
@@ -87,7 +87,7 @@
 	const sequences, eventsPerSequence = 200, 1000
 	lines := make([]string, sequences)
 	samples := golden.NewSamples(3)
-	play := func(seed int64, samples *golden.Samples) {
+	runSequence := func(seed int64, samples *golden.Samples) {
 		rng := rand.New(rand.NewSource(seed))
 		fleet := newTestFleet(t, 2+uint32(seed%4))
 		fleet.recorder = &recorder{digest: golden.NewDigest(), samples: samples}
@@ -109,9 +109,9 @@
 	}
 	const sampled = 4
 	for seed := range int64(sampled) {
-		play(seed, samples)
+		runSequence(seed, samples)
 	}
-	golden.InParallel(sampled, sequences, func(seed int) { play(int64(seed), nil) })
+	golden.InParallel(sampled, sequences, func(seed int) { runSequence(int64(seed), nil) })
 	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
 	golden.Check(t, "messages.golden", samples.Bytes())
 }
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -125,7 +125,7 @@
 	fleet.run(leaseDuration / 2)
 	fleet.isolated[1], fleet.isolated[2] = true, true
 	fleet.run(3 * leaseDuration)
-	fleet.release()
+	fleet.deliverDelayedReplies()
 	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); !v.Lapsed {
 		t.Fatalf("a reply that is %d ms late grants a lease", 3*leaseDuration/ms)
 	}
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -15,7 +15,7 @@
 	var lapsed []string
 	for _, m := range p.owner.Members() {
 		all++
-		if p.leases.holder(m.Peer, now) != nil {
+		if p.leases.leaseHolder(m.Peer, now) != nil {
 			holders++
 		} else {
 			lapsed = append(lapsed, m.Name)
@@ -96,7 +96,7 @@
 	fmt.Fprintln(t, "process\tacts by\tfor\tnext version")
 	for _, m := range p.owner.Members() {
 		number, remaining := "none", "-"
-		if holder := p.leases.holder(m.Peer, now); holder != nil {
+		if holder := p.leases.leaseHolder(m.Peer, now); holder != nil {
 			number, remaining = fmt.Sprint(holder.leaseNumber), roundedToMillis(holder.leaseEnd-now).String()
 		} else if !m.Present {
 			number = "none: not there"
--- a/internal/fleet/rules/group_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// release delivers the delayed replies.
-func (fleet *testFleet) release() {
+// deliverDelayedReplies delivers the delayed replies.
+func (fleet *testFleet) deliverDelayedReplies() {
 	delayed := fleet.delayedReplies
 	fleet.delayedReplies, fleet.delayReplies = nil, false
 	for _, deliver := range delayed {
@@ -141,8 +141,8 @@
 	}
 }
 
-func (fleet *testFleet) proposeOperators(v *Version, against uint64) {
-	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(NewOperatorsChange(v, against, nil)))
+func (fleet *testFleet) proposeOperators(v *Version, baseVersion uint64) {
+	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(NewOperatorsChange(v, baseVersion, nil)))
 }
 
 // lastAnswer is the last one to an administrator.
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -3,9 +3,9 @@
 // A transition is a change of the publisher's state that takes effect once the group has stored the new state: nobody acts by a version that the
 // next publisher would not know.
 type transition interface {
-	commit(k *Publisher)
+	commit(p *Publisher)
 	// abort leaves the state as it was: the group has not confirmed that it stores the new one.
-	abort(k *Publisher)
+	abort(p *Publisher)
 }
 
 // pendingTransition is the transition that the group is storing.
@@ -15,8 +15,8 @@
 	startedAt        Time
 }
 
-// begin has the group store a state; the transition to it waits for the confirmation.
-func (p *Publisher) begin(now Time, state []byte, t transition) {
+// beginTransition has the group store a state; the transition to it waits for the confirmation.
+func (p *Publisher) beginTransition(now Time, state []byte, t transition) {
 	p.pending.checkpointNumber++
 	p.pending.next, p.pending.startedAt = t, now
 	if err := p.owner.StoreCheckpoint(p.pending.checkpointNumber, state); err != nil {
@@ -38,8 +38,8 @@
 	p.Step(now)
 }
 
-// abortLate aborts a transition that the group has not confirmed in time: the answer may be lost.
-func (p *Publisher) abortLate(now Time) {
+// abortTimedOut aborts a transition that the group has not confirmed in time: the answer may be lost.
+func (p *Publisher) abortTimedOut(now Time) {
 	if t := p.pending.next; t != nil && now-p.pending.startedAt > p.LeaseDuration {
 		p.pending.next = nil
 		t.abort(p)
@@ -56,7 +56,7 @@
 
 func (p *Publisher) stage(s *staging) {
 	p.proposals.staged = s.proposals
-	p.begin(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
+	p.beginTransition(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
 }
 
 func (s *staging) commit(p *Publisher) {
@@ -79,7 +79,7 @@
 
 func (p *Publisher) activate(now Time) {
 	a := &activation{now, p.versions.historyAfter(p.versions.staged)}
-	p.begin(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
+	p.beginTransition(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
 }
 
 func (a *activation) commit(p *Publisher) {
@@ -89,7 +89,7 @@
 	p.proposals.staged = nil
 	transitional := p.versions.active.transitional()
 	if transitional {
-		p.stageReassigned(a.startedAt, proposals)
+		p.stageAfterTransitional(a.startedAt, proposals)
 	}
 	p.notifyMembers()
 	if !transitional {
@@ -102,10 +102,10 @@
 // abort does nothing: the same state is stored at a later step.
 func (a *activation) abort(*Publisher) {}
 
-// stageReassigned stages what follows a transitional version: by that one nobody uses what is reassigned, by this one its new owner does.
-func (p *Publisher) stageReassigned(now Time, proposals []*proposal) {
+// stageAfterTransitional stages what follows a transitional version: by that one nobody uses what is reassigned, by this one its new owner does.
+func (p *Publisher) stageAfterTransitional(now Time, proposals []*proposal) {
 	v := p.versions.active.next()
-	if err := v.finish(); err == nil {
+	if err := v.normalizeAndCheck(); err == nil {
 		p.stage(&staging{now, v, p.audit.active, proposals})
 	}
 }
@@ -118,7 +118,7 @@
 
 func (p *Publisher) abandon(now Time, reason string) {
 	state := p.encodeCheckpoint(p.versions.active, nil, p.audit.active, p.versions.history)
-	p.begin(now, state, &abandonment{p.proposals.staged, reason})
+	p.beginTransition(now, state, &abandonment{p.proposals.staged, reason})
 }
 
 // commit rejects a single proposal; several are retried one by one, so that one that can't be used holds up no other.
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -22,10 +22,10 @@
 const MaxEntries = 4096
 
 const (
-	maxEncodedBytes = 256 << 10 // of a version, encoded and uncompressed
-	maxStoredBytes  = 12 << 10  // of a version in a checkpoint: two fit within a job's 32 KiB
-	maxNameBytes    = 128
-	maxAdviceMillis = 60_000
+	maxEncodedBytes     = 256 << 10 // of a version, encoded and uncompressed
+	maxStoredBytes      = 12 << 10  // of a version in a checkpoint: two fit within a job's 32 KiB
+	maxNameBytes        = 128
+	maxRetryAfterMillis = 60_000
 )
 
 // Refusal says that new requests get no placement. An empty tenant or class matches all.
@@ -112,7 +112,7 @@
 
 func checkRefusals(refusals []Refusal) error {
 	for i, r := range refusals {
-		if len(r.Tenant) > maxNameBytes || len(r.Class) > maxNameBytes || r.RetryAfterMillis > maxAdviceMillis {
+		if len(r.Tenant) > maxNameBytes || len(r.Class) > maxNameBytes || r.RetryAfterMillis > maxRetryAfterMillis {
 			return fmt.Errorf("rules: refusal %d is too long, or advises more than a minute", i+1)
 		}
 		if i > 0 && compareRefusals(refusals[i-1], r) >= 0 {
@@ -149,8 +149,8 @@
 	return n
 }
 
-// namespaces is the version's directory, empty where it has none.
-func (v *Version) namespaces() namespace.Directory {
+// directoryOrEmpty is the version's directoryOrEmpty, empty where it has none.
+func (v *Version) directoryOrEmpty() namespace.Directory {
 	if v.Directory == nil {
 		return namespace.Directory{}
 	}
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -26,9 +26,9 @@
 	s.staged, s.history = nil, history
 }
 
-// missingAt encodes the versions that a member lacks after its query; nil: it lacks none. Without any version it gets the active one even where that
+// missingVersions encodes the versions that a member lacks after its query; nil: it lacks none. Without any version it gets the active one even where that
 // is version 0.
-func (s *versionStore) missingAt(m *memberState, q *leaseQuery) (active, staged []byte) {
+func (s *versionStore) missingVersions(m *memberState, q *leaseQuery) (active, staged []byte) {
 	hasActive := q.ActiveNumber == s.active.Number || m.ready == s.activeHash
 	hasNone := q.ActiveNumber == 0 && q.ReadyNumber == 0
 	if !hasActive || hasNone {
