--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -1,22 +1,24 @@
 package membership
 
 const (
-	// viewRequestDelay is how long views may differ before a complete view is requested: gossip removes most differences by itself.
+	// viewRequestDelay is how long views may differ before a process requests a complete view: gossip
+	// alone removes most differences.
 	viewRequestDelay = sec
 	// viewRequestInterval is the least time between two requests for a complete view.
 	viewRequestInterval = sec
-	// viewPages is how many datagrams answer one request.
+	// viewPages is the maximum number of datagrams that answer one request for a view.
 	viewPages = 4
 )
 
-// antiEntropy repairs differences between views that gossip has missed: digests are compared, and complete views are requested.
+// antiEntropy repairs differences between views that gossip has missed: it compares digests and
+// determines when to request a complete view.
 type antiEntropy struct {
-	differentSince Time // 0: the last digest received is this process's
+	differentSince Time // since when received digests differ from this process's; zero if the last one was equal
 	lastRequest    Time
-	nextEntry      int // where the next page of the own view begins
+	nextEntry      int // index of the entry with which the next page of this process's view starts
 }
 
-// recordComparison records whether another's digest equals the own one.
+// recordComparison records whether a received digest equals this process's digest.
 func (a *antiEntropy) recordComparison(equal bool, now Time) {
 	if equal {
 		a.differentSince = 0
@@ -25,7 +27,7 @@
 	}
 }
 
-// requestDue reports whether it is time to request a complete view, and counts that as done.
+// requestDue reports whether a complete view must be requested now. If so, it records the request.
 func (a *antiEntropy) requestDue(now Time) bool {
 	if a.differentSince == 0 || now-a.differentSince <= viewRequestDelay || now-a.lastRequest <= viewRequestInterval {
 		return false
@@ -34,7 +36,7 @@
 	return true
 }
 
-// requestView requests the complete view of one alive member, drawn at random.
+// requestView requests the complete view of a randomly chosen alive member. It may choose none.
 func (c *Core) requestView() {
 	for slot, id := range c.addresses.memberAt {
 		if m := c.members.get(id); id != 0 && m.State == Alive && c.rng.IntN(2) == 0 {
@@ -46,7 +48,7 @@
 	}
 }
 
-// sendView answers a request with the next pages of the view, this process included.
+// sendView answers a request with the next pages of this process's view, which include its own entry.
 func (c *Core) sendView(slot int) {
 	for range viewPages {
 		d := c.newDatagram()
@@ -58,7 +60,7 @@
 	}
 }
 
-// writePage fills a datagram with the next entries of the view and reports whether it holds all of them.
+// writePage fills datagram d with the next entries of the view and reports whether all entries fitted.
 func (c *Core) writePage(d *datagram) (complete bool) {
 	entries := len(c.members.ids) + 1
 	for range entries {
--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -24,17 +24,18 @@
 	}{{Suspect, 1, 1, true}, {Unreachable, 0, 1, false}, {Gone, 0, 0, false}, {Alive, 1, 0, true}} {
 		table.setState(a, c.to, 2)
 		if table.alive != c.alive || table.suspectOrUnreachable != c.suspectOrUnreachable || (table.digest == alive) != c.sameDigest {
-			t.Errorf("%s: %d alive, %d troubled, digest as when alive: %t", c.to, table.alive, table.suspectOrUnreachable, table.digest == alive)
+			t.Errorf("%s: %d alive, %d suspect or unreachable, digest as when alive %t; want %d, %d, %t",
+				c.to, table.alive, table.suspectOrUnreachable, table.digest == alive, c.alive, c.suspectOrUnreachable, c.sameDigest)
 		}
 	}
 	if table.setIncarnation(a, NewIncarnation(1)+1) || !table.setIncarnation(a, NewIncarnation(2)) {
-		t.Error("an incarnation with a higher counter counts as a restart, or one with a later start does not")
+		t.Error("setIncarnation reports a restart for a higher counter, or none for a later start")
 	}
 	table.setUnanswered(b, 5)
 	table.setUnanswered(a, 6)
 	table.setUnanswered(a, 7)
 	if table.unanswered != 2 || !slices.Equal(table.unheard(), []uint32{20}) {
-		t.Errorf("%d unanswered, unheard %v: a joining member is unanswered, but not listed as unheard", table.unanswered, table.unheard())
+		t.Errorf("%d members unanswered, %v unheard, want 2, [20]: a joining member is not listed as unheard", table.unanswered, table.unheard())
 	}
 }
 
@@ -48,12 +49,12 @@
 		}
 		slices.Sort(round)
 		if !slices.Equal(round, []int{0, 2, 3, 4}) {
-			t.Errorf("a round probes slots %v, expected each but the own once", round)
+			t.Errorf("a round probes slots %v, want each once except the process's own slot 1", round)
 		}
 	}
 	p.removeSlot(4)
 	if slices.Contains(p.slots, 4) {
-		t.Error("a removed slot is still probed")
+		t.Errorf("slot 4 was removed, but the slots to probe are %v", p.slots)
 	}
 }
 
@@ -61,10 +62,10 @@
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 2, 0)
 	own, relayedProbe := p.begin(7, 1, nil), p.begin(7, 1, &relay{slot: 1, sequence: 9})
 	if p.completeProbe(own, 8) != nil || p.completeIndirectProbe(relayedProbe, 7) {
-		t.Error("an ack by another member, or an indirect one for a relayed probe, ends a probe")
+		t.Error("an ack by another member, or an indirect ack of a relayed probe, completes a probe")
 	}
 	if !p.completeIndirectProbe(own, 7) || p.completeProbe(relayedProbe, 7) == nil || len(p.sequences()) > 0 {
-		t.Error("an acked probe is still outstanding")
+		t.Errorf("acked probes do not complete, or are still outstanding: %v", p.sequences())
 	}
 }
 
@@ -72,13 +73,13 @@
 	var h localHealth
 	h.improve()
 	if h.extend(100) != 100 {
-		t.Errorf("a healthy process extends a timeout of 100 to %d", h.extend(100))
+		t.Errorf("healthy process: extend(100) = %d, want 100", h.extend(100))
 	}
 	for range 2 * maxHealth {
 		h.degrade()
 	}
 	if h.extend(100) != 100+100*maxHealth/2 {
-		t.Errorf("at the highest multiplier a timeout of 100 is extended to %d", h.extend(100))
+		t.Errorf("at the highest multiplier extend(100) = %d, want %d", h.extend(100), 100+100*maxHealth/2)
 	}
 }
 
@@ -92,7 +93,7 @@
 			q.spread(2, 6)
 		}
 		first := true
-		q.drain(func(id uint32) bool { // capacity for one
+		q.drain(func(id uint32) bool { // a datagram has room for one update
 			if !first {
 				return false
 			}
@@ -102,7 +103,7 @@
 		})
 	}
 	if sent[1] != 9 || sent[2] != 9 || len(q.items) != 0 {
-		t.Errorf("sent %v, want 9 each", sent)
+		t.Errorf("updates sent by member: %v, %d still queued; want 9 each, 0", sent, len(q.items))
 	}
 }
 
@@ -116,7 +117,7 @@
 		}
 	}
 	if !slices.Equal(due, []string{"3500"}) {
-		t.Errorf("requests at %v ms, expected one, more than 1 s after views began to differ", due)
+		t.Errorf("requests at %v ms, want one at 3500 ms, the first turn more than 1 s after the views began to differ", due)
 	}
 }
 
@@ -132,17 +133,17 @@
 	table.setState(seed, Left, 1)
 	table.setState(other, Left, 1)
 	if reused, again := b.slotFor(addr(3), &table); !added || again || reused != slot || other.Slot != -1 {
-		t.Errorf("slot %d, expected slot %d, which is free again, and not the seed's", reused, slot)
+		t.Errorf("slot %d (added %t), member's slot %d; want the ended member's slot %d (not added), -1", reused, again, other.Slot, slot)
 	}
 	for port := uint16(4); len(b.addresses) < maxSlots; port++ {
 		b.slotFor(addr(port), &table)
 	}
 	if slot, _ := b.slotFor(addr(65000), &table); slot != -1 {
-		t.Errorf("slot %d beyond the bound", slot)
+		t.Errorf("with %d addresses slotFor returns slot %d for a new one, want -1", maxSlots, slot)
 	}
 }
 
-func TestIsolationNoticesPauses(t *testing.T) {
+func TestIsolationDetectsPauses(t *testing.T) {
 	const threshold = 800 * ms
 	for _, c := range []struct {
 		name      string
@@ -157,17 +158,17 @@
 		var i isolation
 		i.start(sec, 5*sec)
 		if gap, paused := i.tick(sec+c.now, 5*sec+c.wall, threshold); paused != c.paused || gap != c.now {
-			t.Errorf("%s: paused %t for %d", c.name, paused, gap)
+			t.Errorf("%s: paused %t, gap %d ns, want %t, %d ns", c.name, paused, gap, c.paused, c.now)
 		}
 	}
 	var i isolation
 	if _, paused := i.receive(sec, threshold); paused {
-		t.Error("paused before the first tick")
+		t.Error("receive reports a pause before the first tick")
 	}
 	i.start(sec, 5*sec)
 	gap, paused := i.receive(3*sec, threshold)
 	i.advancePastPause(3*sec, gap)
 	if _, again := i.tick(3*sec, 7*sec, threshold); !paused || again {
-		t.Errorf("a pause was noticed: %t; and once more at the next tick: %t", paused, again)
+		t.Errorf("pause reported by receive %t, again by the next tick %t, want true, false", paused, again)
 	}
 }
--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a time on the caller's monotonic clock, or a duration, in nanoseconds.
 type Time = int64
 
 const (
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxNameLength = 64
-	maxOverhead   = 64
+	maxNameLength = 64 // bytes
+	maxOverhead   = 64 // bytes
 
 	defaultProbeInterval    = 200 * ms
 	defaultProbeTimeout     = 150 * ms
@@ -23,37 +23,46 @@
 	defaultGoneAfter        = 10 * sec
 )
 
-// Config is what a process is configured with.
+// Config is the configuration of one process.
 type Config struct {
-	Name, Fleet string
-	Incarnation Incarnation // of this process, made from its start; a successor under the same name joins with a newer one
-	Slots       int         // addresses at which members may be, by number
-	OwnSlot     int         // the own one among them; -1: none
-	// Seeds are the addresses of some members, in place of Slots and OwnSlot, where members come and go: the others' are learnt.
-	Seeds     []netip.AddrPort
-	FleetSize int // intended number of members, of which a majority is more than half; 0: as many as Slots
-	Overhead  int // bytes of each datagram that the caller adds, such as a keyed hash; 0 to 64
+	Name, Fleet string // names of this process and of its fleet
+	// Incarnation is made from the start time of this process. A successor under the same name joins
+	// with a newer one.
+	Incarnation Incarnation
+	Slots       int // number of addresses at which members may be
+	OwnSlot     int // slot of this process; -1 if it has none
+	// Seeds are the addresses of some members. If set, Slots and OwnSlot are ignored and the addresses of
+	// the other members are learnt, so that members may come and go.
+	Seeds []netip.AddrPort
+	// FleetSize is the intended number of members. More than half of it is a majority. Zero means the
+	// number of slots.
+	FleetSize int
+	Overhead  int // bytes that the caller adds to each datagram, such as a keyed hash; 0 to 64
 
-	ProbeInterval    Time // between two probes; 0: 200 ms
-	ProbeTimeout     Time // for an answer, before others are requested to probe; 0: 150 ms
-	UnreachableAfter Time // unheard by anybody for so long, lengthened by localHealth and not before minSuspicion, a suspect is unreachable; 0: 2.3 s
-	GoneAfter        Time // unreachable for so long, a member is gone; 0: 10 s
-	Seed             uint64
+	ProbeInterval Time // time between two probes; zero means 200 ms
+	// ProbeTimeout is how long to wait for an answer before requesting indirect probes. Zero means 150 ms.
+	ProbeTimeout Time
+	// UnreachableAfter is how long no process must have heard a suspect before it is unreachable. The
+	// local health multiplier lengthens it, and a suspicion lasts at least minSuspicion. Zero means 2.3 s.
+	UnreachableAfter Time
+	GoneAfter        Time   // how long a member must be unreachable before it is gone; zero means 10 s
+	Seed             uint64 // seed of the random numbers
 
-	// Planted faults: they prove that the simulation's checks find such faults.
+	// IgnoreIncarnation and IgnorePause plant faults, to prove that the simulation's checks find them.
 	IgnoreIncarnation, IgnorePause bool
 }
 
-// withDefaults checks a configuration and fills in what was left out.
+// withDefaults validates a configuration and returns it with defaults for the unset fields.
 func (cfg Config) withDefaults() (Config, error) {
 	if cfg.Name == "" || len(cfg.Name) > maxNameLength {
-		return cfg, fmt.Errorf("membership: a name of %d bytes, 1 to 64 are possible", len(cfg.Name))
+		return cfg, fmt.Errorf("membership: name %q has %d bytes, expected 1 to %d", cfg.Name, len(cfg.Name), maxNameLength)
 	}
 	if len(cfg.Seeds) > 0 {
 		cfg.Slots, cfg.OwnSlot = len(cfg.Seeds), -1
 	}
 	if cfg.Slots < 1 || cfg.OwnSlot >= cfg.Slots || cfg.Overhead < 0 || cfg.Overhead > maxOverhead {
-		return cfg, fmt.Errorf("membership: %d addresses, the own one number %d, %d bytes taken off each datagram", cfg.Slots, cfg.OwnSlot, cfg.Overhead)
+		return cfg, fmt.Errorf("membership: %d slots (at least 1), own slot %d (below the number of slots), overhead of %d bytes (0 to %d)",
+			cfg.Slots, cfg.OwnSlot, cfg.Overhead, maxOverhead)
 	}
 	if cfg.FleetSize < 1 {
 		cfg.FleetSize = cfg.Slots
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -5,24 +5,25 @@
 	"net/netip"
 )
 
-// Effects is what Core has its caller do.
+// Effects is implemented by the caller of Core, which sends datagrams and reports changes through it.
 type Effects interface {
-	Send(slot int, datagram []byte) // the datagram is valid during the call only
-	Changed(c Change)
+	Send(slot int, datagram []byte) // sends to the address of slot; datagram is valid only during the call
+	Changed(c Change)               // is called after each change of the view
 }
 
-// PayloadReceiver is what Effects may implement besides: it receives the data that another process has sent with Core.SendPayload.
+// PayloadReceiver may be implemented by an Effects to receive the data that another process has sent
+// with Core.SendPayload.
 type PayloadReceiver interface {
-	PayloadReceived(from uint32, channel byte, data []byte) // data is valid during the call only
+	PayloadReceived(from uint32, channel byte, data []byte) // data is valid only during the call
 }
 
-// Core is one process's part. It is not safe for concurrent use.
+// Core runs the membership protocol for one process. It is not safe for concurrent use.
 type Core struct {
 	cfg         Config
 	effects     Effects
 	rng         *rand.Rand
-	selfID      uint32 // the name, hashed
-	fleet       uint32 // the fleet's name, hashed
+	selfID      uint32 // hash of this process's name
+	fleet       uint32 // hash of the fleet's name
 	incarnation Incarnation
 	now         Time
 	hasLeft     bool
@@ -34,11 +35,11 @@
 	antiEntropy antiEntropy
 	isolation   isolation
 
-	lastRejection Time // when a rejection was last sent; 0: never
+	lastRejection Time // when a rejection was last sent; zero if never
 	counts        Counts
 }
 
-// New makes a process's part. The error says what of the configuration cannot be used.
+// New returns a Core for one process. It returns an error if the configuration is invalid.
 func New(cfg Config, effects Effects) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -59,7 +60,8 @@
 	}, nil
 }
 
-// Tick must be called every 50 ms or so; wall is the wall clock, in Unix nanoseconds. A gap between two calls shows that the process slept.
+// Tick sends probes and updates the states of members. The caller must call it about every 50 ms; wall
+// is the wall clock, in Unix nanoseconds. A longer gap between two calls shows that the process was paused.
 func (c *Core) Tick(now, wall Time) {
 	c.now = now
 	if !c.isolation.started {
@@ -80,9 +82,11 @@
 	}
 }
 
+// pauseThreshold returns the gap between two ticks above which this process was paused.
 func (c *Core) pauseThreshold() Time { return minPauseIntervals * c.cfg.ProbeInterval }
 
-// resumeAfterPause discounts the time in which this process slept: that it heard nothing then says nothing of the others.
+// resumeAfterPause discounts gap, the time for which this process was paused: that it heard nothing
+// during a pause proves nothing about the others.
 func (c *Core) resumeAfterPause(gap Time) {
 	c.counts.Pauses++
 	c.isolation.noSuspicionBefore = c.now + noSuspicionAfterPause
@@ -95,13 +99,14 @@
 			c.markAlive(m, reasonOwnPause)
 		}
 	}
-	// A newer incarnation refutes what others have concluded meanwhile, before this process has even heard of it.
+	// A newer incarnation refutes in advance what others may have concluded during the pause.
 	c.incarnation++
 	c.spread(c.selfID)
 	c.prober.nextProbe = c.now
 }
 
-// Leave announces the graceful shutdown of this process to some members, whose gossip spreads it; from then on it probes nobody.
+// Leave announces the graceful shutdown of this process to some members, whose gossip spreads it.
+// Afterwards this process sends no more probes.
 func (c *Core) Leave(now Time) {
 	const announcements = 4 * indirectProbes
 	c.now = max(c.now, now)
@@ -116,8 +121,9 @@
 	}
 }
 
-// SendPayload sends another package's data to a member whose address is known: at most MaxPayload bytes, once, and they may be lost. The
-// channel says whose data it is.
+// SendPayload sends data of another package, identified by channel, to the member with ID to. data has
+// at most MaxPayload bytes. It is sent once and may be lost. SendPayload drops it if it is too long, the
+// member's slot is not known, or this process has left.
 func (c *Core) SendPayload(now Time, to uint32, channel byte, data []byte) {
 	c.now = max(c.now, now)
 	if slot := c.SlotOf(to); slot >= 0 && !c.hasLeft {
@@ -127,18 +133,19 @@
 	}
 }
 
-// Quorum says whether more than half of the fleet is alive in this process's view, itself included, and it hears somebody.
+// Quorum reports whether this process hears other members and sees more than half of the fleet alive or
+// suspect, itself included. A fleet of one always has a quorum.
 func (c *Core) Quorum() bool {
 	return 2*(1+c.members.alive) > c.cfg.FleetSize && (c.cfg.FleetSize == 1 || !c.isolation.hearsNothing(c.now))
 }
 
-// FleetSize is how many members the fleet is intended to have.
+// FleetSize returns the intended number of members.
 func (c *Core) FleetSize() int { return c.cfg.FleetSize }
 
-// Address is the address of a slot, where addresses are learnt.
+// Address returns the address of a slot. It may be called only if Config.Seeds is set.
 func (c *Core) Address(slot int) netip.AddrPort { return c.addresses.addresses[slot] }
 
-// SlotOf is a member's slot, by its id; below 0 where that is not known.
+// SlotOf returns the slot of the member with an ID, or -1 if it is not known.
 func (c *Core) SlotOf(id uint32) int {
 	if m := c.members.get(id); m != nil {
 		return m.Slot
@@ -146,20 +153,20 @@
 	return -1
 }
 
-// View is the members as this process sees them, itself left out, by id.
+// View returns the other members as this process sees them, sorted by ID.
 func (c *Core) View() []Member { return c.members.members() }
 
-// Version rises with each change of the view.
+// Version returns a number that rises with each change of the view.
 func (c *Core) Version() uint64 { return c.members.version }
 
-// Digest is equal at processes whose views are equal, each counting itself as the others do.
+// Digest returns a digest of the view and this process itself. Processes with equal views have equal digests.
 func (c *Core) Digest() uint32 {
 	self := member{Member: Member{ID: c.selfID, State: Alive, Incarnation: c.incarnation}}
 	return c.members.digest ^ self.digest()
 }
 
-// Incarnation is this process's own.
+// Incarnation returns the incarnation of this process.
 func (c *Core) Incarnation() Incarnation { return c.incarnation }
 
-// Counts are what was sent and received so far.
+// Counts returns the counts since New.
 func (c *Core) Counts() Counts { return c.counts }
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
+// recordingEffects records the datagrams that a Core sends.
 type recordingEffects struct{ sent [][]byte }
 
 func (s *recordingEffects) Send(_ int, d []byte) { s.sent = append(s.sent, append([]byte(nil), d...)) }
 func (s *recordingEffects) Changed(Change)       {}
 
+// newTestCore returns the Core of a process at slot 0 of a fleet of three, after its first tick.
 func newTestCore(t testing.TB, name string) (*Core, *recordingEffects) {
 	t.Helper()
 	s := &recordingEffects{}
@@ -23,8 +25,8 @@
 	return c, s
 }
 
-// datagramWithAllParts is a datagram with every kind of part.
-func datagramWithAllParts() []byte {
+// fullDatagram returns a full datagram of fleet f with parts of most kinds.
+func fullDatagram() []byte {
 	d := &datagram{}
 	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagram)
 	d.ping(1)
@@ -39,9 +41,9 @@
 	return d.bytes()
 }
 
-// FuzzReceive: no datagram makes Receive panic, and a malformed one changes nothing.
+// FuzzReceive checks that no datagram makes Receive panic and that a rejected one does not change the view.
 func FuzzReceive(f *testing.F) {
-	valid := datagramWithAllParts()
+	valid := fullDatagram()
 	for n := range len(valid) {
 		f.Add(valid[:n])
 	}
@@ -56,49 +58,50 @@
 		before := c.Digest()
 		err := c.Receive(int64(time.Second), 1, in)
 		if err != nil && (c.Digest() != before || len(c.View()) > 0) {
-			t.Fatalf("a datagram was rejected (%v), and the view has changed", err)
+			t.Fatalf("Receive(%x) rejected the datagram (%v) but changed the view", in, err)
 		}
 		c.Tick(int64(time.Second), int64(time.Second))
 		for _, d := range s.sent {
 			if len(d) > MaxDatagram {
-				t.Fatalf("a datagram of %d bytes was sent", len(d))
+				t.Fatalf("after Receive(%x) a datagram of %d bytes was sent, want at most %d", in, len(d), MaxDatagram)
 			}
-			// A rejection of another fleet's datagram is sent in that fleet's name.
+			// The rejection of a datagram of another fleet contains that fleet.
 			if _, _, err := decodeHeader(d, binary.BigEndian.Uint32(d[1:])); err != nil {
-				t.Fatalf("a datagram was sent that cannot be decoded: %v", err)
+				t.Fatalf("after Receive(%x) datagram %x was sent, which cannot be decoded: %v", in, d, err)
 			}
 		}
 	})
 }
 
-// TestUnusableDatagramsAreCounted: datagrams of another version or fleet, or under a name in use, are rejected with an error that says so.
+// TestUnusableDatagramsAreCounted checks that datagrams of another version or fleet, or under a name in
+// use, are counted and rejected with the matching error.
 func TestUnusableDatagramsAreCounted(t *testing.T) {
 	c, _ := newTestCore(t, "me")
-	old := datagramWithAllParts()
+	old := fullDatagram()
 	old[0] = formatVersion + 1
 	if err := c.Receive(1, 1, old); err != ErrVersion || c.Counts().OtherVersion != 1 {
-		t.Error(err)
+		t.Errorf("datagram of another version: error %v, counted %d times, want %v, once", err, c.Counts().OtherVersion, ErrVersion)
 	}
 	d := &datagram{}
 	d.begin(header{ID("fleet g"), ID("other"), 1, 0}, MaxDatagram)
 	if err := c.Receive(1, 1, d.bytes()); err != ErrFleet || c.Counts().OtherFleet != 1 {
-		t.Error(err)
+		t.Errorf("datagram of another fleet: error %v, counted %d times, want %v, once", err, c.Counts().OtherFleet, ErrFleet)
 	}
 	d.begin(header{ID("fleet f"), ID("me"), NewIncarnation(1), 0}, MaxDatagram)
 	if err := c.Receive(1, 1, d.bytes()); err == nil || c.Counts().NameConflicts != 1 {
-		t.Error("another process under this process's name is admitted")
+		t.Errorf("another process under this process's name: error %v, counted %d times, want an error, once", err, c.Counts().NameConflicts)
 	}
-	// Two processes under one name at two slots: the one that is alive stays.
+	// Two processes use one name at two slots: the one that is alive keeps it.
 	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(1), 0}, MaxDatagram)
 	if err := c.Receive(1, 1, d.bytes()); err != nil {
 		t.Fatal(err)
 	}
 	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(2), 0}, MaxDatagram)
 	if err := c.Receive(2, 2, d.bytes()); err == nil || c.View()[0].Slot != 1 {
-		t.Error("a second process under a live member's name is admitted")
+		t.Errorf("second process at slot 2 under a live member's name: error %v, member at slot %d, want an error, slot 1", err, c.View()[0].Slot)
 	}
-	if err := c.Receive(3, 9, datagramWithAllParts()); err == nil {
-		t.Error("a datagram from an unknown slot is accepted")
+	if err := c.Receive(3, 9, fullDatagram()); err == nil {
+		t.Error("Receive accepted a datagram from slot 9 of 3 slots")
 	}
 }
 
@@ -111,7 +114,7 @@
 	}
 	c.Receive(1, 1, d.bytes())
 	if n := testing.AllocsPerRun(100, func() { c.Receive(2, 1, d.bytes()) }); n > 0 {
-		t.Errorf("%.0f allocations", n)
+		t.Errorf("Receive makes %.0f allocations, want 0", n)
 	}
 }
 
@@ -127,7 +130,8 @@
 	}
 }
 
-// TestSeal: datagrams under another key, truncated, altered or replayed are rejected; during a change of keys either key opens.
+// TestSeal checks that datagrams under another key and truncated, altered or replayed ones are rejected,
+// and that either key opens during a key change.
 func TestSeal(t *testing.T) {
 	oldKey, newKey := []byte("0123456789abcdef"), []byte("fedcba9876543210")
 	seal := func(keys ...[]byte) *Seal {
@@ -142,26 +146,27 @@
 	first := append([]byte(nil), seal(oldKey).Seal(d.bytes())...)
 	for name, s := range map[string]*Seal{"same key": seal(oldKey), "new key first": seal(newKey, oldKey), "new key second": seal(oldKey, newKey)} {
 		if got, err := s.Open(first); err != nil || string(got) != string(d.bytes()) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Open = %x, %v, want %x", name, got, err, d.bytes())
 		}
 		if _, err := s.Open(first); err != ErrReplay {
-			t.Errorf("%s: replayed: %v", name, err)
+			t.Errorf("%s: replayed datagram: error %v, want %v", name, err, ErrReplay)
 		}
 	}
 	if _, err := seal(newKey).Open(first); err != ErrUnknownKey {
-		t.Errorf("under another key: %v", err)
+		t.Errorf("datagram under another key: error %v, want %v", err, ErrUnknownKey)
 	}
 	for i := range first {
 		bad := append([]byte(nil), first...)
 		bad[i] ^= 1
 		if _, err := seal(oldKey).Open(bad); err == nil {
-			t.Fatalf("a datagram with byte %d altered is accepted", i)
+			t.Fatalf("Open accepted a datagram with byte %d altered", i)
 		}
 		if _, err := seal(oldKey).Open(first[:i]); err == nil {
-			t.Fatalf("a datagram truncated to %d bytes is accepted", i)
+			t.Fatalf("Open accepted a datagram truncated to %d bytes", i)
 		}
 	}
-	// Datagrams out of order within the window are accepted once each; one further behind may be a replay, and is rejected.
+	// Datagrams that arrive out of order within the window are accepted once each. A datagram below the
+	// window may be a replay and is rejected.
 	from, to := seal(oldKey), seal(oldKey)
 	var sent [][]byte
 	for range 100 {
@@ -169,23 +174,24 @@
 	}
 	for _, i := range []int{5, 3, 4, 60, 59} {
 		if _, err := to.Open(sent[i]); err != nil {
-			t.Errorf("datagram %d, out of order: %v", i, err)
+			t.Errorf("datagram %d, out of order within the window: %v", i, err)
 		}
 	}
 	to.Open(sent[99])
 	for _, i := range []int{3, 59, 10} {
 		if _, err := to.Open(sent[i]); err != ErrReplay {
-			t.Errorf("datagram %d, replayed or beyond the window: %v", i, err)
+			t.Errorf("datagram %d, replayed or below the window: error %v, want %v", i, err, ErrReplay)
 		}
 	}
 	for _, keys := range [][][]byte{{}, {[]byte("short")}, {oldKey, newKey, oldKey}} {
 		if _, err := NewSeal(keys...); err == nil {
-			t.Errorf("%d keys are accepted", len(keys))
+			t.Errorf("NewSeal(%q) succeeded, want an error", keys)
 		}
 	}
 }
 
-// TestRejectedProcessLearnsWhy: a rejection is sent once a second at most, and its receiver reports the reason.
+// TestRejectedProcessLearnsWhy checks that at most one rejection per second is sent and that the rejected
+// process reports the reason.
 func TestRejectedProcessLearnsWhy(t *testing.T) {
 	c, s := newTestCore(t, "me")
 	other, err := New(Config{Name: "other", Fleet: "g", Incarnation: NewIncarnation(1), Slots: 3, OwnSlot: 1}, &recordingEffects{})
@@ -196,9 +202,9 @@
 	c.Receive(int64(time.Second), 1, other.newDatagram().bytes())
 	c.Receive(int64(time.Second)+1, 1, other.newDatagram().bytes())
 	if len(s.sent) != 1 {
-		t.Fatalf("%d rejections of two datagrams within a second, expected 1", len(s.sent))
+		t.Fatalf("two datagrams of another fleet within a second caused %d rejections, want 1", len(s.sent))
 	}
 	if err := other.Receive(2, 0, s.sent[0]); err == nil || !strings.Contains(err.Error(), "another fleet") {
-		t.Errorf("the rejected process's error is %v", err)
+		t.Errorf("error of the rejected process is %v, want one that contains \"another fleet\"", err)
 	}
 }
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -5,8 +5,8 @@
 	"net/netip"
 )
 
-// decodeHeader checks a datagram's header and all of its parts, so that nothing of a malformed one is acted on. The header is valid with
-// ErrFleet, too.
+// decodeHeader decodes a datagram's header and checks all of its parts, so that no part of a malformed
+// datagram takes effect. The header is also valid if the error is ErrFleet.
 func decodeHeader(b []byte, fleet uint32) (header, parts, error) {
 	if len(b) < 1 || len(b) > MaxDatagram {
 		return header{}, nil, ErrMalformed
@@ -35,15 +35,15 @@
 	return h, all, nil
 }
 
-// parts are those of a datagram that are not yet read. Reading copies and allocates nothing.
+// parts holds the parts of a datagram that are not yet read. Reading them neither copies nor allocates.
 type parts []byte
 
-// part is one part, its kind included; the decode functions read the fields of each kind.
+// part is one part of a datagram, including its kind. The decode functions read the fields of each kind.
 type part []byte
 
 func (p part) kind() partKind { return partKind(p[0]) }
 
-// next cuts off the first part; false: what follows is malformed.
+// next removes and returns the first part. It returns false if that part is malformed. p must not be empty.
 func (p *parts) next() (part, bool) {
 	b := []byte(*p)
 	n := partLength(b)
@@ -58,7 +58,7 @@
 	return first, true
 }
 
-// partLength is how long the first part of b says that it is, in bytes; 0: it is malformed.
+// partLength returns the length in bytes that the first part of b declares, or 0 if it is malformed.
 func partLength(b []byte) int {
 	switch partKind(b[0]) {
 	case partPing, partAck:
@@ -89,22 +89,22 @@
 	return 0
 }
 
-// relayed is a request for an indirect probe, or its result.
+// relayed is a request for an indirect probe, or the result of one.
 type relayed struct{ sequence, target uint32 }
 
-// memberAddress is where a member is.
+// memberAddress is the address of a member.
 type memberAddress struct {
 	member  uint32
 	address netip.AddrPort
 }
 
-// carriedData is another package's.
+// carriedData is the data of another package.
 type carriedData struct {
 	channel byte
 	data    []byte
 }
 
-// decodeSequence reads a ping or an ack.
+// decodeSequence returns the sequence number of a ping or an ack.
 func decodeSequence(p part) uint32 { return binary.BigEndian.Uint32(p[1:]) }
 
 func decodeRelayed(p part) relayed {
@@ -120,7 +120,7 @@
 	}
 }
 
-// decodeUnheard appends the members that a part lists to ids.
+// decodeUnheard appends the IDs of the members that a part lists as unheard to ids.
 func decodeUnheard(p part, ids []uint32) []uint32 {
 	for b := p[unheardHeaderLength:]; len(b) >= 4; b = b[4:] {
 		ids = append(ids, binary.BigEndian.Uint32(b))
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -2,14 +2,16 @@
 
 import "math/bits"
 
-// suspicionStep is how long a suspicion lasts at least, for each doubling of the fleet and once more: gossip needs O(log n) rounds to reach
-// those that have heard the suspect, and as many for their refutation.
+// suspicionStep is the unit of minSuspicion: a suspicion lasts at least one step, plus one for each
+// doubling of the fleet. Gossip needs O(log n) rounds to reach the processes that have heard the
+// suspect, and as many for their refutation.
 const suspicionStep = 250 * ms
 
-// minSuspicion is the least time that a member stays suspect in a view of a size.
+// minSuspicion returns the minimum time for which a member stays suspect in a view of members entries.
 func minSuspicion(members int) Time { return suspicionStep * Time(1+bits.Len(uint(members))) }
 
-// probeNext probes the next slot in turn, also one at which no member is known: that is how members find each other.
+// probeNext probes the next slot in turn. It also probes slots at which no member is known, so that
+// members find each other.
 func (c *Core) probeNext() {
 	for range c.prober.slots {
 		slot := c.prober.nextSlot()
@@ -31,13 +33,14 @@
 	}
 }
 
-// probeNow probes a member out of turn.
+// probeNow probes a member out of turn if its slot is known.
 func (c *Core) probeNow(m *member) {
 	if m.Slot >= 0 {
 		c.sendProbe(m, nil)
 	}
 }
 
+// sendProbe probes a member on behalf of requester, or for this process itself if requester is nil.
 func (c *Core) sendProbe(m *member, requester *relay) {
 	sequence := c.prober.begin(m.ID, c.now, requester)
 	d := c.newDatagram()
@@ -45,7 +48,8 @@
 	c.send(m.Slot, d)
 }
 
-// expireProbes acts on the outstanding probes that took too long: first others are requested to probe the target, then it is suspected.
+// expireProbes handles the outstanding probes that have timed out: it first requests indirect probes of
+// the target, and then suspects it.
 func (c *Core) expireProbes() {
 	for _, sequence := range c.prober.sequences() {
 		p := c.prober.outstanding[sequence]
@@ -65,7 +69,7 @@
 	}
 }
 
-// probeUnanswered has others probe a member that did not answer this process.
+// probeUnanswered requests indirect probes of a member that did not answer this process.
 func (c *Core) probeUnanswered(p *probe, sequence uint32) {
 	p.indirect = true
 	if m := c.members.get(p.target); m != nil && m.unansweredSince == 0 {
@@ -74,7 +78,7 @@
 	c.requestIndirectProbes(relayed{sequence: sequence, target: p.target})
 }
 
-// requestIndirectProbes has some members that are heard, drawn at random, probe one that did not answer.
+// requestIndirectProbes asks randomly chosen members that answer this process to probe one that did not.
 func (c *Core) requestIndirectProbes(r relayed) {
 	var candidates []int
 	for slot, id := range c.addresses.memberAt {
@@ -91,7 +95,7 @@
 	}
 }
 
-// indirectProbesFailed suspects a member that answered nobody, unless somebody has heard it meanwhile.
+// indirectProbesFailed suspects a member that answered no process, unless one has heard it since the probe.
 func (c *Core) indirectProbesFailed(p *probe) {
 	m := c.members.get(p.target)
 	if m == nil {
@@ -103,11 +107,11 @@
 		c.spread(m.ID)
 	}
 	if c.now-c.isolation.lastHeard > 2*c.cfg.ProbeInterval {
-		c.prober.health.degrade() // nothing arrives at all: the fault may be here
+		c.prober.health.degrade() // no datagrams arrive at all: the fault may be at this process
 	}
 }
 
-// reviewSuspectOrUnreachable moves suspect and unreachable members to their next state once their time has passed.
+// reviewSuspectOrUnreachable moves suspect and unreachable members to their next state when it is due.
 func (c *Core) reviewSuspectOrUnreachable() {
 	if !c.Quorum() {
 		c.isolation.lastMinority = c.now
@@ -131,9 +135,9 @@
 	case unheard < c.cfg.ProbeInterval:
 		c.markAlive(m, reasonHeardAgain)
 	case unheard <= c.prober.health.extend(c.cfg.UnreachableAfter) || c.now-m.suspectedAt <= minSuspicion(len(c.members.ids)):
-		// it still has time to refute the suspicion
+		// The member still has time to refute the suspicion.
 	case c.isolation.hearsNothing(c.now):
-		// Not spread: the others must not follow a process that may be the one cut off.
+		// This change is not gossiped: the others must not follow a process that may itself be cut off.
 		c.markUnreachable(m, reasonIsolated)
 	default:
 		c.markUnreachable(m, reasonHeardByNobody)
@@ -141,8 +145,9 @@
 	}
 }
 
-// reviewUnreachable gives a member up that has been unreachable for long while this process saw a majority alive. No vote is taken: one process
-// decides, and a process in a minority must not, as it may be on the side cut off.
+// reviewUnreachable marks a member as gone that has been unreachable for GoneAfter while this process saw
+// a majority alive. There is no vote: a single process decides. A process in a minority must not decide,
+// as it may be on the side that is cut off.
 func (c *Core) reviewUnreachable(m *member) {
 	if c.now-max(m.stateSince, c.isolation.lastMinority) > c.cfg.GoneAfter {
 		c.markGone(m, reasonUnreachableTooLong)
@@ -150,13 +155,13 @@
 	}
 }
 
-// markAlive ends a suspicion.
+// markAlive marks a member as alive and ends its suspicion.
 func (c *Core) markAlive(m *member, reason ChangeReason) {
 	m.suspectedAt = 0
 	c.setState(m, Alive, reason)
 }
 
-// markSuspect begins a suspicion, which the member may refute for minSuspicion.
+// markSuspect starts a suspicion, which the member can refute for at least minSuspicion.
 func (c *Core) markSuspect(m *member, reason ChangeReason) {
 	m.suspectedAt = c.now
 	c.setState(m, Suspect, reason)
@@ -168,14 +173,14 @@
 
 func (c *Core) markLeft(m *member) { c.setState(m, Left, reasonAnnouncedShutdown) }
 
-// refute answers an accusation of this process with an incarnation newer than the accused one.
+// refute gossips an incarnation newer than accused, to refute what others report about this process.
 func (c *Core) refute(accused Incarnation) {
 	c.incarnation = accused + 1
 	c.counts.Refutations++
 	c.spread(c.selfID)
 }
 
-// setState changes a member's state and reports it.
+// setState changes a member's state and reports the change. It does nothing if the state is the same.
 func (c *Core) setState(m *member, to State, reason ChangeReason) {
 	from := m.State
 	if from == to {
@@ -185,7 +190,7 @@
 	c.effects.Changed(Change{m.Name, m.ID, from, to, m.Incarnation, c.members.version, reason})
 }
 
-// raiseIncarnation records a member's newer incarnation, and reports a restart.
+// raiseIncarnation records a newer incarnation of a member and reports the change if it has restarted.
 func (c *Core) raiseIncarnation(m *member, to Incarnation) {
 	if to == m.Incarnation || to < m.Incarnation && !c.cfg.IgnoreIncarnation {
 		return
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -3,20 +3,21 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"net/netip"
 )
 
-// MaxDatagram is the longest datagram, in bytes.
+// MaxDatagram is the maximum length of a datagram, in bytes.
 const MaxDatagram = 256
 
-// formatVersion begins each datagram; one of another version is counted and ignored. It differs from the first byte of the decision
-// module's messages, with which datagrams may share a socket.
+// formatVersion is the first byte of each datagram. Datagrams of another version are counted and ignored.
+// It differs from the first byte of the decision module's messages, which may share the socket.
 const formatVersion = 0x11
 
-// IsMembershipDatagram says whether a datagram can be one of this package's, of any version.
+// IsMembershipDatagram reports whether b may be a datagram of this package, of any version.
 func IsMembershipDatagram(b []byte) bool { return len(b) > 0 && b[0]&0xf0 == formatVersion&0xf0 }
 
-// partKind says what a part of a datagram is; any number of parts follow the header.
+// partKind is the kind of a part of a datagram. Any number of parts follow the header.
 type partKind byte
 
 const (
@@ -24,16 +25,16 @@
 	partAck         partKind = 2  // sequence: the answer to a probe
 	partPingRequest partKind = 3  // sequence, target: probe the target on the sender's behalf
 	partIndirectAck partKind = 4  // sequence, target: the target has answered
-	partUpdate      partKind = 5  // what the sender knows of one member
+	partUpdate      partKind = 5  // what the sender knows about one member
 	partUnheard     partKind = 6  // the members that the sender does not hear
-	partViewRequest partKind = 7  // send the complete view
-	partName        partKind = 8  // the sender's name, of which its id is the hash
+	partViewRequest partKind = 7  // request for the complete view
+	partName        partKind = 8  // the sender's name, whose hash is its ID
 	partRejected    partKind = 9  // why the receiver is not admitted
-	partAddress     partKind = 10 // a member's address, where addresses are learnt
-	partCarried     partKind = 11 // another package's data for its counterpart at the receiver
+	partAddress     partKind = 10 // a member's address, if addresses are learnt
+	partCarried     partKind = 11 // data of another package for its counterpart at the receiver
 )
 
-// Lengths in bytes, a part's kind included; those with "header" precede data of variable length.
+// Lengths in bytes, including the kind of a part. Data of variable length follow the part headers.
 const (
 	headerLength        = 1 + 4 + 4 + 8 + 4
 	sequenceLength      = 1 + 4
@@ -47,22 +48,23 @@
 	carriedHeaderLength = 3
 )
 
-// maxUnheardListed bounds how many members a datagram lists as unheard.
+// maxUnheardListed is the maximum number of members that a process lists as unheard in a datagram.
 const maxUnheardListed = 8
 
-// MaxPayload is how many bytes of another package's a datagram can carry, with an overhead in bytes that the caller adds.
+// MaxPayload returns how many bytes of another package's data fit a datagram to which the caller adds
+// overhead bytes.
 func MaxPayload(overhead int) int {
 	return MaxDatagram - overhead - headerLength - carriedHeaderLength
 }
 
-// Errors of Receive and of Seal.Open.
+// Errors that Core.Receive returns. Seal.Open returns ErrMalformed, too.
 var (
 	ErrMalformed = errors.New("malformed datagram")
 	ErrVersion   = errors.New("datagram of another version")
 	ErrFleet     = errors.New("datagram of another fleet")
 )
 
-// Rejection is why a process is not admitted, as datagrams carry it.
+// Rejection is the reason for which a process is not admitted, as encoded in datagrams.
 type Rejection byte
 
 const (
@@ -70,7 +72,7 @@
 	rejectedName  Rejection = 2
 )
 
-// String is the reason as the log has it.
+// String returns the reason as it appears in the log.
 func (r Rejection) String() string {
 	switch r {
 	case rejectedFleet:
@@ -81,7 +83,7 @@
 	return "unknown"
 }
 
-// description is the reason as an error of the rejected process says it.
+// description returns the reason in words, for the error that the rejected process reports.
 func (r Rejection) description() string {
 	switch r {
 	case rejectedFleet:
@@ -89,32 +91,34 @@
 	case rejectedName:
 		return "its name is in use by a live member"
 	}
-	return "for a reason that is not known here"
+	return fmt.Sprintf("unknown reason %d", byte(r))
 }
 
-// MemberUpdate is one member's state as another member, or itself, gossips it.
+// MemberUpdate is the state of a member as another member, or the member itself, gossips it.
 type MemberUpdate struct {
 	ID          uint32
 	State       State
 	Incarnation Incarnation
-	// Age is how long ago anybody last heard the member, in milliseconds, when the datagram is sent; at most 65,535.
+	// Age is the time since any process last heard the member, in milliseconds, at the time of sending.
+	// It is at most 65,535.
 	Age uint16
 }
 
-// header begins each datagram, behind the version.
+// header follows the version at the start of each datagram.
 type header struct {
 	fleet, sender uint32
 	incarnation   Incarnation // the sender's
 	digest        uint32      // of the sender's view
 }
 
-// datagram is one that is being written. The zero value has no header: see begin.
+// datagram is a datagram under construction. begin must be called first, to write the header.
 type datagram struct {
 	buffer [MaxDatagram]byte
 	length int
-	limit  int // on length: what the caller adds comes behind
+	limit  int // maximum of length, which leaves room for the overhead that the caller adds
 }
 
+// begin writes the header. limit is the maximum length of the datagram in bytes.
 func (d *datagram) begin(h header, limit int) {
 	d.limit = limit
 	d.buffer[0] = formatVersion
@@ -125,7 +129,7 @@
 	d.length = headerLength
 }
 
-// bytes is what is written so far.
+// bytes returns the datagram as written so far.
 func (d *datagram) bytes() []byte { return d.buffer[:d.length] }
 
 func (d *datagram) fits(n int) bool { return d.length+n <= d.limit }
@@ -168,7 +172,7 @@
 	return true
 }
 
-// unheard writes the members that the sender does not hear, as many as fit and 255 at most.
+// unheard writes the IDs of the members that the sender does not hear: as many as fit, at most 255.
 func (d *datagram) unheard(ids []uint32) {
 	if !d.fits(unheardHeaderLength) {
 		return
@@ -189,7 +193,7 @@
 	}
 }
 
-// address writes a member's address; one that is not IPv4 has no form here and is left out.
+// address writes the address of a member. It omits addresses other than IPv4, which the format cannot hold.
 func (d *datagram) address(id uint32, a netip.AddrPort) {
 	if !a.Addr().Is4() || !d.fits(addressLength) {
 		return
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// gossipItem is a member about which updates still have to be sent.
+// gossipItem is a member whose update still has to be sent sendsLeft times.
 type gossipItem struct {
 	member    uint32
 	sendsLeft int
 }
 
-// gossipQueue is the updates that go out on the next datagrams, the least often sent first.
+// gossipQueue holds the members whose updates go out with the next datagrams, the least often sent first.
 type gossipQueue struct{ items []gossipItem }
 
-// spread has a member's update sent as often as it takes to reach a fleet of a size: epidemic broadcast needs O(log n) sends a process.
+// spread queues the update of a member as often as needed to reach a fleet of members processes:
+// epidemic broadcast needs O(log n) sends per process.
 func (q *gossipQueue) spread(id uint32, members int) {
 	sends := 3 * int(math.Ceil(math.Log2(float64(members+2))))
 	for i := range q.items {
@@ -27,7 +28,8 @@
 	q.items = append(q.items, gossipItem{id, sends})
 }
 
-// drain offers each item to write, which reports whether the item fitted, and drops what has been sent often enough.
+// drain calls write for each queued member and removes those whose update has been sent often enough.
+// write reports whether the update fitted the datagram.
 func (q *gossipQueue) drain(write func(id uint32) bool) {
 	slices.SortStableFunc(q.items, func(a, b gossipItem) int { return cmp.Compare(b.sendsLeft, a.sendsLeft) })
 	remaining := q.items[:0]
@@ -42,10 +44,10 @@
 	q.items = remaining
 }
 
-// spread has the next datagrams carry what is known of a member.
+// spread queues what this process knows about a member for the next datagrams.
 func (c *Core) spread(id uint32) { c.gossip.spread(id, len(c.members.ids)) }
 
-// updateFor is what this process knows of a member now.
+// updateFor returns what this process knows about a member now.
 func (c *Core) updateFor(id uint32) MemberUpdate {
 	if id == c.selfID {
 		s := Alive
@@ -59,7 +61,8 @@
 	return MemberUpdate{ID: id, State: m.State, Incarnation: m.Incarnation, Age: uint16(max(0, age))}
 }
 
-// writeUpdate writes what is known of a member, with its address where addresses are learnt, and reports whether it fitted.
+// writeUpdate writes what is known about a member and reports whether it fitted. If addresses are learnt,
+// it adds the member's address.
 func (c *Core) writeUpdate(d *datagram, id uint32) bool {
 	if !d.update(c.updateFor(id)) {
 		return false
@@ -71,14 +74,14 @@
 	return true
 }
 
-// newDatagram begins a datagram with this process's header.
+// newDatagram returns a datagram with this process's header.
 func (c *Core) newDatagram() *datagram {
 	d := &datagram{}
 	d.begin(header{fleet: c.fleet, sender: c.selfID, incarnation: c.incarnation, digest: c.Digest()}, MaxDatagram-c.cfg.Overhead)
 	return d
 }
 
-// send fills a datagram with the members that this process does not hear and with gossip, and sends it.
+// send adds the unheard members and as much gossip as fits to a datagram, and sends it.
 func (c *Core) send(slot int, d *datagram) {
 	if d.fits(unheardHeaderLength + 4*maxUnheardListed) {
 		d.unheard(c.members.unheard())
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -1,6 +1,6 @@
 package membership
 
-// handlePart acts on one part of a member's datagram.
+// handlePart handles one part of a member's datagram.
 func (c *Core) handlePart(from *member, slot int, p part) {
 	switch p.kind() {
 	case partPing:
@@ -34,7 +34,7 @@
 	d := c.newDatagram()
 	d.ack(sequence)
 	if from.Name == "" {
-		d.name(c.cfg.Name) // neither knows the other's name yet
+		d.name(c.cfg.Name) // the sender may not know this process's name either
 	}
 	c.send(slot, d)
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// handleAddress learns where a member is that is known by gossip alone, and probes it.
+// handleAddress learns the address of a member that is known only by gossip, and probes the member.
 func (c *Core) handleAddress(a memberAddress) {
 	m := c.members.get(a.member)
 	if m == nil || m.Slot >= 0 || !c.addresses.learnsAddresses() || m.State.ended() {
@@ -90,7 +90,7 @@
 	newer := incarnation > m.Incarnation
 	c.raiseIncarnation(m, incarnation)
 	if m.State.ended() && !newer {
-		// The member must learn that it was given up: it refutes that by a newer incarnation.
+		// The member must learn that it is seen as gone, so that it refutes this with a newer incarnation.
 		if m.State == Gone {
 			c.spread(m.ID)
 		}
@@ -103,7 +103,7 @@
 	c.markAlive(m, reasonHeard)
 }
 
-// handleIndirectContact records that another has heard a member at a time.
+// handleIndirectContact records that another process heard a member at the given time.
 func (c *Core) handleIndirectContact(m *member, at Time) {
 	m.HeardByAny = max(m.HeardByAny, at)
 	fresh := c.now-m.HeardByAny < c.cfg.UnreachableAfter/2
--- a/internal/fleet/membership/isolation.go
+++ b/internal/fleet/membership/isolation.go
@@ -1,31 +1,35 @@
 package membership
 
 const (
-	// isolatedAfter is how long nothing at all may arrive before a process assumes that it is the one cut off.
+	// isolatedAfter is how long no datagram may arrive before a process assumes that it is cut off itself.
 	isolatedAfter = sec
-	// noSuspicionAfterPause is how long a process that slept probes before it may suspect others.
+	// noSuspicionAfterPause is how long a process probes after a pause before it may suspect others.
 	noSuspicionAfterPause = 1500 * ms
-	// minPauseIntervals is how many probe intervals a gap between two calls lasts at least to be a pause of this process.
+	// minPauseIntervals is the gap between two calls, in probe intervals, above which this process was paused.
 	minPauseIntervals = 4
 )
 
-// isolation says how far a process may trust its own silence: whether it slept, hears nothing, or lacks a majority.
+// isolation tracks whether this process was paused, hears nothing, or lacks a majority. In these cases
+// the silence of the others proves nothing about them.
 type isolation struct {
-	started           bool
-	lastTick          Time
-	lastWall          Time // the wall clock at lastTick
-	lastHeard         Time // when any datagram last arrived
-	lastMinority      Time // when this process last saw no majority: GoneAfter counts from there, so that a healed minority gives nobody up at once
+	started   bool
+	lastTick  Time
+	lastWall  Time // the wall clock at lastTick
+	lastHeard Time // when any datagram last arrived
+	// lastMinority is when this process last saw no majority. GoneAfter counts from then at the earliest,
+	// so that a process does not mark members as gone as soon as it regains a majority.
+	lastMinority      Time
 	noSuspicionBefore Time
 }
 
-// start sets the clock at the first tick.
+// start records the clocks at the first tick.
 func (i *isolation) start(now, wall Time) {
 	i.started, i.lastTick, i.lastWall, i.lastHeard = true, now, wall, now
 }
 
-// tick advances the clock and reports how long this process slept, by its monotonic clock or by the wall clock; a monotonic clock can
-// stand still in a suspended machine.
+// tick records the clocks and returns the time since the last tick. It reports a pause if the monotonic
+// clock or the wall clock advanced by more than threshold: in a suspended machine the monotonic clock can
+// stand still.
 func (i *isolation) tick(now, wall, threshold Time) (gap Time, paused bool) {
 	gap = now - i.lastTick
 	jump := wall - i.lastWall - gap
@@ -33,19 +37,21 @@
 	return gap, gap > threshold || jump > threshold
 }
 
-// receive reports a pause that shows in a datagram that waited for this process and is handled before its next tick.
+// receive returns the time since the last tick and reports whether it shows a pause. This detects a pause
+// when a datagram that waited for this process is handled before the next tick.
 func (i *isolation) receive(now, threshold Time) (gap Time, paused bool) {
 	gap = now - i.lastTick
 	return gap, i.started && gap > threshold
 }
 
-// advancePastPause sets the clock to the end of a pause, so that the next tick does not report it again.
+// advancePastPause advances the recorded clocks past a pause, so that the next tick does not report it again.
 func (i *isolation) advancePastPause(now, gap Time) {
 	i.lastTick, i.lastWall = now, i.lastWall+gap
 }
 
-// maySuspect says whether this process has been awake for long enough to suspect others.
+// maySuspect reports whether enough time has passed since the last pause for this process to suspect others.
 func (i *isolation) maySuspect(now Time) bool { return now >= i.noSuspicionBefore }
 
-// hearsNothing says whether this process may be the one that is cut off.
+// hearsNothing reports whether no datagram has arrived for isolatedAfter, so that this process may itself
+// be cut off.
 func (i *isolation) hearsNothing(now Time) bool { return now-i.lastHeard > isolatedAfter }
--- a/internal/fleet/membership/payload_test.go
+++ b/internal/fleet/membership/payload_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// pipe is the Effects of one of two processes: its datagrams go to the other.
+// pipe is the Effects of one of two processes. It delivers datagrams directly to the other process and
+// records the data received on channel 7.
 type pipe struct {
 	other    *Core
 	now      Time
 	received [][]byte
-	sender   uint32 // of the data received last
+	sender   uint32 // member ID of the sender of the last data in received
 }
 
 func (p *pipe) Send(_ int, data []byte) { p.other.Receive(p.now, 0, bytes.Clone(data)) }
@@ -21,7 +22,8 @@
 	}
 }
 
-// TestSendPayload: another package's data are received unchanged, with their sender's id, if they fit a datagram.
+// TestSendPayload checks that data of another package arrive unchanged and with the sender's ID if they
+// fit a datagram, and that data that are too long or have an unknown receiver are dropped.
 func TestSendPayload(t *testing.T) {
 	a, b := &pipe{}, &pipe{}
 	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, a)
@@ -33,7 +35,7 @@
 		t.Fatal(err)
 	}
 	a.other, b.other = two, one
-	one.SendPayload(0, ID("b"), 7, []byte("too early")) // its address is not known
+	one.SendPayload(0, ID("b"), 7, []byte("too early")) // b's address is not known yet
 	for now := Time(1); now < 2*sec; now += 50 * ms {
 		a.now, b.now = now, now
 		one.Tick(now, now)
@@ -46,9 +48,10 @@
 	one.SendPayload(2*sec, ID("nobody"), 7, []byte("lost"))
 	one.SendPayload(2*sec, ID("b"), 8, []byte("another's"))
 	if len(b.received) != 3 || string(b.received[0]) != "one" || !bytes.Equal(b.received[1], longest) || len(b.received[2]) != 0 || b.sender != ID("a") {
-		t.Errorf("%d data received, the last from %08x, expected 3 from %08x", len(b.received), b.sender, ID("a"))
+		t.Errorf("b received %d payloads %q, the last from %08x; want \"one\", %d times x and an empty one, from %08x",
+			len(b.received), b.received, b.sender, len(longest), ID("a"))
 	}
 	if one.Counts().Malformed+two.Counts().Malformed > 0 {
-		t.Error("a datagram was rejected as malformed")
+		t.Errorf("malformed datagrams: %d at a, %d at b, want none", one.Counts().Malformed, two.Counts().Malformed)
 	}
 }
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	// maxHealth bounds the local health multiplier, in halves of a timeout: timeouts grow to five times their length.
+	// maxHealth is the maximum of localHealth: timeouts grow to five times their length.
 	maxHealth = 8
-	// indirectProbes is how many others are requested to probe a member that did not answer.
+	// indirectProbes is the maximum number of members that are asked to probe a member that did not answer.
 	indirectProbes = 3
-	// relayTimeout is how long a probe on behalf of another may take.
+	// relayTimeout is how long a probe on behalf of another member may take.
 	relayTimeout = 2 * sec
-	// turnsPerEndedProbe: a member that has ended is probed in one of so many turns, as a restarted process may be at its address.
+	// turnsPerEndedProbe is the average number of turns in which an ended member is probed once, as a
+	// restarted process may be at its address.
 	turnsPerEndedProbe = 8
 )
 
-// localHealth is Lifeguard's local health multiplier: 0 is well; the higher, the less a process trusts its own timeouts.
+// localHealth is Lifeguard's local health multiplier. Zero means healthy; the higher the value, the less
+// this process trusts its own timeouts.
 type localHealth int
 
 func (h *localHealth) degrade() { *h = min(maxHealth, *h+1) }
 func (h *localHealth) improve() { *h = max(0, *h-1) }
 
-// extend lengthens a timeout, by half of it a step.
+// extend lengthens a timeout by half its length for each step of h.
 func (h localHealth) extend(d Time) Time { return d + d*Time(h)/2 }
 
-// probe is an outstanding one.
+// probe is an outstanding probe.
 type probe struct {
 	target   uint32
 	sentAt   Time
-	indirect bool   // others were requested to probe the target
-	relay    *relay // nil: an own probe
+	indirect bool   // whether others were asked to probe the target
+	relay    *relay // the member that requested the probe; nil if this process probes for itself
 }
 
-// relay is for whom a probe is sent on another's behalf.
+// relay identifies the request of another member on whose behalf a probe is sent.
 type relay struct {
 	slot     int // of the member that requested it
 	sequence uint32
 }
 
-// prober says which slot to probe next, and which probes are outstanding.
+// prober determines which slot to probe next and records the outstanding probes.
 type prober struct {
 	rng          *rand.Rand
 	slots        []int // in the order in which they are probed, shuffled for each round
-	position     int   // in slots
+	position     int   // index in slots of the next slot
 	outstanding  map[uint32]*probe
 	lastSequence uint32
 	nextProbe    Time
@@ -65,7 +67,7 @@
 	p.rng.Shuffle(len(p.slots), func(i, j int) { p.slots[i], p.slots[j] = p.slots[j], p.slots[i] })
 }
 
-// nextSlot is the slot whose turn it is.
+// nextSlot returns the next slot to probe. It shuffles the slots before each round.
 func (p *prober) nextSlot() int {
 	if p.position >= len(p.slots) {
 		p.position = 0
@@ -82,20 +84,21 @@
 	p.slots = slices.DeleteFunc(p.slots, func(s int) bool { return s == slot })
 }
 
-// nextSequence numbers a probe of a slot at which no member is known: its ack needs no record.
+// nextSequence returns the next sequence number. A probe of a slot at which no member is known uses it
+// without a record, as its ack needs none.
 func (p *prober) nextSequence() uint32 {
 	p.lastSequence++
 	return p.lastSequence
 }
 
-// begin records a probe; requester is nil for an own one.
+// begin records a probe and returns its sequence number. requester is nil if this process probes for itself.
 func (p *prober) begin(target uint32, now Time, requester *relay) (sequence uint32) {
 	sequence = p.nextSequence()
 	p.outstanding[sequence] = &probe{target: target, sentAt: now, relay: requester}
 	return sequence
 }
 
-// completeProbe ends a probe that its target has answered; nil: there is none.
+// completeProbe removes and returns the probe that target has answered. It returns nil if there is none.
 func (p *prober) completeProbe(sequence, target uint32) *probe {
 	sent := p.outstanding[sequence]
 	if sent == nil || sent.target != target {
@@ -105,7 +108,8 @@
 	return sent
 }
 
-// completeIndirectProbe ends an own probe that its target has answered to another, and reports whether there was one.
+// completeIndirectProbe removes a probe of this process whose target has answered another member, and
+// reports whether there was one.
 func (p *prober) completeIndirectProbe(sequence, target uint32) bool {
 	sent := p.outstanding[sequence]
 	if sent == nil || sent.target != target || sent.relay != nil {
@@ -115,5 +119,5 @@
 	return true
 }
 
-// sequences lists the outstanding probes in the order in which they were sent.
+// sequences returns the sequence numbers of the outstanding probes in the order of sending.
 func (p *prober) sequences() []uint32 { return slices.Sorted(maps.Keys(p.outstanding)) }
--- a/internal/fleet/membership/reason.go
+++ b/internal/fleet/membership/reason.go
@@ -1,24 +1,44 @@
 package membership
 
-// ChangeReason is why this process changed its view of a member.
+// ChangeReason is the reason for which this process changed its view of a member.
 type ChangeReason uint8
 
 const (
-	reasonHeard                 ChangeReason = iota // a datagram of its own arrived
-	reasonHeardByOther                              // another process has heard it
-	reasonHeardAgain                                // a suspect was heard, here or by another
-	reasonOwnPause                                  // this process slept: its silence proves nothing
-	reasonNewerIncarnation                          // it had ended, and gossip names a newer incarnation
-	reasonRestarted                                 // another process under the same name
-	reasonNoAnswer                                  // neither to this process nor to those requested to probe it
-	reasonNotHeardLately                            // others have not heard it lately, and this process never did
-	reasonSuspectedByOthers                         // gossip: it does not answer
-	reasonHeardByNobody                             // within Config.UnreachableAfter, lengthened as localHealth says
-	reasonIsolated                                  // this process hears nothing at all, and may be the one cut off
-	reasonUnreachableNeverHeard                     // gossip: unreachable, and this process never heard it
-	reasonUnreachableToOthers                       // gossip: unreachable, and nobody is known to have heard it within Config.UnreachableAfter
-	reasonUnreachableTooLong                        // for Config.GoneAfter, while this process saw a majority alive
-	reasonGoneToOthers                              // gossip: gone, and nobody is known to have heard it within Config.UnreachableAfter
+	// reasonHeard: a datagram of the member arrived.
+	reasonHeard ChangeReason = iota
+	// reasonHeardByOther: another process has heard the member.
+	reasonHeardByOther
+	// reasonHeardAgain: this process or another one has heard a suspect.
+	reasonHeardAgain
+	// reasonOwnPause: this process was paused, so that the member's silence proves nothing.
+	reasonOwnPause
+	// reasonNewerIncarnation: the member had ended, and gossip reports a newer incarnation.
+	reasonNewerIncarnation
+	// reasonRestarted: another process runs under the member's name.
+	reasonRestarted
+	// reasonNoAnswer: the member answered neither this process nor those asked to probe it.
+	reasonNoAnswer
+	// reasonNotHeardLately: no process is known to have heard the member lately, and this process never did.
+	reasonNotHeardLately
+	// reasonSuspectedByOthers: gossip reports that the member does not answer.
+	reasonSuspectedByOthers
+	// reasonHeardByNobody: no process has heard the member for Config.UnreachableAfter, lengthened by
+	// localHealth.
+	reasonHeardByNobody
+	// reasonIsolated: this process hears no datagrams at all and may itself be cut off.
+	reasonIsolated
+	// reasonUnreachableNeverHeard: gossip reports the member as unreachable, and this process never heard it.
+	reasonUnreachableNeverHeard
+	// reasonUnreachableToOthers: gossip reports the member as unreachable, and no process is known to have
+	// heard it within Config.UnreachableAfter.
+	reasonUnreachableToOthers
+	// reasonUnreachableTooLong: the member was unreachable for Config.GoneAfter while this process saw a
+	// majority alive.
+	reasonUnreachableTooLong
+	// reasonGoneToOthers: gossip reports the member as gone, and no process is known to have heard it
+	// within Config.UnreachableAfter.
+	reasonGoneToOthers
+	// reasonAnnouncedShutdown: the member announced its graceful shutdown.
 	reasonAnnouncedShutdown
 )
 
@@ -41,7 +61,7 @@
 	reasonAnnouncedShutdown:     "announced_shutdown",
 }
 
-// String is the reason as the log has it.
+// String returns the reason as it appears in the log.
 func (r ChangeReason) String() string {
 	if int(r) < len(changeReasonNames) {
 		return changeReasonNames[r]
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -5,35 +5,38 @@
 	"net/netip"
 )
 
-// rejectionInterval is the least time between two rejections that are sent: whoever sends unusable datagrams must not cause as many in return.
+// rejectionInterval is the minimum time between two rejections that a process sends, so that invalid
+// datagrams do not cause as many in return.
 const rejectionInterval = sec
 
-// NameInUseError rejects a datagram whose sender uses the name of another live process: the receiver's own, or another member's.
+// NameInUseError is returned for a datagram whose sender uses the name of another live process, either
+// the receiver or another member.
 type NameInUseError struct {
-	Name   string // the receiver's own; "": another member's
-	Sender uint32
+	Name   string // the receiver's name; empty if the name is another member's
+	Sender uint32 // ID in the datagram
 }
 
-// Error says whose name it is.
+// Error implements error.
 func (e *NameInUseError) Error() string {
 	if e.Name != "" {
-		return fmt.Sprintf("membership: another process has the name %s", e.Name)
+		return fmt.Sprintf("membership: another process uses the name %q of this process", e.Name)
 	}
-	return fmt.Sprintf("membership: the name of %08x is in use by a live member", e.Sender)
+	return fmt.Sprintf("membership: the name of the sender %08x is in use by a live member", e.Sender)
 }
 
-// RejectedError says that a member does not admit this process.
+// RejectedError is returned for a datagram with which a member rejects this process.
 type RejectedError struct {
-	Member uint32 // who rejected this process
+	Member uint32 // ID of the member that rejected this process
 	Reason Rejection
 }
 
-// Error says who rejected this process, and why.
+// Error implements error.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("membership: %08x does not take this process in: %s", e.Member, e.Reason.description())
+	return fmt.Sprintf("membership: member %08x does not admit this process: %s", e.Member, e.Reason.description())
 }
 
-// ReceiveFrom is Receive where addresses are learnt: an address is learnt once a well-formed datagram of this fleet came from it.
+// ReceiveFrom is like Receive, but for a Core with Config.Seeds: it learns the address from after a
+// well-formed datagram of this fleet has come from it.
 func (c *Core) ReceiveFrom(now Time, from netip.AddrPort, data []byte) error {
 	if _, _, err := decodeHeader(data, c.fleet); err != nil {
 		return c.Receive(now, -1, data)
@@ -41,7 +44,8 @@
 	return c.Receive(now, c.learnSlot(from), data)
 }
 
-// learnSlot is the slot of an address, which is probed from now on if it is new; below 0 where all slots are in use.
+// learnSlot returns the slot of an address, or -1 if all slots are in use. From then on a new slot is
+// probed in turn.
 func (c *Core) learnSlot(a netip.AddrPort) int {
 	slot, added := c.addresses.slotFor(a, &c.members)
 	if added {
@@ -50,8 +54,8 @@
 	return slot
 }
 
-// Receive handles a datagram that came from an address, by its slot. Errors are ErrMalformed, ErrVersion, ErrFleet, a *NameInUseError or
-// a *RejectedError; all but the last are counted.
+// Receive handles a datagram from the address of slot. It returns ErrMalformed, ErrVersion, ErrFleet,
+// a *NameInUseError or a *RejectedError. Counts includes all of these except the last.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
 	if gap, paused := c.isolation.receive(now, c.pauseThreshold()); paused && !c.cfg.IgnorePause {
@@ -83,7 +87,8 @@
 	return c.handleDatagram(slot, h, all)
 }
 
-// rejectUndecoded counts a datagram that cannot be decoded, and notifies the sender if it is of another fleet.
+// rejectUndecoded counts a datagram that decodeHeader rejected, and notifies the sender if it is of
+// another fleet.
 func (c *Core) rejectUndecoded(slot int, h header, err error) {
 	switch err {
 	case ErrVersion:
@@ -96,7 +101,8 @@
 	}
 }
 
-// handleOwnName handles a datagram under this process's name: its own, where its address is among the seeds, or another process's.
+// handleOwnName handles a datagram under this process's name. It comes from this process itself if its
+// address is among the seeds, and otherwise from another process.
 func (c *Core) handleOwnName(slot int, h header) error {
 	if c.addresses.learnsAddresses() && h.incarnation.Start() == c.incarnation.Start() {
 		c.prober.removeSlot(slot)
@@ -106,14 +112,15 @@
 	return &NameInUseError{Name: c.cfg.Name, Sender: h.sender}
 }
 
-// nameInUse says whether a datagram under a member's name comes from another process while the member is alive elsewhere.
+// nameInUse reports whether a datagram under member m's name comes from another process while m is alive
+// at another slot.
 func (c *Core) nameInUse(m *member, slot int, incarnation Incarnation, now Time) bool {
 	elsewhere := m.Slot >= 0 && m.Slot != slot && incarnation.Start() != m.Incarnation.Start()
 	return elsewhere && now-m.HeardHere < c.cfg.UnreachableAfter && m.State == Alive
 }
 
-// handleOldIncarnation answers an earlier incarnation, or a process whose clock was set back, with the one known here: if the sender is
-// the process that runs, it raises its own.
+// handleOldIncarnation answers a datagram of an older incarnation with the incarnation known here. If
+// the sender is the current process, whose clock was set back, it raises its own incarnation.
 func (c *Core) handleOldIncarnation(slot int, sender uint32) {
 	c.counts.OldIncarnation++
 	d := c.newDatagram()
@@ -121,7 +128,7 @@
 	c.transmit(slot, d)
 }
 
-// handleDatagram acts on a datagram whose sender counts as heard.
+// handleDatagram handles an accepted datagram: its sender counts as heard.
 func (c *Core) handleDatagram(slot int, h header, all parts) error {
 	c.counts.Heard++
 	c.isolation.lastHeard = c.now
@@ -143,12 +150,13 @@
 		}
 	}
 	if isNew && c.addresses.learnsAddresses() {
-		c.spread(h.sender) // the others may not know its address
+		c.spread(h.sender) // the other members may not know its address
 	}
 	return rejected
 }
 
-// reject notifies a process why it is not admitted. The header names the receiver's fleet, or it would reject the datagram.
+// reject notifies the process at slot why it is not admitted. The header must contain that process's
+// fleet, or it would reject the datagram in turn.
 func (c *Core) reject(slot int, fleet uint32, reason Rejection) {
 	if !c.addresses.validSlot(slot) || c.now-c.lastRejection < rejectionInterval && c.lastRejection > 0 {
 		return
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -5,27 +5,30 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash"
 )
 
 const (
 	sequenceBytes = 4
-	hashBytes     = 16 // HMAC-SHA-256, cut to 128 bits
+	hashBytes     = 16 // HMAC-SHA-256, truncated to 128 bits
 	minKeyBytes   = 16
-	replayWindow  = 64 // sequence numbers, the highest and those below it that are remembered
+	replayWindow  = 64 // number of sequence numbers that a window covers, including the highest
 )
 
-// SealLength is how many bytes a seal adds to a datagram: a sequence number and a keyed hash.
+// SealLength is the number of bytes that a seal adds to a datagram: a sequence number and a keyed hash.
 const SealLength = sequenceBytes + hashBytes
 
-// Errors of Seal.Open besides ErrMalformed.
+// Errors that Seal.Open returns in addition to ErrMalformed.
 var (
 	ErrUnknownKey = errors.New("datagram under an unknown key")
-	ErrReplay     = errors.New("datagram that was taken before")
+	ErrReplay     = errors.New("datagram that was received before, or too old to tell")
 )
 
-// Seal authenticates datagrams by a keyed hash and rejects replays by a sequence number. The first key seals, and any opens: keys are
-// changed while the fleet serves by putting the new one second everywhere, then first everywhere, then alone.
+// Seal authenticates datagrams by a keyed hash and rejects replays by a sequence number. The first key
+// seals, and either key opens. To change the key while the fleet serves, add the new key as the second
+// one at all members, then make it the first one at all members, then remove the old one. A Seal is not
+// safe for concurrent use.
 type Seal struct {
 	hashes       []hash.Hash // by key
 	lastSequence uint32
@@ -33,22 +36,22 @@
 	buffer       [MaxDatagram]byte
 }
 
-// window remembers which sequence numbers of one process have arrived, as in IPsec.
+// window records which sequence numbers of one process have arrived, as in IPsec.
 type window struct {
-	start    uint64 // of the process: its incarnation's
-	highest  uint32
-	received uint64 // bit n: highest-n has arrived
+	start    uint64 // Incarnation.Start of the process
+	highest  uint32 // highest sequence number that has arrived
+	received uint64 // bit n is set if highest-n has arrived
 }
 
-// NewSeal takes one or two keys, of 16 bytes at least.
+// NewSeal returns a Seal with one key, or two during a key change. Each key must have at least 16 bytes.
 func NewSeal(keys ...[]byte) (*Seal, error) {
 	if len(keys) < 1 || len(keys) > 2 {
-		return nil, errors.New("membership: one key, or two while they are changed")
+		return nil, fmt.Errorf("membership: %d keys, expected one, or two during a key change", len(keys))
 	}
 	s := &Seal{windows: map[uint32]*window{}}
 	for _, key := range keys {
 		if len(key) < minKeyBytes {
-			return nil, errors.New("membership: a key of under 16 bytes")
+			return nil, fmt.Errorf("membership: key of %d bytes, expected at least %d", len(key), minKeyBytes)
 		}
 		s.hashes = append(s.hashes, hmac.New(sha256.New, key))
 	}
@@ -62,7 +65,7 @@
 	return h.Sum(sum[:0])[:hashBytes]
 }
 
-// Seal returns a datagram with its seal; it is valid until the next call.
+// Seal returns a datagram with its seal added. The result is valid until the next call.
 func (s *Seal) Seal(data []byte) []byte {
 	s.lastSequence++
 	b := append(s.buffer[:0], data...)
@@ -70,7 +73,8 @@
 	return append(b, keyedHash(s.hashes[0], b)...)
 }
 
-// Open checks a sealed datagram and returns what is in it; its errors are ErrMalformed, ErrUnknownKey and ErrReplay.
+// Open checks a sealed datagram and returns the datagram without its seal. It returns ErrMalformed,
+// ErrUnknownKey or ErrReplay if the check fails.
 func (s *Seal) Open(b []byte) ([]byte, error) {
 	if len(b) < headerLength+SealLength || len(b) > MaxDatagram {
 		return nil, ErrMalformed
@@ -88,7 +92,7 @@
 		s.windows[sender] = w
 	}
 	if start < w.start {
-		return data, nil // an earlier process: Core answers it with the newer incarnation
+		return data, nil // an earlier process, which Core answers with the newer incarnation
 	}
 	if !w.accept(binary.BigEndian.Uint32(signed[len(data):])) {
 		return nil, ErrReplay
@@ -96,7 +100,7 @@
 	return data, nil
 }
 
-// authentic says whether a hash fits under any of the keys.
+// authentic reports whether sum is the keyed hash of signed under any of the keys.
 func (s *Seal) authentic(signed, sum []byte) bool {
 	valid := false
 	for _, h := range s.hashes {
@@ -105,7 +109,7 @@
 	return valid
 }
 
-// accept notes a sequence number; false: it arrived before, or is too far behind for the window.
+// accept records a sequence number. It returns false if the number has arrived before or is below the window.
 func (w *window) accept(sequence uint32) bool {
 	if sequence > w.highest {
 		w.received = w.received<<min(replayWindow, sequence-w.highest) | 1
--- a/internal/fleet/membership/state.go
+++ b/internal/fleet/membership/state.go
@@ -2,22 +2,30 @@
 
 import "hash/fnv"
 
-// State is what a member is believed to be.
+// State is the state of a member in the view of a process.
 type State uint8
 
 // The states of a member.
 const (
-	Joining     State = iota // not heard yet
-	Alive                    // heard lately, by this process or by another that says so
-	Suspect                  // answered neither this process nor those requested to probe it, or others say so; it still counts as a member
-	Unreachable              // heard by nobody for Config.UnreachableAfter; it may be cut off
-	Left                     // it announced its shutdown
-	Gone                     // unreachable for Config.GoneAfter at a process that saw a majority alive all that time, or given up by another
+	// Joining means that no process has heard the member yet.
+	Joining State = iota
+	// Alive means that this process, or another one that reports it, has heard the member lately.
+	Alive
+	// Suspect means that the member answered neither this process nor those asked to probe it, or that
+	// others report this. It still counts towards a majority.
+	Suspect
+	// Unreachable means that no process has heard the member for Config.UnreachableAfter; it may be cut off.
+	Unreachable
+	// Left means that the member announced its shutdown.
+	Left
+	// Gone means that the member was unreachable for Config.GoneAfter at a process that saw a majority
+	// alive all that time, or that another process reports it as gone.
+	Gone
 )
 
 var stateNames = [...]string{"joining", "alive", "suspect", "unreachable", "left", "gone"}
 
-// String names a state as operators read it.
+// String returns the name of a state as shown to operators.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -25,40 +33,42 @@
 	return "unknown"
 }
 
-// ended says whether a member in this state takes part no more, unless a newer incarnation shows up.
+// ended reports whether a member in this state no longer takes part, unless a newer incarnation appears.
 func (s State) ended() bool { return s == Left || s == Gone }
 
-// countsForMajority says whether a member in this state counts towards a majority.
+// countsForMajority reports whether a member in this state counts towards a majority.
 func (s State) countsForMajority() bool { return s == Alive || s == Suspect }
 
-// Incarnation distinguishes the processes that have had a member's name: its start in Unix milliseconds, and a 16-bit counter that only the
-// member itself raises, to refute what others say of it. A larger one is newer. Ownership's incarnation is the start alone, consensus's is random.
+// Incarnation distinguishes the processes that have run under a member's name. It consists of the start
+// time of the process in Unix milliseconds and a 16-bit counter, which only the member itself raises, to
+// refute what others report about it. A larger one is newer. Package ownership's incarnation is the
+// start time alone, package consensus's is random.
 type Incarnation uint64
 
-// NewIncarnation is the first one of a process that started at a time in Unix milliseconds.
+// NewIncarnation returns the first incarnation of a process that started at unixMS, in Unix milliseconds.
 func NewIncarnation(unixMS int64) Incarnation { return Incarnation(uint64(unixMS) << 16) }
 
-// Start is the part that distinguishes processes: the start in Unix milliseconds.
+// Start returns the start time of the process, in Unix milliseconds. It differs between processes.
 func (i Incarnation) Start() uint64 { return uint64(i) >> 16 }
 
-// ID names a member in datagrams: its name, hashed.
+// ID returns the ID of a member in datagrams, the hash of its name.
 func ID(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// Change is one change of the view, with its reason.
+// Change is a change of the view. The states are equal if the member restarted.
 type Change struct {
-	Name               string // "": not known yet
+	Name               string // empty if not known yet
 	ID                 uint32
 	OldState, NewState State
 	Incarnation        Incarnation
-	Version            uint64 // of the view, after the change
+	Version            uint64 // version of the view after the change
 	Reason             ChangeReason
 }
 
-// Counts are what a process has sent and received, and how often it was paused or refuted an accusation.
+// Counts counts the datagrams that a process has sent and received, its pauses, and its refutations.
 type Counts struct {
 	Sent, Bytes, Heard                  int // datagrams sent, their bytes, datagrams accepted
 	Malformed, OtherVersion, OtherFleet int // datagrams rejected
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -2,29 +2,32 @@
 
 import "sort"
 
-// Member is one member as others may see it.
+// Member is a member as this process sees it.
 type Member struct {
-	Name        string
+	Name        string // empty if not known yet
 	ID          uint32
-	Slot        int // -1: not known
+	Slot        int // -1 if not known
 	State       State
 	Incarnation Incarnation
-	HeardHere   Time     // when this process last heard it; 0: never
-	HeardByAny  Time     // when anybody last heard it
-	Unheard     []uint32 // members that it reports not to hear
-	UnheardAt   Time     // when it last reported them
+	HeardHere   Time     // when this process last heard the member; zero if never
+	HeardByAny  Time     // when any process last heard the member; zero if never
+	Unheard     []uint32 // IDs of the members that it reports as unheard
+	UnheardAt   Time     // when it last reported Unheard
 }
 
-// member is a member with what failure detection needs besides.
+// member is a Member with the state of failure detection.
 type member struct {
 	Member
-	unansweredSince Time // send time of the first probe unanswered since it was last heard here; 0: none
-	suspectedAt     Time // 0: not under suspicion
+	// unansweredSince is the send time of the first unanswered probe since this process last heard the
+	// member; zero if there is none.
+	unansweredSince Time
+	suspectedAt     Time // when the suspicion started; zero if the member is not suspected
 	stateSince      Time
 }
 
-// digest is a member's part of the view's digest. What may differ for long between correct views has no part: whether a member is suspect, an
-// incarnation's counter, and members that have ended, of which a process that joined later need not know.
+// digest returns the member's share of the view's digest. It leaves out what may differ between correct
+// views for long: whether a member is suspect, the counter of its incarnation, and members that have
+// ended, which a process that joined later need not know.
 func (m *member) digest() uint32 {
 	s := m.State
 	switch s {
@@ -33,31 +36,31 @@
 	case Suspect:
 		s = Alive
 	}
-	// A 64-bit finalizer, so that the parts can be combined by XOR in any order.
+	// A 64-bit finalizer makes it possible to combine the members' digests by XOR in any order.
 	x := uint64(m.ID)<<32 ^ m.Incarnation.Start()*0x9e3779b97f4a7c15 ^ uint64(s)*0xbf58476d1ce4e5b9
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
 	return uint32(x ^ x>>29)
 }
 
-// memberTable is one process's view of the others. Its counts and digest are updated with each change: each datagram needs them, and iterating
-// over a large fleet for each would cost too much.
+// memberTable is one process's view of the other members. Its counts and digest are updated with each
+// change: each datagram needs them, and iterating over a large fleet for each datagram would cost too much.
 type memberTable struct {
 	byID                 map[uint32]*member
-	ids                  []uint32 // sorted: no decision may follow the order of a map
+	ids                  []uint32 // sorted, as no decision may depend on the iteration order of a map
 	version              uint64   // rises with each change that is reported
 	digest               uint32
-	alive                int // alive or suspect
-	suspectOrUnreachable int // suspect or unreachable
-	unanswered           int // with an unanswered probe
+	alive                int // number of members that are alive or suspect
+	suspectOrUnreachable int // number of members that are suspect or unreachable
+	unanswered           int // number of members with an unanswered probe
 }
 
 func newMemberTable() memberTable { return memberTable{byID: map[uint32]*member{}} }
 
-// get is a member by its id; nil: not known.
+// get returns the member with an ID, or nil if it is not known.
 func (t *memberTable) get(id uint32) *member { return t.byID[id] }
 
-// add begins a member that is not known yet, as joining.
+// add adds a new member in state Joining and returns it.
 func (t *memberTable) add(id uint32, now Time) *member {
 	m := &member{Member: Member{ID: id, Slot: -1}, stateSince: now}
 	t.byID[id] = m
@@ -79,7 +82,7 @@
 	t.version++
 }
 
-// setIncarnation gives a member another incarnation and reports whether that is another process than before.
+// setIncarnation sets a member's incarnation and reports whether it belongs to another process than before.
 func (t *memberTable) setIncarnation(m *member, to Incarnation) (restarted bool) {
 	t.digest ^= m.digest()
 	restarted = m.Incarnation != 0 && to.Start() != m.Incarnation.Start()
@@ -91,7 +94,7 @@
 	return restarted
 }
 
-// setUnanswered notes since when a member has not answered; 0: it has.
+// setUnanswered sets the time since which a member has not answered. Zero means that it has answered.
 func (t *memberTable) setUnanswered(m *member, since Time) {
 	switch {
 	case m.unansweredSince == 0 && since > 0:
@@ -102,6 +105,7 @@
 	m.unansweredSince = since
 }
 
+// count adds by to the counts that include state s.
 func (t *memberTable) count(s State, by int) {
 	if s.countsForMajority() {
 		t.alive += by
@@ -111,7 +115,8 @@
 	}
 }
 
-// unheard lists the living members that did not answer this process since it last heard them, at most maxUnheardListed.
+// unheard returns the IDs of at most maxUnheardListed alive or suspect members that have not answered
+// this process since it last heard them.
 func (t *memberTable) unheard() (ids []uint32) {
 	if t.unanswered == 0 {
 		return nil
@@ -125,7 +130,7 @@
 	return ids
 }
 
-// members copies the view, by id.
+// members returns a copy of the view, sorted by ID.
 func (t *memberTable) members() []Member {
 	out := make([]Member, 0, len(t.ids))
 	for _, id := range t.ids {
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -1,9 +1,10 @@
 package membership
 
-// refutationMargin is by how much later than its accuser this process must have heard a member, to contradict: ages are rounded and travel.
+// refutationMargin is how much later than the reporting process this process must have heard a member to
+// contradict its suspicion. Ages are rounded, and they do not include the time that the datagram travels.
 const refutationMargin = 50 * ms
 
-// handleUpdate handles what one member gossips of another, or of this process.
+// handleUpdate handles what a member gossips about another member, itself, or this process.
 func (c *Core) handleUpdate(u MemberUpdate) {
 	if u.ID == c.selfID {
 		c.handleSelfUpdate(u)
@@ -12,7 +13,7 @@
 	m := c.members.get(u.ID)
 	if m == nil {
 		if u.State.ended() || u.State == Joining {
-			return // an ended member, or one that nobody has heard, need not become known by gossip
+			return // members that have ended or that no process has heard need not become known by gossip
 		}
 		m = c.members.add(u.ID, c.now)
 	}
@@ -37,7 +38,8 @@
 	}
 }
 
-// handleSelfUpdate refutes an accusation of this process. An incarnation newer than its own, as after its clock was set back, is exceeded too.
+// handleSelfUpdate refutes a report that this process is suspect, unreachable or ended. It also raises
+// the incarnation above a reported newer one, as after this process's clock was set back.
 func (c *Core) handleSelfUpdate(u MemberUpdate) {
 	accused := u.State == Suspect || u.State == Unreachable || u.State == Gone || u.State == Left && !c.hasLeft
 	if u.Incarnation > c.incarnation || u.Incarnation == c.incarnation && accused {
@@ -45,8 +47,8 @@
 	}
 }
 
-// handleReportedGone agrees that a member is gone, unless somebody is known to have heard it lately or this process has just slept. Either
-// way what is known here spreads, as a contradiction or not.
+// handleReportedGone marks a member as gone, unless a process is known to have heard it lately or this
+// process was just paused. In both cases it spreads the resulting state, which may contradict the report.
 func (c *Core) handleReportedGone(m *member) {
 	if c.now-m.HeardByAny > c.cfg.UnreachableAfter && c.isolation.maySuspect(c.now) {
 		c.markGone(m, reasonGoneToOthers)
@@ -54,7 +56,7 @@
 	c.spread(m.ID)
 }
 
-// handleLivingUpdate is for a member that is alive, suspect or unreachable.
+// handleLivingUpdate handles an update that reports a member as alive, suspect or unreachable.
 func (c *Core) handleLivingUpdate(m *member, u MemberUpdate, newer bool) {
 	heardAt := c.now - Time(u.Age)*ms
 	if newer && m.State.ended() {
@@ -74,7 +76,9 @@
 	}
 }
 
-// suspectNeverHeard suspects a member that is known by gossip alone and that nobody has heard lately: it is not about to join.
+// suspectNeverHeard handles a member that is known only by gossip and that no process has heard lately, so
+// that it is unlikely to be joining. It marks the member as unreachable if others report that, and
+// otherwise as suspect.
 func (c *Core) suspectNeverHeard(m *member, reported State) {
 	if reported == Unreachable {
 		m.suspectedAt = c.now
@@ -84,7 +88,8 @@
 	}
 }
 
-// handleReportedSuspicion contradicts a suspicion where the member was heard since; otherwise it suspects too and probes for itself.
+// handleReportedSuspicion handles a report that a member is suspect or unreachable. It contradicts the
+// report if the member was heard since; otherwise this process suspects the member, too, and probes it.
 func (c *Core) handleReportedSuspicion(m *member, reported State, heardAt Time) {
 	unheard := c.now - m.HeardByAny
 	maySuspect := c.isolation.maySuspect(c.now)
