--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// heartbeatInterval is between two heartbeats of a process, and heartbeatBytes the length of one.
+	// heartbeatInterval is the time between two heartbeats of a process, and heartbeatBytes the length of one.
 	heartbeatInterval = 500 * Ms
 	heartbeatBytes    = 40
-	// maxLinks bounds how many links are simulated: all are alike.
+	// maxLinks is the maximum number of links that are simulated, as all links are alike.
 	maxLinks = 2000
 )
 
-// arrivalHistory are the recent intervals between heartbeats on one link, as a phi-accrual failure detector records them.
+// arrivalHistory holds the recent intervals between heartbeats on one link, as a phi-accrual failure
+// detector records them.
 type arrivalHistory struct {
-	last      float64 // in seconds; 0: none
-	intervals []float64
+	last      float64   // time of the last heartbeat in seconds; zero if there was none
+	intervals []float64 // in seconds
 }
 
 const (
-	phiWindow       = 100 // intervals
-	phiMinIntervals = 20  // before which nothing is suspected
-	phiMinDeviation = 0.05
-	phi8Deviations  = 5.61 // of a normal distribution, 1e-8 lies beyond
+	phiWindow       = 100  // intervals
+	phiMinIntervals = 20   // intervals that must be recorded before the detector suspects a process
+	phiMinDeviation = 0.05 // seconds
+	phi8Deviations  = 5.61 // standard deviations beyond which 1e-8 of a normal distribution lies
 )
 
-// suspectAfter is the silence in seconds at which phi reaches 8.
+// suspectAfter returns the silence in seconds at which phi reaches 8.
 func (a *arrivalHistory) suspectAfter() float64 {
 	mean, deviation := 0.0, 0.0
 	for _, interval := range a.intervals {
@@ -54,8 +55,8 @@
 	return alarm
 }
 
-// Heartbeats models the alternative of heartbeats from all to all, with a phi-accrual failure detector at each (Hayashibara): phi 8 over a window of
-// 100 intervals.
+// Heartbeats returns the cost of an alternative design: each process sends heartbeats to all others and
+// runs a phi-accrual failure detector (Hayashibara), with phi 8 over a window of 100 intervals.
 func Heartbeats(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 13))
 	links := min(n*(n-1), maxLinks)
@@ -86,27 +87,28 @@
 }
 
 const (
-	observersPerMember    = 10 // of a member
+	observersPerMember    = 10
 	observerProbeInterval = Sec
-	observerMissedProbes  = 3    // probes in a row
-	maxObservedMembers    = 200  // members that are simulated: all are alike
-	simulatedDeaths       = 1000 // simulated
+	observerMissedProbes  = 3    // consecutive probes without an answer after which an observer alarms
+	maxObservedMembers    = 200  // maximum number of members that are simulated, as all are alike
+	simulatedDeaths       = 1000 // number of deaths from which the detection time is computed
 	observerVoteDuration  = 100 * Ms
 )
 
-// Observers models the alternative of fixed observers for each member and a vote of all on each change of the view (Rapid): ten observers probe
-// once a second, and nine of them must have missed three answers in a row.
+// Observers returns the cost of an alternative design with fixed observers for each member and a vote of
+// all members on each change of the view (Rapid): ten observers probe a member once a second, and nine of
+// them must have missed three consecutive answers.
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 17))
 	observers := min(observersPerMember, n-1)
 	need := max(1, observers-1)
-	lost := 1 - (1-loss)*(1-loss) // there or back
+	lost := 1 - (1-loss)*(1-loss) // probability that the probe or its answer is lost
 	members := min(n, maxObservedMembers)
 	alarms := 0
 	for range members {
 		alarms += observerAlarms(r, lost, observers, int(duration/observerProbeInterval))
 	}
-	// The slowest of the observers that are needed, and one round of votes from all to all.
+	// A death is known once the last of the required observers alarms and all members have voted.
 	var delays []Time
 	for range simulatedDeaths {
 		at := make([]float64, observers)
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -6,15 +6,15 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// recordViolation records the first violated invariant, which ends the run.
+// recordViolation records a violated invariant, which ends the run. It ignores all but the first.
 func (f *Fleet) recordViolation(format string, args ...any) {
 	if f.Violation == "" {
 		f.Violation = fmt.Sprintf("at %d ms: ", f.now/Ms) + fmt.Sprintf(format, args...)
 	}
 }
 
-// check checks the invariants of one process's view: its version never falls, no member goes back to an earlier incarnation's process, and no
-// member is gone that all others hear.
+// check checks the invariants of one process's view: its version never falls, no member returns to an
+// earlier process under its name, and no member is gone that all others hear.
 func (n *Node) check() {
 	f := n.fleet
 	if f.SkipChecks {
@@ -36,7 +36,8 @@
 	}
 }
 
-// checkChange checks that a process suspects nobody within a second after a pause of more than a second: its own silence proves nothing.
+// checkChange checks that a process suspects no member within a second after it was paused for more than a
+// second: what it did not hear during the pause proves nothing.
 func (n *Node) checkChange(c membership.Change) {
 	accuses := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
 	if accuses && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
@@ -44,7 +45,8 @@
 	}
 }
 
-// heardByAll says whether all other processes that run have heard a member's process within the last second.
+// heardByAll reports whether all other running processes that are not paused have heard a member's process
+// within the last second, and there are at least two of them.
 func (f *Fleet) heardByAll(member membership.Member) bool {
 	others := 0
 	for i, o := range f.Nodes {
@@ -63,7 +65,7 @@
 	return others > 1
 }
 
-// StateOf is the state of process j in the view of process i.
+// StateOf returns the state of process j in the view of process i, or Joining if i does not know it.
 func (f *Fleet) StateOf(i, j int) membership.State {
 	id := membership.ID(Name(j))
 	for _, m := range f.Nodes[i].Core.View() {
@@ -74,7 +76,8 @@
 	return membership.Joining
 }
 
-// Disagreement names a process whose view is wrong, or two whose views differ; "": every running process sees every other as it is.
+// Disagreement describes a running process whose view is wrong, or two whose views differ. It returns ""
+// if the views of all running processes are right and equal.
 func (f *Fleet) Disagreement() string {
 	digest, first := uint32(0), -1
 	for i, n := range f.Nodes {
@@ -93,7 +96,7 @@
 	return ""
 }
 
-// viewError says what is wrong in a process's view; "": nothing.
+// viewError describes an error in the view of process i. It returns "" if there is none.
 func (f *Fleet) viewError(i int) string {
 	for j, o := range f.Nodes {
 		if i == j {
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -7,21 +7,22 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Cost is what a failure detector costs, and how well it detects.
+// Cost is the traffic of a failure detector and the quality of its detection.
 type Cost struct {
 	Messages, Bytes float64 // per second and process
 	DetectionTime   Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
 	FalseAlarms     float64 // per hour in the fleet: a living member that some process sees as unreachable
 }
 
-// observation collects what the processes of a run conclude.
+// observation collects the conclusions of the processes of a run.
 type observation struct {
-	diedAt        Time         // 0: the victim is alive
-	alarms        map[int]bool // members that were given up, the dead victim aside
-	detectedAfter map[int]Time // by process: how long after the death it saw the victim as unreachable
+	diedAt        Time         // when the victim died; zero while it is alive
+	alarms        map[int]bool // IDs of living members that some process saw as unreachable or gone
+	detectedAfter map[int]Time // by process: time from the death until it saw the victim as unreachable or gone
 }
 
-// Measure runs package membership: n processes that lose a part of all datagrams, for a duration without a fault, and then one death.
+// Measure returns the cost of package membership in a fleet of n processes. loss is the probability that a
+// datagram is lost. The fleet runs for duration without other faults, and then one process dies.
 func Measure(n int, loss float64, duration Time, seed uint64) Cost {
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
@@ -37,7 +38,7 @@
 			seen.detectedAfter[at] = f.now - seen.diedAt
 		}
 	}
-	// A large fleet takes a while to learn of itself.
+	// In a large fleet it takes longer until all processes know each other.
 	warmUp := 10*Sec + Time(n)*Sec/12
 	f.Run(warmUp)
 	sentBefore, bytesBefore := f.traffic()
@@ -56,7 +57,7 @@
 	return c
 }
 
-// detectionTime is the time by which 99 in 100 of the survivors knew of a death; -1: fewer did.
+// detectionTime returns the time after which 99 % of the survivors had detected a death, or -1 if fewer did.
 func detectionTime(knows map[int]Time, survivors int) Time {
 	var delays []Time
 	for _, t := range knows {
@@ -70,7 +71,7 @@
 	return delays[need-1]
 }
 
-// traffic is what all processes have sent so far.
+// traffic returns the number of datagrams and bytes that all processes have sent so far.
 func (f *Fleet) traffic() (sent, bytes int) {
 	for _, n := range f.Nodes {
 		counts := n.Core.Counts()
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -1,5 +1,6 @@
-// Package simulation runs a fleet of membership's processes in virtual time, with faults between them. It owns the clock, the network and
-// the plan of faults, and checks at every step that no invariant is violated. A run follows from its seed and its plan alone.
+// Package simulation runs a fleet of processes with package membership in virtual time and injects faults.
+// It owns the clock, the network and the plan of faults, and checks at every step that no invariant is
+// violated. A run depends only on its seed and its plan.
 package simulation
 
 import (
@@ -11,43 +12,48 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Time is nanoseconds since the run began.
+// Time is a time since the start of the run, or a duration, in nanoseconds.
 type Time = int64
 
 // Units of Time, and the interval of a process's turns.
 const (
 	Ms  = Time(1e6)
 	Sec = Time(1e9)
-	// TurnInterval is how often a process gets a turn.
+	// TurnInterval is the time between two turns of a process, in which it calls Core.Tick.
 	TurnInterval = 50 * Ms
 )
 
 const (
-	// wallStart is the wall clock at the beginning, in Unix nanoseconds.
+	// wallStart is the wall clock at the start of the run, in Unix nanoseconds.
 	wallStart = Time(1.8e18)
-	// defaultDelay is a datagram's one-way delay, and usualJitter what may come on top of it.
+	// defaultDelay is the one-way delay of a datagram, and defaultJitter the maximum random addition to it.
 	defaultDelay  = 2 * Ms
 	defaultJitter = 2 * Ms
-	// firstPort is the port of process 0, where processes learn addresses.
+	// firstPort is the port of process 0, if processes learn addresses.
 	firstPort = 1000
 )
 
-// link is the way from one process to another.
+// link is the direction from one process to another.
 type link struct{ source, destination int }
 
-// Fleet is all processes of a run and the network between them.
+// Fleet holds the processes of a run and the network between them.
 type Fleet struct {
 	Nodes       []*Node
 	Loss        float64 // probability that a datagram is lost
 	Duplication float64 // probability that a datagram arrives twice
-	Delay       Time    // of a datagram, one way
-	Jitter      Time    // at most so much more: a later datagram may overtake an earlier one
+	Delay       Time    // one-way delay of a datagram
+	Jitter      Time    // maximum random addition to Delay; a later datagram may overtake an earlier one
 	CutLinks    map[link]bool
-	OnChange    func(at int, c membership.Change)
-	OnSend      func(from, slot int, datagram []byte) // is called with each datagram before faults of the network apply; nil: not called
-	SkipChecks  bool                                  // no invariant is checked: in large fleets that is most of the work
-	Seeds       int                                   // above 0: each process knows the addresses of the first so many, and learns the others'
-	Violation   string                                // the first violated invariant
+	// OnChange, if not nil, is called with each change of the view of process at.
+	OnChange func(at int, c membership.Change)
+	// OnSend, if not nil, is called with each datagram before faults of the network apply.
+	OnSend func(from, slot int, datagram []byte)
+	// SkipChecks disables the checks of invariants, which are most of the work in large fleets.
+	SkipChecks bool
+	// Seeds is the number of processes whose addresses all processes know; they learn those of the others.
+	// Zero means that all slots are configured.
+	Seeds     int
+	Violation string // the first violated invariant; empty if there is none
 
 	now       Time
 	lastEvent int
@@ -56,7 +62,8 @@
 	planted   membership.Config
 }
 
-// New makes a fleet of n, all starting within a second. planted carries planted faults, and durations other than the defaults.
+// New returns a fleet of n processes, which all start within the first second. planted is the configuration
+// on which that of each process is based: it may set planted faults, and durations other than the defaults.
 func New(n int, seed uint64, planted membership.Config) *Fleet {
 	f := &Fleet{Delay: defaultDelay, Jitter: defaultJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), planted: planted}
 	for i := range n {
@@ -66,24 +73,24 @@
 	return f
 }
 
-// Now is the time of the run.
+// Now returns the current time of the run.
 func (f *Fleet) Now() Time { return f.now }
 
-// Schedule has something happen at a time, or now where that has passed.
+// Schedule schedules a call of run at time t, or now if t has passed.
 func (f *Fleet) Schedule(t Time, run func()) {
 	f.lastEvent++
 	heap.Push(&f.queue, scheduledEvent{max(t, f.now), f.lastEvent, run})
 }
 
-// address is a process's, where processes learn addresses.
+// address returns the address of process i, if processes learn addresses.
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(firstPort+i))
 }
 
-// Name is a process's name.
+// Name returns the name of process i.
 func Name(i int) string { return fmt.Sprint("n", i) }
 
-// Start begins a process, or restarts it with a new incarnation.
+// Start starts process i, or restarts it with a new incarnation.
 func (f *Fleet) Start(i int) {
 	n := f.Nodes[i]
 	core, err := membership.New(f.config(i), n)
@@ -105,7 +112,7 @@
 	f.Schedule(f.now+Time(f.rng.Int64N(int64(TurnInterval))), turn)
 }
 
-// config is a process's configuration as it starts now.
+// config returns the configuration of process i if it starts now.
 func (f *Fleet) config(i int) membership.Config {
 	cfg := f.planted
 	cfg.Name, cfg.Fleet = Name(i), "lab"
@@ -118,10 +125,10 @@
 	return cfg
 }
 
-// Kill ends a process at once.
+// Kill ends process i at once, as SIGKILL does.
 func (f *Fleet) Kill(i int) { f.Nodes[i].Running = false }
 
-// Leave shuts a process down in order.
+// Leave shuts process i down gracefully. It does nothing if the process does not run or is paused.
 func (f *Fleet) Leave(i int) {
 	n := f.Nodes[i]
 	if n.Running && !n.Paused {
@@ -130,14 +137,14 @@
 	}
 }
 
-// Pause stops a process as SIGSTOP does.
+// Pause pauses process i, as SIGSTOP does.
 func (f *Fleet) Pause(i int) {
 	if n := f.Nodes[i]; n.Running && !n.Paused {
 		n.Paused, n.pausedAt = true, f.now
 	}
 }
 
-// Resume has a paused process continue; datagrams that arrived meanwhile wait for it, as in a socket's buffer.
+// Resume resumes process i. Datagrams that arrived during the pause wait for it, as in a socket's buffer.
 func (f *Fleet) Resume(i int) {
 	n := f.Nodes[i]
 	if n.Paused && f.now-n.pausedAt > Sec {
@@ -146,7 +153,7 @@
 	n.Paused = false
 }
 
-// Run advances to a time, or until an invariant is violated.
+// Run advances the run to a time. It skips the remaining events if an invariant is violated.
 func (f *Fleet) Run(until Time) {
 	for len(f.queue) > 0 && f.queue[0].due <= until && f.Violation == "" {
 		e := heap.Pop(&f.queue).(scheduledEvent)
@@ -156,7 +163,7 @@
 	f.now = max(f.now, until)
 }
 
-// running counts the processes that run.
+// running returns the number of running processes.
 func (f *Fleet) running() (n int) {
 	for _, node := range f.Nodes {
 		if node.Running {
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// TestRandomPlans runs random plans; MEMBERSHIP_SEEDS sets how many, MEMBERSHIP_FIRST from which seed on.
+// TestRandomPlans runs random plans. MEMBERSHIP_SEEDS sets the number of plans, MEMBERSHIP_FIRST the first seed.
 func TestRandomPlans(t *testing.T) {
 	seeds := 300
 	if s, err := strconv.Atoi(os.Getenv("MEMBERSHIP_SEEDS")); err == nil {
@@ -28,9 +28,10 @@
 	}
 }
 
-// TestPlantedFaultsAreFound: the same checks find a process that ignores incarnations, and one that does not notice its own pauses.
+// TestPlantedFaultsAreFound checks that the invariants detect processes that ignore incarnations, and
+// processes that do not detect their own pauses.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, planted := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not noticed": {IgnorePause: true}} {
+	for name, planted := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not detected": {IgnorePause: true}} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
 			if _, violation := RunRandomPlan(seed, planted); violation != "" {
@@ -39,24 +40,25 @@
 			}
 		}
 		if !found {
-			t.Errorf("the planted fault, %s, violates no invariant in 200 plans", name)
+			t.Errorf("planted fault %q violates no invariant in 200 plans", name)
 		}
 	}
 }
 
-// oneFault is a fault of one process, with times in milliseconds.
+// oneFault returns a fault of one process, with start and duration in milliseconds.
 func oneFault(kind string, start, duration Time, process int) Fault {
 	return Fault{Kind: kind, StartMS: start, DurationMS: duration, Process: process}
 }
 
-// TestHardCases runs each case by itself: no invariant is violated, no running process is gone to another, and views agree at the end.
+// TestHardCases checks for each case that no invariant is violated, that no running process sees another
+// one as gone, and that the views agree at the end.
 func TestHardCases(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4}
 	for _, c := range []struct {
 		name      string
 		plan      []Fault
 		loss      float64
-		neverGone []int // processes that nobody may see as gone
+		neverGone []int // processes that no process may see as gone
 		until     Time  // end of the run, in seconds
 	}{
 		{"a pause of 0.2 s", []Fault{oneFault(faultPause, 5000, 200, 1)}, 0, all, 15},
@@ -68,15 +70,15 @@
 		{"a fifth of all datagrams lost", nil, 0.2, all, 120},
 		{"two fifths of all datagrams lost", nil, 0.4, all, 120},
 		{"a one-way cut", []Fault{{Kind: faultOneWay, StartMS: 5000, DurationMS: 30000, Process: 1, Destination: 2}}, 0, all, 60},
-		{"one that receives nothing", []Fault{oneFault(faultDeaf, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
-		{"one that sends nothing", []Fault{oneFault(faultMute, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"a process that receives nothing", []Fault{oneFault(faultDeaf, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"a process that sends nothing", []Fault{oneFault(faultMute, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
 		{"a repeated cut", []Fault{oneFault(faultCut, 5000, 2500, 1), oneFault(faultCut, 10000, 2500, 1),
 			oneFault(faultCut, 15000, 2500, 1), oneFault(faultCut, 20000, 2500, 1)}, 0, all, 50},
 		{"a quick restart", []Fault{oneFault(faultRestart, 5000, 100, 1)}, 0, all, 15},
 		{"all restarted within 2 s", []Fault{oneFault(faultRestart, 5000, 500, 0), oneFault(faultRestart, 5300, 500, 1),
 			oneFault(faultRestart, 5600, 500, 2), oneFault(faultRestart, 6000, 500, 3), oneFault(faultRestart, 6400, 500, 4)}, 0, all, 20},
 		{"a wall clock a minute ahead, and set back", []Fault{{Kind: faultStep, StartMS: 5000, DurationMS: 10000, Process: 1, Amount: 0.4}, {Kind: faultStep, StartMS: 20000, DurationMS: 5000, Process: 1, Amount: 0}}, 0, all, 40},
-		{"one with every second turn only", []Fault{oneFault(faultSlow, 3000, 40000, 1)}, 0, all, 60},
+		{"a process that gets only every second turn", []Fault{oneFault(faultSlow, 3000, 40000, 1)}, 0, all, 60},
 		{"datagrams late, duplicated and out of order", []Fault{{Kind: faultDelay, StartMS: 3000, DurationMS: 30000}, {Kind: faultDuplication, StartMS: 3000, DurationMS: 30000, Amount: 0.4}}, 0, all, 50},
 	} {
 		for seed := range uint64(5) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// checkNotGone checks that no process that runs and receives sees one of some processes as gone.
+// checkNotGone checks that no running process that receives datagrams sees one of processes as gone.
 func (f *Fleet) checkNotGone(processes []int) {
 	for i, n := range f.Nodes {
 		for _, j := range processes {
@@ -107,7 +109,8 @@
 	}
 }
 
-// TestPartition: in the minority no member is gone, in the majority the others are, and after the partition views agree without a restart.
+// TestPartition checks that the minority side of a partition marks no member as gone, that the majority
+// side marks the others as gone, and that the views agree after the partition without a restart.
 func TestPartition(t *testing.T) {
 	for seed := range uint64(5) {
 		f := New(5, seed, membership.Config{})
@@ -123,56 +126,57 @@
 		f.Schedule(5*Sec, cut(true))
 		f.Run(25 * Sec)
 		if q0, q2 := f.Nodes[0].Core.Quorum(), f.Nodes[2].Core.Quorum(); q0 || !q2 {
-			t.Errorf("seed %d: quorum %t with two of five, %t with three", seed, q0, q2)
+			t.Errorf("seed %d: quorum %t with two of five and %t with three, want false, true", seed, q0, q2)
 		}
 		for j := 2; j < 5; j++ {
 			if s := f.StateOf(0, j); s != membership.Unreachable {
-				t.Errorf("seed %d: the minority sees n%d as %s", seed, j, s)
+				t.Errorf("seed %d: the minority sees n%d as %s, want %s", seed, j, s, membership.Unreachable)
 			}
 		}
 		if s := f.StateOf(2, 0); s != membership.Gone {
-			t.Errorf("seed %d: the majority sees n0 as %s after 20 s", seed, s)
+			t.Errorf("seed %d: the majority sees n0 as %s after 20 s, want %s", seed, s, membership.Gone)
 		}
 		f.Schedule(f.now, cut(false))
 		f.Run(30 * Sec)
 		if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" {
-			t.Errorf("seed %d, 5 s after healing: %s %s", seed, disagreement, f.Violation)
+			t.Errorf("seed %d, 5 s after the partition: disagreement %q, violation %q", seed, disagreement, f.Violation)
 		}
 	}
 }
 
-// TestUnheardNamesTheLink: with a one-way cut the process that does not hear the other lists it as unheard, and all stay alive.
+// TestUnheardNamesTheLink checks that during a one-way cut the process that does not hear the other lists it
+// as unheard, and that all members stay alive.
 func TestUnheardNamesTheLink(t *testing.T) {
 	f := New(5, 3, membership.Config{})
 	f.Apply([]Fault{{Kind: faultOneWay, StartMS: 5000, DurationMS: 60000, Process: 1, Destination: 2}})
 	f.Run(8 * Sec)
 	for _, m := range f.Nodes[0].Core.View() {
 		if m.ID == membership.ID("n2") && (len(m.Unheard) != 1 || m.Unheard[0] != membership.ID("n1")) {
-			t.Errorf("n2 lists %v as unheard 3 s after the cut, expected n1 alone", m.Unheard)
+			t.Errorf("n2 lists %08x as unheard 3 s after the cut, want only n1, %08x", m.Unheard, membership.ID("n1"))
 		}
 		if m.State != membership.Alive {
-			t.Errorf("%08x is %s, expected alive", m.ID, m.State)
+			t.Errorf("member %08x is %s, want alive", m.ID, m.State)
 		}
 	}
 }
 
-// TestLeftIsNotUnreachable: a graceful shutdown is distinguished from a death.
+// TestLeftIsNotUnreachable checks that a graceful shutdown is distinguished from a death.
 func TestLeftIsNotUnreachable(t *testing.T) {
 	f := New(5, 4, membership.Config{})
 	f.Schedule(5*Sec, func() { f.Leave(1) })
 	f.Schedule(5*Sec, func() { f.Kill(2) })
 	f.Run(6 * Sec)
 	if s := f.StateOf(0, 1); s != membership.Left {
-		t.Errorf("a process that shut down gracefully is seen as %s", s)
+		t.Errorf("a process that shut down gracefully is seen as %s, want %s", s, membership.Left)
 	}
 	f.Run(10 * Sec)
 	if s, l := f.StateOf(0, 2), f.StateOf(0, 1); s != membership.Unreachable || l != membership.Left {
-		t.Errorf("a killed process is seen as %s, one that shut down gracefully as %s", s, l)
+		t.Errorf("a killed process is seen as %s, one that shut down gracefully as %s; want %s, %s", s, l, membership.Unreachable, membership.Left)
 	}
 }
 
-// TestManyKilledAtOnce: with three of five killed, the other two have no majority and see them as unreachable only; with three of seven killed,
-// the other four see them as gone.
+// TestManyKilledAtOnce checks that after three of five processes are killed, the other two have no majority
+// and see them only as unreachable, and that after three of seven are killed, the other four see them as gone.
 func TestManyKilledAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		n    int
@@ -185,16 +189,17 @@
 		f.Run(25 * Sec)
 		for i := range 3 {
 			if s := f.StateOf(c.n-1, i); s != c.want {
-				t.Errorf("of %d: n%d is %s after 20 s, want %s", c.n, i, s, c.want)
+				t.Errorf("three of %d processes killed: n%d is %s after 20 s, want %s", c.n, i, s, c.want)
 			}
 		}
 		if q := f.Nodes[c.n-1].Core.Quorum(); q != (c.want == membership.Gone) {
-			t.Errorf("of %d with three killed: quorum %t", c.n, q)
+			t.Errorf("three of %d processes killed: quorum %t, want %t", c.n, q, c.want == membership.Gone)
 		}
 	}
 }
 
-// TestRollingRestart: each process restarts with a new incarnation, and no member is ever gone.
+// TestRollingRestart checks that no member is seen as gone while each process in turn restarts with a new
+// incarnation.
 func TestRollingRestart(t *testing.T) {
 	f := New(7, 6, membership.Config{})
 	gone := 0
@@ -210,12 +215,12 @@
 	endMS := f.Apply(plan)
 	f.Run(endMS*Ms + 5*Sec)
 	if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" || gone > 0 {
-		t.Errorf("%s %s, members were gone %d times", disagreement, f.Violation, gone)
+		t.Errorf("disagreement %q, violation %q, members seen as gone %d times, want none", disagreement, f.Violation, gone)
 	}
 }
 
-// TestJoiningBySeeds: processes know two addresses at first and learn the others'; a late process becomes known to all, one that shuts down frees
-// its slot, and after a restart of both seeds all views agree again.
+// TestJoiningBySeeds checks that processes that know two addresses at first learn those of the others, and
+// that the views agree after one process has joined late and one has left, and after both seeds have restarted.
 func TestJoiningBySeeds(t *testing.T) {
 	for seed := range uint64(5) {
 		f := New(12, seed, membership.Config{FleetSize: 12})
@@ -223,7 +228,7 @@
 		f.Schedule(Sec, func() { f.Kill(11) })
 		f.Run(10 * Sec)
 		if disagreement := f.Disagreement(); disagreement != "" {
-			t.Errorf("seed %d: %s", seed, disagreement)
+			t.Errorf("seed %d, after 10 s: %s", seed, disagreement)
 		}
 		f.Schedule(f.now, func() { f.Start(11) })
 		f.Schedule(f.now, func() { f.Leave(10) })
@@ -234,7 +239,7 @@
 		f.Apply([]Fault{oneFault(faultRestart, 16000, 500, 0), oneFault(faultRestart, 16000, 800, 1)})
 		f.Run(30 * Sec)
 		if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" {
-			t.Errorf("seed %d, after both seeds were restarted: %s %s", seed, disagreement, f.Violation)
+			t.Errorf("seed %d, after both seeds restarted: disagreement %q, violation %q", seed, disagreement, f.Violation)
 		}
 	}
 }
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// maxInbox is how many datagrams wait for a paused process, as a socket's buffer holds few.
+// maxInbox is the maximum number of datagrams that wait for a paused process, as a socket's buffer is small.
 const maxInbox = 256
 
 // Node is one process of the fleet.
@@ -14,29 +14,29 @@
 	Core      *membership.Core
 	Running   bool
 	Paused    bool
-	Deaf      bool // receives nothing
-	Mute      bool // what it sends is lost
-	Slow      bool // it gets every second turn only
-	WallStep  Time // by how much its wall clock is off
-	SentCount int
+	Deaf      bool // whether it receives no datagrams
+	Mute      bool // whether all datagrams that it sends are lost
+	Slow      bool // whether it gets only every second turn
+	WallStep  Time // offset of its wall clock
+	SentCount int  // number of datagrams that it has sent
 
 	fleet     *Fleet
 	index     int
 	turns     int
-	inbox     []queuedDatagram // what waits while it is paused
+	inbox     []queuedDatagram // datagrams that arrived while it was paused
 	pausedAt  Time
-	resumedAt Time                              // from the last pause of over a second; 0: there was none
-	newest    map[uint32]membership.Incarnation // seen, by member
-	version   uint64                            // of the view, when last checked
+	resumedAt Time                              // end of the last pause of more than a second; zero if there was none
+	newest    map[uint32]membership.Incarnation // newest incarnation seen, by member ID
+	version   uint64                            // version of the view at the last check
 }
 
-// queuedDatagram is one that waits for a paused process.
+// queuedDatagram is a datagram that waits for a paused process.
 type queuedDatagram struct {
 	from int
 	data []byte
 }
 
-// reset begins a new process in the node's place.
+// reset replaces the node's process by a new one.
 func (n *Node) reset(core *membership.Core) {
 	n.Core, n.Running, n.Paused = core, true, false
 	n.inbox, n.version, n.resumedAt = nil, 0, 0
@@ -51,8 +51,8 @@
 	}
 }
 
-// takeTurn gives the process a turn, and then the datagrams that waited for it. With the planted fault IgnorePause the datagrams come before the
-// tick.
+// takeTurn calls Core.Tick and then delivers the datagrams that waited for the process. With the planted
+// fault IgnorePause, it skips the tick if datagrams waited, so that they are handled before the next tick.
 func (n *Node) takeTurn() {
 	inbox := n.inbox
 	n.inbox = nil
@@ -65,7 +65,7 @@
 	n.check()
 }
 
-// Send implements membership.Effects: it is the network.
+// Send implements membership.Effects. It simulates the network.
 func (n *Node) Send(slot int, data []byte) {
 	f := n.fleet
 	n.SentCount++
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -8,37 +8,40 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Fault is one line of a plan: something that happens to a process, a link or the network, for a time.
+// Fault is a fault of a process, a link or the network, with a start and a duration. A plan is a list of them.
 type Fault struct {
-	Kind        string  // see IsFaultKind
-	StartMS     Time    // in milliseconds
-	DurationMS  Time    // in milliseconds
-	Process     int     // to which it happens
-	Destination int     // the process at the other end, for faults of a link
-	Amount      float64 // loss, duplication: the probability; step: 0.2 is none, each 0.1 more is 30 s ahead
+	Kind        string // see IsFaultKind
+	StartMS     Time   // in milliseconds since the start of the run
+	DurationMS  Time   // in milliseconds
+	Process     int    // the affected process
+	Destination int    // the receiving process, for faults of a link
+	// Amount is the probability of loss or duplication. For a step of the wall clock, 0.2 means no step,
+	// and each 0.1 more sets it 30 s ahead.
+	Amount float64
 }
 
-// String is the fault as an S-expression, as plan files hold it.
+// String returns the fault as an S-expression, the format of plan files.
 func (p Fault) String() string {
 	return fmt.Sprintf("(%s (at %d) (for %d) (a %d) (b %d) (part %.2f))", p.Kind, p.StartMS, p.DurationMS, p.Process, p.Destination, p.Amount)
 }
 
-// The kinds of fault, as plan files name them. Processes:
+// Kinds of faults of a process, as plan files name them.
 const (
-	faultPause   = "pause"   // stopped as by SIGSTOP
-	faultKill    = "kill"    // ended at once
-	faultRestart = "restart" // ended at once, and started again at the end
-	faultLeave   = "leave"   // shut down in order
-	faultDeaf    = "deaf"    // receives nothing
-	faultMute    = "mute"    // sends nothing
-	faultSlow    = "lame"    // gets each second turn only
-	faultStep    = "step"    // its wall clock is off
+	faultPause   = "pause"   // the process is stopped, as by SIGSTOP
+	faultKill    = "kill"    // the process is ended at once
+	faultRestart = "restart" // the process is ended at once, and restarted when the fault ends
+	faultLeave   = "leave"   // the process shuts down gracefully
+	faultDeaf    = "deaf"    // the process receives no datagrams
+	faultMute    = "mute"    // the datagrams that the process sends are lost
+	faultSlow    = "lame"    // the process gets only every second turn
+	faultStep    = "step"    // the process's wall clock is off
 )
 
-// Faults of links and of the network, and two that only real processes can have: garbage in place of sealed datagrams, and a full disk.
+// Kinds of faults of links and of the network. Only real processes can have the last two: garbage in place
+// of sealed datagrams, and a full disk.
 const (
-	faultCut         = "cut"     // a process is cut off from all others
-	faultOneWay      = "one-way" // nothing arrives from Process at Destination
+	faultCut         = "cut"     // Process is cut off from all others
+	faultOneWay      = "one-way" // datagrams from Process to Destination are lost
 	faultLoss        = "loss"
 	faultDuplication = "twice"
 	faultDelay       = "slow" // datagrams have a jitter of 100 ms
@@ -46,16 +49,18 @@
 	faultFullDisk    = "full"
 )
 
-// simulatedFaults are those that RandomPlan draws from. A seed gives the same plan as long as their order stays.
+// simulatedFaults lists the kinds that RandomPlan chooses from. Their order must not change: it determines
+// the plan that results from a seed.
 var simulatedFaults = []string{faultPause, faultKill, faultRestart, faultLeave, faultCut, faultOneWay, faultDeaf, faultMute, faultLoss,
 	faultDuplication, faultStep, faultSlow, faultDelay}
 
-// IsFaultKind says whether there is such a kind of fault, in this simulation or for real processes.
+// IsFaultKind reports whether kind is a kind of fault of this simulation or of real processes.
 func IsFaultKind(kind string) bool {
 	return slices.Contains(simulatedFaults, kind) || kind == faultGarbage || kind == faultFullDisk
 }
 
-// RandomPlan draws a plan of one to six faults within 26 s for a fleet of n.
+// RandomPlan returns a random plan of one to six faults for a fleet of n processes. All faults end within
+// 26.1 s.
 func RandomPlan(n int, seed uint64) []Fault {
 	r := rand.New(rand.NewPCG(seed, 11))
 	plan := make([]Fault, 1+r.IntN(6))
@@ -72,7 +77,7 @@
 	return plan
 }
 
-// Apply schedules a plan's faults and returns when the last one ends, in milliseconds.
+// Apply schedules the faults of a plan and returns the end of the last one, in milliseconds.
 func (f *Fleet) Apply(plan []Fault) (endMS Time) {
 	for _, p := range plan {
 		end := p.StartMS + p.DurationMS
@@ -84,7 +89,7 @@
 	return endMS
 }
 
-// faultEffect is what begins and what ends a fault.
+// faultEffect returns functions that start and end a fault. It panics if the kind cannot be simulated.
 func (f *Fleet) faultEffect(p Fault) (begin, end func()) {
 	n := f.Nodes[p.Process]
 	nothing := func() {}
@@ -119,12 +124,12 @@
 	panic("no such fault: " + p.Kind)
 }
 
-// setDuringFault sets a flag for as long as a fault lasts.
+// setDuringFault returns functions that set a flag at the start of a fault and clear it at the end.
 func setDuringFault(flag *bool) (begin, end func()) {
 	return func() { *flag = true }, func() { *flag = false }
 }
 
-// cutOff cuts all links of a process, or mends them.
+// cutOff cuts all links of a process, or restores them if cut is false.
 func (f *Fleet) cutOff(process int, cut bool) {
 	for other := range f.Nodes {
 		f.cutLink(process, other, cut)
@@ -132,17 +137,19 @@
 	}
 }
 
-// cutLink cuts one direction of a link, or mends it; a process has no link to itself.
+// cutLink cuts the link from one process to another, or restores it if cut is false. It ignores the link of
+// a process to itself.
 func (f *Fleet) cutLink(from, to int, cut bool) {
 	if from != to {
 		f.CutLinks[link{from, to}] = cut
 	}
 }
 
-// SettleTime is within which all views agree after the last fault.
+// SettleTime is the time after the end of the last fault within which all views must agree.
 const SettleTime = 20 * Sec
 
-// RunRandomPlan runs a random plan and returns the violated invariant, or the views that do not agree in time; "": neither.
+// RunRandomPlan runs a random plan and returns the violated invariant, or a description of views that do
+// not agree in time. It returns "" if there is neither.
 func RunRandomPlan(seed uint64, planted membership.Config) (plan []Fault, violation string) {
 	n := 3 + int(seed%6)
 	plan = RandomPlan(n, seed)
@@ -153,7 +160,7 @@
 		return plan, f.Violation
 	}
 	if 2*f.running() <= n {
-		return plan, "" // without a majority nobody is gone, and each view keeps what its process heard last
+		return plan, "" // without a majority no member is marked as gone, and the views may stay different
 	}
 	return plan, f.Disagreement()
 }
--- a/internal/fleet/membership/simulation/queue.go
+++ b/internal/fleet/membership/simulation/queue.go
@@ -1,30 +1,30 @@
 package simulation
 
-// scheduledEvent is what happens at a time of the run.
+// scheduledEvent is a call at a time of the run.
 type scheduledEvent struct {
 	due      Time
-	sequence int // in the order in which it was scheduled: it decides between equal times
+	sequence int // order of scheduling, which breaks ties between equal times
 	run      func()
 }
 
-// eventQueue is a heap of scheduled events, for container/heap.
+// eventQueue is a heap of scheduled events that implements heap.Interface.
 type eventQueue []scheduledEvent
 
-// Len is heap.Interface's.
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
-// Less is heap.Interface's.
+// Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].due < q[j].due || q[i].due == q[j].due && q[i].sequence < q[j].sequence
 }
 
-// Swap is heap.Interface's.
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -9,7 +9,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same plans of faults give the same datagrams and the same changes of the view as when they were recorded.
+// TestRecordedDecisions checks that recorded plans of faults still cause the recorded datagrams and changes
+// of the view.
 func TestRecordedDecisions(t *testing.T) {
 	const plans = 200
 	lines := make([]string, plans)
@@ -46,7 +47,7 @@
 	golden.Check(t, "datagrams.golden", samples.Bytes())
 }
 
-// firstPart is the kind of the first part behind a datagram's head of 21 bytes; 0: there is none.
+// firstPart returns the kind of the first part after a datagram's header of 21 bytes, or 0 if there is none.
 func firstPart(datagram []byte) byte {
 	const head = 21
 	if len(datagram) <= head {
