--- a/internal/fleet/memberagent/agent.go
+++ b/internal/fleet/memberagent/agent.go
@@ -1,6 +1,8 @@
-// Package memberagent runs membership in a process: it owns the socket, the timer on the event loop, the seal over datagrams, the log and
-// report for operators, and the section of the settings file. What is known of the other members is membership's, and so are the terms member,
-// slot and address. Peer is used here only where operators know it: for the section's list of addresses, and for a slot in reports.
+// Package memberagent runs package membership in a process. It owns the socket, the timer on the event loop,
+// the seal over datagrams, the log and the report for operators, and the section of the settings file. The
+// state of the other members is in package membership, which also defines the terms member, slot and
+// address. The term peer is used here only where operators know it: for the section's list of addresses
+// and for a slot in reports.
 package memberagent
 
 import (
@@ -17,29 +19,32 @@
 	"croftlock/internal/fleet/peers"
 )
 
-// tickInterval is how often membership gets a turn; it takes a gap of several probe intervals for a pause of the process.
+// tickInterval is the time between two calls of Core.Tick. Only a gap of several probe intervals counts as
+// a pause of the process.
 const tickInterval = 50 * time.Millisecond
 
-// Agent is one process's membership at work. It belongs to the event loop: all its methods are called there.
+// Agent runs the membership protocol for one process. All its methods must be called on the event loop.
 type Agent struct {
 	loop         *netio.Loop
 	core         *membership.Core
 	name         string
 	transport    transport
 	channels     channels
-	reportSocket net.Listener // nil: none
+	reportSocket net.Listener // nil if the settings specify no socket
 	closed       bool
 }
 
-// Platform is the platform's own link between its proxies, for a section without addresses. Its reader passes datagrams to ReceiveShared. A
-// proxy's number on the link is its slot.
+// Platform describes the platform's own link between its proxies, which is used if the section has no
+// addresses. The reader of the link must pass its datagrams to Agent.ReceiveShared. A proxy's number on
+// the link is its slot.
 type Platform struct {
-	Link       *peers.Link // nil: there is none
+	Link       *peers.Link // nil if the platform has no link
 	ProxyCount int
-	OwnNumber  int // of this process among the proxies
+	OwnNumber  int // number of this process on the link
 }
 
-// Start begins. started is when this process began, which its incarnation says. The error is of the section'a files or addresses.
+// Start starts an Agent for the process with the given name. started is the start time of the process, from
+// which its incarnation is made. Start returns an error if the section's files or addresses cannot be used.
 func Start(loop *netio.Loop, o Options, name string, started time.Time, platform Platform) (*Agent, error) {
 	seal, err := o.seal()
 	if err != nil {
@@ -52,7 +57,8 @@
 	if seal != nil {
 		cfg.Overhead = membership.SealLength
 	} else {
-		slog.Warn("membership_unsealed", "reason", "no_keys") // whoever reaches the address can speak for any member
+		// Whoever can reach the address can send datagrams in the name of any member.
+		slog.Warn("membership_unsealed", "reason", "no_keys")
 	}
 	a := &Agent{loop: loop, name: name, transport: transport{seal: seal, learnsAddresses: len(cfg.Seeds) > 0}, channels: channels{}}
 	if a.core, err = membership.New(cfg, a); err != nil {
@@ -71,7 +77,8 @@
 	return a, nil
 }
 
-// coreConfig is membership's configuration: its members are the section's seeds or peers, or else the platform's proxies.
+// coreConfig returns the configuration of the membership core. Its members are the section's seeds or peers,
+// or the platform's proxies if the section has neither.
 func coreConfig(o Options, name string, started time.Time, platform Platform) (membership.Config, error) {
 	cfg := membership.Config{
 		Name:        name,
@@ -83,19 +90,19 @@
 		OwnSlot:     slices.Index(o.Peers, o.Listen),
 	}
 	for _, seed := range o.Seeds {
-		cfg.Seeds = append(cfg.Seeds, netip.MustParseAddrPort(seed)) // the section has checked it
+		cfg.Seeds = append(cfg.Seeds, netip.MustParseAddrPort(seed)) // parseAddresses has checked it
 	}
 	if !o.usesPlatform() {
 		return cfg, nil
 	}
 	if platform.Link == nil {
-		return cfg, errors.New("membership: no peers, and the platform has none or forbids messages between them")
+		return cfg, errors.New("membership: the settings specify no peers or seeds, and the platform has no peers or forbids messages between them")
 	}
 	cfg.Slots, cfg.OwnSlot = platform.ProxyCount, platform.OwnNumber
 	return cfg, nil
 }
 
-// open opens a link of its own, or uses the platform's where the section has no addresses.
+// open opens a link for this agent, or uses the platform's link if the section has no addresses.
 func (a *Agent) open(o Options, ownSlot int, platform Platform) (err error) {
 	t := &a.transport
 	switch {
@@ -121,7 +128,8 @@
 	a.loop.After(tickInterval, a.tick)
 }
 
-// ReceiveShared handles a datagram of the platform's link if it is membership's, and reports whether it was. A nil Agent handles none.
+// ReceiveShared handles a datagram of the platform's link if it belongs to membership, and reports whether it
+// did. It may be called on a nil Agent, which handles none.
 func (a *Agent) ReceiveShared(slot int, data []byte) bool {
 	if a == nil || !a.transport.shared || !membership.IsMembershipDatagram(data) {
 		return false
@@ -163,13 +171,14 @@
 	a.transport.link.SendToPeer(slot, data)
 }
 
-// Changed implements membership.Effects.
+// Changed implements membership.Effects. It logs the change.
 func (a *Agent) Changed(c membership.Change) {
 	slog.Info("member_changed", "id", formatID(c.ID), "name", c.Name, "from", c.OldState.String(), "to", c.NewState.String(),
 		"reason", c.Reason.String(), "incarnation_start_ms", c.Incarnation.Start(), "view_version", c.Version)
 }
 
-// Leave announces a graceful shutdown to the others, and stops. A nil Agent does nothing.
+// Leave announces a graceful shutdown to the other members and stops the Agent. It does nothing if the Agent
+// is nil or has stopped.
 func (a *Agent) Leave() {
 	if a != nil && !a.closed {
 		a.core.Leave(a.loop.Now())
@@ -177,7 +186,8 @@
 	}
 }
 
-// Stop ends without an announcement, as in a hot restart: another process continues as this member. A nil Agent does nothing.
+// Stop stops the Agent without an announcement, as in a hot restart, in which another process continues as
+// this member. It does nothing if the Agent is nil or has stopped.
 func (a *Agent) Stop() {
 	if a == nil || a.closed {
 		return
--- a/internal/fleet/memberagent/channels.go
+++ b/internal/fleet/memberagent/channels.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// channels are the receivers of other packages' data, by channel.
+// channels holds the receivers of other packages' data, by channel.
 type channels map[byte]func(member uint32, data []byte)
 
-// Attach has receive called with the data that another package's counterpart sends on a channel, and with the id of the member that sent them.
-// They share membership's datagrams and its seal. A nil receive detaches.
+// Attach registers receive for the data that other members send on a channel, which it replaces if one is
+// registered. receive is called with the sender's member ID. The data share membership's datagrams and its
+// seal. A nil receive removes the registration.
 func (a *Agent) Attach(channel byte, receive func(member uint32, data []byte)) {
 	a.channels[channel] = receive
 }
 
-// MaxPayload is how many bytes of an attached package's a datagram can carry.
+// MaxPayload returns the maximum number of bytes that SendPayload can send.
 func (a *Agent) MaxPayload() int { return a.transport.maxPayload() }
 
-// SendPayload sends an attached package's data to a member, at most MaxPayload bytes. They may be lost, and always are where the member's address is
-// not known.
+// SendPayload sends at most MaxPayload bytes of data on a channel to a member. The data may be lost, and they
+// are always lost if they are longer or the member's address is not known.
 func (a *Agent) SendPayload(member uint32, channel byte, data []byte) {
 	if !a.closed {
 		a.core.SendPayload(a.loop.Now(), member, channel, data)
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -16,27 +16,33 @@
 	defaultFleet      = "croftlock"
 	maxFleetName      = 64 // bytes
 	maxFleetSize      = 10000
-	maxKeys           = 2 // while keys are changed
+	maxKeys           = 2 // the old and the new key during a key change
 	addressFormat     = "an address with a port"
 	addressListFormat = "addresses with ports"
 )
 
-// Options are the section (membership …) of the settings file.
+// Options holds the section (membership …) of the settings file.
 type Options struct {
-	Enabled   bool     // whether this process takes part; default: no
-	Fleet     string   // the fleet's name; datagrams of another fleet are rejected; default: croftlock
-	Listen    string   // own address for datagrams; "": the platform's link is used
-	Peers     []string // every member's address as reached from here, the own included
-	Seeds     []string // addresses of some members, in place of Peers, where members come and go
-	FleetSize int      // intended number of members, for a majority; 0: as many as addresses
-	Keys      []string // paths of key files, at most two: the first seals, either opens; none: datagrams are not sealed
-	Socket    string   // path of the Unix socket for operators; "": none
+	Enabled bool   // whether this process takes part; default false
+	Fleet   string // name of the fleet; datagrams of another fleet are rejected; default "croftlock"
+	// Listen is the address of this process for datagrams. It is empty if the platform's link is used.
+	Listen string
+	Peers  []string // addresses of all members as reached from here, including this process's own
+	// Seeds are the addresses of some members. They replace Peers if members come and go.
+	Seeds []string
+	// FleetSize is the intended number of members, of which a majority is more than half. Zero means the
+	// number of addresses.
+	FleetSize int
+	// Keys are the paths of at most two key files. The first key seals datagrams, and either opens them.
+	// Without keys, datagrams are not sealed.
+	Keys   []string
+	Socket string // path of the Unix socket for operators; empty if there is none
 }
 
-// usesPlatform says whether the section leaves the addresses to the platform.
+// usesPlatform reports whether the platform specifies the addresses, as the section has none.
 func (o Options) usesPlatform() bool { return len(o.Peers) == 0 && len(o.Seeds) == 0 }
 
-// Section declares the settings section.
+// Section returns the declaration of the settings section.
 func Section() settings.Section {
 	return settings.Section{Name: "membership", Doc: "which of a fleet's proxies are there", Bind: func(f *settings.Form) any {
 		o := Options{Fleet: defaultFleet}
@@ -61,13 +67,13 @@
 // checkConsistency reports settings that contradict each other.
 func (o *Options) checkConsistency(f *settings.Form) {
 	if len(o.Seeds) > 0 && (len(o.Peers) > 0 || o.Listen == "") {
-		f.Fault("seeds", "seeds go with listen and without peers")
+		f.Fault("seeds", "seeds require listen and exclude peers")
 	}
 	if o.Enabled && len(o.Seeds) == 0 && len(o.Peers)+len(o.Listen) > 0 && !slices.Contains(o.Peers, o.Listen) {
-		f.Fault("peers", "the own address %q is not among the peers, expected it there", o.Listen)
+		f.Fault("peers", "the own address %q is not among the peers %q", o.Listen, o.Peers)
 	}
 	if len(o.Keys) > maxKeys {
-		f.Fault("keys", "%d files, expected at most two", len(o.Keys))
+		f.Fault("keys", "%d files, expected at most %d", len(o.Keys), maxKeys)
 	}
 }
 
@@ -76,7 +82,8 @@
 	return err == nil
 }
 
-// parseAddresses reads a list of addresses; false: one is malformed or repeated, or there is none.
+// parseAddresses returns a function that appends a list of addresses to *to. The function returns false if
+// an address is malformed or repeated, or if there is none.
 func parseAddresses(to *[]string) func(s string) bool {
 	return func(s string) bool {
 		for _, address := range strings.Fields(s) {
@@ -89,13 +96,13 @@
 	}
 }
 
-// Check reads the files that the section names.
+// Check reads the key files of the section. It returns an error if they cannot be used.
 func (o Options) Check() error {
 	_, err := o.seal()
 	return err
 }
 
-// seal makes the seal over datagrams; nil: they are not sealed.
+// seal returns the seal over datagrams, or nil if they are not sealed.
 func (o Options) seal() (*membership.Seal, error) {
 	if !o.Enabled || len(o.Keys) == 0 {
 		return nil, nil
--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// rejectionReason is why a datagram was rejected, as the log has it.
+// rejectionReason is the reason for which a datagram was rejected, as it appears in the log.
 type rejectionReason string
 
 const (
@@ -31,11 +31,12 @@
 	membership.ErrReplay:     reasonReplayed,
 }
 
-// logRejected logs a datagram that came from a slot or an address.
+// logRejected logs that a datagram was rejected with err. from is the sender's slot or address.
 func logRejected(from slog.Attr, err error) {
 	slog.Warn("membership_datagram_rejected", append([]any{from}, rejectionFields(err)...)...)
 }
 
+// rejectionFields returns the log fields that describe err.
 func rejectionFields(err error) []any {
 	var inUse *membership.NameInUseError
 	var rejected *membership.RejectedError
--- a/internal/fleet/memberagent/rejection_test.go
+++ b/internal/fleet/memberagent/rejection_test.go
@@ -25,10 +25,10 @@
 		{errors.New("another"), "[reason unknown]"},
 	} {
 		if got := fmt.Sprint(rejectionFields(c.err)); got != c.want {
-			t.Errorf("%v is logged as %s, expected %s", c.err, got, c.want)
+			t.Errorf("rejectionFields(%v) = %s, want %s", c.err, got, c.want)
 		}
 	}
 	if got := slotField(3); !got.Equal(slog.Int("slot", 3)) {
-		t.Errorf("a slot is logged as %s", got)
+		t.Errorf("slotField(3) = %s, want slot=3", got)
 	}
 }
--- a/internal/fleet/memberagent/report.go
+++ b/internal/fleet/memberagent/report.go
@@ -9,26 +9,27 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Report is a process's view as operators see it. Their names for fields stay: life is the incarnation, peer the slot.
+// Report is the view of a process for operators. The JSON fields keep the names that operators know: life
+// for the start time of the incarnation, peer for the slot.
 type Report struct {
 	Name        string         `json:"name"`
 	Version     uint64         `json:"version"`
-	Digest      string         `json:"digest"` // equal where views are equal
+	Digest      string         `json:"digest"` // equal for equal views
 	Quorum      bool           `json:"quorum"`
-	Incarnation uint64         `json:"life"` // the process's start, in Unix milliseconds
+	Incarnation uint64         `json:"life"` // start time of the process, in Unix milliseconds
 	Members     []ReportMember `json:"members"`
 	Counts      map[string]int `json:"counts"`
 }
 
-// ReportMember is one member in a Report.
+// ReportMember is a member in a Report.
 type ReportMember struct {
 	ID           string   `json:"id"`
-	Name         string   `json:"name"` // "": not known yet
+	Name         string   `json:"name"` // empty if not known yet
 	Slot         int      `json:"peer"`
 	State        string   `json:"state"`
-	Incarnation  uint64   `json:"life"`            // its start, in Unix milliseconds
-	HeardMS      int64    `json:"heard_ms"`        // milliseconds since this process heard it; -1: never
-	HeardByAnyMS int64    `json:"heard_by_any_ms"` // milliseconds since anybody heard it; -1: never
+	Incarnation  uint64   `json:"life"`            // start time of its process, in Unix milliseconds
+	HeardMS      int64    `json:"heard_ms"`        // milliseconds since this process last heard it; -1 if never
+	HeardByAnyMS int64    `json:"heard_by_any_ms"` // milliseconds since any process last heard it; -1 if never
 	Unheard      []string `json:"does_not_hear"`
 }
 
@@ -43,6 +44,7 @@
 	return t.Flush()
 }
 
+// report returns the current report.
 func (a *Agent) report() Report {
 	now := a.loop.Now()
 	r := Report{
@@ -61,7 +63,7 @@
 	return r
 }
 
-// memberNames are the names that are known, by id.
+// memberNames returns the known names of members, including this process, by ID.
 func (a *Agent) memberNames(view []membership.Member) map[uint32]string {
 	names := map[uint32]string{membership.ID(a.name): a.name}
 	for _, m := range view {
@@ -93,7 +95,7 @@
 	return row
 }
 
-// millisecondsAgo is how long ago a time was; -1: never.
+// millisecondsAgo returns the time from at to now in milliseconds, or -1 if at is zero, which means never.
 func millisecondsAgo(at, now membership.Time) int64 {
 	if at <= 0 {
 		return -1
@@ -101,7 +103,7 @@
 	return (now - at) / 1e6
 }
 
-// counts are what was sent and received, under the names that operators know.
+// counts returns the counts of the core and of the transport, by the names that operators know.
 func (a *Agent) counts() map[string]int {
 	n := a.core.Counts()
 	return map[string]int{
--- a/internal/fleet/memberagent/socket.go
+++ b/internal/fleet/memberagent/socket.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// reportTimeout bounds how long the loop may take for a report, and the client to read it.
+	// reportTimeout is how long the event loop may take to make a report, and the client to read it.
 	reportTimeout = 2 * time.Second
-	// requestTimeout bounds how long RequestReport waits for the complete report.
+	// requestTimeout is how long RequestReport waits for the complete report.
 	requestTimeout = 5 * time.Second
-	// inUseTimeout is how long ListenUnix waits for another process to accept on the socket.
+	// inUseTimeout is how long ListenUnix waits for another process to accept a connection on the socket.
 	inUseTimeout = time.Second
 )
 
-// SocketInUseError says that another process listens on a Unix socket.
+// SocketInUseError is returned if another process listens on the Unix socket at Path.
 type SocketInUseError struct{ Path string }
 
-// Error names the socket.
+// Error implements error.
 func (e *SocketInUseError) Error() string { return fmt.Sprintf("socket %s is in use", e.Path) }
 
-// serveReports answers each connection to the Unix socket with one report. It runs beside the loop, which makes the report.
+// serveReports starts a goroutine that answers each connection to the Unix socket with one report. The event
+// loop makes the report.
 func (a *Agent) serveReports(path string) error {
 	l, err := ListenUnix(path)
 	if err != nil {
@@ -56,8 +57,8 @@
 	}
 }
 
-// ListenUnix opens a Unix socket for operators that only its owner may use. A socket file that an ended process has left is replaced; the error is
-// a *SocketInUseError where another process listens on it.
+// ListenUnix listens on a Unix socket for operators, which only its owner may use. It replaces a socket file
+// that an ended process has left. It returns a *SocketInUseError if another process listens on the socket.
 func ListenUnix(path string) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, inUseTimeout); err == nil {
 		c.Close()
@@ -74,7 +75,7 @@
 	return l, nil
 }
 
-// RequestReport reads the report of a running proxy.
+// RequestReport returns the report of the running proxy that listens on socket.
 func RequestReport(socket string) (Report, error) {
 	var r Report
 	c, err := net.DialTimeout("unix", filepath.Clean(socket), reportTimeout)
--- a/internal/fleet/memberagent/socket_test.go
+++ b/internal/fleet/memberagent/socket_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestListenUnix: what an ended process left is replaced, a socket in use is not, and only the owner may use it.
+// TestListenUnix checks that ListenUnix replaces the socket file of an ended process but not a socket in use,
+// and that only the owner may use the socket.
 func TestListenUnix(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	left, err := net.Listen("unix", path)
@@ -24,10 +25,10 @@
 	defer l.Close()
 	info, err := os.Stat(path)
 	if err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v, %v", info.Mode(), err)
+		t.Errorf("socket has mode %v (error %v), want permissions -rw-------", info.Mode(), err)
 	}
 	var inUse *SocketInUseError
 	if _, err := ListenUnix(path); !errors.As(err, &inUse) || inUse.Path != path {
-		t.Errorf("a socket in use: %v", err)
+		t.Errorf("ListenUnix on a socket in use: error %v, want a *SocketInUseError for %s", err, path)
 	}
 }
--- a/internal/fleet/memberagent/transport.go
+++ b/internal/fleet/memberagent/transport.go
@@ -7,16 +7,18 @@
 	"croftlock/internal/fleet/peers"
 )
 
-// transport sends to the other members and receives from them: a link, and the seal over its datagrams.
+// transport is the link to the other members and the seal over its datagrams.
 type transport struct {
 	link            *peers.Link
-	shared          bool             // the link is the platform's, and the decision module's too
-	learnsAddresses bool             // members come and go
-	seal            *membership.Seal // nil: datagrams are not sealed
-	sealFailures    int              // datagrams under an unknown key, or replayed
-	rejected        int              // datagrams that membership rejected
+	shared          bool             // whether the link is the platform's, which the decision module uses, too
+	learnsAddresses bool             // whether addresses are learnt, as members come and go
+	seal            *membership.Seal // nil if datagrams are not sealed
+	sealFailures    int              // number of datagrams that the seal rejected
+	rejected        int              // number of datagrams that membership rejected
 }
 
+// sealDatagram returns a datagram with its seal, or unchanged if datagrams are not sealed. The result is valid
+// until the next call.
 func (t *transport) sealDatagram(data []byte) []byte {
 	if t.seal == nil {
 		return data
@@ -24,7 +26,8 @@
 	return t.seal.Seal(data)
 }
 
-// unseal takes a datagram out of its seal. Only the first failure is logged, as anybody can cause any number; all are counted.
+// unseal checks a datagram and removes its seal. It returns false if the seal is not valid. It counts all
+// failures but logs only the first one, as any sender can cause any number of them.
 func (t *transport) unseal(from slog.Attr, data []byte) ([]byte, bool) {
 	if t.seal == nil {
 		return data, true
@@ -39,14 +42,14 @@
 	return nil, false
 }
 
-// recordRejection logs the first datagram that membership rejected, and counts all.
+// recordRejection counts the datagrams that membership rejects, and logs the first one.
 func (t *transport) recordRejection(from slog.Attr, err error) {
 	if t.rejected++; t.rejected == 1 {
 		logRejected(from, err)
 	}
 }
 
-// maxPayload is how many bytes of another package's a datagram can carry.
+// maxPayload returns the maximum number of bytes of another package's data in a datagram.
 func (t *transport) maxPayload() int {
 	if t.seal == nil {
 		return membership.MaxPayload(0)
--- a/internal/fleet/memberagent/view.go
+++ b/internal/fleet/memberagent/view.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// ViewMember is one member as this process sees it.
+// ViewMember is a member as this process sees it.
 type ViewMember struct {
-	Name        string // "": not known yet
+	Name        string // empty if not known yet
 	ID          uint32
 	State       string
 	Incarnation uint64
-	Unheard     []uint32 // members that it reports not to hear
+	Unheard     []uint32 // IDs of the members that it reports as unheard
 }
 
-// View is the members as this process sees them, itself left out.
+// View returns the other members as this process sees them, sorted by ID.
 func (a *Agent) View() []ViewMember {
 	var out []ViewMember
 	for _, m := range a.core.View() {
@@ -20,8 +20,8 @@
 	return out
 }
 
-// FleetSize is how many members the fleet is intended to have.
+// FleetSize returns the intended number of members.
 func (a *Agent) FleetSize() int { return a.core.FleetSize() }
 
-// formatID is a member's id as the log and reports show it.
+// formatID formats a member ID for the log and reports.
 func formatID(id uint32) string { return fmt.Sprintf("%08x", id) }
