--- a/internal/fleet/membership/address.go
+++ b/internal/fleet/membership/address.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxSlots bounds how many addresses are learnt.
+// maxSlots is the maximum number of slots if addresses are learnt.
 const maxSlots = 4096
 
 // addressBook records which member is at which slot. The configuration fixes the slots; with seeds,
--- a/internal/fleet/membership/antientropy.go
+++ b/internal/fleet/membership/antientropy.go
@@ -4,7 +4,7 @@
 	// viewRequestDelay is how long views may differ before a process requests a complete view: gossip
 	// alone removes most differences.
 	viewRequestDelay = sec
-	// viewRequestInterval is the least time between two requests for a complete view.
+	// viewRequestInterval is the minimum time between two requests for a complete view.
 	viewRequestInterval = sec
 	// viewPages is the maximum number of datagrams that answer one request for a view.
 	viewPages = 4
--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -24,7 +24,7 @@
 	}{{Suspect, 1, 1, true}, {Unreachable, 0, 1, false}, {Gone, 0, 0, false}, {Alive, 1, 0, true}} {
 		table.setState(a, c.to, 2)
 		if table.alive != c.alive || table.suspectOrUnreachable != c.suspectOrUnreachable || (table.digest == alive) != c.sameDigest {
-			t.Errorf("%s: %d alive, %d suspect or unreachable, digest as when alive %t; want %d, %d, %t",
+			t.Errorf("state changed to %s: %d alive, %d suspect or unreachable, digest as when alive %t; want %d, %d, %t",
 				c.to, table.alive, table.suspectOrUnreachable, table.digest == alive, c.alive, c.suspectOrUnreachable, c.sameDigest)
 		}
 	}
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -5,16 +5,19 @@
 	"net/netip"
 )
 
-// Effects is implemented by the caller of Core, which sends datagrams and reports changes through it.
+// Effects is implemented by the caller of Core. Core calls it to send datagrams and to report changes.
 type Effects interface {
-	Send(slot int, datagram []byte) // sends to the address of slot; datagram is valid only during the call
-	Changed(c Change)               // is called after each change of the view
+	// Send sends a datagram to the address of slot. datagram is valid only during the call.
+	Send(slot int, datagram []byte)
+	// Changed is called after each change of a member's state and after each restart of a member.
+	Changed(c Change)
 }
 
 // PayloadReceiver may be implemented by an Effects to receive the data that another process has sent
 // with Core.SendPayload.
 type PayloadReceiver interface {
-	PayloadReceived(from uint32, channel byte, data []byte) // data is valid only during the call
+	// PayloadReceived is called with the sender's member ID. data is valid only during the call.
+	PayloadReceived(from uint32, channel byte, data []byte)
 }
 
 // Core runs the membership protocol for one process. It is not safe for concurrent use.
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -2,8 +2,8 @@
 // despite pauses, lost datagrams and one-way cuts. It is a SWIM-like failure detector: each process
 // probes the others in turn, asks others to probe indirectly, and spreads suspicions and their
 // refutations by gossip on the datagrams that it sends anyway. Two rules differ from SWIM: a member
-// counts as heard once any process has heard it, and only a process that sees a majority of the fleet
-// marks a member as gone.
+// counts as heard once any process has heard it, and only a process that sees a majority of the fleet may
+// decide that a member is gone.
 //
 // The package does no I/O and reads no clock: the caller passes in time, datagrams and the random seed,
 // and receives the effects through Effects, so that a run can be replayed. Its components, each with
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -34,7 +34,7 @@
 	partCarried     partKind = 11 // data of another package for its counterpart at the receiver
 )
 
-// Lengths in bytes, including the kind of a part. Data of variable length follow the part headers.
+// Lengths in bytes, including the kind of a part. A header length excludes the data that follow the header.
 const (
 	headerLength        = 1 + 4 + 4 + 8 + 4
 	sequenceLength      = 1 + 4
@@ -160,6 +160,7 @@
 	binary.BigEndian.PutUint32(p[5:], r.target)
 }
 
+// update writes an update and reports whether it fitted.
 func (d *datagram) update(u MemberUpdate) bool {
 	if !d.fits(updateLength) {
 		return false
@@ -209,6 +210,7 @@
 	d.appendPart(partRejected, rejectedLength)[1] = byte(reason)
 }
 
+// carried writes data of another package and reports whether they fitted.
 func (d *datagram) carried(channel byte, data []byte) bool {
 	if !d.fits(carriedHeaderLength+len(data)) || len(data) > 255 {
 		return false
--- a/internal/fleet/membership/payload_test.go
+++ b/internal/fleet/membership/payload_test.go
@@ -25,33 +25,33 @@
 // TestSendPayload checks that data of another package arrive unchanged and with the sender's ID if they
 // fit a datagram, and that data that are too long or have an unknown receiver are dropped.
 func TestSendPayload(t *testing.T) {
-	a, b := &pipe{}, &pipe{}
-	one, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, a)
+	aEffects, bEffects := &pipe{}, &pipe{}
+	aCore, err := New(Config{Name: "a", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, aEffects)
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := New(Config{Name: "b", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, b)
+	bCore, err := New(Config{Name: "b", Fleet: "f", Slots: 1, OwnSlot: -1, Incarnation: NewIncarnation(1)}, bEffects)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.other, b.other = two, one
-	one.SendPayload(0, ID("b"), 7, []byte("too early")) // b's address is not known yet
+	aEffects.other, bEffects.other = bCore, aCore
+	aCore.SendPayload(0, ID("b"), 7, []byte("too early")) // b's address is not known yet
 	for now := Time(1); now < 2*sec; now += 50 * ms {
-		a.now, b.now = now, now
-		one.Tick(now, now)
-		two.Tick(now, now)
+		aEffects.now, bEffects.now = now, now
+		aCore.Tick(now, now)
+		bCore.Tick(now, now)
 	}
 	longest := bytes.Repeat([]byte("x"), MaxPayload(0))
 	for _, data := range [][]byte{[]byte("one"), longest, append(longest, 'x'), {}} {
-		one.SendPayload(2*sec, ID("b"), 7, data)
+		aCore.SendPayload(2*sec, ID("b"), 7, data)
 	}
-	one.SendPayload(2*sec, ID("nobody"), 7, []byte("lost"))
-	one.SendPayload(2*sec, ID("b"), 8, []byte("another's"))
-	if len(b.received) != 3 || string(b.received[0]) != "one" || !bytes.Equal(b.received[1], longest) || len(b.received[2]) != 0 || b.sender != ID("a") {
+	aCore.SendPayload(2*sec, ID("nobody"), 7, []byte("lost"))
+	aCore.SendPayload(2*sec, ID("b"), 8, []byte("another's"))
+	if len(bEffects.received) != 3 || string(bEffects.received[0]) != "one" || !bytes.Equal(bEffects.received[1], longest) || len(bEffects.received[2]) != 0 || bEffects.sender != ID("a") {
 		t.Errorf("b received %d payloads %q, the last from %08x; want \"one\", %d times x and an empty one, from %08x",
-			len(b.received), b.received, b.sender, len(longest), ID("a"))
+			len(bEffects.received), bEffects.received, bEffects.sender, len(longest), ID("a"))
 	}
-	if one.Counts().Malformed+two.Counts().Malformed > 0 {
-		t.Errorf("malformed datagrams: %d at a, %d at b, want none", one.Counts().Malformed, two.Counts().Malformed)
+	if aCore.Counts().Malformed+bCore.Counts().Malformed > 0 {
+		t.Errorf("malformed datagrams: %d at a, %d at b, want none", aCore.Counts().Malformed, bCore.Counts().Malformed)
 	}
 }
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -10,8 +10,12 @@
 // Cost is the traffic of a failure detector and the quality of its detection.
 type Cost struct {
 	Messages, Bytes float64 // per second and process
-	DetectionTime   Time    // from a death until 99 in 100 survivors see the member as unreachable or gone; -1: not within the run
-	FalseAlarms     float64 // per hour in the fleet: a living member that some process sees as unreachable
+	// DetectionTime is the time from a death until 99 % of the survivors see the member as unreachable or
+	// gone, or -1 if that did not happen within the run.
+	DetectionTime Time
+	// FalseAlarms is the number of living members per hour in the whole fleet that some process sees as
+	// unreachable or gone.
+	FalseAlarms float64
 }
 
 // observation collects the conclusions of the processes of a run.
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -19,7 +19,7 @@
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		if plan, violation := RunRandomPlan(seed, membership.Config{}); violation != "" {
 			if failed++; failed <= 5 {
-				t.Errorf("seed %d: %s\n%v", seed, violation, plan)
+				t.Errorf("seed %d: %s, with the plan\n%v", seed, violation, plan)
 			}
 		}
 	}
