--- a/internal/fleet/membership/simulation/alternatives.go
+++ b/internal/fleet/membership/simulation/alternatives.go
@@ -101,7 +101,7 @@
 func Observers(n int, loss float64, duration Time, seed uint64) Cost {
 	r := rand.New(rand.NewPCG(seed, 17))
 	observers := min(observersPerMember, n-1)
-	need := max(1, observers-1)
+	required := max(1, observers-1)
 	lost := 1 - (1-loss)*(1-loss) // probability that the probe or its answer is lost
 	members := min(n, maxObservedMembers)
 	alarms := 0
@@ -116,7 +116,7 @@
 			at[i] = r.Float64() + float64(observerMissedProbes)
 		}
 		slices.Sort(at)
-		delays = append(delays, Time(at[need-1]*1e9)+observerVoteDuration)
+		delays = append(delays, Time(at[required-1]*1e9)+observerVoteDuration)
 	}
 	slices.Sort(delays)
 	return Cost{
@@ -129,7 +129,7 @@
 
 // observerAlarms counts the false alarms about one living member.
 func observerAlarms(r *rand.Rand, lost float64, observers, rounds int) (alarms int) {
-	need := max(1, observers-1)
+	required := max(1, observers-1)
 	missed := make([]int, observers)
 	alarmed := false
 	for range rounds {
@@ -144,10 +144,10 @@
 				agreeing++
 			}
 		}
-		if agreeing >= need && !alarmed {
+		if agreeing >= required && !alarmed {
 			alarms++
 		}
-		alarmed = agreeing >= need
+		alarmed = agreeing >= required
 	}
 	return alarms
 }
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// check checks the invariants of one process's view: its version never falls, no member returns to an
+// checkInvariants checks the invariants of one process's view: its version never falls, no member returns to an
 // earlier process under its name, and no member is gone that all others hear.
-func (n *Node) check() {
+func (n *Node) checkInvariants() {
 	f := n.fleet
 	if f.SkipChecks {
 		return
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -68,11 +68,11 @@
 		delays = append(delays, t)
 	}
 	slices.Sort(delays)
-	need := int(math.Ceil(0.99 * float64(survivors)))
-	if len(delays) < need {
+	required := int(math.Ceil(0.99 * float64(survivors)))
+	if len(delays) < required {
 		return -1
 	}
-	return delays[need-1]
+	return delays[required-1]
 }
 
 // traffic returns the number of datagrams and bytes that all processes have sent so far.
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// oneFault returns a fault of one process, with start and duration in milliseconds.
-func oneFault(kind string, start, duration Time, process int) Fault {
+// processFault returns a fault of one process, with start and duration in milliseconds.
+func processFault(kind string, start, duration Time, process int) Fault {
 	return Fault{Kind: kind, StartMS: start, DurationMS: duration, Process: process}
 }
 
@@ -61,24 +61,24 @@
 		neverGone []int // processes that no process may see as gone
 		until     Time  // end of the run, in seconds
 	}{
-		{"a pause of 0.2 s", []Fault{oneFault(faultPause, 5000, 200, 1)}, 0, all, 15},
-		{"a pause of 2 s", []Fault{oneFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
-		{"a pause of 10 s", []Fault{oneFault(faultPause, 5000, 10000, 1)}, 0, all, 30},
-		{"a pause of 60 s", []Fault{oneFault(faultPause, 5000, 60000, 1)}, 0, []int{0, 2, 3, 4}, 90},
-		{"all but one paused", []Fault{oneFault(faultPause, 5000, 20000, 1), oneFault(faultPause, 5000, 20000, 2),
-			oneFault(faultPause, 5000, 20000, 3), oneFault(faultPause, 5000, 20000, 4)}, 0, all, 50},
+		{"a pause of 0.2 s", []Fault{processFault(faultPause, 5000, 200, 1)}, 0, all, 15},
+		{"a pause of 2 s", []Fault{processFault(faultPause, 5000, 2000, 1)}, 0, all, 15},
+		{"a pause of 10 s", []Fault{processFault(faultPause, 5000, 10000, 1)}, 0, all, 30},
+		{"a pause of 60 s", []Fault{processFault(faultPause, 5000, 60000, 1)}, 0, []int{0, 2, 3, 4}, 90},
+		{"all but one paused", []Fault{processFault(faultPause, 5000, 20000, 1), processFault(faultPause, 5000, 20000, 2),
+			processFault(faultPause, 5000, 20000, 3), processFault(faultPause, 5000, 20000, 4)}, 0, all, 50},
 		{"a fifth of all datagrams lost", nil, 0.2, all, 120},
 		{"two fifths of all datagrams lost", nil, 0.4, all, 120},
 		{"a one-way cut", []Fault{{Kind: faultOneWay, StartMS: 5000, DurationMS: 30000, Process: 1, Destination: 2}}, 0, all, 60},
-		{"a process that receives nothing", []Fault{oneFault(faultDeaf, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
-		{"a process that sends nothing", []Fault{oneFault(faultMute, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
-		{"a repeated cut", []Fault{oneFault(faultCut, 5000, 2500, 1), oneFault(faultCut, 10000, 2500, 1),
-			oneFault(faultCut, 15000, 2500, 1), oneFault(faultCut, 20000, 2500, 1)}, 0, all, 50},
-		{"a quick restart", []Fault{oneFault(faultRestart, 5000, 100, 1)}, 0, all, 15},
-		{"all restarted within 2 s", []Fault{oneFault(faultRestart, 5000, 500, 0), oneFault(faultRestart, 5300, 500, 1),
-			oneFault(faultRestart, 5600, 500, 2), oneFault(faultRestart, 6000, 500, 3), oneFault(faultRestart, 6400, 500, 4)}, 0, all, 20},
+		{"a process that receives nothing", []Fault{processFault(faultDeaf, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"a process that sends nothing", []Fault{processFault(faultMute, 5000, 30000, 1)}, 0, []int{0, 2, 3, 4}, 60},
+		{"a repeated cut", []Fault{processFault(faultCut, 5000, 2500, 1), processFault(faultCut, 10000, 2500, 1),
+			processFault(faultCut, 15000, 2500, 1), processFault(faultCut, 20000, 2500, 1)}, 0, all, 50},
+		{"a quick restart", []Fault{processFault(faultRestart, 5000, 100, 1)}, 0, all, 15},
+		{"all restarted within 2 s", []Fault{processFault(faultRestart, 5000, 500, 0), processFault(faultRestart, 5300, 500, 1),
+			processFault(faultRestart, 5600, 500, 2), processFault(faultRestart, 6000, 500, 3), processFault(faultRestart, 6400, 500, 4)}, 0, all, 20},
 		{"a wall clock a minute ahead, and set back", []Fault{{Kind: faultStep, StartMS: 5000, DurationMS: 10000, Process: 1, Amount: 0.4}, {Kind: faultStep, StartMS: 20000, DurationMS: 5000, Process: 1, Amount: 0}}, 0, all, 40},
-		{"a process that gets only every second turn", []Fault{oneFault(faultSlow, 3000, 40000, 1)}, 0, all, 60},
+		{"a process that gets only every second turn", []Fault{processFault(faultSlow, 3000, 40000, 1)}, 0, all, 60},
 		{"datagrams late, duplicated and out of order", []Fault{{Kind: faultDelay, StartMS: 3000, DurationMS: 30000}, {Kind: faultDuplication, StartMS: 3000, DurationMS: 30000, Amount: 0.4}}, 0, all, 50},
 	} {
 		for seed := range uint64(5) {
@@ -236,7 +236,7 @@
 		if disagreement := f.Disagreement(); disagreement != "" {
 			t.Errorf("seed %d, after one process started and one shut down: %s", seed, disagreement)
 		}
-		f.Apply([]Fault{oneFault(faultRestart, 16000, 500, 0), oneFault(faultRestart, 16000, 800, 1)})
+		f.Apply([]Fault{processFault(faultRestart, 16000, 500, 0), processFault(faultRestart, 16000, 800, 1)})
 		f.Run(30 * Sec)
 		if disagreement := f.Disagreement(); disagreement != "" || f.Violation != "" {
 			t.Errorf("seed %d, after both seeds restarted: disagreement %q, violation %q", seed, disagreement, f.Violation)
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -62,7 +62,7 @@
 	for _, d := range inbox {
 		n.receive(d.from, d.data)
 	}
-	n.check()
+	n.checkInvariants()
 }
 
 // Send implements membership.Effects. It simulates the network.
@@ -104,7 +104,7 @@
 		}
 	default:
 		n.receive(from, data)
-		n.check()
+		n.checkInvariants()
 	}
 }
 
--- a/internal/fleet/membership/simulation/recorded_test.go
+++ b/internal/fleet/membership/simulation/recorded_test.go
@@ -15,7 +15,7 @@
 	const plans = 200
 	lines := make([]string, plans)
 	samples := golden.NewSamples(4)
-	play := func(seed uint64, samples *golden.Samples) {
+	runPlan := func(seed uint64, samples *golden.Samples) {
 		processes := 3 + int(seed%6)
 		f, digest := New(processes, seed, membership.Config{}), golden.NewDigest()
 		f.SkipChecks = true
@@ -40,18 +40,18 @@
 	}
 	const sampled = 8
 	for seed := range uint64(sampled) {
-		play(seed, samples)
+		runPlan(seed, samples)
 	}
-	golden.InParallel(sampled, plans, func(seed int) { play(uint64(seed), nil) })
+	golden.InParallel(sampled, plans, func(seed int) { runPlan(uint64(seed), nil) })
 	golden.Check(t, "decisions.golden", []byte(strings.Join(lines, "\n")+"\n"))
 	golden.Check(t, "datagrams.golden", samples.Bytes())
 }
 
 // firstPart returns the kind of the first part after a datagram's header of 21 bytes, or 0 if there is none.
 func firstPart(datagram []byte) byte {
-	const head = 21
-	if len(datagram) <= head {
+	const headerLength = 21
+	if len(datagram) <= headerLength {
 		return 0
 	}
-	return datagram[head]
+	return datagram[headerLength]
 }
