--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -8,11 +8,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// promotionLag is how many commands a learner may lag behind and still be promoted.
+// promotionLag is how many log entries a learner may lag behind and still be promoted.
 const promotionLag = 64
 
-// Add adds a process to the group that has applied for it ("asked to be taken in": its hello came), as a learner, which does not vote. The tag
-// is passed to Effects.Applied.
+// Add proposes to add a process to the group as a learner, which does not vote. The process must
+// have applied by sending a hello to this replica; operators read that as "asked to be taken in".
+// The tag is passed to Effects.Applied once the change is applied.
 func (c *Core) Add(now Time, tag uint64, name string) error {
 	id, isApplicant := c.joining.applicants[name]
 	if !isApplicant {
@@ -24,8 +25,9 @@
 	return c.proposeChange(now, tag, name, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 }
 
-// Promote makes a learner ("member that listens") a voter, once it has caught up. An earlier identity of the same process, which lost its disk,
-// loses its vote in the same change: the number of voters stays.
+// Promote proposes to make a learner, which operators know as a "member that listens", a voter. It
+// fails until the learner has caught up. If the process lost its disk and an earlier identity of it
+// is a voter, the same change removes that identity, so that the number of voters stays the same.
 func (c *Core) Promote(now Time, tag uint64, name string) error {
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
@@ -46,7 +48,8 @@
 	return c.proposeChange(now, tag, name, changes...)
 }
 
-// Remove removes a process from the group. It fails where the remaining voters that are active would be no majority.
+// Remove proposes to remove a process from the group. It fails if the remaining active voters would
+// not be a majority.
 func (c *Core) Remove(now Time, tag uint64, name string) error {
 	if _, ok := c.Leading(); !ok {
 		return ErrNotLeader
@@ -66,7 +69,7 @@
 	return c.proposeChange(now, tag, name, changes...)
 }
 
-// identitiesOf are the identities among ids that belong to a process.
+// identitiesOf returns the elements of ids that are identities of the named process.
 func (c *Core) identitiesOf(name string, ids []uint64) (own []uint64) {
 	for _, id := range ids {
 		if c.configuration.names[id] == name {
@@ -76,7 +79,8 @@
 	return own
 }
 
-// caughtUp reports whether a learner is active and has nearly all of the log.
+// caughtUp reports whether a learner is active and at most promotionLag entries behind the commit
+// index.
 func (c *Core) caughtUp(id uint64) (enough bool) {
 	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) {
 		if p == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
@@ -86,7 +90,8 @@
 	return enough
 }
 
-// votersWithout counts the voters other than one process, and those of them that are active.
+// votersWithout returns the number of voters other than the named process, and how many of them are
+// active.
 func (c *Core) votersWithout(name string) (remaining, active int) {
 	recent := map[uint64]bool{c.identity.ID: true}
 	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) { recent[p] = recent[p] || pr.RecentActive })
@@ -102,7 +107,8 @@
 	return remaining, active
 }
 
-// proposeChange proposes a change of the configuration, one at a time.
+// proposeChange proposes a change of the configuration. It returns ErrBusy while another change is
+// in progress.
 func (c *Core) proposeChange(now Time, tag uint64, name string, changes ...raftpb.ConfChangeSingle) error {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -8,21 +8,21 @@
 	"croftlock/internal/fleet/group"
 )
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a time or duration in nanoseconds on the caller's monotonic clock.
 type Time = group.Time
 
 type (
 	// Machine is a state machine of the group.
 	Machine = group.Machine
-	// Effects is what a replica can do.
+	// Effects receives the messages, results and log events of a replica.
 	Effects = group.Effects
-	// Status is what operators see of a replica.
+	// Status describes a replica to operators.
 	Status = group.Status
-	// StatusMember is one member in a Status.
+	// StatusMember describes one member in a Status.
 	StatusMember = group.StatusMember
 )
 
-// Errors of requests to a Core.
+// Errors that Core's methods return for commands and changes of the group.
 var (
 	ErrNotLeader      = group.ErrNotLeader
 	ErrCommandTooLong = group.ErrCommandTooLong
@@ -30,7 +30,8 @@
 )
 
 const (
-	// Bounds on what the raft library has in flight to each replica, and on uncommitted entries.
+	// maxMessageBytes and maxInflightMessages bound what the raft library has in flight to each
+	// replica. maxUncommittedBytes bounds the uncommitted entries.
 	maxMessageBytes     = 2048
 	maxInflightMessages = 16
 	maxUncommittedBytes = 1 << 20
@@ -40,7 +41,7 @@
 	maxCommandBytes  = 64 << 10
 	maxNameBytes     = 64
 	maxInitialVoters = 9
-	// maxMachineBytes bounds one machine's state in a snapshot.
+	// maxMachineBytes bounds the state of one machine in a snapshot.
 	maxMachineBytes = 150 << 10
 
 	defaultTickInterval    = Time(1e8) // 100 ms
@@ -50,22 +51,33 @@
 	defaultTrailingEntries = 128
 )
 
-// Config is what a process is configured with.
+// Config configures a Core. A numeric option that is zero or negative selects its default.
 type Config struct {
-	Group, Name     string
-	InitialVoters   []string // voters at the group's first start, by name, 1 to 9; the same list everywhere
-	Seed            uint64
-	TickInterval    Time // between two calls of Tick; 0: 100 ms
-	HeartbeatTicks  int  // between two heartbeats of a leader; 0: 2
-	ElectionTicks   int  // a leader without a message for this to twice this, drawn at random, counts as lost; 0: 8
-	SnapshotEvery   int  // commands after which a snapshot is taken; 0: 512
-	TrailingEntries int  // commands kept behind a snapshot, for replicas that lag; 0: 128
+	// Group and Name name the group and this process.
+	Group, Name string
+	// InitialVoters lists the names of the 1 to 9 voters that bootstrap the group. All processes
+	// must have the same list.
+	InitialVoters []string
+	// Seed seeds the random numbers: election timeouts, the incarnation and new identities.
+	Seed uint64
+	// TickInterval is the time between two calls of Tick. The default is 100 ms.
+	TickInterval Time
+	// HeartbeatTicks is the number of ticks between two heartbeats of a leader. The default is 2.
+	HeartbeatTicks int
+	// ElectionTicks is the shortest election timeout, in ticks. A follower loses its leader after
+	// a random time between this and twice this without a message from it. The default is 8.
+	ElectionTicks int
+	// SnapshotEvery is the number of commands after which a snapshot is taken. The default is 512.
+	SnapshotEvery int
+	// TrailingEntries is the number of entries kept before a snapshot, for replicas that lag. The
+	// default is 128.
+	TrailingEntries int
 }
 
-// withDefaults checks a configuration and sets the defaults.
+// withDefaults validates cfg and returns it with the defaults set.
 func (cfg Config) withDefaults() (Config, error) {
 	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || len(cfg.InitialVoters) == 0 || len(cfg.InitialVoters) > maxInitialVoters {
-		return cfg, fmt.Errorf("consensus: a name of 1 to %d bytes and 1 to 9 first voters are possible, not %q and %d", maxNameBytes, cfg.Name, len(cfg.InitialVoters))
+		return cfg, fmt.Errorf("consensus: the name must have 1 to %d bytes and there must be 1 to %d initial voters, got name %q and %d voters", maxNameBytes, maxInitialVoters, cfg.Name, len(cfg.InitialVoters))
 	}
 	setDefault(&cfg.TickInterval, defaultTickInterval)
 	setDefault(&cfg.HeartbeatTicks, defaultHeartbeatTicks)
@@ -81,10 +93,10 @@
 	}
 }
 
-// electionTimeout is the shortest time after which a leader counts as lost.
+// electionTimeout returns the shortest time after which a follower loses its leader.
 func (cfg Config) electionTimeout() Time { return Time(cfg.ElectionTicks) * cfg.TickInterval }
 
-// raftConfig is the raft library's configuration.
+// raftConfig returns the configuration of the raft library.
 func (c *Core) raftConfig() *raft.Config {
 	return &raft.Config{
 		ID:                        c.identity.ID,
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -9,19 +9,19 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxMembers bounds how many members a snapshot may name.
+// maxMembers bounds the number of members in a snapshot.
 const maxMembers = 64
 
-// configuration is the members of the group.
+// configuration holds the members of the group.
 type configuration struct {
-	names    map[uint64]string // of members, voters and learners, by identity
+	names    map[uint64]string // names of the members, voters and learners, by identity
 	state    raftpb.ConfState
-	changing bool // a joint configuration is in force
+	changing bool // whether a joint configuration is in force
 }
 
 func newConfiguration() configuration { return configuration{names: map[uint64]string{}} }
 
-// formed reports whether this process knows a group that was bootstrapped.
+// formed reports whether this process knows of a group that was bootstrapped.
 func (g *configuration) formed() bool { return len(g.state.Voters) > 0 }
 
 func (g *configuration) contains(id uint64) bool {
@@ -29,12 +29,12 @@
 	return member
 }
 
-// isInitialMember reports whether an identity is the first one of an initial voter, and still a member.
+// isInitialMember reports whether id is the first identity of an initial voter and still a member.
 func (g *configuration) isInitialMember(id uint64) bool { return isInitial(id) && g.contains(id) }
 
 func (g *configuration) isVoter(id uint64) bool { return slices.Contains(g.state.Voters, id) }
 
-// bootstrap makes the initial voters the members.
+// bootstrap makes the initial voters the only members.
 func (g *configuration) bootstrap(voters []string) {
 	for _, name := range voters {
 		id := VoterID(name, 0)
@@ -44,7 +44,8 @@
 	slices.Sort(g.state.Voters)
 }
 
-// apply applies a committed change, with the state that the raft library derives from it.
+// apply applies a committed change. state is the raft library's configuration after it, and name is
+// the process that the changes add or remove.
 func (g *configuration) apply(state raftpb.ConfState, changes []raftpb.ConfChangeSingle, name string) {
 	g.state = state
 	for _, change := range changes {
@@ -58,7 +59,7 @@
 	g.changing = len(g.state.VotersOutgoing) > 0
 }
 
-// encodeNames writes the members for a snapshot, by identity.
+// encodeNames writes the identities and names of the members, sorted by identity, for a snapshot.
 func (g *configuration) encodeNames(w *encoding.Writer) {
 	w.Uint(uint64(len(g.names)))
 	for _, id := range slices.Sorted(maps.Keys(g.names)) {
@@ -66,6 +67,7 @@
 	}
 }
 
+// decodeNames reads what encodeNames wrote. An error is left in r.
 func decodeNames(r *encoding.Reader) map[uint64]string {
 	names := map[uint64]string{}
 	for n := r.Count(maxMembers); n > 0; n-- {
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -9,10 +9,11 @@
 	"croftlock/internal/fleet/group"
 )
 
-// pauseTicks is how many tick intervals may pass between two calls of Tick before the process counts as having been paused.
+// pauseTicks is the number of tick intervals that may pass between two calls of Tick. After a longer
+// interval the process counts as having been paused.
 const pauseTicks = 4
 
-// Core is one process's part. It is not safe for concurrent use.
+// Core is one replica of a group. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	effects Effects
@@ -21,10 +22,10 @@
 	now     Time
 
 	phase       Phase
-	failure     error // of Broken
+	failure     error // why the phase is Broken
 	identity    Identity
-	incarnation uint64      // random, drawn at each start; membership's and ownership's are times
-	recovered   StoredState // what the store contained at the start; raft takes its entries once it runs
+	incarnation uint64      // random at each start; those of membership and ownership are times
+	recovered   StoredState // loaded at the start; startRaft passes the entries to raft and clears them
 
 	joining       joining
 	configuration configuration
@@ -33,13 +34,14 @@
 	election      electionTimer
 	leadership    leadership
 
-	node       *raft.RawNode // nil: raft does not run
+	node       *raft.RawNode // nil while raft does not run
 	storage    *raft.MemoryStorage
 	lastTick   Time
-	processing bool // a Ready is being processed
+	processing bool // whether processReady is running
 }
 
-// Open makes a process's part from what its store holds. It fails on a store of another group or another process.
+// Open returns a Core with the state in store. machines maps the numbers that commands carry to state
+// machines. Open fails if the store belongs to another group or process.
 func Open(cfg Config, store Store, machines map[byte]Machine, effects Effects) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -72,10 +74,12 @@
 	return c, nil
 }
 
-// recover restores the stored snapshot and counts this start.
+// recover restores the stored snapshot and increments the number of starts, unless the store is known
+// to be stale. Without an identity any stored state is from a bootstrap that did not complete, and is
+// discarded.
 func (c *Core) recover() error {
 	if c.identity.ID == 0 {
-		c.recovered = StoredState{} // a bootstrap that was not completed starts again
+		c.recovered = StoredState{}
 	} else if !raft.IsEmptySnap(c.recovered.Snapshot) {
 		if err := c.restoreSnapshot(c.recovered.Snapshot); err != nil {
 			return err
@@ -93,7 +97,8 @@
 	return c.store.SaveIdentity(c.identity)
 }
 
-// Tick must be called every Config.TickInterval.
+// Tick must be called every Config.TickInterval. It sends hellos while this process starts and
+// advances raft's timers once it runs.
 func (c *Core) Tick(now Time) {
 	c.now = max(c.now, now)
 	c.joining.recordFirstTick(c.now)
@@ -118,7 +123,8 @@
 	c.processReady()
 }
 
-// tickLeader counts the time that a leader was paused, too, so that it steps down if no messages of a majority came for an election timeout.
+// tickLeader ticks raft for the time since the last call, including a pause of this process, so that
+// a leader steps down if it has not heard from a majority for an election timeout.
 func (c *Core) tickLeader(elapsed Time) {
 	ticks := max(1, min(elapsed/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
@@ -126,11 +132,11 @@
 	}
 }
 
-// tickFollower campaigns once the leader is lost.
+// tickFollower starts an election if this process is a voter and has lost its leader.
 func (c *Core) tickFollower(elapsed Time) {
 	c.node.TickQuiesced()
 	if elapsed > pauseTicks*c.cfg.TickInterval {
-		c.election.reset(c.now) // this process was paused: missing messages of the leader show nothing
+		c.election.reset(c.now) // while this process was paused it could not receive the leader's messages
 	}
 	if c.election.expired(c.now) && c.configuration.isVoter(c.identity.ID) {
 		c.election.reset(c.now)
@@ -138,7 +144,7 @@
 	}
 }
 
-// Close ends this process's part and closes the store.
+// Close stops this replica and closes the store.
 func (c *Core) Close() error {
 	c.node = nil
 	if c.phase == Member || c.phase == Starting {
@@ -147,7 +153,8 @@
 	return c.store.Close()
 }
 
-// becomeStale ends this process's part until an operator replaces it. That is stored, since the process that found it may lose its memory.
+// becomeStale stops this replica until an operator replaces it. Staleness: the phase is stored, since
+// the peer whose answer revealed it (foundBy) may forget what it has received.
 func (c *Core) becomeStale(foundBy uint32, cause staleCause) {
 	c.identity.Stale = true
 	if !c.checkStored(c.store.SaveIdentity(c.identity)) {
@@ -157,7 +164,7 @@
 	c.effects.LogEvent("replica_stale", "reason", cause.String(), "by", fmt.Sprintf("%08x", foundBy))
 }
 
-// becomeBroken ends this process's part after a failure.
+// becomeBroken stops this replica after a failure.
 func (c *Core) becomeBroken(err error) {
 	if c.phase == Broken {
 		return
@@ -166,7 +173,8 @@
 	c.effects.LogEvent("replica_broken", "reason", c.reason())
 }
 
-// checkStored reports whether a call of the store succeeded. Fail-stop: this replica stops where it did not.
+// checkStored reports whether a call of the store succeeded. Fail-stop: it stops this replica if err
+// is not nil.
 func (c *Core) checkStored(err error) bool {
 	if err != nil {
 		c.becomeBroken(err)
@@ -174,8 +182,9 @@
 	return err == nil
 }
 
-// recoverPanic turns a panic of the raft library into a failure of this replica. The library panics at an impossible state: the store or a message was
-// damaged in a way that no checksum found, and it is not safe to continue.
+// recoverPanic calls f and stops this replica if f panics. The raft library panics in a state that
+// should be impossible: the store or a message was corrupted in a way that no checksum detected, and
+// it is not safe to continue.
 func (c *Core) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -185,7 +194,8 @@
 	f()
 }
 
-// updatePhase makes this process Member or NotMember after a change of the configuration.
+// updatePhase sets the phase to Member or NotMember after a change of the configuration. It leaves
+// the other phases.
 func (c *Core) updatePhase() {
 	if c.phase != Member && c.phase != NotMember {
 		return
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -1,21 +1,25 @@
-// Package consensus is one process's part of a group of replicas that agree on a sequence of commands, on go.etcd.io/raft/v3. It applies the
-// commands in their order to several state machines. Its only I/O is the Store that it is given; it reads no clock, and draws its randomness
-// from a seed, so that a run can be replayed. One goroutine beside the event loop drives it, since a Store waits for its disk.
+// Package consensus implements one replica of a replicated group. It runs the raft library
+// go.etcd.io/raft/v3 and applies the committed commands, in log order, to several state machines.
 //
-// Its parts, each with its own state:
+// The package does no I/O besides its Store, reads no clock, and generates random numbers from a
+// seed, so that a run can be replayed. One goroutine other than the event loop must drive it, since
+// a Store blocks on its disk.
 //
-//   - Core: drives raft's Ready loop: durable first, then sent, then applied
-//   - joining: the exchange of hello and welcome that decides at each start whether this process may vote
+// The state is divided into:
+//
+//   - Core: drives raft's Ready loop, which persists first, then sends messages, then applies entries
+//   - joining: the exchange of hello and welcome messages that decides at each start whether this
+//     process may vote
 //   - configuration: the members of the group
-//   - appliedLog: what the state machines have applied, and snapshots of it
-//   - electionTimer: when a leader counts as lost
+//   - appliedLog: how far the log has been applied to the state machines and covered by snapshots
+//   - electionTimer: decides when a follower has lost its leader
 //
 // Safety rests on three properties:
 //
 //   - Durability: a process votes and acknowledges only what its Store has made durable.
-//   - Fail-stop: one whose Store fails stops at once.
-//   - Staleness: one whose Store is older than what others have received from it (a file restored from a backup) takes no part. At each start
-//     the others are queried.
+//   - Fail-stop: a process whose Store fails stops at once.
+//   - Staleness: a process whose Store is older than what other processes have received from it (for
+//     example a file restored from a backup) takes no part. It queries the others at each start.
 //
 // See docs/design-ownership.md.
 package consensus
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -8,24 +8,26 @@
 
 const (
 	helloInterval = Time(2e8) // 200 ms
-	// otherVotersTimeout is how long a start waits for those voters beyond a majority that have not answered.
+	// otherVotersTimeout is how long a start waits for the remaining voters after a majority answered.
 	otherVotersTimeout = Time(1e9) // 1 s
 )
 
-// provenState is what this process has received from another replica, and the other therefore must have on its disk.
+// provenState describes what another replica must have on its disk, since this process received
+// messages that the replica sends only once it has stored them.
 type provenState struct {
 	term              uint64
-	logTerm, logIndex uint64 // the last log entry that it must have
+	logTerm, logIndex uint64 // the last log entry that the replica must have
 }
 
-// joining is what this process has received from others for its own start, and what it knows of them for theirs.
+// joining holds the answers of other processes to this process's hellos, and the state from which
+// this process answers theirs.
 type joining struct {
-	startedAt    Time                   // below 0: no tick yet
-	lastHello    Time                   // 0: none
+	startedAt    Time                   // first tick or bootstrap; negative before the first tick
+	lastHello    Time                   // 0 before the first hello
 	answers      map[uint32]bool        // by peer whose answer counts: whether it knows a group
 	startRecords map[uint64]StartRecord // stored, by replica
 	received     map[uint64]provenState // since this process started, by replica
-	applicants   map[string]uint64      // identities of the processes that apply to be added, by name
+	applicants   map[string]uint64      // identities of the processes that ask to be added, by name
 }
 
 func newJoining(stored map[uint64]StartRecord) joining {
@@ -35,19 +37,20 @@
 	return joining{startedAt: -1, answers: map[uint32]bool{}, startRecords: stored, received: map[uint64]provenState{}, applicants: map[string]uint64{}}
 }
 
-// recordFirstTick records the first tick.
+// recordFirstTick records the time of the first tick. Later calls do nothing.
 func (j *joining) recordFirstTick(now Time) {
 	if j.startedAt < 0 {
 		j.startedAt = now
 	}
 }
 
-// restart drops the answers: they do not refer to the identity that this process has now.
+// restart discards the answers, which refer to the identity before a bootstrap, and the time waited.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
 }
 
+// helloDue reports whether a hello must be sent now, and if so records it as sent.
 func (j *joining) helloDue(now Time) bool {
 	if j.lastHello != 0 && now-j.lastHello < helloInterval {
 		return false
@@ -56,7 +59,8 @@
 	return true
 }
 
-// recordReceived records what a message proves its sender to have stored. Pre-votes prove nothing: their term is not stored.
+// recordReceived records what m proves its sender to have stored. Pre-votes prove nothing, since
+// their sender does not store their term.
 func (j *joining) recordReceived(m *raftpb.Message) {
 	if m.Type == raftpb.MsgPreVote || m.Type == raftpb.MsgPreVoteResp {
 		return
@@ -72,7 +76,8 @@
 	j.received[m.From] = e
 }
 
-// otherVoters are the peers that a start queries: all voters other than this process.
+// otherVoters returns the peers that a start queries: all voters other than this process. They are
+// the initial voters until the group is formed.
 func (c *Core) otherVoters() (peers []uint32) {
 	self := PeerID(c.cfg.Name)
 	add := func(p uint32) {
@@ -99,13 +104,13 @@
 	}
 }
 
-// handleHello answers a starting process with what is known of it.
+// handleHello answers a starting process with what this process knows of it.
 func (c *Core) handleHello(from uint32, h hello) error {
 	if h.group != c.cfg.Group || PeerID(h.name) != from || h.replica != 0 && peerOf(h.replica) != from {
 		return ErrInvalidHello
 	}
 	if c.phase == Broken || c.phase == Stale {
-		return nil // what this process knows can't be stored, or is out of date
+		return nil // a broken process can't store the start, and a stale one may be out of date
 	}
 	replica := h.replica
 	if replica == 0 {
@@ -113,7 +118,7 @@
 	}
 	start := c.joining.startRecords[replica]
 	if h.replica != 0 && h.starts > start.Starts {
-		// Durability: stored before it is answered, since the answer lets the other process vote.
+		// Durability: the start is stored before the answer, which lets the other process vote.
 		start = StartRecord{h.starts, h.incarnation}
 		if !c.checkStored(c.store.SaveStartRecord(h.replica, start)) {
 			return nil
@@ -124,7 +129,8 @@
 		c.joining.applicants[h.name] = h.replica
 	}
 	received := c.joining.received[replica]
-	// An initial voter that nobody has ever seen completes the bootstrap of the group that it is configured with.
+	// An initial voter that this process has never seen must be able to complete the bootstrap, so the
+	// answer does not report the group to it.
 	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
 		group:      c.cfg.Group,
@@ -138,7 +144,8 @@
 	return nil
 }
 
-// handleWelcome handles the answer to a hello.
+// handleWelcome handles the answer to a hello. The answer of a process without records of its own
+// counts only while this process has no identity.
 func (c *Core) handleWelcome(from uint32, m welcome) error {
 	if m.group != c.cfg.Group || m.replica != c.identity.ID {
 		return ErrInvalidWelcome
@@ -157,7 +164,7 @@
 	return nil
 }
 
-// staleCause reports what another process has received that the own store does not hold.
+// staleCause returns the first cause for which m shows that the own store is stale, or storeCurrent.
 func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
 	switch {
@@ -171,7 +178,7 @@
 	return storeCurrent
 }
 
-// tryStart completes the start once enough of the others have answered.
+// tryStart completes the start once enough other voters have answered.
 func (c *Core) tryStart() {
 	others, answers := c.otherVoters(), c.joining.answers
 	hasGroup := false
@@ -192,19 +199,21 @@
 	}
 }
 
-// enoughAnswers reports whether a majority of the voters, with this one, has recorded this start. Staleness: a later start with an older file then
-// meets one of them.
+// enoughAnswers reports whether a majority of the voters, including this one, has recorded this
+// start. Staleness: a later start with an older file then gets an answer from at least one of them.
 func (c *Core) enoughAnswers(others int) bool {
 	enough := (others + 1) / 2
 	if c.identity.Starts == 1 && isInitial(c.identity.ID) {
-		enough = others // so that all others know an initial voter, and none lets it bootstrap again after it lost its disk
+		// All others must know an initial voter, so that none lets it bootstrap again after it lost its
+		// disk.
+		enough = others
 	}
 	answers := len(c.joining.answers)
 	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= otherVotersTimeout)
 }
 
-// startAsNewReplica takes a new identity. Either this process never was a member, or it was and lost its disk: then it may have voted, and must
-// not vote again as that member.
+// startAsNewReplica starts raft with a new identity. This process either never was a member, or lost
+// its disk: then it may have voted with its earlier identity and must not vote with that again.
 func (c *Core) startAsNewReplica(reason notMemberReason) {
 	nonce := c.rng.Uint32() | 1
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
@@ -214,7 +223,8 @@
 	}
 }
 
-// bootstrap forms the group. All initial voters have answered and none knows a group, so all of them begin with the same state.
+// bootstrap forms the group. It is called once all other initial voters have answered and none knows
+// a group, so that all of them start with the same state.
 func (c *Core) bootstrap() {
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, 0), Starts: 1}
 	c.configuration.bootstrap(c.cfg.InitialVoters)
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -6,17 +6,18 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// EventLeaderElected is the event of a process that becomes the leader.
+// EventLeaderElected is the log event when this process becomes the leader.
 const EventLeaderElected = "leader_elected"
 
-// leadership is what this process has reported of its own lead.
+// leadership holds what this process has logged of its own leadership, and its last transfer.
 type leadership struct {
-	reportedTerm  uint64 // in which it leads; 0: it does not
-	transferUntil Time   // until then it does not act as the leader: it has handed the lead over
+	reportedTerm  uint64 // term that this process was logged to lead; 0 if it does not lead
+	transferUntil Time   // until this time the process does not act as the leader, after a transfer
 }
 
-// Leading reports whether this process leads and has applied all that earlier leaders committed, and in which term. It may have been deposed
-// without knowing it: whoever relies on the lead calls Confirm first.
+// Leading reports whether this process leads and has applied all entries that earlier leaders
+// committed. If ok is true, term is the term in which it leads. The process may have been deposed
+// without knowing it: a caller that relies on its leadership must call Confirm first.
 func (c *Core) Leading() (term uint64, ok bool) {
 	if c.node == nil || c.phase != Member {
 		return 0, false
@@ -25,7 +26,7 @@
 	return status.Term, status.RaftState == raft.StateLeader && c.applied.term == status.Term && c.now >= c.leadership.transferUntil
 }
 
-// Leader is the peer that leads, as far as this process knows; 0: none.
+// Leader returns the peer that leads, as far as this process knows, or 0 if it knows none.
 func (c *Core) Leader() uint32 {
 	if c.node == nil {
 		return 0
@@ -33,8 +34,9 @@
 	return peerOf(c.node.BasicStatus().Lead)
 }
 
-// Confirm queries the voters whether this process still leads; Effects.Confirmed is called with the tag if so, and never if not. The error is
-// ErrNotLeader.
+// Confirm asks the voters whether this process still leads. If it does, Effects.Confirmed is called
+// with the tag; if not, it is never called. Confirm returns ErrNotLeader if this process does not
+// lead as far as it knows.
 func (c *Core) Confirm(now Time, tag uint64) error {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
@@ -46,8 +48,9 @@
 	return nil
 }
 
-// Propose proposes a command. Effects.Applied is called with the tag once it is applied; a leader that is deposed meanwhile may never learn
-// whether it was. Errors are ErrCommandTooLong, ErrNotLeader and ErrBusy.
+// Propose proposes a command to a machine. Effects.Applied is called with the tag once the command is
+// applied; a leader that is deposed meanwhile may never learn whether it was. Propose returns
+// ErrCommandTooLong, ErrNotLeader or ErrBusy on failure.
 func (c *Core) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
 	c.now = max(c.now, now)
 	if len(cmd) > maxCommandBytes {
@@ -65,20 +68,23 @@
 	return nil
 }
 
-// TransferLeadership hands leadership to the voter that is most up to date, if this process leads.
+// TransferLeadership transfers leadership to the most up-to-date active voter. It does nothing if
+// this process does not lead or no other voter is active.
 func (c *Core) TransferLeadership(now Time) {
 	c.now = max(c.now, now)
 	if _, ok := c.Leading(); !ok {
 		return
 	}
 	if successor := c.mostUpToDate(); successor != 0 {
-		c.leadership.transferUntil = c.now + c.cfg.electionTimeout() // as long as the library attempts the transfer
+		// The raft library attempts the transfer for an election timeout.
+		c.leadership.transferUntil = c.now + c.cfg.electionTimeout()
 		c.recoverPanic(func() { c.node.TransferLeader(successor) })
 		c.processReady()
 	}
 }
 
-// mostUpToDate is the active voter other than this process that has most of the log; 0: none is active.
+// mostUpToDate returns the active voter other than this process that has most of the log, or 0 if
+// none is active.
 func (c *Core) mostUpToDate() (best uint64) {
 	match := uint64(0)
 	c.node.WithProgress(func(id uint64, kind raft.ProgressType, pr progress) {
@@ -89,8 +95,9 @@
 	return best
 }
 
-// reportLeadership logs changes in whether this process leads. A new leader also clears configuration.changing: a snapshot may have skipped the
-// command that ended a change, and the raft library itself drops a change that comes while another is in force.
+// reportLeadership logs when this process starts or stops leading. A new leader also clears
+// configuration.changing, since a snapshot may have skipped the entry that ended a change. The raft
+// library itself drops a change that is proposed during another.
 func (c *Core) reportLeadership() {
 	status := c.node.BasicStatus()
 	if status.RaftState != raft.StateLeader {
--- a/internal/fleet/consensus/logger.go
+++ b/internal/fleet/consensus/logger.go
@@ -6,11 +6,11 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// progress is what a leader knows of another replica's log.
+// progress describes what a leader knows of another replica's log.
 type progress = tracker.Progress
 
-// panicLogger is the raft library's logger. Fatal errors become panics, which Core.recoverPanic recovers; the rest is discarded, since this package logs
-// events of its own.
+// panicLogger is the logger of the raft library. It turns fatal errors into panics, which
+// Core.recoverPanic recovers, and discards all else, since this package logs its own events.
 type panicLogger struct{}
 
 // Debug discards its arguments.
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -9,20 +9,21 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// ErrClosed is the error of a MemoryStore that crashed or was closed.
+// ErrClosed is returned by a MemoryStore that crashed or was closed.
 var ErrClosed = errors.New("memory: closed")
 
-// MemoryStore is a Store for tests and simulations: it simulates crashes, failures and files restored from a backup.
+// MemoryStore is a Store for tests and simulations. It simulates crashes, failures and files restored
+// from a backup.
 type MemoryStore struct {
-	SkipSync    bool  // an injected fault: a crash loses what was saved; breaks durability
-	InjectedErr error // of each call that saves, and of Load, from now on; nil: none
+	SkipSync    bool  // injected fault that breaks durability: a crash loses what was saved since it was set
+	InjectedErr error // returned by Load and each call that saves, unless nil
 
 	stored StoredState
-	synced *StoredState // what a crash leaves, with SkipSync; nil: stored
+	synced *StoredState // state after a crash with SkipSync; nil if that is stored
 	closed bool
 }
 
-// entriesAfter is the part of a log after an index.
+// entriesAfter returns the entries after an index.
 func entriesAfter(entries []raftpb.Entry, index uint64) []raftpb.Entry {
 	n := 0
 	for n < len(entries) && entries[n].Index <= index {
@@ -37,7 +38,8 @@
 	return s
 }
 
-// Load returns what was saved, without the entries that the snapshot covers. It opens a store that crashed or was closed.
+// Load returns what was saved, without the entries that the snapshot covers. It reopens a store that
+// crashed or was closed.
 func (m *MemoryStore) Load() (StoredState, error) {
 	m.closed = false
 	out := cloneState(m.stored)
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// Crash loses what was not synced and closes the store.
+// Crash discards what was not synced and closes the store.
 func (m *MemoryStore) Crash() {
 	if m.synced != nil {
 		m.stored, m.synced = *m.synced, nil
@@ -71,10 +73,10 @@
 	m.closed = true
 }
 
-// Copy is what a backup of the store would hold.
+// Copy returns a copy of the stored state, as a backup would hold it.
 func (m *MemoryStore) Copy() StoredState { return cloneState(m.stored) }
 
-// Restore restores a copy in place of all that was saved.
+// Restore replaces all that was saved by s, which Copy returned.
 func (m *MemoryStore) Restore(s StoredState) { m.stored, m.synced = cloneState(s), nil }
 
 // SaveIdentity implements Store.
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -9,14 +9,14 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// The kinds of message, as their first number.
+// Kinds of message. Each message begins with its kind.
 const (
 	kindRaft    = 1 // a message of the raft library
-	kindHello   = 2 // a starting process queries what is known of it
+	kindHello   = 2 // a starting process asks what the receiver knows of it
 	kindWelcome = 3 // the answer to a hello
 )
 
-// Errors of Receive.
+// Errors that Receive returns.
 var (
 	ErrInvalidHello       = errors.New("consensus: hello of another group or malformed")
 	ErrInvalidWelcome     = errors.New("consensus: welcome for another start or malformed")
@@ -24,21 +24,22 @@
 	ErrUnknownMessageKind = errors.New("consensus: unknown message kind")
 )
 
-// MisroutedError is the error of a raft message that names another sender than it came from, or another receiver than this replica.
+// MisroutedError reports a raft message that names a sender other than the peer that it came from, or
+// a receiver other than this replica.
 type MisroutedError struct {
-	Sender, Receiver uint64 // as the message says
-	Peer             uint32 // it came from
+	Sender, Receiver uint64 // identities that the message names
+	Peer             uint32 // peer that it came from
 }
 
-// Error names all three.
+// Error returns a text with the sender, the receiver and the peer.
 func (e *MisroutedError) Error() string {
 	return fmt.Sprintf("consensus: raft message from %x to %x came from peer %08x", e.Sender, e.Receiver, e.Peer)
 }
 
-// hello is what a starting process sends of itself.
+// hello describes a starting process to the other voters.
 type hello struct {
 	group, name string
-	replica     uint64 // its identity; 0: it has no identity yet
+	replica     uint64 // identity of the process; 0 if it has none yet
 	starts      uint64
 	incarnation uint64
 }
@@ -57,12 +58,12 @@
 	return h, nil
 }
 
-// welcome is what another process knows of a starting one.
+// welcome tells a starting process what the sender knows of it.
 type welcome struct {
 	group      string
-	replica    uint64 // of the process that starts, as its hello had it
-	hasGroup   bool   // the sender knows a group that the process must not bootstrap again
-	hasRecords bool   // the sender has a store of its own: what it does not know has not happened
+	replica    uint64 // identity in the hello
+	hasGroup   bool   // whether the sender knows a group, so that the process must not bootstrap it again
+	hasRecords bool   // whether the sender has a store of its own: what it does not know has not happened
 	start      StartRecord
 	received   provenState
 }
@@ -85,7 +86,7 @@
 	return m, nil
 }
 
-// encodeRaft writes a message of the raft library, behind the group's name.
+// encodeRaft encodes a message of the raft library, preceded by the name of the group.
 func encodeRaft(group string, m *raftpb.Message) ([]byte, error) {
 	data, err := m.Marshal()
 	if err != nil {
@@ -106,7 +107,7 @@
 	return m, nil
 }
 
-// proposal is a command as the log holds it.
+// proposal is a command as the log stores it.
 type proposal struct {
 	tag     uint64
 	machine byte
@@ -126,10 +127,10 @@
 	return p, r.Err()
 }
 
-// changeContext is what the log holds with a change of the configuration.
+// changeContext is stored in the log with a change of the configuration.
 type changeContext struct {
 	tag  uint64
-	name string // of the process that the change is about
+	name string // name of the process that the change adds or removes
 }
 
 func (x changeContext) encode() []byte {
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -9,8 +9,9 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// Receive handles a message of another process's Core. Errors are ErrHello, ErrWelcome, ErrRaftMessage, ErrMessageKind, a *MisroutedError or
-// what the raft library says of a malformed message.
+// Receive handles a message from the Core of another process. It returns ErrInvalidHello,
+// ErrInvalidWelcome, ErrInvalidRaftMessage, ErrUnknownMessageKind, a *MisroutedError, or the raft
+// library's error for a malformed message.
 func (c *Core) Receive(now Time, from uint32, msg []byte) error {
 	c.now = max(c.now, now)
 	r := encoding.Reader{Data: msg}
@@ -37,7 +38,7 @@
 	return ErrUnknownMessageKind
 }
 
-// handleRaft passes a message to the raft library.
+// handleRaft passes a message to the raft library, unless raft does not run or has stopped.
 func (c *Core) handleRaft(from uint32, m raftpb.Message) error {
 	if peerOf(m.From) != from || m.To != c.identity.ID || raft.IsLocalMsg(m.Type) {
 		return &MisroutedError{Sender: m.From, Receiver: m.To, Peer: from}
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// delaysElection reports whether a message that was just handled restarts the election timer: it is from the leader, or from the candidate that
-// got this process's vote.
+// delaysElection reports whether a message that raft has just handled restarts the election timer. It
+// does if it is from the leader, or from a candidate that this process voted for.
 func (c *Core) delaysElection(m *raftpb.Message) bool {
 	status := c.node.BasicStatus()
 	switch m.Type {
@@ -69,7 +70,7 @@
 	return false
 }
 
-// startRaft starts the raft library with what the store contained.
+// startRaft starts the raft library with the state that the store contained.
 func (c *Core) startRaft() {
 	c.storage = raft.NewMemoryStorage()
 	if !raft.IsEmptySnap(c.recovered.Snapshot) {
@@ -80,7 +81,7 @@
 	var err error
 	c.recoverPanic(func() { c.node, err = raft.NewRawNode(c.raftConfig()) })
 	if err != nil {
-		c.becomeBroken(fmt.Errorf("what the store holds does not fit together: %v", err))
+		c.becomeBroken(fmt.Errorf("the stored state is inconsistent: %v", err))
 	}
 	if c.phase == Broken {
 		return
@@ -95,10 +96,10 @@
 	c.processReady()
 }
 
-// processReady carries out what the raft library has decided.
+// processReady persists, sends and applies what the raft library has ready, until nothing is left.
 func (c *Core) processReady() {
 	if c.processing {
-		return // called from an effect: the loop that is running continues with what it caused
+		return // called from an effect: the loop below is running and also handles what the effect caused
 	}
 	c.processing = true
 	defer func() { c.processing = false }()
@@ -121,7 +122,8 @@
 	})
 }
 
-// persist stores what must not be lost. Durability: before any message that depends on it is sent. false: the store failed.
+// persist stores the hard state, entries and snapshot of rd. Durability: it must be called before any
+// message that depends on them is sent. It returns false if the store failed.
 func (c *Core) persist(rd *raft.Ready) bool {
 	if len(rd.Entries) > 0 || !raft.IsEmptyHardState(rd.HardState) || !raft.IsEmptySnap(rd.Snapshot) {
 		if !c.checkStored(c.store.Save(rd.HardState, rd.Entries, rd.Snapshot)) {
@@ -169,7 +171,8 @@
 	}
 	c.effects.Send(peerOf(m.To), data)
 	if m.Type == raftpb.MsgSnap {
-		// A snapshot that is lost is sent again. Without this report the library would send that replica nothing else.
+		// Without this report the library would send nothing else to that replica. It sends a snapshot
+		// that is lost again.
 		c.node.ReportSnapshot(m.To, raft.SnapshotFinish)
 	}
 }
@@ -195,7 +198,8 @@
 	}
 }
 
-// applyCommand applies a command to its machine. A new leader's first entry is empty; a machine that is not known here is skipped.
+// applyCommand applies a command to its machine. It ignores an empty entry, which is the first of a new
+// leader, and a command for a machine that this process does not have.
 func (c *Core) applyCommand(data []byte) {
 	if len(data) == 0 {
 		return
@@ -209,7 +213,8 @@
 	}
 }
 
-// applyChange applies a committed change of the configuration. One without changes ends a joint configuration.
+// applyChange applies a committed change of the configuration. An entry without changes ends a joint
+// configuration.
 func (c *Core) applyChange(change raftpb.ConfChangeV2) {
 	context := decodeChangeContext(change.Context)
 	c.configuration.apply(*c.node.ApplyConfChange(change), change.Changes, context.name)
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -12,27 +12,28 @@
 
 const snapshotVersion = 1
 
-// appliedLog is how far the log has been applied.
+// appliedLog records how far the log has been applied.
 type appliedLog struct {
-	index, term   uint64 // of the last entry applied
-	snapshotIndex uint64 // up to which a stored snapshot covers it
+	index, term   uint64 // index and term of the last applied entry
+	snapshotIndex uint64 // index of the last entry that the stored snapshot covers
 }
 
 func (a *appliedLog) reset(m raftpb.SnapshotMetadata) {
 	a.index, a.term, a.snapshotIndex = m.Index, m.Term, m.Index
 }
 
-// currentSnapshots gives the raft library snapshots of the present state. An older one would not name a member that was added since, and that
-// member would reject it.
+// currentSnapshots is a raft.Storage that returns snapshots of the current state. A member that was
+// added after an older snapshot would reject it, since that does not name the member.
 type currentSnapshots struct {
 	*raft.MemoryStorage
 	core *Core
 }
 
-// Snapshot is raft.Storage's.
+// Snapshot implements raft.Storage.
 func (s currentSnapshots) Snapshot() (raftpb.Snapshot, error) { return s.core.takeSnapshot() }
 
-// takeSnapshot makes a snapshot of what has been applied, or returns the last one if it is as new.
+// takeSnapshot returns a snapshot of the applied state: the last one if no entry was applied since, or
+// else a new one.
 func (c *Core) takeSnapshot() (raftpb.Snapshot, error) {
 	state := c.configuration.state
 	snap, err := c.storage.CreateSnapshot(c.applied.index, &state, c.encodeSnapshot())
@@ -42,7 +43,7 @@
 	return snap, err
 }
 
-// encodeSnapshot writes the members' names and every machine's state.
+// encodeSnapshot encodes the names of the members and the state of each machine.
 func (c *Core) encodeSnapshot() []byte {
 	var w encoding.Writer
 	w.Uint(snapshotVersion)
@@ -51,11 +52,11 @@
 	return w.Data
 }
 
-// restoreSnapshot replaces all that was applied by a snapshot.
+// restoreSnapshot replaces the applied state with a snapshot.
 func (c *Core) restoreSnapshot(snap raftpb.Snapshot) error {
 	r := encoding.Reader{Data: snap.Data}
 	if v := r.Uint(); v != snapshotVersion {
-		return fmt.Errorf("consensus: a snapshot of version %d, only 1 is known", v)
+		return fmt.Errorf("consensus: a snapshot has version %d, want %d", v, snapshotVersion)
 	}
 	names := decodeNames(&r)
 	if err := c.machines.RestoreSnapshots(&r, maxMachineBytes); err != nil {
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// compact stores a snapshot once enough commands were applied since the last one, and drops the entries that are further behind it than
-// Config.TrailingEntries.
+// compact stores a snapshot once Config.SnapshotEvery entries were applied since the last one. It then
+// removes all entries but the last Config.TrailingEntries.
 func (c *Core) compact() {
 	if c.applied.index-c.applied.snapshotIndex < uint64(c.cfg.SnapshotEvery) {
 		return
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Status is what operators see of this process.
+// Status returns a description of this process for operators.
 func (c *Core) Status() Status {
 	s := Status{
 		Phase:      c.phase.String(),
@@ -45,10 +45,11 @@
 
 func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Phase says whether this process takes part, and if not for what reason.
+// Phase returns the phase of this process, and the reason if it is Stale or Broken.
 func (c *Core) Phase() (Phase, string) { return c.phase, c.reason() }
 
-// reason is why this process takes no part any more, as operators' commands show it; "": it does, or may yet.
+// reason explains to operators why this process has stopped taking part. It returns "" if the process
+// takes part or may still do so.
 func (c *Core) reason() string {
 	switch c.phase {
 	case Stale:
@@ -59,8 +60,8 @@
 	return ""
 }
 
-// Failure is the error that broke this replica; nil: none.
+// Failure returns the error for which this replica is Broken, or nil if it is not.
 func (c *Core) Failure() error { return c.failure }
 
-// Applied is the index of the last command applied here.
+// Applied returns the index of the last log entry that this process applied.
 func (c *Core) Applied() uint64 { return c.applied.index }
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -6,56 +6,62 @@
 	"croftlock/internal/fleet/group"
 )
 
-// PeerID names a process in messages.
+// PeerID returns the number that identifies a process in messages.
 func PeerID(name string) uint32 { return group.Peer(name) }
 
-// VoterID is a replica's identity in raft. A process that lost its disk is another replica: it comes back with another nonce. The initial voters
-// have nonce 0.
+// VoterID returns the identity of a replica in raft. A process that lost its disk returns as another
+// replica, with another nonce. The initial voters have nonce 0.
 func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
 func peerOf(id uint64) uint32 { return uint32(id) }
 
-// isInitial reports whether an identity is the first one of an initial voter.
+// isInitial reports whether id is the first identity of an initial voter.
 func isInitial(id uint64) bool { return id>>32 == 0 }
 
-// Store stores what a replica must not lose. What a call has saved is durable once it returns without an error. After an error only Close may be
-// called.
+// Store persists the state that a replica must not lose. What a call saves is durable once the call
+// returns without an error. After an error only Close may be called.
 type Store interface {
+	// Load returns the stored state, which is zero in a new store.
 	Load() (StoredState, error)
+	// SaveIdentity stores the identity of the replica.
 	SaveIdentity(Identity) error
+	// SaveStartRecord stores the last known start of replica id.
 	SaveStartRecord(id uint64, s StartRecord) error
-	// Save stores a hard state, entries and a snapshot, those of them that are not empty. Entries replace the stored ones from the
-	// first one's index on.
+	// Save stores a hard state, entries and a snapshot, except those that are empty. The entries
+	// replace all stored entries from the index of the first one on.
 	Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error
-	// Compact removes the entries up to an index, which a stored snapshot covers.
+	// Compact removes the entries up to and including an index that a stored snapshot covers.
 	Compact(upTo uint64) error
+	// Close closes the store.
 	Close() error
 }
 
-// Identity is who a store belongs to.
+// Identity identifies the replica that a store belongs to.
 type Identity struct {
 	Group, Name string
-	ID          uint64 // 0: none yet
-	Starts      uint64 // how often the process was started with this store
-	Stale       bool   // the store was found to be older than what others have received; stored, since those others may lose their memory
+	ID          uint64 // 0 if the replica has no identity yet
+	Starts      uint64 // number of starts of the process with this store
+	// Stale reports whether the store was found to be older than what others have received. It is
+	// stored, since those others may forget what they received.
+	Stale bool
 }
 
-// StartRecord is the last start of another replica that this process knows of.
+// StartRecord describes the last start of another replica that this process knows of.
 type StartRecord struct {
-	Starts      uint64
-	Incarnation uint64 // drawn at each start
+	Starts      uint64 // number of starts with the replica's store
+	Incarnation uint64 // random at each start
 }
 
-// StoredState is all that a store holds.
+// StoredState holds all that is in a Store.
 type StoredState struct {
 	Identity
 	HardState    raftpb.HardState
 	Snapshot     raftpb.Snapshot
 	Entries      []raftpb.Entry
-	StartRecords map[uint64]StartRecord // by replica
+	StartRecords map[uint64]StartRecord // by identity of the replica
 }
 
-// lastEntry is the index and term up to which the log is stored.
+// lastEntry returns the index and term of the last entry in the stored log or snapshot.
 func (s *StoredState) lastEntry() (index, term uint64) {
 	if n := len(s.Entries); n > 0 {
 		return s.Entries[n-1].Index, s.Entries[n-1].Term
