--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestAgreementThroughLossAndRestarts: with loss and restarts all members apply the same commands, each at least once and in order.
+// TestAgreementThroughLossAndRestarts checks that under message loss and restarts all members apply
+// the same commands, each at least once and in order.
 func TestAgreementThroughLossAndRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		g := newGroup(t, seed, "a", "b", "c")
@@ -26,30 +27,32 @@
 		for i := range 60 {
 			at := slices.Index(g.machines["a"].log, fmt.Sprint("command ", i))
 			if at <= previous {
-				t.Fatalf("seed %d: command %d is applied at %d, the one before at %d", seed, i, at, previous)
+				t.Fatalf("seed %d: command %d is at position %d of the applied commands, want it after the command before it at %d", seed, i, at, previous)
 			}
 			previous = at
 		}
 	}
 }
 
-// TestLeadershipTransfer: a leader that hands over stops leading at once, and another leads within half a second.
+// TestLeadershipTransfer checks that a leader that transfers leadership stops leading at once, and
+// that another one leads within 500 ms.
 func TestLeadershipTransfer(t *testing.T) {
 	g := newGroup(t, 9, "a", "b", "c")
 	g.propose("one")
 	old := g.leader()
 	old.TransferLeadership(g.now)
 	if _, ok := old.Leading(); ok {
-		t.Error("the old leader still leads")
+		t.Error("Leading() = true at the old leader after TransferLeadership, want false")
 	}
 	began := g.now
 	next := g.leader()
 	if next == old || g.now-began > 5e8 {
-		t.Errorf("the same leader: %t; elected after %d ms, want at most 500", next == old, (g.now-began)/1e6)
+		t.Errorf("same leader as before: %t, want false; elected after %d ms, want at most 500", next == old, (g.now-began)/1e6)
 	}
 }
 
-// TestDeposedLeaderConfirmsNothing: a leader that is cut off may still believe that it leads, but no voter confirms it, and it commits nothing.
+// TestDeposedLeaderConfirmsNothing checks that a leader that is cut off, and may still believe that it
+// leads, gets no confirmation and commits nothing.
 func TestDeposedLeaderConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 10, "a", "b", "c")
 	g.propose("one")
@@ -60,14 +63,14 @@
 	old.Propose(g.now, 1, command, []byte("lost"))
 	g.run(5e9)
 	if g.confirmed[confirm] || g.applied[command] {
-		t.Errorf("without a majority: confirmed %t, command applied %t", g.confirmed[confirm], g.applied[command])
+		t.Errorf("without a majority: confirmed = %t, command applied = %t, want false for both", g.confirmed[confirm], g.applied[command])
 	}
 	if _, ok := old.Leading(); ok {
-		t.Error("the old leader still leads after 5 s without a majority")
+		t.Error("Leading() = true after 5 s without a majority, want false")
 	}
 }
 
-// FuzzReceive: no message of a peer ends the process.
+// FuzzReceive checks that no message of a peer makes Receive panic.
 func FuzzReceive(f *testing.F) {
 	g := newGroup(f, 12, "a", "b", "c")
 	g.isCut = func(from, to string) bool { return to != "a" }
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRestoredOldFile: a replica whose file is an older copy takes no part, also after all have restarted and no process remembers what it has
-// received from it.
+// TestRestoredOldFile checks that a replica whose file is an older copy takes no part, even after all
+// processes have restarted and forgotten what they received from it.
 func TestRestoredOldFile(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -32,7 +32,7 @@
 			g.run(5e9)
 			g.checkPhase("b", Stale)
 			if _, reason := g.cores["b"].Phase(); !strings.Contains(reason, "put back") {
-				t.Errorf("reason %q does not say that a file was put back", reason)
+				t.Errorf("Phase() returned the reason %q, want it to contain \"put back\"", reason)
 			}
 			g.propose("without b")
 			for _, name := range g.initial {
@@ -47,7 +47,7 @@
 	}
 }
 
-// change has the leader change the group, and waits until the change is applied.
+// change calls propose with the leader until the change that it proposes is applied.
 func (g *testGroup) change(name string, propose func(leader *Core, tag uint64) error) {
 	g.t.Helper()
 	for range 20 {
@@ -56,12 +56,12 @@
 		if g.run(1e9); g.applied[tag] {
 			return
 		}
-		g.t.Logf("%s: %v", name, err)
+		g.t.Logf("%s not applied after 1 s, proposal returned %v", name, err)
 	}
-	g.t.Fatalf("%s is not applied", name)
+	g.t.Fatalf("%s not applied after 20 proposals", name)
 }
 
-// countVotes counts the members that vote.
+// countVotes returns the number of members that vote.
 func countVotes(s Status) (votes int) {
 	for _, m := range s.Members {
 		if m.Votes {
@@ -71,7 +71,8 @@
 	return votes
 }
 
-// TestLostDisk: a replica that lost its disk is added under another identity, and gets the vote of the earlier one.
+// TestLostDisk checks that a replica that lost its disk is added under another identity and gets the
+// vote of the earlier one.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 6, "a", "b", "c")
 	g.propose("one")
@@ -81,20 +82,20 @@
 	g.run(3e9)
 	g.checkPhase("b", NotMember)
 	if event := "b replica_not_member [reason group_exists]"; !slices.Contains(g.events, event) {
-		t.Errorf("no event %q among %q", event, g.events)
+		t.Errorf("logged events %q, want %q among them", g.events, event)
 	}
 	g.propose("two")
 	if err := g.leader().Add(g.now, 1, "x"); err == nil {
-		t.Error("a process that never applied is added")
+		t.Error("Add accepted a process that has not asked to be added, want an error")
 	}
 	g.change("add", func(leader *Core, tag uint64) error { return leader.Add(g.now, tag, "b") })
 	g.change("promote", func(leader *Core, tag uint64) error { return leader.Promote(g.now, tag, "b") })
 	g.propose("three")
 	g.checkEqual()
 	if s := g.leader().Status(); countVotes(s) != 3 || !slices.Equal(g.machines["b"].log, g.machines["a"].log) {
-		t.Errorf("%d voters, want 3; %+v", countVotes(s), s)
+		t.Errorf("%d voters, want 3; b applied %q, a applied %q, want the same; status %+v", countVotes(s), g.machines["b"].log, g.machines["a"].log, s)
 	}
-	// Its vote counts: without a or c the group still has a majority.
+	// Without a or c the group has a majority only if the vote of b counts.
 	for _, name := range []string{"a", "c"} {
 		if g.leader() != g.cores[name] {
 			g.kill(name)
@@ -103,11 +104,12 @@
 	}
 	g.propose("four")
 	if err := g.leader().Remove(g.now, g.newTag(), "b"); err == nil {
-		t.Error("a voter is removed without whom there is no majority")
+		t.Error("Remove accepted a voter without which there is no majority, want an error")
 	}
 }
 
-// TestNoSecondBootstrap: two of three that lost their disks do not bootstrap another group beside the third.
+// TestNoSecondBootstrap checks that two of three voters that lost their disks do not bootstrap a second
+// group without the third.
 func TestNoSecondBootstrap(t *testing.T) {
 	g := newGroup(t, 7, "a", "b", "c")
 	g.propose("one")
@@ -121,7 +123,8 @@
 	g.checkPhase("b", NotMember)
 }
 
-// TestFailedStore: a replica whose store fails reports it, stops and acknowledges nothing. The others continue, and it recovers from its disk.
+// TestFailedStore checks that a replica whose store fails reports that, stops and accepts no proposal,
+// that the others continue, and that the replica recovers from its disk after a restart.
 func TestFailedStore(t *testing.T) {
 	g := newGroup(t, 8, "a", "b", "c")
 	g.propose("one")
@@ -131,13 +134,13 @@
 	g.propose("two")
 	g.checkPhase(name, Broken)
 	if _, reason := failed.Phase(); !strings.Contains(reason, "no space") {
-		t.Errorf("reason %q does not name the error of the store", reason)
+		t.Errorf("Phase() returned the reason %q, want it to contain the store's error \"no space\"", reason)
 	}
 	if _, ok := failed.Leading(); ok {
-		t.Error("a broken replica leads")
+		t.Error("Leading() = true at a broken replica, want false")
 	}
 	if err := failed.Propose(g.now, 1, 1, nil); err != ErrNotLeader {
-		t.Errorf("a broken replica takes a proposal: got %v, want %v", err, ErrNotLeader)
+		t.Errorf("Propose at a broken replica returned %v, want %v", err, ErrNotLeader)
 	}
 	g.disks[name].InjectedErr = nil
 	g.kill(name)
@@ -147,12 +150,13 @@
 	g.checkPhase(name, Member)
 }
 
-// TestStoreOfAnotherProcess: the store of another process is rejected with an error that names both.
+// TestStoreOfAnotherProcess checks that Open rejects the store of another process with an error that
+// names that process.
 func TestStoreOfAnotherProcess(t *testing.T) {
 	g := newGroup(t, 11, "a")
 	g.run(2e9)
 	_, err := Open(Config{Group: "g", Name: "b", InitialVoters: []string{"b"}}, g.disks["a"], nil, testEffects{g, "b"})
 	if err == nil || !strings.Contains(err.Error(), "store is of a in group g") {
-		t.Errorf("got %v", err)
+		t.Errorf("Open with the store of a returned %v, want an error that contains \"store is of a in group g\"", err)
 	}
 }
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// recorder is a machine whose state is all commands, in order.
+// recorder is a Machine whose state is the list of all applied commands.
 type recorder struct{ log []string }
 
 func (r *recorder) Apply(cmd []byte) []byte {
@@ -42,18 +42,18 @@
 	due              Time
 }
 
-// testGroup is replicas in virtual time, on a network that loses and cuts.
+// testGroup runs replicas in virtual time on a network that loses messages and can be cut.
 type testGroup struct {
 	t         testing.TB
 	rng       *rand.Rand
 	now       Time
-	names     []string // of all processes that were started
-	initial   []string // voters
+	names     []string // names of all processes that were ever started
+	initial   []string // names of the initial voters
 	cores     map[string]*Core
 	machines  map[string]*recorder
 	disks     map[string]*MemoryStore
-	applied   map[uint64]bool // by tag
-	confirmed map[uint64]bool // by tag
+	applied   map[uint64]bool // tags passed to Applied
+	confirmed map[uint64]bool // tags passed to Confirmed
 	queue     []queuedMessage
 	loss      float64 // probability that a message is lost
 	isCut     func(from, to string) bool
@@ -72,7 +72,7 @@
 	return g
 }
 
-// testEffects are the effects of one process.
+// testEffects implements Effects for one process.
 type testEffects struct {
 	group *testGroup
 	name  string
@@ -118,13 +118,14 @@
 	return err
 }
 
-// kill ends a process without notice.
+// kill ends a process without closing its Core.
 func (g *testGroup) kill(name string) {
 	g.disks[name].Crash()
 	delete(g.cores, name)
 }
 
-// run lets time pass: messages are delivered, and processes tick.
+// run advances the time by duration, in steps of 10 ms. It delivers the messages that are due and ticks
+// each process every 100 ms.
 func (g *testGroup) run(duration Time) {
 	for end := g.now + duration; g.now < end; g.now += 1e7 {
 		for i := 0; i < len(g.queue); i++ {
@@ -148,7 +149,7 @@
 	}
 }
 
-// leader waits for a leader that the voters confirm.
+// leader waits for a process whose leadership the voters confirm and returns it.
 func (g *testGroup) leader() *Core {
 	g.t.Helper()
 	for range 200 {
@@ -172,7 +173,7 @@
 
 func (g *testGroup) newTag() uint64 { g.lastTag++; return g.lastTag }
 
-// propose has a command committed, by whichever process leads.
+// propose proposes a command to the leader until it is applied.
 func (g *testGroup) propose(text string) {
 	g.t.Helper()
 	for range 50 {
@@ -185,7 +186,7 @@
 			}
 		}
 	}
-	g.t.Fatalf("command %q is not committed", text)
+	g.t.Fatalf("command %q not applied after 50 proposals", text)
 }
 
 // checkEqual checks that all members have applied the same commands.
@@ -198,7 +199,7 @@
 			if first == nil {
 				first = g.machines[name].log
 			} else if !slices.Equal(first, g.machines[name].log) {
-				g.t.Fatalf("%s has applied %q, another member %q", name, g.machines[name].log, first)
+				g.t.Fatalf("%s has applied %q, want %q as another member", name, g.machines[name].log, first)
 			}
 		}
 	}
@@ -208,6 +209,6 @@
 func (g *testGroup) checkPhase(name string, want Phase) {
 	g.t.Helper()
 	if phase, reason := g.cores[name].Phase(); phase != want {
-		g.t.Errorf("%s is %v (%q), want %v", name, phase, reason, want)
+		g.t.Errorf("phase of %s is %v (reason %q), want %v", name, phase, reason, want)
 	}
 }
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// kindAndBody reads the kind of a message, as Receive does.
+// kindAndBody splits a message into its kind and body, as Receive does.
 func kindAndBody(t *testing.T, data []byte) (kind uint64, body encoding.Reader) {
 	t.Helper()
 	r := encoding.Reader{Data: data}
@@ -17,17 +17,18 @@
 	return kind, r
 }
 
-// TestMessagesRoundTrip: each message decodes to what was encoded.
+// TestMessagesRoundTrip checks that each kind of message decodes to what was encoded, and that a raft
+// message of another group is rejected.
 func TestMessagesRoundTrip(t *testing.T) {
 	h := hello{group: "g", name: "a", replica: 1 << 40, starts: 300, incarnation: 1 << 63}
 	kind, body := kindAndBody(t, h.encode())
 	if got, err := decodeHello(body); err != nil || kind != kindHello || got != h {
-		t.Errorf("hello: %d %+v %v", kind, got, err)
+		t.Errorf("decoded hello = kind %d, %+v, error %v, want kind %d, %+v", kind, got, err, kindHello, h)
 	}
 	m := welcome{group: "g", replica: 7, hasGroup: true, start: StartRecord{Starts: 2, Incarnation: 3}, received: provenState{4, 5, 6}}
 	kind, body = kindAndBody(t, m.encode())
 	if got, err := decodeWelcome(body); err != nil || kind != kindWelcome || got != m {
-		t.Errorf("welcome: %d %+v %v", kind, got, err)
+		t.Errorf("decoded welcome = kind %d, %+v, error %v, want kind %d, %+v", kind, got, err, kindWelcome, m)
 	}
 	sent := raftpb.Message{Type: raftpb.MsgApp, From: 1, To: 2, Term: 3}
 	data, err := encodeRaft("g", &sent)
@@ -36,18 +37,18 @@
 	}
 	kind, body = kindAndBody(t, data)
 	if got, err := decodeRaft(body, "g"); err != nil || kind != kindRaft || got.Term != 3 {
-		t.Errorf("raft: %d %+v %v", kind, got, err)
+		t.Errorf("decoded raft message = kind %d, %+v, error %v, want kind %d, %+v", kind, got, err, kindRaft, sent)
 	}
 	if _, err := decodeRaft(body, "other"); err != ErrInvalidRaftMessage {
-		t.Errorf("raft message of another group: %v", err)
+		t.Errorf("decodeRaft of a message of another group returned %v, want %v", err, ErrInvalidRaftMessage)
 	}
 	p := proposal{tag: 9, machine: 1, command: []byte("x")}
 	if got, err := decodeProposal(p.encode()); err != nil || got.tag != 9 || got.machine != 1 || !bytes.Equal(got.command, p.command) {
-		t.Errorf("proposal: %+v %v", got, err)
+		t.Errorf("decodeProposal = %+v, %v, want %+v", got, err, p)
 	}
 }
 
-// TestTruncatedMessagesAreRejected: no truncated message decodes.
+// TestTruncatedMessagesAreRejected checks that no truncated hello or welcome decodes.
 func TestTruncatedMessagesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		data   []byte
@@ -58,13 +59,14 @@
 	} {
 		for n := 1; n < len(c.data); n++ {
 			if _, body := kindAndBody(t, c.data[:n]); c.decode(body) == nil {
-				t.Errorf("%s truncated to %d bytes is accepted", name, n)
+				t.Errorf("decoding a %s truncated to %d of %d bytes returned no error", name, n, len(c.data))
 			}
 		}
 	}
 }
 
-// TestStaleCause: each thing that another process has received and the own store does not hold shows.
+// TestStaleCause checks that staleCause detects each kind of state that another process has received
+// and the own store does not contain.
 func TestStaleCause(t *testing.T) {
 	c := &Core{identity: Identity{ID: 1, Starts: 4}, incarnation: 11}
 	c.recovered.HardState.Term = 5
@@ -84,7 +86,7 @@
 		{"more of a log that was overwritten", welcome{start: own, received: provenState{5, 4, 21}}, storeCurrent},
 	} {
 		if got := c.staleCause(test.m); got != test.want {
-			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: staleCause(%+v) = %v, want %v", test.name, test.m, got, test.want)
 		}
 	}
 }
