--- a/internal/fleet/consensus/disk/killed_test.go
+++ b/internal/fleet/consensus/disk/killed_test.go
@@ -18,11 +18,13 @@
 )
 
 const (
-	writerEnv      = "CROFTLOCK_DISK_WRITER" // path of the store that a child process writes to
+	// writerEnv is the environment variable with the path of the store that a child process writes to.
+	writerEnv      = "CROFTLOCK_DISK_WRITER"
 	writerMaxBytes = 4 << 20
 )
 
-// TestKilledWhileItSaves: a process killed at any moment leaves a readable store with all that was acknowledged. DISK_KILLS is how often.
+// TestKilledWhileItSaves checks that a process killed at any moment leaves a readable store with all
+// entries that it acknowledged. The environment variable DISK_KILLS sets the number of kills.
 func TestKilledWhileItSaves(t *testing.T) {
 	if path := os.Getenv(writerEnv); path != "" {
 		writeUntilKilled(path)
@@ -36,20 +38,21 @@
 		acknowledged := killWriter(t, path)
 		s, err := openAfterKill(path)
 		if err != nil {
-			t.Fatalf("kill %d: %v", i, err)
+			t.Fatalf("kill %d: Open returned %v", i, err)
 		}
 		state, err := s.Load()
 		s.Close()
 		if err != nil {
-			t.Fatalf("kill %d: %v", i, err)
+			t.Fatalf("kill %d: Load returned %v", i, err)
 		}
 		if stored := lastIndex(state); stored < acknowledged {
-			t.Fatalf("kill %d: index %d was acknowledged, the store ends at %d", i, acknowledged, stored)
+			t.Fatalf("kill %d: the log ends at index %d, want at least the acknowledged %d", i, stored, acknowledged)
 		}
 	}
 }
 
-// killWriter has a child process write to the store and kills it after a short time. It gives the last index that the child acknowledged.
+// killWriter starts a child process that writes to the store, and kills it after 20 to 50 ms. It returns
+// the last index that the child acknowledged.
 func killWriter(t *testing.T, path string) (acknowledged int) {
 	t.Helper()
 	child := exec.Command(os.Args[0], "-test.run", "TestKilledWhileItSaves")
@@ -70,7 +73,7 @@
 	return acknowledged
 }
 
-// lastNumber reads numbers, one a line, until the end of the output.
+// lastNumber reads numbers, one per line, until the end of the output, and returns the last one.
 func lastNumber(output io.Reader) (last int) {
 	for {
 		n := 0
@@ -81,7 +84,8 @@
 	}
 }
 
-// openAfterKill opens the store. The system may release the killed process's lock a little later.
+// openAfterKill opens the store. It retries for 2 s while the store is in use, since the operating
+// system may release the lock of the killed process late.
 func openAfterKill(path string) (s *Store, err error) {
 	for range 200 {
 		if s, err = Open(path, writerMaxBytes); !errors.Is(err, ErrInUse) {
@@ -92,7 +96,7 @@
 	return s, err
 }
 
-// lastIndex is the index up to which a state holds the log.
+// lastIndex returns the index of the last entry in the stored log or snapshot.
 func lastIndex(state consensus.StoredState) int {
 	if n := len(state.Entries); n > 0 {
 		return int(state.Entries[n-1].Index)
@@ -100,7 +104,8 @@
 	return int(state.Snapshot.Metadata.Index)
 }
 
-// writeUntilKilled appends and compacts until the process is killed, and prints the last index that is durable.
+// writeUntilKilled appends to the log and compacts it until the process is killed. It prints the index of
+// the last durable entry after each append.
 func writeUntilKilled(path string) {
 	s, err := Open(path, writerMaxBytes)
 	if err != nil {
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -13,10 +13,10 @@
 
 const maxNameBytes = 64
 
-// extent is how much a file holds: see saveExtent.
+// extent describes how much a file contains. See saveExtent.
 type extent struct {
-	lastIndex uint64 // of the log; 0: it is empty
-	starts    uint64 // other replicas' starts
+	lastIndex uint64 // index of the last log entry; 0 if the log is empty
+	starts    uint64 // number of start records
 }
 
 func (e extent) encode() []byte {
@@ -30,9 +30,11 @@
 	return r.Err()
 }
 
-// Load reads all that is stored; the error is ErrUnreadable where that is inconsistent. After an error every call that saves fails.
+// Load reads all that is stored. It returns ErrUnreadable if the records are damaged or inconsistent.
+// After an error every call that saves fails.
 func (s *Store) Load() (out consensus.StoredState, err error) {
-	// bbolt's own check is not used: it runs in a goroutine in which a fault ends the process. Here all records are read and checked.
+	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a goroutine
+	// of its own, in which a fault ends the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -57,11 +59,13 @@
 	return l.state, err
 }
 
-// loader is one call of Load.
+// loader holds the state of one call of Load.
 type loader struct {
-	state    consensus.StoredState
-	meta     *bbolt.Bucket
-	complete bool // the file has an identity, which is stored last at a bootstrap: all records must be there
+	state consensus.StoredState
+	meta  *bbolt.Bucket
+	// complete reports whether the file has an identity. A bootstrap stores that last, so that then all
+	// records must exist.
+	complete bool
 	extent   extent
 }
 
@@ -78,11 +82,12 @@
 	return l.loadRecord(keySnapshot, l.state.Snapshot.Unmarshal)
 }
 
-// loadRecord reads a record. A file that is complete must have it.
+// loadRecord reads a record of the bucket meta with decode. It returns ErrUnreadable if a complete file
+// lacks the record, and does nothing if an incomplete one does.
 func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
 	stored := l.meta.Get(key)
 	if stored == nil && l.complete {
-		return fmt.Errorf("%w: there is no record %q", ErrUnreadable, key)
+		return fmt.Errorf("%w: record %q is missing", ErrUnreadable, key)
 	}
 	if stored == nil {
 		return nil
@@ -120,14 +125,14 @@
 		return err
 	}
 	if found := len(l.state.StartRecords); l.complete && uint64(found) != l.extent.starts {
-		return fmt.Errorf("%w: %d voters' starts of %d", ErrUnreadable, found, l.extent.starts)
+		return fmt.Errorf("%w: it has %d start records, want %d", ErrUnreadable, found, l.extent.starts)
 	}
 	return nil
 }
 
-// loadLog reads the entries, and keeps those after the snapshot.
+// loadLog reads all entries and keeps those after the snapshot.
 func (l *loader) loadLog(b *bbolt.Bucket) error {
-	next := uint64(0) // the index expected; 0: any
+	next := uint64(0) // expected index of the next entry; 0 before the first
 	err := b.ForEach(func(key, stored []byte) error {
 		data, err := decodeRecord(key, stored)
 		if err != nil {
@@ -138,7 +143,7 @@
 			return err
 		}
 		if e.Index != keyNumber(key) || next != 0 && e.Index != next {
-			return fmt.Errorf("%w: command %d follows %d", ErrUnreadable, e.Index, next-1)
+			return fmt.Errorf("%w: entry %d is stored under key %d, the next expected index is %d", ErrUnreadable, e.Index, keyNumber(key), next)
 		}
 		next = e.Index + 1
 		if e.Index > l.state.Snapshot.Metadata.Index {
@@ -152,14 +157,15 @@
 	return l.checkLog(next)
 }
 
-// checkLog checks that the log ends where the extent says, and that it continues the snapshot.
+// checkLog checks that the log ends at the index in the extent and continues the snapshot without a
+// gap. next is the index after the last entry, or 0 if the log is empty.
 func (l *loader) checkLog(next uint64) error {
 	snapshotIndex, lastIndex := l.state.Snapshot.Metadata.Index, l.extent.lastIndex
 	if next > 0 && next-1 != lastIndex || next == 0 && lastIndex > snapshotIndex {
-		return fmt.Errorf("%w: the commands end before %d", ErrUnreadable, lastIndex)
+		return fmt.Errorf("%w: the log ends before index %d, want the last entry at %d", ErrUnreadable, next, lastIndex)
 	}
 	if entries := l.state.Entries; len(entries) > 0 && entries[0].Index != snapshotIndex+1 {
-		return fmt.Errorf("%w: the commands begin at %d, the snapshot is of %d", ErrUnreadable, entries[0].Index, snapshotIndex)
+		return fmt.Errorf("%w: the log begins at index %d, want %d after the snapshot", ErrUnreadable, entries[0].Index, snapshotIndex+1)
 	}
 	return nil
 }
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -18,9 +18,11 @@
 // lockTimeout is how long Open waits for another process to close the file.
 const lockTimeout = 20 * time.Millisecond
 
-// Open opens a file, or creates it. maxBytes bounds its size. Errors are ErrInUse, ErrUnreadable or an *fs.PathError of the system.
+// Open opens a file, or creates it if it does not exist. Calls that save fail with ErrFull while the
+// file is larger than maxBytes. Open fails with ErrInUse, ErrUnreadable or an *fs.PathError.
 func Open(path string, maxBytes int64) (s *Store, err error) {
-	// In a file that is shorter than its header says, access to a page faults. That must be an error here, and not end the process.
+	// If the file is shorter than its header claims, access to a page faults. That must become an error
+	// instead of ending the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -36,7 +38,8 @@
 	}
 	s = &Store{database: db, path: path, maxBytes: maxBytes}
 	if err = db.Update(createBuckets); err == nil {
-		err = syncDir(filepath.Dir(path)) // or a crash may lose the name of a new file, and its votes with it
+		// Without this sync a crash may lose the directory entry of a new file, and the votes in it.
+		err = syncDir(filepath.Dir(path))
 	}
 	if err != nil {
 		db.Close()
@@ -54,7 +57,7 @@
 	return nil
 }
 
-// asUnreadable returns an error of the system as it is, and makes any other an ErrUnreadable.
+// asUnreadable returns an error of the operating system unchanged, and any other as an ErrUnreadable.
 func asUnreadable(path string, err error) error {
 	var system *fs.PathError
 	if errors.As(err, &system) {
@@ -72,11 +75,12 @@
 	return d.Sync()
 }
 
-// recoverableErrors are the system's errors after which a file is unchanged: there was no space, or no permission to write.
+// recoverableErrors lists the errors of the operating system after which a file is unchanged: there was
+// no space, or no permission to write.
 var recoverableErrors = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
-// Recoverable reports whether the same process may open a store again after an error. After other errors, above all of a sync, what the system
-// shows of the file may differ from what is on the disk.
+// Recoverable reports whether the same process may open a store again after an error. After other
+// errors, in particular of a sync, a process may read from the page cache what is not on the disk.
 func Recoverable(err error) bool {
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrInUse) {
 		return true
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -11,15 +11,17 @@
 
 const checksumBytes = 8
 
-// encodeRecord puts a checksum before a record. It covers the key, so that no record is taken for another.
+// encodeRecord returns data preceded by a checksum. The checksum covers the key too, so that a record
+// stored under another key is detected.
 func encodeRecord(key, data []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, checksum(key, data)), data...)
 }
 
-// decodeRecord checks the checksum of a stored record, and copies its data; the error is ErrUnreadable.
+// decodeRecord verifies the checksum of a stored record and returns a copy of its data. It returns
+// ErrUnreadable if the checksum does not match.
 func decodeRecord(key, stored []byte) ([]byte, error) {
 	if len(stored) < checksumBytes || binary.BigEndian.Uint64(stored) != checksum(key, stored[checksumBytes:]) {
-		return nil, fmt.Errorf("%w: the record %q does not fit its sum", ErrUnreadable, key)
+		return nil, fmt.Errorf("%w: record %q of %d bytes does not match its checksum", ErrUnreadable, key, len(stored))
 	}
 	return slices.Clone(stored[checksumBytes:]), nil
 }
@@ -32,14 +34,15 @@
 	return h.Sum64()
 }
 
-// numberKey is the key of a numbered record; keys are in the order of their numbers.
+// numberKey returns the key of a numbered record. Keys sort in the order of their numbers.
 func numberKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
+// keyNumber returns the number that numberKey encoded.
 func keyNumber(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
 func putRecord(b *bbolt.Bucket, key, data []byte) error { return b.Put(key, encodeRecord(key, data)) }
 
-// marshaler is the encoding of the types of raftpb.
+// marshaler is implemented by the types of raftpb.
 type marshaler interface{ Marshal() ([]byte, error) }
 
 func putMarshaled(b *bbolt.Bucket, key []byte, record marshaler) error {
@@ -50,7 +53,7 @@
 	return putRecord(b, key, data)
 }
 
-// deleteFrom deletes the numbered records from first on.
+// deleteFrom deletes the records with numbers of at least first.
 func deleteFrom(c *bbolt.Cursor, first uint64) error {
 	for k, _ := c.Seek(numberKey(first)); k != nil; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
@@ -60,7 +63,7 @@
 	return nil
 }
 
-// deleteUpTo deletes the numbered records up to last.
+// deleteUpTo deletes the records with numbers up to and including last.
 func deleteUpTo(c *bbolt.Cursor, last uint64) error {
 	for k, _ := c.First(); k != nil && keyNumber(k) <= last; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
--- a/internal/fleet/consensus/disk/recorded_test.go
+++ b/internal/fleet/consensus/disk/recorded_test.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedStore: a file that an earlier version wrote can be opened, read and written to.
+// TestRecordedStore checks that a file written by an earlier version can be opened, read and written to.
 func TestRecordedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	want := fillStore(t, path)
@@ -28,12 +28,12 @@
 	}
 	s := mustOpen(t, recorded)
 	if got := mustLoad(t, s); !reflect.DeepEqual(got, want) {
-		t.Fatalf("loaded %+v, want %+v", got, want)
+		t.Fatalf("Load of the recorded file = %+v, want %+v", got, want)
 	}
 	if err := s.Save(raftpb.HardState{Term: 3, Vote: 7, Commit: 9}, entries(10, 2, 3), raftpb.Snapshot{}); err != nil {
 		t.Fatal(err)
 	}
 	if got := mustLoad(t, s); len(got.Entries) != len(want.Entries)+2 || got.HardState.Term != 3 {
-		t.Errorf("loaded %+v after a write", got)
+		t.Errorf("Load after Save = %+v, want %d entries and term 3", got, len(want.Entries)+2)
 	}
 }
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -1,6 +1,9 @@
-// Package disk stores a replica's log, votes and snapshots in one bbolt file. It owns the file's format and bound, and the handling of files that
-// are truncated, damaged, full or of another replica. Each call that saves is one transaction, synced before it returns. Every record carries a
-// checksum; a record that does not match it is never used.
+// Package disk stores the log, votes and snapshots of a replica in one bbolt file. It defines the
+// format and the size limit of the file, and detects files that are truncated, damaged, full or in use.
+// It stores the identity by which consensus.Open rejects the file of another replica.
+//
+// Each call that saves is one transaction, which is synced before the call returns. Every record has a
+// checksum, and a record that does not match its checksum is never used.
 package disk
 
 import (
@@ -17,11 +20,11 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// The names of buckets and keys are part of the file's format.
+// Names of buckets and keys. They are part of the file format.
 var (
 	bucketMeta   = []byte("meta")
-	bucketLog    = []byte("log")  // entries, by index
-	bucketStarts = []byte("seen") // other replicas' last starts, by replica
+	bucketLog    = []byte("log")  // entries by index
+	bucketStarts = []byte("seen") // start records of other replicas by identity
 
 	keyIdentity  = []byte("identity")
 	keyHardState = []byte("hard")
@@ -29,11 +32,14 @@
 	keyExtent    = []byte("shape")
 )
 
-// Errors of a store.
+// Errors that Open and the methods of a Store return, wrapped with details.
 var (
-	ErrUnreadable = errors.New("disk: the store is unreadable")                // the file exists, but its content can't be trusted
-	ErrInUse      = errors.New("disk: the store is in use by another process") // another process has the file open
-	ErrFull       = errors.New("disk: the store has reached its bound")        // of Open's maxBytes
+	// ErrUnreadable means that the file exists but its content is damaged or inconsistent.
+	ErrUnreadable = errors.New("disk: the store is unreadable")
+	// ErrInUse means that another process has the file open.
+	ErrInUse = errors.New("disk: the store is in use by another process")
+	// ErrFull means that the file is larger than the maxBytes passed to Open.
+	ErrFull = errors.New("disk: the store has reached its bound")
 )
 
 // Store is an open file. It implements consensus.Store.
@@ -41,10 +47,11 @@
 	database *bbolt.DB
 	path     string
 	maxBytes int64
-	failed   error // of the first call that failed; every later call that saves fails with it
+	failed   error // first error of a call that saves, or of Load; every later call that saves returns it
 }
 
-// update runs a transaction. A page that can't be read (a fault of the memory map) becomes an error.
+// update runs f in a transaction. A page that can't be read, which faults in the memory map, becomes an
+// error. After an error all further calls fail.
 func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
 	if s.failed != nil {
 		return s.failed
@@ -70,8 +77,9 @@
 	})
 }
 
-// saveExtent records how much the file holds. Without it a page that was replaced by an older one with fewer records would not be noticed: all
-// records left would match their checksums.
+// saveExtent stores the extent of the file. Without it a page that was replaced by an older one with
+// fewer records would not be detected, since all remaining records match their checksums. It also
+// creates the records of hard state and snapshot if they are missing, since loadRecord expects them.
 func saveExtent(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot} {
@@ -92,7 +100,7 @@
 	return putRecord(meta, keyExtent, e.encode())
 }
 
-// SaveIdentity stores to which replica the store belongs.
+// SaveIdentity stores the identity of the replica.
 func (s *Store) SaveIdentity(id consensus.Identity) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
@@ -101,7 +109,7 @@
 	})
 }
 
-// SaveStartRecord stores another replica's last start.
+// SaveStartRecord stores the last known start of another replica.
 func (s *Store) SaveStartRecord(id uint64, start consensus.StartRecord) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var w encoding.Writer
@@ -110,8 +118,8 @@
 	})
 }
 
-// Save stores a hard state, entries and a snapshot, those of them that are not empty. Entries replace the stored ones from the first one's
-// index on.
+// Save stores a hard state, entries and a snapshot, except those that are empty. The entries replace
+// all stored entries from the index of the first one on.
 func (s *Store) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		if !raft.IsEmptySnap(snap) {
@@ -129,7 +137,8 @@
 	})
 }
 
-// saveSnapshot stores a snapshot. A log that ends before it is dropped, since later entries would leave a gap.
+// saveSnapshot stores a snapshot. It deletes a log that ends before the snapshot, since later entries
+// would leave a gap.
 func saveSnapshot(tx *bbolt.Tx, snap raftpb.Snapshot) error {
 	if err := putMarshaled(tx.Bucket(bucketMeta), keySnapshot, &snap); err != nil {
 		return err
@@ -157,12 +166,13 @@
 	return nil
 }
 
-// Compact removes the entries up to an index, which a stored snapshot covers.
+// Compact removes the entries up to and including an index that a stored snapshot covers.
 func (s *Store) Compact(upTo uint64) error {
 	return s.update(func(tx *bbolt.Tx) error { return deleteUpTo(tx.Bucket(bucketLog).Cursor(), upTo) })
 }
 
-// Size is the file's size in bytes. Freed space is used again, but the file never shrinks.
+// Size returns the size of the file in bytes, or 0 if it can't be determined. Freed space is reused,
+// but the file never shrinks.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -19,7 +19,7 @@
 
 const testMaxBytes = 1 << 20
 
-// entries makes n entries of a term, by index from first on.
+// entries returns n entries of a term with consecutive indexes from first on.
 func entries(first, n int, term uint64) (out []raftpb.Entry) {
 	for i := range n {
 		out = append(out, raftpb.Entry{Index: uint64(first + i), Term: term, Data: []byte(fmt.Sprint("command ", first+i))})
@@ -27,7 +27,7 @@
 	return out
 }
 
-// mustOpen opens a store, which is closed at the end of the test.
+// mustOpen opens a store and closes it at the end of the test.
 func mustOpen(t testing.TB, path string) *Store {
 	t.Helper()
 	s, err := Open(path, testMaxBytes)
@@ -47,7 +47,7 @@
 	return state
 }
 
-// fillStore saves something of each kind in a new file, and gives what is to be loaded from it.
+// fillStore saves records of each kind in a new file and returns the state that Load must return.
 func fillStore(t testing.TB, path string) consensus.StoredState {
 	t.Helper()
 	s, err := Open(path, testMaxBytes)
@@ -70,7 +70,8 @@
 	return mustLoad(t, s)
 }
 
-// TestStoresWhatIsSaved: a file that is opened again holds what was saved, and one in use is not opened twice.
+// TestStoresWhatIsSaved checks that a file that is opened again contains what was saved, and that a file
+// in use is not opened a second time.
 func TestStoresWhatIsSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fillStore(t, path)
@@ -78,17 +79,18 @@
 	got := mustLoad(t, s)
 	want := append(entries(5, 3, 1), entries(8, 2, 2)...)
 	if got.ID != 7 || got.Starts != 3 || got.HardState.Vote != 9 || string(got.Snapshot.Data) != "state" || got.StartRecords[9].Starts != 2 {
-		t.Errorf("loaded %+v", got)
+		t.Errorf("Load = %+v, want ID 7, 3 starts, vote 9, snapshot \"state\" and 2 starts of replica 9", got)
 	}
 	if !reflect.DeepEqual(got.Entries, want) {
-		t.Errorf("loaded the entries %v, want %v", got.Entries, want)
+		t.Errorf("Load returned the entries %v, want %v", got.Entries, want)
 	}
 	if _, err := Open(path, testMaxBytes); !errors.Is(err, ErrInUse) || !Recoverable(err) {
-		t.Errorf("a store in use: got %v, want %v", err, ErrInUse)
+		t.Errorf("Open of a store in use returned %v (recoverable: %t), want %v, recoverable", err, Recoverable(err), ErrInUse)
 	}
 }
 
-// TestSnapshotBeyondTheLog: a snapshot of another replica that is beyond the complete log replaces it.
+// TestSnapshotBeyondTheLog checks that a snapshot of another replica that is newer than the whole log
+// replaces the log.
 func TestSnapshotBeyondTheLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fillStore(t, path)
@@ -98,11 +100,12 @@
 		t.Fatal(err)
 	}
 	if got := mustLoad(t, s); len(got.Entries) != 0 || got.Snapshot.Metadata.Index != 50 {
-		t.Errorf("loaded %+v, want the snapshot at 50 and no entries", got)
+		t.Errorf("Load = %+v, want the snapshot at index 50 and no entries", got)
 	}
 }
 
-// damage returns a copy of a file's data with a kind of damage that n chooses: flipped bytes, truncation, or a page replaced by another.
+// damage returns a damaged copy of a file's data. n selects the kind of damage: flipped bytes, truncation,
+// or a page replaced by another one.
 func damage(rng *rand.Rand, data []byte, n int) []byte {
 	const kinds, pageBytes = 3, 4096
 	damaged := slices.Clone(data)
@@ -120,8 +123,8 @@
 	return damaged
 }
 
-// TestDamagedFiles: a file with flipped bytes, a truncated one or one with a stale page is rejected or gives what was stored, never
-// something else, and does not end the process.
+// TestDamagedFiles checks that a file with flipped bytes, a truncated file and one with a stale page are
+// rejected or load as they were stored, and do not end the process.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	intact := filepath.Join(dir, "intact")
@@ -147,19 +150,20 @@
 		case err != nil:
 			rejected++
 			if Recoverable(err) {
-				t.Errorf("file %d: %v counts as recoverable", i, err)
+				t.Errorf("file %d: Recoverable(%v) = true, want false", i, err)
 			}
 		case !reflect.DeepEqual(got, want) && got.ID != 0:
-			t.Errorf("file %d: loaded %+v", i, got)
+			t.Errorf("file %d: Load = %+v, want %+v, an empty state or an error", i, got, want)
 		}
 		s.Close()
 	}
 	if rejected < 60 {
-		t.Errorf("%d of 300 files rejected, want 60 or more: the damage does not reach what is read", rejected)
+		t.Errorf("%d of 300 damaged files rejected, want at least 60; with fewer the damage misses what Load reads", rejected)
 	}
 }
 
-// limitFileSize limits the size of files that this process writes, in place of a full disk. It returns a function that ends that.
+// limitFileSize limits the size of files that this process writes, to simulate a full disk. The returned
+// function removes the limit.
 func limitFileSize(t *testing.T, bytes uint64) (restore func()) {
 	t.Helper()
 	var before unix.Rlimit
@@ -176,7 +180,8 @@
 	}
 }
 
-// TestFullDisk: on a full disk a call that saves fails, as do all after it, and with free space again the file opens with what was saved before.
+// TestFullDisk checks that on a full disk a call that saves and all calls after it fail, and that once
+// there is space the file opens with what was saved before.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	s := mustOpen(t, path)
@@ -191,18 +196,18 @@
 	afterwards := s.Save(raftpb.HardState{Term: 2}, nil, raftpb.Snapshot{})
 	restore()
 	if full == nil || !Recoverable(full) {
-		t.Fatalf("full disk: got %v, want a recoverable error", full)
+		t.Fatalf("Save on a full disk returned %v, want a recoverable error", full)
 	}
 	if afterwards == nil || s.Save(raftpb.HardState{Term: 3}, nil, raftpb.Snapshot{}) == nil {
-		t.Error("a store that failed saves again")
+		t.Error("Save after a failed Save succeeded, want an error")
 	}
 	s.Close()
 	if got := mustLoad(t, mustOpen(t, path)); got.HardState.Term != 1 || len(got.Entries) != 5 {
-		t.Errorf("loaded %+v, want term 1 and 5 entries", got)
+		t.Errorf("Load after the full disk = %+v, want term 1 and 5 entries", got)
 	}
 }
 
-// TestBound: a store that has reached its bound saves no more.
+// TestBound checks that Save fails once the file has reached the maxBytes passed to Open.
 func TestBound(t *testing.T) {
 	s, err := Open(filepath.Join(t.TempDir(), "voter"), 200<<10)
 	if err != nil {
@@ -213,11 +218,11 @@
 		err = s.Save(raftpb.HardState{Term: 1}, entries(i, 50, 1), raftpb.Snapshot{})
 	}
 	if !errors.Is(err, ErrFull) || s.Size() > 600<<10 {
-		t.Errorf("got %v at %d bytes, want %v", err, s.Size(), ErrFull)
+		t.Errorf("Save returned %v at %d bytes, want %v at no more than %d", err, s.Size(), ErrFull, 600<<10)
 	}
 }
 
-// TestRecoverable: the same process may retry only after a failure that left the file as it was.
+// TestRecoverable checks that Recoverable allows a retry only after an error that left the file unchanged.
 func TestRecoverable(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -232,7 +237,7 @@
 		{"no space at no known call", syscall.ENOSPC, false},
 	} {
 		if got := Recoverable(fmt.Errorf("store: %w", c.err)); got != c.recoverable {
-			t.Errorf("%s: got %t, want %t", c.name, got, c.recoverable)
+			t.Errorf("%s: Recoverable(%v) = %t, want %t", c.name, c.err, got, c.recoverable)
 		}
 	}
 }
