--- a/internal/fleet/encoding/encoding.go
+++ b/internal/fleet/encoding/encoding.go
@@ -1,6 +1,7 @@
-// Package encoding writes and reads the short records that processes of a fleet send to one another and store on disk: unsigned numbers as
-// varints, and byte strings behind their length. A Reader never reads past its data: what is truncated or too long gives zero values, and
-// Err reports it.
+// Package encoding writes and reads the short records that processes of a fleet send to one another and
+// store on disk. Numbers are unsigned varints, and byte strings are preceded by their length. A Reader
+// never reads past its data: it returns zero values for fields that are truncated or too long, and Err
+// reports the error.
 package encoding
 
 import (
@@ -8,19 +9,19 @@
 	"errors"
 )
 
-// ErrMalformed is of a record that ends early, or that holds a length beyond its field's bound.
-var ErrMalformed = errors.New("encoding: the record is torn")
+// ErrMalformed reports a record that is truncated or contains a length over the limit of its field.
+var ErrMalformed = errors.New("encoding: the record is truncated or a length exceeds its limit")
 
-// Writer appends fields to Data; its methods return it, so that calls can be chained.
+// Writer appends fields to Data. Its methods return the Writer, so that calls can be chained.
 type Writer struct{ Data []byte }
 
-// Uint appends a number.
+// Uint appends a number as a varint.
 func (w *Writer) Uint(v uint64) *Writer {
 	w.Data = binary.AppendUvarint(w.Data, v)
 	return w
 }
 
-// Bool appends a flag.
+// Bool appends 1 for true and 0 for false.
 func (w *Writer) Bool(v bool) *Writer {
 	if v {
 		return w.Uint(1)
@@ -28,23 +29,24 @@
 	return w.Uint(0)
 }
 
-// Bytes appends a byte string with its length.
+// Bytes appends a byte string, preceded by its length.
 func (w *Writer) Bytes(b []byte) *Writer {
 	w.Uint(uint64(len(b)))
 	w.Data = append(w.Data, b...)
 	return w
 }
 
-// Text appends a string with its length.
+// Text appends a string, preceded by its length.
 func (w *Writer) Text(s string) *Writer {
 	w.Uint(uint64(len(s)))
 	w.Data = append(w.Data, s...)
 	return w
 }
 
-// Reader reads fields from the front of Data. After the first error all fields are zero, so that a caller need check Err only once, at the end.
+// Reader reads fields from the front of Data. After the first error it returns only zero values, so that
+// a caller need check Err only once, at the end.
 type Reader struct {
-	Data      []byte // what is not read yet
+	Data      []byte // the bytes that are not read yet
 	malformed bool
 }
 
@@ -59,10 +61,10 @@
 	return v
 }
 
-// Bool reads a flag.
+// Bool reads a flag. It returns false for any number other than 1.
 func (r *Reader) Bool() bool { return r.Uint() == 1 }
 
-// Bytes reads a byte string of at most maxBytes. It is a part of Data, not a copy.
+// Bytes reads a byte string of at most maxBytes. The result is a slice of Data, not a copy.
 func (r *Reader) Bytes(maxBytes int) []byte {
 	n := r.Uint()
 	if n > uint64(maxBytes) || n > uint64(len(r.Data)) {
@@ -74,11 +76,12 @@
 	return b
 }
 
-// Text reads a string of at most maxBytes.
+// Text reads a string of at most maxBytes bytes.
 func (r *Reader) Text(maxBytes int) string { return string(r.Bytes(maxBytes)) }
 
-// Count reads how many records follow, at most maxCount. Each has at least a byte: a count beyond the data's length is malformed, so that no
-// datagram makes a caller allocate more than it has bytes.
+// Count reads the number of records that follow, at most maxCount. Since each record has at least one
+// byte, a count over the length of the remaining data is malformed. So no datagram makes a caller
+// allocate more records than the datagram has bytes.
 func (r *Reader) Count(maxCount int) int {
 	n := r.Uint()
 	if n > uint64(maxCount) || n > uint64(len(r.Data)) {
@@ -88,7 +91,7 @@
 	return int(n)
 }
 
-// Err is ErrMalformed if a field could not be read; nil: all could.
+// Err returns ErrMalformed if a field could not be read, and nil otherwise.
 func (r *Reader) Err() error {
 	if r.malformed {
 		return ErrMalformed
--- a/internal/fleet/encoding/encoding_test.go
+++ b/internal/fleet/encoding/encoding_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzReader: nothing is read past the data, no length beyond its bound is accepted, and what is complete is written the same again.
+// FuzzReader checks that a Reader never reads past its data and accepts no length over its limit, and that
+// what it read completely can be written and read again.
 func FuzzReader(f *testing.F) {
 	w := Writer{}
 	f.Add(w.Uint(300).Text("name").Bool(true).Bytes([]byte{1, 2}).Data)
@@ -16,7 +17,7 @@
 		n, s, b, c := r.Uint(), r.Text(16), r.Bool(), r.Bytes(8)
 		k := r.Count(4)
 		if len(s) > 16 || len(c) > 8 || k > 4 || len(r.Data) > len(data) {
-			t.Fatalf("read %q, %x, %d of %x", s, c, k, data)
+			t.Fatalf("read text %q, bytes %x, count %d with %d of %d bytes left of %x; want at most 16, 8, 4 and no more bytes left than given", s, c, k, len(r.Data), len(data), data)
 		}
 		if r.Err() != nil {
 			return
@@ -24,12 +25,12 @@
 		w := Writer{}
 		again := Reader{Data: w.Uint(n).Text(s).Bool(b).Bytes(c).Uint(uint64(k)).Data}
 		if again.Uint() != n || again.Text(16) != s || again.Bool() != b || !bytes.Equal(again.Bytes(8), c) {
-			t.Fatalf("%x is not read as written", data)
+			t.Fatalf("the fields of %x, number %d, text %q, flag %t, bytes %x, are not the same after they are written and read", data, n, s, b, c)
 		}
 	})
 }
 
-// TestMalformedRecords: a truncated record, and a field beyond its bound, are errors.
+// TestMalformedRecords checks that Err reports a truncated record and a field over its limit.
 func TestMalformedRecords(t *testing.T) {
 	w := Writer{}
 	complete := w.Uint(1 << 40).Text("abc").Data
@@ -38,11 +39,11 @@
 		r.Uint()
 		r.Text(3)
 		if r.Err() == nil {
-			t.Errorf("%d of %d bytes are accepted as complete", n, len(complete))
+			t.Errorf("Err() = nil after reading %d of %d bytes, want %v", n, len(complete), ErrMalformed)
 		}
 	}
 	r := Reader{Data: complete}
 	if r.Uint() != 1<<40 || r.Text(2) != "" || r.Err() == nil {
-		t.Error("a text beyond its bound is accepted")
+		t.Errorf("reading a text of 3 bytes with a limit of 2: Err() = %v, want %v and an empty text", r.Err(), ErrMalformed)
 	}
 }
--- a/internal/fleet/group/machines.go
+++ b/internal/fleet/group/machines.go
@@ -8,31 +8,31 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxMachines is how many machines a byte can number.
+// maxMachines is the number of machines that a one-byte number can distinguish.
 const maxMachines = 256
 
-// Machines are the state machines of a group, by the number that a command names.
+// Machines holds the state machines of a group by the numbers that commands carry.
 type Machines struct {
 	byNumber map[byte]Machine
-	numbers  []byte // sorted, so that equal states have equal snapshots
+	numbers  []byte // sorted, so that equal states are encoded as equal snapshots
 }
 
-// NewMachines makes the set of a voter.
+// NewMachines returns the Machines with the given state machines.
 func NewMachines(byNumber map[byte]Machine) Machines {
 	return Machines{byNumber: byNumber, numbers: slices.Sorted(maps.Keys(byNumber))}
 }
 
-// Get gives a machine; nil: this process does not know it.
+// Get returns the machine with a number, or nil if this process does not have it.
 func (m Machines) Get(number byte) Machine { return m.byNumber[number] }
 
-// Each calls f with each machine, in the order of their numbers.
+// Each calls f with each machine, in the order of the numbers.
 func (m Machines) Each(f func(Machine)) {
 	for _, number := range m.numbers {
 		f(m.byNumber[number])
 	}
 }
 
-// EncodeSnapshots writes the state of each machine.
+// EncodeSnapshots writes the number and the snapshot of each machine.
 func (m Machines) EncodeSnapshots(w *encoding.Writer) {
 	w.Uint(uint64(len(m.numbers)))
 	for _, number := range m.numbers {
@@ -40,8 +40,9 @@
 	}
 }
 
-// RestoreSnapshots reads what EncodeSnapshots wrote, each state of at most maxBytes. A machine that is not known here is skipped. The error is a
-// machine's; that of a truncated snapshot is left in r.
+// RestoreSnapshots restores the machines from what EncodeSnapshots wrote. Each snapshot may have at most
+// maxBytes. It skips the snapshots of machines that this process does not have. It returns the error of a
+// machine's Restore; an error of a truncated encoding is left in r.
 func (m Machines) RestoreSnapshots(r *encoding.Reader, maxBytes int) error {
 	for n := r.Count(maxMachines); n > 0; n-- {
 		number, state := byte(r.Uint()), r.Bytes(maxBytes)
--- a/internal/fleet/group/machines_test.go
+++ b/internal/fleet/group/machines_test.go
@@ -10,7 +10,7 @@
 
 var errInvalidState = errors.New("invalid state")
 
-// textMachine is a machine whose state is a text; one that is "invalid" can't be restored.
+// textMachine is a Machine whose state is a text. Restore rejects the state "invalid".
 type textMachine struct{ state string }
 
 func (m *textMachine) Apply(cmd []byte) []byte { m.state += string(cmd); return nil }
@@ -34,14 +34,16 @@
 	return w.Data
 }
 
+// TestRestoreSnapshots checks that RestoreSnapshots restores the machines that the process has, skips the
+// others, and reports invalid, truncated and too long states.
 func TestRestoreSnapshots(t *testing.T) {
 	complete := encodeStates("one", "two")
 	for _, c := range []struct {
 		name      string
 		data      []byte
-		want      string // state of machine 1
-		machine   string // part of the machine's error; "": none
-		truncated bool
+		want      string // state of machine 1 afterwards
+		machine   string // error of the machine; empty if none is expected
+		truncated bool   // whether the reader must report an error
 	}{
 		{name: "one machine", data: encodeStates("one"), want: "one"},
 		{name: "a machine that is not known here", data: complete, want: "one"},
@@ -55,21 +57,22 @@
 		r := encoding.Reader{Data: c.data}
 		err := machines.RestoreSnapshots(&r, 100)
 		if machine.state != c.want || (r.Err() != nil) != c.truncated {
-			t.Errorf("%s: state %q, %v; want %q, truncated %t", c.name, machine.state, r.Err(), c.want, c.truncated)
+			t.Errorf("%s: state %q, reader error %v; want state %q, reader error: %t", c.name, machine.state, r.Err(), c.want, c.truncated)
 		}
 		if (err != nil) != (c.machine != "") || err != nil && err.Error() != c.machine {
-			t.Errorf("%s: got %v, want %q", c.name, err, c.machine)
+			t.Errorf("%s: RestoreSnapshots returned %v, want the error %q", c.name, err, c.machine)
 		}
 	}
 }
 
-// TestMachinesAreOrdered: the order in which machines are given makes no difference to snapshots.
+// TestMachinesAreOrdered checks that Each visits the machines in the order of their numbers, so that
+// equal states are encoded as equal snapshots.
 func TestMachinesAreOrdered(t *testing.T) {
 	var order []string
 	NewMachines(map[byte]Machine{9: &textMachine{"c"}, 2: &textMachine{"b"}, 1: &textMachine{"a"}}).Each(func(m Machine) {
 		order = append(order, string(m.Snapshot()))
 	})
 	if got := strings.Join(order, ""); got != "abc" {
-		t.Errorf("order %q, want abc", got)
+		t.Errorf("Each visited the machines in the order %q, want \"abc\"", got)
 	}
 }
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica opens a replica with a disk for the owner agent: package consensus on a bbolt file. It is a package of its own so that a program
-// without replicas does not link raft and bbolt.
+// Package replica opens a replica for the owner agent: package consensus with its store in a bbolt file.
+// It is a separate package so that a program without replicas does not link raft and bbolt.
 package replica
 
 import (
@@ -14,13 +14,13 @@
 
 const (
 	fileName      = "voter.db"
-	electionTicks = 6 // of 100 ms
+	electionTicks = 6 // shortest election timeout, in ticks of 100 ms
 )
 
-// replica is consensus as the owner agent uses it.
+// replica implements owneragent.Voter with a consensus.Core.
 type replica struct{ *consensus.Core }
 
-// Stopped is the error for which the replica has stopped; nil: it has not.
+// Stopped returns the error for which the replica has stopped, or nil if it has not.
 func (r replica) Stopped() *group.StoreError {
 	if phase, _ := r.Phase(); phase == consensus.Broken {
 		return storeError(r.Failure())
@@ -32,7 +32,7 @@
 	return &group.StoreError{Err: err, InUse: errors.Is(err, disk.ErrInUse), Retryable: disk.Recoverable(err)}
 }
 
-// Open opens the replica whose store is in VoterOptions.Dir.
+// Open opens the replica whose store is in the directory o.Dir, or creates it there.
 func Open(o owneragent.VoterOptions) (owneragent.Voter, *group.StoreError) {
 	store, err := disk.Open(filepath.Join(o.Dir, fileName), o.MaxBytes)
 	if err != nil {
