--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,8 +1,9 @@
-// Package peers carries short messages between the proxies of a tier as UDP datagrams: the decision module's, and membership's. It owns the
-// socket and decides whose datagrams are received; what they mean is their reader's business. A peer is another proxy, known by its number in
-// the configured list.
+// Package peers sends short messages between the proxies of a tier as UDP datagrams, for the decision
+// module and for membership. It owns the socket and decides from which senders datagrams are accepted;
+// it does not interpret them. A peer is another proxy, identified by its number in the configured list.
 //
-// Datagrams do not run on netpoll, which serves streams only: one goroutine reads them and posts them to the event loop.
+// Datagrams do not use netpoll, which serves streams only: one goroutine reads them and posts them to the
+// event loop.
 package peers
 
 import (
@@ -17,37 +18,38 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// MaxDatagramBytes is the longest datagram that the platform allows, in bytes.
+// MaxDatagramBytes is the length of the longest datagram that the platform allows.
 const MaxDatagramBytes = 256
 
-// Addresses are where the proxies of the tier are reached from here.
+// Addresses holds the addresses of the proxies of the tier, each an IP address and a port.
 type Addresses struct {
-	Listen    string   // own
-	Peers     []string // by number, the own included
-	Broadcast string   // reaches every proxy of the tier; "": there is none
+	Listen    string   // address to listen on
+	Peers     []string // addresses of all proxies, including this one, by their number
+	Broadcast string   // address that reaches every proxy of the tier; empty if there is none
 }
 
-// invalidReason is why a message is not sent, as the log has it.
+// invalidReason states in the log why a message is not sent.
 type invalidReason string
 
 const (
 	reasonUnknownPeer invalidReason = "unknown_peer"
-	reasonLength      invalidReason = "length" // empty, or over MaxDatagram
+	reasonLength      invalidReason = "length" // empty or longer than MaxDatagramBytes
 )
 
-// Link sends and receives datagrams. Sending belongs to the event loop.
+// Link sends and receives datagrams. Its methods that send must be called on the event loop.
 type Link struct {
 	conn       *net.UDPConn
 	peers      []netip.AddrPort // by number
-	broadcast  netip.AddrPort   // reaches all; invalid: there is none
-	ownNumber  int              // among the peers; -1: not numbered
+	broadcast  netip.AddrPort   // reaches every proxy; invalid if there is no such address
+	ownNumber  int              // number of this proxy among the peers; -1 if the link has no numbered peers
 	readLoop   func()
 	dropped    atomic.Int64
-	sendFailed bool // and that was logged
+	sendFailed bool // whether a failure to send was logged
 }
 
-// Open listens, or uses the socket fd that another process has handed over where that is not below 0. receive is called on the loop with
-// each datagram of a known peer and that peer's number, once StartReceiving was called.
+// Open returns a Link that exchanges datagrams with the peers in a. It listens on a.Listen, or, if fd is
+// not negative, uses the socket fd that another process handed over. After StartReceiving, receive is
+// called on the loop for each datagram from a known peer, with the number of that peer.
 func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
 	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
@@ -78,7 +80,8 @@
 	return l, nil
 }
 
-// OpenForAnySender listens for datagrams from anywhere, where members come and go: receive decides whose it accepts.
+// OpenForAnySender returns a Link that accepts datagrams from any address, for a fleet whose members
+// change. receive must itself decide which senders it accepts.
 func OpenForAnySender(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
@@ -99,12 +102,13 @@
 func parseAddress(name, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return address, fmt.Errorf("%s: %q is no address with a port", name, text)
+		return address, fmt.Errorf("%s: %q is not an IP address with a port", name, text)
 	}
 	return address, nil
 }
 
-// bind opens a socket, or uses fd, handed over in a hot restart, where that is not below 0.
+// bind opens a socket on the own address, or, if fd is not negative, uses the socket fd that another
+// process handed over in a hot restart.
 func bind(own netip.AddrPort, fd int) (*net.UDPConn, error) {
 	if fd < 0 {
 		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
@@ -118,21 +122,23 @@
 	conn, ok := packetConn.(*net.UDPConn)
 	if !ok {
 		packetConn.Close()
-		return nil, fmt.Errorf("the socket handed over is %T", packetConn)
+		return nil, fmt.Errorf("the socket handed over is a %T, want a %T", packetConn, conn)
 	}
 	return conn, nil
 }
 
-// StartReceiving begins to receive. Datagrams can be sent in any case.
+// StartReceiving starts to receive datagrams. Sending is possible before.
 func (l *Link) StartReceiving() {
 	l.conn.SetReadDeadline(time.Time{})
 	go l.readLoop()
 }
 
-// StopReceiving leaves what arrives to the other process that holds the socket, during a hot restart.
+// StopReceiving stops receiving during a hot restart, so that datagrams go to the other process that holds
+// the socket.
 func (l *Link) StopReceiving() { l.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// Fd is the socket's descriptor, to be handed to another process; the link keeps it. Below 0: the socket is closed.
+// Fd returns the descriptor of the socket, to be handed to another process. The link still owns it. Fd
+// returns -1 if the socket is closed.
 func (l *Link) Fd() int {
 	fd := -1
 	if raw, err := l.conn.SyscallConn(); err == nil {
@@ -141,7 +147,8 @@
 	return fd
 }
 
-// SendToPeer sends a datagram to a peer by its number, or to all others with a number below 0. It may be lost without notice.
+// SendToPeer sends a datagram to the peer with a number, or to all other proxies if the number is
+// negative. The datagram may be lost without notice.
 func (l *Link) SendToPeer(peer int, data []byte) {
 	if !validLength(data) {
 		return
@@ -162,14 +169,15 @@
 	}
 }
 
-// SendTo sends a datagram to an address. It may be lost without notice.
+// SendTo sends a datagram to an address. The datagram may be lost without notice.
 func (l *Link) SendTo(to netip.AddrPort, data []byte) {
 	if validLength(data) {
 		l.send(to, data)
 	}
 }
 
-// validLength logs a datagram that the platform does not allow: that is a fault of the caller.
+// validLength reports whether the platform allows a datagram of this length. It logs one that it does not
+// allow, since that is an error of the caller.
 func validLength(data []byte) bool {
 	if len(data) > 0 && len(data) <= MaxDatagramBytes {
 		return true
@@ -178,7 +186,8 @@
 	return false
 }
 
-// send logs the first error only: one that lasts would be logged with each datagram.
+// send sends a datagram. It logs only the first error, since a persistent one would be logged with each
+// datagram.
 func (l *Link) send(to netip.AddrPort, data []byte) {
 	if _, err := l.conn.WriteToUDPAddrPort(data, to); err != nil && !l.sendFailed {
 		l.sendFailed = true
@@ -186,7 +195,8 @@
 	}
 }
 
-// Dropped counts the datagrams that were received and not handled: of an unknown sender, too long, or while too many waited for the loop.
+// Dropped returns the number of datagrams that were received but not handled: from an unknown sender, too
+// long, or while too many waited for the loop.
 func (l *Link) Dropped() int64 { return l.dropped.Load() }
 
 // Close closes the socket.
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -14,11 +14,11 @@
 	data []byte
 }
 
-// openLinks opens n links on loopback; what each receives goes to its channel.
+// openLinks opens n links on loopback and returns them with a channel of what each receives.
 func openLinks(t *testing.T, n int) ([]*Link, []chan received) {
 	t.Helper()
 	var addrs []string
-	for range n { // a port that the kernel has just given out stays free for a while
+	for range n { // the kernel does not reassign a port for a while after it is closed
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -58,24 +58,27 @@
 	return received{}
 }
 
+// TestSendToOneAndAll checks that SendToPeer sends to the peer with the number, and with a negative number
+// to all proxies but the sender.
 func TestSendToOneAndAll(t *testing.T) {
 	links, channels := openLinks(t, 4)
 	links[1].SendToPeer(3, []byte("one"))
 	if h := receiveNext(t, channels[3]); h.from != 1 || string(h.data) != "one" {
-		t.Fatalf("%+v", h)
+		t.Fatalf("peer 3 received %q from peer %d, want \"one\" from peer 1", h.data, h.from)
 	}
 	links[2].SendToPeer(-1, []byte("all"))
 	for _, i := range []int{0, 1, 3} {
 		if h := receiveNext(t, channels[i]); h.from != 2 || string(h.data) != "all" {
-			t.Fatalf("%d received %+v", i, h)
+			t.Fatalf("peer %d received %q from peer %d, want \"all\" from peer 2", i, h.data, h.from)
 		}
 	}
 	if len(channels[2]) > 0 {
-		t.Fatal("a broadcast was sent to its sender")
+		t.Fatal("SendToPeer(-1) sent the datagram to its sender")
 	}
 }
 
-// TestDropsUnknownAndLong: datagrams that are too long, or from an address that is no peer's, are dropped and counted.
+// TestDropsUnknownAndLong checks that received datagrams that are too long or from an address of no peer
+// are dropped and counted, and that invalid datagrams are not sent.
 func TestDropsUnknownAndLong(t *testing.T) {
 	links, channels := openLinks(t, 2)
 	to := links[0].conn.LocalAddr().(*net.UDPAddr)
@@ -90,23 +93,24 @@
 		time.Sleep(time.Millisecond)
 	}
 	if links[0].Dropped() != 2 || len(channels[0]) > 0 {
-		t.Fatalf("dropped %d of 2, received %d", links[0].Dropped(), len(channels[0]))
+		t.Fatalf("Dropped() = %d, want 2; %d datagrams received, want 0", links[0].Dropped(), len(channels[0]))
 	}
-	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), MaxDatagramBytes+1)) // never sent
+	links[1].SendToPeer(0, bytes.Repeat([]byte("y"), MaxDatagramBytes+1)) // none of these three is sent
 	links[1].SendToPeer(7, []byte("nobody"))
 	links[1].SendToPeer(0, nil)
 	links[1].SendToPeer(0, bytes.Repeat([]byte("z"), MaxDatagramBytes))
 	if h := receiveNext(t, channels[0]); len(h.data) != MaxDatagramBytes || h.data[0] != 'z' {
-		t.Fatalf("received %q", h.data)
+		t.Fatalf("received %q, want %d bytes of \"z\"", h.data, MaxDatagramBytes)
 	}
 }
 
+// TestInvalidAddresses checks that Open rejects addresses that are not an IP address with a port.
 func TestInvalidAddresses(t *testing.T) {
 	for _, a := range []Addresses{{Listen: ""}, {Listen: "x:1"}, {Listen: "127.0.0.1:0", Peers: []string{"y"}},
 		{Listen: "127.0.0.1:0", Broadcast: "z"}} {
 		if link, err := Open(netio.NewLoop(), a, 0, -1, nil); err == nil {
 			link.Close()
-			t.Errorf("%+v is accepted", a)
+			t.Errorf("Open(%+v) succeeded, want an error", a)
 		}
 	}
 }
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// maxWaiting bounds the datagrams that wait for the loop: what waits for long is out of date, and must not delay what comes after.
+	// maxWaiting bounds the number of datagrams that wait for the loop. Those that wait for long are out of
+	// date and must not delay later ones.
 	maxWaiting = 64
-	// readRetryDelay is the pause after a read that failed, as the kernel may stay short of memory.
+	// readRetryDelay is the pause after a failed read, since the kernel may remain short of memory.
 	readRetryDelay = time.Millisecond
 )
 
 // handler handles a datagram on the loop.
 type handler func(data []byte)
 
-// read posts datagrams to the loop, each for the handler that handlerOf gives for its sender; false: the sender is unknown. It returns once
-// the link is closed or StopReceiving was called.
+// read posts each datagram to the loop with the handler that handlerFor returns for its sender. It drops
+// the datagram if handlerFor reports that the sender is unknown. It returns once the link is closed or
+// StopReceiving was called.
 func (l *Link) read(loop *netio.Loop, handlerFor func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
-	buffer := make([]byte, MaxDatagramBytes+1) // one more, so that a datagram that is too long shows
+	buffer := make([]byte, MaxDatagramBytes+1) // one byte more, to detect a datagram that is too long
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		if err != nil {
-			// ECONNREFUSED reports that an earlier datagram of this process met a closed port: the next read may succeed at once.
+			// ECONNREFUSED means that an earlier datagram from this process reached a closed port. The next
+			// read may succeed at once.
 			if !errors.Is(err, syscall.ECONNREFUSED) {
 				time.Sleep(readRetryDelay)
 			}
