--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// lossyLink is two transports, and a link between them that loses, duplicates and reorders datagrams.
+// lossyLink connects two transports with a link that loses, duplicates and reorders datagrams.
 type lossyLink struct {
 	rng             *rand.Rand
 	loss            float64
@@ -29,7 +29,7 @@
 func (e testEnd) SendDatagram(_ uint32, data []byte) {
 	l := e.link
 	l.longestDatagram = max(l.longestDatagram, len(data))
-	for range 1 + l.rng.IntN(2) { // some are duplicated
+	for range 1 + l.rng.IntN(2) { // duplicates half of the datagrams
 		if l.rng.Float64() >= l.loss {
 			l.queue = append(l.queue, queuedDatagram{1 - e.index, append([]byte(nil), data...)})
 		}
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestLongMessagesArriveOnce: under loss, duplication and reordering each long message is delivered complete and once.
+// TestLongMessagesArriveOnce checks that under loss, duplication and reordering each long message is
+// delivered complete and once.
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
 		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessageBytes} {
@@ -75,15 +76,15 @@
 			}
 			l.run(0, GiveUpAfter)
 			if size > 238 && len(l.received[1]) != 1 {
-				t.Fatalf("seed %d, %d bytes: delivered %d times", seed, size, len(l.received[1]))
+				t.Fatalf("seed %d, message of %d bytes: delivered %d times, want once", seed, size, len(l.received[1]))
 			}
 			for _, message := range l.received[1] {
 				if !bytes.Equal(message, data) {
-					t.Fatalf("seed %d, %d bytes: delivered incomplete", seed, size)
+					t.Fatalf("seed %d, message of %d bytes: the %d bytes delivered differ from those sent", seed, size, len(message))
 				}
 			}
 			if l.longestDatagram > 240 {
-				t.Fatalf("a datagram of %d bytes", l.longestDatagram)
+				t.Fatalf("seed %d, message of %d bytes: sent a datagram of %d bytes, want at most 240", seed, size, l.longestDatagram)
 			}
 			if size == MaxMessageBytes && seed > 2 {
 				break
@@ -92,32 +93,34 @@
 	}
 }
 
-// TestBounds: messages to a peer that acknowledges nothing, and messages that stay incomplete, take bounded memory.
+// TestBounds checks that messages to a peer that acknowledges nothing, and messages that stay incomplete,
+// use bounded memory.
 func TestBounds(t *testing.T) {
 	l := newLossyLink(1, 1)
 	for range 100 {
 		l.ends[0].Send(0, 1, make([]byte, 10000))
 	}
 	if n := len(l.ends[0].peers[1].outgoing); n != maxOutgoing {
-		t.Errorf("%d messages wait, want %d", n, maxOutgoing)
+		t.Errorf("%d outgoing messages after 100 calls of Send, want %d", n, maxOutgoing)
 	}
 	if l.ends[0].Send(0, 1, make([]byte, MaxMessageBytes+1)) != ErrMessageTooLong {
-		t.Error("a message over the bound is accepted")
+		t.Errorf("Send of %d bytes did not return %v", MaxMessageBytes+1, ErrMessageTooLong)
 	}
 	l.ends[0].Tick(GiveUpAfter)
 	if n := len(l.ends[0].peers[1].outgoing); n != 0 || l.ends[0].AbandonedMessages != 100 {
-		t.Errorf("after GiveUpAfter %d wait, %d given up", n, l.ends[0].AbandonedMessages)
+		t.Errorf("after GiveUpAfter: %d outgoing messages, %d abandoned, want 0 and 100", n, l.ends[0].AbandonedMessages)
 	}
 	for i := range 100 {
 		d := []byte{DatagramPrefix, kindPiece, 0, 0, 0, byte(i), 0, 0, 0, 1, 0, 0, 3, 0xff}
 		l.ends[1].Receive(0, 7, append(d, make([]byte, 150)...))
 	}
 	if n := len(l.ends[1].peers[7].incoming); n > maxIncoming {
-		t.Errorf("%d incomplete messages", n)
+		t.Errorf("%d incomplete messages, want at most %d", n, maxIncoming)
 	}
 }
 
-// TestRestartedSender: a message of a new incarnation is not taken for one of the earlier with the same sequence number.
+// TestRestartedSender checks that a message of a new incarnation is not mistaken for one of the earlier
+// incarnation with the same sequence number.
 func TestRestartedSender(t *testing.T) {
 	l := newLossyLink(1, 0)
 	l.ends[0].Send(0, 1, bytes.Repeat([]byte("a"), 1000))
@@ -126,11 +129,11 @@
 	l.ends[0].Send(1e9, 1, bytes.Repeat([]byte("b"), 1000))
 	l.run(1e9, 2e9)
 	if len(l.received[1]) != 2 || l.received[1][1][0] != 'b' {
-		t.Fatalf("%d messages delivered, expected the second incarnation's too", len(l.received[1]))
+		t.Fatalf("%d messages delivered, want 2, the second one from the second incarnation", len(l.received[1]))
 	}
 }
 
-// FuzzReceive: no datagram makes a Transport panic or exceed its bounds.
+// FuzzReceive checks that no datagram makes a Transport panic or exceed its bounds.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{DatagramPrefix, kindSingle, 1})
 	f.Add([]byte{DatagramPrefix, kindPiece, 0, 0, 0, 1, 0, 0, 0, 1, 0, 0, 0, 2, 9})
@@ -147,7 +150,7 @@
 		for _, p := range b.peers {
 			for _, m := range p.incoming {
 				if len(m.data) > 2*MaxMessageBytes {
-					t.Fatalf("an incomplete message takes %d bytes", len(m.data))
+					t.Fatalf("an incomplete message uses %d bytes, want at most %d", len(m.data), 2*MaxMessageBytes)
 				}
 			}
 		}
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -5,28 +5,28 @@
 // DatagramPrefix is the first byte of each datagram.
 const DatagramPrefix = 0x12
 
-// The kinds of datagram, as the second byte.
+// Kinds of datagram, which are the second byte of a datagram.
 const (
 	kindSingle = 0 // a message that fits one datagram
-	kindPiece  = 1 // a part of a longer one
-	kindAck    = 2 // which pieces have arrived
+	kindPiece  = 1 // a piece of a longer message
+	kindAck    = 2 // an acknowledgment of the pieces that have arrived
 )
 
-// Lengths in bytes of what precedes the data.
+// Lengths of the headers, in bytes.
 const (
 	singleHeader = 1 + 1
 	pieceHeader  = 1 + 1 + 4 + 4 + 2 + 2
 	ackHeader    = 1 + 1 + 4 + 4
 )
 
-// messageID identifies a long message among those of one sender.
+// messageID identifies a long message among the messages of one sender.
 type messageID struct{ incarnation, sequence uint32 }
 
 // piece is one part of a long message.
 type piece struct {
 	message      messageID
 	index, count int
-	body         []byte // all but the last are equally long
+	body         []byte // of the same length in all pieces but the last
 }
 
 func (p piece) append(b []byte) []byte {
@@ -38,7 +38,7 @@
 	return append(b, p.body...)
 }
 
-// decodePiece reads a piece; false: it is malformed, or of a message that is too long.
+// decodePiece decodes a piece. It returns false if the piece is malformed or its message is too long.
 func decodePiece(data []byte) (piece, bool) {
 	if len(data) <= pieceHeader {
 		return piece{}, false
@@ -55,10 +55,10 @@
 
 func (p piece) isLast() bool { return p.index == p.count-1 }
 
-// ack says which pieces of a message have arrived.
+// ack acknowledges the pieces of a message that have arrived.
 type ack struct {
 	message messageID
-	bitmap  bitmap // empty: all have
+	bitmap  bitmap // the pieces that have arrived; empty if all have
 }
 
 func (a ack) append(b []byte) []byte {
@@ -68,6 +68,7 @@
 	return append(b, a.bitmap...)
 }
 
+// decodeAck decodes an ack. It returns false if the datagram is too short.
 func decodeAck(data []byte) (ack, bool) {
 	if len(data) < ackHeader {
 		return ack{}, false
@@ -76,7 +77,7 @@
 	return ack{message, data[ackHeader:]}, true
 }
 
-// bitmap has a bit for each piece, the lowest bit of each byte first.
+// bitmap has a bit for each piece, starting with the lowest bit of each byte.
 type bitmap []byte
 
 func newBitmap(received []bool) bitmap {
@@ -89,5 +90,5 @@
 	return b
 }
 
-// isSet says whether a bit is set; those beyond the end are not.
+// isSet reports whether bit i is set. Bits beyond the end are not set.
 func (b bitmap) isSet(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -6,10 +6,10 @@
 type incoming struct {
 	message        messageID
 	data           []byte
-	received       []bool // by piece
-	missing        int
-	pieceBytes     int // of each piece but the last
-	piecesSinceAck int // pieces that arrived since the last ack, repeated ones included
+	received       []bool // by index of the piece
+	missing        int    // number of pieces that have not arrived
+	pieceBytes     int    // length of each piece but the last
+	piecesSinceAck int    // number of pieces that arrived since the last ack, including repeated ones
 }
 
 func newIncoming(p piece) *incoming {
@@ -22,7 +22,7 @@
 	}
 }
 
-// add stores a piece; false: it does not fit the earlier ones.
+// add stores a piece. It returns false if the piece has another count or length than the earlier ones.
 func (m *incoming) add(p piece) bool {
 	if len(m.received) != p.count || !p.isLast() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
@@ -39,7 +39,8 @@
 	return true
 }
 
-// handlePiece adds a piece to its message and delivers that once it is complete; false: the piece is malformed.
+// handlePiece adds a piece to its message and delivers the message once it is complete. It returns false
+// if the piece is malformed.
 func (t *Transport) handlePiece(from uint32, part piece) bool {
 	p := t.peer(from)
 	if slices.Contains(p.completed, part.message) {
@@ -49,7 +50,7 @@
 	m := p.findIncoming(part.message)
 	if m == nil {
 		if part.isLast() {
-			return true // the length of the others is not known yet; this piece will be retransmitted
+			return true // the length of the other pieces is unknown; the sender will retransmit this one
 		}
 		if part.count*len(part.body) > MaxMessageBytes+len(part.body) {
 			return false
@@ -73,7 +74,7 @@
 	return true
 }
 
-// findIncoming is an incomplete message; nil: no piece of it has arrived.
+// findIncoming returns the incomplete message with an ID, or nil if there is none.
 func (p *peerState) findIncoming(id messageID) *incoming {
 	for _, m := range p.incoming {
 		if m.message == id {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// addIncoming adds an incomplete message, in place of the oldest one if there are too many.
+// addIncoming adds an incomplete message. It drops the oldest one if there are maxIncoming already.
 func (p *peerState) addIncoming(m *incoming) {
 	if len(p.incoming) >= maxIncoming {
 		p.incoming = p.incoming[1:]
@@ -91,7 +92,8 @@
 	p.incoming = append(p.incoming, m)
 }
 
-// markComplete remembers a markComplete message by its id, so that retransmitted pieces are acknowledged and the message is not delivered twice.
+// markComplete moves a message from the incomplete messages to the completed IDs, so that retransmitted
+// pieces are acknowledged and the message is not delivered twice.
 func (p *peerState) markComplete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
@@ -101,7 +103,8 @@
 	}
 }
 
-// sendAck notifies a sender which pieces have arrived; nil: all. Pieces whose bits do not fit the datagram are retransmitted needlessly.
+// sendAck acknowledges the pieces of a message that have arrived; a nil received acknowledges all. Pieces
+// whose bits do not fit the datagram are retransmitted needlessly.
 func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
 	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recordingEnd records the datagrams and messages of one end.
+// recordingEnd implements Effects and records the datagrams and messages of one Transport.
 type recordingEnd struct {
 	samples  *golden.Samples
 	queue    [][]byte
@@ -24,7 +24,8 @@
 	e.received = append(e.received, bytes.Clone(data))
 }
 
-// TestRecordedDatagrams: short and long messages become the same datagrams as when they were recorded.
+// TestRecordedDatagrams checks that short and long messages are sent in the same datagrams as when the
+// golden file was recorded, so that earlier versions can read them.
 func TestRecordedDatagrams(t *testing.T) {
 	samples := golden.NewSamples(4)
 	near, far := &recordingEnd{samples: samples}, &recordingEnd{samples: samples}
@@ -46,7 +47,7 @@
 		}
 	}
 	if len(far.received) != 2 || string(far.received[0]) != "short" || !bytes.Equal(far.received[1], long) {
-		t.Errorf("%d messages delivered, expected both as they were sent", len(far.received))
+		t.Errorf("%d messages delivered, want the 2 that were sent, unchanged", len(far.received))
 	}
 	golden.Check(t, "datagrams.golden", samples.Bytes())
 }
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -6,14 +6,14 @@
 type outgoing struct {
 	sequence uint32
 	data     []byte
-	acked    []bool // by piece
-	unacked  int
-	next     int // counts pieces over all rounds of sending; modulo the number of pieces it is the next one
-	sentAt   Time
+	acked    []bool // by index of the piece
+	unacked  int    // number of pieces that are not acknowledged
+	next     int    // index of the next piece to send, plus the number of pieces per completed round
+	sentAt   Time   // time of the last burst
 	giveUpAt Time
 }
 
-// Send sends a message to a peer; the error is ErrMessageTooLong.
+// Send sends a message to a peer. It returns ErrMessageTooLong if data is longer than MaxMessageBytes.
 func (t *Transport) Send(now Time, to uint32, data []byte) error {
 	if len(data) <= t.pieceBytes+pieceHeader-singleHeader {
 		t.buffer = append(t.buffer[:0], DatagramPrefix, kindSingle)
@@ -24,7 +24,7 @@
 		return ErrMessageTooLong
 	}
 	p := t.peer(to)
-	if len(p.outgoing) >= maxOutgoing { // the oldest is the one most likely to be out of date
+	if len(p.outgoing) >= maxOutgoing { // drop the oldest, which is the most likely to be out of date
 		p.outgoing = p.outgoing[1:]
 		t.AbandonedMessages++
 	}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// sendBurst sends the next pieces that are not acknowledged.
+// sendBurst sends the next unacknowledged pieces of a message, at most piecesPerBurst.
 func (t *Transport) sendBurst(now Time, to uint32, o *outgoing) {
 	o.sentAt = now
 	count := len(o.acked)
@@ -60,10 +60,10 @@
 	}
 }
 
-// handleAck records which pieces have arrived.
+// handleAck records the acknowledged pieces of a message, and continues or ends its transmission.
 func (t *Transport) handleAck(now Time, from uint32, a ack) {
 	if a.message.incarnation != t.incarnation {
-		return // for a message of an earlier process at this address
+		return // acknowledges a message of an earlier process at this address
 	}
 	p := t.peer(from)
 	i := slices.IndexFunc(p.outgoing, func(o *outgoing) bool { return o.sequence == a.message.sequence })
@@ -75,7 +75,7 @@
 	if len(a.bitmap) == 0 || o.unacked == 0 {
 		p.outgoing = append(p.outgoing[:i:i], p.outgoing[i+1:]...)
 	} else if o.next < 2*len(o.acked) {
-		t.sendBurst(now, from, o) // the first round is paced by acks; retransmissions are by Tick
+		t.sendBurst(now, from, o) // acks pace the first round of sending; Tick paces retransmissions
 	}
 }
 
--- a/internal/fleet/fragment/transport.go
+++ b/internal/fleet/fragment/transport.go
@@ -5,57 +5,59 @@
 	"sort"
 )
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a time or duration in nanoseconds on the caller's monotonic clock.
 type Time = int64
 
 const (
-	// MaxMessageBytes bounds a message, in bytes.
+	// MaxMessageBytes is the length of the longest message.
 	MaxMessageBytes = 200 << 10
 	// GiveUpAfter is how long an unacknowledged message is retransmitted.
 	GiveUpAfter = Time(3e9) // 3 s
 
 	minPieceBytes  = 16
-	piecesPerBurst = 24        // of a message, sent at a time
+	piecesPerBurst = 24        // pieces of a message that are sent at a time
 	burstInterval  = Time(4e7) // 40 ms between two bursts of a message
 	maxOutgoing    = 4         // unacknowledged long messages to a peer
 	maxIncoming    = 4         // incomplete long messages from a peer
-	maxCompleted   = 32        // complete messages remembered for each peer, so that none is delivered twice
+	maxCompleted   = 32        // IDs of complete messages kept per peer, so that none is delivered twice
 )
 
-// Errors of a Transport.
+// Errors that the methods of a Transport return.
 var (
 	ErrMalformed      = errors.New("fragment: malformed datagram")
 	ErrMessageTooLong = errors.New("fragment: message over 200 KiB")
 )
 
-// Effects is what a Transport has its user do. Data are valid during the call only.
+// Effects is implemented by the user of a Transport. data is valid during the call only.
 type Effects interface {
+	// SendDatagram sends a datagram to a peer. The datagram may be lost.
 	SendDatagram(peer uint32, data []byte)
+	// DeliverMessage delivers a complete message from a peer.
 	DeliverMessage(peer uint32, data []byte)
 }
 
-// peerState is the messages in flight to and from a peer.
+// peerState holds the messages in flight to and from a peer, each list with the oldest first.
 type peerState struct {
-	outgoing  []*outgoing // the oldest first
-	incoming  []*incoming // the oldest first
-	completed []messageID // the latest last
+	outgoing  []*outgoing
+	incoming  []*incoming
+	completed []messageID
 }
 
-// Transport is one process's end. It is not safe for concurrent use.
+// Transport sends and receives the messages of one process. It is not safe for concurrent use.
 type Transport struct {
-	MalformedDatagrams int // datagrams received
-	AbandonedMessages  int // long messages
+	MalformedDatagrams int // malformed datagrams received
+	AbandonedMessages  int // long messages that were not acknowledged in time or were replaced by newer ones
 
 	effects      Effects
-	incarnation  uint32 // distinguishes this process's messages from those of an earlier one
+	incarnation  uint32 // distinguishes messages of this process from those of an earlier one
 	lastSequence uint32
-	pieceBytes   int // of a message in one datagram
+	pieceBytes   int // length of each piece but the last
 	peers        map[uint32]*peerState
-	peerIDs      []uint32 // sorted: the order of sending must not follow that of a map, or runs could not be replayed
+	peerIDs      []uint32 // sorted, since runs that send in the random order of a map can't be replayed
 	buffer       []byte
 }
 
-// New makes a transport. maxDatagram is the longest that may be sent, in bytes.
+// New returns a Transport. maxDatagram is the length of the longest datagram to send, in bytes.
 func New(maxDatagram int, incarnation uint32, effects Effects) *Transport {
 	return &Transport{
 		effects:     effects,
@@ -65,7 +67,7 @@
 	}
 }
 
-// peer is a peer's state, a new one where there is none yet.
+// peer returns the state of a peer. It creates the state if there is none yet.
 func (t *Transport) peer(id uint32) *peerState {
 	p := t.peers[id]
 	if p == nil {
@@ -79,7 +81,8 @@
 	return p
 }
 
-// Tick must be called every 20 to 100 ms: it retransmits what is not acknowledged.
+// Tick retransmits unacknowledged pieces and abandons the messages that have reached GiveUpAfter. It must
+// be called every 20 to 100 ms.
 func (t *Transport) Tick(now Time) {
 	for _, id := range t.peerIDs {
 		p := t.peers[id]
@@ -98,7 +101,7 @@
 	}
 }
 
-// Receive handles a datagram of a peer; the error is ErrMalformed.
+// Receive handles a datagram from a peer. It returns ErrMalformed if the datagram is malformed.
 func (t *Transport) Receive(now Time, from uint32, data []byte) error {
 	if !t.handle(now, from, data) {
 		t.MalformedDatagrams++
@@ -107,7 +110,7 @@
 	return nil
 }
 
-// handle acts on a datagram; false: it is malformed.
+// handle handles a datagram. It returns false if the datagram is malformed.
 func (t *Transport) handle(now Time, from uint32, data []byte) bool {
 	if len(data) < singleHeader || data[0] != DatagramPrefix {
 		return false
