--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -82,8 +82,8 @@
 // caughtUp reports whether a learner is active and at most promotionLag entries behind the commit
 // index.
 func (c *Core) caughtUp(id uint64) (enough bool) {
-	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) {
-		if p == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
+	c.node.WithProgress(func(member uint64, _ raft.ProgressType, pr progress) {
+		if member == id && pr.RecentActive && pr.Match > 0 && pr.Match+promotionLag >= c.node.BasicStatus().Commit {
 			enough = true
 		}
 	})
@@ -94,7 +94,9 @@
 // active.
 func (c *Core) votersWithout(name string) (remaining, active int) {
 	recent := map[uint64]bool{c.identity.ID: true}
-	c.node.WithProgress(func(p uint64, _ raft.ProgressType, pr progress) { recent[p] = recent[p] || pr.RecentActive })
+	c.node.WithProgress(func(member uint64, _ raft.ProgressType, pr progress) {
+		recent[member] = recent[member] || pr.RecentActive
+	})
 	for _, id := range c.configuration.state.Voters {
 		if c.configuration.names[id] == name {
 			continue
--- a/internal/fleet/consensus/config.go
+++ b/internal/fleet/consensus/config.go
@@ -64,8 +64,9 @@
 	TickInterval Time
 	// HeartbeatTicks is the number of ticks between two heartbeats of a leader. The default is 2.
 	HeartbeatTicks int
-	// ElectionTicks is the shortest election timeout, in ticks. A follower loses its leader after
-	// a random time between this and twice this without a message from it. The default is 8.
+	// ElectionTicks is the shortest election timeout, in ticks. A follower considers its leader
+	// lost after a random time between this and twice this without a message from it. The default
+	// is 8.
 	ElectionTicks int
 	// SnapshotEvery is the number of commands after which a snapshot is taken. The default is 512.
 	SnapshotEvery int
@@ -93,7 +94,7 @@
 	}
 }
 
-// electionTimeout returns the shortest time after which a follower loses its leader.
+// electionTimeout returns the shortest time after which a follower considers its leader lost.
 func (cfg Config) electionTimeout() Time { return Time(cfg.ElectionTicks) * cfg.TickInterval }
 
 // raftConfig returns the configuration of the raft library.
--- a/internal/fleet/consensus/consensus_test.go
+++ b/internal/fleet/consensus/consensus_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestDeposedLeaderConfirmsNothing checks that a leader that is cut off, and may still believe that it
-// leads, gets no confirmation and commits nothing.
+// TestDeposedLeaderConfirmsNothing checks that a leader that is cut off, and may still believe that
+// it leads, gets no confirmation and commits nothing.
 func TestDeposedLeaderConfirmsNothing(t *testing.T) {
 	g := newGroup(t, 10, "a", "b", "c")
 	g.propose("one")
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -9,8 +9,8 @@
 	"croftlock/internal/fleet/group"
 )
 
-// pauseTicks is the number of tick intervals that may pass between two calls of Tick. After a longer
-// interval the process counts as having been paused.
+// pauseTicks is the number of tick intervals that may pass between two calls of Tick. After a
+// longer interval the process counts as having been paused.
 const pauseTicks = 4
 
 // Core is one replica of a group. It is not safe for concurrent use.
@@ -40,8 +40,8 @@
 	processing bool // whether processReady is running
 }
 
-// Open returns a Core with the state in store. machines maps the numbers that commands carry to state
-// machines. Open fails if the store belongs to another group or process.
+// Open returns a Core with the state in store. machines maps the numbers that commands carry to
+// state machines. Open fails if the store belongs to another group or process.
 func Open(cfg Config, store Store, machines map[byte]Machine, effects Effects) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -74,9 +74,9 @@
 	return c, nil
 }
 
-// recover restores the stored snapshot and increments the number of starts, unless the store is known
-// to be stale. Without an identity any stored state is from a bootstrap that did not complete, and is
-// discarded.
+// recover restores the stored snapshot and increments the number of starts, unless the store is
+// known to be stale. Without an identity any stored state is from a bootstrap that did not
+// complete, and is discarded.
 func (c *Core) recover() error {
 	if c.identity.ID == 0 {
 		c.recovered = StoredState{}
@@ -123,8 +123,8 @@
 	c.processReady()
 }
 
-// tickLeader ticks raft for the time since the last call, including a pause of this process, so that
-// a leader steps down if it has not heard from a majority for an election timeout.
+// tickLeader ticks raft for the time since the last call, including a pause of this process, so
+// that a leader steps down if it has not heard from a majority for an election timeout.
 func (c *Core) tickLeader(elapsed Time) {
 	ticks := max(1, min(elapsed/c.cfg.TickInterval, Time(2*c.cfg.ElectionTicks)))
 	for range ticks {
@@ -132,7 +132,7 @@
 	}
 }
 
-// tickFollower starts an election if this process is a voter and has lost its leader.
+// tickFollower starts an election if this process is a voter and considers its leader lost.
 func (c *Core) tickFollower(elapsed Time) {
 	c.node.TickQuiesced()
 	if elapsed > pauseTicks*c.cfg.TickInterval {
@@ -153,8 +153,8 @@
 	return c.store.Close()
 }
 
-// becomeStale stops this replica until an operator replaces it. Staleness: the phase is stored, since
-// the peer whose answer revealed it (foundBy) may forget what it has received.
+// becomeStale stops this replica until an operator replaces it. Staleness: the phase is stored,
+// since the peer whose answer revealed it (foundBy) may forget what it has received.
 func (c *Core) becomeStale(foundBy uint32, cause staleCause) {
 	c.identity.Stale = true
 	if !c.checkStored(c.store.SaveIdentity(c.identity)) {
@@ -173,8 +173,8 @@
 	c.effects.LogEvent("replica_broken", "reason", c.reason())
 }
 
-// checkStored reports whether a call of the store succeeded. Fail-stop: it stops this replica if err
-// is not nil.
+// checkStored reports whether a call of the store succeeded. Fail-stop: it stops this replica if
+// err is not nil.
 func (c *Core) checkStored(err error) bool {
 	if err != nil {
 		c.becomeBroken(err)
@@ -183,8 +183,8 @@
 }
 
 // recoverPanic calls f and stops this replica if f panics. The raft library panics in a state that
-// should be impossible: the store or a message was corrupted in a way that no checksum detected, and
-// it is not safe to continue.
+// should be impossible: the store or a message was corrupted in a way that no checksum detected,
+// and it is not safe to continue.
 func (c *Core) recoverPanic(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -194,18 +194,18 @@
 	f()
 }
 
-// updatePhase sets the phase to Member or NotMember after a change of the configuration. It leaves
-// the other phases.
+// updatePhase sets the phase to Member or NotMember after a change of the configuration. It does
+// not change any other phase.
 func (c *Core) updatePhase() {
 	if c.phase != Member && c.phase != NotMember {
 		return
 	}
-	now := NotMember
+	phase := NotMember
 	if c.configuration.contains(c.identity.ID) {
-		now = Member
+		phase = Member
 	}
-	if now != c.phase {
-		c.phase = now
+	if phase != c.phase {
+		c.phase = phase
 		c.effects.LogEvent("replica_phase", "phase", c.phase.String())
 	}
 }
--- a/internal/fleet/consensus/damage_test.go
+++ b/internal/fleet/consensus/damage_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRestoredOldFile checks that a replica whose file is an older copy takes no part, even after all
-// processes have restarted and forgotten what they received from it.
+// TestRestoredOldFile checks that a replica whose file is an older copy takes no part, even after
+// all processes have restarted and forgotten what they received from it.
 func TestRestoredOldFile(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -71,8 +71,8 @@
 	return votes
 }
 
-// TestLostDisk checks that a replica that lost its disk is added under another identity and gets the
-// vote of the earlier one.
+// TestLostDisk checks that a replica that lost its disk is added under another identity and gets
+// the vote of the earlier one.
 func TestLostDisk(t *testing.T) {
 	g := newGroup(t, 6, "a", "b", "c")
 	g.propose("one")
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestNoSecondBootstrap checks that two of three voters that lost their disks do not bootstrap a second
-// group without the third.
+// TestNoSecondBootstrap checks that two of three voters that lost their disks do not bootstrap a
+// second group without the third.
 func TestNoSecondBootstrap(t *testing.T) {
 	g := newGroup(t, 7, "a", "b", "c")
 	g.propose("one")
@@ -123,8 +123,8 @@
 	g.checkPhase("b", NotMember)
 }
 
-// TestFailedStore checks that a replica whose store fails reports that, stops and accepts no proposal,
-// that the others continue, and that the replica recovers from its disk after a restart.
+// TestFailedStore checks that a replica whose store fails reports that, stops and accepts no
+// proposal, that the others continue, and that the replica recovers from its disk after a restart.
 func TestFailedStore(t *testing.T) {
 	g := newGroup(t, 8, "a", "b", "c")
 	g.propose("one")
@@ -150,8 +150,8 @@
 	g.checkPhase(name, Member)
 }
 
-// TestStoreOfAnotherProcess checks that Open rejects the store of another process with an error that
-// names that process.
+// TestStoreOfAnotherProcess checks that Open rejects the store of another process with an error
+// that names that process.
 func TestStoreOfAnotherProcess(t *testing.T) {
 	g := newGroup(t, 11, "a")
 	g.run(2e9)
--- a/internal/fleet/consensus/disk/killed_test.go
+++ b/internal/fleet/consensus/disk/killed_test.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// writerEnv is the environment variable with the path of the store that a child process writes to.
+	// writerEnv is the environment variable with the path of the store that a child process writes
+	// to.
 	writerEnv      = "CROFTLOCK_DISK_WRITER"
 	writerMaxBytes = 4 << 20
 )
 
-// TestKilledWhileItSaves checks that a process killed at any moment leaves a readable store with all
-// entries that it acknowledged. The environment variable DISK_KILLS sets the number of kills.
+// TestKilledWhileItSaves checks that a process killed at any moment leaves a readable store with
+// all entries that it acknowledged. The environment variable DISK_KILLS sets the number of kills.
 func TestKilledWhileItSaves(t *testing.T) {
 	if path := os.Getenv(writerEnv); path != "" {
 		writeUntilKilled(path)
@@ -51,8 +52,8 @@
 	}
 }
 
-// killWriter starts a child process that writes to the store, and kills it after 20 to 50 ms. It returns
-// the last index that the child acknowledged.
+// killWriter starts a child process that writes to the store, and kills it after 20 to 50 ms. It
+// returns the last index that the child acknowledged.
 func killWriter(t *testing.T, path string) (acknowledged int) {
 	t.Helper()
 	child := exec.Command(os.Args[0], "-test.run", "TestKilledWhileItSaves")
@@ -104,8 +105,8 @@
 	return int(state.Snapshot.Metadata.Index)
 }
 
-// writeUntilKilled appends to the log and compacts it until the process is killed. It prints the index of
-// the last durable entry after each append.
+// writeUntilKilled appends to the log and compacts it until the process is killed. It prints the
+// index of the last durable entry after each append.
 func writeUntilKilled(path string) {
 	s, err := Open(path, writerMaxBytes)
 	if err != nil {
--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -30,11 +30,11 @@
 	return r.Err()
 }
 
-// Load reads all that is stored. It returns ErrUnreadable if the records are damaged or inconsistent.
-// After an error every call that saves fails.
+// Load reads all that is stored. It returns ErrUnreadable if the records are damaged or
+// inconsistent. After an error every call that saves fails.
 func (s *Store) Load() (out consensus.StoredState, err error) {
-	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a goroutine
-	// of its own, in which a fault ends the process.
+	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a
+	// goroutine of its own, in which a fault ends the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -63,8 +63,8 @@
 type loader struct {
 	state consensus.StoredState
 	meta  *bbolt.Bucket
-	// complete reports whether the file has an identity. A bootstrap stores that last, so that then all
-	// records must exist.
+	// complete reports whether the file has an identity. A bootstrap stores that last, so that then
+	// all records must exist.
 	complete bool
 	extent   extent
 }
@@ -82,8 +82,8 @@
 	return l.loadRecord(keySnapshot, l.state.Snapshot.Unmarshal)
 }
 
-// loadRecord reads a record of the bucket meta with decode. It returns ErrUnreadable if a complete file
-// lacks the record, and does nothing if an incomplete one does.
+// loadRecord reads a record of the bucket meta with decode. It returns ErrUnreadable if a complete
+// file lacks the record, and does nothing if an incomplete one does.
 func (l *loader) loadRecord(key []byte, decode func([]byte) error) error {
 	stored := l.meta.Get(key)
 	if stored == nil && l.complete {
--- a/internal/fleet/consensus/disk/open.go
+++ b/internal/fleet/consensus/disk/open.go
@@ -18,11 +18,11 @@
 // lockTimeout is how long Open waits for another process to close the file.
 const lockTimeout = 20 * time.Millisecond
 
-// Open opens a file, or creates it if it does not exist. Calls that save fail with ErrFull while the
-// file is larger than maxBytes. Open fails with ErrInUse, ErrUnreadable or an *fs.PathError.
+// Open opens a file, or creates it if it does not exist. Calls that save fail with ErrFull while
+// the file is larger than maxBytes. Open fails with ErrInUse, ErrUnreadable or an *fs.PathError.
 func Open(path string, maxBytes int64) (s *Store, err error) {
-	// If the file is shorter than its header claims, access to a page faults. That must become an error
-	// instead of ending the process.
+	// If the file is shorter than its header claims, access to a page faults. That must become an
+	// error instead of ending the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -38,7 +38,8 @@
 	}
 	s = &Store{database: db, path: path, maxBytes: maxBytes}
 	if err = db.Update(createBuckets); err == nil {
-		// Without this sync a crash may lose the directory entry of a new file, and the votes in it.
+		// Without this sync a crash may lose the directory entry of a new file, and the votes in
+		// it.
 		err = syncDir(filepath.Dir(path))
 	}
 	if err != nil {
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// asUnreadable returns an error of the operating system unchanged, and any other as an ErrUnreadable.
+// asUnreadable returns an error of the operating system unchanged, and any other as an
+// ErrUnreadable.
 func asUnreadable(path string, err error) error {
 	var system *fs.PathError
 	if errors.As(err, &system) {
@@ -75,8 +77,8 @@
 	return d.Sync()
 }
 
-// recoverableErrors lists the errors of the operating system after which a file is unchanged: there was
-// no space, or no permission to write.
+// recoverableErrors lists the errors of the operating system after which a file is unchanged: there
+// was no space, or no permission to write.
 var recoverableErrors = []error{syscall.ENOSPC, syscall.EFBIG, syscall.EDQUOT, syscall.EROFS, syscall.EACCES, syscall.EPERM}
 
 // Recoverable reports whether the same process may open a store again after an error. After other
--- a/internal/fleet/consensus/disk/record.go
+++ b/internal/fleet/consensus/disk/record.go
@@ -11,8 +11,8 @@
 
 const checksumBytes = 8
 
-// encodeRecord returns data preceded by a checksum. The checksum covers the key too, so that a record
-// stored under another key is detected.
+// encodeRecord returns data preceded by a checksum. The checksum covers the key too, so that a
+// record stored under another key is detected.
 func encodeRecord(key, data []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, checksum(key, data)), data...)
 }
--- a/internal/fleet/consensus/disk/recorded_test.go
+++ b/internal/fleet/consensus/disk/recorded_test.go
@@ -11,7 +11,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedStore checks that a file written by an earlier version can be opened, read and written to.
+// TestRecordedStore checks that a file written by an earlier version can be opened, read and
+// written to.
 func TestRecordedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	want := fillStore(t, path)
--- a/internal/fleet/consensus/disk/store.go
+++ b/internal/fleet/consensus/disk/store.go
@@ -1,9 +1,9 @@
 // Package disk stores the log, votes and snapshots of a replica in one bbolt file. It defines the
-// format and the size limit of the file, and detects files that are truncated, damaged, full or in use.
-// It stores the identity by which consensus.Open rejects the file of another replica.
+// format and the size limit of the file, and detects files that are truncated, damaged, full or in
+// use. It stores the identity by which consensus.Open rejects the file of another replica.
 //
-// Each call that saves is one transaction, which is synced before the call returns. Every record has a
-// checksum, and a record that does not match its checksum is never used.
+// Each call that saves is one transaction, which is synced before the call returns. Every record
+// has a checksum, and a record that does not match its checksum is never used.
 package disk
 
 import (
@@ -50,8 +50,8 @@
 	failed   error // first error of a call that saves, or of Load; every later call that saves returns it
 }
 
-// update runs f in a transaction. A page that can't be read, which faults in the memory map, becomes an
-// error. After an error all further calls fail.
+// update runs f in a transaction. A page that can't be read, which faults in the memory map,
+// becomes an error. After an error all further calls fail.
 func (s *Store) update(f func(tx *bbolt.Tx) error) (err error) {
 	if s.failed != nil {
 		return s.failed
@@ -77,9 +77,10 @@
 	})
 }
 
-// saveExtent stores the extent of the file. Without it a page that was replaced by an older one with
-// fewer records would not be detected, since all remaining records match their checksums. It also
-// creates the records of hard state and snapshot if they are missing, since loadRecord expects them.
+// saveExtent stores the extent of the file. Without it a page that was replaced by an older one
+// with fewer records would not be detected, since all remaining records match their checksums. It
+// also creates the records of hard state and snapshot if they are missing, since loadRecord expects
+// them.
 func saveExtent(tx *bbolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	for _, key := range [][]byte{keyHardState, keySnapshot} {
@@ -118,8 +119,8 @@
 	})
 }
 
-// Save stores a hard state, entries and a snapshot, except those that are empty. The entries replace
-// all stored entries from the index of the first one on.
+// Save stores a hard state, entries and a snapshot, except those that are empty. The entries
+// replace all stored entries from the index of the first one on.
 func (s *Store) Save(hard raftpb.HardState, entries []raftpb.Entry, snap raftpb.Snapshot) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		if !raft.IsEmptySnap(snap) {
@@ -137,8 +138,8 @@
 	})
 }
 
-// saveSnapshot stores a snapshot. It deletes a log that ends before the snapshot, since later entries
-// would leave a gap.
+// saveSnapshot stores a snapshot. It deletes a log that ends before the snapshot, since later
+// entries would leave a gap.
 func saveSnapshot(tx *bbolt.Tx, snap raftpb.Snapshot) error {
 	if err := putMarshaled(tx.Bucket(bucketMeta), keySnapshot, &snap); err != nil {
 		return err
@@ -171,8 +172,8 @@
 	return s.update(func(tx *bbolt.Tx) error { return deleteUpTo(tx.Bucket(bucketLog).Cursor(), upTo) })
 }
 
-// Size returns the size of the file in bytes, or 0 if it can't be determined. Freed space is reused,
-// but the file never shrinks.
+// Size returns the size of the file in bytes, or 0 if it can't be determined. Freed space is
+// reused, but the file never shrinks.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
--- a/internal/fleet/consensus/disk/store_test.go
+++ b/internal/fleet/consensus/disk/store_test.go
@@ -70,8 +70,8 @@
 	return mustLoad(t, s)
 }
 
-// TestStoresWhatIsSaved checks that a file that is opened again contains what was saved, and that a file
-// in use is not opened a second time.
+// TestStoresWhatIsSaved checks that a file that is opened again contains what was saved, and that a
+// file in use is not opened a second time.
 func TestStoresWhatIsSaved(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fillStore(t, path)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestSnapshotBeyondTheLog checks that a snapshot of another replica that is newer than the whole log
-// replaces the log.
+// TestSnapshotBeyondTheLog checks that a snapshot of another replica that is newer than the whole
+// log replaces the log.
 func TestSnapshotBeyondTheLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	fillStore(t, path)
@@ -104,8 +104,8 @@
 	}
 }
 
-// damage returns a damaged copy of a file's data. n selects the kind of damage: flipped bytes, truncation,
-// or a page replaced by another one.
+// damage returns a damaged copy of a file's data. n selects the kind of damage: flipped bytes,
+// truncation, or a page replaced by another one.
 func damage(rng *rand.Rand, data []byte, n int) []byte {
 	const kinds, pageBytes = 3, 4096
 	damaged := slices.Clone(data)
@@ -123,8 +123,8 @@
 	return damaged
 }
 
-// TestDamagedFiles checks that a file with flipped bytes, a truncated file and one with a stale page are
-// rejected or load as they were stored, and do not end the process.
+// TestDamagedFiles checks that a file with flipped bytes, a truncated file and one with a stale
+// page are rejected or load as they were stored, and do not end the process.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	intact := filepath.Join(dir, "intact")
@@ -162,8 +162,8 @@
 	}
 }
 
-// limitFileSize limits the size of files that this process writes, to simulate a full disk. The returned
-// function removes the limit.
+// limitFileSize limits the size of files that this process writes, to simulate a full disk. The
+// returned function removes the limit.
 func limitFileSize(t *testing.T, bytes uint64) (restore func()) {
 	t.Helper()
 	var before unix.Rlimit
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestFullDisk checks that on a full disk a call that saves and all calls after it fail, and that once
-// there is space the file opens with what was saved before.
+// TestFullDisk checks that on a full disk a call that saves and all calls after it fail, and that
+// once there is space the file opens with what was saved before.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter")
 	s := mustOpen(t, path)
@@ -222,7 +222,8 @@
 	}
 }
 
-// TestRecoverable checks that Recoverable allows a retry only after an error that left the file unchanged.
+// TestRecoverable checks that Recoverable allows a retry only after an error that left the file
+// unchanged.
 func TestRecoverable(t *testing.T) {
 	for _, c := range []struct {
 		name        string
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -12,7 +12,7 @@
 //     process may vote
 //   - configuration: the members of the group
 //   - appliedLog: how far the log has been applied to the state machines and covered by snapshots
-//   - electionTimer: decides when a follower has lost its leader
+//   - electionTimer: decides when a follower considers its leader lost
 //
 // Safety rests on three properties:
 //
--- a/internal/fleet/consensus/election.go
+++ b/internal/fleet/consensus/election.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// electionTimer decides when a follower has lost its leader. The raft library randomizes its timeouts
-// from a source that can't be seeded, so this timer replaces its own, which does not run at followers
-// (TickQuiesced).
+// electionTimer decides when a follower considers its leader lost. The raft library randomizes its
+// timeouts from a source that can't be seeded, so this timer replaces the library's own, which does
+// not run at followers (TickQuiesced).
 type electionTimer struct {
 	rng        *rand.Rand
 	minTimeout Time
-	lastReset  Time // usually when the leader's last message came or this process last voted
+	lastReset  Time // usually the time of the leader's last message or of this process's last vote
 	timeout    Time
 }
 
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -124,8 +124,8 @@
 	delete(g.cores, name)
 }
 
-// run advances the time by duration, in steps of 10 ms. It delivers the messages that are due and ticks
-// each process every 100 ms.
+// run advances the time by duration, in steps of 10 ms. It delivers the messages that are due and
+// ticks each process every 100 ms.
 func (g *testGroup) run(duration Time) {
 	for end := g.now + duration; g.now < end; g.now += 1e7 {
 		for i := 0; i < len(g.queue); i++ {
--- a/internal/fleet/consensus/join.go
+++ b/internal/fleet/consensus/join.go
@@ -8,7 +8,8 @@
 
 const (
 	helloInterval = Time(2e8) // 200 ms
-	// otherVotersTimeout is how long a start waits for the remaining voters after a majority answered.
+	// otherVotersTimeout is how long a start waits for the remaining voters after a majority
+	// answered.
 	otherVotersTimeout = Time(1e9) // 1 s
 )
 
@@ -24,7 +25,7 @@
 type joining struct {
 	startedAt    Time                   // first tick or bootstrap; negative before the first tick
 	lastHello    Time                   // 0 before the first hello
-	answers      map[uint32]bool        // by peer whose answer counts: whether it knows a group
+	answers      map[uint32]bool        // whether a peer knows a group, for each peer whose answer counts
 	startRecords map[uint64]StartRecord // stored, by replica
 	received     map[uint64]provenState // since this process started, by replica
 	applicants   map[string]uint64      // identities of the processes that ask to be added, by name
@@ -44,7 +45,7 @@
 	}
 }
 
-// restart discards the answers, which refer to the identity before a bootstrap, and the time waited.
+// restart discards the answers, which refer to the identity before a bootstrap, and waits anew.
 func (j *joining) restart(now Time) {
 	clear(j.answers)
 	j.startedAt = now
@@ -80,9 +81,9 @@
 // the initial voters until the group is formed.
 func (c *Core) otherVoters() (peers []uint32) {
 	self := PeerID(c.cfg.Name)
-	add := func(p uint32) {
-		if p != self && !slices.Contains(peers, p) {
-			peers = append(peers, p)
+	add := func(peer uint32) {
+		if peer != self && !slices.Contains(peers, peer) {
+			peers = append(peers, peer)
 		}
 	}
 	if !c.configuration.formed() {
@@ -129,8 +130,8 @@
 		c.joining.applicants[h.name] = h.replica
 	}
 	received := c.joining.received[replica]
-	// An initial voter that this process has never seen must be able to complete the bootstrap, so the
-	// answer does not report the group to it.
+	// An initial voter that this process has never seen must be able to complete the bootstrap, so
+	// the answer does not report the group to it.
 	everSeen := start.Starts > 0 || received.term > 0 || !c.configuration.isInitialMember(replica)
 	answer := welcome{
 		group:      c.cfg.Group,
@@ -164,7 +165,8 @@
 	return nil
 }
 
-// staleCause returns the first cause for which m shows that the own store is stale, or storeCurrent.
+// staleCause returns the first cause that m shows for the store of this process to be stale, or
+// storeCurrent if m shows none.
 func (c *Core) staleCause(m welcome) staleCause {
 	lastIndex, lastTerm := c.recovered.lastEntry()
 	switch {
@@ -204,16 +206,17 @@
 func (c *Core) enoughAnswers(others int) bool {
 	enough := (others + 1) / 2
 	if c.identity.Starts == 1 && isInitial(c.identity.ID) {
-		// All others must know an initial voter, so that none lets it bootstrap again after it lost its
-		// disk.
+		// All others must know an initial voter, so that none lets it bootstrap again after it lost
+		// its disk.
 		enough = others
 	}
 	answers := len(c.joining.answers)
 	return answers >= enough && (answers >= others || c.now-c.joining.startedAt >= otherVotersTimeout)
 }
 
-// startAsNewReplica starts raft with a new identity. This process either never was a member, or lost
-// its disk: then it may have voted with its earlier identity and must not vote with that again.
+// startAsNewReplica starts raft with a new identity. This process either never was a member, or
+// lost its disk: then it may have voted with its earlier identity and must not vote with that
+// again.
 func (c *Core) startAsNewReplica(reason notMemberReason) {
 	nonce := c.rng.Uint32() | 1
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, nonce), Starts: 1}
@@ -223,8 +226,8 @@
 	}
 }
 
-// bootstrap forms the group. It is called once all other initial voters have answered and none knows
-// a group, so that all of them start with the same state.
+// bootstrap forms the group. It is called once all other initial voters have answered and none
+// knows a group, so that all of them start with the same state.
 func (c *Core) bootstrap() {
 	c.identity = Identity{Group: c.cfg.Group, Name: c.cfg.Name, ID: VoterID(c.cfg.Name, 0), Starts: 1}
 	c.configuration.bootstrap(c.cfg.InitialVoters)
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// EventLeaderElected is the log event when this process becomes the leader.
+// EventLeaderElected is the event that is logged when this process becomes the leader.
 const EventLeaderElected = "leader_elected"
 
 // leadership holds what this process has logged of its own leadership, and its last transfer.
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Propose proposes a command to a machine. Effects.Applied is called with the tag once the command is
-// applied; a leader that is deposed meanwhile may never learn whether it was. Propose returns
+// Propose proposes a command to a machine. Effects.Applied is called with the tag once the command
+// is applied; a leader that is deposed meanwhile may never learn whether it was. Propose returns
 // ErrCommandTooLong, ErrNotLeader or ErrBusy on failure.
 func (c *Core) Propose(now Time, machine byte, tag uint64, cmd []byte) error {
 	c.now = max(c.now, now)
--- a/internal/fleet/consensus/memory.go
+++ b/internal/fleet/consensus/memory.go
@@ -12,10 +12,10 @@
 // ErrClosed is returned by a MemoryStore that crashed or was closed.
 var ErrClosed = errors.New("memory: closed")
 
-// MemoryStore is a Store for tests and simulations. It simulates crashes, failures and files restored
-// from a backup.
+// MemoryStore is a Store for tests and simulations. It simulates crashes, failures and files
+// restored from a backup.
 type MemoryStore struct {
-	SkipSync    bool  // injected fault that breaks durability: a crash loses what was saved since it was set
+	SkipSync    bool  // injected fault that breaks durability: a crash loses what was saved
 	InjectedErr error // returned by Load and each call that saves, unless nil
 
 	stored StoredState
@@ -38,8 +38,8 @@
 	return s
 }
 
-// Load returns what was saved, without the entries that the snapshot covers. It reopens a store that
-// crashed or was closed.
+// Load returns what was saved, without the entries that the snapshot covers. It reopens a store
+// that crashed or was closed.
 func (m *MemoryStore) Load() (StoredState, error) {
 	m.closed = false
 	out := cloneState(m.stored)
--- a/internal/fleet/consensus/message.go
+++ b/internal/fleet/consensus/message.go
@@ -24,8 +24,8 @@
 	ErrUnknownMessageKind = errors.New("consensus: unknown message kind")
 )
 
-// MisroutedError reports a raft message that names a sender other than the peer that it came from, or
-// a receiver other than this replica.
+// MisroutedError reports a raft message that names a sender other than the peer that it came from,
+// or a receiver other than this replica.
 type MisroutedError struct {
 	Sender, Receiver uint64 // identities that the message names
 	Peer             uint32 // peer that it came from
--- a/internal/fleet/consensus/message_test.go
+++ b/internal/fleet/consensus/message_test.go
@@ -17,8 +17,8 @@
 	return kind, r
 }
 
-// TestMessagesRoundTrip checks that each kind of message decodes to what was encoded, and that a raft
-// message of another group is rejected.
+// TestMessagesRoundTrip checks that each kind of message decodes to what was encoded, and that a
+// raft message of another group is rejected.
 func TestMessagesRoundTrip(t *testing.T) {
 	h := hello{group: "g", name: "a", replica: 1 << 40, starts: 300, incarnation: 1 << 63}
 	kind, body := kindAndBody(t, h.encode())
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestStaleCause checks that staleCause detects each kind of state that another process has received
-// and the own store does not contain.
+// TestStaleCause checks that staleCause detects each kind of state that another process has
+// received and that the store does not contain.
 func TestStaleCause(t *testing.T) {
 	c := &Core{identity: Identity{ID: 1, Starts: 4}, incarnation: 11}
 	c.recovered.HardState.Term = 5
--- a/internal/fleet/consensus/phase.go
+++ b/internal/fleet/consensus/phase.go
@@ -11,8 +11,8 @@
 	NotMember
 	// Member means that the process takes part.
 	Member
-	// Stale means that the store is older than what others have received from the process. An operator
-	// must replace the replica.
+	// Stale means that the store is older than what others have received from the process. An
+	// operator must replace the replica.
 	Stale
 	// Broken means that the store failed or is inconsistent, or that the raft library panicked.
 	Broken
--- a/internal/fleet/consensus/ready.go
+++ b/internal/fleet/consensus/ready.go
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// delaysElection reports whether a message that raft has just handled restarts the election timer. It
-// does if it is from the leader, or from a candidate that this process voted for.
+// delaysElection reports whether a message that raft has just handled restarts the election timer.
+// It does if it is from the leader, or from a candidate that this process voted for.
 func (c *Core) delaysElection(m *raftpb.Message) bool {
 	status := c.node.BasicStatus()
 	switch m.Type {
@@ -122,8 +122,8 @@
 	})
 }
 
-// persist stores the hard state, entries and snapshot of rd. Durability: it must be called before any
-// message that depends on them is sent. It returns false if the store failed.
+// persist stores the hard state, entries and snapshot of rd. Durability: it must be called before
+// any message that depends on them is sent. It returns false if the store failed.
 func (c *Core) persist(rd *raft.Ready) bool {
 	if len(rd.Entries) > 0 || !raft.IsEmptyHardState(rd.HardState) || !raft.IsEmptySnap(rd.Snapshot) {
 		if !c.checkStored(c.store.Save(rd.HardState, rd.Entries, rd.Snapshot)) {
@@ -171,8 +171,8 @@
 	}
 	c.effects.Send(peerOf(m.To), data)
 	if m.Type == raftpb.MsgSnap {
-		// Without this report the library would send nothing else to that replica. It sends a snapshot
-		// that is lost again.
+		// Without this report the library would send nothing else to that replica. It sends a
+		// snapshot that is lost again.
 		c.node.ReportSnapshot(m.To, raft.SnapshotFinish)
 	}
 }
@@ -198,8 +198,8 @@
 	}
 }
 
-// applyCommand applies a command to its machine. It ignores an empty entry, which is the first of a new
-// leader, and a command for a machine that this process does not have.
+// applyCommand applies a command to its machine. It ignores an empty entry, which is the first of a
+// new leader, and a command for a machine that this process does not have.
 func (c *Core) applyCommand(data []byte) {
 	if len(data) == 0 {
 		return
@@ -213,8 +213,8 @@
 	}
 }
 
-// applyChange applies a committed change of the configuration. An entry without changes ends a joint
-// configuration.
+// applyChange applies a committed change of the configuration. An entry without changes ends a
+// joint configuration.
 func (c *Core) applyChange(change raftpb.ConfChangeV2) {
 	context := decodeChangeContext(change.Context)
 	c.configuration.apply(*c.node.ApplyConfChange(change), change.Changes, context.name)
--- a/internal/fleet/consensus/reasons.go
+++ b/internal/fleet/consensus/reasons.go
@@ -24,7 +24,7 @@
 
 const (
 	notInitialVoter notMemberReason = iota // the process is not in Config.InitialVoters
-	groupExists                            // others know a group that this process never joined, or whose state it lost
+	groupExists                            // others know a group, which this process never joined or whose state it lost
 )
 
 // String returns the reason as written to the log.
--- a/internal/fleet/consensus/snapshot.go
+++ b/internal/fleet/consensus/snapshot.go
@@ -32,8 +32,8 @@
 // Snapshot implements raft.Storage.
 func (s currentSnapshots) Snapshot() (raftpb.Snapshot, error) { return s.core.takeSnapshot() }
 
-// takeSnapshot returns a snapshot of the applied state: the last one if no entry was applied since, or
-// else a new one.
+// takeSnapshot returns a snapshot of the applied state: the last one if no entry was applied since,
+// or else a new one.
 func (c *Core) takeSnapshot() (raftpb.Snapshot, error) {
 	state := c.configuration.state
 	snap, err := c.storage.CreateSnapshot(c.applied.index, &state, c.encodeSnapshot())
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// compact stores a snapshot once Config.SnapshotEvery entries were applied since the last one. It then
-// removes all entries but the last Config.TrailingEntries.
+// compact stores a snapshot once Config.SnapshotEvery entries were applied since the last one. It
+// then removes all entries but the last Config.TrailingEntries.
 func (c *Core) compact() {
 	if c.applied.index-c.applied.snapshotIndex < uint64(c.cfg.SnapshotEvery) {
 		return
--- a/internal/fleet/consensus/status.go
+++ b/internal/fleet/consensus/status.go
@@ -48,8 +48,8 @@
 // Phase returns the phase of this process, and the reason if it is Stale or Broken.
 func (c *Core) Phase() (Phase, string) { return c.phase, c.reason() }
 
-// reason explains to operators why this process has stopped taking part. It returns "" if the process
-// takes part or may still do so.
+// reason explains to operators why this process has stopped taking part. It returns "" if the
+// process takes part or may still do so.
 func (c *Core) reason() string {
 	switch c.phase {
 	case Stale:
--- a/internal/fleet/consensus/store.go
+++ b/internal/fleet/consensus/store.go
@@ -9,8 +9,8 @@
 // PeerID returns the number that identifies a process in messages.
 func PeerID(name string) uint32 { return group.Peer(name) }
 
-// VoterID returns the identity of a replica in raft. A process that lost its disk returns as another
-// replica, with another nonce. The initial voters have nonce 0.
+// VoterID returns the identity of a replica in raft. A process that lost its disk returns as
+// another replica, with another nonce. The initial voters have nonce 0.
 func VoterID(name string, nonce uint32) uint64 { return uint64(nonce)<<32 | uint64(PeerID(name)) }
 
 func peerOf(id uint64) uint32 { return uint32(id) }
--- a/internal/fleet/encoding/encoding.go
+++ b/internal/fleet/encoding/encoding.go
@@ -1,7 +1,7 @@
-// Package encoding writes and reads the short records that processes of a fleet send to one another and
-// store on disk. Numbers are unsigned varints, and byte strings are preceded by their length. A Reader
-// never reads past its data: it returns zero values for fields that are truncated or too long, and Err
-// reports the error.
+// Package encoding writes and reads the short records that processes of a fleet send to one another
+// and store on disk. Numbers are unsigned varints, and byte strings are preceded by their length. A
+// Reader never reads past its data: it returns zero values for fields that are truncated or too
+// long, and Err reports the error.
 package encoding
 
 import (
@@ -43,8 +43,8 @@
 	return w
 }
 
-// Reader reads fields from the front of Data. After the first error it returns only zero values, so that
-// a caller need check Err only once, at the end.
+// Reader reads fields from the front of Data. After the first error it returns only zero values, so
+// that a caller need check Err only once, at the end.
 type Reader struct {
 	Data      []byte // the bytes that are not read yet
 	malformed bool
@@ -79,9 +79,9 @@
 // Text reads a string of at most maxBytes bytes.
 func (r *Reader) Text(maxBytes int) string { return string(r.Bytes(maxBytes)) }
 
-// Count reads the number of records that follow, at most maxCount. Since each record has at least one
-// byte, a count over the length of the remaining data is malformed. So no datagram makes a caller
-// allocate more records than the datagram has bytes.
+// Count reads the number of records that follow, at most maxCount. Since each record has at least
+// one byte, a count over the length of the remaining data is malformed. So no datagram makes a
+// caller allocate more records than the datagram has bytes.
 func (r *Reader) Count(maxCount int) int {
 	n := r.Uint()
 	if n > uint64(maxCount) || n > uint64(len(r.Data)) {
--- a/internal/fleet/encoding/encoding_test.go
+++ b/internal/fleet/encoding/encoding_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzReader checks that a Reader never reads past its data and accepts no length over its limit, and that
-// what it read completely can be written and read again.
+// FuzzReader checks that a Reader never reads past its data and accepts no length over its limit,
+// and that what it read completely can be written and read again.
 func FuzzReader(f *testing.F) {
 	w := Writer{}
 	f.Add(w.Uint(300).Text("name").Bool(true).Bytes([]byte{1, 2}).Data)
@@ -14,18 +14,18 @@
 	f.Add([]byte{5, 1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := Reader{Data: data}
-		n, s, b, c := r.Uint(), r.Text(16), r.Bool(), r.Bytes(8)
-		k := r.Count(4)
-		if len(s) > 16 || len(c) > 8 || k > 4 || len(r.Data) > len(data) {
-			t.Fatalf("read text %q, bytes %x, count %d with %d of %d bytes left of %x; want at most 16, 8, 4 and no more bytes left than given", s, c, k, len(r.Data), len(data), data)
+		number, text, flag, content := r.Uint(), r.Text(16), r.Bool(), r.Bytes(8)
+		count := r.Count(4)
+		if len(text) > 16 || len(content) > 8 || count > 4 || len(r.Data) > len(data) {
+			t.Fatalf("read text %q, bytes %x, count %d with %d of %d bytes left of %x; want at most 16, 8, 4 and no more bytes left than given", text, content, count, len(r.Data), len(data), data)
 		}
 		if r.Err() != nil {
 			return
 		}
 		w := Writer{}
-		again := Reader{Data: w.Uint(n).Text(s).Bool(b).Bytes(c).Uint(uint64(k)).Data}
-		if again.Uint() != n || again.Text(16) != s || again.Bool() != b || !bytes.Equal(again.Bytes(8), c) {
-			t.Fatalf("the fields of %x, number %d, text %q, flag %t, bytes %x, are not the same after they are written and read", data, n, s, b, c)
+		again := Reader{Data: w.Uint(number).Text(text).Bool(flag).Bytes(content).Uint(uint64(count)).Data}
+		if again.Uint() != number || again.Text(16) != text || again.Bool() != flag || !bytes.Equal(again.Bytes(8), content) {
+			t.Fatalf("the fields of %x, number %d, text %q, flag %t, bytes %x, are not the same after they are written and read", data, number, text, flag, content)
 		}
 	})
 }
--- a/internal/fleet/fragment/fragment_test.go
+++ b/internal/fleet/fragment/fragment_test.go
@@ -29,7 +29,7 @@
 func (e testEnd) SendDatagram(_ uint32, data []byte) {
 	l := e.link
 	l.longestDatagram = max(l.longestDatagram, len(data))
-	for range 1 + l.rng.IntN(2) { // duplicates half of the datagrams
+	for range 1 + l.rng.IntN(2) { // duplicates about half of the datagrams
 		if l.rng.Float64() >= l.loss {
 			l.queue = append(l.queue, queuedDatagram{1 - e.index, append([]byte(nil), data...)})
 		}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestLongMessagesArriveOnce checks that under loss, duplication and reordering each long message is
-// delivered complete and once.
+// TestLongMessagesArriveOnce checks that under loss, duplication and reordering each long message
+// is delivered complete and once.
 func TestLongMessagesArriveOnce(t *testing.T) {
 	for seed := range uint64(40) {
 		for _, size := range []int{1, 238, 239, 1000, 5000, MaxMessageBytes} {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestBounds checks that messages to a peer that acknowledges nothing, and messages that stay incomplete,
-// use bounded memory.
+// TestBounds checks that messages to a peer that acknowledges nothing, and messages that stay
+// incomplete, use bounded memory.
 func TestBounds(t *testing.T) {
 	l := newLossyLink(1, 1)
 	for range 100 {
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestRestartedSender checks that a message of a new incarnation is not mistaken for one of the earlier
-// incarnation with the same sequence number.
+// TestRestartedSender checks that a message of a new incarnation is not mistaken for one of the
+// earlier incarnation with the same sequence number.
 func TestRestartedSender(t *testing.T) {
 	l := newLossyLink(1, 0)
 	l.ends[0].Send(0, 1, bytes.Repeat([]byte("a"), 1000))
--- a/internal/fleet/fragment/message.go
+++ b/internal/fleet/fragment/message.go
@@ -38,7 +38,8 @@
 	return append(b, p.body...)
 }
 
-// decodePiece decodes a piece. It returns false if the piece is malformed or its message is too long.
+// decodePiece decodes a piece. It returns false if the piece is malformed or its message is too
+// long.
 func decodePiece(data []byte) (piece, bool) {
 	if len(data) <= pieceHeader {
 		return piece{}, false
--- a/internal/fleet/fragment/message_test.go
+++ b/internal/fleet/fragment/message_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestInvalidPieces checks that decodePiece rejects malformed pieces and pieces of messages that are too
-// long.
+// TestInvalidPieces checks that decodePiece rejects malformed pieces and pieces of messages that
+// are too long.
 func TestInvalidPieces(t *testing.T) {
 	for name, p := range map[string]piece{
 		"index beyond the count": {index: 3, count: 3, body: []byte("x")},
--- a/internal/fleet/fragment/receive.go
+++ b/internal/fleet/fragment/receive.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// add stores a piece. It returns false if the piece has another count or length than the earlier ones.
+// add stores a piece. It returns false if the piece has another count or length than the earlier
+// ones.
 func (m *incoming) add(p piece) bool {
 	if len(m.received) != p.count || !p.isLast() && len(p.body) != m.pieceBytes || len(p.body) > m.pieceBytes {
 		return false
@@ -39,8 +40,8 @@
 	return true
 }
 
-// handlePiece adds a piece to its message and delivers the message once it is complete. It returns false
-// if the piece is malformed.
+// handlePiece adds a piece to its message and delivers the message once it is complete. It returns
+// false if the piece is malformed.
 func (t *Transport) handlePiece(from uint32, part piece) bool {
 	p := t.peer(from)
 	if slices.Contains(p.completed, part.message) {
@@ -92,8 +93,8 @@
 	p.incoming = append(p.incoming, m)
 }
 
-// markComplete moves a message from the incomplete messages to the completed IDs, so that retransmitted
-// pieces are acknowledged and the message is not delivered twice.
+// markComplete moves a message from the incomplete messages to the completed IDs, so that
+// retransmitted pieces are acknowledged and the message is not delivered twice.
 func (p *peerState) markComplete(m *incoming) {
 	if i := slices.Index(p.incoming, m); i >= 0 {
 		p.incoming = append(p.incoming[:i:i], p.incoming[i+1:]...)
@@ -103,8 +104,8 @@
 	}
 }
 
-// sendAck acknowledges the pieces of a message that have arrived; a nil received acknowledges all. Pieces
-// whose bits do not fit the datagram are retransmitted needlessly.
+// sendAck acknowledges the pieces of a message that have arrived; a nil received acknowledges all.
+// Pieces whose bits do not fit the datagram are retransmitted needlessly.
 func (t *Transport) sendAck(to uint32, id messageID, received []bool) {
 	bits := newBitmap(received)
 	t.buffer = ack{id, bits[:min(len(bits), t.pieceBytes)]}.append(t.buffer[:0])
--- a/internal/fleet/fragment/recorded_test.go
+++ b/internal/fleet/fragment/recorded_test.go
@@ -24,8 +24,8 @@
 	e.received = append(e.received, bytes.Clone(data))
 }
 
-// TestRecordedDatagrams checks that short and long messages are sent in the same datagrams as when the
-// golden file was recorded, so that earlier versions can read them.
+// TestRecordedDatagrams checks that short and long messages are sent in the same datagrams as when
+// the golden file was recorded.
 func TestRecordedDatagrams(t *testing.T) {
 	samples := golden.NewSamples(4)
 	near, far := &recordingEnd{samples: samples}, &recordingEnd{samples: samples}
--- a/internal/fleet/fragment/send.go
+++ b/internal/fleet/fragment/send.go
@@ -13,7 +13,8 @@
 	giveUpAt Time
 }
 
-// Send sends a message to a peer. It returns ErrMessageTooLong if data is longer than MaxMessageBytes.
+// Send sends a message to a peer. It returns ErrMessageTooLong if data is longer than
+// MaxMessageBytes.
 func (t *Transport) Send(now Time, to uint32, data []byte) error {
 	if len(data) <= t.pieceBytes+pieceHeader-singleHeader {
 		t.buffer = append(t.buffer[:0], DatagramPrefix, kindSingle)
--- a/internal/fleet/group/group.go
+++ b/internal/fleet/group/group.go
@@ -1,6 +1,6 @@
-// Package group defines the interface of a replicated group to its users: its state machines, effects,
-// errors and status. It depends on no implementation, so that a program without voters on disk does not
-// link the raft library, which would cost time at each start.
+// Package group defines the interface of a replicated group to its users: its state machines,
+// effects, errors and status. It depends on no implementation, so that a program without voters on
+// disk does not link the raft library, which would cost time at each start.
 package group
 
 import (
@@ -12,12 +12,12 @@
 // Time is a time or duration in nanoseconds on the caller's monotonic clock.
 type Time = int64
 
-// Peer returns the number that identifies a member in messages. It equals the member's ID in package
-// membership, which identifies the sender of a datagram.
+// Peer returns the number that identifies a member in messages. It equals the member's ID in
+// package membership, which identifies the sender of a datagram.
 func Peer(name string) uint32 { return membership.ID(name) }
 
-// Machine is a state machine of the group. It must be deterministic: the same commands in the same order
-// must lead to the same state at every voter.
+// Machine is a state machine of the group. It must be deterministic: the same commands in the same
+// order must lead to the same state at every voter.
 type Machine interface {
 	// Apply applies a command and returns its result, which is passed to Effects.Applied.
 	Apply(cmd []byte) (result []byte)
@@ -27,12 +27,13 @@
 	Restore(data []byte) error
 }
 
-// Effects is implemented by the process that runs a voter. Byte slices are valid during the call only.
+// Effects is implemented by the process that runs a voter. Byte slices are valid during the call
+// only.
 type Effects interface {
 	// Send sends a message to a peer. The message may be lost.
 	Send(peer uint32, msg []byte)
-	// Applied reports that a command was applied. The tag is the one with which this process or another
-	// one proposed it. A change of the group is reported with machine 0 and a nil result.
+	// Applied reports that a command was applied. The tag is the one with which this process or
+	// another one proposed it. A change of the group is reported with machine 0 and a nil result.
 	Applied(machine byte, tag uint64, result []byte)
 	// Confirmed reports that this process still led after Confirm was called with the tag.
 	Confirmed(tag uint64)
--- a/internal/fleet/group/machines.go
+++ b/internal/fleet/group/machines.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// RestoreSnapshots restores the machines from what EncodeSnapshots wrote. Each snapshot may have at most
-// maxBytes. It skips the snapshots of machines that this process does not have. It returns the error of a
-// machine's Restore; an error of a truncated encoding is left in r.
+// RestoreSnapshots restores the machines from what EncodeSnapshots wrote. Each snapshot may have at
+// most maxBytes. It skips the snapshots of machines that this process does not have. It returns the
+// error of a machine's Restore; an error of a truncated encoding is left in r.
 func (m Machines) RestoreSnapshots(r *encoding.Reader, maxBytes int) error {
 	for n := r.Count(maxMachines); n > 0; n-- {
 		number, state := byte(r.Uint()), r.Bytes(maxBytes)
--- a/internal/fleet/group/machines_test.go
+++ b/internal/fleet/group/machines_test.go
@@ -34,8 +34,8 @@
 	return w.Data
 }
 
-// TestRestoreSnapshots checks that RestoreSnapshots restores the machines that the process has, skips the
-// others, and reports invalid, truncated and too long states.
+// TestRestoreSnapshots checks that RestoreSnapshots restores the machines that the process has,
+// skips the others, and reports invalid, truncated and too long states.
 func TestRestoreSnapshots(t *testing.T) {
 	complete := encodeStates("one", "two")
 	for _, c := range []struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestMachinesAreOrdered checks that Each visits the machines in the order of their numbers, so that
-// equal states are encoded as equal snapshots.
+// TestMachinesAreOrdered checks that Each visits the machines in the order of their numbers, so
+// that equal states are encoded as equal snapshots.
 func TestMachinesAreOrdered(t *testing.T) {
 	var order []string
 	NewMachines(map[byte]Machine{9: &textMachine{"c"}, 2: &textMachine{"b"}, 1: &textMachine{"a"}}).Each(func(m Machine) {
--- a/internal/fleet/peers/peers.go
+++ b/internal/fleet/peers/peers.go
@@ -1,9 +1,10 @@
-// Package peers sends short messages between the proxies of a tier as UDP datagrams, for the decision
-// module and for membership. It owns the socket and decides from which senders datagrams are accepted;
-// it does not interpret them. A peer is another proxy, identified by its number in the configured list.
+// Package peers sends short messages between the proxies of a tier as UDP datagrams, for the
+// decision module and for membership. It owns the socket and decides from which senders datagrams
+// are accepted; it does not interpret them. A peer is another proxy, identified by its number in
+// the configured list.
 //
-// Datagrams do not use netpoll, which serves streams only: one goroutine reads them and posts them to the
-// event loop.
+// Datagrams do not use netpoll, which serves streams only: one goroutine reads them and posts them
+// to the event loop.
 package peers
 
 import (
@@ -47,9 +48,9 @@
 	sendFailed bool // whether a failure to send was logged
 }
 
-// Open returns a Link that exchanges datagrams with the peers in a. It listens on a.Listen, or, if fd is
-// not negative, uses the socket fd that another process handed over. After StartReceiving, receive is
-// called on the loop for each datagram from a known peer, with the number of that peer.
+// Open returns a Link that exchanges datagrams with the peers in a. It listens on a.Listen, or, if
+// fd is not negative, uses the socket fd that another process handed over. After StartReceiving,
+// receive is called on the loop for each datagram from a known peer, with the number of that peer.
 func Open(loop *netio.Loop, a Addresses, ownNumber, fd int, receive func(from int, data []byte)) (*Link, error) {
 	l := &Link{ownNumber: ownNumber}
 	numbers := map[netip.AddrPort]int{}
@@ -80,8 +81,8 @@
 	return l, nil
 }
 
-// OpenForAnySender returns a Link that accepts datagrams from any address, for a fleet whose members
-// change. receive must itself decide which senders it accepts.
+// OpenForAnySender returns a Link that accepts datagrams from any address, for a fleet whose
+// members change. receive must itself decide which senders it accepts.
 func OpenForAnySender(loop *netio.Loop, listen string, receive func(from netip.AddrPort, data []byte)) (*Link, error) {
 	own, err := parseAddress("listen", listen)
 	if err != nil {
@@ -107,8 +108,8 @@
 	return address, nil
 }
 
-// bind opens a socket on the own address, or, if fd is not negative, uses the socket fd that another
-// process handed over in a hot restart.
+// bind opens a socket on the own address, or, if fd is not negative, uses the socket fd that
+// another process handed over in a hot restart.
 func bind(own netip.AddrPort, fd int) (*net.UDPConn, error) {
 	if fd < 0 {
 		return net.ListenUDP("udp4", net.UDPAddrFromAddrPort(own))
@@ -133,12 +134,12 @@
 	go l.readLoop()
 }
 
-// StopReceiving stops receiving during a hot restart, so that datagrams go to the other process that holds
-// the socket.
+// StopReceiving stops receiving during a hot restart, so that datagrams go to the other process
+// that holds the socket.
 func (l *Link) StopReceiving() { l.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// Fd returns the descriptor of the socket, to be handed to another process. The link still owns it. Fd
-// returns -1 if the socket is closed.
+// Fd returns the descriptor of the socket, to be handed to another process. The link still owns it.
+// Fd returns -1 if the socket is closed.
 func (l *Link) Fd() int {
 	fd := -1
 	if raw, err := l.conn.SyscallConn(); err == nil {
@@ -176,8 +177,8 @@
 	}
 }
 
-// validLength reports whether the platform allows a datagram of this length. It logs one that it does not
-// allow, since that is an error of the caller.
+// validLength reports whether the platform allows a datagram of this length. It logs one that it
+// does not allow, since that is an error of the caller.
 func validLength(data []byte) bool {
 	if len(data) > 0 && len(data) <= MaxDatagramBytes {
 		return true
@@ -186,8 +187,8 @@
 	return false
 }
 
-// send sends a datagram. It logs only the first error, since a persistent one would be logged with each
-// datagram.
+// send sends a datagram. It logs only the first error, since a persistent one would be logged with
+// each datagram.
 func (l *Link) send(to netip.AddrPort, data []byte) {
 	if _, err := l.conn.WriteToUDPAddrPort(data, to); err != nil && !l.sendFailed {
 		l.sendFailed = true
@@ -195,8 +196,8 @@
 	}
 }
 
-// Dropped returns the number of datagrams that were received but not handled: from an unknown sender, too
-// long, or while too many waited for the loop.
+// Dropped returns the number of datagrams that were received but not handled: from an unknown
+// sender, too long, or while too many waited for the loop.
 func (l *Link) Dropped() int64 { return l.dropped.Load() }
 
 // Close closes the socket.
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -58,8 +58,8 @@
 	return received{}
 }
 
-// TestSendToOneAndAll checks that SendToPeer sends to the peer with the number, and with a negative number
-// to all proxies but the sender.
+// TestSendToOneAndAll checks that SendToPeer sends to the peer with the number, and with a negative
+// number to all proxies but the sender.
 func TestSendToOneAndAll(t *testing.T) {
 	links, channels := openLinks(t, 4)
 	links[1].SendToPeer(3, []byte("one"))
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestDropsUnknownAndLong checks that received datagrams that are too long or from an address of no peer
-// are dropped and counted, and that invalid datagrams are not sent.
+// TestDropsUnknownAndLong checks that received datagrams that are too long or from an address of no
+// peer are dropped and counted, and that invalid datagrams are not sent.
 func TestDropsUnknownAndLong(t *testing.T) {
 	links, channels := openLinks(t, 2)
 	to := links[0].conn.LocalAddr().(*net.UDPAddr)
--- a/internal/fleet/peers/read.go
+++ b/internal/fleet/peers/read.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxWaiting bounds the number of datagrams that wait for the loop. Those that wait for long are out of
-	// date and must not delay later ones.
+	// maxWaiting bounds the number of datagrams that wait for the loop. Those that wait for long
+	// are out of date and must not delay later ones.
 	maxWaiting = 64
 	// readRetryDelay is the pause after a failed read, since the kernel may remain short of memory.
 	readRetryDelay = time.Millisecond
@@ -23,9 +23,9 @@
 // handler handles a datagram on the loop.
 type handler func(data []byte)
 
-// read posts each datagram to the loop with the handler that handlerFor returns for its sender. It drops
-// the datagram if handlerFor reports that the sender is unknown. It returns once the link is closed or
-// StopReceiving was called.
+// read posts each datagram to the loop with the handler that handlerFor returns for its sender. It
+// drops the datagram if handlerFor reports that the sender is unknown. It returns once the link is
+// closed or StopReceiving was called.
 func (l *Link) read(loop *netio.Loop, handlerFor func(from netip.AddrPort) (handler, bool)) {
 	var waiting atomic.Int32
 	buffer := make([]byte, MaxDatagramBytes+1) // one byte more, to detect a datagram that is too long
@@ -35,8 +35,8 @@
 			return
 		}
 		if err != nil {
-			// ECONNREFUSED means that an earlier datagram from this process reached a closed port. The next
-			// read may succeed at once.
+			// ECONNREFUSED means that an earlier datagram from this process reached a closed port.
+			// The next read may succeed at once.
 			if !errors.Is(err, syscall.ECONNREFUSED) {
 				time.Sleep(readRetryDelay)
 			}
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica opens a replica for the owner agent: package consensus with its store in a bbolt file.
-// It is a separate package so that a program without replicas does not link raft and bbolt.
+// Package replica opens a replica for the owner agent: package consensus with its store in a bbolt
+// file. It is a separate package so that a program without replicas does not link raft and bbolt.
 package replica
 
 import (
