--- a/internal/fleet/consensus/change.go
+++ b/internal/fleet/consensus/change.go
@@ -94,9 +94,7 @@
 // active.
 func (c *Core) votersWithout(name string) (remaining, active int) {
 	recent := map[uint64]bool{c.identity.ID: true}
-	c.node.WithProgress(func(member uint64, _ raft.ProgressType, pr progress) {
-		recent[member] = recent[member] || pr.RecentActive
-	})
+	c.node.WithProgress(func(id uint64, _ raft.ProgressType, pr progress) { recent[id] = recent[id] || pr.RecentActive })
 	for _, id := range c.configuration.state.Voters {
 		if c.configuration.names[id] == name {
 			continue
--- a/internal/fleet/consensus/core.go
+++ b/internal/fleet/consensus/core.go
@@ -200,12 +200,12 @@
 	if c.phase != Member && c.phase != NotMember {
 		return
 	}
-	phase := NotMember
+	newPhase := NotMember
 	if c.configuration.contains(c.identity.ID) {
-		phase = Member
+		newPhase = Member
 	}
-	if phase != c.phase {
-		c.phase = phase
+	if newPhase != c.phase {
+		c.phase = newPhase
 		c.effects.LogEvent("replica_phase", "phase", c.phase.String())
 	}
 }
