--- a/internal/fleet/consensus/disk/load.go
+++ b/internal/fleet/consensus/disk/load.go
@@ -31,7 +31,8 @@
 }
 
 // Load reads all that is stored. It returns ErrUnreadable if the records are damaged or
-// inconsistent. After an error every call that saves fails.
+// inconsistent, or the decoder's error if a record with a valid checksum does not decode. After an
+// error every call that saves fails.
 func (s *Store) Load() (out consensus.StoredState, err error) {
 	// Load reads and checks all records itself. bbolt's own check can't be used: it runs in a
 	// goroutine of its own, in which a fault ends the process.
