--- a/internal/app/node/discovery.go
+++ b/internal/app/node/discovery.go
@@ -14,7 +14,7 @@
 	p.becomeTakingOver()
 	if p.restart.partner != nil && p.restart.isOld && len(ch.Hosts) > 0 { // at once: this process may have ended before the other one has its own list
 		s := p.snapshot(false)
-		p.restart.partner.ListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
+		p.restart.partner.SendListChanged(&proxy.Snapshot{WrittenAt: s.WrittenAt, Discovery: s.Discovery, Revision: s.Revision, Hosts: s.Hosts})
 	}
 }
 
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -37,7 +37,7 @@
 	cfg       *platform.Config
 	loop      *netio.Loop
 	dialer    *netio.Dialer
-	link      *upstreamtls.Link // nil: connections to upstream hosts without TLS
+	link      *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
 	core      *proxy.Core
 	discovery *cluster.Client
 	listener  *netio.Listener
@@ -82,13 +82,13 @@
 	if err != nil {
 		return err
 	}
-	p.openPeers(handoff.Datagram)
+	p.openPeers(handoff.DatagramFD)
 	if old == nil { // else the old process is the member until this one has taken over
 		if err := p.joinFleet(); err != nil {
 			return err
 		}
 	}
-	if err := p.listen(handoff.Listener); err != nil {
+	if err := p.listen(handoff.ListenerFD); err != nil {
 		return err
 	}
 	if err := p.listenAdmin(); err != nil {
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -72,7 +72,7 @@
 	snapshot, err := readState(dir, now)
 	if err != nil {
 		slog.Warn("state_file_ignored", "reason", err)
-		hotrestart.SetAside(dir)
+		hotrestart.SetAsideState(dir)
 	}
 	if snapshot == nil {
 		return nil
@@ -82,13 +82,13 @@
 
 // handoffWithoutSockets is a handoff for a process that opens its own sockets.
 func handoffWithoutSockets(snapshot *proxy.Snapshot) *hotrestart.Handoff {
-	return &hotrestart.Handoff{Snapshot: snapshot, Listener: -1, Datagram: -1}
+	return &hotrestart.Handoff{Snapshot: snapshot, ListenerFD: -1, DatagramFD: -1}
 }
 
 // readState reads the state file, and retries while the disk fails: the file holds the operators' suspensions.
 func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
 	for range maxStateReads {
-		s, err = hotrestart.Read(dir, now)
+		s, err = hotrestart.ReadState(dir, now)
 		if system := new(fs.PathError); !errors.As(err, &system) {
 			return s, err
 		}
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -98,7 +98,7 @@
 		p.restart.endpoint.Close()
 	}
 	var err error
-	p.restart.endpoint, err = hotrestart.Offer(p.loop, p.restart.dir, p.handoffFor, p.newProcessConnected)
+	p.restart.endpoint, err = hotrestart.OfferHandover(p.loop, p.restart.dir, p.handoffFor, p.newProcessConnected)
 	if err != nil {
 		slog.Warn("hot_restart_off", "reason", err)
 	}
@@ -114,9 +114,9 @@
 	case !p.core.Ready():
 		return nil, errShuttingDown
 	}
-	h := &hotrestart.Handoff{Snapshot: p.snapshot(false), Listener: p.listener.Fd(), Datagram: -1}
+	h := &hotrestart.Handoff{Snapshot: p.snapshot(false), ListenerFD: p.listener.Fd(), DatagramFD: -1}
 	if p.peers != nil {
-		h.Datagram = p.peers.Fd()
+		h.DatagramFD = p.peers.Fd()
 	}
 	slog.Info("hot_restart_requested", "downstreams", p.core.Downstreams())
 	return h, nil
@@ -151,7 +151,7 @@
 		return
 	}
 	p.restart.phase = takingOver
-	p.restart.partner.TakeOver()
+	p.restart.partner.SendTakeOver()
 	p.loop.After(takenOverWait, p.becomeServing)
 }
 
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -22,7 +22,7 @@
 // disk hangs.
 func (p *process) HostSuspended(id string, suspended bool, done func()) {
 	if p.restart.partner != nil {
-		p.restart.partner.HostSuspended(id, suspended)
+		p.restart.partner.SendHostSuspended(id, suspended)
 	}
 	if p.restart.phase != serving {
 		done() // the other process writes the file, and has been sent the suspension
--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -21,10 +21,10 @@
 	come     func(*Partner)
 }
 
-// Offer listens in dir for the next process's request to hand over. welcome is called on the loop when it comes, with the address that clients
+// OfferHandover listens in dir for the next process's request to hand over. welcome is called on the loop when it comes, with the address that clients
 // use at that process; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the
 // partner. Close ends the offer.
-func Offer(l *netio.Loop, dir string, welcome func(listen string) (*Handoff, error), come func(*Partner)) (*Endpoint, error) {
+func OfferHandover(l *netio.Loop, dir string, welcome func(listen string) (*Handoff, error), come func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
 		return nil, err
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -55,14 +55,14 @@
 type welcome struct{ Handoff }
 
 func (m welcome) envelope() envelope {
-	return envelope{Kind: kindWelcome, Snapshot: m.Snapshot, Datagram: m.Datagram >= 0}
+	return envelope{Kind: kindWelcome, Snapshot: m.Snapshot, Datagram: m.DatagramFD >= 0}
 }
 
 func (m welcome) descriptors() []int {
-	if m.Datagram < 0 {
-		return []int{m.Listener}
+	if m.DatagramFD < 0 {
+		return []int{m.ListenerFD}
 	}
-	return []int{m.Listener, m.Datagram}
+	return []int{m.ListenerFD, m.DatagramFD}
 }
 
 // rejection, from old to new, says that it does not hand over now.
@@ -137,9 +137,9 @@
 func decode(e *envelope, fds []int) message {
 	switch {
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.Datagram:
-		return welcome{Handoff{Snapshot: e.Snapshot, Listener: fds[0], Datagram: -1}}
+		return welcome{Handoff{Snapshot: e.Snapshot, ListenerFD: fds[0], DatagramFD: -1}}
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 2 && e.Datagram:
-		return welcome{Handoff{Snapshot: e.Snapshot, Listener: fds[0], Datagram: fds[1]}}
+		return welcome{Handoff{Snapshot: e.Snapshot, ListenerFD: fds[0], DatagramFD: fds[1]}}
 	case e.Kind == kindConnection && e.Connection != nil && len(fds) == 2:
 		e.Connection.Downstream.FD, e.Connection.Upstream.FD = fds[0], fds[1]
 		return connection{e.Connection}
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -171,16 +171,16 @@
 	}
 }
 
-// TakeOver notifies the old process that this one accepts clients from here on.
-func (p *Partner) TakeOver() { p.send(takeOver{}) }
+// SendTakeOver notifies the old process that this one accepts clients from here on.
+func (p *Partner) SendTakeOver() { p.send(takeOver{}) }
 
-// HostSuspended passes a host's suspension, or its end, on.
-func (p *Partner) HostSuspended(id string, suspended bool) {
+// SendHostSuspended passes a host's suspension, or its end, on.
+func (p *Partner) SendHostSuspended(id string, suspended bool) {
 	p.send(hostSuspended{hostID: id, out: suspended})
 }
 
-// ListChanged passes the endpoint list on: the two processes are one proxy, and what one knows the other must know.
-func (p *Partner) ListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
+// SendListChanged passes the endpoint list on: the two processes are one proxy, and what one knows the other must know.
+func (p *Partner) SendListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
 // SendDownstreamCount sends how many downstreams this process holds.
 func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{count: n}) }
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -88,12 +88,12 @@
 	old, fresh := &recordedEvents{events: make(chan string, 9), snapshot: sample()}, &recordedEvents{events: make(chan string, 9)}
 	partners := make(chan *Partner, 1)
 	busy := false
-	endpoint, err := Offer(l, dir, func(listen string) (*Handoff, error) {
+	endpoint, err := OfferHandover(l, dir, func(listen string) (*Handoff, error) {
 		if busy || listen != "x:1" {
 			return nil, errors.New("not now")
 		}
 		busy = true
-		return &Handoff{Snapshot: sample(), Listener: int(file.Fd()), Datagram: -1}, nil
+		return &Handoff{Snapshot: sample(), ListenerFD: int(file.Fd()), DatagramFD: -1}, nil
 	}, func(p *Partner) { p.Run(l, old); partners <- p })
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 		t.Errorf("for another address: %v", err)
 	}
 	toOld, h, err := RequestHandover(dir, "x:1", 10)
-	if err != nil || !reflect.DeepEqual(h.Snapshot, sample()) || h.Datagram >= 0 {
+	if err != nil || !reflect.DeepEqual(h.Snapshot, sample()) || h.DatagramFD >= 0 {
 		t.Fatalf("%v %+v", err, h)
 	}
 	if _, _, err := RequestHandover(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
@@ -111,18 +111,18 @@
 	}
 	toOld.Run(l, fresh)
 	toFresh := <-partners
-	toOld.TakeOver()
+	toOld.SendTakeOver()
 	old.expect(t, "take over")
 	fresh.expect(t, "taken over 127.0.0.1:1")
-	toFresh.HostSuspended("a", true)
+	toFresh.SendHostSuspended("a", true)
 	fresh.expect(t, "suspended a")
-	toOld.HostSuspended("b", false)
+	toOld.SendHostSuspended("b", false)
 	old.expect(t, "suspended b")
 	toFresh.SendDownstreamCount(3)
 	fresh.expect(t, "downstreams")
-	toFresh.ListChanged(sample())
+	toFresh.SendListChanged(sample())
 	fresh.expect(t, "list 127.0.0.1:1")
-	queuedClientIsAccepted(t, h.Listener, first, file)
+	queuedClientIsAccepted(t, h.ListenerFD, first, file)
 	toFresh.Close()
 	fresh.expect(t, "gone")
 	old.expect(t, "gone")
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -45,7 +45,7 @@
 func TestRecordedMessages(t *testing.T) {
 	messages := []message{
 		handoverRequest{listen: "127.0.0.1:3"},
-		welcome{Handoff{Snapshot: fullState(), Listener: 8, Datagram: 9}},
+		welcome{Handoff{Snapshot: fullState(), ListenerFD: 8, DatagramFD: 9}},
 		rejection{reason: "why"},
 		takeOver{},
 		takenOver{snapshot: fullState()},
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -26,9 +26,9 @@
 
 // Handoff is what an old process hands over.
 type Handoff struct {
-	Snapshot *proxy.Snapshot
-	Listener int // descriptors, the receiver's to close
-	Datagram int // under 0: none
+	Snapshot   *proxy.Snapshot
+	ListenerFD int // descriptors, the receiver's to close
+	DatagramFD int // under 0: none
 }
 
 func (h *Handoff) close() { closeAll(welcome{*h}.descriptors()) }
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -71,9 +71,9 @@
 	return body, nil
 }
 
-// Read gives the snapshot that a process before this one has stored in dir; nil without an error: there is none. A file that cannot be
+// ReadState gives the snapshot that a process before this one has stored in dir; nil without an error: there is none. A file that cannot be
 // used is an error that must not keep a proxy from starting. now is the loop's time.
-func Read(dir string, now int64) (*proxy.Snapshot, error) {
+func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readFile(filepath.Join(dir, spareFile), now)
 	if spareErr == nil && spare != nil && (s == nil || spare.WrittenAt > s.WrittenAt) {
@@ -114,8 +114,8 @@
 	return s, nil
 }
 
-// SetAside keeps a file that cannot be used from being overwritten, for whoever looks into why.
-func SetAside(dir string) {
+// SetAsideState keeps a file that cannot be used from being overwritten, for whoever looks into why.
+func SetAsideState(dir string) {
 	path := filepath.Join(dir, stateFile)
 	if err := os.Rename(path, path+".unusable"); err != nil && !os.IsNotExist(err) {
 		slog.Warn("state_not_set_aside", "reason", err)
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -26,13 +26,13 @@
 // What is written comes back; whatever is torn, foreign, of another version or beyond bounds is an error.
 func TestStateFile(t *testing.T) {
 	dir, now := t.TempDir(), int64(10)
-	if k, err := Read(dir, now); k != nil || err != nil {
+	if k, err := ReadState(dir, now); k != nil || err != nil {
 		t.Fatalf("an empty folder gives %v, %v", k, err)
 	}
 	if _, err := writeState(dir, sample()); err != nil {
 		t.Fatal(err)
 	}
-	if k, err := Read(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
+	if k, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
 		t.Fatalf("got %+v, %v", k, err)
 	}
 	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
@@ -52,7 +52,7 @@
 		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
-		if k, err := Read(dir, now); err == nil || k != nil && k.Check(now) == nil {
+		if k, err := ReadState(dir, now); err == nil || k != nil && k.Check(now) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		k, err := Read(dir, 1e18)
+		k, err := ReadState(dir, 1e18)
 		if err == nil && k != nil && k.Revision == 8 && len(k.Suspended) == 1 {
 			break
 		}
@@ -142,7 +142,7 @@
 	}
 	expectRevision := func(want int64) {
 		t.Helper()
-		if k, err := Read(dir, 10); err != nil || k == nil || k.Revision != want {
+		if k, err := ReadState(dir, 10); err != nil || k == nil || k.Revision != want {
 			t.Fatalf("read %+v, %v; want revision %d", k, err, want)
 		}
 	}
--- a/internal/dataplane/hotrestart/store_test.go
+++ b/internal/dataplane/hotrestart/store_test.go
@@ -15,7 +15,7 @@
 		done := make(chan bool)
 		NewStore(l, dir).Save(sample(), func() { close(done) })
 		<-done
-		k, err := Read(dir, 10)
+		k, err := ReadState(dir, 10)
 		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
 			t.Errorf("%s: %+v, %v", dir, k, err)
 		}
