--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -185,7 +185,7 @@
 			if fault := material.OwnFault(time.Now()); fault != nil {
 				return fault
 			}
-			if _, err := material.Verify(chain, upstreamtls.Name{Text: name, URI: strings.Contains(name, "://")}, time.Now()); err != nil {
+			if _, err := material.Verify(chain, upstreamtls.Name{Text: name, IsURI: strings.Contains(name, "://")}, time.Now()); err != nil {
 				return fmt.Errorf("%s: %v", args[0], err)
 			}
 			if key != "" {
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -22,9 +22,9 @@
 // signalHandler handles signals, on goroutines of its own: SIGHUP reloads the files, SIGTERM and SIGINT start the shutdown.
 type signalHandler struct {
 	cfg      *platform.Config
-	file     *settings.File    // the latest valid one; used by the reloading goroutine alone
-	format   string            // of the log, from the command line
-	link     *upstreamtls.Link // nil: connections to upstream hosts without TLS
+	file     *settings.File      // the latest valid one; used by the reloading goroutine alone
+	format   string              // of the log, from the command line
+	link     *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
 	redirect func(discovery string)
 	shutDown func()
 }
--- a/internal/app/node/upstreamtls.go
+++ b/internal/app/node/upstreamtls.go
@@ -14,7 +14,7 @@
 
 // newUpstreamTLS starts TLS to upstream hosts. Files that cannot be used are an error, which ends the start: a proxy that cannot connect to
 // any host must not accept clients.
-func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, wall func() time.Time) (*upstreamtls.Link, error) {
+func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, wall func() time.Time) (*upstreamtls.Dialer, error) {
 	material, err := upstreamtls.Load(o, 1)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
@@ -22,12 +22,12 @@
 	link := upstreamtls.New(loop, material, wall)
 	link.Run()
 	slog.Info("tls_on", "epoch", material.Epoch, "min_version", o.MinVersion, "key_exchange", strings.Join(o.KeyExchange, ","),
-		"reuse", o.Reuse, "on_expiry", o.OnExpiry)
+		"reuse", o.ResumeSessions, "on_expiry", o.OnExpiry)
 	return link, nil
 }
 
 // openByTLS opens connections to upstream hosts by TLS.
-func openByTLS(link *upstreamtls.Link) lineproto.Opener {
+func openByTLS(link *upstreamtls.Dialer) lineproto.Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
 		return link.Dial(upstreamtls.Host(to), within, limit, h, done)
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/bench_test.go
@@ -24,7 +24,7 @@
 	pki  *fake.PKI
 	opt  Options
 	loop *netio.Loop
-	link *Link
+	link *Dialer
 	skew atomic.Int64 // what the wall clock is ahead by
 }
 
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -10,7 +10,7 @@
 
 // pendingDial is one connection being opened.
 type pendingDial struct {
-	link       *Link
+	link       *Dialer
 	requestID  uint64
 	host       Host
 	inputLimit int
@@ -24,7 +24,7 @@
 
 // Dial opens a connection to t within the time given, the wait for the handshake's turn included, and calls done on the
 // loop, once, unless drop comes first. h handles the connection; limit bounds its input.
-func (k *Link) Dial(t Host, within time.Duration, limit int, h netio.Handler, done func(*netio.Conn, *netio.Error)) (drop func()) {
+func (k *Dialer) Dial(t Host, within time.Duration, limit int, h netio.Handler, done func(*netio.Conn, *netio.Error)) (drop func()) {
 	k.lastID++
 	d := &pendingDial{link: k, requestID: k.lastID, host: t, inputLimit: limit, deadline: k.loop.Now() + int64(within), handler: h, done: done}
 	p, f := k.peer(t)
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -33,17 +33,17 @@
 	Revoked        Reason = "revoked"          // revoked by its authority
 	WeakKey        Reason = "weak_key"         // key or signature too weak
 	TooLarge       Reason = "too_large"        // a handshake message beyond the limit
-	BrokenOff      Reason = "broken_off"       // the host ended or reset the connection
-	Protocol       Reason = "protocol"         // what it sent makes no sense, or does not verify
-	NoName         Reason = "no_name"          // the options have no name to expect of it
+	ConnectionLost Reason = "broken_off"       // the host ended or reset the connection
+	ProtocolError  Reason = "protocol"         // what it sent makes no sense, or does not verify
+	NoExpectedName Reason = "no_name"          // the options have no name to expect of it
 	RejectedByHost Reason = "rejected_by_host" // the host rejected this side's certificate or parameters
 
-	OwnExpired Reason = "own_certificate_expired"
-	OwnTrust   Reason = "own_trust_unusable" // the bundle or a revocation list
+	OwnCertificateExpired Reason = "own_certificate_expired"
+	OwnTrustUnusable      Reason = "own_trust_unusable" // the bundle or a revocation list
 )
 
-// Own reports whether the proxy's own files are at fault.
-func (r Reason) Own() bool { return r == OwnExpired || r == OwnTrust }
+// IsOwnFault reports whether the proxy's own files are at fault.
+func (r Reason) IsOwnFault() bool { return r == OwnCertificateExpired || r == OwnTrustUnusable }
 
 // Failure is a handshake that did not come about.
 type Failure struct {
@@ -93,7 +93,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	f = &Failure{Reason: Protocol, Step: "hello", Err: err}
+	f = &Failure{Reason: ProtocolError, Step: "hello", Err: err}
 	if received {
 		f.Step = "finish"
 	}
@@ -126,7 +126,7 @@
 		f.Reason = TimedOut
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, syscall.ECONNRESET),
 		errors.Is(err, syscall.EPIPE), errors.Is(err, net.ErrClosed):
-		f.Reason = BrokenOff
+		f.Reason = ConnectionLost
 	}
 	return f
 }
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -102,10 +102,10 @@
 		b.opt.CRLs = []string{b.file("crl.pem", crl)}
 	})
 	s := b.server(nil)
-	for skew, want := range map[time.Duration]Reason{0: "", 35 * time.Minute: OwnExpired, 50 * time.Minute: OwnTrust} {
+	for skew, want := range map[time.Duration]Reason{0: "", 35 * time.Minute: OwnCertificateExpired, 50 * time.Minute: OwnTrustUnusable} {
 		b.skew.Store(int64(skew))
 		c := b.dial(s.Addr(), 5*time.Second)
-		if c.reason() != want || want != "" && !want.Own() {
+		if c.reason() != want || want != "" && !want.IsOwnFault() {
 			t.Errorf("after %v: %v, want %q", skew, c.err, want)
 		}
 	}
@@ -144,7 +144,7 @@
 		"another's key":          {func(o *Options) { o.Key = b.file("other.key", leafKey) }, "does not belong"},
 		"a server's pair":        {func(o *Options) { o.Certificate, o.Key = b.file("s.pem", leaf.PEM()), b.file("s.key", leafKey) }, "not for clients"},
 		"encrypted, no password": {func(o *Options) { o.Key = b.file("c.key", crypted) }, "no password file"},
-		"wrong password":         {func(o *Options) { o.Key, o.Password = b.file("c.key", crypted), b.file("word", []byte("wrong")) }, "no private key"},
+		"wrong password":         {func(o *Options) { o.Key, o.KeyPasswordFile = b.file("c.key", crypted), b.file("word", []byte("wrong")) }, "no private key"},
 		"foreign list":           {func(o *Options) { o.CRLs = []string{b.file("f.crl", foreign)} }, "none of the trusted"},
 		"no list":                {func(o *Options) { o.CRLs = []string{b.file("n.crl", []byte("x"))} }, "revocation list 1"},
 	} {
@@ -156,7 +156,7 @@
 		}
 	}
 	o := good
-	o.Key, o.Password = b.file("c.key", crypted), b.file("word", []byte("secret words\n"))
+	o.Key, o.KeyPasswordFile = b.file("c.key", crypted), b.file("word", []byte("secret words\n"))
 	if _, err := Load(o, 1); err != nil {
 		t.Errorf("the right password: %v", err)
 	}
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/link.go
@@ -18,8 +18,8 @@
 // kernelBuffer is the size, in bytes, of the buffer requested from the kernel for a connection, as netio does.
 const kernelBuffer = 16 << 10
 
-// Link opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
-type Link struct {
+// Dialer opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
+type Dialer struct {
 	loop         *netio.Loop
 	wallClock    func() time.Time
 	material     *Material
@@ -46,9 +46,9 @@
 const maxPeers = 4096
 
 // New makes a link with its workers, by the options that m was loaded from.
-func New(l *netio.Loop, m *Material, wall func() time.Time) *Link {
-	k := &Link{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
-		cache: newSessionCache(m.options.Sessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
+func New(l *netio.Loop, m *Material, wall func() time.Time) *Dialer {
+	k := &Dialer{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
+		cache: newSessionCache(m.options.MaxSessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
 		jobs: make(chan *handshakeJob, m.options.Handshakes.MaxInFlight), reloads: make(chan reload, 1),
 		computeToken: make(chan struct{}, 1)}
 	k.counts.failed = map[Reason]int{}
@@ -59,7 +59,7 @@
 }
 
 // peer is how to connect to a host now, or why that is not possible.
-func (k *Link) peer(t Host) (*tlsPeer, *Failure) {
+func (k *Dialer) peer(t Host) (*tlsPeer, *Failure) {
 	m := k.material
 	if f := m.OwnFault(k.wallClock()); f != nil {
 		return nil, f
@@ -68,9 +68,9 @@
 	if err != nil {
 		return nil, &Failure{Reason: Unreachable, Step: "queue", Err: err}
 	}
-	name, ok := m.options.Expect(t.ID, t.Zone, address)
+	name, ok := m.options.ExpectedName(t.ID, t.Zone, address)
 	if !ok {
-		return nil, &Failure{Reason: NoName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", t.ID, t.Zone)}
+		return nil, &Failure{Reason: NoExpectedName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", t.ID, t.Zone)}
 	}
 	p := k.peers[t.ID]
 	if p == nil || p.material != m || p.key.name != name {
@@ -84,7 +84,7 @@
 }
 
 // beginAllowed begins the handshakes that the budget allows.
-func (k *Link) beginAllowed() {
+func (k *Dialer) beginAllowed() {
 	begin, late, again := k.budget.Next(k.loop.Now())
 	for _, id := range late {
 		if d := k.dials[id]; d != nil {
@@ -102,7 +102,7 @@
 }
 
 // startHandshake gives a dial to a worker. There are as many workers as handshakes may be in flight, so the channel takes it at once.
-func (k *Link) startHandshake(d *pendingDial) {
+func (k *Dialer) startHandshake(d *pendingDial) {
 	// The files, or the name that the host must have, may have changed while it was queued.
 	p, f := k.peer(d.host)
 	if f != nil {
@@ -115,13 +115,13 @@
 }
 
 // logFailure logs a failure. One of the proxy's own files is an event of its own, since it concerns every host.
-func (k *Link) logFailure(host string, f *Failure) {
+func (k *Dialer) logFailure(host string, f *Failure) {
 	k.counts.failed[f.Reason]++
 	text := ""
 	if f.Err != nil {
 		text = f.Err.Error()
 	}
-	if f.Reason.Own() {
+	if f.Reason.IsOwnFault() {
 		slog.Error("tls_own_fault", "reason", string(f.Reason), "detail", text)
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // logBrokenSession logs why an established connection broke. late: the host had rejected the handshake.
-func (k *Link) logBrokenSession(host string, f *Failure, late bool) {
+func (k *Dialer) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
 		k.logFailure(host, f)
 		return
@@ -138,7 +138,7 @@
 }
 
 // Run starts the watch of the files, and the counts in the log.
-func (k *Link) Run() {
+func (k *Dialer) Run() {
 	go k.watch(k.material)
 	k.loop.After(countEvery, k.logCounts)
 }
@@ -147,7 +147,7 @@
 const countEvery = 10 * time.Second
 
 // logCounts logs what was done since the last time.
-func (k *Link) logCounts() {
+func (k *Dialer) logCounts() {
 	k.loop.After(countEvery, k.logCounts)
 	c := k.counts
 	if c.full+c.resumed+len(c.failed) == 0 {
@@ -163,8 +163,8 @@
 	k.counts = counts{failed: map[Reason]int{}}
 }
 
-// Use has new connections follow new material; open ones go on.
-func (k *Link) Use(m *Material) {
+// SetMaterial has new connections follow new material; open ones go on.
+func (k *Dialer) SetMaterial(m *Material) {
 	k.material = m
 	clear(k.peers)
 	k.cache.keepOnly(m.Epoch)
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -19,7 +19,7 @@
 // was verified or cached in one epoch does not count in another.
 type Material struct {
 	Epoch          uint64
-	Ends           time.Time // when the first part that all connections need ends: the own certificate, a revocation list
+	NotAfter       time.Time // when the first part that all connections need ends: the own certificate, a revocation list
 	digest         [sha256.Size]byte
 	options        Options
 	roots          *x509.CertPool
@@ -132,7 +132,7 @@
 // loadCertificate loads the proxy's own certificate and key.
 func (l *loader) loadCertificate(o Options) {
 	l.read(o.Certificate)
-	pair, err := certs.LoadPair(o.Certificate, o.Key, o.Password)
+	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
 	if err != nil {
 		l.fault(err)
 		return
@@ -157,8 +157,8 @@
 
 // noteEnd notes the end of something that all connections need.
 func (m *Material) noteEnd(t time.Time) {
-	if m.Ends.IsZero() || t.Before(m.Ends) {
-		m.Ends = t
+	if m.NotAfter.IsZero() || t.Before(m.NotAfter) {
+		m.NotAfter = t
 	}
 }
 
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -19,23 +19,23 @@
 
 // Options are what the operators' file says.
 type Options struct {
-	Enabled                    bool
-	Trust, CRLs                []string
-	Certificate, Key, Password string
-	MinVersion                 string
-	Pattern, URI               string            // the name a host must show; one of them
-	Names                      map[string]string // by uid, before the pattern
-	KeyExchange                []string
-	Reuse                      bool
-	Sessions                   int
-	Expiry                     certexpiry.Policy
-	OnExpiry                   string
-	Handshakes                 handshake.Limits
+	Enabled                           bool
+	Trust, CRLs                       []string
+	Certificate, Key, KeyPasswordFile string
+	MinVersion                        string
+	Pattern, URI                      string            // the name a host must show; one of them
+	Names                             map[string]string // by uid, before the pattern
+	KeyExchange                       []string
+	ResumeSessions                    bool
+	MaxSessions                       int
+	Expiry                            certexpiry.Policy
+	OnExpiry                          string
+	Handshakes                        handshake.Limits
 }
 
 // Defaults are the options without a file: off, and the safer choice wherever there is one.
 func Defaults() Options {
-	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, Reuse: true, Sessions: 256,
+	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, ResumeSessions: true, MaxSessions: 256,
 		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, MaxSharePerMinute: 0.1}, Handshakes: handshake.Defaults()}
 	o.Handshakes.MaxInFlight = 8
 	return o
@@ -53,7 +53,7 @@
 		f.Paths("crl", "lists of certificates taken back; one that has run out counts as no list: nothing passes", &o.CRLs)
 		f.Path("certificate", "the proxy's own certificate with its chain, shown to hosts", &o.Certificate)
 		f.Path("key", "its key, readable by its owner alone", &o.Key)
-		f.Path("key-password-file", "file with the key's password, readable by its owner alone", &o.Password)
+		f.Path("key-password-file", "file with the key's password, readable by its owner alone", &o.KeyPasswordFile)
 		f.Enum("min-version", "oldest version of TLS that is spoken", &o.MinVersion, "1.3", "1.2")
 		f.Group("name", "the name that a host's certificate must bear", func(f *settings.Form) {
 			want := "a pattern of {uid}, {zone}, {host} and plain text, with {uid} or {host} in it"
@@ -68,8 +68,8 @@
 			}
 		})
 		f.Enums("key-exchange", "key exchanges, the preferred first", &o.KeyExchange, "x25519mlkem768", "x25519", "p256", "p384")
-		f.Bool("reuse", "whether sessions are resumed", &o.Reuse)
-		f.Int("sessions", "sessions kept, of all hosts together", &o.Sessions, 1, 100000)
+		f.Bool("reuse", "whether sessions are resumed", &o.ResumeSessions)
+		f.Int("sessions", "sessions kept, of all hosts together", &o.MaxSessions, 1, 100000)
 		f.Enum("on-expiry", "what becomes of standing connections when a certificate ends", &o.OnExpiry, "keep", "move")
 		f.Duration("move-before", "how long before the end moving begins", &o.Expiry.Before, time.Second, 30*24*time.Hour)
 		f.Percent("move-share", "connections moved in a minute at most", &o.Expiry.MaxSharePerMinute, 0.001, 1)
@@ -95,7 +95,7 @@
 		if (o.Certificate == "") != (o.Key == "") {
 			f.Fault("key", "a certificate without its key or a key without its certificate, expected both")
 		}
-		if o.Password != "" && o.Key == "" {
+		if o.KeyPasswordFile != "" && o.Key == "" {
 			f.Fault("key-password-file", "a password for no key, expected (key ...) too")
 		}
 		return o
@@ -112,7 +112,7 @@
 // Files are all files that the options name.
 func (o *Options) Files() []string {
 	files := append(append([]string{}, o.Trust...), o.CRLs...)
-	for _, f := range []string{o.Certificate, o.Key, o.Password} {
+	for _, f := range []string{o.Certificate, o.Key, o.KeyPasswordFile} {
 		if f != "" {
 			files = append(files, f)
 		}
@@ -122,12 +122,12 @@
 
 // Name is what a host's certificate must bear.
 type Name struct {
-	Text string
-	URI  bool
+	Text  string
+	IsURI bool
 }
 
-// Expect gives the name for a host; ok is false where the options have none for it, so that no certificate fits.
-func (o *Options) Expect(uid, zone, host string) (name Name, ok bool) {
+// ExpectedName gives the name for a host; ok is false where the options have none for it, so that no certificate fits.
+func (o *Options) ExpectedName(uid, zone, host string) (name Name, ok bool) {
 	if n := o.Names[uid]; n != "" {
 		return Name{n, strings.Contains(n, "://")}, true
 	}
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -36,7 +36,7 @@
 		DynamicRecordSizingDisabled: true,
 		Renegotiation:               tls.RenegotiateNever,
 	}
-	if !name.URI {
+	if !name.IsURI {
 		p.config.ServerName = name.Text
 	}
 	if m.options.MinVersion == "1.2" {
@@ -45,7 +45,7 @@
 	for _, x := range m.options.KeyExchange {
 		p.config.CurvePreferences = append(p.config.CurvePreferences, keyExchanges[x])
 	}
-	if m.options.Reuse {
+	if m.options.ResumeSessions {
 		p.config.ClientSessionCache = p
 	} else {
 		p.config.SessionTicketsDisabled = true
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.Use(m) })
+	b.on(func() { b.link.SetMaterial(m) })
 	if resumed() {
 		t.Error("a session of the old epoch was resumed")
 	}
@@ -95,7 +95,7 @@
 	if m, err = Load(o, 2); err != nil { // the same epoch, so that only the name is another
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.Use(m) })
+	b.on(func() { b.link.SetMaterial(m) })
 	if c := b.dial(s.Addr(), 5*time.Second); c.reason() != WrongName {
 		t.Errorf("under another name: %v", c.err)
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.Use(m) })
+	b.on(func() { b.link.SetMaterial(m) })
 	if c := b.dial(s.Addr(), 5*time.Second); c.reason() != UnknownCA {
 		t.Errorf("got %v", c.err)
 	}
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -14,15 +14,15 @@
 // OwnFault is what is wrong with the proxy's own files now; nil: nothing.
 func (m *Material) OwnFault(now time.Time) *Failure {
 	if m.authorities == 0 {
-		return &Failure{Reason: OwnTrust, Step: "queue", Err: errors.New("no authority is trusted")}
+		return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: errors.New("no authority is trusted")}
 	}
 	for _, l := range m.revocations {
 		if now.After(l.until) {
-			return &Failure{Reason: OwnTrust, Step: "queue", Err: fmt.Errorf("the revocation list %s ran out %s", l.file, l.until.UTC().Format(time.RFC3339))}
+			return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: fmt.Errorf("the revocation list %s ran out %s", l.file, l.until.UTC().Format(time.RFC3339))}
 		}
 	}
 	if m.certificate != nil && now.After(m.certificateEnd) {
-		return &Failure{Reason: OwnExpired, Step: "queue", Err: fmt.Errorf("%s ended %s", m.options.Certificate, m.certificateEnd.UTC().Format(time.RFC3339))}
+		return &Failure{Reason: OwnCertificateExpired, Step: "queue", Err: fmt.Errorf("%s ended %s", m.options.Certificate, m.certificateEnd.UTC().Format(time.RFC3339))}
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 
 // hasName gives an error where a certificate is not for a name.
 func hasName(leaf *x509.Certificate, name Name) error {
-	if !name.URI {
+	if !name.IsURI {
 		if err := leaf.VerifyHostname(name.Text); err != nil {
 			return certificateFault(err, leaf, false)
 		}
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -22,7 +22,7 @@
 
 // Reload has the files read again at once, by the options given or, for nil, by those in use. Whether hosts are reached
 // by TLS, and the workers and the budget, stay as they are until the next start. It may be called from any goroutine.
-func (k *Link) Reload(o *Options) {
+func (k *Dialer) Reload(o *Options) {
 	for {
 		select {
 		case k.reloads <- reload{o}:
@@ -37,7 +37,7 @@
 }
 
 // watch polls the files for as long as the program runs, beside the loop.
-func (k *Link) watch(m *Material) {
+func (k *Dialer) watch(m *Material) {
 	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
 	w := watcher{current: m, options: m.options, signature: signature(m.options.Files()), changed: time.Now()}
@@ -49,11 +49,11 @@
 			force = true
 			if r.options != nil {
 				w.options = *r.options
-				w.options.Enabled, w.options.Handshakes, w.options.Sessions = m.options.Enabled, m.options.Handshakes, m.options.Sessions
+				w.options.Enabled, w.options.Handshakes, w.options.MaxSessions = m.options.Enabled, m.options.Handshakes, m.options.MaxSessions
 			}
 		}
 		if next := w.poll(force, k.wallClock()); next != nil {
-			k.loop.Post(func() { k.Use(next) })
+			k.loop.Post(func() { k.SetMaterial(next) })
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		if text := err.Error(); text != w.lastFault {
 			w.lastFault = text
 			slog.Warn("tls_files_kept", "reason", strings.ReplaceAll(text, "\n", "; "), "epoch", w.current.Epoch,
-				"in_use_until", describeTime(w.current.Ends, wall))
+				"in_use_until", describeTime(w.current.NotAfter, wall))
 		}
 		return nil
 	}
@@ -89,7 +89,7 @@
 		return nil
 	}
 	w.current = m
-	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.authorities, "lists", len(m.revocations), "until", describeTime(m.Ends, wall))
+	slog.Info("tls_files_taken", "epoch", m.Epoch, "authorities", m.authorities, "lists", len(m.revocations), "until", describeTime(m.NotAfter, wall))
 	return m
 }
 
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/work.go
@@ -39,7 +39,7 @@
 }
 
 // runWorker is a worker, for good.
-func (k *Link) runWorker() {
+func (k *Dialer) runWorker() {
 	for j := range k.jobs {
 		s, fd, spent, f := j.run(k.computeToken)
 		k.loop.Post(func() { k.handshakeEnded(j, s, fd, spent, f) })
@@ -52,7 +52,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "handshake", "reason", p, "stack", string(debug.Stack()))
-			s, fd, f = nil, -1, &Failure{Reason: Protocol, Step: "finish", Err: fmt.Errorf("panic: %v", p)}
+			s, fd, f = nil, -1, &Failure{Reason: ProtocolError, Step: "finish", Err: fmt.Errorf("panic: %v", p)}
 		}
 		w.releaseToken()
 		spent = w.computed
@@ -69,7 +69,7 @@
 		case !time.Now().Before(j.until):
 			f.Reason = TimedOut
 		case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.ENOTCONN):
-			f.Reason = BrokenOff // reset before the connect returned
+			f.Reason = ConnectionLost // reset before the connect returned
 		}
 		return nil, -1, 0, f
 	}
@@ -92,7 +92,7 @@
 	s.resumed, s.certificateEnd = s.tlsConn.ConnectionState().DidResume, j.peer.ends()
 	fd, err = detachSocket(raw.(*net.TCPConn))
 	if err != nil {
-		return nil, -1, 0, &Failure{Reason: BrokenOff, Step: "finish", Err: err}
+		return nil, -1, 0, &Failure{Reason: ConnectionLost, Step: "finish", Err: err}
 	}
 	return s, fd, 0, nil
 }
@@ -111,7 +111,7 @@
 }
 
 // handshakeEnded handles a worker's result.
-func (k *Link) handshakeEnded(j *handshakeJob, s *session, fd int, spent time.Duration, f *Failure) {
+func (k *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, spent time.Duration, f *Failure) {
 	k.counts.cpu += spent
 	k.budget.Done(k.loop.Now(), j.requestID, s != nil && s.resumed, spent, f == nil)
 	d := k.dials[j.requestID]
@@ -138,7 +138,7 @@
 }
 
 // stillTrusted reports whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
-func (k *Link) stillTrusted(p *tlsPeer, s *session) bool {
+func (k *Dialer) stillTrusted(p *tlsPeer, s *session) bool {
 	_, err := k.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, k.wallClock())
 	return err == nil
 }
