--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -87,14 +87,14 @@
 func (a *assignment) addAccount(account Account) error {
 	parts := strings.Split(account.Name, "/")
 	if len(parts) > MaxDepth || slices.ContainsFunc(parts, func(s string) bool { return !validName(s) }) {
-		return accountFault(&account, "no name of an account, expected up to %d names with / between", MaxDepth)
+		return accountError(&account, "no name of an account, expected up to %d names with / between", MaxDepth)
 	}
 	parent := a.accounts[Parent(account.Name)]
 	if parent == nil {
-		return accountFault(&account, "there is no account %s above it", Parent(account.Name))
+		return accountError(&account, "there is no account %s above it", Parent(account.Name))
 	}
-	for _, narrow := range []func(account, parent *Account) error{a.narrowTenants, a.narrowPools, narrowClasses, a.narrowLimits, narrowCounts} {
-		if err := narrow(&account, parent); err != nil {
+	for _, restrict := range []func(account, parent *Account) error{a.restrictTenants, a.restrictPools, restrictClasses, a.restrictLimits, restrictCounts} {
+		if err := restrict(&account, parent); err != nil {
 			return err
 		}
 	}
@@ -105,34 +105,34 @@
 	return nil
 }
 
-func accountFault(a *Account, format string, args ...any) error {
+func accountError(a *Account, format string, args ...any) error {
 	return &ValidationError{Account: a.Name, Text: fmt.Sprintf(format, args...)}
 }
 
-// narrowTenants takes a child's tenants from its parent, and requires that nobody else has a top account's.
-func (a *assignment) narrowTenants(account, parent *Account) error {
+// restrictTenants takes a child's tenants from its parent, and requires that nobody else has a top account's.
+func (a *assignment) restrictTenants(account, parent *Account) error {
 	for _, t := range account.Tenants {
 		owner, owned := a.accountOfTenant[t]
 		switch {
 		case t == "" || len(t) > 2*maxNameBytes:
-			return accountFault(account, "tenant %q is empty or too long", t)
+			return accountError(account, "tenant %q is empty or too long", t)
 		case owned && owner != parent.Name:
-			return accountFault(account, "tenant %s belongs to account %s", t, owner)
+			return accountError(account, "tenant %s belongs to account %s", t, owner)
 		case !owned && parent.Name != "":
-			return accountFault(account, "tenant %s does not belong to account %s", t, parent.Name)
+			return accountError(account, "tenant %s does not belong to account %s", t, parent.Name)
 		}
 		a.accountOfTenant[t] = account.Name
 	}
 	return nil
 }
 
-func (a *assignment) narrowPools(account, parent *Account) error {
+func (a *assignment) restrictPools(account, parent *Account) error {
 	for _, p := range account.Pools {
 		if !a.pools[p] {
-			return accountFault(account, "there is no pool %s", p)
+			return accountError(account, "there is no pool %s", p)
 		}
 		if parent.Name != "" && !slices.Contains(parent.Pools, p) {
-			return accountFault(account, "account %s may not use pool %s", parent.Name, p)
+			return accountError(account, "account %s may not use pool %s", parent.Name, p)
 		}
 	}
 	if len(account.Pools) == 0 {
@@ -141,10 +141,10 @@
 	return nil
 }
 
-func narrowClasses(account, parent *Account) error {
+func restrictClasses(account, parent *Account) error {
 	for _, c := range account.Classes {
 		if len(parent.Classes) > 0 && !slices.Contains(parent.Classes, c) {
-			return accountFault(account, "account %s may not use class %s", parent.Name, c)
+			return accountError(account, "account %s may not use class %s", parent.Name, c)
 		}
 	}
 	if len(account.Classes) == 0 {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (a *assignment) narrowLimits(account, parent *Account) error {
+func (a *assignment) restrictLimits(account, parent *Account) error {
 	reserved := a.reserved[parent.Name]
 	for _, l := range []struct {
 		name         string
@@ -164,29 +164,29 @@
 		{"standing", &account.Connections, &parent.Connections, &reserved.connections},
 	} {
 		if l.parents.Max > 0 && l.own.Max > l.parents.Max {
-			return accountFault(account, "%s %d at most, and account %s has %d", l.name, l.own.Max, parent.Name, l.parents.Max)
+			return accountError(account, "%s %d at most, and account %s has %d", l.name, l.own.Max, parent.Name, l.parents.Max)
 		}
 		if l.own.Max == 0 {
 			l.own.Max = l.parents.Max
 		}
 		if l.own.Max > 0 && l.own.Reserved > l.own.Max {
-			return accountFault(account, "%s %d reserved, and %d is the most", l.name, l.own.Reserved, l.own.Max)
+			return accountError(account, "%s %d reserved, and %d is the most", l.name, l.own.Reserved, l.own.Max)
 		}
 		if *l.reserved += uint64(l.own.Reserved); parent.Name != "" && *l.reserved > uint64(l.parents.Reserved) {
-			return accountFault(account, "%s: with it %d are reserved below account %s, which has %d", l.name, *l.reserved, parent.Name, l.parents.Reserved)
+			return accountError(account, "%s: with it %d are reserved below account %s, which has %d", l.name, *l.reserved, parent.Name, l.parents.Reserved)
 		}
 	}
 	a.reserved[parent.Name] = reserved
 	return nil
 }
 
-func narrowCounts(account, parent *Account) error {
+func restrictCounts(account, parent *Account) error {
 	for _, n := range []struct {
 		name         string
 		own, parents *uint32
 	}{{"routes", &account.Routes, &parent.Routes}, {"changes", &account.Changes, &parent.Changes}} {
 		if *n.parents > 0 && *n.own > *n.parents {
-			return accountFault(account, "%d %s, and account %s has %d", *n.own, n.name, parent.Name, *n.parents)
+			return accountError(account, "%d %s, and account %s has %d", *n.own, n.name, parent.Name, *n.parents)
 		}
 		if *n.own == 0 {
 			*n.own = *n.parents
@@ -198,10 +198,10 @@
 func checkGrants(account *Account) error {
 	for i, g := range account.Grants {
 		if !validName(g.Label) || i > 0 && account.Grants[i-1].Label >= g.Label {
-			return accountFault(account, "grant %q: its label is none, taken, or out of order", g.Label)
+			return accountError(account, "grant %q: its label is none, taken, or out of order", g.Label)
 		}
 		if len(g.Key) != ed25519.PublicKeySize || g.Verbs == 0 || g.Verbs > MayRoute|MayLimit|MayDelegate || g.Until < 0 {
-			return accountFault(account, "grant %s: no Ed25519 key, no verb, or an end before 1970", g.Label)
+			return accountError(account, "grant %s: no Ed25519 key, no verb, or an end before 1970", g.Label)
 		}
 	}
 	return nil
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -108,7 +108,7 @@
 		index  *routeIndex
 	}{{s.Guards, &c.guards}, {s.Routes, &c.routes}, {s.Defaults, &c.defaults}} {
 		for i := range list.routes {
-			if text := a.checkRoute(owner, &list.routes[i], names); text != "" {
+			if text := a.invalidRouteReason(owner, &list.routes[i], names); text != "" {
 				return nil, &ValidationError{s.Account, list.routes[i].Name, text}
 			}
 		}
@@ -122,20 +122,20 @@
 	return c, nil
 }
 
-// checkRoute says what is invalid in a route, "" for nothing, and adds its name to those that are taken.
-func (a *assignment) checkRoute(owner *Account, r *Route, names map[string]bool) string {
+// invalidRouteReason says what is invalid in a route, "" for nothing, and adds its name to those that are taken.
+func (a *assignment) invalidRouteReason(owner *Account, r *Route, names map[string]bool) string {
 	if names[r.Name] {
 		return "its name is taken"
 	}
 	names[r.Name] = true
-	if text := r.check(); text != "" {
+	if text := r.invalidReason(); text != "" {
 		return text
 	}
-	return a.checkPermitted(owner, r)
+	return a.forbiddenReason(owner, r)
 }
 
-// checkPermitted says which pool or class of a route its account may not use; "": none.
-func (a *assignment) checkPermitted(owner *Account, r *Route) string {
+// forbiddenReason says which pool or class of a route its account may not use; "": none.
+func (a *assignment) forbiddenReason(owner *Account, r *Route) string {
 	if owner == nil || r.Refuse {
 		return ""
 	}
--- a/internal/fleet/namespace/judge.go
+++ b/internal/fleet/namespace/evaluate.go
@@ -33,21 +33,21 @@
 	Pools        []string // in the order of preference
 }
 
-// reassignedAdvice is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
-const reassignedAdvice = 500 * time.Millisecond
+// reassignedRetryAfter is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
+const reassignedRetryAfter = 500 * time.Millisecond
 
 // Evaluate finds the account first, and then the route among those that apply to that account.
 func (c *Compiled) Evaluate(q Request) Verdict {
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
 	if c.previous != nil && c.previous.accountOfTenant[q.Tenant] != name {
-		return Verdict{Account: name, Rejected: true, Reassigned: true, RetryAfter: reassignedAdvice}
+		return Verdict{Account: name, Rejected: true, Reassigned: true, RetryAfter: reassignedRetryAfter}
 	}
 	if len(a.settings.Classes) > 0 && !slices.Contains(a.settings.Classes, q.Class) {
 		return Verdict{Account: name, RouteAccount: name, Route: classesRoute, Rejected: true}
 	}
 	r := a.find(&q)
-	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, RetryAfter: r.advice}
+	v := Verdict{Account: name, RouteAccount: r.account, Pools: r.pools, RetryAfter: r.retryAfter}
 	if r.Route != nil {
 		v.Route, v.Rejected = r.Name, r.Refuse
 	}
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -17,10 +17,10 @@
 // compiledRoute is a route and what follows from it; without a Route it is an account's default.
 type compiledRoute struct {
 	*Route
-	account string
-	key     matchKey
-	pools   []string // in the order of preference
-	advice  time.Duration
+	account    string
+	key        matchKey
+	pools      []string // in the order of preference
+	retryAfter time.Duration
 }
 
 // matchKey is the conditions of a route that are compared for equality, or what a request has of them.
@@ -38,8 +38,8 @@
 	return conditionSet{group: k.group != "", class: k.class != "", zone: k.zone != "", prefixBytes: uint8(len(k.prefix))}
 }
 
-// project gives the part of a request's key that routes with these conditions compare; ok: the request has all of these attributes.
-func (s conditionSet) project(k matchKey) (part matchKey, ok bool) {
+// requestPart gives the part of a request's key that routes with these conditions compare; ok: the request has all of these attributes.
+func (s conditionSet) requestPart(k matchKey) (part matchKey, ok bool) {
 	if s.group {
 		if part.group = k.group; k.group == "" {
 			return part, false
@@ -66,13 +66,13 @@
 
 // compareSpecificity orders the most specific first.
 func (s conditionSet) compareSpecificity(o conditionSet) int {
-	number := func(b bool) int {
+	toInt := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(number(o.group)-number(s.group), int(o.prefixBytes)-int(s.prefixBytes), number(o.class)-number(s.class), number(o.zone)-number(s.zone))
+	return cmp.Or(toInt(o.group)-toInt(s.group), int(o.prefixBytes)-int(s.prefixBytes), toInt(o.class)-toInt(s.class), toInt(o.zone)-toInt(s.zone))
 }
 
 // secondarySpecificity is how specific a route is beyond its key: by a window more than by a share.
@@ -87,7 +87,7 @@
 }
 
 func compileRoute(account string, r *Route) compiledRoute {
-	c := compiledRoute{Route: r, account: account, key: r.matchKey(), advice: time.Duration(r.RetryAfterMillis) * time.Millisecond}
+	c := compiledRoute{Route: r, account: account, key: r.matchKey(), retryAfter: time.Duration(r.RetryAfterMillis) * time.Millisecond}
 	if !r.Refuse {
 		c.pools = append([]string{r.Pool}, r.Fallbacks...)
 	}
@@ -121,7 +121,7 @@
 			end++
 		}
 		x.firstByKey[key] = int32(i)
-		if err := checkSameKey(account, x.routes[i:end]); err != nil {
+		if err := checkConflicts(account, x.routes[i:end]); err != nil {
 			return err
 		}
 		i = end
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// checkSameKey returns the fault among routes with the same key: two that may fit one request and are equally specific, or one that no request
+// checkConflicts returns the fault among routes with the same key: two that may fit one request and are equally specific, or one that no request
 // reaches, since shares of others add up to everything.
-func checkSameKey(account string, same []compiledRoute) error {
+func checkConflicts(account string, same []compiledRoute) error {
 	shares := 0
 	for i := range same {
 		a := same[i].Route
@@ -159,7 +159,7 @@
 	if r.hasShare() && sharesDisjoint(r, o) {
 		return false
 	}
-	return !r.hasWindow() || r.inWindow(int(o.WindowBegin)) || o.inWindow(int(r.WindowBegin))
+	return !r.hasWindow() || r.windowContains(int(o.WindowBegin)) || o.windowContains(int(r.WindowBegin))
 }
 
 func sharesDisjoint(a, b *Route) bool { return a.ShareTo <= b.ShareFrom || b.ShareTo <= a.ShareFrom }
@@ -167,7 +167,7 @@
 // firstMatch gives the most specific route whose conditions a key has and that accept takes; nil: none.
 func (x *routeIndex) firstMatch(k matchKey, accept func(*compiledRoute) bool) *compiledRoute {
 	for _, s := range x.conditionSets {
-		part, complete := s.project(k)
+		part, complete := s.requestPart(k)
 		if !complete {
 			continue
 		}
@@ -186,7 +186,7 @@
 
 // find gives the most specific route that fits; nil: none.
 func (x *routeIndex) find(k matchKey, share uint16, minute int) *compiledRoute {
-	return x.firstMatch(k, func(r *compiledRoute) bool { return r.fitsShareAndTime(share, minute) })
+	return x.firstMatch(k, func(r *compiledRoute) bool { return r.matchesShareAndTime(share, minute) })
 }
 
 // covering gives a route that fits whatever r fits; nil: no single route does.
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// judgeByScan finds the route by testing all of them: the index has to agree with it.
-func judgeByScan(d *Directory, c *Compiled, q Request) string {
+// evaluateByScan finds the route by testing all of them: the index has to agree with it.
+func evaluateByScan(d *Directory, c *Compiled, q Request) string {
 	a := c.accounts[c.AccountOfTenant(q.Tenant)]
 	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
 	mostSpecific := func(routes []Route) (name string) {
@@ -20,8 +20,8 @@
 			if len(r.unmetConditions(k, share, q.Minute)) > 0 {
 				continue
 			}
-			number := func(b bool) int { return map[bool]int{true: 1}[b] }
-			specificity := [6]int{1 + number(r.Group != ""), len(r.Prefix), number(r.Class != ""), number(r.Zone != ""), number(r.hasWindow()), number(r.hasShare())}
+			toInt := func(b bool) int { return map[bool]int{true: 1}[b] }
+			specificity := [6]int{1 + toInt(r.Group != ""), len(r.Prefix), toInt(r.Class != ""), toInt(r.Zone != ""), toInt(r.hasWindow()), toInt(r.hasShare())}
 			if slices.Compare(specificity[:], highest[:]) > 0 {
 				highest, name = specificity, r.Name
 			}
@@ -59,7 +59,7 @@
 	return ""
 }
 
-func drawNamespace(rt *rapid.T, account string) Namespace {
+func generateNamespace(rt *rapid.T, account string) Namespace {
 	s := Namespace{Account: account}
 	for i := range rapid.IntRange(0, 6).Draw(rt, "routes") {
 		oneOf := func(values ...string) string { return rapid.SampledFrom(values).Draw(rt, "x") }
@@ -76,7 +76,7 @@
 	return s
 }
 
-func drawRequest(rt *rapid.T) Request {
+func generateRequest(rt *rapid.T) Request {
 	oneOf := func(values ...string) string { return rapid.SampledFrom(values).Draw(rt, "q") }
 	return Request{Tenant: oneOf("t1", "t2", "t3", "no"), Class: oneOf("c", "d", "e"), Key: oneOf("", "a", "ab", "abc", "b", "bc", "z"), Group: oneOf("", "g", "h", "i"), Zone: oneOf("y", "z"),
 		Minute: rapid.IntRange(0, 1439).Draw(rt, "minute")}
@@ -88,7 +88,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		directory := &Directory{Accounts: customers.Accounts, Pools: customers.Pools}
 		for _, a := range []string{"", "acme", "acme/web", "other"} {
-			directory.Namespaces = append(directory.Namespaces, drawNamespace(rt, a))
+			directory.Namespaces = append(directory.Namespaces, generateNamespace(rt, a))
 		}
 		drawn++
 		c, err := Compile(directory)
@@ -98,12 +98,12 @@
 		valid++
 		other := *directory
 		other.Namespaces = slices.Clone(directory.Namespaces)
-		other.Namespaces[3] = drawNamespace(rt, "other")
+		other.Namespaces[3] = generateNamespace(rt, "other")
 		changed, err := Compile(&other)
 		for range 20 {
-			q := drawRequest(rt)
+			q := generateRequest(rt)
 			v := c.Evaluate(q)
-			if want := judgeByScan(directory, c, q); v.Route != want {
+			if want := evaluateByScan(directory, c, q); v.Route != want {
 				rt.Fatalf("%+v: route %q, expected %q", q, v.Route, want)
 			}
 			if !strings.Contains(c.Explain(q), v.Route) {
--- a/internal/fleet/namespace/namespace.go
+++ b/internal/fleet/namespace/namespace.go
@@ -14,12 +14,12 @@
 
 // Bounds of a directory.
 const (
-	MaxDepth         = 5  // levels of accounts
-	MaxPrefixBytes   = 16 // of a key, that a route may compare
-	MaxConditionSets = 16 // different sets of conditions in one list of routes: a decision looks up each
-	maxFallbacks     = 3  // pools of a route
-	maxNameBytes     = 64 // of a name; of an account's, for each part between slashes
-	maxAdviceMillis  = 60_000
+	MaxDepth            = 5  // levels of accounts
+	MaxPrefixBytes      = 16 // of a key, that a route may compare
+	MaxConditionSets    = 16 // different sets of conditions in one list of routes: a decision looks up each
+	maxFallbacks        = 3  // pools of a route
+	maxNameBytes        = 64 // of a name; of an account's, for each part between slashes
+	maxRetryAfterMillis = 60_000
 )
 
 // WholeShare is the share that is all traffic, in hundredths of a per cent.
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-func compiled(t testing.TB, b *Directory) *Compiled {
+func mustCompile(t testing.TB, b *Directory) *Compiled {
 	t.Helper()
 	c, err := Compile(b)
 	if err != nil {
@@ -30,8 +30,8 @@
 	},
 }
 
-func TestJudge(t *testing.T) {
-	c := compiled(t, customers)
+func TestEvaluate(t *testing.T) {
+	c := mustCompile(t, customers)
 	for _, x := range []struct {
 		q       Request
 		account string
@@ -75,10 +75,10 @@
 
 // A share is the same flows in every version, and about the stated part of them.
 func TestSharesAreStable(t *testing.T) {
-	c := compiled(t, customers)
+	c := mustCompile(t, customers)
 	more := *customers
 	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: MainPool, Prefix: "k"}}})
-	d := compiled(t, &more)
+	d := mustCompile(t, &more)
 	n := 0
 	for i := range 10_000 {
 		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
@@ -141,10 +141,10 @@
 }
 
 // A host and a tenant that are reassigned get no new requests while the directory has the previous assignment.
-func TestReassignedGetsNothing(t *testing.T) {
+func TestReassignedHostsAndTenantsGetNoRequests(t *testing.T) {
 	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
 		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
-	c := compiled(t, b)
+	c := mustCompile(t, b)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
 		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+func TestErrorsReportPosition(t *testing.T) {
 	_, err := settings.Schema{Section()}.Read("acme.sexp", []byte("(namespace\n  (account acme)\n  (route x (class c) (pool main))\n  (route y (class c) (pool main)))"))
 	if err == nil || !strings.Contains(err.Error(), "acme.sexp:4:3") || !strings.Contains(err.Error(), "the same requests as x") {
 		t.Fatalf("%v", err)
@@ -169,13 +169,13 @@
 	}
 }
 
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		directory := &Directory{Accounts: []Account{{Name: "big", Tenants: []string{"b"}}, {Name: "small", Tenants: []string{"s"}}}, Namespaces: []Namespace{{Account: "big"}, {Account: "small", Routes: customers.Namespaces[1].Routes[:0:0]}}}
 		for i := range n {
 			directory.Namespaces[0].Routes = append(directory.Namespaces[0].Routes, Route{Name: fmt.Sprint("r", i), Prefix: fmt.Sprintf("%08x", i), Class: []string{"", "c"}[i%2], Pool: MainPool})
 		}
-		c := compiled(b, directory)
+		c := mustCompile(b, directory)
 		for whose, tenant := range map[string]string{"own": "b", "beside": "s"} {
 			b.Run(fmt.Sprintf("%s/%d", whose, n), func(b *testing.B) {
 				b.ReportAllocs()
@@ -187,7 +187,7 @@
 		}
 		b.Run(fmt.Sprintf("compile/%d", n), func(b *testing.B) {
 			for range b.N {
-				compiled(b, directory)
+				mustCompile(b, directory)
 			}
 		})
 	}
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -28,8 +28,8 @@
 	RetryAfterMillis uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a rejected request in milliseconds; 0: none
 }
 
-// check says what is invalid in a route by itself; "": nothing.
-func (r *Route) check() string {
+// invalidReason says what is invalid in a route by itself; "": nothing.
+func (r *Route) invalidReason() string {
 	switch {
 	case !validName(r.Name):
 		return "no name of a route"
@@ -43,17 +43,17 @@
 		return "a time of day that is none, or all day"
 	case r.Refuse == (r.Pool != ""):
 		return "it has to name either a pool or refuse"
-	case r.RetryAfterMillis > maxAdviceMillis || r.RetryAfterMillis > 0 && !r.Refuse:
+	case r.RetryAfterMillis > maxRetryAfterMillis || r.RetryAfterMillis > 0 && !r.Refuse:
 		return "advice of over a minute, or for those who are not refused"
 	case len(r.Fallbacks) > maxFallbacks || len(r.Fallbacks) > 0 && r.Refuse:
 		return fmt.Sprintf("more than %d pools to fall to, or some for those who are refused", maxFallbacks)
-	case r.repeatsPool():
+	case r.hasDuplicatePool():
 		return "it falls to a pool in a circle"
 	}
 	return ""
 }
 
-func (r *Route) repeatsPool() bool {
+func (r *Route) hasDuplicatePool() bool {
 	all := append([]string{r.Pool}, r.Fallbacks...)
 	slices.Sort(all)
 	return len(slices.Compact(all)) < 1+len(r.Fallbacks)
@@ -62,14 +62,14 @@
 func (r *Route) hasShare() bool  { return r.ShareFrom != 0 || r.ShareTo != 0 }
 func (r *Route) hasWindow() bool { return r.WindowBegin != 0 || r.WindowEnd != 0 }
 
-// fitsShareAndTime tests the conditions that are not in the match key.
-func (r *Route) fitsShareAndTime(share uint16, minute int) bool {
-	return (!r.hasShare() || r.inShare(share)) && (!r.hasWindow() || r.inWindow(minute))
+// matchesShareAndTime tests the conditions that are not in the match key.
+func (r *Route) matchesShareAndTime(share uint16, minute int) bool {
+	return (!r.hasShare() || r.shareContains(share)) && (!r.hasWindow() || r.windowContains(minute))
 }
 
-func (r *Route) inShare(share uint16) bool { return share >= r.ShareFrom && share < r.ShareTo }
+func (r *Route) shareContains(share uint16) bool { return share >= r.ShareFrom && share < r.ShareTo }
 
-func (r *Route) inWindow(minute int) bool {
+func (r *Route) windowContains(minute int) bool {
 	if r.WindowBegin < r.WindowEnd {
 		return minute >= int(r.WindowBegin) && minute < int(r.WindowEnd)
 	}
@@ -86,8 +86,8 @@
 		{"key", !strings.HasPrefix(k.prefix, r.Prefix)},
 		{"class", r.Class != "" && r.Class != k.class},
 		{"zone", r.Zone != "" && r.Zone != k.zone},
-		{"share", r.hasShare() && !r.inShare(share)},
-		{"time of day", r.hasWindow() && !r.inWindow(minute)},
+		{"share", r.hasShare() && !r.shareContains(share)},
+		{"time of day", r.hasWindow() && !r.windowContains(minute)},
 	} {
 		if c.unmet {
 			names = append(names, c.name)
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -16,7 +16,7 @@
 func Section() settings.Section {
 	return settings.Section{Name: "namespace", Doc: "an account's routes", Bind: func(f *settings.Form) any {
 		s := &Namespace{}
-		f.Text("account", "whose namespace it is", "an account, acme or acme/web", &s.Account, notEmpty)
+		f.Text("account", "whose namespace it is", "an account, acme or acme/web", &s.Account, isNonEmpty)
 		BindRoutes(f, s)
 		if s.Account == "" && f.Present() {
 			f.Fault("account", "no account, expected (account NAME)")
@@ -29,13 +29,13 @@
 func AccountSection() settings.Section {
 	return settings.Section{Name: "account", Doc: "an account below one's own", Bind: func(f *settings.Form) any {
 		name := ""
-		f.Text("name", "of the account, with those above it: acme/web", "a name", &name, notEmpty)
+		f.Text("name", "of the account, with those above it: acme/web", "a name", &name, isNonEmpty)
 		a := bindAccount(name, f)
 		return &a
 	}}
 }
 
-func notEmpty(s string) bool { return s != "" }
+func isNonEmpty(s string) bool { return s != "" }
 
 // BindRoutes declares the three lists of routes of a namespace, and reports a fault at the route that has it.
 func BindRoutes(f *settings.Form, s *Namespace) {
@@ -55,34 +55,34 @@
 	}
 	var fault *ValidationError
 	if errors.As(CheckNamespace(s), &fault) {
-		at := forms[fault.Route]
-		if at == nil {
-			at = f
+		location := forms[fault.Route]
+		if location == nil {
+			location = f
 		}
-		at.Fault("", "%s", fault.Text)
+		location.Fault("", "%s", fault.Text)
 	}
 }
 
 func bindRoute(label string, f *settings.Form) Route {
 	r := Route{Name: label}
 	bindConditions(f, &r)
-	f.Text("pool", "where they go", "a pool", &r.Pool, notEmpty)
+	f.Text("pool", "where they go", "a pool", &r.Pool, isNonEmpty)
 	f.Text("else", "pools that they fall to, in order, where the one before has no host that may be used", "pools with spaces between", new(string), func(s string) bool {
 		r.Fallbacks = strings.Fields(s)
 		return len(r.Fallbacks) > 0 && len(r.Fallbacks) <= maxFallbacks
 	})
-	var advice time.Duration
+	var retryAfter time.Duration
 	f.Bool("refuse", "whether they are refused", &r.Refuse)
-	f.Duration("advice", "after which a refused client may come again", &advice, 0, time.Minute)
-	r.RetryAfterMillis = uint32(advice.Milliseconds())
+	f.Duration("advice", "after which a refused client may come again", &retryAfter, 0, time.Minute)
+	r.RetryAfterMillis = uint32(retryAfter.Milliseconds())
 	return r
 }
 
 func bindConditions(f *settings.Form, r *Route) {
-	f.Text("group", "of which group", "a name", &r.Group, notEmpty)
+	f.Text("group", "of which group", "a name", &r.Group, isNonEmpty)
 	f.Text("key", "of which flows: what their key begins with", "1 to 16 letters", &r.Prefix, func(s string) bool { return s != "" && len(s) <= MaxPrefixBytes })
-	f.Text("class", "of which class", "a name", &r.Class, notEmpty)
-	f.Text("zone", "at the proxies of which zone", "a name", &r.Zone, notEmpty)
+	f.Text("class", "of which class", "a name", &r.Class, isNonEmpty)
+	f.Text("zone", "at the proxies of which zone", "a name", &r.Zone, isNonEmpty)
 	from, to := 0.0, 0.0
 	f.Percent("share_from", "where a share of the flows begins, by a hash of their key", &from, 0, 1)
 	f.Percent("share", "where that share ends", &to, 0, 1)
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -61,7 +61,7 @@
 }
 
 func newTestFleet(n int, seed uint64, limits map[string]Limit) *testFleet {
-	f := &testFleet{now: 100 * sec, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
+	f := &testFleet{now: 100 * second, limits: limits, isolated: map[int]bool{}, rng: rand.New(rand.NewPCG(seed, 1)), acquiredAt: map[string][]Time{}, open: map[string]int{}}
 	for i := range n {
 		f.clients = append(f.clients, &Client{
 			Now:             func() Time { return f.now },
@@ -111,9 +111,9 @@
 // lifetime.
 func (f *testFleet) run(d Time, account string, demand func(proxy int) float64, lifetime Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
-		due := f.inFlight
+		deliveries := f.inFlight
 		f.inFlight = nil
-		for _, deliver := range due {
+		for _, deliver := range deliveries {
 			deliver()
 		}
 		for i, p := range f.clients {
@@ -155,10 +155,10 @@
 func (f *testFleet) acquire(proxy int, account string, lifetime Time) {
 	requestedAt := f.now
 	f.waiting++
-	f.clients[proxy].Acquire(account, 0.5, func(over string, _ time.Duration) {
+	f.clients[proxy].Acquire(account, 0.5, func(exceeded string, _ time.Duration) {
 		f.waiting--
 		f.longestWait = max(f.longestWait, f.now-requestedAt)
-		if over != "" {
+		if exceeded != "" {
 			f.rejected++
 			return
 		}
@@ -173,7 +173,7 @@
 // maxPerSecond is the most connections that were acquired within any second.
 func maxPerSecond(at []Time) (n int) {
 	for i, j := 0, 0; i < len(at); i++ {
-		for at[i]-at[j] >= sec {
+		for at[i]-at[j] >= second {
 			j++
 		}
 		n = max(n, i-j+1)
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	silentAfterLifetimes    = 2                         // grant lifetimes after its last query from which a proxy's share is reserved for it
-	forgottenAfterLifetimes = 4                         // grant lifetimes after which a proxy that has left the fleet has surely ended
-	maxIdleAccounts         = 4 * maxAccountsPerMessage // accounts kept before those without limits are dropped
+	silentAfterGrantLifetimes    = 2                         // grant lifetimes after its last query from which a proxy's share is reserved for it
+	forgottenAfterGrantLifetimes = 4                         // grant lifetimes after which a proxy that has left the fleet has surely ended
+	maxIdleAccounts              = 4 * maxAccountsPerMessage // accounts kept before those without limits are dropped
 )
 
 // Issuer is the owner's part of one shard. Its grants are in memory alone: its successor waits until all of them have lapsed.
@@ -18,9 +18,9 @@
 	Limits        Limits
 
 	owner            jobs.Owner // nil: this process does not own the job
-	grantsFrom       Time       // until then grants of an earlier issuer may be valid, and nothing is granted
+	firstGrantAt     Time       // until then grants of an earlier issuer may be valid, and nothing is granted
 	checkpointNumber uint64
-	lastRequestAt    map[uint32]Time // by proxy
+	lastQueryAt      map[uint32]Time // by proxy
 	accounts         map[string]*issuedAccount
 }
 
@@ -35,8 +35,8 @@
 // connectionGrant is how many connections a proxy may have open until the grant lapses. Earlier grants count until they lapse: the reply with a
 // newer, smaller one may be lost.
 type connectionGrant struct {
-	maxOpen int
-	until   Time
+	maxOpen  int
+	lapsesAt Time
 }
 
 // maxOpenAt is the most that a proxy may have open now, by any grant that is valid. The last grant counts even after it has lapsed: connections that
@@ -47,20 +47,20 @@
 		return 0
 	}
 	last := len(all) - 1
-	most, valid := all[last].maxOpen, all[:0]
+	maximum, valid := all[last].maxOpen, all[:0]
 	for i, g := range all {
-		if i == last || now < g.until {
-			valid, most = append(valid, g), max(most, g.maxOpen)
+		if i == last || now < g.lapsesAt {
+			valid, maximum = append(valid, g), max(maximum, g.maxOpen)
 		}
 	}
 	a.connections[proxy] = valid
-	return most
+	return maximum
 }
 
 // Start begins an issuer that grants nothing until its predecessor's grants have lapsed.
 func (s *Issuer) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
-	s.owner, s.checkpointNumber, s.grantsFrom = o, checkpointNumber, now+silentAfterLifetimes*s.GrantLifetime
-	s.lastRequestAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
+	s.owner, s.checkpointNumber, s.firstGrantAt = o, checkpointNumber, now+silentAfterGrantLifetimes*s.GrantLifetime
+	s.lastQueryAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
 
@@ -71,14 +71,14 @@
 	return s.checkpointNumber, nil
 }
 
-func (s *Issuer) account(now Time, name string) *issuedAccount {
+func (s *Issuer) issuedAccountFor(now Time, name string) *issuedAccount {
 	if a := s.accounts[name]; a != nil {
 		return a
 	}
 	if len(s.accounts) >= maxIdleAccounts {
 		s.forgetUnlimited()
 	}
-	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.grantsFrom)}, connections: map[uint32][]connectionGrant{}}
+	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.firstGrantAt)}, connections: map[uint32][]connectionGrant{}}
 	s.accounts[name] = a
 	return a
 }
@@ -91,19 +91,19 @@
 	}
 }
 
-// unassigned is how many more connections may be granted. A proxy that never queried has its share reserved; one that has fallen silent its last grant
+// availableConnections is how many more connections may be granted. A proxy that never queried has its share reserved; one that has fallen silent its last grant
 // or its share, whichever is more, since it uses its share from then on.
-func (s *Issuer) unassigned(now Time, a *issuedAccount, limit int) int {
+func (s *Issuer) availableConnections(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
-	unassigned := limit - max(0, s.FleetSize-len(s.lastRequestAt))*share
-	for proxy, at := range s.lastRequestAt {
+	available := limit - max(0, s.FleetSize-len(s.lastQueryAt))*share
+	for proxy, at := range s.lastQueryAt {
 		n := a.maxOpenAt(now, proxy)
-		if now-at >= silentAfterLifetimes*s.GrantLifetime {
+		if now-at >= silentAfterGrantLifetimes*s.GrantLifetime {
 			n = max(n, share)
 		}
-		unassigned -= n
+		available -= n
 	}
-	return unassigned
+	return available
 }
 
 // QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided by itself: a parent's limit holds since a
@@ -113,24 +113,24 @@
 	if s.owner == nil || err != nil {
 		return
 	}
-	s.lastRequestAt[from] = now
+	s.lastQueryAt[from] = now
 	grants := make([]grant, 0, len(demands))
 	for _, d := range demands {
-		grants = append(grants, s.grant(now, from, d))
+		grants = append(grants, s.grantDemand(now, from, d))
 	}
 	s.owner.Reply(from, tag, encodeGrants(grants))
 }
 
-func (s *Issuer) grant(now Time, from uint32, d demand) grant {
-	limit, a := s.Limits(d.account), s.account(now, d.account)
+func (s *Issuer) grantDemand(now Time, from uint32, d demand) grant {
+	limit, a := s.Limits(d.account), s.issuedAccountFor(now, d.account)
 	g := grant{account: d.account, maxOpen: d.open}
-	if now >= s.grantsFrom {
+	if now >= s.firstGrantAt {
 		if limit.Rate > 0 {
-			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastRequestAt, silentAfterLifetimes*s.GrantLifetime))
+			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastQueryAt, silentAfterGrantLifetimes*s.GrantLifetime))
 			g.permits = a.permits.Take(d.permits)
 		}
 		if limit.Connections > 0 {
-			capacity := s.unassigned(now, a, limit.Connections) + a.maxOpenAt(now, from) // what it was granted before is its own already
+			capacity := s.availableConnections(now, a, limit.Connections) + a.maxOpenAt(now, from) // what it was granted before is its own already
 			g.maxOpen = grantedConnections(d, capacity, limit.Connections)
 		}
 	}
@@ -157,9 +157,9 @@
 	for _, m := range s.owner.Members() {
 		present[m.Peer] = true
 	}
-	for proxy, at := range s.lastRequestAt {
-		if !present[proxy] && now-at > forgottenAfterLifetimes*s.GrantLifetime {
-			delete(s.lastRequestAt, proxy)
+	for proxy, at := range s.lastQueryAt {
+		if !present[proxy] && now-at > forgottenAfterGrantLifetimes*s.GrantLifetime {
+			delete(s.lastQueryAt, proxy)
 			for _, a := range s.accounts {
 				delete(a.connections, proxy)
 			}
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -22,26 +22,26 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now, s := c.Now(), &c.shards[shard]
-	if urgent && now < s.urgentQueryFrom {
+	if urgent && now < s.nextUrgentQueryAt {
 		return 0, nil
 	}
 	accounts := c.LimitedAccounts()
-	c.forgetLapsedQueries(now)
+	c.dropLapsedQueries(now)
 	c.forgetUnlimited(accounts)
 	for _, a := range accounts {
 		if Shard(a) == shard && len(demands) < maxAccountsPerMessage {
-			demands = append(demands, c.account(a).demand(now, c.GrantLifetime, a, c.Limits(a)))
+			demands = append(demands, c.usageOf(a).demand(now, c.GrantLifetime, a, c.Limits(a)))
 		}
 	}
 	if len(demands) == 0 {
 		return 0, nil
 	}
 	c.lastTag++
-	c.sentAt[c.lastTag], s.urgentQueryFrom = now, now+urgentQueryInterval
+	c.sentAt[c.lastTag], s.nextUrgentQueryAt = now, now+urgentQueryInterval
 	return c.lastTag, demands
 }
 
-func (c *Client) forgetLapsedQueries(now Time) {
+func (c *Client) dropLapsedQueries(now Time) {
 	if c.sentAt == nil {
 		c.sentAt = map[uint64]Time{}
 	}
@@ -79,7 +79,7 @@
 	delete(c.sentAt, tag)
 	for _, g := range grants {
 		s := &c.shards[Shard(g.account)]
-		s.grantsUntil = max(s.grantsUntil, until)
-		c.account(g.account).receive(g, until)
+		s.grantsLapseAt = max(s.grantsLapseAt, until)
+		c.usageOf(g.account).addGrant(g, until)
 	}
 }
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -18,7 +18,7 @@
 // Time is nanoseconds on the caller's monotonic clock.
 type Time = int64
 
-const sec = Time(time.Second)
+const second = Time(time.Second)
 
 // Shards is how many jobs the accounts are spread over: an account and all below it belong to one shard.
 const Shards = 4
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -7,64 +7,64 @@
 	"pgregory.net/rapid"
 )
 
-func TestDemandIsFollowed(t *testing.T) {
+func TestGrantsFollowDemand(t *testing.T) {
 	f := newTestFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
 	skewed := func(i int) float64 { return []float64{2, 0.02, 0, 0, 0}[i] }
-	f.run(5*sec, "a", skewed, 100*ms)
+	f.run(5*second, "a", skewed, 100*ms)
 	f.acquiredAt = map[string][]Time{}
-	f.run(10*sec, "a", skewed, 100*ms)
+	f.run(10*second, "a", skewed, 100*ms)
 	n := len(f.acquiredAt["a"])
 	t.Logf("%d of 400 connections acquired, nearly all at one of five proxies; %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
 	if n < 360 || maxPerSecond(f.acquiredAt["a"]) > 52 {
 		t.Errorf("%d of 400 connections acquired, %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
 	}
-	if f.longestWait > maxWait+20*ms || f.waiting > 20 {
+	if f.longestWait > maxGrantWait+20*ms || f.waiting > 20 {
 		t.Errorf("a request waited for %d ms; %d are still waiting", f.longestWait/ms, f.waiting)
 	}
 	even := func(i int) float64 { return []float64{2, 0.02, 0.02, 0.02, 0.02}[i] }
-	f.run(3*sec, "a", even, 100*ms)
+	f.run(3*second, "a", even, 100*ms)
 	f.acquiredAt = map[string][]Time{}
-	f.run(10*sec, "a", even, 100*ms)
+	f.run(10*second, "a", even, 100*ms)
 	if n := len(f.acquiredAt["a"]); n < 360 {
 		t.Errorf("%d of 400 connections acquired with demand at all proxies", n)
 	}
 }
 
-func TestWithoutAnIssuerEachUsesItsShare(t *testing.T) {
+func TestProxyUsesFairShareWithoutIssuer(t *testing.T) {
 	f := newTestFleet(5, 2, map[string]Limit{"a": {Rate: 50, Connections: 100}})
 	all := func(int) float64 { return 1 }
-	f.run(5*sec, "a", all, sec)
+	f.run(5*second, "a", all, second)
 	f.noIssuer = true
-	f.run(3*sec, "a", all, sec)
+	f.run(3*second, "a", all, second)
 	f.acquiredAt = map[string][]Time{}
-	f.run(10*sec, "a", all, sec)
+	f.run(10*second, "a", all, second)
 	if n := len(f.acquiredAt["a"]); n < 450 || n > 510 {
 		t.Errorf("%d connections acquired in 10 s without an issuer, the shares are 500", n)
 	}
 	f.noIssuer = false
 	f.restartIssuers()
-	f.run(10*sec, "a", all, sec)
+	f.run(10*second, "a", all, second)
 	if n := maxPerSecond(f.acquiredAt["a"]); n > 50+13+50/5 {
 		t.Errorf("%d connections acquired in a second over the change of issuers", n)
 	}
 }
 
 // A parent's limit bounds its children together, also after it is halved in the middle of a burst.
-func TestParentsLimitHolds(t *testing.T) {
+func TestParentLimitBoundsChildren(t *testing.T) {
 	f := newTestFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
 	for range 20 {
-		f.run(200*ms, "p/x", func(int) float64 { return 0.5 }, 2*sec)
-		f.run(200*ms, "p/y", func(int) float64 { return 0.5 }, 2*sec)
+		f.run(200*ms, "p/x", func(int) float64 { return 0.5 }, 2*second)
+		f.run(200*ms, "p/y", func(int) float64 { return 0.5 }, 2*second)
 	}
 	if n := maxPerSecond(f.acquiredAt["p"]); n > 40+10+8 || f.open["p"] > 60 {
 		t.Errorf("%d connections acquired in a second, %d open", n, f.open["p"])
 	}
 	f.limits["p"] = Limit{Rate: 20, Connections: 30}
-	f.run(2*sec, "p/x", func(int) float64 { return 0.5 }, 2*sec) // grants lapse, and open connections end
+	f.run(2*second, "p/x", func(int) float64 { return 0.5 }, 2*second) // grants lapse, and open connections end
 	f.acquiredAt = map[string][]Time{}
 	timesOver := 0
 	for range 40 {
-		f.run(100*ms, "p/x", func(int) float64 { return 0.5 }, 2*sec)
+		f.run(100*ms, "p/x", func(int) float64 { return 0.5 }, 2*second)
 		if f.now > 0 && f.open["p"] > 30 {
 			timesOver++
 		}
@@ -76,7 +76,7 @@
 
 // Drawn sequences of cuts, lost messages and new issuers: in no second are more connections acquired than the limit, the bucket's burst, the grants
 // of one lifetime and a share's permit at each proxy add up to; and never are more open than the limit while the issuers stay.
-func TestTheSumIsBounded(t *testing.T) {
+func TestFleetStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, connections, n = 40, 50, 5
 		f := newTestFleet(n, rapid.Uint64().Draw(rt, "seed"), map[string]Limit{"a": {Rate: rate, Connections: connections}})
@@ -130,9 +130,9 @@
 	acquireAll := func() (n int) {
 		for {
 			p.mutex.Lock()
-			over, _ := p.tryAcquire(now, "a", 0)
+			exceeded, _ := p.tryAcquire(now, "a", 0)
 			p.mutex.Unlock()
-			if over != "" {
+			if exceeded != "" {
 				return n
 			}
 			n++
@@ -156,7 +156,7 @@
 	}
 }
 
-func FuzzAsked(f *testing.F) {
+func FuzzMessages(f *testing.F) {
 	f.Add(encodeDemands([]demand{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		x := newTestFleet(2, 1, map[string]Limit{"a": {Rate: 5, Connections: 5}})
@@ -165,15 +165,15 @@
 		x.clients[0].Acquire("a", 0, func(string, time.Duration) {})
 		x.clients[0].Step()
 		x.clients[0].ReplyReceived(1, data)
-		x.clients[0].Acquire("nobody's", 0, func(over string, _ time.Duration) {
-			if over != "" {
-				t.Fatalf("an account without limits is over its %s", over)
+		x.clients[0].Acquire("nobody's", 0, func(exceeded string, _ time.Duration) {
+			if exceeded != "" {
+				t.Fatalf("an account without limits is over its %s", exceeded)
 			}
 		})
 	})
 }
 
-func TestGrantedPlaces(t *testing.T) {
+func TestGrantedConnections(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		open, demanded  uint64
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -15,15 +15,15 @@
 // permitBatch is the permits of one grant. Each lapses by itself: if a later grant prolonged it, unused permits would add up to more than the
 // account's rate.
 type permitBatch struct {
-	count int
-	until Time
+	count    int
+	lapsesAt Time
 }
 
 // validPermits drops batches that are empty or have lapsed, and counts the permits of the others.
 func (u *accountUsage) validPermits(now Time) (n int) {
 	valid := u.permits[:0]
 	for _, b := range u.permits {
-		if now < b.until && b.count > 0 {
+		if now < b.lapsesAt && b.count > 0 {
 			valid, n = append(valid, b), n+b.count
 		}
 	}
@@ -54,8 +54,8 @@
 	return d
 }
 
-// receive takes a grant. One that a newer grant has overtaken does not change the number of open connections.
-func (u *accountUsage) receive(g grant, until Time) {
+// addGrant takes a grant. One that a newer grant has overtaken does not change the number of open connections.
+func (u *accountUsage) addGrant(g grant, until Time) {
 	if g.permits > 0 {
 		u.permits = append(u.permits, permitBatch{int(g.permits), until})
 	}
@@ -71,7 +71,7 @@
 }
 
 func (b *shareBucket) fill(now, from Time, perSecond float64) {
-	b.tokens = min(1, b.tokens+perSecond*float64(now-max(b.filledAt, from))/float64(sec))
+	b.tokens = min(1, b.tokens+perSecond*float64(now-max(b.filledAt, from))/float64(second))
 	b.filledAt = now
 }
 
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -45,20 +45,20 @@
 
 // encode writes watermarks into as few datagrams of at most maxBytes as they need. One that fits in none is left out.
 func (g gossip) encode(source uint32, maxBytes int) (datagrams [][]byte) {
-	head := newWriter(kindGossip, source).Data
-	data := head
+	header := newWriter(kindGossip, source).Data
+	data := header
 	for _, w := range g.watermarks {
 		entry := encodeWatermark(w)
-		if len(w.Host) > maxHostBytes || len(head)+len(entry) > maxBytes {
+		if len(w.Host) > maxHostBytes || len(header)+len(entry) > maxBytes {
 			continue
 		}
 		if len(data)+len(entry) > maxBytes {
 			datagrams = append(datagrams, data)
-			data = head
+			data = header
 		}
 		data = append(data[:len(data):len(data)], entry...)
 	}
-	if len(data) > len(head) {
+	if len(data) > len(header) {
 		datagrams = append(datagrams, data)
 	}
 	return datagrams
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -32,7 +32,7 @@
 	minQueryInterval       = time.Second
 	queryIntervalPerMember = 20 * time.Millisecond
 	updateInterval         = minQueryInterval / 4
-	forwardTo              = 3  // others to which a member forwards a watermark that is new to it
+	forwardCount           = 3  // others to which a member forwards a watermark that is new to it
 	maxDatagrams           = 16 // to a member at a time
 	maxRefetchBackoff      = 30 * time.Second
 )
@@ -173,7 +173,7 @@
 	if len(fresh) == 0 || len(others) == 0 {
 		return
 	}
-	for range forwardTo {
+	for range forwardCount {
 		l.send(fresh, others[l.Rand.IntN(len(others))])
 	}
 }
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -84,7 +84,7 @@
 }
 
 func newTestFleet(n int, seed uint64) *testFleet {
-	f := &testFleet{now: 100 * sec, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
+	f := &testFleet{now: 100 * second, rng: rand.New(rand.NewPCG(seed, 2)), refetches: make([]int, n)}
 	for i := range n {
 		f.transports = append(f.transports, &faultyTransport{fleet: f, member: i})
 		f.links = append(f.links, &Link{
@@ -104,8 +104,8 @@
 	return f
 }
 
-// countOut is how many members place nothing new at a host.
-func (f *testFleet) countOut(host string) (n int) {
+// countBlocking is how many members place nothing new at a host.
+func (f *testFleet) countBlocking(host string) (n int) {
 	for _, l := range f.links {
 		if l.Blocks(host, 1) {
 			n++
@@ -121,43 +121,43 @@
 		f := newTestFleet(n, uint64(n))
 		f.loss = 0.33
 		f.transports[n-1].isolated = true
-		f.run(2 * sec)
+		f.run(2 * second)
 		f.links[0].ReceiveList(6, false, []ListedHost{{"a", 1, Draining}})
 		f.run(200 * 1e6)
-		soon := f.countOut("a")
+		soon := f.countBlocking("a")
 		if soon < (n-2)*9/10 || soon > n-2 {
 			t.Errorf("%d members: %d know within 200 ms, with a third of all datagrams lost", n, soon)
 		}
-		f.run(25 * sec) // some rounds of queries
-		if got := f.countOut("a"); got < (n-2)*99/100 {
+		f.run(25 * second) // some rounds of queries
+		if got := f.countBlocking("a"); got < (n-2)*99/100 {
 			t.Errorf("%d members: %d know in the end", n, got)
 		}
-		t.Logf("%d members, a third of all datagrams lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, f.countOut("a"), n-2, f.sent)
+		t.Logf("%d members, a third of all datagrams lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, f.countBlocking("a"), n-2, f.sent)
 		f.transports[n-1].isolated, f.loss = false, 0
 		f.links[0].ReceiveList(7, false, []ListedHost{{"b", 1, Gone}})
 		f.run(200 * 1e6)
-		if got := f.countOut("b"); got != n-1 {
+		if got := f.countBlocking("b"); got != n-1 {
 			t.Errorf("%d members: %d know of b", n, got)
 		}
 	}
 }
 
 // All members have the same change from discovery within 20 ms, as is usual: one or a few gossip it, and the others need not.
-func TestFewGossipWhatAllHear(t *testing.T) {
+func TestGossipIsNotDuplicated(t *testing.T) {
 	const n = 300
 	f := newTestFleet(n, 9)
-	f.run(2 * sec)
+	f.run(2 * second)
 	before := f.sent
 	for _, l := range f.links {
 		f.After(time.Duration(f.rng.IntN(20))*time.Millisecond, func() { l.ReceiveList(6, false, []ListedHost{{"a", 1, Draining}}) })
 	}
-	f.run(sec / 2)
+	f.run(second / 2)
 	if sent := f.sent - before; sent > n*n/3 {
 		t.Errorf("%d datagrams, expected %d at most", sent, n*n/3)
 	} else {
 		t.Logf("%d datagrams; if all gossiped, %d", sent, n*(n-1))
 	}
-	if f.countOut("a") > 0 {
+	if f.countBlocking("a") > 0 {
 		t.Error("a host is out by a watermark that is no newer than the own list")
 	}
 }
@@ -166,21 +166,21 @@
 func TestListThatIsBehindIsRefetched(t *testing.T) {
 	f := newTestFleet(3, 5)
 	f.links[0].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
-	f.run(60 * sec)
+	f.run(60 * second)
 	if f.refetches[0] > 0 || f.refetches[1] < 3 || f.refetches[1] > 6 {
 		t.Errorf("refetches by member: %v", f.refetches)
 	}
 	f.links[1].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
 	f.links[2].ReceiveList(6, true, []ListedHost{{"b", 1, Up}})
 	before := fmt.Sprint(f.refetches)
-	f.run(60 * sec)
-	if got := fmt.Sprint(f.refetches); got != before || f.countOut("a") > 0 {
-		t.Errorf("refetches by member: %s, %s before; %d members have host a out", got, before, f.countOut("a"))
+	f.run(60 * second)
+	if got := fmt.Sprint(f.refetches); got != before || f.countBlocking("a") > 0 {
+		t.Errorf("refetches by member: %s, %s before; %d members have host a out", got, before, f.countBlocking("a"))
 	}
 }
 
 // An agent that pushes an old list after an outage does not revoke what the newer one said; revisions of another source have no effect.
-func TestOldListRevokesNothing(t *testing.T) {
+func TestOlderListDoesNotRevoke(t *testing.T) {
 	f := newTestFleet(2, 6)
 	f.transports[0].isolated = true
 	f.links[0].ReceiveList(8, false, []ListedHost{{"a", 1, Draining}})
@@ -199,7 +199,7 @@
 	source := uint32(2)
 	f.links[1].Source = func() uint32 { return source }
 	f.links[1].ReceiveList(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
-	f.run(5 * sec)
+	f.run(5 * second)
 	if f.links[1].Blocks("b", 1) {
 		t.Error("revisions of two sources were compared")
 	}
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -24,8 +24,8 @@
 // receivedWatermark is a watermark from another proxy.
 type receivedWatermark struct {
 	Watermark
-	until Time // when it expires
-	since Time // when the first was received of those that have kept the host out without a gap
+	expiresAt    Time // when it expires
+	blockedSince Time // when the first was received of those that have kept the host out without a gap
 }
 
 // Registry is what one proxy knows: its own list, and what others' newer ones say. A host is out here only by a watermark whose revision is newer
@@ -62,12 +62,12 @@
 	}
 	firstOrOlder := r.revision < 0 || revision < r.revision
 	if revision < r.revision {
-		changed = r.supersedeList(now, revision)
+		changed = r.keepNewerEntries(now, revision)
 	}
 	for _, h := range hosts {
 		fresh = r.updateHost(now, revision, h, fresh)
 	}
-	fresh = r.updateUnnamed(now, revision, complete, hosts, fresh)
+	fresh = r.updateUnlisted(now, revision, complete, hosts, fresh)
 	r.revision = revision
 	changed = append(changed, r.dropOutdated()...)
 	slices.Sort(changed)
@@ -77,9 +77,9 @@
 	return fresh, changed
 }
 
-// supersedeList drops the own list for a complete one that is older, as an agent may push after an outage. What the newer one has said of hosts
+// keepNewerEntries drops the own list for a complete one that is older, as an agent may push after an outage. What the newer one has said of hosts
 // that drain or are gone is not revoked: it holds as another proxy's watermarks do.
-func (r *Registry) supersedeList(now Time, revision int64) (changed []string) {
+func (r *Registry) keepNewerEntries(now Time, revision int64) (changed []string) {
 	for host, o := range r.own {
 		w, known := r.received[host]
 		if o.state != Up && o.revision > revision && !(known && w.Revision >= o.revision) {
@@ -91,8 +91,8 @@
 	return changed
 }
 
-// updateUnnamed marks hosts gone that a complete list does not name, and forgets those that have been gone for goneRetention.
-func (r *Registry) updateUnnamed(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
+// updateUnlisted marks hosts gone that a complete list does not name, and forgets those that have been gone for goneRetention.
+func (r *Registry) updateUnlisted(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
 	named := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
 		named[h.Host] = true
@@ -149,38 +149,38 @@
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
-	old, had := r.received[w.Host]
-	had = had && now < old.until
+	old, valid := r.received[w.Host]
+	valid = valid && now < old.expiresAt
 	switch {
-	case had && old.Revision > w.Revision:
+	case valid && old.Revision > w.Revision:
 		return false
-	case had && old.Revision == w.Revision && old.StartedAt == w.StartedAt:
-		old.until = max(old.until, until)
+	case valid && old.Revision == w.Revision && old.StartedAt == w.StartedAt:
+		old.expiresAt = max(old.expiresAt, until)
 		r.received[w.Host] = old
 		return false
-	case !had && len(r.received) >= maxWatermarks:
+	case !valid && len(r.received) >= maxWatermarks:
 		return false
 	}
 	next := receivedWatermark{w, until, now}
-	if had {
-		next.since = old.since
+	if valid {
+		next.blockedSince = old.blockedSince
 	}
-	wasOut := r.Blocks(now, w.Host, r.own[w.Host].startedAt)
+	wasBlocked := r.Blocks(now, w.Host, r.own[w.Host].startedAt)
 	r.received[w.Host] = next
-	return r.Blocks(now, w.Host, r.own[w.Host].startedAt) != wasOut
+	return r.Blocks(now, w.Host, r.own[w.Host].startedAt) != wasBlocked
 }
 
 // Blocks reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has restarted since
 // is not meant.
 func (r *Registry) Blocks(now Time, host string, startedAt int64) bool {
 	w, received := r.received[host]
-	return received && now < w.until && w.Revision > r.revision && startedAt <= w.StartedAt
+	return received && now < w.expiresAt && w.Revision > r.revision && startedAt <= w.StartedAt
 }
 
 // Expire drops watermarks whose time has passed, and names their hosts.
 func (r *Registry) Expire(now Time) (changed []string) {
 	for host, w := range r.received {
-		if now >= w.until {
+		if now >= w.expiresAt {
 			delete(r.received, host)
 			changed = append(changed, host)
 		}
@@ -193,8 +193,8 @@
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
 		o, listed := r.own[host]
-		if listed && o.state == Up && r.Blocks(now, host, o.startedAt) && (since == 0 || w.since < since) {
-			since = w.since
+		if listed && o.state == Up && r.Blocks(now, host, o.startedAt) && (since == 0 || w.blockedSince < since) {
+			since = w.blockedSince
 		}
 	}
 	return since
@@ -210,9 +210,9 @@
 		}
 	}
 	for _, received := range r.received {
-		if received.Revision > revision && now < received.until {
+		if received.Revision > revision && now < received.expiresAt {
 			w := received.Watermark
-			w.ValidFor = received.until - now
+			w.ValidFor = received.expiresAt - now
 			all = append(all, w)
 		}
 	}
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -8,29 +8,29 @@
 	"pgregory.net/rapid"
 )
 
-const sec = Time(1e9)
+const second = Time(1e9)
 
 func contains(all []string, id string) bool { return slices.Contains(all, id) }
 
-func TestNewerListTakesAHostOut(t *testing.T) {
+func TestNewerListBlocksHost(t *testing.T) {
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
-	if c := r.Merge(sec, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Blocks(sec, "a", 100) {
+	if c := r.Merge(second, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Blocks(second, "a", 100) {
 		t.Error("a watermark of a list that is no newer takes a host out")
 	}
-	if c := r.Merge(sec, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Blocks(sec, "a", 100) || r.Blocks(sec, "b", 100) {
+	if c := r.Merge(second, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Blocks(second, "a", 100) || r.Blocks(second, "b", 100) {
 		t.Error("a watermark of a newer list does not take out its host alone:", c)
 	}
-	if r.Blocks(sec, "a", 101) {
+	if r.Blocks(second, "a", 101) {
 		t.Error("a host that has started since is out")
 	}
-	if r.BehindSince(3*sec) != sec {
-		t.Errorf("behind since %d, expected %d", r.BehindSince(3*sec), sec)
+	if r.BehindSince(3*second) != second {
+		t.Errorf("behind since %d, expected %d", r.BehindSince(3*second), second)
 	}
-	if _, c := r.UpdateList(4*sec, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Blocks(4*sec, "a", 100) {
+	if _, c := r.UpdateList(4*second, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Blocks(4*second, "a", 100) {
 		t.Error("an own list that is still older revokes a watermark")
 	}
-	if _, c := r.UpdateList(5*sec, 7, false, nil); !contains(c, "a") || r.Blocks(5*sec, "a", 100) || r.BehindSince(5*sec) != 0 {
+	if _, c := r.UpdateList(5*second, 7, false, nil); !contains(c, "a") || r.Blocks(5*second, "a", 100) || r.BehindSince(5*second) != 0 {
 		t.Error("an own list that is as new does not revoke a watermark")
 	}
 }
@@ -38,15 +38,15 @@
 func TestWatermarkExpires(t *testing.T) {
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
-	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * sec}})
-	if c := r.Expire(9 * sec); len(c) > 0 || !r.Blocks(9*sec, "a", 100) {
+	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * second}})
+	if c := r.Expire(9 * second); len(c) > 0 || !r.Blocks(9*second, "a", 100) {
 		t.Error("it has expired too early")
 	}
 	// Passed to another proxy and back it has less time left, and is not prolonged.
 	other := NewRegistry()
-	other.Merge(4*sec, r.NewerThan(4*sec, 0))
-	r.Merge(8*sec, other.NewerThan(8*sec, 0))
-	if c := r.Expire(10 * sec); !contains(c, "a") || r.Blocks(10*sec, "a", 100) {
+	other.Merge(4*second, r.NewerThan(4*second, 0))
+	r.Merge(8*second, other.NewerThan(8*second, 0))
+	if c := r.Expire(10 * second); !contains(c, "a") || r.Blocks(10*second, "a", 100) {
 		t.Error("it has not expired")
 	}
 }
@@ -57,24 +57,24 @@
 	if fresh, _ := r.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(fresh) > 0 {
 		t.Error("a first list is gossiped:", fresh)
 	}
-	fresh, _ := r.UpdateList(sec, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
+	fresh, _ := r.UpdateList(second, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
 	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(fresh, want) {
 		t.Errorf("fresh watermarks are %v, expected %v", fresh, want)
 	}
-	if got, want := r.NewerThan(sec, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
+	if got, want := r.NewerThan(second, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
 		t.Errorf("watermarks are %v, expected %v", got, want)
 	}
-	r.UpdateList(2*sec, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
-	if got := r.NewerThan(2*sec, 0); len(got) > 0 {
+	r.UpdateList(2*second, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
+	if got := r.NewerThan(2*second, 0); len(got) > 0 {
 		t.Error("hosts that are back have watermarks:", got)
 	}
-	if fresh, _ := r.UpdateList(3*sec, 2, false, []ListedHost{{"a", 1, Draining}}); len(fresh) > 0 || len(r.NewerThan(3*sec, 0)) > 0 {
+	if fresh, _ := r.UpdateList(3*second, 2, false, []ListedHost{{"a", 1, Draining}}); len(fresh) > 0 || len(r.NewerThan(3*second, 0)) > 0 {
 		t.Error("a change of an older list has an effect")
 	}
 }
 
-// statement is that a list has a host out.
-type statement struct {
+// blockedEntry is that a list has a host out.
+type blockedEntry struct {
 	host      string
 	startedAt int64
 	revision  int64
@@ -82,17 +82,17 @@
 
 // gossipModel is three registries that get discovery's list, and one another's watermarks, at drawn times.
 type gossipModel struct {
-	now        Time
-	revision   int64 // of discovery's list
-	hosts      map[string]ListedHost
-	registries []*Registry
-	lastStated map[statement]Time // when a registry's list last had a host out
+	now         Time
+	revision    int64 // of discovery's list
+	hosts       map[string]ListedHost
+	registries  []*Registry
+	lastBlocked map[blockedEntry]Time // when a registry's list last had a host out
 }
 
 var modelHosts = []string{"a", "b", "c"}
 
 func newGossipModel() *gossipModel {
-	m := &gossipModel{revision: 1, hosts: map[string]ListedHost{}, registries: []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}, lastStated: map[statement]Time{}}
+	m := &gossipModel{revision: 1, hosts: map[string]ListedHost{}, registries: []*Registry{NewRegistry(), NewRegistry(), NewRegistry()}, lastBlocked: map[blockedEntry]Time{}}
 	for _, host := range modelHosts {
 		m.hosts[host] = ListedHost{host, 1, Up}
 	}
@@ -138,7 +138,7 @@
 	for _, r := range m.registries {
 		for host, o := range r.own {
 			if o.state != Up {
-				m.lastStated[statement{host, o.startedAt, o.revision}] = m.now // the registry may gossip it until its list changes
+				m.lastBlocked[blockedEntry{host, o.startedAt, o.revision}] = m.now // the registry may gossip it until its list changes
 			}
 		}
 	}
@@ -149,15 +149,15 @@
 	for i, r := range m.registries {
 		for _, host := range modelHosts {
 			startedAt := r.own[host].startedAt
-			if r.Blocks(m.now, host, startedAt) && (!m.statedByNewer(r, host, startedAt) || r.Revision() == m.revision) {
+			if r.Blocks(m.now, host, startedAt) && (!m.blockedByNewerList(r, host, startedAt) || r.Revision() == m.revision) {
 				rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", i, r.Revision(), m.revision, host)
 			}
 		}
 	}
 }
 
-func (m *gossipModel) statedByNewer(r *Registry, host string, startedAt int64) bool {
-	for s, at := range m.lastStated {
+func (m *gossipModel) blockedByNewerList(r *Registry, host string, startedAt int64) bool {
+	for s, at := range m.lastBlocked {
 		if s.host == host && s.startedAt >= startedAt && s.revision > r.Revision() && m.now-at < Lifetime {
 			return true
 		}
@@ -167,7 +167,7 @@
 
 // Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
 // Lifetime; a proxy with the newest list has no host out.
-func TestOutOnlyByANewerList(t *testing.T) {
+func TestBlockedOnlyByNewerList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newGossipModel()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -218,7 +218,7 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add(query{17}.encode(3))
 	f.Add(gossip{[]Watermark{{"s-1", 5, 6, Gone, Lifetime}, {"s-2", 5, 6, Draining, 0}}}.encode(3, 200)[0])
 	f.Fuzz(func(t *testing.T, data []byte) {
