--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -78,7 +78,7 @@
 	if f.owners, err = owneragent.Start(p.loop, f.ownerOptions, p.cfg.Name, f.members, p.core.SetFleetSuspensions); err != nil {
 		return err
 	}
-	if f.owners.Paced() {
+	if f.owners.PacesMigrations() {
 		p.core.SetPacer(f.owners)
 	}
 	if enforcer := f.owners.Enforcer(); enforcer != nil {
--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -11,8 +11,8 @@
 // Drill is a job that only sends a rising number to every proxy. Operators use it to try the fleet's owners before anything depends on them.
 type Drill struct {
 	Interval Time // between two numbers
-	// Received is called with each effect at this process; nil: it is not.
-	Received func(token ownership.FencingToken)
+	// EffectReceived is called with each effect at this process; nil: it is not.
+	EffectReceived func(token ownership.FencingToken)
 	// BeforeSend, if set, is called once, between the check of the lease and the sending of the next effects. Whatever it does, receivers have to
 	// reject effects that come after a later owner's.
 	BeforeSend func()
@@ -87,7 +87,7 @@
 
 // ApplyEffect reports the number.
 func (d *Drill) ApplyEffect(_ Time, token ownership.FencingToken, _ []byte) {
-	if d.Received != nil {
-		d.Received(token)
+	if d.EffectReceived != nil {
+		d.EffectReceived(token)
 	}
 }
--- a/internal/fleet/jobs/migrationpermits.go
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -19,7 +19,7 @@
 
 	owner            Owner
 	grantsFrom       Time // no permit is granted before
-	bucket           Bucket
+	bucket           TokenBucket
 	checkpointNumber uint64
 	lastQueryAt      map[uint32]Time // by peer
 }
@@ -28,7 +28,7 @@
 func (m *MigrationPermits) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
 	m.owner, m.checkpointNumber = o, checkpointNumber
 	m.grantsFrom = now + permitLifetime
-	m.bucket = Bucket{FilledAt: m.grantsFrom}
+	m.bucket = TokenBucket{FilledAt: m.grantsFrom}
 	m.lastQueryAt = map[uint32]Time{}
 	return nil
 }
@@ -47,7 +47,7 @@
 	if m.owner == nil || r.Err() != nil || now < m.grantsFrom {
 		return
 	}
-	m.bucket.Fill(now, m.Rate, m.FleetSize, SilentMembers(now, m.FleetSize, m.lastQueryAt, silentAfter))
+	m.bucket.Fill(now, m.Rate, m.FleetSize, CountSilentMembers(now, m.FleetSize, m.lastQueryAt, silentAfter))
 	m.lastQueryAt[from] = now
 	var w encoding.Writer
 	m.owner.Reply(from, tag, w.Uint(m.bucket.Take(want)).Data)
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MaxHosts bounds how many hosts may be suspended fleet-wide.
-	MaxHosts = 256
+	// MaxSuspendedHosts bounds how many hosts may be suspended fleet-wide.
+	MaxSuspendedHosts = 256
 
 	maxHostIDBytes = 128
 )
@@ -70,7 +70,7 @@
 	at, listed := slices.BinarySearch(l, c.host)
 	switch {
 	case c.kind == commandSuspend && !listed:
-		if len(l) >= MaxHosts {
+		if len(l) >= MaxSuspendedHosts {
 			return l, false
 		}
 		return slices.Insert(l, at, c.host), true
@@ -96,7 +96,7 @@
 	}
 	r := encoding.Reader{Data: data}
 	var l hostList
-	for n := r.Count(MaxHosts); n > 0; n-- {
+	for n := r.Count(MaxSuspendedHosts); n > 0; n-- {
 		l = append(l, r.Text(maxHostIDBytes))
 	}
 	if r.Err() != nil || !slices.IsSorted(l) {
--- a/internal/fleet/jobs/suspendedhosts_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -82,10 +82,10 @@
 // TestHostsBound: MaxHosts hosts can be suspended, and no more.
 func TestHostsBound(t *testing.T) {
 	g := newFakeGroup(1)
-	for i := range MaxHosts + 1 {
+	for i := range MaxSuspendedHosts + 1 {
 		tag := uint64(i + 1)
 		g.command(tag, SuspendCommand(true, fmt.Sprintf("host%03d", i)))
-		if rejected := strings.HasPrefix(g.answers[tag], "refused"); rejected != (i == MaxHosts) {
+		if rejected := strings.HasPrefix(g.answers[tag], "refused"); rejected != (i == MaxSuspendedHosts) {
 			t.Errorf("host %d: answered %q", i, g.answers[tag])
 		}
 	}
@@ -140,7 +140,7 @@
 			t.Error("the command is not answered")
 		}
 		h := &SuspendedHosts{Apply: func(hosts []string) {
-			if len(hosts) > MaxHosts {
+			if len(hosts) > MaxSuspendedHosts {
 				t.Errorf("a list of %d hosts is applied", len(hosts))
 			}
 		}}
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -1,7 +1,7 @@
 package jobs
 
-// Bucket is a token bucket: what an owner may grant of a rate.
-type Bucket struct {
+// TokenBucket is a token bucket: what an owner may grant of a rate.
+type TokenBucket struct {
 	Tokens   float64
 	FilledAt Time // of the last Fill; nothing is added for the time before
 }
@@ -11,7 +11,7 @@
 
 // Fill adds the tokens that are due at a rate, in tokens a second. silent of fleetSize proxies use their own share of the rate, which is not
 // granted.
-func (b *Bucket) Fill(now Time, rate float64, fleetSize, silent int) {
+func (b *TokenBucket) Fill(now Time, rate float64, fleetSize, silent int) {
 	if now <= b.FilledAt {
 		return
 	}
@@ -21,14 +21,14 @@
 }
 
 // Take takes as many full tokens as are wanted and available.
-func (b *Bucket) Take(want uint64) uint64 {
+func (b *TokenBucket) Take(want uint64) uint64 {
 	n := uint64(max(0, min(float64(want), b.Tokens)))
 	b.Tokens -= float64(n)
 	return n
 }
 
-// SilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
-func SilentMembers(now Time, fleetSize int, queriedAt map[uint32]Time, within Time) int {
+// CountSilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
+func CountSilentMembers(now Time, fleetSize int, queriedAt map[uint32]Time, within Time) int {
 	n := fleetSize
 	for _, at := range queriedAt {
 		if now-at < within {
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -46,12 +46,12 @@
 
 // Counts are what has happened in a process since its start.
 type Counts struct {
-	Taken     int `json:"Taken"`     // effects accepted here
-	Again     int `json:"Again"`     // always 0; the JSON of earlier versions has it
-	Refused   int `json:"Refused"`   // stale effects rejected here
-	Sent      int `json:"Sent"`      // effects of jobs owned here
-	Panics    int `json:"Panics"`    // of jobs
-	Malformed int `json:"Malformed"` // messages
+	AcceptedEffects   int `json:"Taken"`     // effects accepted here
+	RepeatedEffects   int `json:"Again"`     // always 0; the JSON of earlier versions has it
+	RejectedEffects   int `json:"Refused"`   // stale effects rejected here
+	SentEffects       int `json:"Sent"`      // effects of jobs owned here
+	JobPanics         int `json:"Panics"`    // of jobs
+	MalformedMessages int `json:"Malformed"` // messages
 }
 
 // ErrMembershipOff is returned where owners are on and membership is off.
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	r := reportOf(t, a)
-	if len(r.Owned) < drills || r.Counts == nil || r.Counts.Panics < 4 {
+	if len(r.Owned) < drills || r.Counts == nil || r.Counts.JobPanics < 4 {
 		t.Errorf("%d jobs owned, want %d; counts %+v, want 4 panics or more", len(r.Owned), drills, r.Counts)
 	}
 	for _, row := range r.Jobs {
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -26,7 +26,7 @@
 
 // ApplyEffect passes an effect of a job's owner to the receiver's part here.
 func (c coreEffects) ApplyEffect(job string, token ownership.FencingToken, body []byte) {
-	c.agent.counts.Taken++
+	c.agent.counts.AcceptedEffects++
 	c.agent.jobs.recoverJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
 
@@ -59,7 +59,7 @@
 // LogEvent counts stale effects and logs them as warnings, other events at level info.
 func (c coreEffects) LogEvent(event string, args ...any) {
 	if event == ownership.EventStaleEffectRejected {
-		c.agent.counts.Refused++
+		c.agent.counts.RejectedEffects++
 		slog.Warn(event, args...)
 		return
 	}
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -54,7 +54,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			r.agent.counts.Panics++
+			r.agent.counts.JobPanics++
 			err = fmt.Errorf("%v", p)
 		}
 	}()
@@ -77,7 +77,7 @@
 func (r *jobRunner) recoverJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.agent.counts.Panics++
+			r.agent.counts.JobPanics++
 			slog.Error("job_failed", "job", name, "reason", p)
 			if r.owned[name] == token && token != 0 {
 				r.agent.core.JobFailed(r.agent.now(), name, token, fmt.Sprint(p))
@@ -98,7 +98,7 @@
 
 func (a *Agent) addDrill(name string) {
 	interval := time.Duration(max(minDrillIntervalMS, a.options.DrillIntervalMS)) * time.Millisecond
-	a.jobs.add(name, &jobs.Drill{Interval: int64(interval), Received: func(token ownership.FencingToken) {
+	a.jobs.add(name, &jobs.Drill{Interval: int64(interval), EffectReceived: func(token ownership.FencingToken) {
 		slog.Debug("drill_taken", "job", name, "token", token.Token, "number", token.Sequence)
 	}})
 }
@@ -115,7 +115,7 @@
 	if !o.agent.core.IsOwner(o.agent.now(), o.job, o.token) {
 		return
 	}
-	o.agent.counts.Sent++
+	o.agent.counts.SentEffects++
 	o.SendEffectUnchecked(to, number, body)
 }
 
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -23,5 +23,5 @@
 	})
 }
 
-// Paced reports whether migrations are paced.
-func (a *Agent) Paced() bool { return a != nil && a.migrationPacer != nil }
+// PacesMigrations reports whether migrations are paced.
+func (a *Agent) PacesMigrations() bool { return a != nil && a.migrationPacer != nil }
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -27,7 +27,7 @@
 	Drills          int      // number of drill jobs
 	DrillIntervalMS int      // time between two numbers of a drill, milliseconds; default 100
 	Socket          string   // Unix socket for operators; "": none
-	Rules           Rules
+	Rules           RulesOptions
 }
 
 // Section is the section (owners ...) of the operators' file.
@@ -76,7 +76,7 @@
 		return nil
 	}
 	if OpenVoter == nil {
-		return fmt.Errorf("dir: %w", ErrNoVoters)
+		return fmt.Errorf("dir: %w", ErrDiskVotersUnsupported)
 	}
 	info, err := os.Stat(o.Dir)
 	if err == nil && !info.IsDir() {
--- a/internal/fleet/owneragent/queries_test.go
+++ b/internal/fleet/owneragent/queries_test.go
@@ -39,7 +39,7 @@
 	}) {
 		t.Fatal("the worker does not answer")
 	}
-	if counts.Taken != 1 || counts.Refused != 1 {
+	if counts.AcceptedEffects != 1 || counts.RejectedEffects != 1 {
 		t.Errorf("%+v, want one effect accepted and one rejected", counts)
 	}
 }
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -46,8 +46,8 @@
 // OpenVoter opens a voter with a disk; nil in a program that has none. It is set once, before anything is started.
 var OpenVoter func(VoterOptions) (Voter, *group.StoreError)
 
-// ErrNoVoters is returned where the section has a dir and this program is built without voters on disk.
-var ErrNoVoters = errors.New("this program keeps no votes on a disk: croftlock-voter does; or leave dir out, and voters go by memory")
+// ErrDiskVotersUnsupported is returned where the section has a dir and this program is built without voters on disk.
+var ErrDiskVotersUnsupported = errors.New("this program keeps no votes on a disk: croftlock-voter does; or leave dir out, and voters go by memory")
 
 // replica is this process's part of the replicated group, with its store and the retry of its opening. A process has a part if it has a dir, also as
 // a learner or while it waits to be added; without one, if it is among the voters.
@@ -93,7 +93,7 @@
 
 func (r *replica) openVoter(seed uint64, machines map[byte]group.Machine) {
 	if OpenVoter == nil {
-		r.fail(&group.StoreError{Err: ErrNoVoters})
+		r.fail(&group.StoreError{Err: ErrDiskVotersUnsupported})
 		return
 	}
 	v, err := OpenVoter(VoterOptions{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Dir: r.options.Dir,
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -9,19 +9,19 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Rules is the part of the section (owners ...) on rules that the fleet agrees on.
-type Rules struct {
-	Enabled     bool
-	AgreeWithin time.Duration // bound on how long two proxies act by rules that contradict each other; default 3 s
-	WhenCut     string        // what a proxy does whose lease has lapsed: refuse (default) or keep
-	MaxEntries  int           // of a version that this proxy accepts
+// RulesOptions is the part of the section (owners ...) on rules that the fleet agrees on.
+type RulesOptions struct {
+	Enabled       bool
+	LeaseDuration time.Duration // bound on how long two proxies act by rules that contradict each other; default 3 s
+	OnLeaseLapse  string        // what a proxy does whose lease has lapsed: refuse (default) or keep
+	MaxEntries    int           // of a version that this proxy accepts
 }
 
-func (r *Rules) bind(f *settings.Form) {
-	*r = Rules{AgreeWithin: 3 * time.Second, WhenCut: "refuse", MaxEntries: rules.MaxEntries}
+func (r *RulesOptions) bind(f *settings.Form) {
+	*r = RulesOptions{LeaseDuration: 3 * time.Second, OnLeaseLapse: "refuse", MaxEntries: rules.MaxEntries}
 	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.Enabled)
-	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.AgreeWithin, 500*time.Millisecond, time.Minute)
-	f.Enum("when_cut", "what a proxy does that can't know whether its rules still hold: refuse new requests, or keep to the last ones", &r.WhenCut, "refuse", "keep")
+	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.LeaseDuration, 500*time.Millisecond, time.Minute)
+	f.Enum("when_cut", "what a proxy does that can't know whether its rules still hold: refuse new requests, or keep to the last ones", &r.OnLeaseLapse, "refuse", "keep")
 	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.MaxEntries, 1, rules.MaxEntries)
 }
 
@@ -54,8 +54,8 @@
 	if !o.Enabled {
 		return
 	}
-	within := int64(o.AgreeWithin)
-	enforcer := &rules.Enforcer{Now: a.now, KeepLastVersion: o.WhenCut == "keep", LapsedRetryAfter: o.AgreeWithin}
+	within := int64(o.LeaseDuration)
+	enforcer := &rules.Enforcer{Now: a.now, KeepLastVersion: o.OnLeaseLapse == "keep", LapsedRetryAfter: o.LeaseDuration}
 	member := &rules.Member{LeaseDuration: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
 	replies := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
 	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(replies, rulesJob, tag, body) }
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -21,7 +21,7 @@
 func (a *Agent) receiveDatagram(peer uint32, data []byte) {
 	a.worker.post(func() {
 		if a.transport.Receive(a.now(), peer, data) != nil {
-			a.counts.Malformed++
+			a.counts.MalformedMessages++
 		}
 	})
 }
@@ -65,8 +65,8 @@
 	if err == nil {
 		return
 	}
-	t.agent.counts.Malformed++
-	if t.agent.counts.Malformed == 1 {
+	t.agent.counts.MalformedMessages++
+	if t.agent.counts.MalformedMessages == 1 {
 		slog.Warn("owner_message_rejected", "peer", fmt.Sprintf("%08x", peer), "reason", err)
 	}
 }
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -28,7 +28,7 @@
 
 // issuedAccount is what is granted of one account.
 type issuedAccount struct {
-	permits     jobs.Bucket                  // refills at the account's rate
+	permits     jobs.TokenBucket             // refills at the account's rate
 	connections map[uint32][]connectionGrant // by proxy, the oldest first
 }
 
@@ -78,7 +78,7 @@
 	if len(s.accounts) >= maxIdleAccounts {
 		s.forgetUnlimited()
 	}
-	a := &issuedAccount{permits: jobs.Bucket{FilledAt: max(now, s.firstGrantAt)}, connections: map[uint32][]connectionGrant{}}
+	a := &issuedAccount{permits: jobs.TokenBucket{FilledAt: max(now, s.firstGrantAt)}, connections: map[uint32][]connectionGrant{}}
 	s.accounts[name] = a
 	return a
 }
@@ -126,7 +126,7 @@
 	g := grant{account: d.account, maxOpen: d.open}
 	if now >= s.firstGrantAt {
 		if limit.Rate > 0 {
-			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.SilentMembers(now, s.FleetSize, s.lastQueryAt, silentAfterGrantLifetimes*s.GrantLifetime))
+			a.permits.Fill(now, limit.Rate, s.FleetSize, jobs.CountSilentMembers(now, s.FleetSize, s.lastQueryAt, silentAfterGrantLifetimes*s.GrantLifetime))
 			g.permits = a.permits.Take(d.permits)
 		}
 		if limit.Connections > 0 {
