--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -28,11 +28,11 @@
 		t.Helper()
 		for limit := time.After(5 * time.Second); ; {
 			select {
-			case ch := <-changes:
-				if ch.Kind == balancer.ListFailed {
+			case change := <-changes:
+				if change.Kind == balancer.ListFailed {
 					t.Fatalf("%s: a failure is reported", what)
 				}
-				for _, h := range ch.Hosts {
+				for _, h := range change.Hosts {
 					if h.ID == uid && h.State == state {
 						return
 					}
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -32,11 +32,11 @@
 }
 
 // startCall makes a call, on the connection at rest where there is one.
-func (c *Client) startCall(target string, within time.Duration, done func(proxy.WatchEvent, error)) *call {
+func (c *Client) startCall(target string, timeout time.Duration, done func(proxy.WatchEvent, error)) *call {
 	q := &call{client: c, fromRevision: c.revision, startedAt: c.loop.Now(), target: target, done: done}
-	q.timer = c.loop.After(within, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, within)) })
-	if c.idle != nil && !c.idle.Ended() {
-		q.conn, q.reused, c.idle = c.idle, true, nil
+	q.timer = c.loop.After(timeout, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, timeout)) })
+	if c.idleConn != nil && !c.idleConn.Ended() {
+		q.conn, q.reused, c.idleConn = c.idleConn, true, nil
 		q.conn.SetHandler(q)
 		q.send()
 		return q
@@ -101,15 +101,15 @@
 	if err == nil {
 		ch, err = ParseList(r.body)
 	}
-	q.trace(ch, err)
+	q.logCall(ch, err)
 	done := q.done
 	if err == nil && !r.closes && !q.conn.Ended() {
 		q.conn.Consume(r.length)
-		q.client.idle = q.conn
+		q.client.idleConn = q.conn
 		q.conn.SetHandler(idleHandler{q.client})
 		q.conn = nil
 	}
-	q.drop()
+	q.cancel()
 	if err == nil {
 		ch = q.client.acceptAnswer(q, ch)
 		if q.client.lastFailure != "" {
@@ -120,8 +120,8 @@
 	done(ch, err)
 }
 
-// trace logs how the call ended.
-func (q *call) trace(ch proxy.WatchEvent, err error) {
+// logCall logs how the call ended.
+func (q *call) logCall(ch proxy.WatchEvent, err error) {
 	if logging.DebugEnabled() {
 		slog.Debug("discovery_call", "addr", q.client.address, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.startedAt)/1e6,
 			"rev", ch.Version, "hosts", len(ch.Hosts), "err", err)
@@ -144,8 +144,8 @@
 	return ch
 }
 
-// drop ends a call without telling.
-func (q *call) drop() {
+// cancel ends a call without telling.
+func (q *call) cancel() {
 	q.done = nil
 	q.timer.Stop()
 	q.dial.Cancel()
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -26,7 +26,7 @@
 	// ended and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
 	connectTimeout  = time.Second
-	inputLimit      = maxHead + 2*maxBody
+	inputLimit      = maxHeadBytes + 2*maxBodyBytes
 	// redirectSettleTime is how long after a redirect the client itself retries a new address, at redirectRetryPause: the list of
 	// that address is due 4 s after the redirect, and the pause of the decision module may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
@@ -52,7 +52,7 @@
 
 	revision       int64 // of the client's list, as the service at address numbers it; under 0: it has none
 	redirectedAt   int64 // when address last changed, until it has answered; 0: it has
-	retry          *netio.Timer
+	retryTimer     *netio.Timer
 	watching       bool  // the watch goes on
 	firstAnswerDue bool  // its first answer is awaited, which is passed on even if it is empty
 	watch          *call // the call under way
@@ -60,7 +60,7 @@
 	reopened    bool
 	silentCalls int         // calls of the watch in a row that got no answer
 	fetch       *call       // the call for the complete list under way; nil: none
-	idle        *netio.Conn // a connection whose last response is complete
+	idleConn    *netio.Conn // a connection whose last response is complete
 	lastFailure string
 }
 
@@ -93,9 +93,9 @@
 func (c *Client) WatchList(on bool) {
 	if !on {
 		c.watching = false
-		c.retry.Stop()
+		c.retryTimer.Stop()
 		if c.watch != nil {
-			c.watch.drop()
+			c.watch.cancel()
 			c.watch = nil
 		}
 		return
@@ -117,25 +117,25 @@
 	c.address, c.revision, c.redirectedAt = addr, noRevision, c.loop.Now()
 	c.closeIdle()
 	if c.watch != nil {
-		c.watch.drop()
+		c.watch.cancel()
 		c.watch = nil
 	}
 	if c.fetch != nil {
-		c.fetch.drop()
+		c.fetch.cancel()
 		c.fetch = nil // the watch below brings the list
 	}
-	c.retry.Stop()
+	c.retryTimer.Stop()
 	c.watching, c.firstAnswerDue = true, true
 	c.callWatch()
 }
 
 // callWatch makes the watch's next call. Discovery ends a watch whose next call does not come within 200 ms of the last answer.
 func (c *Client) callWatch() {
-	target, within := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
+	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
-		target, within = hostsPath, c.fullListWait()
+		target, timeout = hostsPath, c.fullListWait()
 	}
-	c.watch = c.startCall(target, within, func(ch proxy.WatchEvent, err error) {
+	c.watch = c.startCall(target, timeout, func(ch proxy.WatchEvent, err error) {
 		c.watch = nil
 		if errors.Is(err, errSilent) {
 			c.silentCalls++
@@ -175,7 +175,7 @@
 // retryWatch repeats a failed call of the watch after a pause.
 func (c *Client) retryWatch(pause time.Duration, err error) {
 	c.logFailure(err)
-	c.retry = c.loop.After(pause, c.callWatch)
+	c.retryTimer = c.loop.After(pause, c.callWatch)
 }
 
 // fullListWait is how long a call for the complete list may take. An agent on this machine answers at once, or is silent; where its list is so
@@ -198,9 +198,9 @@
 
 // closeIdle ends the idle connection, so that the next call is made on a new one.
 func (c *Client) closeIdle() {
-	if c.idle != nil {
-		c.idle.Close()
-		c.idle = nil
+	if c.idleConn != nil {
+		c.idleConn.Close()
+		c.idleConn = nil
 	}
 }
 
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -15,7 +15,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-var seeds = []string{
+var responseSeeds = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: x\r\n\r\nrest",
 	"HTTP/1.0 200 OK\r\n\r\nuntil the end",
@@ -28,12 +28,12 @@
 // FuzzResponse feeds a response byte by byte up to each point: the parse must come out as for the complete input, and nothing
 // may panic or wait for more than the limits.
 func FuzzResponse(f *testing.F) {
-	for _, s := range seeds {
+	for _, s := range responseSeeds {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		complete, completeErr := parseResponse(in, true)
-		if complete != nil && (complete.length > len(in) || len(complete.body) > maxBody) {
+		if complete != nil && (complete.length > len(in) || len(complete.body) > maxBodyBytes) {
 			t.Fatalf("takes %d of %d bytes", complete.length, len(in))
 		}
 		for n := range len(in) {
@@ -54,19 +54,19 @@
 
 func TestResponses(t *testing.T) {
 	for i, want := range []string{"200 hello 43 false", "200 abcde 77 false", "200 until the end 32 true", "204  65 true"} {
-		r, err := parseResponse([]byte(seeds[i]), true)
+		r, err := parseResponse([]byte(responseSeeds[i]), true)
 		if err != nil {
 			t.Errorf("%d: %v", i, err)
 		} else if got := fmt.Sprintf("%d %s %d %t", r.status, r.body, r.length, r.closes); got != want {
 			t.Errorf("%d: %s, want %s", i, got, want)
 		}
 	}
-	for _, s := range seeds[4:] {
+	for _, s := range responseSeeds[4:] {
 		if r, err := parseResponse([]byte(s), true); err == nil && s != "HTTP/1.1 200\r\n\r\n" {
 			t.Errorf("%q gives %+v", s, r)
 		}
 	}
-	if _, err := parseResponse([]byte("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", maxHead)), false); err == nil {
+	if _, err := parseResponse([]byte("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", maxHeadBytes)), false); err == nil {
 		t.Error("an endless head is not an error")
 	}
 }
@@ -186,7 +186,7 @@
 
 // TestListOfAThousand: a large list costs a few allocations a host, and nothing that grows faster than the list.
 func TestListOfAThousand(t *testing.T) {
-	cost := func(n int) float64 {
+	allocationsPerHost := func(n int) float64 {
 		data := fullList(n)
 		return testing.AllocsPerRun(5, func() {
 			ch, err := ParseList(data)
@@ -195,7 +195,7 @@
 			}
 		}) / float64(n)
 	}
-	small, large := cost(60), cost(1000)
+	small, large := allocationsPerHost(60), allocationsPerHost(1000)
 	if large > 12 || large > small*1.5 {
 		t.Errorf("%.1f allocations a host in a list of 1,000, %.1f in one of 60", large, small)
 	}
--- a/internal/dataplane/cluster/failure_test.go
+++ b/internal/dataplane/cluster/failure_test.go
@@ -11,7 +11,7 @@
 // TestFailureReasons: the log names why a call failed.
 func TestFailureReasons(t *testing.T) {
 	_, listError := ParseList([]byte(`{"targets": []}`))
-	_, tooLarge := parseResponse(make([]byte, maxHead+1), false)
+	_, tooLarge := parseResponse(make([]byte, maxHeadBytes+1), false)
 	for _, c := range []struct {
 		err  error
 		want string
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -9,8 +9,8 @@
 
 // What discovery may send at most.
 const (
-	maxHead = 16 << 10
-	maxBody = 1 << 20
+	maxHeadBytes = 16 << 10
+	maxBodyBytes = 1 << 20
 )
 
 // What can be wrong with a response.
@@ -31,10 +31,10 @@
 // completes a response without a stated length. It parses from the start of the input each time, so that the outcome can't
 // depend on how the input was cut; the input is bounded.
 func parseResponse(in []byte, ended bool) (*response, error) {
-	end := bytes.Index(in[:min(len(in), maxHead)], []byte("\r\n\r\n"))
+	end := bytes.Index(in[:min(len(in), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
 		switch {
-		case len(in) >= maxHead:
+		case len(in) >= maxHeadBytes:
 			return nil, errTooLarge
 		case ended || !startsLikeStatus(in):
 			return nil, errMalformed
@@ -54,7 +54,7 @@
 		}
 		return final, err
 	}
-	r, err := head.takeBody(in[bodyStart:], ended)
+	r, err := head.readBody(in[bodyStart:], ended)
 	if r != nil {
 		r.length += bodyStart
 	}
@@ -77,7 +77,7 @@
 	lines := strings.Split(text, "\r\n")
 	h := responseHead{size: -1}
 	var err error
-	if h.status, h.closes, err = statusLine(lines[0]); err != nil {
+	if h.status, h.closes, err = parseStatusLine(lines[0]); err != nil {
 		return h, err
 	}
 	for _, line := range lines[1:] {
@@ -85,15 +85,15 @@
 		if !found || name == "" || strings.ContainsAny(name, " \t") {
 			return h, errMalformed
 		}
-		if err := h.set(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
+		if err := h.setField(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
 			return h, err
 		}
 	}
 	return h, nil
 }
 
-// set takes one header field.
-func (h *responseHead) set(name, value string) error {
+// setField takes one header field.
+func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
@@ -119,20 +119,20 @@
 	return nil
 }
 
-// takeBody reads the body behind the head; nil without an error: it is not complete. The length is that of the body alone.
-func (h *responseHead) takeBody(in []byte, ended bool) (*response, error) {
+// readBody reads the body behind the head; nil without an error: it is not complete. The length is that of the body alone.
+func (h *responseHead) readBody(in []byte, ended bool) (*response, error) {
 	r := &response{status: h.status, closes: h.closes}
 	switch {
 	case h.status == 204 || h.status == 304:
 		return r, nil
 	case h.chunked:
-		body, length, err := unchunk(in)
+		body, length, err := readChunks(in)
 		if err != nil || length == 0 {
 			return nil, err
 		}
 		r.body, r.length = body, length
 		return r, nil
-	case h.size > maxBody:
+	case h.size > maxBodyBytes:
 		return nil, errTooLarge
 	case h.size >= 0:
 		if len(in) < h.size {
@@ -140,7 +140,7 @@
 		}
 		r.body, r.length = in[:h.size], h.size
 		return r, nil
-	case len(in) > maxBody:
+	case len(in) > maxBodyBytes:
 		return nil, errTooLarge
 	case ended:
 		r.body, r.length, r.closes = in, len(in), true
@@ -156,67 +156,67 @@
 	return string(in[:n]) == want[:n]
 }
 
-// statusLine reads the first line; last: the connection carries no further response.
-func statusLine(l string) (status int, last bool, err error) {
-	if len(l) < 12 || !strings.HasPrefix(l, "HTTP/1.") || l[7] != '0' && l[7] != '1' || l[8] != ' ' ||
-		len(l) > 12 && l[12] != ' ' {
+// parseStatusLine reads the first line; last: the connection carries no further response.
+func parseStatusLine(line string) (status int, closes bool, err error) {
+	if len(line) < 12 || !strings.HasPrefix(line, "HTTP/1.") || line[7] != '0' && line[7] != '1' || line[8] != ' ' ||
+		len(line) > 12 && line[12] != ' ' {
 		return 0, false, errMalformed
 	}
-	status, err = strconv.Atoi(l[9:12])
+	status, err = strconv.Atoi(line[9:12])
 	if err != nil || status < 100 {
 		return 0, false, errMalformed
 	}
-	return status, l[7] == '0', nil
+	return status, line[7] == '0', nil
 }
 
-// unchunk joins the chunks of a body. It gives 0 as their length while the last has not come.
-func unchunk(in []byte) (body []byte, length int, err error) {
-	at := 0
+// readChunks joins the chunks of a body. It gives 0 as their length while the last has not come.
+func readChunks(in []byte) (body []byte, length int, err error) {
+	offset := 0
 	for {
-		i := bytes.Index(in[at:min(len(in), at+maxHead)], []byte("\r\n"))
+		i := bytes.Index(in[offset:min(len(in), offset+maxHeadBytes)], []byte("\r\n"))
 		if i < 0 {
-			if len(in)-at >= maxHead {
+			if len(in)-offset >= maxHeadBytes {
 				return nil, 0, errTooLarge
 			}
 			return nil, 0, nil
 		}
-		size, _, _ := strings.Cut(string(in[at:at+i]), ";")
+		size, _, _ := strings.Cut(string(in[offset:offset+i]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
 			return nil, 0, errMalformed
 		}
-		at += i + 2
+		offset += i + 2
 		if n == 0 {
-			return trailer(in, at, body)
+			return skipTrailer(in, offset, body)
 		}
-		if len(body)+int(n) > maxBody {
+		if len(body)+int(n) > maxBodyBytes {
 			return nil, 0, errTooLarge
 		}
-		if len(in) < at+int(n)+2 {
+		if len(in) < offset+int(n)+2 {
 			return nil, 0, nil
 		}
-		body = append(body, in[at:at+int(n)]...)
-		at += int(n)
-		if in[at] != '\r' || in[at+1] != '\n' {
+		body = append(body, in[offset:offset+int(n)]...)
+		offset += int(n)
+		if in[offset] != '\r' || in[offset+1] != '\n' {
 			return nil, 0, errMalformed
 		}
-		at += 2
+		offset += 2
 	}
 }
 
-// trailer passes over what may follow the last chunk.
-func trailer(in []byte, at int, body []byte) ([]byte, int, error) {
-	start := at
+// skipTrailer passes over what may follow the last chunk.
+func skipTrailer(in []byte, offset int, body []byte) ([]byte, int, error) {
+	start := offset
 	for {
-		i := bytes.Index(in[at:min(len(in), start+maxHead)], []byte("\r\n"))
+		i := bytes.Index(in[offset:min(len(in), start+maxHeadBytes)], []byte("\r\n"))
 		switch {
-		case i < 0 && len(in)-start >= maxHead:
+		case i < 0 && len(in)-start >= maxHeadBytes:
 			return nil, 0, errTooLarge
 		case i < 0:
 			return nil, 0, nil
 		case i == 0:
-			return body, at + 2, nil
+			return body, offset + 2, nil
 		}
-		at += i + 2
+		offset += i + 2
 	}
 }
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -25,8 +25,8 @@
 	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// script is a discovery whose answers the test gives, and a client of it that holds version 40, on a clock that the test moves.
-type script struct {
+// scriptedDiscovery is a discovery whose answers the test gives, and a client of it that holds version 40, on a clock that the test moves.
+type scriptedDiscovery struct {
 	calls   chan receivedCall
 	changes chan proxy.WatchEvent
 	loop    *netio.Loop
@@ -34,24 +34,24 @@
 	now     atomic.Int64
 }
 
-// pass moves the client's clock.
-func (s *script) pass(d time.Duration) {
+// advanceClock moves the client's clock.
+func (s *scriptedDiscovery) advanceClock(d time.Duration) {
 	s.now.Add(int64(d))
 	s.loop.Post(func() {})
 }
 
 // settle waits until the loop has done what is due.
-func (s *script) settle() {
+func (s *scriptedDiscovery) settle() {
 	done := make(chan struct{})
 	s.loop.Post(func() {})
 	s.loop.Post(func() { close(done) })
 	<-done
 }
 
-// scripted starts a scripted discovery and its client.
-func scripted(t *testing.T) *script {
+// newScriptedDiscovery starts a newScriptedDiscovery discovery and its client.
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
-	s := &script{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
+	s := &scriptedDiscovery{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
 	s.now.Store(1e18)
 	ln := listen(t)
 	go func() {
@@ -75,10 +75,10 @@
 // A watch that falls silent is reopened at once. Reported as a failure it would wait for the decision module's backoff, which grows with
 // the fleet, and what it missed would come late.
 func TestASilentWatchIsReopenedAtOnce(t *testing.T) {
-	s := scripted(t)
+	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	silent := <-s.calls
-	s.pass(minWatchTimeout + watchAnswerTimeout)
+	s.advanceClock(minWatchTimeout + watchAnswerTimeout)
 	again := <-s.calls
 	if silent.target != again.target || silent.conn == again.conn {
 		t.Errorf("called %s, then %s (same connection: %t)", silent.target, again.target, silent.conn == again.conn)
@@ -90,7 +90,7 @@
 	// Silence twice in a row is a failure; the decision module decides when to poll again.
 	for range 2 {
 		<-s.calls
-		s.pass(minWatchTimeout + watchAnswerTimeout)
+		s.advanceClock(minWatchTimeout + watchAnswerTimeout)
 	}
 	if ch := <-s.changes; ch.Kind != balancer.ListFailed || len(s.calls) > 0 {
 		t.Errorf("the client notifies of %+v, and makes %d more calls", ch, len(s.calls))
@@ -99,7 +99,7 @@
 
 // Two calls are out at once, and the answer that is older comes last: it must not undo the newer one.
 func TestAnOlderAnswerThatComesLastChangesNothing(t *testing.T) {
-	s := scripted(t)
+	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true); s.client.FetchList() })
 	watch, fetch := <-s.calls, <-s.calls
 	if !strings.Contains(watch.target, "from=") {
@@ -120,7 +120,7 @@
 
 // A service that restarts its versions is believed; a difference from a version that it never gave is no list to go on from.
 func TestAVersionThatGoesBackwards(t *testing.T) {
-	s := scripted(t)
+	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	(<-s.calls).answer(`{"rev":2,"all":false,"targets":[]}`)
 	fullListCall := <-s.calls
@@ -140,11 +140,11 @@
 // A new discovery that takes 1.9 s for each call is called once: calls that are abandoned and repeated would keep it busy with answers that
 // nobody waits for.
 func TestASlowDiscoveryIsNotCalledAgain(t *testing.T) {
-	s := scripted(t)
+	s := newScriptedDiscovery(t)
 	addr := s.client.address
 	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	fullListCall := <-s.calls
-	s.pass(1900 * time.Millisecond)
+	s.advanceClock(1900 * time.Millisecond)
 	fullListCall.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
 	if ch := <-s.changes; ch.Kind != balancer.ListFull || ch.Version != 5 {
 		t.Fatalf("the client notifies of %+v", ch)
@@ -155,9 +155,9 @@
 	// One that never answers is called again, before its list counts as received late.
 	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	<-s.calls
-	s.pass(fullListTimeout)
+	s.advanceClock(fullListTimeout)
 	s.settle()
-	s.pass(redirectRetryPause)
+	s.advanceClock(redirectRetryPause)
 	if again := <-s.calls; again.target != hostsPath {
 		t.Errorf("called %s", again.target)
 	}
--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -8,14 +8,14 @@
 )
 
 // Opener opens a connection to an upstream host within the time given, and calls done on the loop, once, unless drop is called first.
-type Opener func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
+type Opener func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
 	done func(*netio.Conn, *netio.Error)) (drop func())
 
 // PlainTCP opens connections without any layer.
 func PlainTCP(d *netio.Dialer) Opener {
-	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
+	return func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
-		return d.Dial(to.Address, within, limit, h, done).Cancel
+		return d.Dial(to.Address, timeout, limit, h, done).Cancel
 	}
 }
 
@@ -32,9 +32,9 @@
 }
 
 // Start begins one upstream request.
-func (h *Connector) Start(to proxy.Target, first proxy.RequestLine, until int64, connect time.Duration,
-	ev proxy.UpstreamEvents) proxy.Upstream {
-	u := &upstream{loop: h.loop, events: ev, requestLine: first, waitUntil: until, reportFields: h.fields}
-	u.cancelDial = h.open(to, connect, inputLimit, u, u.connected)
+func (c *Connector) Start(to proxy.Target, requestLine proxy.RequestLine, deadline int64, connect time.Duration,
+	events proxy.UpstreamEvents) proxy.Upstream {
+	u := &upstream{loop: c.loop, events: events, requestLine: requestLine, deadline: deadline, reportFields: c.fields}
+	u.cancelDial = c.open(to, connect, inputLimit, u, u.connected)
 	return u
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -59,28 +59,28 @@
 			d.pinged = true
 			// No PONG from a process that shuts down: the front must send no clients here.
 			d.idleTimer.Stop()
-			d.idleTimer = d.front.loop.After(pingIdleTimeout, d.firstLineLate)
+			d.idleTimer = d.front.loop.After(pingIdleTimeout, d.firstLineTimedOut)
 			if !d.front.core.Ready() || !d.conn.Write(pongLine) {
 				d.finish()
 				return false
 			}
 			continue
 		}
-		o, err := ParseOpenLine(line)
+		openLine, err := ParseOpenLine(line)
 		d.conn.Consume(len(line))
 		if err != nil {
 			d.failInvalid(err)
 			return false
 		}
 		d.idleTimer.Stop()
-		if !d.front.core.Admit(o.Class) {
+		if !d.front.core.Admit(openLine.Class) {
 			d.Reject(d.front.core.RetryAdvice())
 			return false
 		}
 		d.admitted = true
 		d.front.idleClients.Remove(d.idleEntry)
 		d.idleEntry = nil
-		d.request = d.front.core.Open(d, &o.Opening, o)
+		d.request = d.front.core.Open(d, &openLine.Opening, openLine)
 		return d.request != nil
 	}
 	return false
@@ -163,8 +163,8 @@
 	}
 }
 
-// firstLineLate ends a connection whose first line is not complete in time; one that has begun gets an answer.
-func (d *downstream) firstLineLate() {
+// firstLineTimedOut ends a connection whose first line is not complete in time; one that has begun gets an answer.
+func (d *downstream) firstLineTimedOut() {
 	if len(d.conn.Input()) > 0 {
 		d.failInvalid(errFirstLineLate)
 		return
--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -24,7 +24,7 @@
 func (m *queueingBalancer) RequestArrived(_ balancer.Time, q balancer.Request) { m.arrived <- q.ID }
 func (m *queueingBalancer) ClientLeft(_ balancer.Time, id string)              { m.left <- id }
 
-const idOfOpening = "9b1f03aa5c7e2d41"
+const openingID = "9b1f03aa5c7e2d41"
 
 // A client that sends much before its answer fills its buffer and is read no further, so that its end behind that would not be seen: its
 // request ends at once, else attempts would go on for it.
@@ -33,20 +33,20 @@
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
 	much := strings.Repeat("M\r\n", inputLimit/3+1)
 
-	along := r.dial()
-	io.WriteString(along, opening+much)
-	expect(t, along, "ERR\r\n")
+	sentAlong := r.dial()
+	io.WriteString(sentAlong, opening+much)
+	expect(t, sentAlong, "ERR\r\n")
 	if arrived, left := <-m.arrived, <-m.left; arrived != left {
 		t.Errorf("%q arrived, and the client of %q has left", arrived, left)
 	}
 
-	later := r.dial()
-	io.WriteString(later, opening)
+	sentLater := r.dial()
+	io.WriteString(sentLater, opening)
 	<-m.arrived
-	io.WriteString(later, much)
-	expect(t, later, "ERR\r\n")
-	if id := <-m.left; id != idOfOpening {
-		t.Errorf("the client of %q has left, want %q", id, idOfOpening)
+	io.WriteString(sentLater, much)
+	expect(t, sentLater, "ERR\r\n")
+	if id := <-m.left; id != openingID {
+		t.Errorf("the client of %q has left, want %q", id, openingID)
 	}
 }
 
@@ -55,7 +55,7 @@
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	idle := r.dial()
 	exchange(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
-	r.do(func() { r.front.EndIdle(false) })
+	r.runOnLoop(func() { r.front.EndIdle(false) })
 	io.WriteString(idle, opening) // it has not read yet that it is rejected
 	expect(t, idle, "BUSY 500\r\n")
 }
@@ -67,10 +67,10 @@
 	io.WriteString(half, opening[:20])
 	exchange(t, pinging, "PING\r\n", "PONG\r\n")
 	ended := make(chan struct{})
-	r.do(func() { r.core.Shutdown(func() { close(ended) }) })
+	r.runOnLoop(func() { r.core.Shutdown(func() { close(ended) }) })
 	for range 20 {
-		r.pass(50 * time.Millisecond)
-		r.do(func() {})
+		r.advanceClock(50 * time.Millisecond)
+		r.runOnLoop(func() {})
 	}
 	select {
 	case <-ended:
@@ -83,7 +83,7 @@
 	half.Close()
 	pinging.Close()
 	for {
-		r.pass(50 * time.Millisecond)
+		r.advanceClock(50 * time.Millisecond)
 		select {
 		case <-ended:
 			return
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -33,8 +33,8 @@
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
 // NewFront is for clients of the line protocol who come to a listener, with capacity for maxIdle that have no request.
-func NewFront(l *netio.Loop, core *proxy.Core, on *netio.Listener, maxIdle int) *Front {
-	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: on}
+func NewFront(l *netio.Loop, core *proxy.Core, listener *netio.Listener, maxIdle int) *Front {
+	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: listener}
 }
 
 // Stop accepts no more clients; they wait for another process that holds the listener.
@@ -47,7 +47,7 @@
 	d := &downstream{front: f, conn: c}
 	c.OnDescriptorFree(d.descriptorFreed)
 	d.idleEntry = f.idleClients.Add(d)
-	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineLate)
+	d.idleTimer = f.loop.After(firstLineTimeout, d.firstLineTimedOut)
 	return d
 }
 
@@ -63,21 +63,21 @@
 }
 
 // Resume goes on with an open connection that another process has handed over.
-func (f *Front) Resume(s *proxy.HandedOverConnection) {
+func (f *Front) Resume(connection *proxy.HandedOverConnection) {
 	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
-	d.request, u.events = f.core.Resume(s, d, u)
-	if err := netio.Resume(f.loop, s.Downstream, inputLimit, d, func(c *netio.Conn) {
+	d.request, u.events = f.core.Resume(connection, d, u)
+	if err := netio.Resume(f.loop, connection.Downstream, inputLimit, d, func(c *netio.Conn) {
 		d.conn = c
 		c.OnDescriptorFree(d.descriptorFreed)
 	}); err != nil {
-		s.Upstream.Discard(nil)
+		connection.Upstream.Discard(nil)
 		d.descriptorFreed()
 		d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
 		return
 	}
-	if err := netio.Resume(f.loop, s.Upstream, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
-		u.finish(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
+	if err := netio.Resume(f.loop, connection.Upstream, inputLimit, u, func(c *netio.Conn) { u.conn = c }); err != nil {
+		u.notifyEnd(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
 		return
 	}
 	// What was read and not relayed waits in both buffers.
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -35,24 +35,24 @@
 func (rejectingBalancer) Ejected(balancer.Time, string) bool                 { return false }
 func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
-// front serves clients, with capacity for two without a request and for so many with one. pass moves its clock.
-func front(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
+// startFront serves clients, with capacity for two without a request and for so many with one. pass moves its clock.
+func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
 	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
-	return r.dial, r.pass
+	return r.dial, r.advanceClock
 }
 
 // frontRig is a front on a loop whose clock the test moves.
 type frontRig struct {
-	loop  *netio.Loop
-	core  *proxy.Core
-	front *Front
-	dial  func() net.Conn
-	pass  func(time.Duration)
+	loop         *netio.Loop
+	core         *proxy.Core
+	front        *Front
+	dial         func() net.Conn
+	advanceClock func(time.Duration)
 }
 
-// do runs f on the loop and waits for it.
-func (r *frontRig) do(f func()) {
+// runOnLoop runs f on the loop and waits for it.
+func (r *frontRig) runOnLoop(f func()) {
 	done := make(chan struct{})
 	r.loop.Post(func() { f(); close(done) })
 	<-done
@@ -70,11 +70,11 @@
 	core := proxy.New(l, nil, proxy.Options{MaxDownstreams: maxDownstreams, Settings: balancer.Config{SendsRetryAfter: true,
 		MaxRetryAfter: 2e9, Classes: []balancer.Class{{Name: "c", Deadline: 4800e6}}, Tenants: []balancer.Tenant{{Name: "t"}}}})
 	core.Run(func(fx balancer.Effects) (proxy.Balancer, error) { return module(fx), nil }, nil, proxy.WatchEvent{})
-	on, err := netio.Bind("127.0.0.1:0", true)
+	listener, err := netio.Bind("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFront(l, core, on, 2)
+	f := NewFront(l, core, listener, 2)
 	core.SetIdleDownstreams(f)
 	if err = f.Serve(); err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	r.pass = func(d time.Duration) {
+	r.advanceClock = func(d time.Duration) {
 		now.Add(int64(d))
 		l.Post(func() {})
 	}
@@ -119,7 +119,7 @@
 
 // Clients that send nothing take no capacity of those with a request.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	dial, _ := front(t, 2)
+	dial, _ := startFront(t, 2)
 	silent, half := dial(), dial()
 	exchange(t, half, "PING\r\nOP", "PONG\r\n")
 	usual := dial()
@@ -133,7 +133,7 @@
 
 // A client has the same time for its first line in however many pieces; a PING gives it more.
 func TestFirstLineInTime(t *testing.T) {
-	dial, pass := front(t, 1)
+	dial, pass := startFront(t, 1)
 	silent := dial()
 	exchange(t, silent, "PING\r\n", "PONG\r\n")
 	half := dial()
@@ -152,7 +152,7 @@
 
 // A close with bytes unread is a reset, which must not overtake the answer.
 func TestAnswerBeforeTheEnd(t *testing.T) {
-	dial, _ := front(t, 1)
+	dial, _ := startFront(t, 1)
 	c := dial()
 	for range 100 {
 		io.WriteString(c, strings.Repeat("x", MaxLineBytes))
@@ -162,7 +162,7 @@
 
 // The same holds for a client beyond the capacity, which gets a Retry-After.
 func TestOverCapacity(t *testing.T) {
-	dial, _ := front(t, 0)
+	dial, _ := startFront(t, 0)
 	c := dial()
 	io.WriteString(c, opening+strings.Repeat("M\r\n", 50000))
 	expect(t, c, "BUSY 500\r\n")
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -94,16 +94,16 @@
 	if len(p.byHost) < p.maxConnections {
 		return true
 	}
-	var least *hostCheck
+	var oldest *hostCheck
 	for _, q := range p.byHost {
-		if q.done == nil && (least == nil || q.usedAt < least.usedAt) {
-			least = q
+		if q.done == nil && (oldest == nil || q.usedAt < oldest.usedAt) {
+			oldest = q
 		}
 	}
-	if least == nil {
+	if oldest == nil {
 		return false
 	}
-	least.end(balancer.Cancelled)
+	oldest.end(balancer.Cancelled)
 	return true
 }
 
@@ -121,9 +121,9 @@
 	c.Consume(len(line))
 	switch first {
 	case "PONG":
-		q.answer(balancer.OK, ParseReport(strings.TrimSpace(rest), q.checks.fields))
+		q.complete(balancer.OK, ParseReport(strings.TrimSpace(rest), q.checks.fields))
 	case "ERR":
-		q.answer(balancer.Error, ParseReport(strings.TrimSpace(rest), q.checks.fields))
+		q.complete(balancer.Error, ParseReport(strings.TrimSpace(rest), q.checks.fields))
 	case "NO":
 		if !q.checks.denied {
 			q.checks.denied = true
@@ -135,8 +135,8 @@
 	}
 }
 
-// answer ends a health check; its connection stays for the next.
-func (q *hostCheck) answer(s balancer.AttemptStatus, load []float64) {
+// complete ends a health check; its connection stays for the next.
+func (q *hostCheck) complete(s balancer.AttemptStatus, load []float64) {
 	done := q.done
 	q.done = nil
 	q.timer.Stop()
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -57,23 +57,23 @@
 func ParseOpenLine(line []byte) (*OpenLine, error) {
 	o := &OpenLine{line: bytes.Clone(line)}
 	s := string(trimLineEnd(line))
-	parts := strings.Split(s, " ")
-	if len(parts) != 4 || parts[0] != "OPEN" || !isID(parts[1]) || !isID(parts[2]) {
+	fields := strings.Split(s, " ")
+	if len(fields) != 4 || fields[0] != "OPEN" || !isID(fields[1]) || !isID(fields[2]) {
 		return nil, ErrMalformed
 	}
-	o.ID, o.Key = parts[1], parts[2]
-	at := len(s) - len(parts[3])
+	o.ID, o.Key = fields[1], fields[2]
+	offset := len(s) - len(fields[3])
 	seen := map[string]bool{}
-	for _, pair := range strings.Split(parts[3], ",") {
+	for _, pair := range strings.Split(fields[3], ",") {
 		name, value, found := strings.Cut(pair, "=")
 		if !found || !isName(name) || seen[name] {
 			return nil, ErrMalformed
 		}
 		seen[name] = true
-		if err := o.set(name, value, at+len(name)+1); err != nil {
+		if err := o.setField(name, value, offset+len(name)+1); err != nil {
 			return nil, err
 		}
-		at += len(pair) + 1
+		offset += len(pair) + 1
 	}
 	return o, nil
 }
@@ -110,9 +110,9 @@
 	return x, nil
 }
 
-// set reads one named value; at is where it is in the line. Names that are unknown here are ignored where their value is a number: the
+// setField reads one named value; at is where it is in the line. Names that are unknown here are ignored where their value is a number: the
 // protocol allows more of these, and the upstream host gets the line as it is.
-func (o *OpenLine) set(name, value string, at int) error {
+func (o *OpenLine) setField(name, value string, offset int) error {
 	ok := true
 	switch name {
 	case "c":
@@ -128,12 +128,12 @@
 	case "again":
 		o.Returned, ok = true, value == "1"
 	case "h":
-		h, err := parseNumber(value)
-		o.ExpectedLoad, ok = h, err == nil && h >= 0 && h < 1e18
+		load, err := parseNumber(value)
+		o.ExpectedLoad, ok = load, err == nil && load >= 0 && load < 1e18
 	case "d":
 		ms, err := strconv.ParseUint(value, 10, 31)
 		o.Wait, o.HasWait, ok = time.Duration(ms)*time.Millisecond, true, err == nil
-		o.waitStart, o.waitEnd = at, at+len(value)
+		o.waitStart, o.waitEnd = offset, offset+len(value)
 	default:
 		_, err := parseNumber(value)
 		ok = err == nil
@@ -147,16 +147,16 @@
 // WithWait is the line for an upstream host: as the client sent it, with how long this proxy waits as d.
 func (o *OpenLine) WithWait(wait time.Duration) []byte {
 	ms := strconv.AppendInt(nil, max(1, wait.Milliseconds()), 10)
-	out := make([]byte, 0, len(o.line)+len(ms)+3)
+	line := make([]byte, 0, len(o.line)+len(ms)+3)
 	if o.waitEnd > 0 {
-		out = append(out, o.line[:o.waitStart]...)
-		out = append(out, ms...)
-		return append(out, o.line[o.waitEnd:]...)
+		line = append(line, o.line[:o.waitStart]...)
+		line = append(line, ms...)
+		return append(line, o.line[o.waitEnd:]...)
 	}
-	out = append(append(out, trimLineEnd(o.line)...), ',')
-	out = append(out, "d="...)
-	out = append(out, ms...)
-	return append(out, "\r\n"...)
+	line = append(append(line, trimLineEnd(o.line)...), ',')
+	line = append(line, "d="...)
+	line = append(line, ms...)
+	return append(line, "\r\n"...)
 }
 
 // ParseHostLine reads a line of an upstream host.
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -54,24 +54,24 @@
 	return lines, buffered, nil
 }
 
-const head = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
+const openLinePrefix = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
 
-var readable = []string{head + "c=catalogue-session,t=y,d=2000,g=5c0f6e1a2b3d4c59,r=1,again=1,h=3.5,at=s-1,new=-2e3", head + "c=x"}
+var validOpenLines = []string{openLinePrefix + "c=catalogue-session,t=y,d=2000,g=5c0f6e1a2b3d4c59,r=1,again=1,h=3.5,at=s-1,new=-2e3", openLinePrefix + "c=x"}
 
-var unreadable = []string{head, head[:len(head)-1], "OPEN  7f3a9c21e0b4d655 c=x", "OPEN 9b1f03aa5c7e2d41 c=x", "OPEN x y c=x",
-	"OPEN 9B1F03AA5C7E2D41 7f3a9c21e0b4d655 c=x", "open" + head[4:] + "c=x", head + " c=x", head + "c=x ", head + "c=x,", head + "=",
-	head + "c=", head + "c=x\x01", head + "c=é", head + "d=1,d=2", head + "d=", head + "d=soon", head + "d=-5", head + "d=+5",
-	head + "d=1.5", head + "d=99999999999", head + "r=2", head + "r=", head + "again=yes", head + "g=q", head + "h=NaN",
-	head + "h=-1", head + "h=0x1p4", head + "new=z", head + "new=Inf", head + "c=x,c=x", "HELLO", ""}
+var invalidOpenLines = []string{openLinePrefix, openLinePrefix[:len(openLinePrefix)-1], "OPEN  7f3a9c21e0b4d655 c=x", "OPEN 9b1f03aa5c7e2d41 c=x", "OPEN x y c=x",
+	"OPEN 9B1F03AA5C7E2D41 7f3a9c21e0b4d655 c=x", "open" + openLinePrefix[4:] + "c=x", openLinePrefix + " c=x", openLinePrefix + "c=x ", openLinePrefix + "c=x,", openLinePrefix + "=",
+	openLinePrefix + "c=", openLinePrefix + "c=x\x01", openLinePrefix + "c=é", openLinePrefix + "d=1,d=2", openLinePrefix + "d=", openLinePrefix + "d=soon", openLinePrefix + "d=-5", openLinePrefix + "d=+5",
+	openLinePrefix + "d=1.5", openLinePrefix + "d=99999999999", openLinePrefix + "r=2", openLinePrefix + "r=", openLinePrefix + "again=yes", openLinePrefix + "g=q", openLinePrefix + "h=NaN",
+	openLinePrefix + "h=-1", openLinePrefix + "h=0x1p4", openLinePrefix + "new=z", openLinePrefix + "new=Inf", openLinePrefix + "c=x,c=x", "HELLO", ""}
 
 // A host that can't read a line says SYNTAX, which is the proxy's fault: what is not the protocol's form is rejected here.
 func TestOpenForm(t *testing.T) {
-	for _, s := range readable {
+	for _, s := range validOpenLines {
 		if _, err := ParseOpenLine([]byte(s + "\r\n")); err != nil {
 			t.Errorf("%q: %v", s, err)
 		}
 	}
-	for _, s := range unreadable {
+	for _, s := range invalidOpenLines {
 		if _, err := ParseOpenLine([]byte(s + "\r\n")); err == nil {
 			t.Errorf("%q is accepted", s)
 		}
@@ -80,7 +80,7 @@
 
 // FuzzOpen: garbage gives an error, never a panic, and what parses goes on unchanged but for d.
 func FuzzOpen(f *testing.F) {
-	for _, s := range append(unreadable, readable...) {
+	for _, s := range append(invalidOpenLines, validOpenLines...) {
 		f.Add([]byte(s + "\r\n"))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -107,8 +107,8 @@
 
 func TestWithWait(t *testing.T) {
 	for in, want := range map[string]string{"c=x,d=2000,new=1": "c=x,d=7,new=1", "c=x": "c=x,d=7"} {
-		o, err := ParseOpenLine([]byte(head + in + "\r\n"))
-		if err != nil || string(o.WithWait(7*time.Millisecond)) != head+want+"\r\n" {
+		o, err := ParseOpenLine([]byte(openLinePrefix + in + "\r\n"))
+		if err != nil || string(o.WithWait(7*time.Millisecond)) != openLinePrefix+want+"\r\n" {
 			t.Errorf("%s: %v", in, err)
 		}
 	}
--- a/internal/dataplane/lineproto/report.go
+++ b/internal/dataplane/lineproto/report.go
@@ -15,24 +15,24 @@
 	if s == "" || len(fields) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(fields)), false
-	for i := range out {
-		out[i] = math.NaN()
+	figures, found := make([]float64, len(fields)), false
+	for i := range figures {
+		figures[i] = math.NaN()
 	}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		x, err := parseNumber(value)
+		figure, err := parseNumber(value)
 		if err != nil {
 			return nil
 		}
-		for i, f := range fields {
-			if name != "" && (name == f || name == wireNames[f]) {
-				out[i], found = x, true
+		for i, field := range fields {
+			if name != "" && (name == field || name == wireNames[field]) {
+				figures[i], found = figure, true
 			}
 		}
 	}
 	if !found {
 		return nil
 	}
-	return out
+	return figures
 }
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -14,12 +14,12 @@
 	events       proxy.UpstreamEvents
 	requestLine  proxy.RequestLine
 	reportFields []string // of a load report behind an answer
-	waitUntil    int64
+	deadline     int64
 	cancelDial   func() // while the connection opens
 	conn         *netio.Conn
 	stage        netio.Stage
-	hostEnded    *netio.Error // the host has ended; its last lines may still wait for the client
-	finished     bool
+	endOfHost    *netio.Error // the host has ended; its last lines may still wait for the client
+	ended        bool
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
@@ -28,7 +28,7 @@
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
 	u.cancelDial = nil
 	if err != nil {
-		u.finish(err)
+		u.notifyEnd(err)
 		return
 	}
 	u.conn = c
@@ -37,14 +37,14 @@
 		return
 	}
 	u.stage = netio.Sending
-	c.Write(u.requestLine.WithWait(time.Duration(u.waitUntil - u.loop.Now())))
+	c.Write(u.requestLine.WithWait(time.Duration(u.deadline - u.loop.Now())))
 	if !c.Blocked() {
-		u.sent()
+		u.requestSent()
 	}
 }
 
-// sent says that the request line's last byte is written.
-func (u *upstream) sent() {
+// requestSent says that the request line's last byte is written.
+func (u *upstream) requestSent() {
 	u.stage = netio.Sent
 	u.events.UpstreamSent()
 }
@@ -54,16 +54,16 @@
 
 // RelayPending relays the host's lines, as far as the client takes them.
 func (u *upstream) RelayPending() {
-	for !u.finished && u.conn != nil {
+	for !u.ended && u.conn != nil {
 		line, err := CutLine(u.conn.Input())
 		if err != nil {
 			u.conn.Close()
-			u.finish(&netio.Error{Stage: u.stage, Cause: netio.EndedLocally, Detail: err})
+			u.notifyEnd(&netio.Error{Stage: u.stage, Cause: netio.EndedLocally, Detail: err})
 			return
 		}
 		if line == nil {
-			if u.hostEnded != nil {
-				u.finish(u.hostEnded)
+			if u.endOfHost != nil {
+				u.notifyEnd(u.endOfHost)
 			}
 			return
 		}
@@ -85,7 +85,7 @@
 // Writable says that the host takes bytes again: the request line is written completely, or a line of the client's may follow.
 func (u *upstream) Writable(c *netio.Conn) {
 	if u.stage == netio.Sending {
-		u.sent()
+		u.requestSent()
 		return
 	}
 	u.events.UpstreamReady()
@@ -95,22 +95,22 @@
 func (u *upstream) Closed(c *netio.Conn, err *netio.Error) {
 	// The connection knows that it was established; how far the request on it had come is known here. Its layer may know that it never was:
 	// then the host has read nothing, whatever was written.
-	u.hostEnded = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
+	u.endOfHost = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
 	u.RelayPending() // a slow client still gets the lines from before the end
 }
 
-// finish notifies of the end, once.
-func (u *upstream) finish(err *netio.Error) {
-	if !u.finished {
-		u.finished = true
+// notifyEnd notifies of the end, once.
+func (u *upstream) notifyEnd(err *netio.Error) {
+	if !u.ended {
+		u.ended = true
 		u.events.UpstreamEnded(err)
 	}
 }
 
 // Release gives the host's connection away without ending it. One that the host has ended stays, for its last lines.
 func (u *upstream) Release(done func(netio.ReleasedConn)) {
-	u.finished = true
-	if u.conn == nil || u.hostEnded != nil {
+	u.ended = true
+	if u.conn == nil || u.endOfHost != nil {
 		u.loop.Post(func() { done(netio.ReleasedConn{FD: -1}) })
 		return
 	}
@@ -135,7 +135,7 @@
 
 // End ends the attempt, or the connection as the client's ended. No event follows.
 func (u *upstream) End(cause netio.Cause) {
-	u.finished = true
+	u.ended = true
 	if u.cancelDial != nil {
 		u.cancelDial()
 		u.cancelDial = nil
--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -25,8 +25,8 @@
 // whilePollerParked runs f on the loop while the poller is between two sockets and waits.
 func (e *pollerEnvironment) whilePollerParked(f func()) {
 	e.gate.openForBarrier()
-	e.barrier.wait(func() {
-		e.gate.shut() // before the poller goes on, or it would not wait with what it reads first
+	e.barrier.runWhileParked(func() {
+		e.gate.closeAfterBarrier() // before the poller goes on, or it would not wait with what it reads first
 		e.gate.pollerParked.Store(true)
 		defer e.gate.pollerParked.Store(false)
 		f()
@@ -48,9 +48,9 @@
 		BufferSize: 1024,
 		Runner: func(_ context.Context, f func()) {
 			environment.Lock()
-			to := environment.loop
+			loop := environment.loop
 			environment.Unlock()
-			environment.gate.runOnLoop(to, f)
+			environment.gate.runOnLoop(loop, f)
 		},
 		LoggerOutput: netpollLog{},
 	})
@@ -58,7 +58,7 @@
 		environment.barrier, err = newPollerBarrier()
 	}
 	if err == nil {
-		environment.barrier.wait(func() {}) // from here on the loop can wait for the poller
+		environment.barrier.runWhileParked(func() {}) // from here on the loop can wait for the poller
 	}
 	return err
 }
--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -45,9 +45,9 @@
 	inputLimit      int   // bytes of input at which reading pauses
 	paused          bool  // netpoll does not watch it
 	refillScheduled bool
-	pollerRefusals  int // times in a row that the poller could not take it
+	watchFailures   int // times in a row that the poller could not take it
 	output          unsentOutput
-	over            bool // Closed was called, or this side closed
+	ended           bool // Closed was called, or this side closed
 	ending          endingState
 	// onDescriptorFree is called once the descriptor is free.
 	onDescriptorFree func()
@@ -58,19 +58,19 @@
 
 // unsentOutput is the rest of the one line that the kernel took only in part.
 type unsentOutput struct {
-	unsent     []byte
-	retry      *Timer
-	retryPause time.Duration
-	giveUpAt   int64 // when a peer that takes nothing is dropped
+	unsent        []byte
+	retryTimer    *Timer
+	retryPause    time.Duration
+	stallDeadline int64 // when a peer that takes nothing is dropped
 }
 
 // endingState is how a connection ends that this side has closed.
 type endingState struct {
-	unsentUntil    int64 // until when the rest of a partly written line may still go out
+	unsentDeadline int64 // until when the rest of a partly written line may still go out
 	abort          bool  // Abort was called
 	finishing      bool  // Finish was called
 	discardedBytes int   // what came in after that
-	linger         *Timer
+	lingerTimer    *Timer
 }
 
 // socketState is the descriptor. netpoll may close it on a goroutine of its own, after which its number can belong to another connection: whoever
@@ -107,7 +107,7 @@
 func (c *Conn) start(h Handler) {
 	c.handler = h
 	environment.whilePollerParked(c.watch)
-	if c.layer != nil && !c.over {
+	if c.layer != nil && !c.ended {
 		c.readLayer(c.inputLimit) // the layer may have read ahead
 	}
 }
@@ -115,7 +115,7 @@
 // watch has netpoll deliver what comes on the connection. The poller must be parked: what it has read by now is delivered
 // from here, and it adds callbacks of its own without a lock.
 func (c *Conn) watch() {
-	c.transport.AddCloseCallback(c.closed)
+	c.transport.AddCloseCallback(c.transportClosed)
 	c.transport.SetOnRequest(func(context.Context, netpoll.Connection) error {
 		c.read()
 		return nil
@@ -135,13 +135,13 @@
 // Consume drops the first n bytes of the input.
 func (c *Conn) Consume(n int) {
 	c.input.Consume(n)
-	if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
+	if c.paused && !c.ended && c.input.Len() < c.inputLimit/2 {
 		c.refill()
 	}
 }
 
 // Ended reports whether the connection has ended, from either side.
-func (c *Conn) Ended() bool { return c.over }
+func (c *Conn) Ended() bool { return c.ended }
 
 // guard confines a panic to the connection that it came from, and ends that, so that a request waiting on it still gets its answer.
 func (c *Conn) guard(f func()) {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -14,11 +14,11 @@
 type Dialer struct {
 	loop *Loop
 
-	mu            sync.Mutex
-	ready         *sync.Cond
-	waiting       []*Dial
-	busy          map[string]int
-	maxPerAddress int // dials at a time to one address: a vanished one must not use them all
+	mu              sync.Mutex
+	ready           *sync.Cond
+	waiting         []*Dial
+	dialsPerAddress map[string]int
+	maxPerAddress   int // dials at a time to one address: a vanished one must not use them all
 
 	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests replace it
 }
@@ -34,26 +34,26 @@
 	deadline int64
 	handler  Handler
 	done     func(*Conn, *Error)
-	dropped  bool // guarded by the dialer's mu
+	ended    bool // guarded by the dialer's mu
 	expiry   *Timer
 }
 
 // NewDialer starts n dialers.
 func NewDialer(l *Loop, n int) *Dialer {
-	d := &Dialer{loop: l, busy: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
+	d := &Dialer{loop: l, dialsPerAddress: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
 	d.ready = sync.NewCond(&d.mu)
 	for range n {
-		go d.work()
+		go d.runDials()
 	}
 	return d
 }
 
 // Dial opens a connection to addr within the time given, waiting for a dialer included, and calls done on the loop,
 // once, unless Drop comes first. h handles the connection; limit bounds its input.
-func (d *Dialer) Dial(addr string, within time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
-	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(within), handler: h, done: done}
+func (d *Dialer) Dial(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
+	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(timeout), handler: h, done: done}
 	// The limit holds on the loop's own clock too: a dial still queued when it passes is over.
-	q.expiry = d.loop.After(within, func() {
+	q.expiry = d.loop.After(timeout, func() {
 		q.finish(nil, &Error{Stage: Connecting, Cause: TimedOut})
 	})
 	d.mu.Lock()
@@ -66,22 +66,22 @@
 // Cancel ends the dial; done is not called any more. A nil Dial is none.
 func (q *Dial) Cancel() {
 	if q != nil {
-		q.settle()
+		q.markEnded()
 	}
 }
 
-// settle ends a dial; false: it had ended already.
-func (q *Dial) settle() bool {
+// markEnded ends a dial; false: it had ended already.
+func (q *Dial) markEnded() bool {
 	q.expiry.Stop()
 	q.dialer.mu.Lock()
 	defer q.dialer.mu.Unlock()
-	was := q.dropped
-	q.dropped = true
-	return !was
+	alreadyEnded := q.ended
+	q.ended = true
+	return !alreadyEnded
 }
 
 func (q *Dial) finish(np netpoll.Connection, err *Error) {
-	if !q.settle() {
+	if !q.markEnded() {
 		if np != nil {
 			np.Close()
 		}
@@ -99,26 +99,26 @@
 	}
 }
 
-// next is the oldest dial that may begin; those dropped while they waited are never begun.
-func (d *Dialer) next() *Dial {
+// nextDial is the oldest dial that may begin; those dropped while they waited are never begun.
+func (d *Dialer) nextDial() *Dial {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for {
-		left := d.waiting[:0]
+		remaining := d.waiting[:0]
 		var found *Dial
 		for _, q := range d.waiting {
 			switch {
-			case q.dropped:
-			case found == nil && d.busy[q.addr] < d.maxPerAddress:
+			case q.ended:
+			case found == nil && d.dialsPerAddress[q.addr] < d.maxPerAddress:
 				found = q
 			default:
-				left = append(left, q)
+				remaining = append(remaining, q)
 			}
 		}
-		clear(d.waiting[len(left):])
-		d.waiting = left
+		clear(d.waiting[len(remaining):])
+		d.waiting = remaining
 		if found != nil {
-			d.busy[found.addr]++
+			d.dialsPerAddress[found.addr]++
 			return found
 		}
 		d.ready.Wait()
@@ -130,38 +130,38 @@
 func (d *Dialer) connect(q *Dial) (np netpoll.Connection, err error) {
 	err = errors.New("no time left")
 	for {
-		left := time.Duration(q.deadline - d.loop.Now())
+		timeLeft := time.Duration(q.deadline - d.loop.Now())
 		d.mu.Lock()
-		over := left <= 0 || q.dropped
+		ended := timeLeft <= 0 || q.ended
 		d.mu.Unlock()
-		if over {
+		if ended {
 			return nil, err
 		}
-		if np, err = d.dial("tcp", q.addr, left); err == nil || !isResourceShortage(err) {
+		if np, err = d.dial("tcp", q.addr, timeLeft); err == nil || !isResourceShortage(err) {
 			return np, err
 		}
 		time.Sleep(dialRetryPause)
 	}
 }
 
-func (d *Dialer) work() {
+func (d *Dialer) runDials() {
 	for {
-		q := d.next()
-		np, fault := d.connect(q)
+		q := d.nextDial()
+		np, err := d.connect(q)
 		d.mu.Lock()
-		if d.busy[q.addr]--; d.busy[q.addr] == 0 {
-			delete(d.busy, q.addr)
+		if d.dialsPerAddress[q.addr]--; d.dialsPerAddress[q.addr] == 0 {
+			delete(d.dialsPerAddress, q.addr)
 		}
 		d.mu.Unlock()
 		d.ready.Signal()
 		d.loop.Post(func() {
-			if fault != nil {
+			if err != nil {
 				// netpoll's errors do not distinguish a refusal from a time-out; the clock does.
 				cause := Refused
 				if d.loop.Now() >= q.deadline {
 					cause = TimedOut
 				}
-				q.finish(nil, &Error{Stage: Connecting, Cause: cause, Detail: fault})
+				q.finish(nil, &Error{Stage: Connecting, Cause: cause, Detail: err})
 				return
 			}
 			q.finish(np, nil)
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -16,18 +16,18 @@
 // maxLingerInput is how much, in bytes, may come in meanwhile: a peer that sends more is not reading.
 const maxLingerInput = 1 << 20
 
-// closed is netpoll's callback for a closed connection. It may come on a goroutine of netpoll's.
-func (c *Conn) closed(np netpoll.Connection) error {
+// transportClosed is netpoll's callback for a transportClosed connection. It may come on a goroutine of netpoll's.
+func (c *Conn) transportClosed(np netpoll.Connection) error {
 	environment.gate.releasePoller()
 	cause := Ended
 	c.socket.mu.Lock()
 	if c.socket.detaching {
 		c.socket.mu.Unlock()
-		c.detached(np)
+		c.finishPause(np)
 		return nil
 	}
-	rescued := c.socket.fd >= 0 && c.rescueDescriptor()
-	if c.socket.fd >= 0 && !rescued {
+	kept := c.socket.fd >= 0 && c.keepDescriptor()
+	if c.socket.fd >= 0 && !kept {
 		cause = c.endCause()
 		c.socket.fd = -1 // the number is another's from here on
 	}
@@ -38,18 +38,18 @@
 		tail = make([]byte, n)
 		np.Read(tail)
 	}
-	if rescued {
-		c.loop.Post(func() { c.watchAfterLoss(tail) })
+	if kept {
+		c.loop.Post(func() { c.watchKeptDescriptor(tail) })
 		return nil
 	}
 	c.loop.Post(func() {
-		if c.over {
+		if c.ended {
 			c.descriptorFreed()
 			return
 		}
 		switch {
 		case c.layer != nil:
-			c.readSealed(tail, c.inputLimit+inputOvershoot)
+			c.readThroughLayer(tail, c.inputLimit+inputOvershoot)
 			if cause == Ended {
 				// Anybody can end the socket; only the layer's own end comes from the peer.
 				c.fail(&Error{Stage: Up, Cause: Broken, Detail: errTruncated})
@@ -66,9 +66,9 @@
 // errPollerDropped is the reason for a connection that netpoll dropped although it is established: netpoll gives no other.
 var errPollerDropped = errors.New("the poller could not take the socket, or not read from it")
 
-// rescueDescriptor reports whether netpoll closes a connection that neither side has ended, such as where the kernel had no memory for
+// keepDescriptor reports whether netpoll closes a connection that neither side has ended, such as where the kernel had no memory for
 // watching its socket. It then keeps the socket open under another descriptor. The caller holds socket.mu.
-func (c *Conn) rescueDescriptor() bool {
+func (c *Conn) keepDescriptor() bool {
 	const tcpEstablished = 1
 	if c.socket.closing {
 		return false
@@ -87,35 +87,35 @@
 
 // duplicateDescriptor gives a socket another descriptor; under 0: there is none to be had.
 func duplicateDescriptor(fd int) int {
-	second, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+	duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return -1
 	}
-	return second
+	return duplicate
 }
 
-// watchAfterLoss has netpoll watch a socket again that it has dropped. tail came in before that.
-func (c *Conn) watchAfterLoss(tail []byte) {
+// watchKeptDescriptor has netpoll watch a socket again that it has dropped. tail came in before that.
+func (c *Conn) watchKeptDescriptor(tail []byte) {
 	c.paused = true
-	if c.over && !c.ending.finishing {
+	if c.ended && !c.ending.finishing {
 		c.closeSocket()
 		return
 	}
 	switch {
-	case c.over:
-		c.discarded(len(tail))
+	case c.ended:
+		c.countDiscarded(len(tail))
 	case c.layer != nil:
-		c.readSealed(tail, c.inputLimit+inputOvershoot)
+		c.readThroughLayer(tail, c.inputLimit+inputOvershoot)
 	default:
 		c.input.Append(tail)
 		c.deliver()
 	}
-	c.watchAgain(errPollerDropped)
+	c.retryWatch(errPollerDropped)
 }
 
 // closeSocket closes the socket, whether netpoll watches it or not.
 func (c *Conn) closeSocket() {
-	c.ending.linger.Stop()
+	c.ending.lingerTimer.Stop()
 	c.ending.finishing = false
 	c.socket.mu.Lock()
 	c.socket.closing = true
@@ -145,7 +145,7 @@
 
 // descriptorFreed calls what OnDescriptorFree has set, once.
 func (c *Conn) descriptorFreed() {
-	c.ending.linger.Stop()
+	c.ending.lingerTimer.Stop()
 	if f := c.onDescriptorFree; f != nil {
 		c.onDescriptorFree = nil
 		f()
@@ -170,12 +170,12 @@
 
 // fail closes the connection and notifies the handler.
 func (c *Conn) fail(err *Error) {
-	if c.over {
+	if c.ended {
 		return
 	}
 	input := c.input
-	if w, ok := c.handler.(FinalMessager); ok && err.Cause == EndedLocally {
-		c.FinishWith(w.FinalMessage())
+	if messager, ok := c.handler.(FinalMessager); ok && err.Cause == EndedLocally {
+		c.FinishWith(messager.FinalMessage())
 	} else {
 		c.Close()
 	}
@@ -190,14 +190,14 @@
 
 // Close ends the connection in order: what was written goes out, then the end.
 func (c *Conn) Close() {
-	if c.over {
+	if c.ended {
 		return
 	}
 	c.releaseFailed()
 	c.endLayer()
-	c.over, c.input = true, Buffer{}
+	c.ended, c.input = true, Buffer{}
 	if len(c.output.unsent) > 0 {
-		c.ending.unsentUntil = c.loop.Now() + int64(lingerTimeout)
+		c.ending.unsentDeadline = c.loop.Now() + int64(lingerTimeout)
 		return // retryUnsent closes: a line must not be cut off because its reader is slow
 	}
 	c.closeSocket()
@@ -206,14 +206,14 @@
 // Finish ends the connection after its last line. Close would reset it wherever the peer has sent what nobody has read, and a reset can
 // overtake the line. So only this side ends; what still comes is discarded until the peer hangs up, or for lingerTimeout.
 func (c *Conn) Finish() {
-	if c.over {
+	if c.ended {
 		return
 	}
 	c.releaseFailed()
 	c.endLayer()
-	c.over, c.ending.finishing, c.input = true, true, Buffer{}
-	c.ending.unsentUntil = c.loop.Now() + int64(lingerTimeout)
-	c.ending.linger = c.loop.After(lingerTimeout, c.closeSocket)
+	c.ended, c.ending.finishing, c.input = true, true, Buffer{}
+	c.ending.unsentDeadline = c.loop.Now() + int64(lingerTimeout)
+	c.ending.lingerTimer = c.loop.After(lingerTimeout, c.closeSocket)
 	if len(c.output.unsent) == 0 {
 		c.halfClose()
 	}
@@ -234,14 +234,14 @@
 // CloseNow frees the descriptor at once, also of a connection that was finished.
 func (c *Conn) CloseNow() {
 	c.Close()
-	c.output.retry.Stop()
+	c.output.retryTimer.Stop()
 	c.output.unsent = nil
 	c.closeSocket()
 }
 
 // Abort ends it with a reset, after the rest of a line that the peer has not taken yet: that may be the answer to its request.
 func (c *Conn) Abort() {
-	if c.over {
+	if c.ended {
 		return
 	}
 	c.layer, c.ending.abort = nil, true // a layer sends nothing at a reset
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -12,8 +12,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// failing is a loop whose system call gives an error so many times, and then goes on.
-func failing(err error, times int) *Loop {
+// failingLoop is a loop whose system call gives an error so many times, and then goes on.
+func failingLoop(err error, times int) *Loop {
 	l := NewLoop()
 	l.sendmsg = func(fd int, p []byte) (int, error) {
 		if times > 0 {
@@ -31,7 +31,7 @@
 // A kernel that is short of buffers for a moment breaks no connection: the line is sent again.
 func TestALineOutlivesAKernelShortOfBuffers(t *testing.T) {
 	for _, err := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
-		_, addr, _ := serveOn(t, failing(err, 3), func(c *Conn) { c.FinishWith([]byte("a line\r\n")) })
+		_, addr, _ := serveOn(t, failingLoop(err, 3), func(c *Conn) { c.FinishWith([]byte("a line\r\n")) })
 		c := dial(t, addr)
 		c.Write([]byte("."))
 		if got, err2 := io.ReadAll(c); string(got) != "a line\r\n" || err2 != nil {
@@ -43,7 +43,7 @@
 // A host accepts and then resets its connection, while the kernel takes no bytes for the client: the reset that is passed on must not overtake
 // the acceptance, which is the client's answer.
 func TestAResetComesBehindTheAnswer(t *testing.T) {
-	_, addr, _ := serveOn(t, failing(syscall.ENOBUFS, 3), func(c *Conn) {
+	_, addr, _ := serveOn(t, failingLoop(syscall.ENOBUFS, 3), func(c *Conn) {
 		c.Write([]byte("UP x\r\n"))
 		c.Abort()
 	})
@@ -57,7 +57,7 @@
 
 // The loop stops accepting while the poller waits for it with a connection that it has accepted: neither may wait for the other for ever.
 func TestStoppingWhileAConnectionIsAccepted(t *testing.T) {
-	l, n := attachedLoop(t), bound(t)
+	l, n := attachedLoop(t), bindListener(t)
 	if err := Serve(l, n, 1024, greet); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 func TestAWriteThatFailsIsReported(t *testing.T) {
 	for _, err := range []error{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		written := make(chan bool, 1)
-		_, addr, ends := serveOn(t, failing(err, 1), func(c *Conn) {
+		_, addr, ends := serveOn(t, failingLoop(err, 1), func(c *Conn) {
 			c.Write([]byte("a line\r\n"))
 			written <- !c.Blocked()
 		})
@@ -166,13 +166,13 @@
 	}
 }
 
-// flaky is a listener whose accept fails in one way after the other.
-type flaky struct {
+// flakyListener is a listener whose accept fails in one way after the other.
+type flakyListener struct {
 	netpoll.Listener
 	errs []error
 }
 
-func (f *flaky) Accept() (net.Conn, error) {
+func (f *flakyListener) Accept() (net.Conn, error) {
 	if len(f.errs) > 0 {
 		err := f.errs[0]
 		f.errs = f.errs[1:]
@@ -183,8 +183,8 @@
 
 // Accepting goes on whatever one accept says, and at once where there is a descriptor again.
 func TestAcceptingOutlivesItsErrors(t *testing.T) {
-	l, n := runningLoop(t), bound(t)
-	n.Listener = &flaky{Listener: n.Listener, errs: []error{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.EPERM,
+	l, n := runningLoop(t), bindListener(t)
+	n.Listener = &flakyListener{Listener: n.Listener, errs: []error{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.EPERM,
 		syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE, syscall.EMFILE, syscall.ENFILE}}
 	if err := Serve(l, n, 1024, greet); err != nil {
 		t.Fatal(err)
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -30,9 +30,9 @@
 const (
 	// layerReadSize is how much a layer may give at once: less than the smallest buffer, which an idle connection keeps.
 	layerReadSize = minBufferSize / 2
-	// maxUnsent is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more without
+	// maxUnsentBytes is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more without
 	// reading is ended.
-	maxUnsent = 64 << 10
+	maxUnsentBytes = 64 << 10
 )
 
 var (
@@ -58,10 +58,10 @@
 	c.sizeBuffers()
 	s.Layer.Attach(c.writeToSocket)
 	c.guard(func() { done(c) })
-	if !c.over {
+	if !c.ended {
 		c.resume()
 	}
-	if c.layer != nil && !c.over {
+	if c.layer != nil && !c.ended {
 		c.readLayer(c.inputLimit) // the layer may have read ahead
 	}
 }
@@ -69,28 +69,28 @@
 // Layer is what is between the socket and the handler; nil: nothing, or no longer.
 func (c *Conn) Layer() Layer { return c.layer }
 
-// readSealed gives the layer what came, and the handler what the layer has decrypted.
-func (c *Conn) readSealed(p []byte, most int) {
+// readThroughLayer gives the layer what came, and the handler what the layer has decrypted.
+func (c *Conn) readThroughLayer(p []byte, limit int) {
 	if !c.layer.Receive(p) {
 		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit})
 		return
 	}
-	c.readLayer(most)
+	c.readLayer(limit)
 }
 
 // readLayer has the layer fill the input up to most bytes, and the handler read it.
-func (c *Conn) readLayer(most int) {
+func (c *Conn) readLayer(limit int) {
 	c.guard(func() {
-		for !c.over {
-			fresh, err := c.readLayerOnce(most)
-			c.layerHasMore = err == nil && c.input.Len() >= most
+		for !c.ended {
+			fresh, err := c.readLayerOnce(limit)
+			c.layerHasMore = err == nil && c.input.Len() >= limit
 			if fresh {
 				c.handler.Data(c)
 			}
 			if err != nil {
 				c.fail(layerError(err))
 			}
-			if !c.layerHasMore || c.input.Len() >= most {
+			if !c.layerHasMore || c.input.Len() >= limit {
 				return
 			}
 		}
@@ -98,8 +98,8 @@
 }
 
 // readLayerOnce has the layer fill the input up to most bytes; fresh: some have come.
-func (c *Conn) readLayerOnce(most int) (fresh bool, err error) {
-	for c.input.Len() < most {
+func (c *Conn) readLayerOnce(limit int) (fresh bool, err error) {
+	for c.input.Len() < limit {
 		n, err := c.layer.Open(c.input.Reserve(layerReadSize))
 		c.input.Extend(n)
 		fresh = fresh || n > 0
@@ -135,11 +135,11 @@
 	c.refillScheduled = true
 	c.loop.Post(func() {
 		c.refillScheduled = false
-		if c.over {
+		if c.ended {
 			return
 		}
 		c.readLayer(c.inputLimit)
-		if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
+		if c.paused && !c.ended && c.input.Len() < c.inputLimit/2 {
 			c.refill()
 		}
 	})
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -24,7 +24,7 @@
 	stopped  bool
 	detached bool          // netpoll has been stopped
 	ended    chan struct{} // closed once netpoll has stopped; nil before the first Serve
-	take     func(fd int)  // takes over the descriptor of a connection, on the poller
+	onAccept func(fd int)  // takes over the descriptor of a connection, on the poller
 }
 
 // errStopped ends netpoll's accepting. netpoll looks for "closed" in its text; the socket stays open.
@@ -44,7 +44,7 @@
 		return nil, errStopped
 	}
 	c, err := n.Listener.Accept()
-	take := n.take
+	take := n.onAccept
 	n.mu.Unlock() // the loop may wait for it, and is waited for below
 	if err != nil {
 		slog.Warn("accept_failed", "addr", n.addr, "reason", err)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return listener(ln)
+	return newListener(ln)
 }
 
 // Inherit takes a listening socket that another process has handed over. The descriptor is the listener's from here on.
@@ -106,10 +106,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return listener(ln)
+	return newListener(ln)
 }
 
-func listener(ln net.Listener) (*Listener, error) {
+func newListener(ln net.Listener) (*Listener, error) {
 	np, err := netpoll.ConvertListener(ln)
 	if err != nil {
 		ln.Close()
@@ -139,8 +139,8 @@
 	n.mu.Lock()
 	n.stopped = false
 	// Accepting waits for the loop, which may have to evict another connection first.
-	n.take = func(fd int) { environment.gate.runOnLoop(l, func() { accepted(l, fd, limit, accept) }) }
-	serving, before := n.ended != nil && !n.detached, n.ended
+	n.onAccept = func(fd int) { environment.gate.runOnLoop(l, func() { startAccepted(l, fd, limit, accept) }) }
+	serving, previousEnded := n.ended != nil && !n.detached, n.ended
 	if !serving {
 		n.detached, n.ended = false, make(chan struct{})
 	}
@@ -150,8 +150,8 @@
 		return nil // netpoll has not stopped yet
 	}
 	go func() {
-		if before != nil {
-			<-before // netpoll watches a socket once
+		if previousEnded != nil {
+			<-previousEnded // netpoll watches a socket once
 		}
 		n.serve()
 		close(ended)
@@ -183,8 +183,8 @@
 	return events.Serve(l)
 }
 
-// accepted begins a connection that was accepted, on the loop.
-func accepted(l *Loop, fd, limit int, accept func(c *Conn) Handler) {
+// startAccepted begins a connection that was startAccepted, on the loop.
+func startAccepted(l *Loop, fd, limit int, accept func(c *Conn) Handler) {
 	unix.SetNonblock(fd, true)
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := newPausedConn(l, fd, limit, discardingHandler{})
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -19,8 +19,8 @@
 	stopped bool
 	ended   chan struct{} // closed once Run has returned
 
-	timers timerHeap
-	order  uint64
+	timers    timerHeap
+	lastOrder uint64
 
 	clock   func() int64
 	sendmsg func(fd int, p []byte) (int, error) // the system call; tests replace it
@@ -32,9 +32,9 @@
 // NewLoop makes a loop. Its clock is Unix time as it is now plus what passes on the monotonic clock, so that a step of
 // the system's clock moves no deadline and boot times given in Unix time compare directly.
 func NewLoop() *Loop {
-	began := time.Now()
+	startedAt := time.Now()
 	base := WallClock().UnixNano()
-	return NewLoopAt(func() int64 { return base + int64(time.Since(began)) })
+	return NewLoopAt(func() int64 { return base + int64(time.Since(startedAt)) })
 }
 
 // NewLoopAt makes a loop on the given clock.
@@ -67,17 +67,17 @@
 // Run serves tasks and timers until Stop.
 func (l *Loop) Run() {
 	defer close(l.ended)
-	clock := time.NewTimer(time.Hour)
-	defer clock.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		wait := l.RunPending()
 		if l.stopped {
 			return
 		}
-		clock.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-l.wake:
-		case <-clock.C:
+		case <-timer.C:
 		}
 	}
 }
@@ -92,10 +92,10 @@
 		for i, f := range tasks {
 			tasks[i] = nil
 			l.guard(f)
-			l.fire() // a long queue must not delay what is due
+			l.runDueTimers() // a long queue must not delay what is due
 		}
 		l.spare = tasks[:0]
-		if wait := l.fire(); len(tasks) == 0 {
+		if wait := l.runDueTimers(); len(tasks) == 0 {
 			return wait
 		}
 	}
@@ -112,8 +112,8 @@
 	f()
 }
 
-// fire runs the timers that are due, and gives how long until the next one is.
-func (l *Loop) fire() time.Duration {
+// runDueTimers runs the timers that are due, and gives how long until the next one is.
+func (l *Loop) runDueTimers() time.Duration {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
 		if wait := t.due - l.Now(); wait > 0 {
@@ -136,8 +136,8 @@
 
 // After calls f on the loop once d has passed.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
-	l.order++
-	t := &Timer{due: l.Now() + int64(max(d, 0)), order: l.order, call: f, loop: l}
+	l.lastOrder++
+	t := &Timer{due: l.Now() + int64(max(d, 0)), order: l.lastOrder, call: f, loop: l}
 	heap.Push(&l.timers, t)
 	return t
 }
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -13,19 +13,19 @@
 type loopGate struct {
 	pollerParked atomic.Bool // the poller is parked, so it is the loop that calls: it must not wait for itself
 
-	mu      sync.Mutex
-	waiting chan struct{} // of the poller, for the task that the loop is at
-	open    chan struct{} // closed while the loop waits for the poller
+	mu       sync.Mutex
+	taskDone chan struct{} // of the poller, for the task that the loop is at
+	opened   chan struct{} // closed while the loop waits for the poller
 }
 
-func newLoopGate() *loopGate { return &loopGate{open: make(chan struct{})} }
+func newLoopGate() *loopGate { return &loopGate{opened: make(chan struct{})} }
 
 // runOnLoop has l run f and returns once that has called releasePoller or returned.
 func (g *loopGate) runOnLoop(l *Loop, f func()) {
 	done := make(chan struct{})
 	l.Post(func() {
 		g.mu.Lock()
-		g.waiting = done
+		g.taskDone = done
 		g.mu.Unlock()
 		defer g.releasePoller()
 		f()
@@ -34,7 +34,7 @@
 		return
 	}
 	g.mu.Lock()
-	open := g.open
+	open := g.opened
 	g.mu.Unlock()
 	select {
 	case <-done:
@@ -48,22 +48,22 @@
 func (g *loopGate) releasePoller() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.waiting != nil {
-		close(g.waiting)
-		g.waiting = nil
+	if g.taskDone != nil {
+		close(g.taskDone)
+		g.taskDone = nil
 	}
 }
 
 // openForBarrier opens the gate while the loop waits for the poller: each would wait for the other.
 func (g *loopGate) openForBarrier() {
 	g.mu.Lock()
-	close(g.open)
+	close(g.opened)
 	g.mu.Unlock()
 }
 
-// shut makes the poller wait again.
-func (g *loopGate) shut() {
+// closeAfterBarrier makes the poller wait again.
+func (g *loopGate) closeAfterBarrier() {
 	g.mu.Lock()
-	g.open = make(chan struct{})
+	g.opened = make(chan struct{})
 	g.mu.Unlock()
 }
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// bound is a listener on a free port.
-func bound(t *testing.T) *Listener {
+// bindListener is a listener on a free port.
+func bindListener(t *testing.T) *Listener {
 	t.Helper()
 	n, err := Bind("127.0.0.1:0", false)
 	if err != nil {
@@ -101,12 +101,12 @@
 // A client that sends and does not read is stopped and not buffered without limit, and loses nothing when it reads at last.
 func TestBackPressure(t *testing.T) {
 	stopped := make(chan struct{}, 1000)
-	most := 0
+	maxBuffered := 0
 	_, addr, closed := serve(t, func(c *Conn) {
 		for len(c.Input()) > 0 && c.Write(c.Input()[:min(1024, len(c.Input()))]) {
 			c.Consume(min(1024, len(c.Input())))
 		}
-		most = max(most, len(c.Input()))
+		maxBuffered = max(maxBuffered, len(c.Input()))
 		if c.Blocked() && len(c.Input()) >= c.inputLimit/2 { // from here on a pause lasts
 			select {
 			case stopped <- struct{}{}:
@@ -127,8 +127,8 @@
 	if err := <-closed; err.Cause != Ended {
 		t.Errorf("ended by %v", err)
 	}
-	if most > 4096+inputOvershoot {
-		t.Fatalf("%d bytes were buffered", most)
+	if maxBuffered > 4096+inputOvershoot {
+		t.Fatalf("%d bytes were buffered", maxBuffered)
 	}
 }
 
@@ -156,13 +156,13 @@
 		}
 		c.Write(c.Input())
 	})
-	bad, good := dial(t, addr), dial(t, addr)
-	bad.Write([]byte("p"))
+	panicking, other := dial(t, addr), dial(t, addr)
+	panicking.Write([]byte("p"))
 	if err := <-closed; err.Cause != EndedLocally {
 		t.Fatal(err)
 	}
-	good.Write([]byte("g"))
-	if _, err := io.ReadFull(good, make([]byte, 1)); err != nil {
+	other.Write([]byte("g"))
+	if _, err := io.ReadFull(other, make([]byte, 1)); err != nil {
 		t.Fatal("another connection ended:", err)
 	}
 }
@@ -170,19 +170,19 @@
 func TestDial(t *testing.T) {
 	l, addr, _ := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	d := NewDialer(l, 4)
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusing := gone.Addr().String()
-	gone.Close()
+	refusing := closedListener.Addr().String()
+	closedListener.Close()
 	results := make(chan string, 8)
-	back := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
+	handler := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
 	l.Post(func() {
-		d.Dial(addr, time.Minute, 4096, back, func(*Conn, *Error) { results <- "dropped, yet notified" }).Cancel()
-		d.Dial(refusing, time.Minute, 4096, back, func(c *Conn, err *Error) {
+		d.Dial(addr, time.Minute, 4096, handler, func(*Conn, *Error) { results <- "dropped, yet notified" }).Cancel()
+		d.Dial(refusing, time.Minute, 4096, handler, func(c *Conn, err *Error) {
 			results <- err.Error()[:len("refused while connecting")]
-			d.Dial(addr, time.Minute, 4096, back, func(c *Conn, err *Error) { c.Write([]byte("hello")) })
+			d.Dial(addr, time.Minute, 4096, handler, func(c *Conn, err *Error) { c.Write([]byte("hello")) })
 		})
 	})
 	for _, want := range []string{"refused while connecting", "hello"} {
@@ -194,11 +194,11 @@
 
 // Dials to an address that does not answer leave dialers to the others.
 func TestVanishedHostLeavesDialers(t *testing.T) {
-	d := &Dialer{loop: NewLoop(), busy: map[string]int{"vanished": 1}, maxPerAddress: 1}
+	d := &Dialer{loop: NewLoop(), dialsPerAddress: map[string]int{"vanished": 1}, maxPerAddress: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
 		d.waiting = append(d.waiting, &Dial{dialer: d, addr: addr})
 	}
-	if q := d.next(); q.addr != "alive" || len(d.waiting) != 2 {
+	if q := d.nextDial(); q.addr != "alive" || len(d.waiting) != 2 {
 		t.Fatalf("next is %s, %d wait", q.addr, len(d.waiting))
 	}
 }
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -30,9 +30,9 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &pollerBarrier{eventFD: fd, reached: make(chan struct{}), release: make(chan struct{})}
-	go f.serve()
-	return f, nil
+	b := &pollerBarrier{eventFD: fd, reached: make(chan struct{}), release: make(chan struct{})}
+	go b.serve()
+	return b, nil
 }
 
 // barrierRetryPause is the pause before the next attempt to have netpoll watch the barrier. The loop waits meanwhile.
@@ -40,20 +40,20 @@
 
 // serve has netpoll watch the barrier, for good. Without it the loop would wait for ever as soon as it waits for the poller, so where the kernel has no
 // memory for one more watch, that is retried.
-func (f *pollerBarrier) serve() {
+func (b *pollerBarrier) serve() {
 	for {
-		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(f)))
+		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(b)))
 		time.Sleep(barrierRetryPause)
 	}
 }
 
-// wait runs do once the poller has come here, and lets it go on after that. The gate is open meanwhile, so the poller
+// runWhileParked runs do once the poller has come here, and lets it go on after that. The gate is open meanwhile, so the poller
 // waits for nothing else and this takes microseconds.
-func (f *pollerBarrier) wait(do func()) {
+func (b *pollerBarrier) runWhileParked(f func()) {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
 	for {
-		_, err := unix.Write(f.eventFD, one[:])
+		_, err := unix.Write(b.eventFD, one[:])
 		if err == unix.EINTR {
 			continue
 		}
@@ -62,26 +62,26 @@
 		}
 		break
 	}
-	<-f.reached
-	defer func() { f.release <- struct{}{} }()
-	do()
+	<-b.reached
+	defer func() { b.release <- struct{}{} }()
+	f()
 }
 
 // Accept is called on the poller. It accepts nothing.
-func (f *pollerBarrier) Accept() (net.Conn, error) {
+func (b *pollerBarrier) Accept() (net.Conn, error) {
 	var count [8]byte
-	if n, err := unix.Read(f.eventFD, count[:]); err == nil && n == len(count) {
-		f.reached <- struct{}{}
-		<-f.release
+	if n, err := unix.Read(b.eventFD, count[:]); err == nil && n == len(count) {
+		b.reached <- struct{}{}
+		<-b.release
 	}
 	return nil, nil
 }
 
 // Fd is the eventfd that netpoll watches.
-func (f *pollerBarrier) Fd() int { return f.eventFD }
+func (b *pollerBarrier) Fd() int { return b.eventFD }
 
 // Addr is part of being a listener.
-func (f *pollerBarrier) Addr() net.Addr { return &net.UnixAddr{Name: "poller barrier", Net: "unix"} }
+func (b *pollerBarrier) Addr() net.Addr { return &net.UnixAddr{Name: "poller barrier", Net: "unix"} }
 
 // Close is part of being a listener; a barrier is never closed.
-func (f *pollerBarrier) Close() error { return nil }
+func (b *pollerBarrier) Close() error { return nil }
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -13,15 +13,15 @@
 func (c *Conn) read() {
 	for c.transport.Reader().Len() > 0 {
 		n := c.transport.Reader().Len()
-		if c.over {
+		if c.ended {
 			c.transport.Reader().Skip(n)
-			c.discarded(n)
+			c.countDiscarded(n)
 			continue
 		}
 		if !c.readSome(n) {
 			break
 		}
-		if !c.over && c.input.Len() >= c.inputLimit && c.pauseReading() {
+		if !c.ended && c.input.Len() >= c.inputLimit && c.pauseReading() {
 			return // detached lets the poller go on
 		}
 	}
@@ -33,7 +33,7 @@
 	if c.layer != nil {
 		p, err := c.transport.Reader().Next(n)
 		if err == nil {
-			c.readSealed(p, c.inputLimit)
+			c.readThroughLayer(p, c.inputLimit)
 		}
 		return err == nil
 	}
@@ -51,8 +51,8 @@
 	return err == nil
 }
 
-// discarded counts what comes in after the last line went out.
-func (c *Conn) discarded(n int) {
+// countDiscarded counts what comes in after the last line went out.
+func (c *Conn) countDiscarded(n int) {
 	if c.ending.discardedBytes += n; c.ending.finishing && c.ending.discardedBytes > maxLingerInput {
 		c.closeSocket()
 	}
@@ -84,17 +84,17 @@
 		return // netpoll has not released it yet, and closed calls this again; or the connection is being released
 	}
 	c.paused = false
-	if err := c.handToPoller(fd); err != nil {
+	if err := c.registerWithPoller(fd); err != nil {
 		c.paused = true
-		c.watchAgain(err)
+		c.retryWatch(err)
 		return
 	}
-	c.pollerRefusals = 0
+	c.watchFailures = 0
 }
 
-// handToPoller has netpoll watch the socket. netpoll closes a socket that it can't watch, so this one has a second descriptor meanwhile, where
+// registerWithPoller has netpoll watch the socket. netpoll closes a socket that it can't watch, so this one has a second descriptor meanwhile, where
 // there is one.
-func (c *Conn) handToPoller(fd int) (err error) {
+func (c *Conn) registerWithPoller(fd int) (err error) {
 	spare := duplicateDescriptor(fd)
 	environment.whilePollerParked(func() {
 		var np netpoll.Connection
@@ -121,19 +121,19 @@
 	watchRetryPause  = 25 * time.Millisecond
 )
 
-// watchAgain has netpoll watch the socket after a pause; too many failures end the connection.
-func (c *Conn) watchAgain(err error) {
-	c.pollerRefusals++
-	slog.Warn("watch_failed", "times", c.pollerRefusals, "reason", err)
+// retryWatch has netpoll watch the socket after a pause; too many failures end the connection.
+func (c *Conn) retryWatch(err error) {
+	c.watchFailures++
+	slog.Warn("watch_failed", "times", c.watchFailures, "reason", err)
 	c.socket.mu.Lock()
-	none := c.socket.fd < 0
+	noDescriptor := c.socket.fd < 0
 	c.socket.mu.Unlock()
-	if c.pollerRefusals >= maxWatchAttempts || none {
+	if c.watchFailures >= maxWatchAttempts || noDescriptor {
 		c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: err}) })
 		return
 	}
 	c.loop.After(watchRetryPause, func() {
-		if c.paused && (!c.over || c.ending.finishing) {
+		if c.paused && (!c.ended || c.ending.finishing) {
 			c.resume()
 		}
 	})
@@ -141,13 +141,13 @@
 
 // deliver has the handler read the input.
 func (c *Conn) deliver() {
-	if !c.over && c.onReleased == nil {
+	if !c.ended && c.onReleased == nil {
 		c.guard(func() { c.handler.Data(c) })
 	}
 }
 
-// detached is netpoll's callback once a pause has begun. It comes on the loop, where the pause was requested.
-func (c *Conn) detached(np netpoll.Connection) {
+// finishPause is netpoll's callback once a pause has begun. It comes on the loop, where the pause was requested.
+func (c *Conn) finishPause(np netpoll.Connection) {
 	environment.whilePollerParked(func() {})
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
 		if c.layer != nil {
@@ -171,12 +171,12 @@
 		c.socket.mu.Lock()
 		c.socket.detaching = false
 		c.socket.mu.Unlock()
-		if c.over && !c.ending.finishing {
+		if c.ended && !c.ending.finishing {
 			c.closeSocket()
 			return
 		}
-		if c.onReleased != nil && !c.over {
-			c.giveParts()
+		if c.onReleased != nil && !c.ended {
+			c.completeRelease()
 			return
 		}
 		if c.layer != nil {
@@ -187,7 +187,7 @@
 		if c.ending.finishing {
 			c.resume()
 		}
-		if c.paused && !c.over && c.input.Len() < c.inputLimit/2 {
+		if c.paused && !c.ended && c.input.Len() < c.inputLimit/2 {
 			c.refill()
 		}
 	})
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -18,7 +18,7 @@
 // Release gives an open connection away without ending it; done gets its parts, on the loop, later. From here on its handler is not notified of
 // anything. A connection with a layer can't be released, since the layer's state stays here.
 func (c *Conn) Release(done func(ReleasedConn)) {
-	if c.over || c.layer != nil || c.onReleased != nil {
+	if c.ended || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
 		return
 	}
@@ -31,7 +31,7 @@
 	ready := !c.socket.detaching
 	c.socket.mu.Unlock()
 	if ready {
-		c.loop.Post(c.giveParts) // else detached does it, once netpoll has released the socket
+		c.loop.Post(c.completeRelease) // else detached does it, once netpoll has released the socket
 	}
 }
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// giveParts calls what waits for the parts.
-func (c *Conn) giveParts() {
+// completeRelease calls what waits for the parts.
+func (c *Conn) completeRelease() {
 	done := c.onReleased
 	if done == nil {
 		return
@@ -53,14 +53,14 @@
 	fd := c.socket.fd
 	c.socket.fd = -1
 	c.socket.mu.Unlock()
-	if c.over || fd < 0 {
+	if c.ended || fd < 0 {
 		c.releaseFailed()
 		return
 	}
 	c.onReleased = nil
 	p := ReleasedConn{FD: fd, Input: bytes.Clone(c.input.Bytes()), Unsent: c.output.unsent}
-	c.over, c.input, c.output.unsent = true, Buffer{}, nil
-	c.output.retry.Stop()
+	c.ended, c.input, c.output.unsent = true, Buffer{}, nil
+	c.output.retryTimer.Stop()
 	c.descriptorFreed()
 	done(p)
 }
@@ -70,15 +70,15 @@
 // callbacks are in place, and a connection whose input nobody consumes must not grow with each process that resumes it.
 func Resume(l *Loop, p ReleasedConn, limit int, h Handler, done func(*Conn)) error {
 	c := newPausedConn(l, p.FD, limit, h)
-	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsent {
+	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsentBytes {
 		unix.Close(p.FD)
 		return errors.New("more unread or unsent than a connection may have")
 	}
 	c.guard(func() { done(c) })
-	if !c.over && len(p.Unsent) > 0 {
+	if !c.ended && len(p.Unsent) > 0 {
 		c.writeToSocket(p.Unsent)
 	}
-	if !c.over && c.input.Len() < limit/2 {
+	if !c.ended && c.input.Len() < limit/2 {
 		c.resume()
 	}
 	return nil
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// releasedConn is a connection that is released and resumed over and over, until it ends.
-type releasedConn struct {
+// releaseLoop is a connection that is released and resumed over and over, until it ends.
+type releaseLoop struct {
 	t        *testing.T
 	loop     *Loop
 	handler  *peer
@@ -24,8 +24,8 @@
 	over     chan ReleasedConn // its last parts
 }
 
-// releaseSoon releases the connection in a moment, and resumes it.
-func (r *releasedConn) releaseSoon(c *Conn) {
+// releaseAndResume releases the connection in a moment, and resumes it.
+func (r *releaseLoop) releaseAndResume(c *Conn) {
 	r.loop.After(time.Millisecond, func() {
 		c.Release(func(p ReleasedConn) {
 			if p.FD < 0 {
@@ -34,7 +34,7 @@
 			}
 			r.released++
 			err := Resume(r.loop, p, 4096, r.handler, func(c *Conn) {
-				r.releaseSoon(c)
+				r.releaseAndResume(c)
 				r.loop.Post(func() { echo(c) })
 			})
 			if err != nil {
@@ -46,9 +46,9 @@
 
 // A connection that is released and resumed over and over while bytes go both ways loses none and changes none.
 func TestReleaseLosesNothing(t *testing.T) {
-	r := &releasedConn{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan ReleasedConn, 1)}
+	r := &releaseLoop{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan ReleasedConn, 1)}
 	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
-		r.releaseSoon(c)
+		r.releaseAndResume(c)
 		return r.handler
 	})
 	if err != nil {
@@ -89,10 +89,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	came := make(chan bool, 9)
+	accepted := make(chan bool, 9)
 	serve := func() {
 		err := Serve(l, n, 4096, func(*Conn) Handler {
-			came <- true
+			accepted <- true
 			return discardingHandler{}
 		})
 		if err != nil {
@@ -103,17 +103,17 @@
 	for round := range 20 {
 		l.Post(serve)
 		dial(t, n.Addr().String())
-		<-came
+		<-accepted
 		n.Stop()
 		dial(t, n.Addr().String()) // waits in the queue
 		if round%2 == 0 {
 			time.Sleep(time.Millisecond) // netpoll has stopped by now, or not
 		}
 		l.Post(serve)
-		<-came
+		<-accepted
 	}
 	select {
-	case <-came:
+	case <-accepted:
 		t.Error("more came than were dialled")
 	default:
 	}
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -10,8 +10,8 @@
 
 // The backoff before the rest of a line is written again.
 const (
-	firstRetry = 2 * time.Millisecond
-	lastRetry  = 64 * time.Millisecond
+	minWriteRetryPause = 2 * time.Millisecond
+	maxWriteRetryPause = 64 * time.Millisecond
 )
 
 // writeStallTimeout is how long a peer may take nothing before its connection is ended: it costs memory, and a descriptor on the other side of
@@ -20,7 +20,7 @@
 
 // Write writes one line to the kernel. False: it accepts nothing while the rest of an earlier line waits; Handler.Writable follows.
 func (c *Conn) Write(p []byte) bool {
-	if c.over {
+	if c.ended {
 		return true // the handler has ended it, or is about to be notified of its end
 	}
 	if len(c.output.unsent) > 0 {
@@ -42,7 +42,7 @@
 // writeToSocket writes bytes to the kernel and buffers what it does not take.
 func (c *Conn) writeToSocket(p []byte) {
 	if len(c.output.unsent) > 0 {
-		if len(c.output.unsent)+len(p) > maxUnsent {
+		if len(c.output.unsent)+len(p) > maxUnsentBytes {
 			c.loop.Post(func() { c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errPeerNotReading}) })
 			return
 		}
@@ -55,8 +55,8 @@
 	}
 	if n < len(p) {
 		c.output.unsent = append(c.output.unsent, p[n:]...)
-		c.output.retryPause, c.output.giveUpAt = firstRetry, c.loop.Now()+int64(writeStallTimeout)
-		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
+		c.output.retryPause, c.output.stallDeadline = minWriteRetryPause, c.loop.Now()+int64(writeStallTimeout)
+		c.output.retryTimer = c.loop.After(c.output.retryPause, c.retryUnsent)
 	}
 }
 
@@ -71,15 +71,15 @@
 	switch {
 	case err != nil:
 		c.writeFailed(err)
-	case len(c.output.unsent) > 0 && !c.over && c.loop.Now() > c.output.giveUpAt:
+	case len(c.output.unsent) > 0 && !c.ended && c.loop.Now() > c.output.stallDeadline:
 		c.output.unsent = nil
 		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errors.New("the peer reads nothing")})
-	case len(c.output.unsent) > 0 && !(c.over && c.loop.Now() > c.ending.unsentUntil):
-		c.output.retryPause = min(2*c.output.retryPause, lastRetry)
-		c.output.retry = c.loop.After(c.output.retryPause, c.retryUnsent)
-	case c.over && c.ending.finishing && len(c.output.unsent) == 0:
+	case len(c.output.unsent) > 0 && !(c.ended && c.loop.Now() > c.ending.unsentDeadline):
+		c.output.retryPause = min(2*c.output.retryPause, maxWriteRetryPause)
+		c.output.retryTimer = c.loop.After(c.output.retryPause, c.retryUnsent)
+	case c.ended && c.ending.finishing && len(c.output.unsent) == 0:
 		c.halfClose()
-	case c.over:
+	case c.ended:
 		c.closeSocket()
 	default:
 		c.output.unsent = nil
@@ -105,9 +105,9 @@
 }
 
 // sendSome writes what the kernel takes right now. It gives no error where the kernel takes no more for the moment.
-func sendSome(call func(fd int, p []byte) (int, error), fd int, p []byte) (done int, err error) {
+func sendSome(systemCall func(fd int, p []byte) (int, error), fd int, p []byte) (done int, err error) {
 	for done < len(p) {
-		n, err := call(fd, p[done:])
+		n, err := systemCall(fd, p[done:])
 		switch {
 		case err == nil:
 			done += n
@@ -125,9 +125,9 @@
 // not notice: the error that a write returns is cleared on the socket.
 func (c *Conn) writeFailed(err error) {
 	c.loop.Post(func() {
-		c.output.retry.Stop()
+		c.output.retryTimer.Stop()
 		c.output.unsent = nil
-		if c.over {
+		if c.ended {
 			c.closeSocket()
 			return
 		}
@@ -138,7 +138,7 @@
 // FinishWith writes a last line and ends the connection as Finish does. The line also goes out where the rest of an earlier
 // one still waits for the peer: Write would take nothing then.
 func (c *Conn) FinishWith(last []byte) {
-	if c.over {
+	if c.ended {
 		return
 	}
 	c.writeThroughLayer(last)
