--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -12,10 +12,12 @@
 
 var errUnknownChange = errors.New("a kind of change that is not known here")
 
-// versionByNumber gives an earlier version, or the active one; nil: the history no longer has it.
+// versionByNumber returns the active version or an earlier one. It returns nil if the history does
+// not have the version any more.
 type versionByNumber func(number uint64) *Version
 
-// next is a copy with the following number, to which changes may be applied without changing v.
+// next returns a copy with the following number, to which changes may be applied without changing
+// v.
 func (v *Version) next() *Version {
 	next := *v
 	next.Number++
@@ -26,7 +28,7 @@
 	return &next
 }
 
-// normalizeAndCheck drops an empty directory, and checks the version.
+// normalizeAndCheck removes an empty directory, and checks the version.
 func (v *Version) normalizeAndCheck() error {
 	if directory := v.Directory; directory != nil && len(directory.Pools)+len(directory.Accounts)+len(directory.Namespaces) == 0 && directory.Previous == nil {
 		v.Directory = nil
@@ -34,14 +36,16 @@
 	return v.Check()
 }
 
-// Apply gives the version after a change. The complete version is checked, so that no order of changes evades an account's limits. history is
-// for KindRollback.
+// Apply returns the version that a change makes of v, without changing v. It checks the complete
+// version, so that no order of changes evades an account's limits. Only KindRollback uses history.
+// If the error is not nil, the returned version must not be used.
 func (v *Version) Apply(c *Change, history versionByNumber) (*Version, error) {
 	n := v.next()
 	return n, n.apply(v, c, history)
 }
 
-// apply changes a version that next has made. base is the active version, while v may hold other changes of the same round already.
+// apply changes v, which must be a copy that next returned. base is the active version; v may
+// already contain other changes of the same round.
 func (v *Version) apply(base *Version, c *Change, history versionByNumber) error {
 	var err error
 	switch c.Kind {
@@ -64,6 +68,8 @@
 	return v.normalizeAndCheck()
 }
 
+// applyOperators replaces the operators' part. It keeps the customers' accounts that still have a
+// parent, and the namespaces of accounts that still exist.
 func (v *Version) applyOperators(base *Version, c *Change) error {
 	if err := checkBase(c.BaseVersion, base.OperatorsNumber, base.Number); err != nil {
 		return err
@@ -80,7 +86,8 @@
 	return err
 }
 
-// mergeAccounts gives the operators' accounts, an unchanged one with its earlier number, and the accounts that customers have made below them.
+// mergeAccounts returns the operators' accounts and the accounts that customers have made below
+// them. An unchanged account keeps its version number.
 func mergeAccounts(proposed, old []namespace.Account, number uint64) (accounts []namespace.Account) {
 	for _, a := range proposed {
 		a.VersionNumber = number
@@ -100,7 +107,8 @@
 	return accounts
 }
 
-// mergeNamespaces gives the operators' own namespace, and those of accounts that still exist.
+// mergeNamespaces returns the operators' own namespace, and the namespaces of accounts that still
+// exist.
 func mergeNamespaces(proposed, old []namespace.Namespace, accounts []namespace.Account, number uint64) (spaces []namespace.Namespace, err error) {
 	for _, s := range proposed {
 		if s.Account != "" {
@@ -125,16 +133,17 @@
 	return slices.BinarySearchFunc(all, account, func(s namespace.Namespace, account string) int { return cmp.Compare(s.Account, account) })
 }
 
-// removeEntry removes the entry at i, where it exists, and gives the number of the version that changed that entry last. It overwrites all, which
-// must be a slice that next has copied.
+// removeEntry removes the entry at i, if it exists, and returns the number of the version that last
+// changed the entry, or 0. It overwrites all, which must be a slice that next has copied.
 func removeEntry[T any](all []T, i int, exists bool, number func(T) uint64) (rest []T, lastChanged uint64) {
 	if !exists {
 		return all, 0
 	}
-	lastChanged = number(all[i]) // Delete clears the last element
+	lastChanged = number(all[i]) // read before slices.Delete overwrites the entry
 	return slices.Delete(all, i, i+1), lastChanged
 }
 
+// applyNamespace replaces an account's namespace. An empty one removes it.
 func (v *Version) applyNamespace(base *Version, c *Change) error {
 	var proposed namespace.Namespace
 	if err := unmarshal(c.Body, &proposed); err != nil {
@@ -176,6 +185,7 @@
 	return nil
 }
 
+// applyRemoval removes an account and everything below it, including the namespaces.
 func (v *Version) applyRemoval(base *Version, c *Change) error {
 	i, exists := findAccount(v.Directory.Accounts, c.Account)
 	if !exists || namespace.Parent(c.Account) == "" {
@@ -189,6 +199,8 @@
 	return nil
 }
 
+// applyRollback restores an earlier version. Unlike other changes, a rollback must be based on
+// exactly the active version.
 func (v *Version) applyRollback(base *Version, c *Change, history versionByNumber) error {
 	if c.BaseVersion != base.Number {
 		return checkBase(c.BaseVersion, base.Number, base.Number)
@@ -207,7 +219,8 @@
 	return nil
 }
 
-// setNumber gives a version and all its parts a number: after a rollback every part counts as changed, so that no older change applies to it.
+// setNumber sets the number of a version and of all its parts. After a rollback every part counts
+// as changed, so that no change that was made against an older version applies.
 func (v *Version) setNumber(number uint64) {
 	v.Number, v.OperatorsNumber = number, number
 	for i := range v.Directory.Namespaces {
@@ -218,7 +231,8 @@
 	}
 }
 
-// equalIgnoringNumbers reports whether two versions differ at most in numbers.
+// equalIgnoringNumbers reports whether two versions differ at most in the numbers of the version
+// and its parts.
 func equalIgnoringNumbers(a, b *Version) bool {
 	x, y := a.next(), b.next()
 	x.setNumber(0)
--- a/internal/fleet/rules/auditlog.go
+++ b/internal/fleet/rules/auditlog.go
@@ -11,29 +11,31 @@
 )
 
 const (
-	maxAuditEntries = 32
+	maxAuditEntries = 32 // the oldest entries are dropped
 	auditHashBytes  = 16
 )
 
-// AuditEntry is one change that was made. Its hash covers the hash of the entry before, so that a missing or altered entry shows.
+// AuditEntry records one applied change. Its hash covers the hash of the previous entry, so that a
+// missing or altered entry can be detected.
 type AuditEntry struct {
 	_          struct{} `cbor:",toarray"`
-	Number     uint64   // of the version that it made
+	Number     uint64   // number of the version that contains the change
 	ID         []byte
 	Proposer   string // "operators", or the account and label of the grant
-	Subject    string // the subject
-	WallMillis int64  // Unix milliseconds, at the publisher
+	Subject    string // subject of the change
+	WallMillis int64  // time of day at the publisher, in Unix milliseconds
 	Hash       []byte
 }
 
-// chainedHash is the entry's hash, given the one of the entry before.
+// chainedHash returns the entry's hash, which covers the hash of the previous entry.
 func (e AuditEntry) chainedHash(before []byte) []byte {
 	e.Hash = before
 	h := sha256.Sum256(marshal(e))
 	return h[:auditHashBytes]
 }
 
-// appendEntry adds a change to a copy of the log, since others may hold slices of it.
+// appendEntry returns a copy of the log with another entry. It never changes entries, since other
+// slices may share its array.
 func appendEntry(entries []AuditEntry, e AuditEntry) []AuditEntry {
 	var before []byte
 	if n := len(entries); n > 0 {
@@ -44,7 +46,7 @@
 	return out[max(0, len(out)-maxAuditEntries):]
 }
 
-// findEntry is the entry of the change with an ID; nil: there is none.
+// findEntry returns the entry of the change with an ID, or nil. An empty ID matches no entry.
 func findEntry(entries []AuditEntry, id []byte) *AuditEntry {
 	i := slices.IndexFunc(entries, func(e AuditEntry) bool { return len(id) > 0 && bytes.Equal(e.ID, id) })
 	if i < 0 {
@@ -53,7 +55,9 @@
 	return &entries[i]
 }
 
-// CheckAuditLog returns an error at the first entry whose hash does not follow from the one before; what came before the first may have been dropped.
+// CheckAuditLog returns an error that names the first entry whose hash does not match the previous
+// entry. It does not check the hash of the first entry, since earlier entries may have been
+// dropped.
 func CheckAuditLog(entries []AuditEntry) error {
 	for i := 1; i < len(entries); i++ {
 		if string(entries[i].chainedHash(entries[i-1].Hash)) != string(entries[i].Hash) {
@@ -63,15 +67,16 @@
 	return nil
 }
 
-// auditLog is the changes that were made, and the last that were rejected.
+// auditLog holds the applied changes, and the last rejected ones.
 type auditLog struct {
 	active   []AuditEntry // changes up to the active version, the newest last
-	staged   []AuditEntry // the same with those of the staged version
-	rejected []string     // in memory alone, so that rejections push no change out of the log
+	staged   []AuditEntry // active and the changes of the staged version
+	rejected []string     // not stored, so that rejections do not displace applied changes
 }
 
-// restore takes the log of a checkpoint, which holds the staged version's changes already. A log whose chain is broken is dropped, and that is
-// recorded in its place: the rules do not depend on it.
+// restore sets the log from a checkpoint, which already contains the changes of the staged version.
+// It drops a log with a broken hash chain and records the error among the rejected changes, since
+// the rules do not depend on the log. active is the number of the active version.
 func (l *auditLog) restore(entries []AuditEntry, active uint64) {
 	if err := CheckAuditLog(entries); err != nil {
 		l.rejected, entries = append(l.rejected, err.Error()), nil
@@ -83,13 +88,14 @@
 	l.active = entries
 }
 
-// reject records a change that was rejected.
+// reject records a rejected change.
 func (l *auditLog) reject(c *Change, proposer, reason string) {
 	l.rejected = append(l.rejected, fmt.Sprintf("refused  %s  %s: %s", proposer, c.subject(), reason))
 	l.rejected = l.rejected[max(0, len(l.rejected)-maxAuditEntries):]
 }
 
-// text is the log for administrators, narrowed to a subject; "": the complete log.
+// text returns the log for administrators, limited to a subject and what is below it. An empty
+// subject means the complete log.
 func (l *auditLog) text(about string) string {
 	var b strings.Builder
 	for _, e := range l.active {
--- a/internal/fleet/rules/authorize.go
+++ b/internal/fleet/rules/authorize.go
@@ -9,10 +9,12 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// signatureDomain begins the signed bytes, so that a signature over something else under the same key is never valid for a change.
+// signatureDomain is the prefix of the signed bytes. It ensures that a signature of other data by
+// the same key is never valid for a change.
 const signatureDomain = "croftlock rules change\x00"
 
-// minSignedIDBytes makes it unlikely that two signed changes have one ID by chance: the second would count as a retry of the first.
+// minSignedIDBytes makes it unlikely that two signed changes have the same ID by chance. The second
+// would be treated as a retry of the first.
 const minSignedIDBytes = 8
 
 var (
@@ -22,21 +24,24 @@
 	errMalformedAccount = errors.New("and the account can't be read")
 )
 
-// signedBytes is what a signature covers: all of the change but the signature itself.
+// signedBytes returns the bytes that the signature covers: the change without the signature.
 func (c *Change) signedBytes() []byte {
 	unsigned := *c
 	unsigned.Sig = nil
 	return append([]byte(signatureDomain), marshal(unsigned)...)
 }
 
-// Sign signs a change with a grant's key.
+// Sign signs a change with the private key of a grant, and sets its Key and Sig. Setting any other
+// field afterwards makes the signature invalid.
 func (c *Change) Sign(key ed25519.PrivateKey) {
 	c.Key = key.Public().(ed25519.PublicKey)
 	c.Sig = ed25519.Sign(key, c.signedBytes())
 }
 
-// authorize names the proposer of a change, and returns an error unless a grant of v allows it. It is called when the change arrives and again when
-// a version is made of it: a grant that was revoked in between allows nothing. Operators propose unsigned, at their own socket.
+// authorize returns the name of a change's proposer, and an error unless a grant of v allows the
+// change. It is called when the change arrives and again when a version is made of it, so that a
+// grant that was revoked in between allows nothing. Operators send unsigned changes at their own
+// socket.
 func (p *Publisher) authorize(change *Change, v *Version) (proposer string, err error) {
 	if len(change.Key) == 0 {
 		return "operators", nil
@@ -54,14 +59,16 @@
 	return a.Name + ":" + g.Label, nil
 }
 
-// NoGrantError says that no grant of a version allows a signed change.
+// NoGrantError is returned if no grant of a version allows a signed change.
 type NoGrantError struct {
 	Version     uint64
-	BaseVersion uint64 // the version that the change was made against
-	Grant       string // the last grant with the key, and why it does not allow the change; "": the key has none
+	BaseVersion uint64 // the base version of the change
+	// Grant is the last grant with the key, and why it does not allow the change. It is empty if no
+	// grant has the key.
+	Grant string
 }
 
-// Error names the versions and the grant.
+// Error returns a message with the versions and the grant.
 func (e *NoGrantError) Error() string {
 	if e.Grant == "" {
 		return fmt.Sprintf("no grant of version %d has this key; the change was made against version %d", e.Version, e.BaseVersion)
@@ -69,7 +76,8 @@
 	return fmt.Sprintf("by version %d its grant is %s; the change was made against version %d", e.Version, e.Grant, e.BaseVersion)
 }
 
-// grantFor finds the grant that allows a change, and its account. unix is the time in seconds.
+// grantFor returns the grant that allows a change, and its account. unix is the time of day in Unix
+// seconds, which determines whether a grant has ended.
 func (v *Version) grantFor(c *Change, unix int64) (*namespace.Account, *namespace.Grant, error) {
 	var grant string
 	accounts := v.directoryOrEmpty().Accounts
@@ -94,7 +102,7 @@
 	return nil, nil, &NoGrantError{Version: v.Number, BaseVersion: c.BaseVersion, Grant: grant}
 }
 
-// checkGrant returns why a grant on account a does not cover a change.
+// checkGrant returns an error if a grant on account a does not allow a change.
 func (v *Version) checkGrant(a *namespace.Account, g *namespace.Grant, c *Change) error {
 	switch c.Kind {
 	case KindNamespace:
@@ -122,6 +130,7 @@
 	return checkVerb(g, namespace.MayDelegate)
 }
 
+// checkVerb returns an error unless a grant includes a verb.
 func checkVerb(g *namespace.Grant, verb namespace.Verbs) error {
 	if g.Verbs&verb == 0 {
 		return fmt.Errorf("which may %s alone", g.Verbs)
@@ -129,6 +138,7 @@
 	return nil
 }
 
+// differInLimitsOnly reports whether two accounts differ at most in limits and version numbers.
 func differInLimitsOnly(a, b namespace.Account) bool {
 	for _, account := range []*namespace.Account{&a, &b} {
 		account.Rate, account.Connections, account.Routes, account.Changes, account.VersionNumber = namespace.Limit{}, namespace.Limit{}, 0, 0, 0
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -6,19 +6,19 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// ChangeKind says what a change is about.
+// ChangeKind specifies which part of the rules a change replaces.
 type ChangeKind uint8
 
 // The kinds of changes.
 const (
-	KindOperators     ChangeKind = 1 + iota // the operators' part: refusals, hosts out, pools, top accounts, their own namespace
+	KindOperators     ChangeKind = 1 + iota // refusals, excluded hosts, pools, top-level accounts and the operators' namespace
 	KindNamespace                           // an account's namespace
-	KindAccount                             // an account below another
-	KindRemoveAccount                       // the removal of one, and of all below it
-	KindRollback                            // everything as an earlier version had it
+	KindAccount                             // an account below another account
+	KindRemoveAccount                       // the removal of such an account and everything below it
+	KindRollback                            // everything, restored from an earlier version
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k ChangeKind) String() string {
 	switch k {
 	case KindOperators:
@@ -35,19 +35,21 @@
 	return fmt.Sprintf("kind_%d", uint8(k))
 }
 
-// Change is what an administrator proposes. It is a compare-and-set: its subject must not have changed since the version that it was made against.
+// Change is a change that an administrator proposes. It is a compare-and-set: it is rejected if its
+// subject has changed since its base version.
 type Change struct {
 	_           struct{} `cbor:",toarray"`
-	ID          []byte   // a retry with the same ID is applied once
+	ID          []byte   // changes with the same ID are applied once
 	Kind        ChangeKind
-	Account     string // the account that it is about; "" for the operators' part
-	BaseVersion uint64 // number of the version that it was made against
-	Body        []byte // the new state, encoded
-	Key         []byte // public key of who signed it; empty: the operators, at their own socket
-	Sig         []byte
+	Account     string // the account or the owner of the namespace; empty for KindOperators and KindRollback
+	BaseVersion uint64 // number of the version that the change is based on
+	Body        []byte // the encoded new state; the number of the version to restore for KindRollback
+	Key         []byte // the signer's public key; empty for a change by the operators at their own socket
+	Sig         []byte // Ed25519 signature; see Sign
 }
 
-// subject names what a change is about, as people read it; two changes of one subject are never pending at once.
+// subject returns a readable name of what a change is about. Two changes of the same subject are
+// never pending at the same time.
 func (c *Change) subject() string {
 	switch c.Kind {
 	case KindNamespace:
@@ -58,40 +60,42 @@
 	return "rules"
 }
 
-// NewOperatorsChange replaces the operators' part.
+// NewOperatorsChange returns a change that replaces the operators' part with that of v. If id is
+// empty, EncodeProposal sets an ID; the same holds for the other constructors.
 func NewOperatorsChange(v *Version, baseVersion uint64, id []byte) *Change {
 	proposed := *v
 	proposed.Number = baseVersion + 1
 	return &Change{ID: id, Kind: KindOperators, BaseVersion: baseVersion, Body: proposed.Encode()}
 }
 
-// NewNamespaceChange replaces an account's namespace.
+// NewNamespaceChange returns a change that replaces an account's namespace.
 func NewNamespaceChange(s *namespace.Namespace, baseVersion uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindNamespace, Account: s.Account, BaseVersion: baseVersion, Body: marshal(s)}
 }
 
-// NewAccountChange replaces or adds an account below another.
+// NewAccountChange returns a change that replaces or adds an account below another account.
 func NewAccountChange(a *namespace.Account, baseVersion uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindAccount, Account: a.Name, BaseVersion: baseVersion, Body: marshal(a)}
 }
 
-// NewAccountRemoval removes an account and all below it.
+// NewAccountRemoval returns a change that removes an account and everything below it.
 func NewAccountRemoval(account string, baseVersion uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindRemoveAccount, Account: account, BaseVersion: baseVersion}
 }
 
-// NewRollback restores everything as an earlier version had it.
+// NewRollback returns a change that restores all rules from the version with the number to.
 func NewRollback(to, baseVersion uint64, id []byte) *Change {
 	return &Change{ID: id, Kind: KindRollback, BaseVersion: baseVersion, Body: marshal(to)}
 }
 
-// StaleChangeError says that a change's subject is not as it was in the version that the change was made against.
+// StaleChangeError is returned if the subject of a change has changed since the base version of the
+// change, or if the base version does not exist yet.
 type StaleChangeError struct {
-	BaseVersion uint64 // the version that it was made against
-	Current     uint64 // the version that changed the subject last, or, for one made against a later version, the active one
+	BaseVersion uint64 // the base version of the change
+	Current     uint64 // the last version that changed the subject, or the active one if BaseVersion is later
 }
 
-// Error names both versions.
+// Error returns a message with both versions.
 func (e *StaleChangeError) Error() string {
 	if e.BaseVersion > e.Current {
 		return fmt.Sprintf("it was made against version %d, which is yet to come", e.BaseVersion)
@@ -99,7 +103,8 @@
 	return fmt.Sprintf("it was made against version %d, and %d is active", e.BaseVersion, e.Current)
 }
 
-// checkBase returns a StaleChangeError where the subject, last changed by one version, is not as a change expects.
+// checkBase returns a StaleChangeError if the subject was last changed after baseVersion, or if
+// baseVersion is later than the active version.
 func checkBase(baseVersion, lastChanged, active uint64) error {
 	if baseVersion < lastChanged {
 		return &StaleChangeError{baseVersion, lastChanged}
--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -16,7 +16,8 @@
 
 func publicKey(n byte) []byte { return privateKey(n).Public().(ed25519.PublicKey) }
 
-// twoCustomers is a version with two customers, each with a pool; acme's administrator may route and delegate.
+// twoCustomers is a version with two customers, each with a pool; acme's administrator may route
+// and delegate.
 func twoCustomers() *Version {
 	return &Version{Directory: &namespace.Directory{
 		Pools: []namespace.Pool{{Name: "a", Kinds: []string{"m1"}}, {Name: "b", Kinds: []string{"m2"}}},
@@ -42,7 +43,8 @@
 	fleet.propose(c)
 }
 
-// startWithPools has twoCustomers active; the version's number is 2, since hosts were reassigned from main to the pools.
+// startWithPools has twoCustomers active; the version's number is 2, since hosts were reassigned
+// from main to the pools.
 func startWithPools(t *testing.T, n uint32) *testFleet {
 	t.Helper()
 	fleet := newTestFleet(t, n)
@@ -123,12 +125,14 @@
 	}
 }
 
-// A change that was signed before its grant was revoked, and arrives or is staged after that, does nothing.
+// A change that was signed before its grant was revoked, and arrives or is staged after that, does
+// nothing.
 func TestRevokedGrantAllowsNothing(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
-	// It is waiting while the grant is revoked: it is authorized again when a version is made of it.
+	// It is waiting while the grant is revoked: it is authorized again when a version is made of
+	// it.
 	fleet.isolated[3] = true
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}, Directory: twoCustomers().Directory}, 2) // delays the next round
 	fleet.run(60 * ms)
--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -2,18 +2,20 @@
 
 import "fmt"
 
-const maxCheckpointBytes = 31 << 10 // below the 32 KiB that a job may leave
+// maxCheckpointBytes bounds an encoded checkpoint. It is below the 32 KiB that a job may store.
+const maxCheckpointBytes = 31 << 10
 
-// checkpoint is what the group stores of the rules: one publisher leaves it, the next continues from it.
+// checkpoint is the publisher's state as the group stores it, for the next publisher to continue
+// from.
 type checkpoint struct {
 	_        struct{} `cbor:",toarray"`
-	Active   []byte   // a version, encoded for transfer
-	Staged   []byte   // empty: none
+	Active   []byte   // the active version, encoded for transfer; empty means version 0
+	Staged   []byte   // encoded for transfer; empty if no version is staged
 	AuditLog []AuditEntry
-	History  [][]byte
+	History  [][]byte // as versionStore.history
 }
 
-// encode drops the oldest versions that do not fit.
+// encode encodes the checkpoint, without the oldest earlier versions that do not fit.
 func (c *checkpoint) encode() []byte {
 	for {
 		if data := marshal(c); len(data) <= maxCheckpointBytes || len(c.History) == 0 {
@@ -23,7 +25,8 @@
 	}
 }
 
-// encodeCheckpoint encodes a state of the publisher; a nil staged version: none.
+// encodeCheckpoint encodes a state of the publisher. A nil staged version means that none is
+// staged.
 func (p *Publisher) encodeCheckpoint(active, staged *Version, audit []AuditEntry, history [][]byte) []byte {
 	stored := checkpoint{Active: p.versions.transfers.encode(active, nil), AuditLog: audit, History: history}
 	if staged != nil {
@@ -32,7 +35,7 @@
 	return stored.encode()
 }
 
-// restore continues from a checkpoint; an empty one is version 0.
+// restore sets the state from a checkpoint. An empty checkpoint means version 0 without a history.
 func (p *Publisher) restore(data []byte) error {
 	p.versions.setActive(&Version{})
 	if len(data) == 0 {
@@ -40,7 +43,7 @@
 	}
 	stored, err := p.decodeCheckpoint(data)
 	if err != nil {
-		return fmt.Errorf("rules: what the keeper before left: %w", err)
+		return fmt.Errorf("rules: checkpoint of the previous publisher: %w", err)
 	}
 	p.audit.restore(stored.AuditLog, p.versions.active.Number)
 	p.versions.history = stored.History
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -7,17 +7,17 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// refusalKey is a tenant and a class; "" matches all.
+// refusalKey is the tenant and the class of a refusal. An empty string matches all.
 type refusalKey struct{ tenant, class string }
 
-// compiledVersion is a version in the form in which requests are judged.
+// compiledVersion is a version with the lookup tables that evaluate requests.
 type compiledVersion struct {
 	version                 *Version
-	refusalRetryAfterMillis map[refusalKey]uint32 // milliseconds
+	refusalRetryAfterMillis map[refusalKey]uint32 // 0 means no Retry-After
 	excludedHosts           map[string]struct{}
-	namespaces              *namespace.Compiled // nil: one pool, and no routes
+	namespaces              *namespace.Compiled // nil if there are only the main pool and no routes
 	limits                  map[string]quota.Limit
-	limitedAccounts         []string // of limits, sorted
+	limitedAccounts         []string // keys of limits, sorted
 }
 
 // compileVersion compiles a version that has passed Check.
@@ -39,10 +39,11 @@
 	return c
 }
 
+// compileNamespaces compiles the routes and the limits of a directory that has passed Check.
 func (c *compiledVersion) compileNamespaces(directory *namespace.Directory) {
 	var err error
 	if c.namespaces, err = namespace.Compile(directory); err != nil {
-		panic(err) // Check has compiled the same directory
+		panic(err) // Check has compiled the same directory without an error
 	}
 	c.limits = map[string]quota.Limit{}
 	for _, a := range directory.Accounts { // sorted by name
@@ -52,7 +53,9 @@
 	}
 }
 
-// rejects reports whether the operators' refusals reject a request, and its Retry-After; of several refusals that match the most specific decides.
+// rejects reports whether the operators' refusals reject a request, and returns its Retry-After. If
+// several refusals match, the most specific one applies; one with a tenant precedes one with a
+// class.
 func (c *compiledVersion) rejects(tenant, class string) (rejected bool, advice time.Duration) {
 	for _, key := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
 		if ms, found := c.refusalRetryAfterMillis[key]; found {
--- a/internal/fleet/rules/components_test.go
+++ b/internal/fleet/rules/components_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// The publisher's end of a lease comes after the member's, even if the member's clock runs 1 % slow and the publisher's 1 % fast.
+// The publisher's end of a lease comes after the member's, even if the member's clock runs 1 % slow
+// and the publisher's 1 % fast.
 func TestPublisherCountsALeaseLonger(t *testing.T) {
 	member, publisher := MemberLeaseEnd(0, leaseDuration), PublisherLeaseEnd(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -8,21 +8,22 @@
 	"io"
 )
 
-// The first byte of a compressed version and of a delta. An uncompressed one begins with a CBOR map, whose first byte is never one of these.
+// The formats of a transferred version, by its first byte. An uncompressed version starts with a
+// CBOR map, whose first byte is never one of these.
 const (
 	formatCompressed = 1
 	formatDelta      = 2
 )
 
 const (
-	maxUncompressedBytes = 4 << 10 // bytes that are sent uncompressed, which earlier builds can decode
-	deltaThresholdBytes  = 1 << 10 // bytes that are sent complete: a delta would save little
-	maxReplyBytes        = 8 * maxEncodedBytes
+	maxUncompressedBytes = 4 << 10             // not compressed, so that earlier builds can decode it
+	deltaThresholdBytes  = 1 << 10             // not sent as a delta, which would save little
+	maxReplyBytes        = 8 * maxEncodedBytes // of a decompressed reply to an administrator
 )
 
 var errMalformedVersion = errors.New("rules: a version in a form that can't be read")
 
-// compress shortens an encoded version or text where it is long.
+// compress compresses an encoded version or text that is longer than maxUncompressedBytes.
 func compress(data []byte) []byte {
 	if len(data) <= maxUncompressedBytes {
 		return data
@@ -30,7 +31,7 @@
 	return deflate(formatCompressed, data)
 }
 
-// decompress reverses compress; data in another form comes back unchanged.
+// decompress reverses compress. It returns data in another format unchanged.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != formatCompressed {
 		return data, nil
@@ -38,6 +39,7 @@
 	return inflate(data[1:], maxEncodedBytes)
 }
 
+// deflate returns the compressed data after a byte that specifies the format.
 func deflate(form byte, data []byte) []byte {
 	var b bytes.Buffer
 	b.WriteByte(form)
@@ -48,12 +50,13 @@
 		}
 	}
 	if err != nil {
-		panic(err) // a buffer takes every write, and the level exists
+		panic(err) // writes to a bytes.Buffer don't fail, and the level is valid
 	}
 	return b.Bytes()
 }
 
-// inflate bounds the output, since a few bytes can expand to very many.
+// inflate decompresses data. It returns an error if the output exceeds limit bytes, since a few
+// bytes can expand to very many.
 func inflate(data []byte, limit int64) ([]byte, error) {
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), limit+1))
 	switch {
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// run is consecutive elements of a version: either Count of the base's from From on, or a single one, Own, that the base lacks.
+// run describes consecutive accounts or namespaces of a version: either Count elements of the base,
+// from index From on, or a single Element that the base does not have.
 type run[T any] struct {
 	_       struct{} `cbor:",toarray"`
 	From    uint32
@@ -16,7 +17,8 @@
 	Element *T
 }
 
-// delta is a version relative to a base that the receiver has: everything but accounts and namespaces, and the runs of these.
+// delta describes a version relative to a base that the receiver has. It contains the accounts and
+// namespaces as runs, and everything else complete.
 type delta struct {
 	_          struct{} `cbor:",toarray"`
 	BaseHash   []byte
@@ -26,6 +28,7 @@
 	Namespaces []run[namespace.Namespace]
 }
 
+// valid reports whether both hashes have the length of a Hash.
 func (d *delta) valid() bool {
 	return len(d.BaseHash) == len(Hash{}) && len(d.ResultHash) == len(Hash{})
 }
@@ -33,6 +36,8 @@
 func accountName(a *namespace.Account) string        { return a.Name }
 func namespaceAccount(s *namespace.Namespace) string { return s.Account }
 
+// toRuns returns the runs that describe all relative to base. name returns an element's unique
+// name.
 func toRuns[T any](all, base []T, name func(*T) string) (runs []run[T]) {
 	baseIndex := map[string]uint32{}
 	for i := range base {
@@ -53,6 +58,8 @@
 	return runs
 }
 
+// fromRuns returns the elements that runs describe relative to base. It rejects runs that reach
+// beyond the base, and more than MaxEntries elements.
 func fromRuns[T any](runs []run[T], base []T) (all []T, err error) {
 	for _, r := range runs {
 		switch {
@@ -70,6 +77,7 @@
 	return all, nil
 }
 
+// newDelta returns the delta of v relative to base.
 func newDelta(v, base *Version) delta {
 	directory, baseDirectory := v.directoryOrEmpty(), base.directoryOrEmpty()
 	baseHash, hash := base.Hash(), v.Hash()
@@ -88,7 +96,8 @@
 	}
 }
 
-// apply gives the version that a delta describes. The caller checks it and its hash.
+// apply returns the version that a delta describes relative to base. The caller must check the
+// version and its hash.
 func (d *delta) apply(base *Version) (*Version, error) {
 	v, baseDirectory := &Version{}, base.directoryOrEmpty()
 	if unmarshal(d.Head, v) != nil {
@@ -108,7 +117,8 @@
 	return v, nil
 }
 
-// encodeFor encodes a version in the shortest form that a receiver with base can decode; a nil base: the receiver may have nothing.
+// encodeFor returns the shortest encoding of a version that a receiver with base can decode. A nil
+// base means that the receiver may have no version, so the version is complete.
 func (v *Version) encodeFor(base *Version) []byte {
 	data := compress(v.Encode())
 	if base == nil || len(data) <= deltaThresholdBytes {
@@ -120,13 +130,16 @@
 	return data
 }
 
-// errMissingBase says that the receiver lacks a delta's base: the version has to be sent complete.
-var errMissingBase = errors.New("rules: the version that a difference is from is not here")
+// errMissingBase is returned if the receiver does not have the base of a delta. The sender then has
+// to send the complete version.
+var errMissingBase = errors.New("rules: the base version of a delta is missing")
 
-// versionByHash gives a version that the receiver has; nil: it has none with that hash.
+// versionByHash returns the receiver's version with a hash, or nil if the receiver does not have
+// it.
 type versionByHash func(Hash) *Version
 
-// onlyBase is for a receiver that has one version, or with nil none.
+// onlyBase returns the lookup function of a receiver that has only version v, or no version if v is
+// nil.
 func onlyBase(v *Version) versionByHash {
 	return func(h Hash) *Version {
 		if v != nil && v.Hash() == h {
@@ -136,7 +149,7 @@
 	}
 }
 
-// decodeVersion reads a version in any transfer form.
+// decodeVersion decodes and checks a version that is uncompressed, compressed or a delta.
 func decodeVersion(data []byte, bases versionByHash) (*Version, error) {
 	if len(data) > 0 && data[0] == formatDelta {
 		return decodeDelta(data[1:], bases)
@@ -148,6 +161,7 @@
 	return Decode(data)
 }
 
+// decodeDelta decodes a delta without its first byte, and returns the checked version.
 func decodeDelta(data []byte, bases versionByHash) (*Version, error) {
 	data, err := inflate(data, maxEncodedBytes)
 	if err != nil {
@@ -166,7 +180,7 @@
 		return nil, err
 	}
 	if v.Hash() != Hash(d.ResultHash) {
-		return nil, errMissingBase // the base here is not the one that the delta was made from
+		return nil, errMissingBase // the base differs from the one that the delta was made from
 	}
 	if err := v.Check(); err != nil {
 		return nil, err
@@ -174,8 +188,9 @@
 	return v, nil
 }
 
-// transferredHash is the hash by which the publisher knows a version that was sent, also where it can't be decoded: a member reports the fault
-// under it.
+// transferredHash returns the publisher's hash of a version that it sent in data, which must not be
+// empty, even if the version can't be decoded. A member reports the fault of such a version with
+// this hash.
 func transferredHash(data []byte) Hash {
 	if data[0] == formatDelta {
 		var d delta
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -24,7 +24,8 @@
 	return v
 }
 
-// withOneCustomerChanged is the next version, in which one customer has fewer routes and another customer is removed.
+// withOneCustomerChanged is the next version, in which one customer has fewer routes and another
+// customer is removed.
 func withOneCustomerChanged(v *Version) *Version {
 	n := v.next()
 	n.Directory.Namespaces[20].VersionNumber = n.Number
@@ -78,8 +79,9 @@
 	}
 }
 
-// A large version and changes of it, with a member that misses versions and one that has lost what it reports to have: all act by the same version,
-// earlier versions can be decoded from their deltas, and a new publisher continues from the checkpoint.
+// A large version and changes of it, with a member that misses versions and one that has lost what
+// it reports to have: all act by the same version, earlier versions can be decoded from their
+// deltas, and a new publisher continues from the checkpoint.
 func TestLargeVersionsAmongMembers(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	v := largeVersion(75)
@@ -137,7 +139,8 @@
 	fleet.expectOverlapWithin(leaseDuration)
 }
 
-// A transitional version can't be rolled back to: the one before it is stored as a delta from the one after it.
+// A transitional version can't be rolled back to: the one before it is stored as a delta from the
+// one after it.
 func TestHistoryOverATransitionalVersion(t *testing.T) {
 	fleet := startWithPools(t, 2)
 	first := fleet.publisher.versions.active.Number
--- a/internal/fleet/rules/encoding.go
+++ b/internal/fleet/rules/encoding.go
@@ -6,16 +6,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encodingMode builds the library's tables at the first use: a process without rules does not pay for them.
+// encodingMode returns the deterministic CBOR encoder. It is built at its first use, so that a
+// process without rules does not pay for the library's tables.
 var encodingMode = sync.OnceValue(func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are the library's own
+		panic(err) // the library defines the options
 	}
 	return m
 })
 
-// decodingMode bounds what bytes from another process can make this one allocate.
+// decodingMode returns the CBOR decoder. Its limits bound the memory that a message from another
+// process can make this one allocate.
 var decodingMode = sync.OnceValue(func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -34,7 +36,7 @@
 func marshal(x any) []byte {
 	data, err := encodingMode().Marshal(x)
 	if err != nil {
-		panic(err) // only structures of this package are marshalled
+		panic(err) // all marshalled types are known to be encodable
 	}
 	return data
 }
--- a/internal/fleet/rules/enforcer.go
+++ b/internal/fleet/rules/enforcer.go
@@ -9,36 +9,41 @@
 	"croftlock/internal/fleet/quota"
 )
 
-// leasedVersion is the version that a process acts by, and when its lease ends.
+// leasedVersion is the version that a process acts by, and the end of its lease.
 type leasedVersion struct {
 	*compiledVersion
 	leaseEnd Time
 }
 
-// Enforcer judges requests by the version that this process acts by: one value with its lease's end, swapped and read as one atomic pointer, so
-// that a request is never judged by one version under another's lease.
+// Enforcer applies the version that this process acts by to requests. The version and the end of
+// its lease are one value behind an atomic pointer, so that no request is ever evaluated by one
+// version under the lease of another. All methods may be called from any goroutine.
 type Enforcer struct {
-	Now              func() Time
-	KeepLastVersion  bool          // after the lease has ended requests are judged by the last version, which others may have replaced; else they are rejected
-	LapsedRetryAfter time.Duration // Retry-After of requests that are rejected since the lease has ended
-	// Clock is the time of day, for routes with a window; nil: time.Now.
+	Now func() Time // the clock of the leases
+	// KeepLastVersion makes the last version apply after its lease has ended, although other
+	// members may act by a newer one. Otherwise requests are rejected.
+	KeepLastVersion  bool
+	LapsedRetryAfter time.Duration // Retry-After of requests that are rejected because the lease has ended
+	// Clock returns the time of day, for routes that apply at certain times. If nil, time.Now is
+	// used.
 	Clock func() time.Time
 
-	active atomic.Pointer[leasedVersion] // nil: no version yet
+	active atomic.Pointer[leasedVersion] // nil before the first version
 }
 
-// Verdict is the answer to one request, or about one host.
+// Verdict is the result of evaluating the rules for a request or a host.
 type Verdict struct {
 	Rejected   bool
-	RetryAfter time.Duration // Retry-After; 0: none
-	Version    uint64        // by which it was judged; 0: by none
-	Lapsed     bool          // the lease had ended
-	Account    string        // whose the request is; "": the operators'
-	Route      string        // the route that decided, with its scope; "": none
-	Pools      []string      // in the order of preference; nil: there are no pools
+	RetryAfter time.Duration // 0 means no Retry-After
+	Version    uint64        // number of the version that was applied; 0 if none
+	Lapsed     bool          // whether the lease had ended, or none was granted yet
+	Account    string        // owner of the request's tenant; empty for the operators
+	Route      string        // name of the route that decided, qualified by its account; empty if none
+	Pools      []string      // in the order of preference; nil if the rules define no pools
 }
 
-// Evaluate says whether a request may be placed, and in which pools. Callers judge again before each attempt: the lease may have ended since.
+// Evaluate reports whether a request may be placed, and in which pools. Callers evaluate a request
+// again before each attempt, since the lease may have ended.
 func (e *Enforcer) Evaluate(request namespace.Request) (verdict Verdict) {
 	active, verdict := e.current()
 	if active == nil || verdict.Rejected {
@@ -56,7 +61,7 @@
 	return verdict
 }
 
-// minuteOfDay is in UTC.
+// minuteOfDay returns the minutes since midnight UTC.
 func (e *Enforcer) minuteOfDay() int {
 	now := time.Now
 	if e.Clock != nil {
@@ -66,7 +71,8 @@
 	return 60*t.Hour() + t.Minute()
 }
 
-// Limits are an account's, by the active version or the last one.
+// Limits returns an account's limits by the active version, or by the last one if its lease has
+// ended. Without limits it returns a zero Limit.
 func (e *Enforcer) Limits(account string) quota.Limit {
 	if active := e.active.Load(); active != nil {
 		return active.limits[account]
@@ -74,7 +80,7 @@
 	return quota.Limit{}
 }
 
-// LimitedAccounts names the accounts that have limits, sorted.
+// LimitedAccounts returns the sorted names of the accounts that have limits.
 func (e *Enforcer) LimitedAccounts() []string {
 	if active := e.active.Load(); active != nil {
 		return active.limitedAccounts
@@ -82,7 +88,7 @@
 	return nil
 }
 
-// IsLimited reports whether an account, or one above it, has limits.
+// IsLimited reports whether an account or one of its ancestors has limits.
 func (e *Enforcer) IsLimited(account string) bool {
 	active := e.active.Load()
 	if active == nil || len(active.limits) == 0 {
@@ -96,7 +102,8 @@
 	return false
 }
 
-// Account is a tenant's, by the active version or the last one; "": the operators'.
+// Account returns the name of a tenant's account by the active version, or by the last one if its
+// lease has ended. It returns "" if the tenant belongs to the operators.
 func (e *Enforcer) Account(tenant string) string {
 	if active := e.active.Load(); active != nil && active.namespaces != nil {
 		return active.namespaces.AccountOfTenant(tenant)
@@ -104,7 +111,8 @@
 	return ""
 }
 
-// Pool is the pool that a host is in; "": in none, while it is reassigned. Without pools all hosts are in namespace.MainPool.
+// Pool returns the name of the pool that a host is in, or "" while the host is being reassigned. If
+// there are no pools, all hosts are in namespace.MainPool.
 func (e *Enforcer) Pool(host, kind, zone string) string {
 	if active := e.active.Load(); active != nil && active.namespaces != nil {
 		return active.namespaces.Pool(host, kind, zone)
@@ -112,7 +120,8 @@
 	return namespace.MainPool
 }
 
-// Explain says, for operators, what becomes of a request by the active version, and why. Its texts keep the terms that operators know.
+// Explain describes for operators how the active version handles a request, and why. Its texts use
+// the operators' terms, in which a right is a lease.
 func (e *Enforcer) Explain(request namespace.Request) string {
 	active, v := e.current()
 	switch {
@@ -135,7 +144,7 @@
 	return s + "\n" + active.namespaces.Explain(request)
 }
 
-// Usable says whether a host may get new requests.
+// Usable reports whether a host may get new requests.
 func (e *Enforcer) Usable(host string) bool {
 	active, v := e.current()
 	if active == nil || v.Rejected {
@@ -145,7 +154,8 @@
 	return !out
 }
 
-// current gives the version to judge by, nil for none, and the verdict so far: rejected if the lease has ended, unless KeepLastVersion is set.
+// current returns the version to apply, or nil if there is none, and an initial verdict. The
+// verdict rejects if there is no valid lease, unless KeepLastVersion is set.
 func (e *Enforcer) current() (*leasedVersion, Verdict) {
 	active := e.active.Load()
 	if active != nil && e.Now() < active.leaseEnd {
@@ -161,7 +171,8 @@
 	return active, v
 }
 
-// ActiveVersion is the number of the version that this process acts by, and how much longer its lease lasts, in nanoseconds.
+// ActiveVersion returns the number of the version that this process acts by, and the remaining time
+// of its lease in nanoseconds. Before the first version it returns zeros.
 func (e *Enforcer) ActiveVersion() (number uint64, remaining Time) {
 	if active := e.active.Load(); active != nil {
 		return active.version.Number, max(0, active.leaseEnd-e.Now())
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Drawn sequences of cuts, lost and late replies, new publishers, a group that stores nothing, and changes, with clocks that drift by 1 %: no two
-// versions are in use side by side for longer than a lease, no member goes back to an older version, and after the faults all act by the active one.
+// Drawn sequences of cuts, lost and late replies, new publishers, a group that stores nothing, and
+// changes, with clocks that drift by 1 %: no two versions are in use side by side for longer than a
+// lease, no member goes back to an older version, and after the faults all act by the active one.
 func TestOverlapUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := newTestFleet(t, 4)
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -44,7 +44,8 @@
 	return namespace.Account{Name: name, Tenants: subset("t1", "t2", "t3"), Pools: subset("a", "b"), Rate: limit(), Connections: limit()}
 }
 
-// checkAccounts checks that each tenant is in one account and those above it, and that no child has more than its parent.
+// checkAccounts checks that each tenant is in one account and those above it, and that no child has
+// more than its parent.
 func checkAccounts(rt *rapid.T, directory *namespace.Directory) {
 	compiled, err := namespace.Compile(directory)
 	if err != nil {
@@ -66,8 +67,8 @@
 	}
 }
 
-// Whatever administrators propose in whatever order: in every version each tenant is in one account, no child has more than its parent, and a
-// version decodes to the same text.
+// Whatever administrators propose in whatever order: in every version each tenant is in one
+// account, no child has more than its parent, and a version decodes to the same text.
 func TestInvariantsHoldInAnyOrderOfChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v, applied := &Version{}, 0
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,30 +1,35 @@
 package rules
 
-// clockDriftDivisor: each side's fiftieth of a lease covers a clock that is fast or slow by 2 %. The member counts its lease from before it sent the
-// request and ends it a margin early; the publisher counts from when the request arrived and ends it a margin late. So a lease that the publisher
-// takes for ended has ended at the member too, whatever the delay of the messages.
+// clockDriftDivisor is the fraction of a lease that each side adds or subtracts as a margin: a
+// fiftieth covers a clock that is 2 % fast or slow. The member counts its lease from before it sent
+// the request and ends it a margin early; the publisher counts from when the request arrived and
+// ends it a margin late. So a lease that has ended at the publisher has ended at the member too, no
+// matter how long the messages were delayed.
 const clockDriftDivisor = 50
 
-// MemberLeaseEnd is when a lease that was requested at a time ends at the member that holds it.
+// MemberLeaseEnd returns when a lease ends at the member that requested it at requestedAt, on the
+// member's clock. The duration is in nanoseconds.
 func MemberLeaseEnd(requestedAt, duration Time) Time {
 	return requestedAt + duration - duration/clockDriftDivisor
 }
 
-// PublisherLeaseEnd is when the publisher may take a lease for ended whose request arrived at a time.
+// PublisherLeaseEnd returns when the publisher may treat a lease as ended whose request arrived at
+// receivedAt, on the publisher's clock. The duration is in nanoseconds.
 func PublisherLeaseEnd(receivedAt, duration Time) Time {
 	return receivedAt + duration + duration/clockDriftDivisor
 }
 
-// memberState is what the publisher knows of a member.
+// memberState is the publisher's knowledge of a member's lease and versions.
 type memberState struct {
-	leaseNumber uint64 // number of the version that it may act by
-	leaseEnd    Time   // 0: none was granted
-	ready       Hash   // of the newest version that it has compiled
-	fault       string // why it can't use the staged version; "": it has reported none
+	leaseNumber uint64 // number of the version that the lease covers
+	leaseEnd    Time   // 0 if no lease was granted
+	ready       Hash   // hash of the newest version that the member has compiled; zero if none
+	fault       string // why the member can't use the staged version; empty if it has reported no fault
 }
 
-// recordReport records what a member's query says of the versions that it has compiled, or can't use. A fault counts for the staged version only:
-// one of an earlier version may be reported late.
+// recordReport records which version the member has compiled and which it can't use, from its
+// query. Only a fault of the staged version counts, since a fault of an earlier version may be
+// reported late.
 func (m *memberState) recordReport(q *leaseQuery, versions *versionStore) {
 	m.ready, m.fault = Hash{}, ""
 	if versions.staged != nil && q.Fault != "" && string(q.FaultyVersion) == string(versions.stagedHash[:]) {
@@ -37,9 +42,11 @@
 
 func (m *memberState) holdsLease(now Time) bool { return m.leaseEnd > now }
 
-// leaseTable is which member may act by which version until when. Members are known by their peer id.
+// leaseTable records which member may act by which version, and until when. Its keys are peer IDs.
 type leaseTable struct {
-	unknownUntil Time // until then leases of an earlier publisher, which are not in the table, may be valid
+	// unknownUntil is when the last lease of the previous publisher ends: until then, leases that
+	// are not in the table may be valid.
+	unknownUntil Time
 	members      map[uint32]*memberState
 }
 
@@ -47,7 +54,8 @@
 	return leaseTable{unknownUntil: PublisherLeaseEnd(now, duration), members: map[uint32]*memberState{}}
 }
 
-// member is a member's state, which the caller may change; it is added where there is none.
+// member returns the state of a member, which the caller may change. It adds an empty state for an
+// unknown member.
 func (t *leaseTable) member(peer uint32) *memberState {
 	m := t.members[peer]
 	if m == nil {
@@ -57,7 +65,7 @@
 	return m
 }
 
-// leaseHolder is a member's state if it holds a lease now; nil: it holds none.
+// leaseHolder returns the state of a member that holds a lease now, or nil if it holds none.
 func (t *leaseTable) leaseHolder(peer uint32, now Time) *memberState {
 	if m := t.members[peer]; m != nil && m.holdsLease(now) {
 		return m
@@ -71,13 +79,15 @@
 	}
 }
 
-// readiness is what lease holders have reported of the staged version.
+// readiness summarizes the lease holders' reports on the staged version.
 type readiness struct {
-	all         bool   // every holder has it compiled
-	faultyPeer  uint32 // one that can't use it
-	faultReason string // "": there is none
+	all         bool   // every holder has compiled it
+	faultyPeer  uint32 // a holder that can't use it; valid if faultReason is not empty
+	faultReason string // empty if no holder has reported a fault
 }
 
+// readiness returns the lease holders' reports on the version with the hash staged. Members without
+// a valid lease do not count.
 func (t *leaseTable) readiness(staged Hash, now Time) readiness {
 	r := readiness{all: true}
 	for peer, m := range t.members {
--- a/internal/fleet/rules/member.go
+++ b/internal/fleet/rules/member.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// queriesPerLease is how many queries a member sends within a lease: several may be lost before the lease ends.
+// queriesPerLease is the number of queries that a member sends in each lease duration, so that
+// several may be lost before the lease ends.
 const queriesPerLease = 6
 
-// Member is the part that every process has: it renews its lease and compiles the staged version. It belongs to one goroutine, while its Enforcer
-// may be read by any.
+// Member renews a process's lease and compiles the staged version. Every process of the fleet has
+// one. Its methods must be called from one goroutine, while any goroutine may read its Enforcer.
 type Member struct {
-	LeaseDuration Time // duration of a lease
-	MaxEntries    int  // entries of a version that this process accepts; 0: any number
+	LeaseDuration Time // nanoseconds; the same as the publisher's
+	MaxEntries    int  // maximum number of entries of a version; 0 means no limit
 	Enforcer      *Enforcer
-	// SendQuery sends a query to the publisher; its answer comes to ReplyReceived under the tag.
+	// SendQuery sends a query to the publisher. Its reply is passed to ReplyReceived with the tag.
 	SendQuery func(tag uint64, body []byte)
-	// VersionChanged is called when the version that this process acts by changes; nil: nothing is.
+	// VersionChanged is called when the version that this process acts by changes. It may be nil.
 	VersionChanged func(number uint64, hash Hash)
 
 	queries  queryTracker
-	versions map[Hash]*compiledVersion // the version acted by, and the newest one
-	active   Hash
-	ready    versionID // the newest version that was compiled; zero: none
-	fault    versionFault
+	versions map[Hash]*compiledVersion // the active version and the newest one
+	active   Hash                      // of the version that this process acts by; zero if none
+	ready    versionID                 // the newest compiled version; zero if none
+	fault    versionFault              // the last version that this process could not use
 }
 
 // versionID is a version's number and hash.
@@ -32,20 +33,21 @@
 	hash   Hash
 }
 
-// versionFault is why a version can't be used at this process.
+// versionFault is the reason why this process can't use a version.
 type versionFault struct {
-	reason string // "": there is none
+	reason string // empty if there is no fault
 	hash   Hash
 }
 
-// queryTracker is the queries that have no answer yet.
+// queryTracker tracks the queries that have no reply yet.
 type queryTracker struct {
 	lastTag    uint64
-	lastSentAt Time // 0: none was sent
-	sentAt     map[uint64]Time
+	lastSentAt Time            // 0 if none was sent
+	sentAt     map[uint64]Time // by tag
 }
 
-// start gives the tag of a query sent now, and forgets those whose lease would have ended.
+// start returns the tag of a query that is sent now. It removes the queries that are older than a
+// lease duration: a lease from such a query would have ended.
 func (q *queryTracker) start(now, leaseDuration Time) (tag uint64) {
 	if q.sentAt == nil {
 		q.sentAt = map[uint64]Time{}
@@ -61,14 +63,15 @@
 	return q.lastTag
 }
 
-// Step renews the lease once a sixth of its time has passed.
+// Step requests a renewal of the lease when a sixth of a lease duration has passed since the last
+// query. The process calls it regularly.
 func (m *Member) Step(now Time) {
 	if now >= m.queries.lastSentAt+m.LeaseDuration/queriesPerLease || m.queries.lastSentAt == 0 {
 		m.requestLease(now)
 	}
 }
 
-// NotificationReceived takes the publisher's notice that there is something new, and requests it at once.
+// NotificationReceived requests a lease immediately, since the publisher has a new version.
 func (m *Member) NotificationReceived(now Time) { m.requestLease(now) }
 
 func (m *Member) requestLease(now Time) {
@@ -87,8 +90,9 @@
 	m.SendQuery(tag, q.encode())
 }
 
-// ReplyReceived takes a lease, and the versions that came with it. The lease counts from when it was requested, so that a late reply does not
-// prolong it.
+// ReplyReceived applies a reply: it compiles the versions in it and applies the lease. The lease
+// counts from when it was requested, so that a late reply does not prolong it. Unexpected and
+// malformed replies are ignored.
 func (m *Member) ReplyReceived(now Time, tag uint64, body []byte) {
 	requestedAt, pending := m.queries.sentAt[tag]
 	if !pending {
@@ -112,8 +116,8 @@
 	}
 }
 
-// applyLease acts by a version until its lease ends. A late reply, with an older version or an earlier end, changes nothing: a member never goes back
-// to an older version.
+// applyLease makes a version the active one until its lease ends. It ignores a late reply with an
+// older version or an earlier end, so that a member never goes back to an older version.
 func (m *Member) applyLease(hash Hash, v *compiledVersion, leaseEnd Time) {
 	old := m.Enforcer.active.Load()
 	if old != nil && (old.version.Number > v.version.Number || old.version.Number == v.version.Number && old.leaseEnd >= leaseEnd) {
@@ -134,15 +138,16 @@
 	}
 }
 
-// receiveVersion compiles a version, and says whether the publisher is to be notified at once: the version is ready, or it can't be used here and
-// must become active nowhere.
+// receiveVersion compiles a version, and reports whether the member must send a query immediately
+// to report the result: the version is ready, or it can't be used here and must not become active
+// anywhere, or its base is missing.
 func (m *Member) receiveVersion(data []byte) (notifyPublisher bool) {
 	if len(data) == 0 {
 		return false
 	}
 	v, err := decodeVersion(data, m.versionByHash)
 	if errors.Is(err, errMissingBase) {
-		m.ready = versionID{} // so that the reply to the next query has it complete
+		m.ready = versionID{} // makes the publisher send the complete version
 		return true
 	}
 	if err == nil && m.MaxEntries > 0 && v.Entries() > m.MaxEntries {
@@ -163,6 +168,7 @@
 	return true
 }
 
+// versionByHash returns a compiled version's source, or nil.
 func (m *Member) versionByHash(h Hash) *Version {
 	if v := m.versions[h]; v != nil {
 		return v.version
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4 // a change holds a version and more
+	maxProposalBytes = maxEncodedBytes + maxEncodedBytes/4 // a change contains a version and some fields
 	maxChangeIDBytes = 16
 )
 
-// Queries that can't be decoded. The texts are answers to administrators.
+// Errors of queries that can't be decoded. Administrators get the texts as answers.
 var (
 	errUnknownQuery    = errors.New("a question that is not known here")
 	errMalformedChange = errors.New("a change that can't be read")
 	errMalformedNumber = errors.New("a number that can't be read")
-	errMalformedLease  = errors.New("a lease query that can't be read") // gets no answer: the member sends the next one soon
+	errMalformedLease  = errors.New("a lease query that can't be read") // not sent: the member soon sends its next query
 )
 
-// A query to the publisher, decoded.
+// The decoded queries to the publisher, one type for each queryKind.
 type (
-	// leaseQuery is a member's request for its lease, and says what the member has.
+	// leaseQuery is a member's request for its lease. It reports the member's versions.
 	leaseQuery struct {
 		_             struct{} `cbor:",toarray"`
-		ActiveNumber  uint64   // of the version that it acts by; 0: none
-		ReadyNumber   uint64   // of the newest version that it has compiled; 0: none
-		ReadyHash     []byte
-		Fault         string // why a version can't be used here; "": none
-		FaultyVersion []byte // its hash
+		ActiveNumber  uint64   // of the version that the member acts by; 0 if none
+		ReadyNumber   uint64   // of the newest version that the member has compiled; 0 if none
+		ReadyHash     []byte   // empty if ReadyNumber is 0
+		Fault         string   // why the member can't use a version; empty if there is no fault
+		FaultyVersion []byte   // hash of the version that Fault is about
 	}
-	proposalQuery struct{ change *Change }
-	activeQuery   struct{}
-	statusQuery   struct{}
-	historyQuery  struct{ about string }
-	versionQuery  struct{ number uint64 } // 0: the active one
+	proposalQuery struct{ change *Change } // proposes a change
+	activeQuery   struct{}                 // the active version's number and the lease holders
+	statusQuery   struct{}                 // all leases and the state of the staged version
+	historyQuery  struct{ about string }   // a subject; empty for the complete log
+	versionQuery  struct{ number uint64 }  // 0 for the active version
 )
 
 // leaseReply is the publisher's answer to a leaseQuery.
 type leaseReply struct {
 	_      struct{} `cbor:",toarray"`
-	Number uint64   // of the version that the member may act by
-	Hash   []byte
-	Active []byte // that version, where the member lacks it
-	Staged []byte // the staged version, where the member lacks it
+	Number uint64   // of the version that the lease covers
+	Hash   []byte   // of that version
+	Active []byte   // that version, encoded for transfer; empty if the member has it
+	Staged []byte   // the staged version, encoded for transfer; empty if there is none or the member has it
 }
 
 func (q *leaseQuery) encode() []byte { return append([]byte{queryLease}, marshal(q)...) }
@@ -66,7 +66,7 @@
 	return r, err
 }
 
-// decodeQuery reads a query of at least one byte.
+// decodeQuery decodes a query, which must not be empty, into one of the query types.
 func decodeQuery(body []byte) (any, error) {
 	kind, body := body[0], body[1:]
 	switch kind {
@@ -104,7 +104,8 @@
 	return c, nil
 }
 
-// IsAdminQuery reports whether administrators may send a query: all but the request for a lease, which is for members alone.
+// IsAdminQuery reports whether administrators may send a query. They may send all kinds except the
+// lease query, which only members send.
 func IsAdminQuery(body []byte) bool {
 	if len(body) == 0 {
 		return false
@@ -116,7 +117,8 @@
 	return false
 }
 
-// DecodeReply gives a reply to an administrator as text; long ones come compressed.
+// DecodeReply returns the text of a reply to an administrator, which is compressed if it is long.
+// If the reply can't be decoded it returns a text that starts with "unknown: ".
 func DecodeReply(answer string) string {
 	if answer == "" || answer[0] != formatCompressed {
 		return answer
@@ -128,13 +130,14 @@
 	return string(out)
 }
 
-// EncodeProposal is the query that proposes a change. One without an ID gets one by SetID.
+// EncodeProposal returns the query that proposes a change. It sets the ID of a change without one.
 func EncodeProposal(c *Change) []byte {
 	c.SetID()
 	return append([]byte{queryPropose}, compress(marshal(c))...)
 }
 
-// SetID gives a change without an ID the hash of its content as one, so that a retry is recognised.
+// SetID sets the ID of a change without one to the hash of its content, so that a retry is
+// recognised.
 func (c *Change) SetID() {
 	if len(c.ID) == 0 {
 		h := sha256.Sum256(marshal(c))
@@ -142,14 +145,16 @@
 	}
 }
 
-// QueryActive is the query for the active version's number, and at how many processes it is.
+// QueryActive returns the query for the number of the active version, and for the members that hold
+// a lease.
 func QueryActive() []byte { return []byte{queryActive} }
 
-// QueryStatus is the query for who holds which lease, and what the publisher waits for.
+// QueryStatus returns the query for the members' leases, and for what the publisher waits for.
 func QueryStatus() []byte { return []byte{queryStatus} }
 
-// QueryHistory is the query for the audit log; about narrows it to one subject, "": the complete log.
+// QueryHistory returns the query for the audit log entries about one subject. An empty subject
+// means the complete log.
 func QueryHistory(about string) []byte { return append([]byte{queryHistory}, about...) }
 
-// QueryVersion is the query for a version's text; 0: the active one's.
+// QueryVersion returns the query for the text of a version. Number 0 means the active version.
 func QueryVersion(number uint64) []byte { return append([]byte{queryVersion}, marshal(number)...) }
--- a/internal/fleet/rules/print.go
+++ b/internal/fleet/rules/print.go
@@ -11,8 +11,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-// String writes a version as a settings file has it, one entry a line, so that two versions can be compared by lines. Accounts below others and
-// customers' namespaces are sections of their own.
+// String returns a version in the format of a settings file, with one entry on each line, so that
+// two versions can be compared line by line. Accounts below others and customers' namespaces are
+// separate sections.
 func (v *Version) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; version %d, the operators' part of version %d\n(rules\n", v.Number, v.OperatorsNumber)
@@ -66,6 +67,7 @@
 	}
 }
 
+// formatField returns a field with its values, or "" without values.
 func formatField(name string, values ...string) string {
 	if s := strings.Join(values, " "); s != "" {
 		return fmt.Sprintf(" (%s %s)", name, settings.Quote(s))
@@ -73,6 +75,7 @@
 	return ""
 }
 
+// formatRetryAfter returns the field of a Retry-After in milliseconds, or "" if it is 0.
 func formatRetryAfter(ms uint32) string {
 	if ms == 0 {
 		return ""
@@ -80,6 +83,7 @@
 	return " (advice " + settings.FormatDuration(time.Duration(ms)*time.Millisecond) + ")"
 }
 
+// formatNumber returns a numeric field, or "" if the number is 0.
 func formatNumber(name string, n uint32) string {
 	if n == 0 {
 		return ""
@@ -100,7 +104,7 @@
 
 func formatGrant(g *namespace.Grant) string {
 	until := ""
-	if g.Until > 0 { // the file names the last day, the version the second after it
+	if g.Until > 0 { // the file contains the last day, the version the first second after that day
 		until = " (until " + time.Unix(g.Until-1, 0).UTC().Format(time.DateOnly) + ")"
 	}
 	return fmt.Sprintf(" (grant %s (key %s) (verbs %s)%s)", settings.Quote(g.Label), settings.Quote(base64.StdEncoding.EncodeToString(g.Key)),
--- a/internal/fleet/rules/proposal.go
+++ b/internal/fleet/rules/proposal.go
@@ -8,31 +8,31 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// maxWaitingProposals bounds the proposals that are buffered until their version is active.
+// maxWaitingProposals bounds the proposals that wait to be staged.
 const maxWaitingProposals = 64
 
-// proposal is a change and who waits for its answer.
+// proposal is a change and the administrator's pending query for it.
 type proposal struct {
 	*Change
-	proposer string
+	proposer string // see AuditEntry.Proposer; empty if the previous publisher staged the change
 	reply    func(text string)
-	alone    bool // it is staged without others: a rollback, or one of a round that could not be used
+	alone    bool // staged without others: a rollback, or part of a round that a member could not use
 }
 
-// replyAll gives one answer to several proposals.
+// replyAll sends the same answer to several proposals.
 func replyAll(proposals []*proposal, text string) {
 	for _, p := range proposals {
 		p.reply(text)
 	}
 }
 
-// proposalQueue is the proposals that have no answer yet.
+// proposalQueue holds the proposals that have no answer yet.
 type proposalQueue struct {
-	waiting []*proposal // no version holds them yet
-	staged  []*proposal // the staged version holds them
+	waiting []*proposal // not yet part of a version, oldest first
+	staged  []*proposal // part of the staged version, or of the version being stored
 }
 
-// find gives the first proposal that matches; nil: none does.
+// find returns the first matching proposal, or nil.
 func (q *proposalQueue) find(match func(*proposal) bool) *proposal {
 	for _, list := range [...][]*proposal{q.waiting, q.staged} {
 		if i := slices.IndexFunc(list, match); i >= 0 {
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// byID returns the proposal of the change with an ID, or nil. An empty ID matches no proposal.
 func (q *proposalQueue) byID(id []byte) *proposal {
 	return q.find(func(p *proposal) bool { return len(id) > 0 && bytes.Equal(p.ID, id) })
 }
@@ -50,7 +51,8 @@
 	return q.find(func(p *proposal) bool { return p.subject() == subject })
 }
 
-// nextRound takes the proposals that are staged together.
+// nextRound removes the proposals that are staged together next from the waiting ones, and returns
+// them.
 func (q *proposalQueue) nextRound() []*proposal {
 	round := q.waiting
 	if i := slices.IndexFunc(round, func(p *proposal) bool { return p.alone }); i >= 0 {
@@ -60,7 +62,8 @@
 	return round
 }
 
-// retryAlone has proposals that were staged together staged one by one.
+// retryAlone requeues proposals that were staged together, so that they are staged one by one
+// before all others.
 func (q *proposalQueue) retryAlone(proposals []*proposal) {
 	for _, p := range proposals {
 		p.alone = true
@@ -68,7 +71,8 @@
 	q.waiting = append(proposals, q.waiting...)
 }
 
-// propose takes a change. One that is invalid by itself is rejected at once and enters no round, so that it delays nobody else's.
+// propose queues a change and answers it once its outcome is known. It rejects a change that is
+// invalid by itself immediately, so that it never delays the other changes of a round.
 func (p *Publisher) propose(now Time, change *Change, reply func(string)) {
 	if p.handleRetry(now, change, reply) {
 		return
@@ -95,7 +99,7 @@
 	case err != nil:
 		reject(proposer, err.Error())
 	case p.versions.staged == nil && equalIgnoringNumbers(v, p.versions.active):
-		reply(p.summary(now)) // it holds already
+		reply(p.summary(now)) // the change is already in effect
 	case len(p.proposals.waiting) >= maxWaitingProposals:
 		reply("refused: too many changes are on their way, ask again")
 	default:
@@ -104,7 +108,9 @@
 	}
 }
 
-// handleRetry handles a change that was proposed before, as by an administrator who got no answer: it is applied once, and takes no tokens.
+// handleRetry reports whether a change was proposed before, for example by an administrator who got
+// no answer, and then answers it or replaces the pending proposal's reply. A retried change is
+// applied once, and does not count against the rate limit.
 func (p *Publisher) handleRetry(now Time, change *Change, reply func(string)) bool {
 	if proposal := p.proposals.byID(change.ID); proposal != nil {
 		proposal.reply = reply
@@ -121,8 +127,9 @@
 	return false
 }
 
-// stageProposals makes one version of all proposals that wait, so that one customer's change waits for nobody else's. Where the previous publisher
-// has left a transitional version active, the version that completes it comes first.
+// stageProposals makes one version of the waiting proposals, so that one customer's change does not
+// wait for the changes of others. If the previous publisher left a transitional version active, it
+// first stages the version that completes the transition.
 func (p *Publisher) stageProposals(now Time) {
 	if p.versions.active.transitional() {
 		p.stageAfterTransitional(now, nil)
@@ -145,8 +152,9 @@
 	}
 }
 
-// applyRound applies each proposal that is still allowed. It is authorized again on the version as the round has made it so far: a grant that was
-// revoked, or a subject that was changed, since the proposal arrived rejects it.
+// applyRound applies each proposal that is still allowed. It authorizes each again on the version
+// that the round has made so far, and rejects a proposal if its grant was revoked or its subject
+// changed since the proposal arrived.
 func (p *Publisher) applyRound(now Time, round []*proposal) *staging {
 	staged := &staging{startedAt: now, version: p.versions.active.next(), audit: p.audit.active}
 	for _, proposal := range round {
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -8,19 +8,22 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// stagingTimeoutLeases is after how many lease durations a staged version that lease holders have not compiled is abandoned. Only members that renew are
-// waited for, and these send queriesPerLease queries in each: several may be lost while they fetch and compile it.
+// stagingTimeoutLeases is the number of lease durations after which the publisher abandons a
+// staged version that a lease holder has not compiled. It waits only for members that renew their
+// leases. These send queriesPerLease queries in each lease duration, and several of them may be
+// lost while the members fetch and compile the version.
 const stagingTimeoutLeases = 3
 
-// Publisher is the part of the process that owns the rules' job: it orders the versions and grants the leases to act by the active one. A newer
-// version becomes active once each lease holder has compiled it or its lease has ended. So two versions are in use side by side for LeaseDuration at
-// most. It belongs to one goroutine.
+// Publisher is the rules' job, which one process of the fleet owns at a time. It orders the
+// versions and grants the leases to act by the active version. A newer version becomes active once
+// each lease holder has compiled it or its lease has ended, so two versions are in use at the same
+// time for at most LeaseDuration. Its methods must be called from one goroutine.
 type Publisher struct {
-	LeaseDuration        Time           // duration of a lease, the same at every process
-	NotificationReceived func(now Time) // at every process: the publisher has something new; nil: nothing is called
-	WallClock            func() int64   // Unix milliseconds; nil: 0
+	LeaseDuration        Time           // nanoseconds; the same at every process
+	NotificationReceived func(now Time) // called at every process when there is a new version; may be nil
+	WallClock            func() int64   // Unix milliseconds; if nil, audit entries and expiry checks use 0
 
-	owner     jobs.Owner // nil: this process does not own the job
+	owner     jobs.Owner // nil if this process does not own the job
 	versions  versionStore
 	leases    leaseTable
 	proposals proposalQueue
@@ -31,8 +34,9 @@
 
 var _ jobs.Job = (*Publisher)(nil)
 
-// Start continues from the previous publisher's checkpoint; an error says that it can't be decoded. It knows none of the leases that this one
-// granted, so nothing becomes active until all of them have ended.
+// Start continues from the previous publisher's checkpoint. It returns an error if the checkpoint
+// cannot be decoded. The previous publisher's leases are unknown, so no version becomes active
+// until all of them have ended.
 func (p *Publisher) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, checkpoint []byte) error {
 	p.owner = o
 	p.versions = versionStore{stagedAt: now}
@@ -44,7 +48,8 @@
 	return p.restore(checkpoint)
 }
 
-// Stop ends the publisher's part. Pending proposals get no answer, since their outcome is not known; the next publisher answers a retry.
+// Stop ends the ownership of the job and returns the last checkpoint with its number. Pending
+// proposals get no answer, since their outcome is not known; the next publisher answers a retry.
 func (p *Publisher) Stop() (checkpointNumber uint64, checkpoint []byte) {
 	checkpoint = p.encodeCheckpoint(p.versions.active, p.versions.staged, p.audit.staged, p.versions.history)
 	p.owner = nil
@@ -52,7 +57,9 @@
 	return p.pending.checkpointNumber, checkpoint
 }
 
-// Step activates the staged version once every lease holder has compiled it, or abandons it; where none is staged it stages what is proposed.
+// Step activates the staged version once every lease holder has compiled it, or abandons it if a
+// holder cannot use it or does not compile it in time. If no version is staged, Step stages the
+// waiting proposals. The owner of the job calls it regularly.
 func (p *Publisher) Step(now Time) {
 	if p.owner == nil {
 		return
@@ -66,7 +73,7 @@
 		return
 	}
 	r := p.leases.readiness(p.versions.stagedHash, now)
-	switch { // the texts are answers to administrators, and fixed
+	switch { // administrators' tools match the texts of these answers
 	case r.faultReason != "":
 		p.abandon(now, fmt.Sprintf("refused: %s: %s", p.memberName(r.faultyPeer), r.faultReason))
 	case !r.all && now-p.versions.stagedAt > stagingTimeoutLeases*p.LeaseDuration:
@@ -76,7 +83,8 @@
 	}
 }
 
-// QueryReceived answers a query.
+// QueryReceived answers a query of a member or an administrator, sent by the peer from under tag. A
+// malformed lease query gets no answer, since the member sends its next query soon.
 func (p *Publisher) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if p.owner == nil || len(body) == 0 {
 		return
@@ -107,7 +115,8 @@
 	}
 }
 
-// grantLease grants a member the lease to act by the active version, and sends it the versions that it lacks.
+// grantLease grants a member the lease to act by the active version, and returns the reply with the
+// versions that the member lacks.
 func (p *Publisher) grantLease(now Time, from uint32, q *leaseQuery) leaseReply {
 	member, versions := p.leases.member(from), &p.versions
 	member.recordReport(q, versions)
@@ -118,7 +127,8 @@
 	return reply
 }
 
-// notifyMembers has every member request its lease now and not only at its next turn.
+// notifyMembers makes every present member request its lease immediately instead of at its next
+// renewal.
 func (p *Publisher) notifyMembers() {
 	for _, m := range p.owner.Members() {
 		if m.Present {
@@ -127,16 +137,19 @@
 	}
 }
 
-// EffectAcknowledged does nothing: a notified member sends a query, and one that missed the notice sends its next one in time.
+// EffectAcknowledged does nothing: a notified member sends a query, and a member that missed the
+// notification sends its next regular query.
 func (p *Publisher) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// ApplyEffect is the receiver's part, at every process.
+// ApplyEffect handles the publisher's notification at a receiving process, by calling
+// NotificationReceived.
 func (p *Publisher) ApplyEffect(now Time, _ ownership.FencingToken, _ []byte) {
 	if p.NotificationReceived != nil {
 		p.NotificationReceived(now)
 	}
 }
 
+// wallMillis returns the time of day in Unix milliseconds, or 0 without a WallClock.
 func (p *Publisher) wallMillis() int64 {
 	if p.WallClock == nil {
 		return 0
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -3,21 +3,23 @@
 import "croftlock/internal/fleet/namespace"
 
 const (
-	// defaultChangesPerMinute holds for accounts that name no other rate. Rejected changes count too: an account that sends invalid ones without
-	// end must not take the publisher's time from others.
+	// defaultChangesPerMinute applies to accounts without a rate of their own. Rejected changes
+	// count too, so that an account that sends invalid changes continuously does not take the
+	// publisher's time from others.
 	defaultChangesPerMinute = 600
-	burstDivisor            = 6              // a bucket holds the changes of ten seconds
-	maxBuckets              = 4 * MaxEntries // bounds memory where keys are made up
+	burstDivisor            = 6              // a full bucket holds the changes of ten seconds
+	maxBuckets              = 4 * MaxEntries // bounds the memory if clients invent keys
 	nanosPerMinute          = 6e10
 )
 
-// tokenBucket holds a token for each change that may be proposed now.
+// tokenBucket holds one token for each change that may be proposed immediately.
 type tokenBucket struct {
 	tokens   float64
 	filledAt Time
 }
 
-// consume refills the bucket for the time that has passed, and takes a token if there is one.
+// consume refills the bucket for the time that has passed. It reports whether a token was
+// available, and removes that token.
 func (b *tokenBucket) consume(now Time, perMinute float64) bool {
 	b.tokens = min(max(1, perMinute/burstDivisor), b.tokens+float64(now-b.filledAt)/nanosPerMinute*perMinute)
 	b.filledAt = now
@@ -28,16 +30,18 @@
 	return true
 }
 
-// rateLimiter has a bucket for each pair of key and account, so that nobody spends another's tokens.
+// rateLimiter limits the rate of changes. Each pair of a key and an account has its own bucket, so
+// that no proposer uses the tokens of another.
 type rateLimiter struct{ buckets map[string]*tokenBucket }
 
+// allow reports whether a change may be proposed now, and removes a token from its bucket if so.
 func (l *rateLimiter) allow(now Time, c *Change, active *Version) bool {
 	perMinute := changesPerMinute(active, c.Account)
 	key := string(c.Key) + c.Account
 	b := l.buckets[key]
 	if b == nil {
 		if len(l.buckets) >= maxBuckets {
-			clear(l.buckets) // all start with full buckets again
+			clear(l.buckets) // new buckets are full
 		}
 		b = &tokenBucket{tokens: max(1, perMinute/burstDivisor), filledAt: now}
 		l.buckets[key] = b
@@ -45,7 +49,8 @@
 	return b.consume(now, perMinute)
 }
 
-// changesPerMinute is the lowest rate of an account and those above it.
+// changesPerMinute returns the lowest rate of an account and its ancestors. Accounts without a rate
+// do not count; if none has one, it returns the default.
 func changesPerMinute(v *Version, part string) float64 {
 	lowest := float64(defaultChangesPerMinute)
 	for _, a := range v.directoryOrEmpty().Accounts {
--- a/internal/fleet/rules/reassignment.go
+++ b/internal/fleet/rules/reassignment.go
@@ -6,8 +6,10 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// reassigns reports whether a host or a tenant gets another owner between two versions. If so a transitional version becomes active between them, by
-// which nobody uses what is reassigned: two versions may be in use side by side for a lease's time, and must not give one host to two owners.
+// reassigns reports whether a host or a tenant has another owner in next than in old. If so, a
+// transitional version becomes active between them, by which no account uses what is reassigned.
+// Two versions may be in use at the same time for a lease duration, and must not assign one host to
+// two owners.
 func reassigns(old, next *Version) bool {
 	before, after := tenantOwners(old), tenantOwners(next)
 	if len(before) != len(after) || !bytes.Equal(marshal(old.directoryOrEmpty().Pools), marshal(next.directoryOrEmpty().Pools)) {
@@ -21,7 +23,8 @@
 	return false
 }
 
-// tenantOwners gives each tenant's account, which is the deepest that names it: accounts are sorted by name, so a child overwrites its parent.
+// tenantOwners returns the account of each tenant: the deepest account that names the tenant.
+// Accounts are sorted by name, so a child overwrites its parent.
 func tenantOwners(v *Version) map[string]string {
 	owners := map[string]string{}
 	for _, a := range v.directoryOrEmpty().Accounts {
@@ -32,7 +35,8 @@
 	return owners
 }
 
-// ownerAssignment is what a transitional version needs of the one before: who owned each host and tenant.
+// ownerAssignment returns the part of a version that the following transitional version needs: the
+// owners of hosts and tenants.
 func ownerAssignment(v *Version) *namespace.Assignment {
 	directory := v.directoryOrEmpty()
 	previous := &namespace.Assignment{Pools: directory.Pools}
@@ -42,5 +46,6 @@
 	return previous
 }
 
-// transitional reports whether a version is an intermediate step while something is reassigned.
+// transitional reports whether a version is the intermediate one while hosts or tenants are
+// reassigned.
 func (v *Version) transitional() bool { return v.directoryOrEmpty().Previous != nil }
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// A host and a tenant are reassigned while a member is cut off: from the first use by the new owner at any member, no member lets the old one use
-// them.
+// A host and a tenant are reassigned while a member is cut off: from the first use by the new owner
+// at any member, no member lets the old one use them.
 func TestReassignedHostsHaveOneOwnerAtATime(t *testing.T) {
 	fleet := startWithPools(t, 4)
 	fleet.run(leaseDuration)
@@ -89,8 +89,9 @@
 	}
 }
 
-// A change whose publisher ended while it was staged is retried at the next one: the answer is that it is active, not that it was made against an
-// older version. Retries take no tokens of the rate limit.
+// A change whose publisher ended while it was staged is retried at the next one: the answer is that
+// it is active, not that it was made against an older version. Retries take no tokens of the rate
+// limit.
 func TestRetryAtAnotherPublisher(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.isolated[3] = true // delays its activation
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -10,7 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recorder records all messages between a publisher, its members and the group that stores its checkpoints.
+// recorder records all messages between a publisher, its members and the group that stores its
+// checkpoints.
 type recorder struct {
 	digest  *golden.Digest
 	samples *golden.Samples
@@ -82,7 +83,8 @@
 	}
 }
 
-// TestRecordedDecisions: the same changes, queries and faults give the same messages, answers and checkpoints as when they were recorded.
+// TestRecordedDecisions: the same changes, queries and faults give the same messages, answers and
+// checkpoints as when they were recorded.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	lines := make([]string, sequences)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -26,7 +26,8 @@
 	fleet.expectAnswer("refused: it was made against version 0, and 1 is active")
 }
 
-// A member is cut off in both directions, or receives nothing: no newer version is active before its lease has ended, and after that it acts by none.
+// A member is cut off in both directions, or receives nothing: no newer version is active before
+// its lease has ended, and after that it acts by none.
 func TestMemberCutOffActsByNothing(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -63,7 +64,8 @@
 	}
 }
 
-// With KeepLastVersion a member without a lease goes on by the last version, and its verdicts say so.
+// With KeepLastVersion a member without a lease goes on by the last version, and its verdicts say
+// so.
 func TestGraceAfterLapseReportsTheLapse(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.members[2].Enforcer.KeepLastVersion = true
@@ -79,7 +81,8 @@
 	}
 }
 
-// A version that one member can't use becomes active nowhere, and the answer names the member and the reason.
+// A version that one member can't use becomes active nowhere, and the answer names the member and
+// the reason.
 func TestUnusableVersionIsActiveNowhere(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[2].MaxEntries = 1
@@ -96,8 +99,8 @@
 	fleet.expectAnswer("active: version 1 at 3 of 3")
 }
 
-// A new publisher knows of no leases: no version becomes active before those have ended that its predecessor may have granted. The staged version
-// in the checkpoint is not lost.
+// A new publisher knows of no leases: no version becomes active before those have ended that its
+// predecessor may have granted. The staged version in the checkpoint is not lost.
 func TestPublisherLostBetweenReadyAndActive(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -8,18 +8,21 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Section declares the operators' part of a version: (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST), any number of each; pools and
-// accounts; and the operators' own guards, routes and defaults.
+// Section returns the settings section of the operators' part of a version: any number of
+// (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST); pools and accounts; and the
+// operators' own guards, routes and defaults.
 func Section() settings.Section {
 	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.Form) any { return bindVersion(f) }}
 }
 
+// bindVersion binds the section's entries and returns the version that they specify. It reports a
+// fault if the version is invalid.
 func bindVersion(f *settings.Form) *Version {
 	v := &Version{}
-	f.Each("refuse", "requests that get no placement, under a label that is the operators' own", func(_ string, f *settings.Form) {
+	f.Each("refuse", "requests that are rejected, under a label that operators choose", func(_ string, f *settings.Form) {
 		v.Refusals = append(v.Refusals, bindRefusal(f))
 	})
-	f.Each("out", "a host that gets nothing new", func(host string, _ *settings.Form) { v.ExcludedHosts = append(v.ExcludedHosts, host) })
+	f.Each("out", "a host that gets no new requests", func(host string, _ *settings.Form) { v.ExcludedHosts = append(v.ExcludedHosts, host) })
 	v.Directory = bindOperatorsNamespaces(f)
 	slices.SortFunc(v.Refusals, compareRefusals)
 	slices.Sort(v.ExcludedHosts)
@@ -33,14 +36,15 @@
 	var r Refusal
 	var advice time.Duration
 	anyName := func(string) bool { return true }
-	f.Text("tenant", "whose; all where it is left out", "a name", &r.Tenant, anyName)
-	f.Text("class", "of which class; all where it is left out", "a name", &r.Class, anyName)
-	f.Duration("advice", "after which its client may come again", &advice, 0, time.Minute)
+	f.Text("tenant", "tenant of the requests; all tenants if left out", "a name", &r.Tenant, anyName)
+	f.Text("class", "class of the requests; all classes if left out", "a name", &r.Class, anyName)
+	f.Duration("advice", "Retry-After of the rejected requests", &advice, 0, time.Minute)
 	r.RetryAfterMillis = uint32(advice.Milliseconds())
 	return r
 }
 
-// bindOperatorsNamespaces gives nil where the file has no pool, account or route.
+// bindOperatorsNamespaces returns the directory of the section, or nil without pools, accounts and
+// routes.
 func bindOperatorsNamespaces(f *settings.Form) *namespace.Directory {
 	directory, own := &namespace.Directory{}, namespace.Namespace{}
 	namespace.BindPoolsAndAccounts(f, directory)
--- a/internal/fleet/rules/status.go
+++ b/internal/fleet/rules/status.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// summary says how many members hold a lease to act by the active version, and names those that do not.
+// summary returns the text with the number of members that hold a lease, and with the names of the
+// others.
 func (p *Publisher) summary(now Time) string {
 	holders, all := 0, 0
 	var lapsed []string
@@ -29,7 +30,7 @@
 	return s
 }
 
-// summaryOfChange answers for a change that was made.
+// summaryOfChange returns the answer for a change that was made before.
 func (p *Publisher) summaryOfChange(now Time, e *AuditEntry) string {
 	s := p.summary(now)
 	if e.Number < p.versions.active.Number {
@@ -38,7 +39,8 @@
 	return s
 }
 
-// overview is the summary, and what is to follow the active version.
+// overview returns the summary, the number of the staged version, and the number of waiting
+// changes.
 func (p *Publisher) overview(now Time) string {
 	s := p.summary(now)
 	if p.versions.staged != nil {
@@ -50,7 +52,8 @@
 	return s
 }
 
-// versionText is a version as a file has it; 0: the active one.
+// versionText returns the text of a version in the format of a settings file, compressed if it is
+// long. Number 0 means the active version.
 func (p *Publisher) versionText(number uint64) string {
 	if number == 0 {
 		number = p.versions.active.Number
@@ -62,8 +65,10 @@
 	return string(compress([]byte(v.String())))
 }
 
-// status says why a version does not become active: what the publisher waits for, who holds which lease and for how long, and who has the staged
-// version ready or why not. Its texts keep the terms that operators know: a right is a lease, a keeper the publisher.
+// status returns a text for operators that shows why a version does not become active: what the
+// publisher waits for, each member's lease and its remaining time, and whether the member has
+// compiled the staged version. The text uses the operators' terms: a right is a lease, a keeper the
+// publisher.
 func (p *Publisher) status(now Time) string {
 	var b strings.Builder
 	p.writeProgress(&b, now)
@@ -106,7 +111,8 @@
 	t.Flush()
 }
 
-// stagedStateAt says what a member, by its peer id, has reported of the staged version.
+// stagedStateAt returns a member's state of the staged version as text: ready, not ready, or its
+// fault.
 func (p *Publisher) stagedStateAt(peer uint32) string {
 	if p.versions.staged == nil {
 		return "-"
@@ -123,6 +129,7 @@
 	return "not ready"
 }
 
+// memberName returns the name of a member, or the peer ID in hexadecimal if the member is unknown.
 func (p *Publisher) memberName(peer uint32) string {
 	for _, m := range p.owner.Members() {
 		if m.Peer == peer {
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// What operators see while a change waits for a member that is cut off, once it is active, and while a member can't use it.
+// What operators see while a change waits for a member that is cut off, once it is active, and
+// while a member can't use it.
 func TestStatus(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	status := func() string {
--- a/internal/fleet/rules/testfleet_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -15,7 +15,8 @@
 	leaseDuration = 1000 * ms
 )
 
-// testFleet is a publisher and members in virtual time. A test may delay or lose their messages, and each member's clock has a rate of its own.
+// testFleet is a publisher and members in virtual time. A test may delay or lose their messages,
+// and each member's clock has a rate of its own.
 type testFleet struct {
 	t                  *testing.T
 	now                Time
@@ -161,7 +162,8 @@
 	}
 }
 
-// expectOverlapWithin checks the promise: no two versions are in use side by side for longer than a bound.
+// expectOverlapWithin checks the promise: no two versions are in use side by side for longer than a
+// bound.
 func (fleet *testFleet) expectOverlapWithin(bound Time) {
 	fleet.t.Helper()
 	if o := fleet.longestOverlap(); o > bound {
@@ -169,7 +171,8 @@
 	}
 }
 
-// longestOverlap is the longest time for which two versions were in use side by side: from the first use of a newer one to the last of an older one.
+// longestOverlap is the longest time for which two versions were in use side by side: from the
+// first use of a newer one to the last of an older one.
 func (fleet *testFleet) longestOverlap() (longest Time) {
 	firstUse := map[uint64]Time{}
 	newest := uint64(0)
--- a/internal/fleet/rules/transition.go
+++ b/internal/fleet/rules/transition.go
@@ -1,21 +1,23 @@
 package rules
 
-// A transition is a change of the publisher's state that takes effect once the group has stored the new state: nobody acts by a version that the
-// next publisher would not know.
+// transition is a change of the publisher's state that takes effect once the replicated group has
+// stored the new state, so that no member acts by a version that the next publisher does not know.
 type transition interface {
+	// commit applies the new state. It is called once the group has stored it.
 	commit(p *Publisher)
-	// abort leaves the state as it was: the group has not confirmed that it stores the new one.
+	// abort keeps the old state. It is called if the group has not confirmed that it stored the new
+	// one.
 	abort(p *Publisher)
 }
 
 // pendingTransition is the transition that the group is storing.
 type pendingTransition struct {
-	checkpointNumber uint64 // of the last checkpoint
-	next             transition
+	checkpointNumber uint64     // number of the last checkpoint
+	next             transition // nil if none is pending
 	startedAt        Time
 }
 
-// beginTransition has the group store a state; the transition to it waits for the confirmation.
+// beginTransition asks the group to store a state. The transition to it waits for the confirmation.
 func (p *Publisher) beginTransition(now Time, state []byte, t transition) {
 	p.pending.checkpointNumber++
 	p.pending.next, p.pending.startedAt = t, now
@@ -38,7 +40,8 @@
 	p.Step(now)
 }
 
-// abortTimedOut aborts a transition that the group has not confirmed in time: the answer may be lost.
+// abortTimedOut aborts a transition that the group has not confirmed within LeaseDuration, since
+// the confirmation may be lost.
 func (p *Publisher) abortTimedOut(now Time) {
 	if t := p.pending.next; t != nil && now-p.pending.startedAt > p.LeaseDuration {
 		p.pending.next = nil
@@ -46,7 +49,7 @@
 	}
 }
 
-// staging makes a version the next one.
+// staging is the transition that stages a version.
 type staging struct {
 	startedAt Time
 	version   *Version
@@ -59,6 +62,7 @@
 	p.beginTransition(s.startedAt, p.encodeCheckpoint(p.versions.active, s.version, s.audit, p.versions.history), s)
 }
 
+// commit stages the version, and notifies the members so that they fetch and compile it.
 func (s *staging) commit(p *Publisher) {
 	p.versions.stage(s.version, s.startedAt)
 	p.audit.staged = s.audit
@@ -66,12 +70,13 @@
 	p.notifyMembers()
 }
 
+// abort answers that the outcome is unknown, since the group may have stored the version.
 func (s *staging) abort(p *Publisher) {
 	p.proposals.staged = nil
 	replyAll(s.proposals, "unknown: the group has not said whether it keeps it; show tells")
 }
 
-// activation makes the staged version the active one.
+// activation is the transition that makes the staged version the active one.
 type activation struct {
 	startedAt Time
 	history   [][]byte
@@ -82,6 +87,8 @@
 	p.beginTransition(now, p.encodeCheckpoint(p.versions.staged, nil, p.audit.staged, a.history), a)
 }
 
+// commit activates the version and answers its proposals. After a transitional version it stages
+// the version that completes the transition, which answers them instead.
 func (a *activation) commit(p *Publisher) {
 	proposals := p.proposals.staged
 	p.versions.activate(a.history)
@@ -99,10 +106,12 @@
 	}
 }
 
-// abort does nothing: the same state is stored at a later step.
+// abort does nothing: a later Step activates the version again.
 func (a *activation) abort(*Publisher) {}
 
-// stageAfterTransitional stages what follows a transitional version: by that one nobody uses what is reassigned, by this one its new owner does.
+// stageAfterTransitional stages the version that follows a transitional one. By the transitional
+// version no account uses the reassigned hosts and tenants; by the following one the new owner
+// does.
 func (p *Publisher) stageAfterTransitional(now Time, proposals []*proposal) {
 	v := p.versions.active.next()
 	if err := v.normalizeAndCheck(); err == nil {
@@ -110,7 +119,7 @@
 	}
 }
 
-// abandonment drops the staged version.
+// abandonment is the transition that drops the staged version.
 type abandonment struct {
 	proposals []*proposal
 	reason    string
@@ -121,7 +130,8 @@
 	p.beginTransition(now, state, &abandonment{p.proposals.staged, reason})
 }
 
-// commit rejects a single proposal; several are retried one by one, so that one that can't be used holds up no other.
+// commit rejects a single proposal. It requeues several proposals one by one, so that one that a
+// member can't use does not block the others.
 func (a *abandonment) commit(p *Publisher) {
 	p.versions.staged, p.proposals.staged, p.audit.staged = nil, nil, p.audit.active
 	if len(a.proposals) > 1 {
@@ -135,5 +145,5 @@
 	}
 }
 
-// abort does nothing: Step abandons the version again.
+// abort does nothing: a later Step abandons the version again.
 func (a *abandonment) abort(*Publisher) {}
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -1,9 +1,13 @@
-// Package rules owns the rules on which all proxies agree: immutable versions of them, the lease without which no process may act by one, and the
-// parts of the publisher and of the members. It does no I/O and reads no clock, so that tests play it with clocks that drift.
+// Package rules implements the rules on which all proxies of a fleet agree: immutable versions of
+// the rules, the lease that a process needs to act by a version, and the logic of the publisher and
+// the members. It does no I/O and reads no monotonic clock, so that tests can run it with clocks
+// that drift.
 //
-// The publisher is the process that owns the rules' job; a member is any process of the fleet, the publisher's own included. A version is staged
-// when the group has stored it and members compile it, and active when the publisher grants leases to act by it. Promised: once any process acts by
-// a version, none acts by an older one for longer than a lease lasts.
+// The publisher is the process that owns the rules' job. A member is any process of the fleet,
+// including the publisher's own. A version is staged when the replicated group has stored it and
+// the members compile it, and active when the publisher grants leases to act by it. The package
+// guarantees that once any process acts by a version, no process acts by an older one for longer
+// than a lease lasts.
 package rules
 
 import (
@@ -15,61 +19,64 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a time on the caller's monotonic clock or a duration, in nanoseconds.
 type Time = int64
 
-// MaxEntries bounds what a version holds: refusals, hosts, pools, accounts and routes.
+// MaxEntries is the maximum number of entries of a version; see Version.Entries.
 const MaxEntries = 4096
 
 const (
-	maxEncodedBytes     = 256 << 10 // of a version, encoded and uncompressed
-	maxStoredBytes      = 12 << 10  // of a version in a checkpoint: two fit within a job's 32 KiB
+	maxEncodedBytes     = 256 << 10 // of an encoded version before compression
+	maxStoredBytes      = 12 << 10  // of a version in a checkpoint; two of them fit within a job's 32 KiB
 	maxNameBytes        = 128
 	maxRetryAfterMillis = 60_000
 )
 
-// Refusal says that new requests get no placement. An empty tenant or class matches all.
+// Refusal rejects new requests of a tenant and a class. An empty tenant or class matches all.
 type Refusal struct {
 	Tenant           string `cbor:"1,keyasint,omitempty"`
 	Class            string `cbor:"2,keyasint,omitempty"`
-	RetryAfterMillis uint32 `cbor:"3,keyasint,omitempty"` // Retry-After in milliseconds; 0: none
+	RetryAfterMillis uint32 `cbor:"3,keyasint,omitempty"` // 0 means no Retry-After
 }
 
+// compareRefusals orders refusals by tenant and class.
 func compareRefusals(a, b Refusal) int {
 	return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class))
 }
 
-// Version is one complete state of the rules. It is immutable.
+// Version is one complete state of the rules. It must not be changed after it was checked.
 type Version struct {
 	Number        uint64    `cbor:"1,keyasint"`
 	Refusals      []Refusal `cbor:"2,keyasint,omitempty"` // sorted by tenant and class
-	ExcludedHosts []string  `cbor:"3,keyasint,omitempty"` // hosts that get no new requests, sorted
-	// OperatorsNumber is of the version that last changed the operators' own part; each namespace and account has such a number of its own.
+	ExcludedHosts []string  `cbor:"3,keyasint,omitempty"` // IDs of hosts that get no new requests, sorted
+	// OperatorsNumber is the number of the version that last changed the operators' part. Each
+	// namespace and account has its own number of this kind.
 	OperatorsNumber uint64               `cbor:"4,keyasint,omitempty"`
-	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // pools, accounts, namespaces; nil: there are none
+	Directory       *namespace.Directory `cbor:"5,keyasint,omitempty"` // nil if it would be empty
 }
 
-// Hash identifies a version's content.
+// Hash is the SHA-256 hash of a version's canonical encoding. It identifies the version's content.
 type Hash [sha256.Size]byte
 
-// Encode gives the canonical encoding: equal versions give equal bytes.
+// Encode returns the canonical encoding. Equal versions have equal encodings.
 func (v *Version) Encode() []byte { return marshal(v) }
 
-// Hash is over the canonical encoding.
+// Hash returns the hash of the canonical encoding.
 func (v *Version) Hash() Hash { return sha256.Sum256(v.Encode()) }
 
-// ErrNotCanonical says that a version's bytes are not its canonical encoding.
+// ErrNotCanonical is returned for a version that is not in its canonical encoding.
 var ErrNotCanonical = errors.New("rules: not in the one form")
 
-// EncodedSizeError says that an encoded version is too long.
+// EncodedSizeError is returned for an encoded version that is too long.
 type EncodedSizeError struct{ Bytes int }
 
-// Error names the length and the bound.
+// Error returns a message with the length and the limit, in bytes.
 func (e *EncodedSizeError) Error() string {
 	return fmt.Sprintf("rules: %d bytes, %d are possible", e.Bytes, maxEncodedBytes)
 }
 
-// Decode reads a version; an error says that it is too long, malformed, not canonical, or fails Check.
+// Decode decodes a version. It returns an error if the version is too long, malformed or not in its
+// canonical encoding, or fails Check.
 func Decode(data []byte) (*Version, error) {
 	if len(data) > maxEncodedBytes {
 		return nil, &EncodedSizeError{len(data)}
@@ -87,7 +94,8 @@
 	return v, nil
 }
 
-// Check returns the first fault of a version, and names the entry.
+// Check returns an error that describes the first invalid entry of a version, or the bound that the
+// version exceeds.
 func (v *Version) Check() error {
 	if n := v.Entries(); n > MaxEntries {
 		return fmt.Errorf("rules: %d entries, %d are possible", n, MaxEntries)
@@ -122,6 +130,7 @@
 	return nil
 }
 
+// checkSize checks the length of the encoded version, and of its compressed form in a checkpoint.
 func (v *Version) checkSize() error {
 	data := v.Encode()
 	if n := len(data); n > maxEncodedBytes {
@@ -136,7 +145,7 @@
 	return nil
 }
 
-// Entries counts what a version holds: refusals, hosts, pools, accounts and routes.
+// Entries returns the number of a version's refusals, excluded hosts, pools, accounts and routes.
 func (v *Version) Entries() int {
 	n := len(v.Refusals) + len(v.ExcludedHosts)
 	if v.Directory != nil {
@@ -149,7 +158,7 @@
 	return n
 }
 
-// directoryOrEmpty is the version's directoryOrEmpty, empty where it has none.
+// directoryOrEmpty returns the version's directory, or an empty one if it has none.
 func (v *Version) directoryOrEmpty() namespace.Directory {
 	if v.Directory == nil {
 		return namespace.Directory{}
--- a/internal/fleet/rules/versions.go
+++ b/internal/fleet/rules/versions.go
@@ -1,16 +1,17 @@
 package rules
 
-// maxHistory bounds how many earlier versions can be rolled back to.
+// maxHistory is the maximum number of earlier versions that can be restored by a rollback.
 const maxHistory = 64
 
-// versionStore is the publisher's versions: the active one, the staged one that is to follow it, and the earlier ones.
+// versionStore holds the publisher's versions: the active one, the staged one that follows it, and
+// the earlier ones.
 type versionStore struct {
 	active     *Version
 	activeHash Hash
-	staged     *Version // nil: none
+	staged     *Version // nil if none is staged
 	stagedHash Hash
 	stagedAt   Time
-	history    [][]byte // earlier versions, the newest last, each as a delta whose base is the one after it
+	history    [][]byte // earlier versions, oldest first, each as a delta from the following version
 	transfers  transferCache
 }
 
@@ -20,14 +21,15 @@
 	s.staged, s.stagedHash, s.stagedAt = v, v.Hash(), now
 }
 
-// activate makes the staged version the active one, and history what is before it.
+// activate makes the staged version the active one, and replaces the history.
 func (s *versionStore) activate(history [][]byte) {
 	s.setActive(s.staged)
 	s.staged, s.history = nil, history
 }
 
-// missingVersions encodes the versions that a member lacks after its query; nil: it lacks none. Without any version it gets the active one even where that
-// is version 0.
+// missingVersions returns the encoded active and staged versions that a member lacks according to
+// its query; each is nil if the member does not need it. A member without any version gets the
+// active one even if that is version 0.
 func (s *versionStore) missingVersions(m *memberState, q *leaseQuery) (active, staged []byte) {
 	hasActive := q.ActiveNumber == s.active.Number || m.ready == s.activeHash
 	hasNone := q.ActiveNumber == 0 && q.ReadyNumber == 0
@@ -39,12 +41,13 @@
 	}
 	base := s.active
 	if m.ready != s.activeHash {
-		base = nil // the member may lack the active version, from which the delta would be
+		base = nil // the member may lack the active version, the base of the delta
 	}
 	return active, s.transfers.encode(s.staged, base)
 }
 
-// byNumber gives an earlier version, or the active one; nil: the history no longer has it. It decodes the deltas back from the active version.
+// byNumber returns the active version or an earlier one, or nil if the history does not have it any
+// more. It decodes the deltas from the active version backwards.
 func (s *versionStore) byNumber(number uint64) *Version {
 	if number == s.active.Number {
 		return s.active
@@ -59,33 +62,36 @@
 	return nil
 }
 
-// historyAfter is the history as it is once next is active.
+// historyAfter returns the history that is stored once next is active.
 func (s *versionStore) historyAfter(next *Version) [][]byte {
 	history := s.history[:len(s.history):len(s.history)]
 	if !s.active.transitional() {
 		history = append(history, s.active.encodeFor(next))
 		return history[max(0, len(history)-maxHistory):]
 	}
-	// A transitional version can't be rolled back to: the one before it becomes a delta from next.
+	// A rollback can't restore a transitional version, so the history skips it: the version before
+	// it becomes a delta with the base next.
 	n := len(history)
 	if n == 0 {
 		return history
 	}
 	before, err := decodeVersion(history[n-1], onlyBase(s.active))
 	if err != nil {
-		return nil // nor can those before it be decoded, of which it is the base
+		return nil // earlier deltas need this version as their base, directly or indirectly
 	}
 	return append(history[:n-1:n-1], before.encodeFor(next))
 }
 
-// transferKey is a version and the base of its delta; nil: it is sent complete.
+// transferKey identifies an encoded version. A nil base means the complete version, not a delta.
 type transferKey struct{ version, base *Version }
 
-// transferCache holds encoded versions: one encoding serves all members and the checkpoint.
+// transferCache caches encoded versions, so that all members and the checkpoint share one encoding.
 type transferCache map[transferKey][]byte
 
-const maxTransfers = 4 // the active version and the staged one, each complete and as a delta
+// maxTransfers bounds the cache: the active and the staged version, each complete and as a delta.
+const maxTransfers = 4
 
+// encode returns v encoded for a receiver with base; see Version.encodeFor. It clears a full cache.
 func (c *transferCache) encode(v, base *Version) []byte {
 	key := transferKey{v, base}
 	if data := (*c)[key]; data != nil {
