--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -16,8 +16,8 @@
 
 func publicKey(n byte) []byte { return privateKey(n).Public().(ed25519.PublicKey) }
 
-// twoCustomers is a version with two customers, each with a pool; acme's administrator may route
-// and delegate.
+// twoCustomers returns a version with two customers, each with a pool. The grant of acme's
+// administrator allows routing and delegation.
 func twoCustomers() *Version {
 	return &Version{Directory: &namespace.Directory{
 		Pools: []namespace.Pool{{Name: "a", Kinds: []string{"m1"}}, {Name: "b", Kinds: []string{"m2"}}},
@@ -28,23 +28,25 @@
 		}}}
 }
 
-// namespaceRoutingTo is an account's namespace with one route, to a pool.
+// namespaceRoutingTo returns an account's namespace with one route, to a pool.
 func namespaceRoutingTo(account string, number uint64, pool string) *namespace.Namespace {
 	return &namespace.Namespace{Account: account, VersionNumber: number, Routes: []namespace.Route{{Name: "r", Class: "c", Pool: pool}}}
 }
 
+// propose sends a change to the publisher, as an administrator does.
 func (fleet *testFleet) propose(c *Change) {
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(c))
 }
 
+// proposeSigned signs a change with privateKey(by) and proposes it.
 func (fleet *testFleet) proposeSigned(c *Change, by byte) {
 	c.SetID()
 	c.Sign(privateKey(by))
 	fleet.propose(c)
 }
 
-// startWithPools has twoCustomers active; the version's number is 2, since hosts were reassigned
-// from main to the pools.
+// startWithPools returns a fleet of n members where twoCustomers is active as version 2: version 1
+// was the transitional one, since hosts were reassigned from the main pool.
 func startWithPools(t *testing.T, n uint32) *testFleet {
 	t.Helper()
 	fleet := newTestFleet(t, n)
@@ -56,7 +58,7 @@
 
 func TestConcurrentChangesOfDifferentNamespaces(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	// Concurrent changes: two of one namespace, and one of another.
+	// Two concurrent changes of one namespace, and one of another.
 	n := len(fleet.answers)
 	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, nil), 1)
 	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, namespace.MainPool), 2, nil), 2)
@@ -64,12 +66,12 @@
 	fleet.run(leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: another change of namespace acme is on its way") {
-		t.Fatalf("answers\n%s", got)
+		t.Fatalf("want two applied changes and one rejected as pending, got the answers\n%s", got)
 	}
 	if v := fleet.members[1].Enforcer.Evaluate(namespace.Request{Tenant: "t1", Class: "c"}); v.Account != "acme" || v.Route != "acme/r" || v.Pools[0] != "a" {
-		t.Errorf("%+v", v)
+		t.Errorf("a request of tenant t1 got %+v, want account acme, route acme/r and pool a", v)
 	}
-	// The rejected change was made against a version that the other change has replaced.
+	// The base version of the rejected change is not current any more.
 	fleet.proposeSigned(NewNamespaceChange(namespaceRoutingTo("acme", 0, namespace.MainPool), 2, []byte("12345678")), 2)
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: it was made against version 2, and ")
@@ -78,12 +80,12 @@
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("active: version")
 	if h := fleet.publisher.audit.text("acme"); strings.Count(h, "version ") < 1 || !strings.Contains(h, "acme:admin  namespace acme") || strings.Contains(h, "namespace other") {
-		t.Errorf("history\n%s", h)
+		t.Errorf("want a history of acme's namespace alone, got\n%s", h)
 	}
 }
 
 func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
-	const operators, acmeAdmin, acmeClerk, nobody = 0, 1, 2, 9 // keys; the operators sign nothing
+	const operators, acmeAdmin, acmeClerk, nobody = 0, 1, 2, 9 // numbers of the signing keys; operators do not sign
 	fleet := startWithPools(t, 3)
 	fleet.publisher.WallClock = func() int64 { return 6000_000 } // the clerk's grant has ended
 	for _, c := range []struct {
@@ -106,7 +108,7 @@
 			fleet.proposeSigned(c.change, c.signer)
 		}
 		if !strings.HasPrefix(fleet.lastAnswer(), "refused: ") || !strings.Contains(fleet.lastAnswer(), c.want) {
-			t.Errorf("the answer is %q, expected %q", fleet.lastAnswer(), c.want)
+			t.Errorf("the answer to a change of %s is %q, want a refusal with %q", c.change.subject(), fleet.lastAnswer(), c.want)
 		}
 	}
 	altered := NewAccountChange(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, []byte("id-forged"))
@@ -114,39 +116,40 @@
 	altered.BaseVersion = 1
 	fleet.propose(altered)
 	if !strings.Contains(fleet.lastAnswer(), "its signature is not by its key") {
-		t.Errorf("a change that was altered after it was signed: %q", fleet.lastAnswer())
+		t.Errorf("a change that was altered after it was signed got the answer %q, want a refusal for its signature", fleet.lastAnswer())
 	}
-	// After all of these a change that the grant covers is made.
+	// The rejected changes do not prevent one that the grant allows.
 	fleet.proposeSigned(NewAccountChange(&namespace.Account{Name: "acme/web", Tenants: []string{"t2"}}, 2, nil), acmeAdmin)
 	fleet.run(2 * leaseDuration)
 	fleet.expectAnswer("active: version")
 	if v := fleet.members[2].Enforcer.Evaluate(namespace.Request{Tenant: "t2", Class: "c"}); v.Account != "acme/web" || v.Rejected {
-		t.Errorf("a request of the team's tenant: %+v", v)
+		t.Errorf("a request of tenant t2 got %+v, want account acme/web", v)
 	}
 }
 
-// A change that was signed before its grant was revoked, and arrives or is staged after that, does
-// nothing.
+// A grant is revoked after a change was signed with its key. The change must be rejected, both if
+// it waits to be staged at that time and if it arrives afterwards.
 func TestRevokedGrantAllowsNothing(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
-	// It is waiting while the grant is revoked: it is authorized again when a version is made of
-	// it.
+	// The change waits while the grant is revoked, and is authorized again when its round is
+	// applied.
 	fleet.isolated[3] = true
-	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}, Directory: twoCustomers().Directory}, 2) // delays the next round
+	// The isolated member's lease delays the next round.
+	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}, Directory: twoCustomers().Directory}, 2)
 	fleet.run(60 * ms)
 	revoked := twoCustomers()
 	revoked.Directory.Accounts[0].Grants = revoked.Directory.Accounts[0].Grants[1:]
 	n := len(fleet.answers)
 	fleet.propose(c)
 	if len(fleet.answers) > n {
-		t.Fatalf("answered at once: %q", fleet.lastAnswer())
+		t.Fatalf("the waiting change was answered immediately: %q", fleet.lastAnswer())
 	}
 	fleet.publisher.proposals.waiting = append([]*proposal{{Change: NewOperatorsChange(revoked, 3, []byte("revoke")), proposer: "operators", reply: func(string) {}}}, fleet.publisher.proposals.waiting...)
 	fleet.run(4 * leaseDuration)
 	if got := strings.Join(fleet.answers[n:], "\n"); !strings.Contains(got, "refused: no grant of version 4 has this key; the change was made against version 2") {
-		t.Errorf("answers\n%s", got)
+		t.Errorf("want a refusal for the revoked grant, got the answers\n%s", got)
 	}
 	fleet.isolated[3] = false
 	fleet.run(30 * 1000 * ms)
@@ -154,11 +157,11 @@
 	fleet.run(leaseDuration)
 	fleet.expectAnswer("refused: no grant of version")
 	if v := fleet.members[1].Enforcer.Evaluate(namespace.Request{Tenant: "t1", Class: "c"}); v.Route != "" {
-		t.Errorf("%+v", v)
+		t.Errorf("a request of tenant t1 got %+v, want no route", v)
 	}
 }
 
-// One customer's invalid changes without end delay no other customer's change.
+// A customer who sends invalid changes continuously must not delay another customer's change.
 func TestFloodOfBadChangesIsRateLimited(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	rejected := 0
@@ -171,14 +174,15 @@
 	fleet.propose(NewNamespaceChange(namespaceRoutingTo("other", 0, "b"), 2, nil))
 	fleet.run(100 * ms)
 	if rejected != 1000 || !strings.HasPrefix(fleet.lastAnswer(), "active: version 3 at 3 of 3") {
-		t.Fatalf("%d of 1000 rejected, then %q", rejected, fleet.lastAnswer())
+		t.Fatalf("%d of 1000 invalid changes were rejected, then a valid one got %q", rejected, fleet.lastAnswer())
 	}
 	if !strings.Contains(strings.Join(fleet.answers, "\n"), "more changes of namespace acme a minute than it may have") {
-		t.Error("no change was rejected for its account's rate")
+		t.Error("no change was rejected by the rate limit")
 	}
 }
 
-// A change that one member can't use holds up no other change of its round.
+// One member can't use a change, because it has too many entries. The other changes of the same
+// round must become active.
 func TestUnusableNamespaceHoldsUpNoOther(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.members[2].MaxEntries = 6
@@ -195,10 +199,10 @@
 	fleet.run(8 * leaseDuration)
 	got := strings.Join(fleet.answers[n:], "\n")
 	if strings.Count(got, "active: version") != 2 || !strings.Contains(got, "refused: b: rules: ") {
-		t.Fatalf("answers\n%s", got)
+		t.Fatalf("want two applied changes and one refused by member b, got the answers\n%s", got)
 	}
 	if v := fleet.members[2].Enforcer.Evaluate(namespace.Request{Tenant: "t3", Class: "c"}); v.Route != "other/r" {
-		t.Errorf("%+v", v)
+		t.Errorf("a request of tenant t3 got %+v, want route other/r", v)
 	}
 }
 
@@ -209,18 +213,18 @@
 	fleet.propose(NewRollback(2, 3, nil))
 	fleet.run(leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version 4 at") || fleet.publisher.versions.active.Number != 4 || len(fleet.publisher.versions.active.Directory.Namespaces) != 0 {
-		t.Fatalf("%q: %+v", fleet.lastAnswer(), fleet.publisher.versions.active.Directory)
+		t.Fatalf("after the rollback the answer is %q and the directory %+v, want version 4 without namespaces", fleet.lastAnswer(), fleet.publisher.versions.active.Directory)
 	}
 	fleet.propose(NewRollback(77, 4, nil))
 	if fleet.lastAnswer() != "refused: version 77 is not kept any more" {
-		t.Fatalf("%q", fleet.lastAnswer())
+		t.Fatalf("the answer to a rollback to version 77 is %q, want that the version is not kept", fleet.lastAnswer())
 	}
-	fleet.restartPublisher() // the history is in the checkpoint
+	fleet.restartPublisher() // it restores the history from the checkpoint
 	if fleet.publisher.versions.byNumber(3) == nil || len(fleet.publisher.audit.active) < 3 || CheckAuditLog(fleet.publisher.audit.active) != nil {
-		t.Fatalf("a new publisher has version 3: %t, and %d changes", fleet.publisher.versions.byNumber(3) != nil, len(fleet.publisher.audit.active))
+		t.Fatalf("a new publisher has version 3: %t, and %d audit log entries, want at least 3 in a valid chain", fleet.publisher.versions.byNumber(3) != nil, len(fleet.publisher.audit.active))
 	}
 	fleet.publisher.audit.active[1].Proposer = "somebody"
 	if CheckAuditLog(fleet.publisher.audit.active) == nil {
-		t.Fatal("an altered audit log passes the check")
+		t.Fatal("CheckAuditLog accepts an altered log")
 	}
 }
--- a/internal/fleet/rules/components_test.go
+++ b/internal/fleet/rules/components_test.go
@@ -1,13 +1,11 @@
 package rules
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestRateLimiter(t *testing.T) {
 	limiter := rateLimiter{buckets: map[string]*tokenBucket{}}
 	v := twoCustomers()
-	v.Directory.Accounts[0].Changes = 60 // acme: a burst of ten, then one a second
+	v.Directory.Accounts[0].Changes = 60 // acme has a burst of ten changes, then one each second
 	acme := &Change{Account: "acme", Key: publicKey(1)}
 	allowed := func(now Time, c *Change) (n int) {
 		for range 1000 {
@@ -30,7 +28,7 @@
 		{"another account", 3600 * 1000 * ms, &Change{Account: "other", Key: publicKey(1)}, defaultChangesPerMinute / burstDivisor},
 	} {
 		if got := allowed(step.at, step.change); got != step.want {
-			t.Errorf("%s: %d changes allowed, expected %d", step.name, got, step.want)
+			t.Errorf("%s: %d changes were allowed, want %d", step.name, got, step.want)
 		}
 	}
 }
@@ -42,7 +40,7 @@
 		members []memberState
 		want    readiness
 	}{
-		{"nobody", nil, readiness{all: true}},
+		{"no members", nil, readiness{all: true}},
 		{"all ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: staged}}, readiness{all: true}},
 		{"one not ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: other}}, readiness{}},
 		{"not ready, and its lease has ended", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 5, ready: other}}, readiness{all: true}},
@@ -54,17 +52,17 @@
 			*table.member(uint32(i)) = c.members[i]
 		}
 		if got := table.readiness(staged, 5); got != c.want {
-			t.Errorf("%s: %+v, expected %+v", c.name, got, c.want)
+			t.Errorf("%s: readiness = %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
-// The publisher's end of a lease comes after the member's, even if the member's clock runs 1 % slow
-// and the publisher's 1 % fast.
+// A lease must end at the member before it ends at the publisher, even if the clock of the member
+// runs 1 % slow and that of the publisher 1 % fast.
 func TestPublisherCountsALeaseLonger(t *testing.T) {
 	member, publisher := MemberLeaseEnd(0, leaseDuration), PublisherLeaseEnd(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
-		t.Errorf("the member's lease ends at %d, after the publisher's end at %d", member, publisher)
+		t.Errorf("the lease ends at %d at the member and at %d at the publisher, which is too early with a drift of 1 %%", member, publisher)
 	}
 }
 
@@ -74,15 +72,15 @@
 	q := proposalQueue{waiting: []*proposal{first, second, alone}}
 	for i, want := range []int{2, 1, 0} {
 		if round := q.nextRound(); len(round) != want {
-			t.Errorf("round %d has %d proposals, expected %d", i, len(round), want)
+			t.Errorf("round %d has %d proposals, want %d", i, len(round), want)
 		}
 	}
 	q.retryAlone([]*proposal{first, second})
 	if round := q.nextRound(); len(round) != 1 || round[0] != first {
-		t.Errorf("after a round that could not be used: %d proposals", len(round))
+		t.Errorf("the first round after retryAlone has %d proposals, want only the first one", len(round))
 	}
 	if q.byID([]byte("second")) != second || q.byID(nil) != nil {
-		t.Error("proposals are found by their IDs alone")
+		t.Error("byID(second) is not the second proposal, or byID(nil) is not nil")
 	}
 }
 
@@ -98,7 +96,7 @@
 		{"s", nil},
 	} {
 		if _, err := decodeQuery([]byte(c.body)); err != c.want {
-			t.Errorf("%q: %v, expected %v", c.body, err, c.want)
+			t.Errorf("decodeQuery(%q): error %v, want %v", c.body, err, c.want)
 		}
 	}
 }
@@ -111,12 +109,12 @@
 	var log auditLog
 	log.restore(entries, 2)
 	if len(log.active) != 2 || len(log.staged) != 3 {
-		t.Errorf("%d entries up to version 2, %d with the staged one", len(log.active), len(log.staged))
+		t.Errorf("the log has %d entries up to version 2 and %d with the staged version, want 2 and 3", len(log.active), len(log.staged))
 	}
 	entries[1].Proposer = "somebody"
 	log = auditLog{}
 	log.restore(entries, 2)
 	if len(log.active) != 0 || len(log.staged) != 0 || len(log.rejected) != 1 {
-		t.Errorf("an altered log is restored: %+v", log)
+		t.Errorf("restoring an altered log results in %+v, want an empty log with one rejection", log)
 	}
 }
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// largeVersion is a version with a number of customers, each with ten routes.
+// largeVersion returns a version with a number of customers, each with ten routes.
 func largeVersion(customers int) *Version {
 	v := &Version{Number: 7, Directory: &namespace.Directory{}}
 	for i := range customers {
@@ -24,8 +24,8 @@
 	return v
 }
 
-// withOneCustomerChanged is the next version, in which one customer has fewer routes and another
-// customer is removed.
+// withOneCustomerChanged returns the next version, with fewer routes of one customer and without
+// another customer.
 func withOneCustomerChanged(v *Version) *Version {
 	n := v.next()
 	n.Directory.Namespaces[20].VersionNumber = n.Number
@@ -39,49 +39,49 @@
 	base := largeVersion(300)
 	next := withOneCustomerChanged(base)
 	if err := next.Check(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Check: %v", err)
 	}
 	complete, encodedDelta := next.encodeFor(nil), next.encodeFor(base)
 	t.Logf("%d entries: %d bytes, %d compressed, %d as a delta", next.Entries(), len(next.Encode()), len(complete), len(encodedDelta))
 	if len(complete) > maxStoredBytes || len(encodedDelta) > 600 {
-		t.Errorf("%d bytes compressed, %d as a delta", len(complete), len(encodedDelta))
+		t.Errorf("%d bytes compressed, %d as a delta, want at most %d and 600", len(complete), len(encodedDelta), maxStoredBytes)
 	}
 	for name, data := range map[string][]byte{"complete": complete, "as a delta": encodedDelta} {
 		v, err := decodeVersion(data, onlyBase(base))
 		if err != nil || !bytes.Equal(v.Encode(), next.Encode()) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("decoding the version sent %s: error %v, or another version", name, err)
 		}
 	}
 	if _, err := decodeVersion(encodedDelta, onlyBase(nil)); err != errMissingBase {
-		t.Error("without its base:", err)
+		t.Errorf("decoding a delta without its base: %v, want %v", err, errMissingBase)
 	}
-	// A small version is sent uncompressed, which processes of an earlier build can decode.
+	// A small version is sent uncompressed, so that processes of an earlier build can decode it.
 	if data := rejectAll.encodeFor(base); !bytes.Equal(data, rejectAll.Encode()) {
 		t.Error("a small version is not sent uncompressed")
 	}
 	tooLarge := largeVersion(410)
 	if err := tooLarge.Check(); err == nil || !strings.Contains(err.Error(), "entries") {
-		t.Error(err)
+		t.Errorf("Check of %d entries: %v, want an error with the number of entries", tooLarge.Entries(), err)
 	}
 }
 
-// A few bytes that expand to very many are rejected.
+// A short message can expand to very many bytes. Every decoder must stop at its limit.
 func TestDecompressionIsBounded(t *testing.T) {
 	bomb := deflate(formatCompressed, make([]byte, 8*maxEncodedBytes+1))
 	if _, err := decodeVersion(bomb, onlyBase(nil)); err == nil || !strings.Contains(err.Error(), "over") {
-		t.Error(err)
+		t.Errorf("decoding a version of %d bytes that expands beyond the limit: %v, want an error with the limit", len(bomb), err)
 	}
 	fleet := newTestFleet(t, 1)
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, append([]byte{queryPropose}, bomb...))
 	fleet.expectAnswer("refused")
 	if DecodeReply(string(deflate(formatCompressed, make([]byte, 8*maxEncodedBytes+1)))) != "unknown: the answer can't be read" {
-		t.Error("a reply beyond its bound is decoded")
+		t.Error("a reply that expands beyond its limit was decoded")
 	}
 }
 
-// A large version and changes of it, with a member that misses versions and one that has lost what
-// it reports to have: all act by the same version, earlier versions can be decoded from their
-// deltas, and a new publisher continues from the checkpoint.
+// A large version is changed in steps, while one member misses a version and another loses the
+// versions that it reported. All members must act by the same version, a new publisher must
+// continue from the checkpoint, and it must decode the earlier versions from their deltas.
 func TestLargeVersionsAmongMembers(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	v := largeVersion(75)
@@ -100,21 +100,21 @@
 		for j := i; j < i+15; j++ {
 			fleet.propose(NewNamespaceChange(&spaces[j], 0, []byte(fmt.Sprint("id", j))))
 		}
-		fleet.isolated[3] = i == 30 // it misses one version
+		fleet.isolated[3] = i == 30 // the member misses one version
 		fleet.run(3 * leaseDuration)
 		fleet.isolated[3] = false
 		baseVersion = fleet.publisher.versions.active.Number
 		text[baseVersion] = fleet.publisher.versions.active.String()
 	}
-	fleet.members[2].versions = map[Hash]*compiledVersion{} // it reports versions that it has lost
+	fleet.members[2].versions = map[Hash]*compiledVersion{} // the member reports versions that it has lost
 	fleet.propose(NewNamespaceChange(namespaceRoutingTo("customer0003", 0, namespace.MainPool), baseVersion, []byte("last")))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !strings.HasSuffix(fleet.lastAnswer(), "at 4 of 4") {
-		t.Fatal(fleet.lastAnswer())
+		t.Fatalf("the answer to the last change is %q, want an active version at 4 of 4", fleet.lastAnswer())
 	}
 	for i := uint32(1); i <= 4; i++ {
 		if n, left := fleet.members[i].Enforcer.ActiveVersion(); n != fleet.publisher.versions.active.Number || left <= 0 {
-			t.Errorf("member %d acts by version %d, %d is active", i, n, fleet.publisher.versions.active.Number)
+			t.Errorf("member %d acts by version %d for %d ms more, want version %d", i, n, left/ms, fleet.publisher.versions.active.Number)
 		}
 	}
 	t.Logf("%d entries, %d bytes, %d in the checkpoint with %d earlier versions", fleet.publisher.versions.active.Entries(), len(fleet.publisher.versions.active.Encode()), len(fleet.checkpoint), len(fleet.publisher.versions.history))
@@ -124,23 +124,23 @@
 	for number, want := range text {
 		if old := fleet.publisher.versions.byNumber(number); old != nil {
 			if decoded++; old.String() != want {
-				t.Errorf("version %d differs from what it was", number)
+				t.Errorf("version %d was decoded with another text", number)
 			}
 		}
 	}
 	if decoded < 4 {
-		t.Errorf("%d of %d versions can be decoded", decoded, len(text))
+		t.Errorf("%d of %d versions can be decoded, want at least 4", decoded, len(text))
 	}
 	fleet.propose(NewRollback(baseVersion, fleet.publisher.versions.active.Number, nil))
 	fleet.run(4 * leaseDuration)
 	if !strings.HasPrefix(fleet.lastAnswer(), "active: version ") || !bytes.Equal(marshal(fleet.publisher.versions.active.Directory.Namespaces[3].Routes), marshal(spaces[3].Routes)) {
-		t.Error("the rollback has not restored the routes:", fleet.lastAnswer())
+		t.Error("the rollback did not restore the routes; its answer is", fleet.lastAnswer())
 	}
 	fleet.expectOverlapWithin(leaseDuration)
 }
 
-// A transitional version can't be rolled back to: the one before it is stored as a delta from the
-// one after it.
+// The history skips a transitional version, so it must contain the version before it as a delta
+// from the version after it. A retry during the transition must get no early answer.
 func TestHistoryOverATransitionalVersion(t *testing.T) {
 	fleet := startWithPools(t, 2)
 	first := fleet.publisher.versions.active.Number
@@ -148,7 +148,7 @@
 	v := twoCustomers()
 	v.Directory.Accounts[1].Tenants = []string{"t2", "t3"}
 	v.Directory.Accounts[0].Tenants = []string{"t1"}
-	for i := range 100 { // long enough to be stored as a delta
+	for i := range 100 { // makes the version long enough to be stored as a delta
 		v.ExcludedHosts = append(v.ExcludedHosts, fmt.Sprintf("host%03d-of-a-long-name-0123456789-0123456789-0123456789", i))
 	}
 	c, n := NewOperatorsChange(v, first, []byte("with a step")), len(fleet.answers)
@@ -159,14 +159,14 @@
 		}
 	}
 	if fleet.propose(c); fleet.publisher.versions.active.Directory.Previous == nil || len(fleet.answers) > n {
-		t.Errorf("a retry during the transitional version: %q", fleet.answers[n:])
+		t.Errorf("the transitional version is not active, or a retry during it was answered: %q", fleet.answers[n:])
 	}
 	fleet.run(4 * leaseDuration)
 	if got := fleet.answers[n:]; len(got) != 1 || !strings.HasPrefix(got[0], fmt.Sprintf("active: version %d at", first+2)) {
-		t.Fatalf("%q", got)
+		t.Fatalf("the answers are %q, want one with active version %d", got, first+2)
 	}
 	if old := fleet.publisher.versions.byNumber(first); old == nil || old.String() != want {
-		t.Error("the version before differs from what it was")
+		t.Error("the version before the transitional one is missing or has another text")
 	}
 	if fleet.publisher.versions.byNumber(first+1) != nil {
 		t.Error("the transitional version is in the history")
@@ -181,7 +181,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if v, err := decodeVersion(data, onlyBase(base)); err == nil {
 			if again, err := decodeVersion(v.encodeFor(base), onlyBase(base)); err != nil || !bytes.Equal(again.Encode(), v.Encode()) {
-				t.Fatal(err)
+				t.Fatalf("the encoding of a decoded version is decoded with error %v, or as another version", err)
 			}
 		}
 		if len(data) < 1<<16 {
--- a/internal/fleet/rules/faults_test.go
+++ b/internal/fleet/rules/faults_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// Drawn sequences of cuts, lost and late replies, new publishers, a group that stores nothing, and
-// changes, with clocks that drift by 1 %: no two versions are in use side by side for longer than a
-// lease, no member goes back to an older version, and after the faults all act by the active one.
+// Random sequences of isolated members, lost and late replies, new publishers, failing checkpoints
+// and changes, with clocks that drift by 1 %. No two versions may be in use at the same time for
+// longer than a lease, no member may go back to an older version, and after the faults all must act
+// by the active one.
 func TestOverlapUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fleet := newTestFleet(t, 4)
@@ -44,7 +45,7 @@
 		fleet.deliverDelayedReplies()
 		fleet.run(6 * leaseDuration)
 		if o := fleet.longestOverlap(); o > leaseDuration {
-			rt.Fatalf("two versions in use side by side for %d ms", o/ms)
+			rt.Fatalf("two versions were in use at the same time for %d ms, want at most %d ms", o/ms, leaseDuration/ms)
 		}
 		last := map[uint32]uint64{}
 		for _, o := range fleet.observations {
@@ -55,7 +56,7 @@
 		}
 		for i := uint32(1); i <= 4; i++ {
 			if v := fleet.members[i].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != fleet.publisher.versions.active.Number {
-				rt.Fatalf("member %d acts by version %d (lapsed %t), %d is active, after all faults have ended", i, v.Version, v.Lapsed, fleet.publisher.versions.active.Number)
+				rt.Fatalf("after all faults have ended, member %d acts by version %d (lapsed %t), want version %d", i, v.Version, v.Lapsed, fleet.publisher.versions.active.Number)
 			}
 		}
 	})
--- a/internal/fleet/rules/invariants_test.go
+++ b/internal/fleet/rules/invariants_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// generateChange draws a change of some account, or of its namespace, against a version.
+// generateChange returns a random change of an account or its namespace, based on a version.
 func generateChange(rt *rapid.T, baseVersion uint64) *Change {
 	name := rapid.SampledFrom([]string{"acme", "acme/web", "acme/web/x", "other", "other/y"}).Draw(rt, "name")
 	a := generateAccount(rt, name)
@@ -26,9 +26,10 @@
 	return NewNamespaceChange(namespaceRoutingTo(name, 0, "a"), baseVersion, nil)
 }
 
+// generateAccount returns an account with random tenants, pools and limits.
 func generateAccount(rt *rapid.T, name string) namespace.Account {
 	limit := func() namespace.Limit {
-		if rapid.Bool().Draw(rt, "unlimited") { // else most accounts below others are rejected for their limits
+		if rapid.Bool().Draw(rt, "unlimited") { // with limits alone, most accounts below others would be rejected
 			return namespace.Limit{}
 		}
 		return namespace.Limit{Max: rapid.Uint32Range(0, 9).Draw(rt, "max"), Reserved: rapid.Uint32Range(0, 5).Draw(rt, "reserved")}
@@ -44,12 +45,12 @@
 	return namespace.Account{Name: name, Tenants: subset("t1", "t2", "t3"), Pools: subset("a", "b"), Rate: limit(), Connections: limit()}
 }
 
-// checkAccounts checks that each tenant is in one account and those above it, and that no child has
-// more than its parent.
+// checkAccounts checks that each tenant is only in one account and its ancestors, and that no child
+// account has larger limits than its parent.
 func checkAccounts(rt *rapid.T, directory *namespace.Directory) {
 	compiled, err := namespace.Compile(directory)
 	if err != nil {
-		rt.Fatal(err)
+		rt.Fatalf("Compile: %v", err)
 	}
 	owner, reserved := map[string]string{}, map[string]uint32{}
 	for _, a := range directory.Accounts {
@@ -62,13 +63,14 @@
 		}
 		own, above := compiled.AccountSettings(a.Name).Rate, compiled.AccountSettings(parent).Rate
 		if reserved[parent] += a.Rate.Reserved; parent != "" && (reserved[parent] > above.Reserved || above.Max > 0 && (own.Max > above.Max || own.Max == 0)) {
-			rt.Fatalf("%s has %+v, and its parent %s has %+v", a.Name, own, parent, above)
+			rt.Fatalf("account %s has the rate %+v, which its parent %q with %+v does not allow", a.Name, own, parent, above)
 		}
 	}
 }
 
-// Whatever administrators propose in whatever order: in every version each tenant is in one
-// account, no child has more than its parent, and a version decodes to the same text.
+// Administrators propose random changes in any order. In every version each tenant must be in one
+// account and no child may have larger limits than its parent, and the encoded version must decode
+// to the same text.
 func TestInvariantsHoldInAnyOrderOfChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v, applied := &Version{}, 0
@@ -80,7 +82,7 @@
 			applied++
 			v = next
 			if decoded, err := Decode(v.Encode()); err != nil || decoded.String() != v.String() {
-				rt.Fatalf("an encoded version is not decoded as it was: %v", err)
+				rt.Fatalf("an encoded version is decoded with error %v, or as another version", err)
 			}
 			if v.Directory != nil {
 				checkAccounts(rt, v.Directory)
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// A host and a tenant are reassigned while a member is cut off: from the first use by the new owner
-// at any member, no member lets the old one use them.
+// A host and a tenant are reassigned while a member is isolated. From the first use by the new
+// owner at any member on, no member may let the old owner use them.
 func TestReassignedHostsHaveOneOwnerAtATime(t *testing.T) {
 	fleet := startWithPools(t, 4)
 	fleet.run(leaseDuration)
@@ -51,15 +51,16 @@
 	}
 	for _, u := range uses {
 		if u.pool == "a" && u.at >= firstUse["pool b"] || u.account == "acme" && u.at >= firstUse["account other"] {
-			t.Fatalf("used at %d ms in pool %q by account %q, and by the new owners since %d and %d ms", u.at/ms, u.pool, u.account, firstUse["pool b"]/ms, firstUse["account other"]/ms)
+			t.Fatalf("at %d ms the host was in pool %q and the tenant in account %q, but the new owners use them since %d ms and %d ms", u.at/ms, u.pool, u.account, firstUse["pool b"]/ms, firstUse["account other"]/ms)
 		}
 	}
 	if firstUse["pool b"] == 0 || firstUse["account other"] == 0 {
-		t.Fatalf("nothing was reassigned: %v", firstUse)
+		t.Fatalf("nothing was reassigned; first uses: %v", firstUse)
 	}
 }
 
-// A member that missed 10,000 versions gets the newest one complete, and acts by none in between.
+// A member that missed 10,000 versions must get the complete newest one, and must not act by any
+// version in between.
 func TestMemberFarBehind(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
@@ -69,7 +70,7 @@
 		fleet.run(100 * ms)
 	}
 	if fleet.publisher.versions.active.Number != 2000 {
-		t.Fatalf("version %d is active: %s", fleet.publisher.versions.active.Number, fleet.lastAnswer())
+		t.Fatalf("version %d is active, want 2000; the last answer is %q", fleet.publisher.versions.active.Number, fleet.lastAnswer())
 	}
 	fleet.publisher.versions.active.Number, fleet.publisher.versions.active.OperatorsNumber = 10_000, 10_000 // as if 8,000 more had followed
 	fleet.publisher.versions.activeHash, fleet.publisher.versions.transfers = fleet.publisher.versions.active.Hash(), nil
@@ -77,29 +78,31 @@
 	fleet.isolated[3] = false
 	fleet.run(2 * leaseDuration)
 	if n, left := fleet.members[3].Enforcer.ActiveVersion(); n != 10_000 || left <= 0 {
-		t.Fatalf("it acts by version %d for %d ms more, expected 10000", n, left/ms)
+		t.Fatalf("the member acts by version %d for %d ms more, want version 10000", n, left/ms)
 	}
 	for _, o := range fleet.observations {
 		if o.member == 3 && !o.lapsed && o.number != 10_000 {
-			t.Fatalf("it acted by version %d in between", o.number)
+			t.Fatalf("the member acted by version %d in between", o.number)
 		}
 	}
 	if len(fleet.publisher.versions.history) > maxHistory || len(fleet.publisher.audit.active) > maxAuditEntries || len(fleet.checkpoint) > maxCheckpointBytes {
-		t.Errorf("%d versions, %d changes, %d bytes are stored", len(fleet.publisher.versions.history), len(fleet.publisher.audit.active), len(fleet.checkpoint))
+		t.Errorf("the checkpoint has %d versions, %d changes and %d bytes, want at most %d, %d and %d",
+			len(fleet.publisher.versions.history), len(fleet.publisher.audit.active), len(fleet.checkpoint),
+			maxHistory, maxAuditEntries, maxCheckpointBytes)
 	}
 }
 
-// A change whose publisher ended while it was staged is retried at the next one: the answer is that
-// it is active, not that it was made against an older version. Retries take no tokens of the rate
-// limit.
+// A publisher is replaced while a change is staged, and the change is retried at the next one. The
+// answer must be that the change is active, not that its base version is old. Retries must not
+// count against the rate limit.
 func TestRetryAtAnotherPublisher(t *testing.T) {
 	fleet := startWithPools(t, 3)
-	fleet.isolated[3] = true // delays its activation
+	fleet.isolated[3] = true // delays the activation
 	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("once-and-again"))
 	fleet.proposeSigned(c, 1)
 	fleet.run(100 * ms)
 	if fleet.publisher.versions.staged == nil {
-		t.Fatal("it is not staged:", fleet.lastAnswer())
+		t.Fatal("the change is not staged; the last answer is", fleet.lastAnswer())
 	}
 	fleet.restartPublisher()
 	n := len(fleet.answers)
@@ -109,7 +112,7 @@
 	fleet.run(4 * leaseDuration)
 	got := fleet.answers[n:]
 	if len(got) != 1 || !strings.HasPrefix(got[0], "active: version 3 at") {
-		t.Errorf("%q", got)
+		t.Errorf("the retries got the answers %q, want only one, with active version 3", got)
 	}
 	fleet.propose(c)
 	fleet.expectAnswer("active: version 3 at")
--- a/internal/fleet/rules/recorded_test.go
+++ b/internal/fleet/rules/recorded_test.go
@@ -10,11 +10,11 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// recorder records all messages between a publisher, its members and the group that stores its
-// checkpoints.
+// recorder records all messages between a publisher, its members and the group that stores the
+// checkpoints. A nil recorder records nothing.
 type recorder struct {
 	digest  *golden.Digest
-	samples *golden.Samples
+	samples *golden.Samples // nil if only the digest is recorded
 }
 
 func (r *recorder) add(kind string, data []byte) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// randomChange is a change as some administrator may propose it; many are rejected.
+// randomChange returns a change as an administrator may propose it. Many of these are rejected.
 func randomChange(rng *rand.Rand, baseVersion uint64) *Change {
 	id := fmt.Appendf(nil, "id-%08d", rng.Intn(1e8))
 	pools := []string{"a", "b", namespace.MainPool}
@@ -51,7 +51,7 @@
 	return NewOperatorsChange(reassigned, baseVersion, id)
 }
 
-// randomStep does one thing to the fleet: a change, a query, a fault or its end.
+// randomStep proposes a change, sends a query, or starts or ends a fault.
 func randomStep(fleet *testFleet, rng *rand.Rand) {
 	member := 1 + uint32(rng.Intn(len(fleet.members)))
 	switch rng.Intn(12) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestRecordedDecisions: the same changes, queries and faults give the same messages, answers and
-// checkpoints as when they were recorded.
+// The same changes, queries and faults must result in the same messages, answers and checkpoints as
+// in the golden files.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
 	lines := make([]string, sequences)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -16,7 +16,7 @@
 	fleet.expectAnswer("active: version 1 at 5 of 5")
 	for i, m := range fleet.members {
 		if v := m.Enforcer.Evaluate(anyRequest); !v.Rejected || v.Version != 1 || v.RetryAfter != 500*time.Millisecond || v.Lapsed {
-			t.Errorf("member %d: %+v", i, v)
+			t.Errorf("member %d: verdict %+v, want a rejection by version 1 with a Retry-After of 500 ms", i, v)
 		}
 	}
 	fleet.expectOverlapWithin(100 * ms)
@@ -26,8 +26,8 @@
 	fleet.expectAnswer("refused: it was made against version 0, and 1 is active")
 }
 
-// A member is cut off in both directions, or receives nothing: no newer version is active before
-// its lease has ended, and after that it acts by none.
+// A member is isolated in both directions, or receives no replies. No newer version may become
+// active before its lease has ended, and it must act by none after that.
 func TestMemberCutOffActsByNothing(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -44,12 +44,12 @@
 			fleet.proposeOperators(rejectAll, 0)
 			fleet.run(500 * ms)
 			if !c.reachesPublisher && fleet.lastAnswer() != "" {
-				t.Errorf("answered %d ms after the cut, while its lease may be valid: %q", (fleet.now-began)/ms, fleet.lastAnswer())
+				t.Errorf("answered %d ms after the member was isolated, while its lease may be valid: %q", (fleet.now-began)/ms, fleet.lastAnswer())
 			}
 			fleet.run(3 * leaseDuration)
 			fleet.expectOverlapWithin(leaseDuration)
 			if v := fleet.members[3].Enforcer.Evaluate(anyRequest); !v.Lapsed || !v.Rejected {
-				t.Errorf("it acts without a lease: %+v", v)
+				t.Errorf("a member without a lease has the verdict %+v, want a rejection as lapsed", v)
 			}
 			c.fault(fleet, false)
 			fleet.run(2 * leaseDuration)
@@ -58,14 +58,14 @@
 			}
 			fleet.expectAnswer("active: version 1 at 2 of 3; lapsed: c")
 			if v := fleet.members[3].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != 1 {
-				t.Errorf("it has not caught up after the cut: %+v", v)
+				t.Errorf("a member that is reachable again has the verdict %+v, want version 1", v)
 			}
 		})
 	}
 }
 
-// With KeepLastVersion a member without a lease goes on by the last version, and its verdicts say
-// so.
+// With KeepLastVersion a member without a lease must continue to act by the last version, and its
+// verdicts must report the lapse.
 func TestGraceAfterLapseReportsTheLapse(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.members[2].Enforcer.KeepLastVersion = true
@@ -74,15 +74,16 @@
 	fleet.isolated[2] = true
 	fleet.run(2 * leaseDuration)
 	if v := fleet.members[2].Enforcer.Evaluate(anyRequest); v.Rejected || !v.Lapsed || v.Version != 1 {
-		t.Fatalf("%+v", v)
+		t.Fatalf("a member without a lease has the verdict %+v, want version 1 as lapsed", v)
 	}
 	if fleet.members[2].Enforcer.Usable("h") || !fleet.members[2].Enforcer.Usable("i") {
-		t.Fatal("its last version has h out, and no other host")
+		t.Fatalf("Usable(h) = %t and Usable(i) = %t, want false and true by the last version",
+			fleet.members[2].Enforcer.Usable("h"), fleet.members[2].Enforcer.Usable("i"))
 	}
 }
 
-// A version that one member can't use becomes active nowhere, and the answer names the member and
-// the reason.
+// A version that one member can't use must not become active anywhere, and the answer must contain
+// the member and the reason.
 func TestUnusableVersionIsActiveNowhere(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[2].MaxEntries = 1
@@ -91,7 +92,7 @@
 	fleet.expectAnswer("refused: b: rules: 2 entries, this process takes 1")
 	for i, m := range fleet.members {
 		if n, _ := m.Enforcer.ActiveVersion(); n != 0 {
-			t.Errorf("member %d acts by version %d", i, n)
+			t.Errorf("member %d acts by version %d, want 0", i, n)
 		}
 	}
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}}, 0)
@@ -99,29 +100,30 @@
 	fleet.expectAnswer("active: version 1 at 3 of 3")
 }
 
-// A new publisher knows of no leases: no version becomes active before those have ended that its
-// predecessor may have granted. The staged version in the checkpoint is not lost.
+// A publisher is replaced while a version is staged. The new one does not know the leases of its
+// predecessor, so no version may become active before all of these have ended. The staged version
+// in the checkpoint must not be lost.
 func TestPublisherLostBetweenReadyAndActive(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
 	fleet.proposeOperators(rejectAll, 0)
-	fleet.run(200 * ms) // the version is staged: the member that is cut off may hold a lease
+	fleet.run(200 * ms) // the version stays staged, since the isolated member may hold a lease
 	fleet.restartPublisher()
 	began := fleet.now
 	for fleet.now < began+3*leaseDuration && fleet.longestOverlap() == 0 && !strings.Contains(fleet.publisher.overview(fleet.now), "version 1 at") {
 		fleet.run(20 * ms)
 	}
 	if n, _ := fleet.members[1].Enforcer.ActiveVersion(); n == 1 && fleet.now-began < leaseDuration {
-		t.Fatalf("active %d ms after a new publisher began, while the lease of a member that is cut off may be valid", (fleet.now-began)/ms)
+		t.Fatalf("version 1 is active %d ms after a new publisher started, while the lease of an isolated member may be valid", (fleet.now-began)/ms)
 	}
 	fleet.run(3 * leaseDuration)
 	if n, _ := fleet.members[1].Enforcer.ActiveVersion(); n != 1 {
-		t.Fatalf("the staged version is lost: member 1 acts by version %d; %s", n, fleet.publisher.overview(fleet.now))
+		t.Fatalf("member 1 acts by version %d, want the staged version 1; the publisher reports %q", n, fleet.publisher.overview(fleet.now))
 	}
 	fleet.expectOverlapWithin(leaseDuration)
 }
 
-// A lease counts from before its request was sent, so that a late reply grants none.
+// A lease counts from before its request was sent, so that a late reply must not grant one.
 func TestLateReplyGrantsNoLease(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.delayReplies = true
@@ -130,11 +132,11 @@
 	fleet.run(3 * leaseDuration)
 	fleet.deliverDelayedReplies()
 	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); !v.Lapsed {
-		t.Fatalf("a reply that is %d ms late grants a lease", 3*leaseDuration/ms)
+		t.Fatalf("a reply that is %d ms late grants a lease, want none", 3*leaseDuration/ms)
 	}
 }
 
-// A planted fault, a member that counts its leases ten times too long, is found by longestOverlap.
+// longestOverlap must detect an injected fault: a member that counts its leases ten times too long.
 func TestOverlapCheckFindsAnOverlongLease(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[3].LeaseDuration = 10 * leaseDuration
@@ -143,11 +145,12 @@
 	fleet.proposeOperators(rejectAll, 0)
 	fleet.run(5 * leaseDuration)
 	if o := fleet.longestOverlap(); o <= leaseDuration {
-		t.Fatalf("an overlap of %d ms with a lease ten times too long", o/ms)
+		t.Fatalf("longestOverlap is %d ms with a lease that is ten times too long, want more than a lease", o/ms)
 	}
 }
 
-// Clocks drift by 1 % in either direction, and a member is cut off during every other change.
+// Clocks drift by 1 % in either direction, and a member is isolated during every other change. The
+// overlap of two versions must stay within a lease.
 func TestOverlapWithClockDrift(t *testing.T) {
 	fleet := newTestFleet(t, 4)
 	fleet.clockRate[3], fleet.clockRate[4] = 0.99, 1.01
@@ -161,7 +164,8 @@
 	fleet.expectOverlapWithin(leaseDuration)
 }
 
-// While the group stores nothing no version becomes active, and nobody loses a lease for it.
+// While the group stores no checkpoint, no version may become active, but members must keep their
+// leases.
 func TestNothingIsActiveWithoutACheckpoint(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.checkpointsFail = true
@@ -169,7 +173,7 @@
 	fleet.run(3 * leaseDuration)
 	fleet.expectAnswer("unknown")
 	if v := fleet.members[1].Enforcer.Evaluate(anyRequest); v.Lapsed || v.Version != 0 || v.Rejected {
-		t.Fatalf("%+v", v)
+		t.Fatalf("member 1 has the verdict %+v, want version 0 with a lease", v)
 	}
 }
 
@@ -182,12 +186,12 @@
 		"long":         {Refusals: []Refusal{{Class: strings.Repeat("c", maxNameBytes+1)}}},
 	} {
 		if _, err := Decode(v.Encode()); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: Decode accepted the version", name)
 		}
 	}
 	tree, faults := settings.Parse("x", []byte(`(rules (refuse a (tenant t) (advice 2s)) (refuse b (class c)) (out h g))`))
 	if err := faults.Err(); err != nil || tree == nil {
-		t.Fatal(err)
+		t.Fatalf("Parse: tree %v, error %v", tree, err)
 	}
 }
 
@@ -196,7 +200,7 @@
 	f.Add((&Version{Number: 3, ExcludedHosts: []string{"a", "b"}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if v, err := Decode(data); err == nil && !bytes.Equal(v.Encode(), data) {
-			t.Fatalf("%x is read as %x", data, v.Encode())
+			t.Fatalf("Decode(%x) returns a version with the encoding %x", data, v.Encode())
 		}
 		p := &Publisher{LeaseDuration: leaseDuration}
 		if p.Start(1, &testFleet{t: t}, 1, 1, data) == nil && len(data) > 0 {
--- a/internal/fleet/rules/status_test.go
+++ b/internal/fleet/rules/status_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What operators see while a change waits for a member that is cut off, once it is active, and
-// while a member can't use it.
+// The status that operators see while a change waits for an isolated member, once the change is
+// active, and while a member can't use it.
 func TestStatus(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	status := func() string {
@@ -18,7 +18,7 @@
 		got := status()
 		for _, text := range texts {
 			if !strings.Contains(got, text) {
-				t.Errorf("expected %q in\n%s", text, got)
+				t.Errorf("the status does not contain %q:\n%s", text, got)
 			}
 		}
 	}
@@ -32,14 +32,14 @@
 	fleet.isolated[3] = false
 	fleet.run(leaseDuration)
 	fleet.members[2].MaxEntries = 1
-	fleet.isolated[3] = true // delays the abandonment, so that the fault is still shown
+	fleet.isolated[3] = true // delays the abandonment, so that the status still contains the fault
 	fleet.publisher.versions.staged = nil
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"a", "b"}}, 1)
 	fleet.run(60 * ms)
 	if got := status(); !strings.Contains(got, "can't be used: rules: 2 entries, this process takes 1") && !strings.Contains(strings.Join(fleet.answers, "\n"), "refused: b: rules: 2 entries") {
-		t.Error(got)
+		t.Errorf("neither the status nor an answer contains the fault of member b:\n%s", got)
 	}
 	if !IsAdminQuery(QueryStatus()) || !strings.HasPrefix(DecodeReply("refused: x"), "refused") {
-		t.Error("administrators may not send the query, or its answer changes as it is decoded")
+		t.Error("IsAdminQuery rejects the status query, or DecodeReply changes an uncompressed reply")
 	}
 }
--- a/internal/fleet/rules/testfleet_test.go
+++ b/internal/fleet/rules/testfleet_test.go
@@ -15,27 +15,27 @@
 	leaseDuration = 1000 * ms
 )
 
-// testFleet is a publisher and members in virtual time. A test may delay or lose their messages,
-// and each member's clock has a rate of its own.
+// testFleet simulates a publisher and its members in virtual time. Tests can delay or lose their
+// messages, and each member's clock has its own rate. It also is the publisher's jobs.Owner.
 type testFleet struct {
 	t                  *testing.T
 	now                Time
 	publisher          *Publisher
 	members            map[uint32]*Member
 	clockRate          map[uint32]float64
-	isolated           map[uint32]bool // by member: its messages are lost in both directions
-	losesReplies       map[uint32]bool // by member: the publisher's replies to it are lost
-	checkpointsFail    bool            // the group stores nothing
-	answers            []string        // to administrators
-	pendingCheckpoints []func()
-	checkpoint         []byte // the last one that the group has stored
+	isolated           map[uint32]bool // by peer ID: the member's messages are lost in both directions
+	losesReplies       map[uint32]bool // by peer ID: the publisher's replies to the member are lost
+	checkpointsFail    bool            // the group stores no checkpoint
+	answers            []string        // to administrators, whose peer ID is 0
+	pendingCheckpoints []func()        // confirm the checkpoints that the group is storing
+	checkpoint         []byte          // the last checkpoint that the group has stored
 	observations       []observation
-	delayedReplies     []func()
-	delayReplies       bool // replies to members are kept in delayedReplies
-	recorder           *recorder
+	delayedReplies     []func()  // deliver the replies that are delayed
+	delayReplies       bool      // replies to members are added to delayedReplies
+	recorder           *recorder // nil if messages are not recorded
 }
 
-// observation is the version that a member acts by at a time.
+// observation is the version that a member acted by at one time.
 type observation struct {
 	at     Time
 	member uint32
@@ -86,10 +86,13 @@
 	return all
 }
 
+// clock returns the time on a member's clock.
 func (fleet *testFleet) clock(i uint32) Time {
 	return 5e15 + Time(float64(fleet.now)*fleet.clockRate[i])
 }
 
+// newTestFleet returns a fleet with n members, named a, b, c and so on, that have leases for
+// version 0.
 func newTestFleet(t *testing.T, n uint32) *testFleet {
 	t.Helper()
 	fleet := &testFleet{t: t, now: 1e9, members: map[uint32]*Member{}, clockRate: map[uint32]float64{}, isolated: map[uint32]bool{}, losesReplies: map[uint32]bool{}}
@@ -108,15 +111,15 @@
 	return fleet
 }
 
-// restartPublisher replaces the publisher by one that continues from the last checkpoint.
+// restartPublisher replaces the publisher by one that continues from the last stored checkpoint.
 func (fleet *testFleet) restartPublisher() {
 	fleet.publisher, fleet.pendingCheckpoints = &Publisher{LeaseDuration: leaseDuration}, nil
 	if err := fleet.publisher.Start(fleet.now, fleet, 1, 1, fleet.checkpoint); err != nil {
-		fleet.t.Fatal(err)
+		fleet.t.Fatalf("Start from a checkpoint of %d bytes: %v", len(fleet.checkpoint), err)
 	}
 }
 
-// deliverDelayedReplies delivers the delayed replies.
+// deliverDelayedReplies delivers the delayed replies and ends the delay.
 func (fleet *testFleet) deliverDelayedReplies() {
 	delayed := fleet.delayedReplies
 	fleet.delayedReplies, fleet.delayReplies = nil, false
@@ -125,7 +128,8 @@
 	}
 }
 
-// run advances time in steps of 20 ms, and observes each member at each step.
+// run advances the time by d in steps of 20 ms, and records an observation of each member at each
+// step.
 func (fleet *testFleet) run(d Time) {
 	for end := fleet.now + d; fleet.now < end; fleet.now += 20 * ms {
 		pending := fleet.pendingCheckpoints
@@ -142,11 +146,12 @@
 	}
 }
 
+// proposeOperators proposes v's operators' part, as an operator does.
 func (fleet *testFleet) proposeOperators(v *Version, baseVersion uint64) {
 	fleet.publisher.QueryReceived(fleet.now, 0, 1, EncodeProposal(NewOperatorsChange(v, baseVersion, nil)))
 }
 
-// lastAnswer is the last one to an administrator.
+// lastAnswer returns the last answer to an administrator, or "" if there is none.
 func (fleet *testFleet) lastAnswer() string {
 	if len(fleet.answers) == 0 {
 		return ""
@@ -154,25 +159,25 @@
 	return fleet.answers[len(fleet.answers)-1]
 }
 
-// expectAnswer checks how the last answer to an administrator begins.
+// expectAnswer fails the test unless the last answer to an administrator starts with prefix.
 func (fleet *testFleet) expectAnswer(prefix string) {
 	fleet.t.Helper()
 	if !strings.HasPrefix(fleet.lastAnswer(), prefix) {
-		fleet.t.Fatalf("the last answer is %q, expected %q", fleet.lastAnswer(), prefix)
+		fleet.t.Fatalf("the last answer is %q, want one that starts with %q", fleet.lastAnswer(), prefix)
 	}
 }
 
-// expectOverlapWithin checks the promise: no two versions are in use side by side for longer than a
-// bound.
+// expectOverlapWithin checks the package's guarantee: no two versions are in use at the same time
+// for longer than a bound.
 func (fleet *testFleet) expectOverlapWithin(bound Time) {
 	fleet.t.Helper()
 	if o := fleet.longestOverlap(); o > bound {
-		fleet.t.Errorf("two versions in use side by side for %d ms, expected %d ms at most", o/ms, bound/ms)
+		fleet.t.Errorf("two versions were in use at the same time for %d ms, want at most %d ms", o/ms, bound/ms)
 	}
 }
 
-// longestOverlap is the longest time for which two versions were in use side by side: from the
-// first use of a newer one to the last of an older one.
+// longestOverlap returns the longest time for which two versions were in use: from the first use of
+// the newer one to the last use of the older one.
 func (fleet *testFleet) longestOverlap() (longest Time) {
 	firstUse := map[uint64]Time{}
 	newest := uint64(0)
@@ -193,6 +198,8 @@
 	return longest
 }
 
+// anyRequest is a request that no account owns.
 var anyRequest = namespace.Request{Tenant: "t", Class: "c"}
 
+// rejectAll is a version that rejects every request.
 var rejectAll = &Version{Refusals: []Refusal{{RetryAfterMillis: 500}}}
