--- a/internal/fleet/rules/apply.go
+++ b/internal/fleet/rules/apply.go
@@ -40,8 +40,8 @@
 // version, so that no order of changes evades an account's limits. Only KindRollback uses history.
 // If the error is not nil, the returned version must not be used.
 func (v *Version) Apply(c *Change, history versionByNumber) (*Version, error) {
-	n := v.next()
-	return n, n.apply(v, c, history)
+	next := v.next()
+	return next, next.apply(v, c, history)
 }
 
 // apply changes v, which must be a copy that next returned. base is the active version; v may
--- a/internal/fleet/rules/change.go
+++ b/internal/fleet/rules/change.go
@@ -41,7 +41,7 @@
 	_           struct{} `cbor:",toarray"`
 	ID          []byte   // changes with the same ID are applied once
 	Kind        ChangeKind
-	Account     string // the account or the owner of the namespace; empty for KindOperators and KindRollback
+	Account     string // account, or owner of the namespace; empty for KindOperators and KindRollback
 	BaseVersion uint64 // number of the version that the change is based on
 	Body        []byte // the encoded new state; the number of the version to restore for KindRollback
 	Key         []byte // the signer's public key; empty for a change by the operators at their own socket
--- a/internal/fleet/rules/compiled.go
+++ b/internal/fleet/rules/compiled.go
@@ -56,7 +56,7 @@
 // rejects reports whether the operators' refusals reject a request, and returns its Retry-After. If
 // several refusals match, the most specific one applies; one with a tenant precedes one with a
 // class.
-func (c *compiledVersion) rejects(tenant, class string) (rejected bool, advice time.Duration) {
+func (c *compiledVersion) rejects(tenant, class string) (rejected bool, retryAfter time.Duration) {
 	for _, key := range [...]refusalKey{{tenant, class}, {tenant, ""}, {"", class}, {"", ""}} {
 		if ms, found := c.refusalRetryAfterMillis[key]; found {
 			return true, time.Duration(ms) * time.Millisecond
--- a/internal/fleet/rules/compression.go
+++ b/internal/fleet/rules/compression.go
@@ -40,9 +40,9 @@
 }
 
 // deflate returns the compressed data after a byte that specifies the format.
-func deflate(form byte, data []byte) []byte {
+func deflate(format byte, data []byte) []byte {
 	var b bytes.Buffer
-	b.WriteByte(form)
+	b.WriteByte(format)
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
 	if err == nil {
 		if _, err = w.Write(data); err == nil {
--- a/internal/fleet/rules/leases.go
+++ b/internal/fleet/rules/leases.go
@@ -1,10 +1,10 @@
 package rules
 
-// clockDriftDivisor is the fraction of a lease that each side adds or subtracts as a margin: a
-// fiftieth covers a clock that is 2 % fast or slow. The member counts its lease from before it sent
-// the request and ends it a margin early; the publisher counts from when the request arrived and
-// ends it a margin late. So a lease that has ended at the publisher has ended at the member too, no
-// matter how long the messages were delayed.
+// clockDriftDivisor determines the margin by which each side changes the end of a lease: a fiftieth
+// of its duration, which covers a clock that is 2 % fast or slow. The member counts its lease from
+// before it sent the request and ends it a margin early; the publisher counts from when the request
+// arrived and ends it a margin late. So a lease that has ended at the publisher has ended at the
+// member too, no matter how long the messages were delayed.
 const clockDriftDivisor = 50
 
 // MemberLeaseEnd returns when a lease ends at the member that requested it at requestedAt, on the
--- a/internal/fleet/rules/message.go
+++ b/internal/fleet/rules/message.go
@@ -27,7 +27,7 @@
 	errUnknownQuery    = errors.New("a question that is not known here")
 	errMalformedChange = errors.New("a change that can't be read")
 	errMalformedNumber = errors.New("a number that can't be read")
-	errMalformedLease  = errors.New("a lease query that can't be read") // not sent: the member soon sends its next query
+	errMalformedLease  = errors.New("a lease query that can't be read") // no reply: the member soon sends its next query
 )
 
 // The decoded queries to the publisher, one type for each queryKind.
--- a/internal/fleet/rules/publisher.go
+++ b/internal/fleet/rules/publisher.go
@@ -73,7 +73,7 @@
 		return
 	}
 	r := p.leases.readiness(p.versions.stagedHash, now)
-	switch { // administrators' tools match the texts of these answers
+	switch { // administrators get these texts, which must not change
 	case r.faultReason != "":
 		p.abandon(now, fmt.Sprintf("refused: %s: %s", p.memberName(r.faultyPeer), r.faultReason))
 	case !r.all && now-p.versions.stagedAt > stagingTimeoutLeases*p.LeaseDuration:
--- a/internal/fleet/rules/ratelimit.go
+++ b/internal/fleet/rules/ratelimit.go
@@ -51,10 +51,10 @@
 
 // changesPerMinute returns the lowest rate of an account and its ancestors. Accounts without a rate
 // do not count; if none has one, it returns the default.
-func changesPerMinute(v *Version, part string) float64 {
+func changesPerMinute(v *Version, account string) float64 {
 	lowest := float64(defaultChangesPerMinute)
 	for _, a := range v.directoryOrEmpty().Accounts {
-		if a.Changes > 0 && namespace.IsWithin(part, a.Name) {
+		if a.Changes > 0 && namespace.IsWithin(account, a.Name) {
 			lowest = min(lowest, float64(a.Changes))
 		}
 	}
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -34,12 +34,12 @@
 
 func bindRefusal(f *settings.Form) Refusal {
 	var r Refusal
-	var advice time.Duration
+	var retryAfter time.Duration
 	anyName := func(string) bool { return true }
 	f.Text("tenant", "tenant of the requests; all tenants if left out", "a name", &r.Tenant, anyName)
 	f.Text("class", "class of the requests; all classes if left out", "a name", &r.Class, anyName)
-	f.Duration("advice", "Retry-After of the rejected requests", &advice, 0, time.Minute)
-	r.RetryAfterMillis = uint32(advice.Milliseconds())
+	f.Duration("advice", "Retry-After of the rejected requests", &retryAfter, 0, time.Minute)
+	r.RetryAfterMillis = uint32(retryAfter.Milliseconds())
 	return r
 }
 
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/rules/version.go
@@ -1,7 +1,7 @@
 // Package rules implements the rules on which all proxies of a fleet agree: immutable versions of
 // the rules, the lease that a process needs to act by a version, and the logic of the publisher and
-// the members. It does no I/O and reads no monotonic clock, so that tests can run it with clocks
-// that drift.
+// the members. It does no I/O, and callers provide the clock of the leases, so that tests can run
+// it with clocks that drift.
 //
 // The publisher is the process that owns the rules' job. A member is any process of the fleet,
 // including the publisher's own. A version is staged when the replicated group has stored it and
