--- a/internal/fleet/rules/components_test.go
+++ b/internal/fleet/rules/components_test.go
@@ -40,7 +40,7 @@
 		members []memberState
 		want    readiness
 	}{
-		{"no members", nil, readiness{all: true}},
+		{"nobody", nil, readiness{all: true}},
 		{"all ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: staged}}, readiness{all: true}},
 		{"one not ready", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 10, ready: other}}, readiness{}},
 		{"not ready, and its lease has ended", []memberState{{leaseEnd: 10, ready: staged}, {leaseEnd: 5, ready: other}}, readiness{all: true}},
