--- a/internal/fleet/rules/change_test.go
+++ b/internal/fleet/rules/change_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestChangesBeyondTheGrantAreRejected(t *testing.T) {
+func TestUnauthorizedAndInvalidChangesRejected(t *testing.T) {
 	const operators, acmeAdmin, acmeClerk, nobody = 0, 1, 2, 9 // numbers of the signing keys; operators do not sign
 	fleet := startWithPools(t, 3)
 	fleet.publisher.WallClock = func() int64 { return 6000_000 } // the clerk's grant has ended
@@ -129,7 +129,7 @@
 
 // A grant is revoked after a change was signed with its key. The change must be rejected, both if
 // it waits to be staged at that time and if it arrives afterwards.
-func TestRevokedGrantAllowsNothing(t *testing.T) {
+func TestRevokedGrantRejectsPendingChanges(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	c := NewNamespaceChange(namespaceRoutingTo("acme", 0, "a"), 2, []byte("held-back"))
 	c.Sign(privateKey(1))
@@ -183,7 +183,7 @@
 
 // One member can't use a change, because it has too many entries. The other changes of the same
 // round must become active.
-func TestUnusableNamespaceHoldsUpNoOther(t *testing.T) {
+func TestUnusableNamespaceDoesNotBlockOthers(t *testing.T) {
 	fleet := startWithPools(t, 3)
 	fleet.members[2].MaxEntries = 6
 	big := namespaceRoutingTo("acme", 0, "a")
--- a/internal/fleet/rules/components_test.go
+++ b/internal/fleet/rules/components_test.go
@@ -59,7 +59,7 @@
 
 // A lease must end at the member before it ends at the publisher, even if the clock of the member
 // runs 1 % slow and that of the publisher 1 % fast.
-func TestPublisherCountsALeaseLonger(t *testing.T) {
+func TestLeaseEndsAtMemberBeforePublisher(t *testing.T) {
 	member, publisher := MemberLeaseEnd(0, leaseDuration), PublisherLeaseEnd(0, leaseDuration)
 	if float64(member)/0.99 >= float64(publisher)/1.01 {
 		t.Errorf("the lease ends at %d at the member and at %d at the publisher, which is too early with a drift of 1 %%", member, publisher)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestDecodeQueryNamesTheFault(t *testing.T) {
+func TestDecodeQueryErrors(t *testing.T) {
 	for _, c := range []struct {
 		body string
 		want error
--- a/internal/fleet/rules/delta_test.go
+++ b/internal/fleet/rules/delta_test.go
@@ -141,7 +141,7 @@
 
 // The history skips a transitional version, so it must contain the version before it as a delta
 // from the version after it. A retry during the transition must get no early answer.
-func TestHistoryOverATransitionalVersion(t *testing.T) {
+func TestHistorySkipsTransitionalVersion(t *testing.T) {
 	fleet := startWithPools(t, 2)
 	first := fleet.publisher.versions.active.Number
 	want := fleet.publisher.versions.active.String()
--- a/internal/fleet/rules/reassignment_test.go
+++ b/internal/fleet/rules/reassignment_test.go
@@ -61,7 +61,7 @@
 
 // A member that missed 10,000 versions must get the complete newest one, and must not act by any
 // version in between.
-func TestMemberFarBehind(t *testing.T) {
+func TestMemberMissesManyVersions(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
 	fleet.run(2 * leaseDuration)
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -28,7 +28,7 @@
 
 // A member is isolated in both directions, or receives no replies. No newer version may become
 // active before its lease has ended, and it must act by none after that.
-func TestMemberCutOffActsByNothing(t *testing.T) {
+func TestIsolatedMemberActsByNoVersion(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		fault            func(fleet *testFleet, on bool)
@@ -66,7 +66,7 @@
 
 // With KeepLastVersion a member without a lease must continue to act by the last version, and its
 // verdicts must report the lapse.
-func TestGraceAfterLapseReportsTheLapse(t *testing.T) {
+func TestKeepLastVersionReportsLapse(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.members[2].Enforcer.KeepLastVersion = true
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"h"}}, 0)
@@ -84,7 +84,7 @@
 
 // A version that one member can't use must not become active anywhere, and the answer must contain
 // the member and the reason.
-func TestUnusableVersionIsActiveNowhere(t *testing.T) {
+func TestUnusableVersionNeverBecomesActive(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.members[2].MaxEntries = 1
 	fleet.proposeOperators(&Version{ExcludedHosts: []string{"g", "h"}}, 0)
@@ -103,7 +103,7 @@
 // A publisher is replaced while a version is staged. The new one does not know the leases of its
 // predecessor, so no version may become active before all of these have ended. The staged version
 // in the checkpoint must not be lost.
-func TestPublisherLostBetweenReadyAndActive(t *testing.T) {
+func TestPublisherReplacedWhileVersionStaged(t *testing.T) {
 	fleet := newTestFleet(t, 3)
 	fleet.isolated[3] = true
 	fleet.proposeOperators(rejectAll, 0)
@@ -166,7 +166,7 @@
 
 // While the group stores no checkpoint, no version may become active, but members must keep their
 // leases.
-func TestNothingIsActiveWithoutACheckpoint(t *testing.T) {
+func TestNoActivationWithoutCheckpoint(t *testing.T) {
 	fleet := newTestFleet(t, 2)
 	fleet.checkpointsFail = true
 	fleet.proposeOperators(rejectAll, 0)
