--- a/internal/fleet/rules/checkpoint.go
+++ b/internal/fleet/rules/checkpoint.go
@@ -43,7 +43,7 @@
 	}
 	stored, err := p.decodeCheckpoint(data)
 	if err != nil {
-		return fmt.Errorf("rules: checkpoint of the previous publisher: %w", err)
+		return fmt.Errorf("rules: what the keeper before left: %w", err)
 	}
 	p.audit.restore(stored.AuditLog, p.versions.active.Number)
 	p.versions.history = stored.History
--- a/internal/fleet/rules/delta.go
+++ b/internal/fleet/rules/delta.go
@@ -132,7 +132,7 @@
 
 // errMissingBase is returned if the receiver does not have the base of a delta. The sender then has
 // to send the complete version.
-var errMissingBase = errors.New("rules: the base version of a delta is missing")
+var errMissingBase = errors.New("rules: the version that a difference is from is not here")
 
 // versionByHash returns the receiver's version with a hash, or nil if the receiver does not have
 // it.
