--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -5,8 +5,8 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// drillCheckpointEvery is how many numbers lie between two checkpoints of a drill.
-const drillCheckpointEvery = 10
+// drillCheckpointInterval is how many numbers lie between two checkpoints of a drill.
+const drillCheckpointInterval = 10
 
 // Drill is a job that only sends a rising number to every proxy. Operators use it to try the fleet's owners before anything depends on them.
 type Drill struct {
@@ -40,17 +40,17 @@
 	}
 	d.sentAt = now
 	d.number++
-	send := d.callBeforeSend()
+	send := d.prepareSend()
 	for _, m := range d.owner.Members() {
 		send(m.Peer, d.number, nil)
 	}
-	if d.number%drillCheckpointEvery == 0 {
+	if d.number%drillCheckpointInterval == 0 {
 		d.owner.StoreCheckpoint(d.number, d.checkpoint())
 	}
 }
 
-// callBeforeSend calls BeforeSend, if it is set, and gives the function to send with.
-func (d *Drill) callBeforeSend() (send func(to uint32, number uint64, body []byte)) {
+// prepareSend calls BeforeSend, if it is set, and gives the function to send with.
+func (d *Drill) prepareSend() (send func(to uint32, number uint64, body []byte)) {
 	send = d.owner.SendEffect
 	if d.BeforeSend == nil {
 		return send
--- a/internal/fleet/jobs/fakegroup_test.go
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -17,9 +17,9 @@
 	cutOff  map[uint32]bool     // receivers that no effect reaches
 	answers map[uint64]string   // by tag
 
-	job    *SuspendedHosts
-	token  uint64
-	silent bool // the group does not reply
+	job          *SuspendedHosts
+	token        uint64
+	unresponsive bool // the group does not reply
 
 	checkpoint       []byte
 	checkpointNumber uint64
@@ -66,7 +66,7 @@
 	if g.leaseEnded {
 		return errors.New("the lease has ended")
 	}
-	if !g.silent {
+	if !g.unresponsive {
 		g.checkpointNumber, g.checkpoint = number, slices.Clone(checkpoint)
 		g.job.CheckpointStored(g.now, number, true)
 	}
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -16,15 +16,15 @@
 
 	lastTag        uint64
 	pendingQueries map[uint64]Time // when queries without a reply were sent, by tag
-	permits        []permits
-	ownShare       float64 // migrations that are due of this proxy's share of the rate, while no owner replies
-	filledAt       Time    // when ownShare was last brought up to date
+	permits        []permitBatch
+	shareTokens    float64 // migrations that are due of this proxy's share of the rate, while no owner replies
+	shareFilledAt  Time    // when ownShare was last brought up to date
 	ownerReplied   bool    // an owner has replied once
-	ownerRepliedAt Time    // last
+	lastReplyAt    Time    // last
 }
 
-// permits are those of one reply.
-type permits struct {
+// permitBatch are those of one reply.
+type permitBatch struct {
 	count     uint64
 	expiresAt Time
 }
@@ -62,17 +62,17 @@
 // useOwnShare allows at most one migration where no owner replies: each proxy then keeps to its
 // share of the rate, and saves up one migration at most.
 func (p *MigrationPacer) useOwnShare(now Time, want int) (used int) {
-	if p.ownerReplied && now-p.ownerRepliedAt <= silentAfter {
-		p.ownShare = 0
+	if p.ownerReplied && now-p.lastReplyAt <= silentAfter {
+		p.shareTokens = 0
 	} else {
-		since := max(p.filledAt, p.ownerRepliedAt)
-		p.ownShare = min(1, p.ownShare+p.Rate/float64(max(1, p.FleetSize))*float64(now-since)/float64(sec))
-		if want > 0 && p.ownShare >= 1 {
-			p.ownShare--
+		since := max(p.shareFilledAt, p.lastReplyAt)
+		p.shareTokens = min(1, p.shareTokens+p.Rate/float64(max(1, p.FleetSize))*float64(now-since)/float64(sec))
+		if want > 0 && p.shareTokens >= 1 {
+			p.shareTokens--
 			used = 1
 		}
 	}
-	p.filledAt = now
+	p.shareFilledAt = now
 	return used
 }
 
@@ -104,8 +104,8 @@
 		return
 	}
 	delete(p.pendingQueries, tag)
-	p.ownerReplied, p.ownerRepliedAt = true, now
+	p.ownerReplied, p.lastReplyAt = true, now
 	if count > 0 {
-		p.permits = append(p.permits, permits{count, queriedAt + permitLifetime})
+		p.permits = append(p.permits, permitBatch{count, queriedAt + permitLifetime})
 	}
 }
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -11,8 +11,8 @@
 	fleetRate    = 40.0 // migrations a second
 )
 
-// delayed is a message in flight.
-type delayed struct {
+// delayedMessage is a message in flight.
+type delayedMessage struct {
 	at      Time
 	deliver func(now Time)
 }
@@ -24,8 +24,8 @@
 	pacers   [pacedProxies]*MigrationPacer
 	cut      [pacedProxies]bool // no query of this proxy arrives
 	owner    *MigrationPermits  // nil: none
-	replies  replyFunc
-	inFlight []delayed
+	replies  replyOwner
+	inFlight []delayedMessage
 	migrated []Time
 }
 
@@ -42,7 +42,7 @@
 
 func (f *pacedFleet) send(deliver func(now Time)) {
 	if f.rng.Float64() < 0.8 {
-		f.inFlight = append(f.inFlight, delayed{at: f.now + f.rng.Int64N(300*ms), deliver: deliver})
+		f.inFlight = append(f.inFlight, delayedMessage{at: f.now + f.rng.Int64N(300*ms), deliver: deliver})
 	}
 }
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// mostIn is the most migrations in any period of a length.
-func (f *pacedFleet) mostIn(period Time) (most int) {
+// maxMigrationsIn is the most migrations in any period of a length.
+func (f *pacedFleet) maxMigrationsIn(period Time) (most int) {
 	for i, j := 0, 0; i < len(f.migrated); i++ {
 		for f.migrated[i]-f.migrated[j] > period {
 			j++
@@ -103,7 +103,7 @@
 			f.step()
 		}
 		bound := 2*fleetRate + fleetRate*float64(permitLifetime)/float64(sec) + fleetRate/4 + pacedProxies
-		if n := f.mostIn(2 * sec); float64(n) > bound {
+		if n := f.maxMigrationsIn(2 * sec); float64(n) > bound {
 			t.Fatalf("seed %d: %d migrations in two seconds, want at most %.0f", seed, n, bound)
 		}
 		if len(f.migrated) < 60*int(fleetRate)/4 {
@@ -112,16 +112,16 @@
 	}
 }
 
-// replyFunc is an Owner that only replies.
-type replyFunc struct{ reply func([]byte) }
+// replyOwner is an Owner that only replies.
+type replyOwner struct{ reply func([]byte) }
 
-func (r *replyFunc) SendEffect(uint32, uint64, []byte) {}
+func (r *replyOwner) SendEffect(uint32, uint64, []byte) {}
 
-func (r *replyFunc) StoreCheckpoint(uint64, []byte) error { return nil }
+func (r *replyOwner) StoreCheckpoint(uint64, []byte) error { return nil }
 
-func (r *replyFunc) Reply(_ uint32, _ uint64, body []byte) { r.reply(body) }
+func (r *replyOwner) Reply(_ uint32, _ uint64, body []byte) { r.reply(body) }
 
-func (r *replyFunc) Members() []Member { return nil }
+func (r *replyOwner) Members() []Member { return nil }
 
 // TestRateWithoutOwner: without an owner a proxy keeps to its share of the rate.
 func TestRateWithoutOwner(t *testing.T) {
--- a/internal/fleet/jobs/migrationpermits.go
+++ b/internal/fleet/jobs/migrationpermits.go
@@ -18,7 +18,7 @@
 	FleetSize int     // proxies that the fleet is meant to have
 
 	owner            Owner
-	grantsFrom       Time // no permit is granted before
+	firstGrantAt     Time // no permit is granted before
 	bucket           TokenBucket
 	checkpointNumber uint64
 	lastQueryAt      map[uint32]Time // by peer
@@ -27,8 +27,8 @@
 // Start waits for a permit's lifetime: until then an earlier owner's permits, and each proxy's own share, may be in use.
 func (m *MigrationPermits) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
 	m.owner, m.checkpointNumber = o, checkpointNumber
-	m.grantsFrom = now + permitLifetime
-	m.bucket = TokenBucket{FilledAt: m.grantsFrom}
+	m.firstGrantAt = now + permitLifetime
+	m.bucket = TokenBucket{FilledAt: m.firstGrantAt}
 	m.lastQueryAt = map[uint32]Time{}
 	return nil
 }
@@ -44,7 +44,7 @@
 func (m *MigrationPermits) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	r := encoding.Reader{Data: body}
 	want := r.Uint()
-	if m.owner == nil || r.Err() != nil || now < m.grantsFrom {
+	if m.owner == nil || r.Err() != nil || now < m.firstGrantAt {
 		return
 	}
 	m.bucket.Fill(now, m.Rate, m.FleetSize, CountSilentMembers(now, m.FleetSize, m.lastQueryAt, silentAfter))
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -65,8 +65,8 @@
 // hostList is the suspended hosts, sorted.
 type hostList []string
 
-// with gives the list after a command; false: the command would exceed MaxHosts.
-func (l hostList) with(c hostCommand) (hostList, bool) {
+// apply gives the list after a command; false: the command would exceed MaxHosts.
+func (l hostList) apply(c hostCommand) (hostList, bool) {
 	at, listed := slices.BinarySearch(l, c.host)
 	switch {
 	case c.kind == commandSuspend && !listed:
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -11,8 +11,8 @@
 const (
 	// commandTimeout is how long the answer to a command waits for the receivers.
 	commandTimeout = 2 * sec
-	// storeRetryAfter is the time after a command from which on each step stores the list again, until the group has reported it.
-	storeRetryAfter = 300 * ms
+	// storeRetryDelay is the time after a command from which on each step stores the list again, until the group has reported it.
+	storeRetryDelay = 300 * ms
 	// resendInterval is the time until a list is sent again to a member that has not acknowledged it.
 	resendInterval = 500 * ms
 )
@@ -41,12 +41,12 @@
 
 // waitingCommand is a command that is not answered yet.
 type waitingCommand struct {
-	from     uint32
-	tag      uint64
-	number   uint64 // of the list that holds it
-	deadline Time
-	stored   bool   // the group has stored that list
-	list     string // the answer to commandList; "": another command
+	from          uint32
+	tag           uint64
+	minListNumber uint64 // of the list that holds it
+	deadline      Time
+	listStored    bool   // the group has stored that list
+	listAnswer    string // the answer to commandList; "": another command
 }
 
 // Start takes the list over from the checkpoint.
@@ -79,24 +79,24 @@
 		h.owner.Reply(from, tag, []byte("refused: a host's id of 1 to 128 bytes is expected"))
 		return
 	}
-	hosts, ok := h.hosts.with(command)
+	hosts, ok := h.hosts.apply(command)
 	if !ok {
 		h.owner.Reply(from, tag, []byte(fmt.Sprintf("refused: %d hosts are out already", len(h.hosts))))
 		return
 	}
 	h.hosts = hosts
 	h.listNumber++
-	w := &waitingCommand{from: from, tag: tag, number: h.listNumber, deadline: now + commandTimeout}
+	w := &waitingCommand{from: from, tag: tag, minListNumber: h.listNumber, deadline: now + commandTimeout}
 	if command.kind == commandList {
-		w.list = "out for the fleet: " + strings.Join(h.hosts, " ")
+		w.listAnswer = "out for the fleet: " + strings.Join(h.hosts, " ")
 	}
 	h.waiting = append(h.waiting, w)
-	h.store()
+	h.storeList()
 }
 
-func (h *SuspendedHosts) store() {
+func (h *SuspendedHosts) storeList() {
 	if err := h.owner.StoreCheckpoint(h.listNumber, h.hosts.encode()); err != nil {
-		h.answerAll()
+		h.answerAllCommands()
 	}
 }
 
@@ -107,14 +107,14 @@
 	}
 	h.storedListNumber = max(h.storedListNumber, checkpointNumber)
 	for _, w := range h.waiting {
-		w.stored = w.stored || w.number <= checkpointNumber
+		w.listStored = w.listStored || w.minListNumber <= checkpointNumber
 	}
-	h.send(now)
-	h.answer(now)
+	h.sendList(now)
+	h.answerDueCommands(now)
 }
 
-// send sends the list to the receivers that have not acknowledged it. While a newer list is being stored nothing is sent.
-func (h *SuspendedHosts) send(now Time) {
+// sendList sends the list to the receivers that have not acknowledged it. While a newer list is being stored nothing is sent.
+func (h *SuspendedHosts) sendList(now Time) {
 	if h.storedListNumber == 0 || h.storedListNumber != h.listNumber {
 		return
 	}
@@ -135,10 +135,10 @@
 // Step stores and sends again what may be lost, and answers commands whose time is up.
 func (h *SuspendedHosts) Step(now Time) {
 	if h.storeOverdue(now) {
-		h.store() // the first request may have been lost
+		h.storeList() // the first request may have been lost
 	}
-	h.send(now)
-	h.answer(now)
+	h.sendList(now)
+	h.answerDueCommands(now)
 }
 
 // storeOverdue reports whether the group should have reported the list by now.
@@ -147,7 +147,7 @@
 		return false
 	}
 	last := h.waiting[len(h.waiting)-1]
-	return now-last.deadline > storeRetryAfter-commandTimeout
+	return now-last.deadline > storeRetryDelay-commandTimeout
 }
 
 // EffectAcknowledged records that a receiver has a list.
@@ -161,32 +161,32 @@
 			h.acknowledged[r] = max(h.acknowledged[r], token.Sequence)
 		}
 	}
-	h.answer(now)
+	h.answerDueCommands(now)
 }
 
-// answer answers the commands that every member has applied, and those whose time is up.
-func (h *SuspendedHosts) answer(now Time) {
-	h.answerWhere(func(w *waitingCommand) bool { return now >= w.deadline })
+// answerDueCommands answers the commands that every member has applied, and those whose time is up.
+func (h *SuspendedHosts) answerDueCommands(now Time) {
+	h.answerCommands(func(w *waitingCommand) bool { return now >= w.deadline })
 }
 
-// answerAll answers all commands: the lease has ended, and this owner will not learn their result.
-func (h *SuspendedHosts) answerAll() {
-	h.answerWhere(func(*waitingCommand) bool { return true })
+// answerAllCommands answers all commands: the lease has ended, and this owner will not learn their result.
+func (h *SuspendedHosts) answerAllCommands() {
+	h.answerCommands(func(*waitingCommand) bool { return true })
 }
 
-// answerWhere answers the commands that are done, and those that are due with what is known of them. The texts are recorded.
-func (h *SuspendedHosts) answerWhere(due func(w *waitingCommand) bool) {
+// answerCommands answers the commands that are done, and those that are due with what is known of them. The texts are recorded.
+func (h *SuspendedHosts) answerCommands(due func(w *waitingCommand) bool) {
 	waiting := h.waiting[:0]
 	for _, w := range h.waiting {
-		total, missing := h.missing(w.number)
+		total, missing := h.membersWithout(w.minListNumber)
 		switch {
-		case w.stored && w.list != "":
-			h.reply(w, "%s", w.list)
-		case w.stored && len(missing) == 0:
+		case w.listStored && w.listAnswer != "":
+			h.reply(w, "%s", w.listAnswer)
+		case w.listStored && len(missing) == 0:
 			h.reply(w, "done at all %d", total)
 		case !due(w):
 			waiting = append(waiting, w)
-		case w.stored:
+		case w.listStored:
 			h.reply(w, "done at %d of %d; it holds, and follows at: %s", total-len(missing), total, strings.Join(missing, " "))
 		default:
 			h.reply(w, "unknown: the voters did not say whether they have kept it; ask again")
@@ -199,8 +199,8 @@
 	h.owner.Reply(w.from, w.tag, []byte(fmt.Sprintf(format, args...)))
 }
 
-// missing gives how many members there are, and the names of those that do not have a list, sorted.
-func (h *SuspendedHosts) missing(number uint64) (total int, names []string) {
+// membersWithout gives how many members there are, and the names of those that do not have a list, sorted.
+func (h *SuspendedHosts) membersWithout(number uint64) (total int, names []string) {
 	for _, m := range h.owner.Members() {
 		total++
 		if h.acknowledged[receiver{m.Peer, m.Incarnation}] < number {
--- a/internal/fleet/jobs/suspendedhosts_test.go
+++ b/internal/fleet/jobs/suspendedhosts_test.go
@@ -48,7 +48,7 @@
 func TestListIsStoredFirst(t *testing.T) {
 	g := newFakeGroup(3)
 	g.command(1, SuspendCommand(true, "s1"))
-	g.silent = true
+	g.unresponsive = true
 	g.command(2, SuspendCommand(false, "s1"))
 	g.wait(3 * sec)
 	if !strings.HasPrefix(g.answers[2], "unknown") {
@@ -128,8 +128,8 @@
 	}
 }
 
-// FuzzAsked: each command gets an answer, and no list beyond the bound is applied.
-func FuzzAsked(f *testing.F) {
+// FuzzQueryReceived: each command gets an answer, and no list beyond the bound is applied.
+func FuzzQueryReceived(f *testing.F) {
 	f.Add(SuspendCommand(true, "s1"), []byte{1, 1, 'a'})
 	f.Add(ListCommand(), []byte{})
 	f.Fuzz(func(t *testing.T, command, list []byte) {
--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -13,7 +13,7 @@
 )
 
 // adminCommands are the requests that operators may make, by Request.Command.
-var adminCommands = map[string]func(a *Agent, q Request) Reply{
+var adminCommands = map[string]func(a *Agent, request Request) Reply{
 	"owners":  (*Agent).adminReport,
 	"status":  (*Agent).adminReport,
 	"move":    (*Agent).adminMoveJob,
@@ -41,51 +41,51 @@
 	replyUnknown = Reply{Error: "unknown: no owner has answered; what was asked may or may not have been done. Ask again: twice is as once"}
 )
 
-func (a *Agent) serveRequest(q Request) Reply {
-	command, known := adminCommands[q.Command]
+func (a *Agent) serveRequest(request Request) Reply {
+	command, known := adminCommands[request.Command]
 	if !known {
-		return Reply{Error: fmt.Sprintf("no request %q", q.Command)}
+		return Reply{Error: fmt.Sprintf("no request %q", request.Command)}
 	}
-	return command(a, q)
+	return command(a, request)
 }
 
-// onWorker runs f on the worker and waits for it; false: it has not returned in time.
-func (a *Agent) onWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
+// runOnWorker runs f on the worker and waits for it; false: it has not returned in time.
+func (a *Agent) runOnWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
 
-func (a *Agent) adminReport(Request) (r Reply) {
-	if !a.onWorker(func() { a.report(&r) }) {
+func (a *Agent) adminReport(Request) (reply Reply) {
+	if !a.runOnWorker(func() { a.fillReport(&reply) }) {
 		return replyBusy
 	}
-	return r
+	return reply
 }
 
 // adminDelayDrill has a drill stop its own process (SIGSTOP) at its next step, between the check of its lease and the sending of its effects. From
 // outside a signal can't be timed so. Fencing has to reject what it sends once it is continued.
-func (a *Agent) adminDelayDrill(q Request) (r Reply) {
-	if !a.onWorker(func() {
-		drill, ok := a.jobs.byName[q.Argument].(*jobs.Drill)
-		if !ok || a.jobs.owned[q.Argument] == 0 {
-			r.Error = "only an owner of a drill can be late"
+func (a *Agent) adminDelayDrill(request Request) (reply Reply) {
+	if !a.runOnWorker(func() {
+		drill, ok := a.jobs.byName[request.Argument].(*jobs.Drill)
+		if !ok || a.jobs.owned[request.Argument] == 0 {
+			reply.Error = "only an owner of a drill can be late"
 			return
 		}
 		drill.BeforeSend = func() { syscall.Kill(os.Getpid(), syscall.SIGSTOP) }
-		r.Answer = "its next turn is a late one"
+		reply.Answer = "its next turn is a late one"
 	}) {
 		return replyBusy
 	}
-	return r
+	return reply
 }
 
-func (a *Agent) adminExplain(q Request) Reply {
-	if a.rules.enforcer == nil || q.Explain == nil {
+func (a *Agent) adminExplain(request Request) Reply {
+	if a.rules.enforcer == nil || request.Explain == nil {
 		return Reply{Error: rulesOff}
 	}
-	return Reply{Answer: a.rules.enforcer.Explain(*q.Explain)}
+	return Reply{Answer: a.rules.enforcer.Explain(*request.Explain)}
 }
 
 // adminMoveJob requests the coordinator to hand a job over. An answer that is not empty is its refusal.
-func (a *Agent) adminMoveJob(q Request) Reply {
-	answer, failed := a.queryFleet(func(tag uint64) { a.core.MoveJob(a.now(), q.Argument, q.SecondArgument, tag) }, nil)
+func (a *Agent) adminMoveJob(request Request) Reply {
+	answer, failed := a.queryAndWait(func(tag uint64) { a.core.MoveJob(a.now(), request.Argument, request.SecondArgument, tag) }, nil)
 	switch {
 	case failed != nil:
 		return *failed
@@ -96,12 +96,12 @@
 }
 
 // adminSuspendedHosts passes suspend, resume and list on to the owner of the hosts' job.
-func (a *Agent) adminSuspendedHosts(q Request) Reply {
-	command := jobs.SuspendCommand(q.Command == "suspend", q.Argument)
-	if q.Command == "list" {
+func (a *Agent) adminSuspendedHosts(request Request) Reply {
+	command := jobs.SuspendCommand(request.Command == "suspend", request.Argument)
+	if request.Command == "list" {
 		command = jobs.ListCommand()
 	}
-	answer, failed := a.queryFleet(func(tag uint64) {
+	answer, failed := a.queryAndWait(func(tag uint64) {
 		if a.jobs.byName[hostsJob] == nil {
 			a.queries.answerOperator(tag, "refused: (owners (hosts on)) is not set")
 			return
@@ -116,13 +116,13 @@
 
 // adminRules sends a query to the publisher of rules, again and again until it is answered: an owner that ends or is just starting may lose it.
 // The publisher treats a repeated query as the first one.
-func (a *Agent) adminRules(q Request) Reply {
-	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, q.Rules) }
-	answer, failed := a.queryFleet(func(tag uint64) {
+func (a *Agent) adminRules(request Request) Reply {
+	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, request.Rules) }
+	answer, failed := a.queryAndWait(func(tag uint64) {
 		switch {
 		case a.rules.enforcer == nil:
 			a.queries.answerOperator(tag, rulesOff)
-		case !rules.IsAdminQuery(q.Rules):
+		case !rules.IsAdminQuery(request.Rules):
 			a.queries.answerOperator(tag, "refused: no question that administrators may ask")
 		default:
 			query(tag)
@@ -134,13 +134,13 @@
 	return Reply{Answer: rules.DecodeReply(answer)}
 }
 
-// queryFleet sends a query to a job's owner, or a request to the coordinator, by send and waits for the reply; failed is the answer to
+// queryAndWait sends a query to a job's owner, or a request to the coordinator, by send and waits for the reply; failed is the answer to
 // the operator where there is none. retry, if not nil, sends the query again each queryRetryInterval.
-func (a *Agent) queryFleet(send, retry func(tag uint64)) (answer string, failed *Reply) {
+func (a *Agent) queryAndWait(send, retry func(tag uint64)) (answer string, failed *Reply) {
 	answers := make(chan string, 1)
 	var tag uint64
-	if !a.onWorker(func() {
-		tag = a.queries.registerOperator(answers)
+	if !a.runOnWorker(func() {
+		tag = a.queries.addOperator(answers)
 		send(tag)
 	}) {
 		return "", &replyBusy
@@ -153,14 +153,14 @@
 		case answer := <-answers:
 			return answer, nil
 		case <-timeout:
-			a.worker.post(func() { a.queries.forgetOperator(tag) })
+			a.worker.post(func() { a.queries.removeOperator(tag) })
 			return "", &replyUnknown
 		case <-ticker.C:
 			if retry == nil {
 				continue
 			}
 			a.worker.post(func() {
-				if a.queries.operatorWaits(tag) {
+				if a.queries.isOperatorWaiting(tag) {
 					retry(tag)
 				}
 			})
@@ -171,9 +171,9 @@
 var errNotVoter = errors.New("this proxy is no voter with a disk: ask one")
 
 // adminChangeVoters requests the group to change who votes.
-func (a *Agent) adminChangeVoters(q Request) Reply {
+func (a *Agent) adminChangeVoters(request Request) Reply {
 	var err error
-	if !a.onWorker(func() { err = a.changeVoters(q.Command, q.Argument) }) {
+	if !a.runOnWorker(func() { err = a.changeVoters(request.Command, request.Argument) }) {
 		return replyBusy
 	}
 	if errors.Is(err, group.ErrNotLeader) {
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -24,16 +24,16 @@
 	// requestTimeout bounds the time of a request.
 	requestTimeout = 4 * time.Second
 	// replyMargin is what a connection has beyond it, to write the reply.
-	replyMargin   = time.Second
-	dialTimeout   = 2 * time.Second
-	maxConcurrent = 8 // connections
+	replyMargin    = time.Second
+	dialTimeout    = 2 * time.Second
+	maxConnections = 8 // connections
 )
 
 // adminSocket serves operators at a Unix socket. The accepting goroutine ends with the listener, those of connections with their deadlines.
 type adminSocket struct {
-	listener net.Listener
-	handle   func(Request) Reply
-	slots    chan struct{} // holds one value for each connection
+	listener        net.Listener
+	handle          func(Request) Reply
+	connectionLimit chan struct{} // holds one value for each connection
 }
 
 // listenAdmin serves at a Unix socket that only the user of this process may use.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &adminSocket{listener: l, handle: handle, slots: make(chan struct{}, maxConcurrent)}
+	s := &adminSocket{listener: l, handle: handle, connectionLimit: make(chan struct{}, maxConnections)}
 	go s.accept()
 	return s, nil
 }
@@ -52,42 +52,42 @@
 // accept serves each connection; those beyond maxConcurrent are closed at once.
 func (s *adminSocket) accept() {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case s.slots <- struct{}{}:
-			go s.serve(c)
+		case s.connectionLimit <- struct{}{}:
+			go s.serve(conn)
 		default:
-			c.Close()
+			conn.Close()
 		}
 	}
 }
 
-func (s *adminSocket) serve(c net.Conn) {
-	defer func() { <-s.slots }()
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(requestTimeout + replyMargin))
-	var q Request
-	if json.NewDecoder(c).Decode(&q) != nil {
-		json.NewEncoder(c).Encode(Reply{Error: "a request as JSON is expected"})
+func (s *adminSocket) serve(conn net.Conn) {
+	defer func() { <-s.connectionLimit }()
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(requestTimeout + replyMargin))
+	var request Request
+	if json.NewDecoder(conn).Decode(&request) != nil {
+		json.NewEncoder(conn).Encode(Reply{Error: "a request as JSON is expected"})
 		return
 	}
-	json.NewEncoder(c).Encode(s.handle(q))
+	json.NewEncoder(conn).Encode(s.handle(request))
 }
 
 // SendRequest sends a request to a running proxy at its socket.
-func SendRequest(socket string, q Request) (Reply, error) {
-	var r Reply
-	c, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
+func SendRequest(socket string, request Request) (Reply, error) {
+	var reply Reply
+	conn, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
 	if err != nil {
-		return r, err
+		return reply, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(requestTimeout + 2*replyMargin))
-	if err := json.NewEncoder(c).Encode(q); err != nil {
-		return r, err
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(requestTimeout + 2*replyMargin))
+	if err := json.NewEncoder(conn).Encode(request); err != nil {
+		return reply, err
 	}
-	return r, json.NewDecoder(c).Decode(&r)
+	return reply, json.NewDecoder(conn).Decode(&reply)
 }
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -28,7 +28,7 @@
 	members     *memberagent.Agent
 	worker      *worker
 	socket      *adminSocket // nil: none
-	departure   departure
+	leaveState  leaveState
 
 	// worker
 	core           *ownership.Core
@@ -38,8 +38,8 @@
 	jobs           *jobRunner
 	queries        *queries
 	migrationPacer *jobs.MigrationPacer // nil: migrations are not paced
-	rules          ruleAgreement
-	quota          quotaSharing
+	rules          rulesState
+	quota          quotaState
 	unheardBy      map[string]int // number of members that have not left and do not hear a member, by its name
 	counts         Counts
 }
@@ -80,7 +80,7 @@
 		}
 		a.socket = socket
 	}
-	m.Attach(carrierID, a.receiveDatagram)
+	m.Attach(payloadChannel, a.receiveDatagram)
 	a.refreshView()
 	go a.worker.run(a.openGroup, a.tick, a.replica.close)
 	return a, nil
@@ -114,41 +114,41 @@
 		return
 	}
 	view := a.members.View()
-	members, unheardBy := a.presentMembers(view), a.unheardMembers(view)
+	members, unheardBy := a.currentMembers(view), a.countUnheard(view)
 	a.worker.post(func() { a.jobs.members, a.unheardBy = members, unheardBy })
 	a.loop.After(viewInterval, a.refreshView)
 }
 
-// isInState reports whether a member is in one of some states, as membership names them.
-func isInState(m memberagent.ViewMember, states ...membership.State) bool {
+// hasState reports whether a member is in one of some states, as membership names them.
+func hasState(m memberagent.ViewMember, states ...membership.State) bool {
 	return slices.ContainsFunc(states, func(s membership.State) bool { return m.State == s.String() })
 }
 
-// departed reports whether a member is not known by name yet, or has left the fleet.
-func departed(m memberagent.ViewMember) bool {
-	return m.Name == "" || isInState(m, membership.Left, membership.Gone)
+// isUnnamedOrLeft reports whether a member is not known by name yet, or has left the fleet.
+func isUnnamedOrLeft(m memberagent.ViewMember) bool {
+	return m.Name == "" || hasState(m, membership.Left, membership.Gone)
 }
 
-// presentMembers are the members that have not left, and this process, at the end.
-func (a *Agent) presentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
+// currentMembers are the members that have not left, and this process, at the end.
+func (a *Agent) currentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
 	for _, m := range view {
-		if !departed(m) {
-			present := isInState(m, membership.Alive, membership.Suspect, membership.Joining)
+		if !isUnnamedOrLeft(m) {
+			present := hasState(m, membership.Alive, membership.Suspect, membership.Joining)
 			members = append(members, jobs.Member{Name: m.Name, Peer: m.ID, Incarnation: m.Incarnation, Present: present})
 		}
 	}
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// unheardMembers counts, for each member, by how many others it is not heard.
-func (a *Agent) unheardMembers(view []memberagent.ViewMember) map[string]int {
+// countUnheard counts, for each member, by how many others it is not heard.
+func (a *Agent) countUnheard(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
 		names[m.ID] = m.Name
 	}
 	unheard := map[string]int{}
 	for _, m := range view {
-		if departed(m) {
+		if isUnnamedOrLeft(m) {
 			continue
 		}
 		for _, id := range m.Unheard {
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -55,7 +55,7 @@
 	defer func() { testJobs = nil }()
 	began := time.Now()
 	a := startAlone(t, Options{Drills: drills, Dir: t.TempDir()})
-	eventually(t, "some drills have no owner", func() bool { return countDrills(reportOf(t, a).Owned) == drills })
+	eventually(t, "some drills have no owner", func() bool { return countDrills(readReport(t, a).Owned) == drills })
 	eventually(t, "a job that panics is not started again", func() bool { return atStart.starts.Load() >= 3 && later.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
 	// The backoff is a second at least, also where a starved process becomes the coordinator again and does not know the earlier failures.
@@ -66,7 +66,7 @@
 			t.Errorf("%s: %d starts in %v, want at most %d", name, starts, took, most)
 		}
 	}
-	r := reportOf(t, a)
+	r := readReport(t, a)
 	if len(r.Owned) < drills || r.Counts == nil || r.Counts.JobPanics < 4 {
 		t.Errorf("%d jobs owned, want %d; counts %+v, want 4 panics or more", len(r.Owned), drills, r.Counts)
 	}
@@ -130,7 +130,7 @@
 	}
 	a := startAlone(t, Options{Drills: 1, Dir: dir})
 	eventually(t, "the store is not reported as unreadable", func() bool {
-		r := reportOf(t, a)
+		r := readReport(t, a)
 		return strings.Contains(r.Store, "unreadable") && len(r.Owned) == 0
 	})
 }
--- a/internal/fleet/owneragent/coreeffects.go
+++ b/internal/fleet/owneragent/coreeffects.go
@@ -12,7 +12,7 @@
 type coreEffects struct{ agent *Agent }
 
 // Send sends a message to another process's Core.
-func (c coreEffects) Send(peer uint32, msg []byte) { c.agent.send(peer, forCore, msg) }
+func (c coreEffects) Send(peer uint32, msg []byte) { c.agent.send(peer, recipientCore, msg) }
 
 // Start begins a job.
 func (c coreEffects) Start(job string, token, checkpointNumber uint64, checkpoint []byte) error {
@@ -27,7 +27,7 @@
 // ApplyEffect passes an effect of a job's owner to the receiver's part here.
 func (c coreEffects) ApplyEffect(job string, token ownership.FencingToken, body []byte) {
 	c.agent.counts.AcceptedEffects++
-	c.agent.jobs.recoverJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
+	c.agent.jobs.callJob(job, 0, func(j jobs.Job) { j.ApplyEffect(c.agent.now(), token, body) })
 }
 
 // EffectAcknowledged passes a receiver's verdict to the job.
@@ -35,13 +35,13 @@
 	if v == ownership.Stale {
 		slog.Warn("stale_owner", "job", job, "token", token.Token, "highest_token", highest.Token, "receiver", fmt.Sprintf("%08x", peer))
 	}
-	c.agent.jobs.recoverOwnedJob(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
+	c.agent.jobs.callOwnedJob(job, func(j jobs.Job) { j.EffectAcknowledged(c.agent.now(), peer, token, v) })
 }
 
 // CheckpointStored passes the result to the job, if it is still owned under that token.
 func (c coreEffects) CheckpointStored(job string, token, checkpointNumber uint64, stored bool) {
 	if c.agent.jobs.owned[job] == token {
-		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
+		c.agent.jobs.callJob(job, token, func(j jobs.Job) { j.CheckpointStored(c.agent.now(), checkpointNumber, stored) })
 	}
 }
 
@@ -49,7 +49,7 @@
 func (c coreEffects) QueryReceived(peer uint32, job string, tag uint64, body []byte) {
 	token, owns := c.agent.jobs.owned[job]
 	if owns && c.agent.core.IsOwner(c.agent.now(), job, token) {
-		c.agent.jobs.recoverJob(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
+		c.agent.jobs.callJob(job, token, func(j jobs.Job) { j.QueryReceived(c.agent.now(), peer, tag, body) })
 	}
 }
 
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -83,10 +83,10 @@
 	return agent
 }
 
-// reportOf gives the agent's report, as operators get it.
-func reportOf(t *testing.T, a *Agent) (r Reply) {
+// readReport gives the agent's report, as operators get it.
+func readReport(t *testing.T, a *Agent) (r Reply) {
 	t.Helper()
-	if !a.onWorker(func() { a.report(&r) }) {
+	if !a.runOnWorker(func() { a.fillReport(&r) }) {
 		t.Log("the worker is busy: no report")
 	}
 	return r
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -42,7 +42,7 @@
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
 		if token, owns := r.owned[name]; owns && r.agent.core.IsOwner(now, name, token) {
-			r.recoverJob(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
+			r.callJob(name, token, func(j jobs.Job) { j.Step(r.agent.now()) })
 		}
 	}
 }
@@ -69,12 +69,12 @@
 func (r *jobRunner) stop(name string, token uint64, reason ownership.ReleaseReason) (checkpointNumber uint64, checkpoint []byte) {
 	delete(r.owned, name)
 	slog.Info("job_released", "job", name, "token", token, "reason", reason.String())
-	r.recoverJob(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
+	r.callJob(name, 0, func(j jobs.Job) { checkpointNumber, checkpoint = j.Stop() })
 	return checkpointNumber, checkpoint
 }
 
-// recoverJob runs a job's code. A panic is logged, and releases the job if it is owned under token; token 0: the code is not an owner's.
-func (r *jobRunner) recoverJob(name string, token uint64, f func(j jobs.Job)) {
+// callJob runs a job's code. A panic is logged, and releases the job if it is owned under token; token 0: the code is not an owner's.
+func (r *jobRunner) callJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.agent.counts.JobPanics++
@@ -89,10 +89,10 @@
 	}
 }
 
-// recoverOwnedJob is recoverJob for the owner's code of a job: it is not run where the job is not owned.
-func (r *jobRunner) recoverOwnedJob(name string, f func(j jobs.Job)) {
+// callOwnedJob is recoverJob for the owner's code of a job: it is not run where the job is not owned.
+func (r *jobRunner) callOwnedJob(name string, f func(j jobs.Job)) {
 	if token, owns := r.owned[name]; owns {
-		r.recoverJob(name, token, f)
+		r.callJob(name, token, f)
 	}
 }
 
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -9,8 +9,8 @@
 	leavePollInterval = 5 * time.Millisecond
 )
 
-// departure is the state of leaving the fleet. It belongs to the loop.
-type departure struct {
+// leaveState is the state of leaving the fleet. It belongs to the loop.
+type leaveState struct {
 	waiting []func() // to be called once this process has left; nil: it is not leaving
 	left    bool
 }
@@ -18,13 +18,13 @@
 // Leave releases all jobs and the lead, then stops the agent and calls done on the loop: once the coordinator has taken the jobs back, or after
 // leaveTimeout. Stop stops without releasing anything.
 func (a *Agent) Leave(done func()) {
-	if a == nil || a.departure.left {
+	if a == nil || a.leaveState.left {
 		done()
 		return
 	}
 	// A process that hands over calls Leave, and again as it shuts down. The second call must not end the first one's release: both wait for it.
-	first := a.departure.waiting == nil
-	a.departure.waiting = append(a.departure.waiting, done)
+	first := a.leaveState.waiting == nil
+	a.leaveState.waiting = append(a.leaveState.waiting, done)
 	if !first {
 		return
 	}
@@ -36,12 +36,12 @@
 }
 
 func (a *Agent) finishLeaving() {
-	if a.departure.left {
+	if a.leaveState.left {
 		return
 	}
-	a.departure.left = true
+	a.leaveState.left = true
 	a.Stop()
-	for _, done := range a.departure.waiting {
+	for _, done := range a.leaveState.waiting {
 		done()
 	}
 }
@@ -68,7 +68,7 @@
 	if a == nil || a.worker.stopping() {
 		return
 	}
-	a.members.Attach(carrierID, nil)
+	a.members.Attach(payloadChannel, nil)
 	if a.socket != nil {
 		a.socket.close()
 	}
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -6,20 +6,20 @@
 	rate := float64(a.options.MigrationRate)
 	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, FleetSize: fleetSize})
 	a.migrationPacer = &jobs.MigrationPacer{Rate: rate, FleetSize: fleetSize}
-	permits := a.queries.newSource(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
-	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(permits, migrationsJob, tag, body) }
+	source := a.queries.newSource(func(tag uint64, body []byte) { a.migrationPacer.ReplyReceived(a.now(), tag, body) })
+	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(source, migrationsJob, tag, body) }
 }
 
-// RequestMigrations requests how many of want clients may be migrated now. then is called with the number on the loop; at once where migrations are
+// RequestMigrations requests how many of want clients may be migrated now. done is called with the number on the loop; at once where migrations are
 // not paced.
-func (a *Agent) RequestMigrations(want int, then func(allowed int)) {
+func (a *Agent) RequestMigrations(want int, done func(allowed int)) {
 	if a == nil || a.migrationPacer == nil {
-		then(want)
+		done(want)
 		return
 	}
 	a.worker.post(func() {
 		allowed := a.migrationPacer.Allow(a.now(), want)
-		a.loop.Post(func() { then(allowed) })
+		a.loop.Post(func() { done(allowed) })
 	})
 }
 
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -5,10 +5,10 @@
 
 // queries are the queries to owners of jobs that wait for a reply. Each source counts its own tags; on the wire a query has a tag of this process.
 type queries struct {
-	agent     *Agent
-	lastTag   uint64
-	sources   []*querySource
-	operators map[uint64]chan<- string // operators' queries, by tag; each channel takes one reply without blocking
+	agent           *Agent
+	lastTag         uint64
+	sources         []*querySource
+	operatorAnswers map[uint64]chan<- string // operators' queries, by tag; each channel takes one reply without blocking
 }
 
 // querySource is a part of the agent that sends queries to owners.
@@ -18,7 +18,7 @@
 }
 
 func newQueries(a *Agent) *queries {
-	return &queries{agent: a, operators: map[uint64]chan<- string{}}
+	return &queries{agent: a, operatorAnswers: map[uint64]chan<- string{}}
 }
 
 func (q *queries) nextTag() uint64 {
@@ -57,20 +57,20 @@
 	q.answerOperator(tag, string(body))
 }
 
-// registerOperator adds an operator's query, and returns its tag.
-func (q *queries) registerOperator(answer chan<- string) uint64 {
+// addOperator adds an operator's query, and returns its tag.
+func (q *queries) addOperator(answer chan<- string) uint64 {
 	tag := q.nextTag()
-	q.operators[tag] = answer
+	q.operatorAnswers[tag] = answer
 	return tag
 }
 
 func (q *queries) answerOperator(tag uint64, answer string) {
-	if waiting := q.operators[tag]; waiting != nil {
-		delete(q.operators, tag)
+	if waiting := q.operatorAnswers[tag]; waiting != nil {
+		delete(q.operatorAnswers, tag)
 		waiting <- answer
 	}
 }
 
-func (q *queries) forgetOperator(tag uint64) { delete(q.operators, tag) }
+func (q *queries) removeOperator(tag uint64) { delete(q.operatorAnswers, tag) }
 
-func (q *queries) operatorWaits(tag uint64) bool { return q.operators[tag] != nil }
+func (q *queries) isOperatorWaiting(tag uint64) bool { return q.operatorAnswers[tag] != nil }
--- a/internal/fleet/owneragent/queries_test.go
+++ b/internal/fleet/owneragent/queries_test.go
@@ -16,13 +16,13 @@
 	first.tags[q.nextTag()] = 7
 	second.tags[q.nextTag()] = 7
 	answers := make(chan string, 1)
-	tag := q.registerOperator(answers)
+	tag := q.addOperator(answers)
 	for range 2 { // repeated replies are dropped
 		q.replyReceived(2, nil)
 		q.replyReceived(1, nil)
 		q.replyReceived(tag, []byte("yes"))
 	}
-	if len(got) != 2 || got[0] != 107 || got[1] != 7 || <-answers != "yes" || len(answers) > 0 || q.operatorWaits(tag) {
+	if len(got) != 2 || got[0] != 107 || got[1] != 7 || <-answers != "yes" || len(answers) > 0 || q.isOperatorWaiting(tag) {
 		t.Errorf("the sources got %v, want [107 7]", got)
 	}
 }
@@ -31,7 +31,7 @@
 func TestStaleEffectIsCounted(t *testing.T) {
 	a := startAlone(t, Options{Drills: 1})
 	var counts Counts
-	if !a.onWorker(func() {
+	if !a.runOnWorker(func() {
 		for _, token := range []uint64{6, 5} {
 			a.core.SendEffect(a.now(), group.Peer(a.name), "no-job", ownership.FencingToken{Token: token, Sequence: 1}, nil)
 		}
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -14,13 +14,13 @@
 	acquireTimeout = 110 * time.Millisecond
 )
 
-// quotaSharing is this process's part in the limits of accounts fleet-wide. They come with the rules: without rules it is off.
-type quotaSharing struct {
+// quotaState is this process's part in the limits of accounts fleet-wide. They come with the rules: without rules it is off.
+type quotaState struct {
 	client    *quota.Client // nil: off
 	steppedAt int64
 }
 
-func (q *quotaSharing) tick(now int64) {
+func (q *quotaState) tick(now int64) {
 	if q.client != nil && now-q.steppedAt >= int64(grantLifetime)/4 {
 		q.steppedAt = now
 		q.client.Step()
@@ -34,9 +34,9 @@
 		return
 	}
 	client := &quota.Client{Now: a.now, GrantLifetime: int64(grantLifetime), FleetSize: fleetSize, Limits: enforcer.Limits, LimitedAccounts: enforcer.LimitedAccounts}
-	replies := a.queries.newSource(client.ReplyReceived)
+	source := a.queries.newSource(client.ReplyReceived)
 	client.SendQuery = func(shard int, tag uint64, body []byte) {
-		a.worker.post(func() { a.queries.send(replies, issuerJob(shard), tag, body) })
+		a.worker.post(func() { a.queries.send(source, issuerJob(shard), tag, body) })
 	}
 	a.quota.client = client
 	for shard := range quota.Shards {
@@ -50,10 +50,10 @@
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
 // Acquire requests one more connection of an account. then is called on the loop with the limit that is exceeded, if any, and a Retry-After.
-func (a *Agent) Acquire(account string, spread float64, then func(over string, advice time.Duration)) {
+func (a *Agent) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
 	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // ends the wait of those that no issuer has answered
-	a.quota.client.Acquire(account, spread, func(over string, advice time.Duration) {
-		a.loop.Post(func() { then(over, advice) })
+	a.quota.client.Acquire(account, jitter, func(exceeded string, retryAfter time.Duration) {
+		a.loop.Post(func() { done(exceeded, retryAfter) })
 	})
 }
 
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -13,8 +13,8 @@
 const (
 	// storeRetryDelay is the time until a store that failed for want of space is opened again.
 	storeRetryDelay = 5 * time.Second
-	// storeInUseDelay is the same for a store that another process has open: usually the one that this process replaces.
-	storeInUseDelay = 200 * time.Millisecond
+	// storeInUseRetryDelay is the same for a store that another process has open: usually the one that this process replaces.
+	storeInUseRetryDelay = 200 * time.Millisecond
 
 	// clockOrigin is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave bits for tokens.
 	clockOrigin = 157783680000
@@ -83,26 +83,26 @@
 func (r *replica) openQuorum(seed uint64, machines map[byte]group.Machine) {
 	cfg := ownership.QuorumConfig{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Seed: seed, WallClockAtStart: time.Now().UnixMilli()/10 - clockOrigin,
 		Faults: Faults.Ownership}
-	q, err := ownership.NewQuorum(cfg, machines, r.effects)
+	quorum, err := ownership.NewQuorum(cfg, machines, r.effects)
 	if err != nil {
 		r.failure = err.Error()
 		return
 	}
-	r.group = q
+	r.group = quorum
 }
 
 func (r *replica) openVoter(seed uint64, machines map[byte]group.Machine) {
 	if OpenVoter == nil {
-		r.fail(&group.StoreError{Err: ErrDiskVotersUnsupported})
+		r.recordFailure(&group.StoreError{Err: ErrDiskVotersUnsupported})
 		return
 	}
-	v, err := OpenVoter(VoterOptions{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Dir: r.options.Dir,
+	opened, err := OpenVoter(VoterOptions{Group: r.options.Group, Name: r.name, Voters: r.options.Voters, Dir: r.options.Dir,
 		MaxBytes: int64(r.options.MaxStoreKB) << 10, Seed: seed, Machines: machines, Effects: r.effects})
 	if err != nil {
-		r.fail(err)
+		r.recordFailure(err)
 		return
 	}
-	r.group, r.voter = v, v
+	r.group, r.voter = opened, opened
 }
 
 // closeIfStopped closes a voter that can't go on, and reports whether it did.
@@ -116,7 +116,7 @@
 	}
 	r.close()
 	r.group, r.voter = nil, nil
-	r.fail(err)
+	r.recordFailure(err)
 	return true
 }
 
@@ -126,11 +126,11 @@
 	}
 }
 
-// fail records why there is no voter. A store without free space, or in use, is opened again later; after any other failure only by a restart.
-func (r *replica) fail(err *group.StoreError) {
+// recordFailure records why there is no voter. A store without free space, or in use, is opened again later; after any other failure only by a restart.
+func (r *replica) recordFailure(err *group.StoreError) {
 	r.failure = err.Error()
 	if err.InUse {
-		r.retryAt = time.Now().Add(storeInUseDelay)
+		r.retryAt = time.Now().Add(storeInUseRetryDelay)
 		slog.Info("store_retry_pending", "reason", err)
 		return
 	}
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -34,32 +34,32 @@
 	Reason           string `json:"why"`        // reason of the last change
 }
 
-// report fills the answer to owners and status, on the worker.
-func (a *Agent) report(r *Reply) {
+// fillReport fills the answer to owners and status, on the worker.
+func (a *Agent) fillReport(reply *Reply) {
 	counts := a.counts
-	r.Name, r.Kind, r.Store, r.Counts = a.name, "memory", a.replica.failure, &counts
+	reply.Name, reply.Kind, reply.Store, reply.Counts = a.name, "memory", a.replica.failure, &counts
 	if a.options.Dir != "" {
-		r.Kind = "disk"
+		reply.Kind = "disk"
 	}
 	for _, m := range a.jobs.members {
 		if m.Peer == a.core.Leader() {
-			r.Leader = m.Name
+			reply.Leader = m.Name
 		}
 	}
 	if a.replica.voter != nil {
 		status := a.replica.voter.Status()
-		r.Group = &status
+		reply.Group = &status
 	}
 	if a.replica.group != nil {
 		for _, row := range a.replica.table.Jobs() {
-			r.Jobs = append(r.Jobs, newJobRow(row))
+			reply.Jobs = append(reply.Jobs, newJobRow(row))
 		}
 	}
-	r.Owned, r.LeaseMS = a.core.OwnedJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
-	r.HighestTokens = map[string]uint64{}
+	reply.Owned, reply.LeaseMS = a.core.OwnedJobs(), a.core.LeaseRemaining(a.now())/int64(time.Millisecond)
+	reply.HighestTokens = map[string]uint64{}
 	for _, name := range a.jobs.names {
 		if token := a.fence.LastAccepted(name); token != (ownership.FencingToken{}) {
-			r.HighestTokens[name] = token.Token
+			reply.HighestTokens[name] = token.Token
 		}
 	}
 }
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -28,20 +28,20 @@
 // lapseFaultFactor is how much longer rules hold with FaultInjection.ExtendRulesLease.
 const lapseFaultFactor = 10
 
-// ruleAgreement is this process's part in the agreement on rules; the zero value where the section has them off.
-type ruleAgreement struct {
+// rulesState is this process's part in the agreement on rules; the zero value where the section has them off.
+type rulesState struct {
 	enforcer  *rules.Enforcer // nil: off
 	member    *rules.Member
 	onChanged func() // on the worker, once this process acts by another version; nil: not reported
 }
 
-func (r *ruleAgreement) tick(now int64) {
+func (r *rulesState) tick(now int64) {
 	if r.member != nil {
 		r.member.Step(now)
 	}
 }
 
-func (r *ruleAgreement) versionChanged(version uint64, hash rules.Hash) {
+func (r *rulesState) versionChanged(version uint64, hash rules.Hash) {
 	slog.Info("rules_activated", "version", version, "hash", hex.EncodeToString(hash[:4]))
 	if r.onChanged != nil {
 		r.onChanged()
@@ -54,16 +54,16 @@
 	if !o.Enabled {
 		return
 	}
-	within := int64(o.LeaseDuration)
+	leaseDuration := int64(o.LeaseDuration)
 	enforcer := &rules.Enforcer{Now: a.now, KeepLastVersion: o.OnLeaseLapse == "keep", LapsedRetryAfter: o.LeaseDuration}
-	member := &rules.Member{LeaseDuration: within, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
-	replies := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
-	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(replies, rulesJob, tag, body) }
+	member := &rules.Member{LeaseDuration: leaseDuration, MaxEntries: o.MaxEntries, Enforcer: enforcer, VersionChanged: a.rules.versionChanged}
+	source := a.queries.newSource(func(tag uint64, body []byte) { member.ReplyReceived(a.now(), tag, body) })
+	member.SendQuery = func(tag uint64, body []byte) { a.queries.send(source, rulesJob, tag, body) }
 	if Faults.ExtendRulesLease {
 		member.LeaseDuration *= lapseFaultFactor
 	}
 	a.rules.enforcer, a.rules.member = enforcer, member
-	a.jobs.add(rulesJob, &rules.Publisher{LeaseDuration: within, NotificationReceived: member.NotificationReceived, WallClock: func() int64 { return time.Now().UnixMilli() }})
+	a.jobs.add(rulesJob, &rules.Publisher{LeaseDuration: leaseDuration, NotificationReceived: member.NotificationReceived, WallClock: func() int64 { return time.Now().UnixMilli() }})
 }
 
 // Enforcer is what requests are judged by; nil: there are no such rules.
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -6,16 +6,16 @@
 	"log/slog"
 )
 
-// carrierID marks, for membership, the datagrams whose data is for this package.
-const carrierID = 1
+// payloadChannel marks, for membership, the datagrams whose data is for this package.
+const payloadChannel = 1
 
 // Addressees: the first byte of a message.
 const (
-	forGroup = 1
-	forCore  = 2
+	recipientGroup = 1
+	recipientCore  = 2
 )
 
-var errUnknownAddressee = errors.New("owners: message for neither the group nor the core")
+var errUnknownRecipient = errors.New("owners: message for neither the group nor the core")
 
 // receiveDatagram takes a datagram from membership, on the loop. Malformed ones are counted, not logged.
 func (a *Agent) receiveDatagram(peer uint32, data []byte) {
@@ -35,15 +35,15 @@
 // receiveMessage passes a complete message on.
 func (a *Agent) receiveMessage(peer uint32, data []byte) error {
 	switch data[0] {
-	case forGroup:
+	case recipientGroup:
 		if g := a.replica.group; g != nil {
 			return g.Receive(a.now(), peer, data[1:])
 		}
 		return nil
-	case forCore:
+	case recipientCore:
 		return a.core.Receive(a.now(), peer, data[1:])
 	}
-	return errUnknownAddressee
+	return errUnknownRecipient
 }
 
 // transportEffects are the effects of the fragmenting transport.
@@ -52,7 +52,7 @@
 // SendDatagram has membership carry a datagram.
 func (t transportEffects) SendDatagram(peer uint32, data []byte) {
 	copied := append([]byte(nil), data...)
-	t.agent.loop.Post(func() { t.agent.members.SendPayload(peer, carrierID, copied) })
+	t.agent.loop.Post(func() { t.agent.members.SendPayload(peer, payloadChannel, copied) })
 }
 
 // DeliverMessage takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
@@ -75,7 +75,7 @@
 type groupEffects struct{ agent *Agent }
 
 // Send sends a message to another voter.
-func (g groupEffects) Send(peer uint32, msg []byte) { g.agent.send(peer, forGroup, msg) }
+func (g groupEffects) Send(peer uint32, msg []byte) { g.agent.send(peer, recipientGroup, msg) }
 
 // Applied reports a command; while the group opens there is no core yet.
 func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
