--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -5,51 +5,54 @@
 	"time"
 )
 
-// The limit that a request exceeds, as commands and the log name it.
+// The limits that a request can exceed, as commands and the log name them.
 const (
 	RateLimit       = "rate"
 	ConnectionLimit = "standing"
 )
 
 const (
-	maxGrantWait        = 100 * Time(time.Millisecond) // that a request waits for a grant
-	urgentQueryInterval = 20 * Time(time.Millisecond)  // between two queries to a shard outside Step
-	maxWaitingRequests  = 1024                         // requests that wait at a time
+	maxGrantWait        = 100 * Time(time.Millisecond) // time that a request waits for a grant
+	urgentQueryInterval = 20 * Time(time.Millisecond)  // minimum time from a query to the next urgent query, per shard
+	maxWaitingRequests  = 1024                         // requests that wait for a grant at the same time
 )
 
-// Client is a proxy's own part: what it may use now. Several goroutines may use it.
+// Client decides how many connections of each account one proxy may open. It is safe for concurrent
+// use once its exported fields are set.
 type Client struct {
 	Now           func() Time
 	GrantLifetime Time
-	FleetSize     int // proxies: while no issuer replies, each uses an equal part of a limit
+	FleetSize     int // number of proxies; without replies from the issuer each uses this fraction of a limit
 	Limits        Limits
-	// SendQuery sends a query to a shard's issuer; its answer comes to ReplyReceived under the tag.
+	// SendQuery sends a query to a shard's issuer. The reply is passed to ReplyReceived with the
+	// same tag.
 	SendQuery func(shard int, tag uint64, body []byte)
-	// LimitedAccounts are all that have limits, sorted.
+	// LimitedAccounts returns all accounts that have limits, sorted by name.
 	LimitedAccounts func() []string
 
 	mutex   sync.Mutex
 	usage   map[string]*accountUsage
 	waiting []waitingRequest
 	lastTag uint64
-	sentAt  map[uint64]Time // queries without an answer, by tag
+	sentAt  map[uint64]Time // send times of unanswered queries, by tag
 	shards  [Shards]shardState
 }
 
-// shardState is what a client knows of a shard's issuer.
+// shardState holds what a client knows about a shard's issuer.
 type shardState struct {
-	nextUrgentQueryAt Time // an urgent query before then is dropped
-	grantsLapseAt     Time // when the last of its grants lapses
+	nextUrgentQueryAt Time // urgent queries before this time are dropped
+	grantsLapseAt     Time // when the last of the issuer's grants lapses
 }
 
 // waitingRequest is a request that waits for a grant.
 type waitingRequest struct {
 	account  string
-	jitter   float64 // 0 to 1, spreads the Retry-After of several requests
-	deadline Time    // when it is rejected
+	jitter   float64 // 0 to 1; varies Retry-After between requests
+	deadline Time    // when the request is rejected if it has no grant
 	done     func(exceeded string, retryAfter time.Duration)
 }
 
+// usageOf returns the usage record of an account and creates it if there is none.
 func (c *Client) usageOf(name string) *accountUsage {
 	u := c.usage[name]
 	if u == nil {
@@ -62,16 +65,18 @@
 	return u
 }
 
-// ownShareStart is when this proxy begins to use its own share of an account: after the issuer has begun to reserve that for it, however late the last
-// grant arrived.
+// ownShareStart returns when this proxy starts to use its own share of an account. By then the
+// issuer has started to reserve the share for this proxy, however late the last grant arrived.
 func (c *Client) ownShareStart(account string) Time {
 	return c.shards[Shard(account)].grantsLapseAt + silentAfterGrantLifetimes*c.GrantLifetime
 }
 
 func (c *Client) usesOwnShare(now Time, account string) bool { return now >= c.ownShareStart(account) }
 
-// Acquire reserves one more connection of an account. done is called with the limit that the request is exceeded, "" for none, and the Retry-After, which
-// jitter (0 to 1) varies. Where the issuer may have more to grant it is queried at once, and done is called with its reply, or after maxGrantWait.
+// Acquire reserves one more connection of an account. It calls done once, with the limit that the
+// request exceeds, or "" if the connection is reserved, and with the Retry-After of a rejected
+// request, which jitter (0 to 1) varies. If the issuer may have more to grant, Acquire queries it
+// at once, and done is called when a reply grants the connection or after maxGrantWait.
 func (c *Client) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
 	exceeded, retryAfter, waits := c.acquireOrWait(account, jitter, done)
 	if !waits {
@@ -81,6 +86,8 @@
 	c.query(Shard(account), true)
 }
 
+// acquireOrWait counts the demand and reserves a connection, or queues the request if the issuer
+// may have more to grant.
 func (c *Client) acquireOrWait(account string, jitter float64, done func(string, time.Duration)) (exceeded string, retryAfter time.Duration, waits bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -96,15 +103,15 @@
 	return exceeded, retryAfter, waits
 }
 
-// RetryWaiting retries the requests that wait for a grant, and rejects those that have waited for maxGrantWait. It is called with each reply and
-// periodically.
+// RetryWaiting retries the requests that wait for a grant, and rejects those that have waited for
+// maxGrantWait. It runs with each reply and must also be called periodically.
 func (c *Client) RetryWaiting() {
 	for _, o := range c.retryWaiting() {
 		o.done(o.exceeded, o.retryAfter)
 	}
 }
 
-// finishedWait is a request that no longer waits.
+// finishedWait is a request that no longer waits, with its result.
 type finishedWait struct {
 	waitingRequest
 	exceeded   string
@@ -128,7 +135,8 @@
 	return outcomes
 }
 
-// tryAcquire uses what one more connection needs, of the account and of each above it, or names the limit that is used up and uses nothing.
+// tryAcquire reserves one connection of the account and of each account above it. If one of their
+// limits is used up, it returns that limit and reserves nothing.
 func (c *Client) tryAcquire(now Time, account string, jitter float64) (exceeded string, retryAfter time.Duration) {
 	accounts := withAncestors(account)
 	for _, a := range accounts {
@@ -150,8 +158,9 @@
 	return "", 0
 }
 
-// hasPermit reports whether there is a permit for a new connection: one of the issuer's while it replies, else one of the own share. The share's
-// bucket stays empty until then, so that no permits are saved up beside the issuer's.
+// hasPermit reports whether there is a permit for a new connection: a permit from the issuer while
+// it replies, otherwise one from the proxy's own share. The bucket of the own share stays empty
+// while the issuer replies, so that no permits accumulate in addition to the issuer's.
 func (c *Client) hasPermit(now Time, account string, u *accountUsage, rate float64) bool {
 	if !c.usesOwnShare(now, account) {
 		u.share.empty(now)
@@ -161,16 +170,16 @@
 	return u.share.tokens >= 1
 }
 
-// usePermit uses the permit that hasPermit has found.
+// usePermit uses up the permit that hasPermit found.
 func (c *Client) usePermit(now Time, account string, u *accountUsage) {
 	if c.usesOwnShare(now, account) {
 		u.share.tokens--
 		return
 	}
-	u.permits[0].count-- // hasPermit has dropped empty and lapsed batches
+	u.permits[0].count-- // hasPermit has removed empty and lapsed batches
 }
 
-// maxOpen is how many connections of an account may be open here.
+// maxOpen returns how many connections of an account may be open at this proxy.
 func (c *Client) maxOpen(now Time, account string, u *accountUsage, limit int) int {
 	if !c.usesOwnShare(now, account) && now < u.maxOpenUntil {
 		return u.maxOpen
@@ -178,12 +187,14 @@
 	return limit / max(1, c.FleetSize)
 }
 
-// CountExisting counts a connection that is open already, as one taken over in a hot restart, whatever the limits.
+// CountExisting counts a connection that is already open, such as one taken over in a hot restart.
+// It ignores the limits.
 func (c *Client) CountExisting(account string) { c.adjustOpen(account, 1) }
 
-// Release counts the end of a connection.
+// Release records that a connection of an account has closed.
 func (c *Client) Release(account string) { c.adjustOpen(account, -1) }
 
+// adjustOpen adds n to the open connections of the account and of each account above it.
 func (c *Client) adjustOpen(account string, n int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/fleet/quota/fleet_test.go
+++ b/internal/fleet/quota/fleet_test.go
@@ -15,28 +15,29 @@
 	grantLifetime = 500 * ms
 )
 
-// testFleet is proxies that open connections of accounts, and one issuer for each shard, in virtual time.
+// testFleet simulates proxies that open connections of accounts, and one issuer per shard, in
+// virtual time.
 type testFleet struct {
 	now         Time
 	limits      map[string]Limit
 	clients     []*Client
 	issuers     [Shards]*Issuer
-	isolated    map[int]bool // by proxy: its messages to and from issuers are lost
-	inFlight    []func()     // deliveries of messages, and ends of connections, for the next step
+	isolated    map[int]bool // by proxy: messages to and from issuers are lost
+	inFlight    []func()     // message deliveries and connection ends for the next step
 	rng         *rand.Rand
 	loss        float64           // probability that a message is lost
 	acquiredAt  map[string][]Time // by account
 	open        map[string]int    // connections by account
 	rejected    int
-	waiting     int // requests
+	waiting     int // requests that wait for a grant
 	longestWait Time
-	noIssuer    bool // no issuer runs
+	noIssuer    bool // if set, no issuer runs
 
-	recorded *golden.Digest // nil: nothing is recorded
+	recorded *golden.Digest // nil if nothing is recorded
 	samples  *golden.Samples
 }
 
-// issuerOwner is a shard's jobs.Owner.
+// issuerOwner implements jobs.Owner for one shard.
 type issuerOwner struct {
 	f     *testFleet
 	shard int
@@ -88,7 +89,7 @@
 	})
 }
 
-// record records a message between a proxy and an issuer.
+// record adds a message between a proxy and an issuer to the digest and the samples.
 func (f *testFleet) record(kind string, body []byte) {
 	if f.recorded == nil {
 		return
@@ -99,7 +100,7 @@
 	}
 }
 
-// restartIssuers replaces all issuers by new ones, which know nothing of earlier grants.
+// restartIssuers replaces all issuers with new ones, which do not know earlier grants.
 func (f *testFleet) restartIssuers() {
 	for s := range f.issuers {
 		f.issuers[s] = &Issuer{GrantLifetime: grantLifetime, FleetSize: len(f.clients), Limits: func(a string) Limit { return f.limits[a] }}
@@ -107,8 +108,8 @@
 	}
 }
 
-// run advances time in steps of 10 ms. In each step demand gives how many connections of an account are requested of a proxy; each lasts for a
-// lifetime.
+// run advances time in steps of 10 ms. In each step, demand returns the average number of
+// connections that are requested at a proxy. Each connection lasts for lifetime.
 func (f *testFleet) run(d Time, account string, demand func(proxy int) float64, lifetime Time) {
 	for end := f.now + d; f.now < end; f.now += 10 * ms {
 		deliveries := f.inFlight
@@ -135,7 +136,7 @@
 	}
 }
 
-// endConnectionAt ends a connection at a time.
+// endConnectionAt schedules the end of a connection.
 func (f *testFleet) endConnectionAt(proxy int, account string, at Time) {
 	var endIfDue func()
 	endIfDue = func() {
@@ -151,7 +152,7 @@
 	f.inFlight = append(f.inFlight, endIfDue)
 }
 
-// acquire has a proxy open a connection, which ends after a lifetime.
+// acquire requests a connection at a proxy. The connection ends after lifetime.
 func (f *testFleet) acquire(proxy int, account string, lifetime Time) {
 	requestedAt := f.now
 	f.waiting++
@@ -170,7 +171,8 @@
 	})
 }
 
-// maxPerSecond is the most connections that were acquired within any second.
+// maxPerSecond returns the largest number of connections acquired within one second. The times must
+// be sorted.
 func maxPerSecond(at []Time) (n int) {
 	for i, j := 0, 0; i < len(at); i++ {
 		for at[i]-at[j] >= second {
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	silentAfterGrantLifetimes    = 2                         // grant lifetimes after its last query from which a proxy's share is reserved for it
-	forgottenAfterGrantLifetimes = 4                         // grant lifetimes after which a proxy that has left the fleet has surely ended
-	maxIdleAccounts              = 4 * maxAccountsPerMessage // accounts kept before those without limits are dropped
+	silentAfterGrantLifetimes    = 2                         // after a proxy's last query, when a share is reserved for it
+	forgottenAfterGrantLifetimes = 4                         // after a proxy's last query, when it is forgotten if it has left the fleet
+	maxIdleAccounts              = 4 * maxAccountsPerMessage // number of accounts at which accounts without limits are dropped
 )
 
-// Issuer is the owner's part of one shard. Its grants are in memory alone: its successor waits until all of them have lapsed.
+// Issuer grants the limits of one shard's accounts to the proxies. It runs at the owner of the
+// shard's job. Grants are kept in memory only: a successor waits until all of them have lapsed.
 type Issuer struct {
-	GrantLifetime Time // from the reply here, from the query at the proxy: a grant lapses there first
-	FleetSize     int  // proxies of the fleet: a share is the limit divided by it
+	GrantLifetime Time // counted from the reply here and from the query at the proxy, so a grant lapses there first
+	FleetSize     int  // number of proxies; a share is the limit divided by it
 	Limits        Limits
 
-	owner            jobs.Owner // nil: this process does not own the job
-	firstGrantAt     Time       // until then grants of an earlier issuer may be valid, and nothing is granted
+	owner            jobs.Owner // nil if this process does not own the job
+	firstGrantAt     Time       // nothing is granted before then, since grants of an earlier issuer may be valid
 	checkpointNumber uint64
 	lastQueryAt      map[uint32]Time // by proxy
 	accounts         map[string]*issuedAccount
@@ -26,21 +27,22 @@
 
 var _ jobs.Job = (*Issuer)(nil)
 
-// issuedAccount is what is granted of one account.
+// issuedAccount holds what the issuer has granted of one account.
 type issuedAccount struct {
-	permits     jobs.TokenBucket             // refills at the account's rate
-	connections map[uint32][]connectionGrant // by proxy, the oldest first
+	permits     jobs.TokenBucket             // refilled at the account's rate
+	connections map[uint32][]connectionGrant // by proxy, oldest first
 }
 
-// connectionGrant is how many connections a proxy may have open until the grant lapses. Earlier grants count until they lapse: the reply with a
-// newer, smaller one may be lost.
+// connectionGrant is the number of connections that a proxy may have open until the grant lapses.
+// An earlier grant counts until it lapses, because the reply with a newer, smaller one may be lost.
 type connectionGrant struct {
 	maxOpen  int
 	lapsesAt Time
 }
 
-// maxOpenAt is the most that a proxy may have open now, by any grant that is valid. The last grant counts even after it has lapsed: connections that
-// were opened by it may be open still.
+// maxOpenAt returns the most connections that a proxy may have open now under any valid grant. The
+// last grant counts even after it has lapsed, because connections that were opened under it may
+// still be open.
 func (a *issuedAccount) maxOpenAt(now Time, proxy uint32) int {
 	all := a.connections[proxy]
 	if len(all) == 0 {
@@ -57,20 +59,21 @@
 	return maximum
 }
 
-// Start begins an issuer that grants nothing until its predecessor's grants have lapsed.
+// Start starts the issuer. It grants nothing until its predecessor's grants have lapsed.
 func (s *Issuer) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
 	s.owner, s.checkpointNumber, s.firstGrantAt = o, checkpointNumber, now+silentAfterGrantLifetimes*s.GrantLifetime
 	s.lastQueryAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
 
-// Stop ends the owner's part. It leaves its successor an empty checkpoint.
+// Stop ends the ownership of the job and returns an empty checkpoint for the successor.
 func (s *Issuer) Stop() (checkpointNumber uint64, checkpoint []byte) {
 	s.owner = nil
 	s.checkpointNumber++
 	return s.checkpointNumber, nil
 }
 
+// issuedAccountFor returns the record of an account and creates it if there is none.
 func (s *Issuer) issuedAccountFor(now Time, name string) *issuedAccount {
 	if a := s.accounts[name]; a != nil {
 		return a
@@ -83,6 +86,7 @@
 	return a
 }
 
+// forgetUnlimited drops the accounts without limits.
 func (s *Issuer) forgetUnlimited() {
 	for name := range s.accounts {
 		if s.Limits(name) == (Limit{}) {
@@ -91,8 +95,9 @@
 	}
 }
 
-// availableConnections is how many more connections may be granted. A proxy that never queried has its share reserved; one that has fallen silent its last grant
-// or its share, whichever is more, since it uses its share from then on.
+// availableConnections returns how many more connections can be granted. The share of a proxy that
+// never sent a query is reserved. A silent proxy keeps the larger of its last grant and its share,
+// because it uses its share from then on.
 func (s *Issuer) availableConnections(now Time, a *issuedAccount, limit int) int {
 	share := limit / max(1, s.FleetSize)
 	available := limit - max(0, s.FleetSize-len(s.lastQueryAt))*share
@@ -106,8 +111,9 @@
 	return available
 }
 
-// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided by itself: a parent's limit holds since a
-// connection needs a permit of every account above it, too, and counts as open there.
+// QueryReceived grants what a proxy demands, as far as the limits allow. Each account is decided
+// separately. A parent's limit still holds, because a connection needs a permit of every account
+// above its own and counts as open there.
 func (s *Issuer) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	demands, err := decodeDemands(body)
 	if s.owner == nil || err != nil {
@@ -121,6 +127,7 @@
 	s.owner.Reply(from, tag, encodeGrants(grants))
 }
 
+// grantDemand decides the grant for one demand and records it.
 func (s *Issuer) grantDemand(now Time, from uint32, d demand) grant {
 	limit, a := s.Limits(d.account), s.issuedAccountFor(now, d.account)
 	g := grant{account: d.account, maxOpen: d.open}
@@ -130,7 +137,7 @@
 			g.permits = a.permits.Take(d.permits)
 		}
 		if limit.Connections > 0 {
-			capacity := s.availableConnections(now, a, limit.Connections) + a.maxOpenAt(now, from) // what it was granted before is its own already
+			capacity := s.availableConnections(now, a, limit.Connections) + a.maxOpenAt(now, from) // the proxy keeps what it was granted before
 			g.maxOpen = grantedConnections(d, capacity, limit.Connections)
 		}
 	}
@@ -138,8 +145,9 @@
 	return g
 }
 
-// grantedConnections is how many connections a proxy may have open where it may use up to capacity. Where the limit was cut below what is open, every
-// proxy's grant shrinks in proportion to what it has open: nothing is closed, and no connection that ends is replaced.
+// grantedConnections returns how many connections a proxy may have open if it may use up to
+// capacity. If the limit was reduced below the number of open connections, every proxy's grant
+// shrinks in proportion to its open connections: none is closed, and none that ends is replaced.
 func grantedConnections(d demand, capacity, limit int) uint64 {
 	open := int(d.open)
 	if capacity < open {
@@ -148,7 +156,8 @@
 	return min(d.open+d.additional, uint64(capacity))
 }
 
-// Step forgets proxies that have left the fleet for so long that their connections are surely closed.
+// Step forgets proxies that have left the fleet and sent no query for forgottenAfterGrantLifetimes:
+// their connections must have closed by then.
 func (s *Issuer) Step(now Time) {
 	if s.owner == nil {
 		return
@@ -167,7 +176,7 @@
 	}
 }
 
-// EffectAcknowledged does nothing: the job has no effects, since grants are replies.
+// EffectAcknowledged does nothing: grants are replies, and the job has no effects.
 func (s *Issuer) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
 // CheckpointStored does nothing: the job has no checkpoint.
--- a/internal/fleet/quota/message.go
+++ b/internal/fleet/quota/message.go
@@ -8,22 +8,22 @@
 
 const (
 	maxAccountsPerMessage = 512
-	maxAccountBytes       = 400 // five names of 64 bytes, and more
+	maxAccountBytes       = 400 // five names of 64 bytes with separators, and room to spare
 )
 
-// demand is what a proxy reports of one account.
+// demand is what a proxy reports about one account.
 type demand struct {
 	account    string
-	permits    uint64 // new connections that it expects
-	open       uint64 // connections that are open
-	additional uint64 // further open connections that it expects
+	permits    uint64 // expected new connections
+	open       uint64 // open connections
+	additional uint64 // expected open connections in addition to the open ones
 }
 
-// grant is what a proxy may use of one account until the grant's lifetime ends.
+// grant is what a proxy may use of one account until the grant lapses.
 type grant struct {
 	account string
-	permits uint64 // new connections, beside those granted before
-	maxOpen uint64 // open connections in all, in place of what was granted before
+	permits uint64 // new connections, in addition to earlier grants
+	maxOpen uint64 // total open connections; replaces earlier grants
 }
 
 func encodeDemands(demands []demand) []byte {
@@ -43,7 +43,7 @@
 	return demands, r.Err()
 }
 
-// encodeGrants writes grants in the form of demands, with 0 for the open connections and maxOpen in place of additional.
+// encodeGrants encodes grants like demands, with 0 for open and maxOpen in place of additional.
 func encodeGrants(grants []grant) []byte {
 	var w encoding.Writer
 	w.Uint(uint64(len(grants)))
@@ -62,5 +62,6 @@
 	return grants, err
 }
 
-// readCount reads a number and caps it, so that sums of counts fit an int on every platform.
+// readCount reads a number and caps it at math.MaxInt32, so that sums of counts fit an int on every
+// platform.
 func readCount(r *encoding.Reader) uint64 { return min(r.Uint(), math.MaxInt32) }
--- a/internal/fleet/quota/query.go
+++ b/internal/fleet/quota/query.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Step queries each shard's issuer with the demand for its accounts here. It is called several times in a grant's lifetime. A proxy without demand
-// sends that: nothing is then reserved for it.
+// Step queries each shard's issuer with the demand of its accounts at this proxy. Call it several
+// times per grant lifetime. A proxy without demand sends queries as well, so that the issuer
+// reserves nothing for it.
 func (c *Client) Step() {
 	for shard := range Shards {
 		c.query(shard, false)
@@ -11,13 +12,16 @@
 	c.RetryWaiting()
 }
 
-// query queries a shard's issuer; an urgent query is dropped where another was sent just before.
+// query queries a shard's issuer. An urgent query is dropped within urgentQueryInterval of the
+// previous query.
 func (c *Client) query(shard int, urgent bool) {
 	if tag, demands := c.startQuery(shard, urgent); len(demands) > 0 {
 		c.SendQuery(shard, tag, encodeDemands(demands))
 	}
 }
 
+// startQuery returns the demands of a query and records its tag. It returns no demands if the query
+// is dropped or the shard has no limited accounts.
 func (c *Client) startQuery(shard int, urgent bool) (tag uint64, demands []demand) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -41,6 +45,7 @@
 	return c.lastTag, demands
 }
 
+// dropLapsedQueries drops the tags of queries whose replies would come after the grants had lapsed.
 func (c *Client) dropLapsedQueries(now Time) {
 	if c.sentAt == nil {
 		c.sentAt = map[uint64]Time{}
@@ -52,7 +57,8 @@
 	}
 }
 
-// forgetUnlimited drops accounts that the active version no longer limits, unless connections of theirs are open.
+// forgetUnlimited drops accounts that the active rules version does not limit and that have no open
+// connections.
 func (c *Client) forgetUnlimited(accounts []string) {
 	for a, u := range c.usage {
 		if _, limited := slices.BinarySearch(accounts, a); !limited && u.open == 0 {
@@ -61,7 +67,9 @@
 	}
 }
 
-// ReplyReceived takes grants. Their lifetime counts from when the query was sent, so that a late reply prolongs nothing.
+// ReplyReceived records the grants of a reply and retries the waiting requests. The lifetime of a
+// grant starts when the query was sent, so that a late reply does not prolong it. Malformed replies
+// and replies to unknown queries are ignored.
 func (c *Client) ReplyReceived(tag uint64, body []byte) {
 	c.receiveGrants(tag, body)
 	c.RetryWaiting()
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -7,6 +7,8 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against permits that stay at proxies without demand: the proxies with demand must get
+// nearly the whole rate, first at one proxy, then at all.
 func TestGrantsFollowDemand(t *testing.T) {
 	f := newTestFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
 	skewed := func(i int) float64 { return []float64{2, 0.02, 0, 0, 0}[i] }
@@ -16,17 +18,17 @@
 	n := len(f.acquiredAt["a"])
 	t.Logf("%d of 400 connections acquired, nearly all at one of five proxies; %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
 	if n < 360 || maxPerSecond(f.acquiredAt["a"]) > 52 {
-		t.Errorf("%d of 400 connections acquired, %d at most in a second", n, maxPerSecond(f.acquiredAt["a"]))
+		t.Errorf("acquired %d of 400 connections with demand at one proxy, at most %d in a second; want at least 360 and at most 52", n, maxPerSecond(f.acquiredAt["a"]))
 	}
 	if f.longestWait > maxGrantWait+20*ms || f.waiting > 20 {
-		t.Errorf("a request waited for %d ms; %d are still waiting", f.longestWait/ms, f.waiting)
+		t.Errorf("longest wait = %d ms, want at most %d ms; %d requests still wait, want at most 20", f.longestWait/ms, (maxGrantWait+20*ms)/ms, f.waiting)
 	}
 	even := func(i int) float64 { return []float64{2, 0.02, 0.02, 0.02, 0.02}[i] }
 	f.run(3*second, "a", even, 100*ms)
 	f.acquiredAt = map[string][]Time{}
 	f.run(10*second, "a", even, 100*ms)
 	if n := len(f.acquiredAt["a"]); n < 360 {
-		t.Errorf("%d of 400 connections acquired with demand at all proxies", n)
+		t.Errorf("acquired %d of 400 connections with demand at all proxies, want at least 360", n)
 	}
 }
 
@@ -39,17 +41,17 @@
 	f.acquiredAt = map[string][]Time{}
 	f.run(10*second, "a", all, second)
 	if n := len(f.acquiredAt["a"]); n < 450 || n > 510 {
-		t.Errorf("%d connections acquired in 10 s without an issuer, the shares are 500", n)
+		t.Errorf("acquired %d connections in 10 s without an issuer, want 450 to 510 (the shares are 500)", n)
 	}
 	f.noIssuer = false
 	f.restartIssuers()
 	f.run(10*second, "a", all, second)
 	if n := maxPerSecond(f.acquiredAt["a"]); n > 50+13+50/5 {
-		t.Errorf("%d connections acquired in a second over the change of issuers", n)
+		t.Errorf("acquired %d connections in one second across the change of issuers, want at most 73", n)
 	}
 }
 
-// A parent's limit bounds its children together, also after it is halved in the middle of a burst.
+// A parent's limit bounds all its children together, even after it is halved during a burst.
 func TestParentLimitBoundsChildren(t *testing.T) {
 	f := newTestFleet(4, 3, map[string]Limit{"p": {Rate: 40, Connections: 60}, "p/x": {Rate: 40}, "p/y": {Rate: 40}})
 	for range 20 {
@@ -57,7 +59,7 @@
 		f.run(200*ms, "p/y", func(int) float64 { return 0.5 }, 2*second)
 	}
 	if n := maxPerSecond(f.acquiredAt["p"]); n > 40+10+8 || f.open["p"] > 60 {
-		t.Errorf("%d connections acquired in a second, %d open", n, f.open["p"])
+		t.Errorf("acquired %d connections in one second, want at most 58; %d are open, want at most 60", n, f.open["p"])
 	}
 	f.limits["p"] = Limit{Rate: 20, Connections: 30}
 	f.run(2*second, "p/x", func(int) float64 { return 0.5 }, 2*second) // grants lapse, and open connections end
@@ -70,12 +72,14 @@
 		}
 	}
 	if n := maxPerSecond(f.acquiredAt["p"]); n > 20+5+10 || timesOver > 12 {
-		t.Errorf("after the limit was halved: %d acquired in a second; more than 30 open at %d of 40 times", n, timesOver)
+		t.Errorf("after the limit was halved: acquired %d connections in one second, want at most 35; more than 30 open in %d of 40 checks, want at most 12", n, timesOver)
 	}
 }
 
-// Drawn sequences of cuts, lost messages and new issuers: in no second are more connections acquired than the limit, the bucket's burst, the grants
-// of one lifetime and a share's permit at each proxy add up to; and never are more open than the limit while the issuers stay.
+// Runs random sequences of partitions, lost messages and issuer restarts. The connections acquired
+// in one second never exceed the sum of the limit, the bucket's burst, the grants of one lifetime
+// and one permit of the own share per proxy. The open connections never exceed the limit unless
+// issuers change.
 func TestFleetStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, connections, n = 40, 50, 5
@@ -98,19 +102,20 @@
 			}
 			f.run(Time(rapid.IntRange(100, 2500).Draw(rt, "time"))*ms, "a", func(int) float64 { return rapid.SampledFrom([]float64{0, 0.3, 2}).Draw(rt, "want") }, Time(rapid.IntRange(100, 3000).Draw(rt, "life"))*ms)
 			if f.open["a"] > connections && !issuersChanged {
-				rt.Fatalf("%d connections open, the limit is %d", f.open["a"], connections)
+				rt.Fatalf("%d connections are open, want at most %d", f.open["a"], connections)
 			}
 			if f.open["a"] > 2*connections {
-				rt.Fatalf("%d connections open over changes of issuers, the limit is %d", f.open["a"], connections)
+				rt.Fatalf("%d connections are open after changes of issuers, want at most %d", f.open["a"], 2*connections)
 			}
 		}
 		if m := maxPerSecond(f.acquiredAt["a"]); m > rate+rate/4+rate/2+n {
-			rt.Fatalf("%d connections acquired within a second, the limit is %d", m, rate)
+			rt.Fatalf("acquired %d connections in one second, want at most %d", m, rate+rate/4+rate/2+n)
 		}
 	})
 }
 
-// Each grant lapses by itself: the next one does not prolong it, and one that was overtaken does not change the number of open connections.
+// Each grant lapses separately: a later grant does not prolong it, and a grant that arrives after a
+// newer one does not change the number of open connections.
 func TestGrantsLapseIndependently(t *testing.T) {
 	now := Time(0)
 	var tags []uint64
@@ -142,9 +147,9 @@
 	p.receiveGrants(first, encodeGrants([]grant{{"a", 8, 50}}))
 	now += grantLifetime / 2
 	p.receiveGrants(sendQuery(), encodeGrants([]grant{{"a", 3, 50}}))
-	now += grantLifetime/2 + ms // the first eight permits have lapsed: the issuer may have granted others since
+	now += grantLifetime/2 + ms // the first eight permits have lapsed: the issuer may have granted them to others
 	if n := acquireAll(); n != 3 {
-		t.Errorf("%d permits are valid, expected 3", n)
+		t.Errorf("acquired %d connections after the first grant lapsed, want 3", n)
 	}
 	older := sendQuery()
 	now += 10 * ms
@@ -152,10 +157,12 @@
 	p.receiveGrants(newer, encodeGrants([]grant{{"a", 0, 4}}))
 	p.receiveGrants(older, encodeGrants([]grant{{"a", 9, 50}}))
 	if n := acquireAll(); n != 1 {
-		t.Errorf("%d more connections were opened, expected 1 up to the limit of 4", n)
+		t.Errorf("acquired %d more connections after an older grant arrived late, want 1 (4 may be open)", n)
 	}
 }
 
+// FuzzMessages passes arbitrary bytes to the issuer and the client; an account without limits is
+// never rejected.
 func FuzzMessages(f *testing.F) {
 	f.Add(encodeDemands([]demand{{"a", 1, 2, 3}, {"a/b", 9, 9, 9}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -167,7 +174,7 @@
 		x.clients[0].ReplyReceived(1, data)
 		x.clients[0].Acquire("nobody's", 0, func(exceeded string, _ time.Duration) {
 			if exceeded != "" {
-				t.Fatalf("an account without limits is over its %s", exceeded)
+				t.Fatalf("Acquire of an account without limits exceeds %q, want \"\"", exceeded)
 			}
 		})
 	})
@@ -180,14 +187,14 @@
 		capacity, limit int
 		want            uint64
 	}{
-		{"as demanded", 3, 2, 10, 20, 5},
-		{"as far as there is capacity", 3, 9, 10, 20, 10},
-		{"nothing demanded", 3, 0, 10, 20, 3},
-		{"the limit was cut: grants shrink in proportion", 10, 5, 0, 10, 5},
-		{"the limit is 0", 10, 5, -10, 0, 0},
+		{"capacity for the whole demand", 3, 2, 10, 20, 5},
+		{"capacity for part of the demand", 3, 9, 10, 20, 10},
+		{"no demand", 3, 0, 10, 20, 3},
+		{"limit reduced: the grant shrinks in proportion", 10, 5, 0, 10, 5},
+		{"limit is 0", 10, 5, -10, 0, 0},
 	} {
 		if got := grantedConnections(demand{open: c.open, additional: c.demanded}, c.capacity, c.limit); got != c.want {
-			t.Errorf("%s: %d, expected %d", c.name, got, c.want)
+			t.Errorf("%s: grantedConnections(open %d, additional %d, capacity %d, limit %d) = %d, want %d", c.name, c.open, c.demanded, c.capacity, c.limit, got, c.want)
 		}
 	}
 }
--- a/internal/fleet/quota/recorded_test.go
+++ b/internal/fleet/quota/recorded_test.go
@@ -8,7 +8,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions: the same demand and the same faults give the same queries, replies and connections as when they were recorded.
+// TestRecordedDecisions checks that the same demand and faults produce the recorded queries,
+// replies and connections.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences = 200
 	var lines strings.Builder
--- a/internal/fleet/quota/usage.go
+++ b/internal/fleet/quota/usage.go
@@ -1,25 +1,26 @@
 package quota
 
-// accountUsage is what is used of one account at this proxy, and what may be.
+// accountUsage holds what this proxy uses of one account, and what it may use.
 type accountUsage struct {
-	permits      []permitBatch // the oldest first
+	permits      []permitBatch // oldest first
 	share        shareBucket
-	open         int // connections
-	maxOpen      int // connections that the issuer grants
+	open         int // open connections
+	maxOpen      int // open connections that the issuer grants until maxOpenUntil
 	maxOpenUntil Time
 
-	recentDemand   int // requests that wanted a connection lately
+	recentDemand   int // recent requests for a connection; halved once per grant lifetime
 	demandHalvedAt Time
 }
 
-// permitBatch is the permits of one grant. Each lapses by itself: if a later grant prolonged it, unused permits would add up to more than the
-// account's rate.
+// permitBatch holds the permits of one grant. Each batch lapses separately: if a later grant
+// prolonged it, unused permits could add up to more than the account's rate.
 type permitBatch struct {
 	count    int
 	lapsesAt Time
 }
 
-// validPermits drops batches that are empty or have lapsed, and counts the permits of the others.
+// validPermits removes batches that are empty or have lapsed, and returns the number of remaining
+// permits.
 func (u *accountUsage) validPermits(now Time) (n int) {
 	valid := u.permits[:0]
 	for _, b := range u.permits {
@@ -31,7 +32,8 @@
 	return n
 }
 
-// addDemand counts a request; the count is halved once in a grant's lifetime, so that it follows recent demand.
+// addDemand counts a request. The count is halved once per grant lifetime, so that it follows
+// recent demand.
 func (u *accountUsage) addDemand(now, lifetime Time) {
 	if now-u.demandHalvedAt > lifetime {
 		u.recentDemand, u.demandHalvedAt = u.recentDemand/2, now
@@ -39,7 +41,7 @@
 	u.recentDemand++
 }
 
-// demand is what the next query says of an account.
+// demand returns what the next query reports about an account.
 func (u *accountUsage) demand(now, lifetime Time, account string, limit Limit) demand {
 	if now-u.demandHalvedAt > 2*lifetime {
 		u.recentDemand = 0
@@ -54,7 +56,8 @@
 	return d
 }
 
-// addGrant takes a grant. One that a newer grant has overtaken does not change the number of open connections.
+// addGrant adds a grant that lapses at until. The number of open connections is ignored if a newer
+// grant has already arrived.
 func (u *accountUsage) addGrant(g grant, until Time) {
 	if g.permits > 0 {
 		u.permits = append(u.permits, permitBatch{int(g.permits), until})
@@ -64,7 +67,8 @@
 	}
 }
 
-// shareBucket refills at this proxy's fair share of a rate while no issuer replies. It holds one permit at most, so that none are saved up.
+// shareBucket refills at this proxy's fair share of a rate while no issuer replies. It holds at
+// most one permit, so that permits do not accumulate.
 type shareBucket struct {
 	tokens   float64
 	filledAt Time
