--- a/internal/fleet/namespace/assignment.go
+++ b/internal/fleet/namespace/assignment.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// assignment is the compiled form of Assignment: the pool of each host, the account of each tenant, and each account's limits.
+// assignment is the compiled form of Assignment: the pool of each host, the account of each tenant,
+// and the limits of each account.
 type assignment struct {
 	poolOfHost, poolOfPrefix, poolOfKind, poolOfZone map[string]string
 
-	prefixLengths   []int // of poolOfPrefix, longest first
+	prefixLengths   []int // of the keys of poolOfPrefix, longest first
 	pools           map[string]bool
-	accounts        map[string]*Account // empty settings filled in from the parent
+	accounts        map[string]*Account // by name; empty settings are filled in from the parent
 	accountOfTenant map[string]string
 	reserved        map[string]reservations // by parent
 }
 
-// reservations is the sum that the children of an account have reserved.
+// reservations is the sum of what an account's children reserve.
 type reservations struct{ rate, connections uint64 }
 
 func compileAssignment(pools []Pool, accounts []Account) (*assignment, error) {
@@ -82,8 +83,9 @@
 	slices.Reverse(a.prefixLengths)
 }
 
-// addAccount adds an account whose parent was added before, and rejects it if it has more than the parent in any respect: so customers who may
-// delegate can never give away more than they have.
+// addAccount adds an account whose parent has been added. It rejects an account that has more than
+// its parent in any respect, so that customers who may delegate cannot give away more than they
+// have.
 func (a *assignment) addAccount(account Account) error {
 	parts := strings.Split(account.Name, "/")
 	if len(parts) > MaxDepth || slices.ContainsFunc(parts, func(s string) bool { return !validName(s) }) {
@@ -109,7 +111,8 @@
 	return &ValidationError{Account: a.Name, Text: fmt.Sprintf(format, args...)}
 }
 
-// restrictTenants takes a child's tenants from its parent, and requires that nobody else has a top account's.
+// restrictTenants moves a child's tenants from its parent to the child, and rejects a tenant that
+// belongs to any other account.
 func (a *assignment) restrictTenants(account, parent *Account) error {
 	for _, t := range account.Tenants {
 		owner, owned := a.accountOfTenant[t]
@@ -126,6 +129,8 @@
 	return nil
 }
 
+// restrictPools rejects a pool that does not exist or that the parent may not use. An account
+// without pools gets the parent's.
 func (a *assignment) restrictPools(account, parent *Account) error {
 	for _, p := range account.Pools {
 		if !a.pools[p] {
@@ -141,6 +146,8 @@
 	return nil
 }
 
+// restrictClasses rejects a class that the parent may not use. An account without classes gets the
+// parent's.
 func restrictClasses(account, parent *Account) error {
 	for _, c := range account.Classes {
 		if len(parent.Classes) > 0 && !slices.Contains(parent.Classes, c) {
@@ -153,6 +160,8 @@
 	return nil
 }
 
+// restrictLimits rejects limits above the parent's and reservations above what the parent has
+// reserved. An account without a limit gets the parent's.
 func (a *assignment) restrictLimits(account, parent *Account) error {
 	reserved := a.reserved[parent.Name]
 	for _, l := range []struct {
@@ -180,6 +189,8 @@
 	return nil
 }
 
+// restrictCounts rejects numbers of routes and changes above the parent's. An account without them
+// gets the parent's.
 func restrictCounts(account, parent *Account) error {
 	for _, n := range []struct {
 		name         string
@@ -207,7 +218,7 @@
 	return nil
 }
 
-// pool is the one pool that a host is in.
+// pool returns the name of the pool that a host is in.
 func (a *assignment) pool(host, kind, zone string) string {
 	if p, found := a.poolOfHost[host]; found {
 		return p
--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Compiled is a directory in the form in which requests are judged. It is immutable, and any number of goroutines may use it.
+// Compiled is a directory in the form that decides requests. It is immutable and safe for
+// concurrent use.
 type Compiled struct {
 	current  *assignment
-	previous *assignment // nil: nothing is reassigned
+	previous *assignment // nil if nothing is being reassigned
 	accounts map[string]*compiledAccount
 }
 
@@ -20,16 +21,16 @@
 	hash         uint64
 	settings     *Account
 	chain        []*compiledNamespace
-	defaultRoute *compiledRoute // where no route fits
+	defaultRoute *compiledRoute // applies if no route matches
 }
 
-// compiledNamespace is a namespace whose routes can be searched.
+// compiledNamespace is a namespace with an index for each list of routes.
 type compiledNamespace struct {
 	account                  string
 	guards, routes, defaults routeIndex
 }
 
-// own is the account's own namespace; nil: it has none.
+// own returns the account's own namespace, or nil if it has none.
 func (a *compiledAccount) own() *compiledNamespace {
 	if n := len(a.chain); n > 0 && a.chain[n-1].account == a.name {
 		return a.chain[n-1]
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// Compile compiles a directory. The error is a *Fault.
+// Compile checks a directory and compiles it. The error is a *ValidationError.
 func Compile(d *Directory) (*Compiled, error) {
 	current, err := compileAssignment(d.Pools, d.Accounts)
 	if err != nil {
@@ -65,6 +66,7 @@
 	return c, nil
 }
 
+// compileAccount returns an account with the namespaces of its chain.
 func compileAccount(name string, account *Account, namespaces map[string]*compiledNamespace) *compiledAccount {
 	a := &compiledAccount{
 		name:         name,
@@ -84,13 +86,15 @@
 	return a
 }
 
-// CheckNamespace returns the fault of a namespace by itself. Whether its account may use the pools and classes that it names is checked by Compile.
+// CheckNamespace returns the first error in a namespace, as a *ValidationError, or nil. It does not
+// check whether the account may use the pools and classes that the namespace names; Compile does.
 func CheckNamespace(s *Namespace) error {
 	_, err := (&assignment{}).compileNamespace(s)
 	return err
 }
 
-// compileNamespace checks a namespace against its account too, unless the assignment is empty.
+// compileNamespace checks and compiles a namespace. If the assignment has accounts, it also checks
+// the namespace against its account.
 func (a *assignment) compileNamespace(s *Namespace) (*compiledNamespace, error) {
 	var owner *Account
 	if a.accounts != nil {
@@ -122,7 +126,8 @@
 	return c, nil
 }
 
-// invalidRouteReason says what is invalid in a route, "" for nothing, and adds its name to those that are taken.
+// invalidRouteReason returns why a route is invalid, or "" if it is valid, and adds its name to
+// names.
 func (a *assignment) invalidRouteReason(owner *Account, r *Route, names map[string]bool) string {
 	if names[r.Name] {
 		return "its name is taken"
@@ -134,7 +139,8 @@
 	return a.forbiddenReason(owner, r)
 }
 
-// forbiddenReason says which pool or class of a route its account may not use; "": none.
+// forbiddenReason returns which pool or class of a route does not exist or is not allowed for its
+// account, or "" if all are allowed.
 func (a *assignment) forbiddenReason(owner *Account, r *Route) string {
 	if owner == nil || r.Refuse {
 		return ""
@@ -153,7 +159,8 @@
 	return ""
 }
 
-// checkReachable returns the fault of a route that no request can reach, since a route of an earlier list fits whatever it fits.
+// checkReachable returns an error for a route that no request can reach, because a route of an
+// earlier list matches every request that it matches.
 func (c *compiledNamespace) checkReachable() error {
 	for _, lists := range []struct{ earlier, later *routeIndex }{{&c.guards, &c.routes}, {&c.guards, &c.defaults}, {&c.routes, &c.defaults}} {
 		for i := range lists.later.routes {
--- a/internal/fleet/namespace/evaluate.go
+++ b/internal/fleet/namespace/evaluate.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is the attributes of a request by which routes are chosen.
+// Request holds the attributes of a request that routes compare.
 type Request struct {
 	Tenant string `json:"Tenant"`
 	Class  string `json:"Class"`
@@ -19,24 +19,27 @@
 
 func (q *Request) matchKey() matchKey { return matchKey{q.Group, q.Key, q.Class, q.Zone} }
 
-// classesRoute takes the place of a route in the verdict where the account may not use the request's class.
+// classesRoute is the route name in the verdict if the account may not use the request's class.
 const classesRoute = "classes"
 
-// Verdict is what becomes of a request. It shares memory with the compiled directory and must not be changed.
+// Verdict is the decision on a request. It shares memory with the compiled directory and must not
+// be modified.
 type Verdict struct {
 	Account      string
-	RouteAccount string // the account whose route decided
-	Route        string // "": none fits, and the account's first pool takes it
+	RouteAccount string // account whose route decided
+	Route        string // empty if no route matched and the account's first pool is used
 	Rejected     bool
-	Reassigned   bool // rejected while its tenant is reassigned to another account
-	RetryAfter   time.Duration
-	Pools        []string // in the order of preference
+	Reassigned   bool          // rejected because its tenant is being reassigned to another account
+	RetryAfter   time.Duration // of a rejected request; 0 means none
+	Pools        []string      // in order of preference
 }
 
-// reassignedRetryAfter is the Retry-After while a tenant is reassigned: that takes a few round trips, or a lease's time where a member is cut off.
+// reassignedRetryAfter is the Retry-After while a tenant is being reassigned. A reassignment takes
+// a few round trips, or the lease time if a member is cut off.
 const reassignedRetryAfter = 500 * time.Millisecond
 
-// Evaluate finds the account first, and then the route among those that apply to that account.
+// Evaluate finds the account of a request, and then the deciding route among those that apply to
+// that account.
 func (c *Compiled) Evaluate(q Request) Verdict {
 	name := c.current.accountOfTenant[q.Tenant]
 	a := c.accounts[name]
@@ -54,7 +57,9 @@
 	return v
 }
 
-// find gives the route that decides: a guard, the operators' first; else a route of the account's own; else a default, the account's own first.
+// find returns the route that decides: a guard, the operators' first; otherwise a route of the
+// account's own namespace; otherwise a default, the account's own first. If none matches, it
+// returns the account's default route.
 func (a *compiledAccount) find(q *Request) *compiledRoute {
 	k, share := q.matchKey(), a.share(q.Key)
 	for _, s := range a.chain {
@@ -75,16 +80,19 @@
 	return a.defaultRoute
 }
 
-// shareHashFactor is 2^64 divided by the golden ratio (Fibonacci hashing): it spreads hashes that differ in few bits.
+// shareHashFactor is 2^64 divided by the golden ratio (Fibonacci hashing). It spreads hashes that
+// differ in few bits.
 const shareHashFactor = 0x9e3779b97f4a7c15
 
-// share is a flow's position among all of the account's, from 0 up to WholeShare, the same at every proxy and in every version, so that a flow does
-// not change pools when a version does.
+// share returns the position of a flow's key among all flows of the account, from 0 up to but not
+// including WholeShare. It is the same at every proxy and in every version, so that a flow does not
+// change pools when the version changes.
 func (a *compiledAccount) share(key string) uint16 {
 	return uint16((xxhash.Sum64String(key) ^ a.hash) * shareHashFactor >> 32 * WholeShare >> 32)
 }
 
-// Pool is the one pool that a host is in; "": it is being reassigned, and gets no new requests.
+// Pool returns the name of the pool that a host is in, or "" while the host is being reassigned and
+// gets no new requests.
 func (c *Compiled) Pool(host, kind, zone string) string {
 	p := c.current.pool(host, kind, zone)
 	if c.previous != nil && c.previous.pool(host, kind, zone) != p {
@@ -93,8 +101,10 @@
 	return p
 }
 
-// AccountSettings are an account's settings, empty ones filled in from its parents; nil: there is no such account.
+// AccountSettings returns an account with its empty settings filled in from its parents, or nil if
+// there is no such account.
 func (c *Compiled) AccountSettings(account string) *Account { return c.current.accounts[account] }
 
-// AccountOfTenant is a tenant's; "": the operators'.
+// AccountOfTenant returns the name of the account that has a tenant, or "" (the operators) if none
+// has.
 func (c *Compiled) AccountOfTenant(tenant string) string { return c.current.accountOfTenant[tenant] }
--- a/internal/fleet/namespace/explain.go
+++ b/internal/fleet/namespace/explain.go
@@ -5,11 +5,12 @@
 	"strings"
 )
 
-// maxNearMatches bounds how many other routes Explain names.
+// maxNearMatches bounds the number of other routes that Explain lists.
 const maxNearMatches = 8
 
-// Explain says what becomes of a request and why: its account, the route that decides, and those that fit or nearly fit. It tests every route that
-// applies to the account: it is for operators' questions, not for each request.
+// Explain returns text that describes how a request is decided and why: its account, the route that
+// decides, and the routes that match or miss one condition. It tests every route that applies to
+// the account, so it is meant for operators' queries, not for each request.
 func (c *Compiled) Explain(q Request) string {
 	var b strings.Builder
 	v := c.Evaluate(q)
@@ -30,6 +31,7 @@
 	return b.String()
 }
 
+// explainAccount writes the account of a request and why the request belongs to it.
 func (c *Compiled) explainAccount(b *strings.Builder, q Request, v Verdict) {
 	name := v.Account
 	if name == "" {
@@ -46,7 +48,8 @@
 	}
 }
 
-// explainNearMatches names routes that fit beside the one that decides, and those that miss a single condition.
+// explainNearMatches writes the routes that match but do not decide, and those that miss a single
+// condition.
 func (a *compiledAccount) explainNearMatches(b *strings.Builder, q Request, v Verdict) {
 	k, share, named := q.matchKey(), a.share(q.Key), 0
 	explain := func(x *routeIndex, list string) {
--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -7,26 +7,29 @@
 	"time"
 )
 
-// routeIndex finds the routes of one list by their conditions. A search costs one map lookup for each condition set, however many routes there are.
+// routeIndex finds the routes of one list by their conditions. A search costs one map lookup per
+// condition set, independent of the number of routes.
 type routeIndex struct {
 	conditionSets []conditionSet // most specific first
 	firstByKey    map[matchKey]int32
-	routes        []compiledRoute // those with the same key are adjacent, the most specific first
+	routes        []compiledRoute // routes with the same key are adjacent, the most specific first
 }
 
-// compiledRoute is a route and what follows from it; without a Route it is an account's default.
+// compiledRoute is a route with values derived from it. The embedded Route is nil in an account's
+// default route.
 type compiledRoute struct {
 	*Route
 	account    string
 	key        matchKey
-	pools      []string // in the order of preference
+	pools      []string // in order of preference
 	retryAfter time.Duration
 }
 
-// matchKey is the conditions of a route that are compared for equality, or what a request has of them.
+// matchKey holds the conditions of a route that are compared for equality, or the attributes of a
+// request that they are compared with.
 type matchKey struct{ group, prefix, class, zone string }
 
-// conditionSet is which conditions a route has.
+// conditionSet records which conditions a route has.
 type conditionSet struct {
 	group, class, zone bool
 	prefixBytes        uint8
@@ -38,7 +41,8 @@
 	return conditionSet{group: k.group != "", class: k.class != "", zone: k.zone != "", prefixBytes: uint8(len(k.prefix))}
 }
 
-// requestPart gives the part of a request's key that routes with these conditions compare; ok: the request has all of these attributes.
+// requestPart returns the part of a request's key that routes with these conditions compare. ok
+// reports whether the request has all of these attributes.
 func (s conditionSet) requestPart(k matchKey) (part matchKey, ok bool) {
 	if s.group {
 		if part.group = k.group; k.group == "" {
@@ -64,7 +68,7 @@
 	return part, true
 }
 
-// compareSpecificity orders the most specific first.
+// compareSpecificity orders condition sets, the most specific first.
 func (s conditionSet) compareSpecificity(o conditionSet) int {
 	toInt := func(b bool) int {
 		if b {
@@ -75,7 +79,8 @@
 	return cmp.Or(toInt(o.group)-toInt(s.group), int(o.prefixBytes)-int(s.prefixBytes), toInt(o.class)-toInt(s.class), toInt(o.zone)-toInt(s.zone))
 }
 
-// secondarySpecificity is how specific a route is beyond its key: by a window more than by a share.
+// secondarySpecificity returns how specific a route is beyond its key. A window counts more than a
+// share.
 func (r *Route) secondarySpecificity() (n int) {
 	if r.hasWindow() {
 		n += 2
@@ -129,8 +134,9 @@
 	return nil
 }
 
-// checkConflicts returns the fault among routes with the same key: two that may fit one request and are equally specific, or one that no request
-// reaches, since shares of others add up to everything.
+// checkConflicts returns an error if, among routes with the same key, two equally specific ones may
+// match the same request, or if no request reaches a route because the shares of the others add up
+// to all requests.
 func checkConflicts(account string, same []compiledRoute) error {
 	shares := 0
 	for i := range same {
@@ -154,7 +160,8 @@
 	return nil
 }
 
-// overlaps reports whether some request fits two routes with the same key and the same kinds of further conditions.
+// overlaps reports whether some request matches both routes. They must have the same key, and both
+// or neither must have a share and a window.
 func (r *Route) overlaps(o *Route) bool {
 	if r.hasShare() && sharesDisjoint(r, o) {
 		return false
@@ -164,7 +171,8 @@
 
 func sharesDisjoint(a, b *Route) bool { return a.ShareTo <= b.ShareFrom || b.ShareTo <= a.ShareFrom }
 
-// firstMatch gives the most specific route whose conditions a key has and that accept takes; nil: none.
+// firstMatch returns the most specific route whose key matches k and that accept accepts, or nil if
+// there is none.
 func (x *routeIndex) firstMatch(k matchKey, accept func(*compiledRoute) bool) *compiledRoute {
 	for _, s := range x.conditionSets {
 		part, complete := s.requestPart(k)
@@ -184,12 +192,13 @@
 	return nil
 }
 
-// find gives the most specific route that fits; nil: none.
+// find returns the most specific route that matches, or nil if there is none.
 func (x *routeIndex) find(k matchKey, share uint16, minute int) *compiledRoute {
 	return x.firstMatch(k, func(r *compiledRoute) bool { return r.matchesShareAndTime(share, minute) })
 }
 
-// covering gives a route that fits whatever r fits; nil: no single route does.
+// covering returns a route that matches every request that r matches, or nil if no single route
+// does.
 func (x *routeIndex) covering(r *compiledRoute) *compiledRoute {
 	return x.firstMatch(r.key, func(o *compiledRoute) bool {
 		coversShare := !o.hasShare() || r.hasShare() && o.ShareFrom <= r.ShareFrom && r.ShareTo <= o.ShareTo
--- a/internal/fleet/namespace/isolation_test.go
+++ b/internal/fleet/namespace/isolation_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// evaluateByScan finds the route by testing all of them: the index has to agree with it.
+// evaluateByScan finds the deciding route by testing all routes. The index must agree with it.
 func evaluateByScan(d *Directory, c *Compiled, q Request) string {
 	a := c.accounts[c.AccountOfTenant(q.Tenant)]
 	k, share := matchKey{q.Group, q.Key, q.Class, q.Zone}, a.share(q.Key)
@@ -36,7 +36,7 @@
 		}
 		return found
 	}
-	var chain []string // the account first, the operators last
+	var chain []string // from the account to the operators
 	for account := a.name; ; account = Parent(account) {
 		chain = append(chain, account)
 		if account == "" {
@@ -82,7 +82,8 @@
 		Minute: rapid.IntRange(0, 1439).Draw(rt, "minute")}
 }
 
-// The index finds the same route as a scan of all routes, and an account's verdicts do not depend on other customers' namespaces.
+// The index finds the same route as a scan of all routes, and the verdicts for an account do not
+// depend on other customers' namespaces.
 func TestNamespacesAreIsolated(t *testing.T) {
 	drawn, valid := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -104,20 +105,20 @@
 			q := generateRequest(rt)
 			v := c.Evaluate(q)
 			if want := evaluateByScan(directory, c, q); v.Route != want {
-				rt.Fatalf("%+v: route %q, expected %q", q, v.Route, want)
+				rt.Fatalf("Evaluate(%+v): route = %q, want %q", q, v.Route, want)
 			}
 			if !strings.Contains(c.Explain(q), v.Route) {
-				rt.Fatalf("the explanation does not name route %s: %s", v.Route, c.Explain(q))
+				rt.Fatalf("Explain(%+v) = %q, want it to name route %s", q, c.Explain(q), v.Route)
 			}
 			if err != nil || v.Account == "other" {
 				continue
 			}
 			if w := changed.Evaluate(q); w.Route != v.Route || w.RouteAccount != v.RouteAccount || !slices.Equal(w.Pools, v.Pools) || w.Rejected != v.Rejected {
-				rt.Fatalf("%+v: %+v, and after another customer's change %+v", q, v, w)
+				rt.Fatalf("Evaluate(%+v) = %+v after another customer's change, want %+v as before", q, w, v)
 			}
 		}
 	})
 	if valid*5 < drawn {
-		t.Errorf("of %d directories drawn only %d are valid", drawn, valid)
+		t.Errorf("%d of %d generated directories are valid, want at least one in five", valid, drawn)
 	}
 }
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -43,16 +43,16 @@
 		{Request{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
-		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
-		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the more specific route
+		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // guard of the parent account
+		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // more specific than route g
 		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // takes precedence over the operators' default
 		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},                             //
-		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool},                                             // another customer's routes do not reach it
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool},                                             // another customer's route ab does not apply
 		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
 		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},                               //
 		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
-		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                                // an account's name is no tenant
-		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window's end
+		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                                // account names are not tenants
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window excludes its end
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
 	} {
 		v := c.Evaluate(x.q)
@@ -61,19 +61,19 @@
 			pool = v.Pools[0]
 		}
 		if v.Account != x.account || v.Route != x.route || pool != x.pool {
-			t.Errorf("%+v: account %q route %q pool %q, expected %q %q %q", x.q, v.Account, v.Route, pool, x.account, x.route, x.pool)
+			t.Errorf("Evaluate(%+v): account %q, route %q, pool %q; want %q, %q, %q", x.q, v.Account, v.Route, pool, x.account, x.route, x.pool)
 		}
 	}
 	for _, x := range []struct{ id, kind, zone, pool string }{
 		{"s-1", "m2", "", "kept"}, {"s-95", "m2", "", "kept"}, {"x", "m2", "", "fast"}, {"x", "m1", "a", MainPool}, {"s", "", "", MainPool},
 	} {
 		if got := c.Pool(x.id, x.kind, x.zone); got != x.pool {
-			t.Errorf("%s is in %q, expected %q", x.id, got, x.pool)
+			t.Errorf("Pool(%q, %q, %q) = %q, want %q", x.id, x.kind, x.zone, got, x.pool)
 		}
 	}
 }
 
-// A share is the same flows in every version, and about the stated part of them.
+// A share selects the same flows in every version, and about the stated part of all flows.
 func TestSharesAreStable(t *testing.T) {
 	c := mustCompile(t, customers)
 	more := *customers
@@ -84,14 +84,14 @@
 		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
 		v := c.Evaluate(q)
 		if w := d.Evaluate(q); w.Route != v.Route {
-			t.Fatalf("%s: %q and %q", q.Key, v.Route, w.Route)
+			t.Fatalf("Evaluate(%+v): route = %q after another account's change, want %q as before", q, w.Route, v.Route)
 		}
 		if v.Route == "half" {
 			n++
 		}
 	}
 	if n < 4800 || n > 5200 {
-		t.Fatalf("a share of 50%% has %d of 10,000 flows", n)
+		t.Fatalf("a share of 50%% selects %d of 10,000 flows, want 4800 to 5200", n)
 	}
 }
 
@@ -135,22 +135,23 @@
 		}()...),
 	} {
 		if _, err := Compile(b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("the error is %v, expected %q", err, want)
+			t.Errorf("Compile(%+v) = %v, want an error with %q", b, err, want)
 		}
 	}
 }
 
-// A host and a tenant that are reassigned get no new requests while the directory has the previous assignment.
+// Hosts and tenants that change owners get no new requests while the directory contains the
+// previous assignment.
 func TestReassignedHostsAndTenantsGetNoRequests(t *testing.T) {
 	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
 		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
 	c := mustCompile(t, b)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
-		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
+		t.Errorf("Pool of the reassigned host = %q, want \"\"; of the other host = %q, want \"p\"", p, q)
 	}
 	for tenant, reassigned := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
 		if v := c.Evaluate(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Rejected != reassigned {
-			t.Errorf("tenant %s: %+v", tenant, v)
+			t.Errorf("Evaluate(tenant %s) = %+v, want Reassigned and Rejected = %t", tenant, v, reassigned)
 		}
 	}
 }
@@ -158,14 +159,14 @@
 func TestErrorsReportPosition(t *testing.T) {
 	_, err := settings.Schema{Section()}.Read("acme.sexp", []byte("(namespace\n  (account acme)\n  (route x (class c) (pool main))\n  (route y (class c) (pool main)))"))
 	if err == nil || !strings.Contains(err.Error(), "acme.sexp:4:3") || !strings.Contains(err.Error(), "the same requests as x") {
-		t.Fatalf("%v", err)
+		t.Fatalf("Read = %v, want an error at acme.sexp:4:3 that names route x", err)
 	}
 	f, err := settings.Schema{Section()}.Read("a", []byte(`(namespace (account "acme/web") (guard n (begin 22:00) (end 06:00) (refuse on) (advice 2s)) (default d (share 12.5%) (pool fast) (else "main")))`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].RetryAfterMillis != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != MainPool {
-		t.Fatalf("%+v", s)
+		t.Fatalf("namespace = %+v, want guard n from minute 1320 with a Retry-After of 2000 ms, and default d with a share to 1250 and the fallback main", s)
 	}
 }
 
@@ -207,7 +208,7 @@
 		if c, err := Compile(b); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
 			if v := c.Evaluate(q); !v.Rejected && len(v.Pools) == 0 {
-				t.Fatalf("%q: a request is neither rejected nor has a pool", text)
+				t.Fatalf("Evaluate(%+v) with rules %q = %+v, want a rejection or a pool", q, text, v)
 			}
 			c.Explain(q)
 		}
--- a/internal/fleet/namespace/route.go
+++ b/internal/fleet/namespace/route.go
@@ -7,28 +7,32 @@
 	"strings"
 )
 
-// Route says what becomes of the requests that fit all its conditions; an empty condition fits all. Of several routes that fit, the most specific
-// decides: a group before a key's prefix, a longer prefix before a shorter one, then class, zone, window, share.
+// Route decides the requests that match all its conditions. An empty condition matches every
+// request. If several routes match, the most specific one decides: group counts before key prefix,
+// a longer prefix before a shorter one, then class, zone, window and share.
 type Route struct {
 	Name   string `cbor:"1,keyasint"`
 	Group  string `cbor:"2,keyasint,omitempty"`
 	Prefix string `cbor:"3,keyasint,omitempty"` // of the flow's key
 	Class  string `cbor:"4,keyasint,omitempty"`
 	Zone   string `cbor:"5,keyasint,omitempty"` // of the proxy
-	// ShareFrom and ShareTo bound a share of the flows, by a hash of the key that is the same at every proxy and in every version; both 0: all.
-	ShareFrom uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a per cent
+	// ShareFrom and ShareTo select the flows whose hash is in [ShareFrom, ShareTo). The hash of the
+	// key is the same at every proxy and in every version. If both are 0, the route matches all
+	// flows.
+	ShareFrom uint16 `cbor:"6,keyasint,omitempty"` // hundredths of a percent
 	ShareTo   uint16 `cbor:"7,keyasint,omitempty"`
-	// WindowBegin and WindowEnd bound a time of day, UTC; a window may run over midnight; both 0: all day.
-	WindowBegin uint16 `cbor:"8,keyasint,omitempty"` // minutes
+	// WindowBegin and WindowEnd bound a time of day in UTC. The window may span midnight. If both
+	// are 0, the route matches all day.
+	WindowBegin uint16 `cbor:"8,keyasint,omitempty"` // minutes since midnight
 	WindowEnd   uint16 `cbor:"9,keyasint,omitempty"`
 
 	Pool             string   `cbor:"10,keyasint,omitempty"`
-	Fallbacks        []string `cbor:"11,keyasint,omitempty"` // pools, in order, where the one before has no host that may be used
+	Fallbacks        []string `cbor:"11,keyasint,omitempty"` // pools in order; each is used if the pools before it have no usable host
 	Refuse           bool     `cbor:"12,keyasint,omitempty"`
-	RetryAfterMillis uint32   `cbor:"13,keyasint,omitempty"` // Retry-After of a rejected request in milliseconds; 0: none
+	RetryAfterMillis uint32   `cbor:"13,keyasint,omitempty"` // of a rejected request; 0 means none
 }
 
-// invalidReason says what is invalid in a route by itself; "": nothing.
+// invalidReason returns why a route is invalid by itself, or "" if it is valid.
 func (r *Route) invalidReason() string {
 	switch {
 	case !validName(r.Name):
@@ -53,6 +57,7 @@
 	return ""
 }
 
+// hasDuplicatePool reports whether a pool occurs twice among the pool and its fallbacks.
 func (r *Route) hasDuplicatePool() bool {
 	all := append([]string{r.Pool}, r.Fallbacks...)
 	slices.Sort(all)
@@ -62,7 +67,7 @@
 func (r *Route) hasShare() bool  { return r.ShareFrom != 0 || r.ShareTo != 0 }
 func (r *Route) hasWindow() bool { return r.WindowBegin != 0 || r.WindowEnd != 0 }
 
-// matchesShareAndTime tests the conditions that are not in the match key.
+// matchesShareAndTime reports whether the conditions that are not in the match key are met.
 func (r *Route) matchesShareAndTime(share uint16, minute int) bool {
 	return (!r.hasShare() || r.shareContains(share)) && (!r.hasWindow() || r.windowContains(minute))
 }
@@ -76,7 +81,7 @@
 	return minute >= int(r.WindowBegin) || minute < int(r.WindowEnd)
 }
 
-// unmetConditions names the conditions that a request does not fit.
+// unmetConditions returns the names of the conditions that a request does not meet.
 func (r *Route) unmetConditions(k matchKey, share uint16, minute int) (names []string) {
 	for _, c := range []struct {
 		name  string
@@ -96,7 +101,7 @@
 	return names
 }
 
-// Describe writes what a route does, for operators.
+// Describe returns the route's conditions and action as text for operators.
 func (r *Route) Describe() string {
 	var conditions []string
 	for _, c := range []struct{ name, value string }{{"group", r.Group}, {"key", r.Prefix}, {"class", r.Class}, {"zone", r.Zone}} {
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -12,11 +12,12 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Section declares a namespace as its administrators write it: (account NAME), and any number of (guard LABEL …), (route LABEL …), (default LABEL …).
+// Section returns the settings section of a namespace as its administrators write it: (account
+// NAME), and any number of (guard LABEL …), (route LABEL …) and (default LABEL …).
 func Section() settings.Section {
 	return settings.Section{Name: "namespace", Doc: "an account's routes", Bind: func(f *settings.Form) any {
 		s := &Namespace{}
-		f.Text("account", "whose namespace it is", "an account, acme or acme/web", &s.Account, isNonEmpty)
+		f.Text("account", "the account that owns the namespace", "an account, such as acme or acme/web", &s.Account, isNonEmpty)
 		BindRoutes(f, s)
 		if s.Account == "" && f.Present() {
 			f.Fault("account", "no account, expected (account NAME)")
@@ -25,11 +26,12 @@
 	}}
 }
 
-// AccountSection declares an account below another as its administrators write it.
+// AccountSection returns the settings section of an account below the administrators' own, as they
+// write it.
 func AccountSection() settings.Section {
-	return settings.Section{Name: "account", Doc: "an account below one's own", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "account", Doc: "an account below the administrator's own account", Bind: func(f *settings.Form) any {
 		name := ""
-		f.Text("name", "of the account, with those above it: acme/web", "a name", &name, isNonEmpty)
+		f.Text("name", "full name of the account, with the accounts above it, such as acme/web", "a name", &name, isNonEmpty)
 		a := bindAccount(name, f)
 		return &a
 	}}
@@ -37,16 +39,17 @@
 
 func isNonEmpty(s string) bool { return s != "" }
 
-// BindRoutes declares the three lists of routes of a namespace, and reports a fault at the route that has it.
+// BindRoutes registers the three lists of routes of a namespace, and reports an invalid route at
+// its place in the file.
 func BindRoutes(f *settings.Form, s *Namespace) {
 	forms := map[string]*settings.Form{}
 	for _, list := range []struct {
 		name, doc string
 		routes    *[]Route
 	}{
-		{"guard", "a route that holds for the account and all below it, before theirs", &s.Guards},
-		{"route", "a route of the account's own", &s.Routes},
-		{"default", "a route that holds for the account and all below it, after theirs", &s.Defaults},
+		{"guard", "a route that applies to the account and all accounts below it, before their own routes", &s.Guards},
+		{"route", "a route that applies to the account only", &s.Routes},
+		{"default", "a route that applies to the account and all accounts below it, after their own routes", &s.Defaults},
 	} {
 		f.Each(list.name, list.doc, func(label string, f *settings.Form) {
 			*list.routes = append(*list.routes, bindRoute(label, f))
@@ -66,33 +69,34 @@
 func bindRoute(label string, f *settings.Form) Route {
 	r := Route{Name: label}
 	bindConditions(f, &r)
-	f.Text("pool", "where they go", "a pool", &r.Pool, isNonEmpty)
-	f.Text("else", "pools that they fall to, in order, where the one before has no host that may be used", "pools with spaces between", new(string), func(s string) bool {
+	f.Text("pool", "pool that serves the requests", "a pool", &r.Pool, isNonEmpty)
+	f.Text("else", "fallback pools in order, each used if the pools before it have no usable host", "pools separated by spaces", new(string), func(s string) bool {
 		r.Fallbacks = strings.Fields(s)
 		return len(r.Fallbacks) > 0 && len(r.Fallbacks) <= maxFallbacks
 	})
 	var retryAfter time.Duration
-	f.Bool("refuse", "whether they are refused", &r.Refuse)
-	f.Duration("advice", "after which a refused client may come again", &retryAfter, 0, time.Minute)
+	f.Bool("refuse", "whether the requests are rejected", &r.Refuse)
+	f.Duration("advice", "Retry-After of a rejected request", &retryAfter, 0, time.Minute)
 	r.RetryAfterMillis = uint32(retryAfter.Milliseconds())
 	return r
 }
 
 func bindConditions(f *settings.Form, r *Route) {
-	f.Text("group", "of which group", "a name", &r.Group, isNonEmpty)
-	f.Text("key", "of which flows: what their key begins with", "1 to 16 letters", &r.Prefix, func(s string) bool { return s != "" && len(s) <= MaxPrefixBytes })
-	f.Text("class", "of which class", "a name", &r.Class, isNonEmpty)
-	f.Text("zone", "at the proxies of which zone", "a name", &r.Zone, isNonEmpty)
+	f.Text("group", "group of the requests", "a name", &r.Group, isNonEmpty)
+	f.Text("key", "prefix of the flow's key", "1 to 16 letters", &r.Prefix, func(s string) bool { return s != "" && len(s) <= MaxPrefixBytes })
+	f.Text("class", "class of the requests", "a name", &r.Class, isNonEmpty)
+	f.Text("zone", "zone of the proxy", "a name", &r.Zone, isNonEmpty)
 	from, to := 0.0, 0.0
-	f.Percent("share_from", "where a share of the flows begins, by a hash of their key", &from, 0, 1)
-	f.Percent("share", "where that share ends", &to, 0, 1)
+	f.Percent("share_from", "start of a share of the flows, by a hash of their key", &from, 0, 1)
+	f.Percent("share", "end of the share of the flows", &to, 0, 1)
 	r.ShareFrom, r.ShareTo = uint16(math.Round(from*WholeShare)), uint16(math.Round(to*WholeShare))
 	var clock string
-	f.Text("begin", "from what time of day on, UTC", "a time as 22:00", &clock, parseMinute(&r.WindowBegin))
-	f.Text("end", "up to what time of day", "a time as 06:00", &clock, parseMinute(&r.WindowEnd))
+	f.Text("begin", "start of the time of day, UTC", "a time such as 22:00", &clock, parseMinute(&r.WindowBegin))
+	f.Text("end", "end of the time of day, UTC", "a time such as 06:00", &clock, parseMinute(&r.WindowEnd))
 }
 
-// parseMinute reads a time of day, as 22:00, into minutes since midnight.
+// parseMinute returns a function that parses a time of day such as 22:00 and stores the minutes
+// since midnight.
 func parseMinute(to *uint16) func(string) bool {
 	return func(s string) bool {
 		t, err := time.Parse("15:04", s)
@@ -101,12 +105,12 @@
 	}
 }
 
-// BindPoolsAndAccounts declares pools and accounts, and sorts them as a Directory has them.
+// BindPoolsAndAccounts registers pools and accounts, and sorts them by name as Directory requires.
 func BindPoolsAndAccounts(f *settings.Form, d *Directory) {
-	f.Each("pool", "a part of the hosts; those that no pool takes are the pool main", func(name string, f *settings.Form) {
+	f.Each("pool", "a set of hosts; the hosts in no pool form the pool main", func(name string, f *settings.Form) {
 		d.Pools = append(d.Pools, bindPool(name, f))
 	})
-	f.Each("account", "a customer, acme, or a team below it, acme/web", func(name string, f *settings.Form) {
+	f.Each("account", "a customer, such as acme, or a team below it, such as acme/web", func(name string, f *settings.Form) {
 		d.Accounts = append(d.Accounts, bindAccount(name, f))
 	})
 	slices.SortFunc(d.Pools, func(x, y Pool) int { return cmp.Compare(x.Name, y.Name) })
@@ -116,7 +120,7 @@
 func bindPool(name string, f *settings.Form) Pool {
 	p := Pool{Name: name}
 	bindNames(f, "hosts", "hosts by name", &p.Hosts)
-	bindNames(f, "prefixes", "hosts by what their name begins with", &p.Prefixes)
+	bindNames(f, "prefixes", "hosts by prefix of their name", &p.Prefixes)
 	bindNames(f, "kinds", "hosts by kind", &p.Kinds)
 	bindNames(f, "zones", "hosts by zone", &p.Zones)
 	return p
@@ -125,15 +129,15 @@
 func bindAccount(name string, f *settings.Form) Account {
 	a := Account{Name: name}
 	bindNames(f, "tenants", "tenants that belong to it", &a.Tenants)
-	bindNames(f, "pools", "pools that it may use; the first takes what no route sends elsewhere", &a.Pools)
+	bindNames(f, "pools", "pools that it may use; the first gets the requests that no route matches", &a.Pools)
 	bindNames(f, "classes", "classes that it may use", &a.Classes)
-	bindCount(f, "rate", "new connections a second over the whole fleet; 0: as above it", &a.Rate.Max)
-	bindCount(f, "rate_reserved", "of them, kept for it", &a.Rate.Reserved)
-	bindCount(f, "standing", "open connections over the whole fleet; 0: as above it", &a.Connections.Max)
-	bindCount(f, "standing_reserved", "of them, kept for it", &a.Connections.Reserved)
-	bindCount(f, "routes", "routes of its namespace; 0: as above it", &a.Routes)
-	bindCount(f, "changes", "changes of its namespace a minute; 0: as above it", &a.Changes)
-	f.Each("grant", "a key that may change things here and below", func(label string, f *settings.Form) {
+	bindCount(f, "rate", "new connections per second over the whole fleet; 0 means the limit of the account above it", &a.Rate.Max)
+	bindCount(f, "rate_reserved", "part of rate that is reserved for the account", &a.Rate.Reserved)
+	bindCount(f, "standing", "open connections over the whole fleet; 0 means the limit of the account above it", &a.Connections.Max)
+	bindCount(f, "standing_reserved", "part of standing that is reserved for the account", &a.Connections.Reserved)
+	bindCount(f, "routes", "most routes of its namespace; 0 means the limit of the account above it", &a.Routes)
+	bindCount(f, "changes", "most changes of its namespace per minute; 0 means the limit of the account above it", &a.Changes)
+	f.Each("grant", "a key that may change the account and the accounts below it", func(label string, f *settings.Form) {
 		a.Grants = append(a.Grants, bindGrant(label, f))
 	})
 	slices.SortFunc(a.Grants, func(x, y Grant) int { return cmp.Compare(x.Label, y.Label) })
@@ -147,11 +151,11 @@
 		g.Key, err = base64.StdEncoding.DecodeString(s)
 		return err == nil && len(g.Key) == 32
 	})
-	f.Text("verbs", "what it may do", "some of route limit delegate", new(string), func(s string) (ok bool) {
+	f.Text("verbs", "actions that the key allows", "one or more of route limit delegate", new(string), func(s string) (ok bool) {
 		g.Verbs, ok = ParseVerbs(s)
 		return ok
 	})
-	f.Text("until", "when it ends", "a day as 2027-01-31, its end in UTC", new(string), func(s string) bool {
+	f.Text("until", "last day on which the key is valid, to its end in UTC", "a day such as 2027-01-31", new(string), func(s string) bool {
 		t, err := time.Parse(time.DateOnly, s)
 		g.Until = t.AddDate(0, 0, 1).Unix()
 		return err == nil
@@ -165,9 +169,10 @@
 	*to = uint32(n)
 }
 
-// bindNames declares a list of names in one text. They are sorted, except pools, whose first has a meaning.
+// bindNames registers a list of names in one text. The names are sorted, except those of pools,
+// whose first one is the default pool.
 func bindNames(f *settings.Form, name, doc string, to *[]string) {
-	f.Text(name, doc, "names with spaces between", new(string), func(s string) bool {
+	f.Text(name, doc, "names separated by spaces", new(string), func(s string) bool {
 		*to = strings.Fields(s)
 		sorted := slices.Sorted(slices.Values(*to))
 		if name != "pools" {
--- a/internal/fleet/namespace/verbs.go
+++ b/internal/fleet/namespace/verbs.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// Verbs is a set of what a grant allows.
+// Verbs is the set of actions that a grant allows.
 type Verbs uint8
 
 // The verbs of a grant.
 const (
 	MayRoute    Verbs = 1 << iota // change namespaces
 	MayLimit                      // change the limits of accounts below
-	MayDelegate                   // make and remove accounts below, and their grants
+	MayDelegate                   // create and remove accounts below, and their grants
 )
 
-// verbNames are in the order of the bits.
+// verbNames lists the names in the order of the bits.
 var verbNames = []string{"route", "limit", "delegate"}
 
-// ParseVerbs reads verbs separated by spaces; ok: there is at least one, and each is known.
+// ParseVerbs parses verbs separated by spaces. ok reports whether there is at least one verb and
+// all are known.
 func ParseVerbs(s string) (v Verbs, ok bool) {
 	for _, name := range strings.Fields(s) {
 		i := slices.Index(verbNames, name)
@@ -30,7 +31,7 @@
 	return v, v != 0
 }
 
-// String writes verbs as ParseVerbs reads them.
+// String returns the verbs in the form that ParseVerbs accepts.
 func (v Verbs) String() string {
 	var names []string
 	for i, name := range verbNames {
