--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -43,17 +43,17 @@
 		{Request{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
-		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // guard of the parent account
-		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // more specific than route g
-		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // takes precedence over the operators' default
-		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},                             //
-		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool},                                             // another customer's route ab does not apply
-		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
-		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},                               //
-		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
-		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                                // account names are not tenants
-		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window excludes its end
-		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
+		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},           // guard of the parent account
+		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},             // more specific than route g
+		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"}, // takes precedence over the operators' default
+		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool}, // another customer's route ab does not apply
+		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},
+		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},
+		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},
+		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                    // account names are not tenants
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"}, // the window excludes its end
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""},
 	} {
 		v := c.Evaluate(x.q)
 		pool := ""
@@ -135,7 +135,7 @@
 		}()...),
 	} {
 		if _, err := Compile(b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("Compile(%+v) = %v, want an error with %q", b, err, want)
+			t.Errorf("Compile = %v, want an error that contains %q", err, want)
 		}
 	}
 }
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -155,7 +155,7 @@
 		g.Verbs, ok = ParseVerbs(s)
 		return ok
 	})
-	f.Text("until", "last day on which the key is valid, to its end in UTC", "a day such as 2027-01-31", new(string), func(s string) bool {
+	f.Text("until", "last day of the grant, which ends at the end of that day in UTC", "a day such as 2027-01-31", new(string), func(s string) bool {
 		t, err := time.Parse(time.DateOnly, s)
 		g.Until = t.AddDate(0, 0, 1).Unix()
 		return err == nil
--- a/internal/fleet/watermark/codec.go
+++ b/internal/fleet/watermark/codec.go
@@ -7,7 +7,7 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// The first number of a datagram.
+// The message kinds: the first number of a datagram.
 const (
 	kindGossip = 1 + iota
 	kindQuery
@@ -15,23 +15,23 @@
 
 const (
 	maxHostBytes = 64
-	validityUnit = 100e6 // nanoseconds in which a watermark's validity is written
-	maxValidity  = uint64(Lifetime / validityUnit)
+	validityUnit = 100e6                           // nanoseconds; resolution of an encoded validity
+	maxValidity  = uint64(Lifetime / validityUnit) // in units of validityUnit
 )
 
 var errMalformed = errors.New("watermark: malformed datagram")
 
-// message is one datagram: a gossip or a query.
+// message is one datagram: gossip or a query.
 type message struct {
-	source uint32 // of the lists: revisions are comparable within one source only
-	body   any
+	source uint32 // source of the lists; revisions are comparable only within one source
+	body   any    // gossip or query
 }
 
 type (
-	// gossip is watermarks that the sender knows.
+	// gossip carries watermarks that the sender knows.
 	gossip struct{ watermarks []Watermark }
-	// query requests what is newer than a revision.
-	query struct{ revision int64 } // below 0: the sender has no list
+	// query requests the watermarks of lists that are newer than a revision.
+	query struct{ revision int64 } // negative if the sender has no list
 )
 
 func newWriter(kind uint64, source uint32) *encoding.Writer {
@@ -43,7 +43,8 @@
 	return newWriter(kindQuery, source).Uint(uint64(max(noRevision, q.revision) + 1)).Data
 }
 
-// encode writes watermarks into as few datagrams of at most maxBytes as they need. One that fits in none is left out.
+// encode encodes watermarks in as few datagrams of at most maxBytes as possible. It leaves out a
+// watermark that does not fit in one.
 func (g gossip) encode(source uint32, maxBytes int) (datagrams [][]byte) {
 	header := newWriter(kindGossip, source).Data
 	data := header
@@ -70,7 +71,7 @@
 		Uint(uint64(max(0, w.ValidFor) / validityUnit)).Data
 }
 
-// decode reads a datagram; one that is malformed in part is rejected completely.
+// decode decodes a datagram. If any part is malformed, it rejects the whole datagram.
 func decode(data []byte) (message, error) {
 	r := encoding.Reader{Data: data}
 	kind, source := r.Uint(), r.Uint()
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -7,45 +7,47 @@
 	"time"
 )
 
-// PayloadChannel is this package's channel among those that membership carries.
+// PayloadChannel identifies the payloads of this package among those that membership carries.
 const PayloadChannel = 'f'
 
-// Transport carries datagrams to the other members, which are known by their ids.
+// Transport sends datagrams to the other members, which are identified by their IDs.
 type Transport interface {
 	SendPayload(member uint32, channel byte, data []byte)
-	MaxPayload() int  // bytes of one datagram
-	Others() []uint32 // members that may be alive
+	MaxPayload() int  // largest datagram in bytes
+	Others() []uint32 // other members that may be alive
 }
 
-// Clock gives the time, and calls functions on the event loop.
+// Clock returns the time and calls functions on the event loop.
 type Clock interface {
 	Now() Time
 	After(d time.Duration, f func())
 }
 
 const (
-	// maxGossipDelay bounds the random delay before a proxy gossips a change of its list. Of all that have it from discovery the one with the shortest
-	// delay sends it; the others find that it was sent, and need not.
+	// maxGossipDelay bounds the random delay before a proxy gossips a change of its list. Of all
+	// proxies that received the change from discovery, the one with the shortest delay sends it.
+	// The others see that it was sent, and do not send it.
 	maxGossipDelay = 100 * time.Millisecond
-	// Each member queries one other now and then for what it may have missed. The interval grows with the fleet, so that all together send fifty
-	// queries a second at most.
+	// Each member periodically queries one other member for watermarks that it may have missed. The
+	// interval grows with the fleet, so that all members together send at most fifty queries per
+	// second.
 	minQueryInterval       = time.Second
 	queryIntervalPerMember = 20 * time.Millisecond
 	updateInterval         = minQueryInterval / 4
-	forwardCount           = 3  // others to which a member forwards a watermark that is new to it
-	maxDatagrams           = 16 // to a member at a time
+	forwardCount           = 3  // random members to which a member forwards a watermark that is new to it
+	maxDatagrams           = 16 // sent to one member at a time
 	maxRefetchBackoff      = 30 * time.Second
 )
 
-// Link sends and receives watermarks. It belongs to the event loop.
+// Link sends and receives watermarks. All its methods must be called on the event loop.
 type Link struct {
 	Transport    Transport
 	Clock        Clock
 	Rand         *rand.Rand
-	Source       func() uint32 // of the own list now: revisions are comparable within one source only
-	RefetchAfter time.Duration // for how long the list may be behind before it is fetched from discovery again
+	Source       func() uint32 // returns the source of the own list; revisions are comparable only within one source
+	RefetchAfter time.Duration // how long the list may be behind before it is fetched from discovery again
 	RefetchList  func()
-	HostsChanged func(hosts []string) // called with hosts that are out now, or no longer
+	HostsChanged func(hosts []string) // called with the hosts for which Blocks has changed
 
 	registry    *Registry
 	source      uint32
@@ -55,7 +57,8 @@
 	closed      bool
 }
 
-// pendingGossip is what is sent to all others after a random delay, unless another member has sent it by then.
+// pendingGossip holds the watermarks that are sent to all other members after a random delay,
+// unless another member has sent them by then.
 type pendingGossip struct {
 	watermarks []Watermark
 	scheduled  bool
@@ -66,9 +69,9 @@
 	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
 }
 
-// refetchBackoff says when a list that stays behind is fetched again.
+// refetchBackoff decides when a list that stays behind is fetched again.
 type refetchBackoff struct {
-	lastAt Time // of the last fetch; 0: none since the list was last up to date
+	lastAt Time // time of the last fetch; 0 if there was none since the list was last up to date
 	wait   time.Duration
 }
 
@@ -78,18 +81,19 @@
 
 func (b *refetchBackoff) fetched(now Time) { b.lastAt, b.wait = now, min(2*b.wait, maxRefetchBackoff) }
 
-// Run starts the link; it must be called once.
+// Run starts the link. It must be called once, before any other method.
 func (l *Link) Run() {
 	l.registry, l.source, l.refetch = NewRegistry(), l.Source(), refetchBackoff{wait: l.RefetchAfter}
 	l.lastQueryAt = l.Clock.Now() - Time(l.Rand.Int64N(int64(minQueryInterval)))
 	l.periodicUpdate()
 }
 
-// Close ends the link: it sends and receives nothing more.
+// Close stops the link. It sends and receives nothing afterwards.
 func (l *Link) Close() { l.closed = true }
 
-// ReceiveList takes the own endpoint list, complete or as a change, and names hosts that are out now, or no longer. A list of another source drops all
-// that is known: revisions are comparable within one source only.
+// ReceiveList updates the own endpoint list, which is either complete or a change, and returns the
+// hosts for which Blocks has changed. A list of another source discards all known watermarks,
+// because revisions are comparable only within one source.
 func (l *Link) ReceiveList(revision int64, complete bool, hosts []ListedHost) (changed []string) {
 	if s := l.Source(); s != l.source {
 		l.source, l.pending.watermarks, changed = s, nil, l.registry.Reset()
@@ -106,12 +110,14 @@
 	return append(changed, ended...)
 }
 
-// Blocks reports whether a host that the own list calls usable gets nothing new. startedAt is in Unix milliseconds.
+// Blocks reports whether a host that is up in the own list must get nothing new. startedAt is in
+// Unix milliseconds.
 func (l *Link) Blocks(host string, startedAt int64) bool {
 	return l.registry.Blocks(l.Clock.Now(), host, startedAt)
 }
 
-// gossipPending sends to all others what no other member has sent meanwhile.
+// gossipPending sends the pending watermarks that no other member has sent meanwhile to all other
+// members.
 func (l *Link) gossipPending() {
 	unsent := slices.DeleteFunc(l.pending.watermarks, l.registry.wasGossiped)
 	l.pending = pendingGossip{}
@@ -121,7 +127,7 @@
 	l.send(unsent, l.Transport.Others()...)
 }
 
-// send sends watermarks to some members, as many as maxDatagrams hold.
+// send sends watermarks to the given members, at most maxDatagrams datagrams to each.
 func (l *Link) send(watermarks []Watermark, members ...uint32) {
 	datagrams := gossip{watermarks}.encode(l.source, l.Transport.MaxPayload())
 	for _, member := range members {
@@ -131,12 +137,14 @@
 	}
 }
 
+// query requests the watermarks that are newer than the own list from a member.
 func (l *Link) query(now Time, member uint32) {
 	l.lastQueryAt = now
 	l.Transport.SendPayload(member, PayloadChannel, query{l.registry.Revision()}.encode(l.source))
 }
 
-// Receive takes a datagram of another member. One that is malformed, or whose revisions are of another source and so not comparable, is ignored.
+// Receive handles a datagram from another member. It ignores a malformed datagram, and one whose
+// revisions belong to another source and are therefore not comparable.
 func (l *Link) Receive(from uint32, data []byte) {
 	m, err := decode(data)
 	if err != nil || l.closed || m.source != l.source {
@@ -157,7 +165,8 @@
 	l.notifyChanged(changed)
 }
 
-// handleQuery answers, and queries in turn a member that has a newer list.
+// handleQuery replies with newer watermarks. If the sender has a newer list, it also queries the
+// sender.
 func (l *Link) handleQuery(from uint32, q query) {
 	now, own := l.Clock.Now(), l.registry.Revision()
 	l.send(l.registry.NewerThan(now, q.revision), from)
@@ -166,7 +175,8 @@
 	}
 }
 
-// forward sends what is new here to a few others, drawn at random: so it reaches nearly all, also those to which the sender's datagram was lost.
+// forward sends the watermarks that are new here to a few random members. They reach nearly all
+// members this way, including those that did not receive the sender's datagram.
 func (l *Link) forward(watermarks []Watermark, changed []string) {
 	others := l.Transport.Others()
 	fresh := slices.DeleteFunc(slices.Clone(watermarks), func(w Watermark) bool { return !slices.Contains(changed, w.Host) })
@@ -178,7 +188,8 @@
 	}
 }
 
-// periodicUpdate drops watermarks that have expired, queries one other member, and has the list fetched again where it stays behind.
+// periodicUpdate drops expired watermarks, queries one other member, and refetches the list if it
+// stays behind.
 func (l *Link) periodicUpdate() {
 	if l.closed {
 		return
--- a/internal/fleet/watermark/link_test.go
+++ b/internal/fleet/watermark/link_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// testFleet is members in virtual time, with one clock, and faults between them.
+// testFleet simulates members in virtual time, with one clock and faults between them.
 type testFleet struct {
 	now        Time
 	due        eventQueue
 	rng        *rand.Rand
 	links      []*Link
 	transports []*faultyTransport
-	loss       float64
-	sent       int
-	refetches  []int
+	loss       float64 // probability that a datagram is lost
+	sent       int     // datagrams, including lost ones
+	refetches  []int   // by member
 }
 
-// event is a call at a time; sequence orders those at the same time.
+// event is a call at a time. sequence orders events at the same time.
 type event struct {
 	at       Time
 	sequence int
@@ -104,7 +104,7 @@
 	return f
 }
 
-// countBlocking is how many members place nothing new at a host.
+// countBlocking returns the number of members that block a host.
 func (f *testFleet) countBlocking(host string) (n int) {
 	for _, l := range f.links {
 		if l.Blocks(host, 1) {
@@ -114,8 +114,9 @@
 	return n
 }
 
-// One member alone has a change from discovery: it reaches all others, also with a third of all datagrams lost, and a member that was cut off once
-// it is back.
+// Only one member receives a change from discovery. It reaches all other members although a third
+// of all datagrams is lost, and it reaches a member that was isolated once that member is connected
+// again.
 func TestGossipReachesAll(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		f := newTestFleet(n, uint64(n))
@@ -126,23 +127,24 @@
 		f.run(200 * 1e6)
 		soon := f.countBlocking("a")
 		if soon < (n-2)*9/10 || soon > n-2 {
-			t.Errorf("%d members: %d know within 200 ms, with a third of all datagrams lost", n, soon)
+			t.Errorf("%d members: %d block host a after 200 ms with a third of all datagrams lost, want %d to %d", n, soon, (n-2)*9/10, n-2)
 		}
-		f.run(25 * second) // some rounds of queries
+		f.run(25 * second) // several rounds of queries
 		if got := f.countBlocking("a"); got < (n-2)*99/100 {
-			t.Errorf("%d members: %d know in the end", n, got)
+			t.Errorf("%d members: %d block host a after 25 s, want at least %d", n, got, (n-2)*99/100)
 		}
-		t.Logf("%d members, a third of all datagrams lost: %d know within 200 ms, %d of %d later; %d datagrams", n, soon, f.countBlocking("a"), n-2, f.sent)
+		t.Logf("%d members, a third of all datagrams lost: %d block host a after 200 ms, %d of %d later; %d datagrams", n, soon, f.countBlocking("a"), n-2, f.sent)
 		f.transports[n-1].isolated, f.loss = false, 0
 		f.links[0].ReceiveList(7, false, []ListedHost{{"b", 1, Gone}})
 		f.run(200 * 1e6)
 		if got := f.countBlocking("b"); got != n-1 {
-			t.Errorf("%d members: %d know of b", n, got)
+			t.Errorf("%d members: %d block host b without faults, want %d", n, got, n-1)
 		}
 	}
 }
 
-// All members have the same change from discovery within 20 ms, as is usual: one or a few gossip it, and the others need not.
+// All members receive the same change from discovery within 20 ms, which is the usual case. Only a
+// few of them may gossip it.
 func TestGossipIsNotDuplicated(t *testing.T) {
 	const n = 300
 	f := newTestFleet(n, 9)
@@ -153,46 +155,48 @@
 	}
 	f.run(second / 2)
 	if sent := f.sent - before; sent > n*n/3 {
-		t.Errorf("%d datagrams, expected %d at most", sent, n*n/3)
+		t.Errorf("%d members sent %d datagrams, want at most %d", n, sent, n*n/3)
 	} else {
 		t.Logf("%d datagrams; if all gossiped, %d", sent, n*(n-1))
 	}
 	if f.countBlocking("a") > 0 {
-		t.Error("a host is out by a watermark that is no newer than the own list")
+		t.Error("a watermark that is not newer than the own list blocks a host")
 	}
 }
 
-// A proxy that stays behind refetches its list, with a backoff while that does not help, and stops once its list has caught up.
+// A proxy whose list stays behind refetches it, with a growing backoff while that does not help,
+// and stops once the list has caught up.
 func TestListThatIsBehindIsRefetched(t *testing.T) {
 	f := newTestFleet(3, 5)
 	f.links[0].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
 	f.run(60 * second)
 	if f.refetches[0] > 0 || f.refetches[1] < 3 || f.refetches[1] > 6 {
-		t.Errorf("refetches by member: %v", f.refetches)
+		t.Errorf("refetches by member = %v, want 0 at member 0 and 3 to 6 at member 1", f.refetches)
 	}
 	f.links[1].ReceiveList(6, false, []ListedHost{{"a", 1, Gone}})
 	f.links[2].ReceiveList(6, true, []ListedHost{{"b", 1, Up}})
 	before := fmt.Sprint(f.refetches)
 	f.run(60 * second)
 	if got := fmt.Sprint(f.refetches); got != before || f.countBlocking("a") > 0 {
-		t.Errorf("refetches by member: %s, %s before; %d members have host a out", got, before, f.countBlocking("a"))
+		t.Errorf("refetches by member = %s after the lists caught up, want %s as before; %d members block host a, want 0", got, before, f.countBlocking("a"))
 	}
 }
 
-// An agent that pushes an old list after an outage does not revoke what the newer one said; revisions of another source have no effect.
+// An agent that pushes an old list after an outage does not release a host that the newer list had
+// as draining. Revisions of another source have no effect.
 func TestOlderListDoesNotRevoke(t *testing.T) {
 	f := newTestFleet(2, 6)
 	f.transports[0].isolated = true
 	f.links[0].ReceiveList(8, false, []ListedHost{{"a", 1, Draining}})
 	if ids := f.links[0].ReceiveList(5, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}}); len(ids) != 1 || !f.links[0].Blocks("a", 1) || f.links[0].Blocks("b", 1) {
-		t.Error("list 8 has drained a, and the older list 5 has revoked that:", ids)
+		t.Errorf("after list 8 drained host a and the older list 5 arrived: changed hosts = %v, want only a, and only a blocked", ids)
 	}
 	if f.links[0].Blocks("a", 2) {
-		t.Error("a watermark holds for a host that has started since")
+		t.Error("a watermark blocks a host that has restarted since")
 	}
 	f.run(Lifetime)
 	if f.links[0].Blocks("a", 1) {
-		t.Error("a watermark holds beyond its lifetime, though the source's revisions may have restarted")
+		t.Error("a watermark blocks a host beyond its lifetime, although the source's revisions may have restarted")
 	}
 	f.transports[0].isolated = false
 	f.links[0].ReceiveList(9, false, []ListedHost{{"b", 1, Gone}})
@@ -201,6 +205,6 @@
 	f.links[1].ReceiveList(3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Up}})
 	f.run(5 * second)
 	if f.links[1].Blocks("b", 1) {
-		t.Error("revisions of two sources were compared")
+		t.Error("a watermark of another source blocks host b: revisions of two sources were compared")
 	}
 }
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// noRevision is the revision where there is no list.
+// noRevision is the revision if there is no list.
 const noRevision = -1
 
-// ownHost is what the own endpoint list says of a host.
+// ownHost is the entry of a host in the own endpoint list.
 type ownHost struct {
 	startedAt int64
 	state     State
-	revision  int64 // of the list that brought this state
+	revision  int64 // of the list that introduced this state
 	since     Time  // when this state was received
 }
 
@@ -21,44 +21,46 @@
 	return Watermark{host, o.startedAt, o.revision, o.state, Lifetime}
 }
 
-// receivedWatermark is a watermark from another proxy.
+// receivedWatermark is a watermark from another proxy, or one kept from a newer own list.
 type receivedWatermark struct {
 	Watermark
 	expiresAt    Time // when it expires
-	blockedSince Time // when the first was received of those that have kept the host out without a gap
+	blockedSince Time // when the first of the watermarks that have blocked the host without a gap was received
 }
 
-// Registry is what one proxy knows: its own list, and what others' newer ones say. A host is out here only by a watermark whose revision is newer
-// than the own list's, so a proxy with the newest list is never overruled.
+// Registry holds what one proxy knows: its own list, and the watermarks of others' newer lists. A
+// host is blocked only by a watermark whose revision is newer than the own list's, so a proxy with
+// the newest list is never overruled.
 type Registry struct {
-	revision int64 // of the own list; under 0: there is none
+	revision int64 // of the own list; negative if there is none
 	own      map[string]ownHost
 	received map[string]receivedWatermark
-	gossiped map[string]int64 // by host: the newest revision that others have gossiped lately
+	gossiped map[string]int64 // by host: the newest revision that other proxies have gossiped recently
 }
 
-// NewRegistry knows nothing.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{revision: noRevision, own: map[string]ownHost{}, received: map[string]receivedWatermark{}, gossiped: map[string]int64{}}
 }
 
-// Revision is the own list's; under 0: there is none.
+// Revision returns the revision of the own list. It is negative if there is none.
 func (r *Registry) Revision() int64 { return r.revision }
 
-// Reset forgets everything, for a list that comes from another source from now on: its revisions can't be compared with those before. It gives the
-// hosts that had watermarks.
+// Reset clears the registry for a list from another source, whose revisions are not comparable with
+// the earlier ones. It returns the hosts that had received watermarks.
 func (r *Registry) Reset() (hosts []string) {
 	hosts = slices.Sorted(maps.Keys(r.received))
 	*r = *NewRegistry()
 	return hosts
 }
 
-// UpdateList takes the own list, complete or as a change. fresh is the watermarks that it says for the first time; a first list, or a complete one
-// that is older than the last, has none, since the others have the same from discovery. changed names hosts for which a watermark holds no longer,
-// or holds now.
+// UpdateList updates the own list, which is either complete or a change. fresh holds the watermarks
+// that the list introduces. It is empty for a first list and for a complete list that is older than
+// the last, because the others receive the same list from discovery. changed holds the hosts that a
+// watermark blocks no longer, or blocks now.
 func (r *Registry) UpdateList(now Time, revision int64, complete bool, hosts []ListedHost) (fresh []Watermark, changed []string) {
 	if !complete && revision < r.revision {
-		return nil, nil // a change of an older list
+		return nil, nil // a change to an older list
 	}
 	firstOrOlder := r.revision < 0 || revision < r.revision
 	if revision < r.revision {
@@ -77,8 +79,9 @@
 	return fresh, changed
 }
 
-// keepNewerEntries drops the own list for a complete one that is older, as an agent may push after an outage. What the newer one has said of hosts
-// that drain or are gone is not revoked: it holds as another proxy's watermarks do.
+// keepNewerEntries clears the own list before a complete one that is older replaces it; an agent
+// may push an older list after an outage. Hosts that were draining or gone in the newer list are
+// not released: they are kept as watermarks like those from other proxies.
 func (r *Registry) keepNewerEntries(now Time, revision int64) (changed []string) {
 	for host, o := range r.own {
 		w, known := r.received[host]
@@ -91,7 +94,8 @@
 	return changed
 }
 
-// updateUnlisted marks hosts gone that a complete list does not name, and forgets those that have been gone for goneRetention.
+// updateUnlisted marks the hosts that a complete list does not name as gone, and forgets those that
+// have been gone for goneRetention.
 func (r *Registry) updateUnlisted(now Time, revision int64, complete bool, hosts []ListedHost, fresh []Watermark) []Watermark {
 	named := make(map[string]bool, len(hosts))
 	for _, h := range hosts {
@@ -107,6 +111,8 @@
 	return fresh
 }
 
+// updateHost updates one host of the own list and appends its watermark to fresh if the host is
+// newly draining or gone.
 func (r *Registry) updateHost(now Time, revision int64, h ListedHost, fresh []Watermark) []Watermark {
 	o, had := r.own[h.Host]
 	if had && o.state == h.State && o.startedAt == h.StartedAt {
@@ -123,7 +129,8 @@
 	return append(fresh, o.watermark(h.Host))
 }
 
-// dropOutdated drops watermarks of lists that are no newer than the own one.
+// dropOutdated drops watermarks of lists that are not newer than the own list, and returns their
+// hosts.
 func (r *Registry) dropOutdated() (hosts []string) {
 	for host, w := range r.received {
 		if w.Revision <= r.revision {
@@ -134,7 +141,7 @@
 	return hosts
 }
 
-// Merge takes another proxy's watermarks. changed names the hosts for which Out has changed.
+// Merge adds watermarks of other proxies' lists and returns the hosts for which Blocks has changed.
 func (r *Registry) Merge(now Time, all []Watermark) (changed []string) {
 	for _, w := range all {
 		if r.merge(now, w) {
@@ -170,14 +177,14 @@
 	return r.Blocks(now, w.Host, r.own[w.Host].startedAt) != wasBlocked
 }
 
-// Blocks reports whether a host that the own list calls usable gets nothing new, by a watermark of a newer list. A host that has restarted since
-// is not meant.
+// Blocks reports whether a watermark of a newer list blocks a host that the own list has as up. A
+// watermark does not apply to a host that started after the watermark's StartedAt.
 func (r *Registry) Blocks(now Time, host string, startedAt int64) bool {
 	w, received := r.received[host]
 	return received && now < w.expiresAt && w.Revision > r.revision && startedAt <= w.StartedAt
 }
 
-// Expire drops watermarks whose time has passed, and names their hosts.
+// Expire drops expired watermarks and returns their hosts, sorted.
 func (r *Registry) Expire(now Time) (changed []string) {
 	for host, w := range r.received {
 		if now >= w.expiresAt {
@@ -189,7 +196,8 @@
 	return changed
 }
 
-// BehindSince is since when the own list has called a host usable that a newer list keeps out here; 0: there is none.
+// BehindSince returns since when a newer list has blocked a host that the own list has as up, or 0
+// if there is no such host.
 func (r *Registry) BehindSince(now Time) (since Time) {
 	for host, w := range r.received {
 		o, listed := r.own[host]
@@ -200,8 +208,9 @@
 	return since
 }
 
-// NewerThan is all watermarks of lists newer than a revision, sorted by revision: the own list's with a full lifetime, and those received with what
-// is left of theirs. So no watermark is prolonged by being passed around.
+// NewerThan returns all watermarks of lists newer than revision, sorted by revision. Those of the
+// own list have a full lifetime. Received ones have the rest of theirs, so that forwarding does not
+// prolong a watermark.
 func (r *Registry) NewerThan(now Time, revision int64) []Watermark {
 	var all []Watermark
 	for host, o := range r.own {
@@ -222,11 +231,11 @@
 	return all
 }
 
-// recordGossip records what others have sent, so that this proxy need not send it too.
+// recordGossip records what other proxies have sent, so that this proxy does not send it too.
 func (r *Registry) recordGossip(all []Watermark) {
 	for _, w := range all {
 		if len(r.gossiped) >= maxWatermarks {
-			clear(r.gossiped) // costs duplicate messages, and nothing else
+			clear(r.gossiped) // only causes duplicate messages
 		}
 		r.gossiped[w.Host] = max(r.gossiped[w.Host], w.Revision)
 	}
--- a/internal/fleet/watermark/registry_test.go
+++ b/internal/fleet/watermark/registry_test.go
@@ -16,22 +16,22 @@
 	r := NewRegistry()
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}, {"b", 100, Up}})
 	if c := r.Merge(second, []Watermark{{"a", 100, 5, Draining, Lifetime}}); len(c) > 0 || r.Blocks(second, "a", 100) {
-		t.Error("a watermark of a list that is no newer takes a host out")
+		t.Errorf("Merge of a watermark that is not newer than the own list changed %v, want no host, and host a not blocked", c)
 	}
 	if c := r.Merge(second, []Watermark{{"a", 100, 7, Draining, Lifetime}}); !contains(c, "a") || !r.Blocks(second, "a", 100) || r.Blocks(second, "b", 100) {
-		t.Error("a watermark of a newer list does not take out its host alone:", c)
+		t.Errorf("Merge of a watermark of a newer list changed %v, want host a, and only host a blocked", c)
 	}
 	if r.Blocks(second, "a", 101) {
-		t.Error("a host that has started since is out")
+		t.Error("a watermark blocks a host that has restarted since")
 	}
 	if r.BehindSince(3*second) != second {
-		t.Errorf("behind since %d, expected %d", r.BehindSince(3*second), second)
+		t.Errorf("BehindSince = %d, want %d", r.BehindSince(3*second), second)
 	}
 	if _, c := r.UpdateList(4*second, 6, false, []ListedHost{{"b", 100, Up}}); len(c) > 0 || !r.Blocks(4*second, "a", 100) {
-		t.Error("an own list that is still older revokes a watermark")
+		t.Errorf("an own list that is still older than the watermark changed %v, want no host, and host a blocked", c)
 	}
 	if _, c := r.UpdateList(5*second, 7, false, nil); !contains(c, "a") || r.Blocks(5*second, "a", 100) || r.BehindSince(5*second) != 0 {
-		t.Error("an own list that is as new does not revoke a watermark")
+		t.Errorf("an own list that is as new as the watermark changed %v, want host a, which is no longer blocked, and BehindSince = 0", c)
 	}
 }
 
@@ -40,53 +40,55 @@
 	r.UpdateList(0, 5, true, []ListedHost{{"a", 100, Up}})
 	r.Merge(0, []Watermark{{"a", 100, 9, Gone, 10 * second}})
 	if c := r.Expire(9 * second); len(c) > 0 || !r.Blocks(9*second, "a", 100) {
-		t.Error("it has expired too early")
+		t.Errorf("Expire after 9 s of 10 s returned %v, want no host, and host a blocked", c)
 	}
-	// Passed to another proxy and back it has less time left, and is not prolonged.
+	// A watermark that another proxy sends back has less time left, so it is not prolonged.
 	other := NewRegistry()
 	other.Merge(4*second, r.NewerThan(4*second, 0))
 	r.Merge(8*second, other.NewerThan(8*second, 0))
 	if c := r.Expire(10 * second); !contains(c, "a") || r.Blocks(10*second, "a", 100) {
-		t.Error("it has not expired")
+		t.Errorf("Expire after 10 s returned %v, want host a, and host a not blocked", c)
 	}
 }
 
-// A host that a complete list no longer names is gone; a first list has nothing to gossip; a host that is back has no watermark.
+// A host that a complete list no longer names is gone. A first list has no fresh watermarks. A host
+// that is up again has no watermark.
 func TestFreshWatermarks(t *testing.T) {
 	r := NewRegistry()
 	if fresh, _ := r.UpdateList(0, 1, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}, {"c", 1, Up}}); len(fresh) > 0 {
-		t.Error("a first list is gossiped:", fresh)
+		t.Errorf("fresh watermarks of a first list = %v, want none", fresh)
 	}
 	fresh, _ := r.UpdateList(second, 3, true, []ListedHost{{"a", 1, Up}, {"b", 1, Draining}})
 	if want := []Watermark{{"c", 1, 3, Gone, Lifetime}}; !slices.Equal(fresh, want) {
-		t.Errorf("fresh watermarks are %v, expected %v", fresh, want)
+		t.Errorf("fresh watermarks = %v, want %v", fresh, want)
 	}
 	if got, want := r.NewerThan(second, 0), []Watermark{{"b", 1, 1, Draining, Lifetime}, {"c", 1, 3, Gone, Lifetime}}; !slices.Equal(got, want) {
-		t.Errorf("watermarks are %v, expected %v", got, want)
+		t.Errorf("NewerThan(0) = %v, want %v", got, want)
 	}
 	r.UpdateList(2*second, 4, false, []ListedHost{{"c", 50, Up}, {"b", 60, Up}})
 	if got := r.NewerThan(2*second, 0); len(got) > 0 {
-		t.Error("hosts that are back have watermarks:", got)
+		t.Errorf("NewerThan(0) with all hosts up again = %v, want none", got)
 	}
 	if fresh, _ := r.UpdateList(3*second, 2, false, []ListedHost{{"a", 1, Draining}}); len(fresh) > 0 || len(r.NewerThan(3*second, 0)) > 0 {
-		t.Error("a change of an older list has an effect")
+		t.Errorf("a change to an older list has an effect: fresh watermarks = %v, NewerThan(0) = %v, want none", fresh, r.NewerThan(3*second, 0))
 	}
 }
 
-// blockedEntry is that a list has a host out.
+// blockedEntry identifies a list entry of a host that is draining or gone.
 type blockedEntry struct {
 	host      string
 	startedAt int64
 	revision  int64
 }
 
-// gossipModel is three registries that get discovery's list, and one another's watermarks, at drawn times.
+// gossipModel runs three registries that receive discovery's list, and one another's watermarks, at
+// random times.
 type gossipModel struct {
 	now         Time
 	revision    int64 // of discovery's list
 	hosts       map[string]ListedHost
 	registries  []*Registry
-	lastBlocked map[blockedEntry]Time // when a registry's list last had a host out
+	lastBlocked map[blockedEntry]Time // when a registry's list last contained the entry
 }
 
 var modelHosts = []string{"a", "b", "c"}
@@ -102,7 +104,7 @@
 	return m
 }
 
-// list is discovery's list: hosts that are gone are not in it.
+// list returns discovery's list, which omits hosts that are gone.
 func (m *gossipModel) list() (all []ListedHost) {
 	for _, host := range modelHosts {
 		if h := m.hosts[host]; h.State != Gone {
@@ -112,7 +114,8 @@
 	return all
 }
 
-// step draws one event: a change of discovery's list, its delivery, gossip between two registries, or a check for expired watermarks.
+// step runs one random event: a change of discovery's list, its delivery, gossip between two
+// registries, or the expiry of watermarks.
 func (m *gossipModel) step(rt *rapid.T) {
 	m.now += Time(rapid.IntRange(1, 8000).Draw(rt, "ms")) * 1e6
 	from := m.registries[rapid.IntRange(0, 2).Draw(rt, "from")]
@@ -144,18 +147,21 @@
 	}
 }
 
-// check checks that each host that is out somewhere is out by a list that is newer than the registry's own, within Lifetime.
+// check verifies that each blocked host is blocked by a list that is newer than the registry's own,
+// within Lifetime.
 func (m *gossipModel) check(rt *rapid.T) {
 	for i, r := range m.registries {
 		for _, host := range modelHosts {
 			startedAt := r.own[host].startedAt
 			if r.Blocks(m.now, host, startedAt) && (!m.blockedByNewerList(r, host, startedAt) || r.Revision() == m.revision) {
-				rt.Fatalf("at registry %d, with list %d of %d, host %s is out by no newer list", i, r.Revision(), m.revision, host)
+				rt.Fatalf("registry %d with list %d of %d blocks host %s, which no newer list has as draining or gone", i, r.Revision(), m.revision, host)
 			}
 		}
 	}
 }
 
+// blockedByNewerList reports whether a list newer than the registry's had the host as draining or
+// gone within Lifetime.
 func (m *gossipModel) blockedByNewerList(r *Registry, host string, startedAt int64) bool {
 	for s, at := range m.lastBlocked {
 		if s.host == host && s.startedAt >= startedAt && s.revision > r.Revision() && m.now-at < Lifetime {
@@ -165,8 +171,9 @@
 	return false
 }
 
-// Whatever is gossiped, lost and repeated: a host is out only if a list newer than the own one had it so, for this start of the host, within
-// Lifetime; a proxy with the newest list has no host out.
+// Whatever is gossiped, lost and repeated, a host is blocked only if a list newer than the own one
+// had it as draining or gone, for this start of the host, within Lifetime. A proxy with the newest
+// list blocks no host.
 func TestBlockedOnlyByNewerList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newGossipModel()
@@ -187,7 +194,7 @@
 		r.UpdateList(0, 1, false, []ListedHost{{id, 1, Draining}})
 	}
 	if len(r.received) > maxWatermarks || len(r.gossiped) > maxWatermarks || len(r.own) > maxWatermarks {
-		t.Errorf("%d received, %d gossiped, %d own hosts, expected %d each at most", len(r.received), len(r.gossiped), len(r.own), maxWatermarks)
+		t.Errorf("registry has %d received, %d gossiped and %d own hosts, want at most %d of each", len(r.received), len(r.gossiped), len(r.own), maxWatermarks)
 	}
 }
 
@@ -205,16 +212,16 @@
 	for _, data := range (gossip{all}).encode(7, 180) {
 		m, err := decode(data)
 		if len(data) > 180 || err != nil || m.source != 7 {
-			t.Fatal(len(data), err, m)
+			t.Fatalf("decode of %d bytes = %v, error %v; want at most 180 bytes and source 7", len(data), m, err)
 		}
 		got = append(got, m.body.(gossip).watermarks...)
 	}
 	if !slices.Equal(got, all) {
-		t.Error("watermarks are decoded otherwise than they were encoded")
+		t.Errorf("decoded watermarks = %v, want %v", got, all)
 	}
 	want := query{noRevision}
 	if m, err := decode(want.encode(9)); err != nil || m.body != want || m.source != 9 {
-		t.Errorf("a query is decoded as %v, %v", m, err)
+		t.Errorf("decode of a query = %v, error %v; want %v and source 9", m, err, want)
 	}
 }
 
@@ -230,7 +237,7 @@
 		if len(g.watermarks) > 0 {
 			again, err := decode(g.encode(m.source, 1<<20)[0])
 			if err != nil || !slices.Equal(again.body.(gossip).watermarks, g.watermarks) {
-				t.Fatalf("%v %v %v", m, again, err)
+				t.Fatalf("decode of the encoded message = %v, error %v; want %v", again, err, m)
 			}
 		}
 		r := NewRegistry()
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -6,14 +6,14 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Options are the section (floors …).
+// Options holds the values of the settings section (floors …).
 type Options struct {
-	Enabled      bool          // default off
-	Source       string        // names the source of discovery's lists, within which revisions are comparable; "": its address
-	RefetchAfter time.Duration // for how long a list may be behind before it is fetched again; default 2 s
+	Enabled      bool          // defaults to false
+	Source       string        // name of the source of discovery's lists, within which revisions are comparable; empty means its address
+	RefetchAfter time.Duration // how long a list may be behind before it is fetched again; defaults to 2 s
 }
 
-// Section is what operators write.
+// Section returns the settings section of Options.
 func Section() settings.Section {
 	return settings.Section{Name: "floors", Doc: "what proxies tell one another of hosts that drain or are gone", Bind: func(f *settings.Form) any {
 		o := Options{RefetchAfter: 2 * time.Second}
--- a/internal/fleet/watermark/watermark.go
+++ b/internal/fleet/watermark/watermark.go
@@ -1,23 +1,24 @@
-// Package watermark owns the gossip among proxies about upstream hosts that drain or are gone. A watermark is what one proxy's endpoint list says
-// of a host, with the list's revision: a proxy whose own list is older places nothing new at that host. A watermark only takes a host out; none
-// makes a host usable. In the operators' file the section is (floors ...). Registry decides, without I/O and with time passed in; Link sends and
-// receives the datagrams.
+// Package watermark implements gossip among proxies about upstream hosts that are draining or gone.
+// A watermark is the state of one host in a proxy's endpoint list, with the list's revision. A
+// proxy whose own list is older places nothing new at that host. A watermark only blocks a host; it
+// never makes one usable. The settings section is (floors ...). Registry decides, without I/O and
+// with the time passed in. Link sends and receives the datagrams.
 package watermark
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a number of nanoseconds on the caller's monotonic clock.
 type Time = int64
 
-// State is what a list says of a host.
+// State is the state of a host in an endpoint list.
 type State uint8
 
-// The states.
+// The states of a host.
 const (
 	Up State = iota
 	Draining
 	Gone
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Up:
@@ -30,22 +31,23 @@
 	return "unknown"
 }
 
-// Lifetime is how long a watermark holds after its list was last known to say so. Without it a wrong one, or one of a source whose revisions
-// restarted, would keep a host out for good.
+// Lifetime is how long a watermark is valid after its list was last known to have the host in this
+// state. Without it, a wrong watermark, or one of a source whose revisions restarted, would block a
+// host permanently.
 const Lifetime = Time(30e9)
 
 const (
-	maxWatermarks = 4096         // bounds each table of hosts here
-	goneRetention = 2 * Lifetime // for how long a host that has left the own list is still gossiped as gone
+	maxWatermarks = 4096         // most hosts in each table of a Registry, and watermarks waiting in a Link
+	goneRetention = 2 * Lifetime // how long a host that has left the own list is gossiped as gone
 )
 
-// Watermark says that one host is to get nothing new.
+// Watermark reports that one host must get no new requests.
 type Watermark struct {
 	Host      string
-	StartedAt int64 // Unix milliseconds of the start that is meant: a host that has started since is not
-	Revision  int64 // of the list that first had it so
+	StartedAt int64 // start of the host in Unix milliseconds; the watermark does not apply after a later start
+	Revision  int64 // of the list that first had the host in this state
 	State     State
-	ValidFor  Time // how much longer it holds
+	ValidFor  Time // remaining validity
 }
 
 // ListedHost is one host of the own endpoint list.
