--- a/internal/fleet/namespace/index.go
+++ b/internal/fleet/namespace/index.go
@@ -99,11 +99,13 @@
 	return c
 }
 
+// compareRoutes orders routes by key, then the most specific first.
 func compareRoutes(a, b compiledRoute) int {
 	return cmp.Or(cmp.Compare(a.key.group, b.key.group), cmp.Compare(a.key.prefix, b.key.prefix), cmp.Compare(a.key.class, b.key.class),
 		cmp.Compare(a.key.zone, b.key.zone), b.secondarySpecificity()-a.secondarySpecificity(), cmp.Compare(a.ShareFrom, b.ShareFrom), cmp.Compare(a.WindowBegin, b.WindowBegin))
 }
 
+// build fills the index with the routes of one list, or returns a *ValidationError.
 func (x *routeIndex) build(account string, routes []Route) error {
 	x.routes, x.firstByKey = make([]compiledRoute, 0, len(routes)), make(map[matchKey]int32, len(routes))
 	sets := map[conditionSet]bool{}
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -36,7 +36,7 @@
 		q       Request
 		account string
 		route   string
-		pool    string // "": rejected
+		pool    string // empty if the request is rejected
 	}{
 		{Request{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
 		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", MainPool},
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -22,7 +22,7 @@
 type Client struct {
 	Now           func() Time
 	GrantLifetime Time
-	FleetSize     int // number of proxies; without replies from the issuer each uses this fraction of a limit
+	FleetSize     int // number of proxies; without replies from the issuer, each uses an equal part of a limit
 	Limits        Limits
 	// SendQuery sends a query to a shard's issuer. The reply is passed to ReplyReceived with the
 	// same tag.
@@ -71,12 +71,15 @@
 	return c.shards[Shard(account)].grantsLapseAt + silentAfterGrantLifetimes*c.GrantLifetime
 }
 
+// usesOwnShare reports whether this proxy uses its own share of an account, because the issuer has
+// not replied for too long.
 func (c *Client) usesOwnShare(now Time, account string) bool { return now >= c.ownShareStart(account) }
 
 // Acquire reserves one more connection of an account. It calls done once, with the limit that the
 // request exceeds, or "" if the connection is reserved, and with the Retry-After of a rejected
 // request, which jitter (0 to 1) varies. If the issuer may have more to grant, Acquire queries it
-// at once, and done is called when a reply grants the connection or after maxGrantWait.
+// at once. RetryWaiting then calls done when a reply grants the connection or maxGrantWait has
+// passed.
 func (c *Client) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
 	exceeded, retryAfter, waits := c.acquireOrWait(account, jitter, done)
 	if !waits {
@@ -118,6 +121,8 @@
 	retryAfter time.Duration
 }
 
+// retryWaiting removes the requests from the queue that are decided, and returns them with their
+// results.
 func (c *Client) retryWaiting() (outcomes []finishedWait) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -187,8 +192,8 @@
 	return limit / max(1, c.FleetSize)
 }
 
-// CountExisting counts a connection that is already open, such as one taken over in a hot restart.
-// It ignores the limits.
+// CountExisting counts a connection that is already open, such as one taken over in a hot restart,
+// even if that exceeds the limits.
 func (c *Client) CountExisting(account string) { c.adjustOpen(account, 1) }
 
 // Release records that a connection of an account has closed.
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against permits that stay at proxies without demand: the proxies with demand must get
-// nearly the whole rate, first at one proxy, then at all.
+// TestGrantsFollowDemand guards against permits that stay at proxies without demand. The proxies
+// with demand must get nearly the whole rate, first with nearly all demand at one proxy, then with
+// demand at all.
 func TestGrantsFollowDemand(t *testing.T) {
 	f := newTestFleet(5, 1, map[string]Limit{"a": {Rate: 40}})
 	skewed := func(i int) float64 { return []float64{2, 0.02, 0, 0, 0}[i] }
@@ -76,10 +77,10 @@
 	}
 }
 
-// Runs random sequences of partitions, lost messages and issuer restarts. The connections acquired
-// in one second never exceed the sum of the limit, the bucket's burst, the grants of one lifetime
-// and one permit of the own share per proxy. The open connections never exceed the limit unless
-// issuers change.
+// TestFleetStaysWithinLimits runs random sequences of partitions, lost messages and issuer
+// restarts. The connections acquired in one second never exceed the sum of the limit, the bucket's
+// burst, the grants of one lifetime and one permit of the own share per proxy. The open connections
+// never exceed the limit unless issuers change.
 func TestFleetStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const rate, connections, n = 40, 50, 5
--- a/internal/fleet/watermark/link.go
+++ b/internal/fleet/watermark/link.go
@@ -64,6 +64,7 @@
 	scheduled  bool
 }
 
+// add appends watermarks and keeps the last maxWatermarks.
 func (p *pendingGossip) add(fresh []Watermark) {
 	p.watermarks = append(p.watermarks, fresh...)
 	p.watermarks = p.watermarks[max(0, len(p.watermarks)-maxWatermarks):]
@@ -75,10 +76,12 @@
 	wait   time.Duration
 }
 
+// due reports whether a list that has been behind since behindSince must be fetched now.
 func (b *refetchBackoff) due(now, behindSince Time) bool {
 	return now-max(behindSince, b.lastAt) >= Time(b.wait)
 }
 
+// fetched records a fetch and doubles the wait up to maxRefetchBackoff.
 func (b *refetchBackoff) fetched(now Time) { b.lastAt, b.wait = now, min(2*b.wait, maxRefetchBackoff) }
 
 // Run starts the link. It must be called once, before any other method.
@@ -158,6 +161,7 @@
 	}
 }
 
+// handleGossip merges the watermarks of another member and forwards those that are new here.
 func (l *Link) handleGossip(g gossip) {
 	l.registry.recordGossip(g.watermarks)
 	changed := l.registry.Merge(l.Clock.Now(), g.watermarks)
--- a/internal/fleet/watermark/registry.go
+++ b/internal/fleet/watermark/registry.go
@@ -151,8 +151,9 @@
 	return changed
 }
 
+// merge adds one watermark and reports whether Blocks has changed for its host.
 func (r *Registry) merge(now Time, w Watermark) (changed bool) {
-	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or the watermark has no effect
+	if w.Revision <= r.revision || w.State == Up || w.ValidFor <= 0 { // the own list is as new, or the watermark blocks nothing
 		return false
 	}
 	until := now + min(w.ValidFor, Lifetime)
@@ -241,4 +242,5 @@
 	}
 }
 
+// wasGossiped reports whether another proxy has sent this watermark or a newer one for its host.
 func (r *Registry) wasGossiped(w Watermark) bool { return r.gossiped[w.Host] >= w.Revision }
