--- a/internal/fleet/namespace/compile.go
+++ b/internal/fleet/namespace/compile.go
@@ -39,21 +39,21 @@
 }
 
 // Compile checks a directory and compiles it. The error is a *ValidationError.
-func Compile(d *Directory) (*Compiled, error) {
-	current, err := compileAssignment(d.Pools, d.Accounts)
+func Compile(directory *Directory) (*Compiled, error) {
+	current, err := compileAssignment(directory.Pools, directory.Accounts)
 	if err != nil {
 		return nil, err
 	}
 	c := &Compiled{current: current, accounts: make(map[string]*compiledAccount, len(current.accounts))}
-	if d.Previous != nil {
-		if c.previous, err = compileAssignment(d.Previous.Pools, d.Previous.Accounts); err != nil {
+	if directory.Previous != nil {
+		if c.previous, err = compileAssignment(directory.Previous.Pools, directory.Previous.Accounts); err != nil {
 			return nil, err
 		}
 	}
-	namespaces := make(map[string]*compiledNamespace, len(d.Namespaces))
-	for i := range d.Namespaces {
-		s := &d.Namespaces[i]
-		if i > 0 && d.Namespaces[i-1].Account >= s.Account {
+	namespaces := make(map[string]*compiledNamespace, len(directory.Namespaces))
+	for i := range directory.Namespaces {
+		s := &directory.Namespaces[i]
+		if i > 0 && directory.Namespaces[i-1].Account >= s.Account {
 			return nil, &ValidationError{Account: s.Account, Text: "its namespace stands twice, or out of order"}
 		}
 		if namespaces[s.Account], err = current.compileNamespace(s); err != nil {
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,9 +9,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-func mustCompile(t testing.TB, b *Directory) *Compiled {
+func mustCompile(t testing.TB, directory *Directory) *Compiled {
 	t.Helper()
-	c, err := Compile(b)
+	c, err := Compile(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,12 +78,12 @@
 	c := mustCompile(t, customers)
 	more := *customers
 	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: MainPool, Prefix: "k"}}})
-	d := mustCompile(t, &more)
+	changed := mustCompile(t, &more)
 	n := 0
 	for i := range 10_000 {
 		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
 		v := c.Evaluate(q)
-		if w := d.Evaluate(q); w.Route != v.Route {
+		if w := changed.Evaluate(q); w.Route != v.Route {
 			t.Fatalf("Evaluate(%+v): route = %q after another account's change, want %q as before", q, w.Route, v.Route)
 		}
 		if v.Route == "half" {
@@ -100,7 +100,7 @@
 		return &Directory{Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Routes: rs}}}
 	}
 	to := func(name string, r Route) Route { r.Name, r.Pool = name, MainPool; return r }
-	for want, b := range map[string]*Directory{
+	for want, directory := range map[string]*Directory{
 		"is in pool p and in pool q":             {Pools: []Pool{{Name: "p", Kinds: []string{"m"}}, {Name: "q", Kinds: []string{"m"}}}},
 		"its name is none, taken":                {Pools: []Pool{{Name: MainPool}}},
 		"tenant t belongs to account a":          {Accounts: []Account{{Name: "a", Tenants: []string{"t"}}, {Name: "b", Tenants: []string{"t"}}}},
@@ -134,7 +134,7 @@
 			return rs
 		}()...),
 	} {
-		if _, err := Compile(b); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Compile(directory); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("Compile = %v, want an error that contains %q", err, want)
 		}
 	}
@@ -143,9 +143,9 @@
 // Hosts and tenants that change owners get no new requests while the directory contains the
 // previous assignment.
 func TestReassignedHostsAndTenantsGetNoRequests(t *testing.T) {
-	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
+	directory := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
 		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
-	c := mustCompile(t, b)
+	c := mustCompile(t, directory)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
 		t.Errorf("Pool of the reassigned host = %q, want \"\"; of the other host = %q, want \"p\"", p, q)
 	}
@@ -199,13 +199,13 @@
 		f.Add(p, "t", "c", "abcd")
 	}
 	f.Fuzz(func(t *testing.T, text, tenant, class, key string) {
-		b := &Directory{}
+		directory := &Directory{}
 		own := Namespace{}
-		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, b); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
+		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, directory); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
 			return
 		}
-		b.Namespaces = []Namespace{own}
-		if c, err := Compile(b); err == nil {
+		directory.Namespaces = []Namespace{own}
+		if c, err := Compile(directory); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
 			if v := c.Evaluate(q); !v.Rejected && len(v.Pools) == 0 {
 				t.Fatalf("Evaluate(%+v) with rules %q = %+v, want a rejection or a pool", q, text, v)
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -109,8 +109,8 @@
 // RetryWaiting retries the requests that wait for a grant, and rejects those that have waited for
 // maxGrantWait. It runs with each reply and must also be called periodically.
 func (c *Client) RetryWaiting() {
-	for _, o := range c.retryWaiting() {
-		o.done(o.exceeded, o.retryAfter)
+	for _, finished := range c.retryWaiting() {
+		finished.done(finished.exceeded, finished.retryAfter)
 	}
 }
 
--- a/internal/fleet/quota/issuer.go
+++ b/internal/fleet/quota/issuer.go
@@ -60,8 +60,8 @@
 }
 
 // Start starts the issuer. It grants nothing until its predecessor's grants have lapsed.
-func (s *Issuer) Start(now Time, o jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
-	s.owner, s.checkpointNumber, s.firstGrantAt = o, checkpointNumber, now+silentAfterGrantLifetimes*s.GrantLifetime
+func (s *Issuer) Start(now Time, jobOwner jobs.Owner, _, checkpointNumber uint64, _ []byte) error {
+	s.owner, s.checkpointNumber, s.firstGrantAt = jobOwner, checkpointNumber, now+silentAfterGrantLifetimes*s.GrantLifetime
 	s.lastQueryAt, s.accounts = map[uint32]Time{}, map[string]*issuedAccount{}
 	return nil
 }
