--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -9,9 +9,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-func mustCompile(t testing.TB, b *Directory) *Compiled {
+func mustCompile(t testing.TB, directory *Directory) *Compiled {
 	t.Helper()
-	c, err := Compile(b)
+	c, err := Compile(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,24 +36,24 @@
 		q       Request
 		account string
 		route   string
-		pool    string // "": rejected
+		pool    string // empty if the request is rejected
 	}{
 		{Request{Tenant: "t1", Class: "chat", Key: "abc"}, "acme", "ab", "fast"},
 		{Request{Tenant: "t1", Class: "chat", Key: "xyz"}, "acme", "last", MainPool},
 		{Request{Tenant: "t1", Class: "bulk", Key: "abc"}, "acme", "closed", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 23 * 60}, "acme", "night", ""},
 		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 12 * 60}, "acme", "ab", "fast"},
-		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},                          // a guard of the parent's
-		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},                            // the more specific route
-		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"},                // takes precedence over the operators' default
-		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},                             //
-		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool},                                             // another customer's routes do not reach it
-		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},                               //
-		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},                               //
-		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},                                                 //
-		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                                // an account's name is no tenant
-		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"},             // the window's end
-		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""}, //
+		{Request{Tenant: "t2", Class: "report", Minute: 60}, "acme/web", "night", ""},           // guard of the parent account
+		{Request{Tenant: "t2", Group: "g1", Key: "abc"}, "acme/web", "gab", "fast"},             // more specific than route g
+		{Request{Tenant: "t2", Group: "g1", Key: "abx", Zone: "z9"}, "acme/web", "gab", "fast"}, // takes precedence over the operators' default
+		{Request{Tenant: "t2", Group: "g1", Key: "qq"}, "acme/web", "g", MainPool},
+		{Request{Tenant: "t3", Key: "abc"}, "other", "", MainPool}, // another customer's route ab does not apply
+		{Request{Tenant: "t3", Key: "abc", Zone: "z9"}, "other", "rest", "fast"},
+		{Request{Tenant: "nobody", Class: "chat", Key: "abc"}, "", "", MainPool},
+		{Request{Tenant: "", Class: "bulk"}, "", "closed", ""},
+		{Request{Tenant: "acme", Key: "abc"}, "", "", MainPool},                                    // account names are not tenants
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 6 * 60}, "acme", "ab", "fast"}, // the window excludes its end
+		{Request{Tenant: "t1", Class: "report", Key: "abc", Minute: 22 * 60, Zone: "z9"}, "acme", "night", ""},
 	} {
 		v := c.Evaluate(x.q)
 		pool := ""
@@ -61,37 +61,37 @@
 			pool = v.Pools[0]
 		}
 		if v.Account != x.account || v.Route != x.route || pool != x.pool {
-			t.Errorf("%+v: account %q route %q pool %q, expected %q %q %q", x.q, v.Account, v.Route, pool, x.account, x.route, x.pool)
+			t.Errorf("Evaluate(%+v): account %q, route %q, pool %q; want %q, %q, %q", x.q, v.Account, v.Route, pool, x.account, x.route, x.pool)
 		}
 	}
 	for _, x := range []struct{ id, kind, zone, pool string }{
 		{"s-1", "m2", "", "kept"}, {"s-95", "m2", "", "kept"}, {"x", "m2", "", "fast"}, {"x", "m1", "a", MainPool}, {"s", "", "", MainPool},
 	} {
 		if got := c.Pool(x.id, x.kind, x.zone); got != x.pool {
-			t.Errorf("%s is in %q, expected %q", x.id, got, x.pool)
+			t.Errorf("Pool(%q, %q, %q) = %q, want %q", x.id, x.kind, x.zone, got, x.pool)
 		}
 	}
 }
 
-// A share is the same flows in every version, and about the stated part of them.
+// A share selects the same flows in every version, and about the stated part of all flows.
 func TestSharesAreStable(t *testing.T) {
 	c := mustCompile(t, customers)
 	more := *customers
 	more.Namespaces = append(slices.Clone(customers.Namespaces), Namespace{Account: "other", Routes: []Route{{Name: "x", Pool: MainPool, Prefix: "k"}}})
-	d := mustCompile(t, &more)
+	changed := mustCompile(t, &more)
 	n := 0
 	for i := range 10_000 {
 		q := Request{Tenant: "t2", Key: fmt.Sprintf("%016x", i*7919)}
 		v := c.Evaluate(q)
-		if w := d.Evaluate(q); w.Route != v.Route {
-			t.Fatalf("%s: %q and %q", q.Key, v.Route, w.Route)
+		if w := changed.Evaluate(q); w.Route != v.Route {
+			t.Fatalf("Evaluate(%+v): route = %q after another account's change, want %q as before", q, w.Route, v.Route)
 		}
 		if v.Route == "half" {
 			n++
 		}
 	}
 	if n < 4800 || n > 5200 {
-		t.Fatalf("a share of 50%% has %d of 10,000 flows", n)
+		t.Fatalf("a share of 50%% selects %d of 10,000 flows, want 4800 to 5200", n)
 	}
 }
 
@@ -100,7 +100,7 @@
 		return &Directory{Accounts: []Account{{Name: "a"}}, Namespaces: []Namespace{{Account: "a", Routes: rs}}}
 	}
 	to := func(name string, r Route) Route { r.Name, r.Pool = name, MainPool; return r }
-	for want, b := range map[string]*Directory{
+	for want, directory := range map[string]*Directory{
 		"is in pool p and in pool q":             {Pools: []Pool{{Name: "p", Kinds: []string{"m"}}, {Name: "q", Kinds: []string{"m"}}}},
 		"its name is none, taken":                {Pools: []Pool{{Name: MainPool}}},
 		"tenant t belongs to account a":          {Accounts: []Account{{Name: "a", Tenants: []string{"t"}}, {Name: "b", Tenants: []string{"t"}}}},
@@ -134,23 +134,24 @@
 			return rs
 		}()...),
 	} {
-		if _, err := Compile(b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("the error is %v, expected %q", err, want)
+		if _, err := Compile(directory); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("Compile = %v, want an error that contains %q", err, want)
 		}
 	}
 }
 
-// A host and a tenant that are reassigned get no new requests while the directory has the previous assignment.
+// Hosts and tenants that change owners get no new requests while the directory contains the
+// previous assignment.
 func TestReassignedHostsAndTenantsGetNoRequests(t *testing.T) {
-	b := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
+	directory := &Directory{Pools: []Pool{{Name: "p", Kinds: []string{"m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "u"}}, {Name: "b", Tenants: []string{"v"}}},
 		Previous: &Assignment{Pools: []Pool{{Name: "p", Kinds: []string{"m1", "m2"}}}, Accounts: []Account{{Name: "a", Tenants: []string{"t", "v"}}}}}
-	c := mustCompile(t, b)
+	c := mustCompile(t, directory)
 	if p, q := c.Pool("x", "m1", ""), c.Pool("x", "m2", ""); p != "" || q != "p" {
-		t.Errorf("the reassigned host is in pool %q, the other in %q", p, q)
+		t.Errorf("Pool of the reassigned host = %q, want \"\"; of the other host = %q, want \"p\"", p, q)
 	}
 	for tenant, reassigned := range map[string]bool{"t": false, "u": true, "v": true, "w": false} {
 		if v := c.Evaluate(Request{Tenant: tenant}); v.Reassigned != reassigned || v.Rejected != reassigned {
-			t.Errorf("tenant %s: %+v", tenant, v)
+			t.Errorf("Evaluate(tenant %s) = %+v, want Reassigned and Rejected = %t", tenant, v, reassigned)
 		}
 	}
 }
@@ -158,14 +159,14 @@
 func TestErrorsReportPosition(t *testing.T) {
 	_, err := settings.Schema{Section()}.Read("acme.sexp", []byte("(namespace\n  (account acme)\n  (route x (class c) (pool main))\n  (route y (class c) (pool main)))"))
 	if err == nil || !strings.Contains(err.Error(), "acme.sexp:4:3") || !strings.Contains(err.Error(), "the same requests as x") {
-		t.Fatalf("%v", err)
+		t.Fatalf("Read = %v, want an error at acme.sexp:4:3 that names route x", err)
 	}
 	f, err := settings.Schema{Section()}.Read("a", []byte(`(namespace (account "acme/web") (guard n (begin 22:00) (end 06:00) (refuse on) (advice 2s)) (default d (share 12.5%) (pool fast) (else "main")))`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := f.Value("namespace").(*Namespace); s.Guards[0].WindowBegin != 1320 || s.Guards[0].RetryAfterMillis != 2000 || s.Defaults[0].ShareTo != 1250 || s.Defaults[0].Fallbacks[0] != MainPool {
-		t.Fatalf("%+v", s)
+		t.Fatalf("namespace = %+v, want guard n from minute 1320 with a Retry-After of 2000 ms, and default d with a share to 1250 and the fallback main", s)
 	}
 }
 
@@ -198,16 +199,16 @@
 		f.Add(p, "t", "c", "abcd")
 	}
 	f.Fuzz(func(t *testing.T, text, tenant, class, key string) {
-		b := &Directory{}
+		directory := &Directory{}
 		own := Namespace{}
-		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, b); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
+		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, directory); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
 			return
 		}
-		b.Namespaces = []Namespace{own}
-		if c, err := Compile(b); err == nil {
+		directory.Namespaces = []Namespace{own}
+		if c, err := Compile(directory); err == nil {
 			q := Request{Tenant: tenant, Class: class, Key: key, Minute: 1}
 			if v := c.Evaluate(q); !v.Rejected && len(v.Pools) == 0 {
-				t.Fatalf("%q: a request is neither rejected nor has a pool", text)
+				t.Fatalf("Evaluate(%+v) with rules %q = %+v, want a rejection or a pool", q, text, v)
 			}
 			c.Explain(q)
 		}
