--- a/internal/dataplane/netio/conn.go
+++ b/internal/dataplane/netio/conn.go
@@ -12,77 +12,81 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler takes what happens on a connection. All calls come on the loop.
+// Handler handles the events of a connection. Its methods are called on the loop.
 type Handler interface {
-	// Data says that Input has grown.
+	// Data is called when Input has grown.
 	Data(c *Conn)
-	// Writable says that a peer which had stopped taking bytes takes them again.
+	// Writable is called when the unsent rest of a line has been written, so that Write accepts
+	// lines again.
 	Writable(c *Conn)
-	// Closed says that the connection is over for a reason that did not come from this side. It is the last call.
-	// It comes after a panic of the handler's own as well.
+	// Closed is called, last of all, when the connection ends and the handler did not end it. That
+	// includes a panic of the handler and limits that this side enforces.
 	Closed(c *Conn, err *Error)
 }
 
-// inputOvershoot is how much netpoll may have read beyond a connection's limit before it is stopped: what one read brings, and what comes
-// while it releases the socket.
+// inputOvershoot is how many bytes netpoll may read beyond a connection's limit before it stops: those
+// of one read, and those that arrive while it releases the socket.
 const inputOvershoot = 8 * kernelBuffer
 
-// kernelBuffer is the size requested from the kernel for a connection's buffer in each direction; it takes that twice. Lines are short, and
-// the megabytes that it would buffer by itself count against the machine's memory. It also bounds what netpoll reads at once, and so the
-// size of netpoll's own buffer for the connection.
+// kernelBuffer is the size, in bytes, requested for a connection's kernel buffer in each direction.
+// The kernel reserves twice that. Lines are short, and the megabytes of the kernel's default count
+// against the machine's memory. The size also bounds what netpoll reads at once, and so its own
+// buffer for the connection.
 const kernelBuffer = 16 << 10
 
-// Conn is one connection. It has one buffer, for what has come in; what goes out is written to the kernel at once, and of a line that the
-// kernel takes only in part the rest is buffered until it takes that too. Until then Write accepts nothing, so the source leaves its bytes in
-// its own input, and a connection whose input nobody consumes is not read any further: that is the back-pressure.
+// Conn is one connection. It buffers unread input. Output goes to the kernel at once; if the kernel
+// accepts only part of a line, the rest is buffered and Write accepts no further line until it is
+// sent. The sender of those lines then leaves its bytes in its own connection's input, and reading
+// pauses on a connection whose input is not consumed. That is the back-pressure.
 type Conn struct {
 	loop            *Loop
 	handler         Handler
 	transport       netpoll.Connection
 	input           Buffer
-	layer           Layer // between the socket and the input; nil: none
+	layer           Layer // nil if there is none
 	layerHasMore    bool  // the layer may hold more than fitted into the input
 	inputLimit      int   // bytes of input at which reading pauses
-	paused          bool  // netpoll does not watch it
+	paused          bool  // netpoll does not watch the socket
 	refillScheduled bool
-	watchFailures   int // times in a row that the poller could not take it
+	watchFailures   int // consecutive failures to register the socket with the poller
 	output          unsentOutput
 	ended           bool // Closed was called, or this side closed
 	ending          endingState
-	// onDescriptorFree is called once the descriptor is free.
+	// onDescriptorFree is called once the connection holds no descriptor. It may be nil.
 	onDescriptorFree func()
-	// onReleased gets the parts of a connection that is released; nil: it is not.
+	// onReleased is called with the released connection. It is nil unless a release is in progress.
 	onReleased func(ReleasedConn)
 	socket     socketState
 }
 
-// unsentOutput is the rest of the one line that the kernel took only in part.
+// unsentOutput is the output that the kernel has not accepted yet: the rest of a line, and what a
+// layer or FinishWith added behind it.
 type unsentOutput struct {
 	unsent        []byte
 	retryTimer    *Timer
 	retryPause    time.Duration
-	stallDeadline int64 // when a peer that takes nothing is dropped
+	stallDeadline int64 // Unix time in ns at which the connection ends if bytes are still unsent
 }
 
-// endingState is how a connection ends that this side has closed.
+// endingState is the state of a connection that this side is closing.
 type endingState struct {
-	unsentDeadline int64 // until when the rest of a partly written line may still go out
+	unsentDeadline int64 // Unix time in ns until which unsent bytes may still go out
 	abort          bool  // Abort was called
 	finishing      bool  // Finish was called
-	discardedBytes int   // what came in after that
+	discardedBytes int   // input that arrived after the end
 	lingerTimer    *Timer
 }
 
-// socketState is the descriptor. netpoll may close it on a goroutine of its own, after which its number can belong to another connection: whoever
-// uses the number holds mu.
+// socketState holds the descriptor. netpoll may close it on a goroutine of its own, after which
+// another connection may get its number. Code that uses the number must hold mu.
 type socketState struct {
 	mu        sync.Mutex
-	fd        int
+	fd        int  // negative if the connection has no descriptor
 	detaching bool // netpoll's close callback means a pause, not the end
 	closing   bool // this side has closed the connection
 }
 
-// newConn wraps an established connection of netpoll's. Reading pauses while its input is at the limit.
+// newConn wraps an established netpoll connection. Reading pauses when the input holds limit bytes.
 func newConn(l *Loop, np netpoll.Connection, limit int) *Conn {
 	c := &Conn{loop: l, transport: np, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: -1}}
 	if d, ok := np.(netpoll.Conn); ok {
@@ -92,18 +96,18 @@
 	return c
 }
 
-// newPausedConn wraps an established socket that netpoll does not watch yet; resume has it watched.
+// newPausedConn wraps an established socket that netpoll does not watch until resume is called.
 func newPausedConn(l *Loop, fd, limit int, h Handler) *Conn {
 	return &Conn{loop: l, input: NewBuffer(limit + inputOvershoot), inputLimit: limit, socket: socketState{fd: fd}, paused: true, handler: h}
 }
 
-// sizeBuffers bounds what the kernel buffers for the connection.
+// sizeBuffers limits the kernel's buffers for the connection.
 func (c *Conn) sizeBuffers() {
 	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
 	unix.SetsockoptInt(c.socket.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, kernelBuffer)
 }
 
-// start begins delivery to h. It is called on the loop.
+// start starts delivery to h. It must be called on the loop.
 func (c *Conn) start(h Handler) {
 	c.handler = h
 	environment.whilePollerParked(c.watch)
@@ -112,8 +116,8 @@
 	}
 }
 
-// watch has netpoll deliver what comes on the connection. The poller must be parked: what it has read by now is delivered
-// from here, and it adds callbacks of its own without a lock.
+// watch registers the callbacks through which netpoll delivers input. The poller must be parked:
+// setting the callbacks delivers what it has read so far, and netpoll adds its own without a lock.
 func (c *Conn) watch() {
 	c.transport.AddCloseCallback(c.transportClosed)
 	c.transport.SetOnRequest(func(context.Context, netpoll.Connection) error {
@@ -126,13 +130,14 @@
 	}
 }
 
-// SetHandler gives the connection another handler, on the loop.
+// SetHandler replaces the connection's handler. It must be called on the loop.
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
-// Input is what has come in and was not consumed. It is valid during the call of the handler, up to Consume.
+// Input returns the input that has not been consumed. The slice is valid until the next call of
+// Consume, and at most until the handler returns.
 func (c *Conn) Input() []byte { return c.input.Bytes() }
 
-// Consume drops the first n bytes of the input.
+// Consume discards the first n bytes of the input, and resumes reading once enough is consumed.
 func (c *Conn) Consume(n int) {
 	c.input.Consume(n)
 	if c.paused && !c.ended && c.input.Len() < c.inputLimit/2 {
@@ -143,7 +148,8 @@
 // Ended reports whether the connection has ended, from either side.
 func (c *Conn) Ended() bool { return c.ended }
 
-// guard confines a panic to the connection that it came from, and ends that, so that a request waiting on it still gets its answer.
+// guard calls f. If f panics, it ends this connection alone, so that a request waiting on the
+// connection still gets its answer.
 func (c *Conn) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -2,56 +2,63 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 )
 
-// Layer is between a socket and the handler of its connection: it decrypts what comes in and encrypts what goes out. It is driven on the
-// loop, never blocks and buffers a bounded number of bytes.
+// Layer sits between a socket and the handler of its connection. It decrypts input and encrypts
+// output. Its methods are called on the loop, never block and buffer a bounded number of bytes.
 type Layer interface {
-	// Attach gives the layer its way to send. From here on the connection drives it.
+	// Attach sets the function with which the layer sends to the socket. It is called once,
+	// before all other methods.
 	Attach(send func(p []byte))
-	// Receive gives it bytes of the socket's; p is the caller's again afterwards. False: more than it buffers.
+	// Receive buffers bytes read from the socket. It does not retain p. It returns false if p
+	// exceeds what the layer buffers.
 	Receive(p []byte) bool
-	// Open writes what can be read into p. 0 without an error: more bytes must come first. io.EOF: the peer ended in
-	// order. An error whose RefusedBeforeRead is true means that
-	// the peer refused the connection before it read anything of it.
+	// Open decrypts into p and returns the number of bytes written. It returns 0 and no error if
+	// more input is needed, and io.EOF if the peer closed the layer in order. An error whose
+	// RefusedBeforeRead method returns true means that the peer refused the connection before it
+	// read anything from it.
 	Open(p []byte) (int, error)
-	// Seal sends p.
+	// Seal encrypts and sends p.
 	Seal(p []byte) error
-	// End sends the peer the layer's own end.
+	// End sends the layer's closing message to the peer.
 	End()
-	// Buffered is how many bytes it buffers.
+	// Buffered returns the number of bytes that the layer buffers.
 	Buffered() int
 }
 
-// refusedBeforeRead is implemented by errors that may mean that the peer refused the connection before it read anything.
+// refusedBeforeRead is implemented by errors that report whether the peer refused the connection
+// before it read anything.
 type refusedBeforeRead interface{ RefusedBeforeRead() bool }
 
 const (
-	// layerReadSize is how much a layer may give at once: less than the smallest buffer, which an idle connection keeps.
+	// layerReadSize is the space, in bytes, offered to each call of Layer.Open. It is below
+	// minBufferSize, so that an idle connection keeps its smallest buffer.
 	layerReadSize = minBufferSize / 2
-	// maxUnsentBytes is how many bytes that a layer sends by itself may wait for the peer. A connection whose peer causes more without
-	// reading is ended.
+	// maxUnsentBytes bounds the unsent bytes of a connection. A layer sends messages of its own, so
+	// a peer that causes them without reading could otherwise fill the memory.
 	maxUnsentBytes = 64 << 10
 )
 
 var (
-	errTruncated      = errors.New("the connection ended without the layer's own end")
-	errPeerNotReading = errors.New("the peer causes output of the layer and does not read it")
+	errTruncated      = errors.New("the socket closed without the closing message of the layer")
+	errPeerNotReading = fmt.Errorf("the peer is not reading: more than %d bytes are unsent", maxUnsentBytes)
 )
 
-// Socket is an established connection's, for Adopt.
+// Socket describes the socket of an established connection, for Adopt.
 type Socket struct {
-	FD         int // the connection's from here on
+	FD         int // owned by the connection once Adopt is called
 	Layer      Layer
 	InputLimit int // bytes of input at which reading pauses
 }
 
-// Adopt makes a connection of an established socket, behind its layer, and gives it to done and then to h. It is called on
-// the loop. If the socket can't be used, h is notified that the connection ended.
+// Adopt makes a connection of an established socket and its layer, passes it to done, and then
+// delivers its input to h. It must be called on the loop. If the socket cannot be used, h.Closed
+// is called.
 //
-// Reading is paused at first: netpoll reads from the moment it has the socket, as fast as the peer sends, and more than the limit could come
-// before the callbacks are in place.
+// Reading is paused at first: netpoll reads as soon as it has the socket, as fast as the peer sends,
+// so more than the limit could arrive before the callbacks are in place.
 func Adopt(l *Loop, s Socket, h Handler, done func(*Conn)) {
 	c := newPausedConn(l, s.FD, s.InputLimit, h)
 	c.layer = s.Layer
@@ -66,10 +73,11 @@
 	}
 }
 
-// Layer is what is between the socket and the handler; nil: nothing, or no longer.
+// Layer returns the connection's layer. It returns nil if there is none or the connection has ended.
 func (c *Conn) Layer() Layer { return c.layer }
 
-// readThroughLayer gives the layer what came, and the handler what the layer has decrypted.
+// readThroughLayer passes received bytes to the layer, and decrypted input to the handler until the
+// input holds limit bytes.
 func (c *Conn) readThroughLayer(p []byte, limit int) {
 	if !c.layer.Receive(p) {
 		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errInputLimit})
@@ -110,7 +118,7 @@
 	return fresh, nil
 }
 
-// layerError is the end of a connection whose layer gives an error.
+// layerError returns the end of a connection whose layer returned err.
 func layerError(err error) *Error {
 	var unread refusedBeforeRead
 	switch {
@@ -122,7 +130,8 @@
 	return &Error{Stage: Up, Cause: Broken, Detail: err}
 }
 
-// refill brings more input to a paused connection whose input has been consumed: first what its layer buffers.
+// refill gets more input for a paused connection whose input has been consumed: first from its layer,
+// and once that has no more, from the socket.
 func (c *Conn) refill() {
 	if c.layer == nil || !c.layerHasMore {
 		c.resume()
@@ -131,7 +140,7 @@
 	if c.refillScheduled {
 		return
 	}
-	// Not from inside the handler, which has just consumed and would be entered again.
+	// Posted, because the caller may be the handler, which must not be entered again.
 	c.refillScheduled = true
 	c.loop.Post(func() {
 		c.refillScheduled = false
@@ -145,7 +154,7 @@
 	})
 }
 
-// endLayer has the layer send its own end, and drops it.
+// endLayer sends the layer's closing message and detaches the layer.
 func (c *Conn) endLayer() {
 	if l := c.layer; l != nil {
 		c.guard(l.End)
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -15,27 +15,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener is a listening socket, which may be another process's too: both then accept from one queue, which outlives either.
+// Listener is a listening socket. Another process may hold it as well: both then accept from one
+// queue, which exists until both have closed the socket.
 type Listener struct {
 	netpoll.Listener
 	addr net.Addr
 
 	mu       sync.Mutex
-	stopped  bool
-	detached bool          // netpoll has been stopped
+	stopped  bool          // Stop was called after the last Serve
+	detached bool          // netpoll has been told to stop, and ended will be closed
 	ended    chan struct{} // closed once netpoll has stopped; nil before the first Serve
-	onAccept func(fd int)  // takes over the descriptor of a connection, on the poller
+	onAccept func(fd int)  // takes ownership of an accepted descriptor; called on the poller
 }
 
-// errStopped ends netpoll's accepting. netpoll looks for "closed" in its text; the socket stays open.
+// errStopped makes netpoll stop accepting: netpoll looks for "closed" in the text. The socket stays open.
 var errStopped = errors.New("accepting is closed")
 
-// acceptRetryPause is the pause after an accept for which the kernel had no descriptor or no memory: netpoll would retry without one.
+// acceptRetryPause is the pause after an accept for which the kernel had no descriptor or no memory.
+// netpoll itself would retry without a pause.
 const acceptRetryPause = 5 * time.Millisecond
 
-// Accept accepts one connection, unless accepting has been stopped, and gives netpoll none: a connection that netpoll registers itself it closes
-// without notice where the kernel has no memory for that. Nor does netpoll get errors: where descriptors run out it would stop watching the
-// queue, and resume late or never.
+// Accept accepts one connection and passes its descriptor to onAccept. netpoll calls it on the poller.
+// It returns no connection to netpoll, which would close one without notice if the kernel has no memory
+// for registering it. It returns no error to netpoll except after Stop: if descriptors ran out, netpoll
+// would stop watching the queue and resume late or never.
 func (n *Listener) Accept() (net.Conn, error) {
 	n.mu.Lock()
 	if n.stopped {
@@ -45,7 +48,7 @@
 	}
 	c, err := n.Listener.Accept()
 	take := n.onAccept
-	n.mu.Unlock() // the loop may wait for it, and is waited for below
+	n.mu.Unlock() // the loop may wait for mu, and onAccept waits for the loop
 	if err != nil {
 		slog.Warn("accept_failed", "addr", n.addr, "reason", err)
 		if isResourceShortage(err) {
@@ -59,7 +62,8 @@
 	return nil, nil
 }
 
-// isResourceShortage reports whether an error means that this machine is out of some resource.
+// isResourceShortage reports whether err is temporary and caused by this machine, such as a lack of
+// descriptors, ports or memory.
 func isResourceShortage(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 		syscall.EINTR} {
@@ -70,19 +74,21 @@
 	return false
 }
 
-// Stop ends accepting; connections wait for whoever else has the socket.
+// Stop stops accepting. New connections wait in the queue for another process that holds the socket,
+// or for the next Serve.
 func (n *Listener) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopped = true
 }
 
-// Addr is the address listened on.
+// Addr returns the address of the listener.
 func (n *Listener) Addr() net.Addr { return n.addr }
 
-// Bind listens on addr and accepts nothing yet. Where it is shared, another process of the same user may listen there as well.
+// Bind listens on addr; Serve accepts the connections. If shared is true, other processes of the same
+// user may listen on addr as well.
 func Bind(addr string, shared bool) (*Listener, error) {
-	// Accepted sockets inherit the size; set later it would not change the window that the client has been offered.
+	// Accepted sockets inherit the size. Set on those, it would come after the client has been offered a window.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
@@ -98,7 +104,8 @@
 	return newListener(ln)
 }
 
-// Inherit takes a listening socket that another process has handed over. The descriptor is the listener's from here on.
+// Inherit returns a listener for the listening socket fd, which another process has handed over. It
+// takes ownership of fd, also if it returns an error.
 func Inherit(fd int) (*Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	defer f.Close()
@@ -118,7 +125,7 @@
 	return &Listener{Listener: np, addr: ln.Addr()}, nil
 }
 
-// Listen accepts connections on addr, as Serve does.
+// Listen binds addr, serves it as Serve does, and returns the address bound.
 func Listen(l *Loop, addr string, limit int, accept func(c *Conn) Handler) (net.Addr, error) {
 	n, err := Bind(addr, false)
 	if err != nil {
@@ -127,18 +134,20 @@
 	return n.Addr(), Serve(l, n, limit, accept)
 }
 
-// How often, and how soon, accepting is begun again that netpoll could not begin.
+// The limits for starting netpoll's accept loop again after it has failed.
 const (
 	maxListenerFailures = 50
 	listenerRetryPause  = 100 * time.Millisecond
 )
 
-// Serve accepts connections and gives each one, on the loop, to accept, which names its handler. limit bounds each
-// connection's input. Running out of descriptors does not end it. After Stop, Serve may be called again.
+// Serve accepts connections in the background. It calls accept on the loop for each connection, and
+// delivers its input to the handler that accept returns. limit is the number of bytes of input at
+// which reading pauses. Running out of descriptors does not end accepting. Serve may be called again
+// after Stop. It always returns nil.
 func Serve(l *Loop, n *Listener, limit int, accept func(c *Conn) Handler) error {
 	n.mu.Lock()
 	n.stopped = false
-	// Accepting waits for the loop, which may have to evict another connection first.
+	// The poller waits until the loop has handled a connection, which may require evicting another.
 	n.onAccept = func(fd int) { environment.gate.runOnLoop(l, func() { startAccepted(l, fd, limit, accept) }) }
 	serving, previousEnded := n.ended != nil && !n.detached, n.ended
 	if !serving {
@@ -151,7 +160,7 @@
 	}
 	go func() {
 		if previousEnded != nil {
-			<-previousEnded // netpoll watches a socket once
+			<-previousEnded // netpoll must not watch one socket twice
 		}
 		n.serve()
 		close(ended)
@@ -159,8 +168,8 @@
 	return nil
 }
 
-// serve has netpoll watch the queue until accepting is stopped. It ends the process where that fails for good: a proxy that accepts nobody must
-// not go on.
+// serve makes netpoll watch the queue until Stop. It exits the process after maxListenerFailures: a
+// proxy that accepts no clients must not keep running.
 func (n *Listener) serve() {
 	for range maxListenerFailures {
 		err := watchListener(n)
@@ -174,7 +183,7 @@
 	os.Exit(1)
 }
 
-// watchListener has netpoll watch a listener until that ends, and gives the reason.
+// watchListener makes netpoll watch a listener until that fails or is stopped, and returns the reason.
 func watchListener(l netpoll.Listener) error {
 	events, err := netpoll.NewEventLoop(nil)
 	if err != nil {
@@ -197,7 +206,7 @@
 	})
 }
 
-// discardingHandler is the handler of a connection that has no other.
+// discardingHandler ignores all events. A connection has it until accept returns its handler.
 type discardingHandler struct{}
 
 // Data does nothing.
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -1,5 +1,6 @@
-// Package netio puts netpoll's connections behind one owner: a loop that runs every callback, every timer and every posted task one after the
-// other. What runs on it needs no locks, and a slow or silent peer costs a table entry and no goroutine.
+// Package netio runs netpoll's connections on an event loop, which runs all callbacks, timers and
+// posted tasks one after the other. Code on the loop needs no locks, and a slow or silent peer costs a
+// table entry and no goroutine.
 package netio
 
 import (
@@ -10,7 +11,8 @@
 	"time"
 )
 
-// Loop is the one owner. All its methods but Post, Now and Run belong to the goroutine that runs it.
+// Loop is an event loop. Post, Stop and Now may be called from any goroutine, and Run by one that owns
+// the loop from then on. All other methods must be called on the loop, or before it runs.
 type Loop struct {
 	mu      sync.Mutex
 	queue   []func()
@@ -26,29 +28,30 @@
 	sendmsg func(fd int, p []byte) (int, error) // the system call; tests replace it
 }
 
-// WallClock is the system's clock, which may be set at any time. Tests of several processes replace it.
+// WallClock returns the system's time, which may be set at any time. Tests of several processes replace it.
 var WallClock = time.Now
 
-// NewLoop makes a loop. Its clock is Unix time as it is now plus what passes on the monotonic clock, so that a step of
-// the system's clock moves no deadline and boot times given in Unix time compare directly.
+// NewLoop returns a loop. Its clock is the current Unix time plus the time that has passed since on the
+// monotonic clock. A step of the system's clock therefore moves no deadline, and start times given in
+// Unix time can be compared with it.
 func NewLoop() *Loop {
 	startedAt := time.Now()
 	base := WallClock().UnixNano()
 	return NewLoopAt(func() int64 { return base + int64(time.Since(startedAt)) })
 }
 
-// NewLoopAt makes a loop on the given clock.
+// NewLoopAt returns a loop with the given clock, which returns Unix time in nanoseconds.
 func NewLoopAt(clock func() int64) *Loop {
 	return &Loop{wake: make(chan struct{}, 1), ended: make(chan struct{}), clock: clock, sendmsg: sendmsg}
 }
 
-// SetSend replaces the system call that writes to sockets, for tests of its failures. It is called before Run.
+// SetSend replaces the system call that writes to sockets, for tests of its failures. It must be called before Run.
 func (l *Loop) SetSend(send func(fd int, p []byte) (int, error)) { l.sendmsg = send }
 
-// Now is the loop's time in nanoseconds since 1970.
+// Now returns the loop's time as Unix time in nanoseconds.
 func (l *Loop) Now() int64 { return l.clock() }
 
-// Post has the loop run f after what is already queued. It may be called from any goroutine and never blocks.
+// Post queues f to run on the loop. It may be called from any goroutine and never blocks.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -59,12 +62,12 @@
 	}
 }
 
-// Stop ends Run once the task under way returns.
+// Stop makes Run return after the tasks queued so far.
 func (l *Loop) Stop() {
 	l.Post(func() { l.stopped = true })
 }
 
-// Run serves tasks and timers until Stop.
+// Run runs tasks and timers until Stop is called.
 func (l *Loop) Run() {
 	defer close(l.ended)
 	timer := time.NewTimer(time.Hour)
@@ -82,7 +85,8 @@
 	}
 }
 
-// RunPending serves what is queued or due, and what that queues, without waiting. It gives how long until the next timer is due.
+// RunPending runs the queued tasks and the due timers, and the tasks that those queue, without waiting.
+// It returns the time until the next timer is due.
 func (l *Loop) RunPending() time.Duration {
 	for !l.stopped {
 		l.mu.Lock()
@@ -92,7 +96,7 @@
 		for i, f := range tasks {
 			tasks[i] = nil
 			l.guard(f)
-			l.runDueTimers() // a long queue must not delay what is due
+			l.runDueTimers() // a long queue must not delay the timers
 		}
 		l.spare = tasks[:0]
 		if wait := l.runDueTimers(); len(tasks) == 0 {
@@ -102,7 +106,8 @@
 	return 0
 }
 
-// guard keeps a panic from ending the process. Connections guard their own callbacks, so what reaches this point belongs to none.
+// guard calls f and logs a panic of f instead of letting it end the process. Callbacks of a connection
+// are guarded by Conn.guard; this covers the remaining tasks and timers.
 func (l *Loop) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -112,7 +117,8 @@
 	f()
 }
 
-// runDueTimers runs the timers that are due, and gives how long until the next one is.
+// runDueTimers runs the timers that are due and returns the time until the next one, or an hour if there
+// is none.
 func (l *Loop) runDueTimers() time.Duration {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
@@ -125,16 +131,16 @@
 	return time.Hour
 }
 
-// Timer is one pending call. A nil Timer is one that never was; stopping it is harmless.
+// Timer is a pending call. Stop does nothing on a nil Timer.
 type Timer struct {
 	due       int64
-	order     uint64 // timers of the same moment fire in the order they were set
-	heapIndex int    // in the heap; -1 once fired or stopped
+	order     uint64 // timers due at the same time fire in the order in which they were set
+	heapIndex int    // -1 once fired or stopped
 	call      func()
 	loop      *Loop
 }
 
-// After calls f on the loop once d has passed.
+// After calls f on the loop once d has passed. The returned Timer can stop that.
 func (l *Loop) After(d time.Duration, f func()) *Timer {
 	l.lastOrder++
 	t := &Timer{due: l.Now() + int64(max(d, 0)), order: l.lastOrder, call: f, loop: l}
@@ -142,37 +148,38 @@
 	return t
 }
 
-// Stop forgets the call if it has not begun.
+// Stop cancels the call unless it has started.
 func (t *Timer) Stop() {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(&t.loop.timers, t.heapIndex)
 	}
 }
 
+// timerHeap implements heap.Interface. The timer that is due first is on top.
 type timerHeap []*Timer
 
-// Len, Less, Swap, Push and Pop are container/heap's.
+// Len returns the number of timers.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less puts the timer that is due first first.
+// Less reports whether timer i is due before timer j, or at the same time and was set before it.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].order < h[j].order
 }
 
-// Swap keeps the timers' indexes.
+// Swap exchanges two timers and updates their heapIndex.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push adds a timer.
+// Push appends a timer.
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop takes the last timer off.
+// Pop removes and returns the last timer.
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -5,22 +5,24 @@
 	"sync/atomic"
 )
 
-// loopGate makes netpoll's poller wait for the loop: the poller passes on what it has read or accepted, and goes on once the loop has handled it.
+// loopGate makes netpoll's poller wait until the loop has handled what the poller has read or accepted.
 //
-// netpoll alone reads and accepts as fast as peers send. A few clients that send without end would fill the memory before the loop has read
-// their first line, and hundreds that connect at once would use up the descriptors before the loop can evict one. With the gate the bytes stay
-// in the kernel, whose buffers are small, and the connections in the listener's queue.
+// Without it netpoll reads and accepts as fast as peers send. A few clients that send without end would
+// fill the memory before the loop has read their first line, and hundreds that connect at once would use
+// up the descriptors before the loop can evict one. With the gate the bytes stay in the kernel, whose
+// buffers are small, and the connections in the listener's queue.
 type loopGate struct {
-	pollerParked atomic.Bool // the poller is parked, so it is the loop that calls: it must not wait for itself
+	pollerParked atomic.Bool // the poller is parked, so the caller of runOnLoop is the loop and must not wait for itself
 
 	mu       sync.Mutex
-	taskDone chan struct{} // of the poller, for the task that the loop is at
-	opened   chan struct{} // closed while the loop waits for the poller
+	taskDone chan struct{} // closed when the poller may continue; nil if the loop runs no task for it
+	opened   chan struct{} // closed while the gate is open, because the loop waits for the poller
 }
 
 func newLoopGate() *loopGate { return &loopGate{opened: make(chan struct{})} }
 
-// runOnLoop has l run f and returns once that has called releasePoller or returned.
+// runOnLoop runs f on l. It returns once f has called releasePoller or has returned, at once if the
+// poller is parked, and early if the gate opens or l stops.
 func (g *loopGate) runOnLoop(l *Loop, f func()) {
 	done := make(chan struct{})
 	l.Post(func() {
@@ -43,8 +45,8 @@
 	}
 }
 
-// releasePoller lets the poller go on. netpoll releases a connection only once its poller is done with it, so this must come before the loop
-// gives a connection back; once more than needed is harmless.
+// releasePoller lets the poller continue. The loop must call it before it gives a connection back to
+// netpoll, which releases a connection only once its poller is done with it. Further calls do nothing.
 func (g *loopGate) releasePoller() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,14 +56,15 @@
 	}
 }
 
-// openForBarrier opens the gate while the loop waits for the poller: each would wait for the other.
+// openForBarrier opens the gate before the loop waits for the poller. Otherwise each would wait for the
+// other.
 func (g *loopGate) openForBarrier() {
 	g.mu.Lock()
 	close(g.opened)
 	g.mu.Unlock()
 }
 
-// closeAfterBarrier makes the poller wait again.
+// closeAfterBarrier closes the gate, so that the poller waits for the loop again.
 func (g *loopGate) closeAfterBarrier() {
 	g.mu.Lock()
 	g.opened = make(chan struct{})
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -11,16 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier makes the loop wait until netpoll's poller has finished what it is doing.
+// pollerBarrier makes the loop wait until netpoll's poller has finished the events that it is handling.
 //
-// Pausing a connection and resuming it needs that. netpoll reads a socket for as long as it watches it, so reading is stopped by taking the
-// socket away from it; and what the poller reads at that very moment would be lost with netpoll's buffer. netpoll calls a listener's Accept on
-// the poller, between two sockets, so a listener on an eventfd shows when the poller has reached it: by then it is done with all that it had
-// found before the eventfd was written.
+// Pausing and resuming a connection require that. netpoll reads a socket for as long as it watches it,
+// so reading is stopped by detaching the socket, and what the poller reads at the same time would be
+// lost with netpoll's buffer. netpoll calls Accept of a listener on the poller, between two sockets. When
+// it calls Accept of a listener on an eventfd, it has handled all events that it found before the
+// eventfd was written.
 type pollerBarrier struct {
 	eventFD int
-	reached chan struct{}
-	release chan struct{}
+	reached chan struct{} // receives a value when the poller has reached the barrier
+	release chan struct{} // a value lets the poller continue
 }
 
 var _ netpoll.Listener = (*pollerBarrier)(nil)
@@ -35,11 +36,11 @@
 	return b, nil
 }
 
-// barrierRetryPause is the pause before the next attempt to have netpoll watch the barrier. The loop waits meanwhile.
+// barrierRetryPause is the pause before netpoll is made to watch the barrier again. The loop may wait meanwhile.
 const barrierRetryPause = 5 * time.Millisecond
 
-// serve has netpoll watch the barrier, for good. Without it the loop would wait for ever as soon as it waits for the poller, so where the kernel has no
-// memory for one more watch, that is retried.
+// serve makes netpoll watch the barrier, and never returns. It retries if the kernel has no memory for
+// another watch: without the barrier the loop would wait forever when it next waits for the poller.
 func (b *pollerBarrier) serve() {
 	for {
 		slog.Error("poller_barrier_failed", "reason", fmt.Sprint(watchListener(b)))
@@ -47,8 +48,9 @@
 	}
 }
 
-// runWhileParked runs do once the poller has come here, and lets it go on after that. The gate is open meanwhile, so the poller
-// waits for nothing else and this takes microseconds.
+// runWhileParked waits until the poller has reached the barrier, calls f, and lets the poller continue.
+// The gate must be open, so that the poller waits for nothing else and reaches the barrier within
+// microseconds.
 func (b *pollerBarrier) runWhileParked(f func()) {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
@@ -58,7 +60,7 @@
 			continue
 		}
 		if err != nil {
-			panic(fmt.Sprint("eventfd: ", err)) // it holds one at most, and is never closed
+			panic(fmt.Sprint("eventfd: ", err)) // cannot happen: the counter is at most one, and the eventfd is never closed
 		}
 		break
 	}
@@ -67,7 +69,8 @@
 	f()
 }
 
-// Accept is called on the poller. It accepts nothing.
+// Accept parks the poller until it is released, if the eventfd was written. netpoll calls it on the
+// poller. It returns no connection.
 func (b *pollerBarrier) Accept() (net.Conn, error) {
 	var count [8]byte
 	if n, err := unix.Read(b.eventFD, count[:]); err == nil && n == len(count) {
@@ -77,11 +80,11 @@
 	return nil, nil
 }
 
-// Fd is the eventfd that netpoll watches.
+// Fd returns the eventfd that netpoll watches.
 func (b *pollerBarrier) Fd() int { return b.eventFD }
 
-// Addr is part of being a listener.
+// Addr returns a name for the barrier. It is required by net.Listener.
 func (b *pollerBarrier) Addr() net.Addr { return &net.UnixAddr{Name: "poller barrier", Net: "unix"} }
 
-// Close is part of being a listener; a barrier is never closed.
+// Close does nothing. It is required by net.Listener, and a barrier is never closed.
 func (b *pollerBarrier) Close() error { return nil }
