--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -11,10 +11,10 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// environment is where netpoll's tasks run. netpoll has one set of pollers for a process, hence one of these.
+// environment is the poller environment of the process: netpoll has one set of pollers per process.
 var environment pollerEnvironment
 
-// pollerEnvironment is netpoll's poller with the loop that it serves.
+// pollerEnvironment holds the loop that runs netpoll's callbacks, and what synchronizes it with the poller.
 type pollerEnvironment struct {
 	sync.Mutex
 	loop    *Loop
@@ -22,25 +22,26 @@
 	gate    *loopGate
 }
 
-// whilePollerParked runs f on the loop while the poller is between two sockets and waits.
+// whilePollerParked calls f while the poller is parked between two sockets. It must be called on the loop.
 func (e *pollerEnvironment) whilePollerParked(f func()) {
 	e.gate.openForBarrier()
 	e.barrier.runWhileParked(func() {
-		e.gate.closeAfterBarrier() // before the poller goes on, or it would not wait with what it reads first
+		e.gate.closeAfterBarrier() // the poller must wait for the loop again from its first read on
 		e.gate.pollerParked.Store(true)
 		defer e.gate.pollerParked.Store(false)
 		f()
 	})
 }
 
-// Attach makes l the loop on which netpoll runs the callbacks of this process. One poller suits a machine of one
-// core, and it only reads: nothing that blocks happens on it.
+// Attach makes l the loop on which netpoll runs the callbacks of this process, and starts netpoll if
+// needed. One poller is enough for a machine with one core, since it only reads and never blocks on
+// anything but the loop.
 func Attach(l *Loop) error {
 	environment.Lock()
 	defer environment.Unlock()
 	environment.loop = l
 	if environment.barrier != nil {
-		return nil // netpoll runs, and reads its configuration without a lock
+		return nil // netpoll is running, and reads its configuration without a lock
 	}
 	environment.gate = newLoopGate()
 	err := startPoller(netpoll.Config{
@@ -63,14 +64,14 @@
 	return err
 }
 
-// How often, and how soon, the poller is started that could not be.
+// The limits for starting the poller again after a failure.
 const (
 	maxPollerStarts  = 50
 	pollerStartPause = 20 * time.Millisecond
 )
 
-// startPoller has netpoll open its poller. netpoll would do that when it is first used, on any goroutine, and panics where the kernel has no
-// resources for it.
+// startPoller makes netpoll open its poller, and retries up to maxPollerStarts times. By default netpoll
+// opens it on first use, on any goroutine, and panics if the kernel has no resources for it.
 func startPoller(c netpoll.Config) (err error) {
 	for range maxPollerStarts {
 		if err = netpoll.Configure(c); err == nil {
@@ -85,7 +86,7 @@
 	return err
 }
 
-// openPoller turns netpoll's panic into an error.
+// openPoller opens netpoll's poller and returns a panic of netpoll as an error.
 func openPoller() (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// netpollLog writes netpoll's own messages to this program's log.
+// netpollLog writes netpoll's messages to the structured log, except those about errStopped.
 type netpollLog struct{}
 
 // Write logs one message.
--- a/internal/dataplane/netio/bounded.go
+++ b/internal/dataplane/netio/bounded.go
@@ -5,20 +5,21 @@
 	"iter"
 )
 
-// BoundedConns are connections that hold a descriptor without a request. They have a capacity of their own, so that hundreds that send
-// nothing take no descriptor that a request needs; beyond it the one that was added or touched longest ago is evicted for the next.
+// BoundedConns is a set of connections that hold a descriptor without a request. Its capacity is separate,
+// so that hundreds of silent connections use no descriptor that a request needs. When it is full, Add
+// evicts the connection that was added or touched longest ago.
 type BoundedConns[C any] struct {
 	capacity int
-	evict    func(C)   // ends a connection, and removes it
+	evict    func(C)   // must end the connection and call Remove
 	conns    list.List // of C, the next to be evicted first
 }
 
-// NewBoundedConns is for so many connections, which evict ends.
+// NewBoundedConns returns a set for up to capacity connections. evict must end a connection and call Remove.
 func NewBoundedConns[C any](capacity int, evict func(C)) *BoundedConns[C] {
 	return &BoundedConns[C]{capacity: capacity, evict: evict}
 }
 
-// Add adds a connection as the last to be evicted. Touch and Remove take what it gives.
+// Add adds a connection as the last to be evicted. It returns the element for Touch and Remove.
 func (b *BoundedConns[C]) Add(c C) *list.Element {
 	if b.conns.Len() >= b.capacity {
 		b.evict(b.conns.Front().Value.(C))
@@ -29,13 +30,13 @@
 // Touch makes a connection the last to be evicted.
 func (b *BoundedConns[C]) Touch(e *list.Element) { b.conns.MoveToBack(e) }
 
-// Remove takes a connection out.
+// Remove removes a connection.
 func (b *BoundedConns[C]) Remove(e *list.Element) { b.conns.Remove(e) }
 
-// Len is how many there are.
+// Len returns the number of connections.
 func (b *BoundedConns[C]) Len() int { return b.conns.Len() }
 
-// All gives each of them, the next to be evicted first; each may be removed as it is given.
+// All iterates over the connections, the next to be evicted first. The current one may be removed.
 func (b *BoundedConns[C]) All() iter.Seq[C] {
 	return func(yield func(C) bool) {
 		for e := b.conns.Front(); e != nil; {
--- a/internal/dataplane/netio/buffer.go
+++ b/internal/dataplane/netio/buffer.go
@@ -1,30 +1,31 @@
 package netio
 
-// minBufferSize is the size, in bytes, that a buffer begins with; most connections never need more.
+// minBufferSize is the initial size of a buffer in bytes. Most connections never need more.
 const minBufferSize = 1024
 
-// Buffer holds what a connection has received and nobody has consumed yet. It grows up to a limit, moves its content to the front where that
-// is enough, and frees its memory once it is empty and has grown: thousands of idle connections must not each keep the size of their busiest
-// moment.
+// Buffer holds input that has not been consumed. It grows up to a limit, and moves its content to the front
+// instead if that makes enough room. An empty buffer that has grown frees its memory, so that thousands of
+// idle connections do not each keep their largest size.
 type Buffer struct {
 	data  []byte
 	start int
 	limit int
 }
 
-// NewBuffer makes a buffer that holds up to limit bytes.
+// NewBuffer returns a buffer that holds up to limit bytes.
 func NewBuffer(limit int) Buffer { return Buffer{limit: limit} }
 
-// Bytes is what the buffer holds. It is valid until the next call of Reserve or Consume.
+// Bytes returns the content. The slice is valid until the next call of Reserve, Append or Consume.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:] }
 
-// Len is how many bytes the buffer holds.
+// Len returns the number of bytes in the buffer.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// Available is how many bytes it can still take before its limit.
+// Available returns the number of bytes that fit before the limit.
 func (b *Buffer) Available() int { return max(0, b.limit-b.Len()) }
 
-// Reserve gives n bytes of space behind the content, or fewer where the limit is near. Extend makes what is written there content.
+// Reserve returns n bytes of space behind the content, fewer if the limit is near, and nil at the limit.
+// Extend adds what is written there to the content.
 func (b *Buffer) Reserve(n int) []byte {
 	n = min(n, b.Available())
 	if n == 0 {
@@ -52,7 +53,7 @@
 // Extend adds the first n bytes of the last Reserve to the content.
 func (b *Buffer) Extend(n int) { b.data = b.data[:len(b.data)+n] }
 
-// Append copies p behind the content, and gives how much of it fitted in.
+// Append copies p behind the content and returns the number of bytes that fitted.
 func (b *Buffer) Append(p []byte) int {
 	n := copy(b.Reserve(len(p)), p)
 	if n > 0 {
@@ -61,7 +62,7 @@
 	return n
 }
 
-// Consume drops the first n bytes.
+// Consume discards the first n bytes.
 func (b *Buffer) Consume(n int) {
 	b.start += n
 	if b.start < len(b.data) {
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -8,9 +8,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Dialer opens connections. netpoll's dial blocks its caller until the peer answers or time runs out, so a fixed set of goroutines waits for
-// them. No address may use more than a quarter of these: a host that has vanished takes all of its time limit for each dial, and must not
-// delay the dials to others.
+// Dialer opens connections. netpoll's dial blocks until the peer answers or the timeout expires, so a
+// fixed number of goroutines make the dials. One address may use at most a quarter of them: a dial to a
+// host that has vanished takes its whole timeout, and must not delay the dials to others.
 type Dialer struct {
 	loop *Loop
 
@@ -18,15 +18,15 @@
 	ready           *sync.Cond
 	waiting         []*Dial
 	dialsPerAddress map[string]int
-	maxPerAddress   int // dials at a time to one address: a vanished one must not use them all
+	maxPerAddress   int // concurrent dials to one address
 
-	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll's; tests replace it
+	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll.DialConnection; replaced by tests
 }
 
-// dialRetryPause is the pause before a connect is retried for which this machine had no resources.
+// dialRetryPause is the pause before a connect that failed for lack of local resources is retried.
 const dialRetryPause = 5 * time.Millisecond
 
-// Dial is one connection being opened.
+// Dial is a connection that is being opened.
 type Dial struct {
 	dialer   *Dialer
 	addr     string
@@ -34,11 +34,11 @@
 	deadline int64
 	handler  Handler
 	done     func(*Conn, *Error)
-	ended    bool // guarded by the dialer's mu
+	ended    bool // done was called or Cancel came first; guarded by the dialer's mu
 	expiry   *Timer
 }
 
-// NewDialer starts n dialers.
+// NewDialer returns a dialer that makes up to n dials at a time, on n goroutines.
 func NewDialer(l *Loop, n int) *Dialer {
 	d := &Dialer{loop: l, dialsPerAddress: map[string]int{}, maxPerAddress: max(1, n/4), dial: netpoll.DialConnection}
 	d.ready = sync.NewCond(&d.mu)
@@ -48,11 +48,12 @@
 	return d
 }
 
-// Dial opens a connection to addr within the time given, waiting for a dialer included, and calls done on the loop,
-// once, unless Drop comes first. h handles the connection; limit bounds its input.
+// Dial opens a connection to addr. It calls done once, on the loop, unless Cancel is called first. The
+// timeout includes the wait for a free goroutine. h handles the connection; limit is the number of bytes
+// of input at which reading pauses. It must be called on the loop.
 func (d *Dialer) Dial(addr string, timeout time.Duration, limit int, h Handler, done func(*Conn, *Error)) *Dial {
 	q := &Dial{dialer: d, addr: addr, limit: limit, deadline: d.loop.Now() + int64(timeout), handler: h, done: done}
-	// The limit holds on the loop's own clock too: a dial still queued when it passes is over.
+	// The timer also ends a dial that is still queued at its deadline.
 	q.expiry = d.loop.After(timeout, func() {
 		q.finish(nil, &Error{Stage: Connecting, Cause: TimedOut})
 	})
@@ -63,14 +64,14 @@
 	return q
 }
 
-// Cancel ends the dial; done is not called any more. A nil Dial is none.
+// Cancel ends the dial without calling done. It does nothing on a nil Dial or one that has ended.
 func (q *Dial) Cancel() {
 	if q != nil {
 		q.markEnded()
 	}
 }
 
-// markEnded ends a dial; false: it had ended already.
+// markEnded ends the dial. It returns false if the dial had already ended.
 func (q *Dial) markEnded() bool {
 	q.expiry.Stop()
 	q.dialer.mu.Lock()
@@ -80,6 +81,7 @@
 	return !alreadyEnded
 }
 
+// finish calls done with the connection or the error. It closes np if the dial has already ended.
 func (q *Dial) finish(np netpoll.Connection, err *Error) {
 	if !q.markEnded() {
 		if np != nil {
@@ -99,7 +101,8 @@
 	}
 }
 
-// nextDial is the oldest dial that may begin; those dropped while they waited are never begun.
+// nextDial waits for and returns the oldest dial that may start. It removes dials that have ended while
+// they waited.
 func (d *Dialer) nextDial() *Dial {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,10 +128,10 @@
 	}
 }
 
-// connect makes the connection within the dial's time. A connect for which this machine has no descriptor, port or memory is no fault of the
-// host, which must not be ejected for it, and is retried.
+// connect opens the connection before the dial's deadline. It retries a connect for which this machine
+// has no descriptor, port or memory: the host must not be ejected for a fault that is not its own.
 func (d *Dialer) connect(q *Dial) (np netpoll.Connection, err error) {
-	err = errors.New("no time left")
+	err = errors.New("the dial ended before a connect was made")
 	for {
 		timeLeft := time.Duration(q.deadline - d.loop.Now())
 		d.mu.Lock()
@@ -144,6 +147,7 @@
 	}
 }
 
+// runDials makes one dial after the other, for as long as the process runs.
 func (d *Dialer) runDials() {
 	for {
 		q := d.nextDial()
@@ -156,7 +160,7 @@
 		d.ready.Signal()
 		d.loop.Post(func() {
 			if err != nil {
-				// netpoll's errors do not distinguish a refusal from a time-out; the clock does.
+				// netpoll's errors do not distinguish a refusal from a timeout, so the deadline decides.
 				cause := Refused
 				if d.loop.Now() >= q.deadline {
 					cause = TimedOut
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerTimeout is how long after its end a connection may take to deliver its last line, and its peer to hang up.
+// lingerTimeout bounds how long an ended connection waits to deliver its last line and for its peer to hang up.
 const lingerTimeout = time.Second
 
-// maxLingerInput is how much, in bytes, may come in meanwhile: a peer that sends more is not reading.
+// maxLingerInput is how many bytes of input are discarded meanwhile. A peer that sends more is not reading.
 const maxLingerInput = 1 << 20
 
-// transportClosed is netpoll's callback for a transportClosed connection. It may come on a goroutine of netpoll's.
+// transportClosed is netpoll's callback for a closed or detached socket. netpoll may call it on its own goroutine.
 func (c *Conn) transportClosed(np netpoll.Connection) error {
 	environment.gate.releasePoller()
 	cause := Ended
@@ -29,12 +29,12 @@
 	kept := c.socket.fd >= 0 && c.keepDescriptor()
 	if c.socket.fd >= 0 && !kept {
 		cause = c.endCause()
-		c.socket.fd = -1 // the number is another's from here on
+		c.socket.fd = -1 // another connection may get the number from here on
 	}
 	c.socket.mu.Unlock()
 	var tail []byte
 	if n := np.Reader().Len(); n > 0 {
-		// Bytes that came right before the end, with no task of netpoll's left to bring them.
+		// Bytes that arrived right before the end: netpoll makes no further call of read for them.
 		tail = make([]byte, n)
 		np.Read(tail)
 	}
@@ -51,7 +51,7 @@
 		case c.layer != nil:
 			c.readThroughLayer(tail, c.inputLimit+inputOvershoot)
 			if cause == Ended {
-				// Anybody can end the socket; only the layer's own end comes from the peer.
+				// Anybody on the path can close the socket; only the peer can send the layer's closing message.
 				c.fail(&Error{Stage: Up, Cause: Broken, Detail: errTruncated})
 			}
 		case len(tail) > 0:
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// errPollerDropped is the reason for a connection that netpoll dropped although it is established: netpoll gives no other.
-var errPollerDropped = errors.New("the poller could not take the socket, or not read from it")
+// errPollerDropped means that netpoll has dropped an established connection. netpoll reports no reason.
+var errPollerDropped = errors.New("the poller could not watch the socket or read from it")
 
-// keepDescriptor reports whether netpoll closes a connection that neither side has ended, such as where the kernel had no memory for
-// watching its socket. It then keeps the socket open under another descriptor. The caller holds socket.mu.
+// keepDescriptor reports whether netpoll is closing a connection that neither side has ended, for example because the kernel has no
+// memory for watching the socket. In that case it keeps the socket open under a duplicate descriptor. The caller must hold socket.mu.
 func (c *Conn) keepDescriptor() bool {
 	const tcpEstablished = 1
 	if c.socket.closing {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// duplicateDescriptor gives a socket another descriptor; under 0: there is none to be had.
+// duplicateDescriptor returns another descriptor of a socket, or -1 if the kernel has none.
 func duplicateDescriptor(fd int) int {
 	duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return duplicate
 }
 
-// watchKeptDescriptor has netpoll watch a socket again that it has dropped. tail came in before that.
+// watchKeptDescriptor makes netpoll watch a dropped socket again. tail is input that arrived before.
 func (c *Conn) watchKeptDescriptor(tail []byte) {
 	c.paused = true
 	if c.ended && !c.ending.finishing {
@@ -140,10 +140,10 @@
 	}
 }
 
-// OnDescriptorFree has f called once the connection holds no descriptor any more, which may be some time after its end.
+// OnDescriptorFree calls f once the connection holds no descriptor, which may be some time after its end.
 func (c *Conn) OnDescriptorFree(f func()) { c.onDescriptorFree = f }
 
-// descriptorFreed calls what OnDescriptorFree has set, once.
+// descriptorFreed calls the function set by OnDescriptorFree, once.
 func (c *Conn) descriptorFreed() {
 	c.ending.lingerTimer.Stop()
 	if f := c.onDescriptorFree; f != nil {
@@ -152,7 +152,8 @@
 	}
 }
 
-// endCause queries the kernel for whether the peer ended in order: netpoll reports a reset as an end. The caller holds socket.mu.
+// endCause returns Ended or Broken by the kernel's state of the socket: netpoll reports a reset as an
+// orderly end. The caller must hold socket.mu.
 func (c *Conn) endCause() Cause {
 	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
@@ -162,13 +163,13 @@
 	return Ended
 }
 
-// FinalMessager is a Handler that sends its peer a last message where this side ends the connection for a fault or a limit of its own.
+// FinalMessager may be implemented by a Handler to send a last message when this side ends the connection (EndedLocally).
 type FinalMessager interface {
-	// FinalMessage is called right before the end, on the loop; Closed follows.
+	// FinalMessage is called on the loop right before the connection ends and Closed is called.
 	FinalMessage() []byte
 }
 
-// fail closes the connection and notifies the handler.
+// fail ends the connection and calls the handler's Closed. It does nothing if the connection has ended.
 func (c *Conn) fail(err *Error) {
 	if c.ended {
 		return
@@ -179,7 +180,7 @@
 	} else {
 		c.Close()
 	}
-	c.input = input // the handler may still read what came before the end
+	c.input = input // the handler may still read input from before the end
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic", "where", "close", "reason", p, "stack", string(debug.Stack()))
@@ -188,7 +189,7 @@
 	c.handler.Closed(c, err)
 }
 
-// Close ends the connection in order: what was written goes out, then the end.
+// Close ends the connection in order, after its unsent bytes have been sent or lingerTimeout has passed.
 func (c *Conn) Close() {
 	if c.ended {
 		return
@@ -198,13 +199,13 @@
 	c.ended, c.input = true, Buffer{}
 	if len(c.output.unsent) > 0 {
 		c.ending.unsentDeadline = c.loop.Now() + int64(lingerTimeout)
-		return // retryUnsent closes: a line must not be cut off because its reader is slow
+		return // retryUnsent closes the socket: a line must not be cut off because its reader is slow
 	}
 	c.closeSocket()
 }
 
-// Finish ends the connection after its last line. Close would reset it wherever the peer has sent what nobody has read, and a reset can
-// overtake the line. So only this side ends; what still comes is discarded until the peer hangs up, or for lingerTimeout.
+// Finish ends the connection after its last line. If the peer has sent bytes that were not read, Close would reset the connection, and
+// the reset can overtake the line. So Finish closes only this direction, and discards input until the peer hangs up or lingerTimeout.
 func (c *Conn) Finish() {
 	if c.ended {
 		return
@@ -219,7 +220,7 @@
 	}
 }
 
-// halfClose ends this side alone.
+// halfClose closes the direction to the peer.
 func (c *Conn) halfClose() {
 	c.socket.mu.Lock()
 	if c.socket.fd >= 0 {
@@ -231,7 +232,7 @@
 	}
 }
 
-// CloseNow frees the descriptor at once, also of a connection that was finished.
+// CloseNow ends the connection and closes its socket at once, without sending unsent bytes.
 func (c *Conn) CloseNow() {
 	c.Close()
 	c.output.retryTimer.Stop()
@@ -239,11 +240,11 @@
 	c.closeSocket()
 }
 
-// Abort ends it with a reset, after the rest of a line that the peer has not taken yet: that may be the answer to its request.
+// Abort ends the connection with a reset, after its unsent bytes: they may be the answer to the peer's request.
 func (c *Conn) Abort() {
 	if c.ended {
 		return
 	}
-	c.layer, c.ending.abort = nil, true // a layer sends nothing at a reset
+	c.layer, c.ending.abort = nil, true // the layer must not send its closing message before a reset
 	c.Close()
 }
--- a/internal/dataplane/netio/layer.go
+++ b/internal/dataplane/netio/layer.go
@@ -86,7 +86,8 @@
 	c.readLayer(limit)
 }
 
-// readLayer has the layer fill the input up to most bytes, and the handler read it.
+// readLayer fills the input from the layer up to limit bytes and calls the handler. It repeats that
+// while the handler makes room and the layer has more.
 func (c *Conn) readLayer(limit int) {
 	c.guard(func() {
 		for !c.ended {
@@ -105,7 +106,7 @@
 	})
 }
 
-// readLayerOnce has the layer fill the input up to most bytes; fresh: some have come.
+// readLayerOnce fills the input from the layer up to limit bytes. fresh reports whether it added any.
 func (c *Conn) readLayerOnce(limit int) (fresh bool, err error) {
 	for c.input.Len() < limit {
 		n, err := c.layer.Open(c.input.Reserve(layerReadSize))
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -192,7 +192,8 @@
 	return events.Serve(l)
 }
 
-// startAccepted begins a connection that was startAccepted, on the loop.
+// startAccepted makes a connection of an accepted descriptor, on the loop. It starts reading unless
+// accept has ended the connection.
 func startAccepted(l *Loop, fd, limit int, accept func(c *Conn) Handler) {
 	unix.SetNonblock(fd, true)
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
--- a/internal/dataplane/netio/netiotest/netiotest.go
+++ b/internal/dataplane/netio/netiotest/netiotest.go
@@ -1,4 +1,4 @@
-// Package netiotest has what tests of the packages above netio share.
+// Package netiotest provides helpers for tests of packages that use netio.
 package netiotest
 
 import (
@@ -8,10 +8,10 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// endTimeout bounds the wait for a loop at a test's end.
+// endTimeout bounds the wait for a loop to stop at the end of a test.
 const endTimeout = 20 * time.Second
 
-// Run attaches a loop to its sockets and runs it until the test ends.
+// Run makes l the loop of the process's poller and runs it until the test ends.
 func Run(t testing.TB, l *netio.Loop) {
 	t.Helper()
 	if err := netio.Attach(l); err != nil {
@@ -20,7 +20,8 @@
 	Start(t, l)
 }
 
-// Start runs a loop until the test ends, and waits for its end then: netpoll has one poller for the process, which two loops must not use.
+// Start runs l until the test ends, and then waits until it has stopped: netpoll has one poller for the
+// process, which two loops must not use.
 func Start(t testing.TB, l *netio.Loop) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -33,7 +34,7 @@
 		select {
 		case <-ended:
 		case <-time.After(endTimeout):
-			t.Error("the loop has not ended")
+			t.Errorf("the loop has not stopped within %v", endTimeout)
 		}
 	})
 }
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// read takes what netpoll has read. netpoll calls it on the loop.
+// read moves what netpoll has read to the layer or the input, and calls the handler. netpoll calls it
+// on the loop.
 func (c *Conn) read() {
 	for c.transport.Reader().Len() > 0 {
 		n := c.transport.Reader().Len()
@@ -22,13 +23,13 @@
 			break
 		}
 		if !c.ended && c.input.Len() >= c.inputLimit && c.pauseReading() {
-			return // detached lets the poller go on
+			return // transportClosed releases the poller, and finishPause reads the rest
 		}
 	}
 	c.transport.Reader().Release()
 }
 
-// readSome takes up to n bytes; false: netpoll has none after all.
+// readSome reads up to n bytes and delivers them. It returns false if netpoll returns an error.
 func (c *Conn) readSome(n int) bool {
 	if c.layer != nil {
 		p, err := c.transport.Reader().Next(n)
@@ -51,14 +52,17 @@
 	return err == nil
 }
 
-// countDiscarded counts what comes in after the last line went out.
+// countDiscarded counts input that arrives after the end, and closes the socket of a finishing
+// connection beyond maxLingerInput.
 func (c *Conn) countDiscarded(n int) {
 	if c.ending.discardedBytes += n; c.ending.finishing && c.ending.discardedBytes > maxLingerInput {
 		c.closeSocket()
 	}
 }
 
-// pauseReading takes the socket away from netpoll; what comes from here on stays in the kernel's buffer, and then at the sender. It is called from inside a callback of netpoll's, which completes the detaching when it returns.
+// pauseReading detaches the socket from netpoll, so that further input stays in the kernel's buffer and
+// then at the sender. It reports whether the socket is being detached; finishPause is called once it
+// is. If it is called inside a netpoll callback, netpoll detaches the socket when that returns.
 func (c *Conn) pauseReading() bool {
 	d, ok := c.transport.(interface{ Detach() error })
 	if !ok {
@@ -75,13 +79,14 @@
 	return detach
 }
 
-// resume gives the socket back.
+// resume makes netpoll watch the socket again. It does nothing if the connection has no descriptor or
+// is being released.
 func (c *Conn) resume() {
 	c.socket.mu.Lock()
 	fd, ready := c.socket.fd, !c.socket.detaching
 	c.socket.mu.Unlock()
 	if !ready || fd < 0 || c.onReleased != nil {
-		return // netpoll has not released it yet, and closed calls this again; or the connection is being released
+		return // if netpoll is still detaching the socket, finishPause calls resume again
 	}
 	c.paused = false
 	if err := c.registerWithPoller(fd); err != nil {
@@ -92,8 +97,8 @@
 	c.watchFailures = 0
 }
 
-// registerWithPoller has netpoll watch the socket. netpoll closes a socket that it can't watch, so this one has a second descriptor meanwhile, where
-// there is one.
+// registerWithPoller makes netpoll watch the socket. netpoll closes a socket that it cannot watch, so
+// the connection keeps a duplicate descriptor, if the kernel has one, until that has succeeded.
 func (c *Conn) registerWithPoller(fd int) (err error) {
 	spare := duplicateDescriptor(fd)
 	environment.whilePollerParked(func() {
@@ -115,13 +120,15 @@
 	return err
 }
 
-// How often, and how soon, a socket is offered to the poller again that it could not take: the kernel may be short of memory for a moment.
+// The limits for registering a socket with the poller again after a failure: the kernel may be short of
+// memory for a moment.
 const (
 	maxWatchAttempts = 20
 	watchRetryPause  = 25 * time.Millisecond
 )
 
-// retryWatch has netpoll watch the socket after a pause; too many failures end the connection.
+// retryWatch makes netpoll watch the socket after watchRetryPause. It ends the connection after
+// maxWatchAttempts consecutive failures, or if no descriptor is left. err is the last failure.
 func (c *Conn) retryWatch(err error) {
 	c.watchFailures++
 	slog.Warn("watch_failed", "times", c.watchFailures, "reason", err)
@@ -139,14 +146,15 @@
 	})
 }
 
-// deliver has the handler read the input.
+// deliver calls the handler to read the input, unless the connection has ended or is being released.
 func (c *Conn) deliver() {
 	if !c.ended && c.onReleased == nil {
 		c.guard(func() { c.handler.Data(c) })
 	}
 }
 
-// finishPause is netpoll's callback once a pause has begun. It comes on the loop, where the pause was requested.
+// finishPause reads what netpoll has buffered of a socket that is being detached, and completes the
+// pause. netpoll calls it on the loop, on which the pause was requested.
 func (c *Conn) finishPause(np netpoll.Connection) {
 	environment.whilePollerParked(func() {})
 	for n := np.Reader().Len(); n > 0; n = np.Reader().Len() {
@@ -166,7 +174,7 @@
 		got, _ := np.Read(space)
 		c.input.Extend(got)
 	}
-	// netpoll releases the socket only after this callback, so all that follows waits for the loop's next turn.
+	// netpoll releases the socket only after this callback, so the rest is posted to the loop.
 	c.loop.Post(func() {
 		c.socket.mu.Lock()
 		c.socket.detaching = false
@@ -193,4 +201,4 @@
 	})
 }
 
-var errInputLimit = errors.New("more input than the limit")
+var errInputLimit = errors.New("unread input exceeds the limit of the connection")
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -2,21 +2,22 @@
 
 import (
 	"bytes"
-	"errors"
+	"fmt"
 	"log/slog"
 
 	"golang.org/x/sys/unix"
 )
 
-// ReleasedConn are what another process needs to resume a connection that was released.
+// ReleasedConn holds what another process needs to resume a connection that was released.
 type ReleasedConn struct {
-	FD     int    `json:"FD"`   // the receiver's to close; under 0: the connection could not be released
-	Input  []byte `json:"In"`   // came in and was not consumed
-	Unsent []byte `json:"Rest"` // of the line that is partly written
+	FD     int    `json:"FD"`   // owned by the receiver; negative if the connection could not be released
+	Input  []byte `json:"In"`   // input that was not consumed
+	Unsent []byte `json:"Rest"` // the unsent rest of a partly written line
 }
 
-// Release gives an open connection away without ending it; done gets its parts, on the loop, later. From here on its handler is not notified of
-// anything. A connection with a layer can't be released, since the layer's state stays here.
+// Release detaches an open connection from its handler and from the loop without ending it. It calls done
+// on the loop, after Release has returned, and the handler no more. A connection that has ended, or has a
+// layer, whose state cannot be moved, is not released: done then gets a negative FD.
 func (c *Conn) Release(done func(ReleasedConn)) {
 	if c.ended || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
@@ -31,11 +32,11 @@
 	ready := !c.socket.detaching
 	c.socket.mu.Unlock()
 	if ready {
-		c.loop.Post(c.completeRelease) // else detached does it, once netpoll has released the socket
+		c.loop.Post(c.completeRelease) // otherwise finishPause calls it once netpoll has released the socket
 	}
 }
 
-// releaseFailed gives no parts for a connection that has ended before it was released.
+// releaseFailed reports to the caller of Release, if any, that the connection was not released.
 func (c *Conn) releaseFailed() {
 	if done := c.onReleased; done != nil {
 		c.onReleased = nil
@@ -43,7 +44,7 @@
 	}
 }
 
-// completeRelease calls what waits for the parts.
+// completeRelease passes the connection to the caller of Release.
 func (c *Conn) completeRelease() {
 	done := c.onReleased
 	if done == nil {
@@ -65,14 +66,17 @@
 	done(p)
 }
 
-// Resume makes a connection of the parts of a released one, and gives it to done and then to h. It is called on the loop. The socket is the
-// connection's from here on, also where there is an error. Reading is paused at first: netpoll would read as fast as the peer sends until the
-// callbacks are in place, and a connection whose input nobody consumes must not grow with each process that resumes it.
+// Resume makes a connection of a released one, passes it to done, and then delivers its input to h. It
+// must be called on the loop. It takes ownership of p.FD, also if it returns an error.
+//
+// Reading is paused at first: netpoll would read as fast as the peer sends until the callbacks are in
+// place, and a connection whose input is not consumed must not grow with each process that resumes it.
 func Resume(l *Loop, p ReleasedConn, limit int, h Handler, done func(*Conn)) error {
 	c := newPausedConn(l, p.FD, limit, h)
 	if c.input.Append(p.Input) < len(p.Input) || len(p.Unsent) > maxUnsentBytes {
 		unix.Close(p.FD)
-		return errors.New("more unread or unsent than a connection may have")
+		return fmt.Errorf("released connection with %d unread and %d unsent bytes: at most %d and %d are accepted",
+			len(p.Input), len(p.Unsent), limit+inputOvershoot, maxUnsentBytes)
 	}
 	c.guard(func() { done(c) })
 	if !c.ended && len(p.Unsent) > 0 {
@@ -84,8 +88,9 @@
 	return nil
 }
 
-// Discard closes this process's descriptor of the socket. Where nobody resumes the connection, last is its last line: it goes out behind the
-// rest of a partly written one, as far as the kernel takes them at once.
+// Discard closes this process's descriptor of the socket. If no process resumes the connection, last is
+// its last line, sent behind the rest of a partly written one as far as the kernel accepts them at once.
+// An empty last sends nothing. Discard does nothing if FD is negative.
 func (p ReleasedConn) Discard(last []byte) {
 	if p.FD < 0 {
 		return
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -1,24 +1,29 @@
 package netio
 
 import (
-	"errors"
+	"fmt"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// The backoff before the rest of a line is written again.
+// The bounds of the backoff before unsent bytes are written again.
 const (
 	minWriteRetryPause = 2 * time.Millisecond
 	maxWriteRetryPause = 64 * time.Millisecond
 )
 
-// writeStallTimeout is how long a peer may take nothing before its connection is ended: it costs memory, and a descriptor on the other side of
-// the proxy too.
+// writeStallTimeout is how long bytes may stay unsent before the connection is ended. A connection that
+// waits for its peer costs memory, and a descriptor on the other side of the proxy as well.
 const writeStallTimeout = 10 * time.Second
 
-// Write writes one line to the kernel. False: it accepts nothing while the rest of an earlier line waits; Handler.Writable follows.
+// errPeerStalled is the reason for ending a connection at its stallDeadline.
+var errPeerStalled = fmt.Errorf("the peer has not accepted all bytes within %v", writeStallTimeout)
+
+// Write writes one line to the kernel and buffers what the kernel does not accept. It returns false and
+// writes nothing while the rest of an earlier line is unsent; Handler.Writable is called once it is sent.
+// On a connection that has ended it discards p and returns true.
 func (c *Conn) Write(p []byte) bool {
 	if c.ended {
 		return true // the handler has ended it, or is about to be notified of its end
@@ -30,7 +35,7 @@
 	return true
 }
 
-// writeThroughLayer sends bytes, by way of the layer where there is one; they go behind the rest of what the peer has not taken yet.
+// writeThroughLayer sends p, through the layer if there is one. p goes behind bytes that are unsent.
 func (c *Conn) writeThroughLayer(p []byte) {
 	if c.layer == nil {
 		c.writeToSocket(p)
@@ -39,7 +44,8 @@
 	}
 }
 
-// writeToSocket writes bytes to the kernel and buffers what it does not take.
+// writeToSocket writes p to the kernel and buffers what the kernel does not accept. If earlier bytes are
+// unsent, it appends p to them.
 func (c *Conn) writeToSocket(p []byte) {
 	if len(c.output.unsent) > 0 {
 		if len(c.output.unsent)+len(p) > maxUnsentBytes {
@@ -60,11 +66,11 @@
 	}
 }
 
-// Blocked reports whether the rest of a line waits for the peer.
+// Blocked reports whether bytes are unsent because the peer or the kernel accepts no more.
 func (c *Conn) Blocked() bool { return len(c.output.unsent) > 0 }
 
-// retryUnsent writes the rest of a line again, by a timer with a backoff: netpoll's own Flush would block the loop until a slow reader has taken
-// everything, and its poller watches for writing only inside that call.
+// retryUnsent writes unsent bytes again, by a timer with a backoff. netpoll's Flush would block the loop
+// until a slow reader has accepted everything, and netpoll watches for writability only inside Flush.
 func (c *Conn) retryUnsent() {
 	n, err := c.send(c.output.unsent)
 	c.output.unsent = c.output.unsent[:copy(c.output.unsent, c.output.unsent[n:])]
@@ -73,7 +79,7 @@
 		c.writeFailed(err)
 	case len(c.output.unsent) > 0 && !c.ended && c.loop.Now() > c.output.stallDeadline:
 		c.output.unsent = nil
-		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errors.New("the peer reads nothing")})
+		c.fail(&Error{Stage: Up, Cause: EndedLocally, Detail: errPeerStalled})
 	case len(c.output.unsent) > 0 && !(c.ended && c.loop.Now() > c.ending.unsentDeadline):
 		c.output.retryPause = min(2*c.output.retryPause, maxWriteRetryPause)
 		c.output.retryTimer = c.loop.After(c.output.retryPause, c.retryUnsent)
@@ -87,14 +93,14 @@
 	}
 }
 
-// sendmsg is the system call.
+// sendmsg writes to a socket by the system call, without blocking and without SIGPIPE.
 func sendmsg(fd int, p []byte) (int, error) {
 	return unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL|unix.MSG_DONTWAIT)
 }
 
-// send writes what the kernel takes right now, and gives how much that was. A kernel that is short of memory or of buffers takes nothing for the
-// moment. Any other error means that the connection is broken. A connection whose socket is closed takes everything: its handler is about to be
-// notified of its end.
+// send writes as much of p as the kernel accepts at once, and returns the number of bytes. An error means
+// that the connection is broken. If the socket is closed, send discards p and returns its length, since
+// the handler is about to be notified of the end.
 func (c *Conn) send(p []byte) (done int, err error) {
 	c.socket.mu.Lock()
 	defer c.socket.mu.Unlock()
@@ -104,7 +110,8 @@
 	return sendSome(c.loop.sendmsg, c.socket.fd, p)
 }
 
-// sendSome writes what the kernel takes right now. It gives no error where the kernel takes no more for the moment.
+// sendSome writes as much of p as the kernel accepts at once. It returns no error if the kernel accepts no
+// more for the moment, because the buffer is full or memory is short.
 func sendSome(systemCall func(fd int, p []byte) (int, error), fd int, p []byte) (done int, err error) {
 	for done < len(p) {
 		n, err := systemCall(fd, p[done:])
@@ -121,8 +128,8 @@
 	return len(p), nil
 }
 
-// writeFailed ends a connection on which a write has failed. Until its handler is notified the line counts as not completely written. netpoll may
-// not notice: the error that a write returns is cleared on the socket.
+// writeFailed ends a connection on which a write has failed, because netpoll may not notice: the socket
+// clears an error once a write has returned it. Until the handler is notified, the line counts as unsent.
 func (c *Conn) writeFailed(err error) {
 	c.loop.Post(func() {
 		c.output.retryTimer.Stop()
@@ -135,8 +142,8 @@
 	})
 }
 
-// FinishWith writes a last line and ends the connection as Finish does. The line also goes out where the rest of an earlier
-// one still waits for the peer: Write would take nothing then.
+// FinishWith writes a last line and ends the connection as Finish does. Unlike Write, it accepts the line
+// while the rest of an earlier one is unsent.
 func (c *Conn) FinishWith(last []byte) {
 	if c.ended {
 		return
