--- a/internal/dataplane/netio/bounded_test.go
+++ b/internal/dataplane/netio/bounded_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestBoundedConns: beyond the capacity the connection that was touched longest ago is evicted for the next.
+// TestBoundedConns checks that adding to a full set evicts the connection that was added or touched longest ago.
 func TestBoundedConns(t *testing.T) {
 	elements := map[string]*list.Element{}
 	var evicted []string
@@ -21,12 +21,12 @@
 	conns.Touch(elements["a"])
 	elements["c"] = conns.Add("c")
 	if got := slices.Collect(conns.All()); !slices.Equal(evicted, []string{"b"}) || !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("evicted %v, left %v; expected b, then a and c", evicted, got)
+		t.Errorf("evicted %v, kept %v; want [b] evicted and [a c] kept", evicted, got)
 	}
 	for c := range conns.All() {
 		conns.Remove(elements[c])
 	}
 	if conns.Len() != 0 {
-		t.Errorf("%d are left after each was removed", conns.Len())
+		t.Errorf("Len() = %d after all connections were removed, want 0", conns.Len())
 	}
 }
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -66,8 +66,8 @@
 // errPollerDropped means that netpoll has dropped an established connection. netpoll reports no reason.
 var errPollerDropped = errors.New("the poller could not watch the socket or read from it")
 
-// keepDescriptor reports whether netpoll is closing a connection that neither side has ended, for example because the kernel has no
-// memory for watching the socket. In that case it keeps the socket open under a duplicate descriptor. The caller must hold socket.mu.
+// keepDescriptor duplicates the descriptor of a socket that netpoll closes although neither side ended it,
+// for example for lack of kernel memory. It reports whether it did. The caller must hold socket.mu.
 func (c *Conn) keepDescriptor() bool {
 	const tcpEstablished = 1
 	if c.socket.closing {
@@ -152,8 +152,7 @@
 	}
 }
 
-// endCause returns Ended or Broken by the kernel's state of the socket: netpoll reports a reset as an
-// orderly end. The caller must hold socket.mu.
+// endCause asks the kernel for the cause: netpoll reports a reset as an end. The caller must hold socket.mu.
 func (c *Conn) endCause() Cause {
 	info, err := unix.GetsockoptTCPInfo(c.socket.fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	const tcpClose = 7
@@ -163,7 +162,7 @@
 	return Ended
 }
 
-// FinalMessager may be implemented by a Handler to send a last message when this side ends the connection (EndedLocally).
+// FinalMessager may be implemented by a Handler to send a last message before an end with cause EndedLocally.
 type FinalMessager interface {
 	// FinalMessage is called on the loop right before the connection ends and Closed is called.
 	FinalMessage() []byte
@@ -204,8 +203,8 @@
 	c.closeSocket()
 }
 
-// Finish ends the connection after its last line. If the peer has sent bytes that were not read, Close would reset the connection, and
-// the reset can overtake the line. So Finish closes only this direction, and discards input until the peer hangs up or lingerTimeout.
+// Finish closes the direction to the peer after the last line, and discards input until the peer hangs up or
+// lingerTimeout passes. Close would send a reset if input is unread, and the reset can overtake the line.
 func (c *Conn) Finish() {
 	if c.ended {
 		return
--- a/internal/dataplane/netio/errno_test.go
+++ b/internal/dataplane/netio/errno_test.go
@@ -12,7 +12,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// failingLoop is a loop whose system call gives an error so many times, and then goes on.
+// failingLoop returns a loop whose system call for writing fails with err the given number of times. After
+// that it writes at most 3 bytes a call.
 func failingLoop(err error, times int) *Loop {
 	l := NewLoop()
 	l.sendmsg = func(fd int, p []byte) (int, error) {
@@ -28,20 +29,20 @@
 	return l
 }
 
-// A kernel that is short of buffers for a moment breaks no connection: the line is sent again.
+// If the kernel is short of buffers for a moment, the line is sent again instead of ending the connection.
 func TestALineOutlivesAKernelShortOfBuffers(t *testing.T) {
 	for _, err := range []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN} {
 		_, addr, _ := serveOn(t, failingLoop(err, 3), func(c *Conn) { c.FinishWith([]byte("a line\r\n")) })
 		c := dial(t, addr)
 		c.Write([]byte("."))
-		if got, err2 := io.ReadAll(c); string(got) != "a line\r\n" || err2 != nil {
-			t.Errorf("%v: got %q, %v", err, got, err2)
+		if got, readErr := io.ReadAll(c); string(got) != "a line\r\n" || readErr != nil {
+			t.Errorf("write failing with %v: read %q, %v; want \"a line\\r\\n\" and no error", err, got, readErr)
 		}
 	}
 }
 
-// A host accepts and then resets its connection, while the kernel takes no bytes for the client: the reset that is passed on must not overtake
-// the acceptance, which is the client's answer.
+// A host accepts and then resets its connection while the kernel accepts no bytes for the client. The
+// reset of the client's connection must not overtake the acceptance, which is the client's answer.
 func TestAResetComesBehindTheAnswer(t *testing.T) {
 	_, addr, _ := serveOn(t, failingLoop(syscall.ENOBUFS, 3), func(c *Conn) {
 		c.Write([]byte("UP x\r\n"))
@@ -51,17 +52,18 @@
 	c.Write([]byte("."))
 	got, err := io.ReadAll(c)
 	if string(got) != "UP x\r\n" || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("read %q, %v; want \"UP x\\r\\n\" and a reset", got, err)
 	}
 }
 
-// The loop stops accepting while the poller waits for it with a connection that it has accepted: neither may wait for the other for ever.
+// The loop stops accepting while the poller, which has accepted a connection, waits for the loop. They
+// must not deadlock.
 func TestStoppingWhileAConnectionIsAccepted(t *testing.T) {
 	l, n := attachedLoop(t), bindListener(t)
 	if err := Serve(l, n, 1024, greet); err != nil {
 		t.Fatal(err)
 	}
-	c := dial(t, n.Addr().String()) // nothing runs the loop yet, so the poller waits for it
+	c := dial(t, n.Addr().String()) // the loop does not run yet, so the poller waits for it
 	for l.idle() {
 		time.Sleep(time.Millisecond)
 	}
@@ -73,22 +75,22 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the loop waits for a poller that waits for it")
+		t.Fatal("Stop has not returned within 10 s: the loop and the poller wait for each other")
 	}
 	start(t, l)
 	if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("read %q, %v; want \"here\\r\\n\"", got, err)
 	}
 }
 
-// idle reports whether nothing waits for the loop.
+// idle reports whether no task is queued for the loop.
 func (l *Loop) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) == 0
 }
 
-// A write that fails for good ends its connection, and the line counts as not written.
+// A write that fails permanently ends the connection, and the line counts as unsent.
 func TestAWriteThatFailsIsReported(t *testing.T) {
 	for _, err := range []error{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		written := make(chan bool, 1)
@@ -99,20 +101,21 @@
 		c := dial(t, addr)
 		c.Write([]byte("."))
 		if <-written {
-			t.Errorf("%v: the line counts as written", err)
+			t.Errorf("write failing with %v: Blocked() = false, want true", err)
 		}
 		select {
 		case e := <-ends:
 			if e.Cause != Broken || e.Detail != err {
-				t.Errorf("%v: the handler gets %v", err, e)
+				t.Errorf("write failing with %v: Closed got %v, want cause %v with that detail", err, e, Broken)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%v: the handler is not notified", err)
+			t.Fatalf("write failing with %v: Closed was not called within 10 s", err)
 		}
 	}
 }
 
-// netpoll gives up an open connection where the kernel has no memory for watching it, or for a read. The connection goes on, with what had come in.
+// netpoll closes an open connection if the kernel has no memory for watching or reading it. The connection
+// must continue and keep the input received so far.
 func TestAConnectionOutlivesNetpollGivingItUp(t *testing.T) {
 	for _, times := range []int{1, 3} {
 		givenUp := 0
@@ -122,7 +125,7 @@
 			}
 			if givenUp < times {
 				givenUp++
-				c.transport.Close() // as netpoll does by itself
+				c.transport.Close() // as netpoll does for lack of memory
 				return
 			}
 			c.FinishWith(append([]byte(nil), c.Input()...))
@@ -135,12 +138,13 @@
 			c.Write([]byte("."))
 		}
 		if got, err := io.ReadAll(c); err != nil || len(got) < len("half of a line.") || string(got[:15]) != "half of a line." {
-			t.Errorf("given up %d times: got %q, %v", times, got, err)
+			t.Errorf("closed by netpoll %d times: read %q, %v; want \"half of a line.\" at the start", times, got, err)
 		}
 	}
 }
 
-// A machine without descriptors or ports for a moment is no fault of a host: the connect is retried. A refused connection is reported at once.
+// A connect that fails because this machine is short of descriptors or ports is retried, since that is no
+// fault of the host. A refused connection is reported at once.
 func TestAConnectOutlivesAMachineShortOfDescriptors(t *testing.T) {
 	l, addr, _ := serve(t, func(*Conn) {})
 	d := NewDialer(l, 1)
@@ -161,12 +165,12 @@
 			d.Dial(addr, 10*time.Second, 1024, discardingHandler{}, func(c *Conn, err *Error) { established <- err == nil })
 		})
 		if got := <-established; got != c.established || c.established && attempts != 4 || !c.established && attempts != 1 {
-			t.Errorf("%v: established %t after %d attempts", c.err, got, attempts)
+			t.Errorf("connect failing with %v: established %t after %d attempts, want %t", c.err, got, attempts, c.established)
 		}
 	}
 }
 
-// flakyListener is a listener whose accept fails in one way after the other.
+// flakyListener is a listener whose Accept returns each of errs once before it accepts.
 type flakyListener struct {
 	netpoll.Listener
 	errs []error
@@ -181,7 +185,7 @@
 	return f.Listener.Accept()
 }
 
-// Accepting goes on whatever one accept says, and at once where there is a descriptor again.
+// Accepting continues after any error of one accept, and without delay once there are descriptors again.
 func TestAcceptingOutlivesItsErrors(t *testing.T) {
 	l, n := runningLoop(t), bindListener(t)
 	n.Listener = &flakyListener{Listener: n.Listener, errs: []error{syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.EPERM,
@@ -192,7 +196,7 @@
 	for range 3 {
 		c := dial(t, n.Addr().String())
 		if got, err := io.ReadAll(c); string(got) != "here\r\n" {
-			t.Errorf("got %q, %v", got, err)
+			t.Errorf("read %q, %v; want \"here\\r\\n\"", got, err)
 		}
 	}
 }
--- a/internal/dataplane/netio/finish_test.go
+++ b/internal/dataplane/netio/finish_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that reads slowly gets its last line behind one that is not completely written yet: a client is not cut off without its migration line.
+// A peer that reads slowly gets its last line behind one that was not completely written. Otherwise a
+// client would be cut off without its migration line.
 func TestLastLineBehindAnUnfinishedOne(t *testing.T) {
 	line := append(bytes.Repeat([]byte("x"), 4094), "\r\n"...)
 	finished := make(chan struct{})
@@ -25,11 +26,12 @@
 	<-finished
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.HasSuffix(got, append(line[len(line)-8:], "MOVE\r\n"...)) || (len(got)-6)%len(line) != 0 {
-		t.Errorf("%d bytes end in %q: %v", len(got), got[max(0, len(got)-8):], err)
+		t.Errorf("read %d bytes that end in %q, %v; want complete lines and \"MOVE\\r\\n\"", len(got), got[max(0, len(got)-8):], err)
 	}
 }
 
-// A connection that nobody resumes still ends with complete lines, where its socket takes them; one that somebody else resumes is left alone.
+// Discard with a last line completes the partly written line and sends the last one. Discard without one
+// sends nothing, since another process resumes the connection.
 func TestPartsAreDiscardedWithTheirRest(t *testing.T) {
 	for _, c := range []struct{ last, want string }{{"MOVE\r\n", "of a line\r\nMOVE\r\n"}, {"", ""}} {
 		pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
@@ -40,7 +42,7 @@
 		ReleasedConn{FD: pair[0], Unsent: []byte("of a line\r\n")}.Discard([]byte(c.last))
 		got, err := io.ReadAll(peer)
 		if err != nil || string(got) != c.want {
-			t.Errorf("last %q: got %q and %v", c.last, got, err)
+			t.Errorf("Discard(%q): the peer read %q, %v; want %q", c.last, got, err, c.want)
 		}
 		peer.Close()
 	}
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// peer is a handler that passes on what happens; every call comes on the loop.
+// peer is a handler that calls data for Data and Writable, and sends the error of Closed to closed.
 type peer struct {
 	data   func(c *Conn)
 	closed chan *Error
@@ -19,7 +19,7 @@
 func (p *peer) Writable(c *Conn)           { p.data(c) }
 func (p *peer) Closed(c *Conn, err *Error) { p.closed <- err }
 
-// attachedLoop is a loop with its sockets that nothing runs yet.
+// attachedLoop returns a loop that is attached to the poller and does not run yet.
 func attachedLoop(t *testing.T) *Loop {
 	t.Helper()
 	l := NewLoop()
@@ -29,7 +29,7 @@
 	return l
 }
 
-// runningLoop runs a loop with its sockets until the test ends.
+// runningLoop returns a loop that is attached to the poller and runs until the test ends.
 func runningLoop(t *testing.T) *Loop {
 	t.Helper()
 	l := attachedLoop(t)
@@ -37,7 +37,8 @@
 	return l
 }
 
-// start runs a loop until the test ends, and waits for its end then: netpoll has one poller for the process, which two loops must not use.
+// start runs a loop until the test ends, and then waits until it has stopped: netpoll has one poller for
+// the process, which two loops must not use.
 func start(t *testing.T, l *Loop) {
 	t.Helper()
 	go l.Run()
@@ -46,12 +47,12 @@
 		select {
 		case <-l.ended:
 		case <-time.After(20 * time.Second):
-			t.Error("the loop has not ended")
+			t.Error("the loop has not stopped within 20 s")
 		}
 	})
 }
 
-// bindListener is a listener on a free port.
+// bindListener returns a listener on a free port.
 func bindListener(t *testing.T) *Listener {
 	t.Helper()
 	n, err := Bind("127.0.0.1:0", false)
@@ -67,13 +68,14 @@
 	return discardingHandler{}
 }
 
-// serve listens on a running loop; connections are handled by data.
+// serve listens on a new running loop and handles connections by data. It returns the loop, the address
+// and the ends of connections.
 func serve(t *testing.T, data func(c *Conn)) (*Loop, string, chan *Error) {
 	t.Helper()
 	return serveOn(t, NewLoop(), data)
 }
 
-// serveOn is serve on a loop of the test's.
+// serveOn does what serve does, on the loop l, which it starts.
 func serveOn(t *testing.T, l *Loop, data func(c *Conn)) (*Loop, string, chan *Error) {
 	t.Helper()
 	if err := Attach(l); err != nil {
@@ -98,7 +100,8 @@
 	return c.(*net.TCPConn)
 }
 
-// A client that sends and does not read is stopped and not buffered without limit, and loses nothing when it reads at last.
+// Reading pauses for a client that sends without reading. Its bytes are not buffered without limit, and
+// none are lost when it reads again.
 func TestBackPressure(t *testing.T) {
 	stopped := make(chan struct{}, 1000)
 	maxBuffered := 0
@@ -107,7 +110,7 @@
 			c.Consume(min(1024, len(c.Input())))
 		}
 		maxBuffered = max(maxBuffered, len(c.Input()))
-		if c.Blocked() && len(c.Input()) >= c.inputLimit/2 { // from here on a pause lasts
+		if c.Blocked() && len(c.Input()) >= c.inputLimit/2 { // reading stays paused from here on
 			select {
 			case stopped <- struct{}{}:
 			default:
@@ -121,18 +124,18 @@
 	<-stopped
 	got, err := io.ReadAll(io.LimitReader(c, int64(len(sent))))
 	if err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("%d of %d bytes came back: %v", len(got), len(sent), err)
+		t.Errorf("the echo has %d bytes, %v; want the %d bytes sent", len(got), err, len(sent))
 	}
 	c.Close()
 	if err := <-closed; err.Cause != Ended {
-		t.Errorf("ended by %v", err)
+		t.Errorf("the connection ended with %v, want cause %v", err, Ended)
 	}
 	if maxBuffered > 4096+inputOvershoot {
-		t.Fatalf("%d bytes were buffered", maxBuffered)
+		t.Fatalf("up to %d bytes of input were buffered, want at most %d", maxBuffered, 4096+inputOvershoot)
 	}
 }
 
-// netpoll reports an end and a reset alike; they are passed on as what they are.
+// netpoll does not distinguish an orderly end from a reset; the cause must.
 func TestHowPeersEnd(t *testing.T) {
 	_, addr, closed := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	for _, want := range []Cause{Ended, Broken} {
@@ -144,11 +147,12 @@
 		}
 		c.Close()
 		if err := <-closed; err.Cause != want {
-			t.Errorf("got %v, want %v", err, want)
+			t.Errorf("the connection ended with %v, want cause %v", err, want)
 		}
 	}
 }
 
+// A panic of a handler ends its own connection and no other.
 func TestPanicStopsAtItsConnection(t *testing.T) {
 	_, addr, closed := serve(t, func(c *Conn) {
 		if string(c.Input()) == "p" {
@@ -159,7 +163,7 @@
 	panicking, other := dial(t, addr), dial(t, addr)
 	panicking.Write([]byte("p"))
 	if err := <-closed; err.Cause != EndedLocally {
-		t.Fatal(err)
+		t.Fatalf("the connection ended with %v, want cause %v", err, EndedLocally)
 	}
 	other.Write([]byte("g"))
 	if _, err := io.ReadFull(other, make([]byte, 1)); err != nil {
@@ -167,6 +171,7 @@
 	}
 }
 
+// A cancelled dial calls nothing, a refused one reports that, and an established one delivers input.
 func TestDial(t *testing.T) {
 	l, addr, _ := serve(t, func(c *Conn) { c.Write(c.Input()); c.Consume(len(c.Input())) })
 	d := NewDialer(l, 4)
@@ -179,7 +184,7 @@
 	results := make(chan string, 8)
 	handler := &peer{data: func(c *Conn) { results <- string(c.Input()); c.Close() }}
 	l.Post(func() {
-		d.Dial(addr, time.Minute, 4096, handler, func(*Conn, *Error) { results <- "dropped, yet notified" }).Cancel()
+		d.Dial(addr, time.Minute, 4096, handler, func(*Conn, *Error) { results <- "done called after Cancel" }).Cancel()
 		d.Dial(refusing, time.Minute, 4096, handler, func(c *Conn, err *Error) {
 			results <- err.Error()[:len("refused while connecting")]
 			d.Dial(addr, time.Minute, 4096, handler, func(c *Conn, err *Error) { c.Write([]byte("hello")) })
@@ -187,22 +192,23 @@
 	})
 	for _, want := range []string{"refused while connecting", "hello"} {
 		if got := <-results; got != want {
-			t.Errorf("got %q, want %q", got, want)
+			t.Errorf("next result is %q, want %q", got, want)
 		}
 	}
 }
 
-// Dials to an address that does not answer leave dialers to the others.
+// Dials to an address that does not answer must not occupy all goroutines of the dialer.
 func TestVanishedHostLeavesDialers(t *testing.T) {
 	d := &Dialer{loop: NewLoop(), dialsPerAddress: map[string]int{"vanished": 1}, maxPerAddress: 1}
 	for _, addr := range []string{"vanished", "vanished", "alive"} {
 		d.waiting = append(d.waiting, &Dial{dialer: d, addr: addr})
 	}
 	if q := d.nextDial(); q.addr != "alive" || len(d.waiting) != 2 {
-		t.Fatalf("next is %s, %d wait", q.addr, len(d.waiting))
+		t.Fatalf("nextDial returned a dial to %q and left %d waiting, want \"alive\" and 2", q.addr, len(d.waiting))
 	}
 }
 
+// Timers run in the order in which they are due, and posted tasks before timers that are due later.
 func TestLoopOrder(t *testing.T) {
 	now := int64(0)
 	l := NewLoopAt(func() int64 { return now })
@@ -214,11 +220,11 @@
 	l.RunPending()
 	now = 2
 	if l.RunPending(); got != "abc" {
-		t.Fatal(got)
+		t.Fatalf("calls ran in the order %q, want \"abc\"", got)
 	}
 }
 
-// FuzzBuffer compares the buffer with a plain slice over random steps.
+// FuzzBuffer compares a Buffer with a plain slice over random steps.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte{1, 200, 0, 30, 255, 0, 9}, int64(1))
 	f.Add(bytes.Repeat([]byte{250, 3}, 50), int64(2))
@@ -237,7 +243,7 @@
 				want = append(want, p[:b.Append(p)]...)
 			}
 			if !bytes.Equal(b.Bytes(), want) || len(want) > 2000 || cap(b.data) > 2000 {
-				t.Fatalf("buffers %d bytes in %d, want %d", b.Len(), cap(b.data), len(want))
+				t.Fatalf("the buffer holds %d bytes with capacity %d, want the %d expected bytes and at most 2000", b.Len(), cap(b.data), len(want))
 			}
 		}
 	})
--- a/internal/dataplane/netio/release.go
+++ b/internal/dataplane/netio/release.go
@@ -16,8 +16,8 @@
 }
 
 // Release detaches an open connection from its handler and from the loop without ending it. It calls done
-// on the loop, after Release has returned, and the handler no more. A connection that has ended, or has a
-// layer, whose state cannot be moved, is not released: done then gets a negative FD.
+// on the loop, after Release has returned, and the handler no more. A connection that ends before that,
+// or has a layer, whose state cannot be moved, is not released: done then gets a negative FD.
 func (c *Conn) Release(done func(ReleasedConn)) {
 	if c.ended || c.layer != nil || c.onReleased != nil {
 		c.loop.Post(func() { done(ReleasedConn{FD: -1}) })
--- a/internal/dataplane/netio/release_test.go
+++ b/internal/dataplane/netio/release_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// echo sends back what has come, as far as the peer takes it.
+// echo sends the input back until Write accepts no more.
 func echo(c *Conn) {
 	for len(c.Input()) > 0 && c.Write(c.Input()[:min(512, len(c.Input()))]) {
 		c.Consume(min(512, len(c.Input())))
 	}
 }
 
-// releaseLoop is a connection that is released and resumed over and over, until it ends.
+// releaseLoop releases and resumes a connection repeatedly until the connection ends.
 type releaseLoop struct {
 	t        *testing.T
 	loop     *Loop
 	handler  *peer
 	released int
-	over     chan ReleasedConn // its last parts
+	final    chan ReleasedConn // receives the result of the release that failed
 }
 
-// releaseAndResume releases the connection in a moment, and resumes it.
+// releaseAndResume releases the connection after 1 ms and resumes it. At the end it sends to final.
 func (r *releaseLoop) releaseAndResume(c *Conn) {
 	r.loop.After(time.Millisecond, func() {
 		c.Release(func(p ReleasedConn) {
 			if p.FD < 0 {
-				r.over <- p
+				r.final <- p
 				return
 			}
 			r.released++
@@ -38,15 +38,16 @@
 				r.loop.Post(func() { echo(c) })
 			})
 			if err != nil {
-				r.t.Error(err)
+				r.t.Errorf("Resume: %v", err)
 			}
 		})
 	})
 }
 
-// A connection that is released and resumed over and over while bytes go both ways loses none and changes none.
+// A connection that is released and resumed repeatedly while bytes flow in both directions must neither lose
+// nor change any.
 func TestReleaseLosesNothing(t *testing.T) {
-	r := &releaseLoop{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, over: make(chan ReleasedConn, 1)}
+	r := &releaseLoop{t: t, loop: attachedLoop(t), handler: &peer{data: echo, closed: make(chan *Error, 8)}, final: make(chan ReleasedConn, 1)}
 	addr, err := Listen(r.loop, "127.0.0.1:0", 4096, func(c *Conn) Handler {
 		r.releaseAndResume(c)
 		return r.handler
@@ -55,7 +56,7 @@
 		t.Fatal(err)
 	}
 	start(t, r.loop)
-	// As much is under way as a connection may hold, and no more: who sends without end may be cut off meanwhile.
+	// No more is in flight than a connection may hold: a peer that sends more may be cut off during a release.
 	sent, got := make([]byte, 16<<10), make([]byte, 16<<10)
 	rng := rand.New(rand.NewSource(2))
 	c := dial(t, addr.String())
@@ -65,24 +66,24 @@
 			t.Fatal(err)
 		}
 		if n, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, sent) {
-			t.Fatalf("round %d: %d of %d bytes came back: %v", round, n, len(sent), err)
+			t.Fatalf("round %d: the echo has %d bytes, %v; want the %d bytes sent", round, n, err, len(sent))
 		}
 	}
 	select {
 	case err := <-r.handler.closed:
-		t.Errorf("the connection ended: %v", err)
+		t.Errorf("the connection ended with %v, want it open", err)
 	default:
 	}
 	c.Close()
-	if p := <-r.over; p.FD >= 0 {
-		t.Error("a connection that has ended gives its parts")
+	if p := <-r.final; p.FD >= 0 {
+		t.Errorf("Release of an ended connection returned FD %d, want a negative one", p.FD)
 	}
 	if r.released == 0 {
-		t.Error("it was never released")
+		t.Error("the connection was never released")
 	}
 }
 
-// Accepting stops at once and begins again; what came meanwhile waits in the queue.
+// After Stop, connections wait in the queue until Serve is called again.
 func TestListenerStopsAndGoesOn(t *testing.T) {
 	l := attachedLoop(t)
 	n, err := Bind("127.0.0.1:0", true)
@@ -105,16 +106,16 @@
 		dial(t, n.Addr().String())
 		<-accepted
 		n.Stop()
-		dial(t, n.Addr().String()) // waits in the queue
+		dial(t, n.Addr().String()) // stays in the queue
 		if round%2 == 0 {
-			time.Sleep(time.Millisecond) // netpoll has stopped by now, or not
+			time.Sleep(time.Millisecond) // netpoll may or may not have stopped by now
 		}
 		l.Post(serve)
 		<-accepted
 	}
 	select {
 	case <-accepted:
-		t.Error("more came than were dialled")
+		t.Error("more connections were accepted than were dialled")
 	default:
 	}
 }
--- a/internal/dataplane/netio/write.go
+++ b/internal/dataplane/netio/write.go
@@ -45,7 +45,7 @@
 }
 
 // writeToSocket writes p to the kernel and buffers what the kernel does not accept. If earlier bytes are
-// unsent, it appends p to them.
+// unsent, it appends p to them, and ends the connection instead if they exceed maxUnsentBytes.
 func (c *Conn) writeToSocket(p []byte) {
 	if len(c.output.unsent) > 0 {
 		if len(c.output.unsent)+len(p) > maxUnsentBytes {
