--- a/internal/dataplane/lineproto/connector.go
+++ b/internal/dataplane/lineproto/connector.go
@@ -7,11 +7,12 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// Opener opens a connection to an upstream host within the time given, and calls done on the loop, once, unless drop is called first.
+// Opener opens a connection to an upstream host. It calls done once, on the loop, with the connection or
+// an error, unless drop is called first. limit is the number of bytes of input at which reading pauses.
 type Opener func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
 	done func(*netio.Conn, *netio.Error)) (drop func())
 
-// PlainTCP opens connections without any layer.
+// PlainTCP returns an Opener of connections without a layer.
 func PlainTCP(d *netio.Dialer) Opener {
 	return func(to proxy.Target, timeout time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
@@ -19,19 +20,21 @@
 	}
 }
 
-// Connector opens upstream requests.
+// Connector starts upstream requests. It implements proxy.Connector.
 type Connector struct {
 	loop   *netio.Loop
 	open   Opener
-	fields []string // of the load reports that answers end with; none: they have none
+	fields []string // of the load reports at the end of answers; empty if hosts send none
 }
 
-// NewConnector opens connections by open, and reads load reports of the given fields behind hosts' answers.
+// NewConnector returns a connector that opens connections with open. fields are the load report fields
+// that it reads at the end of hosts' answers; if empty, it reads no reports.
 func NewConnector(l *netio.Loop, open Opener, fields []string) *Connector {
 	return &Connector{loop: l, open: open, fields: fields}
 }
 
-// Start begins one upstream request.
+// Start starts an upstream request and reports its progress to events. deadline, as Unix time in
+// nanoseconds, ends the wait for the host's answer. connect is the timeout for opening the connection.
 func (c *Connector) Start(to proxy.Target, requestLine proxy.RequestLine, deadline int64, connect time.Duration,
 	events proxy.UpstreamEvents) proxy.Upstream {
 	u := &upstream{loop: c.loop, events: events, requestLine: requestLine, deadline: deadline, reportFields: c.fields}
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -10,21 +10,21 @@
 	"croftlock/internal/operations/logging"
 )
 
-// downstream is a client's connection.
+// downstream is a client's connection. It implements proxy.Downstream.
 type downstream struct {
 	front     *Front
 	conn      *netio.Conn
 	request   *proxy.Request
 	idleTimer *netio.Timer
-	idleEntry *list.Element // in front.idleClients; nil once it has a request
-	admitted  bool          // the core counts it
-	accepted  bool          // a host has accepted its request
-	pinged    bool          // it has sent PING
+	idleEntry *list.Element // in front.idleClients; nil once the connection has a request
+	admitted  bool          // the core counts the connection
+	accepted  bool          // a host has accepted the request
+	pinged    bool          // the client has sent PING
 }
 
 var _ proxy.Downstream = (*downstream)(nil)
 
-// Data takes what the client sent.
+// Data reads the request line if it has not come yet, and relays lines once a host has accepted.
 func (d *downstream) Data(c *netio.Conn) {
 	if d.request == nil && !d.readRequestLine() {
 		return
@@ -36,14 +36,15 @@
 	d.RelayPending()
 }
 
-// endForClientFault ends a request that has no answer yet for a fault of its client's.
+// endForClientFault fails a request that has no answer yet because of what its client sent.
 func (d *downstream) endForClientFault(cause error) {
 	d.failInvalid(cause)
 	d.request.EndedByProxy()
 	d.request.DownstreamEnded(&netio.Error{Stage: netio.Up, Cause: netio.EndedLocally, Detail: cause})
 }
 
-// readRequestLine reads lines up to the one that opens a request; false: that has not come, or the connection ends.
+// readRequestLine reads lines up to the request line. It returns false if that has not come completely or
+// the connection has ended.
 func (d *downstream) readRequestLine() bool {
 	for !d.conn.Ended() {
 		line, err := CutLine(d.conn.Input())
@@ -57,7 +58,7 @@
 		if string(trimLineEnd(line)) == "PING" {
 			d.conn.Consume(len(line))
 			d.pinged = true
-			// No PONG from a process that shuts down: the front must send no clients here.
+			// A process that shuts down sends no PONG, so that the platform's front sends it no clients.
 			d.idleTimer.Stop()
 			d.idleTimer = d.front.loop.After(pingIdleTimeout, d.firstLineTimedOut)
 			if !d.front.core.Ready() || !d.conn.Write(pongLine) {
@@ -86,13 +87,13 @@
 	return false
 }
 
-// failInvalid answers what is not a request with a failure (ERR).
+// failInvalid reports an invalid request to the core and answers it with a failure (ERR).
 func (d *downstream) failInvalid(err error) {
 	d.front.core.ReportInvalidRequest(err)
 	d.Fail()
 }
 
-// RelayPending relays the client's lines, as far as the host takes them.
+// RelayPending relays the client's buffered lines until the host accepts no more.
 func (d *downstream) RelayPending() {
 	for d.accepted && !d.conn.Ended() {
 		line, err := CutLine(d.conn.Input())
@@ -109,15 +110,15 @@
 	}
 }
 
-// Writable says that the client takes bytes again.
+// Writable tells the request that the client accepts lines again.
 func (d *downstream) Writable(c *netio.Conn) {
 	if d.request != nil {
 		d.request.DownstreamReady()
 	}
 }
 
-// FinalMessage is the last line to a client whose connection ends for a fault of this side's: its request has failed, or it is to open its
-// connection again.
+// FinalMessage returns the last line to a client whose connection this side ends: a migration if a host
+// has accepted the request, so that the client opens its connection again, and a failure (ERR) otherwise.
 func (d *downstream) FinalMessage() []byte {
 	if d.request != nil {
 		d.request.EndedByProxy()
@@ -128,7 +129,7 @@
 	return errLine
 }
 
-// Closed says that the client's connection is over.
+// Closed ends the request, if there is one, because the client's connection has ended.
 func (d *downstream) Closed(c *netio.Conn, err *netio.Error) {
 	d.idleTimer.Stop()
 	if d.request != nil {
@@ -136,7 +137,7 @@
 	}
 }
 
-// descriptorFreed gives back the capacity of a connection that holds no descriptor any more.
+// descriptorFreed frees the capacity that the connection used, once it holds no descriptor.
 func (d *downstream) descriptorFreed() {
 	if d.admitted {
 		d.admitted = false
@@ -148,7 +149,7 @@
 	}
 }
 
-// idleEndReason is why a connection without a request ends, as the log names it.
+// idleEndReason is the reason in the log why a connection without a request ends.
 type idleEndReason string
 
 const (
@@ -163,7 +164,7 @@
 	}
 }
 
-// firstLineTimedOut ends a connection whose first line is not complete in time; one that has begun gets an answer.
+// firstLineTimedOut ends a connection whose first line is late. A partial line is answered with a failure.
 func (d *downstream) firstLineTimedOut() {
 	if len(d.conn.Input()) > 0 {
 		d.failInvalid(errFirstLineLate)
@@ -172,18 +173,18 @@
 	d.endIdle()
 }
 
-// endIdle ends a connection on which nothing has come. A request may be on its way in this very moment, so the client is rejected: a close
-// alone would leave that request without an answer.
+// endIdle ends a connection whose client has sent nothing or only PING. It rejects a client that has not
+// sent PING, since its request may be in flight and a close alone would leave that without an answer.
 func (d *downstream) endIdle() {
 	d.logIdleEnd(idleTooLong)
 	if d.pinged {
-		d.finish() // the front's own connection
+		d.finish() // a connection of the platform's front, which sends no request on it
 		return
 	}
 	d.Reject(d.front.core.RetryAdvice())
 }
 
-// evict ends a connection without a request at once, to free its place for the next.
+// evict ends a connection without a request at once, to free its capacity for the next one.
 func (d *downstream) evict() {
 	d.idleTimer.Stop()
 	d.logIdleEnd(evictedForNext)
@@ -192,54 +193,53 @@
 	case len(d.conn.Input()) > 0:
 		d.conn.Write(errLine)
 	case !d.pinged:
-		d.conn.Write(busyLine(d.front.core.RetryAdvice())) // a request may be on its way in this very moment
+		d.conn.Write(busyLine(d.front.core.RetryAdvice())) // a request may be in flight
 	}
 	d.conn.CloseNow()
 	d.descriptorFreed()
 }
 
-// finish ends the connection after what has been written.
+// finish ends the connection after the lines that have been written.
 func (d *downstream) finish() {
 	d.idleTimer.Stop()
 	d.conn.Finish()
 }
 
-// Accept relays the host's acceptance.
+// Accept relays the host's acceptance, and then the lines that the client has sent meanwhile.
 func (d *downstream) Accept(acceptance proxy.Message) {
 	d.conn.Write(acceptance.Text)
 	d.accepted = true
-	// What the client sent along with its first line waits in the buffer.
 	d.front.loop.Post(d.RelayPending)
 }
 
-// Relay relays a line of the host's; false: not now.
+// Relay writes a line of the host. It returns false if the client accepts none now; Writable follows.
 func (d *downstream) Relay(m proxy.Message) bool { return d.conn.Write(m.Text) }
 
-// Reject answers that the client may retry, and when.
+// Reject rejects the request with a Retry-After, and ends the connection.
 func (d *downstream) Reject(after time.Duration) { d.finishWith(busyLine(after)) }
 
-// Fail answers that the request has failed.
+// Fail answers that the request has failed, and ends the connection.
 func (d *downstream) Fail() { d.finishWith(errLine) }
 
-// Migrate has the client open its connection again.
+// Migrate tells the client to open its connection again, and ends this one.
 func (d *downstream) Migrate() { d.finishWith(migrateLine) }
 
-// MigrationLine is the line that Migrate sends.
+// MigrationLine returns the line that Migrate sends.
 func (d *downstream) MigrationLine() []byte { return migrateLine }
 
-// Release gives the client's connection away without ending it.
+// Release releases the client's connection without ending it, as netio.Conn.Release does.
 func (d *downstream) Release(done func(netio.ReleasedConn)) {
 	d.idleTimer.Stop()
 	d.conn.Release(done)
 }
 
-// finishWith ends the connection after a last line.
+// finishWith ends the connection after the last line p.
 func (d *downstream) finishWith(p []byte) {
 	d.idleTimer.Stop()
 	d.conn.FinishWith(p)
 }
 
-// End ends the client's connection as the host's ended.
+// End ends the client's connection in the way in which the host's ended: Broken causes a reset.
 func (d *downstream) End(cause netio.Cause) {
 	d.idleTimer.Stop()
 	if cause == netio.Broken {
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -9,40 +9,44 @@
 )
 
 const (
-	// firstLineTimeout is how long after connecting a client's first line may take to be complete, in however many pieces. The protocol
-	// wants a client without one ended within 3 s.
+	// firstLineTimeout bounds the time from connecting to a complete first line. The protocol requires
+	// that a connection without one ends within 3 s.
 	firstLineTimeout = 2500 * time.Millisecond
-	// pingIdleTimeout is how long a connection that has sent PING may stay idle: the front may keep one.
+	// pingIdleTimeout bounds the idle time of a connection after a PING. The platform's front may keep
+	// such a connection.
 	pingIdleTimeout = 30 * time.Second
 )
 
-// inputLimit is how much unread input a connection may hold before it is read no further: some lines of the longest kind.
+// inputLimit is the number of bytes of unread input at which reading from a connection pauses.
 const inputLimit = 4 * MaxLineBytes
 
-// Front accepts clients. It turns their lines into the core's terms.
+// Front accepts clients of the line protocol and passes their requests to the core. Its methods must be
+// called on the loop.
 type Front struct {
 	loop *netio.Loop
 	core *proxy.Core
-	// idleClients are the connections that hold a descriptor and no request: those without a first line yet, and those that have been
-	// rejected and have not hung up.
+	// idleClients are the connections that hold a descriptor and no request: those without a complete
+	// first line, and those that were rejected before they were admitted and have not hung up.
 	idleClients *netio.BoundedConns[*downstream]
 	listener    *netio.Listener
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// NewFront is for clients of the line protocol who come to a listener, with capacity for maxIdle that have no request.
+// NewFront returns a front for the clients of a listener, with capacity for maxIdle connections without a
+// request. It accepts none until Serve is called.
 func NewFront(l *netio.Loop, core *proxy.Core, listener *netio.Listener, maxIdle int) *Front {
 	return &Front{loop: l, core: core, idleClients: netio.NewBoundedConns(maxIdle, (*downstream).evict), listener: listener}
 }
 
-// Stop accepts no more clients; they wait for another process that holds the listener.
+// Stop stops accepting clients. New ones wait in the listener's queue for another process or for Serve.
 func (f *Front) Stop() { f.listener.Stop() }
 
-// Serve accepts clients, also after Stop.
+// Serve starts accepting clients. It may be called again after Stop.
 func (f *Front) Serve() error { return netio.Serve(f.loop, f.listener, inputLimit, f.accept) }
 
+// accept registers a new connection and returns its handler.
 func (f *Front) accept(c *netio.Conn) netio.Handler {
 	d := &downstream{front: f, conn: c}
 	c.OnDescriptorFree(d.descriptorFreed)
@@ -51,8 +55,8 @@
 	return d
 }
 
-// EndIdle ends the connections that have not sent anything, with partial also those on which part of a first line has come, and gives how
-// many without a request are left.
+// EndIdle ends the connections that have sent nothing, and if partial is true also those that have sent
+// part of a first line. It returns the number of connections without a request that are left.
 func (f *Front) EndIdle(partial bool) int {
 	for d := range f.idleClients.All() {
 		if !d.conn.Ended() && (partial || len(d.conn.Input()) == 0) {
@@ -62,7 +66,7 @@
 	return f.idleClients.Len()
 }
 
-// Resume goes on with an open connection that another process has handed over.
+// Resume resumes an open connection that another process has handed over.
 func (f *Front) Resume(connection *proxy.HandedOverConnection) {
 	d := &downstream{front: f, admitted: true, accepted: true}
 	u := &upstream{loop: f.loop, stage: netio.Up}
@@ -80,7 +84,7 @@
 		u.notifyEnd(&netio.Error{Stage: netio.Up, Cause: netio.Broken, Detail: err})
 		return
 	}
-	// What was read and not relayed waits in both buffers.
+	// Both inputs may hold lines that were read and not relayed.
 	f.loop.Post(d.RelayPending)
 	f.loop.Post(u.RelayPending)
 }
--- a/internal/dataplane/lineproto/healthchecks.go
+++ b/internal/dataplane/lineproto/healthchecks.go
@@ -11,49 +11,52 @@
 )
 
 const (
-	// checkTimeout is how long a health check may take, connecting included. A later answer says nothing of the present load.
+	// checkTimeout bounds a health check, connecting included. A later answer does not reflect the current load.
 	checkTimeout = 250 * time.Millisecond
-	// checkIdleTimeout is how long a connection stays open for the next health check of its host: a new connection costs the host far more
-	// than a health check.
+	// checkIdleTimeout is how long a connection stays open for the next health check of its host. A new
+	// connection costs the host far more than a health check.
 	checkIdleTimeout = 10 * time.Second
 )
 
 var statsLine = []byte("STATS\r\n")
 
-// HealthChecks polls upstream hosts for their load, over one connection to each that stays open between health checks. The connections
-// are bounded in number.
+// HealthChecks polls upstream hosts for their load. It uses one connection per host, which stays open
+// between health checks, and a bounded number of connections. Its methods must be called on the loop.
 type HealthChecks struct {
 	loop           *netio.Loop
 	open           Opener
 	fields         []string // of a load report, as the settings name them
 	maxConnections int
 	byHost         map[string]*hostCheck
-	denied         bool // one host has answered NO: this process checks no host any more
+	denied         bool // a host has answered NO, so this process checks no host any more
 }
 
-// NewHealthChecks uses at most maxConnections at a time.
+// NewHealthChecks returns a health checker that uses at most maxConnections at a time. fields are the load
+// report fields that the settings name.
 func NewHealthChecks(l *netio.Loop, open Opener, fields []string, maxConnections int) *HealthChecks {
 	return &HealthChecks{loop: l, open: open, fields: fields, maxConnections: maxConnections, byHost: map[string]*hostCheck{}}
 }
 
-// hostCheck is the connection for one host's health checks.
+// hostCheck is the connection for the health checks of one host.
 type hostCheck struct {
 	checks     *HealthChecks
 	host       proxy.Target
-	cancelDial func() // while the connection opens
+	cancelDial func() // nil unless the connection is being opened
 	conn       *netio.Conn
-	done       func(status balancer.AttemptStatus, load []float64) // nil: no health check is in flight
+	done       func(status balancer.AttemptStatus, load []float64) // nil if no health check is in flight
 	timer      *netio.Timer
-	usedAt     int64
+	usedAt     int64 // start of the last health check, as Unix time in nanoseconds
 }
 
 var _ proxy.HealthChecker = (*HealthChecks)(nil)
 
-// Check polls a host for its load, and calls done on the loop, once, whatever becomes of it. Once any host has answered NO it polls none.
+// Check polls a host for its load, and calls done exactly once, on the loop. load is nil if the host
+// reported none. It does not poll, and reports TooLate, after any host has answered NO, or if all
+// connections are in use.
 func (p *HealthChecks) Check(host proxy.Target, done func(status balancer.AttemptStatus, load []float64)) {
 	q := p.byHost[host.ID]
 	if q != nil && (q.done != nil || q.host != host) {
-		q.end(balancer.Cancelled) // its address has changed, or a health check is in flight
+		q.end(balancer.Cancelled) // a health check is in flight, or the host's address has changed
 		q = nil
 	}
 	if p.denied || q == nil && !p.evictIdle() {
@@ -82,14 +85,15 @@
 	})
 }
 
-// Forget ends the health check of a host, and its connection.
+// Forget ends the health check of a host, if there is one, and closes its connection.
 func (p *HealthChecks) Forget(host string) {
 	if q := p.byHost[host]; q != nil {
 		q.end(balancer.Cancelled)
 	}
 }
 
-// evictIdle closes the least recently used idle connection if there are as many as may be; false: all are in use.
+// evictIdle closes the least recently used idle connection if there are maxConnections. It returns false
+// if all of them are in use.
 func (p *HealthChecks) evictIdle() bool {
 	if len(p.byHost) < p.maxConnections {
 		return true
@@ -107,11 +111,11 @@
 	return true
 }
 
-// Data takes the answer, in whatever pieces it comes.
+// Data handles the answer once its line is complete.
 func (q *hostCheck) Data(c *netio.Conn) {
 	line, err := CutLine(c.Input())
 	if err != nil || line != nil && q.done == nil {
-		q.end(balancer.Error) // not a line, or unsolicited
+		q.end(balancer.Error) // the input is not a line, or no health check is in flight
 		return
 	}
 	if line == nil {
@@ -135,7 +139,7 @@
 	}
 }
 
-// complete ends a health check; its connection stays for the next.
+// complete ends a health check and keeps its connection for the next one.
 func (q *hostCheck) complete(s balancer.AttemptStatus, load []float64) {
 	done := q.done
 	q.done = nil
@@ -144,7 +148,7 @@
 	done(s, load)
 }
 
-// end closes the connection, and ends the health check that is in flight on it.
+// end closes the connection, and ends the health check in flight, if there is one, with status s.
 func (q *hostCheck) end(s balancer.AttemptStatus) {
 	if q.checks.byHost[q.host.ID] == q {
 		delete(q.checks.byHost, q.host.ID)
@@ -166,5 +170,5 @@
 // Writable does nothing: a health check writes one short line.
 func (q *hostCheck) Writable(*netio.Conn) {}
 
-// Closed comes when the host ends the connection.
+// Closed handles the end of the connection by the host.
 func (q *hostCheck) Closed(*netio.Conn, *netio.Error) { q.end(balancer.Reset) }
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -1,5 +1,6 @@
-// Package lineproto speaks the platform's protocol: lines of text that end with CRLF. It parses and writes them and
-// holds the connections on both sides that carry them. It decides nothing.
+// Package lineproto implements the platform's line protocol: lines of text that end with CRLF. It parses
+// and writes lines and handles the connections to clients and upstream hosts. Package proxy decides what
+// to do with a request.
 package lineproto
 
 import (
@@ -11,10 +12,10 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// MaxLineBytes is the longest line there is, its CRLF included.
+// MaxLineBytes is the maximum length of a line, including its CRLF.
 const MaxLineBytes = 4096
 
-// What can be wrong with a client's lines.
+// Errors in a client's lines.
 var (
 	ErrTooLong          error = &proxy.InvalidRequestError{Reason: proxy.LineTooLong}
 	ErrMalformed        error = &proxy.InvalidRequestError{Reason: proxy.MalformedLine}
@@ -22,24 +23,25 @@
 	errSentBeforeAnswer error = &proxy.InvalidRequestError{Reason: proxy.SentBeforeAnswer}
 )
 
-// CutLine finds the first line in b. It gives the line with its CRLF, or nil while its end has not come yet.
+// CutLine returns the first line in b, with its CRLF. It returns nil and no error if the line is not
+// complete. The result shares memory with b.
 func CutLine(b []byte) ([]byte, error) {
 	i := bytes.IndexByte(b[:min(len(b), MaxLineBytes)], '\n')
 	switch {
 	case i >= 1 && b[i-1] == '\r':
 		return b[:i+1], nil
 	case i >= 0:
-		return nil, ErrMalformed // a lone line feed ends no line of this protocol
+		return nil, ErrMalformed // a line feed must follow a carriage return
 	case len(b) >= MaxLineBytes:
 		return nil, ErrTooLong
 	}
 	return nil, nil
 }
 
-// trimLineEnd is a line without its CRLF.
+// trimLineEnd returns a line without its CRLF.
 func trimLineEnd(line []byte) []byte { return bytes.TrimSuffix(line, []byte("\r\n")) }
 
-// cutField splits off the first field of a line.
+// cutField returns the first field of a line, and what follows the blank behind it without the CRLF.
 func cutField(line []byte) (string, string) {
 	first, rest, _ := strings.Cut(string(trimLineEnd(line)), " ")
 	return first, rest
@@ -48,12 +50,13 @@
 // OpenLine is a client's first line.
 type OpenLine struct {
 	proxy.Opening
-	line               []byte // as it came, CRLF included
-	waitStart, waitEnd int    // where the value of d is in it; waitEnd is 0 where there is none
+	line               []byte // as received, CRLF included
+	waitStart, waitEnd int    // offsets of the value of d in line; waitEnd is 0 if there is no d
 }
 
-// ParseOpenLine reads a client's first line. It copies what it keeps. The form has to be the protocol's to the letter: the line goes on to a host,
-// and one that a host cannot read is this proxy's fault.
+// ParseOpenLine parses a client's first line. It does not retain line. It is strict about the form of the
+// protocol, because the line is sent to a host, and a line that a host cannot parse counts as a fault of
+// this proxy.
 func ParseOpenLine(line []byte) (*OpenLine, error) {
 	o := &OpenLine{line: bytes.Clone(line)}
 	s := string(trimLineEnd(line))
@@ -78,7 +81,7 @@
 	return o, nil
 }
 
-// isID reports whether s is an id, a key or a client: 16 hexadecimal digits in lower case.
+// isID reports whether s has the form of an id, a key or a group: 16 lower-case hexadecimal digits.
 func isID(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -88,7 +91,7 @@
 	return len(s) == 16
 }
 
-// isName reports whether s can name a value, or be the name of a class, a tenant or a host.
+// isName reports whether s is a valid name of a value, a class, a tenant or a host.
 func isName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && !strings.ContainsRune("-_.:", rune(c)) {
@@ -98,7 +101,8 @@
 	return s != ""
 }
 
-// parseNumber reads a decimal number. ParseFloat alone accepts names and other bases as well.
+// parseNumber parses a decimal number. strconv.ParseFloat alone also accepts names, such as Inf, and
+// other bases.
 func parseNumber(s string) (float64, error) {
 	if s == "" || strings.Trim(s, "0123456789.+-eE") != "" {
 		return 0, ErrMalformed
@@ -110,8 +114,8 @@
 	return x, nil
 }
 
-// setField reads one named value; at is where it is in the line. Names that are unknown here are ignored where their value is a number: the
-// protocol allows more of these, and the upstream host gets the line as it is.
+// setField parses one named value; offset is its position in the line. It ignores unknown names whose
+// value is a number: the protocol allows further ones, and the upstream host gets the line unchanged.
 func (o *OpenLine) setField(name, value string, offset int) error {
 	ok := true
 	switch name {
@@ -144,7 +148,8 @@
 	return nil
 }
 
-// WithWait is the line for an upstream host: as the client sent it, with how long this proxy waits as d.
+// WithWait returns the line for an upstream host: the client's line with d set to wait, which is how long
+// this proxy waits for the host's answer, in whole milliseconds and at least 1.
 func (o *OpenLine) WithWait(wait time.Duration) []byte {
 	ms := strconv.AppendInt(nil, max(1, wait.Milliseconds()), 10)
 	line := make([]byte, 0, len(o.line)+len(ms)+3)
@@ -159,7 +164,8 @@
 	return append(line, "\r\n"...)
 }
 
-// ParseHostLine reads a line of an upstream host.
+// ParseHostLine parses a line of an upstream host. The Text of the result shares memory with line. A line
+// that is not one of the protocol's messages to the proxy gets the zero Kind.
 func ParseHostLine(line []byte) proxy.Message {
 	m := proxy.Message{Text: line}
 	first, rest := cutField(line)
@@ -182,14 +188,15 @@
 	return m
 }
 
-// The lines of local replies.
+// The local replies that have no values.
 var (
 	pongLine    = []byte("PONG\r\n")
 	errLine     = []byte("ERR\r\n")
 	migrateLine = []byte("MOVE\r\n")
 )
 
-// busyLine is a rejection, with the Retry-After rounded up to milliseconds.
+// busyLine returns a rejection with the Retry-After rounded up to milliseconds. It omits the Retry-After
+// if after is not positive.
 func busyLine(after time.Duration) []byte {
 	if after <= 0 {
 		return []byte("BUSY\r\n")
--- a/internal/dataplane/lineproto/report.go
+++ b/internal/dataplane/lineproto/report.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// wireNames are the names in reports of fields that have another name in the settings.
+// wireNames maps names of fields in the settings to their names in load reports, where these differ.
 var wireNames = map[string]string{"pending": "queue", "busy_reqs": "inflight", "cpu_share": "util", "svc_ms": "latency_ms",
 	"served_ps": "qps", "failed_ps": "eps"}
 
-// ParseReport reads a load report, name=figure,name=figure, into the order of the fields that the settings name. A field that it lacks is
-// NaN; names that the settings lack are ignored; nil where it has no field of the settings or can't be read.
+// ParseReport parses a load report of the form name=figure,name=figure. The result has one figure for each
+// of fields, in their order, and NaN for a field that s lacks. Other names are ignored. It returns nil if s
+// is malformed or has none of the fields.
 func ParseReport(s string, fields []string) []float64 {
 	if s == "" || len(fields) == 0 {
 		return nil
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -8,23 +8,23 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// upstream is the connection of one upstream request.
+// upstream is the connection of one upstream request. It implements proxy.Upstream.
 type upstream struct {
 	loop         *netio.Loop
 	events       proxy.UpstreamEvents
 	requestLine  proxy.RequestLine
-	reportFields []string // of a load report behind an answer
+	reportFields []string // of the load report at the end of an answer; empty if hosts send none
 	deadline     int64
-	cancelDial   func() // while the connection opens
+	cancelDial   func() // nil unless the connection is being opened
 	conn         *netio.Conn
 	stage        netio.Stage
-	endOfHost    *netio.Error // the host has ended; its last lines may still wait for the client
+	endOfHost    *netio.Error // how the host ended the connection, whose last lines may not be relayed yet; nil if it has not
 	ended        bool
 }
 
 var _ proxy.Upstream = (*upstream)(nil)
 
-// connected goes on once the connection is established, or is not.
+// connected sends the request line on the new connection, or reports that connecting has failed.
 func (u *upstream) connected(c *netio.Conn, err *netio.Error) {
 	u.cancelDial = nil
 	if err != nil {
@@ -43,16 +43,17 @@
 	}
 }
 
-// requestSent says that the request line's last byte is written.
+// requestSent reports that the request line is completely written.
 func (u *upstream) requestSent() {
 	u.stage = netio.Sent
 	u.events.UpstreamSent()
 }
 
-// Data takes what the host sent.
+// Data relays the lines that the host sent.
 func (u *upstream) Data(c *netio.Conn) { u.RelayPending() }
 
-// RelayPending relays the host's lines, as far as the client takes them.
+// RelayPending relays the host's buffered lines until the client accepts no more. After the last one it
+// reports the end of a connection that the host has ended.
 func (u *upstream) RelayPending() {
 	for !u.ended && u.conn != nil {
 		line, err := CutLine(u.conn.Input())
@@ -82,7 +83,7 @@
 	}
 }
 
-// Writable says that the host takes bytes again: the request line is written completely, or a line of the client's may follow.
+// Writable reports that the request line is completely written, or later that the host accepts lines again.
 func (u *upstream) Writable(c *netio.Conn) {
 	if u.stage == netio.Sending {
 		u.requestSent()
@@ -91,15 +92,15 @@
 	u.events.UpstreamReady()
 }
 
-// Closed says that the host's connection is over.
+// Closed handles the end of the host's connection: it relays the remaining lines and then reports the end.
 func (u *upstream) Closed(c *netio.Conn, err *netio.Error) {
-	// The connection knows that it was established; how far the request on it had come is known here. Its layer may know that it never was:
-	// then the host has read nothing, whatever was written.
+	// u.stage is the progress of the request; err.Stage is that of the connection. The latter is lower if the
+	// layer found that the host refused the connection: then the host has read nothing, whatever was written.
 	u.endOfHost = &netio.Error{Stage: min(u.stage, err.Stage), Cause: err.Cause, Detail: err.Detail}
-	u.RelayPending() // a slow client still gets the lines from before the end
+	u.RelayPending() // a slow client must still get the lines from before the end
 }
 
-// notifyEnd notifies of the end, once.
+// notifyEnd reports the end of the request, once.
 func (u *upstream) notifyEnd(err *netio.Error) {
 	if !u.ended {
 		u.ended = true
@@ -107,7 +108,8 @@
 	}
 }
 
-// Release gives the host's connection away without ending it. One that the host has ended stays, for its last lines.
+// Release releases the host's connection without ending it, as netio.Conn.Release does. A connection that
+// the host has ended is not released: done gets a negative FD. No event follows.
 func (u *upstream) Release(done func(netio.ReleasedConn)) {
 	u.ended = true
 	if u.conn == nil || u.endOfHost != nil {
@@ -117,10 +119,11 @@
 	u.conn.Release(done)
 }
 
-// Relay relays a line of the client's; false: not now.
+// Relay writes a line of the client. It returns false if the host accepts none now; UpstreamReady follows.
 func (u *upstream) Relay(m proxy.Message) bool { return u.conn.Write(m.Text) }
 
-// Expires is when the connection's first certificate ends; the zero time where it has none.
+// Expires returns the earliest end of a certificate of the connection. It returns the zero time if the
+// connection has no certificates.
 func (u *upstream) Expires() time.Time {
 	if u.conn != nil {
 		if l, ok := u.conn.Layer().(proxy.Expiring); ok {
@@ -130,10 +133,11 @@
 	return time.Time{}
 }
 
-// Stage is how far the request has come.
+// Stage returns the progress of the request.
 func (u *upstream) Stage() netio.Stage { return u.stage }
 
-// End ends the attempt, or the connection as the client's ended. No event follows.
+// End ends the attempt, or an accepted connection in the way in which the client's ended: Broken causes a
+// reset. No event follows.
 func (u *upstream) End(cause netio.Cause) {
 	u.ended = true
 	if u.cancelDial != nil {
@@ -143,7 +147,7 @@
 	switch {
 	case u.conn == nil:
 	case u.stage == netio.Sending:
-		u.conn.CloseNow() // what is left of the line must not go out: the attempt counts as one that has not run
+		u.conn.CloseNow() // the rest of the line must not go out: the attempt counts as one that has not run
 	case cause == netio.Broken:
 		u.conn.Abort()
 	default:
--- a/internal/dataplane/netio/netio_test.go
+++ b/internal/dataplane/netio/netio_test.go
@@ -37,8 +37,7 @@
 	return l
 }
 
-// start runs a loop until the test ends, and then waits until it has stopped: netpoll has one poller for
-// the process, which two loops must not use.
+// start runs l until the test ends and waits for it then: two loops must not use the process's one poller.
 func start(t *testing.T, l *Loop) {
 	t.Helper()
 	go l.Run()
