--- a/internal/dataplane/lineproto/ends_test.go
+++ b/internal/dataplane/lineproto/ends_test.go
@@ -11,7 +11,8 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// queueingBalancer answers no request, and passes on which came and whose client has left.
+// queueingBalancer answers no request. It sends the ids of requests that arrive to arrived, and of those
+// whose client has left to left.
 type queueingBalancer struct {
 	rejectingBalancer
 	arrived, left chan string
@@ -26,8 +27,8 @@
 
 const openingID = "9b1f03aa5c7e2d41"
 
-// A client that sends much before its answer fills its buffer and is read no further, so that its end behind that would not be seen: its
-// request ends at once, else attempts would go on for it.
+// Reading pauses for a client that fills its buffer before its answer, so that its end would not be noticed
+// and attempts would continue. The request must therefore end at once.
 func TestMuchSentBeforeTheAnswer(t *testing.T) {
 	m := newQueueingBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
@@ -37,7 +38,7 @@
 	io.WriteString(sentAlong, opening+much)
 	expect(t, sentAlong, "ERR\r\n")
 	if arrived, left := <-m.arrived, <-m.left; arrived != left {
-		t.Errorf("%q arrived, and the client of %q has left", arrived, left)
+		t.Errorf("the client of request %q left, want that of %q", left, arrived)
 	}
 
 	sentLater := r.dial()
@@ -46,21 +47,21 @@
 	io.WriteString(sentLater, much)
 	expect(t, sentLater, "ERR\r\n")
 	if id := <-m.left; id != openingID {
-		t.Errorf("the client of %q has left, want %q", id, openingID)
+		t.Errorf("the client of request %q left, want that of %q", id, openingID)
 	}
 }
 
-// An idle connection is closed in the moment in which its client sends a request: that request needs an answer all the same.
+// A client sends a request while its idle connection is being ended. The request must still be answered.
 func TestIdleClientIsRejected(t *testing.T) {
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	idle := r.dial()
-	exchange(t, r.dial(), "PING\r\n", "PONG\r\n") // by now both are accepted
+	exchange(t, r.dial(), "PING\r\n", "PONG\r\n") // the loop has accepted both connections after this
 	r.runOnLoop(func() { r.front.EndIdle(false) })
-	io.WriteString(idle, opening) // it has not read yet that it is rejected
+	io.WriteString(idle, opening) // the client has not read the rejection yet
 	expect(t, idle, "BUSY 500\r\n")
 }
 
-// A shutdown with nothing else left waits for a first line that has come in part.
+// A shutdown with no other connection left waits for a client that has sent part of its first line.
 func TestShutdownWaitsForAFirstLine(t *testing.T) {
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return newQueueingBalancer() })
 	half, pinging := r.dial(), r.dial()
@@ -74,7 +75,7 @@
 	}
 	select {
 	case <-ended:
-		t.Fatal("it has ended before a request was answered")
+		t.Fatal("the shutdown ended before the partly sent request was answered")
 	default:
 	}
 	expect(t, pinging, "")
@@ -92,7 +93,7 @@
 	}
 }
 
-// A client that ends its side counts as one that has left, since from here the two look alike.
+// A client that closes its direction counts as one that has left, since the proxy cannot distinguish the two.
 func TestAHalfClosedClientHasLeft(t *testing.T) {
 	m := newQueueingBalancer()
 	r := newFrontRig(t, 2, func(balancer.Effects) proxy.Balancer { return m })
@@ -101,6 +102,6 @@
 	arrived := <-m.arrived
 	c.(*net.TCPConn).CloseWrite()
 	if left := <-m.left; left != arrived {
-		t.Errorf("%q arrived, and the client of %q has left", arrived, left)
+		t.Errorf("the client of request %q left, want that of %q", left, arrived)
 	}
 }
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -26,7 +26,7 @@
 	loop *netio.Loop
 	core *proxy.Core
 	// idleClients are the connections that hold a descriptor and no request: those without a complete
-	// first line, and those that were rejected before they were admitted and have not hung up.
+	// first line, and those whose first line was rejected or invalid and that have not hung up.
 	idleClients *netio.BoundedConns[*downstream]
 	listener    *netio.Listener
 }
--- a/internal/dataplane/lineproto/front_test.go
+++ b/internal/dataplane/lineproto/front_test.go
@@ -35,14 +35,15 @@
 func (rejectingBalancer) Ejected(balancer.Time, string) bool                 { return false }
 func (rejectingBalancer) AttemptEnded(balancer.Time, balancer.AttemptResult) {}
 
-// startFront serves clients, with capacity for two without a request and for so many with one. pass moves its clock.
+// startFront starts a front with capacity for two connections without a request and maxDownstreams with
+// one. pass advances its clock.
 func startFront(t *testing.T, maxDownstreams int) (dial func() net.Conn, pass func(time.Duration)) {
 	t.Helper()
 	r := newFrontRig(t, maxDownstreams, func(fx balancer.Effects) proxy.Balancer { return rejectingBalancer{fx} })
 	return r.dial, r.advanceClock
 }
 
-// frontRig is a front on a loop whose clock the test moves.
+// frontRig is a front on a loop whose clock advanceClock advances.
 type frontRig struct {
 	loop         *netio.Loop
 	core         *proxy.Core
@@ -58,7 +59,7 @@
 	<-done
 }
 
-// newFrontRig starts a front with the decision module that a test gives.
+// newFrontRig starts a front whose decision module is made by module.
 func newFrontRig(t *testing.T, maxDownstreams int, module func(balancer.Effects) proxy.Balancer) *frontRig {
 	t.Helper()
 	var now atomic.Int64
@@ -96,28 +97,28 @@
 	return r
 }
 
-// expect reads what a client gets up to its end.
+// expect checks what a client reads up to the end of its connection.
 func expect(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(c); string(got) != want || err != nil {
-		t.Errorf("got %q and %v, want %q", got, err, want)
+		t.Errorf("the client read %q, %v; want %q", got, err, want)
 	}
 }
 
-// exchange sends something and reads the answer, where one is wanted.
+// exchange sends a text and checks the answer. It reads nothing if want is empty.
 func exchange(t *testing.T, c net.Conn, send, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	if io.WriteString(c, send); want != "" {
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
-			t.Fatalf("got %q and %v, want %q", got, err, want)
+			t.Fatalf("the answer to %q is %q, %v; want %q", send, got, err, want)
 		}
 	}
 }
 
 const opening = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,t=t,d=2000\r\n"
 
-// Clients that send nothing take no capacity of those with a request.
+// Clients that send no request are evicted, so that they use no capacity of those with a request.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	dial, _ := startFront(t, 2)
 	silent, half := dial(), dial()
@@ -131,7 +132,7 @@
 	exchange(t, next, opening, "BUSY 7\r\n")
 }
 
-// A client has the same time for its first line in however many pieces; a PING gives it more.
+// The time for a first line does not depend on the number of its pieces; a PING extends it.
 func TestFirstLineInTime(t *testing.T) {
 	dial, pass := startFront(t, 1)
 	silent := dial()
@@ -145,12 +146,12 @@
 	pass(firstLineTimeout)
 	expect(t, silent, "")
 	fresh := dial()
-	exchange(t, dial(), "PING\r\n", "PONG\r\n") // by now the loop has accepted both
+	exchange(t, dial(), "PING\r\n", "PONG\r\n") // the loop has accepted both connections after this
 	pass(firstLineTimeout)
 	expect(t, fresh, "BUSY 500\r\n")
 }
 
-// A close with bytes unread is a reset, which must not overtake the answer.
+// Closing a socket with unread bytes sends a reset, which must not overtake the answer.
 func TestAnswerBeforeTheEnd(t *testing.T) {
 	dial, _ := startFront(t, 1)
 	c := dial()
@@ -160,7 +161,7 @@
 	expect(t, c, "ERR\r\n")
 }
 
-// The same holds for a client beyond the capacity, which gets a Retry-After.
+// A client beyond the capacity reads a rejection with a Retry-After, also if it has sent more than was read.
 func TestOverCapacity(t *testing.T) {
 	dial, _ := startFront(t, 0)
 	c := dial()
--- a/internal/dataplane/lineproto/healthchecks_test.go
+++ b/internal/dataplane/lineproto/healthchecks_test.go
@@ -18,40 +18,41 @@
 var reports = []string{"x0=0.5,queue=2", "queue=2,x0=0.5", "x0=0.5,new=1,queue=2", "x0=0.5", "x0", "x0=", "x0=soon", "x0=NaN", "=1", ",", "", "x0=0x1p4",
 	"pending=2,x0=0.5"}
 
+// A report is read in the settings' order of fields, whatever its own order and further fields.
 func TestParseReport(t *testing.T) {
 	fields := []string{"x0", "pending"}
 	for i, s := range reports {
 		r := ParseReport(s, fields)
 		if want := i < 4 || i == 12; (r != nil) != want {
-			t.Errorf("%q: %v", s, r)
+			t.Errorf("ParseReport(%q, %q) = %v, want a report: %t", s, fields, r, want)
 		} else if want && (r[0] != 0.5 || !(r[1] == 2 || i == 3 && math.IsNaN(r[1]))) {
-			t.Errorf("%q: %v", s, r)
+			t.Errorf("ParseReport(%q, %q) = %v, want 0.5 and 2, or NaN if the second is missing", s, fields, r)
 		}
 	}
 	if ParseReport("x0=1", nil) != nil {
-		t.Error("a report is read that the settings do not name")
+		t.Error("ParseReport returned a report without fields, want nil")
 	}
 }
 
-// FuzzReport: whatever a host says, the figures are as many as the settings name, and finite or missing.
+// FuzzReport checks that ParseReport returns as many figures as the settings have fields, or nil, for any input.
 func FuzzReport(f *testing.F) {
 	for _, s := range reports {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
 		if r := ParseReport(s, []string{"x0", "pending", "x1"}); r != nil && len(r) != 3 {
-			t.Fatalf("%q: %v", s, r)
+			t.Fatalf("ParseReport(%q) = %v, want 3 figures or nil", s, r)
 		}
 	})
 }
 
-// checkRig is a host that answers health checks as the test has it, and a checker with capacity for one connection.
+// checkRig is a host that sends the given answers to health checks, and a checker with capacity for one connection.
 type checkRig struct {
 	t        *testing.T
 	loop     *netio.Loop
 	checks   *HealthChecks
 	address  string
-	answers  chan string   // of the host, in order; each is sent in two pieces
+	answers  chan string   // the host's answers in order; each is sent in two pieces
 	received chan net.Conn // the connection of each health check that the host has read
 	results  chan string
 }
@@ -74,7 +75,7 @@
 	return r
 }
 
-// serve is the host's side of a connection.
+// serve answers health checks on one connection of the host.
 func (r *checkRig) serve(c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan() && in.Text() == "STATS"; {
 		r.received <- c
@@ -86,27 +87,28 @@
 	c.Close()
 }
 
-// check begins a health check of a host, at the one address that there is.
+// check starts a health check of a host. All hosts have the same address.
 func (r *checkRig) check(host string) {
 	r.loop.Post(func() {
 		r.checks.Check(proxy.Target{ID: host, Address: r.address}, func(s balancer.AttemptStatus, load []float64) { r.results <- fmt.Sprint(s, load) })
 	})
 }
 
-// expect waits for the next result.
+// expect waits for the next result and checks it.
 func (r *checkRig) expect(want string) {
 	r.t.Helper()
 	select {
 	case got := <-r.results:
 		if got != want {
-			r.t.Fatalf("%s, want %s", got, want)
+			r.t.Fatalf("the health check ended with %q, want %q", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		r.t.Fatalf("no result, want %s", want)
+		r.t.Fatalf("no health check ended within 20 s, want %q", want)
 	}
 }
 
-// Health checks of hosts that answer, answer late, break off, and refuse the connection.
+// Health checks of hosts that answer, fail, never answer, close the connection, and answer NO; checks
+// beyond the capacity; and cancelled ones.
 func TestHealthChecks(t *testing.T) {
 	r := newCheckRig(t)
 	r.answers <- "PONG x0=0.5,queue=2\r\n"
@@ -116,21 +118,21 @@
 	r.check("s1")
 	r.expect("error [0.75 0]")
 	if first, second := <-r.received, <-r.received; first != second {
-		t.Error("two connections for two health checks of one host")
+		t.Error("two health checks of one host used two connections, want one")
 	}
-	r.check("s2") // the first host's connection ends, since there is capacity for one; this one is never answered
+	r.check("s2") // evicts the connection of s1, and is never answered
 	r.expect("timeout []")
 	<-r.received
 	r.check("s3")
 	(<-r.received).Close()
 	r.expect("reset []")
 	r.check("s4")
-	r.check("s5") // the one connection is in use
+	r.check("s5") // the only connection is in use
 	r.expect("moot []")
 	r.loop.Post(func() { r.checks.Forget("s4") })
 	r.expect("cancelled []")
 	for range 3 {
-		r.answers <- strings.Repeat("x", 10) + "\r\n" // the answers that nobody waits for any more
+		r.answers <- strings.Repeat("x", 10) + "\r\n" // answers to the checks that have ended
 	}
 	r.answers <- "NO\r\n"
 	for range 2 {
--- a/internal/dataplane/lineproto/lineproto.go
+++ b/internal/dataplane/lineproto/lineproto.go
@@ -165,7 +165,7 @@
 }
 
 // ParseHostLine parses a line of an upstream host. The Text of the result shares memory with line. A line
-// that is not one of the protocol's messages to the proxy gets the zero Kind.
+// without a meaning to the proxy gets the kind PlainMessage.
 func ParseHostLine(line []byte) proxy.Message {
 	m := proxy.Message{Text: line}
 	first, rest := cutField(line)
--- a/internal/dataplane/lineproto/lineproto_test.go
+++ b/internal/dataplane/lineproto/lineproto_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// FuzzCut feeds lines in random cuts: what comes out must not depend on them, and no input may panic or be buffered past
-// the longest line.
+// FuzzCut feeds the input in random pieces. The lines must not depend on the pieces, no input may cause a
+// panic, and no more than the longest line may be buffered.
 func FuzzCut(f *testing.F) {
 	for i, s := range []string{"PING\r\n", "OPEN a b c=x,d=20\r\nM 1 x\r\nM 2 y\r\n", "\r\n\r\n", "x\ny\r\n", "\n", "a\rb\r\n",
 		strings.Repeat("z", MaxLineBytes-2) + "\r\n", strings.Repeat("z", MaxLineBytes-1) + "\r\n", strings.Repeat("q", 3*MaxLineBytes)} {
@@ -26,15 +26,15 @@
 		}
 		got, buffered, err := cutAll(pieces)
 		if err != unsplitErr || !bytes.Equal(bytes.Join(got, nil), bytes.Join(unsplit, nil)) || len(got) != len(unsplit) {
-			t.Fatalf("in pieces %q %v, unsplit %q %v", got, err, unsplit, unsplitErr)
+			t.Fatalf("in pieces %q: lines %q, %v; unsplit: lines %q, %v", pieces, got, err, unsplit, unsplitErr)
 		}
 		if buffered >= MaxLineBytes {
-			t.Fatalf("%d bytes buffered without an error", buffered)
+			t.Fatalf("%d bytes were buffered without an error, want fewer than %d", buffered, MaxLineBytes)
 		}
 	})
 }
 
-// cutAll cuts the pieces into lines; buffered is the most that was left for more to come.
+// cutAll cuts the pieces into lines. buffered is the largest number of bytes left over after a piece.
 func cutAll(pieces [][]byte) (lines [][]byte, buffered int, err error) {
 	var in []byte
 	for _, p := range pieces {
@@ -64,21 +64,22 @@
 	openLinePrefix + "d=1.5", openLinePrefix + "d=99999999999", openLinePrefix + "r=2", openLinePrefix + "r=", openLinePrefix + "again=yes", openLinePrefix + "g=q", openLinePrefix + "h=NaN",
 	openLinePrefix + "h=-1", openLinePrefix + "h=0x1p4", openLinePrefix + "new=z", openLinePrefix + "new=Inf", openLinePrefix + "c=x,c=x", "HELLO", ""}
 
-// A host that can't read a line says SYNTAX, which is the proxy's fault: what is not the protocol's form is rejected here.
+// Lines that are not in the protocol's form must be rejected: a host would answer SYNTAX, which counts as
+// a fault of the proxy.
 func TestOpenForm(t *testing.T) {
 	for _, s := range validOpenLines {
 		if _, err := ParseOpenLine([]byte(s + "\r\n")); err != nil {
-			t.Errorf("%q: %v", s, err)
+			t.Errorf("ParseOpenLine(%q) returned the error %v, want none", s, err)
 		}
 	}
 	for _, s := range invalidOpenLines {
 		if _, err := ParseOpenLine([]byte(s + "\r\n")); err == nil {
-			t.Errorf("%q is accepted", s)
+			t.Errorf("ParseOpenLine(%q) returned no error, want one", s)
 		}
 	}
 }
 
-// FuzzOpen: garbage gives an error, never a panic, and what parses goes on unchanged but for d.
+// FuzzOpen checks that invalid lines cause an error and no panic, and that WithWait changes only d.
 func FuzzOpen(f *testing.F) {
 	for _, s := range append(invalidOpenLines, validOpenLines...) {
 		f.Add([]byte(s + "\r\n"))
@@ -95,24 +96,25 @@
 		out := o.WithWait(1234 * time.Millisecond)
 		again, err := ParseOpenLine(out)
 		if err != nil || again.Wait != 1234*time.Millisecond || !again.HasWait {
-			t.Fatalf("%q became %q: %v", l, out, err)
+			t.Fatalf("WithWait of %q = %q, which parses to %+v, %v; want Wait 1.234s", l, out, again, err)
 		}
 		again.Wait, again.HasWait = o.Wait, o.HasWait
 		if again.Opening != o.Opening {
-			t.Fatalf("%q became %q", l, out)
+			t.Fatalf("WithWait of %q = %q, which differs in more than d", l, out)
 		}
 		ParseHostLine(l)
 	})
 }
 
+// WithWait replaces or adds d; a Retry-After is rounded up to milliseconds.
 func TestWithWait(t *testing.T) {
 	for in, want := range map[string]string{"c=x,d=2000,new=1": "c=x,d=7,new=1", "c=x": "c=x,d=7"} {
 		o, err := ParseOpenLine([]byte(openLinePrefix + in + "\r\n"))
 		if err != nil || string(o.WithWait(7*time.Millisecond)) != openLinePrefix+want+"\r\n" {
-			t.Errorf("%s: %v", in, err)
+			t.Errorf("WithWait(7ms) of %q does not end in %q, or ParseOpenLine failed: %v", in, want, err)
 		}
 	}
 	if got := string(busyLine(1500 * time.Microsecond)); got != "BUSY 2\r\n" {
-		t.Error(got)
+		t.Errorf("busyLine(1.5ms) = %q, want \"BUSY 2\\r\\n\"", got)
 	}
 }
--- a/internal/dataplane/lineproto/upstream_test.go
+++ b/internal/dataplane/lineproto/upstream_test.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// noEvents takes what an upstream connection notifies of.
+// noEvents ignores the events of an upstream request.
 type noEvents struct{}
 
 func (noEvents) MaySend() bool                     { return true }
@@ -21,7 +21,8 @@
 func (noEvents) UpstreamReady()                    {}
 func (noEvents) UpstreamEnded(err *netio.Error)    {}
 
-// An attempt whose line waits for a kernel short of buffers is ended, and counts as one that has not run: its line must not go out afterwards.
+// An attempt ends while its request line is unsent because the kernel is short of buffers. It counts as one
+// that has not run, so the line must not go out afterwards.
 func TestLineOfAnEndedAttemptIsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,7 +31,7 @@
 	defer ln.Close()
 	l := netio.NewLoop()
 	tried := make(chan bool, 64)
-	short := true // of buffers, until the attempt has ended; it is the loop's
+	short := true // the kernel is short of buffers, until the attempt has ended; used only on the loop
 	l.SetSend(func(fd int, p []byte) (int, error) {
 		if short {
 			tried <- true
@@ -50,7 +51,7 @@
 			<-tried
 			l.Post(func() {
 				if u.Stage() != netio.Sending {
-					t.Errorf("the line counts as %v", u.Stage())
+					t.Errorf("Stage() = %v, want %v", u.Stage(), netio.Sending)
 				}
 				u.End(netio.Ended)
 				short = false
@@ -64,6 +65,6 @@
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if got, _ := io.ReadAll(c); len(got) > 0 {
-		t.Errorf("the host got %q", got)
+		t.Errorf("the host read %q, want nothing", got)
 	}
 }
