--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -12,26 +12,27 @@
 	"croftlock/internal/operations/logging"
 )
 
-// errSilent is the end of a call that has not been answered in time.
+// errSilent is the error of a call that was not answered in time.
 var errSilent = errors.New("no answer")
 
-// noRevision is the version where the client has no list of the service.
+// noRevision is the revision of a client that has no list of the service.
 const noRevision = -1
 
 // call is one request to discovery.
 type call struct {
 	client       *Client
-	fromRevision int64 // the client's as the call began
-	startedAt    int64
-	target       string
+	fromRevision int64  // the client's revision when the call started
+	startedAt    int64  // Unix time in nanoseconds
+	target       string // path and query
 	dial         *netio.Dial
 	conn         *netio.Conn
 	timer        *netio.Timer
-	reused       bool
-	done         func(ch proxy.WatchEvent, err error)
+	reused       bool                                 // the call uses the idle connection of an earlier one
+	done         func(ch proxy.WatchEvent, err error) // nil once the call has ended
 }
 
-// startCall makes a call, on the connection at rest where there is one.
+// startCall starts a call, on the idle connection if there is one. It calls done once, on the loop, unless
+// cancel is called first.
 func (c *Client) startCall(target string, timeout time.Duration, done func(proxy.WatchEvent, error)) *call {
 	q := &call{client: c, fromRevision: c.revision, startedAt: c.loop.Now(), target: target, done: done}
 	q.timer = c.loop.After(timeout, func() { q.finish(nil, fmt.Errorf("%w in %v", errSilent, timeout)) })
@@ -45,6 +46,7 @@
 	return q
 }
 
+// connect opens a connection and sends the request on it.
 func (q *call) connect() {
 	c := q.client
 	q.dial = c.dialer.Dial(c.address, connectTimeout, inputLimit, q, func(conn *netio.Conn, err *netio.Error) {
@@ -58,6 +60,7 @@
 	})
 }
 
+// send sends the request.
 func (q *call) send() {
 	q.conn.Write([]byte("GET " + q.target + " HTTP/1.1\r\nHost: " + q.client.address + "\r\nAccept: application/json\r\n\r\n"))
 }
@@ -65,6 +68,8 @@
 // Data handles the response once it is complete.
 func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
+// parse ends the call if the input is a complete response or not one. ended reports whether discovery has
+// ended the connection.
 func (q *call) parse(ended bool) {
 	r, err := parseResponse(q.conn.Input(), ended)
 	if r != nil || err != nil {
@@ -72,13 +77,14 @@
 	}
 }
 
-// Writable does nothing: a call's request is one short write.
+// Writable does nothing: the request is one short write.
 func (q *call) Writable(*netio.Conn) {}
 
-// Closed comes when discovery ends the connection, which may complete a response.
+// Closed handles the end of the connection by discovery, which may complete a response.
 func (q *call) Closed(c *netio.Conn, err *netio.Error) {
 	if q.reused && len(c.Input()) == 0 {
-		// The idle connection was closed before this call reached it, which is no failure: the call is made on a new one.
+		// Discovery closed the idle connection before it read this call. That is no failure: a new
+		// connection is opened.
 		q.reused = false
 		q.connect()
 		return
@@ -90,6 +96,8 @@
 	q.finish(nil, err)
 }
 
+// finish ends the call, keeps its connection for the next one if possible, and calls done. It does nothing
+// if the call has ended.
 func (q *call) finish(r *response, err error) {
 	if q.done == nil {
 		return
@@ -128,15 +136,15 @@
 	}
 }
 
-// acceptAnswer takes over an answer's version, and gives the change to apply.
+// acceptAnswer updates the client's revision from an answer, and returns the event to pass on.
 func (c *Client) acceptAnswer(q *call, ch proxy.WatchEvent) proxy.WatchEvent {
 	c.redirectedAt = 0
 	switch {
 	case ch.Version < c.revision && q.fromRevision != c.revision:
-		// An older answer, overtaken by that of another call: it must not undo the newer list.
+		// Another call has brought a newer list meanwhile, which this answer must not undo.
 		return proxy.WatchEvent{Kind: balancer.ListDelta, Version: c.revision}
 	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
-		// The service has restarted its versions, and has sent a change only: the complete list is fetched next.
+		// The service has restarted its revisions and sent only a change: the complete list is fetched next.
 		c.revision = noRevision
 	default:
 		c.revision = ch.Version
@@ -144,7 +152,7 @@
 	return ch
 }
 
-// cancel ends a call without telling.
+// cancel ends the call without calling done.
 func (q *call) cancel() {
 	q.done = nil
 	q.timer.Stop()
@@ -154,16 +162,16 @@
 	}
 }
 
-// idleHandler handles a connection that waits for the next call.
+// idleHandler handles the events of an idle connection, which is kept for the next call.
 type idleHandler struct{ client *Client }
 
-// Data ends the connection: there is no call that it could answer.
+// Data closes the connection, because it received data without a call.
 func (u idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
 
-// Writable is nothing to a connection at rest.
+// Writable does nothing.
 func (u idleHandler) Writable(*netio.Conn) {}
 
-// Closed is nothing to a connection at rest: the next call opens another.
+// Closed does nothing: the next call opens a new connection.
 func (u idleHandler) Closed(*netio.Conn, *netio.Error) {}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -13,83 +13,84 @@
 
 const (
 	hostsPath = "/discovery/hosts"
-	// minWatchTimeout and maxWatchTimeout bound how long discovery may keep a watch waiting; watchTimeoutPerProxy is what each
-	// proxy of the tier adds to it, so that all proxies together make at most four calls a second. The shorter the wait, the
-	// sooner a watch whose connection has died is replaced.
+	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Each proxy
+	// that uses discovery adds watchTimeoutPerProxy to that time, so that all proxies together make at most
+	// four calls a second. A shorter time replaces a watch whose connection has died sooner.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
-	// watchAnswerTimeout is how long past its wait a watch's call may take. It is shorter than the 2 s after which a list counts
-	// as received late.
+	// watchAnswerTimeout is how long the answer may take beyond the watch timeout. It is shorter than the 2 s
+	// after which a list counts as received late.
 	watchAnswerTimeout = 1200 * time.Millisecond
-	// fullListTimeout is how long a call for the complete list may take. It is longer than discovery's own limit of 2 s: a call that is
-	// ended and repeated sooner would add to the load of a slow discovery.
+	// fullListTimeout bounds a call for the complete list. It is longer than discovery's own limit of 2 s: a
+	// call that is ended and repeated sooner would add to the load of a slow discovery.
 	fullListTimeout = 2300 * time.Millisecond
 	connectTimeout  = time.Second
 	inputLimit      = maxHeadBytes + 2*maxBodyBytes
-	// redirectSettleTime is how long after a redirect the client itself retries a new address, at redirectRetryPause: the list of
-	// that address is due 4 s after the redirect, and the pause of the decision module may be longer.
+	// redirectSettleTime is how long after a redirect the client itself retries failed calls on the new
+	// address, every redirectRetryPause: the list of that address is due 4 s after the redirect, and the
+	// pause of the decision module may be longer.
 	redirectSettleTime = 3500 * time.Millisecond
 	redirectRetryPause = 150 * time.Millisecond
-	// The next three are for an agent on this machine, to which lists are pushed. Calls on it are cheap, and a list counts as
-	// received from the moment at which the agent has it. So a call whose connection has died is ended and repeated within the 250 ms
-	// that the contract grants between receiving a list and following it.
+	// The next three apply to an agent on this machine, to which lists are pushed. Calls on it are cheap, and
+	// a list counts as received as soon as the agent has it. So a call whose connection has died is ended and
+	// repeated within the 250 ms that the contract allows between receiving a list and following it.
 	agentWatchTimeout  = 100 * time.Millisecond
 	agentAnswerTimeout = 80 * time.Millisecond
 	agentRetryPause    = 30 * time.Millisecond
 )
 
-// Client watches the endpoint list between WatchList's on and off, one call after the other on one connection, and fetches the complete
-// list on FetchList. All its methods belong to the loop.
+// Client is a client of discovery. While the watch is on, it follows the endpoint list by one call after the
+// other on one connection. FetchList fetches the complete list. All methods must be called on the loop.
 type Client struct {
 	loop          *netio.Loop
 	dialer        *netio.Dialer
 	address       string
 	notify        func(proxy.WatchEvent)
-	watchTimeout  time.Duration // how long discovery may keep a watch waiting
-	answerTimeout time.Duration // how long past that an answer may come
-	followsAgent  bool          // lists are pushed to an agent on this machine, and the client follows it unasked
+	watchTimeout  time.Duration // how long discovery may hold a call of the watch
+	answerTimeout time.Duration // how long the answer may take beyond that
+	followsAgent  bool          // the service is an agent on this machine; see FollowAgent
 
-	revision       int64 // of the client's list, as the service at address numbers it; under 0: it has none
-	redirectedAt   int64 // when address last changed, until it has answered; 0: it has
+	revision       int64 // of the client's list, in the numbering of the service at address; negative if it has none
+	redirectedAt   int64 // Unix time in ns of a redirect to an address that has not answered yet, else 0
 	retryTimer     *netio.Timer
-	watching       bool  // the watch goes on
-	firstAnswerDue bool  // its first answer is awaited, which is passed on even if it is empty
-	watch          *call // the call under way
-	// reopened: the watch was reopened after it had fallen silent, and has had no answer since.
-	reopened    bool
-	silentCalls int         // calls of the watch in a row that got no answer
-	fetch       *call       // the call for the complete list under way; nil: none
-	idleConn    *netio.Conn // a connection whose last response is complete
-	lastFailure string
+	watching       bool        // the watch is on
+	firstAnswerDue bool        // the next answer is the first of the watch, which is passed on even if it is empty
+	watch          *call       // the watch's call in flight; may be nil
+	reopened       bool        // the watch was reopened after silence, and has had no answer since
+	silentCalls    int         // consecutive calls of the watch without an answer
+	fetch          *call       // the call for the complete list in flight; may be nil
+	idleConn       *netio.Conn // a connection whose last response is complete; may be nil
+	lastFailure    string      // text of the last failure, until a call succeeds
 }
 
-// Options are what a client begins with.
+// Options configure a Client.
 type Options struct {
-	Address    string // of discovery
-	ProxyCount int    // how many proxies share it
-	Revision   int64  // of the list that the client has
-	Notify     func(proxy.WatchEvent)
+	Address    string                 // of discovery
+	ProxyCount int                    // number of proxies that use the same discovery
+	Revision   int64                  // of the list that the client has already; negative if it has none
+	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and each failure
 }
 
-// NewClient makes a client. It calls discovery only once FollowAgent, WatchList, Redirect or FetchList is called.
+// NewClient returns a client. It makes no call until FollowAgent, WatchList, Redirect or FetchList is called.
 func NewClient(l *netio.Loop, d *netio.Dialer, o Options) *Client {
 	watchTimeout := min(maxWatchTimeout, max(minWatchTimeout, time.Duration(o.ProxyCount)*watchTimeoutPerProxy))
 	return &Client{loop: l, dialer: d, address: o.Address, watchTimeout: watchTimeout, answerTimeout: watchAnswerTimeout, revision: o.Revision, notify: o.Notify}
 }
 
-// FollowAgent keeps a watch at an agent on this machine, to which discovery pushes its lists, from now on; the decision module need
-// not request it. A call that fails is repeated soon and not reported: the agent is silent while discovery is, and the client's
-// list is the latest that there is.
+// FollowAgent turns on a watch of an agent on this machine, to which discovery pushes its lists, without a
+// request of the decision module. A call that fails is repeated after agentRetryPause and not reported: the
+// agent is silent while discovery is silent, and the client then has the latest list.
 func (c *Client) FollowAgent() {
 	c.followsAgent, c.watchTimeout, c.answerTimeout = true, agentWatchTimeout, agentAnswerTimeout
 	c.WatchList(true)
 }
 
-// Source is the address of the service, and the version of the client's list; under 0: it has none.
+// Source returns the address of the service and the revision of the client's list, which is negative if the
+// client has none.
 func (c *Client) Source() (addr string, rev int64) { return c.address, c.revision }
 
-// WatchList begins or ends the watch. While the watch goes on, a further begin changes nothing.
+// WatchList turns the watch on or off. Turning it on again does nothing.
 func (c *Client) WatchList(on bool) {
 	if !on {
 		c.watching = false
@@ -107,9 +108,10 @@
 	c.callWatch()
 }
 
-// Redirect has the client call another address from now on, and begins the watch there. Calls in flight at the old one are dropped and not
-// reported as failures. The versions of two services need not be comparable, and a watch from a version that the new one has not reached would
-// get no answer; so the complete list is fetched first, at once, also while the decision module backs off.
+// Redirect makes the client call another address from now on, and turns on the watch there. Calls in flight
+// are cancelled and not reported as failures. The complete list is fetched first, at once, also while the
+// decision module backs off: the revisions of two services need not be comparable, and a watch from a
+// revision that the new one has not reached would get no answer. It does nothing if addr is the current one.
 func (c *Client) Redirect(addr string) {
 	if addr == c.address {
 		return
@@ -122,14 +124,15 @@
 	}
 	if c.fetch != nil {
 		c.fetch.cancel()
-		c.fetch = nil // the watch below brings the list
+		c.fetch = nil // the watch fetches the complete list
 	}
 	c.retryTimer.Stop()
 	c.watching, c.firstAnswerDue = true, true
 	c.callWatch()
 }
 
-// callWatch makes the watch's next call. Discovery ends a watch whose next call does not come within 200 ms of the last answer.
+// callWatch makes the next call of the watch. It is made right after an answer, because discovery ends a
+// watch whose next call does not come within 200 ms.
 func (c *Client) callWatch() {
 	target, timeout := fmt.Sprintf("%s?from=%d&hold_ms=%d", hostsPath, c.revision, c.watchTimeout.Milliseconds()), c.watchTimeout+c.answerTimeout
 	if c.revision < 0 {
@@ -155,7 +158,8 @@
 	})
 }
 
-// watchFailed repeats a failed call of the watch where this client decides when, or ends the watch and reports the failure.
+// watchFailed handles a failed call of the watch. It repeats the call in the cases in which this client and
+// not the decision module decides when, and otherwise turns the watch off and reports the failure.
 func (c *Client) watchFailed(err error) {
 	switch {
 	case c.followsAgent:
@@ -167,7 +171,7 @@
 		c.reopen()
 	default:
 		c.reopened = false
-		c.watching = false // the decision module requests it again, with a backoff
+		c.watching = false // the decision module turns it on again, with a backoff
 		c.reportFailure(err)
 	}
 }
@@ -178,8 +182,9 @@
 	c.retryTimer = c.loop.After(pause, c.callWatch)
 }
 
-// fullListWait is how long a call for the complete list may take. An agent on this machine answers at once, or is silent; where its list is so
-// large that it does not come in time, the next call has twice as long.
+// fullListWait returns the timeout of a call for the complete list. An agent on this machine answers at once
+// or is silent, so the timeout is short. It doubles with each silent call, in case the list is so large that
+// it takes longer.
 func (c *Client) fullListWait() time.Duration {
 	if !c.followsAgent {
 		return fullListTimeout
@@ -187,16 +192,17 @@
 	return min(fullListTimeout, c.answerTimeout<<min(c.silentCalls, 6))
 }
 
-// reopen repeats the call of a silent watch at once, since the decision module's pause grows with the fleet, while the list is
-// due soon. The watches of a fleet fall silent at different times, so that their calls do not come together. The idle connection
-// may be as dead as the one that was used. A second failure is reported.
+// reopen repeats the call of a silent watch at once. The decision module's pause grows with the fleet, and
+// the list is due sooner. The watches of a fleet fall silent at different times, so their calls do not come
+// together. The idle connection is closed, since it may be as dead as the one that was used. A second
+// failure is reported.
 func (c *Client) reopen() {
 	c.reopened = true
 	c.closeIdle()
 	c.callWatch()
 }
 
-// closeIdle ends the idle connection, so that the next call is made on a new one.
+// closeIdle closes the idle connection, so that the next call opens a new one.
 func (c *Client) closeIdle() {
 	if c.idleConn != nil {
 		c.idleConn.Close()
@@ -204,7 +210,7 @@
 	}
 }
 
-// FetchList fetches the complete list once.
+// FetchList fetches the complete list once. It does nothing if that is in progress.
 func (c *Client) FetchList() {
 	if c.fetch != nil {
 		return
@@ -219,7 +225,7 @@
 	})
 }
 
-// logFailure logs why a call failed, unless the last one failed with the same text.
+// logFailure logs why a call failed, unless the last failure had the same text.
 func (c *Client) logFailure(err error) {
 	if c.lastFailure != err.Error() {
 		c.lastFailure = err.Error()
--- a/internal/dataplane/cluster/failure.go
+++ b/internal/dataplane/cluster/failure.go
@@ -7,22 +7,22 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// errBadStatus is a response with another status than 200.
+// errBadStatus is the error for a response whose status is not 200.
 var errBadStatus = errors.New("status")
 
-// failureReason is why a call on discovery failed, for the log.
+// failureReason is the reason in the log why a call to discovery failed.
 type failureReason int
 
 const (
-	connectionFailed  failureReason = iota // not established, or broken
-	noAnswer                               // not answered in time
-	badStatus                              // another HTTP status than 200
-	malformedResponse                      // not HTTP
-	responseTooLarge                       // beyond what is buffered
-	invalidList                            // a response with a list that cannot be used
+	connectionFailed  failureReason = iota // the connection was not established, or it broke
+	noAnswer                               // no answer came in time
+	badStatus                              // the HTTP status is not 200
+	malformedResponse                      // the response is not HTTP
+	responseTooLarge                       // the head or the body exceeds its limit
+	invalidList                            // the response has no valid list
 )
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r failureReason) String() string {
 	names := [...]string{"connection_failed", "no_answer", "bad_status", "malformed_response", "response_too_large", "invalid_list"}
 	if r < 0 || int(r) >= len(names) {
@@ -31,7 +31,7 @@
 	return names[r]
 }
 
-// reasonOf finds the reason in a call's error. What none of the others caused is the list's.
+// reasonOf returns the reason for a call's error. An error that matches no other reason is one of ParseList.
 func reasonOf(err error) failureReason {
 	var connection *netio.Error
 	switch {
--- a/internal/dataplane/cluster/http.go
+++ b/internal/dataplane/cluster/http.go
@@ -7,29 +7,30 @@
 	"strings"
 )
 
-// What discovery may send at most.
+// The limits, in bytes, for a response of discovery.
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 1 << 20
 )
 
-// What can be wrong with a response.
+// Errors in a response.
 var (
 	errMalformed = errors.New("malformed response")
 	errTooLarge  = errors.New("response too large")
 )
 
-// response is what parseResponse finds at the start of a connection's input.
+// response is an HTTP response at the start of a connection's input.
 type response struct {
 	status int
 	body   []byte
-	length int  // bytes of input it takes up
-	closes bool // the connection carries no further one
+	length int  // bytes of input, the head included
+	closes bool // the connection carries no further response
 }
 
-// parseResponse reads one HTTP/1.1 response. It gives nil while more is to come. ended says that nothing will, which
-// completes a response without a stated length. It parses from the start of the input each time, so that the outcome can't
-// depend on how the input was cut; the input is bounded.
+// parseResponse parses one HTTP/1.1 response. It returns nil and no error while the response is incomplete.
+// ended reports whether the connection has ended, which completes a response without a stated length. It
+// parses from the start of the input each time, so that the result cannot depend on how the input was
+// split. The input is bounded, which limits the cost.
 func parseResponse(in []byte, ended bool) (*response, error) {
 	end := bytes.Index(in[:min(len(in), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -47,7 +48,7 @@
 	}
 	bodyStart := end + len("\r\n\r\n")
 	if head.status >= 100 && head.status < 200 {
-		// An interim response announces the real one.
+		// An interim response (1xx) precedes the final one.
 		final, err := parseResponse(in[bodyStart:], ended)
 		if final != nil {
 			final.length += bodyStart
@@ -64,15 +65,15 @@
 	return r, err
 }
 
-// responseHead is what a response's head says of the rest.
+// responseHead is a parsed response head.
 type responseHead struct {
 	status  int
 	closes  bool // the connection carries no further response
-	size    int  // bytes of the body; under 0: not stated
+	size    int  // bytes of the body; negative if not stated
 	chunked bool
 }
 
-// parseHead reads the lines before the body.
+// parseHead parses the lines before the body.
 func parseHead(text string) (responseHead, error) {
 	lines := strings.Split(text, "\r\n")
 	h := responseHead{size: -1}
@@ -92,7 +93,7 @@
 	return h, nil
 }
 
-// setField takes one header field.
+// setField sets what one header field specifies. name must be in lower case. Other fields are ignored.
 func (h *responseHead) setField(name, value string) error {
 	switch name {
 	case "content-length":
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// readBody reads the body behind the head; nil without an error: it is not complete. The length is that of the body alone.
+// readBody reads the body from in, which starts behind the head. It returns nil and no error if the body is
+// not complete. The length of the result excludes the head.
 func (h *responseHead) readBody(in []byte, ended bool) (*response, error) {
 	r := &response{status: h.status, closes: h.closes}
 	switch {
@@ -149,14 +151,15 @@
 	return nil, nil
 }
 
-// startsLikeStatus reports whether the input can become a response.
+// startsLikeStatus reports whether the input may be the start of a response.
 func startsLikeStatus(in []byte) bool {
 	const want = "HTTP/1."
 	n := min(len(in), len(want))
 	return string(in[:n]) == want[:n]
 }
 
-// parseStatusLine reads the first line; last: the connection carries no further response.
+// parseStatusLine parses the first line. closes reports whether the connection carries no further response,
+// which is the default of HTTP/1.0.
 func parseStatusLine(line string) (status int, closes bool, err error) {
 	if len(line) < 12 || !strings.HasPrefix(line, "HTTP/1.") || line[7] != '0' && line[7] != '1' || line[8] != ' ' ||
 		len(line) > 12 && line[12] != ' ' {
@@ -169,7 +172,8 @@
 	return status, line[7] == '0', nil
 }
 
-// readChunks joins the chunks of a body. It gives 0 as their length while the last has not come.
+// readChunks joins the chunks of a body. length is the number of bytes of input that they take up; it is 0
+// while the last chunk or the trailer is not complete.
 func readChunks(in []byte) (body []byte, length int, err error) {
 	offset := 0
 	for {
@@ -204,7 +208,8 @@
 	}
 }
 
-// skipTrailer passes over what may follow the last chunk.
+// skipTrailer skips the trailer, which starts at offset. It returns body, and the offset behind the trailer
+// or 0 if the trailer is not complete.
 func skipTrailer(in []byte, offset int, body []byte) ([]byte, int, error) {
 	start := offset
 	for {
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -1,4 +1,4 @@
-// Package cluster is the client of discovery: it keeps a watch on the list of upstream hosts.
+// Package cluster provides the client of discovery, which watches the list of upstream hosts.
 package cluster
 
 import (
@@ -10,14 +10,14 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// list is a list, or a change of it, in discovery's form and by its names.
+// list is discovery's JSON form of an endpoint list, or of a change of it if All is false.
 type list struct {
 	Rev     *int64  `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []entry `json:"targets"`
 }
 
-// entry is one host in it.
+// entry is discovery's JSON form of one host.
 type entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -31,14 +31,14 @@
 
 var hostStates = map[string]balancer.HostState{"up": balancer.Ready, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// ParseList reads a list or a change of it, as discovery and the configuration's known give it.
+// ParseList parses an endpoint list or a change of it, in the form used by discovery and by the setting known.
 func ParseList(data []byte) (proxy.WatchEvent, error) {
 	var l list
 	if err := json.Unmarshal(data, &l); err != nil {
-		return proxy.WatchEvent{}, fmt.Errorf("list: %v", err)
+		return proxy.WatchEvent{}, fmt.Errorf("endpoint list: %v", err)
 	}
 	if l.Rev == nil {
-		return proxy.WatchEvent{}, errors.New("list without rev")
+		return proxy.WatchEvent{}, errors.New("endpoint list without rev")
 	}
 	ch := proxy.WatchEvent{Kind: balancer.ListDelta, Version: *l.Rev}
 	if l.All {
@@ -47,10 +47,10 @@
 	for i, e := range l.Targets {
 		state, ok := hostStates[e.State]
 		if !ok {
-			return proxy.WatchEvent{}, fmt.Errorf("list entry %d: state %q, which is unknown", i, e.State)
+			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d with uid %q: unknown state %q", i, e.UID, e.State)
 		}
 		if e.UID == "" || e.Endpoint == "" && state != balancer.Removed {
-			return proxy.WatchEvent{}, fmt.Errorf("list entry %d: no uid or endpoint", i)
+			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d: uid %q or endpoint %q is missing", i, e.UID, e.Endpoint)
 		}
 		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Address: e.Endpoint, ListedHost: balancer.ListedHost{ID: e.UID, State: state,
 			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, StartedAt: e.BootMS * 1e6}})
