--- a/internal/dataplane/cluster/agent_test.go
+++ b/internal/dataplane/cluster/agent_test.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestFollowsAnAgent: an agent to which lists are pushed is watched though the decision module requests nothing, its silence is not reported as
-// a failure, and what it has when it answers again arrives although the watch that was under way has died.
+// An agent is watched without a request of the decision module. Its silence is not reported as a failure,
+// and a change made during the silence arrives although the call in flight has died.
 func TestFollowsAnAgent(t *testing.T) {
 	d, err := fake.NewDiscovery(fake.Entry{UID: "s1", Endpoint: "127.0.0.1:1"}, fake.Entry{UID: "s2", Endpoint: "127.0.0.1:2"})
 	if err != nil {
@@ -30,7 +30,7 @@
 			select {
 			case change := <-changes:
 				if change.Kind == balancer.ListFailed {
-					t.Fatalf("%s: a failure is reported", what)
+					t.Fatalf("%s: the client reported a failure, want none", what)
 				}
 				for _, h := range change.Hosts {
 					if h.ID == uid && h.State == state {
@@ -38,7 +38,7 @@
 					}
 				}
 			case <-limit:
-				t.Fatalf("%s: no change of %s arrives", what, uid)
+				t.Fatalf("%s: no change of host %s to state %v arrived within 5 s", what, uid, state)
 			}
 		}
 	}
@@ -49,8 +49,8 @@
 	d.SetState("s2", "draining")
 	before := d.Calls()
 	for end := time.Now().Add(20 * time.Second); d.Calls() < before+3; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) { // each call on a silent agent is given up: one that waits could have died
-			t.Fatal("a call waits for ever")
+		if time.Now().After(end) { // a call on a silent agent must time out, since its connection may have died
+			t.Fatal("fewer than 3 calls were made to a silent agent within 20 s")
 		}
 	}
 	d.SetSilent(false)
--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -68,8 +68,8 @@
 // Data handles the response once it is complete.
 func (q *call) Data(c *netio.Conn) { q.parse(false) }
 
-// parse ends the call if the input is a complete response or not one. ended reports whether discovery has
-// ended the connection.
+// parse ends the call once the input holds a complete or an invalid response. ended reports whether
+// discovery has ended the connection.
 func (q *call) parse(ended bool) {
 	r, err := parseResponse(q.conn.Input(), ended)
 	if r != nil || err != nil {
--- a/internal/dataplane/cluster/cluster_test.go
+++ b/internal/dataplane/cluster/cluster_test.go
@@ -25,8 +25,8 @@
 	"SSH-2.0-x\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "HTTP/1.1 200 OK\r\nbad\r\n\r\n", "",
 }
 
-// FuzzResponse feeds a response byte by byte up to each point: the parse must come out as for the complete input, and nothing
-// may panic or wait for more than the limits.
+// FuzzResponse parses each prefix of the input. The result must be the same as for the complete input, and
+// no input may cause a panic or exceed the limits.
 func FuzzResponse(f *testing.F) {
 	for _, s := range responseSeeds {
 		f.Add([]byte(s))
@@ -34,16 +34,16 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		complete, completeErr := parseResponse(in, true)
 		if complete != nil && (complete.length > len(in) || len(complete.body) > maxBodyBytes) {
-			t.Fatalf("takes %d of %d bytes", complete.length, len(in))
+			t.Fatalf("parseResponse used %d of %d bytes and returned a body of %d bytes, want at most %d", complete.length, len(in), len(complete.body), maxBodyBytes)
 		}
 		for n := range len(in) {
 			r, err := parseResponse(in[:n], false)
 			if r != nil && (complete == nil || r.status != complete.status || r.length != complete.length ||
 				!bytes.Equal(r.body, complete.body)) {
-				t.Fatalf("%d bytes gave %+v, all %+v %v", n, r, complete, completeErr)
+				t.Fatalf("the first %d bytes parse to %+v, the complete input to %+v, %v", n, r, complete, completeErr)
 			}
 			if err != nil && completeErr == nil {
-				t.Fatalf("%d bytes gave %v, all none", n, err)
+				t.Fatalf("the first %d bytes cause the error %v, the complete input none", n, err)
 			}
 			if r != nil || err != nil {
 				return
@@ -52,40 +52,42 @@
 	})
 }
 
+// Valid responses of all supported forms are parsed, and invalid or incomplete ones cause an error.
 func TestResponses(t *testing.T) {
 	for i, want := range []string{"200 hello 43 false", "200 abcde 77 false", "200 until the end 32 true", "204  65 true"} {
 		r, err := parseResponse([]byte(responseSeeds[i]), true)
 		if err != nil {
-			t.Errorf("%d: %v", i, err)
+			t.Errorf("parseResponse(%q) returned the error %v, want none", responseSeeds[i], err)
 		} else if got := fmt.Sprintf("%d %s %d %t", r.status, r.body, r.length, r.closes); got != want {
-			t.Errorf("%d: %s, want %s", i, got, want)
+			t.Errorf("parseResponse(%q) = status, body, length, closes %s, want %s", responseSeeds[i], got, want)
 		}
 	}
 	for _, s := range responseSeeds[4:] {
 		if r, err := parseResponse([]byte(s), true); err == nil && s != "HTTP/1.1 200\r\n\r\n" {
-			t.Errorf("%q gives %+v", s, r)
+			t.Errorf("parseResponse(%q) = %+v, want an error", s, r)
 		}
 	}
 	if _, err := parseResponse([]byte("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", maxHeadBytes)), false); err == nil {
-		t.Error("an endless head is not an error")
+		t.Errorf("parseResponse of a head with more than %d bytes returned no error", maxHeadBytes)
 	}
 }
 
+// A change of a list is parsed with all its values; invalid lists cause an error.
 func TestParse(t *testing.T) {
 	ch, err := ParseList([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"1.2.3.4:5","az":"a","model":"m",
 		"pod_group":3,"state":"draining","capacity_hint":1.5,"boot_ms":1700000000123,"new":1},
 		{"uid":"t","state":"removed"}]}`))
 	if err != nil || ch.Kind != balancer.ListDelta || ch.Version != 43 || len(ch.Hosts) != 2 {
-		t.Fatal(ch, err)
+		t.Fatalf("ParseList returned %+v, %v; want a change with version 43 and 2 hosts", ch, err)
 	}
 	if h := ch.Hosts[0]; h.StartedAt != 1700000000123000000 || h.State != balancer.Draining || h.Address != "1.2.3.4:5" ||
 		h.Weight != 1.5 || h.Cell != 3 || h.Zone != "a" || h.Kind != "m" {
-		t.Fatal(h)
+		t.Fatalf("the first host is %+v, want the values of the list", h)
 	}
 	for _, bad := range []string{"", "[]", `{"all":true}`, `{"rev":1,"targets":[{"uid":"s","endpoint":"x","state":"odd"}]}`,
 		`{"rev":1,"targets":[{"uid":"s","state":"up"}]}`, `{"rev":1,"targets":[{"endpoint":"x","state":"up"}]}`} {
 		if _, err := ParseList([]byte(bad)); err == nil {
-			t.Errorf("%s is accepted", bad)
+			t.Errorf("ParseList(%s) returned no error, want one", bad)
 		}
 	}
 }
@@ -101,8 +103,8 @@
 	return ln
 }
 
-// discoveryWithAnswers is a service that gives its answers in order, each a status and a body, and leaves later calls waiting. calls gets its
-// name with the target of each call.
+// discoveryWithAnswers starts a service that sends its answers in order, each a status and a body, and does
+// not answer later calls. It sends its name and the target of each call to calls.
 func discoveryWithAnswers(t *testing.T, calls chan<- string, name string, answers ...string) (addr string) {
 	t.Helper()
 	ln := listen(t)
@@ -115,7 +117,7 @@
 				for in.Scan() && in.Text() != "" {
 				}
 				if len(answers) == 0 {
-					continue // the watch waits
+					continue // the call gets no answer
 				}
 				fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", answers[0][:3], len(answers[0])-4, answers[0][4:])
 				answers = answers[1:]
@@ -125,8 +127,9 @@
 	return ln.Addr().String()
 }
 
-// After a redirect the new service is called at once and for the complete list, since its versions are its own; that the old one hangs up then,
-// and that the new one fails at first, is not reported as a failure.
+// After a redirect the client at once fetches the complete list of the new service, since its versions are
+// not comparable with those of the old one. Neither the end of the call in flight at the old service nor a
+// first failure of the new one is reported.
 func TestRedirect(t *testing.T) {
 	calls := make(chan string, 16)
 	l := netio.NewLoop()
@@ -138,7 +141,7 @@
 	expect := func(want string) {
 		t.Helper()
 		if got := <-calls; got != want {
-			t.Fatalf("called %s, want %s", got, want)
+			t.Fatalf("the client called %s, want %s", got, want)
 		}
 	}
 	expect("old /discovery/hosts?from=90&hold_ms=4000")
@@ -148,11 +151,11 @@
 	expect("new /discovery/hosts")
 	expect("new /discovery/hosts?from=3&hold_ms=4000")
 	if ch := <-changes; ch.Kind != balancer.ListFull || ch.Version != 3 || len(changes) > 0 {
-		t.Errorf("the client notifies of %+v and %d more", ch, len(changes))
+		t.Errorf("the client reported %+v and %d more events, want only the complete list with version 3", ch, len(changes))
 	}
 }
 
-// TestWatchesWaitLongerInALargerFleet: the calls of all proxies together stay at four a second, so that discovery can answer them.
+// Watches wait longer in a larger fleet, so that all proxies together make at most four calls a second.
 func TestWatchesWaitLongerInALargerFleet(t *testing.T) {
 	for _, c := range []struct {
 		sharing int
@@ -161,15 +164,16 @@
 		{80, 20 * time.Second}, {1000, 20 * time.Second}} {
 		k := NewClient(nil, nil, Options{Address: "127.0.0.1:1", ProxyCount: c.sharing})
 		if k.watchTimeout != c.want {
-			t.Errorf("%d proxies: %v, %v expected", c.sharing, k.watchTimeout, c.want)
+			t.Errorf("the watch timeout for %d proxies is %v, want %v", c.sharing, k.watchTimeout, c.want)
 		}
 		if k.watchTimeout+watchAnswerTimeout >= k.watchTimeout+2*time.Second {
-			t.Errorf("%d proxies: a silent call lasts beyond the moment from which its list counts as received late", c.sharing)
+			t.Errorf("for %d proxies a silent call takes %v, want less than 2 s beyond the watch timeout, when its list counts as received late",
+				c.sharing, k.watchTimeout+watchAnswerTimeout)
 		}
 	}
 }
 
-// fullList is a list of n hosts as discovery writes it.
+// fullList returns a complete list of n hosts in discovery's form.
 func fullList(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"rev":7,"all":true,"targets":[`)
@@ -184,20 +188,20 @@
 	return []byte(b.String())
 }
 
-// TestListOfAThousand: a large list costs a few allocations a host, and nothing that grows faster than the list.
+// Parsing a large list must cost at most 12 allocations a host, and not grow faster than the list.
 func TestListOfAThousand(t *testing.T) {
 	allocationsPerHost := func(n int) float64 {
 		data := fullList(n)
 		return testing.AllocsPerRun(5, func() {
 			ch, err := ParseList(data)
 			if err != nil || len(ch.Hosts) != n {
-				t.Fatalf("%d hosts, %v", len(ch.Hosts), err)
+				t.Fatalf("ParseList of %d hosts returned %d, %v", n, len(ch.Hosts), err)
 			}
 		}) / float64(n)
 	}
 	small, large := allocationsPerHost(60), allocationsPerHost(1000)
 	if large > 12 || large > small*1.5 {
-		t.Errorf("%.1f allocations a host in a list of 1,000, %.1f in one of 60", large, small)
+		t.Errorf("%.1f allocations a host in a list of 1,000 and %.1f in one of 60, want at most 12 and at most 1.5 times as many", large, small)
 	}
 }
 
--- a/internal/dataplane/cluster/failure_test.go
+++ b/internal/dataplane/cluster/failure_test.go
@@ -8,7 +8,7 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// TestFailureReasons: the log names why a call failed.
+// Each kind of failure has its own reason in the log.
 func TestFailureReasons(t *testing.T) {
 	_, listError := ParseList([]byte(`{"targets": []}`))
 	_, tooLarge := parseResponse(make([]byte, maxHeadBytes+1), false)
@@ -24,7 +24,7 @@
 		{listError, "invalid_list"},
 	} {
 		if c.err == nil || reasonOf(c.err).String() != c.want {
-			t.Errorf("%v: reason %s, want %s", c.err, reasonOf(c.err), c.want)
+			t.Errorf("reasonOf(%v) = %s, want %s", c.err, reasonOf(c.err), c.want)
 		}
 	}
 }
--- a/internal/dataplane/cluster/races_test.go
+++ b/internal/dataplane/cluster/races_test.go
@@ -15,17 +15,19 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// receivedCall is a call that a scripted discovery has read. It stays without an answer until the test gives one.
+// receivedCall is a call that a scriptedDiscovery has read. It gets no answer until the test sends one.
 type receivedCall struct {
 	target string
 	conn   net.Conn
 }
 
+// answer sends a response with the given body.
 func (a receivedCall) answer(body string) {
 	fmt.Fprintf(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// scriptedDiscovery is a discovery whose answers the test gives, and a client of it that holds version 40, on a clock that the test moves.
+// scriptedDiscovery is a discovery whose answers the test sends, and a client of it that has version 40, on a
+// clock that advanceClock advances.
 type scriptedDiscovery struct {
 	calls   chan receivedCall
 	changes chan proxy.WatchEvent
@@ -34,13 +36,13 @@
 	now     atomic.Int64
 }
 
-// advanceClock moves the client's clock.
+// advanceClock advances the client's clock by d.
 func (s *scriptedDiscovery) advanceClock(d time.Duration) {
 	s.now.Add(int64(d))
 	s.loop.Post(func() {})
 }
 
-// settle waits until the loop has done what is due.
+// settle waits until the loop has run the tasks and timers that are due.
 func (s *scriptedDiscovery) settle() {
 	done := make(chan struct{})
 	s.loop.Post(func() {})
@@ -48,7 +50,7 @@
 	<-done
 }
 
-// newScriptedDiscovery starts a newScriptedDiscovery discovery and its client.
+// newScriptedDiscovery starts a scripted discovery and its client.
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
 	s := &scriptedDiscovery{calls: make(chan receivedCall, 64), changes: make(chan proxy.WatchEvent, 64)}
@@ -72,8 +74,8 @@
 	return s
 }
 
-// A watch that falls silent is reopened at once. Reported as a failure it would wait for the decision module's backoff, which grows with
-// the fleet, and what it missed would come late.
+// A watch that falls silent is reopened at once. If it were reported as a failure, it would wait for the
+// decision module's backoff, which grows with the fleet, and changes would arrive late.
 func TestASilentWatchIsReopenedAtOnce(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
@@ -81,23 +83,24 @@
 	s.advanceClock(minWatchTimeout + watchAnswerTimeout)
 	again := <-s.calls
 	if silent.target != again.target || silent.conn == again.conn {
-		t.Errorf("called %s, then %s (same connection: %t)", silent.target, again.target, silent.conn == again.conn)
+		t.Errorf("the client called %s, then %s, on the same connection: %t; want the same target on another connection",
+			silent.target, again.target, silent.conn == again.conn)
 	}
 	again.answer(`{"rev":41,"all":false,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
 	if ch := <-s.changes; ch.Kind != balancer.ListDelta || ch.Version != 41 {
-		t.Fatalf("the client notifies of %+v", ch)
+		t.Fatalf("the client reported %+v, want a change with version 41", ch)
 	}
-	// Silence twice in a row is a failure; the decision module decides when to poll again.
+	// A second consecutive silence is a failure, after which the decision module decides when to watch again.
 	for range 2 {
 		<-s.calls
 		s.advanceClock(minWatchTimeout + watchAnswerTimeout)
 	}
 	if ch := <-s.changes; ch.Kind != balancer.ListFailed || len(s.calls) > 0 {
-		t.Errorf("the client notifies of %+v, and makes %d more calls", ch, len(s.calls))
+		t.Errorf("the client reported %+v and made %d more calls, want a failure and no more calls", ch, len(s.calls))
 	}
 }
 
-// Two calls are out at once, and the answer that is older comes last: it must not undo the newer one.
+// Two calls are in flight, and the older answer arrives last. It must not undo the newer one.
 func TestAnOlderAnswerThatComesLastChangesNothing(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true); s.client.FetchList() })
@@ -107,38 +110,39 @@
 	}
 	watch.answer(`{"rev":43,"all":false,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
 	if ch := <-s.changes; ch.Version != 43 || len(ch.Hosts) != 1 {
-		t.Fatalf("the client notifies of %+v", ch)
+		t.Fatalf("the client reported %+v, want version 43 with one host", ch)
 	}
 	fetch.answer(`{"rev":41,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
 	if ch := <-s.changes; ch.Kind != balancer.ListDelta || len(ch.Hosts) != 0 {
-		t.Errorf("the client notifies of %+v", ch)
+		t.Errorf("the client reported %+v after the older answer, want an empty change", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=43") {
-		t.Errorf("then called %s", next.target)
+		t.Errorf("the next call is %s, want one with from=43", next.target)
 	}
 }
 
-// A service that restarts its versions is believed; a difference from a version that it never gave is no list to go on from.
+// A service restarts its versions and answers with a change only. The client accepts the lower version, and
+// fetches the complete list, since it has no list to which that change applies.
 func TestAVersionThatGoesBackwards(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	s.loop.Post(func() { s.client.WatchList(true) })
 	(<-s.calls).answer(`{"rev":2,"all":false,"targets":[]}`)
 	fullListCall := <-s.calls
 	if fullListCall.target != hostsPath {
-		t.Fatalf("called %s", fullListCall.target)
+		t.Fatalf("the client called %s, want %s", fullListCall.target, hostsPath)
 	}
 	fullListCall.answer(`{"rev":3,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"up"}]}`)
 	<-s.changes // the first answer of a watch is passed on even if it is empty
 	if ch := <-s.changes; ch.Kind != balancer.ListFull || ch.Version != 3 {
-		t.Errorf("the client notifies of %+v", ch)
+		t.Errorf("the client reported %+v, want the complete list with version 3", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=3") {
-		t.Errorf("then called %s", next.target)
+		t.Errorf("the next call is %s, want one with from=3", next.target)
 	}
 }
 
-// A new discovery that takes 1.9 s for each call is called once: calls that are abandoned and repeated would keep it busy with answers that
-// nobody waits for.
+// A new discovery that takes 1.9 s for each call is called once. Calls that time out and are repeated would
+// keep it busy with answers that the client discards.
 func TestASlowDiscoveryIsNotCalledAgain(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	addr := s.client.address
@@ -147,18 +151,18 @@
 	s.advanceClock(1900 * time.Millisecond)
 	fullListCall.answer(`{"rev":5,"all":true,"targets":[{"uid":"s","endpoint":"h:1","state":"draining"}]}`)
 	if ch := <-s.changes; ch.Kind != balancer.ListFull || ch.Version != 5 {
-		t.Fatalf("the client notifies of %+v", ch)
+		t.Fatalf("the client reported %+v, want the complete list with version 5", ch)
 	}
 	if next := <-s.calls; !strings.Contains(next.target, "from=5") {
-		t.Errorf("called %s before the answer had come", next.target)
+		t.Errorf("the next call is %s, want one with from=5: the client repeated the call before the answer", next.target)
 	}
-	// One that never answers is called again, before its list counts as received late.
+	// A discovery that never answers is called again before its list counts as received late.
 	s.loop.Post(func() { s.client.address = "127.0.0.1:1"; s.client.Redirect(addr) })
 	<-s.calls
 	s.advanceClock(fullListTimeout)
 	s.settle()
 	s.advanceClock(redirectRetryPause)
 	if again := <-s.calls; again.target != hostsPath {
-		t.Errorf("called %s", again.target)
+		t.Errorf("the client called %s, want %s", again.target, hostsPath)
 	}
 }
