--- a/internal/dataplane/cluster/call.go
+++ b/internal/dataplane/cluster/call.go
@@ -27,8 +27,8 @@
 	dial         *netio.Dial
 	conn         *netio.Conn
 	timer        *netio.Timer
-	reused       bool                                 // the call uses the idle connection of an earlier one
-	done         func(ch proxy.WatchEvent, err error) // nil once the call has ended
+	reused       bool                                    // the call uses the idle connection of an earlier one
+	done         func(event proxy.WatchEvent, err error) // nil once the call has ended
 }
 
 // startCall starts a call, on the idle connection if there is one. It calls done once, on the loop, unless
@@ -102,14 +102,14 @@
 	if q.done == nil {
 		return
 	}
-	var ch proxy.WatchEvent
+	var event proxy.WatchEvent
 	if err == nil && r.status != 200 {
 		err = fmt.Errorf("%w %d", errBadStatus, r.status)
 	}
 	if err == nil {
-		ch, err = ParseList(r.body)
+		event, err = ParseList(r.body)
 	}
-	q.logCall(ch, err)
+	q.logCall(event, err)
 	done := q.done
 	if err == nil && !r.closes && !q.conn.Ended() {
 		q.conn.Consume(r.length)
@@ -119,37 +119,37 @@
 	}
 	q.cancel()
 	if err == nil {
-		ch = q.client.acceptAnswer(q, ch)
+		event = q.client.acceptAnswer(q, event)
 		if q.client.lastFailure != "" {
 			q.client.lastFailure = ""
-			slog.Info("discovery_back", "rev", ch.Version)
+			slog.Info("discovery_back", "rev", event.Version)
 		}
 	}
-	done(ch, err)
+	done(event, err)
 }
 
 // logCall logs how the call ended.
-func (q *call) logCall(ch proxy.WatchEvent, err error) {
+func (q *call) logCall(event proxy.WatchEvent, err error) {
 	if logging.DebugEnabled() {
 		slog.Debug("discovery_call", "addr", q.client.address, "target", q.target, "reused", q.reused, "ms", (q.client.loop.Now()-q.startedAt)/1e6,
-			"rev", ch.Version, "hosts", len(ch.Hosts), "err", err)
+			"rev", event.Version, "hosts", len(event.Hosts), "err", err)
 	}
 }
 
 // acceptAnswer updates the client's revision from an answer, and returns the event to pass on.
-func (c *Client) acceptAnswer(q *call, ch proxy.WatchEvent) proxy.WatchEvent {
+func (c *Client) acceptAnswer(q *call, event proxy.WatchEvent) proxy.WatchEvent {
 	c.redirectedAt = 0
 	switch {
-	case ch.Version < c.revision && q.fromRevision != c.revision:
+	case event.Version < c.revision && q.fromRevision != c.revision:
 		// Another call has brought a newer list meanwhile, which this answer must not undo.
 		return proxy.WatchEvent{Kind: balancer.ListDelta, Version: c.revision}
-	case ch.Version < c.revision && ch.Kind == balancer.ListDelta:
+	case event.Version < c.revision && event.Kind == balancer.ListDelta:
 		// The service has restarted its revisions and sent only a change: the complete list is fetched next.
 		c.revision = noRevision
 	default:
-		c.revision = ch.Version
+		c.revision = event.Version
 	}
-	return ch
+	return event
 }
 
 // cancel ends the call without calling done.
@@ -166,12 +166,12 @@
 type idleHandler struct{ client *Client }
 
 // Data closes the connection, because it received data without a call.
-func (u idleHandler) Data(c *netio.Conn) {
+func (h idleHandler) Data(c *netio.Conn) {
 	c.Close()
 }
 
 // Writable does nothing.
-func (u idleHandler) Writable(*netio.Conn) {}
+func (h idleHandler) Writable(*netio.Conn) {}
 
 // Closed does nothing: the next call opens a new connection.
-func (u idleHandler) Closed(*netio.Conn, *netio.Error) {}
+func (h idleHandler) Closed(*netio.Conn, *netio.Error) {}
--- a/internal/dataplane/cluster/client.go
+++ b/internal/dataplane/cluster/client.go
@@ -13,9 +13,10 @@
 
 const (
 	hostsPath = "/discovery/hosts"
-	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Each proxy
-	// that uses discovery adds watchTimeoutPerProxy to that time, so that all proxies together make at most
-	// four calls a second. A shorter time replaces a watch whose connection has died sooner.
+	// minWatchTimeout and maxWatchTimeout bound how long discovery may hold a call of the watch. Between
+	// these bounds the time is watchTimeoutPerProxy for each proxy that uses discovery, so that up to 80
+	// proxies together make at most four calls a second. The shorter the time, the sooner a watch whose
+	// connection has died is replaced.
 	minWatchTimeout      = 4 * time.Second
 	maxWatchTimeout      = 20 * time.Second
 	watchTimeoutPerProxy = 250 * time.Millisecond
@@ -69,7 +70,7 @@
 	Address    string                 // of discovery
 	ProxyCount int                    // number of proxies that use the same discovery
 	Revision   int64                  // of the list that the client has already; negative if it has none
-	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and each failure
+	Notify     func(proxy.WatchEvent) // called on the loop with each change of the list and reported failure
 }
 
 // NewClient returns a client. It makes no call until FollowAgent, WatchList, Redirect or FetchList is called.
@@ -138,7 +139,7 @@
 	if c.revision < 0 {
 		target, timeout = hostsPath, c.fullListWait()
 	}
-	c.watch = c.startCall(target, timeout, func(ch proxy.WatchEvent, err error) {
+	c.watch = c.startCall(target, timeout, func(event proxy.WatchEvent, err error) {
 		c.watch = nil
 		if errors.Is(err, errSilent) {
 			c.silentCalls++
@@ -151,9 +152,9 @@
 		}
 		c.reopened = false
 		c.callWatch()
-		if c.firstAnswerDue || len(ch.Hosts) > 0 || ch.Kind == balancer.ListFull {
+		if c.firstAnswerDue || len(event.Hosts) > 0 || event.Kind == balancer.ListFull {
 			c.firstAnswerDue = false
-			c.notify(ch)
+			c.notify(event)
 		}
 	})
 }
@@ -215,13 +216,13 @@
 	if c.fetch != nil {
 		return
 	}
-	c.fetch = c.startCall(hostsPath, fullListTimeout, func(ch proxy.WatchEvent, err error) {
+	c.fetch = c.startCall(hostsPath, fullListTimeout, func(event proxy.WatchEvent, err error) {
 		c.fetch = nil
 		if err != nil {
 			c.reportFailure(err)
 			return
 		}
-		c.notify(ch)
+		c.notify(event)
 	})
 }
 
--- a/internal/dataplane/cluster/list.go
+++ b/internal/dataplane/cluster/list.go
@@ -40,20 +40,20 @@
 	if l.Rev == nil {
 		return proxy.WatchEvent{}, errors.New("endpoint list without rev")
 	}
-	ch := proxy.WatchEvent{Kind: balancer.ListDelta, Version: *l.Rev}
+	event := proxy.WatchEvent{Kind: balancer.ListDelta, Version: *l.Rev}
 	if l.All {
-		ch.Kind = balancer.ListFull
+		event.Kind = balancer.ListFull
 	}
-	for i, e := range l.Targets {
-		state, ok := hostStates[e.State]
+	for i, host := range l.Targets {
+		state, ok := hostStates[host.State]
 		if !ok {
-			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d with uid %q: unknown state %q", i, e.UID, e.State)
+			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d with uid %q: unknown state %q", i, host.UID, host.State)
 		}
-		if e.UID == "" || e.Endpoint == "" && state != balancer.Removed {
-			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d: uid %q or endpoint %q is missing", i, e.UID, e.Endpoint)
+		if host.UID == "" || host.Endpoint == "" && state != balancer.Removed {
+			return proxy.WatchEvent{}, fmt.Errorf("endpoint list entry %d: uid %q or endpoint %q is missing", i, host.UID, host.Endpoint)
 		}
-		ch.Hosts = append(ch.Hosts, proxy.HostEntry{Address: e.Endpoint, ListedHost: balancer.ListedHost{ID: e.UID, State: state,
-			Zone: e.Zone, Kind: e.Model, Cell: e.Group, Weight: e.Weight, StartedAt: e.BootMS * 1e6}})
+		event.Hosts = append(event.Hosts, proxy.HostEntry{Address: host.Endpoint, ListedHost: balancer.ListedHost{ID: host.UID, State: state,
+			Zone: host.Zone, Kind: host.Model, Cell: host.Group, Weight: host.Weight, StartedAt: host.BootMS * 1e6}})
 	}
-	return ch, nil
+	return event, nil
 }
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -173,8 +173,8 @@
 	d.endIdle()
 }
 
-// endIdle ends a connection whose client has sent nothing or only PING. It rejects a client that has not
-// sent PING, since its request may be in flight and a close alone would leave that without an answer.
+// endIdle ends a connection without a complete request line. It rejects a client that has not sent PING,
+// since its request may be in flight and a close alone would leave that without an answer.
 func (d *downstream) endIdle() {
 	d.logIdleEnd(idleTooLong)
 	if d.pinged {
--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -20,8 +20,8 @@
 // inputLimit is the number of bytes of unread input at which reading from a connection pauses.
 const inputLimit = 4 * MaxLineBytes
 
-// Front accepts clients of the line protocol and passes their requests to the core. Its methods must be
-// called on the loop.
+// Front accepts clients of the line protocol and passes their requests to the core. EndIdle and Resume
+// must be called on the loop.
 type Front struct {
 	loop *netio.Loop
 	core *proxy.Core
--- a/internal/dataplane/lineproto/upstream.go
+++ b/internal/dataplane/lineproto/upstream.go
@@ -14,8 +14,8 @@
 	events       proxy.UpstreamEvents
 	requestLine  proxy.RequestLine
 	reportFields []string // of the load report at the end of an answer; empty if hosts send none
-	deadline     int64
-	cancelDial   func() // nil unless the connection is being opened
+	deadline     int64    // end of the wait for the host's answer, as Unix time in nanoseconds
+	cancelDial   func()   // nil unless the connection is being opened
 	conn         *netio.Conn
 	stage        netio.Stage
 	endOfHost    *netio.Error // how the host ended the connection, whose last lines may not be relayed yet; nil if it has not
--- a/internal/dataplane/netio/attach.go
+++ b/internal/dataplane/netio/attach.go
@@ -14,7 +14,8 @@
 // environment is the poller environment of the process: netpoll has one set of pollers per process.
 var environment pollerEnvironment
 
-// pollerEnvironment holds the loop that runs netpoll's callbacks, and what synchronizes it with the poller.
+// pollerEnvironment holds the loop that runs netpoll's callbacks, and the means to synchronize it with
+// the poller.
 type pollerEnvironment struct {
 	sync.Mutex
 	loop    *Loop
@@ -22,7 +23,8 @@
 	gate    *loopGate
 }
 
-// whilePollerParked calls f while the poller is parked between two sockets. It must be called on the loop.
+// whilePollerParked calls f while the poller is parked between two sockets. It must be called on the
+// loop.
 func (e *pollerEnvironment) whilePollerParked(f func()) {
 	e.gate.openForBarrier()
 	e.barrier.runWhileParked(func() {
@@ -34,8 +36,8 @@
 }
 
 // Attach makes l the loop on which netpoll runs the callbacks of this process, and starts netpoll if
-// needed. One poller is enough for a machine with one core, since it only reads and never blocks on
-// anything but the loop.
+// needed. One poller suits a machine with one core: it only reads and accepts, and the callbacks run on
+// the loop.
 func Attach(l *Loop) error {
 	environment.Lock()
 	defer environment.Unlock()
--- a/internal/dataplane/netio/dial.go
+++ b/internal/dataplane/netio/dial.go
@@ -15,12 +15,13 @@
 	loop *Loop
 
 	mu              sync.Mutex
-	ready           *sync.Cond
-	waiting         []*Dial
-	dialsPerAddress map[string]int
-	maxPerAddress   int // concurrent dials to one address
+	ready           *sync.Cond     // signalled when a dial may be able to start
+	waiting         []*Dial        // the oldest first
+	dialsPerAddress map[string]int // dials in progress
+	maxPerAddress   int            // dials in progress to one address
 
-	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error) // netpoll.DialConnection; replaced by tests
+	// dial is netpoll.DialConnection. Tests replace it.
+	dial func(network, addr string, timeout time.Duration) (netpoll.Connection, error)
 }
 
 // dialRetryPause is the pause before a connect that failed for lack of local resources is retried.
@@ -31,7 +32,7 @@
 	dialer   *Dialer
 	addr     string
 	limit    int
-	deadline int64
+	deadline int64 // Unix time in nanoseconds
 	handler  Handler
 	done     func(*Conn, *Error)
 	ended    bool // done was called or Cancel came first; guarded by the dialer's mu
--- a/internal/dataplane/netio/end.go
+++ b/internal/dataplane/netio/end.go
@@ -162,7 +162,7 @@
 	return Ended
 }
 
-// FinalMessager may be implemented by a Handler to send a last message before an end with cause EndedLocally.
+// FinalMessager may be implemented by a Handler to send a last message before an EndedLocally end.
 type FinalMessager interface {
 	// FinalMessage is called on the loop right before the connection ends and Closed is called.
 	FinalMessage() []byte
--- a/internal/dataplane/netio/listen.go
+++ b/internal/dataplane/netio/listen.go
@@ -47,7 +47,7 @@
 		return nil, errStopped
 	}
 	c, err := n.Listener.Accept()
-	take := n.onAccept
+	onAccept := n.onAccept
 	n.mu.Unlock() // the loop may wait for mu, and onAccept waits for the loop
 	if err != nil {
 		slog.Warn("accept_failed", "addr", n.addr, "reason", err)
@@ -57,7 +57,7 @@
 		return nil, nil
 	}
 	if c != nil {
-		take(c.(netpoll.Conn).Fd())
+		onAccept(c.(netpoll.Conn).Fd())
 	}
 	return nil, nil
 }
@@ -88,7 +88,8 @@
 // Bind listens on addr; Serve accepts the connections. If shared is true, other processes of the same
 // user may listen on addr as well.
 func Bind(addr string, shared bool) (*Listener, error) {
-	// Accepted sockets inherit the size. Set on those, it would come after the client has been offered a window.
+	// Accepted sockets inherit the size. Setting it on them would not change the window that the client
+	// has been offered.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
--- a/internal/dataplane/netio/loop.go
+++ b/internal/dataplane/netio/loop.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Loop is an event loop. Post, Stop and Now may be called from any goroutine, and Run by one that owns
-// the loop from then on. All other methods must be called on the loop, or before it runs.
+// Loop is an event loop. Post, Stop and Now may be called from any goroutine. All other methods must be
+// called by the goroutine that calls Run, or before it does.
 type Loop struct {
 	mu      sync.Mutex
 	queue   []func()
-	spare   []func()
+	spare   []func() // the emptied previous queue, for reuse
 	wake    chan struct{}
 	stopped bool
 	ended   chan struct{} // closed once Run has returned
 
 	timers    timerHeap
-	lastOrder uint64
+	lastOrder uint64 // order of the timer that was set last
 
 	clock   func() int64
 	sendmsg func(fd int, p []byte) (int, error) // the system call; tests replace it
 }
 
-// WallClock returns the system's time, which may be set at any time. Tests of several processes replace it.
+// WallClock returns the system's time, which may be set at any time. Tests of several processes replace
+// WallClock.
 var WallClock = time.Now
 
 // NewLoop returns a loop. Its clock is the current Unix time plus the time that has passed since on the
@@ -45,7 +46,8 @@
 	return &Loop{wake: make(chan struct{}, 1), ended: make(chan struct{}), clock: clock, sendmsg: sendmsg}
 }
 
-// SetSend replaces the system call that writes to sockets, for tests of its failures. It must be called before Run.
+// SetSend replaces the system call that writes to sockets, for tests of its failures. It must be called
+// before Run.
 func (l *Loop) SetSend(send func(fd int, p []byte) (int, error)) { l.sendmsg = send }
 
 // Now returns the loop's time as Unix time in nanoseconds.
@@ -133,7 +135,7 @@
 
 // Timer is a pending call. Stop does nothing on a nil Timer.
 type Timer struct {
-	due       int64
+	due       int64  // Unix time in nanoseconds
 	order     uint64 // timers due at the same time fire in the order in which they were set
 	heapIndex int    // -1 once fired or stopped
 	call      func()
--- a/internal/dataplane/netio/loopgate.go
+++ b/internal/dataplane/netio/loopgate.go
@@ -12,7 +12,7 @@
 // up the descriptors before the loop can evict one. With the gate the bytes stay in the kernel, whose
 // buffers are small, and the connections in the listener's queue.
 type loopGate struct {
-	pollerParked atomic.Bool // the poller is parked, so the caller of runOnLoop is the loop and must not wait for itself
+	pollerParked atomic.Bool // the caller of runOnLoop is the loop, which must not wait for itself
 
 	mu       sync.Mutex
 	taskDone chan struct{} // closed when the poller may continue; nil if the loop runs no task for it
--- a/internal/dataplane/netio/pollerbarrier.go
+++ b/internal/dataplane/netio/pollerbarrier.go
@@ -36,7 +36,8 @@
 	return b, nil
 }
 
-// barrierRetryPause is the pause before netpoll is made to watch the barrier again. The loop may wait meanwhile.
+// barrierRetryPause is the pause before netpoll is made to watch the barrier again. The loop may wait
+// meanwhile.
 const barrierRetryPause = 5 * time.Millisecond
 
 // serve makes netpoll watch the barrier, and never returns. It retries if the kernel has no memory for
@@ -60,7 +61,7 @@
 			continue
 		}
 		if err != nil {
-			panic(fmt.Sprint("eventfd: ", err)) // cannot happen: the counter is at most one, and the eventfd is never closed
+			panic(fmt.Sprint("eventfd: ", err)) // impossible: the counter is at most 1 and the eventfd stays open
 		}
 		break
 	}
--- a/internal/dataplane/netio/read.go
+++ b/internal/dataplane/netio/read.go
@@ -79,8 +79,8 @@
 	return detach
 }
 
-// resume makes netpoll watch the socket again. It does nothing if the connection has no descriptor or
-// is being released.
+// resume makes netpoll watch the socket again. It does nothing if the connection has no descriptor or is
+// being released, or if the socket is still being detached.
 func (c *Conn) resume() {
 	c.socket.mu.Lock()
 	fd, ready := c.socket.fd, !c.socket.detaching
@@ -201,4 +201,5 @@
 	})
 }
 
+// errInputLimit is the reason for ending a connection whose input does not fit into its buffer.
 var errInputLimit = errors.New("unread input exceeds the limit of the connection")
