--- a/internal/dataplane/lineproto/front.go
+++ b/internal/dataplane/lineproto/front.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// firstLineTimeout bounds the time from connecting to a complete first line. The protocol requires
-	// that a connection without one ends within 3 s.
+	// firstLineTimeout bounds the time from connecting to a complete first line, in however many pieces
+	// it arrives. The protocol requires that a connection without one ends within 3 s.
 	firstLineTimeout = 2500 * time.Millisecond
 	// pingIdleTimeout bounds the idle time of a connection after a PING. The platform's front may keep
 	// such a connection.
