--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -136,9 +136,10 @@
 		}
 		now += want
 	}
+	const shortest = sec
 	now += maxBackoff + 1
-	if backoff.recordFailure("j", now); backoff.blocked("j", now+sec) {
-		t.Errorf("after %d s without a failure the backoff lasts longer than the shortest, %d s", maxBackoff/sec, sec/sec)
+	if backoff.recordFailure("j", now); backoff.blocked("j", now+shortest) {
+		t.Errorf("after %d s without a failure the backoff lasts longer than the shortest, %d s", maxBackoff/sec, shortest/sec)
 	}
 }
 
