--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -15,23 +15,23 @@
 
 // Endpoint is where the next process requests the handover.
 type Endpoint struct {
-	listener *net.UnixListener
-	loop     *netio.Loop
-	welcome  func(listen string) (*Handoff, error)
-	come     func(*Partner)
+	listener  *net.UnixListener
+	loop      *netio.Loop
+	onRequest func(listen string) (*Handoff, error)
+	onPartner func(*Partner)
 }
 
 // OfferHandover listens in dir for the next process's request to hand over. welcome is called on the loop when it comes, with the address that clients
 // use at that process; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the
 // partner. Close ends the offer.
-func OfferHandover(l *netio.Loop, dir string, welcome func(listen string) (*Handoff, error), come func(*Partner)) (*Endpoint, error) {
+func OfferHandover(l *netio.Loop, dir string, onRequest func(listen string) (*Handoff, error), onPartner func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
 		return nil, err
 	}
-	d := &Endpoint{ln, l, welcome, come}
-	go d.serve()
-	return d, nil
+	endpoint := &Endpoint{ln, l, onRequest, onPartner}
+	go endpoint.serve()
+	return endpoint, nil
 }
 
 // replaceSocket puts a listener into the place of the socket in dir. Another process may listen there still, and must not be cut off before
@@ -39,16 +39,16 @@
 func replaceSocket(dir string) (*net.UnixListener, error) {
 	path, release := socketPath(dir)
 	defer release()
-	fresh := path + ".new"
-	os.Remove(fresh)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	tempPath := path + ".new"
+	os.Remove(tempPath)
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	ln.SetUnlinkOnClose(false)
-	err = os.Chmod(fresh, 0o600)
+	err = os.Chmod(tempPath, 0o600)
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
 		ln.Close()
@@ -58,12 +58,12 @@
 }
 
 // Close ends the offer.
-func (d *Endpoint) Close() { d.listener.Close() }
+func (e *Endpoint) Close() { e.listener.Close() }
 
 // serve answers one caller after the other, until Close: there is never more than one that matters.
-func (d *Endpoint) serve() {
+func (e *Endpoint) serve() {
 	for {
-		c, err := d.listener.AcceptUnix()
+		c, err := e.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -71,18 +71,18 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		d.answer(c)
+		e.serveRequest(c)
 	}
 }
 
-// answer reads a caller's request and hands over, or says why not.
-func (d *Endpoint) answer(c *net.UnixConn) {
+// serveRequest reads a caller's request and hands over, or says why not.
+func (e *Endpoint) serveRequest(c *net.UnixConn) {
 	m, ok := readRequest(c)
 	if !ok {
 		c.Close()
 		return
 	}
-	h, err := d.welcomeOnLoop(m.listen)
+	h, err := e.handoffOnLoop(m.listen)
 	if err != nil {
 		send(c, rejection{reason: err.Error()})
 		c.Close()
@@ -94,7 +94,7 @@
 		slog.Warn("hot_restart_failed", "reason", err)
 		p.Close()
 	}
-	d.loop.Post(func() { d.come(p) })
+	e.loop.Post(func() { e.onPartner(p) })
 }
 
 // readRequest reads a caller's request; false: it is not a request to hand over.
@@ -104,22 +104,22 @@
 	if err != nil {
 		return m, false
 	}
-	closeAll(fds)
+	closeDescriptors(fds)
 	m, ok = decode(e, nil).(handoverRequest)
 	return m, ok
 }
 
-// welcomeOnLoop calls welcome on the loop and waits for its result.
-func (d *Endpoint) welcomeOnLoop(listen string) (*Handoff, error) {
-	type answer struct {
+// handoffOnLoop calls welcome on the loop and waits for its result.
+func (e *Endpoint) handoffOnLoop(listen string) (*Handoff, error) {
+	type result struct {
 		handoff *Handoff
 		err     error
 	}
-	got := make(chan answer, 1)
-	d.loop.Post(func() {
-		h, err := d.welcome(listen)
-		got <- answer{h, err}
+	results := make(chan result, 1)
+	e.loop.Post(func() {
+		h, err := e.onRequest(listen)
+		results <- result{h, err}
 	})
-	a := <-got
+	a := <-results
 	return a.handoff, a.err
 }
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -89,12 +89,12 @@
 // hostSuspended, either way, is a host's suspension or its end.
 type hostSuspended struct {
 	noDescriptors
-	hostID string
-	out    bool
+	hostID    string
+	suspended bool
 }
 
 func (m hostSuspended) envelope() envelope {
-	return envelope{Kind: kindSuspended, ID: m.hostID, Out: m.out}
+	return envelope{Kind: kindSuspended, ID: m.hostID, Out: m.suspended}
 }
 
 // listChanged, from old to new, is an endpoint list that has come since.
@@ -124,13 +124,13 @@
 
 func (m connection) descriptors() []int { return []int{m.Downstream.FD, m.Upstream.FD} }
 
-// unexpected is a message that this version does not know, or one that lacks what belongs to it.
-type unexpected struct {
+// unexpectedMessage is a message that this version does not know, or one that lacks what belongs to it.
+type unexpectedMessage struct {
 	noDescriptors
 	kind string
 }
 
-func (m unexpected) envelope() envelope { return envelope{Kind: m.kind} }
+func (m unexpectedMessage) envelope() envelope { return envelope{Kind: m.kind} }
 
 // decode gives the message of an envelope that came with some descriptors. Those that belong to the message are its receiver's; all others
 // are closed.
@@ -144,7 +144,7 @@
 		e.Connection.Downstream.FD, e.Connection.Upstream.FD = fds[0], fds[1]
 		return connection{e.Connection}
 	}
-	closeAll(fds)
+	closeDescriptors(fds)
 	switch e.Kind {
 	case kindRequest:
 		return handoverRequest{listen: e.Listen}
@@ -155,11 +155,11 @@
 	case kindTakenOver:
 		return takenOver{snapshot: e.Snapshot}
 	case kindSuspended:
-		return hostSuspended{hostID: e.ID, out: e.Out}
+		return hostSuspended{hostID: e.ID, suspended: e.Out}
 	case kindList:
 		return listChanged{snapshot: e.Snapshot}
 	case kindDownstreams:
 		return downstreamCount{count: e.Downstreams}
 	}
-	return unexpected{kind: e.Kind}
+	return unexpectedMessage{kind: e.Kind}
 }
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -32,14 +32,14 @@
 
 // Partner is the other process of this proxy, while there are two.
 type Partner struct {
-	conn  *net.UnixConn
-	queue chan outgoing
-	once  sync.Once
-	gone  chan struct{}
+	conn      *net.UnixConn
+	queue     chan queuedMessage
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// outgoing is a message on its way.
-type outgoing struct {
+// queuedMessage is a message on its way.
+type queuedMessage struct {
 	message
 	handover *handover // nil: it is not an open connection
 }
@@ -63,7 +63,7 @@
 }
 
 func newPartner(c *net.UnixConn) *Partner {
-	return &Partner{conn: c, queue: make(chan outgoing, maxQueuedMessages), gone: make(chan struct{})}
+	return &Partner{conn: c, queue: make(chan queuedMessage, maxQueuedMessages), closed: make(chan struct{})}
 }
 
 // Run begins to read what the partner sends and to write what is queued for it: one goroutine each, which end with Close or with the
@@ -82,7 +82,7 @@
 				p.Close()
 			}
 			continue
-		case <-p.gone:
+		case <-p.closed:
 		}
 		p.failQueued()
 		return
@@ -102,7 +102,7 @@
 }
 
 // write sends a message. An open connection is not this process's afterwards.
-func (p *Partner) write(m outgoing) error {
+func (p *Partner) write(m queuedMessage) error {
 	err := send(p.conn, m.message)
 	if m.handover != nil {
 		m.handover.finish(err != nil)
@@ -133,7 +133,7 @@
 		ev.TakenOver(m.snapshot)
 	case hostSuspended:
 		if m.hostID != "" {
-			ev.HostSuspended(m.hostID, m.out)
+			ev.HostSuspended(m.hostID, m.suspended)
 		}
 	case listChanged:
 		if m.snapshot != nil {
@@ -144,7 +144,7 @@
 	case connection:
 		ev.ConnectionReceived(m.HandedOverConnection)
 	default:
-		closeAll(m.descriptors())
+		closeDescriptors(m.descriptors())
 		slog.Warn("hot_restart_unexpected", "kind", m.envelope().Kind) // a later version's, for one
 	}
 }
@@ -152,7 +152,7 @@
 // send queues a message. It never waits: the connection to a partner that reads nothing is ended.
 func (p *Partner) send(m message) {
 	select {
-	case p.queue <- outgoing{message: m}:
+	case p.queue <- queuedMessage{message: m}:
 	default:
 		p.Close()
 	}
@@ -163,9 +163,9 @@
 func (p *Partner) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	h := &handover{s, migrationLine, done}
 	select {
-	case <-p.gone:
+	case <-p.closed:
 		h.finish(true)
-	case p.queue <- outgoing{connection{s}, h}:
+	case p.queue <- queuedMessage{connection{s}, h}:
 	default:
 		h.finish(true)
 	}
@@ -176,7 +176,7 @@
 
 // SendHostSuspended passes a host's suspension, or its end, on.
 func (p *Partner) SendHostSuspended(id string, suspended bool) {
-	p.send(hostSuspended{hostID: id, out: suspended})
+	p.send(hostSuspended{hostID: id, suspended: suspended})
 }
 
 // SendListChanged passes the endpoint list on: the two processes are one proxy, and what one knows the other must know.
@@ -187,8 +187,8 @@
 
 // Close ends the connection to the partner; Gone follows.
 func (p *Partner) Close() {
-	p.once.Do(func() {
-		close(p.gone)
+	p.closeOnce.Do(func() {
+		close(p.closed)
 		p.conn.Close()
 	})
 }
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -20,34 +20,34 @@
 	snapshot *proxy.Snapshot
 }
 
-func (s *recordedEvents) TakeOver() *proxy.Snapshot         { s.events <- "take over"; return s.snapshot }
-func (s *recordedEvents) TakenOver(k *proxy.Snapshot)       { s.events <- "taken over " + k.Discovery }
-func (s *recordedEvents) HostSuspended(id string, out bool) { s.events <- "suspended " + id }
-func (s *recordedEvents) ListChanged(k *proxy.Snapshot)     { s.events <- "list " + k.Discovery }
-func (s *recordedEvents) DownstreamCount(n int)             { s.events <- "downstreams" }
-func (s *recordedEvents) ConnectionReceived(k *proxy.HandedOverConnection) {
-	s.events <- "connection " + k.Host
-	k.Downstream.Discard([]byte("x"))
-	k.Upstream.Discard(nil)
+func (s *recordedEvents) TakeOver() *proxy.Snapshot               { s.events <- "take over"; return s.snapshot }
+func (s *recordedEvents) TakenOver(last *proxy.Snapshot)          { s.events <- "taken over " + last.Discovery }
+func (s *recordedEvents) HostSuspended(id string, suspended bool) { s.events <- "suspended " + id }
+func (s *recordedEvents) ListChanged(list *proxy.Snapshot)        { s.events <- "list " + list.Discovery }
+func (s *recordedEvents) DownstreamCount(n int)                   { s.events <- "downstreams" }
+func (s *recordedEvents) ConnectionReceived(connection *proxy.HandedOverConnection) {
+	s.events <- "connection " + connection.Host
+	connection.Downstream.Discard([]byte("x"))
+	connection.Upstream.Discard(nil)
 }
 func (s *recordedEvents) Gone() { s.events <- "gone" }
 
 // expect waits for the next event.
-func (s *recordedEvents) expect(t *testing.T, w string) {
+func (s *recordedEvents) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case got := <-s.events:
-		if got != w {
-			t.Fatalf("notified of %q, want %q", got, w)
+		if got != want {
+			t.Fatalf("notified of %q, want %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not notified of %q", w)
+		t.Fatalf("not notified of %q", want)
 	}
 }
 
-// queuedClientIsAccepted has a client wait in the queue of a listener that the old process then closes: it gets to the new one, which has the
+// checkQueuedClientIsAccepted has a client wait in the queue of a listener that the old process then closes: it gets to the new one, which has the
 // listener's descriptor.
-func queuedClientIsAccepted(t *testing.T, descriptor int, old net.Listener, oldFile *os.File) {
+func checkQueuedClientIsAccepted(t *testing.T, descriptor int, old net.Listener, oldFile *os.File) {
 	t.Helper()
 	c, err := net.Dial("tcp", old.Addr().String())
 	if err != nil {
@@ -80,21 +80,21 @@
 	if p, h, err := RequestHandover(dir, "x:1", 10); p != nil || h != nil || err != nil {
 		t.Fatalf("without a process that serves: %v %v %v", p, h, err)
 	}
-	first, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	file, _ := first.(*net.TCPListener).File()
-	old, fresh := &recordedEvents{events: make(chan string, 9), snapshot: sample()}, &recordedEvents{events: make(chan string, 9)}
-	partners := make(chan *Partner, 1)
-	busy := false
+	file, _ := listener.(*net.TCPListener).File()
+	oldEvents, newEvents := &recordedEvents{events: make(chan string, 9), snapshot: sampleSnapshot()}, &recordedEvents{events: make(chan string, 9)}
+	partnersOfOld := make(chan *Partner, 1)
+	hasPartner := false
 	endpoint, err := OfferHandover(l, dir, func(listen string) (*Handoff, error) {
-		if busy || listen != "x:1" {
+		if hasPartner || listen != "x:1" {
 			return nil, errors.New("not now")
 		}
-		busy = true
-		return &Handoff{Snapshot: sample(), ListenerFD: int(file.Fd()), DatagramFD: -1}, nil
-	}, func(p *Partner) { p.Run(l, old); partners <- p })
+		hasPartner = true
+		return &Handoff{Snapshot: sampleSnapshot(), ListenerFD: int(file.Fd()), DatagramFD: -1}, nil
+	}, func(p *Partner) { p.Run(l, oldEvents); partnersOfOld <- p })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,27 +103,27 @@
 		t.Errorf("for another address: %v", err)
 	}
 	toOld, h, err := RequestHandover(dir, "x:1", 10)
-	if err != nil || !reflect.DeepEqual(h.Snapshot, sample()) || h.DatagramFD >= 0 {
+	if err != nil || !reflect.DeepEqual(h.Snapshot, sampleSnapshot()) || h.DatagramFD >= 0 {
 		t.Fatalf("%v %+v", err, h)
 	}
 	if _, _, err := RequestHandover(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
 		t.Errorf("a third process: %v", err)
 	}
-	toOld.Run(l, fresh)
-	toFresh := <-partners
+	toOld.Run(l, newEvents)
+	toNew := <-partnersOfOld
 	toOld.SendTakeOver()
-	old.expect(t, "take over")
-	fresh.expect(t, "taken over 127.0.0.1:1")
-	toFresh.SendHostSuspended("a", true)
-	fresh.expect(t, "suspended a")
+	oldEvents.expect(t, "take over")
+	newEvents.expect(t, "taken over 127.0.0.1:1")
+	toNew.SendHostSuspended("a", true)
+	newEvents.expect(t, "suspended a")
 	toOld.SendHostSuspended("b", false)
-	old.expect(t, "suspended b")
-	toFresh.SendDownstreamCount(3)
-	fresh.expect(t, "downstreams")
-	toFresh.SendListChanged(sample())
-	fresh.expect(t, "list 127.0.0.1:1")
-	queuedClientIsAccepted(t, h.ListenerFD, first, file)
-	toFresh.Close()
-	fresh.expect(t, "gone")
-	old.expect(t, "gone")
+	oldEvents.expect(t, "suspended b")
+	toNew.SendDownstreamCount(3)
+	newEvents.expect(t, "downstreams")
+	toNew.SendListChanged(sampleSnapshot())
+	newEvents.expect(t, "list 127.0.0.1:1")
+	checkQueuedClientIsAccepted(t, h.ListenerFD, listener, file)
+	toNew.Close()
+	newEvents.expect(t, "gone")
+	oldEvents.expect(t, "gone")
 }
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// fullState has a value of its own in every field of what one process leaves to the next.
-func fullState() *proxy.Snapshot {
+// fullSnapshot has a value of its own in every field of what one process leaves to the next.
+func fullSnapshot() *proxy.Snapshot {
 	return &proxy.Snapshot{WrittenAt: 900, Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts: []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", State: balancer.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 4}}},
 		Balancer: balancer.Snapshot{Started: 1, RateAt: 2, Rate: 3.5, Fresh: 4.5, MeanCost: 5.5, ClassCost: []float64{6.5, 7.5},
@@ -30,13 +30,13 @@
 
 // TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
 func TestRecordedStateFile(t *testing.T) {
-	data, err := encodeState(fullState())
+	data, err := encodeState(fullSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "croftlock.state", data)
 	got, err := decodeState(golden.Read(t, "croftlock.state"), 1000)
-	if err != nil || !reflect.DeepEqual(got, fullState()) {
+	if err != nil || !reflect.DeepEqual(got, fullSnapshot()) {
 		t.Errorf("read %+v, %v", got, err)
 	}
 }
@@ -45,12 +45,12 @@
 func TestRecordedMessages(t *testing.T) {
 	messages := []message{
 		handoverRequest{listen: "127.0.0.1:3"},
-		welcome{Handoff{Snapshot: fullState(), ListenerFD: 8, DatagramFD: 9}},
+		welcome{Handoff{Snapshot: fullSnapshot(), ListenerFD: 8, DatagramFD: 9}},
 		rejection{reason: "why"},
 		takeOver{},
-		takenOver{snapshot: fullState()},
-		hostSuspended{hostID: "b", out: true},
-		listChanged{snapshot: fullState()},
+		takenOver{snapshot: fullSnapshot()},
+		hostSuspended{hostID: "b", suspended: true},
+		listChanged{snapshot: fullSnapshot()},
 		downstreamCount{count: 12},
 		connection{fullConnection()},
 	}
@@ -77,8 +77,8 @@
 
 // A message without what belongs to it, or of a later version, is known as such.
 func TestUnexpectedMessages(t *testing.T) {
-	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullState()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullConnection()}} {
-		if m, ok := decode(&e, nil).(unexpected); !ok || m.kind != e.Kind {
+	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullSnapshot()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullConnection()}} {
+		if m, ok := decode(&e, nil).(unexpectedMessage); !ok || m.kind != e.Kind {
 			t.Errorf("%+v is read as %+v", e, m)
 		}
 	}
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -31,16 +31,16 @@
 	DatagramFD int // under 0: none
 }
 
-func (h *Handoff) close() { closeAll(welcome{*h}.descriptors()) }
+func (h *Handoff) close() { closeDescriptors(welcome{*h}.descriptors()) }
 
 // RequestHandover requests a handover of the process that serves at listen, and has its private folder at dir. It gives nil without an
 // error where there is none. After an error there may be one that can hand over when the request is repeated. now is the loop's time.
 func RequestHandover(dir, listen string, now int64) (*Partner, *Handoff, error) {
-	conn, err := dial(dir)
+	conn, err := dialServing(dir)
 	if conn == nil {
 		return nil, nil, err
 	}
-	h, err := exchange(conn, listen, now)
+	h, err := requestHandoff(conn, listen, now)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -48,8 +48,8 @@
 	return newPartner(conn), h, nil
 }
 
-// dial connects to the process that serves; nil without an error: there is none.
-func dial(dir string) (*net.UnixConn, error) {
+// dialServing connects to the process that serves; nil without an error: there is none.
+func dialServing(dir string) (*net.UnixConn, error) {
 	path, release := socketPath(dir)
 	defer release()
 	c, err := net.DialTimeout("unix", path, answerTimeout)
@@ -62,8 +62,8 @@
 	return c.(*net.UnixConn), nil
 }
 
-// exchange requests the handover and reads the answer.
-func exchange(conn *net.UnixConn, listen string, now int64) (*Handoff, error) {
+// requestHandoff requests the handover and reads the answer.
+func requestHandoff(conn *net.UnixConn, listen string, now int64) (*Handoff, error) {
 	conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	if err := send(conn, handoverRequest{listen: listen}); err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		conn.SetReadDeadline(time.Time{})
 		return &m.Handoff, nil
 	case connection:
-		closeAll(m.descriptors())
+		closeDescriptors(m.descriptors())
 	}
 	return nil, fmt.Errorf("the process that serves answered %q with %d sockets", e.Kind, len(fds))
 }
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -24,10 +24,10 @@
 
 // What makes a state file unusable.
 var (
-	errStateHead     = errors.New("state file: unknown head")
-	errStateChecksum = errors.New("state file: length or checksum does not match")
-	errStateNotPlain = errors.New("state file: not a plain file")
-	errStateTooLarge = errors.New("state file: too large")
+	errStateHeader     = errors.New("state file: unknown head")
+	errStateChecksum   = errors.New("state file: length or checksum does not match")
+	errStateNotRegular = errors.New("state file: not a plain file")
+	errStateTooLarge   = errors.New("state file: too large")
 )
 
 // encodeState gives the file's bytes.
@@ -36,13 +36,13 @@
 	if err != nil {
 		return nil, err
 	}
-	head := fmt.Sprintf("%s %d %08x\n", stateMagic, len(body), crc32.ChecksumIEEE(body))
-	return append([]byte(head), body...), nil
+	header := fmt.Sprintf("%s %d %08x\n", stateMagic, len(body), crc32.ChecksumIEEE(body))
+	return append([]byte(header), body...), nil
 }
 
 // decodeState reads the file's bytes. Whatever is torn, foreign, of another version or beyond the bounds is an error.
 func decodeState(data []byte, now int64) (*proxy.Snapshot, error) {
-	body, err := stateBody(data)
+	body, err := parseState(data)
 	if err != nil {
 		return nil, err
 	}
@@ -54,13 +54,13 @@
 	return s, s.Check(now)
 }
 
-// stateBody checks the head and gives what it describes.
-func stateBody(data []byte) ([]byte, error) {
-	head, body, ok := bytes.Cut(data, []byte("\n"))
+// parseState checks the head and gives what it describes.
+func parseState(data []byte) ([]byte, error) {
+	header, body, ok := bytes.Cut(data, []byte("\n"))
 	var length int
 	var sum uint32
-	if n, err := fmt.Sscanf(string(head), stateMagic+" %d %x", &length, &sum); !ok || err != nil || n != 2 {
-		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHead, head, stateMagic)
+	if n, err := fmt.Sscanf(string(header), stateMagic+" %d %x", &length, &sum); !ok || err != nil || n != 2 {
+		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHeader, header, stateMagic)
 	}
 	if length >= 0 && length < len(body) && body[length] == 0 {
 		body = body[:length] // a spare file is larger than its content
@@ -74,19 +74,19 @@
 // ReadState gives the snapshot that a process before this one has stored in dir; nil without an error: there is none. A file that cannot be
 // used is an error that must not keep a proxy from starting. now is the loop's time.
 func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
-	s, err := readFile(filepath.Join(dir, stateFile), now)
-	spare, spareErr := readFile(filepath.Join(dir, spareFile), now)
+	s, err := readStateFile(filepath.Join(dir, stateFile), now)
+	spare, spareErr := readStateFile(filepath.Join(dir, spareFile), now)
 	if spareErr == nil && spare != nil && (s == nil || spare.WrittenAt > s.WrittenAt) {
 		return spare, nil // the later of the two
 	}
-	if system := new(fs.PathError); err == nil && errors.As(spareErr, &system) {
+	if pathErr := new(fs.PathError); err == nil && errors.As(spareErr, &pathErr) {
 		return s, spareErr // the disk may give it in a moment
 	}
 	return s, err // a spare that cannot be used counts as none
 }
 
-// readFile reads one file of the form; nil without an error: there is none, or one that was never written.
-func readFile(path string, now int64) (*proxy.Snapshot, error) {
+// readStateFile reads one file of the form; nil without an error: there is none, or one that was never written.
+func readStateFile(path string, now int64) (*proxy.Snapshot, error) {
 	info, err := os.Lstat(path)
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: %w: mode %v", path, errStateNotPlain, info.Mode())
+		return nil, fmt.Errorf("%s: %w: mode %v", path, errStateNotRegular, info.Mode())
 	}
 	if info.Size() > maxStateSize {
 		return nil, fmt.Errorf("%s: %w: %d bytes, at most %d", path, errStateTooLarge, info.Size(), maxStateSize)
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -16,8 +16,8 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// sample is a snapshot with something in each field.
-func sample() *proxy.Snapshot {
+// sampleSnapshot is a snapshot with something in each field.
+func sampleSnapshot() *proxy.Snapshot {
 	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
 		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
@@ -29,27 +29,27 @@
 	if k, err := ReadState(dir, now); k != nil || err != nil {
 		t.Fatalf("an empty folder gives %v, %v", k, err)
 	}
-	if _, err := writeState(dir, sample()); err != nil {
+	if _, err := writeState(dir, sampleSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if k, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(k, sample()) {
+	if k, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(k, sampleSnapshot()) {
 		t.Fatalf("got %+v, %v", k, err)
 	}
 	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
 	text := string(complete)
-	with := func(change func(k *proxy.Snapshot)) string {
-		k := sample()
-		change(k)
-		data, _ := encodeState(k)
+	encodeChanged := func(change func(k *proxy.Snapshot)) string {
+		snapshot := sampleSnapshot()
+		change(snapshot)
+		data, _ := encodeState(snapshot)
 		return string(data)
 	}
 	for name, data := range map[string]string{
 		"empty": "", "torn": text[:len(text)-1], "no head": text[strings.Index(text, "\n"):], "longer": text + "x",
 		"a bit": strings.Replace(text, `"Rev":7`, `"Rev":6`, 1), "another version": strings.Replace(text, "state 1", "state 2", 1),
 		"foreign": "[]\n{}", "huge": strings.Repeat("x", maxStateSize+1),
-		"an id too long": with(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
-		"no such state":  with(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
-		"too many":       with(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
+		"an id too long": encodeChanged(func(k *proxy.Snapshot) { k.KnownHosts[0] = strings.Repeat("x", 300) }),
+		"no such state":  encodeChanged(func(k *proxy.Snapshot) { k.Hosts[0].State = 9 }),
+		"too many":       encodeChanged(func(k *proxy.Snapshot) { k.Suspended = make([]maintenance.Suspension, 5000) }),
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
 		if k, err := ReadState(dir, now); err == nil || k != nil && k.Check(now) == nil {
@@ -60,7 +60,7 @@
 
 // FuzzState: no bytes make reading panic.
 func FuzzState(f *testing.F) {
-	data, _ := encodeState(sample())
+	data, _ := encodeState(sampleSnapshot())
 	f.Add(data)
 	f.Add([]byte(stateMagic + " 2 0\n{}"))
 	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
@@ -75,9 +75,9 @@
 	t.Cleanup(l.Stop)
 	s := NewStore(l, dir) // the folder is not there yet: every write fails
 	tried := make(chan bool, 2)
-	s.Save(sample(), func() { tried <- true })
+	s.Save(sampleSnapshot(), func() { tried <- true })
 	<-tried
-	newer := sample()
+	newer := sampleSnapshot()
 	newer.Revision = 8
 	s.Save(newer, func() { tried <- true })
 	<-tried
@@ -108,7 +108,7 @@
 	const hour = int64(time.Hour)
 	now := int64(1e18)
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
-		k := sample()
+		k := sampleSnapshot()
 		k.WrittenAt = now - step // the writer's time, in the moment that is now here
 		k.Suspended[0].Since = k.WrittenAt - 5e9
 		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.WrittenAt-1e9, k.WrittenAt+2e9
@@ -125,7 +125,7 @@
 			t.Errorf("%s: suspended for %v, ejected for %v more", name, time.Duration(since), time.Duration(until))
 		}
 	}
-	old := &proxy.Snapshot{Suspended: sample().Suspended} // of a version that did not say when
+	old := &proxy.Snapshot{Suspended: sampleSnapshot().Suspended} // of a version that did not say when
 	old.Suspended[0].Since = now + hour
 	if old.Rebase(now, false); old.Check(now) != nil || old.Suspended[0].Since != now {
 		t.Errorf("%+v", old)
@@ -135,7 +135,7 @@
 // A disk without capacity for another file takes the state in place; the later of the two counts, and a torn one as none.
 func TestSpareFile(t *testing.T) {
 	dir := t.TempDir()
-	first, second := sample(), sample()
+	first, second := sampleSnapshot(), sampleSnapshot()
 	first.WrittenAt, second.WrittenAt, second.Revision = 5, 6, 8
 	if _, err := writeState(dir, first); err != nil {
 		t.Fatal(err)
@@ -152,17 +152,17 @@
 		t.Fatal(err)
 	}
 	spare := filepath.Join(dir, spareFile)
-	if err := overwrite(spare, data); err != nil {
+	if err := overwriteFile(spare, data); err != nil {
 		t.Fatal(err)
 	}
 	expectRevision(8)
 	if info, err := os.Stat(spare); err != nil || info.Size() < minSpareSize {
 		t.Errorf("%v, %v: overwritten it has lost its size", info, err)
 	}
-	if err := overwrite(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
+	if err := overwriteFile(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
 		t.Fatal(err)
 	}
-	if err := overwrite(spare, []byte("croftlock-state 1 99 0")); err != nil {
+	if err := overwriteFile(spare, []byte("croftlock-state 1 99 0")); err != nil {
 		t.Fatal(err)
 	}
 	expectRevision(7)
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -35,7 +35,7 @@
 		reserveSpare(dir, 2*len(data))
 		return true, err
 	}
-	if spareErr := overwrite(filepath.Join(dir, spareFile), data); spareErr != nil {
+	if spareErr := overwriteFile(filepath.Join(dir, spareFile), data); spareErr != nil {
 		return false, errors.Join(err, spareErr)
 	}
 	return true, err
@@ -81,8 +81,8 @@
 	}
 }
 
-// overwrite writes data at the start of a file that is there already. What follows it means nothing.
-func overwrite(path string, data []byte) error {
+// overwriteFile writes data at the start of a file that is there already. What follows it means nothing.
+func overwriteFile(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		return err
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -23,16 +23,16 @@
 	dir  string
 	wake chan struct{}
 
-	mu   sync.Mutex
-	next *proxy.Snapshot // nil: nothing waits
-	done []func()
+	mu        sync.Mutex
+	pending   *proxy.Snapshot // nil: nothing waits
+	callbacks []func()
 }
 
 // NewStore stores in dir for the lifetime of the process. What a process that was killed in the middle of a write has left there is
 // removed.
 func NewStore(l *netio.Loop, dir string) *Store {
-	left, _ := filepath.Glob(filepath.Join(dir, "."+stateFile+".*"))
-	for _, path := range left {
+	unfinished, _ := filepath.Glob(filepath.Join(dir, "."+stateFile+".*"))
+	for _, path := range unfinished {
 		os.Remove(path)
 	}
 	s := &Store{loop: l, dir: dir, wake: make(chan struct{}, 1)}
@@ -42,11 +42,11 @@
 
 // Save writes a snapshot. done, which may be nil, is called on the loop once it is written, or the first attempt has failed: nobody waits
 // for a disk that is full. The write is retried until it succeeds, or until something newer is to be stored.
-func (s *Store) Save(k *proxy.Snapshot, done func()) {
+func (s *Store) Save(snapshot *proxy.Snapshot, done func()) {
 	s.mu.Lock()
-	s.next = k
+	s.pending = snapshot
 	if done != nil {
-		s.done = append(s.done, done)
+		s.callbacks = append(s.callbacks, done)
 	}
 	s.mu.Unlock()
 	select {
@@ -76,7 +76,7 @@
 
 // writeNext writes what waits, and reports whether nothing is left to write.
 func (s *Store) writeNext(isRetry bool) bool {
-	snapshot, done := s.take()
+	snapshot, callbacks := s.removePending()
 	var err error
 	if snapshot != nil {
 		var readable bool
@@ -85,30 +85,30 @@
 		}
 	}
 	if err != nil {
-		s.putBack(snapshot)
+		s.requeue(snapshot)
 	} else if isRetry {
 		slog.Info("state_saved", "dir", s.dir)
 	}
-	for _, f := range done {
+	for _, f := range callbacks {
 		s.loop.Post(f)
 	}
 	return err == nil
 }
 
-// take removes what waits.
-func (s *Store) take() (*proxy.Snapshot, []func()) {
+// removePending removes what waits.
+func (s *Store) removePending() (*proxy.Snapshot, []func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	snapshot, done := s.next, s.done
-	s.next, s.done = nil, nil
-	return snapshot, done
+	snapshot, callbacks := s.pending, s.callbacks
+	s.pending, s.callbacks = nil, nil
+	return snapshot, callbacks
 }
 
-// putBack has a snapshot that could not be written wait again, unless something newer does.
-func (s *Store) putBack(snapshot *proxy.Snapshot) {
+// requeue has a snapshot that could not be written wait again, unless something newer does.
+func (s *Store) requeue(snapshot *proxy.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next == nil {
-		s.next = snapshot
+	if s.pending == nil {
+		s.pending = snapshot
 	}
 }
--- a/internal/dataplane/hotrestart/store_test.go
+++ b/internal/dataplane/hotrestart/store_test.go
@@ -13,7 +13,7 @@
 	t.Cleanup(l.Stop)
 	for _, dir := range []string{t.TempDir(), "/nowhere/at/all"} {
 		done := make(chan bool)
-		NewStore(l, dir).Save(sample(), func() { close(done) })
+		NewStore(l, dir).Save(sampleSnapshot(), func() { close(done) })
 		<-done
 		k, err := ReadState(dir, 10)
 		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
--- a/internal/dataplane/hotrestart/transport.go
+++ b/internal/dataplane/hotrestart/transport.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errMessageTooLong = errors.New("message too long")
-	errEnded          = errors.New("ended")
+	errMessageTooLong  = errors.New("message too long")
+	errConnectionEnded = errors.New("ended")
 )
 
 // send writes a complete message, with its descriptors beside the first byte.
@@ -54,11 +54,11 @@
 func receive(c *net.UnixConn) (e *envelope, fds []int, err error) {
 	defer func() {
 		if err != nil {
-			closeAll(fds)
+			closeDescriptors(fds)
 			e, fds = nil, nil
 		}
 	}()
-	size, fds, err := receiveHead(c)
+	size, fds, err := receiveHeader(c)
 	if err != nil {
 		return nil, fds, err
 	}
@@ -73,32 +73,32 @@
 	return e, fds, json.Unmarshal(body, e)
 }
 
-// receiveHead reads the length of a message, and the descriptors that come with it, also where an error follows them.
-func receiveHead(c *net.UnixConn) (size uint32, fds []int, err error) {
-	var head [4]byte
+// receiveHeader reads the length of a message, and the descriptors that come with it, also where an error follows them.
+func receiveHeader(c *net.UnixConn) (size uint32, fds []int, err error) {
+	var header [4]byte
 	control := make([]byte, unix.CmsgSpace(maxDescriptors*4))
-	for got := 0; got < len(head); {
-		n, controlLen, _, _, err := c.ReadMsgUnix(head[got:], control)
+	for got := 0; got < len(header); {
+		n, controlLen, _, _, err := c.ReadMsgUnix(header[got:], control)
 		fds = append(fds, parseDescriptors(control[:controlLen])...)
 		if err == nil && n == 0 {
-			err = errEnded
+			err = errConnectionEnded
 		}
 		if err != nil {
 			return 0, fds, err
 		}
 		got += n
 	}
-	return binary.BigEndian.Uint32(head[:]), fds, nil
+	return binary.BigEndian.Uint32(header[:]), fds, nil
 }
 
 // parseDescriptors reads the descriptors in a control message; they are closed on exec.
 func parseDescriptors(control []byte) (fds []int) {
-	all, err := syscall.ParseSocketControlMessage(control)
+	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
 		return nil
 	}
-	for i := range all {
-		got, err := syscall.ParseUnixRights(&all[i])
+	for i := range messages {
+		got, err := syscall.ParseUnixRights(&messages[i])
 		if err != nil {
 			continue
 		}
@@ -110,7 +110,7 @@
 	return fds
 }
 
-func closeAll(fds []int) {
+func closeDescriptors(fds []int) {
 	for _, fd := range fds {
 		unix.Close(fd)
 	}
--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -22,14 +22,14 @@
 	written atomic.Int64
 }
 
-func (b *bench) floodingServer(size int) *floodingServer {
-	b.t.Helper()
-	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
+func (e *env) newFloodingServer(size int) *floodingServer {
+	e.t.Helper()
+	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", config)
 	if err != nil {
-		b.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	b.t.Cleanup(func() { l.Close() })
+	e.t.Cleanup(func() { l.Close() })
 	f := &floodingServer{Listener: l, sent: make([]byte, size)}
 	rand.New(rand.NewSource(1)).Read(f.sent)
 	go f.flood()
@@ -54,8 +54,8 @@
 	c.Close()
 }
 
-// settled is how much is written once that grows no more.
-func (f *floodingServer) settled() int64 {
+// waitUntilBlocked is how much is written once that grows no more.
+func (f *floodingServer) waitUntilBlocked() int64 {
 	for last := int64(-1); ; time.Sleep(150 * time.Millisecond) {
 		now := f.written.Load()
 		if now == last {
@@ -67,12 +67,12 @@
 
 // More lines than the client takes wait at the server, not in this side's memory, sealed or opened.
 func TestBackPressureBehindTLS(t *testing.T) {
-	b := newBench(t, nil)
-	server := b.floodingServer(8 << 20)
+	e := newEnv(t, nil)
+	server := e.newFloodingServer(8 << 20)
 	var got []byte
 	reading := false
 	most := 0
-	c := b.dialWith(server.Addr().String(), 5*time.Second, func(n *netio.Conn) {
+	c := e.dialWith(server.Addr().String(), 5*time.Second, func(n *netio.Conn) {
 		most = max(most, len(n.Input())+n.Layer().Buffered())
 		if reading {
 			k := min(3000, len(n.Input()))
@@ -83,21 +83,21 @@
 	if c.err != nil {
 		t.Fatal(c.err)
 	}
-	if n := server.settled(); n > 1<<20 {
+	if n := server.waitUntilBlocked(); n > 1<<20 {
 		t.Errorf("%d bytes were accepted from a server whose lines nobody reads", n)
 	}
 	var step func()
 	step = func() {
 		if !c.c.Ended() {
 			c.handle(c.c)
-			b.loop.Post(step)
+			e.loop.Post(step)
 		}
 	}
-	b.loop.Post(func() { reading = true; step() })
+	e.loop.Post(func() { reading = true; step() })
 	if err := c.ended(); err.Cause != netio.Ended {
 		t.Errorf("ended by %v", err)
 	}
-	b.on(func() {
+	e.onLoop(func() {
 		sent := server.sent
 		if !bytes.Equal(got, sent[:len(got)]) || len(sent)-len(got) > 8192 {
 			t.Errorf("%d of %d bytes came, equal as far: %t", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
@@ -110,8 +110,8 @@
 
 // Lines to a server that reads nothing wait in a bounded buffer, and come complete and in order once it reads.
 func TestSlowServer(t *testing.T) {
-	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
+	e := newEnv(t, nil)
+	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
 	l, _ := tls.Listen("tcp", "127.0.0.1:0", config)
 	defer l.Close()
 	read := make(chan struct{})
@@ -126,10 +126,10 @@
 		text, _ := io.ReadAll(c)
 		all <- string(text)
 	}()
-	c := b.dial(l.Addr().String(), 5*time.Second)
+	c := e.dial(l.Addr().String(), 5*time.Second)
 	var want strings.Builder
 	blocked := false
-	b.on(func() {
+	e.onLoop(func() {
 		for i := 0; !blocked && i < 100000; i++ {
 			line := fmt.Sprintf("%05d %s\r\n", i, strings.Repeat("x", 1000))
 			if blocked = !c.c.Write([]byte(line)); !blocked {
@@ -141,7 +141,7 @@
 		t.Errorf("%d bytes went to a server that reads nothing", want.Len())
 	}
 	close(read)
-	b.on(func() { c.c.Close() })
+	e.onLoop(func() { c.c.Close() })
 	if got := <-all; got != want.String() {
 		t.Errorf("%d of %d bytes came", len(got), want.Len())
 	}
--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -16,10 +16,10 @@
 
 // sessionCache caches the last session of each host, and drops the one used longest ago. Workers and the loop use it.
 type sessionCache struct {
-	mu          sync.Mutex
-	maxSessions int
-	items       map[sessionKey]*list.Element
-	order       list.List // of *cachedSession, the last used first
+	mu           sync.Mutex
+	maxSessions  int
+	elements     map[sessionKey]*list.Element
+	recentlyUsed list.List // of *cachedSession, the last used first
 }
 
 type cachedSession struct {
@@ -28,52 +28,52 @@
 	validUntil time.Time // of the chain that was verified when it was made
 }
 
-func newSessionCache(most int) *sessionCache {
-	return &sessionCache{maxSessions: most, items: map[sessionKey]*list.Element{}}
+func newSessionCache(maxSessions int) *sessionCache {
+	return &sessionCache{maxSessions: maxSessions, elements: map[sessionKey]*list.Element{}}
 }
 
 func (c *sessionCache) get(key sessionKey, now time.Time) *tls.ClientSessionState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.items[key]
+	e := c.elements[key]
 	if e == nil {
 		return nil
 	}
-	k := e.Value.(*cachedSession)
-	if now.After(k.validUntil) {
+	cached := e.Value.(*cachedSession)
+	if now.After(cached.validUntil) {
 		// Its certificate has ended; the host may have a new one by now, which a resumed handshake would not show.
 		c.remove(e)
 		return nil
 	}
-	c.order.MoveToFront(e)
-	return k.state
+	c.recentlyUsed.MoveToFront(e)
+	return cached.state
 }
 
-func (c *sessionCache) put(key sessionKey, state *tls.ClientSessionState, until time.Time) {
+func (c *sessionCache) put(key sessionKey, state *tls.ClientSessionState, validUntil time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.items[key]; e != nil {
+	if e := c.elements[key]; e != nil {
 		c.remove(e)
 	}
 	if state == nil {
 		return
 	}
-	c.items[key] = c.order.PushFront(&cachedSession{key, state, until})
-	if c.order.Len() > c.maxSessions {
-		c.remove(c.order.Back())
+	c.elements[key] = c.recentlyUsed.PushFront(&cachedSession{key, state, validUntil})
+	if c.recentlyUsed.Len() > c.maxSessions {
+		c.remove(c.recentlyUsed.Back())
 	}
 }
 
 func (c *sessionCache) remove(e *list.Element) {
-	c.order.Remove(e)
-	delete(c.items, e.Value.(*cachedSession).key)
+	c.recentlyUsed.Remove(e)
+	delete(c.elements, e.Value.(*cachedSession).key)
 }
 
-// keepOnly drops the sessions of other epochs.
-func (c *sessionCache) keepOnly(epoch uint64) {
+// removeOtherEpochs drops the sessions of other epochs.
+func (c *sessionCache) removeOtherEpochs(epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k, e := range c.items {
+	for k, e := range c.elements {
 		if k.epoch != epoch {
 			c.remove(e)
 		}
@@ -83,5 +83,5 @@
 func (c *sessionCache) len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.order.Len()
+	return c.recentlyUsed.Len()
 }
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -10,37 +10,37 @@
 
 // pendingDial is one connection being opened.
 type pendingDial struct {
-	link       *Dialer
+	dialer     *Dialer
 	requestID  uint64
 	host       Host
 	inputLimit int
 	deadline   int64
 	handler    netio.Handler
 	done       func(*netio.Conn, *netio.Error)
-	expiry     *netio.Timer
+	timer      *netio.Timer
 	job        *handshakeJob // once it is in flight; nil: it is queued
 	ended      bool
 }
 
 // Dial opens a connection to t within the time given, the wait for the handshake's turn included, and calls done on the
 // loop, once, unless drop comes first. h handles the connection; limit bounds its input.
-func (k *Dialer) Dial(t Host, within time.Duration, limit int, h netio.Handler, done func(*netio.Conn, *netio.Error)) (drop func()) {
-	k.lastID++
-	d := &pendingDial{link: k, requestID: k.lastID, host: t, inputLimit: limit, deadline: k.loop.Now() + int64(within), handler: h, done: done}
-	p, f := k.peer(t)
+func (d *Dialer) Dial(host Host, timeout time.Duration, inputLimit int, handler netio.Handler, done func(*netio.Conn, *netio.Error)) (cancel func()) {
+	d.lastID++
+	dial := &pendingDial{dialer: d, requestID: d.lastID, host: host, inputLimit: inputLimit, deadline: d.loop.Now() + int64(timeout), handler: handler, done: done}
+	p, f := d.peerFor(host)
 	if f == nil {
-		if r := k.budget.Enqueue(k.loop.Now(), d.requestID, t.ID, p.resumable(), d.deadline); r != handshake.NotRejected {
+		if r := d.budget.Enqueue(d.loop.Now(), dial.requestID, host.ID, p.resumable(), dial.deadline); r != handshake.NotRejected {
 			f = budgetFailure(r)
 		}
 	}
 	if f != nil {
-		k.loop.Post(func() { d.fail(f) })
-		return d.drop
+		d.loop.Post(func() { dial.fail(f) })
+		return dial.cancel
 	}
-	k.dials[d.requestID] = d
-	d.expiry = k.loop.After(within, d.timedOut)
-	k.beginAllowed()
-	return d.drop
+	d.dials[dial.requestID] = dial
+	dial.timer = d.loop.After(timeout, dial.timedOut)
+	d.startAllowed()
+	return dial.cancel
 }
 
 // budgetFailure is the failure of a dial that the handshake budget rejects.
@@ -51,7 +51,7 @@
 // timedOut ends a dial that has taken too long.
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
-		d.link.budget.Drop(d.requestID)
+		d.dialer.budget.Drop(d.requestID)
 		d.fail(budgetFailure(handshake.DeadlineTooSoon))
 		return
 	}
@@ -59,33 +59,33 @@
 	d.fail(&Failure{Reason: TimedOut, Step: "finish"})
 }
 
-// drop ends the dial; done is not called any more.
-func (d *pendingDial) drop() {
-	if !d.end() {
+// cancel ends the dial; done is not called any more.
+func (d *pendingDial) cancel() {
+	if !d.markEnded() {
 		return
 	}
 	if d.job == nil {
-		d.link.budget.Drop(d.requestID)
+		d.dialer.budget.Drop(d.requestID)
 		return
 	}
 	d.job.abort()
 }
 
-// end ends a dial; false: it had ended already.
-func (d *pendingDial) end() bool {
+// markEnded ends a dial; false: it had ended already.
+func (d *pendingDial) markEnded() bool {
 	was := d.ended
 	d.ended = true
-	d.expiry.Stop()
-	delete(d.link.dials, d.requestID)
+	d.timer.Stop()
+	delete(d.dialer.dials, d.requestID)
 	return !was
 }
 
 // fail ends a dial with a failure.
 func (d *pendingDial) fail(f *Failure) {
-	if !d.end() {
+	if !d.markEnded() {
 		return
 	}
-	d.link.logFailure(d.host.ID, f)
+	d.dialer.logFailure(d.host.ID, f)
 	cause := netio.Refused
 	if f.Reason == TimedOut || f.Reason == NoBudget {
 		cause = netio.TimedOut
--- a/internal/dataplane/upstreamtls/link.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -46,77 +46,77 @@
 const maxPeers = 4096
 
 // New makes a link with its workers, by the options that m was loaded from.
-func New(l *netio.Loop, m *Material, wall func() time.Time) *Dialer {
-	k := &Dialer{loop: l, wallClock: wall, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
+func New(l *netio.Loop, m *Material, wallClock func() time.Time) *Dialer {
+	dialer := &Dialer{loop: l, wallClock: wallClock, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
 		cache: newSessionCache(m.options.MaxSessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
 		jobs: make(chan *handshakeJob, m.options.Handshakes.MaxInFlight), reloads: make(chan reload, 1),
 		computeToken: make(chan struct{}, 1)}
-	k.counts.failed = map[Reason]int{}
+	dialer.counts.failed = map[Reason]int{}
 	for range m.options.Handshakes.MaxInFlight {
-		go k.runWorker()
+		go dialer.runWorker()
 	}
-	return k
+	return dialer
 }
 
-// peer is how to connect to a host now, or why that is not possible.
-func (k *Dialer) peer(t Host) (*tlsPeer, *Failure) {
-	m := k.material
-	if f := m.OwnFault(k.wallClock()); f != nil {
+// peerFor is how to connect to a host now, or why that is not possible.
+func (d *Dialer) peerFor(host Host) (*tlsPeer, *Failure) {
+	m := d.material
+	if f := m.OwnFault(d.wallClock()); f != nil {
 		return nil, f
 	}
-	address, _, err := net.SplitHostPort(t.Address)
+	address, _, err := net.SplitHostPort(host.Address)
 	if err != nil {
 		return nil, &Failure{Reason: Unreachable, Step: "queue", Err: err}
 	}
-	name, ok := m.options.ExpectedName(t.ID, t.Zone, address)
+	name, ok := m.options.ExpectedName(host.ID, host.Zone, address)
 	if !ok {
-		return nil, &Failure{Reason: NoExpectedName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", t.ID, t.Zone)}
+		return nil, &Failure{Reason: NoExpectedName, Step: "queue", Err: fmt.Errorf("no name to expect of %s in zone %q", host.ID, host.Zone)}
 	}
-	p := k.peers[t.ID]
+	p := d.peers[host.ID]
 	if p == nil || p.material != m || p.key.name != name {
-		if len(k.peers) >= maxPeers {
-			clear(k.peers)
+		if len(d.peers) >= maxPeers {
+			clear(d.peers)
 		}
-		p = newTLSPeer(m, t.ID, name, k.cache, k.wallClock)
-		k.peers[t.ID] = p
+		p = newTLSPeer(m, host.ID, name, d.cache, d.wallClock)
+		d.peers[host.ID] = p
 	}
 	return p, nil
 }
 
-// beginAllowed begins the handshakes that the budget allows.
-func (k *Dialer) beginAllowed() {
-	begin, late, again := k.budget.Next(k.loop.Now())
-	for _, id := range late {
-		if d := k.dials[id]; d != nil {
-			k.loop.Post(func() { d.fail(budgetFailure(handshake.DeadlineTooSoon)) })
+// startAllowed begins the handshakes that the budget allows.
+func (d *Dialer) startAllowed() {
+	ready, expired, retryAfter := d.budget.Next(d.loop.Now())
+	for _, id := range expired {
+		if dial := d.dials[id]; dial != nil {
+			d.loop.Post(func() { dial.fail(budgetFailure(handshake.DeadlineTooSoon)) })
 		}
 	}
-	for _, id := range begin {
-		k.startHandshake(k.dials[id])
+	for _, id := range ready {
+		d.startHandshake(d.dials[id])
 	}
-	k.budgetTimer.Stop()
-	k.budgetTimer = nil
-	if again > 0 {
-		k.budgetTimer = k.loop.After(again, k.beginAllowed)
+	d.budgetTimer.Stop()
+	d.budgetTimer = nil
+	if retryAfter > 0 {
+		d.budgetTimer = d.loop.After(retryAfter, d.startAllowed)
 	}
 }
 
 // startHandshake gives a dial to a worker. There are as many workers as handshakes may be in flight, so the channel takes it at once.
-func (k *Dialer) startHandshake(d *pendingDial) {
+func (d *Dialer) startHandshake(dial *pendingDial) {
 	// The files, or the name that the host must have, may have changed while it was queued.
-	p, f := k.peer(d.host)
+	p, f := d.peerFor(dial.host)
 	if f != nil {
-		k.loop.Post(func() { d.fail(f) })
-		k.budget.Done(k.loop.Now(), d.requestID, false, 0, false)
+		d.loop.Post(func() { dial.fail(f) })
+		d.budget.Done(d.loop.Now(), dial.requestID, false, 0, false)
 		return
 	}
-	d.job = &handshakeJob{requestID: d.requestID, peer: p, endpoint: d.host.Address, until: time.Now().Add(time.Duration(d.deadline - k.loop.Now()))}
-	k.jobs <- d.job
+	dial.job = &handshakeJob{requestID: dial.requestID, peer: p, address: dial.host.Address, deadline: time.Now().Add(time.Duration(dial.deadline - d.loop.Now()))}
+	d.jobs <- dial.job
 }
 
 // logFailure logs a failure. One of the proxy's own files is an event of its own, since it concerns every host.
-func (k *Dialer) logFailure(host string, f *Failure) {
-	k.counts.failed[f.Reason]++
+func (d *Dialer) logFailure(host string, f *Failure) {
+	d.counts.failed[f.Reason]++
 	text := ""
 	if f.Err != nil {
 		text = f.Err.Error()
@@ -129,27 +129,27 @@
 }
 
 // logBrokenSession logs why an established connection broke. late: the host had rejected the handshake.
-func (k *Dialer) logBrokenSession(host string, f *Failure, late bool) {
+func (d *Dialer) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
-		k.logFailure(host, f)
+		d.logFailure(host, f)
 		return
 	}
 	slog.Warn("tls_broken", "host", host, "reason", string(f.Reason), "detail", f.Err.Error())
 }
 
 // Run starts the watch of the files, and the counts in the log.
-func (k *Dialer) Run() {
-	go k.watch(k.material)
-	k.loop.After(countEvery, k.logCounts)
+func (d *Dialer) Run() {
+	go d.watch(d.material)
+	d.loop.After(countLogInterval, d.logCounts)
 }
 
-// countEvery is how often the log sums up.
-const countEvery = 10 * time.Second
+// countLogInterval is how often the log sums up.
+const countLogInterval = 10 * time.Second
 
 // logCounts logs what was done since the last time.
-func (k *Dialer) logCounts() {
-	k.loop.After(countEvery, k.logCounts)
-	c := k.counts
+func (d *Dialer) logCounts() {
+	d.loop.After(countLogInterval, d.logCounts)
+	c := d.counts
 	if c.full+c.resumed+len(c.failed) == 0 {
 		return
 	}
@@ -158,14 +158,14 @@
 		failed = append(failed, fmt.Sprintf("%s:%d", r, n))
 	}
 	sort.Strings(failed)
-	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.cpu.Milliseconds(), "queued", k.budget.Waiting(),
-		"in_flight", k.budget.InFlight(), "sessions", k.cache.len(), "epoch", k.material.Epoch, "failed", strings.Join(failed, ","))
-	k.counts = counts{failed: map[Reason]int{}}
+	slog.Info("tls_counts", "full", c.full, "resumed", c.resumed, "cpu_ms", c.cpu.Milliseconds(), "queued", d.budget.Waiting(),
+		"in_flight", d.budget.InFlight(), "sessions", d.cache.len(), "epoch", d.material.Epoch, "failed", strings.Join(failed, ","))
+	d.counts = counts{failed: map[Reason]int{}}
 }
 
 // SetMaterial has new connections follow new material; open ones go on.
-func (k *Dialer) SetMaterial(m *Material) {
-	k.material = m
-	clear(k.peers)
-	k.cache.keepOnly(m.Epoch)
+func (d *Dialer) SetMaterial(m *Material) {
+	d.material = m
+	clear(d.peers)
+	d.cache.removeOtherEpochs(m.Epoch)
 }
--- a/internal/dataplane/upstreamtls/link_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -12,16 +12,16 @@
 	"croftlock/internal/testbed/fake"
 )
 
-const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,d=2000\r\n"
+const openLine = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,d=2000\r\n"
 
 func TestLinesAndReuse(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.server(nil)
+	e := newEnv(t, nil)
+	s := e.newServer(nil)
 	for i := range 3 {
-		c := b.open(s.Addr())
+		c := e.openRequest(s.Addr())
 		c.write("M 1\r\n")
 		c.read("GOT M 1\r\n")
-		b.on(func() {
+		e.onLoop(func() {
 			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
 				t.Errorf("connection %d: resumed %t, buffers %d, ends %v", i, l.resumed, l.Buffered(), l.Expires())
 			}
@@ -35,8 +35,8 @@
 
 // The layer's own end can only come from the peer; the end of the socket alone can come from anybody.
 func TestEnds(t *testing.T) {
-	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
+	e := newEnv(t, nil)
+	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer l.Close()
 	endings := make(chan func(raw net.Conn, s *tls.Conn), 1)
@@ -47,7 +47,7 @@
 				return
 			}
 			s := tls.Server(raw, config)
-			io.ReadFull(s, make([]byte, len(open)))
+			io.ReadFull(s, make([]byte, len(openLine)))
 			(<-endings)(raw, s)
 		}
 	}()
@@ -64,11 +64,11 @@
 		}, netio.Broken, ""},
 	} {
 		endings <- w.how
-		c := b.dial(l.Addr().String(), 5*time.Second)
+		c := e.dial(l.Addr().String(), 5*time.Second)
 		if c.err != nil {
 			t.Fatal(c.err)
 		}
-		c.write(open)
+		c.write(openLine)
 		c.read(w.last)
 		if err := c.ended(); err.Cause != w.want || err.Stage != netio.Up {
 			t.Errorf("got %v, want %v", err, w.want)
@@ -78,30 +78,30 @@
 
 // A drop while the handshake is in flight leaves nothing behind, and done is not called.
 func TestDrop(t *testing.T) {
-	b := newBench(t, nil)
-	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, b.pki)
+	e := newEnv(t, nil)
+	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, e.pki)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer bad.Close()
 	var drops []func()
-	b.on(func() {
+	e.onLoop(func() {
 		for range 30 {
-			drops = append(drops, b.link.Dial(Host{"s1", "a", bad.Addr()}, time.Hour, 4096, &conn{},
+			drops = append(drops, e.dialer.Dial(Host{"s1", "a", bad.Addr()}, time.Hour, 4096, &conn{},
 				func(*netio.Conn, *netio.Error) { t.Error("done was called") }))
 		}
 	})
-	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(b.opt.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(e.opt.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	b.on(func() {
+	e.onLoop(func() {
 		for _, d := range drops {
 			d()
 		}
 	})
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := 0
-		b.on(func() { left = b.link.budget.InFlight() + b.link.budget.Waiting() + len(b.link.dials) })
+		e.onLoop(func() { left = e.dialer.budget.InFlight() + e.dialer.budget.Waiting() + len(e.dialer.dials) })
 		if left == 0 {
 			break
 		}
@@ -113,16 +113,16 @@
 
 // What the budget has no capacity for fails at once, not when its time is up.
 func TestNoBudget(t *testing.T) {
-	b := newBench(t, func(b *bench) {
-		b.opt.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
+	e := newEnv(t, func(e *env) {
+		e.opt.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
 	})
-	s := b.server(nil)
-	if c := b.dial(s.Addr(), 5*time.Second); c.err != nil {
+	s := e.newServer(nil)
+	if c := e.dial(s.Addr(), 5*time.Second); c.err != nil {
 		t.Fatal(c.err)
 	}
-	b.on(func() { b.link.cache.keepOnly(0) })
+	e.onLoop(func() { e.dialer.cache.removeOtherEpochs(0) })
 	began := time.Now()
-	if c := b.dial(s.Addr(), 500*time.Millisecond); c.reason() != NoBudget || time.Since(began) > 400*time.Millisecond {
+	if c := e.dial(s.Addr(), 500*time.Millisecond); c.reason() != NoBudget || time.Since(began) > 400*time.Millisecond {
 		t.Errorf("%v after %v", c.err, time.Since(began))
 	}
 }
--- a/internal/dataplane/upstreamtls/bench_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -15,68 +15,68 @@
 	"croftlock/internal/testbed/fake"
 )
 
-const name = "s1.test"
-
-// bench is a link on a running loop, with the files of a public key infrastructure in a folder.
-type bench struct {
-	t    *testing.T
-	dir  string
-	pki  *fake.PKI
-	opt  Options
-	loop *netio.Loop
-	link *Dialer
-	skew atomic.Int64 // what the wall clock is ahead by
+const hostName = "s1.test"
+
+// env is a link on a running loop, with the files of a public key infrastructure in a folder.
+type env struct {
+	t         *testing.T
+	dir       string
+	pki       *fake.PKI
+	opt       Options
+	loop      *netio.Loop
+	dialer    *Dialer
+	clockSkew atomic.Int64 // what the wall clock is ahead by
 }
 
-// newBench starts a link; change alters its options before that.
-func newBench(t *testing.T, change func(b *bench)) *bench {
+// newEnv starts a link; change alters its options before that.
+func newEnv(t *testing.T, change func(e *env)) *env {
 	t.Helper()
-	pki, err := fake.NewPKI(name)
+	pki, err := fake.NewPKI(hostName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, dir: t.TempDir(), pki: pki, opt: Defaults(), loop: netio.NewLoop()}
-	b.opt.Enabled, b.opt.Pattern = true, "{uid}.test"
-	trust, err := fake.SaveTrust(b.dir, pki.Trusted)
+	e := &env{t: t, dir: t.TempDir(), pki: pki, opt: Defaults(), loop: netio.NewLoop()}
+	e.opt.Enabled, e.opt.Pattern = true, "{uid}.test"
+	trust, err := fake.SaveTrust(e.dir, pki.Trusted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.opt.Trust = []string{trust}
+	e.opt.Trust = []string{trust}
 	if change != nil {
-		change(b)
+		change(e)
 	}
-	if err := netio.Attach(b.loop); err != nil {
+	if err := netio.Attach(e.loop); err != nil {
 		t.Fatal(err)
 	}
-	m, err := Load(b.opt, 1)
+	m, err := Load(e.opt, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.link = New(b.loop, m, func() time.Time { return time.Now().Add(time.Duration(b.skew.Load())) })
-	netiotest.Start(t, b.loop)
-	return b
+	e.dialer = New(e.loop, m, func() time.Time { return time.Now().Add(time.Duration(e.clockSkew.Load())) })
+	netiotest.Start(t, e.loop)
+	return e
 }
 
 // file writes a file into the folder.
-func (b *bench) file(file string, data []byte) string {
-	b.t.Helper()
-	path := filepath.Join(b.dir, file)
+func (e *env) file(file string, data []byte) string {
+	e.t.Helper()
+	path := filepath.Join(e.dir, file)
 	if err := certs.ReplaceFile(path, data, 0o600); err != nil {
-		b.t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	return path
 }
 
-// on runs f on the loop and waits for it.
-func (b *bench) on(f func()) {
+// onLoop runs f onLoop the loop and waits for it.
+func (e *env) onLoop(f func()) {
 	done := make(chan struct{})
-	b.loop.Post(func() { f(); close(done) })
+	e.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
 // conn is a connection as a test sees it.
 type conn struct {
-	b      *bench
+	env    *env
 	c      *netio.Conn
 	err    *netio.Error
 	data   chan []byte
@@ -102,26 +102,26 @@
 func (c *conn) Closed(_ *netio.Conn, err *netio.Error) { c.closed <- err }
 
 // dial opens a connection and waits for what becomes of it.
-func (b *bench) dial(addr string, within time.Duration) *conn { return b.dialWith(addr, within, nil) }
+func (e *env) dial(addr string, within time.Duration) *conn { return e.dialWith(addr, within, nil) }
 
-// open opens a connection on which the server has accepted a request.
-func (b *bench) open(addr string) *conn {
-	b.t.Helper()
-	c := b.dial(addr, 5*time.Second)
+// openRequest opens a connection on which the server has accepted a request.
+func (e *env) openRequest(addr string) *conn {
+	e.t.Helper()
+	c := e.dial(addr, 5*time.Second)
 	if c.err != nil {
-		b.t.Fatal(c.err)
+		e.t.Fatal(c.err)
 	}
-	c.write(open)
-	c.read(up)
+	c.write(openLine)
+	c.read(upLine)
 	return c
 }
 
 // dialWith is dial for a connection whose input handle reads.
-func (b *bench) dialWith(addr string, within time.Duration, handle func(*netio.Conn)) *conn {
-	c := &conn{b: b, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), handle: handle}
+func (e *env) dialWith(addr string, within time.Duration, handle func(*netio.Conn)) *conn {
+	c := &conn{env: e, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), handle: handle}
 	done := make(chan struct{})
-	b.loop.Post(func() {
-		b.link.Dial(Host{"s1", "a", addr}, within, 4096, c, func(n *netio.Conn, err *netio.Error) {
+	e.loop.Post(func() {
+		e.dialer.Dial(Host{"s1", "a", addr}, within, 4096, c, func(n *netio.Conn, err *netio.Error) {
 			c.c, c.err = n, err
 			close(done)
 		})
@@ -132,12 +132,12 @@
 
 // write sends text.
 func (c *conn) write(text string) {
-	c.b.on(func() { c.c.Write([]byte(text)) })
+	c.env.onLoop(func() { c.c.Write([]byte(text)) })
 }
 
 // read waits for exactly that text.
 func (c *conn) read(want string) {
-	c.b.t.Helper()
+	c.env.t.Helper()
 	got := ""
 	for len(got) < len(want) {
 		select {
@@ -150,25 +150,25 @@
 				got += string(d)
 				c.closed <- err
 			default:
-				c.b.t.Fatalf("closed after %q: %v", got, err)
+				c.env.t.Fatalf("closed after %q: %v", got, err)
 			}
 		case <-time.After(10 * time.Second):
-			c.b.t.Fatalf("got %q, want %q", got, want)
+			c.env.t.Fatalf("got %q, want %q", got, want)
 		}
 	}
 	if got != want {
-		c.b.t.Fatalf("got %q, want %q", got, want)
+		c.env.t.Fatalf("got %q, want %q", got, want)
 	}
 }
 
 // ended waits for the end of the connection.
 func (c *conn) ended() *netio.Error {
-	c.b.t.Helper()
+	c.env.t.Helper()
 	select {
 	case err := <-c.closed:
 		return err
 	case <-time.After(20 * time.Second):
-		c.b.t.Fatal("the connection does not end")
+		c.env.t.Fatal("the connection does not end")
 		return nil
 	}
 }
@@ -182,21 +182,21 @@
 	return f.Reason
 }
 
-// server is a catalogue server with a certificate for its name.
-func (b *bench) server(config *tls.Config) *fake.Server {
-	b.t.Helper()
+// newServer is a catalogue newServer with a certificate for its name.
+func (e *env) newServer(config *tls.Config) *fake.Server {
+	e.t.Helper()
 	if config == nil {
 		var err error
-		if config, err = b.pki.Trusted.NewServerTLSConfig(name); err != nil {
-			b.t.Fatal(err)
+		if config, err = e.pki.Trusted.NewServerTLSConfig(hostName); err != nil {
+			e.t.Fatal(err)
 		}
 	}
 	s, err := fake.NewServer("s1", "a", config)
 	if err != nil {
-		b.t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	b.t.Cleanup(s.Close)
+	e.t.Cleanup(s.Close)
 	return s
 }
 
-const up = "UP s1-9b1f03aa5c7e2d41\r\n"
+const upLine = "UP s1-9b1f03aa5c7e2d41\r\n"
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -63,7 +63,7 @@
 // Unwrap gives the error behind it.
 func (f *Failure) Unwrap() error { return f.Err }
 
-func newFailure(r Reason, format string, args ...any) *Failure {
+func newCertificateFailure(r Reason, format string, args ...any) *Failure {
 	return &Failure{Reason: r, Step: "certificate", Err: fmt.Errorf(format, args...)}
 }
 
@@ -76,8 +76,8 @@
 	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the requested name
 )
 
-// alertOf finds the alert that the peer sent. crypto/tls does not export its type.
-func alertOf(err error) (code uint64, ok bool) {
+// peerAlert finds the alert that the peer sent. crypto/tls does not export its type.
+func peerAlert(err error) (code uint64, ok bool) {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "remote error" && op.Err != nil {
 		if v := reflect.ValueOf(op.Err); v.Kind() == reflect.Uint8 {
@@ -87,8 +87,8 @@
 	return 0, false
 }
 
-// classify finds the reason in an error of crypto/tls. received: something had come from the peer.
-func classify(err error, received bool) *Failure {
+// classifyHandshakeError finds the reason in an error of crypto/tls. received: something had come from the peer.
+func classifyHandshakeError(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
 		return f
@@ -101,7 +101,7 @@
 	var verify *tls.CertificateVerificationError
 	var timeout net.Error
 	text := err.Error()
-	switch code, alert := alertOf(err); {
+	switch code, alert := peerAlert(err); {
 	case alert && code == alertVersion:
 		f.Reason = OldVersion
 	case alert && code == alertUnrecognizedName:
@@ -131,8 +131,8 @@
 	return f
 }
 
-// certificateFault finds the reason in an error of the verification. early: a certificate is not valid yet.
-func certificateFault(err error, leaf *x509.Certificate, early bool) *Failure {
+// classifyVerifyError finds the reason in an error of the verification. early: a certificate is not valid yet.
+func classifyVerifyError(err error, leaf *x509.Certificate, notYetValid bool) *Failure {
 	f := &Failure{Reason: UnknownCA, Step: "certificate", Err: err}
 	var invalid x509.CertificateInvalidError
 	var unknown x509.UnknownAuthorityError
@@ -143,7 +143,7 @@
 	case errors.As(err, &invalid):
 		switch invalid.Reason {
 		case x509.Expired:
-			if f.Reason = Expired; early {
+			if f.Reason = Expired; notYetValid {
 				f.Reason = NotYetValid
 			}
 		case x509.IncompatibleUsage:
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -19,17 +19,17 @@
 func TestFaults(t *testing.T) {
 	for _, f := range fake.Faults() {
 		t.Run(f.Kind, func(t *testing.T) {
-			b := newBench(t, func(b *bench) {
-				crl, err := b.pki.CRL(time.Now().Add(time.Hour))
+			e := newEnv(t, func(e *env) {
+				crl, err := e.pki.CRL(time.Now().Add(time.Hour))
 				if err != nil {
 					t.Fatal(err)
 				}
-				b.opt.CRLs = []string{b.file("crl.pem", crl)}
+				e.opt.CRLs = []string{e.file("crl.pem", crl)}
 				if f.TLS12 {
-					b.opt.MinVersion = "1.2"
+					e.opt.MinVersion = "1.2"
 				}
 			})
-			bad, err := fake.NewBadServer(f, b.pki)
+			bad, err := fake.NewBadServer(f, e.pki)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -39,13 +39,13 @@
 			if f.Reason == string(TimedOut) {
 				within = 100 * time.Millisecond
 			}
-			c := b.dial(bad.Addr(), within)
+			c := e.dial(bad.Addr(), within)
 			late := f.Reason == string(RejectedByHost) // TLS 1.3: known only after this side's end of the handshake
 			if f.SoundHandshake || late {
 				if c.err != nil {
 					t.Fatal(c.err)
 				}
-				c.write(open)
+				c.write(openLine)
 				err := c.ended()
 				if late && (err.Stage != netio.Connecting || !strings.Contains(err.Error(), f.Reason)) || !late && err.Stage != netio.Up {
 					t.Errorf("ended by %v", err)
@@ -62,14 +62,14 @@
 
 // A TLS 1.2 server is used where the operators allow it, and a URI name has to match to the letter.
 func TestOldVersionAndURI(t *testing.T) {
-	b := newBench(t, func(b *bench) { b.opt.MinVersion, b.opt.Pattern, b.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
+	e := newEnv(t, func(e *env) { e.opt.MinVersion, e.opt.Pattern, e.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
 	for uri, want := range map[string]Reason{"spiffe://valley/a/s1": "", "spiffe://valley/a/s10": WrongName} {
-		config, err := b.pki.Trusted.NewServerTLSConfig(uri)
+		config, err := e.pki.Trusted.NewServerTLSConfig(uri)
 		if err != nil {
 			t.Fatal(err)
 		}
 		config.MaxVersion = tls.VersionTLS12
-		c := b.dial(b.server(config).Addr(), 5*time.Second)
+		c := e.dial(e.newServer(config).Addr(), 5*time.Second)
 		if c.reason() != want || want == "" && c.err != nil {
 			t.Errorf("%s: %v", uri, c.err)
 		}
@@ -78,14 +78,14 @@
 
 // Certificates and sessions are valid by the wall clock; a step that is undone leaves nothing behind.
 func TestClockSteps(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.server(nil)
+	e := newEnv(t, nil)
+	s := e.newServer(nil)
 	for i, x := range []struct {
 		skew time.Duration
 		want Reason
 	}{{0, ""}, {2 * time.Hour, Expired}, {0, ""}, {-2 * time.Hour, NotYetValid}, {0, ""}} {
-		b.skew.Store(int64(x.skew))
-		if c := b.dial(s.Addr(), 5*time.Second); c.reason() != x.want || x.want == "" && c.err != nil {
+		e.clockSkew.Store(int64(x.skew))
+		if c := e.dial(s.Addr(), 5*time.Second); c.reason() != x.want || x.want == "" && c.err != nil {
 			t.Errorf("step %d: %v, want %q", i, c.err, x.want)
 		}
 	}
@@ -93,18 +93,18 @@
 
 // Faults of the proxy's own files are distinguished from those of hosts, before any host is connected to.
 func TestOwnFaults(t *testing.T) {
-	b := newBench(t, func(b *bench) {
-		if _, err := b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
+	e := newEnv(t, func(e *env) {
+		if _, err := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
 			t.Fatal(err)
 		}
-		b.opt.Certificate, b.opt.Key = filepath.Join(b.dir, "client.pem"), filepath.Join(b.dir, "client.key")
-		crl, _ := b.pki.CRL(time.Now().Add(45 * time.Minute))
-		b.opt.CRLs = []string{b.file("crl.pem", crl)}
+		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
+		crl, _ := e.pki.CRL(time.Now().Add(45 * time.Minute))
+		e.opt.CRLs = []string{e.file("crl.pem", crl)}
 	})
-	s := b.server(nil)
+	s := e.newServer(nil)
 	for skew, want := range map[time.Duration]Reason{0: "", 35 * time.Minute: OwnCertificateExpired, 50 * time.Minute: OwnTrustUnusable} {
-		b.skew.Store(int64(skew))
-		c := b.dial(s.Addr(), 5*time.Second)
+		e.clockSkew.Store(int64(skew))
+		c := e.dial(s.Addr(), 5*time.Second)
 		if c.reason() != want || want != "" && !want.IsOwnFault() {
 			t.Errorf("after %v: %v, want %q", skew, c.err, want)
 		}
@@ -120,16 +120,16 @@
 
 // All that is wrong with the files is in the error, and nothing secret.
 func TestFilesThatCannotBeUsed(t *testing.T) {
-	b := newBench(t, nil)
-	pair, _ := b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy"})
-	good := b.opt
-	good.Certificate, good.Key = filepath.Join(b.dir, "client.pem"), filepath.Join(b.dir, "client.key")
+	e := newEnv(t, nil)
+	pair, _ := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
+	good := e.opt
+	good.Certificate, good.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	if _, err := Load(good, 1); err != nil {
 		t.Fatal(err)
 	}
 	key, _ := pair.KeyPEM(nil)
-	foreign, _ := fake.ForeignCRL(b.pki)
-	leaf, _ := b.pki.Trusted.Issue(certs.Spec{Hosts: []string{name}})
+	foreign, _ := fake.ForeignCRL(e.pki)
+	leaf, _ := e.pki.Trusted.Issue(certs.Spec{Hosts: []string{hostName}})
 	leafKey, _ := leaf.KeyPEM(nil)
 	crypted, _ := pair.KeyPEM([]byte("secret words"))
 	for what, x := range map[string]struct {
@@ -137,16 +137,16 @@
 		want   string
 	}{
 		"no such file":           {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
-		"half a bundle":          {func(o *Options) { o.Trust = []string{b.file("half", fake.HalfPEM(b.pki.Trusted.Root.Cert))} }, "half written"},
-		"empty bundle":           {func(o *Options) { o.Trust = []string{b.file("empty", nil)} }, "no certificate in it"},
-		"a leaf for trust":       {func(o *Options) { o.Trust = []string{b.file("leaf", leaf.PEM())} }, "no authority's"},
-		"key in the bundle":      {func(o *Options) { o.Trust = []string{b.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
-		"another's key":          {func(o *Options) { o.Key = b.file("other.key", leafKey) }, "does not belong"},
-		"a server's pair":        {func(o *Options) { o.Certificate, o.Key = b.file("s.pem", leaf.PEM()), b.file("s.key", leafKey) }, "not for clients"},
-		"encrypted, no password": {func(o *Options) { o.Key = b.file("c.key", crypted) }, "no password file"},
-		"wrong password":         {func(o *Options) { o.Key, o.KeyPasswordFile = b.file("c.key", crypted), b.file("word", []byte("wrong")) }, "no private key"},
-		"foreign list":           {func(o *Options) { o.CRLs = []string{b.file("f.crl", foreign)} }, "none of the trusted"},
-		"no list":                {func(o *Options) { o.CRLs = []string{b.file("n.crl", []byte("x"))} }, "revocation list 1"},
+		"half a bundle":          {func(o *Options) { o.Trust = []string{e.file("half", fake.HalfPEM(e.pki.Trusted.Root.Cert))} }, "half written"},
+		"empty bundle":           {func(o *Options) { o.Trust = []string{e.file("empty", nil)} }, "no certificate in it"},
+		"a leaf for trust":       {func(o *Options) { o.Trust = []string{e.file("leaf", leaf.PEM())} }, "no authority's"},
+		"key in the bundle":      {func(o *Options) { o.Trust = []string{e.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
+		"another's key":          {func(o *Options) { o.Key = e.file("other.key", leafKey) }, "does not belong"},
+		"a server's pair":        {func(o *Options) { o.Certificate, o.Key = e.file("s.pem", leaf.PEM()), e.file("s.key", leafKey) }, "not for clients"},
+		"encrypted, no password": {func(o *Options) { o.Key = e.file("c.key", crypted) }, "no password file"},
+		"wrong password":         {func(o *Options) { o.Key, o.KeyPasswordFile = e.file("c.key", crypted), e.file("word", []byte("wrong")) }, "no private key"},
+		"foreign list":           {func(o *Options) { o.CRLs = []string{e.file("f.crl", foreign)} }, "none of the trusted"},
+		"no list":                {func(o *Options) { o.CRLs = []string{e.file("n.crl", []byte("x"))} }, "revocation list 1"},
 	} {
 		o := good
 		x.change(&o)
@@ -156,7 +156,7 @@
 		}
 	}
 	o := good
-	o.Key, o.KeyPasswordFile = b.file("c.key", crypted), b.file("word", []byte("secret words\n"))
+	o.Key, o.KeyPasswordFile = e.file("c.key", crypted), e.file("word", []byte("secret words\n"))
 	if _, err := Load(o, 1); err != nil {
 		t.Errorf("the right password: %v", err)
 	}
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -18,15 +18,15 @@
 // Material is the content of the files, complete and consistent. It never changes; a replacement is another Material of a higher epoch, and what
 // was verified or cached in one epoch does not count in another.
 type Material struct {
-	Epoch          uint64
-	NotAfter       time.Time // when the first part that all connections need ends: the own certificate, a revocation list
-	digest         [sha256.Size]byte
-	options        Options
-	roots          *x509.CertPool
-	authorities    int
-	revocations    []revocationList
-	certificate    *tls.Certificate
-	certificateEnd time.Time
+	Epoch               uint64
+	NotAfter            time.Time // when the first part that all connections need ends: the own certificate, a revocation list
+	digest              [sha256.Size]byte
+	options             Options
+	roots               *x509.CertPool
+	authorities         int
+	revocations         []revocationList
+	certificate         *tls.Certificate
+	certificateNotAfter time.Time
 
 	mu       sync.Mutex
 	verified map[verifiedChain]validity
@@ -34,24 +34,24 @@
 
 // revocationList is a revocation list, whose signature was verified.
 type revocationList struct {
-	file    string
-	issuer  []byte // raw subject
-	keyID   []byte
-	until   time.Time
-	revoked map[string]bool // by serial
+	file       string
+	issuer     []byte // raw subject
+	keyID      []byte
+	nextUpdate time.Time
+	revoked    map[string]bool // by serial
 }
 
 // verifiedChain is a chain as it was shown, with the name it was verified for.
 type verifiedChain struct {
-	name  Name
-	chain [sha256.Size]byte
+	name        Name
+	chainDigest [sha256.Size]byte
 }
 
 // validity is the time within which a verification is valid.
 type validity struct{ from, until time.Time }
 
-// maxVerified bounds the verified chains that are cached; a host shows one, or two in a rotation.
-const maxVerified = 1024
+// maxVerifiedChains bounds the verified chains that are cached; a host shows one, or two in a rotation.
+const maxVerifiedChains = 1024
 
 // Load reads all files. It gives all that is wrong with them, in one error.
 func Load(o Options, epoch uint64) (*Material, error) {
@@ -81,12 +81,12 @@
 	faults   []error
 }
 
-func (l *loader) fault(err error) { l.faults = append(l.faults, err) }
+func (l *loader) addFault(err error) { l.faults = append(l.faults, err) }
 
 func (l *loader) read(path string) []byte {
 	data, err := certs.ReadFile(path)
 	if err != nil {
-		l.fault(err)
+		l.addFault(err)
 	}
 	l.digest.Write(data)
 	return data
@@ -100,13 +100,13 @@
 	}
 	bundle, err := certs.ParseBundle(path, data)
 	if err != nil {
-		l.fault(err)
+		l.addFault(err)
 	}
 	for _, c := range bundle {
 		if !c.IsCA {
-			l.fault(fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
+			l.addFault(fmt.Errorf("%s: %s is no authority's certificate", path, c.Subject))
 		} else if weakness := certs.Weakness(c); weakness != "" {
-			l.fault(fmt.Errorf("%s: %s: %s", path, c.Subject, weakness))
+			l.addFault(fmt.Errorf("%s: %s: %s", path, c.Subject, weakness))
 		}
 		l.material.roots.AddCert(c)
 		l.roots = append(l.roots, c)
@@ -121,11 +121,11 @@
 	}
 	lists, err := parseRevocationLists(path, data, l.roots)
 	if err != nil {
-		l.fault(err)
+		l.addFault(err)
 	}
 	l.material.revocations = append(l.material.revocations, lists...)
 	for _, list := range lists {
-		l.material.noteEnd(list.until)
+		l.material.limitNotAfter(list.nextUpdate)
 	}
 }
 
@@ -134,29 +134,29 @@
 	l.read(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
 	if err != nil {
-		l.fault(err)
+		l.addFault(err)
 		return
 	}
 	if weakness := certs.Weakness(pair.Cert); weakness != "" {
-		l.fault(fmt.Errorf("%s: %s", o.Certificate, weakness))
+		l.addFault(fmt.Errorf("%s: %s", o.Certificate, weakness))
 		return
 	}
-	if !hasUsage(pair.Cert, x509.ExtKeyUsageClientAuth) {
-		l.fault(fmt.Errorf("%s: not for clients, which the proxy is to its hosts", o.Certificate))
+	if !hasExtKeyUsage(pair.Cert, x509.ExtKeyUsageClientAuth) {
+		l.addFault(fmt.Errorf("%s: not for clients, which the proxy is to its hosts", o.Certificate))
 		return
 	}
 	m := l.material
 	m.certificate = &tls.Certificate{PrivateKey: pair.Key, Leaf: pair.Cert, Certificate: [][]byte{pair.Cert.Raw}}
-	m.certificateEnd = pair.Cert.NotAfter
+	m.certificateNotAfter = pair.Cert.NotAfter
 	for _, c := range pair.Chain {
 		m.certificate.Certificate = append(m.certificate.Certificate, c.Raw)
-		m.certificateEnd = earlier(m.certificateEnd, c.NotAfter)
+		m.certificateNotAfter = earlier(m.certificateNotAfter, c.NotAfter)
 	}
-	m.noteEnd(m.certificateEnd)
+	m.limitNotAfter(m.certificateNotAfter)
 }
 
-// noteEnd notes the end of something that all connections need.
-func (m *Material) noteEnd(t time.Time) {
+// limitNotAfter notes the end of something that all connections need.
+func (m *Material) limitNotAfter(t time.Time) {
 	if m.NotAfter.IsZero() || t.Before(m.NotAfter) {
 		m.NotAfter = t
 	}
@@ -169,7 +169,7 @@
 	return a
 }
 
-func hasUsage(c *x509.Certificate, use x509.ExtKeyUsage) bool {
+func hasExtKeyUsage(c *x509.Certificate, use x509.ExtKeyUsage) bool {
 	if len(c.ExtKeyUsage) == 0 && len(c.UnknownExtKeyUsage) == 0 {
 		return true
 	}
@@ -183,7 +183,7 @@
 
 // parseRevocationLists reads revocation lists, in PEM or DER. A list counts only under the signature of an authority in trust.
 func parseRevocationLists(path string, data []byte, roots []*x509.Certificate) ([]revocationList, error) {
-	var out []revocationList
+	var lists []revocationList
 	for len(bytes.TrimSpace(data)) > 0 {
 		der := data
 		if block, rest := pem.Decode(data); block != nil {
@@ -193,26 +193,26 @@
 		}
 		crl, err := x509.ParseRevocationList(der)
 		if err != nil {
-			return out, fmt.Errorf("%s: revocation list %d: %v", path, len(out)+1, err)
+			return lists, fmt.Errorf("%s: revocation list %d: %v", path, len(lists)+1, err)
 		}
-		l := revocationList{file: path, issuer: crl.RawIssuer, keyID: crl.AuthorityKeyId, until: crl.NextUpdate, revoked: map[string]bool{}}
+		l := revocationList{file: path, issuer: crl.RawIssuer, keyID: crl.AuthorityKeyId, nextUpdate: crl.NextUpdate, revoked: map[string]bool{}}
 		signed := false
 		for _, c := range roots {
 			signed = signed || bytes.Equal(c.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(c) == nil
 		}
 		if !signed {
-			return out, fmt.Errorf("%s: revocation list %d of %s is signed by none of the trusted authorities", path, len(out)+1, crl.Issuer)
+			return lists, fmt.Errorf("%s: revocation list %d of %s is signed by none of the trusted authorities", path, len(lists)+1, crl.Issuer)
 		}
-		if l.until.IsZero() {
-			return out, fmt.Errorf("%s: revocation list %d does not say until when it holds", path, len(out)+1)
+		if l.nextUpdate.IsZero() {
+			return lists, fmt.Errorf("%s: revocation list %d does not say until when it holds", path, len(lists)+1)
 		}
 		for _, e := range crl.RevokedCertificateEntries {
 			l.revoked[e.SerialNumber.String()] = true
 		}
-		out = append(out, l)
+		lists = append(lists, l)
 	}
-	if len(out) == 0 {
+	if len(lists) == 0 {
 		return nil, fmt.Errorf("%s: no revocation list in it", path)
 	}
-	return out, nil
+	return lists, nil
 }
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -57,9 +57,9 @@
 		f.Enum("min-version", "oldest version of TLS that is spoken", &o.MinVersion, "1.3", "1.2")
 		f.Group("name", "the name that a host's certificate must bear", func(f *settings.Form) {
 			want := "a pattern of {uid}, {zone}, {host} and plain text, with {uid} or {host} in it"
-			f.Text("pattern", "a DNS name or address", want, &o.Pattern, func(s string) bool { return isUsablePattern(s) && !strings.Contains(s, "/") })
+			f.Text("pattern", "a DNS name or address", want, &o.Pattern, func(s string) bool { return isValidPattern(s) && !strings.Contains(s, "/") })
 			f.Text("uri", "a URI name", want+", beginning with scheme://", &o.URI, func(s string) bool {
-				return isUsablePattern(s) && strings.Index(s, "://") > 0
+				return isValidPattern(s) && strings.Index(s, "://") > 0
 			})
 			f.Pairs("map", "names of single hosts by uid, before the pattern", `("uid" "name")`, &o.Names,
 				func(k, v string) bool { return k != "" && v != "" && !strings.ContainsAny(v, "{} ") })
@@ -102,8 +102,8 @@
 	}}
 }
 
-// isUsablePattern reports whether a pattern has known placeholders only, and one that differs between hosts.
-func isUsablePattern(s string) bool {
+// isValidPattern reports whether a pattern has known placeholders only, and one that differs between hosts.
+func isValidPattern(s string) bool {
 	distinct := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
 	rest := strings.NewReplacer("{uid}", "", "{zone}", "", "{host}", "").Replace(s)
 	return distinct && !strings.ContainsAny(rest, "{} \t")
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -12,14 +12,14 @@
 	material        *Material
 	config          *tls.Config
 	cache           *sessionCache
-	wall            func() time.Time
+	wallClock       func() time.Time
 	chainValidUntil atomic.Int64 // of the chain that was last verified, Unix nanoseconds
 }
 
-func newTLSPeer(m *Material, uid string, name Name, sessions *sessionCache, wall func() time.Time) *tlsPeer {
-	p := &tlsPeer{key: sessionKey{uid, name, m.Epoch}, material: m, cache: sessions, wall: wall}
+func newTLSPeer(m *Material, uid string, name Name, cache *sessionCache, wallClock func() time.Time) *tlsPeer {
+	p := &tlsPeer{key: sessionKey{uid, name, m.Epoch}, material: m, cache: cache, wallClock: wallClock}
 	p.config = &tls.Config{
-		Time:       wall,
+		Time:       wallClock,
 		MinVersion: tls.VersionTLS13,
 		// Verification is this package's own: see verify, which runs on every handshake, resumed ones included. Go's would
 		// know neither URI names nor revocation lists, and would look for a host name in a resumed session's chain that
@@ -55,7 +55,7 @@
 
 // verify judges the host's certificates, in every handshake.
 func (p *tlsPeer) verify(cs tls.ConnectionState) error {
-	until, err := p.material.Verify(cs.PeerCertificates, p.key.name, p.wall())
+	until, err := p.material.Verify(cs.PeerCertificates, p.key.name, p.wallClock())
 	if err == nil {
 		p.chainValidUntil.Store(until.UnixNano())
 	}
@@ -65,7 +65,7 @@
 // Get and Put make it the cache of its own sessions: what crypto/tls would take for the key is a name or an address,
 // which two hosts or two epochs can share.
 func (p *tlsPeer) Get(string) (*tls.ClientSessionState, bool) {
-	s := p.cache.get(p.key, p.wall())
+	s := p.cache.get(p.key, p.wallClock())
 	return s, s != nil
 }
 
@@ -76,14 +76,14 @@
 
 // resumable reports whether there is a session to resume.
 func (p *tlsPeer) resumable() bool {
-	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wall()) != nil
+	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wallClock()) != nil
 }
 
-// ends is when the first certificate of either side of a new connection ends.
-func (p *tlsPeer) ends() time.Time {
+// notAfter is when the first certificate of either side of a new connection notAfter.
+func (p *tlsPeer) notAfter() time.Time {
 	t := time.Unix(0, p.chainValidUntil.Load())
 	if p.material.certificate != nil {
-		t = earlier(t, p.material.certificateEnd)
+		t = earlier(t, p.material.certificateNotAfter)
 	}
 	return t
 }
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -16,15 +16,15 @@
 // Files are replaced at once, in place, half written, and in the wrong order. What can't be used changes nothing and is logged once; what
 // can is in use from the next poll on.
 func TestWatcher(t *testing.T) {
-	b := newBench(t, func(b *bench) {
-		b.pki.Trusted.SaveClient(b.dir, certs.Spec{Name: "proxy"})
-		b.opt.Certificate, b.opt.Key = filepath.Join(b.dir, "client.pem"), filepath.Join(b.dir, "client.key")
+	e := newEnv(t, func(e *env) {
+		e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
+		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	})
-	m, err := Load(b.opt, 1)
+	m, err := Load(e.opt, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := watcher{current: m, options: b.opt, signature: signature(b.opt.Files())}
+	w := watcher{current: m, options: e.opt, fingerprint: fileFingerprint(e.opt.Files())}
 	poll := func(want bool) *Material {
 		t.Helper()
 		next := w.poll(false, time.Now())
@@ -35,84 +35,84 @@
 	}
 	poll(false)
 	// In place, and read while half of it is there.
-	bundle := append(certs.Bundle(b.pki.Trusted.Root.Cert), certs.Bundle(b.pki.Other.Root.Cert)...)
-	os.WriteFile(b.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
+	bundle := append(certs.Bundle(e.pki.Trusted.Root.Cert), certs.Bundle(e.pki.Other.Root.Cert)...)
+	os.WriteFile(e.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
 	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
 		t.Errorf("the last fault is %q", w.lastFault)
 	}
-	os.WriteFile(b.opt.Trust[0], bundle, 0o644)
+	os.WriteFile(e.opt.Trust[0], bundle, 0o644)
 	if next := poll(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
 		t.Errorf("%d authorities, epoch %d", next.authorities, next.Epoch)
 	}
 	poll(false)
 	// A certificate whose key comes later.
-	pair, _ := b.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
-	certs.ReplaceFile(b.opt.Certificate, pair.PEM(), 0o644)
+	pair, _ := e.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
+	certs.ReplaceFile(e.opt.Certificate, pair.PEM(), 0o644)
 	poll(false)
 	key, _ := pair.KeyPEM(nil)
-	certs.ReplaceFile(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.opt.Key, key, 0o600)
 	if next := poll(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
 	// The same content under a new inode is no replacement.
-	certs.ReplaceFile(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.opt.Key, key, 0o600)
 	poll(false)
-	os.Remove(b.opt.Key)
+	os.Remove(e.opt.Key)
 	poll(false)
-	certs.ReplaceFile(b.opt.Key, key, 0o600)
+	certs.ReplaceFile(e.opt.Key, key, 0o600)
 	poll(false)
 }
 
 // A session of an old trust bundle, or of another name, is never resumed.
 func TestReuseEndsWithItsEpoch(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.server(nil)
+	e := newEnv(t, nil)
+	s := e.newServer(nil)
 	resumed := func() bool {
 		t.Helper()
-		c := b.open(s.Addr())
+		c := e.openRequest(s.Addr())
 		reused := false
-		b.on(func() { reused = c.c.Layer().(*session).resumed; c.c.Close() })
+		e.onLoop(func() { reused = c.c.Layer().(*session).resumed; c.c.Close() })
 		return reused
 	}
 	if resumed() || !resumed() {
 		t.Fatal("sessions are not reused")
 	}
-	fake.SaveTrust(b.dir, b.pki.Trusted, b.pki.Other)
-	m, err := Load(b.opt, 2)
+	fake.SaveTrust(e.dir, e.pki.Trusted, e.pki.Other)
+	m, err := Load(e.opt, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.SetMaterial(m) })
+	e.onLoop(func() { e.dialer.SetMaterial(m) })
 	if resumed() {
 		t.Error("a session of the old epoch was resumed")
 	}
 	if !resumed() {
 		t.Error("no session of the new epoch was resumed")
 	}
-	o := b.opt
+	o := e.opt
 	o.Names = map[string]string{"s1": "s2.test"}
 	if m, err = Load(o, 2); err != nil { // the same epoch, so that only the name is another
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.SetMaterial(m) })
-	if c := b.dial(s.Addr(), 5*time.Second); c.reason() != WrongName {
+	e.onLoop(func() { e.dialer.SetMaterial(m) })
+	if c := e.dial(s.Addr(), 5*time.Second); c.reason() != WrongName {
 		t.Errorf("under another name: %v", c.err)
 	}
 }
 
 // A trust bundle without the host's authority ends resumption and new connections, and leaves open ones alone.
 func TestTrustWithdrawn(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.server(nil)
-	c := b.open(s.Addr())
-	fake.SaveTrust(b.dir, b.pki.Other)
-	m, err := Load(b.opt, 2)
+	e := newEnv(t, nil)
+	s := e.newServer(nil)
+	c := e.openRequest(s.Addr())
+	fake.SaveTrust(e.dir, e.pki.Other)
+	m, err := Load(e.opt, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.on(func() { b.link.SetMaterial(m) })
-	if c := b.dial(s.Addr(), 5*time.Second); c.reason() != UnknownCA {
+	e.onLoop(func() { e.dialer.SetMaterial(m) })
+	if c := e.dial(s.Addr(), 5*time.Second); c.reason() != UnknownCA {
 		t.Errorf("got %v", c.err)
 	}
 	c.write("M\r\n")
@@ -121,10 +121,10 @@
 
 // A server with new ticket keys, and none of the old ones, costs a full handshake and nothing else.
 func TestTicketKeysChanged(t *testing.T) {
-	b := newBench(t, nil)
-	config, _ := b.pki.Trusted.NewServerTLSConfig(name)
+	e := newEnv(t, nil)
+	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
 	config.SetSessionTicketKeys([][32]byte{{1}})
-	s := b.server(config)
+	s := e.newServer(config)
 	var last tls.ConnectionState
 	for i, change := range []bool{false, false, true, false} {
 		if change {
@@ -132,8 +132,8 @@
 			config.SetSessionTicketKeys([][32]byte{{2}})
 			s.SetTLS(config)
 		}
-		c := b.open(s.Addr())
-		b.on(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
+		c := e.openRequest(s.Addr())
+		e.onLoop(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
 		if last.DidResume != (i == 1 || i == 3) {
 			t.Errorf("connection %d: resumed %t", i, last.DidResume)
 		}
@@ -163,20 +163,20 @@
 // A certificate that ends while its connection is open ends neither the connection nor its lines: whether it migrates is for the policy to
 // say, by what Expires gives.
 func TestExpiresInMidConnection(t *testing.T) {
-	b := newBench(t, nil)
-	s := b.server(nil)
-	c := b.open(s.Addr())
-	b.skew.Store(int64(2 * time.Hour))
+	e := newEnv(t, nil)
+	s := e.newServer(nil)
+	c := e.openRequest(s.Addr())
+	e.clockSkew.Store(int64(2 * time.Hour))
 	c.write("M\r\n")
 	c.read("GOT M\r\n")
-	if d := b.dial(s.Addr(), 5*time.Second); d.reason() != Expired {
+	if d := e.dial(s.Addr(), 5*time.Second); d.reason() != Expired {
 		t.Errorf("a new connection: %v", d.err)
 	}
 }
 
 // FuzzRevocationLists: bytes give lists or an error, never a panic.
 func FuzzRevocationLists(f *testing.F) {
-	pki, err := fake.NewPKI(name)
+	pki, err := fake.NewPKI(hostName)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -22,19 +22,19 @@
 // which returns a temporary error where a socket would block. crypto/tls keeps what it has read of a record and continues.
 // After the handshake everything happens on the loop.
 type session struct {
-	socket          *sealedSocket
-	tlsConn         *tls.Conn
-	resumed         bool
-	certificateEnd  time.Time                   // the first end of a certificate of either side
-	dataReceived    bool                        // application data has come
-	mayHaveBuffered bool                        // crypto/tls may have decrypted more than the last call of Open took
-	onFailure       func(f *Failure, late bool) // called once at an end that is not in order; may be nil
+	socket              *sealedSocket
+	tlsConn             *tls.Conn
+	resumed             bool
+	certificateNotAfter time.Time                   // the first end of a certificate of either side
+	dataReceived        bool                        // application data has come
+	mayHaveBuffered     bool                        // crypto/tls may have decrypted more than the last call of Open took
+	onFailure           func(f *Failure, late bool) // called once at an end that is not in order; may be nil
 }
 
 var _ netio.Layer = (*session)(nil)
 
 // Expires is when the first certificate of either side ends.
-func (s *session) Expires() time.Time { return s.certificateEnd }
+func (s *session) Expires() time.Time { return s.certificateNotAfter }
 
 // Attach gives the session its way to send once its handshake is done.
 func (s *session) Attach(send func(p []byte)) { s.socket.attach(send) }
@@ -56,7 +56,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	f := classify(err, true)
+	f := classifyHandshakeError(err, true)
 	late := f.Reason == RejectedByHost && !s.dataReceived
 	if late {
 		err = &lateRejection{f}
@@ -113,7 +113,7 @@
 	hasToken       bool          // it is held
 	received       bool          // something has come
 	computingSince time.Time     // since when this side computes
-	computed       time.Duration
+	computeTime    time.Duration
 
 	sealed          netio.Buffer // sealed, not opened
 	recordRemaining int          // of the record that crypto/tls has a part of
@@ -123,9 +123,9 @@
 // A record begins with its type, a version and the length of what follows.
 const recordHeaderLength = 5
 
-// recordBytes is how much crypto/tls may read next: no more than one record at a time, so that it never buffers part of the next one and what is
+// nextReadLimit is how much crypto/tls may read next: no more than one record at a time, so that it never buffers part of the next one and what is
 // left to decrypt is known here.
-func (w *sealedSocket) recordBytes() int {
+func (w *sealedSocket) nextReadLimit() int {
 	if w.recordRemaining > 0 {
 		return w.recordRemaining
 	}
@@ -136,20 +136,20 @@
 }
 
 // hasCompleteRecord reports whether a complete record, or all that is left of one, has come.
-func (w *sealedSocket) hasCompleteRecord() bool { return w.sealed.Len() >= w.recordBytes() }
+func (w *sealedSocket) hasCompleteRecord() bool { return w.sealed.Len() >= w.nextReadLimit() }
 
 // attach has the socket send by send, and read nothing but what is appended to sealed.
 func (w *sealedSocket) attach(send func(p []byte)) { w.handshakeConn, w.send = nil, send }
 
 // Read gives crypto/tls at most the rest of one record.
 func (w *sealedSocket) Read(p []byte) (int, error) {
-	for w.sealed.Len() < min(recordHeaderLength, w.recordBytes()) {
+	for w.sealed.Len() < min(recordHeaderLength, w.nextReadLimit()) {
 		if w.handshakeConn == nil {
 			return 0, errWouldBlock
 		}
-		space := w.sealed.Reserve(handshakeReadSize)
+		buf := w.sealed.Reserve(handshakeReadSize)
 		w.releaseToken()
-		n, err := w.handshakeConn.Read(space)
+		n, err := w.handshakeConn.Read(buf)
 		w.acquireToken()
 		w.received = w.received || n > 0
 		w.sealed.Extend(n)
@@ -157,7 +157,7 @@
 			return 0, err
 		}
 	}
-	w.recordRemaining = w.recordBytes()
+	w.recordRemaining = w.nextReadLimit()
 	n := copy(p[:min(len(p), w.recordRemaining)], w.sealed.Bytes())
 	w.recordRemaining -= n
 	w.sealed.Consume(n)
@@ -189,7 +189,7 @@
 	if !w.hasToken {
 		return
 	}
-	w.computed += time.Since(w.computingSince)
+	w.computeTime += time.Since(w.computingSince)
 	w.hasToken = false
 	<-w.computeToken
 	runtime.Gosched()
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -22,57 +22,57 @@
 
 // Reload has the files read again at once, by the options given or, for nil, by those in use. Whether hosts are reached
 // by TLS, and the workers and the budget, stay as they are until the next start. It may be called from any goroutine.
-func (k *Dialer) Reload(o *Options) {
+func (d *Dialer) Reload(o *Options) {
 	for {
 		select {
-		case k.reloads <- reload{o}:
+		case d.reloads <- reload{o}:
 			return
 		default:
 		}
 		select {
-		case <-k.reloads: // the newer one replaces it
+		case <-d.reloads: // the newer one replaces it
 		default:
 		}
 	}
 }
 
 // watch polls the files for as long as the program runs, beside the loop.
-func (k *Dialer) watch(m *Material) {
+func (d *Dialer) watch(m *Material) {
 	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
-	w := watcher{current: m, options: m.options, signature: signature(m.options.Files()), changed: time.Now()}
+	w := watcher{current: m, options: m.options, fingerprint: fileFingerprint(m.options.Files()), changedAt: time.Now()}
 	for {
 		force := false
 		select {
 		case <-tick.C:
-		case r := <-k.reloads:
+		case r := <-d.reloads:
 			force = true
 			if r.options != nil {
 				w.options = *r.options
 				w.options.Enabled, w.options.Handshakes, w.options.MaxSessions = m.options.Enabled, m.options.Handshakes, m.options.MaxSessions
 			}
 		}
-		if next := w.poll(force, k.wallClock()); next != nil {
-			k.loop.Post(func() { k.SetMaterial(next) })
+		if next := w.poll(force, d.wallClock()); next != nil {
+			d.loop.Post(func() { d.SetMaterial(next) })
 		}
 	}
 }
 
 // watcher knows the files as they were last seen.
 type watcher struct {
-	current   *Material
-	options   Options
-	signature string
-	changed   time.Time
-	lastFault string // the fault that was last logged; "": there is none
+	current     *Material
+	options     Options
+	fingerprint string
+	changedAt   time.Time
+	lastFault   string // the fault that was last logged; "": there is none
 }
 
 // poll gives new material where the files have changed and can be used; nil: what is in use stays.
 func (w *watcher) poll(force bool, wall time.Time) *Material {
 	now := time.Now()
-	if s := signature(w.options.Files()); s != w.signature {
-		w.signature, w.changed = s, now
-	} else if !force && now.Sub(w.changed) > rereadAfterChange {
+	if s := fileFingerprint(w.options.Files()); s != w.fingerprint {
+		w.fingerprint, w.changedAt = s, now
+	} else if !force && now.Sub(w.changedAt) > rereadAfterChange {
 		return nil
 	}
 	m, err := Load(w.options, w.current.Epoch+1)
@@ -104,8 +104,8 @@
 // sameOptions reports whether two sets of options are equal.
 func sameOptions(a, b Options) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// signature differs between versions of the files; it does not read them.
-func signature(files []string) string {
+// fileFingerprint differs between versions of the files; it does not read them.
+func fileFingerprint(files []string) string {
 	var b strings.Builder
 	for _, f := range files {
 		info, err := os.Stat(f)
--- a/internal/dataplane/upstreamtls/work.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -20,8 +20,8 @@
 type handshakeJob struct {
 	requestID uint64
 	peer      *tlsPeer
-	endpoint  string
-	until     time.Time
+	address   string
+	deadline  time.Time
 
 	mu      sync.Mutex
 	conn    net.Conn
@@ -39,15 +39,15 @@
 }
 
 // runWorker is a worker, for good.
-func (k *Dialer) runWorker() {
-	for j := range k.jobs {
-		s, fd, spent, f := j.run(k.computeToken)
-		k.loop.Post(func() { k.handshakeEnded(j, s, fd, spent, f) })
+func (d *Dialer) runWorker() {
+	for j := range d.jobs {
+		s, fd, computeTime, f := j.run(d.computeToken)
+		d.loop.Post(func() { d.handshakeEnded(j, s, fd, computeTime, f) })
 	}
 }
 
 // run connects and does the handshake. It gives the session and its socket, which nothing else watches.
-func (j *handshakeJob) run(computeToken chan struct{}) (s *session, fd int, spent time.Duration, f *Failure) {
+func (j *handshakeJob) run(computeToken chan struct{}) (s *session, fd int, computeTime time.Duration, f *Failure) {
 	w := &sealedSocket{computeToken: computeToken, sealed: netio.NewBuffer(maxSealedBytes)}
 	defer func() {
 		if p := recover(); p != nil {
@@ -55,18 +55,18 @@
 			s, fd, f = nil, -1, &Failure{Reason: ProtocolError, Step: "finish", Err: fmt.Errorf("panic: %v", p)}
 		}
 		w.releaseToken()
-		spent = w.computed
+		computeTime = w.computeTime
 	}()
-	dialer := net.Dialer{Deadline: j.until, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+	dialer := net.Dialer{Deadline: j.deadline, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, kernelBuffer)
 		})
 	}}
-	raw, err := dialer.Dial("tcp", j.endpoint)
+	raw, err := dialer.Dial("tcp", j.address)
 	if err != nil {
 		f = &Failure{Reason: Unreachable, Step: "connect", Err: err}
 		switch {
-		case !time.Now().Before(j.until):
+		case !time.Now().Before(j.deadline):
 			f.Reason = TimedOut
 		case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.ENOTCONN):
 			f.Reason = ConnectionLost // reset before the connect returned
@@ -81,15 +81,15 @@
 	if aborted {
 		return nil, -1, 0, &Failure{Reason: TimedOut, Step: "connect"}
 	}
-	raw.SetDeadline(j.until)
+	raw.SetDeadline(j.deadline)
 	w.handshakeConn = raw
 	w.acquireToken()
 	s = &session{socket: w, tlsConn: tls.Client(w, j.peer.config)}
 	err = s.tlsConn.Handshake()
 	if err != nil {
-		return nil, -1, 0, classify(err, w.received)
+		return nil, -1, 0, classifyHandshakeError(err, w.received)
 	}
-	s.resumed, s.certificateEnd = s.tlsConn.ConnectionState().DidResume, j.peer.ends()
+	s.resumed, s.certificateNotAfter = s.tlsConn.ConnectionState().DidResume, j.peer.notAfter()
 	fd, err = detachSocket(raw.(*net.TCPConn))
 	if err != nil {
 		return nil, -1, 0, &Failure{Reason: ConnectionLost, Step: "finish", Err: err}
@@ -111,34 +111,34 @@
 }
 
 // handshakeEnded handles a worker's result.
-func (k *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, spent time.Duration, f *Failure) {
-	k.counts.cpu += spent
-	k.budget.Done(k.loop.Now(), j.requestID, s != nil && s.resumed, spent, f == nil)
-	d := k.dials[j.requestID]
+func (d *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, computeTime time.Duration, f *Failure) {
+	d.counts.cpu += computeTime
+	d.budget.Done(d.loop.Now(), j.requestID, s != nil && s.resumed, computeTime, f == nil)
+	dial := d.dials[j.requestID]
 	switch {
-	case d == nil && f == nil:
+	case dial == nil && f == nil:
 		unix.Close(fd) // dropped meanwhile: nothing was sent on it
-	case d == nil:
+	case dial == nil:
 	case f != nil:
-		d.fail(f)
-	case j.peer.material != k.material && !k.stillTrusted(j.peer, s):
+		dial.fail(f)
+	case j.peer.material != d.material && !d.stillTrusted(j.peer, s):
 		unix.Close(fd)
-		d.fail(newFailure(UnknownCA, "the trust bundle was replaced during the handshake, and the host's certificate is not valid by the new one"))
+		dial.fail(newCertificateFailure(UnknownCA, "the trust bundle was replaced during the handshake, and the host's certificate is not valid by the new one"))
 	default:
 		if s.resumed {
-			k.counts.resumed++
+			d.counts.resumed++
 		} else {
-			k.counts.full++
+			d.counts.full++
 		}
-		d.end()
-		s.onFailure = func(f *Failure, late bool) { k.logBrokenSession(d.host.ID, f, late) }
-		netio.Adopt(k.loop, netio.Socket{FD: fd, Layer: s, InputLimit: d.inputLimit}, d.handler, func(c *netio.Conn) { d.done(c, nil) })
+		dial.markEnded()
+		s.onFailure = func(f *Failure, late bool) { d.logBrokenSession(dial.host.ID, f, late) }
+		netio.Adopt(d.loop, netio.Socket{FD: fd, Layer: s, InputLimit: dial.inputLimit}, dial.handler, func(c *netio.Conn) { dial.done(c, nil) })
 	}
-	k.beginAllowed()
+	d.startAllowed()
 }
 
 // stillTrusted reports whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
-func (k *Dialer) stillTrusted(p *tlsPeer, s *session) bool {
-	_, err := k.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, k.wallClock())
+func (d *Dialer) stillTrusted(p *tlsPeer, s *session) bool {
+	_, err := d.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, d.wallClock())
 	return err == nil
 }
