--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -85,7 +85,7 @@
 
 // startAllowed begins the handshakes that the budget allows.
 func (d *Dialer) startAllowed() {
-	ready, expired, retryAfter := d.budget.Next(d.loop.Now())
+	ready, expired, nextAfter := d.budget.Next(d.loop.Now())
 	for _, id := range expired {
 		if dial := d.dials[id]; dial != nil {
 			d.loop.Post(func() { dial.fail(budgetFailure(handshake.DeadlineTooSoon)) })
@@ -96,8 +96,8 @@
 	}
 	d.budgetTimer.Stop()
 	d.budgetTimer = nil
-	if retryAfter > 0 {
-		d.budgetTimer = d.loop.After(retryAfter, d.startAllowed)
+	if nextAfter > 0 {
+		d.budgetTimer = d.loop.After(nextAfter, d.startAllowed)
 	}
 }
 
