--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -5,35 +5,38 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// drillCheckpointInterval is how many numbers lie between two checkpoints of a drill.
+// drillCheckpointInterval is the number of steps of a drill's number between two checkpoints.
 const drillCheckpointInterval = 10
 
-// Drill is a job that only sends a rising number to every proxy. Operators use it to try the fleet's owners before anything depends on them.
+// Drill is a job that only sends a rising number to every member. Operators use it to test the
+// ownership of jobs before anything depends on it.
 type Drill struct {
-	Interval Time // between two numbers
-	// EffectReceived is called with each effect at this process; nil: it is not.
+	Interval Time // between two numbers, in nanoseconds
+	// EffectReceived is called with each effect that this process applies. It may be nil.
 	EffectReceived func(token ownership.FencingToken)
-	// BeforeSend, if set, is called once, between the check of the lease and the sending of the next effects. Whatever it does, receivers have to
-	// reject effects that come after a later owner's.
+	// BeforeSend, if not nil, is called once, after the lease was checked and before the next
+	// effects are sent. However long it takes, receivers must reject effects that arrive after
+	// those of a later owner.
 	BeforeSend func()
 
-	owner  Owner
-	number uint64
-	sentAt Time
+	owner  Owner  // nil while this process does not own the job
+	number uint64 // last number sent
+	sentAt Time   // when it was sent
 }
 
-// uncheckedSender is an Owner that can send an effect without checking the lease again.
+// uncheckedSender is implemented by an Owner that can send an effect without checking the lease
+// again.
 type uncheckedSender interface {
 	SendEffectUnchecked(to uint32, number uint64, body []byte)
 }
 
-// Start continues from the last number.
+// Start continues from the checkpoint's number.
 func (d *Drill) Start(now Time, o Owner, _, checkpointNumber uint64, _ []byte) error {
 	d.owner, d.number, d.sentAt = o, checkpointNumber, now
 	return nil
 }
 
-// Step sends the next number.
+// Step sends the next number if Interval has passed since the last one.
 func (d *Drill) Step(now Time) {
 	if now-d.sentAt < d.Interval {
 		return
@@ -49,7 +52,9 @@
 	}
 }
 
-// prepareSend calls BeforeSend, if it is set, and gives the function to send with.
+// prepareSend calls BeforeSend if it is set, and returns the function to send the next effects
+// with. After BeforeSend that function does not check the lease again, so that only the fences of
+// receivers can reject a stale owner's effects.
 func (d *Drill) prepareSend() (send func(to uint32, number uint64, body []byte)) {
 	send = d.owner.SendEffect
 	if d.BeforeSend == nil {
@@ -69,23 +74,23 @@
 	return w.Uint(d.number).Data
 }
 
-// Stop ends the owner's part. The checkpoint is a number above all that were sent.
+// Stop ends the owner's part. The checkpoint is a number above all numbers that were sent.
 func (d *Drill) Stop() (uint64, []byte) {
 	d.owner = nil
 	d.number++
 	return d.number, d.checkpoint()
 }
 
-// QueryReceived does nothing: a drill takes no queries.
+// QueryReceived does nothing: a drill has no queries.
 func (d *Drill) QueryReceived(Time, uint32, uint64, []byte) {}
 
-// EffectAcknowledged does nothing.
+// EffectAcknowledged does nothing: a drill does not retransmit.
 func (d *Drill) EffectAcknowledged(Time, uint32, ownership.FencingToken, ownership.Verdict) {}
 
-// CheckpointStored does nothing.
+// CheckpointStored does nothing: effects do not depend on a stored checkpoint.
 func (d *Drill) CheckpointStored(Time, uint64, bool) {}
 
-// ApplyEffect reports the number.
+// ApplyEffect calls EffectReceived.
 func (d *Drill) ApplyEffect(_ Time, token ownership.FencingToken, _ []byte) {
 	if d.EffectReceived != nil {
 		d.EffectReceived(token)
--- a/internal/fleet/jobs/fakegroup_test.go
+++ b/internal/fleet/jobs/fakegroup_test.go
@@ -8,18 +8,19 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// fakeGroup is the Owner of a SuspendedHosts: receivers with fences, and a group that stores checkpoints.
+// fakeGroup implements Owner for a SuspendedHosts. It simulates receivers with fences, and a group
+// that stores checkpoints.
 type fakeGroup struct {
 	now     Time
 	members []Member
 	fences  map[uint32]*ownership.Fence
-	applied map[uint32][]string // list by receiver
-	cutOff  map[uint32]bool     // receivers that no effect reaches
-	answers map[uint64]string   // by tag
+	applied map[uint32][]string // latest list that each receiver has applied
+	cutOff  map[uint32]bool     // receivers that effects do not reach
+	answers map[uint64]string   // answers to commands, by tag
 
 	job          *SuspendedHosts
 	token        uint64
-	unresponsive bool // the group does not reply
+	unresponsive bool // whether the group stores no checkpoint and does not reply
 
 	checkpoint       []byte
 	checkpointNumber uint64
@@ -37,7 +38,7 @@
 	return g
 }
 
-// newOwner starts another owner from the stored checkpoint.
+// newOwner starts an owner with a higher token from the stored checkpoint.
 func (g *fakeGroup) newOwner() error {
 	g.token++
 	g.job = &SuspendedHosts{}
@@ -48,7 +49,7 @@
 	g.send(g.job, g.token, to, number, body)
 }
 
-// send delivers an effect of an owner, which may be a stale one, to a receiver.
+// send delivers an effect of an owner, which may be stale, to a receiver.
 func (g *fakeGroup) send(from *SuspendedHosts, token uint64, to uint32, number uint64, body []byte) {
 	if g.cutOff[to] {
 		return
@@ -76,12 +77,12 @@
 func (g *fakeGroup) Reply(_ uint32, tag uint64, body []byte) { g.answers[tag] = string(body) }
 func (g *fakeGroup) Members() []Member                       { return g.members }
 
-// command sends an operator's command to the owner.
+// command sends an operator's command to the current owner.
 func (g *fakeGroup) command(tag uint64, encoded []byte) {
 	g.job.QueryReceived(g.now, 9, tag, encoded)
 }
 
-// wait lets time pass for the owner.
+// wait advances the clock by d and calls the owner's Step every 50 ms.
 func (g *fakeGroup) wait(d Time) {
 	for end := g.now + d; g.now < end; g.now += 50 * ms {
 		g.job.Step(g.now)
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -1,13 +1,15 @@
-// Package jobs holds what the fleet does once and not at each proxy: the hosts that operators have suspended everywhere, and the rate at which
-// all proxies together migrate clients. Drill is for trying the fleet's owners. rules.Publisher and quota.Issuer are jobs too. Each job has an
-// owner's part and a receiver's part. Jobs do no I/O and read no clock.
+// Package jobs implements jobs that one owner does for the whole fleet: SuspendedHosts keeps the
+// list of hosts that operators have suspended fleet-wide, and MigrationPermits limits the rate at
+// which all proxies together migrate clients. Drill tests the ownership of jobs. Packages rules and
+// quota implement further jobs, Publisher and Issuer. Each job has an owner's part, which runs at
+// its owner, and a receiver's part, which runs at every process. Jobs do no I/O and read no clock.
 package jobs
 
 import (
 	"croftlock/internal/fleet/ownership"
 )
 
-// Time is nanoseconds on the caller's monotonic clock.
+// Time is a point in time or a duration, in nanoseconds on the caller's monotonic clock.
 type Time = int64
 
 const (
@@ -15,43 +17,52 @@
 	sec = Time(1e9)
 )
 
-// Member is a process of the fleet, as membership has it.
+// Member is a process of the fleet, as known to membership.
 type Member struct {
-	Name        string
-	Peer        uint32
-	Incarnation uint64 // membership's; of this process itself ownership's. It only tells processes apart
-	Present     bool   // alive, suspect or joining
+	Name string
+	Peer uint32
+	// Incarnation is membership's, or ownership's for this process itself. It must only be compared
+	// for equality, to distinguish processes that had the same name.
+	Incarnation uint64
+	Present     bool // whether the member is alive, suspect or joining
 }
 
-// Owner is what a job can do while it is owned. It is valid from Job.Start to Job.Stop.
+// Owner provides a job with what it may do at its owner. It is valid from Job.Start to Job.Stop.
 type Owner interface {
-	// SendEffect sends an effect to a receiver, under the owner's fencing token. Nothing is sent once the lease has ended.
+	// SendEffect sends an effect to a receiver, with the owner's fencing token. It sends nothing
+	// once the lease has ended.
 	SendEffect(to uint32, number uint64, body []byte)
-	// StoreCheckpoint has a checkpoint stored by the group, under a number that rises; Job.CheckpointStored gets the result. An error says that
-	// the lease has ended.
+	// StoreCheckpoint asks the group to store a checkpoint under a number, which must rise. The
+	// result is passed to Job.CheckpointStored. It returns an error if the lease has ended or the
+	// checkpoint is longer than ownership.MaxCheckpointBytes.
 	StoreCheckpoint(number uint64, checkpoint []byte) error
-	// Reply answers a query.
+	// Reply replies to the query with this tag.
 	Reply(to uint32, tag uint64, body []byte)
-	// Members are the processes of the fleet that are known by name and have neither left nor are gone.
+	// Members returns the processes of the fleet, this one included, except those that have left,
+	// are gone, or are not known by name. The caller must not modify the slice.
 	Members() []Member
 }
 
-// Job is one job at one process. ApplyEffect is the receiver's part, at every process; the other methods are the owner's part, from Start to
-// Stop. Calls never overlap. A panic releases the job.
+// Job is a job as one process runs it. ApplyEffect is the receiver's part and is called at every
+// process. The other methods are the owner's part and are called from Start to Stop. Calls never
+// overlap. If the owner's part panics, the job is released.
 type Job interface {
-	// Start continues from the last owner's checkpoint. That owner has released the job, or its lease has surely ended; effects of it that are
-	// still in flight are rejected by the receivers' fences. An error releases the job.
+	// Start continues from the last owner's checkpoint. That owner has released the job, or its
+	// lease has ended whatever the drift of the clocks. Its effects that are still in flight are
+	// rejected by the fences of receivers that have accepted one of this owner. An error releases
+	// the job.
 	Start(now Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error
 	// Step is called about every 100 ms.
 	Step(now Time)
-	// Stop ends the owner's part, and gives a checkpoint under a number above all that were stored.
+	// Stop ends the owner's part. It returns the checkpoint for the next owner, with a number above
+	// those of all stored checkpoints.
 	Stop() (checkpointNumber uint64, checkpoint []byte)
-	// QueryReceived takes a query from another process; Owner.Reply answers it.
+	// QueryReceived handles a query from a process. The job may reply to it later, with Owner.Reply.
 	QueryReceived(now Time, from uint32, tag uint64, body []byte)
 	// EffectAcknowledged reports a receiver's verdict on an effect.
 	EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict)
-	// CheckpointStored reports whether the group has stored a checkpoint.
+	// CheckpointStored reports whether the group has stored or rejected a checkpoint.
 	CheckpointStored(now Time, checkpointNumber uint64, stored bool)
-	// ApplyEffect carries out an effect that the fence has accepted.
+	// ApplyEffect applies an effect that the fence of this process has accepted.
 	ApplyEffect(now Time, token ownership.FencingToken, body []byte)
 }
--- a/internal/fleet/jobs/migrationpacer.go
+++ b/internal/fleet/jobs/migrationpacer.go
@@ -4,32 +4,35 @@
 	"croftlock/internal/fleet/encoding"
 )
 
-// maxPermitsPerQuery bounds the permits of one query.
+// maxPermitsPerQuery is the maximum number of permits that one query requests.
 const maxPermitsPerQuery = 64
 
-// MigrationPacer is each proxy's part in the rate of migrations: when it may migrate a client.
+// MigrationPacer decides when a proxy may migrate clients, so that all proxies together keep to a
+// rate. It uses permits that the owner of MigrationPermits grants, or a share of the rate while no
+// owner replies.
 type MigrationPacer struct {
-	Rate      float64 // migrations a second, fleet-wide
-	FleetSize int     // proxies that the fleet is meant to have
-	// SendQuery queries the owner for permits; ReplyReceived gets the reply under the tag. nil: there is no owner.
+	Rate      float64 // migrations per second, fleet-wide
+	FleetSize int     // intended number of proxies in the fleet
+	// SendQuery sends the owner a query for permits. The reply is passed to ReplyReceived with the
+	// tag. A nil SendQuery means that there is no owner.
 	SendQuery func(tag uint64, body []byte)
 
 	lastTag        uint64
-	pendingQueries map[uint64]Time // when queries without a reply were sent, by tag
+	pendingQueries map[uint64]Time // when the queries without a reply were sent, by tag
 	permits        []permitBatch
-	shareTokens    float64 // migrations that are due of this proxy's share of the rate, while no owner replies
-	shareFilledAt  Time    // when ownShare was last brought up to date
-	ownerReplied   bool    // an owner has replied once
-	lastReplyAt    Time    // last
+	shareTokens    float64 // migrations allowed by this proxy's share of the rate; at most 1
+	shareFilledAt  Time    // when shareTokens was last updated
+	ownerReplied   bool    // whether an owner has ever replied
+	lastReplyAt    Time    // time of the last reply
 }
 
-// permitBatch are those of one reply.
+// permitBatch holds the unused permits of one reply.
 type permitBatch struct {
 	count     uint64
 	expiresAt Time
 }
 
-// Allow reports how many of the wanted migrations may happen now, and requests permits for the rest.
+// Allow returns how many of the wanted migrations may start now. It requests permits for the rest.
 func (p *MigrationPacer) Allow(now Time, want int) int {
 	allowed := p.usePermits(now, want)
 	allowed += p.useOwnShare(now, want-allowed)
@@ -39,7 +42,7 @@
 	return allowed
 }
 
-// usePermits uses permits that have not expired.
+// usePermits uses up to want permits that have not expired, and returns their number.
 func (p *MigrationPacer) usePermits(now Time, want int) (used int) {
 	unused := p.permits[:0]
 	for _, batch := range p.permits {
@@ -59,8 +62,8 @@
 	return used
 }
 
-// useOwnShare allows at most one migration where no owner replies: each proxy then keeps to its
-// share of the rate, and saves up one migration at most.
+// useOwnShare allows at most one migration while no owner replies. Each proxy then keeps to an equal
+// share of the rate, and accumulates at most one migration.
 func (p *MigrationPacer) useOwnShare(now Time, want int) (used int) {
 	if p.ownerReplied && now-p.lastReplyAt <= silentAfter {
 		p.shareTokens = 0
@@ -76,7 +79,8 @@
 	return used
 }
 
-// queryOwner requests permits; there is one query at a time, until its permits would have expired.
+// queryOwner requests permits. It does nothing while a query is pending whose permits would not have
+// expired yet.
 func (p *MigrationPacer) queryOwner(now Time, want int) {
 	for tag, at := range p.pendingQueries {
 		if now-at > permitLifetime {
@@ -95,7 +99,8 @@
 	p.SendQuery(p.lastTag, w.Uint(uint64(min(want, maxPermitsPerQuery))).Data)
 }
 
-// ReplyReceived takes permits. Their lifetime counts from the query, so that here they expire before they do by the owner's count.
+// ReplyReceived adds the permits of a reply. Their lifetime starts with the query, so that they
+// expire here before the owner considers them expired.
 func (p *MigrationPacer) ReplyReceived(now Time, tag uint64, body []byte) {
 	queriedAt, pending := p.pendingQueries[tag]
 	r := encoding.Reader{Data: body}
--- a/internal/fleet/jobs/migrationpacer_test.go
+++ b/internal/fleet/jobs/migrationpacer_test.go
@@ -8,7 +8,7 @@
 
 const (
 	pacedProxies = 8
-	fleetRate    = 40.0 // migrations a second
+	fleetRate    = 40.0 // migrations per second
 )
 
 // delayedMessage is a message in flight.
@@ -17,13 +17,14 @@
 	deliver func(now Time)
 }
 
-// pacedFleet is proxies that migrate clients as fast as they are allowed to, over a network that loses and delays messages.
+// pacedFleet simulates proxies that migrate clients as fast as they are allowed to. Its network
+// loses a fifth of the messages and delays the others by up to 300 ms.
 type pacedFleet struct {
 	rng      *rand.Rand
 	now      Time
 	pacers   [pacedProxies]*MigrationPacer
-	cut      [pacedProxies]bool // no query of this proxy arrives
-	owner    *MigrationPermits  // nil: none
+	cut      [pacedProxies]bool // proxies whose queries are lost
+	owner    *MigrationPermits  // nil if there is no owner
 	replies  replyOwner
 	inFlight []delayedMessage
 	migrated []Time
@@ -57,7 +58,8 @@
 	f.owner.QueryReceived(now, uint32(proxy), tag, body)
 }
 
-// step now and then replaces the owner or cuts a link, delivers the messages that are due, and migrates.
+// step replaces or removes the owner or cuts a link at random, delivers the messages that are due,
+// and migrates as many clients as each proxy is allowed to.
 func (f *pacedFleet) step() {
 	if f.rng.IntN(150) == 0 {
 		if f.owner = nil; f.rng.IntN(2) == 0 {
@@ -83,7 +85,7 @@
 	}
 }
 
-// maxMigrationsIn is the most migrations in any period of a length.
+// maxMigrationsIn returns the maximum number of migrations in any period of this length.
 func (f *pacedFleet) maxMigrationsIn(period Time) (most int) {
 	for i, j := 0, 0; i < len(f.migrated); i++ {
 		for f.migrated[i]-f.migrated[j] > period {
@@ -94,8 +96,9 @@
 	return most
 }
 
-// TestRateIsKept: with owners that change, lost replies and permits that are used late, all proxies together migrate no more clients than the
-// rate allows, and the permits that an owner granted in one lifetime before.
+// TestRateIsKept checks the fleet-wide rate while owners change, messages are lost and permits are
+// used late. The bound is the rate plus the permits of one lifetime, which an earlier owner may
+// have granted, a full bucket and one migration that each proxy has accumulated.
 func TestRateIsKept(t *testing.T) {
 	for seed := range uint64(60) {
 		f := newPacedFleet(seed)
@@ -104,15 +107,15 @@
 		}
 		bound := 2*fleetRate + fleetRate*float64(permitLifetime)/float64(sec) + fleetRate/4 + pacedProxies
 		if n := f.maxMigrationsIn(2 * sec); float64(n) > bound {
-			t.Fatalf("seed %d: %d migrations in two seconds, want at most %.0f", seed, n, bound)
+			t.Fatalf("seed %d: %d migrations within 2 s, want at most %.0f", seed, n, bound)
 		}
 		if len(f.migrated) < 60*int(fleetRate)/4 {
-			t.Fatalf("seed %d: %d migrations in a minute, want a quarter of the rate or more", seed, len(f.migrated))
+			t.Fatalf("seed %d: %d migrations in a minute, want %d or more, a quarter of the rate", seed, len(f.migrated), 60*int(fleetRate)/4)
 		}
 	}
 }
 
-// replyOwner is an Owner that only replies.
+// replyOwner implements an Owner whose only effect is to reply.
 type replyOwner struct{ reply func([]byte) }
 
 func (r *replyOwner) SendEffect(uint32, uint64, []byte) {}
@@ -123,7 +126,7 @@
 
 func (r *replyOwner) Members() []Member { return nil }
 
-// TestRateWithoutOwner: without an owner a proxy keeps to its share of the rate.
+// TestRateWithoutOwner checks that a proxy without an owner keeps to its share of the rate.
 func TestRateWithoutOwner(t *testing.T) {
 	p := &MigrationPacer{Rate: 10, FleetSize: 5}
 	migrations := 0
@@ -131,6 +134,6 @@
 		migrations += p.Allow(now, 3)
 	}
 	if migrations < 18 || migrations > 21 {
-		t.Errorf("%d migrations in ten seconds, its share is 20", migrations)
+		t.Errorf("%d migrations in 10 s, want 18 to 21: the share is 20", migrations)
 	}
 }
--- a/internal/fleet/jobs/suspendcommand.go
+++ b/internal/fleet/jobs/suspendcommand.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// MaxSuspendedHosts bounds how many hosts may be suspended fleet-wide.
+	// MaxSuspendedHosts is the maximum number of hosts that may be suspended fleet-wide.
 	MaxSuspendedHosts = 256
 
 	maxHostIDBytes = 128
@@ -20,20 +20,20 @@
 	errInvalidHostList = errors.New("jobs: the list of suspended hosts is torn or unsorted")
 )
 
-// commandKind is a kind of command to SuspendedHosts.
+// commandKind is the kind of a command to the owner of SuspendedHosts.
 type commandKind uint64
 
-// The kinds, as sent.
+// Command kinds, as sent in queries. The numbers must not change.
 const (
 	commandResume  commandKind = 0
 	commandSuspend commandKind = 1
 	commandList    commandKind = 2
 )
 
-// hostCommand is an operator's command.
+// hostCommand is an operator's command to the owner of SuspendedHosts.
 type hostCommand struct {
 	kind commandKind
-	host string // "" for a list
+	host string // empty if and only if kind is commandList
 }
 
 func (c hostCommand) encode() []byte {
@@ -50,7 +50,8 @@
 	return c, nil
 }
 
-// SuspendCommand suspends or resumes a host fleet-wide.
+// SuspendCommand returns the query that suspends a host fleet-wide, or resumes it if suspend is
+// false.
 func SuspendCommand(suspend bool, host string) []byte {
 	kind := commandResume
 	if suspend {
@@ -59,13 +60,14 @@
 	return hostCommand{kind, host}.encode()
 }
 
-// ListCommand queries which hosts are suspended fleet-wide.
+// ListCommand returns the query for the hosts that are suspended fleet-wide.
 func ListCommand() []byte { return hostCommand{kind: commandList}.encode() }
 
-// hostList is the suspended hosts, sorted.
+// hostList holds the IDs of the suspended hosts, sorted.
 type hostList []string
 
-// apply gives the list after a command; false: the command would exceed MaxHosts.
+// apply returns the list after a command. It reports false, with the list unchanged, if the list
+// would exceed MaxSuspendedHosts.
 func (l hostList) apply(c hostCommand) (hostList, bool) {
 	at, listed := slices.BinarySearch(l, c.host)
 	switch {
@@ -89,7 +91,8 @@
 	return w.Data
 }
 
-// decodeHostList decodes a list; no data is an empty one.
+// decodeHostList decodes a list. Empty data, the checkpoint of a job that never had an owner,
+// decode to an empty list.
 func decodeHostList(data []byte) (hostList, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -9,47 +9,52 @@
 )
 
 const (
-	// commandTimeout is how long the answer to a command waits for the receivers.
+	// commandTimeout is how long the answer to a command waits for the receivers to apply the list.
 	commandTimeout = 2 * sec
-	// storeRetryDelay is the time after a command from which on each step stores the list again, until the group has reported it.
+	// storeRetryDelay is how long after a command each step starts to store the list again, until
+	// the group reports it as stored.
 	storeRetryDelay = 300 * ms
-	// resendInterval is the time until a list is sent again to a member that has not acknowledged it.
+	// resendInterval is the time after which a list is sent again to a receiver that has not
+	// acknowledged it.
 	resendInterval = 500 * ms
 )
 
-// SuspendedHosts is the job of the hosts that operators suspend fleet-wide. Its owner orders the commands. Each effect is the complete
-// list, so that one that arrives late is superseded and not needed. A list is sent only once the group has stored it: a later owner has it then.
+// SuspendedHosts is the job that keeps the list of hosts that operators have suspended fleet-wide.
+// Its owner orders the commands. Each effect holds the complete list, so that a late effect, which
+// the fence rejects, is not needed. A list is sent only once the group has stored it, so that a
+// later owner starts with it.
 type SuspendedHosts struct {
-	// Apply applies the list at this process; nil: it is not applied.
+	// Apply applies the list at this process. If it is nil, the list is ignored.
 	Apply func(hosts []string)
 
-	owner            Owner
-	token            uint64
-	listNumber       uint64 // of the present list; rises with each command, and numbers checkpoints and effects
-	storedListNumber uint64 // the highest list number that the group has stored
+	owner            Owner  // nil while this process does not own the job
+	token            uint64 // the owner's token
+	listNumber       uint64 // of the current list, its checkpoint and its effects; rises with each command
+	storedListNumber uint64 // highest list number that the group has stored
 	hosts            hostList
-	acknowledged     map[receiver]uint64 // number of the list that a receiver has
-	sentAt           map[receiver]Time   // when the list was last sent
+	acknowledged     map[receiver]uint64 // number of the latest list that each receiver has applied
+	sentAt           map[receiver]Time   // when a list was last sent to each receiver; 0 if never
 	waiting          []*waitingCommand
 }
 
-// receiver is one process: after a restart a member is another receiver, which has no list.
+// receiver identifies a process that receives the list. A restarted member is a new receiver, which
+// does not have the list.
 type receiver struct {
 	peer        uint32
 	incarnation uint64
 }
 
-// waitingCommand is a command that is not answered yet.
+// waitingCommand is a command that has not been answered yet.
 type waitingCommand struct {
 	from          uint32
 	tag           uint64
-	minListNumber uint64 // of the list that holds it
-	deadline      Time
-	listStored    bool   // the group has stored that list
-	listAnswer    string // the answer to commandList; "": another command
+	minListNumber uint64 // number of the first list that reflects the command
+	deadline      Time   // when it is answered even if receivers are missing
+	listStored    bool   // whether the group has stored that list or a later one
+	listAnswer    string // answer to a commandList; empty for other commands
 }
 
-// Start takes the list over from the checkpoint.
+// Start continues with the list of the checkpoint.
 func (h *SuspendedHosts) Start(_ Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error {
 	hosts, err := decodeHostList(checkpoint)
 	if err != nil {
@@ -68,8 +73,9 @@
 	return h.listNumber, h.hosts.encode()
 }
 
-// QueryReceived takes an operator's command. The list is stored and sent also where the command changes nothing: the answer says which proxies
-// have it, and a list that the group has stored is surely not a stale owner's.
+// QueryReceived executes an operator's command. It stores the list, which is then sent, even if the
+// command does not change it: the answer reports which members have the list, and the group stores a
+// list only for an owner that is not stale.
 func (h *SuspendedHosts) QueryReceived(now Time, from uint32, tag uint64, body []byte) {
 	if h.owner == nil {
 		return
@@ -94,13 +100,16 @@
 	h.storeList()
 }
 
+// storeList asks the group to store the list. If that fails, as when the lease has ended, it
+// answers all commands.
 func (h *SuspendedHosts) storeList() {
 	if err := h.owner.StoreCheckpoint(h.listNumber, h.hosts.encode()); err != nil {
 		h.answerAllCommands()
 	}
 }
 
-// CheckpointStored sends the list once the group has stored it. A rejected one is a stale owner's, which is about to be stopped.
+// CheckpointStored sends the list once the group has stored it. It ignores a rejection, which means
+// that this owner is stale and will be stopped.
 func (h *SuspendedHosts) CheckpointStored(now Time, checkpointNumber uint64, stored bool) {
 	if h.owner == nil || !stored {
 		return
@@ -113,7 +122,8 @@
 	h.answerDueCommands(now)
 }
 
-// sendList sends the list to the receivers that have not acknowledged it. While a newer list is being stored nothing is sent.
+// sendList sends the list to the receivers that have not acknowledged it. It sends nothing until the
+// group has stored the current list.
 func (h *SuspendedHosts) sendList(now Time) {
 	if h.storedListNumber == 0 || h.storedListNumber != h.listNumber {
 		return
@@ -127,12 +137,14 @@
 	}
 }
 
-// sendDue bounds how often a list is repeated. A new one is sent at once to a receiver that has the one before.
+// sendDue reports whether the list may be sent to a receiver now: at most once per resendInterval,
+// except that a receiver with the previous list is sent a new one at once.
 func (h *SuspendedHosts) sendDue(to receiver, now Time) bool {
 	return now-h.sentAt[to] >= resendInterval || h.sentAt[to] == 0 || h.acknowledged[to]+1 == h.listNumber
 }
 
-// Step stores and sends again what may be lost, and answers commands whose time is up.
+// Step stores and sends the list again if a message may have been lost, and answers the commands
+// whose deadline has passed.
 func (h *SuspendedHosts) Step(now Time) {
 	if h.storeOverdue(now) {
 		h.storeList() // the first request may have been lost
@@ -141,7 +153,8 @@
 	h.answerDueCommands(now)
 }
 
-// storeOverdue reports whether the group should have reported the list by now.
+// storeOverdue reports whether the group has not reported the list within storeRetryDelay of the
+// last command.
 func (h *SuspendedHosts) storeOverdue(now Time) bool {
 	if h.storedListNumber == h.listNumber || len(h.waiting) == 0 {
 		return false
@@ -150,7 +163,8 @@
 	return now-last.deadline > storeRetryDelay-commandTimeout
 }
 
-// EffectAcknowledged records that a receiver has a list.
+// EffectAcknowledged records which list a receiver has. A duplicate counts, as the receiver has that
+// list or a later one.
 func (h *SuspendedHosts) EffectAcknowledged(now Time, from uint32, token ownership.FencingToken, v ownership.Verdict) {
 	if h.owner == nil || token.Token != h.token || v == ownership.Stale {
 		return
@@ -164,17 +178,20 @@
 	h.answerDueCommands(now)
 }
 
-// answerDueCommands answers the commands that every member has applied, and those whose time is up.
+// answerDueCommands answers the commands that are complete and those whose deadline has passed.
 func (h *SuspendedHosts) answerDueCommands(now Time) {
 	h.answerCommands(func(w *waitingCommand) bool { return now >= w.deadline })
 }
 
-// answerAllCommands answers all commands: the lease has ended, and this owner will not learn their result.
+// answerAllCommands answers all commands. It is called if this owner can't learn their results, as
+// when its lease has ended.
 func (h *SuspendedHosts) answerAllCommands() {
 	h.answerCommands(func(*waitingCommand) bool { return true })
 }
 
-// answerCommands answers the commands that are done, and those that are due with what is known of them. The texts are recorded.
+// answerCommands answers the commands that are complete: those whose list every member has applied,
+// and list commands once the list is stored. It answers the others that are due with what is known
+// so far. Tests and experiments match the texts.
 func (h *SuspendedHosts) answerCommands(due func(w *waitingCommand) bool) {
 	waiting := h.waiting[:0]
 	for _, w := range h.waiting {
@@ -199,7 +216,8 @@
 	h.owner.Reply(w.from, w.tag, []byte(fmt.Sprintf(format, args...)))
 }
 
-// membersWithout gives how many members there are, and the names of those that do not have a list, sorted.
+// membersWithout returns the number of members, and the sorted names of those that have not
+// acknowledged the list with a number or a later one.
 func (h *SuspendedHosts) membersWithout(number uint64) (total int, names []string) {
 	for _, m := range h.owner.Members() {
 		total++
@@ -211,7 +229,7 @@
 	return total, names
 }
 
-// ApplyEffect applies a list here. One that can't be decoded changes nothing.
+// ApplyEffect applies a list at this process. It ignores a list that can't be decoded.
 func (h *SuspendedHosts) ApplyEffect(_ Time, _ ownership.FencingToken, body []byte) {
 	if hosts, err := decodeHostList(body); err == nil && h.Apply != nil {
 		h.Apply(hosts)
--- a/internal/fleet/jobs/tokenbucket.go
+++ b/internal/fleet/jobs/tokenbucket.go
@@ -1,16 +1,17 @@
 package jobs
 
-// TokenBucket is a token bucket: what an owner may grant of a rate.
+// TokenBucket limits what an owner grants to a rate.
 type TokenBucket struct {
 	Tokens   float64
-	FilledAt Time // of the last Fill; nothing is added for the time before
+	FilledAt Time // when Fill last added tokens; none are added for the time before it
 }
 
-// bucketDepthDivisor bounds a bucket to what its rate gives in a quarter of a second, and to at least one token.
+// bucketDepthDivisor divides the rate per second to yield the capacity of a bucket: the tokens of a
+// quarter of a second, but at least one.
 const bucketDepthDivisor = 4
 
-// Fill adds the tokens that are due at a rate, in tokens a second. silent of fleetSize proxies use their own share of the rate, which is not
-// granted.
+// Fill adds the tokens for the time since the last call at a rate in tokens per second. silent is
+// how many of the fleetSize proxies use their own share of the rate; their shares are not added.
 func (b *TokenBucket) Fill(now Time, rate float64, fleetSize, silent int) {
 	if now <= b.FilledAt {
 		return
@@ -20,14 +21,16 @@
 	b.FilledAt = now
 }
 
-// Take takes as many full tokens as are wanted and available.
+// Take removes up to want whole tokens, as many as are available, and returns their number.
 func (b *TokenBucket) Take(want uint64) uint64 {
 	n := uint64(max(0, min(float64(want), b.Tokens)))
 	b.Tokens -= float64(n)
 	return n
 }
 
-// CountSilentMembers is how many of fleetSize proxies use their own share of a rate: all but those that sent a query within a time.
+// CountSilentMembers returns how many of the fleetSize proxies may be using their own share of a
+// rate: all except those that sent a query within the given time before now. queriedAt holds the
+// time of each proxy's last query.
 func CountSilentMembers(now Time, fleetSize int, queriedAt map[uint32]Time, within Time) int {
 	n := fleetSize
 	for _, at := range queriedAt {
