--- a/internal/fleet/owneragent/admincommands.go
+++ b/internal/fleet/owneragent/admincommands.go
@@ -12,7 +12,7 @@
 	"croftlock/internal/fleet/rules"
 )
 
-// adminCommands are the requests that operators may make, by Request.Command.
+// adminCommands holds the handlers of operators' requests, by Request.Command.
 var adminCommands = map[string]func(a *Agent, request Request) Reply{
 	"owners":  (*Agent).adminReport,
 	"status":  (*Agent).adminReport,
@@ -29,13 +29,14 @@
 }
 
 const (
-	// queryRetryInterval is the time after which a query about rules without a reply is sent again.
+	// queryRetryInterval is the time after which a query to the publisher of rules is sent again if
+	// it has no reply.
 	queryRetryInterval = 200 * time.Millisecond
 
 	rulesOff = "refused: (owners (rules on)) is not set"
 )
 
-// Replies to requests that were not carried out, or of which that is not known. Their bytes are recorded.
+// Replies to requests that were not carried out, or whose result is unknown.
 var (
 	replyBusy    = Reply{Error: "this proxy is too busy, or its disk hangs: ask again"}
 	replyUnknown = Reply{Error: "unknown: no owner has answered; what was asked may or may not have been done. Ask again: twice is as once"}
@@ -49,9 +50,11 @@
 	return command(a, request)
 }
 
-// runOnWorker runs f on the worker and waits for it; false: it has not returned in time.
+// runOnWorker runs f on the worker and reports whether it returned in time, as worker.call does with
+// requestTimeout. If not, f may still run later.
 func (a *Agent) runOnWorker(f func()) bool { return a.worker.call(f, requestTimeout) }
 
+// adminReport serves owners and status.
 func (a *Agent) adminReport(Request) (reply Reply) {
 	if !a.runOnWorker(func() { a.fillReport(&reply) }) {
 		return replyBusy
@@ -59,8 +62,10 @@
 	return reply
 }
 
-// adminDelayDrill has a drill stop its own process (SIGSTOP) at its next step, between the check of its lease and the sending of its effects. From
-// outside a signal can't be timed so. Fencing has to reject what it sends once it is continued.
+// adminDelayDrill makes a drill stop its own process with SIGSTOP at its next step, after it has
+// checked its lease and before it sends its effects. A signal from outside could not be timed to
+// hit that moment. Receivers must reject the effects that the drill sends once the process
+// continues.
 func (a *Agent) adminDelayDrill(request Request) (reply Reply) {
 	if !a.runOnWorker(func() {
 		drill, ok := a.jobs.byName[request.Argument].(*jobs.Drill)
@@ -76,6 +81,7 @@
 	return reply
 }
 
+// adminExplain explains how this process's rules decide a request.
 func (a *Agent) adminExplain(request Request) Reply {
 	if a.rules.enforcer == nil || request.Explain == nil {
 		return Reply{Error: rulesOff}
@@ -83,7 +89,8 @@
 	return Reply{Answer: a.rules.enforcer.Explain(*request.Explain)}
 }
 
-// adminMoveJob requests the coordinator to hand a job over. An answer that is not empty is its refusal.
+// adminMoveJob asks the coordinator to hand a job over to another member. A reply that is not empty
+// contains the reason of its refusal.
 func (a *Agent) adminMoveJob(request Request) Reply {
 	answer, failed := a.queryAndWait(func(tag uint64) { a.core.MoveJob(a.now(), request.Argument, request.SecondArgument, tag) }, nil)
 	switch {
@@ -95,7 +102,7 @@
 	return Reply{Answer: "its owner is asked for it"}
 }
 
-// adminSuspendedHosts passes suspend, resume and list on to the owner of the hosts' job.
+// adminSuspendedHosts sends suspend, resume and list to the owner of the job of suspended hosts.
 func (a *Agent) adminSuspendedHosts(request Request) Reply {
 	command := jobs.SuspendCommand(request.Command == "suspend", request.Argument)
 	if request.Command == "list" {
@@ -114,8 +121,9 @@
 	return Reply{Answer: answer}
 }
 
-// adminRules sends a query to the publisher of rules, again and again until it is answered: an owner that ends or is just starting may lose it.
-// The publisher treats a repeated query as the first one.
+// adminRules sends a query to the publisher of rules. It repeats the query until it is answered,
+// since an owner that stops or has just started may lose it. Repetition is safe: the publisher
+// treats a repeated query like the first one.
 func (a *Agent) adminRules(request Request) Reply {
 	query := func(tag uint64) { a.core.Query(a.now(), rulesJob, tag, request.Rules) }
 	answer, failed := a.queryAndWait(func(tag uint64) {
@@ -134,8 +142,10 @@
 	return Reply{Answer: rules.DecodeReply(answer)}
 }
 
-// queryAndWait sends a query to a job's owner, or a request to the coordinator, by send and waits for the reply; failed is the answer to
-// the operator where there is none. retry, if not nil, sends the query again each queryRetryInterval.
+// queryAndWait calls send on the worker with a new tag and waits for the reply to that tag. send
+// sends a query to a job's owner or a request to the coordinator. If there is no reply within
+// requestTimeout, failed is the Reply for the operator, otherwise it is nil. retry, if not nil, is
+// called each queryRetryInterval to send the query again.
 func (a *Agent) queryAndWait(send, retry func(tag uint64)) (answer string, failed *Reply) {
 	answers := make(chan string, 1)
 	var tag uint64
@@ -170,7 +180,8 @@
 
 var errNotVoter = errors.New("this proxy is no voter with a disk: ask one")
 
-// adminChangeVoters requests the group to change who votes.
+// adminChangeVoters asks the group to add, promote or remove a voter. The reply does not wait for
+// the change.
 func (a *Agent) adminChangeVoters(request Request) Reply {
 	var err error
 	if !a.runOnWorker(func() { err = a.changeVoters(request.Command, request.Argument) }) {
@@ -185,6 +196,7 @@
 	return Reply{Answer: "asked; group status tells once it is done"}
 }
 
+// changeVoters proposes a change of the voters. It runs on the worker.
 func (a *Agent) changeVoters(change, name string) error {
 	voter := a.replica.voter
 	if voter == nil {
--- a/internal/fleet/owneragent/adminsocket.go
+++ b/internal/fleet/owneragent/adminsocket.go
@@ -10,33 +10,34 @@
 	"croftlock/internal/fleet/namespace"
 )
 
-// Request is an operator's request at the socket, one a connection.
+// Request is an operator's request at the admin socket. A connection carries one request.
 type Request struct {
-	Command        string `json:"do"`          // a command: owners, move, status, add, promote, remove, suspend, resume, list, rules, explain, late
-	Argument       string `json:"a,omitempty"` // its first argument
-	SecondArgument string `json:"b,omitempty"` // its second
+	Command        string `json:"do"`          // a key of adminCommands
+	Argument       string `json:"a,omitempty"` // first argument of the command
+	SecondArgument string `json:"b,omitempty"` // second argument of the command
 
-	Rules   []byte             `json:"rules,omitempty"`   // a query to the publisher of rules
-	Explain *namespace.Request `json:"explain,omitempty"` // a request, for the rules to explain
+	Rules   []byte             `json:"rules,omitempty"`   // rules: the query to the publisher of rules
+	Explain *namespace.Request `json:"explain,omitempty"` // explain: the request to explain
 }
 
 const (
-	// requestTimeout bounds the time of a request.
+	// requestTimeout is how long a request may wait for its result.
 	requestTimeout = 4 * time.Second
-	// replyMargin is what a connection has beyond it, to write the reply.
+	// replyMargin is added to requestTimeout for the deadline of a connection, to write the reply.
 	replyMargin    = time.Second
 	dialTimeout    = 2 * time.Second
-	maxConnections = 8 // connections
+	maxConnections = 8 // served at a time
 )
 
-// adminSocket serves operators at a Unix socket. The accepting goroutine ends with the listener, those of connections with their deadlines.
+// adminSocket serves operators at a Unix socket. The goroutine that accepts connections ends when
+// the listener is closed, and those that serve connections end by their deadlines.
 type adminSocket struct {
 	listener        net.Listener
 	handle          func(Request) Reply
 	connectionLimit chan struct{} // holds one value for each connection
 }
 
-// listenAdmin serves at a Unix socket that only the user of this process may use.
+// listenAdmin starts to serve a Unix socket that only the user of this process may use.
 func listenAdmin(path string, handle func(Request) Reply) (*adminSocket, error) {
 	l, err := memberagent.ListenUnix(path)
 	if err != nil {
@@ -49,7 +50,7 @@
 
 func (s *adminSocket) close() { s.listener.Close() }
 
-// accept serves each connection; those beyond maxConcurrent are closed at once.
+// accept serves each connection. It closes those beyond maxConnections at once.
 func (s *adminSocket) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -77,7 +78,8 @@
 	json.NewEncoder(conn).Encode(s.handle(request))
 }
 
-// SendRequest sends a request to a running proxy at its socket.
+// SendRequest sends a request to a running proxy at its admin socket and returns the reply. A
+// failure of the request itself is reported in Reply.Error.
 func SendRequest(socket string, request Request) (Reply, error) {
 	var reply Reply
 	conn, err := net.DialTimeout("unix", filepath.Clean(socket), dialTimeout)
--- a/internal/fleet/owneragent/agent.go
+++ b/internal/fleet/owneragent/agent.go
@@ -1,6 +1,7 @@
-// Package owneragent runs the ownership package in a process: it owns the section (owners ...) of the operators' file, the worker goroutine on
-// which the replicated group, its store and the jobs run beside the event loop, their datagrams, and the socket for operators' requests.
-// Decisions are those of packages ownership, consensus, jobs, rules and quota.
+// Package owneragent runs package ownership in a process. It provides the section (owners ...) of
+// the settings file, a worker goroutine that runs the replicated group, its store and the jobs
+// beside the event loop, the transport of their messages, and the socket for operators' requests.
+// The decisions are made by packages ownership, consensus, jobs, rules and quota.
 package owneragent
 
 import (
@@ -18,16 +19,17 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Agent is one process's part. Its exported methods are called on the event loop. The fields under "worker" are used on the worker only.
+// Agent is the owner agent of a process. Its exported methods must be called on the event loop. The
+// fields under "worker" are used on the worker only.
 type Agent struct {
 	options     Options
 	name        string
-	incarnation uint64 // of ownership and fragments: this process's start in Unix milliseconds, without membership's counter
+	incarnation uint64 // of ownership and fragments: start time in Unix milliseconds, without membership's counter
 	startedAt   time.Time
 	loop        *netio.Loop
 	members     *memberagent.Agent
 	worker      *worker
-	socket      *adminSocket // nil: none
+	socket      *adminSocket // nil if no socket is configured
 	leaveState  leaveState
 
 	// worker
@@ -37,30 +39,32 @@
 	transport      *fragment.Transport
 	jobs           *jobRunner
 	queries        *queries
-	migrationPacer *jobs.MigrationPacer // nil: migrations are not paced
+	migrationPacer *jobs.MigrationPacer // nil if the rate of migrations is not limited
 	rules          rulesState
 	quota          quotaState
-	unheardBy      map[string]int // number of members that have not left and do not hear a member, by its name
+	unheardBy      map[string]int // by member name, how many members that have not left do not hear it
 	counts         Counts
 }
 
-// Counts are what has happened in a process since its start.
+// Counts counts events since the start of a process.
 type Counts struct {
-	AcceptedEffects   int `json:"Taken"`     // effects accepted here
-	RepeatedEffects   int `json:"Again"`     // always 0; the JSON of earlier versions has it
-	RejectedEffects   int `json:"Refused"`   // stale effects rejected here
-	SentEffects       int `json:"Sent"`      // effects of jobs owned here
-	JobPanics         int `json:"Panics"`    // of jobs
-	MalformedMessages int `json:"Malformed"` // messages
+	AcceptedEffects   int `json:"Taken"`     // effects that this process accepted
+	RepeatedEffects   int `json:"Again"`     // always 0; kept because earlier versions have it in their JSON
+	RejectedEffects   int `json:"Refused"`   // stale effects that this process rejected
+	SentEffects       int `json:"Sent"`      // effects that this process sent as an owner
+	JobPanics         int `json:"Panics"`    // panics in the code of jobs
+	MalformedMessages int `json:"Malformed"` // malformed datagrams and rejected messages received
 }
 
-// ErrMembershipOff is returned where owners are on and membership is off.
+// ErrMembershipOff is returned by Start if membership is off.
 var ErrMembershipOff = errors.New("owners: membership is off")
 
-// viewInterval is how often the worker learns who is in the fleet.
+// viewInterval is the time between two updates of the worker's view of the members.
 const viewInterval = 250 * time.Millisecond
 
-// Start starts the agent. applySuspended is called on the loop with the hosts that are suspended fleet-wide, at each change.
+// Start starts the agent of the process with this member name. It must be called on the loop.
+// applySuspended is called on the loop with the complete list of hosts that are suspended
+// fleet-wide, each time that this process accepts a list.
 func Start(l *netio.Loop, o Options, name string, m *memberagent.Agent, applySuspended func(hosts []string)) (*Agent, error) {
 	if m == nil {
 		return nil, ErrMembershipOff
@@ -86,7 +90,7 @@
 	return a, nil
 }
 
-// addJobs makes the jobs that this process can own.
+// addJobs adds the jobs that this process can own. It is called before the worker starts.
 func (a *Agent) addJobs(applySuspended func(hosts []string)) {
 	fleetSize := max(1, a.members.FleetSize())
 	if a.options.SuspendHosts {
@@ -105,10 +109,11 @@
 	}
 }
 
-// now is the monotonic clock that decisions go by; above 0.
+// now returns the monotonic clock of the core, the jobs and the transport in nanoseconds, above 0.
 func (a *Agent) now() int64 { return int64(time.Since(a.startedAt)) + 1 }
 
-// refreshView passes the members of the fleet to the worker, from the loop, until the worker stops.
+// refreshView passes the members of the fleet to the worker each viewInterval until the worker
+// stops. It runs on the loop.
 func (a *Agent) refreshView() {
 	if a.worker.stopping() {
 		return
@@ -119,17 +124,18 @@
 	a.loop.After(viewInterval, a.refreshView)
 }
 
-// hasState reports whether a member is in one of some states, as membership names them.
+// hasState reports whether a member is in one of the states.
 func hasState(m memberagent.ViewMember, states ...membership.State) bool {
 	return slices.ContainsFunc(states, func(s membership.State) bool { return m.State == s.String() })
 }
 
-// isUnnamedOrLeft reports whether a member is not known by name yet, or has left the fleet.
+// isUnnamedOrLeft reports whether the name of a member is not known yet, or the member has left the
+// fleet or is gone.
 func isUnnamedOrLeft(m memberagent.ViewMember) bool {
 	return m.Name == "" || hasState(m, membership.Left, membership.Gone)
 }
 
-// currentMembers are the members that have not left, and this process, at the end.
+// currentMembers returns the members that have not left the fleet, followed by this process.
 func (a *Agent) currentMembers(view []memberagent.ViewMember) (members []jobs.Member) {
 	for _, m := range view {
 		if !isUnnamedOrLeft(m) {
@@ -140,7 +146,7 @@
 	return append(members, jobs.Member{Name: a.name, Peer: group.Peer(a.name), Incarnation: a.incarnation, Present: true})
 }
 
-// countUnheard counts, for each member, by how many others it is not heard.
+// countUnheard returns, by member name, how many members that have not left do not hear that member.
 func (a *Agent) countUnheard(view []memberagent.ViewMember) map[string]int {
 	names := map[uint32]string{}
 	for _, m := range view {
@@ -162,7 +168,8 @@
 	return unheard
 }
 
-// openGroup opens the group, and makes the Core at the first time. It runs on the worker, since it may wait for a disk.
+// openGroup opens the replicated group and, when first called, creates the Core. It runs on the
+// worker, since it may wait for a disk.
 func (a *Agent) openGroup() {
 	a.replica.open()
 	if a.core != nil {
@@ -173,12 +180,15 @@
 		WallClock: func() int64 { return time.Now().UnixMilli() }}
 	core, err := ownership.New(cfg, a.replica.group, a.replica.table, a.fence, coreEffects{a})
 	if err != nil {
-		panic(err) // can't be: Section checks the voters, membership the name, and the section's bounds allow fewer than ownership.MaxJobs jobs
+		// Unreachable: Section checks the voters, membership checks the name, and the bounds of the
+		// section allow fewer than ownership.MaxJobs jobs.
+		panic(err)
 	}
 	a.core = core
 }
 
-// tick runs on the worker each tickInterval.
+// tick advances the group, the core, the transport and the jobs. It runs on the worker each
+// tickInterval.
 func (a *Agent) tick() {
 	now := a.now()
 	if a.replica.closeIfStopped() {
--- a/internal/fleet/owneragent/agent_test.go
+++ b/internal/fleet/owneragent/agent_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/fleet/jobs"
 )
 
-// panickingJob is a job that panics: at each start, or at its second step.
+// panickingJob is a job that panics at each start if atStart is set, otherwise at its second step.
 type panickingJob struct {
 	jobs.Drill
 	atStart bool
@@ -37,7 +37,7 @@
 	}
 }
 
-// countDrills counts the drills among jobs.
+// countDrills returns the number of drills among the owned jobs.
 func countDrills(owned map[string]uint64) (n int) {
 	for job := range owned {
 		if strings.HasPrefix(job, "drill") {
@@ -47,7 +47,8 @@
 	return n
 }
 
-// TestJobsThatPanic: they are started again with a backoff, and two hundred other jobs are not affected.
+// TestJobsThatPanic checks that jobs that panic are started again with a backoff, and that 200 other
+// jobs are not affected.
 func TestJobsThatPanic(t *testing.T) {
 	const drills = 200
 	atStart, later := &panickingJob{atStart: true}, &panickingJob{}
@@ -55,11 +56,12 @@
 	defer func() { testJobs = nil }()
 	began := time.Now()
 	a := startAlone(t, Options{Drills: drills, Dir: t.TempDir()})
-	eventually(t, "some drills have no owner", func() bool { return countDrills(readReport(t, a).Owned) == drills })
-	eventually(t, "a job that panics is not started again", func() bool { return atStart.starts.Load() >= 3 && later.starts.Load() >= 3 })
+	eventually(t, "not all drills are owned", func() bool { return countDrills(readReport(t, a).Owned) == drills })
+	eventually(t, "a job that panics was not started 3 times", func() bool { return atStart.starts.Load() >= 3 && later.starts.Load() >= 3 })
 	time.Sleep(500 * time.Millisecond)
-	// The backoff is a second at least, also where a starved process becomes the coordinator again and does not know the earlier failures.
-	// Without it the jobs would start at every step, tens of times a second.
+	// The backoff is at least one second, even if a process that was starved of CPU becomes the
+	// coordinator again and does not know the earlier failures. Without a backoff the jobs would
+	// start at every step, tens of times per second.
 	took := time.Since(began)
 	for name, job := range map[string]*panickingJob{"panics-at-start": atStart, "panics-later": later} {
 		if starts, most := job.starts.Load(), 3+int64(2*took.Seconds()); starts > most {
@@ -68,16 +70,16 @@
 	}
 	r := readReport(t, a)
 	if len(r.Owned) < drills || r.Counts == nil || r.Counts.JobPanics < 4 {
-		t.Errorf("%d jobs owned, want %d; counts %+v, want 4 panics or more", len(r.Owned), drills, r.Counts)
+		t.Errorf("%d jobs owned, want %d or more; counts %+v, want 4 panics or more", len(r.Owned), drills, r.Counts)
 	}
 	for _, row := range r.Jobs {
 		if row.Job == "panics-at-start" && row.Owner == "" && !strings.Contains(row.Reason, "panic at start") {
-			t.Errorf("the table's reason does not hold the panic: %q", row.Reason)
+			t.Errorf("the table's reason for panics-at-start is %q, want it to contain %q", row.Reason, "panic at start")
 		}
 	}
 }
 
-// querySocket sends a line to the admin socket, and gives the reply.
+// querySocket sends a line to the admin socket and returns the reply.
 func querySocket(t *testing.T, path, line string) (r Reply) {
 	t.Helper()
 	conn, err := net.Dial("unix", path)
@@ -87,20 +89,21 @@
 	defer conn.Close()
 	fmt.Fprintln(conn, line)
 	if err := json.NewDecoder(conn).Decode(&r); err != nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("reply to %s: %v", line, err)
 	}
 	return r
 }
 
-// TestAdminSocket: only its user may use the socket, and an invalid request gets an error that says what is wrong with it.
+// TestAdminSocket checks that only the user of the process may use the socket, that the error of an
+// invalid request names its fault, and that requests are served.
 func TestAdminSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	a := startAlone(t, Options{SuspendHosts: true, Socket: path})
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Error(info, err)
+		t.Errorf("Stat(%q) = %v, %v; want mode 0600", path, info, err)
 	}
 	if _, err := listenAdmin(path, a.serveRequest); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("a socket in use: got %v", err)
+		t.Errorf("listenAdmin at a socket in use: error %v, want it to contain %q", err, "in use")
 	}
 	for _, c := range []struct{ request, want string }{
 		{`{"do":"dance"}`, "no request"},
@@ -109,27 +112,28 @@
 		{`{"do":"move","a":"hosts","b":"x"}`, ""},
 	} {
 		if r := querySocket(t, path, c.request); r.Error == "" || !strings.Contains(r.Error, c.want) {
-			t.Errorf("%s: got %+v, want an error with %q", c.request, r, c.want)
+			t.Errorf("request %s: reply %+v, want an error that contains %q", c.request, r, c.want)
 		}
 	}
-	eventually(t, "the host is not suspended", func() bool {
+	eventually(t, "no answer done at all 1 to suspend s1", func() bool {
 		r, err := SendRequest(path, Request{Command: "suspend", Argument: "s1"})
 		return err == nil && r.Answer == "done at all 1"
 	})
-	eventually(t, "the list does not name the host", func() bool {
+	eventually(t, "the list of suspended hosts is not s1", func() bool {
 		r, err := SendRequest(path, Request{Command: "list"})
 		return err == nil && r.Answer == "out for the fleet: s1"
 	})
 }
 
-// TestUnreadableStore: a store that can't be read is reported; the process goes on, and owns nothing.
+// TestUnreadableStore checks that a process whose store can't be read reports that, continues to
+// run, and owns no jobs.
 func TestUnreadableStore(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "voter.db"), []byte(strings.Repeat("no store ", 4000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a := startAlone(t, Options{Drills: 1, Dir: dir})
-	eventually(t, "the store is not reported as unreadable", func() bool {
+	eventually(t, "the store is not reported as unreadable, or a job is owned", func() bool {
 		r := readReport(t, a)
 		return strings.Contains(r.Store, "unreadable") && len(r.Owned) == 0
 	})
--- a/internal/fleet/owneragent/faultinjection.go
+++ b/internal/fleet/owneragent/faultinjection.go
@@ -6,19 +6,22 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// FaultInjection breaks single properties of a process, to show that the checks of experiments find it. The zero value breaks nothing.
+// FaultInjection breaks single properties of a process, to show that the checks of experiments
+// detect the violation. The zero value breaks nothing.
 type FaultInjection struct {
 	Ownership ownership.FaultInjection
-	// ExtendRulesLease has this process act by rules for lapseFaultFactor times their lease: breaks the bound on how long two proxies act by
-	// rules that contradict each other.
+	// ExtendRulesLease makes this process act by rules for lapseFaultFactor times their lease. It
+	// breaks the bound on how long two proxies act by rules that contradict each other.
 	ExtendRulesLease bool
 }
 
-// Faults are injected into every Agent of this process. Only croftlock-experiment sets them, before anything is started: no file and no
-// argument of the program does.
+// Faults holds the faults that are injected into every Agent of this process. Only
+// croftlock-experiment sets it, before it starts anything. No settings file or argument of
+// croftlock sets it.
 var Faults FaultInjection
 
-// ParseFaultInjection gives the fault that experiments call by a name: forget or lapse; "": none.
+// ParseFaultInjection returns the fault with the name that experiments use for it: forget or lapse.
+// An empty name means no fault.
 func ParseFaultInjection(name string) (FaultInjection, error) {
 	switch name {
 	case "":
--- a/internal/fleet/owneragent/faultinjection_test.go
+++ b/internal/fleet/owneragent/faultinjection_test.go
@@ -6,6 +6,7 @@
 	"croftlock/internal/fleet/ownership"
 )
 
+// TestParseFaultInjection checks each fault's name, and that names are case-sensitive.
 func TestParseFaultInjection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -18,7 +19,7 @@
 		{name: "Forget", invalid: true},
 	} {
 		if got, err := ParseFaultInjection(c.name); got != c.want || (err != nil) != c.invalid {
-			t.Errorf("%q: got %+v, %v; want %+v, invalid %t", c.name, got, err, c.want, c.invalid)
+			t.Errorf("ParseFaultInjection(%q) = %+v, %v; want %+v, error %t", c.name, got, err, c.want, c.invalid)
 		}
 	}
 }
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -14,7 +14,8 @@
 	"croftlock/internal/fleet/memberagent"
 )
 
-// testVoter takes the place of package replica's, which can't be used here: it is built on this package.
+// testVoter implements Voter in place of package replica, which imports this package and can't be
+// used here.
 type testVoter struct{ *consensus.Core }
 
 func (v testVoter) Stopped() *group.StoreError {
@@ -41,7 +42,7 @@
 	os.Exit(m.Run())
 }
 
-// freeAddress gives an address of UDP that nobody listens on.
+// freeAddress returns a UDP address on which no socket listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -52,7 +53,7 @@
 	return conn.LocalAddr().String()
 }
 
-// startAlone starts one process, the only voter of its group.
+// startAlone starts an Agent with options o. Its process is the only member and the only voter.
 func startAlone(t *testing.T, o Options) *Agent {
 	t.Helper()
 	addr := freeAddress(t)
@@ -87,12 +88,13 @@
 func readReport(t *testing.T, a *Agent) (r Reply) {
 	t.Helper()
 	if !a.runOnWorker(func() { a.fillReport(&r) }) {
-		t.Log("the worker is busy: no report")
+		t.Log("no report: the worker is busy")
 	}
 	return r
 }
 
-// eventually waits for a condition; timedOut says what is wrong if it does not come to hold.
+// eventually waits until holds reports true. If it does not within 30 s, the test fails with
+// timedOut.
 func eventually(t *testing.T, timedOut string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
--- a/internal/fleet/owneragent/jobrunner.go
+++ b/internal/fleet/owneragent/jobrunner.go
@@ -10,27 +10,28 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Names of jobs, as the table and operators' commands have them.
+// Names of jobs in the table and in operators' commands. They must not change.
 const (
 	hostsJob      = "hosts"
 	migrationsJob = "moves"
 	rulesJob      = "rules"
 )
 
-// jobRunner runs the jobs that this process can own. A panic of one releases it and leaves the others alone.
+// jobRunner runs the jobs that this process can own. If a job panics, only that job is released. All
+// methods except add run on the worker.
 type jobRunner struct {
 	agent   *Agent
 	byName  map[string]jobs.Job
-	names   []string          // sorted
-	owned   map[string]uint64 // token of each job that runs here
-	members []jobs.Member
+	names   []string          // keys of byName, sorted
+	owned   map[string]uint64 // tokens of the jobs that this process owns
+	members []jobs.Member     // as of the last refreshView
 }
 
 func newJobRunner(a *Agent) *jobRunner {
 	return &jobRunner{agent: a, byName: map[string]jobs.Job{}, owned: map[string]uint64{}}
 }
 
-// add adds a job, before the worker starts.
+// add adds a job. It must be called before the worker starts.
 func (r *jobRunner) add(name string, job jobs.Job) {
 	r.byName[name] = job
 	if i, known := slices.BinarySearch(r.names, name); !known {
@@ -38,7 +39,8 @@
 	}
 }
 
-// step gives each job that is owned here its turn. Lease: the check comes before each one, since the one before may have taken long.
+// step calls Step of each job that this process owns. Lease: it is checked before each job, since
+// the previous job may have taken long.
 func (r *jobRunner) step(now int64) {
 	for _, name := range r.names {
 		if token, owns := r.owned[name]; owns && r.agent.core.IsOwner(now, name, token) {
@@ -47,6 +49,8 @@
 	}
 }
 
+// start starts a job as its owner. It returns an error if the job is unknown, fails to start or
+// panics.
 func (r *jobRunner) start(name string, token, checkpointNumber uint64, checkpoint []byte) (err error) {
 	job := r.byName[name]
 	if job == nil {
@@ -66,6 +70,7 @@
 	return nil
 }
 
+// stop stops a job and returns its last checkpoint, or 0 and nil if the job panics.
 func (r *jobRunner) stop(name string, token uint64, reason ownership.ReleaseReason) (checkpointNumber uint64, checkpoint []byte) {
 	delete(r.owned, name)
 	slog.Info("job_released", "job", name, "token", token, "reason", reason.String())
@@ -73,7 +78,8 @@
 	return checkpointNumber, checkpoint
 }
 
-// callJob runs a job's code. A panic is logged, and releases the job if it is owned under token; token 0: the code is not an owner's.
+// callJob calls f with a job. If f panics, the panic is logged, and the job is released if this
+// process owns it under token. A zero token means that f does not run the owner's part.
 func (r *jobRunner) callJob(name string, token uint64, f func(j jobs.Job)) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -89,13 +95,15 @@
 	}
 }
 
-// callOwnedJob is recoverJob for the owner's code of a job: it is not run where the job is not owned.
+// callOwnedJob calls f with a job like callJob if this process owns the job. Otherwise it does
+// nothing.
 func (r *jobRunner) callOwnedJob(name string, f func(j jobs.Job)) {
 	if token, owns := r.owned[name]; owns {
 		r.callJob(name, token, f)
 	}
 }
 
+// addDrill adds a drill. It is called before the worker starts.
 func (a *Agent) addDrill(name string) {
 	interval := time.Duration(max(minDrillIntervalMS, a.options.DrillIntervalMS)) * time.Millisecond
 	a.jobs.add(name, &jobs.Drill{Interval: int64(interval), EffectReceived: func(token ownership.FencingToken) {
@@ -103,14 +111,14 @@
 	}})
 }
 
-// jobOwner is what a job may do while it is owned here.
+// jobOwner implements jobs.Owner for a job that this process owns under a token.
 type jobOwner struct {
 	agent *Agent
 	job   string
 	token uint64
 }
 
-// SendEffect sends an effect, unless the lease has ended.
+// SendEffect sends an effect unless the lease has ended.
 func (o jobOwner) SendEffect(to uint32, number uint64, body []byte) {
 	if !o.agent.core.IsOwner(o.agent.now(), o.job, o.token) {
 		return
@@ -119,20 +127,21 @@
 	o.SendEffectUnchecked(to, number, body)
 }
 
-// SendEffectUnchecked is SendEffect without the check of the lease: with it drills show that receivers reject a stale owner.
+// SendEffectUnchecked sends an effect without checking the lease. Drills use it to show that
+// receivers reject the effects of a stale owner.
 func (o jobOwner) SendEffectUnchecked(to uint32, number uint64, body []byte) {
 	o.agent.core.SendEffect(o.agent.now(), to, o.job, ownership.FencingToken{Token: o.token, Sequence: number}, body)
 }
 
-// StoreCheckpoint has a checkpoint stored by the group.
+// StoreCheckpoint asks the group to store a checkpoint.
 func (o jobOwner) StoreCheckpoint(number uint64, checkpoint []byte) error {
 	return o.agent.core.StoreCheckpoint(o.agent.now(), o.job, o.token, number, checkpoint)
 }
 
-// Reply answers a query.
+// Reply replies to a query.
 func (o jobOwner) Reply(to uint32, tag uint64, body []byte) {
 	o.agent.core.Reply(o.agent.now(), to, tag, body)
 }
 
-// Members are those that have not left the fleet.
+// Members returns the members that have not left the fleet, this process included.
 func (o jobOwner) Members() []jobs.Member { return o.agent.jobs.members }
--- a/internal/fleet/owneragent/leave.go
+++ b/internal/fleet/owneragent/leave.go
@@ -3,26 +3,29 @@
 import "time"
 
 const (
-	// leaveTimeout bounds how long a process that shuts down waits until the coordinator has taken its jobs back.
+	// leaveTimeout is how long a process that shuts down waits for the coordinator to take back its
+	// jobs.
 	leaveTimeout = 200 * time.Millisecond
-	// leavePollInterval is the time between two checks while no message arrives.
+	// leavePollInterval is the time between two checks of Core.HasLeft while no message arrives.
 	leavePollInterval = 5 * time.Millisecond
 )
 
-// leaveState is the state of leaving the fleet. It belongs to the loop.
+// leaveState is the progress of Leave. It is used on the loop only.
 type leaveState struct {
-	waiting []func() // to be called once this process has left; nil: it is not leaving
-	left    bool
+	waiting []func() // called once this process has left; nil before the first call of Leave
+	left    bool     // whether this process has left
 }
 
-// Leave releases all jobs and the lead, then stops the agent and calls done on the loop: once the coordinator has taken the jobs back, or after
-// leaveTimeout. Stop stops without releasing anything.
+// Leave releases all jobs and the leadership of the group, then stops the agent and calls done on
+// the loop. It does so once the coordinator has taken back the jobs, or after leaveTimeout. If a is
+// nil or has left already, it calls done at once. Stop, in contrast, releases nothing.
 func (a *Agent) Leave(done func()) {
 	if a == nil || a.leaveState.left {
 		done()
 		return
 	}
-	// A process that hands over calls Leave, and again as it shuts down. The second call must not end the first one's release: both wait for it.
+	// A process that hands over in a hot restart calls Leave, and calls it again when it shuts down.
+	// The second call must not cut the release short, so both wait for its end.
 	first := a.leaveState.waiting == nil
 	a.leaveState.waiting = append(a.leaveState.waiting, done)
 	if !first {
@@ -35,6 +38,7 @@
 	})
 }
 
+// finishLeaving stops the agent and calls the functions passed to Leave. It runs on the loop.
 func (a *Agent) finishLeaving() {
 	if a.leaveState.left {
 		return
@@ -46,11 +50,12 @@
 	}
 }
 
-// awaitRelease runs the worker's functions until the coordinator has taken the jobs back. It runs on the worker.
+// awaitRelease runs the functions of the worker's inbox until the coordinator has taken back the
+// jobs. It runs on the worker.
 func (a *Agent) awaitRelease() {
 	if a.core.HasLeft() {
 		a.core.TransferLeadership(a.now())
-		time.Sleep(leavePollInterval) // the loop has to send the messages that were just posted to it
+		time.Sleep(leavePollInterval) // gives the loop time to send the messages that were just posted to it
 		a.loop.Post(a.finishLeaving)
 		return
 	}
@@ -63,7 +68,8 @@
 	a.worker.post(a.awaitRelease)
 }
 
-// Stop stops the agent and closes the store.
+// Stop stops the agent and closes the store without releasing the jobs. It does nothing if a is nil
+// or stopped already.
 func (a *Agent) Stop() {
 	if a == nil || a.worker.stopping() {
 		return
--- a/internal/fleet/owneragent/migrations.go
+++ b/internal/fleet/owneragent/migrations.go
@@ -2,6 +2,7 @@
 
 import "croftlock/internal/fleet/jobs"
 
+// addMigrationJob adds the pacer and its job. It is called before the worker starts.
 func (a *Agent) addMigrationJob(fleetSize int) {
 	rate := float64(a.options.MigrationRate)
 	a.jobs.add(migrationsJob, &jobs.MigrationPermits{Rate: rate, FleetSize: fleetSize})
@@ -10,8 +11,9 @@
 	a.migrationPacer.SendQuery = func(tag uint64, body []byte) { a.queries.send(source, migrationsJob, tag, body) }
 }
 
-// RequestMigrations requests how many of want clients may be migrated now. done is called with the number on the loop; at once where migrations are
-// not paced.
+// RequestMigrations requests permits to migrate up to want clients now. It calls done on the loop
+// with the number allowed, or at once with want if the rate of migrations is not limited. done is
+// never called if the worker's inbox is full.
 func (a *Agent) RequestMigrations(want int, done func(allowed int)) {
 	if a == nil || a.migrationPacer == nil {
 		done(want)
@@ -23,5 +25,5 @@
 	})
 }
 
-// PacesMigrations reports whether migrations are paced.
+// PacesMigrations reports whether the rate of migrations is limited.
 func (a *Agent) PacesMigrations() bool { return a != nil && a.migrationPacer != nil }
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -12,25 +12,25 @@
 	"croftlock/internal/operations/settings"
 )
 
-// minDrillIntervalMS bounds Options.DrillIntervalMS from below.
+// minDrillIntervalMS is the minimum of Options.DrillIntervalMS, in milliseconds.
 const minDrillIntervalMS = 20
 
-// Options are the section (owners ...).
+// Options holds the section (owners ...) of the settings file.
 type Options struct {
-	Enabled         bool
-	Group           string   // name of the group of voters; messages of others are rejected; default croftlock
-	Voters          []string // names of those that vote, the same list everywhere
-	Dir             string   // folder of a voter's store; "": voters keep their state in memory
-	MaxStoreKB      int      // bound of that store, KiB; default 8192
-	SuspendHosts    bool     // hosts can be suspended fleet-wide
-	MigrationRate   int      // migrations a second fleet-wide; 0: not paced
-	Drills          int      // number of drill jobs
-	DrillIntervalMS int      // time between two numbers of a drill, milliseconds; default 100
-	Socket          string   // Unix socket for operators; "": none
+	Enabled         bool     // whether this process takes part; default false
+	Group           string   // name of the voters' group; messages of others are rejected; default "croftlock"
+	Voters          []string // names of the members that vote; must be the same list at all members
+	Dir             string   // directory of a voter's store; if empty, voters keep their state in memory
+	MaxStoreKB      int      // maximum size of that store in KiB; default 8192
+	SuspendHosts    bool     // whether hosts can be suspended fleet-wide; default false
+	MigrationRate   int      // maximum number of migrations per second, fleet-wide; 0 means no limit
+	Drills          int      // number of drill jobs; default 0
+	DrillIntervalMS int      // time between two numbers of a drill in milliseconds; default 100
+	Socket          string   // path of the Unix socket for operators; empty if there is none
 	Rules           RulesOptions
 }
 
-// Section is the section (owners ...) of the operators' file.
+// Section returns the declaration of the section (owners ...), whose value is an Options.
 func Section() settings.Section {
 	return settings.Section{Name: "owners", Doc: "one owner at a time for the fleet's work", Bind: func(f *settings.Form) any {
 		o := Options{Group: "croftlock", MaxStoreKB: 8192, DrillIntervalMS: 100}
@@ -53,10 +53,11 @@
 	}}
 }
 
-// maxVoters bounds the voters of the section.
+// maxVoters is the maximum number of voters in the section.
 const maxVoters = 7
 
-// setVoters takes the names, and reports whether they are 1 to maxVoters different ones.
+// setVoters sets the voters to the names, which are separated by spaces. It reports whether they
+// are 1 to maxVoters different names.
 func (o *Options) setVoters(names string) bool {
 	o.Voters = strings.Fields(names)
 	sorted := slices.Clone(o.Voters)
@@ -64,7 +65,8 @@
 	return len(sorted) > 0 && len(sorted) <= maxVoters && len(slices.Compact(sorted)) == len(o.Voters)
 }
 
-// Check looks at what the section refers to. member is the section (membership …).
+// Check returns an error if the section lacks something that it depends on: membership, whose
+// section is member, the directory of the store, or a program with voters on disk.
 func (o Options) Check(member memberagent.Options) error {
 	if !o.Enabled {
 		return nil
@@ -88,5 +90,5 @@
 	return nil
 }
 
-// testJobs are jobs that tests add.
+// testJobs holds additional jobs by name. Only tests set it.
 var testJobs map[string]jobs.Job
--- a/internal/fleet/owneragent/options_test.go
+++ b/internal/fleet/owneragent/options_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/operations/settings"
 )
 
-// TestSection: the error of an invalid section names what is wrong.
+// TestSection checks that the error of an invalid section names the fault.
 func TestSection(t *testing.T) {
 	schema := settings.Schema{memberagent.Section(), Section()}
 	path := filepath.Join(t.TempDir(), "f.sexp")
@@ -25,12 +25,12 @@
 	} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := schema.Load(path); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want %q", text, err, want)
+			t.Errorf("Load of %s: error %v, want it to contain %q; no error if that is empty", text, err, want)
 		}
 	}
 }
 
-// TestCheck: the error of a section that refers to something missing names it.
+// TestCheck checks that the error of a section names what the section refers to and is missing.
 func TestCheck(t *testing.T) {
 	folder := t.TempDir()
 	file := filepath.Join(folder, "file")
@@ -42,7 +42,7 @@
 		name    string
 		options Options
 		members memberagent.Options
-		want    string // part of the error; "": none
+		want    string // part of the error; empty if there is none
 	}{
 		{"off", Options{}, memberagent.Options{}, ""},
 		{"without membership", Options{Enabled: true}, memberagent.Options{}, "need membership"},
@@ -51,16 +51,17 @@
 		{"a folder", Options{Enabled: true, Dir: folder}, on, ""},
 	} {
 		if err := c.options.Check(c.members); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
+			t.Errorf("%s: Check returned %v, want an error that contains %q; none if that is empty", c.name, err, c.want)
 		}
 	}
 }
 
-// TestProgramWithoutVoters: a program without voters on disk rejects a file with dir, and names the program that has them.
+// TestProgramWithoutVoters checks that a program without voters on disk rejects a section with dir,
+// and that the error names the program that supports them.
 func TestProgramWithoutVoters(t *testing.T) {
 	OpenVoter = nil
 	defer func() { OpenVoter = openTestVoter }()
 	if err := (Options{Enabled: true, Dir: t.TempDir()}).Check(memberagent.Options{Enabled: true}); err == nil || !strings.Contains(err.Error(), "croftlock-voter") {
-		t.Error(err)
+		t.Errorf("Check of a section with dir: error %v, want it to contain %q", err, "croftlock-voter")
 	}
 }
--- a/internal/fleet/owneragent/queries.go
+++ b/internal/fleet/owneragent/queries.go
@@ -1,20 +1,22 @@
 package owneragent
 
-// maxPendingQueries is how many later queries are sent before one without a reply is dropped.
+// maxPendingQueries is the number of later tags after which a source drops a query without a reply.
 const maxPendingQueries = 64
 
-// queries are the queries to owners of jobs that wait for a reply. Each source counts its own tags; on the wire a query has a tag of this process.
+// queries tracks the queries to owners of jobs and to the coordinator that have no reply yet. Each
+// source has its own sequence of tags. On the wire, a query carries a tag that is unique in this
+// process.
 type queries struct {
 	agent           *Agent
 	lastTag         uint64
 	sources         []*querySource
-	operatorAnswers map[uint64]chan<- string // operators' queries, by tag; each channel takes one reply without blocking
+	operatorAnswers map[uint64]chan<- string // for operators' queries, by tag; each channel has room for one reply
 }
 
-// querySource is a part of the agent that sends queries to owners.
+// querySource is a component of the agent that sends queries to owners.
 type querySource struct {
-	tags    map[uint64]uint64 // the source's own tag, by the process's
-	deliver func(tag uint64, body []byte)
+	tags    map[uint64]uint64             // tag of the source, by tag of the process
+	deliver func(tag uint64, body []byte) // called with the tag of the source
 }
 
 func newQueries(a *Agent) *queries {
@@ -26,14 +28,14 @@
 	return q.lastTag
 }
 
-// newSource adds a source, before the worker starts.
+// newSource adds a source. It must be called before the worker starts.
 func (q *queries) newSource(deliver func(tag uint64, body []byte)) *querySource {
 	source := &querySource{tags: map[uint64]uint64{}, deliver: deliver}
 	q.sources = append(q.sources, source)
 	return source
 }
 
-// send sends a query of a source to the owner of a job.
+// send sends a query of a source to the owner of a job. ownTag is the tag of the source.
 func (q *queries) send(source *querySource, job string, ownTag uint64, body []byte) {
 	tag := q.nextTag()
 	source.tags[tag] = ownTag
@@ -45,7 +47,8 @@
 	q.agent.core.Query(q.agent.now(), job, tag, body)
 }
 
-// replyReceived gives a reply to the source or operator that waits for it. One that nobody waits for is dropped.
+// replyReceived passes a reply to the source or operator that sent the query. It drops a reply that
+// none of them waits for.
 func (q *queries) replyReceived(tag uint64, body []byte) {
 	for _, source := range q.sources {
 		if ownTag, pending := source.tags[tag]; pending {
@@ -57,13 +60,14 @@
 	q.answerOperator(tag, string(body))
 }
 
-// addOperator adds an operator's query, and returns its tag.
+// addOperator returns a tag for an operator's query, whose reply is sent to answer.
 func (q *queries) addOperator(answer chan<- string) uint64 {
 	tag := q.nextTag()
 	q.operatorAnswers[tag] = answer
 	return tag
 }
 
+// answerOperator sends an answer to the operator that waits for the tag, if any.
 func (q *queries) answerOperator(tag uint64, answer string) {
 	if waiting := q.operatorAnswers[tag]; waiting != nil {
 		delete(q.operatorAnswers, tag)
@@ -71,6 +75,7 @@
 	}
 }
 
+// removeOperator drops an operator's query.
 func (q *queries) removeOperator(tag uint64) { delete(q.operatorAnswers, tag) }
 
 func (q *queries) isOperatorWaiting(tag uint64) bool { return q.operatorAnswers[tag] != nil }
--- a/internal/fleet/owneragent/queries_test.go
+++ b/internal/fleet/owneragent/queries_test.go
@@ -7,7 +7,8 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// TestRepliesReachTheirSource: each reply goes once to the source or operator that sent the query, with the source's own tag.
+// TestRepliesReachTheirSource checks that each reply is passed once, with the source's own tag, to
+// the source or operator that sent the query.
 func TestRepliesReachTheirSource(t *testing.T) {
 	q := newQueries(nil)
 	var got []uint64
@@ -17,17 +18,17 @@
 	second.tags[q.nextTag()] = 7
 	answers := make(chan string, 1)
 	tag := q.addOperator(answers)
-	for range 2 { // repeated replies are dropped
+	for range 2 { // the repeated replies are dropped
 		q.replyReceived(2, nil)
 		q.replyReceived(1, nil)
 		q.replyReceived(tag, []byte("yes"))
 	}
 	if len(got) != 2 || got[0] != 107 || got[1] != 7 || <-answers != "yes" || len(answers) > 0 || q.isOperatorWaiting(tag) {
-		t.Errorf("the sources got %v, want [107 7]", got)
+		t.Errorf("replies to sources %v, want [107 7]; operator still waiting %t, want an answer yes", got, q.isOperatorWaiting(tag))
 	}
 }
 
-// TestStaleEffectIsCounted: what the fence rejects shows in the counts of this process.
+// TestStaleEffectIsCounted checks that Counts includes effects that the fence rejects.
 func TestStaleEffectIsCounted(t *testing.T) {
 	a := startAlone(t, Options{Drills: 1})
 	var counts Counts
@@ -37,9 +38,9 @@
 		}
 		counts = a.counts
 	}) {
-		t.Fatal("the worker does not answer")
+		t.Fatal("the worker is busy")
 	}
 	if counts.AcceptedEffects != 1 || counts.RejectedEffects != 1 {
-		t.Errorf("%+v, want one effect accepted and one rejected", counts)
+		t.Errorf("counts %+v, want one accepted effect and one rejected", counts)
 	}
 }
--- a/internal/fleet/owneragent/quota.go
+++ b/internal/fleet/owneragent/quota.go
@@ -8,18 +8,21 @@
 )
 
 const (
-	// grantLifetime is how long what an issuer grants may be used.
+	// grantLifetime is how long a grant of an issuer may be used.
 	grantLifetime = time.Second
-	// acquireTimeout is a little longer than a request waits for an issuer's reply.
+	// acquireTimeout is a little longer than the time that a request waits for an issuer's reply
+	// (100 ms).
 	acquireTimeout = 110 * time.Millisecond
 )
 
-// quotaState is this process's part in the limits of accounts fleet-wide. They come with the rules: without rules it is off.
+// quotaState enforces the fleet-wide limits of accounts in this process. The limits are part of the
+// rules, so that it is off without rules.
 type quotaState struct {
-	client    *quota.Client // nil: off
-	steppedAt int64
+	client    *quota.Client // nil if it is off
+	steppedAt int64         // when the client last stepped
 }
 
+// tick steps the client four times in each grantLifetime, so that its grants do not lapse.
 func (q *quotaState) tick(now int64) {
 	if q.client != nil && now-q.steppedAt >= int64(grantLifetime)/4 {
 		q.steppedAt = now
@@ -27,7 +30,7 @@
 	}
 }
 
-// addQuota makes the client and the issuers' jobs, before the worker starts.
+// addQuota adds the client and the issuers' jobs. It is called before the worker starts.
 func (a *Agent) addQuota(fleetSize int) {
 	enforcer := a.rules.enforcer
 	if enforcer == nil {
@@ -44,21 +47,26 @@
 	}
 }
 
+// issuerJob returns the job name of a shard's issuer.
 func issuerJob(shard int) string { return fmt.Sprintf("limits%d", shard) }
 
-// IsLimited reports whether an account has limits over the fleet.
+// IsLimited reports whether an account or one of its ancestors has fleet-wide limits. Rules must be
+// on.
 func (a *Agent) IsLimited(account string) bool { return a.rules.enforcer.IsLimited(account) }
 
-// Acquire requests one more connection of an account. then is called on the loop with the limit that is exceeded, if any, and a Retry-After.
+// Acquire requests one more connection of an account, for which IsLimited has reported true. It
+// calls done on the loop with the limit that is exceeded, or "" if the connection is granted, and
+// the Retry-After, which jitter (0 to 1) varies.
 func (a *Agent) Acquire(account string, jitter float64, done func(exceeded string, retryAfter time.Duration)) {
-	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting) // ends the wait of those that no issuer has answered
+	// RetryWaiting rejects the requests that no issuer has answered by then.
+	a.loop.After(acquireTimeout, a.quota.client.RetryWaiting)
 	a.quota.client.Acquire(account, jitter, func(exceeded string, retryAfter time.Duration) {
 		a.loop.Post(func() { done(exceeded, retryAfter) })
 	})
 }
 
-// CountExisting counts a connection that is open already.
+// CountExisting counts a connection that is already open, whatever the limits.
 func (a *Agent) CountExisting(account string) { a.quota.client.CountExisting(account) }
 
-// Release counts the end of a connection.
+// Release ends the count of a connection that Acquire granted or CountExisting counted.
 func (a *Agent) Release(account string) { a.quota.client.Release(account) }
--- a/internal/fleet/owneragent/recorded_test.go
+++ b/internal/fleet/owneragent/recorded_test.go
@@ -10,7 +10,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedReplies: requests and replies at the admin socket have the recorded bytes.
+// TestRecordedReplies checks the JSON of requests and replies at the admin socket.
 func TestRecordedReplies(t *testing.T) {
 	var lines bytes.Buffer
 	for _, v := range []any{
--- a/internal/fleet/owneragent/replica.go
+++ b/internal/fleet/owneragent/replica.go
@@ -11,63 +11,71 @@
 )
 
 const (
-	// storeRetryDelay is the time until a store that failed for want of space is opened again.
+	// storeRetryDelay is the time after which a store that failed for lack of space is opened again.
 	storeRetryDelay = 5 * time.Second
-	// storeInUseRetryDelay is the same for a store that another process has open: usually the one that this process replaces.
+	// storeInUseRetryDelay is the time after which a store that another process has open is opened
+	// again. Usually this process replaces the other one.
 	storeInUseRetryDelay = 200 * time.Millisecond
 
-	// clockOrigin is the start of 2020 in hundredths of a second since 1970. Epochs count from there, so that they leave bits for tokens.
+	// clockOrigin is the start of 2020 in hundredths of a second since 1970. Epochs start from the
+	// time since then, which is small enough to leave bits for tokens.
 	clockOrigin = 157783680000
 )
 
-// Voter is a voter with a disk.
+// Voter is a replica of the group with a store on disk. It may be a learner, or wait to be added.
 type Voter interface {
 	ownership.Group
-	// Stopped gives the reason why the voter can't go on; nil: it can.
+	// Stopped returns the error for which the voter has stopped, or nil if it has not.
 	Stopped() *group.StoreError
 	Status() group.Status
+	// Add, Promote and Remove propose to add a learner by member name, to make it a voter, and to
+	// remove a member. They return group.ErrNotLeader if this process does not lead the group.
 	Add(now group.Time, tag uint64, name string) error
 	Promote(now group.Time, tag uint64, name string) error
 	Remove(now group.Time, tag uint64, name string) error
 	Close() error
 }
 
-// VoterOptions are what a voter is opened with.
+// VoterOptions holds the arguments of OpenVoter.
 type VoterOptions struct {
-	Group, Name string
-	Voters      []string
-	Dir         string
-	MaxBytes    int64 // size of its store, bytes
-	Seed        uint64
+	Group, Name string   // names of the group and of this member
+	Voters      []string // names of the initial voters
+	Dir         string   // directory of the store
+	MaxBytes    int64    // maximum size of the store in bytes
+	Seed        uint64   // of the voter's random numbers
 	Machines    map[byte]group.Machine
 	Effects     group.Effects
 }
 
-// OpenVoter opens a voter with a disk; nil in a program that has none. It is set once, before anything is started.
+// OpenVoter opens a voter with a store on disk. It is nil in a program that does not support them. A
+// program sets it once, before it starts anything.
 var OpenVoter func(VoterOptions) (Voter, *group.StoreError)
 
-// ErrDiskVotersUnsupported is returned where the section has a dir and this program is built without voters on disk.
+// ErrDiskVotersUnsupported is returned if the section has a dir and this program is built without
+// voters on disk.
 var ErrDiskVotersUnsupported = errors.New("this program keeps no votes on a disk: croftlock-voter does; or leave dir out, and voters go by memory")
 
-// replica is this process's part of the replicated group, with its store and the retry of its opening. A process has a part if it has a dir, also as
-// a learner or while it waits to be added; without one, if it is among the voters.
+// replica holds this process's replica of the group, and retries to open its store. A process with
+// a dir has a replica even as a learner or while it waits to be added. A process without a dir has
+// one only if it is among the voters. All methods run on the worker.
 type replica struct {
 	options Options
 	name    string
 	effects group.Effects
 	table   *ownership.Table
 
-	group   ownership.Group // nil: none
-	voter   Voter           // the same, where it has a disk, whether it votes or not; nil: it has none
-	failure string          // why the store can't be used; "": it can
-	retryAt time.Time       // when it is opened again; zero: not before a restart
+	group   ownership.Group // nil if there is no replica
+	voter   Voter           // the same replica if it is on disk, whether it votes or not; otherwise nil
+	failure string          // why the replica can't be opened or used; empty if it can
+	retryAt time.Time       // when the store is opened again; zero means not before a restart
 }
 
 func newReplica(o Options, name string, table *ownership.Table, effects group.Effects) *replica {
 	return &replica{options: o, name: name, table: table, effects: effects}
 }
 
-// open opens this process's part of the group: with a dir one on disk, otherwise one in memory if it is among the voters.
+// open opens this process's replica: on disk if it has a dir, otherwise in memory if it is among the
+// voters.
 func (r *replica) open() {
 	r.group, r.voter, r.failure = nil, nil, ""
 	seed := uint64(time.Now().UnixNano())
@@ -105,7 +113,7 @@
 	r.group, r.voter = opened, opened
 }
 
-// closeIfStopped closes a voter that can't go on, and reports whether it did.
+// closeIfStopped closes a voter that has stopped, and reports whether it did.
 func (r *replica) closeIfStopped() bool {
 	if r.voter == nil {
 		return false
@@ -126,7 +134,8 @@
 	}
 }
 
-// recordFailure records why there is no voter. A store without free space, or in use, is opened again later; after any other failure only by a restart.
+// recordFailure records and logs why there is no voter. A store that lacks space or is in use is
+// opened again later. After any other failure only a restart opens it again.
 func (r *replica) recordFailure(err *group.StoreError) {
 	r.failure = err.Error()
 	if err.InUse {
@@ -141,7 +150,7 @@
 	slog.Error("store_failed", "reason", err, "max_store_kb", r.options.MaxStoreKB, "retryable", err.Retryable)
 }
 
-// retryDue reports, once, that the store is to be opened again.
+// retryDue reports whether the store must be opened again now. It reports true once per failure.
 func (r *replica) retryDue() bool {
 	if r.failure == "" || r.retryAt.IsZero() || !time.Now().After(r.retryAt) {
 		return false
--- a/internal/fleet/owneragent/report.go
+++ b/internal/fleet/owneragent/report.go
@@ -7,34 +7,35 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Reply is the answer to a Request. Error or Answer is set by commands, the others by owners and status.
+// Reply is the answer to a Request. Most commands set Error or Answer. Commands owners and status
+// set the other fields.
 type Reply struct {
 	Error         string            `json:"error,omitempty"`
 	Answer        string            `json:"answer,omitempty"`
-	Name          string            `json:"name,omitempty"`   // of this process
+	Name          string            `json:"name,omitempty"`   // member name of this process
 	Leader        string            `json:"leader,omitempty"` // name of the coordinator
-	Kind          string            `json:"kind,omitempty"`   // where votes are kept: memory or disk
-	Store         string            `json:"store,omitempty"`  // what is wrong with it
-	Jobs          []JobRow          `json:"jobs,omitempty"`   // at voters
-	Group         *group.Status     `json:"group,omitempty"`  // at voters with a disk
+	Kind          string            `json:"kind,omitempty"`   // where a voter keeps its state: memory or disk
+	Store         string            `json:"store,omitempty"`  // why the replica can't be used; empty if it can
+	Jobs          []JobRow          `json:"jobs,omitempty"`   // the table; only at members with a replica
+	Group         *group.Status     `json:"group,omitempty"`  // only at members with a replica on disk
 	Counts        *Counts           `json:"counts,omitempty"`
-	Owned         map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs owned here
-	HighestTokens map[string]uint64 `json:"seen,omitempty"` // highest tokens that the fence here has accepted
-	LeaseMS       int64             `json:"lease_ms"`       // remaining
+	Owned         map[string]uint64 `json:"mine,omitempty"` // tokens of the jobs that this process owns
+	HighestTokens map[string]uint64 `json:"seen,omitempty"` // highest token that the fence has accepted, by job
+	LeaseMS       int64             `json:"lease_ms"`       // remaining time of the lease, milliseconds
 }
 
-// JobRow is a job as this voter's copy of the table has it.
+// JobRow is a job in this replica's copy of the table.
 type JobRow struct {
 	Job              string `json:"job"`
 	Owner            string `json:"owner"`
 	Token            uint64 `json:"token"`
-	CheckpointNumber uint64 `json:"number"`     // of the checkpoint
-	CheckpointBytes  int    `json:"left_bytes"` // size of the checkpoint
-	ChangedAt        string `json:"since"`      // last change, RFC 3339
+	CheckpointNumber uint64 `json:"number"`     // number of the last stored checkpoint
+	CheckpointBytes  int    `json:"left_bytes"` // size of that checkpoint
+	ChangedAt        string `json:"since"`      // time of the last change, RFC 3339
 	Reason           string `json:"why"`        // reason of the last change
 }
 
-// fillReport fills the answer to owners and status, on the worker.
+// fillReport fills the reply to owners and status. It runs on the worker.
 func (a *Agent) fillReport(reply *Reply) {
 	counts := a.counts
 	reply.Name, reply.Kind, reply.Store, reply.Counts = a.name, "memory", a.replica.failure, &counts
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -9,12 +9,13 @@
 	"croftlock/internal/operations/settings"
 )
 
-// RulesOptions is the part of the section (owners ...) on rules that the fleet agrees on.
+// RulesOptions holds the fields of the section (owners ...) about the rules that the fleet agrees
+// on.
 type RulesOptions struct {
-	Enabled       bool
-	LeaseDuration time.Duration // bound on how long two proxies act by rules that contradict each other; default 3 s
-	OnLeaseLapse  string        // what a proxy does whose lease has lapsed: refuse (default) or keep
-	MaxEntries    int           // of a version that this proxy accepts
+	Enabled       bool          // whether requests are evaluated by the rules; default false
+	LeaseDuration time.Duration // bound on how long two proxies act by contradictory rules; default 3 s
+	OnLeaseLapse  string        // what a proxy does when its lease has lapsed: "refuse" (default) or "keep"
+	MaxEntries    int           // maximum entries of a version that this proxy accepts; default rules.MaxEntries
 }
 
 func (r *RulesOptions) bind(f *settings.Form) {
@@ -25,14 +26,14 @@
 	f.Int("rules_most", "entries of rules that this proxy takes; a larger version is active nowhere", &r.MaxEntries, 1, rules.MaxEntries)
 }
 
-// lapseFaultFactor is how much longer rules hold with FaultInjection.ExtendRulesLease.
+// lapseFaultFactor multiplies the lease duration of rules with FaultInjection.ExtendRulesLease.
 const lapseFaultFactor = 10
 
-// rulesState is this process's part in the agreement on rules; the zero value where the section has them off.
+// rulesState applies the agreed rules in this process. It is the zero value if rules are off.
 type rulesState struct {
-	enforcer  *rules.Enforcer // nil: off
+	enforcer  *rules.Enforcer // nil if rules are off
 	member    *rules.Member
-	onChanged func() // on the worker, once this process acts by another version; nil: not reported
+	onChanged func() // called on the worker when this process acts by another version; may be nil
 }
 
 func (r *rulesState) tick(now int64) {
@@ -41,6 +42,7 @@
 	}
 }
 
+// versionChanged logs and reports that this process acts by another version.
 func (r *rulesState) versionChanged(version uint64, hash rules.Hash) {
 	slog.Info("rules_activated", "version", version, "hash", hex.EncodeToString(hash[:4]))
 	if r.onChanged != nil {
@@ -48,7 +50,8 @@
 	}
 }
 
-// addRules makes the enforcer, the member and the publisher's job, before the worker starts.
+// addRules adds the enforcer, the member and the publisher's job. It is called before the worker
+// starts.
 func (a *Agent) addRules() {
 	o := a.options.Rules
 	if !o.Enabled {
@@ -66,7 +69,7 @@
 	a.jobs.add(rulesJob, &rules.Publisher{LeaseDuration: leaseDuration, NotificationReceived: member.NotificationReceived, WallClock: func() int64 { return time.Now().UnixMilli() }})
 }
 
-// Enforcer is what requests are judged by; nil: there are no such rules.
+// Enforcer returns the Enforcer that evaluates requests, or nil if a is nil or rules are off.
 func (a *Agent) Enforcer() *rules.Enforcer {
 	if a == nil {
 		return nil
@@ -74,7 +77,9 @@
 	return a.rules.enforcer
 }
 
-// OnRulesChanged has f called on the loop each time that this process begins to act by another version, and once now.
+// OnRulesChanged registers f, which is called on the loop once now and each time that this process
+// starts to act by another version. It replaces a function registered before. If the worker's inbox
+// is full, f is not registered.
 func (a *Agent) OnRulesChanged(f func()) {
 	a.worker.post(func() {
 		a.rules.onChanged = func() { a.loop.Post(f) }
--- a/internal/fleet/owneragent/transport.go
+++ b/internal/fleet/owneragent/transport.go
@@ -6,10 +6,10 @@
 	"log/slog"
 )
 
-// payloadChannel marks, for membership, the datagrams whose data is for this package.
+// payloadChannel is the channel of membership's payloads that belongs to this package.
 const payloadChannel = 1
 
-// Addressees: the first byte of a message.
+// Recipients of a message, as sent in its first byte. The numbers must not change.
 const (
 	recipientGroup = 1
 	recipientCore  = 2
@@ -17,7 +17,8 @@
 
 var errUnknownRecipient = errors.New("owners: message for neither the group nor the core")
 
-// receiveDatagram takes a datagram from membership, on the loop. Malformed ones are counted, not logged.
+// receiveDatagram handles a datagram from membership on the loop. It counts a malformed one without
+// logging it.
 func (a *Agent) receiveDatagram(peer uint32, data []byte) {
 	a.worker.post(func() {
 		if a.transport.Receive(a.now(), peer, data) != nil {
@@ -26,13 +27,14 @@
 	})
 }
 
-func (a *Agent) send(to uint32, addressee byte, msg []byte) {
-	if err := a.transport.Send(a.now(), to, append([]byte{addressee}, msg...)); err != nil {
+// send sends a message to a recipient at another process.
+func (a *Agent) send(to uint32, recipient byte, msg []byte) {
+	if err := a.transport.Send(a.now(), to, append([]byte{recipient}, msg...)); err != nil {
 		slog.Error("owner_message_too_long", "bytes", len(msg), "reason", err)
 	}
 }
 
-// receiveMessage passes a complete message on.
+// receiveMessage passes a complete message to its recipient. data must not be empty.
 func (a *Agent) receiveMessage(peer uint32, data []byte) error {
 	switch data[0] {
 	case recipientGroup:
@@ -43,20 +45,21 @@
 	case recipientCore:
 		return a.core.Receive(a.now(), peer, data[1:])
 	}
-	return errUnknownRecipient
+	return fmt.Errorf("%w: recipient %d", errUnknownRecipient, data[0])
 }
 
-// transportEffects are the effects of the fragmenting transport.
+// transportEffects implements fragment.Effects.
 type transportEffects struct{ agent *Agent }
 
-// SendDatagram has membership carry a datagram.
+// SendDatagram sends a datagram as a payload of membership.
 func (t transportEffects) SendDatagram(peer uint32, data []byte) {
 	copied := append([]byte(nil), data...)
 	t.agent.loop.Post(func() { t.agent.members.SendPayload(peer, payloadChannel, copied) })
 }
 
-// DeliverMessage takes a complete message. One that is rejected is logged if nothing was counted as malformed before; receiveDatagram counts without
-// logging, so all may go unlogged.
+// DeliverMessage handles a complete message. It logs a rejected message only if it is the first one
+// that MalformedMessages counts. Since receiveDatagram counts without logging, no rejection may be
+// logged at all.
 func (t transportEffects) DeliverMessage(peer uint32, data []byte) {
 	if len(data) == 0 {
 		return
@@ -71,25 +74,26 @@
 	}
 }
 
-// groupEffects are the effects of the replicated group.
+// groupEffects implements group.Effects.
 type groupEffects struct{ agent *Agent }
 
-// Send sends a message to another voter.
+// Send sends a message to the group's replica at another process.
 func (g groupEffects) Send(peer uint32, msg []byte) { g.agent.send(peer, recipientGroup, msg) }
 
-// Applied reports a command; while the group opens there is no core yet.
+// Applied reports to the core that a command was applied. The core does not exist yet while the
+// group is opened for the first time.
 func (g groupEffects) Applied(_ byte, tag uint64, result []byte) {
 	if g.agent.core != nil {
 		g.agent.core.Applied(g.agent.now(), tag, result)
 	}
 }
 
-// Confirmed reports that this process still leads.
+// Confirmed reports to the core that this process still leads the group.
 func (g groupEffects) Confirmed(tag uint64) {
 	if g.agent.core != nil {
 		g.agent.core.Confirmed(g.agent.now(), tag)
 	}
 }
 
-// LogEvent logs at level info.
+// LogEvent logs an event at level info.
 func (g groupEffects) LogEvent(event string, args ...any) { slog.Info(event, args...) }
--- a/internal/fleet/owneragent/worker.go
+++ b/internal/fleet/owneragent/worker.go
@@ -7,16 +7,18 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	inboxSize    = 256
-	// stopTimeout bounds the wait for a worker whose disk hangs, which must not keep the process from ending.
+	inboxSize    = 256 // functions
+	// stopTimeout is how long stop waits for a worker. A disk that hangs must not keep the process
+	// from ending.
 	stopTimeout = 300 * time.Millisecond
 )
 
-// worker is a goroutine with an inbox. Agent starts it, and stop ends it; its work may wait for a disk, which the event loop must not.
+// worker runs functions of its inbox on a goroutine of its own, since they may wait for a disk,
+// which the event loop must not. Start starts the goroutine, and stop ends it.
 type worker struct {
 	inbox    chan func()
-	quit     chan struct{}
-	done     chan struct{}
+	quit     chan struct{} // closed by stop
+	done     chan struct{} // closed when run returns
 	stopOnce sync.Once
 }
 
@@ -24,7 +26,8 @@
 	return &worker{inbox: make(chan func(), inboxSize), quit: make(chan struct{}), done: make(chan struct{})}
 }
 
-// run calls open, and then tick each tickInterval and the functions of the inbox, until stop; closeAll comes last.
+// run calls open, then calls tick each tickInterval and runs the functions of the inbox until stop
+// is called, and finally calls closeAll.
 func (w *worker) run(open, tick, closeAll func()) {
 	defer close(w.done)
 	open()
@@ -43,8 +46,10 @@
 	}
 }
 
-// post queues f for the worker. With a full inbox, as while a disk hangs, f is dropped. Most senders repeat, or bound their wait: datagrams, the view,
-// queries about quota and by operators, Leave. Two do not: RequestMigrations, whose then is never called, and OnRulesChanged, whose f stays unset.
+// post queues f for the worker. If the inbox is full, as while a disk hangs, f is dropped. Most
+// callers repeat the call or limit their wait: datagrams, the view, queries about quota and by
+// operators, and Leave. Two do not: RequestMigrations, which then never calls done, and
+// OnRulesChanged, which then does not register f.
 func (w *worker) post(f func()) {
 	select {
 	case w.inbox <- f:
@@ -52,7 +57,9 @@
 	}
 }
 
-// call runs f on the worker and waits for it; false: it took too long, and f may run later, or the worker has stopped.
+// call runs f on the worker and reports whether it has returned. It waits up to timeout for room in
+// the inbox, and as long again for f to return. If it reports false, because of a timeout or since
+// the worker is stopped, f may still run later.
 func (w *worker) call(f func(), timeout time.Duration) bool {
 	finished := make(chan struct{})
 	select {
@@ -72,7 +79,9 @@
 	}
 }
 
-// runNext runs one function of the inbox from within another one, on the worker; false: none came in time.
+// runNext waits for the next function of the inbox and runs it. It reports false if none arrives
+// within timeout. It returns true without running one if the worker is stopped. It must be called
+// on the worker.
 func (w *worker) runNext(timeout time.Duration) bool {
 	select {
 	case <-w.quit:
@@ -85,6 +94,7 @@
 	}
 }
 
+// stopping reports whether stop was called.
 func (w *worker) stopping() bool {
 	select {
 	case <-w.quit:
@@ -94,7 +104,8 @@
 	}
 }
 
-// stop stops the worker and waits for it, but no longer than stopTimeout.
+// stop stops the worker and waits for its goroutine to end, at most for stopTimeout. Later calls do
+// nothing.
 func (w *worker) stop() {
 	w.stopOnce.Do(func() {
 		close(w.quit)
--- a/internal/fleet/owneragent/worker_test.go
+++ b/internal/fleet/owneragent/worker_test.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// TestWorker: the worker opens, serves calls, ticks, and closes once it is stopped.
+// TestWorker checks that a worker opens, runs calls, ticks, and closes when it is stopped, and that
+// a second stop does nothing.
 func TestWorker(t *testing.T) {
 	w := newWorker()
 	opened, closed, ticked := false, false, make(chan struct{}, inboxSize)
 	go w.run(func() { opened = true }, func() { ticked <- struct{}{} }, func() { closed = true })
 	ran := false
 	if !w.call(func() { ran = true }, 10*time.Second) || !ran || !opened {
-		t.Error("a call did not run, or before the worker was opened")
+		t.Error("the first call failed, did not run, or ran before open")
 	}
 	<-ticked
 	w.stop()
 	w.stop()
 	if !closed || !w.stopping() || w.call(func() {}, 10*time.Second) {
-		t.Error("a stopped worker was not closed, or runs a call")
+		t.Error("the stopped worker was not closed, does not report that it is stopping, or ran a call")
 	}
 }
 
-// TestBusyWorker: behind a function that hangs calls time out, functions beyond the inbox are dropped, and stop does not wait for it.
+// TestBusyWorker checks a worker whose current function hangs: calls time out, functions beyond the
+// size of the inbox are dropped, and stop does not wait for the function.
 func TestBusyWorker(t *testing.T) {
 	w := newWorker()
 	hanging, release := make(chan struct{}), make(chan struct{})
@@ -30,7 +32,7 @@
 	w.post(func() { close(hanging); <-release })
 	<-hanging
 	if w.call(func() {}, 10*time.Millisecond) {
-		t.Error("a call behind a function that hangs is reported as done")
+		t.Error("a call returned true while another function hangs")
 	}
 	for range 2 * inboxSize {
 		w.post(func() {})
