--- a/internal/fleet/jobs/drill.go
+++ b/internal/fleet/jobs/drill.go
@@ -5,7 +5,7 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// drillCheckpointInterval is the number of steps of a drill's number between two checkpoints.
+// drillCheckpointInterval is how many numbers a drill sends between two checkpoints.
 const drillCheckpointInterval = 10
 
 // Drill is a job that only sends a rising number to every member. Operators use it to test the
--- a/internal/fleet/jobs/jobs.go
+++ b/internal/fleet/jobs/jobs.go
@@ -48,7 +48,7 @@
 // overlap. If the owner's part panics, the job is released.
 type Job interface {
 	// Start continues from the last owner's checkpoint. That owner has released the job, or its
-	// lease has ended whatever the drift of the clocks. Its effects that are still in flight are
+	// lease has ended even allowing for clock drift. Its effects that are still in flight are
 	// rejected by the fences of receivers that have accepted one of this owner. An error releases
 	// the job.
 	Start(now Time, o Owner, token, checkpointNumber uint64, checkpoint []byte) error
--- a/internal/fleet/jobs/suspendedhosts.go
+++ b/internal/fleet/jobs/suspendedhosts.go
@@ -11,7 +11,7 @@
 const (
 	// commandTimeout is how long the answer to a command waits for the receivers to apply the list.
 	commandTimeout = 2 * sec
-	// storeRetryDelay is how long after a command each step starts to store the list again, until
+	// storeRetryDelay is the time after a command from which each step stores the list again, until
 	// the group reports it as stored.
 	storeRetryDelay = 300 * ms
 	// resendInterval is the time after which a list is sent again to a receiver that has not
@@ -20,9 +20,9 @@
 )
 
 // SuspendedHosts is the job that keeps the list of hosts that operators have suspended fleet-wide.
-// Its owner orders the commands. Each effect holds the complete list, so that a late effect, which
-// the fence rejects, is not needed. A list is sent only once the group has stored it, so that a
-// later owner starts with it.
+// Its owner puts the commands in one order. Each effect holds the complete list, so that a late
+// effect, which the fence rejects, is not needed. A list is sent only once the group has stored it,
+// so that a later owner starts with it.
 type SuspendedHosts struct {
 	// Apply applies the list at this process. If it is nil, the list is ignored.
 	Apply func(hosts []string)
--- a/internal/fleet/owneragent/harness_test.go
+++ b/internal/fleet/owneragent/harness_test.go
@@ -84,7 +84,7 @@
 	return agent
 }
 
-// readReport gives the agent's report, as operators get it.
+// readReport returns the agent's reply to owners and status. It is empty if the worker is busy.
 func readReport(t *testing.T, a *Agent) (r Reply) {
 	t.Helper()
 	if !a.runOnWorker(func() { a.fillReport(&r) }) {
