--- a/internal/balancer/agegroup.go
+++ b/internal/balancer/agegroup.go
@@ -14,7 +14,7 @@
 	numAgeGroups                 // number of values
 )
 
-// ageGroup returns newer or older.
+// ageGroup returns the age group of a host, newer or older.
 func (b *Balancer) ageGroup(h *host) ageGroup {
 	if h.startedAt > 0 && b.now < h.startedAt+newerDuration*b.cfg.SlowStartDuration {
 		return newer
@@ -26,8 +26,8 @@
 // newer hosts hold less than their share of what this balancer has placed, else older. It returns
 // anyAge if hosts report their load, if traffic is not sparse, or if no host is newer. If traffic
 // is sparse, a balancer's own load tells nothing about a single host, but something about an age
-// group: each balancer keeps to the share by random rounding, so that all balancers together keep
-// to it.
+// group. Each balancer rounds the share at random, by a hash of the request's ID, so that all
+// balancers together keep to it.
 func (b *Balancer) preferredAgeGroup(r *request) ageGroup {
 	if b.hostsReportLoad() || !b.sparseTraffic() {
 		return anyAge
@@ -44,7 +44,7 @@
 		return anyAge
 	}
 	total := load[newer] + load[older] + r.cost
-	fraction := float64(stableHash(r.ID)%1024) / 1024 // a retry gets the same value
+	fraction := float64(stableHash(r.ID)%1024) / 1024 // each attempt of a request gets the same value
 	if load[newer]+fraction*r.cost < total*capacity[newer]/(capacity[newer]+capacity[older]) {
 		return newer
 	}
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -2,7 +2,7 @@
 // retry or migrate them. A Balancer makes the decisions of one proxy and is not safe for concurrent
 // use: the caller calls one method per event and carries out the Effects in order. Time comes with
 // each event and random numbers from a seed. Nothing here reads a clock, starts a goroutine or
-// depends on the iteration order of a map, so that the same events give the same effects.
+// depends on the iteration order of a map, so that the same events cause the same effects.
 //
 // The rules extend PIP-425: smooth weighted rotation over the hosts that are not ejected. A failed
 // connect ejects a host for a time that doubles with each consecutive failure up to a cap, and a
@@ -17,8 +17,8 @@
 //	unit            cost of a mean connection (connectionCosts.unit)
 //	ledger units    turns * ledger.UnitsPerConnection, 1 to ledger.MaxUnits
 //	reported load   fraction of a host's capacity; 1 is full (currentLoad, fleetLoad.mean)
-//	weight          a host's capacity relative to others; 1 if the list gives none
-//	message delay   in shortest message latency objectives of all classes
+//	weight          a host's capacity relative to others; 1 if the list states none
+//	message delay   relative to the shortest message latency objective of all classes
 //	Time            nanoseconds
 package balancer
 
@@ -42,7 +42,7 @@
 	endpointList // embedded, since most rules iterate over the hosts
 	requests     map[string]*request
 
-	establishedConnections int // open, placed or adopted by this balancer
+	establishedConnections int // open ones that this balancer placed or adopted
 
 	discovery  discoveryPoller
 	ejection   ejection
@@ -61,7 +61,7 @@
 	loadBuffer      []reportedLoad
 }
 
-// Errors that New returns for missing Effects and for unusable settings.
+// Errors that New returns for missing Effects and for unusable settings. New wraps ErrEjectionMax.
 var (
 	ErrNoEffects   = errors.New("balancer: Effects must not be nil")
 	ErrNoClasses   = errors.New("balancer: settings name no class of request")
@@ -112,6 +112,8 @@
 	return nil
 }
 
+// longestLatencyObjective returns the longest latency objective of the classes, or 0 if there are
+// no classes.
 func longestLatencyObjective(classes []Class) Time {
 	longest := Time(0)
 	for _, c := range classes {
@@ -133,7 +135,7 @@
 	timerGossip      timerToken = "tell"  // gossipStalls
 )
 
-// schedule sets a timer that fires after delay, or after a tick if that is longer.
+// schedule sets a timer that fires after delay, or after Config.Tick if that is longer.
 func (b *Balancer) schedule(delay Time, token timerToken) {
 	b.effects.Schedule(max(b.cfg.Tick, delay), string(token))
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("expected one rejection and no other answer, got effects %v", f.trace)
 	}
 	if f.rejected["r"] == 0 {
-		t.Fatal("rejected without a Retry-After")
+		t.Fatalf("r was rejected with Retry-After %d, expected one above 0", f.rejected["r"])
 	}
 }
 
@@ -63,14 +63,16 @@
 	for range 2 {
 		f.end("r", Error)
 		if f.b.byID[f.lastAttempt().host].zone != zone {
-			t.Fatal("a retry with an idempotency key outside its dedup scope")
+			t.Fatalf("r was retried at %s, outside its dedup scope, the zone of %s",
+				f.lastAttempt().host, f.attemptsStarted[0].host)
 		}
 	}
 	f.now += 2 * sec
 	n := len(f.attemptsStarted)
 	f.end("r", Error)
 	if len(f.attemptsStarted) != n || !f.failed["r"] {
-		t.Fatal("retried after its dedup window, or rejected though not all hosts discard repeats of its key")
+		t.Fatalf("%d attempts of r after its dedup window, answered with a failure: %t; expected %d, and true "+
+			"since not all hosts discard repeats of its key", len(f.attemptsStarted), f.failed["r"], n)
 	}
 }
 
@@ -85,7 +87,8 @@
 			f.run(50 * ms)
 		}
 		if f.now-before > cfg.PollInterval*3/4 {
-			t.Fatalf("no poll of discovery for %d ms after a failure", (f.now-before)/ms)
+			t.Fatalf("no poll of discovery for %d ms after a failure, expected one within %d ms",
+				(f.now-before)/ms, cfg.PollInterval*3/4/ms)
 		}
 		f.b.ListReceived(f.now, ListFailed, nil)
 	}
@@ -132,7 +135,7 @@
 		cfg := settings()
 		modify(&cfg)
 		if _, err := New(cfg, 1, &fake{}); err == nil {
-			t.Errorf("%s: New accepted the settings", name)
+			t.Errorf("%s: New(%+v) accepted the settings, expected an error", name, cfg)
 		}
 	}
 }
--- a/internal/balancer/bench_test.go
+++ b/internal/balancer/bench_test.go
@@ -5,10 +5,12 @@
 	"testing"
 )
 
+// benchRequest returns a request without a tenant and with 2 s left.
 func benchRequest(id, group string) Request {
 	return Request{ID: id, Tenant: -1, Group: group, Remaining: 2 * sec}
 }
 
+// BenchmarkPlacement measures a request from its arrival to the end of its connection.
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -28,6 +30,7 @@
 	}
 }
 
+// BenchmarkList measures the application of a complete endpoint list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{10, 60, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -41,6 +44,7 @@
 	}
 }
 
+// BenchmarkReport measures the handling of a load report.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		f := startReporting(b, settings(), fleet(n)...)
@@ -55,6 +59,7 @@
 	}
 }
 
+// BenchmarkPlacementByLoad is BenchmarkPlacement with hosts that report their load.
 func BenchmarkPlacementByLoad(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		f := startReporting(b, settings(), fleet(n)...)
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -31,8 +31,8 @@
 	Deadline                Time // how long the client waits, over all attempts
 	Idempotency             Idempotency
 	DedupScope              DedupScope
-	DedupWindow             Time // how long hosts discard repeats of a key
-	PriorityWeight          float64
+	DedupWindow             Time    // how long hosts discard repeats of a key
+	PriorityWeight          float64 // value of an answer, per request or work (Config.PriorityByWork)
 	LatePriorityWeight      float64 // priority weight of a late answer; not used
 	MessageLatencyObjective Time    // desired duration of one message on an open connection; 0 if unknown
 }
@@ -84,13 +84,15 @@
 	MayGossip       bool // whether balancers may send each other messages
 	MayCancel       bool // whether attempts can be cancelled
 
-	AnswerSlack             Time    // not used
-	SlowStartFloor          float64 // fraction of its capacity that a host has at least when it starts, 0 to 1
-	SlowStartDuration       Time    // time until a started host has its full capacity; 0 disables slow start
-	DrainGrace              Time    // not used
-	SlowStartOverloadFactor float64 // a warming host fails at more than this multiple of its current capacity
-	SlowStartOverloadWindow Time    // if it is sent within this time
-	PollInterval            Time    // longest time between two polls of discovery
+	AnswerSlack       Time    // not used
+	SlowStartFloor    float64 // fraction of its capacity that a host has at least when it starts, 0 to 1
+	SlowStartDuration Time    // time until a started host has its full capacity; 0 disables slow start
+	DrainGrace        Time    // not used
+	// A warming host fails if, within SlowStartOverloadWindow, it is sent more than
+	// SlowStartOverloadFactor times its current capacity.
+	SlowStartOverloadFactor float64
+	SlowStartOverloadWindow Time
+	PollInterval            Time // longest time between two polls of discovery
 
 	// Positions of the load and of the queue length in load reports; -1 if reports do not contain
 	// them.
--- a/internal/balancer/decay/counter_test.go
+++ b/internal/balancer/decay/counter_test.go
@@ -12,8 +12,8 @@
 	if want := 4/math.E + 2; math.Abs(c.Sum-want) > 1e-6 {
 		t.Errorf("a sum of %g, expected %g", c.Sum, want)
 	}
-	c.Add(2e9, 0, 0) // a time constant of 0 forgets all
+	c.Add(2e9, 0, 0) // a time constant of 0 discards the sum
 	if c.Sum != 0 {
-		t.Errorf("a sum of %g after a time constant of 0", c.Sum)
+		t.Errorf("a sum of %g after a time constant of 0, expected 0", c.Sum)
 	}
 }
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "math"
+import (
+	"fmt"
+	"math"
+)
 
 const (
 	// maxEjectionFactor is the default of the longest ejection, in longest deadlines: three
@@ -46,7 +49,7 @@
 		e.max = cfg.EjectionMax
 	}
 	if e.max < e.initial && e.max > 0 {
-		return e, ErrEjectionMax
+		return e, fmt.Errorf("%w: %d ns and %d ns", ErrEjectionMax, e.max, e.initial)
 	}
 	e.evidence.longestObjective = longestLatencyObjective(cfg.Classes)
 	return e, nil
@@ -69,18 +72,21 @@
 	fadedAt             Time
 }
 
+// fade applies the decay of the counts up to now.
 func (e *setupEvidence) fade(now Time) {
 	f := math.Exp(-float64(now-e.fadedAt) / float64(evidenceTimeConstant*e.longestObjective))
 	e.succeeded, e.timedOut, e.fadedAt = e.succeeded*f, e.timedOut*f, now
 }
 
+// addSuccess counts a set-up that succeeded.
 func (e *setupEvidence) addSuccess(now Time) {
 	e.fade(now)
 	e.succeeded++
 }
 
-// addTimeout counts a timeout, and reports whether most recent set-ups timed out. In that case the
-// store or the links are slow, and the timeout is no evidence against a single host.
+// addTimeout counts a timeout, and reports whether at least half of the recent set-ups timed out. In
+// that case the store that the hosts share or the network links are slow, and the timeout is no
+// evidence against a single host.
 func (e *setupEvidence) addTimeout(now Time) (shared bool) {
 	e.fade(now)
 	e.timedOut++
@@ -119,9 +125,9 @@
 	h.deficit = min(h.deficit, 0) // turns missed during the ejection are not made up for
 }
 
-// hostFailed ejects a host that failed an attempt sent at sentAt, for a random time between half of
-// and the full ejection period. Consecutive failures double the period, unless most of the zone
-// fails. proven is false for a timeout, which may not be the host's fault.
+// hostFailed ejects a host that failed an attempt sent at sentAt, for a random time from half of the
+// ejection period up to all of it. Consecutive failures double the period, unless zoneFailing
+// reports true. proven is false for a timeout, which may not be the host's fault.
 func (b *Balancer) hostFailed(h *host, sentAt Time, proven bool) {
 	if b.ejection.initial == 0 || b.ejection.max == 0 {
 		return
@@ -147,9 +153,9 @@
 	}
 }
 
-// zoneFailing reports whether at least half of a zone's ready hosts, and more than one, fail. In
-// that case the fault is the zone's, and doubled ejections would exclude its hosts long after its
-// end.
+// zoneFailing reports whether more than one and at least half of a zone's ready hosts have failed
+// and not succeeded since. In that case the fault is the zone's, and doubled ejections would exclude
+// its hosts long after the fault has ended.
 func (l *endpointList) zoneFailing(zone int) bool {
 	ready, failing := 0, 0
 	for _, h := range l.hosts {
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -22,8 +22,8 @@
 	ID        string    `json:"ID"`
 	State     HostState `json:"State"`
 	Zone      string    `json:"Zone"`
-	Kind      string    `json:"Kind"`
-	Cell      int       `json:"Cell"`
+	Kind      string    `json:"Kind"`   // kind of host; package proxy assigns hosts to pools by it
+	Cell      int       `json:"Cell"`   // number of its cell, for ScopeCell
 	Weight    float64   `json:"Weight"` // capacity relative to other hosts; 0 means 1
 	StartedAt Time      `json:"Since"`  // its latest start; 0 if it was long ago
 }
@@ -49,6 +49,7 @@
 	listReceived bool           // whether a list with hosts has arrived
 }
 
+// newEndpointList returns a list without hosts that has the zones of the settings.
 func newEndpointList(cfg *Config) endpointList {
 	l := endpointList{byID: map[string]*host{}, zones: map[string]int{}}
 	for _, name := range cfg.Zones {
@@ -68,11 +69,13 @@
 	return z
 }
 
+// add adds a host. The caller calls sortByID after its last call of add.
 func (l *endpointList) add(h *host) {
 	l.byID[h.hostID] = h
 	l.hosts = append(l.hosts, h)
 }
 
+// sortByID restores the order of the rotation.
 func (l *endpointList) sortByID() {
 	sort.Slice(l.hosts, func(i, j int) bool { return l.hosts[i].hostID < l.hosts[j].hostID })
 }
@@ -148,27 +151,27 @@
 }
 
 // updateHost applies an entry of a list, and reports whether its host is new.
-func (b *Balancer) updateHost(e *ListedHost) (added bool) {
-	h := b.byID[e.ID]
+func (b *Balancer) updateHost(entry *ListedHost) (added bool) {
+	h := b.byID[entry.ID]
 	if h == nil {
-		h = &host{hostID: e.ID, hash: stableHash(e.ID), startedAt: e.StartedAt}
+		h = &host{hostID: entry.ID, hash: stableHash(entry.ID), startedAt: entry.StartedAt}
 		h.slowStart = slowStartBudget{tokens: b.slowStartStagger(h), filledAt: b.now}
-		// The place of a new host in the rotation differs between balancers and is no later than
-		// most.
+		// A new host starts at a place in the rotation that differs between balancers and is not
+		// behind most other hosts.
 		h.deficit = 0.5 - h.slowStart.tokens
 		b.add(h)
 		added = true
-	} else if e.StartedAt > h.startedAt || h.state == Suspended && e.State == Ready {
-		h.restarted(b.now, e.StartedAt, b.slowStartStagger(h))
+	} else if entry.StartedAt > h.startedAt || h.state == Suspended && entry.State == Ready {
+		h.restarted(b.now, entry.StartedAt, b.slowStartStagger(h))
 	}
-	h.zone, h.cell, h.weight, h.listed = b.zoneIndex(e.Zone), e.Cell, e.Weight, true
+	h.zone, h.cell, h.weight, h.listed = b.zoneIndex(entry.Zone), entry.Cell, entry.Weight, true
 	if h.weight <= 0 {
 		h.weight = 1
 	}
-	if h.state == Ready && e.State != Ready {
+	if h.state == Ready && entry.State != Ready {
 		b.traffic.hostDeparted(b.now, h.weight)
 	}
-	h.state = e.State
+	h.state = entry.State
 	return added
 }
 
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -4,9 +4,9 @@
 type Event interface{ isEvent() }
 
 // HostEjected reports that a host is ejected because its set-ups failed. It is reported for the
-// first of consecutive failures, and for later ones that do not count because most hosts of the
-// zone fail. Later failures that count lengthen the ejection without a report. If no other host is
-// available, an ejected host may still be picked.
+// first of consecutive failures, and for the ones after it until one counts: further failures do
+// not count while the host's zone fails (zoneFailing). Later failures lengthen the ejection without
+// a report. If no other host is available, an ejected host may still be picked.
 type HostEjected struct {
 	Host                string
 	Duration            Time // in nanoseconds
--- a/internal/balancer/fake_test.go
+++ b/internal/balancer/fake_test.go
@@ -44,6 +44,7 @@
 	token string
 }
 
+// record appends an effect to the trace.
 func (f *fake) record(format string, a ...any) { f.trace = append(f.trace, fmt.Sprintf(format, a...)) }
 
 func (f *fake) StartAttempt(request, host string, timeout Time) {
@@ -115,6 +116,8 @@
 		EjectionInitial: -1, EjectionMax: -1}
 }
 
+// classWith returns a class with the given latency objective, deadline and message latency
+// objective.
 func classWith(objective, deadline, messageObjective Time) Class {
 	return Class{Name: "x", LatencyObjective: objective, Deadline: deadline,
 		MessageLatencyObjective: messageObjective}
@@ -146,6 +149,7 @@
 	return h
 }
 
+// hostID returns the ID of host i of fleet.
 func hostID(i int) string { return fmt.Sprintf("s%02d", i) }
 
 // fleet returns n ready hosts, from hostID(0) on.
@@ -209,6 +213,7 @@
 	f.attemptEnded(id, status, status == OK)
 }
 
+// attemptEnded reports the end of the newest attempt of a request to the balancer.
 func (f *fake) attemptEnded(id string, status AttemptStatus, closed bool) {
 	f.b.AttemptEnded(f.now, AttemptResult{RequestID: id, Attempt: f.attempts[id] - 1, Status: status,
 		Elapsed: 10 * ms, Closed: closed})
--- a/internal/balancer/fleet_rules_test.go
+++ b/internal/balancer/fleet_rules_test.go
@@ -11,7 +11,7 @@
 	queue      []poll
 	busyUntil  Time
 	polls      []Time         // when polls came, since the start of the outage
-	answeredAt map[*fake]Time // after the outage
+	answeredAt map[*fake]Time // when a balancer was last answered, since the end of the outage
 }
 
 // poll is one poll of the endpoint list by a balancer.
@@ -27,6 +27,7 @@
 	discoveryUp   = 110 * sec
 )
 
+// down reports whether discovery is down.
 func (d *slowDiscovery) down(now Time) bool { return now >= discoveryDown && now < discoveryUp }
 
 // receivePoll queues a balancer's poll, or fails it while discovery is down.
--- a/internal/balancer/groupplacement.go
+++ b/internal/balancer/groupplacement.go
@@ -31,7 +31,7 @@
 type groupOrders map[string][]int32
 
 // rendezvousOrder returns the ready hosts, as indexes in b.hosts, in the order in which a group's
-// connections prefer them. It is the same at every balancer.
+// connections prefer them. It is the same at every balancer that has the same endpoint list.
 func (b *Balancer) rendezvousOrder(group string) []int32 {
 	if order := b.groups[group]; order != nil {
 		return order
--- a/internal/balancer/host.go
+++ b/internal/balancer/host.go
@@ -18,7 +18,7 @@
 
 	deficit      float64 // turns owed; the smooth weighted rotation picks the host with the most
 	ejection     hostEjection
-	fullUntil    Time // set on status Full: the host reported it, or the proxy stopped an attempt
+	fullUntil    Time // it counts as full until then, after an attempt that ended with status Full
 	errors       errorScore
 	messages     messageDelay
 	slowStart    slowStartBudget
@@ -27,8 +27,9 @@
 }
 
 // restarted resets the failures and other state of the host's previous process. Otherwise a host
-// that came back would stay ejected for the remaining time. It ends an ejection without reporting
-// HostReadmitted, and is also called when an operator's suspension ends.
+// that came back would stay ejected for the remaining time. tokens is the initial fill of its slow
+// start budget. restarted ends an ejection without reporting HostReadmitted, and is also called when
+// an operator's suspension ends.
 func (h *host) restarted(now, startedAt Time, tokens float64) {
 	h.startedAt = startedAt
 	h.ejection.consecutiveFailures, h.ejection.until = 0, 0
--- a/internal/balancer/ledger/client.go
+++ b/internal/balancer/ledger/client.go
@@ -12,9 +12,9 @@
 
 // PendingQuery is a query that has no reply yet.
 type PendingQuery struct {
-	Request   string
-	Group     uint32
-	Units     int
+	Request   string // its ID
+	Group     uint32 // as in the Query
+	Units     int    // as in the Query
 	SentAt    Time
 	Abandoned bool // its request no longer waits for the reply
 }
@@ -23,15 +23,15 @@
 // pending queries. All balancers have the ledger servers in the same order, and query the first one
 // that replies.
 type Client struct {
-	servers     []int // balancers that are ledger servers, in order
-	current     int   // index in servers of the one that is queried
-	misses      int   // consecutive
-	pausedUntil Time  // time before which there are no queries
-	pauses      int   // consecutive
-	polledAt    Time
-	reachable   bool // whether the current one has sent a message since it became current
-	epoch       byte // epoch of the current one
-	sequence    uint16
+	servers     []int  // balancers that are ledger servers, in order
+	current     int    // index in servers of the one that is queried
+	misses      int    // consecutive
+	pausedUntil Time   // time before which there are no queries
+	pauses      int    // consecutive
+	polledAt    Time   // when ServerToPoll last returned a server
+	reachable   bool   // whether the current one has sent a message since it became current
+	epoch       byte   // epoch of the current one
+	sequence    uint16 // of the newest query
 	pending     map[uint16]*PendingQuery
 }
 
@@ -151,9 +151,9 @@
 	c.reachable = true
 }
 
-// ServerToPoll returns the ledger server to poll now, or -1 if none is due. It polls a server
-// before the current one, which may be available again, or the first one until that sends a
-// message.
+// ServerToPoll returns the ledger server to poll now, or -1 if none is due. The caller polls the
+// server that it returns, which is one before the current one, since that may be available again,
+// or the first one until it has sent a message.
 func (c *Client) ServerToPoll(now Time) int {
 	if c.current == 0 && now >= c.pausedUntil && c.reachable || now-c.polledAt < pollInterval {
 		return -1
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -109,7 +109,7 @@
 	c.ServerMessageReceived(0, 6)
 	miss()
 	if c.Server(now) != 0 {
-		t.Error("another ledger server is queried after one miss between replies")
+		t.Errorf("ledger server %d is queried after single misses between replies, expected 0", c.Server(now))
 	}
 	miss()
 	if c.Server(now) != 37 || c.ServerReachable(now) {
@@ -117,16 +117,17 @@
 			c.Server(now), c.ServerReachable(now))
 	}
 	if c.ServerMessageReceived(150, 1) {
-		t.Error("a message from a later ledger server than the current one requests a sync")
+		t.Error("ServerMessageReceived(150, 1) = true for a later server than the current one, expected false")
 	}
 	if server := c.ServerToPoll(now + pollInterval); server != 0 {
 		t.Errorf("ledger server %d is polled, expected 0", server)
 	}
 	if c.ServerToPoll(now+pollInterval+1) >= 0 {
-		t.Error("a ledger server is polled again at once")
+		t.Error("a ledger server is polled again 1 ns after the last poll, expected none")
 	}
 	if !c.ServerMessageReceived(0, 6) || c.Server(now) != 0 {
-		t.Error("the first ledger server is back and not queried")
+		t.Errorf("ledger server %d is queried after a message from the first one, expected 0 and a sync",
+			c.Server(now))
 	}
 	for range 2 * maxServers {
 		miss()
@@ -152,12 +153,14 @@
 		}
 		next := pauseEnd + 2*initialPause<<min(i, maxPauseDoublings-1)
 		if c.Server(next-1) >= 0 || c.Server(next) != 0 {
-			t.Errorf("pause %d does not end after %g s", i+2, float64(next-pauseEnd)/1e9)
+			t.Errorf("pause %d: ledger server %d is queried just before its end after %g s, %d at the end; "+
+				"expected -1 and 0", i+2, c.Server(next-1), float64(next-pauseEnd)/1e9, c.Server(next))
 		}
 		pauseEnd = next
 	}
 	if c.ServerMessageReceived(0, 6); c.Server(pauseEnd-1) != 0 {
-		t.Error("a message from a ledger server does not end the pause")
+		t.Errorf("Server(%d) = %d after a message from ledger server 0, expected 0: the message ends the pause",
+			pauseEnd-1, c.Server(pauseEnd-1))
 	}
 }
 
--- a/internal/balancer/ledger/message.go
+++ b/internal/balancer/ledger/message.go
@@ -119,10 +119,12 @@
 // Append implements Message.
 func (Poll) Append(data []byte) []byte { return append(data, kindPoll) }
 
+// appendGroup appends the 24 bits of a group's ID.
 func appendGroup(data []byte, group uint32) []byte {
 	return append(data, byte(group>>16), byte(group>>8), byte(group))
 }
 
+// decodeGroup returns the ID of a group from its three bytes.
 func decodeGroup(b []byte) uint32 { return uint32(b[0])<<16 | uint32(b[1])<<8 | uint32(b[2]) }
 
 // Decode decodes a message. It returns ErrInvalidMessage if data is not a complete message of the
@@ -157,6 +159,8 @@
 	return nil, ErrInvalidMessage
 }
 
+// decodeQuery decodes a query from queryBytes bytes. It returns ErrInvalidMessage if its units are
+// out of range.
 func decodeQuery(data []byte) (Message, error) {
 	units := int(data[4])
 	if units < 1 || units > MaxUnits {
@@ -166,6 +170,8 @@
 		Retry: data[3]&retryBit != 0, Units: units, Group: decodeGroup(data[5:])}, nil
 }
 
+// decodeEntries decodes entries that follow each other. It returns ErrInvalidMessage if there are
+// more than MaxEntries, or if one of them is incomplete or invalid.
 func decodeEntries(data []byte) (Entries, error) {
 	if len(data)%entryBytes != 0 || len(data) > MaxEntries*entryBytes {
 		return nil, ErrInvalidMessage
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions checks that the same events give the same counts and the same choice of
-// ledger server as in the golden file. The texts of digests and samples are part of the golden
+// TestRecordedDecisions checks that the events of each seed lead to the counts and the choice of
+// ledger server in the golden file. The texts of digests and samples are part of the golden
 // files and keep earlier terms.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
--- a/internal/balancer/ledgerassign.go
+++ b/internal/balancer/ledgerassign.go
@@ -20,15 +20,15 @@
 	// yet, as a multiple of the load that a new group causes there.
 	assignNewGroupCost = 1.0
 	// assignCrossZoneCost is the cost, as a load, of a host in another zone, and assignStallCost
-	// that of a host that delays messages by the shortest latency objective.
+	// that of a host that delays messages by the shortest message latency objective.
 	assignCrossZoneCost = 2.0
 	assignStallCost     = 10.0
-	// assignSlowStartShare is the share of the requests that a warming host may get by chance that
-	// the ledger server assigns. The rest is left for requests that had no reply.
+	// assignSlowStartShare is the share that the ledger server assigns of the requests that a
+	// warming host may get by chance. The rest is left for requests that had no reply.
 	assignSlowStartShare = 0.75
 )
 
-// assignHost returns the ledger server's choice for a request of any balancer: the assignable host
+// assignHost returns the ledger server's choice for a query of balancer from: the assignable host
 // with the lowest assignCost, or nil if no host is assignable. It records the assignment, so that a
 // warming host's budget is counted for all balancers together.
 func (b *Balancer) assignHost(from int, q ledger.Query) *host {
@@ -107,7 +107,7 @@
 	rate := max(fresh.Sum/(freshRequestWindow/1e9), b.traffic.expectedRate*float64(b.cfg.Instances))
 	window := float64(b.cfg.SlowStartOverloadWindow)
 	n := b.slowStartShare(h) * rate * window / 1e9
-	// The capacity at the start of the window.
+	// n is reduced to what the host's capacity at the start of the window allows.
 	share, gain := b.fullCapacityShare(h), (1-b.cfg.SlowStartFloor)*window/float64(b.cfg.SlowStartDuration)
 	n *= max(b.cfg.SlowStartFloor, share-gain) / share
 	assigned := b.ledger.placements.AssignmentsSince(uint32(h.hash), b.now-b.cfg.SlowStartOverloadWindow)
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -22,7 +22,7 @@
 	client        *ledger.Client
 	placements    *ledger.Placements // used if this balancer is a ledger server
 	freshRequests decay.Counter      // of all balancers; used if this one is a ledger server
-	announced     bool               // whether epoch is set and, by a ledger server, announced
+	announced     bool               // whether epoch is set, and announced if this one is a ledger server
 	epoch         byte               // of this process
 	syncDue       Time               // when to send the ledger server all connections of this balancer
 }
@@ -54,8 +54,8 @@
 }
 
 // queryLedger queries the ledger server for a host, once for the first attempt of a request that
-// belongs to a group, and reports whether the request waits for the reply. If this balancer is the
-// ledger server, it assigns the host at once.
+// belongs to a group and is not marked by load shedding. It reports whether the request waits for
+// the reply. If this balancer is the ledger server, it assigns the host at once.
 func (b *Balancer) queryLedger(r *request) (waits bool) {
 	server := b.ledger.client.Server(b.now)
 	if r.ledger.sent || r.attempts > 0 || r.shedUnlessWarmingHost || r.Group == "" ||
@@ -90,8 +90,9 @@
 	return h
 }
 
-// ledgerReplyReceived places the request that queried with the host in the reply. If the request no
-// longer waits, it returns the assignment to the ledger server.
+// ledgerReplyReceived places the request to which a reply belongs, at the host in the reply if that
+// is usable. If the request no longer waits, it tells the ledger server that the assignment is not
+// used.
 func (b *Balancer) ledgerReplyReceived(from int, m ledger.Reply) {
 	query := b.ledger.client.RemovePending(m.Seq)
 	if query == nil {
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestLedgerBalancesWhatNoBalancerSees checks that the ledger balances a large group over the
+// TestLedgerBalancesLargeGroup checks that the ledger balances a large group over the
 // hosts. Balancers that hold a connection or two each place all of the group at the first host of
 // its order, while the ledger server observes all connections.
-func TestLedgerBalancesWhatNoBalancerSees(t *testing.T) {
+func TestLedgerBalancesLargeGroup(t *testing.T) {
 	var fullest [2]float64
 	var groupsAtHosts [2]int
 	for i, withLedger := range []bool{false, true} {
--- a/internal/balancer/ledgersync.go
+++ b/internal/balancer/ledgersync.go
@@ -48,6 +48,7 @@
 	return true
 }
 
+// handleLedgerMessage replies to a message or applies it to the state of the ledger.
 func (b *Balancer) handleLedgerMessage(from int, message ledger.Message) {
 	switch m := message.(type) {
 	case ledger.Query:
@@ -72,12 +73,14 @@
 	}
 }
 
+// countPlacements applies the entries that a balancer has reported to this ledger server.
 func (b *Balancer) countPlacements(from int, entries ledger.Entries) {
 	for _, e := range entries {
 		b.countPlacement(from, e)
 	}
 }
 
+// countPlacement applies one entry that a balancer has reported to this ledger server.
 func (b *Balancer) countPlacement(from int, e ledger.Entry) {
 	b.ledger.placements.Add(from, e.Host, e.Group, e.Units)
 }
--- a/internal/balancer/loadestimate/host.go
+++ b/internal/balancer/loadestimate/host.go
@@ -30,9 +30,9 @@
 
 // Host estimates the load of one upstream host. The zero value has no report.
 type Host struct {
-	reported, queue float64
-	changedAt       int64 // when the reported values last changed; 0 if there was no report
-	reportedAt      int64 // when the last report arrived; 0 if there was none
+	reported, queue float64 // load and queue length of the last report
+	changedAt       int64   // when the reported values last changed; 0 if there was no report
+	reportedAt      int64   // when the last report arrived; 0 if there was none
 	additions       []addition
 }
 
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -42,8 +42,9 @@
 // hostsReportLoad reports whether health checks are allowed and hosts answer them with their load.
 func (b *Balancer) hostsReportLoad() bool { return b.cfg.MayHealthCheck && b.cfg.LoadField >= 0 }
 
-// startHealthChecks starts a health check of each available host whose last check began at least
-// healthCheckInterval ago.
+// startHealthChecks starts a health check of each ready host that is not ejected and whose last
+// check began at least healthCheckInterval ago, or minHealthCheckInterval if it has never reported
+// its load.
 func (b *Balancer) startHealthChecks() {
 	b.schedule(healthCheckScanInterval, timerHealthCheck)
 	b.updateFleetLoad()
@@ -138,7 +139,8 @@
 }
 
 // migrateFromFullHost migrates some connections off an overloaded host if other hosts have spare
-// capacity. Each balancer migrates a random part of its own, since all get the same report.
+// capacity. Each balancer migrates some of its own connections at random, since all get the same
+// report.
 func (b *Balancer) migrateFromFullHost(h *host) {
 	load, mean := b.currentLoad(h), b.fleetLoad.mean
 	if load < migrateAboveLoad || mean > migrateMaxMeanLoad || mean == 0 {
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -90,8 +90,8 @@
 	}
 	busy, quiet, expensive := count(20, 0.0016), count(2, 0.0016), count(2, 0.016)
 	if busy < 3*quiet/2 || quiet < 2*expensive {
-		t.Errorf("%d health checks with 20 requests a second, %d with 2, %d at ten times the price",
-			busy, quiet, expensive)
+		t.Errorf("%d health checks with 20 requests a second, expected 1.5 times the %d with 2; "+
+			"and that at least twice the %d at ten times the price", busy, quiet, expensive)
 	}
 }
 
@@ -121,10 +121,10 @@
 		f.establish(id)
 	}
 	if n := f.attemptsAt("s02", before); n > 0 {
-		t.Errorf("%d attempts at a host that reports three times the load that it can carry", n)
+		t.Errorf("%d attempts at s02, which reports three times its capacity, expected none", n)
 	}
 	if len(f.migrations) == 0 {
-		t.Error("no connection migrated off s02, which reports three times the load that it can carry")
+		t.Error("0 connections migrated off s02, which reports three times its capacity, expected some")
 	}
 }
 
@@ -188,7 +188,8 @@
 		attempts += f.attemptsAt("s00", 0)
 	}
 	if attempts > 20 {
-		t.Errorf("%d of 60 attempts at the host with the largest weight, at the same load as five others", attempts)
+		t.Errorf("%d of 60 attempts at the host with the largest weight, at the same load as five others, "+
+			"expected at most 20", attempts)
 	}
 }
 
@@ -216,16 +217,17 @@
 		for i := range 60 {
 			id := fmt.Sprint("r", i)
 			if !f.inFlight[id] && f.answers[id] != 1 {
-				t.Errorf("settings %04b: %s has %d answers and no attempt in flight", bits, id, f.answers[id])
+				t.Errorf("settings %04b: %s has %d answers and no attempt in flight, expected 1 answer",
+					bits, id, f.answers[id])
 			}
 		}
 		if n := len(f.healthChecked); n > 0 != (cfg.MayHealthCheck && cfg.LoadField >= 0) {
-			t.Errorf("settings %04b: %d health checks with MayHealthCheck %t, LoadField %d",
-				bits, n, cfg.MayHealthCheck, cfg.LoadField)
+			t.Errorf("settings %04b: %d health checks with MayHealthCheck %t and LoadField %d, "+
+				"expected some only if both allow them", bits, n, cfg.MayHealthCheck, cfg.LoadField)
 		}
 		if len(f.peerMessages) > 0 != (cfg.MayGossip && cfg.Instances > 1) {
-			t.Errorf("settings %04b: %d messages to peers with MayGossip %t, %d balancers",
-				bits, len(f.peerMessages), cfg.MayGossip, cfg.Instances)
+			t.Errorf("settings %04b: %d messages to peers with MayGossip %t and %d balancers, "+
+				"expected some only if gossip is allowed and there are peers", bits, len(f.peerMessages), cfg.MayGossip, cfg.Instances)
 		}
 	}
 }
--- a/internal/balancer/outcomes.go
+++ b/internal/balancer/outcomes.go
@@ -19,8 +19,8 @@
 	timeoutSampleFactor = 1.5
 )
 
-// errorScore is how often a host has failed recently, from 0 (never) to 1 (always). It fades with
-// the initial ejection as time constant.
+// errorScore is how often a host has answered with errors recently, from 0 (never) to 1 (always). It
+// fades with the duration of the first ejection as time constant.
 type errorScore struct {
 	score     float64
 	updatedAt Time
@@ -31,6 +31,7 @@
 	return e.score * math.Exp(-float64(now-e.updatedAt)/float64(timeConstant+1))
 }
 
+// currentErrorScore returns the error score of a host at the time of the current event.
 func (b *Balancer) currentErrorScore(h *host) float64 {
 	if h.errors.score == 0 {
 		return 0
@@ -38,8 +39,8 @@
 	return h.errors.faded(b.now, b.ejection.initial)
 }
 
-// AttemptEstablished records that an attempt, counted from 0, has set up its connection within
-// elapsed nanoseconds. It ignores an attempt that is not the request's newest, or that is already
+// AttemptEstablished records that an attempt, counted from 0, has set up its connection in elapsed
+// nanoseconds. It ignores an attempt that is not the request's newest, or that is already
 // established or ended.
 func (b *Balancer) AttemptEstablished(now Time, id string, attempt int, elapsed Time) {
 	b.beginEvent(now)
--- a/internal/balancer/peernetwork_test.go
+++ b/internal/balancer/peernetwork_test.go
@@ -16,16 +16,17 @@
 	now             Time
 	inFlight        []datagram
 	lossRate        float64
-	lostKind        byte         // kind of messages that are lost; 0 for none
-	down            map[int]bool // balancers that neither send nor receive
-	bytes           int
-	connections     map[string]*fake // balancer that placed it, by request ID
-	connectionOrder []string
+	lostKind        byte              // kind of messages that are lost; 0 for none
+	down            map[int]bool      // balancers that neither send nor receive
+	bytes           int               // sent in messages
+	connections     map[string]*fake  // balancer that placed the connection, by request ID
+	connectionOrder []string          // keys of connections, in the order in which they were opened
 	waiting         map[string]Time   // when requests that have no attempt yet arrived
 	instanceOf      map[string]int    // balancer at which a request arrived
 	attempts        map[string][]Time // times of attempts, by host
 }
 
+// datagram is a message between two balancers that has not arrived yet.
 type datagram struct {
 	at       Time // of arrival
 	from, to int
@@ -39,6 +40,7 @@
 	instance int
 }
 
+// SendToPeer sends a message to one balancer or to all others, after 1 to 20 ms. It may be lost.
 func (k *networkedFake) SendToPeer(peer int, data []byte) {
 	net := k.network
 	for to := range net.balancers {
--- a/internal/balancer/placement.go
+++ b/internal/balancer/placement.go
@@ -148,7 +148,8 @@
 }
 
 // retryAfter returns the Retry-After of a rejected request in nanoseconds, with jitter so that
-// clients do not all come back together. It returns 0 if the client may retry at any time.
+// clients do not all come back together. It returns 0 if the client may retry at any time, or if
+// clients do not read Retry-After.
 func (b *Balancer) retryAfter(r *request) Time {
 	if !b.cfg.SendsRetryAfter {
 		return 0
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -51,6 +51,7 @@
 	return r.trace
 }
 
+// answered reports whether a request has had its final answer, or its client has left.
 func (r *randomRun) answered(id string) bool { return r.answers[id] > 0 }
 
 // checkAttempts checks the attempts that were started since its last call.
@@ -139,6 +140,7 @@
 	}
 }
 
+// arrive makes a request with random properties arrive.
 func (r *randomRun) arrive() {
 	id := fmt.Sprint("r", len(r.ids))
 	r.ids = append(r.ids, id)
--- a/internal/balancer/queue.go
+++ b/internal/balancer/queue.go
@@ -13,8 +13,10 @@
 
 // queueEntry is the queue state of one request.
 type queueEntry struct {
-	queued    bool
-	rejectAt  Time // leaves half of the time for a client's retry; 0 if not queued since the last attempt
+	queued bool
+	// rejectAt is when the request is rejected, which leaves half of its time for a retry by the
+	// client. It is 0 if the request has not been queued since its last attempt.
+	rejectAt  Time
 	notBefore Time // earliest time of the next attempt; 0 if it may start at once
 }
 
--- a/internal/balancer/request.go
+++ b/internal/balancer/request.go
@@ -42,7 +42,7 @@
 	// completely, so that the attempt has not run (statusBeforeAnswer).
 	ConnectFailed
 	// Reset means that the connection broke after the request's line was written
-	// (statusBeforeAnswer, upstreamRequest.finalStatus), or that the host left lines of its client
+	// (statusBeforeAnswer, upstreamRequest.finalStatus), or that the host left lines of the client
 	// unanswered for too long (Core.checkUnanswered).
 	Reset
 	// Cancelled means that the proxy, the client or a migration ended the attempt or the
@@ -96,7 +96,7 @@
 
 	established        bool    // whether its connection is open
 	connectionIndex    int     // in host.connections
-	load               float64 // its part of host.load
+	load               float64 // what it adds to host.load
 	migrationRequested bool
 
 	mayHaveRunOn *host // host of the first attempt that may have run; nil if none may have
--- a/internal/balancer/retrystorm.go
+++ b/internal/balancer/retrystorm.go
@@ -47,8 +47,10 @@
 	return s.earlyErrors > 1 && now-s.lastEarlyErrorAt < earlyErrorWindow*s.longestObjective
 }
 
+// attemptStarted counts an attempt.
 func (s *retryStorm) attemptStarted() { s.attempts++ }
 
+// succeeded counts an attempt that has set up its connection.
 func (s *retryStorm) succeeded() {
 	s.earlyErrors = 0
 	s.successes++
--- a/internal/balancer/rotation.go
+++ b/internal/balancer/rotation.go
@@ -25,8 +25,8 @@
 // pick holds the parameters of the choice of a host for one request.
 type pick struct {
 	request      *request
-	turns        float64
-	preferredAge ageGroup // the hosts that may be picked; anyAge means all
+	turns        float64  // of the request's connection
+	preferredAge ageGroup // age group of the hosts that may be picked
 	fallback     bool     // hosts that are not available may be picked
 	sparse       bool     // result of sparseTraffic
 }
@@ -203,8 +203,8 @@
 		load = c.load + (p.turns+groupCost/b.costs.unit())/b.fleetLoad.full
 	}
 	if c.wonLottery {
-		// Before all other candidates, ordered by load and then by a hash of the request and the
-		// host.
+		// A winner of the lottery comes before all other candidates. Winners are ordered by load and
+		// then by a hash of the request and the host.
 		load = -1 / (1 + load + float64(stableHash(p.request.ID+c.host.hostID)%1024)/1e6)
 	}
 	return load
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -31,20 +31,22 @@
 		s.attemptStarted()
 	}
 	if !s.suspected(0) {
-		t.Error("no retry storm suspected after four attempts without a success")
+		t.Error("suspected(0) = false after four attempts without a success, expected true")
 	}
 	s.succeeded()
 	if s.suspected(0) {
-		t.Error("a retry storm is suspected though one of four attempts succeeded")
+		t.Error("suspected(0) = true after one of four attempts succeeded, expected false")
 	}
 	s = retryStorm{longestObjective: sec, attempts: 10}
 	if s.suspected(30 * sec) {
-		t.Error("a retry storm is suspected 30 s after the attempts")
+		t.Error("suspected = true 30 s after ten attempts without a success, expected false")
 	}
 	s.failedWithError(30*sec, 1)
 	s.failedWithError(30*sec, 1)
 	if !s.consecutiveEarlyErrors(31*sec) || s.consecutiveEarlyErrors(32*sec) {
-		t.Error("early errors do not count for exactly twice the longest objective")
+		t.Errorf("consecutiveEarlyErrors is %t 1 s and %t 2 s after two early errors, "+
+			"expected true and, after twice the longest objective, false",
+			s.consecutiveEarlyErrors(31*sec), s.consecutiveEarlyErrors(32*sec))
 	}
 }
 
@@ -87,7 +89,8 @@
 func TestConnectionCosts(t *testing.T) {
 	c := connectionCosts{byClass: make([]float64, 2)}
 	if c.estimate(&Request{}) != 1 || c.turns(5) != 1 {
-		t.Error("a cost is known before the first sample")
+		t.Errorf("before the first sample, estimate(empty request) = %g and turns(5) = %g, expected 1 and 1",
+			c.estimate(&Request{}), c.turns(5))
 	}
 	c.addSample(0, 100)
 	for _, q := range []struct {
--- a/internal/balancer/setuptime/setuptime.go
+++ b/internal/balancer/setuptime/setuptime.go
@@ -10,7 +10,8 @@
 	mean, deviation float64 // nanoseconds
 	samples         int
 	sampledAt       int64
-	// When a set-up that begins now is expected to complete, by each of the last two that ended.
+	// completesAt holds, for each of the last two set-ups that ended, when a set-up that began at
+	// that moment was expected to complete.
 	completesAt [2]int64
 }
 
--- a/internal/balancer/setuptime/setuptime_test.go
+++ b/internal/balancer/setuptime/setuptime_test.go
@@ -7,7 +7,8 @@
 func TestEstimator(t *testing.T) {
 	var e Estimator
 	if e.Reliable() || e.QueueDelay(0) != 0 {
-		t.Error("the estimates are reliable, or show a queue, without samples")
+		t.Errorf("without samples, Reliable is %t and QueueDelay(0) %d ns, expected false and 0",
+			e.Reliable(), e.QueueDelay(0))
 	}
 	for i := range int64(200) {
 		e.Sample(i*ms, float64(20*ms))
--- a/internal/balancer/slowstart.go
+++ b/internal/balancer/slowstart.go
@@ -112,7 +112,7 @@
 	}
 	t := &b.traffic
 	seconds := float64(b.cfg.SlowStartOverloadWindow) / 1e9
-	// The probability that no request comes to this balancer within the window.
+	// unused is the probability that no request comes to this balancer within the window.
 	unused := math.Exp(-(t.freshRequests/t.window(b.now) + t.retries.Sum/seconds) * seconds)
 	rate := b.slowStartRate(h)
 	if t.expectedRate <= 0 {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -33,7 +33,7 @@
 	DelayAt  Time    `json:"DelayAt"`
 	Tokens   float64 `json:"Tokens"` // of its slow start budget
 	TokensAt Time    `json:"TokensAt"`
-	Passed   Time    `json:"Passed"` // fullUntil
+	Passed   Time    `json:"Passed"` // host.fullUntil
 }
 
 // Snapshot returns the current state. If yieldBudgets is true, what is left of the slow start
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -52,7 +52,8 @@
 	source := snapshotSource(t)
 	snapshot := source.b.Snapshot(true)
 	if source.b.byID["s01"].slowStart.tokens >= 0 {
-		t.Error("s01 still has the budget that it yielded")
+		t.Errorf("s01 has %g tokens after it has yielded its budget, expected fewer than 0",
+			source.b.byID["s01"].slowStart.tokens)
 	}
 	if again := source.b.Snapshot(false); again.Servers[1].Tokens != 0 {
 		t.Errorf("a yielded budget is %g in a snapshot, expected 0", again.Servers[1].Tokens)
@@ -66,12 +67,13 @@
 			h, next.b.byID["s01"].slowStart.tokens, next.b.costs.mean)
 	}
 	if next.b.Ejected(next.now+2*sec, "s00") {
-		t.Error("a restored ejection does not end")
+		t.Error("s00 is still ejected 2 s after Restore, expected the ejection to end after 1 s")
 	}
 	// A process that yielded its budgets and continues, because no other took over, gets them back.
 	source.b.Restore(source.now, snapshot)
 	if source.b.byID["s01"].slowStart.tokens != 3 {
-		t.Error("Restore does not return a yielded budget")
+		t.Errorf("s01 has %g tokens after Restore returned its budget, expected 3",
+			source.b.byID["s01"].slowStart.tokens)
 	}
 }
 
--- a/internal/balancer/stallgossip/message.go
+++ b/internal/balancer/stallgossip/message.go
@@ -1,7 +1,7 @@
 // Package stallgossip encodes the messages in which balancers notify each other of hosts that delay
 // messages. A message is a sequence of six-byte records: the kind, the host as 32 bits of the hash
-// of its ID, and how long messages take there, in quarters of the shortest latency objective.
-// Messages are priced by the byte.
+// of its ID, and how long messages take there, in quarters of the shortest message latency objective
+// of all classes. Messages are priced by the byte.
 package stallgossip
 
 import "encoding/binary"
@@ -15,7 +15,7 @@
 // Record reports a host that delays messages.
 type Record struct {
 	Host  uint32  // 32 bits of the hash of its ID
-	Delay float64 // in shortest latency objectives; sent in quarters, up to 63.75
+	Delay float64 // in shortest message latency objectives; sent in quarters, up to 63.75
 }
 
 // Append appends a record to a message. It returns a full message unchanged.
