--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -13,7 +13,7 @@
 	f.listChanged(listed("s00", Draining))
 	for i := range 6 {
 		if f.serve(fmt.Sprint(i)) == "s00" {
-			t.Fatalf("request %d went to s00, which is draining", i)
+			t.Fatalf("request %d went to s00, which is draining, expected s01", i)
 		}
 	}
 	f.b.ListReceived(f.now, ListFull, []ListedHost{listed("s00", Ready)})
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -19,7 +19,7 @@
 		}
 		for k := range 12 {
 			if f.serve(fmt.Sprintf("q%d-%d", i, k)) == "s00" {
-				t.Fatalf("failure %d: request %d was sent to the ejected host s00", i, k)
+				t.Fatalf("failure %d: request %d was sent to the ejected host s00, want another host", i, k)
 			}
 		}
 		f.now = h.ejection.until
--- a/internal/balancer/grouphome_test.go
+++ b/internal/balancer/grouphome_test.go
@@ -34,7 +34,8 @@
 	})
 	f.b.RequestArrived(f.now, Request{ID: "more", Tenant: 0, Group: "g", Remaining: 2 * sec})
 	if homes[f.lastAttempt().host] {
-		t.Errorf("another connection of the group was placed at its home %s, which is full", f.lastAttempt().host)
+		t.Errorf("another connection of the group was placed at its home %s, which is full, want another host",
+			f.lastAttempt().host)
 	}
 }
 
--- a/internal/balancer/ledger/ledger_test.go
+++ b/internal/balancer/ledger/ledger_test.go
@@ -195,7 +195,7 @@
 		}
 		back := m.Append(nil)
 		if !bytes.Equal(back, data) {
-			t.Fatalf("%x is encoded again as %x", data, back)
+			t.Fatalf("Decode(%x) is encoded again as %x, expected the same bytes", data, back)
 		}
 	})
 }
--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			t.Errorf("Decode(%x), message %s: %v", m.data, m.kind, err)
 		} else if again := read.Append(nil); !bytes.Equal(again, m.data) {
-			t.Errorf("message %s: %x is encoded again as %x", m.kind, m.data, again)
+			t.Errorf("message %s: %x is encoded again as %x, expected the same bytes", m.kind, m.data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", samples.Bytes())
--- a/internal/balancer/ledgerassign_test.go
+++ b/internal/balancer/ledgerassign_test.go
@@ -49,7 +49,7 @@
 		t.Logf("%3d balancers, wave %t: %d attempts at %d warming hosts, at most %.2f of n + 3 √n + 3 at one",
 			c.balancers, c.wave, total, c.warming, largest)
 		if largest > 1 {
-			t.Errorf("%d balancers: a warming host got %.2f times the attempts that may come by chance",
+			t.Errorf("%d balancers: a warming host got %.2f times the attempts that may come by chance, want at most 1",
 				c.balancers, largest)
 		}
 		if c.wave && c.balancers > 20 && total < 48 {
@@ -74,7 +74,7 @@
 		}
 		net.run(500 * ms)
 		if len(net.waiting) > 0 {
-			t.Fatalf("%d requests still wait 500 ms after messages %x and %x", len(net.waiting), a, b)
+			t.Fatalf("%d requests still wait 500 ms after messages %x and %x, want 0", len(net.waiting), a, b)
 		}
 	})
 }
--- a/internal/balancer/ledgerquery.go
+++ b/internal/balancer/ledgerquery.go
@@ -36,6 +36,7 @@
 	units         int   // load in ledger units; 0 until it is computed
 }
 
+// newPlacementLedger returns the state of a balancer that has exchanged no messages yet.
 func newPlacementLedger(cfg *Config) placementLedger {
 	return placementLedger{client: ledger.NewClient(cfg.Instances), placements: ledger.NewPlacements()}
 }
--- a/internal/balancer/ledgerquery_test.go
+++ b/internal/balancer/ledgerquery_test.go
@@ -19,8 +19,8 @@
 	t.Logf("fullest host %.1f times the mean, %d pairs of group and host; with a ledger %.1f, %d",
 		fullest[0], groupsAtHosts[0], fullest[1], groupsAtHosts[1])
 	if fullest[1] > 0.6*fullest[0] || groupsAtHosts[1] > 2*groupsAtHosts[0] {
-		t.Errorf("too little balance, or groups spread too far: fullest host %.1f times the mean, "+
-			"%d pairs of group and host; without a ledger %.1f, %d",
+		t.Errorf("fullest host %.1f times the mean, %d pairs of group and host; "+
+			"want at most 0.6 and 2 times those without a ledger, %.1f and %d",
 			fullest[1], groupsAtHosts[1], fullest[0], groupsAtHosts[0])
 	}
 }
@@ -50,7 +50,8 @@
 	t.Logf("%d query another ledger server, %d the first one again; it counts %.0f of %d connections",
 		queryingOther, queryingFirst, net.ledgerConnections(), len(net.connections))
 	if queryingFirst < 38 || net.ledgerCountError() > 0.25*float64(len(net.connections)) {
-		t.Errorf("%d of 40 query the first ledger server, which counts %.0f of %d connections",
+		t.Errorf("%d of 40 query the first ledger server, want at least 38; it counts %.0f of %d connections, "+
+			"want a difference of at most a quarter",
 			queryingFirst, net.ledgerConnections(), len(net.connections))
 	}
 }
--- a/internal/balancer/ledgersync_test.go
+++ b/internal/balancer/ledgersync_test.go
@@ -71,13 +71,14 @@
 		net.runTraffic(2500*ms, 8, 60, false)
 		net.checkNoLongWaits(t, c.name)
 		if c.soon && net.ledgerCountError() > 0.25*float64(len(net.connections)) {
-			t.Errorf("%s: 2.5 s later the ledger has %.0f of %d connections", c.name, net.ledgerConnections(),
-				len(net.connections))
+			t.Errorf("%s: 2.5 s later the ledger has %.0f of %d connections, want a difference of at most a quarter",
+				c.name, net.ledgerConnections(), len(net.connections))
 		}
 		net.runTraffic(13*sec, 8, 60, false)
 		net.checkNoLongWaits(t, c.name)
 		if n := net.countQueryingFirstServer(); n < 38 || net.ledgerCountError() > 0.08*float64(len(net.connections))+2 {
-			t.Errorf("%s: 15 s later %d of 40 query the first server, which counts %.0f of %d connections",
+			t.Errorf("%s: 15 s later %d of 40 query the first server, want at least 38; it counts %.0f of %d connections, "+
+				"want a difference of at most 8%% and 2",
 				c.name, n, net.ledgerConnections(), len(net.connections))
 		}
 	}
--- a/internal/balancer/loadestimate/host_test.go
+++ b/internal/balancer/loadestimate/host_test.go
@@ -38,7 +38,8 @@
 		h.Report(now, 0.3, 1)
 		got := h.Load(now, 100, 0.9)
 		if got < last-1e-9 || got > last+0.02 {
-			t.Fatalf("load %.3f after %.3f a tenth of a second before, at %d s", got, last, now/sec)
+			t.Fatalf("load %.3f at %d s, expected no less than %.3f, that of a tenth of a second before, "+
+				"and at most 0.02 more", got, now/sec, last)
 		}
 		last = got
 	}
@@ -46,7 +47,7 @@
 		t.Errorf("load %.3f after 30 s of the same report in a fleet at 0.9, expected at least 0.85", last)
 	}
 	if h.HasRecentReport(30 * sec) {
-		t.Error("HasRecentReport is true after 30 s of the same report")
+		t.Error("HasRecentReport is true after 30 s of the same report, expected false")
 	}
 	h.AddLoad(30*sec, 50)
 	if got := h.Load(30*sec, 100, 0.9); got < last+0.49 {
@@ -81,6 +82,6 @@
 	}
 	h.Reset()
 	if h.HasRecentReport(4 * sec) {
-		t.Error("HasRecentReport is true after Reset")
+		t.Error("HasRecentReport is true after Reset, expected false")
 	}
 }
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -189,7 +189,8 @@
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := runRandomEvents(t, seed, Idempotent), runRandomEvents(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
-			t.Fatalf("seed %d: the same events caused different effects", seed)
+			t.Fatalf("seed %d: the same events caused %d and %d effects, which differ; want the same",
+				seed, len(a), len(b))
 		}
 	}
 }
--- a/internal/balancer/queue_test.go
+++ b/internal/balancer/queue_test.go
@@ -47,21 +47,22 @@
 	slow("a")
 	f.request("one") // one slow set-up may be the fault of its host alone
 	if !f.inFlight["one"] {
-		t.Fatalf("request was not attempted after one slow set-up: %v", f.trace)
+		t.Fatalf("request one is not attempted after one slow set-up, want an attempt: effects %v", f.trace)
 	}
 	slow("b")
 	n := len(f.attemptsStarted)
 	f.request("c")
 	if len(f.attemptsStarted) != n || f.answers["c"] != 1 {
-		t.Fatalf("request was not rejected at once after two set-ups that took as long as it has left: %v", f.trace)
+		t.Fatalf("request c has %d answers after two set-ups that took as long as it has left, want a rejection "+
+			"at once and no attempt: effects %v", f.answers["c"], f.trace)
 	}
 	if f.rejected["c"] == 0 {
-		t.Fatalf("request was rejected without a Retry-After: %v", f.trace)
+		t.Fatalf("request c is rejected without a Retry-After, want one above 0: effects %v", f.trace)
 	}
 	f.now += 2500 * ms // the queue may be empty by then
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatalf("request was not attempted 2.5 s later: %v", f.trace)
+		t.Fatalf("request d is not attempted 2.5 s later, want an attempt: effects %v", f.trace)
 	}
 }
 
@@ -72,7 +73,7 @@
 	f.request("a")
 	f.end("a", Error)
 	if !f.inFlight["a"] {
-		t.Fatalf("no retry at once after one error: %v", f.trace)
+		t.Fatalf("request a is not retried at once after one error, want a retry: effects %v", f.trace)
 	}
 	f.establish("a")
 	for _, id := range []string{"b", "c"} {
@@ -80,16 +81,17 @@
 		f.end(id, Error)
 	}
 	if f.inFlight["c"] {
-		t.Fatalf("retry at once after two consecutive early errors: %v", f.trace)
+		t.Fatalf("request c is retried at once after two consecutive early errors, want a delay: effects %v", f.trace)
 	}
 	n := len(f.attemptsStarted)
 	f.run(sec)
 	if len(f.attemptsStarted) == n || f.answers["c"] != 0 {
-		t.Fatalf("no attempt within a second, or request already answered: %v", f.trace)
+		t.Fatalf("request c: %d attempts within a second and %d answers, want at least 1 and 0: effects %v",
+			len(f.attemptsStarted)-n, f.answers["c"], f.trace)
 	}
 	f.establish("c")
 	f.request("d")
 	if !f.inFlight["d"] {
-		t.Fatalf("attempt is delayed though the last one was established: %v", f.trace)
+		t.Fatalf("request d is delayed after an attempt was established, want an attempt at once: effects %v", f.trace)
 	}
 }
--- a/internal/balancer/rulestate_test.go
+++ b/internal/balancer/rulestate_test.go
@@ -61,7 +61,7 @@
 		e.addSuccess(0)
 	}
 	if e.addTimeout(0) != false || e.addTimeout(20*sec) {
-		t.Error("a timeout counts as shared though most set-ups succeed, or 20 s after all others")
+		t.Error("addTimeout = true after six successes, or 20 s after all other set-ups, expected false")
 	}
 }
 
--- a/internal/balancer/shedding.go
+++ b/internal/balancer/shedding.go
@@ -40,6 +40,7 @@
 // the unit of Request.ExpectedLoad.
 type zoneLoad struct{ open, stalled float64 }
 
+// stalledShare returns the fraction of the open load that is on stalled hosts.
 func (z zoneLoad) stalledShare() float64 { return z.stalled / max(1, z.open) }
 
 // update adjusts the shares to the loads of the own zone and of the other zones, dt seconds after
@@ -56,8 +57,8 @@
 	if excess := stalled - maxStalledShare; excess > 0 {
 		s.share = min(maxShedShare, s.share+shedGrowthRate*excess*dt)
 	} else {
-		// The pause of one host can stall half of the load of a balancer that has little. The
-		// shedding that it causes must not outlast it by much.
+		// The pause of one host can stall half of the load of a balancer that holds few connections.
+		// The shedding that the pause causes must not outlast it by much.
 		s.share = max(0, s.share-shedRelease*dt)
 		s.share -= s.share * min(1, shedDecay*dt*(1-stalled/maxStalledShare))
 	}
--- a/internal/balancer/shedding_test.go
+++ b/internal/balancer/shedding_test.go
@@ -39,7 +39,8 @@
 	f.run(60 * sec) // without another observation of a stall
 	arrive("later", 0)
 	if f.answers["later"] == 1 {
-		t.Fatalf("request rejected a minute after the last stall, with %.2f of the demand shed", f.b.shedding.share)
+		t.Fatalf("request rejected a minute after the last stall, with %.2f of the demand shed, want none shed",
+			f.b.shedding.share)
 	}
 }
 
@@ -97,6 +98,7 @@
 	}
 	f.request("usual")
 	if !f.inFlight["usual"] {
-		t.Fatalf("another request is delayed after the errors of one request: %v", f.trace)
+		t.Fatalf("another request is delayed after the errors of one request, want an attempt at once: effects %v",
+			f.trace)
 	}
 }
--- a/internal/balancer/slowstart_budget_test.go
+++ b/internal/balancer/slowstart_budget_test.go
@@ -74,7 +74,7 @@
 	}
 	capacityShare := 0.2 + 0.8*4/10
 	if budget := slowStartShareFactor * 3 * capacityShare * 12; float64(n) > budget {
-		t.Fatalf("a wave brought %d connections at once to a warming host with a budget of %.0f per second",
+		t.Fatalf("a wave brought %d connections at once to a warming host, want at most its budget of %.0f per second",
 			n, budget)
 	}
 	if n == 0 {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -52,6 +52,7 @@
 	return s
 }
 
+// snapshot returns the state of the host.
 func (h *host) snapshot() HostSnapshot {
 	return HostSnapshot{ID: h.hostID, Since: h.startedAt,
 		Fails: h.ejection.consecutiveFailures, Until: h.ejection.until, FailedAt: h.ejection.failedAt,
@@ -87,6 +88,7 @@
 		saved.Until <= b.now+b.ejection.max && saved.Passed <= b.now+b.retryStorm.longestObjective
 }
 
+// restore applies the snapshot of the host, for which plausibleHost must have reported true.
 func (h *host) restore(saved *HostSnapshot) {
 	h.ejection.consecutiveFailures, h.ejection.until, h.ejection.failedAt = saved.Fails, saved.Until, saved.FailedAt
 	h.errors = errorScore{score: min(1, saved.Ill), updatedAt: saved.IllAt}
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -22,10 +22,11 @@
 		fresh += len(replay(balancers, rng, evenlySpacedTimes(48, resumedAt+3*sec, 400*ms), false, "s03"))
 	})
 	if mean > waveWarmingBudget {
-		t.Errorf("a wave brings %.2f connections on average to a host whose budget is %.2f", mean, waveWarmingBudget)
+		t.Errorf("a wave brings %.2f connections on average to the resumed host, want at most its budget of %.2f",
+			mean, waveWarmingBudget)
 	}
 	if fresh < seeds {
-		t.Errorf("%d connections in %d times 20 s: too few for a host that is not ejected", fresh, seeds)
+		t.Errorf("%d connections in %d times 20 s to a host that is not ejected, want at least %d", fresh, seeds, seeds)
 	}
 }
 
--- a/internal/balancer/traffic.go
+++ b/internal/balancer/traffic.go
@@ -35,6 +35,7 @@
 	fleetWeightDecay Time // time constant with which fleetWeight falls
 }
 
+// newTraffic returns estimates without events. ejectionInitial is the duration of a first ejection.
 func newTraffic(cfg *Config, ejectionInitial Time) traffic {
 	t := traffic{instances: float64(cfg.Instances), maxWindow: max(cfg.SlowStartDuration, ejectionInitial),
 		overloadWindow: cfg.SlowStartOverloadWindow, observedSince: -1,
