--- a/internal/balancer/ledger/recorded_test.go
+++ b/internal/balancer/ledger/recorded_test.go
@@ -10,8 +10,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedDecisions checks that the same events give the same counts and the same choice of
-// ledger server as in the golden file. The texts of digests and samples are part of the golden
+// TestRecordedDecisions checks that the events of each seed lead to the counts and the choice of
+// ledger server in the golden file. The texts of digests and samples are part of the golden
 // files and keep earlier terms.
 func TestRecordedDecisions(t *testing.T) {
 	const sequences, eventsPerSequence = 200, 1000
@@ -85,7 +85,7 @@
 		if err != nil {
 			t.Errorf("Decode(%x), message %s: %v", m.data, m.kind, err)
 		} else if again := read.Append(nil); !bytes.Equal(again, m.data) {
-			t.Errorf("message %s: %x is encoded again as %x", m.kind, m.data, again)
+			t.Errorf("message %s: %x is encoded again as %x, expected the same bytes", m.kind, m.data, again)
 		}
 	}
 	golden.Check(t, "messages.golden", samples.Bytes())
--- a/internal/balancer/property_test.go
+++ b/internal/balancer/property_test.go
@@ -51,6 +51,7 @@
 	return r.trace
 }
 
+// answered reports whether a request has had its final answer, or its client has left.
 func (r *randomRun) answered(id string) bool { return r.answers[id] > 0 }
 
 // checkAttempts checks the attempts that were started since its last call.
@@ -139,6 +140,7 @@
 	}
 }
 
+// arrive makes a request with random properties arrive.
 func (r *randomRun) arrive() {
 	id := fmt.Sprint("r", len(r.ids))
 	r.ids = append(r.ids, id)
@@ -187,7 +189,8 @@
 	for seed := int64(0); seed < 3; seed++ {
 		a, b := runRandomEvents(t, seed, Idempotent), runRandomEvents(t, seed, Idempotent)
 		if strings.Join(a, "\n") != strings.Join(b, "\n") {
-			t.Fatalf("seed %d: the same events caused different effects", seed)
+			t.Fatalf("seed %d: the same events caused %d and %d effects, which differ; want the same",
+				seed, len(a), len(b))
 		}
 	}
 }
