--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -49,7 +49,7 @@
 
 // Run runs the proxy until it has shut down after a signal. format is that of the log; "": the settings file's.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
-	Logs(file, format)
+	ConfigureLog(file, format)
 	runtime.GOMAXPROCS(cfg.MaxThreads())
 	debug.SetMemoryLimit(cfg.MemoryLimit())
 	p := &process{cfg: cfg, loop: netio.NewLoop(), fleet: newFleet(file)}
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -68,8 +68,8 @@
 // stderr is where the log goes. It does not block where its reader stops reading.
 var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
-// Logs configures the log by the settings file. A format of the command line wins over the file's, also after a reload.
-func Logs(file *settings.File, format string) {
+// ConfigureLog configures the log by the settings file. A format of the command line wins over the file's, also after a reload.
+func ConfigureLog(file *settings.File, format string) {
 	o := logOptions(file)
 	if format != "" {
 		o.Format = format
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -89,7 +89,7 @@
 	}
 	if h.file.Path != "" {
 		h.file = file
-		Logs(file, h.format)
+		ConfigureLog(file, h.format)
 		slog.Info("settings_reloaded", "file", file.Path)
 	}
 }
