--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -31,7 +31,7 @@
 	}
 	r.core.counters.rejected++
 	r.record.Rejected(r.core.loop.Now())
-	r.core.counters.metrics.Ended(r.attributes.Class, metrics.Rejected)
+	r.core.counters.metrics.CountEnd(r.attributes.Class, metrics.Rejected)
 	if tracing() {
 		slog.Debug("request_rejected", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "after_ms", after.Milliseconds(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
@@ -48,7 +48,7 @@
 	}
 	r.core.counters.failed++
 	r.record.Failed(r.core.loop.Now())
-	r.core.counters.metrics.Ended(r.attributes.Class, end)
+	r.core.counters.metrics.CountEnd(r.attributes.Class, end)
 	if tracing() {
 		slog.Debug("request_failed", "request", r.attributes.ID, "attempts", r.attempts, "reason", reason, "state", r.stageName(),
 			"left_ms", (r.deadline-r.core.loop.Now())/1e6)
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -57,7 +57,7 @@
 // classes have no metrics.
 func (c *Core) countEnd(class string, e metrics.End) {
 	if i, known := c.names.classes[class]; known {
-		c.counters.metrics.Ended(i, e)
+		c.counters.metrics.CountEnd(i, e)
 	}
 }
 
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -73,7 +73,7 @@
 // becomeAbandoned closes a request whose client has left before its answer, and ends the attempt in
 // flight, if any.
 func (r *Request) becomeAbandoned() {
-	r.core.counters.metrics.Ended(r.attributes.Class, metrics.ClientLeft)
+	r.core.counters.metrics.CountEnd(r.attributes.Class, metrics.ClientLeft)
 	r.becomeClosed()
 	r.notifyClientLeft()
 	r.endAttempt()
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -83,7 +83,7 @@
 // rejectOpening rejects an opening for which no Request exists. after is the Retry-After.
 func (c *Core) rejectOpening(d Downstream, q *balancer.Request, end metrics.End, reason localReplyReason, after time.Duration) {
 	c.counters.rejected++
-	c.counters.metrics.Ended(q.Class, end)
+	c.counters.metrics.CountEnd(q.Class, end)
 	if tracing() {
 		slog.Debug("request_rejected", "request", q.ID, "attempts", 0, "reason", reason, "after_ms", after.Milliseconds())
 	}
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -13,7 +13,7 @@
 // UpstreamSent records that the last byte of the first line is written.
 func (a *upstreamRequest) UpstreamSent() {
 	c := a.request.core
-	c.counters.metrics.Dispatched()
+	c.counters.metrics.CountDispatch()
 	a.request.record.LineWritten(c.loop.Now(), a.startedAt, a.host.invariantHost())
 }
 
@@ -61,7 +61,7 @@
 	if r.adopted {
 		end = metrics.Adopted
 	}
-	c.counters.metrics.Ended(r.attributes.Class, end)
+	c.counters.metrics.CountEnd(r.attributes.Class, end)
 	r.downstream.Accept(m)
 	a.notifyEstablished()
 	c.reassignConnection(r) // the host may have changed pools in the meantime
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -52,15 +52,15 @@
 	return &Table{classes: classes, ended: make([][counters]int64, len(classes))}
 }
 
-// Ended counts a request's end.
-func (t *Table) Ended(class int, e End) {
+// CountEnd counts a request's end.
+func (t *Table) CountEnd(class int, e End) {
 	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.ended) {
 		t.ended[class][c]++
 	}
 }
 
-// Dispatched counts an attempt whose last byte has been written.
-func (t *Table) Dispatched() { t.dispatched++ }
+// CountDispatch counts an attempt whose last byte has been written.
+func (t *Table) CountDispatch() { t.dispatched++ }
 
 // Gauges are the metrics that are read at the moment of a call.
 type Gauges struct {
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -11,9 +11,9 @@
 	table := New([]string{"session", "batch"})
 	for e := range ends {
 		for range int(e) + 1 {
-			table.Ended(int(e)%2, e)
+			table.CountEnd(int(e)%2, e)
 		}
 	}
-	table.Dispatched()
+	table.CountDispatch()
 	golden.Check(t, "metrics.txt", table.Text(Gauges{Concurrent: 4, Hosts: 5, Disabled: 2}))
 }
