--- a/internal/dataplane/proxy/hosts_test.go
+++ b/internal/dataplane/proxy/hosts_test.go
@@ -20,7 +20,7 @@
 	for _, id := range []string{"s", "w"} {
 		table.suspensions.HostListed(id)
 	}
-	table.suspensions.Set("s", true, 1)
+	table.suspensions.SetSuspended("s", true, 1)
 	for _, c := range []struct {
 		id           string
 		listed, want balancer.HostState
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -135,7 +135,7 @@
 		c.hosts.suspensions.HostListed(id)
 	}
 	for _, suspension := range s.Suspended {
-		c.hosts.suspensions.Set(suspension.ID, true, suspension.Since)
+		c.hosts.suspensions.SetSuspended(suspension.ID, true, suspension.Since)
 	}
 }
 
@@ -150,8 +150,8 @@
 func (c *Core) Snapshot(yield bool) *Snapshot {
 	s := &Snapshot{
 		WrittenAt:  c.loop.Now(),
-		Suspended:  c.hosts.suspensions.All(),
-		KnownHosts: c.hosts.suspensions.IDs(),
+		Suspended:  c.hosts.suspensions.LocalSuspensions(),
+		KnownHosts: c.hosts.suspensions.KnownHosts(),
 		Balancer:   c.pools.main.balancer.Snapshot(yield),
 	}
 	for _, p := range c.pools.byName {
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -35,7 +35,7 @@
 func (c *Core) applySuspension(id string, suspended bool) {
 	s := c.hosts.suspensions
 	previous, wasSuspended := s.Suspension(id), s.Suspended(id)
-	if !s.Set(id, suspended, c.loop.Now()) {
+	if !s.SetSuspended(id, suspended, c.loop.Now()) {
 		return
 	}
 	slog.Info("host_suspended", "host", id, "suspended", suspended)
@@ -49,10 +49,10 @@
 func (c *Core) SetFleetSuspensions(ids []string) {
 	s := c.hosts.suspensions
 	previous := map[string]maintenance.Suspension{}
-	for _, id := range s.IDs() {
+	for _, id := range s.KnownHosts() {
 		previous[id] = s.Suspension(id)
 	}
-	for _, id := range s.SetFleet(ids, c.loop.Now()) {
+	for _, id := range s.SetFleetSuspensions(ids, c.loop.Now()) {
 		suspended := s.Suspended(id)
 		slog.Info("host_suspended", "host", id, "suspended", suspended, "fleet", true)
 		c.suspensionChanged(id, suspended, previous[id])
@@ -84,7 +84,7 @@
 // may not have reported the start yet. If the result is a guess, confirmStart corrects it after
 // maintenance.StartUncertainty.
 func (c *Core) startAfterSuspension(h *host, ended maintenance.Suspension, listed balancer.Time) balancer.Time {
-	start, isGuess := ended.StartAfter(listed, c.loop.Now())
+	start, isGuess := ended.StartOnResume(listed, c.loop.Now())
 	if isGuess {
 		c.loop.After(time.Duration(maintenance.StartUncertainty), func() { c.confirmStart(h, start) })
 	}
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -156,22 +156,22 @@
 		change func() any
 		want   bool
 	}{
-		{func() any { return registry.SetFleet([]string{"A", "B"}, at) }, true},
-		{func() any { return registry.Set("A", true, at+1) }, true},
-		{func() any { return registry.SetFleet([]string{"B"}, at+2) }, true},
-		{func() any { return registry.Set("A", false, at+3) }, false},
-		{func() any { return registry.SetFleet([]string{"A"}, at+4) }, true},
-		{func() any { return registry.Set("A", false, at+5) }, true},
-		{func() any { return registry.SetFleet(nil, at+6) }, false},
+		{func() any { return registry.SetFleetSuspensions([]string{"A", "B"}, at) }, true},
+		{func() any { return registry.SetSuspended("A", true, at+1) }, true},
+		{func() any { return registry.SetFleetSuspensions([]string{"B"}, at+2) }, true},
+		{func() any { return registry.SetSuspended("A", false, at+3) }, false},
+		{func() any { return registry.SetFleetSuspensions([]string{"A"}, at+4) }, true},
+		{func() any { return registry.SetSuspended("A", false, at+5) }, true},
+		{func() any { return registry.SetFleetSuspensions(nil, at+6) }, false},
 	} {
 		if c.change(); registry.Suspended("A") != c.want {
 			t.Errorf("after step %d, Suspended(A) = %t, want %t", i, registry.Suspended("A"), c.want)
 		}
 	}
-	if changed := registry.SetFleet([]string{"A", "B"}, at); len(changed) != 2 || len(registry.SetFleet([]string{"A", "B"}, at)) != 0 {
+	if changed := registry.SetFleetSuspensions([]string{"A", "B"}, at); len(changed) != 2 || len(registry.SetFleetSuspensions([]string{"A", "B"}, at)) != 0 {
 		t.Errorf("SetFleet([A B]) changed %v, want A and B once and nothing when repeated", changed)
 	}
-	if len(registry.All()) != 0 || registry.Suspension("A").Since != at {
-		t.Errorf("All() = %v, want none; Suspension(A) = %+v, want Since %d", registry.All(), registry.Suspension("A"), at)
+	if len(registry.LocalSuspensions()) != 0 || registry.Suspension("A").Since != at {
+		t.Errorf("LocalSuspensions() = %v, want none; Suspension(A) = %+v, want Since %d", registry.LocalSuspensions(), registry.Suspension("A"), at)
 	}
 }
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -46,11 +46,11 @@
 // Known reports whether a list has ever named the host.
 func (r *Registry) Known(id string) bool { return r.known[id] }
 
-// IDs is every host that a call may name, the oldest first.
-func (r *Registry) IDs() []string { return slices.Clone(r.knownOrder) }
+// KnownHosts is every host that a call may name, the oldest first.
+func (r *Registry) KnownHosts() []string { return slices.Clone(r.knownOrder) }
 
-// Set suspends a host at this proxy or resumes it, and reports whether that changed anything.
-func (r *Registry) Set(id string, suspended bool, now int64) (changed bool) {
+// SetSuspended suspends a host at this proxy or resumes it, and reports whether that changed anything.
+func (r *Registry) SetSuspended(id string, suspended bool, now int64) (changed bool) {
 	if _, is := r.suspendedHere[id]; is == suspended {
 		return false
 	}
@@ -63,9 +63,9 @@
 	return true
 }
 
-// SetFleet replaces the list of hosts that are suspended fleet-wide, and gives the hosts whose suspension begins or ends by that. A host
+// SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide, and gives the hosts whose suspension begins or ends by that. A host
 // is suspended while either list has it: a call at this proxy does not resume it for the fleet.
-func (r *Registry) SetFleet(ids []string, now int64) (changed []string) {
+func (r *Registry) SetFleetSuspensions(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
 		since, was := r.suspendedFleet[id]
@@ -106,8 +106,8 @@
 	return Suspension{id, since}
 }
 
-// All is every suspension that was set at this proxy, sorted by id.
-func (r *Registry) All() []Suspension {
+// LocalSuspensions is every suspension that was set at this proxy, sorted by id.
+func (r *Registry) LocalSuspensions() []Suspension {
 	all := make([]Suspension, 0, len(r.suspendedHere))
 	for id, since := range r.suspendedHere {
 		all = append(all, Suspension{id, since})
--- a/internal/operations/maintenance/registry_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -19,12 +19,12 @@
 				b.HostListed(id)
 				listed[id] = true
 			case 1:
-				if listed[id] && b.Set(id, true, 5) == suspended[id] {
+				if listed[id] && b.SetSuspended(id, true, 5) == suspended[id] {
 					t.Fatal("a first suspension changes something, a second nothing")
 				}
 				suspended[id] = suspended[id] || listed[id]
 			case 2:
-				if b.Set(id, false, 5) != suspended[id] {
+				if b.SetSuspended(id, false, 5) != suspended[id] {
 					t.Fatal("one call to resume ends any number of suspensions")
 				}
 				suspended[id] = false
@@ -40,15 +40,15 @@
 func TestKnownIsBounded(t *testing.T) {
 	b := New()
 	b.HostListed("first")
-	b.Set("first", true, 7)
+	b.SetSuspended("first", true, 7)
 	for i := range 2 * maxKnownHosts {
 		b.HostListed(fmt.Sprint(i))
 	}
 	if len(b.known) > maxKnownHosts || !b.Known("first") || b.Known("0") || !b.Known(fmt.Sprint(2*maxKnownHosts-1)) {
 		t.Errorf("%d known, first %t", len(b.known), b.Known("first"))
 	}
-	if !slices.Equal(b.All(), []Suspension{{"first", 7}}) {
-		t.Errorf("suspensions %v", b.All())
+	if !slices.Equal(b.LocalSuspensions(), []Suspension{{"first", 7}}) {
+		t.Errorf("suspensions %v", b.LocalSuspensions())
 	}
 }
 
@@ -58,7 +58,7 @@
 		listed, start int64
 		guess         bool
 	}{{0, 90, true}, {49, 90, true}, {50, 50, false}, {80, 80, false}} {
-		if start, guess := (Suspension{"a", 50}).StartAfter(x.listed, 90); start != x.start || guess != x.guess {
+		if start, guess := (Suspension{"a", 50}).StartOnResume(x.listed, 90); start != x.start || guess != x.guess {
 			t.Errorf("listed %d: start %d, guessed %t", x.listed, start, guess)
 		}
 	}
--- a/internal/operations/maintenance/suspension.go
+++ b/internal/operations/maintenance/suspension.go
@@ -14,10 +14,10 @@
 	Since int64  `json:"Since"` // when the first call came, Unix nanoseconds
 }
 
-// StartAfter is when a host that is resumed now counts as started, and whether that is a guess, which ends after StartUncertainty. listed is its
+// StartOnResume is when a host that is resumed now counts as started, and whether that is a guess, which ends after StartUncertainty. listed is its
 // latest start as discovery says. Hosts are suspended to be restarted; one of which discovery has named no start since may be warming up, and
 // counts as such until discovery would have named it.
-func (s Suspension) StartAfter(listed, now int64) (start int64, guess bool) {
+func (s Suspension) StartOnResume(listed, now int64) (start int64, guess bool) {
 	if listed >= s.Since {
 		return listed, false
 	}
