--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -35,7 +35,7 @@
 	}
 	poll(false)
 	// In place, and read while half of it is there.
-	bundle := append(certs.Bundle(e.pki.Trusted.Root.Cert), certs.Bundle(e.pki.Other.Root.Cert)...)
+	bundle := append(certs.EncodeBundle(e.pki.Trusted.Root.Cert), certs.EncodeBundle(e.pki.Other.Root.Cert)...)
 	os.WriteFile(e.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
 	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Revoke makes the PEM of a list of certificates that ca revokes.
-func Revoke(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
+// NewRevocationList makes the PEM of a list of certificates that ca revokes.
+func NewRevocationList(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
 	l := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
 	for _, c := range certs {
 		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries,
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -18,11 +18,11 @@
 
 // PEM is the certificate with its chain in the form of a file.
 func (p *Pair) PEM() []byte {
-	return Bundle(append([]*x509.Certificate{p.Cert}, p.Chain...)...)
+	return EncodeBundle(append([]*x509.Certificate{p.Cert}, p.Chain...)...)
 }
 
-// Bundle writes certificates in the form of a file.
-func Bundle(certs ...*x509.Certificate) []byte {
+// EncodeBundle writes certificates in the form of a file.
+func EncodeBundle(certs ...*x509.Certificate) []byte {
 	var out []byte
 	for _, c := range certs {
 		out = append(out, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})...)
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -101,7 +101,7 @@
 		{"a second authority in the bundle, written in place, first a part of it", true, t.widenTrust},
 		{"the servers' certificates, by the second authority, and their ticket keys", false, func() error { return t.renewServers(second) }},
 		{"a client certificate by the second authority, by renaming", true, func() error { return t.renewClient(second) }},
-		{"the bundle without the first authority, by renaming", true, func() error { return certs.ReplaceFile(t.trust, certs.Bundle(second.Root.Cert), 0o644) }},
+		{"the bundle without the first authority, by renaming", true, func() error { return certs.ReplaceFile(t.trust, certs.EncodeBundle(second.Root.Cert), 0o644) }},
 		{"the servers' certificates once more", false, func() error { return t.renewServers(second) }},
 	}
 }
@@ -124,7 +124,7 @@
 
 // widenTrust writes both authorities in place, and before that a part, which cannot be parsed.
 func (t *rotation) widenTrust() error {
-	both := append(certs.Bundle(t.upstreams.pki.Trusted.Root.Cert), certs.Bundle(t.upstreams.pki.Other.Root.Cert)...)
+	both := append(certs.EncodeBundle(t.upstreams.pki.Trusted.Root.Cert), certs.EncodeBundle(t.upstreams.pki.Other.Root.Cert)...)
 	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
 		return err
 	}
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -88,7 +88,7 @@
 		bundle = append(bundle, a.Root.Cert)
 	}
 	path := filepath.Join(dir, "trust.pem")
-	return path, certs.ReplaceFile(path, certs.Bundle(bundle...), 0o644)
+	return path, certs.ReplaceFile(path, certs.EncodeBundle(bundle...), 0o644)
 }
 
 // SaveClient issues a client's certificate and writes it into dir with its key.
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -33,12 +33,12 @@
 
 // CRL is the revocation list that names the revoked certificate, valid until the time given.
 func (p *PKI) CRL(until time.Time) ([]byte, error) {
-	return certs.Revoke(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
+	return certs.NewRevocationList(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
 }
 
 // ForeignCRL is a revocation list that the untrusted authority has signed.
 func ForeignCRL(p *PKI) ([]byte, error) {
-	return certs.Revoke(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
+	return certs.NewRevocationList(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
 }
 
 // HalfPEM is the first half of a bundle, as a reader sees it while it is being written.
