--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -18,7 +18,7 @@
 type Options struct {
 	Format string        // text or json
 	Level  string        // debug, info, warn or error; default info
-	Repeat int           // how many lines of one kind are written within Window; 0: all
+	MaxPerWindow int           // how many lines of one kind are written within Window; 0: all
 	Window time.Duration // over which lines are counted
 }
 
@@ -27,16 +27,16 @@
 
 // Defaults are the options without a file.
 func Defaults() Options {
-	return Options{Format: "text", Level: "info", Repeat: 20, Window: 10 * time.Second}
+	return Options{Format: "text", Level: "info", MaxPerWindow: 20, Window: 10 * time.Second}
 }
 
 // Section is what operators write.
 func Section() settings.Section {
-	return settings.Section{Name: "log", Doc: "what the log looks like", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "log", Doc: "what the log looks like", Bind: func(f *settings.FieldSet) any {
 		o := Defaults()
 		f.Enum("format", "form of a line", &o.Format, Formats...)
 		f.Enum("level", "least level that is written", &o.Level, "debug", "info", "warn", "error")
-		f.Int("repeat", "lines of one kind that are written within the window; 0: all", &o.Repeat, 0, 100000)
+		f.Int("repeat", "lines of one kind that are written within the window; 0: all", &o.MaxPerWindow, 0, 100000)
 		f.Duration("window", "time over which they are counted", &o.Window, 100*time.Millisecond, time.Hour)
 		return o
 	}}
@@ -54,10 +54,10 @@
 	if o.Format == "json" {
 		h = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr})
 	}
-	if o.Repeat <= 0 {
+	if o.MaxPerWindow <= 0 {
 		return h
 	}
-	return &repeatHandler{next: h, limiter: newRepeatLimiter(o.Repeat, o.Window)}
+	return &repeatHandler{next: h, limiter: newRepeatLimiter(o.MaxPerWindow, o.Window)}
 }
 
 // replaceAttr gives a record's message the key event, and values that have a name that name, as in text: JSON alone would write the
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -42,7 +42,7 @@
 // A fault that strikes a thousand times a second must not fill the disk, hide other lines, or go uncounted.
 func TestRepeats(t *testing.T) {
 	var b bytes.Buffer
-	h := New(&b, Options{Format: "text", Level: "info", Repeat: 2, Window: time.Second})
+	h := New(&b, Options{Format: "text", Level: "info", MaxPerWindow: 2, Window: time.Second})
 	say := func(at time.Duration, event, reason string) {
 		r := slog.NewRecord(time.Unix(1e9, 0).Add(at), slog.LevelInfo, event, 0)
 		r.Add("reason", reason)
--- a/internal/testbed/fleetlog/fleetlog_test.go
+++ b/internal/testbed/fleetlog/fleetlog_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	var b bytes.Buffer
 	o := logging.Defaults()
-	o.Level, o.Repeat = "debug", 0
+	o.Level, o.MaxPerWindow = "debug", 0
 	log := slog.New(logging.New(&b, o))
 	events(func(event string, kv ...any) { log.Debug(event, kv...) })
 	b.WriteString(tail)
