--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -46,7 +46,7 @@
 
 // Section is the section of the settings file.
 func Section() settings.Section {
-	return settings.Section{Name: "tls", Doc: "TLS to upstream hosts", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "tls", Doc: "TLS to upstream hosts", Bind: func(f *settings.FieldSet) any {
 		o := Defaults()
 		f.Bool("servers", "whether upstream hosts are reached by TLS; there is no fallback", &o.Enabled)
 		f.Paths("trust", "bundles of the authorities that sign hosts' certificates", &o.Trust)
@@ -55,7 +55,7 @@
 		f.Path("key", "its key, readable by its owner alone", &o.Key)
 		f.Path("key-password-file", "file with the key's password, readable by its owner alone", &o.KeyPasswordFile)
 		f.Enum("min-version", "oldest version of TLS that is spoken", &o.MinVersion, "1.3", "1.2")
-		f.Group("name", "the name that a host's certificate must bear", func(f *settings.Form) {
+		f.Group("name", "the name that a host's certificate must bear", func(f *settings.FieldSet) {
 			want := "a pattern of {uid}, {zone}, {host} and plain text, with {uid} or {host} in it"
 			f.Text("pattern", "a DNS name or address", want, &o.Pattern, func(s string) bool { return isValidPattern(s) && !strings.Contains(s, "/") })
 			f.Text("uri", "a URI name", want+", beginning with scheme://", &o.URI, func(s string) bool {
@@ -64,7 +64,7 @@
 			f.Pairs("map", "names of single hosts by uid, before the pattern", `("uid" "name")`, &o.Names,
 				func(k, v string) bool { return k != "" && v != "" && !strings.ContainsAny(v, "{} ") })
 			if o.Pattern != "" && o.URI != "" {
-				f.Fault("uri", "both a pattern and a uri, expected one of them")
+				f.AddFault("uri", "both a pattern and a uri, expected one of them")
 			}
 		})
 		f.Enums("key-exchange", "key exchanges, the preferred first", &o.KeyExchange, "x25519mlkem768", "x25519", "p256", "p384")
@@ -74,7 +74,7 @@
 		f.Duration("move-before", "how long before the end moving begins", &o.Expiry.Before, time.Second, 30*24*time.Hour)
 		f.Percent("move-share", "connections moved in a minute at most", &o.Expiry.MaxSharePerMinute, 0.001, 1)
 		o.Expiry.MigrationEnabled = o.OnExpiry == "move"
-		f.Group("handshakes", "what handshakes may take", func(f *settings.Form) {
+		f.Group("handshakes", "what handshakes may take", func(f *settings.FieldSet) {
 			h := &o.Handshakes
 			f.Percent("cpu", "part of one core", &h.CPUShare, 0.01, 1)
 			rate, host := int(h.Rate), int(h.HostRate)
@@ -87,16 +87,16 @@
 			f.Duration("burst", "how long unused budget is saved", &h.Burst, time.Millisecond, 10*time.Second)
 		})
 		if o.Enabled && len(o.Trust) == 0 {
-			f.Fault("servers", "tls to servers without trust, expected (trust \"bundle.pem\" ...)")
+			f.AddFault("servers", "tls to servers without trust, expected (trust \"bundle.pem\" ...)")
 		}
 		if o.Enabled && o.Pattern == "" && o.URI == "" && len(o.Names) == 0 {
-			f.Fault("servers", "tls to servers without a name to expect, expected (name (pattern \"...\"))")
+			f.AddFault("servers", "tls to servers without a name to expect, expected (name (pattern \"...\"))")
 		}
 		if (o.Certificate == "") != (o.Key == "") {
-			f.Fault("key", "a certificate without its key or a key without its certificate, expected both")
+			f.AddFault("key", "a certificate without its key or a key without its certificate, expected both")
 		}
 		if o.KeyPasswordFile != "" && o.Key == "" {
-			f.Fault("key-password-file", "a password for no key, expected (key ...) too")
+			f.AddFault("key-password-file", "a password for no key, expected (key ...) too")
 		}
 		return o
 	}}
--- a/internal/fleet/memberagent/options.go
+++ b/internal/fleet/memberagent/options.go
@@ -44,7 +44,7 @@
 
 // Section returns the declaration of the settings section.
 func Section() settings.Section {
-	return settings.Section{Name: "membership", Doc: "which of a fleet's proxies are there", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "membership", Doc: "which of a fleet's proxies are there", Bind: func(f *settings.FieldSet) any {
 		o := Options{Fleet: defaultFleet}
 		o.bind(f)
 		o.checkConsistency(f)
@@ -52,7 +52,7 @@
 	}}
 }
 
-func (o *Options) bind(f *settings.Form) {
+func (o *Options) bind(f *settings.FieldSet) {
 	f.Bool("on", "whether proxies tell one another who is there, by datagrams", &o.Enabled)
 	f.Text("fleet", "name of the fleet; others' datagrams are refused", "a name", &o.Fleet, func(s string) bool { return s != "" && len(s) <= maxFleetName })
 	f.Text("listen", "own address for datagrams", addressFormat, &o.Listen, isAddress)
@@ -65,15 +65,15 @@
 }
 
 // checkConsistency reports settings that contradict each other.
-func (o *Options) checkConsistency(f *settings.Form) {
+func (o *Options) checkConsistency(f *settings.FieldSet) {
 	if len(o.Seeds) > 0 && (len(o.Peers) > 0 || o.Listen == "") {
-		f.Fault("seeds", "seeds require listen and exclude peers")
+		f.AddFault("seeds", "seeds require listen and exclude peers")
 	}
 	if o.Enabled && len(o.Seeds) == 0 && len(o.Peers)+len(o.Listen) > 0 && !slices.Contains(o.Peers, o.Listen) {
-		f.Fault("peers", "the own address %q is not among the peers %q", o.Listen, o.Peers)
+		f.AddFault("peers", "the own address %q is not among the peers %q", o.Listen, o.Peers)
 	}
 	if len(o.Keys) > maxKeys {
-		f.Fault("keys", "%d files, expected at most %d", len(o.Keys), maxKeys)
+		f.AddFault("keys", "%d files, expected at most %d", len(o.Keys), maxKeys)
 	}
 }
 
--- a/internal/fleet/namespace/namespace_test.go
+++ b/internal/fleet/namespace/namespace_test.go
@@ -201,7 +201,7 @@
 	f.Fuzz(func(t *testing.T, text, tenant, class, key string) {
 		directory := &Directory{}
 		own := Namespace{}
-		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.Form) any { BindPoolsAndAccounts(f, directory); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
+		if _, err := (settings.Schema{{Name: "rules", Bind: func(f *settings.FieldSet) any { BindPoolsAndAccounts(f, directory); BindRoutes(f, &own); return nil }}}).Read("x", []byte(text)); err != nil {
 			return
 		}
 		directory.Namespaces = []Namespace{own}
--- a/internal/fleet/namespace/settings.go
+++ b/internal/fleet/namespace/settings.go
@@ -15,12 +15,12 @@
 // Section returns the settings section of a namespace as its administrators write it: (account
 // NAME), and any number of (guard LABEL …), (route LABEL …) and (default LABEL …).
 func Section() settings.Section {
-	return settings.Section{Name: "namespace", Doc: "an account's routes", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "namespace", Doc: "an account's routes", Bind: func(f *settings.FieldSet) any {
 		s := &Namespace{}
 		f.Text("account", "the account that owns the namespace", "an account, such as acme or acme/web", &s.Account, isNonEmpty)
 		BindRoutes(f, s)
 		if s.Account == "" && f.Present() {
-			f.Fault("account", "no account, expected (account NAME)")
+			f.AddFault("account", "no account, expected (account NAME)")
 		}
 		return s
 	}}
@@ -29,7 +29,7 @@
 // AccountSection returns the settings section of an account below the administrators' own, as they
 // write it.
 func AccountSection() settings.Section {
-	return settings.Section{Name: "account", Doc: "an account below the administrator's own account", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "account", Doc: "an account below the administrator's own account", Bind: func(f *settings.FieldSet) any {
 		name := ""
 		f.Text("name", "full name of the account, with the accounts above it, such as acme/web", "a name", &name, isNonEmpty)
 		a := bindAccount(name, f)
@@ -41,8 +41,8 @@
 
 // BindRoutes registers the three lists of routes of a namespace, and reports an invalid route at
 // its place in the file.
-func BindRoutes(f *settings.Form, s *Namespace) {
-	forms := map[string]*settings.Form{}
+func BindRoutes(f *settings.FieldSet, s *Namespace) {
+	forms := map[string]*settings.FieldSet{}
 	for _, list := range []struct {
 		name, doc string
 		routes    *[]Route
@@ -51,7 +51,7 @@
 		{"route", "a route that applies to the account only", &s.Routes},
 		{"default", "a route that applies to the account and all accounts below it, after their own routes", &s.Defaults},
 	} {
-		f.Each(list.name, list.doc, func(label string, f *settings.Form) {
+		f.Repeated(list.name, list.doc, func(label string, f *settings.FieldSet) {
 			*list.routes = append(*list.routes, bindRoute(label, f))
 			forms[label] = f
 		})
@@ -62,11 +62,11 @@
 		if location == nil {
 			location = f
 		}
-		location.Fault("", "%s", fault.Text)
+		location.AddFault("", "%s", fault.Text)
 	}
 }
 
-func bindRoute(label string, f *settings.Form) Route {
+func bindRoute(label string, f *settings.FieldSet) Route {
 	r := Route{Name: label}
 	bindConditions(f, &r)
 	f.Text("pool", "pool that serves the requests", "a pool", &r.Pool, isNonEmpty)
@@ -81,7 +81,7 @@
 	return r
 }
 
-func bindConditions(f *settings.Form, r *Route) {
+func bindConditions(f *settings.FieldSet, r *Route) {
 	f.Text("group", "group of the requests", "a name", &r.Group, isNonEmpty)
 	f.Text("key", "prefix of the flow's key", "1 to 16 letters", &r.Prefix, func(s string) bool { return s != "" && len(s) <= MaxPrefixBytes })
 	f.Text("class", "class of the requests", "a name", &r.Class, isNonEmpty)
@@ -106,18 +106,18 @@
 }
 
 // BindPoolsAndAccounts registers pools and accounts, and sorts them by name as Directory requires.
-func BindPoolsAndAccounts(f *settings.Form, d *Directory) {
-	f.Each("pool", "a set of hosts; the hosts in no pool form the pool main", func(name string, f *settings.Form) {
+func BindPoolsAndAccounts(f *settings.FieldSet, d *Directory) {
+	f.Repeated("pool", "a set of hosts; the hosts in no pool form the pool main", func(name string, f *settings.FieldSet) {
 		d.Pools = append(d.Pools, bindPool(name, f))
 	})
-	f.Each("account", "a customer, such as acme, or a team below it, such as acme/web", func(name string, f *settings.Form) {
+	f.Repeated("account", "a customer, such as acme, or a team below it, such as acme/web", func(name string, f *settings.FieldSet) {
 		d.Accounts = append(d.Accounts, bindAccount(name, f))
 	})
 	slices.SortFunc(d.Pools, func(x, y Pool) int { return cmp.Compare(x.Name, y.Name) })
 	slices.SortFunc(d.Accounts, func(x, y Account) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-func bindPool(name string, f *settings.Form) Pool {
+func bindPool(name string, f *settings.FieldSet) Pool {
 	p := Pool{Name: name}
 	bindNames(f, "hosts", "hosts by name", &p.Hosts)
 	bindNames(f, "prefixes", "hosts by prefix of their name", &p.Prefixes)
@@ -126,7 +126,7 @@
 	return p
 }
 
-func bindAccount(name string, f *settings.Form) Account {
+func bindAccount(name string, f *settings.FieldSet) Account {
 	a := Account{Name: name}
 	bindNames(f, "tenants", "tenants that belong to it", &a.Tenants)
 	bindNames(f, "pools", "pools that it may use; the first gets the requests that no route matches", &a.Pools)
@@ -137,14 +137,14 @@
 	bindCount(f, "standing_reserved", "part of standing that is reserved for the account", &a.Connections.Reserved)
 	bindCount(f, "routes", "most routes of its namespace; 0 means the limit of the account above it", &a.Routes)
 	bindCount(f, "changes", "most changes of its namespace per minute; 0 means the limit of the account above it", &a.Changes)
-	f.Each("grant", "a key that may change the account and the accounts below it", func(label string, f *settings.Form) {
+	f.Repeated("grant", "a key that may change the account and the accounts below it", func(label string, f *settings.FieldSet) {
 		a.Grants = append(a.Grants, bindGrant(label, f))
 	})
 	slices.SortFunc(a.Grants, func(x, y Grant) int { return cmp.Compare(x.Label, y.Label) })
 	return a
 }
 
-func bindGrant(label string, f *settings.Form) Grant {
+func bindGrant(label string, f *settings.FieldSet) Grant {
 	g := Grant{Label: label}
 	f.Text("key", "its Ed25519 public key", "32 bytes in base64", new(string), func(s string) (ok bool) {
 		var err error
@@ -163,7 +163,7 @@
 	return g
 }
 
-func bindCount(f *settings.Form, name, doc string, to *uint32) {
+func bindCount(f *settings.FieldSet, name, doc string, to *uint32) {
 	n := int(*to)
 	f.Int(name, doc, &n, 0, math.MaxInt32)
 	*to = uint32(n)
@@ -171,7 +171,7 @@
 
 // bindNames registers a list of names in one text. The names are sorted, except those of pools,
 // whose first one is the default pool.
-func bindNames(f *settings.Form, name, doc string, to *[]string) {
+func bindNames(f *settings.FieldSet, name, doc string, to *[]string) {
 	f.Text(name, doc, "names separated by spaces", new(string), func(s string) bool {
 		*to = strings.Fields(s)
 		sorted := slices.Sorted(slices.Values(*to))
--- a/internal/fleet/owneragent/options.go
+++ b/internal/fleet/owneragent/options.go
@@ -32,7 +32,7 @@
 
 // Section returns the declaration of the section (owners ...), whose value is an Options.
 func Section() settings.Section {
-	return settings.Section{Name: "owners", Doc: "one owner at a time for the fleet's work", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "owners", Doc: "one owner at a time for the fleet's work", Bind: func(f *settings.FieldSet) any {
 		o := Options{Group: "croftlock", MaxStoreKB: 8192, DrillIntervalMS: 100}
 		f.Bool("on", "whether this proxy takes part; membership has to be on too", &o.Enabled)
 		f.Text("group", "name of the group of voters; others' messages are refused", "a name", &o.Group, func(s string) bool { return s != "" && len(s) <= 64 })
@@ -47,7 +47,7 @@
 		f.Path("socket", "Unix socket at which operators ask: croftlock owners, group, fleet", &o.Socket)
 		o.Rules.bind(f)
 		if o.Enabled && len(o.Voters) == 0 {
-			f.Fault("voters", "no voters, expected the names of 1 to 7 proxies")
+			f.AddFault("voters", "no voters, expected the names of 1 to 7 proxies")
 		}
 		return o
 	}}
--- a/internal/fleet/owneragent/rules.go
+++ b/internal/fleet/owneragent/rules.go
@@ -18,7 +18,7 @@
 	MaxEntries    int           // maximum entries of a version that this proxy accepts; default rules.MaxEntries
 }
 
-func (r *RulesOptions) bind(f *settings.Form) {
+func (r *RulesOptions) bind(f *settings.FieldSet) {
 	*r = RulesOptions{LeaseDuration: 3 * time.Second, OnLeaseLapse: "refuse", MaxEntries: rules.MaxEntries}
 	f.Bool("rules", "whether requests are judged by rules that all proxies agree on: croftlock rules put FILE", &r.Enabled)
 	f.Duration("agree_within", "how long at most two proxies act by rules that contradict each other; the same everywhere", &r.LeaseDuration, 500*time.Millisecond, time.Minute)
--- a/internal/fleet/rules/settings.go
+++ b/internal/fleet/rules/settings.go
@@ -12,27 +12,27 @@
 // (refuse LABEL (tenant T) (class C) (advice 2s)) and (out HOST); pools and accounts; and the
 // operators' own guards, routes and defaults.
 func Section() settings.Section {
-	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.Form) any { return bindVersion(f) }}
+	return settings.Section{Name: "rules", Doc: "rules on which all proxies agree", Bind: func(f *settings.FieldSet) any { return bindVersion(f) }}
 }
 
 // bindVersion binds the section's entries and returns the version that they specify. It reports a
 // fault if the version is invalid.
-func bindVersion(f *settings.Form) *Version {
+func bindVersion(f *settings.FieldSet) *Version {
 	v := &Version{}
-	f.Each("refuse", "requests that are rejected, under a label that operators choose", func(_ string, f *settings.Form) {
+	f.Repeated("refuse", "requests that are rejected, under a label that operators choose", func(_ string, f *settings.FieldSet) {
 		v.Refusals = append(v.Refusals, bindRefusal(f))
 	})
-	f.Each("out", "a host that gets no new requests", func(host string, _ *settings.Form) { v.ExcludedHosts = append(v.ExcludedHosts, host) })
+	f.Repeated("out", "a host that gets no new requests", func(host string, _ *settings.FieldSet) { v.ExcludedHosts = append(v.ExcludedHosts, host) })
 	v.Directory = bindOperatorsNamespaces(f)
 	slices.SortFunc(v.Refusals, compareRefusals)
 	slices.Sort(v.ExcludedHosts)
 	if err := v.Check(); err != nil {
-		f.Fault("", "%v", err)
+		f.AddFault("", "%v", err)
 	}
 	return v
 }
 
-func bindRefusal(f *settings.Form) Refusal {
+func bindRefusal(f *settings.FieldSet) Refusal {
 	var r Refusal
 	var retryAfter time.Duration
 	anyName := func(string) bool { return true }
@@ -45,7 +45,7 @@
 
 // bindOperatorsNamespaces returns the directory of the section, or nil without pools, accounts and
 // routes.
-func bindOperatorsNamespaces(f *settings.Form) *namespace.Directory {
+func bindOperatorsNamespaces(f *settings.FieldSet) *namespace.Directory {
 	directory, own := &namespace.Directory{}, namespace.Namespace{}
 	namespace.BindPoolsAndAccounts(f, directory)
 	if namespace.BindRoutes(f, &own); len(own.Guards)+len(own.Routes)+len(own.Defaults) > 0 {
--- a/internal/fleet/watermark/settings.go
+++ b/internal/fleet/watermark/settings.go
@@ -15,7 +15,7 @@
 
 // Section returns the settings section of Options.
 func Section() settings.Section {
-	return settings.Section{Name: "floors", Doc: "what proxies tell one another of hosts that drain or are gone", Bind: func(f *settings.Form) any {
+	return settings.Section{Name: "floors", Doc: "what proxies tell one another of hosts that drain or are gone", Bind: func(f *settings.FieldSet) any {
 		o := Options{RefetchAfter: 2 * time.Second}
 		f.Bool("on", "whether a host gets nothing new of which another proxy's newer list says that it drains or is gone; needs membership", &o.Enabled)
 		f.Text("source", "a name for whose numbering the lists have, the same at all proxies that ask the same discovery; its address where it is left out", "a name",
--- a/internal/operations/settings/fault.go
+++ b/internal/operations/settings/fault.go
@@ -12,12 +12,12 @@
 type Fault struct {
 	File string
 	Pos  Pos
-	What string // what was found, what is expected
+	Message string // what was found, what is expected
 }
 
 // Error is FILE:LINE:COLUMN: and what is wrong.
 func (f Fault) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Pos.Line, f.Pos.Col, f.What)
+	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Pos.Line, f.Pos.Col, f.Message)
 }
 
 // Faults are all things wrong with a file, in its order.
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Form is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
+// FieldSet is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
 // that takes it; the variable's earlier value is the default. After the last field, whatever else the section has
 // is unknown.
-type Form struct {
+type FieldSet struct {
 	node   *Node // nil: the file does not have the section
 	faults *Faults
 	dir    string // that relative paths start from
@@ -18,9 +18,9 @@
 type Field struct {
 	Name  string
 	Doc   string
-	Want  string  // which values are valid
+	Expected  string  // which values are valid
 	Set   bool    // the file has it
-	Forms []*Form // of a list of fields
+	Nested []*FieldSet // of a list of fields
 	value func() string
 }
 
@@ -28,13 +28,13 @@
 func (f *Field) Value() string { return f.value() }
 
 // Fields are what was declared, in order.
-func (f *Form) Fields() []*Field { return f.fields }
+func (f *FieldSet) Fields() []*Field { return f.fields }
 
 // Present reports whether the file has the section.
-func (f *Form) Present() bool { return f.node != nil }
+func (f *FieldSet) Present() bool { return f.node != nil }
 
-// Fault reports that values that are valid each by itself contradict one another. name says at which field.
-func (f *Form) Fault(name, format string, args ...any) {
+// AddFault reports that values that are valid each by itself contradict one another. name says at which field.
+func (f *FieldSet) AddFault(name, format string, args ...any) {
 	at := Pos{1, 1}
 	if f.node != nil {
 		at = f.node.Pos
@@ -45,8 +45,8 @@
 	f.faults.Add(at, format, args...)
 }
 
-func newForm(node *Node, faults *Faults, dir, path string) *Form {
-	f := &Form{node: node, faults: faults, dir: dir, path: path, seen: map[string][]*Node{}}
+func newForm(node *Node, faults *Faults, dir, path string) *FieldSet {
+	f := &FieldSet{node: node, faults: faults, dir: dir, path: path, seen: map[string][]*Node{}}
 	if node == nil {
 		return f
 	}
@@ -62,7 +62,7 @@
 }
 
 // done reports what was not declared.
-func (f *Form) done() {
+func (f *FieldSet) done() {
 	known := make([]string, 0, len(f.fields))
 	for _, d := range f.fields {
 		known = append(known, d.Name)
@@ -78,8 +78,8 @@
 }
 
 // declare declares a field that may occur once, and gives its node, nil where the file lacks it, and its values.
-func (f *Form) declare(name, doc, want string, value func() string) (*Node, []*Node) {
-	d := &Field{Name: name, Doc: doc, Want: want, value: value}
+func (f *FieldSet) declare(name, doc, want string, value func() string) (*Node, []*Node) {
+	d := &Field{Name: name, Doc: doc, Expected: want, value: value}
 	f.fields = append(f.fields, d)
 	nodes := f.seen[name]
 	if len(nodes) == 0 {
@@ -93,16 +93,16 @@
 }
 
 // Group declares a list of fields of its own: (name (field value) ...).
-func (f *Form) Group(name, doc string, bind func(f *Form)) {
+func (f *FieldSet) Group(name, doc string, bind func(f *FieldSet)) {
 	n, _ := f.declare(name, doc, "a list of fields", func() string { return "" })
 	nested := f.bindNested(n, name, bind)
-	f.fields[len(f.fields)-1].Forms = []*Form{nested}
+	f.fields[len(f.fields)-1].Nested = []*FieldSet{nested}
 }
 
-// Each declares a list of fields that may occur any number of times; bind is called for each. label is its first value,
+// Repeated declares a list of fields that may occur any number of times; bind is called for each. label is its first value,
 // an atom or a text.
-func (f *Form) Each(name, doc string, bind func(label string, f *Form)) {
-	d := &Field{Name: name, Doc: doc, Want: "a label and fields, any number of times", value: func() string { return "" }}
+func (f *FieldSet) Repeated(name, doc string, bind func(label string, f *FieldSet)) {
+	d := &Field{Name: name, Doc: doc, Expected: "a label and fields, any number of times", value: func() string { return "" }}
 	f.fields = append(f.fields, d)
 	labels := map[string]bool{}
 	for _, n := range f.seen[name] {
@@ -118,12 +118,12 @@
 		}
 		labels[label] = true
 		rest := &Node{Kind: List, Pos: n.Pos, End: n.End, Items: append([]*Node{values[0]}, values[2:]...)}
-		bindLabelled := func(f *Form) { bind(label, f) }
-		d.Forms = append(d.Forms, f.bindNested(rest, name, bindLabelled))
+		bindLabelled := func(f *FieldSet) { bind(label, f) }
+		d.Nested = append(d.Nested, f.bindNested(rest, name, bindLabelled))
 	}
 }
 
-func (f *Form) bindNested(n *Node, name string, bind func(f *Form)) *Form {
+func (f *FieldSet) bindNested(n *Node, name string, bind func(f *FieldSet)) *FieldSet {
 	nested := newForm(n, f.faults, f.dir, f.path+" "+name)
 	bind(nested)
 	nested.done()
--- a/internal/operations/settings/pairs.go
+++ b/internal/operations/settings/pairs.go
@@ -7,7 +7,7 @@
 )
 
 // Pairs declares a map: (name (key value) ...). check may be nil.
-func (f *Form) Pairs(name, doc, want string, to *map[string]string, check func(key, value string) bool) {
+func (f *FieldSet) Pairs(name, doc, want string, to *map[string]string, check func(key, value string) bool) {
 	n, values := f.declare(name, doc, want, func() string {
 		var out []string
 		for _, k := range slices.Sorted(maps.Keys(*to)) {
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -5,7 +5,7 @@
 )
 
 // Path declares the path of a file; a relative one starts from the folder of the settings.
-func (f *Form) Path(name, doc string, to *string) {
+func (f *FieldSet) Path(name, doc string, to *string) {
 	f.single(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
 		*to = f.resolve(s)
 		return s != ""
@@ -13,11 +13,11 @@
 }
 
 // Paths declares some paths.
-func (f *Form) Paths(name, doc string, to *[]string) {
+func (f *FieldSet) Paths(name, doc string, to *[]string) {
 	f.list(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
 }
 
-func (f *Form) resolve(s string) string {
+func (f *FieldSet) resolve(s string) string {
 	if s == "" || filepath.IsAbs(s) {
 		return s
 	}
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -15,7 +15,7 @@
 	Doc  string
 	// Bind declares the section's fields on f and gives the value that has them. For a file without the section the
 	// form is empty, and the value is the default.
-	Bind func(f *Form) any
+	Bind func(f *FieldSet) any
 }
 
 // Schema is all sections that a program knows. Packages bring theirs; none is known here.
@@ -26,7 +26,7 @@
 	Path   string
 	Root   *Node
 	values map[string]any
-	forms  map[string]*Form
+	forms  map[string]*FieldSet
 }
 
 // Value is what the section's Bind gave.
@@ -54,7 +54,7 @@
 // Read reads a file's bytes; path says where they are from.
 func (s Schema) Read(path string, data []byte) (*File, error) {
 	root, faults := Parse(path, data)
-	f := &File{Path: path, Root: root, values: map[string]any{}, forms: map[string]*Form{}}
+	f := &File{Path: path, Root: root, values: map[string]any{}, forms: map[string]*FieldSet{}}
 	nodes := s.sections(root, faults)
 	for _, section := range s {
 		form := newForm(nodes[section.Name], faults, filepath.Dir(path), section.Name)
@@ -100,14 +100,14 @@
 	}
 }
 
-func showFields(w io.Writer, form *Form, depth int) {
+func showFields(w io.Writer, form *FieldSet, depth int) {
 	indent := strings.Repeat("  ", depth)
 	for _, d := range form.Fields() {
-		if d.Forms == nil {
+		if d.Nested == nil {
 			fmt.Fprintln(w, indent+d.describe())
 			continue
 		}
-		for _, nested := range d.Forms {
+		for _, nested := range d.Nested {
 			fmt.Fprintf(w, "%s(%s  ; %s\n", indent, d.Name, d.Doc)
 			showFields(w, nested, depth+1)
 			fmt.Fprintf(w, "%s)\n", indent)
@@ -119,7 +119,7 @@
 func (f *Field) describe() string {
 	value := f.Value()
 	if value == "" || value == `""` {
-		return fmt.Sprintf("; (%s ...)  ; not set: %s; takes %s", f.Name, f.Doc, f.Want)
+		return fmt.Sprintf("; (%s ...)  ; not set: %s; takes %s", f.Name, f.Doc, f.Expected)
 	}
 	origin := ""
 	if !f.Set {
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -21,7 +21,7 @@
 	teams []string
 }
 
-var schema = Schema{{Name: "sample", Doc: "a sample", Bind: func(f *Form) any {
+var schema = Schema{{Name: "sample", Doc: "a sample", Bind: func(f *FieldSet) any {
 	s := &sample{n: 7, d: time.Second, kind: "red"}
 	f.Bool("servers", "whether", &s.on)
 	f.Int("number", "how many", &s.n, 1, 10)
@@ -32,8 +32,8 @@
 	f.Enums("colours", "which", &s.kinds, "red", "green")
 	f.Path("file", "where", &s.path)
 	f.Pairs("names", "who", "(id name)", &s.names, nil)
-	f.Group("inner", "more", func(f *Form) { f.Int("depth", "how deep", &s.sub, 0, 9) })
-	f.Each("team", "teams", func(label string, f *Form) { s.teams = append(s.teams, label) })
+	f.Group("inner", "more", func(f *FieldSet) { f.Int("depth", "how deep", &s.sub, 0, 9) })
+	f.Repeated("team", "teams", func(label string, f *FieldSet) { s.teams = append(s.teams, label) })
 	return s
 }}}
 
--- a/internal/operations/settings/values.go
+++ b/internal/operations/settings/values.go
@@ -9,7 +9,7 @@
 )
 
 // single reads a field of one value. read reports whether the value is valid.
-func (f *Form) single(name, doc, want string, value func() string, read func(s string) bool) {
+func (f *FieldSet) single(name, doc, want string, value func() string, read func(s string) bool) {
 	n, values := f.declare(name, doc, want, value)
 	if n == nil {
 		return
@@ -25,7 +25,7 @@
 }
 
 // list reads a field of several values. read gives a value as it is stored, and reports whether it is valid.
-func (f *Form) list(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
+func (f *FieldSet) list(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
 	n, values := f.declare(name, doc, want, func() string {
 		var out []string
 		for _, s := range *to {
@@ -55,7 +55,7 @@
 }
 
 // Bool declares on or off.
-func (f *Form) Bool(name, doc string, to *bool) {
+func (f *FieldSet) Bool(name, doc string, to *bool) {
 	f.single(name, doc, "on or off", func() string {
 		if *to {
 			return "on"
@@ -68,7 +68,7 @@
 }
 
 // Int declares an integer between least and most.
-func (f *Form) Int(name, doc string, to *int, least, most int) {
+func (f *FieldSet) Int(name, doc string, to *int, least, most int) {
 	f.single(name, doc, fmt.Sprintf("a whole number from %d to %d", least, most), func() string { return strconv.Itoa(*to) },
 		func(s string) bool {
 			x, err := strconv.Atoi(s)
@@ -81,7 +81,7 @@
 }
 
 // Duration declares a time with its unit: 250ms, 1.5s, 10m, 2h, 3d.
-func (f *Form) Duration(name, doc string, to *time.Duration, least, most time.Duration) {
+func (f *FieldSet) Duration(name, doc string, to *time.Duration, least, most time.Duration) {
 	f.single(name, doc, fmt.Sprintf("a time with its unit from %s to %s", FormatDuration(least), FormatDuration(most)),
 		func() string { return FormatDuration(*to) }, func(s string) bool {
 			x, ok := ParseDuration(s)
@@ -94,7 +94,7 @@
 }
 
 // Size declares a number of bytes with its unit: 512B, 16KiB, 2MiB, 1GiB.
-func (f *Form) Size(name, doc string, to *int64, least, most int64) {
+func (f *FieldSet) Size(name, doc string, to *int64, least, most int64) {
 	f.single(name, doc, fmt.Sprintf("a size with its unit from %s to %s", FormatSize(least), FormatSize(most)),
 		func() string { return FormatSize(*to) }, func(s string) bool {
 			x, ok := ParseSize(s)
@@ -107,7 +107,7 @@
 }
 
 // Percent declares a share: 30% becomes 0.3.
-func (f *Form) Percent(name, doc string, to *float64, least, most float64) {
+func (f *FieldSet) Percent(name, doc string, to *float64, least, most float64) {
 	f.single(name, doc, fmt.Sprintf("a share from %s to %s", formatPercent(least), formatPercent(most)),
 		func() string { return formatPercent(*to) }, func(s string) bool {
 			number, has := strings.CutSuffix(s, "%")
@@ -121,7 +121,7 @@
 }
 
 // Enum declares one of some names.
-func (f *Form) Enum(name, doc string, to *string, names ...string) {
+func (f *FieldSet) Enum(name, doc string, to *string, names ...string) {
 	f.single(name, doc, oneOf(names), func() string { return *to }, func(s string) bool {
 		*to = s
 		return slices.Contains(names, s)
@@ -129,12 +129,12 @@
 }
 
 // Enums declares a list of some names, in the order of preference, each at most once.
-func (f *Form) Enums(name, doc string, to *[]string, names ...string) {
+func (f *FieldSet) Enums(name, doc string, to *[]string, names ...string) {
 	f.list(name, doc, "some of "+oneOf(names), to, func(s string) (string, bool) { return s, slices.Contains(names, s) })
 }
 
 // Text declares a text that check accepts; check may be nil.
-func (f *Form) Text(name, doc, want string, to *string, check func(s string) bool) {
+func (f *FieldSet) Text(name, doc, want string, to *string, check func(s string) bool) {
 	f.single(name, doc, want, func() string { return Quote(*to) }, func(s string) bool {
 		*to = s
 		return check == nil || check(s)
