--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -169,7 +169,7 @@
 		}
 	}
 	if changed := registry.SetFleetSuspensions([]string{"A", "B"}, at); len(changed) != 2 || len(registry.SetFleetSuspensions([]string{"A", "B"}, at)) != 0 {
-		t.Errorf("SetFleet([A B]) changed %v, want A and B once and nothing when repeated", changed)
+		t.Errorf("SetFleetSuspensions([A B]) changed %v, want A and B once and nothing when repeated", changed)
 	}
 	if len(registry.LocalSuspensions()) != 0 || registry.Suspension("A").Since != at {
 		t.Errorf("LocalSuspensions() = %v, want none; Suspension(A) = %+v, want Since %d", registry.LocalSuspensions(), registry.Suspension("A"), at)
--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -16,10 +16,10 @@
 
 // Options say how to log.
 type Options struct {
-	Format string        // text or json
-	Level  string        // debug, info, warn or error; default info
+	Format       string        // text or json
+	Level        string        // debug, info, warn or error; default info
 	MaxPerWindow int           // how many lines of one kind are written within Window; 0: all
-	Window time.Duration // over which lines are counted
+	Window       time.Duration // over which lines are counted
 }
 
 // Formats are the forms that a log can take.
--- a/internal/operations/settings/fault.go
+++ b/internal/operations/settings/fault.go
@@ -10,8 +10,8 @@
 
 // Fault is one thing wrong with a file.
 type Fault struct {
-	File string
-	Pos  Pos
+	File    string
+	Pos     Pos
 	Message string // what was found, what is expected
 }
 
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/form.go
@@ -16,12 +16,12 @@
 
 // Field is what a section declares, as `settings show` prints it.
 type Field struct {
-	Name  string
-	Doc   string
-	Expected  string  // which values are valid
-	Set   bool    // the file has it
-	Nested []*FieldSet // of a list of fields
-	value func() string
+	Name     string
+	Doc      string
+	Expected string      // which values are valid
+	Set      bool        // the file has it
+	Nested   []*FieldSet // of a list of fields
+	value    func() string
 }
 
 // Value is the field's value in the form of the file.
