--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -45,24 +45,24 @@
 	})
 }
 
-// proxy is what the calls are about: it knows host a/b, and is called on the loop.
-type proxy struct{ calls []string }
+// fakeProxy is what the calls are about: it knows host a/b, and is called on the loop.
+type fakeProxy struct{ calls []string }
 
-func (p *proxy) AcceptsClients() bool { return true }
-func (p *proxy) Metrics() []byte      { return []byte("concurrent=0\n") }
-func (p *proxy) SetSuspended(id string, out bool, done func(bool)) {
+func (p *fakeProxy) AcceptsClients() bool { return true }
+func (p *fakeProxy) Metrics() []byte      { return []byte("concurrent=0\n") }
+func (p *fakeProxy) SetSuspended(id string, out bool, done func(bool)) {
 	p.calls = append(p.calls, fmt.Sprint(id, out))
 	done(id == "a/b")
 }
 
-// serve starts a server and gives what dials it.
-func serve(t *testing.T, capacity int) func() net.Conn {
+// startServer starts a server and gives what dials it.
+func startServer(t *testing.T, capacity int) func() net.Conn {
 	t.Helper()
 	l := netio.NewLoop()
 	if err := netio.Attach(l); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Listen(l, &proxy{}, "127.0.0.1:0", capacity)
+	s, err := Listen(l, &fakeProxy{}, "127.0.0.1:0", capacity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// answer sends a call in one piece or, cut, byte by byte, and gives the status line, Allow and the body.
-func answer(t *testing.T, c net.Conn, call string, cut bool) string {
+// call sends a call in one piece or, cut, byte by byte, and gives the status line, Allow and the body.
+func call(t *testing.T, c net.Conn, call string, cut bool) string {
 	t.Helper()
 	if cut {
 		for i := range len(call) {
@@ -103,7 +103,7 @@
 
 // Each call gets its answer, in one piece or byte by byte.
 func TestCalls(t *testing.T) {
-	dial := serve(t, 4)
+	dial := startServer(t, 4)
 	for _, x := range [][2]string{
 		{"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK ready"},
 		{"HEAD /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK "},
@@ -124,7 +124,7 @@
 		{seeds[17], "413 Request Entity Too Large Request Entity Too Large"},
 	} {
 		for _, cut := range []bool{false, true} {
-			if got := answer(t, dial(), x[0], cut && len(x[0]) < 200); got != x[1] {
+			if got := call(t, dial(), x[0], cut && len(x[0]) < 200); got != x[1] {
 				t.Errorf("%.60q cut=%t: got %q, want %q", x[0], cut, got, x[1])
 			}
 		}
@@ -133,20 +133,20 @@
 
 // A caller that waits for 100 Continue before its body gets it, once.
 func TestExpectContinue(t *testing.T) {
-	c := serve(t, 1)()
+	c := startServer(t, 1)()
 	io.WriteString(c, "POST /v1/catalogue-servers/a%2Fb/suspend HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	got := make([]byte, 25)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "HTTP/1.1 100 Continue\r\n\r\n" {
 		t.Fatalf("got %q, %v", got, err)
 	}
-	if got := answer(t, c, "hi", false); got != `200 OK suspend "a/b"` {
+	if got := call(t, c, "hi", false); got != `200 OK suspend "a/b"` {
 		t.Errorf("got %q", got)
 	}
 }
 
 // Two hundred callers stay whose calls are incomplete; a complete call among them is answered all the same, and the others get 408 or an end.
-func TestIncompleteCallsDelayNobody(t *testing.T) {
-	dial := serve(t, 4)
+func TestIncompleteCallsDoNotDelayOthers(t *testing.T) {
+	dial := startServer(t, 4)
 	var incomplete []net.Conn
 	for i := range 200 {
 		c := dial()
@@ -155,7 +155,7 @@
 		}
 		incomplete = append(incomplete, c)
 		if i%10 == 9 {
-			if got := answer(t, dial(), seeds[0], false); got != "200 OK ready" {
+			if got := call(t, dial(), seeds[0], false); got != "200 OK ready" {
 				t.Fatalf("after %d incomplete callers: %q", i+1, got)
 			}
 		}
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -16,13 +16,13 @@
 	element      *list.Element // in the server's callers; nil: no longer
 	timeout      *netio.Timer
 	sentContinue bool
-	complete     bool // its request is complete or can't become so, and is answered or being so
+	requestDone  bool // its request is complete or can't become so, and is answered or being so
 	replied      bool
 }
 
 // Data takes what the caller has sent so far.
 func (c *caller) Data(conn *netio.Conn) {
-	if c.complete {
+	if c.requestDone {
 		conn.Consume(len(conn.Input())) // one call a connection; what follows it is not read
 		return
 	}
@@ -32,10 +32,10 @@
 	r, expectsContinue, fault := parse(conn.Input())
 	switch {
 	case fault != noFault:
-		c.complete = true
+		c.requestDone = true
 		c.reply(response{status: int(fault)})
 	case r != nil:
-		c.complete = true
+		c.requestDone = true
 		c.timeout.Stop()
 		c.serve(r)
 	case expectsContinue && !c.sentContinue:
@@ -53,7 +53,7 @@
 	c.timeout.Stop()
 }
 
-func (c *caller) gone() {
+func (c *caller) removeFromServer() {
 	if c.element != nil {
 		c.server.callers.Remove(c.element)
 		c.element = nil
@@ -62,11 +62,11 @@
 
 // timedOut ends a call whose request is not complete in time.
 func (c *caller) timedOut() {
-	if len(c.conn.Input()) == 0 && !c.complete {
+	if len(c.conn.Input()) == 0 && !c.requestDone {
 		c.conn.Close() // nothing was said, so nothing is answered
 		return
 	}
-	c.complete = true
+	c.requestDone = true
 	c.reply(response{status: http.StatusRequestTimeout})
 }
 
@@ -77,7 +77,7 @@
 	}
 	c.timeout.Stop()
 	c.conn.CloseNow()
-	c.gone()
+	c.removeFromServer()
 }
 
 // serve answers a complete request.
@@ -85,22 +85,22 @@
 	route := r.route()
 	head := r.method == http.MethodHead
 	if allow := route.allowedMethods(); route != routeUnknown && !allow.includes(r.method) {
-		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, headOnly: head})
+		c.reply(response{status: http.StatusMethodNotAllowed, allow: allow, omitBody: head})
 		return
 	}
 	switch route {
 	case routeReady:
 		if c.server.proxy.AcceptsClients() {
-			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), headOnly: head})
+			c.reply(response{status: http.StatusOK, body: []byte("ready\n"), omitBody: head})
 			return
 		}
-		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), headOnly: head})
+		c.reply(response{status: http.StatusServiceUnavailable, body: []byte("not ready\n"), omitBody: head})
 	case routeMetrics:
-		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), headOnly: head})
+		c.reply(response{status: http.StatusOK, body: c.server.proxy.Metrics(), omitBody: head})
 	case routeSuspend, routeResume:
 		c.setSuspended(r.path[2], route == routeSuspend)
 	default:
-		c.reply(response{status: http.StatusNotFound, headOnly: head})
+		c.reply(response{status: http.StatusNotFound, omitBody: head})
 	}
 }
 
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -70,18 +70,18 @@
 
 // checkIncompleteHead answers at once what can't become a request, not after a timeout.
 func checkIncompleteHead(in []byte) fault {
-	first := bytes.IndexByte(in, '\n')
+	lineEnd := bytes.IndexByte(in, '\n')
 	switch {
-	case first < 0 && len(in) > maxTargetBytes+requestLineAllowance:
+	case lineEnd < 0 && len(in) > maxTargetBytes+requestLineAllowance:
 		return targetTooLong
-	case first < 0:
+	case lineEnd < 0:
 		return checkMethodStart(in)
-	case first == 0 || in[first-1] != '\r':
+	case lineEnd == 0 || in[lineEnd-1] != '\r':
 		return badRequest
 	case len(in) >= maxHeadBytes:
 		return headTooLarge
 	}
-	_, f := parseRequestLine(string(in[:first-1]))
+	_, f := parseRequestLine(string(in[:lineEnd-1]))
 	return f
 }
 
--- a/internal/operations/admin/response.go
+++ b/internal/operations/admin/response.go
@@ -10,7 +10,7 @@
 	status   int
 	allow    methods // of a call with another method
 	body     []byte  // nil: the status as text
-	headOnly bool    // the body is counted, and not sent
+	omitBody bool    // the body is counted, and not sent
 }
 
 func (r response) encode() []byte {
@@ -24,7 +24,7 @@
 		out = append(out, "Allow: "+r.allow.String()+"\r\n"...)
 	}
 	out = append(out, "Content-Length: "+strconv.Itoa(len(body))+"\r\nConnection: close\r\n\r\n"...)
-	if !r.headOnly {
+	if !r.omitBody {
 		out = append(out, body...)
 	}
 	return out
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -46,7 +46,7 @@
 
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
 	c := &caller{server: s, conn: conn}
-	conn.OnDescriptorFree(c.gone)
+	conn.OnDescriptorFree(c.removeFromServer)
 	c.element = s.callers.Add(c)
 	c.timeout = s.loop.After(callTimeout, c.timedOut)
 	return c
--- a/internal/operations/balancerconfig/decode.go
+++ b/internal/operations/balancerconfig/decode.go
@@ -40,7 +40,7 @@
 		return balancer.Config{}, fmt.Errorf("message Init with malformed config: %v", err)
 	}
 	c := s.config()
-	c.LoadField, c.QueueField = s.Report.positions()
+	c.LoadField, c.QueueField = s.Report.fieldPositions()
 	switch s.Discovery {
 	case discoveryAutomatic, "":
 	case discoverySubscribe:
@@ -90,8 +90,8 @@
 	}
 }
 
-// positions are those of the load and of the queue length in a report; -1: not reported.
-func (r *loadReport) positions() (load, queue int) {
+// fieldPositions are those of the load and of the queue length in a report; -1: not reported.
+func (r *loadReport) fieldPositions() (load, queue int) {
 	if r.How == noLoadReports {
 		return -1, -1
 	}
@@ -104,18 +104,18 @@
 
 func (s *settings) classes() ([]balancer.Class, error) {
 	var classes []balancer.Class
-	for i, l := range s.Classes {
-		idempotency, ok := idempotencies[l.Semantics]
+	for i, entry := range s.Classes {
+		idempotency, ok := idempotencies[entry.Semantics]
 		if !ok {
-			return classes, fmt.Errorf("config: class %q with semantics %q, which is unknown", l.Name, l.Semantics)
+			return classes, fmt.Errorf("config: class %q with semantics %q, which is unknown", entry.Name, entry.Semantics)
 		}
-		scope, ok := dedupScopes[l.DedupScope]
+		scope, ok := dedupScopes[entry.DedupScope]
 		if !ok {
-			return classes, fmt.Errorf("config: class %q with dedup_scope %q, which is unknown", l.Name, l.DedupScope)
+			return classes, fmt.Errorf("config: class %q with dedup_scope %q, which is unknown", entry.Name, entry.DedupScope)
 		}
-		c := balancer.Class{Name: l.Name, LatencyObjective: l.LatencyObjective, Deadline: l.Deadline,
-			Idempotency: idempotency, DedupScope: scope, DedupWindow: l.DedupWindow,
-			PriorityWeight: l.PriorityWeight, LatePriorityWeight: l.LatePriorityWeight}
+		c := balancer.Class{Name: entry.Name, LatencyObjective: entry.LatencyObjective, Deadline: entry.Deadline,
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: entry.DedupWindow,
+			PriorityWeight: entry.PriorityWeight, LatePriorityWeight: entry.LatePriorityWeight}
 		if i < len(s.Extra.MessageObjectives) {
 			c.MessageLatencyObjective = s.Extra.MessageObjectives[i]
 		}
@@ -126,8 +126,8 @@
 
 func (s *settings) tenants() []balancer.Tenant {
 	var tenants []balancer.Tenant
-	for i, o := range s.Tenants {
-		t := balancer.Tenant{Name: o.Name, RateQuota: o.RateQuota, ServiceQuota: o.ServiceQuota}
+	for i, entry := range s.Tenants {
+		t := balancer.Tenant{Name: entry.Name, RateQuota: entry.RateQuota, ServiceQuota: entry.ServiceQuota}
 		if i < len(s.Extra.ConnectionQuotas) {
 			t.ConnectionQuota = s.Extra.ConnectionQuotas[i]
 		}
--- a/internal/operations/balancerconfig/decode_test.go
+++ b/internal/operations/balancerconfig/decode_test.go
@@ -13,19 +13,19 @@
 	shares := []float64{0.46, 0.33, 0.14, 0.07}
 	for _, fleet := range []float64{60, 137, 239, 1200} {
 		for _, connectionSeconds := range []float64{24, 37, 51} {
-			var ts []balancer.Tenant
+			var tenants []balancer.Tenant
 			rounded := 0.0
-			for _, s := range shares {
-				n := math.Round(fleet * s)
-				ts = append(ts, balancer.Tenant{ConnectionQuota: n, RateQuota: math.Round(fleet * s / connectionSeconds)})
-				rounded += ts[len(ts)-1].RateQuota
+			for _, share := range shares {
+				n := math.Round(fleet * share)
+				tenants = append(tenants, balancer.Tenant{ConnectionQuota: n, RateQuota: math.Round(fleet * share / connectionSeconds)})
+				rounded += tenants[len(tenants)-1].RateQuota
 			}
 			if rounded == 0 {
 				continue
 			}
-			restoreRateQuotas(ts)
+			restoreRateQuotas(tenants)
 			sum := 0.0
-			for _, x := range ts {
+			for _, x := range tenants {
 				sum += x.RateQuota
 			}
 			if want := fleet / connectionSeconds; sum < want/1.5 || sum > want*1.5 {
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -155,12 +155,12 @@
 
 // NewRevocationList makes the PEM of a list of certificates that ca revokes.
 func NewRevocationList(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
-	l := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
+	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
 	for _, c := range certs {
-		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries,
+		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries,
 			x509.RevocationListEntry{SerialNumber: c.SerialNumber, RevocationTime: from})
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, l, ca.Cert, ca.Key)
+	der, err := x509.CreateRevocationList(rand.Reader, list, ca.Cert, ca.Key)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operations/certs/certs_test.go
+++ b/internal/operations/certs/certs_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pair issues a certificate that is valid now.
-func pair(t testing.TB, issuer *Pair, spec Spec) *Pair {
+// newPair issues a certificate that is valid now.
+func newPair(t testing.TB, issuer *Pair, spec Spec) *Pair {
 	t.Helper()
 	now := time.Now()
 	spec.NotBefore, spec.NotAfter = now.Add(-time.Hour), now.Add(time.Hour)
@@ -24,7 +24,7 @@
 // Every kind of key is written and read back, and one that is too weak is found so.
 func TestKeys(t *testing.T) {
 	for _, kind := range KeyKinds {
-		p := pair(t, nil, Spec{Name: kind, Key: kind, Server: true, Hosts: []string{"a.test", "10.0.0.1", "spiffe://x/y"}})
+		p := newPair(t, nil, Spec{Name: kind, Key: kind, Server: true, Hosts: []string{"a.test", "10.0.0.1", "spiffe://x/y"}})
 		dir := t.TempDir()
 		cert, key := filepath.Join(dir, "c.pem"), filepath.Join(dir, "c.key")
 		if err := p.Save(cert, key, nil); err != nil {
@@ -50,9 +50,9 @@
 
 // A chain through an intermediate authority verifies, and all of it goes into the file.
 func TestChain(t *testing.T) {
-	root := pair(t, nil, Spec{Name: "root", Authority: true})
-	intermediate := pair(t, root, Spec{Name: "intermediate", Authority: true})
-	leaf := pair(t, intermediate, Spec{Name: "leaf", Server: true, Hosts: []string{"a.test"}})
+	root := newPair(t, nil, Spec{Name: "root", Authority: true})
+	intermediate := newPair(t, root, Spec{Name: "intermediate", Authority: true})
+	leaf := newPair(t, intermediate, Spec{Name: "leaf", Server: true, Hosts: []string{"a.test"}})
 	all, err := ParseBundle("x", leaf.PEM())
 	if err != nil || len(all) != 2 {
 		t.Fatal(len(all), err)
@@ -67,7 +67,7 @@
 
 // FuzzBundle: bytes give certificates or an error, never a panic.
 func FuzzBundle(f *testing.F) {
-	p := pair(f, nil, Spec{Name: "root", Authority: true})
+	p := newPair(f, nil, Spec{Name: "root", Authority: true})
 	f.Add(p.PEM())
 	f.Add(p.PEM()[:200])
 	f.Add(append(p.PEM(), "-----BEGIN X-----\n-----END X-----\n"...))
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -43,22 +43,22 @@
 func TestRepeats(t *testing.T) {
 	var b bytes.Buffer
 	h := New(&b, Options{Format: "text", Level: "info", MaxPerWindow: 2, Window: time.Second})
-	say := func(at time.Duration, event, reason string) {
+	handle := func(at time.Duration, event, reason string) {
 		r := slog.NewRecord(time.Unix(1e9, 0).Add(at), slog.LevelInfo, event, 0)
 		r.Add("reason", reason)
 		h.Handle(context.Background(), r)
 	}
 	for i := range 100 {
-		say(time.Duration(i), "a", "x")
+		handle(time.Duration(i), "a", "x")
 	}
-	say(200, "a", "y")
-	say(2*time.Second, "b", "")
+	handle(200, "a", "y")
+	handle(2*time.Second, "b", "")
 	if got := b.String(); strings.Count(got, "event=a reason=x") != 2 || strings.Count(got, "event=a reason=y") != 1 ||
 		!strings.Contains(got, "event=repeated of=a left_out=98 since=01:46:40\n") || !strings.Contains(got, "event=b") {
 		t.Error(got)
 	}
 	for i := range 10 * maxKinds {
-		say(5*time.Second, "c", strings.Repeat("z", i))
+		handle(5*time.Second, "c", strings.Repeat("z", i))
 	}
 	if n := len(h.(*repeatHandler).limiter.kinds); n > maxKinds+1 {
 		t.Errorf("%d kinds are kept in the table", n)
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -29,13 +29,13 @@
 func (w *NonBlockingWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.dropped > 0 && w.ready() {
+	if w.dropped > 0 && w.writable() {
 		if _, err := fmt.Fprintf(w.file, "event=log_dropped lines=%d level=warn\n", w.dropped); err != nil {
 			return 0, err
 		}
 		w.dropped = 0
 	}
-	if !w.ready() {
+	if !w.writable() {
 		w.dropped++
 		return len(line), nil
 	}
@@ -45,8 +45,8 @@
 	return w.file.Write(line)
 }
 
-// ready reports whether a line can be written without waiting. Where the system can't say, it can.
-func (w *NonBlockingWriter) ready() bool {
+// writable reports whether a line can be written without waiting. Where the system can't say, it can.
+func (w *NonBlockingWriter) writable() bool {
 	fds := []unix.PollFd{{Fd: w.descriptor, Events: unix.POLLOUT}}
 	for {
 		n, err := unix.Poll(fds, 0)
--- a/internal/operations/logging/nonblocking_test.go
+++ b/internal/operations/logging/nonblocking_test.go
@@ -8,21 +8,21 @@
 )
 
 // A reader of the log that stops reading does not stop the proxy: lines are dropped, and counted.
-func TestUnreadLogDelaysNobody(t *testing.T) {
+func TestUnreadLogDoesNotBlockWrites(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	u := NewNonBlockingWriter(w)
+	writer := NewNonBlockingWriter(w)
 	line := []byte("event=x " + strings.Repeat("y", 1000) + "\n")
 	const lines = 500 // far more than a pipe holds
 	for range lines {
-		if n, err := u.Write(line); n != len(line) || err != nil {
+		if n, err := writer.Write(line); n != len(line) || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	dropped := u.dropped
+	dropped := writer.dropped
 	if dropped == 0 || dropped > lines-16 {
 		t.Fatalf("%d of %d lines were left out", dropped, lines)
 	}
@@ -32,7 +32,7 @@
 			t.Fatalf("%q, %v", got, err)
 		}
 	}
-	u.Write([]byte("event=next\n"))
+	writer.Write([]byte("event=next\n"))
 	w.Close()
 	for _, want := range []string{"event=log_dropped lines=", "event=next\n"} {
 		if got, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -36,8 +36,8 @@
 		}
 		return true
 	})
-	write, over := h.limiter.pass(key, r.Message, r.Time)
-	for _, k := range over {
+	write, ended := h.limiter.allow(key, r.Message, r.Time)
+	for _, k := range ended {
 		n := slog.NewRecord(r.Time, slog.LevelInfo, "repeated", 0)
 		n.Add("of", k.event, "left_out", k.leftOut, "since", k.startedAt.UTC().Format("15:04:05"))
 		h.next.Handle(c, n)
@@ -60,15 +60,15 @@
 
 // repeatLimiter counts lines by kind within a window.
 type repeatLimiter struct {
-	mutex   sync.Mutex
-	max     int // lines of one kind within the window
-	window  time.Duration
-	kinds   map[string]*kindCount
-	sweptAt time.Time
+	mutex        sync.Mutex
+	maxPerWindow int // lines of one kind within the window
+	window       time.Duration
+	kinds        map[string]*kindCount
+	sweptAt      time.Time
 }
 
-func newRepeatLimiter(most int, window time.Duration) *repeatLimiter {
-	return &repeatLimiter{max: most, window: window, kinds: map[string]*kindCount{}}
+func newRepeatLimiter(maxPerWindow int, window time.Duration) *repeatLimiter {
+	return &repeatLimiter{maxPerWindow: maxPerWindow, window: window, kinds: map[string]*kindCount{}}
 }
 
 // kindCount is the lines of one kind in its window.
@@ -79,51 +79,51 @@
 	leftOut   int
 }
 
-// over reports whether the window has ended, also where the clock was set back.
-func (k *kindCount) over(now time.Time, window time.Duration) bool {
+// windowEnded reports whether the window has ended, also where the clock was set back.
+func (k *kindCount) windowEnded(now time.Time, window time.Duration) bool {
 	age := now.Sub(k.startedAt)
 	return age >= window || age < 0
 }
 
-// pass reports whether a line is written, and of which kinds lines were left out in a window that is over.
-func (l *repeatLimiter) pass(key, event string, now time.Time) (write bool, over []kindCount) {
+// allow reports whether a line is written, and of which kinds lines were left out in a window that is over.
+func (l *repeatLimiter) allow(key, event string, now time.Time) (write bool, ended []kindCount) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	over = l.sweep(now)
-	k := l.kind(key, event, now)
-	if k.over(now, l.window) {
+	ended = l.removeEnded(now)
+	k := l.countOf(key, event, now)
+	if k.windowEnded(now, l.window) {
 		if k.leftOut > 0 {
-			over = append(over, *k)
+			ended = append(ended, *k)
 		}
 		*k = kindCount{event: k.event, startedAt: now}
 	}
-	if k.written < l.max {
+	if k.written < l.maxPerWindow {
 		k.written++
-		return true, over
+		return true, ended
 	}
 	k.leftOut++
-	return false, over
+	return false, ended
 }
 
-// sweep drops the kinds whose window is over, once a window, and gives those of which lines were left out.
-func (l *repeatLimiter) sweep(now time.Time) (over []kindCount) {
+// removeEnded drops the kinds whose window is over, once a window, and gives those of which lines were left out.
+func (l *repeatLimiter) removeEnded(now time.Time) (ended []kindCount) {
 	if since := now.Sub(l.sweptAt); since < l.window && since >= 0 {
 		return nil
 	}
 	l.sweptAt = now
 	for key, k := range l.kinds {
-		if !k.over(now, l.window) {
+		if !k.windowEnded(now, l.window) {
 			continue
 		}
 		if k.leftOut > 0 {
-			over = append(over, *k)
+			ended = append(ended, *k)
 		}
 		delete(l.kinds, key)
 	}
-	return over
+	return ended
 }
 
-func (l *repeatLimiter) kind(key, event string, now time.Time) *kindCount {
+func (l *repeatLimiter) countOf(key, event string, now time.Time) *kindCount {
 	k := l.kinds[key]
 	if k == nil && len(l.kinds) >= maxKinds {
 		key, event = otherKinds, "others"
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -12,15 +12,15 @@
 
 // Registry is the suspensions, and the ids that a call may name.
 type Registry struct {
-	suspendedHere  map[string]int64 // by a call at this proxy: since when, Unix nanoseconds
-	suspendedFleet map[string]int64 // by the fleet's list: since when, Unix nanoseconds
-	known          map[string]bool
-	knownOrder     []string // oldest first
+	suspendedLocally   map[string]int64 // by a call at this proxy: since when, Unix nanoseconds
+	suspendedFleetWide map[string]int64 // by the fleet's list: since when, Unix nanoseconds
+	known              map[string]bool
+	knownOrder         []string // oldest first
 }
 
 // New makes an empty registry.
 func New() *Registry {
-	return &Registry{suspendedHere: map[string]int64{}, suspendedFleet: map[string]int64{}, known: map[string]bool{}}
+	return &Registry{suspendedLocally: map[string]int64{}, suspendedFleetWide: map[string]int64{}, known: map[string]bool{}}
 }
 
 // HostListed records that a list has named a host.
@@ -29,14 +29,14 @@
 		return
 	}
 	if len(r.knownOrder) >= maxKnownHosts {
-		r.forgetOldest()
+		r.forgetOldestResumed()
 	}
 	r.known[id] = true
 	r.knownOrder = append(r.knownOrder, id)
 }
 
-// forgetOldest forgets the oldest host that is not suspended: a call to resume must find one that is.
-func (r *Registry) forgetOldest() {
+// forgetOldestResumed forgets the oldest host that is not suspended: a call to resume must find one that is.
+func (r *Registry) forgetOldestResumed() {
 	if i := slices.IndexFunc(r.knownOrder, func(id string) bool { return !r.Suspended(id) }); i >= 0 {
 		delete(r.known, r.knownOrder[i])
 		r.knownOrder = slices.Delete(r.knownOrder, i, i+1)
@@ -51,14 +51,14 @@
 
 // SetSuspended suspends a host at this proxy or resumes it, and reports whether that changed anything.
 func (r *Registry) SetSuspended(id string, suspended bool, now int64) (changed bool) {
-	if _, is := r.suspendedHere[id]; is == suspended {
+	if _, is := r.suspendedLocally[id]; is == suspended {
 		return false
 	}
 	if suspended {
 		r.HostListed(id)
-		r.suspendedHere[id] = now
+		r.suspendedLocally[id] = now
 	} else {
-		delete(r.suspendedHere, id)
+		delete(r.suspendedLocally, id)
 	}
 	return true
 }
@@ -68,15 +68,15 @@
 func (r *Registry) SetFleetSuspensions(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
-		since, was := r.suspendedFleet[id]
+		since, was := r.suspendedFleetWide[id]
 		if !was {
 			since = now
 		}
 		next[id] = since
 	}
-	for id := range r.suspendedFleet {
+	for id := range r.suspendedFleetWide {
 		_, still := next[id]
-		if _, here := r.suspendedHere[id]; !still && !here {
+		if _, here := r.suspendedLocally[id]; !still && !here {
 			changed = append(changed, id)
 		}
 	}
@@ -85,22 +85,22 @@
 			changed = append(changed, id)
 		}
 	}
-	r.suspendedFleet = next
+	r.suspendedFleetWide = next
 	slices.Sort(changed)
 	return changed
 }
 
 // Suspended reports whether a host is suspended, here or fleet-wide.
 func (r *Registry) Suspended(id string) bool {
-	_, here := r.suspendedHere[id]
-	_, fleet := r.suspendedFleet[id]
+	_, here := r.suspendedLocally[id]
+	_, fleet := r.suspendedFleetWide[id]
 	return here || fleet
 }
 
 // Suspension is a host's suspension, the earlier where there are two.
 func (r *Registry) Suspension(id string) Suspension {
-	since, here := r.suspendedHere[id]
-	if at, fleet := r.suspendedFleet[id]; fleet && (!here || at < since) {
+	since, here := r.suspendedLocally[id]
+	if at, fleet := r.suspendedFleetWide[id]; fleet && (!here || at < since) {
 		since = at
 	}
 	return Suspension{id, since}
@@ -108,8 +108,8 @@
 
 // LocalSuspensions is every suspension that was set at this proxy, sorted by id.
 func (r *Registry) LocalSuspensions() []Suspension {
-	all := make([]Suspension, 0, len(r.suspendedHere))
-	for id, since := range r.suspendedHere {
+	all := make([]Suspension, 0, len(r.suspendedLocally))
+	for id, since := range r.suspendedLocally {
 		all = append(all, Suspension{id, since})
 	}
 	slices.SortFunc(all, func(x, y Suspension) int { return strings.Compare(x.ID, y.ID) })
--- a/internal/operations/maintenance/registry_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -11,26 +11,26 @@
 // Whatever the order of calls and lists: a suspension holds from its first call to one that resumes.
 func TestSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, suspended, listed := New(), map[string]bool{}, map[string]bool{}
+		registry, suspended, listed := New(), map[string]bool{}, map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				b.HostListed(id)
+				registry.HostListed(id)
 				listed[id] = true
 			case 1:
-				if listed[id] && b.SetSuspended(id, true, 5) == suspended[id] {
+				if listed[id] && registry.SetSuspended(id, true, 5) == suspended[id] {
 					t.Fatal("a first suspension changes something, a second nothing")
 				}
 				suspended[id] = suspended[id] || listed[id]
 			case 2:
-				if b.SetSuspended(id, false, 5) != suspended[id] {
+				if registry.SetSuspended(id, false, 5) != suspended[id] {
 					t.Fatal("one call to resume ends any number of suspensions")
 				}
 				suspended[id] = false
 			}
-			if b.Suspended(id) != suspended[id] || b.Known(id) != listed[id] {
-				t.Fatalf("%s: suspended %t known %t, want %t %t", id, b.Suspended(id), b.Known(id), suspended[id], listed[id])
+			if registry.Suspended(id) != suspended[id] || registry.Known(id) != listed[id] {
+				t.Fatalf("%s: suspended %t known %t, want %t %t", id, registry.Suspended(id), registry.Known(id), suspended[id], listed[id])
 			}
 		}
 	})
@@ -38,17 +38,17 @@
 
 // Hosts that come and go for months do not fill the memory, and a suspension among them is still found.
 func TestKnownIsBounded(t *testing.T) {
-	b := New()
-	b.HostListed("first")
-	b.SetSuspended("first", true, 7)
+	registry := New()
+	registry.HostListed("first")
+	registry.SetSuspended("first", true, 7)
 	for i := range 2 * maxKnownHosts {
-		b.HostListed(fmt.Sprint(i))
+		registry.HostListed(fmt.Sprint(i))
 	}
-	if len(b.known) > maxKnownHosts || !b.Known("first") || b.Known("0") || !b.Known(fmt.Sprint(2*maxKnownHosts-1)) {
-		t.Errorf("%d known, first %t", len(b.known), b.Known("first"))
+	if len(registry.known) > maxKnownHosts || !registry.Known("first") || registry.Known("0") || !registry.Known(fmt.Sprint(2*maxKnownHosts-1)) {
+		t.Errorf("%d known, first %t", len(registry.known), registry.Known("first"))
 	}
-	if !slices.Equal(b.LocalSuspensions(), []Suspension{{"first", 7}}) {
-		t.Errorf("suspensions %v", b.LocalSuspensions())
+	if !slices.Equal(registry.LocalSuspensions(), []Suspension{{"first", 7}}) {
+		t.Errorf("suspensions %v", registry.LocalSuspensions())
 	}
 }
 
--- a/internal/operations/maintenance/suspension.go
+++ b/internal/operations/maintenance/suspension.go
@@ -25,10 +25,10 @@
 }
 
 const (
-	// migrateWithin is the time over which connections leave a suspended host: before a restart that follows soon, and not all in
+	// migrationSpread is the time over which connections leave a suspended host: before a restart that follows soon, and not all in
 	// one moment.
-	migrateWithin  = time.Second
-	migrationSlots = 1000
+	migrationSpread = time.Second
+	migrationSlots  = 1000
 )
 
 // MigrationDelay is how long after its host's suspension a connection migrates: spread evenly by its request's ID, over all proxies together however
@@ -36,5 +36,5 @@
 func MigrationDelay(request string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(request))
-	return time.Duration(h.Sum32()%migrationSlots) * migrateWithin / migrationSlots
+	return time.Duration(h.Sum32()%migrationSlots) * migrationSpread / migrationSlots
 }
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -19,7 +19,7 @@
 	Unanswered                // the decision module did not answer in time or panicked; the client got ERR
 	InvalidRequest            // a tenant that the settings lack, or an id in use; the client got ERR
 	ClientLeft                // the client hung up before its answer
-	ends
+	endKinds
 )
 
 // counter is under which name an end is counted.
@@ -29,33 +29,33 @@
 	success counter = iota
 	overload
 	failure
-	counters
+	counterKinds
 	uncounted counter = -1
 )
 
 // counterOf is each end's counter. First lines that name no class of the settings are of no class and so not counted; nor are clients that
 // have left before their answer.
-var counterOf = [ends]counter{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
+var counterOf = [endKinds]counter{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
 	Failed: failure, Unanswered: failure, InvalidRequest: failure, ClientLeft: uncounted}
 
-var counterNames = [counters]string{"success", "overload", "error"}
+var counterNames = [counterKinds]string{"success", "overload", "error"}
 
 // Table holds the counts since the start.
 type Table struct {
 	classes    []string
-	ended      [][counters]int64 // by class
+	endCounts  [][counterKinds]int64 // by class
 	dispatched int64
 }
 
 // New makes a table for the classes of the settings, in their order.
 func New(classes []string) *Table {
-	return &Table{classes: classes, ended: make([][counters]int64, len(classes))}
+	return &Table{classes: classes, endCounts: make([][counterKinds]int64, len(classes))}
 }
 
 // CountEnd counts a request's end.
 func (t *Table) CountEnd(class int, e End) {
-	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.ended) {
-		t.ended[class][c]++
+	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.endCounts) {
+		t.endCounts[class][c]++
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	for i, c := range t.classes {
 		for k, name := range counterNames {
-			line(t.ended[i][k], "replies.", c, ".", name)
+			line(t.endCounts[i][k], "replies.", c, ".", name)
 		}
 	}
 	line(t.dispatched, "dispatches")
--- a/internal/operations/metrics/metrics_test.go
+++ b/internal/operations/metrics/metrics_test.go
@@ -5,7 +5,7 @@
 // Every kind of end has its count, and the text its order.
 func TestEveryEndCounts(t *testing.T) {
 	table := New([]string{"a", "b"})
-	for e := range ends {
+	for e := range endKinds {
 		for range int(e) + 1 {
 			table.CountEnd(1, e)
 		}
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -9,7 +9,7 @@
 // TestRecordedText: metrics keep their names and their order.
 func TestRecordedText(t *testing.T) {
 	table := New([]string{"session", "batch"})
-	for e := range ends {
+	for e := range endKinds {
 		for range int(e) + 1 {
 			table.CountEnd(int(e)%2, e)
 		}
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -64,8 +64,8 @@
 	return c, nil
 }
 
-// file is the JSON that NODE_CONFIG names.
-type file struct {
+// configFile is the JSON that NODE_CONFIG names.
+type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
@@ -93,13 +93,13 @@
 
 // Parse reads the file's bytes. An error names the field at fault.
 func Parse(data []byte, env func(string) string) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, err
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, Limits: f.Limits,
 		Peers: peers.Addresses{Listen: f.PeerListen, Peers: f.Peers, Broadcast: f.PeersAll}}
-	c.override(env)
+	c.applyEnvironment(env)
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
 	}
@@ -120,8 +120,8 @@
 	return c, nil
 }
 
-// override takes what the environment says.
-func (c *Config) override(env func(string) string) {
+// applyEnvironment takes what the environment says.
+func (c *Config) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
 		to   *string
 		name string
--- a/internal/operations/platform/config_test.go
+++ b/internal/operations/platform/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const usable = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
+const validConfig = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ffffffffffffffff",
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":{"rev":7,"all":true,"targets":[]},
 "settings":{"peers_total":1,"bounds":{"try_limit":5},"lanes":[{"name":"c","on_time":1,"deadline":2,"semantics":"read_like"}],
 "extra":{"tells_load":true,"tells_delay":true}}}`
@@ -13,7 +13,7 @@
 // A configuration that can't be used gives an error of one line; one that can keeps within the limits it gives.
 func TestConfig(t *testing.T) {
 	env := func(name string) string { return map[string]string{"NODE_LISTEN": "127.0.0.1:9"}[name] }
-	c, err := Parse([]byte(usable), env)
+	c, err := Parse([]byte(validConfig), env)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,16 +23,16 @@
 	}
 	for _, change := range [][2]string{{"{", ""}, {"127.0.0.1:2", "nowhere"}, {`"seed":"ffffffffffffffff"`, `"seed":"x"`},
 		{"read_like", "odd"}, {`"rev":7,`, ""}, {`"settings"`, `"other"`}} {
-		_, err := Parse([]byte(strings.Replace(usable, change[0], change[1], 1)), env)
+		_, err := Parse([]byte(strings.Replace(validConfig, change[0], change[1], 1)), env)
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v gave %v", change, err)
 		}
 	}
-	for at, ok := range map[string]bool{"127.0.0.1:7": true, "127.0.0.1:9": false, "127.0.0.1": false, "host:7": false, "127.0.0.1:0": false,
+	for addr, valid := range map[string]bool{"127.0.0.1:7": true, "127.0.0.1:9": false, "127.0.0.1": false, "host:7": false, "127.0.0.1:0": false,
 		"127.0.0.1:99999": false} {
-		c, err := Parse([]byte(strings.Replace(usable, `"name"`, `"admin_addr":"`+at+`","name"`, 1)), env)
-		if (err == nil) != ok || ok && (c.Admin != at || c.MaxAdminCallers() != 32) {
-			t.Errorf("admin_addr %s: %v", at, err)
+		c, err := Parse([]byte(strings.Replace(validConfig, `"name"`, `"admin_addr":"`+addr+`","name"`, 1)), env)
+		if (err == nil) != valid || valid && (c.Admin != addr || c.MaxAdminCallers() != 32) {
+			t.Errorf("admin_addr %s: %v", addr, err)
 		}
 	}
 }
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -14,9 +14,9 @@
 // the listener, discovery, the configuration file, and clients that are accepted but not looked at yet.
 const reservedDescriptors = 24
 
-// memoryShare is the part of the memory limit that the heap may take: stacks, the runtime's own structures and the files of a
+// heapShare is the part of the memory limit that the heap may take: stacks, the runtime's own structures and the files of a
 // private $TMPDIR count against the limit too.
-const memoryShare = 0.7
+const heapShare = 0.7
 
 // HotRestartDescriptors is how many descriptors a second process of this proxy needs beside those of its clients.
 func (c *Config) HotRestartDescriptors() int { return reservedDescriptors + c.MaxAdminCallers() }
@@ -76,5 +76,5 @@
 	if c.Limits.MemoryMB <= 0 {
 		return defaultMemoryLimit
 	}
-	return int64(c.Limits.MemoryMB * memoryShare * (1 << 20))
+	return int64(c.Limits.MemoryMB * heapShare * (1 << 20))
 }
--- a/internal/operations/platform/reload.go
+++ b/internal/operations/platform/reload.go
@@ -4,7 +4,7 @@
 
 // Reload reads the file again, for a process that runs on old. The file's discovery counts here, not that of the environment, which is from the
 // start. later names what differs but takes effect at the next start only.
-func Reload(env func(string) string, old *Config) (c *Config, later []string, err error) {
+func Reload(env func(string) string, old *Config) (c *Config, unapplied []string, err error) {
 	c, err = Load(func(name string) string {
 		if name == "NODE_DISCOVERY" {
 			return ""
@@ -25,8 +25,8 @@
 		{"settings", reflect.DeepEqual(c.Settings, old.Settings) && c.DelayInLoad == old.DelayInLoad},
 	} {
 		if !v.same {
-			later = append(later, v.name)
+			unapplied = append(unapplied, v.name)
 		}
 	}
-	return c, later, nil
+	return c, unapplied, nil
 }
--- a/internal/operations/settings/form.go
+++ b/internal/operations/settings/fieldset.go
@@ -6,12 +6,12 @@
 // that takes it; the variable's earlier value is the default. After the last field, whatever else the section has
 // is unknown.
 type FieldSet struct {
-	node   *Node // nil: the file does not have the section
-	faults *Faults
-	dir    string // that relative paths start from
-	path   string // of names, from the section down
-	fields []*Field
-	seen   map[string][]*Node // by field name
+	node        *Node // nil: the file does not have the section
+	faults      *Faults
+	dir         string // that relative paths start from
+	path        string // of names, from the section down
+	fields      []*Field
+	nodesByName map[string][]*Node // by field name
 }
 
 // Field is what a section declares, as `settings show` prints it.
@@ -39,14 +39,14 @@
 	if f.node != nil {
 		at = f.node.Pos
 	}
-	if nodes := f.seen[name]; len(nodes) > 0 {
+	if nodes := f.nodesByName[name]; len(nodes) > 0 {
 		at = nodes[0].Pos
 	}
 	f.faults.Add(at, format, args...)
 }
 
-func newForm(node *Node, faults *Faults, dir, path string) *FieldSet {
-	f := &FieldSet{node: node, faults: faults, dir: dir, path: path, seen: map[string][]*Node{}}
+func newFieldSet(node *Node, faults *Faults, dir, path string) *FieldSet {
+	f := &FieldSet{node: node, faults: faults, dir: dir, path: path, nodesByName: map[string][]*Node{}}
 	if node == nil {
 		return f
 	}
@@ -56,23 +56,23 @@
 			faults.Add(n.Pos, "%s in (%s ...), expected (name value)", n.describe(), path)
 			continue
 		}
-		f.seen[name] = append(f.seen[name], n)
+		f.nodesByName[name] = append(f.nodesByName[name], n)
 	}
 	return f
 }
 
-// done reports what was not declared.
-func (f *FieldSet) done() {
+// reportUnknown reports what was not declared.
+func (f *FieldSet) reportUnknown() {
 	known := make([]string, 0, len(f.fields))
 	for _, d := range f.fields {
 		known = append(known, d.Name)
 	}
-	for name, nodes := range f.seen {
+	for name, nodes := range f.nodesByName {
 		if slices.Contains(known, name) {
 			continue
 		}
 		for _, n := range nodes {
-			f.faults.Add(n.Pos, "%q is unknown in (%s ...)%s", clip(name), f.path, suggestion(name, known))
+			f.faults.Add(n.Pos, "%q is unknown in (%s ...)%s", truncate(name), f.path, suggestion(name, known))
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (f *FieldSet) declare(name, doc, want string, value func() string) (*Node, []*Node) {
 	d := &Field{Name: name, Doc: doc, Expected: want, value: value}
 	f.fields = append(f.fields, d)
-	nodes := f.seen[name]
+	nodes := f.nodesByName[name]
 	if len(nodes) == 0 {
 		return nil, nil
 	}
@@ -105,7 +105,7 @@
 	d := &Field{Name: name, Doc: doc, Expected: "a label and fields, any number of times", value: func() string { return "" }}
 	f.fields = append(f.fields, d)
 	labels := map[string]bool{}
-	for _, n := range f.seen[name] {
+	for _, n := range f.nodesByName[name] {
 		d.Set = true
 		values := n.Values()
 		if len(values) < 2 || values[1].Kind == List {
@@ -114,7 +114,7 @@
 		}
 		label := values[1].Text
 		if labels[label] {
-			f.faults.Add(values[1].Pos, "%s %q stands a second time, expected once", name, clip(label))
+			f.faults.Add(values[1].Pos, "%s %q stands a second time, expected once", name, truncate(label))
 		}
 		labels[label] = true
 		rest := &Node{Kind: List, Pos: n.Pos, End: n.End, Items: append([]*Node{values[0]}, values[2:]...)}
@@ -124,8 +124,8 @@
 }
 
 func (f *FieldSet) bindNested(n *Node, name string, bind func(f *FieldSet)) *FieldSet {
-	nested := newForm(n, f.faults, f.dir, f.path+" "+name)
+	nested := newFieldSet(n, f.faults, f.dir, f.path+" "+name)
 	bind(nested)
-	nested.done()
+	nested.reportUnknown()
 	return nested
 }
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -68,12 +68,12 @@
 func (n *Node) describe() string {
 	switch n.Kind {
 	case Atom:
-		return fmt.Sprintf("%q", clip(n.Text))
+		return fmt.Sprintf("%q", truncate(n.Text))
 	case Text:
-		return fmt.Sprintf("the text %q", clip(n.Text))
+		return fmt.Sprintf("the text %q", truncate(n.Text))
 	case List:
 		if name := n.Name(); name != "" {
-			return fmt.Sprintf("the list (%s ...)", clip(name))
+			return fmt.Sprintf("the list (%s ...)", truncate(name))
 		}
 		return "a list"
 	}
@@ -82,7 +82,7 @@
 
 const maxQuotedRunes = 40 // of the file, in a fault
 
-func clip(s string) string {
+func truncate(s string) string {
 	if r := []rune(s); len(r) > maxQuotedRunes {
 		return string(r[:maxQuotedRunes]) + "..."
 	}
--- a/internal/operations/settings/pairs.go
+++ b/internal/operations/settings/pairs.go
@@ -25,8 +25,8 @@
 			f.faults.Add(v.Pos, "%s has %s, expected %s", name, v.describe(), want)
 			continue
 		}
-		if _, twice := out[key]; twice {
-			f.faults.Add(v.Pos, "%s names %q twice, expected once", name, clip(key))
+		if _, duplicate := out[key]; duplicate {
+			f.faults.Add(v.Pos, "%s names %q twice, expected once", name, truncate(key))
 		}
 		out[key] = value
 	}
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -16,23 +16,23 @@
 		faults.Add(Pos{1, 1}, "the file has %d bytes, expected at most %d", len(data), MaxBytes)
 		return root, faults
 	}
-	if i := firstInvalid(data); i >= 0 {
-		faults.Add(position(data[:i]), "a byte that is no UTF-8, expected text")
+	if i := firstInvalidUTF8(data); i >= 0 {
+		faults.Add(positionAfter(data[:i]), "a byte that is no UTF-8, expected text")
 		return root, faults
 	}
 	p := &parser{rest: string(data), pos: Pos{1, 1}, faults: faults}
-	p.items(root, 0)
+	p.parseItems(root, 0)
 	return root, faults
 }
 
-// position is the place after some text.
-func position(text []byte) Pos {
+// positionAfter is the place after some text.
+func positionAfter(text []byte) Pos {
 	lineStart := bytes.LastIndexByte(text, '\n') + 1
 	return Pos{Line: 1 + bytes.Count(text, []byte("\n")), Col: 1 + utf8.RuneCount(text[lineStart:])}
 }
 
-// firstInvalid is the index of the first byte that is no UTF-8; -1: there is none.
-func firstInvalid(data []byte) int {
+// firstInvalidUTF8 is the index of the first byte that is no UTF-8; -1: there is none.
+func firstInvalidUTF8(data []byte) int {
 	for i := 0; i < len(data); {
 		c, n := utf8.DecodeRune(data[i:])
 		if c == utf8.RuneError && n == 1 {
@@ -76,8 +76,8 @@
 	}
 }
 
-// items reads up to the bracket that closes list, or the end of the file where it is the root.
-func (p *parser) items(list *Node, depth int) {
+// parseItems reads up to the bracket that closes list, or the end of the file where it is the root.
+func (p *parser) parseItems(list *Node, depth int) {
 	lastLine := 0 // on which the previous element ended
 	if depth > 0 {
 		lastLine = list.Pos.Line
@@ -102,7 +102,7 @@
 			continue
 		}
 		n := &Node{Pos: at, afterBlankLine: lastLine > 0 && at.Line > lastLine+1}
-		if !p.node(n, depth, lastLine) {
+		if !p.parseNode(n, depth, lastLine) {
 			return
 		}
 		list.Items = append(list.Items, n)
@@ -110,8 +110,8 @@
 	}
 }
 
-// node reads one node; false: nothing after it can be read.
-func (p *parser) node(n *Node, depth, lastLine int) bool {
+// parseNode reads one parseNode; false: nothing after it can be read.
+func (p *parser) parseNode(n *Node, depth, lastLine int) bool {
 	switch p.peek() {
 	case '(':
 		p.next()
@@ -121,19 +121,19 @@
 			p.rest = ""
 			return false
 		}
-		p.items(n, depth+1)
+		p.parseItems(n, depth+1)
 	case ';':
-		p.comment(n)
+		p.parseComment(n)
 		n.sameLine = n.Pos.Line == lastLine
 	case '"':
-		p.text(n)
+		p.parseText(n)
 	default:
-		p.atom(n)
+		p.parseAtom(n)
 	}
 	return true
 }
 
-func (p *parser) comment(n *Node) {
+func (p *parser) parseComment(n *Node) {
 	end := strings.IndexByte(p.rest, '\n')
 	if end < 0 {
 		end = len(p.rest)
@@ -144,7 +144,7 @@
 	}
 }
 
-func (p *parser) atom(n *Node) {
+func (p *parser) parseAtom(n *Node) {
 	var b strings.Builder
 	for p.rest != "" && !endsAtom(p.peek()) {
 		c := p.next()
@@ -158,8 +158,8 @@
 
 func endsAtom(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
 
-// text reads a quoted text.
-func (p *parser) text(n *Node) {
+// parseText reads a quoted parseText.
+func (p *parser) parseText(n *Node) {
 	n.Kind = Text
 	p.next()
 	var b strings.Builder
@@ -177,15 +177,15 @@
 			p.faults.Add(n.Pos, `a text runs over the end of its line, expected " (a line break is written \n)`)
 			return
 		case '\\':
-			p.escape(&b, at)
+			p.parseEscape(&b, at)
 		default:
 			b.WriteRune(c)
 		}
 	}
 }
 
-// escape reads what follows a backslash at a place.
-func (p *parser) escape(b *strings.Builder, at Pos) {
+// parseEscape reads what follows a backslash at a place.
+func (p *parser) parseEscape(b *strings.Builder, at Pos) {
 	if p.rest == "" {
 		return
 	}
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -6,7 +6,7 @@
 
 // Path declares the path of a file; a relative one starts from the folder of the settings.
 func (f *FieldSet) Path(name, doc string, to *string) {
-	f.single(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
+	f.declareSingle(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
 		*to = f.resolve(s)
 		return s != ""
 	})
@@ -14,7 +14,7 @@
 
 // Paths declares some paths.
 func (f *FieldSet) Paths(name, doc string, to *[]string) {
-	f.list(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
+	f.declareList(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
 }
 
 func (f *FieldSet) resolve(s string) string {
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// maxLine is how many bytes a printed line may have before its list is broken up.
-const maxLine = 100
+// maxLineBytes is how many bytes a printed line may have before its list is broken up.
+const maxLineBytes = 100
 
 // Print writes a file in its one form: what fits on a line is on one, indented by two blanks a level, comments where they were.
 // Reading it back gives the same nodes, and printing them again the same bytes.
@@ -32,7 +32,7 @@
 }
 
 func printNode(b *strings.Builder, n *Node, indent int) {
-	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= maxLine) {
+	if flat, ok := flatten(n); ok && (n.Kind != List || indent+len(flat) <= maxLineBytes) {
 		b.WriteString(flat)
 		return
 	}
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -23,10 +23,10 @@
 
 // File is a file that was read.
 type File struct {
-	Path   string
-	Root   *Node
-	values map[string]any
-	forms  map[string]*FieldSet
+	Path      string
+	Root      *Node
+	values    map[string]any
+	fieldSets map[string]*FieldSet
 }
 
 // Value is what the section's Bind gave.
@@ -54,19 +54,19 @@
 // Read reads a file's bytes; path says where they are from.
 func (s Schema) Read(path string, data []byte) (*File, error) {
 	root, faults := Parse(path, data)
-	f := &File{Path: path, Root: root, values: map[string]any{}, forms: map[string]*FieldSet{}}
-	nodes := s.sections(root, faults)
+	f := &File{Path: path, Root: root, values: map[string]any{}, fieldSets: map[string]*FieldSet{}}
+	nodes := s.sectionNodes(root, faults)
 	for _, section := range s {
-		form := newForm(nodes[section.Name], faults, filepath.Dir(path), section.Name)
-		f.values[section.Name] = section.Bind(form)
-		form.done()
-		f.forms[section.Name] = form
+		fields := newFieldSet(nodes[section.Name], faults, filepath.Dir(path), section.Name)
+		f.values[section.Name] = section.Bind(fields)
+		fields.reportUnknown()
+		f.fieldSets[section.Name] = fields
 	}
 	return f, faults.Err()
 }
 
-// sections finds each section's node, and reports those that are unknown or repeated.
-func (s Schema) sections(root *Node, faults *Faults) map[string]*Node {
+// sectionNodes finds each section's node, and reports those that are unknown or repeated.
+func (s Schema) sectionNodes(root *Node, faults *Faults) map[string]*Node {
 	found := map[string]*Node{}
 	names := make([]string, 0, len(s))
 	for _, section := range s {
@@ -78,7 +78,7 @@
 		case name == "":
 			faults.Add(n.Pos, "%s, expected (section ...)", n.describe())
 		case !slices.Contains(names, name):
-			faults.Add(n.Pos, "section %q is unknown%s", clip(name), suggestion(name, names))
+			faults.Add(n.Pos, "section %q is unknown%s", truncate(name), suggestion(name, names))
 		case first != nil:
 			faults.Add(n.Pos, "section %q stands a second time, first on line %d, expected once", name, first.Pos.Line)
 		default:
@@ -95,14 +95,14 @@
 			fmt.Fprintln(w)
 		}
 		fmt.Fprintf(w, "; %s\n(%s\n", section.Doc, section.Name)
-		showFields(w, f.forms[section.Name], 1)
+		showFields(w, f.fieldSets[section.Name], 1)
 		fmt.Fprintln(w, ")")
 	}
 }
 
-func showFields(w io.Writer, form *FieldSet, depth int) {
+func showFields(w io.Writer, fields *FieldSet, depth int) {
 	indent := strings.Repeat("  ", depth)
-	for _, d := range form.Fields() {
+	for _, d := range fields.Fields() {
 		if d.Nested == nil {
 			fmt.Fprintln(w, indent+d.describe())
 			continue
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -154,7 +154,7 @@
 		if err := faults.Err(); err != nil {
 			t.Fatalf("printed %q: %v", once, err)
 		}
-		if !same(root, again) {
+		if !equalNodes(root, again) {
 			t.Fatalf("%q became %q", data, once)
 		}
 		if twice := Print(again); !bytes.Equal(once, twice) {
@@ -163,12 +163,12 @@
 	})
 }
 
-func same(a, b *Node) bool {
+func equalNodes(a, b *Node) bool {
 	if a.Kind != b.Kind || a.Text != b.Text || len(a.Items) != len(b.Items) {
 		return false
 	}
 	for i := range a.Items {
-		if !same(a.Items[i], b.Items[i]) {
+		if !equalNodes(a.Items[i], b.Items[i]) {
 			return false
 		}
 	}
--- a/internal/operations/settings/suggest.go
+++ b/internal/operations/settings/suggest.go
@@ -16,7 +16,7 @@
 	case best != "":
 		return ", did you mean " + best + "?"
 	case len(known) > 0:
-		return ", expected " + oneOf(known)
+		return ", expected " + joinWithOr(known)
 	}
 	return ""
 }
@@ -45,8 +45,8 @@
 	return row[len(b)]
 }
 
-// oneOf lists names for a message.
-func oneOf(names []string) string {
+// joinWithOr lists names for a message.
+func joinWithOr(names []string) string {
 	if len(names) == 1 {
 		return names[0]
 	}
--- a/internal/operations/settings/values.go
+++ b/internal/operations/settings/values.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// single reads a field of one value. read reports whether the value is valid.
-func (f *FieldSet) single(name, doc, want string, value func() string, read func(s string) bool) {
+// declareSingle reads a field of one value. read reports whether the value is valid.
+func (f *FieldSet) declareSingle(name, doc, want string, value func() string, read func(s string) bool) {
 	n, values := f.declare(name, doc, want, value)
 	if n == nil {
 		return
@@ -24,8 +24,8 @@
 	}
 }
 
-// list reads a field of several values. read gives a value as it is stored, and reports whether it is valid.
-func (f *FieldSet) list(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
+// declareList reads a field of several values. read gives a value as it is stored, and reports whether it is valid.
+func (f *FieldSet) declareList(name, doc, want string, to *[]string, read func(s string) (string, bool)) {
 	n, values := f.declare(name, doc, want, func() string {
 		var out []string
 		for _, s := range *to {
@@ -56,7 +56,7 @@
 
 // Bool declares on or off.
 func (f *FieldSet) Bool(name, doc string, to *bool) {
-	f.single(name, doc, "on or off", func() string {
+	f.declareSingle(name, doc, "on or off", func() string {
 		if *to {
 			return "on"
 		}
@@ -69,7 +69,7 @@
 
 // Int declares an integer between least and most.
 func (f *FieldSet) Int(name, doc string, to *int, least, most int) {
-	f.single(name, doc, fmt.Sprintf("a whole number from %d to %d", least, most), func() string { return strconv.Itoa(*to) },
+	f.declareSingle(name, doc, fmt.Sprintf("a whole number from %d to %d", least, most), func() string { return strconv.Itoa(*to) },
 		func(s string) bool {
 			x, err := strconv.Atoi(s)
 			if err != nil || x < least || x > most {
@@ -82,7 +82,7 @@
 
 // Duration declares a time with its unit: 250ms, 1.5s, 10m, 2h, 3d.
 func (f *FieldSet) Duration(name, doc string, to *time.Duration, least, most time.Duration) {
-	f.single(name, doc, fmt.Sprintf("a time with its unit from %s to %s", FormatDuration(least), FormatDuration(most)),
+	f.declareSingle(name, doc, fmt.Sprintf("a time with its unit from %s to %s", FormatDuration(least), FormatDuration(most)),
 		func() string { return FormatDuration(*to) }, func(s string) bool {
 			x, ok := ParseDuration(s)
 			if !ok || x < least || x > most {
@@ -95,7 +95,7 @@
 
 // Size declares a number of bytes with its unit: 512B, 16KiB, 2MiB, 1GiB.
 func (f *FieldSet) Size(name, doc string, to *int64, least, most int64) {
-	f.single(name, doc, fmt.Sprintf("a size with its unit from %s to %s", FormatSize(least), FormatSize(most)),
+	f.declareSingle(name, doc, fmt.Sprintf("a size with its unit from %s to %s", FormatSize(least), FormatSize(most)),
 		func() string { return FormatSize(*to) }, func(s string) bool {
 			x, ok := ParseSize(s)
 			if !ok || x < least || x > most {
@@ -108,7 +108,7 @@
 
 // Percent declares a share: 30% becomes 0.3.
 func (f *FieldSet) Percent(name, doc string, to *float64, least, most float64) {
-	f.single(name, doc, fmt.Sprintf("a share from %s to %s", formatPercent(least), formatPercent(most)),
+	f.declareSingle(name, doc, fmt.Sprintf("a share from %s to %s", formatPercent(least), formatPercent(most)),
 		func() string { return formatPercent(*to) }, func(s string) bool {
 			number, has := strings.CutSuffix(s, "%")
 			x, ok := parseDecimal(number)
@@ -122,7 +122,7 @@
 
 // Enum declares one of some names.
 func (f *FieldSet) Enum(name, doc string, to *string, names ...string) {
-	f.single(name, doc, oneOf(names), func() string { return *to }, func(s string) bool {
+	f.declareSingle(name, doc, joinWithOr(names), func() string { return *to }, func(s string) bool {
 		*to = s
 		return slices.Contains(names, s)
 	})
@@ -130,12 +130,12 @@
 
 // Enums declares a list of some names, in the order of preference, each at most once.
 func (f *FieldSet) Enums(name, doc string, to *[]string, names ...string) {
-	f.list(name, doc, "some of "+oneOf(names), to, func(s string) (string, bool) { return s, slices.Contains(names, s) })
+	f.declareList(name, doc, "some of "+joinWithOr(names), to, func(s string) (string, bool) { return s, slices.Contains(names, s) })
 }
 
 // Text declares a text that check accepts; check may be nil.
 func (f *FieldSet) Text(name, doc, want string, to *string, check func(s string) bool) {
-	f.single(name, doc, want, func() string { return Quote(*to) }, func(s string) bool {
+	f.declareSingle(name, doc, want, func() string { return Quote(*to) }, func(s string) bool {
 		*to = s
 		return check == nil || check(s)
 	})
