--- a/internal/fleet/ownership/assign.go
+++ b/internal/fleet/ownership/assign.go
@@ -4,8 +4,8 @@
 
 // Candidate is a process that could own jobs, as known to the coordinator.
 type Candidate struct {
-	Name        string
-	Incarnation uint64
+	Name        string                // member name
+	Incarnation uint64                // of the process
 	Eligible    bool                  // not leaving, its lease has not ended, and its replica's store can be used
 	UnheardBy   int                   // number of members that have not left and do not hear it; lower is better
 	EligibleFor Time                  // how long it has been eligible without interruption
@@ -14,8 +14,8 @@
 
 // Assignment is a decision to assign a job to a process.
 type Assignment struct {
-	Job, Member string
-	Incarnation uint64
+	Job, Member string // names
+	Incarnation uint64 // of the member's process
 	Handover    bool   // the present owner must release the job first
 	Reason      string // text, stored with the grant
 }
@@ -23,7 +23,7 @@
 // A job is handed over only some time after its owner last changed, and only to a candidate that
 // has been eligible for as long: an unstable link must not move jobs back and forth.
 const (
-	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is not eligible or hard to reach
+	minHandoverInterval  = 5 * sec  // since the last change, before a job leaves an owner that is not eligible or not heard by some members
 	minRebalanceInterval = 10 * sec // since the last change, before a job moves to balance the load
 )
 
@@ -34,6 +34,7 @@
 	h.Write([]byte(job))
 	h.Write([]byte{0})
 	h.Write([]byte(name))
+	// Mix the bits, like the finalizer of SplitMix64.
 	x := h.Sum64()
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
@@ -49,10 +50,10 @@
 	load       map[string]int // number of jobs by process name
 }
 
-// Assign assigns each free job to a candidate and requests at most one handover. free holds the
-// jobs without an owner and owned holds the others, both in the order in which they are considered.
-// changedAt returns when a job's owner last changed. Among equally reachable candidates, Assign
-// prefers the one with the fewest jobs.
+// Assign assigns each free job to a candidate and requests at most one handover. free holds the jobs
+// to assign and owned the jobs whose owner may be alive, both in the order in which they are
+// considered. changedAt returns when a job's owner last changed. Among candidates with the same
+// UnheardBy, Assign prefers the one with the fewest jobs.
 func Assign(now Time, free []string, owned []JobRecord, changedAt func(job string) Time, candidates []Candidate) []Assignment {
 	a := assigner{now: now, changedAt: changedAt, candidates: candidates, byName: map[string]*Candidate{}, load: map[string]int{}}
 	for i := range candidates {
@@ -90,8 +91,8 @@
 	return best
 }
 
-// isBetter reports whether candidate is better than other: by reachability, then by load, then by
-// rendezvousScore.
+// isBetter reports whether candidate is better than other: by lower UnheardBy, then by lower load,
+// then by higher rendezvousScore.
 func (a *assigner) isBetter(job string, candidate, other *Candidate) bool {
 	if candidate.UnheardBy != other.UnheardBy {
 		return candidate.UnheardBy < other.UnheardBy
@@ -102,11 +103,11 @@
 	return rendezvousScore(job, candidate.Name) > rendezvousScore(job, other.Name)
 }
 
-// handover returns the most urgent handover, if any: replacing an owner that is not eligible or
-// hard to reach comes before balancing the load.
+// handover returns the most urgent handover, if any: replacing an owner that is not eligible, or not
+// heard by some members, comes before balancing the load.
 func (a *assigner) handover(owned []JobRecord) (Assignment, bool) {
-	if p, ok := a.replaceUnfitOwner(owned); ok {
-		return p, true
+	if replacement, ok := a.replaceUnfitOwner(owned); ok {
+		return replacement, true
 	}
 	return a.rebalance(owned)
 }
@@ -130,8 +131,8 @@
 	return Assignment{}, false
 }
 
-// rebalance returns a handover of the first job whose owner has at least two jobs more than another
-// candidate that is no harder to reach.
+// rebalance returns a handover of the first job whose owner has at least two jobs more than the best
+// other candidate, provided that the candidate's UnheardBy is not higher than the owner's.
 func (a *assigner) rebalance(owned []JobRecord) (Assignment, bool) {
 	for _, row := range owned {
 		owner := a.byName[row.Owner]
--- a/internal/fleet/ownership/assign_test.go
+++ b/internal/fleet/ownership/assign_test.go
@@ -9,8 +9,10 @@
 func offersAll(string) bool  { return true }
 func offersNone(string) bool { return false }
 
+// assignTestTime is the present time of the tests of Assign.
 const assignTestTime = 100 * sec
 
+// stableCandidates returns three candidates that have been eligible for long and can own every job.
 func stableCandidates() (candidates []Candidate) {
 	for i, name := range []string{"a", "b", "c"} {
 		candidates = append(candidates, Candidate{Name: name, Incarnation: uint64(i + 1), Eligible: true, EligibleFor: 60 * sec, Offers: offersAll})
@@ -18,8 +20,10 @@
 	return candidates
 }
 
+// changedLongAgo returns a time after which a handover does not have to wait any more.
 func changedLongAgo(string) Time { return 0 }
 
+// TestFreeJobsAreSpread tests that Assign balances the number of jobs when it assigns free jobs.
 func TestFreeJobsAreSpread(t *testing.T) {
 	var jobs []string
 	for i := range 200 {
@@ -34,6 +38,8 @@
 	}
 }
 
+// TestHandover tests that Assign replaces the owner of a job only if it is not eligible or not heard
+// by some members, and if a better candidate has been eligible for minHandoverInterval.
 func TestHandover(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -57,6 +63,8 @@
 	}
 }
 
+// TestRebalance tests that Assign moves a job from an owner of two jobs to a candidate without jobs,
+// but not within minRebalanceInterval of the last change of the job's owner.
 func TestRebalance(t *testing.T) {
 	owned := []JobRecord{{Job: "x", Owner: "a"}, {Job: "y", Owner: "a"}, {Job: "z", Owner: "b"}}
 	if got := Assign(assignTestTime, nil, owned, changedLongAgo, stableCandidates()); len(got) != 1 || got[0].Member != "c" {
--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -24,8 +24,8 @@
 
 // jobFailures counts the recent failures of one job.
 type jobFailures struct {
-	count        int
-	blockedUntil Time
+	count        int  // since the backoff last started at minBackoff
+	blockedUntil Time // end of the delay after the last failure
 }
 
 // failureBackoff delays the grant of jobs that fail, by job name. The delay starts at minBackoff and
@@ -33,6 +33,7 @@
 // for maxBackoff after its last delay ended.
 type failureBackoff map[string]*jobFailures
 
+// recordFailure starts a job's next delay.
 func (b failureBackoff) recordFailure(job string, now Time) {
 	f := b[job]
 	if f == nil || now-f.blockedUntil > maxBackoff {
@@ -43,6 +44,7 @@
 	f.count++
 }
 
+// blocked reports whether a job's delay has not ended.
 func (b failureBackoff) blocked(job string, now Time) bool {
 	f := b[job]
 	return f != nil && now < f.blockedUntil
@@ -54,6 +56,7 @@
 	lastRequestedAt Time // when Assign last requested a handover
 }
 
+// requested reports whether a job's owner must release it for a handover.
 func (h *handovers) requested(job string) bool {
 	_, ok := h.byJob[job]
 	return ok
@@ -110,11 +113,11 @@
 // candidateSet holds the processes that may own jobs, and the jobs that at least one of them offers.
 type candidateSet struct {
 	list    []Candidate
-	offered map[string]bool
+	offered map[string]bool // by job
 }
 
-// expireSessions deletes the sessions whose lease has ended even by the slowest clock allowed. The
-// jobs of their processes may then be granted to others.
+// expireSessions deletes the sessions whose lease must have ended at the process (latestLeaseEnd).
+// The jobs of these processes may then be granted to others.
 func (c *coordinator) expireSessions() {
 	for _, s := range c.sessions.sorted() {
 		if c.now >= c.latestLeaseEnd(s.renewedAt) {
@@ -154,11 +157,13 @@
 
 // classifiedJobs holds the jobs without a pending change of owner.
 type classifiedJobs struct {
-	free          []string          // may be granted
-	owned         []JobRecord       // their owner may be alive
+	free          []string          // jobs that may be granted
+	owned         []JobRecord       // jobs whose owner may be alive
 	lostOwnerText map[string]string // reason for the grant of each job whose owner is lost, by job
 }
 
+// classifyJobs classifies the jobs of the table. It leaves out the jobs with a pending change of
+// owner, and the jobs that would be free but are in backoff.
 func (c *coordinator) classifyJobs() classifiedJobs {
 	var jobs classifiedJobs
 	for _, row := range c.table.Jobs() {
--- a/internal/fleet/ownership/assignjobs_test.go
+++ b/internal/fleet/ownership/assignjobs_test.go
@@ -12,12 +12,13 @@
 type soleVoter struct {
 	core          *Core
 	table         *Table
-	queue         []func()
-	applying      bool
+	queue         []func()       // each applies a proposed command
+	applying      bool           // a command is being applied
 	grants        map[string]int // by job
 	registrations map[string]int // by job
 }
 
+// Propose counts the command and applies it.
 func (g *soleVoter) Propose(now Time, _ byte, tag uint64, encoded []byte) error {
 	cmd, err := decodeCommand(encoded)
 	if err != nil {
@@ -64,7 +65,7 @@
 	g := &soleVoter{table: NewTable(), grants: map[string]int{}, registrations: map[string]int{}}
 	core, err := New(Config{Name: "a", Incarnation: 1, Voters: []string{"a"}, Jobs: jobs}, g, g.table, &Fence{}, discardEffects{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	g.core = core
 	for now := Time(1); now < 4*sec; now += 100 * ms {
--- a/internal/fleet/ownership/commands.go
+++ b/internal/fleet/ownership/commands.go
@@ -29,11 +29,11 @@
 	token       uint64
 	changedAt   int64 // wall clock, Unix milliseconds
 	owner       string
-	incarnation uint64
+	incarnation uint64 // of the owner's process
 	reason      string
 }
 
-// releaseCommand takes a job back from its owner, with its last checkpoint.
+// releaseCommand clears a job's owner and stores the owner's last checkpoint.
 type releaseCommand struct {
 	job              string
 	token            uint64
@@ -89,6 +89,7 @@
 
 func (confirmCommand) encode() []byte { return commandHeader(kindConfirm, "", 0, 0).Data }
 
+// decodeCommand decodes a command. Byte slices in it refer to data and are not copied.
 func decodeCommand(data []byte) (cmd tableCommand, err error) {
 	r := encoding.Reader{Data: data}
 	kind, job, token, changedAt := commandKind(r.Uint()), r.Text(maxNameBytes), r.Uint(), int64(r.Uint())
@@ -114,6 +115,8 @@
 	return cmd, nil
 }
 
+// apply rejects a job without a name or already in the table, and any job once the table holds
+// MaxJobs.
 func (c registerCommand) apply(t *Table) bool {
 	if c.job == "" || t.rows[c.job] != nil || len(t.names) >= MaxJobs {
 		return false
@@ -133,6 +136,8 @@
 	return true
 }
 
+// apply accepts only the token under which the job is owned. A checkpoint that is not later than the
+// stored one is ignored.
 func (c releaseCommand) apply(t *Table) bool {
 	row := t.ownedUnder(c.job, c.token)
 	if row == nil {
@@ -144,6 +149,8 @@
 	return true
 }
 
+// apply accepts only the token under which the job is owned, and only a later checkpoint than the
+// stored one.
 func (c checkpointCommand) apply(t *Table) bool {
 	row := t.ownedUnder(c.job, c.token)
 	return row != nil && row.storeCheckpoint(c.checkpointNumber, c.checkpoint)
@@ -170,6 +177,7 @@
 	return true
 }
 
+// apply rejects the command if the table is not uncertain.
 func (confirmCommand) apply(t *Table) bool {
 	wasUncertain := t.uncertain
 	t.uncertain = false
--- a/internal/fleet/ownership/coordinator.go
+++ b/internal/fleet/ownership/coordinator.go
@@ -30,7 +30,7 @@
 	confirmation      leadershipConfirmation
 	backoff           failureBackoff
 	handovers         handovers
-	changedAt         map[string]Time // when this process last saw a job's owner change
+	changedAt         map[string]Time // when this process last saw a job's owner change; initially the start of the epoch
 	listSequence      uint64          // of the last job list sent in the epoch
 	reviewedAt        Time            // last review of all jobs
 }
@@ -69,6 +69,8 @@
 // stepDown ends the epoch. The results of pending proposals are still sent to their requesters.
 func (c *coordinator) stepDown() { c.epoch = 0 }
 
+// tick follows the group's leadership. While this process leads, it confirms the leadership and
+// reviews the jobs.
 func (c *coordinator) tick() {
 	epoch, ok := c.group.Leading()
 	if !ok {
@@ -155,8 +157,8 @@
 	c.propose(checkpointCommand(m), proposal{job: m.job, checkpoint: &checkpointRequest{peer: from, token: m.token, number: m.checkpointNumber}})
 }
 
-// moveJob begins a handover that an operator requests. refusal is the reason for the operator,
-// empty if the request is accepted.
+// moveJob begins a handover that an operator requests. refusal tells the operator why the request is
+// refused; it is empty if the request is accepted.
 func (c *coordinator) moveJob(job, to string) (refusal string) {
 	row, s := c.table.Job(job), c.sessions.latest(to)
 	switch {
@@ -184,6 +186,7 @@
 	}
 }
 
+// sendJobLists calls sendJobList for each session.
 func (c *coordinator) sendJobLists() {
 	for _, s := range c.sessions.sorted() {
 		c.sendJobList(s)
--- a/internal/fleet/ownership/core.go
+++ b/internal/fleet/ownership/core.go
@@ -9,17 +9,18 @@
 
 // Config configures a Core.
 type Config struct {
-	Name        string       // member name
-	Incarnation uint64       // of the process, above 0; the owner agent passes its start time in Unix milliseconds
-	Voters      []string     // names of the members that may lead the group
-	Jobs        []string     // jobs that this process can own
-	Lease       Time         // how long an owner continues without the coordinator; default 2 s if not above 0
-	WallClock   func() int64 // returns the wall clock in Unix milliseconds; if nil, it is always 0
-	Faults      FaultInjection
+	Name        string         // member name
+	Incarnation uint64         // of the process, above 0; the owner agent passes its start time in Unix milliseconds
+	Voters      []string       // names of the members that may lead the group
+	Jobs        []string       // jobs that this process can own
+	Lease       Time           // how long an owner continues without the coordinator; default 2 s if not above 0
+	WallClock   func() int64   // returns the wall clock in Unix milliseconds; if nil, it is always 0
+	Faults      FaultInjection // set only by simulations and experiments
 }
 
 const defaultLease = 2 * sec
 
+// withDefaults returns cfg with the defaults for fields that are not set.
 func (cfg Config) withDefaults() Config {
 	if cfg.Lease <= 0 {
 		cfg.Lease = defaultLease
@@ -30,6 +31,7 @@
 	return cfg
 }
 
+// validate returns an error that wraps ErrInvalidConfig if a field is out of its bounds.
 func (cfg Config) validate() error {
 	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || cfg.Incarnation == 0 || len(cfg.Voters) == 0 || len(cfg.Jobs) > MaxJobs {
 		return fmt.Errorf("%w: name %q, expected 1 to %d bytes; incarnation %d, expected above 0; %d voters, expected 1 or more; %d jobs, expected at most %d",
@@ -51,13 +53,15 @@
 	Stop(job string, token uint64, reason ReleaseReason) (checkpointNumber uint64, checkpoint []byte)
 	// ApplyEffect applies an effect that the fence has accepted.
 	ApplyEffect(job string, token FencingToken, body []byte)
-	// EffectAcknowledged reports a receiver's verdict to the owner of the job.
+	// EffectAcknowledged reports a receiver's verdict to the owner of the job. peer is the receiver,
+	// and highest the token of the latest effect of the job that it has accepted.
 	EffectAcknowledged(peer uint32, job string, token FencingToken, v Verdict, highest FencingToken)
 	// CheckpointStored reports to an owner whether a checkpoint was stored or rejected.
 	CheckpointStored(job string, token, checkpointNumber uint64, stored bool)
-	// QueryReceived passes on a query to a job that this process owns. Core.Reply answers it.
+	// QueryReceived passes on a query to a job that this process owns. peer is the requester. Core.Reply
+	// answers the query.
 	QueryReceived(peer uint32, job string, tag uint64, body []byte)
-	// ReplyReceived passes on the reply to Core.Query or Core.MoveJob.
+	// ReplyReceived passes on the reply to Core.Query or Core.MoveJob with the same tag.
 	ReplyReceived(tag uint64, body []byte)
 	// LogEvent logs an event with alternating keys and values.
 	LogEvent(event string, args ...any)
@@ -81,6 +85,7 @@
 	toSelf  [][]byte // messages of this process to itself, delivered after the current step
 }
 
+// advance sets the time. A time before the present one changes nothing.
 func (e *environment) advance(now Time) { e.now = max(e.now, now) }
 
 func (e *environment) processID() processID { return processID{e.cfg.Name, e.cfg.Incarnation} }
@@ -116,6 +121,7 @@
 	return &Core{environment: env, fence: fence, participant: newParticipant(env), coordinator: newCoordinator(env)}, nil
 }
 
+// peerOf returns the peer number of a member.
 func peerOf(name string) uint32 { return group.Peer(name) }
 
 // Tick must be called every 50 to 100 ms. It stops all jobs once the lease has ended.
@@ -177,8 +183,8 @@
 	c.participant.leave(text)
 }
 
-// HasLeft reports whether the coordinator has taken back all jobs that Leave released, or the lease
-// has ended. A coordinator that leaves also waits for its proposals: otherwise a job that it has
+// HasLeft reports whether the coordinator has accepted the release of all jobs, or the lease has
+// ended. A coordinator that leaves also waits for its proposals: otherwise a job that it has
 // granted, but whose new owner it has not notified, would not run until the next coordinator sends
 // its first list.
 func (c *Core) HasLeft() bool {
@@ -195,9 +201,9 @@
 	c.participant.jobFailed(job, token, cause)
 }
 
-// IsOwner reports whether this process may act now as the job's owner under a token. The lease is its
-// only protection: if the process is paused right after the call, only the receivers' fences reject
-// what it sends.
+// IsOwner reports whether this process may act now as the job's owner under a token. Lease: the
+// result is valid only at the time of the call. If the process is paused right after it, only the
+// receivers' fences reject what it sends.
 func (c *Core) IsOwner(now Time, job string, token uint64) bool {
 	c.advance(now)
 	return c.participant.ownsUnder(job, token)
--- a/internal/fleet/ownership/exploration_test.go
+++ b/internal/fleet/ownership/exploration_test.go
@@ -161,7 +161,7 @@
 		w.voters[voter] = w.newVoter(voter, 0, f)
 	}
 	for _, q := range w.voters {
-		q.now += 20 * quorumLease // long after the start, so that no voter abstains
+		q.now += 20 * quorumLease // long after the start: no voter abstains, and an epoch may begin with incomplete state
 	}
 	known := map[uint64]bool{w.key(): true}
 	queue := []*world{w}
@@ -189,7 +189,7 @@
 }
 
 // exploreLimit returns the maximum number of worlds to visit without a fault, and whether the
-// environment variable EXPLORE_STATES sets it. There 0 means no limit.
+// environment variable EXPLORE_STATES sets it. If the variable is 0, there is no limit.
 func exploreLimit(t *testing.T) (limit int, set bool) {
 	t.Helper()
 	const defaultLimit, unlimited = 3000, 1 << 40
@@ -207,8 +207,8 @@
 	return limit, true
 }
 
-// TestExploration tests that no reachable world violates a property, and that the exploration finds a
-// violation for each injected fault.
+// TestExploration tests that none of the visited worlds violates a property, and that the exploration
+// finds a violation for each injected fault.
 func TestExploration(t *testing.T) {
 	limit, limitSet := exploreLimit(t)
 	for _, c := range []struct {
--- a/internal/fleet/ownership/exploration_world_test.go
+++ b/internal/fleet/ownership/exploration_world_test.go
@@ -11,6 +11,7 @@
 	"croftlock/internal/fleet/group"
 )
 
+// voterNames holds the names of the voters, by number.
 var voterNames = []string{"a", "b", "c"}
 
 const (
@@ -43,6 +44,7 @@
 	voter int
 }
 
+// Send adds a message to the packets in flight.
 func (e worldEffects) Send(peer uint32, msg []byte) {
 	for to, name := range voterNames {
 		if group.Peer(name) == peer {
@@ -89,6 +91,7 @@
 // hasher collects the numbers that identify a world.
 type hasher struct{ data []byte }
 
+// append adds numbers that identify the world.
 func (h *hasher) append(numbers ...uint64) {
 	for _, n := range numbers {
 		h.data = binary.AppendUvarint(h.data, n)
--- a/internal/fleet/ownership/fence.go
+++ b/internal/fleet/ownership/fence.go
@@ -42,7 +42,7 @@
 type Fence struct {
 	Faults FaultInjection // set only by simulations and experiments
 
-	last map[string]FencingToken
+	last map[string]FencingToken // of the latest accepted effect, by job
 }
 
 // Check decides whether to accept an effect, and records its token if so. It also returns the token
--- a/internal/fleet/ownership/fence_test.go
+++ b/internal/fleet/ownership/fence_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestFence tests that a Fence accepts effects in the order of their fencing tokens only, and that a
+// rejected effect does not replace the latest accepted one.
 func TestFence(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
@@ -20,7 +22,7 @@
 		{FencingToken{5, 9}, Stale},
 	} {
 		if verdict, highest := f.Check("j", c.token); verdict != c.want || verdict != Accepted && highest.Before(c.token) {
-			t.Errorf("Check(%q, %v) = %v, %v, want verdict %v; a rejected token must not be above the latest accepted one", "j", c.token, verdict, highest, c.want)
+			t.Errorf("Check(%q, %v) = %v, %v, want verdict %v and, if it is not %v, a latest token not before %v", "j", c.token, verdict, highest, c.want, Accepted, c.token)
 		}
 	}
 	if last := f.LastAccepted("j"); last != (FencingToken{6, 0}) {
--- a/internal/fleet/ownership/fuzz_test.go
+++ b/internal/fleet/ownership/fuzz_test.go
@@ -21,16 +21,17 @@
 func (discardEffects) Applied(machine byte, tag uint64, result []byte)                        {}
 func (discardEffects) Confirmed(tag uint64)                                                   {}
 
+// newVoterCore returns the Core and the Quorum of voter a, one of three.
 func newVoterCore(t testing.TB) (*Core, *Quorum) {
 	t.Helper()
 	table := NewTable()
 	q, err := NewQuorum(QuorumConfig{Group: "g", Name: "a", Voters: []string{"a", "b", "c"}}, map[byte]group.Machine{MachineNumber: table}, discardEffects{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("NewQuorum: %v", err)
 	}
 	c, err := New(Config{Name: "a", Incarnation: 1, Voters: []string{"a", "b", "c"}, Jobs: []string{"j"}}, q, table, &Fence{}, discardEffects{})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New: %v", err)
 	}
 	return c, q
 }
--- a/internal/fleet/ownership/lease.go
+++ b/internal/fleet/ownership/lease.go
@@ -12,6 +12,7 @@
 	nextVoter   int             // index of the voter that findCoordinator tries next
 }
 
+// leaseEnded reports whether this process has no lease now.
 func (p *participant) leaseEnded() bool { return p.now >= p.lease.end }
 
 // stopAtLeaseEnd stops all jobs once the lease has ended. Lease: they stop before the coordinator may
@@ -33,7 +34,7 @@
 	if p.now-l.requestedAt < interval && l.requestedAt > 0 {
 		return
 	}
-	l.requestedAt = max(1, p.now)
+	l.requestedAt = max(1, p.now) // not 0, which means that a lease must be requested at once
 	if p.now-l.lastGrantAt > p.cfg.Lease/2 || l.leader == 0 {
 		p.findCoordinator()
 	}
--- a/internal/fleet/ownership/messages.go
+++ b/internal/fleet/ownership/messages.go
@@ -8,7 +8,7 @@
 // leaseRequest asks the coordinator for a new lease, and shows that the sender is alive.
 type leaseRequest struct {
 	sender       processID
-	sequence     uint64
+	sequence     uint64 // rises with each request of the sender
 	eligible     bool   // the sender may be assigned jobs
 	epoch        uint64 // of the last job list that the sender has
 	listSequence uint64 // of that job list
@@ -19,8 +19,8 @@
 type leaseGranted struct {
 	sequence      uint64 // of the request
 	incarnation   uint64 // of the requesting process
-	epoch         uint64
-	requestsOffer bool // the coordinator does not know which jobs the process can own
+	epoch         uint64 // of the coordinator
+	requestsOffer bool   // the coordinator does not know which jobs the process can own
 }
 
 // leaderRedirect is the reply to a leaseRequest from a voter that does not lead.
@@ -37,7 +37,7 @@
 // jobList is the coordinator's complete list of the jobs that a process is to own.
 type jobList struct {
 	incarnation uint64 // of the process that it is for
-	epoch       uint64
+	epoch       uint64 // of the coordinator
 	sequence    uint64 // rises within the epoch
 	jobs        []listedJob
 }
@@ -55,13 +55,13 @@
 // the job list no longer contains the job.
 type jobReleased struct {
 	sender           processID
-	eligible         bool
+	eligible         bool // the sender may be assigned jobs
 	job              string
 	token            uint64
 	higherToken      uint64 // reported by a receiver; 0 if none was
 	checkpointNumber uint64
 	checkpoint       []byte
-	reason           string
+	reason           string // text; see reasons.go
 }
 
 // storeCheckpoint asks the coordinator to store a checkpoint in the replicated table.
@@ -97,8 +97,8 @@
 
 // moveRequest is an operator's request to hand a job over to a member.
 type moveRequest struct {
-	job, member string
-	tag         uint64
+	job, member string // names
+	tag         uint64 // chosen by the sender; returned in the reply
 }
 
 // moveReply is the reply to moveRequest.
@@ -110,8 +110,8 @@
 // queryMessage is a query to the owner of a job. The coordinator forwards it.
 type queryMessage struct {
 	job       string
-	tag       uint64
-	requester uint32
+	tag       uint64 // chosen by the requester; returned in the reply
+	requester uint32 // peer
 	body      []byte
 	encoded   []byte // the message as received; forwarded unchanged
 }
--- a/internal/fleet/ownership/messages_test.go
+++ b/internal/fleet/ownership/messages_test.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// TestInvalidMessages tests that messages with invalid values, or of an unknown kind, are rejected.
 func TestInvalidMessages(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -125,7 +126,7 @@
 }
 
 // TestFailureBackoff tests that the backoff of a failing job doubles up to its bound, and starts
-// again from the shortest once the job has not failed for maxBackoff.
+// again from the shortest once the job has not failed for maxBackoff after its last backoff ended.
 func TestFailureBackoff(t *testing.T) {
 	backoff, now := failureBackoff{}, 100*sec
 	for i, want := range []Time{sec, 2 * sec, 4 * sec, 8 * sec, 16 * sec, 32 * sec, 60 * sec, 60 * sec} {
@@ -139,7 +140,7 @@
 	const shortest = sec
 	now += maxBackoff + 1
 	if backoff.recordFailure("j", now); backoff.blocked("j", now+shortest) {
-		t.Errorf("after %d s without a failure the backoff lasts longer than the shortest, %d s", maxBackoff/sec, shortest/sec)
+		t.Errorf("the backoff of a failure over %d s after the last backoff ended is longer than the shortest, %d s", maxBackoff/sec, shortest/sec)
 	}
 }
 
--- a/internal/fleet/ownership/ownership.go
+++ b/internal/fleet/ownership/ownership.go
@@ -31,9 +31,9 @@
 	ms  = Time(1e6)
 	sec = Time(1e9)
 
-	maxNameBytes   = 64
-	maxReasonBytes = 200
-	maxBodyBytes   = 1 << 16
+	maxNameBytes   = 64      // of a member, a job or a group
+	maxReasonBytes = 200     // of a reason's text
+	maxBodyBytes   = 1 << 16 // of an effect, a query, a reply or a replicated command
 
 	// MaxCheckpointBytes is the maximum size of a job's checkpoint.
 	MaxCheckpointBytes = 32 << 10
@@ -84,12 +84,13 @@
 	Leading() (epoch uint64, ok bool)
 	// Leader returns the peer that this process believes to be the leader, or 0 if it knows none.
 	Leader() uint32
-	// Propose starts the replication of a command. Core.Applied is called with the tag once the
-	// command is applied.
+	// Propose starts the replication of a command to the state machine with a number. Core.Applied is
+	// called with the tag once the command is applied. Propose returns an error if the group does not
+	// accept the command.
 	Propose(now Time, machine byte, tag uint64, cmd []byte) error
 	// Confirm asks the voters whether this process still leads. Core.Confirmed is called with the
-	// tag if it does.
+	// tag if it does. Confirm returns an error if this process already knows that it does not lead.
 	Confirm(now Time, tag uint64) error
-	// TransferLeadership gives up the leadership.
+	// TransferLeadership gives up the leadership, if this process has it.
 	TransferLeadership(now Time)
 }
--- a/internal/fleet/ownership/participant.go
+++ b/internal/fleet/ownership/participant.go
@@ -15,9 +15,9 @@
 	released          bool
 	releaseText       string // reason of the release
 	higherToken       uint64 // reported by a receiver; 0 if none was
-	checkpointNumber  uint64
-	checkpoint        []byte
-	releaseReportedAt Time // when the release was last reported to the coordinator
+	checkpointNumber  uint64 // of checkpoint
+	checkpoint        []byte // for the next owner; set by the release
+	releaseReportedAt Time   // when the release was last reported to the coordinator
 }
 
 // participant is the role of a process that may own jobs.
@@ -35,6 +35,8 @@
 	return &participant{environment: env, lease: processLease{outstanding: map[uint64]Time{}}, jobs: map[string]*ownedJob{}, eligible: true}
 }
 
+// tick renews the lease and repeats the reports of released jobs. A process that is leaving needs no
+// lease once it has no jobs.
 func (p *participant) tick() {
 	if !p.leaving || len(p.jobs) > 0 {
 		p.renewLease()
@@ -49,6 +51,7 @@
 // jobNames returns the names in p.jobs, sorted so that a run can be replayed.
 func (p *participant) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
+// ownedJobs returns the tokens of the jobs that are not released, by job.
 func (p *participant) ownedJobs() map[string]uint64 {
 	tokens := map[string]uint64{}
 	for job, owned := range p.jobs {
@@ -65,13 +68,14 @@
 	return owned != nil && !owned.released && !p.leaseEnded()
 }
 
+// ownsUnder reports whether this process may act now as the job's owner under a token.
 func (p *participant) ownsUnder(job string, token uint64) bool {
 	return p.owns(job) && p.jobs[job].token == token
 }
 
 // mayBeAssigned reports whether this process should be assigned jobs. A process whose lease has
 // ended may be cut off in one direction: its requests arrive, but it would not learn of a job
-// granted to it.
+// granted to it. A new process, which has had no lease yet, may be assigned jobs.
 func (p *participant) mayBeAssigned() bool {
 	return p.eligible && !p.leaving && (p.lease.end == 0 || !p.leaseEnded())
 }
@@ -81,6 +85,7 @@
 	p.releaseAll(ProcessLeaving, text)
 }
 
+// releaseAll releases the jobs that are not released yet.
 func (p *participant) releaseAll(reason ReleaseReason, text string) {
 	for _, job := range p.jobNames() {
 		if owned := p.jobs[job]; !owned.released {
@@ -103,6 +108,7 @@
 	p.reportRelease(job, owned)
 }
 
+// reportRelease sends the release of a job to the coordinator, if one is known.
 func (p *participant) reportRelease(job string, owned *ownedJob) {
 	owned.releaseReportedAt = p.now
 	if p.lease.leader == 0 {
@@ -193,7 +199,8 @@
 func (p *participant) handleEffectAck(from uint32, m effectAck) {
 	if owned := p.jobs[m.job]; m.verdict == Stale && owned != nil && owned.token == m.token.Token && !owned.released {
 		// Fencing: the receiver has accepted a later owner's effect, so this owner stops. The release
-		// reports that owner's token to the coordinator.
+		// reports that owner's token to the coordinator. If the receiver's Fence is full instead, the
+		// reported token is 0.
 		owned.higherToken = m.highest.Token
 		p.release(m.job, owned, LaterTokenSeen, textLaterTokenSeen)
 	}
--- a/internal/fleet/ownership/proposals.go
+++ b/internal/fleet/ownership/proposals.go
@@ -5,21 +5,21 @@
 
 // proposal is a command that was proposed to the group and has not been reported as applied.
 type proposal struct {
-	job        string // empty for commands that concern no single job
-	exclusive  bool   // changes the job's owner; at most one such proposal per job at a time
-	expiresAt  Time
+	job        string             // empty for commands that concern no single job
+	exclusive  bool               // the command changes the job's owner; at most one such proposal per job at a time
+	expiresAt  Time               // when expire drops the proposal
 	checkpoint *checkpointRequest // answered once the command is applied; nil if there is none
 }
 
 // checkpointRequest is an owner's request to store a checkpoint.
 type checkpointRequest struct {
-	peer          uint32
-	token, number uint64
+	peer          uint32 // of the owner, which receives the result
+	token, number uint64 // the owner's token, and the number of the checkpoint
 }
 
 // proposals holds the pending proposals by the tag with which the group reports them.
 type proposals struct {
-	lastTag      uint64
+	lastTag      uint64 // counter of nextTag
 	byTag        map[uint64]proposal
 	exclusiveTag map[string]uint64 // tag of a job's exclusive proposal, by job
 }
@@ -29,6 +29,7 @@
 // ownerChangePending reports whether a job has a pending exclusive proposal.
 func (ps *proposals) ownerChangePending(job string) bool { return ps.exclusiveTag[job] != 0 }
 
+// add records a proposal that is about to be made.
 func (ps *proposals) add(tag uint64, p proposal) {
 	ps.byTag[tag] = p
 	if p.exclusive && p.job != "" {
@@ -96,7 +97,7 @@
 		return
 	}
 	if c.leads() && c.now >= c.epochStartedAt+grantDelay && !c.table.uncertain {
-		c.assignJobs() // grants a job that was just released without waiting for the next review
+		c.assignJobs() // without waiting for the next review, since the command may have released a job
 	}
 	c.sendJobLists()
 }
--- a/internal/fleet/ownership/quorum.go
+++ b/internal/fleet/ownership/quorum.go
@@ -15,7 +15,8 @@
 // It guarantees:
 //   - No two voters lead at the same time, as long as clocks drift apart by no more than
 //     clockDriftDivisor allows.
-//   - Epochs, and fencing tokens with them, rise as long as one voter of each majority keeps its memory.
+//   - Epochs, and fencing tokens with them, rise as long as one voter of each majority keeps its
+//     memory.
 //   - Committed commands survive as long as no majority loses its memory at the same time.
 //
 // If all voters start at once, epochs still rise, unless a clock was set back by more than the time
@@ -40,18 +41,18 @@
 
 // QuorumConfig configures a Quorum.
 type QuorumConfig struct {
-	Group            string // name of the group; messages of other groups are rejected
-	Name             string // member name of this voter
-	Voters           []string
-	Lease            Time   // length of the leader's lease; default 1.5 s if not above 0; must be the same at all voters
-	Seed             uint64 // of the random delays before elections
-	WallClockAtStart int64  // in hundredths of a second, not negative; ballots and epochs start above it
-	Faults           FaultInjection
+	Group            string         // name of the group; messages of other groups are rejected
+	Name             string         // member name of this voter
+	Voters           []string       // member names, at most maxVoters, in the same order at all voters
+	Lease            Time           // length of the leader's lease; default 1.5 s if not above 0; must be the same at all voters
+	Seed             uint64         // of the random delays before elections
+	WallClockAtStart int64          // in hundredths of a second, not negative; ballots and epochs start above it
+	Faults           FaultInjection // set only by simulations and experiments
 }
 
 const (
 	defaultQuorumLease = 1500 * ms
-	maxVoters          = 15
+	maxVoters          = 15 // every result of voterNumber fits in ballotVoterBits
 	// ballotVoterBits is the number of low bits of a ballot that hold its voter's number, so that no two
 	// voters use the same ballot.
 	ballotVoterBits = 4
@@ -77,7 +78,8 @@
 	}, nil
 }
 
-// voterNumber returns this voter's index among the voters, or their number if it is not one of them.
+// voterNumber returns this voter's index in the list of voters, or the length of the list if it is
+// not in it.
 func (q *Quorum) voterNumber() uint64 {
 	for i, name := range q.cfg.Voters {
 		if name == q.cfg.Name {
@@ -87,6 +89,7 @@
 	return uint64(len(q.cfg.Voters))
 }
 
+// isMajority reports whether n voters are a majority.
 func (q *Quorum) isMajority(n int) bool { return 2*n > len(q.cfg.Voters) }
 
 func (q *Quorum) isVoter(peer uint32) bool {
@@ -111,6 +114,7 @@
 
 func (q *Quorum) send(peer uint32, m quorumMessage) { q.sendEncoded(peer, m.encode(q.cfg.Group)) }
 
+// sendEncoded sends an encoded message. A message to this voter itself is handled before it returns.
 func (q *Quorum) sendEncoded(peer uint32, data []byte) {
 	if peer == q.self {
 		q.Receive(q.now, peer, data)
@@ -119,6 +123,7 @@
 	q.effects.Send(peer, data)
 }
 
+// broadcast sends a message to all voters, including this one.
 func (q *Quorum) broadcast(m quorumMessage) {
 	data := m.encode(q.cfg.Group)
 	for _, name := range q.cfg.Voters {
@@ -151,7 +156,8 @@
 }
 
 // Receive handles a message from another voter. A message that can't be decoded, or that is from
-// another group or not from a voter, changes nothing.
+// another group or not from a voter, changes nothing. The error then wraps ErrMalformedMessage,
+// ErrUnknownMessage or ErrNotVoter.
 func (q *Quorum) Receive(now Time, from uint32, data []byte) error {
 	q.now = max(q.now, now)
 	groupName, m, err := decodeQuorumMessage(data)
@@ -165,6 +171,7 @@
 	return nil
 }
 
+// step passes a message to its handler.
 func (q *Quorum) step(from uint32, m quorumMessage) {
 	switch m := m.(type) {
 	case prepareRequest:
--- a/internal/fleet/ownership/quorumcandidate.go
+++ b/internal/fleet/ownership/quorumcandidate.go
@@ -55,8 +55,8 @@
 	return r.last
 }
 
-// tickCandidate continues this voter's election, or begins one if the lease that it granted has
-// ended.
+// tickCandidate abandons this voter's election after its timeout and otherwise continues it. If there
+// is none, it begins one once the lease that this voter granted and its delays have ended.
 func (q *Quorum) tickCandidate() {
 	c := &q.candidate
 	switch {
@@ -75,6 +75,7 @@
 	q.candidate.nextElectionAt = q.now + q.cfg.Lease/candidacyDelayDivisor + Time(q.rng.Int64N(int64(q.cfg.Lease/candidacySpreadDivisor)))
 }
 
+// becomeCandidate begins an election: it asks all voters to promise a new ballot.
 func (q *Quorum) becomeCandidate() {
 	c := &q.candidate
 	c.ballot, c.startedAt = q.nextBallot(), q.now
@@ -82,11 +83,14 @@
 	q.broadcast(prepareRequest{ballot: c.ballot})
 }
 
+// abandonElection ends this voter's election and delays its next one.
 func (q *Quorum) abandonElection() {
 	q.candidate.ballot = 0
 	q.delayCandidacy()
 }
 
+// handlePrepareReply records a reply to the present election. It ignores replies once the state is
+// chosen.
 func (q *Quorum) handlePrepareReply(from uint32, m prepareReply) {
 	c := &q.candidate
 	if m.ballot == 0 || m.ballot != c.ballot || c.stateSource != 0 {
@@ -97,7 +101,7 @@
 }
 
 // chooseState continues the election once a majority has promised. The epoch begins with the latest
-// state among them, which this voter requests if another voter has it.
+// state among theirs and this voter's own. This voter requests that state if another voter has it.
 func (q *Quorum) chooseState() {
 	promised, withState := 0, 0
 	latest, latestVoter := q.log.position, uint32(0)
@@ -129,8 +133,9 @@
 
 // mayBeginIncomplete reports whether an epoch may begin although no majority of voters with state
 // has promised. A majority had everything that was committed, but voters that have lost their
-// memory since do not count. So the candidate waits for the others. Only then does it begin an
-// epoch that may lack committed commands, and marks its machines (Table.MarkUncertain).
+// memory since do not count. So the candidate waits until all voters have promised, or for the time
+// that incompleteAfterLeases and promisesDivisor set. The epoch may lack committed commands, so
+// becomeLeader marks the machines (Table.MarkUncertain).
 func (q *Quorum) mayBeginIncomplete(promised int) bool {
 	if promised >= len(q.cfg.Voters) {
 		return true
@@ -150,6 +155,8 @@
 	q.broadcast(leaseProposal{ballot: ballot, epoch: epoch, round: round})
 }
 
+// handleLeaseRejected raises the leader's ballot above the one that the rejecting voter has promised,
+// or abandons the election.
 func (q *Quorum) handleLeaseRejected(m leaseRejected) {
 	q.observeBallot(m.promised)
 	switch {
--- a/internal/fleet/ownership/quorumleader.go
+++ b/internal/fleet/ownership/quorumleader.go
@@ -10,6 +10,8 @@
 	renewAt  Time // when to request the next renewal
 }
 
+// leads reports whether this voter was elected and has not become a follower since. Its lease may
+// have ended; see Leading.
 func (q *Quorum) leads() bool { return q.leader.epoch != 0 }
 
 // becomeLeader starts an epoch with the state chosen in the election, and sends that state to all
@@ -50,6 +52,7 @@
 // this voter must not act as the leader, since what it grants could be lost with it.
 func (q *Quorum) stateIsReplicated() bool { return q.isMajority(len(q.log.acknowledged)) }
 
+// sendState sends a voter the state of all machines, which holds the committed entries.
 func (q *Quorum) sendState(to uint32) {
 	epoch := q.leader.epoch
 	q.send(to, stateTransfer{term: epoch, position: logPosition{epoch, q.log.committed}, snapshot: encodeState(q.machines)})
@@ -76,6 +79,8 @@
 	}
 }
 
+// handleAppendAcknowledged records a follower's position, and commits the entries that a majority now
+// has.
 func (q *Quorum) handleAppendAcknowledged(from uint32, m appendAcknowledged) {
 	if m.position.epoch == q.leader.epoch && q.leads() {
 		q.log.acknowledged[from] = max(q.log.acknowledged[from], m.position.version)
--- a/internal/fleet/ownership/quorummessages.go
+++ b/internal/fleet/ownership/quorummessages.go
@@ -26,7 +26,7 @@
 
 // leaseProposal asks voters to accept a lease for an epoch, either the first one or a renewal.
 type leaseProposal struct {
-	ballot, epoch uint64
+	ballot, epoch uint64 // the same in an election; a renewal may have a higher ballot
 	round         uint64 // number of the proposer's round
 }
 
@@ -51,9 +51,9 @@
 // stateTransfer carries the state of all machines to a candidate that requested it, or to a
 // follower that lags.
 type stateTransfer struct {
-	term     uint64 // the candidate's ballot, or the leader's epoch
-	position logPosition
-	snapshot []byte
+	term     uint64      // the candidate's ballot, or the leader's epoch
+	position logPosition // up to which the state holds the entries
+	snapshot []byte      // as returned by encodeState
 }
 
 // appendEntries carries entries of the leader's log, in order.
--- a/internal/fleet/ownership/quorumvoter.go
+++ b/internal/fleet/ownership/quorumvoter.go
@@ -22,7 +22,7 @@
 }
 
 // handlePrepare promises to accept no ballot below the requested one, unless the lease of another
-// candidate lasts.
+// candidate lasts. It ignores a ballot that is not above the one promised last.
 func (q *Quorum) handlePrepare(from uint32, m prepareRequest) {
 	if q.abstains() || m.ballot <= q.voter.promised {
 		return
@@ -59,6 +59,7 @@
 	}
 }
 
+// handleStateRequest sends this voter's state to a candidate.
 func (q *Quorum) handleStateRequest(from uint32, m stateRequest) {
 	q.send(from, stateTransfer{term: m.ballot, position: q.appliedPosition(), snapshot: encodeState(q.machines)})
 }
@@ -104,6 +105,7 @@
 	q.acknowledge(from)
 }
 
+// acknowledge reports this voter's log position to the leader.
 func (q *Quorum) acknowledge(leader uint32) {
 	q.send(leader, appendAcknowledged{position: q.log.position})
 }
--- a/internal/fleet/ownership/reasons_test.go
+++ b/internal/fleet/ownership/reasons_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestReleaseReasonCodes tests that each ReleaseReason has a unique code.
 func TestReleaseReasonCodes(t *testing.T) {
 	reasons := map[string]ReleaseReason{}
 	for r := LeaseEnded; r <= ProcessLeaving; r++ {
@@ -12,6 +13,7 @@
 	}
 }
 
+// TestIsFailure tests that only the text of a failed job, with a cause, counts as a failure.
 func TestIsFailure(t *testing.T) {
 	for text, want := range map[string]bool{
 		failedPrefix + "disk full": true,
--- a/internal/fleet/ownership/recorded_test.go
+++ b/internal/fleet/ownership/recorded_test.go
@@ -12,19 +12,19 @@
 func TestRecordedMessagesRoundTrip(t *testing.T) {
 	recorded, err := os.ReadFile("simulation/testdata/messages.golden")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("recorded messages: %v", err)
 	}
-	ofCores, ofVoters := 0, 0
+	coreMessages, voterMessages := 0, 0
 	for line := range strings.Lines(string(recorded)) {
 		kind, digits, _ := strings.Cut(strings.TrimSpace(line), " ")
 		data, err := hex.DecodeString(digits)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("recorded message %q: %v", line, err)
 		}
 		var encoded []byte
 		switch {
 		case strings.HasPrefix(kind, "owners-"):
-			ofCores++
+			coreMessages++
 			m, err := decodeMessage(data)
 			if err != nil {
 				t.Errorf("decodeMessage of %q: %v", line, err)
@@ -32,7 +32,7 @@
 			}
 			encoded = m.encode()
 		case strings.HasPrefix(kind, "group-memory-"):
-			ofVoters++
+			voterMessages++
 			name, m, err := decodeQuorumMessage(data)
 			if err != nil {
 				t.Errorf("decodeQuorumMessage of %q: %v", line, err)
@@ -43,10 +43,10 @@
 			continue
 		}
 		if string(encoded) != string(data) {
-			t.Errorf("recorded message %q decodes and encodes to %x", line, encoded)
+			t.Errorf("recorded message %q was decoded and encoded to %x, want the recorded bytes", line, encoded)
 		}
 	}
-	if ofCores == 0 || ofVoters == 0 {
-		t.Errorf("%d messages between Cores and %d between voters were checked, want at least one of each", ofCores, ofVoters)
+	if coreMessages == 0 || voterMessages == 0 {
+		t.Errorf("%d messages between Cores and %d between voters were checked, want at least one of each", coreMessages, voterMessages)
 	}
 }
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -12,10 +12,12 @@
 	maxBatchBytes = 4096
 )
 
-// logPosition is a position in the order of all commands. version is the index in the epoch's log,
-// which starts from 0 in each epoch; it is not Table.Version.
+// logPosition is a position in the order of all commands. version is the number of entries in the
+// epoch's log up to this position; at 0 is the state with which the epoch began. It is not
+// Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
+// before reports whether p is before other.
 func (p logPosition) before(other logPosition) bool {
 	return p.epoch < other.epoch || p.epoch == other.epoch && p.version < other.version
 }
@@ -26,8 +28,8 @@
 
 // logEntry is a command in the log.
 type logEntry struct {
-	version uint64
-	tag     uint64 // of the proposer
+	version uint64 // of the logPosition of this entry; the first entry of an epoch has 1
+	tag     uint64 // passed to Propose
 	machine byte   // number of the machine that applies the command
 	command []byte
 }
@@ -57,6 +59,7 @@
 	l.committed, l.entries, l.acknowledged = 0, nil, map[uint32]uint64{self: 0}
 }
 
+// full reports whether no entry may be appended before another is committed.
 func (l *replicatedLog) full() bool { return l.position.version-l.committed >= maxUncommitted }
 
 // append adds an entry and returns its version. It drops the oldest entry if there are more than
@@ -70,6 +73,7 @@
 	return l.position.version
 }
 
+// entry returns the entry with a version, and whether the log still contains it.
 func (l *replicatedLog) entry(version uint64) (logEntry, bool) {
 	for _, e := range l.entries {
 		if e.version == version {
--- a/internal/fleet/ownership/requests.go
+++ b/internal/fleet/ownership/requests.go
@@ -26,7 +26,7 @@
 }
 
 // Query sends a query to the owner of a job through the coordinator. Effects.ReplyReceived reports
-// the reply. The query or its reply may be lost.
+// the reply with the same tag. The query or its reply may be lost.
 func (c *Core) Query(now Time, job string, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
@@ -39,15 +39,15 @@
 	}
 }
 
-// Reply sends the reply to a query that Effects.QueryReceived has passed on.
+// Reply sends the reply to a query that Effects.QueryReceived has passed on, with the query's tag.
 func (c *Core) Reply(now Time, to uint32, tag uint64, body []byte) {
 	c.advance(now)
 	defer c.deliverToSelf()
 	c.send(to, queryReply{tag: tag, body: body}.encode())
 }
 
-// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived reports why the
-// request is refused; the text is empty if it is accepted.
+// MoveJob asks the coordinator to hand a job over to a member. Effects.ReplyReceived reports, with
+// the same tag, why the request is refused; the text is empty if it is accepted.
 func (c *Core) MoveJob(now Time, job, to string, tag uint64) {
 	c.advance(now)
 	defer c.deliverToSelf()
--- a/internal/fleet/ownership/sessions.go
+++ b/internal/fleet/ownership/sessions.go
@@ -5,15 +5,15 @@
 // session is what the coordinator knows about a process in the present epoch.
 type session struct {
 	processID
-	startedAt       Time
-	renewedAt       Time // arrival of the request for the last granted lease; initially startedAt
-	eligible        bool
+	startedAt       Time            // arrival of the first lease request in the epoch
+	renewedAt       Time            // arrival of the request for the last granted lease; initially startedAt
+	eligible        bool            // as reported by the last lease request or release
 	eligibleSince   Time            // start of the present uninterrupted time as eligible
 	offers          map[string]bool // jobs that the process can own; nil if not known yet
 	listSentVersion uint64          // Table.Version plus one when the last job list was sent; 0 if a list must be sent at once
-	listSentAt      Time
-	listSequence    uint64 // of the last job list sent
-	lacksList       bool   // the last lease request shows that the process does not have that list
+	listSentAt      Time            // when the last job list was sent
+	listSequence    uint64          // of the last job list sent
+	lacksList       bool            // the last lease request shows that the process does not have that list
 }
 
 // sessions holds the processes that have requested a lease in the present epoch.
@@ -29,6 +29,7 @@
 	return out
 }
 
+// before reports whether s is sorted before other.
 func (s *session) before(other *session) bool {
 	if s.name != other.name {
 		return s.name < other.name
@@ -50,7 +51,7 @@
 }
 
 // handleLeaseRequest queues the request until the voters have confirmed that this process leads. A
-// process that does not lead redirects the sender to the leader.
+// voter that does not lead redirects the sender to the leader.
 func (c *coordinator) handleLeaseRequest(from uint32, m leaseRequest) {
 	if !c.leads() {
 		if c.group != nil {
@@ -87,7 +88,7 @@
 type leaseClaim struct {
 	processID
 	sequence  uint64 // of the request
-	claimedAt Time
+	claimedAt Time   // arrival of the request
 }
 
 // leadershipConfirmation holds the rounds in which the voters confirm that this process leads. A
--- a/internal/fleet/ownership/simulation/checks.go
+++ b/internal/fleet/ownership/simulation/checks.go
@@ -16,7 +16,7 @@
 
 // grantID identifies a grant of a job.
 type grantID struct {
-	job   string
+	job   string // name
 	token uint64
 }
 
@@ -33,6 +33,7 @@
 	return &checks{ownerOf: map[grantID]string{}, highestToken: map[string]uint64{}, stored: map[string]uint64{}, lastOwnedAt: map[string]Time{}}
 }
 
+// passed reports whether no violation was found.
 func (c *checks) passed() bool { return len(c.violations) == 0 }
 
 // reportViolation records a violation, up to maxViolations of them.
@@ -42,9 +43,9 @@
 	}
 }
 
-// checkStart checks what must hold when a job starts: each token has one owner, tokens rise, and no
-// stored checkpoint is lost.
-func (r *Run) checkStart(p *process, name string, token, number uint64, checkpoint []byte) {
+// checkStart checks what must hold when a process starts the job with a name: each token has one
+// owner, tokens rise, and no stored checkpoint is lost.
+func (r *Run) checkStart(p *process, name string, token, checkpointNumber uint64, checkpoint []byte) {
 	c := r.checks
 	owner := fmt.Sprint(p.name, " ", p.incarnation)
 	if other, taken := c.ownerOf[grantID{name, token}]; taken && other != owner {
@@ -55,11 +56,11 @@
 		r.reportViolation("%s starts %s under token %d, after token %d", owner, name, token, c.highestToken[name])
 	}
 	c.highestToken[name] = max(c.highestToken[name], token)
-	if number < c.stored[name] {
-		r.reportViolation("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, number, c.stored[name])
+	if checkpointNumber < c.stored[name] {
+		r.reportViolation("%s starts %s from checkpoint %d, but checkpoint %d was acknowledged as stored", owner, name, checkpointNumber, c.stored[name])
 	}
-	if number > 0 && string(checkpoint) != string(checkpointOf(number)) {
-		r.reportViolation("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, number)
+	if checkpointNumber > 0 && string(checkpoint) != string(checkpointOf(checkpointNumber)) {
+		r.reportViolation("%s starts %s with %q as checkpoint %d", owner, name, checkpoint, checkpointNumber)
 	}
 }
 
@@ -101,7 +102,8 @@
 	return ok && r.localTime(p) < p.group.(*ownership.Quorum).LeaseEnd()
 }
 
-// recordGaps records the periods in which a job had no owner, as they end.
+// recordGaps records the periods in which a job had no owner, as they end. owners holds the names of
+// the present owners, by job.
 func (r *Run) recordGaps(owners map[string]string) {
 	for i := range r.cfg.Jobs {
 		name := jobName(i)
--- a/internal/fleet/ownership/simulation/effects.go
+++ b/internal/fleet/ownership/simulation/effects.go
@@ -5,7 +5,8 @@
 	"croftlock/internal/fleet/ownership"
 )
 
-// Trace is called with each event of a run. It does nothing by default; set it to debug a run.
+// Trace is called with each event of a run. name is the name of the process, or empty for a fault of
+// the plan. Trace does nothing by default; set it to debug a run.
 var Trace = func(now Time, name, event string, args []any) {}
 
 // groupEffects implements the effects of a voter on its process.
@@ -64,10 +65,10 @@
 func (c coreEffects) Send(peer uint32, msg []byte) { c.run.send(c.process, peer, false, msg) }
 
 // Start checks the grant and starts the job.
-func (c coreEffects) Start(name string, token, number uint64, checkpoint []byte) error {
-	Trace(c.run.now, c.process.name, "start", []any{name, token, number})
-	c.run.checkStart(c.process, name, token, number, checkpoint)
-	c.process.jobs[name] = &job{token: token, sequence: number, nextStepAt: c.run.localTime(c.process)}
+func (c coreEffects) Start(name string, token, checkpointNumber uint64, checkpoint []byte) error {
+	Trace(c.run.now, c.process.name, "start", []any{name, token, checkpointNumber})
+	c.run.checkStart(c.process, name, token, checkpointNumber, checkpoint)
+	c.process.jobs[name] = &job{token: token, sequence: checkpointNumber, nextStepAt: c.run.localTime(c.process)}
 	c.run.JobStarts++
 	return nil
 }
@@ -102,9 +103,9 @@
 }
 
 // CheckpointStored records a stored checkpoint, which no later owner may miss.
-func (c coreEffects) CheckpointStored(name string, token, number uint64, stored bool) {
+func (c coreEffects) CheckpointStored(name string, token, checkpointNumber uint64, stored bool) {
 	if j := c.process.jobs[name]; j != nil && j.token == token && stored {
-		c.run.checks.stored[name] = max(c.run.checks.stored[name], number)
+		c.run.checks.stored[name] = max(c.run.checks.stored[name], checkpointNumber)
 		c.run.Checkpoints++
 	}
 }
--- a/internal/fleet/ownership/simulation/faults.go
+++ b/internal/fleet/ownership/simulation/faults.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// endFault ends a fault, and restarts the processes that it stopped or whose disk it affected.
+// endFault ends a fault. It restores the links that the fault cut, and restarts the processes that it
+// stopped or whose disk it affected.
 func (r *Run) endFault(f Fault) {
 	p := r.processes[f.Process]
 	switch f.Kind {
@@ -86,6 +87,7 @@
 	}
 }
 
+// startIfDown starts a process unless it is running, for example because another fault has ended.
 func (r *Run) startIfDown(p *process) {
 	if !p.running {
 		r.start(p)
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -7,11 +7,12 @@
 	"croftlock/internal/fleet/consensus"
 )
 
-// Delays and copies of a message.
+// A message arrives after minDelay and a random time below delaySpread. While messages are lost, some
+// are delayed more, and some are sent in duplicateCopies.
 const (
 	minDelay           = Ms
 	delaySpread        = 4 * Ms
-	lateMessageDivisor = 5 // while messages are lost, one in this many is delayed by up to extraDelaySpread more
+	lateMessageDivisor = 5 // one in this many is delayed by a random time below extraDelaySpread more
 	extraDelaySpread   = 300 * Ms
 	duplicateCopies    = 2
 )
--- a/internal/fleet/ownership/simulation/plan.go
+++ b/internal/fleet/ownership/simulation/plan.go
@@ -11,7 +11,7 @@
 	Kind               FaultKind
 	BeginsAt, Duration Time
 	Process            int // index of the affected process
-	OtherProcess       int // index of a second process: the receiver for faultOneWay, one of two bounds for faultHalves
+	OtherProcess       int // index of a second process, for faultOneWay and faultHalves
 	// Amount is below maxAmount. It is the probability of loss, the input of clockStep, or decides
 	// whether a killed process loses its disk (see diskLossThreshold).
 	Amount float64
@@ -48,7 +48,7 @@
 var FaultKinds = []FaultKind{faultPause, faultKill, faultAllKilled, faultCut, faultOneWay, faultDeaf, faultMute, faultHalves, faultLoss, faultHeldBack, faultFull, faultCopyBack, faultClock, faultLeave}
 
 const (
-	maxFaults           = 6
+	maxFaults           = 6 // in a plan
 	minFaultDuration    = 100 * Ms
 	faultDurationSpread = 8 * Sec
 	maxAmount           = 0.4
--- a/internal/fleet/ownership/simulation/process.go
+++ b/internal/fleet/ownership/simulation/process.go
@@ -15,7 +15,7 @@
 	name  string
 
 	// State that lasts across incarnations.
-	disk       *consensus.MemoryStore
+	disk       *consensus.MemoryStore // unused if the fleet has no disks
 	diskCopy   *consensus.StoredState // to be restored when faultCopyBack ends; nil if there is none
 	clockRate  float64                // rate of the monotonic clock relative to virtual time
 	wallOffset Time                   // of the wall clock from virtual time
@@ -30,7 +30,7 @@
 	fence       *ownership.Fence
 	clockZero   Time                              // reading of the monotonic clock at virtual time 0
 	nextTickAt  Time                              // in virtual time
-	pausedUntil Time                              // in virtual time; 0 if the process was not paused since it last ran
+	pausedUntil Time                              // end of the pause in virtual time; 0 once the process has continued
 	jobs        map[string]*job                   // jobs that the process runs, by name
 	accepted    map[string]ownership.FencingToken // last effect applied, by job; kept for the checks
 
@@ -106,6 +106,7 @@
 		}
 		return
 	}
+	// The offset of 100000 s keeps the clock above 0, however far faultClock sets it back.
 	cfg := ownership.QuorumConfig{Group: "sim", Name: p.name, Voters: r.voterNames(), Seed: seed, WallClockAtStart: (r.now + p.wallOffset + 100000*Sec) / (10 * Ms),
 		Faults: r.cfg.ProgramFaults}
 	q, err := ownership.NewQuorum(cfg, machines, groupEffects{r, p})
@@ -128,6 +129,7 @@
 	}
 }
 
+// restart kills a process, if it is running, and starts it again with its disk.
 func (r *Run) restart(p *process) {
 	r.kill(p, false)
 	r.start(p)
@@ -176,6 +178,7 @@
 	}
 }
 
+// jobNames returns the names of the jobs that the process runs, sorted so that a run can be repeated.
 func (p *process) jobNames() []string { return slices.Sorted(maps.Keys(p.jobs)) }
 
 // nextEffect returns a function that sends a job's next effect to all processes, and every
--- a/internal/fleet/ownership/simulation/run.go
+++ b/internal/fleet/ownership/simulation/run.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	stepInterval = 10 * Ms
+	stepInterval = 10 * Ms // of a run, between two checks
 	tickInterval = 50 * Ms // between two ticks of a process, in virtual time
 	// faultFreeTime is how long a run continues after its last fault. By its end every job must have an
 	// owner.
@@ -48,7 +48,7 @@
 	SkipSync bool
 }
 
-// ErrCheckFailed is returned if a check has failed.
+// ErrCheckFailed is wrapped by the error that Run.Play returns if a check has failed.
 var ErrCheckFailed = errors.New("a check failed")
 
 // Stats counts what happened in a run. The checks of a run in which nothing happened mean nothing.
@@ -69,7 +69,7 @@
 	Stats
 	cfg       Config
 	rng       *rand.Rand
-	now       Time
+	now       Time // since the start of the run
 	processes []*process
 	network   *network
 	checks    *checks
@@ -146,6 +146,7 @@
 	return end
 }
 
+// beginFaults begins the planned faults that are due.
 func (r *Run) beginFaults() {
 	for len(r.plan) > 0 && r.plan[0].BeginsAt <= r.now {
 		f := r.plan[0]
@@ -155,6 +156,7 @@
 	}
 }
 
+// endFaults ends the active faults whose duration has passed.
 func (r *Run) endFaults() {
 	for i := 0; i < len(r.active); i++ {
 		if f := r.active[i]; f.BeginsAt+f.Duration <= r.now {
--- a/internal/fleet/ownership/simulation/simulation_test.go
+++ b/internal/fleet/ownership/simulation/simulation_test.go
@@ -32,6 +32,7 @@
 	failedPlan                       []Fault // the faults of that plan
 }
 
+// add adds the results of a plan that was played.
 func (o *outcome) add(r *Run, plan []Fault, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -48,6 +49,7 @@
 	return o.failure != nil
 }
 
+// logFailedPlan logs the faults of the plan that failed first.
 func (o *outcome) logFailedPlan(t *testing.T) {
 	t.Helper()
 	for _, f := range o.failedPlan {
@@ -85,8 +87,8 @@
 }
 
 // TestInjectedFaults tests that the checks detect each injected fault within 1,000 plans. firstSeed
-// is at or shortly before the seed of a plan that detects it, which keeps the test short.
-// OWNERS_FIRST overrides it; with 1 all plans are played.
+// is at or shortly before the seed of a plan that detects it, which keeps the test short. The
+// environment variable OWNERS_FIRST overrides it; 1 starts with the first plan.
 func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -107,7 +109,7 @@
 			t.Errorf("%s: not detected in 1,000 plans from seed %d on", c.name, envInt("OWNERS_FIRST", c.firstSeed))
 			continue
 		}
-		t.Logf("%s: %v", c.name, o.failure)
+		t.Logf("%s: detected: %v", c.name, o.failure)
 		o.logFailedPlan(t)
 	}
 }
--- a/internal/fleet/ownership/step.go
+++ b/internal/fleet/ownership/step.go
@@ -3,13 +3,15 @@
 import "fmt"
 
 // Receive handles a message from the Core of another process. A message that can't be decoded, or
-// that names a sender other than from, changes nothing.
+// that names a sender other than from, changes nothing. The error then wraps ErrMalformedMessage,
+// ErrUnknownMessage or ErrSenderMismatch.
 func (c *Core) Receive(now Time, from uint32, data []byte) error {
 	c.advance(now)
 	defer c.deliverToSelf()
 	return c.receive(from, data)
 }
 
+// receive decodes and handles a message from another process or from this one.
 func (c *Core) receive(from uint32, data []byte) error {
 	m, err := decodeMessage(data)
 	if err != nil {
--- a/internal/fleet/ownership/table.go
+++ b/internal/fleet/ownership/table.go
@@ -20,12 +20,12 @@
 // JobRecord is a row of the Table.
 type JobRecord struct {
 	Job              string
-	Token            uint64 // of the last grant
+	Token            uint64 // of the last grant, or a higher one that raiseTokenCommand has set
 	Owner            string // member name; empty if the job has no owner
 	Incarnation      uint64 // of the owner's process
-	CheckpointNumber uint64 // of Checkpoint; only rises
+	CheckpointNumber uint64 // of Checkpoint; only rises; 0 if there is none
 	Checkpoint       []byte // for the next owner
-	ChangedAt        int64  // wall clock of the last change, Unix milliseconds
+	ChangedAt        int64  // wall clock of the last registration, grant or release, Unix milliseconds
 	Reason           string // text of the last change; see reasons.go
 }
 
@@ -39,6 +39,7 @@
 	return true
 }
 
+// clearOwner removes the owner and stores the reason.
 func (r *JobRecord) clearOwner(text string) { r.Owner, r.Incarnation, r.Reason = "", 0, text }
 
 // Table holds the jobs of the fleet with their owners. It is a state machine of the group.
--- a/internal/fleet/ownership/table_test.go
+++ b/internal/fleet/ownership/table_test.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// command returns the command that c describes.
 func (c randomCommand) command() tableCommand {
 	checkpoint := []byte(fmt.Sprint("checkpoint ", c.number))
 	switch c.kind {
@@ -63,10 +64,10 @@
 		t.Fatalf("%v lowers the token or the checkpoint number: %+v after %+v", c.kind, after, before)
 	}
 	if c.isStale(before) && (applied || after.Owner != before.Owner || after.CheckpointNumber != before.CheckpointNumber) {
-		t.Fatalf("%v with stale token %d, below or at %d: applied %t, row %+v, want unchanged %+v", c.kind, c.token, before.Token, applied, after, before)
+		t.Fatalf("%v with stale token %d, the row's token being %d: applied %t, row %+v; want it rejected and the row unchanged, %+v", c.kind, c.token, before.Token, applied, after, before)
 	}
 	if c.kind == kindGrant && applied && (after.Owner != "p" || after.Token != c.token) {
-		t.Fatalf("granted to %q under token %d: row %+v", "p", c.token, after)
+		t.Fatalf("grant to %q under token %d was applied: row %+v, want this owner and token", "p", c.token, after)
 	}
 }
 
