--- a/internal/fleet/ownership/assignjobs.go
+++ b/internal/fleet/ownership/assignjobs.go
@@ -24,7 +24,7 @@
 
 // jobFailures counts the recent failures of one job.
 type jobFailures struct {
-	count        int  // since the backoff last started at minBackoff
+	count        int  // number of failures since the delay last started at minBackoff
 	blockedUntil Time // end of the delay after the last failure
 }
 
--- a/internal/fleet/ownership/replicatedlog.go
+++ b/internal/fleet/ownership/replicatedlog.go
@@ -13,7 +13,7 @@
 )
 
 // logPosition is a position in the order of all commands. version is the number of entries in the
-// epoch's log up to this position; at 0 is the state with which the epoch began. It is not
+// epoch's log up to this position, and 0 for the state with which the epoch began. It is not
 // Table.Version.
 type logPosition struct{ epoch, version uint64 }
 
--- a/internal/fleet/ownership/simulation/network.go
+++ b/internal/fleet/ownership/simulation/network.go
@@ -8,7 +8,7 @@
 )
 
 // A message arrives after minDelay and a random time below delaySpread. While messages are lost, some
-// are delayed more, and some are sent in duplicateCopies.
+// messages are delayed longer and some are sent duplicateCopies times.
 const (
 	minDelay           = Ms
 	delaySpread        = 4 * Ms
