--- a/internal/dataplane/hotrestart/doc.go
+++ b/internal/dataplane/hotrestart/doc.go
@@ -1,7 +1,8 @@
-// Package hotrestart carries a proxy from one process to the next while it serves.
+// Package hotrestart replaces a running proxy process with a new one while the proxy serves.
 //
-// The new process requests from the old one, over a Unix socket in the platform's private folder, its listening sockets and a snapshot of
-// what it knows (RequestHandover, OfferHandover). Both stay connected until one of them ends (Partner). What must survive the end of both is in a
-// state file there (Store, Read). The package owns that socket, that file and their forms; when to take over and what follows from
-// it is decided by its caller.
+// The new process requests the old one's listening sockets and a snapshot of its state over a Unix
+// socket in the platform's private directory (RequestHandover, OfferHandover). The two processes
+// stay connected until one of them ends (Partner). State that must survive the end of both is in a
+// state file in the same directory (Store, ReadState). The package owns the socket, the file and
+// their formats; its caller decides when to take over and what to do with the state.
 package hotrestart
--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -10,10 +10,10 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// acceptRetryDelay is the pause after a failed accept: the process may be out of descriptors.
+// acceptRetryDelay is the pause after a failed accept, since the process may be out of descriptors.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Endpoint is where the next process requests the handover.
+// Endpoint is the Unix socket on which the next process requests the handover.
 type Endpoint struct {
 	listener  *net.UnixListener
 	loop      *netio.Loop
@@ -21,9 +21,11 @@
 	onPartner func(*Partner)
 }
 
-// OfferHandover listens in dir for the next process's request to hand over. welcome is called on the loop when it comes, with the address that clients
-// use at that process; it gives what is handed over, which stays this process's as well, or why not. come is called on the loop with the
-// partner. Close ends the offer.
+// OfferHandover listens in dir for the next process's request for a handover. For each request it
+// calls onRequest on the loop with the address that clients use at the new process. onRequest
+// returns what to hand over, whose descriptors this process also keeps, or an error whose text is
+// sent as the reason for the rejection. After a handover onPartner is called on the loop. The caller
+// must close the Endpoint.
 func OfferHandover(l *netio.Loop, dir string, onRequest func(listen string) (*Handoff, error), onPartner func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
@@ -34,8 +36,8 @@
 	return endpoint, nil
 }
 
-// replaceSocket puts a listener into the place of the socket in dir. Another process may listen there still, and must not be cut off before
-// this one is in its place.
+// replaceSocket listens on a temporary socket and renames it over the one in dir. The process that
+// serves now may still listen on the old socket, which must stay reachable until the new one replaces it.
 func replaceSocket(dir string) (*net.UnixListener, error) {
 	path, release := socketPath(dir)
 	defer release()
@@ -57,10 +59,10 @@
 	return ln, nil
 }
 
-// Close ends the offer.
+// Close stops listening for requests. Partners that are already connected stay connected.
 func (e *Endpoint) Close() { e.listener.Close() }
 
-// serve answers one caller after the other, until Close: there is never more than one that matters.
+// serve answers requests one at a time until Close. Only one new process at a time can take over.
 func (e *Endpoint) serve() {
 	for {
 		c, err := e.listener.AcceptUnix()
@@ -75,7 +77,8 @@
 	}
 }
 
-// serveRequest reads a caller's request and hands over, or says why not.
+// serveRequest reads a request, and sends the handover or a rejection. It closes c without an answer
+// if the request is invalid.
 func (e *Endpoint) serveRequest(c *net.UnixConn) {
 	m, ok := readRequest(c)
 	if !ok {
@@ -97,7 +100,7 @@
 	e.loop.Post(func() { e.onPartner(p) })
 }
 
-// readRequest reads a caller's request; false: it is not a request to hand over.
+// readRequest reads a request for a handover. ok is false if c fails or sends anything else.
 func readRequest(c *net.UnixConn) (m handoverRequest, ok bool) {
 	c.SetReadDeadline(time.Now().Add(answerTimeout))
 	e, fds, err := receive(c)
@@ -109,7 +112,7 @@
 	return m, ok
 }
 
-// handoffOnLoop calls welcome on the loop and waits for its result.
+// handoffOnLoop calls onRequest on the loop and waits for its result. It must not be called on the loop.
 func (e *Endpoint) handoffOnLoop(listen string) (*Handoff, error) {
 	type result struct {
 		handoff *Handoff
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -4,15 +4,15 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// message is what one process of a proxy sends to the other. Each kind is a type of its own.
+// message is a message between the two processes of a proxy. Each kind has its own type.
 type message interface {
-	// envelope is its form on the wire.
+	// envelope returns the form of the message on the wire.
 	envelope() envelope
-	// descriptors are sent beside it, and stay the sender's.
+	// descriptors returns the descriptors to send with the message. The sender keeps its own copies.
 	descriptors() []int
 }
 
-// envelope is the form of all messages on the wire. Each kind uses some of the fields.
+// envelope is the form on the wire that all kinds of messages share. Each kind uses some of the fields.
 type envelope struct {
 	Kind        string                      `json:"Kind"`
 	Listen      string                      `json:"Listen,omitempty"`
@@ -38,12 +38,12 @@
 	kindConnection  = "standing"
 )
 
-// noDescriptors is embedded by messages that go alone.
+// noDescriptors is embedded by messages that carry no descriptors.
 type noDescriptors struct{}
 
 func (noDescriptors) descriptors() []int { return nil }
 
-// handoverRequest, from new to old, requests the handover.
+// handoverRequest, from the new process to the old, requests the handover.
 type handoverRequest struct {
 	noDescriptors
 	listen string // the address that clients use at the new process
@@ -51,7 +51,7 @@
 
 func (m handoverRequest) envelope() envelope { return envelope{Kind: kindRequest, Listen: m.listen} }
 
-// welcome, from old to new, hands sockets and a snapshot over.
+// welcome, from the old process to the new, hands over the sockets and a snapshot.
 type welcome struct{ Handoff }
 
 func (m welcome) envelope() envelope {
@@ -65,7 +65,7 @@
 	return []int{m.ListenerFD, m.DatagramFD}
 }
 
-// rejection, from old to new, says that it does not hand over now.
+// rejection, from the old process to the new, rejects the handover for now.
 type rejection struct {
 	noDescriptors
 	reason string
@@ -73,12 +73,13 @@
 
 func (m rejection) envelope() envelope { return envelope{Kind: kindRejection, Reason: m.reason} }
 
-// takeOver, from new to old, says that the new process accepts clients from here on.
+// takeOver, from the new process to the old, reports that the new process now accepts clients.
 type takeOver struct{ noDescriptors }
 
 func (takeOver) envelope() envelope { return envelope{Kind: kindTakeOver} }
 
-// takenOver, from old to new, says that the old process does not accept clients any more, and what it knows.
+// takenOver, from the old process to the new, reports that the old process no longer accepts
+// clients, and carries its last state.
 type takenOver struct {
 	noDescriptors
 	snapshot *proxy.Snapshot // may be nil
@@ -86,7 +87,7 @@
 
 func (m takenOver) envelope() envelope { return envelope{Kind: kindTakenOver, Snapshot: m.snapshot} }
 
-// hostSuspended, either way, is a host's suspension or its end.
+// hostSuspended, in either direction, reports that a host was suspended or resumed.
 type hostSuspended struct {
 	noDescriptors
 	hostID    string
@@ -97,7 +98,7 @@
 	return envelope{Kind: kindSuspended, ID: m.hostID, Out: m.suspended}
 }
 
-// listChanged, from old to new, is an endpoint list that has come since.
+// listChanged, from the old process to the new, carries an endpoint list received after the handover.
 type listChanged struct {
 	noDescriptors
 	snapshot *proxy.Snapshot // may be nil
@@ -105,7 +106,7 @@
 
 func (m listChanged) envelope() envelope { return envelope{Kind: kindList, Snapshot: m.snapshot} }
 
-// downstreamCount, from old to new, is how many downstreams the sender still has.
+// downstreamCount, from the old process to the new, is the number of downstreams that the sender still has.
 type downstreamCount struct {
 	noDescriptors
 	count int
@@ -115,7 +116,8 @@
 	return envelope{Kind: kindDownstreams, Downstreams: m.count}
 }
 
-// connection, from old to new, is an open connection, with two sockets: the client's and the host's.
+// connection, from the old process to the new, hands over an open connection with two descriptors:
+// the client's socket and the host's.
 type connection struct{ *proxy.HandedOverConnection }
 
 func (m connection) envelope() envelope {
@@ -124,7 +126,8 @@
 
 func (m connection) descriptors() []int { return []int{m.Downstream.FD, m.Upstream.FD} }
 
-// unexpectedMessage is a message that this version does not know, or one that lacks what belongs to it.
+// unexpectedMessage is a message of a kind that this version does not know, or one that lacks a part
+// that its kind requires.
 type unexpectedMessage struct {
 	noDescriptors
 	kind string
@@ -132,8 +135,8 @@
 
 func (m unexpectedMessage) envelope() envelope { return envelope{Kind: m.kind} }
 
-// decode gives the message of an envelope that came with some descriptors. Those that belong to the message are its receiver's; all others
-// are closed.
+// decode returns the message in an envelope that arrived with fds. The caller owns the descriptors
+// that belong to the message; decode closes all others.
 func decode(e *envelope, fds []int) message {
 	switch {
 	case e.Kind == kindWelcome && e.Snapshot != nil && len(fds) == 1 && !e.Datagram:
--- a/internal/dataplane/hotrestart/partner.go
+++ b/internal/dataplane/hotrestart/partner.go
@@ -9,28 +9,31 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// maxQueuedMessages bounds the messages that the other process has not read yet; they are few and short.
+// maxQueuedMessages is the maximum number of messages queued for the other process. They are few and short.
 const maxQueuedMessages = 256
 
-// Events is what a Partner notifies, on the loop.
+// Events handles what a Partner receives. All methods are called on the loop.
 type Events interface {
-	// TakeOver says that the partner accepts clients from here on; its result is what the partner is to know.
+	// TakeOver is called when the partner begins to accept clients. It returns the state to send to the
+	// partner, or nil to send none.
 	TakeOver() *proxy.Snapshot
-	// TakenOver brings what the partner knew as it stopped accepting clients; s may be nil.
+	// TakenOver is called when the partner has stopped accepting clients. s is the partner's last state,
+	// or nil if it sent none.
 	TakenOver(s *proxy.Snapshot)
-	// HostSuspended brings a host's suspension or its end.
+	// HostSuspended is called when a host was suspended or, if suspended is false, resumed.
 	HostSuspended(id string, suspended bool)
-	// ListChanged brings an endpoint list that the partner has received since.
+	// ListChanged is called with an endpoint list that the partner received after the handover.
 	ListChanged(s *proxy.Snapshot)
-	// DownstreamCount brings how many downstreams the partner holds.
+	// DownstreamCount is called with the number of downstreams that the partner still has.
 	DownstreamCount(n int)
-	// ConnectionReceived brings an open connection; its sockets are the receiver's.
+	// ConnectionReceived is called with an open connection, whose sockets the receiver now owns.
 	ConnectionReceived(s *proxy.HandedOverConnection)
-	// Gone says that the partner has ended.
+	// Gone is called once, when the connection to the partner has ended.
 	Gone()
 }
 
-// Partner is the other process of this proxy, while there are two.
+// Partner is the other process of this proxy during a hot restart. Its methods may be called from any
+// goroutine; Run must be called once.
 type Partner struct {
 	conn      *net.UnixConn
 	queue     chan queuedMessage
@@ -38,20 +41,21 @@
 	closed    chan struct{}
 }
 
-// queuedMessage is a message on its way.
+// queuedMessage is a message that waits to be written.
 type queuedMessage struct {
 	message
-	handover *handover // nil: it is not an open connection
+	handover *handover // nil unless the message hands over a connection
 }
 
-// handover is an open connection on its way.
+// handover is an open connection that is being handed over.
 type handover struct {
 	connection    *proxy.HandedOverConnection
-	migrationLine []byte // for its client, should the handover fail
+	migrationLine []byte // sent to the client if the handover fails
 	done          func()
 }
 
-// finish closes this process's descriptors of the connection. Where the handover failed, its client is migrated.
+// finish closes this process's descriptors of the connection. If the handover failed, it first sends
+// the client the line that migrates it.
 func (h *handover) finish(failed bool) {
 	if failed {
 		h.connection.Downstream.Discard(h.migrationLine)
@@ -66,14 +70,15 @@
 	return &Partner{conn: c, queue: make(chan queuedMessage, maxQueuedMessages), closed: make(chan struct{})}
 }
 
-// Run begins to read what the partner sends and to write what is queued for it: one goroutine each, which end with Close or with the
-// partner.
+// Run starts one goroutine that reads messages from the partner and one that writes queued messages to
+// it. Both end when the connection ends, by Close or by the partner.
 func (p *Partner) Run(l *netio.Loop, ev Events) {
 	go p.writeQueued()
 	go p.readMessages(l, ev)
 }
 
-// writeQueued writes until the connection to the partner ends. What is queued then fails, and connections among it are ended politely.
+// writeQueued writes queued messages until the connection to the partner ends. It then fails the
+// remaining messages, so that clients whose handover was queued are migrated.
 func (p *Partner) writeQueued() {
 	for {
 		select {
@@ -89,7 +94,7 @@
 	}
 }
 
-// failQueued writes what is queued to a connection that is closed.
+// failQueued fails all queued messages by writing them to the closed connection.
 func (p *Partner) failQueued() {
 	for {
 		select {
@@ -101,7 +106,7 @@
 	}
 }
 
-// write sends a message. An open connection is not this process's afterwards.
+// write sends a message. If the message hands over a connection, this process no longer owns it afterwards.
 func (p *Partner) write(m queuedMessage) error {
 	err := send(p.conn, m.message)
 	if m.handover != nil {
@@ -110,7 +115,7 @@
 	return err
 }
 
-// readMessages reads until the connection to the partner ends.
+// readMessages handles messages until the connection to the partner ends, and then reports Gone.
 func (p *Partner) readMessages(l *netio.Loop, ev Events) {
 	for {
 		e, fds, err := receive(p.conn)
@@ -124,7 +129,7 @@
 	}
 }
 
-// handle notifies of a message of the partner's.
+// handle calls the method of ev for a message from the partner.
 func (p *Partner) handle(m message, ev Events) {
 	switch m := m.(type) {
 	case takeOver:
@@ -145,11 +150,12 @@
 		ev.ConnectionReceived(m.HandedOverConnection)
 	default:
 		closeDescriptors(m.descriptors())
-		slog.Warn("hot_restart_unexpected", "kind", m.envelope().Kind) // a later version's, for one
+		slog.Warn("hot_restart_unexpected", "kind", m.envelope().Kind) // for example, of a later version
 	}
 }
 
-// send queues a message. It never waits: the connection to a partner that reads nothing is ended.
+// send queues a message without blocking. If the queue is full, the partner does not read, and send
+// closes the connection.
 func (p *Partner) send(m message) {
 	select {
 	case p.queue <- queuedMessage{message: m}:
@@ -158,8 +164,8 @@
 	}
 }
 
-// HandOver hands an open connection over; where that fails its client gets migrationLine. done is called, on any goroutine, once the
-// connection is not this process's any more.
+// HandOver hands an open connection over to the partner. If that fails, the client receives
+// migrationLine. done is called, on any goroutine, once this process no longer owns the connection.
 func (p *Partner) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	h := &handover{s, migrationLine, done}
 	select {
@@ -171,21 +177,23 @@
 	}
 }
 
-// SendTakeOver notifies the old process that this one accepts clients from here on.
+// SendTakeOver notifies the old process that this one now accepts clients.
 func (p *Partner) SendTakeOver() { p.send(takeOver{}) }
 
-// SendHostSuspended passes a host's suspension, or its end, on.
+// SendHostSuspended notifies the partner that a host was suspended or, if suspended is false, resumed.
 func (p *Partner) SendHostSuspended(id string, suspended bool) {
 	p.send(hostSuspended{hostID: id, suspended: suspended})
 }
 
-// SendListChanged passes the endpoint list on: the two processes are one proxy, and what one knows the other must know.
+// SendListChanged sends the endpoint list to the partner. The two processes are one proxy and must use
+// the same list.
 func (p *Partner) SendListChanged(s *proxy.Snapshot) { p.send(listChanged{snapshot: s}) }
 
-// SendDownstreamCount sends how many downstreams this process holds.
+// SendDownstreamCount sends the number of downstreams that this process still has.
 func (p *Partner) SendDownstreamCount(n int) { p.send(downstreamCount{count: n}) }
 
-// Close ends the connection to the partner; Gone follows.
+// Close closes the connection to the partner. If Run was called, Events.Gone follows. Close may be
+// called more than once.
 func (p *Partner) Close() {
 	p.closeOnce.Do(func() {
 		close(p.closed)
--- a/internal/dataplane/hotrestart/partner_test.go
+++ b/internal/dataplane/hotrestart/partner_test.go
@@ -14,7 +14,7 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// recordedEvents notes what a partner notifies.
+// recordedEvents records the calls of a Partner as texts.
 type recordedEvents struct {
 	events   chan string
 	snapshot *proxy.Snapshot
@@ -32,21 +32,21 @@
 }
 func (s *recordedEvents) Gone() { s.events <- "gone" }
 
-// expect waits for the next event.
+// expect waits for the next event and fails the test unless it is want.
 func (s *recordedEvents) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case got := <-s.events:
 		if got != want {
-			t.Fatalf("notified of %q, want %q", got, want)
+			t.Fatalf("got event %q, want %q", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not notified of %q", want)
+		t.Fatalf("no event within 10 s, want %q", want)
 	}
 }
 
-// checkQueuedClientIsAccepted has a client wait in the queue of a listener that the old process then closes: it gets to the new one, which has the
-// listener's descriptor.
+// checkQueuedClientIsAccepted queues a client at a listener before the old process closes its
+// descriptors, and checks that the new process accepts the client from its own descriptor.
 func checkQueuedClientIsAccepted(t *testing.T, descriptor int, old net.Listener, oldFile *os.File) {
 	t.Helper()
 	c, err := net.Dial("tcp", old.Addr().String())
@@ -64,13 +64,14 @@
 	}
 	defer listener.Close()
 	if got, err := listener.Accept(); err != nil || got.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Fatalf("accepted %v, %v; expected the client %v", got, err, c.LocalAddr())
+		t.Fatalf("Accept = %v, %v, want the queued client %v", got, err, c.LocalAddr())
 	}
 }
 
-// From the old process to the new: a listener's queue that neither's end touches, the snapshot, messages both ways; a third process waits.
+// TestHandoverBetweenProcesses hands over a listener, whose queued clients must survive the old process,
+// and a snapshot, and sends messages both ways. Meanwhile a third process must be rejected.
 func TestHandoverBetweenProcesses(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 24)) // beyond what a socket's path may have
+	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 24)) // longer than the limit on socket paths
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +79,7 @@
 	go l.Run()
 	t.Cleanup(l.Stop)
 	if p, h, err := RequestHandover(dir, "x:1", 10); p != nil || h != nil || err != nil {
-		t.Fatalf("without a process that serves: %v %v %v", p, h, err)
+		t.Fatalf("RequestHandover without a process that serves = %v, %v, %v, want nil, nil, nil", p, h, err)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,14 +101,14 @@
 	}
 	defer endpoint.Close()
 	if _, _, err := RequestHandover(dir, "y:1", 10); !errors.Is(err, ErrBusy) {
-		t.Errorf("for another address: %v", err)
+		t.Errorf("RequestHandover for another address: error %v, want ErrBusy", err)
 	}
 	toOld, h, err := RequestHandover(dir, "x:1", 10)
 	if err != nil || !reflect.DeepEqual(h.Snapshot, sampleSnapshot()) || h.DatagramFD >= 0 {
-		t.Fatalf("%v %+v", err, h)
+		t.Fatalf("RequestHandover = %+v, %v, want the sample snapshot and no datagram socket", h, err)
 	}
 	if _, _, err := RequestHandover(dir, "x:1", 10); !errors.Is(err, ErrBusy) {
-		t.Errorf("a third process: %v", err)
+		t.Errorf("RequestHandover by a third process: error %v, want ErrBusy", err)
 	}
 	toOld.Run(l, newEvents)
 	toNew := <-partnersOfOld
--- a/internal/dataplane/hotrestart/recorded_test.go
+++ b/internal/dataplane/hotrestart/recorded_test.go
@@ -13,7 +13,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// fullSnapshot has a value of its own in every field of what one process leaves to the next.
+// fullSnapshot returns a snapshot with a distinct value in every field.
 func fullSnapshot() *proxy.Snapshot {
 	return &proxy.Snapshot{WrittenAt: 900, Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts: []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", State: balancer.Draining, Zone: "z", Kind: "k", Cell: 3, Weight: 1.5, StartedAt: 4}}},
@@ -21,14 +21,15 @@
 			Servers: []balancer.HostSnapshot{{ID: "a", Since: 8, Fails: 9, Until: 910, FailedAt: 11, Ill: 0.125, Delay: 0.25, IllAt: 14, DelayAt: 15, Tokens: 16.5, TokensAt: 17, Passed: 918}}}}
 }
 
-// fullConnection has a value of its own in every field of a connection that is handed over.
+// fullConnection returns a connection to hand over with a distinct value in every field.
 func fullConnection() *proxy.HandedOverConnection {
 	return &proxy.HandedOverConnection{Request: balancer.Request{ID: "r", Class: 1, Tenant: 2, Key: "k", Group: "g", ExpectedLoad: 3.5, Retry: true, MidFlow: true, Returned: true, Remaining: 4},
 		Class: "c", Tenant: "t", Host: "h", Load: 5.5, UnansweredSince: []int64{6, 7}, LastKind: proxy.LoadReported,
 		Downstream: netio.ReleasedConn{FD: 8, Input: []byte("in"), Unsent: []byte("rest")}, Upstream: netio.ReleasedConn{FD: 9, Input: []byte("up"), Unsent: []byte("more")}}
 }
 
-// TestRecordedStateFile: the state file has the bytes that it had, and a file of then is read.
+// TestRecordedStateFile checks that the state file is written byte for byte as in the golden file, and
+// that the golden file can be read.
 func TestRecordedStateFile(t *testing.T) {
 	data, err := encodeState(fullSnapshot())
 	if err != nil {
@@ -37,11 +38,12 @@
 	golden.Check(t, "croftlock.state", data)
 	got, err := decodeState(golden.Read(t, "croftlock.state"), 1000)
 	if err != nil || !reflect.DeepEqual(got, fullSnapshot()) {
-		t.Errorf("read %+v, %v", got, err)
+		t.Errorf("decodeState(golden file) = %+v, %v, want %+v", got, err, fullSnapshot())
 	}
 }
 
-// TestRecordedMessages: what two processes of a proxy send one another has the bytes that it had, and messages of then are read.
+// TestRecordedMessages checks that the messages between two processes are written byte for byte as in
+// the golden file, and that the recorded messages can be read.
 func TestRecordedMessages(t *testing.T) {
 	messages := []message{
 		handoverRequest{listen: "127.0.0.1:3"},
@@ -67,19 +69,20 @@
 	for i, line := range bytes.Split(bytes.TrimSpace(golden.Read(t, "messages.golden")), []byte("\n")) {
 		var e envelope
 		if err := json.Unmarshal(line, &e); err != nil || !reflect.DeepEqual(e, messages[i].envelope()) {
-			t.Errorf("%s is read as %+v, %v", line, e, err)
+			t.Errorf("Unmarshal(%s) = %+v, %v, want %+v", line, e, err, messages[i].envelope())
 		}
 		if got := decode(&e, messages[i].descriptors()); !reflect.DeepEqual(got, messages[i]) {
-			t.Errorf("%s is read as %+v", line, got)
+			t.Errorf("decode(%s) = %+v, want %+v", line, got, messages[i])
 		}
 	}
 }
 
-// A message without what belongs to it, or of a later version, is known as such.
+// TestUnexpectedMessages checks that a message that lacks a required part, or has an unknown kind, is
+// decoded as unexpectedMessage.
 func TestUnexpectedMessages(t *testing.T) {
 	for _, e := range []envelope{{Kind: "later"}, {Kind: kindWelcome}, {Kind: kindWelcome, Snapshot: fullSnapshot()}, {Kind: kindConnection}, {Kind: kindConnection, Connection: fullConnection()}} {
 		if m, ok := decode(&e, nil).(unexpectedMessage); !ok || m.kind != e.Kind {
-			t.Errorf("%+v is read as %+v", e, m)
+			t.Errorf("decode(%+v) = %+v, want unexpectedMessage of kind %q", e, m, e.Kind)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/request.go
+++ b/internal/dataplane/hotrestart/request.go
@@ -13,28 +13,31 @@
 )
 
 const (
-	// socketName is the socket's name in the private folder.
+	// socketName is the name of the Unix socket in the private directory.
 	socketName = "croftlock.sock"
-	// maxSocketPath is a length, in bytes, that the system's limit on paths of sockets surely allows.
+	// maxSocketPath is the longest socket path, in bytes, that is used directly. It is below the system's limit.
 	maxSocketPath = 99
-	// answerTimeout is how long the other process may take to answer: its loop may be at its busiest.
+	// answerTimeout is how long to wait for the other process, whose loop may be under full load.
 	answerTimeout = time.Second
 )
 
-// ErrBusy says that the process that serves does not hand over now: it has a partner already, for one.
+// ErrBusy is returned if the process that serves rejects the handover for now, for example because it
+// already has a partner.
 var ErrBusy = errors.New("another process of this proxy is being replaced")
 
-// Handoff is what an old process hands over.
+// Handoff is what the old process hands over.
 type Handoff struct {
 	Snapshot   *proxy.Snapshot
-	ListenerFD int // descriptors, the receiver's to close
-	DatagramFD int // under 0: none
+	ListenerFD int // listening socket, owned by the receiver; negative if there is none
+	DatagramFD int // datagram socket, owned by the receiver; negative if there is none
 }
 
 func (h *Handoff) close() { closeDescriptors(welcome{*h}.descriptors()) }
 
-// RequestHandover requests a handover of the process that serves at listen, and has its private folder at dir. It gives nil without an
-// error where there is none. After an error there may be one that can hand over when the request is repeated. now is the loop's time.
+// RequestHandover requests a handover from the process that serves clients at listen and has its
+// private directory at dir. It returns nil values and a nil error if there is no such process. After
+// an error a process may still serve, and may hand over if the request is repeated. now is the loop's
+// time in nanoseconds.
 func RequestHandover(dir, listen string, now int64) (*Partner, *Handoff, error) {
 	conn, err := dialServing(dir)
 	if conn == nil {
@@ -48,13 +51,13 @@
 	return newPartner(conn), h, nil
 }
 
-// dialServing connects to the process that serves; nil without an error: there is none.
+// dialServing connects to the process that serves. It returns nil, nil if there is none.
 func dialServing(dir string) (*net.UnixConn, error) {
 	path, release := socketPath(dir)
 	defer release()
 	c, err := net.DialTimeout("unix", path, answerTimeout)
 	if errors.Is(err, syscall.ENOENT) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, nil // no file, or nobody behind it any more
+		return nil, nil // no socket, or no process listens on it
 	}
 	if err != nil {
 		return nil, err
@@ -62,7 +65,8 @@
 	return c.(*net.UnixConn), nil
 }
 
-// requestHandoff requests the handover and reads the answer.
+// requestHandoff sends a request for a handover and reads the answer. After a rejection the error
+// matches ErrBusy.
 func requestHandoff(conn *net.UnixConn, listen string, now int64) (*Handoff, error) {
 	conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	if err := send(conn, handoverRequest{listen: listen}); err != nil {
@@ -89,7 +93,8 @@
 	return nil, fmt.Errorf("the process that serves answered %q with %d sockets", e.Kind, len(fds))
 }
 
-// socketPath gives a path to the socket that fits the system's limit on such paths; release is called after its use.
+// socketPath returns a path to the socket in dir that fits the system's limit. A longer path is
+// replaced with one through an open descriptor of dir. The caller must call release after using path.
 func socketPath(dir string) (path string, release func()) {
 	path = filepath.Join(dir, socketName)
 	if len(path) <= maxSocketPath {
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -16,13 +16,13 @@
 
 const (
 	stateFile = "croftlock.state"
-	// stateMagic begins the file's first line, which goes on with the length of the rest, in bytes, and its CRC-32.
+	// stateMagic starts the first line of the file, followed by the length of the rest in bytes and its CRC-32.
 	stateMagic = "croftlock-state 1"
 	// maxStateSize is the largest state, in bytes.
 	maxStateSize = 4 << 20
 )
 
-// What makes a state file unusable.
+// Errors for state files that cannot be used.
 var (
 	errStateHeader     = errors.New("state file: unknown head")
 	errStateChecksum   = errors.New("state file: length or checksum does not match")
@@ -30,7 +30,7 @@
 	errStateTooLarge   = errors.New("state file: too large")
 )
 
-// encodeState gives the file's bytes.
+// encodeState returns the content of the state file for s.
 func encodeState(s *proxy.Snapshot) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -40,7 +40,8 @@
 	return append([]byte(header), body...), nil
 }
 
-// decodeState reads the file's bytes. Whatever is torn, foreign, of another version or beyond the bounds is an error.
+// decodeState decodes the content of a state file. It returns an error if the content is incomplete,
+// of another format or version, or beyond the bounds of a snapshot. now is the loop's time in nanoseconds.
 func decodeState(data []byte, now int64) (*proxy.Snapshot, error) {
 	body, err := parseState(data)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return s, s.Check(now)
 }
 
-// parseState checks the head and gives what it describes.
+// parseState checks the header and returns the body that it describes.
 func parseState(data []byte) ([]byte, error) {
 	header, body, ok := bytes.Cut(data, []byte("\n"))
 	var length int
@@ -63,7 +64,7 @@
 		return nil, fmt.Errorf("%w: %.40q, expected %q", errStateHeader, header, stateMagic)
 	}
 	if length >= 0 && length < len(body) && body[length] == 0 {
-		body = body[:length] // a spare file is larger than its content
+		body = body[:length] // the reserved space of a spare file is larger than its content
 	}
 	if got := crc32.ChecksumIEEE(body); length != len(body) || sum != got {
 		return nil, fmt.Errorf("%w: %d bytes with %08x, expected %d with %08x", errStateChecksum, len(body), got, length, sum)
@@ -71,21 +72,22 @@
 	return body, nil
 }
 
-// ReadState gives the snapshot that a process before this one has stored in dir; nil without an error: there is none. A file that cannot be
-// used is an error that must not keep a proxy from starting. now is the loop's time.
+// ReadState returns the latest snapshot that an earlier process stored in dir, or nil, nil if there is
+// none. It returns an error if the file cannot be used, which must not keep a proxy from starting. If
+// only the spare file fails to be read, the snapshot of the state file comes with the error. now is the loop's time in nanoseconds.
 func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readStateFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readStateFile(filepath.Join(dir, spareFile), now)
 	if spareErr == nil && spare != nil && (s == nil || spare.WrittenAt > s.WrittenAt) {
-		return spare, nil // the later of the two
+		return spare, nil // the spare file is newer, or the only usable one
 	}
 	if pathErr := new(fs.PathError); err == nil && errors.As(spareErr, &pathErr) {
-		return s, spareErr // the disk may give it in a moment
+		return s, spareErr // reading may succeed later
 	}
-	return s, err // a spare that cannot be used counts as none
+	return s, err // ignore a spare file with invalid content
 }
 
-// readStateFile reads one file of the form; nil without an error: there is none, or one that was never written.
+// readStateFile reads a state or spare file. It returns nil, nil if the file does not exist or was only reserved.
 func readStateFile(path string, now int64) (*proxy.Snapshot, error) {
 	info, err := os.Lstat(path)
 	if os.IsNotExist(err) {
@@ -105,7 +107,7 @@
 		return nil, err
 	}
 	if len(data) > 0 && data[0] == 0 {
-		return nil, nil // reserved, and nothing in it yet
+		return nil, nil // reserved, not yet written
 	}
 	s, err := decodeState(data, now)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return s, nil
 }
 
-// SetAsideState keeps a file that cannot be used from being overwritten, for whoever looks into why.
+// SetAsideState renames a state file that cannot be used, so that it is not overwritten and can be examined.
 func SetAsideState(dir string) {
 	path := filepath.Join(dir, stateFile)
 	if err := os.Rename(path, path+".unusable"); err != nil && !os.IsNotExist(err) {
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -16,24 +16,25 @@
 	"croftlock/internal/operations/maintenance"
 )
 
-// sampleSnapshot is a snapshot with something in each field.
+// sampleSnapshot returns a valid snapshot with suspensions, hosts and balancer state.
 func sampleSnapshot() *proxy.Snapshot {
 	return &proxy.Snapshot{Discovery: "127.0.0.1:1", Revision: 7, Suspended: []maintenance.Suspension{{ID: "b", Since: 5}}, KnownHosts: []string{"a", "b"},
 		Hosts:    []proxy.HostEntry{{Address: "127.0.0.1:2", ListedHost: balancer.ListedHost{ID: "a", Zone: "z", Weight: 1.5, StartedAt: 3}}},
 		Balancer: balancer.Snapshot{Started: 1, MeanCost: 2, Servers: []balancer.HostSnapshot{{ID: "a", Fails: 1, Until: 9}}}}
 }
 
-// What is written comes back; whatever is torn, foreign, of another version or beyond bounds is an error.
+// TestStateFile checks that a written state is read back, and that a file that is incomplete, of another
+// format or version, or beyond the bounds is rejected.
 func TestStateFile(t *testing.T) {
 	dir, now := t.TempDir(), int64(10)
 	if k, err := ReadState(dir, now); k != nil || err != nil {
-		t.Fatalf("an empty folder gives %v, %v", k, err)
+		t.Fatalf("ReadState of an empty directory = %v, %v, want nil, nil", k, err)
 	}
 	if _, err := writeState(dir, sampleSnapshot()); err != nil {
 		t.Fatal(err)
 	}
 	if k, err := ReadState(dir, now); err != nil || !reflect.DeepEqual(k, sampleSnapshot()) {
-		t.Fatalf("got %+v, %v", k, err)
+		t.Fatalf("ReadState = %+v, %v, want %+v", k, err, sampleSnapshot())
 	}
 	complete, _ := os.ReadFile(filepath.Join(dir, stateFile))
 	text := string(complete)
@@ -53,12 +54,12 @@
 	} {
 		os.WriteFile(filepath.Join(dir, stateFile), []byte(data), 0o600)
 		if k, err := ReadState(dir, now); err == nil || k != nil && k.Check(now) == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: ReadState = %+v, %v, want an error", name, k, err)
 		}
 	}
 }
 
-// FuzzState: no bytes make reading panic.
+// FuzzState checks that decodeState does not panic on any input.
 func FuzzState(f *testing.F) {
 	data, _ := encodeState(sampleSnapshot())
 	f.Add(data)
@@ -66,14 +67,15 @@
 	f.Fuzz(func(t *testing.T, in []byte) { decodeState(in, 10) })
 }
 
-// A write that fails is retried, since the call that it is for has been answered. A folder that is missing for a while simulates a full disk;
-// a half-written file of a process that was killed is removed.
+// TestFailedWriteIsRetried checks that a failed write is retried, because the call that caused it has
+// already been answered. A missing directory simulates a full disk. NewStore must also remove the
+// incomplete file of a process that was killed.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	l := netio.NewLoop()
 	go l.Run()
 	t.Cleanup(l.Stop)
-	s := NewStore(l, dir) // the folder is not there yet: every write fails
+	s := NewStore(l, dir) // the directory does not exist yet, so every write fails
 	tried := make(chan bool, 2)
 	s.Save(sampleSnapshot(), func() { tried <- true })
 	<-tried
@@ -90,7 +92,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("stored %+v, %v", k, err)
+			t.Fatalf("ReadState after 20 s = %+v, %v, want revision 8 with one suspension", k, err)
 		}
 	}
 	half := filepath.Join(dir, "."+stateFile+".123")
@@ -99,17 +101,18 @@
 	}
 	NewStore(l, dir)
 	if _, err := os.Stat(half); !os.IsNotExist(err) {
-		t.Error("a half-written file is left")
+		t.Errorf("Stat(%q): error %v, want that the incomplete file was removed", half, err)
 	}
 }
 
-// The system's clock was set by an hour between two processes: the state is brought to the new one's time.
+// TestStateOfAnotherClock checks that times in the state are converted to the new process's clock if the
+// system's clock was set between the two processes.
 func TestStateOfAnotherClock(t *testing.T) {
 	const hour = int64(time.Hour)
 	now := int64(1e18)
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
 		k := sampleSnapshot()
-		k.WrittenAt = now - step // the writer's time, in the moment that is now here
+		k.WrittenAt = now - step // the writer's time at the moment that is now for the reader
 		k.Suspended[0].Since = k.WrittenAt - 5e9
 		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.WrittenAt-1e9, k.WrittenAt+2e9
 		data, err := encodeState(k)
@@ -118,21 +121,22 @@
 		}
 		file, err := decodeState(data, now)
 		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
-			t.Errorf("%s: a file gives %+v, %v", name, file, err)
+			t.Errorf("%s: decodeState = %+v, %v, want one suspension and no time in the future", name, file, err)
 		}
 		k.Rebase(now, true)
 		if since, until := now-k.Suspended[0].Since, k.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
-			t.Errorf("%s: suspended for %v, ejected for %v more", name, time.Duration(since), time.Duration(until))
+			t.Errorf("%s: suspended for %v and ejected for %v more, want about 5 s and 2 s", name, time.Duration(since), time.Duration(until))
 		}
 	}
-	old := &proxy.Snapshot{Suspended: sampleSnapshot().Suspended} // of a version that did not say when
+	old := &proxy.Snapshot{Suspended: sampleSnapshot().Suspended} // of a version without WrittenAt
 	old.Suspended[0].Since = now + hour
 	if old.Rebase(now, false); old.Check(now) != nil || old.Suspended[0].Since != now {
-		t.Errorf("%+v", old)
+		t.Errorf("Rebase of a state without WrittenAt = %+v, want it valid and suspended since %d", old, now)
 	}
 }
 
-// A disk without capacity for another file takes the state in place; the later of the two counts, and a torn one as none.
+// TestSpareFile checks that the spare file stores the state if the state file cannot be replaced, that
+// the later of the two files is read, and that an incomplete spare file is ignored.
 func TestSpareFile(t *testing.T) {
 	dir := t.TempDir()
 	first, second := sampleSnapshot(), sampleSnapshot()
@@ -143,7 +147,7 @@
 	expectRevision := func(want int64) {
 		t.Helper()
 		if k, err := ReadState(dir, 10); err != nil || k == nil || k.Revision != want {
-			t.Fatalf("read %+v, %v; want revision %d", k, err, want)
+			t.Fatalf("ReadState = %+v, %v, want revision %d", k, err, want)
 		}
 	}
 	expectRevision(7)
@@ -157,16 +161,16 @@
 	}
 	expectRevision(8)
 	if info, err := os.Stat(spare); err != nil || info.Size() < minSpareSize {
-		t.Errorf("%v, %v: overwritten it has lost its size", info, err)
+		t.Errorf("Stat of the spare file after a write = %+v, %v, want at least %d bytes", info, err, minSpareSize)
 	}
-	if err := overwriteFile(spare, data[:len(data)/2]); err != nil { // a kill in the middle of the next one
+	if err := overwriteFile(spare, data[:len(data)/2]); err != nil { // a process killed during the next write
 		t.Fatal(err)
 	}
 	if err := overwriteFile(spare, []byte("croftlock-state 1 99 0")); err != nil {
 		t.Fatal(err)
 	}
 	expectRevision(7)
-	// A folder in which the state file cannot be replaced takes the state all the same.
+	// A directory in place of the state file makes the replacement fail.
 	second.WrittenAt, second.Revision = 9, 9
 	if err := os.Remove(filepath.Join(dir, stateFile)); err != nil {
 		t.Fatal(err)
@@ -175,13 +179,14 @@
 		t.Fatal(err)
 	}
 	if readable, err := writeState(dir, second); !readable || err == nil {
-		t.Errorf("readable %t, %v", readable, err)
+		t.Errorf("writeState = %t, %v, want readable with the error of the replacement", readable, err)
 	}
 	os.RemoveAll(filepath.Join(dir, stateFile))
 	expectRevision(9)
 }
 
-// A process that closes the connection before it has answered may hand over when the request is repeated: that is an error, and not ErrBusy.
+// TestBrokenOffAnswerIsAnError checks that RequestHandover returns an error other than ErrBusy if the
+// process that serves closes the connection before it answers: it may hand over when asked again.
 func TestBrokenOffAnswerIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
@@ -198,7 +203,7 @@
 	}()
 	for range 2 {
 		if p, h, err := RequestHandover(dir, "x:1", 10); err == nil || errors.Is(err, ErrBusy) || p != nil || h != nil {
-			t.Errorf("got %v, %v, %v", p, h, err)
+			t.Errorf("RequestHandover = %v, %v, %v, want an error other than ErrBusy", p, h, err)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/statewrite.go
+++ b/internal/dataplane/hotrestart/statewrite.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	// spareFile takes the state where the disk has no space for another file: it is reserved while there is space, and is overwritten in
-	// place. A kill in the middle of that leaves a torn spare, and the state file as it was.
+	// spareFile stores the state if the disk has no space for a new file. Its space is reserved while
+	// there is some, and it is overwritten in place. A process killed during the write leaves an
+	// incomplete spare file and the previous state file.
 	spareFile = stateFile + ".spare"
-	// minSpareSize is the size, in bytes, of a spare file before any state is known.
+	// minSpareSize is the minimum size of a spare file, in bytes.
 	minSpareSize = 64 << 10
 )
 
-// writeState stores a snapshot in dir. readable says that the next process will find it; an error without that says that it will not, and
-// one with it that the snapshot may not outlive the machine's end.
+// writeState stores a snapshot in dir. readable reports whether the next process will find it. If
+// readable is true and err is not nil, the snapshot may not survive a failure of the machine, or it is
+// in the spare file because the state file could not be replaced.
 func writeState(dir string, s *proxy.Snapshot) (readable bool, err error) {
 	data, err := encodeState(s)
 	if err != nil {
@@ -41,8 +43,8 @@
 	return true, err
 }
 
-// replaceFile replaces a file by a complete new one. A file that could not be synced is still readable for the next process, from the kernel's
-// cache.
+// replaceFile replaces a file atomically. If only the sync fails, readable is true, because the next
+// process still reads the file from the kernel's cache.
 func replaceFile(path string, data []byte) (readable bool, err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
@@ -63,7 +65,7 @@
 	return true, syncErr
 }
 
-// reserveSpare has the spare file be as large as the next states may be, while the disk has the space.
+// reserveSpare reserves size bytes for the spare file, so that later states fit when the disk is full.
 func reserveSpare(dir string, size int) {
 	path := filepath.Join(dir, spareFile)
 	size = max(size, minSpareSize)
@@ -81,7 +83,8 @@
 	}
 }
 
-// overwriteFile writes data at the start of a file that is there already. What follows it means nothing.
+// overwriteFile writes data at the start of an existing file without truncating it. Readers ignore what
+// follows data, which may be left from a longer state.
 func overwriteFile(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/dataplane/hotrestart/store.go
+++ b/internal/dataplane/hotrestart/store.go
@@ -11,25 +11,26 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// The backoff after a failed write.
+// The backoff after a failed write, doubled with each failure up to the maximum.
 const (
 	minWriteBackoff = 50 * time.Millisecond
 	maxWriteBackoff = time.Second
 )
 
-// Store writes snapshots to the state file, beside the loop. Of those that wait only the latest is written.
+// Store writes snapshots to the state file in its own goroutine, so that the loop does not wait for the
+// disk. If several snapshots wait, only the latest is written.
 type Store struct {
 	loop *netio.Loop
 	dir  string
 	wake chan struct{}
 
 	mu        sync.Mutex
-	pending   *proxy.Snapshot // nil: nothing waits
+	pending   *proxy.Snapshot // nil if no snapshot waits to be written
 	callbacks []func()
 }
 
-// NewStore stores in dir for the lifetime of the process. What a process that was killed in the middle of a write has left there is
-// removed.
+// NewStore returns a Store that writes to dir until the process exits. It removes incomplete files of
+// a process that was killed during a write.
 func NewStore(l *netio.Loop, dir string) *Store {
 	unfinished, _ := filepath.Glob(filepath.Join(dir, "."+stateFile+".*"))
 	for _, path := range unfinished {
@@ -40,8 +41,9 @@
 	return s
 }
 
-// Save writes a snapshot. done, which may be nil, is called on the loop once it is written, or the first attempt has failed: nobody waits
-// for a disk that is full. The write is retried until it succeeds, or until something newer is to be stored.
+// Save writes a snapshot asynchronously; it may be called from any goroutine. done, if not nil, is
+// called on the loop once the snapshot is written or the first attempt has failed, so that no caller
+// waits for a full disk. A failed write is retried until it succeeds or a newer snapshot replaces it.
 func (s *Store) Save(snapshot *proxy.Snapshot, done func()) {
 	s.mu.Lock()
 	s.pending = snapshot
@@ -55,14 +57,15 @@
 	}
 }
 
-// run writes whatever waits. It never ends: a process stores until it exits.
+// run writes pending snapshots until the process exits.
 func (s *Store) run() {
 	for range s.wake {
 		s.writeUntilDone()
 	}
 }
 
-// writeUntilDone writes until nothing waits, with a backoff after each failure that something newer cuts short.
+// writeUntilDone writes until no snapshot is pending. It backs off after each failure, unless a newer
+// snapshot arrives.
 func (s *Store) writeUntilDone() {
 	backoff := minWriteBackoff
 	for isRetry := false; !s.writeNext(isRetry); isRetry = true {
@@ -74,7 +77,7 @@
 	}
 }
 
-// writeNext writes what waits, and reports whether nothing is left to write.
+// writeNext writes the pending snapshot, if any, and reports whether that succeeded.
 func (s *Store) writeNext(isRetry bool) bool {
 	snapshot, callbacks := s.removePending()
 	var err error
@@ -95,7 +98,7 @@
 	return err == nil
 }
 
-// removePending removes what waits.
+// removePending removes and returns the pending snapshot and its callbacks.
 func (s *Store) removePending() (*proxy.Snapshot, []func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +107,7 @@
 	return snapshot, callbacks
 }
 
-// requeue has a snapshot that could not be written wait again, unless something newer does.
+// requeue makes a snapshot that could not be written pending again, unless a newer one is.
 func (s *Store) requeue(snapshot *proxy.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dataplane/hotrestart/store_test.go
+++ b/internal/dataplane/hotrestart/store_test.go
@@ -6,7 +6,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Save reports once the snapshot is on disk, and a folder that cannot be written to holds nobody up.
+// TestStore checks that Save calls done once the snapshot is on disk, and also if the directory cannot be
+// written to.
 func TestStore(t *testing.T) {
 	l := netio.NewLoop()
 	go l.Run()
@@ -17,7 +18,7 @@
 		<-done
 		k, err := ReadState(dir, 10)
 		if dir[:4] == "/now" && k != nil || dir[:4] != "/now" && (err != nil || k.Revision != 7) {
-			t.Errorf("%s: %+v, %v", dir, k, err)
+			t.Errorf("ReadState(%q) = %+v, %v, want revision 7, or nil if the directory cannot be written to", dir, k, err)
 		}
 	}
 }
--- a/internal/dataplane/hotrestart/transport.go
+++ b/internal/dataplane/hotrestart/transport.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maxMessageSize is the longest message, in bytes. On the wire it is a length of four bytes, big-endian, and that many bytes of JSON.
+	// maxMessageSize is the maximum size of a message body, in bytes. On the wire a message is a
+	// big-endian length of four bytes, followed by that many bytes of JSON.
 	maxMessageSize = maxStateSize
-	// maxDescriptors is how many descriptors may come with one part of a message.
+	// maxDescriptors is the maximum number of descriptors received with one part of a message.
 	maxDescriptors = 8
-	// writeTimeout is how long the other process may take nothing.
+	// writeTimeout is the time in which the other process must accept a complete message.
 	writeTimeout = 2 * time.Second
 )
 
@@ -27,7 +28,7 @@
 	errConnectionEnded = errors.New("ended")
 )
 
-// send writes a complete message, with its descriptors beside the first byte.
+// send writes a complete message. Its descriptors are sent with the length.
 func send(c *net.UnixConn, m message) error {
 	e := m.envelope()
 	body, err := json.Marshal(&e)
@@ -50,7 +51,8 @@
 	return err
 }
 
-// receive reads an envelope, and the descriptors that came with it; they are the caller's.
+// receive reads an envelope and the descriptors that arrive with it, which the caller then owns.
+// After an error it returns none.
 func receive(c *net.UnixConn) (e *envelope, fds []int, err error) {
 	defer func() {
 		if err != nil {
@@ -73,7 +75,8 @@
 	return e, fds, json.Unmarshal(body, e)
 }
 
-// receiveHeader reads the length of a message, and the descriptors that come with it, also where an error follows them.
+// receiveHeader reads the length of a message in bytes and the descriptors that arrive with it. It
+// returns the descriptors already received even if err is not nil.
 func receiveHeader(c *net.UnixConn) (size uint32, fds []int, err error) {
 	var header [4]byte
 	control := make([]byte, unix.CmsgSpace(maxDescriptors*4))
@@ -91,7 +94,7 @@
 	return binary.BigEndian.Uint32(header[:]), fds, nil
 }
 
-// parseDescriptors reads the descriptors in a control message; they are closed on exec.
+// parseDescriptors returns the descriptors in a control message, after marking them close-on-exec.
 func parseDescriptors(control []byte) (fds []int) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
