--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -74,7 +74,8 @@
 
 // ReadState returns the latest snapshot that an earlier process stored in dir, or nil, nil if there is
 // none. It returns an error if the file cannot be used, which must not keep a proxy from starting. If
-// only the spare file fails to be read, the snapshot of the state file comes with the error. now is the loop's time in nanoseconds.
+// only reading the spare file fails, the snapshot of the state file is returned with the error.
+// now is the loop's time in nanoseconds.
 func ReadState(dir string, now int64) (*proxy.Snapshot, error) {
 	s, err := readStateFile(filepath.Join(dir, stateFile), now)
 	spare, spareErr := readStateFile(filepath.Join(dir, spareFile), now)
--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -15,13 +15,14 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// floodingServer sends data to the one connection that it accepts, as fast as that takes it.
+// floodingServer accepts one connection and sends data on it as fast as the connection accepts it.
 type floodingServer struct {
 	net.Listener
 	sent    []byte
 	written atomic.Int64
 }
 
+// newFloodingServer starts a server that sends size random bytes.
 func (e *env) newFloodingServer(size int) *floodingServer {
 	e.t.Helper()
 	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
@@ -36,12 +37,13 @@
 	return f
 }
 
+// flood sends the data in pieces of different sizes and closes the connection.
 func (f *floodingServer) flood() {
 	c, err := f.Accept()
 	if err != nil {
 		return
 	}
-	c.(*tls.Conn).NetConn().(*net.TCPConn).SetWriteBuffer(16 << 10) // else the kernel takes megabytes by itself
+	c.(*tls.Conn).NetConn().(*net.TCPConn).SetWriteBuffer(16 << 10) // otherwise the kernel buffers megabytes
 	for p := f.sent; len(p) > 0; {
 		n := min(len(p), 1000+len(p)%20000)
 		m, err := c.Write(p[:n])
@@ -54,7 +56,7 @@
 	c.Close()
 }
 
-// waitUntilBlocked is how much is written once that grows no more.
+// waitUntilBlocked waits until no more bytes are written for 150 ms, and returns how many were written.
 func (f *floodingServer) waitUntilBlocked() int64 {
 	for last := int64(-1); ; time.Sleep(150 * time.Millisecond) {
 		now := f.written.Load()
@@ -65,7 +67,8 @@
 	}
 }
 
-// More lines than the client takes wait at the server, not in this side's memory, sealed or opened.
+// TestBackPressureBehindTLS checks that data that the client does not read stays at the server, and is
+// not buffered on this side, whether encrypted or decrypted.
 func TestBackPressureBehindTLS(t *testing.T) {
 	e := newEnv(t, nil)
 	server := e.newFloodingServer(8 << 20)
@@ -84,7 +87,7 @@
 		t.Fatal(c.err)
 	}
 	if n := server.waitUntilBlocked(); n > 1<<20 {
-		t.Errorf("%d bytes were accepted from a server whose lines nobody reads", n)
+		t.Errorf("%d bytes were accepted from a server whose lines nobody reads, want at most %d", n, 1<<20)
 	}
 	var step func()
 	step = func() {
@@ -95,20 +98,21 @@
 	}
 	e.loop.Post(func() { reading = true; step() })
 	if err := c.ended(); err.Cause != netio.Ended {
-		t.Errorf("ended by %v", err)
+		t.Errorf("connection ended by %v, want cause %v", err, netio.Ended)
 	}
 	e.onLoop(func() {
 		sent := server.sent
 		if !bytes.Equal(got, sent[:len(got)]) || len(sent)-len(got) > 8192 {
-			t.Errorf("%d of %d bytes came, equal as far: %t", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
+			t.Errorf("received %d of %d bytes, equal to those sent: %t; want all but at most 8192, and equal", len(got), len(sent), bytes.Equal(got, sent[:len(got)]))
 		}
 		if most > 4096+maxSealedBytes+8*kernelBuffer {
-			t.Errorf("%d bytes were buffered", most)
+			t.Errorf("%d bytes were buffered, want at most %d", most, 4096+maxSealedBytes+8*kernelBuffer)
 		}
 	})
 }
 
-// Lines to a server that reads nothing wait in a bounded buffer, and come complete and in order once it reads.
+// TestSlowServer checks that lines to a server that reads nothing wait in a bounded buffer, and arrive
+// complete and in order once it reads.
 func TestSlowServer(t *testing.T) {
 	e := newEnv(t, nil)
 	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
@@ -138,11 +142,11 @@
 		}
 	})
 	if !blocked || want.Len() > 8<<20 {
-		t.Errorf("%d bytes went to a server that reads nothing", want.Len())
+		t.Errorf("%d bytes were accepted for a server that reads nothing, blocked %t; want at most %d, then blocked", want.Len(), blocked, 8<<20)
 	}
 	close(read)
 	e.onLoop(func() { c.c.Close() })
 	if got := <-all; got != want.String() {
-		t.Errorf("%d of %d bytes came", len(got), want.Len())
+		t.Errorf("the server received %d bytes, want the %d bytes written", len(got), want.Len())
 	}
 }
--- a/internal/dataplane/upstreamtls/cache.go
+++ b/internal/dataplane/upstreamtls/cache.go
@@ -7,31 +7,35 @@
 	"time"
 )
 
-// sessionKey is what a session may be resumed for: the same host, under the same name, in the same epoch of the files.
+// sessionKey identifies the sessions that a handshake may resume: those of the same host, verified
+// under the same name, in the same epoch of the files.
 type sessionKey struct {
 	uid   string
 	name  Name
 	epoch uint64
 }
 
-// sessionCache caches the last session of each host, and drops the one used longest ago. Workers and the loop use it.
+// sessionCache caches the last session of each sessionKey, and evicts the least recently used. It is
+// safe for concurrent use by the workers and the loop.
 type sessionCache struct {
 	mu           sync.Mutex
 	maxSessions  int
 	elements     map[sessionKey]*list.Element
-	recentlyUsed list.List // of *cachedSession, the last used first
+	recentlyUsed list.List // of *cachedSession, the most recently used first
 }
 
+// cachedSession is an element of a sessionCache.
 type cachedSession struct {
 	key        sessionKey
 	state      *tls.ClientSessionState
-	validUntil time.Time // of the chain that was verified when it was made
+	validUntil time.Time // end of the chain that was verified when the session was made
 }
 
 func newSessionCache(maxSessions int) *sessionCache {
 	return &sessionCache{maxSessions: maxSessions, elements: map[sessionKey]*list.Element{}}
 }
 
+// get returns the session for key, or nil if there is none whose certificates are valid at now.
 func (c *sessionCache) get(key sessionKey, now time.Time) *tls.ClientSessionState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +45,7 @@
 	}
 	cached := e.Value.(*cachedSession)
 	if now.After(cached.validUntil) {
-		// Its certificate has ended; the host may have a new one by now, which a resumed handshake would not show.
+		// The certificate has expired. The host may have a new one, which a resumed handshake would not present.
 		c.remove(e)
 		return nil
 	}
@@ -49,6 +53,7 @@
 	return cached.state
 }
 
+// put replaces the session for key. A nil state removes it.
 func (c *sessionCache) put(key sessionKey, state *tls.ClientSessionState, validUntil time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,12 +69,13 @@
 	}
 }
 
+// remove removes an element. The caller must hold c.mu.
 func (c *sessionCache) remove(e *list.Element) {
 	c.recentlyUsed.Remove(e)
 	delete(c.elements, e.Value.(*cachedSession).key)
 }
 
-// removeOtherEpochs drops the sessions of other epochs.
+// removeOtherEpochs removes the sessions of all epochs but the given one.
 func (c *sessionCache) removeOtherEpochs(epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,6 +86,7 @@
 	}
 }
 
+// len returns the number of cached sessions.
 func (c *sessionCache) len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dataplane/upstreamtls/dial.go
+++ b/internal/dataplane/upstreamtls/dial.go
@@ -8,22 +8,23 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// pendingDial is one connection being opened.
+// pendingDial is a connection that is being opened. It belongs to the loop.
 type pendingDial struct {
 	dialer     *Dialer
 	requestID  uint64
 	host       Host
 	inputLimit int
-	deadline   int64
+	deadline   int64 // on the loop's clock, in nanoseconds
 	handler    netio.Handler
 	done       func(*netio.Conn, *netio.Error)
 	timer      *netio.Timer
-	job        *handshakeJob // once it is in flight; nil: it is queued
+	job        *handshakeJob // nil while the dial is queued
 	ended      bool
 }
 
-// Dial opens a connection to t within the time given, the wait for the handshake's turn included, and calls done on the
-// loop, once, unless drop comes first. h handles the connection; limit bounds its input.
+// Dial opens a connection to host and calls done once on the loop, unless cancel is called first.
+// timeout includes the wait in the queue of the handshake budget. handler handles the connection, and
+// inputLimit bounds its buffered input in bytes.
 func (d *Dialer) Dial(host Host, timeout time.Duration, inputLimit int, handler netio.Handler, done func(*netio.Conn, *netio.Error)) (cancel func()) {
 	d.lastID++
 	dial := &pendingDial{dialer: d, requestID: d.lastID, host: host, inputLimit: inputLimit, deadline: d.loop.Now() + int64(timeout), handler: handler, done: done}
@@ -43,12 +44,12 @@
 	return dial.cancel
 }
 
-// budgetFailure is the failure of a dial that the handshake budget rejects.
+// budgetFailure returns the failure of a dial that the handshake budget rejects.
 func budgetFailure(r handshake.RejectReason) *Failure {
 	return &Failure{Reason: NoBudget, Step: "queue", Err: errors.New(r.String())}
 }
 
-// timedOut ends a dial that has taken too long.
+// timedOut fails the dial when its timeout has passed.
 func (d *pendingDial) timedOut() {
 	if d.job == nil {
 		d.dialer.budget.Drop(d.requestID)
@@ -59,7 +60,7 @@
 	d.fail(&Failure{Reason: TimedOut, Step: "finish"})
 }
 
-// cancel ends the dial; done is not called any more.
+// cancel ends the dial without calling done. It does nothing if the dial has ended.
 func (d *pendingDial) cancel() {
 	if !d.markEnded() {
 		return
@@ -71,7 +72,7 @@
 	d.job.abort()
 }
 
-// markEnded ends a dial; false: it had ended already.
+// markEnded removes the dial from its Dialer, and reports whether the dial had not ended before.
 func (d *pendingDial) markEnded() bool {
 	was := d.ended
 	d.ended = true
@@ -80,7 +81,7 @@
 	return !was
 }
 
-// fail ends a dial with a failure.
+// fail ends the dial, logs the failure and passes it to done. It does nothing if the dial has ended.
 func (d *pendingDial) fail(f *Failure) {
 	if !d.markEnded() {
 		return
--- a/internal/dataplane/upstreamtls/dialer.go
+++ b/internal/dataplane/upstreamtls/dialer.go
@@ -12,13 +12,15 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// Host is an upstream host to connect to.
+// Host is an upstream host to connect to. Address is a host and port.
 type Host struct{ ID, Zone, Address string }
 
-// kernelBuffer is the size, in bytes, of the buffer requested from the kernel for a connection, as netio does.
+// kernelBuffer is the size of the receive buffer requested from the kernel for a connection, in bytes,
+// as in netio.
 const kernelBuffer = 16 << 10
 
-// Dialer opens TLS connections to upstream hosts. Its methods belong to the loop, but for those that say otherwise.
+// Dialer opens TLS connections to upstream hosts. Its methods must be called on the loop unless
+// documented otherwise.
 type Dialer struct {
 	loop         *netio.Loop
 	wallClock    func() time.Time
@@ -32,20 +34,21 @@
 	computeToken chan struct{} // held by the worker that computes; see sealedSocket
 	budgetTimer  *netio.Timer
 	counts       counts
-	reloads      chan reload // to the watcher
+	reloads      chan reload // read by watch
 }
 
-// counts are what was done since they were last logged.
+// counts are the handshakes since the last log line, and the time spent computing them.
 type counts struct {
 	full, resumed int
 	cpu           time.Duration
 	failed        map[Reason]int
 }
 
-// maxPeers bounds the hosts whose configuration is cached.
+// maxPeers is the maximum number of hosts whose TLS configuration is cached.
 const maxPeers = 4096
 
-// New makes a link with its workers, by the options that m was loaded from.
+// New returns a Dialer with the options that m was loaded from, and starts its workers, one for each
+// handshake that may be in flight. The files are not polled before Run is called.
 func New(l *netio.Loop, m *Material, wallClock func() time.Time) *Dialer {
 	dialer := &Dialer{loop: l, wallClock: wallClock, material: m, budget: handshake.New(m.options.Handshakes, l.Now()),
 		cache: newSessionCache(m.options.MaxSessions), peers: map[string]*tlsPeer{}, dials: map[uint64]*pendingDial{},
@@ -58,7 +61,7 @@
 	return dialer
 }
 
-// peerFor is how to connect to a host now, or why that is not possible.
+// peerFor returns the configuration for connections to a host, or the reason why none can be opened now.
 func (d *Dialer) peerFor(host Host) (*tlsPeer, *Failure) {
 	m := d.material
 	if f := m.OwnFault(d.wallClock()); f != nil {
@@ -83,7 +86,8 @@
 	return p, nil
 }
 
-// startAllowed begins the handshakes that the budget allows.
+// startAllowed starts the handshakes that the budget allows now, and fails those whose deadline comes
+// too soon. It schedules its next call when the budget allows more.
 func (d *Dialer) startAllowed() {
 	ready, expired, nextAfter := d.budget.Next(d.loop.Now())
 	for _, id := range expired {
@@ -101,9 +105,10 @@
 	}
 }
 
-// startHandshake gives a dial to a worker. There are as many workers as handshakes may be in flight, so the channel takes it at once.
+// startHandshake passes a dial to a worker. The send does not block, because the channel holds as many
+// jobs as handshakes may be in flight.
 func (d *Dialer) startHandshake(dial *pendingDial) {
-	// The files, or the name that the host must have, may have changed while it was queued.
+	// The files or the expected name may have changed while the dial was queued.
 	p, f := d.peerFor(dial.host)
 	if f != nil {
 		d.loop.Post(func() { dial.fail(f) })
@@ -114,7 +119,8 @@
 	d.jobs <- dial.job
 }
 
-// logFailure logs a failure. One of the proxy's own files is an event of its own, since it concerns every host.
+// logFailure logs and counts a failure. A fault of the proxy's own files affects every host and has a
+// separate log event.
 func (d *Dialer) logFailure(host string, f *Failure) {
 	d.counts.failed[f.Reason]++
 	text := ""
@@ -128,7 +134,8 @@
 	slog.Warn("tls_failed", "host", host, "reason", string(f.Reason), "step", f.Step, "detail", text)
 }
 
-// logBrokenSession logs why an established connection broke. late: the host had rejected the handshake.
+// logBrokenSession logs why an established connection broke. late reports whether the host rejected the
+// handshake after this side had finished it.
 func (d *Dialer) logBrokenSession(host string, f *Failure, late bool) {
 	if late {
 		d.logFailure(host, f)
@@ -137,16 +144,16 @@
 	slog.Warn("tls_broken", "host", host, "reason", string(f.Reason), "detail", f.Err.Error())
 }
 
-// Run starts the watch of the files, and the counts in the log.
+// Run starts to poll the files for changes and to log the counts. It does not block.
 func (d *Dialer) Run() {
 	go d.watch(d.material)
 	d.loop.After(countLogInterval, d.logCounts)
 }
 
-// countLogInterval is how often the log sums up.
+// countLogInterval is the interval between log lines with counts.
 const countLogInterval = 10 * time.Second
 
-// logCounts logs what was done since the last time.
+// logCounts logs the counts since its last call, unless there are none, and schedules its next call.
 func (d *Dialer) logCounts() {
 	d.loop.After(countLogInterval, d.logCounts)
 	c := d.counts
@@ -163,7 +170,8 @@
 	d.counts = counts{failed: map[Reason]int{}}
 }
 
-// SetMaterial has new connections follow new material; open ones go on.
+// SetMaterial makes new connections use m. Open connections are not affected, and sessions of other
+// epochs are no longer resumed.
 func (d *Dialer) SetMaterial(m *Material) {
 	d.material = m
 	clear(d.peers)
--- a/internal/dataplane/upstreamtls/dialer_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -14,6 +14,7 @@
 
 const openLine = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=c,d=2000\r\n"
 
+// TestLinesAndReuse checks that lines pass in both directions and that later connections resume the session.
 func TestLinesAndReuse(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
@@ -23,17 +24,18 @@
 		c.read("GOT M 1\r\n")
 		e.onLoop(func() {
 			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
-				t.Errorf("connection %d: resumed %t, buffers %d, ends %v", i, l.resumed, l.Buffered(), l.Expires())
+				t.Errorf("connection %d: resumed %t, %d bytes buffered, expires %v; want resumed %t, 0 bytes, more than 50 min from now", i, l.resumed, l.Buffered(), l.Expires(), i > 0)
 			}
 			c.c.Close()
 		})
 	}
 	if h := s.Handshakes(); len(h) != 3 || h[0].Resumed || !h[2].Resumed {
-		t.Errorf("the server saw %v", h)
+		t.Errorf("the server saw handshakes %v, want 3, of which the last is resumed and the first is not", h)
 	}
 }
 
-// The layer's own end can only come from the peer; the end of the socket alone can come from anybody.
+// TestEnds checks that only TLS's own end, which only the peer can send, counts as an orderly end. Anyone
+// on the path can end the TCP connection.
 func TestEnds(t *testing.T) {
 	e := newEnv(t, nil)
 	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
@@ -71,12 +73,13 @@
 		c.write(openLine)
 		c.read(w.last)
 		if err := c.ended(); err.Cause != w.want || err.Stage != netio.Up {
-			t.Errorf("got %v, want %v", err, w.want)
+			t.Errorf("connection ended by %v, want cause %v at stage %v", err, w.want, netio.Up)
 		}
 	}
 }
 
-// A drop while the handshake is in flight leaves nothing behind, and done is not called.
+// TestDrop checks that a dial cancelled during its handshake leaves nothing behind, and that done is not
+// called.
 func TestDrop(t *testing.T) {
 	e := newEnv(t, nil)
 	bad, err := fake.NewBadServer(fake.Fault{Kind: "silent", Serve: func(c net.Conn, _ *tls.Config) { io.Copy(io.Discard, c) }}, e.pki)
@@ -88,7 +91,7 @@
 	e.onLoop(func() {
 		for range 30 {
 			drops = append(drops, e.dialer.Dial(Host{"s1", "a", bad.Addr()}, time.Hour, 4096, &conn{},
-				func(*netio.Conn, *netio.Error) { t.Error("done was called") }))
+				func(*netio.Conn, *netio.Error) { t.Error("done was called after the dial was cancelled") }))
 		}
 	})
 	for end := time.Now().Add(5 * time.Second); bad.Connections.Load() < int64(e.opt.Handshakes.MaxInFlightPerHost) && time.Now().Before(end); {
@@ -106,12 +109,13 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d handshakes are left", left)
+			t.Fatalf("%d dials and handshakes are left 5 s after they were cancelled, want 0", left)
 		}
 	}
 }
 
-// What the budget has no capacity for fails at once, not when its time is up.
+// TestNoBudget checks that a dial for which the handshake budget has no capacity in time fails at once,
+// and not at its deadline.
 func TestNoBudget(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		e.opt.Handshakes = handshake.Limits{HostRate: 1, MaxInFlight: 2, Burst: time.Millisecond, MaxQueued: 100}
@@ -123,6 +127,6 @@
 	e.onLoop(func() { e.dialer.cache.removeOtherEpochs(0) })
 	began := time.Now()
 	if c := e.dial(s.Addr(), 500*time.Millisecond); c.reason() != NoBudget || time.Since(began) > 400*time.Millisecond {
-		t.Errorf("%v after %v", c.err, time.Since(began))
+		t.Errorf("dial without budget failed with %v after %v, want %q within 400 ms", c.err, time.Since(began), NoBudget)
 	}
 }
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -17,7 +17,7 @@
 
 const hostName = "s1.test"
 
-// env is a link on a running loop, with the files of a public key infrastructure in a folder.
+// env is a Dialer on a running loop, with the files of a public key infrastructure in a directory.
 type env struct {
 	t         *testing.T
 	dir       string
@@ -25,10 +25,10 @@
 	opt       Options
 	loop      *netio.Loop
 	dialer    *Dialer
-	clockSkew atomic.Int64 // what the wall clock is ahead by
+	clockSkew atomic.Int64 // how far the wall clock is ahead, in nanoseconds
 }
 
-// newEnv starts a link; change alters its options before that.
+// newEnv starts a Dialer. change, if not nil, is called before and may change its options.
 func newEnv(t *testing.T, change func(e *env)) *env {
 	t.Helper()
 	pki, err := fake.NewPKI(hostName)
@@ -57,7 +57,7 @@
 	return e
 }
 
-// file writes a file into the folder.
+// file writes a file into the directory and returns its path.
 func (e *env) file(file string, data []byte) string {
 	e.t.Helper()
 	path := filepath.Join(e.dir, file)
@@ -67,21 +67,21 @@
 	return path
 }
 
-// onLoop runs f onLoop the loop and waits for it.
+// onLoop runs f on the loop and waits for it.
 func (e *env) onLoop(f func()) {
 	done := make(chan struct{})
 	e.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// conn is a connection as a test sees it.
+// conn is a connection opened by a test, and the handler of its events.
 type conn struct {
 	env    *env
 	c      *netio.Conn
 	err    *netio.Error
 	data   chan []byte
 	closed chan *netio.Error
-	handle func(c *netio.Conn) // reads what has come; nil: all of it goes to data
+	handle func(c *netio.Conn) // reads the input; if nil, all of it is sent to data
 }
 
 func (c *conn) Data(n *netio.Conn) {
@@ -101,7 +101,7 @@
 
 func (c *conn) Closed(_ *netio.Conn, err *netio.Error) { c.closed <- err }
 
-// dial opens a connection and waits for what becomes of it.
+// dial opens a connection and waits until it is established or has failed.
 func (e *env) dial(addr string, within time.Duration) *conn { return e.dialWith(addr, within, nil) }
 
 // openRequest opens a connection on which the server has accepted a request.
@@ -116,7 +116,7 @@
 	return c
 }
 
-// dialWith is dial for a connection whose input handle reads.
+// dialWith is like dial, but lets handle read the input.
 func (e *env) dialWith(addr string, within time.Duration, handle func(*netio.Conn)) *conn {
 	c := &conn{env: e, data: make(chan []byte, 100), closed: make(chan *netio.Error, 1), handle: handle}
 	done := make(chan struct{})
@@ -135,7 +135,7 @@
 	c.env.onLoop(func() { c.c.Write([]byte(text)) })
 }
 
-// read waits for exactly that text.
+// read waits until as many bytes as in want have arrived, and fails the test unless they equal want.
 func (c *conn) read(want string) {
 	c.env.t.Helper()
 	got := ""
@@ -150,30 +150,30 @@
 				got += string(d)
 				c.closed <- err
 			default:
-				c.env.t.Fatalf("closed after %q: %v", got, err)
+				c.env.t.Fatalf("connection closed by %v after %q, want %q", err, got, want)
 			}
 		case <-time.After(10 * time.Second):
-			c.env.t.Fatalf("got %q, want %q", got, want)
+			c.env.t.Fatalf("read %q within 10 s, want %q", got, want)
 		}
 	}
 	if got != want {
-		c.env.t.Fatalf("got %q, want %q", got, want)
+		c.env.t.Fatalf("read %q, want %q", got, want)
 	}
 }
 
-// ended waits for the end of the connection.
+// ended waits for the end of the connection and returns its error.
 func (c *conn) ended() *netio.Error {
 	c.env.t.Helper()
 	select {
 	case err := <-c.closed:
 		return err
 	case <-time.After(20 * time.Second):
-		c.env.t.Fatal("the connection does not end")
+		c.env.t.Fatal("the connection did not end within 20 s")
 		return nil
 	}
 }
 
-// reason is why there is no connection; "": there is one, or it failed for another cause than TLS.
+// reason returns why the connection was not established, or "" if it was or no Failure is the cause.
 func (c *conn) reason() Reason {
 	var f *Failure
 	if c.err == nil || !errors.As(c.err, &f) {
@@ -182,7 +182,7 @@
 	return f.Reason
 }
 
-// newServer is a catalogue newServer with a certificate for its name.
+// newServer starts a catalogue server. If config is nil, it has a certificate for hostName.
 func (e *env) newServer(config *tls.Config) *fake.Server {
 	e.t.Helper()
 	if config == nil {
--- a/internal/dataplane/upstreamtls/failure.go
+++ b/internal/dataplane/upstreamtls/failure.go
@@ -13,46 +13,47 @@
 	"syscall"
 )
 
-// Reason is why there is no connection.
+// Reason is the reason for a failed connection, as the log shows it.
 type Reason string
 
-// The reasons. Those of the second group are faults of the proxy's own: they strike all hosts at once.
+// The reasons for a Failure. Those of the second group are faults of the proxy's own files, which affect
+// all hosts at once.
 const (
 	Unreachable    Reason = "unreachable"      // no TCP connection
-	TimedOut       Reason = "timeout"          // not done in time
-	NoBudget       Reason = "no_budget"        // the handshake budget has no capacity in time
-	NotTLS         Reason = "not_tls"          // the host speaks something else
-	OldVersion     Reason = "old_version"      // no version that both speak
-	NoCertificate  Reason = "no_certificate"   // none was shown
-	SelfSigned     Reason = "self_signed"      // signed by itself, and not trusted
-	UnknownCA      Reason = "unknown_ca"       // signed by nobody trusted
-	WrongName      Reason = "wrong_name"       // for another host
-	Expired        Reason = "expired"          // no longer valid
-	NotYetValid    Reason = "not_yet_valid"    // the clocks differ, or it was put in place too soon
-	WrongUsage     Reason = "wrong_usage"      // not for servers
+	TimedOut       Reason = "timeout"          // not established in time
+	NoBudget       Reason = "no_budget"        // the handshake budget had no capacity before the deadline
+	NotTLS         Reason = "not_tls"          // the host does not speak TLS
+	OldVersion     Reason = "old_version"      // no TLS version that both sides support
+	NoCertificate  Reason = "no_certificate"   // the host presented none
+	SelfSigned     Reason = "self_signed"      // self-signed and not trusted
+	UnknownCA      Reason = "unknown_ca"       // not signed by a trusted authority
+	WrongName      Reason = "wrong_name"       // issued for another host
+	Expired        Reason = "expired"          // the certificate has expired
+	NotYetValid    Reason = "not_yet_valid"    // the clocks differ, or the certificate was installed too early
+	WrongUsage     Reason = "wrong_usage"      // the key usage does not allow use by a server
 	Revoked        Reason = "revoked"          // revoked by its authority
-	WeakKey        Reason = "weak_key"         // key or signature too weak
-	TooLarge       Reason = "too_large"        // a handshake message beyond the limit
-	ConnectionLost Reason = "broken_off"       // the host ended or reset the connection
-	ProtocolError  Reason = "protocol"         // what it sent makes no sense, or does not verify
-	NoExpectedName Reason = "no_name"          // the options have no name to expect of it
+	WeakKey        Reason = "weak_key"         // the key or signature algorithm is too weak
+	TooLarge       Reason = "too_large"        // a handshake message exceeds the limit
+	ConnectionLost Reason = "broken_off"       // the connection was closed or reset during the handshake
+	ProtocolError  Reason = "protocol"         // the host violated the protocol, or its signature does not verify
+	NoExpectedName Reason = "no_name"          // the options specify no name for the host
 	RejectedByHost Reason = "rejected_by_host" // the host rejected this side's certificate or parameters
 
-	OwnCertificateExpired Reason = "own_certificate_expired"
-	OwnTrustUnusable      Reason = "own_trust_unusable" // the bundle or a revocation list
+	OwnCertificateExpired Reason = "own_certificate_expired" // the proxy's certificate
+	OwnTrustUnusable      Reason = "own_trust_unusable"      // the trust bundle or a revocation list
 )
 
 // IsOwnFault reports whether the proxy's own files are at fault.
 func (r Reason) IsOwnFault() bool { return r == OwnCertificateExpired || r == OwnTrustUnusable }
 
-// Failure is a handshake that did not come about.
+// Failure is the error of a connection that was not established.
 type Failure struct {
 	Reason Reason
-	Step   string // how far it had come: queue, connect, hello, certificate, finish
-	Err    error  // what the system or the library said; may be nil
+	Step   string // the step that failed: queue, connect, hello, certificate or finish
+	Err    error  // the error of the system or of crypto/tls; may be nil
 }
 
-// Error is the reason, the step and the error behind it.
+// Error returns the reason, the step and the underlying error, if any.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return fmt.Sprintf("%s at %s", f.Reason, f.Step)
@@ -60,15 +61,16 @@
 	return fmt.Sprintf("%s at %s: %v", f.Reason, f.Step, f.Err)
 }
 
-// Unwrap gives the error behind it.
+// Unwrap returns the underlying error, or nil if there is none.
 func (f *Failure) Unwrap() error { return f.Err }
 
+// newCertificateFailure returns a failure at the step "certificate".
 func newCertificateFailure(r Reason, format string, args ...any) *Failure {
 	return &Failure{Reason: r, Step: "certificate", Err: fmt.Errorf(format, args...)}
 }
 
-// rejectionAlerts are the alerts by which a peer rejects this side: RFC 8446, 6.2. None of them can come from a peer that has read application
-// data, since that takes a handshake it has accepted.
+// rejectionAlerts are the alerts by which a peer rejects this side's handshake (RFC 8446, 6.2). A peer
+// that has read application data sends none of them, since it has accepted the handshake by then.
 var rejectionAlerts = map[uint64]bool{40: true, 42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 
 const (
@@ -76,7 +78,8 @@
 	alertUnrecognizedName = 112 // unrecognized_name: the host has no certificate for the requested name
 )
 
-// peerAlert finds the alert that the peer sent. crypto/tls does not export its type.
+// peerAlert returns the code of the alert that the peer sent, and reports whether err is one.
+// crypto/tls does not export the type of the alert.
 func peerAlert(err error) (code uint64, ok bool) {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "remote error" && op.Err != nil {
@@ -87,7 +90,8 @@
 	return 0, false
 }
 
-// classifyHandshakeError finds the reason in an error of crypto/tls. received: something had come from the peer.
+// classifyHandshakeError returns the failure for an error of crypto/tls. received reports whether the
+// peer had sent anything.
 func classifyHandshakeError(err error, received bool) *Failure {
 	var f *Failure
 	if errors.As(err, &f) {
@@ -131,7 +135,8 @@
 	return f
 }
 
-// classifyVerifyError finds the reason in an error of the verification. early: a certificate is not valid yet.
+// classifyVerifyError returns the failure for an error of crypto/x509. notYetValid reports whether a
+// presented certificate is not valid yet, which crypto/x509 reports like an expired one.
 func classifyVerifyError(err error, leaf *x509.Certificate, notYetValid bool) *Failure {
 	f := &Failure{Reason: UnknownCA, Step: "certificate", Err: err}
 	var invalid x509.CertificateInvalidError
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -14,8 +14,9 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Every fault ends as a connection that was never established, with its reason, and no byte of a request reaches the server; where the
-// handshake is sound the connection breaks afterwards.
+// TestFaults checks that each fault of a server ends as a connection that was never established, with
+// the right reason, and that no byte of a request reaches the server. If the handshake itself is sound,
+// the connection breaks afterwards.
 func TestFaults(t *testing.T) {
 	for _, f := range fake.Faults() {
 		t.Run(f.Kind, func(t *testing.T) {
@@ -34,13 +35,13 @@
 				t.Fatal(err)
 			}
 			defer bad.Close()
-			// Time enough for all but those that never come to an end.
+			// Enough time for all faults but those that never end.
 			within := 5 * time.Second
 			if f.Reason == string(TimedOut) {
 				within = 100 * time.Millisecond
 			}
 			c := e.dial(bad.Addr(), within)
-			late := f.Reason == string(RejectedByHost) // TLS 1.3: known only after this side's end of the handshake
+			late := f.Reason == string(RejectedByHost) // in TLS 1.3 known only after this side has finished the handshake
 			if f.SoundHandshake || late {
 				if c.err != nil {
 					t.Fatal(c.err)
@@ -48,19 +49,20 @@
 				c.write(openLine)
 				err := c.ended()
 				if late && (err.Stage != netio.Connecting || !strings.Contains(err.Error(), f.Reason)) || !late && err.Stage != netio.Up {
-					t.Errorf("ended by %v", err)
+					t.Errorf("connection ended by %v, want reason %s, at stage %v only if late (%t)", err, f.Reason, netio.Connecting, late)
 				}
 			} else if string(c.reason()) != f.Reason || c.err.Stage != netio.Connecting {
-				t.Errorf("got %v, want %s", c.err, f.Reason)
+				t.Errorf("dial failed with %v, want %s at stage %v", c.err, f.Reason, netio.Connecting)
 			}
 			if n := bad.RequestBytes.Load(); n > 0 || bad.Connections.Load() == 0 {
-				t.Errorf("%d bytes of requests were seen on %d connections", n, bad.Connections.Load())
+				t.Errorf("the server saw %d bytes of requests on %d connections, want 0 bytes on at least 1", n, bad.Connections.Load())
 			}
 		})
 	}
 }
 
-// A TLS 1.2 server is used where the operators allow it, and a URI name has to match to the letter.
+// TestOldVersionAndURI checks that a TLS 1.2 server is accepted if the operators allow it, and that a URI
+// name must match exactly.
 func TestOldVersionAndURI(t *testing.T) {
 	e := newEnv(t, func(e *env) { e.opt.MinVersion, e.opt.Pattern, e.opt.URI = "1.2", "", "spiffe://valley/{zone}/{uid}" })
 	for uri, want := range map[string]Reason{"spiffe://valley/a/s1": "", "spiffe://valley/a/s10": WrongName} {
@@ -71,12 +73,13 @@
 		config.MaxVersion = tls.VersionTLS12
 		c := e.dial(e.newServer(config).Addr(), 5*time.Second)
 		if c.reason() != want || want == "" && c.err != nil {
-			t.Errorf("%s: %v", uri, c.err)
+			t.Errorf("dial to a server named %s: error %v, want reason %q", uri, c.err, want)
 		}
 	}
 }
 
-// Certificates and sessions are valid by the wall clock; a step that is undone leaves nothing behind.
+// TestClockSteps checks that certificates and sessions are verified by the wall clock, and that a step of
+// the clock that is undone has no lasting effect.
 func TestClockSteps(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
@@ -86,12 +89,13 @@
 	}{{0, ""}, {2 * time.Hour, Expired}, {0, ""}, {-2 * time.Hour, NotYetValid}, {0, ""}} {
 		e.clockSkew.Store(int64(x.skew))
 		if c := e.dial(s.Addr(), 5*time.Second); c.reason() != x.want || x.want == "" && c.err != nil {
-			t.Errorf("step %d: %v, want %q", i, c.err, x.want)
+			t.Errorf("step %d, clock ahead by %v: error %v, want reason %q", i, x.skew, c.err, x.want)
 		}
 	}
 }
 
-// Faults of the proxy's own files are distinguished from those of hosts, before any host is connected to.
+// TestOwnFaults checks that faults of the proxy's own files are distinguished from those of hosts, and
+// found before any host is connected to.
 func TestOwnFaults(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		if _, err := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
@@ -106,19 +110,19 @@
 		e.clockSkew.Store(int64(skew))
 		c := e.dial(s.Addr(), 5*time.Second)
 		if c.reason() != want || want != "" && !want.IsOwnFault() {
-			t.Errorf("after %v: %v, want %q", skew, c.err, want)
+			t.Errorf("dial after %v: error %v, want reason %q", skew, c.err, want)
 		}
 	}
-	// The server's side of a handshake may end after the client's.
+	// The server may finish a handshake after the client.
 	for end := time.Now().Add(5 * time.Second); len(s.Handshakes()) == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(s.Handshakes()); n != 1 {
-		t.Errorf("%d handshakes", n)
+		t.Errorf("the server saw %d handshakes, want 1", n)
 	}
 }
 
-// All that is wrong with the files is in the error, and nothing secret.
+// TestFilesThatCannotBeUsed checks that Load reports each fault of the files, without the key or its password.
 func TestFilesThatCannotBeUsed(t *testing.T) {
 	e := newEnv(t, nil)
 	pair, _ := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
@@ -152,16 +156,16 @@
 		x.change(&o)
 		_, err := Load(o, 1)
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "secret words") || strings.Contains(err.Error(), string(key[40:60])) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("Load with %s: error %v, want %q and no secret", what, err, x.want)
 		}
 	}
 	o := good
 	o.Key, o.KeyPasswordFile = e.file("c.key", crypted), e.file("word", []byte("secret words\n"))
 	if _, err := Load(o, 1); err != nil {
-		t.Errorf("the right password: %v", err)
+		t.Errorf("Load with the right password: %v", err)
 	}
 	os.Chmod(good.Key, 0o640)
 	if _, err := Load(good, 1); !errors.Is(err, certs.ErrKeyPermissions) {
-		t.Errorf("a key that others may read: %v", err)
+		t.Errorf("Load with a key that others may read: error %v, want %v", err, certs.ErrKeyPermissions)
 	}
 }
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -15,11 +15,11 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Material is the content of the files, complete and consistent. It never changes; a replacement is another Material of a higher epoch, and what
-// was verified or cached in one epoch does not count in another.
+// Material is the complete and consistent content of the files. It is immutable; a replacement has a
+// higher epoch. Verifications and sessions of one epoch are not valid in another.
 type Material struct {
 	Epoch               uint64
-	NotAfter            time.Time // when the first part that all connections need ends: the own certificate, a revocation list
+	NotAfter            time.Time // the earliest end of the own certificate and the revocation lists; zero without either
 	digest              [sha256.Size]byte
 	options             Options
 	roots               *x509.CertPool
@@ -32,28 +32,29 @@
 	verified map[verifiedChain]validity
 }
 
-// revocationList is a revocation list, whose signature was verified.
+// revocationList is a certificate revocation list whose signature was verified.
 type revocationList struct {
 	file       string
-	issuer     []byte // raw subject
-	keyID      []byte
+	issuer     []byte // raw subject of the authority
+	keyID      []byte // key identifier of the authority; may be empty
 	nextUpdate time.Time
-	revoked    map[string]bool // by serial
+	revoked    map[string]bool // by decimal serial number
 }
 
-// verifiedChain is a chain as it was shown, with the name it was verified for.
+// verifiedChain is the key of a cached verification: the presented chain and the name it was verified for.
 type verifiedChain struct {
 	name        Name
-	chainDigest [sha256.Size]byte
+	chainDigest [sha256.Size]byte // of the raw certificates, in the order presented
 }
 
-// validity is the time within which a verification is valid.
+// validity is the period in which a verified chain is valid, both ends included.
 type validity struct{ from, until time.Time }
 
-// maxVerifiedChains bounds the verified chains that are cached; a host shows one, or two in a rotation.
+// maxVerifiedChains is the maximum number of cached verifications. A host presents one chain, or two
+// during a rotation.
 const maxVerifiedChains = 1024
 
-// Load reads all files. It gives all that is wrong with them, in one error.
+// Load reads all files that o names. Its error joins all faults found in them.
 func Load(o Options, epoch uint64) (*Material, error) {
 	l := &loader{material: &Material{Epoch: epoch, options: o, roots: x509.NewCertPool(), verified: map[verifiedChain]validity{}}, digest: sha256.New()}
 	for _, path := range o.Trust {
@@ -73,16 +74,18 @@
 	return l.material, nil
 }
 
-// loader collects material and all that is wrong with it.
+// loader collects the material and the faults found while loading it.
 type loader struct {
 	material *Material
 	roots    []*x509.Certificate
-	digest   hash.Hash // of all files, in their order
+	digest   hash.Hash // of the files, in the order read
 	faults   []error
 }
 
 func (l *loader) addFault(err error) { l.faults = append(l.faults, err) }
 
+// read returns the content of a file and adds it to the digest. It returns nil after an error, which it
+// adds to the faults.
 func (l *loader) read(path string) []byte {
 	data, err := certs.ReadFile(path)
 	if err != nil {
@@ -92,7 +95,7 @@
 	return data
 }
 
-// loadBundle loads the authorities of a file.
+// loadBundle loads the trusted authorities in a file.
 func (l *loader) loadBundle(path string) {
 	data := l.read(path)
 	if data == nil {
@@ -113,7 +116,7 @@
 	}
 }
 
-// loadRevocations loads the revocation lists of a file.
+// loadRevocations loads the revocation lists in a file. The bundles must be loaded before.
 func (l *loader) loadRevocations(path string) {
 	data := l.read(path)
 	if data == nil {
@@ -129,7 +132,7 @@
 	}
 }
 
-// loadCertificate loads the proxy's own certificate and key.
+// loadCertificate loads the proxy's own certificate chain and key.
 func (l *loader) loadCertificate(o Options) {
 	l.read(o.Certificate)
 	pair, err := certs.LoadPair(o.Certificate, o.Key, o.KeyPasswordFile)
@@ -155,13 +158,14 @@
 	m.limitNotAfter(m.certificateNotAfter)
 }
 
-// limitNotAfter notes the end of something that all connections need.
+// limitNotAfter lowers m.NotAfter to t if t is earlier.
 func (m *Material) limitNotAfter(t time.Time) {
 	if m.NotAfter.IsZero() || t.Before(m.NotAfter) {
 		m.NotAfter = t
 	}
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -169,6 +173,7 @@
 	return a
 }
 
+// hasExtKeyUsage reports whether c allows use. A certificate without extended key usages allows any.
 func hasExtKeyUsage(c *x509.Certificate, use x509.ExtKeyUsage) bool {
 	if len(c.ExtKeyUsage) == 0 && len(c.UnknownExtKeyUsage) == 0 {
 		return true
@@ -181,7 +186,8 @@
 	return false
 }
 
-// parseRevocationLists reads revocation lists, in PEM or DER. A list counts only under the signature of an authority in trust.
+// parseRevocationLists parses revocation lists in PEM or DER. It returns an error if there is none, or
+// if one is not signed by an authority in roots or has no end of validity.
 func parseRevocationLists(path string, data []byte, roots []*x509.Certificate) ([]revocationList, error) {
 	var lists []revocationList
 	for len(bytes.TrimSpace(data)) > 0 {
--- a/internal/dataplane/upstreamtls/options.go
+++ b/internal/dataplane/upstreamtls/options.go
@@ -1,10 +1,11 @@
-// Package upstreamtls is TLS from the proxy to its upstream hosts. It owns the files (trust, revocation, the client's pair)
-// and their replacement, what a host's certificate must be, the cached sessions, the handshakes, and the record
-// layer that netio drives on the loop. When a handshake may begin is decided by the package handshake.
+// Package upstreamtls opens TLS connections from the proxy to its upstream hosts. It loads and reloads
+// the files (trust bundles, revocation lists, the proxy's certificate and key), verifies the hosts'
+// certificates, caches sessions, runs the handshakes, and implements the record layer that netio drives
+// on the loop. Package handshake decides when a handshake may start.
 //
-// Handshakes run on a fixed set of workers beside the loop, on blocking sockets; an established connection is driven on the loop and has no
-// goroutine. There is no fallback to plain text: whatever goes wrong ends as a connection that was never established, before a byte of any
-// request was written.
+// Handshakes run on a fixed set of worker goroutines, on blocking sockets. An established connection is
+// driven on the loop and has no goroutine. There is no fallback to plain text: a failed handshake ends
+// as a connection that was never established, before a byte of any request was written.
 package upstreamtls
 
 import (
@@ -17,14 +18,14 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Options are what the operators' file says.
+// Options are the settings of the section "tls". The files are given by their paths.
 type Options struct {
 	Enabled                           bool
 	Trust, CRLs                       []string
 	Certificate, Key, KeyPasswordFile string
 	MinVersion                        string
-	Pattern, URI                      string            // the name a host must show; one of them
-	Names                             map[string]string // by uid, before the pattern
+	Pattern, URI                      string            // pattern of the name in a host's certificate; at most one is set
+	Names                             map[string]string // by uid; takes precedence over the pattern
 	KeyExchange                       []string
 	ResumeSessions                    bool
 	MaxSessions                       int
@@ -33,7 +34,8 @@
 	Handshakes                        handshake.Limits
 }
 
-// Defaults are the options without a file: off, and the safer choice wherever there is one.
+// Defaults returns the options without a settings file. TLS is off, and the other options have their
+// safer value.
 func Defaults() Options {
 	o := Options{MinVersion: "1.3", KeyExchange: []string{"x25519mlkem768", "x25519"}, ResumeSessions: true, MaxSessions: 256,
 		OnExpiry: "keep", Expiry: certexpiry.Policy{Before: 10 * time.Minute, MaxSharePerMinute: 0.1}, Handshakes: handshake.Defaults()}
@@ -41,10 +43,11 @@
 	return o
 }
 
+// keyExchanges maps the words of the settings file to key exchanges.
 var keyExchanges = map[string]tls.CurveID{"x25519mlkem768": tls.X25519MLKEM768, "x25519": tls.X25519, "p256": tls.CurveP256,
 	"p384": tls.CurveP384}
 
-// Section is the section of the settings file.
+// Section returns the section "tls" of the settings file. Its value is an Options.
 func Section() settings.Section {
 	return settings.Section{Name: "tls", Doc: "TLS to upstream hosts", Bind: func(f *settings.FieldSet) any {
 		o := Defaults()
@@ -102,14 +105,14 @@
 	}}
 }
 
-// isValidPattern reports whether a pattern has known placeholders only, and one that differs between hosts.
+// isValidPattern reports whether s has only known placeholders, and at least one that distinguishes hosts.
 func isValidPattern(s string) bool {
 	distinct := strings.Contains(s, "{uid}") || strings.Contains(s, "{host}")
 	rest := strings.NewReplacer("{uid}", "", "{zone}", "", "{host}", "").Replace(s)
 	return distinct && !strings.ContainsAny(rest, "{} \t")
 }
 
-// Files are all files that the options name.
+// Files returns the paths of all files that the options name.
 func (o *Options) Files() []string {
 	files := append(append([]string{}, o.Trust...), o.CRLs...)
 	for _, f := range []string{o.Certificate, o.Key, o.KeyPasswordFile} {
@@ -120,13 +123,14 @@
 	return files
 }
 
-// Name is what a host's certificate must bear.
+// Name is the name that a host's certificate must contain.
 type Name struct {
-	Text  string
+	Text  string // a DNS name, an IP address or a URI
 	IsURI bool
 }
 
-// ExpectedName gives the name for a host; ok is false where the options have none for it, so that no certificate fits.
+// ExpectedName returns the name that the certificate of a host must contain. ok is false if the options
+// specify none, in which case no certificate is accepted.
 func (o *Options) ExpectedName(uid, zone, host string) (name Name, ok bool) {
 	if n := o.Names[uid]; n != "" {
 		return Name{n, strings.Contains(n, "://")}, true
--- a/internal/dataplane/upstreamtls/peer.go
+++ b/internal/dataplane/upstreamtls/peer.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// tlsPeer is how to connect to one host in one epoch. It is made once and shared by all handshakes with the host.
+// tlsPeer is the TLS configuration for one host in one epoch. All handshakes with the host share it.
 type tlsPeer struct {
 	key             sessionKey
 	material        *Material
 	config          *tls.Config
 	cache           *sessionCache
 	wallClock       func() time.Time
-	chainValidUntil atomic.Int64 // of the chain that was last verified, Unix nanoseconds
+	chainValidUntil atomic.Int64 // end of the last verified chain, in Unix nanoseconds
 }
 
 func newTLSPeer(m *Material, uid string, name Name, cache *sessionCache, wallClock func() time.Time) *tlsPeer {
@@ -21,9 +21,9 @@
 	p.config = &tls.Config{
 		Time:       wallClock,
 		MinVersion: tls.VersionTLS13,
-		// Verification is this package's own: see verify, which runs on every handshake, resumed ones included. Go's would
-		// know neither URI names nor revocation lists, and would look for a host name in a resumed session's chain that
-		// was verified for a URI.
+		// This package verifies certificates itself, in verify, on every handshake, including resumed ones.
+		// crypto/tls checks neither URI names nor revocation lists, and would look for a host name in the
+		// chain of a resumed session that was verified for a URI.
 		InsecureSkipVerify: true,
 		VerifyConnection:   p.verify,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -32,7 +32,7 @@
 			}
 			return m.certificate, nil
 		},
-		// Lines are short: a record each, not several for the longer ones.
+		// Lines are short. Without dynamic sizing a longer line also fits one record.
 		DynamicRecordSizingDisabled: true,
 		Renegotiation:               tls.RenegotiateNever,
 	}
@@ -53,7 +53,7 @@
 	return p
 }
 
-// verify judges the host's certificates, in every handshake.
+// verify verifies the host's certificates. crypto/tls calls it in every handshake, including resumed ones.
 func (p *tlsPeer) verify(cs tls.ConnectionState) error {
 	until, err := p.material.Verify(cs.PeerCertificates, p.key.name, p.wallClock())
 	if err == nil {
@@ -62,24 +62,24 @@
 	return err
 }
 
-// Get and Put make it the cache of its own sessions: what crypto/tls would take for the key is a name or an address,
-// which two hosts or two epochs can share.
+// Get returns the cached session for this peer. With Put it implements tls.ClientSessionCache. The key of
+// crypto/tls is ignored: it is a name or an address, which two hosts or two epochs can share.
 func (p *tlsPeer) Get(string) (*tls.ClientSessionState, bool) {
 	s := p.cache.get(p.key, p.wallClock())
 	return s, s != nil
 }
 
-// Put caches a session that the host has offered.
+// Put caches a session that the host has offered. A nil session removes the cached one.
 func (p *tlsPeer) Put(_ string, s *tls.ClientSessionState) {
 	p.cache.put(p.key, s, time.Unix(0, p.chainValidUntil.Load()))
 }
 
-// resumable reports whether there is a session to resume.
+// resumable reports whether the next handshake can resume a cached session.
 func (p *tlsPeer) resumable() bool {
 	return p.config.ClientSessionCache != nil && p.cache.get(p.key, p.wallClock()) != nil
 }
 
-// notAfter is when the first certificate of either side of a new connection notAfter.
+// notAfter returns the earliest end of the certificates of either side of a new connection.
 func (p *tlsPeer) notAfter() time.Time {
 	t := time.Unix(0, p.chainValidUntil.Load())
 	if p.material.certificate != nil {
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// Files are replaced at once, in place, half written, and in the wrong order. What can't be used changes nothing and is logged once; what
-// can is in use from the next poll on.
+// TestWatcher replaces files atomically, in place, half written and in the wrong order. Files that cannot
+// be used must change nothing and be logged once; others must be in use from the next poll on.
 func TestWatcher(t *testing.T) {
 	e := newEnv(t, func(e *env) {
 		e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
@@ -29,24 +29,24 @@
 		t.Helper()
 		next := w.poll(false, time.Now())
 		if (next != nil) != want {
-			t.Fatalf("new material: %t, want %t; the last fault is %q", next != nil, want, w.lastFault)
+			t.Fatalf("poll returned new material: %t, want %t; last fault %q", next != nil, want, w.lastFault)
 		}
 		return next
 	}
 	poll(false)
-	// In place, and read while half of it is there.
+	// A bundle written in place is read when only part of it is written.
 	bundle := append(certs.EncodeBundle(e.pki.Trusted.Root.Cert), certs.EncodeBundle(e.pki.Other.Root.Cert)...)
 	os.WriteFile(e.opt.Trust[0], bundle[:len(bundle)-100], 0o644)
 	poll(false)
 	if !strings.Contains(w.lastFault, "half written") {
-		t.Errorf("the last fault is %q", w.lastFault)
+		t.Errorf("last fault = %q, want one that contains %q", w.lastFault, "half written")
 	}
 	os.WriteFile(e.opt.Trust[0], bundle, 0o644)
 	if next := poll(true); next.authorities != 2 || next.Epoch != 2 || w.lastFault != "" {
-		t.Errorf("%d authorities, epoch %d", next.authorities, next.Epoch)
+		t.Errorf("new material has %d authorities, epoch %d, last fault %q; want 2, epoch 2, no fault", next.authorities, next.Epoch, w.lastFault)
 	}
 	poll(false)
-	// A certificate whose key comes later.
+	// A certificate is replaced before its key.
 	pair, _ := e.pki.Other.Issue(certs.Spec{Name: "new", Client: true})
 	certs.ReplaceFile(e.opt.Certificate, pair.PEM(), 0o644)
 	poll(false)
@@ -55,7 +55,7 @@
 	if next := poll(true); next.certificate.Leaf.SerialNumber.Cmp(pair.Cert.SerialNumber) != 0 {
 		t.Error("the new certificate is not in use")
 	}
-	// The same content under a new inode is no replacement.
+	// The same content in a new inode is not a replacement.
 	certs.ReplaceFile(e.opt.Key, key, 0o600)
 	poll(false)
 	os.Remove(e.opt.Key)
@@ -64,7 +64,7 @@
 	poll(false)
 }
 
-// A session of an old trust bundle, or of another name, is never resumed.
+// TestReuseEndsWithItsEpoch checks that a session of an earlier epoch, or of another name, is never resumed.
 func TestReuseEndsWithItsEpoch(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
@@ -76,7 +76,7 @@
 		return reused
 	}
 	if resumed() || !resumed() {
-		t.Fatal("sessions are not reused")
+		t.Fatal("want a full handshake, then a resumed one")
 	}
 	fake.SaveTrust(e.dir, e.pki.Trusted, e.pki.Other)
 	m, err := Load(e.opt, 2)
@@ -92,16 +92,17 @@
 	}
 	o := e.opt
 	o.Names = map[string]string{"s1": "s2.test"}
-	if m, err = Load(o, 2); err != nil { // the same epoch, so that only the name is another
+	if m, err = Load(o, 2); err != nil { // the same epoch, so that only the name differs
 		t.Fatal(err)
 	}
 	e.onLoop(func() { e.dialer.SetMaterial(m) })
 	if c := e.dial(s.Addr(), 5*time.Second); c.reason() != WrongName {
-		t.Errorf("under another name: %v", c.err)
+		t.Errorf("dial under another name: error %v, want %q", c.err, WrongName)
 	}
 }
 
-// A trust bundle without the host's authority ends resumption and new connections, and leaves open ones alone.
+// TestTrustWithdrawn checks that a trust bundle without the host's authority ends resumption and new
+// connections, and does not affect open ones.
 func TestTrustWithdrawn(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
@@ -113,13 +114,14 @@
 	}
 	e.onLoop(func() { e.dialer.SetMaterial(m) })
 	if c := e.dial(s.Addr(), 5*time.Second); c.reason() != UnknownCA {
-		t.Errorf("got %v", c.err)
+		t.Errorf("dial to a host that is no longer trusted: error %v, want %q", c.err, UnknownCA)
 	}
 	c.write("M\r\n")
 	c.read("GOT M\r\n")
 }
 
-// A server with new ticket keys, and none of the old ones, costs a full handshake and nothing else.
+// TestTicketKeysChanged checks that a server that replaces its ticket keys causes one full handshake and
+// no failure.
 func TestTicketKeysChanged(t *testing.T) {
 	e := newEnv(t, nil)
 	config, _ := e.pki.Trusted.NewServerTLSConfig(hostName)
@@ -135,12 +137,13 @@
 		c := e.openRequest(s.Addr())
 		e.onLoop(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
 		if last.DidResume != (i == 1 || i == 3) {
-			t.Errorf("connection %d: resumed %t", i, last.DidResume)
+			t.Errorf("connection %d: resumed %t, want %t", i, last.DidResume, !last.DidResume)
 		}
 	}
 }
 
-// The cache drops the session used longest ago, and what has ended.
+// TestCacheIsBounded checks that the cache evicts the least recently used session, and removes sessions
+// whose certificates have expired or that the host withdrew.
 func TestCacheIsBounded(t *testing.T) {
 	c := newSessionCache(2)
 	now := time.Now()
@@ -149,19 +152,19 @@
 		c.put(key(uid), &tls.ClientSessionState{}, now.Add(time.Hour))
 	}
 	if c.len() != 2 || c.get(key("b"), now) != nil || c.get(key("a"), now) == nil {
-		t.Error("another one than that used longest ago was dropped")
+		t.Errorf("after a, b, a, c the cache of 2 holds %d sessions, a: %t, b: %t; want 2, a and not b", c.len(), c.get(key("a"), now) != nil, c.get(key("b"), now) != nil)
 	}
 	if c.get(key("a"), now.Add(2*time.Hour)) != nil || c.len() != 1 {
-		t.Error("a session outlived its certificate")
+		t.Errorf("cache holds %d sessions, want 1 after the certificate of the other expired", c.len())
 	}
 	c.put(key("c"), nil, now)
 	if c.len() != 0 {
-		t.Error("a session that the host withdrew is still cached")
+		t.Errorf("cache holds %d sessions, want 0 after the host withdrew the last", c.len())
 	}
 }
 
-// A certificate that ends while its connection is open ends neither the connection nor its lines: whether it migrates is for the policy to
-// say, by what Expires gives.
+// TestExpiresInMidConnection checks that a connection stays usable after its certificate has expired. The
+// expiry policy decides whether to migrate it, using Expires.
 func TestExpiresInMidConnection(t *testing.T) {
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
@@ -170,11 +173,12 @@
 	c.write("M\r\n")
 	c.read("GOT M\r\n")
 	if d := e.dial(s.Addr(), 5*time.Second); d.reason() != Expired {
-		t.Errorf("a new connection: %v", d.err)
+		t.Errorf("dial after the certificate expired: error %v, want %q", d.err, Expired)
 	}
 }
 
-// FuzzRevocationLists: bytes give lists or an error, never a panic.
+// FuzzRevocationLists checks that any input is parsed into revocation lists or causes an error, without a
+// panic.
 func FuzzRevocationLists(f *testing.F) {
 	pki, err := fake.NewPKI(hostName)
 	if err != nil {
@@ -189,7 +193,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		lists, err := parseRevocationLists("f", data, []*x509.Certificate{pki.Trusted.Root.Cert})
 		if err == nil && len(lists) == 0 {
-			t.Error("nothing, and no error")
+			t.Errorf("parseRevocationLists(%q) = no list and no error", data)
 		}
 	})
 }
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -11,41 +11,43 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// maxSealedBytes bounds the bytes of a connection that are not decrypted yet: what netpoll reads at once while the input is at its limit.
-// crypto/tls buffers one record more.
+// maxSealedBytes is the maximum number of bytes of a connection that are not decrypted yet: what the
+// poller reads at once while the input is at its limit. crypto/tls buffers one record more.
 const maxSealedBytes = 128 << 10
 
-// handshakeReadSize is how much, in bytes, is read at once during the handshake.
+// handshakeReadSize is the size of a read during the handshake, in bytes.
 const handshakeReadSize = 4 << 10
 
-// session is an established connection's record layer. crypto/tls does the work; instead of a socket it has a sealedSocket,
-// which returns a temporary error where a socket would block. crypto/tls keeps what it has read of a record and continues.
-// After the handshake everything happens on the loop.
+// session is the record layer of an established connection. It runs crypto/tls on a sealedSocket, which
+// returns a temporary error when a socket would block; crypto/tls keeps the part of a record that it has
+// read and continues later. After the handshake all methods are called on the loop.
 type session struct {
 	socket              *sealedSocket
 	tlsConn             *tls.Conn
 	resumed             bool
-	certificateNotAfter time.Time                   // the first end of a certificate of either side
-	dataReceived        bool                        // application data has come
-	mayHaveBuffered     bool                        // crypto/tls may have decrypted more than the last call of Open took
-	onFailure           func(f *Failure, late bool) // called once at an end that is not in order; may be nil
+	certificateNotAfter time.Time                   // the earliest end of the certificates of either side
+	dataReceived        bool                        // application data was received
+	mayHaveBuffered     bool                        // crypto/tls may have decrypted more than the last call of Open returned
+	onFailure           func(f *Failure, late bool) // called at most once, if the connection breaks; may be nil
 }
 
 var _ netio.Layer = (*session)(nil)
 
-// Expires is when the first certificate of either side ends.
+// Expires returns the earliest end of the certificates of either side.
 func (s *session) Expires() time.Time { return s.certificateNotAfter }
 
-// Attach gives the session its way to send once its handshake is done.
+// Attach sets the function that sends encrypted bytes. It is called once, after the handshake.
 func (s *session) Attach(send func(p []byte)) { s.socket.attach(send) }
 
-// Receive buffers bytes of the socket's until they are decrypted; false: more than it may buffer.
+// Receive buffers bytes from the socket until they are decrypted. It returns false if they exceed the
+// limit of the buffer.
 func (s *session) Receive(p []byte) bool { return s.socket.sealed.Append(p) == len(p) }
 
-// Open gives what can be decrypted now.
+// Open decrypts into p what can be decrypted now, and returns the number of bytes. It returns 0, nil if
+// no complete record has arrived.
 func (s *session) Open(p []byte) (int, error) {
 	if !s.mayHaveBuffered && !s.socket.hasCompleteRecord() {
-		return 0, nil // crypto/tls would allocate an error for that, for every line
+		return 0, nil // crypto/tls would allocate an error, for every line
 	}
 	n, err := s.tlsConn.Read(p)
 	s.dataReceived = s.dataReceived || n > 0
@@ -68,63 +70,67 @@
 	return n, err
 }
 
-// lateRejection is a handshake that the host rejected after this side had finished it. In TLS 1.3 a client is done before the server has seen
-// its certificate, and may have sent its request by then. The server reads no request of a connection whose handshake it rejects, so it cannot
-// have acted on it.
+// lateRejection is the error of a handshake that the host rejected after this side had finished it. In
+// TLS 1.3 a client finishes before the server has seen its certificate, and may have sent its request
+// by then. The server reads no request on a connection whose handshake it rejects, so it cannot have
+// acted on the request.
 type lateRejection struct{ *Failure }
 
-// Unwrap gives the failure.
+// Unwrap returns the failure.
 func (l *lateRejection) Unwrap() error { return l.Failure }
 
-// RefusedBeforeRead is true: the host has read nothing of this connection.
+// RefusedBeforeRead returns true, because the host has read no application data of this connection.
 func (l *lateRejection) RefusedBeforeRead() bool { return true }
 
-// Seal encrypts and sends.
+// Seal encrypts and sends p.
 func (s *session) Seal(p []byte) error {
 	_, err := s.tlsConn.Write(p)
 	return err
 }
 
-// End sends TLS's own end.
+// End sends TLS's close_notify alert.
 func (s *session) End() { s.tlsConn.CloseWrite() }
 
-// Buffered is how many bytes are not decrypted yet.
+// Buffered returns the number of bytes that are not decrypted yet.
 func (s *session) Buffered() int { return s.socket.sealed.Len() }
 
-// errWouldBlock is the error of a socket that must not block. crypto/tls continues after errors that are temporary.
+// errWouldBlock is returned if a read would block. crypto/tls can continue after a temporary error.
 var errWouldBlock error = wouldBlock{}
 
+// wouldBlock is a temporary net.Error.
 type wouldBlock struct{}
 
-// Error says that there is no more for now.
+// Error returns a text for the log.
 func (wouldBlock) Error() string { return "no more for now" }
 
-// Timeout says that no time is over.
+// Timeout returns false, since no deadline has passed.
 func (wouldBlock) Timeout() bool { return false }
 
-// Temporary has crypto/tls go on later.
+// Temporary returns true, so that crypto/tls can continue later.
 func (wouldBlock) Temporary() bool { return true }
 
-// sealedSocket is the net.Conn below crypto/tls: a socket during the handshake, which counts what this side computes between
-// waits, and two ends of the loop afterwards.
+// sealedSocket is the net.Conn below crypto/tls. During the handshake it reads from and writes to a
+// blocking socket, and measures the time that this side computes between reads. Afterwards it reads
+// from a buffer that the loop fills, and writes through the loop.
 type sealedSocket struct {
-	handshakeConn  net.Conn
-	computeToken   chan struct{} // held while this side computes
-	hasToken       bool          // it is held
-	received       bool          // something has come
-	computingSince time.Time     // since when this side computes
-	computeTime    time.Duration
-
-	sealed          netio.Buffer // sealed, not opened
-	recordRemaining int          // of the record that crypto/tls has a part of
-	send            func(p []byte)
+	handshakeConn  net.Conn      // nil after the handshake
+	computeToken   chan struct{} // shared by all handshakes; held while this side computes
+	hasToken       bool          // whether this socket holds computeToken
+	received       bool          // whether any byte was received
+	computingSince time.Time     // when hasToken was last set
+	computeTime    time.Duration // computed so far in the handshake
+
+	sealed          netio.Buffer   // received, not yet read by crypto/tls
+	recordRemaining int            // bytes of the current record that crypto/tls has not read
+	send            func(p []byte) // nil until attach
 }
 
-// A record begins with its type, a version and the length of what follows.
+// recordHeaderLength is the length of a TLS record header, in bytes: the type, the version and the
+// length of what follows.
 const recordHeaderLength = 5
 
-// nextReadLimit is how much crypto/tls may read next: no more than one record at a time, so that it never buffers part of the next one and what is
-// left to decrypt is known here.
+// nextReadLimit returns how many bytes crypto/tls may read next. It is at most the rest of one record,
+// so that crypto/tls never buffers part of the next and the bytes left to decrypt are known here.
 func (w *sealedSocket) nextReadLimit() int {
 	if w.recordRemaining > 0 {
 		return w.recordRemaining
@@ -135,13 +141,14 @@
 	return recordHeaderLength
 }
 
-// hasCompleteRecord reports whether a complete record, or all that is left of one, has come.
+// hasCompleteRecord reports whether a complete record, or the rest of the current one, was received.
 func (w *sealedSocket) hasCompleteRecord() bool { return w.sealed.Len() >= w.nextReadLimit() }
 
-// attach has the socket send by send, and read nothing but what is appended to sealed.
+// attach ends the use of the handshake socket. From then on Write calls send, and Read reads from sealed.
 func (w *sealedSocket) attach(send func(p []byte)) { w.handshakeConn, w.send = nil, send }
 
-// Read gives crypto/tls at most the rest of one record.
+// Read reads at most the rest of one record. After the handshake it returns errWouldBlock if too few
+// bytes are buffered.
 func (w *sealedSocket) Read(p []byte) (int, error) {
 	for w.sealed.Len() < min(recordHeaderLength, w.nextReadLimit()) {
 		if w.handshakeConn == nil {
@@ -164,10 +171,10 @@
 	return n, nil
 }
 
-// Write sends what crypto/tls has sealed.
+// Write sends bytes that crypto/tls has encrypted.
 func (w *sealedSocket) Write(p []byte) (int, error) {
 	if w.handshakeConn != nil {
-		return w.handshakeConn.Write(p) // it fits the kernel's buffer
+		return w.handshakeConn.Write(p) // does not block: a handshake fits the kernel's buffer
 	}
 	if w.send == nil {
 		return 0, io.ErrClosedPipe
@@ -176,15 +183,15 @@
 	return len(p), nil
 }
 
-// acquireToken waits for the one token to compute, so that the loop, when it wakes, has one piece of a handshake before it in Go's run queue and
-// not as many as are in flight.
+// acquireToken waits for the token that allows one handshake at a time to compute. When the loop wakes,
+// it then waits in Go's run queue for a step of one handshake, and not for one of each in flight.
 func (w *sealedSocket) acquireToken() {
 	w.computeToken <- struct{}{}
 	w.hasToken = true
 	w.computingSince = time.Now()
 }
 
-// releaseToken gives the token back, and lets the loop run first.
+// releaseToken returns the token, if it is held, and yields so that the loop can run first.
 func (w *sealedSocket) releaseToken() {
 	if !w.hasToken {
 		return
@@ -195,20 +202,21 @@
 	runtime.Gosched()
 }
 
-// Close is part of net.Conn. Of what follows crypto/tls uses the address alone, for a cache key that is not used.
+// Close implements net.Conn and does nothing. Of this and the methods below, crypto/tls calls only
+// RemoteAddr, for a session key that tlsPeer ignores.
 func (w *sealedSocket) Close() error { return nil }
 
-// LocalAddr is part of net.Conn.
+// LocalAddr implements net.Conn and returns an empty address.
 func (w *sealedSocket) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr is part of net.Conn.
+// RemoteAddr implements net.Conn and returns an empty address.
 func (w *sealedSocket) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-// SetDeadline is part of net.Conn.
+// SetDeadline implements net.Conn and does nothing.
 func (w *sealedSocket) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline is part of net.Conn.
+// SetReadDeadline implements net.Conn and does nothing.
 func (w *sealedSocket) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline is part of net.Conn.
+// SetWriteDeadline implements net.Conn and does nothing.
 func (w *sealedSocket) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/dataplane/upstreamtls/verify.go
+++ b/internal/dataplane/upstreamtls/verify.go
@@ -11,7 +11,7 @@
 	"croftlock/internal/operations/certs"
 )
 
-// OwnFault is what is wrong with the proxy's own files now; nil: nothing.
+// OwnFault returns the fault of the proxy's own files at now, or nil if they can be used.
 func (m *Material) OwnFault(now time.Time) *Failure {
 	if m.authorities == 0 {
 		return &Failure{Reason: OwnTrustUnusable, Step: "queue", Err: errors.New("no authority is trusted")}
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// Verify gives until when a host that shows these certificates counts as the one of that name; an error: it does not. A chain's signatures are
-// verified once for each epoch and name; its times every time.
+// Verify verifies the chain that a host presented, leaf first, for a name, and returns until when it is
+// valid. The signatures of a chain are verified once for each epoch and name; its period of validity is
+// checked every time. Verify may be called from any goroutine.
 func (m *Material) Verify(presented []*x509.Certificate, name Name, now time.Time) (time.Time, error) {
 	if len(presented) == 0 {
 		return time.Time{}, newCertificateFailure(NoCertificate, "the host showed none")
@@ -52,13 +53,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.verified) >= maxVerifiedChains {
-		clear(m.verified) // they are verified again
+		clear(m.verified) // they are verified again when needed
 	}
 	m.verified[key] = valid
 	return valid.until, nil
 }
 
-// verify verifies a chain without the cache.
+// verify verifies a chain without using the cache.
 func (m *Material) verify(presented []*x509.Certificate, name Name, now time.Time) (validity, error) {
 	leaf := presented[0]
 	if w := certs.Weakness(leaf); w != "" {
@@ -83,7 +84,7 @@
 	if err := verifyName(leaf, name); err != nil {
 		return validity{}, err
 	}
-	// One valid chain is enough; without one the reason is that of the last.
+	// One valid chain is enough. If there is none, the error is that of the last.
 	for _, chain := range chains {
 		var valid validity
 		if valid, err = m.checkChain(chain); err == nil {
@@ -93,7 +94,7 @@
 	return validity{}, err
 }
 
-// verifyName gives an error where a certificate is not for a name.
+// verifyName returns an error if a certificate is not issued for name.
 func verifyName(leaf *x509.Certificate, name Name) error {
 	if !name.IsURI {
 		if err := leaf.VerifyHostname(name.Text); err != nil {
@@ -109,7 +110,8 @@
 	return newCertificateFailure(WrongName, "certificate for the URIs %v, expected %s", leaf.URIs, name.Text)
 }
 
-// checkChain looks at a chain whose signatures are valid: its times, keys and revocations.
+// checkChain checks the keys and revocations of a chain whose signatures are valid, and returns the
+// period in which all its certificates are valid.
 func (m *Material) checkChain(chain []*x509.Certificate) (validity, error) {
 	valid := validity{chain[0].NotBefore, chain[0].NotAfter}
 	for i, c := range chain {
--- a/internal/dataplane/upstreamtls/watch.go
+++ b/internal/dataplane/upstreamtls/watch.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// filePollInterval is how often the files are polled: a replacement has to be in use within 2 s.
+	// filePollInterval is the interval between polls. Replaced files must be in use within 2 s.
 	filePollInterval = 500 * time.Millisecond
-	// rereadAfterChange is how long after a change the files are read again whether or not they seem to have changed: two writes
-	// in one tick of the file system's clock look like one.
+	// rereadAfterChange is how long after a change each poll reads the files, even if they seem
+	// unchanged: two writes in one tick of the file system's clock look like one.
 	rereadAfterChange = 3 * time.Second
 )
 
-// reload has the watcher poll now, with other options if there are any.
+// reload is a request to poll at once. The options replace those in use, unless they are nil.
 type reload struct{ options *Options }
 
-// Reload has the files read again at once, by the options given or, for nil, by those in use. Whether hosts are reached
-// by TLS, and the workers and the budget, stay as they are until the next start. It may be called from any goroutine.
+// Reload reads the files again at once, with the options o or, if o is nil, with those in use. It does
+// not wait for the result. Enabled, Handshakes and MaxSessions keep their values until the next start.
+// Reload may be called from any goroutine.
 func (d *Dialer) Reload(o *Options) {
 	for {
 		select {
@@ -30,13 +31,13 @@
 		default:
 		}
 		select {
-		case <-d.reloads: // the newer one replaces it
+		case <-d.reloads: // replaced by the newer request
 		default:
 		}
 	}
 }
 
-// watch polls the files for as long as the program runs, beside the loop.
+// watch polls the files until the process exits, in its own goroutine.
 func (d *Dialer) watch(m *Material) {
 	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
@@ -58,16 +59,17 @@
 	}
 }
 
-// watcher knows the files as they were last seen.
+// watcher detects changes of the files.
 type watcher struct {
 	current     *Material
 	options     Options
 	fingerprint string
 	changedAt   time.Time
-	lastFault   string // the fault that was last logged; "": there is none
+	lastFault   string // the last logged fault, or "" if the files could be used
 }
 
-// poll gives new material where the files have changed and can be used; nil: what is in use stays.
+// poll returns new material if the files or the options have changed and can be used, and nil otherwise.
+// It logs a fault once, until it changes. wall is the wall-clock time.
 func (w *watcher) poll(force bool, wall time.Time) *Material {
 	now := time.Now()
 	if s := fileFingerprint(w.options.Files()); s != w.fingerprint {
@@ -93,7 +95,7 @@
 	return m
 }
 
-// describeTime is a moment with the time left until it.
+// describeTime returns a time and how long it is from now, or "no_end" if it is zero.
 func describeTime(t, now time.Time) string {
 	if t.IsZero() {
 		return "no_end"
@@ -104,7 +106,7 @@
 // sameOptions reports whether two sets of options are equal.
 func sameOptions(a, b Options) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// fileFingerprint differs between versions of the files; it does not read them.
+// fileFingerprint returns a text that differs between versions of the files, without reading them.
 func fileFingerprint(files []string) string {
 	var b strings.Builder
 	for _, f := range files {
--- a/internal/dataplane/upstreamtls/worker.go
+++ b/internal/dataplane/upstreamtls/worker.go
@@ -16,19 +16,19 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// handshakeJob is one handshake on a worker.
+// handshakeJob is a handshake for a worker to run.
 type handshakeJob struct {
 	requestID uint64
 	peer      *tlsPeer
 	address   string
 	deadline  time.Time
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards conn and aborted, which the loop and the worker use
 	conn    net.Conn
 	aborted bool
 }
 
-// abort ends the handshake from the loop.
+// abort ends the handshake. It is called on the loop.
 func (j *handshakeJob) abort() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// runWorker is a worker, for good.
+// runWorker runs handshakes until the process exits.
 func (d *Dialer) runWorker() {
 	for j := range d.jobs {
 		s, fd, computeTime, f := j.run(d.computeToken)
@@ -46,7 +46,8 @@
 	}
 }
 
-// run connects and does the handshake. It gives the session and its socket, which nothing else watches.
+// run connects and runs the handshake. It returns the session and its socket, which no poller watches,
+// or a failure and the descriptor -1. computeTime is the time this side spent computing.
 func (j *handshakeJob) run(computeToken chan struct{}) (s *session, fd int, computeTime time.Duration, f *Failure) {
 	w := &sealedSocket{computeToken: computeToken, sealed: netio.NewBuffer(maxSealedBytes)}
 	defer func() {
@@ -97,7 +98,7 @@
 	return s, fd, 0, nil
 }
 
-// detachSocket gives a descriptor of the socket that Go's own poller does not watch.
+// detachSocket returns a duplicate descriptor of the socket, which Go's poller does not watch.
 func detachSocket(c *net.TCPConn) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -110,14 +111,14 @@
 	return fd, err
 }
 
-// handshakeEnded handles a worker's result.
+// handshakeEnded handles the result of a job on the loop. The dial may have ended meanwhile.
 func (d *Dialer) handshakeEnded(j *handshakeJob, s *session, fd int, computeTime time.Duration, f *Failure) {
 	d.counts.cpu += computeTime
 	d.budget.Done(d.loop.Now(), j.requestID, s != nil && s.resumed, computeTime, f == nil)
 	dial := d.dials[j.requestID]
 	switch {
 	case dial == nil && f == nil:
-		unix.Close(fd) // dropped meanwhile: nothing was sent on it
+		unix.Close(fd) // the dial was cancelled or timed out; no request was sent
 	case dial == nil:
 	case f != nil:
 		dial.fail(f)
@@ -137,7 +138,8 @@
 	d.startAllowed()
 }
 
-// stillTrusted reports whether a host that was verified in an epoch that ended during the handshake is valid in the new one.
+// stillTrusted reports whether a host that was verified in an earlier epoch, which ended during the
+// handshake, is also valid in the current one.
 func (d *Dialer) stillTrusted(p *tlsPeer, s *session) bool {
 	_, err := d.material.Verify(s.tlsConn.ConnectionState().PeerCertificates, p.key.name, d.wallClock())
 	return err == nil
