--- a/internal/dataplane/hotrestart/endpoint.go
+++ b/internal/dataplane/hotrestart/endpoint.go
@@ -24,8 +24,8 @@
 // OfferHandover listens in dir for the next process's request for a handover. For each request it
 // calls onRequest on the loop with the address that clients use at the new process. onRequest
 // returns what to hand over, whose descriptors this process also keeps, or an error whose text is
-// sent as the reason for the rejection. After a handover onPartner is called on the loop. The caller
-// must close the Endpoint.
+// sent as the reason for the rejection. After a handover, even if sending it failed, onPartner is
+// called on the loop. The caller must close the Endpoint.
 func OfferHandover(l *netio.Loop, dir string, onRequest func(listen string) (*Handoff, error), onPartner func(*Partner)) (*Endpoint, error) {
 	ln, err := replaceSocket(dir)
 	if err != nil {
--- a/internal/dataplane/hotrestart/message.go
+++ b/internal/dataplane/hotrestart/message.go
@@ -25,7 +25,7 @@
 	Reason      string                      `json:"Reason,omitempty"`
 }
 
-// The kinds of message on the wire.
+// The kinds of messages, as written on the wire.
 const (
 	kindRequest     = "ask"
 	kindWelcome     = "welcome"
--- a/internal/dataplane/hotrestart/statefile.go
+++ b/internal/dataplane/hotrestart/statefile.go
@@ -18,7 +18,7 @@
 	stateFile = "croftlock.state"
 	// stateMagic starts the first line of the file, followed by the length of the rest in bytes and its CRC-32.
 	stateMagic = "croftlock-state 1"
-	// maxStateSize is the largest state, in bytes.
+	// maxStateSize is the maximum size of a state file, in bytes.
 	maxStateSize = 4 << 20
 )
 
--- a/internal/dataplane/hotrestart/statefile_test.go
+++ b/internal/dataplane/hotrestart/statefile_test.go
@@ -111,11 +111,11 @@
 	const hour = int64(time.Hour)
 	now := int64(1e18)
 	for name, step := range map[string]int64{"back": -hour, "forward": hour, "a little": int64(20 * time.Millisecond)} {
-		k := sampleSnapshot()
-		k.WrittenAt = now - step // the writer's time at the moment that is now for the reader
-		k.Suspended[0].Since = k.WrittenAt - 5e9
-		k.Balancer.Servers[0].FailedAt, k.Balancer.Servers[0].Until = k.WrittenAt-1e9, k.WrittenAt+2e9
-		data, err := encodeState(k)
+		state := sampleSnapshot()
+		state.WrittenAt = now - step // the writer's time at the moment that is now for the reader
+		state.Suspended[0].Since = state.WrittenAt - 5e9
+		state.Balancer.Servers[0].FailedAt, state.Balancer.Servers[0].Until = state.WrittenAt-1e9, state.WrittenAt+2e9
+		data, err := encodeState(state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,8 +123,8 @@
 		if err != nil || len(file.Suspended) != 1 || file.Suspended[0].Since > now || file.Balancer.Servers[0].FailedAt > now {
 			t.Errorf("%s: decodeState = %+v, %v, want one suspension and no time in the future", name, file, err)
 		}
-		k.Rebase(now, true)
-		if since, until := now-k.Suspended[0].Since, k.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
+		state.Rebase(now, true)
+		if since, until := now-state.Suspended[0].Since, state.Balancer.Servers[0].Until-now; since < 4e9 || since > 6e9 || until < 1e9 || until > 3e9 {
 			t.Errorf("%s: suspended for %v and ejected for %v more, want about 5 s and 2 s", name, time.Duration(since), time.Duration(until))
 		}
 	}
--- a/internal/dataplane/upstreamtls/backpressure_test.go
+++ b/internal/dataplane/upstreamtls/backpressure_test.go
@@ -91,8 +91,8 @@
 	}
 	var step func()
 	step = func() {
-		if !c.c.Ended() {
-			c.handle(c.c)
+		if !c.netConn.Ended() {
+			c.handle(c.netConn)
 			e.loop.Post(step)
 		}
 	}
@@ -136,7 +136,7 @@
 	e.onLoop(func() {
 		for i := 0; !blocked && i < 100000; i++ {
 			line := fmt.Sprintf("%05d %s\r\n", i, strings.Repeat("x", 1000))
-			if blocked = !c.c.Write([]byte(line)); !blocked {
+			if blocked = !c.netConn.Write([]byte(line)); !blocked {
 				want.WriteString(line)
 			}
 		}
@@ -145,7 +145,7 @@
 		t.Errorf("%d bytes were accepted for a server that reads nothing, blocked %t; want at most %d, then blocked", want.Len(), blocked, 8<<20)
 	}
 	close(read)
-	e.onLoop(func() { c.c.Close() })
+	e.onLoop(func() { c.netConn.Close() })
 	if got := <-all; got != want.String() {
 		t.Errorf("the server received %d bytes, want the %d bytes written", len(got), want.Len())
 	}
--- a/internal/dataplane/upstreamtls/dialer_test.go
+++ b/internal/dataplane/upstreamtls/dialer_test.go
@@ -23,10 +23,10 @@
 		c.write("M 1\r\n")
 		c.read("GOT M 1\r\n")
 		e.onLoop(func() {
-			if l := c.c.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
+			if l := c.netConn.Layer().(*session); l.resumed != (i > 0) || l.Buffered() != 0 || time.Until(l.Expires()) < 50*time.Minute {
 				t.Errorf("connection %d: resumed %t, %d bytes buffered, expires %v; want resumed %t, 0 bytes, more than 50 min from now", i, l.resumed, l.Buffered(), l.Expires(), i > 0)
 			}
-			c.c.Close()
+			c.netConn.Close()
 		})
 	}
 	if h := s.Handshakes(); len(h) != 3 || h[0].Resumed || !h[2].Resumed {
@@ -87,10 +87,10 @@
 		t.Fatal(err)
 	}
 	defer bad.Close()
-	var drops []func()
+	var cancels []func()
 	e.onLoop(func() {
 		for range 30 {
-			drops = append(drops, e.dialer.Dial(Host{"s1", "a", bad.Addr()}, time.Hour, 4096, &conn{},
+			cancels = append(cancels, e.dialer.Dial(Host{"s1", "a", bad.Addr()}, time.Hour, 4096, &conn{},
 				func(*netio.Conn, *netio.Error) { t.Error("done was called after the dial was cancelled") }))
 		}
 	})
@@ -98,7 +98,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	e.onLoop(func() {
-		for _, d := range drops {
+		for _, d := range cancels {
 			d()
 		}
 	})
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -76,12 +76,12 @@
 
 // conn is a connection opened by a test, and the handler of its events.
 type conn struct {
-	env    *env
-	c      *netio.Conn
-	err    *netio.Error
-	data   chan []byte
-	closed chan *netio.Error
-	handle func(c *netio.Conn) // reads the input; if nil, all of it is sent to data
+	env     *env
+	netConn *netio.Conn
+	err     *netio.Error
+	data    chan []byte
+	closed  chan *netio.Error
+	handle  func(c *netio.Conn) // reads the input; if nil, all of it is sent to data
 }
 
 func (c *conn) Data(n *netio.Conn) {
@@ -122,7 +122,7 @@
 	done := make(chan struct{})
 	e.loop.Post(func() {
 		e.dialer.Dial(Host{"s1", "a", addr}, within, 4096, c, func(n *netio.Conn, err *netio.Error) {
-			c.c, c.err = n, err
+			c.netConn, c.err = n, err
 			close(done)
 		})
 	})
@@ -132,7 +132,7 @@
 
 // write sends text.
 func (c *conn) write(text string) {
-	c.env.onLoop(func() { c.c.Write([]byte(text)) })
+	c.env.onLoop(func() { c.netConn.Write([]byte(text)) })
 }
 
 // read waits until as many bytes as in want have arrived, and fails the test unless they equal want.
@@ -144,7 +144,7 @@
 		case d := <-c.data:
 			got += string(d)
 		case err := <-c.closed:
-			// What came before the end waits by now: select takes either of two channels that are ready.
+			// Data received before the end is already in its channel: select chooses any ready channel.
 			select {
 			case d := <-c.data:
 				got += string(d)
--- a/internal/dataplane/upstreamtls/material.go
+++ b/internal/dataplane/upstreamtls/material.go
@@ -15,17 +15,17 @@
 	"croftlock/internal/operations/certs"
 )
 
-// Material is the complete and consistent content of the files. It is immutable; a replacement has a
-// higher epoch. Verifications and sessions of one epoch are not valid in another.
+// Material is the complete and consistent content of the files. Its content never changes; a
+// replacement has a higher epoch. Verifications and sessions of one epoch are not valid in another.
 type Material struct {
 	Epoch               uint64
-	NotAfter            time.Time // the earliest end of the own certificate and the revocation lists; zero without either
-	digest              [sha256.Size]byte
+	NotAfter            time.Time         // the earliest end of the own certificate and the revocation lists; zero without either
+	digest              [sha256.Size]byte // changes if the content of the files does
 	options             Options
 	roots               *x509.CertPool
-	authorities         int
+	authorities         int // number of certificates in roots
 	revocations         []revocationList
-	certificate         *tls.Certificate
+	certificate         *tls.Certificate // the proxy's own; nil if it has none
 	certificateNotAfter time.Time
 
 	mu       sync.Mutex
@@ -78,7 +78,7 @@
 type loader struct {
 	material *Material
 	roots    []*x509.Certificate
-	digest   hash.Hash // of the files, in the order read
+	digest   hash.Hash // of the bundles, revocation lists and certificate, in the order read
 	faults   []error
 }
 
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -72,7 +72,7 @@
 		t.Helper()
 		c := e.openRequest(s.Addr())
 		reused := false
-		e.onLoop(func() { reused = c.c.Layer().(*session).resumed; c.c.Close() })
+		e.onLoop(func() { reused = c.netConn.Layer().(*session).resumed; c.netConn.Close() })
 		return reused
 	}
 	if resumed() || !resumed() {
@@ -135,7 +135,7 @@
 			s.SetTLS(config)
 		}
 		c := e.openRequest(s.Addr())
-		e.onLoop(func() { last = c.c.Layer().(*session).tlsConn.ConnectionState() })
+		e.onLoop(func() { last = c.netConn.Layer().(*session).tlsConn.ConnectionState() })
 		if last.DidResume != (i == 1 || i == 3) {
 			t.Errorf("connection %d: resumed %t, want %t", i, last.DidResume, !last.DidResume)
 		}
--- a/internal/dataplane/upstreamtls/session.go
+++ b/internal/dataplane/upstreamtls/session.go
@@ -11,8 +11,8 @@
 	"croftlock/internal/dataplane/netio"
 )
 
-// maxSealedBytes is the maximum number of bytes of a connection that are not decrypted yet: what the
-// poller reads at once while the input is at its limit. crypto/tls buffers one record more.
+// maxSealedBytes is the maximum number of bytes of a connection that are not decrypted yet: what
+// netpoll reads at once while the input is at its limit. crypto/tls buffers one record more.
 const maxSealedBytes = 128 << 10
 
 // handshakeReadSize is the size of a read during the handshake, in bytes.
@@ -202,8 +202,8 @@
 	runtime.Gosched()
 }
 
-// Close implements net.Conn and does nothing. Of this and the methods below, crypto/tls calls only
-// RemoteAddr, for a session key that tlsPeer ignores.
+// Close implements net.Conn and does nothing. crypto/tls uses the result of none of the methods below
+// but RemoteAddr, as a session key that tlsPeer ignores.
 func (w *sealedSocket) Close() error { return nil }
 
 // LocalAddr implements net.Conn and returns an empty address.
