--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -106,11 +106,11 @@
 // makeCore makes the core and its connections to upstream hosts. maxDownstreams is how many downstreams it holds at most.
 func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
-	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, Wall: func() time.Time { return netio.WallClock() }}
+	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
 	open := lineproto.PlainTCP(p.dialer)
 	if tls.Enabled {
-		if p.link, err = newUpstreamTLS(p.loop, tls, opt.Wall); err != nil {
+		if p.link, err = newUpstreamTLS(p.loop, tls, opt.WallClock); err != nil {
 			return 0, err
 		}
 		open = openByTLS(p.link)
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -77,7 +77,7 @@
 
 // HostSuspended applies a suspension, or its end, by an operator's call at the other process.
 func (e partnerEvents) HostSuspended(id string, suspended bool) {
-	e.core.HostSuspendedElsewhere(id, suspended)
+	e.core.SetOtherProcessSuspension(id, suspended)
 	if e.restart.phase == serving {
 		e.save(nil)
 	}
--- a/internal/dataplane/lineproto/downstream.go
+++ b/internal/dataplane/lineproto/downstream.go
@@ -75,7 +75,7 @@
 		}
 		d.idleTimer.Stop()
 		if !d.front.core.Admit(openLine.Class) {
-			d.Reject(d.front.core.RetryAdvice())
+			d.Reject(d.front.core.DefaultRetryAfter())
 			return false
 		}
 		d.admitted = true
@@ -181,7 +181,7 @@
 		d.finish() // a connection of the platform's front, which sends no request on it
 		return
 	}
-	d.Reject(d.front.core.RetryAdvice())
+	d.Reject(d.front.core.DefaultRetryAfter())
 }
 
 // evict ends a connection without a request at once, to free its capacity for the next one.
@@ -193,7 +193,7 @@
 	case len(d.conn.Input()) > 0:
 		d.conn.Write(errLine)
 	case !d.pinged:
-		d.conn.Write(busyLine(d.front.core.RetryAdvice())) // a request may be in flight
+		d.conn.Write(busyLine(d.front.core.DefaultRetryAfter())) // a request may be in flight
 	}
 	d.conn.CloseNow()
 	d.descriptorFreed()
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -52,9 +52,9 @@
 // processes share the file descriptors.
 func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
-// RetryAdvice returns the Retry-After for a client that is rejected for lack of capacity or time.
+// DefaultRetryAfter returns the Retry-After for a client that is rejected for lack of capacity or time.
 // It returns 0 if clients read no Retry-After.
-func (c *Core) RetryAdvice() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
+func (c *Core) DefaultRetryAfter() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
 // boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read
 // no Retry-After.
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -116,8 +116,8 @@
 func (a *upstreamRequest) dial() {
 	c := a.request.core
 	now := c.loop.Now()
-	left := min(a.startedAt+c.opt.Settings.ConnectTimeout, a.deadline) - now
-	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(left, 1)), a)
+	remaining := min(a.startedAt+c.opt.Settings.ConnectTimeout, a.deadline) - now
+	a.conn = c.connector.Start(a.host.target(), a.request.requestLine, a.deadline, time.Duration(max(remaining, 1)), a)
 }
 
 // lineUnsent reports whether the attempt's first line is not completely written yet, so that its
@@ -161,11 +161,11 @@
 		a.adoptionEnded(status)
 		return
 	}
-	over := r.answered() || a.established
+	isClosed := r.answered() || a.established
 	c.notify(r, r.pool, func(now balancer.Time, m Balancer) {
-		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: a.number, Status: status, Elapsed: elapsed, Closed: over, Load: a.loadReport})
+		m.AttemptEnded(now, balancer.AttemptResult{RequestID: r.attributes.ID, Attempt: a.number, Status: status, Elapsed: elapsed, Closed: isClosed, Load: a.loadReport})
 	})
-	if over {
+	if isClosed {
 		r.removeIfDone()
 	}
 }
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -26,22 +26,22 @@
 	if c.shuttingDown {
 		return // the shutdown migrates all connections
 	}
-	open, firstEnd := c.certificateEnds()
-	due := c.expiry.Plan(c.loop.Now(), c.opt.Wall(), open)
+	open, firstExpiry := c.certificateExpiries()
+	due := c.expiry.Plan(c.loop.Now(), c.opt.WallClock(), open)
 	for _, id := range due {
 		c.counters.expiring++
 		r := c.requests[id]
 		c.migrations.submit(func() bool { return c.migrateIfOpen(id, r) })
 	}
 	if len(due) > 0 {
-		slog.Info("expiring_migrated", "connections", len(due), "open", len(open), "first_ends", firstEnd.UTC().Format(time.RFC3339))
+		slog.Info("expiring_migrated", "connections", len(due), "open", len(open), "first_ends", firstExpiry.UTC().Format(time.RFC3339))
 	}
 }
 
-// certificateEnds returns the open connections, each with the time at which its first certificate
+// certificateExpiries returns the open connections, each with the time at which its first certificate
 // expires, and the earliest of these times. The earliest time is zero if no connection uses a
 // certificate.
-func (c *Core) certificateEnds() (open []certexpiry.Conn, first time.Time) {
+func (c *Core) certificateExpiries() (open []certexpiry.Conn, firstExpiry time.Time) {
 	open = make([]certexpiry.Conn, 0, len(c.requests))
 	for id, r := range c.requests {
 		if !r.isOpen() {
@@ -51,12 +51,12 @@
 		if expiring, ok := r.attempt.conn.(Expiring); ok {
 			conn.NotAfter = expiring.Expires()
 		}
-		if !conn.NotAfter.IsZero() && (first.IsZero() || conn.NotAfter.Before(first)) {
-			first = conn.NotAfter
+		if !conn.NotAfter.IsZero() && (firstExpiry.IsZero() || conn.NotAfter.Before(firstExpiry)) {
+			firstExpiry = conn.NotAfter
 		}
 		open = append(open, conn)
 	}
-	return open, first
+	return open, firstExpiry
 }
 
 // migrateIfOpen migrates the client of r if r is still open under this ID, and reports whether it
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -12,17 +12,17 @@
 // expiringUpstream is a fake connection whose certificate expires at ends.
 type expiringUpstream struct {
 	*fakeUpstream
-	ends time.Time
+	expiresAt time.Time
 }
 
-func (r *expiringUpstream) Expires() time.Time { return r.ends }
+func (r *expiringUpstream) Expires() time.Time { return r.expiresAt }
 
 // A connection must be migrated before its certificate expires, and the balancer notified. One
 // without a certificate stays open, and so do all if migration is off.
 func TestMigratedBeforeItsCertificateEnds(t *testing.T) {
 	for _, enabled := range []bool{true, false} {
 		w := newHarness(t)
-		w.core.opt.Wall = func() time.Time { return time.Unix(0, w.now) }
+		w.core.opt.WallClock = func() time.Time { return time.Unix(0, w.now) }
 		if enabled {
 			w.core.opt.Expiry = certexpiry.Policy{MigrationEnabled: true, Before: 30 * time.Second, MaxSharePerMinute: 1}
 			w.core.expiry = certexpiry.New(w.core.opt.Expiry)
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -104,12 +104,12 @@
 		SlowStartOverloadFactor: 4, SlowStartOverloadWindow: 2e9, EjectionInitial: -1, EjectionMax: -1,
 		Classes: []balancer.Class{{Name: "c", LatencyObjective: 800e6, Deadline: 4800e6, MessageLatencyObjective: 150e6}}, Tenants: []balancer.Tenant{{Name: "t1"}, {Name: "t2"}}}
 	w.core = New(w.loop, w, Options{MaxDownstreams: 5000, Settings: cfg})
-	ch := WatchEvent{Kind: balancer.ListFull}
+	event := WatchEvent{Kind: balancer.ListFull}
 	for i := range 6 {
 		id := fmt.Sprintf("h%d", i)
-		ch.Hosts = append(ch.Hosts, HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}})
+		event.Hosts = append(event.Hosts, HostEntry{Address: "at-" + id, ListedHost: balancer.ListedHost{ID: id, Weight: 1}})
 	}
-	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, ch); err != nil {
+	if err := w.core.Run(func(fx balancer.Effects) (Balancer, error) { return balancer.New(cfg, 1, fx) }, noDiscovery{}, event); err != nil {
 		t.Fatal(err)
 	}
 	w.core.SetPeers(droppingPeers{})
@@ -128,9 +128,9 @@
 // IsLimited, Acquire, CountExisting and Release implement a Quota that limits account a, and
 // replies after a random delay.
 func (w *leavingClients) IsLimited(account string) bool { return account == "a" }
-func (w *leavingClients) Acquire(_ string, _ float64, then func(string, time.Duration)) {
+func (w *leavingClients) Acquire(_ string, _ float64, done func(string, time.Duration)) {
 	w.quotaInUse++
-	w.loop.After(w.randomDuration(300*time.Millisecond), func() { then("", 0) })
+	w.loop.After(w.randomDuration(300*time.Millisecond), func() { done("", 0) })
 }
 func (w *leavingClients) CountExisting(string) { w.quotaInUse++ }
 func (w *leavingClients) Release(string)       { w.quotaInUse-- }
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -23,8 +23,8 @@
 	DelayInLoad bool
 	// Expiry specifies which connections migrate before a certificate expires.
 	Expiry certexpiry.Policy
-	// Wall returns the system's time, in which certificates and the start times of hosts are given.
-	Wall func() time.Time
+	// WallClock returns the system's time, in which certificates and the start times of hosts are given.
+	WallClock func() time.Time
 }
 
 // Core is the protocol-independent part of one proxy process. Its methods are called on the event
@@ -62,8 +62,8 @@
 
 func newSettingsNames(s *balancer.Config) settingsNames {
 	n := settingsNames{map[string]int{}, map[string]int{}}
-	for i, k := range s.Classes {
-		n.classes[k.Name] = i
+	for i, class := range s.Classes {
+		n.classes[class.Name] = i
 	}
 	for i, t := range s.Tenants {
 		n.tenants[t.Name] = i
@@ -83,7 +83,7 @@
 		hosts: hostTable{
 			byID:        map[string]*host{},
 			suspensions: maintenance.New(),
-			clock:       startClock{now: l.Now, wall: opt.Wall},
+			clock:       startClock{now: l.Now, wallClock: opt.WallClock},
 		},
 		pools:      poolTable{byName: map[string]*pool{}},
 		admission:  admission{limit: opt.MaxDownstreams},
@@ -95,8 +95,8 @@
 
 func classNames(classes []balancer.Class) []string {
 	names := make([]string, len(classes))
-	for i, k := range classes {
-		names[i] = k.Name
+	for i, class := range classes {
+		names[i] = class.Name
 	}
 	return names
 }
@@ -108,13 +108,13 @@
 // Run starts the core with discovery d and the endpoint list known. newBalancer creates a pool's
 // balancer, which requests its effects from fx; the core calls it once for each pool. Run returns
 // an error if it cannot create the balancer of the pool main.
-func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, known WatchEvent) (err error) {
+func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, initialList WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
 	if c.pools.main, err = c.pools.create(namespace.MainPool); err != nil {
 		return err
 	}
-	c.ListReceived(known)
+	c.ListReceived(initialList)
 	c.loop.After(monitorInterval, c.monitorEstablished)
 	c.startExpiryMigrations()
 	return nil
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -152,9 +152,9 @@
 	w.open("r1")
 	w.events = nil
 	known := ""
-	w.core.SetSuspended("Z", true, func(k bool) { known += fmt.Sprint(k, " ") })
-	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k, " ") })
-	w.core.SetSuspended("A", true, func(k bool) { known += fmt.Sprint(k) })
+	w.core.SetSuspended("Z", true, func(isKnown bool) { known += fmt.Sprint(isKnown, " ") })
+	w.core.SetSuspended("A", true, func(isKnown bool) { known += fmt.Sprint(isKnown, " ") })
+	w.core.SetSuspended("A", true, func(isKnown bool) { known += fmt.Sprint(isKnown) })
 	if known != "false true true" {
 		t.Errorf("Suspend of Z, A and A again: known = %q, want %q", known, "false true true")
 	}
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -23,17 +23,17 @@
 
 // applyRules returns the verdict of the fleet's rules on a request, and logs it with the rules
 // version. Without rules it returns the zero Verdict, which rejects nothing.
-func (c *Core) applyRules(tenant, class string, q *balancer.Request) (v rules.Verdict) {
+func (c *Core) applyRules(tenant, class string, attributes *balancer.Request) (v rules.Verdict) {
 	if c.fleet.enforcer == nil {
 		return v
 	}
-	v = c.fleet.enforcer.Evaluate(namespace.Request{Tenant: tenant, Class: class, Key: q.Key, Group: q.Group, Zone: c.opt.Settings.Zone})
+	v = c.fleet.enforcer.Evaluate(namespace.Request{Tenant: tenant, Class: class, Key: attributes.Key, Group: attributes.Group, Zone: c.opt.Settings.Zone})
 	if tracing() {
 		pool := ""
 		if len(v.Pools) > 0 {
 			pool = v.Pools[0]
 		}
-		slog.Debug("rules_applied", "request", q.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Rejected,
+		slog.Debug("rules_applied", "request", attributes.ID, "tenant", tenant, "class", class, "account", v.Account, "route", v.Route, "pool", pool, "rejected", v.Rejected,
 			"version", v.Version, "lapsed", v.Lapsed)
 	}
 	v.RetryAfter = c.boundedRetryAfter(v.RetryAfter)
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -37,7 +37,7 @@
 
 // SetHandedOver sets which process of this proxy accepts clients from now on: the other one if over
 // is true, this one if it is false.
-func (c *Core) SetHandedOver(over bool) { c.handover.handedOver = over }
+func (c *Core) SetHandedOver(handedOver bool) { c.handover.handedOver = handedOver }
 
 // HandedOverConnection describes an open connection that one process of a proxy hands over to the
 // next.
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -130,10 +130,10 @@
 // sent marks the first line as completely written, and notifies the core if the attempt is still in
 // flight.
 func (u *fakeUpstream) sent() {
-	a, attempt := u.events.(*upstreamRequest)
-	fresh := attempt && a.request.attempt == a && u.stage < netio.Sent
+	a, isAttempt := u.events.(*upstreamRequest)
+	firstTime := isAttempt && a.request.attempt == a && u.stage < netio.Sent
 	u.stage = netio.Sent
-	if fresh {
+	if firstTime {
 		u.events.UpstreamSent()
 	}
 }
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -133,9 +133,9 @@
 }
 
 // removeUnlisted marks all hosts as removed that a full list does not contain.
-func (t *hostTable) removeUnlisted(named map[string]bool) {
+func (t *hostTable) removeUnlisted(listed map[string]bool) {
 	for id, h := range t.byID {
-		if !named[id] {
+		if !listed[id] {
 			h.setRemoved()
 		}
 	}
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -15,8 +15,8 @@
 // process's clock. That clock starts at the system's time and is not affected when the system's
 // clock is set.
 type startClock struct {
-	now  func() balancer.Time
-	wall func() time.Time // nil if the system's clock is taken to equal the process's clock
+	now       func() balancer.Time
+	wallClock func() time.Time // nil if the system's clock is taken to equal the process's clock
 }
 
 // hostStart returns when a host started, on this process's clock. A zero listed start stays zero.
@@ -46,10 +46,10 @@
 // offset returns by how many nanoseconds the system's clock was set after the start of this
 // process, or 0 if by less than minClockOffset.
 func (c startClock) offset(now balancer.Time) balancer.Time {
-	if c.wall == nil {
+	if c.wallClock == nil {
 		return 0
 	}
-	offset := c.wall().UnixNano() - now
+	offset := c.wallClock().UnixNano() - now
 	if offset > -minClockOffset && offset < minClockOffset {
 		return 0
 	}
--- a/internal/dataplane/proxy/hoststart_test.go
+++ b/internal/dataplane/proxy/hoststart_test.go
@@ -14,7 +14,7 @@
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, setAtHost := range []bool{true, false} {
 			w := newHarness(t)
-			w.core.hosts.clock.wall = func() time.Time { return time.Unix(0, w.now+int64(step)) }
+			w.core.hosts.clock.wallClock = func() time.Time { return time.Unix(0, w.now+int64(step)) }
 			before := w.core.hosts.byID["A"].startedAt
 			w.advance(time.Second)
 			startedAt := w.now - int64(300*time.Millisecond)
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -33,12 +33,12 @@
 	TimerFired(now balancer.Time, token string)
 	// Ejected reports whether a host is ejected because set-ups failed there. Until its next trial
 	// is due, an ejected host gets attempts only if no other host is available.
-	Ejected(now balancer.Time, id string) bool
+	Ejected(now balancer.Time, host string) bool
 	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives
 	// up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
 	// Restore adds the knowledge in another balancer's snapshot.
-	Restore(now balancer.Time, m balancer.Snapshot)
+	Restore(now balancer.Time, snapshot balancer.Snapshot)
 }
 
 // Peers sends the decision module's messages to the other proxies. Messages may be lost.
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -46,9 +46,9 @@
 	delayAt int64   // when that figure came; 0 if there was none
 
 	// The last figure small enough for a delay, however it was classified.
-	candidate   float64
-	candidateAt int64            // 0 if there was none
-	candidateOn *upstreamRequest // the connection on which it came
+	candidate     float64
+	candidateAt   int64            // 0 if there was none
+	candidateConn *upstreamRequest // the connection on which it came
 }
 
 // inDelayRun reports whether the host is in a run of delays: the last one came less than
@@ -87,13 +87,13 @@
 // a run is taken for a load, the next one, a second later, corrects that.
 func (d *loadClassifier) isDelayGivenLoad(now int64, figure float64, conn *upstreamRequest, hostLoad float64) bool {
 	steady := d.isSteady(now, steadyToleranceWithLoad)
-	return figure < maxPlausibleDelay && (steady && (d.candidateOn == conn || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
+	return figure < maxPlausibleDelay && (steady && (d.candidateConn == conn || figure < minPlausibleLoad) || hostLoad >= queueingLoad && figure < minPlausibleLoad)
 }
 
 // recordCandidate records a figure if it is small enough for a delay.
 func (d *loadClassifier) recordCandidate(now int64, figure float64, conn *upstreamRequest) {
 	if figure < maxPlausibleDelay {
-		d.candidateAt, d.candidateOn, d.candidate = now, conn, figure
+		d.candidateAt, d.candidateConn, d.candidate = now, conn, figure
 	}
 }
 
@@ -104,7 +104,7 @@
 	now := c.loop.Now()
 	loadKnown := a.host.checkedAt > 0 && now-a.host.checkedAt < checkedLoadValidity
 	delay := c.opt.DelayInLoad && a.isDelayFigure(now, figure, loadKnown)
-	previousWasDelay := delay && loadKnown && d.candidateOn == a && a.load == d.candidate
+	previousWasDelay := delay && loadKnown && d.candidateConn == a && a.load == d.candidate
 	d.recordCandidate(now, figure, a)
 	if delay {
 		d.delay, d.delayAt = figure, now
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -30,14 +30,14 @@
 // Times are in nanoseconds.
 type messageLatency struct {
 	lastLatency    int64 // latency of the last answered line
-	lastAt         int64 // when its answer came
+	lastAnswerAt   int64 // when its answer came
 	oldestSent     int64 // when the oldest unanswered line was sent; 0 if there is none
 	reportedAt     int64 // when a latency was last reported
 	reportedAsSlow bool  // the last report was of a slow host
 }
 
 // recordAnswer records that a line sent at time sent is answered at time now.
-func (l *messageLatency) recordAnswer(now, sent int64) { l.lastLatency, l.lastAt = now-sent, now }
+func (l *messageLatency) recordAnswer(now, sent int64) { l.lastLatency, l.lastAnswerAt = now-sent, now }
 
 // recordUnanswered records a line that was sent at time sent and is unanswered.
 func (l *messageLatency) recordUnanswered(sent int64) {
@@ -49,7 +49,7 @@
 // current returns how long messages take now: the latency of the last answer if that is recent, or
 // how long the oldest unanswered line has waited if that is longer.
 func (l *messageLatency) current(now int64) (latency int64) {
-	if now-l.lastAt < 2*latencyReportInterval {
+	if now-l.lastAnswerAt < 2*latencyReportInterval {
 		latency = l.lastLatency
 	}
 	if l.oldestSent > 0 {
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -22,7 +22,7 @@
 	}
 	attributes := c.attributesOf(opening)
 	if c.shuttingDown {
-		c.rejectOpening(downstream, &attributes, metrics.ShuttingDown, processShuttingDown, c.RetryAdvice())
+		c.rejectOpening(downstream, &attributes, metrics.ShuttingDown, processShuttingDown, c.DefaultRetryAfter())
 		return nil
 	}
 	verdict := c.applyRules(opening.Tenant, opening.Class, &attributes)
@@ -72,20 +72,20 @@
 // attributesOf returns a valid opening in the form that the decision module expects. Tenant is -1
 // if the settings do not name the tenant.
 func (c *Core) attributesOf(o *Opening) balancer.Request {
-	q := balancer.Request{ID: o.ID, Class: c.names.classes[o.Class], Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad,
+	attributes := balancer.Request{ID: o.ID, Class: c.names.classes[o.Class], Tenant: -1, Key: o.Key, Group: o.Group, ExpectedLoad: o.ExpectedLoad,
 		Retry: o.Retry, Returned: o.Returned}
 	if tenant, known := c.names.tenants[o.Tenant]; known {
-		q.Tenant = tenant
+		attributes.Tenant = tenant
 	}
-	return q
+	return attributes
 }
 
 // rejectOpening rejects an opening for which no Request exists. after is the Retry-After.
-func (c *Core) rejectOpening(d Downstream, q *balancer.Request, end metrics.End, reason localReplyReason, after time.Duration) {
+func (c *Core) rejectOpening(d Downstream, attributes *balancer.Request, end metrics.End, reason localReplyReason, after time.Duration) {
 	c.counters.rejected++
-	c.counters.metrics.CountEnd(q.Class, end)
+	c.counters.metrics.CountEnd(attributes.Class, end)
 	if tracing() {
-		slog.Debug("request_rejected", "request", q.ID, "attempts", 0, "reason", reason, "after_ms", after.Milliseconds())
+		slog.Debug("request_rejected", "request", attributes.ID, "attempts", 0, "reason", reason, "after_ms", after.Milliseconds())
 	}
 	d.Reject(after)
 }
@@ -96,7 +96,7 @@
 func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
 	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
 	if chosen == nil && !v.Rejected {
-		v.Rejected, v.RetryAfter, reason = true, c.RetryAdvice(), noUsableHost
+		v.Rejected, v.RetryAfter, reason = true, c.DefaultRetryAfter(), noUsableHost
 	}
 	return chosen, reason
 }
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -13,7 +13,7 @@
 	// Acquire reserves quota for one connection of an account, and calls done on the event loop
 	// with the result. exceeded names the limit that is used up, "" if the quota was reserved;
 	// advice is the Retry-After, which spread (0 to 1) varies.
-	Acquire(account string, spread float64, done func(exceeded string, advice time.Duration))
+	Acquire(account string, spread float64, done func(exceeded string, retryAfter time.Duration))
 	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
 	// Release frees the quota of one connection.
@@ -30,14 +30,14 @@
 		proceed()
 		return
 	}
-	c.fleet.quota.Acquire(account, retrySpread(r.attributes.ID), func(exceeded string, advice time.Duration) {
+	c.fleet.quota.Acquire(account, retrySpread(r.attributes.ID), func(exceeded string, retryAfter time.Duration) {
 		switch {
 		case exceeded != "" && r.answered():
 		case exceeded != "":
 			if tracing() {
 				slog.Debug("quota_exceeded", "request", r.attributes.ID, "account", account, "of", exceeded)
 			}
-			r.reject(c.boundedRetryAfter(advice), quotaExceeded)
+			r.reject(c.boundedRetryAfter(retryAfter), quotaExceeded)
 		case r.answered():
 			c.fleet.quota.Release(account) // the client has left in the meantime
 		default:
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -11,8 +11,8 @@
 
 // fakeQuota is a Quota that limits account a, and whose replies the test sends.
 type fakeQuota struct {
-	inUse   map[string]int                                // connections by account
-	waiting []func(exceeded string, advice time.Duration) // the requests that wait for a reply
+	inUse   map[string]int                                    // connections by account
+	waiting []func(exceeded string, retryAfter time.Duration) // the requests that wait for a reply
 }
 
 func (q *fakeQuota) IsLimited(account string) bool { return account == "a" }
@@ -24,13 +24,13 @@
 
 // reply answers the request that has waited longest. exceeded is the limit that is used up, "" for
 // none.
-func (q *fakeQuota) reply(exceeded string, advice time.Duration) {
+func (q *fakeQuota) reply(exceeded string, retryAfter time.Duration) {
 	done := q.waiting[0]
 	q.waiting = q.waiting[1:]
 	if exceeded == "" {
 		q.inUse["a"]++
 	}
-	done(exceeded, advice)
+	done(exceeded, retryAfter)
 }
 
 // newQuotaHarness returns a harness whose tenant's account, a, has a quota.
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -94,7 +94,7 @@
 func (c *Core) placeInPool(r *Request, number int, to *pool) {
 	r.notifyNotBegun(number, balancer.TooLate, func() bool { return true })
 	if to == nil {
-		r.rejectOrFail(c.RetryAdvice(), noUsableHost)
+		r.rejectOrFail(c.DefaultRetryAfter(), noUsableHost)
 		return
 	}
 	if !r.record.MayPlaceAgain() {
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -95,9 +95,9 @@
 		if r.answered() {
 			return
 		}
-		q := r.attributes
-		q.Remaining = r.deadline - now
-		m.RequestArrived(now, q)
+		attributes := r.attributes
+		attributes.Remaining = r.deadline - now
+		m.RequestArrived(now, attributes)
 	})
 }
 
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -211,7 +211,7 @@
 			continue
 		}
 		slog.Warn("answered_before_kill", "request", r.attributes.ID, "attempts", r.attempts, "state", r.stageName(), "left_ms", (r.deadline-s.core.loop.Now())/1e6)
-		recoverRequest(r, func() { r.answerNow(s.core.RetryAdvice()) })
+		recoverRequest(r, func() { r.answerNow(s.core.DefaultRetryAfter()) })
 	}
 	s.core.monitor.Close()
 	open, _ := s.core.countRequests()
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -129,7 +129,7 @@
 
 // RestoreSuspensions restores the known hosts and the suspensions of a snapshot. They take effect
 // when a list contains the hosts. It is called before Run and, in a takeover, once more after Run;
-// by then HostSuspendedElsewhere has applied the changes since the first call.
+// by then SetOtherProcessSuspension has applied the changes since the first call.
 func (c *Core) RestoreSuspensions(s *Snapshot) {
 	for _, id := range s.KnownHosts {
 		c.hosts.suspensions.HostListed(id)
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -27,9 +27,9 @@
 	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
 }
 
-// HostSuspendedElsewhere applies a suspension, or its end, that was set in the other process of
+// SetOtherProcessSuspension applies a suspension, or its end, that was set in the other process of
 // this proxy.
-func (c *Core) HostSuspendedElsewhere(id string, suspended bool) { c.applySuspension(id, suspended) }
+func (c *Core) SetOtherProcessSuspension(id string, suspended bool) { c.applySuspension(id, suspended) }
 
 // applySuspension suspends a host or ends its suspension in this process.
 func (c *Core) applySuspension(id string, suspended bool) {
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -71,7 +71,7 @@
 func (w *suspensionHarness) suspend(t *rapid.T, id string, suspended bool) {
 	w.suspended[id] = suspended
 	known := false
-	w.core.SetSuspended(id, suspended, func(snapshot bool) { known = snapshot })
+	w.core.SetSuspended(id, suspended, func(isKnown bool) { known = isKnown })
 	if !known {
 		t.Fatalf("SetSuspended(%s, %t) reported the host as unknown", id, suspended)
 	}
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -14,7 +14,7 @@
 	ListUpdated(event WatchEvent) []string
 	// Blocks reports whether a watermark keeps new requests from a host that is ready in the own
 	// list. since is the host's start in that list.
-	Blocks(id string, since balancer.Time) bool
+	Blocks(id string, startedAt balancer.Time) bool
 }
 
 // SetWatermarks sets the watermarks that keep new requests from hosts that drain or are removed in
