--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -16,7 +16,7 @@
 func main() {
 	soak.BehindShim()
 	owneragent.OpenVoter = replica.Open
-	if fault := os.Getenv(experiment.PlantedEnv); fault != "" {
+	if fault := os.Getenv(experiment.FaultInjectionEnv); fault != "" {
 		os.Exit(runWithFault(fault))
 	}
 	os.Exit(experiment.Main(os.Args[1:], soak.Command()))
--- a/internal/testbed/experiment/addr.go
+++ b/internal/testbed/experiment/addr.go
@@ -18,18 +18,18 @@
 	maxAddrAttempts = 1000
 )
 
-// OwnPort is a port that other processes of the same loopback network do not use.
-func OwnPort() int { return firstPort + os.Getpid()/ownNetworks%ownPorts }
+// ProcessPort is a port that other processes of the same loopback network do not use.
+func ProcessPort() int { return firstPort + os.Getpid()/ownNetworks%ownPorts }
 
-// OwnNetwork is the second number of this process's own loopback addresses.
-func OwnNetwork() int { return 1 + os.Getpid()%ownNetworks }
+// ProcessNetwork is the second number of this process's own loopback addresses.
+func ProcessNetwork() int { return 1 + os.Getpid()%ownNetworks }
 
 // FreeAddr is an address that no process listens on and no other call returns. A free port of 127.0.0.1 would not do: a connection may
 // take it before the process listens on it.
 func FreeAddr() (string, error) {
 	for range maxAddrAttempts {
 		k := int(addrsGiven.Add(1))
-		addr := fmt.Sprintf("127.%d.%d.%d:%d", OwnNetwork(), 100+k/ownNetworks%150, 1+k%ownNetworks, OwnPort())
+		addr := fmt.Sprintf("127.%d.%d.%d:%d", ProcessNetwork(), 100+k/ownNetworks%150, 1+k%ownNetworks, ProcessPort())
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue // in use by an earlier process with the same number
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -56,27 +56,27 @@
 	Name             string `json:"name"`
 	LatencyObjective int64  `json:"on_time"`  // nanoseconds
 	Deadline         int64  `json:"deadline"` // nanoseconds
-	Effect           string `json:"semantics"`
+	Idempotency      string `json:"semantics"`
 	Scope            string `json:"dedup_scope,omitempty"`
 	Window           int64  `json:"key_ttl,omitempty"` // nanoseconds
 }
 
 // Class is a class of requests of an experiment with more than one.
 type Class struct {
-	Name     string
-	Deadline time.Duration
-	Effect   Effect
-	Window   time.Duration // for Keyed: the dedup window
+	Name        string
+	Deadline    time.Duration
+	Idempotency Idempotency
+	Window      time.Duration // the dedup window of IdempotentByKey
 }
 
-// Effect is the effect of a repeated request, as the settings name it.
-type Effect string
+// Idempotency specifies whether a request may be repeated, as the settings name it.
+type Idempotency string
 
-// The effects that a class can have.
+// The idempotencies of a class.
 const (
-	Safe   Effect = "read_like"       // idempotent
-	Keyed  Effect = "idempotency_key" // idempotent within the dedup window, by its key
-	Unsafe Effect = "non_idempotent"
+	Idempotent      Idempotency = "read_like"
+	IdempotentByKey Idempotency = "idempotency_key" // idempotent within the dedup window, by its idempotency key
+	NonIdempotent   Idempotency = "non_idempotent"
 )
 
 // maxLatencyObjective is the latency objective of classes with longer deadlines.
@@ -85,11 +85,11 @@
 // classes are the settings' entries.
 func (s *Setup) classes() (out []processClass) {
 	if len(s.Classes) == 0 {
-		s.Classes = []Class{{Name: requestClass, Deadline: s.Deadline, Effect: Safe}}
+		s.Classes = []Class{{Name: requestClass, Deadline: s.Deadline, Idempotency: Idempotent}}
 	}
 	for _, c := range s.Classes {
-		p := processClass{Name: c.Name, LatencyObjective: int64(min(maxLatencyObjective, c.Deadline)), Deadline: int64(c.Deadline), Effect: string(c.Effect)}
-		if c.Effect == Keyed {
+		p := processClass{Name: c.Name, LatencyObjective: int64(min(maxLatencyObjective, c.Deadline)), Deadline: int64(c.Deadline), Idempotency: string(c.Idempotency)}
+		if c.Idempotency == IdempotentByKey {
 			p.Scope, p.Window = "all", int64(c.Window)
 		}
 		out = append(out, p)
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// PlantedEnv names the planted fault with which croftlock-experiment runs as the program.
-const PlantedEnv = "CROFTLAB_PLANTED"
+// FaultInjectionEnv names the planted fault with which croftlock-experiment runs as the program.
+const FaultInjectionEnv = "CROFTLAB_PLANTED"
 
 // lateCase is a fault that makes owners act after their lease has ended.
 type lateCase struct {
@@ -140,7 +140,7 @@
 	o := RigOptions{Processes: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
-		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=forget"}
+		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=forget"}
 	}
 	return NewRigWith(&env, o)
 }
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -35,7 +35,7 @@
 	}
 	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, Level: "debug", Discovery: g.hosts.Discovery, Sections: sections}
 	if planted != "" {
-		env.Croftlock, o.Env = e.Self, []string{PlantedEnv + "=" + planted}
+		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=" + planted}
 	}
 	if g.Rig, err = NewRigWith(&env, o); err != nil {
 		return nil, err
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -81,9 +81,9 @@
 	const ms = time.Millisecond
 	longest := []time.Duration{400 * ms, 1000 * ms, 2000 * ms, 3000 * ms, 4800 * ms, 9000 * ms}[rng.IntN(6)]
 	return []experiment.Class{
-		{Name: "safe", Deadline: longest, Effect: experiment.Safe},
-		{Name: "keyed", Deadline: max(longest/2, 300*ms), Effect: experiment.Keyed, Window: time.Duration(200+rng.IntN(3000)) * ms},
-		{Name: "unsafe", Deadline: max(longest*3/4, 300*ms), Effect: experiment.Unsafe},
+		{Name: "safe", Deadline: longest, Idempotency: experiment.Idempotent},
+		{Name: "keyed", Deadline: max(longest/2, 300*ms), Idempotency: experiment.IdempotentByKey, Window: time.Duration(200+rng.IntN(3000)) * ms},
+		{Name: "unsafe", Deadline: max(longest*3/4, 300*ms), Idempotency: experiment.NonIdempotent},
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // address is a loopback address that only this play uses.
 func (f *Fleet) address(kind, i int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", experiment.OwnNetwork(), fleetCount%100, kind*80+i%80, experiment.OwnPort()+i/80)
+	return fmt.Sprintf("127.%d.%d.%d:%d", experiment.ProcessNetwork(), fleetCount%100, kind*80+i%80, experiment.ProcessPort()+i/80)
 }
 
 // longestDeadline is the longest of all classes.
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -81,7 +81,7 @@
 	for _, attempt := range attempts {
 		o.checkAttemptAllowed(r, outcome, attempt)
 	}
-	if outcome.Answer == Rejected && r.class.Effect == experiment.Unsafe {
+	if outcome.Answer == Rejected && r.class.Idempotency == experiment.NonIdempotent {
 		for _, attempt := range attempts {
 			if answer := attempt.current().answer; answer != Rejected {
 				o.violate(RejectedAfterRun, "%s: rejected, and %s has received it and answered %q", r, attempt.host, answer)
@@ -154,7 +154,7 @@
 		}
 		if executed != nil {
 			apart := attempt.receivedAt.Sub(executed.receivedAt)
-			if r.class.Effect == experiment.Unsafe || r.class.Effect == experiment.Keyed && apart > r.class.Window+orderSlack+proxyDelay+o.slack {
+			if r.class.Idempotency == experiment.NonIdempotent || r.class.Idempotency == experiment.IdempotentByKey && apart > r.class.Window+orderSlack+proxyDelay+o.slack {
 				o.violate(DuplicateExecution, "%s: at %s %v after %s", r, attempt.host, apart, executed.host)
 			}
 		}
