--- a/internal/operations/admin/admin_test.go
+++ b/internal/operations/admin/admin_test.go
@@ -26,7 +26,8 @@
 	"GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", maxHeadBytes), "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n",
 }
 
-// FuzzCall feeds a call byte by byte: what it comes to must not depend on the cut, nor on what follows it.
+// FuzzCall parses every prefix of an input: the result must depend neither on how the input is
+// split into reads nor on what follows the request.
 func FuzzCall(f *testing.F) {
 	for _, s := range seeds {
 		f.Add([]byte(s))
@@ -36,7 +37,7 @@
 		for n := range len(in) {
 			r, _, fault := parse(in[:n])
 			if r != nil && !reflect.DeepEqual(r, complete) || fault != 0 && completeFault == 0 {
-				t.Fatalf("%d bytes gave %+v %d, all %+v %d", n, r, fault, complete, completeFault)
+				t.Fatalf("parse(%q) = %+v, fault %d; parse(%q) = %+v, fault %d", in[:n], r, fault, in, complete, completeFault)
 			}
 			if r != nil || fault != 0 {
 				return
@@ -45,7 +46,7 @@
 	})
 }
 
-// fakeProxy is what the calls are about: it knows host a/b, and is called on the loop.
+// fakeProxy knows the host a/b alone, and records the calls.
 type fakeProxy struct{ calls []string }
 
 func (p *fakeProxy) AcceptsClients() bool { return true }
@@ -55,7 +56,7 @@
 	done(id == "a/b")
 }
 
-// startServer starts a server and gives what dials it.
+// startServer starts a server and returns a function that dials it.
 func startServer(t *testing.T, capacity int) func() net.Conn {
 	t.Helper()
 	l := netio.NewLoop()
@@ -78,19 +79,20 @@
 	}
 }
 
-// call sends a call in one piece or, cut, byte by byte, and gives the status line, Allow and the body.
-func call(t *testing.T, c net.Conn, call string, cut bool) string {
+// call sends a request in one piece or byte by byte, and returns the status line, the value of
+// Allow in brackets if there is one, and the body.
+func call(t *testing.T, c net.Conn, request string, byByte bool) string {
 	t.Helper()
-	if cut {
-		for i := range len(call) {
-			c.Write([]byte{call[i]})
+	if byByte {
+		for i := range len(request) {
+			c.Write([]byte{request[i]})
 		}
 	} else {
-		io.WriteString(c, call)
+		io.WriteString(c, request)
 	}
 	data, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("%q: %v", call, err)
+		t.Fatalf("request %q: reading the answer: %v", request, err)
 	}
 	head, body, _ := strings.Cut(string(data), "\r\n\r\n")
 	status, rest, _ := strings.Cut(head, "\r\n")
@@ -101,10 +103,10 @@
 	return strings.TrimPrefix(status, "HTTP/1.1 ") + " " + strings.TrimSpace(body)
 }
 
-// Each call gets its answer, in one piece or byte by byte.
+// TestCalls tests the answer to each call, sent in one piece and byte by byte.
 func TestCalls(t *testing.T) {
 	dial := startServer(t, 4)
-	for _, x := range [][2]string{
+	for _, tc := range [][2]string{
 		{"GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK ready"},
 		{"HEAD /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n", "200 OK "},
 		{"GET /v1/metrics?all HTTP/1.0\r\nConnection: close\r\n\r\n", "200 OK concurrent=0"},
@@ -123,28 +125,29 @@
 		{seeds[16], "431 Request Header Fields Too Large Request Header Fields Too Large"},
 		{seeds[17], "413 Request Entity Too Large Request Entity Too Large"},
 	} {
-		for _, cut := range []bool{false, true} {
-			if got := call(t, dial(), x[0], cut && len(x[0]) < 200); got != x[1] {
-				t.Errorf("%.60q cut=%t: got %q, want %q", x[0], cut, got, x[1])
+		for _, byByte := range []bool{false, true} {
+			if got := call(t, dial(), tc[0], byByte && len(tc[0]) < 200); got != tc[1] {
+				t.Errorf("request %.60q, byte by byte %t: got %q, want %q", tc[0], byByte, got, tc[1])
 			}
 		}
 	}
 }
 
-// A caller that waits for 100 Continue before its body gets it, once.
+// TestExpectContinue tests that a caller that waits for 100 Continue before its body gets it, once.
 func TestExpectContinue(t *testing.T) {
 	c := startServer(t, 1)()
 	io.WriteString(c, "POST /v1/catalogue-servers/a%2Fb/suspend HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	got := make([]byte, 25)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "HTTP/1.1 100 Continue\r\n\r\n" {
-		t.Fatalf("got %q, %v", got, err)
+		t.Fatalf("before the body: got %q, error %v, want 100 Continue", got, err)
 	}
-	if got := call(t, c, "hi", false); got != `200 OK suspend "a/b"` {
-		t.Errorf("got %q", got)
+	if got, want := call(t, c, "hi", false), `200 OK suspend "a/b"`; got != want {
+		t.Errorf("after the body: got %q, want %q", got, want)
 	}
 }
 
-// Two hundred callers stay whose calls are incomplete; a complete call among them is answered all the same, and the others get 408 or an end.
+// TestIncompleteCallsDoNotDelayOthers tests that a complete call is answered while 200 callers with
+// incomplete calls are connected, and that those get status 408 or no answer.
 func TestIncompleteCallsDoNotDelayOthers(t *testing.T) {
 	dial := startServer(t, 4)
 	var incomplete []net.Conn
@@ -156,13 +159,13 @@
 		incomplete = append(incomplete, c)
 		if i%10 == 9 {
 			if got := call(t, dial(), seeds[0], false); got != "200 OK ready" {
-				t.Fatalf("after %d incomplete callers: %q", i+1, got)
+				t.Fatalf("complete call after %d incomplete ones: got %q, want %q", i+1, got, "200 OK ready")
 			}
 		}
 	}
 	for _, c := range incomplete {
 		if data, _ := io.ReadAll(c); len(data) > 0 && !strings.HasPrefix(string(data), "HTTP/1.1 408 ") {
-			t.Fatalf("an incomplete call got %q", data)
+			t.Fatalf("an incomplete call got %q, want status 408 or nothing", data)
 		}
 	}
 }
--- a/internal/operations/admin/body.go
+++ b/internal/operations/admin/body.go
@@ -17,7 +17,7 @@
 	return len(body) >= h.contentLength, noFault
 }
 
-// chunksComplete reports whether a body in chunks has arrived with its trailer.
+// chunksComplete reports whether a chunked body has arrived with its trailer.
 func chunksComplete(in []byte) (bool, fault) {
 	for total := 0; ; {
 		size, header, f := parseChunkSize(in)
@@ -41,7 +41,8 @@
 	}
 }
 
-// parseChunkSize reads the line before a chunk; header is the line's length, 0 while it is incomplete.
+// parseChunkSize parses the line before a chunk. header is the line's length in bytes with its line
+// break, and zero while the line is incomplete.
 func parseChunkSize(in []byte) (size, header int, f fault) {
 	end := bytes.Index(in, []byte("\r\n"))
 	if end < 0 {
@@ -58,7 +59,8 @@
 	return int(n), end + 2, noFault
 }
 
-// trailerComplete looks for the empty line that ends the lines after the last chunk, which mean nothing here.
+// trailerComplete reports whether the empty line that ends the trailer has arrived. The trailer's
+// fields are ignored.
 func trailerComplete(in []byte) (bool, fault) {
 	if bytes.HasPrefix(in, []byte("\r\n")) || bytes.Contains(in, []byte("\r\n\r\n")) {
 		return true, noFault
--- a/internal/operations/admin/caller.go
+++ b/internal/operations/admin/caller.go
@@ -13,17 +13,18 @@
 type caller struct {
 	server       *Server
 	conn         *netio.Conn
-	element      *list.Element // in the server's callers; nil: no longer
+	element      *list.Element // in the server's callers, nil once removed
 	timeout      *netio.Timer
 	sentContinue bool
-	requestDone  bool // its request is complete or can't become so, and is answered or being so
+	requestDone  bool // the request is complete or invalid, and its answer is sent or under way
 	replied      bool
 }
 
-// Data takes what the caller has sent so far.
+// Data parses what the caller has sent so far, and answers the request once it is complete or
+// invalid.
 func (c *caller) Data(conn *netio.Conn) {
 	if c.requestDone {
-		conn.Consume(len(conn.Input())) // one call a connection; what follows it is not read
+		conn.Consume(len(conn.Input())) // one call per connection: discard what follows
 		return
 	}
 	if c.element != nil {
@@ -44,15 +45,16 @@
 	}
 }
 
-// Writable does nothing: a response fits the kernel's buffer, or the connection finishes it.
+// Writable does nothing: the connection itself sends what the kernel's buffer did not accept.
 func (c *caller) Writable(*netio.Conn) {}
 
-// Closed ends the call without an answer.
+// Closed marks the call as answered, because the connection has ended.
 func (c *caller) Closed(*netio.Conn, *netio.Error) {
 	c.replied = true
 	c.timeout.Stop()
 }
 
+// removeFromServer frees the caller's place once its connection holds no descriptor.
 func (c *caller) removeFromServer() {
 	if c.element != nil {
 		c.server.callers.Remove(c.element)
@@ -60,17 +62,17 @@
 	}
 }
 
-// timedOut ends a call whose request is not complete in time.
+// timedOut ends a call whose request was not complete within callTimeout.
 func (c *caller) timedOut() {
 	if len(c.conn.Input()) == 0 && !c.requestDone {
-		c.conn.Close() // nothing was said, so nothing is answered
+		c.conn.Close() // the caller has sent nothing, so it gets no answer
 		return
 	}
 	c.requestDone = true
 	c.reply(response{status: http.StatusRequestTimeout})
 }
 
-// evict ends the call to free its place for the next one.
+// evict ends the call to free its place for a new caller.
 func (c *caller) evict() {
 	if !c.conn.Ended() && len(c.conn.Input()) > 0 {
 		c.timedOut()
@@ -118,7 +120,7 @@
 	})
 }
 
-// reply sends the one answer of a call.
+// reply sends the answer of the call. Later replies to the same call are ignored.
 func (c *caller) reply(r response) {
 	if c.replied || c.conn.Ended() {
 		return
--- a/internal/operations/admin/request.go
+++ b/internal/operations/admin/request.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// What a caller may send at most, in bytes.
+// Bounds of a request, in bytes.
 const (
 	maxTargetBytes       = 2 << 10
 	maxHeadBytes         = 8 << 10
 	maxBodyBytes         = 16 << 10
 	maxMethodBytes       = 16
 	versionBytes         = len("HTTP/1.1")
-	requestLineAllowance = 32 // of a request line beside its target
+	requestLineAllowance = 32 // for the method, version and blanks of a request line
 )
 
-// fault is why a request can't be served: an HTTP status.
+// fault is the HTTP status of a request that can't be served, or noFault.
 type fault int
 
 // The faults that the parser finds.
@@ -32,16 +32,17 @@
 	versionNotSupported fault = http.StatusHTTPVersionNotSupported
 )
 
-// request is one call.
+// request is a parsed request.
 type request struct {
 	method          string
-	path            []string // the segments, percent-decoded
-	expectsContinue bool     // the caller waits for 100 before it sends its body
+	path            []string // its segments, percent-decoded; empty for a target that is no path
+	expectsContinue bool     // the caller waits for 100 Continue before it sends its body
 }
 
-// parse looks for a complete request at the start of in. It gives nil while more is to come; expectsContinue then reports that the
-// caller waits for 100 Continue before its body. It parses from the start of the input each time, so that the outcome can't depend on how
-// the input was cut; the input is bounded.
+// parse returns the request at the start of in, or nil while it is incomplete; expectsContinue then
+// reports whether the caller waits for 100 Continue before it sends the body. Each call parses from
+// the start of the input, which is bounded, so that the result does not depend on how the input was
+// split into reads.
 func parse(in []byte) (r *request, expectsContinue bool, f fault) {
 	for bytes.HasPrefix(in, []byte("\r\n")) {
 		in = in[2:] // empty lines before the request are ignored
@@ -68,7 +69,8 @@
 	return r, false, noFault
 }
 
-// checkIncompleteHead answers at once what can't become a request, not after a timeout.
+// checkIncompleteHead returns the fault of a head that can't become a valid one, so that its caller
+// is answered at once and not after a timeout.
 func checkIncompleteHead(in []byte) fault {
 	lineEnd := bytes.IndexByte(in, '\n')
 	switch {
@@ -85,7 +87,7 @@
 	return f
 }
 
-// checkMethodStart reports whether in can become a request line.
+// checkMethodStart returns badRequest if in can't become a request line.
 func checkMethodStart(in []byte) fault {
 	method, _, _ := bytes.Cut(in, []byte(" "))
 	if len(method) > maxMethodBytes || !isToken(string(method)) && len(method) > 0 && string(method) != "\r" {
@@ -119,7 +121,8 @@
 	return len(s) == versionBytes && strings.HasPrefix(s, "HTTP/") && isDigit(s[5]) && s[6] == '.' && isDigit(s[7])
 }
 
-// parseTarget gives the segments of a target's path, which may be absolute; none for "*" and the like, which name nothing here.
+// parseTarget returns the segments of a target's path. The target may be an absolute URL. It
+// returns no segments for other targets, such as "*", which no route serves.
 func parseTarget(target string) (path []string, f fault) {
 	for _, scheme := range []string{"http://", "https://"} {
 		if len(target) > len(scheme) && strings.EqualFold(target[:len(scheme)], scheme) {
@@ -141,12 +144,13 @@
 	return path, noFault
 }
 
-// headers are those that say where a request ends.
+// headers holds the header fields that determine where a request ends and what the caller waits
+// for.
 type headers struct {
-	contentLength   int // -1: none is named
+	contentLength   int // -1 if there is none
 	chunked         bool
 	expectsContinue bool
-	hosts           int // Host headers
+	hosts           int // number of Host headers
 }
 
 func parseHeaders(lines []string, hostRequired bool) (h headers, f fault) {
@@ -160,7 +164,7 @@
 			return h, f
 		}
 	}
-	// Both lengths at once is how a request is smuggled past another's reading.
+	// A request with both lengths may end elsewhere for another parser (request smuggling).
 	if h.hosts > 1 || h.hosts == 0 && hostRequired || h.chunked && h.contentLength >= 0 {
 		return h, badRequest
 	}
--- a/internal/operations/admin/response.go
+++ b/internal/operations/admin/response.go
@@ -8,11 +8,12 @@
 // response is the answer to a call.
 type response struct {
 	status   int
-	allow    methods // of a call with another method
-	body     []byte  // nil: the status as text
-	omitBody bool    // the body is counted, and not sent
+	allow    methods // the methods of the route, if the call has another one
+	body     []byte  // if nil, the status text is sent
+	omitBody bool    // Content-Length counts the body, which is not sent
 }
 
+// encode returns the response in HTTP/1.1.
 func (r response) encode() []byte {
 	body := r.body
 	if body == nil {
--- a/internal/operations/admin/route.go
+++ b/internal/operations/admin/route.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// route is the target of a request.
+// route identifies what a request addresses.
 type route int
 
 const (
@@ -17,7 +17,8 @@
 	routeResume
 )
 
-// route finds what the path names: /v1/readyz, /v1/metrics, /v1/catalogue-servers/HOST/suspend or …/resume.
+// route returns the route of the request's path: /v1/readyz, /v1/metrics,
+// /v1/catalogue-servers/HOST/suspend or /v1/catalogue-servers/HOST/resume.
 func (r *request) route() route {
 	p := r.path
 	if len(p) < 2 || p[0] != "v1" {
@@ -36,9 +37,10 @@
 	return routeUnknown
 }
 
-// methods are those that a route allows.
+// methods lists HTTP methods.
 type methods []string
 
+// allowedMethods returns the methods that the route accepts, nil for routeUnknown.
 func (r route) allowedMethods() methods {
 	switch r {
 	case routeReady, routeMetrics:
@@ -51,5 +53,5 @@
 
 func (m methods) includes(method string) bool { return slices.Contains(m, method) }
 
-// String is the value of an Allow header.
+// String returns the value of an Allow header.
 func (m methods) String() string { return strings.Join(m, ", ") }
--- a/internal/operations/admin/server.go
+++ b/internal/operations/admin/server.go
@@ -1,5 +1,6 @@
-// Package admin is the admin interface: a listener for the operators' calls, HTTP/1.1 with one call a connection. It owns the
-// callers' connections and what HTTP requires of them; what a call means is the proxy core's.
+// Package admin implements the admin interface: a listener for the operators' calls in HTTP/1.1,
+// with one call per connection. It owns the callers' connections and the HTTP protocol; the proxy
+// core carries out the calls.
 package admin
 
 import (
@@ -10,22 +11,23 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second               // from connecting to the end of the request
-	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // the longest request, with the framing of chunks
+	callTimeout   = 2 * time.Second               // from the connection's start to the end of the request
+	maxInputBytes = maxHeadBytes + 2*maxBodyBytes // the longest request with chunk framing
 )
 
-// Proxy is what the calls are about.
+// Proxy carries out the calls. Its methods are called on the event loop.
 type Proxy interface {
 	// AcceptsClients reports whether this process accepts clients.
 	AcceptsClients() bool
-	// Metrics is the text of all metrics.
+	// Metrics returns all metrics as text.
 	Metrics() []byte
-	// SetSuspended has nothing more go to a host, or ends that. done is called once the change will outlive this process, or
-	// with false at once where no list has ever named the host.
+	// SetSuspended suspends a host, so that it gets no new requests, or resumes it. It calls done
+	// with false at once if no list has ever named the host, and otherwise with true once the
+	// change will outlive this process.
 	SetSuspended(id string, suspended bool, done func(known bool))
 }
 
-// Server takes operators' calls. It belongs to the event loop.
+// Server accepts operators' calls. It belongs to the event loop.
 type Server struct {
 	loop    *netio.Loop
 	proxy   Proxy
@@ -33,7 +35,8 @@
 	addr    net.Addr
 }
 
-// Listen serves calls on addr, of at most capacity callers at a time.
+// Listen returns a server that accepts calls on addr, from at most capacity callers at a time. A
+// caller beyond that evicts the one that has sent nothing for the longest time.
 func Listen(l *netio.Loop, proxy Proxy, addr string, capacity int) (*Server, error) {
 	s := &Server{loop: l, proxy: proxy, callers: netio.NewBoundedConns(capacity, (*caller).evict)}
 	var err error
@@ -41,7 +44,7 @@
 	return s, err
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.addr }
 
 func (s *Server) accept(conn *netio.Conn) netio.Handler {
--- a/internal/operations/maintenance/registry.go
+++ b/internal/operations/maintenance/registry.go
@@ -1,5 +1,6 @@
-// Package maintenance owns which upstream hosts the operators have suspended, and when a host that is resumed counts as started. It has no I/O
-// and no clock of its own. Suspensions are by host ID, last until they are ended by a call, and outlive the host's entry in the list.
+// Package maintenance records which upstream hosts the operators have suspended, and determines
+// when a resumed host counts as started. It has no I/O and no clock of its own. A suspension
+// belongs to a host ID, lasts until a call ends it, and outlives the host's entry in the list.
 package maintenance
 
 import (
@@ -7,23 +8,24 @@
 	"strings"
 )
 
-// maxKnownHosts bounds how many ids are remembered as once listed.
+// maxKnownHosts bounds how many host IDs are remembered as once listed.
 const maxKnownHosts = 4096
 
-// Registry is the suspensions, and the ids that a call may name.
+// Registry holds the suspensions and the host IDs that a call may name.
 type Registry struct {
-	suspendedLocally   map[string]int64 // by a call at this proxy: since when, Unix nanoseconds
-	suspendedFleetWide map[string]int64 // by the fleet's list: since when, Unix nanoseconds
+	suspendedLocally   map[string]int64 // by calls at this proxy; start in Unix nanoseconds
+	suspendedFleetWide map[string]int64 // by the fleet's list; start in Unix nanoseconds
 	known              map[string]bool
 	knownOrder         []string // oldest first
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{suspendedLocally: map[string]int64{}, suspendedFleetWide: map[string]int64{}, known: map[string]bool{}}
 }
 
-// HostListed records that a list has named a host.
+// HostListed records that a list has named the host. Past maxKnownHosts the oldest host that is not
+// suspended is forgotten.
 func (r *Registry) HostListed(id string) {
 	if r.known[id] {
 		return
@@ -35,7 +37,8 @@
 	r.knownOrder = append(r.knownOrder, id)
 }
 
-// forgetOldestResumed forgets the oldest host that is not suspended: a call to resume must find one that is.
+// forgetOldestResumed forgets the oldest host that is not suspended. Suspended hosts stay known, so
+// that a call can resume them.
 func (r *Registry) forgetOldestResumed() {
 	if i := slices.IndexFunc(r.knownOrder, func(id string) bool { return !r.Suspended(id) }); i >= 0 {
 		delete(r.known, r.knownOrder[i])
@@ -43,13 +46,14 @@
 	}
 }
 
-// Known reports whether a list has ever named the host.
+// Known reports whether a list has named the host and it is still remembered.
 func (r *Registry) Known(id string) bool { return r.known[id] }
 
-// KnownHosts is every host that a call may name, the oldest first.
+// KnownHosts returns the IDs of the hosts that a call may name, the oldest first.
 func (r *Registry) KnownHosts() []string { return slices.Clone(r.knownOrder) }
 
-// SetSuspended suspends a host at this proxy or resumes it, and reports whether that changed anything.
+// SetSuspended suspends a host at this proxy, or ends its suspension here, from the time now in
+// Unix nanoseconds. It reports whether that changed anything.
 func (r *Registry) SetSuspended(id string, suspended bool, now int64) (changed bool) {
 	if _, is := r.suspendedLocally[id]; is == suspended {
 		return false
@@ -63,8 +67,9 @@
 	return true
 }
 
-// SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide, and gives the hosts whose suspension begins or ends by that. A host
-// is suspended while either list has it: a call at this proxy does not resume it for the fleet.
+// SetFleetSuspensions replaces the list of hosts that are suspended fleet-wide. It returns the IDs
+// of the hosts that are suspended or resumed by the change, sorted. A host is suspended while
+// either list has it: a call at this proxy does not end a fleet-wide suspension.
 func (r *Registry) SetFleetSuspensions(ids []string, now int64) (changed []string) {
 	next := map[string]int64{}
 	for _, id := range ids {
@@ -90,14 +95,15 @@
 	return changed
 }
 
-// Suspended reports whether a host is suspended, here or fleet-wide.
+// Suspended reports whether a host is suspended, at this proxy or fleet-wide.
 func (r *Registry) Suspended(id string) bool {
 	_, here := r.suspendedLocally[id]
 	_, fleet := r.suspendedFleetWide[id]
 	return here || fleet
 }
 
-// Suspension is a host's suspension, the earlier where there are two.
+// Suspension returns a host's suspension, the earlier one if the host is suspended both at this
+// proxy and fleet-wide. Since is zero if the host is not suspended.
 func (r *Registry) Suspension(id string) Suspension {
 	since, here := r.suspendedLocally[id]
 	if at, fleet := r.suspendedFleetWide[id]; fleet && (!here || at < since) {
@@ -106,7 +112,7 @@
 	return Suspension{id, since}
 }
 
-// LocalSuspensions is every suspension that was set at this proxy, sorted by id.
+// LocalSuspensions returns the suspensions that were set at this proxy, sorted by host ID.
 func (r *Registry) LocalSuspensions() []Suspension {
 	all := make([]Suspension, 0, len(r.suspendedLocally))
 	for id, since := range r.suspendedLocally {
--- a/internal/operations/maintenance/registry_test.go
+++ b/internal/operations/maintenance/registry_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the order of calls and lists: a suspension holds from its first call to one that resumes.
+// TestSuspensions tests that a suspension lasts from the first call that suspends to the first that
+// resumes, in any order of calls and lists.
 func TestSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		registry, suspended, listed := New(), map[string]bool{}, map[string]bool{}
@@ -20,23 +21,24 @@
 				listed[id] = true
 			case 1:
 				if listed[id] && registry.SetSuspended(id, true, 5) == suspended[id] {
-					t.Fatal("a first suspension changes something, a second nothing")
+					t.Fatalf("SetSuspended(%q, true, 5) = %t, want %t: only the first call changes something", id, suspended[id], !suspended[id])
 				}
 				suspended[id] = suspended[id] || listed[id]
 			case 2:
 				if registry.SetSuspended(id, false, 5) != suspended[id] {
-					t.Fatal("one call to resume ends any number of suspensions")
+					t.Fatalf("SetSuspended(%q, false, 5) = %t, want %t: one call ends any number of suspensions", id, !suspended[id], suspended[id])
 				}
 				suspended[id] = false
 			}
 			if registry.Suspended(id) != suspended[id] || registry.Known(id) != listed[id] {
-				t.Fatalf("%s: suspended %t known %t, want %t %t", id, registry.Suspended(id), registry.Known(id), suspended[id], listed[id])
+				t.Fatalf("host %s: suspended %t, known %t, want %t, %t", id, registry.Suspended(id), registry.Known(id), suspended[id], listed[id])
 			}
 		}
 	})
 }
 
-// Hosts that come and go for months do not fill the memory, and a suspension among them is still found.
+// TestKnownIsBounded tests that hosts that come and go for months do not fill the memory, and that
+// a suspended host among them stays known.
 func TestKnownIsBounded(t *testing.T) {
 	registry := New()
 	registry.HostListed("first")
@@ -45,21 +47,23 @@
 		registry.HostListed(fmt.Sprint(i))
 	}
 	if len(registry.known) > maxKnownHosts || !registry.Known("first") || registry.Known("0") || !registry.Known(fmt.Sprint(2*maxKnownHosts-1)) {
-		t.Errorf("%d known, first %t", len(registry.known), registry.Known("first"))
+		t.Errorf("%d hosts known, want at most %d; known: first %t, 0 %t, the last %t, want true, false, true", len(registry.known), maxKnownHosts,
+			registry.Known("first"), registry.Known("0"), registry.Known(fmt.Sprint(2*maxKnownHosts-1)))
 	}
-	if !slices.Equal(registry.LocalSuspensions(), []Suspension{{"first", 7}}) {
-		t.Errorf("suspensions %v", registry.LocalSuspensions())
+	if want := []Suspension{{"first", 7}}; !slices.Equal(registry.LocalSuspensions(), want) {
+		t.Errorf("LocalSuspensions() = %v, want %v", registry.LocalSuspensions(), want)
 	}
 }
 
-// A host that comes back with no start listed since its suspension counts as just started.
+// TestStartAfterSuspension tests that a resumed host without a listed start since its suspension
+// counts as just started.
 func TestStartAfterSuspension(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		listed, start int64
 		guess         bool
 	}{{0, 90, true}, {49, 90, true}, {50, 50, false}, {80, 80, false}} {
-		if start, guess := (Suspension{"a", 50}).StartOnResume(x.listed, 90); start != x.start || guess != x.guess {
-			t.Errorf("listed %d: start %d, guessed %t", x.listed, start, guess)
+		if start, guess := (Suspension{"a", 50}).StartOnResume(tc.listed, 90); start != tc.start || guess != tc.guess {
+			t.Errorf("StartOnResume(%d, 90) = %d, guess %t, want %d, %t", tc.listed, start, guess, tc.start, tc.guess)
 		}
 	}
 }
--- a/internal/operations/metrics/metrics.go
+++ b/internal/operations/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics owns what the proxy counts for its operators: how each request ended, and the attempts that were written
-// completely. It has no clock and no I/O; the proxy core calls it at the one place where each thing ends or is written, and the
-// admin interface requests the text.
+// Package metrics counts for the operators how each request ended and how many attempts were
+// written completely. It has no clock and no I/O. The proxy core calls it at the one place where a
+// request ends or an attempt is written, and the admin interface requests the text.
 package metrics
 
 import "strconv"
@@ -11,48 +11,49 @@
 // The kinds of end.
 const (
 	Established    End = iota // a host's acceptance was forwarded
-	Adopted                   // the same, for a connection that was open at its host before
-	Rejected                  // rejected by the decision module, the fleet's rules or a quota, or for want of a usable host
-	OverCapacity              // rejected for want of descriptors
+	Adopted                   // like Established, for a connection that was open at its host before
+	Rejected                  // rejected by the decision module, the rules or a quota, or because no host is usable
+	OverCapacity              // rejected because no descriptors are left
 	ShuttingDown              // rejected because the proxy shuts down
-	Failed                    // the decision module failed it, or a connection from before could not be restored
-	Unanswered                // the decision module did not answer in time or panicked; the client got ERR
-	InvalidRequest            // a tenant that the settings lack, or an id in use; the client got ERR
-	ClientLeft                // the client hung up before its answer
-	endKinds
+	Failed                    // failed by the decision module, or an earlier connection was not restored
+	Unanswered                // the decision module timed out or panicked; the client got ERR
+	InvalidRequest            // unknown tenant, or an ID that is in use; the client got ERR
+	ClientLeft                // the client closed the connection before its answer
+	endKinds                  // number of kinds
 )
 
-// counter is under which name an end is counted.
+// counter identifies the counter of a class that an end adds to.
 type counter int
 
 const (
 	success counter = iota
 	overload
 	failure
-	counterKinds
-	uncounted counter = -1
+	counterKinds         // number of counters
+	uncounted    counter = -1
 )
 
-// counterOf is each end's counter. First lines that name no class of the settings are of no class and so not counted; nor are clients that
-// have left before their answer.
+// counterOf maps each end to its counter. Clients that left before their answer are not counted.
+// First lines that name no class of the settings have no class and are not counted either.
 var counterOf = [endKinds]counter{Established: success, Adopted: success, Rejected: overload, OverCapacity: overload, ShuttingDown: overload,
 	Failed: failure, Unanswered: failure, InvalidRequest: failure, ClientLeft: uncounted}
 
 var counterNames = [counterKinds]string{"success", "overload", "error"}
 
-// Table holds the counts since the start.
+// Table holds the counts since the process started.
 type Table struct {
 	classes    []string
 	endCounts  [][counterKinds]int64 // by class
 	dispatched int64
 }
 
-// New makes a table for the classes of the settings, in their order.
+// New returns a table for the classes of the settings, in their order.
 func New(classes []string) *Table {
 	return &Table{classes: classes, endCounts: make([][counterKinds]int64, len(classes))}
 }
 
-// CountEnd counts a request's end.
+// CountEnd counts the end of a request. class is an index into the classes given to New; another
+// value counts nothing.
 func (t *Table) CountEnd(class int, e End) {
 	if c := counterOf[e]; c != uncounted && class >= 0 && class < len(t.endCounts) {
 		t.endCounts[class][c]++
@@ -62,14 +63,14 @@
 // CountDispatch counts an attempt whose last byte has been written.
 func (t *Table) CountDispatch() { t.dispatched++ }
 
-// Gauges are the metrics that are read at the moment of a call.
+// Gauges holds the metrics whose values are read when the text is requested.
 type Gauges struct {
 	Concurrent int // connections accepted and not yet ended
-	Hosts      int // in the list
+	Hosts      int // hosts in the list
 	Disabled   int // of these, suspended by the operators or ejected by the decision module
 }
 
-// Text is all metrics, a line each, in an order that never changes.
+// Text returns all metrics, one per line, in a fixed order.
 func (t *Table) Text(g Gauges) []byte {
 	var out []byte
 	line := func(v int64, name ...string) {
--- a/internal/operations/metrics/recorded_test.go
+++ b/internal/operations/metrics/recorded_test.go
@@ -6,7 +6,7 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// TestRecordedText: metrics keep their names and their order.
+// TestRecordedText tests that metrics keep their names and order.
 func TestRecordedText(t *testing.T) {
 	table := New([]string{"session", "batch"})
 	for e := range endKinds {
