--- a/internal/operations/logging/logging.go
+++ b/internal/operations/logging/logging.go
@@ -1,6 +1,7 @@
-// Package logging owns the form of the log: log/slog records as lines of key=value text that begin with event=, or as
-// JSON. The message of a record is the name of its event. Lines that repeat are limited, and what was left out is counted
-// and reported. Nothing here waits for anything but the write itself.
+// Package logging formats the log: log/slog records as lines of key=value text that begin with
+// event=, or as JSON. The message of a record is the name of its event. Lines that repeat are
+// limited, and the lines left out are counted and reported. Nothing here blocks except the write
+// itself.
 package logging
 
 import (
@@ -14,23 +15,23 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Options say how to log.
+// Options specifies the format and the limits of a log.
 type Options struct {
-	Format       string        // text or json
-	Level        string        // debug, info, warn or error; default info
-	MaxPerWindow int           // how many lines of one kind are written within Window; 0: all
-	Window       time.Duration // over which lines are counted
+	Format       string        // text or json; any other value means text
+	Level        string        // least level written: debug, info, warn or error; others mean info
+	MaxPerWindow int           // lines of one kind that are written within Window; zero means no limit
+	Window       time.Duration // time over which lines are counted
 }
 
-// Formats are the forms that a log can take.
+// Formats lists the valid formats.
 var Formats = []string{"text", "json"}
 
-// Defaults are the options without a file.
+// Defaults returns the options that apply without a settings file.
 func Defaults() Options {
 	return Options{Format: "text", Level: "info", MaxPerWindow: 20, Window: 10 * time.Second}
 }
 
-// Section is what operators write.
+// Section returns the section of the settings file for the log. Its value is of type Options.
 func Section() settings.Section {
 	return settings.Section{Name: "log", Doc: "what the log looks like", Bind: func(f *settings.FieldSet) any {
 		o := Defaults()
@@ -42,14 +43,14 @@
 	}}
 }
 
-// DebugEnabled reports whether the log takes lines of the debug level. It is called before a line is put together, which would cost CPU on every
-// request.
+// DebugEnabled reports whether the default logger writes lines of the debug level. Callers check it
+// before they assemble a line, which would cost CPU time on every request.
 func DebugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
-// New makes a handler that writes to w.
+// New returns a handler that writes to w.
 func New(w io.Writer, o Options) slog.Handler {
 	var level slog.Level
-	level.UnmarshalText([]byte(o.Level)) // an unknown one stays info
+	level.UnmarshalText([]byte(o.Level)) // an unknown level leaves info
 	var h slog.Handler = &textHandler{writer: w, level: level, mutex: &sync.Mutex{}}
 	if o.Format == "json" {
 		h = slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttr})
@@ -60,15 +61,16 @@
 	return &repeatHandler{next: h, limiter: newRepeatLimiter(o.MaxPerWindow, o.Window)}
 }
 
-// replaceAttr gives a record's message the key event, and values that have a name that name, as in text: JSON alone would write the
-// number behind it.
+// replaceAttr renames the key of a record's message to event, and replaces a value that has a
+// String method by its text, as in the text format: slog's JSON handler would write the underlying
+// number.
 func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.MessageKey {
 		a.Key = "event"
 	}
 	if a.Value.Kind() == slog.KindAny {
 		if named, ok := a.Value.Any().(fmt.Stringer); ok {
-			a.Value = slog.StringValue(fmt.Sprint(named)) // which a nil pointer with a String method survives
+			a.Value = slog.StringValue(fmt.Sprint(named)) // does not panic for a nil pointer
 		}
 	}
 	return a
--- a/internal/operations/logging/logging_test.go
+++ b/internal/operations/logging/logging_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// TestText tests the text format: time, quoting, groups and the level.
 func TestText(t *testing.T) {
 	var b bytes.Buffer
 	h := New(&b, Options{Format: "text", Level: "info"})
@@ -19,13 +20,15 @@
 	h.WithAttrs([]slog.Attr{slog.String("name", "n0")}).Handle(context.Background(), r)
 	want := `2001/09/09 01:46:40.000005 event=unexpected_answer name=n0 host=s-1 reason="a \"b\"\n" n=3 empty="" in.x=1 level=warn` + "\n"
 	if b.String() != want {
-		t.Errorf("got %s", b.String())
+		t.Errorf("the line is %q, want %q", b.String(), want)
 	}
 	if h.Enabled(context.Background(), slog.LevelDebug) {
-		t.Error("debug lines are written")
+		t.Error("a handler of level info writes debug lines")
 	}
 }
 
+// TestJSON tests the JSON format: the key of the event, and the text of a value that has a String
+// method.
 func TestJSON(t *testing.T) {
 	var b bytes.Buffer
 	slog.New(New(&b, Options{Format: "json"})).Info("ready", "hosts", 3, "day", time.Monday)
@@ -35,11 +38,12 @@
 		Day   string
 	}
 	if err := json.Unmarshal(b.Bytes(), &got); err != nil || got.Event != "ready" || got.Hosts != 3 || got.Day != "Monday" {
-		t.Errorf("%s: %v", b.String(), err)
+		t.Errorf("the line %s decodes to %+v, error %v, want event ready, 3 hosts, day Monday", b.String(), got, err)
 	}
 }
 
-// A fault that strikes a thousand times a second must not fill the disk, hide other lines, or go uncounted.
+// TestRepeats tests that a fault that is logged a thousand times per second neither fills the disk
+// nor hides other lines, and that the lines left out are counted.
 func TestRepeats(t *testing.T) {
 	var b bytes.Buffer
 	h := New(&b, Options{Format: "text", Level: "info", MaxPerWindow: 2, Window: time.Second})
@@ -55,12 +59,12 @@
 	handle(2*time.Second, "b", "")
 	if got := b.String(); strings.Count(got, "event=a reason=x") != 2 || strings.Count(got, "event=a reason=y") != 1 ||
 		!strings.Contains(got, "event=repeated of=a left_out=98 since=01:46:40\n") || !strings.Contains(got, "event=b") {
-		t.Error(got)
+		t.Errorf("want 2 lines of a with reason x, 1 with reason y, 98 left out, and b; got:\n%s", got)
 	}
 	for i := range 10 * maxKinds {
 		handle(5*time.Second, "c", strings.Repeat("z", i))
 	}
 	if n := len(h.(*repeatHandler).limiter.kinds); n > maxKinds+1 {
-		t.Errorf("%d kinds are kept in the table", n)
+		t.Errorf("the table has %d kinds, want at most %d", n, maxKinds+1)
 	}
 }
--- a/internal/operations/logging/nonblocking.go
+++ b/internal/operations/logging/nonblocking.go
@@ -8,24 +8,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxLineBytes is what a pipe takes at once where it takes anything; a longer line is cut.
+// maxLineBytes is the number of bytes that a pipe which is ready for writing accepts without
+// blocking. Longer lines are truncated.
 const maxLineBytes = 4096
 
-// NonBlockingWriter writes lines to a file or a pipe, and drops those that would have to wait: the reader of the log may stop reading, and no
-// request may wait for that. Dropped lines are counted, and reported before the next line that is written.
+// NonBlockingWriter writes lines to a file or a pipe, and drops lines that would block: the reader
+// of the log may stop reading, and no request may wait for it. Dropped lines are counted, and their
+// number is reported before the next line that is written. It is safe for concurrent use.
 type NonBlockingWriter struct {
 	mutex      sync.Mutex
 	file       *os.File
 	descriptor int32
-	dropped    int // lines
+	dropped    int // lines dropped since the last report
 }
 
-// NewNonBlockingWriter writes to a file.
+// NewNonBlockingWriter returns a writer to file, which may be a pipe.
 func NewNonBlockingWriter(file *os.File) *NonBlockingWriter {
 	return &NonBlockingWriter{file: file, descriptor: int32(file.Fd())}
 }
 
-// Write takes one line. Its error is the file's.
+// Write writes or drops one line. It returns an error only if writing to the file fails.
 func (w *NonBlockingWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -45,7 +47,8 @@
 	return w.file.Write(line)
 }
 
-// writable reports whether a line can be written without waiting. Where the system can't say, it can.
+// writable reports whether a line can be written without waiting. Where the system can't say, it
+// can.
 func (w *NonBlockingWriter) writable() bool {
 	fds := []unix.PollFd{{Fd: w.descriptor, Events: unix.POLLOUT}}
 	for {
--- a/internal/operations/logging/nonblocking_test.go
+++ b/internal/operations/logging/nonblocking_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A reader of the log that stops reading does not stop the proxy: lines are dropped, and counted.
+// TestUnreadLogDoesNotBlockWrites tests that lines are dropped and counted while nobody reads the
+// log.
 func TestUnreadLogDoesNotBlockWrites(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -19,24 +20,24 @@
 	const lines = 500 // far more than a pipe holds
 	for range lines {
 		if n, err := writer.Write(line); n != len(line) || err != nil {
-			t.Fatal(n, err)
+			t.Fatalf("Write() = %d, %v, want %d, nil", n, err, len(line))
 		}
 	}
 	dropped := writer.dropped
 	if dropped == 0 || dropped > lines-16 {
-		t.Fatalf("%d of %d lines were left out", dropped, lines)
+		t.Fatalf("%d of %d lines were dropped, want 1 to %d", dropped, lines, lines-16)
 	}
 	in := bufio.NewReader(r)
 	for range lines - dropped {
 		if got, err := in.ReadString('\n'); err != nil || got != string(line) {
-			t.Fatalf("%q, %v", got, err)
+			t.Fatalf("read %q, error %v, want %q", got, err, line)
 		}
 	}
 	writer.Write([]byte("event=next\n"))
 	w.Close()
 	for _, want := range []string{"event=log_dropped lines=", "event=next\n"} {
 		if got, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
-			t.Errorf("%q, %v; want %q", got, err, want)
+			t.Errorf("read %q, error %v, want a line that begins with %q", got, err, want)
 		}
 	}
 }
--- a/internal/operations/logging/repeat.go
+++ b/internal/operations/logging/repeat.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// maxKinds bounds the table of lines that may repeat; past it, kinds share one count.
+// maxKinds bounds the table of kinds of lines. Further kinds share one count.
 const maxKinds = 256
 
-// otherKinds is the key of the kinds that share one count; no event has this name.
+// otherKinds is the key of the kinds that share one count. No event has this name.
 const otherKinds = "\x00others"
 
-// kindAttrs are the attributes that distinguish kinds of one event.
+// kindAttrs lists the attributes whose values distinguish the kinds of lines of one event.
 var kindAttrs = map[string]bool{"host": true, "reason": true, "where": true, "effect": true, "text": true, "why": true}
 
-// repeatHandler leaves out lines that repeat.
+// repeatHandler passes records to another handler and leaves out lines that repeat.
 type repeatHandler struct {
 	next    slog.Handler
 	limiter *repeatLimiter
 }
 
-// Enabled reports whether lines of a level are written.
+// Enabled reports whether lines of the level are written.
 func (h *repeatHandler) Enabled(c context.Context, level slog.Level) bool {
 	return h.next.Enabled(c, level)
 }
 
-// Handle writes a record unless too many of its kind were written, and reports what was left out in windows that are over.
+// Handle writes a record unless the limit of its kind is reached, and reports how many lines were
+// left out in windows that have ended.
 func (h *repeatHandler) Handle(c context.Context, r slog.Record) error {
 	key := r.Message
 	r.Attrs(func(a slog.Attr) bool {
@@ -48,17 +49,17 @@
 	return h.next.Handle(c, r)
 }
 
-// WithAttrs gives a handler that writes these attributes with every line.
+// WithAttrs returns a handler that adds the attributes to every line. It shares the counts.
 func (h *repeatHandler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &repeatHandler{h.next.WithAttrs(a), h.limiter}
 }
 
-// WithGroup gives a handler that writes attributes under a name.
+// WithGroup returns a handler that writes attributes with the group's name. It shares the counts.
 func (h *repeatHandler) WithGroup(g string) slog.Handler {
 	return &repeatHandler{h.next.WithGroup(g), h.limiter}
 }
 
-// repeatLimiter counts lines by kind within a window.
+// repeatLimiter counts the lines of each kind within a window. It is safe for concurrent use.
 type repeatLimiter struct {
 	mutex        sync.Mutex
 	maxPerWindow int // lines of one kind within the window
@@ -71,7 +72,7 @@
 	return &repeatLimiter{maxPerWindow: maxPerWindow, window: window, kinds: map[string]*kindCount{}}
 }
 
-// kindCount is the lines of one kind in its window.
+// kindCount counts the lines of one kind in its current window.
 type kindCount struct {
 	event     string
 	startedAt time.Time
@@ -79,13 +80,14 @@
 	leftOut   int
 }
 
-// windowEnded reports whether the window has ended, also where the clock was set back.
+// windowEnded reports whether the window has ended. A clock that was set back ends it too.
 func (k *kindCount) windowEnded(now time.Time, window time.Duration) bool {
 	age := now.Sub(k.startedAt)
 	return age >= window || age < 0
 }
 
-// allow reports whether a line is written, and of which kinds lines were left out in a window that is over.
+// allow reports whether a line may be written, and returns the kinds of which lines were left out
+// in a window that has ended.
 func (l *repeatLimiter) allow(key, event string, now time.Time) (write bool, ended []kindCount) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -105,7 +107,8 @@
 	return false, ended
 }
 
-// removeEnded drops the kinds whose window is over, once a window, and gives those of which lines were left out.
+// removeEnded removes the kinds whose window has ended, at most once per window, and returns those
+// of which lines were left out.
 func (l *repeatLimiter) removeEnded(now time.Time) (ended []kindCount) {
 	if since := now.Sub(l.sweptAt); since < l.window && since >= 0 {
 		return nil
@@ -123,6 +126,8 @@
 	return ended
 }
 
+// countOf returns the count of a kind, which it creates if necessary, or the count that further
+// kinds share once the table is full.
 func (l *repeatLimiter) countOf(key, event string, now time.Time) *kindCount {
 	k := l.kinds[key]
 	if k == nil && len(l.kinds) >= maxKinds {
--- a/internal/operations/logging/text.go
+++ b/internal/operations/logging/text.go
@@ -10,18 +10,18 @@
 	"unicode"
 )
 
-const lineCapacity = 256 // bytes that most lines fit in
+const lineCapacity = 256 // bytes; most lines fit
 
-// textHandler writes lines of key=value.
+// textHandler writes records as lines of key=value.
 type textHandler struct {
 	writer io.Writer
 	level  slog.Level
-	mutex  *sync.Mutex // of writer
-	attrs  string      // of the logger, as they are written
-	group  string      // of names, each with a dot behind it
+	mutex  *sync.Mutex // protects writer
+	attrs  string      // attributes of the logger, as written
+	group  string      // names of the open groups, each followed by a dot
 }
 
-// Enabled reports whether lines of a level are written.
+// Enabled reports whether lines of the level are written.
 func (t *textHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= t.level }
 
 // Handle writes a record as one line.
@@ -48,7 +48,7 @@
 	return err
 }
 
-// WithAttrs gives a handler that writes these attributes with every line.
+// WithAttrs returns a handler that adds the attributes to every line.
 func (t *textHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	next := *t
 	b := []byte(t.attrs)
@@ -59,7 +59,8 @@
 	return &next
 }
 
-// WithGroup gives a handler that writes attributes under a name.
+// WithGroup returns a handler that writes attributes with the group's name and a dot before their
+// keys.
 func (t *textHandler) WithGroup(name string) slog.Handler {
 	next := *t
 	if name != "" {
@@ -89,7 +90,7 @@
 	return appendText(b, v.String())
 }
 
-// appendText quotes what would not read as one value.
+// appendText appends s, in quotes if it would not read as one value otherwise.
 func appendText(b []byte, s string) []byte {
 	if s != "" && strings.IndexFunc(s, needsQuotes) < 0 {
 		return append(b, s...)
--- a/internal/operations/settings/fault.go
+++ b/internal/operations/settings/fault.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-const maxFaults = 100 // reported of one file
+const maxFaults = 100 // reported for one file
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File    string
 	Pos     Pos
-	Message string // what was found, what is expected
+	Message string // what was found and what is expected
 }
 
-// Error is FILE:LINE:COLUMN: and what is wrong.
+// Error returns the fault as FILE:LINE:COLUMN: MESSAGE.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Pos.Line, f.Pos.Col, f.Message)
 }
 
-// Faults are all things wrong with a file, in its order.
+// Faults collects the errors in one file. It is an error whose text has one line per fault.
 type Faults struct {
 	file    string
 	list    []Fault
-	omitted int
+	omitted int // faults past maxFaults, which are only counted
 }
 
-// Add adds a fault; those past a bound are counted alone.
+// Add adds a fault. Faults past maxFaults are only counted.
 func (f *Faults) Add(at Pos, format string, args ...any) {
 	if len(f.list) == maxFaults {
 		f.omitted++
@@ -36,7 +36,7 @@
 	f.list = append(f.list, Fault{f.file, at, fmt.Sprintf(format, args...)})
 }
 
-// All gives the faults in the order of the file.
+// All returns the faults sorted by their place in the file.
 func (f *Faults) All() []Fault {
 	sort.SliceStable(f.list, func(i, j int) bool {
 		a, b := f.list[i].Pos, f.list[j].Pos
@@ -45,7 +45,7 @@
 	return f.list
 }
 
-// Err is the faults as an error, nil without any.
+// Err returns the faults as an error, or nil if there are none.
 func (f *Faults) Err() error {
 	if len(f.list) == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	return f
 }
 
-// Error is a line a fault.
+// Error returns one line per fault.
 func (f *Faults) Error() string {
 	var lines []string
 	for _, x := range f.All() {
--- a/internal/operations/settings/fieldset.go
+++ b/internal/operations/settings/fieldset.go
@@ -2,38 +2,40 @@
 
 import "slices"
 
-// FieldSet is one section, or a list of one, being read. A field is declared by the method of its type, with the variable
-// that takes it; the variable's earlier value is the default. After the last field, whatever else the section has
-// is unknown.
+// FieldSet reads the fields of a section, or of a list of fields in one. Each field is declared by
+// the method for its type, with a pointer to the variable that receives its value; the variable's
+// previous value is the default. Fields of the file that are not declared are faults.
 type FieldSet struct {
-	node        *Node // nil: the file does not have the section
+	node        *Node // nil if the file does not have the section
 	faults      *Faults
-	dir         string // that relative paths start from
-	path        string // of names, from the section down
+	dir         string // folder that relative paths start from
+	path        string // names from the section down, with blanks between
 	fields      []*Field
-	nodesByName map[string][]*Node // by field name
+	nodesByName map[string][]*Node // the file's nodes by field name
 }
 
-// Field is what a section declares, as `settings show` prints it.
+// Field is a declared field, as `settings show` prints it.
 type Field struct {
 	Name     string
 	Doc      string
-	Expected string      // which values are valid
-	Set      bool        // the file has it
-	Nested   []*FieldSet // of a list of fields
+	Expected string      // describes the valid values
+	Set      bool        // whether the file has the field
+	Nested   []*FieldSet // for a list of fields: one set per occurrence
 	value    func() string
 }
 
-// Value is the field's value in the form of the file.
+// Value returns the field's value as a settings file has it, or "" for a list of fields.
 func (f *Field) Value() string { return f.value() }
 
-// Fields are what was declared, in order.
+// Fields returns the declared fields in the order of their declaration.
 func (f *FieldSet) Fields() []*Field { return f.fields }
 
 // Present reports whether the file has the section.
 func (f *FieldSet) Present() bool { return f.node != nil }
 
-// AddFault reports that values that are valid each by itself contradict one another. name says at which field.
+// AddFault adds a fault for values that are valid on their own but contradict each other. It
+// reports the fault at the field called name, or at the section if the file does not have that
+// field.
 func (f *FieldSet) AddFault(name, format string, args ...any) {
 	at := Pos{1, 1}
 	if f.node != nil {
@@ -61,7 +63,7 @@
 	return f
 }
 
-// reportUnknown reports what was not declared.
+// reportUnknown adds a fault for each field that was not declared.
 func (f *FieldSet) reportUnknown() {
 	known := make([]string, 0, len(f.fields))
 	for _, d := range f.fields {
@@ -77,9 +79,10 @@
 	}
 }
 
-// declare declares a field that may occur once, and gives its node, nil where the file lacks it, and its values.
-func (f *FieldSet) declare(name, doc, want string, value func() string) (*Node, []*Node) {
-	d := &Field{Name: name, Doc: doc, Expected: want, value: value}
+// declare declares a field that may occur once. It returns the field's node and values, or nil if
+// the file does not have the field.
+func (f *FieldSet) declare(name, doc, expected string, value func() string) (*Node, []*Node) {
+	d := &Field{Name: name, Doc: doc, Expected: expected, value: value}
 	f.fields = append(f.fields, d)
 	nodes := f.nodesByName[name]
 	if len(nodes) == 0 {
@@ -87,20 +90,21 @@
 	}
 	d.Set = true
 	for _, n := range nodes[1:] {
-		f.faults.Add(n.Pos, "%q stands a second time, first on line %d, expected once", name, nodes[0].Pos.Line)
+		f.faults.Add(n.Pos, "%q appears a second time, first on line %d, expected once", name, nodes[0].Pos.Line)
 	}
 	return nodes[0], nodes[0].Values()[1:]
 }
 
-// Group declares a list of fields of its own: (name (field value) ...).
+// Group declares a list of fields that may occur once: (name (field value) ...). It calls bind even
+// if the file does not have the list.
 func (f *FieldSet) Group(name, doc string, bind func(f *FieldSet)) {
 	n, _ := f.declare(name, doc, "a list of fields", func() string { return "" })
 	nested := f.bindNested(n, name, bind)
 	f.fields[len(f.fields)-1].Nested = []*FieldSet{nested}
 }
 
-// Repeated declares a list of fields that may occur any number of times; bind is called for each. label is its first value,
-// an atom or a text.
+// Repeated declares a list of fields that may occur any number of times: (name label (field value)
+// ...). It calls bind for each occurrence. The label is an atom or a text.
 func (f *FieldSet) Repeated(name, doc string, bind func(label string, f *FieldSet)) {
 	d := &Field{Name: name, Doc: doc, Expected: "a label and fields, any number of times", value: func() string { return "" }}
 	f.fields = append(f.fields, d)
@@ -114,7 +118,7 @@
 		}
 		label := values[1].Text
 		if labels[label] {
-			f.faults.Add(values[1].Pos, "%s %q stands a second time, expected once", name, truncate(label))
+			f.faults.Add(values[1].Pos, "%s %q appears a second time, expected once", name, truncate(label))
 		}
 		labels[label] = true
 		rest := &Node{Kind: List, Pos: n.Pos, End: n.End, Items: append([]*Node{values[0]}, values[2:]...)}
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -1,16 +1,17 @@
-// Package settings reads the operators' settings file: S-expressions, typed and validated. It owns the form of the file, its
-// faults and its printing; what a section may contain is known to the package that registers it (see Schema).
+// Package settings reads the operators' settings file: S-expressions, typed and validated. It owns
+// the syntax of the file, its faults and its printing. The package that registers a section defines
+// the section's fields (see Schema).
 package settings
 
 import "fmt"
 
-// Bounds of a file. What an operator writes by hand is far below them; a file beyond is reported as a mistake.
+// Bounds of a file. Files written by hand are far below them; a larger file is reported as a fault.
 const (
 	MaxBytes = 1 << 20
-	MaxDepth = 32 // lists in lists
+	MaxDepth = 32 // of lists in lists
 )
 
-// Pos is a place in a file, from 1; columns count characters.
+// Pos is a position in a file. Lines and columns count from 1; columns count characters.
 type Pos struct{ Line, Col int }
 
 // Kind is the kind of a node.
@@ -18,7 +19,7 @@
 
 // The kinds of node.
 const (
-	Atom    Kind = iota // bare: on, 250ms, x25519
+	Atom    Kind = iota // a bare word: on, 250ms, x25519
 	Text                // quoted
 	List                // (...)
 	Comment             // ; to the end of the line, preserved by Print
@@ -28,15 +29,15 @@
 type Node struct {
 	Kind  Kind
 	Pos   Pos
-	End   Pos     // of the closing bracket of a List
-	Text  string  // of an Atom, a Text (unquoted) and a Comment (with its semicolons)
-	Items []*Node // of a List, comments included
+	End   Pos     // of a List: its closing bracket, or the end of the file if it is not closed
+	Text  string  // of an Atom, a Text (without quotes and escapes) or a Comment (with its semicolons)
+	Items []*Node // of a List, including comments
 
 	afterBlankLine bool
-	sameLine       bool // of a Comment: it follows something on its line
+	sameLine       bool // of a Comment: it follows another node on its line
 }
 
-// Values are the items of a list without its comments.
+// Values returns the items of a list without its comments.
 func (n *Node) Values() []*Node {
 	var out []*Node
 	for _, item := range n.Items {
@@ -47,7 +48,7 @@
 	return out
 }
 
-// Name is the first atom of a list, "" where it does not begin with one.
+// Name returns the first atom of a list, or "" if the node is not a list that begins with an atom.
 func (n *Node) Name() string {
 	if n.Kind != List {
 		return ""
@@ -64,7 +65,7 @@
 	return ""
 }
 
-// describe is how a fault names what it found.
+// describe returns the node as a fault names it.
 func (n *Node) describe() string {
 	switch n.Kind {
 	case Atom:
@@ -80,7 +81,7 @@
 	return "a comment"
 }
 
-const maxQuotedRunes = 40 // of the file, in a fault
+const maxQuotedRunes = 40 // quoted from the file in a fault
 
 func truncate(s string) string {
 	if r := []rune(s); len(r) > maxQuotedRunes {
--- a/internal/operations/settings/pairs.go
+++ b/internal/operations/settings/pairs.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// Pairs declares a map: (name (key value) ...). check may be nil.
-func (f *FieldSet) Pairs(name, doc, want string, to *map[string]string, check func(key, value string) bool) {
-	n, values := f.declare(name, doc, want, func() string {
+// Pairs declares a map: (name (key value) ...). check reports whether a pair is valid; a nil check
+// accepts every pair.
+func (f *FieldSet) Pairs(name, doc, expected string, target *map[string]string, check func(key, value string) bool) {
+	n, values := f.declare(name, doc, expected, func() string {
 		var out []string
-		for _, k := range slices.Sorted(maps.Keys(*to)) {
-			out = append(out, "("+Quote(k)+" "+Quote((*to)[k])+")")
+		for _, k := range slices.Sorted(maps.Keys(*target)) {
+			out = append(out, "("+Quote(k)+" "+Quote((*target)[k])+")")
 		}
 		return strings.Join(out, " ")
 	})
@@ -22,7 +23,7 @@
 	for _, v := range values {
 		key, value, ok := v.pair()
 		if !ok || check != nil && !check(key, value) {
-			f.faults.Add(v.Pos, "%s has %s, expected %s", name, v.describe(), want)
+			f.faults.Add(v.Pos, "%s has %s, expected %s", name, v.describe(), expected)
 			continue
 		}
 		if _, duplicate := out[key]; duplicate {
@@ -30,10 +31,10 @@
 		}
 		out[key] = value
 	}
-	*to = out
+	*target = out
 }
 
-// pair is the key and value of a list (key value).
+// pair returns the key and value of a list (key value). ok reports whether the node is such a list.
 func (n *Node) pair() (key, value string, ok bool) {
 	items := n.Values()
 	if n.Kind != List || len(items) != 2 || items[0].Kind == List || items[1].Kind == List {
--- a/internal/operations/settings/parse.go
+++ b/internal/operations/settings/parse.go
@@ -7,8 +7,9 @@
 	"unicode/utf8"
 )
 
-// Parse reads the form of a file. All faults are reported, and carry name. The tree is returned even with
-// faults, as far as it could be read, so that its contents can be checked in the same pass.
+// Parse parses the syntax of a file. It reports all faults, with name as the file's name. With
+// faults it returns the tree as far as it could be read, so that the contents can be checked in the
+// same pass.
 func Parse(name string, data []byte) (*Node, *Faults) {
 	faults := &Faults{file: name}
 	root := &Node{Kind: List, Pos: Pos{1, 1}}
@@ -17,7 +18,7 @@
 		return root, faults
 	}
 	if i := firstInvalidUTF8(data); i >= 0 {
-		faults.Add(positionAfter(data[:i]), "a byte that is no UTF-8, expected text")
+		faults.Add(positionAfter(data[:i]), "a byte that is not valid UTF-8, expected text")
 		return root, faults
 	}
 	p := &parser{rest: string(data), pos: Pos{1, 1}, faults: faults}
@@ -25,13 +26,14 @@
 	return root, faults
 }
 
-// positionAfter is the place after some text.
+// positionAfter returns the position that follows text at the start of a file.
 func positionAfter(text []byte) Pos {
 	lineStart := bytes.LastIndexByte(text, '\n') + 1
 	return Pos{Line: 1 + bytes.Count(text, []byte("\n")), Col: 1 + utf8.RuneCount(text[lineStart:])}
 }
 
-// firstInvalidUTF8 is the index of the first byte that is no UTF-8; -1: there is none.
+// firstInvalidUTF8 returns the index of the first byte that is not valid UTF-8, or -1 if there is
+// none.
 func firstInvalidUTF8(data []byte) int {
 	for i := 0; i < len(data); {
 		c, n := utf8.DecodeRune(data[i:])
@@ -43,14 +45,14 @@
 	return -1
 }
 
-// parser reads nodes one by one.
+// parser parses the nodes of a file one by one.
 type parser struct {
-	rest   string
-	pos    Pos
+	rest   string // the input that is still to be parsed
+	pos    Pos    // of rest
 	faults *Faults
 }
 
-// peek gives the next character; 0 at the end.
+// peek returns the next character, or 0 at the end of the input.
 func (p *parser) peek() rune {
 	c, n := utf8.DecodeRuneInString(p.rest)
 	if n == 0 {
@@ -76,9 +78,10 @@
 	}
 }
 
-// parseItems reads up to the bracket that closes list, or the end of the file where it is the root.
+// parseItems parses the items of list up to its closing bracket, or up to the end of the file if
+// list is the root. depth is the number of open lists.
 func (p *parser) parseItems(list *Node, depth int) {
-	lastLine := 0 // on which the previous element ended
+	lastLine := 0 // line on which the previous node ended
 	if depth > 0 {
 		lastLine = list.Pos.Line
 	}
@@ -98,7 +101,7 @@
 				list.End = at
 				return
 			}
-			p.faults.Add(at, "a ) that closes nothing")
+			p.faults.Add(at, "a ) without its (")
 			continue
 		}
 		n := &Node{Pos: at, afterBlankLine: lastLine > 0 && at.Line > lastLine+1}
@@ -110,7 +113,7 @@
 	}
 }
 
-// parseNode reads one parseNode; false: nothing after it can be read.
+// parseNode parses one node. It returns false if the input after the node can't be parsed.
 func (p *parser) parseNode(n *Node, depth, lastLine int) bool {
 	switch p.peek() {
 	case '(':
@@ -158,7 +161,7 @@
 
 func endsAtom(c rune) bool { return unicode.IsSpace(c) || strings.ContainsRune(`();"`, c) }
 
-// parseText reads a quoted parseText.
+// parseText parses a quoted text.
 func (p *parser) parseText(n *Node) {
 	n.Kind = Text
 	p.next()
@@ -184,7 +187,7 @@
 	}
 }
 
-// parseEscape reads what follows a backslash at a place.
+// parseEscape parses the character after a backslash, which is at the position at.
 func (p *parser) parseEscape(b *strings.Builder, at Pos) {
 	if p.rest == "" {
 		return
--- a/internal/operations/settings/paths.go
+++ b/internal/operations/settings/paths.go
@@ -4,17 +4,17 @@
 	"path/filepath"
 )
 
-// Path declares the path of a file; a relative one starts from the folder of the settings.
-func (f *FieldSet) Path(name, doc string, to *string) {
-	f.declareSingle(name, doc, "a path", func() string { return Quote(*to) }, func(s string) bool {
-		*to = f.resolve(s)
+// Path declares the path of a file. A relative path starts from the folder of the settings file.
+func (f *FieldSet) Path(name, doc string, target *string) {
+	f.declareSingle(name, doc, "a path", func() string { return Quote(*target) }, func(s string) bool {
+		*target = f.resolve(s)
 		return s != ""
 	})
 }
 
-// Paths declares some paths.
-func (f *FieldSet) Paths(name, doc string, to *[]string) {
-	f.declareList(name, doc, "one or more paths", to, func(s string) (string, bool) { return f.resolve(s), s != "" })
+// Paths declares a list of paths, each as in Path.
+func (f *FieldSet) Paths(name, doc string, target *[]string) {
+	f.declareList(name, doc, "one or more paths", target, func(s string) (string, bool) { return f.resolve(s), s != "" })
 }
 
 func (f *FieldSet) resolve(s string) string {
--- a/internal/operations/settings/print.go
+++ b/internal/operations/settings/print.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// maxLineBytes is how many bytes a printed line may have before its list is broken up.
+// maxLineBytes is the length up to which a list is printed on one line.
 const maxLineBytes = 100
 
-// Print writes a file in its one form: what fits on a line is on one, indented by two blanks a level, comments where they were.
-// Reading it back gives the same nodes, and printing them again the same bytes.
+// Print returns a file in its canonical format: each list that fits is on one line, each level is
+// indented by two blanks, and comments stay where they were. Parsing the result returns the same
+// nodes, and printing those returns the same bytes.
 func Print(root *Node) []byte {
 	var b strings.Builder
 	printItems(&b, root.Items, 0)
@@ -43,8 +44,9 @@
 	b.WriteString(strings.Repeat(" ", indent) + ")")
 }
 
-// printHead writes the items of a list that stay on its first line, and gives their number: up to two atoms, and a comment beside them, which a
-// closing bracket can't follow.
+// printHead writes the items that stay on the first line of a list, and returns their number: up to
+// two atoms, and a comment next to them, since a closing bracket can't follow a comment on its
+// line.
 func printHead(b *strings.Builder, items []*Node) (head int) {
 	for head < len(items) && head < 2 && items[head].Kind == Atom {
 		if head > 0 {
@@ -60,7 +62,7 @@
 	return head
 }
 
-// flatten writes a node on one line, which can't contain a comment.
+// flatten returns a node on one line. It returns false for a list that contains a comment.
 func flatten(n *Node) (string, bool) {
 	switch n.Kind {
 	case Atom, Comment:
@@ -79,7 +81,7 @@
 	return "(" + strings.Join(parts, " ") + ")", true
 }
 
-// Quote writes a text in the form of a file.
+// Quote returns a text with quotes and escapes, as a settings file has it.
 func Quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`, "\r", `\r`).Replace(s) + `"`
 }
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// Section is a part of the settings file that one package declares.
+// Section describes a section of the settings file, which one package declares.
 type Section struct {
 	Name string
 	Doc  string
-	// Bind declares the section's fields on f and gives the value that has them. For a file without the section the
-	// form is empty, and the value is the default.
+	// Bind declares the section's fields on f and returns the value that receives them. If the file
+	// does not have the section, f has no nodes and the value keeps its defaults.
 	Bind func(f *FieldSet) any
 }
 
-// Schema is all sections that a program knows. Packages bring theirs; none is known here.
+// Schema lists all sections of a program. Other packages provide them.
 type Schema []Section
 
-// File is a file that was read.
+// File is a settings file that was read.
 type File struct {
 	Path      string
 	Root      *Node
@@ -29,11 +29,11 @@
 	fieldSets map[string]*FieldSet
 }
 
-// Value is what the section's Bind gave.
+// Value returns the value that the section's Bind returned, or nil for an unknown section.
 func (f *File) Value(section string) any { return f.values[section] }
 
-// Load reads the file at path. Without a path the file is empty: all is as by default. The error is Faults wherever the
-// file could be opened.
+// Load reads the file at path. An empty path means an empty file, in which every field has its
+// default. The error is a *Faults unless the file could not be read.
 func (s Schema) Load(path string) (*File, error) {
 	if path == "" {
 		f, _ := s.Read("", nil)
@@ -51,7 +51,8 @@
 	return s.Read(path, data)
 }
 
-// Read reads a file's bytes; path says where they are from.
+// Read reads a file from its bytes. path appears in faults and is the file from whose folder
+// relative paths start. Read returns a File even with an error, which is a *Faults.
 func (s Schema) Read(path string, data []byte) (*File, error) {
 	root, faults := Parse(path, data)
 	f := &File{Path: path, Root: root, values: map[string]any{}, fieldSets: map[string]*FieldSet{}}
@@ -65,7 +66,8 @@
 	return f, faults.Err()
 }
 
-// sectionNodes finds each section's node, and reports those that are unknown or repeated.
+// sectionNodes returns the node of each section by name, and adds faults for unknown or repeated
+// sections.
 func (s Schema) sectionNodes(root *Node, faults *Faults) map[string]*Node {
 	found := map[string]*Node{}
 	names := make([]string, 0, len(s))
@@ -80,7 +82,7 @@
 		case !slices.Contains(names, name):
 			faults.Add(n.Pos, "section %q is unknown%s", truncate(name), suggestion(name, names))
 		case first != nil:
-			faults.Add(n.Pos, "section %q stands a second time, first on line %d, expected once", name, first.Pos.Line)
+			faults.Add(n.Pos, "section %q appears a second time, first on line %d, expected once", name, first.Pos.Line)
 		default:
 			found[name] = n
 		}
@@ -88,7 +90,7 @@
 	return found
 }
 
-// Show writes every section with the value that each field has, defaults marked, in the form of a file.
+// Show writes every section with the value of each field as a settings file, and marks defaults.
 func (s Schema) Show(w io.Writer, f *File) {
 	for i, section := range s {
 		if i > 0 {
@@ -115,7 +117,7 @@
 	}
 }
 
-// describe is the field as Show prints it.
+// describe returns the field as Show prints it.
 func (f *Field) describe() string {
 	value := f.Value()
 	if value == "" || value == `""` {
--- a/internal/operations/settings/settings_test.go
+++ b/internal/operations/settings/settings_test.go
@@ -37,6 +37,7 @@
 	return s
 }}}
 
+// TestValues tests that every type of field is read, and that a missing file means the defaults.
 func TestValues(t *testing.T) {
 	f, err := schema.Read("/etc/x/a.sexp", []byte(`(sample (servers on) (number 3) (pause 1.5s) (room 16KiB) (share 12.5%)
 		(colour green) (colours green red) (file "a b.pem") (names (s1 "a;b") ("s2" c)) (inner (depth 4)) (team a) (team b))`))
@@ -47,15 +48,16 @@
 	if !s.on || s.n != 3 || s.d != 1500*time.Millisecond || s.size != 16384 || s.share != 0.125 || s.kind != "green" ||
 		strings.Join(s.kinds, " ") != "green red" || s.path != "/etc/x/a b.pem" || s.names["s1"] != "a;b" ||
 		s.names["s2"] != "c" || s.sub != 4 || strings.Join(s.teams, " ") != "a b" {
-		t.Errorf("%+v", s)
+		t.Errorf("Read stored %+v, which differs from the file", s)
 	}
 	f, err = schema.Load("")
 	if s := f.Value("sample").(*sample); err != nil || s.on || s.n != 7 || s.d != time.Second {
-		t.Errorf("without a file: %+v, %v", s, err)
+		t.Errorf("without a file: %+v, error %v, want the defaults", s, err)
 	}
 }
 
-// All faults are reported at once, each with its place and what is expected.
+// TestFaults tests that all faults are reported at once, each with its position and what is
+// expected.
 func TestFaults(t *testing.T) {
 	_, err := schema.Read("a.sexp", []byte(`; a comment
 (sample (number 11) (paus 1s)
@@ -73,14 +75,14 @@
 		`a.sexp:3:33: servers is "yes", expected on or off`,
 		`a.sexp:4:11: colour is "blue", expected red or green`,
 		`a.sexp:4:30: colours names "red" twice, expected once`,
-		`a.sexp:4:35: "number" stands a second time, first on line 2, expected once`,
+		`a.sexp:4:35: "number" appears a second time, first on line 2, expected once`,
 		`a.sexp:4:53: "dept" is unknown in (sample inner ...), did you mean depth?`,
 		`a.sexp:4:63: "loose" in (sample ...), expected (name value)`,
 		`a.sexp:5:1: section "smaple" is unknown, did you mean sample?`,
-		`a.sexp:6:1: section "sample" stands a second time, first on line 2, expected once`,
+		`a.sexp:6:1: section "sample" appears a second time, first on line 2, expected once`,
 		`a.sexp:6:10: the text "text", expected (section ...)`,
 		`a.sexp:7:1: section "team" is unknown, did you mean sample?`,
-		`a.sexp:7:8: a ) that closes nothing`,
+		`a.sexp:7:8: a ) without its (`,
 		`a.sexp:8:1: section "unclosed" is unknown, expected sample`,
 		`a.sexp:8:1: the list (unclosed ...) is not closed, expected )`,
 		`a.sexp:8:11: a text is not closed, expected "`,
@@ -92,22 +94,23 @@
 	}
 	for _, w := range want {
 		if w == want[13] {
-			continue // how near team is to sample matters to nobody
+			continue // whether a suggestion follows "team" does not matter
 		}
 		if !reported[w] {
-			t.Errorf("not reported: %s", w)
+			t.Errorf("the fault %q is not reported", w)
 		}
 	}
 	if len(got) > len(want) {
-		t.Errorf("reported:\n%s", err)
+		t.Errorf("%d faults reported, want %d:\n%s", len(got), len(want), err)
 	}
 }
 
+// TestBounds tests that a file beyond a bound is an error, and that the error stays short.
 func TestBounds(t *testing.T) {
 	for _, data := range []string{strings.Repeat(" ", MaxBytes+1), strings.Repeat("(", 1000), "(sample (file \xff))", strings.Repeat(")", 5000)} {
 		_, err := schema.Read("a", []byte(data))
 		if err == nil || len(err.Error()) > 1<<14 {
-			t.Errorf("%.10q: %.100v", data, err)
+			t.Errorf("Read(%.10q...) = %.100v, want an error of at most %d bytes", data, err, 1<<14)
 		}
 	}
 }
@@ -126,16 +129,18 @@
 )
 `
 
+// TestPrintKeepsComments tests that Print keeps comments in their place and restores the layout.
 func TestPrintKeepsComments(t *testing.T) {
 	root, faults := Parse("a", []byte(strings.ReplaceAll(commented, "(servers on)", "( servers    on\n)")))
 	if faults.Err() != nil {
 		t.Fatal(faults)
 	}
 	if got := string(Print(root)); got != commented {
-		t.Errorf("got\n%s", got)
+		t.Errorf("Print returned\n%s\nwant\n%s", got, commented)
 	}
 }
 
+// FuzzParse tests that a printed file parses to the same nodes and prints to the same bytes.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{commented, `(a (b "c\n\"") ; d`, "((;x\n))", "a;b\n\n\n(", "(a\n\n;x\n b ;y\n)", "(a b ;c\n)", "(;\n;\n)", "\"\\", "(\"a\" ;b\n c)"} {
 		f.Add([]byte(s))
@@ -152,13 +157,13 @@
 		}
 		again, faults := Parse("f", once)
 		if err := faults.Err(); err != nil {
-			t.Fatalf("printed %q: %v", once, err)
+			t.Fatalf("parsing the printed file %q: %v", once, err)
 		}
 		if !equalNodes(root, again) {
-			t.Fatalf("%q became %q", data, once)
+			t.Fatalf("the file %q, printed as %q, parses to other nodes", data, once)
 		}
 		if twice := Print(again); !bytes.Equal(once, twice) {
-			t.Fatalf("%q printed %q then %q", data, once, twice)
+			t.Fatalf("the file %q is printed as %q, and that as %q", data, once, twice)
 		}
 	})
 }
--- a/internal/operations/settings/suggest.go
+++ b/internal/operations/settings/suggest.go
@@ -2,9 +2,10 @@
 
 import "strings"
 
-const maxComparedBytes = 64 // of a name: longer ones are like no other
+const maxComparedBytes = 64 // of a name; longer names are similar to no other
 
-// suggestion names the known name that s is most likely meant for, or all of them where none is near.
+// suggestion returns the end of a fault about the unknown name s: the known name that is most
+// similar, or all known names if none is similar.
 func suggestion(s string, known []string) string {
 	best, bestDistance := "", len(s)/3+2
 	for _, k := range known {
@@ -21,7 +22,8 @@
 	return ""
 }
 
-// editDistance is how many letters must change, come or go to make a of b (Levenshtein).
+// editDistance returns the Levenshtein distance of a and b in bytes, or maxComparedBytes if one of
+// them is longer than that.
 func editDistance(a, b string) int {
 	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
 		return maxComparedBytes
@@ -45,7 +47,7 @@
 	return row[len(b)]
 }
 
-// joinWithOr lists names for a message.
+// joinWithOr joins names for a message: a, b or c.
 func joinWithOr(names []string) string {
 	if len(names) == 1 {
 		return names[0]
--- a/internal/operations/settings/units.go
+++ b/internal/operations/settings/units.go
@@ -7,29 +7,31 @@
 	"time"
 )
 
-// unit is a unit of time or size.
+// unit is a unit of time in nanoseconds or of size in bytes.
 type unit[T int64 | time.Duration] struct {
 	name string
 	size T
 }
 
-// Largest first; a value is printed in the largest unit that it is a multiple of.
+// The units, the largest first. A value is printed in the largest unit that it is a multiple of.
 var (
 	timeUnits = []unit[time.Duration]{{"d", 24 * time.Hour}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second},
 		{"ms", time.Millisecond}, {"us", time.Microsecond}, {"ns", 1}}
 	sizeUnits = []unit[int64]{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 )
 
-// ParseDuration reads a time with one unit: d, h, m, s, ms, us or ns.
+// ParseDuration parses a time with one unit: d, h, m, s, ms, us or ns. It reports whether s is
+// valid.
 func ParseDuration(s string) (time.Duration, bool) { return parseUnit(s, timeUnits) }
 
-// FormatDuration writes a time as ParseDuration reads it.
+// FormatDuration returns a time in the format of ParseDuration.
 func FormatDuration(d time.Duration) string { return formatUnit(d, timeUnits) }
 
-// ParseSize reads a number of bytes with its unit: B, KiB, MiB or GiB.
+// ParseSize parses a number of bytes with one unit: B, KiB, MiB or GiB. It reports whether s is
+// valid.
 func ParseSize(s string) (int64, bool) { return parseUnit(s, sizeUnits) }
 
-// FormatSize writes a size as ParseSize reads it.
+// FormatSize returns a number of bytes in the format of ParseSize.
 func FormatSize(n int64) string { return formatUnit(n, sizeUnits) }
 
 const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
@@ -61,7 +63,8 @@
 	return "0" + units[len(units)-1].name
 }
 
-// parseDecimal reads digits with at most one point. ParseFloat alone takes names, exponents and signs as well.
+// parseDecimal parses digits with at most one point. ParseFloat alone also accepts names, exponents
+// and signs.
 func parseDecimal(s string) (float64, bool) {
 	if s == "" || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
