--- a/internal/operations/balancerconfig/decode.go
+++ b/internal/operations/balancerconfig/decode.go
@@ -1,6 +1,6 @@
-// Package balancerconfig reads the platform's settings object as the configuration of a balancer. The names
-// that the protocol gives to settings are known here alone, by the tags of settings.go; the proxy and the
-// simulator's adapter both read them by Decode.
+// Package balancerconfig decodes the platform's settings object into the configuration of a
+// balancer. The protocol's names of the settings occur only here, as tags in settings.go; the proxy
+// and the simulator's adapter both use Decode.
 package balancerconfig
 
 import (
@@ -11,14 +11,14 @@
 	"croftlock/internal/balancer"
 )
 
-// Values of settings.
+// Values of settings, as the protocol has them.
 const (
 	priorityByWork     = "work"
 	passThrough        = "pass"
 	noLoadReports      = "none"
 	loadField          = "x0"
 	queueField         = "queue"
-	queueFieldOnWire   = "pending" // the simulator's name of it
+	queueFieldOnWire   = "pending" // queueField as the simulator names it
 	discoveryAutomatic = "automatic"
 	discoverySubscribe = "subscribe"
 )
@@ -32,8 +32,8 @@
 	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-// Decode reads the settings object. Unknown keys are skipped; a value that cannot be used is an error that
-// names it.
+// Decode decodes the settings object. It ignores unknown keys. For an invalid value it returns an
+// error that names it.
 func Decode(raw []byte) (balancer.Config, error) {
 	var s settings
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -57,7 +57,7 @@
 	return c, nil
 }
 
-// config is the configuration but for what has to be checked or put together.
+// config returns the configuration without the values that have to be checked or combined.
 func (s *settings) config() balancer.Config {
 	return balancer.Config{
 		Instance:                s.Instance,
@@ -90,7 +90,8 @@
 	}
 }
 
-// fieldPositions are those of the load and of the queue length in a report; -1: not reported.
+// fieldPositions returns the positions of the load and of the queue length in a report, -1 for a
+// value that is not reported.
 func (r *loadReport) fieldPositions() (load, queue int) {
 	if r.How == noLoadReports {
 		return -1, -1
@@ -102,6 +103,8 @@
 	return load, queue
 }
 
+// classes returns the classes with their latency objectives for messages, which are by class in
+// Extra.
 func (s *settings) classes() ([]balancer.Class, error) {
 	var classes []balancer.Class
 	for i, entry := range s.Classes {
@@ -124,6 +127,7 @@
 	return classes, nil
 }
 
+// tenants returns the tenants with their connection quotas, which are by tenant in Extra.
 func (s *settings) tenants() []balancer.Tenant {
 	var tenants []balancer.Tenant
 	for i, entry := range s.Tenants {
--- a/internal/operations/balancerconfig/quotas.go
+++ b/internal/operations/balancerconfig/quotas.go
@@ -6,18 +6,20 @@
 	"croftlock/internal/balancer"
 )
 
-// restoreRateQuotas makes the tenants' rate quotas exact again. The settings give them as integers, a
-// small tenant's as 0, so that their sum may be off by half. Their connection quotas are larger, and the same
-// lifetime of a connection lies between all of them. Quotas that no one lifetime explains stay as they are.
+// restoreRateQuotas replaces the tenants' rate quotas, in requests per second, by more exact ones.
+// The settings contain them rounded to integers, zero for a small tenant, so that their sum may be
+// off by half. Connection quotas are larger, and the ratio of a tenant's two quotas is the same for
+// all tenants: the lifetime of a connection. If no single lifetime fits all quotas, they stay
+// unchanged.
 func restoreRateQuotas(tenants []balancer.Tenant) {
 	const rounding = 0.5
-	shortest, longest := 0.0, math.Inf(1) // lifetimes that the quotas allow, in seconds
+	shortest, longest := 0.0, math.Inf(1) // lifetimes of a connection that fit the quotas, in seconds
 	for _, t := range tenants {
 		rate, connections := t.RateQuota, t.ConnectionQuota
 		if rate != math.Trunc(rate) || connections <= 0 {
 			return
 		}
-		// The connection quotas are rounded as well.
+		// The connection quotas are rounded too.
 		shortest = max(shortest, (connections-rounding)/(rate+rounding))
 		if rate > 0 {
 			longest = min(longest, (connections+rounding)/(rate-rounding))
--- a/internal/operations/balancerconfig/settings.go
+++ b/internal/operations/balancerconfig/settings.go
@@ -1,14 +1,14 @@
 package balancerconfig
 
-// settings is the platform's settings object, as far as it is read. The tags are the protocol's names;
-// durations are nanoseconds.
+// settings is the part of the platform's settings object that is used. The tags are the protocol's
+// names. Durations are in nanoseconds.
 type settings struct {
 	Instance        int        `json:"me"`
 	Instances       int        `json:"peers_total"`
 	Zone            string     `json:"my_zone"`
 	Zones           []string   `json:"zones"`
 	Tick            int64      `json:"step"`
-	Family          string     `json:"family"` // unused; one that is no string is an error
+	Family          string     `json:"family"` // unused, but must be a string
 	Classes         []class    `json:"lanes"`
 	Tenants         []tenant   `json:"orgs"`
 	OverQuotaWeight float64    `json:"over_share_worth"`
@@ -33,13 +33,14 @@
 	LatePriorityWeight float64 `json:"late_worth"`
 }
 
+// tenant is one tenant and its quotas.
 type tenant struct {
 	Name         string  `json:"name"`
-	RateQuota    float64 `json:"quota_per_s"` // rounded to an integer
+	RateQuota    float64 `json:"quota_per_s"` // requests per second, rounded to an integer
 	ServiceQuota float64 `json:"fraction"`
 }
 
-// limits is what a balancer may do.
+// limits specifies what a balancer may do.
 type limits struct {
 	MayCancel       bool  `json:"cancelling"`
 	ConnectTimeout  int64 `json:"connect_timeout"`
@@ -51,7 +52,7 @@
 	MaxAttempts     int   `json:"try_limit"`
 }
 
-// contract is what hosts and balancers promise each other.
+// contract holds the guarantees between hosts and balancers.
 type contract struct {
 	AnswerSlack             int64   `json:"answer_slack"`
 	SlowStartFloor          float64 `json:"cold_from"`
@@ -62,13 +63,14 @@
 	SlowStartDuration       int64   `json:"warm_up"`
 }
 
-// loadReport says how hosts report their load, and the names of a report's fields in order.
+// loadReport specifies how hosts report their load, and the names of a report's fields in order.
 type loadReport struct {
 	How    string   `json:"how"`
 	Fields []string `json:"fields"`
 }
 
-// extra has by class and by tenant what their own objects do not hold.
+// extra holds further settings. MessageObjectives is by class and ConnectionQuotas by tenant, in
+// the order of Classes and Tenants.
 type extra struct {
 	Mode              string    `json:"mode"`
 	ParkDuration      int64     `json:"park"`
@@ -76,6 +78,7 @@
 	ConnectionQuotas  []float64 `json:"tenant_quota_connections"`
 }
 
+// prices holds what the operators deduct per unit of each kind.
 type prices struct {
 	CrossZone   float64 `json:"cross_zone"`
 	Waste       float64 `json:"waste"`
--- a/internal/operations/certs/certs.go
+++ b/internal/operations/certs/certs.go
@@ -1,5 +1,6 @@
-// Package certs makes, reads and describes certificates and keys, on files. It owns their forms on disk: PEM, keys in
-// PKCS #8 that only their owner may read, encrypted where a password is given. Keys and encryption are go.step.sm/crypto's.
+// Package certs issues, reads and describes certificates and keys in files. It owns their format on
+// disk: PEM, with keys in PKCS #8 that only their owner may read and that are encrypted if a
+// password is given. go.step.sm/crypto generates and encrypts the keys.
 package certs
 
 import (
@@ -23,25 +24,26 @@
 type Pair struct {
 	Cert  *x509.Certificate
 	Key   crypto.Signer
-	Chain []*x509.Certificate // those above it, without the root
+	Chain []*x509.Certificate // issuers of Cert, the direct one first, without the root
 }
 
-// Spec is the content of a certificate.
+// Spec specifies the content of a certificate.
 type Spec struct {
 	Name      string   // common name
 	Hosts     []string // DNS names, addresses and URIs
 	NotBefore time.Time
 	NotAfter  time.Time
-	Server    bool   // it may authenticate servers
-	Client    bool   // it may authenticate clients
-	Authority bool   // it may issue others
-	Key       string // a kind of KeyKinds; default ec
+	Server    bool   // may authenticate a server
+	Client    bool   // may authenticate a client
+	Authority bool   // may issue certificates
+	Key       string // one of KeyKinds; empty means ec
 }
 
-// KeyKinds are the kinds of key that are made; ec is P-256. The last is for tests only: everything rejects it.
+// KeyKinds lists the kinds of keys that NewKey generates; ec is P-256. rsa1024 is for tests only,
+// because every check rejects it as too weak.
 var KeyKinds = []string{"ec", "ec384", "ed25519", "rsa", "rsa1024"}
 
-// NewKey makes a key.
+// NewKey generates a key of a kind in KeyKinds. An empty kind means ec.
 func NewKey(kind string) (crypto.Signer, error) {
 	switch kind {
 	case "", "ec":
@@ -53,12 +55,13 @@
 	case "rsa":
 		return keyutil.GenerateSigner("RSA", "", 2048)
 	case "rsa1024":
-		return rsa.GenerateKey(rand.Reader, 1024) // too weak, so the library does not make it
+		return rsa.GenerateKey(rand.Reader, 1024) // keyutil rejects keys this weak
 	}
 	return nil, fmt.Errorf("key kind %q, expected one of %s", kind, strings.Join(KeyKinds, ", "))
 }
 
-// Issue makes a certificate for spec with a new key. A nil issuer makes it sign itself.
+// Issue issues a certificate for spec with a new key. With a nil issuer the certificate is
+// self-signed.
 func Issue(issuer *Pair, spec Spec) (*Pair, error) {
 	key, err := NewKey(spec.Key)
 	if err != nil {
@@ -67,7 +70,7 @@
 	return IssueFor(issuer, spec, key)
 }
 
-// IssueFor is Issue for a key that exists.
+// IssueFor is like Issue, but for an existing key.
 func IssueFor(issuer *Pair, spec Spec, key crypto.Signer) (*Pair, error) {
 	template, err := spec.template()
 	if err != nil {
@@ -88,7 +91,8 @@
 	return &Pair{Cert: cert, Key: key, Chain: issuer.chainBelow()}, nil
 }
 
-// chainBelow is the chain of a certificate that p issues, without the root; none for one that signs itself.
+// chainBelow returns the chain of a certificate that p issues, without the root. It returns nil if
+// p is nil or self-signed.
 func (p *Pair) chainBelow() []*x509.Certificate {
 	if p == nil || p.Cert.Subject.String() == p.Cert.Issuer.String() {
 		return nil
@@ -96,16 +100,16 @@
 	return append([]*x509.Certificate{p.Cert}, p.Chain...)
 }
 
-const serialBits = 126 // of randomness
+const serialBits = 126 // random bits of a serial number
 
-// template is the certificate before it is signed.
+// template returns the certificate that is to be signed.
 func (s *Spec) template() (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, err
 	}
 	if !s.NotAfter.After(s.NotBefore) {
-		return nil, fmt.Errorf("it would end %v, before it begins %v", s.NotAfter, s.NotBefore)
+		return nil, fmt.Errorf("certificate %q would end at %v, which is not after its start %v", s.Name, s.NotAfter, s.NotBefore)
 	}
 	t := &x509.Certificate{
 		SerialNumber:          serial,
@@ -132,7 +136,7 @@
 	return t, nil
 }
 
-// addName adds an address, URI or DNS name.
+// addName adds an IP address, URI or DNS name to a certificate.
 func addName(t *x509.Certificate, name string) error {
 	if ip := net.ParseIP(name); ip != nil {
 		t.IPAddresses = append(t.IPAddresses, ip)
@@ -153,7 +157,8 @@
 	return nil
 }
 
-// NewRevocationList makes the PEM of a list of certificates that ca revokes.
+// NewRevocationList returns a revocation list of ca for certs, in PEM. It is valid from the time
+// from, which is also the time of the revocations, until the time until.
 func NewRevocationList(ca *Pair, number int64, from, until time.Time, certs ...*x509.Certificate) ([]byte, error) {
 	list := &x509.RevocationList{Number: big.NewInt(number), ThisUpdate: from, NextUpdate: until}
 	for _, c := range certs {
--- a/internal/operations/certs/describe.go
+++ b/internal/operations/certs/describe.go
@@ -17,7 +17,8 @@
 	minECBits  = 256
 )
 
-// Weakness says why a certificate's key or signature is too weak to be accepted; "" if it is not.
+// Weakness returns why a certificate's key or signature is too weak to be accepted, or "" if it is
+// not.
 func Weakness(c *x509.Certificate) string {
 	switch k := c.PublicKey.(type) {
 	case *rsa.PublicKey:
@@ -39,10 +40,11 @@
 	return ""
 }
 
-// Fingerprint is the hash of a certificate, by which people compare them.
+// Fingerprint returns the SHA-256 hash of a certificate in hexadecimal, by which people compare
+// certificates.
 func Fingerprint(c *x509.Certificate) string { return fmt.Sprintf("%x", sha256.Sum256(c.Raw)) }
 
-// Describe is what an operator wants to know of a certificate, a line each.
+// Describe returns the properties of a certificate for operators, one per line, as of the time now.
 func Describe(c *x509.Certificate, now time.Time) string {
 	var b strings.Builder
 	line := func(name, format string, args ...any) {
--- a/internal/operations/certs/files.go
+++ b/internal/operations/certs/files.go
@@ -16,12 +16,12 @@
 	"go.step.sm/crypto/pemutil"
 )
 
-// PEM is the certificate with its chain in the form of a file.
+// PEM returns the certificate and its chain in PEM.
 func (p *Pair) PEM() []byte {
 	return EncodeBundle(append([]*x509.Certificate{p.Cert}, p.Chain...)...)
 }
 
-// EncodeBundle writes certificates in the form of a file.
+// EncodeBundle returns certificates in PEM.
 func EncodeBundle(certs ...*x509.Certificate) []byte {
 	var out []byte
 	for _, c := range certs {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// KeyPEM is the key in the form of a file, encrypted where there is a password.
+// KeyPEM returns the key in PEM. It encrypts the key if password is not empty.
 func (p *Pair) KeyPEM(password []byte) ([]byte, error) {
 	options := []pemutil.Options{pemutil.WithPKCS8(true)}
 	if len(password) > 0 {
@@ -43,8 +43,9 @@
 	return pem.EncodeToMemory(block), nil
 }
 
-// Save writes both files, each completely or not at all: the key first, since a watcher that sees only the certificate would
-// find that they do not match.
+// Save writes the certificate and the key, each file completely or not at all. It encrypts the key
+// if password is not empty. The key comes first, since a watcher that sees a new certificate
+// without its key would find that they do not match.
 func (p *Pair) Save(certFile, keyFile string, password []byte) error {
 	key, err := p.KeyPEM(password)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return ReplaceFile(certFile, p.PEM(), 0o644)
 }
 
-// ReplaceFile puts a complete file in the place of another at once.
+// ReplaceFile writes a file atomically: readers see either the previous or the complete new file.
 func ReplaceFile(path string, data []byte, mode fs.FileMode) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
 	if err != nil {
@@ -69,7 +70,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// writeSynced writes a file to the disk and closes it.
+// writeSynced writes a file, syncs it to disk and closes it.
 func writeSynced(f *os.File, data []byte, mode fs.FileMode) error {
 	_, err := f.Write(data)
 	if err == nil {
@@ -81,28 +82,29 @@
 	return cmp.Or(err, f.Close())
 }
 
-// maxFileBytes bounds what is read of a file of certificates.
+// maxFileBytes is the size of the largest file that ReadFile accepts.
 const maxFileBytes = 4 << 20
 
-// ReadFile reads a file of bounded size.
+// ReadFile reads a regular file of at most maxFileBytes.
 func ReadFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes || !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: %d bytes, mode %v; expected a plain file of at most %d", path, info.Size(), info.Mode(), maxFileBytes)
+		return nil, fmt.Errorf("%s: %d bytes, mode %v; expected a regular file of at most %d bytes", path, info.Size(), info.Mode(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-// ParseBundle reads certificates, of which there must be one at least.
+// ParseBundle parses certificates in PEM. path appears in errors. It is an error if data has no
+// certificate.
 func ParseBundle(path string, data []byte) ([]*x509.Certificate, error) {
 	var out []*x509.Certificate
 	for len(strings.TrimSpace(string(data))) > 0 {
 		block, rest := pem.Decode(data)
 		if block == nil {
-			return nil, fmt.Errorf("%s: after %d certificates comes what is no PEM; is the file half written?", path, len(out))
+			return nil, fmt.Errorf("%s: the data after %d certificates is not PEM; is the file half written?", path, len(out))
 		}
 		data = rest
 		if block.Type != "CERTIFICATE" {
@@ -120,10 +122,11 @@
 	return out, nil
 }
 
-// ErrKeyPermissions is a key file that others than its owner may read.
+// ErrKeyPermissions is returned for a secret file that users other than its owner may access.
 var ErrKeyPermissions = errors.New("others than its owner may read it; expected mode 0600 or 0400")
 
-// ReadSecret reads a file that only its owner may read, as ReadFile does.
+// ReadSecret is like ReadFile, but returns ErrKeyPermissions if users other than the owner may
+// access the file.
 func ReadSecret(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -135,7 +138,8 @@
 	return ReadFile(path)
 }
 
-// LoadKey reads a private key. passwordFile is needed where it is encrypted. Errors never contain anything of the key.
+// LoadKey reads a private key. passwordFile is the file with its password, or "" if the key is not
+// encrypted. Errors never contain any part of the key.
 func LoadKey(path, passwordFile string) (crypto.Signer, error) {
 	data, err := ReadSecret(path)
 	if err != nil {
@@ -162,7 +166,8 @@
 	return key, nil
 }
 
-// LoadPair reads a certificate with its chain and its key, and checks that they belong together.
+// LoadPair reads a certificate with its chain, and its key, and checks that the key is the
+// certificate's. See LoadKey for passwordFile.
 func LoadPair(certFile, keyFile, passwordFile string) (*Pair, error) {
 	data, err := ReadFile(certFile)
 	if err != nil {
--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -1,5 +1,6 @@
-// Package platform reads the platform's configuration of a proxy: the JSON file that NODE_CONFIG names, and its environment. It owns
-// what follows from the limits in it, too: how many clients, dials and health checks fit.
+// Package platform reads the platform's configuration of a proxy: the JSON file that NODE_CONFIG
+// names, and the environment. It also derives from the limits in it how many clients, dials and
+// health checks fit.
 package platform
 
 import (
@@ -17,37 +18,38 @@
 	"croftlock/internal/operations/balancerconfig"
 )
 
-// Config is a proxy's configuration at its start.
+// Config is the configuration with which a proxy starts.
 type Config struct {
 	Name             string
 	Listen           string // host:port for clients
 	Discovery        string // host:port
-	Admin            string // host:port for operators' calls; "": nowhere
+	Admin            string // IP:port for operators' calls; "" means no admin interface
 	Seed             int64
 	Limits           Limits
-	CachedList       proxy.WatchEvent // the endpoint list that the file has
+	CachedList       proxy.WatchEvent // the endpoint list in the file
 	Settings         balancer.Config
-	DelayInLoad      bool // hosts report loads and delays
+	DelayInLoad      bool // hosts report a connection's load and their message delay in the same form
 	Peers            peers.Addresses
-	ReportFields     []string // the fields of load reports; none: there are none
-	ReportsInAnswers bool     // load reports come behind answers too
+	ReportFields     []string // the fields of a load report, in order; empty if hosts send none
+	ReportsInAnswers bool     // load reports follow answers too
 }
 
-// Limits are the platform's; 0: none is known.
+// Limits holds the platform's limits of a proxy. A zero limit is unknown.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"` // MiB
 	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
-// Errors of a configuration that lacks something.
+// Errors for an incomplete configuration.
 var (
 	ErrNoConfigFile = errors.New("NODE_CONFIG is not set: it names the configuration file")
 	ErrNoSettings   = errors.New("no settings")
 )
 
-// Load reads the file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_ADMIN_ADDR, where set, win over
-// it: they say the same unless an operator means them to differ.
+// Load reads the file that NODE_CONFIG names. env returns an environment variable, or "" if it is
+// not set. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_ADMIN_ADDR override the file if they are
+// set: they equal its values unless an operator wants them to differ.
 func Load(env func(string) string) (*Config, error) {
 	path := env("NODE_CONFIG")
 	if path == "" {
@@ -64,13 +66,13 @@
 	return c, nil
 }
 
-// configFile is the JSON that NODE_CONFIG names.
+// configFile is the JSON file that NODE_CONFIG names.
 type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
 	Admin      string          `json:"admin_addr"`
-	Seed       string          `json:"seed"` // hexadecimal
+	Seed       string          `json:"seed"` // 64 bits in hexadecimal
 	Limits     Limits          `json:"limits"`
 	Known      json.RawMessage `json:"known"` // an endpoint list
 	Settings   json.RawMessage `json:"settings"`
@@ -79,7 +81,7 @@
 	PeersAll   string          `json:"peers_all"`
 }
 
-// reportSettings is what the settings say of load reports.
+// reportSettings is the part of the settings that describes load reports.
 type reportSettings struct {
 	Extra struct {
 		Load  bool `json:"tells_load"`
@@ -91,7 +93,7 @@
 	} `json:"report"`
 }
 
-// Parse reads the file's bytes. An error names the field at fault.
+// Parse parses the bytes of the file; env is as in Load. Its errors name the field that is invalid.
 func Parse(data []byte, env func(string) string) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -105,7 +107,7 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed %q is no hexadecimal number", f.Seed)
+		return nil, fmt.Errorf("seed %q is not a hexadecimal number of at most 64 bits", f.Seed)
 	}
 	c.Seed = int64(seed)
 	if err := c.parseSettings(f.Settings); err != nil {
@@ -120,7 +122,7 @@
 	return c, nil
 }
 
-// applyEnvironment takes what the environment says.
+// applyEnvironment overrides fields by the environment variables that are set.
 func (c *Config) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
 		to   *string
@@ -135,20 +137,22 @@
 func (c *Config) checkAddresses() error {
 	for _, v := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(v.addr); err != nil {
-			return fmt.Errorf("%s %q is no address with a port", v.field, v.addr)
+			return fmt.Errorf("%s %q is not an address with a port", v.field, v.addr)
 		}
 	}
 	switch {
 	case c.Admin == "":
 		return nil
 	case !isIPPort(c.Admin):
-		return fmt.Errorf("admin_addr %q is no IP address with a port", c.Admin)
+		return fmt.Errorf("admin_addr %q is not an IP address with a port", c.Admin)
 	case c.Admin == c.Listen:
 		return fmt.Errorf("admin_addr %q is the address that clients use (listen)", c.Admin)
 	}
 	return nil
 }
 
+// isIPPort reports whether addr is an IP address, or an empty one for all addresses, with a port
+// from 1.
 func isIPPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host != "" && net.ParseIP(host) == nil {
--- a/internal/operations/platform/limits.go
+++ b/internal/operations/platform/limits.go
@@ -1,6 +1,6 @@
 package platform
 
-// Defaults where the platform gives no limit.
+// Defaults for platforms without limits.
 const (
 	defaultDials        = 32
 	defaultIdleClients  = 1024
@@ -10,18 +10,21 @@
 	defaultMemoryLimit  = 1 << 40 // bytes
 )
 
-// reservedDescriptors are kept for what is neither a client's nor a host's: the standard three, the pollers,
-// the listener, discovery, the configuration file, and clients that are accepted but not looked at yet.
+// reservedDescriptors is the number of descriptors for other uses than clients and hosts: the three
+// standard ones, the pollers, the listener, discovery, the configuration file, and clients that are
+// accepted but not handled yet.
 const reservedDescriptors = 24
 
-// heapShare is the part of the memory limit that the heap may take: stacks, the runtime's own structures and the files of a
-// private $TMPDIR count against the limit too.
+// heapShare is the share of the memory limit that the heap may use: stacks, the runtime's own
+// structures and the files of a private $TMPDIR count against the limit too.
 const heapShare = 0.7
 
-// HotRestartDescriptors is how many descriptors a second process of this proxy needs beside those of its clients.
+// HotRestartDescriptors returns how many descriptors a second process of this proxy needs in
+// addition to those of its clients.
 func (c *Config) HotRestartDescriptors() int { return reservedDescriptors + c.MaxAdminCallers() }
 
-// MaxDials is how many connections may be opening at a time. Each may use a descriptor for a request that has dropped its dial.
+// MaxDials returns how many dials may be in progress at a time. Each may hold a descriptor of its
+// own, because a dial may outlast the request that dropped it.
 func (c *Config) MaxDials() int {
 	if c.Limits.Sockets <= 0 {
 		return defaultDials
@@ -29,7 +32,7 @@
 	return min(defaultDials, max(8, c.Limits.Sockets/16))
 }
 
-// MaxIdleClients is how many clients may be connected without a request.
+// MaxIdleClients returns how many clients may be connected without a request.
 func (c *Config) MaxIdleClients() int {
 	if c.Limits.Sockets <= 0 {
 		return defaultIdleClients
@@ -37,7 +40,8 @@
 	return max(8, c.Limits.Sockets/8)
 }
 
-// MaxAdminCallers is how many operators' calls may be connected.
+// MaxAdminCallers returns how many operators' calls may be connected, zero without an admin
+// interface.
 func (c *Config) MaxAdminCallers() int {
 	switch {
 	case c.Admin == "":
@@ -48,7 +52,8 @@
 	return min(defaultAdminCallers, max(4, c.Limits.Sockets/32))
 }
 
-// MaxHealthChecks is how many connections may be open for health checks of hosts.
+// MaxHealthChecks returns how many connections may be open for health checks of hosts, zero if
+// hosts may not be checked or send no load reports.
 func (c *Config) MaxHealthChecks() int {
 	switch {
 	case !c.Settings.MayHealthCheck || len(c.ReportFields) == 0:
@@ -59,8 +64,8 @@
 	return max(4, c.Limits.Sockets/16)
 }
 
-// MaxDownstreams is how many clients with a request fit the limit on descriptors: each may need one more, to its upstream
-// host.
+// MaxDownstreams returns how many clients with a request fit the limit on descriptors. Each may
+// need a second descriptor, for its upstream host.
 func (c *Config) MaxDownstreams() int {
 	if c.Limits.Sockets <= 0 {
 		return defaultDownstreams
@@ -68,10 +73,12 @@
 	return max(1, (c.Limits.Sockets-reservedDescriptors-c.MaxDials()-c.MaxIdleClients()-c.MaxAdminCallers()-c.MaxHealthChecks())/2)
 }
 
-// MaxThreads is how many threads may run Go code: more than the cores only adds switching.
+// MaxThreads returns how many threads may run Go code: more threads than cores would only add
+// switching.
 func (c *Config) MaxThreads() int { return max(1, int(c.Limits.Cores)) }
 
-// MemoryLimit is what the garbage collector works towards, in bytes: past the platform's limit the proxy is killed.
+// MemoryLimit returns the soft memory limit of the garbage collector, in bytes. Past the platform's
+// limit the proxy is killed.
 func (c *Config) MemoryLimit() int64 {
 	if c.Limits.MemoryMB <= 0 {
 		return defaultMemoryLimit
--- a/internal/operations/platform/reload.go
+++ b/internal/operations/platform/reload.go
@@ -2,8 +2,9 @@
 
 import "reflect"
 
-// Reload reads the file again, for a process that runs on old. The file's discovery counts here, not that of the environment, which is from the
-// start. later names what differs but takes effect at the next start only.
+// Reload reads the file again for a process that runs with the configuration old. NODE_DISCOVERY
+// does not override the file here, because the environment is from the start of the process.
+// unapplied names the fields that differ from old but take effect only at the next start.
 func Reload(env func(string) string, old *Config) (c *Config, unapplied []string, err error) {
 	c, err = Load(func(name string) string {
 		if name == "NODE_DISCOVERY" {
