--- a/internal/operations/platform/config.go
+++ b/internal/operations/platform/config.go
@@ -22,7 +22,7 @@
 type Config struct {
 	Name             string
 	Listen           string // host:port for clients
-	Discovery        string // host:port
+	Discovery        string // host:port of discovery
 	Admin            string // IP:port for operators' calls; "" means no admin interface
 	Seed             int64
 	Limits           Limits
--- a/internal/operations/settings/fieldset.go
+++ b/internal/operations/settings/fieldset.go
@@ -90,7 +90,7 @@
 	}
 	d.Set = true
 	for _, n := range nodes[1:] {
-		f.faults.Add(n.Pos, "%q appears a second time, first on line %d, expected once", name, nodes[0].Pos.Line)
+		f.faults.Add(n.Pos, "%q stands a second time, first on line %d, expected once", name, nodes[0].Pos.Line)
 	}
 	return nodes[0], nodes[0].Values()[1:]
 }
@@ -118,7 +118,7 @@
 		}
 		label := values[1].Text
 		if labels[label] {
-			f.faults.Add(values[1].Pos, "%s %q appears a second time, expected once", name, truncate(label))
+			f.faults.Add(values[1].Pos, "%s %q stands a second time, expected once", name, truncate(label))
 		}
 		labels[label] = true
 		rest := &Node{Kind: List, Pos: n.Pos, End: n.End, Items: append([]*Node{values[0]}, values[2:]...)}
--- a/internal/operations/settings/node.go
+++ b/internal/operations/settings/node.go
@@ -25,7 +25,7 @@
 	Comment             // ; to the end of the line, preserved by Print
 )
 
-// Node is one element of a file.
+// Node is one element of the syntax tree of a file.
 type Node struct {
 	Kind  Kind
 	Pos   Pos
@@ -33,8 +33,8 @@
 	Text  string  // of an Atom, a Text (without quotes and escapes) or a Comment (with its semicolons)
 	Items []*Node // of a List, including comments
 
-	afterBlankLine bool
-	sameLine       bool // of a Comment: it follows another node on its line
+	afterBlankLine bool // a blank line precedes the node
+	sameLine       bool // of a Comment: it follows a node or an opening bracket on its line
 }
 
 // Values returns the items of a list without its comments.
--- a/internal/operations/settings/schema.go
+++ b/internal/operations/settings/schema.go
@@ -82,7 +82,7 @@
 		case !slices.Contains(names, name):
 			faults.Add(n.Pos, "section %q is unknown%s", truncate(name), suggestion(name, names))
 		case first != nil:
-			faults.Add(n.Pos, "section %q appears a second time, first on line %d, expected once", name, first.Pos.Line)
+			faults.Add(n.Pos, "section %q stands a second time, first on line %d, expected once", name, first.Pos.Line)
 		default:
 			found[name] = n
 		}
