--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -62,8 +62,8 @@
 	return all
 }
 
-// reassignment returns, of the attempts at a host, the time of the last for one account and of the first for another.
-func reassignment(all []attempt, host, from, to string) (last, first time.Time) {
+// reassignmentTimes returns, of the attempts at a host, the time of the last for one account and of the first for another.
+func reassignmentTimes(all []attempt, host, from, to string) (last, first time.Time) {
 	for _, a := range all {
 		if a.host != host {
 			continue
--- a/internal/app/command/certs.go
+++ b/internal/app/command/certs.go
@@ -24,17 +24,17 @@
 
 // newCertificate holds the flags of the commands that make a certificate.
 type newCertificate struct {
-	cert, key      string // paths that are written
-	passwordFile   string // path; "": the key is not encrypted
-	kind, lifetime string
-	force          bool // existing files are replaced
+	certPath, keyPath string // paths that are written
+	passwordFile      string // path; "": the key is not encrypted
+	kind, lifetime    string
+	force             bool // existing files are replaced
 }
 
 // addFlags adds the flags to a command, with its defaults.
 func (n *newCertificate) addFlags(cmd *cobra.Command, name, lifetime string) {
 	f := cmd.Flags()
-	f.StringVar(&n.cert, "out", name+".pem", "file of the certificate")
-	f.StringVar(&n.key, "key", name+".key", "file of the key, written with mode 0600")
+	f.StringVar(&n.certPath, "out", name+".pem", "file of the certificate")
+	f.StringVar(&n.keyPath, "key", name+".key", "file of the key, written with mode 0600")
 	f.StringVar(&n.passwordFile, "password-file", "", "encrypt the key with the first line of this file")
 	f.StringVar(&n.kind, "kind", "ec", "kind of key: "+strings.Join(certs.KeyKinds[:len(certs.KeyKinds)-1], ", "))
 	f.StringVar(&n.lifetime, "life", lifetime, "how long it is valid, such as 90d")
@@ -55,7 +55,7 @@
 	if issuer != nil && spec.NotAfter.After(issuer.Cert.NotAfter) {
 		return nil, fmt.Errorf("it would outlive its issuer, which ends %s", issuer.Cert.NotAfter.UTC().Format(time.RFC3339))
 	}
-	for _, path := range []string{n.cert, n.key} {
+	for _, path := range []string{n.certPath, n.keyPath} {
 		if _, err := os.Stat(path); err == nil && !n.force {
 			return nil, fmt.Errorf("%s exists; --force replaces it", path)
 		}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return pair, pair.Save(n.cert, n.key, password)
+	return pair, pair.Save(n.certPath, n.keyPath, password)
 }
 
 // password reads the password of the new key; nil: the key is not encrypted.
@@ -104,7 +104,7 @@
 
 func issueCommand() *cobra.Command {
 	var n newCertificate
-	var caCert, caKey, caPassword string
+	var caCertPath, caKeyPath, caPasswordFile string
 	var spec certs.Spec
 	cmd := &cobra.Command{Use: "issue NAME", Short: "Make a certificate signed by an authority", Args: cobra.ExactArgs(1),
 		Example: "  croftlock certs issue cat3 --server --host cat3.valley.example --out cat3.pem --key cat3.key\n" +
@@ -116,12 +116,12 @@
 			if spec.Server && len(spec.Hosts) == 0 {
 				return errors.New("a server's certificate needs a name: --host")
 			}
-			ca, err := certs.LoadPair(caCert, caKey, caPassword)
+			ca, err := certs.LoadPair(caCertPath, caKeyPath, caPasswordFile)
 			if err != nil {
 				return err
 			}
 			if !ca.Cert.IsCA {
-				return fmt.Errorf("%s is no authority's certificate", caCert)
+				return fmt.Errorf("%s is no authority's certificate", caCertPath)
 			}
 			spec.Name = args[0]
 			p, err := n.issue(ca, spec)
@@ -131,9 +131,9 @@
 			return err
 		}}
 	f := cmd.Flags()
-	f.StringVar(&caCert, "ca", "ca.pem", "the authority's certificate")
-	f.StringVar(&caKey, "ca-key", "ca.key", "the authority's key")
-	f.StringVar(&caPassword, "ca-password-file", "", "file with the password of that key")
+	f.StringVar(&caCertPath, "ca", "ca.pem", "the authority's certificate")
+	f.StringVar(&caKeyPath, "ca-key", "ca.key", "the authority's key")
+	f.StringVar(&caPasswordFile, "ca-password-file", "", "file with the password of that key")
 	f.StringSliceVar(&spec.Hosts, "host", nil, "name, address or URI it is for; may be repeated")
 	f.BoolVar(&spec.Server, "server", false, "for servers")
 	f.BoolVar(&spec.Client, "client", false, "for clients")
@@ -168,8 +168,8 @@
 }
 
 func verifyCommand() *cobra.Command {
-	var trust, key, password, name string
-	var lists []string
+	var trustPath, keyPath, passwordFile, name string
+	var crlPaths []string
 	cmd := &cobra.Command{Use: "verify FILE", Short: "Verify a server's certificate as the proxy would",
 		Args:    cobra.ExactArgs(1),
 		Example: "  croftlock certs verify cat3.pem --trust ca.pem --name cat3.valley.example --key cat3.key",
@@ -178,7 +178,7 @@
 			if err != nil {
 				return err
 			}
-			material, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}, CRLs: lists}, 1)
+			material, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trustPath}, CRLs: crlPaths}, 1)
 			if err != nil {
 				return err
 			}
@@ -188,8 +188,8 @@
 			if _, err := material.Verify(chain, upstreamtls.Name{Text: name, IsURI: strings.Contains(name, "://")}, time.Now()); err != nil {
 				return fmt.Errorf("%s: %v", args[0], err)
 			}
-			if key != "" {
-				if _, err := certs.LoadPair(args[0], key, password); err != nil {
+			if keyPath != "" {
+				if _, err := certs.LoadPair(args[0], keyPath, passwordFile); err != nil {
 					return err
 				}
 			}
@@ -197,11 +197,11 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.StringVar(&trust, "trust", "ca.pem", "bundle of authorities")
-	f.StringVar(&key, "key", "", "file of its key, to see that they belong together")
-	f.StringVar(&password, "password-file", "", "file with the password of that key")
+	f.StringVar(&trustPath, "trust", "ca.pem", "bundle of authorities")
+	f.StringVar(&keyPath, "key", "", "file of its key, to see that they belong together")
+	f.StringVar(&passwordFile, "password-file", "", "file with the password of that key")
 	f.StringVar(&name, "name", "", "name it must be for: a DNS name, an address or a URI")
-	f.StringSliceVar(&lists, "crl", nil, "lists of certificates taken back")
+	f.StringSliceVar(&crlPaths, "crl", nil, "lists of certificates taken back")
 	cmd.MarkFlagRequired("name")
 	return cmd
 }
--- a/internal/app/command/hosts_test.go
+++ b/internal/app/command/clients_test.go
@@ -39,10 +39,10 @@
 }
 
 // eventually waits until a condition holds; what says what it is.
-func eventually(t testing.TB, what string, holds func() bool) {
+func eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	if _, ok := experiment.Until(ownersPatience, holds); !ok {
-		t.Fatalf("not within %v: %s", ownersPatience, what)
+	if _, ok := experiment.Until(recoveryTimeout, holds); !ok {
+		t.Fatalf("not within %v: %s", recoveryTimeout, condition)
 	}
 }
 
@@ -54,10 +54,10 @@
 }
 
 // start calls request for every process, again and again, with the interval of that process after each call. The test's end stops it.
-func (l *processLoop) start(t *testing.T, r *experiment.Rig, interval func(process int) time.Duration, request func(process, n int)) {
+func (l *processLoop) start(t *testing.T, rig *experiment.Rig, interval func(process int) time.Duration, request func(process, n int)) {
 	t.Helper()
-	l.paused = make([]atomic.Bool, len(r.Procs))
-	for i := range r.Procs {
+	l.paused = make([]atomic.Bool, len(rig.Procs))
+	for i := range rig.Procs {
 		l.workers.Add(1)
 		go func() {
 			defer l.workers.Done()
@@ -78,8 +78,8 @@
 	l.workers.Wait()
 }
 
-// always is the same interval at all processes.
-func always(interval time.Duration) func(process int) time.Duration {
+// sameInterval is the same interval at all processes.
+func sameInterval(interval time.Duration) func(process int) time.Duration {
 	return func(int) time.Duration { return interval }
 }
 
@@ -91,11 +91,11 @@
 }
 
 // startClientLoop starts the clients. Each waits for the interval after its request; extra is added to the request line of the nth request.
-func startClientLoop(t *testing.T, r *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
+func startClientLoop(t *testing.T, rig *experiment.Rig, interval time.Duration, extra func(n int) string) *clientLoop {
 	t.Helper()
 	loop := &clientLoop{}
-	loop.start(t, r, always(interval), func(process, n int) {
-		loop.request(r.Procs[process].Addr, extra(n), &loop.paused[process])
+	loop.start(t, rig, sameInterval(interval), func(process, n int) {
+		loop.request(rig.Procs[process].Addr, extra(n), &loop.paused[process])
 	})
 	return loop
 }
--- a/internal/app/command/fleet.go
+++ b/internal/app/command/fleet.go
@@ -38,8 +38,8 @@
 	return all
 }
 
-// socketOf is the path of the socket of a settings section, owners or membership.
-func (f *fleetClient) socketOf(section string) (string, error) {
+// socketPath is the path of the socket of a settings section, owners or membership.
+func (f *fleetClient) socketPath(section string) (string, error) {
 	if f.socket != "" {
 		return f.socket, nil
 	}
@@ -59,7 +59,7 @@
 
 // send sends a request to the owner agent and prints the reply. An answer by which the request was not carried out is an error.
 func (f *fleetClient) send(cmd *cobra.Command, request owneragent.Request, show printReply) error {
-	socket, err := f.socketOf("owners")
+	socket, err := f.socketPath("owners")
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 func (f *fleetClient) membersCommand() *cobra.Command {
 	return &cobra.Command{Use: "members", Args: cobra.NoArgs, Short: "Tell which proxies are there, as this one sees them",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			socket, err := f.socketOf("membership")
+			socket, err := f.socketPath("membership")
 			if err != nil {
 				return err
 			}
--- a/internal/app/command/recorded_test.go
+++ b/internal/app/command/golden_test.go
@@ -12,8 +12,8 @@
 	"croftlock/internal/testbed/golden"
 )
 
-// printed is a command's output with its exit status, without the paths that depend on where the test runs.
-func printed(t *testing.T, args ...string) string {
+// transcript is a command's output with its exit status, without the paths that depend on where the test runs.
+func transcript(t *testing.T, args ...string) string {
 	t.Helper()
 	out, status := command(t, args...)
 	here, err := os.Getwd()
@@ -31,7 +31,7 @@
 	var all strings.Builder
 	var visit func(c *cobra.Command, path []string)
 	visit = func(c *cobra.Command, path []string) {
-		all.WriteString(printed(t, append(path[:len(path):len(path)], "--help")...))
+		all.WriteString(transcript(t, append(path[:len(path):len(path)], "--help")...))
 		for _, sub := range c.Commands() {
 			visit(sub, append(path[:len(path):len(path)], sub.Name()))
 		}
@@ -47,11 +47,11 @@
 		t.Fatalf("%d examples, %v", len(files), err)
 	}
 	var all strings.Builder
-	all.WriteString(printed(t, "settings", "show"))
+	all.WriteString(transcript(t, "settings", "show"))
 	for _, file := range append(files, "../../../deploy/croftlock.sexp") {
-		all.WriteString(printed(t, "check", "--settings", file))
-		all.WriteString(printed(t, "settings", "show", "--settings", file))
-		all.WriteString(printed(t, "settings", "fmt", file))
+		all.WriteString(transcript(t, "check", "--settings", file))
+		all.WriteString(transcript(t, "settings", "show", "--settings", file))
+		all.WriteString(transcript(t, "settings", "fmt", file))
 	}
 	golden.Check(t, "settings.txt", []byte(all.String()))
 }
@@ -65,7 +65,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		out := printed(t, "check", "--settings", file)
+		out := transcript(t, "check", "--settings", file)
 		all.WriteString(text + "\n" + strings.ReplaceAll(out, filepath.Dir(file)+"/", ""))
 	}
 	golden.Check(t, "faults.txt", []byte(all.String()))
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestReplacingTheProcess: through hot restarts established connections and suspensions stay, the death of a new process leaves the old one serving,
+// TestHotRestart: through hot restarts established connections and suspensions stay, the death of a new process leaves the old one serving,
 // and a third process is rejected while two run.
-func TestReplacingTheProcess(t *testing.T) {
+func TestHotRestart(t *testing.T) {
 	h := newHotRestartTest(t)
 	first, admin := h.startReady()
 	h.call(admin, "POST", "/v1/catalogue-servers/s0/suspend", 200)
--- a/internal/app/command/large_test.go
+++ b/internal/app/command/largerules_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// TestALargeVersionAmongProcesses: rules of 250 customers and a thousand routes reach all processes by datagrams, a change of one entry becomes active
+// TestLargeRulesVersionAmongProcesses: rules of 250 customers and a thousand routes reach all processes by datagrams, a change of one entry becomes active
 // while one process is cut off, and each process can return the active version.
-func TestALargeVersionAmongProcesses(t *testing.T) {
+func TestLargeRulesVersionAmongProcesses(t *testing.T) {
 	t.Parallel()
-	r := startRulesRig(t, "")
-	waitActive(t, r, 0, 0, 5)
+	rig := startRulesRig(t, "")
+	waitActive(t, rig, 0, 0, 5)
 	rulesText := func(hostsOut int) string {
 		var b strings.Builder
 		b.WriteString("(rules (pool a (prefixes a))\n")
@@ -28,23 +28,23 @@
 		}
 		return b.String() + ")"
 	}
-	if answer := putUntilAnswered(t, r, 1, 0, rulesText(400)); !strings.HasPrefix(answer, "0 active: version 2 at") {
+	if answer := putUntilAnswered(t, rig, 1, 0, rulesText(400)); !strings.HasPrefix(answer, "0 active: version 2 at") {
 		t.Fatalf("the rules are answered with %q, want active version 2", answer)
 	}
-	waitActive(t, r, 2, 2, 5)
-	r.Cut(4, true)
+	waitActive(t, rig, 2, 2, 5)
+	rig.Cut(4, true)
 	startedAt := time.Now()
-	if answer := putUntilAnswered(t, r, 3, 2, rulesText(401)); !strings.HasPrefix(answer, "0 active: version 3 at") {
+	if answer := putUntilAnswered(t, rig, 3, 2, rulesText(401)); !strings.HasPrefix(answer, "0 active: version 3 at") {
 		t.Fatalf("a change of one entry is answered with %q, want active version 3", answer)
 	}
 	t.Logf("a change of 1,651 entries with one process cut off: %v", time.Since(startedAt).Round(time.Millisecond))
-	r.Cut(4, false)
-	waitActive(t, r, 4, 3, 5)
-	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(r.Dir(4), "owners.sock"))
+	rig.Cut(4, false)
+	waitActive(t, rig, 4, 3, 5)
+	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(rig.Dir(4), "owners.sock"))
 	if status != 0 || !strings.Contains(out, "host0400-of-somewhere") || !strings.Contains(out, "(route \"r0999\"") {
 		t.Errorf("the active version at n4: exit status %d, %d bytes; want 0 and the last host and route", status, len(out))
 	}
-	if answer := putUntilAnswered(t, r, 1, 3, rulesText(3000)); !strings.HasPrefix(answer, "1 ") || !strings.Contains(answer, "entries") {
+	if answer := putUntilAnswered(t, rig, 1, 3, rulesText(3000)); !strings.HasPrefix(answer, "1 ") || !strings.Contains(answer, "entries") {
 		t.Errorf("rules with too many entries are answered with %.200q, want an error that names the entries", answer)
 	}
 }
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -27,8 +27,8 @@
 
 func newLedgerTier(t *testing.T) *ledgerTier {
 	t.Helper()
-	rigs <- struct{}{}
-	t.Cleanup(func() { <-rigs })
+	rigSlots <- struct{}{}
+	t.Cleanup(func() { <-rigSlots })
 	tier := &ledgerTier{T: t, env: &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, hosts: newHosts(t, "z", "s0", "s1", "s2", "s3", "s4", "s5")}
 	var err error
 	if tier.mesh, err = fake.NewMesh(ledgerProxies, 1); err != nil {
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -32,11 +32,11 @@
 }
 
 // startTenantLoad starts the clients; interval is the wait between two requests at a process.
-func startTenantLoad(t *testing.T, r *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
+func startTenantLoad(t *testing.T, rig *experiment.Rig, tenant string, openDuration time.Duration, interval func(process int) time.Duration) *tenantLoad {
 	t.Helper()
 	load := &tenantLoad{openDuration: openDuration}
-	load.start(t, r, interval, func(process, _ int) {
-		load.request(r.Procs[process].Addr, tenant, &load.paused[process])
+	load.start(t, rig, interval, func(process, _ int) {
+		load.request(rig.Procs[process].Addr, tenant, &load.paused[process])
 	})
 	return load
 }
@@ -106,9 +106,9 @@
 // jobsWithLimits is how many jobs a fleet with agreed rules has: the rules', and one for each shard of the limits.
 const jobsWithLimits = 1 + quota.Shards
 
-// issuerOtherThan is a process that issues grants of a shard of the limits, preferably not the one given.
-func issuerOtherThan(r *experiment.Rig, process int) int {
-	owners, _ := r.JobOwners()
+// issuerPreferablyNot is a process that issues grants of a shard of the limits, preferably not the one given.
+func issuerPreferablyNot(rig *experiment.Rig, process int) int {
+	owners, _ := rig.JobOwners()
 	issuer := owners["limits0"]
 	for shard := range quota.Shards {
 		if owner, owned := owners[fmt.Sprintf("limits%d", shard)]; owned && owner != process {
@@ -119,10 +119,10 @@
 }
 
 // putLimits makes rules with an account's limits active.
-func putLimits(t *testing.T, r *experiment.Rig, against, rate, connections int, want string) {
+func putLimits(t *testing.T, rig *experiment.Rig, against, rate, connections int, want string) {
 	t.Helper()
 	rules := fmt.Sprintf(`(rules (account acme (tenants t1) (rate %d) (standing %d)) (account other (tenants t2)))`, rate, connections)
-	putRulesUntil(t, r, 1, against, rules, want)
+	putRulesUntil(t, rig, 1, against, rules, want)
 }
 
 // TestLimitsAmongProcesses: a customer at several times its limit, nearly all of it at one of five processes. What it may have is used, and
@@ -130,11 +130,11 @@
 // limit is cut by half.
 func TestLimitsAmongProcesses(t *testing.T) {
 	t.Parallel()
-	r, _ := customers(t)
-	waitActive(t, r, 0, 0, 5)
+	rig, _ := startCustomersRig(t)
+	waitActive(t, rig, 0, 0, 5)
 	const rate, connections = 20, 24
-	putLimits(t, r, 0, rate, connections, "active: version 2 at 5 of 5")
-	load := startTenantLoad(t, r, "t1", time.Second, func(process int) time.Duration {
+	putLimits(t, rig, 0, rate, connections, "active: version 2 at 5 of 5")
+	load := startTenantLoad(t, rig, "t1", time.Second, func(process int) time.Duration {
 		if process == 0 {
 			return 8 * time.Millisecond
 		}
@@ -144,21 +144,21 @@
 	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
 	load.checkPhase(t, "no fault", 3*time.Second, limitBounds{5, maxPerSecond, connections})
-	r.Cut(2, true)
+	rig.Cut(2, true)
 	load.checkPhase(t, "one cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
-	r.Cut(2, false)
+	rig.Cut(2, false)
 
-	issuer := issuerOtherThan(r, 0)
+	issuer := issuerPreferablyNot(rig, 0)
 	withGrantsOfTwoIssuers := limitBounds{1, maxPerSecond, connections + connections/2}
 	load.paused[issuer].Store(true)
-	r.Procs[issuer].Signal(syscall.SIGSTOP)
+	rig.Procs[issuer].Signal(syscall.SIGSTOP)
 	time.Sleep(1500 * time.Millisecond)
-	r.Procs[issuer].Signal(syscall.SIGCONT)
+	rig.Procs[issuer].Signal(syscall.SIGCONT)
 	load.paused[issuer].Store(false)
 	load.checkPhase(t, "an issuer slept", 3*time.Second, withGrantsOfTwoIssuers)
-	checkKilledIssuer(t, r, load, issuer, withGrantsOfTwoIssuers)
+	checkKilledIssuer(t, rig, load, issuer, withGrantsOfTwoIssuers)
 
-	putLimits(t, r, 2, rate/2, connections/2, "active: version 3 at")
+	putLimits(t, rig, 2, rate/2, connections/2, "active: version 3 at")
 	time.Sleep(3 * time.Second)
 	load.checkPhase(t, "cut by half", 2*time.Second, limitBounds{1, rate + rate/8 + 1, connections / 2})
 	load.mu.Lock()
@@ -169,17 +169,17 @@
 }
 
 // checkKilledIssuer: the bounds hold from the kill on, and connections are established again once the jobs have owners.
-func checkKilledIssuer(t *testing.T, r *experiment.Rig, load *tenantLoad, issuer int, bounds limitBounds) {
+func checkKilledIssuer(t *testing.T, rig *experiment.Rig, load *tenantLoad, issuer int, bounds limitBounds) {
 	t.Helper()
 	load.paused[issuer].Store(true)
 	killedAt := time.Now()
-	r.Procs[issuer].Kill()
-	if err := r.Start(issuer); err != nil {
+	rig.Procs[issuer].Kill()
+	if err := rig.Start(issuer); err != nil {
 		t.Fatal(err)
 	}
 	load.paused[issuer].Store(false)
 	// Until its jobs have another owner, and that has waited for the grants before it to lapse, there may be no connection at all.
-	if _, err := r.AllOwned(jobsWithLimits); err != nil {
+	if _, err := rig.AllOwned(jobsWithLimits); err != nil {
 		t.Fatal(err)
 	}
 	load.checkPhase(t, "an issuer killed", 4*time.Second, bounds)
--- a/internal/app/command/badlinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -10,18 +10,18 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// TestRulesThroughBadLinks: a fifth of all datagrams is lost, as many are duplicated, and all are late and reordered. Changes of the operators and of a
+// TestRulesOverLossyLinks: a fifth of all datagrams is lost, as many are duplicated, and all are late and reordered. Changes of the operators and of a
 // customer become active in their order, two versions are applied at once no longer than agree_within, and a change that was signed before its grant was
 // revoked is rejected.
-func TestRulesThroughBadLinks(t *testing.T) {
+func TestRulesOverLossyLinks(t *testing.T) {
 	t.Parallel()
-	r, _ := customers(t)
-	waitActive(t, r, 0, 0, 5)
+	rig, _ := startCustomersRig(t)
+	waitActive(t, rig, 0, 0, 5)
 	key, public := keyFile(t)
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				r.Mesh.Set(i, j, func(link *fake.Link) { link.Loss, link.Duplicated, link.Jitter = 0.2, 0.2, 40*time.Millisecond })
+				rig.Mesh.Set(i, j, func(link *fake.Link) { link.Loss, link.Duplicated, link.Jitter = 0.2, 0.2, 40*time.Millisecond })
 			}
 		}
 	}
@@ -29,8 +29,8 @@
 	change := func(via int, text string, args ...string) {
 		t.Helper()
 		answer := ""
-		if _, ok := experiment.Until(2*ownersPatience, func() bool {
-			answer = putRules(t, r, via, version, text, args...)
+		if _, ok := experiment.Until(2*recoveryTimeout, func() bool {
+			answer = putRules(t, rig, via, version, text, args...)
 			return strings.Contains(answer, "active: version")
 		}); !ok {
 			t.Fatalf("a change against version %d is answered with %q, want an active version", version, answer)
@@ -43,18 +43,18 @@
 	change(0, `(rules (account acme (tenants t1) `+grant+`))`)
 	for n := range 2 {
 		change(n, fmt.Sprintf(`(namespace (account acme) (route r%d (class lab) (pool main)))`, n), "--key", key)
-		for i, p := range r.Procs {
+		for i, p := range rig.Procs {
 			requestAnswer(p.Addr, fmt.Sprintf("%04x%012x", i, n)) // has each process log a decision
 		}
 	}
 	beforeRevocation := version
 	change(4, `(rules (account acme (tenants t1)))`)
-	if answer := putUntilAnswered(t, r, 1, beforeRevocation, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(answer, "refused: no grant of version") {
+	if answer := putUntilAnswered(t, rig, 1, beforeRevocation, `(namespace (account acme) (route late (class lab) (pool main)))`, "--key", key); !strings.Contains(answer, "refused: no grant of version") {
 		t.Errorf("a change that was signed before its grant was revoked is answered with %q, want a rejection", answer)
 	}
-	waitActive(t, r, 2, version, 5)
+	waitActive(t, rig, 2, version, 5)
 	var all [][]ruleDecision
-	for _, p := range r.Procs {
+	for _, p := range rig.Procs {
 		all = append(all, ruleDecisions(t, p))
 	}
 	if o := longestOverlap(all); o > time.Second {
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -14,10 +14,10 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// allAlive waits until every process of the rig sees all others alive.
-func allAlive(t *testing.T, r *experiment.Rig, after string) {
+// waitAllAlive waits until every process of the rig sees all others alive.
+func waitAllAlive(t *testing.T, rig *experiment.Rig, after string) {
 	t.Helper()
-	if _, ok := r.AllAlive(ownersPatience); !ok {
+	if _, ok := rig.AllAlive(recoveryTimeout); !ok {
 		t.Fatalf("after %s not all processes see all others alive", after)
 	}
 }
@@ -26,26 +26,26 @@
 // the end. Failures print the plan of faults in the form in which it can be played again.
 func TestMembersAmongProcesses(t *testing.T) {
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	r, err := experiment.NewRig(env, 5, 1, sealKey, asProgram...)
+	rig, err := experiment.NewRig(env, 5, 1, sealKey, asProgram...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	allAlive(t, r, "the start")
-	checkFaultsWithoutLoss(t, r)
-	allAlive(t, r, "faults that no process dies of")
-	checkOneWayCut(t, r)
-	allAlive(t, r, "a cut in one direction")
-	checkForgedDatagrams(t, r)
-	checkFullDisk(t, r)
-	allAlive(t, r, "a full disk")
-	checkReplacedMember(t, r)
-	checkKillAndLeave(t, r)
-	allAlive(t, r, "a restart of both")
+	t.Cleanup(rig.Close)
+	waitAllAlive(t, rig, "the start")
+	checkFaultsWithoutLoss(t, rig)
+	waitAllAlive(t, rig, "faults that no process dies of")
+	checkOneWayCut(t, rig)
+	waitAllAlive(t, rig, "a cut in one direction")
+	checkForgedDatagrams(t, rig)
+	checkFullDisk(t, rig)
+	waitAllAlive(t, rig, "a full disk")
+	checkReplacedMember(t, rig)
+	checkKillAndLeave(t, rig)
+	waitAllAlive(t, rig, "a restart of both")
 }
 
 // checkFaultsWithoutLoss: by lost, duplicated, late and corrupted datagrams and a pause of a second no member is unreachable or gone.
-func checkFaultsWithoutLoss(t *testing.T, r *experiment.Rig) {
+func checkFaultsWithoutLoss(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "loss", StartMS: 0, DurationMS: 3000, Amount: 0.2}, {Kind: "twice", StartMS: 500, DurationMS: 3000, Amount: 0.3}, {Kind: "garbage", StartMS: 0, DurationMS: 3000, Amount: 0.1},
 		{Kind: "pause", StartMS: 800, DurationMS: 1000, Process: 1}, {Kind: "slow", StartMS: 1000, DurationMS: 2000}}
@@ -53,10 +53,10 @@
 	if err != nil || !slices.Equal(parsed, plan) {
 		t.Fatalf("a printed plan is parsed as %v, error %v; want %v", parsed, err, plan)
 	}
-	if err := r.Play(plan); err != nil {
+	if err := rig.Play(plan); err != nil {
 		t.Fatal(err)
 	}
-	for i, p := range r.Procs {
+	for i, p := range rig.Procs {
 		if lines := slices.Concat(p.Log("to=unreachable"), p.Log("to=gone")); len(lines) > 0 {
 			t.Errorf("n%d has a live member as lost: %s\n%s", i, lines, experiment.PlanText(plan))
 		}
@@ -64,11 +64,11 @@
 }
 
 // checkOneWayCut: a link that is cut in one direction is reported as such.
-func checkOneWayCut(t *testing.T, r *experiment.Rig) {
+func checkOneWayCut(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	r.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
+	rig.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
 	reported := func() bool {
-		report, err := r.MemberReport(0)
+		report, err := rig.MemberReport(0)
 		for _, m := range report.Members {
 			if m.Slot == 2 && err == nil && len(m.Unheard) == 1 && m.Name == "n2" && m.Unheard[0] == "n1" {
 				return true
@@ -78,8 +78,8 @@
 	}
 	plan := []simulation.Fault{{Kind: "one-way", StartMS: 0, DurationMS: 4000, Process: 1, Destination: 2}}
 	played := make(chan error, 1)
-	go func() { played <- r.Play(plan) }()
-	if _, ok := experiment.Until(ownersPatience, func() bool { return reported() || len(played) > 0 }); !ok || !reported() && len(played) > 0 {
+	go func() { played <- rig.Play(plan) }()
+	if _, ok := experiment.Until(recoveryTimeout, func() bool { return reported() || len(played) > 0 }); !ok || !reported() && len(played) > 0 {
 		t.Errorf("n0 does not report that n2 does not hear n1\n%s", experiment.PlanText(plan))
 	}
 	if err := <-played; err != nil {
@@ -88,55 +88,55 @@
 }
 
 // checkForgedDatagrams: forged and replayed datagrams, and those of another version, are rejected and change nothing.
-func checkForgedDatagrams(t *testing.T, r *experiment.Rig) {
+func checkForgedDatagrams(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	before, err := r.MemberReport(0)
+	before, err := rig.MemberReport(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 500 {
 		datagram := make([]byte, 20+i%236)
 		datagram[0] = byte(i % 3)
-		r.Mesh.Inject(1+i%4, 0, datagram)
+		rig.Mesh.Inject(1+i%4, 0, datagram)
 	}
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		report, err := r.MemberReport(0)
+	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+		report, err := rig.MemberReport(0)
 		return err == nil && report.Counts["unsealed"] >= 50
 	}); !ok {
 		t.Error("forged datagrams are not counted as rejected")
 	}
-	if after, err := r.MemberReport(0); err != nil || after.Digest != before.Digest {
+	if after, err := rig.MemberReport(0); err != nil || after.Digest != before.Digest {
 		t.Errorf("the view's digest is %v after a flood of forged datagrams, want %v; error %v", after.Digest, before.Digest, err)
 	}
 }
 
 // checkFullDisk: a full disk is logged, and the process goes on.
-func checkFullDisk(t *testing.T, r *experiment.Rig) {
+func checkFullDisk(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "full", DurationMS: 3000, Process: 1}}
 	played := make(chan error, 1)
-	go func() { played <- r.Play(plan) }()
-	experiment.Until(ownersPatience, func() bool {
-		r.Suspend(1, true)
-		r.Suspend(1, false)
-		return len(r.Procs[1].Log("event=state_not_saved")) > 0
+	go func() { played <- rig.Play(plan) }()
+	experiment.Until(recoveryTimeout, func() bool {
+		rig.Suspend(1, true)
+		rig.Suspend(1, false)
+		return len(rig.Procs[1].Log("event=state_not_saved")) > 0
 	})
 	if err := <-played; err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Procs[1].Log("event=state_not_saved")) == 0 {
+	if len(rig.Procs[1].Log("event=state_not_saved")) == 0 {
 		t.Errorf("a full disk is not logged\n%s", experiment.PlanText(plan))
 	}
 }
 
 // checkReplacedMember: after a hot restart the new process is the same member, with a new incarnation.
-func checkReplacedMember(t *testing.T, r *experiment.Rig) {
+func checkReplacedMember(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	if err := r.Replace(0); err != nil {
+	if err := rig.Replace(0); err != nil {
 		t.Fatal(err)
 	}
-	allAlive(t, r, "a hot restart")
-	for i, p := range r.Procs[1:] {
+	waitAllAlive(t, rig, "a hot restart")
+	for i, p := range rig.Procs[1:] {
 		if lines := slices.Concat(p.Log("name=n0 from=alive to=unreachable"), p.Log("name=n0 from=alive to=left")); len(lines) > 0 {
 			t.Errorf("n%d has the replaced process as lost: %s", i+1, lines)
 		}
@@ -144,29 +144,29 @@
 }
 
 // checkKillAndLeave: a killed process and one that has left are told apart. Both start again.
-func checkKillAndLeave(t *testing.T, r *experiment.Rig) {
+func checkKillAndLeave(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	r.Procs[3].Kill()
-	if err := r.Procs[4].Stop(); err != nil {
+	rig.Procs[3].Kill()
+	if err := rig.Procs[4].Stop(); err != nil {
 		t.Fatal(err)
 	}
 	remaining := []int{0, 1, 2}
-	if _, ok := r.AllSee(ownersPatience, remaining, 3, membership.Unreachable.String(), membership.Gone.String()); !ok {
+	if _, ok := rig.AllSee(recoveryTimeout, remaining, 3, membership.Unreachable.String(), membership.Gone.String()); !ok {
 		t.Error("not all have the killed process as unreachable or gone")
 	}
-	if _, ok := r.AllSee(ownersPatience, remaining, 4, membership.Left.String()); !ok {
+	if _, ok := rig.AllSee(recoveryTimeout, remaining, 4, membership.Left.String()); !ok {
 		t.Error("not all know that the stopped process has left")
 	}
 	for _, i := range []int{3, 4} {
-		if err := r.Start(i); err != nil {
+		if err := rig.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestMembersFindOneAnotherBySeeds: with a fleet that changes, two seed addresses are enough: the third and the fourth process find each other
+// TestMembersDiscoverOneAnotherThroughSeeds: with a fleet that changes, two seed addresses are enough: the third and the fourth process find each other
 // through the seeds.
-func TestMembersFindOneAnotherBySeeds(t *testing.T) {
+func TestMembersDiscoverOneAnotherThroughSeeds(t *testing.T) {
 	const members = 4
 	env, dir := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, t.TempDir()
 	mesh, err := fake.NewMesh(members, 1) // for addresses that no other process uses
@@ -190,7 +190,7 @@
 		t.Cleanup(p.Kill)
 	}
 	for i := range members {
-		if _, ok := experiment.Until(ownersPatience, func() bool {
+		if _, ok := experiment.Until(recoveryTimeout, func() bool {
 			report, err := memberagent.RequestReport(socket(i))
 			alive := 0
 			for _, m := range report.Members {
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -13,8 +13,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// customers are five processes before four hosts of two kinds.
-func customers(t *testing.T) (*experiment.Rig, map[string]*fake.Server) {
+// startCustomersRig are five processes before four hosts of two kinds.
+func startCustomersRig(t *testing.T) (*experiment.Rig, map[string]*fake.Server) {
 	t.Helper()
 	hosts := map[string]*fake.Server{}
 	var entries []fake.Entry
@@ -34,15 +34,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	rigs <- struct{}{}
-	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
+	rigSlots <- struct{}{}
+	t.Cleanup(func() { <-rigSlots })
+	rig, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock"))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r, hosts
+	t.Cleanup(rig.Close)
+	return rig, hosts
 }
 
 // customersTest is five processes with the rules of two customers, acme and other, and clients of both at each.
@@ -59,7 +59,7 @@
 func (c *customersTest) change(via, against int, text, want string, args ...string) {
 	c.Helper()
 	answer := ""
-	if _, ok := experiment.Until(ownersPatience, func() bool {
+	if _, ok := experiment.Until(recoveryTimeout, func() bool {
 		answer = putRules(c.T, c.rig, via, against, text, args...)
 		return strings.Contains(answer, want)
 	}); !ok {
@@ -79,13 +79,13 @@
 func TestNamespacesAmongProcesses(t *testing.T) {
 	t.Parallel()
 	c := &customersTest{T: t}
-	c.rig, c.hosts = customers(t)
+	c.rig, c.hosts = startCustomersRig(t)
 	waitActive(t, c.rig, 0, 0, 5)
 	c.key, c.publicKey = keyFile(t)
 	c.change(1, 0, c.rulesOf(`(kinds a)`, `(kinds b)`, "t1 t2", "t3"), "active: version 2 at 5 of 5")
 	c.clients = startClientLoop(t, c.rig, 15*time.Millisecond, func(n int) string { return fmt.Sprintf("t=t%d", n%3+1) })
 	established := c.connectTo("a2")
-	c.ownNamespaceOnly()
+	c.checkNamespaceIsolation()
 	c.reassignHostAndTenant()
 	if _, migrated, err := established.Exchange("still there", time.Second); migrated || err != nil {
 		t.Errorf("acme's connection at a2 after the reassignment: migrated %t, error %v", migrated, err)
@@ -121,8 +121,8 @@
 // socket is the path of a process's owner agent.
 func (c *customersTest) socket(i int) string { return filepath.Join(c.rig.Dir(i), "owners.sock") }
 
-// ownNamespaceOnly: acme's key changes acme's namespace, and neither another's namespace nor another's pool.
-func (c *customersTest) ownNamespaceOnly() {
+// checkNamespaceIsolation: acme's key changes acme's namespace, and neither another's namespace nor another's pool.
+func (c *customersTest) checkNamespaceIsolation() {
 	c.Helper()
 	c.change(2, 2, `(namespace (account acme) (route closed (key ff) (refuse on) (advice 200ms)) (route rest (class lab) (pool a)))`, "active: version 3 at 5 of 5", "--key", c.key)
 	for _, rejected := range []struct{ change, want string }{
@@ -171,7 +171,7 @@
 			c.Errorf("by version %s an attempt for %s is at %s", a.version, a.account, a.host)
 		}
 	}
-	last, first := reassignment(all, "a2", "acme", "other")
+	last, first := reassignmentTimes(all, "a2", "acme", "other")
 	if first.IsZero() || !last.Before(first) {
 		c.Errorf("attempts at a2: the last for acme at %v, the first for other at %v", last, first)
 	}
@@ -197,17 +197,17 @@
 	}
 }
 
-// TestReassignmentIsFound: attempts at a host for one customer after the first for the other are found.
-func TestReassignmentIsFound(t *testing.T) {
+// TestReassignment: attempts at a host for one customer after the first for the other are found.
+func TestReassignment(t *testing.T) {
 	at := time.Unix(1000, 0)
-	last, first := reassignment([]attempt{{at, "acme", "h", "2"}, {at.Add(time.Second), "other", "h", "4"}, {at.Add(2 * time.Second), "acme", "h", "2"}}, "h", "acme", "other")
+	last, first := reassignmentTimes([]attempt{{at, "acme", "h", "2"}, {at.Add(time.Second), "other", "h", "4"}, {at.Add(2 * time.Second), "acme", "h", "2"}}, "h", "acme", "other")
 	if last.Before(first) {
 		t.Fatalf("last attempt for acme at %v, first for other at %v; want the last after the first", last, first)
 	}
 }
 
-// TestTheExampleOfThreeCustomers: the example is valid, and a fault in such a file is reported with its position.
-func TestTheExampleOfThreeCustomers(t *testing.T) {
+// TestThreeCustomersExample: the example is valid, and a fault in such a file is reported with its position.
+func TestThreeCustomersExample(t *testing.T) {
 	if out, status := command(t, "rules", "check", "../../../deploy/examples/three-customers.sexp"); status != 0 {
 		t.Fatalf("exit status %d, want 0: %s", status, out)
 	}
--- a/internal/app/command/pushed_test.go
+++ b/internal/app/command/pushedlists_test.go
@@ -8,9 +8,9 @@
 	"croftlock/internal/testbed/experiment"
 )
 
-// TestPushedListsAreHeard: a proxy whose lists are pushed watches the agent on its machine and learns that a host drains, though its decision module
+// TestPushedListsAreApplied: a proxy whose lists are pushed watches the agent on its machine and learns that a host drains, though its decision module
 // does not poll discovery.
-func TestPushedListsAreHeard(t *testing.T) {
+func TestPushedListsAreApplied(t *testing.T) {
 	hosts := newHosts(t, "a", "s0", "s1")
 	drained, discovery := hosts.Servers[0], hosts.Discovery
 	admin, err := experiment.FreeAddr()
--- a/internal/app/command/rules.go
+++ b/internal/app/command/rules.go
@@ -104,16 +104,16 @@
 // printMissing prints, with a mark, the lines of a version's text that another's lacks, each with its section. Comments are left out: they hold
 // numbers that differ between any two versions.
 func printMissing(w io.Writer, mark, text, other string) {
-	left := map[string]int{} // how often each line of other is not matched yet
+	unmatched := map[string]int{} // how often each line of other is not matched yet
 	for _, line := range strings.Split(other, "\n") {
-		left[line]++
+		unmatched[line]++
 	}
 	section := ""
 	for _, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "(") {
 			section = strings.TrimSuffix(line, ")")
 		}
-		if left[line]--; left[line] < 0 && !strings.HasPrefix(line, ";") {
+		if unmatched[line]--; unmatched[line] < 0 && !strings.HasPrefix(line, ";") {
 			fmt.Fprintf(w, "%s %s  ; in %s\n", mark, strings.TrimSpace(line), section)
 		}
 	}
--- a/internal/app/command/ruleschange.go
+++ b/internal/app/command/ruleschange.go
@@ -17,20 +17,20 @@
 // changeCommand has c propose a change, which change makes from the argument and the number of the version that it is made against.
 func (f *fleetClient) changeCommand(c *cobra.Command, change func(arg string, against uint64) (*rules.Change, error)) *cobra.Command {
 	var against uint64
-	var key string
+	var keyPath string
 	c.Args = cobra.ExactArgs(1)
 	c.RunE = func(cmd *cobra.Command, args []string) error {
 		proposal, err := change(args[0], against)
 		if err != nil {
 			return err
 		}
-		if err := sign(proposal, key); err != nil {
+		if err := sign(proposal, keyPath); err != nil {
 			return err
 		}
 		return f.query(cmd, rules.EncodeProposal(proposal))
 	}
 	c.Flags().Uint64Var(&against, "against", 0, "number of the version that is active as the change is made: rules show")
-	c.Flags().StringVar(&key, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
+	c.Flags().StringVar(&keyPath, "key", "", "file of the Ed25519 key that a grant names (PEM, PKCS #8); without one the change is the operators'")
 	return c
 }
 
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -20,15 +20,15 @@
 // startRulesRig starts five processes that agree on rules within a second; three vote. extra goes into the settings section.
 func startRulesRig(t *testing.T, extra string) *experiment.Rig {
 	t.Helper()
-	rigs <- struct{}{}
-	t.Cleanup(func() { <-rigs })
-	r, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: sealKey, Level: "debug",
+	rigSlots <- struct{}{}
+	t.Cleanup(func() { <-rigSlots })
+	rig, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: sealKey, Level: "debug",
 		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + extra + `)`, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(rig.Close)
+	return rig
 }
 
 // ruleDecision is a line of a process's log: the checker knows nothing else of the program.
@@ -93,12 +93,12 @@
 }
 
 // waitActive waits until a process says that a version is active at so many.
-func waitActive(t *testing.T, r *experiment.Rig, i, version, at int) {
+func waitActive(t *testing.T, rig *experiment.Rig, i, version, at int) {
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
 	answer := ""
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		reply, err := r.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
+	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+		reply, err := rig.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
 		answer = fmt.Sprint(reply.Answer, reply.Error, err)
 		return strings.HasPrefix(answer, want)
 	}); !ok {
@@ -106,14 +106,14 @@
 	}
 }
 
-// waitActsBy waits until a process acts by a version, as its own log says. The answer "active: version N at 5 of 5" counts who holds a lease:
+// waitActivated waits until a process acts by a version, as its own log says. The answer "active: version N at 5 of 5" counts who holds a lease:
 // a lease by the version before may go on for the time of agreement.
-func waitActsBy(t *testing.T, r *experiment.Rig, i, version int) {
+func waitActivated(t *testing.T, rig *experiment.Rig, i, version int) {
 	t.Helper()
 	want := fmt.Sprintf("version=%d ", version)
 	last := ""
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		if lines := r.Procs[i].Log("event=rules_activated"); len(lines) > 0 {
+	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+		if lines := rig.Procs[i].Log("event=rules_activated"); len(lines) > 0 {
 			last = lines[len(lines)-1]
 		}
 		return strings.Contains(last, want)
@@ -123,23 +123,23 @@
 }
 
 // putRules puts a change by way of a process, as an administrator does, and gives exit status and output.
-func putRules(t *testing.T, r *experiment.Rig, via, against int, text string, flags ...string) string {
+func putRules(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) string {
 	t.Helper()
-	path := filepath.Join(r.Dir(via), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
+	path := filepath.Join(rig.Dir(via), fmt.Sprintf("rules-%d-%d.sexp", against, len(text)))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Error(err)
 	}
-	args := []string{"rules", "put", path, "--against", fmt.Sprint(against), "--socket", filepath.Join(r.Dir(via), "owners.sock")}
+	args := []string{"rules", "put", path, "--against", fmt.Sprint(against), "--socket", filepath.Join(rig.Dir(via), "owners.sock")}
 	out, status := command(t, append(args, flags...)...)
 	return fmt.Sprintf("%d %s", status, out)
 }
 
 // putRulesUntil is putRules until the answer has a text.
-func putRulesUntil(t *testing.T, r *experiment.Rig, via, against int, text, want string) {
+func putRulesUntil(t *testing.T, rig *experiment.Rig, via, against int, text, want string) {
 	t.Helper()
 	answer := ""
-	if _, ok := experiment.Until(ownersPatience, func() bool {
-		answer = putRules(t, r, via, against, text)
+	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+		answer = putRules(t, rig, via, against, text)
 		return strings.Contains(answer, want)
 	}); !ok {
 		t.Fatalf("rules against version %d are answered with %q, want %q", against, answer, want)
@@ -161,10 +161,10 @@
 
 // putUntilAnswered is putRules until the outcome is known: an answer may be lost, or the publisher has just changed. A change that is put
 // twice is made once.
-func putUntilAnswered(t *testing.T, r *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
+func putUntilAnswered(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
 	t.Helper()
-	if _, ok := experiment.Until(2*ownersPatience, func() bool {
-		answer = putRules(t, r, via, against, text, flags...)
+	if _, ok := experiment.Until(2*recoveryTimeout, func() bool {
+		answer = putRules(t, rig, via, against, text, flags...)
 		return !strings.Contains(answer, "unknown") && !strings.Contains(answer, "ask again")
 	}); !ok {
 		t.Errorf("rules against version %d have no outcome: %q", against, answer)
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -144,8 +144,8 @@
 	return established
 }
 
-// TestNoStartWithoutItsFiles: TLS files that cannot be used end the start, with an error that names the file.
-func TestNoStartWithoutItsFiles(t *testing.T) {
+// TestStartFailsWithoutTLSFiles: TLS files that cannot be used end the start, with an error that names the file.
+func TestStartFailsWithoutTLSFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.sexp")
 	if err := os.WriteFile(file, []byte(`(tls (servers on) (trust "none.pem") (name (pattern "{uid}.x")))`), 0o644); err != nil {
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -32,8 +32,8 @@
 		t.Cleanup(d.Close)
 		w.lists = append(w.lists, d)
 	}
-	rigs <- struct{}{}
-	t.Cleanup(func() { <-rigs })
+	rigSlots <- struct{}{}
+	t.Cleanup(func() { <-rigSlots })
 	var err error
 	w.rig, err = experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: processes, Seed: 4, Key: sealKey,
 		Level: "debug", Discoveries: w.lists, Sections: `(floors (on on) (source lab) (within 500ms))`, Env: asProgram})
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.rig.Close)
-	w.at("it sees all others alive", w.seesAll, 0, 1, 2, 3, 4)
+	w.waitAt("it sees all others alive", w.seesAll, 0, 1, 2, 3, 4)
 	w.clients = startClientLoop(t, w.rig, 10*time.Millisecond, func(int) string { return "" })
 	return w
 }
@@ -58,12 +58,12 @@
 	return err == nil && alive >= len(w.rig.Procs)-1
 }
 
-// at waits until a condition holds at each of the processes; what says what it is.
-func (w *watermarkTest) at(what string, holds func(i int) bool, processes ...int) {
+// waitAt waits until a condition holds waitAt each of the processes; what says what it is.
+func (w *watermarkTest) waitAt(condition string, holds func(i int) bool, processes ...int) {
 	w.Helper()
 	for _, i := range processes {
-		if _, ok := experiment.Until(ownersPatience, func() bool { return holds(i) }); !ok {
-			w.Fatalf("n%d, not within %v: %s", i, ownersPatience, what)
+		if _, ok := experiment.Until(recoveryTimeout, func() bool { return holds(i) }); !ok {
+			w.Fatalf("n%d, not within %v: %s", i, recoveryTimeout, condition)
 		}
 	}
 }
@@ -84,15 +84,15 @@
 	return n
 }
 
-// logDelay is how much later than its decision an attempt may be logged.
-const logDelay = 100 * time.Millisecond
+// maxLogDelay is how much later than its decision an attempt may be logged.
+const maxLogDelay = 100 * time.Millisecond
 
 // TestWatermarksAmongProcesses: what one process's list says of a host holds at all processes: at one that was paused, and at one that was cut off
 // once it receives the others' datagrams again. A newer list ends it.
 func TestWatermarksAmongProcesses(t *testing.T) {
 	t.Parallel()
 	w := newWatermarkTest(t)
-	w.at("it has attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", time.Time{}) > 0 }, 0, 1, 2, 3, 4)
+	w.waitAt("it has attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", time.Time{}) > 0 }, 0, 1, 2, 3, 4)
 	w.drainOfOneList()
 	w.returnOfDrainedHost()
 	w.removalWithDiscoveryDown()
@@ -112,16 +112,16 @@
 	w.clients.paused[3].Store(true)
 	w.rig.Procs[3].Signal(syscall.SIGSTOP)
 	w.lists[0].SetState("a", "draining")
-	w.at("it applies the watermark that a drains", applied, 1, 2)
+	w.waitAt("it applies the watermark that a drains", applied, 1, 2)
 	w.rig.Procs[3].Signal(syscall.SIGCONT)
 	w.clients.paused[3].Store(false)
-	w.at("after its pause it applies the watermark that a drains", applied, 3)
+	w.waitAt("after its pause it applies the watermark that a drains", applied, 3)
 	appliedByThree := time.Now().UTC()
-	w.at("it fetches its list again", w.logged("event=list_behind"), 1, 2, 3)
+	w.waitAt("it fetches its list again", w.logged("event=list_behind"), 1, 2, 3)
 	// A watermark does not hold where it cannot be sent.
-	w.at("cut off, it goes on with attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
+	w.waitAt("cut off, it goes on with attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
 	w.rig.Cut(4, false)
-	w.at("after the cut it applies the watermark that a drains", applied, 4)
+	w.waitAt("after the cut it applies the watermark that a drains", applied, 4)
 	appliedByAll := time.Now().UTC()
 	time.Sleep(time.Second)
 	for i := range w.rig.Procs {
@@ -129,7 +129,7 @@
 		if i == 4 {
 			since = appliedByAll
 		}
-		if n := w.attemptsAfter(i, "a", since.Add(logDelay)); n > 0 {
+		if n := w.attemptsAfter(i, "a", since.Add(maxLogDelay)); n > 0 {
 			w.Errorf("n%d: %d attempts at a after it applied the watermark", i, n)
 		}
 	}
@@ -147,7 +147,7 @@
 		d.Set(restarted)
 	}
 	listedAt := time.Now().UTC()
-	w.at("a is up again and gets attempts", func(i int) bool { return w.attemptsAfter(i, "a", listedAt) > 0 }, 0, 1, 2, 3, 4)
+	w.waitAt("a is up again and gets attempts", func(i int) bool { return w.attemptsAfter(i, "a", listedAt) > 0 }, 0, 1, 2, 3, 4)
 }
 
 // removalWithDiscoveryDown: n2, whose discovery is down, applies the others' watermark that b is removed.
@@ -159,10 +159,10 @@
 			d.SetState("b", "removed")
 		}
 	}
-	w.at("it applies the watermark that b is removed", w.logged("event=watermark_applied host=b state=draining"), 2)
+	w.waitAt("it applies the watermark that b is removed", w.logged("event=watermark_applied host=b state=draining"), 2)
 	appliedAt := time.Now().UTC()
 	time.Sleep(500 * time.Millisecond)
-	if n := w.attemptsAfter(2, "b", appliedAt.Add(logDelay)); n > 0 {
+	if n := w.attemptsAfter(2, "b", appliedAt.Add(maxLogDelay)); n > 0 {
 		w.Errorf("n2: %d attempts at b after it applied the watermark", n)
 	}
 }
--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -61,8 +61,8 @@
 	return imports
 }
 
-// folders are the folders with Go files below the module's root, named as in layers.
-func folders(t *testing.T, root string) (out []string) {
+// packageDirs are the packageDirs with Go files below the module's root, named as in layers.
+func packageDirs(t *testing.T, root string) (out []string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
 		if err != nil || !e.IsDir() {
@@ -92,14 +92,14 @@
 			level[p] = i
 		}
 	}
-	seen := folders(t, root)
+	seen := packageDirs(t, root)
 	for p := range level {
 		if !slices.Contains(seen, p) {
 			t.Errorf("layers name the package %s, which does not exist", p)
 		}
 	}
 	for _, p := range seen {
-		own, known := level[p]
+		layer, known := level[p]
 		if !known {
 			t.Errorf("%s is in no layer", p)
 			continue
@@ -109,13 +109,13 @@
 			dir = filepath.Join(root, p)
 		}
 		for _, path := range importsOf(t, dir) {
-			if layers[own].name == decisionLayer && doesIO(path) {
+			if layers[layer].name == decisionLayer && doesIO(path) {
 				t.Errorf("%s, in the layer of decisions, imports %s", p, path)
 			}
-			local, here := strings.CutPrefix(path, "croftlock/")
+			local, isLocal := strings.CutPrefix(path, "croftlock/")
 			local = strings.TrimPrefix(local, "internal/")
-			if here && level[local] > own {
-				t.Errorf("%s (%s) imports %s (%s)", p, layers[own].name, local, layers[level[local]].name)
+			if isLocal && level[local] > layer {
+				t.Errorf("%s (%s) imports %s (%s)", p, layers[layer].name, local, layers[level[local]].name)
 			}
 		}
 	}
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -37,7 +37,7 @@
 	cfg       *platform.Config
 	loop      *netio.Loop
 	dialer    *netio.Dialer
-	link      *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
+	tlsDialer *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
 	core      *proxy.Core
 	discovery *cluster.Client
 	listener  *netio.Listener
@@ -60,7 +60,7 @@
 		return err
 	}
 	stopped := make(chan struct{})
-	handler := &signalHandler{cfg: cfg, file: file, format: format, link: p.link, redirect: p.redirect, shutDown: p.shutDown}
+	handler := &signalHandler{cfg: cfg, file: file, format: format, tlsDialer: p.tlsDialer, redirect: p.redirect, shutDown: p.shutDown}
 	go handler.run(signals, stopped)
 	p.loop.Run()
 	close(stopped)
@@ -108,12 +108,12 @@
 	cfg := p.cfg
 	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
 	p.dialer = netio.NewDialer(p.loop, cfg.MaxDials())
-	open := lineproto.PlainTCP(p.dialer)
+	opener := lineproto.PlainTCP(p.dialer)
 	if tls.Enabled {
-		if p.link, err = newUpstreamTLS(p.loop, tls, opt.WallClock); err != nil {
+		if p.tlsDialer, err = newUpstreamTLS(p.loop, tls, opt.WallClock); err != nil {
 			return 0, err
 		}
-		open = openByTLS(p.link)
+		opener = tlsOpener(p.tlsDialer)
 		opt.Expiry = tls.Expiry
 		// Each handshake in progress holds a descriptor, and one more while its socket changes hands.
 		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.MaxInFlight)
@@ -122,9 +122,9 @@
 	if cfg.ReportsInAnswers {
 		reportsInAnswers = cfg.ReportFields
 	}
-	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, open, reportsInAnswers), opt)
+	p.core = proxy.New(p.loop, lineproto.NewConnector(p.loop, opener, reportsInAnswers), opt)
 	if n := cfg.MaxHealthChecks(); n > 0 {
-		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, open, cfg.ReportFields, n))
+		p.core.SetHealthChecker(lineproto.NewHealthChecks(p.loop, opener, cfg.ReportFields, n))
 	}
 	return opt.MaxDownstreams, nil
 }
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -27,7 +27,7 @@
 		e.becomeHandedOver()
 	}
 	s := e.snapshot(true)
-	e.restart.givenAway = s.Balancer
+	e.restart.yieldedState = s.Balancer
 	return s
 }
 
@@ -37,19 +37,19 @@
 		return
 	}
 	if s != nil {
-		e.inherit(s)
+		e.applySnapshot(s)
 	}
 	e.becomeServing()
 }
 
-// inherit applies a snapshot, if it is valid.
-func (e partnerEvents) inherit(s *proxy.Snapshot) {
+// applySnapshot applies a snapshot, if it is valid.
+func (e partnerEvents) applySnapshot(s *proxy.Snapshot) {
 	s.Rebase(e.loop.Now(), true)
 	if err := s.Check(e.loop.Now()); err != nil {
 		slog.Warn("hot_restart_unexpected", "reason", err)
 		return
 	}
-	e.takeList(s)
+	e.applyList(s)
 	e.core.RestoreSuspensions(s)
 	e.core.RestoreBalancer(s.Balancer)
 }
@@ -63,10 +63,10 @@
 		slog.Warn("hot_restart_unexpected", "reason", err)
 		return
 	}
-	e.takeList(s)
+	e.applyList(s)
 }
 
-func (e partnerEvents) takeList(s *proxy.Snapshot) {
+func (e partnerEvents) applyList(s *proxy.Snapshot) {
 	if len(s.Hosts) == 0 {
 		return
 	}
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -43,9 +43,9 @@
 	return balancer.Removed
 }
 
-// TestNewProcessTakesTheOldOnesList: until a new process has its own list, it applies newer lists of the same discovery that the old one sends. The old
+// TestNewProcessAppliesOldProcessList: until a new process has its own list, it applies newer lists of the same discovery that the old one sends. The old
 // one applies none of the new one's.
-func TestNewProcessTakesTheOldOnesList(t *testing.T) {
+func TestNewProcessAppliesOldProcessList(t *testing.T) {
 	p := newProcessWithList(t)
 	p.restart.partner = &hotrestart.Partner{}
 	events := partnerEvents{p, p.restart.partner}
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -63,10 +63,10 @@
 	endpoint        *hotrestart.Endpoint
 	listSavePending bool // the list has changed, and will be stored
 
-	phase     restartPhase
-	partner   *hotrestart.Partner // the other process; nil: there is none
-	isOld     bool                // this process is the old one of the two
-	givenAway balancer.Snapshot   // the decision module's state that the partner got as it took over
+	phase        restartPhase
+	partner      *hotrestart.Partner // the other process; nil: there is none
+	isOld        bool                // this process is the old one of the two
+	yieldedState balancer.Snapshot   // the decision module's state that the partner got as it took over
 }
 
 // serve accepts clients, receives the other proxies' datagrams, and offers a handover to the next process.
@@ -183,7 +183,7 @@
 // takeBack has an old process serve again after the new one has ended: clients in the accept queue are this one's again.
 func (p *process) takeBack() {
 	p.restart.phase = serving
-	p.core.RestoreBalancer(p.restart.givenAway) // else the slow-start budgets that the new process got would be lost
+	p.core.RestoreBalancer(p.restart.yieldedState) // else the slow-start budgets that the new process got would be lost
 	p.mustServe()
 	p.rejoinFleet()
 	slog.Warn("hot_restart_taken_back", "downstreams", p.core.Downstreams())
@@ -198,8 +198,8 @@
 }
 
 // snapshot is the state for the next process. With yield, this one gives up its slow-start budgets.
-func (p *process) snapshot(yield bool) *proxy.Snapshot {
-	s := p.core.Snapshot(yield)
+func (p *process) snapshot(yieldSlowStart bool) *proxy.Snapshot {
+	s := p.core.Snapshot(yieldSlowStart)
 	s.Discovery, s.Revision = p.discovery.Source()
 	return s
 }
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -21,12 +21,12 @@
 
 // signalHandler handles signals, on goroutines of its own: SIGHUP reloads the files, SIGTERM and SIGINT start the shutdown.
 type signalHandler struct {
-	cfg      *platform.Config
-	file     *settings.File      // the latest valid one; used by the reloading goroutine alone
-	format   string              // of the log, from the command line
-	link     *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
-	redirect func(discovery string)
-	shutDown func()
+	cfg       *platform.Config
+	file      *settings.File      // the latest valid one; used by the reloading goroutine alone
+	format    string              // of the log, from the command line
+	tlsDialer *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
+	redirect  func(discovery string)
+	shutDown  func()
 }
 
 // run handles signals until stopped is closed. It never blocks, so that a SIGTERM after a SIGHUP is handled at once, also where the disk with
@@ -34,7 +34,7 @@
 func (h *signalHandler) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
-	go h.reloadEach(reloads)
+	go h.reloadOnRequest(reloads)
 	for {
 		select {
 		case <-stopped:
@@ -56,9 +56,9 @@
 	}
 }
 
-// reloadEach reloads the files for each request, until run ends. It has a goroutine of its own, since neither the loop nor run may wait for a
+// reloadOnRequest reloads the files for each request, until run ends. It has a goroutine of its own, since neither the loop nor run may wait for a
 // disk.
-func (h *signalHandler) reloadEach(reloads <-chan struct{}) {
+func (h *signalHandler) reloadOnRequest(reloads <-chan struct{}) {
 	for range reloads {
 		h.reload()
 	}
@@ -68,16 +68,16 @@
 // changes nothing, and does not keep the other from being applied.
 func (h *signalHandler) reload() {
 	h.reloadSettings()
-	if h.link != nil {
+	if h.tlsDialer != nil {
 		o := tlsOptions(h.file)
-		h.link.Reload(&o)
+		h.tlsDialer.Reload(&o)
 	}
-	next, later, err := platform.Reload(os.Getenv, h.cfg)
+	next, deferred, err := platform.Reload(os.Getenv, h.cfg)
 	if err != nil {
 		slog.Warn("reload_failed", "reason", err)
 		return
 	}
-	slog.Info("reloaded", "discovery", next.Discovery, "at_next_start", strings.Join(later, ","))
+	slog.Info("reloaded", "discovery", next.Discovery, "at_next_start", strings.Join(deferred, ","))
 	h.redirect(next.Discovery)
 }
 
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -35,8 +35,8 @@
 			done()
 		}
 	}
-	limit := p.loop.After(saveTimeout, once)
-	p.save(func() { limit.Stop(); once() })
+	timeout := p.loop.After(saveTimeout, once)
+	p.save(func() { timeout.Stop(); once() })
 }
 
 // ListChanged stores a changed list after listSaveDelay.
--- a/internal/app/node/upstreamtls.go
+++ b/internal/app/node/upstreamtls.go
@@ -14,22 +14,22 @@
 
 // newUpstreamTLS starts TLS to upstream hosts. Files that cannot be used are an error, which ends the start: a proxy that cannot connect to
 // any host must not accept clients.
-func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, wall func() time.Time) (*upstreamtls.Dialer, error) {
+func newUpstreamTLS(loop *netio.Loop, o upstreamtls.Options, wallClock func() time.Time) (*upstreamtls.Dialer, error) {
 	material, err := upstreamtls.Load(o, 1)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
 	}
-	link := upstreamtls.New(loop, material, wall)
-	link.Run()
+	dialer := upstreamtls.New(loop, material, wallClock)
+	dialer.Run()
 	slog.Info("tls_on", "epoch", material.Epoch, "min_version", o.MinVersion, "key_exchange", strings.Join(o.KeyExchange, ","),
 		"reuse", o.ResumeSessions, "on_expiry", o.OnExpiry)
-	return link, nil
+	return dialer, nil
 }
 
-// openByTLS opens connections to upstream hosts by TLS.
-func openByTLS(link *upstreamtls.Dialer) lineproto.Opener {
+// tlsOpener opens connections to upstream hosts by TLS.
+func tlsOpener(dialer *upstreamtls.Dialer) lineproto.Opener {
 	return func(to proxy.Target, within time.Duration, limit int, h netio.Handler,
 		done func(*netio.Conn, *netio.Error)) func() {
-		return link.Dial(upstreamtls.Host(to), within, limit, h, done)
+		return dialer.Dial(upstreamtls.Host(to), within, limit, h, done)
 	}
 }
