--- a/internal/dataplane/certexpiry/expiry.go
+++ b/internal/dataplane/certexpiry/expiry.go
@@ -20,7 +20,7 @@
 // Policy holds the operator's settings for migrations before certificates expire.
 type Policy struct {
 	MigrationEnabled  bool          // if false, no connection is migrated
-	Before            time.Duration // how long before the expiry migrations start
+	Before            time.Duration // how long before a certificate's expiry migrations start
 	MaxSharePerMinute float64       // maximum part of the established connections that migrates per minute
 }
 
@@ -68,23 +68,23 @@
 		id string
 		at time.Time
 	}
-	var list []due
+	var dueConns []due
 	for _, c := range open {
 		if c.NotAfter.IsZero() {
 			continue
 		}
 		if at := p.dueAt(c); !wall.Before(at) {
-			list = append(list, due{c.ID, at})
+			dueConns = append(dueConns, due{c.ID, at})
 		}
 	}
-	sort.Slice(list, func(i, j int) bool {
-		if !list[i].at.Equal(list[j].at) {
-			return list[i].at.Before(list[j].at)
+	sort.Slice(dueConns, func(i, j int) bool {
+		if !dueConns[i].at.Equal(dueConns[j].at) {
+			return dueConns[i].at.Before(dueConns[j].at)
 		}
-		return list[i].id < list[j].id
+		return dueConns[i].id < dueConns[j].id
 	})
 	var migrating []string
-	for _, d := range list {
+	for _, d := range dueConns {
 		if p.permits < 1 {
 			break
 		}
@@ -94,8 +94,8 @@
 	return migrating
 }
 
-// dueAt returns when a connection is due to migrate: a point in the first nine tenths of the time
-// Before its expiry that depends only on the connection's ID.
+// dueAt returns when a connection is due to migrate. The connection's ID determines a point in the
+// first nine tenths of the period that begins Policy.Before ahead of the expiry.
 func (p *Planner) dueAt(c Conn) time.Time {
 	fraction := float64(xxhash.Sum64String(c.ID)>>11) / (1 << 53)
 	return c.NotAfter.Add(-p.policy.Before + time.Duration(0.9*fraction*float64(p.policy.Before)))
--- a/internal/dataplane/certexpiry/expiry_test.go
+++ b/internal/dataplane/certexpiry/expiry_test.go
@@ -27,12 +27,12 @@
 }
 
 // connections returns n connections that share one certificate.
-func connections(n int, ends time.Time) []Conn {
-	var out []Conn
+func connections(n int, notAfter time.Time) []Conn {
+	var conns []Conn
 	for i := range n {
-		out = append(out, Conn{fmt.Sprintf("%016x", i), ends})
+		conns = append(conns, Conn{fmt.Sprintf("%016x", i), notAfter})
 	}
-	return out
+	return conns
 }
 
 // steadyClock returns the time s seconds after start on a wall clock that is not set.
--- a/internal/dataplane/handshake/budget.go
+++ b/internal/dataplane/handshake/budget.go
@@ -47,8 +47,8 @@
 
 // Estimates of one handshake, in nanoseconds.
 const (
-	initialCPU      = float64(700 * time.Microsecond)
-	initialDuration = float64(3 * time.Millisecond) // initial mean, before the first samples
+	initialCPU      = float64(700 * time.Microsecond) // initial mean of the CPU time, before the first samples
+	initialDuration = float64(3 * time.Millisecond)   // initial mean of the duration, before the first samples
 	// meanGain is the weight of a new sample in the means, without a unit.
 	meanGain = 0.1
 	// maxCPUSample and maxDurationSample limit one sample, so that a suspended machine does not
@@ -60,8 +60,8 @@
 // Budget decides when each requested handshake may begin. It is not safe for concurrent use.
 type Budget struct {
 	limits       Limits
-	cpu          tokenBucket // nanoseconds of CPU
-	rate         tokenBucket // full handshakes
+	cpu          tokenBucket // a token is a nanosecond of CPU time
+	rate         tokenBucket // a token is a full handshake
 	hosts        map[string]*host
 	rotation     []*host // hosts with waiting requests, in the order of their turns
 	waiting      map[uint64]*request
@@ -117,7 +117,7 @@
 
 // Enqueue queues a handshake with the host of the given name, or returns why it rejects it, which
 // is final. The caller chooses an id that is not in use. resumed reports whether a session is
-// available. The handshake must be done by the deadline.
+// available. The handshake must be done by the deadline, in nanoseconds.
 func (b *Budget) Enqueue(now int64, id uint64, name string, resumed bool, deadline int64) RejectReason {
 	if b.limits.MaxQueued > 0 && len(b.waiting) >= b.limits.MaxQueued {
 		return QueueFull
--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -43,6 +43,7 @@
 	hostWeight   map[string]float64 // the same by host
 }
 
+// newModel returns a model with random limits.
 func newModel(t *rapid.T) *model {
 	l := Limits{CPUShare: rapid.Float64Range(0.05, 1).Draw(t, "cpu"), Rate: rapid.Float64Range(5, 500).Draw(t, "rate"),
 		HostRate: rapid.Float64Range(2, 200).Draw(t, "hostRate"), MaxInFlight: rapid.IntRange(1, 20).Draw(t, "atOnce"),
@@ -51,14 +52,14 @@
 	return &model{t: t, limits: l, budget: New(l, 0), twin: New(l, 0), handshakes: map[uint64]*modelHandshake{}, hostWeight: map[string]float64{}}
 }
 
-// end sets the final state of a handshake. The handshake must be waiting, or be in flight if the
-// state is done.
-func (m *model) end(id uint64, how handshakeState) {
+// end sets the final state of a handshake. It fails the test unless the handshake is waiting, or is
+// in flight and ends as done.
+func (m *model) end(id uint64, state handshakeState) {
 	h := m.handshakes[id]
-	if h == nil || h.state != waiting && !(how == done && h.state == inFlight) {
-		m.t.Fatalf("handshake %d ended as %s; its record was %+v", id, how, h)
+	if h == nil || h.state != waiting && !(state == done && h.state == inFlight) {
+		m.t.Fatalf("handshake %d ended as %s, want it waiting, or in flight if it ends as done: %+v", id, state, h)
 	}
-	h.state = how
+	h.state = state
 }
 
 // enqueue requests a handshake with a random host, deadline and session.
@@ -161,7 +162,7 @@
 		}
 	}
 	if queued != m.budget.Waiting() || len(m.inFlight) != m.budget.InFlight() {
-		m.t.Fatalf("model has %d waiting and %d in flight, budget: %s", queued, len(m.inFlight), m.budget.Describe())
+		m.t.Fatalf("budget %s; want %d waiting and %d in flight", m.budget.Describe(), queued, len(m.inFlight))
 	}
 }
 
--- a/internal/dataplane/invariant/checks.go
+++ b/internal/dataplane/invariant/checks.go
@@ -25,8 +25,8 @@
 	return r.Monitor.countBlocked(r.checkSend(now, h))
 }
 
-// checkSend applies the rules on sending to a host. They apply when an attempt begins and again
-// when its first line is written.
+// checkSend returns the rule that forbids sending to h at time now, or None. These rules apply when
+// an attempt begins and again when its first line is written.
 func (r *Request) checkSend(now int64, h Host) Rule {
 	switch {
 	case r.isOver():
@@ -41,7 +41,8 @@
 	return r.checkRetry(now, h)
 }
 
-// checkRetry applies the rules on retrying a request of which an earlier attempt may have run.
+// checkRetry returns the rule that forbids retrying the request at h because an earlier attempt may
+// have run, or None.
 func (r *Request) checkRetry(now int64, h Host) Rule {
 	switch {
 	case !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent:
@@ -68,6 +69,8 @@
 	return true
 }
 
+// checkAttemptLimit returns AttemptLimit if the request has begun MaxAttempts attempts, and None
+// otherwise.
 func (r *Request) checkAttemptLimit() Rule {
 	if r.attemptsBegun >= r.MaxAttempts {
 		return AttemptLimit
@@ -77,8 +80,8 @@
 
 // RetryUntil returns the time, in nanoseconds, from which no first line may be written. Hosts
 // discard retries with an idempotency key during the dedup window, which begins with the first
-// attempt that may have run; a later retry would run twice. RetryUntil returns math.MaxInt64 if
-// there is no limit.
+// attempt that may have run; a request retried later would run twice. RetryUntil returns
+// math.MaxInt64 if there is no limit.
 func (r *Request) RetryUntil() int64 {
 	if !r.mayHaveRun || r.Class.Idempotency != balancer.IdempotentWithKey {
 		return math.MaxInt64
@@ -102,6 +105,6 @@
 	return !r.mayHaveRun || r.Class.Idempotency == balancer.Idempotent
 }
 
-// isOver reports whether the request has its answer or its client has left, so that nothing may
-// begin.
+// isOver reports whether the request has its answer or its client has left, so that no attempt may
+// begin or write its first line any more.
 func (r *Request) isOver() bool { return r.client != awaitingAnswer }
--- a/internal/dataplane/invariant/monitor.go
+++ b/internal/dataplane/invariant/monitor.go
@@ -1,6 +1,6 @@
 package invariant
 
-// Counts holds, per rule, how many actions broke the rule and how many it blocked.
+// Counts holds, by Rule, how many actions broke the rule and how many it blocked.
 type Counts struct {
 	Broken, Blocked [ruleCount]int64
 }
@@ -27,7 +27,7 @@
 func NewMonitor(report func(r Rule, id string)) *Monitor { return &Monitor{report: report} }
 
 // Close records that the process, which is shutting down, has answered all requests. From then on
-// NothingAfterShutdown forbids every attempt.
+// NothingAfterShutdown forbids every attempt and first line.
 func (m *Monitor) Close() { m.closed = true }
 
 // countBlocked counts an action that r forbids, and returns r. None counts nothing.
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -1,6 +1,7 @@
 package invariant
 
-// AttemptBegan records that an attempt at h begins at time now.
+// AttemptBegan records that an attempt at h begins at time now. It counts a broken rule; for the
+// rules that depend on time it allows for a pause of MaxPause since the decision.
 func (r *Request) AttemptBegan(now int64, h Host) {
 	rule := r.checkAttemptLimit()
 	if r.attemptInFlight {
@@ -16,6 +17,7 @@
 
 // LineWritten records that the last byte of the attempt's first line has been written, so that its
 // host may act on it. begun is the time at which the attempt began; h is the host's present state.
+// LineWritten counts broken rules and allows for MaxPause as AttemptBegan does.
 func (r *Request) LineWritten(now, begun int64, h Host) {
 	if !r.attemptInFlight || r.lineWritten {
 		r.Monitor.countBroken(SingleAttempt, r.ID)
@@ -43,7 +45,7 @@
 // connection over to this process.
 func (r *Request) TakenOver() { r.client = established }
 
-// Accepted records that the host's acceptance is sent to the client.
+// Accepted records that the host's acceptance is sent to the client, which is its answer.
 func (r *Request) Accepted(now int64) {
 	r.recordAnswer(now)
 	if r.client != clientLeft {
@@ -62,7 +64,8 @@
 	r.recordAnswer(now)
 }
 
-// recordAnswer records an answer. It counts a second answer, and one that comes too late.
+// recordAnswer records an answer. It counts a second answer as breaking SingleAnswer, and one that
+// comes more than answerSlack after the deadline as breaking AnswerInTime.
 func (r *Request) recordAnswer(now int64) {
 	if r.client != awaitingAnswer {
 		r.Monitor.countBroken(SingleAnswer, r.ID)
@@ -78,7 +81,7 @@
 func (r *Request) ClientLeft() { r.client = clientLeft }
 
 // ConnectionEnded records that the open connection ended in order: it was migrated or handed over,
-// the proxy sent its client a last line, or the host's end was passed on to the client.
+// the proxy sent its client a last line, or the client's connection ended as its host's did.
 func (r *Request) ConnectionEnded() {
 	if r.client == established {
 		r.client = answered
@@ -86,7 +89,7 @@
 }
 
 // ClosedByProxy records that the proxy closed the client's connection. By then the client must have
-// its answer and, if the connection was open, a line about its end.
+// its answer and, if the connection was open, a line about its end; otherwise NoSilentEnd is broken.
 func (r *Request) ClosedByProxy() {
 	if r.client == awaitingAnswer || r.client == established {
 		r.Monitor.countBroken(NoSilentEnd, r.ID)
--- a/internal/dataplane/invariant/request.go
+++ b/internal/dataplane/invariant/request.go
@@ -7,8 +7,8 @@
 	"croftlock/internal/balancer"
 )
 
-// answerSlack is how long after its deadline, in nanoseconds, an answer still counts. A later one
-// counts as none.
+// answerSlack is how long after the request's deadline, in nanoseconds, an answer still counts. To
+// the client, a later answer is no answer.
 const answerSlack = int64(500 * time.Millisecond)
 
 // MaxPause is the longest pause of the process that the rules allow for, since the machine may
@@ -28,8 +28,8 @@
 
 const (
 	awaitingAnswer clientState = iota
-	answered                   // it has the final answer, or its open connection has ended in order
-	established                // it has the host's acceptance, and the connection is open
+	answered                   // the client has the final answer, or its open connection has ended in order
+	established                // the client has the host's acceptance, and the connection is open
 	clientLeft                 // the client or the proxy has closed the connection
 )
 
@@ -49,7 +49,7 @@
 }
 
 // Request records the attempts and answers of one request. A Request with only Monitor, ID, Class,
-// Deadline and MaxAttempts set is one that was just read.
+// Deadline and MaxAttempts set represents a request that was just read.
 type Request struct {
 	Monitor     *Monitor
 	ID          string
@@ -57,16 +57,16 @@
 	Deadline    int64 // ns, on the caller's clock
 	MaxAttempts int
 	// Adopted marks a request whose connection was open at its host before. It goes to no other
-	// host, and its host need not be ready.
+	// host. The host need not be ready, because a draining host still accepts such a request.
 	Adopted bool
 
 	client          clientState
 	attemptsBegun   int
 	attemptInFlight bool
-	lineWritten     bool // the latest attempt's first line is written completely
+	lineWritten     bool // the first line of the latest attempt has been written completely
 	mayHaveRun      bool // an attempt that has ended may have run
-	// firstRunAt is the start, in nanoseconds, of the first attempt that may have run, with which
-	// the dedup window begins. It is 0 if there is none. firstRunHost is the host of that attempt.
+	// firstRunAt is the start, in nanoseconds, of the first attempt that may have run. Hosts count
+	// the dedup window from it. It is 0 if there is no such attempt. firstRunHost is the host of that attempt.
 	firstRunAt   int64
 	firstRunHost Host
 }
--- a/internal/dataplane/invariant/rule.go
+++ b/internal/dataplane/invariant/rule.go
@@ -13,11 +13,11 @@
 // The rules. None stands for no rule.
 const (
 	None                 Rule = iota
-	RequestOver               // nothing begins for a request that is answered, or whose client has left
+	RequestOver               // no attempt begins or is written for a request that is answered, or whose client has left
 	SingleAttempt             // one attempt is in flight at a time
 	AttemptLimit              // a request has at most MaxAttempts attempts
-	BeforeDeadline            // nothing begins past the deadline
-	HostAcceptsNew            // nothing new goes to a host that is draining, removed or suspended
+	BeforeDeadline            // no attempt begins or is written at the deadline or later
+	HostAcceptsNew            // no new request goes to a host that is draining, removed or suspended
 	NoUnsafeRetry             // a request that may have run and is not idempotent is not retried
 	RetryWithinScope          // a retry with an idempotency key goes only to hosts that share the first host's dedup memory
 	RetryWithinWindow         // a retry with an idempotency key is sent only within the dedup window
@@ -25,8 +25,8 @@
 	SingleAnswer              // a request has one answer
 	AnswerInTime              // the answer comes by the deadline, or at most answerSlack later
 	NoSilentEnd               // no request ends without an answer, and no open connection without a line to its client
-	NothingAfterShutdown      // no attempt begins once a process that is shutting down has answered all requests
-	ruleCount
+	NothingAfterShutdown      // no attempt begins or is written once a process that is shutting down has answered all requests
+	ruleCount                 // the number of rules, including None
 )
 
 var ruleNames = [ruleCount]string{"none", "request_over", "single_attempt", "attempt_limit", "before_deadline", "host_accepts_new", "no_unsafe_retry",
--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -8,7 +8,7 @@
 
 // defaultRetryAfter is the Retry-After of a rejection if the time at which capacity returns is
 // unknown. It is long enough for the front to route the clients of a proxy that is shutting down to
-// others.
+// other proxies.
 const defaultRetryAfter = 500 * time.Millisecond
 
 // admission limits the downstreams of all processes of this proxy. Each downstream may need two
@@ -52,8 +52,8 @@
 // processes share the file descriptors.
 func (c *Core) SetOtherProcessDownstreams(n int) { c.admission.otherProcessDownstreams = n }
 
-// DefaultRetryAfter returns the Retry-After for a client that is rejected for lack of capacity or time.
-// It returns 0 if clients read no Retry-After.
+// DefaultRetryAfter returns the Retry-After for a client that is rejected for lack of capacity or
+// time. It returns 0 if clients read no Retry-After.
 func (c *Core) DefaultRetryAfter() time.Duration { return c.boundedRetryAfter(defaultRetryAfter) }
 
 // boundedRetryAfter returns after, limited to the settings' maximum. It returns 0 if clients read
--- a/internal/dataplane/proxy/adopt.go
+++ b/internal/dataplane/proxy/adopt.go
@@ -16,7 +16,7 @@
 
 // adopt restores a connection that was open at a host before this proxy's start. The connection
 // belongs to that host, so the balancer chooses none; it is notified once the connection is
-// established.
+// established. The request fails if the host is unknown or a rule forbids the attempt.
 func (r *Request) adopt(hostID string) {
 	h := r.core.hosts.byID[hostID]
 	if h == nil {
@@ -34,8 +34,8 @@
 	r.beginAttempt(h, 0, r.deadline)
 }
 
-// adoptionEnded retries a failed adoption if its host cannot have acted on it and its client still
-// waits. Otherwise the request fails.
+// adoptionEnded retries a failed adoption after adoptionRetryDelay if its host cannot have acted on
+// it and its client still waits then. Otherwise the request fails.
 func (a *upstreamRequest) adoptionEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	if r.answered() {
--- a/internal/dataplane/proxy/answer.go
+++ b/internal/dataplane/proxy/answer.go
@@ -56,8 +56,8 @@
 	r.answer(r.downstream.Fail)
 }
 
-// answer closes the request, writes its only answer with write, and ends the attempt in flight, if
-// any.
+// answer closes the request, calls write, which writes its only answer, and ends the attempt in
+// flight, if any.
 func (r *Request) answer(write func()) {
 	r.becomeClosed()
 	write()
@@ -73,7 +73,8 @@
 	r.removeIfDone()
 }
 
-// failUnresponsive fails a request that the balancer did not answer in time, or that made it panic.
+// failUnresponsive fails a request that the balancer did not answer in time, or whose handling
+// panicked.
 func (r *Request) failUnresponsive() {
 	if r.answered() {
 		return
@@ -106,8 +107,9 @@
 	}
 }
 
-// migrate ends an open connection and sends its client the line after which it opens the connection
-// again. The balancer is notified that the connection ended with status.
+// migrate ends an open connection. It sends the client the migration line, after which the client
+// opens the connection again, and notifies the balancer that the connection ended with status. It
+// does nothing if the connection is not open.
 func (r *Request) migrate(status balancer.AttemptStatus) {
 	a := r.attempt
 	if a == nil || !a.established || !a.detach() {
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -13,26 +13,29 @@
 // the host.
 type upstreamRequest struct {
 	request   *Request
-	number    int // of the request's attempts in its pool, from 0
+	number    int // index among the request's attempts in its present pool
 	host      *host
 	conn      Upstream
 	startedAt int64 // ns of the loop's time
 	deadline  int64 // ns of the loop's time, at which the wait for the host's answer ends
 
-	timeoutTimer     *netio.Timer
-	retryWindowTimer *netio.Timer // ends a retry not written within the dedup window; nil without a window
+	timeoutTimer *netio.Timer // ends the attempt at its deadline
+	// retryWindowTimer ends a retry that is not written within the dedup window. It is nil if the
+	// attempt is not a retry or there is no such window.
+	retryWindowTimer *netio.Timer
 
 	established     bool
-	finalKind       MessageKind // Finished or MigrateClient once the host has sent that message
+	finalKind       MessageKind // Finished or MigrateClient once the host has sent it, PlainMessage before
 	loadReport      []float64   // of the host's answer or last message, in the settings' order of fields; may be nil
 	load            float64     // µs/s, as the host last reported it; 0 if unknown
 	previousLoad    float64     // µs/s, the load reported before that
-	unansweredSince []int64     // ns, the times at which the client's lines without a reply were sent
+	unansweredSince []int64     // ns, when unanswered lines of the client were sent, oldest first; at most maxUnansweredLines
 }
 
 // startAttempt begins an attempt at the host that a pool's balancer has chosen, unless a rule
 // forbids it. timeout limits, in nanoseconds, the wait for the host's answer; if it is 0, only the
-// request's deadline does.
+// request's deadline does. startAttempt does nothing if the request has ended or belongs to another
+// pool by now.
 func (c *Core) startAttempt(p *pool, id, hostID string, timeout balancer.Time) {
 	r := c.requests[id]
 	if r == nil || r.pool != p {
@@ -96,7 +99,8 @@
 	return balancer.TooLate
 }
 
-// beginAttempt begins an attempt that no rule forbids.
+// beginAttempt begins an attempt that no rule forbids. deadline is the time, in nanoseconds, at
+// which the wait for the host's answer ends.
 func (r *Request) beginAttempt(h *host, number int, deadline int64) {
 	c := r.core
 	now := c.loop.Now()
@@ -148,7 +152,8 @@
 	a.notifyEnded(status)
 }
 
-// notifyEnded notifies the balancer that the attempt or the open connection ended with status.
+// notifyEnded notifies the balancer that the attempt or the open connection ended with status. The
+// balancer does not know the attempts of an adopted request, so adoptionEnded handles those.
 func (a *upstreamRequest) notifyEnded(status balancer.AttemptStatus) {
 	r, c := a.request, a.request.core
 	elapsed := c.loop.Now() - a.startedAt
--- a/internal/dataplane/proxy/certexpiry.go
+++ b/internal/dataplane/proxy/certexpiry.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// certificateExpiries returns the open connections, each with the time at which its first certificate
-// expires, and the earliest of these times. The earliest time is zero if no connection uses a
+// certificateExpiries returns the open connections, each with the time at which the first of its
+// certificates expires, and the earliest of these times, which is zero if no connection uses a
 // certificate.
 func (c *Core) certificateExpiries() (open []certexpiry.Conn, firstExpiry time.Time) {
 	open = make([]certexpiry.Conn, 0, len(c.requests))
@@ -59,8 +59,8 @@
 	return open, firstExpiry
 }
 
-// migrateIfOpen migrates the client of r if r is still open under this ID, and reports whether it
-// did.
+// migrateIfOpen migrates the client of r if r is still the request with this ID, and reports
+// whether it is.
 func (c *Core) migrateIfOpen(id string, r *Request) bool {
 	if c.requests[id] != r {
 		return false
--- a/internal/dataplane/proxy/certexpiry_test.go
+++ b/internal/dataplane/proxy/certexpiry_test.go
@@ -9,7 +9,7 @@
 	"croftlock/internal/dataplane/certexpiry"
 )
 
-// expiringUpstream is a fake connection whose certificate expires at ends.
+// expiringUpstream is a fakeUpstream whose certificate expires at expiresAt.
 type expiringUpstream struct {
 	*fakeUpstream
 	expiresAt time.Time
--- a/internal/dataplane/proxy/clientleft_test.go
+++ b/internal/dataplane/proxy/clientleft_test.go
@@ -54,7 +54,7 @@
 // randomUpstream is an upstream whose host answers at random.
 type randomUpstream struct {
 	*fakeUpstream
-	clients   *leavingClients
+	clients   *leavingClients // the test that the upstream belongs to
 	requestID string
 	ended     bool
 }
@@ -95,8 +95,8 @@
 	})
 }
 
-// newLeavingClients returns leavingClients among which those of tenant t1, half of all, wait for
-// quota, and all wait for another proxy's answer, which never comes.
+// newLeavingClients returns a core whose requests wait for another proxy's answer, which never
+// comes. Those of tenant t1 also wait for quota.
 func newLeavingClients(t *testing.T) *leavingClients {
 	t.Helper()
 	w := &leavingClients{harness: newHarnessWithoutCore(t), rng: rand.New(rand.NewSource(5)), leftAt: map[string]int64{}}
@@ -144,11 +144,11 @@
 	case r.attempt != nil:
 		return "a host's answer"
 	case !hasQuota:
-		return "a permit"
+		return "its quota"
 	case r.attempts > 0:
 		return "a retry"
 	}
-	return "a choice"
+	return "its placement"
 }
 
 // TestNothingBeginsForClientsThatLeft checks that no attempt begins and no first line is written
@@ -173,14 +173,14 @@
 	}
 	w.advance(10 * time.Second)
 	t.Logf("%d clients, %d attempts, %d first lines; left while they waited for: %v", clients, w.attempts, w.linesWritten, leftDuring)
-	for _, step := range []string{"a permit", "a choice", "a connection", "a host's answer", "a retry"} {
+	for _, step := range []string{"its quota", "its placement", "a connection", "a host's answer", "a retry"} {
 		if leftDuring[step] < 10 {
 			t.Errorf("%d clients left while they waited for %s, want at least 10 for the check", leftDuring[step], step)
 		}
 	}
 	for id, r := range w.core.requests {
 		if !r.answered() || r.attempt == nil {
-			t.Errorf("request %s is still in the table: answered %t, attempt in flight %t", id, r.answered(), r.attempt != nil)
+			t.Errorf("request %s is still in the table: answered %t, has an attempt %t, want true, true", id, r.answered(), r.attempt != nil)
 		}
 	}
 }
--- a/internal/dataplane/proxy/core.go
+++ b/internal/dataplane/proxy/core.go
@@ -17,13 +17,14 @@
 // Options holds the parameters of a Core.
 type Options struct {
 	Settings       balancer.Config
-	MaxDownstreams int // of all processes of this proxy together
+	MaxDownstreams int // limit on the downstreams of all processes of this proxy together
 	// DelayInLoad specifies that hosts report a connection's load and their message delay in the
 	// same form, so that the core has to distinguish them.
 	DelayInLoad bool
 	// Expiry specifies which connections migrate before a certificate expires.
 	Expiry certexpiry.Policy
-	// WallClock returns the system's time, in which certificates and the start times of hosts are given.
+	// WallClock returns the system's time, in which certificates and the start times of hosts are
+	// given. It may be nil if Expiry is not enabled; the loop's time then counts as the system's.
 	WallClock func() time.Time
 }
 
@@ -60,6 +61,7 @@
 	classes, tenants map[string]int
 }
 
+// newSettingsNames returns the names in the settings.
 func newSettingsNames(s *balancer.Config) settingsNames {
 	n := settingsNames{map[string]int{}, map[string]int{}}
 	for i, class := range s.Classes {
@@ -93,6 +95,7 @@
 	}
 }
 
+// classNames returns the names of the classes, in their order in the settings.
 func classNames(classes []balancer.Class) []string {
 	names := make([]string, len(classes))
 	for i, class := range classes {
@@ -101,13 +104,14 @@
 	return names
 }
 
+// logBrokenInvariant logs that an action on the request with this ID broke a rule.
 func logBrokenInvariant(r invariant.Rule, id string) {
 	slog.Error("invariant_broken", "rule", r, "request", id)
 }
 
-// Run starts the core with discovery d and the endpoint list known. newBalancer creates a pool's
-// balancer, which requests its effects from fx; the core calls it once for each pool. Run returns
-// an error if it cannot create the balancer of the pool main.
+// Run starts the core with discovery d and the endpoint list initialList. newBalancer creates a
+// balancer that requests its effects from fx; the core calls it once for each pool. Run returns an
+// error if it cannot create the balancer of the pool main.
 func (c *Core) Run(newBalancer func(fx balancer.Effects) (Balancer, error), d Discovery, initialList WatchEvent) (err error) {
 	c.discovery = d
 	c.pools.newBalancer = func(p *pool) (Balancer, error) { return newBalancer(&effects{c, p}) }
@@ -131,7 +135,8 @@
 // health checks.
 func (c *Core) SetHealthChecker(h HealthChecker) { c.healthChecker = h }
 
-// SetPeers sets the Peers that carry messages to the other proxies. Without them none are sent.
+// SetPeers sets the Peers that send messages to the other proxies. Without Peers the core sends no
+// messages.
 func (c *Core) SetPeers(p Peers) { c.peers = p }
 
 // PeerMessageReceived passes a message from another proxy to the balancers of all pools.
--- a/internal/dataplane/proxy/core_test.go
+++ b/internal/dataplane/proxy/core_test.go
@@ -156,7 +156,7 @@
 	w.core.SetSuspended("A", true, func(isKnown bool) { known += fmt.Sprint(isKnown, " ") })
 	w.core.SetSuspended("A", true, func(isKnown bool) { known += fmt.Sprint(isKnown) })
 	if known != "false true true" {
-		t.Errorf("Suspend of Z, A and A again: known = %q, want %q", known, "false true true")
+		t.Errorf("SetSuspended of Z, A and A again: known = %q, want %q", known, "false true true")
 	}
 	w.expect("list 4 1", "end up dropped", "ended r1 0 2 false", "ended r1 1 2 false", "reject r1 0")
 	open.events.FromUpstream(Message{Kind: PlainMessage, Text: []byte("x\r\n")})
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -11,42 +11,44 @@
 // countsInterval is the interval at which the counters are logged.
 const countsInterval = 10 * time.Second
 
-// counters counts the core's activity: since the last log record, and as metrics since the start of
-// the process.
+// counters counts the core's activity since its counts were last logged, and as metrics since the
+// start of the process.
 type counters struct {
 	activity
-	loggedAt int64 // loop time of the last log record, in nanoseconds
+	loggedAt int64 // loop time at which the counts were last due, in nanoseconds
 	metrics  *metrics.Table
 }
 
-// activity counts events since the last log record.
+// activity counts events since the counts were last logged.
 type activity struct {
-	opened, served, rejected, failed, invalid, migrated, lost int
-
-	expiring                               int // those of migrated whose certificate was about to expire
-	overCapacity                           int // downstreams rejected because no file descriptor was free
+	opened, served, rejected, failed       int // openings received; requests accepted by a host, rejected, and failed
+	invalid                                int // client inputs that are not a valid request
+	migrated                               int // clients migrated
+	lost                                   int // open connections that broke, or whose host was silent
+	expiring                               int // connections selected for migration because a certificate expires
+	overCapacity                           int // downstreams that Admit rejected, since each may need file descriptors
 	handedOver, resumed                    int // open connections handed to, and taken over from, another process
 	peerMessagesSent, peerMessagesReceived int
-	healthChecks                           int
+	healthChecks                           int // health checks started
 }
 
-// logCountsIfDue logs and resets the activity counters once per countsInterval. The key rejected
-// counts requests, and over_capacity counts downstreams for which no descriptor was free;
-// invalid_requests is included in neither.
+// logCountsIfDue logs and resets the activity counters once per countsInterval. In the log record,
+// rejected counts requests, and over_capacity counts downstreams for which there was no capacity in
+// file descriptors; neither includes invalid_requests.
 func (c *Core) logCountsIfDue(now int64) {
 	if now-c.counters.loggedAt < int64(countsInterval) {
 		return
 	}
 	c.counters.loggedAt = now
-	n := c.counters.activity
-	if n == (activity{}) {
+	counts := c.counters.activity
+	if counts == (activity{}) {
 		return // an idle proxy logs nothing
 	}
 	open, pending := c.countRequests()
-	slog.Info("counts", "open", open, "pending", pending, "downstreams", c.admission.downstreams, "opened", n.opened,
-		"served", n.served, "rejected", n.rejected, "failed", n.failed, "invalid_requests", n.invalid, "migrated", n.migrated,
-		"lost", n.lost, "over_capacity", n.overCapacity, "expiring", n.expiring, "handed_over", n.handedOver, "resumed", n.resumed,
-		"peer_messages_sent", n.peerMessagesSent, "peer_messages_received", n.peerMessagesReceived, "health_checks", n.healthChecks)
+	slog.Info("counts", "open", open, "pending", pending, "downstreams", c.admission.downstreams, "opened", counts.opened,
+		"served", counts.served, "rejected", counts.rejected, "failed", counts.failed, "invalid_requests", counts.invalid, "migrated", counts.migrated,
+		"lost", counts.lost, "over_capacity", counts.overCapacity, "expiring", counts.expiring, "handed_over", counts.handedOver, "resumed", counts.resumed,
+		"peer_messages_sent", counts.peerMessagesSent, "peer_messages_received", counts.peerMessagesReceived, "health_checks", counts.healthChecks)
 	c.counters.activity = activity{}
 	if broken, blocked := c.monitor.Counts.Sum(); broken+blocked > 0 {
 		slog.Warn("invariant_counts", "broken", broken, "blocked", blocked)
@@ -55,9 +57,9 @@
 
 // countEnd counts the end of a request that was not accepted in the metrics of its class. Unknown
 // classes have no metrics.
-func (c *Core) countEnd(class string, e metrics.End) {
+func (c *Core) countEnd(class string, end metrics.End) {
 	if i, known := c.names.classes[class]; known {
-		c.counters.metrics.CountEnd(i, e)
+		c.counters.metrics.CountEnd(i, end)
 	}
 }
 
--- a/internal/dataplane/proxy/decide.go
+++ b/internal/dataplane/proxy/decide.go
@@ -19,14 +19,14 @@
 
 // decisionEvent is an event for the decision module.
 type decisionEvent struct {
-	request *Request // gets its answer if the module panics; may be nil
+	request *Request // fails if handling the event panics; may be nil
 	module  Balancer // the pool's balancer
 	handle  func(now balancer.Time, m Balancer)
 }
 
 // submit passes an event to the module, runs its effects, and then does the same for the events
-// that they caused. While an event is being handled, submit only queues. If the module or an effect
-// panics, request, which may be nil, is answered.
+// that they caused. While another event is being handled, submit only queues. If the module or an
+// effect panics, request fails; it may be nil.
 func (d *decisionLoop) submit(request *Request, module Balancer, handle func(now balancer.Time, m Balancer)) {
 	d.events = append(d.events, decisionEvent{request, module, handle})
 	if d.running {
@@ -55,8 +55,8 @@
 // addEffect queues an effect, which runs once the module has returned.
 func (d *decisionLoop) addEffect(effect func()) { d.effects = append(d.effects, effect) }
 
-// recoverRequest calls f and recovers from its panic. The request that f acts on, if it is not nil,
-// then still gets its only answer.
+// recoverRequest calls f and recovers from its panic. If f panics, the request that it acts on
+// fails unless it has its answer. request may be nil.
 func recoverRequest(request *Request, f func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/dataplane/proxy/downstream.go
+++ b/internal/dataplane/proxy/downstream.go
@@ -8,8 +8,8 @@
 	"croftlock/internal/operations/metrics"
 )
 
-// FromDownstream relays a client's message to its host. It reports whether it accepted the message;
-// if not, the downstream keeps the message until its RelayPending is called.
+// FromDownstream relays a client's message to its host, and reports whether it accepted the
+// message. If not, the downstream keeps the message until its RelayPending is called.
 func (r *Request) FromDownstream(m Message) bool {
 	a := r.attempt
 	if a == nil || !a.established {
--- a/internal/dataplane/proxy/effects.go
+++ b/internal/dataplane/proxy/effects.go
@@ -18,14 +18,14 @@
 
 var _ balancer.Effects = (*effects)(nil)
 
-// StartAttempt starts the next attempt of the request. With a zero timeout the attempt may last
-// until the request's deadline.
+// StartAttempt starts the next attempt of the request. timeout limits, in nanoseconds, the wait for
+// the host's answer; zero means until the request's deadline.
 func (e *effects) StartAttempt(id, host string, timeout balancer.Time) {
 	e.core.decisions.addEffect(func() { e.core.startAttempt(e.pool, id, host, timeout) })
 }
 
-// Reject answers that the request was not executed and that a retry is harmless, or fails it if it
-// may have been executed.
+// Reject answers that a retry of the request is harmless, with after as Retry-After, in
+// nanoseconds. If the request may have run and a retry is not harmless, Reject fails it.
 func (e *effects) Reject(id string, after balancer.Time) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
@@ -34,7 +34,7 @@
 	})
 }
 
-// Fail answers the request without stating whether it was executed.
+// Fail answers that the request has failed, without stating whether it has run.
 func (e *effects) Fail(id string) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
@@ -43,7 +43,7 @@
 	})
 }
 
-// CancelAttempt ends an attempt in progress.
+// CancelAttempt ends the request's attempt with this number, unless it is established or has ended.
 func (e *effects) CancelAttempt(id string, attempt int) {
 	e.core.decisions.addEffect(func() {
 		if r := e.core.requests[id]; r != nil {
@@ -61,7 +61,7 @@
 	})
 }
 
-// Schedule calls the balancer's TimerFired with the token after the delay.
+// Schedule calls the balancer's TimerFired with the token after the delay, in nanoseconds.
 func (e *effects) Schedule(delay balancer.Time, token string) {
 	c := e.core
 	c.decisions.addEffect(func() {
--- a/internal/dataplane/proxy/endpointlist.go
+++ b/internal/dataplane/proxy/endpointlist.go
@@ -24,9 +24,8 @@
 	Address string `json:"Endpoint"`
 }
 
-// ListReceived applies a watch event. It ends the attempts at draining and removed hosts whose line
-// is not written yet, including those that wait for a dial, because these hosts get no new
-// requests.
+// ListReceived applies a watch event. Draining and removed hosts get no new requests, so it ends the
+// attempts at them whose first line is not written yet, including those that wait for a dial.
 func (c *Core) ListReceived(event WatchEvent) {
 	var watermarksChanged []string
 	if c.hosts.watermarks != nil && event.Kind != balancer.ListFailed {
@@ -65,8 +64,8 @@
 	return entries
 }
 
-// clearUnusableHosts ends the unsent attempts at all hosts that are not ready, and drops removed
-// hosts without requests. It is called after the decision module has been notified of the hosts'
+// clearUnusableHosts ends the attempts at all hosts that are not ready whose first line is not
+// written yet, and drops removed hosts that have no requests. It is called after the decision module has been notified of the hosts'
 // states, so that retries go to other hosts.
 func (c *Core) clearUnusableHosts() {
 	for id, h := range c.hosts.byID {
--- a/internal/dataplane/proxy/fleetrules.go
+++ b/internal/dataplane/proxy/fleetrules.go
@@ -56,7 +56,7 @@
 }
 
 // recheckRules applies the rules again right before an attempt, since the process may have been
-// paused and the rules may have changed since the request came. Adopted requests are not checked.
+// paused, and the rules may have changed, after the request came. Adopted requests are not checked.
 func (c *Core) recheckRules(r *Request, h *host) (v rules.Verdict, result recheckResult) {
 	if c.fleet.enforcer == nil || r.adopted {
 		return v, rulesAgree
--- a/internal/dataplane/proxy/handover.go
+++ b/internal/dataplane/proxy/handover.go
@@ -20,12 +20,12 @@
 	// HandOver hands an open connection to the next process. If that fails, the client gets
 	// migrationLine. HandOver calls done on the loop once the connection has left this process; the
 	// process must not exit before that.
-	HandOver(s *HandedOverConnection, migrationLine []byte, done func())
+	HandOver(connection *HandedOverConnection, migrationLine []byte, done func())
 	// AcceptsHandovers reports whether a next process is running and can take over connections now.
 	AcceptsHandovers() bool
 }
 
-// handover is the core's state of the handover to the next process.
+// handover holds the core's state of the handover to the next process.
 type handover struct {
 	successor  Successor // nil if no state outlives this process
 	handedOver bool      // the other process accepts clients and this one does not
@@ -43,9 +43,9 @@
 // next.
 type HandedOverConnection struct {
 	Request         balancer.Request   `json:"Request"`
-	Class           string             `json:"Class"` // a name, because class numbers depend on the settings of a process
-	Tenant          string             `json:"Tenant"`
-	Host            string             `json:"Host"`
+	Class           string             `json:"Class"`   // a name, because class numbers depend on the settings of a process
+	Tenant          string             `json:"Tenant"`  // a name too; "" if the settings do not name the tenant
+	Host            string             `json:"Host"`    // the host's ID
 	Load            float64            `json:"Load"`    // µs of work per second; 0 if unknown
 	UnansweredSince []int64            `json:"Waiting"` // when each unanswered line of the client was sent, in nanoseconds
 	LastKind        MessageKind        `json:"Last"`    // Finished or MigrateClient if the host has sent it
@@ -53,10 +53,10 @@
 	Upstream        netio.ReleasedConn `json:"Up"`
 }
 
-// Releaser is a Downstream or Upstream whose side of a connection can be handed over. Release
-// detaches the socket and calls done with its parts. Their FD is negative if the side could not be
-// released.
+// Releaser is a Downstream or Upstream whose side of a connection can be handed over.
 type Releaser interface {
+	// Release detaches the socket and calls done with its descriptor and the data that is still
+	// buffered. FD is negative if the side could not be released.
 	Release(done func(netio.ReleasedConn))
 }
 
@@ -70,68 +70,69 @@
 		r.migrate(balancer.Cancelled)
 		return
 	}
-	s := a.describeForHandover()
-	// Nothing is relayed from here on. The parts of a side that breaks before it is released have a
-	// negative FD.
+	connection := a.describeForHandover()
+	// Nothing is relayed from here on. If a side breaks before it is released, its ReleasedConn has
+	// a negative FD.
 	a.detach()
 	c.handover.inFlight++
 	up.Release(func(p netio.ReleasedConn) {
-		s.Upstream = p
+		connection.Upstream = p
 		down.Release(func(p netio.ReleasedConn) {
-			s.Downstream = p
-			c.handOverReleased(a, s)
+			connection.Downstream = p
+			c.handOverReleased(a, connection)
 		})
 	})
 }
 
-// describeForHandover returns the description of the connection without the parts of its two sides.
+// describeForHandover returns the description of the connection without Downstream and Upstream,
+// which are known once both sides are released.
 func (a *upstreamRequest) describeForHandover() *HandedOverConnection {
 	r, c := a.request, a.request.core
-	s := &HandedOverConnection{Request: r.attributes, Class: r.class().Name, Host: a.host.hostID, Load: a.load,
+	connection := &HandedOverConnection{Request: r.attributes, Class: r.class().Name, Host: a.host.hostID, Load: a.load,
 		UnansweredSince: a.unansweredSince, LastKind: a.finalKind}
 	if r.attributes.Tenant >= 0 {
-		s.Tenant = c.opt.Settings.Tenants[r.attributes.Tenant].Name
+		connection.Tenant = c.opt.Settings.Tenants[r.attributes.Tenant].Name
 	}
-	return s
+	return connection
 }
 
 // handOverReleased hands over a connection whose two sides have been released, or ends it if either
 // could not be released.
-func (c *Core) handOverReleased(a *upstreamRequest, s *HandedOverConnection) {
+func (c *Core) handOverReleased(a *upstreamRequest, connection *HandedOverConnection) {
 	r := a.request
 	r.record.ConnectionEnded()
-	if s.Upstream.FD < 0 || s.Downstream.FD < 0 {
-		c.endReleased(a, s)
+	if connection.Upstream.FD < 0 || connection.Downstream.FD < 0 {
+		c.endReleased(a, connection)
 		c.handover.inFlight--
 	} else {
 		c.counters.handedOver++
-		c.handover.successor.HandOver(s, r.downstream.MigrationLine(), func() { c.handover.inFlight-- })
+		c.handover.successor.HandOver(connection, r.downstream.MigrationLine(), func() { c.handover.inFlight-- })
 	}
 	a.notifyEnded(balancer.Cancelled)
 }
 
-// endReleased ends a connection of which at least one side could not be released. It migrates a
-// client that is still connected.
-func (c *Core) endReleased(a *upstreamRequest, s *HandedOverConnection) {
+// endReleased ends a connection of which at least one side could not be released. A client that is
+// still connected gets the migration line.
+func (c *Core) endReleased(a *upstreamRequest, connection *HandedOverConnection) {
 	down := a.request.downstream
 	a.conn.End(netio.Ended)
-	if s.Downstream.FD < 0 {
+	if connection.Downstream.FD < 0 {
 		down.Migrate()
 	}
-	s.Upstream.Discard(nil)
-	s.Downstream.Discard(down.MigrationLine())
+	connection.Upstream.Discard(nil)
+	connection.Downstream.Discard(down.MigrationLine())
 }
 
 // Resume continues an open connection that another process has handed over. It returns the
 // receivers of the events of down, the client's side, and of up, the host's side.
-func (c *Core) Resume(s *HandedOverConnection, down Downstream, up Upstream) (*Request, UpstreamEvents) {
-	h := c.resumedHost(s.Host)
-	r := &Request{core: c, downstream: down, attributes: c.resumedAttributes(s), pool: h.pool, phase: established, attempts: 1}
-	a := &upstreamRequest{request: r, host: h, conn: up, startedAt: c.loop.Now(), established: true, finalKind: s.LastKind}
-	if s.Load > 0 && !math.IsInf(s.Load, 0) {
-		a.load = s.Load
+func (c *Core) Resume(connection *HandedOverConnection, down Downstream, up Upstream) (*Request, UpstreamEvents) {
+	h := c.resumedHost(connection.Host)
+	r := &Request{core: c, downstream: down, attributes: c.resumedAttributes(connection), pool: h.pool, phase: established, attempts: 1}
+	a := &upstreamRequest{request: r, host: h, conn: up, startedAt: c.loop.Now(), established: true, finalKind: connection.LastKind}
+	if connection.Load > 0 && !math.IsInf(connection.Load, 0) {
+		a.load = connection.Load
 	}
-	for _, t := range s.UnansweredSince[:min(len(s.UnansweredSince), maxUnansweredLines)] {
+	for _, t := range connection.UnansweredSince[:min(len(connection.UnansweredSince), maxUnansweredLines)] {
 		a.unansweredSince = append(a.unansweredSince, rebaseUnanswered(t, c.loop.Now()))
 	}
 	r.record = invariant.Request{Monitor: c.monitor, ID: r.attributes.ID, Class: r.class()}
@@ -161,24 +162,24 @@
 }
 
 // resumedAttributes returns the attributes of the request with the numbers of its class and tenant
-// in this process's settings.
-func (c *Core) resumedAttributes(s *HandedOverConnection) balancer.Request {
-	attributes := s.Request
+// in this process's settings. An unknown class counts as class 0, and an unknown tenant as -1.
+func (c *Core) resumedAttributes(connection *HandedOverConnection) balancer.Request {
+	attributes := connection.Request
 	attributes.Tenant = -1
-	if i, known := c.names.tenants[s.Tenant]; known {
+	if i, known := c.names.tenants[connection.Tenant]; known {
 		attributes.Tenant = i
 	}
-	class, known := c.names.classes[s.Class]
+	class, known := c.names.classes[connection.Class]
 	if !known {
-		slog.Warn("resumed_unknown_class", "class", s.Class)
+		slog.Warn("resumed_unknown_class", "class", connection.Class)
 	}
 	attributes.Class = class
 	return attributes
 }
 
 // rebaseUnanswered converts the time at which a line was sent to this process's clock, which may
-// differ from the other process's. A time in the future, or more than hostSilenceTimeout ago, means
-// that the system's clock was set in between, and counts as now.
+// differ from the other process's. If the time is in the future, or more than hostSilenceTimeout
+// ago, the system's clock was set in between, and rebaseUnanswered returns now.
 func rebaseUnanswered(sent, now int64) int64 {
 	if sent > now || sent < now-int64(hostSilenceTimeout) {
 		return now
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -13,7 +13,10 @@
 )
 
 // harness is a core between fakes, on a clock that the test advances. events lists the calls that
-// the core makes to the fakes.
+// the core makes to the fakes: "start ADDRESS MS" for an attempt, where MS is the time until its
+// deadline in milliseconds; "end up CAUSE" for the end of an upstream; "accept REQUEST", "reject
+// REQUEST MS" (with the Retry-After), "fail REQUEST", "migrate REQUEST" and "end REQUEST CAUSE" for
+// what happens to a downstream; and the events of fakeBalancer.
 type harness struct {
 	test      *testing.T
 	now       int64 // ns
@@ -86,13 +89,13 @@
 	return ended
 }
 
-// expectMigratedAndEnded checks that the client of request q has migrated and the shutdown has
-// ended.
+// expectMigratedAndEnded checks that the client of request q, and nothing else, has been migrated
+// since the last call of expect, and that the shutdown has ended.
 func (w *harness) expectMigratedAndEnded(ended *bool) {
 	w.test.Helper()
 	w.expect("migrate q", "end up ended", "ended q 0 6 true")
 	if !*ended {
-		w.test.Error("the shutdown has not ended")
+		w.test.Error("the shutdown has not ended after the last client was migrated")
 	}
 }
 
@@ -119,7 +122,7 @@
 	return u
 }
 
-// fakeUpstream is an Upstream whose events the test causes.
+// fakeUpstream is an Upstream that records what the core calls. The test calls the methods of events.
 type fakeUpstream struct {
 	harness  *harness
 	events   UpstreamEvents
@@ -186,7 +189,11 @@
 
 func (d *fakeDownstream) End(cause netio.Cause) { d.harness.logEvent("end %s %s", d.requestID, cause) }
 
-// fakeBalancer is a Balancer that records its events, and handles them with onEvent.
+// fakeBalancer is a Balancer that records its events, and handles them with onEvent. Enums appear as
+// numbers: "ended REQUEST ATTEMPT STATUS CLOSED" has the balancer.AttemptStatus (2 Full, 3 Timeout,
+// 4 ConnectFailed, 5 Reset, 6 Cancelled, 7 TooLate), "observe REQUEST KIND VALUE" the
+// balancer.Observation (1 load, 2 latency), and "list KIND ENTRIES" the balancer.ListChange (0 delta,
+// 1 full, 4 local) and the number of entries.
 type fakeBalancer harness
 
 // event records an event and calls onEvent.
--- a/internal/dataplane/proxy/hosts.go
+++ b/internal/dataplane/proxy/hosts.go
@@ -14,7 +14,7 @@
 type host struct {
 	hostID    string
 	zone      string
-	address   string
+	address   string              // where the proxy connects; "" before the first list that contains the host
 	listed    balancer.ListedHost // the latest entry from discovery
 	state     balancer.HostState  // effective state, which accounts for suspensions and watermarks
 	startedAt balancer.Time       // latest start of the host, on this process's clock
@@ -28,7 +28,9 @@
 	checkedLoad float64 // load divided by capacity, from the last health check
 	checkedAt   int64   // time of that health check, in nanoseconds; 0 if there was none
 
-	lastSnapshot *balancer.HostSnapshot // state in the balancer of its previous pool, for that of the next; nil if none
+	// lastSnapshot is what the balancer of the previous pool knew of the host, for the balancer of
+	// the next pool. It is nil if the host has not changed pools or that balancer did not know it.
+	lastSnapshot *balancer.HostSnapshot
 }
 
 // invariantHost returns the properties of the host that the invariants check.
@@ -59,8 +61,8 @@
 // setRemoved marks the host as absent from the endpoint list.
 func (h *host) setRemoved() { h.state, h.listed.State = balancer.Removed, balancer.Removed }
 
-// changeAddress sets a new address and dials it for the attempts whose line is not written yet. An
-// empty address is ignored.
+// changeAddress sets a new address, and dials it for the attempts whose first line is not written
+// yet. It ignores an empty address.
 func (h *host) changeAddress(address string) {
 	if address == "" || address == h.address {
 		return
@@ -74,8 +76,8 @@
 	}
 }
 
-// stopUnsentAttempts ends the matching attempts whose line is not written yet, so that the host
-// cannot have acted on them. It leaves the attempts of adopted requests alone.
+// stopUnsentAttempts ends the matching attempts whose first line is not written yet; the host
+// cannot have acted on them. It does not end the attempts of adopted requests.
 func (h *host) stopUnsentAttempts(matches func(a *upstreamRequest) bool) {
 	for a := range h.pending {
 		if a.lineUnsent() && !a.request.adopted && matches(a) {
@@ -93,7 +95,7 @@
 	clock       startClock
 }
 
-// add adds a host, which is not in a pool yet.
+// add adds a host with this ID and returns it. The host is not in a pool yet.
 func (t *hostTable) add(id string) *host {
 	h := &host{hostID: id, established: map[*Request]struct{}{}, pending: map[*upstreamRequest]struct{}{}}
 	t.byID[id] = h
@@ -117,9 +119,9 @@
 	return h, isNew
 }
 
-// effectiveState returns the state in which this proxy treats a listed host. A state other than
-// Ready in the own list takes precedence. A ready host is Suspended if operators have suspended it,
-// and Draining if another proxy's newer list drains or removes it.
+// effectiveState returns the state that counts for a listed host. A state other than Ready in this
+// proxy's own list takes precedence. A ready host is Suspended if operators have suspended it, and
+// Draining if it is draining or removed in another proxy's newer list.
 func (t *hostTable) effectiveState(e balancer.ListedHost) balancer.HostState {
 	switch {
 	case e.State != balancer.Ready:
@@ -132,7 +134,7 @@
 	return e.State
 }
 
-// removeUnlisted marks all hosts as removed that a full list does not contain.
+// removeUnlisted marks all hosts as removed that are not in listed, the IDs of a full list.
 func (t *hostTable) removeUnlisted(listed map[string]bool) {
 	for id, h := range t.byID {
 		if !listed[id] {
--- a/internal/dataplane/proxy/hoststart.go
+++ b/internal/dataplane/proxy/hoststart.go
@@ -7,13 +7,13 @@
 	"croftlock/internal/balancer"
 )
 
-// minClockOffset is the difference, in nanoseconds, between the system's and this process's clock
-// from which the former counts as set.
+// minClockOffset is the minimum difference, in nanoseconds, between the system's clock and this
+// process's clock that counts as a step of the system's clock.
 const minClockOffset = minClockStep
 
 // startClock converts the starts of hosts, which discovery reports in the system's time, to this
-// process's clock. That clock starts at the system's time and is not affected when the system's
-// clock is set.
+// process's clock. This process's clock starts at the system's time and does not change when the
+// system's clock is set.
 type startClock struct {
 	now       func() balancer.Time
 	wallClock func() time.Time // nil if the system's clock is taken to equal the process's clock
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -25,19 +25,19 @@
 	HealthCheckEnded(now balancer.Time, id string, status balancer.AttemptStatus, load []float64)
 	// Observe reports the load (µs/s) of an open connection, or the latency (ms) of messages on it.
 	Observe(now balancer.Time, id string, attempt int, kind balancer.Observation, value float64)
-	// ListReceived reports the endpoint list or a change of it.
+	// ListReceived reports the endpoint list, a change of it, or the failure to get one.
 	ListReceived(now balancer.Time, kind balancer.ListChange, entries []balancer.ListedHost)
 	// PeerMessageReceived reports a message from another proxy.
 	PeerMessageReceived(now balancer.Time, from int, data []byte)
 	// TimerFired reports that the delay of the effect Schedule with this token has passed.
 	TimerFired(now balancer.Time, token string)
-	// Ejected reports whether a host is ejected because set-ups failed there. Until its next trial
+	// Ejected reports whether host is ejected because set-ups failed there. Until its next trial
 	// is due, an ejected host gets attempts only if no other host is available.
 	Ejected(now balancer.Time, host string) bool
 	// Snapshot returns what the balancer knows of its hosts. If yield is true, the balancer gives
 	// up its slow-start budgets.
 	Snapshot(yield bool) balancer.Snapshot
-	// Restore adds the knowledge in another balancer's snapshot.
+	// Restore takes over the state in another balancer's snapshot.
 	Restore(now balancer.Time, snapshot balancer.Snapshot)
 }
 
@@ -52,13 +52,13 @@
 	FetchList()        // fetches the complete endpoint list
 }
 
-// Downstream is a client's connection. Accept, Reject and Fail are answers, of which a request gets
-// one.
+// Downstream is a client's connection. Accept, Reject and Fail are answers; each request gets
+// exactly one.
 type Downstream interface {
 	Accept(acceptance Message)  // relays the host's acceptance
 	Reject(after time.Duration) // replies that a retry is harmless; after is the Retry-After, 0 for none
 	Fail()                      // replies that the request has failed
-	Relay(m Message) bool       // reports whether it accepted m; if not, Request.DownstreamReady follows
+	Relay(m Message) bool       // sends m, and reports whether it accepted m; if not, Request.DownstreamReady follows
 	RelayPending()              // offers the core again the messages that it did not accept
 	Migrate()                   // ends it with the line after which the client opens it again
 	MigrationLine() []byte      // returns the line that Migrate sends
@@ -68,7 +68,7 @@
 // Upstream is the connection of one upstream request. After End it calls no method of its
 // UpstreamEvents.
 type Upstream interface {
-	Relay(m Message) bool  // reports whether it accepted m; if not, UpstreamReady follows
+	Relay(m Message) bool  // sends m, and reports whether it accepted m; if not, UpstreamReady follows
 	RelayPending()         // offers the core again the messages that it did not accept
 	Stage() netio.Stage    // returns the stage that it has reached
 	End(cause netio.Cause) // closes the connection, or cancels its dial
--- a/internal/dataplane/proxy/invalid.go
+++ b/internal/dataplane/proxy/invalid.go
@@ -9,7 +9,7 @@
 // InvalidReason is the reason why a client's input is invalid.
 type InvalidReason int
 
-// The reasons.
+// The reasons for which a client's input is invalid.
 const (
 	UnknownClass     InvalidReason = iota // the settings do not name the class
 	UnknownTenant                         // the settings do not name the tenant
--- a/internal/dataplane/proxy/lifecycle.go
+++ b/internal/dataplane/proxy/lifecycle.go
@@ -36,7 +36,8 @@
 // Request.adopt. The checks differ as follows:
 //
 //   - 4: only Core.applyRules runs; its verdict is logged and ignored.
-//   - 5: the class does not limit the deadline, and Request.failUnresponsive does not apply.
+//   - 5: the class does not limit a deadline that the client gives, and Request.failUnresponsive does
+//     not apply.
 //   - 6, 7 and 9 are skipped.
 //   - 8: only CheckAttempt runs, without the limit of attempts.
 //   - 8 and 10: the host need not be usable.
--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -13,14 +13,14 @@
 // in milliseconds; while messages are slow, a host reports it once a second on one connection of
 // each proxy, and once more when they are fast again. A delay taken for a load hides a slow host
 // and makes the busiest connection seem idle; a load taken for a delay migrates clients off a
-// healthy host. The constants below distinguish the two by size and rhythm.
+// healthy host. The constants below distinguish the two by their size and timing.
 const (
 	minPlausibleLoad      = 500  // µs/s; below this, a load figure is read as a delay in milliseconds
 	minPlausibleFirstLoad = 1500 // µs/s; the same for a connection's first figure, which is likelier a delay
 	maxPlausibleDelay     = 4000 // ms; a figure of this size or more is read as a load
-	maxFirstDelay         = 2500 // ms; the first delay of a run is below this: no message waits longer
-	// maxDelayStep is the largest change, in ms, from one delay to the next, a second later: work piles up no
-	// faster than it arrives.
+	maxFirstDelay         = 2500 // ms; a run of delays begins below this: a slower message is not waited for
+	// maxDelayStep is the largest change, in ms, from one delay to the next, a second later: work
+	// piles up no faster than it arrives.
 	maxDelayStep = 2000
 	maxLoadRatio = 3   // the largest factor by which a connection's load changes from one figure to the next
 	queueingLoad = 0.8 // load divided by capacity from which messages may wait
@@ -57,8 +57,8 @@
 	return d.delayAt > 0 && now-d.delayAt < delayRunGap
 }
 
-// isSteady reports whether a figure comes delayInterval after the last candidate. Two load reports
-// are rarely spaced that exactly.
+// isSteady reports whether a figure that comes now follows the last candidate after delayInterval,
+// give or take tolerance. Two load reports are rarely spaced that exactly.
 func (d *loadClassifier) isSteady(now, tolerance int64) bool {
 	return d.candidateAt > 0 && max(now-d.candidateAt-delayInterval, d.candidateAt+delayInterval-now) < tolerance
 }
@@ -110,7 +110,7 @@
 		d.delay, d.delayAt = figure, now
 		a.correctLoad(previousWasDelay)
 	} else {
-		a.previousLoad, a.load = a.load, max(figure, math.SmallestNonzeroFloat64)
+		a.previousLoad, a.load = a.load, max(figure, math.SmallestNonzeroFloat64) // 0 would mean unknown
 	}
 	if tracing() {
 		slog.Debug("load_reported", "request", a.request.attributes.ID, "host", a.host.hostID, "delay", delay, "value", figure)
@@ -121,6 +121,7 @@
 	})
 }
 
+// observationKind returns the kind of observation as which a figure is reported to the balancer.
 func observationKind(delay bool) balancer.Observation {
 	if delay {
 		return balancer.ObservedLatency
@@ -128,6 +129,8 @@
 	return balancer.ObservedLoad
 }
 
+// isDelayFigure reports whether a figure on this connection is a delay. loadKnown reports whether
+// the host's load is known from a recent health check.
 func (a *upstreamRequest) isDelayFigure(now int64, figure float64, loadKnown bool) bool {
 	if loadKnown {
 		return a.host.loadFigures.isDelayGivenLoad(now, figure, a, a.host.checkedLoad)
@@ -136,8 +139,8 @@
 }
 
 // correctLoad corrects the connection's load after a figure was classified as a delay.
-// previousWasDelay reports that the current load is a misclassified figure, the first delay of the
-// run: the load before it is restored.
+// previousWasDelay reports whether the current load is a misclassified figure, the first delay of
+// the run; if so, correctLoad restores the load before it.
 func (a *upstreamRequest) correctLoad(previousWasDelay bool) {
 	if previousWasDelay && a.previousLoad > 0 {
 		a.load = a.previousLoad
--- a/internal/dataplane/proxy/loadordelay_test.go
+++ b/internal/dataplane/proxy/loadordelay_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A delay that is reported in the form of a load is recognised by the loads around it (1 is a load,
-// 2 a latency).
+// A delay that is reported in the form of a load must be recognised by the loads around it. In the
+// events, observation 1 is a load and observation 2 a latency.
 func TestDelayReportedAsLoad(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
@@ -21,8 +21,8 @@
 		"observe q 2 3000", "observe q 2 1500", "observe q 2 20", "observe q 1 3800")
 }
 
-// The first figure of a connection may be a delay, because the host may not have reported a load
-// before.
+// The first figure of a connection may be a delay: if it is the only connection at its host, the
+// host may not have reported a load before.
 func TestFirstFigureMayBeADelay(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
@@ -42,7 +42,8 @@
 	w.expect("observe p 1 1702", "observe p 2 2318", "observe p 2 2400", "observe p 1 51000")
 }
 
-// Small loads of idle connections must not be taken for delays.
+// Small loads of idle connections must not be taken for delays. Figures below minPlausibleLoad are
+// read as delays.
 func TestSmallLoadIsNoDelay(t *testing.T) {
 	w := newHarness(t)
 	_, u := w.serve("q")
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// checkUnanswered migrates the clients of a host whose oldest line has been unanswered for
-// hostSilenceTimeout, and records when the oldest unanswered line of the other clients was sent.
+// checkUnanswered migrates each client of h whose oldest unanswered line was sent at least
+// hostSilenceTimeout ago, and records when the oldest unanswered line of the others was sent.
 func (c *Core) checkUnanswered(h *host, now int64) {
 	h.latency.oldestSent = 0
 	for r := range h.established {
--- a/internal/dataplane/proxy/open.go
+++ b/internal/dataplane/proxy/open.go
@@ -91,8 +91,8 @@
 }
 
 // choosePlacement returns the first pool that a request may use and that has a usable host. If
-// there is none, it turns the verdict into a rejection. reason is the reason if the verdict is a
-// rejection.
+// there is none, it turns the verdict into a rejection. reason is the reason of a rejection, and
+// has no meaning otherwise.
 func (c *Core) choosePlacement(v *rules.Verdict) (chosen *pool, reason localReplyReason) {
 	chosen, reason = c.choosePool(v.Pools), forbiddenByRules
 	if chosen == nil && !v.Rejected {
--- a/internal/dataplane/proxy/poolharness_test.go
+++ b/internal/dataplane/proxy/poolharness_test.go
@@ -19,11 +19,11 @@
 	enforcer        *rules.Enforcer
 	hosts           map[string]HostEntry
 	poolByHost      map[string]string // by the rules in force; "" between two pools
-	poolByTenant    map[string]string
+	poolByTenant    map[string]string // by the rules in force
 	tenantByRequest map[string]string
-	startsByRequest map[string]int
-	poolKind        string // kind of the hosts in pool p
-	version         uint64
+	startsByRequest map[string]int // number of attempts
+	poolKind        string         // kind of the hosts in pool p
+	version         uint64         // of the rules in force
 }
 
 // Start checks that each attempt goes to a host of its tenant's pool.
@@ -121,7 +121,7 @@
 		}
 		open++
 		if r.pool != a.host.pool || a.host.pool.name != w.poolByHost[a.host.hostID] {
-			t.Fatalf("request %s is open at host %s of pool %q, but belongs to pool %+v", id, a.host.hostID, w.poolByHost[a.host.hostID], r.pool)
+			t.Fatalf("request %s is open at host %s of pool %q, but belongs to pool %+v, want the host's pool", id, a.host.hostID, w.poolByHost[a.host.hostID], r.pool)
 		}
 	}
 	return open
--- a/internal/dataplane/proxy/pools.go
+++ b/internal/dataplane/proxy/pools.go
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// notify submits an event to the balancer of a pool. If the balancer panics, request gets its
-// answer; request is nil if the event concerns no single request. notify does nothing if the pool
+// notify submits an event to the balancer of a pool. If the balancer panics, request fails; request
+// is nil if the event does not concern a single request. notify does nothing if the pool
 // is nil or removed.
 func (c *Core) notify(request *Request, p *pool, handle func(now balancer.Time, m Balancer)) {
 	if p == nil || p.removed {
--- a/internal/dataplane/proxy/quota.go
+++ b/internal/dataplane/proxy/quota.go
@@ -11,8 +11,9 @@
 	// IsLimited reports whether an account has limits.
 	IsLimited(account string) bool
 	// Acquire reserves quota for one connection of an account, and calls done on the event loop
-	// with the result. exceeded names the limit that is used up, "" if the quota was reserved;
-	// advice is the Retry-After, which spread (0 to 1) varies.
+	// with the result. exceeded names the limit that is used up, and is "" if the quota was
+	// reserved. retryAfter is the Retry-After of a rejection; spread, from 0 up to 1, spreads it
+	// over requests.
 	Acquire(account string, spread float64, done func(exceeded string, retryAfter time.Duration))
 	// CountExisting counts a connection that is open already, whether or not quota is left.
 	CountExisting(account string)
--- a/internal/dataplane/proxy/reassign.go
+++ b/internal/dataplane/proxy/reassign.go
@@ -8,7 +8,8 @@
 )
 
 // ReassignPools moves each host to the pool that the rules in force assign it to, and removes pools
-// that are not used any more.
+// that are not used any more. It also counts open connections against limits that are new to their
+// accounts.
 func (c *Core) ReassignPools() {
 	c.countExistingConnections()
 	reassigned := 0
@@ -25,7 +26,8 @@
 }
 
 // transferHost moves a host to another pool, with its open connections. Its ejection and slow-start
-// budget move too, since the host itself has not changed. Attempts whose line is not written end.
+// budget move too, since the host itself has not changed. Attempts of requests of the old pool end
+// if their first line is not written yet.
 // If to is nil, the host is between two pools, and keeps the snapshot until the next transfer.
 func (c *Core) transferHost(h *host, to *pool) {
 	from := h.pool
--- a/internal/dataplane/proxy/request.go
+++ b/internal/dataplane/proxy/request.go
@@ -50,8 +50,8 @@
 
 	phase   requestPhase
 	adopted bool // the connection was open at a host before this proxy's start
-	// attempts counts the attempts that balancers of all pools requested, also those that a check
-	// stopped. It is 0 for an adopted request, and 1 for a connection that was handed over.
+	// attempts counts the attempts that balancers of all pools requested, including those that a
+	// check stopped. It is 0 for an adopted request, and 1 for a connection that was handed over.
 	attempts               int
 	attemptsInEarlierPools int // of attempts, those before the request came to its present pool
 	// attempt is the attempt in flight or, once established, the open connection. It may be nil.
@@ -101,7 +101,8 @@
 	})
 }
 
-// removeIfDone closes the request, and removes it if it has no attempt any more.
+// removeIfDone closes the request. If no attempt is left, it also removes the request and releases
+// its quota.
 func (r *Request) removeIfDone() {
 	r.becomeClosed()
 	if r.attempt == nil && r.core.requests[r.attributes.ID] == r {
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -11,7 +11,7 @@
 // A process does the following from SIGTERM to its end, in order. The times are those of
 // shutdownSchedule.
 //
-//  0. The process gives up its jobs and leaves the fleet, in parallel to the rest
+//  0. The process gives up its jobs and leaves the fleet, in parallel with the rest
 //     (process.announceLeave in package node).
 //  1. Core.Shutdown: Core.Open rejects new requests with a Retry-After.
 //  2. If another process of this proxy has taken over, open connections are handed over
@@ -28,8 +28,8 @@
 // exitBy 3.4 s and SIGKILL comes after 3.7 s. If another process has taken over, migrateFrom is 0 s
 // and migrateBy 2.5 s.
 
-// The platform grants a process the longest deadline of all classes, but at most
-// maxGrantedDeadline, plus killGrace between SIGTERM and SIGKILL.
+// Between SIGTERM and SIGKILL the platform grants a process the longest deadline of all classes, of
+// which at most maxGrantedDeadline counts, plus killGrace.
 const (
 	maxGrantedDeadline = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
@@ -117,7 +117,7 @@
 	schedule  shutdownSchedule
 	startedAt int64  // loop time of the start, in nanoseconds
 	migrated  int    // open connections migrated so far
-	total     int    // maximum of the connections migrated and still open
+	total     int    // largest sum so far of connections migrated and still open
 	idleSteps int    // number of steps in a row that found nothing left
 	answered  bool   // answerAll has run
 	done      func() // nil once the shutdown has ended
@@ -149,8 +149,8 @@
 	return longest
 }
 
-// step ends idle downstreams, and hands over or migrates the connections that are due. It
-// reschedules itself until the shutdown has ended.
+// step ends idle downstreams, and hands over or migrates the connections that are due. It runs
+// every shutdownStepInterval until the shutdown has ended.
 func (s *shutdown) step() {
 	if s.done == nil {
 		return
@@ -175,8 +175,9 @@
 	c.loop.After(shutdownStepInterval, s.step)
 }
 
-// isIdle counts a step with the given number of remaining items, and reports whether idleStepsToEnd
-// steps in a row found nothing left.
+// isIdle counts a step that finds nothing left, and reports whether idleStepsToEnd steps in a row
+// have found nothing left. remaining is the number of connections and requests left. Steps until
+// migrateFrom do not count, because new connections may still arrive.
 func (s *shutdown) isIdle(remaining int, elapsed int64) bool {
 	if elapsed > s.schedule.migrateFrom && remaining == 0 && s.core.admission.downstreams == 0 {
 		s.idleSteps++
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -143,15 +143,15 @@
 	seen := strings.Join(w.events, "; ")
 	for _, want := range []string{"fail q; end up ended; ended q 0 6 true; left q", "reject queued 500; left queued"} {
 		if !strings.Contains(seen, want) {
-			t.Errorf("events are %q, want %q among them", seen, want)
+			t.Errorf("events after 3260ms of the shutdown are %q, want %q among them", seen, want)
 		}
 	}
 	w.advance(100 * time.Millisecond)
 	if *ended {
-		t.Fatal("the shutdown ended before exitBy, although its clients had not hung up")
+		t.Fatal("the shutdown ended within 3360ms, although its clients had not hung up, want its end at exitBy, 3400ms")
 	}
 	w.advance(50 * time.Millisecond)
 	if !*ended {
-		t.Error("the shutdown has not ended before SIGKILL")
+		t.Error("the shutdown has not ended after 3410ms, want its end at exitBy, 3400ms")
 	}
 }
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// isPlausible reports whether the values of the entry are in the range of an endpoint list.
+// isPlausible reports whether the entry has values that an endpoint list may contain.
 func (e *HostEntry) isPlausible() bool {
 	return e.ID != "" && len(e.ID) <= maxIDLength && len(e.Address) <= maxIDLength &&
 		e.State >= balancer.Ready && e.State <= balancer.Removed &&
--- a/internal/dataplane/proxy/suspension.go
+++ b/internal/dataplane/proxy/suspension.go
@@ -9,8 +9,9 @@
 )
 
 // SetSuspended suspends a host, so that it gets no new requests, or ends its suspension. It is
-// idempotent. It calls done on the loop, with known false if no list has ever contained the host,
-// and otherwise once the change will outlive this process.
+// idempotent. It calls done on the loop: with known false if no list has ever contained the host,
+// otherwise with known true once the change would outlive this process or storing it has failed.
+// Without a Successor it calls done at once.
 func (c *Core) SetSuspended(id string, suspended bool, done func(known bool)) {
 	if !c.hosts.suspensions.Known(id) {
 		done(false)
@@ -21,7 +22,7 @@
 		done(true)
 		return
 	}
-	// The change is in force here from now on, and done waits until it would outlive this process.
+	// The change is in force here from now on. done is called once it would outlive this process.
 	// The other process is notified even if nothing changed here, because an earlier call may have
 	// reached only one of the two.
 	c.handover.successor.HostSuspended(id, suspended, func() { done(true) })
@@ -33,13 +34,13 @@
 
 // applySuspension suspends a host or ends its suspension in this process.
 func (c *Core) applySuspension(id string, suspended bool) {
-	s := c.hosts.suspensions
-	previous, wasSuspended := s.Suspension(id), s.Suspended(id)
-	if !s.SetSuspended(id, suspended, c.loop.Now()) {
+	suspensions := c.hosts.suspensions
+	previous, wasSuspended := suspensions.Suspension(id), suspensions.Suspended(id)
+	if !suspensions.SetSuspended(id, suspended, c.loop.Now()) {
 		return
 	}
 	slog.Info("host_suspended", "host", id, "suspended", suspended)
-	if s.Suspended(id) != wasSuspended {
+	if suspensions.Suspended(id) != wasSuspended {
 		c.suspensionChanged(id, suspended, previous)
 	}
 }
@@ -47,13 +48,13 @@
 // SetFleetSuspensions applies the complete list of hosts that are suspended for the fleet. The
 // fleet's suspension of a host that is no longer listed ends.
 func (c *Core) SetFleetSuspensions(ids []string) {
-	s := c.hosts.suspensions
+	suspensions := c.hosts.suspensions
 	previous := map[string]maintenance.Suspension{}
-	for _, id := range s.KnownHosts() {
-		previous[id] = s.Suspension(id)
+	for _, id := range suspensions.KnownHosts() {
+		previous[id] = suspensions.Suspension(id)
 	}
-	for _, id := range s.SetFleetSuspensions(ids, c.loop.Now()) {
-		suspended := s.Suspended(id)
+	for _, id := range suspensions.SetFleetSuspensions(ids, c.loop.Now()) {
+		suspended := suspensions.Suspended(id)
 		slog.Info("host_suspended", "host", id, "suspended", suspended, "fleet", true)
 		c.suspensionChanged(id, suspended, previous[id])
 	}
@@ -67,11 +68,11 @@
 		return // the change takes effect with the next list that contains the host
 	}
 	h.state = c.hosts.effectiveState(h.listed)
-	e := h.effectiveEntry()
+	entry := h.effectiveEntry()
 	if !suspended {
-		e.StartedAt = c.startAfterSuspension(h, ended, e.StartedAt)
+		entry.StartedAt = c.startAfterSuspension(h, ended, entry.StartedAt)
 	}
-	c.notifyLocalChange(h.pool, e)
+	c.notifyLocalChange(h.pool, entry)
 	c.clearUnusableHosts()
 	if suspended {
 		for r := range h.established {
@@ -104,9 +105,9 @@
 	c.notifyLocalChange(h.pool, suspendedEntry, h.effectiveEntry())
 }
 
-// migrateOffHost migrates the client of r off a suspended host after maintenance.MigrationDelay, if
-// the host is still suspended then. A suspended host is usually restarted, which would break the
-// connection.
+// migrateOffHost migrates the client of r off a suspended host, after maintenance.MigrationDelay
+// and once the pacer permits it, if the host is still suspended then. A suspended host is restarted
+// next, which would break the connection.
 func (c *Core) migrateOffHost(h *host, r *Request) {
 	c.loop.After(maintenance.MigrationDelay(r.attributes.ID), func() {
 		c.migrations.submit(func() bool {
--- a/internal/dataplane/proxy/suspension_test.go
+++ b/internal/dataplane/proxy/suspension_test.go
@@ -94,8 +94,7 @@
 	w.core.ListReceived(WatchEvent{Kind: balancer.ListDelta, Hosts: []HostEntry{h}})
 }
 
-// newSuspensionHarness returns a harness with the given hosts. t may be nil if Start and
-// startProcess do not fail.
+// newSuspensionHarness returns a harness with the given hosts. t may be nil if no check can fail.
 func newSuspensionHarness(t *rapid.T, hosts ...string) *suspensionHarness {
 	w := &suspensionHarness{harness: newHarnessWithoutCore(nil), test: t, suspended: map[string]bool{}, startsByHost: map[string]int{}, hosts: map[string]HostEntry{}}
 	for _, id := range hosts {
--- a/internal/dataplane/proxy/upstream.go
+++ b/internal/dataplane/proxy/upstream.go
@@ -85,7 +85,8 @@
 }
 
 // relay relays a host's message on an open connection to the client, and records what it reports.
-// It returns false if the client's connection does not accept messages now.
+// It reports whether the client's connection accepted the message. A message other than Finished,
+// MigrateClient and LoadReported answers the client's oldest unanswered line.
 func (a *upstreamRequest) relay(m Message) bool {
 	r, c := a.request, a.request.core
 	if !r.downstream.Relay(m) {
--- a/internal/dataplane/proxy/watermarks.go
+++ b/internal/dataplane/proxy/watermarks.go
@@ -9,11 +9,11 @@
 // Watermarks reports which hosts drain or are removed according to newer endpoint lists of other
 // proxies.
 type Watermarks interface {
-	// ListUpdated is called with each change of the own list before it takes effect. It returns the
-	// hosts for which a watermark takes effect or ceases to.
+	// ListUpdated is called with each change of this proxy's own list before it takes effect. It
+	// returns the IDs of the hosts for which a watermark begins or ceases to count.
 	ListUpdated(event WatchEvent) []string
 	// Blocks reports whether a watermark keeps new requests from a host that is ready in the own
-	// list. since is the host's start in that list.
+	// list. startedAt is the host's start in that list.
 	Blocks(id string, startedAt balancer.Time) bool
 }
 
