--- a/internal/dataplane/handshake/properties_test.go
+++ b/internal/dataplane/handshake/properties_test.go
@@ -162,7 +162,7 @@
 		}
 	}
 	if queued != m.budget.Waiting() || len(m.inFlight) != m.budget.InFlight() {
-		m.t.Fatalf("budget %s; want %d waiting and %d in flight", m.budget.Describe(), queued, len(m.inFlight))
+		m.t.Fatalf("want %d waiting and %d in flight, budget has: %s", queued, len(m.inFlight), m.budget.Describe())
 	}
 }
 
--- a/internal/dataplane/invariant/record.go
+++ b/internal/dataplane/invariant/record.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// ClosedByProxy records that the proxy closed the client's connection. By then the client must have
-// its answer and, if the connection was open, a line about its end; otherwise NoSilentEnd is broken.
+// ClosedByProxy records that the proxy closed the client's connection. NoSilentEnd is broken unless
+// the client has its answer and, if the connection was open, a line about its end.
 func (r *Request) ClosedByProxy() {
 	if r.client == awaitingAnswer || r.client == established {
 		r.Monitor.countBroken(NoSilentEnd, r.ID)
--- a/internal/dataplane/proxy/attempt.go
+++ b/internal/dataplane/proxy/attempt.go
@@ -24,12 +24,14 @@
 	// attempt is not a retry or there is no such window.
 	retryWindowTimer *netio.Timer
 
-	established     bool
-	finalKind       MessageKind // Finished or MigrateClient once the host has sent it, PlainMessage before
-	loadReport      []float64   // of the host's answer or last message, in the settings' order of fields; may be nil
-	load            float64     // µs/s, as the host last reported it; 0 if unknown
-	previousLoad    float64     // µs/s, the load reported before that
-	unansweredSince []int64     // ns, when unanswered lines of the client were sent, oldest first; at most maxUnansweredLines
+	established  bool
+	finalKind    MessageKind // Finished or MigrateClient once the host has sent it, PlainMessage before
+	loadReport   []float64   // of the host's answer or last message, in the settings' order of fields; may be nil
+	load         float64     // µs/s, as the host last reported it; 0 if unknown
+	previousLoad float64     // µs/s, the load reported before that
+	// unansweredSince holds when unanswered lines of the client were sent, in nanoseconds, oldest
+	// first and at most maxUnansweredLines of them.
+	unansweredSince []int64
 }
 
 // startAttempt begins an attempt at the host that a pool's balancer has chosen, unless a rule
--- a/internal/dataplane/proxy/counters.go
+++ b/internal/dataplane/proxy/counters.go
@@ -21,10 +21,11 @@
 
 // activity counts events since the counts were last logged.
 type activity struct {
-	opened, served, rejected, failed       int // openings received; requests accepted by a host, rejected, and failed
-	invalid                                int // client inputs that are not a valid request
-	migrated                               int // clients migrated
-	lost                                   int // open connections that broke, or whose host was silent
+	// opened counts openings; served, rejected and failed count requests that a host accepted or that
+	// were rejected or failed. invalid counts client inputs that are not a valid request. migrated
+	// counts migrated clients. lost counts open connections that broke or whose host was silent.
+	opened, served, rejected, failed, invalid, migrated, lost int
+
 	expiring                               int // connections selected for migration because a certificate expires
 	overCapacity                           int // downstreams that Admit rejected, since each may need file descriptors
 	handedOver, resumed                    int // open connections handed to, and taken over from, another process
--- a/internal/dataplane/proxy/interfaces.go
+++ b/internal/dataplane/proxy/interfaces.go
@@ -109,7 +109,8 @@
 
 // Connector opens upstream requests.
 type Connector interface {
-	// Start connects to a host within connect, sends first, and notifies ev of what follows. until
-	// is the loop's time, in nanoseconds, at which the proxy stops waiting for the host's answer.
+	// Start begins to connect to a host, and gives up after the duration connect. Once connected it
+	// sends first, and it notifies ev of what follows. until is the loop's time, in nanoseconds, at
+	// which the proxy stops waiting for the host's answer.
 	Start(to Target, first RequestLine, until int64, connect time.Duration, ev UpstreamEvents) Upstream
 }
--- a/internal/dataplane/proxy/localreply.go
+++ b/internal/dataplane/proxy/localreply.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// localReplyReason is why a request is rejected or fails, for the log.
+// localReplyReason is the reason why a request is rejected or fails, for the log.
 type localReplyReason int
 
+// Reasons for which the proxy itself rejects or fails a request.
 const (
 	decidedByBalancer    localReplyReason = iota // the decision module has decided so
 	processShuttingDown                          // the process is shutting down
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -7,7 +7,7 @@
 	ID, Key              string // Key is the idempotency key, "" for none
 	Class, Tenant, Group string
 	ExpectedLoad         float64       // in the unit of the settings; 0 if not given
-	Retry                bool          // the client marks it as a retry
+	Retry                bool          // the client marks the request as a retry
 	Returned             bool          // the client opens a connection again after a break or a migration
 	Wait                 time.Duration // how long the client waits for its answer, if HasWait
 	HasWait              bool          // Wait is given; otherwise the class's deadline applies
--- a/internal/dataplane/proxy/messagelatency.go
+++ b/internal/dataplane/proxy/messagelatency.go
@@ -59,7 +59,7 @@
 }
 
 // shouldReport reports whether to report a latency: while it is above the threshold, and once more
-// when it no longer is. It then records the report at time now.
+// when it no longer is. If it returns true, it records a report at time now.
 func (l *messageLatency) shouldReport(now, latency, threshold int64) bool {
 	slow := latency > threshold
 	if !slow && !l.reportedAsSlow {
--- a/internal/dataplane/proxy/quota_test.go
+++ b/internal/dataplane/proxy/quota_test.go
@@ -63,23 +63,23 @@
 	u.sent()
 	u.events.FromUpstream(Message{Kind: Accepted})
 	if quota.inUse["a"] != 1 {
-		t.Fatalf("%d connections count while it is open, want 1", quota.inUse["a"])
+		t.Fatalf("%d connections count against the quota while the request is open, want 1", quota.inUse["a"])
 	}
 	u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 	if quota.inUse["a"] != 0 {
-		t.Fatalf("%d connections count after its end, want 0", quota.inUse["a"])
+		t.Fatalf("%d connections count against the quota after the end of the request, want 0", quota.inUse["a"])
 	}
 }
 
 // TestNoQuotaIsRejected checks that a request whose account has no quota left is rejected, and
-// counts for nothing.
+// does not count against the quota.
 func TestNoQuotaIsRejected(t *testing.T) {
 	w, quota := newQuotaHarness(t)
 	w.open("r")
 	quota.reply("rate", 700*time.Millisecond)
 	w.expect("reject r 700")
 	if quota.inUse["a"] != 0 || len(w.core.requests) > 0 {
-		t.Errorf("%d connections count, %d requests in the table, want 0, 0", quota.inUse["a"], len(w.core.requests))
+		t.Errorf("after a rejection: %d connections count against the quota, %d requests in the table, want 0, 0", quota.inUse["a"], len(w.core.requests))
 	}
 }
 
@@ -94,7 +94,7 @@
 		quota.reply(exceeded, time.Second)
 		w.expect()
 		if quota.inUse["a"] != 0 {
-			t.Errorf("exceeded limit %q: %d connections count, want 0", exceeded, quota.inUse["a"])
+			t.Errorf("exceeded limit %q, client left before the reply: %d connections count against the quota, want 0", exceeded, quota.inUse["a"])
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	w.core.SetQuota(quota)
 	w.core.SetRules(enforcer)
 	if quota.inUse["a"] != 0 {
-		t.Fatalf("%d connections count before there are accounts, want 0", quota.inUse["a"])
+		t.Fatalf("%d connections count against the quota before there are accounts, want 0", quota.inUse["a"])
 	}
 	rules.SetActiveVersionForTest(enforcer, &rules.Version{Number: 1, Directory: &namespace.Directory{Accounts: []namespace.Account{{Name: "a", Tenants: []string{"t"}}}}}, w.now+1e12)
 	w.core.ReassignPools()
@@ -119,6 +119,6 @@
 	}
 	u.events.UpstreamEnded(&netio.Error{Stage: netio.Sent})
 	if quota.inUse["a"] != 0 {
-		t.Fatalf("%d connections count after its end, want 0", quota.inUse["a"])
+		t.Fatalf("%d connections count against the quota after the end of the request, want 0", quota.inUse["a"])
 	}
 }
