--- a/internal/dataplane/proxy/loadordelay.go
+++ b/internal/dataplane/proxy/loadordelay.go
@@ -58,7 +58,7 @@
 }
 
 // isSteady reports whether a figure that comes now follows the last candidate after delayInterval,
-// give or take tolerance. Two load reports are rarely spaced that exactly.
+// to within tolerance. Two load reports are rarely spaced that exactly.
 func (d *loadClassifier) isSteady(now, tolerance int64) bool {
 	return d.candidateAt > 0 && max(now-d.candidateAt-delayInterval, d.candidateAt+delayInterval-now) < tolerance
 }
--- a/internal/dataplane/proxy/shutdown.go
+++ b/internal/dataplane/proxy/shutdown.go
@@ -44,7 +44,7 @@
 	migrationSpan = 1500 * time.Millisecond
 	// handoverSpan replaces migrationSpan if another process of this proxy has taken over. It is
 	// longer, because that process alone gets all clients again, and warming hosts accept only a
-	// limited number per second. In the remaining time clients hang up.
+	// limited number per second. Clients hang up in the time that remains until exitBy.
 	handoverSpan = 2500 * time.Millisecond
 	// answerMargin is how long before SIGKILL every request must have its answer and every open
 	// connection its migration: the process may be paused once when it receives the signal and once
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -58,8 +58,8 @@
 }
 
 // If a connection breaks before the last byte of the first line is written, the host cannot have
-// run the request, and even one that must not run twice may go elsewhere. After that byte it may
-// not.
+// run the request, and even one that must not run twice may be retried at another host. After that
+// byte it may not.
 func TestBreakBeforeTheLineIsWritten(t *testing.T) {
 	w := newSendingHarness(t)
 	w.upstreams[0].stage = netio.Sending
--- a/internal/dataplane/proxy/snapshot.go
+++ b/internal/dataplane/proxy/snapshot.go
@@ -43,8 +43,8 @@
 
 // Rebase converts the times of the snapshot to this process's clock, which reads now, in
 // nanoseconds. Each process's clock starts at the system's time, which may have been set in
-// between, by an hour either way. live reports whether the snapshot was written just now; the age
-// of a snapshot from a file is unknown, so only one from the future is converted.
+// between, by as much as an hour in either direction. live reports whether the snapshot was written
+// just now; the age of a snapshot from a file is unknown, so only one from the future is converted.
 func (s *Snapshot) Rebase(now int64, live bool) {
 	offset := now - s.WrittenAt
 	if s.WrittenAt > 0 && (offset < 0 || live) && (offset <= -minClockStep || offset >= minClockStep) {
