--- a/internal/app/command/attempts_test.go
+++ b/internal/app/command/attempts_test.go
@@ -46,7 +46,7 @@
 func attempts(t *testing.T, p *experiment.Process) (all []attempt) {
 	t.Helper()
 	account, version := map[string]string{}, map[string]string{} // by request
-	for _, line := range p.Log("event=") {
+	for _, line := range p.LogLines("event=") {
 		fields := map[string]string{}
 		for _, field := range logField.FindAllStringSubmatch(line, -1) {
 			fields[field[1]] = field[2]
--- a/internal/app/command/clients_test.go
+++ b/internal/app/command/clients_test.go
@@ -41,7 +41,7 @@
 // eventually waits until a condition holds; what says what it is.
 func eventually(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	if _, ok := experiment.Until(recoveryTimeout, holds); !ok {
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, holds); !ok {
 		t.Fatalf("not within %v: %s", recoveryTimeout, condition)
 	}
 }
--- a/internal/app/command/hotrestart_test.go
+++ b/internal/app/command/hotrestart_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	return &hotRestartTest{T: t, env: &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()},
-		setup: experiment.Setup{Name: "n0", Listen: listen, Discovery: discovery.Addr(), Known: discovery.List(), Tmp: t.TempDir(),
+		setup: experiment.Setup{Name: "n0", Listen: listen, Discovery: discovery.Addr(), InitialList: discovery.List(), TmpDir: t.TempDir(),
 			Deadline: 4800 * time.Millisecond, Env: asProgram}}
 }
 
@@ -46,7 +46,7 @@
 		h.Fatal(err)
 	}
 	h.Cleanup(p.Kill)
-	if err := experiment.Ready(admin, 20*time.Second); err != nil {
+	if err := experiment.AwaitReady(admin, 20*time.Second); err != nil {
 		h.Fatal(err)
 	}
 	return p, admin
@@ -55,7 +55,7 @@
 // call calls the admin interface, and returns the body if the status is the wanted one.
 func (h *hotRestartTest) call(admin, method, path string, want int) string {
 	h.Helper()
-	status, body, _, err := experiment.Call(admin, method, path)
+	status, body, _, err := experiment.CallAdmin(admin, method, path)
 	if status != want {
 		h.Fatalf("%s %s: status %d, want %d; body %s, error %v", method, path, status, want, body, err)
 	}
@@ -88,8 +88,8 @@
 
 	// The next process takes over the established connections and the suspension.
 	serving, admin := h.startReady()
-	if err := first.Stop(); err != nil || len(first.Log("event=stopped")) == 0 {
-		t.Errorf("the old process ended with error %v and %d lines of event=stopped, want none and 1 or more", err, len(first.Log("event=stopped")))
+	if err := first.Stop(); err != nil || len(first.LogLines("event=stopped")) == 0 {
+		t.Errorf("the old process ended with error %v and %d lines of event=stopped, want none and 1 or more", err, len(first.LogLines("event=stopped")))
 	}
 	h.checkConnection(established, "two")
 	if body := h.call(admin, "GET", "/v1/metrics", 200); !strings.Contains(body, "targets=2\ntargets_disabled=1\n") ||
@@ -118,7 +118,7 @@
 		h.Errorf("the start of a third process fails with %v, want that another process is being replaced", err)
 	}
 	successor.Kill()
-	if !old.Await("event=hot_restart_taken_back", 20*time.Second) {
+	if !old.AwaitLog("event=hot_restart_taken_back", 20*time.Second) {
 		h.Fatal("the old process does not take back within 20 s")
 	}
 	h.call(oldAdmin, "GET", "/v1/readyz", 200)
--- a/internal/app/command/largerules_test.go
+++ b/internal/app/command/largerules_test.go
@@ -32,13 +32,13 @@
 		t.Fatalf("the rules are answered with %q, want active version 2", answer)
 	}
 	waitActive(t, rig, 2, 2, 5)
-	rig.Cut(4, true)
+	rig.SetCutOff(4, true)
 	startedAt := time.Now()
 	if answer := putUntilAnswered(t, rig, 3, 2, rulesText(401)); !strings.HasPrefix(answer, "0 active: version 3 at") {
 		t.Fatalf("a change of one entry is answered with %q, want active version 3", answer)
 	}
 	t.Logf("a change of 1,651 entries with one process cut off: %v", time.Since(startedAt).Round(time.Millisecond))
-	rig.Cut(4, false)
+	rig.SetCutOff(4, false)
 	waitActive(t, rig, 4, 3, 5)
 	out, status := command(t, "rules", "show", "0", "--socket", filepath.Join(rig.Dir(4), "owners.sock"))
 	if status != 0 || !strings.Contains(out, "host0400-of-somewhere") || !strings.Contains(out, "(route \"r0999\"") {
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -41,8 +41,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tier.setups = append(tier.setups, experiment.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: discovery.Addr(), Known: discovery.List(), Cores: 0.5, Sockets: 1024, MemoryMB: 64,
-			Tier: experiment.Tier{Peers: tier.mesh.Peers(i), Number: i, Listen: tier.mesh.Own(i)}, Env: asProgram})
+		tier.setups = append(tier.setups, experiment.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: discovery.Addr(), InitialList: discovery.List(), Cores: 0.5, MaxDescriptors: 1024, MemoryMB: 64,
+			Tier: experiment.Tier{Peers: tier.mesh.Peers(i), Index: i, Listen: tier.mesh.Own(i)}, Env: asProgram})
 		tier.procs = append(tier.procs, nil)
 		tier.start(i)
 	}
@@ -106,7 +106,7 @@
 	for _, client := range clients {
 		client.Close()
 	}
-	if _, ok := experiment.Until(10*time.Second, func() bool { return l.maxPerHost() == 0 }); !ok {
+	if _, ok := experiment.AwaitCondition(10*time.Second, func() bool { return l.maxPerHost() == 0 }); !ok {
 		l.Fatal("hosts have connections 10 s after all clients have closed theirs")
 	}
 }
--- a/internal/app/command/limits_test.go
+++ b/internal/app/command/limits_test.go
@@ -144,9 +144,9 @@
 	const maxPerSecond = 2*rate + rate/4
 	time.Sleep(3 * time.Second)
 	load.checkPhase(t, "no fault", 3*time.Second, limitBounds{5, maxPerSecond, connections})
-	rig.Cut(2, true)
+	rig.SetCutOff(2, true)
 	load.checkPhase(t, "one cut off", 3*time.Second, limitBounds{1, maxPerSecond, connections})
-	rig.Cut(2, false)
+	rig.SetCutOff(2, false)
 
 	issuer := issuerPreferablyNot(rig, 0)
 	withGrantsOfTwoIssuers := limitBounds{1, maxPerSecond, connections + connections/2}
@@ -179,7 +179,7 @@
 	}
 	load.paused[issuer].Store(false)
 	// Until its jobs have another owner, and that has waited for the grants before it to lapse, there may be no connection at all.
-	if _, err := rig.AllOwned(jobsWithLimits); err != nil {
+	if _, err := rig.AwaitJobsOwned(jobsWithLimits); err != nil {
 		t.Fatal(err)
 	}
 	load.checkPhase(t, "an issuer killed", 4*time.Second, bounds)
--- a/internal/app/command/lossylinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -29,7 +29,7 @@
 	change := func(via int, text string, args ...string) {
 		t.Helper()
 		answer := ""
-		if _, ok := experiment.Until(2*recoveryTimeout, func() bool {
+		if _, ok := experiment.AwaitCondition(2*recoveryTimeout, func() bool {
 			answer = putRules(t, rig, via, version, text, args...)
 			return strings.Contains(answer, "active: version")
 		}); !ok {
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -17,7 +17,7 @@
 // waitAllAlive waits until every process of the rig sees all others alive.
 func waitAllAlive(t *testing.T, rig *experiment.Rig, after string) {
 	t.Helper()
-	if _, ok := rig.AllAlive(recoveryTimeout); !ok {
+	if _, ok := rig.AwaitAllAlive(recoveryTimeout); !ok {
 		t.Fatalf("after %s not all processes see all others alive", after)
 	}
 }
@@ -49,16 +49,16 @@
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "loss", StartMS: 0, DurationMS: 3000, Amount: 0.2}, {Kind: "twice", StartMS: 500, DurationMS: 3000, Amount: 0.3}, {Kind: "garbage", StartMS: 0, DurationMS: 3000, Amount: 0.1},
 		{Kind: "pause", StartMS: 800, DurationMS: 1000, Process: 1}, {Kind: "slow", StartMS: 1000, DurationMS: 2000}}
-	parsed, err := experiment.ReadPlan("plan", []byte(experiment.PlanText(plan)), 5)
+	parsed, err := experiment.ParsePlan("plan", []byte(experiment.FormatPlan(plan)), 5)
 	if err != nil || !slices.Equal(parsed, plan) {
 		t.Fatalf("a printed plan is parsed as %v, error %v; want %v", parsed, err, plan)
 	}
-	if err := rig.Play(plan); err != nil {
+	if err := rig.PlayFaults(plan); err != nil {
 		t.Fatal(err)
 	}
 	for i, p := range rig.Procs {
-		if lines := slices.Concat(p.Log("to=unreachable"), p.Log("to=gone")); len(lines) > 0 {
-			t.Errorf("n%d has a live member as lost: %s\n%s", i, lines, experiment.PlanText(plan))
+		if lines := slices.Concat(p.LogLines("to=unreachable"), p.LogLines("to=gone")); len(lines) > 0 {
+			t.Errorf("n%d has a live member as lost: %s\n%s", i, lines, experiment.FormatPlan(plan))
 		}
 	}
 }
@@ -66,9 +66,9 @@
 // checkOneWayCut: a link that is cut in one direction is reported as such.
 func checkOneWayCut(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	rig.Play([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
+	rig.PlayFaults([]simulation.Fault{{Kind: "one-way", Process: 1, Destination: 2}})
 	reported := func() bool {
-		report, err := rig.MemberReport(0)
+		report, err := rig.RequestMemberReport(0)
 		for _, m := range report.Members {
 			if m.Slot == 2 && err == nil && len(m.Unheard) == 1 && m.Name == "n2" && m.Unheard[0] == "n1" {
 				return true
@@ -78,9 +78,9 @@
 	}
 	plan := []simulation.Fault{{Kind: "one-way", StartMS: 0, DurationMS: 4000, Process: 1, Destination: 2}}
 	played := make(chan error, 1)
-	go func() { played <- rig.Play(plan) }()
-	if _, ok := experiment.Until(recoveryTimeout, func() bool { return reported() || len(played) > 0 }); !ok || !reported() && len(played) > 0 {
-		t.Errorf("n0 does not report that n2 does not hear n1\n%s", experiment.PlanText(plan))
+	go func() { played <- rig.PlayFaults(plan) }()
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool { return reported() || len(played) > 0 }); !ok || !reported() && len(played) > 0 {
+		t.Errorf("n0 does not report that n2 does not hear n1\n%s", experiment.FormatPlan(plan))
 	}
 	if err := <-played; err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 // checkForgedDatagrams: forged and replayed datagrams, and those of another version, are rejected and change nothing.
 func checkForgedDatagrams(t *testing.T, rig *experiment.Rig) {
 	t.Helper()
-	before, err := rig.MemberReport(0)
+	before, err := rig.RequestMemberReport(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,13 +99,13 @@
 		datagram[0] = byte(i % 3)
 		rig.Mesh.Inject(1+i%4, 0, datagram)
 	}
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
-		report, err := rig.MemberReport(0)
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
+		report, err := rig.RequestMemberReport(0)
 		return err == nil && report.Counts["unsealed"] >= 50
 	}); !ok {
 		t.Error("forged datagrams are not counted as rejected")
 	}
-	if after, err := rig.MemberReport(0); err != nil || after.Digest != before.Digest {
+	if after, err := rig.RequestMemberReport(0); err != nil || after.Digest != before.Digest {
 		t.Errorf("the view's digest is %v after a flood of forged datagrams, want %v; error %v", after.Digest, before.Digest, err)
 	}
 }
@@ -115,17 +115,17 @@
 	t.Helper()
 	plan := []simulation.Fault{{Kind: "full", DurationMS: 3000, Process: 1}}
 	played := make(chan error, 1)
-	go func() { played <- rig.Play(plan) }()
-	experiment.Until(recoveryTimeout, func() bool {
+	go func() { played <- rig.PlayFaults(plan) }()
+	experiment.AwaitCondition(recoveryTimeout, func() bool {
 		rig.Suspend(1, true)
 		rig.Suspend(1, false)
-		return len(rig.Procs[1].Log("event=state_not_saved")) > 0
+		return len(rig.Procs[1].LogLines("event=state_not_saved")) > 0
 	})
 	if err := <-played; err != nil {
 		t.Fatal(err)
 	}
-	if len(rig.Procs[1].Log("event=state_not_saved")) == 0 {
-		t.Errorf("a full disk is not logged\n%s", experiment.PlanText(plan))
+	if len(rig.Procs[1].LogLines("event=state_not_saved")) == 0 {
+		t.Errorf("a full disk is not logged\n%s", experiment.FormatPlan(plan))
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	waitAllAlive(t, rig, "a hot restart")
 	for i, p := range rig.Procs[1:] {
-		if lines := slices.Concat(p.Log("name=n0 from=alive to=unreachable"), p.Log("name=n0 from=alive to=left")); len(lines) > 0 {
+		if lines := slices.Concat(p.LogLines("name=n0 from=alive to=unreachable"), p.LogLines("name=n0 from=alive to=left")); len(lines) > 0 {
 			t.Errorf("n%d has the replaced process as lost: %s", i+1, lines)
 		}
 	}
@@ -151,10 +151,10 @@
 		t.Fatal(err)
 	}
 	remaining := []int{0, 1, 2}
-	if _, ok := rig.AllSee(recoveryTimeout, remaining, 3, membership.Unreachable.String(), membership.Gone.String()); !ok {
+	if _, ok := rig.AwaitMemberState(recoveryTimeout, remaining, 3, membership.Unreachable.String(), membership.Gone.String()); !ok {
 		t.Error("not all have the killed process as unreachable or gone")
 	}
-	if _, ok := rig.AllSee(recoveryTimeout, remaining, 4, membership.Left.String()); !ok {
+	if _, ok := rig.AwaitMemberState(recoveryTimeout, remaining, 4, membership.Left.String()); !ok {
 		t.Error("not all know that the stopped process has left")
 	}
 	for _, i := range []int{3, 4} {
@@ -182,15 +182,15 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p, err := env.Proxy(experiment.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
-			Settings: path, Sockets: 256, MemoryMB: 64, Env: asProgram})
+		p, err := env.Proxy(experiment.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+			Settings: path, MaxDescriptors: 256, MemoryMB: 64, Env: asProgram})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Kill)
 	}
 	for i := range members {
-		if _, ok := experiment.Until(recoveryTimeout, func() bool {
+		if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
 			report, err := memberagent.RequestReport(socket(i))
 			alive := 0
 			for _, m := range report.Members {
--- a/internal/app/command/namespaces_test.go
+++ b/internal/app/command/namespaces_test.go
@@ -36,8 +36,8 @@
 	t.Cleanup(d.Close)
 	rigSlots <- struct{}{}
 	t.Cleanup(func() { <-rigSlots })
-	rig, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", Level: "debug", Discovery: d,
-		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock"))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
+	rig, err := experiment.NewRigWithOptions(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 9, Key: "0123456789abcdef0123456789abcdef", LogLevel: "debug", Discovery: d,
+		SettingsSections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock"))`, Env: []string{"CROFTLOCK_TEST_RUN=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 func (c *customersTest) change(via, against int, text, want string, args ...string) {
 	c.Helper()
 	answer := ""
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
 		answer = putRules(c.T, c.rig, via, against, text, args...)
 		return strings.Contains(answer, want)
 	}); !ok {
@@ -139,7 +139,7 @@
 func (c *customersTest) reassignHostAndTenant() {
 	c.Helper()
 	reassigned := c.rulesOf(`(kinds a)`, `(kinds b) (hosts a2)`, "t1", "t2 t3")
-	c.rig.Cut(4, true)
+	c.rig.SetCutOff(4, true)
 	c.clients.paused[3].Store(true)
 	c.rig.Procs[3].Signal(syscall.SIGSTOP)
 	answer := make(chan string, 1)
@@ -149,7 +149,7 @@
 	c.clients.paused[3].Store(false)
 	c.Logf("the reassignment is answered with %q", <-answer)
 	c.change(0, 3, reassigned, "active: version 5 at")
-	c.rig.Cut(4, false)
+	c.rig.SetCutOff(4, false)
 	waitActive(c.T, c.rig, 0, 5, 5)
 	time.Sleep(300 * time.Millisecond)
 }
--- a/internal/app/command/owners_test.go
+++ b/internal/app/command/owners_test.go
@@ -27,8 +27,8 @@
 	if disks {
 		section += ` (dir "DIR")`
 	}
-	rig, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 1,
-		Key: sealKey, Sections: section + ")", Env: asProgram})
+	rig, err := experiment.NewRigWithOptions(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 1,
+		Key: sealKey, SettingsSections: section + ")", Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,12 +47,12 @@
 	t.Helper()
 	var owners map[string]int
 	var conflict string
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
 		owners, conflict = rig.JobOwners(except...)
 		return len(owners) == ownersRigJobs
 	}); !ok {
 		for i, p := range rig.Procs {
-			t.Logf("n%d: %s", i, strings.Join(p.Log("event=replica_"), "\n"))
+			t.Logf("n%d: %s", i, strings.Join(p.LogLines("event=replica_"), "\n"))
 		}
 		t.Fatalf("after %s the owners are %v; %s", after, owners, conflict)
 	}
@@ -84,7 +84,7 @@
 	owners = waitOwners(t, rig, "it went on")
 
 	// An owner is in the smaller part of a cut.
-	if err := rig.Play([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: owners["drill001"]}}); err != nil {
+	if err := rig.PlayFaults([]simulation.Fault{{Kind: "cut", DurationMS: 5000, Process: owners["drill001"]}}); err != nil {
 		t.Fatal(err)
 	}
 	waitOwners(t, rig, "the cut ended")
@@ -111,7 +111,7 @@
 // ownersCommand is an operator's command at a process, and its answer.
 func ownersCommand(t *testing.T, rig *experiment.Rig, i int, name, argument string) string {
 	t.Helper()
-	reply, err := rig.Owners(i, owneragent.Request{Command: name, Argument: argument})
+	reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: name, Argument: argument})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	rig := startOwnersRig(t, true)
 	waitOwners(t, rig, "the start")
 	suspendedAt := func(i int) bool { // s0 is the only host
-		lines := rig.Procs[i].Log("event=host_suspended")
+		lines := rig.Procs[i].LogLines("event=host_suspended")
 		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], "suspended=true")
 	}
 	eventually(t, "the host is suspended at all", func() bool { return ownersCommand(t, rig, 3, "suspend", "s0") == "done at all 5" })
@@ -138,18 +138,18 @@
 	}
 	eventually(t, "n2, which has started again, has the host suspended", func() bool { return suspendedAt(2) })
 
-	rig.Cut(4, true)
+	rig.SetCutOff(4, true)
 	eventually(t, "the answer names n4, which is cut off", func() bool {
 		answer := ownersCommand(t, rig, 1, "resume", "s0")
 		named := strings.HasPrefix(answer, "done at 4 of 5") && strings.HasSuffix(answer, "n4")
 		// A member that nobody has heard for 10 s is gone: the fleet is the other four, and the answer counts those.
-		gone := answer == "done at all 4" && rig.Sees(1, 4) == membership.Gone.String()
+		gone := answer == "done at all 4" && rig.MemberState(1, 4) == membership.Gone.String()
 		return named || gone
 	})
 	if !suspendedAt(4) {
 		t.Error("n4 has resumed the host while it was cut off")
 	}
-	rig.Cut(4, false)
+	rig.SetCutOff(4, false)
 	eventually(t, "n4, which was cut off, resumes the host", func() bool { return !suspendedAt(4) })
 	if answer := ownersCommand(t, rig, 0, "suspend", ""); !strings.HasPrefix(answer, "refused") {
 		t.Errorf("a suspension without a host is answered with %q, want a rejection", answer)
@@ -166,18 +166,18 @@
 		t.Fatal(err)
 	}
 	eventually(t, "a voter without room reports it", func() bool {
-		reply, err := rig.Owners(0, owneragent.Request{Command: "status"})
+		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "status"})
 		return err == nil && reply.Store != ""
 	})
 	waitOwners(t, rig, "a voter had no room", 0)
-	if status, _, _, err := experiment.Call(rig.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
+	if status, _, _, err := experiment.CallAdmin(rig.Admin(0), "GET", "/v1/readyz"); err != nil || status != 200 && status != 503 {
 		t.Errorf("readyz without room: status %d, %v; want 200 or 503", status, err)
 	}
 	if err := free(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the voter is a member again", func() bool {
-		reply, err := rig.Owners(0, owneragent.Request{Command: "status"})
+		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "status"})
 		return err == nil && reply.Store == "" && reply.Group != nil && reply.Group.Phase == "member"
 	})
 }
@@ -204,7 +204,7 @@
 		{"promote", func() bool { return anyVoterExecutes(rig, "promote", "n1") }},
 		{"it votes", func() bool { return groupStatus(rig, 1).matches("member", 3, 3) }},
 	} {
-		if _, ok := experiment.Until(recoveryTimeout, step.done); !ok {
+		if _, ok := experiment.AwaitCondition(recoveryTimeout, step.done); !ok {
 			t.Fatalf("%s: not reached; n0 reports %+v", step.name, groupStatus(rig, 0))
 		}
 	}
@@ -214,7 +214,7 @@
 // anyVoterExecutes has n0 or n2 carry out an operator's command about a member; false: neither does.
 func anyVoterExecutes(rig *experiment.Rig, command, member string) bool {
 	for _, i := range []int{0, 2} {
-		if reply, err := rig.Owners(i, owneragent.Request{Command: command, Argument: member}); err == nil && reply.Error == "" {
+		if reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: command, Argument: member}); err == nil && reply.Error == "" {
 			return true
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 func groupStatus(rig *experiment.Rig, i int) (status replicaStatus) {
-	reply, err := rig.Owners(i, owneragent.Request{Command: "status"})
+	reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: "status"})
 	if err != nil || reply.Group == nil {
 		return status
 	}
--- a/internal/app/command/pushedlists_test.go
+++ b/internal/app/command/pushedlists_test.go
@@ -18,13 +18,13 @@
 		t.Fatal(err)
 	}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Pushed: true, Known: discovery.List(), Admin: admin, Tmp: t.TempDir(),
+	p, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), ListsPushed: true, InitialList: discovery.List(), Admin: admin, TmpDir: t.TempDir(),
 		Deadline: 4800 * time.Millisecond, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Kill)
-	if err := experiment.Ready(admin, 20*time.Second); err != nil {
+	if err := experiment.AwaitReady(admin, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
--- a/internal/app/command/relaybenchmark_test.go
+++ b/internal/app/command/relaybenchmark_test.go
@@ -15,7 +15,7 @@
 func BenchmarkRelayedLine(b *testing.B) {
 	discovery := newHosts(b, "a", "s0").Discovery
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: b.TempDir()}
-	setup := experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Known: discovery.List(), Env: asProgram}
+	setup := experiment.Setup{Name: "n0", Discovery: discovery.Addr(), InitialList: discovery.List(), Env: asProgram}
 	if other := os.Getenv("CROFTLOCK_BENCH"); other != "" {
 		setup.Program = other
 	}
@@ -29,7 +29,7 @@
 		b.Fatalf("the request is answered with %+v, error %v; want UP", answer, err)
 	}
 	defer client.Close()
-	before := process.CPU()
+	before := process.CPUTime()
 	b.ResetTimer()
 	for i := range b.N {
 		if _, migrated, err := client.Exchange(strconv.Itoa(i), 5*time.Second); err != nil || migrated {
@@ -37,5 +37,5 @@
 		}
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(process.CPU()-before)/float64(b.N), "cpu-ns/line")
+	b.ReportMetric(float64(process.CPUTime()-before)/float64(b.N), "cpu-ns/line")
 }
--- a/internal/app/command/rules_test.go
+++ b/internal/app/command/rules_test.go
@@ -53,12 +53,12 @@
 	checkRejectedChanges(t, rig)
 
 	// One is cut off during a change: it acts by nothing once its lease has lapsed, and catches up by itself.
-	rig.Cut(4, true)
+	rig.SetCutOff(4, true)
 	putRulesUntil(t, rig, 0, 1, `(rules (out s1))`, "active: version 2 at 4 of 5; lapsed: n4")
 	if answer := requestAnswer(rig.Procs[4].Addr, "feed000000000002"); !strings.HasPrefix(answer, "BUSY") {
 		t.Errorf("cut off, n4 answers %q, want BUSY", answer)
 	}
-	rig.Cut(4, false)
+	rig.SetCutOff(4, false)
 	waitActive(t, rig, 0, 2, 5)
 
 	// One is paused during a change.
@@ -100,14 +100,14 @@
 	owners, _ := rig.JobOwners()
 	publisher := owners["rules"]
 	cutOff, via := (publisher+1)%5, (publisher+2)%5
-	rig.Cut(cutOff, true) // delays the change
+	rig.SetCutOff(cutOff, true) // delays the change
 	answered := make(chan string, 1)
 	go func() { answered <- putRules(t, rig, via, 3, `(rules (out s2))`) }()
 	time.Sleep(100 * time.Millisecond)
 	load.paused[publisher].Store(true)
 	beforeKill := ruleDecisions(t, rig.Procs[publisher])
 	rig.Procs[publisher].Kill()
-	rig.Cut(cutOff, false)
+	rig.SetCutOff(cutOff, false)
 	<-answered
 	if err := rig.Start(publisher); err != nil {
 		t.Fatal(err)
@@ -145,14 +145,14 @@
 	waitActive(t, rig, 0, 0, 5)
 	putRulesUntil(t, rig, 1, 0, rejectAll, "active: version 1 at")
 	waitActive(t, rig, 3, 1, 5)
-	rig.Cut(4, true) // delays the change
+	rig.SetCutOff(4, true) // delays the change
 	answered := make(chan string, 1)
 	go func() { answered <- putRules(t, rig, 2, 1, `(rules (out s1))`) }()
 	time.Sleep(150 * time.Millisecond)
 	for _, p := range rig.Procs {
 		p.Kill()
 	}
-	rig.Cut(4, false)
+	rig.SetCutOff(4, false)
 	<-answered
 	for i := range rig.Procs {
 		if err := rig.Start(i); err != nil {
@@ -172,8 +172,8 @@
 func waitOneActiveVersion(t *testing.T, rig *experiment.Rig, i int) (version int) {
 	t.Helper()
 	answer := ""
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
-		reply, err := rig.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
+		reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
 		answer = fmt.Sprint(reply.Answer, reply.Error, err)
 		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1 && !strings.Contains(answer, "on its way")
--- a/internal/app/command/rulesrig_test.go
+++ b/internal/app/command/rulesrig_test.go
@@ -22,8 +22,8 @@
 	t.Helper()
 	rigSlots <- struct{}{}
 	t.Cleanup(func() { <-rigSlots })
-	rig, err := experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: sealKey, Level: "debug",
-		Sections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + extra + `)`, Env: asProgram})
+	rig, err := experiment.NewRigWithOptions(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: 5, Seed: 3, Key: sealKey, LogLevel: "debug",
+		SettingsSections: `(owners (on on) (voters "n0 n1 n2") (rules on) (agree_within 1s) (socket "DIR/owners.sock")` + extra + `)`, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 
 func ruleDecisions(t *testing.T, p *experiment.Process) (all []ruleDecision) {
 	t.Helper()
-	for _, line := range p.Log("event=rules_applied") {
+	for _, line := range p.LogLines("event=rules_applied") {
 		match := ruleDecisionLine.FindStringSubmatch(line)
 		if match == nil {
 			t.Fatalf("a line that the checker can't read: %q", line)
@@ -97,8 +97,8 @@
 	t.Helper()
 	want := fmt.Sprintf("active: version %d at %d of 5", version, at)
 	answer := ""
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
-		reply, err := rig.Owners(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
+		reply, err := rig.SendOwnerRequest(i, owneragent.Request{Command: "rules", Rules: rules.QueryActive()})
 		answer = fmt.Sprint(reply.Answer, reply.Error, err)
 		return strings.HasPrefix(answer, want)
 	}); !ok {
@@ -112,8 +112,8 @@
 	t.Helper()
 	want := fmt.Sprintf("version=%d ", version)
 	last := ""
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
-		if lines := rig.Procs[i].Log("event=rules_activated"); len(lines) > 0 {
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
+		if lines := rig.Procs[i].LogLines("event=rules_activated"); len(lines) > 0 {
 			last = lines[len(lines)-1]
 		}
 		return strings.Contains(last, want)
@@ -138,7 +138,7 @@
 func putRulesUntil(t *testing.T, rig *experiment.Rig, via, against int, text, want string) {
 	t.Helper()
 	answer := ""
-	if _, ok := experiment.Until(recoveryTimeout, func() bool {
+	if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool {
 		answer = putRules(t, rig, via, against, text)
 		return strings.Contains(answer, want)
 	}); !ok {
@@ -163,7 +163,7 @@
 // twice is made once.
 func putUntilAnswered(t *testing.T, rig *experiment.Rig, via, against int, text string, flags ...string) (answer string) {
 	t.Helper()
-	if _, ok := experiment.Until(2*recoveryTimeout, func() bool {
+	if _, ok := experiment.AwaitCondition(2*recoveryTimeout, func() bool {
 		answer = putRules(t, rig, via, against, text, flags...)
 		return !strings.Contains(answer, "unknown") && !strings.Contains(answer, "ask again")
 	}); !ok {
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -58,8 +58,8 @@
 	t.Cleanup(discovery.Close)
 	s.write(s.settings, `(tls (servers on) (trust "trust.pem") (certificate "client.pem") (key "client.key") (name (pattern "{uid}.test")))`)
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
-	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), Known: discovery.List(), Settings: s.settings,
-		Connect: 2 * time.Second, Deadline: 10 * time.Second, Env: asProgram})
+	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: discovery.Addr(), InitialList: discovery.List(), Settings: s.settings,
+		ConnectTimeout: 2 * time.Second, Deadline: 10 * time.Second, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +87,8 @@
 // await waits for a text in the proxy's log.
 func (s *tlsTest) await(text string) {
 	s.Helper()
-	if !s.proxy.Await(text, 20*time.Second) {
-		s.Fatalf("not logged within 20 s: %s; log:\n%s", text, strings.Join(s.proxy.Log(""), "\n"))
+	if !s.proxy.AwaitLog(text, 20*time.Second) {
+		s.Fatalf("not logged within 20 s: %s; log:\n%s", text, strings.Join(s.proxy.LogLines(""), "\n"))
 	}
 }
 
@@ -117,7 +117,7 @@
 	if client, answer, err := fake.Open(s.proxy.Addr, "lab", "", 10*time.Second); client == nil {
 		t.Errorf("a request after the reloads is answered with %+v, error %v; want UP", answer, err)
 	}
-	for _, line := range s.proxy.Log("") {
+	for _, line := range s.proxy.LogLines("") {
 		if strings.Contains(line, "PRIVATE") || strings.Contains(line, "event=panic") {
 			t.Errorf("a key or a panic in the log: %s", line)
 		}
@@ -131,7 +131,7 @@
 // connection.
 func (s *tlsTest) requestUntilFailure() (established *fake.Client) {
 	s.Helper()
-	for i := 0; i < 8 || i < 100 && len(s.proxy.Log("event=tls_failed")) == 0; i++ {
+	for i := 0; i < 8 || i < 100 && len(s.proxy.LogLines("event=tls_failed")) == 0; i++ {
 		client, answer, err := fake.Open(s.proxy.Addr, "lab", "", 10*time.Second)
 		if err != nil || answer.Kind != "UP" || !strings.HasPrefix(answer.Text, "UP s1-") {
 			s.Fatalf("request %d is answered with %+v, error %v; want UP by s1", i, answer, err)
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
-	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", Known: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
 		Settings: file, Env: asProgram})
 	if err == nil || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("the start fails with %v, want an error that names none.pem", err)
--- a/internal/app/command/watermarks_test.go
+++ b/internal/app/command/watermarks_test.go
@@ -35,8 +35,8 @@
 	rigSlots <- struct{}{}
 	t.Cleanup(func() { <-rigSlots })
 	var err error
-	w.rig, err = experiment.NewRigWith(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: processes, Seed: 4, Key: sealKey,
-		Level: "debug", Discoveries: w.lists, Sections: `(floors (on on) (source lab) (within 500ms))`, Env: asProgram})
+	w.rig, err = experiment.NewRigWithOptions(&experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}, experiment.RigOptions{Processes: processes, Seed: 4, Key: sealKey,
+		LogLevel: "debug", Discoveries: w.lists, SettingsSections: `(floors (on on) (source lab) (within 500ms))`, Env: asProgram})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 
 // seesAll returns whether a process sees all others alive.
 func (w *watermarkTest) seesAll(i int) bool {
-	report, err := w.rig.MemberReport(i)
+	report, err := w.rig.RequestMemberReport(i)
 	alive := 0
 	for _, m := range report.Members {
 		if m.State == "alive" {
@@ -62,7 +62,7 @@
 func (w *watermarkTest) waitAt(condition string, holds func(i int) bool, processes ...int) {
 	w.Helper()
 	for _, i := range processes {
-		if _, ok := experiment.Until(recoveryTimeout, func() bool { return holds(i) }); !ok {
+		if _, ok := experiment.AwaitCondition(recoveryTimeout, func() bool { return holds(i) }); !ok {
 			w.Fatalf("n%d, not within %v: %s", i, recoveryTimeout, condition)
 		}
 	}
@@ -70,13 +70,13 @@
 
 // logged returns the condition that a process has logged an event.
 func (w *watermarkTest) logged(event string) func(i int) bool {
-	return func(i int) bool { return len(w.rig.Procs[i].Log(event)) > 0 }
+	return func(i int) bool { return len(w.rig.Procs[i].LogLines(event)) > 0 }
 }
 
 // attemptsAfter counts a process's attempts at a host after a moment, by its log.
 func (w *watermarkTest) attemptsAfter(i int, host string, after time.Time) (n int) {
 	w.Helper()
-	for _, line := range w.rig.Procs[i].Log("event=attempt_started ") {
+	for _, line := range w.rig.Procs[i].LogLines("event=attempt_started ") {
 		if strings.Contains(line+" ", " host="+host+" ") && loggedAt(w.T, line).After(after) {
 			n++
 		}
@@ -98,7 +98,7 @@
 	w.removalWithDiscoveryDown()
 	w.clients.check(t, 100)
 	for i, p := range w.rig.Procs {
-		if lines := p.Log("panic"); len(lines) > 0 {
+		if lines := p.LogLines("panic"); len(lines) > 0 {
 			t.Errorf("n%d panicked: %s", i, strings.Join(lines, "\n"))
 		}
 	}
@@ -108,7 +108,7 @@
 func (w *watermarkTest) drainOfOneList() {
 	w.Helper()
 	applied := w.logged("event=watermark_applied host=a state=draining")
-	w.rig.Cut(4, true)
+	w.rig.SetCutOff(4, true)
 	w.clients.paused[3].Store(true)
 	w.rig.Procs[3].Signal(syscall.SIGSTOP)
 	w.lists[0].SetState("a", "draining")
@@ -120,7 +120,7 @@
 	w.waitAt("it fetches its list again", w.logged("event=list_behind"), 1, 2, 3)
 	// A watermark does not hold where it cannot be sent.
 	w.waitAt("cut off, it goes on with attempts at a", func(i int) bool { return w.attemptsAfter(i, "a", appliedByThree) > 3 }, 4)
-	w.rig.Cut(4, false)
+	w.rig.SetCutOff(4, false)
 	w.waitAt("after the cut it applies the watermark that a drains", applied, 4)
 	appliedByAll := time.Now().UTC()
 	time.Sleep(time.Second)
--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -122,7 +122,7 @@
 
 // run runs an experiment, prints its report and saves it if a folder is given.
 func (p *program) run(x experiment) error {
-	r, err := x.runInOwnFolder(&Env{Croftlock: p.proxy, Earlier: p.earlier, Self: p.self})
+	r, err := x.runInOwnFolder(&Env{Croftlock: p.proxy, EarlierBuild: p.earlier, Self: p.self})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/experiment/config.go
+++ b/internal/testbed/experiment/config.go
@@ -106,9 +106,9 @@
 // setDefaults sets what an experiment leaves unset.
 func (s *Setup) setDefaults() {
 	setIfZero(&s.Cores, 1)
-	setIfZero(&s.Sockets, 4096)
+	setIfZero(&s.MaxDescriptors, 4096)
 	setIfZero(&s.MemoryMB, 192)
-	setIfZero(&s.Connect, 250*time.Millisecond)
+	setIfZero(&s.ConnectTimeout, 250*time.Millisecond)
 	setIfZero(&s.Deadline, 2*time.Second)
 	setIfZero(&s.Listen, "127.0.0.1:0")
 }
@@ -123,14 +123,14 @@
 // config is the process's configuration file.
 func (s *Setup) config() processConfig {
 	lists := discoveryPolled
-	if s.Pushed {
+	if s.ListsPushed {
 		lists = discoveryPushed
 	}
 	return processConfig{
-		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.Known, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
-		Limits: processLimits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.Sockets},
-		Settings: processSettings{Number: s.Tier.Number, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: lists,
-			Bounds: processBounds{MayAnnounce: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.Connect), RetryAfter: true,
+		Name: s.Name, Listen: s.Listen, Admin: s.Admin, Discovery: s.Discovery, Seed: "1f", Known: s.InitialList, PeerListen: s.Tier.Listen, Peers: s.Tier.Peers,
+		Limits: processLimits{Cores: s.Cores, MemoryMB: s.MemoryMB, Sockets: s.MaxDescriptors},
+		Settings: processSettings{Number: s.Tier.Index, PeersTotal: max(1, len(s.Tier.Peers)), Discovery: lists,
+			Bounds: processBounds{MayAnnounce: len(s.Tier.Peers) > 0, MaxAttempts: 5, ConnectTimeout: int64(s.ConnectTimeout), RetryAfter: true,
 				MaxRetryAfter: int64(time.Second)},
 			Contract: processContract{MustQueryIn: int64(10 * time.Second)},
 			Classes:  s.classes()},
--- a/internal/testbed/experiment/demo.go
+++ b/internal/testbed/experiment/demo.go
@@ -13,7 +13,7 @@
 		return err
 	}
 	defer u.close()
-	p, err := e.Proxy(Setup{Name: "demo", Discovery: u.discovery.Addr(), Known: u.discovery.List()})
+	p, err := e.Proxy(Setup{Name: "demo", Discovery: u.discovery.Addr(), InitialList: u.discovery.List()})
 	if err != nil {
 		return err
 	}
@@ -31,10 +31,10 @@
 	u.servers[0].Drain()
 	time.Sleep(2 * time.Second)
 	established := 0
-	r.Columns("hosts", "host", "requests", "established")
+	r.StartTable("hosts", "host", "requests", "established")
 	for _, s := range u.servers {
 		all, _ := s.Requests()
-		r.Row("hosts", s.UID, all, s.Established())
+		r.AddRow("hosts", s.UID, all, s.Established())
 		established += s.Established()
 	}
 	lines := c.latenciesBetween(r.Began, time.Now())
@@ -43,9 +43,9 @@
 	r.Check(err == nil, "the proxy shut down on SIGTERM without an error", fmt.Sprint(err))
 	r.Check(established == clients, "all clients are connected after the drain", established)
 	r.Check(len(c.lost) == 0, "no connection was lost", strings.Join(c.lost, "; "))
-	r.Set("clients", clients)
-	r.Set("migrated", c.migrations)
-	r.Set("lines", len(lines))
-	r.Set("line_ms_median", lines.median())
+	r.AddValue("clients", clients)
+	r.AddValue("migrated", c.migrations)
+	r.AddValue("lines", len(lines))
+	r.AddValue("line_ms_median", lines.median())
 	return nil
 }
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -16,7 +16,7 @@
 // memberKill kills one, and a third, of 5 and of 15 processes.
 func memberKill(e *Env, r *Report) error {
 	const table = "from SIGKILL until all survivors have the killed as unreachable or gone"
-	r.Columns(table, "processes", "killed", "turns", "median", "p99", "alive as new incarnations, median")
+	r.StartTable(table, "processes", "killed", "turns", "median", "p99", "alive as new incarnations, median")
 	for _, n := range []int{5, 15} {
 		rig, err := NewRig(e, n, 1, sealKey)
 		if err != nil {
@@ -29,7 +29,7 @@
 				return err
 			}
 			p99 := known[len(known)-1]
-			r.Row(table, n, kill, len(known), known[len(known)/2], p99, back[len(back)/2])
+			r.AddRow(table, n, kill, len(known), known[len(known)/2], p99, back[len(back)/2])
 			r.Check(p99 < 3*time.Second, fmt.Sprintf("%d of %d killed: all know within 3 s", kill, n), p99)
 		}
 		rig.Close()
@@ -42,7 +42,7 @@
 func (r *Rig) killRepeatedly(kill int) (known, back []time.Duration, err error) {
 	n := len(r.Procs)
 	for turn := range killTurns {
-		if _, ok := r.AllAlive(30 * time.Second); !ok {
+		if _, ok := r.AwaitAllAlive(30 * time.Second); !ok {
 			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive after 30 s", n, turn)
 		}
 		var dead, alive []int
@@ -64,7 +64,7 @@
 				return nil, nil, err
 			}
 		}
-		took, ok := r.AllAlive(30 * time.Second)
+		took, ok := r.AwaitAllAlive(30 * time.Second)
 		if !ok {
 			return nil, nil, fmt.Errorf("%d processes, turn %d: not all alive 30 s after the restart", n, turn)
 		}
@@ -81,7 +81,7 @@
 		r.Procs[i].cmd.Process.Kill()
 	}
 	for _, i := range dead {
-		t, ok := r.AllSee(20*time.Second, alive, i, "unreachable", "gone")
+		t, ok := r.AwaitMemberState(20*time.Second, alive, i, "unreachable", "gone")
 		if !ok {
 			return 0, fmt.Errorf("the death of n%d is not known after 20 s", i)
 		}
@@ -102,22 +102,22 @@
 	defer rig.Close()
 	const table, paused = "a paused process", 1
 	others := []int{0, 2, 3, 4}
-	r.Columns(table, "pause", "unreachable at processes", "alive at all after", "accusations by the paused one")
+	r.StartTable(table, "pause", "unreachable at processes", "alive at all after", "accusations by the paused one")
 	for _, pause := range []time.Duration{200 * time.Millisecond, time.Second, 1900 * time.Millisecond, 10 * time.Second} {
-		if _, ok := rig.AllAlive(30 * time.Second); !ok {
+		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("not all alive before a pause of %v", pause)
 		}
 		givenUpBefore, accusedBefore := rig.logLines("to=unreachable", others...), rig.accusations(paused)
 		rig.Procs[paused].Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
 		rig.Procs[paused].Signal(syscall.SIGCONT)
-		back, ok := rig.AllSee(20*time.Second, others, paused, "alive")
+		back, ok := rig.AwaitMemberState(20*time.Second, others, paused, "alive")
 		if !ok {
 			return fmt.Errorf("not alive at all 20 s after a pause of %v", pause)
 		}
 		time.Sleep(2 * time.Second)
 		givenUp, accused := rig.logLines("to=unreachable", others...)-givenUpBefore, rig.accusations(paused)-accusedBefore
-		r.Row(table, pause, givenUp, back, accused)
+		r.AddRow(table, pause, givenUp, back, accused)
 		if pause < 2*time.Second {
 			r.Check(givenUp == 0, fmt.Sprintf("a pause of %v removes no member", pause), givenUp)
 		} else {
@@ -132,7 +132,7 @@
 // logLines counts the lines with a text in some processes' logs.
 func (r *Rig) logLines(text string, processes ...int) (n int) {
 	for _, i := range processes {
-		n += len(r.Procs[i].Log(text))
+		n += len(r.Procs[i].LogLines(text))
 	}
 	return n
 }
@@ -150,20 +150,20 @@
 		return err
 	}
 	defer rig.Close()
-	if _, ok := rig.AllAlive(30 * time.Second); !ok {
+	if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 		return errors.New("not all alive after 30 s")
 	}
 	rig.setLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
 	time.Sleep(lasts)
 	gone, unreachable := 0, 0
 	for _, p := range rig.Procs {
-		gone += len(p.Log("to=gone"))
-		unreachable += len(p.Log("to=unreachable"))
+		gone += len(p.LogLines("to=gone"))
+		unreachable += len(p.LogLines("to=unreachable"))
 	}
 	rig.Procs[2].Kill()
-	took, ok := rig.AllSee(20*time.Second, []int{0, 1, 3, 4}, 2, "unreachable", "gone")
-	r.Set("unreachable", unreachable)
-	r.Set("detected", took)
+	took, ok := rig.AwaitMemberState(20*time.Second, []int{0, 1, 3, 4}, 2, "unreachable", "gone")
+	r.AddValue("unreachable", unreachable)
+	r.AddValue("detected", took)
 	r.Check(gone == 0, fmt.Sprintf("no member gone in %v at a loss of 20%%", lasts), gone)
 	r.Check(ok && took < 5*time.Second, "a death is known to all within 5 s", took)
 	return nil
--- a/internal/testbed/experiment/membercost.go
+++ b/internal/testbed/experiment/membercost.go
@@ -85,14 +85,14 @@
 // memberCost simulates the failure detectors in virtual time.
 func memberCost(e *Env, r *Report) error {
 	const table = "per second and process; time until 99 in 100 know of a death; false alarms an hour in the fleet"
-	r.Columns(table, "detector", "members", "loss", "messages", "bytes", "known ms (median, max of 5)", "false alarms")
+	r.StartTable(table, "detector", "members", "loss", "messages", "bytes", "known ms (median, max of 5)", "false alarms")
 	runs := detectorRuns()
 	simulateAll(e, runs)
 	slices.SortStableFunc(runs, func(a, b *detectorRun) int { return cmp.Or(a.detector-b.detector, a.members-b.members) })
 	messages := map[int]float64{} // of the program's own detector without loss, by members
 	for _, d := range runs {
 		median, longest := d.knownAfter()
-		r.Row(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
+		r.AddRow(table, detectors[d.detector].name, d.members, d.loss, fmt.Sprintf("%.1f", d.costs[0].Messages), fmt.Sprintf("%.0f", d.costs[0].Bytes),
 			knownText(median)+", "+knownText(longest), fmt.Sprintf("%.1f", d.falseAlarms()))
 		if d.detector == 0 && d.loss == 0 {
 			messages[d.members] = d.costs[0].Messages
@@ -136,10 +136,10 @@
 		return 0, err
 	}
 	defer rig.Close()
-	if _, ok := rig.AllAlive(30 * time.Second); !ok {
+	if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 		return 0, errors.New("five processes: not all alive after 30 s")
 	}
-	before := rig.Procs[0].CPU()
+	before := rig.Procs[0].CPUTime()
 	time.Sleep(span)
-	return float64(rig.Procs[0].CPU()-before) / float64(span), nil
+	return float64(rig.Procs[0].CPUTime()-before) / float64(span), nil
 }
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -38,9 +38,9 @@
 	}
 	defer rig.Close()
 	const table = "cuts among five, 8 s each"
-	r.Columns(table, "cut", "wrongly unreachable", "cut link reported after", "all alive after healing")
+	r.StartTable(table, "cut", "wrongly unreachable", "cut link reported after", "all alive after healing")
 	for _, c := range linkCuts {
-		if _, ok := rig.AllAlive(30 * time.Second); !ok {
+		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("%s: not all alive before", c.name)
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
@@ -49,11 +49,11 @@
 			return err
 		}
 		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = false })
-		heal, ok := rig.AllAlive(20 * time.Second)
+		heal, ok := rig.AwaitAllAlive(20 * time.Second)
 		if !ok {
 			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
 		}
-		r.Row(table, c.name, seen.wronglyLost, seen.reportedAfter, heal)
+		r.AddRow(table, c.name, seen.wronglyLost, seen.reportedAfter, heal)
 		r.Check(seen.wronglyLost == 0, c.name+": the majority has no process as unreachable that it hears", seen.wronglyLost)
 		r.Check(heal < 3*time.Second, c.name+": all alive within 3 s of healing", heal)
 		if c.reportedBy >= 0 {
@@ -73,7 +73,7 @@
 func (c *linkCut) observe(rig *Rig) (seen cutObservation, err error) {
 	seen.reportedAfter = -1
 	for startedAt := time.Now(); time.Since(startedAt) < cutLasts; time.Sleep(50 * time.Millisecond) {
-		report, err := rig.MemberReport(3)
+		report, err := rig.RequestMemberReport(3)
 		if err != nil {
 			return seen, err
 		}
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -31,15 +31,15 @@
 		return err
 	}
 	resumed := s.resumedByCurrent()
-	r.Columns(deathTable, "step", "short-lived clients without an answer", "serving process")
+	r.StartTable(deathTable, "step", "short-lived clients without an answer", "serving process")
 	for _, step := range deathSteps {
 		if err := s.playDeath(r, step); err != nil {
 			return fmt.Errorf("%s: %w", step, err)
 		}
 	}
-	r.Set("unanswered", unanswered)
-	r.Set("ready_ms", ready)
-	r.Set("resumed_by_last", resumed)
+	r.AddValue("unanswered", unanswered)
+	r.AddValue("ready_ms", ready)
+	r.AddValue("resumed_by_last", resumed)
 	return nil
 }
 
@@ -57,8 +57,8 @@
 	}
 	unanswered = s.unanswered()
 	const title = "hot restarts under load"
-	r.Columns(title, "processes", "short-lived clients", "unanswered", "persistent", "lost", "migrated", "new one ready, ms", "old one ended, ms")
-	r.Row(title, upgrades, s.shortLived.count("UP")+s.shortLived.count("BUSY")+s.shortLived.count("ERR")+unanswered, unanswered, opsPersistent,
+	r.StartTable(title, "processes", "short-lived clients", "unanswered", "persistent", "lost", "migrated", "new one ready, ms", "old one ended, ms")
+	r.AddRow(title, upgrades, s.shortLived.count("UP")+s.shortLived.count("BUSY")+s.shortLived.count("ERR")+unanswered, unanswered, opsPersistent,
 		len(s.persistent.lost), s.persistent.migrations, ready, leave)
 	r.Check(unanswered == 0, "connections without an answer", unanswered)
 	s.checkPersistent(r)
@@ -76,7 +76,7 @@
 
 // resumedByCurrent is the number of connections that the current process has taken over, by its log.
 func (s *proxySite) resumedByCurrent() (total int) {
-	for _, l := range s.current.Log("resumed=") {
+	for _, l := range s.current.LogLines("resumed=") {
 		_, rest, _ := strings.Cut(l, "resumed=")
 		n, _ := strconv.Atoi(strings.Fields(rest)[0])
 		total += n
@@ -106,7 +106,7 @@
 		return err
 	}
 	lost := s.unanswered() - before
-	r.Row(deathTable, step, lost, serving)
+	r.AddRow(deathTable, step, lost, serving)
 	c, a, err := fake.Open(s.setup.Listen, requestClass, "", opsTimeout)
 	if c != nil {
 		c.Close()
@@ -130,15 +130,15 @@
 		s.current.Kill()
 		s.current, s.admin, serving = p, admin, "new"
 	case newAfterReady:
-		if err := Ready(admin, upgradeTimeout); err != nil {
+		if err := AwaitReady(admin, upgradeTimeout); err != nil {
 			return "", err
 		}
 		p.Kill()
-		if !s.current.Await("taken_back", 5*time.Second) {
+		if !s.current.AwaitLog("taken_back", 5*time.Second) {
 			return "", errors.New("the old process did not take back")
 		}
 	}
-	err = Ready(s.admin, upgradeTimeout)
+	err = AwaitReady(s.admin, upgradeTimeout)
 	time.Sleep(500 * time.Millisecond)
 	return serving, err
 }
@@ -152,7 +152,7 @@
 		return err
 	}
 	defer s.close()
-	r.Columns(suspendTable, "round", "requests within 250 ms", "requests after", "established after 1.25 s", "first request after the resumption, ms")
+	r.StartTable(suspendTable, "round", "requests within 250 ms", "requests after", "established after 1.25 s", "first request after the resumption, ms")
 	lateRequests, firsts := 0, samples{}
 	for round := range 3 {
 		time.Sleep(2 * time.Second)
@@ -164,15 +164,15 @@
 		if o.firstMS > 0 {
 			firsts = append(firsts, o.firstMS)
 		}
-		r.Row(suspendTable, round+1, o.sentInNotice, o.sentAfter, o.established, o.firstMS)
+		r.AddRow(suspendTable, round+1, o.sentInNotice, o.sentAfter, o.established, o.firstMS)
 		r.Check(o.firstMS > 0, fmt.Sprintf("round %d: it receives requests within 5 s of the resumption", round+1), o.firstMS)
 	}
-	status, _, _, _ := Call(s.admin, "POST", "/v1/catalogue-servers/nobody/suspend")
+	status, _, _, _ := CallAdmin(s.admin, "POST", "/v1/catalogue-servers/nobody/suspend")
 	r.Check(status == 404, "status for an ID that was never listed, want 404", status)
 	r.Check(lateRequests == 0, "requests to a suspended host after its grace", lateRequests)
 	s.checkPersistent(r)
-	r.Set("requests_after_grace", lateRequests)
-	r.Set("first_ms", firsts)
+	r.AddValue("requests_after_grace", lateRequests)
+	r.AddValue("first_ms", firsts)
 	return nil
 }
 
@@ -189,7 +189,7 @@
 	host, path := s.upstreams.servers[0], "/v1/catalogue-servers/"+s.upstreams.servers[0].UID
 	requests := func() int { n, _ := host.Requests(); return n }
 	before := requests()
-	if status, body, _, err := Call(s.admin, "POST", path+"/suspend"); err != nil || status != 200 {
+	if status, body, _, err := CallAdmin(s.admin, "POST", path+"/suspend"); err != nil || status != 200 {
 		return o, fmt.Errorf("suspend: %d %s %v", status, body, err)
 	}
 	time.Sleep(drainNoticeLimit)
@@ -206,7 +206,7 @@
 	atEnd := requests()
 	o.sentInNotice, o.sentAfter = atLimit-before, atEnd-atLimit
 	startedAt := time.Now()
-	if status, _, _, err := Call(s.admin, "POST", path+"/resume"); err != nil || status != 200 {
+	if status, _, _, err := CallAdmin(s.admin, "POST", path+"/resume"); err != nil || status != 200 {
 		return o, fmt.Errorf("resume: %d %v", status, err)
 	}
 	for time.Since(startedAt) < 5*time.Second && o.firstMS == 0 {
--- a/internal/testbed/experiment/opsmetrics.go
+++ b/internal/testbed/experiment/opsmetrics.go
@@ -24,7 +24,7 @@
 	s.load.Wait()
 	s.persistent.stop()
 	time.Sleep(600 * time.Millisecond)
-	_, body, _, err := Call(s.admin, "GET", "/v1/metrics")
+	_, body, _, err := CallAdmin(s.admin, "GET", "/v1/metrics")
 	if err != nil {
 		return err
 	}
@@ -32,9 +32,9 @@
 	r.Check(deviation == 0, "largest deviation of a metric", deviation)
 	r.Check(failed == 0, "calls that failed beside 200 callers with unfinished requests", failed)
 	r.Check(took.quantile(1) < 1000, "longest call under load, ms, at most 1,000", took.quantile(1))
-	r.Set("deviation", deviation)
-	r.Set("call_p99_ms", took.quantile(0.99))
-	r.Set("call_max_ms", took.quantile(1))
+	r.AddValue("deviation", deviation)
+	r.AddValue("call_p99_ms", took.quantile(0.99))
+	r.AddValue("call_max_ms", took.quantile(1))
 	return s.reportCosts(r)
 }
 
@@ -49,7 +49,7 @@
 		}
 		s.upstreams.servers[1].Failing.Store(i%50 < 10)
 		s.upstreams.servers[2].Busy.Store(i%40 < 20)
-		status, _, t, err := Call(s.admin, "GET", "/v1/metrics")
+		status, _, t, err := CallAdmin(s.admin, "GET", "/v1/metrics")
 		if err != nil || status != 200 {
 			failed++
 		}
@@ -82,7 +82,7 @@
 	}
 	answers := func(kind string) int { return s.shortLived.count(kind) + s.persistent.answers.count(kind) }
 	const title = "metrics against the counts of clients and hosts"
-	r.Columns(title, "metric", "value", "counted", "deviation")
+	r.StartTable(title, "metric", "value", "counted", "deviation")
 	for _, x := range []struct {
 		name    string
 		counted int
@@ -94,7 +94,7 @@
 		}
 		off := max(value-x.counted, x.counted-value)
 		deviation = max(deviation, off)
-		r.Row(title, x.name, value, x.counted, off)
+		r.AddRow(title, x.name, value, x.counted, off)
 	}
 	return deviation
 }
@@ -106,7 +106,7 @@
 	if before := os.Getenv("CROFTLOCK_BEFORE"); before != "" {
 		programs = append(programs, before)
 	}
-	r.Columns(title, "program", "a placement", "a line and its answer")
+	r.StartTable(title, "program", "a placement", "a line and its answer")
 	placing, passing := make([]samples, len(programs)), make([]samples, len(programs))
 	for range rounds {
 		for i, program := range programs {
@@ -118,7 +118,7 @@
 		}
 	}
 	for i, name := range []string{"this one", "before"}[:len(programs)] {
-		r.Row(title, name, placing[i], passing[i])
+		r.AddRow(title, name, placing[i], passing[i])
 	}
 	return nil
 }
@@ -127,13 +127,13 @@
 func (s *proxySite) costs(program string) (placement, line float64, err error) {
 	const placements, lines = 400, 2000
 	with := s.setup
-	with.Listen, with.Tmp, with.Program = "", "", program
+	with.Listen, with.TmpDir, with.Program = "", "", program
 	p, err := s.Proxy(with)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer p.Kill()
-	before := p.CPU()
+	before := p.CPUTime()
 	for range placements {
 		c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 		if err != nil || c == nil {
@@ -141,17 +141,17 @@
 		}
 		c.Close()
 	}
-	placement = float64(p.CPU()-before) / 1e3 / placements
+	placement = float64(p.CPUTime()-before) / 1e3 / placements
 	c, _, err := fake.Open(p.Addr, requestClass, "", opsTimeout)
 	if err != nil || c == nil {
 		return 0, 0, fmt.Errorf("a connection: %v", err)
 	}
 	defer c.Close()
-	before = p.CPU()
+	before = p.CPUTime()
 	for range lines {
 		if _, _, err := c.Exchange("x", opsTimeout); err != nil {
 			return 0, 0, err
 		}
 	}
-	return placement, float64(p.CPU()-before) / 1e3 / lines, nil
+	return placement, float64(p.CPUTime()-before) / 1e3 / lines, nil
 }
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -15,7 +15,7 @@
 // ownerChaos plays a fault every 2 s for two minutes, under a constant load of clients.
 func ownerChaos(e *Env, r *Report) error {
 	c := &chaosRun{env: e, report: r, lasts: 120 * time.Second, rate: 200}
-	r.Columns(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
+	r.StartTable(chaosTable, "run", "clients", "served", "failed", "p50 ms", "p99 ms")
 	if err := c.withoutFaults(); err != nil {
 		return err
 	}
@@ -39,11 +39,11 @@
 	if err != nil {
 		return nil, err
 	}
-	rig, err := NewRigWith(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, Level: "debug", Upstreams: f, Sections: ownersFile(3, true, "(drill 20) (hosts on)")})
+	rig, err := NewRigWithOptions(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, LogLevel: "debug", Upstreams: f, SettingsSections: ownersFile(3, true, "(drill 20) (hosts on)")})
 	if err != nil {
 		return nil, err
 	}
-	if _, err := rig.AllOwned(chaosJobs); err != nil {
+	if _, err := rig.AwaitJobsOwned(chaosJobs); err != nil {
 		rig.Close()
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	failed, p99 := answers.total()-answers.count("UP"), answers.milliseconds.quantile(0.99)
 	c.report.Check(failed == 0, "no client fails during the faults", failed)
 	c.report.Check(p99 <= 1.1*c.baselineP99, "p99 of placement within a tenth of the run without faults", fmt.Sprintf("%.2f, %.2f ms", p99, c.baselineP99))
-	if _, err := rig.AllOwned(chaosJobs); err != nil {
+	if _, err := rig.AwaitJobsOwned(chaosJobs); err != nil {
 		return err
 	}
 	h.stopCallers()
@@ -114,7 +114,7 @@
 
 func (c *chaosRun) row(name string, answers *answerCounts) {
 	total, served := answers.total(), answers.count("UP")
-	c.report.Row(chaosTable, name, total, served, total-served, answers.milliseconds.quantile(0.5), answers.milliseconds.quantile(0.99))
+	c.report.AddRow(chaosTable, name, total, served, total-served, answers.milliseconds.quantile(0.5), answers.milliseconds.quantile(0.99))
 }
 
 // check checks the owners' guarantees against the logs and the history of operators' calls.
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -15,13 +15,13 @@
 
 // ownerCost measures the cost of owners: the time of handovers, and the CPU and bytes of idle replicas and followers.
 func ownerCost(e *Env, r *Report) error {
-	r.Columns(ownerCostTable, "replicas", "store", "requested move to acquisition, median ms", "p99 ms", "owner killed to acquisition, median ms", "max ms",
+	r.StartTable(ownerCostTable, "replicas", "store", "requested move to acquisition, median ms", "p99 ms", "owner killed to acquisition, median ms", "max ms",
 		"CPU of a core: leader", "replica", "follower", "bytes a second, leader", "follower")
 	membership, err := membershipCPU(e)
 	if err != nil {
 		return err
 	}
-	r.Set("cpu_membership_alone", fmt.Sprintf("%.4f", membership))
+	r.AddValue("cpu_membership_alone", fmt.Sprintf("%.4f", membership))
 	for _, voters := range []int{3, 5} {
 		for _, disks := range []bool{true, false} {
 			g := ownerGroup{voters, disks}
@@ -34,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	r.Set("fsync_of_4_KiB_median_ms", fmt.Sprintf("%.2f", took.quantile(0.5)))
-	r.Set("p99_ms", fmt.Sprintf("%.2f", took.quantile(0.99)))
+	r.AddValue("fsync_of_4_KiB_median_ms", fmt.Sprintf("%.2f", took.quantile(0.5)))
+	r.AddValue("p99_ms", fmt.Sprintf("%.2f", took.quantile(0.99)))
 	return nil
 }
 
@@ -53,7 +53,7 @@
 		return 0, err
 	}
 	defer idle.Close()
-	if _, ok := idle.AllAlive(ownersWait); !ok {
+	if _, ok := idle.AwaitAllAlive(ownersWait); !ok {
 		return 0, errors.New("not all members are alive")
 	}
 	time.Sleep(2 * time.Second)
@@ -67,7 +67,7 @@
 }
 
 func (g ownerGroup) newRig(e *Env, sections string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, Sections: ownersFile(g.voters, g.disks, sections)})
+	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersFile(g.voters, g.disks, sections)})
 }
 
 // cost measures one kind of group; membership is the CPU of an idle process without owners.
@@ -81,7 +81,7 @@
 		return err
 	}
 	store := storeName(g.disks)
-	r.Row(ownerCostTable, g.voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1),
+	r.AddRow(ownerCostTable, g.voters, store, moved.quantile(0.5), moved.quantile(0.99), killed.quantile(0.5), killed.quantile(1),
 		fmt.Sprintf("%.4f", idle.leaderCPU), fmt.Sprintf("%.4f", idle.voterCPU), fmt.Sprintf("%.4f", idle.followerCPU), idle.leaderBytes, idle.followerBytes)
 	r.Check(idle.voterCPU-membership < 0.005, fmt.Sprintf("%d replicas, %s: an idle replica costs under 0.005 of a core beside membership", g.voters, store),
 		fmt.Sprintf("%.4f less %.4f", idle.voterCPU, membership))
@@ -95,7 +95,7 @@
 		return nil, nil, err
 	}
 	defer rig.Close()
-	owners, err := rig.AllOwned(ownerCostDrills + 1)
+	owners, err := rig.AwaitJobsOwned(ownerCostDrills + 1)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -112,12 +112,12 @@
 		job := fmt.Sprintf("drill%03d", turn%ownerCostDrills)
 		to := (owners[job] + 1) % ownerCostProcesses
 		startedAt := time.Now()
-		reply, err := rig.Owners(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
+		reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "move", Argument: job, SecondArgument: fmt.Sprintf("n%d", to)})
 		if err != nil || reply.Error != "" {
 			time.Sleep(500 * time.Millisecond)
 			continue
 		}
-		if _, ok := Until(10*time.Second, func() bool { return len(rig.acquired(to, job, startedAt)) > 0 }); !ok {
+		if _, ok := AwaitCondition(10*time.Second, func() bool { return len(rig.acquired(to, job, startedAt)) > 0 }); !ok {
 			return nil, fmt.Errorf("n%[2]d does not acquire %[1]s", job, to)
 		}
 		took = append(took, float64(rig.acquired(to, job, startedAt)[0].Sub(startedAt))/1e6)
@@ -130,14 +130,14 @@
 // killTimes kills owners, and returns the milliseconds until another process acquires a job of each.
 func killTimes(rig *Rig) (took samples, err error) {
 	for turn := range 5 {
-		owners, err := rig.AllOwned(ownerCostDrills + 1)
+		owners, err := rig.AwaitJobsOwned(ownerCostDrills + 1)
 		if err != nil {
 			return nil, err
 		}
 		job, startedAt := fmt.Sprintf("drill%03d", turn), time.Now()
 		owner := owners[job]
 		rig.Procs[owner].Kill()
-		if _, ok := Until(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, startedAt) }); !ok {
+		if _, ok := AwaitCondition(20*time.Second, func() bool { return rig.acquiredByOther(owner, job, startedAt) }); !ok {
 			return nil, fmt.Errorf("%s has no owner 20 s after n%d was killed", job, owner)
 		}
 		took = append(took, float64(time.Since(startedAt))/1e6)
@@ -172,11 +172,11 @@
 		return c, err
 	}
 	defer rig.Close()
-	if _, err := rig.AllOwned(1); err != nil {
+	if _, err := rig.AwaitJobsOwned(1); err != nil {
 		return c, err
 	}
 	time.Sleep(2 * time.Second)
-	reply, err := rig.Owners(0, owneragent.Request{Command: "owners"})
+	reply, err := rig.SendOwnerRequest(0, owneragent.Request{Command: "owners"})
 	if err != nil {
 		return c, err
 	}
@@ -194,7 +194,7 @@
 func (r *Rig) bytesSent() []int {
 	sent := make([]int, len(r.Procs))
 	for i := range r.Procs {
-		report, _ := r.MemberReport(i)
+		report, _ := r.RequestMemberReport(i)
 		sent[i] = report.Counts["bytes"]
 	}
 	return sent
@@ -204,12 +204,12 @@
 func cpuOf(r *Rig, lasts time.Duration) []float64 {
 	before := make([]time.Duration, len(r.Procs))
 	for i, p := range r.Procs {
-		before[i] = p.CPU()
+		before[i] = p.CPUTime()
 	}
 	time.Sleep(lasts)
 	parts := make([]float64, len(r.Procs))
 	for i, p := range r.Procs {
-		parts[i] = float64(p.CPU()-before[i]) / float64(lasts)
+		parts[i] = float64(p.CPUTime()-before[i]) / float64(lasts)
 	}
 	return parts
 }
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -49,7 +49,7 @@
 // ownerDisk plays each disk fault at each replica, during a stream of commands.
 func ownerDisk(e *Env, r *Report) error {
 	const table = "disk faults, each at each of three replicas, during a stream of commands"
-	r.Columns(table, "fault", "turns", "commands answered", "lost", "expected state")
+	r.StartTable(table, "fault", "turns", "commands answered", "lost", "expected state")
 	for _, f := range diskFaults {
 		e.Logf("%s", f.name)
 		outcomes, err := f.atEachReplica(e)
@@ -63,7 +63,7 @@
 				wrong = append(wrong, fmt.Sprintf("n%d: %s", voter, o.state))
 			}
 		}
-		r.Row(table, f.name, len(outcomes), answered, lost, len(wrong) == 0)
+		r.AddRow(table, f.name, len(outcomes), answered, lost, len(wrong) == 0)
 		r.Check(lost == 0 && answered > 30, f.name+": no answered command is lost", fmt.Sprintf("%d of %d", lost, answered))
 		r.Check(len(wrong) == 0, f.name+": the replica ends in the expected state", strings.Join(wrong, "; "))
 	}
@@ -116,12 +116,12 @@
 
 // play plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
 func (f *diskFault) play(e *Env, voter int) (o diskOutcome, err error) {
-	rig, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, Sections: ownersFile(3, true, "(hosts on)")})
+	rig, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, SettingsSections: ownersFile(3, true, "(hosts on)")})
 	if err != nil {
 		return o, err
 	}
 	defer rig.Close()
-	if _, err := rig.AllOwned(1); err != nil {
+	if _, err := rig.AwaitJobsOwned(1); err != nil {
 		return o, err
 	}
 	stream := startSuspensionStream(rig)
@@ -140,7 +140,7 @@
 	}
 	time.Sleep(8 * time.Second)
 	done := stream.stopStream()
-	if _, err := rig.AllOwned(1); err != nil {
+	if _, err := rig.AwaitJobsOwned(1); err != nil {
 		return o, err
 	}
 	suspended, err := suspendedHosts(rig)
@@ -194,7 +194,7 @@
 			default:
 			}
 			id := fmt.Sprintf("host%03d", i%200)
-			if reply, err := rig.Owners(3+i%2, owneragent.Request{Command: "suspend", Argument: id}); err == nil && strings.HasPrefix(reply.Answer, "done") {
+			if reply, err := rig.SendOwnerRequest(3+i%2, owneragent.Request{Command: "suspend", Argument: id}); err == nil && strings.HasPrefix(reply.Answer, "done") {
 				done = append(done, id)
 				s.answered.Add(1)
 			}
@@ -206,7 +206,7 @@
 // awaitAnswers waits until n more commands are answered.
 func (s *suspensionStream) awaitAnswers(n int64) error {
 	before := s.answered.Load()
-	if _, ok := Until(ownersWait, func() bool { return s.answered.Load() >= before+n }); !ok {
+	if _, ok := AwaitCondition(ownersWait, func() bool { return s.answered.Load() >= before+n }); !ok {
 		return errors.New("commands are not answered")
 	}
 	return nil
@@ -222,8 +222,8 @@
 func suspendedHosts(rig *Rig) ([]string, error) {
 	var list owneragent.Reply
 	var err error
-	if _, ok := Until(ownersWait, func() bool {
-		list, err = rig.Owners(4, owneragent.Request{Command: "list"})
+	if _, ok := AwaitCondition(ownersWait, func() bool {
+		list, err = rig.SendOwnerRequest(4, owneragent.Request{Command: "list"})
 		return err == nil && strings.HasPrefix(list.Answer, "out for the fleet")
 	}); !ok {
 		return nil, fmt.Errorf("no list: %v %v", list, err)
@@ -233,7 +233,7 @@
 
 // voterState is the state of a replica's store, and its phase in the group.
 func voterState(rig *Rig, voter int) (string, error) {
-	rep, err := rig.Owners(voter, owneragent.Request{Command: "status"})
+	rep, err := rig.SendOwnerRequest(voter, owneragent.Request{Command: "status"})
 	if err != nil {
 		return "", err
 	}
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -12,7 +12,7 @@
 // ownerHandover shuts processes down, and replaces them, and measures for how long their jobs had no owner.
 func ownerHandover(e *Env, r *Report) error {
 	const table = "time without an owner at handovers"
-	r.Columns(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
+	r.StartTable(table, "how", "replicas", "store", "handovers", "median ms", "p99 ms", "max ms")
 	for _, how := range []string{"SIGTERM", "replaced"} {
 		for _, disks := range []bool{true, false} {
 			took, err := handovers(e, how, disks)
@@ -20,7 +20,7 @@
 				return fmt.Errorf("%s: %w", how, err)
 			}
 			store := storeName(disks)
-			r.Row(table, how, 3, store, len(took), took.quantile(0.5), took.quantile(0.99), took.quantile(1))
+			r.AddRow(table, how, 3, store, len(took), took.quantile(0.5), took.quantile(0.99), took.quantile(1))
 			r.Check(took.quantile(0.99) <= 200, how+", "+store+": at most 200 ms without an owner at p99", fmt.Sprintf("%.0f ms", took.quantile(0.99)))
 		}
 	}
@@ -30,18 +30,18 @@
 // handovers shuts down or replaces one process after the other, and returns the milliseconds for which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, turns = 20, 8
-	r, err := NewRigWith(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, Sections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
+	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	var took samples
 	for turn := range turns {
-		if _, err := r.AllOwned(jobs); err != nil {
+		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
 		}
 		// One replica at a time, as docs/operate-ownership.md says.
-		if _, ok := Until(ownersWait, func() bool { return r.replicasReady(3, disks) }); !ok {
+		if _, ok := AwaitCondition(ownersWait, func() bool { return r.replicasReady(3, disks) }); !ok {
 			return nil, errors.New("the replicas are not ready")
 		}
 		time.Sleep(4 * time.Second)
@@ -49,7 +49,7 @@
 		if err := r.handOver(turn%5, how); err != nil {
 			return nil, err
 		}
-		if _, err := r.AllOwned(jobs); err != nil {
+		if _, err := r.AwaitJobsOwned(jobs); err != nil {
 			return nil, err
 		}
 		took = append(took, r.releaseGaps(old, startedAt)...)
@@ -64,7 +64,7 @@
 // replicasReady returns whether the replicas, which are the first processes, answer, and with disks are members that know a leader.
 func (r *Rig) replicasReady(replicas int, disks bool) bool {
 	for i := range replicas {
-		reply, err := r.Owners(i, owneragent.Request{Command: "status"})
+		reply, err := r.SendOwnerRequest(i, owneragent.Request{Command: "status"})
 		if err != nil || disks && (reply.Group == nil || reply.Group.Phase != "member" || reply.Group.Leader == "") {
 			return false
 		}
@@ -85,7 +85,7 @@
 
 // releaseGaps are the milliseconds from each release of a job by a process since a time until the job's next acquisition by any process.
 func (r *Rig) releaseGaps(by *Process, since time.Time) (gaps samples) {
-	for _, line := range by.Log("event=job_released ") {
+	for _, line := range by.LogLines("event=job_released ") {
 		released := logTime(line)
 		if released.Before(since) {
 			continue
@@ -103,7 +103,7 @@
 	defer r.mu.Unlock()
 	next := time.Duration(-1)
 	for _, p := range r.all {
-		for _, line := range p.Log("event=job_acquired ") {
+		for _, line := range p.LogLines("event=job_acquired ") {
 			if d := logTime(line).Sub(from); field(line, "job") == job && d >= 0 && (next < 0 || d < next) {
 				next = d
 			}
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -95,7 +95,7 @@
 		// No upstream host has this ID, so that the calls do not change placements.
 		c := operatorCall{host: fmt.Sprintf("other%d", rng.IntN(3)), kind: callKinds[rng.IntN(len(callKinds))]}
 		calledAt := time.Now()
-		reply, err := h.rig.Owners(3+rng.IntN(2), c.request())
+		reply, err := h.rig.SendOwnerRequest(3+rng.IntN(2), c.request())
 		h.record(client, c, calledAt, reply, err)
 	}
 }
@@ -181,7 +181,7 @@
 		time.Sleep(voterFaultLasts)
 		r.Procs[voter].Signal(syscall.SIGCONT)
 	case 2:
-		during(func(on bool) { r.Cut(voter, on) })
+		during(func(on bool) { r.SetCutOff(voter, on) })
 	case 3:
 		during(func(on bool) { r.Mesh.Set(voter, other, func(l *fake.Link) { l.Cut = on }) })
 	case 4:
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -43,7 +43,7 @@
 // either direction. Without the fence the first case has to be found.
 func ownerLate(e *Env, r *Report) error {
 	const table = "late owners: five processes, three replicas with disks"
-	r.Columns(table, "case", "fence", "jobs of late owners", "stale effects accepted", "rejected", "without an owner, median, worst")
+	r.StartTable(table, "case", "fence", "jobs of late owners", "stale effects accepted", "rejected", "without an owner, median, worst")
 	for _, c := range lateCases {
 		o, err := c.play(e, true)
 		if err != nil {
@@ -69,7 +69,7 @@
 	if n := len(o.gaps); n > 0 {
 		median, worst = o.gaps[n/2], o.gaps[n-1]
 	}
-	r.Row(table, name, fence, o.jobs, o.stale, o.rejected, fmt.Sprint(median.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
+	r.AddRow(table, name, fence, o.jobs, o.stale, o.rejected, fmt.Sprint(median.Round(time.Millisecond), ", ", worst.Round(time.Millisecond)))
 }
 
 // play makes the owners of many jobs late, on several rigs in parallel.
@@ -101,7 +101,7 @@
 		return outcome, err
 	}
 	defer r.Close()
-	owners, err := r.AllOwned(jobs)
+	owners, err := r.AwaitJobsOwned(jobs)
 	if err != nil {
 		return outcome, err
 	}
@@ -120,7 +120,7 @@
 		return outcome, err
 	}
 	time.Sleep(2 * time.Second)
-	if _, err := r.AllOwned(jobs); err != nil {
+	if _, err := r.AwaitJobsOwned(jobs); err != nil {
 		return outcome, err
 	}
 	if err := r.CheckTokens(); err != nil {
@@ -137,12 +137,12 @@
 // newLateRig starts five processes with many jobs, with the fence or without it.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
 	// Without a key: sealed datagrams that are 30 s late are rejected before they reach the fence, which is to be tested.
-	o := RigOptions{Processes: 5, Seed: seed, Level: "debug", Sections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
+	o := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
 		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=forget"}
 	}
-	return NewRigWith(&env, o)
+	return NewRigWithOptions(&env, o)
 }
 
 // lateOwner is a process that is made late, and the jobs that it owned before.
@@ -164,7 +164,7 @@
 
 // pauseBeforeSending has one job stop the process between the check of the lease and the effect; its other jobs stop anywhere.
 func (l *lateOwner) pauseBeforeSending() error {
-	if _, err := l.rig.Owners(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
+	if _, err := l.rig.SendOwnerRequest(l.process, owneragent.Request{Command: "late", Argument: l.jobs[0]}); err != nil {
 		return err
 	}
 	time.Sleep(lateFor)
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -18,40 +18,40 @@
 
 // Env is the environment of an experiment.
 type Env struct {
-	Croftlock string // path of the program
-	Earlier   string // path of an earlier build: hot restarts alternate between the two; "": all run Croftlock
-	Self      string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
-	Dir       string // for files; removed afterwards
-	Logf      func(format string, args ...any)
+	Croftlock    string // path of the program
+	EarlierBuild string // path of an earlier build: hot restarts alternate between the two; "": all run Croftlock
+	Self         string // path of croftlock-experiment, for the comparisons that it runs as a process of its own
+	Dir          string // for files; removed afterwards
+	Logf         func(format string, args ...any)
 }
 
 // Setup is the configuration, settings and environment of a proxy process.
 type Setup struct {
-	Name      string
-	Discovery string        // address
-	Pushed    bool          // lists are pushed, to an agent at the address Discovery
-	Known     fake.List     // the endpoint list that it starts with
-	Settings  string        // path of the settings file; "": none
-	Cores     float64       // part of a core that it may use; default 1
-	Sockets   int           // descriptors that it may hold; default 4096
-	MemoryMB  float64       // memory that it may hold; default 192
-	Connect   time.Duration // time limit of a connect; default 250 ms
-	Deadline  time.Duration // of a request; default 2 s
-	Classes   []Class       // none: one class of idempotent requests with that deadline
-	Args      []string      // further arguments of the command serve
-	Env       []string      // further environment, NAME=VALUE
-	Files     []*os.File    // descriptors that it inherits, from 3 on
-	Listen    string        // "": any address
-	Admin     string        // address of the admin interface; "": none
-	Tmp       string        // the platform's private folder; "": as this process has it
-	Program   string        // path; "": Env.Croftlock
-	Tier      Tier
+	Name           string
+	Discovery      string        // address
+	ListsPushed    bool          // lists are pushed, to an agent at the address Discovery
+	InitialList    fake.List     // the endpoint list that it starts with
+	Settings       string        // path of the settings file; "": none
+	Cores          float64       // part of a core that it may use; default 1
+	MaxDescriptors int           // descriptors that it may hold; default 4096
+	MemoryMB       float64       // memory that it may hold; default 192
+	ConnectTimeout time.Duration // time limit of a connect; default 250 ms
+	Deadline       time.Duration // of a request; default 2 s
+	Classes        []Class       // none: one class of idempotent requests with that deadline
+	Args           []string      // further arguments of the command serve
+	Env            []string      // further environment, NAME=VALUE
+	Files          []*os.File    // descriptors that it inherits, from 3 on
+	Listen         string        // "": any address
+	Admin          string        // address of the admin interface; "": none
+	TmpDir         string        // the platform's private folder; "": as this process has it
+	Program        string        // path; "": Env.Croftlock
+	Tier           Tier
 }
 
 // Tier is a proxy's place among the proxies of its tier; the zero value: it is alone.
 type Tier struct {
 	Peers  []string // addresses of all proxies of the tier, itself included
-	Number int      // its own place in Peers
+	Index  int      // its own place in Peers
 	Listen string   // where it is reached
 }
 
@@ -101,8 +101,8 @@
 	if s.Settings != "" {
 		args = append(args, "--settings", s.Settings)
 	}
-	if s.Tmp != "" {
-		s.Env = append(s.Env, "TMPDIR="+s.Tmp)
+	if s.TmpDir != "" {
+		s.Env = append(s.Env, "TMPDIR="+s.TmpDir)
 	}
 	if s.Program == "" {
 		s.Program = e.Croftlock
@@ -151,7 +151,7 @@
 	case p.Addr = <-ready:
 		return p, nil
 	case <-p.done:
-		return nil, fmt.Errorf("the process ended before it was ready: %s", strings.Join(p.Log(""), "; "))
+		return nil, fmt.Errorf("the process ended before it was ready: %s", strings.Join(p.LogLines(""), "; "))
 	case <-time.After(startLimit):
 		p.Kill()
 		return nil, fmt.Errorf("the process was not ready after %v", startLimit)
@@ -184,8 +184,8 @@
 // ConfigPath is the path of its configuration file.
 func (p *Process) ConfigPath() string { return filepath.Join(p.dir, "config.json") }
 
-// Log is every line of the log so far that contains the text.
-func (p *Process) Log(text string) []string {
+// LogLines is every line of the log so far that contains the text.
+func (p *Process) LogLines(text string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var lines []string
@@ -197,10 +197,10 @@
 	return lines
 }
 
-// Await waits for a log line that contains the text.
-func (p *Process) Await(text string, within time.Duration) bool {
+// AwaitLog waits for a log line that contains the text.
+func (p *Process) AwaitLog(text string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if len(p.Log(text)) > 0 {
+		if len(p.LogLines(text)) > 0 {
 			return true
 		}
 	}
--- a/internal/testbed/experiment/procstat.go
+++ b/internal/testbed/experiment/procstat.go
@@ -40,8 +40,8 @@
 	return true
 }
 
-// CPU is the time that all threads have run, by the scheduler's count in nanoseconds: that in /proc/PID/stat has hundredths of a second.
-func (p *Process) CPU() time.Duration {
+// CPUTime is the time that all threads have run, by the scheduler's count in nanoseconds: that in /proc/PID/stat has hundredths of a second.
+func (p *Process) CPUTime() time.Duration {
 	total := int64(0)
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	for _, f := range files {
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.setup = Setup{Name: "n0", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Tmp: tmp, Sockets: 1024}
+	s.setup = Setup{Name: "n0", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), TmpDir: tmp, MaxDescriptors: 1024}
 	if s.setup.Listen, err = FreeAddr(); err != nil {
 		return nil, err
 	}
@@ -64,15 +64,15 @@
 	with := s.setup
 	with.Admin = admin
 	s.started++
-	if s.Earlier != "" && s.started%2 == 0 {
-		with.Program = s.Earlier
+	if s.EarlierBuild != "" && s.started%2 == 0 {
+		with.Program = s.EarlierBuild
 	}
 	p, err := s.Proxy(with)
 	return p, admin, err
 }
 
-// Call is one call of the admin interface; a call that takes over 5 s is an error.
-func Call(admin, method, path string) (status int, body string, took time.Duration, err error) {
+// CallAdmin is one call of the admin interface; a call that takes over 5 s is an error.
+func CallAdmin(admin, method, path string) (status int, body string, took time.Duration, err error) {
 	startedAt := time.Now()
 	req, err := http.NewRequest(method, "http://"+admin+path, nil)
 	if err != nil {
@@ -88,11 +88,11 @@
 	return resp.StatusCode, string(data), time.Since(startedAt), err
 }
 
-// Ready waits until a process's admin interface reports it ready.
-func Ready(admin string, within time.Duration) error {
+// AwaitReady waits until a process's admin interface reports it ready.
+func AwaitReady(admin string, within time.Duration) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < within {
-		if status, _, _, err := Call(admin, "GET", "/v1/readyz"); err == nil && status == 200 {
+		if status, _, _, err := CallAdmin(admin, "GET", "/v1/readyz"); err == nil && status == 200 {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -149,7 +149,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	if err = Ready(admin, upgradeTimeout); err != nil {
+	if err = AwaitReady(admin, upgradeTimeout); err != nil {
 		return 0, 0, err
 	}
 	readyIn = time.Since(started)
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -41,8 +41,8 @@
 	Measured string `json:"Got"` // value, as text
 }
 
-// Columns starts the table with the given title, unless it has been started.
-func (r *Report) Columns(title string, names ...string) {
+// StartTable starts the table with the given title, unless it has been started.
+func (r *Report) StartTable(title string, names ...string) {
 	for _, t := range r.Tables {
 		if t.Title == title {
 			return
@@ -51,8 +51,8 @@
 	r.Tables = append(r.Tables, Table{Title: title, Head: names})
 }
 
-// Row adds a row to the table with the given title, which Columns has started.
-func (r *Report) Row(title string, cells ...any) {
+// AddRow adds a row to the table with the given title, which StartTable has added.
+func (r *Report) AddRow(title string, cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
 		row[i] = text(c)
@@ -79,8 +79,8 @@
 	return strings.ReplaceAll(fmt.Sprint(x), "\t", " ")
 }
 
-// Set adds a value to the result line.
-func (r *Report) Set(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
+// AddValue adds a value to the result line.
+func (r *Report) AddValue(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
 
 // Check adds a bound, whether it was kept, and the measured value.
 func (r *Report) Check(kept bool, what string, measured any) {
--- a/internal/testbed/experiment/report_test.go
+++ b/internal/testbed/experiment/report_test.go
@@ -10,7 +10,7 @@
 func TestReportForms(t *testing.T) {
 	r := &Report{Name: "trial"}
 	r.Check(true, "a bound", 3)
-	r.Set("rate", samples{1, 2, 3})
+	r.AddValue("rate", samples{1, 2, 3})
 	data, err := json.Marshal(r.Bounds)
 	if err != nil || string(data) != `[{"What":"a bound","OK":true,"Got":"3"}]` {
 		t.Errorf("bounds as JSON: %s, %v", data, err)
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -30,12 +30,12 @@
 
 // RigOptions configure a rig's processes.
 type RigOptions struct {
-	Processes int        // number of processes
-	Seed      uint64     // of the mesh's random faults
-	Key       string     // seals the datagrams between the processes; "": they are not sealed
-	Sections  string     // further sections of the settings file; DIR stands for a folder of each process's own
-	Level     string     // of the log; "": info
-	Upstreams *upstreams // hosts with their discovery; nil: Discovery, Discoveries, or none that answers
+	Processes        int        // number of processes
+	Seed             uint64     // of the mesh's random faults
+	Key              string     // seals the datagrams between the processes; "": they are not sealed
+	SettingsSections string     // further sections of the settings file; DIR stands for a folder of each process's own
+	LogLevel         string     // of the log; "": info
+	Upstreams        *upstreams // hosts with their discovery; nil: Discovery, Discoveries, or none that answers
 	// Discovery is that of all processes.
 	Discovery *fake.Discovery
 	// Discoveries are one for each process, so that their lists can differ.
@@ -46,13 +46,13 @@
 // NewRig starts n processes that reach one another through a mesh; env is added to each one's environment. key seals the datagrams between
 // them; "": they are not sealed.
 func NewRig(e *Env, n int, seed uint64, key string, env ...string) (*Rig, error) {
-	return NewRigWith(e, RigOptions{Processes: n, Seed: seed, Key: key, Env: env})
+	return NewRigWithOptions(e, RigOptions{Processes: n, Seed: seed, Key: key, Env: env})
 }
 
-// NewRigWith starts processes that reach one another through a mesh.
-func NewRigWith(e *Env, o RigOptions) (*Rig, error) {
-	if o.Level == "" {
-		o.Level = "info"
+// NewRigWithOptions starts processes that reach one another through a mesh.
+func NewRigWithOptions(e *Env, o RigOptions) (*Rig, error) {
+	if o.LogLevel == "" {
+		o.LogLevel = "info"
 	}
 	if len(o.Discoveries) > 0 && len(o.Discoveries) != o.Processes {
 		return nil, fmt.Errorf("%d discoveries for %d processes", len(o.Discoveries), o.Processes)
@@ -99,8 +99,8 @@
 		return Setup{}, err
 	}
 	discovery, known := o.hosts(i)
-	return Setup{Program: r.env.programFor(o.Sections), Listen: listen, Tmp: tmp, Name: simulation.Name(i), Discovery: discovery, Known: known,
-		Settings: settings, Cores: 0.5, Sockets: 1024, MemoryMB: 64, Env: o.Env}, nil
+	return Setup{Program: r.env.programFor(o.SettingsSections), Listen: listen, TmpDir: tmp, Name: simulation.Name(i), Discovery: discovery, InitialList: known,
+		Settings: settings, Cores: 0.5, MaxDescriptors: 1024, MemoryMB: 64, Env: o.Env}, nil
 }
 
 // writeSettings writes process i's settings file and returns its path.
@@ -114,9 +114,9 @@
 		keys = fmt.Sprintf(" (keys %q)", path)
 	}
 	peers := strings.Join(r.Mesh.Peers(i), " ")
-	text := fmt.Sprintf("(log (level %s) (repeat 0))\n", o.Level) +
+	text := fmt.Sprintf("(log (level %s) (repeat 0))\n", o.LogLevel) +
 		fmt.Sprintf("(membership (on on) (fleet lab) (listen %q) (peers %q) (socket %q)%s)\n", r.Mesh.Own(i), peers, r.socket(i), keys) +
-		strings.ReplaceAll(o.Sections, "DIR", r.Dir(i)) + "\n"
+		strings.ReplaceAll(o.SettingsSections, "DIR", r.Dir(i)) + "\n"
 	path := filepath.Join(r.dir, fmt.Sprintf("n%d.sexp", i))
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
@@ -175,7 +175,7 @@
 	if err := r.Start(i); err != nil {
 		return err
 	}
-	if err := Ready(r.admin[i], 20*time.Second); err != nil {
+	if err := AwaitReady(r.admin[i], 20*time.Second); err != nil {
 		return err
 	}
 	return old.Stop()
@@ -187,20 +187,20 @@
 	if suspended {
 		action = "suspend"
 	}
-	status, body, _, err := Call(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+action)
+	status, body, _, err := CallAdmin(r.admin[i], "POST", "/v1/catalogue-servers/s0/"+action)
 	if err == nil && status != 200 {
 		err = fmt.Errorf("%s: %d %s", action, status, body)
 	}
 	return err
 }
 
-// MemberReport requests a process's view of the members.
-func (r *Rig) MemberReport(i int) (memberagent.Report, error) {
+// RequestMemberReport requests a process's view of the members.
+func (r *Rig) RequestMemberReport(i int) (memberagent.Report, error) {
 	return memberagent.RequestReport(r.socket(i))
 }
 
-// Owners sends a request to a process's owner agent.
-func (r *Rig) Owners(i int, q owneragent.Request) (owneragent.Reply, error) {
+// SendOwnerRequest sends a request to a process's owner agent.
+func (r *Rig) SendOwnerRequest(i int, q owneragent.Request) (owneragent.Reply, error) {
 	return owneragent.SendRequest(filepath.Join(r.Dir(i), "owners.sock"), q)
 }
 
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -19,8 +19,8 @@
 	run      func() error
 }
 
-// Play plays a plan's faults on the processes, and returns once the last one has ended.
-func (r *Rig) Play(plan []simulation.Fault) error {
+// PlayFaults plays a plan's faults on the processes, and returns once the last one has ended.
+func (r *Rig) PlayFaults(plan []simulation.Fault) error {
 	var steps []planStep
 	for _, f := range plan {
 		begin, end, err := r.effect(f)
@@ -139,8 +139,8 @@
 	}
 }
 
-// Cut cuts a process off from all others, in both directions, or ends that.
-func (r *Rig) Cut(i int, on bool) {
+// SetCutOff cuts a process off from all others, in both directions, or ends that.
+func (r *Rig) SetCutOff(i int, on bool) {
 	r.setLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -43,7 +43,7 @@
 		if slices.Contains(except, i) {
 			continue
 		}
-		reply, err := r.Owners(i, owneragent.Request{Command: "owners"})
+		reply, err := r.SendOwnerRequest(i, owneragent.Request{Command: "owners"})
 		if err != nil {
 			return nil, err.Error()
 		}
@@ -60,11 +60,11 @@
 	return owners, ""
 }
 
-// AllOwned waits until so many jobs have one owner each among all processes except some.
-func (r *Rig) AllOwned(jobs int, except ...int) (map[string]int, error) {
+// AwaitJobsOwned waits until so many jobs have one owner each among all processes except some.
+func (r *Rig) AwaitJobsOwned(jobs int, except ...int) (map[string]int, error) {
 	var owners map[string]int
 	conflict := ""
-	if _, ok := Until(ownersWait, func() bool {
+	if _, ok := AwaitCondition(ownersWait, func() bool {
 		owners, conflict = r.JobOwners(except...)
 		return len(owners) >= jobs
 	}); !ok {
@@ -80,7 +80,7 @@
 	acquiredBy := map[string]string{} // by job and token
 	for incarnation, p := range r.all {
 		process := fmt.Sprintf("incarnation %d, at %s", incarnation, p.Addr)
-		for _, line := range p.Log("event=job_acquired ") {
+		for _, line := range p.LogLines("event=job_acquired ") {
 			key := field(line, "job") + " " + field(line, "token")
 			if other, acquired := acquiredBy[key]; acquired && other != process {
 				return fmt.Errorf("token %s was acquired by %s and by %s", key, other, process)
@@ -110,7 +110,7 @@
 
 // acquired are the times at which a process acquired a job, from a time on.
 func (r *Rig) acquired(i int, job string, from time.Time) (times []time.Time) {
-	for _, l := range r.Procs[i].Log("event=job_acquired ") {
+	for _, l := range r.Procs[i].LogLines("event=job_acquired ") {
 		if t := logTime(l); field(l, "job") == job && !t.Before(from.Truncate(time.Millisecond)) {
 			times = append(times, t)
 		}
@@ -124,7 +124,7 @@
 	defer r.mu.Unlock()
 	gaps := map[string]time.Duration{}
 	for _, p := range r.all {
-		for _, l := range p.Log("event=job_acquired ") {
+		for _, l := range p.LogLines("event=job_acquired ") {
 			at, job := logTime(l), field(l, "job")
 			if !at.After(since) || !slices.Contains(jobs, job) {
 				continue
@@ -144,14 +144,14 @@
 	defer r.mu.Unlock()
 	for _, p := range r.all {
 		newest := map[string]uint64{}
-		for _, l := range p.Log("event=drill_taken ") {
+		for _, l := range p.LogLines("event=drill_taken ") {
 			job, token := field(l, "job"), tokenOf(l)
 			if token < newest[job] {
 				accepted++
 			}
 			newest[job] = max(newest[job], token)
 		}
-		rejected += len(p.Log("event=stale_effect_rejected "))
+		rejected += len(p.LogLines("event=stale_effect_rejected "))
 	}
 	return accepted, rejected
 }
@@ -171,7 +171,7 @@
 	defer r.mu.Unlock()
 	spans := map[string]map[uint64]effectSpan{}
 	for _, p := range r.all {
-		for _, l := range p.Log("event=drill_taken ") {
+		for _, l := range p.LogLines("event=drill_taken ") {
 			job, at, token := field(l, "job"), logTime(l), tokenOf(l)
 			if spans[job] == nil {
 				spans[job] = map[uint64]effectSpan{}
--- a/internal/testbed/experiment/rigplan.go
+++ b/internal/testbed/experiment/rigplan.go
@@ -10,9 +10,9 @@
 	"croftlock/internal/operations/settings"
 )
 
-// ReadPlan parses a plan of faults: S-expressions as simulation.Fault prints them, times in milliseconds. An error names the file and the
+// ParsePlan parses a plan of faults: S-expressions as simulation.Fault prints them, times in milliseconds. An error names the file and the
 // position.
-func ReadPlan(name string, data []byte, processes int) ([]simulation.Fault, error) {
+func ParsePlan(name string, data []byte, processes int) ([]simulation.Fault, error) {
 	root, faults := settings.Parse(name, data)
 	if err := faults.Err(); err != nil {
 		return nil, err
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// PlanText is a plan in the form that ReadPlan parses.
-func PlanText(plan []simulation.Fault) string {
+// FormatPlan is a plan in the form that ParsePlan accepts.
+func FormatPlan(plan []simulation.Fault) string {
 	var b bytes.Buffer
 	for _, p := range plan {
 		fmt.Fprintln(&b, p)
--- a/internal/testbed/experiment/rigplan_test.go
+++ b/internal/testbed/experiment/rigplan_test.go
@@ -9,7 +9,7 @@
 // TestPlanReadsAsPrinted: a printed plan is parsed as the same plan.
 func TestPlanReadsAsPrinted(t *testing.T) {
 	plan := []simulation.Fault{{Kind: "cut", StartMS: 100, DurationMS: 2000, Process: 1}, {Kind: "loss", StartMS: 5, DurationMS: 7, Amount: 0.25}}
-	got, err := ReadPlan("plan", []byte(PlanText(plan)), 3)
+	got, err := ParsePlan("plan", []byte(FormatPlan(plan)), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		{"(cut (a 3))", "a process under 3 and a part up to 1 are possible"},
 		{"(loss (part 2))", "a process under 3 and a part up to 1 are possible"},
 	} {
-		_, err := ReadPlan("plan", []byte(c.plan), 3)
+		_, err := ParsePlan("plan", []byte(c.plan), 3)
 		if err == nil || err.Error() != "plan:{1 1}: "+c.want {
 			t.Errorf("plan %s: error %v, want plan:{1 1}: %s", c.plan, err, c.want)
 		}
--- a/internal/testbed/experiment/rigview.go
+++ b/internal/testbed/experiment/rigview.go
@@ -7,9 +7,9 @@
 	"croftlock/internal/fleet/membership"
 )
 
-// Sees is the state of process j in the view of process i; "" where i does not answer.
-func (r *Rig) Sees(i, j int) string {
-	report, err := r.MemberReport(i)
+// MemberState is the state of process j in the view of process i; "" where i does not answer.
+func (r *Rig) MemberState(i, j int) string {
+	report, err := r.RequestMemberReport(i)
 	if err != nil {
 		return ""
 	}
@@ -21,8 +21,8 @@
 	return membership.Joining.String()
 }
 
-// Until waits for a condition to hold; it returns how long that took, and whether it held within the time.
-func Until(within time.Duration, holds func() bool) (time.Duration, bool) {
+// AwaitCondition waits for a condition to hold; it returns how long that took, and whether it held within the time.
+func AwaitCondition(within time.Duration, holds func() bool) (time.Duration, bool) {
 	startedAt := time.Now()
 	for !holds() {
 		if time.Since(startedAt) > within {
@@ -33,11 +33,11 @@
 	return time.Since(startedAt), true
 }
 
-// AllSee waits until process j has one of the states in the view of each other process of observers.
-func (r *Rig) AllSee(within time.Duration, observers []int, j int, states ...string) (time.Duration, bool) {
-	return Until(within, func() bool {
+// AwaitMemberState waits until process j has one of the states in the view of each other process of observers.
+func (r *Rig) AwaitMemberState(within time.Duration, observers []int, j int, states ...string) (time.Duration, bool) {
+	return AwaitCondition(within, func() bool {
 		for _, i := range observers {
-			if i != j && !slices.Contains(states, r.Sees(i, j)) {
+			if i != j && !slices.Contains(states, r.MemberState(i, j)) {
 				return false
 			}
 		}
@@ -45,12 +45,12 @@
 	})
 }
 
-// AllAlive waits until all processes see all others alive.
-func (r *Rig) AllAlive(within time.Duration) (time.Duration, bool) {
-	return Until(within, func() bool {
+// AwaitAllAlive waits until all processes see all others alive.
+func (r *Rig) AwaitAllAlive(within time.Duration) (time.Duration, bool) {
+	return AwaitCondition(within, func() bool {
 		for i := range r.Procs {
 			for j := range r.Procs {
-				if i != j && r.Sees(i, j) != "alive" {
+				if i != j && r.MemberState(i, j) != "alive" {
 					return false
 				}
 			}
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -34,7 +34,7 @@
 // with a planted fault, a lease that is counted for ten times its time, which the checker has to find.
 func rulesAgree(e *Env, r *Report) error {
 	const table = "rules among five processes, three replicas without disks, agree_within 1 s"
-	r.Columns(table, "case", "changes active", "active within, p50 p99", "decisions", "two versions at once, p99, longest", "no answer", "placed, p50 p99")
+	r.StartTable(table, "case", "changes active", "active within, p50 p99", "decisions", "two versions at once, p99, longest", "no answer", "placed, p50 p99")
 	var baseline *rulesOutcome
 	for _, c := range rulesCases {
 		o, err := c.play(e)
@@ -45,7 +45,7 @@
 			baseline = o
 		}
 		over, longest := o.overlaps()
-		r.Row(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions,
+		r.AddRow(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions,
 			fmt.Sprint(percentile(over, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
 		c.check(r, o, baseline)
 		if c.planted == "" {
@@ -108,9 +108,9 @@
 	i := rng.IntN(5)
 	switch rng.IntN(3) {
 	case 0:
-		g.Cut(i, true)
+		g.SetCutOff(i, true)
 		time.Sleep(time.Duration(300+rng.IntN(3700)) * time.Millisecond)
-		g.Cut(i, false)
+		g.SetCutOff(i, false)
 	case 1:
 		g.pause(i, time.Duration(300+rng.IntN(1500))*time.Millisecond)
 	case 2:
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -51,7 +51,7 @@
 // rulesCut plays each cut, pause and death of a process beside a change, and checks that versions overlap no longer than agree_within and
 // that all agree soon after the fault.
 func rulesCut(e *Env, r *Report) error {
-	r.Columns(rulesCutTable, "fault", "turns", "active after, p50 p99", "unknown, rejected", "all agree after its end, p50 p99", "two versions at once, longest", "no answer")
+	r.StartTable(rulesCutTable, "fault", "turns", "active after, p50 p99", "unknown, rejected", "all agree after its end, p50 p99", "two versions at once, longest", "no answer")
 	for _, s := range cutSuites() {
 		if err := s.play(e, r); err != nil {
 			return err
@@ -81,7 +81,7 @@
 	outcome := g.finish()
 	_, longest := outcome.overlaps()
 	for i, o := range outcomes {
-		r.Row(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals), longest, outcome.unanswered)
+		r.AddRow(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals), longest, outcome.unanswered)
 	}
 	r.Check(longest <= agreeWithin, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
 	r.Check(outcome.unanswered == 0, s.name+": each request gets an answer", outcome.unanswered)
@@ -180,7 +180,7 @@
 
 // retryChange retries a change whose outcome is unknown until it is active: a change is idempotent.
 func (g *rulesRig) retryChange(via int, change []byte) error {
-	if _, ok := Until(ownersWait, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
+	if _, ok := AwaitCondition(ownersWait, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
 		return fmt.Errorf("a change of unknown outcome fails after the fault: %s", g.query(via, change))
 	}
 	return nil
@@ -226,7 +226,7 @@
 // awaitAgreement waits until all act by one version, and returns it.
 func (g *rulesRig) awaitAgreement(via int) (version uint64, err error) {
 	answer := ""
-	if _, ok := Until(ownersWait, func() bool {
+	if _, ok := AwaitCondition(ownersWait, func() bool {
 		answer = g.query(via, rules.QueryActive())
 		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -32,7 +32,7 @@
 	var decisions []ruleDecision
 	first := map[int]time.Time{} // first decision, by version
 	for _, p := range all {
-		for _, l := range p.Log("event=rules_applied") {
+		for _, l := range p.LogLines("event=rules_applied") {
 			if field(l, "lapsed") == "true" {
 				o.lapsedDecisions++
 				continue
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -33,11 +33,11 @@
 	if g.hosts, err = fake.NewHosts("z", "s0", "s1", "s2", "s3"); err != nil {
 		return nil, err
 	}
-	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, Level: "debug", Discovery: g.hosts.Discovery, Sections: sections}
+	env, o := *e, RigOptions{Processes: 5, Seed: 11, Key: sealKey, LogLevel: "debug", Discovery: g.hosts.Discovery, SettingsSections: sections}
 	if planted != "" {
 		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=" + planted}
 	}
-	if g.Rig, err = NewRigWith(&env, o); err != nil {
+	if g.Rig, err = NewRigWithOptions(&env, o); err != nil {
 		return nil, err
 	}
 	if _, err := g.awaitAgreement(0); err != nil {
@@ -59,7 +59,7 @@
 
 // query sends a query to the rules' publisher through process i, and returns the answer or the error.
 func (g *rulesRig) query(i int, body []byte) string {
-	reply, err := g.Owners(i, owneragent.Request{Command: "rules", Rules: body})
+	reply, err := g.SendOwnerRequest(i, owneragent.Request{Command: "rules", Rules: body})
 	if err != nil {
 		return "unknown: " + err.Error()
 	}
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -119,8 +119,8 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return err
 	}
-	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(proxyAddress, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, Sockets: 1024,
-		Connect: 250 * time.Millisecond, Tmp: dir}
+	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(proxyAddress, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, MaxDescriptors: 1024,
+		ConnectTimeout: 250 * time.Millisecond, TmpDir: dir}
 	if f.options.Logs != "" {
 		n.setup.Settings = filepath.Join(f.env.Dir, "debug.sexp")
 		if err := os.WriteFile(n.setup.Settings, []byte("(log (level debug) (repeat 0))"), 0o600); err != nil {
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -54,8 +54,8 @@
 // start starts a process. Its list is the last that was written to the proxy, and its address its predecessor's.
 func (n *Node) start() error {
 	setup := n.setup
-	setup.Discovery, setup.Known = n.discovery[n.activeDiscovery].Addr(), n.lastKnownList()
-	if setup.Tmp != "" {
+	setup.Discovery, setup.InitialList = n.discovery[n.activeDiscovery].Addr(), n.lastKnownList()
+	if setup.TmpDir != "" {
 		admin, err := experiment.FreeAddr()
 		if err != nil {
 			return err
@@ -63,7 +63,7 @@
 		setup.Admin = admin
 	}
 	process := &incarnation{node: n, admin: setup.Admin, name: fmt.Sprintf("n%d.%d", n.number, len(n.incarnations)), startedAt: time.Now()}
-	n.recordList([]*incarnation{process}, setup.Known, "its configuration")
+	n.recordList([]*incarnation{process}, setup.InitialList, "its configuration")
 	n.mu.Lock()
 	n.incarnations = append(n.incarnations, process) // before it is ready: lists are written to it from its first call on
 	n.mu.Unlock()
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -166,7 +166,7 @@
 
 // checkProcess checks a process's log and how it ended.
 func (o *oracle) checkProcess(p *incarnation) {
-	for _, line := range p.proc.Log("") {
+	for _, line := range p.proc.LogLines("") {
 		if strings.Contains(line, "event=invariant_broken") || strings.Contains(line, "event=panic") {
 			o.violate(OwnCheckFailed, "%s: %s", p.name, line[:min(len(line), 300)])
 		}
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -107,7 +107,7 @@
 				continue
 			}
 			head := fmt.Sprintf("%s started %s", process, process.startedAt.UTC().Format("15:04:05.000000"))
-			if err := write(process.name+".log", append([]string{head}, process.proc.Log("")...)); err != nil {
+			if err := write(process.name+".log", append([]string{head}, process.proc.LogLines("")...)); err != nil {
 				return err
 			}
 		}
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(hosts.Close)
 	s := &shutdownTest{deadline: deadline, hosts: hosts.Servers}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: t.TempDir()}
-	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: hosts.Discovery.Addr(), Known: hosts.Discovery.List(), Deadline: deadline,
+	s.proxy, err = env.Proxy(experiment.Setup{Name: "n0", Discovery: hosts.Discovery.Addr(), InitialList: hosts.Discovery.List(), Deadline: deadline,
 		Env: []string{asProgram + "=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -66,9 +66,9 @@
 // establish sends requests until n are served; some may be rejected before.
 func (s *shutdownTest) establish(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
-	_, ok := experiment.Until(20*time.Second, func() bool {
+	_, ok := experiment.AwaitCondition(20*time.Second, func() bool {
 		c := s.request(t, 1)[0]
-		experiment.Until(s.deadline+time.Second, func() bool { return c.Outcome().Answer != Unanswered })
+		experiment.AwaitCondition(s.deadline+time.Second, func() bool { return c.Outcome().Answer != Unanswered })
 		if c.Outcome().Answer == Served {
 			connections = append(connections, c)
 		}
@@ -137,9 +137,9 @@
 	}
 	if len(notMigrated) > 0 || unanswered > 0 {
 		t.Errorf("of %d established connections not migrated, by their end: %v; of %d requests without an answer: %d; log:\n%s", len(established),
-			notMigrated, len(waiting), unanswered, strings.Join(s.proxy.Log("event="), "\n"))
+			notMigrated, len(waiting), unanswered, strings.Join(s.proxy.LogLines("event="), "\n"))
 	}
-	if stopped := s.proxy.Log("event=stopped"); len(stopped) == 0 {
+	if stopped := s.proxy.LogLines("event=stopped"); len(stopped) == 0 {
 		t.Errorf("the process did not end by itself")
 	}
 }
--- a/internal/testbed/experiment/soak/suspensions.go
+++ b/internal/testbed/experiment/soak/suspensions.go
@@ -67,7 +67,7 @@
 	if process == nil || process.isStopping() {
 		return false
 	}
-	status, _, _, err := experiment.Call(process.admin, "POST", "/v1/catalogue-servers/"+host+"/"+action)
+	status, _, _, err := experiment.CallAdmin(process.admin, "POST", "/v1/catalogue-servers/"+host+"/"+action)
 	return err == nil && status == 200
 }
 
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -79,10 +79,10 @@
 	plays.Wait()
 	bytes, bad := int64(0), 0
 	const title = "faulty servers; the client waits 2 s, connects may take 0.25 s"
-	r.Columns(title, "server", "client's answer", "after", "logged reason", "connections", "readable request bytes", "as expected")
+	r.StartTable(title, "server", "client's answer", "after", "logged reason", "connections", "readable request bytes", "as expected")
 	for i, o := range outcomes {
 		ok := cases[i].asExpected(o)
-		r.Row(title, cases[i].server.Kind, o.answer, o.took, o.reasonText(), o.connections, o.requestBytes, ok)
+		r.AddRow(title, cases[i].server.Kind, o.answer, o.took, o.reasonText(), o.connections, o.requestBytes, ok)
 		bytes += o.requestBytes
 		if !ok {
 			bad++
@@ -90,8 +90,8 @@
 	}
 	r.Check(bad == 0, "every case ends in the expected outcome and reason", fmt.Sprintf("%d of %d do not", bad, len(cases)))
 	r.Check(bytes == 0, "no server could read a byte of a request", bytes)
-	r.Set("servers", len(cases))
-	r.Set("request_bytes_seen", bytes)
+	r.AddValue("servers", len(cases))
+	r.AddValue("request_bytes_seen", bytes)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 		return o, err
 	}
 	defer d.Close()
-	p, err := e.Proxy(Setup{Name: c.server.Kind, Discovery: d.Addr(), Known: d.List(), Settings: settings})
+	p, err := e.Proxy(Setup{Name: c.server.Kind, Discovery: d.Addr(), InitialList: d.List(), Settings: settings})
 	if err != nil {
 		return o, err
 	}
@@ -136,14 +136,14 @@
 		client.Close()
 	}
 	if c.reason != "" {
-		p.Await(" reason=", 2*time.Second) // the log may arrive after the answer
+		p.AwaitLog(" reason=", 2*time.Second) // the log may arrive after the answer
 	}
 	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Took}, err
 }
 
 // firstReason is the reason of the first failed handshake in a proxy's log, or else of the first fault of its own files.
 func firstReason(p *Process) string {
-	lines := append(p.Log("event=tls_failed"), p.Log("event=tls_own_fault")...)
+	lines := append(p.LogLines("event=tls_failed"), p.LogLines("event=tls_own_fault")...)
 	if len(lines) == 0 {
 		return ""
 	}
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -74,9 +74,9 @@
 // reportCosts writes the table, the bounds and the values; results are by variant.
 func reportCosts(r *Report, results []costSeries) {
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
-	r.Columns(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
+	r.StartTable(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
 	for i, x := range results {
-		r.Row(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
+		r.AddRow(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
 	}
 	plain, full, resumed, relay := results[costPlain], results[costFull], results[costResumed], results[costRelayTLS]
 	r.Check(resumed.memory.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memory)
@@ -84,13 +84,13 @@
 		fmt.Sprintf("%v against %v us", resumed.line, relay.line))
 	r.Check(resumed.open.median() < full.open.median(), "a resumed handshake costs less than a full one",
 		fmt.Sprintf("%v against %v ms", resumed.open, full.open))
-	r.Set("open_plain_ms", plain.open.median())
-	r.Set("open_full_ms", full.open.median())
-	r.Set("open_resumed_ms", resumed.open.median())
-	r.Set("line_plain_us", plain.line.median())
-	r.Set("line_tls_us", resumed.line.median())
-	r.Set("line_goroutines_us", relay.line.median())
-	r.Set("idle_kib", resumed.memory.median())
+	r.AddValue("open_plain_ms", plain.open.median())
+	r.AddValue("open_full_ms", full.open.median())
+	r.AddValue("open_resumed_ms", resumed.open.median())
+	r.AddValue("line_plain_us", plain.line.median())
+	r.AddValue("line_tls_us", resumed.line.median())
+	r.AddValue("line_goroutines_us", relay.line.median())
+	r.AddValue("idle_kib", resumed.memory.median())
 }
 
 // cost is the cost of one variant.
@@ -152,7 +152,7 @@
 			return nil, err
 		}
 	}
-	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings})
+	return e.Proxy(Setup{Name: "cost", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings})
 }
 
 func (v costVariant) startRelay(e *Env, f *upstreams) (*Process, error) {
@@ -183,7 +183,7 @@
 	for i := range warmUp + opens {
 		if i == warmUp {
 			time.Sleep(100 * time.Millisecond)
-			before = p.CPU()
+			before = p.CPUTime()
 		}
 		client, a, err := openOne(p)
 		if err != nil {
@@ -195,14 +195,14 @@
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
-	return float64(p.CPU()-before) / 1e6 / opens, times.median(), nil
+	return float64(p.CPUTime()-before) / 1e6 / opens, times.median(), nil
 }
 
 // lineCost has all clients in parallel send lines one after the other: microseconds of CPU a line.
 func lineCost(p *Process, clients []*fake.Client) (float64, error) {
 	const lines = 500
 	errs := make(chan error, len(clients))
-	before := p.CPU()
+	before := p.CPUTime()
 	for _, c := range clients {
 		go func() { errs <- sendLines(c, lines) }()
 	}
@@ -211,7 +211,7 @@
 			return 0, err
 		}
 	}
-	return float64(p.CPU()-before) / 1e3 / float64(lines*len(clients)), nil
+	return float64(p.CPUTime()-before) / 1e3 / float64(lines*len(clients)), nil
 }
 
 func sendLines(c *fake.Client, n int) error {
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	const title = "one handshake, microseconds that each side computes, median (10% to 90%) of 300"
-	r.Columns(title, "key exchange", "kind", "client", "server")
+	r.StartTable(title, "key exchange", "kind", "client", "server")
 	for _, x := range []struct {
 		name string
 		id   tls.CurveID
@@ -41,7 +41,7 @@
 			if resumed {
 				kind = "resumed"
 			}
-			r.Row(title, x.name, kind, clients.spread(0), servers.spread(0))
+			r.AddRow(title, x.name, kind, clients.spread(0), servers.spread(0))
 		}
 	}
 	return verification(r, pki)
@@ -90,7 +90,7 @@
 		return err
 	}
 	const title = "verification of one chain, microseconds, median (10% to 90%) of 300"
-	r.Columns(title, "how", "time")
+	r.StartTable(title, "how", "time")
 	var first, again samples
 	for range 300 {
 		m, err := upstreamtls.Load(upstreamtls.Options{Trust: []string{trust}}, 1)
@@ -105,8 +105,8 @@
 			*s = append(*s, float64(time.Since(startedAt))/1e3)
 		}
 	}
-	r.Row(title, "first in its epoch", first.spread(1))
-	r.Row(title, "cached", again.spread(1))
+	r.AddRow(title, "first in its epoch", first.spread(1))
+	r.AddRow(title, "cached", again.spread(1))
 	return nil
 }
 
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -40,8 +40,8 @@
 	if err != nil {
 		return err
 	}
-	p, err := e.Proxy(Setup{Name: "rotation", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings,
-		Connect: 800 * time.Millisecond, Deadline: rotationWait})
+	p, err := e.Proxy(Setup{Name: "rotation", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings,
+		ConnectTimeout: 800 * time.Millisecond, Deadline: rotationWait})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 
 // underLoad makes the replacements under load, and returns how many the proxy used too late.
 func (t *rotation) underLoad(r *Report) (late int, err error) {
-	r.Columns(rotationTable, "at", "what", "taken after", "epoch")
+	r.StartTable(rotationTable, "at", "what", "taken after", "epoch")
 	finished := make(chan error, 1)
 	go func() {
 		var err error
@@ -151,13 +151,13 @@
 				late++
 			}
 		}
-		r.Row(rotationTable, at.Sub(startedAt), step.what, taken, t.filesTaken()+1)
+		r.AddRow(rotationTable, at.Sub(startedAt), step.what, taken, t.filesTaken()+1)
 	}
 	return late, nil
 }
 
 // filesTaken is how often the proxy has reloaded files.
-func (t *rotation) filesTaken() int { return len(t.proxy.Log("event=tls_files_taken")) }
+func (t *rotation) filesTaken() int { return len(t.proxy.LogLines("event=tls_files_taken")) }
 
 // awaitTaken waits until the proxy has reloaded files once more, up to a second beyond the limit, and returns how long that took.
 func (t *rotation) awaitTaken(before int) time.Duration {
@@ -178,10 +178,10 @@
 		}
 	}
 	full, resumed := t.upstreams.handshakes()
-	rejected := len(t.proxy.Log("event=tls_files_kept"))
+	rejected := len(t.proxy.LogLines("event=tls_files_kept"))
 	c, a := t.persistent, t.shortLived
-	r.Columns("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
-	r.Row("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
+	r.StartTable("new connections", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99 ms")
+	r.AddRow("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
 	c.stopping.Store(true)
 	ended := t.proxy.Stop()
 	total := int(rotationRate * rotationSpan.Seconds())
@@ -190,13 +190,13 @@
 		fmt.Sprintf("%d established, %d lost, %d migrated %s", established, len(c.lost), c.migrations, firstLosses(c.lost)))
 	r.Check(len(serials) == 3, "the servers saw the three client certificates", len(serials))
 	r.Check(late == 0 && rejected >= 1, "files are used within 2 s; an incomplete bundle is logged and not used", fmt.Sprintf("%d late, %d logged", late, rejected))
-	failed := len(t.proxy.Log("event=tls_failed"))
+	failed := len(t.proxy.LogLines("event=tls_failed"))
 	r.Check(failed == 0, "no handshake failed", failed)
 	r.Check(ended == nil, "the proxy shut down without an error", fmt.Sprint(ended))
-	r.Set("opened", total)
-	r.Set("failed", total-a.count("UP"))
-	r.Set("lost", len(c.lost))
-	r.Set("full", full)
-	r.Set("resumed", resumed)
-	r.Set("p99_ms", a.milliseconds.quantile(0.99))
+	r.AddValue("opened", total)
+	r.AddValue("failed", total-a.count("UP"))
+	r.AddValue("lost", len(c.lost))
+	r.AddValue("full", full)
+	r.AddValue("resumed", resumed)
+	r.AddValue("p99_ms", a.milliseconds.quantile(0.99))
 }
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -118,8 +118,8 @@
 			return nil, err
 		}
 	}
-	p, err := e.Proxy(Setup{Name: "storm", Discovery: f.discovery.Addr(), Known: f.discovery.List(), Settings: settings,
-		Connect: 3500 * time.Millisecond, Deadline: stormWait})
+	p, err := e.Proxy(Setup{Name: "storm", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings,
+		ConnectTimeout: 3500 * time.Millisecond, Deadline: stormWait})
 	if err != nil {
 		return nil, err
 	}
@@ -154,13 +154,13 @@
 	for _, server := range s.upstreams.servers {
 		f.handshakesBefore[server.UID] = len(server.Handshakes())
 	}
-	cpu := s.proxy.CPU()
+	cpu := s.proxy.CPUTime()
 	e.Logf("server s1 drains")
 	s.upstreams.discovery.SetState("s1", "draining")
 	time.Sleep(300 * time.Millisecond)
 	startedAt := time.Now()
 	s.upstreams.servers[0].Drain()
-	f.filesTaken = len(s.proxy.Log("event=tls_files_taken"))
+	f.filesTaken = len(s.proxy.LogLines("event=tls_files_taken"))
 	if s.bounds {
 		if err := s.replaceFiles(); err != nil {
 			return nil, err
@@ -168,7 +168,7 @@
 	}
 	f.reconnectedAfter = s.awaitReconnected(startedAt)
 	stormTo := time.Now()
-	f.cpu = s.proxy.CPU() - cpu
+	f.cpu = s.proxy.CPUTime() - cpu
 	time.Sleep(time.Second)
 	f.latenciesBefore, f.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(startedAt, stormTo)
 	return f, nil
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -34,15 +34,15 @@
 // writeTables adds the rows of this case.
 func (s *storm) writeTables(r *Report, f *stormResult) {
 	const lines = "lines of the 300 staying clients, milliseconds to the answer"
-	r.Columns(lines, "handshakes", "when", "lines", "p50", "p90", "p99", "max")
+	r.StartTable(lines, "handshakes", "when", "lines", "p50", "p90", "p99", "max")
 	for _, span := range []struct {
 		name  string
 		lines samples
 	}{{"before", f.latenciesBefore}, {"during the storm", f.latenciesDuring}} {
-		r.Row(lines, s.name, span.name, len(span.lines), span.lines.median(), span.lines.quantile(0.9), span.lines.quantile(0.99), span.lines.quantile(1))
+		r.AddRow(lines, s.name, span.name, len(span.lines), span.lines.median(), span.lines.quantile(0.9), span.lines.quantile(0.99), span.lines.quantile(1))
 	}
 	const title = "handshakes in the storm"
-	r.Columns(title, "handshakes", "server", "full", "resumed", "max counted in a second", "budget")
+	r.StartTable(title, "handshakes", "server", "full", "resumed", "max counted in a second", "budget")
 	for _, server := range s.upstreams.servers[1:] {
 		list := f.handshakesDuring(server)
 		full := 0
@@ -51,12 +51,12 @@
 				full++
 			}
 		}
-		r.Row(title, s.name, server.UID, full, len(list)-full, maxHandshakesPerSecond(list), handshakeBudget)
+		r.AddRow(title, s.name, server.UID, full, len(list)-full, maxHandshakesPerSecond(list), handshakeBudget)
 	}
 	a := s.migrating.answers
 	const answers = "answers to the 500 migrated clients"
-	r.Columns(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all reconnected after", "proxy CPU s")
-	r.Row(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
+	r.StartTable(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all reconnected after", "proxy CPU s")
+	r.AddRow(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
 		a.milliseconds.median(), a.milliseconds.quantile(0.99), f.reconnectedAfter, f.cpu.Seconds())
 }
 
@@ -65,7 +65,7 @@
 	if !s.ownCore {
 		r.Remarks = append(r.Remarks, "fewer than three cores: the stand-ins run on the proxy's core, and its delays include theirs")
 	}
-	filesTaken := len(s.proxy.Log("event=tls_files_taken"))
+	filesTaken := len(s.proxy.LogLines("event=tls_files_taken"))
 	p99Before, p99During := f.latenciesBefore.quantile(0.99), f.latenciesDuring.quantile(0.99)
 	r.Check(f.reconnectedAfter > 0 && f.reconnectedAfter <= reconnectLimit, "all 500 are connected again within "+reconnectLimit.String(), f.reconnectedAfter)
 	r.Check(f.served >= migratingClients && f.unanswered == 0 && f.late == 0, "every request has its answer in time",
@@ -77,11 +77,11 @@
 	r.Check(f.withinBudget, "no server got more handshakes than its budget", f.withinBudget)
 	r.Check(p99During <= 2*p99Before, "p99 of the staying clients' lines within twice that before", fmt.Sprintf("%.2f ms, before %.2f ms", p99During, p99Before))
 	r.Check(ended == nil, "the proxy shut down without an error", fmt.Sprint(ended))
-	r.Set("reconnected_s", f.reconnectedAfter.Seconds())
-	r.Set("before_p99_ms", p99Before)
-	r.Set("storm_p99_ms", p99During)
-	r.Set("proxy_cpu_s", f.cpu.Seconds())
-	r.Set("memory_mb", float64(s.proxy.peakMemory)/(1<<20))
+	r.AddValue("reconnected_s", f.reconnectedAfter.Seconds())
+	r.AddValue("before_p99_ms", p99Before)
+	r.AddValue("storm_p99_ms", p99During)
+	r.AddValue("proxy_cpu_s", f.cpu.Seconds())
+	r.AddValue("memory_mb", float64(s.proxy.peakMemory)/(1<<20))
 }
 
 // maxHandshakesPerSecond is the largest number of handshakes within any second; a resumed one counts as half, as in the budget.
