--- a/internal/fleet/memberagent/rejection.go
+++ b/internal/fleet/memberagent/rejection.go
@@ -24,11 +24,11 @@
 )
 
 var reasonOfError = map[error]rejectionReason{
-	membership.ErrMalformed:  reasonMalformed,
-	membership.ErrVersion:    reasonOtherVersion,
-	membership.ErrFleet:      reasonOtherFleet,
-	membership.ErrUnknownKey: reasonUnknownKey,
-	membership.ErrReplay:     reasonReplayed,
+	membership.ErrMalformed:    reasonMalformed,
+	membership.ErrOtherVersion: reasonOtherVersion,
+	membership.ErrOtherFleet:   reasonOtherFleet,
+	membership.ErrUnknownKey:   reasonUnknownKey,
+	membership.ErrReplay:       reasonReplayed,
 }
 
 // logRejected logs that a datagram was rejected with err. from is the sender's slot or address.
--- a/internal/fleet/memberagent/rejection_test.go
+++ b/internal/fleet/memberagent/rejection_test.go
@@ -15,8 +15,8 @@
 		want string
 	}{
 		{membership.ErrMalformed, "[reason malformed]"},
-		{membership.ErrVersion, "[reason other_version]"},
-		{membership.ErrFleet, "[reason other_fleet]"},
+		{membership.ErrOtherVersion, "[reason other_version]"},
+		{membership.ErrOtherFleet, "[reason other_fleet]"},
 		{membership.ErrUnknownKey, "[reason unknown_key]"},
 		{membership.ErrReplay, "[reason replayed]"},
 		{&membership.NameInUseError{Name: "n1", Sender: 0xab}, "[reason own_name member 000000ab]"},
--- a/internal/fleet/membership/datagram_test.go
+++ b/internal/fleet/membership/datagram_test.go
@@ -28,7 +28,7 @@
 // fullDatagram returns a full datagram of fleet f with parts of most kinds.
 func fullDatagram() []byte {
 	d := &datagram{}
-	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), 99}, MaxDatagramBytes)
 	d.ping(1)
 	d.ack(2)
 	d.pingRequest(relayed{3, 4})
@@ -62,8 +62,8 @@
 		}
 		c.Tick(int64(time.Second), int64(time.Second))
 		for _, d := range s.sent {
-			if len(d) > MaxDatagram {
-				t.Fatalf("after Receive(%x) a datagram of %d bytes was sent, want at most %d", in, len(d), MaxDatagram)
+			if len(d) > MaxDatagramBytes {
+				t.Fatalf("after Receive(%x) a datagram of %d bytes was sent, want at most %d", in, len(d), MaxDatagramBytes)
 			}
 			// The rejection of a datagram of another fleet contains that fleet.
 			if _, _, err := decodeHeader(d, binary.BigEndian.Uint32(d[1:])); err != nil {
@@ -79,24 +79,24 @@
 	c, _ := newTestCore(t, "me")
 	old := fullDatagram()
 	old[0] = formatVersion + 1
-	if err := c.Receive(1, 1, old); err != ErrVersion || c.Counts().OtherVersion != 1 {
-		t.Errorf("datagram of another version: error %v, counted %d times, want %v, once", err, c.Counts().OtherVersion, ErrVersion)
+	if err := c.Receive(1, 1, old); err != ErrOtherVersion || c.Counts().OtherVersion != 1 {
+		t.Errorf("datagram of another version: error %v, counted %d times, want %v, once", err, c.Counts().OtherVersion, ErrOtherVersion)
 	}
 	d := &datagram{}
-	d.begin(header{ID("fleet g"), ID("other"), 1, 0}, MaxDatagram)
-	if err := c.Receive(1, 1, d.bytes()); err != ErrFleet || c.Counts().OtherFleet != 1 {
-		t.Errorf("datagram of another fleet: error %v, counted %d times, want %v, once", err, c.Counts().OtherFleet, ErrFleet)
+	d.begin(header{ID("fleet g"), ID("other"), 1, 0}, MaxDatagramBytes)
+	if err := c.Receive(1, 1, d.bytes()); err != ErrOtherFleet || c.Counts().OtherFleet != 1 {
+		t.Errorf("datagram of another fleet: error %v, counted %d times, want %v, once", err, c.Counts().OtherFleet, ErrOtherFleet)
 	}
-	d.begin(header{ID("fleet f"), ID("me"), NewIncarnation(1), 0}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("me"), NewIncarnation(1), 0}, MaxDatagramBytes)
 	if err := c.Receive(1, 1, d.bytes()); err == nil || c.Counts().NameConflicts != 1 {
 		t.Errorf("another process under this process's name: error %v, counted %d times, want an error, once", err, c.Counts().NameConflicts)
 	}
 	// Two processes use one name at two slots: the one that is alive keeps it.
-	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(1), 0}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(1), 0}, MaxDatagramBytes)
 	if err := c.Receive(1, 1, d.bytes()); err != nil {
 		t.Fatal(err)
 	}
-	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(2), 0}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("twin"), NewIncarnation(2), 0}, MaxDatagramBytes)
 	if err := c.Receive(2, 2, d.bytes()); err == nil || c.View()[0].Slot != 1 {
 		t.Errorf("second process at slot 2 under a live member's name: error %v, member at slot %d, want an error, slot 1", err, c.View()[0].Slot)
 	}
@@ -108,7 +108,7 @@
 func TestReceiveDoesNotAllocate(t *testing.T) {
 	c, _ := newTestCore(t, "me")
 	d := &datagram{}
-	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagramBytes)
 	d.unheard([]uint32{1, 2})
 	for d.update(MemberUpdate{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
@@ -121,7 +121,7 @@
 func BenchmarkReceive(b *testing.B) {
 	c, _ := newTestCore(b, "me")
 	d := &datagram{}
-	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagram)
+	d.begin(header{ID("fleet f"), ID("other"), NewIncarnation(7), c.Digest()}, MaxDatagramBytes)
 	for d.update(MemberUpdate{ID: ID("other"), State: Alive, Incarnation: NewIncarnation(7)}) {
 	}
 	b.ReportAllocs()
@@ -142,7 +142,7 @@
 		return s
 	}
 	d := &datagram{}
-	d.begin(header{1, 2, NewIncarnation(3), 4}, MaxDatagram-SealLength)
+	d.begin(header{1, 2, NewIncarnation(3), 4}, MaxDatagramBytes-SealLength)
 	first := append([]byte(nil), seal(oldKey).Seal(d.bytes())...)
 	for name, s := range map[string]*Seal{"same key": seal(oldKey), "new key first": seal(newKey, oldKey), "new key second": seal(oldKey, newKey)} {
 		if got, err := s.Open(first); err != nil || string(got) != string(d.bytes()) {
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -6,13 +6,13 @@
 )
 
 // decodeHeader decodes a datagram's header and checks all of its parts, so that no part of a malformed
-// datagram takes effect. The header is also valid if the error is ErrFleet.
+// datagram takes effect. The header is also valid if the error is ErrOtherFleet.
 func decodeHeader(b []byte, fleet uint32) (header, parts, error) {
-	if len(b) < 1 || len(b) > MaxDatagram {
+	if len(b) < 1 || len(b) > MaxDatagramBytes {
 		return header{}, nil, ErrMalformed
 	}
 	if b[0] != formatVersion {
-		return header{}, nil, ErrVersion
+		return header{}, nil, ErrOtherVersion
 	}
 	if len(b) < headerLength {
 		return header{}, nil, ErrMalformed
@@ -24,7 +24,7 @@
 		digest:      binary.BigEndian.Uint32(b[17:]),
 	}
 	if h.fleet != fleet {
-		return h, nil, ErrFleet
+		return h, nil, ErrOtherFleet
 	}
 	all := parts(b[headerLength:])
 	for rest := all; len(rest) > 0; {
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -7,8 +7,8 @@
 	"net/netip"
 )
 
-// MaxDatagram is the maximum length of a datagram, in bytes.
-const MaxDatagram = 256
+// MaxDatagramBytes is the maximum length of a datagram, in bytes.
+const MaxDatagramBytes = 256
 
 // formatVersion is the first byte of each datagram. Datagrams of another version are counted and ignored.
 // It differs from the first byte of the decision module's messages, which may share the socket.
@@ -54,14 +54,14 @@
 // MaxPayload returns how many bytes of another package's data fit a datagram to which the caller adds
 // overhead bytes.
 func MaxPayload(overhead int) int {
-	return MaxDatagram - overhead - headerLength - carriedHeaderLength
+	return MaxDatagramBytes - overhead - headerLength - carriedHeaderLength
 }
 
 // Errors that Core.Receive returns. Seal.Open returns ErrMalformed, too.
 var (
-	ErrMalformed = errors.New("malformed datagram")
-	ErrVersion   = errors.New("datagram of another version")
-	ErrFleet     = errors.New("datagram of another fleet")
+	ErrMalformed    = errors.New("malformed datagram")
+	ErrOtherVersion = errors.New("datagram of another version")
+	ErrOtherFleet   = errors.New("datagram of another fleet")
 )
 
 // Rejection is the reason for which a process is not admitted, as encoded in datagrams.
@@ -113,7 +113,7 @@
 
 // datagram is a datagram under construction. begin must be called first, to write the header.
 type datagram struct {
-	buffer [MaxDatagram]byte
+	buffer [MaxDatagramBytes]byte
 	length int
 	limit  int // maximum of length, which leaves room for the overhead that the caller adds
 }
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -77,7 +77,7 @@
 // newDatagram returns a datagram with this process's header.
 func (c *Core) newDatagram() *datagram {
 	d := &datagram{}
-	d.begin(header{fleet: c.fleet, sender: c.selfID, incarnation: c.incarnation, digest: c.Digest()}, MaxDatagram-c.cfg.Overhead)
+	d.begin(header{fleet: c.fleet, sender: c.selfID, incarnation: c.incarnation, digest: c.Digest()}, MaxDatagramBytes-c.cfg.Overhead)
 	return d
 }
 
--- a/internal/fleet/membership/receive.go
+++ b/internal/fleet/membership/receive.go
@@ -54,7 +54,7 @@
 	return slot
 }
 
-// Receive handles a datagram from the address of slot. It returns ErrMalformed, ErrVersion, ErrFleet,
+// Receive handles a datagram from the address of slot. It returns ErrMalformed, ErrOtherVersion, ErrOtherFleet,
 // a *NameInUseError or a *RejectedError. Counts includes all of these except the last.
 func (c *Core) Receive(now Time, slot int, data []byte) error {
 	c.now = max(c.now, now)
@@ -91,9 +91,9 @@
 // another fleet.
 func (c *Core) rejectUndecoded(slot int, h header, err error) {
 	switch err {
-	case ErrVersion:
+	case ErrOtherVersion:
 		c.counts.OtherVersion++
-	case ErrFleet:
+	case ErrOtherFleet:
 		c.counts.OtherFleet++
 		c.reject(slot, h.fleet, rejectedFleet)
 	default:
@@ -163,7 +163,7 @@
 	}
 	c.lastRejection = c.now
 	d := &datagram{}
-	d.begin(header{fleet, c.selfID, c.incarnation, c.Digest()}, MaxDatagram-c.cfg.Overhead)
+	d.begin(header{fleet, c.selfID, c.incarnation, c.Digest()}, MaxDatagramBytes-c.cfg.Overhead)
 	d.rejected(reason)
 	c.transmit(slot, d)
 }
--- a/internal/fleet/membership/seal.go
+++ b/internal/fleet/membership/seal.go
@@ -33,7 +33,7 @@
 	hashes       []hash.Hash // by key
 	lastSequence uint32
 	windows      map[uint32]*window // by sender
-	buffer       [MaxDatagram]byte
+	buffer       [MaxDatagramBytes]byte
 }
 
 // window records which sequence numbers of one process have arrived, as in IPsec.
@@ -76,7 +76,7 @@
 // Open checks a sealed datagram and returns the datagram without its seal. It returns ErrMalformed,
 // ErrUnknownKey or ErrReplay if the check fails.
 func (s *Seal) Open(b []byte) ([]byte, error) {
-	if len(b) < headerLength+SealLength || len(b) > MaxDatagram {
+	if len(b) < headerLength+SealLength || len(b) > MaxDatagramBytes {
 		return nil, ErrMalformed
 	}
 	signed, sum := b[:len(b)-hashBytes], b[len(b)-hashBytes:]
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -75,7 +75,7 @@
 	if f.Seeds > 0 {
 		slot = int(n.Core.Address(slot).Port()) - firstPort
 	}
-	if len(data) > membership.MaxDatagram {
+	if len(data) > membership.MaxDatagramBytes {
 		f.recordViolation("a datagram of %d bytes", len(data))
 		return
 	}
