--- a/cmd/croftlock-experiment/main.go
+++ b/cmd/croftlock-experiment/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	soak.BehindShim()
+	soak.ExecBehindShim()
 	owneragent.OpenVoter = replica.Open
 	if fault := os.Getenv(experiment.FaultInjectionEnv); fault != "" {
 		os.Exit(runWithFault(fault))
--- a/internal/app/command/ledger_test.go
+++ b/internal/app/command/ledger_test.go
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		tier.setups = append(tier.setups, experiment.Setup{Name: fmt.Sprint("n", i), Listen: listen, Discovery: discovery.Addr(), InitialList: discovery.List(), Cores: 0.5, MaxDescriptors: 1024, MemoryMB: 64,
-			Tier: experiment.Tier{Peers: tier.mesh.Peers(i), Index: i, Listen: tier.mesh.Own(i)}, Env: asProgram})
+			Tier: experiment.Tier{Peers: tier.mesh.PeerAddrs(i), Index: i, Listen: tier.mesh.ListenAddr(i)}, Env: asProgram})
 		tier.procs = append(tier.procs, nil)
 		tier.start(i)
 	}
@@ -65,7 +65,7 @@
 	for i := range ledgerProxies {
 		for j := range ledgerProxies {
 			if i != j {
-				l.mesh.Set(i, j, func(link *fake.Link) { link.Cut = on })
+				l.mesh.UpdateLink(i, j, func(link *fake.Link) { link.Cut = on })
 			}
 		}
 	}
--- a/internal/app/command/lossylinks_test.go
+++ b/internal/app/command/lossylinks_test.go
@@ -21,7 +21,7 @@
 	for i := range 5 {
 		for j := range 5 {
 			if i != j {
-				rig.Mesh.Set(i, j, func(link *fake.Link) { link.Loss, link.Duplicated, link.Jitter = 0.2, 0.2, 40*time.Millisecond })
+				rig.Mesh.UpdateLink(i, j, func(link *fake.Link) { link.Loss, link.Duplicates, link.Jitter = 0.2, 0.2, 40*time.Millisecond })
 			}
 		}
 	}
--- a/internal/app/command/members_test.go
+++ b/internal/app/command/members_test.go
@@ -173,16 +173,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seeds := mesh.Own(0) + " " + mesh.Own(1)
+	seeds := mesh.ListenAddr(0) + " " + mesh.ListenAddr(1)
 	mesh.Close()
 	socket := func(i int) string { return filepath.Join(dir, fmt.Sprint("n", i)) }
 	for i := range members {
 		path := socket(i) + ".sexp"
-		text := fmt.Sprintf("(membership (on on) (listen %q) (seeds %q) (base 4) (socket %q))", mesh.Own(i), seeds, socket(i))
+		text := fmt.Sprintf("(membership (on on) (listen %q) (seeds %q) (base 4) (socket %q))", mesh.ListenAddr(i), seeds, socket(i))
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p, err := env.Proxy(experiment.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+		p, err := env.Proxy(experiment.Setup{Name: fmt.Sprint("n", i), Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, Complete: true, Targets: []fake.Entry{}},
 			Settings: path, MaxDescriptors: 256, MemoryMB: 64, Env: asProgram})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/app/command/tls_test.go
+++ b/internal/app/command/tls_test.go
@@ -34,10 +34,10 @@
 	if s.pki, err = fake.NewPKI("s1.test"); err != nil {
 		t.Fatal(err)
 	}
-	if s.trust, err = fake.SaveTrust(dir, s.pki.Trusted); err != nil {
+	if s.trust, err = fake.SaveTrustBundle(dir, s.pki.Trusted); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy"}); err != nil {
+	if _, err := s.pki.Trusted.SaveClientCertificate(dir, certs.Spec{Name: "proxy"}); err != nil {
 		t.Fatal(err)
 	}
 	pair, err := s.pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.test"}})
@@ -101,10 +101,10 @@
 	if n, _ := s.wrongName.Requests(); n > 0 {
 		t.Errorf("%d requests at the server with the wrong name, want 0", n)
 	}
-	s.write(s.trust, string(fake.HalfPEM(s.pki.Trusted.Root.Cert)))
+	s.write(s.trust, string(fake.TruncatedPEM(s.pki.Trusted.Root.Cert)))
 	s.proxy.Signal(syscall.SIGHUP)
 	s.await("event=tls_files_kept")
-	if _, err := fake.SaveTrust(s.dir, s.pki.Trusted, s.pki.Other); err != nil {
+	if _, err := fake.SaveTrustBundle(s.dir, s.pki.Trusted, s.pki.Other); err != nil {
 		t.Fatal(err)
 	}
 	s.await("event=tls_files_taken epoch=2 authorities=2")
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	env := &experiment.Env{Croftlock: os.Args[0], Dir: dir}
-	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, All: true, Targets: []fake.Entry{}},
+	_, err := env.Proxy(experiment.Setup{Name: "n0", Discovery: "127.0.0.1:1", InitialList: fake.List{Rev: 1, Complete: true, Targets: []fake.Entry{}},
 		Settings: file, Env: asProgram})
 	if err == nil || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("the start fails with %v, want an error that names none.pem", err)
--- a/internal/dataplane/upstreamtls/env_test.go
+++ b/internal/dataplane/upstreamtls/env_test.go
@@ -37,7 +37,7 @@
 	}
 	e := &env{t: t, dir: t.TempDir(), pki: pki, opt: Defaults(), loop: netio.NewLoop()}
 	e.opt.Enabled, e.opt.Pattern = true, "{uid}.test"
-	trust, err := fake.SaveTrust(e.dir, pki.Trusted)
+	trust, err := fake.SaveTrustBundle(e.dir, pki.Trusted)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/upstreamtls/faults_test.go
+++ b/internal/dataplane/upstreamtls/faults_test.go
@@ -42,7 +42,7 @@
 			}
 			c := e.dial(bad.Addr(), within)
 			late := f.Reason == string(RejectedByHost) // in TLS 1.3 known only after this side has finished the handshake
-			if f.SoundHandshake || late {
+			if f.CompletesHandshake || late {
 				if c.err != nil {
 					t.Fatal(c.err)
 				}
@@ -98,7 +98,7 @@
 // found before any host is connected to.
 func TestOwnFaults(t *testing.T) {
 	e := newEnv(t, func(e *env) {
-		if _, err := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
+		if _, err := e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(30 * time.Minute)}); err != nil {
 			t.Fatal(err)
 		}
 		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
@@ -125,14 +125,14 @@
 // TestFilesThatCannotBeUsed checks that Load reports each fault of the files, without the key or its password.
 func TestFilesThatCannotBeUsed(t *testing.T) {
 	e := newEnv(t, nil)
-	pair, _ := e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
+	pair, _ := e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
 	good := e.opt
 	good.Certificate, good.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	if _, err := Load(good, 1); err != nil {
 		t.Fatal(err)
 	}
 	key, _ := pair.KeyPEM(nil)
-	foreign, _ := fake.ForeignCRL(e.pki)
+	foreign, _ := fake.OtherCRL(e.pki)
 	leaf, _ := e.pki.Trusted.Issue(certs.Spec{Hosts: []string{hostName}})
 	leafKey, _ := leaf.KeyPEM(nil)
 	crypted, _ := pair.KeyPEM([]byte("secret words"))
@@ -141,7 +141,7 @@
 		want   string
 	}{
 		"no such file":           {func(o *Options) { o.Trust = []string{"/nowhere"} }, "no such file"},
-		"half a bundle":          {func(o *Options) { o.Trust = []string{e.file("half", fake.HalfPEM(e.pki.Trusted.Root.Cert))} }, "half written"},
+		"half a bundle":          {func(o *Options) { o.Trust = []string{e.file("half", fake.TruncatedPEM(e.pki.Trusted.Root.Cert))} }, "half written"},
 		"empty bundle":           {func(o *Options) { o.Trust = []string{e.file("empty", nil)} }, "no certificate in it"},
 		"a leaf for trust":       {func(o *Options) { o.Trust = []string{e.file("leaf", leaf.PEM())} }, "no authority's"},
 		"key in the bundle":      {func(o *Options) { o.Trust = []string{e.file("mixed", append(pair.PEM(), key...))} }, "expected CERTIFICATE only"},
--- a/internal/dataplane/upstreamtls/rotation_test.go
+++ b/internal/dataplane/upstreamtls/rotation_test.go
@@ -17,7 +17,7 @@
 // be used must change nothing and be logged once; others must be in use from the next poll on.
 func TestWatcher(t *testing.T) {
 	e := newEnv(t, func(e *env) {
-		e.pki.Trusted.SaveClient(e.dir, certs.Spec{Name: "proxy"})
+		e.pki.Trusted.SaveClientCertificate(e.dir, certs.Spec{Name: "proxy"})
 		e.opt.Certificate, e.opt.Key = filepath.Join(e.dir, "client.pem"), filepath.Join(e.dir, "client.key")
 	})
 	m, err := Load(e.opt, 1)
@@ -78,7 +78,7 @@
 	if resumed() || !resumed() {
 		t.Fatal("want a full handshake, then a resumed one")
 	}
-	fake.SaveTrust(e.dir, e.pki.Trusted, e.pki.Other)
+	fake.SaveTrustBundle(e.dir, e.pki.Trusted, e.pki.Other)
 	m, err := Load(e.opt, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	e := newEnv(t, nil)
 	s := e.newServer(nil)
 	c := e.openRequest(s.Addr())
-	fake.SaveTrust(e.dir, e.pki.Other)
+	fake.SaveTrustBundle(e.dir, e.pki.Other)
 	m, err := Load(e.opt, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 		f.Fatal(err)
 	}
 	good, _ := pki.CRL(time.Now().Add(time.Hour))
-	foreign, _ := fake.ForeignCRL(pki)
+	foreign, _ := fake.OtherCRL(pki)
 	f.Add(good)
 	f.Add(foreign)
 	f.Add(good[:len(good)/2])
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -26,9 +26,9 @@
 	defer c.mu.Unlock()
 	c.byKind[a.Kind]++
 	if a.Kind != "NONE" {
-		c.milliseconds = append(c.milliseconds, float64(a.Took)/1e6)
+		c.milliseconds = append(c.milliseconds, float64(a.Latency)/1e6)
 	}
-	if a.Took > wait+lateAfter {
+	if a.Latency > wait+lateAfter {
 		c.late++
 	}
 }
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -183,12 +183,12 @@
 	case 2:
 		during(func(on bool) { r.SetCutOff(voter, on) })
 	case 3:
-		during(func(on bool) { r.Mesh.Set(voter, other, func(l *fake.Link) { l.Cut = on }) })
+		during(func(on bool) { r.Mesh.UpdateLink(voter, other, func(l *fake.Link) { l.Cut = on }) })
 	case 4:
 		touches := func(from, to int) bool { return from == voter || to == voter }
-		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicated = 0.3, 0.2 })
+		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0.3, 0.2 })
 		time.Sleep(voterFaultLasts)
-		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicated = 0, 0 })
+		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0, 0 })
 	}
 	return nil
 }
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -156,8 +156,8 @@
 func (l *lateOwner) changeLinks(change func(link *fake.Link, out bool)) {
 	for j := range l.rig.Procs {
 		if j != l.process {
-			l.rig.Mesh.Set(l.process, j, func(link *fake.Link) { change(link, true) })
-			l.rig.Mesh.Set(j, l.process, func(link *fake.Link) { change(link, false) })
+			l.rig.Mesh.UpdateLink(l.process, j, func(link *fake.Link) { change(link, true) })
+			l.rig.Mesh.UpdateLink(j, l.process, func(link *fake.Link) { change(link, false) })
 		}
 	}
 }
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -113,9 +113,9 @@
 		}
 		keys = fmt.Sprintf(" (keys %q)", path)
 	}
-	peers := strings.Join(r.Mesh.Peers(i), " ")
+	peers := strings.Join(r.Mesh.PeerAddrs(i), " ")
 	text := fmt.Sprintf("(log (level %s) (repeat 0))\n", o.LogLevel) +
-		fmt.Sprintf("(membership (on on) (fleet lab) (listen %q) (peers %q) (socket %q)%s)\n", r.Mesh.Own(i), peers, r.socket(i), keys) +
+		fmt.Sprintf("(membership (on on) (fleet lab) (listen %q) (peers %q) (socket %q)%s)\n", r.Mesh.ListenAddr(i), peers, r.socket(i), keys) +
 		strings.ReplaceAll(o.SettingsSections, "DIR", r.Dir(i)) + "\n"
 	path := filepath.Join(r.dir, fmt.Sprintf("n%d.sexp", i))
 	return path, os.WriteFile(path, []byte(text), 0o600)
@@ -143,7 +143,7 @@
 		return d.Addr(), d.List()
 	}
 	const unused = "127.0.0.1:1"
-	return unused, fake.List{Rev: 1, All: true, Targets: []fake.Entry{{UID: "s0", Endpoint: unused, State: "up", Weight: 1}}}
+	return unused, fake.List{Rev: 1, Complete: true, Targets: []fake.Entry{{UID: "s0", Endpoint: unused, State: "up", Weight: 1}}}
 }
 
 // Dir is the folder of a process and its later incarnations.
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -115,9 +115,9 @@
 	case "loss":
 		return all, func(l *fake.Link, on bool) { l.Loss = amount(on) }
 	case "twice":
-		return all, func(l *fake.Link, on bool) { l.Duplicated = amount(on) }
+		return all, func(l *fake.Link, on bool) { l.Duplicates = amount(on) }
 	case "garbage":
-		return all, func(l *fake.Link, on bool) { l.Corrupted = amount(on) }
+		return all, func(l *fake.Link, on bool) { l.Corruption = amount(on) }
 	case "slow":
 		return all, func(l *fake.Link, on bool) {
 			if l.Jitter = 0; on {
@@ -133,7 +133,7 @@
 	for i := range r.Procs {
 		for j := range r.Procs {
 			if i != j && which(i, j) {
-				r.Mesh.Set(i, j, change)
+				r.Mesh.UpdateLink(i, j, change)
 			}
 		}
 	}
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -132,7 +132,7 @@
 			o.unanswered++
 		}
 		if client != nil {
-			o.placementTimes = append(o.placementTimes, answer.Took)
+			o.placementTimes = append(o.placementTimes, answer.Latency)
 		}
 		o.mu.Unlock()
 		if client != nil {
--- a/internal/testbed/experiment/soak/clientconnection.go
+++ b/internal/testbed/experiment/soak/clientconnection.go
@@ -50,19 +50,19 @@
 
 // Request is a client's request.
 type Request struct {
-	Class    string
-	Wait     time.Duration // how long the client waits for the answer
-	Extra    string        // further values of the request line, such as "again=1"
-	Interval time.Duration // between lines once the request is served; 0: none are sent
+	Class       string
+	Timeout     time.Duration // how long the client waits for the answer
+	ExtraFields string        // further values of the request line, such as "again=1"
+	Interval    time.Duration // between lines once the request is served; 0: none are sent
 }
 
 // ClientConnection is a client's connection to a proxy, from its request to its end. Its methods may be called from any goroutine.
 type ClientConnection struct {
-	ID       string // of the request
-	Request  Request
-	InPieces bool // the request line is sent in two parts
-	conn     net.Conn
-	ended    chan struct{}
+	ID               string // of the request
+	Request          Request
+	SplitRequestLine bool // the request line is sent in two parts
+	conn             net.Conn
+	ended            chan struct{}
 
 	mu              sync.Mutex
 	outcome         Outcome
@@ -94,11 +94,11 @@
 
 // SendRequest sends the request line.
 func (c *ClientConnection) SendRequest() error {
-	line := fmt.Sprintf("OPEN %s %s c=%s,d=%d", c.ID, fake.NewID(), c.Request.Class, c.Request.Wait.Milliseconds())
-	if c.Request.Extra != "" {
-		line += "," + c.Request.Extra
+	line := fmt.Sprintf("OPEN %s %s c=%s,d=%d", c.ID, fake.NewID(), c.Request.Class, c.Request.Timeout.Milliseconds())
+	if c.Request.ExtraFields != "" {
+		line += "," + c.Request.ExtraFields
 	}
-	if c.InPieces {
+	if c.SplitRequestLine {
 		fmt.Fprint(c.conn, line[:len(line)/2])
 		line = line[len(line)/2:]
 		time.Sleep(partDelay)
--- a/internal/testbed/experiment/soak/clients.go
+++ b/internal/testbed/experiment/soak/clients.go
@@ -64,7 +64,7 @@
 	case delayedClient:
 		time.Sleep(time.Duration(rng.IntN(2400)) * time.Millisecond)
 	case piecewiseClient:
-		c.InPieces = true
+		c.SplitRequestLine = true
 	}
 	if c.SendRequest() != nil {
 		c.Close()
@@ -73,9 +73,9 @@
 	f.mu.Lock()
 	f.requests = append(f.requests, &clientRequest{ClientConnection: c, process: process, class: class})
 	f.mu.Unlock()
-	stay := request.Wait + time.Duration(500+rng.IntN(5000))*time.Millisecond
+	stay := request.Timeout + time.Duration(500+rng.IntN(5000))*time.Millisecond
 	if kind == impatientClient {
-		stay = time.Duration(rng.Int64N(int64(request.Wait) + 1))
+		stay = time.Duration(rng.Int64N(int64(request.Timeout) + 1))
 	}
 	select {
 	case <-c.Ended():
@@ -91,7 +91,7 @@
 		wait = time.Duration(1 + rng.Int64N(int64(class.Deadline)))
 	}
 	wait = max(wait.Truncate(time.Millisecond), time.Millisecond)
-	return Request{Class: class.Name, Wait: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
+	return Request{Class: class.Name, Timeout: wait, Interval: time.Duration(50+rng.IntN(300)) * time.Millisecond}
 }
 
 // playMalformed sends no valid request: half of a line, then nothing; another protocol; or a long run of zero bytes.
--- a/internal/testbed/experiment/soak/clock.go
+++ b/internal/testbed/experiment/soak/clock.go
@@ -48,8 +48,8 @@
 	return &bend, nil
 }
 
-// BendClock sets this process's wall clock off as clockEnv says; without one it does nothing. Call it first in main.
-func BendClock() {
+// SkewClock sets this process's wall clock off as clockEnv says; without one it does nothing. Call it first in main.
+func SkewClock() {
 	bend, err := decodeClockBend(os.Getenv(clockEnv))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testbed/experiment/soak/command.go
+++ b/internal/testbed/experiment/soak/command.go
@@ -26,9 +26,9 @@
 	c.Flags().IntVar(&opt.Hosts, "hosts", 12, "catalogue servers")
 	c.Flags().DurationVar(&opt.Length, "length", 30*time.Second, "how long clients come")
 	c.Flags().Float64Var(&opt.Rate, "rate", 6, "requests a second at each proxy")
-	c.Flags().IntVar(&opt.Faults, "faults", 120, "faults in that time")
-	c.Flags().BoolVar(&opt.FailCalls, "calls", true, "system calls fail too")
-	c.Flags().StringVar(&opt.Logs, "logs", "", "a folder for the processes' logs at debug level")
+	c.Flags().IntVar(&opt.FaultCount, "faults", 120, "faults in that time")
+	c.Flags().BoolVar(&opt.FailSystemCalls, "calls", true, "system calls fail too")
+	c.Flags().StringVar(&opt.LogDir, "logs", "", "a folder for the processes' logs at debug level")
 	c.Flags().StringVar(&program, "croftlock", filepath.Join(filepath.Dir(self), "croftlock"), "the program to run")
 	c.RunE = func(*cobra.Command, []string) error {
 		violations := 0
@@ -54,7 +54,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(dir)
-	r, err := Play(&experiment.Env{Croftlock: program, Dir: dir}, opt)
+	r, err := Run(&experiment.Env{Croftlock: program, Dir: dir}, opt)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/testbed/experiment/soak/faults.go
+++ b/internal/testbed/experiment/soak/faults.go
@@ -52,7 +52,7 @@
 		time.Sleep(randomSpan(rng, 200, 2000))
 		h.resets.Store(false)
 	}},
-	{"reset-established", 3, func(f *Fleet, rng *rand.Rand) { f.randomHost(rng).ResetSome(1 + rng.IntN(4)) }},
+	{"reset-established", 3, func(f *Fleet, rng *rand.Rand) { f.randomHost(rng).ResetEveryNth(1 + rng.IntN(4)) }},
 	{"host-restart", 3, func(f *Fleet, rng *rand.Rand) {
 		h := f.randomHost(rng)
 		if h.claimed.CompareAndSwap(false, true) {
@@ -223,7 +223,7 @@
 func (f *Fleet) playFaults(until time.Time, rng *rand.Rand, recordFault func(string)) {
 	defer f.workers.Done()
 	total := time.Until(until)
-	for i := range f.options.Faults {
+	for i := range f.options.FaultCount {
 		kind, seed := drawFault(rng), rng.Uint64()
 		at := time.Duration(rng.Float64() * float64(total))
 		f.workers.Add(1)
--- a/internal/testbed/experiment/soak/fleet.go
+++ b/internal/testbed/experiment/soak/fleet.go
@@ -22,15 +22,15 @@
 
 // Options are a play's size and faults.
 type Options struct {
-	Seed       uint64
-	Proxies    int
-	Hosts      int
-	Length     time.Duration
-	Rate       float64 // requests a second at each proxy
-	Faults     int     // drawn over the whole time
-	FailCalls  bool    // system calls fail too
-	BendClocks bool    // the system's clock is set while processes run and between them; the program must call BendClock
-	Logs       string  // a folder for the processes' logs at debug level; "": none
+	Seed            uint64
+	Proxies         int
+	Hosts           int
+	Length          time.Duration
+	Rate            float64 // requests a second at each proxy
+	FaultCount      int     // drawn over the whole time
+	FailSystemCalls bool    // system calls fail too
+	SkewClocks      bool    // the system's clock is set while processes run and between them; the program must call SkewClock
+	LogDir          string  // a folder for the processes' logs at debug level; "": none
 }
 
 // Fleet is the proxies of one play with their hosts, discoveries and clients.
@@ -121,13 +121,13 @@
 	}
 	n.setup = experiment.Setup{Name: fmt.Sprint("n", i), Listen: f.address(proxyAddress, i), Classes: f.classes, Cores: 0.5, MemoryMB: 96, MaxDescriptors: 1024,
 		ConnectTimeout: 250 * time.Millisecond, TmpDir: dir}
-	if f.options.Logs != "" {
+	if f.options.LogDir != "" {
 		n.setup.Settings = filepath.Join(f.env.Dir, "debug.sexp")
 		if err := os.WriteFile(n.setup.Settings, []byte("(log (level debug) (repeat 0))"), 0o600); err != nil {
 			return err
 		}
 	}
-	if f.options.FailCalls {
+	if f.options.FailSystemCalls {
 		f.shims = append(f.shims, NewShim(f.options.Seed*1000+uint64(i)))
 	}
 	f.nodes = append(f.nodes, n)
@@ -146,7 +146,7 @@
 	d.OnWritten(func(list fake.List) {
 		n.mergeList(list)
 		if running := n.running(); len(running) > 0 {
-			n.recordList(running, list, fmt.Sprintf("discovery %d, revision %d, complete %t", k, list.Rev, list.All))
+			n.recordList(running, list, fmt.Sprintf("discovery %d, revision %d, complete %t", k, list.Rev, list.Complete))
 		}
 	})
 	return d, nil
@@ -154,10 +154,10 @@
 
 // launch starts a proxy's process, behind its shim where it has one.
 func (f *Fleet) launch(s experiment.Setup, number int) (*experiment.Process, error) {
-	if f.options.BendClocks {
+	if f.options.SkewClocks {
 		s.Env = append(s.Env[:len(s.Env):len(s.Env)], f.drawClock())
 	}
-	if !f.options.FailCalls {
+	if !f.options.FailSystemCalls {
 		return f.env.Proxy(s)
 	}
 	return f.shims[number].Launch(f.env, s)
--- a/internal/testbed/experiment/soak/host.go
+++ b/internal/testbed/experiment/soak/host.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// ResetSome resets one in nth of the open connections, with or without an answer.
-func (h *Host) ResetSome(nth int) {
+// ResetEveryNth resets one in nth of the open connections, with or without an answer.
+func (h *Host) ResetEveryNth(nth int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	i := 0
--- a/internal/testbed/experiment/soak/node.go
+++ b/internal/testbed/experiment/soak/node.go
@@ -84,7 +84,7 @@
 func (n *Node) mergeList(list fake.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if list.All {
+	if list.Complete {
 		n.knownEntries = map[string]fake.Entry{}
 	}
 	n.knownRevision = list.Rev
@@ -101,7 +101,7 @@
 func (n *Node) lastKnownList() fake.List {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := fake.List{Rev: n.knownRevision, All: true}
+	list := fake.List{Rev: n.knownRevision, Complete: true}
 	for _, entry := range n.knownEntries {
 		list.Targets = append(list.Targets, entry)
 	}
@@ -135,7 +135,7 @@
 		named[entry.UID] = true
 		n.fleet.record.recordNotice(process, entry.UID, stateNotice{writtenAt, entry.State, source})
 	}
-	if list.All {
+	if list.Complete {
 		for _, host := range n.fleet.Hosts() {
 			if !named[host.UID] {
 				n.fleet.record.recordNotice(process, host.UID, stateNotice{writtenAt, "removed", source})
--- a/internal/testbed/experiment/soak/oracle.go
+++ b/internal/testbed/experiment/soak/oracle.go
@@ -46,7 +46,7 @@
 
 // String identifies the request in violations.
 func (r *clientRequest) String() string {
-	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Wait, r.process.name, r.process.sinceStart(r.Outcome().Sent))
+	return fmt.Sprintf("%s %s d=%v at %s, sent %s", r.ID, r.class.Name, r.Request.Timeout, r.process.name, r.process.sinceStart(r.Outcome().Sent))
 }
 
 // The times that the rules allow, and those that a stalled proxy adds.
@@ -108,7 +108,7 @@
 
 // checkAnswer checks whether the request has its answer in time. A process that was killed outright answers nothing any more.
 func (o *oracle) checkAnswer(r *clientRequest, outcome Outcome) {
-	due := outcome.Sent.Add(r.Request.Wait + answerGrace + o.slack + r.process.pausedFor())
+	due := outcome.Sent.Add(r.Request.Timeout + answerGrace + o.slack + r.process.pausedFor())
 	switch {
 	case outcome.Answer != Unanswered:
 		if outcome.AnsweredAt.After(due) {
--- a/internal/testbed/experiment/soak/run.go
+++ b/internal/testbed/experiment/soak/run.go
@@ -15,29 +15,29 @@
 
 // Result is the outcome of one play.
 type Result struct {
-	Seed            uint64
-	LongestDeadline time.Duration
-	Processes       int // processes of all proxies
-	Requests        int
-	Answers         map[Answer]int
-	Ends            map[End]int
-	Stopped         int           // processes that got SIGTERM
-	Forced          int           // of these, those that needed SIGKILL
-	FailedCalls     int           // injected failures of system calls
-	Stall           time.Duration // the longest time for which this machine did not run this process
-	Violations      []Violation
-	Errors          []error
-	Faults          []string // with the time of each
+	Seed               uint64
+	LongestDeadline    time.Duration
+	Processes          int // processes of all proxies
+	Requests           int
+	Answers            map[Answer]int
+	Ends               map[End]int
+	Stopped            int           // processes that got SIGTERM
+	KilledAfterTimeout int           // of these, those that needed SIGKILL
+	FailedCalls        int           // injected failures of system calls
+	LongestStall       time.Duration // the longest time for which this machine did not run this process
+	Violations         []Violation
+	Errors             []error
+	Faults             []string // with the time of each
 }
 
 // String is one line of name=value.
 func (r *Result) String() string {
 	return fmt.Sprintf("seed=%d longest=%v processes=%d requests=%d answers=%v ends=%v stopped=%d forced=%d failed_calls=%d stall=%v violations=%d errors=%d",
-		r.Seed, r.LongestDeadline, r.Processes, r.Requests, r.Answers, r.Ends, r.Stopped, r.Forced, r.FailedCalls, r.Stall.Round(time.Millisecond), len(r.Violations), len(r.Errors))
+		r.Seed, r.LongestDeadline, r.Processes, r.Requests, r.Answers, r.Ends, r.Stopped, r.KilledAfterTimeout, r.FailedCalls, r.LongestStall.Round(time.Millisecond), len(r.Violations), len(r.Errors))
 }
 
-// Play runs a fleet under overlapping faults and checks the rules. An error says that the fleet did not start.
-func Play(env *experiment.Env, opt Options) (*Result, error) {
+// Run runs a fleet under overlapping faults and checks the rules. An error says that the fleet did not start.
+func Run(env *experiment.Env, opt Options) (*Result, error) {
 	f, err := NewFleet(env, opt)
 	if f != nil {
 		defer f.Close()
@@ -70,7 +70,7 @@
 		f.workers.Add(1)
 		go func() {
 			defer f.workers.Done()
-			s.FailCalls(until)
+			s.InjectFailures(until)
 		}()
 	}
 	f.workers.Wait()
@@ -94,7 +94,7 @@
 
 // saveLogs saves each process's log, and the faults that were played.
 func (f *Fleet) saveLogs(r *Result) error {
-	dir := filepath.Join(f.options.Logs, fmt.Sprint("seed", r.Seed))
+	dir := filepath.Join(f.options.LogDir, fmt.Sprint("seed", r.Seed))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -117,8 +117,8 @@
 
 // check has the oracle check all requests and processes, and adds up the result.
 func (f *Fleet) check(r *Result) {
-	r.Stall = f.stallMeter.value()
-	o := &oracle{record: f.record, slack: r.Stall}
+	r.LongestStall = f.stallMeter.value()
+	o := &oracle{record: f.record, slack: r.LongestStall}
 	f.mu.Lock()
 	requests, errs := f.requests, f.errors
 	f.mu.Unlock()
@@ -137,10 +137,10 @@
 		}
 	}
 	for _, s := range f.shims {
-		r.FailedCalls += s.Failed()
+		r.FailedCalls += s.FailedCalls()
 	}
 	sort.Strings(r.Faults)
-	if f.options.Logs != "" {
+	if f.options.LogDir != "" {
 		f.recordError(f.saveLogs(r))
 	}
 	r.Requests, r.Violations, r.Errors = len(requests), o.violations, errs
@@ -153,6 +153,6 @@
 		r.Stopped++
 	}
 	if p.killedAtLimit {
-		r.Forced++
+		r.KilledAfterTimeout++
 	}
 }
--- a/internal/testbed/experiment/soak/shim.go
+++ b/internal/testbed/experiment/soak/shim.go
@@ -71,8 +71,8 @@
 	return append(p, equal(unix.SYS_SENDMSG, 3), load(flags), equal(proxyFlags, 1), ret(unix.SECCOMP_RET_USER_NOTIF), ret(unix.SECCOMP_RET_ALLOW))
 }
 
-// BehindShim executes the program that a shim started this process for; without a shim it does nothing. Call it first in main.
-func BehindShim() {
+// ExecBehindShim executes the program that a shim started this process for; without a shim it does nothing. Call it first in main.
+func ExecBehindShim() {
 	program := os.Getenv(shimEnv)
 	if program == "" {
 		return
@@ -153,8 +153,8 @@
 	s.serve(fds[0], ready)
 }
 
-// FailCalls alternates times without failures and times with them, until the given time.
-func (s *Shim) FailCalls(until time.Time) {
+// InjectFailures alternates times without failures and times with them, until the given time.
+func (s *Shim) InjectFailures(until time.Time) {
 	for time.Now().Before(until) {
 		s.mu.Lock()
 		quiet, failing, share := randomSpan(s.rng, 200, 3000), randomSpan(s.rng, 100, 1500), 0.02+0.4*s.rng.Float64()
@@ -173,8 +173,8 @@
 	s.armed, s.failShare = on, share
 }
 
-// Failed is the number of injected failures.
-func (s *Shim) Failed() int { return int(s.failed.Load()) }
+// FailedCalls is the number of injected failures.
+func (s *Shim) FailedCalls() int { return int(s.failed.Load()) }
 
 // Close ends the shim; its processes must have ended.
 func (s *Shim) Close() { close(s.ended) }
--- a/internal/testbed/experiment/soak/soak_test.go
+++ b/internal/testbed/experiment/soak/soak_test.go
@@ -20,7 +20,7 @@
 // TestSoak: ten proxies under overlapping faults for a short time break no rule, by what clients and hosts saw and by the processes' own logs.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		r, err := Play(environment(t), Options{Seed: seed, Proxies: 10, Hosts: 8, Length: 10 * time.Second, Rate: 6, Faults: 40, FailCalls: seed%2 == 0, BendClocks: true})
+		r, err := Run(environment(t), Options{Seed: seed, Proxies: 10, Hosts: 8, Length: 10 * time.Second, Rate: 6, FaultCount: 40, FailSystemCalls: seed%2 == 0, SkewClocks: true})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/experiment/soak/stop_test.go
+++ b/internal/testbed/experiment/soak/stop_test.go
@@ -16,8 +16,8 @@
 const asProgram = "CROFTLOCK_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	BehindShim()
-	BendClock()
+	ExecBehindShim()
+	SkewClock()
 	if os.Getenv(asProgram) != "" {
 		os.Exit(command.Run(os.Args[1:], os.Getenv))
 	}
@@ -53,7 +53,7 @@
 func (s *shutdownTest) request(t *testing.T, n int) (connections []*ClientConnection) {
 	t.Helper()
 	for range n {
-		c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline, Interval: 100 * time.Millisecond})
+		c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Timeout: s.deadline, Interval: 100 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 func (s *shutdownTest) requestWhileFrontSends(t *testing.T, terminatedAt time.Time) (connections []*ClientConnection) {
 	t.Helper()
 	for time.Since(terminatedAt) < 300*time.Millisecond {
-		if c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Wait: s.deadline}); err == nil {
+		if c, err := DialAndRequest(s.proxy.Addr, Request{Class: "lab", Timeout: s.deadline}); err == nil {
 			connections = append(connections, c)
 			t.Cleanup(c.Close)
 		}
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -138,7 +138,7 @@
 	if c.reason != "" {
 		p.AwaitLog(" reason=", 2*time.Second) // the log may arrive after the answer
 	}
-	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Took}, err
+	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Latency}, err
 }
 
 // firstReason is the reason of the first failed handshake in a proxy's log, or else of the first fault of its own files.
@@ -158,13 +158,13 @@
 	if err != nil {
 		return "", err
 	}
-	if _, err = fake.SaveTrust(dir, pki.Trusted); err != nil {
+	if _, err = fake.SaveTrustBundle(dir, pki.Trusted); err != nil {
 		return "", err
 	}
 	listUntil, more := time.Now().Add(time.Hour), ""
 	switch c.own {
 	case ownExpired:
-		if _, err = pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(-time.Minute)}); err != nil {
+		if _, err = pki.Trusted.SaveClientCertificate(dir, certs.Spec{Name: "proxy", NotAfter: time.Now().Add(-time.Minute)}); err != nil {
 			return "", err
 		}
 		more = ` (certificate "client.pem") (key "client.key")`
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -191,7 +191,7 @@
 		}
 		client.Close()
 		if i >= warmUp {
-			times = append(times, float64(a.Took)/1e6)
+			times = append(times, float64(a.Latency)/1e6)
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	trust, err := fake.SaveTrust(dir, pki.Trusted)
+	trust, err := fake.SaveTrustBundle(dir, pki.Trusted)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -107,7 +107,7 @@
 }
 
 func (t *rotation) renewClient(by *fake.Authority) error {
-	_, err := by.SaveClient(t.upstreams.dir, certs.Spec{Name: "proxy"})
+	_, err := by.SaveClientCertificate(t.upstreams.dir, certs.Spec{Name: "proxy"})
 	return err
 }
 
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -177,10 +177,10 @@
 // replaceFiles extends the bundle of authorities and replaces the proxy's certificate, during the storm.
 func (s *storm) replaceFiles() error {
 	time.Sleep(300 * time.Millisecond)
-	if _, err := fake.SaveTrust(s.upstreams.dir, s.upstreams.pki.Trusted, s.upstreams.pki.Other); err != nil {
+	if _, err := fake.SaveTrustBundle(s.upstreams.dir, s.upstreams.pki.Trusted, s.upstreams.pki.Other); err != nil {
 		return err
 	}
-	_, err := s.upstreams.pki.Trusted.SaveClient(s.upstreams.dir, certs.Spec{Name: "proxy"})
+	_, err := s.upstreams.pki.Trusted.SaveClientCertificate(s.upstreams.dir, certs.Spec{Name: "proxy"})
 	return err
 }
 
--- a/internal/testbed/experiment/upstreams.go
+++ b/internal/testbed/experiment/upstreams.go
@@ -33,10 +33,10 @@
 	if u.pki, err = fake.NewPKI("s1.lab"); err != nil {
 		return nil, err
 	}
-	if _, err = fake.SaveTrust(dir, u.pki.Trusted); err != nil {
+	if _, err = fake.SaveTrustBundle(dir, u.pki.Trusted); err != nil {
 		return nil, err
 	}
-	if _, err = u.pki.Trusted.SaveClient(dir, certs.Spec{Name: "proxy"}); err != nil {
+	if _, err = u.pki.Trusted.SaveClientCertificate(dir, certs.Spec{Name: "proxy"}); err != nil {
 		return nil, err
 	}
 	for i := range n {
--- a/internal/testbed/fake/authority.go
+++ b/internal/testbed/fake/authority.go
@@ -81,8 +81,8 @@
 	return ServerTLSConfig(func() *tls.Certificate { return c }, nil), nil
 }
 
-// SaveTrust writes a bundle of authorities into dir and returns its path.
-func SaveTrust(dir string, all ...*Authority) (string, error) {
+// SaveTrustBundle writes a bundle of authorities into dir and returns its path.
+func SaveTrustBundle(dir string, all ...*Authority) (string, error) {
 	var bundle []*x509.Certificate
 	for _, a := range all {
 		bundle = append(bundle, a.Root.Cert)
@@ -91,8 +91,8 @@
 	return path, certs.ReplaceFile(path, certs.EncodeBundle(bundle...), 0o644)
 }
 
-// SaveClient issues a client's certificate and writes it into dir with its key.
-func (a *Authority) SaveClient(dir string, spec certs.Spec) (*certs.Pair, error) {
+// SaveClientCertificate issues a client's certificate and writes it into dir with its key.
+func (a *Authority) SaveClientCertificate(dir string, spec certs.Spec) (*certs.Pair, error) {
 	spec.Client = true
 	p, err := a.Issue(spec)
 	if err != nil {
--- a/internal/testbed/fake/badserver.go
+++ b/internal/testbed/fake/badserver.go
@@ -37,7 +37,7 @@
 	defer b.drop(c)
 	spy := &plaintextSpy{Conn: c, server: b}
 	if b.Fault.Serve != nil {
-		if b.Fault.SoundHandshake {
+		if b.Fault.CompletesHandshake {
 			b.Fault.Serve(c, b.config)
 			time.Sleep(200 * time.Millisecond)
 			return
--- a/internal/testbed/fake/client.go
+++ b/internal/testbed/fake/client.go
@@ -21,9 +21,9 @@
 
 // Answer is the proxy's answer to a request.
 type Answer struct {
-	Kind string        // UP, BUSY, ERR, or NONE where none came in time
-	Text string        // the whole line
-	Took time.Duration // from the request
+	Kind    string        // UP, BUSY, ERR, or NONE where none came in time
+	Text    string        // the whole line
+	Latency time.Duration // from the request
 }
 
 // Open connects to a proxy and sends a request; extra is added to the request line, such as "at=s1". It waits for the answer a second
@@ -42,7 +42,7 @@
 	conn.SetDeadline(startedAt.Add(wait + time.Second))
 	fmt.Fprint(conn, line+"\r\n")
 	text, err := c.reader.ReadString('\n')
-	a := Answer{Kind: "NONE", Text: strings.TrimSpace(text), Took: time.Since(startedAt)}
+	a := Answer{Kind: "NONE", Text: strings.TrimSpace(text), Latency: time.Since(startedAt)}
 	if err != nil {
 		conn.Close()
 		return nil, a, err
--- a/internal/testbed/fake/discovery.go
+++ b/internal/testbed/fake/discovery.go
@@ -24,9 +24,9 @@
 
 // List is an endpoint list, or the changes of one, as discovery answers.
 type List struct {
-	Rev     int64   `json:"rev"`
-	All     bool    `json:"all"` // the complete list; else changes
-	Targets []Entry `json:"targets"`
+	Rev      int64   `json:"rev"`
+	Complete bool    `json:"all"` // the complete list; else changes
+	Targets  []Entry `json:"targets"`
 }
 
 // Discovery is a discovery service. Its methods may be called from any goroutine.
@@ -168,9 +168,9 @@
 
 // listSince is what has changed since a revision, or the complete list. mu is held.
 func (d *Discovery) listSince(rev int64) List {
-	list := List{Rev: d.rev, All: rev < 0, Targets: []Entry{}}
+	list := List{Rev: d.rev, Complete: rev < 0, Targets: []Entry{}}
 	for _, e := range d.hosts {
-		if list.All && e.State != "removed" || !list.All && d.changedAt[e.UID] > rev {
+		if list.Complete && e.State != "removed" || !list.Complete && d.changedAt[e.UID] > rev {
 			list.Targets = append(list.Targets, e)
 		}
 	}
--- a/internal/testbed/fake/faults.go
+++ b/internal/testbed/fake/faults.go
@@ -14,12 +14,12 @@
 type Fault struct {
 	Kind   string
 	Reason string // as the proxy logs it; "": it logs none
-	// SoundHandshake: the handshake is completed, so the proxy may send its request; the server breaks the connection afterwards and
+	// CompletesHandshake: the handshake is completed, so the proxy may send its request; the server breaks the connection afterwards and
 	// reads nothing. Else no byte of a request may arrive.
-	SoundHandshake bool
-	TLS12          bool                                 // the server and the proxy's settings use TLS 1.2
-	Config         makeConfig                           // nil where the fault needs none
-	Serve          func(c net.Conn, config *tls.Config) // handles a connection; nil: a handshake by Config
+	CompletesHandshake bool
+	TLS12              bool                                 // the server and the proxy's settings use TLS 1.2
+	Config             makeConfig                           // nil where the fault needs none
+	Serve              func(c net.Conn, config *tls.Config) // handles a connection; nil: a handshake by Config
 }
 
 // makeConfig makes a server's side of TLS.
@@ -30,7 +30,7 @@
 	return func(p *PKI) (*tls.Config, error) {
 		s := spec(p)
 		if s.Hosts == nil {
-			s.Hosts = []string{p.Name}
+			s.Hosts = []string{p.ServerName}
 		}
 		pair, err := issuer(p).Issue(s)
 		if err != nil {
@@ -107,18 +107,18 @@
 			c.Read(make([]byte, 4096))
 			c.Write(bytes.Repeat([]byte{0xa5}, 4096))
 		}},
-		{Kind: "resets-after-handshake", Reason: "", SoundHandshake: true, Config: sound, Serve: func(c net.Conn, config *tls.Config) {
+		{Kind: "resets-after-handshake", Reason: "", CompletesHandshake: true, Config: sound, Serve: func(c net.Conn, config *tls.Config) {
 			tls.Server(c, config).Handshake()
 			Reset(c)
 		}},
-		{Kind: "floods-key-updates", Reason: "", SoundHandshake: true, Config: sound, Serve: floodKeyUpdates},
-		{Kind: "renegotiates", Reason: "", SoundHandshake: true, TLS12: true, Config: sound, Serve: renegotiate},
+		{Kind: "floods-key-updates", Reason: "", CompletesHandshake: true, Config: sound, Serve: floodKeyUpdates},
+		{Kind: "renegotiates", Reason: "", CompletesHandshake: true, TLS12: true, Config: sound, Serve: renegotiate},
 	}
 }
 
 func selfSigned(p *PKI) (*tls.Config, error) {
 	now := time.Now()
-	pair, err := certs.Issue(nil, certs.Spec{Name: "me", Hosts: []string{p.Name}, Server: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour)})
+	pair, err := certs.Issue(nil, certs.Spec{Name: "me", Hosts: []string{p.ServerName}, Server: true, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(time.Hour)})
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 
 // longChain presents a certificate and a megabyte of others.
 func longChain(p *PKI) (*tls.Config, error) {
-	pair, err := p.Trusted.Issue(certs.Spec{Hosts: []string{p.Name}})
+	pair, err := p.Trusted.Issue(certs.Spec{Hosts: []string{p.ServerName}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/fake/mesh.go
+++ b/internal/testbed/fake/mesh.go
@@ -15,8 +15,8 @@
 type Link struct {
 	Cut        bool
 	Loss       float64 // part of the datagrams that is lost
-	Duplicated float64 // part that arrives twice
-	Corrupted  float64 // part that has a byte changed
+	Duplicates float64 // part that arrives twice
+	Corruption float64 // part that has a byte changed
 	Delay      time.Duration
 	Jitter     time.Duration // random delay of up to this, by which datagrams change their order
 }
@@ -76,22 +76,22 @@
 	return addrs
 }
 
-// Own is the address that a process listens on.
-func (m *Mesh) Own(i int) string { return m.ownAddrs[i].String() }
+// ListenAddr is the address that a process listens on.
+func (m *Mesh) ListenAddr(i int) string { return m.ownAddrs[i].String() }
 
-// Peers are the addresses by which a process reaches each process, itself included.
-func (m *Mesh) Peers(i int) []string {
+// PeerAddrs are the addresses by which a process reaches each process, itself included.
+func (m *Mesh) PeerAddrs(i int) []string {
 	out := make([]string, len(m.ownAddrs))
 	for j := range out {
-		if out[j] = m.Own(i); i != j {
+		if out[j] = m.ListenAddr(i); i != j {
 			out[j] = m.sockets[i][j].LocalAddr().String()
 		}
 	}
 	return out
 }
 
-// Set changes the link from one process to another.
-func (m *Mesh) Set(from, to int, change func(l *Link)) {
+// UpdateLink changes the link from one process to another.
+func (m *Mesh) UpdateLink(from, to int, change func(l *Link)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(&m.links[from][to])
@@ -122,7 +122,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, times := m.links[from][to], 1
-	if m.rng.Float64() < l.Duplicated {
+	if m.rng.Float64() < l.Duplicates {
 		times = 2
 	}
 	for range times {
@@ -130,7 +130,7 @@
 			continue
 		}
 		data := append([]byte(nil), datagram...)
-		if len(data) > 0 && m.rng.Float64() < l.Corrupted {
+		if len(data) > 0 && m.rng.Float64() < l.Corruption {
 			data[m.rng.IntN(len(data))] ^= byte(1 + m.rng.IntN(255))
 		}
 		wait := l.Delay
--- a/internal/testbed/fake/pki.go
+++ b/internal/testbed/fake/pki.go
@@ -12,15 +12,15 @@
 
 // PKI is a trusted authority, one that is not trusted, and a revoked certificate.
 type PKI struct {
-	Trusted *Authority
-	Other   *Authority
-	Name    string // of the server, as the proxy expects it
-	Revoked *certs.Pair
+	Trusted    *Authority
+	Other      *Authority
+	ServerName string // of the server, as the proxy expects it
+	Revoked    *certs.Pair
 }
 
 // NewPKI makes a PKI for a server's name.
 func NewPKI(name string) (*PKI, error) {
-	p := &PKI{Name: name}
+	p := &PKI{ServerName: name}
 	var err, err2, err3 error
 	p.Trusted, err = NewAuthority("trusted")
 	p.Other, err2 = NewAuthority("other")
@@ -36,13 +36,13 @@
 	return certs.NewRevocationList(p.Trusted.Root, 1, time.Now().Add(-time.Hour), until, p.Revoked.Cert)
 }
 
-// ForeignCRL is a revocation list that the untrusted authority has signed.
-func ForeignCRL(p *PKI) ([]byte, error) {
+// OtherCRL is a revocation list that the untrusted authority has signed.
+func OtherCRL(p *PKI) ([]byte, error) {
 	return certs.NewRevocationList(p.Other.Root, 1, time.Now().Add(-time.Hour), time.Now().Add(time.Hour), &x509.Certificate{SerialNumber: big.NewInt(1)})
 }
 
-// HalfPEM is the first half of a bundle, as a reader sees it while it is being written.
-func HalfPEM(c *x509.Certificate) []byte {
+// TruncatedPEM is the first half of a bundle, as a reader sees it while it is being written.
+func TruncatedPEM(c *x509.Certificate) []byte {
 	whole := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: c.Raw})
 	return whole[:len(whole)/2]
 }
