--- a/internal/fleet/membership/components_test.go
+++ b/internal/fleet/membership/components_test.go
@@ -60,11 +60,11 @@
 
 func TestProberAcks(t *testing.T) {
 	p := newProber(rand.New(rand.NewPCG(1, 2)), 2, 0)
-	own, relayedProbe := p.begin(7, 1, nil), p.begin(7, 1, &relay{slot: 1, sequence: 9})
-	if p.completeProbe(own, 8) != nil || p.completeIndirectProbe(relayedProbe, 7) {
+	own, requestedProbe := p.begin(7, 1, nil), p.begin(7, 1, &probeRequester{slot: 1, sequence: 9})
+	if p.completeProbe(own, 8) != nil || p.completeIndirectProbe(requestedProbe, 7) {
 		t.Error("an ack by another member, or an indirect ack of a relayed probe, completes a probe")
 	}
-	if !p.completeIndirectProbe(own, 7) || p.completeProbe(relayedProbe, 7) == nil || len(p.sequences()) > 0 {
+	if !p.completeIndirectProbe(own, 7) || p.completeProbe(requestedProbe, 7) == nil || len(p.sequences()) > 0 {
 		t.Errorf("acked probes do not complete, or are still outstanding: %v", p.sequences())
 	}
 }
--- a/internal/fleet/membership/core.go
+++ b/internal/fleet/membership/core.go
@@ -111,13 +111,13 @@
 // Leave announces the graceful shutdown of this process to some members, whose gossip spreads it.
 // Afterwards this process sends no more probes.
 func (c *Core) Leave(now Time) {
-	const announcements = 4 * indirectProbes
+	const maxAnnouncements = 4 * maxIndirectProbes
 	c.now = max(c.now, now)
 	c.hasLeft = true
 	c.spread(c.selfID)
 	sent := 0
 	for slot, id := range c.addresses.memberAt {
-		if m := c.members.get(id); id != 0 && m.State == Alive && sent < announcements {
+		if m := c.members.get(id); id != 0 && m.State == Alive && sent < maxAnnouncements {
 			sent++
 			c.send(slot, c.newDatagram())
 		}
@@ -130,7 +130,7 @@
 func (c *Core) SendPayload(now Time, to uint32, channel byte, data []byte) {
 	c.now = max(c.now, now)
 	if slot := c.SlotOf(to); slot >= 0 && !c.hasLeft {
-		if d := c.newDatagram(); d.carried(channel, data) {
+		if d := c.newDatagram(); d.payload(channel, data) {
 			c.transmit(slot, d)
 		}
 	}
--- a/internal/fleet/membership/decode.go
+++ b/internal/fleet/membership/decode.go
@@ -64,7 +64,7 @@
 	case partPing, partAck:
 		return sequenceLength
 	case partPingRequest, partIndirectAck:
-		return relayedLength
+		return indirectProbeLength
 	case partUpdate:
 		return updateLength
 	case partViewRequest:
@@ -81,16 +81,16 @@
 		if len(b) >= nameHeaderLength {
 			return nameHeaderLength + int(b[1])
 		}
-	case partCarried:
-		if len(b) >= carriedHeaderLength {
-			return carriedHeaderLength + int(b[2])
+	case partPayload:
+		if len(b) >= payloadHeaderLength {
+			return payloadHeaderLength + int(b[2])
 		}
 	}
 	return 0
 }
 
-// relayed is a request for an indirect probe, or the result of one.
-type relayed struct{ sequence, target uint32 }
+// indirectProbe is a request for an indirect probe, or the result of one.
+type indirectProbe struct{ sequence, target uint32 }
 
 // memberAddress is the address of a member.
 type memberAddress struct {
@@ -98,8 +98,8 @@
 	address netip.AddrPort
 }
 
-// carriedData is the data of another package.
-type carriedData struct {
+// payload is the data of another package.
+type payload struct {
 	channel byte
 	data    []byte
 }
@@ -107,8 +107,8 @@
 // decodeSequence returns the sequence number of a ping or an ack.
 func decodeSequence(p part) uint32 { return binary.BigEndian.Uint32(p[1:]) }
 
-func decodeRelayed(p part) relayed {
-	return relayed{sequence: binary.BigEndian.Uint32(p[1:]), target: binary.BigEndian.Uint32(p[5:])}
+func decodeIndirectProbe(p part) indirectProbe {
+	return indirectProbe{sequence: binary.BigEndian.Uint32(p[1:]), target: binary.BigEndian.Uint32(p[5:])}
 }
 
 func decodeUpdate(p part) MemberUpdate {
@@ -137,4 +137,4 @@
 	return memberAddress{binary.BigEndian.Uint32(p[1:]), netip.AddrPortFrom(ip, binary.BigEndian.Uint16(p[9:]))}
 }
 
-func decodeCarried(p part) carriedData { return carriedData{p[1], p[carriedHeaderLength:]} }
+func decodePayload(p part) payload { return payload{p[1], p[payloadHeaderLength:]} }
--- a/internal/fleet/membership/detect.go
+++ b/internal/fleet/membership/detect.go
@@ -41,7 +41,7 @@
 }
 
 // sendProbe probes a member on behalf of requester, or for this process itself if requester is nil.
-func (c *Core) sendProbe(m *member, requester *relay) {
+func (c *Core) sendProbe(m *member, requester *probeRequester) {
 	sequence := c.prober.begin(m.ID, c.now, requester)
 	d := c.newDatagram()
 	d.ping(sequence)
@@ -56,47 +56,47 @@
 		age := c.now - p.sentAt
 		timeout := c.prober.health.extend(c.cfg.ProbeTimeout)
 		switch {
-		case p.relay != nil:
-			if age > relayTimeout {
+		case p.requester != nil:
+			if age > requestedProbeTimeout {
 				delete(c.prober.outstanding, sequence)
 			}
-		case !p.indirect && age > timeout:
-			c.probeUnanswered(p, sequence)
-		case p.indirect && age > 2*timeout:
+		case !p.indirectRequested && age > timeout:
+			c.handleProbeTimeout(p, sequence)
+		case p.indirectRequested && age > 2*timeout:
 			delete(c.prober.outstanding, sequence)
-			c.indirectProbesFailed(p)
+			c.handleIndirectProbeTimeout(p)
 		}
 	}
 }
 
-// probeUnanswered requests indirect probes of a member that did not answer this process.
-func (c *Core) probeUnanswered(p *probe, sequence uint32) {
-	p.indirect = true
+// handleProbeTimeout requests indirect probes of a member that did not answer this process.
+func (c *Core) handleProbeTimeout(p *probe, sequence uint32) {
+	p.indirectRequested = true
 	if m := c.members.get(p.target); m != nil && m.unansweredSince == 0 {
 		c.members.setUnanswered(m, p.sentAt)
 	}
-	c.requestIndirectProbes(relayed{sequence: sequence, target: p.target})
+	c.requestIndirectProbes(indirectProbe{sequence: sequence, target: p.target})
 }
 
 // requestIndirectProbes asks randomly chosen members that answer this process to probe one that did not.
-func (c *Core) requestIndirectProbes(r relayed) {
+func (c *Core) requestIndirectProbes(request indirectProbe) {
 	var candidates []int
 	for slot, id := range c.addresses.memberAt {
-		if m := c.members.get(id); id != 0 && id != r.target && m.State == Alive && m.unansweredSince == 0 {
+		if m := c.members.get(id); id != 0 && id != request.target && m.State == Alive && m.unansweredSince == 0 {
 			candidates = append(candidates, slot)
 		}
 	}
-	for range min(indirectProbes, len(candidates)) {
+	for range min(maxIndirectProbes, len(candidates)) {
 		i := c.rng.IntN(len(candidates))
 		d := c.newDatagram()
-		d.pingRequest(r)
+		d.pingRequest(request)
 		c.send(candidates[i], d)
 		candidates = append(candidates[:i], candidates[i+1:]...)
 	}
 }
 
-// indirectProbesFailed suspects a member that answered no process, unless one has heard it since the probe.
-func (c *Core) indirectProbesFailed(p *probe) {
+// handleIndirectProbeTimeout suspects a member that answered no process, unless one has heard it since the probe.
+func (c *Core) handleIndirectProbeTimeout(p *probe) {
 	m := c.members.get(p.target)
 	if m == nil {
 		return
@@ -174,8 +174,8 @@
 func (c *Core) markLeft(m *member) { c.setState(m, Left, reasonAnnouncedShutdown) }
 
 // refute gossips an incarnation newer than accused, to refute what others report about this process.
-func (c *Core) refute(accused Incarnation) {
-	c.incarnation = accused + 1
+func (c *Core) refute(reported Incarnation) {
+	c.incarnation = reported + 1
 	c.counts.Refutations++
 	c.spread(c.selfID)
 }
--- a/internal/fleet/membership/encode.go
+++ b/internal/fleet/membership/encode.go
@@ -31,21 +31,21 @@
 	partName        partKind = 8  // the sender's name, whose hash is its ID
 	partRejected    partKind = 9  // why the receiver is not admitted
 	partAddress     partKind = 10 // a member's address, if addresses are learnt
-	partCarried     partKind = 11 // data of another package for its counterpart at the receiver
+	partPayload     partKind = 11 // data of another package for its counterpart at the receiver
 )
 
 // Lengths in bytes, including the kind of a part. A header length excludes the data that follow the header.
 const (
 	headerLength        = 1 + 4 + 4 + 8 + 4
 	sequenceLength      = 1 + 4
-	relayedLength       = 1 + 4 + 4
+	indirectProbeLength = 1 + 4 + 4
 	updateLength        = 1 + 4 + 1 + 8 + 2
 	unheardHeaderLength = 2
 	nameHeaderLength    = 2
 	viewRequestLength   = 1
 	rejectedLength      = 2
 	addressLength       = 1 + 4 + 4 + 2
-	carriedHeaderLength = 3
+	payloadHeaderLength = 3
 )
 
 // maxUnheardListed is the maximum number of members that a process lists as unheard in a datagram.
@@ -54,7 +54,7 @@
 // MaxPayload returns how many bytes of another package's data fit a datagram to which the caller adds
 // overhead bytes.
 func MaxPayload(overhead int) int {
-	return MaxDatagramBytes - overhead - headerLength - carriedHeaderLength
+	return MaxDatagramBytes - overhead - headerLength - payloadHeaderLength
 }
 
 // Errors that Core.Receive returns. Seal.Open returns ErrMalformed, too.
@@ -150,14 +150,14 @@
 	binary.BigEndian.PutUint32(d.appendPart(partAck, sequenceLength)[1:], sequence)
 }
 
-func (d *datagram) pingRequest(r relayed) { d.relayed(partPingRequest, r) }
+func (d *datagram) pingRequest(request indirectProbe) { d.indirectProbe(partPingRequest, request) }
 
-func (d *datagram) indirectAck(r relayed) { d.relayed(partIndirectAck, r) }
+func (d *datagram) indirectAck(ack indirectProbe) { d.indirectProbe(partIndirectAck, ack) }
 
-func (d *datagram) relayed(kind partKind, r relayed) {
-	p := d.appendPart(kind, relayedLength)
-	binary.BigEndian.PutUint32(p[1:], r.sequence)
-	binary.BigEndian.PutUint32(p[5:], r.target)
+func (d *datagram) indirectProbe(kind partKind, probe indirectProbe) {
+	p := d.appendPart(kind, indirectProbeLength)
+	binary.BigEndian.PutUint32(p[1:], probe.sequence)
+	binary.BigEndian.PutUint32(p[5:], probe.target)
 }
 
 // update writes an update and reports whether it fitted.
@@ -210,14 +210,14 @@
 	d.appendPart(partRejected, rejectedLength)[1] = byte(reason)
 }
 
-// carried writes data of another package and reports whether they fitted.
-func (d *datagram) carried(channel byte, data []byte) bool {
-	if !d.fits(carriedHeaderLength+len(data)) || len(data) > 255 {
+// payload writes data of another package and reports whether they fitted.
+func (d *datagram) payload(channel byte, data []byte) bool {
+	if !d.fits(payloadHeaderLength+len(data)) || len(data) > 255 {
 		return false
 	}
-	p := d.appendPart(partCarried, carriedHeaderLength+len(data))
+	p := d.appendPart(partPayload, payloadHeaderLength+len(data))
 	p[1], p[2] = channel, byte(len(data))
-	copy(p[carriedHeaderLength:], data)
+	copy(p[payloadHeaderLength:], data)
 	return true
 }
 
--- a/internal/fleet/membership/handle.go
+++ b/internal/fleet/membership/handle.go
@@ -8,9 +8,9 @@
 	case partAck:
 		c.handleAck(from, decodeSequence(p))
 	case partPingRequest:
-		c.handlePingRequest(slot, decodeRelayed(p))
+		c.handlePingRequest(slot, decodeIndirectProbe(p))
 	case partIndirectAck:
-		c.handleIndirectAck(decodeRelayed(p))
+		c.handleIndirectAck(decodeIndirectProbe(p))
 	case partUpdate:
 		c.handleUpdate(decodeUpdate(p))
 	case partUnheard:
@@ -18,10 +18,10 @@
 		from.UnheardAt = c.now
 	case partAddress:
 		c.handleAddress(decodeAddress(p))
-	case partCarried:
-		if carrier, ok := c.effects.(PayloadReceiver); ok {
-			data := decodeCarried(p)
-			carrier.PayloadReceived(from.ID, data.channel, data.data)
+	case partPayload:
+		if receiver, ok := c.effects.(PayloadReceiver); ok {
+			received := decodePayload(p)
+			receiver.PayloadReceived(from.ID, received.channel, received.data)
 		}
 	case partName:
 		c.handleName(from, decodeName(p))
@@ -41,25 +41,25 @@
 
 func (c *Core) handleAck(from *member, sequence uint32) {
 	p := c.prober.completeProbe(sequence, from.ID)
-	if p == nil || p.relay == nil {
+	if p == nil || p.requester == nil {
 		return
 	}
 	d := c.newDatagram()
-	d.indirectAck(relayed{sequence: p.relay.sequence, target: p.target})
-	c.send(p.relay.slot, d)
+	d.indirectAck(indirectProbe{sequence: p.requester.sequence, target: p.target})
+	c.send(p.requester.slot, d)
 }
 
-func (c *Core) handlePingRequest(slot int, r relayed) {
-	if m := c.members.get(r.target); m != nil && m.Slot >= 0 {
-		c.sendProbe(m, &relay{slot: slot, sequence: r.sequence})
+func (c *Core) handlePingRequest(slot int, request indirectProbe) {
+	if m := c.members.get(request.target); m != nil && m.Slot >= 0 {
+		c.sendProbe(m, &probeRequester{slot: slot, sequence: request.sequence})
 	}
 }
 
-func (c *Core) handleIndirectAck(r relayed) {
-	if !c.prober.completeIndirectProbe(r.sequence, r.target) {
+func (c *Core) handleIndirectAck(ack indirectProbe) {
+	if !c.prober.completeIndirectProbe(ack.sequence, ack.target) {
 		return
 	}
-	if m := c.members.get(r.target); m != nil {
+	if m := c.members.get(ack.target); m != nil {
 		c.handleIndirectContact(m, c.now)
 	}
 }
--- a/internal/fleet/membership/prober.go
+++ b/internal/fleet/membership/prober.go
@@ -9,10 +9,10 @@
 const (
 	// maxHealth is the maximum of localHealth: timeouts grow to five times their length.
 	maxHealth = 8
-	// indirectProbes is the maximum number of members that are asked to probe a member that did not answer.
-	indirectProbes = 3
-	// relayTimeout is how long a probe on behalf of another member may take.
-	relayTimeout = 2 * sec
+	// maxIndirectProbes is the maximum number of members that are asked to probe a member that did not answer.
+	maxIndirectProbes = 3
+	// requestedProbeTimeout is how long a probe on behalf of another member may take.
+	requestedProbeTimeout = 2 * sec
 	// turnsPerEndedProbe is the average number of turns in which an ended member is probed once, as a
 	// restarted process may be at its address.
 	turnsPerEndedProbe = 8
@@ -30,14 +30,14 @@
 
 // probe is an outstanding probe.
 type probe struct {
-	target   uint32
-	sentAt   Time
-	indirect bool   // whether others were asked to probe the target
-	relay    *relay // the member that requested the probe; nil if this process probes for itself
+	target            uint32
+	sentAt            Time
+	indirectRequested bool            // whether others were asked to probe the target
+	requester         *probeRequester // the member that requested the probe; nil if this process probes for itself
 }
 
-// relay identifies the request of another member on whose behalf a probe is sent.
-type relay struct {
+// probeRequester identifies the request of another member on whose behalf a probe is sent.
+type probeRequester struct {
 	slot     int // of the member that requested it
 	sequence uint32
 }
@@ -92,9 +92,9 @@
 }
 
 // begin records a probe and returns its sequence number. requester is nil if this process probes for itself.
-func (p *prober) begin(target uint32, now Time, requester *relay) (sequence uint32) {
+func (p *prober) begin(target uint32, now Time, requester *probeRequester) (sequence uint32) {
 	sequence = p.nextSequence()
-	p.outstanding[sequence] = &probe{target: target, sentAt: now, relay: requester}
+	p.outstanding[sequence] = &probe{target: target, sentAt: now, requester: requester}
 	return sequence
 }
 
@@ -112,7 +112,7 @@
 // reports whether there was one.
 func (p *prober) completeIndirectProbe(sequence, target uint32) bool {
 	sent := p.outstanding[sequence]
-	if sent == nil || sent.target != target || sent.relay != nil {
+	if sent == nil || sent.target != target || sent.requester != nil {
 		return false
 	}
 	delete(p.outstanding, sequence)
--- a/internal/fleet/membership/simulation/check.go
+++ b/internal/fleet/membership/simulation/check.go
@@ -39,8 +39,8 @@
 // checkChange checks that a process suspects no member within a second after it was paused for more than a
 // second: what it did not hear during the pause proves nothing.
 func (n *Node) checkChange(c membership.Change) {
-	accuses := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
-	if accuses && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
+	suspects := c.OldState != c.NewState && (c.NewState == membership.Suspect || c.NewState == membership.Unreachable)
+	if suspects && n.resumedAt > 0 && n.fleet.now-n.resumedAt < Sec {
 		n.fleet.recordViolation("n%d accuses %d right after it was paused: %s", n.index, c.ID, c.Reason)
 	}
 }
@@ -84,8 +84,8 @@
 		if !n.Running {
 			continue
 		}
-		if wrong := f.viewError(i); wrong != "" {
-			return wrong
+		if description := f.viewError(i); description != "" {
+			return description
 		}
 		if d := n.Core.Digest(); first < 0 {
 			digest, first = d, i
--- a/internal/fleet/membership/simulation/cost.go
+++ b/internal/fleet/membership/simulation/cost.go
@@ -31,40 +31,40 @@
 	f := New(n, seed, membership.Config{})
 	f.Loss, f.SkipChecks = loss, true
 	victim := int(seed) % n
-	seen := observation{alarms: map[int]bool{}, detectedAfter: map[int]Time{}}
+	observed := observation{alarms: map[int]bool{}, detectedAfter: map[int]Time{}}
 	f.OnChange = func(at int, c membership.Change) {
 		if c.NewState != membership.Unreachable && c.NewState != membership.Gone {
 			return
 		}
-		if c.ID != membership.ID(Name(victim)) || seen.diedAt == 0 {
-			seen.alarms[int(c.ID)] = true
-		} else if _, known := seen.detectedAfter[at]; !known {
-			seen.detectedAfter[at] = f.now - seen.diedAt
+		if c.ID != membership.ID(Name(victim)) || observed.diedAt == 0 {
+			observed.alarms[int(c.ID)] = true
+		} else if _, known := observed.detectedAfter[at]; !known {
+			observed.detectedAfter[at] = f.now - observed.diedAt
 		}
 	}
 	// In a large fleet it takes longer until all processes know each other.
 	warmUp := 10*Sec + Time(n)*Sec/12
 	f.Run(warmUp)
 	sentBefore, bytesBefore := f.traffic()
-	clear(seen.alarms)
+	clear(observed.alarms)
 	f.Run(warmUp + duration)
 	sent, bytes := f.traffic()
 	c := Cost{
 		Messages:    float64(sent-sentBefore) / float64(n) * 1e9 / float64(duration),
 		Bytes:       float64(bytes-bytesBefore) / float64(n) * 1e9 / float64(duration),
-		FalseAlarms: float64(len(seen.alarms)) * 3600e9 / float64(duration),
+		FalseAlarms: float64(len(observed.alarms)) * 3600e9 / float64(duration),
 	}
-	seen.diedAt = f.now
+	observed.diedAt = f.now
 	f.Kill(victim)
 	f.Run(f.now + 15*Sec)
-	c.DetectionTime = detectionTime(seen.detectedAfter, n-1)
+	c.DetectionTime = detectionTime(observed.detectedAfter, n-1)
 	return c
 }
 
 // detectionTime returns the time after which 99 % of the survivors had detected a death, or -1 if fewer did.
-func detectionTime(knows map[int]Time, survivors int) Time {
+func detectionTime(detectedAfter map[int]Time, survivors int) Time {
 	var delays []Time
-	for _, t := range knows {
+	for _, t := range detectedAfter {
 		delays = append(delays, t)
 	}
 	slices.Sort(delays)
--- a/internal/fleet/membership/simulation/fleet.go
+++ b/internal/fleet/membership/simulation/fleet.go
@@ -55,17 +55,17 @@
 	Seeds     int
 	Violation string // the first violated invariant; empty if there is none
 
-	now       Time
-	lastEvent int
-	rng       *rand.Rand
-	queue     eventQueue
-	planted   membership.Config
+	now        Time
+	lastEvent  int
+	rng        *rand.Rand
+	queue      eventQueue
+	baseConfig membership.Config
 }
 
 // New returns a fleet of n processes, which all start within the first second. planted is the configuration
 // on which that of each process is based: it may set planted faults, and durations other than the defaults.
-func New(n int, seed uint64, planted membership.Config) *Fleet {
-	f := &Fleet{Delay: defaultDelay, Jitter: defaultJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), planted: planted}
+func New(n int, seed uint64, baseConfig membership.Config) *Fleet {
+	f := &Fleet{Delay: defaultDelay, Jitter: defaultJitter, CutLinks: map[link]bool{}, rng: rand.New(rand.NewPCG(seed, 7)), baseConfig: baseConfig}
 	for i := range n {
 		f.Nodes = append(f.Nodes, &Node{fleet: f, index: i, newest: map[uint32]membership.Incarnation{}})
 		f.Schedule(Time(f.rng.Int64N(int64(Sec))), func() { f.Start(i) })
@@ -114,7 +114,7 @@
 
 // config returns the configuration of process i if it starts now.
 func (f *Fleet) config(i int) membership.Config {
-	cfg := f.planted
+	cfg := f.baseConfig
 	cfg.Name, cfg.Fleet = Name(i), "lab"
 	cfg.Slots, cfg.OwnSlot = len(f.Nodes), i
 	cfg.Seed = f.rng.Uint64()
--- a/internal/fleet/membership/simulation/fleet_test.go
+++ b/internal/fleet/membership/simulation/fleet_test.go
@@ -28,13 +28,13 @@
 	}
 }
 
-// TestPlantedFaultsAreFound checks that the invariants detect processes that ignore incarnations, and
+// TestInjectedFaults checks that the invariants detect processes that ignore incarnations, and
 // processes that do not detect their own pauses.
-func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, planted := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not detected": {IgnorePause: true}} {
+func TestInjectedFaults(t *testing.T) {
+	for name, config := range map[string]membership.Config{"incarnation ignored": {IgnoreIncarnation: true}, "own pause not detected": {IgnorePause: true}} {
 		found := false
 		for seed := uint64(0); seed < 200 && !found; seed++ {
-			if _, violation := RunRandomPlan(seed, planted); violation != "" {
+			if _, violation := RunRandomPlan(seed, config); violation != "" {
 				t.Logf("%s: seed %d, %s", name, seed, violation)
 				found = true
 			}
--- a/internal/fleet/membership/simulation/node.go
+++ b/internal/fleet/membership/simulation/node.go
@@ -56,7 +56,7 @@
 func (n *Node) takeTurn() {
 	inbox := n.inbox
 	n.inbox = nil
-	if len(inbox) == 0 || !n.fleet.planted.IgnorePause {
+	if len(inbox) == 0 || !n.fleet.baseConfig.IgnorePause {
 		n.Core.Tick(n.fleet.now, wallStart+n.fleet.now+n.WallStep)
 	}
 	for _, d := range inbox {
--- a/internal/fleet/membership/simulation/plan.go
+++ b/internal/fleet/membership/simulation/plan.go
@@ -150,10 +150,10 @@
 
 // RunRandomPlan runs a random plan and returns the violated invariant, or a description of views that do
 // not agree in time. It returns "" if there is neither.
-func RunRandomPlan(seed uint64, planted membership.Config) (plan []Fault, violation string) {
+func RunRandomPlan(seed uint64, baseConfig membership.Config) (plan []Fault, violation string) {
 	n := 3 + int(seed%6)
 	plan = RandomPlan(n, seed)
-	f := New(n, seed, planted)
+	f := New(n, seed, baseConfig)
 	endMS := f.Apply(plan)
 	f.Run(endMS*Ms + SettleTime)
 	if f.Violation != "" {
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -106,12 +106,12 @@
 }
 
 // count adds by to the counts that include state s.
-func (t *memberTable) count(s State, by int) {
+func (t *memberTable) count(s State, delta int) {
 	if s.countsForMajority() {
-		t.alive += by
+		t.alive += delta
 	}
 	if s == Suspect || s == Unreachable {
-		t.suspectOrUnreachable += by
+		t.suspectOrUnreachable += delta
 	}
 }
 
--- a/internal/fleet/membership/update.go
+++ b/internal/fleet/membership/update.go
@@ -41,8 +41,8 @@
 // handleSelfUpdate refutes a report that this process is suspect, unreachable or ended. It also raises
 // the incarnation above a reported newer one, as after this process's clock was set back.
 func (c *Core) handleSelfUpdate(u MemberUpdate) {
-	accused := u.State == Suspect || u.State == Unreachable || u.State == Gone || u.State == Left && !c.hasLeft
-	if u.Incarnation > c.incarnation || u.Incarnation == c.incarnation && accused {
+	mustRefute := u.State == Suspect || u.State == Unreachable || u.State == Gone || u.State == Left && !c.hasLeft
+	if u.Incarnation > c.incarnation || u.Incarnation == c.incarnation && mustRefute {
 		c.refute(u.Incarnation)
 	}
 }
