--- a/internal/testbed/experiment/command.go
+++ b/internal/testbed/experiment/command.go
@@ -107,7 +107,7 @@
 	c := &cobra.Command{Use: "relay", Hidden: true, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return o.run() }}
 	c.Flags().StringVar(&o.upstream, "to", "", "")
 	c.Flags().StringVar(&o.trust, "trust", "", "")
-	c.Flags().StringVar(&o.name, "name", "", "")
+	c.Flags().StringVar(&o.serverName, "name", "", "")
 	return c
 }
 
--- a/internal/testbed/experiment/member.go
+++ b/internal/testbed/experiment/member.go
@@ -153,7 +153,7 @@
 	if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 		return errors.New("not all alive after 30 s")
 	}
-	rig.setLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
+	rig.applyToLinks(func(int, int) bool { return true }, func(l *fake.Link) { l.Loss = 0.2 })
 	time.Sleep(lasts)
 	gone, unreachable := 0, 0
 	for _, p := range rig.Procs {
--- a/internal/testbed/experiment/membercut.go
+++ b/internal/testbed/experiment/membercut.go
@@ -43,12 +43,12 @@
 		if _, ok := rig.AwaitAllAlive(30 * time.Second); !ok {
 			return fmt.Errorf("%s: not all alive before", c.name)
 		}
-		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = true })
+		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = true })
 		seen, err := c.observe(rig)
 		if err != nil {
 			return err
 		}
-		rig.setLinks(c.cut, func(l *fake.Link) { l.Cut = false })
+		rig.applyToLinks(c.cut, func(l *fake.Link) { l.Cut = false })
 		heal, ok := rig.AwaitAllAlive(20 * time.Second)
 		if !ok {
 			return fmt.Errorf("%s: not all alive 20 s after healing", c.name)
--- a/internal/testbed/experiment/ops.go
+++ b/internal/testbed/experiment/ops.go
@@ -48,7 +48,7 @@
 func (s *proxySite) upgradeUnderLoad(r *Report) (unanswered int, ready samples, err error) {
 	var leave samples // milliseconds
 	for range upgrades {
-		readyIn, leftIn, err := s.replace()
+		readyIn, leftIn, err := s.hotRestart()
 		if err != nil {
 			return 0, nil, err
 		}
@@ -197,7 +197,7 @@
 	s.upstreams.discovery.Set(host.Entry()) // a new revision in which it is up
 	time.Sleep(time.Second)
 	o.established = host.Established()
-	if _, _, err := s.replace(); err != nil {
+	if _, _, err := s.hotRestart(); err != nil {
 		return o, err
 	}
 	s.upstreams.discovery.SetState(host.UID, "draining")
--- a/internal/testbed/experiment/ownerchaos.go
+++ b/internal/testbed/experiment/ownerchaos.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rig, err := NewRigWithOptions(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, LogLevel: "debug", Upstreams: f, SettingsSections: ownersFile(3, true, "(drill 20) (hosts on)")})
+	rig, err := NewRigWithOptions(c.env, RigOptions{Processes: 5, Seed: 7, Key: sealKey, LogLevel: "debug", Upstreams: f, SettingsSections: ownersSection(3, true, "(drill 20) (hosts on)")})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/experiment/ownercost.go
+++ b/internal/testbed/experiment/ownercost.go
@@ -53,7 +53,7 @@
 		return 0, err
 	}
 	defer idle.Close()
-	if _, ok := idle.AwaitAllAlive(ownersWait); !ok {
+	if _, ok := idle.AwaitAllAlive(recoveryTimeout); !ok {
 		return 0, errors.New("not all members are alive")
 	}
 	time.Sleep(2 * time.Second)
@@ -67,7 +67,7 @@
 }
 
 func (g ownerGroup) newRig(e *Env, sections string) (*Rig, error) {
-	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersFile(g.voters, g.disks, sections)})
+	return NewRigWithOptions(e, RigOptions{Processes: ownerCostProcesses, Seed: 3, Key: sealKey, SettingsSections: ownersSection(g.voters, g.disks, sections)})
 }
 
 // cost measures one kind of group; membership is the CPU of an idle process without owners.
@@ -117,10 +117,10 @@
 			time.Sleep(500 * time.Millisecond)
 			continue
 		}
-		if _, ok := AwaitCondition(10*time.Second, func() bool { return len(rig.acquired(to, job, startedAt)) > 0 }); !ok {
+		if _, ok := AwaitCondition(10*time.Second, func() bool { return len(rig.acquisitionTimes(to, job, startedAt)) > 0 }); !ok {
 			return nil, fmt.Errorf("n%[2]d does not acquire %[1]s", job, to)
 		}
-		took = append(took, float64(rig.acquired(to, job, startedAt)[0].Sub(startedAt))/1e6)
+		took = append(took, float64(rig.acquisitionTimes(to, job, startedAt)[0].Sub(startedAt))/1e6)
 		owners[job] = to
 	}
 	slices.Sort(took)
@@ -152,7 +152,7 @@
 // acquiredByOther returns whether a process other than the given one acquired a job since a time.
 func (r *Rig) acquiredByOther(than int, job string, from time.Time) bool {
 	for i := range r.Procs {
-		if i != than && len(r.acquired(i, job, from)) > 0 {
+		if i != than && len(r.acquisitionTimes(i, job, from)) > 0 {
 			return true
 		}
 	}
--- a/internal/testbed/experiment/ownerdisk.go
+++ b/internal/testbed/experiment/ownerdisk.go
@@ -116,7 +116,7 @@
 
 // play plays the fault at a replica's disk during a stream of commands, and counts the answered commands without effect afterwards.
 func (f *diskFault) play(e *Env, voter int) (o diskOutcome, err error) {
-	rig, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, SettingsSections: ownersFile(3, true, "(hosts on)")})
+	rig, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 5, Key: sealKey, SettingsSections: ownersSection(3, true, "(hosts on)")})
 	if err != nil {
 		return o, err
 	}
@@ -206,7 +206,7 @@
 // awaitAnswers waits until n more commands are answered.
 func (s *suspensionStream) awaitAnswers(n int64) error {
 	before := s.answered.Load()
-	if _, ok := AwaitCondition(ownersWait, func() bool { return s.answered.Load() >= before+n }); !ok {
+	if _, ok := AwaitCondition(recoveryTimeout, func() bool { return s.answered.Load() >= before+n }); !ok {
 		return errors.New("commands are not answered")
 	}
 	return nil
@@ -222,7 +222,7 @@
 func suspendedHosts(rig *Rig) ([]string, error) {
 	var list owneragent.Reply
 	var err error
-	if _, ok := AwaitCondition(ownersWait, func() bool {
+	if _, ok := AwaitCondition(recoveryTimeout, func() bool {
 		list, err = rig.SendOwnerRequest(4, owneragent.Request{Command: "list"})
 		return err == nil && strings.HasPrefix(list.Answer, "out for the fleet")
 	}); !ok {
--- a/internal/testbed/experiment/ownerhandover.go
+++ b/internal/testbed/experiment/ownerhandover.go
@@ -30,7 +30,7 @@
 // handovers shuts down or replaces one process after the other, and returns the milliseconds for which each of their jobs had no owner.
 func handovers(e *Env, how string, disks bool) (samples, error) {
 	const jobs, turns = 20, 8
-	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersFile(3, disks, fmt.Sprintf("(drill %d)", jobs))})
+	r, err := NewRigWithOptions(e, RigOptions{Processes: 5, Seed: 3, Key: sealKey, SettingsSections: ownersSection(3, disks, fmt.Sprintf("(drill %d)", jobs))})
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 			return nil, err
 		}
 		// One replica at a time, as docs/operate-ownership.md says.
-		if _, ok := AwaitCondition(ownersWait, func() bool { return r.replicasReady(3, disks) }); !ok {
+		if _, ok := AwaitCondition(recoveryTimeout, func() bool { return r.replicasReady(3, disks) }); !ok {
 			return nil, errors.New("the replicas are not ready")
 		}
 		time.Sleep(4 * time.Second)
@@ -90,7 +90,7 @@
 		if released.Before(since) {
 			continue
 		}
-		if gap := r.untilAcquired(field(line, "job"), released); gap >= 0 {
+		if gap := r.untilAcquired(logField(line, "job"), released); gap >= 0 {
 			gaps = append(gaps, float64(gap)/1e6)
 		}
 	}
@@ -102,9 +102,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := time.Duration(-1)
-	for _, p := range r.all {
+	for _, p := range r.incarnations {
 		for _, line := range p.LogLines("event=job_acquired ") {
-			if d := logTime(line).Sub(from); field(line, "job") == job && d >= 0 && (next < 0 || d < next) {
+			if d := logTime(line).Sub(from); logField(line, "job") == job && d >= 0 && (next < 0 || d < next) {
 				next = d
 			}
 		}
--- a/internal/testbed/experiment/ownerhistory.go
+++ b/internal/testbed/experiment/ownerhistory.go
@@ -186,9 +186,9 @@
 		during(func(on bool) { r.Mesh.UpdateLink(voter, other, func(l *fake.Link) { l.Cut = on }) })
 	case 4:
 		touches := func(from, to int) bool { return from == voter || to == voter }
-		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0.3, 0.2 })
+		r.applyToLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0.3, 0.2 })
 		time.Sleep(voterFaultLasts)
-		r.setLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0, 0 })
+		r.applyToLinks(touches, func(l *fake.Link) { l.Loss, l.Duplicates = 0, 0 })
 	}
 	return nil
 }
--- a/internal/testbed/experiment/ownerlate.go
+++ b/internal/testbed/experiment/ownerlate.go
@@ -126,7 +126,7 @@
 	if err := r.CheckTokens(); err != nil {
 		return outcome, err
 	}
-	for _, g := range r.gaps(startedAt, l.jobs) {
+	for _, g := range r.ownerGaps(startedAt, l.jobs) {
 		outcome.gaps = append(outcome.gaps, g)
 	}
 	outcome.jobs = len(l.jobs)
@@ -137,7 +137,7 @@
 // newLateRig starts five processes with many jobs, with the fence or without it.
 func newLateRig(e *Env, fence bool, jobs int, seed uint64) (*Rig, error) {
 	// Without a key: sealed datagrams that are 30 s late are rejected before they reach the fence, which is to be tested.
-	o := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersFile(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
+	o := RigOptions{Processes: 5, Seed: seed, LogLevel: "debug", SettingsSections: ownersSection(3, true, fmt.Sprintf("(drill %d) (drill_ms 500)", jobs))}
 	env := *e
 	if !fence {
 		env.Croftlock, o.Env = e.Self, []string{FaultInjectionEnv + "=forget"}
--- a/internal/testbed/experiment/persistentclients.go
+++ b/internal/testbed/experiment/persistentclients.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	connectsAtOnce  = 32                    // first connects in parallel
-	retryAfterBusy  = 50 * time.Millisecond // before a rejected client retries
-	exchangeTimeout = 5 * time.Second       // for the answer to a line
+	maxParallelConnects = 32                    // first connects in parallel
+	busyRetryDelay      = 50 * time.Millisecond // before a rejected client retries
+	exchangeTimeout     = 5 * time.Second       // for the answer to a line
 )
 
 // persistentClients are clients that stay connected. Each sends lines at an interval and waits for the answers.
 type persistentClients struct {
 	answers         *answerCounts // to their requests
 	interval        time.Duration // between a client's lines
-	returnAfter     delayRange    // before a migrated client reconnects
+	reconnectAfter  delayRange    // before a migrated client reconnects
 	awaitMigrations bool          // between its lines a client reads, and so notices a migration at once
 
 	running  sync.WaitGroup
@@ -34,17 +34,17 @@
 }
 
 // delayRange is a range that a delay is drawn from.
-type delayRange struct{ least, most time.Duration }
+type delayRange struct{ shortest, longest time.Duration }
 
-// draw draws a delay.
-func (d delayRange) draw() time.Duration {
-	return d.least + time.Duration(rand.Float64()*float64(d.most-d.least))
+// random draws a delay.
+func (d delayRange) random() time.Duration {
+	return d.shortest + time.Duration(rand.Float64()*float64(d.longest-d.shortest))
 }
 
 // exchange is one line and its answer.
 type exchange struct {
-	sentAt time.Time
-	took   time.Duration
+	sentAt  time.Time
+	latency time.Duration
 }
 
 // connect has n clients connect in parallel, and stay. extra is added to their request lines. A client that is migrated or rejected
@@ -52,7 +52,7 @@
 func (c *persistentClients) connect(proxy string, n int, extra string, wait time.Duration) error {
 	var opened sync.WaitGroup
 	errs := make(chan error, n)
-	turns := make(chan struct{}, connectsAtOnce)
+	turns := make(chan struct{}, maxParallelConnects)
 	for i := range n {
 		opened.Add(1)
 		c.running.Add(1)
@@ -90,7 +90,7 @@
 		if client != nil || err != nil || answer.Kind != "BUSY" || c.stopping.Load() {
 			return client, answer, err
 		}
-		time.Sleep(retryAfterBusy)
+		time.Sleep(busyRetryDelay)
 	}
 }
 
@@ -114,7 +114,7 @@
 		c.exchanges = append(c.exchanges, line)
 		c.mu.Unlock()
 		if !c.awaitMigrations {
-			time.Sleep(c.interval - line.took)
+			time.Sleep(c.interval - line.latency)
 		}
 	}
 	client.Close()
@@ -131,7 +131,7 @@
 		}
 		line.sentAt = time.Now()
 	}
-	line.took, migrated, err = client.Exchange("M "+client.ID, exchangeTimeout)
+	line.latency, migrated, err = client.Exchange("M "+client.ID, exchangeTimeout)
 	return line, migrated, err
 }
 
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	c.migrations++
 	c.mu.Unlock()
-	time.Sleep(c.returnAfter.draw())
+	time.Sleep(c.reconnectAfter.random())
 	client, _, err := c.openUntilServed(proxy, "again=1", wait)
 	if client == nil {
 		c.recordLoss("after a migration: %v", err)
@@ -169,7 +169,7 @@
 	var out samples
 	for _, x := range c.exchanges {
 		if x.sentAt.After(from) && x.sentAt.Before(to) {
-			out = append(out, float64(x.took)/1e6)
+			out = append(out, float64(x.latency)/1e6)
 		}
 	}
 	return out
--- a/internal/testbed/experiment/proc.go
+++ b/internal/testbed/experiment/proc.go
@@ -68,12 +68,12 @@
 	peakMemory int64 // most memory that it ever held, once it has ended
 }
 
-// running are the started processes that have not ended.
-var running sync.Map
+// runningProcesses are the started processes that have not ended.
+var runningProcesses sync.Map
 
 // killAll kills the processes that an experiment has left running.
 func killAll() {
-	running.Range(func(p, _ any) bool {
+	runningProcesses.Range(func(p, _ any) bool {
 		p.(*Process).cmd.Process.Kill()
 		return true
 	})
@@ -109,7 +109,7 @@
 	}
 	cmd := exec.Command(s.Program, args...)
 	cmd.ExtraFiles = s.Files
-	return start(dir, cmd, append(s.Env, "NODE_CONFIG="+path), readyLine)
+	return startCommand(dir, cmd, append(s.Env, "NODE_CONFIG="+path), readyLine)
 }
 
 // readyMark identifies the log line of a process that is ready; a field of the line is its address.
@@ -127,14 +127,14 @@
 	return "", false
 }
 
-// startLimit is how long a process may take to be ready.
-const startLimit = 10 * time.Second
+// startTimeout is how long a process may take to be ready.
+const startTimeout = 10 * time.Second
 
-// stopLimit is how long a process may take to end after SIGTERM.
-const stopLimit = 10 * time.Second
+// stopTimeout is how long a process may take to end after SIGTERM.
+const stopTimeout = 10 * time.Second
 
-// start runs a command and waits for its ready line.
-func start(dir string, cmd *exec.Cmd, env []string, mark readyMark) (*Process, error) {
+// startCommand runs a command and waits for its ready line.
+func startCommand(dir string, cmd *exec.Cmd, env []string, mark readyMark) (*Process, error) {
 	p := &Process{cmd: cmd, dir: dir, done: make(chan struct{})}
 	cmd.Env = append(os.Environ(), env...)
 	out, err := cmd.StderrPipe()
@@ -144,22 +144,22 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	running.Store(p, true)
+	runningProcesses.Store(p, true)
 	ready := make(chan string, 1)
-	go p.follow(out, mark, ready)
+	go p.readLog(out, mark, ready)
 	select {
 	case p.Addr = <-ready:
 		return p, nil
 	case <-p.done:
 		return nil, fmt.Errorf("the process ended before it was ready: %s", strings.Join(p.LogLines(""), "; "))
-	case <-time.After(startLimit):
+	case <-time.After(startTimeout):
 		p.Kill()
-		return nil, fmt.Errorf("the process was not ready after %v", startLimit)
+		return nil, fmt.Errorf("the process was not ready after %v", startTimeout)
 	}
 }
 
-// follow reads the process's log until its end, sends its address once it is ready, and records how it ended.
-func (p *Process) follow(out io.Reader, mark readyMark, ready chan<- string) {
+// readLog reads the process's log until its end, sends its address once it is ready, and records how it ended.
+func (p *Process) readLog(out io.Reader, mark readyMark, ready chan<- string) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -177,7 +177,7 @@
 	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		p.peakMemory = u.Maxrss << 10
 	}
-	running.Delete(p)
+	runningProcesses.Delete(p)
 	close(p.done)
 }
 
@@ -231,8 +231,8 @@
 	select {
 	case <-p.done:
 		return p.exitErr
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		p.Kill()
-		return fmt.Errorf("the process had not ended %v after SIGTERM", stopLimit)
+		return fmt.Errorf("the process had not ended %v after SIGTERM", stopTimeout)
 	}
 }
--- a/internal/testbed/experiment/proxysite.go
+++ b/internal/testbed/experiment/proxysite.go
@@ -27,18 +27,18 @@
 
 // newProxySite starts the site, with persistent clients and with short-lived ones at a rate, in connections a second.
 func newProxySite(e *Env, rate float64) (*proxySite, error) {
-	f, err := newUpstreams(e, 3, false)
+	upstreams, err := newUpstreams(e, 3, false)
 	if err != nil {
 		return nil, err
 	}
-	s := &proxySite{Env: e, upstreams: f, shortLived: newAnswerCounts(), stop: make(chan struct{}),
+	s := &proxySite{Env: e, upstreams: upstreams, shortLived: newAnswerCounts(), stop: make(chan struct{}),
 		persistent: &persistentClients{answers: newAnswerCounts(), interval: 500 * time.Millisecond, awaitMigrations: true,
-			returnAfter: delayRange{50 * time.Millisecond, 500 * time.Millisecond}}}
+			reconnectAfter: delayRange{50 * time.Millisecond, 500 * time.Millisecond}}}
 	tmp, err := os.MkdirTemp(e.Dir, "tmp")
 	if err != nil {
 		return nil, err
 	}
-	s.setup = Setup{Name: "n0", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), TmpDir: tmp, MaxDescriptors: 1024}
+	s.setup = Setup{Name: "n0", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), TmpDir: tmp, MaxDescriptors: 1024}
 	if s.setup.Listen, err = FreeAddr(); err != nil {
 		return nil, err
 	}
@@ -142,8 +142,8 @@
 	s.upstreams.close()
 }
 
-// replace is a hot restart as the platform does it: a new process takes over, and the old one gets SIGTERM once the new one is ready.
-func (s *proxySite) replace() (readyIn, leftIn time.Duration, err error) {
+// hotRestart is a hot restart as the platform does it: a new process takes over, and the old one gets SIGTERM once the new one is ready.
+func (s *proxySite) hotRestart() (readyIn, leftIn time.Duration, err error) {
 	started := time.Now()
 	p, admin, err := s.startProcess()
 	if err != nil {
--- a/internal/testbed/experiment/relay.go
+++ b/internal/testbed/experiment/relay.go
@@ -16,9 +16,9 @@
 // relayOptions configure the program that croftlock's TLS is compared with: a relay with two goroutines a connection and crypto/tls, without
 // any decisions or checks.
 type relayOptions struct {
-	upstream string // address of the server
-	trust    string // path of the bundle of authorities; "": TCP without TLS
-	name     string // that the server's certificate has to have
+	upstream   string // address of the server
+	trust      string // path of the bundle of authorities; "": TCP without TLS
+	serverName string // that the server's certificate has to have
 }
 
 func (o *relayOptions) run() error {
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		config = &tls.Config{RootCAs: x509.NewCertPool(), ServerName: o.name, ClientSessionCache: tls.NewLRUClientSessionCache(0)}
+		config = &tls.Config{RootCAs: x509.NewCertPool(), ServerName: o.serverName, ClientSessionCache: tls.NewLRUClientSessionCache(0)}
 		config.RootCAs.AppendCertsFromPEM(data)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,16 +57,16 @@
 		up = tls.Client(up, config)
 	}
 	go func() {
-		pass(up, c, nil)
+		forwardLines(up, c, nil)
 		up.Close()
 		c.Close()
 	}()
 	// The same work as the proxy's: complete lines, and the host's are parsed.
-	pass(c, up, func(line []byte) { lineproto.ParseHostLine(line) })
+	forwardLines(c, up, func(line []byte) { lineproto.ParseHostLine(line) })
 }
 
-// pass forwards lines until either side ends. inspect, if not nil, gets each line first.
-func pass(to io.Writer, from io.Reader, inspect func(line []byte)) {
+// forwardLines forwards lines until either side ends. inspect, if not nil, gets each line first.
+func forwardLines(to io.Writer, from io.Reader, inspect func(line []byte)) {
 	in := bufio.NewReaderSize(from, lineproto.MaxLineBytes)
 	for {
 		line, err := in.ReadSlice('\n')
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -55,7 +55,7 @@
 func (r *Report) AddRow(title string, cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
-		row[i] = text(c)
+		row[i] = formatValue(c)
 	}
 	for i := range r.Tables {
 		if r.Tables[i].Title == title {
@@ -66,8 +66,8 @@
 	panic("no table " + title)
 }
 
-// text is a value in the form of reports.
-func text(x any) string {
+// formatValue is a value in the form of reports.
+func formatValue(x any) string {
 	switch v := x.(type) {
 	case float64:
 		return fmt.Sprintf("%.3g", v)
@@ -80,11 +80,11 @@
 }
 
 // AddValue adds a value to the result line.
-func (r *Report) AddValue(key string, x any) { r.Values = append(r.Values, Value{key, text(x)}) }
+func (r *Report) AddValue(key string, x any) { r.Values = append(r.Values, Value{key, formatValue(x)}) }
 
 // Check adds a bound, whether it was kept, and the measured value.
 func (r *Report) Check(kept bool, what string, measured any) {
-	r.Bounds = append(r.Bounds, Bound{what, kept, text(measured)})
+	r.Bounds = append(r.Bounds, Bound{what, kept, formatValue(measured)})
 }
 
 // OK returns whether there are bounds, and all were kept.
--- a/internal/testbed/experiment/rig.go
+++ b/internal/testbed/experiment/rig.go
@@ -24,8 +24,8 @@
 	setups []Setup  // what each process is started with
 	admin  []string // address of each process's admin interface
 
-	mu  sync.Mutex // protects all
-	all []*Process // every incarnation that was started, of every name
+	mu           sync.Mutex // protects all
+	incarnations []*Process // every incarnation that was started, of every name
 }
 
 // RigOptions configure a rig's processes.
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	for i := range o.Processes {
-		s, err := r.prepare(i, o)
+		s, err := r.prepareProcess(i, o)
 		if err != nil {
 			return nil, err
 		}
@@ -81,8 +81,8 @@
 	return r, nil
 }
 
-// prepare makes the folders and the settings file of process i.
-func (r *Rig) prepare(i int, o RigOptions) (Setup, error) {
+// prepareProcess makes the folders and the settings file of process i.
+func (r *Rig) prepareProcess(i int, o RigOptions) (Setup, error) {
 	if err := os.Mkdir(r.Dir(i), 0o700); err != nil {
 		return Setup{}, err
 	}
@@ -98,7 +98,7 @@
 	if err := os.Mkdir(tmp, 0o700); err != nil {
 		return Setup{}, err
 	}
-	discovery, known := o.hosts(i)
+	discovery, known := o.discoveryOf(i)
 	return Setup{Program: r.env.programFor(o.SettingsSections), Listen: listen, TmpDir: tmp, Name: simulation.Name(i), Discovery: discovery, InitialList: known,
 		Settings: settings, Cores: 0.5, MaxDescriptors: 1024, MemoryMB: 64, Env: o.Env}, nil
 }
@@ -129,9 +129,9 @@
 	return ""
 }
 
-// hosts returns the address of process i's discovery, and the endpoint list that it starts with. Without a discovery both name an address
+// discoveryOf returns the address of process i's discovery, and the endpoint list that it starts with. Without a discovery both name an address
 // that refuses connections.
-func (o *RigOptions) hosts(i int) (discovery string, known fake.List) {
+func (o *RigOptions) discoveryOf(i int) (discovery string, known fake.List) {
 	d := o.Discovery
 	if o.Upstreams != nil {
 		d = o.Upstreams.discovery
@@ -163,7 +163,7 @@
 	r.admin[i] = s.Admin
 	if r.Procs[i], err = r.env.Proxy(s); err == nil {
 		r.mu.Lock()
-		r.all = append(r.all, r.Procs[i])
+		r.incarnations = append(r.incarnations, r.Procs[i])
 		r.mu.Unlock()
 	}
 	return err
--- a/internal/testbed/experiment/rigfaults.go
+++ b/internal/testbed/experiment/rigfaults.go
@@ -23,7 +23,7 @@
 func (r *Rig) PlayFaults(plan []simulation.Fault) error {
 	var steps []planStep
 	for _, f := range plan {
-		begin, end, err := r.effect(f)
+		begin, end, err := r.faultEffect(f)
 		if err != nil {
 			return err
 		}
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// effect returns what begins and what ends a fault.
-func (r *Rig) effect(f simulation.Fault) (begin, end func() error, err error) {
+// faultEffect returns what begins and what ends a fault.
+func (r *Rig) faultEffect(f simulation.Fault) (begin, end func() error, err error) {
 	if begin, end = r.processEffect(f); begin != nil {
 		return begin, end, nil
 	}
@@ -52,7 +52,7 @@
 	}
 	set := func(on bool) func() error {
 		return func() error {
-			r.setLinks(which, func(l *fake.Link) { change(l, on) })
+			r.applyToLinks(which, func(l *fake.Link) { change(l, on) })
 			return nil
 		}
 	}
@@ -70,7 +70,7 @@
 	case "pause":
 		return signal(syscall.SIGSTOP), signal(syscall.SIGCONT)
 	case "full":
-		return r.limitFiles(f.Process, 0), r.limitFiles(f.Process, unix.RLIM_INFINITY)
+		return r.limitFileSize(f.Process, 0), r.limitFileSize(f.Process, unix.RLIM_INFINITY)
 	case "kill":
 		return kill, nothing
 	case "restart":
@@ -81,9 +81,9 @@
 	return nil, nil
 }
 
-// limitFiles limits the size of files that process i may write, in bytes. It stands for a full disk: writes beyond the limit fail. It needs
+// limitFileSize limits the size of files that process i may write, in bytes. It stands for a full disk: writes beyond the limit fail. It needs
 // no privileges.
-func (r *Rig) limitFiles(i int, maxBytes uint64) func() error {
+func (r *Rig) limitFileSize(i int, maxBytes uint64) func() error {
 	return func() error {
 		return unix.Prlimit(r.Procs[i].cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 	}
@@ -128,8 +128,8 @@
 	return nil, nil
 }
 
-// setLinks changes the links that which selects.
-func (r *Rig) setLinks(which func(from, to int) bool, change func(l *fake.Link)) {
+// applyToLinks changes the links that which selects.
+func (r *Rig) applyToLinks(which func(from, to int) bool, change func(l *fake.Link)) {
 	for i := range r.Procs {
 		for j := range r.Procs {
 			if i != j && which(i, j) {
@@ -141,10 +141,10 @@
 
 // SetCutOff cuts a process off from all others, in both directions, or ends that.
 func (r *Rig) SetCutOff(i int, on bool) {
-	r.setLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
+	r.applyToLinks(func(from, to int) bool { return from == i || to == i }, func(l *fake.Link) { l.Cut = on })
 }
 
 // FillDisk returns what makes a process's disk full, and what ends that.
 func (r *Rig) FillDisk(i int) (begin, end func() error) {
-	return r.limitFiles(i, 0), r.limitFiles(i, unix.RLIM_INFINITY)
+	return r.limitFileSize(i, 0), r.limitFileSize(i, unix.RLIM_INFINITY)
 }
--- a/internal/testbed/experiment/rigowners.go
+++ b/internal/testbed/experiment/rigowners.go
@@ -11,11 +11,11 @@
 	"croftlock/internal/fleet/owneragent"
 )
 
-// ownersWait is how long a rig may take to recover from a fault.
-const ownersWait = 40 * time.Second
+// recoveryTimeout is how long a rig may take to recover from a fault.
+const recoveryTimeout = 40 * time.Second
 
-// ownersFile is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory. extra goes into it.
-func ownersFile(voters int, disks bool, extra string) string {
+// ownersSection is the settings section of a rig's processes: the first so many vote, with stores on disk or in memory. extra goes into it.
+func ownersSection(voters int, disks bool, extra string) string {
 	names := make([]string, voters)
 	for i := range names {
 		names[i] = fmt.Sprintf("n%d", i)
@@ -64,11 +64,11 @@
 func (r *Rig) AwaitJobsOwned(jobs int, except ...int) (map[string]int, error) {
 	var owners map[string]int
 	conflict := ""
-	if _, ok := AwaitCondition(ownersWait, func() bool {
+	if _, ok := AwaitCondition(recoveryTimeout, func() bool {
 		owners, conflict = r.JobOwners(except...)
 		return len(owners) >= jobs
 	}); !ok {
-		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", ownersWait, len(owners), jobs, conflict)
+		return nil, fmt.Errorf("after %v %d of %d jobs have an owner; %s", recoveryTimeout, len(owners), jobs, conflict)
 	}
 	return owners, nil
 }
@@ -78,10 +78,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	acquiredBy := map[string]string{} // by job and token
-	for incarnation, p := range r.all {
+	for incarnation, p := range r.incarnations {
 		process := fmt.Sprintf("incarnation %d, at %s", incarnation, p.Addr)
 		for _, line := range p.LogLines("event=job_acquired ") {
-			key := field(line, "job") + " " + field(line, "token")
+			key := logField(line, "job") + " " + logField(line, "token")
 			if other, acquired := acquiredBy[key]; acquired && other != process {
 				return fmt.Errorf("token %s was acquired by %s and by %s", key, other, process)
 			}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// field is a field's value in a line of a log.
-func field(line, name string) string {
+// logField is a logField's value in a line of a log.
+func logField(line, name string) string {
 	_, rest, _ := strings.Cut(line, " "+name+"=")
 	value, _, _ := strings.Cut(rest, " ")
 	return value
@@ -108,24 +108,24 @@
 	return t
 }
 
-// acquired are the times at which a process acquired a job, from a time on.
-func (r *Rig) acquired(i int, job string, from time.Time) (times []time.Time) {
+// acquisitionTimes are the times at which a process acquisitionTimes a job, from a time on.
+func (r *Rig) acquisitionTimes(i int, job string, from time.Time) (times []time.Time) {
 	for _, l := range r.Procs[i].LogLines("event=job_acquired ") {
-		if t := logTime(l); field(l, "job") == job && !t.Before(from.Truncate(time.Millisecond)) {
+		if t := logTime(l); logField(l, "job") == job && !t.Before(from.Truncate(time.Millisecond)) {
 			times = append(times, t)
 		}
 	}
 	return times
 }
 
-// gaps are how long jobs were without an owner since a time, as the logs have it: until the first acquisition by anybody.
-func (r *Rig) gaps(since time.Time, jobs []string) map[string]time.Duration {
+// ownerGaps are how long jobs were without an owner since a time, as the logs have it: until the first acquisition by anybody.
+func (r *Rig) ownerGaps(since time.Time, jobs []string) map[string]time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	gaps := map[string]time.Duration{}
-	for _, p := range r.all {
+	for _, p := range r.incarnations {
 		for _, l := range p.LogLines("event=job_acquired ") {
-			at, job := logTime(l), field(l, "job")
+			at, job := logTime(l), logField(l, "job")
 			if !at.After(since) || !slices.Contains(jobs, job) {
 				continue
 			}
@@ -142,10 +142,10 @@
 func (r *Rig) staleEffects() (accepted, rejected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.all {
+	for _, p := range r.incarnations {
 		newest := map[string]uint64{}
 		for _, l := range p.LogLines("event=drill_taken ") {
-			job, token := field(l, "job"), tokenOf(l)
+			job, token := logField(l, "job"), logToken(l)
 			if token < newest[job] {
 				accepted++
 			}
@@ -156,9 +156,9 @@
 	return accepted, rejected
 }
 
-// tokenOf is the fencing token in a line of a log.
-func tokenOf(line string) uint64 {
-	token, _ := strconv.ParseUint(field(line, "token"), 10, 64)
+// logToken is the fencing token in a line of a log.
+func logToken(line string) uint64 {
+	token, _ := strconv.ParseUint(logField(line, "token"), 10, 64)
 	return token
 }
 
@@ -170,9 +170,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	spans := map[string]map[uint64]effectSpan{}
-	for _, p := range r.all {
+	for _, p := range r.incarnations {
 		for _, l := range p.LogLines("event=drill_taken ") {
-			job, at, token := field(l, "job"), logTime(l), tokenOf(l)
+			job, at, token := logField(l, "job"), logTime(l), logToken(l)
 			if spans[job] == nil {
 				spans[job] = map[uint64]effectSpan{}
 			}
--- a/internal/testbed/experiment/rules.go
+++ b/internal/testbed/experiment/rules.go
@@ -10,24 +10,24 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// agreeWithin is the settings' agree_within: the longest time for which two versions may be applied at once.
-const agreeWithin = time.Second
+// maxVersionOverlap is the settings' agree_within: the longest time for which two versions may be applied at once.
+const maxVersionOverlap = time.Second
 
 // rulesCase is one case of rules-agree.
 type rulesCase struct {
-	name    string
-	changes bool   // operators propose changes
-	faults  bool   // one every 2 s
-	planted string // a fault that the checker has to find; "": none
-	lasts   time.Duration
-	check   func(r *Report, o, baseline *rulesOutcome) // checks the case's own bounds; baseline is the case without changes
+	name          string
+	changes       bool   // operators propose changes
+	faults        bool   // one every 2 s
+	injectedFault string // a fault that the checker has to find; "": none
+	duration      time.Duration
+	check         func(r *Report, o, baseline *rulesOutcome) // checks the case's own bounds; baseline is the case without changes
 }
 
 var rulesCases = []rulesCase{
-	{name: "without changes", lasts: 20 * time.Second, check: func(*Report, *rulesOutcome, *rulesOutcome) {}},
-	{name: "changes", changes: true, lasts: 40 * time.Second, check: checkWithoutFaults},
-	{name: "changes and faults", changes: true, faults: true, lasts: 120 * time.Second, check: checkWithFaults},
-	{name: "a lease ten times too long", changes: true, faults: true, planted: "lapse", lasts: 60 * time.Second, check: checkPlanted},
+	{name: "without changes", duration: 20 * time.Second, check: func(*Report, *rulesOutcome, *rulesOutcome) {}},
+	{name: "changes", changes: true, duration: 40 * time.Second, check: checkWithoutFaults},
+	{name: "changes and faults", changes: true, faults: true, duration: 120 * time.Second, check: checkWithFaults},
+	{name: "a lease ten times too long", changes: true, faults: true, injectedFault: "lapse", duration: 60 * time.Second, check: checkPlanted},
 }
 
 // rulesAgree has five processes agree on a change each 200 ms under 500 placements a second: without faults, with a fault every 2 s, and
@@ -48,7 +48,7 @@
 		r.AddRow(table, c.name, o.changesActive, percentilesText(o.changeTimes), o.decisions,
 			fmt.Sprint(percentile(over, 0.99), ", ", longest), o.unanswered, percentilesText(o.placementTimes))
 		c.check(r, o, baseline)
-		if c.planted == "" {
+		if c.injectedFault == "" {
 			r.Check(o.unanswered == 0, c.name+": each request gets an answer", o.unanswered)
 		}
 	}
@@ -59,7 +59,7 @@
 func checkWithoutFaults(r *Report, o, baseline *rulesOutcome) {
 	over, longest := o.overlaps()
 	before, placed := percentile(baseline.placementTimes, 0.99), percentile(o.placementTimes, 0.99)
-	r.Check(longest <= agreeWithin && percentile(over, 0.99) <= 100*time.Millisecond, "without faults two versions at once for 100 ms at p99", percentile(over, 0.99))
+	r.Check(longest <= maxVersionOverlap && percentile(over, 0.99) <= 100*time.Millisecond, "without faults two versions at once for 100 ms at p99", percentile(over, 0.99))
 	r.Check(percentile(o.changeTimes, 0.99) <= 300*time.Millisecond, "without faults a change is active within 300 ms at p99", percentile(o.changeTimes, 0.99))
 	r.Check(placed <= before*11/10+time.Millisecond, "p99 of a placement within a tenth, and a millisecond, of the same without changes",
 		fmt.Sprint(placed, " of ", before))
@@ -68,19 +68,19 @@
 // checkWithFaults checks the bounds on changes among faults.
 func checkWithFaults(r *Report, o, _ *rulesOutcome) {
 	_, longest := o.overlaps()
-	r.Check(longest <= agreeWithin, "after the first decision by a newer version none by an older one for longer than agree_within", longest)
+	r.Check(longest <= maxVersionOverlap, "after the first decision by a newer version none by an older one for longer than agree_within", longest)
 	r.Check(o.changesActive >= 20, "changes become active through the faults", o.changesActive)
 }
 
 // checkPlanted checks that the planted fault is found.
 func checkPlanted(r *Report, o, _ *rulesOutcome) {
 	_, longest := o.overlaps()
-	r.Check(longest > agreeWithin, "the checker finds a lease that is too long", longest)
+	r.Check(longest > maxVersionOverlap, "the checker finds a lease that is too long", longest)
 }
 
 // play plays the case on a rig of its own.
 func (c *rulesCase) play(e *Env) (*rulesOutcome, error) {
-	g, err := newRulesRig(e, ownersFile(3, false, "(rules on) (agree_within 1s)"), c.planted)
+	g, err := newRulesRig(e, ownersSection(3, false, "(rules on) (agree_within 1s)"), c.injectedFault)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	if c.changes {
 		g.startWorker(g.proposeChanges)
 	}
-	end := time.Now().Add(c.lasts)
+	end := time.Now().Add(c.duration)
 	rng := rand.New(rand.NewPCG(3, 1))
 	for time.Now().Before(end) {
 		time.Sleep(time.Second)
--- a/internal/testbed/experiment/rulescut.go
+++ b/internal/testbed/experiment/rulescut.go
@@ -13,19 +13,19 @@
 
 // cutOutcome is the outcome of one fault, played repeatedly beside changes.
 type cutOutcome struct {
-	played   int
-	active   []time.Duration // until the change was active
-	heals    []time.Duration // from the fault's end until all act by the change
-	unknown  int             // changes whose outcome no process knew
-	rejected int             // changes that the publisher rejected
+	played          int
+	activationTimes []time.Duration // until the change was active
+	recoveryTimes   []time.Duration // from the fault's end until all act by the change
+	unknown         int             // changes whose outcome no process knew
+	rejected        int             // changes that the publisher rejected
 }
 
 // cutFault is a fault that is played beside changes.
 type cutFault struct {
-	name  string
-	turns int
-	kind  string // of simulation.Fault, or pause or kill, which playUntilEnd plays
-	lasts time.Duration
+	name        string
+	repetitions int
+	kind        string // of simulation.Fault, or pause or kill, which playUntilEnd plays
+	duration    time.Duration
 }
 
 // cutSuite is a rig's settings and the faults that are played on it.
@@ -37,12 +37,12 @@
 func cutSuites() []cutSuite {
 	const ms = time.Millisecond
 	return []cutSuite{
-		{"when_cut refuse, replicas without disks", ownersFile(3, false, "(rules on) (agree_within 1s)"), []cutFault{
+		{"when_cut refuse, replicas without disks", ownersSection(3, false, "(rules on) (agree_within 1s)"), []cutFault{
 			{"cut off in both directions, 1.5 s", 20, "cut", 1500 * ms}, {"inbound cut, 1.5 s", 20, "deaf", 1500 * ms}, {"outbound cut, 1.5 s", 20, "mute", 1500 * ms},
 			{"paused, 1 s", 20, "pause", 1000 * ms}, {"paused, 10 s", 1, "pause", 10000 * ms}, {"publisher killed", 8, "kill", 0}}},
-		{"when_cut keep", ownersFile(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{
+		{"when_cut keep", ownersSection(3, false, "(rules on) (agree_within 1s) (when_cut keep)"), []cutFault{
 			{"cut off in both directions, 1.5 s, rules kept", 8, "cut", 1500 * ms}}},
-		{"replicas with disks", ownersFile(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
+		{"replicas with disks", ownersSection(3, true, "(rules on) (agree_within 1s)"), []cutFault{{"two of three disks full, 1.5 s", 4, "full", 1500 * ms}}},
 	}
 }
 
@@ -75,15 +75,15 @@
 		}
 		outcomes = append(outcomes, o)
 		if f.kind != "full" { // there it waits until the replicas reopen their stores
-			r.Check(percentile(o.heals, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.heals, 1))
+			r.Check(percentile(o.recoveryTimes, 1) <= 2*time.Second, f.name+": all agree within 2 s of its end", percentile(o.recoveryTimes, 1))
 		}
 	}
 	outcome := g.finish()
 	_, longest := outcome.overlaps()
 	for i, o := range outcomes {
-		r.AddRow(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.active), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.heals), longest, outcome.unanswered)
+		r.AddRow(rulesCutTable, s.faults[i].name, o.played, percentilesText(o.activationTimes), fmt.Sprint(o.unknown, ", ", o.rejected), percentilesText(o.recoveryTimes), longest, outcome.unanswered)
 	}
-	r.Check(longest <= agreeWithin, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
+	r.Check(longest <= maxVersionOverlap, s.name+": no decision by an older version for longer than agree_within after the first by a newer one", longest)
 	r.Check(outcome.unanswered == 0, s.name+": each request gets an answer", outcome.unanswered)
 	r.Check(outcome.lapsedDecisions > 0, s.name+": a process without a valid lease decides as such", outcome.lapsedDecisions)
 	return nil
@@ -93,16 +93,16 @@
 func (g *rulesRig) playFault(f cutFault) (*cutOutcome, error) {
 	o := &cutOutcome{}
 	rng := rand.New(rand.NewPCG(7, uint64(len(f.name))))
-	for ; o.played < f.turns; o.played++ {
-		if err := g.playTurn(f, o, rng); err != nil {
+	for ; o.played < f.repetitions; o.played++ {
+		if err := g.playOnce(f, o, rng); err != nil {
 			return nil, err
 		}
 	}
 	return o, nil
 }
 
-// playTurn plays a fault once, at a drawn process, proposes a change while it lasts, and waits until all act by one version again.
-func (g *rulesRig) playTurn(f cutFault, o *cutOutcome, rng *rand.Rand) error {
+// playOnce plays a fault once, at a drawn process, proposes a change while it lasts, and waits until all act by one version again.
+func (g *rulesRig) playOnce(f cutFault, o *cutOutcome, rng *rand.Rand) error {
 	victim, via, err := g.pickVictim(f, o.played, rng)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	end, err := g.inject(f, victim)
+	end, err := g.injectFault(f, victim)
 	if err != nil {
 		return err
 	}
@@ -126,14 +126,14 @@
 		return err
 	}
 	// Any process may have lost its connection to the publisher, and then waits for an answer: all are queried.
-	heal, ok := g.awaitAnswer(ownersWait, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
+	heal, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.Contains(answer, " at 5 of 5") })
 	if !ok {
 		return fmt.Errorf("processes act by different versions after the fault: %s", g.query(via, rules.QueryActive()))
 	}
-	o.heals = append(o.heals, heal)
+	o.recoveryTimes = append(o.recoveryTimes, heal)
 	switch text := <-answer; {
 	case strings.HasPrefix(text, "active: "):
-		o.active = append(o.active, time.Since(startedAt))
+		o.activationTimes = append(o.activationTimes, time.Since(startedAt))
 	case strings.HasPrefix(text, "refused: "):
 		o.rejected++
 		return nil
@@ -168,19 +168,19 @@
 func (g *rulesRig) playUntilEnd(f cutFault, victim int, startedAt time.Time, rng *rand.Rand) error {
 	switch f.kind {
 	case "pause":
-		g.pause(victim, f.lasts)
+		g.pause(victim, f.duration)
 	case "kill":
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 		return g.restart(victim)
 	default:
-		time.Sleep(f.lasts - time.Since(startedAt))
+		time.Sleep(f.duration - time.Since(startedAt))
 	}
 	return nil
 }
 
 // retryChange retries a change whose outcome is unknown until it is active: a change is idempotent.
 func (g *rulesRig) retryChange(via int, change []byte) error {
-	if _, ok := AwaitCondition(ownersWait, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
+	if _, ok := AwaitCondition(recoveryTimeout, func() bool { return strings.HasPrefix(g.query(via, change), "active: ") }); !ok {
 		return fmt.Errorf("a change of unknown outcome fails after the fault: %s", g.query(via, change))
 	}
 	return nil
@@ -189,14 +189,14 @@
 // awaitVersion waits until all act by a version.
 func (g *rulesRig) awaitVersion(via int, version uint64) error {
 	want := fmt.Sprintf("active: version %d at 5 of 5", version)
-	if _, ok := g.awaitAnswer(ownersWait, func(answer string) bool { return strings.HasPrefix(answer, want) }); !ok {
+	if _, ok := g.awaitAnswer(recoveryTimeout, func(answer string) bool { return strings.HasPrefix(answer, want) }); !ok {
 		return fmt.Errorf("not all act by version %d: %s", version, g.query(via, rules.QueryActive()))
 	}
 	return nil
 }
 
-// inject starts a fault at a process, and returns what ends it. Pauses and kills are left to playUntilEnd.
-func (g *rulesRig) inject(f cutFault, i int) (end func() error, err error) {
+// injectFault starts a fault at a process, and returns what ends it. Pauses and kills are left to playUntilEnd.
+func (g *rulesRig) injectFault(f cutFault, i int) (end func() error, err error) {
 	processes := []int{i}
 	switch f.kind {
 	case "pause", "kill":
@@ -206,7 +206,7 @@
 	}
 	var ends []func() error
 	for _, process := range processes {
-		begin, end, err := g.effect(simulation.Fault{Kind: f.kind, Process: process})
+		begin, end, err := g.faultEffect(simulation.Fault{Kind: f.kind, Process: process})
 		if err == nil {
 			err = begin()
 		}
@@ -226,7 +226,7 @@
 // awaitAgreement waits until all act by one version, and returns it.
 func (g *rulesRig) awaitAgreement(via int) (version uint64, err error) {
 	answer := ""
-	if _, ok := AwaitCondition(ownersWait, func() bool {
+	if _, ok := AwaitCondition(recoveryTimeout, func() bool {
 		answer = g.query(via, rules.QueryActive())
 		n, _ := fmt.Sscanf(answer, "active: version %d at 5 of 5", &version)
 		return n == 1
--- a/internal/testbed/experiment/rulesoutcome.go
+++ b/internal/testbed/experiment/rulesoutcome.go
@@ -33,11 +33,11 @@
 	first := map[int]time.Time{} // first decision, by version
 	for _, p := range all {
 		for _, l := range p.LogLines("event=rules_applied") {
-			if field(l, "lapsed") == "true" {
+			if logField(l, "lapsed") == "true" {
 				o.lapsedDecisions++
 				continue
 			}
-			version, _ := strconv.Atoi(field(l, "version"))
+			version, _ := strconv.Atoi(logField(l, "version"))
 			at := logTime(l)
 			if f, seen := first[version]; !seen || at.Before(f) {
 				first[version] = at
--- a/internal/testbed/experiment/rulesrig.go
+++ b/internal/testbed/experiment/rulesrig.go
@@ -115,7 +115,7 @@
 	g.workers.Wait()
 	g.Rig.mu.Lock()
 	defer g.Rig.mu.Unlock()
-	g.readLogs(g.all)
+	g.readLogs(g.incarnations)
 	return g.rulesOutcome
 }
 
--- a/internal/testbed/experiment/samples.go
+++ b/internal/testbed/experiment/samples.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%.3g (%.3g to %.3g)", s.median(), o[0], o[len(o)-1])
 }
 
-// spread is the median with the 10% and 90% quantiles, with a number of decimal places.
-func (s samples) spread(places int) string {
+// formatQuantiles is the median with the 10% and 90% quantiles, with a number of decimal places.
+func (s samples) formatQuantiles(places int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", places, s.median(), places, s.quantile(0.1), places, s.quantile(0.9))
 }
--- a/internal/testbed/experiment/tlsbad.go
+++ b/internal/testbed/experiment/tlsbad.go
@@ -14,8 +14,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// badCase is a faulty server, or a fault of the proxy's own files, and the reason that the proxy has to log.
-type badCase struct {
+// faultCase is a faulty server, or a fault of the proxy's own files, and the reason that the proxy has to log.
+type faultCase struct {
 	server fake.Fault
 	own    ownFault
 	reason string
@@ -30,19 +30,19 @@
 	ownRevocationStale ownFault = "own-revocation-list-ran-out"
 )
 
-// badCases are all faults of servers, then those of the proxy's own files, with which it may connect to no server.
-func badCases() (cases []badCase) {
+// faultCases are all faults of servers, then those of the proxy's own files, with which it may connect to no server.
+func faultCases() (cases []faultCase) {
 	for _, f := range fake.Faults() {
-		cases = append(cases, badCase{f, noOwnFault, f.Reason})
+		cases = append(cases, faultCase{f, noOwnFault, f.Reason})
 	}
 	unused := func(net.Conn, *tls.Config) {}
 	return append(cases,
-		badCase{fake.Fault{Kind: string(ownExpired), Serve: unused}, ownExpired, "own_certificate_expired"},
-		badCase{fake.Fault{Kind: string(ownRevocationStale), Serve: unused}, ownRevocationStale, "own_trust_unusable"})
+		faultCase{fake.Fault{Kind: string(ownExpired), Serve: unused}, ownExpired, "own_certificate_expired"},
+		faultCase{fake.Fault{Kind: string(ownRevocationStale), Serve: unused}, ownRevocationStale, "own_trust_unusable"})
 }
 
-// badOutcome is the outcome of a case.
-type badOutcome struct {
+// faultOutcome is the outcome of a case.
+type faultOutcome struct {
 	answer, reason string // the client's answer, and the reason in the log
 	connections    int64  // that the server accepted
 	requestBytes   int64  // that the server could read
@@ -51,19 +51,19 @@
 }
 
 // asExpected returns whether the case ended as it has to.
-func (c *badCase) asExpected(o badOutcome) bool {
+func (c *faultCase) asExpected(o faultOutcome) bool {
 	connected := o.connections > 0
 	return o.err == nil && o.requestBytes == 0 && o.answer != "UP" && o.answer != "NONE" && connected == (c.own == noOwnFault) && o.reason == c.reason
 }
 
-// badInParallel is how many cases are played in parallel.
-const badInParallel = 3
+// maxParallelCases is how many cases are played in parallel.
+const maxParallelCases = 3
 
 // tlsBad plays each case with a proxy process of its own.
 func tlsBad(e *Env, r *Report) error {
-	cases := badCases()
-	outcomes := make([]badOutcome, len(cases))
-	turns := make(chan struct{}, badInParallel)
+	cases := faultCases()
+	outcomes := make([]faultOutcome, len(cases))
+	turns := make(chan struct{}, maxParallelCases)
 	var plays sync.WaitGroup
 	for i := range cases {
 		plays.Add(1)
@@ -96,7 +96,7 @@
 }
 
 // reasonText is the reason as the table has it.
-func (o *badOutcome) reasonText() string {
+func (o *faultOutcome) reasonText() string {
 	switch {
 	case o.err != nil:
 		return o.err.Error()
@@ -107,7 +107,7 @@
 }
 
 // play sends one request through a proxy to the faulty server.
-func (c *badCase) play(e *Env) (o badOutcome, err error) {
+func (c *faultCase) play(e *Env) (o faultOutcome, err error) {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
 		return o, err
@@ -138,7 +138,7 @@
 	if c.reason != "" {
 		p.AwaitLog(" reason=", 2*time.Second) // the log may arrive after the answer
 	}
-	return badOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Latency}, err
+	return faultOutcome{answer: a.Kind, reason: firstReason(p), connections: bad.Connections.Load(), requestBytes: bad.RequestBytes.Load(), took: a.Latency}, err
 }
 
 // firstReason is the reason of the first failed handshake in a proxy's log, or else of the first fault of its own files.
@@ -153,7 +153,7 @@
 }
 
 // settings writes the proxy's files, with the case's fault if they have one, and returns the path of its settings file.
-func (c *badCase) settings(e *Env, pki *fake.PKI) (string, error) {
+func (c *faultCase) settings(e *Env, pki *fake.PKI) (string, error) {
 	dir, err := os.MkdirTemp(e.Dir, "bad")
 	if err != nil {
 		return "", err
--- a/internal/testbed/experiment/tlscost.go
+++ b/internal/testbed/experiment/tlscost.go
@@ -12,10 +12,10 @@
 
 // costVariant is one way to connect to a server.
 type costVariant struct {
-	name     string
-	secure   bool     // by TLS
-	settings []string // more of the tls section
-	relay    bool     // by the relay with goroutines, in place of the proxy
+	name          string
+	secure        bool     // by TLS
+	extraSettings []string // more of the tls section
+	relay         bool     // by the relay with goroutines, in place of the proxy
 }
 
 // The variants, by their place in costVariants.
@@ -31,28 +31,28 @@
 
 var costVariants = []costVariant{
 	costPlain:          {name: "plain"},
-	costFull:           {name: "full, x25519mlkem768", secure: true, settings: []string{"(reuse off)", "(key-exchange x25519mlkem768)"}},
-	costFullClassic:    {name: "full, x25519", secure: true, settings: []string{"(reuse off)", "(key-exchange x25519)"}},
-	costResumed:        {name: "resumed, x25519mlkem768", secure: true, settings: []string{"(key-exchange x25519mlkem768)"}},
-	costResumedClassic: {name: "resumed, x25519", secure: true, settings: []string{"(key-exchange x25519)"}},
+	costFull:           {name: "full, x25519mlkem768", secure: true, extraSettings: []string{"(reuse off)", "(key-exchange x25519mlkem768)"}},
+	costFullClassic:    {name: "full, x25519", secure: true, extraSettings: []string{"(reuse off)", "(key-exchange x25519)"}},
+	costResumed:        {name: "resumed, x25519mlkem768", secure: true, extraSettings: []string{"(key-exchange x25519mlkem768)"}},
+	costResumedClassic: {name: "resumed, x25519", secure: true, extraSettings: []string{"(key-exchange x25519)"}},
 	costRelayTLS:       {name: "tls.Conn and goroutines", secure: true, relay: true},
 	costRelayPlain:     {name: "plain, goroutines", relay: true},
 }
 
 // costSeries are the measurements of one variant, by round.
-type costSeries struct{ open, took, line, memory, descriptors samples }
+type costSeries struct{ openCPU, openTime, lineCPU, memoryKiB, descriptors samples }
 
 func (s *costSeries) add(c cost) {
-	s.open = append(s.open, c.open)
-	s.took = append(s.took, c.took)
-	s.line = append(s.line, c.line)
-	s.memory = append(s.memory, c.memory)
+	s.openCPU = append(s.openCPU, c.openCPU)
+	s.openTime = append(s.openTime, c.openTime)
+	s.lineCPU = append(s.lineCPU, c.lineCPU)
+	s.memoryKiB = append(s.memoryKiB, c.memoryKiB)
 	s.descriptors = append(s.descriptors, c.descriptors)
 }
 
 // tlsCost measures what TLS to servers costs the proxy: a new connection, a line, an idle connection.
 func tlsCost(e *Env, r *Report) error {
-	if err := handshakeParts(r); err != nil {
+	if err := measureHandshakeTimes(r); err != nil {
 		return err
 	}
 	const rounds = 3
@@ -76,45 +76,45 @@
 	const title = "on the proxy, median (least to most) of three interleaved rounds"
 	r.StartTable(title, "variant", "CPU ms to open and close", "ms to UP, median", "CPU us a line and its answer", "KiB an idle connection", "descriptors")
 	for i, x := range results {
-		r.AddRow(title, costVariants[i].name, x.open, x.took, x.line, x.memory, x.descriptors)
+		r.AddRow(title, costVariants[i].name, x.openCPU, x.openTime, x.lineCPU, x.memoryKiB, x.descriptors)
 	}
 	plain, full, resumed, relay := results[costPlain], results[costFull], results[costResumed], results[costRelayTLS]
-	r.Check(resumed.memory.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memory)
-	r.Check(resumed.line.median() <= relay.line.median(), "no more CPU a line than a tls.Conn with goroutines",
-		fmt.Sprintf("%v against %v us", resumed.line, relay.line))
-	r.Check(resumed.open.median() < full.open.median(), "a resumed handshake costs less than a full one",
-		fmt.Sprintf("%v against %v ms", resumed.open, full.open))
-	r.AddValue("open_plain_ms", plain.open.median())
-	r.AddValue("open_full_ms", full.open.median())
-	r.AddValue("open_resumed_ms", resumed.open.median())
-	r.AddValue("line_plain_us", plain.line.median())
-	r.AddValue("line_tls_us", resumed.line.median())
-	r.AddValue("line_goroutines_us", relay.line.median())
-	r.AddValue("idle_kib", resumed.memory.median())
+	r.Check(resumed.memoryKiB.median() <= 40, "at most 40 KiB an idle TLS connection", resumed.memoryKiB)
+	r.Check(resumed.lineCPU.median() <= relay.lineCPU.median(), "no more CPU a line than a tls.Conn with goroutines",
+		fmt.Sprintf("%v against %v us", resumed.lineCPU, relay.lineCPU))
+	r.Check(resumed.openCPU.median() < full.openCPU.median(), "a resumed handshake costs less than a full one",
+		fmt.Sprintf("%v against %v ms", resumed.openCPU, full.openCPU))
+	r.AddValue("open_plain_ms", plain.openCPU.median())
+	r.AddValue("open_full_ms", full.openCPU.median())
+	r.AddValue("open_resumed_ms", resumed.openCPU.median())
+	r.AddValue("line_plain_us", plain.lineCPU.median())
+	r.AddValue("line_tls_us", resumed.lineCPU.median())
+	r.AddValue("line_goroutines_us", relay.lineCPU.median())
+	r.AddValue("idle_kib", resumed.memoryKiB.median())
 }
 
 // cost is the cost of one variant.
 type cost struct {
-	open        float64 // milliseconds of CPU to open and close a connection
-	took        float64 // milliseconds until a client is served, median
-	line        float64 // microseconds of CPU for a line and its answer
-	memory      float64 // KiB an idle connection
+	openCPU     float64 // milliseconds of CPU to open and close a connection
+	openTime    float64 // milliseconds until a client is served, median
+	lineCPU     float64 // microseconds of CPU for a line and its answer
+	memoryKiB   float64 // KiB an idle connection
 	descriptors float64 // an idle connection
 }
 
 // measure measures the variant on a process of its own.
 func (v costVariant) measure(e *Env) (c cost, err error) {
-	f, err := newUpstreams(e, 1, v.secure)
+	upstreams, err := newUpstreams(e, 1, v.secure)
 	if err != nil {
 		return c, err
 	}
-	defer f.close()
-	p, err := v.start(e, f)
+	defer upstreams.close()
+	p, err := v.start(e, upstreams)
 	if err != nil {
 		return c, err
 	}
 	defer p.Kill()
-	if c.open, c.took, err = openingCost(p); err != nil {
+	if c.openCPU, c.openTime, err = openingCost(p); err != nil {
 		return c, err
 	}
 	const idle = 300
@@ -134,9 +134,9 @@
 		clients = append(clients, client)
 	}
 	time.Sleep(300 * time.Millisecond)
-	c.memory = float64(p.Memory()-memory) / 1024 / idle
+	c.memoryKiB = float64(p.Memory()-memory) / 1024 / idle
 	c.descriptors = float64(p.Descriptors()-descriptors) / idle
-	c.line, err = lineCost(p, clients[:20])
+	c.lineCPU, err = lineCost(p, clients[:20])
 	return c, err
 }
 
@@ -148,7 +148,7 @@
 	settings := ""
 	if v.secure {
 		var err error
-		if settings, err = f.settings(append(v.settings, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
+		if settings, err = f.settings(append(v.extraSettings, "(handshakes (cpu 100%) (rate 5000) (host-rate 5000) (burst 1s))")...); err != nil {
 			return nil, err
 		}
 	}
@@ -163,7 +163,7 @@
 		f.servers[0].SetTLS(config)
 		args = append(args, "--trust", filepath.Join(f.dir, "trust.pem"))
 	}
-	return start(f.dir, exec.Command(e.Self, args...), nil, readyLine)
+	return startCommand(f.dir, exec.Command(e.Self, args...), nil, readyLine)
 }
 
 // openOne opens one connection.
--- a/internal/testbed/experiment/tlshandshake.go
+++ b/internal/testbed/experiment/tlshandshake.go
@@ -14,8 +14,8 @@
 	"croftlock/internal/testbed/fake"
 )
 
-// handshakeParts measures each side of a handshake by itself: the time that it computes, without its waits for the other side.
-func handshakeParts(r *Report) error {
+// measureHandshakeTimes measures each side of a handshake by itself: the time that it computes, without its waits for the other side.
+func measureHandshakeTimes(r *Report) error {
 	pki, err := fake.NewPKI("s1.lab")
 	if err != nil {
 		return err
@@ -33,7 +33,7 @@
 		for _, resumed := range []bool{false, true} {
 			client := &tls.Config{ServerName: "s1.lab", RootCAs: pki.Trusted.Pool(), CurvePreferences: []tls.CurveID{x.id}}
 			client.ClientSessionCache = sessionCache(resumed)
-			clients, servers, err := manyHandshakes(client, server, resumed)
+			clients, servers, err := repeatHandshake(client, server, resumed)
 			if err != nil {
 				return err
 			}
@@ -41,10 +41,10 @@
 			if resumed {
 				kind = "resumed"
 			}
-			r.AddRow(title, x.name, kind, clients.spread(0), servers.spread(0))
+			r.AddRow(title, x.name, kind, clients.formatQuantiles(0), servers.formatQuantiles(0))
 		}
 	}
-	return verification(r, pki)
+	return measureVerification(r, pki)
 }
 
 // sessionCache is a client's cache of sessions; none: it never resumes.
@@ -55,11 +55,11 @@
 	return tls.NewLRUClientSessionCache(1)
 }
 
-// manyHandshakes are the microseconds of each side of 300 handshakes, after some that fill caches.
-func manyHandshakes(client, server *tls.Config, resumed bool) (clients, servers samples, err error) {
+// repeatHandshake are the microseconds of each side of 300 handshakes, after some that fill caches.
+func repeatHandshake(client, server *tls.Config, resumed bool) (clients, servers samples, err error) {
 	const warmUp, handshakes = 30, 300
 	for i := range warmUp + handshakes {
-		h, err := oneHandshake(client, server)
+		h, err := measureHandshake(client, server)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -74,8 +74,8 @@
 	return clients, servers, nil
 }
 
-// verification measures the verification of a chain: the first time, and from the cache.
-func verification(r *Report, pki *fake.PKI) error {
+// measureVerification measures the measureVerification of a chain: the first time, and from the cache.
+func measureVerification(r *Report, pki *fake.PKI) error {
 	leaf, err := pki.Trusted.Issue(certs.Spec{Hosts: []string{"s1.lab"}})
 	if err != nil {
 		return err
@@ -105,39 +105,39 @@
 			*s = append(*s, float64(time.Since(startedAt))/1e3)
 		}
 	}
-	r.AddRow(title, "first in its epoch", first.spread(1))
-	r.AddRow(title, "cached", again.spread(1))
+	r.AddRow(title, "first in its epoch", first.formatQuantiles(1))
+	r.AddRow(title, "cached", again.formatQuantiles(1))
 	return nil
 }
 
 // stopwatch is a connection that measures for how long its owner computes between reads and writes.
 type stopwatch struct {
 	net.Conn
-	mark  time.Time     // since when the owner computes
-	spent time.Duration // so far
+	computingSince time.Time     // since when the owner computes
+	computed       time.Duration // so far
 }
 
-func newStopwatch(c net.Conn) *stopwatch { return &stopwatch{Conn: c, mark: time.Now()} }
+func newStopwatch(c net.Conn) *stopwatch { return &stopwatch{Conn: c, computingSince: time.Now()} }
 
 // stop returns the computing time so far, in microseconds.
 func (w *stopwatch) stop() float64 {
-	w.spent += time.Since(w.mark)
-	return float64(w.spent) / 1e3
+	w.computed += time.Since(w.computingSince)
+	return float64(w.computed) / 1e3
 }
 
 // Read reads, and does not count the time of that.
 func (w *stopwatch) Read(p []byte) (int, error) {
-	w.spent += time.Since(w.mark)
+	w.computed += time.Since(w.computingSince)
 	n, err := w.Conn.Read(p)
-	w.mark = time.Now()
+	w.computingSince = time.Now()
 	return n, err
 }
 
 // Write writes, and does not count the time of that.
 func (w *stopwatch) Write(p []byte) (int, error) {
-	w.spent += time.Since(w.mark)
+	w.computed += time.Since(w.computingSince)
 	n, err := w.Conn.Write(p)
-	w.mark = time.Now()
+	w.computingSince = time.Now()
 	return n, err
 }
 
@@ -147,17 +147,17 @@
 	resumed        bool
 }
 
-// serverSide is the result of the server's side.
-type serverSide struct {
+// serverResult is the result of the server's side.
+type serverResult struct {
 	microseconds float64
 	err          error
 }
 
 // serveHandshake completes one handshake, and waits for the client to close the connection.
-func serveHandshake(l net.Listener, config *tls.Config) serverSide {
+func serveHandshake(l net.Listener, config *tls.Config) serverResult {
 	raw, err := l.Accept()
 	if err != nil {
-		return serverSide{0, err}
+		return serverResult{0, err}
 	}
 	defer raw.Close()
 	w := newStopwatch(raw)
@@ -166,17 +166,17 @@
 	spent := w.stop()
 	io.WriteString(t, "x") // has the client read, and thereby process the ticket
 	io.Copy(io.Discard, t)
-	return serverSide{spent, err}
+	return serverResult{spent, err}
 }
 
-// oneHandshake measures one handshake. The sides compute in turn, never at the same time.
-func oneHandshake(client, server *tls.Config) (h handshakeTime, err error) {
+// measureHandshake measures one handshake. The sides compute in turn, never at the same time.
+func measureHandshake(client, server *tls.Config) (h handshakeTime, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return h, err
 	}
 	defer l.Close()
-	served := make(chan serverSide, 1)
+	served := make(chan serverResult, 1)
 	go func() { served <- serveHandshake(l, server) }()
 	raw, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/testbed/experiment/tlsrotation.go
+++ b/internal/testbed/experiment/tlsrotation.go
@@ -20,35 +20,35 @@
 }
 
 const (
-	rotationPersistent = 400
-	rotationRate       = 200 // new connections a second
-	rotationSpan       = 30 * time.Second
-	rotationWait       = 2 * time.Second
-	rotationStepEvery  = 4500 * time.Millisecond
-	reloadLimit        = 2 * time.Second // until the proxy uses new files
-	rotationTable      = "replacements"
+	rotationPersistent   = 400
+	rotationRate         = 200 // new connections a second
+	rotationDuration     = 30 * time.Second
+	rotationTimeout      = 2 * time.Second
+	rotationStepInterval = 4500 * time.Millisecond
+	reloadLimit          = 2 * time.Second // until the proxy uses new files
+	rotationTable        = "replacements"
 )
 
 // tlsRotation replaces all TLS files, one after the other, with 400 persistent connections and 200 new ones a second.
 func tlsRotation(e *Env, r *Report) error {
-	f, err := newUpstreams(e, 4, true)
+	upstreams, err := newUpstreams(e, 4, true)
 	if err != nil {
 		return err
 	}
-	defer f.close()
-	settings, err := f.settings("(handshakes (cpu 80%) (host-rate 300))")
+	defer upstreams.close()
+	settings, err := upstreams.settings("(handshakes (cpu 80%) (host-rate 300))")
 	if err != nil {
 		return err
 	}
-	p, err := e.Proxy(Setup{Name: "rotation", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings,
-		ConnectTimeout: 800 * time.Millisecond, Deadline: rotationWait})
+	p, err := e.Proxy(Setup{Name: "rotation", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
+		ConnectTimeout: 800 * time.Millisecond, Deadline: rotationTimeout})
 	if err != nil {
 		return err
 	}
-	t := &rotation{upstreams: f, proxy: p, persistent: &persistentClients{answers: newAnswerCounts(), interval: time.Second}, shortLived: newAnswerCounts(),
-		trust: filepath.Join(f.dir, "trust.pem")}
+	t := &rotation{upstreams: upstreams, proxy: p, persistent: &persistentClients{answers: newAnswerCounts(), interval: time.Second}, shortLived: newAnswerCounts(),
+		trust: filepath.Join(upstreams.dir, "trust.pem")}
 	defer t.persistent.stop()
-	if err := t.persistent.connect(p.Addr, rotationPersistent, "", rotationWait); err != nil {
+	if err := t.persistent.connect(p.Addr, rotationPersistent, "", rotationTimeout); err != nil {
 		return err
 	}
 	late, err := t.underLoad(r)
@@ -68,15 +68,15 @@
 		late, err = t.replaceAll(r)
 		finished <- err
 	}()
-	openLoop(rotationRate, rotationSpan, func(int) { t.openShortLived() })
+	openLoop(rotationRate, rotationDuration, func(int) { t.openShortLived() })
 	err = <-finished
 	return late, err
 }
 
 // openShortLived opens a new connection, sends one line and closes it.
 func (t *rotation) openShortLived() {
-	client, a, _ := fake.Open(t.proxy.Addr, requestClass, "", rotationWait)
-	t.shortLived.add(a, rotationWait)
+	client, a, _ := fake.Open(t.proxy.Addr, requestClass, "", rotationTimeout)
+	t.shortLived.add(a, rotationTimeout)
 	if client == nil {
 		return
 	}
@@ -88,9 +88,9 @@
 
 // replacement is one replacement of files.
 type replacement struct {
-	what    string
-	files   bool // the proxy's files, which it reloads; else the servers', which show at the next handshakes
-	replace func() error
+	description string
+	ofProxy     bool // the proxy's files, which it reloads; else the servers', which show at the next handshakes
+	replace     func() error
 }
 
 // replacements are the steps, in order: add a second authority, then remove the first.
@@ -98,7 +98,7 @@
 	first, second := t.upstreams.pki.Trusted, t.upstreams.pki.Other
 	return []replacement{
 		{"a new client certificate, by renaming", true, func() error { return t.renewClient(first) }},
-		{"a second authority in the bundle, written in place, first a part of it", true, t.widenTrust},
+		{"a second authority in the bundle, written in place, first a part of it", true, t.addAuthority},
 		{"the servers' certificates, by the second authority, and their ticket keys", false, func() error { return t.renewServers(second) }},
 		{"a client certificate by the second authority, by renaming", true, func() error { return t.renewClient(second) }},
 		{"the bundle without the first authority, by renaming", true, func() error { return certs.ReplaceFile(t.trust, certs.EncodeBundle(second.Root.Cert), 0o644) }},
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// widenTrust writes both authorities in place, and before that a part, which cannot be parsed.
-func (t *rotation) widenTrust() error {
+// addAuthority writes both authorities in place, and before that a part, which cannot be parsed.
+func (t *rotation) addAuthority() error {
 	both := append(certs.EncodeBundle(t.upstreams.pki.Trusted.Root.Cert), certs.EncodeBundle(t.upstreams.pki.Other.Root.Cert)...)
 	if err := os.WriteFile(t.trust, both[:len(both)-200], 0o644); err != nil {
 		return err
@@ -136,33 +136,33 @@
 func (t *rotation) replaceAll(r *Report) (late int, err error) {
 	startedAt := time.Now()
 	for i, step := range t.replacements() {
-		time.Sleep(time.Until(startedAt.Add(time.Duration(i)*rotationStepEvery + 2*time.Second)))
-		epoch := t.filesTaken()
+		time.Sleep(time.Until(startedAt.Add(time.Duration(i)*rotationStepInterval + 2*time.Second)))
+		epoch := t.reloadCount()
 		at := time.Now()
 		if err := step.replace(); err != nil {
 			return late, err
 		}
 		taken := "-"
-		if step.files {
-			took := t.awaitTaken(epoch)
+		if step.ofProxy {
+			took := t.awaitReload(epoch)
 			taken = took.Round(10 * time.Millisecond).String()
 			if took > reloadLimit {
 				taken += " LATE"
 				late++
 			}
 		}
-		r.AddRow(rotationTable, at.Sub(startedAt), step.what, taken, t.filesTaken()+1)
+		r.AddRow(rotationTable, at.Sub(startedAt), step.description, taken, t.reloadCount()+1)
 	}
 	return late, nil
 }
 
-// filesTaken is how often the proxy has reloaded files.
-func (t *rotation) filesTaken() int { return len(t.proxy.LogLines("event=tls_files_taken")) }
+// reloadCount is how often the proxy has reloaded files.
+func (t *rotation) reloadCount() int { return len(t.proxy.LogLines("event=tls_files_taken")) }
 
-// awaitTaken waits until the proxy has reloaded files once more, up to a second beyond the limit, and returns how long that took.
-func (t *rotation) awaitTaken(before int) time.Duration {
+// awaitReload waits until the proxy has reloaded files once more, up to a second beyond the limit, and returns how long that took.
+func (t *rotation) awaitReload(before int) time.Duration {
 	written := time.Now()
-	for t.filesTaken() == before && time.Since(written) < reloadLimit+time.Second {
+	for t.reloadCount() == before && time.Since(written) < reloadLimit+time.Second {
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(written)
@@ -184,7 +184,7 @@
 	r.AddRow("new connections", a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late, a.milliseconds.median(), a.milliseconds.quantile(0.99))
 	c.stopping.Store(true)
 	ended := t.proxy.Stop()
-	total := int(rotationRate * rotationSpan.Seconds())
+	total := int(rotationRate * rotationDuration.Seconds())
 	r.Check(a.count("UP") == total && a.late == 0, "every new connection is served", fmt.Sprintf("%d of %d", a.count("UP"), total))
 	r.Check(len(c.lost) == 0 && c.migrations == 0 && established >= rotationPersistent, "no persistent connection is lost or migrated",
 		fmt.Sprintf("%d established, %d lost, %d migrated %s", established, len(c.lost), c.migrations, firstLosses(c.lost)))
--- a/internal/testbed/experiment/tlsstorm.go
+++ b/internal/testbed/experiment/tlsstorm.go
@@ -10,7 +10,7 @@
 
 const (
 	stayingClients, migratingClients = 300, 500
-	stormWait                        = 4 * time.Second
+	stormTimeout                     = 4 * time.Second
 	hostRate                         = 200 // full handshakes a second with one host
 	stormBurst                       = 50 * time.Millisecond
 	reconnectLimit                   = 8 * time.Second
@@ -18,21 +18,21 @@
 
 // stormCase is one way in which the clients of the drained server reconnect.
 type stormCase struct {
-	name        string
-	plain       bool       // TCP without TLS
-	settings    string     // more of the tls section
-	returnAfter delayRange // before a client reconnects
-	bounds      bool       // the files are replaced during the storm, and bounds are checked
+	name           string
+	plain          bool       // TCP without TLS
+	extraSettings  string     // more of the tls section
+	reconnectAfter delayRange // before a client reconnects
+	bounds         bool       // the files are replaced during the storm, and bounds are checked
 }
 
 // reconnectDelay is the time before clients reconnect, as the operators state it.
 var reconnectDelay = delayRange{50 * time.Millisecond, 1700 * time.Millisecond}
 
 var stormCases = []stormCase{
-	{name: "full", settings: " (reuse off)", returnAfter: reconnectDelay, bounds: true},
-	{name: "full, all at once", settings: " (reuse off)"},
-	{name: "resumed", settings: "(reuse on)", returnAfter: reconnectDelay},
-	{name: "plain TCP", plain: true, returnAfter: reconnectDelay},
+	{name: "full", extraSettings: " (reuse off)", reconnectAfter: reconnectDelay, bounds: true},
+	{name: "full, all at once", extraSettings: " (reuse off)"},
+	{name: "resumed", extraSettings: "(reuse on)", reconnectAfter: reconnectDelay},
+	{name: "plain TCP", plain: true, reconnectAfter: reconnectDelay},
 	{name: "plain TCP, all at once", plain: true},
 }
 
@@ -62,7 +62,7 @@
 type stormResult struct {
 	latenciesBefore, latenciesDuring samples        // milliseconds of the staying clients' lines, before and during the storm
 	handshakesBefore                 map[string]int // handshakes of each server before it
-	filesTaken                       int            // reloads of files before it
+	reloadsBefore                    int            // reloads of files before it
 	reconnectedAfter                 time.Duration  // until all were connected again; 0: they were not
 	cpu                              time.Duration  // of the proxy
 	withinBudget                     bool           // no server got more handshakes than its budget
@@ -102,30 +102,30 @@
 
 // prepare starts the servers and the proxy.
 func (c stormCase) prepare(e *Env) (s *storm, err error) {
-	f, err := newUpstreams(e, 3, !c.plain)
+	upstreams, err := newUpstreams(e, 3, !c.plain)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			f.close()
+			upstreams.close()
 		}
 	}()
 	settings := ""
 	if !c.plain {
 		handshakes := fmt.Sprintf("(cpu 35%%) (rate 600) (host-rate %d) (burst %dms)", hostRate, stormBurst.Milliseconds())
-		if settings, err = f.settings("(handshakes "+handshakes+")", c.settings); err != nil {
+		if settings, err = upstreams.settings("(handshakes "+handshakes+")", c.extraSettings); err != nil {
 			return nil, err
 		}
 	}
-	p, err := e.Proxy(Setup{Name: "storm", Discovery: f.discovery.Addr(), InitialList: f.discovery.List(), Settings: settings,
-		ConnectTimeout: 3500 * time.Millisecond, Deadline: stormWait})
+	p, err := e.Proxy(Setup{Name: "storm", Discovery: upstreams.discovery.Addr(), InitialList: upstreams.discovery.List(), Settings: settings,
+		ConnectTimeout: 3500 * time.Millisecond, Deadline: stormTimeout})
 	if err != nil {
 		return nil, err
 	}
-	return &storm{stormCase: c, upstreams: f, proxy: p, ownCore: p.isolateCPU(),
+	return &storm{stormCase: c, upstreams: upstreams, proxy: p, ownCore: p.isolateCPU(),
 		staying:   &persistentClients{answers: newAnswerCounts(), interval: 250 * time.Millisecond},
-		migrating: &persistentClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMigrations: true, returnAfter: c.returnAfter}}, nil
+		migrating: &persistentClients{answers: newAnswerCounts(), interval: 2 * time.Second, awaitMigrations: true, reconnectAfter: c.reconnectAfter}}, nil
 }
 
 // connectClients has all clients connect, each to a given server.
@@ -147,12 +147,12 @@
 
 // drain measures without the storm, drains the first server, and measures until all clients are connected again.
 func (s *storm) drain(e *Env) (*stormResult, error) {
-	f := &stormResult{handshakesBefore: map[string]int{}}
+	result := &stormResult{handshakesBefore: map[string]int{}}
 	beforeFrom := time.Now()
 	time.Sleep(5 * time.Second)
 	beforeTo := time.Now()
 	for _, server := range s.upstreams.servers {
-		f.handshakesBefore[server.UID] = len(server.Handshakes())
+		result.handshakesBefore[server.UID] = len(server.Handshakes())
 	}
 	cpu := s.proxy.CPUTime()
 	e.Logf("server s1 drains")
@@ -160,18 +160,18 @@
 	time.Sleep(300 * time.Millisecond)
 	startedAt := time.Now()
 	s.upstreams.servers[0].Drain()
-	f.filesTaken = len(s.proxy.LogLines("event=tls_files_taken"))
+	result.reloadsBefore = len(s.proxy.LogLines("event=tls_files_taken"))
 	if s.bounds {
 		if err := s.replaceFiles(); err != nil {
 			return nil, err
 		}
 	}
-	f.reconnectedAfter = s.awaitReconnected(startedAt)
+	result.reconnectedAfter = s.awaitReconnected(startedAt)
 	stormTo := time.Now()
-	f.cpu = s.proxy.CPUTime() - cpu
+	result.cpu = s.proxy.CPUTime() - cpu
 	time.Sleep(time.Second)
-	f.latenciesBefore, f.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(startedAt, stormTo)
-	return f, nil
+	result.latenciesBefore, result.latenciesDuring = s.staying.latenciesBetween(beforeFrom, beforeTo), s.staying.latenciesBetween(startedAt, stormTo)
+	return result, nil
 }
 
 // replaceFiles extends the bundle of authorities and replaces the proxy's certificate, during the storm.
--- a/internal/testbed/experiment/tlsstormreport.go
+++ b/internal/testbed/experiment/tlsstormreport.go
@@ -9,42 +9,42 @@
 )
 
 // count reads the counts of clients and servers, before the shutdown of the proxy adds to them.
-func (s *storm) count(f *stormResult) {
+func (s *storm) count(result *stormResult) {
 	a := s.migrating.answers
-	f.served, f.unanswered, f.late = a.count("UP"), a.count("NONE"), a.late
-	f.lost = append(append([]string{}, s.staying.lost...), s.migrating.lost...)
+	result.served, result.unanswered, result.late = a.count("UP"), a.count("NONE"), a.late
+	result.lost = append(append([]string{}, s.staying.lost...), s.migrating.lost...)
 	for _, server := range s.upstreams.servers[1:] {
 		_, twice := server.Requests()
-		f.repeatedRequests += twice
+		result.repeatedRequests += twice
 	}
-	f.withinBudget = true
+	result.withinBudget = true
 	for _, server := range s.upstreams.servers[1:] {
-		f.withinBudget = f.withinBudget && maxHandshakesPerSecond(f.handshakesDuring(server)) <= handshakeBudget+1
+		result.withinBudget = result.withinBudget && maxHandshakesPerSecond(result.handshakesDuring(server)) <= handshakeBudget+1
 	}
 }
 
 // handshakesDuring are the handshakes of a server since the storm began.
-func (f *stormResult) handshakesDuring(server *fake.Server) []fake.Handshake {
-	return server.Handshakes()[f.handshakesBefore[server.UID]:]
+func (result *stormResult) handshakesDuring(server *fake.Server) []fake.Handshake {
+	return server.Handshakes()[result.handshakesBefore[server.UID]:]
 }
 
 // handshakeBudget is how many full handshakes one server may get in a second.
 var handshakeBudget = float64(hostRate) * (1 + stormBurst.Seconds())
 
 // writeTables adds the rows of this case.
-func (s *storm) writeTables(r *Report, f *stormResult) {
+func (s *storm) writeTables(r *Report, result *stormResult) {
 	const lines = "lines of the 300 staying clients, milliseconds to the answer"
 	r.StartTable(lines, "handshakes", "when", "lines", "p50", "p90", "p99", "max")
 	for _, span := range []struct {
 		name  string
 		lines samples
-	}{{"before", f.latenciesBefore}, {"during the storm", f.latenciesDuring}} {
+	}{{"before", result.latenciesBefore}, {"during the storm", result.latenciesDuring}} {
 		r.AddRow(lines, s.name, span.name, len(span.lines), span.lines.median(), span.lines.quantile(0.9), span.lines.quantile(0.99), span.lines.quantile(1))
 	}
 	const title = "handshakes in the storm"
 	r.StartTable(title, "handshakes", "server", "full", "resumed", "max counted in a second", "budget")
 	for _, server := range s.upstreams.servers[1:] {
-		list := f.handshakesDuring(server)
+		list := result.handshakesDuring(server)
 		full := 0
 		for _, h := range list {
 			if !h.Resumed {
@@ -57,30 +57,30 @@
 	const answers = "answers to the 500 migrated clients"
 	r.StartTable(answers, "handshakes", "UP", "BUSY", "ERR", "NONE", "late", "p50 ms", "p99", "all reconnected after", "proxy CPU s")
 	r.AddRow(answers, s.name, a.count("UP"), a.count("BUSY"), a.count("ERR"), a.count("NONE"), a.late,
-		a.milliseconds.median(), a.milliseconds.quantile(0.99), f.reconnectedAfter, f.cpu.Seconds())
+		a.milliseconds.median(), a.milliseconds.quantile(0.99), result.reconnectedAfter, result.cpu.Seconds())
 }
 
 // checkBounds checks the bounds; ended is the proxy's exit status.
-func (s *storm) checkBounds(r *Report, f *stormResult, ended error) {
+func (s *storm) checkBounds(r *Report, result *stormResult, ended error) {
 	if !s.ownCore {
 		r.Remarks = append(r.Remarks, "fewer than three cores: the stand-ins run on the proxy's core, and its delays include theirs")
 	}
 	filesTaken := len(s.proxy.LogLines("event=tls_files_taken"))
-	p99Before, p99During := f.latenciesBefore.quantile(0.99), f.latenciesDuring.quantile(0.99)
-	r.Check(f.reconnectedAfter > 0 && f.reconnectedAfter <= reconnectLimit, "all 500 are connected again within "+reconnectLimit.String(), f.reconnectedAfter)
-	r.Check(f.served >= migratingClients && f.unanswered == 0 && f.late == 0, "every request has its answer in time",
-		fmt.Sprintf("%d served, %d without, %d late", f.served, f.unanswered, f.late))
-	r.Check(len(f.lost) == 0 && s.migrating.migrations >= migratingClients, "no connection lost, each of the 500 migrated",
-		fmt.Sprintf("%d lost, %d migrations %s", len(f.lost), s.migrating.migrations, firstLosses(f.lost)))
-	r.Check(filesTaken > f.filesTaken, "trust and certificate replaced during the storm", filesTaken-f.filesTaken)
-	r.Check(f.repeatedRequests == 0, "no request ran twice", f.repeatedRequests)
-	r.Check(f.withinBudget, "no server got more handshakes than its budget", f.withinBudget)
+	p99Before, p99During := result.latenciesBefore.quantile(0.99), result.latenciesDuring.quantile(0.99)
+	r.Check(result.reconnectedAfter > 0 && result.reconnectedAfter <= reconnectLimit, "all 500 are connected again within "+reconnectLimit.String(), result.reconnectedAfter)
+	r.Check(result.served >= migratingClients && result.unanswered == 0 && result.late == 0, "every request has its answer in time",
+		fmt.Sprintf("%d served, %d without, %d late", result.served, result.unanswered, result.late))
+	r.Check(len(result.lost) == 0 && s.migrating.migrations >= migratingClients, "no connection lost, each of the 500 migrated",
+		fmt.Sprintf("%d lost, %d migrations %s", len(result.lost), s.migrating.migrations, firstLosses(result.lost)))
+	r.Check(filesTaken > result.reloadsBefore, "trust and certificate replaced during the storm", filesTaken-result.reloadsBefore)
+	r.Check(result.repeatedRequests == 0, "no request ran twice", result.repeatedRequests)
+	r.Check(result.withinBudget, "no server got more handshakes than its budget", result.withinBudget)
 	r.Check(p99During <= 2*p99Before, "p99 of the staying clients' lines within twice that before", fmt.Sprintf("%.2f ms, before %.2f ms", p99During, p99Before))
 	r.Check(ended == nil, "the proxy shut down without an error", fmt.Sprint(ended))
-	r.AddValue("reconnected_s", f.reconnectedAfter.Seconds())
+	r.AddValue("reconnected_s", result.reconnectedAfter.Seconds())
 	r.AddValue("before_p99_ms", p99Before)
 	r.AddValue("storm_p99_ms", p99During)
-	r.AddValue("proxy_cpu_s", f.cpu.Seconds())
+	r.AddValue("proxy_cpu_s", result.cpu.Seconds())
 	r.AddValue("memory_mb", float64(s.proxy.peakMemory)/(1<<20))
 }
 
