--- a/internal/app/node/fleet.go
+++ b/internal/app/node/fleet.go
@@ -10,21 +10,23 @@
 	"croftlock/internal/operations/settings"
 )
 
-// rejoinInterval is the pause before a process that serves tries to join again.
+// rejoinInterval is the delay before rejoinFleet retries.
 const rejoinInterval = 250 * time.Millisecond
 
-// fleet is the process's part in the fleet: the options of the settings file, and the agents.
+// fleet holds the settings file's options for the fleet and the agents that run by them.
 type fleet struct {
 	memberOptions    memberagent.Options
 	ownerOptions     owneragent.Options
 	watermarkOptions watermark.Options
 
-	// nil: off, or not started while another process of this proxy serves.
+	// Each is nil if it is disabled, or not started yet because another process of this proxy
+	// serves.
 	members    *memberagent.Agent
 	owners     *owneragent.Agent
 	watermarks *watermark.Link
 }
 
+// newFleet returns the options of a settings file, without agents.
 func newFleet(file *settings.File) fleet {
 	return fleet{memberOptions: membershipOptions(file), ownerOptions: ownerOptions(file), watermarkOptions: watermarkOptions(file)}
 }
@@ -41,8 +43,9 @@
 	return p.startOwners()
 }
 
-// rejoinFleet is joinFleet for a process that has just taken over, or taken back, from another one: to other proxies it is the same member with
-// a new incarnation. It retries, since the other process may hold the address a moment longer.
+// rejoinFleet joins the fleet after this process has taken over from another one, or taken back. To
+// other proxies it is the same member with a new incarnation. It retries, since the other process
+// may hold the address a moment longer.
 func (p *process) rejoinFleet() {
 	if !p.fleet.memberOptions.Enabled || p.restart.phase == handedOver {
 		return
@@ -62,13 +65,14 @@
 	}
 }
 
-// startMembers starts membership, with an incarnation that starts now.
+// startMembers starts the member agent. The incarnation starts at the current time.
 func (p *process) startMembers() (*memberagent.Agent, error) {
 	platform := memberagent.Platform{Link: p.peers, ProxyCount: len(p.cfg.Peers.Peers), OwnNumber: p.cfg.Settings.Instance}
 	return memberagent.Start(p.loop, p.fleet.memberOptions, p.cfg.Name, time.Now(), platform)
 }
 
-// startOwners starts the owner agent, if it is enabled, and has the core act by it. Membership has to be on.
+// startOwners starts the owner agent, if it is enabled, and connects it to the core. Membership
+// must be enabled.
 func (p *process) startOwners() error {
 	f := &p.fleet
 	if !f.ownerOptions.Enabled {
@@ -89,7 +93,7 @@
 	return nil
 }
 
-// announceLeave releases this process's jobs, and then announces its shutdown to the other members.
+// announceLeave releases this process's jobs and then announces its shutdown to the other members.
 func (p *process) announceLeave() {
 	p.fleet.owners.Leave(func() { p.fleet.members.Leave() })
 }
--- a/internal/app/node/layers_test.go
+++ b/internal/app/node/layers_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// layers are the packages of this module from the bottom up. A package imports from its own layer and those below it.
+// layers lists the packages of this module from the bottom layer to the top one. A package may
+// import from its own layer and from those below it.
 var layers = []struct {
 	name     string
 	packages []string
@@ -29,16 +30,17 @@
 	{"programs", []string{"cmd/croftlock", "cmd/croftlock-experiment", "cmd/croftlock-simulator-adapter", "cmd/croftlock-voter"}},
 }
 
-// decisionLayer is the layer whose packages do no I/O.
+// decisionLayer is the name of the layer whose packages must not do I/O.
 const decisionLayer = "decisions"
 
-// doesIO returns whether a package of the standard library does I/O. net/netip has values alone.
+// doesIO reports whether a package of the standard library does I/O. net/netip only has value
+// types.
 func doesIO(path string) bool {
 	first, _, _ := strings.Cut(path, "/")
 	return (first == "net" || first == "os") && path != "net/netip"
 }
 
-// importsOf returns the imports of a folder's files, without tests.
+// importsOf returns the imports of the Go files in dir, except test files.
 func importsOf(t *testing.T, dir string) (imports []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -61,7 +63,8 @@
 	return imports
 }
 
-// packageDirs are the packageDirs with Go files below the module's root, named as in layers.
+// packageDirs returns the directories below the module's root that contain Go files, named as in
+// layers.
 func packageDirs(t *testing.T, root string) (out []string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
@@ -83,7 +86,8 @@
 	return out
 }
 
-// TestLayers: packages import from their own layer and those below, every package is in a layer, and decisions do no I/O.
+// TestLayers checks that every package is in a layer and imports only from its own layer and those
+// below, and that packages of decisionLayer import no package that does I/O.
 func TestLayers(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
 	level := map[string]int{}
@@ -95,13 +99,13 @@
 	seen := packageDirs(t, root)
 	for p := range level {
 		if !slices.Contains(seen, p) {
-			t.Errorf("layers name the package %s, which does not exist", p)
+			t.Errorf("layers contains %s, want only packages that exist", p)
 		}
 	}
 	for _, p := range seen {
 		layer, known := level[p]
 		if !known {
-			t.Errorf("%s is in no layer", p)
+			t.Errorf("package %s is in no layer", p)
 			continue
 		}
 		dir := filepath.Join(root, "internal", p)
@@ -110,18 +114,18 @@
 		}
 		for _, path := range importsOf(t, dir) {
 			if layers[layer].name == decisionLayer && doesIO(path) {
-				t.Errorf("%s, in the layer of decisions, imports %s", p, path)
+				t.Errorf("%s in layer %q imports %s, want no package that does I/O", p, decisionLayer, path)
 			}
 			local, isLocal := strings.CutPrefix(path, "croftlock/")
 			local = strings.TrimPrefix(local, "internal/")
 			if isLocal && level[local] > layer {
-				t.Errorf("%s (%s) imports %s (%s)", p, layers[layer].name, local, layers[level[local]].name)
+				t.Errorf("%s in layer %q imports %s from the higher layer %q", p, layers[layer].name, local, layers[level[local]].name)
 			}
 		}
 	}
 }
 
-// TestGlossary: docs/glossary.md names each package.
+// TestGlossary checks that docs/glossary.md names each package of layers, except the commands.
 func TestGlossary(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "glossary.md"))
 	if err != nil {
--- a/internal/app/node/node.go
+++ b/internal/app/node/node.go
@@ -1,12 +1,15 @@
-// Package node wires one proxy together. It makes no decisions on requests.
+// Package node assembles the parts of one proxy process. It makes no decisions on requests.
 //
-// Start (node.go): Run attaches the loop; process.start makes the core (makeCore), gets what a predecessor hands over or has stored
-// (findPredecessor), starts the core with its endpoint list (runCore), opens the sockets to other proxies, clients and operators, and
-// serves. event=ready ends the start. A process that takes over from another one accepts clients, and is ready to /v1/readyz, only after that
-// (beginTakeover).
+// Run attaches the loop and calls process.start, which creates the core (makeCore), receives or
+// reads the state of the previous process (findPredecessor), starts the core with an endpoint list
+// (runCore), opens the sockets for other proxies, clients and operators, and serves. It then logs
+// event=ready. A process that takes over from another one accepts clients, and is ready according
+// to /v1/readyz, only later (beginTakeover).
 //
-// SIGHUP and SIGTERM: signals.go. Hot restart: restart.go has the phases of both processes, predecessor.go what a new process asks for,
-// partner.go the messages of the other process, successor.go what the core asks of either. Membership and the fleet's jobs: fleet.go.
+// signals.go handles SIGHUP and SIGTERM, and fleet.go starts membership and the fleet's jobs. A hot
+// restart is in four files: restart.go has the phases of both processes, predecessor.go the
+// requests of a new process, partner.go the messages of the other process, and successor.go the
+// calls of the core.
 package node
 
 import (
@@ -32,22 +35,24 @@
 	"croftlock/internal/operations/settings"
 )
 
-// process is one process of a proxy. Its methods run on the loop, or before the loop runs, unless they say otherwise.
+// process is one process of a proxy. Its methods must be called on the loop, or before the loop
+// runs, unless their comment allows any goroutine.
 type process struct {
 	cfg       *platform.Config
 	loop      *netio.Loop
 	dialer    *netio.Dialer
-	tlsDialer *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
+	tlsDialer *upstreamtls.Dialer // nil if connections to upstream hosts do not use TLS
 	core      *proxy.Core
 	discovery *cluster.Client
 	listener  *netio.Listener
 	front     *lineproto.Front
-	peers     *peers.Link // nil: there are none
+	peers     *peers.Link // nil if no socket for peer datagrams is open
 	restart   restart
 	fleet     fleet
 }
 
-// Run runs the proxy until it has shut down after a signal. format is that of the log; "": the settings file's.
+// Run runs the proxy until it has shut down after a signal. format is the log's format; if it is
+// empty, the settings file specifies the format.
 func Run(cfg *platform.Config, file *settings.File, format string, signals <-chan os.Signal) error {
 	ConfigureLog(file, format)
 	runtime.GOMAXPROCS(cfg.MaxThreads())
@@ -68,7 +73,8 @@
 	return nil
 }
 
-// start makes the process ready. It accepts clients last: a client, or the front's PING, must find the proxy ready.
+// start makes the process ready. Accepting clients is its last step, because a client, or a PING to
+// the front, must find the proxy ready.
 func (p *process) start(file *settings.File) error {
 	maxDownstreams, err := p.makeCore(tlsOptions(file))
 	if err != nil {
@@ -83,7 +89,7 @@
 		return err
 	}
 	p.openPeers(handoff.DatagramFD)
-	if old == nil { // else the old process is the member until this one has taken over
+	if old == nil { // an old process remains the member until this one has taken over
 		if err := p.joinFleet(); err != nil {
 			return err
 		}
@@ -103,7 +109,8 @@
 	return nil
 }
 
-// makeCore makes the core and its connections to upstream hosts. maxDownstreams is how many downstreams it holds at most.
+// makeCore creates the core and its connector to upstream hosts. maxDownstreams is the greatest
+// number of downstreams that the core accepts.
 func (p *process) makeCore(tls upstreamtls.Options) (maxDownstreams int, err error) {
 	cfg := p.cfg
 	opt := proxy.Options{Settings: cfg.Settings, MaxDownstreams: cfg.MaxDownstreams(), DelayInLoad: cfg.DelayInLoad, WallClock: func() time.Time { return netio.WallClock() }}
@@ -115,7 +122,8 @@
 		}
 		opener = tlsOpener(p.tlsDialer)
 		opt.Expiry = tls.Expiry
-		// Each handshake in progress holds a descriptor, and one more while its socket changes hands.
+		// A handshake in progress holds a descriptor, and a second one while its socket is passed
+		// on.
 		opt.MaxDownstreams = max(1, opt.MaxDownstreams-tls.Handshakes.MaxInFlight)
 	}
 	var reportsInAnswers []string
@@ -129,10 +137,13 @@
 	return opt.MaxDownstreams, nil
 }
 
-// findPredecessor requests a handover from the process that serves, or else reads the state that an earlier one has stored, and gives it to
-// the core. old is nil where no process hands over; handoff is never nil unless err is set.
+// findPredecessor requests a handover from the process that serves. If none hands over, it reads
+// the state that an earlier process stored. It restores the suspensions of that state in the core.
+// old is nil if no process hands over; handoff is not nil if err is nil.
 func (p *process) findPredecessor() (old *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
-	if p.cfg.Admin != "" { // without it the platform cannot ask whether a new process is ready, and never replaces one
+	// Without an admin interface the platform cannot ask whether a new process is ready, and never
+	// replaces a process.
+	if p.cfg.Admin != "" {
 		p.restart.dir = os.Getenv("TMPDIR")
 	}
 	if p.restart.dir != "" {
@@ -149,7 +160,8 @@
 	return old, handoff, nil
 }
 
-// runCore starts the core with its decision module, discovery, and an endpoint list.
+// runCore starts the core with its decision module, the discovery client and an endpoint list,
+// which it returns.
 func (p *process) runCore(handoff *hotrestart.Handoff) (list proxy.WatchEvent, err error) {
 	cfg := p.cfg
 	list = knownList(cfg, handoff.Snapshot)
@@ -159,21 +171,23 @@
 		return list, err
 	}
 	if !cfg.Settings.PollsDiscovery {
-		// Lists are pushed to an agent that the platform runs beside the proxy, and the decision module polls for none.
+		// Lists are pushed to an agent that the platform runs beside the proxy, and the decision
+		// module does not poll.
 		p.discovery.FollowAgent()
 	}
 	p.core.RestoreBalancer(handoff.Snapshot.Balancer)
 	return list, nil
 }
 
-// openPeers opens the socket for datagrams to the other proxies, or takes the one that was handed over: datagram, unless it is under 0. A
-// proxy serves without that socket, too, so that a failure is only logged.
-func (p *process) openPeers(datagram int) {
+// openPeers uses the socket fd for datagrams to the other proxies, which the old process handed
+// over, or opens a new one if fd is negative. A failure is only logged, because the proxy can serve
+// without that socket.
+func (p *process) openPeers(fd int) {
 	s := p.cfg.Settings
 	if !s.MayGossip || p.cfg.Peers.Listen == "" || s.Instances <= 1 {
 		return
 	}
-	link, err := peers.Open(p.loop, p.cfg.Peers, s.Instance, datagram, p.peerMessageReceived)
+	link, err := peers.Open(p.loop, p.cfg.Peers, s.Instance, fd, p.peerMessageReceived)
 	if err != nil {
 		slog.Warn("peers_off", "reason", err)
 		return
@@ -182,15 +196,17 @@
 	p.peers = link
 }
 
-// peerMessageReceived passes a datagram to membership, or else to the decision module.
+// peerMessageReceived passes a datagram to membership, or to the decision module if membership does
+// not accept it.
 func (p *process) peerMessageReceived(from int, data []byte) {
 	if !p.fleet.members.ReceiveShared(from, data) {
 		p.core.PeerMessageReceived(from, data)
 	}
 }
 
-// listen makes the front for clients, on the listening socket fd that was handed over, or, if fd is under 0, on a new one. The new one shares
-// its address if hot restarts are possible, for a process to which this one cannot hand over.
+// listen creates the front for clients on the listening socket fd, which the old process handed
+// over, or on a new socket if fd is negative. If hot restarts are possible, the new socket shares
+// its address, so that a process to which this one cannot hand over can listen as well.
 func (p *process) listen(fd int) (err error) {
 	if fd >= 0 {
 		p.listener, err = netio.Inherit(fd)
@@ -205,7 +221,7 @@
 	return nil
 }
 
-// listenAdmin makes the admin interface, if the platform names an address for it.
+// listenAdmin starts the admin interface if the platform configures an address for it.
 func (p *process) listenAdmin() error {
 	if p.cfg.Admin == "" {
 		return nil
@@ -219,9 +235,10 @@
 	return nil
 }
 
+// addressInUse reports whether err is EADDRINUSE.
 func addressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// shutDown starts the graceful shutdown. It may be called on any goroutine.
+// shutDown starts the graceful shutdown. It may be called from any goroutine.
 func (p *process) shutDown() {
 	p.loop.Post(func() {
 		p.announceLeave()
--- a/internal/app/node/partner.go
+++ b/internal/app/node/partner.go
@@ -9,8 +9,9 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// partnerEvents handles the messages of the other process of a hot restart. Of a former partner only suspensions and connections are taken;
-// messages that would change the phase or the list are ignored (isCurrent).
+// partnerEvents handles the messages of the other process of a hot restart. From a former partner
+// it accepts suspensions and connections, but ignores messages that would change the phase or the
+// list (isCurrent).
 type partnerEvents struct {
 	*process
 	partner *hotrestart.Partner
@@ -18,10 +19,11 @@
 
 var _ hotrestart.Events = partnerEvents{}
 
-// isCurrent returns whether the sender is the current partner.
+// isCurrent reports whether the sender is the current partner.
 func (e partnerEvents) isCurrent() bool { return e.restart.partner == e.partner }
 
-// TakeOver has this process, the old one, stop accepting clients, and returns its state.
+// TakeOver makes this process, the old one, stop accepting clients. It returns the state for the
+// new one.
 func (e partnerEvents) TakeOver() *proxy.Snapshot {
 	if e.isCurrent() && e.restart.isOld {
 		e.becomeHandedOver()
@@ -31,7 +33,8 @@
 	return s
 }
 
-// TakenOver has this process, the new one, apply the old one's last state and serve.
+// TakenOver makes this process, the new one, apply the old one's last state and serve. s is nil
+// if the old process sent no state.
 func (e partnerEvents) TakenOver(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.phase != awaitingList && e.restart.phase != takingOver {
 		return
@@ -42,7 +45,8 @@
 	e.becomeServing()
 }
 
-// applySnapshot applies a snapshot, if it is valid.
+// applySnapshot restores the old process's list, suspensions and decision module state. It ignores
+// an invalid snapshot.
 func (e partnerEvents) applySnapshot(s *proxy.Snapshot) {
 	s.Rebase(e.loop.Now(), true)
 	if err := s.Check(e.loop.Now()); err != nil {
@@ -54,7 +58,8 @@
 	e.core.RestoreBalancer(s.Balancer)
 }
 
-// ListChanged applies the old process's list, if it is newer than this one's: the two are one proxy, and this one may not be watching yet.
+// ListChanged applies the old process's list if it is newer than this one's. Both processes are one
+// proxy, and this one may not watch discovery yet.
 func (e partnerEvents) ListChanged(s *proxy.Snapshot) {
 	if !e.isCurrent() || e.restart.isOld {
 		return
@@ -66,6 +71,8 @@
 	e.applyList(s)
 }
 
+// applyList applies the list of s if it is of the same discovery service and newer than this
+// process's.
 func (e partnerEvents) applyList(s *proxy.Snapshot) {
 	if len(s.Hosts) == 0 {
 		return
@@ -75,7 +82,7 @@
 	}
 }
 
-// HostSuspended applies a suspension, or its end, by an operator's call at the other process.
+// HostSuspended applies a suspension, or its end, that an operator requested at the other process.
 func (e partnerEvents) HostSuspended(id string, suspended bool) {
 	e.core.SetOtherProcessSuspension(id, suspended)
 	if e.restart.phase == serving {
@@ -83,17 +90,19 @@
 	}
 }
 
-// ConnectionReceived resumes a connection that the old process hands over.
+// ConnectionReceived resumes a connection that the old process has handed over.
 func (e partnerEvents) ConnectionReceived(s *proxy.HandedOverConnection) { e.front.Resume(s) }
 
-// DownstreamCount counts the old process's downstreams with this one's, and its other descriptors as downstreams of two descriptors each.
+// DownstreamCount counts the old process's n downstreams against this one's limit, and its other
+// descriptors too: as downstreams, which use two descriptors each.
 func (e partnerEvents) DownstreamCount(n int) {
 	if e.isCurrent() && !e.restart.isOld {
 		e.core.SetOtherProcessDownstreams(n + e.cfg.HotRestartDescriptors()/2)
 	}
 }
 
-// Gone handles the end of the other process: this one goes on alone, and serves if it did not.
+// Gone handles the end of the other process. This one continues alone, and serves if it did not
+// serve yet.
 func (e partnerEvents) Gone() {
 	if !e.isCurrent() {
 		return
--- a/internal/app/node/partner_test.go
+++ b/internal/app/node/partner_test.go
@@ -10,14 +10,16 @@
 	"croftlock/internal/dataplane/proxy"
 )
 
-// listedHost is a host in an endpoint list.
+// listedHost returns the list entry of a host.
 func listedHost(id string, state balancer.HostState) proxy.HostEntry {
 	return proxy.HostEntry{Address: "127.0.0.1:1", ListedHost: balancer.ListedHost{ID: id, State: state, Weight: 1}}
 }
 
+// ownDiscovery is the discovery address of the process under test.
 const ownDiscovery = "127.0.0.1:2"
 
-// newProcessWithList makes a process with a list of the hosts a and b, of revision 7 of ownDiscovery.
+// newProcessWithList returns a process whose list holds the ready hosts a and b, at revision 7 of
+// ownDiscovery.
 func newProcessWithList(t *testing.T) *process {
 	t.Helper()
 	settings := balancer.Config{Instances: 1, Tick: 1e6, MaxAttempts: 5, Classes: []balancer.Class{{Name: "c", LatencyObjective: 1e9, Deadline: 2e9}}, SlowStartDuration: 1e9, SlowStartOverloadWindow: 1e9,
@@ -33,7 +35,7 @@
 	return p
 }
 
-// stateOf is a host's state in the process's list.
+// stateOf returns a host's state in the process's list, or Removed if the list does not contain it.
 func (p *process) stateOf(id string) balancer.HostState {
 	for _, h := range p.core.Snapshot(false).Hosts {
 		if h.ID == id {
@@ -43,8 +45,9 @@
 	return balancer.Removed
 }
 
-// TestNewProcessAppliesOldProcessList: until a new process has its own list, it applies newer lists of the same discovery that the old one sends. The old
-// one applies none of the new one's.
+// TestNewProcessAppliesOldProcessList checks that a new process applies a list that the old one
+// sends, but only a newer one of the same discovery service, and that the old process ignores the
+// new one's lists.
 func TestNewProcessAppliesOldProcessList(t *testing.T) {
 	p := newProcessWithList(t)
 	p.restart.partner = &hotrestart.Partner{}
@@ -56,12 +59,12 @@
 	}{{"127.0.0.1:3", 9, balancer.Ready}, {ownDiscovery, 7, balancer.Ready}, {ownDiscovery, 8, balancer.Draining}} {
 		events.ListChanged(&proxy.Snapshot{Discovery: c.discovery, Revision: c.revision, Hosts: []proxy.HostEntry{listedHost("a", balancer.Draining), listedHost("b", balancer.Ready)}})
 		if got := p.stateOf("a"); got != c.want {
-			t.Errorf("after a list of %s, revision %d, host a has state %d, want %d", c.discovery, c.revision, got, c.want)
+			t.Errorf("after a list of discovery %s, revision %d, host a has state %d, want %d", c.discovery, c.revision, got, c.want)
 		}
 	}
 	p.restart.isOld = true
 	events.ListChanged(&proxy.Snapshot{Discovery: ownDiscovery, Revision: 9, Hosts: []proxy.HostEntry{listedHost("a", balancer.Ready)}})
 	if got := p.stateOf("a"); got != balancer.Draining {
-		t.Errorf("after the new process's list, host a has state %d at the old one, want %d", got, balancer.Draining)
+		t.Errorf("after the new process's list, host a has state %d at the old process, want %d", got, balancer.Draining)
 	}
 }
--- a/internal/app/node/predecessor.go
+++ b/internal/app/node/predecessor.go
@@ -12,18 +12,21 @@
 )
 
 const (
-	// startRetryTime is how long a start retries where an address is in use or another hot restart is in progress: a new process has 6 s to
-	// be ready.
+	// startRetryTime is how long a start retries while an address is in use or another hot restart
+	// is in progress. A new process must be ready within 6 s.
 	startRetryTime     = 5500 * time.Millisecond
 	startRetryInterval = 100 * time.Millisecond
-	// invalidAnswerRetryTime is how long a request to a process that answers with an error is retried.
+	// invalidAnswerRetryTime is how long a handover request is retried if it fails for another
+	// reason than ErrBusy.
 	invalidAnswerRetryTime = 2 * time.Second
-	// maxStateReads is how often a state file is read while the disk fails, at stateReadInterval.
+	// maxStateReads is how many times a state file is read, at stateReadInterval, while the disk
+	// fails.
 	maxStateReads     = 10
 	stateReadInterval = 100 * time.Millisecond
 )
 
-// retryStart retries until it succeeds, for as long as a start may take and the error is retryable.
+// retryStart calls attempt until it succeeds, returns an error that is not retryable, or
+// startRetryTime has passed. It returns the results of the last call.
 func retryStart[T any](attempt func() (T, error), retryable func(error) bool) (T, error) {
 	for end := time.Now().Add(startRetryTime); ; time.Sleep(startRetryInterval) {
 		result, err := attempt()
@@ -33,16 +36,18 @@
 	}
 }
 
-// requestOrReadHandoff requests a handover from the process that serves, or else reads the state that an earlier one has stored. partner is nil
-// where no process hands over, handoff where there is no stored state either. An error ends the start: the
-// process that serves rejects a handover, since it has a partner already, is shutting down, or serves another address.
+// requestOrReadHandoff requests a handover from the process that serves. If none hands over, it
+// reads the state that an earlier process stored. partner is nil if no process hands over; handoff
+// is nil if there is no stored state either. An error must end the start: the serving process
+// rejects the handover because it already has a partner, is shutting down, or serves another
+// address.
 func requestOrReadHandoff(cfg *platform.Config, dir string, now int64) (partner *hotrestart.Partner, handoff *hotrestart.Handoff, err error) {
 	partner, handoff, err = requestHandover(cfg, dir, now)
 	if errors.Is(err, hotrestart.ErrBusy) {
 		return nil, nil, err
 	}
 	if err != nil {
-		slog.Warn("hot_restart_failed", "reason", err) // the other process goes on serving beside this one
+		slog.Warn("hot_restart_failed", "reason", err) // the other process continues to serve beside this one
 	}
 	if partner != nil {
 		return partner, handoff, nil
@@ -50,8 +55,9 @@
 	return nil, storedHandoff(dir, now), nil
 }
 
-// requestHandover requests a handover from the process that serves, and retries where that one cannot answer for the moment. Without a handover
-// this process would listen on a socket of its own, and the clients in the old one's accept queue would be lost at its end.
+// requestHandover requests a handover from the process that serves, and retries while that process
+// cannot answer. Without a handover this process would listen on a socket of its own, and the
+// clients in the old process's accept queue would be lost when that process ends.
 func requestHandover(cfg *platform.Config, dir string, now int64) (*hotrestart.Partner, *hotrestart.Handoff, error) {
 	type answer struct {
 		partner *hotrestart.Partner
@@ -67,7 +73,8 @@
 	return a.partner, a.handoff, err
 }
 
-// storedHandoff is the state that an earlier process has stored; nil: there is none that can be used.
+// storedHandoff returns the state that an earlier process stored. It returns nil if there is no
+// usable state; a file that cannot be used is set aside.
 func storedHandoff(dir string, now int64) *hotrestart.Handoff {
 	snapshot, err := readState(dir, now)
 	if err != nil {
@@ -80,12 +87,13 @@
 	return handoffWithoutSockets(snapshot)
 }
 
-// handoffWithoutSockets is a handoff for a process that opens its own sockets.
+// handoffWithoutSockets returns a handoff for a process that opens its own sockets.
 func handoffWithoutSockets(snapshot *proxy.Snapshot) *hotrestart.Handoff {
 	return &hotrestart.Handoff{Snapshot: snapshot, ListenerFD: -1, DatagramFD: -1}
 }
 
-// readState reads the state file, and retries while the disk fails: the file holds the operators' suspensions.
+// readState reads the state file. It retries while the disk fails, because the file holds the
+// operators' suspensions.
 func readState(dir string, now int64) (s *proxy.Snapshot, err error) {
 	for range maxStateReads {
 		s, err = hotrestart.ReadState(dir, now)
@@ -97,8 +105,9 @@
 	return nil, err
 }
 
-// knownList is the endpoint list to start from: the one handed over, or stored by an earlier process, if it is of the same service and newer,
-// else the platform's.
+// knownList returns the endpoint list to start with. It is the list of s, which was handed over or
+// stored by an earlier process, if it is of the same discovery service and newer than the
+// platform's list. Otherwise it is the platform's.
 func knownList(cfg *platform.Config, s *proxy.Snapshot) proxy.WatchEvent {
 	if s.Discovery != cfg.Discovery || s.Revision <= cfg.CachedList.Version {
 		return cfg.CachedList
--- a/internal/app/node/restart.go
+++ b/internal/app/node/restart.go
@@ -14,34 +14,39 @@
 )
 
 const (
-	// ownListWait is how long a new process waits for its own list from discovery before it takes over with the old one's.
+	// ownListWait is how long a new process waits for its own list from discovery. It then takes
+	// over with the old process's list.
 	ownListWait = 2500 * time.Millisecond
-	// takenOverWait is how long it then waits for the old one's last snapshot.
+	// takenOverWait is how long a new process waits for the old one's last snapshot before it
+	// serves.
 	takenOverWait = 700 * time.Millisecond
-	// downstreamReportInterval is how often an old process reports how many downstreams it holds.
+	// downstreamReportInterval is the interval at which an old process reports its number of
+	// downstreams.
 	downstreamReportInterval = 250 * time.Millisecond
 )
 
-// Why a handover is rejected. The texts are sent to the new process.
+// Reasons for rejecting a handover. Their texts are sent to the new process.
 var (
 	errHasPartner   = errors.New("two processes are at it")
 	errShuttingDown = errors.New("this one is leaving")
 )
 
-// restartPhase says which process of the proxy accepts clients, as this one knows it.
+// restartPhase specifies which process of the proxy accepts clients, as far as this process knows.
 //
-// A new process goes from awaitingList by takingOver to serving; the old one from serving to handedOver, and back to serving if the new one
-// ends first. The old one gets SIGTERM from the platform once the new one is ready, and hands its connections over as it shuts down.
+// A new process starts in awaitingList and changes to takingOver and then to serving. The old one
+// changes from serving to handedOver, and back to serving if the new one ends first. The platform
+// sends SIGTERM to the old process once the new one is ready; the old one hands over its
+// connections as it shuts down.
 type restartPhase int
 
 const (
-	serving      restartPhase = iota // this one
-	awaitingList                     // the old one; this one waits for its own list from discovery
-	takingOver                       // the old one; this one has asked it to stop, and waits for its answer
-	handedOver                       // the new one
+	serving      restartPhase = iota // this process accepts clients
+	awaitingList                     // the old one does; this one waits for its own list from discovery
+	takingOver                       // the old one does, until it answers this one's request to stop
+	handedOver                       // the new one does
 )
 
-// String is the phase's name.
+// String returns the phase's name.
 func (p restartPhase) String() string {
 	switch p {
 	case serving:
@@ -56,20 +61,21 @@
 	return fmt.Sprintf("restartPhase(%d)", int(p))
 }
 
-// restart is the state of a hot restart, and the store for the next process.
+// restart holds the state of a hot restart and the store for the next process.
 type restart struct {
-	dir             string // the private folder; "": hot restarts are off
+	dir             string // the private directory; empty if hot restarts are disabled
 	store           *hotrestart.Store
 	endpoint        *hotrestart.Endpoint
-	listSavePending bool // the list has changed, and will be stored
+	listSavePending bool // the list has changed and will be stored
 
 	phase        restartPhase
-	partner      *hotrestart.Partner // the other process; nil: there is none
+	partner      *hotrestart.Partner // the other process; nil if there is none
 	isOld        bool                // this process is the old one of the two
-	yieldedState balancer.Snapshot   // the decision module's state that the partner got as it took over
+	yieldedState balancer.Snapshot   // the decision module's state that the partner received when it took over
 }
 
-// serve accepts clients, receives the other proxies' datagrams, and offers a handover to the next process.
+// serve starts accepting clients and the other proxies' datagrams, and offers a handover to the
+// next process.
 func (p *process) serve() error {
 	if err := p.front.Serve(); err != nil {
 		return err
@@ -84,7 +90,8 @@
 	return nil
 }
 
-// mustServe is serve in a hot restart. It exits on an error: the process would be of no use.
+// mustServe calls serve during a hot restart. It ends the process on an error, because a process
+// that cannot accept clients is of no use.
 func (p *process) mustServe() {
 	if err := p.serve(); err != nil {
 		slog.Error("listener_lost", "addr", p.cfg.Listen, "reason", err)
@@ -92,7 +99,7 @@
 	}
 }
 
-// offerHandover accepts handover requests of the next process.
+// offerHandover starts accepting handover requests of the next process.
 func (p *process) offerHandover() {
 	if p.restart.endpoint != nil {
 		p.restart.endpoint.Close()
@@ -104,7 +111,8 @@
 	}
 }
 
-// handoffFor is the handoff for a new process that is to serve at an address, or the reason for a rejection.
+// handoffFor returns the handoff for a new process that will serve clients at listen. The text of
+// an error is sent to that process as the reason for the rejection.
 func (p *process) handoffFor(listen string) (*hotrestart.Handoff, error) {
 	switch {
 	case p.restart.partner != nil:
@@ -128,24 +136,28 @@
 	p.runPartner(partner)
 }
 
-// runPartner receives the other process's messages, and leaves it half of the memory.
+// runPartner starts receiving the other process's messages, and halves this one's memory limit: the
+// two processes share the memory.
 func (p *process) runPartner(partner *hotrestart.Partner) {
 	p.restart.partner = partner
 	debug.SetMemoryLimit(p.cfg.MemoryLimit() / 2)
 	partner.Run(p.loop, partnerEvents{p, partner})
 }
 
-// beginTakeover has a new process take over once it has its own list from discovery, or after ownListWait.
+// beginTakeover prepares a new process to take over as soon as it has its own list from discovery,
+// or after ownListWait.
 func (p *process) beginTakeover(old *hotrestart.Partner) {
 	p.restart.phase = awaitingList
 	p.core.SetHandedOver(true)
 	p.runPartner(old)
 	p.discovery.FetchList()
-	p.discovery.WatchList(true) // at once: the decision module would poll later, and use hosts that drain meanwhile
+	// Watches at once: the decision module would poll later, and meanwhile use hosts that drain.
+	p.discovery.WatchList(true)
 	p.loop.After(ownListWait, p.becomeTakingOver)
 }
 
-// becomeTakingOver asks the old process to stop accepting clients. The old one accepts them until it answers.
+// becomeTakingOver asks the old process to stop accepting clients. The old process accepts them
+// until it answers.
 func (p *process) becomeTakingOver() {
 	if p.restart.phase != awaitingList {
 		return
@@ -155,7 +167,8 @@
 	p.loop.After(takenOverWait, p.becomeServing)
 }
 
-// becomeServing has a new process accept clients: on the old one's answer, after takenOverWait, or when the old one has ended.
+// becomeServing makes a new process accept clients. It is called when the old process answers or
+// ends, or after takenOverWait.
 func (p *process) becomeServing() {
 	if p.restart.phase != awaitingList && p.restart.phase != takingOver {
 		return
@@ -167,7 +180,7 @@
 	p.save(nil)
 }
 
-// becomeHandedOver has an old process stop accepting clients.
+// becomeHandedOver makes an old process stop accepting clients.
 func (p *process) becomeHandedOver() {
 	p.restart.phase = handedOver
 	p.fleet.owners.Leave(func() { p.fleet.members.Stop() })
@@ -180,16 +193,18 @@
 	p.reportDownstreams()
 }
 
-// takeBack has an old process serve again after the new one has ended: clients in the accept queue are this one's again.
+// takeBack makes an old process serve again after the new one has ended. Clients in the accept
+// queue belong to this process again.
 func (p *process) takeBack() {
 	p.restart.phase = serving
-	p.core.RestoreBalancer(p.restart.yieldedState) // else the slow-start budgets that the new process got would be lost
+	p.core.RestoreBalancer(p.restart.yieldedState) // recovers the slow-start budgets that the new process had
 	p.mustServe()
 	p.rejoinFleet()
 	slog.Warn("hot_restart_taken_back", "downstreams", p.core.Downstreams())
 }
 
-// reportDownstreams reports to the new process, periodically, how many downstreams are left here: the two share the descriptors.
+// reportDownstreams sends the number of remaining downstreams to the new process periodically,
+// since the two processes share the file descriptors.
 func (p *process) reportDownstreams() {
 	if p.restart.partner != nil && p.restart.isOld {
 		p.restart.partner.SendDownstreamCount(p.core.Downstreams())
@@ -197,7 +212,8 @@
 	}
 }
 
-// snapshot is the state for the next process. With yield, this one gives up its slow-start budgets.
+// snapshot returns the state for the next process. If yieldSlowStart is true, this process gives up
+// its slow-start budgets.
 func (p *process) snapshot(yieldSlowStart bool) *proxy.Snapshot {
 	s := p.core.Snapshot(yieldSlowStart)
 	s.Discovery, s.Revision = p.discovery.Source()
--- a/internal/app/node/settings.go
+++ b/internal/app/node/settings.go
@@ -14,12 +14,12 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Schema is every section that the settings file may have.
+// Schema returns the sections that the settings file may have.
 func Schema() settings.Schema {
 	return settings.Schema{logging.Section(), upstreamtls.Section(), memberagent.Section(), owneragent.Section(), watermark.Section()}
 }
 
-// The sections of a settings file.
+// The following functions return the options of one section of a settings file.
 
 func logOptions(f *settings.File) logging.Options     { return f.Value("log").(logging.Options) }
 func tlsOptions(f *settings.File) upstreamtls.Options { return f.Value("tls").(upstreamtls.Options) }
@@ -31,7 +31,8 @@
 	return f.Value("floors").(watermark.Options)
 }
 
-// Check reads the files that the settings file refers to, and returns what cannot be used.
+// Check validates the settings file and the files that it refers to. It returns all faults, or nil
+// if there are none.
 func Check(file *settings.File) []error {
 	var faults []error
 	if err := checkTLS(tlsOptions(file)); err != nil {
@@ -50,7 +51,7 @@
 	return faults
 }
 
-// checkTLS loads certificates and keys, and checks them.
+// checkTLS loads certificates and keys and validates them, if TLS is enabled.
 func checkTLS(o upstreamtls.Options) error {
 	if !o.Enabled {
 		return nil
@@ -65,10 +66,11 @@
 	return nil
 }
 
-// stderr is where the log goes. It does not block where its reader stops reading.
+// stderr receives the log. Writing does not block if the reader of standard error stops reading.
 var stderr = logging.NewNonBlockingWriter(os.Stderr)
 
-// ConfigureLog configures the log by the settings file. A format of the command line wins over the file's, also after a reload.
+// ConfigureLog configures the log by the settings file. format, the command line's, overrides the
+// file's format unless it is empty, also after a reload.
 func ConfigureLog(file *settings.File, format string) {
 	o := logOptions(file)
 	if format != "" {
--- a/internal/app/node/signals.go
+++ b/internal/app/node/signals.go
@@ -12,25 +12,27 @@
 	"croftlock/internal/operations/settings"
 )
 
-// Signals receives the signals that a proxy handles. It is called first: a SIGHUP before that ends the process.
+// Signals returns a channel with the signals that a proxy handles. It must be called first, because
+// a SIGHUP that arrives before the call ends the process.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return signals
 }
 
-// signalHandler handles signals, on goroutines of its own: SIGHUP reloads the files, SIGTERM and SIGINT start the shutdown.
+// signalHandler handles signals on goroutines of its own. SIGHUP reloads the files; SIGTERM and
+// SIGINT start the shutdown.
 type signalHandler struct {
 	cfg       *platform.Config
-	file      *settings.File      // the latest valid one; used by the reloading goroutine alone
-	format    string              // of the log, from the command line
-	tlsDialer *upstreamtls.Dialer // nil: connections to upstream hosts without TLS
+	file      *settings.File      // the latest valid one; used only by the goroutine that reloads
+	format    string              // the log's format from the command line
+	tlsDialer *upstreamtls.Dialer // nil if connections to upstream hosts do not use TLS
 	redirect  func(discovery string)
 	shutDown  func()
 }
 
-// run handles signals until stopped is closed. It never blocks, so that a SIGTERM after a SIGHUP is handled at once, also where the disk with
-// the files hangs.
+// run handles signals until stopped is closed. It never blocks, so that a SIGTERM after a SIGHUP
+// is handled at once even if the disk with the files hangs.
 func (h *signalHandler) run(signals <-chan os.Signal, stopped <-chan struct{}) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
@@ -56,16 +58,16 @@
 	}
 }
 
-// reloadOnRequest reloads the files for each request, until run ends. It has a goroutine of its own, since neither the loop nor run may wait for a
-// disk.
+// reloadOnRequest reloads the files for each value in reloads until run ends. It has a goroutine of
+// its own, since neither the loop nor run may wait for a disk.
 func (h *signalHandler) reloadOnRequest(reloads <-chan struct{}) {
 	for range reloads {
 		h.reload()
 	}
 }
 
-// reload reads the settings file and the platform's configuration again. The operators write one, the platform the other: an invalid file
-// changes nothing, and does not keep the other from being applied.
+// reload reads the settings file, which operators write, and the platform's configuration again. An
+// invalid file changes nothing and does not prevent the other from being applied.
 func (h *signalHandler) reload() {
 	h.reloadSettings()
 	if h.tlsDialer != nil {
@@ -81,6 +83,8 @@
 	h.redirect(next.Discovery)
 }
 
+// reloadSettings applies the settings file again. It keeps the previous settings if the file is
+// invalid.
 func (h *signalHandler) reloadSettings() {
 	file, err := Schema().Load(h.file.Path)
 	if err != nil {
--- a/internal/app/node/successor.go
+++ b/internal/app/node/successor.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// saveTimeout is how long an operator's call waits for the disk.
+	// saveTimeout is the maximum time that an operator's call waits for the disk.
 	saveTimeout = 400 * time.Millisecond
-	// listSaveDelay is the delay before a changed list is stored, so that further changes are stored with it.
+	// listSaveDelay is the time from a change of the list until it is stored. Changes in that time
+	// are stored together.
 	listSaveDelay = time.Second
 )
 
 var _ proxy.Successor = (*process)(nil)
 
-// save stores the state for the next process, and then calls done, which may be nil.
+// save stores the state for the next process and then calls done. done may be nil.
 func (p *process) save(done func()) { p.restart.store.Save(p.snapshot(false), done) }
 
-// HostSuspended stores a host's suspension, or its end, and sends it to the other process, if there is one. done is called once, also if the
-// disk hangs.
+// HostSuspended stores a host's suspension, or its end, and sends it to the other process, if there
+// is one. It calls done once, after saveTimeout at the latest, even if the disk hangs.
 func (p *process) HostSuspended(id string, suspended bool, done func()) {
 	if p.restart.partner != nil {
 		p.restart.partner.SendHostSuspended(id, suspended)
@@ -53,7 +54,8 @@
 	})
 }
 
-// HandOver hands a connection to the process that has taken over, or closes it with its migration line if there is none.
+// HandOver hands a connection to the process that has taken over. Without such a process it sends
+// the migration line to the client and closes the connection.
 func (p *process) HandOver(s *proxy.HandedOverConnection, migrationLine []byte, done func()) {
 	if !p.AcceptsHandovers() {
 		s.Downstream.Discard(migrationLine)
@@ -64,7 +66,7 @@
 	p.restart.partner.HandOver(s, migrationLine, func() { p.loop.Post(done) })
 }
 
-// AcceptsHandovers returns whether another process has taken over, and connections can be handed to it.
+// AcceptsHandovers reports whether another process has taken over and accepts connections.
 func (p *process) AcceptsHandovers() bool {
 	return p.restart.partner != nil && p.restart.isOld && p.restart.phase == handedOver
 }
--- a/internal/app/node/watermarks.go
+++ b/internal/app/node/watermarks.go
@@ -12,7 +12,8 @@
 	"croftlock/internal/fleet/watermark"
 )
 
-// startWatermarks starts the exchange of watermarks with the other members, if it is enabled, and has the core act by them.
+// startWatermarks starts the exchange of watermarks with the other members and connects it to the
+// core. It does nothing if watermarks or membership are disabled.
 func (p *process) startWatermarks() {
 	f := &p.fleet
 	if !f.watermarkOptions.Enabled || f.members == nil {
@@ -36,7 +37,8 @@
 	p.core.SetWatermarks(coreWatermarks{f.watermarks}, revision)
 }
 
-// watermarkSource identifies the service whose revisions the watermarks hold: the name in the settings, or else discovery's address.
+// watermarkSource returns an ID of the discovery service whose revisions the watermarks contain. It
+// is derived from the name in the settings, or from the discovery address if no name is set.
 func (p *process) watermarkSource() uint32 {
 	name := p.fleet.watermarkOptions.Source
 	if addr, _ := p.discovery.Source(); name == "" {
@@ -45,7 +47,7 @@
 	return membership.ID(name)
 }
 
-// loopClock is the loop as a watermark link's clock.
+// loopClock adapts the loop to a watermark link's clock.
 type loopClock struct{ *netio.Loop }
 
 // After calls f on the loop after d.
@@ -54,7 +56,8 @@
 // memberTransport sends watermarks between members.
 type memberTransport struct{ *memberagent.Agent }
 
-// Others are the members that may be alive: a suspect, which does not answer, may still receive.
+// Others returns the IDs of the members that may be alive. A suspect, which does not answer, may
+// still receive.
 func (w memberTransport) Others() (out []uint32) {
 	for _, m := range w.View() {
 		if m.State == "alive" || m.State == "suspect" {
@@ -64,15 +67,17 @@
 	return out
 }
 
-// coreWatermarks adapts a watermark link to the core. The link's times are in milliseconds, the core's in nanoseconds.
+// coreWatermarks adapts a watermark link to the core. The link's times are in milliseconds, the
+// core's in nanoseconds.
 type coreWatermarks struct{ *watermark.Link }
 
 var _ proxy.Watermarks = coreWatermarks{}
 
-// watermarkStates maps the states of hosts to those of watermarks.
+// watermarkStates maps the states of hosts to the states in watermarks.
 var watermarkStates = map[balancer.HostState]watermark.State{balancer.Ready: watermark.Up, balancer.Draining: watermark.Draining, balancer.Removed: watermark.Gone}
 
-// ListUpdated passes a change of the own list to the watermarks.
+// ListUpdated passes a change of the own list to the watermark link. It returns the hosts for which
+// a watermark takes effect or ceases to.
 func (w coreWatermarks) ListUpdated(ch proxy.WatchEvent) []string {
 	all := make([]watermark.ListedHost, 0, len(ch.Hosts))
 	for _, e := range ch.Hosts {
@@ -81,5 +86,6 @@
 	return w.ReceiveList(ch.Version, ch.Kind == balancer.ListFull || ch.Kind == balancer.ListCached, all)
 }
 
-// Blocks returns whether others' newer lists exclude a host, whose start is in nanoseconds.
+// Blocks reports whether other members' newer lists exclude the host id, which started at ns, in
+// Unix nanoseconds.
 func (w coreWatermarks) Blocks(id string, ns balancer.Time) bool { return w.Link.Blocks(id, ns/1e6) }
